--- a/.ci/deploy.sh
+++ b/.ci/deploy.sh
@@ -6,7 +6,7 @@
 binary=${1:-bin/mastusher}
 file=${2:-deploy/balancer.toml}
 
-needed=$(go run ./internal/tools/needed "$binary")
+needed=$(go run ./internal/tools/sharedlibs "$binary")
 grep -q '^libc\.so' <<<"$needed" || { echo "$binary: not linked dynamically against the C library" >&2; exit 1; }
 
 node=$(sed -n 's/^node = \[\(.*\)\]$/\1/p' "$file" | tr -d '" ' | tr ',' '\n')
--- a/.ci/system.sh
+++ b/.ci/system.sh
@@ -10,7 +10,7 @@
 status=0
 while read -r binary role rest; do
 	test -z "$rest" || { echo "$file: '$binary $role $rest' has more than a role" >&2; status=1; }
-	needed=$(go run ./internal/tools/needed "$binary")
+	needed=$(go run ./internal/tools/sharedlibs "$binary")
 	grep -q '^libc\.so' <<<"$needed" || { echo "$binary: not linked dynamically against the C library" >&2; status=1; }
 	# Read whole first: in a pipe, grep -q ends at its line, and what `help` still writes would fail the pipe by SIGPIPE.
 	help=$("$binary" help 2>&1)
--- a/.ci/test.sh
+++ b/.ci/test.sh
@@ -8,7 +8,7 @@
 # exchangetest plays thousands of requests through the proxy, whose own tests have it; `make race` plays them with it.
 # simulation runs the real roles in a bubble of testing/synctest: with its thousands of timers the detector of Go 1.26 itself
 # ends by SIGSEGV, on a goroutine 0 that is in the bubble. example has those roles under the detector, as processes.
-plain=(./control ./internal/lab ./internal/system/exchangetest ./internal/system/fleettest ./internal/system/replica ./internal/system/simulation)
+plain=(./control ./internal/relay/simulator ./internal/tier/exchangetest ./internal/tier/fleettest ./internal/tier/replica ./internal/tier/simulation)
 
 pattern=$(printf '%s|' "${plain[@]#./}")
 racing=$(go list ./cmd/... ./internal/... | grep -vE "^mastusher/(${pattern%|})\$")
--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 
 build:
 	@sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
-	@test -x bin/benchlink && test -x bin/mastusher
+	@test -x bin/simulator-adapter && test -x bin/mastusher
 
 test:
 	.ci/test.sh
@@ -48,18 +48,18 @@
 		go build -buildmode=c-shared -ldflags=-s -o bin/plugins/$$(basename $$p).wasm ./$$p || exit 1; done
 
 fuzz:
-	go test -run '^$$' -fuzz FuzzReadBatch -fuzztime 10s ./internal/wire
-	go test -run '^$$' -fuzz FuzzReadRequest -fuzztime 10s ./internal/httpwire
-	go test -run '^$$' -fuzz FuzzReadResponse -fuzztime 10s ./internal/httpwire
-	go test -run '^$$' -fuzz FuzzReplay -fuzztime 10s ./internal/journal
-	go test -run '^$$' -fuzz FuzzDecode -fuzztime 10s ./internal/vrrp
-	go test -run '^$$' -fuzz FuzzHostFunctions -fuzztime 10s ./internal/plugin
-	go test -run '^$$' -fuzz FuzzBounded -fuzztime 10s ./internal/plugin/wasm
-	go test -run '^$$' -fuzz FuzzExchange -fuzztime 10s ./internal/system/exchangetest
-	go test -run '^$$' -fuzz FuzzAnswerBytes -fuzztime 10s ./internal/system/exchangetest
-	go test -run '^$$' -fuzz FuzzRequestBytes -fuzztime 10s ./internal/system/exchangetest
-	go test -run '^$$' -fuzz FuzzForm -fuzztime 10s ./internal/system/model/schema
-	go test -run '^$$' -fuzz FuzzUnpack -fuzztime 10s ./internal/system/link
+	go test -run '^$$' -fuzz FuzzReadBatch -fuzztime 10s ./internal/relay/wire
+	go test -run '^$$' -fuzz FuzzReadRequest -fuzztime 10s ./internal/relay/httpwire
+	go test -run '^$$' -fuzz FuzzReadResponse -fuzztime 10s ./internal/relay/httpwire
+	go test -run '^$$' -fuzz FuzzReplay -fuzztime 10s ./internal/relay/journal
+	go test -run '^$$' -fuzz FuzzDecode -fuzztime 10s ./internal/relay/vrrp
+	go test -run '^$$' -fuzz FuzzHostFunctions -fuzztime 10s ./internal/relay/plugin
+	go test -run '^$$' -fuzz FuzzBounded -fuzztime 10s ./internal/relay/plugin/wasm
+	go test -run '^$$' -fuzz FuzzExchange -fuzztime 10s ./internal/tier/exchangetest
+	go test -run '^$$' -fuzz FuzzAnswerBytes -fuzztime 10s ./internal/tier/exchangetest
+	go test -run '^$$' -fuzz FuzzRequestBytes -fuzztime 10s ./internal/tier/exchangetest
+	go test -run '^$$' -fuzz FuzzForm -fuzztime 10s ./internal/tier/model/schema
+	go test -run '^$$' -fuzz FuzzUnpack -fuzztime 10s ./internal/tier/transport
 
 # Every deliberate mistake that the packages' tests list, on a copy of the source; `make test` tries a few of them: minutes.
 MUTATED = $$(go list -f '{{.ImportPath}} {{join .TestImports " "}} {{join .XTestImports " "}}' ./... | \
@@ -73,44 +73,44 @@
 
 # The exchanges between clients, the proxy and endpoints, with the race detector.
 race:
-	go test -race ./internal/system/upstream ./internal/system/proxy ./internal/system/standin ./internal/system/exchangetest
+	go test -race ./internal/tier/upstream ./internal/tier/proxy ./internal/tier/standin ./internal/tier/exchangetest
 
 # Long runs, outside CI: what plug-ins cost, and what a hostile set costs other partners.
 bench-plugins: build
-	bin/plugbench --mode hostile
-	bin/plugbench --mode passing --pairs 3
-	go test -run '^$$' -bench Arrive -benchmem ./internal/plugin
+	bin/plugin-benchmark --mode hostile
+	bin/plugin-benchmark --mode passing --pairs 3
+	go test -run '^$$' -bench Arrive -benchmem ./internal/relay/plugin
 
 # What a capture costs the relay.
 bench-capture: build
-	bin/plugbench --mode capture
+	bin/plugin-benchmark --mode capture
 
 # A minute on a relay with stand-ins around it: demo.html tells what became of each message.
 demo: build
-	bin/mastlab demo
+	bin/relay-simulator demo
 
 # A whole serving tier on loopback, with the loss of two of its processes: some seconds.
 tier:
 	@sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)"
-	go run ./cmd/tierexample
+	go run ./cmd/tier-demo
 
 # Random troubles on tiers of real processes, by seed: about a minute each.
 tier-soak:
 	@sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)"
-	go build -o target/tiersoak ./cmd/tiersoak
-	target/tiersoak play --seeds $(or $(SEEDS),10) --first $(or $(FIRST),1) --length $(or $(LENGTH),20s)
+	go build -o target/tier-soak ./cmd/tier-soak
+	target/tier-soak play --seeds $(or $(SEEDS),10) --first $(or $(FIRST),1) --length $(or $(LENGTH),20s)
 
 # Random worlds in the lab, with the rule checker, for as long as asked.
 soak: build
-	bin/mastlab soak --for $(or $(FOR),10m)
+	bin/relay-simulator soak --for $(or $(FOR),10m)
 
 # Fleets of real processes under faults drawn from seeds, and every order of three relays and one change: some minutes.
 fleet: build
-	bin/mastlab fleet soak --count $(or $(COUNT),200) --side 4
-	bin/mastlab fleet soak --count $(or $(LARGE),20) --side 1 --relays 30 --first 9001
-	for s in deploy/fleet/long/*.toml; do bin/mastlab fleet run $$s || exit 1; done
-	go test ./internal/fleet/sim -run 'Random|Explore|SharedBound' -v -timeout 30m -args -worlds 1000 -first 5000 -depth 3
+	bin/relay-simulator fleet soak --count $(or $(COUNT),200) --side 4
+	bin/relay-simulator fleet soak --count $(or $(LARGE),20) --side 1 --relays 30 --first 9001
+	for s in deploy/fleet/long/*.toml; do bin/relay-simulator fleet run $$s || exit 1; done
+	go test ./internal/relay/fleet/simulation -run 'Random|Explore|SharedBound' -v -timeout 30m -args -worlds 1000 -first 5000 -depth 3
 
 # An hour at 120 messages/s, recorded from a core in virtual time, and replayed.
 bench-replay:
-	go test ./internal/relay -run Hour -v -args -hour 1h
+	go test ./internal/relay/engine -run Hour -v -args -hour 1h
--- a/cmd/mastusher-tier/main.go
+++ b/cmd/mastusher-tier/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/subcommands"
 
-	"mastusher/internal/system/command"
+	"mastusher/internal/tier/command"
 )
 
 func main() {
--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -18,15 +18,15 @@
 	"github.com/spf13/cobra"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
 )
 
 // recorder starts and stops captures of a running core.
 type recorder struct {
 	cfg  *config.Config
-	core *relay.Core
+	core *engine.Core
 	log  *slog.Logger
 	mu   sync.Mutex
 	on   *capture.Recorder
@@ -244,7 +244,7 @@
 		if err != nil {
 			return err
 		}
-		set := relay.Told(cfg)
+		set := engine.Told(cfg)
 		o.Settings = &set
 	}
 	if until > 0 {
@@ -254,13 +254,13 @@
 		}
 		o.Until = first + until
 	}
-	var core relay.Rerun
+	var core engine.Rerun
 	if against == "" {
 		o.Core = core.Record
 	}
 	began := time.Now()
 	res, err := capture.Replay(r, o)
-	var cd *relay.CoreDifference
+	var cd *engine.CoreDifference
 	if errors.As(err, &cd) {
 		coreDiffers(w, res, cd)
 	}
@@ -313,7 +313,7 @@
 	}
 }
 
-func coreDiffers(w io.Writer, res *capture.Result, d *relay.CoreDifference) {
+func coreDiffers(w io.Writer, res *capture.Result, d *engine.CoreDifference) {
 	if d.Turn != nil && d.Acts != nil && reflect.DeepEqual(d.Turn.Events, d.Told) {
 		moduleDiffers(w, res, &capture.Difference{Turn: d.Turn, Got: d.Acts, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.Acts))})
 	}
@@ -354,11 +354,11 @@
 	if err != nil {
 		return err
 	}
-	turns, err := capture.Window(r, f, from, from+length, &relay.Rerun{})
+	turns, err := capture.Window(r, f, from, from+length, &engine.Rerun{})
 	if err = errors.Join(err, f.Close()); err != nil {
 		_ = os.Remove(name)
 		return err
 	}
-	fmt.Fprintf(w, "%s: %d turns; captures in testdata of internal/capture and internal/relay are replayed by their tests\n", name, turns)
+	fmt.Fprintf(w, "%s: %d turns; captures in testdata of internal/relay/capture and internal/relay/engine are replayed by their tests\n", name, turns)
 	return nil
 }
--- a/cmd/mastusher/capture_test.go
+++ b/cmd/mastusher/capture_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/capture"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/standin"
 )
 
 // TestCaptured: a relay with one silent partner and one that refuses is captured from the middle of its work on, over a
--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/share"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // countsView is what a fleet has counted, as JSON.
@@ -50,13 +50,13 @@
 			}
 			tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 			fmt.Fprint(tab, "of")
-			for _, what := range relay.Counted {
+			for _, what := range engine.Counted {
 				fmt.Fprintf(tab, "\t%s", what)
 			}
 			fmt.Fprintln(tab)
 			for _, of := range slices.Sorted(maps.Keys(v.Counts)) {
 				fmt.Fprint(tab, of)
-				for _, what := range relay.Counted {
+				for _, what := range engine.Counted {
 					fmt.Fprintf(tab, "\t%d", v.Counts[of][what])
 				}
 				fmt.Fprintln(tab)
@@ -71,8 +71,8 @@
 }
 
 // countsOf gives the counters their names: those that this relay's settings have.
-func countsOf(cfg *config.Config, s *share.Sums) (*countsView, error) {
-	n, err := share.UnpackCounts(s.N)
+func countsOf(cfg *config.Config, s *quota.Sums) (*countsView, error) {
+	n, err := quota.UnpackCounts(s.N)
 	if err != nil {
 		return nil, err
 	}
@@ -84,13 +84,13 @@
 	for _, name := range cfg.Settings.TenantNames {
 		of = append(of, "tenant "+name)
 	}
-	for p := range relay.MostCounted {
+	for p := range engine.MostCounted {
 		of = append(of, "partner "+strconv.Itoa(p))
 	}
 	of = append(of, "partner others")
 	for _, name := range of {
-		for _, what := range relay.Counted {
-			k := share.Of(share.Count, name+" "+what)
+		for _, what := range engine.Counted {
+			k := quota.Of(quota.Count, name+" "+what)
 			if c, ok := n[k]; ok {
 				if v.Counts[name] == nil {
 					v.Counts[name] = map[string]uint64{}
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/peer"
-	"mastusher/internal/fleet/policy"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/peer"
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // errNotYet is a change that is not over when nobody waits any longer: exit code 3.
--- a/cmd/mastusher/fleet_test.go
+++ b/cmd/mastusher/fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // udp is an address on loopback that nobody listens at now.
--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/activitypub"
-	"mastusher/internal/config"
+	"mastusher/internal/relay/activitypub"
+	"mastusher/internal/relay/config"
 )
 
 // version is set by the linker for releases.
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
-	"mastusher/internal/config"
-	"mastusher/internal/exchange"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/wiretest"
 )
 
 const text = `{"listen": "127.0.0.1:1", "state": "STATE", "discovery": "127.0.0.1:1", "settings": {"peers_total": 1,
@@ -50,7 +50,7 @@
 		}
 	}
 	output, err := exec.Command("go", "list", "-deps", ".").Output()
-	if err != nil || strings.Contains(string(output), "mastusher/internal/system") {
+	if err != nil || strings.Contains(string(output), "mastusher/internal/tier") {
 		t.Errorf("the relay links packages of the tier (%v)", err)
 	}
 }
@@ -74,7 +74,7 @@
 
 // TestTerm: after SIGTERM clients are still answered, and the process then ends by itself.
 func TestTerm(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close() // the relay takes its place
 	cfg, err := config.Parse([]byte(strings.Replace(text, "STATE", t.TempDir(), 1)), func(k string) string {
@@ -87,11 +87,11 @@
 	log := slog.New(slog.NewTextHandler(ready, nil))
 	go func() { ended <- serve(cfg, log, signals{end: stop}, nil) }()
 	<-ready // "the relay serves"
-	kept := exchange.Dial(t, address)
-	exchange.Play(t, kept, "testdata/up.txt")
+	kept := wiretest.Dial(t, address)
+	wiretest.Play(t, kept, "testdata/up.txt")
 	stop <- syscall.SIGTERM
 	<-ready // "the relay drains"
-	exchange.Play(t, kept, "testdata/draining.txt")
+	wiretest.Play(t, kept, "testdata/draining.txt")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -100,7 +100,7 @@
 // TestReload: upon SIGHUP the watch moves to the discovery that the file names now, whatever the environment
 // says, and a faulty file changes nothing but for a line that names the key.
 func TestReload(t *testing.T) {
-	file, before, after := filepath.Join(t.TempDir(), "config.json"), exchange.Listen(t), exchange.Listen(t)
+	file, before, after := filepath.Join(t.TempDir(), "config.json"), wiretest.Listen(t), wiretest.Listen(t)
 	write := func(discovery string) {
 		s := strings.NewReplacer("STATE", t.TempDir(), `"discovery": "127.0.0.1:1"`, `"discovery": `+discovery).Replace(text)
 		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = conn.Close() })
-		exchange.Play(t, conn, "testdata/watch.txt")
+		wiretest.Play(t, conn, "testdata/watch.txt")
 	}
 	write(`"` + before.Addr().String() + `"`)
 	cfg, err := again()
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -14,12 +14,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/activitypub"
-	"mastusher/internal/config"
-	"mastusher/internal/platform"
-	"mastusher/internal/plugin"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/plugin/trial"
+	"mastusher/internal/relay/activitypub"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/platform"
+	"mastusher/internal/relay/plugin"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/plugin/trial"
 )
 
 // bench is what plugin run, test, check and bench have in common: a module in a host of its own.
--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/httpwire"
-	"mastusher/internal/plugin/wasmtest"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/plugin/wasmtest"
+	"mastusher/internal/relay/standin"
 )
 
 // TestMain lets the tests start this program as a process of its own, to be killed.
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/exchange"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/standin"
+	"mastusher/internal/relay/wiretest"
 )
 
 // deaf is an endpoint whose connections never come up: nobody takes them out of its queue, which is full.
@@ -229,7 +229,7 @@
 // TestEndOrders: requests that come in every order with SIGTERM. Each gets one answer, or an end with nothing of it kept, and no end is
 // a reset: not that of a connection which rests until the relay ends it, nor of one whose client goes on sending.
 func TestEndOrders(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close() // the relay takes its place
 	dir := t.TempDir()
@@ -246,18 +246,18 @@
 	}
 	t.Cleanup(func() { _ = d.Process.Kill(); _ = d.Wait() })
 	<-lines // "the relay serves"
-	rests, half, sends := exchange.Dial(t, address), exchange.Dial(t, address), exchange.Dial(t, address)
+	rests, half, sends := wiretest.Dial(t, address), wiretest.Dial(t, address), wiretest.Dial(t, address)
 	for _, c := range []net.Conn{rests, half, sends} {
-		exchange.Play(t, c, "testdata/up.txt")
+		wiretest.Play(t, c, "testdata/up.txt")
 	}
-	exchange.Play(t, half, "testdata/half-begun.txt")
+	wiretest.Play(t, half, "testdata/half-begun.txt")
 	_ = d.Process.Signal(syscall.SIGTERM)
 	<-lines                               // "the relay drains"
 	_ = d.Process.Signal(syscall.SIGTERM) // a second one changes nothing
-	exchange.Play(t, half, "testdata/half-ended.txt")
-	exchange.Play(t, sends, "testdata/draining.txt")
-	exchange.Play(t, exchange.Dial(t, address), "testdata/draining.txt")
-	exchange.Play(t, rests, "testdata/ended.txt")
+	wiretest.Play(t, half, "testdata/half-ended.txt")
+	wiretest.Play(t, sends, "testdata/draining.txt")
+	wiretest.Play(t, wiretest.Dial(t, address), "testdata/draining.txt")
+	wiretest.Play(t, rests, "testdata/ended.txt")
 	if err := d.Wait(); err != nil {
 		t.Errorf("the relay ends with %v", err)
 	}
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -11,16 +11,16 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/activitypub"
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/peer"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/journal"
-	"mastusher/internal/platform"
-	"mastusher/internal/plugin"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/relay"
-	"mastusher/internal/vrrp"
+	"mastusher/internal/relay/activitypub"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/peer"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/platform"
+	"mastusher/internal/relay/plugin"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/vrrp"
 )
 
 // signals are those that the process has got. What ends it has a channel of its own, in which no other can take its place.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	core, err := relay.New(cfg, jour, log, time.Now())
+	core, err := engine.New(cfg, jour, log, time.Now())
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 			return err
 		}
 		shape.rules.Try = shape.prepare
-		core.Govern(relay.Stand{}, nil) // until the fleet says more, nothing is taken on and nothing sent
+		core.Govern(engine.Stand{}, nil) // until the fleet says more, nothing is taken on and nothing sent
 	}
 	core.Restore(time.Now())
 	if cfg.Peers != nil {
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -6,19 +6,19 @@
 	"runtime"
 	"sync"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/peer"
-	"mastusher/internal/platform"
-	"mastusher/internal/plugin"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/peer"
+	"mastusher/internal/relay/platform"
+	"mastusher/internal/relay/plugin"
 )
 
 // shaper has the plug-ins run as the relay's file and the fleet's policy say together, whichever of them changes.
 type shaper struct {
 	plugins *plugin.Host // nil: none run
 	rules   *peer.Rules  // nil: the relay belongs to no fleet
-	core    *relay.Core
+	core    *engine.Core
 	log     *slog.Logger
 
 	mu  sync.Mutex
@@ -44,7 +44,7 @@
 		s.log.Error("the policy in force can't be applied", "version", st.Version, "error", err)
 		return
 	}
-	s.core.Govern(relay.Stand{Stand: told, Until: at.At(st.Until)}, done)
+	s.core.Govern(engine.Stand{Stand: told, Until: at.At(st.Until)}, done)
 }
 
 // adopt has the plug-ins run with the settings of a policy.
--- a/cmd/mastusher/shape_test.go
+++ b/cmd/mastusher/shape_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/httpwire"
-	"mastusher/internal/plugin/wasmtest"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/plugin/wasmtest"
+	"mastusher/internal/relay/standin"
 )
 
 // TestShapedByPolicy: a policy changes what a plug-in is handed, at one point between messages; that outlasts a reload and
--- a/cmd/plugbench/main.go
+++ b/cmd/plugin-benchmark/main.go
@@ -1,4 +1,4 @@
-// Command plugbench measures what plug-ins cost, and whether a hostile set of them costs the other partners anything.
+// Command plugin-benchmark measures what plug-ins cost, and whether a hostile set of them costs the other partners anything.
 // It starts the relay on one processor, endpoints and clients on the others, and plays the same load with and without
 // the plug-ins in turn. It is bounded in time and count, and uses loopback only.
 package main
@@ -24,9 +24,9 @@
 	"github.com/spf13/pflag"
 	"golang.org/x/sys/unix"
 
-	"mastusher/internal/httpwire"
-	"mastusher/internal/plugin/wasmtest"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/plugin/wasmtest"
+	"mastusher/internal/relay/standin"
 )
 
 // options are the flags.
@@ -54,18 +54,18 @@
 	for name, v := range map[string][3]int{"pairs": {o.pairs, 1, 50}, "seconds": {o.seconds, 2, 300}, "rate": {o.rate, 1, 2000},
 		"partners": {o.partners, 1, 200}, "victims": {o.victims, 1, 50}} {
 		if v[0] < v[1] || v[0] > v[2] {
-			fmt.Fprintf(os.Stderr, "plugbench: --%s: want %d to %d\n", name, v[1], v[2])
+			fmt.Fprintf(os.Stderr, "plugin-benchmark: --%s: want %d to %d\n", name, v[1], v[2])
 			os.Exit(2)
 		}
 	}
 	if err := o.run(); err != nil {
-		fmt.Fprintln(os.Stderr, "plugbench:", err)
+		fmt.Fprintln(os.Stderr, "plugin-benchmark:", err)
 		os.Exit(1)
 	}
 }
 
 func (o *options) run() error {
-	dir, err := os.MkdirTemp("", "plugbench")
+	dir, err := os.MkdirTemp("", "plugin-benchmark")
 	if err != nil {
 		return err
 	}
--- a/cmd/mastlab/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/rig"
-	"mastusher/internal/fleet/sim"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/simulation"
+	"mastusher/internal/relay/fleet/testcluster"
 )
 
 // errBreach ends a command whose fleet broke a rule.
@@ -31,10 +31,10 @@
 			if (len(args) == 0) == (random == 0) {
 				return errors.New("run: want a scenario's file, or --random SEED")
 			}
-			plan := rig.Random(random, most)
+			plan := testcluster.Random(random, most)
 			if len(args) == 1 {
 				var err error
-				if plan, err = rig.Load(args[0]); err != nil {
+				if plan, err = testcluster.Load(args[0]); err != nil {
 					return err
 				}
 			}
@@ -51,7 +51,7 @@
 
 	list := &cobra.Command{Use: "list [DIR]", Short: "list the scenarios of a folder", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			all, err := rig.List(append(args, filepath.Join("deploy", "fleet"))[0])
+			all, err := testcluster.List(append(args, filepath.Join("deploy", "fleet"))[0])
 			if err != nil {
 				return err
 			}
@@ -68,11 +68,11 @@
 			if err != nil {
 				return err
 			}
-			var h []check.Entry
+			var h []checker.Entry
 			if err := json.Unmarshal(text, &h); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if b := check.Judge(h, check.Options{Slack: slack}); b != nil {
+			if b := checker.Judge(h, checker.Options{Slack: slack}); b != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
 				return errBreach
 			}
@@ -97,7 +97,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "relays\tform\tchange, median of 9\tmost\tchange, a tenth down\tidle: bytes/s a relay\tat the leader\tsteps/s a relay\tµs a step")
 			for _, n := range sizes {
-				f := sim.Scale(n)
+				f := simulation.Scale(n)
 				fmt.Fprintf(t, "%d\t%v\t%v\t%v\t%v\t%.0f\t%.0f\t%.1f\t%.1f\n", n, f.Form.Round(time.Millisecond), f.Median.Round(100*time.Microsecond),
 					f.Most.Round(100*time.Microsecond), f.TenthDown.Round(time.Millisecond), f.Bytes, f.LeaderBytes, f.Steps, f.StepCost)
 				_ = t.Flush()
@@ -130,8 +130,8 @@
 				if err != nil {
 					return err
 				}
-				plan := rig.Scenario{Name: c.name, Relays: relays, Voters: min(3, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, Rate: c.rate}
-				r, err := rig.Cost(plan, program, dir, c.bare, c.changes, length)
+				plan := testcluster.Scenario{Name: c.name, Relays: relays, Voters: min(3, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, Rate: c.rate}
+				r, err := testcluster.Cost(plan, program, dir, c.bare, c.changes, length)
 				if err != nil {
 					return err
 				}
@@ -155,7 +155,7 @@
 }
 
 // playFleet plays one scenario and keeps what is needed to look into it.
-func playFleet(cmd *cobra.Command, plan rig.Scenario, relay, out string) error {
+func playFleet(cmd *cobra.Command, plan testcluster.Scenario, relay, out string) error {
 	keep := out != ""
 	if !keep {
 		dir, err := os.MkdirTemp("", "fleet")
@@ -174,7 +174,7 @@
 	if err := plan.Write(filepath.Join(out, "scenario.toml")); err != nil {
 		return err
 	}
-	r, err := rig.Play(plan, relay, out, cmd.ErrOrStderr())
+	r, err := testcluster.Play(plan, relay, out, cmd.ErrOrStderr())
 	if err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 				if err != nil {
 					continue
 				}
-				r, err := rig.Play(rig.Random(seed, most), relay, dir, nil)
+				r, err := testcluster.Play(testcluster.Random(seed, most), relay, dir, nil)
 				mu.Lock()
 				switch {
 				case err != nil:
--- a/cmd/mastlab/main.go
+++ b/cmd/relay-simulator/main.go
@@ -1,4 +1,4 @@
-// Command mastlab plays worlds of the lab: an emulator, in virtual time, of what the relay balances. The daemon links
+// Command relay-simulator plays worlds of the lab: an emulator, in virtual time, of what the relay balances. The daemon links
 // none of it.
 package main
 
@@ -15,10 +15,10 @@
 	"github.com/BurntSushi/toml"
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/lab"
-	"mastusher/internal/lab/experiment"
-	"mastusher/internal/lab/policy"
-	"mastusher/internal/lab/report"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/experiment"
+	"mastusher/internal/relay/simulator/policy"
+	"mastusher/internal/relay/simulator/report"
 )
 
 func main() {
@@ -31,19 +31,19 @@
 var errRules = errors.New("rules were broken")
 
 func command(out, progress io.Writer) *cobra.Command {
-	root := &cobra.Command{Use: "mastlab", Short: "try routing, limits and retries in an emulator, in virtual time", SilenceUsage: true}
+	root := &cobra.Command{Use: "relay-simulator", Short: "try routing, limits and retries in an emulator, in virtual time", SilenceUsage: true}
 	root.SetOut(out)
 	root.SetErr(progress)
 	root.AddCommand(runCommand(), sweepCommand(progress), compareCommand(progress), plotCommand(), shrinkCommand(), soakCommand(progress), listCommand(), demoCommand(progress), loadCommand(progress), fleetCommand())
 	return root
 }
 
-func world(file string, seed uint64) (*lab.World, error) {
+func world(file string, seed uint64) (*simulator.World, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	w, err := lab.Parse(string(text))
+	w, err := simulator.Parse(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -83,13 +83,13 @@
 	return cmd
 }
 
-func encode(w *lab.World) string {
+func encode(w *simulator.World) string {
 	var b strings.Builder
 	_ = toml.NewEncoder(&b).Encode(w)
 	return b.String()
 }
 
-func tell(w io.Writer, r *lab.Result) {
+func tell(w io.Writer, r *simulator.Result) {
 	fmt.Fprintf(w, "%s, seed %d, under %s: worth %.3f; %d messages, %d delivered, %d given up, %d late\n", r.World, r.Seed, r.Policy, r.Worth, r.Messages,
 		r.Delivered, r.GivenUp, r.Late)
 	fmt.Fprintf(w, "  %d busy replies, %d handed in again; %d calls, %d turned away, %d failed; %d turns; decisions %s\n", r.Refused, r.Again, r.Calls,
@@ -110,7 +110,7 @@
 }
 
 // fleetText is what the relays did together.
-func fleetText(r *lab.Result) string {
+func fleetText(r *simulator.Result) string {
 	f := r.Fleet
 	s := fmt.Sprintf("in step %.3f, over %.2f, wasted %.3f, regain %.0f s, unequal %.3f", f.InStep, f.Over, f.Wasted, f.Regain, f.Unequal)
 	if n := r.Broken["cold returns"]; n > 0 {
@@ -227,7 +227,7 @@
 }
 
 // breaks tells whether a policy breaks a rule in a world; "": any.
-func breaks(w *lab.World, name, rule string) bool {
+func breaks(w *simulator.World, name, rule string) bool {
 	res, err := experiment.Play(w, name)
 	return err == nil && (rule == "" && len(res.Broken) > 0 || res.Broken[rule] > 0)
 }
@@ -240,11 +240,11 @@
 		if err != nil {
 			return err
 		}
-		fails := func(w *lab.World) bool { return breaks(w, name, rule) }
+		fails := func(w *simulator.World) bool { return breaks(w, name, rule) }
 		if !fails(w) {
 			return errors.New("no such rule is broken in this world")
 		}
-		small := lab.Shrink(w, runs, fails)
+		small := simulator.Shrink(w, runs, fails)
 		fmt.Fprint(cmd.OutOrStdout(), encode(small))
 		res, err := experiment.Play(small, name)
 		if err == nil {
@@ -266,9 +266,9 @@
 		until, shown := time.Now().Add(length), time.Now()
 		played := 0
 		for seed := from; time.Now().Before(until); seed++ {
-			w := lab.Random(seed)
+			w := simulator.Random(seed)
 			if played++; breaks(w, name, rule) {
-				small := lab.Shrink(w, 300, func(w *lab.World) bool { return breaks(w, name, rule) })
+				small := simulator.Shrink(w, 300, func(w *simulator.World) bool { return breaks(w, name, rule) })
 				fmt.Fprintf(cmd.OutOrStdout(), "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encode(small))
 				res, err := experiment.Play(small, name)
 				if err == nil {
@@ -296,9 +296,9 @@
 	return &cobra.Command{Use: "list", Short: "tell the policies, rules, troubles and keys to sweep that there are", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		w := cmd.OutOrStdout()
 		fmt.Fprintln(w, "policies:", strings.Join(experiment.Policies(), ", "))
-		fmt.Fprintln(w, "troubles:", strings.Join(lab.Troubles(), ", "))
+		fmt.Fprintln(w, "troubles:", strings.Join(simulator.Troubles(), ", "))
 		var rules []string
-		for _, r := range lab.Rules {
+		for _, r := range simulator.Rules {
 			rules = append(rules, string(r))
 		}
 		fmt.Fprintln(w, "rules:", strings.Join(rules, ", "))
--- a/cmd/mastlab/stage.go
+++ b/cmd/relay-simulator/stage.go
@@ -8,40 +8,40 @@
 
 	"github.com/spf13/cobra"
 
-	"mastusher/internal/lab/report"
-	"mastusher/internal/lab/stage"
+	"mastusher/internal/relay/simulator/loadtest"
+	"mastusher/internal/relay/simulator/report"
 )
 
 // demoScript is a minute in a relay's life.
-func demoScript(quick float64) []stage.Scene {
+func demoScript(quick float64) []loadtest.Scene {
 	at := func(seconds float64) time.Duration { return time.Duration(seconds / quick * float64(time.Second)) }
-	set := func(n int, change func(*stage.Manners)) func(*stage.Stage) {
-		return func(s *stage.Stage) {
+	set := func(n int, change func(*loadtest.Manners)) func(*loadtest.Stage) {
+		return func(s *loadtest.Stage) {
 			m := s.Was(n)
 			change(&m)
 			s.Set(n, m)
 		}
 	}
-	kill := func(s *stage.Stage) {
+	kill := func(s *loadtest.Stage) {
 		s.Kill()
 		if err := s.Start(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
-	return []stage.Scene{
-		{At: at(6), Text: "partner 1 hangs", Do: set(1, func(m *stage.Manners) { m.Hangs = true })},
-		{At: at(12), Text: "partner 1 answers again", Do: set(1, func(m *stage.Manners) { m.Hangs = false })},
-		{At: at(16), Text: "partner 2 refuses all, with a wait of 0.8 s", Do: set(2, func(m *stage.Manners) { m.Refuse = 800 * time.Millisecond })},
-		{At: at(21), Text: "partner 2 takes calls again", Do: set(2, func(m *stage.Manners) { m.Refuse = 0 })},
-		{At: at(26), Text: "the endpoint of partner 3 drains, another takes its place", Do: func(s *stage.Stage) {
+	return []loadtest.Scene{
+		{At: at(6), Text: "partner 1 hangs", Do: set(1, func(m *loadtest.Manners) { m.Hangs = true })},
+		{At: at(12), Text: "partner 1 answers again", Do: set(1, func(m *loadtest.Manners) { m.Hangs = false })},
+		{At: at(16), Text: "partner 2 refuses all, with a wait of 0.8 s", Do: set(2, func(m *loadtest.Manners) { m.Refuse = 800 * time.Millisecond })},
+		{At: at(21), Text: "partner 2 takes calls again", Do: set(2, func(m *loadtest.Manners) { m.Refuse = 0 })},
+		{At: at(26), Text: "the endpoint of partner 3 drains, another takes its place", Do: func(s *loadtest.Stage) {
 			s.List(demoPartners, 3, "ready")
 			s.List(3, 3, "draining")
 		}},
-		{At: at(28), Text: "the old endpoint of partner 3 is gone", Do: func(s *stage.Stage) { s.List(3, 3, "gone") }},
+		{At: at(28), Text: "the old endpoint of partner 3 is gone", Do: func(s *loadtest.Stage) { s.List(3, 3, "gone") }},
 		{At: at(36), Text: "the relay is killed (SIGKILL) and started again", Do: kill},
-		{At: at(43), Text: "partner 4 hangs", Do: set(4, func(m *stage.Manners) { m.Hangs = true })},
+		{At: at(43), Text: "partner 4 hangs", Do: set(4, func(m *loadtest.Manners) { m.Hangs = true })},
 		{At: at(45), Text: "the relay is killed while calls hang, and started again", Do: kill},
-		{At: at(49), Text: "partner 4 answers again", Do: set(4, func(m *stage.Manners) { m.Hangs = false })},
+		{At: at(49), Text: "partner 4 answers again", Do: set(4, func(m *loadtest.Manners) { m.Hangs = false })},
 	}
 }
 
@@ -55,8 +55,8 @@
 			if quick < 1 || quick > 20 {
 				return fmt.Errorf("--quick: want 1 to 20")
 			}
-			plan := stage.Plan{Partners: demoPartners, Rate: 25, Length: time.Duration(55 / quick * float64(time.Second)), Most: 5000, Seed: 1, Class: "match-event",
-				Timeout: 16 * time.Second, Manners: stage.Manners{Took: 60 * time.Millisecond}, Script: demoScript(quick)}
+			plan := loadtest.Plan{Partners: demoPartners, Rate: 25, Length: time.Duration(55 / quick * float64(time.Second)), Most: 5000, Seed: 1, Class: "match-event",
+				Timeout: 16 * time.Second, Manners: loadtest.Manners{Took: 60 * time.Millisecond}, Script: demoScript(quick)}
 			return perform(cmd.OutOrStdout(), progress, plan, relay, page, "A minute of a relay")
 		}}
 	cmd.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
@@ -67,7 +67,7 @@
 
 func loadCommand(progress io.Writer) *cobra.Command {
 	var relay, page string
-	plan := stage.Plan{Seed: 1, Class: "match-event", Timeout: 16 * time.Second}
+	plan := loadtest.Plan{Seed: 1, Class: "match-event", Timeout: 16 * time.Second}
 	cmd := &cobra.Command{Use: "load", Short: "drive a relay over the platform's protocol, with stand-ins around it, open loop", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			switch {
@@ -95,13 +95,13 @@
 }
 
 // perform plays a plan on a relay and tells what came of it.
-func perform(w, progress io.Writer, plan stage.Plan, relay, page, title string) error {
-	dir, err := os.MkdirTemp("", "mastlab")
+func perform(w, progress io.Writer, plan loadtest.Plan, relay, page, title string) error {
+	dir, err := os.MkdirTemp("", "relay-simulator")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := stage.New(plan, relay, dir)
+	s, err := loadtest.New(plan, relay, dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the simulator run the decision module: it translates, and decides nothing.
+// Command simulator-adapter lets the simulator run the decision module: it translates, and decides nothing.
 package main
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/spf13/pflag"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/wire"
 )
 
 func main() {
 	record := pflag.String("record", "", "folder for a capture of each instance, which mastusher replay reads")
 	pflag.Parse()
 	if err := run(os.Stdin, os.Stdout, *record); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/benchlink/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/capture"
+	"mastusher/internal/relay/capture"
 )
 
 const setupText = `{"allowed": {"max_attempts": 4}, "family_info": {"workers": 4, "kind_apart": [false], "per_call": [1]},
--- a/cmd/tierexample/main.go
+++ b/cmd/tier-demo/main.go
@@ -1,4 +1,4 @@
-// Command tierexample starts a whole serving tier on loopback, plays programs on it, kills two of its processes and
+// Command tier-demo starts a whole serving tier on loopback, plays programs on it, kills two of its processes and
 // reports whether it kept its word. Its status is 1 if it didn't.
 package main
 
@@ -10,7 +10,7 @@
 	"os/signal"
 	"syscall"
 
-	"mastusher/internal/system/example"
+	"mastusher/internal/tier/demo"
 )
 
 func main() {
@@ -20,7 +20,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := play(ctx, *binary, *folder); err != nil {
-		fmt.Fprintln(os.Stderr, "tierexample:", err)
+		fmt.Fprintln(os.Stderr, "tier-demo:", err)
 		os.Exit(1)
 	}
 }
@@ -34,7 +34,7 @@
 		}
 		folder = made
 	}
-	if err := example.Run(ctx, example.Options{Binary: binary, Folder: folder, Report: os.Stdout}); err != nil {
+	if err := demo.Run(ctx, demo.Options{Binary: binary, Folder: folder, Report: os.Stdout}); err != nil {
 		return fmt.Errorf("%w\nsettings and logs are in %s", err, folder)
 	}
 	fmt.Println("The tier kept its word: no rule broken.")
--- a/cmd/tiersoak/main.go
+++ b/cmd/tier-soak/main.go
@@ -1,4 +1,4 @@
-// Command tiersoak plays random troubles on tiers of real processes on loopback, and counts what broke a rule. Its status is 1 if
+// Command tier-soak plays random troubles on tiers of real processes on loopback, and counts what broke a rule. Its status is 1 if
 // something did.
 package main
 
@@ -14,7 +14,7 @@
 
 	"github.com/google/subcommands"
 
-	"mastusher/internal/system/soak"
+	"mastusher/internal/tier/soak"
 )
 
 func main() {
@@ -67,7 +67,7 @@
 		}
 		broken, err := p.playOne(ctx, p.first+uint64(number))
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "tiersoak:", err)
+			fmt.Fprintln(os.Stderr, "tier-soak:", err)
 			return subcommands.ExitFailure
 		}
 		if broken {
@@ -137,7 +137,7 @@
 // Execute implements subcommands.Command.
 func (*role) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := soak.RunRole(ctx, flags.Arg(0)); err != nil {
-		fmt.Fprintln(os.Stderr, "tiersoak: process ends:", err)
+		fmt.Fprintln(os.Stderr, "tier-soak: process ends:", err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/examples/plugins/goal-rate/main.go
+++ b/examples/plugins/goal-rate/main.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"mastusher/guest"
+	"mastusher/pluginsdk"
 )
 
 const (
@@ -19,14 +19,14 @@
 )
 
 func init() {
-	guest.OnEnd(func(e guest.Ended) {
+	pluginsdk.OnEnd(func(e pluginsdk.Ended) {
 		if e.How() == "delivered" || e.How() == "withdrawn" {
 			return
 		}
 		partner := strconv.Itoa(e.Partner())
-		now := guest.Now()
+		now := pluginsdk.Now()
 		// The times of the last ends, oldest first.
-		raw, _ := guest.Get("ends/" + partner)
+		raw, _ := pluginsdk.Get("ends/" + partner)
 		var recent []byte
 		for ; len(raw) >= 8; raw = raw[8:] {
 			if now.Sub(time.UnixMilli(int64(binary.LittleEndian.Uint64(raw)))) < span {
@@ -36,13 +36,13 @@
 		recent = binary.LittleEndian.AppendUint64(recent, uint64(now.UnixMilli()))
 		if n := len(recent) / 8; n > limit {
 			recent = recent[8*(n-limit-1):]
-			if _, told := guest.Get("told/" + partner); !told {
-				guest.Log("alert: partner " + partner + " lost more than " + strconv.Itoa(limit) + " messages in a minute")
-				_ = guest.Set("told/"+partner, []byte{1}, span)
+			if _, told := pluginsdk.Get("told/" + partner); !told {
+				pluginsdk.Log("alert: partner " + partner + " lost more than " + strconv.Itoa(limit) + " messages in a minute")
+				_ = pluginsdk.Set("told/"+partner, []byte{1}, span)
 			}
 		}
-		if err := guest.Set("ends/"+partner, recent, span); err != nil {
-			guest.Log("store: " + err.Error())
+		if err := pluginsdk.Set("ends/"+partner, recent, span); err != nil {
+			pluginsdk.Log("store: " + err.Error())
 		}
 	})
 }
--- a/examples/plugins/rejected-field/main.go
+++ b/examples/plugins/rejected-field/main.go
@@ -11,11 +11,11 @@
 
 	"github.com/tidwall/gjson"
 
-	"mastusher/guest"
+	"mastusher/pluginsdk"
 )
 
 func init() {
-	guest.OnArrival(func(m guest.Message) {
+	pluginsdk.OnArrival(func(m pluginsdk.Message) {
 		body := m.Body()
 		object := gjson.ParseBytes(body)
 		if minute := object.Get("minute"); minute.Exists() && (minute.Num < 0 || minute.Num > 120) {
@@ -34,13 +34,13 @@
 		})
 		left = append(append([]byte{'{'}, bytes.TrimPrefix(left, []byte{','})...), '}')
 		if err := m.SetBody(left); err != nil {
-			guest.Log("attendance stays: " + err.Error())
+			pluginsdk.Log("attendance stays: " + err.Error())
 		}
 	})
-	guest.OnAnswer(func(a guest.Answer) {
+	pluginsdk.OnAnswer(func(a pluginsdk.Answer) {
 		if a.Status() == 503 && bytes.Contains(a.Sample(), []byte("maintenance")) && a.Told() < 10*time.Second {
 			if err := a.Wait(10 * time.Second); err != nil {
-				guest.Log("wait: " + err.Error())
+				pluginsdk.Log("wait: " + err.Error())
 			}
 		}
 	})
--- a/examples/plugins/required-header/main.go
+++ b/examples/plugins/required-header/main.go
@@ -7,12 +7,12 @@
 import (
 	"github.com/tidwall/gjson"
 
-	"mastusher/guest"
+	"mastusher/pluginsdk"
 )
 
 func init() {
-	guest.OnArrival(func(m guest.Message) {
-		settings := gjson.Parse(guest.Config())
+	pluginsdk.OnArrival(func(m pluginsdk.Message) {
+		settings := gjson.Parse(pluginsdk.Config())
 		desk := settings.Get("otherwise").String()
 		if sport := gjson.GetBytes(m.Body(), "sport").String(); sport != "" {
 			if d := settings.Get("desks").Get(gjson.Escape(sport)); d.Exists() {
@@ -23,7 +23,7 @@
 			return
 		}
 		if err := m.SetHeader("X-Desk", desk); err != nil {
-			guest.Log("X-Desk: " + err.Error())
+			pluginsdk.Log("X-Desk: " + err.Error())
 		}
 	})
 }
--- a/internal/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -24,11 +24,11 @@
 	"github.com/tidwall/gjson"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/exchange"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/journal"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/wiretest"
 )
 
 const settings = `{"allowed": {"cancel": true, "max_attempts": 6, "max_open": 4000, "max_retry_after": 3000000, "retry_after": true},
@@ -49,7 +49,7 @@
 }
 
 func stand(t *testing.T, handle func(id string, body gjson.Result) httpwire.Answer) *standIn {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	in := &standIn{address: l.Addr().String(), keys: keyring{}}
 	serve(t, l, func(q *httpwire.Request) httpwire.Answer {
 		if _, err := Verify(q, in.keys, time.Now(), time.Minute); err != nil {
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	core, err := relay.New(cfg, jour, log, time.Now())
+	core, err := engine.New(cfg, jour, log, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	core.Restore(time.Now())
 	ended := make(chan bool)
 	go func() { core.Run(); ended <- true }()
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	serve(t, l, f.Handle)
 	t.Cleanup(func() { core.Drain(); <-core.Drained(); core.Stop(); <-ended })
 	return f, l.Addr().String()
@@ -171,7 +171,7 @@
 			for i := 0; i < len(h); i += 2 {
 				lines = append(lines, "> "+h[i]+": "+h[i+1])
 			}
-			exchange.Play(t, exchange.Dial(t, at), "testdata/inbox.txt", "{method}", method, "{path}", path,
+			wiretest.Play(t, wiretest.Dial(t, at), "testdata/inbox.txt", "{method}", method, "{path}", path,
 				"{headers}", strings.Join(lines, "\n"), "{length}", strconv.Itoa(len(c.body)), "{body}", c.body,
 				"{status}", c.status, "{why}", c.why)
 			if len(f.ended) != 0 {
@@ -225,7 +225,7 @@
 				return httpwire.Answer{Status: 202}
 			})
 			_, at := start(t, back, slow)
-			conn := exchange.Dial(t, at)
+			conn := wiretest.Dial(t, at)
 			if got := post(t, conn, httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14}), activity("Update", "x:1")); got != 202 {
 				t.Fatalf("status %d", got)
 			}
@@ -284,7 +284,7 @@
 		posting.Add(1)
 		go func() {
 			defer posting.Done()
-			conn := exchange.Dial(t, at)
+			conn := wiretest.Dial(t, at)
 			r := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 14})
 			for i := p; i < events; i += posters {
 				id := fmt.Sprint("x:", i)
@@ -368,8 +368,8 @@
 	none := stand(t, nil)
 	f, at := start(t, none, none)
 	f.Open = func() bool { return false }
-	conn := exchange.Dial(t, at)
-	exchange.Play(t, conn, "testdata/stand-by.txt")
+	conn := wiretest.Dial(t, at)
+	wiretest.Play(t, conn, "testdata/stand-by.txt")
 }
 
 // TestOutcome maps every answer of an inbox.
@@ -392,14 +392,14 @@
 	none := stand(t, nil)
 	f, _ := start(t, none, none)
 	for status, want := range map[string]control.Result{"202": control.Delivered, "503": control.Spoilt} {
-		l := exchange.Listen(t)
+		l := wiretest.Listen(t)
 		go func() {
 			if conn, err := l.Accept(); err == nil {
-				exchange.Play(t, conn, "testdata/spoilt.txt", "{status}", status)
+				wiretest.Play(t, conn, "testdata/spoilt.txt", "{status}", status)
 			}
 		}()
 		u := &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
-		if d := cmp.Diff(relay.Outcome{Result: want}, f.post(t.Context(), u, nil, nil, nil)); d != "" {
+		if d := cmp.Diff(engine.Outcome{Result: want}, f.post(t.Context(), u, nil, nil, nil)); d != "" {
 			t.Errorf("%s (-want +got)\n%s", status, d)
 		}
 	}
@@ -440,7 +440,7 @@
 func TestShaped(t *testing.T) {
 	none := stand(t, nil)
 	f, _ := start(t, none, none)
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	got := make(chan *httpwire.Request, 1)
 	go func() {
 		conn, err := l.Accept()
@@ -455,7 +455,7 @@
 	}()
 	inbox := "http://" + l.Addr().String() + "/inbox"
 	f.inboxes[inbox] = &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
-	step := relay.NewStep(relay.Destination{Name: inbox}, 0, relay.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
+	step := engine.NewStep(engine.Destination{Name: inbox}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
 	if o := f.Call(t.Context(), step); o[0].Result != control.Delivered || step.Seen() == nil || step.Seen().Status != 202 {
 		t.Errorf("%+v, seen %+v", o, step.Seen())
 	}
--- a/internal/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -19,11 +19,11 @@
 	"github.com/tidwall/gjson"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/platform"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/platform"
+	"mastusher/internal/relay/plugin/rules"
 )
 
 // Name is this front's name in the journal.
@@ -51,8 +51,8 @@
 
 // Taker is the part of the core that takes messages on.
 type Taker interface {
-	Take(front string, m relay.Message) relay.Reply
-	Withdraw(relay.Reply)
+	Take(front string, m engine.Message) engine.Reply
+	Withdraw(engine.Reply)
 	Ready() bool
 }
 
@@ -92,13 +92,13 @@
 }
 
 // New returns the front of core, and its destinations; it still has to be added to it.
-func New(cfg *config.Config, core Taker, log *slog.Logger) (*Front, relay.EndpointList, error) {
+func New(cfg *config.Config, core Taker, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	a := cfg.ActivityPub
 	f := &Front{cfg: a, lim: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
 		keys: keyring{}, owners: map[string]*config.Client{}, clients: map[string]*config.Client{},
 		inboxes: map[string]*url.URL{}, partners: map[string]config.Partner{}, classes: map[string]int{},
 		set: cfg.Settings.Classes, Now: time.Now, ended: map[string]end{}}
-	none := relay.EndpointList{}
+	none := engine.EndpointList{}
 	key, err := ReadKey(a.KeyFile)
 	if err != nil {
 		return nil, none, &config.KeyError{Key: "activitypub.key_file", Why: err.Error()}
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	pool := relay.EndpointList{Whole: true}
+	pool := engine.EndpointList{Whole: true}
 	for i, p := range a.Partners {
 		f.partners[p.Name] = p
 		for k, inbox := range p.Inboxes {
@@ -136,7 +136,7 @@
 				return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Why: "not a URL"}
 			}
 			f.inboxes[inbox] = u
-			pool.Destinations = append(pool.Destinations, relay.Destination{Name: inbox, Address: address(u),
+			pool.Destinations = append(pool.Destinations, engine.Destination{Name: inbox, Address: address(u),
 				Zone: p.Zone, Kind: p.Kind, Partner: p.Destination})
 		}
 	}
@@ -163,7 +163,7 @@
 func (f *Front) TellsDeliveries() bool { return true }
 
 // Retire closes idle connections.
-func (f *Front) Retire(to *relay.Destination) {
+func (f *Front) Retire(to *engine.Destination) {
 	if to == nil {
 		f.pool.Retire(httpwire.Peer{})
 	} else {
@@ -172,7 +172,7 @@
 }
 
 // Watch has nothing to follow: the partners stand in the configuration.
-func (f *Front) Watch(context.Context, int64, func(relay.EndpointList)) error { return nil }
+func (f *Front) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
 
 // Handle answers a request on a client's connection.
 func (f *Front) Handle(q *httpwire.Request) httpwire.Answer {
@@ -207,11 +207,11 @@
 	}
 	m.Partner, m.Tenant = partner.Destination, partner.Tenant
 	switch r := f.core.Take(Name, m); r.Verdict {
-	case relay.Taken:
+	case engine.Taken:
 		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
-	case relay.Busy:
+	case engine.Busy:
 		return platform.BusyReply(r.Retry)
-	case relay.Rejected:
+	case engine.Rejected:
 		a := say(cmp.Or(r.Status, 422), r.Why)
 		a.Prompt = true
 		return a
@@ -227,7 +227,7 @@
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // message checks an activity and makes a message of it; again: it has been delivered already.
-func (f *Front) message(q *httpwire.Request) (m relay.Message, again bool, err error) {
+func (f *Front) message(q *httpwire.Request) (m engine.Message, again bool, err error) {
 	kind, _, _ := strings.Cut(q.Header.Get("Content-Type"), ";")
 	if kind = strings.TrimSpace(kind); kind != contentType && kind != "application/ld+json" {
 		return m, false, &Refusal{415, "want " + contentType}
@@ -251,7 +251,7 @@
 	case !known:
 		return m, false, &Refusal{422, "no class for this type of activity"}
 	}
-	m = relay.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.set[class].Deadline), Body: q.Body,
+	m = engine.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.set[class].Deadline), Body: q.Body,
 		Header: q.Header}
 	if v := act.Get("endTime"); v.Exists() {
 		t, err := time.Parse(time.RFC3339, v.String())
@@ -285,8 +285,8 @@
 }
 
 // Call delivers activities to an inbox, one a request.
-func (f *Front) Call(ctx context.Context, step *relay.Attempt) []relay.Outcome {
-	outs := make([]relay.Outcome, len(step.Items))
+func (f *Front) Call(ctx context.Context, step *engine.Attempt) []engine.Outcome {
+	outs := make([]engine.Outcome, len(step.Items))
 	for i := range step.Items {
 		it := &step.Items[i]
 		outs[i] = f.post(ctx, f.inboxes[step.To.Name], it.Body, it.Headers, step)
@@ -295,14 +295,14 @@
 }
 
 // post signs a body and posts it, for a step or, where that is nil, as an answer to a client.
-func (f *Front) post(ctx context.Context, u *url.URL, body []byte, more []string, step *relay.Attempt) (o relay.Outcome) {
+func (f *Front) post(ctx context.Context, u *url.URL, body []byte, more []string, step *engine.Attempt) (o engine.Outcome) {
 	if u == nil {
-		return relay.Outcome{Result: control.Rejected}
+		return engine.Outcome{Result: control.Rejected}
 	}
 	head, err := f.signer.Headers("POST", u.Host, u.RequestURI(), body, f.Now())
 	if err != nil {
 		f.log.Error("activitypub", "error", err)
-		return relay.Outcome{Result: control.Moot}
+		return engine.Outcome{Result: control.Moot}
 	}
 	request := httpwire.AppendRequest(nil, "POST", u.RequestURI(), u.Host, append(head, more...), body)
 	var mayWrite func() bool
@@ -315,28 +315,28 @@
 		}
 	})
 	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Spoilt || o.Result != control.Delivered) {
-		o = relay.Outcome{Result: r}
+		o = engine.Outcome{Result: r}
 	}
 	return o
 }
 
 // outcome maps an inbox's answer. A status that no rule names is taken for a refusal for good if it blames
 // the request, and for one that may have run if it blames the server.
-func outcome(p *httpwire.Response) relay.Outcome {
+func outcome(p *httpwire.Response) engine.Outcome {
 	switch s := p.Status; {
 	case s >= 200 && s < 300:
-		return relay.Outcome{Result: control.Delivered}
+		return engine.Outcome{Result: control.Delivered}
 	case s == 429 || s == 503:
-		return relay.Outcome{Result: control.Full, Wait: platform.RetryAfter(p.Header.Get("Retry-After"))}
+		return engine.Outcome{Result: control.Full, Wait: platform.RetryAfter(p.Header.Get("Retry-After"))}
 	case s == 408 || s >= 500:
-		return relay.Outcome{Result: control.Errored}
+		return engine.Outcome{Result: control.Errored}
 	}
-	return relay.Outcome{Result: control.Rejected} // 401 and 403 refuse the signature, 404 and 410 the inbox
+	return engine.Outcome{Result: control.Rejected} // 401 and 403 refuse the signature, 404 and 410 the inbox
 }
 
 // Notify posts to each client the one final answer to what it handed in. A client that refuses it for good
 // has had it.
-func (f *Front) Notify(ctx context.Context, notices []relay.Notice) []bool {
+func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
 	taken := make([]bool, len(notices))
 	room := make(chan struct{}, f.lim.NoticesAtOnce)
 	var all sync.WaitGroup
@@ -367,7 +367,7 @@
 }
 
 // answer is an Accept for a delivery and a Reject for all else. Its id is the same each time it is sent.
-func (f *Front) answer(n *relay.Notice) []byte {
+func (f *Front) answer(n *engine.Notice) []byte {
 	kind, how := "Reject", "given_up"
 	c := &f.set[n.Class]
 	once := !n.RanAt.IsZero() && c.Effect == control.Keyed // it may have taken effect: only the window allows more
@@ -393,7 +393,7 @@
 }
 
 // remember keeps how a message ended, for as many as the limits allow.
-func (f *Front) remember(n *relay.Notice) {
+func (f *Front) remember(n *engine.Notice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.ended[n.ID]; !ok {
--- a/internal/activitypub/signature.go
+++ b/internal/relay/activitypub/signature.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/httpwire"
+	"mastusher/internal/relay/httpwire"
 )
 
 // HTTP signatures as the Fediverse makes them: draft-cavage-http-signatures-12 over the request target, host,
--- a/internal/config/config.go
+++ b/internal/relay/config/config.go
@@ -15,7 +15,7 @@
 	"github.com/tidwall/gjson"
 
 	"mastusher/control"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/wire"
 )
 
 // Limits holds every limit on sizes, counts and times outside the module. It is filled once, at start, and
--- a/internal/relay/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/journal"
 )
 
 // quickly is a shell whose calls are delivered at once.
--- a/internal/relay/core.go
+++ b/internal/relay/engine/core.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/wire"
 )
 
 // clockStart is where the module's clock stands when the process starts: late enough for all that happened
--- a/internal/relay/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/journal"
 )
 
 const settings = `{"state": "-", "listen": "-", "settings": {
--- a/internal/relay/endings.go
+++ b/internal/relay/engine/endings.go
@@ -1,11 +1,11 @@
-package relay
+package engine
 
 import (
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/journal"
 )
 
 // endings is the memory of messages that have ended a moment ago. A client whose connection broke before it had its answer hands
--- a/internal/relay/events.go
+++ b/internal/relay/engine/events.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/journal"
 )
 
 type arrival struct {
--- a/internal/relay/govern.go
+++ b/internal/relay/engine/govern.go
@@ -1,12 +1,12 @@
-package relay
+package engine
 
 import (
 	"slices"
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/journal"
 )
 
 // haltWait is how long a message that is handed in while a change of policy takes hold waits for that: old stops before new
--- a/internal/relay/govern_test.go
+++ b/internal/relay/engine/govern_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
+	"mastusher/internal/relay/capture"
 )
 
 // govern tells the core its standing, with so much of its lease left, and takes the turn.
--- a/internal/relay/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"testing"
--- a/internal/relay/races_test.go
+++ b/internal/relay/engine/races_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/journal"
 )
 
 // watched is a front whose watches the test speaks for, each for itself.
--- a/internal/relay/record.go
+++ b/internal/relay/engine/record.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"mastusher/internal/capture"
+	"mastusher/internal/relay/capture"
 )
 
 // Begin is what a capture of this core begins with.
--- a/internal/relay/relay.go
+++ b/internal/relay/engine/relay.go
@@ -1,6 +1,6 @@
-// Package relay is the core: it owns the decision module, the messages, their attempts and the notices owed.
+// Package engine is the core: it owns the decision module, the messages, their attempts and the notices owed.
 // It knows no wire. Fronts hand it messages and make its calls; they reach it by one queue only.
-package relay
+package engine
 
 import (
 	"bytes"
--- a/internal/relay/rerun.go
+++ b/internal/relay/engine/rerun.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/wire"
 )
 
 // Rerun drives a whole core with a capture in the place of its clock, fronts and journal, and compares all that it does
--- a/internal/relay/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"pgregory.net/rapid"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/journal"
 )
 
 // virtual is a shell in the test's time: what calls come to is drawn, and told when its time has come.
@@ -431,7 +431,7 @@
 // TestHour replays an hour at 120 messages a second.
 func TestHour(t *testing.T) {
 	if *hour == 0 {
-		t.Skip("go test ./internal/relay -run Hour -v -args -hour 1h")
+		t.Skip("go test ./internal/relay/engine -run Hour -v -args -hour 1h")
 	}
 	dir := t.TempDir()
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/relay/run.go
+++ b/internal/relay/engine/run.go
@@ -1,10 +1,10 @@
-package relay
+package engine
 
 import (
 	"slices"
 	"time"
 
-	"mastusher/internal/capture"
+	"mastusher/internal/relay/capture"
 )
 
 // watch begins a watch for each front that has none.
--- a/internal/relay/shell.go
+++ b/internal/relay/engine/shell.go
@@ -1,10 +1,10 @@
-package relay
+package engine
 
 import (
 	"context"
 	"time"
 
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/journal"
 )
 
 // Shell makes what the core decides happen, and hands back what comes of it: the live one by goroutines and sockets, a
--- a/internal/relay/state.go
+++ b/internal/relay/engine/state.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/capture"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/journal"
 )
 
 // state is the core's state as plain data, between two turns.
--- a/internal/relay/turn.go
+++ b/internal/relay/engine/turn.go
@@ -1,4 +1,4 @@
-package relay
+package engine
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/capture"
-	"mastusher/internal/journal"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/journal"
 )
 
 // Turn takes in what has happened, lets the module decide, writes that down, and then acts on it.
--- a/internal/fleet/check/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -1,5 +1,5 @@
-// Package check judges what the relays of a fleet did, by a history alone: it knows no code of the subsystem.
-package check
+// Package checker judges what the relays of a fleet did, by a history alone: it knows no code of the subsystem.
+package checker
 
 import (
 	"cmp"
--- a/internal/fleet/check/check_test.go
+++ b/internal/relay/fleet/checker/check_test.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"testing"
--- a/internal/fleet/agree/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -1,7 +1,7 @@
-// Package agree is the engine of the fleet's agreement: raft's pure core with a log in memory, elections on a clock that is
+// Package consensus is the engine of the fleet's agreement: raft's pure core with a log in memory, elections on a clock that is
 // handed in, and all that must be on disk handed out. It does no I/O, reads no clock and starts no goroutine; the same
 // inputs and seed give the same outputs.
-package agree
+package consensus
 
 import (
 	"errors"
--- a/internal/fleet/agree/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
--- a/internal/fleet/node/count.go
+++ b/internal/relay/fleet/node/count.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 const (
@@ -17,7 +17,7 @@
 func (n *Node) tell() {
 	if n.counts != nil && n.now >= n.countAt {
 		n.countAt = n.now + countEvery
-		own := []share.Tally{{Relay: n.cfg.Name, Gen: n.cfg.Gen, N: share.PackCounts(n.counts)}}
+		own := []quota.Tally{{Relay: n.cfg.Name, Gen: n.cfg.Gen, N: quota.PackCounts(n.counts)}}
 		for _, name := range n.cfg.Voters {
 			n.send(name, &Message{Tallies: own})
 		}
@@ -29,13 +29,13 @@
 	n.sayAt = n.now + talkEvery
 	for _, t := range n.book.Say(talkOf) {
 		for _, name := range n.cfg.Voters {
-			n.send(name, &Message{Tallies: []share.Tally{t}})
+			n.send(name, &Message{Tallies: []quota.Tally{t}})
 		}
 	}
 }
 
 // tallied takes in what relays have counted.
-func (n *Node) tallied(all []share.Tally) {
+func (n *Node) tallied(all []quota.Tally) {
 	for i := range all {
 		if n.book != nil {
 			n.book.Take(n.now, &all[i], 4*len(n.known.Roster)+64)
--- a/internal/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -7,9 +7,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/policy"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // leader is what a voter keeps while it leads. Nothing of it outlasts its leading: it is told again by pings, and what it
@@ -26,7 +26,7 @@
 	pushAt    time.Duration
 	said      map[string]time.Duration // commands that have not come back from the log
 	dutyAt    time.Duration
-	ledger    *share.Ledger // nil: nothing is shared
+	ledger    *quota.Ledger // nil: nothing is shared
 }
 
 // seen is a relay as its pings tell.
@@ -59,7 +59,7 @@
 // pinged takes a ping. One that leads answers it once a majority has confirmed that it does; others pass it on.
 func (n *Node) pinged(from string, p *Ping) {
 	if p.Member != 0 {
-		n.remember(p.Member, agree.Position{Term: p.Term, Last: p.Last})
+		n.remember(p.Member, consensus.Position{Term: p.Term, Last: p.Last})
 	}
 	if n.engine == nil || n.probation {
 		return
@@ -169,7 +169,7 @@
 		l.reset(n.now)
 		l.leads = true
 		if n.purse != nil {
-			l.ledger = share.NewLedger(share.Rules{Kept: n.cfg.Kept, Over: n.over(), Serve: n.cfg.Serve}, n.engine.Position().Term, n.now)
+			l.ledger = quota.NewLedger(quota.Rules{Kept: n.cfg.Kept, Over: n.over(), Serve: n.cfg.Serve}, n.engine.Position().Term, n.now)
 		}
 		n.log("this relay leads its fleet", "members", len(n.agreed.Members))
 	}
@@ -418,13 +418,13 @@
 	id := n.draw() | 1
 	s.Index, s.Members = index, map[uint64]string{id: n.cfg.Name}
 	n.agreed = s
-	e, err := agree.Found(id, n.draw(), n.cfg.Name, index, term, n.pack(), n.now)
+	e, err := consensus.Found(id, n.draw(), n.cfg.Name, index, term, n.pack(), n.now)
 	if err != nil {
 		return err.Error()
 	}
 	n.engine, n.probation = e, false
 	n.lead.reset(n.now)
-	n.do(Action{Save: &agree.Image{Whole: true}, Member: id})
+	n.do(Action{Save: &consensus.Image{Whole: true}, Member: id})
 	n.log("this relay has founded a group of voters", "epoch", s.Epoch, "roster", len(s.Roster))
 	return ""
 }
--- a/internal/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/policy"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Message is what relays of a fleet tell each other; one field is set. The fields' numbers are never given to another.
@@ -19,14 +19,14 @@
 	Push    *Push           `cbor:"4,keyasint,omitempty"`
 	Recall  *Recall         `cbor:"5,keyasint,omitempty"`
 	Propose *policy.Command `cbor:"6,keyasint,omitempty"`
-	Tallies []share.Tally   `cbor:"7,keyasint,omitempty"` // of the sender, or of others that a voter knows
+	Tallies []quota.Tally   `cbor:"7,keyasint,omitempty"` // of the sender, or of others that a voter knows
 	Sums    *Sums           `cbor:"8,keyasint,omitempty"`
 }
 
 // Sums asks a voter what all relays have counted, or answers.
 type Sums struct {
 	No uint64      `cbor:"1,keyasint"` // of the ask
-	N  *share.Sums `cbor:"2,keyasint,omitempty"`
+	N  *quota.Sums `cbor:"2,keyasint,omitempty"`
 }
 
 // Raft is a message of the engine's.
@@ -51,7 +51,7 @@
 	Last    uint64   `cbor:"11,keyasint,omitempty"`
 	Passed  bool     `cbor:"12,keyasint,omitempty"` // it was passed on once, or is only for the record
 
-	Share *share.Report `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
+	Share *quota.Report `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
 }
 
 // Verdict is whether a relay can apply a version.
@@ -74,7 +74,7 @@
 	Newest   uint64        `cbor:"11,keyasint,omitempty"` // a later generation of the name that was heard
 	Progress *Progress     `cbor:"10,keyasint,omitempty"`
 
-	Share *share.Allotment `cbor:"12,keyasint,omitempty"` // for as long as the lease
+	Share *quota.Allotment `cbor:"12,keyasint,omitempty"` // for as long as the lease
 }
 
 // Push tells what has been agreed on, unasked.
@@ -109,8 +109,8 @@
 	Verdict *Verdict // a check that was asked for is done
 	Ask     *Ask
 	Broken  error                 // what was to be saved is not on disk
-	Needs   *[]share.Need         // of this relay, now
-	Counts  *map[share.Key]uint64 // of this life
+	Needs   *[]quota.Need         // of this relay, now
+	Counts  *map[quota.Key]uint64 // of this life
 	Goes    *[2]uint64            // the core goes by that loan (Spend's By and No), and by none before
 }
 
@@ -126,14 +126,14 @@
 
 // Action is something to be done; one field is set. Actions are carried out in their order, and none after a Save that fails.
 type Action struct {
-	Save    *agree.Image // on disk, synced; with Member: of a new member, all before is void
+	Save    *consensus.Image // on disk, synced; with Member: of a new member, all before is void
 	Member  uint64
 	Gen     uint64 // to be on disk before anything else leaves: its folder had forgotten how often it was started
 	To      string // a relay that Message goes to
 	Message *Message
 	Check   *policy.Change // may this relay apply it?
 	Stand   *Stand
-	Spend   *share.Spend // what the core may spend from now on
+	Spend   *quota.Spend // what the core may spend from now on
 	Answer  *Status
 	No      uint64 // of the ask that Answer is for
 	Log     string
@@ -164,8 +164,8 @@
 	Voters   []string       `cbor:"11,keyasint,omitempty" json:"voters,omitempty"`
 	Counts   map[string]int `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
 	Rights   *Rights        `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
-	Sums     *share.Sums    `cbor:"16,keyasint,omitempty" json:"-"`
-	Shared   []share.Whole  `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the one that leads
+	Sums     *quota.Sums    `cbor:"16,keyasint,omitempty" json:"-"`
+	Shared   []quota.Whole  `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the one that leads
 	Odd      map[string]int `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // at the one that leads: relays whose word stood against all others'
 }
 
--- a/internal/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/policy"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Config is what a relay is told of its fleet at its start.
@@ -43,8 +43,8 @@
 	now    time.Duration
 	acts   []Action
 	rng    uint64
-	engine *agree.Engine // nil: it has no say, and learns from those who have
-	broken string        // why it will have none in this life
+	engine *consensus.Engine // nil: it has no say, and learns from those who have
+	broken string            // why it will have none in this life
 
 	agreed *policy.State // what the engine has applied
 	known  *policy.State // the newest that is known, from the engine or from others
@@ -67,8 +67,8 @@
 	asked    [2]uint64
 	stand    Stand
 	stood    bool
-	purse    *share.Purse // nil: nothing is shared
-	counts   map[share.Key]uint64
+	purse    *quota.Purse // nil: nothing is shared
+	counts   map[quota.Key]uint64
 	countAt  time.Duration
 
 	// As a voter.
@@ -76,33 +76,33 @@
 	answers   map[string]bool
 	since     time.Duration
 	recallAt  time.Duration
-	memory    map[uint64]agree.Position // what others' members have shown
-	routes    map[uint64]string         // where members were heard from that the state does not name yet
-	book      *share.Book
+	memory    map[uint64]consensus.Position // what others' members have shown
+	routes    map[uint64]string             // where members were heard from that the state does not name yet
+	book      *quota.Book
 	sayAt     time.Duration
 
 	lead leader
 }
 
 // New returns a relay's part with what lies on its disk.
-func New(cfg Config, image *agree.Image, now time.Duration) (*Node, error) {
+func New(cfg Config, image *consensus.Image, now time.Duration) (*Node, error) {
 	n := &Node{cfg: cfg, now: now, rng: cfg.Seed | 1, agreed: &policy.State{}, known: &policy.State{}, sent: map[uint64]time.Duration{},
-		answers: map[string]bool{}, memory: map[uint64]agree.Position{}, routes: map[uint64]string{}, since: now}
+		answers: map[string]bool{}, memory: map[uint64]consensus.Position{}, routes: map[uint64]string{}, since: now}
 	if cfg.Kept > 0 {
-		n.purse = &share.Purse{Serve: cfg.Serve}
+		n.purse = &quota.Purse{Serve: cfg.Serve}
 	}
 	n.via = int(n.draw() % uint64(max(len(cfg.Voters), 1)))
 	if !slices.Contains(cfg.Voters, cfg.Name) {
 		return n, nil
 	}
 	var err error
-	if n.engine, err = agree.New(cfg.Member, n.draw(), image, now); err != nil {
+	if n.engine, err = consensus.New(cfg.Member, n.draw(), image, now); err != nil {
 		return nil, err
 	}
 	if s := n.engine.Snapshot(); s != nil {
 		n.restore(s)
 	}
-	n.book = share.NewBook()
+	n.book = quota.NewBook()
 	n.probation = cfg.Gen > 1 // also with an empty log: an older folder may be from before it was filled
 	for id, p := range image.Memory {
 		n.memory[id] = p
@@ -155,7 +155,7 @@
 	case n.known.Change != nil || n.probation:
 		d = min(d, pushAgain)
 	default:
-		d = min(d, agree.Heartbeat/2)
+		d = min(d, consensus.Heartbeat/2)
 	}
 	return max(min(d, n.cfg.Lease/pingParts), time.Millisecond)
 }
--- a/internal/fleet/node/voter.go
+++ b/internal/relay/fleet/node/voter.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/policy"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // retire ends this relay's say for this life: what it promised is not on disk.
@@ -26,7 +26,7 @@
 // reborn has this relay come back as a new member: what the old one promised, it may have forgotten.
 func (n *Node) reborn(why string) {
 	id := n.draw() | 1
-	e, err := agree.New(id, n.draw(), &agree.Image{}, n.now)
+	e, err := consensus.New(id, n.draw(), &consensus.Image{}, n.now)
 	if err != nil {
 		n.retire(err.Error())
 		return
@@ -34,7 +34,7 @@
 	n.log("this relay comes back as a new member of its fleet", "why", why)
 	n.engine, n.agreed, n.probation = e, &policy.State{}, false
 	n.lead.reset(n.now)
-	n.do(Action{Save: &agree.Image{Whole: true}, Member: id})
+	n.do(Action{Save: &consensus.Image{Whole: true}, Member: id})
 }
 
 // vote does a voter's work: it keeps the engine going, and the fleet too where it leads.
@@ -100,7 +100,7 @@
 	n.agreed = s
 }
 
-func (n *Node) apply(c agree.Committed) {
+func (n *Node) apply(c consensus.Committed) {
 	s := n.agreed.Clone()
 	switch {
 	case c.Members != nil:
@@ -139,7 +139,7 @@
 }
 
 // remember keeps what a member has shown to hold, on disk with the next save.
-func (n *Node) remember(member uint64, p agree.Position) {
+func (n *Node) remember(member uint64, p consensus.Position) {
 	if !p.Beyond(n.memory[member]) {
 		return
 	}
@@ -181,7 +181,7 @@
 	if n.engine == nil || r.Member != n.engine.ID || !n.probation {
 		return
 	}
-	if (agree.Position{Term: r.Term, Last: r.Last}).Beyond(n.engine.Position()) {
+	if (consensus.Position{Term: r.Term, Last: r.Last}).Beyond(n.engine.Position()) {
 		n.reborn("others remember more of it than its folder does")
 		return
 	}
--- a/internal/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/fleet/node"
 )
 
 // askAgain is how long an answer is waited for before the question is put once more: datagrams get lost.
--- a/internal/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/fleet/agree"
+	"mastusher/internal/relay/fleet/consensus"
 )
 
 const (
@@ -32,8 +32,8 @@
 // part is a record of the log. Whose log it is stands in it, so that both change in one step: a member that had only
 // forgotten its log would vote again on what it has voted on.
 type part struct {
-	Member uint64       `cbor:"1,keyasint,omitempty"` // 0: as before
-	Image  *agree.Image `cbor:"2,keyasint"`
+	Member uint64           `cbor:"1,keyasint,omitempty"` // 0: as before
+	Image  *consensus.Image `cbor:"2,keyasint"`
 }
 
 // disk is the folder of a relay's part in its fleet: all of it is synced before it is spoken of.
@@ -50,7 +50,7 @@
 
 // openDisk reads what the folder holds and counts the start. Where the log can't be trusted why says so, the image is empty
 // and the member a new one.
-func openDisk(dir, fleet string, draw func() uint64) (d *disk, image *agree.Image, why error, err error) {
+func openDisk(dir, fleet string, draw func() uint64) (d *disk, image *consensus.Image, why error, err error) {
 	d = &disk{dir: dir}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
@@ -62,7 +62,7 @@
 	whole, bad := records(b)
 	switch {
 	case len(b) == 0:
-		image = &agree.Image{}
+		image = &consensus.Image{}
 	case len(whole) != 1 || bad != nil || cbor.Unmarshal(whole[0], &d.id) != nil || d.id.Fleet != fleet:
 		why = fmt.Errorf("%s can't be read, or is of another fleet", identityName)
 		d.id = identity{}
@@ -75,8 +75,8 @@
 		return nil, nil, nil, err
 	}
 	if image == nil || d.member == 0 {
-		image, d.member = &agree.Image{}, draw()|1
-		return d, image, why, d.rewrite(&agree.Image{Whole: true})
+		image, d.member = &consensus.Image{}, draw()|1
+		return d, image, why, d.rewrite(&consensus.Image{Whole: true})
 	}
 	if d.f, err = os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
 		err = d.f.Truncate(d.size) // a torn tail was never spoken of
@@ -88,7 +88,7 @@
 }
 
 // read gathers the log's records into one image.
-func (d *disk) read() (*agree.Image, error) {
+func (d *disk) read() (*consensus.Image, error) {
 	b, err := os.ReadFile(filepath.Join(d.dir, logName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, errDamaged // an identity whose log is gone
@@ -100,9 +100,9 @@
 	if bad != nil {
 		return nil, bad
 	}
-	all := &agree.Image{}
+	all := &consensus.Image{}
 	for _, r := range whole {
-		p := part{Image: &agree.Image{}}
+		p := part{Image: &consensus.Image{}}
 		if err := cbor.Unmarshal(r, &p); err != nil || p.Image == nil {
 			return nil, errDamaged
 		}
@@ -111,7 +111,7 @@
 		}
 		one := p.Image
 		if one.Whole {
-			all = &agree.Image{}
+			all = &consensus.Image{}
 		}
 		if len(one.Hard) > 0 {
 			all.Hard = one.Hard
@@ -164,7 +164,7 @@
 }
 
 // save has an image on disk, synced, when it returns.
-func (d *disk) save(image *agree.Image, member uint64) error {
+func (d *disk) save(image *consensus.Image, member uint64) error {
 	if member != 0 {
 		d.member = member
 	}
@@ -192,7 +192,7 @@
 }
 
 // rewrite replaces the log in one step.
-func (d *disk) rewrite(image *agree.Image) error {
+func (d *disk) rewrite(image *consensus.Image) error {
 	b, err := record(&part{d.member, image})
 	if err != nil {
 		return err
--- a/internal/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Fleet is this relay's part in its fleet while the process runs. One goroutine owns the node.
@@ -44,8 +44,8 @@
 	counts map[string]int // of frames dropped, by fault
 	out    []byte
 
-	sights atomic.Pointer[map[share.Key]sight]
-	lent   *share.Spend // by the fleet last; nil: nothing yet
+	sights atomic.Pointer[map[quota.Key]sight]
+	lent   *quota.Spend // by the fleet last; nil: nothing yet
 	lentAt time.Duration
 	halted bool // the core was told last that it is
 	lookAt time.Duration
--- a/internal/fleet/peer/frame.go
+++ b/internal/relay/fleet/peer/frame.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/fleet/node"
 )
 
 const (
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/node"
 )
 
 var drawn uint64 // never the same twice
@@ -18,7 +18,7 @@
 	return func() uint64 { drawn += 2; return drawn }
 }
 
-func openAt(t *testing.T, dir string) (*disk, *agree.Image, error) {
+func openAt(t *testing.T, dir string) (*disk, *consensus.Image, error) {
 	t.Helper()
 	d, image, why, err := openDisk(dir, "f", draws())
 	if err != nil {
@@ -33,8 +33,8 @@
 	if why != nil || !image.Empty() {
 		t.Fatal(why, image)
 	}
-	for _, s := range []*agree.Image{{Hard: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Whole: true, Snapshot: []byte("s"), Hard: []byte("h2")},
-		{Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]agree.Position{7: {Term: 1, Last: 2}}}} {
+	for _, s := range []*consensus.Image{{Hard: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Whole: true, Snapshot: []byte("s"), Hard: []byte("h2")},
+		{Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]consensus.Position{7: {Term: 1, Last: 2}}}} {
 		if err := d.save(s, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &agree.Image{Snapshot: []byte("s"), Hard: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]agree.Position{7: {Term: 1, Last: 2}}}
+	want := &consensus.Image{Snapshot: []byte("s"), Hard: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]consensus.Position{7: {Term: 1, Last: 2}}}
 	again, image, why := openAt(t, dir)
 	if diff := cmp.Diff(want, image); diff != "" || why != nil || again.member != d.member || again.id.Gen != d.id.Gen+1 {
 		t.Fatal(diff, why, again.member, d.member, again.id.Gen)
@@ -69,7 +69,7 @@
 		case cut < last && got.member == d.member:
 			t.Fatalf("cut at %d, before what was replaced in one step: still the same member", cut)
 		}
-		if err := got.save(&agree.Image{Hard: []byte("h3")}, 0); err != nil { // behind a torn tail
+		if err := got.save(&consensus.Image{Hard: []byte("h3")}, 0); err != nil { // behind a torn tail
 			t.Fatal(err)
 		}
 		if _, image, why = openAt(t, dir); why != nil || string(image.Hard) != "h3" {
@@ -92,7 +92,7 @@
 func TestReborn(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
-	if err := d.save(&agree.Image{Whole: true}, 99); err != nil {
+	if err := d.save(&consensus.Image{Whole: true}, 99); err != nil {
 		t.Fatal(err)
 	}
 	if again, image, why := openAt(t, dir); again.member != 99 || !image.Empty() || why != nil {
@@ -111,7 +111,7 @@
 	dir := t.TempDir()
 	d := filled(t, dir)
 	_ = d.f.Close()
-	if err := d.save(&agree.Image{Hard: []byte("h9")}, 0); err == nil {
+	if err := d.save(&consensus.Image{Hard: []byte("h9")}, 0); err == nil {
 		t.Fatal("saved to a closed file")
 	}
 	if _, image, why := openAt(t, dir); why != nil || string(image.Hard) != "h2" {
--- a/internal/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -10,11 +10,11 @@
 	"strconv"
 	"sync"
 
-	"mastusher/internal/capture"
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/policy"
+	"mastusher/internal/relay/capture"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // Rules is what a policy means at this relay.
@@ -178,4 +178,4 @@
 	return out, nil
 }
 
-func wiped() *agree.Image { return &agree.Image{Whole: true} }
+func wiped() *consensus.Image { return &consensus.Image{Whole: true} }
--- a/internal/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Core is what a fleet's part has to do with its relay's core, where the fleet shares limits.
 type Core interface {
-	Look(tell func([]relay.Sight, map[string]uint64))
+	Look(tell func([]engine.Sight, map[string]uint64))
 	Lend(s control.Shared, until time.Time, done func())
 }
 
@@ -30,13 +30,13 @@
 
 // look asks the core what it needs. The answer comes with an event, or not at all where this relay can't keep up.
 func (f *Fleet) look() {
-	f.core.Look(func(all []relay.Sight, counted map[string]uint64) {
+	f.core.Look(func(all []engine.Sight, counted map[string]uint64) {
 		needs, sights := needs(all)
 		f.sights.Store(&sights)
-		counts := make(map[share.Key]uint64, len(counted))
+		counts := make(map[quota.Key]uint64, len(counted))
 		for _, name := range slices.Sorted(maps.Keys(counted)) {
-			if len(counts) < share.MostCounts { // the same ones each time
-				counts[share.Of(share.Count, name)] = counted[name]
+			if len(counts) < quota.MostCounts { // the same ones each time
+				counts[quota.Of(quota.Count, name)] = counted[name]
 			}
 		}
 		for _, ev := range [...]node.Event{{Needs: &needs}, {Counts: &counts}} {
@@ -49,25 +49,25 @@
 }
 
 // needs is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
-func needs(all []relay.Sight) ([]share.Need, map[share.Key]sight) {
-	list, sights := make([]share.Need, 0, len(all)), make(map[share.Key]sight, len(all))
+func needs(all []engine.Sight) ([]quota.Need, map[quota.Key]sight) {
+	list, sights := make([]quota.Need, 0, len(all)), make(map[quota.Key]sight, len(all))
 	for _, s := range all {
-		n := share.Need{Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
+		n := quota.Need{Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
 		at := sight{s.Name, -1, s.Endpoint}
-		if n.Key = share.Of(share.Destination, s.Name); s.Endpoint == 0 {
-			n.Key, at.tenant = share.Of(share.Tenant, s.Name), s.Tenant
+		if n.Key = quota.Of(quota.Destination, s.Name); s.Endpoint == 0 {
+			n.Key, at.tenant = quota.Of(quota.Tenant, s.Name), s.Tenant
 		}
 		switch {
 		case s.Down:
-			n.State = share.Down
+			n.State = quota.Down
 		case s.Well:
-			n.State = share.Well
+			n.State = quota.Well
 		}
 		list, sights[n.Key] = append(list, n), at
 	}
-	if len(list) > share.MostKeys {
-		slices.SortStableFunc(list, func(a, b share.Need) int { return cmp.Compare(b.Want*b.Worth, a.Want*a.Worth) })
-		list = list[:share.MostKeys]
+	if len(list) > quota.MostKeys {
+		slices.SortStableFunc(list, func(a, b quota.Need) int { return cmp.Compare(b.Want*b.Worth, a.Want*a.Worth) })
+		list = list[:quota.MostKeys]
 	}
 	return list, sights
 }
@@ -92,7 +92,7 @@
 }
 
 // lend has the core go by what the fleet lends this relay.
-func (f *Fleet) lend(s *share.Spend) {
+func (f *Fleet) lend(s *quota.Spend) {
 	f.lent, f.lentAt = s, f.now()
 	f.spend()
 }
@@ -103,28 +103,28 @@
 	if s == nil {
 		return
 	}
-	var sights map[share.Key]sight
+	var sights map[quota.Key]sight
 	if known := f.sights.Load(); known != nil {
 		sights = *known
 	}
 	out := shared(s, sights, f.now()-f.lentAt)
 	if f.halted {
-		out = relay.Resting(out)
+		out = engine.Resting(out)
 	}
 	goes := [2]uint64{s.By, s.No}
 	f.core.Lend(out, Times{f.begun}.At(s.Until), func() { f.tell(node.Event{Goes: &goes}) })
 }
 
 // shared is what a relay was lent some time ago, as its core is told it.
-func shared(s *share.Spend, sights map[share.Key]sight, ago time.Duration) control.Shared {
+func shared(s *quota.Spend, sights map[quota.Key]sight, ago time.Duration) control.Shared {
 	out := control.Shared{Floor: s.Floor, Stays: s.Stays}
 	for _, p := range s.Parts {
 		at, ok := sights[p.Key]
 		if !ok {
 			continue
 		}
-		r := control.Right{Endpoint: at.at, Extra: p.Extra, Limit: p.Limit, Told: p.Told + ago, Down: p.State == share.Down,
-			Well: p.State == share.Well, Seen: p.Seen + ago, Wait: max(p.Wait-ago, 0), Try: p.Try}
+		r := control.Right{Endpoint: at.at, Extra: p.Extra, Limit: p.Limit, Told: p.Told + ago, Down: p.State == quota.Down,
+			Well: p.State == quota.Well, Seen: p.Seen + ago, Wait: max(p.Wait-ago, 0), Try: p.Try}
 		if at.tenant >= 0 {
 			r = control.Right{Tenant: at.tenant, Extra: p.Extra}
 		}
@@ -151,7 +151,7 @@
 	return r
 }
 
-func (f *Fleet) nameOf(sights *map[share.Key]sight, k share.Key) string {
+func (f *Fleet) nameOf(sights *map[quota.Key]sight, k quota.Key) string {
 	if sights != nil {
 		if at, ok := (*sights)[k]; ok && at.tenant >= 0 {
 			return "tenant " + at.name
--- a/internal/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mastusher/control"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // wordsToCore notes in which order a core was told what, and says at once that it goes by that.
@@ -17,7 +17,7 @@
 	told []any
 }
 
-func (w *wordsToCore) Look(func([]relay.Sight, map[string]uint64)) {}
+func (w *wordsToCore) Look(func([]engine.Sight, map[string]uint64)) {}
 
 func (w *wordsToCore) Lend(s control.Shared, _ time.Time, done func()) {
 	w.told = append(w.told, s)
@@ -36,15 +36,15 @@
 	core := &wordsToCore{}
 	f := &Fleet{core: core, begun: time.Now(), events: make(chan node.Event, 9)}
 	f.stand = core.stand
-	key := share.Of(share.Destination, "platform #0")
-	f.sights.Store(&map[share.Key]sight{key: {"platform #0", -1, 7}})
-	loan := func(no uint64, extra float64) *share.Spend {
-		return &share.Spend{By: 1, No: no, Floor: 0.1, Parts: []share.Part{{Key: key, Extra: extra}}, Until: time.Hour}
+	key := quota.Of(quota.Destination, "platform #0")
+	f.sights.Store(&map[quota.Key]sight{key: {"platform #0", -1, 7}})
+	loan := func(no uint64, extra float64) *quota.Spend {
+		return &quota.Spend{By: 1, No: no, Floor: 0.1, Parts: []quota.Part{{Key: key, Extra: extra}}, Until: time.Hour}
 	}
 	spends := func(floor, extra float64, stays bool) control.Shared {
 		return control.Shared{Floor: floor, Stays: stays, Rights: []control.Right{{Endpoint: 7, Extra: extra}}}
 	}
-	resting := relay.Resting(spends(0, 0, false))
+	resting := engine.Resting(spends(0, 0, false))
 
 	// When
 	f.stands(node.Stand{Version: 1})
@@ -65,10 +65,10 @@
 
 // TestSharedAges: what a relay was lent a while ago has aged by that when its core is told it once more.
 func TestSharedAges(t *testing.T) {
-	key := share.Of(share.Destination, "platform #0")
-	lent := &share.Spend{Floor: 0.1, Parts: []share.Part{{Key: key, Extra: 0.5, Limit: 30, Told: time.Second, State: share.Down,
+	key := quota.Of(quota.Destination, "platform #0")
+	lent := &quota.Spend{Floor: 0.1, Parts: []quota.Part{{Key: key, Extra: 0.5, Limit: 30, Told: time.Second, State: quota.Down,
 		Seen: 2 * time.Second, Wait: 300 * time.Millisecond, Try: true}}}
-	sights := map[share.Key]sight{key: {"platform #0", -1, 7}}
+	sights := map[quota.Key]sight{key: {"platform #0", -1, 7}}
 	for _, c := range []struct {
 		name             string
 		ago              time.Duration
--- a/internal/fleet/share/count.go
+++ b/internal/relay/fleet/quota/count.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"encoding/binary"
--- a/internal/fleet/share/share.go
+++ b/internal/relay/fleet/quota/share.go
@@ -1,10 +1,10 @@
-// Package share splits what all relays of a fleet may spend together (calls to a destination, a tenant's quota) into parts
+// Package quota splits what all relays of a fleet may spend together (calls to a destination, a tenant's quota) into parts
 // that are lent, returned and reclaimed, and judges by what several relays have seen whether a destination is down. It does no
 // I/O, reads no clock and starts no goroutine.
 //
 // A right is a part of 1 of a limit, whatever that limit is now. Each relay has a floor of its own that is never lent; what is
 // left is lent by whoever leads, for as long as a lease. See docs/design/shared-state.md for the bound and its derivation.
-package share
+package quota
 
 import (
 	"encoding/binary"
--- a/internal/fleet/sim/case_test.go
+++ b/internal/relay/fleet/simulation/case_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
 )
 
 // formedWorld is a calm world in which all voters have a say.
@@ -41,7 +41,7 @@
 
 func judge(t *testing.T, w *World) {
 	t.Helper()
-	if b := check.Judge(w.History, check.Options{}); b != nil {
+	if b := checker.Judge(w.History, checker.Options{}); b != nil {
 		t.Fatal(b)
 	}
 }
--- a/internal/fleet/sim/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -1,18 +1,18 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Explored is what an exploration has found.
 type Explored struct {
 	Tried  int
 	Choice string // that shows the breach
-	Breach *check.Breach
+	Breach *checker.Breach
 	Stuck  bool // all was well again, and the change neither took hold nor was dropped
 }
 
@@ -34,12 +34,12 @@
 		o := Options{Relays: relays, Voters: relays, Seed: 9, Lease: 2 * time.Second, Drift: 0.05, Delay: 500 * time.Microsecond, Acts: 10 * time.Millisecond}
 		if shares {
 			o.Kept, o.Acts, o.Serve = 0.25, 0, serve
-			o.Needs = func(w *World, r *Relay) []share.Need {
-				n := share.Need{Key: 1, Want: 2, Worth: 1, Limit: 100}
+			o.Needs = func(w *World, r *Relay) []quota.Need {
+				n := quota.Need{Key: 1, Want: 2, Worth: 1, Limit: 100}
 				if r.No == busy {
 					n.Want = 90
 				}
-				return []share.Need{n}
+				return []quota.Need{n}
 			}
 		}
 		w := New(o)
@@ -88,7 +88,7 @@
 			}
 			stuck = stuck || sum < 0.9
 		}
-		if b := check.Judge(w.History, check.Options{}); b != nil || stuck {
+		if b := checker.Judge(w.History, checker.Options{}); b != nil || stuck {
 			e.Choice, e.Breach, e.Stuck = fmt.Sprintf("%d:%s", no, text), b, stuck
 			return e
 		}
--- a/internal/fleet/sim/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"cmp"
@@ -31,24 +31,24 @@
 	{"generation ignored", "node/leader.go", "case p.Life == s.before || p.Gen < was.Gen:", "case p.Gen > 1<<40:", "TestFormerWord", ""},
 	{"a grant of a former life", "node/node.go", "if !ok || g.Gen != n.cfg.Gen || g.Life != n.cfg.Life {", "if !ok {", "TestFormerLife", ""},
 	{"forgotten promises", "node/node.go", "	n.probation = cfg.Gen > 1 //", "	//", "TestOldFolder", ""},
-	{"version not carried by the journal", "../journal/journal.go", "e.Policy, e.Allow = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestNarrower", "mastusher/internal/relay"},
+	{"version not carried by the journal", "../journal/journal.go", "e.Policy, e.Allow = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestNarrower", "mastusher/internal/relay/engine"},
 	{"a limit by hand is each relay's own", "../../control/shared.go", "top = s.fair(d, d.node.most/float64(len(d.node.dests)))", "top = d.node.most", "TestMost", "mastusher/control"},
 	{"lent again too early", "share/ledger.go", "l.all[name], came+l.rules.Over", "l.all[name], came+l.rules.Over/2", "TestSharedBound", ""},
 	{"floors are lent", "share/ledger.go", "max(0, whole-l.floor-l.lent[k]+h.bound[k])", "max(0, whole-l.lent[k]+h.bound[k])", "TestSharedBound", ""},
 	{"a new ledger lends at once", "share/ledger.go", "	if now >= l.begun+l.rules.Over {", "	if true {", "TestSharedBound", ""},
 	{"what is not confirmed counts as taken", "share/ledger.go", "			bound[k] = max(bound[k], g)", "			bound[k] = g", "TestSharedBound", ""},
-	{"a late loan of one that led before", "share/purse.go", "case a == nil || a.By < p.heard || ", "case a == nil || ", "TestLateLoan", "mastusher/internal/fleet/share"},
-	{"what one holds is not asked", "share/ledger.go", "	mine := r.For == l.by", "	mine := r.For == l.by || true", "TestLateLoan", "mastusher/internal/fleet/share"},
+	{"a late loan of one that led before", "share/purse.go", "case a == nil || a.By < p.heard || ", "case a == nil || ", "TestLateLoan", "mastusher/internal/relay/fleet/quota"},
+	{"what one holds is not asked", "share/ledger.go", "	mine := r.For == l.by", "	mine := r.For == l.by || true", "TestLateLoan", "mastusher/internal/relay/fleet/quota"},
 	{"parts outlast their time", "../../control/shared.go", "case s.now < r.until:", "case true:", "TestLentPart", "mastusher/control"},
 	{"one witness suffices", "share/judge.go", "case z.down >= 2 && z.down > 2*z.well", "case z.down >= 1 && z.down > 2*z.well", "TestVerdict", ""},
 	{"evidence never ages", "share/judge.go", "n.State == Down && now-at <= freshFor", "n.State == Down", "TestVerdict", ""},
 	{"echoes are evidence", "../../control/shared.go", "case d.health == stopped && !d.heard:", "case d.health == stopped:", "TestHearsay", "mastusher/control"},
 	{"own evidence does not count", "../../control/shared.go", "case r.Down && d.newest < at &&", "case r.Down &&", "TestHearsay", "mastusher/control"},
 	{"all try what is down", "../../control/shared.go", "if d.down && !d.try &&", "if false && !d.try &&", "TestTurnToTry", "mastusher/control"},
-	{"a life that was summed up counts again", "share/count.go", "	if t.Gen <= a.until {", "	if false {", "TestBook", "mastusher/internal/fleet/share"},
-	{"a tally that comes twice counts twice", "share/count.go", "l.n[k] = max(l.n[k], v)", "l.n[k] += v", "TestBook", "mastusher/internal/fleet/share"},
-	{"a call outlives its lease", "../relay/govern.go", "s.Before = end", "_ = end", "TestGoverned", "mastusher/internal/relay"},
-	{"what waits begins whatever is in force", "../relay/govern.go", "case acts && !now.Before(s.from) && !c.stillAllowed(s, now):", "case false:", "TestNarrower", "mastusher/internal/relay"},
+	{"a life that was summed up counts again", "share/count.go", "	if t.Gen <= a.until {", "	if false {", "TestBook", "mastusher/internal/relay/fleet/quota"},
+	{"a tally that comes twice counts twice", "share/count.go", "l.n[k] = max(l.n[k], v)", "l.n[k] += v", "TestBook", "mastusher/internal/relay/fleet/quota"},
+	{"a call outlives its lease", "../relay/govern.go", "s.Before = end", "_ = end", "TestGoverned", "mastusher/internal/relay/engine"},
+	{"what waits begins whatever is in force", "../relay/govern.go", "case acts && !now.Before(s.from) && !c.stillAllowed(s, now):", "case false:", "TestNarrower", "mastusher/internal/relay/engine"},
 }
 
 // TestMutants plays the tests with each fault in turn, laid over the source.
--- a/internal/fleet/sim/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -1,20 +1,20 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/policy"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // Result is how a random world fared.
 type Result struct {
 	Seed    uint64
-	Breach  *check.Breach
+	Breach  *checker.Breach
 	Stuck   string // what did not come about although all was well again
-	History []check.Entry
+	History []checker.Entry
 	Faults  map[string]int // that struck while a change was under way
 	Changes int            // handed in
 	Held    int            // of them in force
@@ -193,7 +193,7 @@
 		}
 	}
 	for _, p := range all {
-		e := check.Entry{At: p.at, Until: w.Now, Kind: check.Proposed, Base: p.base}
+		e := checker.Entry{At: p.at, Until: w.Now, Kind: checker.Proposed, Base: p.base}
 		if end, done := w.End(p.ticket); done && end.Why == "" {
 			e.Version = end.Version
 			r.Held++
@@ -201,7 +201,7 @@
 		w.History = append(w.History, e)
 	}
 	r.Changes, r.History = len(all), w.History
-	r.Breach = check.Judge(w.History, check.Options{})
+	r.Breach = checker.Judge(w.History, checker.Options{})
 	return r
 }
 
--- a/internal/fleet/sim/scale.go
+++ b/internal/relay/fleet/simulation/scale.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/fleet/node"
 )
 
 // Figures are what a fleet of a size takes and costs.
--- a/internal/fleet/sim/share.go
+++ b/internal/relay/fleet/simulation/share.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // needsEvery is how often a relay's core says what it needs.
@@ -25,7 +25,7 @@
 }
 
 // May is the part of a key that a relay may spend now, by its own clock and as its core goes by it.
-func (w *World) May(r *Relay, k share.Key) float64 {
+func (w *World) May(r *Relay, k quota.Key) float64 {
 	now := r.clock(w.Now)
 	if r.Node == nil || r.Slow || r.Stand.Until <= now {
 		return 0
@@ -34,7 +34,7 @@
 	if r.Spend.Until <= now && !r.Spend.Stays {
 		part = 0
 	}
-	if i := slices.IndexFunc(r.Spend.Parts, func(p share.Part) bool { return p.Key == k }); i >= 0 && r.Spend.Until > now {
+	if i := slices.IndexFunc(r.Spend.Parts, func(p quota.Part) bool { return p.Key == k }); i >= 0 && r.Spend.Until > now {
 		part += r.Spend.Parts[i].Extra
 	}
 	return part
@@ -42,7 +42,7 @@
 
 // spent looks whether all together may spend more than there is, after a relay's part has changed.
 func (w *World) spent(r *Relay) {
-	keys := []share.Key{0} // the floors alone
+	keys := []quota.Key{0} // the floors alone
 	for i := range r.Spend.Parts {
 		keys = append(keys, r.Spend.Parts[i].Key)
 	}
--- a/internal/fleet/sim/share_test.go
+++ b/internal/relay/fleet/simulation/share_test.go
@@ -1,23 +1,23 @@
-package sim
+package simulation
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
-var key = share.Of(share.Destination, "p1")
+var key = quota.Of(quota.Destination, "p1")
 
 // sharing is a fleet in which relays want, of a limit of 100 a second, what want says.
 func sharing(relays, voters int, seed uint64, want func(r *Relay) float64) Options {
 	o := calm(relays, voters, seed)
 	o.Kept, o.Zones = 0.25, 2
-	o.Needs = func(w *World, r *Relay) []share.Need {
-		return []share.Need{{Key: key, Want: want(r), Worth: 1, Limit: 100}}
+	o.Needs = func(w *World, r *Relay) []quota.Need {
+		return []quota.Need{{Key: key, Want: want(r), Worth: 1, Limit: 100}}
 	}
 	return o
 }
@@ -112,11 +112,11 @@
 func TestLiar(t *testing.T) {
 	o := sharing(7, 3, 4, func(r *Relay) float64 { return 20 })
 	down := o.Needs
-	o.Needs = func(w *World, r *Relay) []share.Need {
+	o.Needs = func(w *World, r *Relay) []quota.Need {
 		n := down(w, r)
-		n[0].State = share.Well
+		n[0].State = quota.Well
 		if r.No == 6 {
-			n[0].Want, n[0].Limit, n[0].State = 1e9, 1, share.Down
+			n[0].Want, n[0].Limit, n[0].State = 1e9, 1, quota.Down
 		}
 		return n
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, r := range w.Relays[:6] {
 		for _, p := range r.Spend.Parts {
-			if p.State == share.Down || p.Limit < 90 {
+			if p.State == quota.Down || p.Limit < 90 {
 				t.Errorf("%s is told %+v by the word of one", r.Name, p)
 			}
 		}
@@ -143,20 +143,20 @@
 // TestVerdict: what relays of both zones find down all take for down; what one zone can't reach only that zone does; when it is back
 // a relay's delivery tells all; and no echo keeps a verdict alive.
 func TestVerdict(t *testing.T) {
-	sees := map[int]share.State{}
+	sees := map[int]quota.State{}
 	o := sharing(8, 3, 5, nil)
 	var at time.Duration
-	o.Needs = func(w *World, r *Relay) []share.Need {
-		return []share.Need{{Key: key, Want: 1, Worth: 1, Limit: 100, State: sees[r.No], Seen: w.Now - at}}
+	o.Needs = func(w *World, r *Relay) []quota.Need {
+		return []quota.Need{{Key: key, Want: 1, Worth: 1, Limit: 100, State: sees[r.No], Seen: w.Now - at}}
 	}
 	w := formedWorld(t, o)
-	told := func(r int) share.Part {
+	told := func(r int) quota.Part {
 		for _, p := range w.Relays[r].Spend.Parts {
 			return p
 		}
-		return share.Part{}
+		return quota.Part{}
 	}
-	see := func(s share.State, relays ...int) {
+	see := func(s quota.State, relays ...int) {
 		clear(sees)
 		at = w.Now
 		for _, r := range relays {
@@ -164,24 +164,24 @@
 		}
 		w.Run(1500 * time.Millisecond)
 	}
-	see(share.Down, 2)
-	if told(5).State == share.Down || told(4).State == share.Down {
+	see(quota.Down, 2)
+	if told(5).State == quota.Down || told(4).State == quota.Down {
 		t.Error("the word of one has others stop")
 	}
-	see(share.Down, 2, 4) // both of zone 0
-	if told(6).State != share.Down || told(5).State == share.Down {
+	see(quota.Down, 2, 4) // both of zone 0
+	if told(6).State != quota.Down || told(5).State == quota.Down {
 		t.Errorf("two of zone 0: zone 0 is told %v, zone 1 %v", told(6).State, told(5).State)
 	}
-	see(share.Down, 2, 3)
-	if told(6).State != share.Down || told(5).State != share.Down {
+	see(quota.Down, 2, 3)
+	if told(6).State != quota.Down || told(5).State != quota.Down {
 		t.Errorf("one of each zone: told %v and %v", told(6).State, told(5).State)
 	}
-	sees[4], sees[5], at = share.Well, share.Well, w.Now // as where each second call fails
+	sees[4], sees[5], at = quota.Well, quota.Well, w.Now // as where each second call fails
 	w.Run(1500 * time.Millisecond)
-	if told(6).State == share.Down || told(7).State == share.Down {
+	if told(6).State == quota.Down || told(7).State == quota.Down {
 		t.Errorf("as many deliver there as fail: told %v and %v", told(6).State, told(7).State)
 	}
-	see(share.Down, 2, 3)
+	see(quota.Down, 2, 3)
 	w.Run(200 * time.Millisecond)
 	tries := 0
 	for i := range 8 {
@@ -193,11 +193,11 @@
 		t.Errorf("%d relays are to try, want one a zone", tries)
 	}
 	w.Run(7 * time.Second) // nobody sees anything newer
-	if told(6).State != share.Unseen {
+	if told(6).State != quota.Unseen {
 		t.Errorf("a verdict outlasts its evidence: %+v", told(6))
 	}
-	see(share.Well, 2, 3)
-	if told(6).State != share.Well || told(5).State != share.Well {
+	see(quota.Well, 2, 3)
+	if told(6).State != quota.Well || told(5).State != quota.Well {
 		t.Errorf("it is back: told %v and %v", told(6).State, told(5).State)
 	}
 	judge(t, w)
@@ -217,10 +217,10 @@
 		o.Drift, o.Serve, o.Delay = 0.05, d.IntN(3) == 0, time.Duration(200+d.IntN(3000))*time.Microsecond
 		o.Loss, o.Twice = d.Float64()*0.3, d.Float64()*0.1
 		wants := make([]float64, o.Relays)
-		o.Needs = func(w *World, r *Relay) []share.Need {
-			n := []share.Need{{Key: key, Want: wants[r.No], Worth: 1, Limit: 100}}
+		o.Needs = func(w *World, r *Relay) []quota.Need {
+			n := []quota.Need{{Key: key, Want: wants[r.No], Worth: 1, Limit: 100}}
 			for k := range r.No % 3 {
-				n = append(n, share.Need{Key: share.Key(k + 1), Want: wants[r.No], Worth: float64(k + 1)})
+				n = append(n, quota.Need{Key: quota.Key(k + 1), Want: wants[r.No], Worth: float64(k + 1)})
 			}
 			return n
 		}
@@ -284,7 +284,7 @@
 			wants[x.No] = 40
 		}
 		w.Run(12 * o.Lease)
-		if b := check.Judge(w.History, check.Options{Serves: o.Serve}); b != nil {
+		if b := checker.Judge(w.History, checker.Options{Serves: o.Serve}); b != nil {
 			t.Fatalf("seed %d (serve %v): %v", seed, o.Serve, b)
 		}
 		if _, sum := w.parts(); sum < 0.9 {
@@ -325,7 +325,7 @@
 			t.Errorf("serve %v: it has joined again, and the parts are %.3f", serve, all)
 		}
 		for _, e := range w.History {
-			if e.Kind == check.Broke {
+			if e.Kind == checker.Broke {
 				t.Errorf("serve %v: at %v: %s", serve, e.At, e.Text)
 			}
 		}
--- a/internal/fleet/sim/sim.go
+++ b/internal/relay/fleet/simulation/sim.go
@@ -1,6 +1,6 @@
-// Package sim runs a fleet's pure modules in virtual time: links that lose, delay, double and cut, relays that crash between
+// Package simulation runs a fleet's pure modules in virtual time: links that lose, delay, double and cut, relays that crash between
 // any two actions, come back with an older folder or none, and clocks that run apart as far as they may.
-package sim
+package simulation
 
 import (
 	"container/heap"
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/fleet/agree"
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/policy"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Options make a world. Shares are of 1.
@@ -32,7 +32,7 @@
 	Apart          time.Duration                         // from one relay\'s clock to the next one\'s
 	Kept           float64                               // of each right, that is relays' own; 0: nothing is shared
 	Zones          int                                   // that relays stand in, in turn
-	Needs          func(w *World, r *Relay) []share.Need // of a relay, now
+	Needs          func(w *World, r *Relay) []quota.Need // of a relay, now
 }
 
 // World is a fleet in virtual time.
@@ -40,7 +40,7 @@
 	Options
 	Now     time.Duration
 	Relays  []*Relay
-	History []check.Entry
+	History []checker.Entry
 	Sent    int // datagrams
 	Bytes   int64
 	Steps   int
@@ -86,12 +86,12 @@
 	crashIn   int    // actions until it crashes; below 0: never
 	waiting   []node.Event
 	acting    uint64      // numbers of its ticker
-	Spend     share.Spend // what it goes by
+	Spend     quota.Spend // what it goes by
 }
 
 type disk struct {
 	gen, member uint64
-	image       agree.Image
+	image       consensus.Image
 }
 
 func (d *disk) clone() disk {
@@ -100,12 +100,12 @@
 	return c
 }
 
-func (d *disk) save(image *agree.Image, member uint64) {
+func (d *disk) save(image *consensus.Image, member uint64) {
 	if member != 0 {
 		d.member = member
 	}
 	if image.Whole {
-		d.image = agree.Image{Hard: image.Hard, Snapshot: image.Snapshot, Entries: slices.Clone(image.Entries), Memory: image.Memory}
+		d.image = consensus.Image{Hard: image.Hard, Snapshot: image.Snapshot, Entries: slices.Clone(image.Entries), Memory: image.Memory}
 		return
 	}
 	if len(image.Hard) > 0 {
@@ -197,7 +197,7 @@
 func (w *World) Start(r *Relay) {
 	r.disk.gen++
 	r.Lives++
-	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Stand{}, share.Spend{}, nil, -1, false
+	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Stand{}, quota.Spend{}, nil, -1, false
 	cfg := node.Config{Name: r.Name, Gen: r.disk.gen, Life: w.rng.Uint64() | 1, Seed: w.rng.Uint64(), Member: r.disk.member, Voters: w.names(w.Voters),
 		Roster: w.names(w.Options.Relays), Lease: w.Lease, Drift: w.Drift, Serve: w.Serve, Kept: w.Kept, Zone: r.No % max(w.Zones, 1)}
 	if w.roster != nil {
@@ -210,7 +210,7 @@
 		return
 	}
 	r.Node = n
-	w.note(check.Entry{Kind: check.Started, Relay: r.Name})
+	w.note(checker.Entry{Kind: checker.Started, Relay: r.Name})
 	w.wakeIn(r, 0)
 	if w.Kept > 0 {
 		w.After(time.Duration(w.rng.Int64N(int64(needsEvery))), func() { w.needs(r, r.Node) })
@@ -268,7 +268,7 @@
 func (w *World) Heal() { clear(w.cut) }
 
 func (w *World) fault(text string) {
-	w.note(check.Entry{Kind: check.Fault, Text: text})
+	w.note(checker.Entry{Kind: checker.Fault, Text: text})
 	for _, r := range w.Relays {
 		if r.Node != nil && r.Node.Status().State.Change != nil {
 			kind := text
@@ -282,10 +282,10 @@
 }
 
 func (w *World) broke(r *Relay, text string) {
-	w.note(check.Entry{Kind: check.Broke, Relay: r.Name, Text: text})
+	w.note(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: text})
 }
 
-func (w *World) note(e check.Entry) {
+func (w *World) note(e checker.Entry) {
 	e.At = w.Now
 	w.History = append(w.History, e)
 }
@@ -295,7 +295,7 @@
 		return
 	}
 	if !r.Slow && r.Stand.Halted == 0 && r.Stand.Until > r.clock(w.Now) {
-		w.note(check.Entry{Kind: check.Acted, Relay: r.Name, Version: r.Stand.Version})
+		w.note(checker.Entry{Kind: checker.Acted, Relay: r.Name, Version: r.Stand.Version})
 	}
 	w.After(w.Acts, func() { w.act(r, life) })
 }
@@ -402,7 +402,7 @@
 		if strings.HasPrefix(a.Log, "this relay has no say") && !r.Full {
 			w.broke(r, fmt.Sprint(a.Fields...)) // no disk fails here
 		}
-		w.note(check.Entry{Kind: check.Log, Relay: r.Name, Text: a.Log + " " + fmt.Sprint(a.Fields...)})
+		w.note(checker.Entry{Kind: checker.Log, Relay: r.Name, Text: a.Log + " " + fmt.Sprint(a.Fields...)})
 	case a.Answer != nil:
 		r.Asked = append(r.Asked, a.Answer)
 	}
@@ -412,7 +412,7 @@
 func (w *World) words(r *Relay) {
 	for _, p := range r.Node.Status().State.Past {
 		if p.Version != 0 {
-			w.note(check.Entry{Kind: check.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
+			w.note(checker.Entry{Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
 		}
 	}
 }
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/relay/fleet/simulation/sim_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"flag"
--- a/internal/fleet/sim/step_test.go
+++ b/internal/relay/fleet/simulation/step_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/fleet/policy"
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // phaseAt waits until a relay knows that the change has come so far.
--- a/internal/fleet/rig/cost.go
+++ b/internal/relay/fleet/testcluster/cost.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/standin"
 )
 
 // CostResult is what relays take.
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, e := range f.history {
-		if e.Kind == check.Refused {
+		if e.Kind == checker.Refused {
 			out.Refused++
 		}
 	}
--- a/internal/fleet/rig/count.go
+++ b/internal/relay/fleet/testcluster/count.go
@@ -1,12 +1,12 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // counted compares what the fleet says that it has taken on with what clients were told: the same where no relay has died, and
@@ -16,9 +16,9 @@
 	f.mu.Lock()
 	for _, e := range f.history {
 		switch e.Kind {
-		case check.Started:
+		case checker.Started:
 			lives++
-		case check.Taken:
+		case checker.Taken:
 			told++
 		}
 	}
@@ -29,11 +29,11 @@
 		if err != nil || st.Sums == nil {
 			return -1
 		}
-		n, err := share.UnpackCounts(st.Sums.N)
+		n, err := quota.UnpackCounts(st.Sums.N)
 		if err != nil {
 			return -1
 		}
-		return int(n[share.Of(share.Count, "class transfer taken")] + n[share.Of(share.Count, "class match-event taken")])
+		return int(n[quota.Of(quota.Count, "class transfer taken")] + n[quota.Of(quota.Count, "class match-event taken")])
 	}
 	text := ""
 	if f.Await(patience, func() bool {
--- a/internal/fleet/rig/count_test.go
+++ b/internal/relay/fleet/testcluster/count_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import "testing"
 
--- a/internal/fleet/rig/link.go
+++ b/internal/relay/fleet/testcluster/link.go
@@ -1,7 +1,7 @@
-// Package rig runs a fleet of real processes with a link between every two of them that loses, delays, doubles, garbles and
+// Package testcluster runs a fleet of real processes with a link between every two of them that loses, delays, doubles, garbles and
 // cuts, stops and kills them, and keeps one history of what their clients, partners and operators saw. It is never linked
 // into the daemon.
-package rig
+package testcluster
 
 import (
 	"errors"
--- a/internal/fleet/rig/page.go
+++ b/internal/relay/fleet/testcluster/page.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"cmp"
@@ -11,13 +11,13 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/fleet/check"
+	"mastusher/internal/relay/fleet/checker"
 )
 
 // Save writes a result's history and its page into a folder, where the logs lie already; of a breach also the shortest
 // beginning of the history that shows it.
 func (r *Result) Save(dir string) error {
-	write := func(name string, h []check.Entry) error {
+	write := func(name string, h []checker.Entry) error {
 		b, err := json.MarshalIndent(h, "", " ")
 		if err != nil {
 			return err
@@ -29,7 +29,7 @@
 	}
 	if r.Breach != nil {
 		h := slices.Clone(r.History)
-		slices.SortStableFunc(h, func(a, b check.Entry) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(h, func(a, b checker.Entry) int { return cmp.Compare(a.At, b.At) })
 		if err := write("breach.json", h[:min(r.Breach.Index+1, len(h))]); err != nil {
 			return err
 		}
@@ -103,7 +103,7 @@
 	const width, left, tall = 1200.0, 60.0, 26
 	v := pageView{Title: r.Scenario.Name, Verdict: r.String(), Bad: r.Bad(), Width: int(width + left + 20)}
 	h := slices.Clone(r.History)
-	slices.SortStableFunc(h, func(a, b check.Entry) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(h, func(a, b checker.Entry) int { return cmp.Compare(a.At, b.At) })
 	end := time.Second
 	for _, e := range h {
 		end = max(end, e.At)
@@ -120,15 +120,15 @@
 	v.Height = 30 + tall*len(v.Rows) + 90
 	for _, e := range h {
 		switch e.Kind {
-		case check.Acted:
+		case checker.Acted:
 			if q := rows[e.Relay]; q != nil {
 				q.Bars = append(q.Bars, bar{x(e.At), 1.5, colors[e.Version%uint64(len(colors))], fmt.Sprintf("%v: %s under version %d", e.At, e.ID, e.Version)})
 			}
-		case check.Started:
+		case checker.Started:
 			if q := rows[e.Relay]; q != nil {
 				q.Bars = append(q.Bars, bar{x(e.At), 3, "#111", fmt.Sprintf("%v: %s is started", e.At, e.Relay)})
 			}
-		case check.Fault, check.Broke:
+		case checker.Fault, checker.Broke:
 			v.Marks = append(v.Marks, mark{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Text)), v.Height})
 		}
 	}
--- a/internal/fleet/rig/play.go
+++ b/internal/relay/fleet/testcluster/play.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -15,19 +15,19 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/policy"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/standin"
 )
 
 // Result is how a scenario went.
 type Result struct {
 	Scenario Scenario
 	Begun    time.Time
-	Breach   *check.Breach
+	Breach   *checker.Breach
 	Stuck    string // what did not come about although all was well again
-	History  []check.Entry
+	History  []checker.Entry
 	Struck   map[string]int // faults that were done while a change was under way
 	Changes  int
 	Held     int // of them in force
@@ -152,10 +152,10 @@
 			at := time.Now()
 			status, _ := client.Send(ctx, m)
 			if status != 202 {
-				f.note(check.Entry{Kind: check.Refused, Relay: r.Name, ID: m.ID, Text: fmt.Sprint(status)})
+				f.note(checker.Entry{Kind: checker.Refused, Relay: r.Name, ID: m.ID, Text: fmt.Sprint(status)})
 				return
 			}
-			f.note(check.Entry{Kind: check.Taken, Relay: r.Name, ID: m.ID})
+			f.note(checker.Entry{Kind: checker.Taken, Relay: r.Name, ID: m.ID})
 			taken.Add(1)
 			f.mu.Lock()
 			_ = res.Answers.RecordValue(max(time.Since(at).Microseconds(), 1))
@@ -166,7 +166,7 @@
 
 // recover makes all well again, and tells what then does not come about; "": all does.
 func (f *Fleet) recover() string {
-	f.note(check.Entry{Kind: check.Fault, Text: "all is well again"})
+	f.note(checker.Entry{Kind: checker.Fault, Text: "all is well again"})
 	f.heal()
 	for _, r := range f.Relays {
 		if os.Remove(r.full()) == nil {
@@ -230,7 +230,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.history {
-		if e.Kind == check.Taken && f.calls[e.ID] == 0 && notices[e.ID] == "" {
+		if e.Kind == checker.Taken && f.calls[e.ID] == 0 && notices[e.ID] == "" {
 			return false
 		}
 	}
@@ -244,18 +244,18 @@
 	defer f.mu.Unlock()
 	for id, n := range f.calls {
 		res.Calls += n
-		f.history = append(f.history, check.Entry{At: f.now(), Kind: check.Ended, ID: id, Text: "called"})
+		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Ended, ID: id, Text: "called"})
 	}
 	for id, how := range notices {
 		if f.calls[id] == 0 {
-			f.history = append(f.history, check.Entry{At: f.now(), Kind: check.Ended, ID: id, Text: how})
+			f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Ended, ID: id, Text: how})
 		}
 	}
 	if twice > 0 {
-		f.history = append(f.history, check.Entry{At: f.now(), Kind: check.Broke, Text: fmt.Sprintf("%d messages were told two different ends", twice)})
+		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Broke, Text: fmt.Sprintf("%d messages were told two different ends", twice)})
 	}
 	for _, c := range f.changes {
-		e := check.Entry{At: c.at, Until: c.until, Kind: check.Proposed, Base: c.base, Version: c.version}
+		e := checker.Entry{At: c.at, Until: c.until, Kind: checker.Proposed, Base: c.base, Version: c.version}
 		if res.Changes++; c.version != 0 {
 			res.Held++
 			res.Took = append(res.Took, c.until-c.at)
@@ -266,10 +266,10 @@
 		res.Bytes += l.bytes[0].Load() + l.bytes[1].Load()
 	}
 	res.History = f.history
-	res.Stale, res.StaleFor = check.Stale(f.history)
+	res.Stale, res.StaleFor = checker.Stale(f.history)
 	// A call may be seen a little after it was begun, on a machine that is busy; what a relay does that should not act goes on
 	// for as long as it runs.
-	res.Breach = check.Judge(f.history, check.Options{Slack: slack, Serves: f.plan.Alone == "serve", Ends: res.Stuck == "", Bounds: f.bounds()})
+	res.Breach = checker.Judge(f.history, checker.Options{Slack: slack, Serves: f.plan.Alone == "serve", Ends: res.Stuck == "", Bounds: f.bounds()})
 }
 
 // least is a relay's smallest part of a partner's limit that it has a part of.
@@ -292,7 +292,7 @@
 	}
 	lives := 0.0
 	for _, e := range f.history {
-		if e.Kind == check.Started {
+		if e.Kind == checker.Started {
 			lives++
 		}
 	}
@@ -301,7 +301,7 @@
 		from = f.limits[n-1].Until + 2*f.plan.Lease
 	}
 	for p := range partners {
-		f.limits = append(f.limits, check.Bound{To: strconv.Itoa(p), Rate: f.limit, Burst: lives + f.limit*(0.05+slack.Seconds()), From: from, Until: f.now()})
+		f.limits = append(f.limits, checker.Bound{To: strconv.Itoa(p), Rate: f.limit, Burst: lives + f.limit*(0.05+slack.Seconds()), From: from, Until: f.now()})
 	}
 }
 
@@ -309,12 +309,12 @@
 
 // bounds are what the policies that were in force let partners get by hand. A relay saves up one call, anew with each start, and
 // what comes in a twentieth of a second; what was begun over a while may be seen at once.
-func (f *Fleet) bounds() (all []check.Bound) {
+func (f *Fleet) bounds() (all []checker.Bound) {
 	f.closeBounds()
 	all = append(all, f.limits...)
 	lives := 0.0
 	for _, e := range f.history {
-		if e.Kind == check.Started {
+		if e.Kind == checker.Started {
 			lives++
 		}
 	}
@@ -325,7 +325,7 @@
 		}
 		for to, p := range d.Partners {
 			if p.Limit > 0 {
-				all = append(all, check.Bound{Version: c.version, To: to, Rate: p.Limit,
+				all = append(all, checker.Bound{Version: c.version, To: to, Rate: p.Limit,
 					Burst: lives + p.Limit*(0.05+slack.Seconds())})
 			}
 		}
--- a/internal/fleet/rig/rig.go
+++ b/internal/relay/fleet/testcluster/rig.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
-	"mastusher/internal/fleet/peer"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/peer"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/standin"
 )
 
 const (
@@ -61,13 +61,13 @@
 	asks   map[string]*config.Peers
 
 	mu       sync.Mutex
-	history  []check.Entry
+	history  []checker.Entry
 	calls    map[string]int // by message
 	Struck   map[string]int // faults that were done while a change was under way
 	changes  []change
 	copies   map[string]string // older folders
 	limit    float64           // of partners, now; 0: none
-	limits   []check.Bound     // that held for a time
+	limits   []checker.Bound   // that held for a time
 	meters   [partners]meter
 	sharedAt time.Duration // from then on all know the limit
 	broken   [partners]bool
@@ -218,7 +218,7 @@
 
 func (f *Fleet) now() time.Duration { return time.Since(f.begun) }
 
-func (f *Fleet) note(e check.Entry) {
+func (f *Fleet) note(e checker.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e.At == 0 {
@@ -229,7 +229,7 @@
 
 // called is a partner that takes every call, and notes under which policy it was made.
 func (f *Fleet) called(a standin.Arrival) httpwire.Answer {
-	e := check.Entry{At: a.At.Sub(f.begun), Kind: check.Acted, ID: a.ID, To: strconv.Itoa(a.Endpoint)}
+	e := checker.Entry{At: a.At.Sub(f.begun), Kind: checker.Acted, ID: a.ID, To: strconv.Itoa(a.Endpoint)}
 	e.Relay, _, _ = strings.Cut(a.ID, "-")
 	if v := a.Header["X-Policy-Version"]; len(v) == 1 {
 		e.Version, _ = strconv.ParseUint(v[0], 10, 64)
@@ -256,7 +256,7 @@
 	n := f.calls[a.ID]
 	f.mu.Unlock()
 	if n > 1 && a.Key == "" { // of that class nothing may be sent twice
-		f.note(check.Entry{Kind: check.Broke, Relay: e.Relay, ID: a.ID, Text: a.ID + " was sent twice"})
+		f.note(checker.Entry{Kind: checker.Broke, Relay: e.Relay, ID: a.ID, Text: a.ID + " was sent twice"})
 	}
 	return answer
 }
@@ -303,7 +303,7 @@
 		return fmt.Errorf("the relay's program: %w", err)
 	}
 	r.cmd, r.stopped = cmd, false
-	f.note(check.Entry{Kind: check.Started, Relay: r.Name})
+	f.note(checker.Entry{Kind: checker.Started, Relay: r.Name})
 	return nil
 }
 
@@ -345,7 +345,7 @@
 	}
 	late := time.AfterFunc(20*time.Second, func() {
 		if s != syscall.SIGKILL {
-			f.note(check.Entry{Kind: check.Broke, Relay: r.Name, Text: "it does not end after SIGTERM"})
+			f.note(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: "it does not end after SIGTERM"})
 		}
 		_ = cmd.Process.Kill()
 	})
@@ -385,7 +385,7 @@
 			}
 		}
 		if p.Version != 0 {
-			f.history = append(f.history, check.Entry{At: at, Kind: check.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
+			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
 		}
 	}
 }
--- a/internal/fleet/rig/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/fleet/check"
-	"mastusher/internal/fleet/node"
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
 )
 
 // pick is the relay that a step names; nil: there is none such now.
@@ -93,7 +93,7 @@
 }
 
 func (f *Fleet) fault(kind, text string) {
-	f.note(check.Entry{Kind: check.Fault, Text: text})
+	f.note(checker.Entry{Kind: checker.Fault, Text: text})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n := len(f.changes); n > 0 && !f.changes[n-1].over {
--- a/internal/httpwire/client.go
+++ b/internal/relay/httpwire/client.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // Stage tells how far a call came.
--- a/internal/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastusher/internal/exchange"
+	"mastusher/internal/relay/wiretest"
 )
 
 // unread waits until bytes have come to a server's only connection that nobody has read.
@@ -44,8 +44,8 @@
 		"a faulty request":               {"GET / HTTP/9\r\n\r\n" + strings.Repeat("x", 9000), func(*Server) {}, "400 Bad Request"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := exchange.Listen(t)
-			conn := exchange.Dial(t, l.Addr().String())
+			l := wiretest.Listen(t)
+			conn := wiretest.Dial(t, l.Addr().String())
 			var s *Server
 			s = NewServer(limits(), func(q *Request) Answer {
 				_, _ = conn.Write([]byte("GET /next HTTP/1.1\r\n\r\n"))
@@ -96,8 +96,8 @@
 // its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
 func TestEndOverRequest(t *testing.T) {
 	for _, at := range []string{"Read", "Close"} {
-		l := exchange.Listen(t)
-		conn := exchange.Dial(t, l.Addr().String())
+		l := wiretest.Listen(t)
+		conn := wiretest.Dial(t, l.Addr().String())
 		raw, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -136,11 +136,11 @@
 func TestCrowdOfHalves(t *testing.T) {
 	lim := limits()
 	lim.AnswerWithin = 300 * time.Millisecond
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	s := NewServer(lim, echo)
 	go func() { _ = s.Serve(l) }()
 	for range lim.ClientConnections {
-		conn := exchange.Dial(t, l.Addr().String())
+		conn := wiretest.Dial(t, l.Addr().String())
 		_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nX-Begun: "))
 	}
 	for begun := 0; begun < lim.ClientConnections; time.Sleep(time.Millisecond) {
@@ -152,7 +152,7 @@
 			}
 		})
 	}
-	exchange.Play(t, exchange.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
+	wiretest.Play(t, wiretest.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
 	_ = l.Close()
 	s.Close(time.Millisecond) // those that have not ended by then are cut off
 	if len(s.conns) != 0 {
@@ -170,7 +170,7 @@
 		"a late answer": func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := exchange.Listen(t)
+			l := wiretest.Listen(t)
 			came := make(chan net.Conn, 1)
 			requests := make(chan string, 9)
 			go func() {
@@ -219,7 +219,7 @@
 // TestCalledOffDial: a call that is called off while its connection comes up writes nothing, is not asked for, and leaves no connection
 // behind, also where that comes up in the same moment.
 func TestCalledOffDial(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	p := NewPool(limits())
@@ -250,8 +250,8 @@
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
-		l := exchange.Listen(t)
-		conn := exchange.Dial(t, l.Addr().String()).(*net.TCPConn)
+		l := wiretest.Listen(t)
+		conn := wiretest.Dial(t, l.Addr().String()).(*net.TCPConn)
 		raw, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -281,7 +281,7 @@
 
 // TestFresh: the first answer on a connection is told apart from those that follow: only that one may turn the connection itself away.
 func TestFresh(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	s := NewServer(limits(), echo)
 	go func() { _ = s.Serve(l) }()
 	p, to := NewPool(limits()), Peer{"s-1", l.Addr().String()}
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/exchange"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/wiretest"
 )
 
 func limits() *config.Limits {
@@ -28,11 +28,11 @@
 	files, _ := filepath.Glob("testdata/*.txt")
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			l := exchange.Listen(t)
+			l := wiretest.Listen(t)
 			s := NewServer(limits(), echo)
 			go func() { _ = s.Serve(l) }()
-			conn := exchange.Dial(t, l.Addr().String())
-			exchange.Play(t, conn, file)
+			conn := wiretest.Dial(t, l.Addr().String())
+			wiretest.Play(t, conn, file)
 			_ = conn.Close()
 			_ = l.Close()
 			s.Close(time.Minute) // waits for every connection: none may be left behind
@@ -77,7 +77,7 @@
 		{"called off", func(_ net.Conn, cancel func()) { cancel() }, CalledOff, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := exchange.Listen(t)
+			l := wiretest.Listen(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() {
@@ -99,7 +99,7 @@
 			}
 		})
 	}
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close()
 	if got := NewPool(limits()).Do(context.Background(), Peer{Address: address}, []byte("x"), nil, nil); got != NotConnected {
@@ -110,7 +110,7 @@
 // TestWithheld guards against a call that leaves after its window, or into a wait told meanwhile, because its
 // connection came up late.
 func TestWithheld(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	p := NewPool(limits())
 	no := func() bool { return false }
@@ -123,7 +123,7 @@
 // TestStale guards against a request on a kept connection that the other side has closed: it would be lost
 // with the message, and may not be sent again without the core's knowing.
 func TestStale(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	closed := make(chan struct{})
 	go func() {
 		for i := range 2 {
@@ -158,7 +158,7 @@
 }
 
 func TestStream(t *testing.T) {
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	go func() {
 		conn, err := l.Accept()
 		if err == nil {
@@ -273,11 +273,11 @@
 func TestHurry(t *testing.T) {
 	lim := limits()
 	lim.FrontIdle, lim.FrontRead = 20*time.Millisecond, 40*time.Millisecond
-	l := exchange.Listen(t)
+	l := wiretest.Listen(t)
 	s := NewServer(lim, echo)
 	go func() { _ = s.Serve(l) }()
 	for _, file := range []string{"testdata/hurry/silent.txt", "testdata/hurry/half.txt"} {
-		exchange.Play(t, exchange.Dial(t, l.Addr().String()), file)
+		wiretest.Play(t, wiretest.Dial(t, l.Addr().String()), file)
 	}
 }
 
--- a/internal/httpwire/read.go
+++ b/internal/relay/httpwire/read.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // Error is a fault in what was read; Status is what a server answers to it.
--- a/internal/httpwire/server.go
+++ b/internal/relay/httpwire/server.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // Answer is what a handler returns. Lost, if set, is called when it could not be written.
--- a/internal/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -19,11 +19,11 @@
 	"github.com/tidwall/gjson"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/relay"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/wire"
 )
 
 // Name is this front's name in the journal.
@@ -36,7 +36,7 @@
 
 // Front speaks the platform's protocol.
 type Front struct {
-	core      *relay.Core
+	core      *engine.Core
 	set       *wire.Settings
 	lim       *config.Limits
 	discovery atomic.Pointer[string] // its address
@@ -44,7 +44,7 @@
 }
 
 // New returns the front of core; it still has to be added to it.
-func New(cfg *config.Config, core *relay.Core) *Front {
+func New(cfg *config.Config, core *engine.Core) *Front {
 	f := &Front{core: core, set: &cfg.Settings, lim: &cfg.Limits, pool: httpwire.NewPool(&cfg.Limits)}
 	f.discovery.Store(&cfg.Discovery)
 	return f
@@ -60,9 +60,9 @@
 func (f *Front) TellsDeliveries() bool { return false }
 
 // Retire closes idle connections.
-func (f *Front) Retire(to *relay.Destination) { f.pool.Retire(peer(to)) }
+func (f *Front) Retire(to *engine.Destination) { f.pool.Retire(peer(to)) }
 
-func peer(to *relay.Destination) httpwire.Peer {
+func peer(to *engine.Destination) httpwire.Peer {
 	if to == nil {
 		return httpwire.Peer{}
 	}
@@ -86,11 +86,11 @@
 		return fault(status, why)
 	}
 	switch r := f.core.Take(Name, m); r.Verdict {
-	case relay.Taken:
+	case engine.Taken:
 		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
-	case relay.Busy:
+	case engine.Busy:
 		return BusyReply(r.Retry)
-	case relay.Rejected:
+	case engine.Rejected:
 		// The message was sound, and others come on this connection too: a plug-in's word on one is not theirs.
 		return httpwire.Answer{Status: cmp.Or(r.Status, 422), Body: []byte(r.Why + "\n"), Prompt: true}
 	default:
@@ -99,7 +99,7 @@
 }
 
 // message reads the message that q hands in; a status other than 0 is the answer to one that can't be read.
-func (f *Front) message(q *httpwire.Request, path string, now time.Time) (m relay.Message, status int, why string) {
+func (f *Front) message(q *httpwire.Request, path string, now time.Time) (m engine.Message, status int, why string) {
 	class, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	m.Class = -1
 	for i := range f.set.Classes {
@@ -183,8 +183,8 @@
 }
 
 // Call makes an attempt: a single call, or a bulk one where it carries several messages.
-func (f *Front) Call(ctx context.Context, step *relay.Attempt) []relay.Outcome {
-	outs := make([]relay.Outcome, len(step.Items))
+func (f *Front) Call(ctx context.Context, step *engine.Attempt) []engine.Outcome {
+	outs := make([]engine.Outcome, len(step.Items))
 	stage := f.pool.Do(ctx, peer(&step.To), f.request(step), step.MayWrite, func(p *httpwire.Response) {
 		step.See(p.Status, p.Header, p.Body)
 		f.read(p, step, outs)
@@ -195,7 +195,7 @@
 			r = control.Delivered
 		}
 		for i := range outs {
-			outs[i] = relay.Outcome{Result: r}
+			outs[i] = engine.Outcome{Result: r}
 		}
 	}
 	return outs
@@ -220,7 +220,7 @@
 	return 0, false
 }
 
-func (f *Front) request(step *relay.Attempt) []byte {
+func (f *Front) request(step *engine.Attempt) []byte {
 	header := []string{"X-Timeout", strconv.FormatInt(step.Timeout.Milliseconds(), 10) + "m"}
 	if step.Stamp != 0 {
 		header = append(header, "X-Policy-Version", strconv.FormatUint(step.Stamp, 10))
@@ -253,8 +253,8 @@
 }
 
 // read turns an answer into an outcome for each item.
-func (f *Front) read(p *httpwire.Response, step *relay.Attempt, outs []relay.Outcome) {
-	var all relay.Outcome
+func (f *Front) read(p *httpwire.Response, step *engine.Attempt, outs []engine.Outcome) {
+	var all engine.Outcome
 	all.Wait = RetryAfter(p.Header.Get("Retry-After"))
 	f.report(p.Header.Get("X-Server-Load"), &all)
 	switch p.Status {
@@ -321,7 +321,7 @@
 }
 
 // report reads "TEXT x0=0.4, x1=25".
-func (f *Front) report(v string, o *relay.Outcome) {
+func (f *Front) report(v string, o *engine.Outcome) {
 	v, ok := strings.CutPrefix(v, "TEXT ")
 	if !ok || f.set.Reports.Share < 0 || f.set.Reports.Limit < 0 {
 		return
@@ -342,7 +342,7 @@
 }
 
 // Notify posts notices to the platform, which takes all of them or none.
-func (f *Front) Notify(ctx context.Context, notices []relay.Notice) []bool {
+func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
 	var body []byte
 	for _, n := range notices {
 		body = gjson.AppendJSONString(append(body, `{"message":`...), n.ID)
@@ -360,10 +360,10 @@
 }
 
 // ParseEndpointList reads a list in discovery's form.
-func ParseEndpointList(list gjson.Result) relay.EndpointList {
-	p := relay.EndpointList{Index: list.Get("index").Int(), Whole: list.Get("snapshot").Bool()}
+func ParseEndpointList(list gjson.Result) engine.EndpointList {
+	p := engine.EndpointList{Index: list.Get("index").Int(), Whole: list.Get("snapshot").Bool()}
 	list.Get("endpoints").ForEach(func(_, e gjson.Result) bool {
-		d := relay.Destination{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
+		d := engine.Destination{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Partner: int(e.Get("group").Int()), Weight: e.Get("weight").Float()}
 		switch e.Get("status").String() {
 		case "ready":
@@ -380,7 +380,7 @@
 
 // Watch follows discovery's list of endpoints until the watch is lost. An entry may stand over several lines. One that has begun
 // must be whole before the watch would count as silent: empty lines in its middle are no life.
-func (f *Front) Watch(ctx context.Context, after int64, changed func(relay.EndpointList)) error {
+func (f *Front) Watch(ctx context.Context, after int64, changed func(engine.EndpointList)) error {
 	discovery := *f.discovery.Load()
 	path := fmt.Sprintf("/discovery/hosts?watch=1&after=%d", after)
 	s, err := httpwire.OpenStream(ctx, discovery, httpwire.AppendRequest(nil, "GET", path, discovery, nil, nil), f.lim)
@@ -407,7 +407,7 @@
 		}
 		switch entry = bytes.TrimSpace(entry); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return relay.ErrSilent
+			return engine.ErrSilent
 		case err != nil:
 			return err
 		case len(entry) == 0:
--- a/internal/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -17,12 +17,12 @@
 	"github.com/tidwall/gjson"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/exchange"
-	"mastusher/internal/httpwire"
-	"mastusher/internal/journal"
-	"mastusher/internal/relay"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/standin"
+	"mastusher/internal/relay/wiretest"
 )
 
 const settings = `{"allowed": {"cancel": true, "max_attempts": 1, "max_open": 40, "max_retry_after": 3000000,
@@ -54,7 +54,7 @@
 		t.Error(err)
 		return
 	}
-	exchange.Play(t, conn, file, "{address}", l.Addr().String())
+	wiretest.Play(t, conn, file, "{address}", l.Addr().String())
 	_ = conn.Close()
 }
 
@@ -69,7 +69,7 @@
 		{"testdata/client-tenant.txt", "testdata/destination-delivered.txt", ""},
 	} {
 		t.Run(c.client, func(t *testing.T) {
-			destination, discovery, clients := exchange.Listen(t), exchange.Listen(t), exchange.Listen(t)
+			destination, discovery, clients := wiretest.Listen(t), wiretest.Listen(t), wiretest.Listen(t)
 			cfg := configure(t, discovery.Addr().String(), destination.Addr().String())
 			if c.client == "testdata/client-tenant.txt" {
 				cfg.Settings.TenantNames, cfg.Settings.Tenants = []string{"north", "acme"}, make([]control.Tenant, 2)
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			core, err := relay.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
+			core, err := engine.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,7 +97,7 @@
 			if c.discovery != "" {
 				go play(t, discovery, c.discovery, done)
 			}
-			exchange.Play(t, exchange.Dial(t, clients.Addr().String()), c.client)
+			wiretest.Play(t, wiretest.Dial(t, clients.Addr().String()), c.client)
 			for _, file := range []string{c.destination, c.discovery} {
 				if file != "" {
 					<-done
@@ -119,13 +119,13 @@
 // quiet is the front without its watch, which TestWatch covers.
 type quiet struct{ *Front }
 
-func (quiet) Watch(context.Context, int64, func(relay.EndpointList)) error { return nil }
+func (quiet) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
 
 // TestOutcomes reads every answer that a destination may give: whether a message may be sent again hangs on it.
 func TestOutcomes(t *testing.T) {
 	f := New(configure(t, "-", "-"), nil)
-	one := &relay.Attempt{Items: []relay.Item{{ID: "a"}}}
-	two := &relay.Attempt{Items: []relay.Item{{ID: "a"}, {ID: "b"}}}
+	one := &engine.Attempt{Items: []engine.Item{{ID: "a"}}}
+	two := &engine.Attempt{Items: []engine.Item{{ID: "a"}, {ID: "b"}}}
 	h := func(kv ...string) map[string][]string {
 		m := map[string][]string{}
 		for i := 0; i < len(kv); i += 2 {
@@ -133,10 +133,10 @@
 		}
 		return m
 	}
-	type outs = []relay.Outcome
+	type outs = []engine.Outcome
 	for _, c := range []struct {
 		name   string
-		step   *relay.Attempt
+		step   *engine.Attempt
 		status int
 		header map[string][]string
 		body   string
@@ -184,20 +184,20 @@
 
 // TestSpoilt: of a spoilt answer the first line counts, and only for a call of one message.
 func TestSpoilt(t *testing.T) {
-	one, two := []relay.Item{{ID: "a"}}, []relay.Item{{ID: "a"}, {ID: "b"}}
+	one, two := []engine.Item{{ID: "a"}}, []engine.Item{{ID: "a"}, {ID: "b"}}
 	for _, c := range []struct {
 		file  string
-		items []relay.Item
+		items []engine.Item
 		want  control.Result
 	}{
 		{"testdata/spoilt-200.txt", one, control.Delivered}, {"testdata/spoilt-200.txt", two, control.Spoilt},
 		{"testdata/spoilt-503.txt", one, control.Spoilt},
 	} {
-		l, done := exchange.Listen(t), make(chan bool, 1)
+		l, done := wiretest.Listen(t), make(chan bool, 1)
 		go play(t, l, c.file, done)
-		step := &relay.Attempt{To: relay.Destination{Address: l.Addr().String()}, Items: c.items}
+		step := &engine.Attempt{To: engine.Destination{Address: l.Addr().String()}, Items: c.items}
 		for _, o := range New(configure(t, "-", "-"), nil).Call(context.Background(), step) {
-			if d := cmp.Diff(relay.Outcome{Result: c.want}, o); d != "" {
+			if d := cmp.Diff(engine.Outcome{Result: c.want}, o); d != "" {
 				t.Errorf("%s, %d messages (-want +got)\n%s", c.file, len(c.items), d)
 			}
 		}
@@ -214,7 +214,7 @@
 	cfg.Limits.AnswerRead = 30 * time.Millisecond // only what falls silent waits for it
 	for n := 1; n <= len(line); n++ {
 		for _, how := range []string{"ends", "is reset", "falls silent", "goes on with another answer"} {
-			l := exchange.Listen(t)
+			l := wiretest.Listen(t)
 			over := make(chan struct{})
 			go func() {
 				conn, err := l.Accept()
@@ -233,7 +233,7 @@
 					_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 				}
 			}()
-			step := &relay.Attempt{To: relay.Destination{Address: l.Addr().String()}, Items: []relay.Item{{ID: "a"}}}
+			step := &engine.Attempt{To: engine.Destination{Address: l.Addr().String()}, Items: []engine.Item{{ID: "a"}}}
 			got := New(cfg, nil).Call(t.Context(), step)[0].Result
 			close(over)
 			_ = l.Close()
@@ -248,8 +248,8 @@
 // TestBulk: the body of a call with several messages.
 func TestBulk(t *testing.T) {
 	f := New(configure(t, "-", "-"), nil)
-	got := string(f.request(&relay.Attempt{To: relay.Destination{Address: "h"}, Timeout: 1500 * time.Millisecond,
-		Items: []relay.Item{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: `"`}}}))
+	got := string(f.request(&engine.Attempt{To: engine.Destination{Address: "h"}, Timeout: 1500 * time.Millisecond,
+		Items: []engine.Item{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: `"`}}}))
 	const want = "POST /inbox/bulk HTTP/1.1\r\nHost: h\r\nX-Timeout: 1500m\r\nContent-Length: 71\r\n\r\n" +
 		`[{"id":"a","key":"k","body":"aGVsbG8="},{"id":"\"","key":"","body":""}]`
 	if d := cmp.Diff(want, got); d != "" {
@@ -258,24 +258,24 @@
 }
 
 func TestWatch(t *testing.T) {
-	one := relay.Destination{Name: "s-1", Address: "h:1", Zone: "a", Kind: "m2", Partner: 3, State: control.Draining}
-	two := relay.Destination{Name: "s-2", State: control.Removed}
-	odd := relay.Destination{Name: `s-1 }] "{`, Address: "h:1", Zone: "a", Kind: "m2", Partner: 3}
-	for file, want := range map[string][]relay.EndpointList{
-		"testdata/watch.txt": {{Index: 43, Destinations: []relay.Destination{one, two}}},
-		"testdata/watch-indented.txt": {{Index: 43, Whole: true, Destinations: []relay.Destination{odd}},
-			{Index: 44, Destinations: []relay.Destination{two}}},
+	one := engine.Destination{Name: "s-1", Address: "h:1", Zone: "a", Kind: "m2", Partner: 3, State: control.Draining}
+	two := engine.Destination{Name: "s-2", State: control.Removed}
+	odd := engine.Destination{Name: `s-1 }] "{`, Address: "h:1", Zone: "a", Kind: "m2", Partner: 3}
+	for file, want := range map[string][]engine.EndpointList{
+		"testdata/watch.txt": {{Index: 43, Destinations: []engine.Destination{one, two}}},
+		"testdata/watch-indented.txt": {{Index: 43, Whole: true, Destinations: []engine.Destination{odd}},
+			{Index: 44, Destinations: []engine.Destination{two}}},
 	} {
-		l := exchange.Listen(t)
+		l := wiretest.Listen(t)
 		f := New(configure(t, l.Addr().String(), "-"), nil)
 		done := make(chan bool, 1)
 		go play(t, l, file, done)
-		var got []relay.EndpointList
-		if err := f.Watch(context.Background(), 41, func(p relay.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err, relay.ErrSilent) {
+		var got []engine.EndpointList
+		if err := f.Watch(context.Background(), 41, func(p engine.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err, engine.ErrSilent) {
 			t.Errorf("%s: the watch ended with %v", file, err)
 		}
 		<-done
-		if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(relay.Destination{})); d != "" {
+		if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(engine.Destination{})); d != "" {
 			t.Errorf("%s (-want +got)\n%s", file, d)
 		}
 	}
@@ -285,7 +285,7 @@
 // list and only empty lines follow: those are no life.
 func TestSilentWatch(t *testing.T) {
 	for name, says := range map[string]string{"nothing": "\n", "half a line": `{"index":43,"endpo`, "half a list": "{\"index\":43,\n\n\n\n"} {
-		l := exchange.Listen(t)
+		l := wiretest.Listen(t)
 		cfg := configure(t, l.Addr().String(), "-")
 		cfg.Limits.WatchSilence = 200 * time.Millisecond
 		ended := make(chan struct{})
@@ -303,8 +303,8 @@
 			<-ended
 			_ = conn.Close()
 		}()
-		err := New(cfg, nil).Watch(t.Context(), 41, func(relay.EndpointList) { t.Errorf("%s: a list is told", name) })
-		if !errors.Is(err, relay.ErrSilent) {
+		err := New(cfg, nil).Watch(t.Context(), 41, func(engine.EndpointList) { t.Errorf("%s: a list is told", name) })
+		if !errors.Is(err, engine.ErrSilent) {
 			t.Errorf("%s: the watch ends with %v", name, err)
 		}
 		close(ended)
@@ -312,11 +312,11 @@
 }
 
 // begin has a core and its front at work on a configuration, without a watch, until end.
-func begin(t *testing.T, cfg *config.Config) (core *relay.Core, f *Front, jour *journal.Log, end func()) {
+func begin(t *testing.T, cfg *config.Config) (core *engine.Core, f *Front, jour *journal.Log, end func()) {
 	t.Helper()
 	jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
 	if err == nil {
-		core, err = relay.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
+		core, err = engine.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -340,7 +340,7 @@
 func TestFewConnections(t *testing.T) {
 	cfg := configure(t, "-", "-")
 	gave := make(chan error, 1)
-	room := exchange.Listen(t) // an endpoint with room: it keeps the connection after its answer
+	room := wiretest.Listen(t) // an endpoint with room: it keeps the connection after its answer
 	go func() {
 		conn, err := room.Accept()
 		if err != nil {
@@ -353,7 +353,7 @@
 		_, err = conn.Read(make([]byte, 1))
 		gave <- err
 	}()
-	full := exchange.Listen(t) // and one of that kind without any
+	full := wiretest.Listen(t) // and one of that kind without any
 	go func() {
 		conn, err := full.Accept()
 		if err != nil {
@@ -394,7 +394,7 @@
 		want  int  // status
 	}{{"order", false, 500}, {"match-event", false, 500}, {"score-state", false, 429}, {"order", true, 202}} {
 		calls, answer := make(chan string, 9), make(chan struct{})
-		endpoint := exchange.Listen(t)
+		endpoint := wiretest.Listen(t)
 		ends := httpwire.NewServer(standin.Limits(), func(q *httpwire.Request) httpwire.Answer {
 			calls <- q.Header.Get("X-Request-Id")
 			<-answer
@@ -405,7 +405,7 @@
 		cfg.Settings.Ask = true
 		cfg.Settings.Classes = append(cfg.Settings.Classes, control.Class{Name: "order", Aim: time.Second, Deadline: time.Minute, Worth: 1})
 		_, f, jour, end := begin(t, cfg)
-		clients := exchange.Listen(t)
+		clients := wiretest.Listen(t)
 		broken, lost, tries := make(chan struct{}), make(chan struct{}), 0
 		s := httpwire.NewServer(&cfg.Limits, func(q *httpwire.Request) httpwire.Answer {
 			a := f.Handle(q)
@@ -427,13 +427,13 @@
 		go func() { _ = s.Serve(clients) }()
 		request := httpwire.AppendRequest(nil, "POST", "/"+c.class, "x", []string{"X-Request-ID", "m", "Idempotency-Key", "k", "X-Timeout", "20000m",
 			"X-Envelope", "dest=7"}, []byte("hi"))
-		first := exchange.Dial(t, clients.Addr().String()).(*net.TCPConn)
+		first := wiretest.Dial(t, clients.Addr().String()).(*net.TCPConn)
 		_, _ = first.Write(request)
 		<-broken
 		_ = first.SetLinger(0)
 		_ = first.Close()
 		<-lost
-		second := exchange.Dial(t, clients.Addr().String())
+		second := wiretest.Dial(t, clients.Addr().String())
 		_, _ = second.Write(request)
 		p, err := httpwire.NewReader(second, &cfg.Limits).ReadResponse()
 		if err != nil || p.Status != c.want {
@@ -457,9 +457,9 @@
 	f := New(configure(t, "-", "-"), nil)
 	set := []string{"X-Desk", "sports"}
 	for n := 1; n <= 2; n++ {
-		step := &relay.Attempt{To: relay.Destination{Address: "d"}}
+		step := &engine.Attempt{To: engine.Destination{Address: "d"}}
 		for i := range n {
-			step.Items = append(step.Items, relay.Item{ID: fmt.Sprint("m", i), Key: "k", Body: []byte("b"), Headers: set})
+			step.Items = append(step.Items, engine.Item{ID: fmt.Sprint("m", i), Key: "k", Body: []byte("b"), Headers: set})
 		}
 		q, err := httpwire.NewReader(bytes.NewReader(f.request(step)), &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 16}).ReadRequest(func() error { return nil })
 		if err != nil {
--- a/internal/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -10,8 +10,8 @@
 	"github.com/tetratelabs/wazero"
 	"github.com/tetratelabs/wazero/api"
 
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/plugin/store"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/plugin/store"
 )
 
 // ABI 2: the host calls a function without arguments for each phase, and the module asks for what it needs. The host
--- a/internal/plugin/call.go
+++ b/internal/relay/plugin/call.go
@@ -10,7 +10,7 @@
 	"net/textproto"
 	"time"
 
-	"mastusher/internal/plugin/rules"
+	"mastusher/internal/relay/plugin/rules"
 )
 
 // Phase is when a plug-in is called.
--- a/internal/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/plugin/wasmtest"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/plugin/wasmtest"
 )
 
 // FuzzHostFunctions calls each import with whatever arguments, in each phase: the host neither panics nor lets
--- a/internal/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -15,11 +15,11 @@
 
 	"github.com/tetratelabs/wazero"
 
-	"mastusher/internal/config"
-	"mastusher/internal/plugin/gate"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/plugin/store"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/plugin/gate"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/plugin/store"
 )
 
 // Host runs all plug-ins. Its methods are safe for concurrent use.
@@ -247,10 +247,10 @@
 }
 
 // Arrive lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as.
-func (h *Host) Arrive(front string, m *relay.Message) relay.Ruling {
+func (h *Host) Arrive(front string, m *engine.Message) engine.Ruling {
 	g := h.use()
 	if g == nil {
-		return relay.Ruling{}
+		return engine.Ruling{}
 	}
 	defer h.release(g)
 	var c *Call
@@ -272,12 +272,12 @@
 		switch {
 		case err != nil && v.cfg.Reject:
 			v.counts.Rejected.Add(1)
-			return relay.Ruling{Verdict: relay.Busy, Why: "plug-in " + v.cfg.Name + " is out of order"}
+			return engine.Ruling{Verdict: engine.Busy, Why: "plug-in " + v.cfg.Name + " is out of order"}
 		case err != nil:
 			continue
 		case out.Reject:
 			v.counts.Rejected.Add(1)
-			return relay.Ruling{Verdict: relay.Rejected, Status: out.Status, Why: out.Why}
+			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Why: out.Why}
 		}
 		c.Shape = out.Shape
 		if out.Body != nil {
@@ -288,7 +288,7 @@
 	if c != nil {
 		m.Out = c.Shape
 	}
-	return relay.Ruling{}
+	return engine.Ruling{}
 }
 
 func (h *Host) guard(front string) *rules.Front {
@@ -314,7 +314,7 @@
 
 // Answered shows the plug-ins an answer and makes of its outcomes what they may. Of those that nothing may be made
 // of they hear later.
-func (h *Host) Answered(front string, step *relay.Attempt, outs []relay.Outcome) {
+func (h *Host) Answered(front string, step *engine.Attempt, outs []engine.Outcome) {
 	g := h.use()
 	if g == nil {
 		return
@@ -326,8 +326,8 @@
 	}
 }
 
-func (h *Host) answered(g *generation, front string, to *relay.Destination, it *relay.Item, seen *relay.Seen,
-	o *relay.Outcome, by time.Time) {
+func (h *Host) answered(g *generation, front string, to *engine.Destination, it *engine.Item, seen *engine.Seen,
+	o *engine.Outcome, by time.Time) {
 	for _, v := range g.chain {
 		if !v.applies(Answer, front, to.Partner, it.Class) {
 			continue
@@ -351,7 +351,7 @@
 }
 
 // Ended tells the plug-ins, later, that a message is over.
-func (h *Host) Ended(front string, e relay.End) {
+func (h *Host) Ended(front string, e engine.End) {
 	g := h.use()
 	if g == nil {
 		return
--- a/internal/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -15,10 +15,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/plugin/rules"
-	"mastusher/internal/plugin/wasmtest"
-	"mastusher/internal/relay"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/plugin/rules"
+	"mastusher/internal/relay/plugin/wasmtest"
 )
 
 const settings = `"state": "-", "listen": "-", "seed": "01", "settings": {"peers_total": 1, "allowed": {"max_attempts": 3},
@@ -88,8 +88,8 @@
 	return h
 }
 
-func message(id string, partner int) *relay.Message {
-	return &relay.Message{ID: id, Key: "k", Partner: partner, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}
+func message(id string, partner int) *engine.Message {
+	return &engine.Message{ID: id, Key: "k", Partner: partner, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}
 }
 
 // TestHostile: whatever a module does on arrival, the message passes as it came, the failure is counted, and the
@@ -124,12 +124,12 @@
 			m := message("m", 7)
 			r := h.Arrive("platform", m)
 			if name == "floods" {
-				if r.Verdict != relay.Rejected || len(r.Why) > h.lim.PluginReason {
+				if r.Verdict != engine.Rejected || len(r.Why) > h.lim.PluginReason {
 					t.Errorf("got %+v", r)
 				}
 				return
 			}
-			if d := cmp.Diff(relay.Ruling{}, r); d != "" {
+			if d := cmp.Diff(engine.Ruling{}, r); d != "" {
 				t.Error(d)
 			}
 			if d := cmp.Diff([]string{"X-Desk", "sports"}, m.Out); d != "" {
@@ -145,7 +145,7 @@
 			if got := h.now.Load().chain[0].counts.Failures.Load(); got != want {
 				t.Errorf("%d failures, want %d", got, want)
 			}
-			if r := h.Arrive("platform", message("n", 8)); r.Verdict != relay.Taken { // on a new instance
+			if r := h.Arrive("platform", message("n", 8)); r.Verdict != engine.Taken { // on a new instance
 				t.Errorf("the next message: %+v", r)
 			}
 		})
@@ -155,15 +155,15 @@
 // TestAfterwards: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
 func TestAfterwards(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
-	step := relay.NewStep(relay.Destination{Name: "s-1", Partner: 7}, h.Sample("platform", 7, 0), relay.Item{ID: "m"})
+	step := engine.NewStep(engine.Destination{Name: "s-1", Partner: 7}, h.Sample("platform", 7, 0), engine.Item{ID: "m"})
 	step.See(503, nil, nil)
-	outs := []relay.Outcome{{Result: control.Full, Wait: time.Second}}
+	outs := []engine.Outcome{{Result: control.Full, Wait: time.Second}}
 	h.Answered("platform", step, outs)
-	if d := cmp.Diff([]relay.Outcome{{Result: control.Full, Wait: time.Second}}, outs); d != "" {
+	if d := cmp.Diff([]engine.Outcome{{Result: control.Full, Wait: time.Second}}, outs); d != "" {
 		t.Error(d)
 	}
 	for i := range 3 * h.lim.PluginEnds {
-		h.Ended("platform", relay.End{ID: fmt.Sprint(i), Partner: 7, How: "delivered"})
+		h.Ended("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, How: "delivered"})
 	}
 	if v := h.now.Load().chain[0]; v.counts.Dropped.Load() == 0 {
 		t.Error("ends pile up without bound")
@@ -232,7 +232,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("p", c.module, "").host()
 			m := message("m", 7)
-			if r := h.Arrive(c.front, m); r.Verdict != relay.Taken || string(m.Body) != "body" {
+			if r := h.Arrive(c.front, m); r.Verdict != engine.Taken || string(m.Body) != "body" {
 				t.Errorf("%+v, body %q", r, m.Body)
 			}
 			if d := cmp.Diff(c.out, m.Out); d != "" {
@@ -328,7 +328,7 @@
 func TestOnFailure(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.Traps(1), `"on_failure": "reject"`).host()
 	for range 9 { // also once the breaker is open
-		if r := h.Arrive("platform", message("m", 7)); r.Verdict != relay.Busy {
+		if r := h.Arrive("platform", message("m", 7)); r.Verdict != engine.Busy {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -395,22 +395,22 @@
 func TestAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		module    []byte
-		out, want relay.Outcome
+		out, want engine.Outcome
 	}{
-		"a longer wait":         {wasmtest.Asks(3000, false), relay.Outcome{Result: control.Full, Wait: time.Second}, relay.Outcome{Result: control.Full, Wait: 3 * time.Second}},
-		"a shorter wait":        {wasmtest.Asks(10, false), relay.Outcome{Result: control.Full, Wait: time.Second}, relay.Outcome{Result: control.Full, Wait: time.Second}},
-		"refused for good":      {wasmtest.Asks(0, true), relay.Outcome{Result: control.Full}, relay.Outcome{Result: control.Rejected}},
-		"but not past a wait":   {wasmtest.Asks(0, true), relay.Outcome{Result: control.Full, Wait: time.Second}, relay.Outcome{Result: control.Full, Wait: time.Second}},
-		"nor what may have run": {wasmtest.Asks(0, true), relay.Outcome{Result: control.Errored}, relay.Outcome{Result: control.Errored}},
-		"nor a delivery":        {wasmtest.Asks(9, true), relay.Outcome{Result: control.Delivered}, relay.Outcome{Result: control.Delivered}},
+		"a longer wait":         {wasmtest.Asks(3000, false), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: 3 * time.Second}},
+		"a shorter wait":        {wasmtest.Asks(10, false), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: time.Second}},
+		"refused for good":      {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full}, engine.Outcome{Result: control.Rejected}},
+		"but not past a wait":   {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: time.Second}},
+		"nor what may have run": {wasmtest.Asks(0, true), engine.Outcome{Result: control.Errored}, engine.Outcome{Result: control.Errored}},
+		"nor a delivery":        {wasmtest.Asks(9, true), engine.Outcome{Result: control.Delivered}, engine.Outcome{Result: control.Delivered}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("p", c.module, "").host()
-			step := relay.NewStep(relay.Destination{Partner: 7}, h.Sample("platform", 7, 0), relay.Item{ID: "m"})
+			step := engine.NewStep(engine.Destination{Partner: 7}, h.Sample("platform", 7, 0), engine.Item{ID: "m"})
 			step.See(503, nil, []byte("full"))
-			outs := []relay.Outcome{c.out}
+			outs := []engine.Outcome{c.out}
 			h.Answered("platform", step, outs)
-			if d := cmp.Diff([]relay.Outcome{c.want}, outs); d != "" {
+			if d := cmp.Diff([]engine.Outcome{c.want}, outs); d != "" {
 				t.Error(d)
 			}
 		})
@@ -474,13 +474,13 @@
 				default:
 				}
 				m := message(fmt.Sprint(w, i), w)
-				if r := h.Arrive("platform", m); r.Verdict != relay.Taken {
+				if r := h.Arrive("platform", m); r.Verdict != engine.Taken {
 					t.Errorf("got %+v", r)
 				}
 				if len(m.Out) == 4 && m.Out[1] != m.Out[3] {
 					t.Errorf("shaped by two generations: %v", m.Out)
 				}
-				h.Ended("platform", relay.End{ID: m.ID, Partner: w, How: "delivered"})
+				h.Ended("platform", engine.End{ID: m.ID, Partner: w, How: "delivered"})
 			}
 		})
 	}
@@ -556,7 +556,7 @@
 func TestOne(t *testing.T) {
 	h := newSetup(t).with("old", wasmtest.One(1024, 1), "").host()
 	for range 3 {
-		if d := cmp.Diff(relay.Ruling{Verdict: relay.Rejected, Status: 422, Why: "rejected by old"}, h.Arrive("platform", message("m", 7))); d != "" {
+		if d := cmp.Diff(engine.Ruling{Verdict: engine.Rejected, Status: 422, Why: "rejected by old"}, h.Arrive("platform", message("m", 7))); d != "" {
 			t.Error(d)
 		}
 	}
@@ -564,7 +564,7 @@
 
 // TestBudget: a plug-in for which none of the client's time is left counts as failed, and is not called.
 func TestBudget(t *testing.T) {
-	for keys, want := range map[string]relay.Verdict{`"on_failure": "pass"`: relay.Taken, `"on_failure": "reject"`: relay.Busy} {
+	for keys, want := range map[string]engine.Verdict{`"on_failure": "pass"`: engine.Taken, `"on_failure": "reject"`: engine.Busy} {
 		s := newSetup(t).with("p", wasmtest.Header("X-Desk", "sports"), keys)
 		cfg := s.config()
 		cfg.Limits.PluginBudget = time.Nanosecond
--- a/internal/plugin/prepare.go
+++ b/internal/relay/plugin/prepare.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // Prepare loads the plug-ins of a configuration beside those that run, so that a Reload takes them over at once, or tells why
--- a/internal/plugin/status.go
+++ b/internal/relay/plugin/status.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 func hashOf(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/plugin/trial/trial.go
+++ b/internal/relay/plugin/trial/trial.go
@@ -29,8 +29,8 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/plugin"
-	"mastusher/internal/plugin/rules"
+	"mastusher/internal/relay/plugin"
+	"mastusher/internal/relay/plugin/rules"
 )
 
 // Case is one call and what is to come of it.
--- a/internal/plugin/version.go
+++ b/internal/relay/plugin/version.go
@@ -14,10 +14,10 @@
 	"github.com/tetratelabs/wazero/api"
 	"github.com/tetratelabs/wazero/imports/wasi_snapshot_preview1"
 
-	"mastusher/internal/config"
-	"mastusher/internal/plugin/gate"
-	"mastusher/internal/plugin/store"
-	"mastusher/internal/plugin/wasm"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/plugin/gate"
+	"mastusher/internal/relay/plugin/store"
+	"mastusher/internal/relay/plugin/wasm"
 )
 
 // version is one module under one configuration, compiled and ready. It does not change; a reload puts another in
--- a/internal/plugin/wasm/rewrite_test.go
+++ b/internal/relay/plugin/wasm/rewrite_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/tetratelabs/wazero"
 
-	"mastusher/internal/plugin/wasm"
-	w "mastusher/internal/plugin/wasmtest"
+	"mastusher/internal/relay/plugin/wasm"
+	w "mastusher/internal/relay/plugin/wasmtest"
 )
 
 // run calls "f" of a module that was rewritten.
--- a/internal/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -14,8 +14,8 @@
 	"github.com/tetratelabs/wazero/experimental"
 	wasys "github.com/tetratelabs/wazero/sys"
 
-	"mastusher/internal/plugin/gate"
-	"mastusher/internal/plugin/store"
+	"mastusher/internal/relay/plugin/gate"
+	"mastusher/internal/relay/plugin/store"
 )
 
 // worker runs one instance, on a thread of its own that gives way to the relay's. A call that fails ends the
--- a/internal/lab/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -15,18 +15,18 @@
 	"github.com/BurntSushi/toml"
 	"github.com/fxamacker/cbor/v2"
 
-	"mastusher/internal/lab"
-	"mastusher/internal/lab/policy"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/policy"
 )
 
 // Experiment is what is to be played: every policy, with every seed, at every value of the sweep.
 type Experiment struct {
-	Name     string    `toml:"name"`
-	Policies []string  `toml:"policies"`
-	Seeds    []uint64  `toml:"seeds"`
-	Memory   bool      `toml:"memory"` // measure what runs hold; then they are played one by one
-	Sweep    Sweep     `toml:"sweep"`
-	World    lab.World `toml:"world"`
+	Name     string          `toml:"name"`
+	Policies []string        `toml:"policies"`
+	Seeds    []uint64        `toml:"seeds"`
+	Memory   bool            `toml:"memory"` // measure what runs hold; then they are played one by one
+	Sweep    Sweep           `toml:"sweep"`
+	World    simulator.World `toml:"world"`
 }
 
 // Sweep is a key of the world that takes several values.
@@ -36,31 +36,31 @@
 }
 
 // keys are those that a sweep can set.
-var keys = map[string]func(*lab.World, float64){
-	"rate":          func(w *lab.World, v float64) { w.Rate = v },
-	"relays":        func(w *lab.World, v float64) { w.Relays = int(v) },
-	"uneven":        func(w *lab.World, v float64) { w.Uneven = v },
-	"slots":         func(w *lab.World, v float64) { w.Slots = int(v) },
-	"clients.tries": func(w *lab.World, v float64) { w.Clients.Tries = int(v) },
-	"list_delay":    func(w *lab.World, v float64) { w.ListDelay = lab.Span(v * float64(time.Second)) },
-	"partner.count": func(w *lab.World, v float64) { each(w, func(p *lab.Partner) { p.Count = int(v) }) },
-	"partner.endpoints": func(w *lab.World, v float64) {
-		each(w, func(p *lab.Partner) { p.Endpoints = int(v) })
+var keys = map[string]func(*simulator.World, float64){
+	"rate":          func(w *simulator.World, v float64) { w.Rate = v },
+	"relays":        func(w *simulator.World, v float64) { w.Relays = int(v) },
+	"uneven":        func(w *simulator.World, v float64) { w.Uneven = v },
+	"slots":         func(w *simulator.World, v float64) { w.Slots = int(v) },
+	"clients.tries": func(w *simulator.World, v float64) { w.Clients.Tries = int(v) },
+	"list_delay":    func(w *simulator.World, v float64) { w.ListDelay = simulator.Span(v * float64(time.Second)) },
+	"partner.count": func(w *simulator.World, v float64) { each(w, func(p *simulator.Partner) { p.Count = int(v) }) },
+	"partner.endpoints": func(w *simulator.World, v float64) {
+		each(w, func(p *simulator.Partner) { p.Endpoints = int(v) })
 	},
-	"partner.queue": func(w *lab.World, v float64) { each(w, func(p *lab.Partner) { p.Queue = int(v) }) },
-	"trouble.share": func(w *lab.World, v float64) {
+	"partner.queue": func(w *simulator.World, v float64) { each(w, func(p *simulator.Partner) { p.Queue = int(v) }) },
+	"trouble.share": func(w *simulator.World, v float64) {
 		for i := range w.Troubles {
 			w.Troubles[i].Share = v
 		}
 	},
-	"trouble.factor": func(w *lab.World, v float64) {
+	"trouble.factor": func(w *simulator.World, v float64) {
 		for i := range w.Troubles {
 			w.Troubles[i].Factor = v
 		}
 	},
 }
 
-func each(w *lab.World, do func(*lab.Partner)) {
+func each(w *simulator.World, do func(*simulator.Partner)) {
 	for i := range w.Partners {
 		do(&w.Partners[i])
 	}
@@ -86,8 +86,8 @@
 
 // Parse reads an experiment's file. Every error names its key.
 func Parse(text string) (*Experiment, error) {
-	x := Experiment{Name: "experiment", Policies: []string{"module"}, Seeds: []uint64{1}, World: lab.Default()}
-	if err := lab.Decode(text, &x); err != nil {
+	x := Experiment{Name: "experiment", Policies: []string{"module"}, Seeds: []uint64{1}, World: simulator.Default()}
+	if err := simulator.Decode(text, &x); err != nil {
 		return nil, err
 	}
 	return &x, x.check()
@@ -119,7 +119,7 @@
 	Value  float64 // of the sweep's key
 	Policy string
 	Seed   uint64
-	Result *lab.Result
+	Result *simulator.Result
 }
 
 // Results are what an experiment has come to. The file is CBOR: a version, and then this.
@@ -210,22 +210,22 @@
 }
 
 // Play plays one world under a policy.
-func Play(w *lab.World, name string) (*lab.Result, error) {
+func Play(w *simulator.World, name string) (*simulator.Result, error) {
 	res, _, err := play(w, name)
 	return res, err
 }
 
-func play(w *lab.World, name string) (*lab.Result, *lab.Run, error) {
+func play(w *simulator.World, name string) (*simulator.Result, *simulator.Run, error) {
 	maker := policy.Named[name]
 	if maker == nil {
 		return nil, nil, fmt.Errorf("there is no policy %q", name)
 	}
-	r, err := lab.New(w, maker)
+	r, err := simulator.New(w, maker)
 	if err != nil {
 		return nil, nil, err
 	}
 	if policy.Shares(name) {
-		r.Share(lab.DefaultSharing())
+		r.Share(simulator.DefaultSharing())
 	}
 	from := time.Now()
 	res := r.Play()
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/relay/simulator/experiment/experiment_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/lab/experiment"
-	"mastusher/internal/lab/report"
+	"mastusher/internal/relay/simulator/experiment"
+	"mastusher/internal/relay/simulator/report"
 )
 
 const text = `
--- a/internal/lab/fleet.go
+++ b/internal/relay/simulator/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"math"
--- a/internal/lab/whole/whole.go
+++ b/internal/relay/simulator/fullrelay/whole.go
@@ -1,6 +1,6 @@
-// Package whole puts a whole relay core into the lab: the core that serve runs, in virtual time, with a journal in memory
+// Package fullrelay puts a whole relay core into the lab: the core that serve runs, in virtual time, with a journal in memory
 // that outlasts a crash. Only sockets, fronts and the disk are the lab's.
-package whole
+package fullrelay
 
 import (
 	"context"
@@ -11,15 +11,15 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/config"
-	"mastusher/internal/journal"
-	"mastusher/internal/lab"
-	"mastusher/internal/relay"
-	"mastusher/internal/wire"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/journal"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/wire"
 )
 
 // Make makes a relay's core.
-func Make(set control.Settings, seed uint64) (lab.Policy, error) {
+func Make(set control.Settings, seed uint64) (simulator.Policy, error) {
 	return &Core{set: set, seed: seed, jour: &journal.Memory{}, told: map[uint64]bool{}}, nil
 }
 
@@ -30,11 +30,11 @@
 	jour *journal.Memory
 	told map[uint64]bool // ends that clients were told; they outlast a crash, as the clients do
 
-	core    *relay.Core // nil: it has not begun
+	core    *engine.Core // nil: it has not begun
 	now     time.Duration
 	out     []control.Action
-	calls   map[uint64]func([]relay.Outcome)
-	changed func(relay.EndpointList)
+	calls   map[uint64]func([]engine.Outcome)
+	changed func(engine.EndpointList)
 	index   int64
 	pending bool // an event stands in the core's queue
 }
@@ -44,8 +44,8 @@
 const round = 5 * time.Millisecond
 
 // Successor makes the relay that is started after this one has crashed, on the same journal.
-func (p *Core) Successor() lab.Maker {
-	return func(set control.Settings, seed uint64) (lab.Policy, error) {
+func (p *Core) Successor() simulator.Maker {
+	return func(set control.Settings, seed uint64) (simulator.Policy, error) {
 		return &Core{set: set, seed: seed, jour: p.jour, told: p.told}, nil
 	}
 }
@@ -73,13 +73,13 @@
 	cfg.Limits = config.Limits{Queue: 1 << 14, BusyRetry: 500 * time.Millisecond, AnswerWithin: 300 * time.Millisecond, BodySize: 64 << 10,
 		DrainSends: time.Second, DrainExit: 4 * time.Second, NoticesPerCall: 64, NoticeTimeout: time.Second, NoticeRetry: 250 * time.Millisecond,
 		NoticeRetryMost: 4 * time.Second, WatchRetry: 500 * time.Millisecond, Round: round}
-	core, err := relay.New(cfg, p.jour, slog.New(slog.NewTextHandler(io.Discard, nil)), p.at(p.now))
+	core, err := engine.New(cfg, p.jour, slog.New(slog.NewTextHandler(io.Discard, nil)), p.at(p.now))
 	if err != nil {
 		panic(err) // the lab's settings have passed its own checks
 	}
-	p.core, p.calls = core, map[uint64]func([]relay.Outcome){}
+	p.core, p.calls = core, map[uint64]func([]engine.Outcome){}
 	core.SetShell(p)
-	core.AddFront(front, nobody{}, relay.EndpointList{})
+	core.AddFront(front, nobody{}, engine.EndpointList{})
 	core.Restore(p.at(p.now))
 }
 
@@ -98,7 +98,7 @@
 	}
 	type handed struct {
 		id    uint64
-		reply <-chan relay.Reply
+		reply <-chan engine.Reply
 	}
 	var arrived []handed
 	for i := range events {
@@ -107,7 +107,7 @@
 		case control.Listed:
 			p.listed(e)
 		case control.Arrived:
-			m := relay.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Again: e.Again,
+			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Again: e.Again,
 				Body: []byte("{}")}
 			if e.Ran {
 				m.RanAt = p.at(e.RanAt)
@@ -116,7 +116,7 @@
 		case control.Resolved:
 			if done := p.calls[e.ID]; done != nil {
 				delete(p.calls, e.ID)
-				done([]relay.Outcome{{Result: e.Result, Wait: e.Wait, Reported: e.Reported, Share: e.Share, Limit: e.Limit}})
+				done([]engine.Outcome{{Result: e.Result, Wait: e.Wait, Reported: e.Reported, Share: e.Share, Limit: e.Limit}})
 			}
 		}
 	}
@@ -126,9 +126,9 @@
 		select {
 		case r := <-h.reply:
 			switch r.Verdict {
-			case relay.Busy:
+			case engine.Busy:
 				p.out = append(p.out, control.Action{Kind: control.Refuse, ID: h.id, For: r.Retry})
-			case relay.Failed, relay.Rejected:
+			case engine.Failed, engine.Rejected:
 				p.out = append(p.out, control.Action{Kind: control.Fail, ID: h.id})
 			}
 		default:
@@ -147,16 +147,16 @@
 		return
 	}
 	p.index++
-	pool := relay.EndpointList{Index: p.index, Whole: e.Whole}
+	pool := engine.EndpointList{Index: p.index, Whole: e.Whole}
 	for _, d := range e.Endpoints {
-		pool.Destinations = append(pool.Destinations, relay.Destination{Name: fmt.Sprint("e", d.ID), Zone: zone(d.Zone), Kind: kind(d.Kind),
+		pool.Destinations = append(pool.Destinations, engine.Destination{Name: fmt.Sprint("e", d.ID), Zone: zone(d.Zone), Kind: kind(d.Kind),
 			Partner: d.Destination, State: d.State})
 	}
 	p.changed(pool)
 }
 
 // Call has the lab make a call.
-func (p *Core) Call(_ relay.Front, s *relay.Attempt, until time.Time, done func([]relay.Outcome)) func() {
+func (p *Core) Call(_ engine.Front, s *engine.Attempt, until time.Time, done func([]engine.Outcome)) func() {
 	id, _ := strconv.ParseUint(s.Items[0].ID, 10, 64)
 	endpoint, _ := strconv.ParseUint(s.To.Name[1:], 10, 32)
 	p.calls[id] = done
@@ -170,7 +170,7 @@
 }
 
 // Notify tells the lab's clients how messages have ended. What they were told before a crash they take without a word.
-func (p *Core) Notify(_ relay.Front, notices []relay.Notice, _ time.Time, done func([]bool)) func() {
+func (p *Core) Notify(_ engine.Front, notices []engine.Notice, _ time.Time, done func([]bool)) func() {
 	taken := make([]bool, len(notices))
 	for i, n := range notices {
 		taken[i] = true
@@ -191,7 +191,7 @@
 }
 
 // Watch has the lab tell of its list.
-func (p *Core) Watch(_ relay.Front, _ int64, changed func(relay.EndpointList), _ func(error)) func() {
+func (p *Core) Watch(_ engine.Front, _ int64, changed func(engine.EndpointList), _ func(error)) func() {
 	p.changed = changed
 	return func() {}
 }
@@ -199,8 +199,8 @@
 // nobody is a front without sockets: the shell does all of its work.
 type nobody struct{}
 
-func (nobody) Call(context.Context, *relay.Attempt) []relay.Outcome         { return nil }
-func (nobody) Notify(context.Context, []relay.Notice) []bool                { return nil }
-func (nobody) Retire(*relay.Destination)                                    {}
-func (nobody) Watch(context.Context, int64, func(relay.EndpointList)) error { return nil }
-func (nobody) TellsDeliveries() bool                                        { return false }
+func (nobody) Call(context.Context, *engine.Attempt) []engine.Outcome        { return nil }
+func (nobody) Notify(context.Context, []engine.Notice) []bool                { return nil }
+func (nobody) Retire(*engine.Destination)                                    {}
+func (nobody) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
+func (nobody) TellsDeliveries() bool                                         { return false }
--- a/internal/lab/lab_test.go
+++ b/internal/relay/simulator/lab_test.go
@@ -1,4 +1,4 @@
-package lab_test
+package simulator_test
 
 import (
 	"os"
@@ -7,9 +7,9 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/lab"
-	"mastusher/internal/lab/experiment"
-	"mastusher/internal/lab/policy"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/experiment"
+	"mastusher/internal/relay/simulator/policy"
 )
 
 const troubled = `
@@ -55,9 +55,9 @@
 for = "2s"
 `
 
-func parsed(t testing.TB, text string) *lab.World {
+func parsed(t testing.TB, text string) *simulator.World {
 	t.Helper()
-	w, err := lab.Parse(text)
+	w, err := simulator.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 func TestSame(t *testing.T) {
 	t.Parallel()
 	x := &experiment.Experiment{Policies: []string{"module", "core", "breaker"}, Seeds: []uint64{1, 2}, World: *parsed(t, troubled)}
-	x.World.Length = lab.Span(5 * time.Second)
+	x.World.Length = simulator.Span(5 * time.Second)
 	var first *experiment.Results
 	for n := range 10 {
 		res, err := x.Run(1+3*(n%2), nil)
@@ -93,7 +93,7 @@
 func TestRulesKept(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 30; seed++ {
-		w := lab.Random(seed)
+		w := simulator.Random(seed)
 		for _, name := range []string{"module", "core", "two-choices"} {
 			res, err := experiment.Play(w, name)
 			if err != nil {
@@ -113,7 +113,7 @@
 
 // mutant breaks one rule: it alters what a policy is told or orders.
 type mutant struct {
-	lab.Policy
+	simulator.Policy
 	events  func(now time.Duration, events []control.Event) []control.Event
 	actions func(now time.Duration, events []control.Event, out []control.Action) []control.Action
 }
@@ -131,9 +131,9 @@
 }
 
 // mutants are the ways to break each rule.
-func mutants() map[lab.Rule]func(lab.Policy) lab.Policy {
-	every := func(do func(e *control.Event)) func(lab.Policy) lab.Policy {
-		return func(p lab.Policy) lab.Policy {
+func mutants() map[simulator.Rule]func(simulator.Policy) simulator.Policy {
+	every := func(do func(e *control.Event)) func(simulator.Policy) simulator.Policy {
+		return func(p simulator.Policy) simulator.Policy {
 			return &mutant{Policy: p, events: func(_ time.Duration, events []control.Event) []control.Event {
 				for i := range events {
 					do(&events[i])
@@ -142,8 +142,8 @@
 			}}
 		}
 	}
-	after := func(do func(a control.Action) []control.Action) func(lab.Policy) lab.Policy {
-		return func(p lab.Policy) lab.Policy {
+	after := func(do func(a control.Action) []control.Action) func(simulator.Policy) simulator.Policy {
+		return func(p simulator.Policy) simulator.Policy {
 			return &mutant{Policy: p, actions: func(_ time.Duration, _ []control.Event, out []control.Action) []control.Action {
 				var all []control.Action
 				for _, a := range out {
@@ -153,7 +153,7 @@
 			}}
 		}
 	}
-	return map[lab.Rule]func(lab.Policy) lab.Policy{
+	return map[simulator.Rule]func(simulator.Policy) simulator.Policy{
 		"waits": every(func(e *control.Event) { e.Wait = 0 }),
 		"drains": every(func(e *control.Event) {
 			for i := range e.Endpoints {
@@ -198,8 +198,8 @@
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	w := parsed(t, troubled)
-	w.Classes = []lab.Class{{Name: "event", Effect: "keyed", Share: 2, Aim: lab.Span(time.Second), Deadline: lab.Span(8 * time.Second), Window: lab.Span(900 * time.Millisecond)},
-		{Name: "order", Effect: "unsafe", Share: 2, Aim: lab.Span(time.Second), Deadline: lab.Span(8 * time.Second)}}
+	w.Classes = []simulator.Class{{Name: "event", Effect: "keyed", Share: 2, Aim: simulator.Span(time.Second), Deadline: simulator.Span(8 * time.Second), Window: simulator.Span(900 * time.Millisecond)},
+		{Name: "order", Effect: "unsafe", Share: 2, Aim: simulator.Span(time.Second), Deadline: simulator.Span(8 * time.Second)}}
 	w.MaxAttempts = 3
 	if err := w.Check(); err != nil {
 		t.Fatal(err)
@@ -208,12 +208,12 @@
 	for rule, alter := range all {
 		base := policy.Named["two-choices"]
 		if rule == "attempts" { // one that makes as many as it likes
-			base = func(s control.Settings, seed uint64) (lab.Policy, error) {
+			base = func(s control.Settings, seed uint64) (simulator.Policy, error) {
 				s.MaxAttempts = 9
 				return policy.New(policy.Options{Timeout: time.Second, Tries: 9, Backoff: 10 * time.Millisecond}, s, seed)
 			}
 		}
-		r, err := lab.New(w, func(s control.Settings, seed uint64) (lab.Policy, error) {
+		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
 			p, err := base(s, seed)
 			return alter(p), err
 		})
@@ -225,17 +225,17 @@
 		}
 	}
 	flood := *w // retries without end push over what comes back cold
-	flood.Partners = []lab.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, Queue: 60, Median: lab.Span(100 * time.Millisecond), Cold: lab.Span(14 * time.Second)}}
+	flood.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, Queue: 60, Median: simulator.Span(100 * time.Millisecond), Cold: simulator.Span(14 * time.Second)}}
 	flood.Rate, flood.Slots = 190, 400
-	flood.Troubles = []lab.Trouble{{Kind: lab.Down, At: lab.Span(2 * time.Second), For: lab.Span(2 * time.Second)}}
+	flood.Troubles = []simulator.Trouble{{Kind: simulator.Down, At: simulator.Span(2 * time.Second), For: simulator.Span(2 * time.Second)}}
 	if err := flood.Check(); err != nil {
 		t.Fatal(err)
 	}
 	if res, err := experiment.Play(&flood, "round-robin"); err != nil || res.Broken["cold returns"] == 0 {
 		t.Errorf("a cold endpoint is not pushed over: %v, %v", res.Broken, err)
 	}
-	if len(all)+1 != len(lab.Rules) {
-		t.Errorf("%d rules have a mutant, of %d", len(all)+1, len(lab.Rules))
+	if len(all)+1 != len(simulator.Rules) {
+		t.Errorf("%d rules have a mutant, of %d", len(all)+1, len(simulator.Rules))
 	}
 }
 
@@ -255,7 +255,7 @@
 		"[[partner]]\nname = \"a\"\nqueue = -1":                                                     "key partner[0].queue",
 		"[clients]\ntries = 0\n[[partner]]\nname = \"a\"":                                           "key clients.tries",
 	} {
-		if _, err := lab.Parse(text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := simulator.Parse(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -264,8 +264,8 @@
 // TestShrink finds the one trouble that a breach needs.
 func TestShrink(t *testing.T) {
 	t.Parallel()
-	fails := func(w *lab.World) bool {
-		r, err := lab.New(w, func(s control.Settings, seed uint64) (lab.Policy, error) {
+	fails := func(w *simulator.World) bool {
+		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
 			p, err := policy.Named["two-choices"](s, seed)
 			return mutants()["waits"](p), err
 		})
@@ -275,7 +275,7 @@
 		return r.Play().Broken["waits"] > 0
 	}
 	w := parsed(t, troubled)
-	small := lab.Shrink(w, 200, fails)
+	small := simulator.Shrink(w, 200, fails)
 	if len(small.Troubles) > 1 || small.Rate >= w.Rate || small.Relays != 1 || !fails(small) {
 		t.Errorf("%+v", small)
 	}
--- a/internal/lab/stage/stage.go
+++ b/internal/relay/simulator/loadtest/stage.go
@@ -1,6 +1,6 @@
-// Package stage plays loads on a relay over loopback: stand-in partners whose manners change while it runs, discovery,
+// Package loadtest plays loads on a relay over loopback: stand-in partners whose manners change while it runs, discovery,
 // clients, and the relay as a process that can be killed. All of it is bounded in time and count.
-package stage
+package loadtest
 
 import (
 	"cmp"
@@ -19,8 +19,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"mastusher/internal/httpwire"
-	"mastusher/internal/standin"
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/standin"
 )
 
 // Manners are how a stand-in endpoint takes calls.
--- a/internal/lab/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/lab"
-	"mastusher/internal/lab/whole"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/fullrelay"
 )
 
 // Pick is how a policy chooses among a destination's endpoints.
@@ -36,10 +36,10 @@
 }
 
 // Named are the policies by name.
-var Named = map[string]lab.Maker{
-	"core":        whole.Make,
-	"module":      func(s control.Settings, seed uint64) (lab.Policy, error) { return control.New(s, seed) },
-	"shared":      func(s control.Settings, seed uint64) (lab.Policy, error) { return control.New(s, seed) }, // see Shares
+var Named = map[string]simulator.Maker{
+	"core":        fullrelay.Make,
+	"module":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) },
+	"shared":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) }, // see Shares
 	"single":      simple(Options{Timeout: 10 * time.Second, Tries: 1}),
 	"round-robin": simple(Options{Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond}),
 	"least-out":   simple(Options{Pick: LeastOut, Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond}),
@@ -52,8 +52,8 @@
 // Shares tells whether the relays under a policy share limits.
 func Shares(name string) bool { return name == "shared" }
 
-func simple(o Options) lab.Maker {
-	return func(s control.Settings, seed uint64) (lab.Policy, error) { return New(o, s, seed) }
+func simple(o Options) simulator.Maker {
+	return func(s control.Settings, seed uint64) (simulator.Policy, error) { return New(o, s, seed) }
 }
 
 // Simple is such a policy.
--- a/internal/lab/report/demo.go
+++ b/internal/relay/simulator/report/demo.go
@@ -10,20 +10,20 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"mastusher/internal/lab/stage"
+	"mastusher/internal/relay/simulator/loadtest"
 )
 
 // Load writes a page of a load on a relay: what happened when, and what became of each message.
-func Load(w io.Writer, title string, length time.Duration, scenes []stage.Event, tracks []*stage.Track) error {
+func Load(w io.Writer, title string, length time.Duration, scenes []loadtest.Event, tracks []*loadtest.Track) error {
 	type counted struct {
 		How string
 		N   int
 	}
 	p := struct {
 		Title  string
-		Scenes []stage.Event
+		Scenes []loadtest.Event
 		Ends   []counted
-		Tracks []*stage.Track
+		Tracks []*loadtest.Track
 		Chart  template.HTML
 	}{Title: title, Scenes: scenes, Tracks: tracks}
 	lines := []series{{name: "handed in"}, {name: "delivered"}, {name: "refused or hung"}, {name: "busy or no answer"}}
--- a/internal/lab/report/report.go
+++ b/internal/relay/simulator/report/report.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"mastusher/internal/lab"
-	"mastusher/internal/lab/experiment"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/experiment"
 )
 
 var colors = []color.RGBA{{0x1f, 0x77, 0xb4, 255}, {0xd6, 0x27, 0x28, 255}, {0x2c, 0xa0, 0x2c, 255}, {0xff, 0x7f, 0x0e, 255},
@@ -66,7 +66,7 @@
 // row is a run in the table.
 type row struct {
 	experiment.Cell
-	R *lab.Result
+	R *simulator.Result
 }
 
 type page struct {
@@ -91,11 +91,11 @@
 		for _, y := range []struct {
 			name  string
 			grows bool
-			of    func(*lab.Result) float64
-		}{{"share of worth", false, func(r *lab.Result) float64 { return r.Worth }},
-			{"µs a message, on this machine", true, func(r *lab.Result) float64 { return float64(r.Took.Microseconds()) / float64(max(r.Messages, 1)) }},
-			{"calls a message", false, func(r *lab.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
-			{"MB held", true, func(r *lab.Result) float64 { return float64(r.Memory) / 1e6 }}} {
+			of    func(*simulator.Result) float64
+		}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Worth }},
+			{"µs a message, on this machine", true, func(r *simulator.Result) float64 { return float64(r.Took.Microseconds()) / float64(max(r.Messages, 1)) }},
+			{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
+			{"MB held", true, func(r *simulator.Result) float64 { return float64(r.Memory) / 1e6 }}} {
 			lines := sweep(res, y.of)
 			for i := range lines {
 				if g, ok := exponent(lines[i].xy); ok && y.grows {
@@ -139,7 +139,7 @@
 	return (n*sxy - sx*sy) / d, n >= 3 && d > 0
 }
 
-func lines(r *lab.Result, names []string) (all []series) {
+func lines(r *simulator.Result, names []string) (all []series) {
 	for _, n := range names {
 		s := series{name: n}
 		for i, v := range r.Lines[n] {
@@ -153,7 +153,7 @@
 	return all
 }
 
-func latencies(r *lab.Result) (all []series) {
+func latencies(r *simulator.Result) (all []series) {
 	for _, l := range r.Latencies {
 		s := series{name: l.Class, xy: plotter.XYs{{}}}
 		for _, b := range l.Buckets {
@@ -165,7 +165,7 @@
 }
 
 // sweep is a line for each policy: the mean over seeds at each value.
-func sweep(res *experiment.Results, of func(*lab.Result) float64) (all []series) {
+func sweep(res *experiment.Results, of func(*simulator.Result) float64) (all []series) {
 	for _, c := range res.Cells {
 		if c.Result == nil {
 			continue
