--- a/internal/lab/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -1,10 +1,10 @@
-package lab
+package simulator
 
 import (
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/fleet/share"
+	"mastusher/internal/relay/fleet/quota"
 )
 
 // Sharing is how the relays of a world share limits: by the ledger and the purses that the daemon runs, over a network that is
@@ -32,13 +32,13 @@
 type sharing struct {
 	Sharing
 	on      bool
-	ledger  *share.Ledger
+	ledger  *quota.Ledger
 	leads   int32
 	term    uint64
 	leadsAt time.Duration // nobody leads before
-	purses  []*share.Purse
+	purses  []*quota.Purse
 	lives   []uint64
-	sights  []map[share.Key]uint32
+	sights  []map[quota.Key]uint32
 	names   []string
 	posts   []post
 	free    []int32
@@ -50,8 +50,8 @@
 	relay  int32
 	life   uint64
 	sent   time.Duration // of the ping
-	report *share.Report
-	allot  *share.Allotment
+	report *quota.Report
+	allot  *quota.Allotment
 }
 
 const (
@@ -65,7 +65,7 @@
 	x := &r.share
 	x.Sharing, x.on, x.term, x.leadsAt = s, true, 1, r.now
 	for i := range r.relays {
-		x.purses, x.lives, x.sights = append(x.purses, &share.Purse{Serve: s.Serve}), append(x.lives, 1), append(x.sights, nil)
+		x.purses, x.lives, x.sights = append(x.purses, &quota.Purse{Serve: s.Serve}), append(x.lives, 1), append(x.sights, nil)
 		x.names = append(x.names, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
 		r.q.put(r.now+time.Duration(i)*time.Duration(s.Lease)/time.Duration(pingsALease*len(r.relays)), doPing, int32(i), 0)
 	}
@@ -74,7 +74,7 @@
 // reborn has a relay that is started again forget what it was lent.
 func (x *sharing) reborn(i int32) {
 	if x.on {
-		x.purses[i] = &share.Purse{Serve: x.Serve}
+		x.purses[i] = &quota.Purse{Serve: x.Serve}
 		x.lives[i]++
 	}
 }
@@ -112,25 +112,25 @@
 	if r.relays[i].down || !ok {
 		return
 	}
-	var needs []share.Need
-	x.sights[i] = map[share.Key]uint32{}
+	var needs []quota.Need
+	x.sights[i] = map[quota.Key]uint32{}
 	for _, s := range p.Sights(r.now, nil) {
 		if s.Endpoint == 0 {
 			continue
 		}
 		e := &r.ends[s.Endpoint-1]
-		k := share.Key(1<<20 + e.partner)
+		k := quota.Key(1<<20 + e.partner)
 		if s.Apart {
-			k = share.Key(s.Endpoint)
+			k = quota.Key(s.Endpoint)
 		}
-		n := share.Need{Key: k, Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
+		n := quota.Need{Key: k, Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
 		switch {
 		case s.Down:
-			n.State = share.Down
+			n.State = quota.Down
 		case s.Well:
-			n.State = share.Well
+			n.State = quota.Well
 		}
-		if len(needs) < share.MostKeys {
+		if len(needs) < quota.MostKeys {
 			needs, x.sights[i][k] = append(needs, n), s.Endpoint
 		}
 	}
@@ -159,7 +159,7 @@
 	}
 	if x.ledger == nil {
 		over := time.Duration(float64(x.Lease)*(1+x.Drift)) + time.Millisecond
-		x.ledger = share.NewLedger(share.Rules{Kept: x.Kept, Over: over, Serve: x.Serve}, x.term, r.now)
+		x.ledger = quota.NewLedger(quota.Rules{Kept: x.Kept, Over: over, Serve: x.Serve}, x.term, r.now)
 		x.ledger.Roster(x.names)
 	}
 	x.ledger.Report(r.now, x.names[p.relay], p.life, p.report)
@@ -185,8 +185,8 @@
 	out := &control.Shared{Floor: s.Floor, Until: s.Until, Stays: s.Stays}
 	for _, part := range s.Parts {
 		if e, ok := x.sights[p.relay][part.Key]; ok {
-			out.Rights = append(out.Rights, control.Right{Endpoint: e, Extra: part.Extra, Limit: part.Limit, Told: part.Told, Down: part.State == share.Down,
-				Well: part.State == share.Well, Seen: part.Seen, Wait: part.Wait, Try: part.Try})
+			out.Rights = append(out.Rights, control.Right{Endpoint: e, Extra: part.Extra, Limit: part.Limit, Told: part.Told, Down: part.State == quota.Down,
+				Well: part.State == quota.Well, Seen: part.Seen, Wait: part.Wait, Try: part.Try})
 		}
 	}
 	r.tell(p.relay, control.Event{Kind: control.Others, Shared: out})
--- a/internal/lab/world.go
+++ b/internal/relay/simulator/world.go
@@ -1,7 +1,7 @@
-// Package lab is an emulator, in virtual time, of what the relay balances: partners with endpoints, clients, lists and
+// Package simulator is an emulator, in virtual time, of what the relay balances: partners with endpoints, clients, lists and
 // troubles. One seed gives one run, on any machine: a world is played by one goroutine, chance comes from its seed, and no
 // map is walked where the order counts. It is a model of its own, from the relay's rules, and knows nothing of sockets.
-package lab
+package simulator
 
 import (
 	"cmp"
--- a/internal/standin/client.go
+++ b/internal/relay/standin/client.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/config"
-	"mastusher/internal/httpwire"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/httpwire"
 )
 
 // Message is one that a client hands in.
--- a/internal/standin/standin.go
+++ b/internal/relay/standin/standin.go
@@ -12,8 +12,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"mastusher/internal/config"
-	"mastusher/internal/httpwire"
+	"mastusher/internal/relay/config"
+	"mastusher/internal/relay/httpwire"
 )
 
 // Limits are those of the stand-ins' sockets.
--- a/internal/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 // Counts are the packets taken and dropped since the start.
--- a/internal/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"mastusher/internal/config"
+	"mastusher/internal/relay/config"
 )
 
 var (
--- a/internal/exchange/exchange.go
+++ b/internal/relay/wiretest/exchange.go
@@ -1,11 +1,11 @@
-// Package exchange plays recorded byte exchanges against a connection. It is the one helper of the tests of
+// Package wiretest plays recorded byte exchanges against a connection. It is the one helper of the tests of
 // all wires.
 //
 // A recording is a text file. A line after "> " is sent, one after "< " has to come back, each with CR LF at
 // its end, or with nothing if it ends with a backslash. "< EOF" wants the other side to close. {name} stands
 // for a value that the test gives, and {*} at the end of a line that has to come back for whatever comes there.
 // Other lines are comments.
-package exchange
+package wiretest
 
 import (
 	"bufio"
--- a/internal/system/fault/error.go
+++ b/internal/tier/apierror/error.go
@@ -1,4 +1,4 @@
-package fault
+package apierror
 
 import (
 	"errors"
@@ -41,7 +41,7 @@
 	return e.cause
 }
 
-// Is tells whether the target is the kind of the error, so that errors.Is(err, fault.NoRoute) holds.
+// Is tells whether the target is the kind of the error, so that errors.Is(err, apierror.NoRoute) holds.
 func (e *Error) Is(target error) bool {
 	kind, ok := target.(Kind)
 	return ok && kind == e.kind
--- a/internal/system/fault/fault_test.go
+++ b/internal/tier/apierror/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package apierror
 
 import (
 	"errors"
--- a/internal/system/fault/kind.go
+++ b/internal/tier/apierror/kind.go
@@ -1,6 +1,6 @@
-// Package fault holds the closed list of the serving tier's error kinds and the table from kind to answer. What a client
+// Package apierror holds the closed list of the serving tier's error kinds and the table from kind to answer. What a client
 // is told follows from the kind alone, so a status that promises that a request has not run is never chosen by hand.
-package fault
+package apierror
 
 import "fmt"
 
--- a/internal/system/schedule/affinity.go
+++ b/internal/tier/balancer/affinity.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 // holderSlots is how many affinities the scheduler remembers.
 const holderSlots = 1024
--- a/internal/system/schedule/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -1,11 +1,11 @@
-package schedule
+package balancer
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // BenchmarkChoose makes calls at 200 a second, each of which takes 100 ms.
--- a/internal/system/schedule/budget.go
+++ b/internal/tier/balancer/budget.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 // The retry budget of a service.
 const (
--- a/internal/system/schedule/doc.go
+++ b/internal/tier/balancer/doc.go
@@ -1,4 +1,4 @@
-// Package schedule decides, inside one proxy, which endpoint takes an attempt of a request, how long the attempt may
+// Package balancer decides, inside one proxy, which endpoint takes an attempt of a request, how long the attempt may
 // last, and whether the request is sent at all. It does no I/O, starts no goroutine and reads no clock: the caller tells
 // the time, as a duration since any fixed moment, and what has become of its attempts. The same calls with the same
 // seed give the same decisions.
@@ -30,4 +30,4 @@
 // those that were given up and may still run, and those of others by the load last told, which fades), for leaving the
 // zone, for a cold start, for the rest of a stream at the endpoint's pace, and for reading anew a prefix that another
 // endpoint holds.
-package schedule
+package balancer
--- a/internal/system/schedule/endpoint.go
+++ b/internal/tier/balancer/endpoint.go
@@ -1,9 +1,9 @@
-package schedule
+package balancer
 
 import (
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // endpoint is all that the scheduler knows of one incarnation of an endpoint.
--- a/internal/system/schedule/engine_simulation_test.go
+++ b/internal/tier/balancer/engine_simulation_test.go
@@ -1,11 +1,11 @@
-package schedule
+package balancer
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // engine is a model server: it works in steps, in each of which every running request gets one token and some of the
--- a/internal/system/schedule/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // server is a plain endpoint.
--- a/internal/system/schedule/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 import (
 	"slices"
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // step is one decision as a trace keeps it.
--- a/internal/system/schedule/request.go
+++ b/internal/tier/balancer/request.go
@@ -1,9 +1,9 @@
-package schedule
+package balancer
 
 import (
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Route is what the scheduler needs to know of a request's route.
--- a/internal/system/schedule/schedule_test.go
+++ b/internal/tier/balancer/schedule_test.go
@@ -1,12 +1,12 @@
-package schedule
+package balancer
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // fleetOf lists n ready endpoints of one service.
--- a/internal/system/schedule/scheduler.go
+++ b/internal/tier/balancer/scheduler.go
@@ -1,10 +1,10 @@
-package schedule
+package balancer
 
 import (
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // Options is what a Scheduler is told at its start.
--- a/internal/system/schedule/service.go
+++ b/internal/tier/balancer/service.go
@@ -1,12 +1,12 @@
-package schedule
+package balancer
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // Bounds of what a choice looks at in a large service.
--- a/internal/system/schedule/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // The simulation plays plain calls and streams in virtual time. Its endpoints follow the words of the protocol: they
--- a/internal/system/schedule/tables.go
+++ b/internal/tier/balancer/tables.go
@@ -1,4 +1,4 @@
-package schedule
+package balancer
 
 import (
 	"slices"
--- a/internal/system/schedule/trial_test.go
+++ b/internal/tier/balancer/trial_test.go
@@ -1,10 +1,10 @@
-package schedule
+package balancer
 
 import (
 	"testing"
 	"time"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 func TestATargetGetsItsExtraSoonAndNoMore(t *testing.T) {
--- a/internal/system/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -5,10 +5,10 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/node"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/node"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // agentLinger is the part of the grace time for which an agent goes on feeding its proxy after SIGTERM.
@@ -19,9 +19,9 @@
 	address := p.address(wire.AgentPort)
 	id := strconv.FormatUint(p.seed, 16)
 	member := p.newNode(p.member(membership.Agent, id, address), nil)
-	handlers := link.NewHandlers()
-	link.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { p.forward(member, tallies) })
-	link.Handle(handlers, wire.MethodProxies, func(context.Context, string, wire.ProxiesRequest) (wire.ProxiesAnswer, error) {
+	handlers := transport.NewHandlers()
+	transport.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { p.forward(member, tallies) })
+	transport.Handle(handlers, wire.MethodProxies, func(context.Context, string, wire.ProxiesRequest) (wire.ProxiesAnswer, error) {
 		return wire.ProxiesAnswer{Count: countProxies(member.Members())}, nil
 	})
 	leave, err := p.serve(stopping, address, member, handlers)
@@ -50,7 +50,7 @@
 	for _, m := range member.Members() {
 		if m.Role == membership.Controller && !m.Gone() {
 			// A report that is lost is made good by the next one.
-			_ = link.Notify(p.pool, m.Address, wire.MethodTallies, tallies)
+			_ = transport.Notify(p.pool, m.Address, wire.MethodTallies, tallies)
 		}
 	}
 }
--- a/internal/system/command/check.go
+++ b/internal/tier/command/check.go
@@ -9,9 +9,9 @@
 
 	"github.com/google/subcommands"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model/schema"
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/model/schema"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/validation"
 )
 
 // CheckSettings reads a settings file and names each key that is missing or has an impossible value.
@@ -92,7 +92,7 @@
 
 // asErrors lists the faults that an error holds; an error that holds none stands for itself.
 func asErrors(err error) []error {
-	faults := invalid.Faults(err)
+	faults := validation.Faults(err)
 	if err != nil && len(faults) == 0 {
 		return []error{err}
 	}
--- a/internal/system/command/controller.go
+++ b/internal/tier/command/controller.go
@@ -5,13 +5,13 @@
 	"errors"
 	"slices"
 
-	"mastusher/internal/system/controller"
-	"mastusher/internal/system/identity"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/platformlist"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/controller"
+	"mastusher/internal/tier/identity"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/platformlist"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // runController runs the role until ctx ends.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	running.Register(handlers)
 	leave, err := p.serve(ctx, address, member, handlers)
 	if err != nil {
--- a/internal/system/command/disk.go
+++ b/internal/tier/command/disk.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"mastusher/internal/system/identity"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/identity"
+	"mastusher/internal/tier/storage"
 )
 
 // openDisk opens the machine's disk and reads the identity on it, or makes one; a disk in trouble is tried again.
--- a/internal/system/command/process.go
+++ b/internal/tier/command/process.go
@@ -17,14 +17,14 @@
 	"github.com/go-kit/log/level"
 	"github.com/google/subcommands"
 
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/node"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/node"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // settingsVariable names the environment variable that holds the path of the settings file.
@@ -43,7 +43,7 @@
 type process struct {
 	settings *settings.Settings
 	logger   log.Logger
-	pool     *link.Pool
+	pool     *transport.Pool
 	seed     uint64
 	around   Surroundings
 	checks   *invariant.Counter
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	logger := log.With(around.Logger, "role", role, "node", loaded.NodeName)
-	p := &process{settings: loaded, logger: logger, pool: link.NewPoolOn(around.Network), seed: seedOf(loaded.NodeName, role), around: around,
+	p := &process{settings: loaded, logger: logger, pool: transport.NewPoolOn(around.Network), seed: seedOf(loaded.NodeName, role), around: around,
 		checks: invariant.New(logger), metrics: metrics.New()}
 	p.pool.Measure(p.metrics)
 	return p, nil
@@ -126,7 +126,7 @@
 
 // join makes the process a member that follows the seeds of its settings, until ctx ends. The function that it returns tells the
 // others that the process leaves.
-func (p *process) join(ctx context.Context, member *node.Node, server *link.Server) (leave func()) {
+func (p *process) join(ctx context.Context, member *node.Node, server *transport.Server) (leave func()) {
 	p.metrics.FindZones(func(host string) metrics.ZoneClass { return p.zoneOf(member, host) })
 	p.onReload(ctx, func(loaded *settings.Settings) { member.Reseed(p.seedsOf(loaded)) })
 	joined, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/system/command/proxies_test.go
+++ b/internal/tier/command/proxies_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
+	"mastusher/internal/tier/membership"
 )
 
 func TestProxiesAreCountedByTheirAgents(t *testing.T) {
--- a/internal/system/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -5,14 +5,14 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/feed"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/programclient"
-	"mastusher/internal/system/proxy"
-	"mastusher/internal/system/tally"
-	"mastusher/internal/system/upstream"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/programclient"
+	"mastusher/internal/tier/proxy"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/upstream"
+	"mastusher/internal/tier/versionstats"
+	"mastusher/internal/tier/viewfeed"
+	"mastusher/internal/tier/wire"
 )
 
 // The end of a proxy: how long it still takes requests after it has said that it is not ready, until the platform, which asks
@@ -53,8 +53,8 @@
 		return metrics.UnknownZone
 	})
 	places := proxy.NewScheduler(p.settings.Zone, p.seed)
-	scheduler := tally.New(places, strconv.FormatUint(p.seed, 16))
-	views := feed.New(p.address(wire.AgentPort), p.pool, programs, scheduler, p.logger)
+	scheduler := versionstats.New(places, strconv.FormatUint(p.seed, 16))
+	views := viewfeed.New(p.address(wire.AgentPort), p.pool, programs, scheduler, p.logger)
 	go views.Run(running)
 	go p.reportTallies(running, scheduler)
 	go p.followProxies(running, places)
@@ -113,7 +113,7 @@
 	repeat(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
 		defer cancel()
-		answer, err := link.Call[wire.ProxiesRequest, wire.ProxiesAnswer](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
+		answer, err := transport.Call[wire.ProxiesRequest, wire.ProxiesAnswer](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
 			wire.ProxiesRequest{})
 		if err == nil && answer.Count > 0 {
 			scheduler.SetProxies(answer.Count)
@@ -122,11 +122,11 @@
 }
 
 // reportTallies tells the agent what was seen of the versions that are being rolled out, until ctx ends.
-func (p *process) reportTallies(ctx context.Context, counter *tally.Counter) {
+func (p *process) reportTallies(ctx context.Context, counter *versionstats.Counter) {
 	repeat(ctx, reportInterval, func() {
 		if report, due := counter.Report(); due {
 			// A report that is lost is made good by the next one: all tell the counts since the start.
-			_ = link.Notify(p.pool, p.address(wire.AgentPort), wire.MethodTallies, report)
+			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodTallies, report)
 		}
 	})
 }
--- a/internal/system/command/reload.go
+++ b/internal/tier/command/reload.go
@@ -8,7 +8,7 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/settings"
 )
 
 // settingsInterval is how often a process looks whether its settings file has changed without a signal.
--- a/internal/system/command/reload_test.go
+++ b/internal/tier/command/reload_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/settings"
 )
 
 func TestSettingsAreReadAnewWhenTheirFileHasChanged(t *testing.T) {
--- a/internal/system/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -20,9 +20,9 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // proxySettings are the settings of an edge machine, with its address left open.
@@ -57,8 +57,8 @@
 func newMachineWith(t *testing.T, settings string, pieces ...view.Piece) *machine {
 	t.Helper()
 	m := &machine{t: t, ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)), ended: make(chan error, 1)}
-	handlers := link.NewHandlers()
-	link.HandleStream(handlers, wire.MethodFeed, func(ctx context.Context, _ wire.FetchRequest, send func(view.Piece) error) error {
+	handlers := transport.NewHandlers()
+	transport.HandleStream(handlers, wire.MethodFeed, func(ctx context.Context, _ wire.FetchRequest, send func(view.Piece) error) error {
 		for _, piece := range pieces {
 			if err := send(piece); err != nil {
 				return err
@@ -67,7 +67,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	agent, err := link.Listen(fmt.Sprint(m.ip, ":", 7380+wire.AgentPort), handlers, log.NewNopLogger())
+	agent, err := transport.Listen(fmt.Sprint(m.ip, ":", 7380+wire.AgentPort), handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/command/start.go
+++ b/internal/tier/command/start.go
@@ -7,9 +7,9 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/node"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/node"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/transport"
 )
 
 // Patience with what a start needs of the machine: an end by itself is dearer than a wait.
@@ -40,10 +40,10 @@
 }
 
 // listen opens the process's link. Its address may still be taken by the process before.
-func (p *process) listen(ctx context.Context, address string, handlers *link.Handlers) (server *link.Server, err error) {
+func (p *process) listen(ctx context.Context, address string, handlers *transport.Handlers) (server *transport.Server, err error) {
 	handlers.Measure(p.metrics)
 	err = p.persist(ctx, "address of the link", func() error {
-		server, err = link.ListenOn(p.around.Network, address, handlers, p.logger)
+		server, err = transport.ListenOn(p.around.Network, address, handlers, p.logger)
 		return err
 	})
 	return server, err
@@ -51,7 +51,7 @@
 
 // serve answers what other processes ask of the role and its member, and has the member run with the others, until leave is
 // called.
-func (p *process) serve(ctx context.Context, address string, member *node.Node, handlers *link.Handlers) (leave func(), err error) {
+func (p *process) serve(ctx context.Context, address string, member *node.Node, handlers *transport.Handlers) (leave func(), err error) {
 	member.Register(handlers)
 	server, err := p.listen(ctx, address, handlers)
 	if err != nil {
--- a/internal/system/command/store.go
+++ b/internal/tier/command/store.go
@@ -7,11 +7,11 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/store"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/store"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // waitingShare is the part of the memory that messages and commands may take that wait for the turns of a store's shards.
@@ -30,7 +30,7 @@
 		WaitingBytes: int(p.settings.Limits.MemoryMb << 20 / waitingShare),
 		Run:          groups.run, Checks: p.checks})
 	member := p.newNode(p.member(membership.Store, id, address), shards.Take)
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	shards.Register(handlers)
 	member.Register(handlers)
 	server, err := p.listen(ctx, address, handlers)
--- a/internal/system/command/surroundings.go
+++ b/internal/tier/command/surroundings.go
@@ -10,8 +10,8 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/network"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/storage"
 )
 
 // Surroundings are what a role runs in: the system's in a process of its own, others where a test runs many in one.
--- a/internal/system/configuration/arrivals_test.go
+++ b/internal/tier/configuration/arrivals_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"mastusher/internal/system/configuration"
+	"mastusher/internal/tier/configuration"
 )
 
 // arrivals explores every sequence in which copies of some orders can be agreed on: each copy at any place or never, with a
--- a/internal/system/configuration/register_test.go
+++ b/internal/tier/configuration/register_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/configuration"
+	"mastusher/internal/tier/configuration"
 )
 
 func order(base, number uint64, content string) *configuration.Order {
--- a/internal/system/controller/api.go
+++ b/internal/tier/controller/api.go
@@ -12,12 +12,12 @@
 
 	"github.com/labstack/echo/v4"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/network"
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/replica"
 )
 
 // Bounds of the operator's API.
@@ -88,7 +88,7 @@
 		control = c.controlOfAnother()
 	}
 	if control == "" {
-		return true, fault.New(fault.NotReady, "the configuration has no owner that is known now")
+		return true, apierror.New(apierror.NotReady, "the configuration has no owner that is known now")
 	}
 	// Callers that send the whole body before they read the answer would lose the answer if the connection ended before.
 	_, _ = io.Copy(io.Discard, http.MaxBytesReader(e.Response(), e.Request().Body, mostOrderBytes))
@@ -136,16 +136,16 @@
 func (c *Controller) unagreed(err error) error {
 	var not *group.OwnershipError
 	if errors.As(err, &not) && not.Never {
-		return fault.New(fault.NotReady, "%w", err)
+		return apierror.New(apierror.NotReady, "%w", err)
 	}
 	if errors.As(err, &not) {
-		return fault.New(fault.Unconfirmed, "%w", err)
+		return apierror.New(apierror.Unconfirmed, "%w", err)
 	}
-	return fault.New(fault.Internal, "%w", err)
+	return apierror.New(apierror.Internal, "%w", err)
 }
 
 // unread turns a group's error about a read into one that makes the operator ask again.
-func unread(err error) error { return fault.New(fault.NotReady, "%w", err) }
+func unread(err error) error { return apierror.New(apierror.NotReady, "%w", err) }
 
 // answerError turns an error into its answer by the table of error kinds.
 func (c *Controller) answerError(err error, e echo.Context) {
@@ -157,7 +157,7 @@
 		_ = e.JSON(routed.Code, errorBody{Error: http.StatusText(routed.Code)})
 		return
 	}
-	answer := fault.AnswerOf(err)
+	answer := apierror.AnswerOf(err)
 	if answer.RetryAfter {
 		e.Response().Header().Set("Retry-After", notOwnerRetryTime)
 	}
--- a/internal/system/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -16,14 +16,14 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
 )
 
 const (
@@ -432,16 +432,16 @@
 	tests := []struct {
 		name string
 		got  error
-		want fault.Kind
+		want apierror.Kind
 	}{
-		{"certainly not proposed", c.unagreed(&group.OwnershipError{Never: true, Cause: cause}), fault.NotReady},
-		{"may have been proposed", c.unagreed(&group.OwnershipError{Cause: cause}), fault.Unconfirmed},
-		{"the disk failed", c.unagreed(fmt.Errorf("disk: %w", cause)), fault.Internal},
-		{"a read", unread(&group.OwnershipError{Cause: cause}), fault.NotReady},
+		{"certainly not proposed", c.unagreed(&group.OwnershipError{Never: true, Cause: cause}), apierror.NotReady},
+		{"may have been proposed", c.unagreed(&group.OwnershipError{Cause: cause}), apierror.Unconfirmed},
+		{"the disk failed", c.unagreed(fmt.Errorf("disk: %w", cause)), apierror.Internal},
+		{"a read", unread(&group.OwnershipError{Cause: cause}), apierror.NotReady},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := fault.KindOf(test.got); got != test.want {
+			if got := apierror.KindOf(test.got); got != test.want {
 				t.Errorf("kind %s, want %s", got, test.want)
 			}
 			if !errors.Is(test.got, cause) {
--- a/internal/system/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -12,16 +12,16 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/store"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/store"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Times of a cluster in memory.
@@ -343,7 +343,7 @@
 	return c.propose(Command{Retire: order})
 }
 
-func (c *cluster) state(node string) retire.State {
+func (c *cluster) state(node string) decommission.State {
 	owner := c.owner()
 	if owner == nil {
 		return ""
@@ -353,15 +353,15 @@
 }
 
 func (c *cluster) isFinished(node string) func() bool {
-	return func() bool { return c.state(node) == retire.Finished }
+	return func() bool { return c.state(node) == decommission.Finished }
 }
 
 // placement is what the owner has agreed on.
-func (c *cluster) placement() retire.Placement {
+func (c *cluster) placement() decommission.Placement {
 	if owner := c.owner(); owner != nil {
 		return owner.controller.agree.Placement()
 	}
-	return retire.Placement{}
+	return decommission.Placement{}
 }
 
 // shardOwner is the running member that owns a shard's group, with its machine.
--- a/internal/system/controller/command.go
+++ b/internal/tier/controller/command.go
@@ -5,20 +5,20 @@
 	"encoding/json"
 	"strconv"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/rollout"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/rollout"
 )
 
 // Command is one entry of the configuration shard's log; one field is set.
 type Command struct {
-	Configure *configuration.Order `json:"configure,omitempty"`
-	Place     *Place               `json:"place,omitempty"`
-	Rollout   *rollout.Order       `json:"rollout,omitempty"`
-	Seen      *rollout.Seen        `json:"seen,omitempty"`
-	Decide    *rollout.Decision    `json:"decide,omitempty"`
-	Retire    *retire.Order        `json:"retire,omitempty"`
-	Retired   *retire.Decision     `json:"retired,omitempty"`
+	Configure *configuration.Order   `json:"configure,omitempty"`
+	Place     *Place                 `json:"place,omitempty"`
+	Rollout   *rollout.Order         `json:"rollout,omitempty"`
+	Seen      *rollout.Seen          `json:"seen,omitempty"`
+	Decide    *rollout.Decision      `json:"decide,omitempty"`
+	Retire    *decommission.Order    `json:"retire,omitempty"`
+	Retired   *decommission.Decision `json:"retired,omitempty"`
 }
 
 // What stands between the parts of an order to take a configuration, as EncodeJSON writes it.
--- a/internal/system/controller/configure.go
+++ b/internal/tier/controller/configure.go
@@ -14,10 +14,10 @@
 	"github.com/go-kit/log/level"
 	"github.com/labstack/echo/v4"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/model/form"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/model/form"
 )
 
 // mostOrderBytes bounds a configuration. Checking one takes a multiple of its size in memory.
@@ -50,13 +50,13 @@
 		level.Info(c.options.Logger).Log("msg", "configuration taken", "number", order.Number, "base", order.Base)
 		return e.NoContent(http.StatusOK)
 	case configuration.Conflict:
-		return fault.New(fault.VersionConflict, "another version than %d is current", order.Base)
+		return apierror.New(apierror.VersionConflict, "another version than %d is current", order.Base)
 	case configuration.NotNewer:
-		return fault.New(fault.InvalidConfiguration, "number: %d is not higher than the current one", order.Number)
+		return apierror.New(apierror.InvalidConfiguration, "number: %d is not higher than the current one", order.Number)
 	case configuration.Forgotten:
-		return fault.New(fault.Unconfirmed, "version %d is so old that the orders on it are forgotten", order.Base)
+		return apierror.New(apierror.Unconfirmed, "version %d is so old that the orders on it are forgotten", order.Base)
 	}
-	return fault.New(fault.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
 // propose has the group agree on an order, and counts what it comes to.
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if request.ContentLength > mostOrderBytes {
-		return nil, fault.New(fault.BodyTooLarge, "the body is over %d bytes", mostOrderBytes)
+		return nil, apierror.New(apierror.BodyTooLarge, "the body is over %d bytes", mostOrderBytes)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(e.Response(), request.Body, mostOrderBytes))
 	if err != nil {
@@ -100,7 +100,7 @@
 	// Written as the log will hold it, so that the same order always is the same bytes.
 	compact, err := json.Marshal(json.RawMessage(raw))
 	if err != nil {
-		return nil, fault.New(fault.InvalidConfiguration, "can't be read whole: %w", err)
+		return nil, apierror.New(apierror.InvalidConfiguration, "can't be read whole: %w", err)
 	}
 	return &configuration.Order{Base: base, Raw: compact}, nil
 }
@@ -109,11 +109,11 @@
 func readBase(header http.Header) (uint64, error) {
 	values := header.Values("If-Match")
 	if len(values) != 1 {
-		return 0, fault.New(fault.InvalidConfiguration, "If-Match: %d versions are named, not one", len(values))
+		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: %d versions are named, not one", len(values))
 	}
 	base, err := strconv.ParseUint(strings.Trim(values[0], `" `), 10, 64)
 	if err != nil {
-		return 0, fault.New(fault.InvalidConfiguration, "If-Match: no number of a version: %w", err)
+		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: no number of a version: %w", err)
 	}
 	return base, nil
 }
@@ -125,13 +125,13 @@
 	case c.checking <- struct{}{}:
 		defer func() { <-c.checking }()
 	case <-ctx.Done():
-		return fault.New(fault.NotReady, "another configuration is being checked: %w", ctx.Err())
+		return apierror.New(apierror.NotReady, "another configuration is being checked: %w", ctx.Err())
 	}
 	began := time.Now()
 	decoded, err := form.Read(order.Raw)
 	c.options.Metrics.Took(metrics.CheckStep, time.Since(began))
 	if err != nil {
-		return fault.New(fault.InvalidConfiguration, "%w", err)
+		return apierror.New(apierror.InvalidConfiguration, "%w", err)
 	}
 	order.Number = decoded.Number
 	return nil
@@ -142,11 +142,11 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return fault.New(fault.BodyTooLarge, "the body is over %d bytes: %w", large.Limit, err)
+		return apierror.New(apierror.BodyTooLarge, "the body is over %d bytes: %w", large.Limit, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return fault.New(fault.RequestTimeout, "the body came too slowly: %w", err)
+		return apierror.New(apierror.RequestTimeout, "the body came too slowly: %w", err)
 	}
-	return fault.New(fault.BadRequest, "the body cannot be read whole: %w", err)
+	return apierror.New(apierror.BadRequest, "the body cannot be read whole: %w", err)
 }
 
 // getSettings answers with the newest configuration, or not at all: an older one is never told.
@@ -166,7 +166,7 @@
 		return unread(err)
 	}
 	if raw == nil {
-		return fault.New(fault.NotReady, "no configuration has been taken yet")
+		return apierror.New(apierror.NotReady, "no configuration has been taken yet")
 	}
 	return e.Blob(http.StatusOK, echo.MIMEApplicationJSON, raw)
 }
--- a/internal/system/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -12,18 +12,18 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/network"
-	"mastusher/internal/system/repeat"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/dedup"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // GroupName is the name of the configuration shard's group.
@@ -57,7 +57,7 @@
 	Settings *settings.Settings
 	Initial  []replica.Member // the group at the first start of the whole system; else empty
 	Disk     storage.Disk
-	Pool     *link.Pool
+	Pool     *transport.Pool
 	Fleet    Fleet
 	Reader   EndpointReader
 	Logger   log.Logger
@@ -82,7 +82,7 @@
 
 	mutex   sync.Mutex // guards what is agreed on
 	agree   *Machine
-	repeats *repeat.Window // guarded by mutex like that
+	repeats *dedup.Window // guarded by mutex like that
 	dirty   chan struct{}
 	told    view.Digest // what has been published; the publisher's own
 
@@ -126,7 +126,7 @@
 		bodyTimeout: bodyTimeout,
 		checking:    make(chan struct{}, 1), reading: make(chan struct{}, 1), evidence: newEvidence()}
 	c.agree = NewMachine(c.markDirty)
-	c.repeats = repeat.NewWindow(repeatWindow(options.Settings.Bounds))
+	c.repeats = dedup.NewWindow(repeatWindow(options.Settings.Bounds))
 	c.planner = NewPlanner(c.copies())
 	opened, err := group.Open(group.Options{Name: GroupName, Disk: options.Disk, Machine: lockedMachine{c}, Logger: options.Logger,
 		Send: options.Send, Clock: options.Clock,
@@ -142,10 +142,10 @@
 // copies is the number of replicas that bear the losses that are to be borne.
 func (c *Controller) copies() int { return 2*c.options.Settings.Survive.Machines + 1 }
 
-func sendByLink(pool *link.Pool) func(address string, envelope group.Envelope) {
+func sendByLink(pool *transport.Pool) func(address string, envelope group.Envelope) {
 	return func(address string, envelope group.Envelope) {
 		// A message that can't be queued is lost like any other; the group sends again.
-		_ = link.Notify(pool, address, wire.MethodReplica, envelope)
+		_ = transport.Notify(pool, address, wire.MethodReplica, envelope)
 	}
 }
 
@@ -153,14 +153,14 @@
 func (c *Controller) Group() *group.Group { return c.group }
 
 // Register adds what the controller answers over its link.
-func (c *Controller) Register(handlers *link.Handlers) {
-	link.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) {
+func (c *Controller) Register(handlers *transport.Handlers) {
+	transport.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) {
 		if envelope.Group == GroupName {
 			c.group.Deliver(envelope.Message)
 		}
 	})
-	link.Handle(handlers, wire.MethodEndpoints, c.answerList)
-	link.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { c.evidence.take(c.options.Clock(), tallies) })
+	transport.Handle(handlers, wire.MethodEndpoints, c.answerList)
+	transport.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { c.evidence.take(c.options.Clock(), tallies) })
 }
 
 // Run drives the member until ctx ends or its disk fails.
--- a/internal/system/controller/cutoff_fixture_test.go
+++ b/internal/tier/controller/cutoff_fixture_test.go
@@ -13,15 +13,15 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Times of a core whose machines are cut off.
--- a/internal/system/controller/cutoff_history_test.go
+++ b/internal/tier/controller/cutoff_history_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/configuration"
+	"mastusher/internal/tier/configuration"
 )
 
 // sentOrder is what was ordered: a configuration, a version, or a machine to be emptied.
--- a/internal/system/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -8,9 +8,9 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/platformlist"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/platformlist"
+	"mastusher/internal/tier/view"
 )
 
 // Pace of the reads of the platform's list.
--- a/internal/system/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
 )
 
 func endpoint(id string, coldLeftMs int64) model.Endpoint {
--- a/internal/system/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -12,13 +12,13 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // patience bounds every wait of a test that goes as it should.
--- a/internal/system/controller/largeorder_test.go
+++ b/internal/tier/controller/largeorder_test.go
@@ -11,10 +11,10 @@
 	"github.com/go-kit/log"
 	"golang.org/x/sys/unix"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // leastShare is the smallest share of a core that a controller is known to run on.
--- a/internal/system/controller/listsource.go
+++ b/internal/tier/controller/listsource.go
@@ -8,11 +8,11 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/platformlist"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/platformlist"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // Times of an owner that doesn't reach the platform.
@@ -107,9 +107,9 @@
 }
 
 // askListByLink has another controller read the list.
-func askListByLink(pool *link.Pool) func(ctx context.Context, address string) ([]model.Endpoint, error) {
+func askListByLink(pool *transport.Pool) func(ctx context.Context, address string) ([]model.Endpoint, error) {
 	return func(ctx context.Context, address string) ([]model.Endpoint, error) {
-		answer, err := link.Call[wire.EndpointsRequest, wire.EndpointsAnswer](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
+		answer, err := transport.Call[wire.EndpointsRequest, wire.EndpointsAnswer](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
 		return answer.Endpoints, err
 	}
 }
--- a/internal/system/controller/listsource_test.go
+++ b/internal/tier/controller/listsource_test.go
@@ -13,12 +13,12 @@
 	"github.com/go-kit/log"
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/platformlist"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/platformlist"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // platform is the platform's list as controllers see it, each over a way of its own. Its list grows by an endpoint each
@@ -281,14 +281,14 @@
 func TestAnotherControllerReadsOverTheLink(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 900), endpoint("b", 0)}}
 	asked := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	asked.Register(handlers)
-	server, err := link.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
+	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	defer pool.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
--- a/internal/system/controller/orders_campaign_test.go
+++ b/internal/tier/controller/orders_campaign_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/linearizability"
+	"mastusher/internal/tier/linearizability"
 )
 
 var (
--- a/internal/system/controller/orders_story_test.go
+++ b/internal/tier/controller/orders_story_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/rollout"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/rollout"
 )
 
 const (
@@ -183,7 +183,7 @@
 				c.heal()
 				c.wait("the machine is empty", 20*time.Second, c.isFinished("storage-1"))
 				c.play(func(int) {}, order)
-				if c.state("storage-1") != retire.Finished || c.holds("s-1") {
+				if c.state("storage-1") != decommission.Finished || c.holds("s-1") {
 					t.Errorf("at step %d: after a repeat the machine is %s", step, c.state("storage-1"))
 				}
 			}
@@ -475,7 +475,7 @@
 	first := c.owner()
 	first.kill()
 	c.until("another owner", 5*time.Second, func() bool { return c.owner() != nil && c.owner() != first })
-	if got := c.retire("storage-1"); got != retire.Taken {
+	if got := c.retire("storage-1"); got != decommission.Taken {
 		t.Errorf("a repeat is %v", got)
 	}
 
@@ -488,7 +488,7 @@
 			m.start()
 		}
 	}
-	if got := c.retire("storage-1"); got != retire.Taken {
+	if got := c.retire("storage-1"); got != decommission.Taken {
 		t.Errorf("a repeat about a machine that has gone is %v", got)
 	}
 }
--- a/internal/system/controller/place.go
+++ b/internal/tier/controller/place.go
@@ -6,8 +6,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // Pace of placement.
@@ -109,12 +109,12 @@
 }
 
 // askByLink calls a store in a goroutine of its own.
-func askByLink(pool *link.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
+func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
 	return func(address string, done func(wire.ShardMembersAnswer, error)) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 			defer cancel()
-			done(link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
+			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
 		}()
 	}
 }
--- a/internal/system/controller/place_story_test.go
+++ b/internal/tier/controller/place_story_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/view"
 )
 
 // shardsOf lists the shards that want a replica under the identity.
-func shardsOf(placed retire.Placement, id string) []int {
+func shardsOf(placed decommission.Placement, id string) []int {
 	var shards []int
 	for number, shard := range placed.Shards {
 		if slices.Contains(idsOf(shard.Replicas), id) {
--- a/internal/system/controller/plan.go
+++ b/internal/tier/controller/plan.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/wire"
 )
 
 // reportAge is how old a store's report on its groups may be for a decision.
@@ -39,7 +39,7 @@
 // report is what the owner of a shard told last.
 type report struct {
 	at    time.Time // when it was asked for
-	group retire.Group
+	group decommission.Group
 }
 
 // NewPlanner returns a planner for groups of so many replicas.
@@ -57,7 +57,7 @@
 		if ok && (known.group.Epoch > told.Epoch || known.group.Epoch == told.Epoch && known.at.After(asked)) {
 			continue
 		}
-		p.reports[told.Shard] = report{at: asked, group: retire.Group{Epoch: told.Epoch, Placement: told.Placement,
+		p.reports[told.Shard] = report{at: asked, group: decommission.Group{Epoch: told.Epoch, Placement: told.Placement,
 			Members: told.IDs, CaughtUp: told.CaughtUp}}
 	}
 }
@@ -190,23 +190,23 @@
 }
 
 // isEmptied judges a retirement by the reports that are new enough.
-func (p *Planner) isEmptied(now time.Time, retirement retire.Retirement, placed retire.Placement) bool {
-	groups := make(map[int]retire.Group, len(p.reports))
+func (p *Planner) isEmptied(now time.Time, retirement decommission.Retirement, placed decommission.Placement) bool {
+	groups := make(map[int]decommission.Group, len(p.reports))
 	for shard, told := range p.reports {
 		if now.Sub(told.at) <= reportAge {
 			groups[shard] = told.group
 		}
 	}
-	return retire.IsEmptied(retirement, placed, groups, p.copies)
+	return decommission.IsEmptied(retirement, placed, groups, p.copies)
 }
 
 // decision ends a retirement, with all identities that the machine is known by.
-func (p *Planner) decision(retirement retire.Retirement, agreed *Machine) *retire.Decision {
+func (p *Planner) decision(retirement decommission.Retirement, agreed *Machine) *decommission.Decision {
 	ids := slices.Clone(retirement.IDs)
 	if store, known := p.watch.Store(retirement.Node); known && !slices.Contains(ids, store.ID) {
 		ids = append(ids, store.ID)
 	}
-	return &retire.Decision{Node: retirement.Node, IDs: ids, Placement: agreed.placementIndex}
+	return &decommission.Decision{Node: retirement.Node, IDs: ids, Placement: agreed.placementIndex}
 }
 
 // addresses lists the stores that run.
--- a/internal/system/controller/plan_own_test.go
+++ b/internal/tier/controller/plan_own_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/replica"
 )
 
 // TestMembersOfTheOwnGroup checks which members the configuration shard's group is to have, step by step of a replacement.
--- a/internal/system/controller/repair_campaign_test.go
+++ b/internal/tier/controller/repair_campaign_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
+	"mastusher/internal/tier/membership"
 )
 
 // repairWorlds is how many random runs of repairs and losses are played.
--- a/internal/system/controller/repair_coordinator_test.go
+++ b/internal/tier/controller/repair_coordinator_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
+	"mastusher/internal/tier/membership"
 )
 
 // Steps of a move at which its coordinator is lost.
--- a/internal/system/controller/repair_disk_test.go
+++ b/internal/tier/controller/repair_disk_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
+	"mastusher/internal/tier/membership"
 )
 
 // TestSuccessorWithADiskInTroubleCatchesUp has the machine that takes a lost one's replicas get a disk in trouble at each step.
--- a/internal/system/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
 )
 
 // allPairs has every pair of a repair and a next loss played on all sites, instead of on one of them each.
@@ -209,7 +209,7 @@
 		return r.now + r.around.catchUp()
 	case retired:
 		r.remove(m)
-		if got := r.retire(m.node()); got != retire.Taken {
+		if got := r.retire(m.node()); got != decommission.Taken {
 			r.t.Fatalf("order about %s was %v", m.node(), got)
 		}
 		r.until("the machine is empty", recoveryTime, r.isFinished(m.node()))
--- a/internal/system/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/program"
 )
 
 // stateSizes has the times measured with much state, which takes long.
--- a/internal/system/controller/repeats.go
+++ b/internal/tier/controller/repeats.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/repeat"
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/dedup"
+	"mastusher/internal/tier/settings"
 )
 
 // repeatWindow is how long after it was taken an order that isn't a configuration may come again. The operator repeats it for
@@ -16,15 +16,15 @@
 }
 
 // taken lists the orders that may come again, the oldest first.
-func (s *Machine) taken() []repeat.Taken {
-	var taken []repeat.Taken
+func (s *Machine) taken() []dedup.Taken {
+	var taken []dedup.Taken
 	for _, order := range s.rollouts.Recent() {
-		taken = append(taken, repeat.Taken{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.Taken{Index: order.Index, AtMs: order.AtMs})
 	}
 	for _, order := range s.retirements.All() {
-		taken = append(taken, repeat.Taken{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.Taken{Index: order.Index, AtMs: order.AtMs})
 	}
-	slices.SortFunc(taken, func(a, b repeat.Taken) int { return cmp.Compare(a.Index, b.Index) })
+	slices.SortFunc(taken, func(a, b dedup.Taken) int { return cmp.Compare(a.Index, b.Index) })
 	return taken
 }
 
--- a/internal/system/controller/retire_story_test.go
+++ b/internal/tier/controller/retire_story_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/retire"
+	"mastusher/internal/tier/decommission"
 )
 
 // turnsOf has some turns taken by each shard.
@@ -29,7 +29,7 @@
 
 			// When one of them is to be emptied.
 			leaving := c.storage(number)
-			if got := c.retire(fmt.Sprintf("storage-%d", number)); got != retire.Taken {
+			if got := c.retire(fmt.Sprintf("storage-%d", number)); got != decommission.Taken {
 				t.Fatalf("order was %v", got)
 			}
 			took := c.until("the machine is empty", 5*time.Second, c.isFinished(fmt.Sprintf("storage-%d", number)))
@@ -60,12 +60,12 @@
 	c.settle()
 	turns := turnsOf(c, 0)
 	for _, node := range []string{"storage-1", "storage-2"} {
-		if got := c.retire(node); got != retire.Taken {
+		if got := c.retire(node); got != decommission.Taken {
 			t.Fatalf("order about %s was %v", node, got)
 		}
 	}
-	if got := c.retire("storage-3"); got != retire.TooFew {
-		t.Errorf("a third order was %v, want %v", got, retire.TooFew)
+	if got := c.retire("storage-3"); got != decommission.TooFew {
+		t.Errorf("a third order was %v, want %v", got, decommission.TooFew)
 	}
 	c.until("the first is empty", 5*time.Second, c.isFinished("storage-1"))
 	c.until("the second is empty", 5*time.Second, c.isFinished("storage-2"))
@@ -84,14 +84,14 @@
 	down := c.storage(2)
 	down.kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != retire.Taken {
+	if got := c.retire("storage-1"); got != decommission.Taken {
 		t.Fatalf("order was %v", got)
 	}
 
 	// Then it isn't finished as long as groups have fewer than three replicas that have caught up.
 	for range 40 {
 		c.run(100 * time.Millisecond)
-		if c.state("storage-1") != retire.InService {
+		if c.state("storage-1") != decommission.InService {
 			t.Fatalf("state %v while a store is down", c.state("storage-1"))
 		}
 	}
@@ -110,7 +110,7 @@
 	turns := turnsOf(c, 0)
 	c.storage(1).kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != retire.Taken {
+	if got := c.retire("storage-1"); got != decommission.Taken {
 		t.Fatalf("order was %v", got)
 	}
 	c.until("the machine is empty", 8*time.Second, c.isFinished("storage-1"))
@@ -143,10 +143,10 @@
 			c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
 
 			// Then the order is still finished, and the machine gets no replicas though it still runs.
-			if got := c.state("storage-1"); got != retire.Finished {
+			if got := c.state("storage-1"); got != decommission.Finished {
 				t.Errorf("state %v after a restart", got)
 			}
-			if got := c.retire("storage-1"); got != retire.Taken {
+			if got := c.retire("storage-1"); got != decommission.Taken {
 				t.Errorf("the same order again was %v", got)
 			}
 			c.run(6 * time.Second)
--- a/internal/system/controller/retirements.go
+++ b/internal/tier/controller/retirements.go
@@ -11,10 +11,10 @@
 	"github.com/go-kit/log/level"
 	"github.com/labstack/echo/v4"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/retire"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/placement"
 )
 
 // mostSmallOrderBytes bounds the body of an order that isn't a configuration.
@@ -48,14 +48,14 @@
 		return c.unagreed(err)
 	}
 	switch result {
-	case retire.Taken:
+	case decommission.Taken:
 		level.Info(c.options.Logger).Log("msg", "machine is to be emptied", "machine", order.Node, "id", order.ID)
 		c.hurryPlace()
 		return e.NoContent(http.StatusOK)
-	case retire.TooFew:
+	case decommission.TooFew:
 		return c.refuseRetirement(time.Now(), order)
 	}
-	return fault.New(fault.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
 func readRetireOrder(e echo.Context) error {
@@ -67,13 +67,13 @@
 	case err != nil:
 		return unreadable(err)
 	case !(body.OverS >= 0 && body.OverS <= mostOverS):
-		return fault.New(fault.BadRequest, "overS: not a time between 0 and %g s", mostOverS)
+		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", mostOverS)
 	}
 	return nil
 }
 
 // retireOrderOf is the order to empty a machine as it is known now.
-func (c *Controller) retireOrderOf(now time.Time, node string) (*retire.Order, error) {
+func (c *Controller) retireOrderOf(now time.Time, node string) (*decommission.Order, error) {
 	c.planMutex.Lock()
 	defer c.planMutex.Unlock()
 	watch := c.planner.Watch()
@@ -85,15 +85,15 @@
 		store, known = c.placedOrAsked(node)
 	}
 	if !known && !c.isSure(now) {
-		return nil, fault.New(fault.NotReady, "not all machines have been heard of yet")
+		return nil, apierror.New(apierror.NotReady, "not all machines have been heard of yet")
 	}
 	if !known {
-		return nil, fault.New(fault.UnknownNode, "no storage machine is named %s", node)
+		return nil, apierror.New(apierror.UnknownNode, "no storage machine is named %s", node)
 	}
-	order := &retire.Order{Machine: retire.Machine{Node: node, ID: store.ID}, Least: c.copies(),
+	order := &decommission.Order{Machine: decommission.Machine{Node: node, ID: store.ID}, Least: c.copies(),
 		AtMs: c.options.Now().UnixMilli(), Settled: c.settled()}
 	for _, running := range watch.Stores() {
-		order.Running = append(order.Running, retire.Machine{Node: running.Node, ID: running.ID})
+		order.Running = append(order.Running, decommission.Machine{Node: running.Node, ID: running.ID})
 	}
 	return order, nil
 }
@@ -130,7 +130,7 @@
 }
 
 // refuseRetirement tells why an order was not taken: machines that are down may soon be back, then it isn't final.
-func (c *Controller) refuseRetirement(now time.Time, order *retire.Order) error {
+func (c *Controller) refuseRetirement(now time.Time, order *decommission.Order) error {
 	c.planMutex.Lock()
 	defer c.planMutex.Unlock()
 	watch := c.planner.Watch()
@@ -138,19 +138,19 @@
 	c.mutex.Lock()
 	hopeful := *order
 	for _, store := range missing {
-		hopeful.Running = append(hopeful.Running, retire.Machine{Node: store.Node, ID: store.ID})
+		hopeful.Running = append(hopeful.Running, decommission.Machine{Node: store.Node, ID: store.ID})
 	}
 	final := c.agree.retirements.Remaining(hopeful) < order.Least
 	c.mutex.Unlock()
 	if !c.isSure(now) || !final {
-		return fault.New(fault.NotReady, "too few storage machines run now")
+		return apierror.New(apierror.NotReady, "too few storage machines run now")
 	}
-	return fault.New(fault.TooFewStores, "fewer than %d storage machines would remain without %s", order.Least, order.Node)
+	return apierror.New(apierror.TooFewStores, "fewer than %d storage machines would remain without %s", order.Least, order.Node)
 }
 
 // retirementState is the answer to the question how far an order is.
 type retirementState struct {
-	State retire.State `json:"state"`
+	State decommission.State `json:"state"`
 }
 
 // getRetirement tells how far the newest order about a machine is.
@@ -161,7 +161,7 @@
 	ctx, cancel := context.WithTimeout(e.Request().Context(), readBackTimeout)
 	defer cancel()
 	node := e.Param("node")
-	var retirement retire.Retirement
+	var retirement decommission.Retirement
 	var asked bool
 	err := c.group.Read(ctx, func() {
 		c.mutex.Lock()
@@ -172,7 +172,7 @@
 		return unread(err)
 	}
 	if !asked {
-		return fault.New(fault.UnknownNode, "%s has not been asked to be emptied", node)
+		return apierror.New(apierror.UnknownNode, "%s has not been asked to be emptied", node)
 	}
 	return e.JSON(http.StatusOK, retirementState{State: retirement.State})
 }
--- a/internal/system/controller/retirements_test.go
+++ b/internal/tier/controller/retirements_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // watchFor has the planner see the members for longer than it takes to gather them.
@@ -23,10 +23,10 @@
 }
 
 // retireOrderFor is an order to empty a machine, of which enough others remain.
-func retireOrderFor(node string) *retire.Order {
-	order := &retire.Order{Machine: retire.Machine{Node: node, ID: node + "-id"}, Least: 3}
+func retireOrderFor(node string) *decommission.Order {
+	order := &decommission.Order{Machine: decommission.Machine{Node: node, ID: node + "-id"}, Least: 3}
 	for number := range 4 {
-		order.Running = append(order.Running, retire.Machine{Node: fmt.Sprint("other-", number), ID: fmt.Sprint("other-id-", number)})
+		order.Running = append(order.Running, decommission.Machine{Node: fmt.Sprint("other-", number), ID: fmt.Sprint("other-id-", number)})
 	}
 	return order
 }
--- a/internal/system/controller/rollout_campaign_test.go
+++ b/internal/tier/controller/rollout_campaign_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/settings"
 )
 
 // rolloutOperator is an operator who orders roll-outs.
--- a/internal/system/controller/rollouts.go
+++ b/internal/tier/controller/rollouts.go
@@ -13,11 +13,11 @@
 	"github.com/go-kit/log/level"
 	"github.com/labstack/echo/v4"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/wire"
 )
 
 // Pace of judgement.
@@ -182,11 +182,11 @@
 func (o *rolloutOrder) check() error {
 	switch {
 	case o.Service == "":
-		return fault.New(fault.BadRequest, "service: missing")
+		return apierror.New(apierror.BadRequest, "service: missing")
 	case o.Target == "":
-		return fault.New(fault.BadRequest, "target: missing")
+		return apierror.New(apierror.BadRequest, "target: missing")
 	case !(o.OverS > 0 && o.OverS <= mostOverS):
-		return fault.New(fault.BadRequest, "overS: not a time between 0 and %g s", mostOverS)
+		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", mostOverS)
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 	}
 	var body rolloutOrder
 	if err := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, mostOrderBytes)).Decode(&body); err != nil {
-		return fault.New(fault.BadRequest, "the order cannot be read: %v", err)
+		return apierror.New(apierror.BadRequest, "the order cannot be read: %v", err)
 	}
 	if err := body.check(); err != nil {
 		return err
@@ -215,9 +215,9 @@
 		level.Info(c.options.Logger).Log("msg", "roll-out ordered", "service", order.Service, "target", order.Target, "overMs", order.OverMs)
 		return e.NoContent(http.StatusOK)
 	case rollout.UnderWay:
-		return fault.New(fault.OrderUnderWay, "another version of %s is being rolled out", order.Service)
+		return apierror.New(apierror.OrderUnderWay, "another version of %s is being rolled out", order.Service)
 	}
-	return fault.New(fault.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
 // rolloutOrderOf is the order as it is to be agreed on.
@@ -265,7 +265,7 @@
 		return unread(err)
 	}
 	if !known {
-		return fault.New(fault.UnknownService, "no version of %s has been rolled out", service)
+		return apierror.New(apierror.UnknownService, "no version of %s has been rolled out", service)
 	}
 	return e.JSON(http.StatusOK, rolloutState{State: roll.State, Target: roll.Target})
 }
--- a/internal/system/controller/rollouts_test.go
+++ b/internal/tier/controller/rollouts_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/settings"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/wire"
 )
 
 // clockedBed is a controller with clocks that the test sets.
--- a/internal/system/controller/state.go
+++ b/internal/tier/controller/state.go
@@ -3,11 +3,11 @@
 import (
 	"encoding/json"
 
-	"mastusher/internal/system/configuration"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/configuration"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
 )
 
 // Place replaces the placement of shards, if what it was derived from still stands.
@@ -24,14 +24,14 @@
 	placementIndex   uint64
 	rollouts         *rollout.Register
 	rolloutsIndex    uint64
-	retirements      *retire.Register
+	retirements      *decommission.Register
 	retirementsIndex uint64
 	changed          func() // told after each change; must not block
 }
 
 // NewMachine returns an empty state. Changed is told after each change and must not block.
 func NewMachine(changed func()) *Machine {
-	return &Machine{register: configuration.New(), rollouts: rollout.New(), retirements: retire.New(), changed: changed}
+	return &Machine{register: configuration.New(), rollouts: rollout.New(), retirements: decommission.New(), changed: changed}
 }
 
 // Apply folds one command in. What it returns is a verdict of the package that the order belongs to.
@@ -73,15 +73,15 @@
 }
 
 // Placement returns the placement that has been agreed on, with the index of its entry; 0 if there is none yet.
-func (s *Machine) Placement() retire.Placement {
-	return retire.Placement{Index: s.placementIndex, Shards: s.placement}
+func (s *Machine) Placement() decommission.Placement {
+	return decommission.Placement{Index: s.placementIndex, Shards: s.placement}
 }
 
 // usable lists the stores that may take replicas.
 func (s *Machine) usable(stores []placement.Store) []placement.Store {
 	var usable []placement.Store
 	for _, store := range stores {
-		if !s.retirements.Excludes(retire.Machine{Node: store.Node, ID: store.ID}) {
+		if !s.retirements.Excludes(decommission.Machine{Node: store.Node, ID: store.ID}) {
 			usable = append(usable, store)
 		}
 	}
@@ -93,7 +93,7 @@
 	leaving := map[string]bool{}
 	for _, shard := range s.placement {
 		for _, r := range shard.Replicas {
-			if s.retirements.Excludes(retire.Machine{Node: r.Node, ID: r.ID}) {
+			if s.retirements.Excludes(decommission.Machine{Node: r.Node, ID: r.ID}) {
 				leaving[r.ID] = true
 			}
 		}
@@ -110,7 +110,7 @@
 	PlacementIndex   uint64                `json:"placementIndex"`
 	Rollouts         rollout.Saved         `json:"rollouts"`
 	RolloutsIndex    uint64                `json:"rolloutsIndex"`
-	Retirements      retire.Saved          `json:"retirements"`
+	Retirements      decommission.Saved    `json:"retirements"`
 	RetirementsIndex uint64                `json:"retirementsIndex"`
 }
 
@@ -147,7 +147,7 @@
 	s.register = register
 	s.placement, s.placementIndex = from.Placement, from.PlacementIndex
 	s.rollouts, s.rolloutsIndex = rollout.Restore(from.Rollouts), from.RolloutsIndex
-	s.retirements, s.retirementsIndex = retire.Restore(from.Retirements), from.RetirementsIndex
+	s.retirements, s.retirementsIndex = decommission.Restore(from.Retirements), from.RetirementsIndex
 	s.changed()
 	return nil
 }
--- a/internal/system/controller/succession_test.go
+++ b/internal/tier/controller/succession_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/configuration"
+	"mastusher/internal/tier/configuration"
 )
 
 // answerWhile has a controller of the cluster answer while time goes on, step by step, each time the handler waits for its
--- a/internal/system/controller/surroundings_test.go
+++ b/internal/tier/controller/surroundings_test.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/view"
 )
 
 // surroundings are what the machines, disks and links of a cluster in memory are like. Zero speeds take no time.
--- a/internal/system/controller/troubled_cluster_test.go
+++ b/internal/tier/controller/troubled_cluster_test.go
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/replica"
 )
 
 // What operators do.
--- a/internal/system/retire/judge.go
+++ b/internal/tier/decommission/judge.go
@@ -1,9 +1,9 @@
-package retire
+package decommission
 
 import (
 	"slices"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // Group is what the owner of a shard reports of its replica group, after a majority has confirmed it as the owner.
--- /dev/null
+++ b/internal/tier/decommission/judge_test.go
@@ -0,0 +1,80 @@
+package decommission_test
+
+import (
+	"testing"
+
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/view"
+)
+
+func shard(nodes ...string) view.ShardPlacement {
+	var placed view.ShardPlacement
+	for _, node := range nodes {
+		placed.Replicas = append(placed.Replicas, view.Replica{ID: node + "-1", Node: node})
+	}
+	return placed
+}
+
+func ids(nodes ...string) []string {
+	var list []string
+	for _, node := range nodes {
+		list = append(list, node+"-1")
+	}
+	return list
+}
+
+func TestIsEmptied(t *testing.T) {
+	retirement := decommission.Retirement{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
+	placed := decommission.Placement{Index: 9, Shards: []view.ShardPlacement{shard("b", "c", "d"), shard("c", "d", "e")}}
+	whole := func() map[int]decommission.Group {
+		return map[int]decommission.Group{
+			0: {Epoch: 4, Placement: 9, Members: ids("d", "c", "b"), CaughtUp: ids("b", "c", "d")},
+			1: {Epoch: 2, Placement: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")},
+		}
+	}
+	tests := []struct {
+		name   string
+		change func(groups map[int]decommission.Group, placement *decommission.Placement)
+		want   bool
+	}{
+		{"all have moved", func(map[int]decommission.Group, *decommission.Placement) {}, true},
+		{"nothing is placed", func(_ map[int]decommission.Group, p *decommission.Placement) { p.Shards = nil }, false},
+		{"a shard's owner is silent", func(g map[int]decommission.Group, _ *decommission.Placement) { delete(g, 1) }, false},
+		{"a group follows an older placement", func(g map[int]decommission.Group, _ *decommission.Placement) {
+			g[1] = decommission.Group{Placement: 8, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")}
+		}, false},
+		{"the machine still is a member", func(g map[int]decommission.Group, _ *decommission.Placement) {
+			g[1] = decommission.Group{Placement: 9, Members: ids("a", "c", "d", "e"), CaughtUp: ids("c", "d", "e")}
+		}, false},
+		{"a new replica has no vote or lags", func(g map[int]decommission.Group, _ *decommission.Placement) {
+			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d")}
+		}, false},
+		{"a new replica is missing", func(g map[int]decommission.Group, _ *decommission.Placement) {
+			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
+		}, false},
+		{"the machine is wanted under another identity", func(g map[int]decommission.Group, p *decommission.Placement) {
+			p.Shards[1] = shard("c", "d", "a")
+			p.Shards[1].Replicas[2].ID = "a-2"
+			g[1] = decommission.Group{Placement: 9, Members: []string{"c-1", "d-1", "a-2"}, CaughtUp: []string{"c-1", "d-1", "a-2"}}
+		}, false},
+		{"the identity is wanted under another name", func(g map[int]decommission.Group, p *decommission.Placement) {
+			p.Shards[1] = shard("c", "d", "e")
+			p.Shards[1].Replicas[2].ID = "a-1"
+			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d", "a"), CaughtUp: ids("c", "d", "a")}
+		}, false},
+		{"too few replicas are wanted", func(g map[int]decommission.Group, p *decommission.Placement) {
+			p.Shards[1] = shard("c", "d")
+			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
+		}, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			groups := whole()
+			placement := decommission.Placement{Index: placed.Index, Shards: append([]view.ShardPlacement(nil), placed.Shards...)}
+			test.change(groups, &placement)
+			if got := decommission.IsEmptied(retirement, placement, groups, 3); got != test.want {
+				t.Errorf("emptied: %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/system/retire/mutants_test.go
+++ b/internal/tier/decommission/mutants_test.go
@@ -1,4 +1,4 @@
-package retire
+package decommission
 
 import (
 	"testing"
--- a/internal/system/retire/register.go
+++ b/internal/tier/decommission/register.go
@@ -1,5 +1,5 @@
-// Package retire keeps which storage machines are to be emptied, and tells when nothing depends on one any more. It is pure.
-package retire
+// Package decommission keeps which storage machines are to be emptied, and tells when nothing depends on one any more. It is pure.
+package decommission
 
 import (
 	"cmp"
--- /dev/null
+++ b/internal/tier/decommission/register_test.go
@@ -0,0 +1,199 @@
+package decommission_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"mastusher/internal/tier/decommission"
+)
+
+// running are machines a, b, ... with the identities a-1, b-1, ...
+func running(nodes ...string) []decommission.Machine {
+	var machines []decommission.Machine
+	for _, node := range nodes {
+		machines = append(machines, decommission.Machine{Node: node, ID: node + "-1"})
+	}
+	return machines
+}
+
+func order(node string, nodes ...string) decommission.Order {
+	return decommission.Order{Machine: decommission.Machine{Node: node, ID: node + "-1"}, Running: running(nodes...), Least: 3}
+}
+
+func finish(node string) decommission.Decision {
+	return decommission.Decision{Node: node, IDs: []string{node + "-1"}}
+}
+
+func TestOrderKeepsEnoughMachines(t *testing.T) {
+	tests := []struct {
+		name  string
+		given func(r *decommission.Register)
+		order decommission.Order
+		want  decommission.Verdict
+	}{
+		{"three remain", nil, order("a", "a", "b", "c", "d"), decommission.Taken},
+		{"two remain", nil, order("a", "a", "b", "c"), decommission.TooFew},
+		{"the machine is down and three remain", nil, order("a", "b", "c", "d"), decommission.Taken},
+		{"the machine is down and two remain", nil, order("a", "b", "c"), decommission.TooFew},
+		{"another is being emptied", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d")) },
+			order("a", "a", "b", "c", "d"), decommission.TooFew},
+		{"another was emptied and still runs", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d")); r.Decide(finish("b")) },
+			order("a", "a", "b", "c", "d"), decommission.TooFew},
+		{"two at once and three remain", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d", "e")) },
+			order("a", "a", "b", "c", "d", "e"), decommission.Taken},
+		{"the same again, though now too few would remain", func(r *decommission.Register) { r.Order(1, order("a", "a", "b", "c", "d")) },
+			order("a", "a", "b"), decommission.Taken},
+		{"the same again after its end", func(r *decommission.Register) { r.Order(1, order("a", "a", "b", "c", "d")); r.Decide(finish("a")) },
+			order("a", "b", "c"), decommission.Taken},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			r := decommission.New()
+			if test.given != nil {
+				test.given(r)
+			}
+			if got := r.Order(1, test.order); got != test.want {
+				t.Errorf("order was %s, want %s", got, test.want)
+			}
+		})
+	}
+}
+
+func TestRetiredIdentitiesNeverComeBack(t *testing.T) {
+	// Given a machine that was emptied after its disk had been replaced on the way.
+	r := decommission.New()
+	r.Order(1, order("a", "a", "b", "c", "d"))
+	if !r.Excludes(decommission.Machine{Node: "a", ID: "a-2"}) {
+		t.Error("a machine that is being emptied may take replicas under a new identity")
+	}
+	r.Decide(decommission.Decision{Node: "a", IDs: []string{"a-2"}})
+
+	// Then neither identity may hold replicas again, wherever it appears, but a third one may.
+	for id, want := range map[string]bool{"a-1": true, "a-2": true, "a-3": false} {
+		if got := r.Excludes(decommission.Machine{Node: "a", ID: id}); got != want {
+			t.Errorf("identity %s is excluded: %v, want %v", id, got, want)
+		}
+	}
+
+	// And the machine can be emptied again under the third.
+	again := order("a", "a", "b", "c", "d")
+	again.ID, again.AtMs = "a-3", 70
+	if got := r.Order(9, again); got != decommission.Taken {
+		t.Fatalf("order about the new identity was %s", got)
+	}
+	want := decommission.Retirement{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
+	got, _ := r.Retirement("a")
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("retirement (-want +got):\n%s", diff)
+	}
+}
+
+// TestRepeatsAreNeverRefused has an order come again when the machine has come back with another disk, and too few machines
+// would remain without it.
+func TestRepeatsAreNeverRefused(t *testing.T) {
+	const index = 7
+	tests := []struct {
+		name  string
+		order func(order *decommission.Order)
+		want  decommission.Verdict
+		state decommission.State
+	}{
+		{"the same machine", func(*decommission.Order) {}, decommission.Taken, decommission.Finished},
+		{"the same machine, long after", func(o *decommission.Order) { o.Settled = index }, decommission.Taken, decommission.Finished},
+		{"a machine that is away", func(o *decommission.Order) { o.ID, o.Settled = "", index }, decommission.Taken, decommission.Finished},
+		{"another disk, and enough remain", func(o *decommission.Order) { o.ID, o.Running = "a-2", running("b", "c", "d") }, decommission.Taken, decommission.InService},
+		{"another disk, and too few remain", func(o *decommission.Order) { o.ID = "a-2" }, decommission.Taken, decommission.Finished},
+		{"another disk, and too few remain, long after", func(o *decommission.Order) { o.ID, o.Settled = "a-2", index }, decommission.TooFew, decommission.Finished},
+		{"another machine, and too few remain", func(o *decommission.Order) { o.Machine = decommission.Machine{Node: "b", ID: "b-1"} }, decommission.TooFew, ""},
+	}
+	for _, test := range tests {
+		for _, snapshot := range []bool{false, true} {
+			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
+				// Given a machine that was emptied, and of the others two that run.
+				r := decommission.New()
+				r.Order(index, order("a", "a", "b", "c", "d"))
+				r.Decide(finish("a"))
+				if snapshot {
+					r = decommission.Restore(r.Saved())
+				}
+				// When an order comes.
+				asked := order("a", "b", "c")
+				test.order(&asked)
+				got := r.Order(index+5, asked)
+				// Then a repeat is acknowledged.
+				known, _ := r.Retirement(asked.Node)
+				if got != test.want || known.State != test.state {
+					t.Errorf("the order is %s and the machine %q, want %s and %q", got, known.State, test.want, test.state)
+				}
+			})
+		}
+	}
+}
+
+func TestDecisionsCountOnce(t *testing.T) {
+	r := decommission.New()
+	r.Decide(finish("a"))
+	if _, asked := r.Retirement("a"); asked {
+		t.Error("a decision without an order made one")
+	}
+	r.Order(1, order("a", "a", "b", "c", "d"))
+	r.Decide(finish("a"))
+	r.Decide(decommission.Decision{Node: "a", IDs: []string{"late"}})
+	if r.Excludes(decommission.Machine{Node: "z", ID: "late"}) {
+		t.Error("a second decision changed a finished order")
+	}
+}
+
+// TestRegisterKeepsItsRules checks any sequence of orders and decisions: a finished order stays finished for its identity,
+// too few machines never remain, and a snapshot at any point changes nothing.
+func TestRegisterKeepsItsRules(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		r := decommission.New()
+		finished := map[string]bool{} // identities
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			machine := decommission.Machine{Node: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "node")}
+			machine.ID = fmt.Sprint(machine.Node, "-", rapid.IntRange(1, 2).Draw(t, "identity"))
+			switch rapid.IntRange(0, 2).Draw(t, "kind") {
+			case 0:
+				asked := decommission.Order{Machine: machine, Least: 3,
+					Running: rapid.Permutation(running("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
+				before := r.Saved()
+				verdict := r.Order(1, asked)
+				if verdict == decommission.TooFew && !cmp.Equal(before, r.Saved()) {
+					t.Fatal("a refused order changed something")
+				}
+				if verdict == decommission.Taken && !cmp.Equal(before, r.Saved()) && remaining(r, asked.Running) < 3 {
+					t.Fatal("an order left too few machines")
+				}
+			case 1:
+				open := r.Open()
+				if len(open) > 0 {
+					r.Decide(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
+					for _, id := range open[0].IDs {
+						finished[id] = true
+					}
+				}
+			case 2:
+				r = decommission.Restore(r.Saved())
+			}
+			for id := range finished {
+				if !r.Excludes(decommission.Machine{Node: "other", ID: id}) {
+					t.Fatalf("retired identity %s may take replicas", id)
+				}
+			}
+		}
+	})
+}
+
+func remaining(r *decommission.Register, machines []decommission.Machine) int {
+	count := 0
+	for _, m := range machines {
+		if !r.Excludes(m) {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/system/retire/repeat_mutants_test.go
+++ b/internal/tier/decommission/repeat_mutants_test.go
@@ -1,4 +1,4 @@
-package retire_test
+package decommission_test
 
 import (
 	"testing"
--- a/internal/system/repeat/mutants_test.go
+++ b/internal/tier/dedup/mutants_test.go
@@ -1,4 +1,4 @@
-package repeat_test
+package dedup_test
 
 import (
 	"testing"
--- a/internal/system/repeat/window.go
+++ b/internal/tier/dedup/window.go
@@ -1,6 +1,6 @@
-// Package repeat tells until when an order that arrives may be the repeat of one that was taken before: the operator sends an
+// Package dedup tells until when an order that arrives may be the repeat of one that was taken before: the operator sends an
 // order again for a limited time only. It is pure.
-package repeat
+package dedup
 
 import "time"
 
--- a/internal/system/repeat/window_test.go
+++ b/internal/tier/dedup/window_test.go
@@ -1,10 +1,10 @@
-package repeat_test
+package dedup_test
 
 import (
 	"testing"
 	"time"
 
-	"mastusher/internal/system/repeat"
+	"mastusher/internal/tier/dedup"
 )
 
 const length = 9 * time.Second
@@ -36,11 +36,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			const now = time.Hour
-			order := repeat.Taken{Index: 7, AtMs: dayOf(now - test.age).UnixMilli()}
-			w := repeat.NewWindow(length)
-			w.Note(now-test.seen, []repeat.Taken{order})
-			w.Note(now, []repeat.Taken{order})
-			got := w.Settled(now, dayOf(now+test.skew), []repeat.Taken{order})
+			order := dedup.Taken{Index: 7, AtMs: dayOf(now - test.age).UnixMilli()}
+			w := dedup.NewWindow(length)
+			w.Note(now-test.seen, []dedup.Taken{order})
+			w.Note(now, []dedup.Taken{order})
+			got := w.Settled(now, dayOf(now+test.skew), []dedup.Taken{order})
 			if want := map[bool]uint64{true: 7}[test.settled]; got != want {
 				t.Errorf("orders are settled up to entry %d, want %d", got, want)
 			}
@@ -50,10 +50,10 @@
 
 func TestTheNewestSettledOrderCounts(t *testing.T) {
 	// Given orders of which the first three are old, the second by a clock that was ahead,
-	taken := []repeat.Taken{{Index: 3, AtMs: dayOf(0).UnixMilli()}, {Index: 5, AtMs: dayOf(time.Hour).UnixMilli()}, {Index: 8, AtMs: dayOf(0).UnixMilli()}}
-	w := repeat.NewWindow(length)
+	taken := []dedup.Taken{{Index: 3, AtMs: dayOf(0).UnixMilli()}, {Index: 5, AtMs: dayOf(time.Hour).UnixMilli()}, {Index: 8, AtMs: dayOf(0).UnixMilli()}}
+	w := dedup.NewWindow(length)
 	w.Note(0, taken)
-	taken = append(taken, repeat.Taken{Index: 9, AtMs: dayOf(time.Minute).UnixMilli()})
+	taken = append(taken, dedup.Taken{Index: 9, AtMs: dayOf(time.Minute).UnixMilli()})
 	w.Note(time.Minute, taken)
 	// then the third settles those before it, and not the one after it.
 	if got := w.Settled(time.Minute, dayOf(time.Minute), taken); got != 8 {
--- a/internal/system/example/doc.go
+++ b/internal/tier/demo/doc.go
@@ -1,7 +1,7 @@
-// Package example starts a whole tier on one machine and shows that it keeps its word: real processes of every role on
+// Package demo starts a whole tier on one machine and shows that it keeps its word: real processes of every role on
 // loopback addresses, stand-ins around them, programs that take turns and call tools, and the loss of a store and of the
 // controller that owns the configuration in between.
-package example
+package demo
 
 import "time"
 
--- a/internal/system/example/example.go
+++ b/internal/tier/demo/example.go
@@ -1,4 +1,4 @@
-package example
+package demo
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"go.uber.org/multierr"
 
-	"mastusher/internal/system/localtier"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/standin"
 )
 
 // Options of a run.
--- a/internal/system/example/example_test.go
+++ b/internal/tier/demo/example_test.go
@@ -1,4 +1,4 @@
-package example
+package demo
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/localtier"
-	"mastusher/internal/system/localtier/localtiertest"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/localtier/localtiertest"
+	"mastusher/internal/tier/standin"
 )
 
 // logsOf gives what the processes have written.
--- a/internal/system/exchangetest/memory_test.go
+++ b/internal/tier/exchangetest/memory_test.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 const (
--- a/internal/system/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // storeDelay is how long the stores take, and lateDelay how long where they are late.
--- a/internal/system/exchangetest/world_test.go
+++ b/internal/tier/exchangetest/world_test.go
@@ -12,9 +12,9 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/proxy"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/proxy"
 )
 
 const (
--- a/internal/system/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -1,7 +1,7 @@
 package fleettest
 
 import (
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // agent is the process beside a proxy that is a member and holds the newest view.
--- a/internal/system/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -8,16 +8,16 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/configuration"
-	core "mastusher/internal/system/controller"
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/identity"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/configuration"
+	core "mastusher/internal/tier/controller"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/identity"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // copies is the number of replicas of a group: one loss is borne.
@@ -192,13 +192,13 @@
 		return http.StatusInternalServerError
 	}
 	switch result {
-	case configuration.Taken, rollout.Taken, retire.Taken:
+	case configuration.Taken, rollout.Taken, decommission.Taken:
 		return http.StatusOK
 	case configuration.Conflict:
 		return http.StatusPreconditionFailed
 	case configuration.NotNewer:
 		return http.StatusBadRequest
-	case rollout.UnderWay, retire.TooFew:
+	case rollout.UnderWay, decommission.TooFew:
 		return http.StatusConflict
 	}
 	return http.StatusInternalServerError
@@ -252,12 +252,12 @@
 
 // orderRetirement takes an order to empty a storage machine.
 func (c *controller) orderRetirement(call *exchange, asked retireOrder) {
-	order := &retire.Order{Machine: retire.Machine{Node: asked.Node}, Least: copies}
+	order := &decommission.Order{Machine: decommission.Machine{Node: asked.Node}, Least: copies}
 	if store, known := c.planner.Watch().Store(asked.Node); known {
 		order.ID = store.ID
 	}
 	for _, store := range c.planner.Watch().Stores() {
-		order.Running = append(order.Running, retire.Machine{Node: store.Node, ID: store.ID})
+		order.Running = append(order.Running, decommission.Machine{Node: store.Node, ID: store.ID})
 	}
 	c.agree(call, core.Command{Retire: order})
 }
--- a/internal/system/fleettest/corestate.go
+++ b/internal/tier/fleettest/corestate.go
@@ -3,10 +3,10 @@
 import (
 	"encoding/json"
 
-	"mastusher/internal/system/configuration"
-	core "mastusher/internal/system/controller"
-	"mastusher/internal/system/retire"
-	"mastusher/internal/system/rollout"
+	"mastusher/internal/tier/configuration"
+	core "mastusher/internal/tier/controller"
+	"mastusher/internal/tier/decommission"
+	"mastusher/internal/tier/rollout"
 )
 
 // agreedView is what is read of the agreed state for operators.
@@ -29,10 +29,10 @@
 }
 
 // retirementOf reads what has become of the order to empty a machine.
-func (v *agreedView) retirementOf(node string) (retire.Retirement, bool) {
-	var saved retire.Saved
+func (v *agreedView) retirementOf(node string) (decommission.Retirement, bool) {
+	var saved decommission.Saved
 	if err := json.Unmarshal(v.Retirements, &saved); err != nil {
-		return retire.Retirement{}, false
+		return decommission.Retirement{}, false
 	}
-	return retire.Restore(saved).Retirement(node)
+	return decommission.Restore(saved).Retirement(node)
 }
--- a/internal/system/fleettest/disk.go
+++ b/internal/tier/fleettest/disk.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // errSync is what a failing disk answers to a sync.
--- a/internal/system/fleettest/endpoint.go
+++ b/internal/tier/fleettest/endpoint.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // What endpoints do.
--- a/internal/system/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/placement"
+	"mastusher/internal/tier/placement"
 )
 
 // story is a fleet in a test, with words for what happens to it.
--- a/internal/system/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Options set a fleet up. Zero counts and times stand for the defaults.
--- a/internal/system/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -5,8 +5,8 @@
 	"errors"
 	"io"
 
-	"mastusher/internal/system/identity"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/identity"
+	"mastusher/internal/tier/storage"
 )
 
 const identityBytes = 16
--- a/internal/system/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Machine is one machine of the tier, or of those who use it. It runs up to two processes.
--- a/internal/system/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -5,8 +5,8 @@
 	"maps"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/view"
 )
 
 // Times of the spread.
--- a/internal/system/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Content names one configuration by its number and by what only it holds.
--- a/internal/system/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Bounds of one call to the owners of shards.
--- a/internal/system/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // Pauses between tries to reach the agent, and bounds of a request.
--- a/internal/system/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // proxyRequest is one request under way at a proxy.
--- a/internal/system/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -5,8 +5,8 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
 )
 
 // replicaRunner drives one member of a replica group: what a daemon's goroutine, disk and links do for it.
--- a/internal/system/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -6,11 +6,11 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 const (
--- a/internal/system/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // maxSources bounds the members that are remembered as holding a section.
--- a/internal/system/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // Bounds on the figures.
--- a/internal/system/gossip/network_test.go
+++ b/internal/tier/gossip/network_test.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/virtualtime"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/virtualtime"
 )
 
 // network is an in-memory network in virtual time.
--- a/internal/system/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 	"pgregory.net/rapid"
 )
 
--- a/internal/system/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // scenario is a story that ends in an error when the protocol does not keep what it promises.
--- a/internal/system/gossip/spreader.go
+++ b/internal/tier/gossip/spreader.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // The defaults of Options.
--- a/internal/system/gossip/store.go
+++ b/internal/tier/gossip/store.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // Store holds the newest piece of each section. A section never goes back. The zero stamp stands for nothing held.
--- a/internal/system/group/admission.go
+++ b/internal/tier/group/admission.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Admission bounds how many members of a process receive snapshots at the same time. A member that isn't admitted goes on
--- a/internal/system/group/budget.go
+++ b/internal/tier/group/budget.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Budget bounds the bytes that wait for the turns of all members of a process together: messages of others and commands of
--- a/internal/system/group/budget_test.go
+++ b/internal/tier/group/budget_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // openAlone opens the only member of a group, in virtual time.
--- a/internal/system/group/calls.go
+++ b/internal/tier/group/calls.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // call is one that waits for its outcome.
--- a/internal/system/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -1,7 +1,7 @@
 package group
 
 import (
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // stateShare is the part of the length of the state that the log reaches at least before it is compacted, so that a large
--- a/internal/system/group/compaction_test.go
+++ b/internal/tier/group/compaction_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 func TestASnapshotBearsTheEpochOfItsLastEntryAlsoAfterALaterPromise(t *testing.T) {
--- a/internal/system/group/encoding_test.go
+++ b/internal/tier/group/encoding_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Given any message, then it is written as the library writes it.
--- a/internal/system/group/envelope.go
+++ b/internal/tier/group/envelope.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Envelope is a message between members of the group that it names.
@@ -14,7 +14,7 @@
 	Message replica.Message `json:"message"`
 }
 
-// AppendJSON implements link.Appender: the data of entries and parts of snapshots are JSON already and stand there as they
+// AppendJSON implements transport.Appender: the data of entries and parts of snapshots are JSON already and stand there as they
 // are.
 func (e Envelope) AppendJSON(buffer []byte) ([]byte, error) {
 	name, err := json.Marshal(e.Group)
--- a/internal/system/group/fixture_test.go
+++ b/internal/tier/group/fixture_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // single is one member in virtual time whose messages are kept, and to which a test speaks for the others.
--- a/internal/system/group/group.go
+++ b/internal/tier/group/group.go
@@ -11,8 +11,8 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
 )
 
 // Options sets a member up.
--- a/internal/system/group/member_test.go
+++ b/internal/tier/group/member_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 const (
--- a/internal/system/group/parts_test.go
+++ b/internal/tier/group/parts_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // series is a state machine whose snapshot has a part for each command, and one before them.
--- a/internal/system/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
 )
 
 // Open recovers the member from its disk. A disk that is damaged is an error, never an empty disk.
--- a/internal/system/group/recovery_test.go
+++ b/internal/tier/group/recovery_test.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"testing"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // own makes the member the owner of its group of one.
--- a/internal/system/group/snapshot_test.go
+++ b/internal/tier/group/snapshot_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 func TestMembersOfOneProcessCompactInTurn(t *testing.T) {
--- a/internal/system/group/standstill_test.go
+++ b/internal/tier/group/standstill_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 func TestAnOwnerThatStandsStillSaysThatItOwnsNothing(t *testing.T) {
--- a/internal/system/group/stop_test.go
+++ b/internal/tier/group/stop_test.go
@@ -4,7 +4,7 @@
 	"syscall"
 	"testing"
 
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 func TestAMemberStopsWhoseDiskIsBroken(t *testing.T) {
--- a/internal/system/group/turn.go
+++ b/internal/tier/group/turn.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
 )
 
 // reopenPause is the time from a failure of the disk until a member begins anew from what the disk holds.
--- a/internal/system/group/vitals.go
+++ b/internal/tier/group/vitals.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // longTurn is the time from which on a turn is logged: it comes near to the time-outs after which others take over.
--- a/internal/system/identity/identity.go
+++ b/internal/tier/identity/identity.go
@@ -11,7 +11,7 @@
 	"io"
 	"io/fs"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // First returns the identity of a machine at the first start of the whole system. It follows from its address, so that
--- a/internal/system/identity/identity_test.go
+++ b/internal/tier/identity/identity_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"mastusher/internal/system/identity"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/identity"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 const address = "10.0.0.1:7380"
--- a/internal/system/linearizability/check_test.go
+++ b/internal/tier/linearizability/check_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/linearizability"
+	"mastusher/internal/tier/linearizability"
 )
 
 // put is an order, answered.
--- a/internal/system/localtier/end.go
+++ b/internal/tier/localtier/end.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/command"
+	"mastusher/internal/tier/command"
 )
 
 // checkEnd gives a sentence if the process doesn't say that it has ended within its grace time.
--- a/internal/system/localtier/machines.go
+++ b/internal/tier/localtier/machines.go
@@ -10,7 +10,7 @@
 
 	"gopkg.in/yaml.v3"
 
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/settings"
 )
 
 // Classes of machines, and the roles that run there.
--- a/internal/system/localtier/operator.go
+++ b/internal/tier/localtier/operator.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Operator gives orders to whichever controller answers.
--- a/internal/system/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/wire"
 )
 
 // SettingsVariable names the environment variable that holds the path of a process's settings file.
--- a/internal/system/localtier/surroundings.go
+++ b/internal/tier/localtier/surroundings.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/standin"
 )
 
 // Names of the configuration.
--- a/internal/system/localtier/tier.go
+++ b/internal/tier/localtier/tier.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // Options of a tier.
@@ -132,7 +132,7 @@
 
 // BusiestStore finds the store that owns the most shards, and how many there are in all.
 func (t *Tier) BusiestStore(ctx context.Context) (busiest *Process, owned, all int, err error) {
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	defer pool.Close()
 	for _, p := range t.Processes {
 		if p.Role != StoreRole {
@@ -151,10 +151,10 @@
 }
 
 // OwnedShards asks the store of a machine for the groups that it owns.
-func OwnedShards(ctx context.Context, pool *link.Pool, store Machine) ([]wire.ShardMembers, error) {
+func OwnedShards(ctx context.Context, pool *transport.Pool, store Machine) ([]wire.ShardMembers, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	address := store.Address(FirstPort + wire.StorePort)
-	answer, err := link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{})
+	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{})
 	return answer.Shards, err
 }
--- a/internal/system/membership/network_test.go
+++ b/internal/tier/membership/network_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/virtualtime"
+	"mastusher/internal/tier/virtualtime"
 )
 
 // network is an in-memory network in virtual time.
--- a/internal/system/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -95,12 +95,12 @@
 	m.classOf = classOf
 }
 
-// SentLine implements link.Meter.
+// SentLine implements transport.Meter.
 func (m *Metrics) SentLine(kind, address string, bytes int) {
 	m.lineBytes.WithLabelValues(kind, string(m.class(address))).Add(float64(bytes))
 }
 
-// Written implements link.Meter.
+// Written implements transport.Meter.
 func (m *Metrics) Written(address string, bytes int) {
 	m.wireBytes.WithLabelValues(string(m.class(address))).Add(float64(bytes))
 }
--- a/internal/system/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/metrics"
+	"mastusher/internal/tier/metrics"
 )
 
 func text(m *metrics.Metrics) string {
--- a/internal/system/model/form/form.go
+++ b/internal/tier/model/form/form.go
@@ -11,8 +11,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 	"go.uber.org/multierr"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/validation"
 )
 
 // yieldAfter is the number of list elements after which a reader lets other goroutines run: a large document must not keep
@@ -20,7 +20,7 @@
 const yieldAfter = 16
 
 // Read reads one whole configuration and checks its form and its rules. The error holds every fault with its place; see
-// invalid.Faults. Whether the configuration's number is higher than the current one is not judged here.
+// validation.Faults. Whether the configuration's number is higher than the current one is not judged here.
 func Read(raw []byte) (*model.Configuration, error) {
 	r := newReader(raw)
 	read := new(model.Configuration)
@@ -39,7 +39,7 @@
 	raw      []byte
 	decoder  *jsontext.Decoder
 	path     path
-	faults   []*invalid.Fault
+	faults   []*validation.Fault
 	broken   bool // the text is no JSON from here on
 	elements int  // of lists, read so far
 }
@@ -110,13 +110,13 @@
 	if below != "" && place != "" {
 		place += "."
 	}
-	r.faults = append(r.faults, &invalid.Fault{Place: place + below, Reason: reason})
+	r.faults = append(r.faults, &validation.Fault{Place: place + below, Reason: reason})
 }
 
 // breakOff notes a fault of the text, which isn't read any further.
 func (r *reader) breakOff(reason string) {
 	if !r.broken {
-		r.faults = append(r.faults, &invalid.Fault{Reason: "can't be read whole: " + reason})
+		r.faults = append(r.faults, &validation.Fault{Reason: "can't be read whole: " + reason})
 	}
 	r.broken = true
 }
--- a/internal/system/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/model/form"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/model/form"
+	"mastusher/internal/tier/validation"
 )
 
 // document is a valid configuration with so many routes.
@@ -67,7 +67,7 @@
 			t.Fatalf("the document has no %s", c.old)
 		}
 		_, err := form.Read([]byte(strings.Replace(whole, c.old, c.changed, 1)))
-		if faults := invalid.Faults(err); len(faults) != 1 || !strings.HasPrefix(faults[0].Error(), c.want) {
+		if faults := validation.Faults(err); len(faults) != 1 || !strings.HasPrefix(faults[0].Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.changed, err, c.want)
 		}
 	}
--- a/internal/system/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/invalid"
+	"mastusher/internal/tier/validation"
 )
 
 // document is a valid configuration as the operator sends it, with two services and two routes.
@@ -108,7 +108,7 @@
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(raw))
-			if got != nil || len(invalid.Faults(err)) != 1 {
+			if got != nil || len(validation.Faults(err)) != 1 {
 				t.Errorf("got %v and %v", got, err)
 			}
 		})
@@ -175,7 +175,7 @@
 			c.change(changed)
 			err := Validate(changed)
 			var places []string
-			for _, fault := range invalid.Faults(err) {
+			for _, fault := range validation.Faults(err) {
 				places = append(places, fault.Place)
 			}
 			if diff := cmp.Diff(c.places, places); diff != "" {
@@ -197,13 +197,13 @@
 			t.Fatalf("got %v and %v", read, err)
 		}
 		if err != nil {
-			if len(invalid.Faults(err)) == 0 {
+			if len(validation.Faults(err)) == 0 {
 				t.Fatalf("%v holds no fault", err)
 			}
 			return
 		}
 		refused := Validate(read)
-		if refused != nil && len(invalid.Faults(refused)) == 0 {
+		if refused != nil && len(validation.Faults(refused)) == 0 {
 			t.Fatalf("%v holds no fault", refused)
 		}
 		useTable(t, read, refused == nil)
--- a/internal/system/model/schema/faults.go
+++ b/internal/tier/model/schema/faults.go
@@ -7,7 +7,7 @@
 	"cuelang.org/go/cue/errors"
 	"go.uber.org/multierr"
 
-	"mastusher/internal/system/invalid"
+	"mastusher/internal/tier/validation"
 )
 
 // faultsOf turns an error of the evaluator into faults with places.
@@ -15,7 +15,7 @@
 	var faults error
 	for _, one := range errors.Errors(err) {
 		format, args := one.Msg()
-		multierr.AppendInto(&faults, &invalid.Fault{Place: place(one.Path()), Reason: fmt.Sprintf(format, args...)})
+		multierr.AppendInto(&faults, &validation.Fault{Place: place(one.Path()), Reason: fmt.Sprintf(format, args...)})
 	}
 	return faults
 }
@@ -46,7 +46,7 @@
 func withoutRepeats(err error) error {
 	var kept error
 	seen := make(map[string]bool)
-	for _, fault := range invalid.Faults(err) {
+	for _, fault := range validation.Faults(err) {
 		if !seen[fault.Place] {
 			multierr.AppendInto(&kept, fault)
 		}
--- a/internal/system/model/schema/form_test.go
+++ b/internal/tier/model/schema/form_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/model/form"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/model/form"
+	"mastusher/internal/tier/validation"
 )
 
 // substitutes are what a random value of a document is replaced by.
@@ -85,9 +85,9 @@
 // allowed, that one names what holds the value as well. Rules are looked at only once the form is right, and what can't be
 // decoded is a fault to the typed checks alone.
 func placesDiffer(formErr, schemaErr error) string {
-	found := invalid.Faults(formErr)
-	for _, fault := range invalid.Faults(schemaErr) {
-		if !slices.ContainsFunc(found, func(f *invalid.Fault) bool { return strings.HasPrefix(f.Place, fault.Place) }) {
+	found := validation.Faults(formErr)
+	for _, fault := range validation.Faults(schemaErr) {
+		if !slices.ContainsFunc(found, func(f *validation.Fault) bool { return strings.HasPrefix(f.Place, fault.Place) }) {
 			return fmt.Sprintf("no fault at %q in: %v", fault.Place, formErr)
 		}
 	}
@@ -114,7 +114,7 @@
 		if err == nil && Check(raw) != nil {
 			t.Fatalf("taken though the schema refuses it: %v", Check(raw))
 		}
-		if err != nil && len(invalid.Faults(err)) == 0 {
+		if err != nil && len(validation.Faults(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 	})
--- a/internal/system/model/schema/schema.go
+++ b/internal/tier/model/schema/schema.go
@@ -12,9 +12,9 @@
 	cuejson "cuelang.org/go/encoding/json"
 	"go.uber.org/multierr"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/model/form"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/model/form"
+	"mastusher/internal/tier/validation"
 )
 
 //go:embed configuration.cue
@@ -38,7 +38,7 @@
 }
 
 // Check finds everything that makes a configuration invalid by itself, and returns all faults with their places; see
-// invalid.Faults. Whether its number is higher than the current one is not judged here. It finds all that form.Read finds,
+// validation.Faults. Whether its number is higher than the current one is not judged here. It finds all that form.Read finds,
 // which controllers use, at many times the cost.
 func Check(raw []byte) error {
 	_, faults := form.Read(raw)
@@ -56,13 +56,13 @@
 func checkForm(raw []byte) error {
 	document, err := cuejson.Extract("", raw)
 	if err != nil {
-		return &invalid.Fault{Reason: err.Error()}
+		return &validation.Fault{Reason: err.Error()}
 	}
 	evaluator.Lock()
 	defer evaluator.Unlock()
 	compiled, err := compile()
 	if err != nil {
-		return &invalid.Fault{Reason: err.Error()}
+		return &validation.Fault{Reason: err.Error()}
 	}
 	built := evaluator.context.BuildExpr(document)
 	return faultsOf(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
--- a/internal/system/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/invalid"
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/validation"
 )
 
 // document is a valid configuration with this many routes.
@@ -97,7 +97,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := Check([]byte(c.raw))
 			found := make(map[string]bool)
-			for _, fault := range invalid.Faults(err) {
+			for _, fault := range validation.Faults(err) {
 				found[fault.Place] = true
 			}
 			for _, place := range c.places {
@@ -112,7 +112,7 @@
 func TestCheckNamesNothingThatIsProper(t *testing.T) {
 	raw := replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`)
 	var places []string
-	for _, fault := range invalid.Faults(Check([]byte(raw))) {
+	for _, fault := range validation.Faults(Check([]byte(raw))) {
 		places = append(places, fault.Place)
 	}
 	if diff := cmp.Diff([]string{"routes[0].giveUpMs"}, places); diff != "" {
@@ -145,7 +145,7 @@
 		if (unread != nil) && err == nil {
 			t.Fatal("taken though it can't be read")
 		}
-		if err != nil && len(invalid.Faults(err)) == 0 {
+		if err != nil && len(validation.Faults(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 	})
--- a/internal/system/model/validate.go
+++ b/internal/tier/model/validate.go
@@ -7,30 +7,30 @@
 
 	"go.uber.org/multierr"
 
-	"mastusher/internal/system/invalid"
+	"mastusher/internal/tier/validation"
 )
 
-// Validate finds what makes a configuration invalid by itself, and returns all faults together; see invalid.Faults.
+// Validate finds what makes a configuration invalid by itself, and returns all faults together; see validation.Faults.
 // Whether its number is higher than the current one is not judged here.
 func Validate(c *Configuration) error {
-	var check validation
+	var check validator
 	check.services(c.Services)
 	check.whole(c)
 	check.routes(c.Routes)
 	return check.faults
 }
 
-// validation gathers the faults of one configuration.
-type validation struct {
+// validator gathers the faults of one configuration.
+type validator struct {
 	known  map[string]bool // names of services
 	faults error
 }
 
-func (v *validation) fail(place, format string, args ...any) {
-	multierr.AppendInto(&v.faults, &invalid.Fault{Place: place, Reason: fmt.Sprintf(format, args...)})
+func (v *validator) fail(place, format string, args ...any) {
+	multierr.AppendInto(&v.faults, &validation.Fault{Place: place, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (v *validation) whole(c *Configuration) {
+func (v *validator) whole(c *Configuration) {
 	if c.Number == 0 {
 		v.fail("number", "is 0")
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-func (v *validation) services(services []Service) {
+func (v *validator) services(services []Service) {
 	v.known = make(map[string]bool, len(services))
 	for i := range services {
 		place := fmt.Sprintf("services[%d].name", i)
@@ -62,7 +62,7 @@
 	host, prefix string
 }
 
-func (v *validation) routes(routes []Route) {
+func (v *validator) routes(routes []Route) {
 	seen := make(map[target]int, len(routes))
 	for i := range routes {
 		route := &routes[i]
@@ -77,7 +77,7 @@
 	}
 }
 
-func (v *validation) route(place string, route *Route) {
+func (v *validator) route(place string, route *Route) {
 	if route.Host == "" {
 		v.fail(place+".host", "is missing")
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (v *validation) reference(place, service string) {
+func (v *validator) reference(place, service string) {
 	if service == "" {
 		v.fail(place, "names no service")
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-func (v *validation) shares(place string, shares []Share) {
+func (v *validator) shares(place string, shares []Share) {
 	for i := range shares {
 		inner := fmt.Sprintf("%s[%d]", place, i)
 		v.reference(inner+".service", shares[i].Service)
--- a/internal/system/network/cutnetwork/cutnetwork.go
+++ b/internal/tier/network/cutnetwork/cutnetwork.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // lookPace is the pace at which the file is read.
--- a/internal/system/network/cutnetwork/cutnetwork_test.go
+++ b/internal/tier/network/cutnetwork/cutnetwork_test.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, unwanted := range []string{"cutnetwork", "internal/system/soak", "localtier", "memorynetwork"} {
+	for _, unwanted := range []string{"cutnetwork", "internal/tier/soak", "localtier", "memorynetwork"} {
 		if strings.Contains(string(output), unwanted) {
 			t.Errorf("mastusher-tier links %s", unwanted)
 		}
--- a/internal/system/network/memorynetwork/connection.go
+++ b/internal/tier/network/memorynetwork/connection.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // segment is what travels from one end to the other at once.
--- a/internal/system/network/memorynetwork/memorynetwork_test.go
+++ b/internal/tier/network/memorynetwork/memorynetwork_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/network/memorynetwork"
+	"mastusher/internal/tier/network/memorynetwork"
 )
 
 const (
--- a/internal/system/network/memorynetwork/packet.go
+++ b/internal/tier/network/memorynetwork/packet.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // mostDatagrams bounds those that wait to be read; more are lost.
--- a/internal/system/node/node.go
+++ b/internal/tier/node/node.go
@@ -12,18 +12,18 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/gossip"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/gossip"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Options sets a node up.
 type Options struct {
 	Self   membership.Member
 	Seeds  []string // link addresses of controllers
-	Pool   *link.Pool
+	Pool   *transport.Pool
 	Logger log.Logger
 	Seed   uint64
 	Took   func(piece view.Piece) // told of each new piece, in order, on one goroutine; may be nil
@@ -33,7 +33,7 @@
 type Node struct {
 	options Options
 	start   time.Time
-	server  *link.Server
+	server  *transport.Server
 	swim    *membership.Node
 	spread  *spread
 	wake    chan struct{}
@@ -58,11 +58,11 @@
 }
 
 // Register adds what the node answers.
-func (n *Node) Register(handlers *link.Handlers) {
+func (n *Node) Register(handlers *transport.Handlers) {
 	handlers.HandleDatagram(n.datagram)
-	link.Handle(handlers, wire.MethodMembers, n.sync)
-	link.Handle(handlers, wire.MethodFetch, n.spread.answerFetch)
-	link.HandleStream(handlers, wire.MethodFeed, n.spread.feed)
+	transport.Handle(handlers, wire.MethodMembers, n.sync)
+	transport.Handle(handlers, wire.MethodFetch, n.spread.answerFetch)
+	transport.HandleStream(handlers, wire.MethodFeed, n.spread.feed)
 }
 
 // Members returns all members that are known, by name. The slice must not be changed.
@@ -89,7 +89,7 @@
 }
 
 // Run drives the node over the server until ctx ends; then it tells the others that it leaves.
-func (n *Node) Run(ctx context.Context, server *link.Server) {
+func (n *Node) Run(ctx context.Context, server *transport.Server) {
 	n.server = server
 	go n.spread.run(ctx)
 	timer := time.NewTimer(0)
@@ -204,7 +204,7 @@
 func (n *Node) call(ctx context.Context, call membership.SyncCall) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := link.Call[membership.SyncMessage, membership.SyncMessage](bounded, n.options.Pool, call.Address, wire.MethodMembers, call.Message)
+	answer, err := transport.Call[membership.SyncMessage, membership.SyncMessage](bounded, n.options.Pool, call.Address, wire.MethodMembers, call.Message)
 	n.mutex.Lock()
 	n.input.Outcomes = append(n.input.Outcomes, membership.SyncOutcome{Token: call.Token, Failed: err != nil, Answer: answer})
 	n.mutex.Unlock()
--- a/internal/system/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // patience bounds what a test waits for; nothing waits so long but a failure.
@@ -30,19 +30,19 @@
 func start(t *testing.T, name string, role membership.Role, seeds ...string) *running {
 	t.Helper()
 	r := &running{took: make(chan view.Piece, 64), seen: view.Digest{}}
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	// The address must be known before the node is made, so the handlers go through the variable.
-	probe, err := link.Listen("127.0.0.1:0", link.NewHandlers(), log.NewNopLogger())
+	probe, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.address = probe.Address()
 	probe.Close()
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	r.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: r.address, Incarnation: 1}, Seeds: seeds,
 		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, Took: func(piece view.Piece) { r.took <- piece }})
 	r.node.Register(handlers)
-	server, err := link.Listen(r.address, handlers, log.NewNopLogger())
+	server, err := transport.Listen(r.address, handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	defer cancel()
 	fed := make(chan view.Piece, 8)
 	go func() {
-		pool := link.NewPool()
+		pool := transport.NewPool()
 		defer pool.Close()
 		_ = feedFrom(ctx, pool, agent.address, fed)
 	}()
@@ -115,8 +115,8 @@
 	}
 }
 
-func feedFrom(ctx context.Context, pool *link.Pool, address string, fed chan<- view.Piece) error {
-	return link.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(piece view.Piece) error {
+func feedFrom(ctx context.Context, pool *transport.Pool, address string, fed chan<- view.Piece) error {
+	return transport.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(piece view.Piece) error {
 		fed <- piece
 		return nil
 	})
--- a/internal/system/node/spread.go
+++ b/internal/tier/node/spread.go
@@ -9,11 +9,11 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/gossip"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/gossip"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // fetchTimeout bounds one fetch.
@@ -165,7 +165,7 @@
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	request := wire.FetchRequest{Digest: fetch.Wanted}
-	answer, err := link.Call[wire.FetchRequest, wire.FetchAnswer](bounded, s.node.options.Pool, fetch.Address, wire.MethodFetch, request)
+	answer, err := transport.Call[wire.FetchRequest, wire.FetchAnswer](bounded, s.node.options.Pool, fetch.Address, wire.MethodFetch, request)
 	if err != nil {
 		level.Debug(s.node.options.Logger).Log("msg", "pieces cannot be fetched", "from", fetch.Address, "err", err)
 	}
--- a/internal/system/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/gossip"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/gossip"
+	"mastusher/internal/tier/view"
 )
 
 // Times and bounds of an agent among controllers.
--- a/internal/system/placement/placement.go
+++ b/internal/tier/placement/placement.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // mostShards bounds the number of shards that a first placement makes.
--- a/internal/system/placement/placement_test.go
+++ b/internal/tier/placement/placement_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/view"
 )
 
 // machine is the store on machine NODE in a zone, with its GENERATION'th disk.
--- a/internal/system/placement/share_test.go
+++ b/internal/tier/placement/share_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/view"
 )
 
 // loads counts the replicas of each store that runs, by identity.
--- a/internal/system/placement/watch.go
+++ b/internal/tier/placement/watch.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/view"
 )
 
 // Patience with members that are missing.
--- a/internal/system/placement/watch_test.go
+++ b/internal/tier/placement/watch_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/membership"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/view"
 )
 
 // member is the store on machine NODE, with its GENERATION'th disk.
--- a/internal/system/platformlist/fetch.go
+++ b/internal/tier/platformlist/fetch.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // StatusError is an answer of the platform other than 200.
--- a/internal/system/platformlist/pager.go
+++ b/internal/tier/platformlist/pager.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // page is one answer of the platform.
--- a/internal/system/platformlist/pure_test.go
+++ b/internal/tier/platformlist/pure_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 func endpoint(id string, state model.EndpointState) model.Endpoint {
--- a/internal/system/platformlist/reader.go
+++ b/internal/tier/platformlist/reader.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network"
 )
 
 // Options says where the list is and how fast it may be read.
--- a/internal/system/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // steppingClock moves only when somebody sleeps.
--- a/internal/system/platformlist/roll.go
+++ b/internal/tier/platformlist/roll.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Roll folds whole reads, one after the other, into what is held to be there. It is pure. The zero value knows nothing.
--- a/internal/system/programclient/chains.go
+++ b/internal/tier/programclient/chains.go
@@ -6,8 +6,8 @@
 	"slices"
 	"sync"
 
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
 )
 
 // mostOfProgram bounds the chains of a program that are kept. Most lines of turns come in through one proxy, some through
--- a/internal/system/programclient/chains_test.go
+++ b/internal/tier/programclient/chains_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
 )
 
 // conversation is what one program says, as its shard holds it and as two clients that its turns come through see it.
--- a/internal/system/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Bounds of one call.
@@ -29,7 +29,7 @@
 
 // Client calls the owners of shards. It is safe for concurrent use.
 type Client struct {
-	pool      *link.Pool
+	pool      *transport.Pool
 	placement atomic.Pointer[view.Placement]
 	chains    *chains
 
@@ -38,7 +38,7 @@
 }
 
 // New returns a client that knows no placement yet, and keeps so many bytes of what programs have said; see chains.
-func New(pool *link.Pool, keptBytes int) *Client {
+func New(pool *transport.Pool, keptBytes int) *Client {
 	return &Client{pool: pool, chains: newChains(keptBytes), owners: map[int]string{}}
 }
 
@@ -181,8 +181,8 @@
 func ask[Request, Answer any](ctx context.Context, c *Client, address, method string, request Request) (answer Answer, hint string, err error) {
 	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	answer, err = link.Call[Request, Answer](bounded, c.pool, address, method, request)
-	var remote *link.RemoteError
+	answer, err = transport.Call[Request, Answer](bounded, c.pool, address, method, request)
+	var remote *transport.RemoteError
 	if errors.As(err, &remote) && remote.Kind == wire.KindNotOwner {
 		hint = remote.Message
 	}
@@ -191,7 +191,7 @@
 
 // isSilence tells whether a store gave no answer at all.
 func isSilence(err error) bool {
-	var remote *link.RemoteError
+	var remote *transport.RemoteError
 	return !errors.As(err, &remote)
 }
 
--- a/internal/system/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -13,11 +13,11 @@
 	"github.com/go-kit/log"
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/placement"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/placement"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // store is a stand-in for a storage machine.
@@ -38,18 +38,18 @@
 func newStore(t *testing.T) *store {
 	t.Helper()
 	s := &store{}
-	handlers := link.NewHandlers()
-	link.Handle(handlers, wire.MethodBeginTurn, func(ctx context.Context, _ string, request wire.BeginTurn) (program.Result, error) {
+	handlers := transport.NewHandlers()
+	transport.Handle(handlers, wire.MethodBeginTurn, func(ctx context.Context, _ string, request wire.BeginTurn) (program.Result, error) {
 		s.begins.Add(1)
 		return s.begin(ctx, request)
 	})
-	link.Handle(handlers, wire.MethodEndTurn, func(_ context.Context, _ string, request wire.EndTurn) (program.Result, error) {
+	transport.Handle(handlers, wire.MethodEndTurn, func(_ context.Context, _ string, request wire.EndTurn) (program.Result, error) {
 		return s.end(request)
 	})
-	link.Handle(handlers, wire.MethodChain, func(_ context.Context, _ string, request wire.ChainRequest) (wire.ChainAnswer, error) {
+	transport.Handle(handlers, wire.MethodChain, func(_ context.Context, _ string, request wire.ChainRequest) (wire.ChainAnswer, error) {
 		return s.chain(request)
 	})
-	server, err := link.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
+	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 // newClient returns a client for shards that the stores hold, all of them each.
 func newClient(t *testing.T, shards int, stores ...*store) *Client {
 	t.Helper()
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	t.Cleanup(pool.Close)
 	placed := &view.Placement{Shards: make([]view.ShardPlacement, shards)}
 	for i := range placed.Shards {
@@ -90,7 +90,7 @@
 }
 
 func TestNothingIsKnownWithoutPlacement(t *testing.T) {
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	t.Cleanup(pool.Close)
 	client := New(pool, 1<<20)
 	if _, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "t"}); !errors.Is(err, ErrNoPlacement) {
--- a/internal/system/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -7,10 +7,10 @@
 	"context"
 	"time"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/upstream"
 )
 
 // Views tells what the control plane has brought. Its methods are called for every request and must not block.
@@ -65,7 +65,7 @@
 
 // Refusal is Choose's error when the request isn't to be sent.
 type Refusal struct {
-	Kind       fault.Kind // one that promises that the request hasn't run; None: NoEndpoint
+	Kind       apierror.Kind // one that promises that the request hasn't run; None: NoEndpoint
 	RetryAfter time.Duration
 }
 
--- a/internal/system/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/upstream"
 )
 
 const (
@@ -198,7 +198,7 @@
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
 		c.retryIn = refusal.RetryAfter
-		if refusal.Kind != fault.None {
+		if refusal.Kind != apierror.None {
 			c.refusal = refusal.Kind
 		}
 	}
@@ -213,9 +213,9 @@
 	case !c.mayHaveRun:
 		c.fail(c.refusal, c.retryIn)
 	case c.context.Err() != nil:
-		c.fail(fault.EndpointTimeout, 0)
+		c.fail(apierror.EndpointTimeout, 0)
 	default:
-		c.fail(fault.MayHaveRun, 0)
+		c.fail(apierror.MayHaveRun, 0)
 	}
 }
 
@@ -275,7 +275,7 @@
 	if !a.outcome.Misdirected {
 		c.facts.TurnedAway = append(c.facts.TurnedAway, a.choice.ID)
 	}
-	c.refusal, c.retryIn = fault.EndpointRefused, a.outcome.RetryIn
+	c.refusal, c.retryIn = apierror.EndpointRefused, a.outcome.RetryIn
 	if a.answer.Status == http.StatusBadRequest && !c.committed {
 		return c.deliver(a)
 	}
--- a/internal/system/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
 )
 
 // BenchmarkRequest measures a request from client to endpoint and back, endpoint and client included.
--- a/internal/system/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // keeper is a Programs that keeps turns and budgets as the stores do.
--- a/internal/system/proxy/call.go
+++ b/internal/tier/proxy/call.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/upstream"
 )
 
 const (
@@ -39,14 +39,14 @@
 	turn     *turn
 	scanner  eventScanner
 
-	runs       int        // sends after which the request may have run
-	unsent     int        // choices that led to no send
-	notRun     int        // sends that the endpoint declared as not run
-	mayHaveRun bool       // nothing promises that no endpoint ran the request
-	refusal    fault.Kind // why no endpoint took it, as far as nothing was sent
-	committed  bool       // the head of the answer has gone to the client
-	guarded    bool       // every close of the client's connection is a reset
-	failed     bool       // an answer of the proxy's own has gone to the client
+	runs       int           // sends after which the request may have run
+	unsent     int           // choices that led to no send
+	notRun     int           // sends that the endpoint declared as not run
+	mayHaveRun bool          // nothing promises that no endpoint ran the request
+	refusal    apierror.Kind // why no endpoint took it, as far as nothing was sent
+	committed  bool          // the head of the answer has gone to the client
+	guarded    bool          // every close of the client's connection is a reset
+	failed     bool          // an answer of the proxy's own has gone to the client
 	retryIn    time.Duration
 }
 
@@ -60,24 +60,24 @@
 	boundReading(w, r, arrived.Add(timeAllowed(r.Header, 0)))
 	routes := p.options.Views.Routes()
 	if routes == nil {
-		p.refusals.add(fault.NotReady)
-		fail(w, fault.NotReady, 0)
+		p.refusals.add(apierror.NotReady)
+		fail(w, apierror.NotReady, 0)
 		return
 	}
 	target := requestTarget(r)
 	path, _, _ := strings.Cut(target, "?")
 	route := routes.Match(r.Host, path)
 	if route == nil {
-		fail(w, fault.NoRoute, 0)
+		fail(w, apierror.NoRoute, 0)
 		return
 	}
-	c := &call{proxy: p, writer: w, request: r, refusal: fault.NoEndpoint}
+	c := &call{proxy: p, writer: w, request: r, refusal: apierror.NoEndpoint}
 	c.facts.Route = route
 	c.facts.Arrived = arrived
 	c.facts.Deadline = arrived.Add(timeAllowed(r.Header, route.GiveUpMs))
 	c.readFacts(r.Header)
 	if c.facts.Service = routes.pickService(route, c.key()); c.facts.Service == nil {
-		c.fail(fault.NoEndpoint, 0)
+		c.fail(apierror.NoEndpoint, 0)
 		return
 	}
 	c.body, c.fields = takeBuffer(), takeBuffer()
@@ -148,7 +148,7 @@
 	boundReading(c.writer, c.request, c.facts.Deadline)
 	err := readBody(c.request, c.body, limit)
 	if err == errBodyTooLarge {
-		c.fail(fault.BodyTooLarge, 0)
+		c.fail(apierror.BodyTooLarge, 0)
 		return false
 	}
 	if err != nil {
@@ -208,7 +208,7 @@
 	if err != nil {
 		c.proxy.refusals.noteCause(err)
 	}
-	if kind != fault.None {
+	if kind != apierror.None {
 		c.settle()
 		c.fail(kind, 0)
 		return false
--- a/internal/system/proxy/clientconnection.go
+++ b/internal/tier/proxy/clientconnection.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"sync"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // clientConnection is a connection of a client. It knows whether a request has begun on it, so that a shutdown closes it
--- a/internal/system/proxy/deliver.go
+++ b/internal/tier/proxy/deliver.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strconv"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 const (
--- a/internal/system/proxy/denied_test.go
+++ b/internal/tier/proxy/denied_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // denies tells whether a status of the proxy's own denies a request, and doesn't merely put it off.
--- a/internal/system/proxy/failure.go
+++ b/internal/tier/proxy/failure.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/fault"
+	"mastusher/internal/tier/apierror"
 )
 
 // What is told with a refusal for which nobody named a wait. Where the control plane or the stores have no owner, the next
@@ -19,9 +19,9 @@
 )
 
 // waitFor is what a client is told that is refused for such a reason.
-func waitFor(kind fault.Kind) time.Duration {
+func waitFor(kind apierror.Kind) time.Duration {
 	switch kind {
-	case fault.NotReady, fault.StateUnavailable:
+	case apierror.NotReady, apierror.StateUnavailable:
 		return time.Duration(float64(retryAfterElection) * (1 + retryJitter*rand.Float64()))
 	}
 	return retryAfterDefault
@@ -29,7 +29,7 @@
 
 // fail gives an answer of the proxy's own, by the table of kinds. It carries no seal. The wait, for answers that tell when to
 // come back, is 0 where nobody named one.
-func fail(w http.ResponseWriter, kind fault.Kind, wait time.Duration) {
+func fail(w http.ResponseWriter, kind apierror.Kind, wait time.Duration) {
 	answer := kind.Answer()
 	text := kind.String() + "\n"
 	header := w.Header()
@@ -43,14 +43,14 @@
 		if wait <= 0 {
 			wait = waitFor(kind)
 		}
-		header[headerRetryAfter] = []string{fault.FormatRetryAfter(wait)}
+		header[headerRetryAfter] = []string{apierror.FormatRetryAfter(wait)}
 	}
 	w.WriteHeader(answer.Status)
 	io.WriteString(w, text)
 }
 
 // fail answers the call, as fail does.
-func (c *call) fail(kind fault.Kind, wait time.Duration) {
+func (c *call) fail(kind apierror.Kind, wait time.Duration) {
 	c.failed = true
 	c.proxy.refusals.add(kind)
 	c.proxy.closeIfDraining(c.writer.Header())
--- a/internal/system/proxy/failure_test.go
+++ b/internal/tier/proxy/failure_test.go
@@ -6,21 +6,21 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/fault"
+	"mastusher/internal/tier/apierror"
 )
 
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	const second = float64(time.Second)
 	for _, test := range []struct {
-		kind        fault.Kind
+		kind        apierror.Kind
 		wait        time.Duration // named by whoever refused
 		least, most time.Duration // told
 	}{
-		{fault.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
-		{fault.StateUnavailable, 0, 450 * time.Millisecond, 585 * time.Millisecond},
-		{fault.Overloaded, 0, 100 * time.Millisecond, 100 * time.Millisecond},
-		{fault.Overloaded, 70 * time.Millisecond, 70 * time.Millisecond, 70 * time.Millisecond},
-		{fault.NotReady, 70 * time.Millisecond, 70 * time.Millisecond, 70 * time.Millisecond},
+		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
+		{apierror.StateUnavailable, 0, 450 * time.Millisecond, 585 * time.Millisecond},
+		{apierror.Overloaded, 0, 100 * time.Millisecond, 100 * time.Millisecond},
+		{apierror.Overloaded, 70 * time.Millisecond, 70 * time.Millisecond, 70 * time.Millisecond},
+		{apierror.NotReady, 70 * time.Millisecond, 70 * time.Millisecond, 70 * time.Millisecond},
 	} {
 		for range 20 {
 			recorder := httptest.NewRecorder()
@@ -35,7 +35,7 @@
 		}
 	}
 	recorder := httptest.NewRecorder()
-	if fail(recorder, fault.MayHaveRun, 0); recorder.Header().Get(headerRetryAfter) != "" {
+	if fail(recorder, apierror.MayHaveRun, 0); recorder.Header().Get(headerRetryAfter) != "" {
 		t.Error("an answer that promises nothing tells when to come back")
 	}
 }
--- a/internal/system/proxy/fields.go
+++ b/internal/tier/proxy/fields.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/upstream"
 )
 
 // Header fields of the protocol, in the form that net/http keeps them in.
--- a/internal/system/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
 )
 
 // views is a Views that a test sets.
--- a/internal/system/proxy/front.go
+++ b/internal/tier/proxy/front.go
@@ -16,8 +16,8 @@
 	kitlog "github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network"
 )
 
 const (
--- a/internal/system/proxy/giveup_test.go
+++ b/internal/tier/proxy/giveup_test.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"testing"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
 )
 
 // shortGiveUpMs is a time for which routes hold requests that a test can wait for, and in which an endpoint surely answers.
--- a/internal/system/proxy/gone_test.go
+++ b/internal/tier/proxy/gone_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // workOn answers with a part and then works until its caller goes.
--- a/internal/system/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -5,10 +5,10 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/network"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/upstream"
 )
 
 // Options are what a Proxy is built from.
--- a/internal/system/proxy/planned_test.go
+++ b/internal/tier/proxy/planned_test.go
@@ -5,8 +5,8 @@
 	"net"
 	"testing"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 func TestChangesOfTheViewCutNothing(t *testing.T) {
--- a/internal/system/proxy/rank_test.go
+++ b/internal/tier/proxy/rank_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // slots is a stand-in for an endpoint that works on so many requests at once, and lets the most urgent of those that wait in
--- a/internal/system/proxy/recall_test.go
+++ b/internal/tier/proxy/recall_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 // listOf returns a list with one endpoint of each state, named e1, e2 and so on.
--- a/internal/system/proxy/refusals.go
+++ b/internal/tier/proxy/refusals.go
@@ -8,9 +8,9 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/metrics"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/metrics"
 )
 
 // refusalsInterval is the pace at which a proxy logs what it has answered by itself.
@@ -22,7 +22,7 @@
 // refusals counts a proxy's own answers by their kind, and notices outages.
 type refusals struct {
 	mutex  sync.Mutex
-	counts map[fault.Kind]int
+	counts map[apierror.Kind]int
 	served int
 	cause  error // of the last turn that the stores could not begin; nil: none since the last report
 
@@ -32,11 +32,11 @@
 }
 
 func newRefusals(options *Options) *refusals {
-	return &refusals{counts: map[fault.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.RecoveryBound, checks: options.Checks}}
+	return &refusals{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.RecoveryBound, checks: options.Checks}}
 }
 
 // add counts one answer.
-func (r *refusals) add(kind fault.Kind) {
+func (r *refusals) add(kind apierror.Kind) {
 	r.metrics.Refused(kind.String())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -58,11 +58,11 @@
 }
 
 // take returns what has come since the last call.
-func (r *refusals) take() (counts map[fault.Kind]int, served int, cause error) {
+func (r *refusals) take() (counts map[apierror.Kind]int, served int, cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts, served, cause = r.counts, r.served, r.cause
-	r.counts, r.served, r.cause = map[fault.Kind]int{}, 0, nil
+	r.counts, r.served, r.cause = map[apierror.Kind]int{}, 0, nil
 	return counts, served, cause
 }
 
@@ -83,12 +83,12 @@
 // report logs the counts, if there are any, and looks whether an outage goes on.
 func (r *refusals) report(now time.Time, logger log.Logger) {
 	counts, served, cause := r.take()
-	r.outage.observe(now, counts[fault.NotReady]+counts[fault.StateUnavailable], served)
+	r.outage.observe(now, counts[apierror.NotReady]+counts[apierror.StateUnavailable], served)
 	if len(counts) == 0 {
 		return
 	}
 	fields := []any{"msg", "own answers", "served", served}
-	for _, kind := range fault.Kinds() {
+	for _, kind := range apierror.Kinds() {
 		if counts[kind] > 0 {
 			fields = append(fields, kind.String(), counts[kind])
 		}
--- a/internal/system/proxy/refusals_test.go
+++ b/internal/tier/proxy/refusals_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/metrics"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/metrics"
 )
 
 func TestAnOutageThatLastsBreaksTheInvariantOnce(t *testing.T) {
@@ -54,9 +54,9 @@
 	// Given answers of a proxy's own, when they are reported, then kinds, counts and cause are told, and no second time.
 	var logged bytes.Buffer
 	counted := newRefusals(&Options{Metrics: metrics.New()})
-	counted.add(fault.StateUnavailable)
-	counted.add(fault.StateUnavailable)
-	counted.add(fault.NotReady)
+	counted.add(apierror.StateUnavailable)
+	counted.add(apierror.StateUnavailable)
+	counted.add(apierror.NotReady)
 	counted.addServed()
 	counted.noteCause(errors.New("no owner"))
 	counted.report(time.Unix(1, 0), log.NewLogfmtLogger(&logged))
--- a/internal/system/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Routes is a configuration made ready for matching. It doesn't change.
--- a/internal/system/proxy/scheduler.go
+++ b/internal/tier/proxy/scheduler.go
@@ -9,10 +9,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/schedule"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/balancer"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/view"
 )
 
 const (
@@ -33,8 +33,8 @@
 	now func() time.Duration
 
 	mutex   sync.Mutex
-	core    *schedule.Scheduler
-	queues  map[string]*schedule.Queue
+	core    *balancer.Scheduler
+	queues  map[string]*balancer.Queue
 	waiting map[uint64]*waiter
 	lastID  uint64
 	proxies int
@@ -56,7 +56,7 @@
 // ticket is the scheduler's own part of a choice.
 type ticket struct {
 	scheduler *Scheduler
-	attempt   schedule.Attempt
+	attempt   balancer.Attempt
 	left      time.Duration
 }
 
@@ -77,8 +77,8 @@
 func newScheduler(zone string, seed uint64, now func() time.Duration) *Scheduler {
 	return &Scheduler{
 		now:     now,
-		core:    schedule.New(schedule.Options{Zone: zone, Seed: seed, ZoneCharge: zoneCharge}),
-		queues:  make(map[string]*schedule.Queue),
+		core:    balancer.New(balancer.Options{Zone: zone, Seed: seed, ZoneCharge: zoneCharge}),
+		queues:  make(map[string]*balancer.Queue),
 		waiting: make(map[uint64]*waiter),
 		proxies: proxiesUntold,
 	}
@@ -137,7 +137,7 @@
 		decision = s.core.Choose(now, request)
 	}
 	if decision.Endpoint == nil {
-		return placing{err: refusalOf(decision.Refusal)}, decision.Refusal.Kind == schedule.Full
+		return placing{err: refusalOf(decision.Refusal)}, decision.Refusal.Kind == balancer.Full
 	}
 	t := &ticket{scheduler: s, attempt: decision.Attempt, left: request.TimeLeft}
 	s.core.Sent(now, &t.attempt)
@@ -166,13 +166,13 @@
 }
 
 // refusalOf returns a refusal in the proxy's words.
-func refusalOf(refusal schedule.Refusal) *Refusal {
-	kind := fault.Overloaded
+func refusalOf(refusal balancer.Refusal) *Refusal {
+	kind := apierror.Overloaded
 	switch refusal.Kind {
-	case schedule.NoEndpoint:
-		kind = fault.NoEndpoint
-	case schedule.Hopeless:
-		kind = fault.TimeTooShort
+	case balancer.NoEndpoint:
+		kind = apierror.NoEndpoint
+	case balancer.Hopeless:
+		kind = apierror.TimeTooShort
 	}
 	return &Refusal{Kind: kind, RetryAfter: refusal.RetryAfter}
 }
@@ -197,7 +197,7 @@
 	t := choice.Ticket.(*ticket)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.Done(s.now(), &t.attempt, schedule.Outcome{
+	s.core.Done(s.now(), &t.attempt, balancer.Outcome{
 		Kind:    kindOf(outcome, t.left),
 		Elapsed: outcome.Took,
 		Load:    parseLoad(outcome.Load),
@@ -207,39 +207,39 @@
 }
 
 // kindOf returns the scheduler's word for an outcome.
-func kindOf(outcome Outcome, left time.Duration) schedule.OutcomeKind {
+func kindOf(outcome Outcome, left time.Duration) balancer.OutcomeKind {
 	switch outcome.Result {
 	case Succeeded:
-		return schedule.Success
+		return balancer.Success
 	case Failed:
-		return schedule.ErrorStatus
+		return balancer.ErrorStatus
 	case NotRun:
 		if outcome.Misdirected {
-			return schedule.Misdirected
+			return balancer.Misdirected
 		}
-		return schedule.NeverRan
+		return balancer.NeverRan
 	case NeverSent:
-		return schedule.ConnectFailure
+		return balancer.ConnectFailure
 	case TimedOut, DeadlineHit:
-		return schedule.TimedOut
+		return balancer.TimedOut
 	case CalledOff:
-		return schedule.NotSent
+		return balancer.NotSent
 	case ClientGone:
 		if float64(outcome.Took) >= nearlyAll*float64(left) {
-			return schedule.TimedOut
+			return balancer.TimedOut
 		}
-		return schedule.Cancelled
+		return balancer.Cancelled
 	}
-	return schedule.Reset
+	return balancer.Reset
 }
 
 // requestOf returns what the scheduler needs to know of a request.
-func requestOf(facts *Facts) schedule.Request {
+func requestOf(facts *Facts) balancer.Request {
 	route := facts.Route
 	prefix, own := promptTokens(facts)
-	return schedule.Request{
+	return balancer.Request{
 		Service: facts.Service.Name,
-		Route: schedule.Route{Name: route.Name, Rank: route.Rank, Kind: route.Kind, Tries: route.Tries,
+		Route: balancer.Route{Name: route.Name, Rank: route.Rank, Kind: route.Kind, Tries: route.Tries,
 			Pinned: route.Pinned},
 		Retryable:    repeatable(route),
 		TimeLeft:     time.Until(facts.Deadline),
@@ -282,19 +282,19 @@
 }
 
 // parseLoad reads X-Server-Load: running, waiting, slots.
-func parseLoad(told string) schedule.Load {
+func parseLoad(told string) balancer.Load {
 	if told == "" {
-		return schedule.Load{}
+		return balancer.Load{}
 	}
 	running, rest, _ := strings.Cut(told, ",")
 	waiting, slots, _ := strings.Cut(rest, ",")
-	var load schedule.Load
+	var load balancer.Load
 	var failed [3]error
 	load.Running, failed[0] = strconv.Atoi(strings.TrimSpace(running))
 	load.Waiting, failed[1] = strconv.Atoi(strings.TrimSpace(waiting))
 	load.Slots, failed[2] = strconv.Atoi(strings.TrimSpace(slots))
 	if failed != [3]error{} {
-		return schedule.Load{}
+		return balancer.Load{}
 	}
 	return load
 }
--- a/internal/system/proxy/scheduler_test.go
+++ b/internal/tier/proxy/scheduler_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/schedule"
+	"mastusher/internal/tier/balancer"
+	"mastusher/internal/tier/model"
 )
 
 // newFacts returns a request of a route with that rank, which may wait for a second.
@@ -33,7 +33,7 @@
 func newFullScheduler(t *testing.T) (*Scheduler, Choice) {
 	t.Helper()
 	s := NewScheduler("z", 1)
-	s.core = schedule.New(schedule.Options{Zone: "z", Slots: 1})
+	s.core = balancer.New(balancer.Options{Zone: "z", Slots: 1})
 	s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
 	held, err := s.Choose(t.Context(), newFacts(0))
 	if err != nil || held.ID != "e" || held.Address != "127.0.0.1:1" || held.MaxConnections != 10 {
@@ -137,20 +137,20 @@
 	const left = time.Second
 	cases := []struct {
 		outcome Outcome
-		want    schedule.OutcomeKind
+		want    balancer.OutcomeKind
 	}{
-		{Outcome{Result: Succeeded}, schedule.Success},
-		{Outcome{Result: Failed}, schedule.ErrorStatus},
-		{Outcome{Result: NotRun}, schedule.NeverRan},
-		{Outcome{Result: NotRun, Misdirected: true}, schedule.Misdirected},
-		{Outcome{Result: NeverSent}, schedule.ConnectFailure},
-		{Outcome{Result: Broken}, schedule.Reset},
-		{Outcome{Result: TimedOut}, schedule.TimedOut},
-		{Outcome{Result: DeadlineHit}, schedule.TimedOut},
-		{Outcome{Result: ClientGone, Took: left / 2}, schedule.Cancelled},
-		{Outcome{Result: ClientGone, Took: left}, schedule.TimedOut},
-		{Outcome{Result: CalledOff}, schedule.NotSent},
-		{Outcome{Result: CalledOff, Took: left}, schedule.NotSent},
+		{Outcome{Result: Succeeded}, balancer.Success},
+		{Outcome{Result: Failed}, balancer.ErrorStatus},
+		{Outcome{Result: NotRun}, balancer.NeverRan},
+		{Outcome{Result: NotRun, Misdirected: true}, balancer.Misdirected},
+		{Outcome{Result: NeverSent}, balancer.ConnectFailure},
+		{Outcome{Result: Broken}, balancer.Reset},
+		{Outcome{Result: TimedOut}, balancer.TimedOut},
+		{Outcome{Result: DeadlineHit}, balancer.TimedOut},
+		{Outcome{Result: ClientGone, Took: left / 2}, balancer.Cancelled},
+		{Outcome{Result: ClientGone, Took: left}, balancer.TimedOut},
+		{Outcome{Result: CalledOff}, balancer.NotSent},
+		{Outcome{Result: CalledOff, Took: left}, balancer.NotSent},
 	}
 	for _, test := range cases {
 		if got := kindOf(test.outcome, left); got != test.want {
@@ -160,7 +160,7 @@
 }
 
 func TestFiguresInHeaders(t *testing.T) {
-	loads := map[string]schedule.Load{"3,0,8": {Running: 3, Slots: 8}, "1, 2, 3": {Running: 1, Waiting: 2, Slots: 3}, "": {}, "3,0": {}, "a,b,c": {}}
+	loads := map[string]balancer.Load{"3,0,8": {Running: 3, Slots: 8}, "1, 2, 3": {Running: 1, Waiting: 2, Slots: 3}, "": {}, "3,0": {}, "a,b,c": {}}
 	for told, want := range loads {
 		if got := parseLoad(told); got != want {
 			t.Errorf("load %q: %+v", told, got)
--- a/internal/system/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -12,9 +12,9 @@
 	"github.com/go-kit/log/level"
 	"github.com/labstack/echo/v4"
 
-	"mastusher/internal/system/metrics"
-	"mastusher/internal/system/network"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/upstream"
 )
 
 // readyPath is what the platform asks for.
--- a/internal/system/proxy/settle.go
+++ b/internal/tier/proxy/settle.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 const (
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/upstream"
 )
 
 func TestRequestsThatAShutdownGivesUpAreAnswered(t *testing.T) {
--- a/internal/system/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/upstream"
 )
 
 // deliverStream passes a stream on event by event. It returns true when the stream is to be taken up at another endpoint.
--- a/internal/system/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"strconv"
 
-	"mastusher/internal/system/fault"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
 )
 
 // turn is a program's turn that the stores know of.
@@ -61,7 +61,7 @@
 
 // begin has the turn's budget reserved and returns its chain, or why it isn't to be sent, with the error if the
 // stores gave no verdict.
-func (t *turn) begin(ctx context.Context, programs Programs, facts *Facts, budget int64, input []byte) (fault.Kind, []byte, error) {
+func (t *turn) begin(ctx context.Context, programs Programs, facts *Facts, budget int64, input []byte) (apierror.Kind, []byte, error) {
 	t.begun = true
 	result, err := programs.Begin(ctx, t.key, program.BeginTurn{
 		Turn:       t.id,
@@ -74,19 +74,19 @@
 		Input:      input,
 	})
 	if err != nil {
-		return fault.StateUnavailable, nil, err
+		return apierror.StateUnavailable, nil, err
 	}
 	switch result.Verdict {
 	case program.Taken:
-		return fault.None, result.Chain, nil
+		return apierror.None, result.Chain, nil
 	case program.BudgetSpent:
 		t.begun = false
-		return fault.BudgetSpent, nil, nil
+		return apierror.BudgetSpent, nil, nil
 	case program.NoSuchTurn:
 		t.begun = false
-		return fault.NoSuchTurn, nil, nil
+		return apierror.NoSuchTurn, nil, nil
 	}
-	return fault.StateUnavailable, nil, nil
+	return apierror.StateUnavailable, nil, nil
 }
 
 // end returns what the stores are told at the end of the turn.
--- a/internal/system/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 var turnFields = []string{"Program: p1", "Session: s1", "Finish-Ms: 5200", "Budget: 1080", "X-Token-Counts: 1840,135", "Previous: before"}
--- a/internal/system/proxy/waiting.go
+++ b/internal/tier/proxy/waiting.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"mastusher/internal/system/schedule"
+	"mastusher/internal/tier/balancer"
 )
 
 // leastPause is the shortest time after which a waiting request asks again by itself.
@@ -16,7 +16,7 @@
 	arrived := now - time.Since(facts.Arrived)
 	target := time.Duration(facts.Route.TargetMs) * time.Millisecond
 	s.lastID++
-	entry := schedule.NewWaiter(s.lastID, facts.Route.Rank, arrived, target, facts.Deadline.Sub(facts.Arrived))
+	entry := balancer.NewWaiter(s.lastID, facts.Route.Rank, arrived, target, facts.Deadline.Sub(facts.Arrived))
 	if entry.Until <= now {
 		return 0, nil, s.refusal(facts)
 	}
@@ -29,10 +29,10 @@
 	return entry.ID, w, nil
 }
 
-func (s *Scheduler) queue(service string) *schedule.Queue {
+func (s *Scheduler) queue(service string) *balancer.Queue {
 	queue := s.queues[service]
 	if queue == nil {
-		queue = schedule.NewQueue(mostWaiting)
+		queue = balancer.NewQueue(mostWaiting)
 		s.queues[service] = queue
 	}
 	return queue
--- a/internal/system/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // echoBody answers with the request's own body.
--- a/internal/system/replica/explore_change_test.go
+++ b/internal/tier/replica/explore_change_test.go
@@ -274,7 +274,7 @@
 	return after.IsOwner && after.Epoch == before.Epoch && after.Commit >= before.Last && slices.Equal(before.Members, after.Members)
 }
 
-// isWholeWithoutC is what retire.IsEmptied demands of a group.
+// isWholeWithoutC is what decommission.IsEmptied demands of a group.
 func isWholeWithoutC(status Status) bool {
 	if len(status.Members) != 3 {
 		return false
--- a/internal/system/rollout/register.go
+++ b/internal/tier/rollout/register.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/view"
 )
 
 // State is how far an order has come.
--- a/internal/system/rollout/register_test.go
+++ b/internal/tier/rollout/register_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
 )
 
 // firstOrder is the index of the order that register takes.
--- a/internal/system/rollout/trial_test.go
+++ b/internal/tier/rollout/trial_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/rollout"
+	"mastusher/internal/tier/rollout"
 )
 
 // The bounds that the orders of these tests keep to.
--- a/internal/system/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -7,7 +7,7 @@
 
 	"gopkg.in/yaml.v3"
 
-	"mastusher/internal/system/invalid"
+	"mastusher/internal/tier/validation"
 )
 
 // The highest values that make sense.
@@ -17,11 +17,11 @@
 	highestCount    = math.MaxInt32
 )
 
-// Parse reads and checks the content of a settings file. Its error holds all faults; see invalid.Faults.
+// Parse reads and checks the content of a settings file. Its error holds all faults; see validation.Faults.
 func Parse(raw []byte) (*Settings, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(raw, &document); err != nil {
-		return nil, &invalid.Fault{Reason: fmt.Sprintf("is no YAML: %v", err)}
+		return nil, &validation.Fault{Reason: fmt.Sprintf("is no YAML: %v", err)}
 	}
 	var faults error
 	top := section{faults: &faults}
--- a/internal/system/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/invalid"
+	"mastusher/internal/tier/validation"
 )
 
 const edgeFile = `
@@ -151,7 +151,7 @@
 			}
 			_, err := Parse([]byte(strings.Replace(edgeFile, c.old, c.new, 1)))
 			var keys []string
-			for _, fault := range invalid.Faults(err) {
+			for _, fault := range validation.Faults(err) {
 				keys = append(keys, fault.Place)
 			}
 			if c.keys[0] == "" {
@@ -169,7 +169,7 @@
 	for _, raw := range []string{"", "null", "{}", "---\n"} {
 		_, err := Parse([]byte(raw))
 		var keys []string
-		for _, fault := range invalid.Faults(err) {
+		for _, fault := range validation.Faults(err) {
 			keys = append(keys, fault.Place)
 		}
 		if diff := cmp.Diff(want, keys); diff != "" {
@@ -181,7 +181,7 @@
 func TestParseOfBytesThatAreNoYAML(t *testing.T) {
 	for _, raw := range []string{"a: [", "\x00", "\t- x", "a: *b"} {
 		_, err := Parse([]byte(raw))
-		if len(invalid.Faults(err)) == 0 {
+		if len(validation.Faults(err)) == 0 {
 			t.Errorf("%q: got %v, want a fault", raw, err)
 		}
 	}
@@ -207,7 +207,7 @@
 
 	writeFile(t, path, "role: x")
 	_, broken := Load(path)
-	if len(invalid.Faults(broken)) != 5 || !strings.Contains(broken.Error(), path) {
+	if len(validation.Faults(broken)) != 5 || !strings.Contains(broken.Error(), path) {
 		t.Errorf("given a broken file: got %v", broken)
 	}
 
@@ -324,7 +324,7 @@
 		if (parsed == nil) == (err == nil) {
 			t.Fatalf("got %v and %v", parsed, err)
 		}
-		if err != nil && len(invalid.Faults(err)) == 0 {
+		if err != nil && len(validation.Faults(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 		if err == nil && (parsed.Port(0) == 0 || parsed.Bounds.DrainWithin() < 0 || parsed.Heartbeat() <= 0) {
--- a/internal/system/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // at makes a call that takes from one second to another.
--- a/internal/system/simulation/checkturns.go
+++ b/internal/tier/simulation/checkturns.go
@@ -1,6 +1,6 @@
 package simulation
 
-import "mastusher/internal/system/standin"
+import "mastusher/internal/tier/standin"
 
 // checkTurns reports what must not have happened to programs.
 func checkTurns(h *history, ledger *standin.Ledger) []string {
--- a/internal/system/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // What clients do.
--- a/internal/system/simulation/damage_test.go
+++ b/internal/tier/simulation/damage_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // Given a store that was killed and of whose shards the snapshots are damaged, when it starts, then all shards are whole within 15 s:
--- a/internal/system/simulation/day.go
+++ b/internal/tier/simulation/day.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // Paces of those who use the tier during a day.
--- a/internal/system/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // stallPoll is the pace at which an operation looks whether its disk answers again.
--- a/internal/system/simulation/doubler_test.go
+++ b/internal/tier/simulation/doubler_test.go
@@ -8,9 +8,9 @@
 	"sync"
 	"testing"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/network/memorynetwork"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network/memorynetwork"
+	"mastusher/internal/tier/standin"
 )
 
 // doubler is an endpoint that sends each answer twice and keeps the connection.
--- a/internal/system/simulation/endpointfault.go
+++ b/internal/tier/simulation/endpointfault.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // endpointTrouble is what goes wrong at the endpoints.
--- a/internal/system/simulation/fleet.go
+++ b/internal/tier/simulation/fleet.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/network/memorynetwork"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/network/memorynetwork"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Options describe a fleet. A zero field takes its default.
--- a/internal/system/simulation/fleet_test.go
+++ b/internal/tier/simulation/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // startPatience bounds the start of a fleet.
--- a/internal/system/simulation/history.go
+++ b/internal/tier/simulation/history.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // content names a configuration: two with one number differ in their marks.
--- a/internal/system/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/network/memorynetwork"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/network/memorynetwork"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // class is a kind of machine.
--- a/internal/system/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 const (
--- a/internal/system/simulation/process.go
+++ b/internal/tier/simulation/process.go
@@ -13,10 +13,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/command"
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/network/memorynetwork"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/command"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/network/memorynetwork"
+	"mastusher/internal/tier/storage"
 )
 
 // role is what a process runs as.
--- a/internal/system/simulation/settings.go
+++ b/internal/tier/simulation/settings.go
@@ -9,7 +9,7 @@
 
 	"gopkg.in/yaml.v3"
 
-	"mastusher/internal/system/settings"
+	"mastusher/internal/tier/settings"
 )
 
 // Ports of all machines.
--- a/internal/system/simulation/shards.go
+++ b/internal/tier/simulation/shards.go
@@ -4,18 +4,18 @@
 	"context"
 	"time"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
 )
 
 // wholeShards counts the shards whose owner tells that all their replicas have caught up.
 func (f *Fleet) wholeShards() int {
-	pool := link.NewPoolOn(f.around.client)
+	pool := transport.NewPoolOn(f.around.client)
 	defer pool.Close()
 	whole := map[int]bool{}
 	for _, m := range f.of(storageClass) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, m.address(firstPort+wire.StorePort),
+		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, m.address(firstPort+wire.StorePort),
 			wire.MethodShardMembers, wire.ShardMembersRequest{})
 		cancel()
 		if err != nil {
--- a/internal/system/simulation/stories_test.go
+++ b/internal/tier/simulation/stories_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // story plays one in a bubble, on a fleet that serves, and judges what was seen.
--- a/internal/system/simulation/strike.go
+++ b/internal/tier/simulation/strike.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/standin"
 )
 
 // What the troubles are like.
--- a/internal/system/simulation/surroundings.go
+++ b/internal/tier/simulation/surroundings.go
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"mastusher/internal/system/network/memorynetwork"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/network/memorynetwork"
+	"mastusher/internal/tier/standin"
 )
 
 // Addresses of those around the tier.
--- a/internal/system/soak/checks_test.go
+++ b/internal/tier/soak/checks_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/localtier"
+	"mastusher/internal/tier/localtier"
 )
 
 const patience = 10 * time.Second
--- a/internal/system/soak/groups.go
+++ b/internal/tier/soak/groups.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"mastusher/internal/system/localtier"
+	"mastusher/internal/tier/localtier"
 )
 
 // groupsSeen is what the stores tell of the shards' groups.
--- a/internal/system/soak/machinery.go
+++ b/internal/tier/soak/machinery.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/localtier"
+	"mastusher/internal/tier/localtier"
 )
 
 // service is a process of the tier, which several troubles may hold down or stopped at the same time. It runs once none holds it
--- a/internal/system/soak/recover.go
+++ b/internal/tier/soak/recover.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/localtier"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/standin"
 )
 
 // errOnce ends a program at the first turn that isn't served.
--- a/internal/system/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -12,10 +12,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/command"
-	"mastusher/internal/system/localtier"
-	"mastusher/internal/system/network/cutnetwork"
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/command"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/network/cutnetwork"
+	"mastusher/internal/tier/storage"
 )
 
 // The environment of a role in a network that can be cut.
--- a/internal/system/soak/soak.go
+++ b/internal/tier/soak/soak.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/localtier"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/transport"
 )
 
 // Options of a run.
@@ -75,7 +75,7 @@
 	around   *localtier.Surroundings
 	services []*service
 	cuts     *cuts
-	pool     *link.Pool
+	pool     *transport.Pool
 	clients  *clients
 	operator *operator
 	shards   int
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, options.Plan.Length+playBound)
 	defer cancel()
 	r := &run{options: options, plan: options.Plan, began: time.Now(), random: rand.New(rand.NewPCG(options.Plan.Seed, runStream)),
-		pool: link.NewPool(), result: Result{FirstServed: map[string]time.Duration{}}}
+		pool: transport.NewPool(), result: Result{FirstServed: map[string]time.Duration{}}}
 	defer r.pool.Close()
 	if err := r.layOut(); err != nil {
 		return r.result, err
--- a/internal/system/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/localtier/localtiertest"
+	"mastusher/internal/tier/localtier/localtiertest"
 )
 
 // TestSoakOfRealProcesses plays two short plans at the same time. All bounds are those of the long runs.
 func TestSoakOfRealProcesses(t *testing.T) {
 	tier := localtiertest.Build(t, "mastusher/cmd/mastusher-tier")
-	soak := localtiertest.Build(t, "mastusher/cmd/tiersoak")
+	soak := localtiertest.Build(t, "mastusher/cmd/tier-soak")
 	const second = time.Second
 	plans := map[string]Plan{
 		"kills, pauses and lost answers, then a kill of everything": {Seed: 1, Length: 4 * second,
--- a/internal/system/soak/strike.go
+++ b/internal/tier/soak/strike.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mastusher/internal/system/localtier"
+	"mastusher/internal/tier/localtier"
 )
 
 // strike brings a trouble about and ends it.
--- a/internal/system/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/system/localtier"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/standin"
+	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/standin"
 )
 
 // losingConnection loses its answer: it ends once something was sent on it.
--- a/internal/system/standin/endpoint.go
+++ b/internal/tier/standin/endpoint.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // EndpointOptions are those that plain endpoints and model servers share.
--- a/internal/system/standin/endpoint_test.go
+++ b/internal/tier/standin/endpoint_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // patience bounds every wait of a test that goes as it should.
--- a/internal/system/standin/platform.go
+++ b/internal/tier/standin/platform.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // PlatformOptions describes the platform's list.
--- a/internal/system/storage/bench_test.go
+++ b/internal/tier/storage/bench_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // unsynced is a disk whose syncs do nothing, to see what a save costs apart from them.
--- a/internal/system/storage/compaction.go
+++ b/internal/tier/storage/compaction.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/gravitational/trace"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Compact replaces the log by a snapshot, whose parts are written as they come, and the entries that remain after it.
--- a/internal/system/storage/contents.go
+++ b/internal/tier/storage/contents.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"fmt"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // contents folds records into what a member recovers.
--- a/internal/system/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Given any steps of several processes that are killed or lose power at any change to the disk, when the next one starts,
--- a/internal/system/storage/damage_test.go
+++ b/internal/tier/storage/damage_test.go
@@ -4,8 +4,8 @@
 	"errors"
 	"testing"
 
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 const (
--- a/internal/system/storage/entry.go
+++ b/internal/tier/storage/entry.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"strconv"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // The parts of an entry's line. Most records are entries, so their lines are written and read by hand.
--- a/internal/system/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -6,7 +6,7 @@
 
 	"github.com/gravitational/trace"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // maxKeptBytes bounds the buffer that a group keeps from one save to the next.
--- a/internal/system/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // random returns a source of one repeated byte.
--- a/internal/system/storage/memorydisk/disk.go
+++ b/internal/tier/storage/memorydisk/disk.go
@@ -9,7 +9,7 @@
 	"slices"
 	"sync"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // ErrStopped is the answer to each call of a process that was stopped by StopAt, or to a file of an earlier process.
--- a/internal/system/storage/memorydisk/disk_test.go
+++ b/internal/tier/storage/memorydisk/disk_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // seeds is how many losses of power are tried.
--- a/internal/system/storage/memorydisk/file.go
+++ b/internal/tier/storage/memorydisk/file.go
@@ -4,7 +4,7 @@
 	"io"
 	"syscall"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // file is a file that a process has opened.
--- a/internal/system/storage/mutant_test.go
+++ b/internal/tier/storage/mutant_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // mutant is a disk that leaves out or reorders what the package asks of it, as a mistake in the package would.
--- a/internal/system/storage/open.go
+++ b/internal/tier/storage/open.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/gravitational/trace"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Open recovers a group from its files, or makes them if there are none. The snapshot comes without its state, which Parts
--- a/internal/system/storage/os_test.go
+++ b/internal/tier/storage/os_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"mastusher/internal/system/storage"
+	"mastusher/internal/tier/storage"
 )
 
 // openFolder opens the disk of a folder.
--- a/internal/system/storage/record.go
+++ b/internal/tier/storage/record.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // recordKind tells what a record holds.
--- a/internal/system/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Given any effects, whatever their data and numbers hold, when they are saved, then they are recovered as they were.
--- a/internal/system/storage/script_test.go
+++ b/internal/tier/storage/script_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 const groupName = "turns-1"
--- a/internal/system/storage/slot.go
+++ b/internal/tier/storage/slot.go
@@ -7,7 +7,7 @@
 
 	"github.com/gravitational/trace"
 
-	"mastusher/internal/system/replica"
+	"mastusher/internal/tier/replica"
 )
 
 // Parts hands the parts of a snapshot's state over in order. A part is valid until write returns. An error of write ends it
--- a/internal/system/storage/slot_test.go
+++ b/internal/tier/storage/slot_test.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"testing"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // Given a snapshot that comes in parts, when they are saved, then each takes one write and none a sync, and entries that are
--- a/internal/system/storage/trouble_test.go
+++ b/internal/tier/storage/trouble_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/gravitational/trace"
 
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // wantBroken checks that an error is the group's lasting one.
--- a/internal/system/store/excess.go
+++ b/internal/tier/store/excess.go
@@ -7,10 +7,10 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Pace of the questions about replicas that are in excess, and the patience with one.
@@ -154,12 +154,12 @@
 }
 
 // askByLink asks a store in a goroutine of its own.
-func askByLink(pool *link.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
+func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
 	return func(address string, done func(wire.ShardMembersAnswer, error)) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), membersLimit)
 			defer cancel()
-			done(link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
+			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
 		}()
 	}
 }
