--- a/internal/system/store/excess_race_test.go
+++ b/internal/tier/store/excess_race_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // haste is by how much the pauses of stores are shorter than they are.
--- a/internal/system/store/machine.go
+++ b/internal/tier/store/machine.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"sync/atomic"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/program"
 )
 
 // command is one entry of a shard's log: one about a program, or a note of the placement that the group begins to follow.
--- a/internal/system/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 func encode(t rapid.TB, value any) json.RawMessage {
--- a/internal/system/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -21,12 +21,12 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/store"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/store"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // What the stores of the measurement hold.
@@ -79,14 +79,14 @@
 	if err != nil {
 		return err
 	}
-	running := store.New(ctx, store.Options{ID: options.ID, Address: options.Address, Disk: disk, Pool: link.NewPool(),
+	running := store.New(ctx, store.Options{ID: options.ID, Address: options.Address, Disk: disk, Pool: transport.NewPool(),
 		Logger: log.NewNopLogger(), Seed: uint64(os.Getpid()), Now: time.Now})
 	if err := running.Recover(); err != nil {
 		return err
 	}
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	running.Register(handlers)
-	server, err := link.Listen(options.Address, handlers, log.NewNopLogger())
+	server, err := transport.Listen(options.Address, handlers, log.NewNopLogger())
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 type fleet struct {
 	b         *testing.B
 	processes []*storeProcess
-	pool      *link.Pool
+	pool      *transport.Pool
 	index     uint64
 	owners    [measuredShards]atomic.Pointer[string]
 	turns     atomic.Int64
@@ -206,7 +206,7 @@
 }
 
 func newFleet(b *testing.B, bytes int) *fleet {
-	f := &fleet{b: b, pool: link.NewPool(), index: 1, input: max(leastInput, bytes/mostTurns)}
+	f := &fleet{b: b, pool: transport.NewPool(), index: 1, input: max(leastInput, bytes/mostTurns)}
 	b.Cleanup(f.pool.Close)
 	for i := range 3 {
 		f.processes = append(f.processes, startStore(b, f.newOptions(fmt.Sprint("store-", i))))
@@ -268,7 +268,7 @@
 	settled := 0
 	for _, p := range f.processes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, f.pool, p.options.Address, wire.MethodShardMembers, wire.ShardMembersRequest{})
+		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, f.pool, p.options.Address, wire.MethodShardMembers, wire.ShardMembersRequest{})
 		cancel()
 		if err != nil {
 			continue
@@ -329,7 +329,7 @@
 			address = *known
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		result, err := link.Call[any, program.Result](ctx, f.pool, address, method, request)
+		result, err := transport.Call[any, program.Result](ctx, f.pool, address, method, request)
 		cancel()
 		if err == nil && result.Verdict == program.Taken {
 			f.owners[shard].Store(&address)
--- a/internal/system/store/opening_test.go
+++ b/internal/tier/store/opening_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
 )
 
 // stuckDisk doesn't answer for the files of one group until it is let go.
--- a/internal/system/store/recover.go
+++ b/internal/tier/store/recover.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"strings"
 
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/view"
 )
 
 // Recover opens the shards whose members this store's disk knows, so that their groups elect owners while the placement is
--- a/internal/system/store/recover_late_test.go
+++ b/internal/tier/store/recover_late_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
 )
 
 // TestAShardThatOpensAfterThePlacementFollowsIt has the placement come while the store hasn't read its shards.
--- a/internal/system/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/go-kit/log"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/view"
 )
 
 // newQuietStore returns a store whose groups are driven by nobody and whose messages go nowhere.
--- a/internal/system/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -8,10 +8,10 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // recordPause is the time after which a group's log is told of a placement again.
--- a/internal/system/store/store.go
+++ b/internal/tier/store/store.go
@@ -16,14 +16,14 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/invariant"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Times of a shard's group.
@@ -44,7 +44,7 @@
 	ID      string // identity on its disk
 	Address string // of its link
 	Disk    storage.Disk
-	Pool    *link.Pool
+	Pool    *transport.Pool
 	Logger  log.Logger
 	Seed    uint64
 	Now     func() time.Time
@@ -121,12 +121,12 @@
 func (s *Store) Failed() <-chan error { return s.failures }
 
 // Register adds what the store answers.
-func (s *Store) Register(handlers *link.Handlers) {
-	link.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) { s.Deliver(envelope) })
-	link.Handle(handlers, wire.MethodBeginTurn, s.begin)
-	link.Handle(handlers, wire.MethodEndTurn, s.end)
-	link.Handle(handlers, wire.MethodChain, s.chain)
-	link.Handle(handlers, wire.MethodShardMembers, s.members)
+func (s *Store) Register(handlers *transport.Handlers) {
+	transport.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) { s.Deliver(envelope) })
+	transport.Handle(handlers, wire.MethodBeginTurn, s.begin)
+	transport.Handle(handlers, wire.MethodEndTurn, s.end)
+	transport.Handle(handlers, wire.MethodChain, s.chain)
+	transport.Handle(handlers, wire.MethodShardMembers, s.members)
 }
 
 // openPause is the time after which shards are tried again that couldn't be opened.
@@ -209,10 +209,10 @@
 
 func groupName(number int) string { return groupPrefix + strconv.Itoa(number) }
 
-func sendByLink(pool *link.Pool) func(address string, envelope group.Envelope) {
+func sendByLink(pool *transport.Pool) func(address string, envelope group.Envelope) {
 	return func(address string, envelope group.Envelope) {
 		// A message that can't be queued is lost like any other; the group sends again.
-		_ = link.Notify(pool, address, wire.MethodReplica, envelope)
+		_ = transport.Notify(pool, address, wire.MethodReplica, envelope)
 	}
 }
 
--- a/internal/system/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -10,13 +10,13 @@
 	"github.com/go-kit/log"
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/group"
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/replica"
-	"mastusher/internal/system/storage/memorydisk"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // patience bounds every wait of a test that goes as it should.
@@ -168,26 +168,26 @@
 	s := newStore(t, memorydisk.New())
 	s.Place(4, alone(1))
 	settle(t, s, 1, 4)
-	handlers := link.NewHandlers()
+	handlers := transport.NewHandlers()
 	s.Register(handlers)
-	server, err := link.Listen(freeAddress(t), handlers, log.NewNopLogger())
+	server, err := transport.Listen(freeAddress(t), handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	defer pool.Close()
 	ctx := testContext(t)
-	got, err := link.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Turn: *beginTurn("a").Begin})
+	got, err := transport.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Turn: *beginTurn("a").Begin})
 	if err != nil || got.Verdict != program.Taken {
 		t.Errorf("begun: %v, %v", got, err)
 	}
-	_, err = link.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Shard: 5, Turn: *beginTurn("b").Begin})
-	var remote *link.RemoteError
+	_, err = transport.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Shard: 5, Turn: *beginTurn("b").Begin})
+	var remote *transport.RemoteError
 	if !errors.As(err, &remote) || remote.Kind != wire.KindNotOwner {
 		t.Errorf("a shard that isn't held: %v", err)
 	}
-	answer, err := link.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, server.Address(), wire.MethodShardMembers, wire.ShardMembersRequest{})
+	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, server.Address(), wire.MethodShardMembers, wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) != 1 {
 		t.Fatalf("members: %v, %v", answer, err)
 	}
--- a/internal/system/link/doc.go
+++ b/internal/tier/transport/doc.go
@@ -1,4 +1,4 @@
-// Package link carries messages between the processes of the tier: JSON lines over TCP and JSON datagrams over UDP, both
+// Package transport carries messages between the processes of the tier: JSON lines over TCP and JSON datagrams over UDP, both
 // on one address.
 //
 // A line is an object with its parts in a fixed order:
@@ -15,7 +15,7 @@
 //
 // A line that does not have this form closes its connection. Lines of one kind keep their order on a connection; a call
 // may overtake a notice.
-package link
+package transport
 
 import "time"
 
--- a/internal/system/link/meter.go
+++ b/internal/tier/transport/meter.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 // Meter counts what goes out on connections. Its methods are called by many goroutines and must not block.
 type Meter interface {
--- a/internal/system/link/pool.go
+++ b/internal/tier/transport/pool.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // Pool keeps one connection for each address, dialled when it is first needed.
--- a/internal/system/link/server.go
+++ b/internal/tier/transport/server.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // Server takes lines and datagrams at one address.
--- a/internal/system/link/stream.go
+++ b/internal/tier/transport/stream.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
--- a/internal/system/upstream/abandon_test.go
+++ b/internal/tier/upstream/abandon_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/upstream"
 )
 
 func TestAbandonedRequestIsReset(t *testing.T) {
--- a/internal/system/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // readBufferBytes is the size of a connection's read buffer: an answer's head and a small body in one call.
--- a/internal/system/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/upstream"
 )
 
 // received is a request as it came over the wire.
--- a/internal/system/upstream/options.go
+++ b/internal/tier/upstream/options.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mastusher/internal/system/network"
+	"mastusher/internal/tier/network"
 )
 
 // Options are the settings of a Pool. A zero field takes its default.
--- a/internal/system/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/upstream"
+	"mastusher/internal/tier/upstream"
 )
 
 func answerShortly(socket net.Conn, request received) bool {
--- a/internal/system/invalid/fault.go
+++ b/internal/tier/validation/fault.go
@@ -1,5 +1,5 @@
-// Package invalid lists what is wrong with a document that was read, each fault with its place.
-package invalid
+// Package validation lists what is wrong with a document that was read, each fault with its place.
+package validation
 
 import (
 	"errors"
--- a/internal/system/invalid/fault_test.go
+++ b/internal/tier/validation/fault_test.go
@@ -1,4 +1,4 @@
-package invalid
+package validation
 
 import (
 	"fmt"
--- a/internal/system/tally/tally.go
+++ b/internal/tier/versionstats/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts, inside one proxy, what the versions of each service's software have answered, so that a roll-out
+// Package versionstats counts, inside one proxy, what the versions of each service's software have answered, so that a roll-out
 // can be judged by what all proxies have seen together.
-package tally
+package versionstats
 
 import (
 	"cmp"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/proxy"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/proxy"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // silence is the time without a first byte after which a client that goes counts against the endpoint.
--- a/internal/system/tally/tally_test.go
+++ b/internal/tier/versionstats/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package versionstats
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/proxy"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/proxy"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // scheduler sends each request to the endpoint that its attempt names, and keeps the tickets that it gets back.
--- a/internal/system/view/view.go
+++ b/internal/tier/view/view.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"strconv"
 
-	"mastusher/internal/system/model"
+	"mastusher/internal/tier/model"
 )
 
 // Stamp orders the contents of one section: by the epoch of the owner that wrote it, then by its sequence number.
@@ -41,7 +41,7 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// AppendJSON implements link.Appender.
+// AppendJSON implements transport.Appender.
 func (p Piece) AppendJSON(buffer []byte) ([]byte, error) {
 	section, err := json.Marshal(p.Section)
 	if err != nil {
--- a/internal/system/feed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -1,6 +1,6 @@
-// Package feed keeps a proxy's view: it takes what the agent on the same machine sends, and goes on with the last it was
+// Package viewfeed keeps a proxy's view: it takes what the agent on the same machine sends, and goes on with the last it was
 // given while the agent is away.
-package feed
+package viewfeed
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/programclient"
-	"mastusher/internal/system/proxy"
-	"mastusher/internal/system/view"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/programclient"
+	"mastusher/internal/tier/proxy"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
 )
 
 // Pauses between tries to reach the agent.
@@ -35,7 +35,7 @@
 // Feed holds a proxy's view. It implements proxy.Views.
 type Feed struct {
 	address   string // of the agent's link
-	pool      *link.Pool
+	pool      *transport.Pool
 	programs  *programclient.Client
 	endpoints Endpoints
 	logger    log.Logger
@@ -46,7 +46,7 @@
 }
 
 // New returns a feed that knows nothing yet.
-func New(address string, pool *link.Pool, programs *programclient.Client, endpoints Endpoints, logger log.Logger) *Feed {
+func New(address string, pool *transport.Pool, programs *programclient.Client, endpoints Endpoints, logger log.Logger) *Feed {
 	return &Feed{address: address, pool: pool, programs: programs, endpoints: endpoints, logger: logger, digest: view.Digest{}}
 }
 
@@ -64,7 +64,7 @@
 	pause := firstPause
 	for ctx.Err() == nil {
 		request := wire.FetchRequest{Digest: f.digest}
-		err := link.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(piece view.Piece) error {
+		err := transport.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(piece view.Piece) error {
 			pause = firstPause
 			f.take(piece)
 			return nil
--- a/internal/system/feed/feed_test.go
+++ b/internal/tier/viewfeed/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package viewfeed
 
 import (
 	"encoding/json"
@@ -8,10 +8,10 @@
 	"github.com/go-kit/log"
 	"github.com/google/go-cmp/cmp"
 
-	"mastusher/internal/system/link"
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/programclient"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/programclient"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
 )
 
 // endpoints records what a feed hands on.
@@ -26,7 +26,7 @@
 }
 
 func newFeed(t *testing.T) (*Feed, *endpoints) {
-	pool := link.NewPool()
+	pool := transport.NewPool()
 	t.Cleanup(pool.Close)
 	taken := &endpoints{}
 	return New("127.0.0.1:1", pool, programclient.New(pool, 0), taken, log.NewNopLogger()), taken
--- a/internal/system/wire/heldchain.go
+++ b/internal/tier/wire/heldchain.go
@@ -3,7 +3,7 @@
 import (
 	"crypto/sha256"
 
-	"mastusher/internal/system/program"
+	"mastusher/internal/tier/program"
 )
 
 // chainSumBytes is the length of a sum: two chains with the same one are the same.
--- a/internal/system/wire/heldchain_test.go
+++ b/internal/tier/wire/heldchain_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/wire"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
 )
 
 // Given any texts that an asker holds, then what is left out is the beginning of the chain, and one of them.
--- a/internal/system/wire/wire.go
+++ b/internal/tier/wire/wire.go
@@ -2,10 +2,10 @@
 package wire
 
 import (
-	"mastusher/internal/system/model"
-	"mastusher/internal/system/program"
-	"mastusher/internal/system/rollout"
-	"mastusher/internal/system/view"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/view"
 )
 
 // The methods.
@@ -109,7 +109,7 @@
 	Pieces []view.Piece `json:"pieces"`
 }
 
-// AppendJSON implements link.Appender.
+// AppendJSON implements transport.Appender.
 func (a FetchAnswer) AppendJSON(buffer []byte) ([]byte, error) {
 	buffer = append(buffer, `{"pieces":[`...)
 	for i, piece := range a.Pieces {
--- a/guest/guest.go
+++ b/pluginsdk/guest.go
@@ -1,6 +1,6 @@
 //go:build wasip1
 
-package guest
+package pluginsdk
 
 import (
 	"errors"
@@ -58,13 +58,13 @@
 
 // Why the relay did not do what it was asked for.
 var (
-	ErrOwned   = errors.New("guest: the protocol owns it")
-	ErrUnclean = errors.New("guest: characters that a header can't hold")
-	ErrLarge   = errors.New("guest: too large, or too many")
-	ErrPhase   = errors.New("guest: not in this phase")
-	ErrLocked  = errors.New("guest: this front does not allow it")
-	ErrLooser  = errors.New("guest: it would make the relay less careful")
-	ErrAbsent  = errors.New("guest: there is no such thing")
+	ErrOwned   = errors.New("pluginsdk: the protocol owns it")
+	ErrUnclean = errors.New("pluginsdk: characters that a header can't hold")
+	ErrLarge   = errors.New("pluginsdk: too large, or too many")
+	ErrPhase   = errors.New("pluginsdk: not in this phase")
+	ErrLocked  = errors.New("pluginsdk: this front does not allow it")
+	ErrLooser  = errors.New("pluginsdk: it would make the relay less careful")
+	ErrAbsent  = errors.New("pluginsdk: there is no such thing")
 )
 
 var refusals = []error{nil, ErrOwned, ErrUnclean, ErrLarge, ErrPhase, ErrLocked, ErrLooser, ErrAbsent}
@@ -73,7 +73,7 @@
 	if n <= 0 && int(-n) < len(refusals) {
 		return refusals[-n]
 	}
-	return errors.New("guest: refused")
+	return errors.New("pluginsdk: refused")
 }
 
 const (
