--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -12,7 +12,7 @@
 // TestMutants builds the module with its logic altered in small ways; the corpus must tell each from the one that made
 // it, in a turn that it names, and the one unaltered not.
 func TestMutants(t *testing.T) {
-	policy, err := filepath.Abs("../../control/control.go")
+	policy, err := filepath.Abs("../../../control/control.go")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/capture/testdata/replayer/main.go
+++ b/internal/relay/capture/testdata/replayer/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"mastusher/internal/capture"
+	"mastusher/internal/relay/capture"
 )
 
 func main() {
--- a/internal/relay/fleet/testcluster/rig_test.go
+++ b/internal/relay/fleet/testcluster/rig_test.go
@@ -30,7 +30,7 @@
 
 // TestScenarios plays what stands in deploy/fleet with real processes.
 func TestScenarios(t *testing.T) {
-	all, err := List("../../../deploy/fleet")
+	all, err := List("../../../../deploy/fleet")
 	if err != nil || len(all) == 0 {
 		t.Fatal(err, len(all))
 	}
--- a/internal/relay/simulator/lab_test.go
+++ b/internal/relay/simulator/lab_test.go
@@ -285,7 +285,7 @@
 // were lost (0.948 of the worth in these three runs), and no trial went while such calls held half of the slots.
 func TestHangs(t *testing.T) {
 	t.Parallel()
-	text, err := os.ReadFile("../../deploy/lab/outage.toml")
+	text, err := os.ReadFile("../../../deploy/lab/outage.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
