--- /dev/null
+++ b/internal/tier/program/stored_format_test.go
@@ -0,0 +1,160 @@
+package program
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The files in testdata were written before the names in this package changed. Commands lie in logs on disk, chunks in
+// snapshots, and both travel between stores of two versions, so the bytes must stay.
+
+// golden reads a file of testdata without the line feed at its end.
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.TrimSuffix(data, []byte("\n"))
+}
+
+// goldenLines unpacks a file of testdata with one record a line.
+func goldenLines(t *testing.T, name string) [][]byte {
+	t.Helper()
+	unpacking, err := gzip.NewReader(bytes.NewReader(golden(t, name)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := io.ReadAll(unpacking)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.Split(bytes.TrimSuffix(data, []byte("\n")), []byte("\n"))
+}
+
+// storedEntries holds one value of every kind that is encoded, each field set.
+var storedEntries = []struct {
+	file  string
+	value any
+	empty func() any
+}{
+	{"begin.json", &Command{Begin: &BeginTurn{
+		Turn: "turn 2", Program: "program", Budget: 1000, Most: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
+		Input: []byte("input\x00\xff"), Imported: []byte("chain\xfe"), AtMs: startMs,
+	}}, func() any { return &Command{} }},
+	{"begin-least.json", &Command{Begin: &BeginTurn{}}, func() any { return &Command{} }},
+	{"end.json", &Command{End: &EndTurn{Turn: "turn 2", Whole: true, Tokens: 80, Output: []byte("output\x00\xff"), AtMs: startMs + 1}},
+		func() any { return &Command{} }},
+	{"end-least.json", &Command{End: &EndTurn{}}, func() any { return &Command{} }},
+	{"result-taken.json", &Result{Verdict: Taken, Chain: []byte("chain\xfe")}, func() any { return &Result{} }},
+	{"result-budget.json", &Result{Verdict: BudgetSpent}, func() any { return &Result{} }},
+	{"result-missing.json", &Result{Verdict: NoSuchTurn}, func() any { return &Result{} }},
+	{"result-unknown.json", &Result{Verdict: Unknown}, func() any { return &Result{} }},
+	{"chunk.json", &Image{
+		NowMs: startMs, HeardMs: startMs + 1, Number: 2, GoesOn: true,
+		More:     &contentsRecord{Input: []byte("input\xff"), Output: []byte("output\xff")},
+		Programs: []programRecord{{Name: "program <é>", Limit: 1000, Spent: 80, Reserved: 120, UsedMs: startMs - 1}},
+		Turns: []turnRecord{{
+			Turn: "turn \"3\"", State: imported, Remembered: true, Program: "program <é>", Most: 100, Parent: 1, KeepMs: 60_000, DueMs: startMs + 2,
+			Input: []byte("in"), Output: []byte("out"),
+		}},
+	}, func() any { return &Image{} }},
+}
+
+func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
+	for _, test := range storedEntries {
+		t.Run(test.file, func(t *testing.T) {
+			want := golden(t, test.file)
+			read := test.empty()
+			if err := json.Unmarshal(want, read); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(test.value, read, cmp.AllowUnexported(Image{})); diff != "" {
+				t.Errorf("values (-want +read):\n%s", diff)
+			}
+			written, err := json.Marshal(test.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(string(want), string(written)); diff != "" {
+				t.Errorf("bytes (-want +written):\n%s", diff)
+			}
+			if image, ok := test.value.(*Image); ok {
+				if diff := cmp.Diff(string(want), string(image.JSON())); diff != "" {
+					t.Errorf("bytes by hand (-want +written):\n%s", diff)
+				}
+			}
+		})
+	}
+}
+
+// storedMachine holds a turn in each state, on programs with and without a limit.
+func storedMachine() *Machine {
+	machine := New()
+	machine.Apply(bring("in flight", "elsewhere", "[chain of elsewhere]", "[in 1]"))
+	first := ask("complete", "elsewhere", "[in 2]", 1)
+	first.Begin.Program, first.Begin.Budget, first.Begin.Most = "limited", 1000, 100
+	machine.Apply(first)
+	machine.Apply(end("complete", true, 80, "[out 2]", 2))
+	next := ask("next", "complete", "[in 3]", 3)
+	next.Begin.Program, next.Begin.Most = "limited", 50
+	machine.Apply(next)
+	machine.Apply(begin("broken", "free", 0, 10))
+	machine.Apply(end("broken", false, 3, "", 4))
+	return machine
+}
+
+func TestStoredFormat_SnapshotOfEarlierVersion_RestoresSameState(t *testing.T) {
+	want := golden(t, "snapshot.json")
+	machine := storedMachine()
+	if diff := cmp.Diff(string(want), string(machine.Snapshot())); diff != "" {
+		t.Errorf("bytes (-want +written):\n%s", diff)
+	}
+	restored := filled(2)
+	if err := restored.Restore(want); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
+		t.Errorf("state (-want +restored):\n%s", diff)
+	}
+	if chain, found := restored.Chain("complete"); !found || string(chain) != "[chain of elsewhere][in 2][out 2]" {
+		t.Errorf("chain %q, %v", chain, found)
+	}
+	if want := (Stats{Turns: 4, Programs: 2, Bytes: 45}); restored.Stats() != want {
+		t.Errorf("%+v, want %+v", restored.Stats(), want)
+	}
+}
+
+func TestStoredFormat_ChunksOfEarlierVersion_RestoreSameState(t *testing.T) {
+	// given a chunk a line: one with records, and those of a turn that is larger than a chunk
+	stored := goldenLines(t, "chunks.jsonl.gz")
+	machine := storedMachine()
+	machine.Apply(ask("large", "", strings.Repeat("i", 150_000), 5))
+	machine.Apply(end("large", true, 1, strings.Repeat("o", 50_000), 6))
+	// when a machine writes the same state, then the bytes are the same
+	written := partsOf(t, machine)
+	if len(written) != len(stored) {
+		t.Fatalf("%d chunks, want %d", len(written), len(stored))
+	}
+	for i := range stored {
+		if !bytes.Equal(stored[i], written[i]) {
+			t.Errorf("chunk %d has other bytes", i)
+		}
+	}
+	// and when one is restored from the files, then it holds the same
+	restored := filled(2)
+	if err := restoredFrom(restored, stored); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
+		t.Errorf("state (-want +restored):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/tier/programclient/wire_format_test.go
@@ -0,0 +1,76 @@
+package programclient
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
+)
+
+// exchanged holds each body that proxies and stores exchange about turns, each field set.
+var exchanged = []struct {
+	file  string
+	value any
+	empty func() any
+}{
+	{"begin-request.json", &wire.BeginTurn{
+		Shard: 3,
+		Turn: program.BeginTurn{
+			Turn: "turn 2", Program: "program", Budget: 1000, Most: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
+			Input: []byte("input\xff"), Imported: []byte("chain\xfe"), AtMs: 1_700_000_000_000,
+		},
+		Held: []wire.HeldChain{{Bytes: 5, Sum: wire.SumOf([]byte("chain"))}},
+	}, func() any { return &wire.BeginTurn{} }},
+	{"begin-answer.json", &wire.BegunTurn{Result: program.Result{Verdict: program.Taken, Chain: []byte("rest\xff")}, Held: 1},
+		func() any { return &wire.BegunTurn{} }},
+	{"begin-refused.json", &wire.BegunTurn{Result: program.Result{Verdict: program.BudgetSpent}}, func() any { return &wire.BegunTurn{} }},
+	{"end-request.json", &wire.EndTurn{
+		Shard: 3, Turn: program.EndTurn{Turn: "turn 2", Whole: true, Tokens: 80, Output: []byte("output\xff"), AtMs: 1_700_000_000_001},
+	}, func() any { return &wire.EndTurn{} }},
+	{"end-answer.json", &program.Result{Verdict: program.Unknown}, func() any { return &program.Result{} }},
+	{"chain-request.json", &wire.ChainRequest{Shard: 3, Turn: "turn 1"}, func() any { return &wire.ChainRequest{} }},
+	{"chain-answer.json", &wire.ChainAnswer{Found: true, Chain: []byte("chain\xfe")}, func() any { return &wire.ChainAnswer{} }},
+	{"members-answer.json", &wire.ShardMembersAnswer{Shards: []wire.ShardMembers{
+		{Shard: 3, Epoch: 7, Placement: 11, IDs: []string{"a", "b"}, CaughtUp: []string{"a"}},
+	}}, func() any { return &wire.ShardMembersAnswer{} }},
+}
+
+func TestWireFormat_ReadsBodiesOfEarlierVersions(t *testing.T) {
+	for _, test := range exchanged {
+		t.Run(test.file, func(t *testing.T) {
+			data, err := os.ReadFile(filepath.Join("testdata", test.file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := bytes.TrimSuffix(data, []byte("\n"))
+			read := test.empty()
+			if err := json.Unmarshal(want, read); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(test.value, read); diff != "" {
+				t.Errorf("values (-want +read):\n%s", diff)
+			}
+			written, err := json.Marshal(test.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(string(want), string(written)); diff != "" {
+				t.Errorf("bytes (-want +written):\n%s", diff)
+			}
+		})
+	}
+}
+
+func TestWireFormat_MethodsAndErrorKindOfEarlierVersions_AreUnchanged(t *testing.T) {
+	got := []string{wire.MethodBeginTurn, wire.MethodEndTurn, wire.MethodChain, wire.MethodShardMembers, wire.KindNotOwner}
+	want := []string{"turn.begin", "turn.end", "turn.chain", "shard.members", "not_owner"}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
