--- /dev/null
+++ b/internal/tier/group/format_test.go
@@ -0,0 +1,91 @@
+package group
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/tier/replica"
+)
+
+// formatEnvelopes are envelopes with each kind of message and of entry; together they set each field.
+var formatEnvelopes = []Envelope{
+	{Group: "g", Message: replica.Message{Kind: replica.AskVote, From: "a", To: "b", Epoch: 3, Trial: true, Index: 7, LogEpoch: 2,
+		Address: "a:1", Voluntary: true}},
+	{Group: "g", Message: replica.Message{Kind: replica.AnswerVote, From: "b", To: "a", Epoch: 3, Trial: true, Rejected: true, Address: "b:1"}},
+	{Group: "g", Message: replica.Message{Kind: replica.Append, From: "a", To: "b", Epoch: 3, Index: 7, LogEpoch: 2, Commit: 6, Round: 9,
+		Address: "a:1", Voluntary: true, Entries: []replica.Entry{
+			{Index: 8, Epoch: 3, Kind: replica.Opening},
+			{Index: 9, Epoch: 3, Kind: replica.Command, Data: json.RawMessage(`{"o":"a@1","t":4,"c":{"x":1}}`)},
+			{Index: 10, Epoch: 3, Kind: replica.Membership, Data: json.RawMessage(`[{"id":"a","address":"a:1"},{"id":"c","address":"c:1","learner":true}]`)},
+		}}},
+	{Group: "g", Message: replica.Message{Kind: replica.AnswerAppend, From: "b", To: "a", Epoch: 3, Index: 10, LogEpoch: 2, Rejected: true,
+		Hint: 5, Round: 9, Address: "b:1"}},
+	{Group: "g", Message: replica.Message{Kind: replica.InstallSnapshot, From: "a", To: "b", Epoch: 3, Part: 1, Address: "a:1",
+		Snapshot: &replica.Snapshot{Index: 6, Epoch: 2, Members: []replica.Member{{ID: "a", Address: "a:1"},
+			{ID: "c", Address: "c:1", Learner: true}}, Parts: 2, State: json.RawMessage(`{"s":[1,2]}`)}}},
+	{Group: "g", Message: replica.Message{Kind: replica.AnswerSnapshot, From: "b", To: "a", Epoch: 3, Index: 6, Part: 1, Rejected: true, Address: "b:1"}},
+}
+
+// formatProposal is a command as it lies in an entry of the log.
+var formatProposal = proposed{Origin: "a@1f", Token: 4, Command: json.RawMessage(`{"x":1}`)}
+
+// Members of earlier versions send these bytes, and read them.
+func TestWireFormat_ReadsMessagesOfEarlierVersions(t *testing.T) {
+	t.Parallel()
+	golden, err := os.ReadFile(filepath.Join("testdata", "format", "envelopes.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := bytes.Split(bytes.TrimSuffix(golden, []byte("\n")), []byte("\n"))
+	if len(lines) != len(formatEnvelopes) {
+		t.Fatalf("%d envelopes on file, want %d", len(lines), len(formatEnvelopes))
+	}
+	for i, want := range formatEnvelopes {
+		t.Run(string(want.Message.Kind), func(t *testing.T) {
+			t.Parallel()
+			var got Envelope
+			decoder := json.NewDecoder(bytes.NewReader(lines[i]))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(&got); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(want, got); diff != "" {
+				t.Errorf("envelope (-want +got):\n%s", diff)
+			}
+			written, err := want.AppendJSON(nil)
+			if err != nil || !bytes.Equal(written, lines[i]) {
+				t.Errorf("written as %s, %v, want %s", written, err, lines[i])
+			}
+		})
+	}
+}
+
+// Entries of a log on disk hold these bytes.
+func TestStoredFormat_ReadsProposalsOfEarlierVersions(t *testing.T) {
+	t.Parallel()
+	golden, err := os.ReadFile(filepath.Join("testdata", "format", "proposal.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden = bytes.TrimSuffix(golden, []byte("\n"))
+	for name, data := range map[string][]byte{"as_written": golden, "in_any_other_form": append([]byte(" "), golden...)} {
+		got, err := readProposed(data)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if diff := cmp.Diff(formatProposal, got); diff != "" {
+			t.Errorf("%s (-want +got):\n%s", name, diff)
+		}
+	}
+	if written := appendProposed(nil, &formatProposal); !bytes.Equal(written, golden) {
+		t.Errorf("written as %s, want %s", written, golden)
+	}
+	if written, err := json.Marshal(formatProposal); err != nil || !bytes.Equal(written, golden) {
+		t.Errorf("marshaled as %s, %v, want %s", written, err, golden)
+	}
+}
--- /dev/null
+++ b/internal/tier/replica/format_test.go
@@ -0,0 +1,69 @@
+package replica
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// formatValues are values of all types that are stored or sent, by the name of their golden file; each sets all fields.
+var formatValues = map[string]any{
+	"hard_state": Promise{Epoch: 3, Vote: "a"},
+	"member":     Member{ID: "a", Address: "a:1", Learner: true},
+	"entry":      Entry{Index: 9, Epoch: 3, Kind: Membership, Data: json.RawMessage(`[{"id":"a","address":"a:1"}]`)},
+	"snapshot": Snapshot{Index: 6, Epoch: 2, Members: []Member{{ID: "a", Address: "a:1", Learner: true}}, Parts: 2,
+		State: json.RawMessage(`{"s":1}`)},
+	"message": Message{Kind: Append, From: "a", To: "b", Epoch: 3, Trial: true, Index: 7, LogEpoch: 2, Commit: 6,
+		Entries: []Entry{{Index: 8, Epoch: 3, Kind: Opening}}, Rejected: true, Hint: 5, Round: 9,
+		Snapshot: &Snapshot{Index: 6, Epoch: 2, Members: []Member{{ID: "a"}}, Parts: 2}, Part: 1, Address: "a:1", Voluntary: true},
+}
+
+// Members of earlier versions have these bytes on their disks, and send them.
+func TestStoredFormat_ReadsValuesOfEarlierVersions(t *testing.T) {
+	t.Parallel()
+	for name, want := range formatValues {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			golden, err := os.ReadFile(filepath.Join("testdata", "format", name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden = bytes.TrimSuffix(golden, []byte("\n"))
+			value := reflect.ValueOf(want)
+			for i := range value.NumField() {
+				if value.Field(i).IsZero() {
+					t.Errorf("field %s is not set", value.Type().Field(i).Name)
+				}
+			}
+			got := reflect.New(value.Type())
+			decoder := json.NewDecoder(bytes.NewReader(golden))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(got.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(want, got.Elem().Interface()); diff != "" {
+				t.Errorf("value (-want +got):\n%s", diff)
+			}
+			if written, err := json.Marshal(want); err != nil || !bytes.Equal(written, golden) {
+				t.Errorf("written as %s, %v, want %s", written, err, golden)
+			}
+		})
+	}
+}
+
+// The kinds stand for themselves in messages and in records.
+func TestStoredFormat_KindsKeepTheirValues(t *testing.T) {
+	t.Parallel()
+	messages := []MessageKind{AskVote, AnswerVote, Append, AnswerAppend, InstallSnapshot, AnswerSnapshot}
+	if diff := cmp.Diff([]MessageKind{"ask_vote", "answer_vote", "append", "answer_append", "install_snapshot", "answer_snapshot"}, messages); diff != "" {
+		t.Error(diff)
+	}
+	if diff := cmp.Diff([]EntryKind{0, 1, 2}, []EntryKind{Command, Opening, Membership}); diff != "" {
+		t.Error(diff)
+	}
+}
