--- /dev/null
+++ b/internal/tier/storage/format_test.go
@@ -0,0 +1,314 @@
+package storage_test
+
+import (
+	"encoding/json"
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
+)
+
+var updateFormat = flag.Bool("update-format", false, "write testdata/format anew; only for a format that is meant to change")
+
+// formatFixture is a group's files as one history of calls leaves them. They lie in testdata/format/<name>.
+type formatFixture struct {
+	write  func(t *testing.T, disk *memorydisk.Disk)
+	want   replica.Recovered // without the snapshot's state
+	chunks []string          // of the snapshot's state
+}
+
+var (
+	formatMembers = []replica.Member{{ID: "0a1b", Address: "10.0.0.1:7380"}, {ID: "2c\n\"", Address: "10.0.0.2:7380", Learner: true}}
+	formatEntries = []replica.Entry{
+		{Index: 1, Epoch: 3, Kind: replica.Opening},
+		{Index: 2, Epoch: 3, Kind: replica.Command, Data: json.RawMessage(`{"begin":{"turn":"t-1"}}`)},
+		{Index: 3, Epoch: 4, Kind: replica.Membership, Data: json.RawMessage(`[{"id":"0a1b","address":"10.0.0.1:7380"}]`)},
+		{Index: 4, Epoch: 4, Kind: replica.Command, Data: json.RawMessage("\"\x00\x1fG\x01 and\na line\"")},
+	}
+	formatReplacement = replica.Entry{Index: 4, Epoch: 5, Kind: replica.Opening}
+	formatTail        = replica.Entry{Index: 5, Epoch: 5, Kind: replica.Command, Data: json.RawMessage(`"five"`)}
+	formatPromise     = replica.Promise{Epoch: 5, Vote: "2c\n\""}
+)
+
+// formatSnapshot is a snapshot whose state comes in so many parts.
+func formatSnapshot(index uint64, parts int) *replica.Snapshot {
+	return &replica.Snapshot{Index: index, Epoch: 4, Members: formatMembers, Parts: parts}
+}
+
+// formatChunks hands texts over as the parts of a snapshot's state.
+func formatChunks(chunks ...string) storage.Parts {
+	return func(write func(part json.RawMessage) error) error {
+		for _, chunk := range chunks {
+			if err := write(json.RawMessage(chunk)); err != nil {
+				return err
+			}
+		}
+		return nil
+	}
+}
+
+// formatLog saves entries of every kind, promises and a cut.
+func formatLog(t *testing.T, disk *memorydisk.Disk) *storage.Group {
+	t.Helper()
+	group, _, err := storage.Open(disk, groupName)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, effects := range []replica.Effects{
+		{Promise: &replica.Promise{Epoch: 3}},
+		{Append: formatEntries[:2]},
+		{Promise: &replica.Promise{Epoch: 4, Vote: "0a1b"}, Append: formatEntries[2:]},
+		{Promise: &formatPromise, Truncate: 4, Append: []replica.Entry{formatReplacement}},
+	} {
+		if err := group.Save(&effects); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return group
+}
+
+// formatCompacted compacts that log once and saves one more entry.
+func formatCompacted(t *testing.T, disk *memorydisk.Disk) *storage.Group {
+	t.Helper()
+	group := formatLog(t, disk)
+	remaining := []replica.Entry{formatEntries[2], formatReplacement}
+	if err := group.Compact(*formatSnapshot(2, 3), formatChunks(`{"a":`, `1`, `}`), remaining, formatPromise); err != nil {
+		t.Fatal(err)
+	}
+	if err := group.Save(&replica.Effects{Append: []replica.Entry{formatTail}}); err != nil {
+		t.Fatal(err)
+	}
+	return group
+}
+
+// formatStopped saves or compacts with a process that ends at a change of the disk.
+func formatStopped(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
+	t.Helper()
+	disk.StopAt(change, effect)
+	if err := act(); !errors.Is(err, memorydisk.ErrStopped) {
+		t.Fatalf("got %v, want a process that was stopped", err)
+	}
+	disk.Kill()
+}
+
+var formatFixtures = map[string]formatFixture{
+	"log": {
+		write: func(t *testing.T, disk *memorydisk.Disk) { formatLog(t, disk) },
+		want:  replica.Recovered{Promise: formatPromise, Entries: []replica.Entry{formatEntries[0], formatEntries[1], formatEntries[2], formatReplacement}},
+	},
+	"compacted": {
+		write: func(t *testing.T, disk *memorydisk.Disk) { formatCompacted(t, disk) },
+		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
+		chunks: []string{`{"a":`, `1`, `}`},
+	},
+	"both-slots": {
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			if err := group.Compact(*formatSnapshot(5, 2), formatChunks(`{"b"`, `:2}`), nil, formatPromise); err != nil {
+				t.Fatal(err)
+			}
+		},
+		want:   replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(5, 2)},
+		chunks: []string{`{"b"`, `:2}`},
+	},
+	"installed": { // a snapshot that another member sent, and an entry behind it
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			for number, state := range []string{`[3,`, `4]`} {
+				effects := replica.Effects{Received: []replica.Part{{Number: number, State: json.RawMessage(state)}}}
+				if number == 1 {
+					effects.Install, effects.Promise = formatSnapshot(9, 2), &replica.Promise{Epoch: 6}
+					effects.Append = []replica.Entry{{Index: 10, Epoch: 6, Kind: replica.Opening}}
+				}
+				if err := group.Save(&effects); err != nil {
+					t.Fatal(err)
+				}
+			}
+		},
+		want: replica.Recovered{Promise: replica.Promise{Epoch: 6}, Snapshot: formatSnapshot(9, 2),
+			Entries: []replica.Entry{{Index: 10, Epoch: 6, Kind: replica.Opening}}},
+		chunks: []string{`[3,`, `4]`},
+	},
+	"received": { // a snapshot of which one part has come: it counts for nothing
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			if err := group.Save(&replica.Effects{Received: []replica.Part{{State: json.RawMessage(`[3,`)}}}); err != nil {
+				t.Fatal(err)
+			}
+		},
+		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
+		chunks: []string{`{"a":`, `1`, `}`},
+	},
+	"slot-begun": { // a compaction that ended within its slot's last frame
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			formatStopped(t, disk, 2, memorydisk.Half, func() error {
+				return group.Compact(*formatSnapshot(5, 1), formatChunks(`{}`), nil, formatPromise)
+			})
+		},
+		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
+		chunks: []string{`{"a":`, `1`, `}`},
+	},
+	"log-begun": { // a compaction that ended within the first frame of its log
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			formatStopped(t, disk, 6, memorydisk.Half, func() error {
+				return group.Compact(*formatSnapshot(4, 1), formatChunks(`{}`), []replica.Entry{formatTail}, formatPromise)
+			})
+		},
+		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
+		chunks: []string{`{"a":`, `1`, `}`},
+	},
+	"torn": { // a save that ended within its frame
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			group := formatCompacted(t, disk)
+			formatStopped(t, disk, 0, memorydisk.Half, func() error {
+				return group.Save(&replica.Effects{Append: []replica.Entry{{Index: 6, Epoch: 5, Data: json.RawMessage(`"six"`)}}})
+			})
+		},
+		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
+		chunks: []string{`{"a":`, `1`, `}`},
+	},
+	"identity": {
+		write: func(t *testing.T, disk *memorydisk.Disk) {
+			if _, _, err := storage.Identity(disk, random(0xa7)); err != nil {
+				t.Fatal(err)
+			}
+		},
+	},
+}
+
+// filesOf returns what each file of a disk holds.
+func filesOf(t *testing.T, disk storage.Disk) map[string]string {
+	t.Helper()
+	names, err := disk.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, name := range names {
+		files[name] = string(content(t, disk, name))
+	}
+	return files
+}
+
+// storedFormat reads the files of a fixture.
+func storedFormat(t *testing.T, name string) map[string]string {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join("testdata", "format", name, "*"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("got files %q and %v", paths, err)
+	}
+	files := map[string]string{}
+	for _, path := range paths {
+		data, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[filepath.Base(path)] = string(data)
+	}
+	return files
+}
+
+// Given the calls that wrote the stored files, when they are made again, then the files have the same bytes.
+func TestStoredFormat_WritesTheBytesOfEarlierVersions(t *testing.T) {
+	for name, fixture := range formatFixtures {
+		t.Run(name, func(t *testing.T) {
+			disk := memorydisk.New()
+			fixture.write(t, disk)
+			written := filesOf(t, disk)
+			if *updateFormat {
+				writeFormat(t, name, written)
+			}
+			if text := cmp.Diff(storedFormat(t, name), written); text != "" {
+				t.Error(text)
+			}
+		})
+	}
+}
+
+// writeFormat stores the files of a fixture.
+func writeFormat(t *testing.T, name string, files map[string]string) {
+	t.Helper()
+	folder := filepath.Join("testdata", "format", name)
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for file, data := range files {
+		if err := os.WriteFile(filepath.Join(folder, file), []byte(data), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// writeSynced makes a file that outlasts a loss of power.
+func writeSynced(t *testing.T, disk storage.Disk, name, data string) {
+	t.Helper()
+	if err := write(disk, name, []byte(data)); err != nil {
+		t.Fatal(err)
+	}
+	file, err := disk.Open(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := errors.Join(file.Sync(), file.Close(), disk.SyncFolder()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Given files that an earlier version has written, when a group is opened, then each value in them is recovered, and twice the same.
+func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
+	for name, fixture := range formatFixtures {
+		if name == "identity" {
+			continue
+		}
+		t.Run(name, func(t *testing.T) {
+			disk := memorydisk.New()
+			for file, data := range storedFormat(t, name) {
+				writeSynced(t, disk, file, data)
+			}
+			for range 2 {
+				group, recovered, err := storage.Open(disk, groupName)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if text := diff(fixture.want, recovered); text != "" {
+					t.Error(text)
+				}
+				var chunks []string
+				if err := group.Parts(func(part json.RawMessage) error { chunks = append(chunks, string(part)); return nil }); err != nil {
+					t.Fatal(err)
+				}
+				if text := cmp.Diff(fixture.chunks, chunks); text != "" {
+					t.Error(text)
+				}
+				disk.LosePower(1)
+			}
+		})
+	}
+}
+
+// Given the identity file of an earlier version, when the machine starts, then it has that identity.
+func TestStoredFormat_ReadsTheIdentityOfEarlierVersions(t *testing.T) {
+	disk := memorydisk.New()
+	if err := write(disk, "identity", []byte(storedFormat(t, "identity")["identity"])); err != nil {
+		t.Fatal(err)
+	}
+	id, created, err := storage.Identity(disk, random(1))
+	if err != nil || created || id != strings.Repeat("a7", 16) {
+		t.Fatalf("got %q, %v and %v", id, created, err)
+	}
+}
