--- a/internal/tier/balancer/scheduler.go
+++ b/internal/tier/balancer/balancer.go
@@ -7,12 +7,12 @@
 	"mastusher/internal/tier/view"
 )
 
-// Options is what a Scheduler is told at its start.
+// Options is what a Balancer is told at its start.
 type Options struct {
-	Zone       string        // of this proxy
-	Seed       uint64        // differs from proxy to proxy, so that they don't act alike
-	Slots      int           // calls out at once
-	ZoneCharge time.Duration // what leaving the zone costs, as time; 0: the default
+	Zone             string        // of this proxy
+	Seed             uint64        // differs from proxy to proxy, so that they don't act alike
+	MaxInFlight      int           // calls out at once
+	CrossZonePenalty time.Duration // what leaving the zone costs, as time; 0: the default
 }
 
 // Defaults of the options.
@@ -28,8 +28,8 @@
 	endpointKept = time.Minute
 )
 
-// Scheduler makes the decisions of one proxy for all services. It is not safe for concurrent use.
-type Scheduler struct {
+// Balancer makes the decisions of one proxy for all services. It is not safe for concurrent use.
+type Balancer struct {
 	options   Options
 	now       time.Duration
 	random    uint64
@@ -41,14 +41,14 @@
 }
 
 // New returns a scheduler that knows no endpoint.
-func New(options Options) *Scheduler {
-	if options.Slots <= 0 {
-		options.Slots = defaultSlots
+func New(options Options) *Balancer {
+	if options.MaxInFlight <= 0 {
+		options.MaxInFlight = defaultSlots
 	}
-	if options.ZoneCharge <= 0 {
-		options.ZoneCharge = defaultZoneCharge
+	if options.CrossZonePenalty <= 0 {
+		options.CrossZonePenalty = defaultZoneCharge
 	}
-	return &Scheduler{
+	return &Balancer{
 		options:   options,
 		random:    mix(options.Seed + 1),
 		services:  map[string]*service{},
@@ -58,17 +58,17 @@
 }
 
 // advance takes the time; a clock that goes back stands still.
-func (s *Scheduler) advance(now time.Duration) { s.now = max(s.now, now) }
+func (s *Balancer) advance(now time.Duration) { s.now = max(s.now, now) }
 
 // draw is the next number in [0, 1) of the scheduler's own sequence.
-func (s *Scheduler) draw() float64 {
+func (s *Balancer) draw() float64 {
 	s.random += 0x9e3779b97f4a7c15
 	return float64(mix(s.random)>>11) / (1 << 53)
 }
 
 // SetEndpoints takes over the whole list of endpoints, which must not be changed afterwards. Those that are draining or
 // have left the list get nothing new; what they have under way still settles.
-func (s *Scheduler) SetEndpoints(now time.Duration, list []model.Endpoint) {
+func (s *Balancer) SetEndpoints(now time.Duration, list []model.Endpoint) {
 	s.advance(now)
 	for _, svc := range s.services {
 		svc.endpoints = svc.endpoints[:0]
@@ -102,7 +102,7 @@
 }
 
 // learn returns the endpoint of that ID, which it makes at need.
-func (s *Scheduler) learn(m *model.Endpoint) *endpoint {
+func (s *Balancer) learn(m *model.Endpoint) *endpoint {
 	cold := s.now + time.Duration(m.ColdLeftMs)*time.Millisecond
 	if e := s.endpoints[m.ID]; e != nil && e.model.Service == m.Service {
 		e.coldUntil = min(e.coldUntil, cold)
@@ -116,7 +116,7 @@
 	}
 	e := &endpoint{model: m, service: svc, hash: hashString(m.ID), coldUntil: cold}
 	if m.Zone != s.options.Zone {
-		e.zoneCharge = s.options.ZoneCharge.Seconds()
+		e.zoneCharge = s.options.CrossZonePenalty.Seconds()
 	}
 	e.tieBreak = float64(mix(e.hash^s.options.Seed)>>11) / (1 << 53)
 	s.endpoints[m.ID] = e
@@ -124,7 +124,7 @@
 }
 
 // SetVersions takes over which versions of each service may take requests.
-func (s *Scheduler) SetVersions(versions []view.ServiceVersions) {
+func (s *Balancer) SetVersions(versions []view.ServiceVersions) {
 	clear(s.versions)
 	for _, v := range versions {
 		s.versions[v.Service] = v
--- a/internal/tier/balancer/schedule_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -19,14 +19,14 @@
 	return list
 }
 
-func newScheduler(list []model.Endpoint) *Scheduler {
+func newScheduler(list []model.Endpoint) *Balancer {
 	s := New(Options{Zone: "z0", Seed: 7})
 	s.SetEndpoints(0, list)
 	return s
 }
 
 func plain(service string) Request {
-	return Request{Service: service, Route: Route{Name: "r", Kind: model.Retryable, Tries: 3}, Retryable: true,
+	return Request{Service: service, Route: Route{Name: "r", Kind: model.Retryable, MaxAttempts: 3}, Retryable: true,
 		TimeLeft: 2 * time.Second}
 }
 
@@ -37,11 +37,11 @@
 }
 
 // call makes one attempt that ends after elapsed, and returns where it went.
-func call(t *testing.T, s *Scheduler, now time.Duration, r Request, kind OutcomeKind, elapsed time.Duration) string {
+func call(t *testing.T, s *Balancer, now time.Duration, r Request, kind OutcomeKind, elapsed time.Duration) string {
 	t.Helper()
-	d := s.Choose(now, r)
+	d := s.Select(now, r)
 	if d.Endpoint == nil {
-		t.Fatalf("refused: %v", d.Refusal)
+		t.Fatalf("refused: %v", d.Rejection)
 	}
 	s.Sent(now, &d.Attempt)
 	s.Done(now+elapsed, &d.Attempt, Outcome{Kind: kind, Elapsed: elapsed})
@@ -49,7 +49,7 @@
 }
 
 // teach makes calls of that length, one after the other, from now on, and returns the time after them.
-func teach(t *testing.T, s *Scheduler, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
+func teach(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
 	t.Helper()
 	for range calls {
 		call(t, s, now, r, Success, elapsed)
@@ -60,8 +60,8 @@
 
 func TestChooseWithoutATableMakesOneCallBoundedByTheTimeLeft(t *testing.T) {
 	s := newScheduler(fleetOf("feeds", 3, 6))
-	d := s.Choose(0, plain("feeds"))
-	if d.Endpoint == nil || !d.RunsOn || d.Timeout != 2*time.Second {
+	d := s.Select(0, plain("feeds"))
+	if d.Endpoint == nil || !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("decision %+v; want a call that runs on for the time left", d)
 	}
 }
@@ -77,17 +77,17 @@
 		name   string
 		list   []model.Endpoint
 		change func(*Request)
-		want   RefusalKind
+		want   RejectionKind
 	}{
 		{"the service has no endpoint", nil, nil, NoEndpoint},
 		{"all endpoints are draining", drained, nil, NoEndpoint},
 		{"two versions are listed and none is known to be in service", mixed, nil, NoEndpoint},
 		{"all endpoints have been tried", fleetOf("feeds", 2, 6),
 			func(r *Request) { r.Excluded = []string{"feeds-0", "feeds-1"} }, NoEndpoint},
-		{"all tries are used", fleetOf("feeds", 2, 6), func(r *Request) { r.TriesUsed = 3 }, Spent},
+		{"all tries are used", fleetOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
 		{"it may have run and must not run twice", fleetOf("feeds", 2, 6),
-			func(r *Request) { r.Retryable, r.MayHaveRun = false, true }, Spent},
-		{"no time is left", fleetOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, Spent},
+			func(r *Request) { r.Retryable, r.MayHaveRun = false, true }, AttemptsExhausted},
+		{"no time is left", fleetOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, AttemptsExhausted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,8 +96,8 @@
 			if test.change != nil {
 				test.change(&r)
 			}
-			if d := s.Choose(0, r); d.Endpoint != nil || d.Refusal.Kind != test.want {
-				t.Errorf("endpoint %v, refusal %v; want %v", d.Endpoint, d.Refusal.Kind, test.want)
+			if d := s.Select(0, r); d.Endpoint != nil || d.Rejection.Kind != test.want {
+				t.Errorf("endpoint %v, refusal %v; want %v", d.Endpoint, d.Rejection.Kind, test.want)
 			}
 		})
 	}
@@ -110,10 +110,10 @@
 
 	// When a request comes with 100 ms left, then it is refused; with 500 ms left it is sent.
 	r := plain("feeds")
-	if r.TimeLeft = 100 * time.Millisecond; s.Choose(now, r).Refusal.Kind != Hopeless {
+	if r.TimeLeft = 100 * time.Millisecond; s.Select(now, r).Rejection.Kind != DeadlineTooShort {
 		t.Error("a request with a third of the median left was not refused as hopeless")
 	}
-	if r.TimeLeft = 500 * time.Millisecond; s.Choose(now, r).Endpoint == nil {
+	if r.TimeLeft = 500 * time.Millisecond; s.Select(now, r).Endpoint == nil {
 		t.Error("a request with more than the median left was refused")
 	}
 }
@@ -133,23 +133,23 @@
 	now += 2 * time.Second
 
 	// When a retryable request comes, then it is cut long before its time is over.
-	d := s.Choose(now, plain("feeds"))
-	if d.RunsOn || d.Timeout > time.Second {
-		t.Errorf("retryable: time-out %v, runs on %v; want a restart within a second", d.Timeout, d.RunsOn)
+	d := s.Select(now, plain("feeds"))
+	if d.UntilDeadline || d.Timeout > time.Second {
+		t.Errorf("retryable: time-out %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
-	if d := s.Choose(now, onceOnly("feeds")); !d.RunsOn || d.Timeout != 2*time.Second {
-		t.Errorf("once only: time-out %v, runs on %v; want its time left", d.Timeout, d.RunsOn)
+	if d := s.Select(now, onceOnly("feeds")); !d.UntilDeadline || d.Timeout != 2*time.Second {
+		t.Errorf("once only: time-out %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
 	r := plain("feeds")
-	if r.Affordable = 1; !s.Choose(now, r).RunsOn {
+	if r.AffordableAttempts = 1; !s.Select(now, r).UntilDeadline {
 		t.Error("the only attempt that the budget pays for is cut")
 	}
 	// And so does one for which no other endpoint is left.
-	r.Affordable = 0
+	r.AffordableAttempts = 0
 	r.Excluded = []string{"feeds-0", "feeds-1"}
-	if d := s.Choose(now, r); !d.RunsOn {
+	if d := s.Select(now, r); !d.UntilDeadline {
 		t.Errorf("the last endpoint's call is cut after %v", d.Timeout)
 	}
 }
@@ -159,7 +159,7 @@
 	s := newScheduler(fleetOf("feeds", 2, 6))
 	now, counts := time.Duration(0), map[string]int{}
 	for range 200 {
-		d := s.Choose(now, plain("feeds"))
+		d := s.Select(now, plain("feeds"))
 		elapsed := 50 * time.Millisecond
 		if d.Endpoint.ID == "feeds-0" {
 			elapsed = 200 * time.Millisecond
@@ -179,10 +179,10 @@
 	now := time.Duration(0)
 	last := time.Duration(0)
 	for range 4 {
-		call(t, s, now, plain("feeds"), NeverRan, time.Millisecond)
+		call(t, s, now, plain("feeds"), NotRun, time.Millisecond)
 		now += time.Millisecond
-		d := s.Choose(now, plain("feeds"))
-		if d.Endpoint != nil || d.Refusal.Kind != Full || d.Refusal.RetryAfter <= 0 {
+		d := s.Select(now, plain("feeds"))
+		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 			t.Fatalf("decision %+v right after a refusal; want Full and a time to come back", d)
 		}
 		wait := s.endpoints["feeds-0"].health.waitUntil - now
@@ -200,12 +200,12 @@
 	// Given an endpoint that has refused a call.
 	list := fleetOf("feeds", 1, 6)
 	s := newScheduler(list)
-	call(t, s, 0, plain("feeds"), NeverRan, time.Millisecond)
+	call(t, s, 0, plain("feeds"), NotRun, time.Millisecond)
 	// When a list without it comes, and then one with it again.
 	s.SetEndpoints(2*time.Millisecond, nil)
 	s.SetEndpoints(3*time.Millisecond, list)
 	// Then nothing is sent there before the wait is over.
-	if d := s.Choose(4*time.Millisecond, plain("feeds")); d.Refusal.Kind != Full {
+	if d := s.Select(4*time.Millisecond, plain("feeds")); d.Rejection.Kind != Saturated {
 		t.Errorf("decision %+v, want Full", d)
 	}
 }
@@ -219,17 +219,17 @@
 	r := plain("feeds")
 	r.Excluded = others
 	for range failingStreak {
-		call(t, s, now, r, Reset, time.Millisecond)
+		call(t, s, now, r, IncompleteResponse, time.Millisecond)
 	}
 
 	// When retryable requests go on for two seconds.
 	probes := 0
 	for range 100 {
-		d := s.Choose(now, plain("feeds"))
+		d := s.Select(now, plain("feeds"))
 		kind := Success
 		if d.Endpoint.ID == sick {
 			probes++
-			kind = Reset
+			kind = IncompleteResponse
 		}
 		s.Sent(now, &d.Attempt)
 		s.Done(now+10*time.Millisecond, &d.Attempt, Outcome{Kind: kind, Elapsed: 10 * time.Millisecond})
@@ -241,7 +241,7 @@
 	}
 	// And a request that must not run twice is none.
 	now += 10 * time.Second
-	s.Choose(now, plain("feeds"))
+	s.Select(now, plain("feeds"))
 	for range 5 {
 		if got := call(t, s, now, onceOnly("feeds"), Success, time.Millisecond); got == sick {
 			t.Error("a request that must not run twice was used as a probe")
@@ -259,7 +259,7 @@
 	now := teach(t, s, 0, onceOnly("feeds"), 30, 30*time.Millisecond)
 	r := onceOnly("feeds")
 	r.Excluded = []string{"feeds-0"}
-	silent := s.Choose(now, r)
+	silent := s.Select(now, r)
 	s.Sent(now, &silent.Attempt)
 
 	// When a second has passed, then nothing else goes there.
@@ -276,23 +276,23 @@
 	// Given two endpoints of two slots that tell that they are full and their queues too.
 	s := newScheduler(fleetOf("feeds", 2, 2))
 	for range 2 {
-		d := s.Choose(0, plain("feeds"))
+		d := s.Select(0, plain("feeds"))
 		s.Sent(0, &d.Attempt)
-		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Waiting: 1, Slots: 2}})
+		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
 	// When a request comes, then it is refused with a time to come back; some time later it is tried.
-	if d := s.Choose(0, plain("feeds")); d.Refusal.Kind != Full || d.Refusal.RetryAfter <= 0 {
+	if d := s.Select(0, plain("feeds")); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 		t.Errorf("decision %+v, want Full", d)
 	}
-	if d := s.Choose(5*time.Second, plain("feeds")); d.Endpoint == nil {
-		t.Errorf("refused (%v) by what was told 5 s ago", d.Refusal.Kind)
+	if d := s.Select(5*time.Second, plain("feeds")); d.Endpoint == nil {
+		t.Errorf("refused (%v) by what was told 5 s ago", d.Rejection.Kind)
 	}
 }
 
 func TestCancelledCallCountsAsRunning(t *testing.T) {
 	s := newScheduler(fleetOf("feeds", 1, 6))
 	now := teach(t, s, 0, onceOnly("feeds"), 8, 200*time.Millisecond)
-	d := s.Choose(now, onceOnly("feeds"))
+	d := s.Select(now, onceOnly("feeds"))
 	s.Sent(now, &d.Attempt)
 	s.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
 	e := s.endpoints["feeds-0"]
@@ -317,10 +317,10 @@
 			for i := range 1000 {
 				r := plain("feeds")
 				if pinned {
-					r.Affinity, r.Route.Pinned = uint64(i+1)*0x9e3779b97f4a7c15, true
+					r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 				}
 				now := time.Duration(i) * 10 * time.Millisecond
-				d := s.Choose(now, r)
+				d := s.Select(now, r)
 				s.Sent(now, &d.Attempt)
 				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 				if d.Endpoint.Number == "v2" {
@@ -336,8 +336,8 @@
 
 // turnOf returns a turn of a program with that affinity.
 func turnOf(affinity uint64) Request {
-	return Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, Tries: 1, Pinned: true},
-		TimeLeft: 4 * time.Second, PrefixTokens: 2000, NewTokens: 300, OutTokens: 24, Affinity: affinity}
+	return Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
+		TimeLeft: 4 * time.Second, PrefixTokens: 2000, NewTokens: 300, OutTokens: 24, AffinityKey: affinity}
 }
 
 func TestAffinityIsAgreedOnWithoutTalk(t *testing.T) {
@@ -352,7 +352,7 @@
 		b.SetEndpoints(0, list)
 		places, counts := map[uint64]string{}, map[string]int{}
 		for key := uint64(1); key <= 300; key++ {
-			at, bt := a.Choose(0, turnOf(mix(key))).Endpoint, b.Choose(0, turnOf(mix(key))).Endpoint
+			at, bt := a.Select(0, turnOf(mix(key))).Endpoint, b.Select(0, turnOf(mix(key))).Endpoint
 			// Then they agree.
 			if at.ID != bt.ID {
 				t.Fatalf("zone %s, key %d: %s and %s", test.zone, key, at.ID, bt.ID)
@@ -373,7 +373,7 @@
 		// And when one endpoint leaves, only what it held moves.
 		a.SetEndpoints(0, list[1:])
 		for key := uint64(1); key <= 300; key++ {
-			moved := a.Choose(0, turnOf(mix(key))).Endpoint.ID != places[key]
+			moved := a.Select(0, turnOf(mix(key))).Endpoint.ID != places[key]
 			if moved != (places[key] == list[0].ID) {
 				t.Fatalf("zone %s, key %d of %s: moved %v", test.zone, key, places[key], moved)
 			}
@@ -395,7 +395,7 @@
 			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", Share: 0.05}})
 			for key := range uint64(4000) {
 				now := time.Duration(key) * 10 * time.Millisecond
-				d := s.Choose(now, turnOf(mix(key+1)))
+				d := s.Select(now, turnOf(mix(key+1)))
 				s.Sent(now, &d.Attempt)
 				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 				if d.Endpoint.Number == "v2" {
@@ -406,7 +406,7 @@
 			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
 			after := map[string]bool{}
 			for key := range uint64(4000) {
-				after[s.Choose(time.Minute, turnOf(mix(key+1))).Endpoint.ID] = true
+				after[s.Select(time.Minute, turnOf(mix(key+1))).Endpoint.ID] = true
 			}
 			if zone := test.endpoints / 4; len(after) < zone {
 				t.Errorf("%d endpoints, after the trial: %d are chosen, want the %d of the zone at least", test.endpoints, len(after), zone)
@@ -421,11 +421,11 @@
 
 func TestCrowdedPreferredEndpointIsPassedOver(t *testing.T) {
 	s := newScheduler(fleetOf("models", 9, 8))
-	r := Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, Tries: 1, Pinned: true},
-		TimeLeft: 4 * time.Second, PrefixTokens: 500, NewTokens: 300, OutTokens: 24, Affinity: 12345}
-	preferred, elsewhere := s.Choose(0, r).Endpoint.ID, false
+	r := Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
+		TimeLeft: 4 * time.Second, PrefixTokens: 500, NewTokens: 300, OutTokens: 24, AffinityKey: 12345}
+	preferred, elsewhere := s.Select(0, r).Endpoint.ID, false
 	for range 12 {
-		d := s.Choose(0, r)
+		d := s.Select(0, r)
 		attempt := d.Attempt
 		s.Sent(0, &attempt)
 		elsewhere = elsewhere || d.Endpoint.ID != preferred
@@ -436,12 +436,12 @@
 }
 
 func TestOneEndpointHoldsAtMostItsPartOfTheSlots(t *testing.T) {
-	s := New(Options{Seed: 1, Slots: 16})
+	s := New(Options{Seed: 1, MaxInFlight: 16})
 	list := fleetOf("feeds", 1, 1000)
 	s.SetEndpoints(0, list)
 	attempts := make([]Attempt, 0, 20)
 	for {
-		d := s.Choose(0, onceOnly("feeds"))
+		d := s.Select(0, onceOnly("feeds"))
 		if d.Endpoint == nil {
 			break
 		}
@@ -452,7 +452,7 @@
 		t.Errorf("one endpoint held %d of 16 slots, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
-	s.Choose(5*time.Second, onceOnly("feeds"))
+	s.Select(5*time.Second, onceOnly("feeds"))
 	if got := s.cap(s.endpoints["feeds-0"]); got != 8 {
 		t.Errorf("cap while calls overrun: %d, want 8", got)
 	}
@@ -461,17 +461,17 @@
 func TestRetriesAreEarned(t *testing.T) {
 	s := newScheduler(fleetOf("feeds", 4, 6))
 	r := plain("feeds")
-	r.TriesUsed, r.MayHaveRun = 1, true
+	r.AttemptsUsed, r.MayHaveRun = 1, true
 	sent := 0
-	for s.Choose(0, r).Endpoint != nil {
-		call(t, s, 0, r, Reset, time.Millisecond)
+	for s.Select(0, r).Endpoint != nil {
+		call(t, s, 0, r, IncompleteResponse, time.Millisecond)
 		sent++
 	}
 	if sent != int(budgetMost/2) {
 		t.Errorf("%d retries without a success, want %d", sent, int(budgetMost/2))
 	}
 	now := teach(t, s, 10*time.Second, plain("feeds"), 5, 10*time.Millisecond)
-	if s.Choose(now, r).Endpoint == nil {
+	if s.Select(now, r).Endpoint == nil {
 		t.Error("five successes earned no retry")
 	}
 }
--- a/internal/tier/balancer/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -16,19 +16,19 @@
 				s := newScheduler(fleetOf("feeds", n, 6))
 				attempts := make([]Attempt, 20)
 				r := plain("feeds")
-				r.Route.Pinned = pinned
+				r.Route.UsesAffinity = pinned
 				b.ReportAllocs()
 				now, i := time.Duration(0), 0
 				for b.Loop() {
 					now += 5 * time.Millisecond
 					a := &attempts[i%len(attempts)]
 					if a.sent {
-						s.Done(now, a, Outcome{Elapsed: now - a.sentAt, Load: Load{Running: 2, Slots: 6}})
+						s.Done(now, a, Outcome{Elapsed: now - a.sentAt, Load: Load{Running: 2, Capacity: 6}})
 					}
 					if pinned {
-						r.Affinity = mix(uint64(i%500 + 1))
+						r.AffinityKey = mix(uint64(i%500 + 1))
 					}
-					if d := s.Choose(now, r); d.Endpoint != nil {
+					if d := s.Select(now, r); d.Endpoint != nil {
 						*a = d.Attempt
 						s.Sent(now, a)
 					}
--- a/internal/tier/balancer/doc.go
+++ b/internal/tier/balancer/doc.go
@@ -7,7 +7,7 @@
 //
 // Each proxy keeps its own tables of completion times, built only from calls that it made: one for each endpoint and
 // for each of two kinds of call, plain calls (until the whole answer) and streams (until the first event). Package
-// control holds the tables and the recursion E*_l; a Scheduler solves the plan of a service again when something has
+// control holds the tables and the recursion E*_l; a Balancer solves the plan of a service again when something has
 // changed, at most every 50 ms, and a choice only looks up its figures. An endpoint without calls of its own is planned
 // with the pooled calls of its service.
 //
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -45,14 +45,14 @@
 
 // tell takes what the endpoint says of its load. The proxy's own calls are part of it.
 func (e *endpoint) tell(now time.Duration, told Load, own int) {
-	if told.Slots <= 0 {
+	if told.Capacity <= 0 {
 		return
 	}
 	l, mean := &e.load, &e.service.load
-	l.others, l.toldAt, l.told, l.slots = float64(max(0, told.Running+told.Waiting-own)), now, true, told.Slots
+	l.others, l.toldAt, l.told, l.slots = float64(max(0, told.Running+told.Queued-own)), now, true, told.Capacity
 	l.aged, l.agedAt = l.others, now
 	mean.share = mean.usual(now)
-	mean.share += meanWeight * (l.others/float64(told.Slots) - mean.share)
+	mean.share += meanWeight * (l.others/float64(told.Capacity) - mean.share)
 	mean.at = now
 }
 
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -8,14 +8,14 @@
 // lingerTimes is how many times its predicted whole time a call that was given up is taken to run, at most.
 const lingerTimes = 1.0
 
-// Takes tells whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
+// Eligible tells whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
 // requests.
-func (s *Scheduler) Takes(a *Attempt) bool {
+func (s *Balancer) Eligible(a *Attempt) bool {
 	return a.endpoint != nil && a.endpoint.listed && a.endpoint.ready
 }
 
 // Sent tells that an attempt goes out. From now on until Done the scheduler keeps the pointer.
-func (s *Scheduler) Sent(now time.Duration, a *Attempt) {
+func (s *Balancer) Sent(now time.Duration, a *Attempt) {
 	s.advance(now)
 	e := a.endpoint
 	if e == nil || a.sent {
@@ -36,7 +36,7 @@
 }
 
 // FirstEvent tells that the first event of a stream has come, and what the endpoint told of its load.
-func (s *Scheduler) FirstEvent(now time.Duration, a *Attempt, told Load) {
+func (s *Balancer) FirstEvent(now time.Duration, a *Attempt, told Load) {
 	s.advance(now)
 	e := a.endpoint
 	if !a.sent || a.answered {
@@ -48,7 +48,7 @@
 }
 
 // Done tells the end of an attempt that was sent.
-func (s *Scheduler) Done(now time.Duration, a *Attempt, o Outcome) {
+func (s *Balancer) Done(now time.Duration, a *Attempt, o Outcome) {
 	s.advance(now)
 	e := a.endpoint
 	if !a.sent {
@@ -69,13 +69,13 @@
 			s.answered(a, o.Elapsed)
 		}
 		s.learnPace(a, o)
-	case NeverRan:
+	case NotRun:
 		s.refused(a, o.Load)
 	case Misdirected:
 		e.health.waitUntil = max(e.health.waitUntil, s.now+misdirectedFor)
 	case ConnectFailure:
 		s.lost(a, true)
-	case ErrorStatus, Reset:
+	case ErrorStatus, IncompleteResponse:
 		s.lost(a, false)
 	case TimedOut:
 		s.timedOut(a, o)
@@ -85,7 +85,7 @@
 }
 
 // answered enters a call that was answered into the tables.
-func (s *Scheduler) answered(a *Attempt, took time.Duration) {
+func (s *Balancer) answered(a *Attempt, took time.Duration) {
 	e, svc := a.endpoint, a.endpoint.service
 	k := svc.kind(a.kind)
 	if e.health.answer(a.sentAt) {
@@ -100,20 +100,20 @@
 }
 
 // inUnits is the time of a call as the tables hold it: divided by its work as it is known now.
-func (s *Scheduler) inUnits(a *Attempt, took time.Duration) time.Duration {
+func (s *Balancer) inUnits(a *Attempt, took time.Duration) time.Duration {
 	work := a.endpoint.service.work.predict(a.kind, a.route, a.tokens)
 	return seconds(took.Seconds() / work * workUnit.Seconds())
 }
 
 // resent tells the plan how a restarted request fared.
-func (s *Scheduler) resent(a *Attempt, took time.Duration) {
+func (s *Balancer) resent(a *Attempt, took time.Duration) {
 	if a.restart {
 		a.endpoint.service.kind(a.kind).planner.Resent(took, a.expected)
 	}
 }
 
 // lost takes a failure.
-func (s *Scheduler) lost(a *Attempt, ranNot bool) {
+func (s *Balancer) lost(a *Attempt, ranNot bool) {
 	e, k := a.endpoint, a.endpoint.service.kind(a.kind)
 	e.health.fail(s.now, a.sentAt, ranNot)
 	k.track(e).table.AddLost(s.now)
@@ -123,7 +123,7 @@
 }
 
 // timedOut takes a call that was cut: it took longer than that, and may still run.
-func (s *Scheduler) timedOut(a *Attempt, o Outcome) {
+func (s *Balancer) timedOut(a *Attempt, o Outcome) {
 	e, k := a.endpoint, a.endpoint.service.kind(a.kind)
 	e.linger(s.now, s.rest(a, o))
 	if a.answered { // its first event is in the table
@@ -139,20 +139,20 @@
 }
 
 // refused takes a refusal. The first wait is about the time until a slot is free.
-func (s *Scheduler) refused(a *Attempt, told Load) {
+func (s *Balancer) refused(a *Attempt, told Load) {
 	e, svc := a.endpoint, a.endpoint.service
 	base, f := waitFirst.Seconds(), svc.kind(a.kind).figures(e)
 	if f.known {
 		base = max(waitLeast.Seconds(), a.scale*f.median.Seconds()/float64(max(1, e.slots())))
 	}
 	e.health.refuse(s.now, a.sentAt, base, s.draw())
-	if told.Slots > 0 && told.Running >= told.Slots {
-		svc.load.known, svc.load.queued = true, told.Waiting
+	if told.Capacity > 0 && told.Running >= told.Capacity {
+		svc.load.known, svc.load.queued = true, told.Queued
 	}
 }
 
 // rest is how long a call that was given up is taken to run on.
-func (s *Scheduler) rest(a *Attempt, o Outcome) time.Duration {
+func (s *Balancer) rest(a *Attempt, o Outcome) time.Duration {
 	svc := a.endpoint.service
 	whole := svc.work.predict(a.kind, a.route, a.tokens)
 	whole += a.out * a.endpoint.pace.perToken(svc.work.pace.perToken(pacePrior))
@@ -160,7 +160,7 @@
 }
 
 // learnPace learns from a stream that ended whole how fast tokens come.
-func (s *Scheduler) learnPace(a *Attempt, o Outcome) {
+func (s *Balancer) learnPace(a *Attempt, o Outcome) {
 	if !a.answered || o.Tokens <= 1 {
 		return
 	}
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -24,19 +24,19 @@
 func (v *server) serve(work time.Duration, answer func(Outcome)) {
 	switch {
 	case v.down != nil && v.down(v.sim.now):
-		v.sim.after(time.Millisecond, func() { answer(Outcome{Kind: Reset}) })
+		v.sim.after(time.Millisecond, func() { answer(Outcome{Kind: IncompleteResponse}) })
 	case v.running < v.slots:
 		v.begin(work, answer)
 	case len(v.waiting) < v.queue:
 		v.waiting = append(v.waiting, func() { v.begin(work, answer) })
 	default:
-		o := Outcome{Kind: NeverRan, Load: v.load()}
+		o := Outcome{Kind: NotRun, Load: v.load()}
 		v.sim.after(2*time.Millisecond, func() { answer(o) })
 	}
 }
 
 func (v *server) load() Load {
-	return Load{Running: v.running, Waiting: len(v.waiting), Slots: v.slots}
+	return Load{Running: v.running, Queued: len(v.waiting), Capacity: v.slots}
 }
 
 func (v *server) begin(work time.Duration, answer func(Outcome)) {
@@ -71,12 +71,12 @@
 }
 
 var plainKinds = []plainKind{
-	{Route{Name: "alerts", Kind: model.Retryable, Tries: 3}, true, 78 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, 0.4},
-	{Route{Name: "archive", Kind: model.OnceOnly, Rank: 2, Tries: 3}, false, 312 * time.Millisecond, 1200 * time.Millisecond, 6 * time.Second, 0.3},
-	{Route{Name: "desks", Kind: model.OnceOnly, Rank: 1, Tries: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
+	{Route{Name: "alerts", Kind: model.Retryable, MaxAttempts: 3}, true, 78 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, 0.4},
+	{Route{Name: "archive", Kind: model.OnceOnly, Priority: 2, MaxAttempts: 3}, false, 312 * time.Millisecond, 1200 * time.Millisecond, 6 * time.Second, 0.3},
+	{Route{Name: "desks", Kind: model.OnceOnly, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
 }
 
-// plainRelay is one proxy. Requests that a scheduler refuses as Full wait in its queue.
+// plainRelay is one proxy. Requests that a scheduler refuses as Saturated wait in its queue.
 type plainRelay struct {
 	policy  policy
 	queue   *Queue // nil: nothing waits
@@ -95,7 +95,7 @@
 
 // expire refuses those that have waited for too long.
 func (r *plainRelay) expire(now time.Duration) {
-	for w, ok := r.queue.Expired(now); ok; w, ok = r.queue.Expired(now) {
+	for w, ok := r.queue.PopExpired(now); ok; w, ok = r.queue.PopExpired(now) {
 		r.leave(w.ID)
 	}
 }
@@ -181,8 +181,8 @@
 
 func (c *plainClient) try() {
 	delete(c.relay.waiting, c.id)
-	r := Request{Service: "feeds", Route: c.kind.route, Retryable: c.kind.retryable, TimeLeft: c.left(), TriesUsed: c.tries,
-		MayHaveRun: c.ran, Restarted: c.restarted, Excluded: c.excluded}
+	r := Request{Service: "feeds", Route: c.kind.route, Retryable: c.kind.retryable, TimeLeft: c.left(), AttemptsUsed: c.tries,
+		MayHaveRun: c.ran, AfterTimeout: c.restarted, Excluded: c.excluded}
 	if r.TimeLeft <= 0 || c.ran && (c.tries >= 3 || !c.kind.retryable) {
 		return
 	}
@@ -222,11 +222,11 @@
 		c.turnedAway(comeBack)
 		return
 	}
-	w := NewWaiter(c.id, c.kind.route.Rank, now, c.kind.aim, c.left())
+	w := NewQueuedRequest(c.id, c.kind.route.Priority, now, c.kind.aim, c.left())
 	if c.waitsTill > 0 {
-		w.Until = c.waitsTill
+		w.ExpiresAt = c.waitsTill
 	}
-	if c.waitsTill = w.Until; w.Until <= now {
+	if c.waitsTill = w.ExpiresAt; w.ExpiresAt <= now {
 		c.turnedAway(comeBack)
 		return
 	}
@@ -235,7 +235,7 @@
 		c.relay.leave(refused.ID)
 	}
 	relay := c.relay
-	c.world.sim.after(w.Until-now, func() { relay.expire(c.world.sim.now) })
+	c.world.sim.after(w.ExpiresAt-now, func() { relay.expire(c.world.sim.now) })
 }
 
 // turnedAway ends the try with a promise; the client comes back if it has the time.
@@ -259,7 +259,7 @@
 	}
 	if o.Kind != Success {
 		c.excluded = append(c.excluded, c.world.list[i].ID)
-		c.ran = c.ran || o.Kind != NeverRan
+		c.ran = c.ran || o.Kind != NotRun
 		c.restarted = o.Kind == TimedOut
 		c.try()
 		return
@@ -272,7 +272,7 @@
 	t.times = append(t.times, took.Seconds())
 	if took <= c.kind.aim {
 		t.inTime++
-		t.byRank[c.kind.route.Rank]++
+		t.byRank[c.kind.route.Priority]++
 	}
 }
 
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -17,13 +17,13 @@
 	Endpoint string
 	Timeout  time.Duration
 	RunsOn   bool
-	Refusal  Refusal
+	Refusal  Rejection
 }
 
 // world drives a scheduler at random, and checks each decision.
 type world struct {
 	rt      *rapid.T
-	s       *Scheduler
+	s       *Balancer
 	now     time.Duration
 	list    []model.Endpoint
 	target  string
@@ -39,7 +39,7 @@
 const worldSlots = 16
 
 func newWorld(rt *rapid.T, seed uint64) *world {
-	return &world{rt: rt, s: New(Options{Zone: "z0", Seed: seed, Slots: worldSlots}), waits: map[string]time.Duration{}}
+	return &world{rt: rt, s: New(Options{Zone: "z0", Seed: seed, MaxInFlight: worldSlots}), waits: map[string]time.Duration{}}
 }
 
 func (w *world) relist() {
@@ -69,15 +69,15 @@
 func (w *world) request() Request {
 	rt := w.rt
 	r := Request{
-		Service:   "feeds",
-		Route:     Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "route"), Kind: model.Retryable, Tries: 3},
-		Retryable: rapid.Bool().Draw(rt, "retryable"),
-		TimeLeft:  time.Duration(rapid.IntRange(1, 3000).Draw(rt, "left")) * time.Millisecond,
-		TriesUsed: rapid.IntRange(0, 3).Draw(rt, "tries"),
-		Affinity:  rapid.Uint64Range(0, 3).Draw(rt, "affinity"),
+		Service:      "feeds",
+		Route:        Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "route"), Kind: model.Retryable, MaxAttempts: 3},
+		Retryable:    rapid.Bool().Draw(rt, "retryable"),
+		TimeLeft:     time.Duration(rapid.IntRange(1, 3000).Draw(rt, "left")) * time.Millisecond,
+		AttemptsUsed: rapid.IntRange(0, 3).Draw(rt, "tries"),
+		AffinityKey:  rapid.Uint64Range(0, 3).Draw(rt, "affinity"),
 	}
-	r.Route.Pinned = rapid.Bool().Draw(rt, "pinned")
-	r.MayHaveRun = r.TriesUsed > 0 && rapid.Bool().Draw(rt, "ran")
+	r.Route.UsesAffinity = rapid.Bool().Draw(rt, "pinned")
+	r.MayHaveRun = r.AttemptsUsed > 0 && rapid.Bool().Draw(rt, "ran")
 	if rapid.Bool().Draw(rt, "stream") {
 		r.Route.Kind, r.NewTokens, r.OutTokens = model.Streaming, rapid.IntRange(0, 2000).Draw(rt, "tokens"), 24
 	}
@@ -91,10 +91,10 @@
 
 func (w *world) choose() {
 	r := w.request()
-	d := w.s.Choose(w.now, r)
-	at := step{Timeout: d.Timeout, RunsOn: d.RunsOn, Refusal: d.Refusal}
+	d := w.s.Select(w.now, r)
+	at := step{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
 	if d.Endpoint == nil {
-		if d.Refusal.Kind == NotRefused {
+		if d.Rejection.Kind == NotRejected {
 			w.rt.Fatal("neither an endpoint nor a refusal")
 		}
 		w.trace = append(w.trace, at)
@@ -121,9 +121,9 @@
 		w.rt.Fatalf("%s is of a version that takes nothing", d.Endpoint.ID)
 	case slices.Contains(r.Excluded, d.Endpoint.ID):
 		w.rt.Fatalf("%s is excluded", d.Endpoint.ID)
-	case d.Timeout > r.TimeLeft || d.Timeout <= 0 || d.RunsOn && d.Timeout != r.TimeLeft:
-		w.rt.Fatalf("time-out %v, runs on %v, with %v left", d.Timeout, d.RunsOn, r.TimeLeft)
-	case !r.Retryable && (!d.RunsOn || r.MayHaveRun):
+	case d.Timeout > r.TimeLeft || d.Timeout <= 0 || d.UntilDeadline && d.Timeout != r.TimeLeft:
+		w.rt.Fatalf("time-out %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
+	case !r.Retryable && (!d.UntilDeadline || r.MayHaveRun):
 		w.rt.Fatal("a request that must not run twice is cut, or sent again")
 	case len(e.out) >= worldSlots*3/4 || e.health.streak > 0 && len(e.out) >= worldSlots/2:
 		w.rt.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.out))
@@ -145,14 +145,14 @@
 	i := rapid.IntRange(0, len(w.out)-1).Draw(w.rt, "which")
 	a, sentAt := w.out[i], w.sentAt[i]
 	if a.kind == streamCall && rapid.Bool().Draw(w.rt, "first") {
-		w.s.FirstEvent(w.now, a, Load{Running: 1, Slots: 2})
+		w.s.FirstEvent(w.now, a, Load{Running: 1, Capacity: 2})
 		return
 	}
 	w.out, w.sentAt = slices.Delete(w.out, i, i+1), slices.Delete(w.sentAt, i, i+1)
 	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(NotSent)).Draw(w.rt, "outcome")), Elapsed: w.now - sentAt}
 	if rapid.Bool().Draw(w.rt, "told") {
-		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.rt, "running"), Slots: 2,
-			Waiting: rapid.IntRange(0, 2).Draw(w.rt, "waiting")}
+		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.rt, "running"), Capacity: 2,
+			Queued: rapid.IntRange(0, 2).Draw(w.rt, "waiting")}
 	}
 	w.s.Done(w.now, a, o)
 	w.waits[a.endpoint.model.ID] = a.endpoint.health.waitUntil
@@ -215,14 +215,14 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms")) * time.Millisecond
 			r := plain("feeds")
-			r.Affinity = rapid.Uint64Range(0, 5).Draw(rt, "affinity")
-			r.Route.Pinned = r.Affinity > 0
+			r.AffinityKey = rapid.Uint64Range(0, 5).Draw(rt, "affinity")
+			r.Route.UsesAffinity = r.AffinityKey > 0
 			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(rt, "outcome")),
 				Elapsed: time.Duration(rapid.IntRange(1, 800).Draw(rt, "elapsed")) * time.Millisecond}
 			// When both get the same calls.
-			for i, s := range []*Scheduler{a, b} {
-				d := s.Choose(now, r)
-				at := step{Timeout: d.Timeout, RunsOn: d.RunsOn, Refusal: d.Refusal}
+			for i, s := range []*Balancer{a, b} {
+				d := s.Select(now, r)
+				at := step{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
 				if d.Endpoint != nil {
 					at.Endpoint = d.Endpoint.ID
 					s.Sent(now, &d.Attempt)
--- a/internal/tier/balancer/queue.go
+++ b/internal/tier/balancer/queue.go
@@ -10,22 +10,22 @@
 // about half of its worth when it comes again.
 const waitPart = 4
 
-// Waiter is one request that waits for a slot.
-type Waiter struct {
-	ID       uint64
-	Rank     int           // 0 is the most urgent
-	Deadline time.Duration // of the request: of one rank, the earlier one goes first
-	Until    time.Duration // it is refused if it hasn't left by then
+// QueuedRequest is one request that waits for a slot.
+type QueuedRequest struct {
+	ID        uint64
+	Priority  int           // 0 is the most urgent
+	Deadline  time.Duration // of the request: of one rank, the earlier one goes first
+	ExpiresAt time.Duration // it is refused if it hasn't left by then
 }
 
-// NewWaiter returns a waiter that came at now, on a route with that target time.
-func NewWaiter(id uint64, rank int, now, target, timeLeft time.Duration) Waiter {
-	return Waiter{ID: id, Rank: rank, Deadline: now + timeLeft, Until: now + min(target/waitPart, timeLeft)}
+// NewQueuedRequest returns a waiter that came at now, on a route with that target time.
+func NewQueuedRequest(id uint64, rank int, now, target, timeLeft time.Duration) QueuedRequest {
+	return QueuedRequest{ID: id, Priority: rank, Deadline: now + timeLeft, ExpiresAt: now + min(target/waitPart, timeLeft)}
 }
 
 // before tells whether w leaves the queue before o.
-func (w *Waiter) before(o *Waiter) bool {
-	return cmp.Or(cmp.Compare(w.Rank, o.Rank), cmp.Compare(w.Deadline, o.Deadline), cmp.Compare(w.ID, o.ID)) < 0
+func (w *QueuedRequest) before(o *QueuedRequest) bool {
+	return cmp.Or(cmp.Compare(w.Priority, o.Priority), cmp.Compare(w.Deadline, o.Deadline), cmp.Compare(w.ID, o.ID)) < 0
 }
 
 // Queue holds the requests of one service that wait for a slot: the most urgent one leaves first, and none waits longer
@@ -39,16 +39,18 @@
 
 // entry is a waiter with its places in both heaps.
 type entry struct {
-	Waiter
+	QueuedRequest
 	at [2]int
 }
 
 // NewQueue returns an empty queue for so many waiters.
 func NewQueue(limit int) *Queue {
 	return &Queue{
-		limit:   max(1, limit),
-		urgent:  order{place: 0, before: func(a, b *Waiter) bool { return a.before(b) }},
-		expiry:  order{place: 1, before: func(a, b *Waiter) bool { return a.Until < b.Until || a.Until == b.Until && a.ID < b.ID }},
+		limit:  max(1, limit),
+		urgent: order{place: 0, before: func(a, b *QueuedRequest) bool { return a.before(b) }},
+		expiry: order{place: 1, before: func(a, b *QueuedRequest) bool {
+			return a.ExpiresAt < b.ExpiresAt || a.ExpiresAt == b.ExpiresAt && a.ID < b.ID
+		}},
 		entries: map[uint64]*entry{},
 	}
 }
@@ -57,19 +59,19 @@
 func (q *Queue) Len() int { return len(q.entries) }
 
 // Push lets w wait. Where the queue is full, the one that would leave last is refused: it is returned, and may be w.
-func (q *Queue) Push(w Waiter) (refused Waiter, full bool) {
+func (q *Queue) Push(w QueuedRequest) (refused QueuedRequest, full bool) {
 	if q.entries[w.ID] != nil {
 		return w, true
 	}
 	if len(q.entries) >= q.limit {
 		last := q.last()
-		if !w.before(&last.Waiter) {
+		if !w.before(&last.QueuedRequest) {
 			return w, true
 		}
 		q.Remove(last.ID)
-		refused, full = last.Waiter, true
+		refused, full = last.QueuedRequest, true
 	}
-	e := &entry{Waiter: w}
+	e := &entry{QueuedRequest: w}
 	q.entries[w.ID] = e
 	heap.Push(&q.urgent, e)
 	heap.Push(&q.expiry, e)
@@ -80,7 +82,7 @@
 func (q *Queue) last() *entry {
 	last := q.urgent.list[0]
 	for _, e := range q.urgent.list {
-		if last.before(&e.Waiter) {
+		if last.before(&e.QueuedRequest) {
 			last = e
 		}
 	}
@@ -88,29 +90,29 @@
 }
 
 // Pop takes out the most urgent waiter, for which a slot is free now.
-func (q *Queue) Pop() (Waiter, bool) {
+func (q *Queue) Pop() (QueuedRequest, bool) {
 	if len(q.urgent.list) == 0 {
-		return Waiter{}, false
+		return QueuedRequest{}, false
 	}
-	w := q.urgent.list[0].Waiter
+	w := q.urgent.list[0].QueuedRequest
 	q.Remove(w.ID)
 	return w, true
 }
 
 // Peek is the waiter that Pop would take out.
-func (q *Queue) Peek() (Waiter, bool) {
+func (q *Queue) Peek() (QueuedRequest, bool) {
 	if len(q.urgent.list) == 0 {
-		return Waiter{}, false
+		return QueuedRequest{}, false
 	}
-	return q.urgent.list[0].Waiter, true
+	return q.urgent.list[0].QueuedRequest, true
 }
 
-// Expired takes out one waiter whose bound has come; it is to be refused.
-func (q *Queue) Expired(now time.Duration) (Waiter, bool) {
-	if len(q.expiry.list) == 0 || q.expiry.list[0].Until > now {
-		return Waiter{}, false
+// PopExpired takes out one waiter whose bound has come; it is to be refused.
+func (q *Queue) PopExpired(now time.Duration) (QueuedRequest, bool) {
+	if len(q.expiry.list) == 0 || q.expiry.list[0].ExpiresAt > now {
+		return QueuedRequest{}, false
 	}
-	w := q.expiry.list[0].Waiter
+	w := q.expiry.list[0].QueuedRequest
 	q.Remove(w.ID)
 	return w, true
 }
@@ -120,7 +122,7 @@
 	if len(q.expiry.list) == 0 {
 		return 0, false
 	}
-	return q.expiry.list[0].Until, true
+	return q.expiry.list[0].ExpiresAt, true
 }
 
 // Remove takes out a waiter whose client has gone, and tells whether it waited.
@@ -139,11 +141,13 @@
 type order struct {
 	list   []*entry
 	place  int // which of an entry's places is that in this heap
-	before func(a, b *Waiter) bool
+	before func(a, b *QueuedRequest) bool
 }
 
-func (o *order) Len() int           { return len(o.list) }
-func (o *order) Less(i, j int) bool { return o.before(&o.list[i].Waiter, &o.list[j].Waiter) }
+func (o *order) Len() int { return len(o.list) }
+func (o *order) Less(i, j int) bool {
+	return o.before(&o.list[i].QueuedRequest, &o.list[j].QueuedRequest)
+}
 func (o *order) Swap(i, j int) {
 	o.list[i], o.list[j] = o.list[j], o.list[i]
 	o.list[i].at[o.place], o.list[j].at[o.place] = i, j
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -11,9 +11,9 @@
 func TestQueueLetsTheMostUrgentLeaveFirst(t *testing.T) {
 	// Given waiters of two ranks.
 	q := NewQueue(10)
-	q.Push(Waiter{ID: 1, Rank: 1, Deadline: 100, Until: 50})
-	q.Push(Waiter{ID: 2, Rank: 0, Deadline: 300, Until: 50})
-	q.Push(Waiter{ID: 3, Rank: 0, Deadline: 200, Until: 50})
+	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
+	q.Push(QueuedRequest{ID: 2, Priority: 0, Deadline: 300, ExpiresAt: 50})
+	q.Push(QueuedRequest{ID: 3, Priority: 0, Deadline: 200, ExpiresAt: 50})
 	// When they leave, then by rank, and by deadline within it.
 	var got []uint64
 	for w, ok := q.Pop(); ok; w, ok = q.Pop() {
@@ -26,21 +26,21 @@
 
 func TestQueueRefusesTheLeastUrgentWhenFull(t *testing.T) {
 	q := NewQueue(2)
-	q.Push(Waiter{ID: 1, Rank: 1, Deadline: 100, Until: 50})
-	q.Push(Waiter{ID: 2, Rank: 2, Deadline: 100, Until: 50})
-	if w, full := q.Push(Waiter{ID: 3, Rank: 0, Deadline: 100, Until: 50}); !full || w.ID != 2 {
+	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
+	q.Push(QueuedRequest{ID: 2, Priority: 2, Deadline: 100, ExpiresAt: 50})
+	if w, full := q.Push(QueuedRequest{ID: 3, Priority: 0, Deadline: 100, ExpiresAt: 50}); !full || w.ID != 2 {
 		t.Errorf("refused %v (%v), want 2", w.ID, full)
 	}
-	if w, full := q.Push(Waiter{ID: 4, Rank: 3, Deadline: 100, Until: 50}); !full || w.ID != 4 {
+	if w, full := q.Push(QueuedRequest{ID: 4, Priority: 3, Deadline: 100, ExpiresAt: 50}); !full || w.ID != 4 {
 		t.Errorf("refused %v (%v), want 4", w.ID, full)
 	}
 }
 
 func TestWaiterMayWaitAQuarterOfItsTarget(t *testing.T) {
-	if got := NewWaiter(1, 0, time.Second, 400*time.Millisecond, 2*time.Second).Until; got != 1100*time.Millisecond {
+	if got := NewQueuedRequest(1, 0, time.Second, 400*time.Millisecond, 2*time.Second).ExpiresAt; got != 1100*time.Millisecond {
 		t.Errorf("waits until %v, want 1.1s", got)
 	}
-	if got := NewWaiter(1, 0, time.Second, 400*time.Millisecond, 30*time.Millisecond).Until; got != 1030*time.Millisecond {
+	if got := NewQueuedRequest(1, 0, time.Second, 400*time.Millisecond, 30*time.Millisecond).ExpiresAt; got != 1030*time.Millisecond {
 		t.Errorf("waits until %v, want the end of its time, 1.03s", got)
 	}
 }
@@ -48,14 +48,14 @@
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(rt, "limit")
-		q, waiting, now, id := NewQueue(limit), map[uint64]Waiter{}, time.Duration(0), uint64(0)
+		q, waiting, now, id := NewQueue(limit), map[uint64]QueuedRequest{}, time.Duration(0), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0, 1:
 				id++
 				left := time.Duration(rapid.IntRange(1, 500).Draw(rt, "left")) * time.Millisecond
-				w := NewWaiter(id, rapid.IntRange(0, 2).Draw(rt, "rank"), now, 400*time.Millisecond, left)
+				w := NewQueuedRequest(id, rapid.IntRange(0, 2).Draw(rt, "rank"), now, 400*time.Millisecond, left)
 				waiting[id] = w
 				if refused, full := q.Push(w); full {
 					for _, other := range waiting {
@@ -81,8 +81,8 @@
 				}
 				delete(waiting, gone)
 			}
-			for w, ok := q.Expired(now); ok; w, ok = q.Expired(now) {
-				if w.Until > now {
+			for w, ok := q.PopExpired(now); ok; w, ok = q.PopExpired(now) {
+				if w.ExpiresAt > now {
 					rt.Fatalf("%+v refused at %v", w, now)
 				}
 				delete(waiting, w.ID)
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -8,32 +8,32 @@
 
 // Route is what the scheduler needs to know of a request's route.
 type Route struct {
-	Name   string
-	Rank   int // 0 is the most urgent
-	Kind   model.RouteKind
-	Tries  int  // endpoints that one request may be sent to
-	Pinned bool // an endpoint works faster on what it has lately seen
+	Name         string
+	Priority     int // 0 is the most urgent
+	Kind         model.RouteKind
+	MaxAttempts  int  // endpoints that one request may be sent to
+	UsesAffinity bool // an endpoint works faster on what it has lately seen
 }
 
 // Request is one request that needs an endpoint, for its first attempt or for another one.
 type Request struct {
-	Service   string
-	Route     Route
-	Retryable bool // it may run more than once
-	TimeLeft  time.Duration
-	TriesUsed int // attempts that count against the route's tries
+	Service      string
+	Route        Route
+	Retryable    bool // it may run more than once
+	TimeLeft     time.Duration
+	AttemptsUsed int // attempts that count against the route's tries
 
 	// MayHaveRun tells that an earlier attempt may have run: only a retryable request is sent then, and its attempt
 	// draws on the retry budget.
 	MayHaveRun bool
-	// Restarted tells that the last attempt was cut by a planned time-out.
-	Restarted bool
-	// Affordable is how many more attempts its program's share of the budget pays for, this one included; 0: not bounded.
-	Affordable int
+	// AfterTimeout tells that the last attempt was cut by a planned time-out.
+	AfterTimeout bool
+	// AffordableAttempts is how many more attempts its program's share of the budget pays for, this one included; 0: not bounded.
+	AffordableAttempts int
 	// Excluded holds the IDs of endpoints that it must not be sent to, as it has been sent there before.
 	Excluded []string
 
-	Affinity     uint64 // hash of its program, session or subject; 0: none
+	AffinityKey  uint64 // hash of its program, session or subject; 0: none
 	PrefixTokens int    // that an endpoint which has lately served this affinity needn't read again
 	NewTokens    int    // to be read in any case
 	OutTokens    int    // to be generated
@@ -41,33 +41,33 @@
 
 // Decision says where an attempt goes and how long it may last, or why it doesn't go out.
 type Decision struct {
-	Endpoint *model.Endpoint // nil: refused; what it points to never changes
-	Timeout  time.Duration   // of a stream: until its first event, unless RunsOn
-	RunsOn   bool            // the attempt lasts as long as the request may, and Timeout is that time
-	Refusal  Refusal
-	Attempt  Attempt // to be handed to Sent
+	Endpoint      *model.Endpoint // nil: refused; what it points to never changes
+	Timeout       time.Duration   // of a stream: until its first event, unless UntilDeadline
+	UntilDeadline bool            // the attempt lasts as long as the request may, and Timeout is that time
+	Rejection     Rejection
+	Attempt       Attempt // to be handed to Sent
 }
 
-// RefusalKind says why a request isn't sent.
-type RefusalKind uint8
+// RejectionKind says why a request isn't sent.
+type RejectionKind uint8
 
 // The kinds of refusal.
 const (
-	NotRefused RefusalKind = iota
-	Hopeless               // less time is left than the chosen endpoint's median
-	NoEndpoint             // no endpoint may take it
-	Full                   // all that may take it are full, or refuse for now
-	Spent                  // its tries, its program's budget or the retry budget are used up
+	NotRejected       RejectionKind = iota
+	DeadlineTooShort                // less time is left than the chosen endpoint's median
+	NoEndpoint                      // no endpoint may take it
+	Saturated                       // all that may take it are full, or refuse for now
+	AttemptsExhausted               // its tries, its program's budget or the retry budget are used up
 )
 
 var refusalText = [...]string{"not refused", "hopeless", "no endpoint", "full", "spent"}
 
 // String names the kind.
-func (k RefusalKind) String() string { return refusalText[k] }
+func (k RejectionKind) String() string { return refusalText[k] }
 
-// Refusal says why a request isn't sent, and after which time it is worth coming again.
-type Refusal struct {
-	Kind       RefusalKind
+// Rejection says why a request isn't sent, and after which time it is worth coming again.
+type Rejection struct {
+	Kind       RejectionKind
 	RetryAfter time.Duration
 }
 
@@ -76,20 +76,20 @@
 
 // The kinds of outcome.
 const (
-	Success        OutcomeKind = iota
-	ErrorStatus                // the endpoint answered with a failure of its own
-	NeverRan                   // it proved that the attempt has not run and never will
-	Reset                      // the connection broke
-	TimedOut                   // the decision's time-out fired
-	Cancelled                  // the client has gone, or the attempt was called off
-	ConnectFailure             // no connection came up: nothing was sent
-	Misdirected                // the address answered that it isn't this endpoint
-	NotSent                    // it was called off before anything was sent, and says nothing of the endpoint
+	Success            OutcomeKind = iota
+	ErrorStatus                    // the endpoint answered with a failure of its own
+	NotRun                         // it proved that the attempt has not run and never will
+	IncompleteResponse             // the connection broke
+	TimedOut                       // the decision's time-out fired
+	Cancelled                      // the client has gone, or the attempt was called off
+	ConnectFailure                 // no connection came up: nothing was sent
+	Misdirected                    // the address answered that it isn't this endpoint
+	NotSent                        // it was called off before anything was sent, and says nothing of the endpoint
 )
 
-// Load is what an endpoint tells of itself; without Slots nothing was told.
+// Load is what an endpoint tells of itself; without MaxInFlight nothing was told.
 type Load struct {
-	Running, Waiting, Slots int
+	Running, Queued, Capacity int
 }
 
 // Outcome is the end of an attempt.
@@ -100,7 +100,7 @@
 	Tokens  int // generated
 }
 
-// Attempt is one attempt between Choose and Done. The caller takes it from the Decision to a place of its own, and hands
+// Attempt is one attempt between Select and Done. The caller takes it from the Decision to a place of its own, and hands
 // the same pointer to Sent, FirstEvent and Done.
 type Attempt struct {
 	endpoint *endpoint
--- a/internal/tier/balancer/trial_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -22,10 +22,10 @@
 		for i := range 1000 {
 			r := plain("feeds")
 			if pinned {
-				r.Affinity, r.Route.Pinned = uint64(i+1)*0x9e3779b97f4a7c15, true
+				r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 			}
 			now := time.Duration(i) * 10 * time.Millisecond
-			d := s.Choose(now, r)
+			d := s.Select(now, r)
 			s.Sent(now, &d.Attempt)
 			s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 			target[i+1] = target[i]
--- a/internal/tier/balancer/choose.go
+++ b/internal/tier/balancer/selection.go
@@ -42,9 +42,9 @@
 	full               bool          // one that may take it is full or must be waited for
 }
 
-// Choose decides where the next attempt of a request goes. It changes nothing that a later choice depends on, but for
+// Select decides where the next attempt of a request goes. It changes nothing that a later choice depends on, but for
 // the plan: an attempt counts from Sent on.
-func (s *Scheduler) Choose(now time.Duration, r Request) Decision {
+func (s *Balancer) Select(now time.Duration, r Request) Decision {
 	s.advance(now)
 	svc := s.services[r.Service]
 	if svc == nil {
@@ -55,7 +55,7 @@
 	}
 	left := attemptsLeft(&r)
 	if left < 1 || r.MayHaveRun && (!r.Retryable || !svc.budget.pays()) || r.TimeLeft <= 0 {
-		return refuse(Spent, 0)
+		return refuse(AttemptsExhausted, 0)
 	}
 	route := svc.work.route(r.Route.Name)
 	p := pick{now: s.now, request: &r, kind: svc.kind(kindOf(r.Route.Kind)), level: min(left, mostAttempts)}
@@ -65,8 +65,8 @@
 	work := svc.work.predict(p.kind.kind, route, float64(r.NewTokens))
 	p.scale = work / workUnit.Seconds()
 	p.kind.refresh(s.now, p.level)
-	if s.inFlight >= s.options.Slots {
-		return refuse(Full, p.retryAfter())
+	if s.inFlight >= s.options.MaxInFlight {
+		return refuse(Saturated, p.retryAfter())
 	}
 	e := s.place(&p, svc)
 	if e == nil {
@@ -78,8 +78,8 @@
 }
 
 // place finds the endpoint in the group whose turn it is, else in the other one as far as that may take it.
-func (s *Scheduler) place(p *pick, svc *service) *endpoint {
-	group := svc.pick(p.request.Affinity)
+func (s *Balancer) place(p *pick, svc *service) *endpoint {
+	group := svc.pick(p.request.AffinityKey)
 	e := s.placeIn(p, svc, group)
 	if e != nil && !e.suspect() {
 		return e
@@ -94,7 +94,7 @@
 	return e
 }
 
-func (s *Scheduler) placeIn(p *pick, svc *service, g *group) *endpoint {
+func (s *Balancer) placeIn(p *pick, svc *service, g *group) *endpoint {
 	p.best, p.sick, p.probe, p.preferred, p.holder = nil, nil, nil, nil, nil
 	p.bestCost, p.sickCost, p.open, p.reserve = math.Inf(1), math.Inf(1), 0, false
 	p.usual = svc.load.usual(s.now)
@@ -103,26 +103,26 @@
 	return p.chosen(svc)
 }
 
-func refuse(kind RefusalKind, after time.Duration) Decision {
-	return Decision{Refusal: Refusal{Kind: kind, RetryAfter: after}}
+func refuse(kind RejectionKind, after time.Duration) Decision {
+	return Decision{Rejection: Rejection{Kind: kind, RetryAfter: after}}
 }
 
 // attemptsLeft is how many attempts the route's tries and the program's budget leave.
 func attemptsLeft(r *Request) int {
-	left := max(1, r.Route.Tries) - r.TriesUsed
-	if r.Affordable > 0 {
-		left = min(left, r.Affordable)
+	left := max(1, r.Route.MaxAttempts) - r.AttemptsUsed
+	if r.AffordableAttempts > 0 {
+		left = min(left, r.AffordableAttempts)
 	}
 	return left
 }
 
 // prepare finds out which endpoint holds what the request goes on from.
-func (s *Scheduler) prepare(p *pick, svc *service, g *group) {
+func (s *Balancer) prepare(p *pick, svc *service, g *group) {
 	r := p.request
-	if !r.Route.Pinned || r.Affinity == 0 || len(g.ready) == 0 {
+	if !r.Route.UsesAffinity || r.AffinityKey == 0 || len(g.ready) == 0 {
 		return
 	}
-	p.preferred, p.holder = g.preferred(r.Affinity), s.holders.of(r.Affinity)
+	p.preferred, p.holder = g.preferred(r.AffinityKey), s.holders.of(r.AffinityKey)
 	if p.holder != nil && p.holder.service != svc {
 		p.holder = nil
 	}
@@ -134,7 +134,7 @@
 }
 
 // scan looks at the candidates, and at all endpoints of the group if none of these takes the request.
-func (s *Scheduler) scan(p *pick, svc *service, g *group) {
+func (s *Balancer) scan(p *pick, svc *service, g *group) {
 	list := g.candidates(svc, p.kind, s.now)
 	for _, e := range list {
 		s.consider(p, e)
@@ -153,7 +153,7 @@
 }
 
 // consider weighs one endpoint.
-func (s *Scheduler) consider(p *pick, e *endpoint) {
+func (s *Balancer) consider(p *pick, e *endpoint) {
 	if !e.ready {
 		return
 	}
@@ -192,12 +192,12 @@
 }
 
 // cap is how many calls the endpoint may hold of this proxy's slots.
-func (s *Scheduler) cap(e *endpoint) int {
+func (s *Balancer) cap(e *endpoint) int {
 	share := capNormal
 	if e.suspect() || e.health.streak > 0 {
 		share = capSick
 	}
-	return max(1, int(share*float64(s.options.Slots)))
+	return max(1, int(share*float64(s.options.MaxInFlight)))
 }
 
 // cost is the expected time at an endpoint with all charges, in seconds.
@@ -246,7 +246,7 @@
 // mayProbe tells whether the request may be risked: it can be sent again, or nothing comes that could.
 func (p *pick) mayProbe(svc *service) bool {
 	switch {
-	case p.request.TriesUsed > 0:
+	case p.request.AttemptsUsed > 0:
 		return false
 	case p.safe:
 		return p.level > 1 && svc.budget.pays()
@@ -263,7 +263,7 @@
 	if p.waiting > 0 {
 		after = max(retryLeast, min(after, p.waiting-p.now))
 	}
-	return refuse(Full, after)
+	return refuse(Saturated, after)
 }
 
 // retryAfter is about how long it takes until a place is free.
@@ -278,9 +278,9 @@
 	left := p.request.TimeLeft
 	median := p.scaled(f.median)
 	if f.known && left < median {
-		return refuse(Hopeless, 0)
+		return refuse(DeadlineTooShort, 0)
 	}
-	d := Decision{Endpoint: e.model, Timeout: left, RunsOn: true}
+	d := Decision{Endpoint: e.model, Timeout: left, UntilDeadline: true}
 	others := p.open
 	if !e.suspect() {
 		others--
@@ -291,12 +291,12 @@
 			cut, runsOn = seconds(probeTimes*p.scale*p.kind.fresh.figures.median.Seconds()), !p.kind.fresh.figures.known
 		}
 		if !runsOn && cut+p.scaled(p.kind.fresh.figures.median) < left {
-			d.Timeout, d.RunsOn = cut, false
+			d.Timeout, d.UntilDeadline = cut, false
 		}
 	}
-	d.Attempt = Attempt{endpoint: e, kind: p.kind.kind, affinity: p.request.Affinity, scale: p.scale,
+	d.Attempt = Attempt{endpoint: e, kind: p.kind.kind, affinity: p.request.AffinityKey, scale: p.scale,
 		expected: seconds(f.expected[p.level]), probe: e.suspect(), resend: p.request.MayHaveRun,
-		restart: p.request.Restarted && f.known}
+		restart: p.request.AfterTimeout && f.known}
 	return d
 }
 
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -81,7 +81,7 @@
 
 // scheduled is the scheduler as a policy.
 type scheduled struct {
-	s       *Scheduler
+	s       *Balancer
 	numbers map[string]int
 }
 
@@ -95,9 +95,9 @@
 }
 
 func (p *scheduled) choose(now time.Duration, r Request) (int, time.Duration, *Attempt) {
-	d := p.s.Choose(now, r)
+	d := p.s.Select(now, r)
 	if d.Endpoint == nil {
-		return -1, max(d.Refusal.RetryAfter, retryLeast), nil
+		return -1, max(d.Rejection.RetryAfter, retryLeast), nil
 	}
 	return p.numbers[d.Endpoint.ID], d.Timeout, &d.Attempt
 }
@@ -144,12 +144,12 @@
 
 func (p *simple) sent(_ time.Duration, i int, _ *Attempt) { p.own[i]++ }
 func (p *simple) first(_ time.Duration, i int, _ *Attempt, told Load) {
-	p.told[i] = float64(told.Running + told.Waiting - p.own[i])
+	p.told[i] = float64(told.Running + told.Queued - p.own[i])
 }
 func (p *simple) done(_ time.Duration, i int, _ *Attempt, o Outcome) {
 	p.own[i]--
-	if o.Load.Slots > 0 {
-		p.told[i] = max(0, float64(o.Load.Running+o.Load.Waiting-p.own[i]))
+	if o.Load.Capacity > 0 {
+		p.told[i] = max(0, float64(o.Load.Running+o.Load.Queued-p.own[i]))
 	}
 }
 
@@ -169,7 +169,7 @@
 	}
 	return fmt.Sprintf("in time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f sends each (%d turned away, %d reset, %d cut), %d refused, in time by rank %d",
 		t.share(t.inTime), t.share(t.served), 1000*mean, 1000*p95, float64(t.sends)/float64(max(1, t.asked)),
-		t.outcomes[NeverRan], t.outcomes[Reset], t.outcomes[TimedOut], t.refused, t.byRank)
+		t.outcomes[NotRun], t.outcomes[IncompleteResponse], t.outcomes[TimedOut], t.refused, t.byRank)
 }
 
 func (t *tally) share(n int) float64 { return float64(n) / float64(max(1, t.asked)) }
--- a/internal/tier/balancer/engine_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -52,7 +52,7 @@
 }
 
 func (g *engine) load() Load {
-	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.capacity}
+	return Load{Running: len(g.running), Queued: len(g.waiting), Capacity: g.capacity}
 }
 
 func (g *engine) step() {
@@ -143,8 +143,8 @@
 		t.turns++
 		history := 600 + 500*number
 		p, begun := policies[sim.coming.IntN(relays)], sim.now
-		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, Affinity: mix(session),
-			Route:        Route{Name: "turns", Kind: model.Streaming, Tries: 1, Pinned: true},
+		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
+			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 			PrefixTokens: history - 500, NewTokens: 500, OutTokens: out})
 		if i < 0 {
 			return
--- a/internal/tier/command/mutants_test.go
+++ b/internal/tier/command/mutants_test.go
@@ -24,7 +24,7 @@
 		},
 		{
 			Name:   "a proxy keeps no time for what it says last",
-			Change: mutation.Change{File: "proxy.go", Old: "grace-proxy.LastWords-exitTime)", New: "grace+proxy.LastWords)"},
+			Change: mutation.Change{File: "proxy.go", Old: "grace-proxy.ShutdownGracePeriod-exitTime)", New: "grace+proxy.ShutdownGracePeriod)"},
 			Run:    "^TestProxyEndsWithinAShortGraceTime$",
 		},
 	})
--- a/internal/tier/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -52,15 +52,15 @@
 		}
 		return metrics.UnknownZone
 	})
-	places := proxy.NewScheduler(p.settings.Zone, p.seed)
+	places := proxy.NewLoadBalancer(p.settings.Zone, p.seed)
 	scheduler := versionstats.New(places, strconv.FormatUint(p.seed, 16))
 	views := viewfeed.New(p.address(wire.AgentPort), p.pool, programs, scheduler, p.logger)
 	go views.Run(running)
 	go p.reportTallies(running, scheduler)
 	go p.followProxies(running, places)
 	carrier, err := proxy.New(proxy.Options{FrontAddress: p.settings.ListenOn.FrontHTTP, ReadinessAddress: p.settings.ListenOn.Readiness,
-		Views: views, Programs: programs, Chooser: scheduler, Upstream: upstream.Options{}, Logger: p.logger, Network: p.around.Network,
-		MaxClients: mostClients(p.settings.Limits.OpenFiles), RecoveryBound: p.settings.Bounds.Recovery(), Checks: p.checks, Metrics: p.metrics})
+		Views: views, Programs: programs, Selector: scheduler, Upstream: upstream.Options{}, Logger: p.logger, Network: p.around.Network,
+		MaxClientConnections: mostClients(p.settings.Limits.OpenFiles), MaxOutage: p.settings.Bounds.Recovery(), Checks: p.checks, Metrics: p.metrics})
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 // waitFor returns how long after SIGTERM a proxy with that grace time stops waiting for the requests under way. What it still
 // says to those that are left, and the exit of its process, are to be within the grace time, too.
 func waitFor(grace time.Duration) time.Duration {
-	return min(part(grace, stopPart), grace-proxy.LastWords-exitTime)
+	return min(part(grace, stopPart), grace-proxy.ShutdownGracePeriod-exitTime)
 }
 
 // mostClients returns how many connections of clients a proxy takes: the other descriptors are for endpoints, stores and
@@ -109,7 +109,7 @@
 }
 
 // followProxies keeps the scheduler told of how many proxies share the connections that an endpoint takes, until ctx ends.
-func (p *process) followProxies(ctx context.Context, scheduler *proxy.Scheduler) {
+func (p *process) followProxies(ctx context.Context, scheduler *proxy.LoadBalancer) {
 	repeat(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
 		defer cancel()
--- a/internal/tier/exchangetest/mutants_test.go
+++ b/internal/tier/exchangetest/mutants_test.go
@@ -10,12 +10,12 @@
 func TestMutantsAreNoticed(t *testing.T) {
 	const (
 		exchange = "../upstream/exchange.go"
-		answer   = "../upstream/answer.go"
+		answer   = "../upstream/response.go"
 		attempt  = "../proxy/attempt.go"
-		call     = "../proxy/call.go"
-		deliver  = "../proxy/deliver.go"
-		stream   = "../proxy/stream.go"
-		events   = "../proxy/events.go"
+		call     = "../proxy/request.go"
+		deliver  = "../proxy/response.go"
+		stream   = "../proxy/streaming.go"
+		events   = "../proxy/eventscanner.go"
 	)
 	change := func(file, from, to string) mutation.Change { return mutation.Change{File: file, Old: from, New: to} }
 	mutation.Test(t, []mutation.Mutant{
@@ -29,14 +29,14 @@
 			Change: change(exchange, "	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}",
 				"	if e.connection.used > 1 {\n		return &Error{Kind: NeverSent, Reason: reason, Err: err}\n	}\n	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}")},
 		{Name: "a reset ends an unframed answer", Run: "TestCampaign",
-			Change: change(answer, "	if err != nil {\n		reason := ReadFail", "	if err != nil && a.UntilClose {\n		a.whole = true\n		return n, io.EOF\n	}\n	if err != nil {\n		reason := ReadFail")},
+			Change: change(answer, "	if err != nil {\n		reason := ReadFailed", "	if err != nil && a.CloseDelimited {\n		a.whole = true\n		return n, io.EOF\n	}\n	if err != nil {\n		reason := ReadFailed")},
 		{Name: "503 is answered after a send that may have run", Run: "TestCampaign",
 			Change: change(call, "	c.mayHaveRun = true\n", "")},
 		{Name: "any 503 counts as not run", Run: "TestCampaign",
 			Change: change(attempt, "return told || answer.Status == http.StatusMisdirectedRequest",
 				"return told || answer.Status == http.StatusMisdirectedRequest || answer.Status == http.StatusServiceUnavailable")},
 		{Name: "a stream closed inside an event looks complete", Run: "TestAnswerMayEndAtEachByte",
-			Change: change(stream, "return a.answer.UntilClose && c.scanner.insideEvent()", "return false")},
+			Change: change(stream, "return a.answer.CloseDelimited && c.scanner.insideEvent()", "return false")},
 		{Name: "a stream that was taken up brings old events", Run: "TestCampaign",
 			Change: change(events, "	if !s.resumed || !s.hasID && !s.hasData {", "	if s.resumed || !s.resumed {")},
 		{Name: "a stream is taken up in the middle of an event", Run: "TestCampaign",
@@ -47,7 +47,7 @@
 		{Name: "a turn's last byte doesn't wait for the stores", Run: "TestCampaign",
 			Change: change(stream, "return c.turn != nil && c.turn.remembered && a.answer.ContentLength > 0", "return false")},
 		{Name: "an unframed answer goes on unframed", Run: "TestKilledProxyLeavesNothingThatLooksComplete",
-			Change: change(deliver, "	c.guardEnd(header)\n", "	if a.answer.UntilClose {\n		header[\"Transfer-Encoding\"] = []string{\"identity\"}\n	}\n")},
+			Change: change(deliver, "	c.guardEnd(header)\n", "	if a.answer.CloseDelimited {\n		header[\"Transfer-Encoding\"] = []string{\"identity\"}\n	}\n")},
 		{Name: "a client of HTTP/1.0 sees every close as orderly", Run: "TestAnswerThatAClientDoesNotTakeIsCut",
 			Change: change(deliver, "		client.resetOnClose(true)\n", "")},
 		{Name: "work goes on for a client that left", Run: "TestClientMayLeaveWhileItsAnswerComes",
--- a/internal/tier/exchangetest/world_test.go
+++ b/internal/tier/exchangetest/world_test.go
@@ -105,7 +105,7 @@
 	w.routes.Store(proxy.NewRoutes(configuration(1)))
 	var err error
 	w.proxy, err = proxy.New(proxy.Options{FrontAddress: frontAddress, ReadinessAddress: "10.0.0.1:81", Views: w, Programs: w.stores,
-		Chooser: w, Network: w.network})
+		Selector: w, Network: w.network})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,8 +232,8 @@
 // Ready implements proxy.Views.
 func (w *world) Ready() bool { return true }
 
-// Choose implements proxy.Chooser: a request goes round the endpoints that are listed, from one that its id tells.
-func (w *world) Choose(_ context.Context, facts *proxy.Facts) (proxy.Choice, error) {
+// Select implements proxy.Selector: a request goes round the endpoints that are listed, from one that its id tells.
+func (w *world) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for i := range endpointCount {
@@ -242,13 +242,13 @@
 		if w.gone[number] || slices.Contains(facts.Excluded, e.id) {
 			continue
 		}
-		choice := proxy.Choice{ID: e.id, Address: e.address, MaxConnections: w.plan.maxConnections}
+		choice := proxy.Selection{ID: e.id, Address: e.address, MaxConnections: w.plan.maxConnections}
 		if request := w.requests[facts.AttemptID]; request != nil && request.route.repeatable() {
 			choice.Timeout = request.timeout
 		}
 		return choice, nil
 	}
-	return proxy.Choice{}, &proxy.Refusal{RetryAfter: 100 * time.Millisecond}
+	return proxy.Selection{}, &proxy.Rejection{RetryAfter: 100 * time.Millisecond}
 }
 
 // firstEndpoint is the number of the endpoint that a request goes to first.
@@ -258,8 +258,8 @@
 	return int(hash.Sum32() % endpointCount)
 }
 
-// FirstEvent implements proxy.Chooser.
-func (w *world) FirstEvent(proxy.Choice, string) {}
+// FirstEvent implements proxy.Selector.
+func (w *world) FirstEvent(proxy.Selection, string) {}
 
-// Done implements proxy.Chooser.
-func (w *world) Done(proxy.Choice, proxy.Outcome) {}
+// Done implements proxy.Selector.
+func (w *world) Done(proxy.Selection, proxy.Outcome) {}
--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -29,32 +29,32 @@
 	End(ctx context.Context, key string, turn program.EndTurn) (program.Result, error)
 }
 
-// Facts is what is known of a request when an endpoint is chosen for it.
-type Facts struct {
-	Route        *model.Route
-	Service      *model.Service
-	AttemptID    string
-	Subject      string // X-Subject
-	Program      string
-	Session      string
-	Previous     string
-	Model        string
-	Prefix       string // X-Prompt-Prefix
-	PromptTokens int64
-	MostTokens   int64
-	FinishLeft   time.Duration // until the program should be over, at Arrived; 0: not told
-	BodyBytes    int           // that go to the endpoint
-	Arrived      time.Time
-	Deadline     time.Time
-	TriesUsed    int      // attempts of which an endpoint may have run one
-	MayHaveRun   bool     // an earlier attempt of this request may have run
-	Restarted    bool     // the last attempt was given up after its choice's time-out
-	Excluded     []string // endpoints that this request has been sent to
-	TurnedAway   []string // those of them that promised not to run it, or had no connection free: they may get it where no other does
+// RequestInfo is what is known of a request when an endpoint is chosen for it.
+type RequestInfo struct {
+	Route           *model.Route
+	Service         *model.Service
+	AttemptID       string
+	Subject         string // X-Subject
+	Program         string
+	Session         string
+	Previous        string
+	Model           string
+	Prefix          string // X-Prompt-Prefix
+	PromptTokens    int64
+	MaxOutputTokens int64
+	ProgramTimeLeft time.Duration // until the program should be over, at ArrivedAt; 0: not told
+	BodyBytes       int           // that go to the endpoint
+	ArrivedAt       time.Time
+	Deadline        time.Time
+	AttemptsUsed    int      // attempts of which an endpoint may have run one
+	MayHaveRun      bool     // an earlier attempt of this request may have run
+	AfterTimeout    bool     // the last attempt was given up after its choice's time-out
+	Excluded        []string // endpoints that this request has been sent to
+	RejectedBy      []string // those of them that promised not to run it, or had no connection free: they may get it where no other does
 }
 
-// Choice is the endpoint that an attempt goes to.
-type Choice struct {
+// Selection is the endpoint that an attempt goes to.
+type Selection struct {
 	ID             string
 	Address        string
 	MaxConnections int             // that this proxy may have to it; 0: no bound
@@ -63,23 +63,23 @@
 	Ticket         any             // the chooser's own
 }
 
-// Refusal is Choose's error when the request isn't to be sent.
-type Refusal struct {
+// Rejection is Select's error when the request isn't to be sent.
+type Rejection struct {
 	Kind       apierror.Kind // one that promises that the request hasn't run; None: NoEndpoint
 	RetryAfter time.Duration
 }
 
 // Error describes the refusal.
-func (*Refusal) Error() string { return "no endpoint takes the request now" }
+func (*Rejection) Error() string { return "no endpoint takes the request now" }
 
-// Chooser decides which endpoint takes an attempt. Each choice is answered by one call of Done. Its methods are called by
+// Selector decides which endpoint takes an attempt. Each choice is answered by one call of Done. Its methods are called by
 // many goroutines.
-type Chooser interface {
-	// Choose may wait for a place. Its error is a *Refusal, or the context's.
-	Choose(ctx context.Context, facts *Facts) (Choice, error)
+type Selector interface {
+	// Select may wait for a place. Its error is a *Rejection, or the context's.
+	Select(ctx context.Context, facts *RequestInfo) (Selection, error)
 	// FirstEvent tells that the first event of a stream has come, and the X-Server-Load told with it.
-	FirstEvent(choice Choice, load string)
-	Done(choice Choice, outcome Outcome)
+	FirstEvent(choice Selection, load string)
+	Done(choice Selection, outcome Outcome)
 }
 
 // Result is how an attempt ended.
@@ -87,15 +87,15 @@
 
 // The results of an attempt.
 const (
-	Succeeded   Result = iota + 1 // a whole answer with success
-	Failed                        // a whole answer with a failure
-	NotRun                        // the endpoint said that it didn't run the request, or takes no more connections
-	NeverSent                     // no byte was sent
-	Broken                        // sent, and no whole answer came
-	TimedOut                      // given up after the choice's time-out
-	DeadlineHit                   // the request's deadline passed
-	ClientGone                    // the client closed its connection
-	CalledOff                     // not sent, since the endpoint was withdrawn, the deadline passed or the client went
+	Succeeded          Result = iota + 1 // a whole answer with success
+	ErrorResponse                        // a whole answer with a failure
+	NotRun                               // the endpoint said that it didn't run the request, or takes no more connections
+	NeverSent                            // no byte was sent
+	IncompleteResponse                   // sent, and no whole answer came
+	TimedOut                             // given up after the choice's time-out
+	DeadlineExceeded                     // the request's deadline passed
+	ClientClosed                         // the client closed its connection
+	Cancelled                            // not sent, since the endpoint was withdrawn, the deadline passed or the client went
 )
 
 // Outcome is what an attempt showed.
@@ -108,5 +108,5 @@
 	Tokens      int64
 	Load        string        // X-Server-Load
 	Misdirected bool          // with NotRun: another endpoint answered at the address
-	RetryIn     time.Duration // Retry-After; 0: not told
+	RetryAfter  time.Duration // Retry-After; 0: not told
 }
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -22,26 +22,26 @@
 
 // attempt is one send of a call.
 type attempt struct {
-	choice  Choice
+	choice  Selection
 	started time.Time
 	context context.Context
 	cancel  context.CancelCauseFunc // nil: there is no time-out
 	timer   *time.Timer             // nil: there is none
 	outcome Outcome
-	answer  *upstream.Answer
+	answer  *upstream.Response
 	before  int64 // events that the client had before
 	closed  bool  // the chooser has been told its outcome
 }
 
 // attempt sends the request to one endpoint. It returns true when the request is to be sent again.
 func (c *call) attempt() (again bool) {
-	choice, err := c.proxy.options.Chooser.Choose(c.context, &c.facts)
+	choice, err := c.proxy.options.Selector.Select(c.context, &c.facts)
 	if err != nil {
 		c.refused(err)
 		return false
 	}
 	a := &attempt{choice: choice, started: c.proxy.options.Now(), before: c.scanner.count}
-	a.outcome.Result = Broken
+	a.outcome.Result = IncompleteResponse
 	c.bound(a)
 	defer c.done(a)
 	c.facts.Excluded = append(c.facts.Excluded, choice.ID)
@@ -68,7 +68,7 @@
 	a.outcome.Took = c.proxy.options.Now().Sub(a.started)
 	a.outcome.Events = c.scanner.count - a.before
 	a.outcome.Tokens = a.outcome.Events * tokensPerEvent(c.facts.Service)
-	c.proxy.options.Chooser.Done(a.choice, a.outcome)
+	c.proxy.options.Selector.Done(a.choice, a.outcome)
 }
 
 // bound makes an attempt end after its choice's time-out.
@@ -102,20 +102,20 @@
 	return false
 }
 
-func (c *call) endpoint(choice Choice) upstream.Endpoint {
+func (c *call) endpoint(choice Selection) upstream.Endpoint {
 	return upstream.Endpoint{ID: choice.ID, Address: choice.Address, MaxConnections: choice.MaxConnections, Permit: choice.Permit}
 }
 
 // attemptRequest returns the request with the fields of this attempt.
-func (c *call) attemptRequest(choice Choice) *upstream.Request {
-	extra := append(c.upstream.Extra[:0],
+func (c *call) attemptRequest(choice Selection) *upstream.Request {
+	extra := append(c.upstream.AttemptFields[:0],
 		upstream.Field{Name: headerExpected, Value: choice.ID},
 		upstream.Field{Name: headerPriority, Value: c.priority},
 	)
 	if last := c.lastEventID(); last != "" {
 		extra = append(extra, upstream.Field{Name: headerLastEventID, Value: last})
 	}
-	c.upstream.Extra = extra
+	c.upstream.AttemptFields = extra
 	return &c.upstream
 }
 
@@ -140,8 +140,8 @@
 func (c *call) neverSent(a *attempt, reason upstream.Reason) (again bool) {
 	a.outcome.Result = c.unsentResult(reason)
 	c.unsent++
-	if reason == upstream.Busy {
-		c.facts.TurnedAway = append(c.facts.TurnedAway, a.choice.ID)
+	if reason == upstream.PoolExhausted {
+		c.facts.RejectedBy = append(c.facts.RejectedBy, a.choice.ID)
 	}
 	if c.context.Err() == nil && c.unsent < mostUnsent {
 		return true
@@ -153,13 +153,13 @@
 // unsentResult returns what an attempt that wasn't sent tells of its endpoint.
 func (c *call) unsentResult(reason upstream.Reason) Result {
 	switch reason {
-	case upstream.Busy:
+	case upstream.PoolExhausted:
 		return NotRun
-	case upstream.Recalled:
-		return CalledOff
-	case upstream.Cancelled, upstream.Connect:
+	case upstream.PermitRevoked:
+		return Cancelled
+	case upstream.Cancelled, upstream.ConnectFailed:
 		if c.isOver() {
-			return CalledOff
+			return Cancelled
 		}
 	}
 	return NeverSent
@@ -184,18 +184,18 @@
 func (c *call) brokenResult(a *attempt) Result {
 	switch {
 	case c.request.Context().Err() != nil:
-		return ClientGone
+		return ClientClosed
 	case c.context.Err() != nil:
-		return DeadlineHit
+		return DeadlineExceeded
 	case errors.Is(context.Cause(a.context), errAttemptTimeout):
 		return TimedOut
 	}
-	return Broken
+	return IncompleteResponse
 }
 
 // refused ends a call for which there is no endpoint.
 func (c *call) refused(err error) {
-	var refusal *Refusal
+	var refusal *Rejection
 	if errors.As(err, &refusal) {
 		c.retryIn = refusal.RetryAfter
 		if refusal.Kind != apierror.None {
@@ -224,7 +224,7 @@
 	header := a.answer.Header
 	a.outcome.Status = a.answer.Status
 	a.outcome.Load = first(header, headerLoad)
-	a.outcome.RetryIn = seconds(first(header, headerRetryAfter))
+	a.outcome.RetryAfter = seconds(first(header, headerRetryAfter))
 	if promisesNotRun(a.answer) {
 		return c.turnedAway(a)
 	}
@@ -241,13 +241,13 @@
 }
 
 // promisesNotRun tells whether an answer says that the endpoint did not run the request and never will.
-func promisesNotRun(answer *upstream.Answer) bool {
+func promisesNotRun(answer *upstream.Response) bool {
 	_, told := answer.Header[headerNotRun]
 	return told || answer.Status == http.StatusMisdirectedRequest
 }
 
 // presentable tells whether an answer may go to the client as it is.
-func (c *call) presentable(answer *upstream.Answer) bool {
+func (c *call) presentable(answer *upstream.Response) bool {
 	if first(answer.Header, headerSeal) == "" || answer.Status == http.StatusSwitchingProtocols {
 		return false
 	}
@@ -273,9 +273,9 @@
 	a.outcome.Misdirected = a.answer.Status == http.StatusMisdirectedRequest
 	c.notRun++
 	if !a.outcome.Misdirected {
-		c.facts.TurnedAway = append(c.facts.TurnedAway, a.choice.ID)
+		c.facts.RejectedBy = append(c.facts.RejectedBy, a.choice.ID)
 	}
-	c.refusal, c.retryIn = apierror.EndpointRefused, a.outcome.RetryIn
+	c.refusal, c.retryIn = apierror.EndpointRefused, a.outcome.RetryAfter
 	if a.answer.Status == http.StatusBadRequest && !c.committed {
 		return c.deliver(a)
 	}
@@ -290,15 +290,15 @@
 // repeatFailed goes on to another endpoint after a failure that came whole.
 func (c *call) repeatFailed(a *attempt) bool {
 	drain(a.answer)
-	a.outcome.Result = Failed
-	c.ran(Failed)
+	a.outcome.Result = ErrorResponse
+	c.ran(ErrorResponse)
 	return true
 }
 
 // drain reads the rest of an answer that has come already, so that its connection can be kept. It doesn't wait: an endpoint
 // that has said that it won't run a request must not hold it up.
-func drain(answer *upstream.Answer) {
-	if answer.Whole() {
+func drain(answer *upstream.Response) {
+	if answer.Complete() {
 		return
 	}
 	if answer.ContentLength >= 0 && answer.ContentLength <= int64(answer.Buffered()) {
--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -41,7 +41,7 @@
 	}
 	defer listener.Close()
 	go answerAll(listener, []byte(answer))
-	scheduler := NewScheduler("z", 1)
+	scheduler := NewLoadBalancer("z", 1)
 	scheduler.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 		{ID: "e2", Service: "engine", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
@@ -53,7 +53,7 @@
 		for range stores.ended {
 		}
 	}()
-	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: v, Programs: stores, Chooser: scheduler})
+	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: v, Programs: stores, Selector: scheduler})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/tier/proxy/gone_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -65,7 +65,7 @@
 			case <-time.After(gonePatience):
 				t.Fatal("the endpoint works on")
 			}
-			if outcome := <-f.chooser.outcomes; outcome.Result != ClientGone {
+			if outcome := <-f.chooser.outcomes; outcome.Result != ClientClosed {
 				t.Errorf("outcome %+v", outcome)
 			}
 			f.stop()
@@ -79,7 +79,7 @@
 func TestWaitingRequestLeavesWithItsClient(t *testing.T) {
 	// given an endpoint whose only place is taken, and a request that waits for it
 	s, held := newFullScheduler(t)
-	f := newFixtureWith(t, func(options *Options) { options.Chooser = s })
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
 	config := newConfiguration()
 	for i := range config.Routes {
 		config.Routes[i].TargetMs = 100_000
@@ -114,7 +114,7 @@
 	leave()
 	s.leave(gone, id, w)
 	// then the next one gets that place
-	if _, err := s.Choose(t.Context(), newFacts(0)); err != nil {
+	if _, err := s.Select(t.Context(), newFacts(0)); err != nil {
 		t.Errorf("the place was not free: %v", err)
 	}
 }
--- a/internal/tier/proxy/giveup_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -67,7 +67,7 @@
 				t.Errorf("got %+v", got)
 			}
 			<-e.closed
-			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineHit {
+			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded {
 				t.Errorf("outcome %+v", outcome)
 			}
 		})
@@ -79,7 +79,7 @@
 	t.Run("it waits for a place", func(t *testing.T) {
 		t.Parallel()
 		s, _ := newFullScheduler(t)
-		f := newFixtureWith(t, func(options *Options) { options.Chooser = s })
+		f := newFixtureWith(t, func(options *Options) { options.Selector = s })
 		f.giveUpAfter(shortGiveUpMs)
 		c := f.dial()
 		c.ask("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 60000")
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -76,17 +76,17 @@
 	return program.Result{Verdict: program.Taken}, nil
 }
 
-// chooser is a Chooser that offers endpoints in order, each once.
+// chooser is a Selector that offers endpoints in order, each once.
 type chooser struct {
-	endpoints []Choice
+	endpoints []Selection
 	outcomes  chan Outcome
 
 	mutex sync.Mutex
-	facts []Facts
+	facts []RequestInfo
 	first int
 }
 
-func (c *chooser) Choose(_ context.Context, facts *Facts) (Choice, error) {
+func (c *chooser) Select(_ context.Context, facts *RequestInfo) (Selection, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.facts = append(c.facts, *facts)
@@ -95,16 +95,16 @@
 			return choice, nil
 		}
 	}
-	return Choice{}, &Refusal{RetryAfter: 250 * time.Millisecond}
+	return Selection{}, &Rejection{RetryAfter: 250 * time.Millisecond}
 }
 
-func (c *chooser) FirstEvent(Choice, string) {
+func (c *chooser) FirstEvent(Selection, string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.first++
 }
 
-func (c *chooser) Done(_ Choice, outcome Outcome) { c.outcomes <- outcome }
+func (c *chooser) Done(_ Selection, outcome Outcome) { c.outcomes <- outcome }
 
 // fixture is a proxy that runs with everything around it under a test's control.
 type fixture struct {
@@ -133,7 +133,7 @@
 		config:   newConfiguration(),
 	}
 	for i, e := range endpoints {
-		f.chooser.endpoints = append(f.chooser.endpoints, Choice{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
+		f.chooser.endpoints = append(f.chooser.endpoints, Selection{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
 	}
 	f.views.routes.Store(NewRoutes(f.config))
 	f.views.ready.Store(true)
@@ -142,7 +142,7 @@
 		ReadinessAddress: "127.0.0.1:0",
 		Views:            f.views,
 		Programs:         f.programs,
-		Chooser:          f.chooser,
+		Selector:         f.chooser,
 	}
 	change(&options)
 	var err error
--- a/internal/tier/proxy/front.go
+++ b/internal/tier/proxy/front.go
@@ -88,7 +88,7 @@
 		listener: listener,
 		handler:  handler,
 		limits:   current,
-		most:     options.MaxClients,
+		most:     options.MaxClientConnections,
 		errors:   log.New(io.Discard, "", 0),
 		clients:  make(map[*clientConnection]struct{}),
 		empty:    make(chan struct{}),
--- a/internal/tier/proxy/scheduler.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -28,12 +28,12 @@
 	nearlyAll = 0.9
 )
 
-// Scheduler is the Chooser that decides by package schedule. It adds the clock, a lock, and the waiting for a place.
-type Scheduler struct {
+// LoadBalancer is the Selector that decides by package schedule. It adds the clock, a lock, and the waiting for a place.
+type LoadBalancer struct {
 	now func() time.Duration
 
 	mutex   sync.Mutex
-	core    *balancer.Scheduler
+	core    *balancer.Balancer
 	queues  map[string]*balancer.Queue
 	waiting map[uint64]*waiter
 	lastID  uint64
@@ -42,20 +42,20 @@
 
 // waiter is a request that waits for a place.
 type waiter struct {
-	facts *Facts
+	facts *RequestInfo
 	until time.Duration // when it is refused
 	given chan placing  // holds the answer once the waiter has left its queue
 }
 
-// placing is what Choose returns.
+// placing is what Select returns.
 type placing struct {
-	choice Choice
+	choice Selection
 	err    error
 }
 
 // ticket is the scheduler's own part of a choice.
 type ticket struct {
-	scheduler *Scheduler
+	scheduler *LoadBalancer
 	attempt   balancer.Attempt
 	left      time.Duration
 }
@@ -65,19 +65,19 @@
 func (t *ticket) Granted() bool {
 	t.scheduler.mutex.Lock()
 	defer t.scheduler.mutex.Unlock()
-	return t.scheduler.core.Takes(&t.attempt)
+	return t.scheduler.core.Eligible(&t.attempt)
 }
 
-// NewScheduler returns a scheduler that knows no endpoint. The seed differs from proxy to proxy.
-func NewScheduler(zone string, seed uint64) *Scheduler {
+// NewLoadBalancer returns a scheduler that knows no endpoint. The seed differs from proxy to proxy.
+func NewLoadBalancer(zone string, seed uint64) *LoadBalancer {
 	start := time.Now()
-	return newScheduler(zone, seed, func() time.Duration { return time.Since(start) })
+	return newLoadBalancer(zone, seed, func() time.Duration { return time.Since(start) })
 }
 
-func newScheduler(zone string, seed uint64, now func() time.Duration) *Scheduler {
-	return &Scheduler{
+func newLoadBalancer(zone string, seed uint64, now func() time.Duration) *LoadBalancer {
+	return &LoadBalancer{
 		now:     now,
-		core:    balancer.New(balancer.Options{Zone: zone, Seed: seed, ZoneCharge: zoneCharge}),
+		core:    balancer.New(balancer.Options{Zone: zone, Seed: seed, CrossZonePenalty: zoneCharge}),
 		queues:  make(map[string]*balancer.Queue),
 		waiting: make(map[uint64]*waiter),
 		proxies: proxiesUntold,
@@ -85,7 +85,7 @@
 }
 
 // SetEndpoints takes over the list of endpoints, which must not be changed afterwards.
-func (s *Scheduler) SetEndpoints(endpoints []model.Endpoint) {
+func (s *LoadBalancer) SetEndpoints(endpoints []model.Endpoint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetEndpoints(s.now(), endpoints)
@@ -93,7 +93,7 @@
 }
 
 // SetVersions takes over which versions of each service may take requests.
-func (s *Scheduler) SetVersions(versions []view.ServiceVersions) {
+func (s *LoadBalancer) SetVersions(versions []view.ServiceVersions) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetVersions(versions)
@@ -101,15 +101,15 @@
 }
 
 // SetProxies tells how many proxies share the connections that an endpoint takes.
-func (s *Scheduler) SetProxies(count int) {
+func (s *LoadBalancer) SetProxies(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.proxies = max(count, 1)
 }
 
-// Choose implements Chooser. Where all endpoints are full, a request that surely hasn't run waits for a part of its
+// Select implements Selector. Where all endpoints are full, a request that surely hasn't run waits for a part of its
 // route's target time.
-func (s *Scheduler) Choose(ctx context.Context, facts *Facts) (Choice, error) {
+func (s *LoadBalancer) Select(ctx context.Context, facts *RequestInfo) (Selection, error) {
 	s.mutex.Lock()
 	queue := s.queues[facts.Service.Name]
 	if queue == nil || queue.Len() == 0 {
@@ -122,33 +122,33 @@
 	id, w, refusal := s.join(facts)
 	s.mutex.Unlock()
 	if refusal != nil {
-		return Choice{}, refusal
+		return Selection{}, refusal
 	}
 	return s.wait(ctx, id, w)
 }
 
 // place asks for a decision, and counts the attempt as sent. The caller holds the mutex.
-func (s *Scheduler) place(facts *Facts) (placed placing, full bool) {
+func (s *LoadBalancer) place(facts *RequestInfo) (placed placing, full bool) {
 	now := s.now()
 	request := requestOf(facts)
-	decision := s.core.Choose(now, request)
-	if decision.Endpoint == nil && len(facts.TurnedAway) > 0 {
-		request.Excluded = without(facts.Excluded, facts.TurnedAway)
-		decision = s.core.Choose(now, request)
+	decision := s.core.Select(now, request)
+	if decision.Endpoint == nil && len(facts.RejectedBy) > 0 {
+		request.Excluded = without(facts.Excluded, facts.RejectedBy)
+		decision = s.core.Select(now, request)
 	}
 	if decision.Endpoint == nil {
-		return placing{err: refusalOf(decision.Refusal)}, decision.Refusal.Kind == balancer.Full
+		return placing{err: refusalOf(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
 	}
 	t := &ticket{scheduler: s, attempt: decision.Attempt, left: request.TimeLeft}
 	s.core.Sent(now, &t.attempt)
-	choice := Choice{
+	choice := Selection{
 		ID:             decision.Endpoint.ID,
 		Address:        decision.Endpoint.Address,
 		MaxConnections: s.connections(facts.Service),
 		Permit:         t,
 		Ticket:         t,
 	}
-	if !decision.RunsOn {
+	if !decision.UntilDeadline {
 		choice.Timeout = decision.Timeout
 	}
 	return placing{choice: choice}, false
@@ -166,34 +166,34 @@
 }
 
 // refusalOf returns a refusal in the proxy's words.
-func refusalOf(refusal balancer.Refusal) *Refusal {
+func refusalOf(refusal balancer.Rejection) *Rejection {
 	kind := apierror.Overloaded
 	switch refusal.Kind {
 	case balancer.NoEndpoint:
 		kind = apierror.NoEndpoint
-	case balancer.Hopeless:
+	case balancer.DeadlineTooShort:
 		kind = apierror.TimeTooShort
 	}
-	return &Refusal{Kind: kind, RetryAfter: refusal.RetryAfter}
+	return &Rejection{Kind: kind, RetryAfter: refusal.RetryAfter}
 }
 
 // connections returns this proxy's part of the connections that an endpoint of a service takes; 0: no bound.
-func (s *Scheduler) connections(service *model.Service) int {
+func (s *LoadBalancer) connections(service *model.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
 	}
 	return max(service.MaxConnections/s.proxies, leastConnections)
 }
 
-// FirstEvent implements Chooser.
-func (s *Scheduler) FirstEvent(choice Choice, load string) {
+// FirstEvent implements Selector.
+func (s *LoadBalancer) FirstEvent(choice Selection, load string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.FirstEvent(s.now(), &choice.Ticket.(*ticket).attempt, parseLoad(load))
 }
 
-// Done implements Chooser.
-func (s *Scheduler) Done(choice Choice, outcome Outcome) {
+// Done implements Selector.
+func (s *LoadBalancer) Done(choice Selection, outcome Outcome) {
 	t := choice.Ticket.(*ticket)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -211,51 +211,51 @@
 	switch outcome.Result {
 	case Succeeded:
 		return balancer.Success
-	case Failed:
+	case ErrorResponse:
 		return balancer.ErrorStatus
 	case NotRun:
 		if outcome.Misdirected {
 			return balancer.Misdirected
 		}
-		return balancer.NeverRan
+		return balancer.NotRun
 	case NeverSent:
 		return balancer.ConnectFailure
-	case TimedOut, DeadlineHit:
+	case TimedOut, DeadlineExceeded:
 		return balancer.TimedOut
-	case CalledOff:
+	case Cancelled:
 		return balancer.NotSent
-	case ClientGone:
+	case ClientClosed:
 		if float64(outcome.Took) >= nearlyAll*float64(left) {
 			return balancer.TimedOut
 		}
 		return balancer.Cancelled
 	}
-	return balancer.Reset
+	return balancer.IncompleteResponse
 }
 
 // requestOf returns what the scheduler needs to know of a request.
-func requestOf(facts *Facts) balancer.Request {
+func requestOf(facts *RequestInfo) balancer.Request {
 	route := facts.Route
 	prefix, own := promptTokens(facts)
 	return balancer.Request{
 		Service: facts.Service.Name,
-		Route: balancer.Route{Name: route.Name, Rank: route.Rank, Kind: route.Kind, Tries: route.Tries,
-			Pinned: route.Pinned},
+		Route: balancer.Route{Name: route.Name, Priority: route.Rank, Kind: route.Kind, MaxAttempts: route.Tries,
+			UsesAffinity: route.Pinned},
 		Retryable:    repeatable(route),
 		TimeLeft:     time.Until(facts.Deadline),
-		TriesUsed:    facts.TriesUsed,
+		AttemptsUsed: facts.AttemptsUsed,
 		MayHaveRun:   facts.MayHaveRun,
-		Restarted:    facts.Restarted,
+		AfterTimeout: facts.AfterTimeout,
 		Excluded:     facts.Excluded,
-		Affinity:     affinity(facts),
+		AffinityKey:  affinity(facts),
 		PrefixTokens: prefix,
 		NewTokens:    own,
-		OutTokens:    int(facts.MostTokens),
+		OutTokens:    int(facts.MaxOutputTokens),
 	}
 }
 
 // affinity returns a hash of what a request goes on from; 0: nothing.
-func affinity(facts *Facts) uint64 {
+func affinity(facts *RequestInfo) uint64 {
 	for _, key := range []string{facts.Program, facts.Session, facts.Subject} {
 		if key != "" {
 			return max(xxhash.Sum64String(key), 1)
@@ -265,7 +265,7 @@
 }
 
 // promptTokens returns the tokens of the shared parts of a prompt, and those of its own part, which is the last one.
-func promptTokens(facts *Facts) (prefix, own int) {
+func promptTokens(facts *RequestInfo) (prefix, own int) {
 	if facts.Prefix == "" {
 		return 0, int(facts.PromptTokens)
 	}
@@ -291,8 +291,8 @@
 	var load balancer.Load
 	var failed [3]error
 	load.Running, failed[0] = strconv.Atoi(strings.TrimSpace(running))
-	load.Waiting, failed[1] = strconv.Atoi(strings.TrimSpace(waiting))
-	load.Slots, failed[2] = strconv.Atoi(strings.TrimSpace(slots))
+	load.Queued, failed[1] = strconv.Atoi(strings.TrimSpace(waiting))
+	load.Capacity, failed[2] = strconv.Atoi(strings.TrimSpace(slots))
 	if failed != [3]error{} {
 		return balancer.Load{}
 	}
--- a/internal/tier/proxy/scheduler_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -18,24 +18,24 @@
 )
 
 // newFacts returns a request of a route with that rank, which may wait for a second.
-func newFacts(rank int) *Facts {
+func newFacts(rank int) *RequestInfo {
 	now := time.Now()
-	return &Facts{
+	return &RequestInfo{
 		Route: &model.Route{Name: fmt.Sprint("r", rank), Kind: model.OnceOnly, Rank: rank, Tries: 1, TargetMs: 4000, GiveUpMs: 8000,
 			Service: "plain"},
-		Service:  &model.Service{Name: "plain", MaxConnections: 80},
-		Arrived:  now,
-		Deadline: now.Add(8 * time.Second),
+		Service:   &model.Service{Name: "plain", MaxConnections: 80},
+		ArrivedAt: now,
+		Deadline:  now.Add(8 * time.Second),
 	}
 }
 
 // newFullScheduler returns a scheduler with one endpoint whose only slot is taken, and what holds it.
-func newFullScheduler(t *testing.T) (*Scheduler, Choice) {
+func newFullScheduler(t *testing.T) (*LoadBalancer, Selection) {
 	t.Helper()
-	s := NewScheduler("z", 1)
-	s.core = balancer.New(balancer.Options{Zone: "z", Slots: 1})
+	s := NewLoadBalancer("z", 1)
+	s.core = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
 	s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
-	held, err := s.Choose(t.Context(), newFacts(0))
+	held, err := s.Select(t.Context(), newFacts(0))
 	if err != nil || held.ID != "e" || held.Address != "127.0.0.1:1" || held.MaxConnections != 10 {
 		t.Fatalf("%+v, %v", held, err)
 	}
@@ -43,22 +43,22 @@
 }
 
 // waiters returns how many requests wait.
-func (s *Scheduler) waiters() int {
+func (s *LoadBalancer) waiters() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.waiting)
 }
 
-func awaitWaiters(s *Scheduler, count int) {
+func awaitWaiters(s *LoadBalancer, count int) {
 	for s.waiters() != count {
 		runtime.Gosched()
 	}
 }
 
 func TestSchedulerRefusesWithoutEndpoint(t *testing.T) {
-	s := NewScheduler("z", 1)
-	_, err := s.Choose(t.Context(), newFacts(0))
-	var refusal *Refusal
+	s := NewLoadBalancer("z", 1)
+	_, err := s.Select(t.Context(), newFacts(0))
+	var refusal *Rejection
 	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
@@ -70,7 +70,7 @@
 	var done sync.WaitGroup
 	for i, rank := range []int{2, 0, 1} {
 		done.Go(func() {
-			choice, err := s.Choose(t.Context(), newFacts(rank))
+			choice, err := s.Select(t.Context(), newFacts(rank))
 			if err != nil {
 				t.Errorf("rank %d: %v", rank, err)
 				return
@@ -91,12 +91,12 @@
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
 	facts.Route.TargetMs = 80
-	_, err := s.Choose(t.Context(), facts)
-	var refusal *Refusal
+	_, err := s.Select(t.Context(), facts)
+	var refusal *Rejection
 	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
-	if waited := time.Since(facts.Arrived); waited < 20*time.Millisecond || waited > time.Second {
+	if waited := time.Since(facts.ArrivedAt); waited < 20*time.Millisecond || waited > time.Second {
 		t.Errorf("refused after %v", waited)
 	}
 	if s.waiters() != 0 {
@@ -108,8 +108,8 @@
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
 	facts.Route.Kind, facts.Route.Tries = model.Retryable, 2
-	facts.MayHaveRun, facts.TriesUsed = true, 1
-	if _, err := s.Choose(t.Context(), facts); err == nil {
+	facts.MayHaveRun, facts.AttemptsUsed = true, 1
+	if _, err := s.Select(t.Context(), facts); err == nil {
 		t.Error("not refused")
 	}
 }
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan error)
 	go func() {
-		_, err := s.Choose(ctx, newFacts(0))
+		_, err := s.Select(ctx, newFacts(0))
 		left <- err
 	}()
 	awaitWaiters(s, 1)
@@ -128,7 +128,7 @@
 		t.Errorf("got %v", err)
 	}
 	s.Done(held, Outcome{Result: Succeeded, Took: time.Millisecond})
-	if _, err := s.Choose(t.Context(), newFacts(0)); err != nil {
+	if _, err := s.Select(t.Context(), newFacts(0)); err != nil {
 		t.Errorf("the place was not free: %v", err)
 	}
 }
@@ -140,17 +140,17 @@
 		want    balancer.OutcomeKind
 	}{
 		{Outcome{Result: Succeeded}, balancer.Success},
-		{Outcome{Result: Failed}, balancer.ErrorStatus},
-		{Outcome{Result: NotRun}, balancer.NeverRan},
+		{Outcome{Result: ErrorResponse}, balancer.ErrorStatus},
+		{Outcome{Result: NotRun}, balancer.NotRun},
 		{Outcome{Result: NotRun, Misdirected: true}, balancer.Misdirected},
 		{Outcome{Result: NeverSent}, balancer.ConnectFailure},
-		{Outcome{Result: Broken}, balancer.Reset},
+		{Outcome{Result: IncompleteResponse}, balancer.IncompleteResponse},
 		{Outcome{Result: TimedOut}, balancer.TimedOut},
-		{Outcome{Result: DeadlineHit}, balancer.TimedOut},
-		{Outcome{Result: ClientGone, Took: left / 2}, balancer.Cancelled},
-		{Outcome{Result: ClientGone, Took: left}, balancer.TimedOut},
-		{Outcome{Result: CalledOff}, balancer.NotSent},
-		{Outcome{Result: CalledOff, Took: left}, balancer.NotSent},
+		{Outcome{Result: DeadlineExceeded}, balancer.TimedOut},
+		{Outcome{Result: ClientClosed, Took: left / 2}, balancer.Cancelled},
+		{Outcome{Result: ClientClosed, Took: left}, balancer.TimedOut},
+		{Outcome{Result: Cancelled}, balancer.NotSent},
+		{Outcome{Result: Cancelled, Took: left}, balancer.NotSent},
 	}
 	for _, test := range cases {
 		if got := kindOf(test.outcome, left); got != test.want {
@@ -160,7 +160,7 @@
 }
 
 func TestFiguresInHeaders(t *testing.T) {
-	loads := map[string]balancer.Load{"3,0,8": {Running: 3, Slots: 8}, "1, 2, 3": {Running: 1, Waiting: 2, Slots: 3}, "": {}, "3,0": {}, "a,b,c": {}}
+	loads := map[string]balancer.Load{"3,0,8": {Running: 3, Capacity: 8}, "1, 2, 3": {Running: 1, Queued: 2, Capacity: 3}, "": {}, "3,0": {}, "a,b,c": {}}
 	for told, want := range loads {
 		if got := parseLoad(told); got != want {
 			t.Errorf("load %q: %+v", told, got)
@@ -171,7 +171,7 @@
 		shared, own int
 	}{{"5c1e07a2:800,91bd3f06:410,e4402b7d:250", 1210, 250}, {"ab:7", 0, 7}, {"", 0, 99}, {"ab:x", 0, 99}}
 	for _, test := range prompts {
-		shared, own := promptTokens(&Facts{Prefix: test.prefix, PromptTokens: 99})
+		shared, own := promptTokens(&RequestInfo{Prefix: test.prefix, PromptTokens: 99})
 		if shared != test.shared || own != test.own {
 			t.Errorf("prefix %q: %d shared and %d own", test.prefix, shared, own)
 		}
@@ -188,12 +188,12 @@
 
 func TestSchedulerServesThroughTheProxy(t *testing.T) {
 	first, second := newEndpoint(t, turnAway), newEndpoint(t, answerWith(200, "good", "X-Server-Load: 1,0,8"))
-	s := NewScheduler("z", 1)
+	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: first.listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 		{ID: "e2", Service: "plain", Address: second.listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 	})
-	f := newFixtureWith(t, func(options *Options) { options.Chooser = s }, first, second)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, first, second)
 	c := f.dial()
 	for i := range 20 {
 		c.ask("GET", "/once/x", fmt.Sprint(i), "")
@@ -241,9 +241,9 @@
 		}
 		return answerWith(200, "good")(socket, request)
 	})
-	s := NewScheduler("z", 1)
+	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints(listOf([]string{e.listener.Addr().String()}, model.Ready))
-	f := newFixtureWith(t, func(options *Options) { options.Chooser = s }, e)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
 		config.Routes[i].TargetMs = 4000
@@ -276,11 +276,11 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			s := NewScheduler("z", 1)
+			s := NewLoadBalancer("z", 1)
 			s.SetEndpoints(listOf(addresses, model.Ready, model.Ready))
 			facts := newFacts(0)
-			facts.TurnedAway, facts.Excluded = test.turnedAway, test.excluded
-			if choice, err := s.Choose(t.Context(), facts); err != nil || choice.ID != test.want {
+			facts.RejectedBy, facts.Excluded = test.turnedAway, test.excluded
+			if choice, err := s.Select(t.Context(), facts); err != nil || choice.ID != test.want {
 				t.Errorf("got %q, %v", choice.ID, err)
 			}
 		})
@@ -295,9 +295,9 @@
 		<-release
 		return answerWith(200, "good")(socket, request)
 	})
-	s := NewScheduler("z", 1)
+	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints(listOf([]string{e.listener.Addr().String()}, model.Ready))
-	f := newFixtureWith(t, func(options *Options) { options.Chooser = s }, e)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
 		config.Routes[i].TargetMs = 8000
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -13,17 +13,17 @@
 
 // Options are what a Proxy is built from.
 type Options struct {
-	FrontAddress     string // where clients connect
-	ReadinessAddress string // where the platform asks whether the proxy is ready
-	Views            Views
-	Programs         Programs
-	Chooser          Chooser
-	Upstream         upstream.Options
-	Network          network.Network // nil: the system's
-	MaxClients       int             // connections of clients at once; 0: no bound
-	RecoveryBound    time.Duration   // the longest outage; 0: none is too long
-	Checks           *invariant.Counter
-	Metrics          *metrics.Metrics // told beside readiness; nil: the proxy's own
-	Logger           log.Logger       // of faults in the library or a handler, and of the phases of the end; nil: none
-	Now              func() time.Time // nil: the system's clock
+	FrontAddress         string // where clients connect
+	ReadinessAddress     string // where the platform asks whether the proxy is ready
+	Views                Views
+	Programs             Programs
+	Selector             Selector
+	Upstream             upstream.Options
+	Network              network.Network // nil: the system's
+	MaxClientConnections int             // connections of clients at once; 0: no bound
+	MaxOutage            time.Duration   // the longest outage; 0: none is too long
+	Checks               *invariant.Counter
+	Metrics              *metrics.Metrics // told beside readiness; nil: the proxy's own
+	Logger               log.Logger       // of faults in the library or a handler, and of the phases of the end; nil: none
+	Now                  func() time.Time // nil: the system's clock
 }
--- a/internal/tier/proxy/recall_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -20,12 +20,12 @@
 
 // withdrawn is a chooser that lets something happen between a choice and its send.
 type withdrawn struct {
-	*Scheduler
-	before func(Choice)
+	*LoadBalancer
+	before func(Selection)
 }
 
-func (w *withdrawn) Choose(ctx context.Context, facts *Facts) (Choice, error) {
-	choice, err := w.Scheduler.Choose(ctx, facts)
+func (w *withdrawn) Select(ctx context.Context, facts *RequestInfo) (Selection, error) {
+	choice, err := w.LoadBalancer.Select(ctx, facts)
 	if err == nil {
 		w.before(choice)
 	}
@@ -34,10 +34,10 @@
 
 func TestEndpointThatDrainsBeforeTheSendGetsNothing(t *testing.T) {
 	ready, draining := model.Ready, model.Draining
-	withdraw := map[string]func(*Scheduler, []string){
-		"draining": func(s *Scheduler, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)) },
-		"gone":     func(s *Scheduler, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)[1:]) },
-		"a version that is withdrawn": func(s *Scheduler, addresses []string) {
+	withdraw := map[string]func(*LoadBalancer, []string){
+		"draining": func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)) },
+		"gone":     func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)[1:]) },
+		"a version that is withdrawn": func(s *LoadBalancer, addresses []string) {
 			list := listOf(addresses, ready, ready)
 			list[0].Number = "v2"
 			s.SetEndpoints(list)
@@ -49,11 +49,11 @@
 			// given two endpoints, of which only the first one is known
 			first, second := newEndpoint(t, answerWith(200, "first")), newEndpoint(t, answerWith(200, "second"))
 			addresses := []string{first.listener.Addr().String(), second.listener.Addr().String()}
-			s := NewScheduler("z", 1)
+			s := NewLoadBalancer("z", 1)
 			s.SetEndpoints(listOf(addresses, ready))
 			// when the first one is withdrawn after it was chosen
 			f := newFixtureWith(t, func(options *Options) {
-				options.Chooser = &withdrawn{s, func(Choice) { change(s, addresses) }}
+				options.Selector = &withdrawn{s, func(Selection) { change(s, addresses) }}
 			}, first, second)
 			c := f.dial()
 			c.ask("POST", "/once/x", "id", "body")
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -283,7 +283,7 @@
 	full := newFullListener(t)
 	good := newEndpoint(t, answerWith(200, "good"))
 	f := newFixture(t, good)
-	f.chooser.endpoints = []Choice{{ID: "hung", Address: full, Timeout: 30 * time.Millisecond}, f.chooser.endpoints[0]}
+	f.chooser.endpoints = []Selection{{ID: "hung", Address: full, Timeout: 30 * time.Millisecond}, f.chooser.endpoints[0]}
 	c := f.dial()
 	c.ask("POST", "/once/x", "id", "body")
 	if got := c.read("POST"); got.status != 200 {
@@ -325,14 +325,14 @@
 func TestDeadlineBeforeTheSendSaysNothingOfTheEndpoint(t *testing.T) {
 	// given a connection that doesn't come up, and a request with less time than that is given
 	f := newFixture(t)
-	f.chooser.endpoints = []Choice{{ID: "hung", Address: newFullListener(t)}}
+	f.chooser.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
 	c := f.dial()
 	c.ask("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 20")
 	// then the client is told that it has not run, and the endpoint isn't blamed
 	if got := c.read("POST"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != CalledOff {
+	if outcome := <-f.chooser.outcomes; outcome.Result != Cancelled {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
--- a/internal/tier/proxy/rank_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -75,9 +75,9 @@
 		lasts = 3 * time.Second
 	)
 	endpoint := &slots{count: 8, queue: 4}
-	var schedulers []*Scheduler
+	var schedulers []*LoadBalancer
 	for i := range proxies {
-		s := NewScheduler("z", uint64(i+1))
+		s := NewLoadBalancer("z", uint64(i+1))
 		s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Number: "v1", State: model.Ready}})
 		schedulers = append(schedulers, s)
 	}
@@ -105,11 +105,11 @@
 }
 
 // askOnce plays one request, and tells whether it was answered within its aim.
-func (s *Scheduler) askOnce(t *testing.T, endpoint *slots, rank int, targetMs int64, work time.Duration) bool {
+func (s *LoadBalancer) askOnce(t *testing.T, endpoint *slots, rank int, targetMs int64, work time.Duration) bool {
 	facts := newFacts(rank)
 	facts.Route.TargetMs = targetMs
 	for range mostNotRun {
-		choice, err := s.Choose(t.Context(), facts)
+		choice, err := s.Select(t.Context(), facts)
 		if err != nil {
 			return false
 		}
@@ -117,9 +117,9 @@
 		sent := time.Now()
 		if endpoint.run(rank, work) {
 			s.Done(choice, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
-			return time.Since(facts.Arrived) <= time.Duration(targetMs)*time.Millisecond
+			return time.Since(facts.ArrivedAt) <= time.Duration(targetMs)*time.Millisecond
 		}
-		facts.TurnedAway = append(facts.TurnedAway, choice.ID)
+		facts.RejectedBy = append(facts.RejectedBy, choice.ID)
 		s.Done(choice, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
 	}
 	return false
--- a/internal/tier/proxy/waiting.go
+++ b/internal/tier/proxy/queue.go
@@ -11,16 +11,16 @@
 const leastPause = 5 * time.Millisecond
 
 // join puts a request into its service's queue. The caller holds the mutex.
-func (s *Scheduler) join(facts *Facts) (uint64, *waiter, *Refusal) {
+func (s *LoadBalancer) join(facts *RequestInfo) (uint64, *waiter, *Rejection) {
 	now := s.now()
-	arrived := now - time.Since(facts.Arrived)
+	arrived := now - time.Since(facts.ArrivedAt)
 	target := time.Duration(facts.Route.TargetMs) * time.Millisecond
 	s.lastID++
-	entry := balancer.NewWaiter(s.lastID, facts.Route.Rank, arrived, target, facts.Deadline.Sub(facts.Arrived))
-	if entry.Until <= now {
+	entry := balancer.NewQueuedRequest(s.lastID, facts.Route.Rank, arrived, target, facts.Deadline.Sub(facts.ArrivedAt))
+	if entry.ExpiresAt <= now {
 		return 0, nil, s.refusal(facts)
 	}
-	w := &waiter{facts: facts, until: entry.Until, given: make(chan placing, 1)}
+	w := &waiter{facts: facts, until: entry.ExpiresAt, given: make(chan placing, 1)}
 	s.waiting[entry.ID] = w
 	if displaced, full := s.queue(facts.Service.Name).Push(entry); full {
 		s.give(displaced.ID, placing{err: s.refusal(facts)})
@@ -29,7 +29,7 @@
 	return entry.ID, w, nil
 }
 
-func (s *Scheduler) queue(service string) *balancer.Queue {
+func (s *LoadBalancer) queue(service string) *balancer.Queue {
 	queue := s.queues[service]
 	if queue == nil {
 		queue = balancer.NewQueue(mostWaiting)
@@ -39,13 +39,13 @@
 }
 
 // refusal returns the refusal of a request for which there is no place, with the scheduler's time to come back.
-func (s *Scheduler) refusal(facts *Facts) *Refusal {
-	return refusalOf(s.core.Choose(s.now(), requestOf(facts)).Refusal)
+func (s *LoadBalancer) refusal(facts *RequestInfo) *Rejection {
+	return refusalOf(s.core.Select(s.now(), requestOf(facts)).Rejection)
 }
 
 // wait returns what a waiter is given. It asks again now and then, as an endpoint's refusal may have come to its end, and
 // when the waiter's own time is over.
-func (s *Scheduler) wait(ctx context.Context, id uint64, w *waiter) (Choice, error) {
+func (s *LoadBalancer) wait(ctx context.Context, id uint64, w *waiter) (Selection, error) {
 	timer := time.NewTimer(pauseUntil(w.until-s.now(), leastPause))
 	defer timer.Stop()
 	for pause := 2 * leastPause; ; pause *= 2 {
@@ -56,7 +56,7 @@
 			s.ask(w.facts.Service.Name)
 			timer.Reset(pauseUntil(w.until-s.now(), pause))
 		case <-ctx.Done():
-			return Choice{}, s.leave(ctx, id, w)
+			return Selection{}, s.leave(ctx, id, w)
 		}
 	}
 }
@@ -71,14 +71,14 @@
 }
 
 // ask looks for places and refuses those whose time to wait is over.
-func (s *Scheduler) ask(service string) {
+func (s *LoadBalancer) ask(service string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pump(service)
 }
 
 // leave takes a waiter whose client has gone out of its queue, and gives back a place that it got meanwhile.
-func (s *Scheduler) leave(ctx context.Context, id uint64, w *waiter) error {
+func (s *LoadBalancer) leave(ctx context.Context, id uint64, w *waiter) error {
 	s.mutex.Lock()
 	delete(s.waiting, id)
 	s.queue(w.facts.Service.Name).Remove(id)
@@ -86,7 +86,7 @@
 	select {
 	case placed := <-w.given:
 		if placed.err == nil {
-			s.Done(placed.choice, Outcome{Result: CalledOff})
+			s.Done(placed.choice, Outcome{Result: Cancelled})
 		}
 	default:
 	}
@@ -94,7 +94,7 @@
 }
 
 // pumpAll serves all queues. The caller holds the mutex.
-func (s *Scheduler) pumpAll() {
+func (s *LoadBalancer) pumpAll() {
 	if len(s.waiting) == 0 {
 		return
 	}
@@ -105,7 +105,7 @@
 
 // pump gives places to the waiters of a service, the most urgent first, and refuses those whose time to wait is over. The
 // caller holds the mutex.
-func (s *Scheduler) pump(service string) {
+func (s *LoadBalancer) pump(service string) {
 	queue := s.queues[service]
 	if queue == nil {
 		return
@@ -123,7 +123,7 @@
 		s.give(entry.ID, placed)
 	}
 	for {
-		entry, expired := queue.Expired(s.now())
+		entry, expired := queue.PopExpired(s.now())
 		if !expired {
 			return
 		}
@@ -132,7 +132,7 @@
 }
 
 // give hands a waiter its answer. The caller holds the mutex.
-func (s *Scheduler) give(id uint64, placed placing) {
+func (s *LoadBalancer) give(id uint64, placed placing) {
 	w := s.waiting[id]
 	delete(s.waiting, id)
 	w.given <- placed
--- a/internal/tier/proxy/waiting_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -15,13 +15,13 @@
 			facts := newFacts(0)
 			facts.Route.TargetMs = int64(target)
 			// when a request waits for it
-			_, err := s.Choose(t.Context(), facts)
+			_, err := s.Select(t.Context(), facts)
 			// then it is refused after a quarter of its target time, neither sooner nor later
-			var refusal *Refusal
+			var refusal *Rejection
 			if !errors.As(err, &refusal) {
 				t.Errorf("got %v", err)
 			}
-			if waited, want := time.Since(facts.Arrived), target*time.Millisecond/4; waited != want {
+			if waited, want := time.Since(facts.ArrivedAt), target*time.Millisecond/4; waited != want {
 				t.Errorf("target %d ms: refused after %v, want %v", target, waited, want)
 			}
 		})
--- a/internal/tier/proxy/refusals.go
+++ b/internal/tier/proxy/rejections.go
@@ -32,7 +32,7 @@
 }
 
 func newRefusals(options *Options) *refusals {
-	return &refusals{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.RecoveryBound, checks: options.Checks}}
+	return &refusals{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.MaxOutage, checks: options.Checks}}
 }
 
 // add counts one answer.
--- a/internal/tier/proxy/call.go
+++ b/internal/tier/proxy/request.go
@@ -31,7 +31,7 @@
 	writer   http.ResponseWriter
 	request  *http.Request
 	context  context.Context // ends at the deadline, or when the client goes
-	facts    Facts
+	facts    RequestInfo
 	upstream upstream.Request
 	body     *[]byte
 	fields   *[]byte
@@ -73,7 +73,7 @@
 	}
 	c := &call{proxy: p, writer: w, request: r, refusal: apierror.NoEndpoint}
 	c.facts.Route = route
-	c.facts.Arrived = arrived
+	c.facts.ArrivedAt = arrived
 	c.facts.Deadline = arrived.Add(timeAllowed(r.Header, route.GiveUpMs))
 	c.readFacts(r.Header)
 	if c.facts.Service = routes.pickService(route, c.key()); c.facts.Service == nil {
@@ -127,8 +127,8 @@
 	f.Previous = first(header, headerPrevious)
 	f.Model = first(header, headerModel)
 	f.Prefix = first(header, headerPrefix)
-	f.PromptTokens, f.MostTokens = tokenCounts(first(header, headerTokenCounts))
-	f.FinishLeft, _ = milliseconds(first(header, headerFinish))
+	f.PromptTokens, f.MaxOutputTokens = tokenCounts(first(header, headerTokenCounts))
+	f.ProgramTimeLeft, _ = milliseconds(first(header, headerFinish))
 }
 
 // key returns a number that is the same for all requests of a program, session or subject.
@@ -244,9 +244,9 @@
 func (c *call) ran(result Result) {
 	c.runs++
 	c.mayHaveRun = true
-	c.facts.TriesUsed = c.runs
+	c.facts.AttemptsUsed = c.runs
 	c.facts.MayHaveRun = true
-	c.facts.Restarted = result == TimedOut
+	c.facts.AfterTimeout = result == TimedOut
 }
 
 // mayTryAgain tells whether the request may go to another endpoint after a send of which nothing is known.
--- a/internal/tier/proxy/deliver.go
+++ b/internal/tier/proxy/response.go
@@ -22,11 +22,11 @@
 	if cap(*buffer) < readBytes {
 		*buffer = make([]byte, 0, readBytes)
 	}
-	if c.facts.Route.Kind == model.Streaming && a.answer.Status/100 == 2 && (c.turn != nil || !a.answer.Whole()) {
+	if c.facts.Route.Kind == model.Streaming && a.answer.Status/100 == 2 && (c.turn != nil || !a.answer.Complete()) {
 		return c.deliverStream(a, (*buffer)[:cap(*buffer)])
 	}
 	length := a.answer.ContentLength
-	if a.answer.Whole() || length >= 0 && length <= wholeBytes {
+	if a.answer.Complete() || length >= 0 && length <= wholeBytes {
 		return c.deliverWhole(a, buffer)
 	}
 	if length < 0 && repeatable(c.facts.Route) {
@@ -111,7 +111,7 @@
 // deliverWhole reads a short answer to its end and passes it on in one piece.
 func (c *call) deliverWhole(a *attempt, buffer *[]byte) (again bool) {
 	data := (*buffer)[:0]
-	if !a.answer.Whole() {
+	if !a.answer.Complete() {
 		if int64(cap(data)) < a.answer.ContentLength {
 			data = make([]byte, 0, a.answer.ContentLength)
 		}
@@ -133,7 +133,7 @@
 
 // readEnd reads the end of a body whose last byte has been read, so that its connection can be kept.
 func (a *attempt) readEnd() {
-	if !a.answer.Whole() {
+	if !a.answer.Complete() {
 		var beyond [1]byte
 		a.answer.Read(beyond[:])
 	}
@@ -177,7 +177,7 @@
 	if a.outcome.Result == NotRun {
 		return
 	}
-	a.outcome.Result = Failed
+	a.outcome.Result = ErrorResponse
 	if a.answer.Status/100 == 2 {
 		a.outcome.Result = Succeeded
 	}
@@ -211,6 +211,6 @@
 
 // lost ends a call whose client has gone.
 func (c *call) lost(a *attempt) {
-	a.outcome.Result = ClientGone
+	a.outcome.Result = ClientClosed
 	abort()
 }
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -20,8 +20,8 @@
 // readyPath is what the platform asks for.
 const readyPath = "/mastusher/ready"
 
-// LastWords is how much longer than its context Shutdown takes at most, when requests and ends of turns go on.
-const LastWords = lastAnswersTime + lastSettlesTime
+// ShutdownGracePeriod is how much longer than its context Shutdown takes at most, when requests and ends of turns go on.
+const ShutdownGracePeriod = lastAnswersTime + lastSettlesTime
 
 // Proxy is the HTTP data path.
 type Proxy struct {
@@ -109,7 +109,7 @@
 
 // Shutdown takes no more connections, and returns when the requests under way and the turns being settled have ended. When
 // the context ends before, the requests that are left are answered at once that they were given up, and what can be settled
-// in a moment is; that takes no more than LastWords.
+// in a moment is; that takes no more than ShutdownGracePeriod.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	began := time.Now()
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -95,7 +95,7 @@
 }
 
 func TestConnectionsOverTheBoundAreClosedUnread(t *testing.T) {
-	f := newFixtureWith(t, func(options *Options) { options.MaxClients = 1 }, newEndpoint(t, answerWith(200, "body")))
+	f := newFixtureWith(t, func(options *Options) { options.MaxClientConnections = 1 }, newEndpoint(t, answerWith(200, "body")))
 	first := f.dial()
 	first.ask("GET", "/once/x", "1", "")
 	first.read("GET")
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -69,7 +69,7 @@
 func TestWaitingRequestThatAShutdownGivesUpIsRefused(t *testing.T) {
 	// given a request that waits for a place
 	s, _ := newFullScheduler(t)
-	f := newFixtureWith(t, func(options *Options) { options.Chooser = s })
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
 	f.giveUpAfter(60_000)
 	c := f.dial()
 	c.ask("POST", "/once/x", "id", "body")
@@ -158,7 +158,7 @@
 		if err := p.Shutdown(over); err == nil {
 			t.Error("the shutdown says that all requests have ended by themselves")
 		}
-		if took := time.Since(began); took > LastWords {
+		if took := time.Since(began); took > ShutdownGracePeriod {
 			t.Errorf("took %v more", took)
 		}
 	})
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/streaming.go
@@ -50,7 +50,7 @@
 
 // cutAtClose tells whether a stream whose end only the connection tells was closed inside an event.
 func (c *call) cutAtClose(a *attempt) bool {
-	return a.answer.UntilClose && c.scanner.insideEvent()
+	return a.answer.CloseDelimited && c.scanner.insideEvent()
 }
 
 // passEvents passes whole events on at once.
@@ -60,7 +60,7 @@
 	}
 	if a.outcome.FirstByte == 0 {
 		c.firstByte(a)
-		c.proxy.options.Chooser.FirstEvent(a.choice, a.outcome.Load)
+		c.proxy.options.Selector.FirstEvent(a.choice, a.outcome.Load)
 	}
 	c.commit(a)
 	if c.holdsBack(a) && c.turn.passed+int64(len(events)) >= a.answer.ContentLength {
@@ -126,6 +126,6 @@
 }
 
 // resumable tells whether another endpoint can go on where an answer broke off: each event has an id, and no length was told.
-func (c *call) resumable(answer *upstream.Answer) bool {
+func (c *call) resumable(answer *upstream.Response) bool {
 	return c.facts.Route.CanResume && c.scanner.lastID != "" && !c.scanner.unnumbered && answer.ContentLength < 0
 }
--- a/internal/tier/proxy/stream_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -49,7 +49,7 @@
 	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") || other.count.Load() != 0 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != Broken || outcome.Events != 1 || outcome.Tokens != 3 {
+	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 || outcome.Tokens != 3 {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
@@ -108,7 +108,7 @@
 	c.head("GET")
 	c.socket.Close()
 	<-e.closed
-	if outcome := <-f.chooser.outcomes; outcome.Result != ClientGone {
+	if outcome := <-f.chooser.outcomes; outcome.Result != ClientClosed {
 		t.Errorf("outcome %+v", outcome)
 	}
 	if end := <-f.programs.ended; end.Tokens != 3 || end.Whole {
@@ -129,7 +129,7 @@
 			if got := c.read("GET"); got.status != 504 {
 				t.Errorf("got %+v", got)
 			}
-			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineHit {
+			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded {
 				t.Errorf("outcome %+v", outcome)
 			}
 		})
@@ -164,7 +164,7 @@
 	if got := c.read("GET"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != Broken || outcome.Events != 1 {
+	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
@@ -184,7 +184,7 @@
 	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") {
 		t.Errorf("got %d bytes, %v", len(got.body), got.err)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != Broken {
+	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
@@ -192,7 +192,7 @@
 func TestTimeOutThatHasFiredLetsNothingOut(t *testing.T) {
 	// given an attempt whose time-out has fired while its first bytes came
 	c := &call{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
-	a := &attempt{choice: Choice{Timeout: time.Nanosecond}}
+	a := &attempt{choice: Selection{Timeout: time.Nanosecond}}
 	c.bound(a)
 	<-a.context.Done()
 	// when its answer would begin to go to the client, then it is given up, by the time-out
@@ -200,7 +200,7 @@
 		t.Errorf("in time, or ended by %v", c.brokenResult(a))
 	}
 	// given one that is in time, then nothing ends it afterwards
-	a = &attempt{choice: Choice{Timeout: time.Hour}}
+	a = &attempt{choice: Selection{Timeout: time.Hour}}
 	c.bound(a)
 	if first, again := a.inTime(), a.inTime(); !first || !again || a.context.Err() != nil {
 		t.Errorf("ended by %v", context.Cause(a.context))
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -23,7 +23,7 @@
 }
 
 // newTurn returns the turn that a request is; nil if it is none. Endpoints refuse a request without an id.
-func newTurn(header http.Header, route *model.Route, facts *Facts) (*turn, int64) {
+func newTurn(header http.Header, route *model.Route, facts *RequestInfo) (*turn, int64) {
 	if route.Kind != model.Streaming || facts.AttemptID == "" {
 		return nil, 0
 	}
@@ -49,7 +49,7 @@
 }
 
 // shardKey returns what picks the shard of a turn: its program, or else its line of turns.
-func shardKey(facts *Facts) string {
+func shardKey(facts *RequestInfo) string {
 	switch {
 	case facts.Program != "":
 		return facts.Program
@@ -61,13 +61,13 @@
 
 // begin has the turn's budget reserved and returns its chain, or why it isn't to be sent, with the error if the
 // stores gave no verdict.
-func (t *turn) begin(ctx context.Context, programs Programs, facts *Facts, budget int64, input []byte) (apierror.Kind, []byte, error) {
+func (t *turn) begin(ctx context.Context, programs Programs, facts *RequestInfo, budget int64, input []byte) (apierror.Kind, []byte, error) {
 	t.begun = true
 	result, err := programs.Begin(ctx, t.key, program.BeginTurn{
 		Turn:       t.id,
 		Program:    facts.Program,
 		Budget:     budget,
-		Most:       facts.MostTokens,
+		Most:       facts.MaxOutputTokens,
 		Remembered: t.remembered,
 		Previous:   facts.Previous,
 		KeepForS:   facts.Route.KeepForS,
--- a/internal/tier/proxy/planned_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -11,15 +11,15 @@
 
 func TestChangesOfTheViewCutNothing(t *testing.T) {
 	// reconfigure puts another configuration in force.
-	reconfigure := func(change func(*model.Configuration)) func(*fixture, *Scheduler) {
-		return func(f *fixture, _ *Scheduler) {
+	reconfigure := func(change func(*model.Configuration)) func(*fixture, *LoadBalancer) {
+		return func(f *fixture, _ *LoadBalancer) {
 			config := newConfiguration()
 			config.Number++
 			change(config)
 			f.views.routes.Store(NewRoutes(config))
 		}
 	}
-	changes := map[string]func(*fixture, *Scheduler){
+	changes := map[string]func(*fixture, *LoadBalancer){
 		"all routes removed":    reconfigure(func(c *model.Configuration) { c.Routes = nil }),
 		"all services removed":  reconfigure(func(c *model.Configuration) { c.Services = nil }),
 		"routes to other hosts": reconfigure(func(c *model.Configuration) { c.Routes[0].Host, c.Routes[2].Host = "b.example", "b.example" }),
@@ -31,15 +31,15 @@
 		"other limits": reconfigure(func(c *model.Configuration) {
 			c.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1, HeaderWaitMs: 1, IdleCloseMs: 1}
 		}),
-		"no configuration":    func(f *fixture, _ *Scheduler) { f.views.routes.Store(nil) },
-		"not ready":           func(f *fixture, _ *Scheduler) { f.views.ready.Store(false) },
-		"the endpoint drains": func(_ *fixture, s *Scheduler) { s.SetEndpoints(servers("", "", model.Draining)) },
-		"the endpoint leaves": func(_ *fixture, s *Scheduler) { s.SetEndpoints(nil) },
-		"another version": func(_ *fixture, s *Scheduler) {
+		"no configuration":    func(f *fixture, _ *LoadBalancer) { f.views.routes.Store(nil) },
+		"not ready":           func(f *fixture, _ *LoadBalancer) { f.views.ready.Store(false) },
+		"the endpoint drains": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(servers("", "", model.Draining)) },
+		"the endpoint leaves": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(nil) },
+		"another version": func(_ *fixture, s *LoadBalancer) {
 			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v2"}, {Service: "engine", Current: "v2"}})
 		},
-		"many proxies":     func(_ *fixture, s *Scheduler) { s.SetProxies(1000) },
-		"the proxy drains": func(f *fixture, _ *Scheduler) { f.proxy.Drain() },
+		"many proxies":     func(_ *fixture, s *LoadBalancer) { s.SetProxies(1000) },
+		"the proxy drains": func(f *fixture, _ *LoadBalancer) { f.proxy.Drain() },
 	}
 	begun := map[string]string{ // of the answer, when the change comes
 		"nothing yet":        "",
@@ -64,10 +64,10 @@
 					io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
 					return true
 				})
-				s := NewScheduler("z", 1)
+				s := NewLoadBalancer("z", 1)
 				address := e.listener.Addr().String()
 				s.SetEndpoints(servers(address, address, model.Ready))
-				f := newFixtureWith(t, func(options *Options) { options.Chooser = s }, e)
+				f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 				c := f.dial()
 				target, want := "/safe/x", "whole"
 				if head != "" {
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -254,7 +254,7 @@
 	c := f.dial()
 	c.ask("GET", "/stream/x", "id", "", "X-Time-Left-Ms: 100")
 	<-e.closed
-	if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineHit && outcome.Result != ClientGone {
+	if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded && outcome.Result != ClientClosed {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -26,15 +26,15 @@
 
 // The reasons.
 const (
-	Connect    Reason = "connect"     // no connection could be made
-	Busy       Reason = "busy"        // every connection that this process may have to the endpoint is in use
-	Closed     Reason = "closed"      // the pool is closed
-	Recalled   Reason = "recalled"    // the endpoint's permit was withdrawn before anything was written
-	WriteFail  Reason = "write"       // the request could not be written
-	ReadFail   Reason = "read"        // the answer's head did not come
-	Foreign    Reason = "foreign"     // the answers that came belong to other requests
-	Cancelled  Reason = "cancelled"   // the caller's context ended
-	BadRequest Reason = "bad_request" // the request can't be put on the wire as it is
+	ConnectFailed   Reason = "connect"     // no connection could be made
+	PoolExhausted   Reason = "busy"        // every connection that this process may have to the endpoint is in use
+	PoolClosed      Reason = "closed"      // the pool is closed
+	PermitRevoked   Reason = "recalled"    // the endpoint's permit was withdrawn before anything was written
+	WriteFailed     Reason = "write"       // the request could not be written
+	ReadFailed      Reason = "read"        // the answer's head did not come
+	ForeignResponse Reason = "foreign"     // the answers that came belong to other requests
+	Cancelled       Reason = "cancelled"   // the caller's context ended
+	InvalidRequest  Reason = "bad_request" // the request can't be put on the wire as it is
 )
 
 // Error is the only kind of error that Pool.Do returns.
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -36,9 +36,9 @@
 
 // Do sends a request to an endpoint, once, and returns its answer when the head has come. The caller closes the answer. The
 // answer's body fails when the context ends.
-func (p *Pool) Do(ctx context.Context, endpoint Endpoint, request *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, endpoint Endpoint, request *Request) (*Response, error) {
 	if err := request.check(); err != nil {
-		return nil, &Error{Kind: NeverSent, Reason: BadRequest, Err: err}
+		return nil, &Error{Kind: NeverSent, Reason: InvalidRequest, Err: err}
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, &Error{Kind: NeverSent, Reason: Cancelled, Err: context.Cause(ctx)}
@@ -52,7 +52,7 @@
 	}
 	if endpoint.Permit != nil && !endpoint.Permit.Granted() {
 		p.discard(c)
-		return nil, &Error{Kind: NeverSent, Reason: Recalled}
+		return nil, &Error{Kind: NeverSent, Reason: PermitRevoked}
 	}
 	if ctx.Err() != nil {
 		p.discard(c)
@@ -87,7 +87,7 @@
 	err   error
 }
 
-func (e *exchange) run() (*Answer, *Error) {
+func (e *exchange) run() (*Response, *Error) {
 	e.stop = e.connection.abortOn(e.ctx)
 	e.connection.used++
 	e.connection.carriedHead = e.connection.carriedHead || e.request.Method == http.MethodHead
@@ -96,7 +96,7 @@
 		go func() { e.written <- e.write() }()
 	} else if result := e.write(); result.err != nil {
 		if result.count == 0 {
-			return nil, &Error{Kind: NeverSent, Reason: WriteFail, Err: result.err}
+			return nil, &Error{Kind: NeverSent, Reason: WriteFailed, Err: result.err}
 		}
 		e.tainted = true
 	}
@@ -104,19 +104,19 @@
 	if err != nil {
 		return nil, e.readFailure(err)
 	}
-	return newAnswer(e, response), nil
+	return newResponse(e, response), nil
 }
 
 // readFailure tells what is known when no answer came. A write that still runs is ended first.
 func (e *exchange) readFailure(err error) *Error {
-	reason := ReadFail
+	reason := ReadFailed
 	if errors.Is(err, errForeign) {
-		reason = Foreign
+		reason = ForeignResponse
 	}
 	if e.written != nil {
 		e.connection.socket.Close()
 		if result := e.awaitWrite(); result.count == 0 {
-			return &Error{Kind: NeverSent, Reason: WriteFail, Err: result.err}
+			return &Error{Kind: NeverSent, Reason: WriteFailed, Err: result.err}
 		}
 	}
 	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}
--- a/internal/tier/upstream/options.go
+++ b/internal/tier/upstream/options.go
@@ -13,8 +13,8 @@
 	KeepAliveIdle     time.Duration // silence before the first probe
 	KeepAliveInterval time.Duration // between probes
 	KeepAliveCount    int           // unanswered probes after which a connection is dead
-	IdleUntold        time.Duration // how long an idle connection is kept when the endpoint tells no time
-	IdleMargin        time.Duration // how long before the endpoint's own time an idle connection is closed
+	IdleTimeout       time.Duration // how long an idle connection is kept when the endpoint tells no time
+	IdleTimeoutMargin time.Duration // how long before the endpoint's own time an idle connection is closed
 	MaxHeaderBytes    int64         // in the head of an answer
 	Now               func() time.Time
 	Network           network.Network // nil: the system's
@@ -27,8 +27,8 @@
 	DefaultKeepAliveIdle     = time.Second
 	DefaultKeepAliveInterval = time.Second
 	DefaultKeepAliveCount    = 2
-	DefaultIdleUntold        = 300 * time.Millisecond
-	DefaultIdleMargin        = 300 * time.Millisecond
+	DefaultIdleTimeout       = 300 * time.Millisecond
+	DefaultIdleTimeoutMargin = 300 * time.Millisecond
 	DefaultMaxHeaderBytes    = 64 << 10
 )
 
@@ -40,8 +40,8 @@
 	setDuration(&o.UserTimeout, DefaultUserTimeout)
 	setDuration(&o.KeepAliveIdle, DefaultKeepAliveIdle)
 	setDuration(&o.KeepAliveInterval, DefaultKeepAliveInterval)
-	setDuration(&o.IdleUntold, DefaultIdleUntold)
-	setDuration(&o.IdleMargin, DefaultIdleMargin)
+	setDuration(&o.IdleTimeout, DefaultIdleTimeout)
+	setDuration(&o.IdleTimeoutMargin, DefaultIdleTimeoutMargin)
 	if o.KeepAliveCount == 0 {
 		o.KeepAliveCount = DefaultKeepAliveCount
 	}
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -78,7 +78,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
-		return nil, nil, &Error{Kind: NeverSent, Reason: Closed}
+		return nil, nil, &Error{Kind: NeverSent, Reason: PoolClosed}
 	}
 	h := p.hosts[endpoint.ID]
 	if h == nil {
@@ -94,7 +94,7 @@
 		return idle, nil, nil
 	}
 	if full {
-		return nil, nil, &Error{Kind: NeverSent, Reason: Busy}
+		return nil, nil, &Error{Kind: NeverSent, Reason: PoolExhausted}
 	}
 	h.total++
 	return nil, h, nil
@@ -107,7 +107,7 @@
 		p.mutex.Lock()
 		p.leave(reserved)
 		p.mutex.Unlock()
-		return nil, &Error{Kind: NeverSent, Reason: Connect, Err: err}
+		return nil, &Error{Kind: NeverSent, Reason: ConnectFailed, Err: err}
 	}
 	c := newConnection(reserved, socket)
 	p.mutex.Lock()
@@ -116,7 +116,7 @@
 	p.mutex.Unlock()
 	if closed {
 		p.discard(c)
-		return nil, &Error{Kind: NeverSent, Reason: Closed}
+		return nil, &Error{Kind: NeverSent, Reason: PoolClosed}
 	}
 	return c, nil
 }
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -146,9 +146,9 @@
 		}
 	}
 	send("1")
-	clock.advance(5*time.Second - upstream.DefaultIdleMargin - time.Millisecond)
+	clock.advance(5*time.Second - upstream.DefaultIdleTimeoutMargin - time.Millisecond)
 	send("2")
-	clock.advance(5*time.Second - upstream.DefaultIdleMargin)
+	clock.advance(5*time.Second - upstream.DefaultIdleTimeoutMargin)
 	send("3")
 	requests, _ := e.seen()
 	if requests[1].connection != 1 || requests[2].connection != 2 {
@@ -187,7 +187,7 @@
 	for inUse := 0; inUse == 0; inUse, _ = pool.Connections("e") {
 	}
 	_, err := exchange(t, pool, target, newRequest("GET", "/", "2"))
-	expectError(t, err, upstream.NeverSent, upstream.Busy)
+	expectError(t, err, upstream.NeverSent, upstream.PoolExhausted)
 	close(release)
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 				t.Fatal(err)
 			}
 			_, err := exchange(t, pool, e.target("e"), newRequest(method, "/", "2"))
-			expectError(t, err, upstream.MayHaveRun, upstream.ReadFail)
+			expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 			if requests, connections := e.seen(); len(requests) != 2 || connections != 1 {
 				t.Errorf("%d requests on %d connections, want 2 on the first", len(requests), connections)
 			}
@@ -262,7 +262,7 @@
 		})
 		pool := newPool(t, upstream.Options{})
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-		expectError(t, err, upstream.MayHaveRun, upstream.Foreign)
+		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 	})
 	t.Run("no id on a connection that was used before", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -275,7 +275,7 @@
 		pool := newPool(t, upstream.Options{})
 		exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "2"))
-		expectError(t, err, upstream.MayHaveRun, upstream.Foreign)
+		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 	})
 }
 
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	_, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "2", "body"))
-	expectError(t, err, upstream.MayHaveRun, upstream.ReadFail)
+	expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "3", "body")); err != nil {
 		t.Errorf("on a new connection: %v", err)
 	}
@@ -307,7 +307,7 @@
 		address := listener.Addr().String()
 		listener.Close()
 		_, err := exchange(t, pool, upstream.Endpoint{ID: "gone", Address: address}, newRequest("GET", "/", "1"))
-		expectError(t, err, upstream.NeverSent, upstream.Connect)
+		expectError(t, err, upstream.NeverSent, upstream.ConnectFailed)
 	})
 	t.Run("the context has ended", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -328,7 +328,7 @@
 			return true
 		})
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-		expectError(t, err, upstream.MayHaveRun, upstream.ReadFail)
+		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	})
 	t.Run("bytes that are no answer", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
@@ -336,11 +336,11 @@
 			return true
 		})
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-		expectError(t, err, upstream.MayHaveRun, upstream.ReadFail)
+		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	})
 	for _, target := range []string{"", "/a b", "/a\r\nX: y"} {
 		_, err := exchange(t, pool, upstream.Endpoint{ID: "x", Address: "127.0.0.1:1"}, newRequest("GET", target, "1"))
-		expectError(t, err, upstream.NeverSent, upstream.BadRequest)
+		expectError(t, err, upstream.NeverSent, upstream.InvalidRequest)
 	}
 }
 
@@ -359,7 +359,7 @@
 			})
 			pool := newPool(t, upstream.Options{})
 			body, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-			expectError(t, err, upstream.MayHaveRun, upstream.ReadFail)
+			expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 			if body != "12345" {
 				t.Errorf("body %q", body)
 			}
@@ -494,7 +494,7 @@
 				t.Fatal(err)
 			}
 			_, err := exchange(t, pool, e.target("e"), newRequest(methods[1], "/", "2"))
-			expectError(t, err, upstream.MayHaveRun, upstream.Foreign)
+			expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 		})
 	}
 }
@@ -506,7 +506,7 @@
 	})
 	pool := newPool(t, upstream.Options{})
 	_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-	expectError(t, err, upstream.MayHaveRun, upstream.Foreign)
+	expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 }
 
 func TestRequestWithoutIDHasItsOwnConnection(t *testing.T) {
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -14,14 +14,14 @@
 
 // Request is a request as it goes onto the wire. Nothing is added to it but its framing.
 type Request struct {
-	Method    string
-	Target    string   // the path and the query, byte for byte
-	Host      string   // value of the Host header
-	Fields    []byte   // formatted header lines, each with its line end; see AppendField
-	Extra     []Field  // header fields of this attempt only
-	Body      [][]byte // the parts of the body, in order
-	HasBody   bool     // a length is told, also when the body is empty
-	AttemptID string   // the X-Attempt-Id among Fields; empty: none, and the request gets a connection of its own
+	Method        string
+	Target        string   // the path and the query, byte for byte
+	Host          string   // value of the Host header
+	Fields        []byte   // formatted header lines, each with its line end; see AppendField
+	AttemptFields []Field  // header fields of this attempt only
+	Body          [][]byte // the parts of the body, in order
+	HasBody       bool     // a length is told, also when the body is empty
+	AttemptID     string   // the X-Attempt-Id among Fields; empty: none, and the request gets a connection of its own
 
 	// Deadline is when the request ends. What is left until then is told in X-Time-Left-Ms as the request is written: making a
 	// connection takes time too. Zero: nothing is told.
@@ -46,7 +46,7 @@
 	if r.Method == "" || hasBreak(r.Method) || r.Target == "" || hasBreak(r.Target) || hasBreak(r.Host) {
 		return errControlBytes
 	}
-	for _, field := range r.Extra {
+	for _, field := range r.AttemptFields {
 		if strings.ContainsAny(field.Value, "\r\n\x00") {
 			return errControlBytes
 		}
@@ -85,7 +85,7 @@
 	buffer = append(buffer, " HTTP/1.1\r\n"...)
 	buffer = AppendField(buffer, "Host", r.Host)
 	buffer = append(buffer, r.Fields...)
-	for _, field := range r.Extra {
+	for _, field := range r.AttemptFields {
 		buffer = AppendField(buffer, field.Name, field.Value)
 	}
 	if !r.Deadline.IsZero() {
--- a/internal/tier/upstream/answer.go
+++ b/internal/tier/upstream/response.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Answer is an endpoint's answer to a request. It is read by one goroutine.
-type Answer struct {
-	Status        int
-	Header        http.Header
-	ContentLength int64 // -1: not told
-	UntilClose    bool  // the body has no end but that of the connection
-	Reused        bool  // the connection had carried another request before
+// Response is an endpoint's answer to a request. It is read by one goroutine.
+type Response struct {
+	Status         int
+	Header         http.Header
+	ContentLength  int64 // -1: not told
+	CloseDelimited bool  // the body has no end but that of the connection
+	Reused         bool  // the connection had carried another request before
 
 	exchange *exchange
 	response *http.Response
@@ -23,23 +23,23 @@
 	finished bool
 }
 
-func newAnswer(e *exchange, response *http.Response) *Answer {
+func newResponse(e *exchange, response *http.Response) *Response {
 	chunked := len(response.TransferEncoding) > 0
-	return &Answer{
-		Status:        response.StatusCode,
-		Header:        response.Header,
-		ContentLength: response.ContentLength,
-		UntilClose:    response.ContentLength < 0 && !chunked && response.Body != http.NoBody,
-		Reused:        e.connection.used > 1,
-		exchange:      e,
-		response:      response,
-		whole:         response.Body == http.NoBody,
+	return &Response{
+		Status:         response.StatusCode,
+		Header:         response.Header,
+		ContentLength:  response.ContentLength,
+		CloseDelimited: response.ContentLength < 0 && !chunked && response.Body != http.NoBody,
+		Reused:         e.connection.used > 1,
+		exchange:       e,
+		response:       response,
+		whole:          response.Body == http.NoBody,
 	}
 }
 
 // Read reads the body. It returns io.EOF only at the end of a whole body, and an Error of kind MayHaveRun when the body
 // breaks off.
-func (a *Answer) Read(buffer []byte) (int, error) {
+func (a *Response) Read(buffer []byte) (int, error) {
 	if a.finished {
 		return 0, io.ErrClosedPipe
 	}
@@ -49,7 +49,7 @@
 		return n, io.EOF
 	}
 	if err != nil {
-		reason := ReadFail
+		reason := ReadFailed
 		if a.exchange.ctx.Err() != nil {
 			reason = Cancelled
 		}
@@ -59,19 +59,19 @@
 }
 
 // Buffered tells how many bytes of the answer, framing included, wait to be read without a call to the system.
-func (a *Answer) Buffered() int {
+func (a *Response) Buffered() int {
 	if a.finished {
 		return 0
 	}
 	return a.exchange.connection.reader.Buffered()
 }
 
-// Whole tells whether the body has been read to its end.
-func (a *Answer) Whole() bool { return a.whole }
+// Complete tells whether the body has been read to its end.
+func (a *Response) Complete() bool { return a.whole }
 
 // Close ends the exchange. The connection is kept if it can carry another request, and closed otherwise; an endpoint takes a
 // close in the middle of an answer as a sign to stop its work.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.finished {
 		return
 	}
@@ -88,9 +88,9 @@
 }
 
 // reusable tells whether nothing of this exchange is left on the connection.
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	e := a.exchange
-	if !a.whole || e.tainted || a.response.Close || a.UntilClose || e.request.AttemptID == "" {
+	if !a.whole || e.tainted || a.response.Close || a.CloseDelimited || e.request.AttemptID == "" {
 		return false
 	}
 	if a.Status == http.StatusSwitchingProtocols || e.connection.reader.Buffered() > 0 {
@@ -100,13 +100,13 @@
 }
 
 // keepFor returns how long the connection may stay idle.
-func (a *Answer) keepFor() time.Duration {
+func (a *Response) keepFor() time.Duration {
 	options := &a.exchange.pool.options
 	told, ok := keepAliveTimeout(a.Header.Get("Keep-Alive"))
 	if !ok {
-		return options.IdleUntold
+		return options.IdleTimeout
 	}
-	return told - options.IdleMargin
+	return told - options.IdleTimeoutMargin
 }
 
 // keepAliveTimeout reads the timeout of a Keep-Alive header.
--- a/internal/tier/versionstats/tally.go
+++ b/internal/tier/versionstats/tally.go
@@ -21,7 +21,7 @@
 
 // Scheduler is the chooser whose choices are counted.
 type Scheduler interface {
-	proxy.Chooser
+	proxy.Selector
 	SetEndpoints(endpoints []model.Endpoint)
 	SetVersions(versions []view.ServiceVersions)
 }
@@ -121,9 +121,9 @@
 	}
 }
 
-// Choose implements proxy.Chooser.
-func (c *Counter) Choose(ctx context.Context, facts *proxy.Facts) (proxy.Choice, error) {
-	choice, err := c.scheduler.Choose(ctx, facts)
+// Select implements proxy.Selector.
+func (c *Counter) Select(ctx context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
+	choice, err := c.scheduler.Select(ctx, facts)
 	if err != nil {
 		return choice, err
 	}
@@ -139,14 +139,14 @@
 	return choice, nil
 }
 
-// FirstEvent implements proxy.Chooser.
-func (c *Counter) FirstEvent(choice proxy.Choice, load string) {
+// FirstEvent implements proxy.Selector.
+func (c *Counter) FirstEvent(choice proxy.Selection, load string) {
 	choice.Ticket = choice.Ticket.(*ticket).inner
 	c.scheduler.FirstEvent(choice, load)
 }
 
-// Done implements proxy.Chooser.
-func (c *Counter) Done(choice proxy.Choice, outcome proxy.Outcome) {
+// Done implements proxy.Selector.
+func (c *Counter) Done(choice proxy.Selection, outcome proxy.Outcome) {
 	t := choice.Ticket.(*ticket)
 	choice.Ticket = t.inner
 	c.scheduler.Done(choice, outcome)
@@ -178,9 +178,9 @@
 		if !cold {
 			t.Time(pace(outcome))
 		}
-	case proxy.Failed, proxy.Broken, proxy.TimedOut, proxy.DeadlineHit:
+	case proxy.ErrorResponse, proxy.IncompleteResponse, proxy.TimedOut, proxy.DeadlineExceeded:
 		t.Bad++
-	case proxy.ClientGone:
+	case proxy.ClientClosed:
 		if outcome.FirstByte == 0 && outcome.Took >= silence {
 			t.Bad++
 		}
--- a/internal/tier/versionstats/tally_test.go
+++ b/internal/tier/versionstats/tally_test.go
@@ -17,13 +17,13 @@
 // scheduler sends each request to the endpoint that its attempt names, and keeps the tickets that it gets back.
 type scheduler struct{ tickets []any }
 
-func (s *scheduler) Choose(_ context.Context, facts *proxy.Facts) (proxy.Choice, error) {
-	return proxy.Choice{ID: facts.AttemptID, Ticket: "ticket of " + facts.AttemptID}, nil
+func (s *scheduler) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
+	return proxy.Selection{ID: facts.AttemptID, Ticket: "ticket of " + facts.AttemptID}, nil
 }
-func (s *scheduler) FirstEvent(choice proxy.Choice, _ string) {
+func (s *scheduler) FirstEvent(choice proxy.Selection, _ string) {
 	s.tickets = append(s.tickets, choice.Ticket)
 }
-func (s *scheduler) Done(choice proxy.Choice, _ proxy.Outcome) {
+func (s *scheduler) Done(choice proxy.Selection, _ proxy.Outcome) {
 	s.tickets = append(s.tickets, choice.Ticket)
 }
 func (s *scheduler) SetEndpoints([]model.Endpoint)      {}
@@ -38,8 +38,8 @@
 	c.SetEndpoints([]model.Endpoint{{ID: "a", Service: "s", Number: "v1"}, {ID: "b", Service: "s", Number: "v2", ColdLeftMs: 500}})
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Share: 0.1}})
 	// when requests on two routes end, one of them after its endpoint has left the list,
-	send := func(endpoint, route string) proxy.Choice {
-		choice, err := c.Choose(context.Background(), &proxy.Facts{AttemptID: endpoint, Route: &model.Route{Name: route}})
+	send := func(endpoint, route string) proxy.Selection {
+		choice, err := c.Select(context.Background(), &proxy.RequestInfo{AttemptID: endpoint, Route: &model.Route{Name: route}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 	late := send("b", "r2")
 	c.FirstEvent(late, "")
 	c.SetEndpoints(nil)
-	c.Done(late, proxy.Outcome{Result: proxy.Broken})
+	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
 	c.Done(send("b", "r2"), done)
 	// then each is counted at its version and route, and the scheduler has its own tickets back.
 	report, due := c.Report()
@@ -80,8 +80,8 @@
 	for _, outcome := range []proxy.Outcome{
 		{Result: proxy.NotRun, Status: 503},
 		{Result: proxy.NeverSent},
-		{Result: proxy.ClientGone, Took: time.Second},
-		{Result: proxy.ClientGone, FirstByte: time.Second, Took: 9 * time.Second},
+		{Result: proxy.ClientClosed, Took: time.Second},
+		{Result: proxy.ClientClosed, FirstByte: time.Second, Took: 9 * time.Second},
 	} {
 		// Given a count, when an attempt ends that says nothing of the version,
 		var tally rollout.Tally
@@ -99,21 +99,21 @@
 	c := New(&scheduler{}, "p")
 	c.now = func() time.Time { return now }
 	c.SetEndpoints([]model.Endpoint{{ID: "b", Service: "s", Number: "v2"}})
-	send := func() proxy.Choice {
-		choice, err := c.Choose(t.Context(), &proxy.Facts{AttemptID: "b", Route: &model.Route{Name: "r"}})
+	send := func() proxy.Selection {
+		choice, err := c.Select(t.Context(), &proxy.RequestInfo{AttemptID: "b", Route: &model.Route{Name: "r"}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return choice
 	}
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 7}})
-	c.Done(send(), proxy.Outcome{Result: proxy.Broken})
+	c.Done(send(), proxy.Outcome{Result: proxy.IncompleteResponse})
 	late := send()
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1"}})
 	// when it is rolled out again, and the versions are told twice,
 	again := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 9}}
 	c.SetVersions(again)
-	c.Done(late, proxy.Outcome{Result: proxy.Broken})
+	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
 	now = now.Add(300 * time.Millisecond)
 	c.SetVersions(again)
 	c.Done(send(), proxy.Outcome{Result: proxy.NotRun})
