--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -38,7 +38,7 @@
 func countProxies(members []membership.Member) int {
 	count := 0
 	for _, m := range members {
-		if m.Role == membership.Agent && !m.Gone() {
+		if m.Role == membership.Agent && !m.DeadOrLeft() {
 			count++
 		}
 	}
@@ -48,7 +48,7 @@
 // forward passes a proxy's report on to every controller, so that whichever owns the configuration can judge.
 func (p *process) forward(member *node.Node, tallies wire.Tallies) {
 	for _, m := range member.Members() {
-		if m.Role == membership.Controller && !m.Gone() {
+		if m.Role == membership.Controller && !m.DeadOrLeft() {
 			// A report that is lost is made good by the next one.
 			_ = transport.Notify(p.pool, m.Address, wire.MethodTallies, tallies)
 		}
--- a/internal/tier/command/proxies_test.go
+++ b/internal/tier/command/proxies_test.go
@@ -10,11 +10,11 @@
 func TestProxiesAreCountedByTheirAgents(t *testing.T) {
 	members := []membership.Member{
 		{Name: "a", Role: membership.Agent},
-		{Name: "b", Role: membership.Agent, State: membership.Dead},
-		{Name: "c", Role: membership.Agent, State: membership.Left},
+		{Name: "b", Role: membership.Agent, State: membership.StateDead},
+		{Name: "c", Role: membership.Agent, State: membership.StateLeft},
 		{Name: "d", Role: membership.Controller},
 		{Name: "e", Role: membership.Store},
-		{Name: "f", Role: membership.Agent, State: membership.Suspect},
+		{Name: "f", Role: membership.Agent, State: membership.StateSuspect},
 	}
 	if got := countProxies(members); got != 2 {
 		t.Errorf("%d proxies, want 2", got)
--- a/internal/tier/controller/api.go
+++ b/internal/tier/controller/api.go
@@ -120,7 +120,7 @@
 func (c *Controller) controlOfAnother() string {
 	var others []membership.Member
 	for _, m := range c.options.Fleet.Members() {
-		if m.Role == membership.Controller && m.State == membership.Alive && m.ID != c.options.ID {
+		if m.Role == membership.Controller && m.State == membership.StateAlive && m.ID != c.options.ID {
 			others = append(others, m)
 		}
 	}
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -409,7 +409,7 @@
 	self := b.fleet.Members()[0]
 	self.Incarnation = 1
 	dead := controllerMember("core-2", "dead", "10.0.0.2:7000", "10.0.0.2:8144")
-	dead.State = membership.Dead
+	dead.State = membership.StateDead
 	old, young := controllerMember("core-3", "old", "10.0.0.3:7000", "10.0.0.3:8144"), controllerMember("core-4", "young", "10.0.0.4:7000", "10.0.0.4:8144")
 	old.Incarnation, young.Incarnation = 5, 9
 	b.fleet.set(self, dead, young, old, storeMember(1))
--- a/internal/tier/controller/cutoff_fixture_test.go
+++ b/internal/tier/controller/cutoff_fixture_test.go
@@ -339,7 +339,7 @@
 	for _, other := range c.machines {
 		told := other.member
 		if c.isDead(way{m.number, other.number}) {
-			told.State = membership.Dead
+			told.State = membership.StateDead
 		} else if other != m {
 			alone = false
 		}
@@ -351,7 +351,7 @@
 	}
 	for _, store := range stores {
 		if alone {
-			store.State = membership.Dead
+			store.State = membership.StateDead
 		}
 		members = append(members, store)
 	}
--- a/internal/tier/controller/cutoff_mutants_test.go
+++ b/internal/tier/controller/cutoff_mutants_test.go
@@ -88,7 +88,7 @@
 		},
 		{
 			Name:   "callers are sent only to owners that membership takes to run",
-			Change: mutation.Change{File: "api.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.Gone() {"},
+			Change: mutation.Change{File: "api.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.DeadOrLeft() {"},
 			Run:    cutOffTests,
 		},
 		{
--- a/internal/tier/controller/listsource.go
+++ b/internal/tier/controller/listsource.go
@@ -118,7 +118,7 @@
 func (c *Controller) otherControllers() []string {
 	var addresses []string
 	for _, m := range c.options.Fleet.Members() {
-		if m.Role == membership.Controller && m.State == membership.Alive && m.ID != c.options.ID {
+		if m.Role == membership.Controller && m.State == membership.StateAlive && m.ID != c.options.ID {
 			addresses = append(addresses, m.Address)
 		}
 	}
--- a/internal/tier/controller/plan_own_test.go
+++ b/internal/tier/controller/plan_own_test.go
@@ -23,7 +23,7 @@
 	learner := voter("new")
 	learner.Learner = true
 	first, second, third, added := running("first"), running("second"), running("third"), running("new")
-	missing := in(membership.Suspect, third)
+	missing := in(membership.StateSuspect, third)
 	tests := []struct {
 		name    string
 		group   []replica.Member
@@ -48,13 +48,13 @@
 			[]membership.Member{first, second, third, added}, 2 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("third")}, nil},
 		{"two are missing and one has come", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, in(membership.Suspect, second), in(membership.Dead, third), added}, 9 * time.Second,
+			[]membership.Member{first, in(membership.StateSuspect, second), in(membership.StateDead, third), added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
 		{"two are not known to membership and answer the owner", []replica.Member{voter("first"), voter("second"), voter("third")},
 			[]membership.Member{first, added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("third")}, map[string]bool{"first": true, "second": true, "third": true}},
 		{"two are taken for dead and one of them answers the owner", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, in(membership.Dead, second), in(membership.Dead, third), added}, 9 * time.Second,
+			[]membership.Member{first, in(membership.StateDead, second), in(membership.StateDead, third), added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("new")}, map[string]bool{"first": true, "second": true}},
 	}
 	for _, test := range tests {
--- a/internal/tier/controller/retirements_test.go
+++ b/internal/tier/controller/retirements_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestRetirementAnswers(t *testing.T) {
-	down := func(m membership.Member) membership.Member { m.State = membership.Dead; return m }
+	down := func(m membership.Member) membership.Member { m.State = membership.StateDead; return m }
 	const path = "/mastusher/retire/storage-1"
 	const sure = 13 * time.Second // as owner, with all members in sight
 	tests := []struct {
@@ -88,7 +88,7 @@
 		now := time.Now()
 		b.watchFor(now.Add(-down), 13*time.Second)
 		gone := storeMember(4)
-		gone.State = membership.Dead
+		gone.State = membership.StateDead
 		b.fleet.set(append(storeMembers(3), gone)...)
 		b.watchFor(now, down)
 		wantStatus(t, b.send(http.MethodPost, path, `{"overS":10}`), want)
--- a/internal/tier/controller/surroundings_test.go
+++ b/internal/tier/controller/surroundings_test.go
@@ -67,9 +67,9 @@
 func (s surroundings) stateAfter(silent time.Duration, before membership.State) membership.State {
 	switch {
 	case silent >= s.death:
-		return max(before, membership.Dead)
+		return max(before, membership.StateDead)
 	case s.suspicion > 0 && silent >= s.suspicion:
-		return max(before, membership.Suspect)
+		return max(before, membership.StateSuspect)
 	}
 	return before
 }
@@ -84,7 +84,7 @@
 	show := func() {
 		if m.absences == absence {
 			m.shown, m.known = m.member, true
-			m.shown.State = membership.Alive
+			m.shown.State = membership.StateAlive
 		}
 	}
 	if c.around.join == 0 {
@@ -106,9 +106,9 @@
 		}
 	}
 	if c.around.suspicion > 0 {
-		c.after(c.around.suspicion, believe(membership.Suspect))
+		c.after(c.around.suspicion, believe(membership.StateSuspect))
 	}
-	c.after(c.around.death, believe(membership.Dead))
+	c.after(c.around.death, believe(membership.StateDead))
 }
 
 // cutOff parts the machine from all others.
@@ -149,7 +149,7 @@
 func (m *machineUnderTest) terminate() {
 	c, generation := m.cluster, m.starts
 	m.absences++
-	m.shown.State = membership.Left
+	m.shown.State = membership.StateLeft
 	for _, running := range m.groups {
 		running.Resign()
 	}
--- a/internal/tier/exchangetest/memory_test.go
+++ b/internal/tier/exchangetest/memory_test.go
@@ -336,8 +336,8 @@
 	c.Close()
 }
 
-// Quiet implements network.Prober.
-func (c *memoryConn) Quiet() bool {
+// Idle implements network.IdleProber.
+func (c *memoryConn) Idle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.closed && len(c.in.unread) == 0 && !c.in.reset && !c.in.finished
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -79,10 +79,10 @@
 	for _, call := range effects.Calls {
 		m.reconcile(call)
 	}
-	for _, change := range effects.Changes {
-		f.trace("%s: member %s %s", m.process.name, change.After.Name, change.Kind)
+	for _, change := range effects.Events {
+		f.trace("%s: member %s %s", m.process.name, change.Member.Name, change.Kind)
 	}
-	for _, received := range effects.Received {
+	for _, received := range effects.Payloads {
 		var digest view.Digest
 		if err := json.Unmarshal(received.Body, &digest); err == nil {
 			m.heardDigest(received.Address, digest)
@@ -100,13 +100,13 @@
 	})
 }
 
-func (m *member) reconcile(call membership.SyncCall) {
+func (m *member) reconcile(call membership.PushPullCall) {
 	m.process.machine.fleet.network.ask(m.process, call.Address, call.Message, syncTimeout, func(answer any, err error) {
-		outcome := membership.SyncOutcome{Token: call.Token, Failed: err != nil}
+		outcome := membership.PushPullResult{Token: call.Token, Failed: err != nil}
 		if err == nil {
-			outcome.Answer = answer.(membership.SyncMessage)
+			outcome.Response = answer.(membership.PushPullMessage)
 		}
-		m.input.Outcomes = append(m.input.Outcomes, outcome)
+		m.input.Results = append(m.input.Results, outcome)
 		m.wake()
 	})
 }
@@ -129,10 +129,10 @@
 // serve answers calls that concern membership and spread, and tells whether it was one.
 func (m *member) serve(call *exchange, request any) bool {
 	switch asked := request.(type) {
-	case membership.SyncMessage:
+	case membership.PushPullMessage:
 		m.token++
 		m.arrivals[m.token] = call
-		m.input.Arrivals = append(m.input.Arrivals, membership.SyncArrival{Token: m.token, Message: asked})
+		m.input.Arrivals = append(m.input.Arrivals, membership.PushPullArrival{Token: m.token, Message: asked})
 		m.wake()
 	case fetchRequest:
 		call.finish(m.newer(asked.digest))
@@ -189,7 +189,7 @@
 	m.input.Payload = payload
 	m.wake()
 	for _, other := range m.members() {
-		if !other.Gone() && other.Name != m.process.name {
+		if !other.DeadOrLeft() && other.Name != m.process.name {
 			m.process.machine.fleet.network.datagram(m.process, other.Address, spreadDatagram{digest: digest})
 		}
 	}
--- a/internal/tier/gossip/doc.go
+++ b/internal/tier/gossip/doc.go
@@ -2,6 +2,6 @@
 // stamp; they fetch it from there and tell others in turn. Now and then each member compares its whole digest with one
 // other, so that what was lost is made up for.
 //
-// A Spreader does no I/O, reads no clock and starts no goroutine: Step takes the time and what has arrived, and returns
+// A Gossiper does no I/O, reads no clock and starts no goroutine: Step takes the time and what has arrived, and returns
 // what must be sent and fetched. The same inputs and seed give the same effects.
 package gossip
--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -123,7 +123,7 @@
 }
 
 // finish takes in the outcome of a fetch.
-func (s *Spreader) finish(fetched Fetched) {
+func (s *Gossiper) finish(fetched FetchResult) {
 	for _, piece := range fetched.Pieces {
 		s.accept(piece)
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		if s.store.Stamp(w.section).Less(w.asked) {
-			w.failed(s.now, s.options.RetryPause)
+			w.failed(s.now, s.options.RetryBackoff)
 			continue
 		}
 		w.token = 0
@@ -140,17 +140,17 @@
 }
 
 // expire gives up waiting for fetches that take too long. What they bring later is still taken.
-func (s *Spreader) expire() {
+func (s *Gossiper) expire() {
 	for _, w := range s.fetches.wants {
 		if w.token != 0 && s.now >= w.deadline {
-			w.failed(s.now, s.options.RetryPause)
+			w.failed(s.now, s.options.RetryBackoff)
 		}
 	}
 }
 
 // startFetches asks for all that is wanted and not under way, with one fetch for each source.
-func (s *Spreader) startFetches() {
-	begun := len(s.effects.Fetch)
+func (s *Gossiper) startFetches() {
+	begun := len(s.effects.Fetches)
 	for _, w := range s.fetches.wants {
 		if w.token != 0 {
 			continue
@@ -169,19 +169,19 @@
 }
 
 // fetchFrom returns the fetch of this Step from a source.
-func (s *Spreader) fetchFrom(address string, begun int) *Fetch {
-	for i := begun; i < len(s.effects.Fetch); i++ {
-		if s.effects.Fetch[i].Address == address {
-			return &s.effects.Fetch[i]
+func (s *Gossiper) fetchFrom(address string, begun int) *Fetch {
+	for i := begun; i < len(s.effects.Fetches); i++ {
+		if s.effects.Fetches[i].Address == address {
+			return &s.effects.Fetches[i]
 		}
 	}
 	s.fetches.token++
-	s.effects.Fetch = append(s.effects.Fetch, Fetch{s.fetches.token, address, view.Digest{}})
-	return &s.effects.Fetch[len(s.effects.Fetch)-1]
+	s.effects.Fetches = append(s.effects.Fetches, Fetch{s.fetches.token, address, view.Digest{}})
+	return &s.effects.Fetches[len(s.effects.Fetches)-1]
 }
 
 // nextFetch returns when a fetch is given up or may be tried again.
-func (s *Spreader) nextFetch() time.Duration {
+func (s *Gossiper) nextFetch() time.Duration {
 	next := never
 	for _, w := range s.fetches.wants {
 		if w.token != 0 {
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -57,7 +57,7 @@
 			Also: []mutation.Change{
 				{
 					File: "spreader.go",
-					Old:  "if s.options.Interval > 0 && len(s.peers) > 0 {",
+					Old:  "if s.options.DigestInterval > 0 && len(s.peers) > 0 {",
 					New:  "if false {",
 				},
 			},
--- a/internal/tier/gossip/network_test.go
+++ b/internal/tier/gossip/network_test.go
@@ -30,7 +30,7 @@
 // host is one member.
 type host struct {
 	address  string
-	spreader *Spreader // nil: it is down
+	spreader *Gossiper // nil: it is down
 	starts   int
 	version  uint64 // of the timer
 	atOnce   int    // steps in a row that wanted the next one at once
@@ -89,13 +89,13 @@
 
 func (w *network) step(h *host, input Input) {
 	effects := h.spreader.Step(w.loop.Now(), input)
-	for _, piece := range effects.Changed {
+	for _, piece := range effects.Updated {
 		w.checkReport(h, piece)
 	}
-	for _, datagram := range effects.Notify {
+	for _, datagram := range effects.Datagrams {
 		w.send(h, datagram)
 	}
-	for _, fetch := range effects.Fetch {
+	for _, fetch := range effects.Fetches {
 		w.checkFetch(h, fetch)
 		w.fetch(h, fetch)
 	}
@@ -170,7 +170,7 @@
 	}
 	w.after(w.delay(), func() {
 		if to.spreader != nil && !w.blocked(from, to) {
-			w.step(to, Input{Received: []Datagram{{from.address, datagram.Message}}})
+			w.step(to, Input{Datagrams: []Datagram{{from.address, datagram.Message}}})
 		}
 	})
 }
@@ -187,7 +187,7 @@
 			for section := range fetch.Wanted {
 				delete(from.fetching, section)
 			}
-			w.step(from, Input{Fetched: []Fetched{{Token: fetch.Token, Pieces: pieces}}})
+			w.step(from, Input{Fetched: []FetchResult{{Token: fetch.Token, Pieces: pieces}}})
 		})
 	}
 	to := w.byName[fetch.Address]
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -93,7 +93,7 @@
 func (w *network) toldOfBy(h *host, piece view.Piece, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{piece.Section: piece.Stamp}}
-		w.step(h, Input{Received: []Datagram{{holder.address, message}}})
+		w.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
 	}
 }
 
@@ -103,7 +103,7 @@
 // withoutExchanges starts a network in which nobody sends whole digests.
 func withoutExchanges(size int, seed uint64) *network {
 	w := newNetwork(size, seed)
-	w.options.Interval = -1
+	w.options.DigestInterval = -1
 	for _, h := range w.hosts {
 		w.start(h)
 	}
@@ -142,7 +142,7 @@
 	w.loss = 0
 	w.runFor(3 * time.Second)
 	w.hosts[0].spreader.store.Put(announced)
-	w.step(w.hosts[0], Input{Received: []Datagram{{w.hosts[1].address, w.hosts[1].spreader.Whole()}}})
+	w.step(w.hosts[0], Input{Datagrams: []Datagram{{w.hosts[1].address, w.hosts[1].spreader.CompleteDigest()}}})
 	w.runFor(100 * time.Millisecond)
 	if w.hosts[1].spreader.store.Stamp(announced.Section) != announced.Stamp {
 		return fmt.Errorf("the member behind was not told")
--- a/internal/tier/gossip/wire_test.go
+++ b/internal/tier/gossip/wire_test.go
@@ -23,7 +23,7 @@
 		encoded string
 	}{
 		{
-			"complete digest", Message{Digest: digest, Whole: true},
+			"complete digest", Message{Digest: digest, Complete: true},
 			`{"d":{"configuration":{"epoch":1,"sequence":2},"placement":{"epoch":3,"sequence":4}},"w":true}`,
 		},
 		{
--- a/internal/tier/membership/detection_test.go
+++ b/internal/tier/membership/detection_test.go
@@ -65,14 +65,14 @@
 		}
 		first := time.Duration(0)
 		for _, change := range h.changes {
-			if change.After.Name != victim.member.Name || change.At < killedAt {
+			if change.Member.Name != victim.member.Name || change.At < killedAt {
 				continue
 			}
 			after := change.At - killedAt
 			if first == 0 {
 				first = after
 			}
-			if change.Kind == Died {
+			if change.Kind == MemberDied {
 				suspected, died = append(suspected, first), append(died, after)
 			}
 		}
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -61,7 +61,7 @@
 			if deaths := w.died(0, victim.member.Name); len(deaths) > 0 {
 				t.Errorf("%d false deaths, first: %s", len(deaths), deaths[0])
 			}
-			if w.largest > MaxDatagram {
+			if w.largest > MaxDatagramBytes {
 				t.Errorf("a datagram of %d bytes", w.largest)
 			}
 		})
@@ -97,7 +97,7 @@
 	var times []time.Duration
 	for _, h := range w.running() {
 		for _, change := range h.changes {
-			if change.Kind == Died && change.After.Name == victim.member.Name {
+			if change.Kind == MemberDied && change.Member.Name == victim.member.Name {
 				times = append(times, (change.At - killedAt).Round(time.Millisecond))
 			}
 		}
--- a/internal/tier/membership/member.go
+++ b/internal/tier/membership/member.go
@@ -15,10 +15,10 @@
 
 // The states.
 const (
-	Alive   State = iota
-	Suspect       // did not answer; it may still refute
-	Dead          // did not refute in time
-	Left          // said that it ends
+	StateAlive   State = iota
+	StateSuspect       // did not answer; it may still refute
+	StateDead          // did not refute in time
+	StateLeft          // said that it ends
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
@@ -43,8 +43,8 @@
 	State       State  `json:"s,omitempty"`
 }
 
-// Gone tells whether the member is taken for dead or has left.
-func (m Member) Gone() bool { return m.State == Dead || m.State == Left }
+// DeadOrLeft tells whether the member is taken for dead or has left.
+func (m Member) DeadOrLeft() bool { return m.State == StateDead || m.State == StateLeft }
 
 // sameProcess tells whether both describe one start of a process.
 func (m Member) sameProcess(other Member) bool {
@@ -52,21 +52,21 @@
 		m.Zone == other.Zone && m.Role == other.Role
 }
 
-// ChangeKind tells what has become of a member.
-type ChangeKind string
+// EventKind tells what has become of a member.
+type EventKind string
 
 // The kinds of change.
 const (
-	Joined    ChangeKind = "joined"    // it is new, or back
-	Updated   ChangeKind = "updated"   // it is another process now, or it refuted a suspicion
-	Suspected ChangeKind = "suspected" // Suspect
-	Died      ChangeKind = "died"      // Dead
-	Departed  ChangeKind = "departed"  // Left
+	MemberJoined    EventKind = "joined"    // it is new, or back
+	MemberUpdated   EventKind = "updated"   // it is another process now, or it refuted a suspicion
+	MemberSuspected EventKind = "suspected" // StateSuspect
+	MemberDied      EventKind = "died"      // StateDead
+	MemberLeft      EventKind = "departed"  // StateLeft
 )
 
-// Change reports a member whose state or description is new.
-type Change struct {
-	Kind   ChangeKind
-	Before Member // zero when the member was not known
-	After  Member
+// Event reports a member whose state or description is new.
+type Event struct {
+	Kind     EventKind
+	Previous Member // zero when the member was not known
+	Member   Member
 }
--- a/internal/tier/membership/message.go
+++ b/internal/tier/membership/message.go
@@ -2,28 +2,28 @@
 
 import "encoding/json"
 
-// MaxDatagram bounds the JSON encoding of a Message, in bytes.
-const MaxDatagram = 1400
+// MaxDatagramBytes bounds the JSON encoding of a Message, in bytes.
+const MaxDatagramBytes = 1400
 
-// MaxPayload bounds the payload of a Message, in bytes. A longer one is not attached.
-const MaxPayload = 500
+// MaxPayloadBytes bounds the payload of a Message, in bytes. A longer one is not attached.
+const MaxPayloadBytes = 500
 
-// Kind tells what a message asks or answers.
-type Kind string
+// MessageKind tells what a message asks or answers.
+type MessageKind string
 
 // The kinds of message.
 const (
-	Ping        Kind = "ping"
-	Ack         Kind = "ack"
-	PingRequest Kind = "ping_request" // please probe Target for me
-	IndirectAck Kind = "indirect_ack" // Target has answered
-	Nack        Kind = "nack"         // Target has not answered, but this helper is well
-	Notice      Kind = "notice"       // carries updates only and wants no answer
+	MsgPing        MessageKind = "ping"
+	MsgAck         MessageKind = "ack"
+	MsgPingReq     MessageKind = "ping_request" // please probe Target for me
+	MsgIndirectAck MessageKind = "indirect_ack" // Target has answered
+	MsgNack        MessageKind = "nack"         // Target has not answered, but this helper is well
+	MsgGossip      MessageKind = "notice"       // carries updates only and wants no answer
 )
 
 // Message is one datagram.
 type Message struct {
-	Kind          Kind            `json:"k"`
+	Kind          MessageKind     `json:"k"`
 	From          string          `json:"f"`           // name of the sender
 	Incarnation   uint64          `json:"i"`           // of the sender
 	To            string          `json:"t,omitempty"` // name of the receiver, where it is known: another process drops a ping
@@ -32,14 +32,14 @@
 	TargetAddress string          `json:"ga,omitempty"`
 	Hash          uint64          `json:"h,omitempty"` // of the sender's list, see table
 	Updates       []Update        `json:"u,omitempty"`
-	Payload       json.RawMessage `json:"p,omitempty"` // the application's, on Ping and Ack
+	Payload       json.RawMessage `json:"p,omitempty"` // the application's, on MsgPing and MsgAck
 }
 
 // Update is news about one member. Of one that is gone only name, incarnation and state are told.
 type Update struct {
 	Member
-	By   string `json:"b,omitempty"` // name of the member that suspects it
-	Sure bool   `json:"x,omitempty"` // enough members have found it silent for the shortest time to refute
+	From      string `json:"b,omitempty"` // name of the member that suspects it
+	Confirmed bool   `json:"x,omitempty"` // enough members have found it silent for the shortest time to refute
 }
 
 // Datagram is a message with the address that it goes to or came from.
@@ -50,7 +50,7 @@
 
 // updateOf returns the news that a member is as entry says.
 func updateOf(member Member) Update {
-	if !member.Gone() {
+	if !member.DeadOrLeft() {
 		return Update{Member: member}
 	}
 	return Update{Member: Member{Name: member.Name, Incarnation: member.Incarnation, State: member.State}}
@@ -60,7 +60,7 @@
 func encodedSize(update Update) int {
 	encoded, err := json.Marshal(update)
 	if err != nil { // a Member holds nothing that cannot be encoded
-		return MaxDatagram
+		return MaxDatagramBytes
 	}
 	return len(encoded) + 1
 }
--- a/internal/tier/membership/mutants_test.go
+++ b/internal/tier/membership/mutants_test.go
@@ -30,7 +30,7 @@
 			Name: "accusations are not refuted",
 			Change: mutation.Change{
 				File: "update.go",
-				Old:  "if n.self.State == Left || update.Incarnation < n.self.Incarnation {",
+				Old:  "if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {",
 				New:  "if true {",
 			},
 			Run: accusations,
@@ -49,13 +49,13 @@
 			Name: "deaths are believed without a question",
 			Change: mutation.Change{
 				File: "update.go",
-				Old:  "\tswitch known.State {\n\tcase Alive:\n\t\tn.verify(known, update.Incarnation)",
-				New:  "\tswitch known.State {\n\tcase Alive, Suspect:\n\t\tn.bury(known, Dead, update.Incarnation)",
+				Old:  "\tswitch known.State {\n\tcase StateAlive:\n\t\tn.verify(known, update.Incarnation)",
+				New:  "\tswitch known.State {\n\tcase StateAlive, StateSuspect:\n\t\tn.bury(known, StateDead, update.Incarnation)",
 			},
 			Also: []mutation.Change{
 				{
 					File: "update.go",
-					Old:  "\tcase Suspect:\n\t\tknown.suspicion.shorten()\n",
+					Old:  "\tcase StateSuspect:\n\t\tknown.suspicion.shorten()\n",
 					New:  "",
 				},
 			},
@@ -83,8 +83,8 @@
 			Name: "datagrams have no bound",
 			Change: mutation.Change{
 				File: "receive.go",
-				Old:  "budget := MaxDatagram - envelopeSize(&message) - len(message.Payload)",
-				New:  "budget := 100 * MaxDatagram",
+				Old:  "budget := MaxDatagramBytes - envelopeSize(&message) - len(message.Payload)",
+				New:  "budget := 100 * MaxDatagramBytes",
 			},
 			Run: crowds,
 		},
@@ -92,7 +92,7 @@
 			Name: "the gone are not forgotten",
 			Change: mutation.Change{
 				File: "probe.go",
-				Old:  "if n.now-e.since < n.options.ForgetAfter {",
+				Old:  "if n.now-e.since < n.options.TombstoneTimeout {",
 				New:  "if true {",
 			},
 			Run: longDeaths,
@@ -118,7 +118,7 @@
 			Change: mutation.Change{
 				File: "reconcile.go",
 				Old:  "return n.jittered(youngContact)",
-				New:  "return n.jittered(n.options.SyncInterval)",
+				New:  "return n.jittered(n.options.PushPullInterval)",
 			},
 			Run: "^TestAllKnowEachOtherSoonAfterAColdStart$",
 		},
--- a/internal/tier/membership/network_test.go
+++ b/internal/tier/membership/network_test.go
@@ -54,7 +54,7 @@
 
 type timedChange struct {
 	At time.Duration
-	Change
+	Event
 }
 
 // timedAccusation is the first time that a host says itself that a member is silent.
@@ -67,7 +67,7 @@
 // noteAccusations remembers whom a host accuses. Accusations that it passes on for others are theirs.
 func (h *host) noteAccusations(at time.Duration, updates []Update) {
 	for _, update := range updates {
-		if update.State != Suspect || update.By != h.member.Name {
+		if update.State != StateSuspect || update.From != h.member.Name {
 			continue
 		}
 		known := func(a timedAccusation) bool {
@@ -128,10 +128,10 @@
 	h.starts++
 	h.member.Incarnation = uint64(epochMs + w.loop.Now().Milliseconds())
 	h.node = New(Options{
-		Self:        h.member,
-		Seeds:       h.seeds,
-		ForgetAfter: w.forgetAfter,
-		Seed:        w.random.Uint64(),
+		Self:             h.member,
+		Seeds:            h.seeds,
+		TombstoneTimeout: w.forgetAfter,
+		Seed:             w.random.Uint64(),
 	})
 	h.frozen = false
 	h.held = Input{}
@@ -205,7 +205,7 @@
 	if to.frozen {
 		to.held.Datagrams = append(to.held.Datagrams, input.Datagrams...)
 		to.held.Arrivals = append(to.held.Arrivals, input.Arrivals...)
-		to.held.Outcomes = append(to.held.Outcomes, input.Outcomes...)
+		to.held.Results = append(to.held.Results, input.Results...)
 		return
 	}
 	if to.node != nil {
@@ -216,7 +216,7 @@
 func (w *network) step(h *host, input Input) {
 	effects := h.node.Step(w.loop.Now(), input)
 	h.steps++
-	for _, change := range effects.Changes {
+	for _, change := range effects.Events {
 		h.changes = append(h.changes, timedChange{w.loop.Now(), change})
 	}
 	for _, datagram := range effects.Datagrams {
@@ -280,14 +280,14 @@
 	})
 }
 
-// replyRoute remembers where the answer to a SyncArrival goes.
+// replyRoute remembers where the answer to a PushPullArrival goes.
 type replyRoute struct {
 	caller *host
 	starts int
 	token  uint64
 }
 
-func (w *network) call(from *host, call SyncCall) {
+func (w *network) call(from *host, call PushPullCall) {
 	starts := from.starts
 	w.calls++
 	if w.measure {
@@ -297,7 +297,7 @@
 	fail := func(after time.Duration) {
 		w.after(after, func() {
 			if from.starts == starts && from.node != nil {
-				w.deliver(from, Input{Outcomes: []SyncOutcome{{Token: call.Token, Failed: true}}})
+				w.deliver(from, Input{Results: []PushPullResult{{Token: call.Token, Failed: true}}})
 			}
 		})
 	}
@@ -315,12 +315,12 @@
 			fail(w.delay())
 		default:
 			w.routes = append(w.routes, replyRoute{from, starts, call.Token})
-			w.deliver(to, Input{Arrivals: []SyncArrival{{uint64(len(w.routes)), call.Message}}})
+			w.deliver(to, Input{Arrivals: []PushPullArrival{{uint64(len(w.routes)), call.Message}}})
 		}
 	})
 }
 
-func (w *network) replies(from *host, reply SyncReply) {
+func (w *network) replies(from *host, reply PushPullReply) {
 	route := w.routes[reply.Token-1]
 	if w.measure {
 		encoded, _ := json.Marshal(reply.Message)
@@ -330,8 +330,8 @@
 		if route.caller.starts != route.starts || route.caller.node == nil {
 			return
 		}
-		outcome := SyncOutcome{Token: route.token, Answer: reply.Message, Failed: w.blocked(from, route.caller)}
-		w.deliver(route.caller, Input{Outcomes: []SyncOutcome{outcome}})
+		outcome := PushPullResult{Token: route.token, Response: reply.Message, Failed: w.blocked(from, route.caller)}
+		w.deliver(route.caller, Input{Results: []PushPullResult{outcome}})
 	})
 }
 
@@ -350,7 +350,7 @@
 func (h *host) believed() []string {
 	var names []string
 	for _, member := range h.node.Members() {
-		if !member.Gone() {
+		if !member.DeadOrLeft() {
 			names = append(names, member.Name)
 		}
 	}
@@ -395,8 +395,8 @@
 	var deaths []string
 	for _, h := range w.hosts {
 		for _, change := range h.changes {
-			if change.Kind == Died && change.At >= since && !slices.Contains(expected, change.After.Name) {
-				deaths = append(deaths, fmt.Sprintf("%v %s: %s", change.At, h.member.Name, change.After.Name))
+			if change.Kind == MemberDied && change.At >= since && !slices.Contains(expected, change.Member.Name) {
+				deaths = append(deaths, fmt.Sprintf("%v %s: %s", change.At, h.member.Name, change.Member.Name))
 			}
 		}
 	}
--- a/internal/tier/membership/node.go
+++ b/internal/tier/membership/node.go
@@ -12,8 +12,8 @@
 	DefaultProbeInterval    = time.Second
 	DefaultProbeTimeout     = 300 * time.Millisecond
 	DefaultSuspicionTimeout = 2 * time.Second
-	DefaultSyncInterval     = 10 * time.Second
-	DefaultForgetAfter      = 2 * time.Minute
+	DefaultPushPullInterval = 10 * time.Second
+	DefaultTombstoneTimeout = 2 * time.Minute
 	DefaultIndirectProbes   = 3
 )
 
@@ -24,8 +24,8 @@
 	ProbeInterval    time.Duration // from one probe to the next
 	ProbeTimeout     time.Duration // until helpers are asked
 	SuspicionTimeout time.Duration // for up to sixteen members; it grows with their number's logarithm
-	SyncInterval     time.Duration // between reconciliations while lists keep differing, and between tries of unknown seeds
-	ForgetAfter      time.Duration // how long those that are gone are remembered
+	PushPullInterval time.Duration // between reconciliations while lists keep differing, and between tries of unknown seeds
+	TombstoneTimeout time.Duration // how long those that are gone are remembered
 	IndirectProbes   int           // helpers that are asked
 	Seed             uint64        // of all random choices
 }
@@ -33,8 +33,8 @@
 // Input is all that has happened since the last Step.
 type Input struct {
 	Datagrams []Datagram
-	Arrivals  []SyncArrival
-	Outcomes  []SyncOutcome
+	Arrivals  []PushPullArrival
+	Results   []PushPullResult
 	Seeds     []string        // replace the seeds; nil: as they are
 	Payload   json.RawMessage // is attached from now on; nil: as it is
 	Leave     bool            // the process is about to end
@@ -43,10 +43,10 @@
 // Effects is what must be done.
 type Effects struct {
 	Datagrams []Datagram
-	Calls     []SyncCall
-	Replies   []SyncReply
-	Changes   []Change
-	Received  []Payload
+	Calls     []PushPullCall
+	Replies   []PushPullReply
+	Events    []Event
+	Payloads  []Payload
 	NextWake  time.Duration // when Step is to be called again at the latest
 }
 
@@ -87,7 +87,7 @@
 func New(options Options) *Node {
 	options = withDefaults(options)
 	self := options.Self
-	self.State = Alive
+	self.State = StateAlive
 	n := &Node{
 		options: options,
 		self:    self,
@@ -105,8 +105,8 @@
 	orDefault(&options.ProbeInterval, DefaultProbeInterval)
 	orDefault(&options.ProbeTimeout, DefaultProbeTimeout)
 	orDefault(&options.SuspicionTimeout, DefaultSuspicionTimeout)
-	orDefault(&options.SyncInterval, DefaultSyncInterval)
-	orDefault(&options.ForgetAfter, DefaultForgetAfter)
+	orDefault(&options.PushPullInterval, DefaultPushPullInterval)
+	orDefault(&options.TombstoneTimeout, DefaultTombstoneTimeout)
 	orDefault(&options.IndirectProbes, DefaultIndirectProbes)
 	return options
 }
@@ -128,7 +128,7 @@
 	for _, arrival := range input.Arrivals {
 		n.answerSync(arrival)
 	}
-	for _, outcome := range input.Outcomes {
+	for _, outcome := range input.Results {
 		n.finishSync(outcome)
 	}
 	for i := range input.Datagrams {
@@ -150,7 +150,7 @@
 	}
 	n.wake = n.now
 	n.started = n.now
-	n.reconcile.lastStart = n.now - n.options.SyncInterval
+	n.reconcile.lastStart = n.now - n.options.PushPullInterval
 	n.prober.next = n.now + n.jittered(n.options.ProbeInterval)
 	n.prober.nextGone = n.prober.next
 	n.reconcile.contactSeed = n.now + n.contactPause()
@@ -165,14 +165,14 @@
 		return
 	}
 	n.payload = input.Payload
-	if len(n.payload) > MaxPayload {
+	if len(n.payload) > MaxPayloadBytes {
 		n.payload = nil
 	}
 }
 
 // runTimers does what is due.
 func (n *Node) runTimers() {
-	if n.self.State == Left {
+	if n.self.State == StateLeft {
 		n.expireRelays()
 		return
 	}
@@ -190,7 +190,7 @@
 
 func (n *Node) nextWake() time.Duration {
 	next := n.nextRelayExpiry()
-	if n.self.State == Left {
+	if n.self.State == StateLeft {
 		return next
 	}
 	next = min(next, n.prober.next, n.nextProbeExpiry(), n.nextSync())
@@ -236,5 +236,5 @@
 // Joined tells whether another member has answered since the start.
 func (n *Node) Joined() bool { return n.reconcile.joined }
 
-// Health tells how slow the node itself seems: 0 is well.
-func (n *Node) Health() int { return n.health }
+// HealthScore tells how slow the node itself seems: 0 is well.
+func (n *Node) HealthScore() int { return n.health }
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -74,7 +74,7 @@
 	controllers := runningControllers(members)
 	number := 0
 	for i := range members {
-		if members[i].Role == Agent || members[i].Gone() {
+		if members[i].Role == Agent || members[i].DeadOrLeft() {
 			continue
 		}
 		number++
@@ -104,7 +104,7 @@
 func runningControllers(members []Member) []string {
 	var names []string
 	for i := range members {
-		if members[i].Role == Controller && members[i].State == Alive {
+		if members[i].Role == Controller && members[i].State == StateAlive {
 			names = append(names, members[i].Name)
 		}
 	}
@@ -122,7 +122,7 @@
 		}
 		name := n.prober.rotation[n.prober.position]
 		n.prober.position++
-		if target := n.table.entries[name]; target != nil && !target.Gone() {
+		if target := n.table.entries[name]; target != nil && !target.DeadOrLeft() {
 			return target
 		}
 	}
@@ -132,7 +132,7 @@
 	n.prober.position = 0
 	n.prober.rotation = n.prober.rotation[:0]
 	for _, e := range n.table.sorted {
-		if !e.Gone() {
+		if !e.DeadOrLeft() {
 			n.prober.rotation = append(n.prober.rotation, e.Name)
 		}
 	}
@@ -148,7 +148,7 @@
 		deadline: n.now + n.widened(probeSteps*n.options.ProbeTimeout),
 	}
 	n.prober.pending = append(n.prober.pending, started)
-	n.send(target.Address, Message{Kind: Ping, To: target.Name, Sequence: started.sequence})
+	n.send(target.Address, Message{Kind: MsgPing, To: target.Name, Sequence: started.sequence})
 }
 
 // verify asks a member about which nodes disagree. The ping tells it that some take it for dead in that incarnation, so
@@ -158,9 +158,9 @@
 		return
 	}
 	n.prober.verified++
-	accusation := Update{Member: Member{Name: target.Name, Incarnation: incarnation, State: Dead}}
-	ping := Message{Kind: Ping, To: target.Name, Updates: []Update{accusation}}
-	if !target.Gone() {
+	accusation := Update{Member: Member{Name: target.Name, Incarnation: incarnation, State: StateDead}}
+	ping := Message{Kind: MsgPing, To: target.Name, Updates: []Update{accusation}}
+	if !target.DeadOrLeft() {
 		ping.Sequence = n.nextSequence()
 		n.prober.pending = append(n.prober.pending, probe{
 			sequence: ping.Sequence,
@@ -204,7 +204,7 @@
 	pending.nacksWanted = len(helpers)
 	for _, helper := range helpers {
 		n.send(helper.Address, Message{
-			Kind:          PingRequest,
+			Kind:          MsgPingReq,
 			To:            helper.Name,
 			Sequence:      pending.sequence,
 			Target:        pending.target.Name,
@@ -218,9 +218,9 @@
 	if failed.nacksWanted > 0 && len(failed.nacks) == 0 {
 		n.worsen()
 	}
-	if failed.target.State == Alive {
-		n.suspect(failed.target, Update{By: n.self.Name})
-		n.send(failed.target.Address, Message{Kind: Notice, To: failed.target.Name}) // it may refute at once
+	if failed.target.State == StateAlive {
+		n.suspect(failed.target, Update{From: n.self.Name})
+		n.send(failed.target.Address, Message{Kind: MsgGossip, To: failed.target.Name}) // it may refute at once
 	}
 	news := failed.target.suspicion.confirm(n.self.Name)
 	for _, helper := range failed.nacks {
@@ -271,7 +271,7 @@
 	}
 	n.prober.nextGone = n.now + n.jittered(goneCallEvery*n.options.ProbeInterval)
 	called := n.prober.gone[n.random.IntN(len(n.prober.gone))]
-	if called.State == Dead {
+	if called.State == StateDead {
 		n.verify(called, called.Incarnation)
 	}
 }
@@ -279,7 +279,7 @@
 // forget removes those that have been gone for long.
 func (n *Node) forget() {
 	n.prober.gone = slices.DeleteFunc(n.prober.gone, func(e *entry) bool {
-		if n.now-e.since < n.options.ForgetAfter {
+		if n.now-e.since < n.options.TombstoneTimeout {
 			return false
 		}
 		n.table.remove(e.Name)
@@ -312,7 +312,7 @@
 }
 
 func appendHelper(chosen []*entry, candidate *entry, without string) []*entry {
-	if candidate.State != Alive || candidate.Name == without || slices.Contains(chosen, candidate) {
+	if candidate.State != StateAlive || candidate.Name == without || slices.Contains(chosen, candidate) {
 		return chosen
 	}
 	return append(chosen, candidate)
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -94,7 +94,7 @@
 // checkNeverBack looks at all that a host has reported.
 func checkNeverBack(t *rapid.T, h *host) {
 	for _, change := range h.changes {
-		before, after := change.Before, change.After
+		before, after := change.Previous, change.Member
 		if before.Name == "" {
 			continue
 		}
@@ -137,19 +137,19 @@
 				Address:     "10.0.0.2:7380",
 				Incarnation: rapid.Uint64().Draw(t, "incarnation"),
 				State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
-			}, By: name.Draw(t, "by")})
+			}, From: name.Draw(t, "by")})
 		}
 		payload := json.RawMessage(`"` + strings.Repeat("x", rapid.IntRange(0, 600).Draw(t, "payload")) + `"`)
 		input := Input{
 			Payload:   payload,
-			Datagrams: []Datagram{{"10.0.0.2:7380", Message{Kind: Ping, From: updates[0].Name, Sequence: 1 << 63, Updates: updates}}},
+			Datagrams: []Datagram{{"10.0.0.2:7380", Message{Kind: MsgPing, From: updates[0].Name, Sequence: 1 << 63, Updates: updates}}},
 		}
 		now := time.Duration(0)
 		for range 20 {
 			effects := node.Step(now, input)
 			for _, datagram := range effects.Datagrams {
 				encoded, err := json.Marshal(datagram.Message)
-				if err != nil || len(encoded) > MaxDatagram {
+				if err != nil || len(encoded) > MaxDatagramBytes {
 					t.Fatalf("%d bytes, %v: %s", len(encoded), err, encoded)
 				}
 			}
@@ -163,12 +163,12 @@
 func TestOneReconciliationIsEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := twoNodes(t)
-		request := Input{Datagrams: []Datagram{{second.self.Address, Message{Kind: Notice, From: second.self.Name, Incarnation: 1}}}}
+		request := Input{Datagrams: []Datagram{{second.self.Address, Message{Kind: MsgGossip, From: second.self.Name, Incarnation: 1}}}}
 		calls := first.Step(time.Second, request).Calls
 		for len(calls) > 0 {
-			replies := second.Step(time.Second, Input{Arrivals: []SyncArrival{{1, calls[0].Message}}}).Replies
-			outcome := SyncOutcome{Token: calls[0].Token, Answer: replies[0].Message}
-			calls = first.Step(time.Second, Input{Outcomes: []SyncOutcome{outcome}}).Calls
+			replies := second.Step(time.Second, Input{Arrivals: []PushPullArrival{{1, calls[0].Message}}}).Replies
+			outcome := PushPullResult{Token: calls[0].Token, Response: replies[0].Message}
+			calls = first.Step(time.Second, Input{Results: []PushPullResult{outcome}}).Calls
 		}
 		if difference := cmp.Diff(names(first), names(second)); difference != "" {
 			t.Fatal(difference)
@@ -195,7 +195,7 @@
 				Incarnation: incarnation,
 			}})
 		}
-		nodes[i].Step(time.Millisecond, Input{Datagrams: []Datagram{{"10.0.9.9:7380", Message{Kind: Notice, From: "x", To: "y", Updates: updates}}}})
+		nodes[i].Step(time.Millisecond, Input{Datagrams: []Datagram{{"10.0.9.9:7380", Message{Kind: MsgGossip, From: "x", To: "y", Updates: updates}}}})
 	}
 	return nodes[0], nodes[1]
 }
--- a/internal/tier/membership/receive.go
+++ b/internal/tier/membership/receive.go
@@ -32,39 +32,39 @@
 	n.hearSender(address, message)
 	n.deliver(address, message)
 	switch message.Kind {
-	case Ping:
+	case MsgPing:
 		n.sendAck(address, message)
-	case Ack:
+	case MsgAck:
 		n.receiveAck(message)
-	case PingRequest:
+	case MsgPingReq:
 		n.receivePingRequest(address, message)
-	case IndirectAck:
+	case MsgIndirectAck:
 		n.answered(message.Sequence, message.Target)
-	case Nack:
+	case MsgNack:
 		n.noteNack(message.Sequence, message.From)
 	}
 }
 
 // hearSender compares what both sides hold of each other.
 func (n *Node) hearSender(address string, message *Message) {
-	if n.self.State == Left {
+	if n.self.State == StateLeft {
 		return
 	}
 	known := n.table.entries[message.From]
 	switch {
 	case known == nil || message.Incarnation > known.Incarnation:
 		n.wantSync(address)
-	case known.State == Dead:
+	case known.State == StateDead:
 		n.verify(known, known.Incarnation)
 		n.wantSync(address)
-	case known.State != Left:
+	case known.State != StateLeft:
 		n.compare(address, message)
 	}
 }
 
 func (n *Node) deliver(address string, message *Message) {
 	if len(message.Payload) > 0 {
-		n.effects.Received = append(n.effects.Received, Payload{message.From, address, message.Payload})
+		n.effects.Payloads = append(n.effects.Payloads, Payload{message.From, address, message.Payload})
 	}
 }
 
@@ -76,7 +76,7 @@
 	for i, r := range n.relays {
 		if r.sequence == message.Sequence && r.target == message.From {
 			n.relays = slices.Delete(n.relays, i, i+1)
-			n.send(r.address, Message{Kind: IndirectAck, To: r.requester, Sequence: r.asked, Target: r.target})
+			n.send(r.address, Message{Kind: MsgIndirectAck, To: r.requester, Sequence: r.asked, Target: r.target})
 			return
 		}
 	}
@@ -95,7 +95,7 @@
 		asked:     message.Sequence,
 		deadline:  n.now + n.options.ProbeTimeout,
 	})
-	n.send(message.TargetAddress, Message{Kind: Ping, To: message.Target, Sequence: sequence})
+	n.send(message.TargetAddress, Message{Kind: MsgPing, To: message.Target, Sequence: sequence})
 }
 
 // expireRelays tells requesters that the target has not answered.
@@ -104,7 +104,7 @@
 		if n.now < r.deadline {
 			return false
 		}
-		n.send(r.address, Message{Kind: Nack, To: r.requester, Sequence: r.asked, Target: r.target})
+		n.send(r.address, Message{Kind: MsgNack, To: r.requester, Sequence: r.asked, Target: r.target})
 		return true
 	})
 }
@@ -123,23 +123,23 @@
 // sendAck answers a ping. One whose sender has the same list is not told who is there.
 func (n *Node) sendAck(address string, ping *Message) {
 	agreed := ping.Hash == n.table.hash
-	n.sendKnowing(address, Message{Kind: Ack, To: ping.From, Sequence: ping.Sequence}, agreed)
+	n.sendKnowing(address, Message{Kind: MsgAck, To: ping.From, Sequence: ping.Sequence}, agreed)
 }
 
 func (n *Node) sendKnowing(address string, message Message, agreed bool) {
 	message.From = n.self.Name
 	message.Incarnation = n.self.Incarnation
-	if n.self.State != Left {
+	if n.self.State != StateLeft {
 		message.Hash = n.table.hash
 	}
-	if message.Kind == Ping || message.Kind == Ack {
+	if message.Kind == MsgPing || message.Kind == MsgAck {
 		message.Payload = n.payload
 	}
 	receiver := n.table.entries[message.To]
-	if receiver != nil && receiver.State != Alive && len(message.Updates) == 0 {
+	if receiver != nil && receiver.State != StateAlive && len(message.Updates) == 0 {
 		message.Updates = append(message.Updates, n.accusation(receiver))
 	}
-	budget := MaxDatagram - envelopeSize(&message) - len(message.Payload)
+	budget := MaxDatagramBytes - envelopeSize(&message) - len(message.Payload)
 	for _, update := range message.Updates {
 		budget -= encodedSize(update)
 	}
@@ -154,8 +154,8 @@
 // accusation tells a member what is believed of it.
 func (n *Node) accusation(accused *entry) Update {
 	update := updateOf(accused.Member)
-	if accused.State == Suspect {
-		update.By = accused.suspicion.by[0]
+	if accused.State == StateSuspect {
+		update.From = accused.suspicion.by[0]
 	}
 	return update
 }
--- a/internal/tier/membership/reconcile.go
+++ b/internal/tier/membership/reconcile.go
@@ -40,14 +40,14 @@
 	contactSeed  time.Duration // when seeds that are not known to be alive are pinged
 }
 
-// call is a SyncCall whose outcome is waited for.
+// call is a PushPullCall whose outcome is waited for.
 type call struct {
 	token   uint64
 	address string
 }
 
 // young tells whether the node has started lately: lists differ a lot then.
-func (n *Node) young() bool { return n.now-n.started < n.options.SyncInterval }
+func (n *Node) young() bool { return n.now-n.started < n.options.PushPullInterval }
 
 // compare notes whether another member's list has the same hash. Lists differ for a moment with every change, so only a
 // difference that lasts leads to a reconciliation.
@@ -69,15 +69,15 @@
 		r.unequalSince = n.now
 	}
 	settled := n.now-r.differsSince >= n.settleTime()
-	overdue := n.now-r.unequalSince >= n.options.SyncInterval
+	overdue := n.now-r.unequalSince >= n.options.PushPullInterval
 	if n.young() || settled || overdue {
 		n.wantSync(address)
 	}
 }
 
 // loseInterest stops telling who is there once enough members have shown, by pings of their own, that they know.
-func (n *Node) loseInterest(kind Kind) {
-	if kind != Ping {
+func (n *Node) loseInterest(kind MessageKind) {
+	if kind != MsgPing {
 		return
 	}
 	n.reconcile.agreed++
@@ -186,7 +186,7 @@
 	if n.young() {
 		return n.jittered(youngContact)
 	}
-	return n.jittered(n.options.SyncInterval)
+	return n.jittered(n.options.PushPullInterval)
 }
 
 // pingLostSeeds pings the seeds at whose addresses no member is known to be alive, so that parts that do not know or remember each
@@ -194,7 +194,7 @@
 func (n *Node) pingLostSeeds() {
 	for _, seed := range n.seeds {
 		if seed != n.self.Address && !n.isAliveAt(seed) {
-			n.send(seed, Message{Kind: Ping})
+			n.send(seed, Message{Kind: MsgPing})
 		}
 	}
 }
@@ -202,7 +202,7 @@
 // isAliveAt tells whether a member that isn't gone is known at the address.
 func (n *Node) isAliveAt(address string) bool {
 	for _, e := range n.table.sorted {
-		if e.Address == address && !e.Gone() {
+		if e.Address == address && !e.DeadOrLeft() {
 			return true
 		}
 	}
@@ -215,10 +215,10 @@
 	r.differsSince = 0
 	r.unequalSince = 0
 	r.lastStart = n.now
-	n.callSync(address, SyncMessage{Kind: SyncRequest, Digest: n.table.digest(n.self)})
+	n.callSync(address, PushPullMessage{Kind: PushPullRequest, Digest: n.table.digest(n.self)})
 }
 
-func (n *Node) callSync(address string, message SyncMessage) {
+func (n *Node) callSync(address string, message PushPullMessage) {
 	r := &n.reconcile
 	r.token++
 	message.From = n.self
@@ -226,11 +226,11 @@
 		r.calls = slices.Delete(r.calls, 0, 1)
 	}
 	r.calls = append(r.calls, call{r.token, address})
-	n.effects.Calls = append(n.effects.Calls, SyncCall{r.token, address, message})
+	n.effects.Calls = append(n.effects.Calls, PushPullCall{r.token, address, message})
 }
 
 // finishSync takes in the outcome of a call.
-func (n *Node) finishSync(outcome SyncOutcome) {
+func (n *Node) finishSync(outcome PushPullResult) {
 	r := &n.reconcile
 	position := slices.IndexFunc(r.calls, func(c call) bool { return c.token == outcome.Token })
 	if position < 0 {
@@ -244,26 +244,26 @@
 	}
 	n.announce = n.announce || !r.joined
 	r.joined = true
-	n.applyRecords(outcome.Answer)
-	if records := n.recordsWith(outcome.Answer.Wanted); len(records) > 0 {
-		n.callSync(finished.address, SyncMessage{Kind: SyncPush, Records: records})
+	n.applyRecords(outcome.Response)
+	if records := n.recordsWith(outcome.Response.Requested); len(records) > 0 {
+		n.callSync(finished.address, PushPullMessage{Kind: PushPullPush, Records: records})
 	}
 }
 
 // answerSync takes in another member's part of a reconciliation and answers it.
-func (n *Node) answerSync(arrival SyncArrival) {
-	answer := SyncMessage{Kind: SyncAnswer}
-	if arrival.Message.Kind == SyncRequest {
+func (n *Node) answerSync(arrival PushPullArrival) {
+	answer := PushPullMessage{Kind: PushPullResponse}
+	if arrival.Message.Kind == PushPullRequest {
 		theirs := sortedHashes(arrival.Message.Digest)
 		answer.Records = n.recordsMissing(theirs)
-		answer.Wanted = n.unknownHashes(theirs)
+		answer.Requested = n.unknownHashes(theirs)
 	}
 	n.applyRecords(arrival.Message)
 	answer.From = n.self
-	n.effects.Replies = append(n.effects.Replies, SyncReply{arrival.Token, answer})
+	n.effects.Replies = append(n.effects.Replies, PushPullReply{arrival.Token, answer})
 }
 
-func (n *Node) applyRecords(message SyncMessage) {
+func (n *Node) applyRecords(message PushPullMessage) {
 	n.apply(Update{Member: message.From})
 	for _, record := range message.Records {
 		n.apply(Update{Member: record})
@@ -298,8 +298,8 @@
 
 // syncRecord leaves a suspicion out: it passes, and travels with the probes.
 func syncRecord(member Member) Member {
-	if member.State == Suspect {
-		member.State = Alive
+	if member.State == StateSuspect {
+		member.State = StateAlive
 	}
 	return updateOf(member).Member
 }
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -101,7 +101,7 @@
 	knowNewID := func() bool {
 		for _, h := range w.running() {
 			for _, member := range h.node.Members() {
-				if member.Name == victim.member.Name && (member.ID != victim.member.ID || member.State != Alive) {
+				if member.Name == victim.member.Name && (member.ID != victim.member.ID || member.State != StateAlive) {
 					return false
 				}
 			}
@@ -114,8 +114,8 @@
 	w.runFor(20 * time.Second)
 	for _, h := range w.hosts {
 		for _, change := range h.changes {
-			if change.Kind == Died && change.At >= restarted && change.After.Incarnation >= victim.member.Incarnation {
-				return fmt.Errorf("%s took the new process of %s for dead", h.member.Name, change.After.Name)
+			if change.Kind == MemberDied && change.At >= restarted && change.Member.Incarnation >= victim.member.Incarnation {
+				return fmt.Errorf("%s took the new process of %s for dead", h.member.Name, change.Member.Name)
 			}
 		}
 	}
@@ -222,8 +222,8 @@
 			continue
 		}
 		for _, change := range h.changes {
-			if change.Kind == Died && change.At >= healed {
-				return fmt.Errorf("%s took %s for dead after the heal", h.member.Name, change.After.Name)
+			if change.Kind == MemberDied && change.At >= healed {
+				return fmt.Errorf("%s took %s for dead after the heal", h.member.Name, change.Member.Name)
 			}
 		}
 	}
@@ -271,10 +271,10 @@
 	}
 	w.runFor(3 * time.Second)
 	victim, liar := w.hosts[4].member, w.hosts[5]
-	accusation := Update{Member: liar.node.table.entries[victim.Name].Member, By: "edge-nowhere/agent"}
-	accusation.State = Suspect
+	accusation := Update{Member: liar.node.table.entries[victim.Name].Member, From: "edge-nowhere/agent"}
+	accusation.State = StateSuspect
 	for _, h := range w.hosts[:4] {
-		message := Message{Kind: Notice, From: liar.member.Name, Incarnation: liar.node.self.Incarnation, Updates: []Update{accusation}}
+		message := Message{Kind: MsgGossip, From: liar.member.Name, Incarnation: liar.node.self.Incarnation, Updates: []Update{accusation}}
 		w.step(h, Input{Datagrams: []Datagram{{liar.member.Address, message}}})
 	}
 	w.runFor(20 * time.Second)
@@ -296,7 +296,7 @@
 	victim.member.ID = "second"
 	w.start(victim)
 	w.runFor(5 * time.Second)
-	message := Message{Kind: Notice, From: w.hosts[0].member.Name, Updates: []Update{{Member: old}}}
+	message := Message{Kind: MsgGossip, From: w.hosts[0].member.Name, Updates: []Update{{Member: old}}}
 	w.step(observer, Input{Datagrams: []Datagram{{w.hosts[0].member.Address, message}}})
 	if known := observer.node.table.entries[victim.member.Name]; known.ID != "second" {
 		return fmt.Errorf("the record went back to %v", known.Member)
@@ -358,7 +358,7 @@
 	if err := expectConverged(w, 15*time.Second); err != nil {
 		return err
 	}
-	if w.largest > MaxDatagram {
+	if w.largest > MaxDatagramBytes {
 		return fmt.Errorf("a datagram of %d bytes", w.largest)
 	}
 	return expectNoDeath(w, 0)
--- a/internal/tier/membership/suspicion.go
+++ b/internal/tier/membership/suspicion.go
@@ -24,8 +24,8 @@
 
 // hear takes in another member's suspicion, and tells whether that is news worth passing on.
 func (s *suspicion) hear(update Update) bool {
-	news := s.confirm(update.By)
-	if update.Sure && !s.sure() {
+	news := s.confirm(update.From)
+	if update.Confirmed && !s.sure() {
 		s.wanted = len(s.by) - 1
 		s.schedule()
 		return true
@@ -67,27 +67,27 @@
 // suspect begins a suspicion that another member or this one has voiced.
 func (n *Node) suspect(suspected *entry, update Update) {
 	before := suspected.Member
-	suspected.State = Suspect
+	suspected.State = StateSuspect
 	suspected.since = n.now
 	suspected.suspicion = &suspicion{
-		by:       []string{update.By},
+		by:       []string{update.From},
 		wanted:   min(confirmationsWanted, max(n.table.living-2, 0)),
 		started:  n.now,
 		shortest: n.widened(n.suspicionTimeout()),
 	}
-	if update.Sure {
+	if update.Confirmed {
 		suspected.suspicion.wanted = 0
 	}
 	suspected.suspicion.schedule()
 	n.suspects = append(n.suspects, suspected)
 	n.table.members = nil
 	n.announce = true
-	n.report(Suspected, before, suspected.Member)
-	n.broadcastSuspicion(suspected, update.By)
+	n.report(MemberSuspected, before, suspected.Member)
+	n.broadcastSuspicion(suspected, update.From)
 }
 
 func (n *Node) broadcastSuspicion(suspected *entry, by string) {
-	n.tell(n.urgent, Update{Member: suspected.Member, By: by, Sure: suspected.suspicion.sure()})
+	n.tell(n.urgent, Update{Member: suspected.Member, From: by, Confirmed: suspected.suspicion.sure()})
 }
 
 // suspicionTimeout grows with the number of members, as news then takes longer to reach all.
@@ -105,7 +105,7 @@
 			i++
 			continue
 		}
-		n.bury(suspected, Dead, suspected.Incarnation) // takes it out of suspects
+		n.bury(suspected, StateDead, suspected.Incarnation) // takes it out of suspects
 	}
 }
 
@@ -121,9 +121,9 @@
 	n.dropProbe(gone.Name)
 	n.changed()
 	n.tell(n.regular, updateOf(member))
-	kind := Died
-	if state == Left {
-		kind = Departed
+	kind := MemberDied
+	if state == StateLeft {
+		kind = MemberLeft
 	}
 	n.report(kind, before, member)
 }
@@ -136,6 +136,6 @@
 	n.suspects = slices.DeleteFunc(n.suspects, func(e *entry) bool { return e == cleared })
 }
 
-func (n *Node) report(kind ChangeKind, before, after Member) {
-	n.effects.Changes = append(n.effects.Changes, Change{kind, before, after})
+func (n *Node) report(kind EventKind, before, after Member) {
+	n.effects.Events = append(n.effects.Events, Event{kind, before, after})
 }
--- a/internal/tier/membership/table.go
+++ b/internal/tier/membership/table.go
@@ -12,7 +12,7 @@
 	Member
 	hash      uint64        // see recordHash
 	since     time.Duration // when State became what it is
-	suspicion *suspicion    // with Suspect
+	suspicion *suspicion    // with StateSuspect
 }
 
 // table is the list of the other members. Its hash covers those that are not gone, whatever is suspected of them: two
@@ -56,7 +56,7 @@
 
 func (t *table) count(counted *entry, sign int) {
 	t.members = nil
-	if counted.Gone() {
+	if counted.DeadOrLeft() {
 		return
 	}
 	t.living += sign
@@ -81,12 +81,12 @@
 func recordHash(member Member) uint64 {
 	hash := uint64(fnvOffset)
 	hash = hashString(hash, member.Name)
-	if !member.Gone() {
+	if !member.DeadOrLeft() {
 		hash = hashString(hash, member.ID)
 		hash = hashString(hash, member.Address)
 	}
 	hash = hashUint64(hash, member.Incarnation)
-	if member.Gone() {
+	if member.DeadOrLeft() {
 		hash = hashUint64(hash, 1)
 	}
 	return spread(hash)
--- a/internal/tier/membership/update.go
+++ b/internal/tier/membership/update.go
@@ -21,30 +21,30 @@
 		return
 	}
 	switch update.State {
-	case Alive:
+	case StateAlive:
 		n.hearAlive(update)
-	case Suspect:
+	case StateSuspect:
 		n.hearSuspect(update)
-	case Dead:
+	case StateDead:
 		n.hearDead(update)
-	case Left:
+	case StateLeft:
 		n.hearLeft(update)
 	}
 }
 
 // hearOfSelf refutes what is no longer true of this node: a suspicion, or a record of an earlier process of that name.
 func (n *Node) hearOfSelf(update Update) {
-	if n.self.State == Left || update.Incarnation < n.self.Incarnation {
+	if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {
 		return
 	}
 	same := update.Incarnation == n.self.Incarnation
-	if same && update.State == Alive && update.sameProcess(n.self) {
+	if same && update.State == StateAlive && update.sameProcess(n.self) {
 		return
 	}
-	if same && update.State != Alive {
+	if same && update.State != StateAlive {
 		n.worsen()
 	}
-	n.setSelf(update.Incarnation+1, Alive)
+	n.setSelf(update.Incarnation+1, StateAlive)
 }
 
 // setSelf changes the node's own record and tells the others.
@@ -74,7 +74,7 @@
 	n.announce = false
 	n.announced = n.now
 	for _, receiver := range n.randomLiving(announceFanout, "") {
-		n.send(receiver.Address, Message{Kind: Notice, To: receiver.Name})
+		n.send(receiver.Address, Message{Kind: MsgGossip, To: receiver.Name})
 	}
 }
 
@@ -87,7 +87,7 @@
 		n.welcome(update.Member)
 	case update.Incarnation > known.Incarnation:
 		n.renew(known, update.Member)
-	case update.Incarnation == known.Incarnation && known.State == Dead:
+	case update.Incarnation == known.Incarnation && known.State == StateDead:
 		n.verify(known, known.Incarnation)
 	}
 }
@@ -97,13 +97,13 @@
 	if member.Address == "" {
 		return nil
 	}
-	member.State = Alive
+	member.State = StateAlive
 	added := n.table.add(member, n.now)
 	n.prober.insert(member.Name, n.random)
 	n.changed()
 	n.tell(n.regular, updateOf(member))
 	n.announce = n.announce || !n.young()
-	n.report(Joined, Member{}, member)
+	n.report(MemberJoined, Member{}, member)
 	return added
 }
 
@@ -113,24 +113,24 @@
 		return
 	}
 	before := known.Member
-	member.State = Alive
+	member.State = StateAlive
 	n.clearSuspicion(known)
 	n.table.replace(known, member, n.now)
 	n.changed()
 	queue := n.regular
-	if before.State == Suspect {
+	if before.State == StateSuspect {
 		queue = n.urgent
 	}
 	n.tell(queue, updateOf(member))
-	n.announce = n.announce || before.State == Suspect || !n.young()
-	if before.Gone() {
+	n.announce = n.announce || before.State == StateSuspect || !n.young()
+	if before.DeadOrLeft() {
 		n.prober.revive(known)
 		n.prober.insert(member.Name, n.random)
-		n.report(Joined, before, member)
+		n.report(MemberJoined, before, member)
 		return
 	}
-	if before.State == Suspect || !before.sameProcess(member) {
-		n.report(Updated, before, member)
+	if before.State == StateSuspect || !before.sameProcess(member) {
+		n.report(MemberUpdated, before, member)
 	}
 }
 
@@ -146,11 +146,11 @@
 		n.renew(known, update.Member)
 	}
 	switch {
-	case update.Incarnation < known.Incarnation || known.Gone():
-	case known.State == Alive:
+	case update.Incarnation < known.Incarnation || known.DeadOrLeft():
+	case known.State == StateAlive:
 		n.suspect(known, update)
 	case known.suspicion.hear(update):
-		n.broadcastSuspicion(known, update.By)
+		n.broadcastSuspicion(known, update.From)
 	}
 }
 
@@ -158,29 +158,29 @@
 // time; one that does not asks the member itself, because those others may be the ones that were cut off or slow.
 func (n *Node) hearDead(update Update) {
 	known := n.table.entries[update.Name]
-	if known == nil || update.Incarnation < known.Incarnation || known.State == Left {
+	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
 		return
 	}
 	switch known.State {
-	case Alive:
+	case StateAlive:
 		n.verify(known, update.Incarnation)
-	case Suspect:
+	case StateSuspect:
 		known.suspicion.shorten()
-	case Dead:
+	case StateDead:
 		n.raiseGone(known, update)
 	}
 }
 
 func (n *Node) hearLeft(update Update) {
 	known := n.table.entries[update.Name]
-	if known == nil || update.Incarnation < known.Incarnation || known.State == Left {
+	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
 		return
 	}
-	if known.State == Dead {
+	if known.State == StateDead {
 		n.raiseGone(known, update)
 		return
 	}
-	n.bury(known, Left, update.Incarnation)
+	n.bury(known, StateLeft, update.Incarnation)
 	n.announce = true
 }
 
@@ -204,12 +204,12 @@
 
 // leave says that this process ends.
 func (n *Node) leave() {
-	if n.self.State == Left {
+	if n.self.State == StateLeft {
 		return
 	}
-	n.setSelf(n.self.Incarnation, Left)
+	n.setSelf(n.self.Incarnation, StateLeft)
 	n.dropProbes()
 	for _, receiver := range n.randomLiving(leaveFanout, "") {
-		n.send(receiver.Address, Message{Kind: Notice, To: receiver.Name})
+		n.send(receiver.Address, Message{Kind: MsgGossip, To: receiver.Name})
 	}
 }
--- a/internal/tier/membership/wire_test.go
+++ b/internal/tier/membership/wire_test.go
@@ -19,18 +19,18 @@
 	Address:     "10.0.0.1:7380",
 	Control:     "10.0.0.1:8144",
 	Incarnation: 1_764_651_362_001,
-	State:       Suspect,
+	State:       StateSuspect,
 }
 
 // wireUpdates holds an update of each state.
 var wireUpdates = []Update{
 	{Member: Member{Name: "storage-1/store", ID: "5", Role: Store, Zone: "b", Address: "10.1.0.1:7380", Incarnation: 6}},
-	{Member: wireMember, By: "edge-2/agent", Sure: true},
-	{Member: Member{Name: "edge-3/agent", Incarnation: 7, State: Dead}},
-	{Member: Member{Name: "edge-4/agent", Incarnation: 8, State: Left}},
+	{Member: wireMember, From: "edge-2/agent", Confirmed: true},
+	{Member: Member{Name: "edge-3/agent", Incarnation: 7, State: StateDead}},
+	{Member: Member{Name: "edge-4/agent", Incarnation: 8, State: StateLeft}},
 }
 
-func wireMessage(kind Kind) Message {
+func wireMessage(kind MessageKind) Message {
 	return Message{
 		Kind:          kind,
 		From:          "edge-2/agent",
@@ -45,13 +45,13 @@
 	}
 }
 
-func wireSync(kind SyncKind) SyncMessage {
-	return SyncMessage{
-		Kind:    kind,
-		From:    wireMember,
-		Digest:  []byte{1, 2, 3, 4, 5, 6, 7, 8},
-		Records: []Member{wireMember, wireUpdates[0].Member},
-		Wanted:  []byte{9, 10, 11, 12, 13, 14, 15, 16},
+func wireSync(kind PushPullKind) PushPullMessage {
+	return PushPullMessage{
+		Kind:      kind,
+		From:      wireMember,
+		Digest:    []byte{1, 2, 3, 4, 5, 6, 7, 8},
+		Records:   []Member{wireMember, wireUpdates[0].Member},
+		Requested: []byte{9, 10, 11, 12, 13, 14, 15, 16},
 	}
 }
 
@@ -61,15 +61,15 @@
 	t.Parallel()
 	t.Run("datagrams", func(t *testing.T) {
 		var messages []Message
-		for _, kind := range []Kind{Ping, Ack, PingRequest, IndirectAck, Nack, Notice} {
+		for _, kind := range []MessageKind{MsgPing, MsgAck, MsgPingReq, MsgIndirectAck, MsgNack, MsgGossip} {
 			messages = append(messages, wireMessage(kind))
 		}
-		messages = append(messages, Message{Kind: Ping, From: "edge-2/agent", Incarnation: 1})
+		messages = append(messages, Message{Kind: MsgPing, From: "edge-2/agent", Incarnation: 1})
 		checkWire(t, "datagrams.jsonl", messages)
 	})
 	t.Run("reconciliations", func(t *testing.T) {
-		var messages []SyncMessage
-		for _, kind := range []SyncKind{SyncRequest, SyncAnswer, SyncPush} {
+		var messages []PushPullMessage
+		for _, kind := range []PushPullKind{PushPullRequest, PushPullResponse, PushPullPush} {
 			messages = append(messages, wireSync(kind))
 		}
 		checkWire(t, "reconciliations.jsonl", messages)
--- a/internal/tier/network/memorynetwork/connection.go
+++ b/internal/tier/network/memorynetwork/connection.go
@@ -48,8 +48,8 @@
 }
 
 var (
-	_ network.TCPConn = (*end)(nil)
-	_ network.Prober  = (*end)(nil)
+	_ network.TCPConn    = (*end)(nil)
+	_ network.IdleProber = (*end)(nil)
 )
 
 // newPair joins two processes. The caller holds the mutex.
@@ -222,8 +222,8 @@
 	}
 }
 
-// Quiet implements network.Prober.
-func (e *end) Quiet() bool {
+// Idle implements network.IdleProber.
+func (e *end) Idle() bool {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	return !e.closed && e.failure == nil && !e.finished && len(e.received) == 0
--- a/internal/tier/network/memorynetwork/fault.go
+++ b/internal/tier/network/memorynetwork/fault.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Cut loses what one machine sends to another, until Join. Connections stay: what is sent on them is sent again by the kernel
+// Partition loses what one machine sends to another, until Heal. Connections stay: what is sent on them is sent again by the kernel
 // once the link carries.
-func (n *Network) Cut(from, to *Machine) { n.change(from, to, true) }
+func (n *Network) Partition(from, to *Machine) { n.change(from, to, true) }
 
-// Join undoes Cut and Refuse.
-func (n *Network) Join(from, to *Machine) {
+// Heal undoes Partition and Refuse.
+func (n *Network) Heal(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = false
 	n.mutex.Unlock()
@@ -35,7 +35,7 @@
 	})
 }
 
-// Refuse resets the connections between two machines, and has new ones from the first to the second refused until Join.
+// Refuse resets the connections between two machines, and has new ones from the first to the second refused until Heal.
 func (n *Network) Refuse(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = true
--- a/internal/tier/network/memorynetwork/memorynetwork_test.go
+++ b/internal/tier/network/memorynetwork/memorynetwork_test.go
@@ -156,12 +156,12 @@
 
 func TestACutHoldsBytesUntilTheLinkCarries(t *testing.T) {
 	inWorld(t, func(w *world) {
-		w.network.Cut(w.here, w.there)
+		w.network.Partition(w.here, w.there)
 		w.write(w.near, "held")
 		w.write(w.far, "the other way")
 		w.expect(w.near, "the other way")
 		time.Sleep(time.Second)
-		w.network.Join(w.here, w.there)
+		w.network.Heal(w.here, w.there)
 		if took := w.expect(w.far, "held"); took < delay || took > time.Second {
 			t.Errorf("took %v", took)
 		}
@@ -170,11 +170,11 @@
 
 func TestALongCutEndsTheConnectionWithoutAWord(t *testing.T) {
 	inWorld(t, func(w *world) {
-		w.network.Cut(w.there, w.here)
+		w.network.Partition(w.there, w.here)
 		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
 			t.Errorf("took %v", took)
 		}
-		w.network.Join(w.there, w.here)
+		w.network.Heal(w.there, w.here)
 		w.write(w.far, "who is there")
 		w.expectEnd(w.far, syscall.ECONNRESET)
 	})
@@ -182,7 +182,7 @@
 
 func TestDialsIntoACutGetNoAnswer(t *testing.T) {
 	inWorld(t, func(w *world) {
-		w.network.Cut(w.there, w.here)
+		w.network.Partition(w.there, w.here)
 		began := time.Now()
 		if _, err := w.dial(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) != 500*time.Millisecond {
 			t.Errorf("got %v after %v", err, time.Since(began))
@@ -190,7 +190,7 @@
 		// The kernel tries again after a second.
 		ctx, cancel := context.WithTimeout(w.t.Context(), 5*time.Second)
 		defer cancel()
-		time.AfterFunc(300*time.Millisecond, func() { w.network.Join(w.there, w.here) })
+		time.AfterFunc(300*time.Millisecond, func() { w.network.Heal(w.there, w.here) })
 		if _, err := w.from.Dial(ctx, new(net.Dialer), "tcp4", address); err != nil {
 			t.Errorf("got %v", err)
 		}
@@ -205,7 +205,7 @@
 		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("got %v", err)
 		}
-		w.network.Join(w.here, w.there)
+		w.network.Heal(w.here, w.there)
 		w.connect()
 		w.listener.Close()
 		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -304,7 +304,7 @@
 
 func TestQuiet(t *testing.T) {
 	inWorld(t, func(w *world) {
-		quiet := func() bool { return w.near.(interface{ Quiet() bool }).Quiet() }
+		quiet := func() bool { return w.near.(interface{ Idle() bool }).Idle() }
 		if !quiet() {
 			t.Error("an idle connection isn't quiet")
 		}
@@ -333,9 +333,9 @@
 			t.Fatal(err)
 		}
 		target := netip.MustParseAddrPort("10.0.0.2:7")
-		w.network.Cut(w.here, w.there)
+		w.network.Partition(w.here, w.there)
 		here.WriteToUDPAddrPort([]byte("lost"), target)
-		w.network.Join(w.here, w.there)
+		w.network.Heal(w.here, w.there)
 		here.WriteToUDPAddrPort([]byte("found"), target)
 		buffer := make([]byte, 10)
 		n, from, err := there.ReadFromUDPAddrPort(buffer)
--- a/internal/tier/network/network.go
+++ b/internal/tier/network/network.go
@@ -34,9 +34,9 @@
 	SetLinger(seconds int) error
 }
 
-// Prober is a connection that tells by itself whether it is open and nothing waits to be read: one that has no descriptor.
-type Prober interface {
-	Quiet() bool
+// IdleProber is a connection that tells by itself whether it is open and nothing waits to be read: one that has no descriptor.
+type IdleProber interface {
+	Idle() bool
 }
 
 // System is the operating system's network.
--- a/internal/tier/network/cutnetwork/cutnetwork.go
+++ b/internal/tier/network/partitionnetwork/network.go
@@ -1,7 +1,7 @@
-// Package cutnetwork is the system's network with cuts, for soaks of real processes on loopback addresses. The kernel drops what
+// Package partitionnetwork is the system's network with cuts, for soaks of real processes on loopback addresses. The kernel drops what
 // comes from an address that is cut off, by a filter on each socket: connections stay those of the system, with its resends and
 // time-outs. A process hears of cuts by a file. Nothing that goes into service imports it.
-package cutnetwork
+package partitionnetwork
 
 import (
 	"context"
--- a/internal/tier/network/cutnetwork/cutnetwork_test.go
+++ b/internal/tier/network/partitionnetwork/network_test.go
@@ -1,4 +1,4 @@
-package cutnetwork
+package partitionnetwork
 
 import (
 	"context"
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, unwanted := range []string{"cutnetwork", "internal/tier/soak", "localtier", "memorynetwork"} {
+	for _, unwanted := range []string{"partitionnetwork", "internal/tier/soak", "localtier", "memorynetwork"} {
 		if strings.Contains(string(output), unwanted) {
 			t.Errorf("mastusher-tier links %s", unwanted)
 		}
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -21,12 +21,12 @@
 
 // Options sets a node up.
 type Options struct {
-	Self   membership.Member
-	Seeds  []string // link addresses of controllers
-	Pool   *transport.Pool
-	Logger log.Logger
-	Seed   uint64
-	Took   func(piece view.Piece) // told of each new piece, in order, on one goroutine; may be nil
+	Self     membership.Member
+	Seeds    []string // link addresses of controllers
+	Pool     *transport.Pool
+	Logger   log.Logger
+	Seed     uint64
+	OnUpdate func(piece view.Piece) // told of each new piece, in order, on one goroutine; may be nil
 }
 
 // Node is a process's part in membership and spread.
@@ -44,13 +44,13 @@
 	mutex    sync.Mutex
 	seeds    []string
 	input    membership.Input
-	arrivals map[uint64]chan membership.SyncMessage
+	arrivals map[uint64]chan membership.PushPullMessage
 	token    uint64
 }
 
 // New returns a node that is not a member yet.
 func New(options Options) *Node {
-	n := &Node{options: options, seeds: options.Seeds, start: time.Now(), wake: make(chan struct{}, 1), arrivals: map[uint64]chan membership.SyncMessage{}}
+	n := &Node{options: options, seeds: options.Seeds, start: time.Now(), wake: make(chan struct{}, 1), arrivals: map[uint64]chan membership.PushPullMessage{}}
 	n.swim = membership.New(membership.Options{Self: options.Self, Seeds: options.Seeds, Seed: options.Seed})
 	n.spread = newSpread(n, options.Seed)
 	n.members.Store(&[]membership.Member{options.Self})
@@ -74,8 +74,8 @@
 // Digest tells which pieces are held.
 func (n *Node) Digest() view.Digest { return n.spread.digest() }
 
-// Reseed replaces the seeds.
-func (n *Node) Reseed(seeds []string) {
+// SetSeeds replaces the seeds.
+func (n *Node) SetSeeds(seeds []string) {
 	n.mutex.Lock()
 	n.input.Seeds, n.seeds = seeds, seeds
 	n.mutex.Unlock()
@@ -133,14 +133,14 @@
 	for _, call := range effects.Calls {
 		go n.call(ctx, call)
 	}
-	if len(effects.Changes) > 0 {
+	if len(effects.Events) > 0 {
 		members := append([]membership.Member(nil), n.swim.Members()...)
 		n.members.Store(&members)
 	}
-	for _, change := range effects.Changes {
+	for _, change := range effects.Events {
 		n.report(change)
 	}
-	for _, received := range effects.Received {
+	for _, received := range effects.Payloads {
 		n.spread.heardPayload(received.Address, received.Body)
 	}
 	return effects.NextWake
@@ -148,12 +148,12 @@
 
 // report logs a change. At the start of a large fleet every process hears of every other one, so that those who join are
 // told at the level of debugging only.
-func (n *Node) report(change membership.Change) {
+func (n *Node) report(change membership.Event) {
 	logger := level.Info(n.options.Logger)
-	if change.Kind == membership.Joined || change.Kind == membership.Updated {
+	if change.Kind == membership.MemberJoined || change.Kind == membership.MemberUpdated {
 		logger = level.Debug(n.options.Logger)
 	}
-	logger.Log("msg", "member "+string(change.Kind), "name", change.After.Name, "id", change.After.ID)
+	logger.Log("msg", "member "+string(change.Kind), "name", change.Member.Name, "id", change.Member.ID)
 }
 
 // envelope is one datagram; one field is set.
@@ -201,24 +201,24 @@
 const callTimeout = 2 * time.Second
 
 // call reconciles with another member.
-func (n *Node) call(ctx context.Context, call membership.SyncCall) {
+func (n *Node) call(ctx context.Context, call membership.PushPullCall) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := transport.Call[membership.SyncMessage, membership.SyncMessage](bounded, n.options.Pool, call.Address, wire.MethodMembers, call.Message)
+	answer, err := transport.Call[membership.PushPullMessage, membership.PushPullMessage](bounded, n.options.Pool, call.Address, wire.MethodMembers, call.Message)
 	n.mutex.Lock()
-	n.input.Outcomes = append(n.input.Outcomes, membership.SyncOutcome{Token: call.Token, Failed: err != nil, Answer: answer})
+	n.input.Results = append(n.input.Results, membership.PushPullResult{Token: call.Token, Failed: err != nil, Response: answer})
 	n.mutex.Unlock()
 	n.poke()
 }
 
 // sync answers another member's reconciliation.
-func (n *Node) sync(ctx context.Context, _ string, message membership.SyncMessage) (membership.SyncMessage, error) {
-	answer := make(chan membership.SyncMessage, 1)
+func (n *Node) sync(ctx context.Context, _ string, message membership.PushPullMessage) (membership.PushPullMessage, error) {
+	answer := make(chan membership.PushPullMessage, 1)
 	n.mutex.Lock()
 	n.token++
 	token := n.token
 	n.arrivals[token] = answer
-	n.input.Arrivals = append(n.input.Arrivals, membership.SyncArrival{Token: token, Message: message})
+	n.input.Arrivals = append(n.input.Arrivals, membership.PushPullArrival{Token: token, Message: message})
 	n.mutex.Unlock()
 	n.poke()
 	select {
@@ -228,11 +228,11 @@
 		n.mutex.Lock()
 		delete(n.arrivals, token)
 		n.mutex.Unlock()
-		return membership.SyncMessage{}, ctx.Err()
+		return membership.PushPullMessage{}, ctx.Err()
 	}
 }
 
-func (n *Node) reply(reply membership.SyncReply) {
+func (n *Node) reply(reply membership.PushPullReply) {
 	n.mutex.Lock()
 	answer := n.arrivals[reply.Token]
 	delete(n.arrivals, reply.Token)
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -40,7 +40,7 @@
 	probe.Close()
 	pool := transport.NewPool()
 	r.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: r.address, Incarnation: 1}, Seeds: seeds,
-		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, Took: func(piece view.Piece) { r.took <- piece }})
+		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(piece view.Piece) { r.took <- piece }})
 	r.node.Register(handlers)
 	server, err := transport.Listen(r.address, handlers, log.NewNopLogger())
 	if err != nil {
--- a/internal/tier/node/spread.go
+++ b/internal/tier/node/spread.go
@@ -29,14 +29,14 @@
 
 	mutex   sync.Mutex
 	store   *gossip.Store
-	core    *gossip.Spreader
+	core    *gossip.Gossiper
 	input   gossip.Input
 	changed chan struct{} // closed and replaced with each new piece
 }
 
 func newSpread(n *Node, seed uint64) *spread {
 	store := gossip.NewStore()
-	options := gossip.Options{Interval: -1, Seed: seed} // digests come with the probes of membership
+	options := gossip.Options{DigestInterval: -1, Seed: seed} // digests come with the probes of membership
 	return &spread{node: n, store: store, core: gossip.New(options, store), changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
@@ -63,7 +63,7 @@
 
 func (s *spread) heard(address string, message gossip.Message) {
 	s.enter(func(input *gossip.Input) {
-		input.Received = append(input.Received, gossip.Datagram{Address: address, Message: message})
+		input.Datagrams = append(input.Datagrams, gossip.Datagram{Address: address, Message: message})
 	})
 }
 
@@ -103,23 +103,23 @@
 	input.Peers = peers
 	now := time.Since(s.node.start)
 	effects := s.core.Step(now, input)
-	if len(effects.Changed) > 0 {
+	if len(effects.Updated) > 0 {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 	s.mutex.Unlock()
-	for _, fetch := range effects.Fetch {
+	for _, fetch := range effects.Fetches {
 		go s.fetch(ctx, fetch)
 	}
-	for _, notice := range effects.Notify {
+	for _, notice := range effects.Datagrams {
 		s.node.send(notice.Address, envelope{Gossip: &notice.Message})
 	}
-	if len(effects.Changed) > 0 {
+	if len(effects.Updated) > 0 {
 		s.carry()
 	}
-	for _, piece := range effects.Changed {
-		if s.node.options.Took != nil {
-			s.node.options.Took(piece)
+	for _, piece := range effects.Updated {
+		if s.node.options.OnUpdate != nil {
+			s.node.options.OnUpdate(piece)
 		}
 	}
 	return max(0, effects.NextWake-now)
@@ -128,7 +128,7 @@
 // carry sets the digest that travels on probes.
 func (s *spread) carry() {
 	s.mutex.Lock()
-	whole := s.core.Whole()
+	whole := s.core.CompleteDigest()
 	s.mutex.Unlock()
 	payload, err := json.Marshal(whole)
 	if err != nil {
@@ -153,7 +153,7 @@
 // ask tells some controllers what is held here; who has more tells it.
 func (s *spread) ask(count int) {
 	s.mutex.Lock()
-	whole := s.core.Whole()
+	whole := s.core.CompleteDigest()
 	s.mutex.Unlock()
 	for _, address := range s.node.someControllers(count) {
 		s.node.send(address, envelope{Gossip: &whole})
@@ -170,7 +170,7 @@
 		level.Debug(s.node.options.Logger).Log("msg", "pieces cannot be fetched", "from", fetch.Address, "err", err)
 	}
 	s.enter(func(input *gossip.Input) {
-		input.Fetched = append(input.Fetched, gossip.Fetched{Token: fetch.Token, Pieces: answer.Pieces})
+		input.Fetched = append(input.Fetched, gossip.FetchResult{Token: fetch.Token, Pieces: answer.Pieces})
 	})
 }
 
@@ -223,7 +223,7 @@
 func (n *Node) peers() []string {
 	var peers []string
 	for _, m := range n.Members() {
-		if !m.Gone() && m.Name != n.options.Self.Name {
+		if !m.DeadOrLeft() && m.Name != n.options.Self.Name {
 			peers = append(peers, m.Address)
 		}
 	}
@@ -234,7 +234,7 @@
 func (n *Node) someControllers(count int) []string {
 	var known []string
 	for _, m := range n.Members() {
-		if m.Role == membership.Controller && !m.Gone() && m.Name != n.options.Self.Name {
+		if m.Role == membership.Controller && !m.DeadOrLeft() && m.Name != n.options.Self.Name {
 			known = append(known, m.Address)
 		}
 	}
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -20,7 +20,7 @@
 type asking struct {
 	t           *testing.T
 	now         time.Duration
-	agent       *gossip.Spreader
+	agent       *gossip.Gossiper
 	store       *gossip.Store
 	questions   questions
 	turn        int
@@ -31,7 +31,7 @@
 
 // askedController is a controller as its agents see it.
 type askedController struct {
-	spreader *gossip.Spreader
+	spreader *gossip.Gossiper
 	store    *gossip.Store
 	isApart  bool // from the agent
 }
@@ -53,7 +53,7 @@
 		for section, stamp := range stamps {
 			store.Put(view.Piece{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)})
 		}
-		a.controllers = append(a.controllers, &askedController{spreader: gossip.New(gossip.Options{Interval: -1}, store), store: store})
+		a.controllers = append(a.controllers, &askedController{spreader: gossip.New(gossip.Options{DigestInterval: -1}, store), store: store})
 	}
 	a.start()
 	return a
@@ -62,7 +62,7 @@
 // start begins the agent anew.
 func (a *asking) start() {
 	a.store, a.questions, a.input, a.taken, a.turn = gossip.NewStore(), questions{dueAt: a.now}, gossip.Input{}, nil, 0
-	a.agent = gossip.New(gossip.Options{Interval: -1}, a.store)
+	a.agent = gossip.New(gossip.Options{DigestInterval: -1}, a.store)
 }
 
 func (a *asking) address(number int) string { return fmt.Sprintf("core-%d", number) }
@@ -81,8 +81,8 @@
 	input := a.input
 	a.input = gossip.Input{}
 	effects := a.agent.Step(a.now, input)
-	a.taken = append(a.taken, effects.Changed...)
-	for _, fetch := range effects.Fetch {
+	a.taken = append(a.taken, effects.Updated...)
+	for _, fetch := range effects.Fetches {
 		a.fetch(fetch)
 	}
 	count, _ := a.questions.due(a.now, a.lacks())
@@ -99,16 +99,16 @@
 	if asked.isApart {
 		return
 	}
-	answer := asked.spreader.Step(a.now, gossip.Input{Received: []gossip.Datagram{{Address: "agent", Message: a.agent.Whole()}}})
-	for _, notice := range answer.Notify {
-		a.input.Received = append(a.input.Received, gossip.Datagram{Address: a.address(number), Message: notice.Message})
+	answer := asked.spreader.Step(a.now, gossip.Input{Datagrams: []gossip.Datagram{{Address: "agent", Message: a.agent.CompleteDigest()}}})
+	for _, notice := range answer.Datagrams {
+		a.input.Datagrams = append(a.input.Datagrams, gossip.Datagram{Address: a.address(number), Message: notice.Message})
 	}
 }
 
 func (a *asking) fetch(fetch gossip.Fetch) {
 	for number, asked := range a.controllers {
 		if a.address(number) == fetch.Address && !asked.isApart {
-			a.input.Fetched = append(a.input.Fetched, gossip.Fetched{Token: fetch.Token, Pieces: asked.store.AtLeast(fetch.Wanted)})
+			a.input.Fetched = append(a.input.Fetched, gossip.FetchResult{Token: fetch.Token, Pieces: asked.store.AtLeast(fetch.Wanted)})
 		}
 	}
 }
--- a/internal/tier/node/wire_test.go
+++ b/internal/tier/node/wire_test.go
@@ -21,11 +21,11 @@
 		encoded  string
 	}{
 		{
-			"membership", envelope{Membership: &membership.Message{Kind: membership.Ping, From: "edge-1/agent", Incarnation: 5}},
+			"membership", envelope{Membership: &membership.Message{Kind: membership.MsgPing, From: "edge-1/agent", Incarnation: 5}},
 			`{"m":{"k":"ping","f":"edge-1/agent","i":5}}`,
 		},
 		{
-			"gossip", envelope{Gossip: &gossip.Message{Digest: view.Digest{view.PlacementSection: {Epoch: 1, Sequence: 2}}, Whole: true}},
+			"gossip", envelope{Gossip: &gossip.Message{Digest: view.Digest{view.PlacementSection: {Epoch: 1, Sequence: 2}}, Complete: true}},
 			`{"g":{"d":{"placement":{"epoch":1,"sequence":2}},"w":true}}`,
 		},
 	} {
--- a/internal/tier/placement/mutants_test.go
+++ b/internal/tier/placement/mutants_test.go
@@ -32,7 +32,7 @@
 		},
 		{
 			Name:   "a wiped machine isn't lost",
-			Change: mutation.Change{File: "watch.go", Old: "return m.Name == name || m.Address == holder.Address && !m.Gone()", New: "return false && (m.Name == name || m.Address == holder.Address)"},
+			Change: mutation.Change{File: "watch.go", Old: "return m.Name == name || m.Address == holder.Address && !m.DeadOrLeft()", New: "return false && (m.Name == name || m.Address == holder.Address)"},
 			Run:    "^TestWatchTellsWhatIsLost$",
 		},
 	})
--- a/internal/tier/placement/watch.go
+++ b/internal/tier/placement/watch.go
@@ -69,9 +69,9 @@
 func (w *Watch) observe(now time.Time, m membership.Member) {
 	w.names[m.ID] = m.Name
 	noteSince(w.met, m.ID, now, true)
-	noteSince(w.dead, m.Name, now, m.Gone())
-	noteSince(w.absent, m.Name, now, m.State != membership.Alive)
-	if m.State == membership.Alive {
+	noteSince(w.dead, m.Name, now, m.DeadOrLeft())
+	noteSince(w.absent, m.Name, now, m.State != membership.StateAlive)
+	if m.State == membership.StateAlive {
 		delete(w.lost, m.ID)
 	}
 }
@@ -190,7 +190,7 @@
 	}
 	name := w.nameOf(holder)
 	replaced := w.find(func(m *membership.Member) bool {
-		return m.Name == name || m.Address == holder.Address && !m.Gone()
+		return m.Name == name || m.Address == holder.Address && !m.DeadOrLeft()
 	})
 	return replaced != nil || now.Sub(w.since) >= goneAfter
 }
@@ -208,7 +208,7 @@
 func (w *Watch) Running(role membership.Role) []membership.Member {
 	var up []membership.Member
 	for _, m := range w.members {
-		if m.Role == role && m.State == membership.Alive {
+		if m.Role == role && m.State == membership.StateAlive {
 			up = append(up, m)
 		}
 	}
@@ -230,7 +230,7 @@
 	var missing []Store
 	for _, m := range w.members {
 		since, dead := w.dead[m.Name]
-		if m.Role == membership.Store && m.State != membership.Alive && (!dead || now.Sub(since) < goneAfter) {
+		if m.Role == membership.Store && m.State != membership.StateAlive && (!dead || now.Sub(since) < goneAfter) {
 			missing = append(missing, Store{ID: m.ID, Node: NodeOf(m.Name), Address: m.Address, Zone: m.Zone})
 		}
 	}
--- a/internal/tier/placement/watch_test.go
+++ b/internal/tier/placement/watch_test.go
@@ -51,11 +51,11 @@
 }
 
 func TestWatchTellsWhatIsLost(t *testing.T) {
-	alive, dead := member(1, 1, membership.Alive), member(1, 1, membership.Dead)
-	second := member(2, 1, membership.Alive)
-	moved := member(1, 2, membership.Alive)
+	alive, dead := member(1, 1, membership.StateAlive), member(1, 1, membership.StateDead)
+	second := member(2, 1, membership.StateAlive)
+	moved := member(1, 2, membership.StateAlive)
 	moved.Address = "10.9.9.9:7002"
-	other := member(7, 1, membership.Alive)
+	other := member(7, 1, membership.StateAlive)
 	other.Address = alive.Address
 	tests := []struct {
 		name  string
@@ -63,10 +63,10 @@
 		want  bool
 	}{
 		{"it runs", func(o *observer) { o.see(9*time.Second, alive, second) }, false},
-		{"it is suspected", func(o *observer) { o.see(9*time.Second, member(1, 1, membership.Suspect), second) }, false},
+		{"it is suspected", func(o *observer) { o.see(9*time.Second, member(1, 1, membership.StateSuspect), second) }, false},
 		{"dead for a short while", func(o *observer) { o.see(time.Second, alive, second); o.see(3*time.Second, dead, second) }, false},
 		{"dead for long", func(o *observer) { o.see(time.Second, alive, second); o.see(4500*time.Millisecond, dead, second) }, true},
-		{"left for long", func(o *observer) { o.see(4500*time.Millisecond, member(1, 1, membership.Left), second) }, true},
+		{"left for long", func(o *observer) { o.see(4500*time.Millisecond, member(1, 1, membership.StateLeft), second) }, true},
 		{"dead, back and dead again", func(o *observer) {
 			o.see(3*time.Second, dead, second)
 			o.see(time.Second, alive, second)
@@ -74,33 +74,33 @@
 		}, false},
 		{"dead while a store without replicas runs", func(o *observer) {
 			o.see(time.Second, alive, second)
-			o.see(1500*time.Millisecond, dead, second, member(3, 1, membership.Alive))
+			o.see(1500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
 		}, true},
 		{"suspected while a store without replicas has just come", func(o *observer) {
 			o.see(time.Second, alive, second)
-			o.see(1500*time.Millisecond, member(1, 1, membership.Suspect), second, member(3, 1, membership.Alive))
+			o.see(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, true},
 		{"suspected for a short while", func(o *observer) {
 			o.see(time.Second, alive, second)
-			o.see(750*time.Millisecond, member(1, 1, membership.Suspect), second, member(3, 1, membership.Alive))
+			o.see(750*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, false},
 		{"suspected while a store without replicas has run for long", func(o *observer) {
-			o.see(12*time.Second, alive, second, member(3, 1, membership.Alive))
-			o.see(1500*time.Millisecond, member(1, 1, membership.Suspect), second, member(3, 1, membership.Alive))
+			o.see(12*time.Second, alive, second, member(3, 1, membership.StateAlive))
+			o.see(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, false},
 		{"suspected, then dead, while a store without replicas has just come", func(o *observer) {
 			o.see(time.Second, alive, second)
-			o.see(500*time.Millisecond, member(1, 1, membership.Suspect), second, member(3, 1, membership.Alive))
-			o.see(500*time.Millisecond, dead, second, member(3, 1, membership.Alive))
+			o.see(500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
+			o.see(500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
 		}, true},
 		{"never seen, shortly after the start", func(o *observer) { o.see(3*time.Second, second) }, false},
 		{"never seen, shortly after the start, while a store without replicas runs", func(o *observer) {
-			o.see(3*time.Second, second, member(3, 1, membership.Alive))
+			o.see(3*time.Second, second, member(3, 1, membership.StateAlive))
 		}, false},
 		{"never seen for long", func(o *observer) { o.see(4500*time.Millisecond, second) }, true},
-		{"wiped, at once", func(o *observer) { o.see(0, member(1, 2, membership.Alive), second) }, true},
+		{"wiped, at once", func(o *observer) { o.see(0, member(1, 2, membership.StateAlive), second) }, true},
 		{"wiped at another address", func(o *observer) { o.see(0, moved, second) }, true},
-		{"wiped, and down again", func(o *observer) { o.see(0, member(1, 2, membership.Dead), second) }, true},
+		{"wiped, and down again", func(o *observer) { o.see(0, member(1, 2, membership.StateDead), second) }, true},
 		{"another machine at its address", func(o *observer) { o.see(0, other, second) }, true},
 		{"seen again after a pause of the process", func(o *observer) {
 			o.see(2*time.Second, dead, second)
@@ -147,7 +147,7 @@
 func TestWatchTellsLostControllers(t *testing.T) {
 	running := membership.Member{Name: "core-1/controller", ID: "first", Role: membership.Controller, Address: "10.0.0.1:7000"}
 	dead, left, spare := running, running, running
-	dead.State, left.State = membership.Dead, membership.Left
+	dead.State, left.State = membership.StateDead, membership.StateLeft
 	spare.Name, spare.ID, spare.Address = "core-4/controller", "spare", "10.0.0.4:7000"
 	tests := []struct {
 		name    string
@@ -160,7 +160,7 @@
 		{"dead for a short while, and another runs", 500 * time.Millisecond, []membership.Member{dead, spare}, false},
 		{"dead for a while, and another runs", 1500 * time.Millisecond, []membership.Member{dead, spare}, true},
 		{"left a while ago, and another runs", 1500 * time.Millisecond, []membership.Member{left, spare}, true},
-		{"dead for a while, and a store runs", 1500 * time.Millisecond, []membership.Member{dead, member(1, 1, membership.Alive)}, false},
+		{"dead for a while, and a store runs", 1500 * time.Millisecond, []membership.Member{dead, member(1, 1, membership.StateAlive)}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 }
 
 func TestWatchIsSureLongAfterTheElection(t *testing.T) {
-	alive := member(1, 1, membership.Alive)
+	alive := member(1, 1, membership.StateAlive)
 	o := newObserver()
 	o.epoch = 0
 	o.see(20*time.Second, alive)
@@ -209,21 +209,21 @@
 func TestWatchBeginsOnceStoresAreKnown(t *testing.T) {
 	o := newObserver()
 	o.epoch = 0
-	o.see(9*time.Second, member(1, 1, membership.Alive))
+	o.see(9*time.Second, member(1, 1, membership.StateAlive))
 	if o.MayBegin(o.now) {
 		t.Error("a member that doesn't own the group may begin")
 	}
 	o.epoch = 4
-	o.see(time.Second, member(1, 1, membership.Alive))
+	o.see(time.Second, member(1, 1, membership.StateAlive))
 	if o.MayBegin(o.now) {
 		t.Error("may begin a second after it became the owner")
 	}
-	o.see(750*time.Millisecond, member(1, 1, membership.Alive))
+	o.see(750*time.Millisecond, member(1, 1, membership.StateAlive))
 	if !o.MayBegin(o.now) {
 		t.Error("may not begin")
 	}
 	o.epoch = 6 // it was not the owner in between
-	o.see(0, member(1, 1, membership.Alive))
+	o.see(0, member(1, 1, membership.StateAlive))
 	if o.MayBegin(o.now) {
 		t.Error("may begin at once in a later epoch")
 	}
@@ -232,7 +232,7 @@
 func TestWatchListsStores(t *testing.T) {
 	agent := membership.Member{Name: "edge-1/agent", ID: "x", Role: membership.Agent}
 	o := newObserver()
-	o.see(time.Second, agent, member(3, 1, membership.Alive), member(1, 1, membership.Suspect), member(2, 1, membership.Alive), member(4, 1, membership.Dead))
+	o.see(time.Second, agent, member(3, 1, membership.StateAlive), member(1, 1, membership.StateSuspect), member(2, 1, membership.StateAlive), member(4, 1, membership.StateDead))
 	want := []placement.Store{machine(2, "zone", 1), machine(3, "zone", 1)}
 	if diff := cmp.Diff(want, o.Stores()); diff != "" {
 		t.Errorf("stores (-want +got):\n%s", diff)
@@ -240,7 +240,7 @@
 	if diff := cmp.Diff([]placement.Store{machine(1, "zone", 1), machine(4, "zone", 1)}, o.Missing(o.now)); diff != "" {
 		t.Errorf("missing stores (-want +got):\n%s", diff)
 	}
-	o.see(5*time.Second, agent, member(1, 1, membership.Suspect), member(4, 1, membership.Dead))
+	o.see(5*time.Second, agent, member(1, 1, membership.StateSuspect), member(4, 1, membership.StateDead))
 	if diff := cmp.Diff([]placement.Store{machine(1, "zone", 1)}, o.Missing(o.now)); diff != "" {
 		t.Errorf("missing stores, of which one is only suspected (-want +got):\n%s", diff)
 	}
@@ -257,19 +257,19 @@
 // TestOneNewcomerStandsForOneLoss has two machines missing and one that has just come: only the machine that has been missing for
 // longer counts as lost, since the other one may come back.
 func TestOneNewcomerStandsForOneLoss(t *testing.T) {
-	first, second, third := member(1, 1, membership.Suspect), member(2, 1, membership.Suspect), member(4, 1, membership.Alive)
+	first, second, third := member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(2, "zone", 1), machine(1, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
-	o.see(time.Second, member(1, 1, membership.Alive), member(2, 1, membership.Alive), third)
-	o.see(500*time.Millisecond, first, member(2, 1, membership.Alive), third)
-	o.see(2*time.Second, first, second, third, member(3, 1, membership.Alive))
+	o.see(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), third)
+	o.see(500*time.Millisecond, first, member(2, 1, membership.StateAlive), third)
+	o.see(2*time.Second, first, second, third, member(3, 1, membership.StateAlive))
 	want := map[string]bool{machine(1, "zone", 1).ID: true}
 	if diff := cmp.Diff(want, o.Lost(o.now, placed)); diff != "" {
 		t.Errorf("lost (-want +got):\n%s", diff)
 	}
 
 	// Where two have come, both are.
-	o.see(time.Second, first, second, third, member(3, 1, membership.Alive), member(5, 1, membership.Alive))
+	o.see(time.Second, first, second, third, member(3, 1, membership.StateAlive), member(5, 1, membership.StateAlive))
 	want[machine(2, "zone", 1).ID] = true
 	if diff := cmp.Diff(want, o.Lost(o.now, placed)); diff != "" {
 		t.Errorf("lost (-want +got):\n%s", diff)
@@ -279,11 +279,11 @@
 // TestLostStaysLost has two machines missing and two that have just come. Once those hold replicas of the first loss, no machine is
 // empty any more; the second loss isn't forgotten for that.
 func TestLostStaysLost(t *testing.T) {
-	missing := []membership.Member{member(1, 1, membership.Suspect), member(2, 1, membership.Suspect), member(4, 1, membership.Alive)}
+	missing := []membership.Member{member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)}
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(1, "zone", 1), machine(2, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
-	o.see(time.Second, member(1, 1, membership.Alive), member(2, 1, membership.Alive), missing[2])
-	all := append(missing, member(3, 1, membership.Alive), member(5, 1, membership.Alive))
+	o.see(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), missing[2])
+	all := append(missing, member(3, 1, membership.StateAlive), member(5, 1, membership.StateAlive))
 	o.see(1500*time.Millisecond, all...)
 	if lost := o.Lost(o.now, placed); len(lost) != 2 {
 		t.Fatalf("lost %v, want two", lost)
@@ -298,7 +298,7 @@
 	}
 
 	// It is lost no more when it is back.
-	all[1].State = membership.Alive
+	all[1].State = membership.StateAlive
 	o.see(0, all...)
 	if lost := o.Lost(o.now, placed); len(lost) != 0 {
 		t.Errorf("lost %v after its return", lost)
--- a/internal/tier/simulation/strike.go
+++ b/internal/tier/simulation/strike.go
@@ -114,8 +114,8 @@
 	switch fault.Kind {
 	case EndpointCutFault:
 		for _, edge := range d.of(edgeClass) {
-			d.network.Cut(edge.host, target.host)
-			d.network.Cut(target.host, edge.host)
+			d.network.Partition(edge.host, target.host)
+			d.network.Partition(target.host, edge.host)
 		}
 		d.after(fault.For, func() { d.joinEndpoint(target) })
 	case EndpointResetFault:
@@ -247,18 +247,18 @@
 	}
 	each(func(a, b *machine) {
 		if out {
-			d.network.Cut(a.host, b.host)
+			d.network.Partition(a.host, b.host)
 		}
 		if in {
-			d.network.Cut(b.host, a.host)
+			d.network.Partition(b.host, a.host)
 		}
 	})
 	d.after(lasts, func() { each(d.join) })
 }
 
 func (d *day) join(a, b *machine) {
-	d.network.Join(a.host, b.host)
-	d.network.Join(b.host, a.host)
+	d.network.Heal(a.host, b.host)
+	d.network.Heal(b.host, a.host)
 }
 
 // zonesApart parts the machines into those of a machine's zone and the others.
@@ -324,8 +324,8 @@
 
 func (d *day) joinEndpoint(target *endpoint) {
 	for _, edge := range d.of(edgeClass) {
-		d.network.Join(edge.host, target.host)
-		d.network.Join(target.host, edge.host)
+		d.network.Heal(edge.host, target.host)
+		d.network.Heal(target.host, edge.host)
 	}
 }
 
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -14,7 +14,7 @@
 
 	"mastusher/internal/tier/command"
 	"mastusher/internal/tier/localtier"
-	"mastusher/internal/tier/network/cutnetwork"
+	"mastusher/internal/tier/network/partitionnetwork"
 	"mastusher/internal/tier/storage"
 )
 
@@ -56,7 +56,7 @@
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	network, err := cutnetwork.New(os.Getenv(addressVariable), os.Getenv(cutsVariable))
+	network, err := partitionnetwork.New(os.Getenv(addressVariable), os.Getenv(cutsVariable))
 	if err != nil {
 		return err
 	}
--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -62,8 +62,8 @@
 	if !now.Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
 	}
-	if prober, ok := c.socket.(network.Prober); ok {
-		return prober.Quiet()
+	if prober, ok := c.socket.(network.IdleProber); ok {
+		return prober.Idle()
 	}
 	return c.raw == nil || quiet(c.raw)
 }
