--- a/internal/tier/controller/api.go
+++ b/internal/tier/controller/api.go
@@ -80,10 +80,10 @@
 // redirect sends the caller to the group's owner, if that is another member.
 func (c *Controller) redirect(e echo.Context) (bool, error) {
 	status := c.group.Status()
-	if status.IsOwner {
+	if status.IsLeader {
 		return false, nil
 	}
-	control := c.controlOf(status.Owner)
+	control := c.controlOf(status.Leader)
 	if !isMember(status) {
 		control = c.controlOfAnother()
 	}
@@ -134,8 +134,8 @@
 
 // unagreed turns a group's error about an order into one that makes the operator ask again.
 func (c *Controller) unagreed(err error) error {
-	var not *group.OwnershipError
-	if errors.As(err, &not) && not.Never {
+	var not *group.NotLeaderError
+	if errors.As(err, &not) && not.Dropped {
 		return apierror.New(apierror.NotReady, "%w", err)
 	}
 	if errors.As(err, &not) {
--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -128,10 +128,10 @@
 	c.agree = NewMachine(c.markDirty)
 	c.repeats = dedup.NewWindow(repeatWindow(options.Settings.Bounds))
 	c.planner = NewPlanner(c.copies())
-	opened, err := group.Open(group.Options{Name: GroupName, Disk: options.Disk, Machine: lockedMachine{c}, Logger: options.Logger,
+	opened, err := group.Open(group.Options{Name: GroupName, Disk: options.Disk, StateMachine: lockedMachine{c}, Logger: options.Logger,
 		Send: options.Send, Clock: options.Clock,
-		Replica: replica.Options{ID: options.ID, Address: options.Address, Initial: options.Initial, Heartbeat: heartbeat, Election: election, Eager: eager, Seed: options.Seed},
-		Changed: c.report})
+		Replica:        replica.Options{ID: options.ID, Address: options.Address, InitialMembers: options.Initial, HeartbeatInterval: heartbeat, ElectionTimeout: election, InitialElectionTimeout: eager, Seed: options.Seed},
+		OnStatusChange: c.report})
 	if err != nil {
 		return nil, err
 	}
@@ -175,23 +175,23 @@
 // report takes notice of a change in the group. A member that doesn't own it wants no other members than there are: should
 // it become the owner, it must not go on with what it wanted before.
 func (c *Controller) report(status replica.Status) {
-	level.Info(c.options.Logger).Log("msg", "group changed", "group", GroupName, "owner", status.Owner, "own", status.IsOwner,
-		"epoch", status.Epoch, "members", len(status.Members))
+	level.Info(c.options.Logger).Log("msg", "group changed", "group", GroupName, "owner", status.Leader, "own", status.IsLeader,
+		"epoch", status.Term, "members", len(status.Members))
 	c.countElection(status)
-	if status.IsOwner || c.group == nil {
+	if status.IsLeader || c.group == nil {
 		return
 	}
 	c.changeMutex.Lock()
 	defer c.changeMutex.Unlock()
-	c.group.Change(status.Members)
+	c.group.SetTargetMembers(status.Members)
 }
 
 // countElection counts each owner once that this member sees. One goroutine at a time calls it.
 func (c *Controller) countElection(status replica.Status) {
-	if status.Owner == "" || status.Epoch == c.electedIn {
+	if status.Leader == "" || status.Term == c.electedIn {
 		return
 	}
-	c.electedIn = status.Epoch
+	c.electedIn = status.Term
 	c.options.Metrics.Elected()
 }
 
@@ -199,15 +199,15 @@
 func (c *Controller) change(members []replica.Member) {
 	c.changeMutex.Lock()
 	defer c.changeMutex.Unlock()
-	if c.group.Status().IsOwner {
-		c.group.Change(members)
+	if c.group.Status().IsLeader {
+		c.group.SetTargetMembers(members)
 	}
 }
 
 // lockedMachine guards the agreed state against the loops that read it.
 type lockedMachine struct{ controller *Controller }
 
-// Apply implements group.Machine.
+// Apply implements group.StateMachine.
 func (m lockedMachine) Apply(index uint64, command json.RawMessage) any {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
@@ -216,14 +216,14 @@
 	return result
 }
 
-// Snapshot implements group.Machine.
+// Snapshot implements group.StateMachine.
 func (m lockedMachine) Snapshot() (json.RawMessage, error) {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
 	return m.controller.agree.Snapshot()
 }
 
-// Restore implements group.Machine.
+// Restore implements group.StateMachine.
 func (m lockedMachine) Restore(state json.RawMessage) error {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
--- a/internal/tier/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -49,19 +49,19 @@
 // ReadEndpoints reads the platform's list once, if this member owns the group, and tells when the next read is due.
 func (c *Controller) ReadEndpoints(ctx context.Context, publisher *EndpointPublisher) time.Duration {
 	status := c.group.Status()
-	if !status.IsOwner {
+	if !status.IsLeader {
 		return ownerCheck
 	}
-	endpoints, err := c.readKnown(ctx, publisher, status.Epoch)
+	endpoints, err := c.readKnown(ctx, publisher, status.Term)
 	if err != nil {
 		level.Warn(c.options.Logger).Log("msg", "list of endpoints cannot be read", "err", err)
 		return readInterval
 	}
-	if now := c.group.Status(); !now.IsOwner || now.Epoch != status.Epoch {
+	if now := c.group.Status(); !now.IsLeader || now.Term != status.Term {
 		return ownerCheck
 	}
 	c.recordVersions(ctx, endpoints)
-	c.publishEndpoints(publisher, endpoints, status.Epoch)
+	c.publishEndpoints(publisher, endpoints, status.Term)
 	return readInterval
 }
 
--- a/internal/tier/controller/place.go
+++ b/internal/tier/controller/place.go
@@ -75,7 +75,7 @@
 		c.hurryPlace()
 		return
 	}
-	c.group.Start(commands[0], func(_ any, err error) {
+	c.group.ProposeAsync(commands[0], func(_ any, err error) {
 		if err != nil {
 			c.placing.Store(false)
 			level.Warn(c.options.Logger).Log("msg", "placement was not agreed on", "err", err)
--- a/internal/tier/controller/plan.go
+++ b/internal/tier/controller/plan.go
@@ -65,8 +65,8 @@
 // Tick tells what is to be done at this time. Only the group's owner has anything to do; all others watch.
 func (p *Planner) Tick(now time.Time, facts Facts) Plan {
 	owned := uint64(0)
-	if facts.Status.IsOwner {
-		owned = facts.Status.Epoch
+	if facts.Status.IsLeader {
+		owned = facts.Status.Term
 	}
 	p.watch.Observe(now, facts.Members, owned)
 	if owned == 0 {
--- a/internal/tier/controller/retirements.go
+++ b/internal/tier/controller/retirements.go
@@ -101,7 +101,7 @@
 // isSure tells whether what this member knows of machines may refuse an order for good. An owner that was cut off before its
 // election may lack some machines, or take them for dead. The caller holds planMutex.
 func (c *Controller) isSure(now time.Time) bool {
-	return c.planner.Watch().IsSure(now, c.group.Status().Epoch)
+	return c.planner.Watch().IsSure(now, c.group.Status().Term)
 }
 
 // justJoined finds a machine that the planner hasn't looked at yet.
--- a/internal/tier/controller/rollouts.go
+++ b/internal/tier/controller/rollouts.go
@@ -112,7 +112,7 @@
 		if trials[roll.Index] == nil {
 			trials[roll.Index] = rollout.NewTrial()
 		}
-		if !c.group.Status().IsOwner {
+		if !c.group.Status().IsLeader {
 			continue
 		}
 		target, known := c.evidence.during(&roll, now)
--- a/internal/tier/controller/state.go
+++ b/internal/tier/controller/state.go
@@ -17,7 +17,7 @@
 	Shards      []view.ShardPlacement `json:"shards"`
 }
 
-// Machine is what the configuration shard's members agree on. It implements group.Machine.
+// Machine is what the configuration shard's members agree on. It implements group.StateMachine.
 type Machine struct {
 	register         *configuration.Register
 	placement        []view.ShardPlacement
@@ -114,7 +114,7 @@
 	RetirementsIndex uint64                `json:"retirementsIndex"`
 }
 
-// Snapshot implements group.Machine.
+// Snapshot implements group.StateMachine.
 func (s *Machine) Snapshot() (json.RawMessage, error) {
 	register := s.register.State()
 	raw := register.Current.Raw
@@ -133,7 +133,7 @@
 	return append(state, rest[1:]...), nil
 }
 
-// Restore implements group.Machine.
+// Restore implements group.StateMachine.
 func (s *Machine) Restore(raw json.RawMessage) error {
 	var from saved
 	if err := json.Unmarshal(raw, &from); err != nil {
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -63,7 +63,7 @@
 	c := &controller{process: p, id: id, planner: core.NewPlanner(copies), told: view.Digest{}}
 	c.state = core.NewMachine(c.markDirty)
 	options := replicaOptions{name: core.GroupName, machine: c.state, compact: f.options.CompactBytes,
-		replica: replica.Options{ID: id, Address: p.address, Initial: firstMembers(p, id), Heartbeat: coreHeartbeat, Election: coreElection}}
+		replica: replica.Options{ID: id, Address: p.address, InitialMembers: firstMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElection}}
 	c.replica, err = openReplica(p, options)
 	if err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 		return
 	}
 	status := c.replica.group.Status()
-	if !status.IsOwner {
+	if !status.IsLeader {
 		call.finish(c.redirect(status))
 		return
 	}
@@ -159,9 +159,9 @@
 
 // redirect sends the caller to the owner, if it is known.
 func (c *controller) redirect(status replica.Status) operatorAnswer {
-	if status.Owner != "" && status.Owner != c.id {
+	if status.Leader != "" && status.Leader != c.id {
 		for _, m := range c.member.members() {
-			if m.ID == status.Owner {
+			if m.ID == status.Leader {
 				return operatorAnswer{Status: http.StatusTemporaryRedirect, Location: m.Address}
 			}
 		}
@@ -184,7 +184,7 @@
 
 // orderStatus is the answer to an order.
 func orderStatus(result any, err error) int {
-	var not *group.OwnershipError
+	var not *group.NotLeaderError
 	switch {
 	case errors.As(err, &not):
 		return http.StatusServiceUnavailable
@@ -275,7 +275,7 @@
 // decide finishes roll-outs whose time is over while this member owns the group.
 func (c *controller) decide() {
 	c.process.after(decideInterval, c.decide)
-	if !c.replica.group.Status().IsOwner {
+	if !c.replica.group.Status().IsLeader {
 		return
 	}
 	rolls := c.view().Rollouts.Rolls
@@ -333,7 +333,7 @@
 // readList reads the platform's list while this member owns the group, and publishes each change.
 func (c *controller) readList() {
 	status := c.replica.group.Status()
-	if !status.IsOwner {
+	if !status.IsLeader {
 		c.process.after(ownerCheck, c.readList)
 		return
 	}
@@ -341,7 +341,7 @@
 	f.network.ask(c.process, platformAddress, listRequest{}, readTimeout, func(answer any, err error) {
 		c.process.after(readInterval, c.readList)
 		if err == nil {
-			c.publishList(status.Epoch, answer.([]model.Endpoint))
+			c.publishList(status.Term, answer.([]model.Endpoint))
 		}
 	})
 }
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -251,8 +251,8 @@
 		if !ok {
 			continue
 		}
-		if status := running.replica.group.Status(); status.IsOwner && status.Epoch >= epoch {
-			owner, epoch = m, status.Epoch
+		if status := running.replica.group.Status(); status.IsLeader && status.Term >= epoch {
+			owner, epoch = m, status.Term
 		}
 	}
 	return owner
@@ -267,8 +267,8 @@
 		if !ok || running.shards[shard] == nil {
 			continue
 		}
-		if status := running.shards[shard].replica.group.Status(); status.IsOwner && status.Epoch >= epoch {
-			owner, epoch = m, status.Epoch
+		if status := running.shards[shard].replica.group.Status(); status.IsLeader && status.Term >= epoch {
+			owner, epoch = m, status.Term
 		}
 	}
 	return owner
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -25,7 +25,7 @@
 type replicaOptions struct {
 	name    string
 	replica replica.Options
-	machine group.Machine
+	machine group.StateMachine
 	compact int64
 	changed func(status replica.Status) // may be nil
 }
@@ -36,9 +36,9 @@
 	r := &replicaRunner{process: p, disk: &timedDisk{Disk: p.machine.disk, machine: p.machine}}
 	options.replica.Seed = f.loop.random.Uint64()
 	r.turning = true
-	opened, err := group.Open(group.Options{Name: options.name, Replica: options.replica, Disk: r.disk, Machine: options.machine,
-		Send: r.send, CompactBytes: options.compact, Logger: log.NewNopLogger(), Clock: func() time.Duration { return f.loop.now },
-		Changed: options.changed})
+	opened, err := group.Open(group.Options{Name: options.name, Replica: options.replica, Disk: r.disk, StateMachine: options.machine,
+		Send: r.send, CompactionBytes: options.compact, Logger: log.NewNopLogger(), Clock: func() time.Duration { return f.loop.now },
+		OnStatusChange: options.changed})
 	r.turning = false
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 		return
 	}
 	r.disk.took, r.turning = 0, true
-	next, err := r.group.Turn()
+	next, err := r.group.RunOnce()
 	r.turning = false
 	if err != nil {
 		r.process.failed(err)
@@ -136,18 +136,18 @@
 
 // change tells which members the group is to have.
 func (r *replicaRunner) change(members []replica.Member) {
-	r.group.Change(members)
+	r.group.SetTargetMembers(members)
 	r.wake()
 }
 
 // propose has a command agreed on within a time. The callback is told once.
 func (r *replicaRunner) propose(command any, timeout time.Duration, done func(result any, err error)) {
-	r.wait(timeout, done, func(ended func(any, error)) uint64 { return r.group.Start(command, ended) })
+	r.wait(timeout, done, func(ended func(any, error)) uint64 { return r.group.ProposeAsync(command, ended) })
 }
 
 // read runs view once it is certain that this member owned the group after the call.
 func (r *replicaRunner) read(view func(), timeout time.Duration, done func(err error)) {
-	r.wait(timeout, func(_ any, err error) { done(err) }, func(ended func(any, error)) uint64 { return r.group.StartRead(view, ended) })
+	r.wait(timeout, func(_ any, err error) { done(err) }, func(ended func(any, error)) uint64 { return r.group.ReadAsync(view, ended) })
 }
 
 func (r *replicaRunner) wait(timeout time.Duration, done func(any, error), start func(ended func(any, error)) uint64) {
@@ -161,8 +161,8 @@
 	token := start(func(result any, err error) { r.output(func() { finish(result, err) }) })
 	r.process.after(timeout, func() {
 		if !over {
-			r.group.Abandon(token)
-			finish(nil, &group.OwnershipError{Group: r.group.Name(), Owner: r.ownerAddress(), Cause: errTimeout})
+			r.group.Cancel(token)
+			finish(nil, &group.NotLeaderError{Group: r.group.Name(), Leader: r.ownerAddress(), Cause: errTimeout})
 		}
 	})
 	r.wake()
@@ -172,7 +172,7 @@
 func (r *replicaRunner) ownerAddress() string {
 	status := r.group.Status()
 	for _, member := range status.Members {
-		if member.ID == status.Owner {
+		if member.ID == status.Leader {
 			return member.Address
 		}
 	}
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -24,7 +24,7 @@
 	Placement uint64 `json:"placement,omitempty"`
 }
 
-// shard is one replica and its state. It implements group.PartsMachine.
+// shard is one replica and its state. It implements group.ChunkedStateMachine.
 type shard struct {
 	replica   *replicaRunner
 	programs  *program.Machine
@@ -43,9 +43,9 @@
 
 func openShard(s *store, number int, placed view.ShardPlacement) (*shard, error) {
 	opening := &shard{programs: program.New()}
-	options := replica.Options{ID: s.id, Address: s.process.address, Heartbeat: storeHeartbeat, Election: storeElection}
+	options := replica.Options{ID: s.id, Address: s.process.address, HeartbeatInterval: storeHeartbeat, ElectionTimeout: storeElection}
 	if containsReplica(placed.Initial, s.id) {
-		options.Initial = membersOf(placed.Initial)
+		options.InitialMembers = membersOf(placed.Initial)
 	}
 	opened, err := openReplica(s.process, replicaOptions{name: shardPrefix + strconv.Itoa(number), machine: opening,
 		replica: options, compact: s.process.machine.fleet.options.CompactBytes, changed: opening.changed})
@@ -53,7 +53,7 @@
 	return opening, err
 }
 
-// Apply implements group.Machine.
+// Apply implements group.StateMachine.
 func (s *shard) Apply(_ uint64, raw json.RawMessage) any {
 	var command shardCommand
 	if err := json.Unmarshal(raw, &command); err != nil {
@@ -66,12 +66,12 @@
 	return s.programs.Apply(command.Command)
 }
 
-// Snapshot implements group.Machine.
+// Snapshot implements group.StateMachine.
 func (s *shard) Snapshot() (json.RawMessage, error) {
 	return json.Marshal(savedShard{Programs: s.programs.Snapshot(), Placement: s.followed})
 }
 
-// Restore implements group.Machine.
+// Restore implements group.StateMachine.
 func (s *shard) Restore(state json.RawMessage) error {
 	var from savedShard
 	if err := json.Unmarshal(state, &from); err != nil {
@@ -81,15 +81,15 @@
 	return s.programs.Restore(from.Programs)
 }
 
-// Parts implements group.PartsMachine.
-func (s *shard) Parts(write func(part json.RawMessage) error) error {
+// WriteChunks implements group.ChunkedStateMachine.
+func (s *shard) WriteChunks(write func(part json.RawMessage) error) error {
 	if err := write(strconv.AppendUint(nil, s.followed, 10)); err != nil {
 		return err
 	}
 	return s.programs.Parts(func(part []byte) error { return write(part) })
 }
 
-// BeginRestore implements group.PartsMachine.
+// BeginRestore implements group.ChunkedStateMachine.
 func (s *shard) BeginRestore() group.Restorer {
 	return &shardRestorer{shard: s, programs: s.programs.BeginRestore()}
 }
@@ -130,7 +130,7 @@
 	if s.replica == nil {
 		return
 	}
-	if status.IsOwner {
+	if status.IsLeader {
 		s.steer()
 		return
 	}
@@ -141,7 +141,7 @@
 // steer moves the group to the wanted members, if this replica owns it. The group's log is first told of a placement that is
 // new to it; with an older one than the log holds, this store has nothing to say.
 func (s *shard) steer() {
-	if s.index == 0 || !s.replica.group.Status().IsOwner {
+	if s.index == 0 || !s.replica.group.Status().IsLeader {
 		return
 	}
 	switch {
@@ -166,15 +166,15 @@
 // report tells the members of the group, if a majority confirms that this replica owns it and has committed them.
 func (s *shard) report(number int, done func(told wire.ShardMembers, confirmed bool)) {
 	before := s.replica.group.Status()
-	if !before.IsOwner {
+	if !before.IsLeader {
 		done(wire.ShardMembers{}, false)
 		return
 	}
 	var after replica.Status
 	s.replica.read(func() { after = s.replica.group.Status() }, askTimeout, func(err error) {
-		confirmed := err == nil && after.IsOwner && after.Epoch == before.Epoch && after.Commit >= before.Last &&
+		confirmed := err == nil && after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex &&
 			slices.Equal(before.Members, after.Members)
-		told := wire.ShardMembers{Shard: number, Epoch: after.Epoch, Placement: s.followed}
+		told := wire.ShardMembers{Shard: number, Epoch: after.Term, Placement: s.followed}
 		for _, member := range after.Members {
 			told.IDs = append(told.IDs, member.ID)
 			if !member.Learner && after.CaughtUp[member.ID] {
--- a/internal/tier/fleettest/store.go
+++ b/internal/tier/fleettest/store.go
@@ -145,11 +145,11 @@
 
 // elsewhere names the owner to the caller, where the error does.
 func (s *store) elsewhere(err error) notOwner {
-	not, ok := err.(*group.OwnershipError)
-	if !ok || not.Owner == s.process.address {
+	not, ok := err.(*group.NotLeaderError)
+	if !ok || not.Leader == s.process.address {
 		return notOwner{}
 	}
-	return notOwner{owner: not.Owner}
+	return notOwner{owner: not.Leader}
 }
 
 func (s *store) chain(call *exchange, asked wire.ChainRequest) {
--- a/internal/tier/group/admission.go
+++ b/internal/tier/group/admission.go
@@ -6,17 +6,17 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Admission bounds how many members of a process receive snapshots at the same time. A member that isn't admitted goes on
+// SnapshotLimiter bounds how many members of a process receive snapshots at the same time. A member that isn't admitted goes on
 // with all else; its owner sends the first part again after a while.
-type Admission struct {
+type SnapshotLimiter struct {
 	mutex sync.Mutex
 	free  int
 }
 
-// NewAdmission admits so many members at a time.
-func NewAdmission(members int) *Admission { return &Admission{free: members} }
+// NewSnapshotLimiter admits so many members at a time.
+func NewSnapshotLimiter(members int) *SnapshotLimiter { return &SnapshotLimiter{free: members} }
 
-func (a *Admission) enter() bool {
+func (a *SnapshotLimiter) enter() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.free == 0 {
@@ -26,7 +26,7 @@
 	return true
 }
 
-func (a *Admission) leave() {
+func (a *SnapshotLimiter) leave() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.free++
@@ -40,7 +40,7 @@
 		if message.Kind != replica.InstallSnapshot || g.admitted {
 			continue
 		}
-		if g.admitted = g.options.Receiving.enter(); !g.admitted {
+		if g.admitted = g.options.ReceiveLimiter.enter(); !g.admitted {
 			message.Snapshot = nil
 		}
 	}
@@ -50,6 +50,6 @@
 func (g *Group) release(receiving bool) {
 	if g.admitted && !receiving {
 		g.admitted = false
-		g.options.Receiving.leave()
+		g.options.ReceiveLimiter.leave()
 	}
 }
--- a/internal/tier/group/budget.go
+++ b/internal/tier/group/budget.go
@@ -6,10 +6,10 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Budget bounds the bytes that wait for the turns of all members of a process together: messages of others and commands of
+// QueueBudget bounds the bytes that wait for the turns of all members of a process together: messages of others and commands of
 // its own. What finds no room is lost like any other message, or refused; a member that has nothing waiting always has room
 // for one, so that each gets on.
-type Budget struct {
+type QueueBudget struct {
 	bytes int64
 	used  atomic.Int64
 }
@@ -17,11 +17,11 @@
 // defaultBudgetBytes bounds what waits where the options say nothing.
 const defaultBudgetBytes = 4 << 20
 
-// NewBudget allows so many bytes.
-func NewBudget(bytes int) *Budget { return &Budget{bytes: int64(bytes)} }
+// NewQueueBudget allows so many bytes.
+func NewQueueBudget(bytes int) *QueueBudget { return &QueueBudget{bytes: int64(bytes)} }
 
 // take uses some of the budget up; what is needed anyhow goes beyond it.
-func (b *Budget) take(bytes int, needed bool) bool {
+func (b *QueueBudget) take(bytes int, needed bool) bool {
 	if used := b.used.Add(int64(bytes)); used <= b.bytes || needed {
 		return true
 	}
@@ -30,12 +30,12 @@
 }
 
 // giveBack ends the use of bytes.
-func (b *Budget) giveBack(bytes int) { b.used.Add(-int64(bytes)) }
+func (b *QueueBudget) giveBack(bytes int) { b.used.Add(-int64(bytes)) }
 
 // takeRoom takes bytes that wait for the member's turn into account; false: there is no room for them. The mutex is held.
 func (g *Group) takeRoom(bytes int, needed bool) bool {
 	needed = needed || g.waiting == 0
-	if !needed && g.waiting+bytes > mostWaitingBytes || !g.options.Waiting.take(bytes, needed) {
+	if !needed && g.waiting+bytes > mostWaitingBytes || !g.options.QueueBudget.take(bytes, needed) {
 		return false
 	}
 	g.waiting += bytes
@@ -47,7 +47,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	input := g.input
-	g.options.Waiting.giveBack(g.waiting)
+	g.options.QueueBudget.giveBack(g.waiting)
 	g.input, g.waiting = replica.Input{}, 0
 	return input
 }
--- a/internal/tier/group/calls.go
+++ b/internal/tier/group/calls.go
@@ -14,21 +14,21 @@
 	done func(result any, err error)
 }
 
-// Propose has the command agreed on and returns what the machine answered. An *OwnershipError tells whether the command
+// Propose has the command agreed on and returns what the machine answered. An *NotLeaderError tells whether the command
 // can still be committed.
 func (g *Group) Propose(ctx context.Context, command any) (any, error) {
-	return g.wait(ctx, func(done func(any, error)) uint64 { return g.Start(command, done) })
+	return g.wait(ctx, func(done func(any, error)) uint64 { return g.ProposeAsync(command, done) })
 }
 
 // Read runs view on the group's goroutine once it is certain that this member owned the group after Read was called.
 func (g *Group) Read(ctx context.Context, view func()) error {
-	_, err := g.wait(ctx, func(done func(any, error)) uint64 { return g.StartRead(view, done) })
+	_, err := g.wait(ctx, func(done func(any, error)) uint64 { return g.ReadAsync(view, done) })
 	return err
 }
 
-// Start has the command agreed on; done is told the outcome, on the group's goroutine or at once. The token can be given
-// to Abandon.
-func (g *Group) Start(command any, done func(result any, err error)) (token uint64) {
+// ProposeAsync has the command agreed on; done is told the outcome, on the group's goroutine or at once. The token can be given
+// to Cancel.
+func (g *Group) ProposeAsync(command any, done func(result any, err error)) (token uint64) {
 	data, err := encodeCommand(command)
 	if err != nil {
 		done(nil, err)
@@ -37,23 +37,23 @@
 	return g.enter(call{done: done}, func(token uint64) error {
 		wrapped := appendProposed(nil, &proposed{Origin: g.origin, Token: token, Command: data})
 		if !g.takeRoom(len(wrapped)+messageBytes, false) {
-			return &OwnershipError{Group: g.options.Name, Never: true, Cause: errTooMuchWaits}
+			return &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: errTooMuchWaits}
 		}
 		g.input.Proposals = append(g.input.Proposals, replica.Proposal{Token: token, Data: wrapped})
 		return nil
 	})
 }
 
-// StartRead runs view once a read is confirmed, and then tells done.
-func (g *Group) StartRead(view func(), done func(result any, err error)) (token uint64) {
+// ReadAsync runs view once a read is confirmed, and then tells done.
+func (g *Group) ReadAsync(view func(), done func(result any, err error)) (token uint64) {
 	return g.enter(call{read: view, done: done}, func(token uint64) error {
 		g.input.Reads = append(g.input.Reads, token)
 		return nil
 	})
 }
 
-// Abandon makes sure that nobody is told of a call's outcome any more.
-func (g *Group) Abandon(token uint64) {
+// Cancel makes sure that nobody is told of a call's outcome any more.
+func (g *Group) Cancel(token uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.calls, token)
@@ -63,7 +63,7 @@
 	g.mutex.Lock()
 	var err error
 	if g.broken != nil {
-		err = &OwnershipError{Group: g.options.Name, Never: true, Cause: g.broken}
+		err = &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: g.broken}
 	}
 	g.token++
 	token := g.token
@@ -95,8 +95,8 @@
 	case o := <-ended:
 		return o.result, o.err
 	case <-ctx.Done():
-		g.Abandon(token)
-		return nil, &OwnershipError{Group: g.options.Name, Owner: g.ownerAddress(), Cause: ctx.Err()}
+		g.Cancel(token)
+		return nil, &NotLeaderError{Group: g.options.Name, Leader: g.ownerAddress(), Cause: ctx.Err()}
 	}
 }
 
@@ -104,7 +104,7 @@
 func (g *Group) ownerAddress() string {
 	status := g.Status()
 	for _, member := range status.Members {
-		if member.ID == status.Owner {
+		if member.ID == status.Leader {
 			return member.Address
 		}
 	}
@@ -122,7 +122,7 @@
 			continue
 		}
 		if !o.Done {
-			ended.done(nil, &OwnershipError{Group: g.options.Name, Owner: g.ownerAddress(), Never: o.Never})
+			ended.done(nil, &NotLeaderError{Group: g.options.Name, Leader: g.ownerAddress(), Dropped: o.Dropped})
 			continue
 		}
 		if ended.read != nil {
@@ -154,9 +154,9 @@
 	g.calls = map[uint64]call{}
 	g.mutex.Unlock()
 	status := g.Status()
-	status.Owner, status.IsOwner, status.CaughtUp = "", false, nil
+	status.Leader, status.IsLeader, status.CaughtUp = "", false, nil
 	g.tell(status)
 	for _, ended := range calls {
-		ended.done(nil, &OwnershipError{Group: g.options.Name, Cause: cause})
+		ended.done(nil, &NotLeaderError{Group: g.options.Name, Cause: cause})
 	}
 }
--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -15,27 +15,27 @@
 // compact replaces a long log by a snapshot and what remains after it. Entries that remain count as little as the snapshot:
 // only what has been saved since makes the next compaction due. The state is written part by part; no copy of it is in memory.
 func (g *Group) compact() error {
-	bound := max(g.options.CompactBytes, int64(stateShare*float64(g.disk.SnapshotBytes())))
-	if g.member.Sending() || g.member.Receiving() {
+	bound := max(g.options.CompactionBytes, int64(stateShare*float64(g.disk.SnapshotBytes())))
+	if g.member.IsSendingSnapshot() || g.member.IsReceivingSnapshot() {
 		bound *= mostLogs
 	}
 	if g.disk.LogBytes()-g.compacted < bound {
 		return nil
 	}
-	snapshot := g.member.Mark()
+	snapshot := g.member.SnapshotMetadata()
 	if snapshot.Index <= g.base {
 		return nil
 	}
 	// It takes the processor and the disk for a while: another turn does as well.
-	if !g.options.Compacting.TryLock() {
+	if !g.options.CompactionLock.TryLock() {
 		return nil
 	}
-	defer g.options.Compacting.Unlock()
+	defer g.options.CompactionLock.Unlock()
 	remaining := after(g.entries, snapshot.Index)
-	if err := g.disk.Compact(snapshot, g.machine.Parts, remaining, g.promise); err != nil {
+	if err := g.disk.Compact(snapshot, g.machine.WriteChunks, remaining, g.promise); err != nil {
 		return err
 	}
-	snapshot.Parts = g.disk.SnapshotParts()
+	snapshot.Chunks = g.disk.SnapshotParts()
 	g.entries, g.base, g.compacted = remaining, snapshot.Index, g.disk.LogBytes()
 	g.mutex.Lock()
 	g.input.Compact = &snapshot
--- a/internal/tier/group/envelope.go
+++ b/internal/tier/group/envelope.go
@@ -67,7 +67,7 @@
 	buffer = append(buffer, `{"index":`...)
 	buffer = strconv.AppendUint(buffer, entry.Index, 10)
 	buffer = append(buffer, `,"epoch":`...)
-	buffer = strconv.AppendUint(buffer, entry.Epoch, 10)
+	buffer = strconv.AppendUint(buffer, entry.Term, 10)
 	if entry.Kind != 0 {
 		buffer = append(buffer, `,"kind":`...)
 		buffer = strconv.AppendUint(buffer, uint64(entry.Kind), 10)
--- a/internal/tier/group/errors.go
+++ b/internal/tier/group/errors.go
@@ -8,19 +8,19 @@
 // errTooMuchWaits refuses a command since the member hasn't had its turn for too long.
 var errTooMuchWaits = errors.New("too much waits for the member's turn")
 
-// OwnershipError says that this member could not see a call through.
-type OwnershipError struct {
-	Group string
-	Owner string // address of the owner, as far as it is known
-	Never bool   // the command was certainly not proposed
-	Cause error
+// NotLeaderError says that this member could not see a call through.
+type NotLeaderError struct {
+	Group   string
+	Leader  string // address of the owner, as far as it is known
+	Dropped bool   // the command was certainly not proposed
+	Cause   error
 }
 
 // Error implements error.
-func (e *OwnershipError) Error() string {
+func (e *NotLeaderError) Error() string {
 	text := fmt.Sprintf("group %s: not its owner", e.Group)
-	if e.Owner != "" {
-		text += ", which is " + e.Owner
+	if e.Leader != "" {
+		text += ", which is " + e.Leader
 	}
 	if e.Cause != nil {
 		text += ": " + e.Cause.Error()
@@ -29,4 +29,4 @@
 }
 
 // Unwrap returns the cause.
-func (e *OwnershipError) Unwrap() error { return e.Cause }
+func (e *NotLeaderError) Unwrap() error { return e.Cause }
--- a/internal/tier/group/group.go
+++ b/internal/tier/group/group.go
@@ -17,18 +17,18 @@
 
 // Options sets a member up.
 type Options struct {
-	Name         string // of the group, the same at all members
-	Replica      replica.Options
-	Disk         storage.Disk
-	Machine      Machine                                 // a PartsMachine where the state may be large
-	Send         func(address string, envelope Envelope) // must not block
-	Compacting   *sync.Mutex                             // held while a member compacts, so that those of one process do so in turn; nil: its own
-	Receiving    *Admission                              // bounds the snapshots that members of one process receive at once; nil: its own
-	Waiting      *Budget                                 // bounds what waits for the turns of all members of one process; nil: its own
-	CompactBytes int64                                   // length of the log from which on a snapshot replaces it
-	Logger       log.Logger
-	Clock        func() time.Duration        // steady; nil: time since Open
-	Changed      func(status replica.Status) // told of a new owner, epoch or membership; must not block; may be nil
+	Name            string // of the group, the same at all members
+	Replica         replica.Options
+	Disk            storage.Disk
+	StateMachine    StateMachine                            // a ChunkedStateMachine where the state may be large
+	Send            func(address string, envelope Envelope) // must not block
+	CompactionLock  *sync.Mutex                             // held while a member compacts, so that those of one process do so in turn; nil: its own
+	ReceiveLimiter  *SnapshotLimiter                        // bounds the snapshots that members of one process receive at once; nil: its own
+	QueueBudget     *QueueBudget                            // bounds what waits for the turns of all members of one process; nil: its own
+	CompactionBytes int64                                   // length of the log from which on a snapshot replaces it
+	Logger          log.Logger
+	Clock           func() time.Duration        // steady; nil: time since Open
+	OnStatusChange  func(status replica.Status) // told of a new owner, epoch or membership; must not block; may be nil
 }
 
 // defaultCompactBytes bounds the log where the options say nothing.
@@ -40,15 +40,15 @@
 	origin    string
 	disk      *storage.Group
 	member    *replica.Replica
-	promise   replica.Promise
+	promise   replica.HardState
 	entries   []replica.Entry // saved since the last snapshot
 	base      uint64          // index of that snapshot
 	compacted int64           // length that the log had after the last compaction
-	machine   PartsMachine
+	machine   ChunkedStateMachine
 	admitted  bool              // to receive a snapshot
 	heard     map[string]string // address by identity, as messages told it
 	status    atomic.Pointer[replica.Status]
-	vitals    atomic.Pointer[Vitals]
+	vitals    atomic.Pointer[MemberStats]
 	due       atomic.Int64 // when the next turn was due, as the last one told
 	wake      chan struct{}
 	blank     []json.RawMessage // the state of a machine that has applied nothing
@@ -69,10 +69,10 @@
 	status := *g.status.Load()
 	now := g.options.Clock()
 	switch {
-	case status.IsOwner && now-time.Duration(g.due.Load()) > g.options.Replica.Election:
-		status.Owner, status.IsOwner, status.CaughtUp = "", false, nil
-	case status.Owner != status.ID && now-status.Heard > g.options.Replica.Election:
-		status.Owner = ""
+	case status.IsLeader && now-time.Duration(g.due.Load()) > g.options.Replica.ElectionTimeout:
+		status.Leader, status.IsLeader, status.CaughtUp = "", false, nil
+	case status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout:
+		status.Leader = ""
 	}
 	return status
 }
@@ -118,18 +118,18 @@
 
 func isPart(message replica.Message) bool { return message.Kind == replica.InstallSnapshot }
 
-// Resign has the member hand its ownership over, if it owns the group, once what is under way is settled.
-func (g *Group) Resign() {
+// TransferLeadership has the member hand its ownership over, if it owns the group, once what is under way is settled.
+func (g *Group) TransferLeadership() {
 	g.mutex.Lock()
-	g.input.Resign = true
+	g.input.TransferLeadership = true
 	g.mutex.Unlock()
 	g.poke()
 }
 
-// Change tells which members the group is to have.
-func (g *Group) Change(members []replica.Member) {
+// SetTargetMembers tells which members the group is to have.
+func (g *Group) SetTargetMembers(members []replica.Member) {
 	g.mutex.Lock()
-	g.input.Change = members
+	g.input.TargetMembers = members
 	g.mutex.Unlock()
 	g.poke()
 }
--- a/internal/tier/group/machine.go
+++ b/internal/tier/group/machine.go
@@ -6,8 +6,8 @@
 	"errors"
 )
 
-// Machine is the state that a group agrees on. Its methods are called by the group's goroutine only.
-type Machine interface {
+// StateMachine is the state that a group agrees on. Its methods are called by the group's goroutine only.
+type StateMachine interface {
 	// Apply folds the command in and returns what its proposer is told.
 	Apply(index uint64, command json.RawMessage) any
 	// Snapshot returns the whole state.
@@ -16,19 +16,19 @@
 	Restore(state json.RawMessage) error
 }
 
-// Replayer is a Machine that saves work where nobody waits for a command's result.
+// Replayer is a StateMachine that saves work where nobody waits for a command's result.
 type Replayer interface {
 	// Replay folds the command in as Apply does.
 	Replay(index uint64, command json.RawMessage)
 }
 
-// PartsMachine is a Machine whose state may be large: it is taken and set in parts of bounded size, so that no copy of it is
+// ChunkedStateMachine is a StateMachine whose state may be large: it is taken and set in parts of bounded size, so that no copy of it is
 // in memory.
-type PartsMachine interface {
-	Machine
-	// Parts hands the state over in parts, in their order. A part is valid until write returns. An error of write ends it and
+type ChunkedStateMachine interface {
+	StateMachine
+	// WriteChunks hands the state over in parts, in their order. A part is valid until write returns. An error of write ends it and
 	// is returned.
-	Parts(write func(part json.RawMessage) error) error
+	WriteChunks(write func(part json.RawMessage) error) error
 	// BeginRestore begins to replace the state. What the machine holds may go at once.
 	BeginRestore() Restorer
 }
@@ -42,18 +42,18 @@
 }
 
 // inParts returns a machine as one in parts; a small one has a single part.
-func inParts(machine Machine) PartsMachine {
-	if large, ok := machine.(PartsMachine); ok {
+func inParts(machine StateMachine) ChunkedStateMachine {
+	if large, ok := machine.(ChunkedStateMachine); ok {
 		return large
 	}
 	return smallMachine{machine}
 }
 
 // smallMachine has its whole state in one part.
-type smallMachine struct{ Machine }
+type smallMachine struct{ StateMachine }
 
-// Parts implements PartsMachine.
-func (m smallMachine) Parts(write func(part json.RawMessage) error) error {
+// WriteChunks implements ChunkedStateMachine.
+func (m smallMachine) WriteChunks(write func(part json.RawMessage) error) error {
 	state, err := m.Snapshot()
 	if err != nil {
 		return err
@@ -61,12 +61,12 @@
 	return write(state)
 }
 
-// BeginRestore implements PartsMachine.
-func (m smallMachine) BeginRestore() Restorer { return &smallRestorer{machine: m.Machine} }
+// BeginRestore implements ChunkedStateMachine.
+func (m smallMachine) BeginRestore() Restorer { return &smallRestorer{machine: m.StateMachine} }
 
 // smallRestorer holds the only part until the end.
 type smallRestorer struct {
-	machine Machine
+	machine StateMachine
 	state   json.RawMessage
 }
 
--- a/internal/tier/group/proposed.go
+++ b/internal/tier/group/proposed.go
@@ -13,14 +13,14 @@
 	Command json.RawMessage `json:"c"`
 }
 
-// Encoded is a command that writes its own JSON: one with large parts that are JSON already.
-type Encoded interface {
+// JSONEncoder is a command that writes its own JSON: one with large parts that are JSON already.
+type JSONEncoder interface {
 	// EncodeJSON returns the command as encoding/json would write it.
 	EncodeJSON() (json.RawMessage, error)
 }
 
 func encodeCommand(command any) (json.RawMessage, error) {
-	if encoded, ok := command.(Encoded); ok {
+	if encoded, ok := command.(JSONEncoder); ok {
 		return encoded.EncodeJSON()
 	}
 	return json.Marshal(command)
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -13,25 +13,25 @@
 
 // Open recovers the member from its disk. A disk that is damaged is an error, never an empty disk.
 func Open(options Options) (*Group, error) {
-	if options.CompactBytes == 0 {
-		options.CompactBytes = defaultCompactBytes
+	if options.CompactionBytes == 0 {
+		options.CompactionBytes = defaultCompactBytes
 	}
-	if options.Compacting == nil {
-		options.Compacting = &sync.Mutex{}
+	if options.CompactionLock == nil {
+		options.CompactionLock = &sync.Mutex{}
 	}
 	if options.Clock == nil {
 		start := time.Now()
 		options.Clock = func() time.Duration { return time.Since(start) }
 	}
-	if options.Receiving == nil {
-		options.Receiving = NewAdmission(1)
+	if options.ReceiveLimiter == nil {
+		options.ReceiveLimiter = NewSnapshotLimiter(1)
 	}
-	if options.Waiting == nil {
-		options.Waiting = NewBudget(defaultBudgetBytes)
+	if options.QueueBudget == nil {
+		options.QueueBudget = NewQueueBudget(defaultBudgetBytes)
 	}
 	g := &Group{options: options, origin: options.Replica.ID + "@" + strconv.FormatUint(options.Replica.Seed, 16),
-		machine: inParts(options.Machine), heard: map[string]string{}, wake: make(chan struct{}, 1), calls: map[uint64]call{}}
-	if err := g.machine.Parts(g.keepBlank); err != nil {
+		machine: inParts(options.StateMachine), heard: map[string]string{}, wake: make(chan struct{}, 1), calls: map[uint64]call{}}
+	if err := g.machine.WriteChunks(g.keepBlank); err != nil {
 		return nil, err
 	}
 	if err := g.recover(false); err != nil {
@@ -78,7 +78,7 @@
 		_ = disk.Close()
 		return err
 	}
-	g.disk, g.member, g.promise, g.entries, g.base, g.compacted = disk, member, recovered.Promise, recovered.Entries, 0, 0
+	g.disk, g.member, g.promise, g.entries, g.base, g.compacted = disk, member, recovered.HardState, recovered.Entries, 0, 0
 	if recovered.Snapshot != nil {
 		g.base = recovered.Snapshot.Index
 	}
@@ -87,15 +87,15 @@
 
 // begin writes the first members down at the first start, so that a later start doesn't have to be told them.
 func (g *Group) begin(disk *storage.Group, recovered *replica.Recovered) error {
-	untouched := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.Promise == replica.Promise{}
-	if !untouched || len(g.options.Replica.Initial) == 0 {
+	untouched := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.HardState == replica.HardState{}
+	if !untouched || len(g.options.Replica.InitialMembers) == 0 {
 		return nil
 	}
-	first := replica.Snapshot{Members: g.options.Replica.Initial}
-	if err := disk.Compact(first, g.blankParts, nil, replica.Promise{}); err != nil {
+	first := replica.Snapshot{Members: g.options.Replica.InitialMembers}
+	if err := disk.Compact(first, g.blankParts, nil, replica.HardState{}); err != nil {
 		return err
 	}
-	first.Parts = disk.SnapshotParts()
+	first.Chunks = disk.SnapshotParts()
 	recovered.Snapshot = &first
 	return nil
 }
--- a/internal/tier/group/turn.go
+++ b/internal/tier/group/turn.go
@@ -26,11 +26,11 @@
 	if err := g.drive(ctx, func() bool { return false }); err != nil {
 		return err
 	}
-	if status := g.Status(); g.isStopped() || !status.IsOwner || len(status.Members) < 2 {
+	if status := g.Status(); g.isStopped() || !status.IsLeader || len(status.Members) < 2 {
 		return nil
 	}
-	g.Resign()
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverPatience*g.options.Replica.Election)
+	g.TransferLeadership()
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverPatience*g.options.Replica.ElectionTimeout)
 	defer cancel()
 	return g.drive(bounded, g.hasOtherOwner)
 }
@@ -38,7 +38,7 @@
 // hasOtherOwner tells whether another member is known to own the group.
 func (g *Group) hasOtherOwner() bool {
 	status := g.Status()
-	return status.Owner != "" && status.Owner != status.ID
+	return status.Leader != "" && status.Leader != status.ID
 }
 
 // drive has the member take its turns until ctx ends or a turn brings about what is waited for.
@@ -52,7 +52,7 @@
 		case <-g.wake:
 		case <-timer.C:
 		}
-		next, err := g.Turn()
+		next, err := g.RunOnce()
 		if err != nil {
 			if err := g.reopen(ctx); err != nil {
 				return err
@@ -87,10 +87,10 @@
 	}
 }
 
-// Turn takes in what has come, and does what follows from it in the order that keeps every promise. It returns when it is
+// RunOnce takes in what has come, and does what follows from it in the order that keeps every promise. It returns when it is
 // to be called again at the latest. After an error, which is the disk's, the member is broken until Reopen succeeds: it sends
 // nothing and knows no owner, and all calls fail. A member that was stopped has nothing to do.
-func (g *Group) Turn() (time.Duration, error) {
+func (g *Group) RunOnce() (time.Duration, error) {
 	if g.stop() || g.isStopped() {
 		return g.options.Clock() + idle, nil
 	}
@@ -110,19 +110,19 @@
 	g.admit(input.Messages)
 	spent := beginPhases(g.options.Clock)
 	effects := g.member.Step(spent.began, input)
-	if err := g.send(effects.Early); err != nil {
+	if err := g.send(effects.MessagesBeforeSync); err != nil {
 		return 0, err
 	}
 	if err := g.save(&effects); err != nil {
 		return 0, err
 	}
 	spent.save = spent.lap()
-	g.release(g.member.Receiving())
-	if err := g.send(effects.AfterSync); err != nil {
+	g.release(g.member.IsReceivingSnapshot())
+	if err := g.send(effects.MessagesAfterSync); err != nil {
 		return 0, err
 	}
 	g.due.Store(int64(effects.NextWake))
-	results := g.apply(effects.Committed)
+	results := g.apply(effects.CommittedEntries)
 	spent.apply = spent.lap()
 	g.publish()
 	g.answer(effects.Outcomes, results)
@@ -143,7 +143,7 @@
 			if snapshot.Index != g.base {
 				continue
 			}
-			part, err := g.disk.Part(message.Part)
+			part, err := g.disk.Part(message.Chunk)
 			if err != nil {
 				return err
 			}
@@ -176,23 +176,23 @@
 }
 
 // save puts the step's records on disk and keeps the copy from which a compaction writes what remains.
-func (g *Group) save(effects *replica.Effects) error {
+func (g *Group) save(effects *replica.Ready) error {
 	if err := g.disk.Save(effects); err != nil {
 		return err
 	}
-	if effects.Promise != nil {
-		g.promise = *effects.Promise
+	if effects.HardState != nil {
+		g.promise = *effects.HardState
 	}
-	if effects.Install != nil {
-		g.entries, g.base, g.compacted = nil, effects.Install.Index, g.disk.LogBytes()
+	if effects.Snapshot != nil {
+		g.entries, g.base, g.compacted = nil, effects.Snapshot.Index, g.disk.LogBytes()
 		if err := g.restore(g.disk, true); err != nil {
 			return err
 		}
 	}
-	if effects.Truncate > 0 {
-		g.entries = before(g.entries, effects.Truncate)
+	if effects.TruncateFrom > 0 {
+		g.entries = before(g.entries, effects.TruncateFrom)
 	}
-	g.entries = append(g.entries, effects.Append...)
+	g.entries = append(g.entries, effects.Entries...)
 	return nil
 }
 
@@ -223,7 +223,7 @@
 
 // replay folds a command in whose result nobody here waits for.
 func (g *Group) replay(index uint64, command json.RawMessage) {
-	if replaying, ok := g.options.Machine.(Replayer); ok {
+	if replaying, ok := g.options.StateMachine.(Replayer); ok {
 		replaying.Replay(index, command)
 		return
 	}
@@ -235,11 +235,11 @@
 
 func (g *Group) tell(status replica.Status) {
 	old := g.status.Swap(&status)
-	if g.options.Changed == nil {
+	if g.options.OnStatusChange == nil {
 		return
 	}
-	if old == nil || old.Owner != status.Owner || old.Epoch != status.Epoch || old.IsOwner != status.IsOwner || !sameMembers(old.Members, status.Members) {
-		g.options.Changed(status)
+	if old == nil || old.Leader != status.Leader || old.Term != status.Term || old.IsLeader != status.IsLeader || !sameMembers(old.Members, status.Members) {
+		g.options.OnStatusChange(status)
 	}
 }
 
--- a/internal/tier/group/vitals.go
+++ b/internal/tier/group/vitals.go
@@ -11,32 +11,32 @@
 // longTurn is the time from which on a turn is logged: it comes near to the time-outs after which others take over.
 const longTurn = 200 * time.Millisecond
 
-// Sized is a Machine that tells how many bytes of contents it holds.
-type Sized interface {
-	// Bytes is called by the group's goroutine only.
-	Bytes() int64
+// StateSizer is a StateMachine that tells how many bytes of contents it holds.
+type StateSizer interface {
+	// StateBytes is called by the group's goroutine only.
+	StateBytes() int64
 }
 
-// Vitals tells how much a member holds.
-type Vitals struct {
-	StateBytes    int64 // of a Sized machine's contents; else 0
+// MemberStats tells how much a member holds.
+type MemberStats struct {
+	StateBytes    int64 // of a StateSizer machine's contents; else 0
 	SnapshotBytes int64 // on the disk, that the log follows
 	LogBytes      int64 // on the disk
 	Entries       int   // in memory
 }
 
-// Vitals returns what the member held at the end of its last turn.
-func (g *Group) Vitals() Vitals {
+// MemberStats returns what the member held at the end of its last turn.
+func (g *Group) Stats() MemberStats {
 	if vitals := g.vitals.Load(); vitals != nil {
 		return *vitals
 	}
-	return Vitals{}
+	return MemberStats{}
 }
 
 func (g *Group) noteVitals() {
-	vitals := Vitals{SnapshotBytes: g.disk.SnapshotBytes(), LogBytes: g.disk.LogBytes(), Entries: len(g.entries)}
-	if sized, ok := g.options.Machine.(Sized); ok {
-		vitals.StateBytes = sized.Bytes()
+	vitals := MemberStats{SnapshotBytes: g.disk.SnapshotBytes(), LogBytes: g.disk.LogBytes(), Entries: len(g.entries)}
+	if sized, ok := g.options.StateMachine.(StateSizer); ok {
+		vitals.StateBytes = sized.StateBytes()
 	}
 	g.vitals.Store(&vitals)
 }
@@ -62,11 +62,11 @@
 }
 
 // logLongTurn tells of a turn during which the member has answered nobody for long.
-func (g *Group) logLongTurn(p *phases, effects *replica.Effects) {
+func (g *Group) logLongTurn(p *phases, effects *replica.Ready) {
 	took := p.last - p.began
 	if took < longTurn {
 		return
 	}
 	level.Info(g.options.Logger).Log("msg", "long turn", "group", g.options.Name, "took", took, "save", p.save, "apply", p.apply,
-		"compact", p.write, "committed", len(effects.Committed), "appended", len(effects.Append), "installed", effects.Install != nil)
+		"compact", p.write, "committed", len(effects.CommittedEntries), "appended", len(effects.Entries), "installed", effects.Snapshot != nil)
 }
--- a/internal/tier/replica/change.go
+++ b/internal/tier/replica/change.go
@@ -43,7 +43,7 @@
 	}
 	r.groups = append(r.groups, newGroup(r.log.last()+1, members))
 	r.refreshPeers()
-	r.appendOwn(Membership, data)
+	r.appendOwn(ConfChange, data)
 }
 
 // isAsWanted tells whether the group has the wanted members and no others.
--- a/internal/tier/replica/election.go
+++ b/internal/tier/replica/election.go
@@ -7,9 +7,9 @@
 
 // waitForOwner sets the election timer anew.
 func (r *Replica) waitForOwner() {
-	shortest := r.options.Election
+	shortest := r.options.ElectionTimeout
 	if r.isEager() {
-		shortest = r.options.Eager
+		shortest = r.options.InitialElectionTimeout
 	}
 	r.timeout = shortest + time.Duration(r.random.below(uint64(shortest)))
 	r.electionDue = r.now + r.timeout
@@ -18,7 +18,7 @@
 // isEager tells whether this member needn't wait for an owner: it has heard none since its start. Where there is one its
 // heartbeat comes soon; where all members have started anew nothing is gained by waiting. Standing on trial disturbs nobody.
 func (r *Replica) isEager() bool {
-	return r.options.Eager > 0 && !r.heardOwner && r.role != candidate
+	return r.options.InitialElectionTimeout > 0 && !r.heardOwner && r.role != candidate
 }
 
 // mayStand tells whether this member may stand for election: it has a vote in a group that may still be in force. That
@@ -38,7 +38,7 @@
 	if r.role == owner {
 		return true
 	}
-	return r.owner.id != "" && r.now-r.owner.heard < r.options.Election
+	return r.owner.id != "" && r.now-r.owner.heard < r.options.ElectionTimeout
 }
 
 // follow makes this member a follower, in a new epoch if that is higher. From may be empty when the owner is not known.
@@ -46,13 +46,13 @@
 	if r.role == owner {
 		r.loseOwnership()
 	}
-	if r.role != follower || epoch > r.promise.Epoch {
+	if r.role != follower || epoch > r.promise.Term {
 		r.role = follower
 		r.granted = nil
 		r.waitForOwner()
 	}
-	if epoch > r.promise.Epoch {
-		r.promise = Promise{Epoch: epoch}
+	if epoch > r.promise.Term {
+		r.promise = HardState{Term: epoch}
 		r.step.promiseChanged = true
 		r.step.answer = pendingAnswer{}
 		r.owner = ownerContact{}
@@ -75,7 +75,7 @@
 		r.stand(false)
 		return
 	}
-	r.askForVotes(Message{Kind: AskVote, Epoch: r.promise.Epoch + 1, Trial: true})
+	r.askForVotes(Message{Kind: RequestVote, Term: r.promise.Term + 1, PreVote: true})
 }
 
 // stand begins an epoch as its candidate.
@@ -84,7 +84,7 @@
 	r.owner = ownerContact{}
 	r.granted = r.granted[:0]
 	r.waitForOwner()
-	r.promise = Promise{Epoch: r.promise.Epoch + 1, Vote: r.options.ID}
+	r.promise = HardState{Term: r.promise.Term + 1, Vote: r.options.ID}
 	r.step.promiseChanged = true
 	r.step.answer = pendingAnswer{}
 	r.grant(r.options.ID)
@@ -92,11 +92,11 @@
 		r.takeOwnership()
 		return
 	}
-	r.askForVotes(Message{Kind: AskVote, Epoch: r.promise.Epoch, Voluntary: voluntary})
+	r.askForVotes(Message{Kind: RequestVote, Term: r.promise.Term, LeadershipTransfer: voluntary})
 }
 
 func (r *Replica) askForVotes(ask Message) {
-	ask.Index, ask.LogEpoch = r.log.last(), r.log.lastEpoch()
+	ask.Index, ask.LogTerm = r.log.last(), r.log.lastEpoch()
 	for _, member := range r.groups.newest().members {
 		if member.Learner || member.ID == r.options.ID {
 			continue
@@ -133,18 +133,18 @@
 	if len(r.groups.newest().members) == 0 {
 		return
 	}
-	if ask.Trial {
-		r.answerVote(ask, ask.Epoch > r.promise.Epoch && !r.hearsOwner() && r.isBehind(ask))
+	if ask.PreVote {
+		r.answerVote(ask, ask.Term > r.promise.Term && !r.hearsOwner() && r.isBehind(ask))
 		return
 	}
-	if ask.Epoch > r.promise.Epoch {
-		if r.hearsOwner() && !ask.Voluntary {
+	if ask.Term > r.promise.Term {
+		if r.hearsOwner() && !ask.LeadershipTransfer {
 			return
 		}
-		r.follow(ask.Epoch, "")
+		r.follow(ask.Term, "")
 	}
 	mayVote := r.promise.Vote == "" || r.promise.Vote == ask.From
-	if ask.Epoch < r.promise.Epoch || r.role != follower || !mayVote || !r.isBehind(ask) {
+	if ask.Term < r.promise.Term || r.role != follower || !mayVote || !r.isBehind(ask) {
 		r.answerVote(ask, false)
 		return
 	}
@@ -158,34 +158,34 @@
 
 // isBehind tells whether the candidate's log holds all that this member's log may have to keep.
 func (r *Replica) isBehind(ask *Message) bool {
-	if ask.LogEpoch != r.log.lastEpoch() {
-		return ask.LogEpoch > r.log.lastEpoch()
+	if ask.LogTerm != r.log.lastEpoch() {
+		return ask.LogTerm > r.log.lastEpoch()
 	}
 	return ask.Index >= r.log.last()
 }
 
 // answerVote answers a candidate: with the epoch that it asks for, or with this member's own if it is denied.
 func (r *Replica) answerVote(ask *Message, granted bool) {
-	answer := Message{Kind: AnswerVote, To: ask.From, Trial: ask.Trial, Epoch: ask.Epoch}
+	answer := Message{Kind: RequestVoteResponse, To: ask.From, PreVote: ask.PreVote, Term: ask.Term}
 	if !granted {
-		answer.Epoch = r.promise.Epoch
-		answer.Rejected = true
+		answer.Term = r.promise.Term
+		answer.Reject = true
 	}
 	r.sendAfterSync(answer)
 }
 
 func (r *Replica) receiveAnswerVote(answer *Message) {
-	if answer.Rejected {
-		if answer.Epoch > r.promise.Epoch {
-			r.follow(answer.Epoch, "")
+	if answer.Reject {
+		if answer.Term > r.promise.Term {
+			r.follow(answer.Term, "")
 		}
 		return
 	}
-	if answer.Trial {
+	if answer.PreVote {
 		r.countTrialVote(answer)
 		return
 	}
-	if r.role != candidate || answer.Epoch != r.promise.Epoch {
+	if r.role != candidate || answer.Term != r.promise.Term {
 		return
 	}
 	r.grant(answer.From)
@@ -195,7 +195,7 @@
 }
 
 func (r *Replica) countTrialVote(answer *Message) {
-	if r.role != trialCandidate || answer.Epoch != r.promise.Epoch+1 {
+	if r.role != trialCandidate || answer.Term != r.promise.Term+1 {
 		return
 	}
 	r.grant(answer.From)
@@ -207,5 +207,5 @@
 // sendAfterSync sends a message once what this Step changes is on disk.
 func (r *Replica) sendAfterSync(message Message) {
 	message.From, message.Address = r.options.ID, r.options.Address
-	r.step.effects.AfterSync = append(r.step.effects.AfterSync, message)
+	r.step.effects.MessagesAfterSync = append(r.step.effects.MessagesAfterSync, message)
 }
--- a/internal/tier/replica/follower.go
+++ b/internal/tier/replica/follower.go
@@ -10,19 +10,19 @@
 
 // heed takes the sender of an append or a snapshot for the owner; false when its epoch is over, or this member leads.
 func (r *Replica) heed(message *Message) bool {
-	if message.Epoch < r.promise.Epoch {
-		r.sendAfterSync(Message{Kind: AnswerAppend, To: message.From, Epoch: r.promise.Epoch, Rejected: true})
+	if message.Term < r.promise.Term {
+		r.sendAfterSync(Message{Kind: AppendEntriesResponse, To: message.From, Term: r.promise.Term, Reject: true})
 		return false
 	}
-	if r.role == owner && message.Epoch == r.promise.Epoch {
+	if r.role == owner && message.Term == r.promise.Term {
 		return false
 	}
 	first := !r.heardOwner
 	r.heardOwner = true
-	r.follow(message.Epoch, message.From)
+	r.follow(message.Term, message.From)
 	r.owner.address = message.Address
 	r.owner.heard = r.now
-	if first && r.options.Eager > 0 {
+	if first && r.options.InitialElectionTimeout > 0 {
 		r.waitForOwner()
 	}
 	r.electionDue = r.now + r.timeout
@@ -46,7 +46,7 @@
 		r.accept(message, r.commit)
 		return
 	case previous == r.commit:
-	case !r.log.holds(previous, message.LogEpoch):
+	case !r.log.holds(previous, message.LogTerm):
 		r.reject(message)
 		return
 	}
@@ -56,14 +56,14 @@
 	matched := previous + uint64(len(entries))
 	r.commitUpTo(min(message.Commit, matched))
 	r.accept(message, matched)
-	if message.Voluntary && r.mayStand() {
+	if message.LeadershipTransfer && r.mayStand() {
 		r.stand(true)
 	}
 }
 
 // merge takes over the entries after previous that are not in the log yet, in place of those that differ.
 func (r *Replica) merge(previous uint64, entries []Entry) bool {
-	for len(entries) > 0 && r.log.holds(entries[0].Index, entries[0].Epoch) {
+	for len(entries) > 0 && r.log.holds(entries[0].Index, entries[0].Term) {
 		entries = entries[1:]
 	}
 	if len(entries) == 0 {
@@ -78,23 +78,23 @@
 // accept acknowledges what is in the log up to index. A Step's acknowledgements go in one message.
 func (r *Replica) accept(message *Message, index uint64) {
 	answer := &r.step.answer
-	answer.to, answer.epoch = message.From, message.Epoch
+	answer.to, answer.epoch = message.From, message.Term
 	answer.index = max(answer.index, index)
-	answer.round = max(answer.round, message.Round)
+	answer.round = max(answer.round, message.ReadIndexRound)
 }
 
 // reject tells the owner that the entry before those it sent is not in the log, and where the logs may agree.
 func (r *Replica) reject(message *Message) {
 	answer := Message{
-		Kind:     AnswerAppend,
-		To:       message.From,
-		Epoch:    r.promise.Epoch,
-		Index:    message.Index,
-		Rejected: true,
-		Round:    message.Round,
+		Kind:           AppendEntriesResponse,
+		To:             message.From,
+		Term:           r.promise.Term,
+		Index:          message.Index,
+		Reject:         true,
+		ReadIndexRound: message.ReadIndexRound,
 	}
-	answer.Hint = max(r.commit, r.log.agreement(message.Index, message.LogEpoch))
-	answer.LogEpoch, _ = r.log.epochAt(answer.Hint)
+	answer.RejectHint = max(r.commit, r.log.agreement(message.Index, message.LogTerm))
+	answer.LogTerm, _ = r.log.epochAt(answer.RejectHint)
 	r.sendAfterSync(answer)
 }
 
@@ -105,12 +105,12 @@
 		return
 	}
 	answer := Message{
-		Kind:  AnswerAppend,
-		From:  r.options.ID,
-		To:    pending.to,
-		Epoch: pending.epoch,
-		Index: pending.index,
-		Round: pending.round,
+		Kind:           AppendEntriesResponse,
+		From:           r.options.ID,
+		To:             pending.to,
+		Term:           pending.epoch,
+		Index:          pending.index,
+		ReadIndexRound: pending.round,
 	}
-	r.step.effects.AfterSync = append(r.step.effects.AfterSync, answer)
+	r.step.effects.MessagesAfterSync = append(r.step.effects.MessagesAfterSync, answer)
 }
--- a/internal/tier/replica/log.go
+++ b/internal/tier/replica/log.go
@@ -20,7 +20,7 @@
 	if len(l.entries) == 0 {
 		return l.offsetEpoch
 	}
-	return l.entries[len(l.entries)-1].Epoch
+	return l.entries[len(l.entries)-1].Term
 }
 
 // epochAt is the epoch of the entry at index; false when the log does not know it.
@@ -31,7 +31,7 @@
 	if index < l.offset || index > l.last() {
 		return 0, false
 	}
-	return l.entries[index-l.offset-1].Epoch, true
+	return l.entries[index-l.offset-1].Term, true
 }
 
 // holds tells whether the entry at index has that epoch.
--- a/internal/tier/replica/members.go
+++ b/internal/tier/replica/members.go
@@ -93,7 +93,7 @@
 // extend adds the groups of the membership entries.
 func (h groupHistory) extend(entries []Entry) (groupHistory, error) {
 	for i := range entries {
-		if entries[i].Kind != Membership {
+		if entries[i].Kind != ConfChange {
 			continue
 		}
 		var members []Member
--- a/internal/tier/replica/ownership.go
+++ b/internal/tier/replica/ownership.go
@@ -37,7 +37,7 @@
 	r.granted = nil
 	r.ownership = ownership{opening: r.log.last() + 1, heartbeatDue: r.now}
 	r.refreshPeers()
-	r.appendOwn(Opening, nil)
+	r.appendOwn(NoOp, nil)
 }
 
 // loseOwnership ends the ownership; what is open gets its outcome.
@@ -60,7 +60,7 @@
 // appendOwn adds an entry of the owner's epoch.
 func (r *Replica) appendOwn(kind EntryKind, data []byte) uint64 {
 	index := r.log.last() + 1
-	r.log.append(Entry{Index: index, Epoch: r.promise.Epoch, Kind: kind, Data: data})
+	r.log.append(Entry{Index: index, Term: r.promise.Term, Kind: kind, Data: data})
 	return index
 }
 
@@ -70,7 +70,7 @@
 		proposal := &proposals[i]
 		size := len(proposal.Data) + entryOverhead
 		if r.role != owner || r.ownership.resigning || r.ownership.openBytes > 0 && r.ownership.openBytes+size > r.limits.open {
-			r.step.effects.Outcomes = append(r.step.effects.Outcomes, Outcome{Token: proposal.Token, Never: true})
+			r.step.effects.Outcomes = append(r.step.effects.Outcomes, Outcome{Token: proposal.Token, Dropped: true})
 			continue
 		}
 		index := r.appendOwn(Command, proposal.Data)
@@ -98,7 +98,7 @@
 	if index <= r.commit {
 		return
 	}
-	if !r.log.holds(index, r.promise.Epoch) {
+	if !r.log.holds(index, r.promise.Term) {
 		return
 	}
 	r.commitUpTo(index)
@@ -123,7 +123,7 @@
 		return false
 	}
 	index := r.quorum(r.log.last(), matchOf)
-	return index > r.commit && r.log.holds(index, r.promise.Epoch)
+	return index > r.commit && r.log.holds(index, r.promise.Term)
 }
 
 // quorum is the highest value that a majority of the voters has reached; own is this member's.
@@ -157,7 +157,7 @@
 		return
 	}
 	heard := time.Duration(r.quorum(uint64(r.now), heardOf))
-	if r.now-heard < r.options.Election {
+	if r.now-heard < r.options.ElectionTimeout {
 		return
 	}
 	r.loseOwnership()
@@ -170,7 +170,7 @@
 		return
 	}
 	r.ownership.resigning = true
-	r.ownership.resignBy = r.now + r.options.Election
+	r.ownership.resignBy = r.now + r.options.ElectionTimeout
 }
 
 // handsOver tells whether a resigning owner waits no longer.
@@ -191,7 +191,7 @@
 func (r *Replica) handOver() {
 	if heir := r.heir(); heir != nil {
 		message := r.appendTo(heir, heir.match, r.entriesAfter(heir.match))
-		message.Voluntary = true
+		message.LeadershipTransfer = true
 		r.sendAfterSync(message)
 	}
 	r.loseOwnership()
--- a/internal/tier/replica/peer.go
+++ b/internal/tier/replica/peer.go
@@ -67,14 +67,14 @@
 
 // hears tells whether the peer has answered within the election time-out.
 func (r *Replica) hears(p *peer) bool {
-	return r.now-p.heard < r.options.Election
+	return r.now-p.heard < r.options.ElectionTimeout
 }
 
 // replicate sends each peer what it lacks, and heartbeats when they are due.
 func (r *Replica) replicate() {
 	beat := r.now >= r.ownership.heartbeatDue
 	if beat {
-		r.ownership.heartbeatDue = r.now + r.options.Heartbeat
+		r.ownership.heartbeatDue = r.now + r.options.HeartbeatInterval
 	}
 	for _, p := range r.ownership.peers {
 		if beat {
@@ -149,14 +149,14 @@
 func (r *Replica) appendTo(p *peer, previous uint64, entries []Entry) Message {
 	epoch, _ := r.log.epochAt(previous)
 	return Message{
-		Kind:     Append,
-		To:       p.id,
-		Epoch:    r.promise.Epoch,
-		Index:    previous,
-		LogEpoch: epoch,
-		Commit:   r.commit,
-		Entries:  entries,
-		Round:    r.ownership.round,
+		Kind:           AppendEntries,
+		To:             p.id,
+		Term:           r.promise.Term,
+		Index:          previous,
+		LogTerm:        epoch,
+		Commit:         r.commit,
+		Entries:        entries,
+		ReadIndexRound: r.ownership.round,
 	}
 }
 
@@ -164,19 +164,19 @@
 // for, doesn't stand for a heartbeat.
 func (r *Replica) sendEarly(p *peer, message Message) {
 	message.From, message.Address = r.options.ID, r.options.Address
-	if message.Kind == Append {
+	if message.Kind == AppendEntries {
 		p.sent = true
-		p.sentRound = message.Round
+		p.sentRound = message.ReadIndexRound
 	}
-	r.step.effects.Early = append(r.step.effects.Early, message)
+	r.step.effects.MessagesBeforeSync = append(r.step.effects.MessagesBeforeSync, message)
 }
 
 func (r *Replica) receiveAnswerAppend(answer *Message) {
-	if answer.Epoch > r.promise.Epoch {
-		r.follow(answer.Epoch, "")
+	if answer.Term > r.promise.Term {
+		r.follow(answer.Term, "")
 		return
 	}
-	if r.role != owner || answer.Epoch != r.promise.Epoch {
+	if r.role != owner || answer.Term != r.promise.Term {
 		return
 	}
 	p := findPeer(r.ownership.peers, answer.From)
@@ -184,8 +184,8 @@
 		return
 	}
 	p.heard, p.answered = r.now, true
-	p.round = max(p.round, answer.Round)
-	if answer.Rejected {
+	p.round = max(p.round, answer.ReadIndexRound)
+	if answer.Reject {
 		r.repair(p, answer)
 		return
 	}
@@ -200,8 +200,8 @@
 	if outdated {
 		return
 	}
-	limit := min(answer.Hint, answer.Index-1)
-	p.probe(max(p.match, r.log.agreement(limit, answer.LogEpoch)) + 1)
+	limit := min(answer.RejectHint, answer.Index-1)
+	p.probe(max(p.match, r.log.agreement(limit, answer.LogTerm)) + 1)
 }
 
 // acknowledge records that the peer has the log up to index on disk.
--- a/internal/tier/replica/reads.go
+++ b/internal/tier/replica/reads.go
@@ -14,7 +14,7 @@
 	}
 	if r.role != owner {
 		for _, token := range tokens {
-			r.step.effects.Outcomes = append(r.step.effects.Outcomes, Outcome{Token: token, Never: true})
+			r.step.effects.Outcomes = append(r.step.effects.Outcomes, Outcome{Token: token, Dropped: true})
 		}
 		return
 	}
--- a/internal/tier/replica/replica.go
+++ b/internal/tier/replica/replica.go
@@ -32,7 +32,7 @@
 	random  randomSource
 
 	// What its disk holds after each Step's effects are done.
-	promise  Promise
+	promise  HardState
 	log      entryLog
 	snapshot *Snapshot // without its state
 	groups   groupHistory
@@ -65,17 +65,17 @@
 
 // stepState is what one Step gathers.
 type stepState struct {
-	effects        Effects
+	effects        Ready
 	saved          uint64 // last entry on disk that is still the same in memory
 	savedLast      uint64 // last entry on disk, still the same or not
 	promiseChanged bool
-	received       []Part
+	received       []Chunk
 	installed      *Snapshot
 	answer         pendingAnswer
 }
 
 // New makes a member from what it found on its disk. The state machine starts from the recovered snapshot; entries after
-// it come as Committed once they are known to be. The first Step, with an empty Input, tells when to wake it.
+// it come as CommittedEntries once they are known to be. The first Step, with an empty Input, tells when to wake it.
 func New(options Options, recovered Recovered, now time.Duration) (*Replica, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		options: options,
 		limits:  usualLimits,
 		random:  newRandomSource(options.Seed, options.ID),
-		promise: recovered.Promise,
+		promise: recovered.HardState,
 		now:     now,
 	}
 	if err := r.recover(recovered); err != nil {
@@ -101,19 +101,19 @@
 	if o.ID == "" {
 		return trace.BadParameter("a member needs an identity")
 	}
-	if o.Heartbeat <= 0 || o.Election < minimumBeats*o.Heartbeat {
+	if o.HeartbeatInterval <= 0 || o.ElectionTimeout < minimumBeats*o.HeartbeatInterval {
 		return trace.BadParameter("an election time-out of %v needs at least %d heartbeats of %v",
-			o.Election, minimumBeats, o.Heartbeat)
+			o.ElectionTimeout, minimumBeats, o.HeartbeatInterval)
 	}
 	return nil
 }
 
 // recover takes over snapshot and entries from the disk.
 func (r *Replica) recover(recovered Recovered) error {
-	base := newGroup(0, slices.Clone(r.options.Initial))
+	base := newGroup(0, slices.Clone(r.options.InitialMembers))
 	if snapshot := recovered.Snapshot; snapshot != nil {
 		r.snapshot = snapshot
-		r.log.reset(snapshot.Index, snapshot.Epoch)
+		r.log.reset(snapshot.Index, snapshot.Term)
 		r.commit, r.applied = snapshot.Index, snapshot.Index
 		base = newGroup(snapshot.Index, snapshot.Members)
 	}
@@ -125,9 +125,9 @@
 		return err
 	}
 	r.log.append(entries...)
-	if r.log.lastEpoch() > r.promise.Epoch {
+	if r.log.lastEpoch() > r.promise.Term {
 		return trace.BadParameter("the promise of epoch %d is older than the log's epoch %d",
-			r.promise.Epoch, r.log.lastEpoch())
+			r.promise.Term, r.log.lastEpoch())
 	}
 	groups, err := groupHistory{base}.extend(entries)
 	r.groups = groups
@@ -140,26 +140,26 @@
 		if entries[i].Index != index+1 {
 			return trace.BadParameter("entry %d follows entry %d", entries[i].Index, index)
 		}
-		if entries[i].Epoch < epoch {
-			return trace.BadParameter("entry %d of epoch %d follows epoch %d", entries[i].Index, entries[i].Epoch, epoch)
+		if entries[i].Term < epoch {
+			return trace.BadParameter("entry %d of epoch %d follows epoch %d", entries[i].Index, entries[i].Term, epoch)
 		}
-		index, epoch = entries[i].Index, entries[i].Epoch
+		index, epoch = entries[i].Index, entries[i].Term
 	}
 	return nil
 }
 
 // Step takes in all that has happened up to now, and tells what must be done. Now never goes back.
-func (r *Replica) Step(now time.Duration, input Input) Effects {
+func (r *Replica) Step(now time.Duration, input Input) Ready {
 	r.begin(now)
 	r.compact(input.Compact)
 	for i := range input.Messages {
 		r.receive(&input.Messages[i])
 	}
 	r.runTimers()
-	r.wish(input.Change)
+	r.wish(input.TargetMembers)
 	r.propose(input.Proposals)
 	r.read(input.Reads)
-	if input.Resign {
+	if input.TransferLeadership {
 		r.resign()
 	}
 	if r.role == owner {
@@ -180,17 +180,17 @@
 		return
 	}
 	switch message.Kind {
-	case AskVote:
+	case RequestVote:
 		r.receiveAskVote(message)
-	case AnswerVote:
+	case RequestVoteResponse:
 		r.receiveAnswerVote(message)
-	case Append:
+	case AppendEntries:
 		r.receiveAppend(message)
-	case AnswerAppend:
+	case AppendEntriesResponse:
 		r.receiveAnswerAppend(message)
 	case InstallSnapshot:
 		r.receiveSnapshot(message)
-	case AnswerSnapshot:
+	case InstallSnapshotResponse:
 		r.receiveAnswerSnapshot(message)
 	}
 }
@@ -208,28 +208,28 @@
 }
 
 // finish completes the effects of a Step.
-func (r *Replica) finish() Effects {
+func (r *Replica) finish() Ready {
 	r.flushAnswer()
 	effects := &r.step.effects
 	if r.step.promiseChanged {
 		promise := r.promise
-		effects.Promise = &promise
+		effects.HardState = &promise
 	}
-	if r.step.promiseChanged && len(effects.Early) > 0 {
-		effects.AfterSync = append(effects.Early, effects.AfterSync...)
-		effects.Early = nil
+	if r.step.promiseChanged && len(effects.MessagesBeforeSync) > 0 {
+		effects.MessagesAfterSync = append(effects.MessagesBeforeSync, effects.MessagesAfterSync...)
+		effects.MessagesBeforeSync = nil
 	}
-	effects.Received = r.step.received
-	effects.Install = r.step.installed
+	effects.ReceivedChunks = r.step.received
+	effects.Snapshot = r.step.installed
 	if r.step.saved < r.step.savedLast {
-		effects.Truncate = r.step.saved + 1
+		effects.TruncateFrom = r.step.saved + 1
 	}
-	effects.Append = r.log.between(r.step.saved+1, r.log.last())
-	effects.Committed = r.log.between(r.applied+1, r.commit)
+	effects.Entries = r.log.between(r.step.saved+1, r.log.last())
+	effects.CommittedEntries = r.log.between(r.applied+1, r.commit)
 	r.applied = r.commit
 	effects.NextWake = r.nextWake()
 	finished := *effects
-	r.step.effects = Effects{}
+	r.step.effects = Ready{}
 	return finished
 }
 
@@ -245,7 +245,7 @@
 	if r.mayStand() {
 		wake = r.electionDue
 	}
-	if r.Receiving() {
+	if r.IsReceivingSnapshot() {
 		wake = min(wake, r.incoming.due)
 	}
 	return wake
@@ -290,7 +290,7 @@
 	if snapshot.Index > r.applied || snapshot.Index <= r.snapshotIndex() {
 		return
 	}
-	if !r.log.holds(snapshot.Index, snapshot.Epoch) || len(snapshot.Members) == 0 {
+	if !r.log.holds(snapshot.Index, snapshot.Term) || len(snapshot.Members) == 0 {
 		return
 	}
 	r.snapshot = snapshot
@@ -308,10 +308,10 @@
 	return r.snapshot.Index
 }
 
-// Mark names the last entry handed out as committed, for a snapshot: the shell writes the state after applying it.
-func (r *Replica) Mark() Snapshot {
+// SnapshotMetadata names the last entry handed out as committed, for a snapshot: the shell writes the state after applying it.
+func (r *Replica) SnapshotMetadata() Snapshot {
 	epoch, _ := r.log.epochAt(r.applied)
-	return Snapshot{Index: r.applied, Epoch: epoch, Members: slices.Clone(r.groups.at(r.applied).members)}
+	return Snapshot{Index: r.applied, Term: epoch, Members: slices.Clone(r.groups.at(r.applied).members)}
 }
 
 // Address is where the member of that identity is reached; empty when not known.
@@ -327,25 +327,25 @@
 	return ""
 }
 
-// IsOwner tells whether this member is the owner and has committed an entry of its own epoch.
-func (r *Replica) IsOwner() bool {
+// IsLeader tells whether this member is the owner and has committed an entry of its own epoch.
+func (r *Replica) IsLeader() bool {
 	return r.role == owner && r.isOpen()
 }
 
 // Status is this member's view of its group.
 func (r *Replica) Status() Status {
 	status := Status{
-		ID:      r.options.ID,
-		Epoch:   r.promise.Epoch,
-		Owner:   r.owner.id,
-		Heard:   r.owner.heard,
-		IsOwner: r.IsOwner(),
-		Members: slices.Clone(r.groups.newest().members),
-		Commit:  r.commit,
-		Last:    r.log.last(),
+		ID:                r.options.ID,
+		Term:              r.promise.Term,
+		Leader:            r.owner.id,
+		LeaderLastContact: r.owner.heard,
+		IsLeader:          r.IsLeader(),
+		Members:           slices.Clone(r.groups.newest().members),
+		Commit:            r.commit,
+		LastIndex:         r.log.last(),
 	}
 	if r.role == owner {
-		status.Owner = r.options.ID
+		status.Leader = r.options.ID
 		status.CaughtUp = r.caughtUp()
 	}
 	return status
--- a/internal/tier/replica/transfer.go
+++ b/internal/tier/replica/transfer.go
@@ -43,8 +43,8 @@
 	if t.wanted == 0 {
 		window = 1 // the peer may not be able to take it now
 	}
-	for t.next < min(t.wanted+window, t.snapshot.Parts) {
-		r.sendEarly(p, Message{Kind: InstallSnapshot, To: p.id, Epoch: r.promise.Epoch, Snapshot: t.snapshot, Part: t.next})
+	for t.next < min(t.wanted+window, t.snapshot.Chunks) {
+		r.sendEarly(p, Message{Kind: InstallSnapshot, To: p.id, Term: r.promise.Term, Snapshot: t.snapshot, Chunk: t.next})
 		t.next++
 	}
 }
@@ -52,13 +52,13 @@
 // partsDue is when parts are sent again unless one is acknowledged before.
 func (r *Replica) partsDue(t *transfer) time.Duration {
 	if t.wanted == 0 {
-		return r.now + offerBeats*r.options.Heartbeat
+		return r.now + offerBeats*r.options.HeartbeatInterval
 	}
-	return r.now + installPatience*r.options.Election
+	return r.now + installPatience*r.options.ElectionTimeout
 }
 
-// Sending tells whether a snapshot is on its way to a member that takes it: the disk should keep it for a while.
-func (r *Replica) Sending() bool {
+// IsSendingSnapshot tells whether a snapshot is on its way to a member that takes it: the disk should keep it for a while.
+func (r *Replica) IsSendingSnapshot() bool {
 	if r.role != owner {
 		return false
 	}
@@ -72,7 +72,7 @@
 
 // receiveAnswerSnapshot takes notice of which part a peer wants next.
 func (r *Replica) receiveAnswerSnapshot(answer *Message) {
-	if r.role != owner || answer.Epoch != r.promise.Epoch {
+	if r.role != owner || answer.Term != r.promise.Term {
 		return
 	}
 	p := findPeer(r.ownership.peers, answer.From)
@@ -81,15 +81,15 @@
 	}
 	p.heard = r.now
 	t := &p.transfer
-	if p.state != installing || t.snapshot == nil || answer.Index != t.snapshot.Index || answer.Part > t.snapshot.Parts {
+	if p.state != installing || t.snapshot == nil || answer.Index != t.snapshot.Index || answer.Chunk > t.snapshot.Chunks {
 		return
 	}
 	switch {
-	case answer.Part > t.wanted:
-		t.wanted, t.next = answer.Part, max(t.next, answer.Part)
+	case answer.Chunk > t.wanted:
+		t.wanted, t.next = answer.Chunk, max(t.next, answer.Chunk)
 		t.due, t.rewound = r.partsDue(t), false
-	case answer.Rejected && (answer.Part < t.wanted || !t.rewound):
-		t.wanted, t.next = answer.Part, answer.Part
+	case answer.Reject && (answer.Chunk < t.wanted || !t.rewound):
+		t.wanted, t.next = answer.Chunk, answer.Chunk
 		t.due, t.rewound = r.partsDue(t), true
 	}
 }
@@ -105,21 +105,21 @@
 
 // isOf tells whether a message brings a part of the snapshot that is being received.
 func (i *incoming) isOf(message *Message) bool {
-	return i.from == message.From && i.epoch == message.Epoch &&
-		i.snapshot.Index == message.Snapshot.Index && i.snapshot.Parts == message.Snapshot.Parts
+	return i.from == message.From && i.epoch == message.Term &&
+		i.snapshot.Index == message.Snapshot.Index && i.snapshot.Chunks == message.Snapshot.Chunks
 }
 
 // outdates tells whether a message comes late, with a part of an older snapshot of the same owner.
 func (i *incoming) outdates(message *Message) bool {
-	return i.from == message.From && i.epoch == message.Epoch && i.snapshot.Index > message.Snapshot.Index
+	return i.from == message.From && i.epoch == message.Term && i.snapshot.Index > message.Snapshot.Index
 }
 
-// Receiving tells whether parts of a snapshot have been received and it isn't whole yet.
-func (r *Replica) Receiving() bool { return r.incoming.from != "" }
+// IsReceivingSnapshot tells whether parts of a snapshot have been received and it isn't whole yet.
+func (r *Replica) IsReceivingSnapshot() bool { return r.incoming.from != "" }
 
 // dropStaleIncoming gives up a snapshot whose sender sends no more of it.
 func (r *Replica) dropStaleIncoming() {
-	if r.Receiving() && r.now >= r.incoming.due {
+	if r.IsReceivingSnapshot() && r.now >= r.incoming.due {
 		r.incoming = incoming{}
 	}
 }
@@ -128,14 +128,14 @@
 // only shows that the owner is there.
 func (r *Replica) receiveSnapshot(message *Message) {
 	snapshot := message.Snapshot
-	if !r.heed(message) || snapshot == nil || snapshot.Parts < 1 {
+	if !r.heed(message) || snapshot == nil || snapshot.Chunks < 1 {
 		return
 	}
 	if snapshot.Index <= r.commit {
 		r.accept(message, r.commit)
 		return
 	}
-	if r.log.holds(snapshot.Index, snapshot.Epoch) {
+	if r.log.holds(snapshot.Index, snapshot.Term) {
 		r.commitUpTo(snapshot.Index)
 		r.accept(message, snapshot.Index)
 		return
@@ -151,23 +151,23 @@
 	if r.incoming.outdates(message) {
 		return
 	}
-	if !r.Receiving() || !r.incoming.isOf(message) {
+	if !r.IsReceivingSnapshot() || !r.incoming.isOf(message) {
 		r.incoming = incoming{}
-		if message.Part != 0 {
+		if message.Chunk != 0 {
 			r.wantPart(message, 0, true)
 			return
 		}
-		r.incoming = incoming{from: message.From, epoch: message.Epoch, snapshot: withoutState(message.Snapshot)}
+		r.incoming = incoming{from: message.From, epoch: message.Term, snapshot: withoutState(message.Snapshot)}
 	}
 	i := &r.incoming
-	i.due = r.now + 2*installPatience*r.options.Election
-	if message.Part != i.wanted {
-		r.wantPart(message, i.wanted, message.Part > i.wanted)
+	i.due = r.now + 2*installPatience*r.options.ElectionTimeout
+	if message.Chunk != i.wanted {
+		r.wantPart(message, i.wanted, message.Chunk > i.wanted)
 		return
 	}
-	r.step.received = append(r.step.received, Part{Number: i.wanted, State: message.Snapshot.State})
+	r.step.received = append(r.step.received, Chunk{Number: i.wanted, Data: message.Snapshot.State})
 	i.wanted++
-	if i.wanted < i.snapshot.Parts {
+	if i.wanted < i.snapshot.Chunks {
 		r.wantPart(message, i.wanted, false)
 		return
 	}
@@ -177,8 +177,8 @@
 
 // wantPart tells the owner which part is to come next; with rejected, that those before the one it has sent are missing.
 func (r *Replica) wantPart(message *Message, number int, rejected bool) {
-	r.sendAfterSync(Message{Kind: AnswerSnapshot, To: message.From, Epoch: message.Epoch, Index: message.Snapshot.Index,
-		Part: number, Rejected: rejected})
+	r.sendAfterSync(Message{Kind: InstallSnapshotResponse, To: message.From, Term: message.Term, Index: message.Snapshot.Index,
+		Chunk: number, Reject: rejected})
 }
 
 // withoutState returns what a member needs to remember of a snapshot: the state lies on the disk and in the state machine.
@@ -192,7 +192,7 @@
 func (r *Replica) install(snapshot *Snapshot) {
 	r.incoming = incoming{}
 	r.snapshot = snapshot
-	r.log.reset(snapshot.Index, snapshot.Epoch)
+	r.log.reset(snapshot.Index, snapshot.Term)
 	r.groups = groupHistory{newGroup(snapshot.Index, snapshot.Members)}
 	r.commit, r.applied = snapshot.Index, snapshot.Index
 	r.step.installed = snapshot
