--- a/internal/tier/replica/transfer_test.go
+++ b/internal/tier/replica/transfer_test.go
@@ -9,8 +9,8 @@
 
 // partOfSnapshot is a part of a snapshot up to index as an owner sends it to b.
 func partOfSnapshot(from string, epoch, index uint64, number int) Message {
-	return Message{Kind: InstallSnapshot, From: from, To: "b", Epoch: epoch, Part: number,
-		Snapshot: &Snapshot{Index: index, Epoch: 2, Parts: 3, Members: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, State: []byte{byte('0' + number)}}}
+	return Message{Kind: InstallSnapshot, From: from, To: "b", Term: epoch, Chunk: number,
+		Snapshot: &Snapshot{Index: index, Term: 2, Chunks: 3, Members: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, State: []byte{byte('0' + number)}}}
 }
 
 // wanted is what a follower answers to a part.
@@ -26,49 +26,49 @@
 		before    []Message
 		message   Message
 		answer    wanted
-		received  []Part
+		received  []Chunk
 		receiving bool
 		installed bool
 	}
 	first, second, third := partOfSnapshot("a", 2, 9, 0), partOfSnapshot("a", 2, 9, 1), partOfSnapshot("a", 2, 9, 2)
 	cases := []given{
-		{name: "the first", message: first, answer: wanted{Index: 9, Part: 1}, received: []Part{{0, []byte("0")}}, receiving: true},
+		{name: "the first", message: first, answer: wanted{Index: 9, Part: 1}, received: []Chunk{{0, []byte("0")}}, receiving: true},
 		{name: "a later one at first", message: second, answer: wanted{Index: 9, Part: 0, Rejected: true}},
-		{name: "the next", before: []Message{first}, message: second, answer: wanted{Index: 9, Part: 2}, received: []Part{{1, []byte("1")}}, receiving: true},
+		{name: "the next", before: []Message{first}, message: second, answer: wanted{Index: 9, Part: 2}, received: []Chunk{{1, []byte("1")}}, receiving: true},
 		{name: "a gap", before: []Message{first}, message: third, answer: wanted{Index: 9, Part: 1, Rejected: true}, receiving: true},
 		{name: "the first again", before: []Message{first, second}, message: first, answer: wanted{Index: 9, Part: 2}, receiving: true},
 		{name: "a newer snapshot", before: []Message{first, second}, message: partOfSnapshot("a", 2, 12, 0), answer: wanted{Index: 12, Part: 1},
-			received: []Part{{0, []byte("0")}}, receiving: true},
+			received: []Chunk{{0, []byte("0")}}, receiving: true},
 		{name: "a later part of a newer snapshot", before: []Message{first}, message: partOfSnapshot("a", 2, 12, 1), answer: wanted{Index: 12, Part: 0, Rejected: true}},
 		{name: "late, of an older snapshot", before: []Message{first}, message: partOfSnapshot("a", 2, 7, 0), receiving: true},
 		{name: "of a new owner", before: []Message{first}, message: partOfSnapshot("c", 3, 9, 1), answer: wanted{Index: 9, Part: 0, Rejected: true}},
 		{name: "of an owner whose epoch is over", before: []Message{first, partOfSnapshot("c", 3, 9, 0)}, message: second, receiving: true},
-		{name: "the last", before: []Message{first, second}, message: third, received: []Part{{2, []byte("2")}}, installed: true},
-		{name: "without a snapshot", before: []Message{first}, message: Message{Kind: InstallSnapshot, From: "a", To: "b", Epoch: 2}, receiving: true},
+		{name: "the last", before: []Message{first, second}, message: third, received: []Chunk{{2, []byte("2")}}, installed: true},
+		{name: "without a snapshot", before: []Message{first}, message: Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2}, receiving: true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := givenFollower(t, 2, 1)
 			for _, message := range tc.before {
-				if r.Step(0, Input{Messages: []Message{message}}); r.Status().Last != 1 || r.Status().Commit != 0 {
+				if r.Step(0, Input{Messages: []Message{message}}); r.Status().LastIndex != 1 || r.Status().Commit != 0 {
 					t.Fatalf("half a snapshot counts: %+v", r.Status())
 				}
 			}
 			effects := r.Step(0, Input{Messages: []Message{tc.message}})
 			var got wanted
-			for _, answer := range effects.AfterSync {
-				if answer.Kind == AnswerSnapshot {
-					got = wanted{Index: answer.Index, Part: answer.Part, Rejected: answer.Rejected}
+			for _, answer := range effects.MessagesAfterSync {
+				if answer.Kind == InstallSnapshotResponse {
+					got = wanted{Index: answer.Index, Part: answer.Chunk, Rejected: answer.Reject}
 				}
 			}
 			if got != tc.answer {
 				t.Errorf("answer %+v, want %+v", got, tc.answer)
 			}
-			if diff := cmp.Diff(tc.received, effects.Received); diff != "" {
+			if diff := cmp.Diff(tc.received, effects.ReceivedChunks); diff != "" {
 				t.Errorf("received (-want +got):\n%s", diff)
 			}
-			if r.Receiving() != tc.receiving || (effects.Install != nil) != tc.installed {
-				t.Errorf("receiving %v, installed %+v", r.Receiving(), effects.Install)
+			if r.IsReceivingSnapshot() != tc.receiving || (effects.Snapshot != nil) != tc.installed {
+				t.Errorf("receiving %v, installed %+v", r.IsReceivingSnapshot(), effects.Snapshot)
 			}
 		})
 	}
@@ -84,21 +84,21 @@
 	}
 	// when its owner goes on and sends no more parts, then it gives the snapshot up in time.
 	for now := time.Duration(0); now <= due; now += testHeartbeat {
-		r.Step(now, Input{Messages: []Message{{Kind: Append, From: "a", To: "b", Epoch: 2, Index: 1, LogEpoch: 1}}})
-		if r.Receiving() != (now < due) {
-			t.Fatalf("receiving %v at %v", r.Receiving(), now)
+		r.Step(now, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1}}})
+		if r.IsReceivingSnapshot() != (now < due) {
+			t.Fatalf("receiving %v at %v", r.IsReceivingSnapshot(), now)
 		}
 	}
 }
 
 func TestCompactionGivesUpASnapshotThatIsReceived(t *testing.T) {
 	r := givenFollower(t, 2, 1, 1)
-	r.Step(0, Input{Messages: []Message{{Kind: Append, From: "a", To: "b", Epoch: 2, Index: 2, LogEpoch: 1, Commit: 2}}})
+	r.Step(0, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: 2, LogTerm: 1, Commit: 2}}})
 	r.Step(0, Input{Messages: []Message{partOfSnapshot("a", 2, 9, 0)}})
-	mark := r.Mark()
+	mark := r.SnapshotMetadata()
 	effects := r.Step(0, Input{Compact: &mark, Messages: []Message{partOfSnapshot("a", 2, 9, 1)}})
-	if r.Receiving() || len(effects.Received) > 0 {
-		t.Errorf("it goes on with a snapshot whose parts are gone: %+v", effects.Received)
+	if r.IsReceivingSnapshot() || len(effects.ReceivedChunks) > 0 {
+		t.Errorf("it goes on with a snapshot whose parts are gone: %+v", effects.ReceivedChunks)
 	}
 }
 
@@ -110,23 +110,23 @@
 		p.step(Input{Proposals: []Proposal{command(token, 1)}})
 	}
 	p.acknowledge("b", 150)
-	mark := p.r.Mark()
-	mark.Parts = 9
+	mark := p.r.SnapshotMetadata()
+	mark.Chunks = 9
 	p.step(Input{Compact: &mark})
 	return p
 }
 
 // answerPart tells the owner which part c wants, and returns the parts that it sends.
 func (p *handDriven) answerPart(part int, rejected bool) []int {
-	effects := p.step(Input{Messages: []Message{{Kind: AnswerSnapshot, From: "c", To: "a", Epoch: 1, Index: p.r.snapshotIndex(), Part: part, Rejected: rejected}}})
-	return partsIn(effects.Early)
+	effects := p.step(Input{Messages: []Message{{Kind: InstallSnapshotResponse, From: "c", To: "a", Term: 1, Index: p.r.snapshotIndex(), Chunk: part, Reject: rejected}}})
+	return partsIn(effects.MessagesBeforeSync)
 }
 
 func partsIn(messages []Message) []int {
 	var parts []int
 	for _, message := range messages {
 		if message.Kind == InstallSnapshot {
-			parts = append(parts, message.Part)
+			parts = append(parts, message.Chunk)
 		}
 	}
 	return parts
@@ -134,11 +134,11 @@
 
 func TestOwnerSendsAFewPartsAhead(t *testing.T) {
 	p := givenSender(t)
-	effects := p.step(Input{Messages: []Message{{Kind: AnswerAppend, From: "c", To: "a", Epoch: 1, Index: 201, Rejected: true, Hint: 0}}})
-	if diff := cmp.Diff([]int{0}, partsIn(effects.Early)); diff != "" {
+	effects := p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 201, Reject: true, RejectHint: 0}}})
+	if diff := cmp.Diff([]int{0}, partsIn(effects.MessagesBeforeSync)); diff != "" {
 		t.Fatalf("at first (-want +got):\n%s", diff)
 	}
-	if p.r.Sending() {
+	if p.r.IsSendingSnapshot() {
 		t.Error("a snapshot counts as being sent though nothing of it has arrived")
 	}
 	for _, step := range []struct {
@@ -161,13 +161,13 @@
 		}
 	}
 	p.answerPart(8, false)
-	if !p.r.Sending() {
+	if !p.r.IsSendingSnapshot() {
 		t.Error("no snapshot counts as being sent")
 	}
 	// What is lost without an answer is sent again after a while, as long as the member answers at all.
 	p.now += 2 * testElection
-	effects = p.step(Input{Messages: []Message{{Kind: AnswerAppend, From: "c", To: "a", Epoch: 1}, {Kind: AnswerAppend, From: "b", To: "a", Epoch: 1, Index: 201}}})
-	if diff := cmp.Diff([]int{8}, partsIn(effects.Early)); diff != "" {
+	effects = p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1}, {Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 201}}})
+	if diff := cmp.Diff([]int{8}, partsIn(effects.MessagesBeforeSync)); diff != "" {
 		t.Errorf("after a while (-want +got):\n%s", diff)
 	}
 }
--- a/internal/tier/storage/bench_test.go
+++ b/internal/tier/storage/bench_test.go
@@ -28,14 +28,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	effects := replica.Effects{Append: make([]replica.Entry, entries)}
+	effects := replica.Ready{Entries: make([]replica.Entry, entries)}
 	next := uint64(1)
 	data := entryAt(1, 1, dataBytes-2).Data
 	b.SetBytes(int64(entries * dataBytes))
 	b.ReportAllocs()
 	for b.Loop() {
-		for i := range effects.Append {
-			effects.Append[i] = replica.Entry{Index: next, Epoch: 1, Data: data}
+		for i := range effects.Entries {
+			effects.Entries[i] = replica.Entry{Index: next, Term: 1, Data: data}
 			next++
 		}
 		if err := group.Save(&effects); err != nil {
@@ -43,8 +43,8 @@
 		}
 		if group.LogBytes() > maxLogBytes {
 			b.StopTimer()
-			snapshot := replica.Snapshot{Index: next - 1, Epoch: 1, Parts: 1, State: data}
-			if err := group.Compact(snapshot, written(&snapshot), nil, replica.Promise{}); err != nil {
+			snapshot := replica.Snapshot{Index: next - 1, Term: 1, Chunks: 1, State: data}
+			if err := group.Compact(snapshot, written(&snapshot), nil, replica.HardState{}); err != nil {
 				b.Fatal(err)
 			}
 			b.StartTimer()
@@ -75,7 +75,7 @@
 		b.Fatal(err)
 	}
 	for i := range uint64(entries) {
-		if err := group.Save(&replica.Effects{Append: []replica.Entry{entryAt(i+1, 1, dataBytes-2)}}); err != nil {
+		if err := group.Save(&replica.Ready{Entries: []replica.Entry{entryAt(i+1, 1, dataBytes-2)}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/tier/storage/compaction.go
+++ b/internal/tier/storage/compaction.go
@@ -12,7 +12,7 @@
 //
 // Up to the sync of the new log the old slot and log hold everything; from then on the new ones do. A loss of power or a
 // kill in between leaves the one or the other.
-func (g *Group) Compact(snapshot replica.Snapshot, parts Parts, remaining []replica.Entry, promise replica.Promise) error {
+func (g *Group) Compact(snapshot replica.Snapshot, parts Parts, remaining []replica.Entry, promise replica.HardState) error {
 	if g.broken != nil {
 		return trace.Wrap(g.broken)
 	}
@@ -31,7 +31,7 @@
 }
 
 // adopt completes a slot and puts it and a new log in place of those before.
-func (g *Group) adopt(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, promise replica.Promise) error {
+func (g *Group) adopt(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, promise replica.HardState) error {
 	if err := writer.finish(snapshot, promise); err != nil {
 		return err
 	}
@@ -51,24 +51,24 @@
 }
 
 // install puts a snapshot that was received, and the entries behind it, in place of all that was saved before.
-func (g *Group) install(effects *replica.Effects) error {
+func (g *Group) install(effects *replica.Ready) error {
 	writer := g.incoming
 	g.incoming = nil
-	if writer == nil || len(writer.layout.offsets) != effects.Install.Parts || effects.Truncate > 0 {
+	if writer == nil || len(writer.layout.offsets) != effects.Snapshot.Chunks || effects.TruncateFrom > 0 {
 		if writer != nil {
 			_ = writer.file.Close()
 		}
 		return g.fail("check of what is to be saved", trace.BadParameter("a snapshot is installed that was not received whole"))
 	}
 	promise := g.promise
-	if effects.Promise != nil {
-		promise = *effects.Promise
+	if effects.HardState != nil {
+		promise = *effects.HardState
 	}
-	return g.adopt(writer, effects.Install, effects.Append, promise)
+	return g.adopt(writer, effects.Snapshot, effects.Entries, promise)
 }
 
 // checkCompaction refuses a compaction that would lose something saved.
-func (g *Group) checkCompaction(snapshot *replica.Snapshot, remaining []replica.Entry, promise replica.Promise) error {
+func (g *Group) checkCompaction(snapshot *replica.Snapshot, remaining []replica.Entry, promise replica.HardState) error {
 	if err := checkPromise(g.promise, promise); err != nil {
 		return trace.BadParameter("compaction: %v", err)
 	}
--- a/internal/tier/storage/contents.go
+++ b/internal/tier/storage/contents.go
@@ -73,9 +73,9 @@
 func (c *contents) apply(line *record, data json.RawMessage) error {
 	switch line.Kind {
 	case promiseRecord:
-		c.Promise = replica.Promise{Epoch: line.Epoch, Vote: line.Vote}
+		c.HardState = replica.HardState{Term: line.Epoch, Vote: line.Vote}
 	case snapshotRecord:
-		c.Snapshot = &replica.Snapshot{Index: line.Index, Epoch: line.Epoch, Members: line.Members, Parts: line.Parts}
+		c.Snapshot = &replica.Snapshot{Index: line.Index, Term: line.Epoch, Members: line.Members, Chunks: line.Parts}
 		c.Entries = nil
 	case truncateRecord:
 		return c.truncate(line.Index)
@@ -83,7 +83,7 @@
 		if line.Index != c.last()+1 {
 			return fmt.Errorf("entry %d follows entry %d", line.Index, c.last())
 		}
-		entry := replica.Entry{Index: line.Index, Epoch: line.Epoch, Kind: line.EntryKind, Data: data}
+		entry := replica.Entry{Index: line.Index, Term: line.Epoch, Kind: line.EntryKind, Data: data}
 		c.Entries = append(c.Entries, entry)
 	default:
 		return fmt.Errorf("unknown record %q", line.Kind)
--- a/internal/tier/storage/entry.go
+++ b/internal/tier/storage/entry.go
@@ -24,7 +24,7 @@
 		buffer = append(buffer, entryIndexPart...)
 		buffer = strconv.AppendUint(buffer, entry.Index, 10)
 		buffer = append(buffer, entryEpochPart...)
-		buffer = strconv.AppendUint(buffer, entry.Epoch, 10)
+		buffer = strconv.AppendUint(buffer, entry.Term, 10)
 		buffer = append(buffer, entryKindPart...)
 		buffer = strconv.AppendUint(buffer, uint64(entry.Kind), 10)
 		buffer = append(buffer, entrySizePart...)
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -28,19 +28,19 @@
 var (
 	formatMembers = []replica.Member{{ID: "0a1b", Address: "10.0.0.1:7380"}, {ID: "2c\n\"", Address: "10.0.0.2:7380", Learner: true}}
 	formatEntries = []replica.Entry{
-		{Index: 1, Epoch: 3, Kind: replica.Opening},
-		{Index: 2, Epoch: 3, Kind: replica.Command, Data: json.RawMessage(`{"begin":{"turn":"t-1"}}`)},
-		{Index: 3, Epoch: 4, Kind: replica.Membership, Data: json.RawMessage(`[{"id":"0a1b","address":"10.0.0.1:7380"}]`)},
-		{Index: 4, Epoch: 4, Kind: replica.Command, Data: json.RawMessage("\"\x00\x1fG\x01 and\na line\"")},
+		{Index: 1, Term: 3, Kind: replica.NoOp},
+		{Index: 2, Term: 3, Kind: replica.Command, Data: json.RawMessage(`{"begin":{"turn":"t-1"}}`)},
+		{Index: 3, Term: 4, Kind: replica.ConfChange, Data: json.RawMessage(`[{"id":"0a1b","address":"10.0.0.1:7380"}]`)},
+		{Index: 4, Term: 4, Kind: replica.Command, Data: json.RawMessage("\"\x00\x1fG\x01 and\na line\"")},
 	}
-	formatReplacement = replica.Entry{Index: 4, Epoch: 5, Kind: replica.Opening}
-	formatTail        = replica.Entry{Index: 5, Epoch: 5, Kind: replica.Command, Data: json.RawMessage(`"five"`)}
-	formatPromise     = replica.Promise{Epoch: 5, Vote: "2c\n\""}
+	formatReplacement = replica.Entry{Index: 4, Term: 5, Kind: replica.NoOp}
+	formatTail        = replica.Entry{Index: 5, Term: 5, Kind: replica.Command, Data: json.RawMessage(`"five"`)}
+	formatPromise     = replica.HardState{Term: 5, Vote: "2c\n\""}
 )
 
 // formatSnapshot is a snapshot whose state comes in so many parts.
 func formatSnapshot(index uint64, parts int) *replica.Snapshot {
-	return &replica.Snapshot{Index: index, Epoch: 4, Members: formatMembers, Parts: parts}
+	return &replica.Snapshot{Index: index, Term: 4, Members: formatMembers, Chunks: parts}
 }
 
 // formatChunks hands texts over as the parts of a snapshot's state.
@@ -62,11 +62,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, effects := range []replica.Effects{
-		{Promise: &replica.Promise{Epoch: 3}},
-		{Append: formatEntries[:2]},
-		{Promise: &replica.Promise{Epoch: 4, Vote: "0a1b"}, Append: formatEntries[2:]},
-		{Promise: &formatPromise, Truncate: 4, Append: []replica.Entry{formatReplacement}},
+	for _, effects := range []replica.Ready{
+		{HardState: &replica.HardState{Term: 3}},
+		{Entries: formatEntries[:2]},
+		{HardState: &replica.HardState{Term: 4, Vote: "0a1b"}, Entries: formatEntries[2:]},
+		{HardState: &formatPromise, TruncateFrom: 4, Entries: []replica.Entry{formatReplacement}},
 	} {
 		if err := group.Save(&effects); err != nil {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 	if err := group.Compact(*formatSnapshot(2, 3), formatChunks(`{"a":`, `1`, `}`), remaining, formatPromise); err != nil {
 		t.Fatal(err)
 	}
-	if err := group.Save(&replica.Effects{Append: []replica.Entry{formatTail}}); err != nil {
+	if err := group.Save(&replica.Ready{Entries: []replica.Entry{formatTail}}); err != nil {
 		t.Fatal(err)
 	}
 	return group
@@ -102,11 +102,11 @@
 var formatFixtures = map[string]formatFixture{
 	"log": {
 		write: func(t *testing.T, disk *memorydisk.Disk) { formatLog(t, disk) },
-		want:  replica.Recovered{Promise: formatPromise, Entries: []replica.Entry{formatEntries[0], formatEntries[1], formatEntries[2], formatReplacement}},
+		want:  replica.Recovered{HardState: formatPromise, Entries: []replica.Entry{formatEntries[0], formatEntries[1], formatEntries[2], formatReplacement}},
 	},
 	"compacted": {
 		write: func(t *testing.T, disk *memorydisk.Disk) { formatCompacted(t, disk) },
-		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
@@ -117,35 +117,35 @@
 				t.Fatal(err)
 			}
 		},
-		want:   replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(5, 2)},
+		want:   replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(5, 2)},
 		chunks: []string{`{"b"`, `:2}`},
 	},
 	"installed": { // a snapshot that another member sent, and an entry behind it
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			for number, state := range []string{`[3,`, `4]`} {
-				effects := replica.Effects{Received: []replica.Part{{Number: number, State: json.RawMessage(state)}}}
+				effects := replica.Ready{ReceivedChunks: []replica.Chunk{{Number: number, Data: json.RawMessage(state)}}}
 				if number == 1 {
-					effects.Install, effects.Promise = formatSnapshot(9, 2), &replica.Promise{Epoch: 6}
-					effects.Append = []replica.Entry{{Index: 10, Epoch: 6, Kind: replica.Opening}}
+					effects.Snapshot, effects.HardState = formatSnapshot(9, 2), &replica.HardState{Term: 6}
+					effects.Entries = []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}
 				}
 				if err := group.Save(&effects); err != nil {
 					t.Fatal(err)
 				}
 			}
 		},
-		want: replica.Recovered{Promise: replica.Promise{Epoch: 6}, Snapshot: formatSnapshot(9, 2),
-			Entries: []replica.Entry{{Index: 10, Epoch: 6, Kind: replica.Opening}}},
+		want: replica.Recovered{HardState: replica.HardState{Term: 6}, Snapshot: formatSnapshot(9, 2),
+			Entries: []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}},
 		chunks: []string{`[3,`, `4]`},
 	},
 	"received": { // a snapshot of which one part has come: it counts for nothing
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			if err := group.Save(&replica.Effects{Received: []replica.Part{{State: json.RawMessage(`[3,`)}}}); err != nil {
+			if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{{Data: json.RawMessage(`[3,`)}}}); err != nil {
 				t.Fatal(err)
 			}
 		},
-		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
@@ -156,7 +156,7 @@
 				return group.Compact(*formatSnapshot(5, 1), formatChunks(`{}`), nil, formatPromise)
 			})
 		},
-		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
@@ -167,7 +167,7 @@
 				return group.Compact(*formatSnapshot(4, 1), formatChunks(`{}`), []replica.Entry{formatTail}, formatPromise)
 			})
 		},
-		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
@@ -175,10 +175,10 @@
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			formatStopped(t, disk, 0, memorydisk.Half, func() error {
-				return group.Save(&replica.Effects{Append: []replica.Entry{{Index: 6, Epoch: 5, Data: json.RawMessage(`"six"`)}}})
+				return group.Save(&replica.Ready{Entries: []replica.Entry{{Index: 6, Term: 5, Data: json.RawMessage(`"six"`)}}})
 			})
 		},
-		want: replica.Recovered{Promise: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
--- a/internal/tier/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -27,7 +27,7 @@
 	layout     slotLayout  // of the slot that the log follows; of no meaning in generation 0
 	incoming   *slotWriter // of a snapshot that is being received; nil: none
 
-	promise replica.Promise
+	promise replica.HardState
 	base    uint64 // index that the snapshot stands for
 	last    uint64 // index of the last saved entry
 
@@ -37,7 +37,7 @@
 
 // Save writes what one step has to save by one write and one sync. It does nothing when there is nothing to save. Parts of
 // a snapshot are written and not synced, as long as that isn't installed; installing it is done as a compaction.
-func (g *Group) Save(effects *replica.Effects) error {
+func (g *Group) Save(effects *replica.Ready) error {
 	if g.broken != nil {
 		return trace.Wrap(g.broken)
 	}
@@ -45,13 +45,13 @@
 	if err != nil {
 		return trace.Wrap(g.fail("check of what is to be saved", err))
 	}
-	if err := g.receive(effects.Received); err != nil {
+	if err := g.receive(effects.ReceivedChunks); err != nil {
 		return trace.Wrap(err)
 	}
-	if effects.Promise == nil && effects.Install == nil && effects.Truncate == 0 && len(effects.Append) == 0 {
+	if effects.HardState == nil && effects.Snapshot == nil && effects.TruncateFrom == 0 && len(effects.Entries) == 0 {
 		return nil
 	}
-	if effects.Install != nil {
+	if effects.Snapshot != nil {
 		return trace.Wrap(g.install(effects))
 	}
 	buffer := beginFrame(g.buffer[:0], g.generation, g.sequence)
@@ -63,8 +63,8 @@
 	if err := g.append(buffer); err != nil {
 		return trace.Wrap(err)
 	}
-	if effects.Promise != nil {
-		g.promise = *effects.Promise
+	if effects.HardState != nil {
+		g.promise = *effects.HardState
 	}
 	g.base, g.last = base, last
 	return nil
@@ -90,33 +90,33 @@
 func (g *Group) cutLog() { _ = g.log.Truncate(g.logBytes) }
 
 // follow checks that effects fit behind what is saved, and returns the indexes that they lead to.
-func (g *Group) follow(effects *replica.Effects) (base, last uint64, err error) {
+func (g *Group) follow(effects *replica.Ready) (base, last uint64, err error) {
 	base, last = g.base, g.last
-	if effects.Promise != nil {
-		if err := checkPromise(g.promise, *effects.Promise); err != nil {
+	if effects.HardState != nil {
+		if err := checkPromise(g.promise, *effects.HardState); err != nil {
 			return 0, 0, err
 		}
 	}
-	if effects.Install != nil {
-		base, last = effects.Install.Index, effects.Install.Index
+	if effects.Snapshot != nil {
+		base, last = effects.Snapshot.Index, effects.Snapshot.Index
 	}
-	if effects.Truncate > 0 {
-		if effects.Truncate <= base {
-			return 0, 0, fmt.Errorf("a cut at %d lies within the snapshot up to %d", effects.Truncate, base)
+	if effects.TruncateFrom > 0 {
+		if effects.TruncateFrom <= base {
+			return 0, 0, fmt.Errorf("a cut at %d lies within the snapshot up to %d", effects.TruncateFrom, base)
 		}
-		last = min(last, effects.Truncate-1)
+		last = min(last, effects.TruncateFrom-1)
 	}
-	last, err = checkEntries(last, effects.Append)
+	last, err = checkEntries(last, effects.Entries)
 	return base, last, err
 }
 
 // checkPromise refuses a promise that takes back an earlier one.
-func checkPromise(saved, next replica.Promise) error {
-	if next.Epoch < saved.Epoch {
-		return fmt.Errorf("a promise of epoch %d would take back that of epoch %d", next.Epoch, saved.Epoch)
+func checkPromise(saved, next replica.HardState) error {
+	if next.Term < saved.Term {
+		return fmt.Errorf("a promise of epoch %d would take back that of epoch %d", next.Term, saved.Term)
 	}
-	if next.Epoch == saved.Epoch && saved.Vote != "" && next.Vote != saved.Vote {
-		return fmt.Errorf("a vote for %q in epoch %d would take back that for %q", next.Vote, next.Epoch, saved.Vote)
+	if next.Term == saved.Term && saved.Vote != "" && next.Vote != saved.Vote {
+		return fmt.Errorf("a vote for %q in epoch %d would take back that for %q", next.Vote, next.Term, saved.Vote)
 	}
 	return nil
 }
--- a/internal/tier/storage/open.go
+++ b/internal/tier/storage/open.go
@@ -166,7 +166,7 @@
 	}
 	return &Group{disk: r.disk, name: r.name, log: log.file, logBytes: log.end, generation: generation,
 		sequence: uint64(len(log.frames)), newest: r.newest(), layout: r.layout, slotLasts: r.files.slots,
-		promise: r.contents.Promise, base: r.contents.base(), last: r.contents.last()}, nil
+		promise: r.contents.HardState, base: r.contents.base(), last: r.contents.last()}, nil
 }
 
 // foldSlot folds in the slot that a generation's log follows.
@@ -197,7 +197,7 @@
 		damage.Reason = err.Error()
 		return damage
 	}
-	if r.contents.Snapshot == nil || r.contents.Snapshot.Parts != len(layout.offsets) {
+	if r.contents.Snapshot == nil || r.contents.Snapshot.Chunks != len(layout.offsets) {
 		damage.Reason = "the slot does not hold the parts that it states"
 		return damage
 	}
--- a/internal/tier/storage/record.go
+++ b/internal/tier/storage/record.go
@@ -42,14 +42,14 @@
 }
 
 // appendPromise appends a promise.
-func appendPromise(buffer []byte, promise replica.Promise) ([]byte, error) {
-	return appendRecord(buffer, &record{Kind: promiseRecord, Epoch: promise.Epoch, Vote: promise.Vote})
+func appendPromise(buffer []byte, promise replica.HardState) ([]byte, error) {
+	return appendRecord(buffer, &record{Kind: promiseRecord, Epoch: promise.Term, Vote: promise.Vote})
 }
 
 // appendSnapshot appends a snapshot without its state.
 func appendSnapshot(buffer []byte, snapshot *replica.Snapshot) ([]byte, error) {
-	line := record{Kind: snapshotRecord, Index: snapshot.Index, Epoch: snapshot.Epoch,
-		Members: snapshot.Members, Parts: snapshot.Parts}
+	line := record{Kind: snapshotRecord, Index: snapshot.Index, Epoch: snapshot.Term,
+		Members: snapshot.Members, Parts: snapshot.Chunks}
 	return appendRecord(buffer, &line)
 }
 
@@ -61,15 +61,15 @@
 }
 
 // appendEffects appends all that one step has to save, apart from snapshots.
-func appendEffects(buffer []byte, effects *replica.Effects) ([]byte, error) {
+func appendEffects(buffer []byte, effects *replica.Ready) ([]byte, error) {
 	var err error
-	if effects.Promise != nil {
-		if buffer, err = appendPromise(buffer, *effects.Promise); err != nil {
+	if effects.HardState != nil {
+		if buffer, err = appendPromise(buffer, *effects.HardState); err != nil {
 			return buffer, err
 		}
 	}
-	if effects.Truncate > 0 {
-		buffer = appendTruncate(buffer, effects.Truncate)
+	if effects.TruncateFrom > 0 {
+		buffer = appendTruncate(buffer, effects.TruncateFrom)
 	}
-	return appendEntries(buffer, effects.Append), nil
+	return appendEntries(buffer, effects.Entries), nil
 }
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -17,15 +17,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "\n", "\x00\x1fG\x01", `{"record":"truncate","index":1}` + "\n"}))
 		epoch := rapid.OneOf(rapid.Uint64(), rapid.Just[uint64](math.MaxUint64))
-		effects := &replica.Effects{
-			Promise: &replica.Promise{Epoch: epoch.Draw(t, "promised"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
-			Install: &replica.Snapshot{Index: rapid.Uint64Max(math.MaxUint32).Draw(t, "index"), Epoch: epoch.Draw(t, "snapshot epoch"),
+		effects := &replica.Ready{
+			HardState: &replica.HardState{Term: epoch.Draw(t, "promised"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
+			Snapshot: &replica.Snapshot{Index: rapid.Uint64Max(math.MaxUint32).Draw(t, "index"), Term: epoch.Draw(t, "snapshot epoch"),
 				Members: []replica.Member{{ID: strings.ToValidUTF8(text.Draw(t, "member"), "")}}, State: []byte(text.Draw(t, "state")),
-				Parts: rapid.IntRange(1, 4).Draw(t, "parts")},
+				Chunks: rapid.IntRange(1, 4).Draw(t, "parts")},
 		}
-		effects.Received = partsOf(effects.Install)
+		effects.ReceivedChunks = partsOf(effects.Snapshot)
 		for i := range rapid.Uint64Max(5).Draw(t, "entries") {
-			effects.Append = append(effects.Append, replica.Entry{Index: effects.Install.Index + i + 1, Epoch: epoch.Draw(t, "epoch"),
+			effects.Entries = append(effects.Entries, replica.Entry{Index: effects.Snapshot.Index + i + 1, Term: epoch.Draw(t, "epoch"),
 				Kind: replica.EntryKind(rapid.Uint8().Draw(t, "kind")), Data: []byte(text.Draw(t, "data"))})
 		}
 		disk := memorydisk.New()
--- a/internal/tier/storage/script_test.go
+++ b/internal/tier/storage/script_test.go
@@ -91,43 +91,43 @@
 }
 
 // with returns the state once effects are saved.
-func (s state) with(effects *replica.Effects) state {
+func (s state) with(effects *replica.Ready) state {
 	next := s.clone()
-	if effects.Promise != nil {
-		next.Promise = *effects.Promise
+	if effects.HardState != nil {
+		next.HardState = *effects.HardState
 	}
-	if effects.Install != nil {
-		next.Snapshot, next.Entries = effects.Install, nil
+	if effects.Snapshot != nil {
+		next.Snapshot, next.Entries = effects.Snapshot, nil
 	}
-	if effects.Truncate > 0 && effects.Truncate <= next.last() {
-		next.Entries = next.Entries[:effects.Truncate-next.base()-1]
+	if effects.TruncateFrom > 0 && effects.TruncateFrom <= next.last() {
+		next.Entries = next.Entries[:effects.TruncateFrom-next.base()-1]
 	}
-	next.Entries = append(next.Entries, effects.Append...)
+	next.Entries = append(next.Entries, effects.Entries...)
 	return next
 }
 
 // effects returns what a step saves.
-func (s state) effects(wanted step) *replica.Effects {
-	effects := &replica.Effects{}
-	epoch := s.Promise.Epoch + wanted.Raise
+func (s state) effects(wanted step) *replica.Ready {
+	effects := &replica.Ready{}
+	epoch := s.HardState.Term + wanted.Raise
 	if wanted.Raise > 0 {
-		effects.Promise = &replica.Promise{Epoch: epoch, Vote: wanted.Vote}
+		effects.HardState = &replica.HardState{Term: epoch, Vote: wanted.Vote}
 	}
 	base, last := s.base(), s.last()
 	if wanted.Install {
-		effects.Install = snapshotAt(last+3, epoch, wanted.Bytes)
-		effects.Received = partsOf(effects.Install)
+		effects.Snapshot = snapshotAt(last+3, epoch, wanted.Bytes)
+		effects.ReceivedChunks = partsOf(effects.Snapshot)
 		base, last = last+3, last+3
 	}
 	for number := 0; number < wanted.Received && !wanted.Install; number++ {
-		effects.Received = append(effects.Received, replica.Part{Number: number, State: entryAt(last, epoch, wanted.Bytes+1).Data})
+		effects.ReceivedChunks = append(effects.ReceivedChunks, replica.Chunk{Number: number, Data: entryAt(last, epoch, wanted.Bytes+1).Data})
 	}
 	if wanted.Cut > 0 && last > base {
 		last -= min(uint64(wanted.Cut), last-base)
-		effects.Truncate = last + 1
+		effects.TruncateFrom = last + 1
 	}
 	for i := 1; i <= wanted.Entries; i++ {
-		effects.Append = append(effects.Append, entryAt(last+uint64(i), epoch, wanted.Bytes))
+		effects.Entries = append(effects.Entries, entryAt(last+uint64(i), epoch, wanted.Bytes))
 	}
 	return effects
 }
@@ -137,13 +137,13 @@
 	index := s.last() - min(uint64(wanted.Keep), uint64(len(s.Entries)))
 	next := s.clone()
 	next.Entries = next.Entries[index-s.base():]
-	next.Snapshot = snapshotAt(index, s.Promise.Epoch, wanted.Bytes)
-	next.Promise.Epoch += wanted.Raise
+	next.Snapshot = snapshotAt(index, s.HardState.Term, wanted.Bytes)
+	next.HardState.Term += wanted.Raise
 	return next
 }
 
 func entryAt(index, epoch uint64, bytes int) replica.Entry {
-	entry := replica.Entry{Index: index, Epoch: epoch, Kind: replica.EntryKind(index % 3)}
+	entry := replica.Entry{Index: index, Term: epoch, Kind: replica.EntryKind(index % 3)}
 	if bytes > 0 {
 		entry.Data = []byte(`"` + strings.Repeat(string(rune('a'+(index+epoch)%26)), bytes) + `"`)
 	}
@@ -151,20 +151,20 @@
 }
 
 func snapshotAt(index, epoch uint64, bytes int) *replica.Snapshot {
-	return &replica.Snapshot{Index: index, Epoch: epoch, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
-		Parts: partCount(bytes), State: entryAt(index, epoch, bytes+1).Data}
+	return &replica.Snapshot{Index: index, Term: epoch, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
+		Chunks: partCount(bytes), State: entryAt(index, epoch, bytes+1).Data}
 }
 
 // partCount is the number of parts in which a state of so many bytes comes.
 func partCount(bytes int) int { return 1 + bytes%4 }
 
 // partsOf cuts the state of a snapshot into its parts.
-func partsOf(snapshot *replica.Snapshot) []replica.Part {
-	var parts []replica.Part
+func partsOf(snapshot *replica.Snapshot) []replica.Chunk {
+	var parts []replica.Chunk
 	state := snapshot.State
-	for number := range snapshot.Parts {
-		part := state[len(state)*number/snapshot.Parts : len(state)*(number+1)/snapshot.Parts]
-		parts = append(parts, replica.Part{Number: number, State: part})
+	for number := range snapshot.Chunks {
+		part := state[len(state)*number/snapshot.Chunks : len(state)*(number+1)/snapshot.Chunks]
+		parts = append(parts, replica.Chunk{Number: number, Data: part})
 	}
 	return parts
 }
@@ -173,7 +173,7 @@
 func written(snapshot *replica.Snapshot) storage.Parts {
 	return func(write func(part json.RawMessage) error) error {
 		for _, part := range partsOf(snapshot) {
-			if err := write(part.State); err != nil {
+			if err := write(part.Data); err != nil {
 				return err
 			}
 		}
@@ -197,8 +197,8 @@
 		number++
 		return err
 	})
-	if err == nil && number != whole.Parts {
-		err = fmt.Errorf("%d parts were read of %d", number, whole.Parts)
+	if err == nil && number != whole.Chunks {
+		err = fmt.Errorf("%d parts were read of %d", number, whole.Chunks)
 	}
 	recovered.Snapshot = &whole
 	return recovered, err
@@ -255,7 +255,7 @@
 	next, err := state{}, error(nil)
 	if wanted.Compact {
 		next = m.saved.compacted(wanted)
-		err = group.Compact(*next.Snapshot, written(next.Snapshot), next.Entries, next.Promise)
+		err = group.Compact(*next.Snapshot, written(next.Snapshot), next.Entries, next.HardState)
 	} else {
 		effects := m.saved.effects(wanted)
 		next = m.saved.with(effects)
--- a/internal/tier/storage/slot.go
+++ b/internal/tier/storage/slot.go
@@ -74,14 +74,14 @@
 }
 
 // finish writes the last frame and returns once the slot lasts. The file is closed in any case.
-func (w *slotWriter) finish(snapshot *replica.Snapshot, promise replica.Promise) error {
+func (w *slotWriter) finish(snapshot *replica.Snapshot, promise replica.HardState) error {
 	defer w.file.Close()
 	g, layout := w.group, &w.layout
 	if len(layout.offsets) == 0 {
 		return g.fail("writing of a snapshot", errNoParts)
 	}
 	complete := *snapshot
-	complete.Parts = len(layout.offsets)
+	complete.Chunks = len(layout.offsets)
 	buffer := beginFrame(g.buffer[:0], layout.generation, lastFrame|uint64(len(layout.offsets)))
 	buffer, err := appendPromise(buffer, promise)
 	if err != nil {
@@ -108,7 +108,7 @@
 
 // receive writes parts of a snapshot that another member sends. They count for nothing until it is installed; the first part
 // begins anew.
-func (g *Group) receive(parts []replica.Part) error {
+func (g *Group) receive(parts []replica.Chunk) error {
 	for i := range parts {
 		part := &parts[i]
 		if part.Number == 0 {
@@ -121,7 +121,7 @@
 		if g.incoming == nil || part.Number != len(g.incoming.layout.offsets) {
 			return g.fail("check of what is to be saved", fmt.Errorf("part %d of a snapshot doesn't follow those before it", part.Number))
 		}
-		if err := g.incoming.add(part.State); err != nil {
+		if err := g.incoming.add(part.Data); err != nil {
 			return err
 		}
 	}
--- a/internal/tier/storage/slot_mutants_test.go
+++ b/internal/tier/storage/slot_mutants_test.go
@@ -36,7 +36,7 @@
 		},
 		{
 			Name:   "a snapshot that lacks parts is installed",
-			Change: mutation.Change{File: "compaction.go", Old: "len(writer.layout.offsets) != effects.Install.Parts", New: "false"},
+			Change: mutation.Change{File: "compaction.go", Old: "len(writer.layout.offsets) != effects.Snapshot.Chunks", New: "false"},
 			Run:    "^TestAPartThatDoesNotFollowIsRefused$",
 		},
 	})
--- a/internal/tier/storage/slot_test.go
+++ b/internal/tier/storage/slot_test.go
@@ -20,7 +20,7 @@
 	parts := partsOf(snapshot)
 	for _, part := range parts[:3] {
 		before := m.disk.Counts()
-		if err := group.Save(&replica.Effects{Received: []replica.Part{part}}); err != nil {
+		if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{part}}); err != nil {
 			t.Fatal(err)
 		}
 		after := m.disk.Counts()
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 	}
-	last := &replica.Effects{Received: parts[3:], Install: snapshot, Append: []replica.Entry{entryAt(10, 1, 4)}}
+	last := &replica.Ready{ReceivedChunks: parts[3:], Snapshot: snapshot, Entries: []replica.Entry{entryAt(10, 1, 4)}}
 	if err := group.Save(last); err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +49,9 @@
 	receive := func(group *storage.Group) error {
 		snapshot := snapshotAt(9, 1, 3)
 		for _, part := range partsOf(snapshot) {
-			effects := &replica.Effects{Received: []replica.Part{part}}
-			if part.Number == snapshot.Parts-1 {
-				effects.Install = snapshot
+			effects := &replica.Ready{ReceivedChunks: []replica.Chunk{part}}
+			if part.Number == snapshot.Chunks-1 {
+				effects.Snapshot = snapshot
 			}
 			if err := group.Save(effects); err != nil {
 				return err
@@ -74,7 +74,7 @@
 				if err := receive(group); err == nil {
 					t.Fatal("it was not stopped")
 				}
-				m.possible = []state{m.saved, m.saved.with(&replica.Effects{Install: snapshotAt(9, 1, 3)})}
+				m.possible = []state{m.saved, m.saved.with(&replica.Ready{Snapshot: snapshotAt(9, 1, 3)})}
 				if seed == 0 {
 					m.disk.Kill()
 				} else {
@@ -94,7 +94,7 @@
 	for name, begin := range map[string]func(m *member, group *storage.Group) error{
 		"compaction": func(m *member, group *storage.Group) error { return m.take(group, step{Compact: true, Keep: 1}) },
 		"another snapshot": func(_ *member, group *storage.Group) error {
-			return group.Save(&replica.Effects{Received: partsOf(snapshotAt(7, 1, 2))[:1]})
+			return group.Save(&replica.Ready{ReceivedChunks: partsOf(snapshotAt(7, 1, 2))[:1]})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,13 +102,13 @@
 			group := mustPlay(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 2}})
 			snapshot := snapshotAt(9, 1, 3)
 			parts := partsOf(snapshot)
-			if err := group.Save(&replica.Effects{Received: parts[:3]}); err != nil {
+			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:3]}); err != nil {
 				t.Fatal(err)
 			}
 			if err := begin(m, group); err != nil {
 				t.Fatal(err)
 			}
-			wantBroken(t, group.Save(&replica.Effects{Received: parts[3:], Install: snapshot}))
+			wantBroken(t, group.Save(&replica.Ready{ReceivedChunks: parts[3:], Snapshot: snapshot}))
 			m.disk.Kill()
 			if err := m.recoverTwice(); err != nil {
 				t.Fatal(err)
@@ -122,17 +122,17 @@
 func TestAPartThatDoesNotFollowIsRefused(t *testing.T) {
 	snapshot := snapshotAt(9, 1, 3)
 	parts := partsOf(snapshot)
-	for name, effects := range map[string]replica.Effects{
-		"a gap":             {Received: parts[2:3]},
-		"the same again":    {Received: []replica.Part{{Number: 1, State: parts[1].State}, {Number: 1, State: parts[1].State}}},
-		"installed early":   {Received: parts[1:2], Install: snapshot},
-		"installed shorter": {Received: parts[1:4], Install: snapshotAt(9, 1, 2)},
-		"installed and cut": {Received: parts[1:4], Install: snapshot, Truncate: 10},
+	for name, effects := range map[string]replica.Ready{
+		"a gap":             {ReceivedChunks: parts[2:3]},
+		"the same again":    {ReceivedChunks: []replica.Chunk{{Number: 1, Data: parts[1].Data}, {Number: 1, Data: parts[1].Data}}},
+		"installed early":   {ReceivedChunks: parts[1:2], Snapshot: snapshot},
+		"installed shorter": {ReceivedChunks: parts[1:4], Snapshot: snapshotAt(9, 1, 2)},
+		"installed and cut": {ReceivedChunks: parts[1:4], Snapshot: snapshot, TruncateFrom: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMember(asItIs)
 			group := mustPlay(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 2}})
-			if err := group.Save(&replica.Effects{Received: parts[:1]}); err != nil {
+			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:1]}); err != nil {
 				t.Fatal(err)
 			}
 			wantBroken(t, group.Save(&effects))
@@ -254,7 +254,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := newMember(asItIs)
 			group := mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}})
-			wantBroken(t, group.Compact(*snapshotAt(2, 1, 1), parts, nil, replica.Promise{Epoch: 1}))
+			wantBroken(t, group.Compact(*snapshotAt(2, 1, 1), parts, nil, replica.HardState{Term: 1}))
 			m.disk.Kill()
 			if err := m.recoverTwice(); err != nil {
 				t.Fatal(err)
--- a/internal/tier/storage/trouble_test.go
+++ b/internal/tier/storage/trouble_test.go
@@ -25,12 +25,12 @@
 // Given a save, when there is something to save, then it takes one write and one sync; otherwise it takes nothing.
 func TestSaveTakesOneWriteAndOneSync(t *testing.T) {
 	for name, test := range map[string]struct {
-		effects replica.Effects
+		effects replica.Ready
 		want    int
 	}{
-		"nothing":    {replica.Effects{AfterSync: []replica.Message{{}}, Committed: []replica.Entry{entryAt(1, 1, 1)}}, 0},
-		"promise":    {replica.Effects{Promise: &replica.Promise{Epoch: 9}}, 1},
-		"everything": {replica.Effects{Promise: &replica.Promise{Epoch: 9}, Truncate: 3, Append: []replica.Entry{entryAt(3, 1, 9), entryAt(4, 1, 9)}}, 1},
+		"nothing":    {replica.Ready{MessagesAfterSync: []replica.Message{{}}, CommittedEntries: []replica.Entry{entryAt(1, 1, 1)}}, 0},
+		"promise":    {replica.Ready{HardState: &replica.HardState{Term: 9}}, 1},
+		"everything": {replica.Ready{HardState: &replica.HardState{Term: 9}, TruncateFrom: 3, Entries: []replica.Entry{entryAt(3, 1, 9), entryAt(4, 1, 9)}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMember(asItIs)
@@ -69,7 +69,7 @@
 					t.Fatalf("got %v, want an error for which IsFull holds", err)
 				}
 				m.disk.SetCapacity(0)
-				wantBroken(t, group.Save(&replica.Effects{}))
+				wantBroken(t, group.Save(&replica.Ready{}))
 				m.disk.LosePower(uint64(free))
 				m.disk.SetCapacity(1) // recovery needs no space
 				if err := m.recoverTwice(); err != nil {
@@ -104,8 +104,8 @@
 					t.Fatalf("got %v, want the disk's error as its cause", err)
 				}
 				changes := m.disk.Counts().Changes
-				wantBroken(t, group.Save(&replica.Effects{Append: []replica.Entry{entryAt(4, 1, 1)}}))
-				wantBroken(t, group.Compact(*snapshotAt(3, 1, 1), written(snapshotAt(3, 1, 1)), nil, replica.Promise{Epoch: 9}))
+				wantBroken(t, group.Save(&replica.Ready{Entries: []replica.Entry{entryAt(4, 1, 1)}}))
+				wantBroken(t, group.Compact(*snapshotAt(3, 1, 1), written(snapshotAt(3, 1, 1)), nil, replica.HardState{Term: 9}))
 				if after := m.disk.Counts().Changes; after != changes {
 					t.Fatalf("%d changes were made to the disk after the failure", after-changes)
 				}
@@ -158,16 +158,16 @@
 
 // Given a member, when it saves what does not follow what it has saved, then it is refused before anything is written.
 func TestSaveThatDoesNotFollowIsRefused(t *testing.T) {
-	for name, effects := range map[string]replica.Effects{
-		"gap":               {Append: []replica.Entry{entryAt(9, 2, 1)}},
-		"repeated entry":    {Append: []replica.Entry{entryAt(3, 2, 1)}},
-		"cut in snapshot":   {Truncate: 2},
-		"lower epoch":       {Promise: &replica.Promise{Epoch: 1}},
-		"another vote":      {Promise: &replica.Promise{Epoch: 2, Vote: "south"}},
-		"vote taken back":   {Promise: &replica.Promise{Epoch: 2}},
-		"gap after install": {Install: snapshotAt(9, 2, 1), Append: []replica.Entry{entryAt(4, 2, 1)}},
-		"no parts":          {Install: snapshotAt(9, 2, 1)},
-		"a later part":      {Received: partsOf(snapshotAt(9, 2, 1))[1:]},
+	for name, effects := range map[string]replica.Ready{
+		"gap":               {Entries: []replica.Entry{entryAt(9, 2, 1)}},
+		"repeated entry":    {Entries: []replica.Entry{entryAt(3, 2, 1)}},
+		"cut in snapshot":   {TruncateFrom: 2},
+		"lower epoch":       {HardState: &replica.HardState{Term: 1}},
+		"another vote":      {HardState: &replica.HardState{Term: 2, Vote: "south"}},
+		"vote taken back":   {HardState: &replica.HardState{Term: 2}},
+		"gap after install": {Snapshot: snapshotAt(9, 2, 1), Entries: []replica.Entry{entryAt(4, 2, 1)}},
+		"no parts":          {Snapshot: snapshotAt(9, 2, 1)},
+		"a later part":      {ReceivedChunks: partsOf(snapshotAt(9, 2, 1))[1:]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMember(asItIs)
@@ -186,13 +186,13 @@
 	for name, test := range map[string]struct {
 		snapshot  *replica.Snapshot
 		remaining []replica.Entry
-		promise   replica.Promise
+		promise   replica.HardState
 	}{
-		"entries missing":  {snapshotAt(2, 2, 1), nil, replica.Promise{Epoch: 2, Vote: "north"}},
-		"gap":              {snapshotAt(1, 2, 1), []replica.Entry{entryAt(3, 2, 1)}, replica.Promise{Epoch: 2, Vote: "north"}},
-		"earlier snapshot": {snapshotAt(1, 2, 1), []replica.Entry{entryAt(2, 2, 1), entryAt(3, 2, 1)}, replica.Promise{Epoch: 2, Vote: "north"}},
-		"lower promise":    {snapshotAt(3, 2, 1), nil, replica.Promise{Epoch: 1}},
-		"other vote":       {snapshotAt(3, 2, 1), nil, replica.Promise{Epoch: 2, Vote: "south"}},
+		"entries missing":  {snapshotAt(2, 2, 1), nil, replica.HardState{Term: 2, Vote: "north"}},
+		"gap":              {snapshotAt(1, 2, 1), []replica.Entry{entryAt(3, 2, 1)}, replica.HardState{Term: 2, Vote: "north"}},
+		"earlier snapshot": {snapshotAt(1, 2, 1), []replica.Entry{entryAt(2, 2, 1), entryAt(3, 2, 1)}, replica.HardState{Term: 2, Vote: "north"}},
+		"lower promise":    {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 1}},
+		"other vote":       {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 2, Vote: "south"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMember(asItIs)
@@ -221,7 +221,7 @@
 			t.Fatal(err)
 		}
 	}
-	wantBroken(t, group.Save(&replica.Effects{}))
+	wantBroken(t, group.Save(&replica.Ready{}))
 }
 
 // Given a name that cannot begin a file's name, when a group is opened by it, then it is refused.
@@ -249,14 +249,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := group.Save(&replica.Effects{Promise: &replica.Promise{Epoch: uint64(i + 1)}}); err != nil {
+		if err := group.Save(&replica.Ready{HardState: &replica.HardState{Term: uint64(i + 1)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	disk.LosePower(1)
 	for i, name := range []string{"turns", "turns.log-1"} {
 		_, recovered, err := storage.Open(disk, name)
-		if err != nil || recovered.Promise.Epoch != uint64(i+1) {
+		if err != nil || recovered.HardState.Term != uint64(i+1) {
 			t.Fatalf("%s: got %+v and %v", name, recovered, err)
 		}
 	}
--- a/internal/tier/store/machine.go
+++ b/internal/tier/store/machine.go
@@ -18,7 +18,7 @@
 }
 
 // machine lets a replica group agree on a shard's programs and on the newest placement that it has begun to follow, so that
-// a new owner never goes back to an older one. It implements group.PartsMachine.
+// a new owner never goes back to an older one. It implements group.ChunkedStateMachine.
 type machine struct {
 	programs  *program.Machine
 	placement atomic.Uint64 // read by other goroutines than the group's
@@ -26,7 +26,7 @@
 
 func newMachine() *machine { return &machine{programs: program.New()} }
 
-// Apply implements group.Machine; it returns a program.Result.
+// Apply implements group.StateMachine; it returns a program.Result.
 func (m *machine) Apply(_ uint64, raw json.RawMessage) any {
 	applied, err := m.take(raw)
 	switch {
@@ -38,8 +38,8 @@
 	return m.programs.Apply(applied.Command)
 }
 
-// Bytes implements group.Sized.
-func (m *machine) Bytes() int64 { return m.programs.Stats().Bytes }
+// StateBytes implements group.StateSizer.
+func (m *machine) StateBytes() int64 { return m.programs.Stats().Bytes }
 
 // Replay implements group.Replayer: it saves putting a chain together.
 func (m *machine) Replay(_ uint64, raw json.RawMessage) {
@@ -63,7 +63,7 @@
 // placementField begins the field that Snapshot adds. It can't occur inside a value, since quotes are escaped there.
 const placementField = `,"placement":`
 
-// Snapshot implements group.Machine. The placement's index is one more field at the end of the programs' snapshot, so that
+// Snapshot implements group.StateMachine. The placement's index is one more field at the end of the programs' snapshot, so that
 // this isn't copied.
 func (m *machine) Snapshot() (json.RawMessage, error) {
 	state := m.programs.Snapshot()
@@ -72,7 +72,7 @@
 	return append(state, '}'), nil
 }
 
-// Restore implements group.Machine.
+// Restore implements group.StateMachine.
 func (m *machine) Restore(state json.RawMessage) error {
 	if err := m.programs.Restore(state); err != nil {
 		return err
@@ -86,8 +86,8 @@
 	Placement *uint64 `json:"placement"`
 }
 
-// Parts implements group.PartsMachine.
-func (m *machine) Parts(write func(part json.RawMessage) error) error {
+// WriteChunks implements group.ChunkedStateMachine.
+func (m *machine) WriteChunks(write func(part json.RawMessage) error) error {
 	placement := m.placement.Load()
 	first, err := json.Marshal(placementPart{Placement: &placement})
 	if err != nil {
@@ -99,7 +99,7 @@
 	return m.programs.Parts(func(part []byte) error { return write(part) })
 }
 
-// BeginRestore implements group.PartsMachine. The old state goes at once, so that no two of them are in memory.
+// BeginRestore implements group.ChunkedStateMachine. The old state goes at once, so that no two of them are in memory.
 func (m *machine) BeginRestore() group.Restorer {
 	*m.programs = *program.New()
 	return &restorer{machine: m, programs: m.programs.BeginRestore()}
--- a/internal/tier/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -124,7 +124,7 @@
 func partsOf(t rapid.TB, m *machine) []json.RawMessage {
 	t.Helper()
 	var parts []json.RawMessage
-	err := m.Parts(func(part json.RawMessage) error {
+	err := m.WriteChunks(func(part json.RawMessage) error {
 		parts = append(parts, append(json.RawMessage(nil), part...))
 		return nil
 	})
--- a/internal/tier/store/recover_late_test.go
+++ b/internal/tier/store/recover_late_test.go
@@ -87,7 +87,7 @@
 			first := newQuietStore(disk)
 			first.Place(1, view.Placement{Shards: []view.ShardPlacement{{Initial: members, Replicas: members}}})
 			for range 400 {
-				if _, err := first.shard(0).group.Turn(); err != nil {
+				if _, err := first.shard(0).group.RunOnce(); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Millisecond)
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.Save(&replica.Effects{Promise: &replica.Promise{Epoch: 1}}); err != nil {
+	if err := opened.Save(&replica.Ready{HardState: &replica.HardState{Term: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Close(); err != nil {
--- a/internal/tier/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -46,19 +46,19 @@
 // changed takes notice of a change in the group. A replica that doesn't own it wants no other members than there are:
 // should it become the owner, it must not go on with what it wanted before.
 func (s *shard) changed(status replica.Status) {
-	level.Info(s.logger).Log("msg", "group changed", "shard", s.number, "owner", status.Owner, "own", status.IsOwner,
-		"epoch", status.Epoch, "members", len(status.Members))
+	level.Info(s.logger).Log("msg", "group changed", "shard", s.number, "owner", status.Leader, "own", status.IsLeader,
+		"epoch", status.Term, "members", len(status.Members))
 	if s.group == nil {
 		return
 	}
-	if status.IsOwner {
+	if status.IsLeader {
 		s.steer()
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.told = nil
-	s.group.Change(status.Members)
+	s.group.SetTargetMembers(status.Members)
 }
 
 // steer moves the group to the wanted members, if this replica owns it. The group's log is first told of a placement that is
@@ -66,18 +66,18 @@
 func (s *shard) steer() {
 	s.mutex.Lock()
 	record := uint64(0)
-	if followed := s.machine.placement.Load(); s.index > 0 && s.group.Status().IsOwner {
+	if followed := s.machine.placement.Load(); s.index > 0 && s.group.Status().IsLeader {
 		switch {
 		case s.index == followed && !slices.Equal(s.told, s.wanted):
 			s.told = s.wanted
-			s.group.Change(s.wanted)
+			s.group.SetTargetMembers(s.wanted)
 		case s.index > followed && !s.recording:
 			s.recording, record = true, s.index
 		}
 	}
 	s.mutex.Unlock()
 	if record > 0 {
-		s.group.Start(command{Placement: record}, s.recorded)
+		s.group.ProposeAsync(command{Placement: record}, s.recorded)
 	}
 }
 
@@ -96,14 +96,14 @@
 // report tells done the members of the group, if a majority confirms that this replica owns it and has committed them.
 func (s *shard) report(done func(told wire.ShardMembers, confirmed bool)) {
 	before := s.group.Status()
-	if !before.IsOwner {
+	if !before.IsLeader {
 		done(wire.ShardMembers{}, false)
 		return
 	}
 	var after replica.Status
 	view := func() { after = s.group.Status() }
-	s.group.StartRead(view, func(_ any, err error) {
-		confirmed := err == nil && after.IsOwner && after.Epoch == before.Epoch && after.Commit >= before.Last &&
+	s.group.ReadAsync(view, func(_ any, err error) {
+		confirmed := err == nil && after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex &&
 			slices.Equal(before.Members, after.Members)
 		done(s.membersIn(after), confirmed)
 	})
@@ -111,7 +111,7 @@
 
 // membersIn tells the members that a status holds.
 func (s *shard) membersIn(status replica.Status) wire.ShardMembers {
-	told := wire.ShardMembers{Shard: s.number, Epoch: status.Epoch, Placement: s.machine.placement.Load()}
+	told := wire.ShardMembers{Shard: s.number, Epoch: status.Term, Placement: s.machine.placement.Load()}
 	for _, member := range status.Members {
 		told.IDs = append(told.IDs, member.ID)
 		if !member.Learner && status.CaughtUp[member.ID] {
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -65,10 +65,10 @@
 // Store holds the replicas of one machine.
 type Store struct {
 	options    Options
-	compacting sync.Mutex       // held by the group that compacts
-	receiving  *group.Admission // of the groups that receive snapshots
-	opening    chan struct{}    // holds a token while a shard opens; taken before mutex
-	waiting    *group.Budget    // of what waits for the groups' turns
+	compacting sync.Mutex             // held by the group that compacts
+	receiving  *group.SnapshotLimiter // of the groups that receive snapshots
+	opening    chan struct{}          // holds a token while a shard opens; taken before mutex
+	waiting    *group.QueueBudget     // of what waits for the groups' turns
 
 	mutex     sync.Mutex
 	shards    map[int]*shard
@@ -87,7 +87,7 @@
 	if options.Send == nil {
 		options.Send = sendByLink(options.Pool)
 	}
-	s := &Store{options: options, receiving: group.NewAdmission(mostReceiving), waiting: group.NewBudget(options.WaitingBytes),
+	s := &Store{options: options, receiving: group.NewSnapshotLimiter(mostReceiving), waiting: group.NewQueueBudget(options.WaitingBytes),
 		opening: make(chan struct{}, 1), shards: map[int]*shard{}, departed: map[int]bool{}, failures: make(chan error, 1)}
 	if options.Ask == nil {
 		s.options.Ask = askByLink(options.Pool)
@@ -187,13 +187,13 @@
 		return err
 	}
 	opening := &shard{number: number, logger: s.options.Logger, machine: newMachine(), after: s.options.After}
-	options := replica.Options{ID: s.options.ID, Address: s.options.Address, Heartbeat: heartbeat, Election: election, Eager: eager,
+	options := replica.Options{ID: s.options.ID, Address: s.options.Address, HeartbeatInterval: heartbeat, ElectionTimeout: election, InitialElectionTimeout: eager,
 		Seed: s.options.Seed + uint64(number)}
 	if contains(placement.Initial, s.options.ID) {
-		options.Initial = membersOf(placement.Initial)
+		options.InitialMembers = membersOf(placement.Initial)
 	}
 	opened, err := group.Open(group.Options{Name: groupName(number), Replica: options, Disk: s.options.Disk,
-		Machine: opening.machine, Compacting: &s.compacting, Receiving: s.receiving, Waiting: s.waiting, Send: s.options.Send, Logger: s.options.Logger, Clock: s.options.Clock, Changed: opening.changed})
+		StateMachine: opening.machine, CompactionLock: &s.compacting, ReceiveLimiter: s.receiving, QueueBudget: s.waiting, Send: s.options.Send, Logger: s.options.Logger, Clock: s.options.Clock, OnStatusChange: opening.changed})
 	if err != nil {
 		return err
 	}
@@ -265,11 +265,11 @@
 
 // ownership turns a group's error into one for the link.
 func (s *Store) ownership(err error) error {
-	var not *group.OwnershipError
+	var not *group.NotLeaderError
 	if !errors.As(err, &not) {
 		return err
 	}
-	owner := not.Owner
+	owner := not.Leader
 	if owner == s.options.Address {
 		owner = ""
 	}
@@ -313,10 +313,10 @@
 }
 
 // Vitals adds up what the replicas of this store hold.
-func (s *Store) Vitals() (shards int, sum group.Vitals) {
+func (s *Store) Vitals() (shards int, sum group.MemberStats) {
 	running := s.running()
 	for _, shard := range running {
-		held := shard.group.Vitals()
+		held := shard.group.Stats()
 		sum.StateBytes += held.StateBytes
 		sum.SnapshotBytes += held.SnapshotBytes
 		sum.LogBytes += held.LogBytes
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -146,9 +146,9 @@
 		err  error
 		want string
 	}{
-		{"another owner", &group.OwnershipError{Owner: other.Address}, other.Address},
-		{"no owner", &group.OwnershipError{}, ""},
-		{"this store, as it was", &group.OwnershipError{Owner: self.Address}, ""},
+		{"another owner", &group.NotLeaderError{Leader: other.Address}, other.Address},
+		{"no owner", &group.NotLeaderError{}, ""},
+		{"this store, as it was", &group.NotLeaderError{Leader: self.Address}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
