--- a/internal/tier/apierror/error.go
+++ b/internal/tier/apierror/error.go
@@ -81,7 +81,7 @@
 		if kind == None {
 			continue
 		}
-		if !kind.Answer().NeverRan {
+		if !kind.Response().NotExecuted {
 			return kind
 		}
 		if first == None {
--- a/internal/tier/apierror/fault_test.go
+++ b/internal/tier/apierror/fault_test.go
@@ -29,9 +29,9 @@
 	var table strings.Builder
 	fmt.Fprintf(&table, "%-22s %6s %-9s %-11s %s\n", "kind", "status", "never ran", "retry after", "close")
 	for _, kind := range Kinds() {
-		answer := kind.Answer()
+		answer := kind.Response()
 		fmt.Fprintf(&table, "%-22s %6d %-9t %-11t %t\n",
-			kind, answer.Status, answer.NeverRan, answer.RetryAfter, answer.Close)
+			kind, answer.Status, answer.NotExecuted, answer.RetryAfter, answer.Close)
 	}
 	goldie.New(t).Assert(t, "answers", []byte(table.String()))
 }
@@ -44,7 +44,7 @@
 			t.Errorf("kinds %d and %d are both %q", other, kind, name)
 		}
 		seen[name] = kind
-		if kind.Answer() == (Answer{}) {
+		if kind.Response() == (Response{}) {
 			t.Errorf("%v has no answer", kind)
 		}
 	}
@@ -52,34 +52,34 @@
 
 func TestOnlyWhatNeverRanIsPromised(t *testing.T) {
 	for _, kind := range Kinds() {
-		answer := kind.Answer()
-		if slices.Contains(promises, answer.Status) && !answer.NeverRan {
+		answer := kind.Response()
+		if slices.Contains(promises, answer.Status) && !answer.NotExecuted {
 			t.Errorf("%v is answered by %d and may have run", kind, answer.Status)
 		}
-		if !answer.NeverRan && !slices.Contains(unsure, answer.Status) && !answer.Close {
+		if !answer.NotExecuted && !slices.Contains(unsure, answer.Status) && !answer.Close {
 			t.Errorf("%v may have run, and is answered by %d on a connection that stays", kind, answer.Status)
 		}
-		if answer.NeverRan && slices.Contains(unsure, answer.Status) {
+		if answer.NotExecuted && slices.Contains(unsure, answer.Status) {
 			t.Errorf("%v never ran, and %d doesn't say so", kind, answer.Status)
 		}
 		if answer.RetryAfter != (answer.Status == http.StatusServiceUnavailable) {
 			t.Errorf("%v: %d and a time to come back go together", kind, answer.Status)
 		}
-		if kind != AnswerCutOff && answer.Status < http.StatusTemporaryRedirect {
+		if kind != ResponseTruncated && answer.Status < http.StatusTemporaryRedirect {
 			t.Errorf("%v: %d is no failure", kind, answer.Status)
 		}
 	}
 }
 
 func TestNoSuchTurnNeverRan(t *testing.T) {
-	if answer := NoSuchTurn.Answer(); answer.Status != http.StatusNotFound || !answer.NeverRan {
+	if answer := TurnNotFound.Response(); answer.Status != http.StatusNotFound || !answer.NotExecuted {
 		t.Errorf("got %+v", answer)
 	}
 }
 
 func TestKindOfAnError(t *testing.T) {
 	refused := New(EndpointRefused, "endpoint %s", "e-1")
-	unsure := New(MayHaveRun, "connection reset: %w", io.ErrUnexpectedEOF)
+	unsure := New(MayHaveExecuted, "connection reset: %w", io.ErrUnexpectedEOF)
 	cases := map[string]struct {
 		err  error
 		want Kind
@@ -92,22 +92,22 @@
 		"wrapped with a trace":            {trace.Wrap(trace.Wrap(refused), "call %d", 1), EndpointRefused},
 		"a wrapped kind":                  {trace.Wrap(Overloaded), Overloaded},
 		"judged anew":                     {New(NoEndpoint, "all asked: %w", refused), NoEndpoint},
-		"joined, the unsure one last":     {errors.Join(refused, unsure), MayHaveRun},
-		"joined, the unsure one first":    {errors.Join(unsure, refused), MayHaveRun},
+		"joined, the unsure one last":     {errors.Join(refused, unsure), MayHaveExecuted},
+		"joined, the unsure one first":    {errors.Join(unsure, refused), MayHaveExecuted},
 		"joined promises":                 {errors.Join(io.EOF, refused, NoRoute), EndpointRefused},
-		"joined by multierr":              {multierr.Append(refused, unsure), MayHaveRun},
-		"joined by trace":                 {trace.NewAggregate(refused, unsure), MayHaveRun},
+		"joined by multierr":              {multierr.Append(refused, unsure), MayHaveExecuted},
+		"joined by trace":                 {trace.NewAggregate(refused, unsure), MayHaveExecuted},
 		"joined errors of no kind":        {errors.Join(io.EOF, io.ErrNoProgress), Internal},
 		"a kind that isn't on the list":   {Kind(250), Kind(250)},
 		"an error with a nil cause":       {trace.Wrap(New(Internal, "x")), Internal},
-		"wrapped twice by the same verbs": {fmt.Errorf("%w and %w", refused, unsure), MayHaveRun},
+		"wrapped twice by the same verbs": {fmt.Errorf("%w and %w", refused, unsure), MayHaveExecuted},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := KindOf(c.err); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
-			if got := AnswerOf(c.err); got != c.want.Answer() {
+			if got := ResponseOf(c.err); got != c.want.Response() {
 				t.Errorf("got %+v", got)
 			}
 		})
@@ -115,8 +115,8 @@
 }
 
 func TestErrorsKeepTheirCauses(t *testing.T) {
-	one := trace.Wrap(New(MayHaveRun, "read: %w", io.ErrUnexpectedEOF))
-	if !errors.Is(one, io.ErrUnexpectedEOF) || !errors.Is(one, MayHaveRun) || errors.Is(one, NoRoute) {
+	one := trace.Wrap(New(MayHaveExecuted, "read: %w", io.ErrUnexpectedEOF))
+	if !errors.Is(one, io.ErrUnexpectedEOF) || !errors.Is(one, MayHaveExecuted) || errors.Is(one, NoRoute) {
 		t.Errorf("one cause: %v", one)
 	}
 	two := New(Internal, "%w after %w", io.EOF, New(NoRoute, "gone"))
@@ -124,7 +124,7 @@
 		t.Errorf("two causes: %v", two)
 	}
 	var typed *Error
-	if !errors.As(one, &typed) || typed.Kind() != MayHaveRun {
+	if !errors.As(one, &typed) || typed.Kind() != MayHaveExecuted {
 		t.Errorf("got %v", typed)
 	}
 	if none := New(NoRoute, "no cause"); errors.Unwrap(none) != nil {
@@ -145,7 +145,7 @@
 }
 
 func TestAKindOutsideTheListIsAnsweredAsInternal(t *testing.T) {
-	if got := Kind(250).Answer(); got != Internal.Answer() {
+	if got := Kind(250).Response(); got != Internal.Response() {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -157,7 +157,7 @@
 		}
 		return nil
 	}
-	if got := testing.AllocsPerRun(100, func() { AnswerOf(refuse(true)) }); got != 0 {
+	if got := testing.AllocsPerRun(100, func() { ResponseOf(refuse(true)) }); got != 0 {
 		t.Errorf("%v allocations", got)
 	}
 }
@@ -170,9 +170,9 @@
 		promised := true
 		for _, kind := range kinds {
 			joined = errors.Join(joined, New(kind, "x"))
-			promised = promised && kind.Answer().NeverRan
+			promised = promised && kind.Response().NotExecuted
 		}
-		if got := AnswerOf(joined).NeverRan; got != promised {
+		if got := ResponseOf(joined).NotExecuted; got != promised {
 			t.Fatalf("got %t, want %t", got, promised)
 		}
 	})
--- a/internal/tier/apierror/kind.go
+++ b/internal/tier/apierror/kind.go
@@ -21,29 +21,29 @@
 	NotReady         // the process lacks a configuration, endpoints or the way to an owner
 	NoEndpoint       // the service has no endpoint that could take the request
 	Overloaded       // the request was refused so that others are served
-	TimeTooShort     // the client's time is too short for any endpoint
+	DeadlineTooShort // the client's time is too short for any endpoint
 	ShuttingDown     // the process is ending
-	BudgetSpent      // the program's budget doesn't hold the turn
-	NoSuchTurn       // an owner knows that there is no such earlier turn
+	BudgetExhausted  // the program's budget doesn't hold the turn
+	TurnNotFound     // an owner knows that there is no such earlier turn
 	StateUnavailable // the program's state can't be read or written now
 
 	// Of requests that were sent to an endpoint.
 
-	EndpointRefused // every endpoint that was asked has promised not to run the request
-	MayHaveRun      // the request was sent, and nothing promises that it has not run
-	EndpointTimeout // the request was sent, and no answer came in time
-	AnswerCutOff    // an answer that the client has begun to get can't be completed
+	EndpointRefused   // every endpoint that was asked has promised not to run the request
+	MayHaveExecuted   // the request was sent, and nothing promises that it has not run
+	EndpointTimeout   // the request was sent, and no answer came in time
+	ResponseTruncated // an answer that the client has begun to get can't be completed
 
 	// Of the operator's orders.
 
 	InvalidConfiguration // the configuration can't be taken whatever the current one is
 	VersionConflict      // another version is current
-	NotOwner             // another process owns what the order is about
+	NotLeader            // another process owns what the order is about
 	Unconfirmed          // the order may or may not take effect
 	TooFewStores         // too few storage machines would remain
 	UnknownNode          // there is no machine of this name
 	UnknownService       // there is no service of this name
-	OrderUnderWay        // the order, or another about the same thing, is under way
+	OperationInProgress  // the order, or another about the same thing, is under way
 
 	Internal // anything else
 
@@ -60,23 +60,23 @@
 	NotReady:             "not ready",
 	NoEndpoint:           "no endpoint",
 	Overloaded:           "overloaded",
-	TimeTooShort:         "time too short",
+	DeadlineTooShort:     "time too short",
 	ShuttingDown:         "shutting down",
-	BudgetSpent:          "budget spent",
-	NoSuchTurn:           "no such turn",
+	BudgetExhausted:      "budget spent",
+	TurnNotFound:         "no such turn",
 	StateUnavailable:     "state unavailable",
 	EndpointRefused:      "endpoint refused",
-	MayHaveRun:           "may have run",
+	MayHaveExecuted:      "may have run",
 	EndpointTimeout:      "endpoint timeout",
-	AnswerCutOff:         "answer cut off",
+	ResponseTruncated:    "answer cut off",
 	InvalidConfiguration: "invalid configuration",
 	VersionConflict:      "version conflict",
-	NotOwner:             "not owner",
+	NotLeader:            "not owner",
 	Unconfirmed:          "unconfirmed",
 	TooFewStores:         "too few stores",
 	UnknownNode:          "unknown node",
 	UnknownService:       "unknown service",
-	OrderUnderWay:        "order under way",
+	OperationInProgress:  "order under way",
 	Internal:             "internal",
 }
 
--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -103,7 +103,7 @@
 
 // learn returns the endpoint of that ID, which it makes at need.
 func (s *Balancer) learn(m *model.Endpoint) *endpoint {
-	cold := s.now + time.Duration(m.ColdLeftMs)*time.Millisecond
+	cold := s.now + time.Duration(m.WarmUpLeftMs)*time.Millisecond
 	if e := s.endpoints[m.ID]; e != nil && e.model.Service == m.Service {
 		e.coldUntil = min(e.coldUntil, cold)
 		return e
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -14,7 +14,7 @@
 	list := make([]model.Endpoint, n)
 	for i := range list {
 		list[i] = model.Endpoint{ID: fmt.Sprintf("%s-%d", service, i), Service: service, Zone: fmt.Sprintf("z%d", i%4),
-			Number: "v1", Capacity: capacity, State: model.Ready}
+			Version: "v1", Capacity: capacity, State: model.Ready}
 	}
 	return list
 }
@@ -32,7 +32,7 @@
 
 func onceOnly(service string) Request {
 	r := plain(service)
-	r.Route.Kind, r.Retryable = model.OnceOnly, false
+	r.Route.Kind, r.Retryable = model.AtMostOnce, false
 	return r
 }
 
@@ -72,7 +72,7 @@
 		drained[i].State = model.Draining
 	}
 	mixed := fleetOf("feeds", 2, 6)
-	mixed[1].Number = "v2"
+	mixed[1].Version = "v2"
 	tests := []struct {
 		name   string
 		list   []model.Endpoint
@@ -307,7 +307,7 @@
 func TestTargetVersionGetsItsShare(t *testing.T) {
 	list := fleetOf("feeds", 8, 6)
 	for i := range 4 {
-		list[i].Number = "v2"
+		list[i].Version = "v2"
 	}
 	for _, share := range []float64{0, 0.05, 0.3, 1} {
 		for _, pinned := range []bool{false, true} {
@@ -323,7 +323,7 @@
 				d := s.Select(now, r)
 				s.Sent(now, &d.Attempt)
 				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
-				if d.Endpoint.Number == "v2" {
+				if d.Endpoint.Version == "v2" {
 					target++
 				}
 			}
@@ -386,7 +386,7 @@
 	for _, test := range []struct{ endpoints, want int }{{9, 1}, {48, 2}, {100, 5}} {
 		list := fleetOf("models", 2*test.endpoints, 64)
 		for i := range test.endpoints {
-			list[i].Number = "v2"
+			list[i].Version = "v2"
 		}
 		chosen := map[string]bool{}
 		for seed := range uint64(4) {
@@ -398,7 +398,7 @@
 				d := s.Select(now, turnOf(mix(key+1)))
 				s.Sent(now, &d.Attempt)
 				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
-				if d.Endpoint.Number == "v2" {
+				if d.Endpoint.Version == "v2" {
 					chosen[d.Endpoint.ID] = true
 				}
 			}
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -72,8 +72,8 @@
 
 var plainKinds = []plainKind{
 	{Route{Name: "alerts", Kind: model.Retryable, MaxAttempts: 3}, true, 78 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, 0.4},
-	{Route{Name: "archive", Kind: model.OnceOnly, Priority: 2, MaxAttempts: 3}, false, 312 * time.Millisecond, 1200 * time.Millisecond, 6 * time.Second, 0.3},
-	{Route{Name: "desks", Kind: model.OnceOnly, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
+	{Route{Name: "archive", Kind: model.AtMostOnce, Priority: 2, MaxAttempts: 3}, false, 312 * time.Millisecond, 1200 * time.Millisecond, 6 * time.Second, 0.3},
+	{Route{Name: "desks", Kind: model.AtMostOnce, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
 }
 
 // plainRelay is one proxy. Requests that a scheduler refuses as Saturated wait in its queue.
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -50,7 +50,7 @@
 	}
 	for i, e := range fleetOf("feeds", n, 2) {
 		if i%5 == 3 {
-			e.Number = "v2"
+			e.Version = "v2"
 		}
 		if i < 12 && rapid.IntRange(0, 5).Draw(w.rt, "draining") == 0 {
 			e.State = model.Draining
@@ -106,7 +106,7 @@
 	attempt := d.Attempt
 	w.s.Sent(w.now, &attempt)
 	w.out, w.sentAt = append(w.out, &attempt), append(w.sentAt, w.now)
-	if w.sent++; d.Endpoint.Number == "v2" {
+	if w.sent++; d.Endpoint.Version == "v2" {
 		w.exposed++
 	}
 }
@@ -117,7 +117,7 @@
 	switch {
 	case i < 0 || w.list[i].State != model.Ready:
 		w.rt.Fatalf("%s is draining or not listed", d.Endpoint.ID)
-	case w.list[i].Number != "v1" && (w.target == "" || w.share == 0):
+	case w.list[i].Version != "v1" && (w.target == "" || w.share == 0):
 		w.rt.Fatalf("%s is of a version that takes nothing", d.Endpoint.ID)
 	case slices.Contains(r.Excluded, d.Endpoint.ID):
 		w.rt.Fatalf("%s is excluded", d.Endpoint.ID)
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -12,10 +12,10 @@
 		// Given a version that may get 4 requests above its share at first,
 		list := fleetOf("feeds", 8, 6)
 		for i := range 4 {
-			list[i].Number = "v2"
+			list[i].Version = "v2"
 		}
 		s := newScheduler(list)
-		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: 0.05, Extra: 4}}
+		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: 0.05, InitialAllowance: 4}}
 		s.SetVersions(versions)
 		// when requests come, and the same versions are told again meanwhile,
 		target := [1001]int{}
@@ -29,7 +29,7 @@
 			s.Sent(now, &d.Attempt)
 			s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 			target[i+1] = target[i]
-			if d.Endpoint.Number == "v2" {
+			if d.Endpoint.Version == "v2" {
 				target[i+1]++
 			}
 			s.SetVersions(versions)
--- a/internal/tier/balancer/service.go
+++ b/internal/tier/balancer/service.go
@@ -55,7 +55,7 @@
 
 func (svc *service) setVersions(v view.ServiceVersions) {
 	if v.Target != svc.versions.Target || v.Order != svc.versions.Order {
-		svc.credit, svc.extra = 0, v.Extra
+		svc.credit, svc.extra = 0, v.InitialAllowance
 	}
 	svc.versions = v
 }
@@ -65,8 +65,8 @@
 func (svc *service) regroup(seed uint64) {
 	current, single := svc.versions.Current, true
 	if current == "" && len(svc.endpoints) > 0 {
-		current = svc.endpoints[0].model.Number
-		single = !slices.ContainsFunc(svc.endpoints, func(e *endpoint) bool { return e.model.Number != current })
+		current = svc.endpoints[0].model.Version
+		single = !slices.ContainsFunc(svc.endpoints, func(e *endpoint) bool { return e.model.Version != current })
 	}
 	for i := range svc.groups {
 		svc.groups[i].ready = svc.groups[i].ready[:0]
@@ -76,7 +76,7 @@
 		if e.model.State != model.Ready || !single {
 			continue
 		}
-		switch e.model.Number {
+		switch e.model.Version {
 		case current:
 			e.ready = true
 			svc.groups[0].ready = append(svc.groups[0].ready, e)
--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -20,9 +20,9 @@
 	id := strconv.FormatUint(p.seed, 16)
 	member := p.newNode(p.member(membership.Agent, id, address), nil)
 	handlers := transport.NewHandlers()
-	transport.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { p.forward(member, tallies) })
-	transport.Handle(handlers, wire.MethodProxies, func(context.Context, string, wire.ProxiesRequest) (wire.ProxiesAnswer, error) {
-		return wire.ProxiesAnswer{Count: countProxies(member.Members())}, nil
+	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, tallies wire.VersionStatsReport) { p.forward(member, tallies) })
+	transport.Handle(handlers, wire.MethodProxies, func(context.Context, string, wire.ProxiesRequest) (wire.ProxiesResponse, error) {
+		return wire.ProxiesResponse{Count: countProxies(member.Members())}, nil
 	})
 	leave, err := p.serve(stopping, address, member, handlers)
 	if err != nil {
@@ -46,11 +46,11 @@
 }
 
 // forward passes a proxy's report on to every controller, so that whichever owns the configuration can judge.
-func (p *process) forward(member *node.Node, tallies wire.Tallies) {
+func (p *process) forward(member *node.Node, tallies wire.VersionStatsReport) {
 	for _, m := range member.Members() {
 		if m.Role == membership.Controller && !m.DeadOrLeft() {
 			// A report that is lost is made good by the next one.
-			_ = transport.Notify(p.pool, m.Address, wire.MethodTallies, tallies)
+			_ = transport.Notify(p.pool, m.Address, wire.MethodVersionStats, tallies)
 		}
 	}
 }
--- a/internal/tier/command/check.go
+++ b/internal/tier/command/check.go
@@ -92,7 +92,7 @@
 
 // asErrors lists the faults that an error holds; an error that holds none stands for itself.
 func asErrors(err error) []error {
-	faults := validation.Faults(err)
+	faults := validation.FieldErrors(err)
 	if err != nil && len(faults) == 0 {
 		return []error{err}
 	}
--- a/internal/tier/command/controller.go
+++ b/internal/tier/command/controller.go
@@ -57,12 +57,12 @@
 
 // firstMembers is the group at the first start of the whole system: the seeds, if this controller is one of them.
 func (p *process) firstMembers(id string) []replica.Member {
-	if !p.settings.FirstBoot {
+	if !p.settings.Bootstrap {
 		return nil
 	}
 	var members []replica.Member
 	for _, seed := range p.seeds() {
-		members = append(members, replica.Member{ID: identity.First(seed), Address: seed})
+		members = append(members, replica.Member{ID: identity.BootstrapID(seed), Address: seed})
 	}
 	if !slices.ContainsFunc(members, func(m replica.Member) bool { return m.ID == id }) {
 		return nil
--- a/internal/tier/command/process.go
+++ b/internal/tier/command/process.go
@@ -120,14 +120,14 @@
 }
 
 // newNode makes the process a member.
-func (p *process) newNode(self membership.Member, took func(view.Piece)) *node.Node {
+func (p *process) newNode(self membership.Member, took func(view.Update)) *node.Node {
 	return node.New(node.Options{Self: self, Seeds: p.seeds(), Pool: p.pool, Logger: p.logger, Seed: p.seed, OnUpdate: took})
 }
 
 // join makes the process a member that follows the seeds of its settings, until ctx ends. The function that it returns tells the
 // others that the process leaves.
 func (p *process) join(ctx context.Context, member *node.Node, server *transport.Server) (leave func()) {
-	p.metrics.FindZones(func(host string) metrics.ZoneClass { return p.zoneOf(member, host) })
+	p.metrics.SetZoneLookup(func(host string) metrics.ZoneClass { return p.zoneOf(member, host) })
 	p.onReload(ctx, func(loaded *settings.Settings) { member.SetSeeds(p.seedsOf(loaded)) })
 	joined, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	ended := make(chan struct{})
--- a/internal/tier/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -46,7 +46,7 @@
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	programs := programclient.New(p.pool, int(p.settings.Limits.MemoryMb<<20/chainsPart))
-	p.metrics.FindZones(func(host string) metrics.ZoneClass {
+	p.metrics.SetZoneLookup(func(host string) metrics.ZoneClass {
 		if zone, known := programs.ZoneOf(host); known {
 			return p.classOf(zone)
 		}
@@ -113,7 +113,7 @@
 	repeat(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
 		defer cancel()
-		answer, err := transport.Call[wire.ProxiesRequest, wire.ProxiesAnswer](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
+		answer, err := transport.Call[wire.ProxiesRequest, wire.ProxiesResponse](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
 			wire.ProxiesRequest{})
 		if err == nil && answer.Count > 0 {
 			scheduler.SetProxies(answer.Count)
@@ -126,7 +126,7 @@
 	repeat(ctx, reportInterval, func() {
 		if report, due := counter.Report(); due {
 			// A report that is lost is made good by the next one: all tell the counts since the start.
-			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodTallies, report)
+			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodVersionStats, report)
 		}
 	})
 }
--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -48,17 +48,17 @@
 }
 
 // newMachine starts a proxy beside an agent that feeds it a view.
-func newMachine(t *testing.T, pieces ...view.Piece) *machine {
+func newMachine(t *testing.T, pieces ...view.Update) *machine {
 	t.Helper()
 	return newMachineWith(t, proxySettings, pieces...)
 }
 
 // newMachineWith is newMachine with other settings.
-func newMachineWith(t *testing.T, settings string, pieces ...view.Piece) *machine {
+func newMachineWith(t *testing.T, settings string, pieces ...view.Update) *machine {
 	t.Helper()
 	m := &machine{t: t, ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)), ended: make(chan error, 1)}
 	handlers := transport.NewHandlers()
-	transport.HandleStream(handlers, wire.MethodFeed, func(ctx context.Context, _ wire.FetchRequest, send func(view.Piece) error) error {
+	transport.HandleStream(handlers, wire.MethodFeed, func(ctx context.Context, _ wire.FetchRequest, send func(view.Update) error) error {
 		for _, piece := range pieces {
 			if err := send(piece); err != nil {
 				return err
@@ -258,7 +258,7 @@
 }
 
 // silentStoresPiece is the section of a view that has all programs at a store that takes connections and says nothing.
-func silentStoresPiece(t *testing.T) view.Piece {
+func silentStoresPiece(t *testing.T) view.Update {
 	t.Helper()
 	store, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -267,29 +267,29 @@
 	t.Cleanup(func() { store.Close() })
 	replicas := fmt.Sprintf(`[{"id":"r","node":"storage-1","address":%q,"zone":"north"}]`, store.Addr())
 	body := fmt.Sprintf(`{"shards":[{"initial":%s,"replicas":%s}]}`, replicas, replicas)
-	return view.Piece{Section: view.PlacementSection, Stamp: view.Stamp{Epoch: 1, Sequence: 1}, Body: json.RawMessage(body)}
+	return view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
 }
 
 // configurationPiece is the section of a view that holds goodConfiguration, with more time and more connections.
-func configurationPiece() view.Piece {
+func configurationPiece() view.Update {
 	return configurationPieceOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"maxConnections":9`, `"maxConnections":90`))
 }
 
 // turnsConfigurationPiece is configurationPiece with a route of turns that are kept, too.
-func turnsConfigurationPiece() view.Piece {
+func turnsConfigurationPiece() view.Update {
 	const turns = `{"name":"turns","host":"h.example","startsWith":"/turns/","kind":"streaming","giveUpMs":1200,"targetMs":100,` +
 		`"rank":0,"service":"s","tries":2,"remembered":true,"keepForS":60}`
 	return configurationPieceOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"tries":2}]`, `"tries":2},`+turns+`]`))
 }
 
 // configurationPieceOf is the section of a view that holds goodConfiguration with changes.
-func configurationPieceOf(changes *strings.Replacer) view.Piece {
+func configurationPieceOf(changes *strings.Replacer) view.Update {
 	body := json.RawMessage(`{"raw":` + changes.Replace(goodConfiguration) + `}`)
-	return view.Piece{Section: view.ConfigurationSection, Stamp: view.Stamp{Epoch: 1, Sequence: 1}, Body: body}
+	return view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: body}
 }
 
 // listPiece is the section of a view that holds one endpoint.
-func listPiece(address net.Addr) view.Piece {
+func listPiece(address net.Addr) view.Update {
 	body := fmt.Sprintf(`{"endpoints":[{"id":"e","service":"s","address":%q,"zone":"north","capacity":8,"number":"v1","state":"ready"}]}`, address)
-	return view.Piece{Section: view.EndpointsSection, Stamp: view.Stamp{Epoch: 1, Sequence: 1}, Body: json.RawMessage(body)}
+	return view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
 }
--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -26,7 +26,7 @@
 	defer cancel()
 	for pause := firstPause; ; pause = min(2*pause, mostPause) {
 		err := try()
-		var damage *storage.DamageError
+		var damage *storage.CorruptError
 		if err == nil || errors.As(err, &damage) {
 			return err
 		}
--- a/internal/tier/command/surroundings.go
+++ b/internal/tier/command/surroundings.go
@@ -42,7 +42,7 @@
 
 // openFolder opens a folder of the machine's file system.
 func openFolder(folder string) (storage.Disk, error) {
-	disk, err := storage.NewOS(folder)
+	disk, err := storage.OpenOSDisk(folder)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tier/controller/api.go
+++ b/internal/tier/controller/api.go
@@ -157,7 +157,7 @@
 		_ = e.JSON(routed.Code, errorBody{Error: http.StatusText(routed.Code)})
 		return
 	}
-	answer := apierror.AnswerOf(err)
+	answer := apierror.ResponseOf(err)
 	if answer.RetryAfter {
 		e.Response().Header().Set("Retry-After", notOwnerRetryTime)
 	}
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -40,7 +40,7 @@
 	machines map[string]*machineUnderTest // by address
 	queue    []sent
 	later    []timed
-	pieces   map[view.Section]view.Piece
+	pieces   map[view.Section]view.Update
 	starts   int
 }
 
@@ -75,7 +75,7 @@
 	busy        map[*group.Group]time.Duration
 	broken      map[*group.Group]bool // by their disk
 	diskTrouble diskTrouble
-	stale       *view.Piece // the placement that it hears in place of the newest
+	stale       *view.Update // the placement that it hears in place of the newest
 	controller  *Controller
 	placeDue    time.Duration
 	store       *store.Store
@@ -87,7 +87,7 @@
 }
 
 func newClusterIn(t testing.TB, stores int, around surroundings) *cluster {
-	c := &cluster{t: t, around: around, machines: map[string]*machineUnderTest{}, pieces: map[view.Section]view.Piece{}}
+	c := &cluster{t: t, around: around, machines: map[string]*machineUnderTest{}, pieces: map[view.Section]view.Update{}}
 	for number := range 2*around.survive + 1 {
 		name := fmt.Sprintf("core-%d", number+1)
 		member := controllerMember(name, name+"-id", fmt.Sprintf("10.0.0.%d:7000", number+1), fmt.Sprintf("10.0.0.%d:8144", number+1))
@@ -130,7 +130,7 @@
 }
 
 // Publish spreads a piece.
-func (c *cluster) Publish(piece view.Piece) {
+func (c *cluster) Publish(piece view.Update) {
 	if held, ok := c.pieces[piece.Section]; ok && !held.Stamp.Less(piece.Stamp) {
 		return
 	}
@@ -193,7 +193,7 @@
 			initial = append(initial, replica.Member{ID: other.member.ID, Address: other.member.Address})
 		}
 	}
-	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{Survive: settings.Survive{Machines: c.around.survive}},
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.around.survive}},
 		Initial: initial, Disk: m.disk, Fleet: surroundingsOf{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), Send: send, Clock: clock,
 		Now: func() time.Time { return c.time().Add(m.skew) },
 		Ask: m.ask})
@@ -206,10 +206,10 @@
 }
 
 // ask has a store report on the groups that it owns; one that is out of reach doesn't answer.
-func (m *machineUnderTest) ask(address string, done func(wire.ShardMembersAnswer, error)) {
+func (m *machineUnderTest) ask(address string, done func(wire.ShardMembersResponse, error)) {
 	asked := m.cluster.machines[address]
 	if asked != nil && asked.isReachable() && !asked.frozen && asked.store != nil && m.isReachable() {
-		asked.store.Report(func(answer wire.ShardMembersAnswer) { done(answer, nil) })
+		asked.store.Report(func(answer wire.ShardMembersResponse) { done(answer, nil) })
 	}
 }
 
--- a/internal/tier/controller/configure.go
+++ b/internal/tier/controller/configure.go
@@ -27,7 +27,7 @@
 func (c *Controller) putSettings(e echo.Context) error {
 	began := time.Now()
 	order, err := readOrder(e)
-	c.options.Metrics.Took(metrics.ReadStep, time.Since(began))
+	c.options.Metrics.ObserveStep(metrics.ReadStep, time.Since(began))
 	if err == nil && c.wasTaken(order) {
 		return e.NoContent(http.StatusOK)
 	}
@@ -38,7 +38,7 @@
 		return err
 	}
 	if err := c.check(e.Request().Context(), order); err != nil {
-		c.options.Metrics.Ordered(metrics.Refused)
+		c.options.Metrics.CountOrder(metrics.Rejected)
 		return err
 	}
 	result, err := c.propose(e.Request().Context(), order)
@@ -65,14 +65,14 @@
 	defer cancel()
 	began := time.Now()
 	verdict, err = c.group.Propose(ctx, Command{Configure: order})
-	c.options.Metrics.Took(metrics.AgreeStep, time.Since(began))
+	c.options.Metrics.ObserveStep(metrics.ReplicateStep, time.Since(began))
 	switch {
 	case err != nil:
-		c.options.Metrics.Ordered(metrics.Unconfirmed)
+		c.options.Metrics.CountOrder(metrics.Unconfirmed)
 	case verdict == configuration.Taken:
-		c.options.Metrics.Ordered(metrics.Taken)
+		c.options.Metrics.CountOrder(metrics.Taken)
 	default:
-		c.options.Metrics.Ordered(metrics.Refused)
+		c.options.Metrics.CountOrder(metrics.Rejected)
 	}
 	return verdict, err
 }
@@ -128,12 +128,12 @@
 		return apierror.New(apierror.NotReady, "another configuration is being checked: %w", ctx.Err())
 	}
 	began := time.Now()
-	decoded, err := form.Read(order.Raw)
-	c.options.Metrics.Took(metrics.CheckStep, time.Since(began))
+	decoded, err := form.Parse(order.Raw)
+	c.options.Metrics.ObserveStep(metrics.CheckStep, time.Since(began))
 	if err != nil {
 		return apierror.New(apierror.InvalidConfiguration, "%w", err)
 	}
-	order.Number = decoded.Number
+	order.Number = decoded.Version
 	return nil
 }
 
--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -41,7 +41,7 @@
 	// Members returns all members that are known.
 	Members() []membership.Member
 	// Publish spreads a piece, unless a newer one is known.
-	Publish(piece view.Piece)
+	Publish(piece view.Update)
 }
 
 // EndpointReader reads the platform's whole list.
@@ -64,8 +64,8 @@
 	Seed     uint64
 
 	// In place of the pool and the process's own clock, where a test runs the controller in memory; nil: those.
-	Send  func(address string, envelope group.Envelope)                              // must not block
-	Ask   func(address string, done func(answer wire.ShardMembersAnswer, err error)) // must not block
+	Send  func(address string, envelope group.Envelope)                                // must not block
+	Ask   func(address string, done func(answer wire.ShardMembersResponse, err error)) // must not block
 	Clock func() time.Duration
 	// AskList has the controller at an address read the platform's list.
 	AskList func(ctx context.Context, address string) ([]model.Endpoint, error)
@@ -140,7 +140,7 @@
 }
 
 // copies is the number of replicas that bear the losses that are to be borne.
-func (c *Controller) copies() int { return 2*c.options.Settings.Survive.Machines + 1 }
+func (c *Controller) copies() int { return 2*c.options.Settings.FaultTolerance.Machines + 1 }
 
 func sendByLink(pool *transport.Pool) func(address string, envelope group.Envelope) {
 	return func(address string, envelope group.Envelope) {
@@ -160,7 +160,7 @@
 		}
 	})
 	transport.Handle(handlers, wire.MethodEndpoints, c.answerList)
-	transport.HandleNotice(handlers, wire.MethodTallies, func(_ string, tallies wire.Tallies) { c.evidence.take(c.options.Clock(), tallies) })
+	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, tallies wire.VersionStatsReport) { c.evidence.take(c.options.Clock(), tallies) })
 }
 
 // Run drives the member until ctx ends or its disk fails.
@@ -192,7 +192,7 @@
 		return
 	}
 	c.electedIn = status.Term
-	c.options.Metrics.Elected()
+	c.options.Metrics.CountElection()
 }
 
 // change tells the group which members it is to have, if this member still owns it.
--- a/internal/tier/controller/cutoff_fixture_test.go
+++ b/internal/tier/controller/cutoff_fixture_test.go
@@ -120,17 +120,17 @@
 	disk := memorydisk.New()
 	if slow := m.core.kind.slowDisk; slow > 0 {
 		random := rand.New(rand.NewPCG(seed, uint64(m.number)))
-		disk.Inject(func(kind memorydisk.OperationKind, _ string) error {
+		disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Sync {
 				time.Sleep(time.Duration(random.Int64N(int64(slow))))
 			}
 			return nil
 		})
 	}
-	survive := settings.Survive{Machines: m.core.kind.group / 2}
-	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{Survive: survive},
+	survive := settings.FaultTolerance{Machines: m.core.kind.group / 2}
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: survive},
 		Initial: initial, Disk: disk, Fleet: m, Reader: &list{endpoints: []model.Endpoint{endpoint("e", 0)}}, Logger: log.NewNopLogger(),
-		Seed: seed + uint64(m.number), Send: m.send, Ask: func(string, func(wire.ShardMembersAnswer, error)) {}})
+		Seed: seed + uint64(m.number), Send: m.send, Ask: func(string, func(wire.ShardMembersResponse, error)) {}})
 	if err != nil {
 		m.core.t.Fatal(err)
 	}
@@ -359,7 +359,7 @@
 }
 
 // Publish implements Fleet.
-func (m *coreMachine) Publish(view.Piece) {}
+func (m *coreMachine) Publish(view.Update) {}
 
 // coreAnswer is what a caller got at the end of a call, after redirects.
 type coreAnswer struct {
--- a/internal/tier/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -95,27 +95,27 @@
 }
 
 // next is the piece that a list makes, if it says anything new in the owner's epoch.
-func (p *EndpointPublisher) next(endpoints []model.Endpoint, epoch uint64) (piece view.Piece, changed bool, err error) {
-	if p.stamp.Epoch == epoch && unchanged(p.last, endpoints) {
-		return view.Piece{}, false, nil
+func (p *EndpointPublisher) next(endpoints []model.Endpoint, epoch uint64) (piece view.Update, changed bool, err error) {
+	if p.stamp.Term == epoch && unchanged(p.last, endpoints) {
+		return view.Update{}, false, nil
 	}
 	body, err := json.Marshal(view.EndpointList{Endpoints: endpoints})
 	if err != nil {
-		return view.Piece{}, false, err
+		return view.Update{}, false, err
 	}
-	if p.stamp.Epoch != epoch {
-		p.stamp = view.Stamp{Epoch: epoch}
+	if p.stamp.Term != epoch {
+		p.stamp = view.Stamp{Term: epoch}
 	}
 	p.stamp.Sequence++
 	p.last = endpoints
-	return view.Piece{Section: view.EndpointsSection, Stamp: p.stamp, Body: body}, true, nil
+	return view.Update{Section: view.EndpointsSection, Stamp: p.stamp, Body: body}, true, nil
 }
 
 // unchanged tells whether two lists say the same, apart from the time for which an endpoint is still cold: that runs down
 // with each read.
 func unchanged(a, b []model.Endpoint) bool {
 	return slices.EqualFunc(a, b, func(x, y model.Endpoint) bool {
-		x.ColdLeftMs, y.ColdLeftMs = 0, 0
+		x.WarmUpLeftMs, y.WarmUpLeftMs = 0, 0
 		return x == y
 	})
 }
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -13,7 +13,7 @@
 )
 
 func endpoint(id string, coldLeftMs int64) model.Endpoint {
-	return model.Endpoint{ID: id, Service: "lm", Address: "10.1.0.1:8080", Number: "v1", State: model.Ready, ColdLeftMs: coldLeftMs}
+	return model.Endpoint{ID: id, Service: "lm", Address: "10.1.0.1:8080", Version: "v1", State: model.Ready, WarmUpLeftMs: coldLeftMs}
 }
 
 func TestEndpointsArePublishedWhenTheyChange(t *testing.T) {
@@ -24,12 +24,12 @@
 		epoch     uint64
 		want      view.Stamp // zero: nothing new
 	}{
-		{"first", []model.Endpoint{endpoint("a", 900)}, 3, view.Stamp{Epoch: 3, Sequence: 1}},
+		{"first", []model.Endpoint{endpoint("a", 900)}, 3, view.Stamp{Term: 3, Sequence: 1}},
 		{"the same", []model.Endpoint{endpoint("a", 900)}, 3, view.Stamp{}},
 		{"less cold", []model.Endpoint{endpoint("a", 200)}, 3, view.Stamp{}},
-		{"one more", []model.Endpoint{endpoint("a", 200), endpoint("b", 0)}, 3, view.Stamp{Epoch: 3, Sequence: 2}},
-		{"the same in a later epoch", []model.Endpoint{endpoint("a", 200), endpoint("b", 0)}, 5, view.Stamp{Epoch: 5, Sequence: 1}},
-		{"none", nil, 5, view.Stamp{Epoch: 5, Sequence: 2}},
+		{"one more", []model.Endpoint{endpoint("a", 200), endpoint("b", 0)}, 3, view.Stamp{Term: 3, Sequence: 2}},
+		{"the same in a later epoch", []model.Endpoint{endpoint("a", 200), endpoint("b", 0)}, 5, view.Stamp{Term: 5, Sequence: 1}},
+		{"none", nil, 5, view.Stamp{Term: 5, Sequence: 2}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -34,7 +34,7 @@
 type fleet struct {
 	mutex     sync.Mutex
 	members   []membership.Member
-	published []view.Piece
+	published []view.Update
 }
 
 func (f *fleet) Members() []membership.Member {
@@ -43,7 +43,7 @@
 	return f.members
 }
 
-func (f *fleet) Publish(piece view.Piece) {
+func (f *fleet) Publish(piece view.Update) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.published = append(f.published, piece)
@@ -89,10 +89,10 @@
 }
 
 func testOptions(disk *memorydisk.Disk, surroundings *fleet) Options {
-	return Options{ID: selfID, Address: selfAddress, Settings: &settings.Settings{Survive: settings.Survive{Machines: 1}},
+	return Options{ID: selfID, Address: selfAddress, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: 1}},
 		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: surroundings, Reader: &list{},
 		Logger: log.NewNopLogger(), Seed: 1,
-		Ask: func(string, func(wire.ShardMembersAnswer, error)) {}}
+		Ask: func(string, func(wire.ShardMembersResponse, error)) {}}
 }
 
 // newBed opens a controller without running it.
--- a/internal/tier/controller/listsource.go
+++ b/internal/tier/controller/listsource.go
@@ -101,15 +101,15 @@
 }
 
 // answerList reads the list for the owner of the group.
-func (c *Controller) answerList(ctx context.Context, _ string, _ wire.EndpointsRequest) (wire.EndpointsAnswer, error) {
+func (c *Controller) answerList(ctx context.Context, _ string, _ wire.EndpointsRequest) (wire.EndpointsResponse, error) {
 	endpoints, err := c.readListHere(ctx, readTimeout)
-	return wire.EndpointsAnswer{Endpoints: endpoints}, err
+	return wire.EndpointsResponse{Endpoints: endpoints}, err
 }
 
 // askListByLink has another controller read the list.
 func askListByLink(pool *transport.Pool) func(ctx context.Context, address string) ([]model.Endpoint, error) {
 	return func(ctx context.Context, address string) ([]model.Endpoint, error) {
-		answer, err := transport.Call[wire.EndpointsRequest, wire.EndpointsAnswer](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
+		answer, err := transport.Call[wire.EndpointsRequest, wire.EndpointsResponse](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
 		return answer.Endpoints, err
 	}
 }
--- a/internal/tier/controller/listsource_test.go
+++ b/internal/tier/controller/listsource_test.go
@@ -126,7 +126,7 @@
 		r.t.Errorf("the ownership moved: %+v, was epoch %d", status, epoch)
 	}
 	for i, piece := range r.fleet.published {
-		if piece.Stamp.Epoch != epoch || i > 0 && !r.fleet.published[i-1].Stamp.Less(piece.Stamp) {
+		if piece.Stamp.Term != epoch || i > 0 && !r.fleet.published[i-1].Stamp.Less(piece.Stamp) {
 			r.t.Errorf("piece %d has the stamp %v", i, piece.Stamp)
 		}
 	}
--- a/internal/tier/controller/orders_mutants_test.go
+++ b/internal/tier/controller/orders_mutants_test.go
@@ -95,7 +95,7 @@
 			Name: "the window of repeats has no end",
 			Change: mutation.Change{
 				File: "repeats.go",
-				Old:  "\treturn c.repeats.Settled(c.options.Clock(), c.options.Now(), c.agree.taken())\n",
+				Old:  "\treturn c.repeats.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.agree.taken())\n",
 				New:  "\treturn 0\n",
 			},
 			Run: "^TestALateRepeat",
@@ -103,7 +103,7 @@
 		{
 			Name: "the time of day alone tells what is a repeat",
 			Change: mutation.Change{
-				File: "../repeat/window.go",
+				File: "../dedup/window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
 				New:  "age > w.length",
 			},
--- a/internal/tier/controller/place.go
+++ b/internal/tier/controller/place.go
@@ -97,7 +97,7 @@
 
 // ask has a store report on the groups that it owns.
 func (c *Controller) ask(now time.Time, address string) {
-	c.options.Ask(address, func(answer wire.ShardMembersAnswer, err error) {
+	c.options.Ask(address, func(answer wire.ShardMembersResponse, err error) {
 		if err != nil {
 			level.Debug(c.options.Logger).Log("msg", "store doesn't report on its groups", "address", address, "err", err)
 			return
@@ -109,12 +109,12 @@
 }
 
 // askByLink calls a store in a goroutine of its own.
-func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
-	return func(address string, done func(wire.ShardMembersAnswer, error)) {
+func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
+	return func(address string, done func(wire.ShardMembersResponse, error)) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 			defer cancel()
-			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
+			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
 		}()
 	}
 }
--- a/internal/tier/controller/plan.go
+++ b/internal/tier/controller/plan.go
@@ -51,13 +51,13 @@
 func (p *Planner) Watch() *placement.Watch { return p.watch }
 
 // Report takes in what a store has told of the groups that it owns, when asked at that time.
-func (p *Planner) Report(asked time.Time, answer wire.ShardMembersAnswer) {
+func (p *Planner) Report(asked time.Time, answer wire.ShardMembersResponse) {
 	for _, told := range answer.Shards {
 		known, ok := p.reports[told.Shard]
-		if ok && (known.group.Epoch > told.Epoch || known.group.Epoch == told.Epoch && known.at.After(asked)) {
+		if ok && (known.group.Epoch > told.Term || known.group.Epoch == told.Term && known.at.After(asked)) {
 			continue
 		}
-		p.reports[told.Shard] = report{at: asked, group: decommission.Group{Epoch: told.Epoch, Placement: told.Placement,
+		p.reports[told.Shard] = report{at: asked, group: decommission.Group{Epoch: told.Term, Placement: told.Placement,
 			Members: told.IDs, CaughtUp: told.CaughtUp}}
 	}
 }
--- a/internal/tier/controller/repeats.go
+++ b/internal/tier/controller/repeats.go
@@ -16,25 +16,25 @@
 }
 
 // taken lists the orders that may come again, the oldest first.
-func (s *Machine) taken() []dedup.Taken {
-	var taken []dedup.Taken
+func (s *Machine) taken() []dedup.AcceptedOrder {
+	var taken []dedup.AcceptedOrder
 	for _, order := range s.rollouts.Recent() {
-		taken = append(taken, dedup.Taken{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AtMs: order.AtMs})
 	}
 	for _, order := range s.retirements.All() {
-		taken = append(taken, dedup.Taken{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AtMs: order.AtMs})
 	}
-	slices.SortFunc(taken, func(a, b dedup.Taken) int { return cmp.Compare(a.Index, b.Index) })
+	slices.SortFunc(taken, func(a, b dedup.AcceptedOrder) int { return cmp.Compare(a.Index, b.Index) })
 	return taken
 }
 
 // noteOrders notes when this process has come to know of orders. The caller holds the mutex.
-func (c *Controller) noteOrders() { c.repeats.Note(c.options.Clock(), c.agree.taken()) }
+func (c *Controller) noteOrders() { c.repeats.Observe(c.options.Clock(), c.agree.taken()) }
 
 // settled is the index up to which nobody repeats orders any more. An order carries it into the log, so that all members
 // judge alike whether it is a repeat.
 func (c *Controller) settled() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.repeats.Settled(c.options.Clock(), c.options.Now(), c.agree.taken())
+	return c.repeats.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.agree.taken())
 }
--- a/internal/tier/controller/rollouts.go
+++ b/internal/tier/controller/rollouts.go
@@ -39,19 +39,19 @@
 // proxyReport is what one proxy has reported.
 type proxyReport struct {
 	at       time.Duration // when it came, by the steady clock
-	versions []wire.VersionTally
+	versions []wire.VersionStats
 }
 
 func newEvidence() *evidence { return &evidence{sources: map[string]proxyReport{}} }
 
-func (e *evidence) take(now time.Duration, tallies wire.Tallies) {
+func (e *evidence) take(now time.Duration, tallies wire.VersionStatsReport) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.sources[tallies.Source] = proxyReport{at: now, versions: tallies.Versions}
 }
 
 // each calls take with what each proxy has reported of a service's version. It holds the mutex meanwhile.
-func (e *evidence) each(service, version string, take func(at time.Duration, tally *wire.VersionTally)) {
+func (e *evidence) each(service, version string, take func(at time.Duration, tally *wire.VersionStats)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, source := range e.sources {
@@ -66,7 +66,7 @@
 // of sums up all that was seen of a service's version, by route.
 func (e *evidence) of(service, version string) rollout.Evidence {
 	sums := rollout.Evidence{}
-	e.each(service, version, func(_ time.Duration, tally *wire.VersionTally) { sums.Add(tally.Route, tally.Tally) })
+	e.each(service, version, func(_ time.Duration, tally *wire.VersionStats) { sums.Add(tally.Route, tally.Stats) })
 	return sums
 }
 
@@ -75,9 +75,9 @@
 func (e *evidence) during(roll *rollout.Roll, now time.Duration) (rollout.Evidence, time.Duration) {
 	sums := rollout.Evidence{}
 	var known time.Duration
-	e.each(roll.Service, roll.Target, func(at time.Duration, tally *wire.VersionTally) {
+	e.each(roll.Service, roll.Target, func(at time.Duration, tally *wire.VersionStats) {
 		if tally.Order == roll.Index {
-			sums.Add(tally.Route, tally.Tally)
+			sums.Add(tally.Route, tally.Stats)
 			known = max(known, now-at+time.Duration(tally.AgeMs)*time.Millisecond)
 		}
 	})
@@ -152,8 +152,8 @@
 	several := map[string]bool{}
 	for i := range endpoints {
 		e := &endpoints[i]
-		several[e.Service] = several[e.Service] || versions[e.Service] != "" && versions[e.Service] != e.Number
-		versions[e.Service] = e.Number
+		several[e.Service] = several[e.Service] || versions[e.Service] != "" && versions[e.Service] != e.Version
+		versions[e.Service] = e.Version
 	}
 	for service, version := range versions {
 		c.mutex.Lock()
@@ -215,7 +215,7 @@
 		level.Info(c.options.Logger).Log("msg", "roll-out ordered", "service", order.Service, "target", order.Target, "overMs", order.OverMs)
 		return e.NoContent(http.StatusOK)
 	case rollout.UnderWay:
-		return apierror.New(apierror.OrderUnderWay, "another version of %s is being rolled out", order.Service)
+		return apierror.New(apierror.OperationInProgress, "another version of %s is being rolled out", order.Service)
 	}
 	return apierror.New(apierror.Internal, "the order has no outcome")
 }
--- a/internal/tier/controller/rollouts_test.go
+++ b/internal/tier/controller/rollouts_test.go
@@ -37,15 +37,15 @@
 
 func TestTimeInService(t *testing.T) {
 	const order = 7
-	reportOf := func(order uint64, age time.Duration) *wire.VersionTally {
-		return &wire.VersionTally{Service: "lm", Route: "r", Version: "v2", Order: order, AgeMs: age.Milliseconds(), Tally: rollout.Tally{Sent: 1}}
+	reportOf := func(order uint64, age time.Duration) *wire.VersionStats {
+		return &wire.VersionStats{Service: "lm", Route: "r", Version: "v2", Order: order, AgeMs: age.Milliseconds(), Stats: rollout.Tally{Sent: 1}}
 	}
 	tests := []struct {
 		name   string
 		age    time.Duration // since the order was sent
 		seen   time.Duration // since this process has seen it
 		skew   time.Duration
-		report *wire.VersionTally // that came 0.5 s ago
+		report *wire.VersionStats // that came 0.5 s ago
 		want   time.Duration
 	}{
 		{"seen since it was taken", 5 * time.Second, 5 * time.Second, 0, nil, 5*time.Second + orderLag},
@@ -68,7 +68,7 @@
 				t.Fatalf("the order is %v", got)
 			}
 			if test.report != nil {
-				b.evidence.take(time.Hour-500*time.Millisecond, wire.Tallies{Source: "p", Versions: []wire.VersionTally{*test.report}})
+				b.evidence.take(time.Hour-500*time.Millisecond, wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{*test.report}})
 			}
 			// Then its time in service follows from these.
 			b.now, b.skew = time.Hour, test.skew
@@ -85,11 +85,11 @@
 	// Given a version that failed while it was first rolled out, and is rolled out again.
 	const first, second = 5, 9
 	b := newClockedBed(t)
-	tally := func(order uint64, sent, bad int64) wire.VersionTally {
-		return wire.VersionTally{Service: "lm", Route: "r", Version: "v2", Order: order, Tally: rollout.Tally{Sent: sent, Bad: bad}}
+	tally := func(order uint64, sent, bad int64) wire.VersionStats {
+		return wire.VersionStats{Service: "lm", Route: "r", Version: "v2", Order: order, Stats: rollout.Tally{Sent: sent, Bad: bad}}
 	}
-	b.evidence.take(0, wire.Tallies{Source: "p", Versions: []wire.VersionTally{tally(0, 30, 20), tally(second, 3, 0)}})
-	b.evidence.take(0, wire.Tallies{Source: "q", Versions: []wire.VersionTally{tally(first, 7, 6), tally(second, 2, 1)}})
+	b.evidence.take(0, wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{tally(0, 30, 20), tally(second, 3, 0)}})
+	b.evidence.take(0, wire.VersionStatsReport{Source: "q", Versions: []wire.VersionStats{tally(first, 7, 6), tally(second, 2, 1)}})
 	// Then only the answers during that are the target's, and all are its own once it is what others are compared with.
 	target, _ := b.evidence.during(&rollout.Roll{Order: rollout.Order{Service: "lm", Target: "v2"}, Index: second}, 0)
 	if got := target.Total(); got.Sent != 5 || got.Bad != 1 {
--- a/internal/tier/controller/state.go
+++ b/internal/tier/controller/state.go
@@ -153,8 +153,8 @@
 }
 
 // Pieces returns what is to be spread of the agreed state, except for sections that are told already.
-func (s *Machine) Pieces(told view.Digest) ([]view.Piece, error) {
-	var pieces []view.Piece
+func (s *Machine) Pieces(told view.Digest) ([]view.Update, error) {
+	var pieces []view.Update
 	isNew := func(section view.Section, index uint64) bool {
 		return index != 0 && told[section] != view.Stamp{Sequence: index}
 	}
@@ -164,12 +164,12 @@
 		}
 		body, err := json.Marshal(content)
 		if err == nil {
-			pieces = append(pieces, view.Piece{Section: section, Stamp: view.Stamp{Sequence: index}, Body: body})
+			pieces = append(pieces, view.Update{Section: section, Stamp: view.Stamp{Sequence: index}, Body: body})
 		}
 		return err
 	}
 	if current := s.register.Current(); isNew(view.ConfigurationSection, current.Index) {
-		pieces = append(pieces, view.Piece{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: current.Index},
+		pieces = append(pieces, view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: current.Index},
 			Body: view.Config{Raw: current.Raw}.JSON()})
 	}
 	if err := add(view.PlacementSection, s.placementIndex, view.Placement{Shards: s.placement}); err != nil {
--- a/internal/tier/controller/surroundings_test.go
+++ b/internal/tier/controller/surroundings_test.go
@@ -57,7 +57,7 @@
 }
 
 // Publish implements Fleet.
-func (s surroundingsOf) Publish(piece view.Piece) {
+func (s surroundingsOf) Publish(piece view.Update) {
 	if s.machine.isReachable() {
 		s.machine.cluster.Publish(piece)
 	}
@@ -209,7 +209,7 @@
 		return nil
 	}
 	after := m.disk.Counts()
-	cost := time.Duration(after.Syncs-before.Syncs+after.FolderSyncs-before.FolderSyncs) * c.around.sync
+	cost := time.Duration(after.Syncs-before.Syncs+after.DirSyncs-before.DirSyncs) * c.around.sync
 	if c.around.disk > 0 {
 		cost += timeFor(int(after.BytesWritten-before.BytesWritten), c.around.disk)
 	}
--- a/internal/tier/dedup/window.go
+++ b/internal/tier/dedup/window.go
@@ -7,8 +7,8 @@
 // clockSkew is how far the times of day of two machines may differ, a clock that was set wrong among them.
 const clockSkew = 5 * time.Second
 
-// Taken is an order that was taken.
-type Taken struct {
+// AcceptedOrder is an order that was taken.
+type AcceptedOrder struct {
 	Index uint64 // of its entry
 	AtMs  int64  // time of day at which the owner took it, ms since 1970
 }
@@ -25,8 +25,8 @@
 	return &Window{length: length, seen: map[uint64]time.Duration{}}
 }
 
-// Note takes in all orders that may be repeated; it is to be called whenever one is added. Now is the steady clock's.
-func (w *Window) Note(now time.Duration, taken []Taken) {
+// Observe takes in all orders that may be repeated; it is to be called whenever one is added. Now is the steady clock's.
+func (w *Window) Observe(now time.Duration, taken []AcceptedOrder) {
 	seen := make(map[uint64]time.Duration, len(taken))
 	for _, order := range taken {
 		at, known := w.seen[order.Index]
@@ -47,11 +47,11 @@
 	return now - at
 }
 
-// Settled is the index up to which none of the orders is repeated any more; 0 if all may be. The steady clock decides for
+// ExpiredUpTo is the index up to which none of the orders is repeated any more; 0 if all may be. The steady clock decides for
 // orders that this process has seen for long enough: it runs from a time at which they had been taken, so that it can't tell
 // too soon. The time of day decides for those that are older than the process; only a clock that is ahead by more than the
 // allowance lets it tell too soon, and one that is behind lets it tell no later than the steady clock.
-func (w *Window) Settled(now time.Duration, timeOfDay time.Time, taken []Taken) uint64 {
+func (w *Window) ExpiredUpTo(now time.Duration, timeOfDay time.Time, taken []AcceptedOrder) uint64 {
 	var settled uint64
 	for _, order := range taken {
 		age := timeOfDay.Sub(time.UnixMilli(order.AtMs)) - clockSkew
--- a/internal/tier/dedup/window_test.go
+++ b/internal/tier/dedup/window_test.go
@@ -36,11 +36,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			const now = time.Hour
-			order := dedup.Taken{Index: 7, AtMs: dayOf(now - test.age).UnixMilli()}
+			order := dedup.AcceptedOrder{Index: 7, AtMs: dayOf(now - test.age).UnixMilli()}
 			w := dedup.NewWindow(length)
-			w.Note(now-test.seen, []dedup.Taken{order})
-			w.Note(now, []dedup.Taken{order})
-			got := w.Settled(now, dayOf(now+test.skew), []dedup.Taken{order})
+			w.Observe(now-test.seen, []dedup.AcceptedOrder{order})
+			w.Observe(now, []dedup.AcceptedOrder{order})
+			got := w.ExpiredUpTo(now, dayOf(now+test.skew), []dedup.AcceptedOrder{order})
 			if want := map[bool]uint64{true: 7}[test.settled]; got != want {
 				t.Errorf("orders are settled up to entry %d, want %d", got, want)
 			}
@@ -50,18 +50,18 @@
 
 func TestTheNewestSettledOrderCounts(t *testing.T) {
 	// Given orders of which the first three are old, the second by a clock that was ahead,
-	taken := []dedup.Taken{{Index: 3, AtMs: dayOf(0).UnixMilli()}, {Index: 5, AtMs: dayOf(time.Hour).UnixMilli()}, {Index: 8, AtMs: dayOf(0).UnixMilli()}}
+	taken := []dedup.AcceptedOrder{{Index: 3, AtMs: dayOf(0).UnixMilli()}, {Index: 5, AtMs: dayOf(time.Hour).UnixMilli()}, {Index: 8, AtMs: dayOf(0).UnixMilli()}}
 	w := dedup.NewWindow(length)
-	w.Note(0, taken)
-	taken = append(taken, dedup.Taken{Index: 9, AtMs: dayOf(time.Minute).UnixMilli()})
-	w.Note(time.Minute, taken)
+	w.Observe(0, taken)
+	taken = append(taken, dedup.AcceptedOrder{Index: 9, AtMs: dayOf(time.Minute).UnixMilli()})
+	w.Observe(time.Minute, taken)
 	// then the third settles those before it, and not the one after it.
-	if got := w.Settled(time.Minute, dayOf(time.Minute), taken); got != 8 {
+	if got := w.ExpiredUpTo(time.Minute, dayOf(time.Minute), taken); got != 8 {
 		t.Errorf("orders are settled up to entry %d, want 8", got)
 	}
 	// And an order that is gone and comes again, as after a restored snapshot, is seen anew.
-	w.Note(2*time.Minute, nil)
-	w.Note(3*time.Minute, taken)
+	w.Observe(2*time.Minute, nil)
+	w.Observe(3*time.Minute, taken)
 	if got := w.SeenFor(3*time.Minute, 8); got != 0 {
 		t.Errorf("an order that was gone has been seen for %v", got)
 	}
--- a/internal/tier/exchangetest/world_test.go
+++ b/internal/tier/exchangetest/world_test.go
@@ -116,18 +116,18 @@
 // configuration has a route of each kind. Each number has limits of its own.
 func configuration(number int) *model.Configuration {
 	c := &model.Configuration{
-		Number:   uint64(number),
+		Version:  uint64(number),
 		Services: []model.Service{{Name: "service", Protocol: "h1"}},
-		Limits:   model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderWaitMs: 3000, IdleCloseMs: int64(2000 + number)},
+		Limits:   model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: int64(2000 + number)},
 	}
 	for _, kind := range []routeKind{safeRoute, onceRoute, streamRoute, resumeRoute, turnRoute} {
-		route := model.Route{Name: string(kind), Host: "a.example", StartsWith: "/" + string(kind) + "/", Service: "service", Tries: tries,
-			GiveUpMs: 3000, TargetMs: 200, CanResume: kind == resumeRoute, Remembered: kind == turnRoute, KeepForS: 60}
+		route := model.Route{Name: string(kind), Host: "a.example", PathPrefix: "/" + string(kind) + "/", Service: "service", MaxAttempts: tries,
+			TimeoutMs: 3000, LatencyTargetMs: 200, Resumable: kind == resumeRoute, Stateful: kind == turnRoute, RetentionS: 60}
 		switch {
 		case kind.streaming():
 			route.Kind = model.Streaming
 		case kind == onceRoute:
-			route.Kind = model.OnceOnly
+			route.Kind = model.AtMostOnce
 		default:
 			route.Kind = model.Retryable
 		}
--- a/internal/tier/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -23,7 +23,7 @@
 func openAgent(p *process) (handler, error) {
 	a := &agent{process: p}
 	id := randomIdentity(p.machine.fleet.loop)
-	a.member = newMember(p, id, p.machine.fleet.seeds(), func(view.Piece) { p.after(0, a.feed) })
+	a.member = newMember(p, id, p.machine.fleet.seeds(), func(view.Update) { p.after(0, a.feed) })
 	return a, nil
 }
 
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.member = newMember(p, id, f.seeds(), func(view.Piece) {})
+	c.member = newMember(p, id, f.seeds(), func(view.Update) {})
 	return c, nil
 }
 
@@ -80,8 +80,8 @@
 	var members []replica.Member
 	own := false
 	for _, seed := range p.machine.fleet.firstSeeds {
-		members = append(members, replica.Member{ID: identity.First(seed), Address: seed})
-		own = own || identity.First(seed) == id
+		members = append(members, replica.Member{ID: identity.BootstrapID(seed), Address: seed})
+		own = own || identity.BootstrapID(seed) == id
 	}
 	if !own {
 		return nil
@@ -325,7 +325,7 @@
 func (c *controller) askStore(now time.Time, address string) {
 	c.process.machine.fleet.network.ask(c.process, address, wire.ShardMembersRequest{}, askTimeout, func(answer any, err error) {
 		if err == nil {
-			c.planner.Report(now, answer.(wire.ShardMembersAnswer))
+			c.planner.Report(now, answer.(wire.ShardMembersResponse))
 		}
 	})
 }
@@ -352,15 +352,15 @@
 		c.process.machine.fleet.report("HARNESS", "list cannot be encoded: %v", err)
 		return
 	}
-	if c.listed.Epoch == epoch && string(body) == string(c.lastList) {
+	if c.listed.Term == epoch && string(body) == string(c.lastList) {
 		return
 	}
-	if c.listed.Epoch != epoch {
-		c.listed = view.Stamp{Epoch: epoch}
+	if c.listed.Term != epoch {
+		c.listed = view.Stamp{Term: epoch}
 	}
 	c.listed.Sequence++
 	c.lastList = body
-	c.member.publish(view.Piece{Section: view.EndpointsSection, Stamp: c.listed, Body: body})
+	c.member.publish(view.Update{Section: view.EndpointsSection, Stamp: c.listed, Body: body})
 }
 
 // coreFacts is what the controller's plan is made from.
--- a/internal/tier/fleettest/day.go
+++ b/internal/tier/fleettest/day.go
@@ -231,7 +231,7 @@
 func (d *day) allServe(last *order) bool {
 	for _, m := range d.edges {
 		serving, ok := m.processes[1].handler.(*proxy)
-		if !ok || !serving.ready() || serving.config.Number < last.Content.Number && last.Status == http.StatusOK {
+		if !ok || !serving.ready() || serving.config.Version < last.Content.Number && last.Status == http.StatusOK {
 			return false
 		}
 	}
--- a/internal/tier/fleettest/disk.go
+++ b/internal/tier/fleettest/disk.go
@@ -77,8 +77,8 @@
 	return d.Disk.Remove(name)
 }
 
-// SyncFolder implements storage.Disk.
-func (d *timedDisk) SyncFolder() error { return d.sync(d.Disk.SyncFolder) }
+// SyncDir implements storage.Disk.
+func (d *timedDisk) SyncDir() error { return d.sync(d.Disk.SyncDir) }
 
 // timedFile is a file on a timedDisk.
 type timedFile struct {
--- a/internal/tier/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -45,7 +45,7 @@
 func machineIdentity(p *process) (string, error) {
 	m := p.machine
 	id, err := readOrMakeIdentity(p, m.first)
-	var damage *storage.DamageError
+	var damage *storage.CorruptError
 	if !errors.As(err, &damage) {
 		return id, err
 	}
@@ -59,17 +59,17 @@
 	m := p.machine
 	var random io.Reader = seededReader{m.fleet.loop}
 	if first {
-		bytes, err := hex.DecodeString(identity.First(p.address))
+		bytes, err := hex.DecodeString(identity.BootstrapID(p.address))
 		if err != nil {
 			return "", err
 		}
 		random = &firstReader{bytes}
 	}
-	id, _, err := storage.Identity(m.disk, random)
+	id, _, err := storage.LoadOrCreateIdentity(m.disk, random)
 	if err != nil {
 		return "", err
 	}
-	groups, err := storage.Groups(m.disk)
+	groups, err := storage.ListGroups(m.disk)
 	if err != nil {
 		return "", err
 	}
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -24,9 +24,9 @@
 	waking   bool
 	token    uint64
 	arrivals map[uint64]*exchange
-	pieces   map[view.Section]view.Piece
+	pieces   map[view.Section]view.Update
 	told     view.Digest
-	took     func(piece view.Piece)
+	took     func(piece view.Update)
 	fetching bool
 }
 
@@ -39,8 +39,8 @@
 // fetchRequest asks for the pieces that are newer than the digest tells; they come as one []view.Piece.
 type fetchRequest struct{ digest view.Digest }
 
-func newMember(p *process, id string, seeds []string, took func(view.Piece)) *member {
-	m := &member{process: p, arrivals: map[uint64]*exchange{}, pieces: map[view.Section]view.Piece{}, told: view.Digest{}, took: took}
+func newMember(p *process, id string, seeds []string, took func(view.Update)) *member {
+	m := &member{process: p, arrivals: map[uint64]*exchange{}, pieces: map[view.Section]view.Update{}, told: view.Digest{}, took: took}
 	self := membership.Member{Name: p.name, ID: id, Role: p.machine.role, Zone: p.machine.zone, Address: p.address,
 		Incarnation: uint64(p.machine.nowMs())}
 	m.swim = membership.New(membership.Options{Self: self, Seeds: seeds, Seed: p.machine.fleet.loop.random.Uint64()})
@@ -151,8 +151,8 @@
 }
 
 // newer returns the pieces of which the digest tells an older stamp, or none.
-func (m *member) newer(digest view.Digest) []view.Piece {
-	var pieces []view.Piece
+func (m *member) newer(digest view.Digest) []view.Update {
+	var pieces []view.Update
 	for _, section := range view.Sections {
 		piece, held := m.pieces[section]
 		theirs, known := digest[section]
@@ -164,7 +164,7 @@
 }
 
 // publish takes pieces over that are newer, and announces them.
-func (m *member) publish(pieces ...view.Piece) {
+func (m *member) publish(pieces ...view.Update) {
 	for _, piece := range pieces {
 		if held, ok := m.pieces[piece.Section]; !ok || held.Stamp.Less(piece.Stamp) {
 			m.pieces[piece.Section] = piece
@@ -221,7 +221,7 @@
 	m.process.machine.fleet.network.ask(m.process, address, fetchRequest{own}, fetchTimeout, func(answer any, err error) {
 		m.fetching = false
 		if err == nil {
-			m.publish(answer.([]view.Piece)...)
+			m.publish(answer.([]view.Update)...)
 		}
 	})
 }
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -16,7 +16,7 @@
 }
 
 func contentOf(config *model.Configuration) Content {
-	content := Content{Number: config.Number}
+	content := Content{Number: config.Version}
 	if len(config.Routes) > 0 {
 		content.Mark = config.Routes[0].Name
 	}
@@ -25,7 +25,7 @@
 
 // raw is the configuration as the operator sends it.
 func (c Content) raw() json.RawMessage {
-	config := model.Configuration{Number: c.Number, Routes: []model.Route{{Name: c.Mark, Host: "h.example", StartsWith: "/", Kind: model.Streaming, Service: modelService}}}
+	config := model.Configuration{Version: c.Number, Routes: []model.Route{{Name: c.Mark, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}}}
 	raw, err := json.Marshal(config)
 	if err != nil {
 		panic(err) // there is nothing in it that can't be encoded
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -45,7 +45,7 @@
 	}
 	shard := placement.Shard(key, len(c.placed.Shards))
 	deadline := c.now() + within
-	request := wire.BeginTurn{Shard: shard, Turn: turn}
+	request := wire.BeginTurnRequest{Shard: shard, Turn: turn}
 	c.call(shard, request, deadline, func(answer any, err error) {
 		result, _ := answer.(program.Result)
 		if err != nil || result.Verdict != program.NoSuchTurn {
@@ -75,7 +75,7 @@
 		return
 	}
 	shard := placement.Shard(key, len(c.placed.Shards))
-	c.call(shard, wire.EndTurn{Shard: shard, Turn: turn}, c.now()+within, func(answer any, err error) {
+	c.call(shard, wire.EndTurnRequest{Shard: shard, Turn: turn}, c.now()+within, func(answer any, err error) {
 		if result, _ := answer.(program.Result); err == nil && result.Verdict != program.Taken {
 			err = errUnsettled
 		}
@@ -102,7 +102,7 @@
 		}
 		c.call(shard, wire.ChainRequest{Shard: shard, Turn: turn}, deadline, func(answer any, err error) {
 			open--
-			found, _ := answer.(wire.ChainAnswer)
+			found, _ := answer.(wire.ChainResponse)
 			switch {
 			case err != nil:
 				failed = err
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -51,7 +51,7 @@
 func (p *proxy) connect() {
 	p.network().call(p.process, p.agent, feedRequest{maps.Clone(p.digest)}, func(piece any) {
 		p.pause = feedFirstPause
-		p.take(piece.(view.Piece))
+		p.take(piece.(view.Update))
 	}, func(error) {
 		p.process.after(p.pause, p.connect)
 		p.pause = min(2*p.pause, feedMostPause)
@@ -61,7 +61,7 @@
 func (p *proxy) network() *network { return p.process.machine.fleet.network }
 
 // take takes a piece over, unless it is older than the one held.
-func (p *proxy) take(piece view.Piece) {
+func (p *proxy) take(piece view.Update) {
 	if held, known := p.digest[piece.Section]; known && !held.Less(piece.Stamp) {
 		return
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (p *proxy) apply(piece view.Piece) error {
+func (p *proxy) apply(piece view.Update) error {
 	switch piece.Section {
 	case view.ConfigurationSection:
 		var config view.Config
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -174,7 +174,7 @@
 	s.replica.read(func() { after = s.replica.group.Status() }, askTimeout, func(err error) {
 		confirmed := err == nil && after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex &&
 			slices.Equal(before.Members, after.Members)
-		told := wire.ShardMembers{Shard: number, Epoch: after.Term, Placement: s.followed}
+		told := wire.ShardMembers{Shard: number, Term: after.Term, Placement: s.followed}
 		for _, member := range after.Members {
 			told.IDs = append(told.IDs, member.ID)
 			if !member.Learner && after.CaughtUp[member.ID] {
@@ -187,7 +187,7 @@
 
 // report tells the members of all groups that this store owns.
 func (s *store) report(call *exchange) {
-	var answer wire.ShardMembersAnswer
+	var answer wire.ShardMembersResponse
 	open := len(s.shards)
 	if open == 0 {
 		call.finish(answer)
--- a/internal/tier/fleettest/store.go
+++ b/internal/tier/fleettest/store.go
@@ -42,7 +42,7 @@
 func (s *store) begin() { s.member.wake() }
 
 // take takes over a placement: shards that are this store's open, and every owner moves its group to its members.
-func (s *store) take(piece view.Piece) {
+func (s *store) take(piece view.Update) {
 	if piece.Section != view.PlacementSection {
 		return
 	}
@@ -115,10 +115,10 @@
 		return
 	}
 	switch asked := request.(type) {
-	case wire.BeginTurn:
+	case wire.BeginTurnRequest:
 		asked.Turn.AtMs = s.process.machine.nowMs()
 		s.propose(call, asked.Shard, program.Command{Begin: &asked.Turn})
-	case wire.EndTurn:
+	case wire.EndTurnRequest:
 		asked.Turn.AtMs = s.process.machine.nowMs()
 		s.propose(call, asked.Shard, program.Command{End: &asked.Turn})
 	case wire.ChainRequest:
@@ -158,7 +158,7 @@
 		call.finish(notOwner{})
 		return
 	}
-	var answer wire.ChainAnswer
+	var answer wire.ChainResponse
 	running.replica.read(func() { answer.Chain, answer.Found = running.programs.Chain(asked.Turn) }, storeCallBounds, func(err error) {
 		if err != nil {
 			call.finish(s.elsewhere(err))
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -48,7 +48,7 @@
 				begun := w.loop.Now()
 				w.write(author, view.EndpointsSection, 1, 2+i)
 				w.runFor(longestSpread)
-				times = append(times, w.spreadTimes(t, view.Stamp{Epoch: 1, Sequence: 2 + i}, begun)...)
+				times = append(times, w.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, begun)...)
 			}
 			slices.Sort(times)
 			t.Logf("a new piece arrives after: median %v, 99 %% %v, longest %v; each write costs a member %.2f messages and %.2f fetches",
--- a/internal/tier/gossip/network_test.go
+++ b/internal/tier/gossip/network_test.go
@@ -127,7 +127,7 @@
 }
 
 // checkReport sees to it that each report is newer than the last.
-func (w *network) checkReport(h *host, piece view.Piece) {
+func (w *network) checkReport(h *host, piece view.Update) {
 	last, found := h.reported[piece.Section]
 	if found && !last.Less(piece.Stamp) {
 		w.breach("%s reported %v of %s after %v", h.address, piece.Stamp, piece.Section, last)
@@ -179,7 +179,7 @@
 func (w *network) fetch(from *host, fetch Fetch) {
 	w.fetches++
 	starts := from.starts
-	finish := func(after time.Duration, pieces []view.Piece) {
+	finish := func(after time.Duration, pieces []view.Update) {
 		w.after(after, func() {
 			if from.spreader == nil || from.starts != starts {
 				return
@@ -205,13 +205,13 @@
 }
 
 // write makes a host the author of a piece.
-func (w *network) write(h *host, section view.Section, epoch, sequence uint64) view.Piece {
-	piece := view.Piece{
+func (w *network) write(h *host, section view.Section, epoch, sequence uint64) view.Update {
+	piece := view.Update{
 		Section: section,
-		Stamp:   view.Stamp{Epoch: epoch, Sequence: sequence},
+		Stamp:   view.Stamp{Term: epoch, Sequence: sequence},
 		Body:    json.RawMessage(fmt.Sprintf(`{"written":"%d.%d"}`, epoch, sequence)),
 	}
-	w.step(h, Input{Pieces: []view.Piece{piece}})
+	w.step(h, Input{Pieces: []view.Update{piece}})
 	return piece
 }
 
@@ -230,7 +230,7 @@
 }
 
 // expectAll runs until all running hosts hold a piece.
-func (w *network) expectAll(piece view.Piece, limit time.Duration) error {
+func (w *network) expectAll(piece view.Update, limit time.Duration) error {
 	end := w.loop.Now() + limit
 	for {
 		holding, running := w.holds(piece.Section, piece.Stamp)
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -13,7 +13,7 @@
 	sections = rapid.SampledFrom([]view.Section{view.ConfigurationSection, view.EndpointsSection, view.RolloutsSection})
 	stamps   = rapid.Custom(func(t *rapid.T) view.Stamp {
 		return view.Stamp{
-			Epoch:    rapid.Uint64Range(0, 3).Draw(t, "epoch"),
+			Term:     rapid.Uint64Range(0, 3).Draw(t, "epoch"),
 			Sequence: rapid.Uint64Range(0, 5).Draw(t, "sequence"),
 		}
 	})
@@ -26,7 +26,7 @@
 		store := NewStore()
 		newest := view.Digest{}
 		for range rapid.IntRange(0, 30).Draw(t, "pieces") {
-			piece := view.Piece{Section: sections.Draw(t, "section"), Stamp: stamps.Draw(t, "stamp")}
+			piece := view.Update{Section: sections.Draw(t, "section"), Stamp: stamps.Draw(t, "stamp")}
 			held, found := newest[piece.Section]
 			newer := !found || held.Less(piece.Stamp)
 			if store.Put(piece) != newer {
@@ -107,7 +107,7 @@
 		w.loss = min(w.loss, 0.02)
 		w.calmDown()
 		for section, stamp := range w.newest() {
-			if err := w.expectAll(view.Piece{Section: section, Stamp: stamp}, 8*time.Second); err != nil {
+			if err := w.expectAll(view.Update{Section: section, Stamp: stamp}, 8*time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -36,7 +36,7 @@
 
 func manyWrites(seed uint64) error {
 	w := newNetwork(32, seed)
-	var last, endpoints view.Piece
+	var last, endpoints view.Update
 	for i := range uint64(40) {
 		last = w.write(w.hosts[i%3], view.ConfigurationSection, 1+i/10, i)
 		endpoints = w.write(w.hosts[3], view.EndpointsSection, 1, i)
@@ -90,7 +90,7 @@
 }
 
 // toldOfBy makes a host learn of a piece from several that hold it.
-func (w *network) toldOfBy(h *host, piece view.Piece, holders ...*host) {
+func (w *network) toldOfBy(h *host, piece view.Update, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{piece.Section: piece.Stamp}}
 		w.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
@@ -98,7 +98,7 @@
 }
 
 // announced is the piece that is told of in networks without exchanges.
-var announced = view.Piece{Section: view.EndpointsSection, Stamp: view.Stamp{Epoch: 1, Sequence: 1}}
+var announced = view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}}
 
 // withoutExchanges starts a network in which nobody sends whole digests.
 func withoutExchanges(size int, seed uint64) *network {
@@ -160,7 +160,7 @@
 func twice(seed uint64) error {
 	w := newNetwork(4, seed)
 	piece := w.write(w.hosts[0], view.RolloutsSection, 1, 1)
-	w.step(w.hosts[0], Input{Pieces: []view.Piece{piece, piece}})
+	w.step(w.hosts[0], Input{Pieces: []view.Update{piece, piece}})
 	return w.expectAll(piece, 4*time.Second)
 }
 
--- a/internal/tier/gossip/spreader.go
+++ b/internal/tier/gossip/spreader.go
@@ -49,13 +49,13 @@
 // FetchResult is the outcome of a Fetch; no pieces: it failed.
 type FetchResult struct {
 	Token  uint64
-	Pieces []view.Piece
+	Pieces []view.Update
 }
 
 // Input is all that has happened since the last Step.
 type Input struct {
-	Peers     []string     // addresses of the other members; nil: as they are
-	Pieces    []view.Piece // written or read by this process
+	Peers     []string      // addresses of the other members; nil: as they are
+	Pieces    []view.Update // written or read by this process
 	Datagrams []Datagram
 	Fetched   []FetchResult
 }
@@ -64,7 +64,7 @@
 type Effects struct {
 	Datagrams []Datagram
 	Fetches   []Fetch
-	Updated   []view.Piece  // each new piece is told once
+	Updated   []view.Update // each new piece is told once
 	NextWake  time.Duration // when Step is to be called again at the latest
 }
 
@@ -141,7 +141,7 @@
 }
 
 // accept keeps a piece if it is newer than what is held.
-func (s *Gossiper) accept(piece view.Piece) {
+func (s *Gossiper) accept(piece view.Update) {
 	if !s.store.Put(piece) {
 		return
 	}
--- a/internal/tier/gossip/store.go
+++ b/internal/tier/gossip/store.go
@@ -9,14 +9,14 @@
 // Store holds the newest piece of each section. A section never goes back. The zero stamp stands for nothing held.
 type Store struct {
 	sections []view.Section // in order, so that nothing depends on the order of a map
-	pieces   map[view.Section]view.Piece
+	pieces   map[view.Section]view.Update
 }
 
 // NewStore returns an empty store.
-func NewStore() *Store { return &Store{pieces: map[view.Section]view.Piece{}} }
+func NewStore() *Store { return &Store{pieces: map[view.Section]view.Update{}} }
 
 // Put keeps a piece if it is newer than what is held of its section, and tells whether it was.
-func (s *Store) Put(piece view.Piece) bool {
+func (s *Store) Put(piece view.Update) bool {
 	held, found := s.pieces[piece.Section]
 	if found && !held.Stamp.Less(piece.Stamp) {
 		return false
@@ -30,7 +30,7 @@
 }
 
 // Get returns the piece of a section.
-func (s *Store) Get(section view.Section) (view.Piece, bool) {
+func (s *Store) Get(section view.Section) (view.Update, bool) {
 	piece, found := s.pieces[section]
 	return piece, found
 }
@@ -48,8 +48,8 @@
 }
 
 // AtLeast returns the pieces that answer a fetch: those wanted that are held with that stamp or a newer one.
-func (s *Store) AtLeast(wanted view.Digest) []view.Piece {
-	var pieces []view.Piece
+func (s *Store) AtLeast(wanted view.Digest) []view.Update {
+	var pieces []view.Update
 	for _, section := range s.sections {
 		stamp, asked := wanted[section]
 		if asked && !s.pieces[section].Stamp.Less(stamp) {
--- a/internal/tier/gossip/wire_test.go
+++ b/internal/tier/gossip/wire_test.go
@@ -14,8 +14,8 @@
 func TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
 	digest := view.Digest{
-		view.ConfigurationSection: {Epoch: 1, Sequence: 2},
-		view.PlacementSection:     {Epoch: 3, Sequence: 4},
+		view.ConfigurationSection: {Term: 1, Sequence: 2},
+		view.PlacementSection:     {Term: 3, Sequence: 4},
 	}
 	for _, tc := range []struct {
 		name    string
--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -35,7 +35,7 @@
 	if err := g.disk.Compact(snapshot, g.machine.WriteChunks, remaining, g.promise); err != nil {
 		return err
 	}
-	snapshot.Chunks = g.disk.SnapshotParts()
+	snapshot.Chunks = g.disk.SnapshotChunks()
 	g.entries, g.base, g.compacted = remaining, snapshot.Index, g.disk.LogBytes()
 	g.mutex.Lock()
 	g.input.Compact = &snapshot
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -95,7 +95,7 @@
 	if err := disk.Compact(first, g.blankParts, nil, replica.HardState{}); err != nil {
 		return err
 	}
-	first.Chunks = disk.SnapshotParts()
+	first.Chunks = disk.SnapshotChunks()
 	recovered.Snapshot = &first
 	return nil
 }
@@ -118,8 +118,8 @@
 
 // restore sets the machine to what the disk's snapshot holds, part by part; without one, to what it was in the beginning.
 func (g *Group) restore(disk *storage.Group, used bool) error {
-	parts := disk.Parts
-	if disk.SnapshotParts() == 0 {
+	parts := disk.ReadChunks
+	if disk.SnapshotChunks() == 0 {
 		if !used {
 			return nil
 		}
--- a/internal/tier/group/recovery_test.go
+++ b/internal/tier/group/recovery_test.go
@@ -42,20 +42,20 @@
 }
 
 func TestAMemberGoesOnAfterItsDiskHasFailed(t *testing.T) {
-	faults := map[string]func(kind memorydisk.OperationKind, name string) error{
-		"full": func(kind memorydisk.OperationKind, _ string) error {
+	faults := map[string]func(kind memorydisk.Operation, name string) error{
+		"full": func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Write {
 				return syscall.ENOSPC
 			}
 			return nil
 		},
-		"sync fails": func(kind memorydisk.OperationKind, _ string) error {
+		"sync fails": func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Sync {
 				return syscall.EIO
 			}
 			return nil
 		},
-		"all fails": func(memorydisk.OperationKind, string) error { return syscall.EIO },
+		"all fails": func(memorydisk.Operation, string) error { return syscall.EIO },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				t.Fatal(err)
 			}
 			// when its disk fails for a while, during which it is tried again,
-			s.disk.Inject(fault)
+			s.disk.InjectFaults(fault)
 			if err := s.propose("y"); err == nil {
 				t.Fatal("a command was acknowledged without having been saved")
 			}
@@ -82,7 +82,7 @@
 				t.Fatalf("a command while the disk fails gives %v", err)
 			}
 			// then, once the disk works again, the member has what it acknowledged and takes more.
-			s.disk.Inject(nil)
+			s.disk.InjectFaults(nil)
 			if err := s.group.Reopen(); err != nil {
 				t.Fatal(err)
 			}
@@ -101,7 +101,7 @@
 	// Given a member whose disk has failed,
 	s := newSingle(t, 0, "a")
 	s.own()
-	s.disk.Inject(func(memorydisk.OperationKind, string) error { return syscall.EIO })
+	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 	if err := s.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	// when its disk fails, and what had been saved turns out to be damaged,
-	s.disk.Inject(func(kind memorydisk.OperationKind, _ string) error {
+	s.disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
 		if kind == memorydisk.Write {
 			return syscall.EIO
 		}
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if err := s.disk.Damage(name, 24); err != nil {
+		if err := s.disk.Corrupt(name, 24); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/tier/group/stop_test.go
+++ b/internal/tier/group/stop_test.go
@@ -11,7 +11,7 @@
 	// Given an owner whose disk fails, also when the member is to begin anew,
 	s := newSingle(t, 0, "a")
 	s.own()
-	s.disk.Inject(func(memorydisk.OperationKind, string) error { return syscall.EIO })
+	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 	if err := s.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
--- a/internal/tier/group/turn.go
+++ b/internal/tier/group/turn.go
@@ -79,7 +79,7 @@
 			level.Info(g.options.Logger).Log("msg", "replica begins anew", "group", g.options.Name)
 			return nil
 		}
-		var damage *storage.DamageError
+		var damage *storage.CorruptError
 		if errors.As(err, &damage) {
 			return err
 		}
@@ -143,7 +143,7 @@
 			if snapshot.Index != g.base {
 				continue
 			}
-			part, err := g.disk.Part(message.Chunk)
+			part, err := g.disk.ReadChunk(message.Chunk)
 			if err != nil {
 				return err
 			}
--- a/internal/tier/identity/identity.go
+++ b/internal/tier/identity/identity.go
@@ -14,9 +14,9 @@
 	"mastusher/internal/tier/storage"
 )
 
-// First returns the identity of a machine at the first start of the whole system. It follows from its address, so that
+// BootstrapID returns the identity of a machine at the first start of the whole system. It follows from its address, so that
 // the others can name it before they have heard of it.
-func First(address string) string {
+func BootstrapID(address string) string {
 	sum := sha256.Sum256([]byte("first start " + address))
 	return hex.EncodeToString(sum[:identityBytes])
 }
@@ -24,38 +24,38 @@
 // identityBytes is the length of an identity before it is written as hexadecimal digits.
 const identityBytes = 16
 
-// Of returns the identity on the disk and makes one if there is none: that of First at the first start of the whole
+// LoadOrCreate returns the identity on the disk and makes one if there is none: that of BootstrapID at the first start of the whole
 // system, else a random one. A damaged disk is emptied and gets a new one, and so does one that was being emptied when its
 // process ended.
-func Of(disk storage.Disk, address string, firstStart bool) (string, error) {
+func LoadOrCreate(disk storage.Disk, address string, firstStart bool) (string, error) {
 	if err := finishEmptying(disk); err != nil {
 		return "", err
 	}
-	id, _, err := storage.Identity(disk, source(address, firstStart))
+	id, _, err := storage.LoadOrCreateIdentity(disk, source(address, firstStart))
 	if err == nil {
 		err = check(disk)
 	}
-	var damage *storage.DamageError
+	var damage *storage.CorruptError
 	if !errors.As(err, &damage) {
 		return id, err
 	}
 	if err := empty(disk); err != nil {
 		return "", err
 	}
-	id, _, err = storage.Identity(disk, rand.Reader)
+	id, _, err = storage.LoadOrCreateIdentity(disk, rand.Reader)
 	return id, err
 }
 
 // finishEmptying removes the groups of a disk without an identity.
 func finishEmptying(disk storage.Disk) error {
-	file, err := disk.Open(storage.IdentityName)
+	file, err := disk.Open(storage.IdentityFile)
 	if err == nil {
 		return file.Close()
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	names, err := storage.Groups(disk)
+	names, err := storage.ListGroups(disk)
 	if err != nil || len(names) == 0 {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if !firstStart {
 		return rand.Reader
 	}
-	first, err := hex.DecodeString(First(address))
+	first, err := hex.DecodeString(BootstrapID(address))
 	if err != nil {
 		return rand.Reader
 	}
@@ -75,7 +75,7 @@
 
 // check opens and closes each group, to find damage before the identity is told to anyone.
 func check(disk storage.Disk) error {
-	names, err := storage.Groups(disk)
+	names, err := storage.ListGroups(disk)
 	if err != nil {
 		return err
 	}
@@ -94,10 +94,10 @@
 // empty removes everything. The identity goes first, and for good: whatever else a loss of power in between brings back, no
 // groups that have forgotten something are there under the identity that they had.
 func empty(disk storage.Disk) error {
-	if err := disk.Remove(storage.IdentityName); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := disk.Remove(storage.IdentityFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	if err := disk.SyncFolder(); err != nil {
+	if err := disk.SyncDir(); err != nil {
 		return err
 	}
 	names, err := disk.List()
@@ -109,5 +109,5 @@
 			return err
 		}
 	}
-	return disk.SyncFolder()
+	return disk.SyncDir()
 }
--- a/internal/tier/identity/identity_test.go
+++ b/internal/tier/identity/identity_test.go
@@ -33,7 +33,7 @@
 func used(t *testing.T) (*memorydisk.Disk, string) {
 	t.Helper()
 	disk := memorydisk.New()
-	id, err := identity.Of(disk, address, true)
+	id, err := identity.LoadOrCreate(disk, address, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,12 +45,12 @@
 func TestIdentityFollowsFromTheAddressAtTheFirstStartOnly(t *testing.T) {
 	// Given an empty disk at the first start, and one later,
 	_, first := used(t)
-	later, err := identity.Of(memorydisk.New(), address, false)
+	later, err := identity.LoadOrCreate(memorydisk.New(), address, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// then others can name the first one, and not the second.
-	if first != identity.First(address) || later == first {
+	if first != identity.BootstrapID(address) || later == first {
 		t.Errorf("the identities are %s at the first start and %s later", first, later)
 	}
 }
@@ -59,7 +59,7 @@
 	// Given a disk that has been used at one address, when its machine starts again at another,
 	disk, id := used(t)
 	disk.LosePower(1)
-	got, err := identity.Of(disk, "10.0.0.9:7380", false)
+	got, err := identity.LoadOrCreate(disk, "10.0.0.9:7380", false)
 	// then it is the same member.
 	if err != nil || got != id {
 		t.Errorf("the identity is %s (%v), want %s", got, err, id)
@@ -73,14 +73,14 @@
 		for seed := range uint64(24) {
 			// Given a disk of which one group is damaged,
 			disk, id := used(t)
-			if err := disk.Damage("configuration.log-0", 20); err != nil {
+			if err := disk.Corrupt("configuration.log-0", 20); err != nil {
 				t.Fatal(err)
 			}
 			// when the start that notices it is cut off by a loss of power,
-			disk.StopAt(change, memorydisk.Whole)
-			_, _ = identity.Of(disk, address, false)
+			disk.CrashAt(change, memorydisk.Applied)
+			_, _ = identity.LoadOrCreate(disk, address, false)
 			disk.LosePower(seed)
-			got, err := identity.Of(disk, address, false)
+			got, err := identity.LoadOrCreate(disk, address, false)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -109,11 +109,11 @@
 		t.Fatal(err)
 	}
 	// when its machine starts again,
-	if _, err := identity.Of(disk, address, false); err != nil {
+	if _, err := identity.LoadOrCreate(disk, address, false); err != nil {
 		t.Fatal(err)
 	}
 	// then it holds no group.
-	if names, err := storage.Groups(disk); err != nil || len(names) > 0 {
+	if names, err := storage.ListGroups(disk); err != nil || len(names) > 0 {
 		t.Errorf("it holds %v (%v)", names, err)
 	}
 }
@@ -121,10 +121,10 @@
 func TestADamagedDiskGetsANewIdentity(t *testing.T) {
 	// Given a disk of which one group is damaged, when its machine starts again,
 	disk, id := used(t)
-	if err := disk.Damage("configuration.log-0", 20); err != nil {
+	if err := disk.Corrupt("configuration.log-0", 20); err != nil {
 		t.Fatal(err)
 	}
-	got, err := identity.Of(disk, address, false)
+	got, err := identity.LoadOrCreate(disk, address, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 	if got == id {
 		t.Error("it is the same member, though it may have forgotten what it promised")
 	}
-	if names, err := storage.Groups(disk); err != nil || len(names) > 0 {
+	if names, err := storage.ListGroups(disk); err != nil || len(names) > 0 {
 		t.Errorf("it holds %v (%v)", names, err)
 	}
 }
--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -21,8 +21,8 @@
 	// Recovery: no outage of a proxy lasts longer than recoveryS. An outage is a time in which it refuses more than three quarters
 	// of the requests that come, since it lacks a view or the stores' answer.
 	Recovery Name = "recovery"
-	// Excess: a store runs no replica for long that its group has certainly done without.
-	Excess Name = "excess"
+	// ExcessReplica: a store runs no replica for long that its group has certainly done without.
+	ExcessReplica Name = "excess"
 )
 
 // Counter counts the violations of one process. A nil Counter counts nothing. It is safe for concurrent use.
@@ -36,8 +36,8 @@
 // New returns a counter that logs each violation.
 func New(logger log.Logger) *Counter { return &Counter{logger: logger, counts: map[Name]int{}} }
 
-// Broken counts a violation and logs it with its details, which are keys and values.
-func (c *Counter) Broken(name Name, details ...any) {
+// Violated counts a violation and logs it with its details, which are keys and values.
+func (c *Counter) Violated(name Name, details ...any) {
 	if c == nil {
 		return
 	}
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -13,12 +13,12 @@
 	// Given a counter, when two violations of one invariant and one of another come,
 	var logged bytes.Buffer
 	counter := New(log.NewLogfmtLogger(&logged))
-	counter.Broken(Recovery, "outage", "16s")
-	counter.Broken(Recovery)
-	counter.Broken(Excess)
+	counter.Violated(Recovery, "outage", "16s")
+	counter.Violated(Recovery)
+	counter.Violated(ExcessReplica)
 
 	// then each is counted and logged.
-	if diff := cmp.Diff(map[Name]int{Recovery: 2, Excess: 1}, counter.Counts()); diff != "" {
+	if diff := cmp.Diff(map[Name]int{Recovery: 2, ExcessReplica: 1}, counter.Counts()); diff != "" {
 		t.Error(diff)
 	}
 	if got := strings.Count(logged.String(), Message); got != 3 || !strings.Contains(logged.String(), "outage=16s") {
@@ -28,7 +28,7 @@
 
 func TestNoCounterCountsNothing(t *testing.T) {
 	var none *Counter
-	none.Broken(Recovery)
+	none.Violated(Recovery)
 	if got := none.Counts(); got != nil {
 		t.Errorf("got %v", got)
 	}
--- a/internal/tier/localtier/surroundings.go
+++ b/internal/tier/localtier/surroundings.go
@@ -99,24 +99,24 @@
 // Configuration gives a version of the operator's configuration, whose turns are kept for a time. It may have more routes.
 func Configuration(number uint64, keepFor time.Duration, more ...model.Route) model.Configuration {
 	routes := append([]model.Route{
-		{Name: "turns", Host: Host, StartsWith: "/turns/", Kind: model.Streaming, GiveUpMs: RequestPatience.Milliseconds(), TargetMs: 500,
-			Service: modelService, Tries: 2, Remembered: true, KeepForS: keepFor.Seconds(), Pinned: true, GapAimMs: 250},
+		{Name: "turns", Host: Host, PathPrefix: "/turns/", Kind: model.Streaming, TimeoutMs: RequestPatience.Milliseconds(), LatencyTargetMs: 500,
+			Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: keepFor.Seconds(), Affinity: true, EventGapTargetMs: 250},
 		ToolRoute("tools", "/tools/"),
 	}, more...)
 	return model.Configuration{
-		Number: number,
-		Routes: routes,
+		Version: number,
+		Routes:  routes,
 		Services: []model.Service{
 			{Name: modelService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1",
 				Engine: &model.Engine{Capacity: batch, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, Models: []model.Model{{Name: ModelName}}}},
 			{Name: toolService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1"},
 		},
-		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderWaitMs: 3000, IdleCloseMs: 15000},
+		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
 // ToolRoute is a route whose requests run at most once.
 func ToolRoute(name, prefix string) model.Route {
-	return model.Route{Name: name, Host: Host, StartsWith: prefix, Kind: model.OnceOnly, GiveUpMs: RequestPatience.Milliseconds(), TargetMs: 300,
-		Service: toolService, Tries: 2}
+	return model.Route{Name: name, Host: Host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: RequestPatience.Milliseconds(), LatencyTargetMs: 300,
+		Service: toolService, MaxAttempts: 2}
 }
--- a/internal/tier/localtier/tier.go
+++ b/internal/tier/localtier/tier.go
@@ -155,6 +155,6 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	address := store.Address(FirstPort + wire.StorePort)
-	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{})
+	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{})
 	return answer.Shards, err
 }
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -19,9 +19,9 @@
 
 // The steps of an order.
 const (
-	ReadStep  Step = "read"  // its body
-	CheckStep Step = "check" // its form and its rules
-	AgreeStep Step = "agree" // by the group, on disk
+	ReadStep      Step = "read"  // its body
+	CheckStep     Step = "check" // its form and its rules
+	ReplicateStep Step = "agree" // by the group, on disk
 )
 
 // Outcome is what an order came to.
@@ -30,7 +30,7 @@
 // The outcomes of an order.
 const (
 	Taken       Outcome = "taken"
-	Refused     Outcome = "refused"     // invalid, or not on top of the newest version
+	Rejected    Outcome = "refused"     // invalid, or not on top of the newest version
 	Unconfirmed Outcome = "unconfirmed" // the group gave no answer in time
 )
 
@@ -88,8 +88,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// FindZones sets what tells the zone of a host. Until it knows a host it is asked again.
-func (m *Metrics) FindZones(classOf func(host string) ZoneClass) {
+// SetZoneLookup sets what tells the zone of a host. Until it knows a host it is asked again.
+func (m *Metrics) SetZoneLookup(classOf func(host string) ZoneClass) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.classOf = classOf
@@ -105,19 +105,19 @@
 	m.wireBytes.WithLabelValues(string(m.class(address))).Add(float64(bytes))
 }
 
-// Took notes how long a step of an order took.
-func (m *Metrics) Took(step Step, took time.Duration) {
+// ObserveStep notes how long a step of an order took.
+func (m *Metrics) ObserveStep(step Step, took time.Duration) {
 	m.orderSeconds.WithLabelValues(string(step)).Observe(took.Seconds())
 }
 
-// Ordered notes what an order came to.
-func (m *Metrics) Ordered(outcome Outcome) { m.orders.WithLabelValues(string(outcome)).Inc() }
+// CountOrder notes what an order came to.
+func (m *Metrics) CountOrder(outcome Outcome) { m.orders.WithLabelValues(string(outcome)).Inc() }
 
-// Elected notes a new owner.
-func (m *Metrics) Elected() { m.elections.Inc() }
+// CountElection notes a new owner.
+func (m *Metrics) CountElection() { m.elections.Inc() }
 
-// Refused notes a request that the proxy has answered by itself.
-func (m *Metrics) Refused(kind string) { m.refusals.WithLabelValues(kind).Inc() }
+// CountRejection notes a request that the proxy has answered by itself.
+func (m *Metrics) CountRejection(kind string) { m.refusals.WithLabelValues(kind).Inc() }
 
 func (m *Metrics) class(address string) ZoneClass {
 	host, _, err := net.SplitHostPort(address)
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	m := metrics.New()
 	m.SentLine("replica", "10.0.0.1:7", 5) // nothing is known of zones yet
 	asked := 0
-	m.FindZones(func(host string) metrics.ZoneClass {
+	m.SetZoneLookup(func(host string) metrics.ZoneClass {
 		asked++
 		switch host {
 		case "10.0.0.1":
@@ -36,10 +36,10 @@
 		m.Written("10.0.0.3:8", 1)
 		m.Written("nowhere", 1)
 	}
-	m.Took(metrics.CheckStep, 20*time.Millisecond)
-	m.Ordered(metrics.Taken)
-	m.Elected()
-	m.Refused("no_route")
+	m.ObserveStep(metrics.CheckStep, 20*time.Millisecond)
+	m.CountOrder(metrics.Taken)
+	m.CountElection()
+	m.CountRejection("no_route")
 	got := text(m)
 	for _, want := range []string{
 		`mastusher_link_line_bytes_total{kind="replica",zone="unknown"} 5`,
--- a/internal/tier/model/decode.go
+++ b/internal/tier/model/decode.go
@@ -20,7 +20,7 @@
 
 // DecodeValue reads one value of a configuration, which stands there under a key, into its target. A fault's place is below
 // the value.
-func DecodeValue(key string, raw []byte, target any) *validation.Fault {
+func DecodeValue(key string, raw []byte, target any) *validation.FieldError {
 	err := json.Unmarshal(raw, target)
 	if isFractionError(err) {
 		err = decodeFractions(key, raw, target)
@@ -43,10 +43,10 @@
 	return len(value) > len(prefix) && value[:len(prefix)] == prefix
 }
 
-func decodeFault(err error) *validation.Fault {
+func decodeFault(err error) *validation.FieldError {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
-		return &validation.Fault{Place: mismatch.Field, Reason: fmt.Sprintf("can't be a JSON %s", mismatch.Value)}
+		return &validation.FieldError{Field: mismatch.Field, Reason: fmt.Sprintf("can't be a JSON %s", mismatch.Value)}
 	}
-	return &validation.Fault{Reason: fmt.Sprintf("can't be read whole: %v", err)}
+	return &validation.FieldError{Reason: fmt.Sprintf("can't be read whole: %v", err)}
 }
--- a/internal/tier/model/form/form.go
+++ b/internal/tier/model/form/form.go
@@ -19,9 +19,9 @@
 // heartbeats waiting on a machine with a small share of one core.
 const yieldAfter = 16
 
-// Read reads one whole configuration and checks its form and its rules. The error holds every fault with its place; see
+// Parse reads one whole configuration and checks its form and its rules. The error holds every fault with its place; see
 // validation.Faults. Whether the configuration's number is higher than the current one is not judged here.
-func Read(raw []byte) (*model.Configuration, error) {
+func Parse(raw []byte) (*model.Configuration, error) {
 	r := newReader(raw)
 	read := new(model.Configuration)
 	r.document(read)
@@ -39,7 +39,7 @@
 	raw      []byte
 	decoder  *jsontext.Decoder
 	path     path
-	faults   []*validation.Fault
+	faults   []*validation.FieldError
 	broken   bool // the text is no JSON from here on
 	elements int  // of lists, read so far
 }
@@ -51,7 +51,7 @@
 // document reads the configuration and what follows it: nothing.
 func (r *reader) document(into *model.Configuration) {
 	object([]field{
-		{name: "number", required: true, check: decoded(positive, &into.Number)},
+		{name: "number", required: true, check: decoded(positive, &into.Version)},
 		{name: "routes", required: true, check: decodedList(routeForm, &into.Routes)},
 		{name: "services", required: true, check: decodedList(serviceForm, &into.Services)},
 		{name: "limits", check: decoded(orNull(limitsForm), &into.Limits)},
@@ -73,7 +73,7 @@
 			return
 		}
 		if err := model.DecodeValue(r.path.last(), r.since(from), target); err != nil {
-			r.add(err.Place, err.Reason)
+			r.add(err.Field, err.Reason)
 		}
 	}
 }
@@ -110,13 +110,13 @@
 	if below != "" && place != "" {
 		place += "."
 	}
-	r.faults = append(r.faults, &validation.Fault{Place: place + below, Reason: reason})
+	r.faults = append(r.faults, &validation.FieldError{Field: place + below, Reason: reason})
 }
 
 // breakOff notes a fault of the text, which isn't read any further.
 func (r *reader) breakOff(reason string) {
 	if !r.broken {
-		r.faults = append(r.faults, &validation.Fault{Reason: "can't be read whole: " + reason})
+		r.faults = append(r.faults, &validation.FieldError{Reason: "can't be read whole: " + reason})
 	}
 	r.broken = true
 }
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := form.Read(raw)
+	got, err := form.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 		if !strings.Contains(whole, c.old) {
 			t.Fatalf("the document has no %s", c.old)
 		}
-		_, err := form.Read([]byte(strings.Replace(whole, c.old, c.changed, 1)))
-		if faults := validation.Faults(err); len(faults) != 1 || !strings.HasPrefix(faults[0].Error(), c.want) {
+		_, err := form.Parse([]byte(strings.Replace(whole, c.old, c.changed, 1)))
+		if faults := validation.FieldErrors(err); len(faults) != 1 || !strings.HasPrefix(faults[0].Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.changed, err, c.want)
 		}
 	}
@@ -76,16 +76,16 @@
 func TestReadRefusesWhatIsNotWhole(t *testing.T) {
 	whole := document(2)
 	for end := range len(whole) {
-		if _, err := form.Read(whole[:end]); err == nil {
+		if _, err := form.Parse(whole[:end]); err == nil {
 			t.Fatalf("taken though cut after %d bytes", end)
 		}
 	}
 	for _, more := range []string{"x", "{}", "}", "\x00", ","} {
-		if _, err := form.Read(append(whole[:len(whole):len(whole)], more...)); err == nil {
+		if _, err := form.Parse(append(whole[:len(whole):len(whole)], more...)); err == nil {
 			t.Errorf("taken with %q behind it", more)
 		}
 	}
-	if _, err := form.Read(append(whole[:len(whole):len(whole)], " \r\n\t"...)); err != nil {
+	if _, err := form.Parse(append(whole[:len(whole):len(whole)], " \r\n\t"...)); err != nil {
 		t.Errorf("white space behind it: %v", err)
 	}
 }
@@ -97,7 +97,7 @@
 			b.SetBytes(int64(len(raw)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := form.Read(raw); err != nil {
+				if _, err := form.Parse(raw); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -124,7 +124,7 @@
 			}
 		}
 	}()
-	_, err := form.Read(raw)
+	_, err := form.Parse(raw)
 	got := turns.Load()
 	close(stop)
 	<-stopped
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -26,16 +26,16 @@
 
 func configuration() *Configuration {
 	return &Configuration{
-		Number: 7,
+		Version: 7,
 		Routes: []Route{
 			{
-				Name: "turns", Host: "play.example", StartsWith: "/chat/", Kind: Streaming, GiveUpMs: 5000,
-				TargetMs: 200, Rank: 1, Shares: []Share{{Service: "lm", Share: 90}, {Service: "lm-next", Share: 10.5}},
-				Tries: 1, Remembered: true, KeepForS: 60, Pinned: true, GapAimMs: 250,
+				Name: "turns", Host: "play.example", PathPrefix: "/chat/", Kind: Streaming, TimeoutMs: 5000,
+				LatencyTargetMs: 200, Priority: 1, WeightedServices: []WeightedService{{Service: "lm", Weight: 90}, {Service: "lm-next", Weight: 10.5}},
+				MaxAttempts: 1, Stateful: true, RetentionS: 60, Affinity: true, EventGapTargetMs: 250,
 			},
 			{
-				Name: "pairs", Host: "play.example", StartsWith: "/chat/pairs/", Kind: OnceOnly, GiveUpMs: 4000,
-				TargetMs: 800, Service: "lm", Tries: 2,
+				Name: "pairs", Host: "play.example", PathPrefix: "/chat/pairs/", Kind: AtMostOnce, TimeoutMs: 4000,
+				LatencyTargetMs: 800, Service: "lm", MaxAttempts: 2,
 			},
 		},
 		Services: []Service{
@@ -48,7 +48,7 @@
 			},
 			{Name: "lm-next", HealthPath: "/health", MaxConnections: 110, Protocol: "h1"},
 		},
-		Limits: Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderWaitMs: 3000, IdleCloseMs: 15000},
+		Limits: Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
@@ -108,7 +108,7 @@
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(raw))
-			if got != nil || len(validation.Faults(err)) != 1 {
+			if got != nil || len(validation.FieldErrors(err)) != 1 {
 				t.Errorf("got %v and %v", got, err)
 			}
 		})
@@ -127,7 +127,7 @@
 	if err := Validate(configuration()); err != nil {
 		t.Error(err)
 	}
-	bare := &Configuration{Number: 1, Routes: []Route{}, Services: []Service{}}
+	bare := &Configuration{Version: 1, Routes: []Route{}, Services: []Service{}}
 	if err := Validate(bare); err != nil {
 		t.Errorf("no routes: %v", err)
 	}
@@ -138,35 +138,35 @@
 		change func(*Configuration)
 		places []string
 	}{
-		"number 0":                {func(c *Configuration) { c.Number = 0 }, []string{"number"}},
+		"number 0":                {func(c *Configuration) { c.Version = 0 }, []string{"number"}},
 		"no list of routes":       {func(c *Configuration) { c.Routes = nil }, []string{"routes"}},
 		"an unknown service":      {func(c *Configuration) { c.Routes[1].Service = "x" }, []string{"routes[1].service"}},
 		"no service":              {func(c *Configuration) { c.Routes[1].Service = "" }, []string{"routes[1].service"}},
-		"an unknown share":        {func(c *Configuration) { c.Routes[0].Shares[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
+		"an unknown share":        {func(c *Configuration) { c.Routes[0].WeightedServices[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
 		"unknown beside shares":   {func(c *Configuration) { c.Routes[0].Service = "x" }, []string{"routes[0].service"}},
-		"a host and prefix twice": {func(c *Configuration) { c.Routes[1].StartsWith = "/chat/" }, []string{"routes[1]"}},
+		"a host and prefix twice": {func(c *Configuration) { c.Routes[1].PathPrefix = "/chat/" }, []string{"routes[1]"}},
 		"a host in capitals twice": {func(c *Configuration) {
-			c.Routes[1].StartsWith, c.Routes[1].Host = "/chat/", "PLAY.example"
+			c.Routes[1].PathPrefix, c.Routes[1].Host = "/chat/", "PLAY.example"
 		}, []string{"routes[1]"}},
 		"shares of 0": {func(c *Configuration) {
-			c.Routes[0].Shares[0].Share, c.Routes[0].Shares[1].Share = 0, 0
+			c.Routes[0].WeightedServices[0].Weight, c.Routes[0].WeightedServices[1].Weight = 0, 0
 		}, []string{"routes[0].shares"}},
-		"a negative share": {func(c *Configuration) { c.Routes[0].Shares[0].Share = -1 }, []string{"routes[0].shares[0].share"}},
-		"shares below 0": {func(c *Configuration) { c.Routes[0].Shares[0].Share = -20 },
+		"a negative share": {func(c *Configuration) { c.Routes[0].WeightedServices[0].Weight = -1 }, []string{"routes[0].shares[0].share"}},
+		"shares below 0": {func(c *Configuration) { c.Routes[0].WeightedServices[0].Weight = -20 },
 			[]string{"routes[0].shares[0].share", "routes[0].shares"}},
 		"endless shares": {func(c *Configuration) {
-			c.Routes[0].Shares[0].Share, c.Routes[0].Shares[1].Share = 1e308, 1e308
+			c.Routes[0].WeightedServices[0].Weight, c.Routes[0].WeightedServices[1].Weight = 1e308, 1e308
 		}, []string{"routes[0].shares"}},
-		"giveUpMs 0":            {func(c *Configuration) { c.Routes[0].GiveUpMs = 0 }, []string{"routes[0].giveUpMs"}},
-		"a negative giveUpMs":   {func(c *Configuration) { c.Routes[0].GiveUpMs = -1 }, []string{"routes[0].giveUpMs"}},
-		"no slash at the end":   {func(c *Configuration) { c.Routes[0].StartsWith = "/chat" }, []string{"routes[0].startsWith"}},
-		"no slash at the start": {func(c *Configuration) { c.Routes[0].StartsWith = "chat/" }, []string{"routes[0].startsWith"}},
-		"no prefix":             {func(c *Configuration) { c.Routes[0].StartsWith = "" }, []string{"routes[0].startsWith"}},
+		"giveUpMs 0":            {func(c *Configuration) { c.Routes[0].TimeoutMs = 0 }, []string{"routes[0].giveUpMs"}},
+		"a negative giveUpMs":   {func(c *Configuration) { c.Routes[0].TimeoutMs = -1 }, []string{"routes[0].giveUpMs"}},
+		"no slash at the end":   {func(c *Configuration) { c.Routes[0].PathPrefix = "/chat" }, []string{"routes[0].startsWith"}},
+		"no slash at the start": {func(c *Configuration) { c.Routes[0].PathPrefix = "chat/" }, []string{"routes[0].startsWith"}},
+		"no prefix":             {func(c *Configuration) { c.Routes[0].PathPrefix = "" }, []string{"routes[0].startsWith"}},
 		"no host":               {func(c *Configuration) { c.Routes[0].Host = "" }, []string{"routes[0].host"}},
 		"an unknown kind":       {func(c *Configuration) { c.Routes[0].Kind = "twice" }, []string{"routes[0].kind"}},
 		"a service twice": {func(c *Configuration) { c.Services[1].Name = "lm" },
 			[]string{"services[1].name", "routes[0].shares[1].service"}},
-		"two faults of a route": {func(c *Configuration) { c.Routes[1].GiveUpMs, c.Routes[1].Service = 0, "x" },
+		"two faults of a route": {func(c *Configuration) { c.Routes[1].TimeoutMs, c.Routes[1].Service = 0, "x" },
 			[]string{"routes[1].giveUpMs", "routes[1].service"}},
 	}
 	for name, c := range cases {
@@ -175,8 +175,8 @@
 			c.change(changed)
 			err := Validate(changed)
 			var places []string
-			for _, fault := range validation.Faults(err) {
-				places = append(places, fault.Place)
+			for _, fault := range validation.FieldErrors(err) {
+				places = append(places, fault.Field)
 			}
 			if diff := cmp.Diff(c.places, places); diff != "" {
 				t.Errorf("%v: %s", err, diff)
@@ -197,13 +197,13 @@
 			t.Fatalf("got %v and %v", read, err)
 		}
 		if err != nil {
-			if len(validation.Faults(err)) == 0 {
+			if len(validation.FieldErrors(err)) == 0 {
 				t.Fatalf("%v holds no fault", err)
 			}
 			return
 		}
 		refused := Validate(read)
-		if refused != nil && len(validation.Faults(refused)) == 0 {
+		if refused != nil && len(validation.FieldErrors(refused)) == 0 {
 			t.Fatalf("%v holds no fault", refused)
 		}
 		useTable(t, read, refused == nil)
@@ -214,8 +214,8 @@
 	table := NewTable(c)
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		matched, ok := table.Match(route.Host, route.StartsWith)
-		picked := route.Pick(uint64(i))
+		matched, ok := table.Match(route.Host, route.PathPrefix)
+		picked := route.PickService(uint64(i))
 		if !valid {
 			continue
 		}
--- a/internal/tier/model/pick.go
+++ b/internal/tier/model/pick.go
@@ -1,25 +1,25 @@
 package model
 
-// Pick is the service that a request with this key goes to: always the same for a key, and over many keys each service
+// PickService is the service that a request with this key goes to: always the same for a key, and over many keys each service
 // by its share. A service without a share is never picked. When a share moves from a service to the one beside it, only
 // the keys of the part that moved are picked anew.
-func (r *Route) Pick(key uint64) string {
-	total := totalShare(r.Shares)
+func (r *Route) PickService(key uint64) string {
+	total := totalShare(r.WeightedServices)
 	if !isUsableTotal(total) {
 		return r.Service
 	}
 	left := fraction(key) * total
 	picked := r.Service
-	for i := range r.Shares {
-		share := &r.Shares[i]
-		if share.Share <= 0 {
+	for i := range r.WeightedServices {
+		share := &r.WeightedServices[i]
+		if share.Weight <= 0 {
 			continue
 		}
 		picked = share.Service
-		if left < share.Share {
+		if left < share.Weight {
 			break
 		}
-		left -= share.Share
+		left -= share.Weight
 	}
 	return picked
 }
--- a/internal/tier/model/schema/faults.go
+++ b/internal/tier/model/schema/faults.go
@@ -15,7 +15,7 @@
 	var faults error
 	for _, one := range errors.Errors(err) {
 		format, args := one.Msg()
-		multierr.AppendInto(&faults, &validation.Fault{Place: place(one.Path()), Reason: fmt.Sprintf(format, args...)})
+		multierr.AppendInto(&faults, &validation.FieldError{Field: place(one.Path()), Reason: fmt.Sprintf(format, args...)})
 	}
 	return faults
 }
@@ -46,11 +46,11 @@
 func withoutRepeats(err error) error {
 	var kept error
 	seen := make(map[string]bool)
-	for _, fault := range validation.Faults(err) {
-		if !seen[fault.Place] {
+	for _, fault := range validation.FieldErrors(err) {
+		if !seen[fault.Field] {
 			multierr.AppendInto(&kept, fault)
 		}
-		seen[fault.Place] = true
+		seen[fault.Field] = true
 	}
 	return kept
 }
--- a/internal/tier/model/schema/form_test.go
+++ b/internal/tier/model/schema/form_test.go
@@ -57,7 +57,7 @@
 
 // agree tells where the typed checks and the schema differ on a document; empty: nowhere.
 func agree(raw []byte) string {
-	read, formErr := form.Read(raw)
+	read, formErr := form.Parse(raw)
 	schemaErr := checkForm(raw)
 	decoded, decodeErr := model.Decode(raw)
 	validErr := error(nil)
@@ -85,10 +85,10 @@
 // allowed, that one names what holds the value as well. Rules are looked at only once the form is right, and what can't be
 // decoded is a fault to the typed checks alone.
 func placesDiffer(formErr, schemaErr error) string {
-	found := validation.Faults(formErr)
-	for _, fault := range validation.Faults(schemaErr) {
-		if !slices.ContainsFunc(found, func(f *validation.Fault) bool { return strings.HasPrefix(f.Place, fault.Place) }) {
-			return fmt.Sprintf("no fault at %q in: %v", fault.Place, formErr)
+	found := validation.FieldErrors(formErr)
+	for _, fault := range validation.FieldErrors(schemaErr) {
+		if !slices.ContainsFunc(found, func(f *validation.FieldError) bool { return strings.HasPrefix(f.Field, fault.Field) }) {
+			return fmt.Sprintf("no fault at %q in: %v", fault.Field, formErr)
 		}
 	}
 	return ""
@@ -110,11 +110,11 @@
 	f.Add([]byte(document(1)))
 	f.Add([]byte(`{"number":1,"routes":[],"services":[],"limits":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		_, err := form.Read(raw)
+		_, err := form.Parse(raw)
 		if err == nil && Check(raw) != nil {
 			t.Fatalf("taken though the schema refuses it: %v", Check(raw))
 		}
-		if err != nil && len(validation.Faults(err)) == 0 {
+		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 	})
--- a/internal/tier/model/schema/schema.go
+++ b/internal/tier/model/schema/schema.go
@@ -41,7 +41,7 @@
 // validation.Faults. Whether its number is higher than the current one is not judged here. It finds all that form.Read finds,
 // which controllers use, at many times the cost.
 func Check(raw []byte) error {
-	_, faults := form.Read(raw)
+	_, faults := form.Parse(raw)
 	if !json.Valid(raw) {
 		return faults
 	}
@@ -56,13 +56,13 @@
 func checkForm(raw []byte) error {
 	document, err := cuejson.Extract("", raw)
 	if err != nil {
-		return &validation.Fault{Reason: err.Error()}
+		return &validation.FieldError{Reason: err.Error()}
 	}
 	evaluator.Lock()
 	defer evaluator.Unlock()
 	compiled, err := compile()
 	if err != nil {
-		return &validation.Fault{Reason: err.Error()}
+		return &validation.FieldError{Reason: err.Error()}
 	}
 	built := evaluator.context.BuildExpr(document)
 	return faultsOf(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -97,8 +97,8 @@
 		t.Run(name, func(t *testing.T) {
 			err := Check([]byte(c.raw))
 			found := make(map[string]bool)
-			for _, fault := range validation.Faults(err) {
-				found[fault.Place] = true
+			for _, fault := range validation.FieldErrors(err) {
+				found[fault.Field] = true
 			}
 			for _, place := range c.places {
 				if !found[place] {
@@ -112,8 +112,8 @@
 func TestCheckNamesNothingThatIsProper(t *testing.T) {
 	raw := replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`)
 	var places []string
-	for _, fault := range validation.Faults(Check([]byte(raw))) {
-		places = append(places, fault.Place)
+	for _, fault := range validation.FieldErrors(Check([]byte(raw))) {
+		places = append(places, fault.Field)
 	}
 	if diff := cmp.Diff([]string{"routes[0].giveUpMs"}, places); diff != "" {
 		t.Error(diff)
@@ -145,7 +145,7 @@
 		if (unread != nil) && err == nil {
 			t.Fatal("taken though it can't be read")
 		}
-		if err != nil && len(validation.Faults(err)) == 0 {
+		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 	})
--- a/internal/tier/model/table.go
+++ b/internal/tier/model/table.go
@@ -52,9 +52,9 @@
 		routes = &hostRoutes{prefixes: make(map[string]*Route)}
 		t.hosts[host] = routes
 	}
-	if _, ok := routes.prefixes[route.StartsWith]; !ok {
-		routes.prefixes[route.StartsWith] = route
-		routes.lengths = append(routes.lengths, len(route.StartsWith))
+	if _, ok := routes.prefixes[route.PathPrefix]; !ok {
+		routes.prefixes[route.PathPrefix] = route
+		routes.lengths = append(routes.lengths, len(route.PathPrefix))
 	}
 }
 
--- a/internal/tier/model/table_test.go
+++ b/internal/tier/model/table_test.go
@@ -11,13 +11,13 @@
 
 func matchTable() *Table {
 	routes := []Route{
-		{Name: "root", Host: "a.example", StartsWith: "/"},
-		{Name: "short", Host: "a.example", StartsWith: "/x/"},
-		{Name: "long", Host: "a.example", StartsWith: "/x/yy/"},
-		{Name: "escaped", Host: "a.example", StartsWith: "/x%20y/"},
-		{Name: "other", Host: "B.example", StartsWith: "/x/"},
-		{Name: "six", Host: "[::1]", StartsWith: "/"},
-		{Name: "shadowed", Host: "A.EXAMPLE:80", StartsWith: "/x/"},
+		{Name: "root", Host: "a.example", PathPrefix: "/"},
+		{Name: "short", Host: "a.example", PathPrefix: "/x/"},
+		{Name: "long", Host: "a.example", PathPrefix: "/x/yy/"},
+		{Name: "escaped", Host: "a.example", PathPrefix: "/x%20y/"},
+		{Name: "other", Host: "B.example", PathPrefix: "/x/"},
+		{Name: "six", Host: "[::1]", PathPrefix: "/"},
+		{Name: "shadowed", Host: "A.EXAMPLE:80", PathPrefix: "/x/"},
 	}
 	return NewTable(&Configuration{Routes: routes})
 }
@@ -70,10 +70,10 @@
 	var best *Route
 	for i := range routes {
 		route := &routes[i]
-		if !strings.EqualFold(withoutPort(route.Host), withoutPort(host)) || !strings.HasPrefix(path, route.StartsWith) {
+		if !strings.EqualFold(withoutPort(route.Host), withoutPort(host)) || !strings.HasPrefix(path, route.PathPrefix) {
 			continue
 		}
-		if best == nil || len(route.StartsWith) > len(best.StartsWith) {
+		if best == nil || len(route.PathPrefix) > len(best.PathPrefix) {
 			best = route
 		}
 	}
@@ -85,7 +85,7 @@
 		host := rapid.StringMatching(`[aAbB]{1,2}(:80)?`)
 		prefix := rapid.StringMatching(`/([xy]{1,2}/){0,3}`)
 		route := rapid.Custom(func(t *rapid.T) Route {
-			return Route{Host: host.Draw(t, "host"), StartsWith: prefix.Draw(t, "prefix")}
+			return Route{Host: host.Draw(t, "host"), PathPrefix: prefix.Draw(t, "prefix")}
 		})
 		routes := rapid.SliceOfN(route, 0, 12).Draw(t, "routes")
 		table := NewTable(&Configuration{Routes: routes})
@@ -151,12 +151,12 @@
 func TestPickWithoutSharesIsTheService(t *testing.T) {
 	for name, route := range map[string]Route{
 		"one service":    {Service: "a"},
-		"shares of 0":    {Service: "a", Shares: []Share{{Service: "b"}}},
-		"endless shares": {Service: "a", Shares: []Share{{Service: "b", Share: math.Inf(1)}}},
-		"no number":      {Service: "a", Shares: []Share{{Service: "b", Share: math.NaN()}}},
+		"shares of 0":    {Service: "a", WeightedServices: []WeightedService{{Service: "b"}}},
+		"endless shares": {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.Inf(1)}}},
+		"no number":      {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.NaN()}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := route.Pick(1); got != "a" {
+			if got := route.PickService(1); got != "a" {
 				t.Errorf("got %q", got)
 			}
 		})
@@ -171,14 +171,14 @@
 		parts := rapid.SliceOfN(part, 1, 5).Draw(t, "shares")
 		route := &Route{Service: "none"}
 		for i, share := range parts {
-			route.Shares = append(route.Shares, Share{Service: fmt.Sprint(i), Share: share})
+			route.WeightedServices = append(route.WeightedServices, WeightedService{Service: fmt.Sprint(i), Weight: share})
 		}
 		first := rapid.Uint64().Draw(t, "first key")
 		picked := make(map[string]int)
 		for i := range uint64(keys) {
-			picked[route.Pick(first+i)]++
+			picked[route.PickService(first+i)]++
 		}
-		total := totalShare(route.Shares)
+		total := totalShare(route.WeightedServices)
 		if total == 0 {
 			if picked["none"] != keys {
 				t.Fatalf("got %v", picked)
@@ -200,10 +200,10 @@
 
 // A share that grows from the first service to the second moves only the keys of that part.
 func TestPickMovesOnlyWhatShifted(t *testing.T) {
-	before := &Route{Shares: []Share{{Service: "a", Share: 90}, {Service: "b", Share: 10}}}
-	after := &Route{Shares: []Share{{Service: "a", Share: 70}, {Service: "b", Share: 30}}}
+	before := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	after := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}}}
 	for key := range uint64(10000) {
-		if before.Pick(key) == "b" && after.Pick(key) != "b" {
+		if before.PickService(key) == "b" && after.PickService(key) != "b" {
 			t.Fatalf("key %d went back", key)
 		}
 	}
@@ -212,7 +212,7 @@
 func BenchmarkMatch(b *testing.B) {
 	routes := make([]Route, 700)
 	for i := range routes {
-		routes[i] = Route{Host: "play.example", StartsWith: fmt.Sprintf("/p%d/", i)}
+		routes[i] = Route{Host: "play.example", PathPrefix: fmt.Sprintf("/p%d/", i)}
 	}
 	table := NewTable(&Configuration{Routes: routes})
 	b.ReportAllocs()
@@ -222,8 +222,8 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	route := &Route{Shares: []Share{{Service: "a", Share: 90}, {Service: "b", Share: 10}}}
+	route := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	for key := uint64(0); b.Loop(); key++ {
-		route.Pick(key)
+		route.PickService(key)
 	}
 }
--- a/internal/tier/model/validate.go
+++ b/internal/tier/model/validate.go
@@ -27,11 +27,11 @@
 }
 
 func (v *validator) fail(place, format string, args ...any) {
-	multierr.AppendInto(&v.faults, &validation.Fault{Place: place, Reason: fmt.Sprintf(format, args...)})
+	multierr.AppendInto(&v.faults, &validation.FieldError{Field: place, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (v *validator) whole(c *Configuration) {
-	if c.Number == 0 {
+	if c.Version == 0 {
 		v.fail("number", "is 0")
 	}
 	if c.Routes == nil {
@@ -68,7 +68,7 @@
 		route := &routes[i]
 		place := fmt.Sprintf("routes[%d]", i)
 		v.route(place, route)
-		matched := target{host: canonicalHost(route.Host), prefix: route.StartsWith}
+		matched := target{host: canonicalHost(route.Host), prefix: route.PathPrefix}
 		if first, ok := seen[matched]; ok {
 			v.fail(place, "has the same host and prefix as routes[%d]", first)
 			continue
@@ -81,20 +81,20 @@
 	if route.Host == "" {
 		v.fail(place+".host", "is missing")
 	}
-	if !isPrefix(route.StartsWith) {
-		v.fail(place+".startsWith", "%q doesn't begin and end with a slash", route.StartsWith)
+	if !isPrefix(route.PathPrefix) {
+		v.fail(place+".startsWith", "%q doesn't begin and end with a slash", route.PathPrefix)
 	}
 	if !route.Kind.isKnown() {
 		v.fail(place+".kind", "%q is no kind of route", route.Kind)
 	}
-	if route.GiveUpMs <= 0 {
-		v.fail(place+".giveUpMs", "%d is not above 0", route.GiveUpMs)
+	if route.TimeoutMs <= 0 {
+		v.fail(place+".giveUpMs", "%d is not above 0", route.TimeoutMs)
 	}
-	if len(route.Shares) == 0 || route.Service != "" {
+	if len(route.WeightedServices) == 0 || route.Service != "" {
 		v.reference(place+".service", route.Service)
 	}
-	if len(route.Shares) > 0 {
-		v.shares(place+".shares", route.Shares)
+	if len(route.WeightedServices) > 0 {
+		v.shares(place+".shares", route.WeightedServices)
 	}
 }
 
@@ -108,12 +108,12 @@
 	}
 }
 
-func (v *validator) shares(place string, shares []Share) {
+func (v *validator) shares(place string, shares []WeightedService) {
 	for i := range shares {
 		inner := fmt.Sprintf("%s[%d]", place, i)
 		v.reference(inner+".service", shares[i].Service)
-		if shares[i].Share < 0 {
-			v.fail(inner+".share", "%v is negative", shares[i].Share)
+		if shares[i].Weight < 0 {
+			v.fail(inner+".share", "%v is negative", shares[i].Weight)
 		}
 	}
 	if total := totalShare(shares); !isUsableTotal(total) {
@@ -126,13 +126,13 @@
 }
 
 func (k RouteKind) isKnown() bool {
-	return k == Retryable || k == OnceOnly || k == Streaming
+	return k == Retryable || k == AtMostOnce || k == Streaming
 }
 
-func totalShare(shares []Share) float64 {
+func totalShare(shares []WeightedService) float64 {
 	total := 0.0
 	for i := range shares {
-		total += shares[i].Share
+		total += shares[i].Weight
 	}
 	return total
 }
--- a/internal/tier/node/mutants_test.go
+++ b/internal/tier/node/mutants_test.go
@@ -12,7 +12,7 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name: "the sequence of a former owner counts",
-			Change: mutation.Change{File: "../view/view.go", Old: "return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Sequence < o.Sequence",
+			Change: mutation.Change{File: "../view/view.go", Old: "return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence",
 				New: "return s.Sequence < o.Sequence"},
 			Run: noticing, Always: true,
 		},
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -26,7 +26,7 @@
 	Pool     *transport.Pool
 	Logger   log.Logger
 	Seed     uint64
-	OnUpdate func(piece view.Piece) // told of each new piece, in order, on one goroutine; may be nil
+	OnUpdate func(piece view.Update) // told of each new piece, in order, on one goroutine; may be nil
 }
 
 // Node is a process's part in membership and spread.
@@ -69,7 +69,7 @@
 func (n *Node) Members() []membership.Member { return *n.members.Load() }
 
 // Publish spreads a piece, unless a newer one is known.
-func (n *Node) Publish(piece view.Piece) { n.spread.publish(piece) }
+func (n *Node) Publish(piece view.Update) { n.spread.publish(piece) }
 
 // Digest tells which pieces are held.
 func (n *Node) Digest() view.Digest { return n.spread.digest() }
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -21,7 +21,7 @@
 type running struct {
 	node    *Node
 	address string
-	took    chan view.Piece
+	took    chan view.Update
 	seen    view.Digest // the newest of took
 	stop    context.CancelFunc
 }
@@ -29,7 +29,7 @@
 // start runs a node; the first one has no seeds.
 func start(t *testing.T, name string, role membership.Role, seeds ...string) *running {
 	t.Helper()
-	r := &running{took: make(chan view.Piece, 64), seen: view.Digest{}}
+	r := &running{took: make(chan view.Update, 64), seen: view.Digest{}}
 	handlers := transport.NewHandlers()
 	// The address must be known before the node is made, so the handlers go through the variable.
 	probe, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
@@ -40,7 +40,7 @@
 	probe.Close()
 	pool := transport.NewPool()
 	r.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: r.address, Incarnation: 1}, Seeds: seeds,
-		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(piece view.Piece) { r.took <- piece }})
+		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(piece view.Update) { r.took <- piece }})
 	r.node.Register(handlers)
 	server, err := transport.Listen(r.address, handlers, log.NewNopLogger())
 	if err != nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-func piece(section view.Section, sequence uint64) view.Piece {
-	return view.Piece{Section: section, Stamp: view.Stamp{Sequence: sequence}, Body: json.RawMessage(`{}`)}
+func piece(section view.Section, sequence uint64) view.Update {
+	return view.Update{Section: section, Stamp: view.Stamp{Sequence: sequence}, Body: json.RawMessage(`{}`)}
 }
 
 func TestPiecesReachMembersThatStartBeforeAndAfter(t *testing.T) {
@@ -99,7 +99,7 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	fed := make(chan view.Piece, 8)
+	fed := make(chan view.Update, 8)
 	go func() {
 		pool := transport.NewPool()
 		defer pool.Close()
@@ -115,8 +115,8 @@
 	}
 }
 
-func feedFrom(ctx context.Context, pool *transport.Pool, address string, fed chan<- view.Piece) error {
-	return transport.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(piece view.Piece) error {
+func feedFrom(ctx context.Context, pool *transport.Pool, address string, fed chan<- view.Update) error {
+	return transport.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(piece view.Update) error {
 		fed <- piece
 		return nil
 	})
--- a/internal/tier/node/spread.go
+++ b/internal/tier/node/spread.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (s *spread) publish(piece view.Piece) {
+func (s *spread) publish(piece view.Update) {
 	s.enter(func(input *gossip.Input) { input.Pieces = append(input.Pieces, piece) })
 }
 
@@ -165,27 +165,27 @@
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	request := wire.FetchRequest{Digest: fetch.Wanted}
-	answer, err := transport.Call[wire.FetchRequest, wire.FetchAnswer](bounded, s.node.options.Pool, fetch.Address, wire.MethodFetch, request)
+	answer, err := transport.Call[wire.FetchRequest, wire.FetchResponse](bounded, s.node.options.Pool, fetch.Address, wire.MethodFetch, request)
 	if err != nil {
 		level.Debug(s.node.options.Logger).Log("msg", "pieces cannot be fetched", "from", fetch.Address, "err", err)
 	}
 	s.enter(func(input *gossip.Input) {
-		input.Fetched = append(input.Fetched, gossip.FetchResult{Token: fetch.Token, Pieces: answer.Pieces})
+		input.Fetched = append(input.Fetched, gossip.FetchResult{Token: fetch.Token, Pieces: answer.Updates})
 	})
 }
 
 // answerFetch answers another member.
-func (s *spread) answerFetch(_ context.Context, _ string, request wire.FetchRequest) (wire.FetchAnswer, error) {
+func (s *spread) answerFetch(_ context.Context, _ string, request wire.FetchRequest) (wire.FetchResponse, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return wire.FetchAnswer{Pieces: s.store.AtLeast(request.Digest)}, nil
+	return wire.FetchResponse{Updates: s.store.AtLeast(request.Digest)}, nil
 }
 
 // newer returns the pieces of which the digest tells an older stamp, or none.
-func (s *spread) newer(digest view.Digest) []view.Piece {
+func (s *spread) newer(digest view.Digest) []view.Update {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var pieces []view.Piece
+	var pieces []view.Update
 	for _, section := range view.Sections {
 		piece, held := s.store.Get(section)
 		if held && digest[section].Less(piece.Stamp) {
@@ -196,7 +196,7 @@
 }
 
 // feed sends pieces as they come to a process on this machine.
-func (s *spread) feed(ctx context.Context, request wire.FetchRequest, send func(view.Piece) error) error {
+func (s *spread) feed(ctx context.Context, request wire.FetchRequest, send func(view.Update) error) error {
 	told := maps.Clone(request.Digest)
 	if told == nil {
 		told = view.Digest{}
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -26,7 +26,7 @@
 	turn        int
 	controllers []*askedController
 	input       gossip.Input // of the agent's next turn
-	taken       []view.Piece
+	taken       []view.Update
 }
 
 // askedController is a controller as its agents see it.
@@ -37,8 +37,8 @@
 }
 
 var (
-	oldStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 5}, view.PlacementSection: {Sequence: 7}, view.EndpointsSection: {Epoch: 3, Sequence: 90}}
-	newStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 12}, view.PlacementSection: {Sequence: 15}, view.EndpointsSection: {Epoch: 4, Sequence: 2}}
+	oldStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 5}, view.PlacementSection: {Sequence: 7}, view.EndpointsSection: {Term: 3, Sequence: 90}}
+	newStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 12}, view.PlacementSection: {Sequence: 15}, view.EndpointsSection: {Term: 4, Sequence: 2}}
 )
 
 // newAsking has controllers of which the first ones hold old sections, as they were when they were cut off.
@@ -51,7 +51,7 @@
 		}
 		store := gossip.NewStore()
 		for section, stamp := range stamps {
-			store.Put(view.Piece{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)})
+			store.Put(view.Update{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)})
 		}
 		a.controllers = append(a.controllers, &askedController{spreader: gossip.New(gossip.Options{DigestInterval: -1}, store), store: store})
 	}
@@ -185,7 +185,7 @@
 			a.now += 20 * time.Second
 			for section, stamp := range newStamps {
 				stamp.Sequence += 100
-				newer := view.Piece{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)}
+				newer := view.Update{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)}
 				for _, other := range a.controllers[core.stale:] {
 					other.store.Put(newer)
 				}
--- a/internal/tier/node/wire_test.go
+++ b/internal/tier/node/wire_test.go
@@ -25,7 +25,7 @@
 			`{"m":{"k":"ping","f":"edge-1/agent","i":5}}`,
 		},
 		{
-			"gossip", envelope{Gossip: &gossip.Message{Digest: view.Digest{view.PlacementSection: {Epoch: 1, Sequence: 2}}, Complete: true}},
+			"gossip", envelope{Gossip: &gossip.Message{Digest: view.Digest{view.PlacementSection: {Term: 1, Sequence: 2}}, Complete: true}},
 			`{"g":{"d":{"placement":{"epoch":1,"sequence":2}},"w":true}}`,
 		},
 	} {
--- a/internal/tier/programclient/chains.go
+++ b/internal/tier/programclient/chains.go
@@ -53,7 +53,7 @@
 	}
 	var texts [][]byte
 	for _, other := range slices.Backward(c.byProgram[turn.Program]) {
-		if other.whole && len(texts) < wire.MostHeld {
+		if other.whole && len(texts) < wire.MaxCachedChains {
 			texts = append(texts, other.text)
 		}
 	}
@@ -124,10 +124,10 @@
 }
 
 // namesOf names texts to the owner of a shard.
-func namesOf(texts [][]byte) []wire.HeldChain {
-	var names []wire.HeldChain
+func namesOf(texts [][]byte) []wire.CachedChain {
+	var names []wire.CachedChain
 	for _, text := range texts {
-		names = append(names, wire.HeldChain{Bytes: len(text), Sum: wire.SumOf(text)})
+		names = append(names, wire.CachedChain{Bytes: len(text), Digest: wire.DigestOf(text)})
 	}
 	return names
 }
@@ -135,14 +135,14 @@
 var errNotHeld = errors.New("the store left out a beginning of a chain that isn't held here")
 
 // joined returns the whole chain of a turn of which a beginning that is held was left out.
-func joined(held [][]byte, begun wire.BegunTurn) ([]byte, error) {
-	if begun.Held == 0 {
+func joined(held [][]byte, begun wire.BeginTurnResponse) ([]byte, error) {
+	if begun.CachedIndex == 0 {
 		return begun.Chain, nil
 	}
-	if begun.Held > len(held) {
+	if begun.CachedIndex > len(held) {
 		return nil, errNotHeld
 	}
-	beginning := held[begun.Held-1]
+	beginning := held[begun.CachedIndex-1]
 	whole := make([]byte, 0, len(beginning)+len(begun.Chain))
 	return append(append(whole, beginning...), begun.Chain...), nil
 }
--- a/internal/tier/programclient/chains_test.go
+++ b/internal/tier/programclient/chains_test.go
@@ -26,7 +26,7 @@
 func (c *conversation) begin(client *chains, turn program.BeginTurn) bool {
 	held := client.beginnings(&turn)
 	result := c.machine.Apply(program.Command{Begin: &turn})
-	begun := wire.WithoutHeld(result, namesOf(held))
+	begun := wire.OmitCachedPrefix(result, namesOf(held))
 	got, err := joined(held, begun)
 	if err != nil || !bytes.Equal(got, result.Chain) {
 		c.t.Fatalf("turn %s: %q, %v, want %q", turn.Turn, got, err, result.Chain)
@@ -115,26 +115,26 @@
 }
 
 func TestOnlyTheLongestBeginningIsLeftOut(t *testing.T) {
-	name := func(text string) wire.HeldChain {
-		return wire.HeldChain{Bytes: len(text), Sum: wire.SumOf([]byte(text))}
+	name := func(text string) wire.CachedChain {
+		return wire.CachedChain{Bytes: len(text), Digest: wire.DigestOf([]byte(text))}
 	}
 	result := program.Result{Verdict: program.Taken, Chain: []byte("abcdef")}
 	cases := map[string]struct {
-		held []wire.HeldChain
-		want wire.BegunTurn
+		held []wire.CachedChain
+		want wire.BeginTurnResponse
 	}{
-		"nothing held":            {nil, wire.BegunTurn{Result: result}},
-		"something else held":     {[]wire.HeldChain{name("abx"), name("abcdefg")}, wire.BegunTurn{Result: result}},
-		"the longest":             {[]wire.HeldChain{name("ab"), name("abcd"), name("abc")}, wire.BegunTurn{Result: program.Result{Verdict: program.Taken, Chain: []byte("ef")}, Held: 2}},
-		"a negative length":       {[]wire.HeldChain{{Bytes: -1}}, wire.BegunTurn{Result: result}},
-		"more than are looked at": {[]wire.HeldChain{name("x"), name("x"), name("x"), name("x"), name("ab")}, wire.BegunTurn{Result: result}},
+		"nothing held":            {nil, wire.BeginTurnResponse{Result: result}},
+		"something else held":     {[]wire.CachedChain{name("abx"), name("abcdefg")}, wire.BeginTurnResponse{Result: result}},
+		"the longest":             {[]wire.CachedChain{name("ab"), name("abcd"), name("abc")}, wire.BeginTurnResponse{Result: program.Result{Verdict: program.Taken, Chain: []byte("ef")}, CachedIndex: 2}},
+		"a negative length":       {[]wire.CachedChain{{Bytes: -1}}, wire.BeginTurnResponse{Result: result}},
+		"more than are looked at": {[]wire.CachedChain{name("x"), name("x"), name("x"), name("x"), name("ab")}, wire.BeginTurnResponse{Result: result}},
 	}
 	for label, test := range cases {
-		if diff := cmp.Diff(test.want, wire.WithoutHeld(result, test.held)); diff != "" {
+		if diff := cmp.Diff(test.want, wire.OmitCachedPrefix(result, test.held)); diff != "" {
 			t.Errorf("%s: %s", label, diff)
 		}
 	}
-	if _, err := joined([][]byte{[]byte("a")}, wire.BegunTurn{Held: 2}); err != errNotHeld {
+	if _, err := joined([][]byte{[]byte("a")}, wire.BeginTurnResponse{CachedIndex: 2}); err != errNotHeld {
 		t.Errorf("a beginning that isn't held: %v", err)
 	}
 }
--- a/internal/tier/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -73,8 +73,8 @@
 // begin asks the owner of a shard, and puts the chain together of what comes and what is held here.
 func (c *Client) begin(ctx context.Context, shard int, turn program.BeginTurn) (program.Result, error) {
 	held := c.chains.beginnings(&turn)
-	request := wire.BeginTurn{Shard: shard, Turn: turn, Held: namesOf(held)}
-	begun, err := call[wire.BeginTurn, wire.BegunTurn](ctx, c, shard, wire.MethodBeginTurn, request)
+	request := wire.BeginTurnRequest{Shard: shard, Turn: turn, CachedChains: namesOf(held)}
+	begun, err := call[wire.BeginTurnRequest, wire.BeginTurnResponse](ctx, c, shard, wire.MethodBeginTurn, request)
 	if err != nil {
 		return program.Result{}, err
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return program.Result{}, err
 	}
-	result, err := call[wire.EndTurn, program.Result](ctx, c, shard, wire.MethodEndTurn, wire.EndTurn{Shard: shard, Turn: turn})
+	result, err := call[wire.EndTurnRequest, program.Result](ctx, c, shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: turn})
 	if err == nil {
 		c.chains.ended(&turn, result.Verdict)
 	}
@@ -113,7 +113,7 @@
 func (c *Client) find(ctx context.Context, except int, turn string) ([]byte, bool, error) {
 	p := c.placement.Load()
 	type reply struct {
-		answer wire.ChainAnswer
+		answer wire.ChainResponse
 		err    error
 	}
 	replies := make(chan reply, len(p.Shards))
@@ -124,7 +124,7 @@
 		}
 		asked++
 		go func() {
-			answer, err := call[wire.ChainRequest, wire.ChainAnswer](ctx, c, shard, wire.MethodChain, wire.ChainRequest{Shard: shard, Turn: turn})
+			answer, err := call[wire.ChainRequest, wire.ChainResponse](ctx, c, shard, wire.MethodChain, wire.ChainRequest{Shard: shard, Turn: turn})
 			replies <- reply{answer, err}
 		}()
 	}
@@ -183,7 +183,7 @@
 	defer cancel()
 	answer, err = transport.Call[Request, Answer](bounded, c.pool, address, method, request)
 	var remote *transport.RemoteError
-	if errors.As(err, &remote) && remote.Kind == wire.KindNotOwner {
+	if errors.As(err, &remote) && remote.Kind == wire.KindNotLeader {
 		hint = remote.Message
 	}
 	return answer, hint, err
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -24,29 +24,29 @@
 type store struct {
 	address string
 	begins  atomic.Int64
-	begin   func(ctx context.Context, request wire.BeginTurn) (program.Result, error)
-	end     func(request wire.EndTurn) (program.Result, error)
-	chain   func(request wire.ChainRequest) (wire.ChainAnswer, error)
+	begin   func(ctx context.Context, request wire.BeginTurnRequest) (program.Result, error)
+	end     func(request wire.EndTurnRequest) (program.Result, error)
+	chain   func(request wire.ChainRequest) (wire.ChainResponse, error)
 }
 
 // notOwner is the error of a store that doesn't own a shard.
 type notOwner struct{ owner string }
 
 func (e *notOwner) Error() string     { return e.owner }
-func (e *notOwner) ErrorKind() string { return wire.KindNotOwner }
+func (e *notOwner) ErrorKind() string { return wire.KindNotLeader }
 
 func newStore(t *testing.T) *store {
 	t.Helper()
 	s := &store{}
 	handlers := transport.NewHandlers()
-	transport.Handle(handlers, wire.MethodBeginTurn, func(ctx context.Context, _ string, request wire.BeginTurn) (program.Result, error) {
+	transport.Handle(handlers, wire.MethodBeginTurn, func(ctx context.Context, _ string, request wire.BeginTurnRequest) (program.Result, error) {
 		s.begins.Add(1)
 		return s.begin(ctx, request)
 	})
-	transport.Handle(handlers, wire.MethodEndTurn, func(_ context.Context, _ string, request wire.EndTurn) (program.Result, error) {
+	transport.Handle(handlers, wire.MethodEndTurn, func(_ context.Context, _ string, request wire.EndTurnRequest) (program.Result, error) {
 		return s.end(request)
 	})
-	transport.Handle(handlers, wire.MethodChain, func(_ context.Context, _ string, request wire.ChainRequest) (wire.ChainAnswer, error) {
+	transport.Handle(handlers, wire.MethodChain, func(_ context.Context, _ string, request wire.ChainRequest) (wire.ChainResponse, error) {
 		return s.chain(request)
 	})
 	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
@@ -103,10 +103,10 @@
 
 func TestOwnerIsFoundByTheOthersHint(t *testing.T) {
 	first, owner := newStore(t), newStore(t)
-	first.begin = func(context.Context, wire.BeginTurn) (program.Result, error) {
+	first.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{}, &notOwner{owner.address}
 	}
-	owner.begin = func(_ context.Context, request wire.BeginTurn) (program.Result, error) {
+	owner.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Taken, Chain: []byte(request.Turn.Turn)}, nil
 	}
 	client := newClient(t, 1, first, owner)
@@ -124,14 +124,14 @@
 func TestSilentStoreIsAskedAgainOnlyAfterTheOthers(t *testing.T) {
 	// given a silent store, one that still takes it for the owner, and the new owner
 	silent, follower, owner := newStore(t), newStore(t), newStore(t)
-	silent.begin = func(ctx context.Context, _ wire.BeginTurn) (program.Result, error) {
+	silent.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
 		<-ctx.Done()
 		return program.Result{}, ctx.Err()
 	}
-	follower.begin = func(context.Context, wire.BeginTurn) (program.Result, error) {
+	follower.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{}, &notOwner{silent.address}
 	}
-	owner.begin = func(context.Context, wire.BeginTurn) (program.Result, error) {
+	owner.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Taken}, nil
 	}
 	client := newClient(t, 1, silent, follower, owner)
@@ -146,38 +146,38 @@
 	const shards = 3
 	cases := []struct {
 		name  string
-		chain func(wire.ChainRequest) (wire.ChainAnswer, error)
+		chain func(wire.ChainRequest) (wire.ChainResponse, error)
 		want  program.Result
 		known bool
 	}{
 		{"given no shard that holds it then there is none",
-			func(wire.ChainRequest) (wire.ChainAnswer, error) { return wire.ChainAnswer{}, nil },
+			func(wire.ChainRequest) (wire.ChainResponse, error) { return wire.ChainResponse{}, nil },
 			program.Result{Verdict: program.NoSuchTurn}, true},
 		{"given a shard that holds it then its chain is brought over",
-			func(request wire.ChainRequest) (wire.ChainAnswer, error) {
-				return wire.ChainAnswer{Found: request.Shard == 2, Chain: []byte("old")}, nil
+			func(request wire.ChainRequest) (wire.ChainResponse, error) {
+				return wire.ChainResponse{Found: request.Shard == 2, Chain: []byte("old")}, nil
 			},
 			program.Result{Verdict: program.Taken, Chain: []byte("old")}, true},
 		{"given a shard without an owner then nothing is known",
-			func(request wire.ChainRequest) (wire.ChainAnswer, error) {
+			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainAnswer{}, &notOwner{}
+					return wire.ChainResponse{}, &notOwner{}
 				}
-				return wire.ChainAnswer{}, nil
+				return wire.ChainResponse{}, nil
 			}, program.Result{}, false},
 		{"given a shard without an owner and one that holds it then its chain is brought over",
-			func(request wire.ChainRequest) (wire.ChainAnswer, error) {
+			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainAnswer{}, &notOwner{}
+					return wire.ChainResponse{}, &notOwner{}
 				}
-				return wire.ChainAnswer{Found: true, Chain: []byte("old")}, nil
+				return wire.ChainResponse{Found: true, Chain: []byte("old")}, nil
 			}, program.Result{Verdict: program.Taken, Chain: []byte("old")}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			s := newStore(t)
 			s.chain = test.chain
-			s.begin = func(_ context.Context, request wire.BeginTurn) (program.Result, error) {
+			s.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
 				if len(request.Turn.Imported) == 0 {
 					return program.Result{Verdict: program.NoSuchTurn}, nil
 				}
@@ -200,7 +200,7 @@
 
 func TestEndGivesTheVerdict(t *testing.T) {
 	s := newStore(t)
-	s.end = func(request wire.EndTurn) (program.Result, error) {
+	s.end = func(request wire.EndTurnRequest) (program.Result, error) {
 		if strings.HasPrefix(request.Turn.Turn, "lost") {
 			return program.Result{Verdict: program.Unknown}, nil
 		}
@@ -219,14 +219,14 @@
 	// given a shard's owner that has fallen silent, and another store that owns the shard by now
 	silent, owner := newStore(t), newStore(t)
 	client := newClient(t, 1, silent, owner)
-	taken := func(context.Context, wire.BeginTurn) (program.Result, error) {
+	taken := func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Taken}, nil
 	}
 	silent.begin, owner.begin = taken, taken
 	if _, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "before"}); err != nil {
 		t.Fatal(err)
 	}
-	silent.begin = func(ctx context.Context, _ wire.BeginTurn) (program.Result, error) {
+	silent.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
 		<-ctx.Done()
 		return program.Result{}, ctx.Err()
 	}
--- a/internal/tier/programclient/mutants_test.go
+++ b/internal/tier/programclient/mutants_test.go
@@ -36,7 +36,7 @@
 		},
 		{
 			Name:   "another beginning than the owner names is put in front",
-			Change: mutation.Change{File: "chains.go", Old: "held[begun.Held-1]", New: "held[0]"},
+			Change: mutation.Change{File: "chains.go", Old: "held[begun.CachedIndex-1]", New: "held[0]"},
 			Run:    "^TestChainsAreWhatTheShardHolds$",
 		},
 		{
--- a/internal/tier/programclient/wire_format_test.go
+++ b/internal/tier/programclient/wire_format_test.go
@@ -19,26 +19,26 @@
 	value any
 	empty func() any
 }{
-	{"begin-request.json", &wire.BeginTurn{
+	{"begin-request.json", &wire.BeginTurnRequest{
 		Shard: 3,
 		Turn: program.BeginTurn{
 			Turn: "turn 2", Program: "program", Budget: 1000, Most: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
 			Input: []byte("input\xff"), Imported: []byte("chain\xfe"), AtMs: 1_700_000_000_000,
 		},
-		Held: []wire.HeldChain{{Bytes: 5, Sum: wire.SumOf([]byte("chain"))}},
-	}, func() any { return &wire.BeginTurn{} }},
-	{"begin-answer.json", &wire.BegunTurn{Result: program.Result{Verdict: program.Taken, Chain: []byte("rest\xff")}, Held: 1},
-		func() any { return &wire.BegunTurn{} }},
-	{"begin-refused.json", &wire.BegunTurn{Result: program.Result{Verdict: program.BudgetSpent}}, func() any { return &wire.BegunTurn{} }},
-	{"end-request.json", &wire.EndTurn{
+		CachedChains: []wire.CachedChain{{Bytes: 5, Digest: wire.DigestOf([]byte("chain"))}},
+	}, func() any { return &wire.BeginTurnRequest{} }},
+	{"begin-answer.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.Taken, Chain: []byte("rest\xff")}, CachedIndex: 1},
+		func() any { return &wire.BeginTurnResponse{} }},
+	{"begin-refused.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.BudgetSpent}}, func() any { return &wire.BeginTurnResponse{} }},
+	{"end-request.json", &wire.EndTurnRequest{
 		Shard: 3, Turn: program.EndTurn{Turn: "turn 2", Whole: true, Tokens: 80, Output: []byte("output\xff"), AtMs: 1_700_000_000_001},
-	}, func() any { return &wire.EndTurn{} }},
+	}, func() any { return &wire.EndTurnRequest{} }},
 	{"end-answer.json", &program.Result{Verdict: program.Unknown}, func() any { return &program.Result{} }},
 	{"chain-request.json", &wire.ChainRequest{Shard: 3, Turn: "turn 1"}, func() any { return &wire.ChainRequest{} }},
-	{"chain-answer.json", &wire.ChainAnswer{Found: true, Chain: []byte("chain\xfe")}, func() any { return &wire.ChainAnswer{} }},
-	{"members-answer.json", &wire.ShardMembersAnswer{Shards: []wire.ShardMembers{
-		{Shard: 3, Epoch: 7, Placement: 11, IDs: []string{"a", "b"}, CaughtUp: []string{"a"}},
-	}}, func() any { return &wire.ShardMembersAnswer{} }},
+	{"chain-answer.json", &wire.ChainResponse{Found: true, Chain: []byte("chain\xfe")}, func() any { return &wire.ChainResponse{} }},
+	{"members-answer.json", &wire.ShardMembersResponse{Shards: []wire.ShardMembers{
+		{Shard: 3, Term: 7, Placement: 11, IDs: []string{"a", "b"}, CaughtUp: []string{"a"}},
+	}}, func() any { return &wire.ShardMembersResponse{} }},
 }
 
 func TestWireFormat_ReadsBodiesOfEarlierVersions(t *testing.T) {
@@ -68,7 +68,7 @@
 }
 
 func TestWireFormat_MethodsAndErrorKindOfEarlierVersions_AreUnchanged(t *testing.T) {
-	got := []string{wire.MethodBeginTurn, wire.MethodEndTurn, wire.MethodChain, wire.MethodShardMembers, wire.KindNotOwner}
+	got := []string{wire.MethodBeginTurn, wire.MethodEndTurn, wire.MethodChain, wire.MethodShardMembers, wire.KindNotLeader}
 	want := []string{"turn.begin", "turn.end", "turn.chain", "shard.members", "not_owner"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -215,7 +215,7 @@
 	case c.context.Err() != nil:
 		c.fail(apierror.EndpointTimeout, 0)
 	default:
-		c.fail(apierror.MayHaveRun, 0)
+		c.fail(apierror.MayHaveExecuted, 0)
 	}
 }
 
@@ -231,7 +231,7 @@
 	if !c.presentable(a.answer) {
 		return c.broken(a)
 	}
-	if a.answer.Status >= http.StatusInternalServerError && !c.committed && repeatable(c.facts.Route) && c.runs+1 < c.facts.Route.Tries {
+	if a.answer.Status >= http.StatusInternalServerError && !c.committed && repeatable(c.facts.Route) && c.runs+1 < c.facts.Route.MaxAttempts {
 		return c.repeatFailed(a)
 	}
 	if c.committed && a.answer.Status/100 != 2 {
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -82,7 +82,7 @@
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].TargetMs = 100_000
+		config.Routes[i].LatencyTargetMs = 100_000
 	}
 	f.views.routes.Store(NewRoutes(config))
 	c := f.dial()
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -18,8 +18,8 @@
 func (f *fixture) giveUpAfter(milliseconds int64) {
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].GiveUpMs = milliseconds
-		config.Routes[i].TargetMs = 1000 * milliseconds
+		config.Routes[i].TimeoutMs = milliseconds
+		config.Routes[i].LatencyTargetMs = 1000 * milliseconds
 	}
 	f.views.routes.Store(NewRoutes(config))
 }
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -30,7 +30,7 @@
 // fail gives an answer of the proxy's own, by the table of kinds. It carries no seal. The wait, for answers that tell when to
 // come back, is 0 where nobody named one.
 func fail(w http.ResponseWriter, kind apierror.Kind, wait time.Duration) {
-	answer := kind.Answer()
+	answer := kind.Response()
 	text := kind.String() + "\n"
 	header := w.Header()
 	header["Date"] = nil
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	recorder := httptest.NewRecorder()
-	if fail(recorder, apierror.MayHaveRun, 0); recorder.Header().Get(headerRetryAfter) != "" {
+	if fail(recorder, apierror.MayHaveExecuted, 0); recorder.Header().Get(headerRetryAfter) != "" {
 		t.Error("an answer that promises nothing tells when to come back")
 	}
 }
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -171,8 +171,8 @@
 // newConfiguration has a route of each kind.
 func newConfiguration() *model.Configuration {
 	route := func(name string, kind model.RouteKind, change func(*model.Route)) model.Route {
-		r := model.Route{Name: name, Host: "a.example", StartsWith: "/" + name + "/", Kind: kind, GiveUpMs: 5000, TargetMs: 200,
-			Rank: 3, Service: "plain", Tries: 2}
+		r := model.Route{Name: name, Host: "a.example", PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: 5000, LatencyTargetMs: 200,
+			Priority: 3, Service: "plain", MaxAttempts: 2}
 		if kind == model.Streaming {
 			r.Service = "engine"
 		}
@@ -182,19 +182,19 @@
 		return r
 	}
 	return &model.Configuration{
-		Number: 1,
+		Version: 1,
 		Routes: []model.Route{
 			route("safe", model.Retryable, nil),
-			route("once", model.OnceOnly, nil),
+			route("once", model.AtMostOnce, nil),
 			route("stream", model.Streaming, nil),
-			route("resume", model.Streaming, func(r *model.Route) { r.CanResume = true }),
-			route("turn", model.Streaming, func(r *model.Route) { r.Remembered, r.KeepForS = true, 60 }),
+			route("resume", model.Streaming, func(r *model.Route) { r.Resumable = true }),
+			route("turn", model.Streaming, func(r *model.Route) { r.Stateful, r.RetentionS = true, 60 }),
 		},
 		Services: []model.Service{
 			{Name: "plain", Protocol: "h1"},
 			{Name: "engine", Protocol: "h1", Engine: &model.Engine{TokensPerEvent: 3}},
 		},
-		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderWaitMs: 3000, IdleCloseMs: 15000},
+		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
--- a/internal/tier/proxy/front.go
+++ b/internal/tier/proxy/front.go
@@ -47,11 +47,11 @@
 	if configured.MaxHeaderBytes > 0 {
 		l.headerBytes = configured.MaxHeaderBytes
 	}
-	if configured.HeaderWaitMs > 0 {
-		l.headerWait = time.Duration(configured.HeaderWaitMs) * time.Millisecond
+	if configured.HeaderTimeoutMs > 0 {
+		l.headerWait = time.Duration(configured.HeaderTimeoutMs) * time.Millisecond
 	}
-	if configured.IdleCloseMs > 0 {
-		l.idleClose = time.Duration(configured.IdleCloseMs) * time.Millisecond
+	if configured.IdleTimeoutMs > 0 {
+		l.idleClose = time.Duration(configured.IdleTimeoutMs) * time.Millisecond
 	}
 	return l
 }
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -172,7 +172,7 @@
 	case balancer.NoEndpoint:
 		kind = apierror.NoEndpoint
 	case balancer.DeadlineTooShort:
-		kind = apierror.TimeTooShort
+		kind = apierror.DeadlineTooShort
 	}
 	return &Rejection{Kind: kind, RetryAfter: refusal.RetryAfter}
 }
@@ -239,8 +239,8 @@
 	prefix, own := promptTokens(facts)
 	return balancer.Request{
 		Service: facts.Service.Name,
-		Route: balancer.Route{Name: route.Name, Priority: route.Rank, Kind: route.Kind, MaxAttempts: route.Tries,
-			UsesAffinity: route.Pinned},
+		Route: balancer.Route{Name: route.Name, Priority: route.Priority, Kind: route.Kind, MaxAttempts: route.MaxAttempts,
+			UsesAffinity: route.Affinity},
 		Retryable:    repeatable(route),
 		TimeLeft:     time.Until(facts.Deadline),
 		AttemptsUsed: facts.AttemptsUsed,
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -21,7 +21,7 @@
 func newFacts(rank int) *RequestInfo {
 	now := time.Now()
 	return &RequestInfo{
-		Route: &model.Route{Name: fmt.Sprint("r", rank), Kind: model.OnceOnly, Rank: rank, Tries: 1, TargetMs: 4000, GiveUpMs: 8000,
+		Route: &model.Route{Name: fmt.Sprint("r", rank), Kind: model.AtMostOnce, Priority: rank, MaxAttempts: 1, LatencyTargetMs: 4000, TimeoutMs: 8000,
 			Service: "plain"},
 		Service:   &model.Service{Name: "plain", MaxConnections: 80},
 		ArrivedAt: now,
@@ -90,7 +90,7 @@
 func TestWaiterIsRefusedInTime(t *testing.T) {
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
-	facts.Route.TargetMs = 80
+	facts.Route.LatencyTargetMs = 80
 	_, err := s.Select(t.Context(), facts)
 	var refusal *Rejection
 	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
@@ -107,7 +107,7 @@
 func TestRequestThatMayHaveRunDoesNotWait(t *testing.T) {
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
-	facts.Route.Kind, facts.Route.Tries = model.Retryable, 2
+	facts.Route.Kind, facts.Route.MaxAttempts = model.Retryable, 2
 	facts.MayHaveRun, facts.AttemptsUsed = true, 1
 	if _, err := s.Select(t.Context(), facts); err == nil {
 		t.Error("not refused")
@@ -246,7 +246,7 @@
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].TargetMs = 4000
+		config.Routes[i].LatencyTargetMs = 4000
 	}
 	f.views.routes.Store(NewRoutes(config))
 	// when the request comes, and another one behind it
@@ -300,7 +300,7 @@
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].TargetMs = 8000
+		config.Routes[i].LatencyTargetMs = 8000
 	}
 	for i := range config.Services {
 		config.Services[i].MaxConnections = leastConnections
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -13,7 +13,7 @@
 	var list []model.Endpoint
 	for i, state := range states {
 		list = append(list, model.Endpoint{ID: "e" + string(rune('1'+i)), Service: "plain", Address: addresses[i], Zone: "z",
-			Capacity: 8, Number: "v1", State: state})
+			Capacity: 8, Version: "v1", State: state})
 	}
 	return list
 }
@@ -39,7 +39,7 @@
 		"gone":     func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)[1:]) },
 		"a version that is withdrawn": func(s *LoadBalancer, addresses []string) {
 			list := listOf(addresses, ready, ready)
-			list[0].Number = "v2"
+			list[0].Version = "v2"
 			s.SetEndpoints(list)
 			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v1"}})
 		},
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -18,7 +18,7 @@
 	c := f.dial()
 	target := "//safe/../safe/%2F;a=b//?x=%20&y;z??"
 	config := *f.config
-	config.Routes[0].StartsWith = "/"
+	config.Routes[0].PathPrefix = "/"
 	f.views.routes.Store(NewRoutes(&config))
 	c.ask("POST", target, "id1", "input", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "Te: trailers",
 		"X-Time-Left-Ms: 2000", "Priority: 9", "X-Expected-Server: other", "X-Subject: s", "Cookie: a=b; X-Subject=s1", "Accept: */*")
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -78,7 +78,7 @@
 	var schedulers []*LoadBalancer
 	for i := range proxies {
 		s := NewLoadBalancer("z", uint64(i+1))
-		s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Number: "v1", State: model.Ready}})
+		s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Version: "v1", State: model.Ready}})
 		schedulers = append(schedulers, s)
 	}
 	var mutex sync.Mutex
@@ -107,7 +107,7 @@
 // askOnce plays one request, and tells whether it was answered within its aim.
 func (s *LoadBalancer) askOnce(t *testing.T, endpoint *slots, rank int, targetMs int64, work time.Duration) bool {
 	facts := newFacts(rank)
-	facts.Route.TargetMs = targetMs
+	facts.Route.LatencyTargetMs = targetMs
 	for range mostNotRun {
 		choice, err := s.Select(t.Context(), facts)
 		if err != nil {
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -14,9 +14,9 @@
 func (s *LoadBalancer) join(facts *RequestInfo) (uint64, *waiter, *Rejection) {
 	now := s.now()
 	arrived := now - time.Since(facts.ArrivedAt)
-	target := time.Duration(facts.Route.TargetMs) * time.Millisecond
+	target := time.Duration(facts.Route.LatencyTargetMs) * time.Millisecond
 	s.lastID++
-	entry := balancer.NewQueuedRequest(s.lastID, facts.Route.Rank, arrived, target, facts.Deadline.Sub(facts.ArrivedAt))
+	entry := balancer.NewQueuedRequest(s.lastID, facts.Route.Priority, arrived, target, facts.Deadline.Sub(facts.ArrivedAt))
 	if entry.ExpiresAt <= now {
 		return 0, nil, s.refusal(facts)
 	}
--- a/internal/tier/proxy/queue_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -13,7 +13,7 @@
 			// given an endpoint whose only slot stays taken
 			s, _ := newFullScheduler(t)
 			facts := newFacts(0)
-			facts.Route.TargetMs = int64(target)
+			facts.Route.LatencyTargetMs = int64(target)
 			// when a request waits for it
 			_, err := s.Select(t.Context(), facts)
 			// then it is refused after a quarter of its target time, neither sooner nor later
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -37,7 +37,7 @@
 
 // add counts one answer.
 func (r *refusals) add(kind apierror.Kind) {
-	r.metrics.Refused(kind.String())
+	r.metrics.CountRejection(kind.String())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counts[kind]++
@@ -124,6 +124,6 @@
 	}
 	if lasts := now.Sub(o.since); o.bound > 0 && lasts > o.bound && !o.isTold {
 		o.isTold = true
-		o.checks.Broken(invariant.Recovery, "outage", lasts, "refused", refused, "served", served)
+		o.checks.Violated(invariant.Recovery, "outage", lasts, "refused", refused, "served", served)
 	}
 }
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -74,7 +74,7 @@
 	c := &call{proxy: p, writer: w, request: r, refusal: apierror.NoEndpoint}
 	c.facts.Route = route
 	c.facts.ArrivedAt = arrived
-	c.facts.Deadline = arrived.Add(timeAllowed(r.Header, route.GiveUpMs))
+	c.facts.Deadline = arrived.Add(timeAllowed(r.Header, route.TimeoutMs))
 	c.readFacts(r.Header)
 	if c.facts.Service = routes.pickService(route, c.key()); c.facts.Service == nil {
 		c.fail(apierror.NoEndpoint, 0)
@@ -161,7 +161,7 @@
 // prepare builds what is the same in every attempt.
 func (c *call) prepare(target string) {
 	*c.fields = appendPassedOn((*c.fields)[:0], c.request.Header)
-	c.priority = strconv.Itoa(min(max(c.facts.Route.Rank, 0), 9))
+	c.priority = strconv.Itoa(min(max(c.facts.Route.Priority, 0), 9))
 	c.upstream = upstream.Request{
 		Method:    c.request.Method,
 		Target:    target,
@@ -237,7 +237,7 @@
 
 // repeatable tells whether a request of the route may run more than once.
 func repeatable(route *model.Route) bool {
-	return route.Kind == model.Retryable || route.Kind == model.Streaming && route.CanResume
+	return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable
 }
 
 // ran notes a send of which nothing promises that the endpoint did not run it.
@@ -251,5 +251,5 @@
 
 // mayTryAgain tells whether the request may go to another endpoint after a send of which nothing is known.
 func (c *call) mayTryAgain() bool {
-	return repeatable(c.facts.Route) && c.runs < c.facts.Route.Tries && c.context.Err() == nil
+	return repeatable(c.facts.Route) && c.runs < c.facts.Route.MaxAttempts && c.context.Err() == nil
 }
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -112,7 +112,7 @@
 func (f *fixture) setTries(tries int) {
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].Tries = tries
+		config.Routes[i].MaxAttempts = tries
 	}
 	f.views.routes.Store(NewRoutes(config))
 }
--- a/internal/tier/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -16,9 +16,9 @@
 
 // NewRoutes makes a configuration, which must not be changed afterwards, ready for matching.
 func NewRoutes(configuration *model.Configuration) *Routes {
-	remembered := func(route model.Route) bool { return route.Remembered }
+	remembered := func(route model.Route) bool { return route.Stateful }
 	return &Routes{
-		Number:             configuration.Number,
+		Number:             configuration.Version,
 		Limits:             configuration.Limits,
 		HasRememberedTurns: slices.ContainsFunc(configuration.Routes, remembered),
 		table:              model.NewTable(configuration),
@@ -33,5 +33,5 @@
 
 // pickService returns the service that takes a request, or nil: always the same for a key.
 func (r *Routes) pickService(route *model.Route, key uint64) *model.Service {
-	return r.table.Service(route.Pick(key))
+	return r.table.Service(route.PickService(key))
 }
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -127,5 +127,5 @@
 
 // resumable tells whether another endpoint can go on where an answer broke off: each event has an id, and no length was told.
 func (c *call) resumable(answer *upstream.Response) bool {
-	return c.facts.Route.CanResume && c.scanner.lastID != "" && !c.scanner.unnumbered && answer.ContentLength < 0
+	return c.facts.Route.Resumable && c.scanner.lastID != "" && !c.scanner.unnumbered && answer.ContentLength < 0
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -28,14 +28,14 @@
 		return nil, 0
 	}
 	told := first(header, headerBudget)
-	if told == "" && !route.Remembered {
+	if told == "" && !route.Stateful {
 		return nil, 0
 	}
 	budget, _ := strconv.ParseInt(told, 10, 64)
 	return &turn{
 		key:            shardKey(facts),
 		id:             facts.AttemptID,
-		remembered:     route.Remembered,
+		remembered:     route.Stateful,
 		tokensPerEvent: tokensPerEvent(facts.Service),
 	}, max(budget, 0)
 }
@@ -70,7 +70,7 @@
 		Most:       facts.MaxOutputTokens,
 		Remembered: t.remembered,
 		Previous:   facts.Previous,
-		KeepForS:   facts.Route.KeepForS,
+		KeepForS:   facts.Route.RetentionS,
 		Input:      input,
 	})
 	if err != nil {
@@ -81,10 +81,10 @@
 		return apierror.None, result.Chain, nil
 	case program.BudgetSpent:
 		t.begun = false
-		return apierror.BudgetSpent, nil, nil
+		return apierror.BudgetExhausted, nil, nil
 	case program.NoSuchTurn:
 		t.begun = false
-		return apierror.NoSuchTurn, nil, nil
+		return apierror.TurnNotFound, nil, nil
 	}
 	return apierror.StateUnavailable, nil, nil
 }
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -14,7 +14,7 @@
 	reconfigure := func(change func(*model.Configuration)) func(*fixture, *LoadBalancer) {
 		return func(f *fixture, _ *LoadBalancer) {
 			config := newConfiguration()
-			config.Number++
+			config.Version++
 			change(config)
 			f.views.routes.Store(NewRoutes(config))
 		}
@@ -25,11 +25,11 @@
 		"routes to other hosts": reconfigure(func(c *model.Configuration) { c.Routes[0].Host, c.Routes[2].Host = "b.example", "b.example" }),
 		"shorter times": reconfigure(func(c *model.Configuration) {
 			for i := range c.Routes {
-				c.Routes[i].GiveUpMs, c.Routes[i].TargetMs = 1, 1
+				c.Routes[i].TimeoutMs, c.Routes[i].LatencyTargetMs = 1, 1
 			}
 		}),
 		"other limits": reconfigure(func(c *model.Configuration) {
-			c.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1, HeaderWaitMs: 1, IdleCloseMs: 1}
+			c.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1, HeaderTimeoutMs: 1, IdleTimeoutMs: 1}
 		}),
 		"no configuration":    func(f *fixture, _ *LoadBalancer) { f.views.routes.Store(nil) },
 		"not ready":           func(f *fixture, _ *LoadBalancer) { f.views.ready.Store(false) },
@@ -90,7 +90,7 @@
 // servers returns an endpoint of each service, with the addresses given.
 func servers(plain, engine string, state model.EndpointState) []model.Endpoint {
 	return []model.Endpoint{
-		{ID: "p", Service: "plain", Address: plain, Zone: "z", Capacity: 8, Number: "v1", State: state},
-		{ID: "g", Service: "engine", Address: engine, Zone: "z", Capacity: 8, Number: "v1", State: state},
+		{ID: "p", Service: "plain", Address: plain, Zone: "z", Capacity: 8, Version: "v1", State: state},
+		{ID: "g", Service: "engine", Address: engine, Zone: "z", Capacity: 8, Version: "v1", State: state},
 	}
 }
--- a/internal/tier/proxy/wire_format_test.go
+++ b/internal/tier/proxy/wire_format_test.go
@@ -40,7 +40,7 @@
 func TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions(t *testing.T) {
 	var got bytes.Buffer
 	for _, kind := range apierror.Kinds() {
-		if kind.Answer().Status == 0 {
+		if kind.Response().Status == 0 {
 			continue // nothing can be answered any more
 		}
 		w := httptest.NewRecorder()
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -194,8 +194,8 @@
 		c.ask("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
 		return c.read("POST").status
 	}
-	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderWaitMs: 5000, IdleCloseMs: 5000}
-	narrow := model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderWaitMs: 5000, IdleCloseMs: 5000}
+	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
+	narrow := model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
 	setLimits(wide)
 	old := f.dial()
 	if got := status(old, 30<<10, 2000); got != 200 {
@@ -224,7 +224,7 @@
 func TestSlowAndIdleClientsAreClosed(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, echoBody))
 	config := *f.config
-	config.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderWaitMs: 60, IdleCloseMs: 60}
+	config.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 60, IdleTimeoutMs: 60}
 	f.views.routes.Store(NewRoutes(&config))
 	slow := f.dial()
 	slow.send("GET /once/x HTTP/1.1\r\nHost:")
--- a/internal/tier/rollout/register.go
+++ b/internal/tier/rollout/register.go
@@ -202,7 +202,7 @@
 	for _, service := range slices.Sorted(maps.Keys(r.current)) {
 		versions := view.ServiceVersions{Service: service, Current: r.current[service]}
 		if roll, known := r.rolls[service]; known && roll.State == InService && roll.Target != versions.Current {
-			versions.Target, versions.Order, versions.Share, versions.Extra = roll.Target, roll.Index, roll.Share, roll.Extra
+			versions.Target, versions.Order, versions.Share, versions.InitialAllowance = roll.Target, roll.Index, roll.Share, roll.Extra
 		}
 		list.Services = append(list.Services, versions)
 	}
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -21,7 +21,7 @@
 func Parse(raw []byte) (*Settings, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(raw, &document); err != nil {
-		return nil, &validation.Fault{Reason: fmt.Sprintf("is no YAML: %v", err)}
+		return nil, &validation.FieldError{Reason: fmt.Sprintf("is no YAML: %v", err)}
 	}
 	var faults error
 	top := section{faults: &faults}
@@ -53,15 +53,15 @@
 		ListenOn:        readListenOn(top.inner("listenOn"), serves),
 		PortRange:       readPortRange(top),
 		SeedNodes:       top.addresses("seedNodes"),
-		FirstBoot:       top.flag("firstBoot"),
+		Bootstrap:       top.flag("firstBoot"),
 		CountsForQuorum: top.flag("countsForQuorum"),
 		Limits:          readLimits(top.inner("limits")),
-		DataFolder:      top.text("dataFolder", optional),
-		FindBy:          findBy,
+		DataDir:         top.text("dataFolder", optional),
+		Discovery:       findBy,
 		EntryKind:       top.text("entryKind", optional),
 		HeartbeatMs:     top.within("heartbeatMs", longestMs),
 		RuleParts:       top.texts("ruleParts"),
-		Survive:         readSurvive(top.inner("survive")),
+		FaultTolerance:  readSurvive(top.inner("survive")),
 		Bounds:          readBounds(top.inner("bounds")),
 		CloudAPI:        readCloudAPI(top.inner("cloudApi"), findBy),
 	}
@@ -112,8 +112,8 @@
 	}
 }
 
-func readSurvive(s section) Survive {
-	return Survive{
+func readSurvive(s section) FaultTolerance {
+	return FaultTolerance{
 		Machines: int(s.whole("machines", highestCount)),
 		Zones:    int(s.whole("zones", highestCount)),
 		Regions:  int(s.whole("regions", highestCount)),
--- a/internal/tier/settings/section.go
+++ b/internal/tier/settings/section.go
@@ -32,13 +32,13 @@
 func newSection(key, prefix string, node *yaml.Node, faults *error) section {
 	read := section{prefix: prefix, faults: faults}
 	if err := node.Decode(&read.fields); err != nil {
-		multierr.AppendInto(faults, &validation.Fault{Place: key, Reason: fmt.Sprintf("is no mapping of keys to values: %v", err)})
+		multierr.AppendInto(faults, &validation.FieldError{Field: key, Reason: fmt.Sprintf("is no mapping of keys to values: %v", err)})
 	}
 	return read
 }
 
 func (s section) fail(key, format string, args ...any) {
-	multierr.AppendInto(s.faults, &validation.Fault{Place: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
+	multierr.AppendInto(s.faults, &validation.FieldError{Field: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
 }
 
 // lookUp finds the value of a key; an empty one counts as missing.
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -39,15 +39,15 @@
 	ListenOn        ListenOn
 	PortRange       PortRange
 	SeedNodes       []string
-	FirstBoot       bool // the whole system starts for the first time, with empty disks
+	Bootstrap       bool // the whole system starts for the first time, with empty disks
 	CountsForQuorum bool
 	Limits          Limits
-	DataFolder      string // empty: the machine has no disk
-	FindBy          string
+	DataDir         string // empty: the machine has no disk
+	Discovery       string
 	EntryKind       string
 	HeartbeatMs     float64
 	RuleParts       []string
-	Survive         Survive
+	FaultTolerance  FaultTolerance
 	Bounds          Bounds
 	CloudAPI        CloudAPI
 }
@@ -75,8 +75,8 @@
 	DiskMb      int64
 }
 
-// Survive says what the system may lose at once and still keep all its rules.
-type Survive struct {
+// FaultTolerance says what the system may lose at once and still keep all its rules.
+type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
@@ -128,7 +128,7 @@
 
 // HasDisk tells whether the machine has a folder for data.
 func (s *Settings) HasDisk() bool {
-	return s.DataFolder != ""
+	return s.DataDir != ""
 }
 
 // Heartbeat is the time between two signs of life.
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -75,24 +75,24 @@
 
 func edgeSettings() *Settings {
 	return &Settings{
-		NodeName:     "edge-north-1",
-		Role:         "proxy",
-		MachineClass: "edge",
-		Serves:       []string{"edge"},
-		IP:           "10.1.0.30",
-		Zone:         "north",
-		Region:       "coast",
-		Zones:        map[string]string{"north": "coast", "south": "coast"},
-		ListenOn:     ListenOn{FrontHTTP: "10.1.0.30:8149", Readiness: "10.1.0.30:8141"},
-		PortRange:    PortRange{First: 7380, Last: 7395},
-		SeedNodes:    []string{"10.1.0.34:8144", "10.2.0.37:8144"},
-		FirstBoot:    true,
-		Limits:       Limits{CPUShare: 0.4, CPUCores: 1, MemoryMb: 284, OpenFiles: 4100, NetworkMbps: 1000},
-		FindBy:       "cloud_api",
-		EntryKind:    "shared_ip",
-		HeartbeatMs:  1200,
-		RuleParts:    []string{"base", "drain"},
-		Survive:      Survive{Machines: 1},
+		NodeName:       "edge-north-1",
+		Role:           "proxy",
+		MachineClass:   "edge",
+		Serves:         []string{"edge"},
+		IP:             "10.1.0.30",
+		Zone:           "north",
+		Region:         "coast",
+		Zones:          map[string]string{"north": "coast", "south": "coast"},
+		ListenOn:       ListenOn{FrontHTTP: "10.1.0.30:8149", Readiness: "10.1.0.30:8141"},
+		PortRange:      PortRange{First: 7380, Last: 7395},
+		SeedNodes:      []string{"10.1.0.34:8144", "10.2.0.37:8144"},
+		Bootstrap:      true,
+		Limits:         Limits{CPUShare: 0.4, CPUCores: 1, MemoryMb: 284, OpenFiles: 4100, NetworkMbps: 1000},
+		Discovery:      "cloud_api",
+		EntryKind:      "shared_ip",
+		HeartbeatMs:    1200,
+		RuleParts:      []string{"base", "drain"},
+		FaultTolerance: FaultTolerance{Machines: 1},
 		Bounds: Bounds{
 			"catchUpS": 4.3, "drainMs": 2500, "badShare": 0.2, "pass_ms": 110, "again_s": 0, "brandNewMs": 7,
 		},
@@ -151,8 +151,8 @@
 			}
 			_, err := Parse([]byte(strings.Replace(edgeFile, c.old, c.new, 1)))
 			var keys []string
-			for _, fault := range validation.Faults(err) {
-				keys = append(keys, fault.Place)
+			for _, fault := range validation.FieldErrors(err) {
+				keys = append(keys, fault.Field)
 			}
 			if c.keys[0] == "" {
 				keys = keys[:min(1, len(keys))]
@@ -169,8 +169,8 @@
 	for _, raw := range []string{"", "null", "{}", "---\n"} {
 		_, err := Parse([]byte(raw))
 		var keys []string
-		for _, fault := range validation.Faults(err) {
-			keys = append(keys, fault.Place)
+		for _, fault := range validation.FieldErrors(err) {
+			keys = append(keys, fault.Field)
 		}
 		if diff := cmp.Diff(want, keys); diff != "" {
 			t.Errorf("%q: %s", raw, diff)
@@ -181,7 +181,7 @@
 func TestParseOfBytesThatAreNoYAML(t *testing.T) {
 	for _, raw := range []string{"a: [", "\x00", "\t- x", "a: *b"} {
 		_, err := Parse([]byte(raw))
-		if len(validation.Faults(err)) == 0 {
+		if len(validation.FieldErrors(err)) == 0 {
 			t.Errorf("%q: got %v, want a fault", raw, err)
 		}
 	}
@@ -207,7 +207,7 @@
 
 	writeFile(t, path, "role: x")
 	_, broken := Load(path)
-	if len(validation.Faults(broken)) != 5 || !strings.Contains(broken.Error(), path) {
+	if len(validation.FieldErrors(broken)) != 5 || !strings.Contains(broken.Error(), path) {
 		t.Errorf("given a broken file: got %v", broken)
 	}
 
@@ -299,7 +299,7 @@
 	if !s.HasRulePart("drain") || s.HasRulePart("stream") {
 		t.Errorf("rule parts %v", s.RuleParts)
 	}
-	if s.HasDisk() || !(&Settings{DataFolder: "/data"}).HasDisk() {
+	if s.HasDisk() || !(&Settings{DataDir: "/data"}).HasDisk() {
 		t.Error("a disk is a folder for data")
 	}
 }
@@ -324,7 +324,7 @@
 		if (parsed == nil) == (err == nil) {
 			t.Fatalf("got %v and %v", parsed, err)
 		}
-		if err != nil && len(validation.Faults(err)) == 0 {
+		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no fault", err)
 		}
 		if err == nil && (parsed.Port(0) == 0 || parsed.Bounds.DrainWithin() < 0 || parsed.Heartbeat() <= 0) {
--- a/internal/tier/simulation/damage_test.go
+++ b/internal/tier/simulation/damage_test.go
@@ -31,7 +31,7 @@
 		}
 		damaged := 0
 		for _, name := range names {
-			if strings.HasPrefix(name, "shard-") && strings.Contains(name, ".slot-") && m.disk.memory.Damage(name, 3) == nil {
+			if strings.HasPrefix(name, "shard-") && strings.Contains(name, ".slot-") && m.disk.memory.Corrupt(name, 3) == nil {
 				damaged++
 			}
 		}
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -36,7 +36,7 @@
 		time.Sleep(stallPoll)
 	}
 	if err := p.network.AwaitThaw(); err != nil {
-		return memorydisk.ErrStopped
+		return memorydisk.ErrCrashed
 	}
 	return nil
 }
@@ -88,12 +88,12 @@
 	return d.memory.List()
 }
 
-// SyncFolder implements storage.Disk.
-func (d *processDisk) SyncFolder() error {
+// SyncDir implements storage.Disk.
+func (d *processDisk) SyncDir() error {
 	if err := d.enter(true); err != nil {
 		return err
 	}
-	return d.memory.SyncFolder()
+	return d.memory.SyncDir()
 }
 
 // processFile is an open file of a process.
--- a/internal/tier/simulation/doubler_test.go
+++ b/internal/tier/simulation/doubler_test.go
@@ -42,7 +42,7 @@
 			f.around.platform.Remove(fmt.Sprintf("e-%d", number))
 		}
 	}
-	f.around.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Number: "v1",
+	f.around.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
 		Capacity: batch, State: model.Ready})
 	return d
 }
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -30,9 +30,9 @@
 		"TestTheFirstMachine|TestRandomDays"},
 	{"a new member's snapshot isn't taken over", "../group/turn.go", "if err := g.options.Machine.Restore(effects.Install.State); err != nil {",
 		"if err := error(nil); err != nil {", "TestTheFirstMachine"},
-	{"there are too few copies", "../controller/controller.go", "return 2*c.options.Settings.Survive.Machines + 1",
-		"return c.options.Settings.Survive.Machines + 1", "TestASecondLoss"},
-	{"all requests may be repeated", "../proxy/call.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.CanResume",
+	{"there are too few copies", "../controller/controller.go", "return 2*c.options.Settings.FaultTolerance.Machines + 1",
+		"return c.options.Settings.FaultTolerance.Machines + 1", "TestASecondLoss"},
+	{"all requests may be repeated", "../proxy/call.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable",
 		"return true", "TestOnceOnly"},
 }
 
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -145,10 +145,10 @@
 // configuration is what is sent for a content: its mark is the name of a route. A service that no route names makes it longer.
 func configuration(c content, longer int) model.Configuration {
 	return model.Configuration{
-		Number: c.Number,
+		Version: c.Number,
 		Routes: []model.Route{
-			{Name: "turns", Host: host, StartsWith: turnPath, Kind: model.Streaming, GiveUpMs: requestTime.Milliseconds(), TargetMs: 500,
-				Service: modelService, Tries: 2, Remembered: true, KeepForS: keepFor.Seconds(), Pinned: true, GapAimMs: 250},
+			{Name: "turns", Host: host, PathPrefix: turnPath, Kind: model.Streaming, TimeoutMs: requestTime.Milliseconds(), LatencyTargetMs: 500,
+				Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: keepFor.Seconds(), Affinity: true, EventGapTargetMs: 250},
 			toolRoute("tools", toolPath),
 			toolRoute(markPrefix+c.Mark, markPath(c)),
 		},
@@ -158,7 +158,7 @@
 			{Name: toolService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1"},
 			{Name: "unused", HealthPath: "/" + strings.Repeat("x", longer), MaxConnections: maxConnections, Protocol: "h1"},
 		},
-		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderWaitMs: 3000, IdleCloseMs: 15000},
+		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
@@ -167,8 +167,8 @@
 
 // toolRoute is a route whose requests run at most once.
 func toolRoute(name, prefix string) model.Route {
-	return model.Route{Name: name, Host: host, StartsWith: prefix, Kind: model.OnceOnly, GiveUpMs: requestTime.Milliseconds(), TargetMs: 300,
-		Service: toolService, Tries: 2}
+	return model.Route{Name: name, Host: host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: requestTime.Milliseconds(), LatencyTargetMs: 300,
+		Service: toolService, MaxAttempts: 2}
 }
 
 // contentOf names the configuration in an answer.
@@ -177,7 +177,7 @@
 	if json.Unmarshal(body, &read) != nil {
 		return content{}
 	}
-	named := content{Number: read.Number}
+	named := content{Number: read.Version}
 	for _, route := range read.Routes {
 		if mark, ok := strings.CutPrefix(route.Name, markPrefix); ok {
 			named.Mark = mark
--- a/internal/tier/simulation/shards.go
+++ b/internal/tier/simulation/shards.go
@@ -15,7 +15,7 @@
 	whole := map[int]bool{}
 	for _, m := range f.of(storageClass) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, m.address(firstPort+wire.StorePort),
+		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, m.address(firstPort+wire.StorePort),
 			wire.MethodShardMembers, wire.ShardMembersRequest{})
 		cancel()
 		if err != nil {
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -66,7 +66,7 @@
 		Logger:       level.NewFilter(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), level.AllowInfo()),
 		Network:      network,
 		OpenDisk: func(folder string) (storage.Disk, error) {
-			disk, err := storage.NewOS(folder)
+			disk, err := storage.OpenOSDisk(folder)
 			if err != nil {
 				return nil, err // not a nil *storage.OS in an interface
 			}
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -180,8 +180,8 @@
 	if err != nil {
 		return false
 	}
-	if read.Number < least || read.Number > most || !localtier.Same(read, configuration(read.Number)) {
-		o.run.violate("CONFIG", "%s tells configuration %d; acknowledged before: %d, sent: %d", controller, read.Number, least, most)
+	if read.Version < least || read.Version > most || !localtier.Same(read, configuration(read.Version)) {
+		o.run.violate("CONFIG", "%s tells configuration %d; acknowledged before: %d, sent: %d", controller, read.Version, least, most)
 	}
 	o.run.mutex.Lock()
 	defer o.run.mutex.Unlock()
--- a/internal/tier/standin/endpoint.go
+++ b/internal/tier/standin/endpoint.go
@@ -132,7 +132,7 @@
 		Service:  e.options.Service,
 		Address:  e.Address(),
 		Zone:     e.options.Zone,
-		Number:   e.options.Number,
+		Version:  e.options.Number,
 		Capacity: e.options.Capacity,
 		State:    model.Ready,
 	}
--- a/internal/tier/standin/endpoint_test.go
+++ b/internal/tier/standin/endpoint_test.go
@@ -262,7 +262,7 @@
 	if got := ask(testContext(t), "GET", stand.Address(), "/", "", "X-Attempt-Id", "1"); got.Status != 200 {
 		t.Errorf("draining: got %+v", got)
 	}
-	want := model.Endpoint{ID: "i-1", Service: "s", Address: stand.Address(), Zone: "z", Number: "v1", Capacity: 1, State: model.Draining}
+	want := model.Endpoint{ID: "i-1", Service: "s", Address: stand.Address(), Zone: "z", Version: "v1", Capacity: 1, State: model.Draining}
 	if diff := cmp.Diff(want, stand.Entry()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tier/storage/compaction.go
+++ b/internal/tier/storage/compaction.go
@@ -12,7 +12,7 @@
 //
 // Up to the sync of the new log the old slot and log hold everything; from then on the new ones do. A loss of power or a
 // kill in between leaves the one or the other.
-func (g *Group) Compact(snapshot replica.Snapshot, parts Parts, remaining []replica.Entry, promise replica.HardState) error {
+func (g *Group) Compact(snapshot replica.Snapshot, parts ChunkSource, remaining []replica.Entry, promise replica.HardState) error {
 	if g.broken != nil {
 		return trace.Wrap(g.broken)
 	}
@@ -119,7 +119,7 @@
 	if err := log.Sync(); err != nil {
 		return g.fail("sync of a new log", err)
 	}
-	if err := g.disk.SyncFolder(); err != nil {
+	if err := g.disk.SyncDir(); err != nil {
 		return g.fail("sync of the folder", err)
 	}
 	return nil
--- a/internal/tier/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	changes := changesOf(t, prelude, last)
 	for change := range changes {
-		for _, effect := range []memorydisk.Effect{memorydisk.None, memorydisk.Half, memorydisk.Whole} {
+		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
 			for seed := range lossSeeds {
 				if err := crash(prelude, last, change, effect, seed); err != nil {
 					t.Fatalf("change %d of %d, effect %d, seed %d: %v", change, changes, effect, seed, err)
@@ -78,7 +78,7 @@
 			return err
 		}
 	}
-	m.disk.StopAt(change, effect)
+	m.disk.CrashAt(change, effect)
 	if err := m.take(group, last); err == nil {
 		return fmt.Errorf("the step was not stopped")
 	}
@@ -139,16 +139,16 @@
 func crashTwice(t *testing.T, prelude []step, last step, change, recovery int, seed uint64) error {
 	m := newMember(asItIs)
 	group := mustPlay(t, m, prelude)
-	m.disk.StopAt(change, memorydisk.Whole)
+	m.disk.CrashAt(change, memorydisk.Applied)
 	_ = m.take(group, last)
 	if seed%2 == 0 {
 		m.disk.Kill()
 	} else {
 		m.disk.LosePower(seed)
 	}
-	m.disk.StopAt(recovery, memorydisk.Effect(seed%3))
+	m.disk.CrashAt(recovery, memorydisk.Effect(seed%3))
 	_, err := m.open()
-	if err != nil && !m.disk.Stopped() {
+	if err != nil && !m.disk.Crashed() {
 		return err
 	}
 	m.disk.LosePower(seed + 1)
@@ -160,8 +160,8 @@
 	for change := range 5 {
 		for seed := range uint64(lossSeeds) {
 			m := newMember(asItIs)
-			m.disk.StopAt(change, memorydisk.Effect(seed%3))
-			if _, err := m.open(); err != nil && !m.disk.Stopped() {
+			m.disk.CrashAt(change, memorydisk.Effect(seed%3))
+			if _, err := m.open(); err != nil && !m.disk.Crashed() {
 				t.Fatal(err)
 			}
 			m.disk.LosePower(seed)
--- a/internal/tier/storage/damage_test.go
+++ b/internal/tier/storage/damage_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	m.disk.Kill()
 	_, recovered, err := storage.Open(m.disk, groupName)
-	var damage *storage.DamageError
+	var damage *storage.CorruptError
 	if !errors.As(err, &damage) {
 		t.Fatalf("%s at %d: got %v and %+v, want a DamageError", what, where, err, recovered)
 	}
@@ -53,7 +53,7 @@
 	}
 	for offset := range before {
 		m := last(t)
-		if err := m.disk.Damage(firstLog, offset); err != nil {
+		if err := m.disk.Corrupt(firstLog, offset); err != nil {
 			t.Fatal(err)
 		}
 		wantDamage(t, m, "log", offset)
@@ -74,7 +74,7 @@
 	}
 	end := whole(t).disk.Size(firstLog)
 	spoil := map[string]func(disk *memorydisk.Disk, offset int64) error{
-		"damage": func(disk *memorydisk.Disk, offset int64) error { return disk.Damage(firstLog, offset) },
+		"damage": func(disk *memorydisk.Disk, offset int64) error { return disk.Corrupt(firstLog, offset) },
 		"cut":    func(disk *memorydisk.Disk, offset int64) error { return cut(disk, firstLog, offset) },
 	}
 	for name, spoilAt := range spoil {
@@ -112,7 +112,7 @@
 	for name, frames := range map[string]int64{firstSlot: compacted(t).disk.Size(firstSlot), secondLog: 28} {
 		for offset := range frames {
 			m := compacted(t)
-			if err := m.disk.Damage(name, offset); err != nil {
+			if err := m.disk.Corrupt(name, offset); err != nil {
 				t.Fatal(err)
 			}
 			wantDamage(t, m, name, offset)
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -12,8 +12,8 @@
 	Remove(name string) error
 	// List returns the names of all files, sorted.
 	List() ([]string, error)
-	// SyncFolder returns once all names that were made, renamed or removed last.
-	SyncFolder() error
+	// SyncDir returns once all names that were made, renamed or removed last.
+	SyncDir() error
 }
 
 // File is an open file. It is read whole or in pieces, and written at its end.
--- a/internal/tier/storage/doc.go
+++ b/internal/tier/storage/doc.go
@@ -8,7 +8,7 @@
 // syncs that too, and only then removes the old log. Recovery takes the newest log whose first frame is whole, and its slot.
 //
 // A torn end of the log is what a loss of power leaves of a write that was never synced: it is cut off. Anything else that
-// is damaged or missing is a DamageError: such a disk is to be treated as lost, never as empty.
+// is damaged or missing is a CorruptError: such a disk is to be treated as lost, never as empty.
 //
 // All files lie directly in the disk's folder, and a group's files bear its name: the platform offers files, but does not say
 // that it keeps folders within folders.
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -44,7 +44,7 @@
 }
 
 // formatChunks hands texts over as the parts of a snapshot's state.
-func formatChunks(chunks ...string) storage.Parts {
+func formatChunks(chunks ...string) storage.ChunkSource {
 	return func(write func(part json.RawMessage) error) error {
 		for _, chunk := range chunks {
 			if err := write(json.RawMessage(chunk)); err != nil {
@@ -92,8 +92,8 @@
 // formatStopped saves or compacts with a process that ends at a change of the disk.
 func formatStopped(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
 	t.Helper()
-	disk.StopAt(change, effect)
-	if err := act(); !errors.Is(err, memorydisk.ErrStopped) {
+	disk.CrashAt(change, effect)
+	if err := act(); !errors.Is(err, memorydisk.ErrCrashed) {
 		t.Fatalf("got %v, want a process that was stopped", err)
 	}
 	disk.Kill()
@@ -152,7 +152,7 @@
 	"slot-begun": { // a compaction that ended within its slot's last frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 2, memorydisk.Half, func() error {
+			formatStopped(t, disk, 2, memorydisk.Torn, func() error {
 				return group.Compact(*formatSnapshot(5, 1), formatChunks(`{}`), nil, formatPromise)
 			})
 		},
@@ -163,7 +163,7 @@
 	"log-begun": { // a compaction that ended within the first frame of its log
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 6, memorydisk.Half, func() error {
+			formatStopped(t, disk, 6, memorydisk.Torn, func() error {
 				return group.Compact(*formatSnapshot(4, 1), formatChunks(`{}`), []replica.Entry{formatTail}, formatPromise)
 			})
 		},
@@ -174,7 +174,7 @@
 	"torn": { // a save that ended within its frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 0, memorydisk.Half, func() error {
+			formatStopped(t, disk, 0, memorydisk.Torn, func() error {
 				return group.Save(&replica.Ready{Entries: []replica.Entry{{Index: 6, Term: 5, Data: json.RawMessage(`"six"`)}}})
 			})
 		},
@@ -184,7 +184,7 @@
 	},
 	"identity": {
 		write: func(t *testing.T, disk *memorydisk.Disk) {
-			if _, _, err := storage.Identity(disk, random(0xa7)); err != nil {
+			if _, _, err := storage.LoadOrCreateIdentity(disk, random(0xa7)); err != nil {
 				t.Fatal(err)
 			}
 		},
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(file.Sync(), file.Close(), disk.SyncFolder()); err != nil {
+	if err := errors.Join(file.Sync(), file.Close(), disk.SyncDir()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -289,7 +289,7 @@
 					t.Error(text)
 				}
 				var chunks []string
-				if err := group.Parts(func(part json.RawMessage) error { chunks = append(chunks, string(part)); return nil }); err != nil {
+				if err := group.ReadChunks(func(part json.RawMessage) error { chunks = append(chunks, string(part)); return nil }); err != nil {
 					t.Fatal(err)
 				}
 				if text := cmp.Diff(fixture.chunks, chunks); text != "" {
@@ -307,7 +307,7 @@
 	if err := write(disk, "identity", []byte(storedFormat(t, "identity")["identity"])); err != nil {
 		t.Fatal(err)
 	}
-	id, created, err := storage.Identity(disk, random(1))
+	id, created, err := storage.LoadOrCreateIdentity(disk, random(1))
 	if err != nil || created || id != strings.Repeat("a7", 16) {
 		t.Fatalf("got %q, %v and %v", id, created, err)
 	}
--- a/internal/tier/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -13,7 +13,7 @@
 const maxKeptBytes = 1 << 20
 
 // Group is the disk of one replica group's member. It is not safe for concurrent use. After an operation on the disk has
-// failed it is broken: each later call returns the same BrokenError, and nothing is tried again.
+// failed it is broken: each later call returns the same FailedError, and nothing is tried again.
 type Group struct {
 	disk Disk
 	name string
@@ -32,10 +32,10 @@
 	last    uint64 // index of the last saved entry
 
 	buffer []byte
-	broken *BrokenError
+	broken *FailedError
 }
 
-// Save writes what one step has to save by one write and one sync. It does nothing when there is nothing to save. Parts of
+// Save writes what one step has to save by one write and one sync. It does nothing when there is nothing to save. ReadChunks of
 // a snapshot are written and not synced, as long as that isn't installed; installing it is done as a compaction.
 func (g *Group) Save(effects *replica.Ready) error {
 	if g.broken != nil {
@@ -143,7 +143,7 @@
 // fail breaks the group for good.
 func (g *Group) fail(operation string, cause error) error {
 	if g.broken == nil {
-		g.broken = &BrokenError{Operation: operation, Cause: cause}
+		g.broken = &FailedError{Operation: operation, Cause: cause}
 	}
 	return g.broken
 }
@@ -151,12 +151,12 @@
 // LogBytes returns the length of the log.
 func (g *Group) LogBytes() int64 { return g.logBytes }
 
-// Close closes the log. Later calls return a BrokenError.
+// Close closes the log. Later calls return a FailedError.
 func (g *Group) Close() error {
 	if g.broken != nil && g.broken.Cause == fs.ErrClosed {
 		return nil
 	}
-	g.broken = &BrokenError{Operation: "use", Cause: fs.ErrClosed}
+	g.broken = &FailedError{Operation: "use", Cause: fs.ErrClosed}
 	g.dropIncoming()
 	return trace.Wrap(g.log.Close())
 }
