--- a/internal/tier/storage/identity.go
+++ b/internal/tier/storage/identity.go
@@ -9,17 +9,17 @@
 	"github.com/gravitational/trace"
 )
 
-// The machine's identity lies in a file of its own, IdentityName.
+// The machine's identity lies in a file of its own, IdentityFile.
 const (
-	IdentityName      = "identity"
+	IdentityFile      = "identity"
 	identityDraftName = "identity.new"
 	identityBytes     = 16 // before they are written as hexadecimal digits
 )
 
-// Identity returns the identity of a machine, which lies on its disk, and makes it out of random bytes if there is none.
+// LoadOrCreateIdentity returns the identity of a machine, which lies on its disk, and makes it out of random bytes if there is none.
 // It returns once the identity lasts. A created identity says that the disk was empty; whether it may have been is known
 // to the caller only.
-func Identity(disk Disk, random io.Reader) (id string, created bool, err error) {
+func LoadOrCreateIdentity(disk Disk, random io.Reader) (id string, created bool, err error) {
 	id, err = readIdentity(disk)
 	if errors.Is(err, fs.ErrNotExist) {
 		id, err = createIdentity(disk, random)
@@ -30,7 +30,7 @@
 
 // readIdentity reads the identity. Its name may come from a process that was killed before it synced the folder.
 func readIdentity(disk Disk) (string, error) {
-	file, err := disk.Open(IdentityName)
+	file, err := disk.Open(IdentityFile)
 	if err != nil {
 		return "", err
 	}
@@ -40,9 +40,9 @@
 		return "", err
 	}
 	if decoded, err := hex.DecodeString(string(data)); err != nil || len(decoded) != identityBytes {
-		return "", &DamageError{File: IdentityName, Reason: "it does not hold an identity"}
+		return "", &CorruptError{File: IdentityFile, Reason: "it does not hold an identity"}
 	}
-	return string(data), disk.SyncFolder()
+	return string(data), disk.SyncDir()
 }
 
 // createIdentity writes a new identity under another name first, so that its own name never stands for half of it.
@@ -55,10 +55,10 @@
 	if err := writeDraft(disk, id); err != nil {
 		return "", err
 	}
-	if err := disk.Rename(identityDraftName, IdentityName); err != nil {
+	if err := disk.Rename(identityDraftName, IdentityFile); err != nil {
 		return "", err
 	}
-	return id, disk.SyncFolder()
+	return id, disk.SyncDir()
 }
 
 // writeDraft writes the identity under its preliminary name and returns once the content lasts.
--- a/internal/tier/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -16,13 +16,13 @@
 // Given an empty disk, when a machine starts for the first time, then it makes an identity that all later starts find.
 func TestIdentityIsMadeOnce(t *testing.T) {
 	disk := memorydisk.New()
-	first, created, err := storage.Identity(disk, random(0xab))
+	first, created, err := storage.LoadOrCreateIdentity(disk, random(0xab))
 	if err != nil || !created || first != strings.Repeat("ab", 16) {
 		t.Fatalf("got %q, %v and %v", first, created, err)
 	}
 	for seed := range uint64(10) {
 		disk.LosePower(seed)
-		again, created, err := storage.Identity(disk, random(0xcd))
+		again, created, err := storage.LoadOrCreateIdentity(disk, random(0xcd))
 		if err != nil || created || again != first {
 			t.Fatalf("got %q, %v and %v, want %q", again, created, err, first)
 		}
@@ -35,19 +35,19 @@
 	for change := range 6 {
 		for seed := range uint64(lossSeeds) {
 			disk := memorydisk.New()
-			disk.StopAt(change, memorydisk.Effect(seed%3))
-			returned, _, err := storage.Identity(disk, random(0xab))
+			disk.CrashAt(change, memorydisk.Effect(seed%3))
+			returned, _, err := storage.LoadOrCreateIdentity(disk, random(0xab))
 			if seed%2 == 0 {
 				disk.Kill()
 			} else {
 				disk.LosePower(seed)
 			}
-			second, _, secondErr := storage.Identity(disk, random(0xcd))
+			second, _, secondErr := storage.LoadOrCreateIdentity(disk, random(0xcd))
 			if secondErr != nil || (err == nil && returned != second) {
 				t.Fatalf("change %d, seed %d: got %q and %v after %q", change, seed, second, secondErr, returned)
 			}
 			disk.LosePower(seed)
-			third, created, thirdErr := storage.Identity(disk, random(0xef))
+			third, created, thirdErr := storage.LoadOrCreateIdentity(disk, random(0xef))
 			if thirdErr != nil || created || third != second {
 				t.Fatalf("change %d, seed %d: got %q and %v after %q", change, seed, third, thirdErr, second)
 			}
@@ -62,8 +62,8 @@
 		if err := write(disk, "identity", []byte(content)); err != nil {
 			t.Fatal(err)
 		}
-		_, created, err := storage.Identity(disk, random(1))
-		var damage *storage.DamageError
+		_, created, err := storage.LoadOrCreateIdentity(disk, random(1))
+		var damage *storage.CorruptError
 		if !errors.As(err, &damage) || created {
 			t.Errorf("%q: got %v and %v, want a DamageError", content, created, err)
 		}
@@ -73,7 +73,7 @@
 // Given too little randomness, when an identity is made, then there is an error and nothing on the disk.
 func TestIdentityNeedsRandomness(t *testing.T) {
 	disk := memorydisk.New()
-	_, created, err := storage.Identity(disk, strings.NewReader("short"))
+	_, created, err := storage.LoadOrCreateIdentity(disk, strings.NewReader("short"))
 	names, _ := disk.List()
 	if err == nil || created || len(names) > 0 {
 		t.Fatalf("got %v, %v and files %q", created, err, names)
--- a/internal/tier/storage/memorydisk/disk.go
+++ b/internal/tier/storage/memorydisk/disk.go
@@ -12,37 +12,37 @@
 	"mastusher/internal/tier/storage"
 )
 
-// ErrStopped is the answer to each call of a process that was stopped by StopAt, or to a file of an earlier process.
-var ErrStopped = errors.New("the process has ended")
+// ErrCrashed is the answer to each call of a process that was stopped by CrashAt, or to a file of an earlier process.
+var ErrCrashed = errors.New("the process has ended")
 
-// OperationKind tells what is asked of the disk.
-type OperationKind string
+// Operation tells what is asked of the disk.
+type Operation string
 
-// The kinds of operation. Those from Create on change something and count for StopAt.
+// The kinds of operation. Those from Create on change something and count for CrashAt.
 const (
-	Open       OperationKind = "open"
-	Read       OperationKind = "read"
-	List       OperationKind = "list"
-	Create     OperationKind = "create"
-	Write      OperationKind = "write"
-	Truncate   OperationKind = "truncate"
-	Sync       OperationKind = "sync"
-	SyncFolder OperationKind = "sync folder"
-	Rename     OperationKind = "rename"
-	Remove     OperationKind = "remove"
+	Open     Operation = "open"
+	Read     Operation = "read"
+	List     Operation = "list"
+	Create   Operation = "create"
+	Write    Operation = "write"
+	Truncate Operation = "truncate"
+	Sync     Operation = "sync"
+	SyncDir  Operation = "sync folder"
+	Rename   Operation = "rename"
+	Remove   Operation = "remove"
 )
 
 // changes tells whether an operation of this kind changes something.
-func (k OperationKind) changes() bool { return k != Open && k != Read && k != List }
+func (k Operation) changes() bool { return k != Open && k != Read && k != List }
 
 // Effect is what the operation at which a process is stopped still does.
 type Effect uint8
 
 // The effects.
 const (
-	None  Effect = iota
-	Half         // of a write; no other operation has a half, so it has none
-	Whole        // but its caller does not learn of it
+	NotApplied Effect = iota
+	Torn              // of a write; no other operation has a half, so it has none
+	Applied           // but its caller does not learn of it
 )
 
 // Counts is what was asked of a disk so far.
@@ -50,7 +50,7 @@
 	Writes       int
 	BytesWritten int64
 	Syncs        int // of files
-	FolderSyncs  int
+	DirSyncs     int
 	Changes      int // operations that change something, these included
 }
 
@@ -63,7 +63,7 @@
 	capacity int64             // in bytes; 0: no bound
 	used     int64
 	counts   Counts
-	inject   func(kind OperationKind, name string) error
+	inject   func(kind Operation, name string) error
 
 	stopArmed  bool
 	stopAfter  int // changes until the stop
@@ -85,25 +85,25 @@
 	d.capacity = bytes
 }
 
-// Inject sets what is asked before each operation; its error, if any, is the operation's. A failed operation does nothing,
+// InjectFaults sets what is asked before each operation; its error, if any, is the operation's. A failed operation does nothing,
 // except that the writes before a failed sync of a file are lost with the power, also if a later sync succeeds. Nil takes
 // it away. It is called with the disk locked.
-func (d *Disk) Inject(inject func(kind OperationKind, name string) error) {
+func (d *Disk) InjectFaults(inject func(kind Operation, name string) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.inject = inject
 }
 
-// StopAt ends the process at a change, counted from 0 at this call. That change has the effect; all calls from then on
-// return ErrStopped until Kill or LosePower starts the next process.
-func (d *Disk) StopAt(change int, effect Effect) {
+// CrashAt ends the process at a change, counted from 0 at this call. That change has the effect; all calls from then on
+// return ErrCrashed until Kill or LosePower starts the next process.
+func (d *Disk) CrashAt(change int, effect Effect) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.stopArmed, d.stopAfter, d.stopEffect = true, change, effect
 }
 
-// Stopped tells whether the process was stopped by StopAt.
-func (d *Disk) Stopped() bool {
+// Crashed tells whether the process was stopped by CrashAt.
+func (d *Disk) Crashed() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.stopped
@@ -117,28 +117,28 @@
 }
 
 // begin starts an operation. The error is what its caller gets; the effect is what it still does.
-func (d *Disk) begin(kind OperationKind, name string, process int) (Effect, error) {
+func (d *Disk) begin(kind Operation, name string, process int) (Effect, error) {
 	if d.stopped || process != d.process {
-		return None, ErrStopped
+		return NotApplied, ErrCrashed
 	}
 	if d.inject != nil {
 		if err := d.inject(kind, name); err != nil {
-			return None, err
+			return NotApplied, err
 		}
 	}
 	if !kind.changes() {
-		return Whole, nil
+		return Applied, nil
 	}
 	d.counts.Changes++
 	if !d.stopArmed {
-		return Whole, nil
+		return Applied, nil
 	}
 	d.stopAfter--
 	if d.stopAfter >= 0 {
-		return Whole, nil
+		return Applied, nil
 	}
 	d.stopArmed, d.stopped = false, true
-	return d.stopEffect, ErrStopped
+	return d.stopEffect, ErrCrashed
 }
 
 // Open implements storage.Disk.
@@ -160,7 +160,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	effect, err := d.begin(Create, name, d.process)
-	if effect != Whole {
+	if effect != Applied {
 		return nil, err
 	}
 	node := d.names[name]
@@ -180,7 +180,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	effect, err := d.begin(Rename, from, d.process)
-	if effect != Whole {
+	if effect != Applied {
 		return err
 	}
 	node := d.names[from]
@@ -198,7 +198,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	effect, err := d.begin(Remove, name, d.process)
-	if effect != Whole {
+	if effect != Applied {
 		return err
 	}
 	if d.names[name] == nil {
@@ -229,15 +229,15 @@
 // sortedNames returns all names in order.
 func (d *Disk) sortedNames() []string { return slices.Sorted(maps.Keys(d.names)) }
 
-// SyncFolder implements storage.Disk.
-func (d *Disk) SyncFolder() error {
+// SyncDir implements storage.Disk.
+func (d *Disk) SyncDir() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	effect, err := d.begin(SyncFolder, "", d.process)
-	if effect != Whole {
+	effect, err := d.begin(SyncDir, "", d.process)
+	if effect != Applied {
 		return err
 	}
-	d.counts.FolderSyncs++
+	d.counts.DirSyncs++
 	d.lasting = maps.Clone(d.names)
 	return err
 }
--- a/internal/tier/storage/memorydisk/disk_test.go
+++ b/internal/tier/storage/memorydisk/disk_test.go
@@ -84,7 +84,7 @@
 		must(t, file.Truncate(4))
 		write(t, file, "p")
 		must(t, file.Sync())
-		must(t, disk.SyncFolder())
+		must(t, disk.SyncDir())
 	})
 	if text := cmp.Diff([]map[string]string{{"a": "hellp"}}, found); text != "" {
 		t.Fatal(text)
@@ -98,7 +98,7 @@
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "synced")
 		must(t, file.Sync())
-		must(t, disk.SyncFolder())
+		must(t, disk.SyncDir())
 		write(t, file, long)
 		write(t, file, "end")
 	})
@@ -128,7 +128,7 @@
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		must(t, create(t, disk, "removed", "1").Sync())
 		must(t, create(t, disk, "from", "2").Sync())
-		must(t, disk.SyncFolder())
+		must(t, disk.SyncDir())
 		must(t, create(t, disk, "made", "3").Sync())
 		must(t, disk.Remove("removed"))
 		must(t, disk.Rename("from", "to"))
@@ -144,7 +144,7 @@
 	for seed := range uint64(seeds) {
 		disk := memorydisk.New()
 		must(t, create(t, disk, "from", "text").Sync())
-		must(t, disk.SyncFolder())
+		must(t, disk.SyncDir())
 		must(t, disk.Rename("from", "to"))
 		disk.LosePower(seed)
 		if names, _ := disk.List(); len(names) != 2 {
@@ -164,13 +164,13 @@
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "1")
 		must(t, file.Sync())
-		must(t, disk.SyncFolder())
+		must(t, disk.SyncDir())
 		write(t, file, "2")
-		disk.Inject(func(memorydisk.OperationKind, string) error { return syscall.EIO })
+		disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 		if err := file.Sync(); !errors.Is(err, syscall.EIO) {
 			t.Fatalf("got %v", err)
 		}
-		disk.Inject(nil)
+		disk.InjectFaults(nil)
 		write(t, file, "3")
 		must(t, file.Sync())
 		if got := contents(t, disk)["a"]; got != "123" {
@@ -187,7 +187,7 @@
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "text")
 	disk.Kill()
-	if _, err := file.Write([]byte("late")); !errors.Is(err, memorydisk.ErrStopped) {
+	if _, err := file.Write([]byte("late")); !errors.Is(err, memorydisk.ErrCrashed) {
 		t.Fatalf("got %v, want that the process has ended", err)
 	}
 	if text := cmp.Diff(map[string]string{"a": "text"}, contents(t, disk)); text != "" {
@@ -197,16 +197,16 @@
 
 // Given a process that is stopped at a write, then the write has the effect that was asked for and nothing comes after it.
 func TestStopAt(t *testing.T) {
-	for effect, want := range map[memorydisk.Effect]string{memorydisk.None: "", memorydisk.Half: "te", memorydisk.Whole: "text"} {
+	for effect, want := range map[memorydisk.Effect]string{memorydisk.NotApplied: "", memorydisk.Torn: "te", memorydisk.Applied: "text"} {
 		disk := memorydisk.New()
-		disk.StopAt(1, effect)
+		disk.CrashAt(1, effect)
 		file, err := disk.Create("a")
 		must(t, err)
-		if _, err := file.Write([]byte("text")); !errors.Is(err, memorydisk.ErrStopped) || !disk.Stopped() {
+		if _, err := file.Write([]byte("text")); !errors.Is(err, memorydisk.ErrCrashed) || !disk.Crashed() {
 			t.Fatalf("effect %d: got %v", effect, err)
 		}
-		for _, late := range []func() error{file.Sync, disk.SyncFolder, func() error { return disk.Remove("a") }} {
-			if err := late(); !errors.Is(err, memorydisk.ErrStopped) {
+		for _, late := range []func() error{file.Sync, disk.SyncDir, func() error { return disk.Remove("a") }} {
+			if err := late(); !errors.Is(err, memorydisk.ErrCrashed) {
 				t.Fatalf("effect %d: got %v after the stop", effect, err)
 			}
 		}
@@ -222,7 +222,7 @@
 	disk := memorydisk.New()
 	disk.SetCapacity(5)
 	file := create(t, disk, "a", "123")
-	if written, err := file.Write([]byte("456")); written != 2 || !storage.IsFull(err) {
+	if written, err := file.Write([]byte("456")); written != 2 || !storage.IsDiskFull(err) {
 		t.Fatalf("got %d and %v", written, err)
 	}
 	must(t, file.Truncate(1))
@@ -239,9 +239,9 @@
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "123")
 	must(t, file.Sync())
-	must(t, disk.SyncFolder())
+	must(t, disk.SyncDir())
 	contents(t, disk)
-	want := memorydisk.Counts{Writes: 1, BytesWritten: 3, Syncs: 1, FolderSyncs: 1, Changes: 4}
+	want := memorydisk.Counts{Writes: 1, BytesWritten: 3, Syncs: 1, DirSyncs: 1, Changes: 4}
 	if text := cmp.Diff(want, disk.Counts()); text != "" {
 		t.Fatal(text)
 	}
@@ -256,7 +256,7 @@
 			t.Errorf("got %v, want that it does not exist", err)
 		}
 	}
-	if disk.Damage("a", 0) == nil || disk.Size("a") != 0 {
+	if disk.Corrupt("a", 0) == nil || disk.Size("a") != 0 {
 		t.Error("a missing file was damaged or has a size")
 	}
 }
--- a/internal/tier/storage/memorydisk/file.go
+++ b/internal/tier/storage/memorydisk/file.go
@@ -19,9 +19,9 @@
 var _ storage.File = (*file)(nil)
 
 // begin starts an operation on the file.
-func (f *file) begin(kind OperationKind) (Effect, error) {
+func (f *file) begin(kind Operation) (Effect, error) {
 	if f.closed {
-		return None, ErrStopped
+		return NotApplied, ErrCrashed
 	}
 	return f.disk.begin(kind, f.name, f.process)
 }
@@ -58,10 +58,10 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	effect, err := f.begin(Write)
-	if effect == None {
+	if effect == NotApplied {
 		return 0, err
 	}
-	if effect == Half {
+	if effect == Torn {
 		data = data[:len(data)/2]
 	}
 	free := int64(len(data))
@@ -83,7 +83,7 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	effect, err := f.begin(Truncate)
-	if effect != Whole {
+	if effect != Applied {
 		return err
 	}
 	f.disk.used += size - int64(len(f.node.content))
@@ -106,12 +106,12 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	effect, err := f.begin(Sync)
-	if effect == Whole {
+	if effect == Applied {
 		f.disk.counts.Syncs++
 		f.node.sync()
 		return err
 	}
-	if err != ErrStopped {
+	if err != ErrCrashed {
 		f.node.forsake()
 	}
 	return err
--- a/internal/tier/storage/memorydisk/trouble.go
+++ b/internal/tier/storage/memorydisk/trouble.go
@@ -67,8 +67,8 @@
 	d.lasting = maps.Clone(d.names)
 }
 
-// Damage inverts a byte that had lasted.
-func (d *Disk) Damage(name string, offset int64) error {
+// Corrupt inverts a byte that had lasted.
+func (d *Disk) Corrupt(name string, offset int64) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	node := d.names[name]
--- a/internal/tier/storage/mutant_test.go
+++ b/internal/tier/storage/mutant_test.go
@@ -17,11 +17,11 @@
 	removesLogsEarly bool // as soon as the next log is made
 }
 
-func (m *mutant) SyncFolder() error {
+func (m *mutant) SyncDir() error {
 	if m.skipsFolderSync {
 		return nil
 	}
-	return m.Disk.SyncFolder()
+	return m.Disk.SyncDir()
 }
 
 func (m *mutant) Open(name string) (storage.File, error) {
--- a/internal/tier/storage/names.go
+++ b/internal/tier/storage/names.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Parts of file names, behind the group's name and a dot.
+// ReadChunks of file names, behind the group's name and a dot.
 const (
 	slotPrefix = "slot-"
 	logPrefix  = "log-"
@@ -72,8 +72,8 @@
 	return generation, err == nil && logName(generation) == end
 }
 
-// Groups returns the names of all groups that have files on a disk, sorted.
-func Groups(disk Disk) ([]string, error) {
+// ListGroups returns the names of all groups that have files on a disk, sorted.
+func ListGroups(disk Disk) ([]string, error) {
 	names, err := disk.List()
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/tier/storage/open.go
+++ b/internal/tier/storage/open.go
@@ -6,8 +6,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Open recovers a group from its files, or makes them if there are none. The snapshot comes without its state, which Parts
-// reads. It returns once all that it recovered lasts, also what an earlier process had written and not synced. The error is a DamageError when something that had been synced is
+// Open recovers a group from its files, or makes them if there are none. The snapshot comes without its state, which ReadChunks
+// reads. It returns once all that it recovered lasts, also what an earlier process had written and not synced. The error is a CorruptError when something that had been synced is
 // damaged or missing.
 func Open(disk Disk, group string) (*Group, replica.Recovered, error) {
 	if err := checkGroupName(group); err != nil {
@@ -67,11 +67,11 @@
 // create makes the first log, unless something had been there.
 func (r *recovery) create() (*Group, error) {
 	if r.files.hasSlot() {
-		return nil, &DamageError{File: fileName(r.name, slotPrefix), Reason: "there are slots without a log"}
+		return nil, &CorruptError{File: fileName(r.name, slotPrefix), Reason: "there are slots without a log"}
 	}
 	for _, generation := range r.files.logs {
 		if generation > 0 {
-			return nil, &DamageError{File: fileName(r.name, logName(generation)), Reason: "there is a later log without a first one"}
+			return nil, &CorruptError{File: fileName(r.name, logName(generation)), Reason: "there is a later log without a first one"}
 		}
 	}
 	g := &Group{disk: r.disk, name: r.name}
@@ -143,7 +143,7 @@
 		return logContent{}, err
 	}
 	if findFrame(rest, generation) {
-		return logContent{}, &DamageError{File: name, Offset: reader.offset, Reason: "a frame is damaged, and one behind it is whole"}
+		return logContent{}, &CorruptError{File: name, Offset: reader.offset, Reason: "a frame is damaged, and one behind it is whole"}
 	}
 	return logContent{file: file, frames: frames, end: reader.offset, torn: len(rest) > 0}, nil
 }
@@ -180,7 +180,7 @@
 		}
 		return r.withSlot(i, func(file File) error { return r.foldWhole(&r.slots[i], file) })
 	}
-	return &DamageError{File: fileName(r.name, slotPrefix), Reason: "no slot is of the log's generation"}
+	return &CorruptError{File: fileName(r.name, slotPrefix), Reason: "no slot is of the log's generation"}
 }
 
 // foldWhole folds in a slot, which has to be whole.
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	damage := &DamageError{File: fileName(r.name, slotNames[slot.slot]), Reason: "the slot is not whole"}
+	damage := &CorruptError{File: fileName(r.name, slotNames[slot.slot]), Reason: "the slot is not whole"}
 	if !whole {
 		return damage
 	}
@@ -210,7 +210,7 @@
 	offset := int64(0)
 	for i := range frames {
 		if err := r.contents.fold(frames[i].payload); err != nil {
-			return &DamageError{File: fileName(r.name, logName(generation)), Offset: offset, Reason: err.Error()}
+			return &CorruptError{File: fileName(r.name, logName(generation)), Offset: offset, Reason: err.Error()}
 		}
 		offset += frames[i].size()
 	}
@@ -227,7 +227,7 @@
 	if err := log.file.Sync(); err != nil {
 		return err
 	}
-	return r.disk.SyncFolder()
+	return r.disk.SyncDir()
 }
 
 // newest returns the highest generation that any file bears.
--- a/internal/tier/storage/os.go
+++ b/internal/tier/storage/os.go
@@ -13,34 +13,34 @@
 // filePermissions are those of new files.
 const filePermissions = 0o600
 
-// OS is the folder of the operating system that it is rooted at.
-type OS struct {
+// OSDisk is the folder of the operating system that it is rooted at.
+type OSDisk struct {
 	root   string
 	folder *os.File // kept open for syncs
 }
 
-// NewOS opens a folder, which must be there.
-func NewOS(root string) (*OS, error) {
+// OpenOSDisk opens a folder, which must be there.
+func OpenOSDisk(root string) (*OSDisk, error) {
 	folder, err := os.Open(root)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	return &OS{root: root, folder: folder}, nil
+	return &OSDisk{root: root, folder: folder}, nil
 }
 
 // Close gives the folder up.
-func (o *OS) Close() error { return o.folder.Close() }
+func (o *OSDisk) Close() error { return o.folder.Close() }
 
 // Open implements Disk.
-func (o *OS) Open(name string) (File, error) { return o.open(name, os.O_RDWR) }
+func (o *OSDisk) Open(name string) (File, error) { return o.open(name, os.O_RDWR) }
 
 // Create implements Disk.
-func (o *OS) Create(name string) (File, error) {
+func (o *OSDisk) Create(name string) (File, error) {
 	return o.open(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
 
 // open opens a file with flags.
-func (o *OS) open(name string, flags int) (File, error) {
+func (o *OSDisk) open(name string, flags int) (File, error) {
 	file, err := os.OpenFile(o.path(name), flags, filePermissions)
 	if err != nil {
 		return nil, err
@@ -54,16 +54,16 @@
 }
 
 // path returns where a file lies.
-func (o *OS) path(name string) string { return filepath.Join(o.root, name) }
+func (o *OSDisk) path(name string) string { return filepath.Join(o.root, name) }
 
 // Rename implements Disk.
-func (o *OS) Rename(from, to string) error { return os.Rename(o.path(from), o.path(to)) }
+func (o *OSDisk) Rename(from, to string) error { return os.Rename(o.path(from), o.path(to)) }
 
 // Remove implements Disk.
-func (o *OS) Remove(name string) error { return os.Remove(o.path(name)) }
+func (o *OSDisk) Remove(name string) error { return os.Remove(o.path(name)) }
 
 // List implements Disk.
-func (o *OS) List() ([]string, error) {
+func (o *OSDisk) List() ([]string, error) {
 	folder, err := os.Open(o.root)
 	if err != nil {
 		return nil, err
@@ -74,8 +74,8 @@
 	return names, err
 }
 
-// SyncFolder implements Disk.
-func (o *OS) SyncFolder() error { return o.folder.Sync() }
+// SyncDir implements Disk.
+func (o *OSDisk) SyncDir() error { return o.folder.Sync() }
 
 // osFile is an open file of the operating system.
 type osFile struct {
--- a/internal/tier/storage/os_test.go
+++ b/internal/tier/storage/os_test.go
@@ -12,9 +12,9 @@
 )
 
 // openFolder opens the disk of a folder.
-func openFolder(t testing.TB, root string) *storage.OS {
+func openFolder(t testing.TB, root string) *storage.OSDisk {
 	t.Helper()
-	disk, err := storage.NewOS(root)
+	disk, err := storage.OpenOSDisk(root)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		func() error { _, err := file.Write([]byte("there")); return err },
 		file.Sync, file.Close,
 		func() error { return disk.Rename("draft", "final") },
-		disk.SyncFolder,
+		disk.SyncDir,
 	} {
 		if err := act(); err != nil {
 			t.Fatal(err)
@@ -118,7 +118,7 @@
 
 // Given no folder, when it is opened, then there is an error.
 func TestMissingFolder(t *testing.T) {
-	if _, err := storage.NewOS(filepath.Join(t.TempDir(), "missing")); err == nil {
+	if _, err := storage.OpenOSDisk(filepath.Join(t.TempDir(), "missing")); err == nil {
 		t.Fatal("a missing folder was opened")
 	}
 }
@@ -126,11 +126,11 @@
 // Given a folder, when a machine starts twice, then it keeps its identity.
 func TestIdentityInAFolder(t *testing.T) {
 	disk := openFolder(t, t.TempDir())
-	first, created, err := storage.Identity(disk, random(7))
+	first, created, err := storage.LoadOrCreateIdentity(disk, random(7))
 	if err != nil || !created {
 		t.Fatalf("got %v and %v", created, err)
 	}
-	second, created, err := storage.Identity(disk, random(8))
+	second, created, err := storage.LoadOrCreateIdentity(disk, random(8))
 	if err != nil || created || second != first {
 		t.Fatalf("got %q, %v and %v, want %q", second, created, err, first)
 	}
--- a/internal/tier/storage/script_test.go
+++ b/internal/tier/storage/script_test.go
@@ -63,7 +63,7 @@
 	return round{
 		Steps:  rapid.SliceOfN(steps, 1, 10).Draw(t, "steps"),
 		StopAt: rapid.IntRange(0, 30).Draw(t, "stop at"),
-		Effect: rapid.SampledFrom([]memorydisk.Effect{memorydisk.None, memorydisk.Half, memorydisk.Whole}).Draw(t, "effect"),
+		Effect: rapid.SampledFrom([]memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied}).Draw(t, "effect"),
 		Power:  rapid.Bool().Draw(t, "power"),
 		Seed:   rapid.Uint64().Draw(t, "seed"),
 	}
@@ -170,7 +170,7 @@
 }
 
 // written hands the parts of a snapshot's state over, as a state machine does.
-func written(snapshot *replica.Snapshot) storage.Parts {
+func written(snapshot *replica.Snapshot) storage.ChunkSource {
 	return func(write func(part json.RawMessage) error) error {
 		for _, part := range partsOf(snapshot) {
 			if err := write(part.Data); err != nil {
@@ -188,9 +188,9 @@
 	}
 	whole := *recovered.Snapshot
 	number := 0
-	err := group.Parts(func(part json.RawMessage) error {
+	err := group.ReadChunks(func(part json.RawMessage) error {
 		whole.State = append(whole.State, part...)
-		single, err := group.Part(number)
+		single, err := group.ReadChunk(number)
 		if err == nil && !bytes.Equal(single, part) {
 			err = fmt.Errorf("part %d is %q by itself and %q in sequence", number, single, part)
 		}
@@ -288,8 +288,8 @@
 func run(script []round, wrap func(storage.Disk) storage.Disk) error {
 	m := newMember(wrap)
 	for i, one := range script {
-		m.disk.StopAt(one.StopAt, one.Effect)
-		if err := m.live(one.Steps); err != nil && !errors.Is(err, memorydisk.ErrStopped) {
+		m.disk.CrashAt(one.StopAt, one.Effect)
+		if err := m.live(one.Steps); err != nil && !errors.Is(err, memorydisk.ErrCrashed) {
 			return fmt.Errorf("round %d: %w", i, err)
 		}
 		if one.Power {
--- a/internal/tier/storage/slot.go
+++ b/internal/tier/storage/slot.go
@@ -10,9 +10,9 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Parts hands the parts of a snapshot's state over in order. A part is valid until write returns. An error of write ends it
+// ReadChunks hands the parts of a snapshot's state over in order. A part is valid until write returns. An error of write ends it
 // and is returned.
-type Parts func(write func(part json.RawMessage) error) error
+type ChunkSource func(write func(part json.RawMessage) error) error
 
 // lastFrame marks the sequence number of a slot's last frame, so that a missing end is seen. That frame holds the promise and
 // what the snapshot stands for; each of those before it holds a part of the state.
@@ -99,7 +99,7 @@
 	if g.slotLasts[layout.slot] {
 		return nil
 	}
-	if err := g.disk.SyncFolder(); err != nil {
+	if err := g.disk.SyncDir(); err != nil {
 		return g.fail("sync of the folder", err)
 	}
 	g.slotLasts[layout.slot] = true
@@ -139,12 +139,12 @@
 // SnapshotBytes returns the length of the slot that the log follows; 0: there is none.
 func (g *Group) SnapshotBytes() int64 { return g.layout.bytes }
 
-// SnapshotParts returns the number of parts of the snapshot that the log follows.
-func (g *Group) SnapshotParts() int { return len(g.layout.offsets) }
+// SnapshotChunks returns the number of parts of the snapshot that the log follows.
+func (g *Group) SnapshotChunks() int { return len(g.layout.offsets) }
 
-// Parts hands over the state of the snapshot that the log follows, part by part. An error is the disk's, or a DamageError, or
+// ReadChunks hands over the state of the snapshot that the log follows, part by part. An error is the disk's, or a CorruptError, or
 // that of write.
-func (g *Group) Parts(write func(part json.RawMessage) error) error {
+func (g *Group) ReadChunks(write func(part json.RawMessage) error) error {
 	if len(g.layout.offsets) == 0 {
 		return nil
 	}
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// Part returns one part of the state of the snapshot that the log follows, in memory of its own.
-func (g *Group) Part(number int) (json.RawMessage, error) {
+// ReadChunk returns one part of the state of the snapshot that the log follows, in memory of its own.
+func (g *Group) ReadChunk(number int) (json.RawMessage, error) {
 	if number < 0 || number >= len(g.layout.offsets) {
 		return nil, trace.BadParameter("no part %d among %d", number, len(g.layout.offsets))
 	}
@@ -195,7 +195,7 @@
 		return nil, err
 	}
 	if !whole || found.generation != g.layout.generation || found.sequence != uint64(number) {
-		return nil, &DamageError{File: fileName(g.name, slotNames[g.layout.slot]), Offset: g.layout.offsets[number], Reason: "a part of the snapshot is not whole"}
+		return nil, &CorruptError{File: fileName(g.name, slotNames[g.layout.slot]), Offset: g.layout.offsets[number], Reason: "a part of the snapshot is not whole"}
 	}
 	return found.payload, nil
 }
--- a/internal/tier/storage/slot_test.go
+++ b/internal/tier/storage/slot_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		after := m.disk.Counts()
-		if after.Writes-before.Writes != 1 || after.Syncs != before.Syncs || after.FolderSyncs != before.FolderSyncs {
+		if after.Writes-before.Writes != 1 || after.Syncs != before.Syncs || after.DirSyncs != before.DirSyncs {
 			t.Fatalf("part %d: before %+v, after %+v", part.Number, before, after)
 		}
 		if err := m.take(group, step{Entries: 1, Bytes: 5}); err != nil {
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	for change := range whole.disk.Counts().Changes - before {
-		for _, effect := range []memorydisk.Effect{memorydisk.None, memorydisk.Half, memorydisk.Whole} {
+		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
 			for seed := range uint64(lossSeeds) {
 				m := newMember(asItIs)
 				group := mustPlay(t, m, prelude)
-				m.disk.StopAt(change, effect)
+				m.disk.CrashAt(change, effect)
 				if err := receive(group); err == nil {
 					t.Fatal("it was not stopped")
 				}
@@ -219,16 +219,16 @@
 	group := mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1, Bytes: 3}})
 	partsEnd := group.SnapshotBytes() - endBytes(t, m.disk)
 	for offset := range group.SnapshotBytes() {
-		if err := m.disk.Damage(firstSlot, offset); err != nil {
+		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
 			t.Fatal(err)
 		}
-		var damage *storage.DamageError
+		var damage *storage.CorruptError
 		read := 0
-		err := group.Parts(func(json.RawMessage) error { read++; return nil })
+		err := group.ReadChunks(func(json.RawMessage) error { read++; return nil })
 		if isPart := offset < partsEnd; isPart != errors.As(err, &damage) {
 			t.Fatalf("byte %d, %d parts read: got %v", offset, read, err)
 		}
-		if err := m.disk.Damage(firstSlot, offset); err != nil {
+		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -242,7 +242,7 @@
 
 // Given a snapshot, when its source gives no part or fails, then the member is broken and its disk as it was.
 func TestASnapshotWithoutPartsIsRefused(t *testing.T) {
-	for name, parts := range map[string]storage.Parts{
+	for name, parts := range map[string]storage.ChunkSource{
 		"none": func(func(json.RawMessage) error) error { return nil },
 		"failing": func(write func(json.RawMessage) error) error {
 			if err := write(json.RawMessage(`1`)); err != nil {
--- a/internal/tier/storage/trouble_test.go
+++ b/internal/tier/storage/trouble_test.go
@@ -16,7 +16,7 @@
 // wantBroken checks that an error is the group's lasting one.
 func wantBroken(t *testing.T, err error) {
 	t.Helper()
-	var broken *storage.BrokenError
+	var broken *storage.FailedError
 	if !errors.As(err, &broken) {
 		t.Fatalf("got %v, want a BrokenError", err)
 	}
@@ -65,7 +65,7 @@
 				}
 				full++
 				wantBroken(t, err)
-				if !storage.IsFull(err) {
+				if !storage.IsDiskFull(err) {
 					t.Fatalf("got %v, want an error for which IsFull holds", err)
 				}
 				m.disk.SetCapacity(0)
@@ -94,7 +94,7 @@
 			for failing := range failures {
 				m := newMember(asItIs)
 				group := mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
-				m.disk.Inject(failAt(failing))
+				m.disk.InjectFaults(failAt(failing))
 				err := m.take(group, last)
 				if err == nil {
 					continue
@@ -119,8 +119,8 @@
 }
 
 // failAt lets one operation that changes the disk fail.
-func failAt(operation int) func(memorydisk.OperationKind, string) error {
-	return func(kind memorydisk.OperationKind, _ string) error {
+func failAt(operation int) func(memorydisk.Operation, string) error {
+	return func(kind memorydisk.Operation, _ string) error {
 		operation--
 		if operation == -1 {
 			return syscall.EIO
@@ -136,16 +136,16 @@
 		m := newMember(asItIs)
 		mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
 		m.disk.Kill()
-		m.disk.Inject(failAt(failing))
+		m.disk.InjectFaults(failAt(failing))
 		_, err := m.open()
-		var damage *storage.DamageError
+		var damage *storage.CorruptError
 		if errors.As(err, &damage) {
 			t.Fatalf("operation %d: got %v", failing, err)
 		}
 		if err != nil {
 			failed++
 		}
-		m.disk.Inject(nil)
+		m.disk.InjectFaults(nil)
 		m.disk.Kill()
 		if err := m.recoverTwice(); err != nil {
 			t.Fatalf("operation %d: %v", failing, err)
@@ -260,7 +260,7 @@
 			t.Fatalf("%s: got %+v and %v", name, recovered, err)
 		}
 	}
-	groups, err := storage.Groups(disk)
+	groups, err := storage.ListGroups(disk)
 	if err != nil || strings.Join(groups, " ") != "turns turns.log-1" {
 		t.Fatalf("got groups %q and %v", groups, err)
 	}
--- a/internal/tier/store/departed.go
+++ b/internal/tier/store/departed.go
@@ -29,7 +29,7 @@
 	if err := file.Close(); err != nil {
 		return err
 	}
-	return s.options.Disk.SyncFolder()
+	return s.options.Disk.SyncDir()
 }
 
 // hasDeparted tells whether the replica of a shard has moved away, in this start or an earlier one.
@@ -57,7 +57,7 @@
 	if err := s.options.Disk.Remove(groupName(number) + departedEnd); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	if err := s.options.Disk.SyncFolder(); err != nil {
+	if err := s.options.Disk.SyncDir(); err != nil {
 		return err
 	}
 	s.mutex.Lock()
--- a/internal/tier/store/excess.go
+++ b/internal/tier/store/excess.go
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, address := range addresses {
-		s.options.Ask(address, func(answer wire.ShardMembersAnswer, err error) {
+		s.options.Ask(address, func(answer wire.ShardMembersResponse, err error) {
 			if err == nil {
 				s.leave(index, answer.Shards)
 			}
@@ -140,7 +140,7 @@
 		return
 	}
 	if lasts := s.options.Now().Sub(since); lasts > mostLeaving {
-		s.options.Checks.Broken(invariant.Excess, "shard", running.number, "lasts", lasts)
+		s.options.Checks.Violated(invariant.ExcessReplica, "shard", running.number, "lasts", lasts)
 	}
 }
 
@@ -154,12 +154,12 @@
 }
 
 // askByLink asks a store in a goroutine of its own.
-func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersAnswer, error)) {
-	return func(address string, done func(wire.ShardMembersAnswer, error)) {
+func askByLink(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
+	return func(address string, done func(wire.ShardMembersResponse, error)) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), membersLimit)
 			defer cancel()
-			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
+			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
 		}()
 	}
 }
--- a/internal/tier/store/excess_race_test.go
+++ b/internal/tier/store/excess_race_test.go
@@ -39,8 +39,8 @@
 		made := New(t.Context(), Options{ID: r.ID, Address: r.Address, Disk: memorydisk.New(), Logger: log.NewNopLogger(), Seed: uint64(i + 1), Now: time.Now,
 			Send:  func(address string, envelope group.Envelope) { find(address).Deliver(envelope) },
 			After: func(delay time.Duration, run func()) { time.AfterFunc(delay/haste, run) },
-			Ask: func(address string, done func(wire.ShardMembersAnswer, error)) {
-				go find(address).Report(func(answer wire.ShardMembersAnswer) { done(answer, nil) })
+			Ask: func(address string, done func(wire.ShardMembersResponse, error)) {
+				go find(address).Report(func(answer wire.ShardMembersResponse) { done(answer, nil) })
 			}})
 		mutex.Lock()
 		stores[r.Address] = made
@@ -96,11 +96,11 @@
 // takeTurn has a turn begun and ended.
 func (f *fleet) takeTurn(shard int, name string) {
 	f.until(name+" is taken", func(s *Store) bool {
-		began, err := s.begin(testContext(f.t), "", wire.BeginTurn{Shard: shard, Turn: *beginTurn(name).Begin})
+		began, err := s.begin(testContext(f.t), "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn(name).Begin})
 		if err != nil || began.Verdict != program.Taken {
 			return false
 		}
-		ended, err := s.end(testContext(f.t), "", wire.EndTurn{Shard: shard, Turn: *endTurn(name).End})
+		ended, err := s.end(testContext(f.t), "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn(name).End})
 		return err == nil && ended.Verdict == program.Taken
 	})
 }
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -75,7 +75,7 @@
 
 func runStoreProcess(ctx context.Context, options processOptions) error {
 	debug.SetGCPercent(collectorGrowth)
-	disk, err := storage.NewOS(options.Folder)
+	disk, err := storage.OpenOSDisk(options.Folder)
 	if err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 	settled := 0
 	for _, p := range f.processes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, f.pool, p.options.Address, wire.MethodShardMembers, wire.ShardMembersRequest{})
+		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, f.pool, p.options.Address, wire.MethodShardMembers, wire.ShardMembersRequest{})
 		cancel()
 		if err != nil {
 			continue
@@ -307,9 +307,9 @@
 	number := f.turns.Add(1)
 	shard := int(number % measuredShards)
 	name := fmt.Sprintf("%032x", number)
-	f.ask(shard, wire.MethodBeginTurn, wire.BeginTurn{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, Most: 100,
+	f.ask(shard, wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, Most: 100,
 		Remembered: true, KeepForS: 3600, Input: contents(number, f.input)}})
-	f.ask(shard, wire.MethodEndTurn, wire.EndTurn{Shard: shard, Turn: program.EndTurn{Turn: name, Whole: true, Tokens: 100, Output: contents(number, f.input/4)}})
+	f.ask(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Whole: true, Tokens: 100, Output: contents(number, f.input/4)}})
 }
 
 // contents are bytes as no two turns have them.
--- a/internal/tier/store/recover.go
+++ b/internal/tier/store/recover.go
@@ -13,7 +13,7 @@
 // the placement that is known by then. Replicas that have moved away stay closed.
 func (s *Store) Recover() error {
 	defer s.reviewExcess()
-	names, err := storage.Groups(s.options.Disk)
+	names, err := storage.ListGroups(s.options.Disk)
 	if err != nil {
 		return err
 	}
--- a/internal/tier/store/recover_late_test.go
+++ b/internal/tier/store/recover_late_test.go
@@ -56,7 +56,7 @@
 				if !strings.Contains(name, ".log") {
 					continue
 				}
-				if err := disk.Damage(name, 3); err != nil {
+				if err := disk.Corrupt(name, 3); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -66,7 +66,7 @@
 				if !strings.Contains(name, ".slot") {
 					continue
 				}
-				if err := disk.Damage(name, 3); err != nil {
+				if err := disk.Corrupt(name, 3); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -98,7 +98,7 @@
 			}
 			c.damage(t, disk, names)
 			disk.Kill()
-			var damage *storage.DamageError
+			var damage *storage.CorruptError
 			if err := newQuietStore(disk).Recover(); !errors.As(err, &damage) {
 				t.Errorf("recovered with %v, want that the disk is damaged", err)
 			}
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -73,7 +73,7 @@
 	var later []func()
 	s := New(testContext(t), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(),
 		Send: func(string, group.Envelope) {}, Run: func(*group.Group) {}, After: func(_ time.Duration, run func()) { later = append(later, run) }})
-	disk.Inject(func(memorydisk.OperationKind, string) error { return errors.New("the disk fails") })
+	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
 	s.Place(4, alone(1))
 	if s.shard(0) != nil || len(later) != 1 {
 		t.Fatalf("opened %v, to be tried again %d times", s.shard(0) != nil, len(later))
@@ -86,7 +86,7 @@
 	}
 
 	// When it is well again, the shard is opened.
-	disk.Inject(nil)
+	disk.InjectFaults(nil)
 	later[1]()
 	if s.shard(0) == nil || len(later) != 2 {
 		t.Errorf("opened %v, to be tried again %d times more", s.shard(0) != nil, len(later)-2)
--- a/internal/tier/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -111,7 +111,7 @@
 
 // membersIn tells the members that a status holds.
 func (s *shard) membersIn(status replica.Status) wire.ShardMembers {
-	told := wire.ShardMembers{Shard: s.number, Epoch: status.Term, Placement: s.machine.placement.Load()}
+	told := wire.ShardMembers{Shard: s.number, Term: status.Term, Placement: s.machine.placement.Load()}
 	for _, member := range status.Members {
 		told.IDs = append(told.IDs, member.ID)
 		if !member.Learner && status.CaughtUp[member.ID] {
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -59,7 +59,7 @@
 	Run   func(opened *group.Group)             // drives a group; must not block
 	After func(delay time.Duration, run func()) // calls run after a while
 	// Ask has the store at an address report on the groups that it owns; must not block.
-	Ask func(address string, done func(answer wire.ShardMembersAnswer, err error))
+	Ask func(address string, done func(answer wire.ShardMembersResponse, err error))
 }
 
 // Store holds the replicas of one machine.
@@ -244,7 +244,7 @@
 func (e *NotOwnerError) Error() string { return e.Owner }
 
 // ErrorKind names the kind for the link.
-func (e *NotOwnerError) ErrorKind() string { return wire.KindNotOwner }
+func (e *NotOwnerError) ErrorKind() string { return wire.KindNotLeader }
 
 // propose has a command agreed on by the shard's group.
 func (s *Store) propose(ctx context.Context, number int, command program.Command) (program.Result, error) {
@@ -276,39 +276,39 @@
 	return &NotOwnerError{Owner: owner}
 }
 
-func (s *Store) begin(ctx context.Context, _ string, request wire.BeginTurn) (wire.BegunTurn, error) {
+func (s *Store) begin(ctx context.Context, _ string, request wire.BeginTurnRequest) (wire.BeginTurnResponse, error) {
 	request.Turn.AtMs = s.options.Now().UnixMilli()
 	result, err := s.propose(ctx, request.Shard, program.Command{Begin: &request.Turn})
-	return wire.WithoutHeld(result, request.Held), err
+	return wire.OmitCachedPrefix(result, request.CachedChains), err
 }
 
-func (s *Store) end(ctx context.Context, _ string, request wire.EndTurn) (program.Result, error) {
+func (s *Store) end(ctx context.Context, _ string, request wire.EndTurnRequest) (program.Result, error) {
 	request.Turn.AtMs = s.options.Now().UnixMilli()
 	return s.propose(ctx, request.Shard, program.Command{End: &request.Turn})
 }
 
-func (s *Store) chain(ctx context.Context, _ string, request wire.ChainRequest) (wire.ChainAnswer, error) {
+func (s *Store) chain(ctx context.Context, _ string, request wire.ChainRequest) (wire.ChainResponse, error) {
 	running := s.shard(request.Shard)
 	if running == nil {
-		return wire.ChainAnswer{}, &NotOwnerError{}
+		return wire.ChainResponse{}, &NotOwnerError{}
 	}
-	var answer wire.ChainAnswer
+	var answer wire.ChainResponse
 	err := running.group.Read(ctx, func() { answer.Chain, answer.Found = running.machine.programs.Chain(request.Turn) })
 	if err != nil {
-		return wire.ChainAnswer{}, s.ownership(err)
+		return wire.ChainResponse{}, s.ownership(err)
 	}
 	return answer, nil
 }
 
 // members answers with the members of the groups that this store owns.
-func (s *Store) members(ctx context.Context, _ string, _ wire.ShardMembersRequest) (wire.ShardMembersAnswer, error) {
-	answered := make(chan wire.ShardMembersAnswer, 1)
-	s.Report(func(answer wire.ShardMembersAnswer) { answered <- answer })
+func (s *Store) members(ctx context.Context, _ string, _ wire.ShardMembersRequest) (wire.ShardMembersResponse, error) {
+	answered := make(chan wire.ShardMembersResponse, 1)
+	s.Report(func(answer wire.ShardMembersResponse) { answered <- answer })
 	select {
 	case answer := <-answered:
 		return answer, nil
 	case <-ctx.Done():
-		return wire.ShardMembersAnswer{}, ctx.Err()
+		return wire.ShardMembersResponse{}, ctx.Err()
 	}
 }
 
@@ -327,14 +327,14 @@
 
 // Report tells done the members of all groups that this store owns, as a majority of each has confirmed them. It doesn't
 // block.
-func (s *Store) Report(done func(answer wire.ShardMembersAnswer)) {
+func (s *Store) Report(done func(answer wire.ShardMembersResponse)) {
 	shards := s.running()
 	if len(shards) == 0 {
-		done(wire.ShardMembersAnswer{})
+		done(wire.ShardMembersResponse{})
 		return
 	}
 	var mutex sync.Mutex
-	var answer wire.ShardMembersAnswer
+	var answer wire.ShardMembersResponse
 	open := len(shards)
 	for _, running := range shards {
 		running.report(func(told wire.ShardMembers, confirmed bool) {
@@ -362,7 +362,7 @@
 }
 
 // Take takes over a section that has been spread.
-func (s *Store) Take(piece view.Piece) {
+func (s *Store) Take(piece view.Update) {
 	if piece.Section != view.PlacementSection {
 		return
 	}
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -72,22 +72,22 @@
 
 func TestTurnsOfAStore(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Take(view.Piece{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
+	s.Take(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
 	settle(t, s, 2, 4)
 	ctx := testContext(t)
 
 	// Given a turn that was begun and ended.
-	began, err := s.begin(ctx, "", wire.BeginTurn{Shard: 1, Turn: *beginTurn("a").Begin})
+	began, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
 	if err != nil || began.Verdict != program.Taken {
 		t.Fatalf("begun: %v, %v", began, err)
 	}
-	if ended, err := s.end(ctx, "", wire.EndTurn{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Taken {
+	if ended, err := s.end(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Taken {
 		t.Fatalf("ended: %v, %v", ended, err)
 	}
 
 	// Then its chain is found in its shard, and certainly not in another.
 	found, err := s.chain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
-	if diff := cmp.Diff(wire.ChainAnswer{Found: true, Chain: []byte("input of aoutput")}, found); diff != "" || err != nil {
+	if diff := cmp.Diff(wire.ChainResponse{Found: true, Chain: []byte("input of aoutput")}, found); diff != "" || err != nil {
 		t.Errorf("chain (-want +got), %v:\n%s", err, diff)
 	}
 	if missing, err := s.chain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
@@ -97,7 +97,7 @@
 	// And a turn that goes on from one that isn't there is refused.
 	next := *beginTurn("b").Begin
 	next.Previous = "nothing"
-	if got, err := s.begin(ctx, "", wire.BeginTurn{Shard: 1, Turn: next}); err != nil || got.Verdict != program.NoSuchTurn {
+	if got, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.NoSuchTurn {
 		t.Errorf("begun without its chain: %v, %v", got, err)
 	}
 }
@@ -108,7 +108,7 @@
 		s := newStore(t, disk)
 		s.Place(4, alone(1))
 		settle(t, s, 1, 4)
-		if got, err := s.begin(testContext(t), "", wire.BeginTurn{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Taken {
+		if got, err := s.begin(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Taken {
 			t.Fatalf("begun: %v, %v", got, err)
 		}
 	})
@@ -116,7 +116,7 @@
 	s := newStore(t, disk)
 	s.Place(4, alone(1))
 	settle(t, s, 1, 4)
-	if got, err := s.end(testContext(t), "", wire.EndTurn{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Taken {
+	if got, err := s.end(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Taken {
 		t.Errorf("the end of a turn that was acknowledged: %v, %v", got, err)
 	}
 }
@@ -126,8 +126,8 @@
 	s.Place(4, view.Placement{Shards: []view.ShardPlacement{{Initial: []view.Replica{other}, Replicas: []view.Replica{other}}}})
 	ctx := testContext(t)
 	for _, shard := range []int{0, 1, -1} {
-		_, begun := s.begin(ctx, "", wire.BeginTurn{Shard: shard, Turn: *beginTurn("a").Begin})
-		_, ended := s.end(ctx, "", wire.EndTurn{Shard: shard, Turn: *endTurn("a").End})
+		_, begun := s.begin(ctx, "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn("a").Begin})
+		_, ended := s.end(ctx, "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn("a").End})
 		_, found := s.chain(ctx, "", wire.ChainRequest{Shard: shard, Turn: "a"})
 		for name, err := range map[string]error{"begin": begun, "end": ended, "chain": found} {
 			var not *NotOwnerError
@@ -178,20 +178,20 @@
 	pool := transport.NewPool()
 	defer pool.Close()
 	ctx := testContext(t)
-	got, err := transport.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Turn: *beginTurn("a").Begin})
+	got, err := transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Turn: *beginTurn("a").Begin})
 	if err != nil || got.Verdict != program.Taken {
 		t.Errorf("begun: %v, %v", got, err)
 	}
-	_, err = transport.Call[wire.BeginTurn, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurn{Shard: 5, Turn: *beginTurn("b").Begin})
+	_, err = transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: 5, Turn: *beginTurn("b").Begin})
 	var remote *transport.RemoteError
-	if !errors.As(err, &remote) || remote.Kind != wire.KindNotOwner {
+	if !errors.As(err, &remote) || remote.Kind != wire.KindNotLeader {
 		t.Errorf("a shard that isn't held: %v", err)
 	}
-	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersAnswer](ctx, pool, server.Address(), wire.MethodShardMembers, wire.ShardMembersRequest{})
+	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, server.Address(), wire.MethodShardMembers, wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) != 1 {
 		t.Fatalf("members: %v, %v", answer, err)
 	}
-	want := wire.ShardMembers{Epoch: answer.Shards[0].Epoch, Placement: 4, IDs: []string{self.ID}, CaughtUp: []string{self.ID}}
+	want := wire.ShardMembers{Term: answer.Shards[0].Term, Placement: 4, IDs: []string{self.ID}, CaughtUp: []string{self.ID}}
 	if diff := cmp.Diff(want, answer.Shards[0]); diff != "" {
 		t.Errorf("members (-want +got):\n%s", diff)
 	}
@@ -257,8 +257,8 @@
 
 func TestOtherSectionsAndBrokenOnesAreIgnored(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Take(view.Piece{Section: view.RolloutsSection, Body: encode(t, alone(1))})
-	s.Take(view.Piece{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
+	s.Take(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
+	s.Take(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
 	s.Deliver(group.Envelope{Group: "shard-"})
 	s.Deliver(group.Envelope{Group: "shard-x"})
 	s.Deliver(group.Envelope{Group: "shard-3"})
--- a/internal/tier/validation/fault.go
+++ b/internal/tier/validation/fault.go
@@ -6,38 +6,38 @@
 	"fmt"
 )
 
-// Fault is one thing that is wrong with a document.
-type Fault struct {
-	Place  string // such as routes[3].giveUpMs or limits.memoryMb; empty: the document as a whole
+// FieldError is one thing that is wrong with a document.
+type FieldError struct {
+	Field  string // such as routes[3].giveUpMs or limits.memoryMb; empty: the document as a whole
 	Reason string
 }
 
 // Error names the place and what is wrong there.
-func (f *Fault) Error() string {
-	if f.Place == "" {
+func (f *FieldError) Error() string {
+	if f.Field == "" {
 		return f.Reason
 	}
-	return fmt.Sprintf("%s: %s", f.Place, f.Reason)
+	return fmt.Sprintf("%s: %s", f.Field, f.Reason)
 }
 
-// Faults lists the faults that an error holds, a single one or a group of multierr, in the order of the checks. Errors of other
+// FieldErrors lists the faults that an error holds, a single one or a group of multierr, in the order of the checks. Errors of other
 // types are left out.
-func Faults(err error) []*Fault {
+func FieldErrors(err error) []*FieldError {
 	var group interface{ Errors() []error }
 	if !errors.As(err, &group) {
 		return single(err)
 	}
-	var faults []*Fault
+	var faults []*FieldError
 	for _, part := range group.Errors() {
 		faults = append(faults, single(part)...)
 	}
 	return faults
 }
 
-func single(err error) []*Fault {
-	var fault *Fault
+func single(err error) []*FieldError {
+	var fault *FieldError
 	if !errors.As(err, &fault) {
 		return nil
 	}
-	return []*Fault{fault}
+	return []*FieldError{fault}
 }
--- a/internal/tier/validation/fault_test.go
+++ b/internal/tier/validation/fault_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestFaultsReadAsPlaceAndReason(t *testing.T) {
-	if got := (&Fault{Place: "routes[0]", Reason: "is odd"}).Error(); got != "routes[0]: is odd" {
+	if got := (&FieldError{Field: "routes[0]", Reason: "is odd"}).Error(); got != "routes[0]: is odd" {
 		t.Errorf("got %q", got)
 	}
-	if got := (&Fault{Reason: "is odd"}).Error(); got != "is odd" {
+	if got := (&FieldError{Reason: "is odd"}).Error(); got != "is odd" {
 		t.Errorf("got %q", got)
 	}
-	if got := Faults(fmt.Errorf("other")); got != nil {
+	if got := FieldErrors(fmt.Errorf("other")); got != nil {
 		t.Errorf("got %v", got)
 	}
 }
 
 func TestFaultsOfAGroupStandInTheirOrder(t *testing.T) {
-	first, second := &Fault{Place: "a", Reason: "is odd"}, &Fault{Place: "b", Reason: "is missing"}
+	first, second := &FieldError{Field: "a", Reason: "is odd"}, &FieldError{Field: "b", Reason: "is missing"}
 	group := fmt.Errorf("settings.yaml: %w", multierr.Combine(first, fmt.Errorf("other"), second))
-	got := Faults(group)
+	got := FieldErrors(group)
 	if len(got) != 2 || got[0] != first || got[1] != second {
 		t.Errorf("got %v", got)
 	}
--- a/internal/tier/versionstats/tally.go
+++ b/internal/tier/versionstats/tally.go
@@ -81,7 +81,7 @@
 	versions := make(map[string]listed, len(endpoints))
 	for i := range endpoints {
 		e := &endpoints[i]
-		versions[e.ID] = listed{version{e.Service, e.Number}, now.Add(time.Duration(e.ColdLeftMs) * time.Millisecond)}
+		versions[e.ID] = listed{version{e.Service, e.Version}, now.Add(time.Duration(e.WarmUpLeftMs) * time.Millisecond)}
 	}
 	c.mutex.Lock()
 	c.versions = versions
@@ -197,22 +197,22 @@
 
 // Report returns what is to be reported now: the counts since the start, if an order is in service and any has changed
 // since the last report.
-func (c *Counter) Report() (wire.Tallies, bool) {
+func (c *Counter) Report() (wire.VersionStatsReport, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.trials) == 0 || !c.changed {
-		return wire.Tallies{}, false
+		return wire.VersionStatsReport{}, false
 	}
 	c.changed = false
-	report := wire.Tallies{Source: c.source, Versions: make([]wire.VersionTally, 0, len(c.tallies))}
+	report := wire.VersionStatsReport{Source: c.source, Versions: make([]wire.VersionStats, 0, len(c.tallies))}
 	for of, t := range c.tallies {
-		counted := wire.VersionTally{Service: of.service, Route: of.route, Version: of.number, Order: of.order, Tally: *t}
+		counted := wire.VersionStats{Service: of.service, Route: of.route, Version: of.number, Order: of.order, Stats: *t}
 		if under := c.trials[of.version]; of.order != 0 && under.order == of.order {
 			counted.AgeMs = c.now().Sub(under.since).Milliseconds()
 		}
 		report.Versions = append(report.Versions, counted)
 	}
-	slices.SortFunc(report.Versions, func(a, b wire.VersionTally) int {
+	slices.SortFunc(report.Versions, func(a, b wire.VersionStats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Order, b.Order))
 	})
 	return report, true
--- a/internal/tier/versionstats/tally_test.go
+++ b/internal/tier/versionstats/tally_test.go
@@ -35,7 +35,7 @@
 	now := time.Unix(1000, 0)
 	c := New(inner, "p")
 	c.now = func() time.Time { return now }
-	c.SetEndpoints([]model.Endpoint{{ID: "a", Service: "s", Number: "v1"}, {ID: "b", Service: "s", Number: "v2", ColdLeftMs: 500}})
+	c.SetEndpoints([]model.Endpoint{{ID: "a", Service: "s", Version: "v1"}, {ID: "b", Service: "s", Version: "v2", WarmUpLeftMs: 500}})
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Share: 0.1}})
 	// when requests on two routes end, one of them after its endpoint has left the list,
 	send := func(endpoint, route string) proxy.Selection {
@@ -62,10 +62,10 @@
 	}
 	var timed rollout.Tally
 	timed.Time(done.Took)
-	want := wire.Tallies{Source: "p", Versions: []wire.VersionTally{
-		{Service: "s", Route: "r1", Version: "v1", Tally: rollout.Tally{Sent: 1, Good: 1, Paces: timed.Paces}},
-		{Service: "s", Route: "r1", Version: "v2", Tally: rollout.Tally{Sent: 1, Good: 1}},
-		{Service: "s", Route: "r2", Version: "v2", Tally: rollout.Tally{Sent: 2, Good: 1, Bad: 1, Paces: timed.Paces}},
+	want := wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{
+		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Tally{Sent: 1, Good: 1, Paces: timed.Paces}},
+		{Service: "s", Route: "r1", Version: "v2", Stats: rollout.Tally{Sent: 1, Good: 1}},
+		{Service: "s", Route: "r2", Version: "v2", Stats: rollout.Tally{Sent: 2, Good: 1, Bad: 1, Paces: timed.Paces}},
 	}}
 	if diff := cmp.Diff(want, report); diff != "" {
 		t.Error(diff)
@@ -98,7 +98,7 @@
 	now := time.Unix(1000, 0)
 	c := New(&scheduler{}, "p")
 	c.now = func() time.Time { return now }
-	c.SetEndpoints([]model.Endpoint{{ID: "b", Service: "s", Number: "v2"}})
+	c.SetEndpoints([]model.Endpoint{{ID: "b", Service: "s", Version: "v2"}})
 	send := func() proxy.Selection {
 		choice, err := c.Select(t.Context(), &proxy.RequestInfo{AttemptID: "b", Route: &model.Route{Name: "r"}})
 		if err != nil {
@@ -123,9 +123,9 @@
 	if !due {
 		t.Fatal("no report is due")
 	}
-	want := []wire.VersionTally{
-		{Service: "s", Route: "r", Version: "v2", Tally: rollout.Tally{Sent: 2, Bad: 2}},
-		{Service: "s", Route: "r", Version: "v2", Order: 9, AgeMs: 500, Tally: rollout.Tally{Sent: 1}},
+	want := []wire.VersionStats{
+		{Service: "s", Route: "r", Version: "v2", Stats: rollout.Tally{Sent: 2, Bad: 2}},
+		{Service: "s", Route: "r", Version: "v2", Order: 9, AgeMs: 500, Stats: rollout.Tally{Sent: 1}},
 	}
 	if diff := cmp.Diff(want, report.Versions); diff != "" {
 		t.Error(diff)
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -11,13 +11,13 @@
 
 // Stamp orders the contents of one section: by the epoch of the owner that wrote it, then by its sequence number.
 type Stamp struct {
-	Epoch    uint64 `json:"epoch"`
+	Term     uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 }
 
 // Less tells whether s is older than o.
 func (s Stamp) Less(o Stamp) bool {
-	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Sequence < o.Sequence
+	return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence
 }
 
 // Section names one part of the view.
@@ -34,15 +34,15 @@
 // Digest tells which contents a process holds.
 type Digest map[Section]Stamp
 
-// Piece is one section's content with its stamp, as it travels.
-type Piece struct {
+// Update is one section's content with its stamp, as it travels.
+type Update struct {
 	Section Section         `json:"section"`
 	Stamp   Stamp           `json:"stamp"`
 	Body    json.RawMessage `json:"body"`
 }
 
 // AppendJSON implements transport.Appender.
-func (p Piece) AppendJSON(buffer []byte) ([]byte, error) {
+func (p Update) AppendJSON(buffer []byte) ([]byte, error) {
 	section, err := json.Marshal(p.Section)
 	if err != nil {
 		return buffer, err
@@ -50,7 +50,7 @@
 	buffer = append(buffer, `{"section":`...)
 	buffer = append(buffer, section...)
 	buffer = append(buffer, `,"stamp":{"epoch":`...)
-	buffer = strconv.AppendUint(buffer, p.Stamp.Epoch, 10)
+	buffer = strconv.AppendUint(buffer, p.Stamp.Term, 10)
 	buffer = append(buffer, `,"sequence":`...)
 	buffer = strconv.AppendUint(buffer, p.Stamp.Sequence, 10)
 	buffer = append(buffer, `},"body":`...)
@@ -87,12 +87,12 @@
 
 // ServiceVersions says which versions of a service's software may take requests.
 type ServiceVersions struct {
-	Service string  `json:"service"`
-	Current string  `json:"current"`          // version in service
-	Target  string  `json:"target,omitempty"` // version being rolled out; empty: none
-	Order   uint64  `json:"order,omitempty"`  // names the order to roll Target out: the same version may be ordered again
-	Share   float64 `json:"share,omitempty"`  // of requests that Target may get, 0 to 1
-	Extra   float64 `json:"extra,omitempty"`  // requests above Share that each proxy may send to Target at first
+	Service          string  `json:"service"`
+	Current          string  `json:"current"`          // version in service
+	Target           string  `json:"target,omitempty"` // version being rolled out; empty: none
+	Order            uint64  `json:"order,omitempty"`  // names the order to roll Target out: the same version may be ordered again
+	Share            float64 `json:"share,omitempty"`  // of requests that Target may get, 0 to 1
+	InitialAllowance float64 `json:"extra,omitempty"`  // requests above Share that each proxy may send to Target at first
 }
 
 // Placement is the section of the shards.
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -64,7 +64,7 @@
 	pause := firstPause
 	for ctx.Err() == nil {
 		request := wire.FetchRequest{Digest: f.digest}
-		err := transport.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(piece view.Piece) error {
+		err := transport.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(piece view.Update) error {
 			pause = firstPause
 			f.take(piece)
 			return nil
@@ -79,7 +79,7 @@
 }
 
 // take takes a piece over, unless it is older than the one held.
-func (f *Feed) take(piece view.Piece) {
+func (f *Feed) take(piece view.Update) {
 	if held, known := f.digest[piece.Section]; known && !held.Less(piece.Stamp) {
 		return
 	}
@@ -90,7 +90,7 @@
 	f.digest[piece.Section] = piece.Stamp
 }
 
-func (f *Feed) apply(piece view.Piece) error {
+func (f *Feed) apply(piece view.Update) error {
 	switch piece.Section {
 	case view.ConfigurationSection:
 		return f.configure(piece.Body)
@@ -126,10 +126,10 @@
 	if err != nil {
 		return err
 	}
-	if held := f.routes.Load(); held != nil && configuration.Number < held.Number {
-		return fmt.Errorf("configuration %d is older than %d, which is in force", configuration.Number, held.Number)
+	if held := f.routes.Load(); held != nil && configuration.Version < held.Number {
+		return fmt.Errorf("configuration %d is older than %d, which is in force", configuration.Version, held.Number)
 	}
 	f.routes.Store(proxy.NewRoutes(configuration))
-	level.Info(f.logger).Log("msg", "configuration in force", "number", configuration.Number)
+	level.Info(f.logger).Log("msg", "configuration in force", "number", configuration.Version)
 	return nil
 }
--- a/internal/tier/viewfeed/feed_test.go
+++ b/internal/tier/viewfeed/feed_test.go
@@ -33,12 +33,12 @@
 }
 
 // piece is a section's content with its stamp.
-func piece(section view.Section, epoch, sequence uint64, body string) view.Piece {
-	return view.Piece{Section: section, Stamp: view.Stamp{Epoch: epoch, Sequence: sequence}, Body: json.RawMessage(body)}
+func piece(section view.Section, epoch, sequence uint64, body string) view.Update {
+	return view.Update{Section: section, Stamp: view.Stamp{Term: epoch, Sequence: sequence}, Body: json.RawMessage(body)}
 }
 
 // configuration is a configuration's section: one route, whose turns may be remembered.
-func configuration(epoch, sequence uint64, number int, remembered bool) view.Piece {
+func configuration(epoch, sequence uint64, number int, remembered bool) view.Update {
 	raw := fmt.Sprintf(`{"number":%d,"routes":[{"name":"r","host":"a.example","startsWith":"/r/","kind":"streaming","giveUpMs":5000,
 		"targetMs":200,"rank":1,"service":"s","tries":1,"remembered":%t,"keepForS":60}],"services":[{"name":"s","healthPath":"/h",
 		"maxConnections":10,"protocol":"h1","tls":false}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,
@@ -51,15 +51,15 @@
 	placement := piece(view.PlacementSection, 1, 1, `{"shards":[{"replicas":[{"id":"i","address":"127.0.0.1:1"}]}]}`)
 	cases := []struct {
 		name   string
-		pieces []view.Piece
+		pieces []view.Update
 		want   bool
 	}{
 		{"given nothing then it isn't ready", nil, false},
-		{"given no list then it isn't ready", []view.Piece{configuration(1, 1, 1, true), placement}, false},
-		{"given no configuration then it isn't ready", []view.Piece{list, placement}, false},
-		{"given remembered turns and no placement then it isn't ready", []view.Piece{configuration(1, 1, 1, true), list}, false},
-		{"given all three then it is ready", []view.Piece{configuration(1, 1, 1, true), list, placement}, true},
-		{"given no remembered turns then it needs no placement", []view.Piece{configuration(1, 1, 1, false), list}, true},
+		{"given no list then it isn't ready", []view.Update{configuration(1, 1, 1, true), placement}, false},
+		{"given no configuration then it isn't ready", []view.Update{list, placement}, false},
+		{"given remembered turns and no placement then it isn't ready", []view.Update{configuration(1, 1, 1, true), list}, false},
+		{"given all three then it is ready", []view.Update{configuration(1, 1, 1, true), list, placement}, true},
+		{"given no remembered turns then it needs no placement", []view.Update{configuration(1, 1, 1, false), list}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,17 +77,17 @@
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	cases := []struct {
 		name   string
-		pieces []view.Piece
+		pieces []view.Update
 		want   uint64
 	}{
-		{"given a newer one then it is taken over", []view.Piece{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
-		{"given an older stamp then it is passed over", []view.Piece{configuration(1, 2, 4, false), configuration(1, 1, 7, false)}, 4},
+		{"given a newer one then it is taken over", []view.Update{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
+		{"given an older stamp then it is passed over", []view.Update{configuration(1, 2, 4, false), configuration(1, 1, 7, false)}, 4},
 		{"given an older number under a newer stamp then it is passed over",
-			[]view.Piece{configuration(1, 1, 7, false), configuration(2, 1, 4, false)}, 7},
+			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false)}, 7},
 		{"given one that can't be read then the one before stays",
-			[]view.Piece{configuration(1, 1, 7, false), piece(view.ConfigurationSection, 2, 1, `{"raw":{"number":`)}, 7},
+			[]view.Update{configuration(1, 1, 7, false), piece(view.ConfigurationSection, 2, 1, `{"raw":{"number":`)}, 7},
 		{"given one that comes after an older number then it is taken over",
-			[]view.Piece{configuration(1, 1, 7, false), configuration(2, 1, 4, false), configuration(2, 2, 9, false)}, 9},
+			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false), configuration(2, 2, 9, false)}, 9},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/tier/wire/format_test.go
+++ b/internal/tier/wire/format_test.go
@@ -23,10 +23,10 @@
 
 // formatBodies are the bodies that processes exchange, the sections of the view, and the operator's configuration. The stored file has a line for each.
 var formatBodies = []any{
-	&wire.BeginTurn{}, &wire.BegunTurn{}, &wire.EndTurn{}, &wire.ChainRequest{}, &wire.ChainAnswer{},
-	&wire.FetchRequest{}, &wire.FetchAnswer{}, &wire.ShardMembersRequest{}, &wire.ShardMembersAnswer{},
-	&wire.EndpointsRequest{}, &wire.EndpointsAnswer{}, &wire.ProxiesRequest{}, &wire.ProxiesAnswer{}, &wire.Tallies{},
-	&view.Piece{}, &view.Config{}, &view.EndpointList{}, &view.RolloutList{}, &view.Placement{},
+	&wire.BeginTurnRequest{}, &wire.BeginTurnResponse{}, &wire.EndTurnRequest{}, &wire.ChainRequest{}, &wire.ChainResponse{},
+	&wire.FetchRequest{}, &wire.FetchResponse{}, &wire.ShardMembersRequest{}, &wire.ShardMembersResponse{},
+	&wire.EndpointsRequest{}, &wire.EndpointsResponse{}, &wire.ProxiesRequest{}, &wire.ProxiesResponse{}, &wire.VersionStatsReport{},
+	&view.Update{}, &view.Config{}, &view.EndpointList{}, &view.RolloutList{}, &view.Placement{},
 	&model.Configuration{},
 }
 
--- a/internal/tier/wire/heldchain_test.go
+++ b/internal/tier/wire/heldchain_test.go
@@ -16,14 +16,14 @@
 		text := rapid.StringMatching(`[ab]{0,6}`)
 		chain := text.Draw(t, "chain")
 		held := rapid.SliceOfN(text, 0, 6).Draw(t, "held")
-		var names []wire.HeldChain
+		var names []wire.CachedChain
 		for _, h := range held {
-			names = append(names, wire.HeldChain{Bytes: len(h), Sum: wire.SumOf([]byte(h))})
+			names = append(names, wire.CachedChain{Bytes: len(h), Digest: wire.DigestOf([]byte(h))})
 		}
-		begun := wire.WithoutHeld(program.Result{Verdict: program.Taken, Chain: []byte(chain)}, names)
+		begun := wire.OmitCachedPrefix(program.Result{Verdict: program.Taken, Chain: []byte(chain)}, names)
 		whole := string(begun.Chain)
-		if begun.Held > 0 {
-			whole = held[begun.Held-1] + whole
+		if begun.CachedIndex > 0 {
+			whole = held[begun.CachedIndex-1] + whole
 		}
 		if diff := cmp.Diff(chain, whole); diff != "" {
 			t.Fatal(diff)
--- a/internal/tier/wire/mutants_test.go
+++ b/internal/tier/wire/mutants_test.go
@@ -10,7 +10,7 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name: "chains are compared by length alone",
-			Change: mutation.Change{File: "heldchain.go", Old: " && string(SumOf(result.Chain[:h.Bytes])) == string(h.Sum)",
+			Change: mutation.Change{File: "heldchain.go", Old: " && string(DigestOf(result.Chain[:h.Bytes])) == string(h.Digest)",
 				New: ""},
 			Run:    "^TestWhatIsLeftOutIsHeld$",
 			Always: true,
--- a/internal/tier/wire/wire.go
+++ b/internal/tier/wire/wire.go
@@ -11,58 +11,58 @@
 // The methods.
 const (
 	MethodReplica      = "replica"       // notice: a group.Envelope
-	MethodBeginTurn    = "turn.begin"    // BeginTurn, answered by a BegunTurn
-	MethodEndTurn      = "turn.end"      // EndTurn, answered by a program.Result
-	MethodChain        = "turn.chain"    // ChainRequest, answered by a ChainAnswer
-	MethodFetch        = "view.fetch"    // FetchRequest, answered by a FetchAnswer
+	MethodBeginTurn    = "turn.begin"    // BeginTurnRequest, answered by a BeginTurnResponse
+	MethodEndTurn      = "turn.end"      // EndTurnRequest, answered by a program.Result
+	MethodChain        = "turn.chain"    // ChainRequest, answered by a ChainResponse
+	MethodFetch        = "view.fetch"    // FetchRequest, answered by a FetchResponse
 	MethodFeed         = "view.feed"     // FetchRequest, streams view.Piece
 	MethodMembers      = "members.sync"  // membership.Sync both ways
-	MethodShardMembers = "shard.members" // ShardMembersRequest, answered by a ShardMembersAnswer
+	MethodShardMembers = "shard.members" // ShardMembersRequest, answered by a ShardMembersResponse
 )
 
-// MethodEndpoints has a controller read the platform's list of endpoints: an EndpointsRequest, answered by an EndpointsAnswer.
+// MethodEndpoints has a controller read the platform's list of endpoints: an EndpointsRequest, answered by an EndpointsResponse.
 const MethodEndpoints = "endpoints"
 
 // EndpointsRequest asks for the platform's list as it is now.
 type EndpointsRequest struct{}
 
-// EndpointsAnswer holds the whole list.
-type EndpointsAnswer struct {
+// EndpointsResponse holds the whole list.
+type EndpointsResponse struct {
 	Endpoints []model.Endpoint `json:"endpoints"`
 }
 
-// MethodProxies asks an agent how many proxies there are: a ProxiesRequest, answered by a ProxiesAnswer.
+// MethodProxies asks an agent how many proxies there are: a ProxiesRequest, answered by a ProxiesResponse.
 const MethodProxies = "proxies"
 
 // ProxiesRequest asks for the number of proxies.
 type ProxiesRequest struct{}
 
-// ProxiesAnswer tells the number of proxies that run, as far as the agent knows.
-type ProxiesAnswer struct {
+// ProxiesResponse tells the number of proxies that run, as far as the agent knows.
+type ProxiesResponse struct {
 	Count int `json:"count"`
 }
 
-// MethodTallies is the method of a notice, a Tallies, by which proxies tell through their agents what they have seen.
-const MethodTallies = "rollout.tallies"
+// MethodVersionStats is the method of a notice, a VersionStatsReport, by which proxies tell through their agents what they have seen.
+const MethodVersionStats = "rollout.tallies"
 
-// Tallies tells what one proxy has seen of the versions of services since its start.
-type Tallies struct {
+// VersionStatsReport tells what one proxy has seen of the versions of services since its start.
+type VersionStatsReport struct {
 	Source   string         `json:"source"` // names the proxy's start
-	Versions []VersionTally `json:"versions"`
+	Versions []VersionStats `json:"versions"`
 }
 
-// VersionTally is what was seen of one version on one route, during one roll-out or outside of any.
-type VersionTally struct {
+// VersionStats is what was seen of one version on one route, during one roll-out or outside of any.
+type VersionStats struct {
 	Service string        `json:"service"`
 	Route   string        `json:"route"`
 	Version string        `json:"version"`
 	Order   uint64        `json:"order,omitempty"` // the order that rolls the version out; 0: none, or one that has ended
 	AgeMs   int64         `json:"ageMs,omitempty"` // time since the proxy first heard of the order, ms
-	Tally   rollout.Tally `json:"tally"`
+	Stats   rollout.Tally `json:"tally"`
 }
 
-// KindNotOwner is the kind of a remote error whose message is the owner's address, or empty where it is not known.
-const KindNotOwner = "not_owner"
+// KindNotLeader is the kind of a remote error whose message is the owner's address, or empty where it is not known.
+const KindNotLeader = "not_owner"
 
 // PortOffset is a role's place in the range of ports that are free on every machine.
 type PortOffset = int
@@ -74,15 +74,15 @@
 	StorePort      PortOffset = 2
 )
 
-// BeginTurn asks the owner of a shard to take a turn.
-type BeginTurn struct {
-	Shard int               `json:"shard"`
-	Turn  program.BeginTurn `json:"turn"`
-	Held  []HeldChain       `json:"held,omitempty"` // what may be left out of the answer
+// BeginTurnRequest asks the owner of a shard to take a turn.
+type BeginTurnRequest struct {
+	Shard        int               `json:"shard"`
+	Turn         program.BeginTurn `json:"turn"`
+	CachedChains []CachedChain     `json:"held,omitempty"` // what may be left out of the answer
 }
 
-// EndTurn asks the owner of a shard to settle a turn.
-type EndTurn struct {
+// EndTurnRequest asks the owner of a shard to settle a turn.
+type EndTurnRequest struct {
 	Shard int             `json:"shard"`
 	Turn  program.EndTurn `json:"turn"`
 }
@@ -93,8 +93,8 @@
 	Turn  string `json:"turn"`
 }
 
-// ChainAnswer holds a chain, if the turn is held there.
-type ChainAnswer struct {
+// ChainResponse holds a chain, if the turn is held there.
+type ChainResponse struct {
 	Found bool   `json:"found"`
 	Chain []byte `json:"chain,omitempty"`
 }
@@ -104,15 +104,15 @@
 	Digest view.Digest `json:"digest"`
 }
 
-// FetchAnswer brings them.
-type FetchAnswer struct {
-	Pieces []view.Piece `json:"pieces"`
+// FetchResponse brings them.
+type FetchResponse struct {
+	Updates []view.Update `json:"pieces"`
 }
 
 // AppendJSON implements transport.Appender.
-func (a FetchAnswer) AppendJSON(buffer []byte) ([]byte, error) {
+func (a FetchResponse) AppendJSON(buffer []byte) ([]byte, error) {
 	buffer = append(buffer, `{"pieces":[`...)
-	for i, piece := range a.Pieces {
+	for i, piece := range a.Updates {
 		if i > 0 {
 			buffer = append(buffer, ',')
 		}
@@ -131,13 +131,13 @@
 // committed.
 type ShardMembers struct {
 	Shard     int      `json:"shard"`
-	Epoch     uint64   `json:"epoch"`
+	Term      uint64   `json:"epoch"`
 	Placement uint64   `json:"placement"` // index of the newest placement that the group has begun to follow
 	IDs       []string `json:"ids"`       // all members, with and without a vote
 	CaughtUp  []string `json:"caughtUp"`  // members that have a vote and all but the newest entries
 }
 
-// ShardMembersAnswer lists the groups owned by a store.
-type ShardMembersAnswer struct {
+// ShardMembersResponse lists the groups owned by a store.
+type ShardMembersResponse struct {
 	Shards []ShardMembers `json:"shards"`
 }
