--- /dev/null
+++ b/internal/tier/membership/hash.go
@@ -0,0 +1,46 @@
+package membership
+
+// recordHash tells records apart by what must agree between nodes. Suspicion is left out, as it passes.
+func recordHash(member Member) uint64 {
+	hash := uint64(fnvOffset)
+	hash = hashString(hash, member.Name)
+	if !member.DeadOrLeft() {
+		hash = hashString(hash, member.ID)
+		hash = hashString(hash, member.Address)
+	}
+	hash = hashUint64(hash, member.Incarnation)
+	if member.DeadOrLeft() {
+		hash = hashUint64(hash, 1)
+	}
+	return mixBits(hash)
+}
+
+// The constants of the 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+func hashString(hash uint64, text string) uint64 {
+	for i := range len(text) {
+		hash = (hash ^ uint64(text[i])) * fnvPrime
+	}
+	return (hash ^ 0xff) * fnvPrime
+}
+
+func hashUint64(hash, number uint64) uint64 {
+	for range hashBytes {
+		hash = (hash ^ number&0xff) * fnvPrime
+		number >>= 8
+	}
+	return hash
+}
+
+// mixBits mixes the bits, so that hashes may be combined by exclusive or.
+func mixBits(hash uint64) uint64 {
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	hash *= 0xc4ceb9fe1a85ec53
+	return hash ^ hash>>33
+}
--- /dev/null
+++ b/internal/tier/membership/indirect.go
@@ -0,0 +1,77 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// maxIndirectProbes bounds the probes that this node makes for others at one time.
+const maxIndirectProbes = 64
+
+// indirectProbe is a probe that this node makes for another.
+type indirectProbe struct {
+	sequence          uint64 // of this node's ping
+	target            string
+	requester         string
+	requesterAddress  string // of the requester
+	requesterSequence uint64 // the requester's sequence
+	deadline          time.Duration
+}
+
+func (n *Node) sendIndirectProbes(pending *probe) {
+	pending.indirectAt = never
+	helpers := n.randomAlive(n.options.IndirectProbes, pending.target.Name)
+	pending.expectedNacks = len(helpers)
+	for _, helper := range helpers {
+		n.send(helper.Address, Message{
+			Kind:          MsgPingReq,
+			To:            helper.Name,
+			Sequence:      pending.sequence,
+			Target:        pending.target.Name,
+			TargetAddress: pending.target.Address,
+		})
+	}
+}
+
+func (n *Node) nackProbe(sequence uint64, helper string) {
+	for i := range n.prober.pending {
+		if pending := &n.prober.pending[i]; pending.sequence == sequence {
+			pending.nacks = append(pending.nacks, helper)
+		}
+	}
+}
+
+func (n *Node) handlePingReq(address string, message *Message) {
+	if message.TargetAddress == "" || len(n.indirect) >= maxIndirectProbes {
+		return
+	}
+	sequence := n.nextSequence()
+	n.indirect = append(n.indirect, indirectProbe{
+		sequence:          sequence,
+		target:            message.Target,
+		requester:         message.From,
+		requesterAddress:  address,
+		requesterSequence: message.Sequence,
+		deadline:          n.now + n.options.ProbeTimeout,
+	})
+	n.send(message.TargetAddress, Message{Kind: MsgPing, To: message.Target, Sequence: sequence})
+}
+
+// expireIndirectProbes tells requesters that the target has not answered.
+func (n *Node) expireIndirectProbes() {
+	n.indirect = slices.DeleteFunc(n.indirect, func(r indirectProbe) bool {
+		if n.now < r.deadline {
+			return false
+		}
+		n.send(r.requesterAddress, Message{Kind: MsgNack, To: r.requester, Sequence: r.requesterSequence, Target: r.target})
+		return true
+	})
+}
+
+func (n *Node) nextIndirectExpiry() time.Duration {
+	next := never
+	for i := range n.indirect {
+		next = min(next, n.indirect[i].deadline)
+	}
+	return next
+}
--- a/internal/tier/membership/member.go
+++ b/internal/tier/membership/member.go
@@ -51,22 +51,3 @@
 	return m.ID == other.ID && m.Address == other.Address && m.Control == other.Control &&
 		m.Zone == other.Zone && m.Role == other.Role
 }
-
-// EventKind tells what has become of a member.
-type EventKind string
-
-// The kinds of change.
-const (
-	MemberJoined    EventKind = "joined"    // it is new, or back
-	MemberUpdated   EventKind = "updated"   // it is another process now, or it refuted a suspicion
-	MemberSuspected EventKind = "suspected" // StateSuspect
-	MemberDied      EventKind = "died"      // StateDead
-	MemberLeft      EventKind = "departed"  // StateLeft
-)
-
-// Event reports a member whose state or description is new.
-type Event struct {
-	Kind     EventKind
-	Previous Member // zero when the member was not known
-	Member   Member
-}
--- a/internal/tier/membership/mutants_test.go
+++ b/internal/tier/membership/mutants_test.go
@@ -29,7 +29,7 @@
 		{
 			Name: "accusations are not refuted",
 			Change: mutation.Change{
-				File: "update.go",
+				File: "state.go",
 				Old:  "if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {",
 				New:  "if true {",
 			},
@@ -38,7 +38,7 @@
 		{
 			Name: "records of earlier processes are taken",
 			Change: mutation.Change{
-				File: "update.go",
+				File: "state.go",
 				Old:  "case update.Incarnation > known.Incarnation:",
 				New:  "case true:",
 			},
@@ -48,14 +48,14 @@
 		{
 			Name: "deaths are believed without a question",
 			Change: mutation.Change{
-				File: "update.go",
-				Old:  "\tswitch known.State {\n\tcase StateAlive:\n\t\tn.verify(known, update.Incarnation)",
-				New:  "\tswitch known.State {\n\tcase StateAlive, StateSuspect:\n\t\tn.bury(known, StateDead, update.Incarnation)",
+				File: "state.go",
+				Old:  "\tswitch known.State {\n\tcase StateAlive:\n\t\tn.verifyNode(known, update.Incarnation)",
+				New:  "\tswitch known.State {\n\tcase StateAlive, StateSuspect:\n\t\tn.markDeadOrLeft(known, StateDead, update.Incarnation)",
 			},
 			Also: []mutation.Change{
 				{
-					File: "update.go",
-					Old:  "\tcase StateSuspect:\n\t\tknown.suspicion.shorten()\n",
+					File: "state.go",
+					Old:  "\tcase StateSuspect:\n\t\tknown.suspicion.useMinTimeout()\n",
 					New:  "",
 				},
 			},
@@ -64,7 +64,7 @@
 		{
 			Name: "others are blamed after a freeze",
 			Change: mutation.Change{
-				File: "health.go",
+				File: "awareness.go",
 				Old:  "if late <= n.options.ProbeTimeout {",
 				New:  "if true {",
 			},
@@ -73,16 +73,16 @@
 		{
 			Name: "helpers are not asked",
 			Change: mutation.Change{
-				File: "probe.go",
-				Old:  "\tpending.helpAt = never\n\thelpers",
-				New:  "\tpending.helpAt = never\n\tif true { return }\n\thelpers",
+				File: "indirect.go",
+				Old:  "\tpending.indirectAt = never\n\thelpers",
+				New:  "\tpending.indirectAt = never\n\tif true { return }\n\thelpers",
 			},
 			Run: oneWayCuts,
 		},
 		{
 			Name: "datagrams have no bound",
 			Change: mutation.Change{
-				File: "receive.go",
+				File: "send.go",
 				Old:  "budget := MaxDatagramBytes - envelopeSize(&message) - len(message.Payload)",
 				New:  "budget := 100 * MaxDatagramBytes",
 			},
@@ -91,8 +91,8 @@
 		{
 			Name: "the gone are not forgotten",
 			Change: mutation.Change{
-				File: "probe.go",
-				Old:  "if n.now-e.since < n.options.TombstoneTimeout {",
+				File: "tombstone.go",
+				Old:  "if n.now-e.stateChange < n.options.TombstoneTimeout {",
 				New:  "if true {",
 			},
 			Run: longDeaths,
@@ -100,15 +100,15 @@
 		{
 			Name: "neither the gone nor seeds are called again",
 			Change: mutation.Change{
-				File: "probe.go",
-				Old:  "|| len(n.prober.gone) == 0 {",
+				File: "tombstone.go",
+				Old:  "|| len(n.prober.tombstones) == 0 {",
 				New:  "|| true {",
 			},
 			Also: []mutation.Change{
 				{
-					File: "reconcile.go",
-					Old:  "func (n *Node) pingLostSeeds() {\n",
-					New:  "func (n *Node) pingLostSeeds() {\n\tif true { return }\n",
+					File: "join.go",
+					Old:  "func (n *Node) probeUnknownSeeds() {\n",
+					New:  "func (n *Node) probeUnknownSeeds() {\n\tif true { return }\n",
 				},
 			},
 			Run: cutsThatHeal,
@@ -116,8 +116,8 @@
 		{
 			Name: "seeds are not tried sooner while a node is young",
 			Change: mutation.Change{
-				File: "reconcile.go",
-				Old:  "return n.jittered(youngContact)",
+				File: "join.go",
+				Old:  "return n.jittered(initialSeedProbeInterval)",
 				New:  "return n.jittered(n.options.PushPullInterval)",
 			},
 			Run: "^TestAllKnowEachOtherSoonAfterAColdStart$",
@@ -125,9 +125,9 @@
 		{
 			Name: "lists that differ are not reconciled",
 			Change: mutation.Change{
-				File: "reconcile.go",
-				Old:  "func (n *Node) wantSync(address string) {\n",
-				New:  "func (n *Node) wantSync(address string) {\n\tif n.reconcile.joined { return }\n",
+				File: "pushpull.go",
+				Old:  "func (n *Node) schedulePushPull(address string) {\n",
+				New:  "func (n *Node) schedulePushPull(address string) {\n\tif n.pushPull.joined { return }\n",
 			},
 			Run: crowds,
 		},
--- a/internal/tier/membership/network_test.go
+++ b/internal/tier/membership/network_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// deliver hands something to a host at once, or later when it is slow or frozen.
+// deliverPayload hands something to a host at once, or later when it is slow or frozen.
 func (w *network) deliver(to *host, input Input) {
 	if to.lag > 0 {
 		starts := to.starts
@@ -367,7 +367,7 @@
 	}
 	slices.Sort(names)
 	for _, h := range group {
-		if h.node.table.living+1 != len(names) { // quicker than names
+		if h.node.table.liveCount+1 != len(names) { // quicker than names
 			return false
 		}
 	}
--- a/internal/tier/membership/node.go
+++ b/internal/tier/membership/node.go
@@ -7,29 +7,6 @@
 	"time"
 )
 
-// The defaults of Options.
-const (
-	DefaultProbeInterval    = time.Second
-	DefaultProbeTimeout     = 300 * time.Millisecond
-	DefaultSuspicionTimeout = 2 * time.Second
-	DefaultPushPullInterval = 10 * time.Second
-	DefaultTombstoneTimeout = 2 * time.Minute
-	DefaultIndirectProbes   = 3
-)
-
-// Options sets a node up. Zero durations and counts stand for the defaults.
-type Options struct {
-	Self             Member // its Incarnation is the time of day in ms; State is ignored
-	Seeds            []string
-	ProbeInterval    time.Duration // from one probe to the next
-	ProbeTimeout     time.Duration // until helpers are asked
-	SuspicionTimeout time.Duration // for up to sixteen members; it grows with their number's logarithm
-	PushPullInterval time.Duration // between reconciliations while lists keep differing, and between tries of unknown seeds
-	TombstoneTimeout time.Duration // how long those that are gone are remembered
-	IndirectProbes   int           // helpers that are asked
-	Seed             uint64        // of all random choices
-}
-
 // Input is all that has happened since the last Step.
 type Input struct {
 	Datagrams []Datagram
@@ -63,24 +40,24 @@
 	self    Member
 	random  *rand.Rand
 
-	now     time.Duration
-	started time.Duration
-	wake    time.Duration // last NextWake; zero before the first Step
-	effects Effects
-
-	table   *table
-	urgent  *broadcastQueue // suspicions and refutations
-	regular *broadcastQueue // who is there and who is gone
-	payload json.RawMessage
-	seeds   []string
-
-	prober    prober
-	suspects  []*entry // those with a suspicion
-	relays    []relay
-	health    int // how slow this node itself seems, from 0 to maxHealth
-	reconcile reconcile
-	announce  bool          // there is news that a few members are told at once
-	announced time.Duration // when that was last done
+	now        time.Duration
+	started    time.Duration
+	nextWakeAt time.Duration // last NextWake; zero before the first Step
+	effects    Effects
+
+	table      *table
+	priority   *transmitLimitedQueue // suspicions and refutations
+	broadcasts *transmitLimitedQueue // who is there and who is gone
+	payload    json.RawMessage
+	seeds      []string
+
+	prober     prober
+	suspects   []*entry // those with a suspicion
+	indirect   []indirectProbe
+	awareness  int // how slow this node itself seems, from 0 to maxHealthScore
+	pushPull   pushPullState
+	gossipDue  bool          // there is news that a few members are told at once
+	lastGossip time.Duration // when that was last done
 }
 
 // New returns a node that has not been started: the first Step does that.
@@ -89,72 +66,56 @@
 	self := options.Self
 	self.State = StateAlive
 	n := &Node{
-		options: options,
-		self:    self,
-		random:  rand.New(rand.NewPCG(options.Seed, hashString(fnvOffset, self.Name))),
-		table:   newTable(),
-		urgent:  newBroadcastQueue(),
-		regular: newBroadcastQueue(),
-		seeds:   options.Seeds,
+		options:    options,
+		self:       self,
+		random:     rand.New(rand.NewPCG(options.Seed, hashString(fnvOffset, self.Name))),
+		table:      newTable(),
+		priority:   newTransmitLimitedQueue(),
+		broadcasts: newTransmitLimitedQueue(),
+		seeds:      options.Seeds,
 	}
 	n.table.hash = recordHash(self)
 	return n
 }
 
-func withDefaults(options Options) Options {
-	orDefault(&options.ProbeInterval, DefaultProbeInterval)
-	orDefault(&options.ProbeTimeout, DefaultProbeTimeout)
-	orDefault(&options.SuspicionTimeout, DefaultSuspicionTimeout)
-	orDefault(&options.PushPullInterval, DefaultPushPullInterval)
-	orDefault(&options.TombstoneTimeout, DefaultTombstoneTimeout)
-	orDefault(&options.IndirectProbes, DefaultIndirectProbes)
-	return options
-}
-
-func orDefault[T int | time.Duration](value *T, standard T) {
-	if *value == 0 {
-		*value = standard
-	}
-}
-
 // Step takes in what has happened up to now, a clock that never goes back, and returns what must be done.
 func (n *Node) Step(now time.Duration, input Input) Effects {
 	n.now = now
 	n.effects = Effects{}
-	n.prober.verified = 0
-	n.begin()
+	n.prober.verifications = 0
+	n.initialize()
 	n.configure(input)
-	n.noticeLateness()
+	n.detectLateWake()
 	for _, arrival := range input.Arrivals {
-		n.answerSync(arrival)
+		n.handlePushPull(arrival)
 	}
 	for _, outcome := range input.Results {
-		n.finishSync(outcome)
+		n.handlePushPullResult(outcome)
 	}
 	for i := range input.Datagrams {
-		n.receive(input.Datagrams[i].Address, &input.Datagrams[i].Message)
+		n.handleMessage(input.Datagrams[i].Address, &input.Datagrams[i].Message)
 	}
 	if input.Leave {
 		n.leave()
 	}
 	n.runTimers()
-	n.wake = max(n.nextWake(), now)
-	n.effects.NextWake = n.wake
+	n.nextWakeAt = max(n.nextWake(), now)
+	n.effects.NextWake = n.nextWakeAt
 	return n.effects
 }
 
-// begin sets the first times up in the first Step.
-func (n *Node) begin() {
-	if n.wake != 0 {
+// initialize sets the first times up in the first Step.
+func (n *Node) initialize() {
+	if n.nextWakeAt != 0 {
 		return
 	}
-	n.wake = n.now
+	n.nextWakeAt = n.now
 	n.started = n.now
-	n.reconcile.lastStart = n.now - n.options.PushPullInterval
-	n.prober.next = n.now + n.jittered(n.options.ProbeInterval)
-	n.prober.nextGone = n.prober.next
-	n.reconcile.contactSeed = n.now + n.contactPause()
-	n.regular.add(updateOf(n.self))
+	n.pushPull.lastStart = n.now - n.options.PushPullInterval
+	n.prober.nextProbe = n.now + n.jittered(n.options.ProbeInterval)
+	n.prober.nextDeadProbe = n.prober.nextProbe
+	n.pushPull.nextSeedProbe = n.now + n.seedProbeInterval()
+	n.broadcasts.queueBroadcast(updateOf(n.self))
 }
 
 func (n *Node) configure(input Input) {
@@ -173,29 +134,29 @@
 // runTimers does what is due.
 func (n *Node) runTimers() {
 	if n.self.State == StateLeft {
-		n.expireRelays()
+		n.expireIndirectProbes()
 		return
 	}
 	n.expireProbes()
-	n.expireRelays()
+	n.expireIndirectProbes()
 	n.expireSuspicions()
 	n.probe()
-	n.forget()
-	n.synchronise()
-	n.passOn()
+	n.reapTombstones()
+	n.runPushPull()
+	n.gossip()
 }
 
 // never is a time that does not come.
 const never = time.Duration(math.MaxInt64)
 
 func (n *Node) nextWake() time.Duration {
-	next := n.nextRelayExpiry()
+	next := n.nextIndirectExpiry()
 	if n.self.State == StateLeft {
 		return next
 	}
-	next = min(next, n.prober.next, n.nextProbeExpiry(), n.nextSync())
-	if n.announce {
-		next = min(next, n.announced+n.announcePause())
+	next = min(next, n.prober.nextProbe, n.nextProbeExpiry(), n.nextPushPull())
+	if n.gossipDue {
+		next = min(next, n.lastGossip+n.gossipInterval())
 	}
 	for _, suspected := range n.suspects {
 		next = min(next, suspected.suspicion.deadline)
@@ -234,7 +195,7 @@
 func (n *Node) Self() Member { return n.self }
 
 // Joined tells whether another member has answered since the start.
-func (n *Node) Joined() bool { return n.reconcile.joined }
+func (n *Node) Joined() bool { return n.pushPull.joined }
 
 // HealthScore tells how slow the node itself seems: 0 is well.
-func (n *Node) HealthScore() int { return n.health }
+func (n *Node) HealthScore() int { return n.awareness }
