--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -244,7 +244,7 @@
 		if err != nil {
 			return err
 		}
-		set := engine.Told(cfg)
+		set := engine.ModuleSettings(cfg)
 		o.Settings = &set
 	}
 	if until > 0 {
@@ -254,7 +254,7 @@
 		}
 		o.Until = first + until
 	}
-	var core engine.Rerun
+	var core engine.CoreReplay
 	if against == "" {
 		o.Core = core.Record
 	}
@@ -314,18 +314,18 @@
 }
 
 func coreDiffers(w io.Writer, res *capture.Result, d *engine.CoreDifference) {
-	if d.Turn != nil && d.Acts != nil && reflect.DeepEqual(d.Turn.Events, d.Told) {
-		moduleDiffers(w, res, &capture.Difference{Turn: d.Turn, Got: d.Acts, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.Acts))})
+	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
+		moduleDiffers(w, res, &capture.Difference{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
 	}
 	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Why)
 	list(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
-	list(w, "done now", d.Got.Did, res.Deed)
+	list(w, "done now", d.Got.Actions, res.CoreAction)
 	var was []control.Event
 	if d.Turn != nil {
 		was = d.Turn.Events
 	}
 	list(w, "the module was told", was, res.Event)
-	list(w, "and now", d.Told, res.Event)
+	list(w, "and now", d.ModuleEvents, res.Event)
 }
 
 // firstTurn is when a capture's first turn was, on the module's clock.
@@ -354,7 +354,7 @@
 	if err != nil {
 		return err
 	}
-	turns, err := capture.Window(r, f, from, from+length, &engine.Rerun{})
+	turns, err := capture.Window(r, f, from, from+length, &engine.CoreReplay{})
 	if err = errors.Join(err, f.Close()); err != nil {
 		_ = os.Remove(name)
 		return err
--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -50,13 +50,13 @@
 			}
 			tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 			fmt.Fprint(tab, "of")
-			for _, what := range engine.Counted {
+			for _, what := range engine.CounterNames {
 				fmt.Fprintf(tab, "\t%s", what)
 			}
 			fmt.Fprintln(tab)
 			for _, of := range slices.Sorted(maps.Keys(v.Counts)) {
 				fmt.Fprint(tab, of)
-				for _, what := range engine.Counted {
+				for _, what := range engine.CounterNames {
 					fmt.Fprintf(tab, "\t%d", v.Counts[of][what])
 				}
 				fmt.Fprintln(tab)
@@ -84,12 +84,12 @@
 	for _, name := range cfg.Settings.TenantNames {
 		of = append(of, "tenant "+name)
 	}
-	for p := range engine.MostCounted {
+	for p := range engine.MaxCountedPartners {
 		of = append(of, "partner "+strconv.Itoa(p))
 	}
 	of = append(of, "partner others")
 	for _, name := range of {
-		for _, what := range engine.Counted {
+		for _, what := range engine.CounterNames {
 			k := quota.Of(quota.Count, name+" "+what)
 			if c, ok := n[k]; ok {
 				if v.Counts[name] == nil {
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -109,7 +109,7 @@
 			return err
 		}
 		shape.rules.Try = shape.prepare
-		core.Govern(engine.Stand{}, nil) // until the fleet says more, nothing is taken on and nothing sent
+		core.Govern(engine.Mandate{}, nil) // until the fleet says more, nothing is taken on and nothing sent
 	}
 	core.Restore(time.Now())
 	if cfg.Peers != nil {
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -44,7 +44,7 @@
 		s.log.Error("the policy in force can't be applied", "version", st.Version, "error", err)
 		return
 	}
-	s.core.Govern(engine.Stand{Stand: told, Until: at.At(st.Until)}, done)
+	s.core.Govern(engine.Mandate{Mandate: told, Until: at.At(st.Until)}, done)
 }
 
 // adopt has the plug-ins run with the settings of a policy.
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -356,8 +356,8 @@
 			var want, got *Refusal
 			errors.As(c.err, &want)
 			errors.As(err, &got)
-			if d := cmp.Diff(want, got); d != "" || again != c.again || c.err == nil && !m.RanAt.Equal(c.ranAt) && !again {
-				t.Errorf("again %v, ran at %v, error (-want +got)\n%s", again, m.RanAt, d)
+			if d := cmp.Diff(want, got); d != "" || again != c.again || c.err == nil && !m.MayHaveRunAt.Equal(c.ranAt) && !again {
+				t.Errorf("again %v, ran at %v, error (-want +got)\n%s", again, m.MayHaveRunAt, d)
 			}
 		})
 	}
@@ -377,7 +377,7 @@
 	got := map[int]string{}
 	for _, s := range []int{200, 202, 301, 400, 401, 403, 404, 408, 410, 429, 500, 503, 504} {
 		o := outcome(&httpwire.Response{Status: s, Header: map[string][]string{"Retry-After": {"2"}}})
-		got[s] = fmt.Sprint(o.Result, o.Wait)
+		got[s] = fmt.Sprint(o.Result, o.RetryAfter)
 	}
 	const ok, errored, full, rejected = "0 0s", "1 0s", "2 2s", "8 0s"
 	want := map[int]string{200: ok, 202: ok, 301: rejected, 400: rejected, 401: rejected, 403: rejected, 404: rejected,
@@ -455,9 +455,9 @@
 	}()
 	inbox := "http://" + l.Addr().String() + "/inbox"
 	f.inboxes[inbox] = &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
-	step := engine.NewStep(engine.Destination{Name: inbox}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
-	if o := f.Call(t.Context(), step); o[0].Result != control.Delivered || step.Seen() == nil || step.Seen().Status != 202 {
-		t.Errorf("%+v, seen %+v", o, step.Seen())
+	step := engine.NewAttempt(engine.Destination{Name: inbox}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
+	if o := f.Call(t.Context(), step); o[0].Result != control.Delivered || step.SampledAnswer() == nil || step.SampledAnswer().Status != 202 {
+		t.Errorf("%+v, seen %+v", o, step.SampledAnswer())
 	}
 	q := <-got
 	if q.Header.Get("X-Desk") != "sports" || string(q.Body) != `{"id":"x:1"}` {
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -49,9 +49,9 @@
 
 const contentType = "application/activity+json"
 
-// Taker is the part of the core that takes messages on.
-type Taker interface {
-	Take(front string, m engine.Message) engine.Reply
+// Submitter is the part of the core that takes messages on.
+type Submitter interface {
+	Submit(front string, m engine.Message) engine.Reply
 	Withdraw(engine.Reply)
 	Ready() bool
 }
@@ -60,7 +60,7 @@
 type Front struct {
 	cfg    *config.ActivityPub
 	lim    *config.Limits
-	core   Taker
+	core   Submitter
 	log    *slog.Logger
 	pool   *httpwire.Pool
 	signer Signer
@@ -92,7 +92,7 @@
 }
 
 // New returns the front of core, and its destinations; it still has to be added to it.
-func New(cfg *config.Config, core Taker, log *slog.Logger) (*Front, engine.EndpointList, error) {
+func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	a := cfg.ActivityPub
 	f := &Front{cfg: a, lim: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
 		keys: keyring{}, owners: map[string]*config.Client{}, clients: map[string]*config.Client{},
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	pool := engine.EndpointList{Whole: true}
+	pool := engine.EndpointList{Complete: true}
 	for i, p := range a.Partners {
 		f.partners[p.Name] = p
 		for k, inbox := range p.Inboxes {
@@ -159,11 +159,11 @@
 	return append(gjson.AppendJSONString(b, public), "}}\n"...)
 }
 
-// TellsDeliveries is true: whoever hands in an activity gets one Accept or Reject.
-func (f *Front) TellsDeliveries() bool { return true }
+// NotifiesDeliveries is true: whoever hands in an activity gets one Accept or Reject.
+func (f *Front) NotifiesDeliveries() bool { return true }
 
-// Retire closes idle connections.
-func (f *Front) Retire(to *engine.Destination) {
+// CloseIdle closes idle connections.
+func (f *Front) CloseIdle(to *engine.Destination) {
 	if to == nil {
 		f.pool.Retire(httpwire.Peer{})
 	} else {
@@ -206,13 +206,13 @@
 		return say(200, "delivered before")
 	}
 	m.Partner, m.Tenant = partner.Destination, partner.Tenant
-	switch r := f.core.Take(Name, m); r.Verdict {
-	case engine.Taken:
+	switch r := f.core.Submit(Name, m); r.Verdict {
+	case engine.Accepted:
 		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
 	case engine.Busy:
-		return platform.BusyReply(r.Retry)
+		return platform.BusyReply(r.RetryAfter)
 	case engine.Rejected:
-		a := say(cmp.Or(r.Status, 422), r.Why)
+		a := say(cmp.Or(r.Status, 422), r.Reason)
 		a.Prompt = true
 		return a
 	default:
@@ -270,7 +270,7 @@
 	f.mu.Lock()
 	before, ok := f.ended[id]
 	f.mu.Unlock()
-	if m.Again = ok; !ok || before.ranAt.IsZero() && !before.delivered {
+	if m.Resubmitted = ok; !ok || before.ranAt.IsZero() && !before.delivered {
 		return m, false, nil
 	}
 	if before.delivered {
@@ -280,7 +280,7 @@
 	if c.Effect == control.Unsafe || c.Effect == control.Keyed && now.Sub(before.ranAt) >= c.Memory {
 		return m, false, &Refusal{409, "it may have taken effect, and can't be repeated any more"}
 	}
-	m.RanAt = before.ranAt
+	m.MayHaveRunAt = before.ranAt
 	return m, false, nil
 }
 
@@ -311,7 +311,7 @@
 	}
 	stage := f.pool.Do(ctx, httpwire.Peer{Address: address(u)}, request, mayWrite, func(p *httpwire.Response) {
 		if o = outcome(p); step != nil {
-			step.See(p.Status, p.Header, p.Body)
+			step.ObserveAnswer(p.Status, p.Header, p.Body)
 		}
 	})
 	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Spoilt || o.Result != control.Delivered) {
@@ -327,7 +327,7 @@
 	case s >= 200 && s < 300:
 		return engine.Outcome{Result: control.Delivered}
 	case s == 429 || s == 503:
-		return engine.Outcome{Result: control.Full, Wait: platform.RetryAfter(p.Header.Get("Retry-After"))}
+		return engine.Outcome{Result: control.Full, RetryAfter: platform.RetryAfter(p.Header.Get("Retry-After"))}
 	case s == 408 || s >= 500:
 		return engine.Outcome{Result: control.Errored}
 	}
@@ -370,8 +370,8 @@
 func (f *Front) answer(n *engine.Notice) []byte {
 	kind, how := "Reject", "given_up"
 	c := &f.set[n.Class]
-	once := !n.RanAt.IsZero() && c.Effect == control.Keyed // it may have taken effect: only the window allows more
-	back := n.HandedBack && (!once || f.Now().Before(n.RanAt.Add(c.Memory)))
+	once := !n.MayHaveRunAt.IsZero() && c.Effect == control.Keyed // it may have taken effect: only the window allows more
+	back := n.HandedBack && (!once || f.Now().Before(n.MayHaveRunAt.Add(c.Memory)))
 	if n.Delivered {
 		kind, how = "Accept", "delivered"
 	} else if back {
@@ -384,9 +384,9 @@
 	b = append(gjson.AppendJSONString(append(b, `,"object":`...), n.ID), `,"summary":"`...)
 	b = append(append(b, how...), '"')
 	if back { // when to come again, and, if it may have taken effect, until when
-		b = fmt.Appendf(b, `,"retryAfter":%s`, seconds(n.Retry))
+		b = fmt.Appendf(b, `,"retryAfter":%s`, seconds(n.RetryAfter))
 		if once {
-			b = fmt.Appendf(b, `,"endTime":"%s"`, n.RanAt.Add(c.Memory).UTC().Format(time.RFC3339Nano))
+			b = fmt.Appendf(b, `,"endTime":"%s"`, n.MayHaveRunAt.Add(c.Memory).UTC().Format(time.RFC3339Nano))
 		}
 	}
 	return append(b, '}')
@@ -399,7 +399,7 @@
 	if _, ok := f.ended[n.ID]; !ok {
 		f.line = append(f.line, n.ID)
 	}
-	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.RanAt}
+	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.MayHaveRunAt}
 	for len(f.line) > f.lim.Remembered {
 		delete(f.ended, f.line[0])
 		f.line = f.line[1:]
--- a/internal/relay/capture/batch.go
+++ b/internal/relay/capture/batch.go
@@ -45,7 +45,7 @@
 
 func (b *batch) input(in *Input) {
 	own := *in
-	own.Events, own.Did = into(&b.told, in.Events), nil
+	own.Events, own.Actions = into(&b.told, in.Events), nil
 	for i := range own.Events {
 		if a := own.Events[i].Arrival; a != nil {
 			b.handed = append(b.handed, *a)
--- a/internal/relay/capture/core.go
+++ b/internal/relay/capture/core.go
@@ -39,8 +39,8 @@
 	Fronts   []FrontState    `cbor:"1,keyasint"`
 	Dests    []DestState     `cbor:"2,keyasint,omitempty"`
 	Numbers  []Name          `cbor:"3,keyasint,omitempty"` // also of destinations that stand in the journal only
-	Messages []HeldState     `cbor:"4,keyasint,omitempty"`
-	Steps    []StepState     `cbor:"5,keyasint,omitempty"` // that are out
+	Messages []MessageState  `cbor:"4,keyasint,omitempty"`
+	Steps    []AttemptState  `cbor:"5,keyasint,omitempty"` // that are out
 	Events   []control.Event `cbor:"6,keyasint,omitempty"` // the module learns of them next turn
 	LastNo   uint32          `cbor:"7,keyasint,omitempty"`
 	LastRef  uint64          `cbor:"8,keyasint,omitempty"`
@@ -50,7 +50,7 @@
 	WatchAt  time.Duration   `cbor:"12,keyasint,omitempty"`
 	DrainAt  time.Duration   `cbor:"13,keyasint,omitempty"`
 	HouseAt  time.Duration   `cbor:"14,keyasint,omitempty"`
-	Stand    *Stand          `cbor:"15,keyasint,omitempty"` // nil: the relay belongs to no fleet
+	Stand    *Mandate        `cbor:"15,keyasint,omitempty"` // nil: the relay belongs to no fleet
 	Ended    []EndState      `cbor:"16,keyasint,omitempty"` // the oldest first
 }
 
@@ -91,8 +91,8 @@
 	Weight  float64       `cbor:"9,keyasint,omitempty"`
 }
 
-// HeldState is a message that is not over.
-type HeldState struct {
+// MessageState is a message that is not over.
+type MessageState struct {
 	Ref        uint64        `cbor:"1,keyasint"`
 	Front      int           `cbor:"2,keyasint,omitempty"`
 	ID         string        `cbor:"3,keyasint"`
@@ -120,8 +120,8 @@
 	Allow      int           `cbor:"25,keyasint,omitempty"` // attempts that it may have by that
 }
 
-// StepState is an attempt that is out.
-type StepState struct {
+// AttemptState is an attempt that is out.
+type AttemptState struct {
 	No       uint64   `cbor:"1,keyasint"`
 	To       uint32   `cbor:"2,keyasint,omitempty"`
 	Refs     []uint64 `cbor:"3,keyasint,omitempty"`
@@ -135,8 +135,8 @@
 	From   time.Duration `cbor:"10,keyasint,omitempty"` // it waits until then, behind others to its partner
 }
 
-// Stand is what a fleet lets its relay do.
-type Stand struct {
+// Mandate is what a fleet lets its relay do.
+type Mandate struct {
 	Version  uint64        `cbor:"1,keyasint,omitempty"`  // of the policy in force; 0: the relay's own file
 	Until    time.Duration `cbor:"2,keyasint,omitempty"`  // it may act before that only; 0: not at all
 	Halted   uint64        `cbor:"3,keyasint,omitempty"`  // it acts on nothing: that version is about to be in force
@@ -156,10 +156,10 @@
 }
 
 // Shuts tells whether a partner is shut by hand. No stand shuts none.
-func (s *Stand) Shuts(partner int) bool { return s != nil && slices.Contains(s.Shut, partner) }
+func (s *Mandate) Shuts(partner int) bool { return s != nil && slices.Contains(s.Shut, partner) }
 
 // MostTo is the limit of a partner by hand; 0: none.
-func (s *Stand) MostTo(partner int) float64 {
+func (s *Mandate) MostTo(partner int) float64 {
 	if s == nil {
 		return 0
 	}
@@ -170,7 +170,7 @@
 }
 
 // String tells two stands apart where states are compared by what they print.
-func (s *Stand) String() string {
+func (s *Mandate) String() string {
 	if s == nil {
 		return "none"
 	}
@@ -179,18 +179,18 @@
 
 // Input is one turn of the core: what its queue brought, how the journal fared, and what it did.
 type Input struct {
-	No     uint64        `cbor:"1,keyasint,omitempty"` // of the module's turn in it; 0: it had none
-	Now    time.Duration `cbor:"2,keyasint"`
-	Events []CoreEvent   `cbor:"3,keyasint,omitempty"`
-	Full   []int         `cbor:"4,keyasint,omitempty"` // which of the messages to be taken on the journal had no room for
-	Failed bool          `cbor:"5,keyasint,omitempty"` // the journal could not be written
-	Sum    uint64        `cbor:"6,keyasint,omitempty"` // of what it did, see Add; 0: nothing
-	Did    []Deed        `cbor:"-"`                    // the same in full, in a replay
+	No      uint64        `cbor:"1,keyasint,omitempty"` // of the module's turn in it; 0: it had none
+	Now     time.Duration `cbor:"2,keyasint"`
+	Events  []CoreEvent   `cbor:"3,keyasint,omitempty"`
+	Full    []int         `cbor:"4,keyasint,omitempty"` // which of the messages to be taken on the journal had no room for
+	Failed  bool          `cbor:"5,keyasint,omitempty"` // the journal could not be written
+	Sum     uint64        `cbor:"6,keyasint,omitempty"` // of what it did, see Add; 0: nothing
+	Actions []Action      `cbor:"-"`                    // the same in full, in a replay
 }
 
 // Add takes a deed into the sum. The deeds themselves follow from the rest, and would take as much time to write as all
 // of it.
-func (in *Input) Add(d *Deed) {
+func (in *Input) Add(d *Action) {
 	h := in.Sum ^ uint64(d.Kind)
 	for _, v := range [...]uint64{d.No, uint64(d.To), uint64(d.For), uint64(d.Before), uint64(d.After), uint64(d.Verdict)} {
 		h = (bits.RotateLeft64(h, 23) ^ v) * 0x9e3779b97f4a7c15
@@ -206,31 +206,31 @@
 
 // The core's events.
 const (
-	Handed     CoreKind = iota + 1 // Front, Arrival
-	Withdrawn                      // Ref
-	Moved                          // Front
-	Drained                        // -
-	StepEnded                      // Step, Items, Outcomes
-	PoolTold                       // Front, Pool
-	WatchEnded                     // Front, Step: the number of the watch, Text
-	Notified                       // Front, Taken
-	Governed                       // Stand
-	Lent                           // Shared
+	Submitted    CoreKind = iota + 1 // Front, Arrival
+	Withdrawn                        // Ref
+	Moved                            // Front
+	Drained                          // -
+	AttemptEnded                     // Step, Items, Outcomes
+	ListReported                     // Front, List
+	WatchEnded                       // Front, Step: the number of the watch, Text
+	Notified                         // Front, Taken
+	Governed                         // Mandate
+	QuotaGranted                     // Shared
 )
 
 // CoreEvent is one thing that came by the core's queue.
 type CoreEvent struct {
-	Kind     CoreKind  `cbor:"1,keyasint"`
-	Front    int       `cbor:"2,keyasint,omitempty"` // below 0: there is no such front
-	Ref      uint64    `cbor:"3,keyasint,omitempty"`
-	Step     uint64    `cbor:"4,keyasint,omitempty"`
-	Arrival  *Arrival  `cbor:"5,keyasint,omitempty"`
-	Outcomes []Outcome `cbor:"6,keyasint,omitempty"` // nil: as the module is told in the same turn
-	Pool     *Pool     `cbor:"7,keyasint,omitempty"`
-	Taken    []bool    `cbor:"8,keyasint,omitempty"`
-	Text     string    `cbor:"9,keyasint,omitempty"`
-	Items    int       `cbor:"10,keyasint,omitempty"`
-	Stand    *Stand    `cbor:"11,keyasint,omitempty"`
+	Kind     CoreKind      `cbor:"1,keyasint"`
+	Front    int           `cbor:"2,keyasint,omitempty"` // below 0: there is no such front
+	Ref      uint64        `cbor:"3,keyasint,omitempty"`
+	Step     uint64        `cbor:"4,keyasint,omitempty"`
+	Arrival  *Arrival      `cbor:"5,keyasint,omitempty"`
+	Outcomes []Outcome     `cbor:"6,keyasint,omitempty"` // nil: as the module is told in the same turn
+	List     *EndpointList `cbor:"7,keyasint,omitempty"`
+	Taken    []bool        `cbor:"8,keyasint,omitempty"`
+	Text     string        `cbor:"9,keyasint,omitempty"`
+	Items    int           `cbor:"10,keyasint,omitempty"`
+	Stand    *Mandate      `cbor:"11,keyasint,omitempty"`
 
 	Shared *control.Shared `cbor:"12,keyasint,omitempty"`
 }
@@ -257,39 +257,39 @@
 
 // Outcome is how an attempt ended for one of its messages.
 type Outcome struct {
-	Result   control.Result `cbor:"1,keyasint,omitempty"`
-	Wait     time.Duration  `cbor:"2,keyasint,omitempty"`
-	Over     bool           `cbor:"3,keyasint,omitempty"`
-	Reported bool           `cbor:"4,keyasint,omitempty"`
-	Share    float64        `cbor:"5,keyasint,omitempty"`
-	Limit    float64        `cbor:"6,keyasint,omitempty"`
+	Result     control.Result `cbor:"1,keyasint,omitempty"`
+	RetryAfter time.Duration  `cbor:"2,keyasint,omitempty"`
+	Final      bool           `cbor:"3,keyasint,omitempty"`
+	Reported   bool           `cbor:"4,keyasint,omitempty"`
+	Share      float64        `cbor:"5,keyasint,omitempty"`
+	Limit      float64        `cbor:"6,keyasint,omitempty"`
 }
 
-// Pool is an endpoint list, or what has changed in it.
-type Pool struct {
+// List is an endpoint list, or what has changed in it.
+type EndpointList struct {
 	Index int64       `cbor:"1,keyasint,omitempty"`
 	Whole bool        `cbor:"2,keyasint,omitempty"`
 	Dests []DestState `cbor:"3,keyasint,omitempty"` // without numbers
 }
 
-// DeedKind tells what a Deed is.
-type DeedKind uint8
+// ActionKind tells what an Action is.
+type ActionKind uint8
 
 // What the core does.
 const (
-	Replied  DeedKind = iota + 1 // No: of the message handed in, Verdict, For: when to come again
-	Began                        // No: of the attempt, To, Refs, For: its time-out, Before
-	Called                       // No: of the attempt that is called off
-	Back                         // No: of the attempt that is called back if nothing of it was written
-	Told                         // No: of the front, Refs of the notices in the call
-	Watched                      // No: of the front, To: number of the watch, After
-	Retired                      // To: the destination whose idle connections are closed
-	Finished                     // No: of the message that is over and owes nothing more
+	Replied  ActionKind = iota + 1 // No: of the message handed in, Verdict, For: when to come again
+	Began                          // No: of the attempt, To, Refs, For: its time-out, Before
+	Called                         // No: of the attempt that is called off
+	Back                           // No: of the attempt that is called back if nothing of it was written
+	Told                           // No: of the front, Refs of the notices in the call
+	Watched                        // No: of the front, To: number of the watch, After
+	Retired                        // To: the destination whose idle connections are closed
+	Finished                       // No: of the message that is over and owes nothing more
 )
 
-// Deed is one thing that the core did.
-type Deed struct {
-	Kind    DeedKind
+// Action is one thing that the core did.
+type Action struct {
+	Kind    ActionKind
 	No      uint64
 	To      uint32
 	Refs    []uint64
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -188,7 +188,7 @@
 // usual tells whether appendInput knows all of an input.
 func (in *Input) usual() bool {
 	for i := range in.Events {
-		if e := &in.Events[i]; e.Pool != nil || e.Stand != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Taken) > 0 {
+		if e := &in.Events[i]; e.List != nil || e.Stand != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Taken) > 0 {
 			return false
 		}
 	}
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -93,7 +93,7 @@
 // CoreEvent is an event of the core in words.
 func (res *Result) CoreEvent(e *CoreEvent) string {
 	switch e.Kind {
-	case Handed:
+	case Submitted:
 		s := fmt.Sprintf("%s is handed in to front %d for partner %d, class %d", e.Arrival.ID, e.Front, e.Arrival.Partner, e.Arrival.Class)
 		if e.Arrival.Verdict != 0 {
 			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", e.Arrival.Verdict, e.Arrival.Status, e.Arrival.Why)
@@ -105,7 +105,7 @@
 		return fmt.Sprintf("the discovery of front %d has moved", e.Front)
 	case Drained:
 		return "the relay is told to drain"
-	case StepEnded:
+	case AttemptEnded:
 		if e.Outcomes == nil {
 			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", e.Step, e.Items)
 		}
@@ -118,8 +118,8 @@
 			ends = append(ends, what)
 		}
 		return fmt.Sprintf("route step %d ends: %s", e.Step, strings.Join(ends, ", "))
-	case PoolTold:
-		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", e.Pool.Index, e.Front, len(e.Pool.Dests), e.Pool.Whole)
+	case ListReported:
+		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", e.List.Index, e.Front, len(e.List.Dests), e.List.Whole)
 	case WatchEnded:
 		return fmt.Sprintf("watch %d of front %d is lost: %s", e.Step, e.Front, e.Text)
 	case Notified:
@@ -136,8 +136,8 @@
 
 var verdicts = [...]string{"taken on", "busy", "given up", "rejected"}
 
-// Deed is what the core did in words.
-func (res *Result) Deed(d Deed) string {
+// Action is what the core did in words.
+func (res *Result) CoreAction(d Action) string {
 	switch d.Kind {
 	case Replied:
 		what := "?"
--- a/internal/relay/engine/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -51,7 +51,7 @@
 					at: now, reply: make(chan Reply, 1)}
 				c.Turn(now, []event{a})
 				now = now.Add(5 * time.Millisecond)
-				if r := <-a.reply; r.Verdict != Taken {
+				if r := <-a.reply; r.Verdict != Accepted {
 					b.Fatal(r)
 				}
 				for len(c.out) > 0 {
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -18,7 +18,7 @@
 // to a message before that.
 const clockStart = 24 * time.Hour
 
-// Core owns the module. All but Take, Withdraw, Drain and Ready belong to the goroutine that runs Run (or
+// Core owns the module. All but Submit, Withdraw, Drain and Ready belong to the goroutine that runs Run (or
 // calls Turn: tests and replays). It reads no clock in a turn, and walks no map in an order that counts.
 type Core struct {
 	set   *wire.Settings
@@ -66,9 +66,9 @@
 	over    bool // drained is closed
 	stopped bool // this turn is the last
 
-	counts   counts         // nil: nobody asks
-	gov      *capture.Stand // what the fleet lets this relay do; nil: it belongs to none
-	stalled  []*Attempt     // that wait until it may act
+	counts   counts           // nil: nobody asks
+	gov      *capture.Mandate // what the fleet lets this relay do; nil: it belongs to none
+	stalled  []*Attempt       // that wait until it may act
 	standing atomic.Pointer[standing]
 }
 
@@ -104,9 +104,9 @@
 // event is what socket code hands to the core.
 type event interface{ apply(c *Core, now time.Time) }
 
-// Told is what the module is told of a configuration's settings. It counts a window from one decision to the next; a
+// ModuleSettings is what the module is told of a configuration's settings. It counts a window from one decision to the next; a
 // partner counts it between arrivals, and a repeat on a new connection arrives later than it was decided.
-func Told(cfg *config.Config) control.Settings {
+func ModuleSettings(cfg *config.Config) control.Settings {
 	set := cfg.Settings.Settings
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
@@ -117,7 +117,7 @@
 
 // New returns a core with the journal's messages taken up again. Fronts must be added before Run.
 func New(cfg *config.Config, jour Journal, log *slog.Logger, now time.Time) (*Core, error) {
-	set := Told(cfg)
+	set := ModuleSettings(cfg)
 	mod, err := control.New(set, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	for _, k := range set.Classes {
 		forget = max(forget, k.Deadline+time.Second)
 	}
-	return &Core{told: Told(cfg), seed: cfg.Seed, set: &cfg.Settings, forget: forget, lim: &cfg.Limits, log: log, mod: mod, jour: jour,
+	return &Core{told: ModuleSettings(cfg), seed: cfg.Seed, set: &cfg.Settings, forget: forget, lim: &cfg.Limits, log: log, mod: mod, jour: jour,
 		queue: make(chan event, cfg.Limits.Queue), shell: live{context.Background()}, base: now, houseAt: now,
 		fronts: map[string]*frontState{}, msgs: map[uint64]*message{}, byID: map[string]*message{},
 		drained: make(chan struct{}), dests: map[uint32]*Destination{}, names: map[string]uint32{}, out: map[uint64]*Attempt{}}, nil
@@ -137,7 +137,7 @@
 	st := &frontState{name: name, no: len(c.order), Front: f, list: map[string]uint32{}}
 	c.fronts[name] = st
 	c.order = append(c.order, st)
-	known.Whole = true
+	known.Complete = true
 	listChanged{st, 0, known}.apply(c, c.base)
 }
 
@@ -156,17 +156,17 @@
 			continue
 		}
 		m := c.add(f, e)
-		if e.Owed {
+		if e.NoticePending {
 			c.owe(m, e.Notice)
 			continue
 		}
-		if e.Out { // it was out when the process ended: it may have run
-			c.jour.Outcome(e, false)
+		if e.InFlight { // it was out when the process ended: it may have run
+			c.jour.EndAttempt(e, false)
 		}
 		if e.Class < 0 || e.Class >= len(c.set.Classes) { // of other settings: nothing says how it may be sent
 			c.log.Warn("a message of a class that the settings no longer have is given up", "id", e.ID, "class", e.Class)
 			c.owe(m, journal.Notice{})
-			c.jour.Owe(e, e.Notice)
+			c.jour.EndWithNotice(e, e.Notice)
 			continue
 		}
 		c.narrow(e, now)
@@ -186,8 +186,8 @@
 	if most := now.Add(k.Deadline); e.Deadline.After(most) {
 		e.Deadline = most
 	}
-	if e.Ran && e.RanAt.After(now) {
-		e.RanAt = now.Add(-k.Memory)
+	if e.MayHaveRun && e.MayHaveRunAt.After(now) {
+		e.MayHaveRunAt = now.Add(-k.Memory)
 	}
 }
 
@@ -199,9 +199,9 @@
 
 func (c *Core) arrival(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.no<<20 + m.e.Destination,
-		Class: m.e.Class, Tenant: m.e.Tenant, Deadline: c.clock(m.e.Deadline), Again: m.e.Again, Attempt: m.e.Attempts, Ran: m.e.Ran}
+		Class: m.e.Class, Tenant: m.e.Tenant, Deadline: c.clock(m.e.Deadline), Again: m.e.Resubmitted, Attempt: m.e.Attempts, Ran: m.e.MayHaveRun}
 	if ev.Ran {
-		ev.RanAt, ev.Endpoint = c.clock(m.e.RanAt), c.number(m.front, m.e.RanIn)
+		ev.RanAt, ev.Endpoint = c.clock(m.e.MayHaveRunAt), c.number(m.front, m.e.MayHaveRunOn)
 	}
 	return ev
 }
@@ -265,10 +265,10 @@
 	}
 }
 
-// Take hands in a message and waits for the answer, which comes within the turn.
-func (c *Core) Take(front string, m Message) Reply {
+// Submit hands in a message and waits for the answer, which comes within the turn.
+func (c *Core) Submit(front string, m Message) Reply {
 	if !c.ready.Load() || !c.admitted() {
-		return Reply{Verdict: Busy, Retry: c.lim.BusyRetry}
+		return Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
 	}
 	a := arrival{front: front, at: time.Now(), reply: make(chan Reply, 1)}
 	for {
@@ -277,12 +277,12 @@
 			if s := c.standing.Load(); s != nil {
 				a.under = s.version + 1
 			}
-			a.ruling = c.spect.Arrive(front, &a.msg)
+			a.ruling = c.spect.OnArrival(front, &a.msg)
 		}
 		select {
 		case c.queue <- a:
 		default: // the queue is full: the relay can't keep up
-			return Reply{Verdict: Busy, Retry: c.lim.BusyRetry}
+			return Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
 		}
 		// It may have passed the check above right before a change stopped the relay: it waits for that like those after it.
 		if r := <-a.reply; !r.halted || time.Since(a.at) > haltWait || !c.admitted() {
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -49,13 +49,13 @@
 	f.notices <- n
 	return slices.Repeat([]bool{<-f.taken}, len(n))
 }
-func (f *fakeFront) Retire(*Destination) {}
+func (f *fakeFront) CloseIdle(*Destination) {}
 func (f *fakeFront) Watch(ctx context.Context, after int64, _ func(EndpointList)) error {
 	f.watches <- after
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (f *fakeFront) TellsDeliveries() bool { return f.tells }
+func (f *fakeFront) NotifiesDeliveries() bool { return f.tells }
 
 // rig is a core whose turns and clock the test drives.
 type rig struct {
@@ -119,21 +119,21 @@
 		late  time.Duration // how long the arrival stood in the queue
 		want  Verdict
 	}{
-		{"taken", 1, time.Second, 0, Taken},
+		{"taken", 1, time.Second, 0, Accepted},
 		{"hopeless from the start: the module refuses it in the same turn", 1, 10 * time.Millisecond, 0, Busy},
 		// Its client is about to close the connection and hand it in elsewhere: two copies would run.
 		{"stood in the queue for too long", 1, time.Second, 350 * time.Millisecond, Busy},
-		{"no such class", 9, time.Second, 0, Taken}, // the front has checked it: the module just ignores it
+		{"no such class", 9, time.Second, 0, Accepted}, // the front has checked it: the module just ignores it
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, t.TempDir(), time.Now())
 			a, reply := r.hand("m", c.class, 7, c.left)
 			r.after(c.late, a)
 			got := <-reply
-			if got.Verdict != c.want || got.Verdict == Busy && got.Retry <= 0 {
+			if got.Verdict != c.want || got.Verdict == Busy && got.RetryAfter <= 0 {
 				t.Errorf("got %+v, want verdict %d, and with a refusal when to come again", got, c.want)
 			}
-			if held := len(r.c.msgs) == 1; held != (c.want == Taken) {
+			if held := len(r.c.msgs) == 1; held != (c.want == Accepted) {
 				t.Errorf("held: %v", held)
 			}
 		})
@@ -148,7 +148,7 @@
 	}
 	a, reply := r.hand("0", 1, 7, time.Second)
 	r.c.msgs = map[uint64]*message{}
-	if r.after(0, a); (<-reply).Verdict != Taken || len(r.c.msgs) != 0 {
+	if r.after(0, a); (<-reply).Verdict != Accepted || len(r.c.msgs) != 0 {
 		t.Error("a message that is held already is taken on again")
 	}
 }
@@ -159,7 +159,7 @@
 	r := newRig(t, t.TempDir(), time.Now())
 	a, reply := r.hand("m", 0, 7, time.Second)
 	r.after(0, a)
-	if got := <-reply; got.Verdict != Taken {
+	if got := <-reply; got.Verdict != Accepted {
 		t.Fatalf("got %+v", got)
 	}
 	step := <-r.front.steps
@@ -181,13 +181,13 @@
 		}
 		return e[0]
 	}
-	if e := killed(); e.Attempts != 0 || e.Out || e.Ran {
+	if e := killed(); e.Attempts != 0 || e.InFlight || e.MayHaveRun {
 		t.Errorf("killed while the connection comes up, the journal holds %+v", e)
 	}
 	if !step.MayWrite() {
 		t.Fatal("the call may not be written")
 	}
-	if e := killed(); e.Attempts != 1 || !e.Out || e.LastIn != "s-1" {
+	if e := killed(); e.Attempts != 1 || !e.InFlight || e.LastAttemptOn != "s-1" {
 		t.Errorf("killed after the first byte, the journal holds %+v", e)
 	}
 }
@@ -219,15 +219,15 @@
 				t.Fatal(err)
 			}
 			e := &journal.Entry{ID: "m", Front: "platform", Destination: 7, Class: c.class, Deadline: now.Add(16 * time.Second)}
-			_ = jour.Take(e)
+			_ = jour.Accept(e)
 			_ = jour.Flush()
 			for range c.attempts {
-				jour.Start(e, now, "s-1")
+				jour.Schedule(e, now, "s-1")
 				if !jour.Begin([]*journal.Entry{e}) {
 					t.Fatal("an attempt may not begin")
 				}
 				if !c.ran {
-					jour.Outcome(e, true)
+					jour.EndAttempt(e, true)
 				}
 			}
 			_ = jour.Flush()
@@ -237,12 +237,12 @@
 				if step.Items[0].attempt != c.attempts {
 					t.Errorf("sent as attempt %d, want %d", step.Items[0].attempt, c.attempts)
 				}
-				if end := time.UnixMicro(now.UnixMicro()).Add(3875 * time.Millisecond); !step.Before.IsZero() != (c.ran && c.class == 0) ||
-					!step.Before.IsZero() && !step.Before.Equal(end) {
-					t.Errorf("to be written before %v, want the end of the window, %v", step.Before, end)
+				if end := time.UnixMicro(now.UnixMicro()).Add(3875 * time.Millisecond); !step.WriteBefore.IsZero() != (c.ran && c.class == 0) ||
+					!step.WriteBefore.IsZero() && !step.WriteBefore.Equal(end) {
+					t.Errorf("to be written before %v, want the end of the window, %v", step.WriteBefore, end)
 				}
 			} else {
-				same := cmpopts.IgnoreFields(Notice{}, "Retry", "Class", "Deadline", "RanAt", "ref")
+				same := cmpopts.IgnoreFields(Notice{}, "RetryAfter", "Class", "Deadline", "MayHaveRunAt", "ref")
 				if d := cmp.Diff(c.notice, <-r.front.notices, same, cmpopts.EquateEmpty()); d != "" {
 					t.Errorf("notices (-want +got)\n%s", d)
 				}
@@ -301,8 +301,8 @@
 		t.Error("a message joins a call that in Base64 would outgrow a body")
 	}
 	r.front.taken <- true
-	r.answered(Outcome{Result: control.Delivered}, Outcome{Result: control.Moot, Over: true},
-		Outcome{Result: control.Full, Wait: 10 * time.Second})
+	r.answered(Outcome{Result: control.Delivered}, Outcome{Result: control.Moot, Final: true},
+		Outcome{Result: control.Full, RetryAfter: 10 * time.Second})
 	if got := <-r.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
 		t.Errorf("notices %+v, want one of the delivery", got)
 	}
@@ -354,7 +354,7 @@
 func TestPoolConfig(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
 	r.c.AddFront("other", r.front, EndpointList{Destinations: []Destination{{Name: "s-1", Partner: 7}}})
-	r.after(0, listChanged{r.c.order[1], r.c.order[1].toldBy, EndpointList{Whole: true}})
+	r.after(0, listChanged{r.c.order[1], r.c.order[1].toldBy, EndpointList{Complete: true}})
 	a, _ := r.hand("m", 1, 8, time.Second)
 	if r.after(0, a); (<-r.front.steps).To.Name != "s-2" {
 		t.Error("the first front's destination is gone")
@@ -367,7 +367,7 @@
 	first, _ := r.hand("m", 1, 8, 20*time.Second)
 	r.after(0, first)
 	r.c.Drain()
-	if got := r.c.Take("platform", Message{}); got.Verdict != Busy {
+	if got := r.c.Submit("platform", Message{}); got.Verdict != Busy {
 		t.Errorf("got %+v", got)
 	}
 	second, reply := r.hand("n", 1, 8, time.Second)
@@ -384,7 +384,7 @@
 	}
 	r.front.answers <- []Outcome{{Result: control.Delivered}}
 	<-r.c.Drained()
-	for range 2 { // whoever passed Take's check before Drain is answered until Stop, and in the very last turn
+	for range 2 { // whoever passed Submit's check before Drain is answered until Stop, and in the very last turn
 		late, reply := r.hand("o", 1, 8, time.Second)
 		if r.c.queue <- late; (<-reply).Verdict != Busy {
 			t.Error("a message that came after the relay had drained is not refused")
@@ -436,7 +436,7 @@
 	r.after(0, a)
 	b, second := r.hand("m", 1, 8, 2*time.Second)
 	r.after(0, b)
-	if got := <-second; got.Verdict != Taken {
+	if got := <-second; got.Verdict != Accepted {
 		t.Fatalf("got %+v", got)
 	} else if r.c.Withdraw(got); len(r.c.queue) != 0 {
 		t.Error("the second client withdraws the first one's message")
@@ -460,7 +460,7 @@
 func TestRecall(t *testing.T) {
 	for name, happens := range map[string]func(r *rig, out, on *Attempt){
 		"a wait is told": func(r *rig, out, on *Attempt) {
-			r.after(0, stepEnded{out, []Outcome{{Result: control.Full, Wait: time.Second}}})
+			r.after(0, stepEnded{out, []Outcome{{Result: control.Full, RetryAfter: time.Second}}})
 		},
 		"it drains": func(r *rig, _, on *Attempt) {
 			r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Destinations: []Destination{
@@ -483,7 +483,7 @@
 			}
 		})
 	}
-	if late := (&Attempt{Before: time.Now()}); late.MayWrite() {
+	if late := (&Attempt{WriteBefore: time.Now()}); late.MayWrite() {
 		t.Error("a call may be written after its window")
 	}
 }
@@ -505,7 +505,7 @@
 	if r.c.names["platform s-1"] != 1 || r.c.number(r.c.order[0], "new") <= 50 {
 		t.Error("the one still listed is gone, or a number is used again")
 	}
-	r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Whole: true, Index: 999}})
+	r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Complete: true, Index: 999}})
 	r.c.forgetGone(r.now.Add(time.Minute))
 	if len(r.c.dests) != 0 || r.c.serves(r.c.order[0], 7) {
 		t.Errorf("%d destinations stay though the whole list is empty", len(r.c.dests))
--- a/internal/relay/engine/count.go
+++ b/internal/relay/engine/count.go
@@ -6,8 +6,8 @@
 // what was taken on before a restart was counted then, its end is counted where it comes about.
 type counts map[string]uint64
 
-// MostCounted bounds the partners that are counted apart, by number; those beyond count together.
-const MostCounted = 10
+// MaxCountedPartners bounds the partners that are counted apart, by number; those beyond count together.
+const MaxCountedPartners = 10
 
 // The things that are counted. An end is what tell names it.
 const (
@@ -16,8 +16,8 @@
 	countRepeats = "repeats"
 )
 
-// Counted are all of them.
-var Counted = []string{countTaken, countRefused, countRepeats, "delivered", "handed_back", "given_up", "withdrawn"}
+// CounterNames are all of them.
+var CounterNames = []string{countTaken, countRefused, countRepeats, "delivered", "handed_back", "given_up", "withdrawn"}
 
 func (c *Core) count(class, tenant, partner int, what string) {
 	if c.counts == nil {
@@ -30,7 +30,7 @@
 		c.counts["tenant "+c.set.TenantNames[tenant]+" "+what]++
 	}
 	name := "others"
-	if partner >= 0 && partner < MostCounted {
+	if partner >= 0 && partner < MaxCountedPartners {
 		name = strconv.Itoa(partner)
 	}
 	c.counts["partner "+name+" "+what]++
--- a/internal/relay/engine/endings.go
+++ b/internal/relay/engine/endings.go
@@ -23,7 +23,7 @@
 // remember notes how one that comes again under the id of a message that is over is to be answered. A front that tells its clients
 // of deliveries too has a memory of its own: there an id stands for what is to be done, and comes again after a refusal.
 func (c *Core) remember(m *message, v Verdict, now time.Time) {
-	if c.lim.EndedKept > 0 && !m.front.Front.TellsDeliveries() {
+	if c.lim.EndedKept > 0 && !m.front.Front.NotifiesDeliveries() {
 		c.ended.add(m.front.name+" "+m.e.ID, v, now)
 	}
 	for n := len(c.ended.line); n > 0 && (n > c.lim.EndedMost || now.Sub(c.ended.line[0].at) > c.lim.EndedKept); n-- {
@@ -45,10 +45,10 @@
 // before tells the answer to a message that is handed in under an id that is held, or was until a moment ago.
 func (c *Core) before(front, id string) (Verdict, bool) {
 	key := front + " " + id
-	if m := c.byID[key]; m != nil && m.e.Owed && !m.front.Front.TellsDeliveries() {
+	if m := c.byID[key]; m != nil && m.e.NoticePending && !m.front.Front.NotifiesDeliveries() {
 		return as(m.e.Notice), true
 	} else if m != nil {
-		return Taken, true
+		return Accepted, true
 	}
 	v, ok := c.ended.by[key]
 	return v, ok
@@ -67,7 +67,7 @@
 // ran begins anew, and is not remembered; what may have run and must not run twice has failed.
 func (c *Core) afterWithdrawal(e *journal.Entry) (v Verdict, remembered bool) {
 	switch {
-	case !e.Ran && !e.Out:
+	case !e.MayHaveRun && !e.InFlight:
 		return 0, false
 	case c.set.Classes[e.Class].Effect == control.Safe:
 		return Busy, true
--- a/internal/relay/engine/events.go
+++ b/internal/relay/engine/events.go
@@ -30,10 +30,10 @@
 	f, m := c.fronts[a.front], &a.msg
 	// Past AnswerWithin the client is about to leave, and would hand it in again beside this one.
 	c.handed++
-	busy := Reply{Verdict: Busy, Retry: c.lim.BusyRetry, halted: c.gov != nil && c.gov.Halted != 0 || a.stale(c)}
+	busy := Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry, halted: c.gov != nil && c.gov.Halted != 0 || a.stale(c)}
 	// It is held already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
 	if v, again := c.before(a.front, m.ID); again {
-		c.tellClient(a.reply, c.handed, Reply{Verdict: v, Retry: c.lim.BusyRetry})
+		c.tellClient(a.reply, c.handed, Reply{Verdict: v, RetryAfter: c.lim.BusyRetry})
 		return
 	}
 	if f == nil || !c.drainAt.IsZero() || now.Sub(a.at) > c.lim.AnswerWithin || !c.mayAct(now) || c.gov != nil && c.gov.Closed || a.stale(c) {
@@ -41,8 +41,8 @@
 		c.tellClient(a.reply, c.handed, busy)
 		return
 	}
-	if a.ruling.Verdict != Taken {
-		c.tellClient(a.reply, c.handed, Reply{Verdict: a.ruling.Verdict, Retry: c.lim.BusyRetry, Status: a.ruling.Status, Why: a.ruling.Why})
+	if a.ruling.Verdict != Accepted {
+		c.tellClient(a.reply, c.handed, Reply{Verdict: a.ruling.Verdict, RetryAfter: c.lim.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
 		return
 	}
 	if c.set.MaxOpen > 0 && len(c.msgs)-c.owed >= c.set.MaxOpen || !c.serves(f, m.Partner) || c.shut(m.Partner) {
@@ -51,7 +51,7 @@
 		return
 	}
 	msg := c.add(f, &journal.Entry{ID: m.ID, Key: m.Key, Front: a.front, Destination: m.Partner, Class: m.Class,
-		Tenant: m.Tenant, Deadline: m.Deadline, Again: m.Again, Body: bytes.Clone(m.Body), Headers: m.Out, Ran: !m.RanAt.IsZero(), RanAt: m.RanAt})
+		Tenant: m.Tenant, Deadline: m.Deadline, Resubmitted: m.Resubmitted, Body: bytes.Clone(m.Body), Headers: m.ExtraHeaders, MayHaveRun: !m.MayHaveRunAt.IsZero(), MayHaveRunAt: m.MayHaveRunAt})
 	c.mark(msg.e)
 	msg.reply, msg.hand = a.reply, c.handed
 	c.arrived = append(c.arrived, msg)
@@ -62,7 +62,7 @@
 
 func (w withdrawn) apply(c *Core, now time.Time) {
 	m := c.msgs[w.ref]
-	if m == nil || m.e.Owed {
+	if m == nil || m.e.NoticePending {
 		return
 	}
 	if v, ok := c.afterWithdrawal(m.e); ok {
@@ -79,13 +79,13 @@
 		if s.recall(); c.set.Cancel {
 			s.cancel()
 		}
-		c.did(capture.Deed{Kind: capture.Called, No: s.no})
+		c.did(capture.Action{Kind: capture.Called, No: s.no})
 	}
 	c.finish(m, "withdrawn")
 }
 
-// Moved tells that a front's discovery stands somewhere else now: its watch and its notices go there at once.
-func (c *Core) Moved(front string) { c.queue <- moved{front} }
+// DiscoveryMoved tells that a front's discovery stands somewhere else now: its watch and its notices go there at once.
+func (c *Core) DiscoveryMoved(front string) { c.queue <- moved{front} }
 
 type moved struct{ front string }
 
@@ -133,26 +133,26 @@
 		o := s.outcomes[i]
 		m := c.msgs[it.ref]
 		c.log.Debug("route step ended", "id", it.ID, "attempt", it.attempt, "destination", s.step.To.Name,
-			"result", o.Result, "wait", o.Wait, "over", o.Over,
+			"result", o.Result, "wait", o.RetryAfter, "over", o.Final,
 			"share", o.Share, "limit", o.Limit)
 		if m != nil && m.step == s.step {
 			m.step = nil
 		}
 		c.in = append(c.in, control.Event{Kind: control.Resolved, ID: it.ref, Attempt: it.attempt,
-			Endpoint: s.step.To.no, Result: o.Result, Settled: o.Over, Wait: o.Wait,
+			Endpoint: s.step.To.no, Result: o.Result, Settled: o.Final, Wait: o.RetryAfter,
 			Reported: o.Reported, Share: o.Share, Limit: o.Limit})
 		switch {
-		case m == nil || m.e.Owed: // ended before
-		case o.Result == control.Delivered && m.front.Front.TellsDeliveries():
+		case m == nil || m.e.NoticePending: // ended before
+		case o.Result == control.Delivered && m.front.Front.NotifiesDeliveries():
 			c.owe(m, journal.Notice{Delivered: true})
-			c.jour.Owe(m.e, m.e.Notice)
+			c.jour.EndWithNotice(m.e, m.e.Notice)
 			c.tell(m, "delivered")
-		case o.Result == control.Delivered || o.Over:
+		case o.Result == control.Delivered || o.Final:
 			c.jour.End(m.e)
-			c.remember(m, Taken, now)
+			c.remember(m, Accepted, now)
 			c.finish(m, "delivered")
 		default:
-			c.jour.Outcome(m.e, o.Result.NeverRan())
+			c.jour.EndAttempt(m.e, o.Result.NeverRan())
 		}
 	}
 }
@@ -167,12 +167,12 @@
 func (p listChanged) apply(c *Core, now time.Time) {
 	// What a watch tells after one that was begun later has spoken is older, also where it is a whole list; until then it counts:
 	// the relay has been told. A change of an older version adds nothing to what is known.
-	if p.no < p.front.toldBy || !p.Whole && p.Index < p.front.index {
+	if p.no < p.front.toldBy || !p.Complete && p.Index < p.front.index {
 		return
 	}
 	p.front.index, p.front.toldBy = p.Index, p.no
-	ev := control.Event{Kind: control.Listed, Whole: p.Whole}
-	if p.Whole {
+	ev := control.Event{Kind: control.Listed, Whole: p.Complete}
+	if p.Complete {
 		for _, n := range p.front.list { // unless it is named again below
 			if d := c.dests[n]; d.goneAt.IsZero() {
 				d.goneAt = now
@@ -224,7 +224,7 @@
 	c.log.Info("the endpoint list's watch is lost", "error", w.err)
 	told := w.front.toldBy == w.no // it had come up: discovery may be there
 	switch {
-	case told && errors.Is(w.err, ErrSilent):
+	case told && errors.Is(w.err, ErrWatchTimeout):
 		// Discovery is there and all watches have fallen silent together: what they miss counts as told soon, so each opens its
 		// own anew by itself, in a moment of its own.
 		c.watchAt = now.Add(c.lim.WatchSpread * time.Duration(c.set.Me) / time.Duration(max(c.set.Peers, 1)))
--- a/internal/relay/engine/govern.go
+++ b/internal/relay/engine/govern.go
@@ -13,13 +13,13 @@
 // starts, which takes some milliseconds where all relays are there.
 const haltWait = 100 * time.Millisecond
 
-// Stand is what the fleet lets this relay do; see capture.Stand.
-type Stand struct {
-	capture.Stand
+// Mandate is what the fleet lets this relay do; see capture.Mandate.
+type Mandate struct {
+	capture.Mandate
 	Until time.Time // it may act before that only
 }
 
-// standing is Stand as the fronts' goroutines see it.
+// standing is Mandate as the fronts' goroutines see it.
 type standing struct {
 	until   time.Time
 	version uint64
@@ -29,7 +29,7 @@
 
 // Govern has the core act as the fleet lets it from the next turn on; until the first one it acts on nothing. done is called
 // after that turn: nothing that the stand forbids is begun from then on.
-func (c *Core) Govern(s Stand, done func()) {
+func (c *Core) Govern(s Mandate, done func()) {
 	next := &standing{until: s.Until, version: s.Version, halted: s.Halted != 0, changed: make(chan struct{})}
 	if was := c.standing.Swap(next); was != nil {
 		close(was.changed)
@@ -38,19 +38,19 @@
 }
 
 type governed struct {
-	Stand
+	Mandate
 	done func()
 }
 
 func (g governed) apply(c *Core, now time.Time) {
 	was := c.gov
 	if was == nil {
-		was = &capture.Stand{}
+		was = &capture.Mandate{}
 	}
-	s := g.Stand.Stand
+	s := g.Mandate.Mandate
 	s.Until = 0
-	if !g.Stand.Until.IsZero() {
-		s.Until = c.clock(g.Stand.Until)
+	if !g.Mandate.Until.IsZero() {
+		s.Until = c.clock(g.Mandate.Until)
 	}
 	c.gov = &s
 	if s.Version != was.Version {
@@ -83,7 +83,7 @@
 }
 
 // relist tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
-func (c *Core) relist(was *capture.Stand) {
+func (c *Core) relist(was *capture.Mandate) {
 	ev := control.Event{Kind: control.Listed}
 	numbers := make([]uint32, 0, len(c.dests))
 	for n := range c.dests {
@@ -117,7 +117,7 @@
 // allowed is how many attempts a message may have: the narrower of what was in force when it was taken on and now; 0: as
 // many as the settings permit.
 func (c *Core) allowed(e *journal.Entry) int {
-	most := e.Allow
+	most := e.MaxAttempts
 	if c.gov != nil && e.Class < len(c.gov.Attempts) {
 		if n := c.gov.Attempts[e.Class]; n > 0 && (most == 0 || n < most) {
 			most = n
@@ -129,8 +129,8 @@
 // mark notes in a message that is taken on under which policy it is.
 func (c *Core) mark(e *journal.Entry) {
 	if c.gov != nil {
-		e.Policy = c.gov.Version
-		e.Allow = c.allowed(e)
+		e.PolicyVersion = c.gov.Version
+		e.MaxAttempts = c.allowed(e)
 	}
 }
 
@@ -219,10 +219,10 @@
 		return
 	}
 	if c.gov.Stamp {
-		s.Stamp = c.gov.Version
+		s.PolicyVersion = c.gov.Version
 	}
-	if end := c.at(c.gov.Until); s.Before.IsZero() || end.Before(s.Before) {
-		s.Before = end
+	if end := c.at(c.gov.Until); s.WriteBefore.IsZero() || end.Before(s.WriteBefore) {
+		s.WriteBefore = end
 	}
 }
 
--- a/internal/relay/engine/govern_test.go
+++ b/internal/relay/engine/govern_test.go
@@ -10,13 +10,13 @@
 )
 
 // govern tells the core its standing, with so much of its lease left, and takes the turn.
-func (r *rig) govern(s capture.Stand, left time.Duration) (told *bool) {
+func (r *rig) govern(s capture.Mandate, left time.Duration) (told *bool) {
 	told = new(bool)
 	until := time.Time{}
 	if left != 0 {
 		until = r.now.Add(left)
 	}
-	r.c.Govern(Stand{s, until}, func() { *told = true })
+	r.c.Govern(Mandate{s, until}, func() { *told = true })
 	r.after(0, <-r.c.queue)
 	return told
 }
@@ -45,35 +45,35 @@
 // TestGoverned: without a lease nothing is taken on; under one all is as ever, and calls tell their version and are bound by it.
 func TestGoverned(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
-	r.govern(capture.Stand{}, 0)
+	r.govern(capture.Mandate{}, 0)
 	if v, _ := r.verdict("a", 0, 7); v != Busy {
 		t.Errorf("without a lease: %v", v)
 	}
-	r.govern(capture.Stand{Version: 3, Stamp: true}, time.Second)
-	if v, _ := r.verdict("b", 0, 7); v != Taken {
+	r.govern(capture.Mandate{Version: 3, Stamp: true}, time.Second)
+	if v, _ := r.verdict("b", 0, 7); v != Accepted {
 		t.Errorf("under a lease: %v", v)
 	}
 	s := <-r.front.steps
-	if s.Stamp != 3 || s.Before.IsZero() || s.Before.After(r.now.Add(time.Second)) {
-		t.Errorf("the call tells version %d and may be written until %v", s.Stamp, s.Before)
+	if s.PolicyVersion != 3 || s.WriteBefore.IsZero() || s.WriteBefore.After(r.now.Add(time.Second)) {
+		t.Errorf("the call tells version %d and may be written until %v", s.PolicyVersion, s.WriteBefore)
 	}
-	if e := r.c.msgs[s.Items[0].ref].e; e.Policy != 3 {
-		t.Errorf("the journal has version %d", e.Policy)
+	if e := r.c.msgs[s.Items[0].ref].e; e.PolicyVersion != 3 {
+		t.Errorf("the journal has version %d", e.PolicyVersion)
 	}
 	r.answered(Outcome{})
 	r.after(2 * time.Second)
 	if v, _ := r.verdict("c", 0, 7); v != Busy {
 		t.Errorf("after its lease: %v", v)
 	}
-	r.govern(capture.Stand{Version: 3, Closed: true}, time.Second)
+	r.govern(capture.Mandate{Version: 3, Closed: true}, time.Second)
 	if v, _ := r.verdict("d", 0, 7); v != Busy {
 		t.Errorf("closed: %v", v)
 	}
-	r.govern(capture.Stand{Version: 3, Shut: []int{7}}, time.Second)
+	r.govern(capture.Mandate{Version: 3, Shut: []int{7}}, time.Second)
 	if v, _ := r.verdict("e", 0, 7); v != Busy {
 		t.Errorf("shut: %v", v)
 	}
-	if v, _ := r.verdict("f", 1, 8); v != Taken {
+	if v, _ := r.verdict("f", 1, 8); v != Accepted {
 		t.Errorf("another partner: %v", v)
 	}
 }
@@ -82,11 +82,11 @@
 // is called back.
 func TestHalted(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
-	r.govern(capture.Stand{Version: 1, Stamp: true}, 5*time.Second)
+	r.govern(capture.Mandate{Version: 1, Stamp: true}, 5*time.Second)
 	a, _ := r.hand("a", 1, 8, 9*time.Second)
 	r.after(5*time.Millisecond, a)
 	first := <-r.front.steps // connecting, nothing is written
-	told := r.govern(capture.Stand{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
+	told := r.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
 	if !*told {
 		t.Error("it does not say that it has stopped")
 	}
@@ -97,9 +97,9 @@
 	r.after(20 * time.Millisecond)
 	r.after(20 * time.Millisecond)
 	r.noStep("halted")
-	r.govern(capture.Stand{Version: 2, Stamp: true}, 5*time.Second)
+	r.govern(capture.Mandate{Version: 2, Stamp: true}, 5*time.Second)
 	again := <-r.front.steps
-	if again.Stamp != 2 || again.Items[0].ID != "a" || !again.MayWriteAt(r.now) {
+	if again.PolicyVersion != 2 || again.Items[0].ID != "a" || !again.MayWriteAt(r.now) {
 		t.Errorf("it goes on with %+v", again)
 	}
 }
@@ -108,29 +108,29 @@
 // under the new version; one that comes later too.
 func TestHandedWhileHalted(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
-	r.govern(capture.Stand{Version: 1}, time.Hour)
+	r.govern(capture.Mandate{Version: 1}, time.Hour)
 	got := make(chan Reply)
 	hand := func(id string) {
-		got <- r.c.Take("platform", Message{ID: id, Key: "k", Class: 1, Partner: 8, Deadline: time.Now().Add(9 * time.Second), Body: []byte("b")})
+		got <- r.c.Submit("platform", Message{ID: id, Key: "k", Class: 1, Partner: 8, Deadline: time.Now().Add(9 * time.Second), Body: []byte("b")})
 	}
 	go hand("a")
 	first := <-r.c.queue // it has passed the check, and its turn comes when the relay is halted
-	r.c.Govern(Stand{capture.Stand{Version: 1, Halted: 2}, r.now.Add(time.Hour)}, nil)
+	r.c.Govern(Mandate{capture.Mandate{Version: 1, Halted: 2}, r.now.Add(time.Hour)}, nil)
 	r.after(time.Millisecond, <-r.c.queue, first)
 	go hand("b")
-	r.c.Govern(Stand{capture.Stand{Version: 2}, r.now.Add(time.Hour)}, nil)
+	r.c.Govern(Mandate{capture.Mandate{Version: 2}, r.now.Add(time.Hour)}, nil)
 	for answers := 0; answers < 2; {
 		select {
 		case ev := <-r.c.queue:
 			r.after(time.Millisecond, ev)
 		case v := <-got:
-			if answers++; v.Verdict != Taken {
+			if answers++; v.Verdict != Accepted {
 				t.Errorf("it is answered %v", v.Verdict)
 			}
 		}
 	}
 	for _, id := range []string{"a", "b"} {
-		if m := r.c.byID["platform "+id]; m == nil || m.e.Policy != 2 {
+		if m := r.c.byID["platform "+id]; m == nil || m.e.PolicyVersion != 2 {
 			t.Errorf("%s is not taken on under version 2: %+v", id, m)
 		}
 	}
@@ -139,22 +139,22 @@
 // TestStalledIsOver: what waits past its time-out never began.
 func TestStalledIsOver(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
-	r.govern(capture.Stand{Version: 1}, 50*time.Millisecond)
+	r.govern(capture.Mandate{Version: 1}, 50*time.Millisecond)
 	a, _ := r.hand("a", 1, 8, 9*time.Second)
 	r.now = r.now.Add(40 * time.Millisecond)
 	r.after(5*time.Millisecond, a)
 	first := <-r.front.steps
-	r.answered(Outcome{Result: control.Full, Wait: time.Millisecond})
+	r.answered(Outcome{Result: control.Full, RetryAfter: time.Millisecond})
 	for range 600 {
 		r.after(20 * time.Millisecond)
 	}
 	r.noStep("no lease")
 	_ = first
 	m := r.c.byID["platform a"]
-	if m == nil || !m.e.Owed || !m.e.Notice.HandedBack && m.e.Ran {
+	if m == nil || !m.e.NoticePending || !m.e.Notice.HandedBack && m.e.MayHaveRun {
 		t.Fatalf("a message that can't be sent has no end: %+v", m)
 	}
-	if m.e.Ran {
+	if m.e.MayHaveRun {
 		t.Error("a call that never began may have run")
 	}
 }
@@ -176,7 +176,7 @@
 	for _, c := range []struct{ taken, tried, want int }{{1, 0, 1}, {0, 1, 1}, {2, 1, 1}, {1, 2, 1}} {
 		dir := t.TempDir()
 		r := newRig(t, dir, time.Now())
-		r.govern(capture.Stand{Version: 1, Attempts: []int{0, c.taken}}, time.Hour)
+		r.govern(capture.Mandate{Version: 1, Attempts: []int{0, c.taken}}, time.Hour)
 		a, _ := r.hand("a", 1, 8, 20*time.Second)
 		r.after(5*time.Millisecond, a)
 		if !(<-r.front.steps).MayWrite() { // its bytes are out when the process ends
@@ -185,9 +185,9 @@
 		sh := &erring{}
 		r = newRig(t, dir, r.now.Add(time.Second), func(c *Core) {
 			c.SetShell(sh)
-			c.Govern(Stand{}, nil)
+			c.Govern(Mandate{}, nil)
 		})
-		r.govern(capture.Stand{Version: 2, Attempts: []int{0, c.tried}}, time.Hour)
+		r.govern(capture.Mandate{Version: 2, Attempts: []int{0, c.tried}}, time.Hour)
 		for range 400 {
 			r.after(20*time.Millisecond, r.c.pending(nil)...)
 		}
@@ -202,7 +202,7 @@
 func TestStalledLine(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
 	most := []capture.Most{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
-	r.govern(capture.Stand{Version: 1, Most: most}, 200*time.Millisecond)
+	r.govern(capture.Mandate{Version: 1, Most: most}, 200*time.Millisecond)
 	out, items := 0, 0
 	drain := func() {
 		for {
@@ -227,7 +227,7 @@
 	}
 	drain()
 	before := out
-	r.govern(capture.Stand{Version: 1, Most: most}, time.Hour)
+	r.govern(capture.Mandate{Version: 1, Most: most}, time.Hour)
 	r.after(time.Millisecond)
 	drain()
 	if at := out - before; at > 1 {
@@ -249,7 +249,7 @@
 	endpoint := r.c.fronts["platform"].list["s-2"]
 	part := control.Shared{Floor: 0.25, Stays: true, Rights: []control.Right{{Endpoint: endpoint, Extra: 0.25, Limit: 10}}} // 5 calls/s
 	lend := func(s control.Shared) {
-		r.c.Lend(s, r.now.Add(time.Hour), nil)
+		r.c.GrantQuota(s, r.now.Add(time.Hour), nil)
 		r.after(time.Millisecond, <-r.c.queue)
 	}
 	out := 0
@@ -264,11 +264,11 @@
 			}
 		}
 	}
-	r.govern(capture.Stand{Version: 1}, time.Hour)
+	r.govern(capture.Mandate{Version: 1}, time.Hour)
 	lend(part)
 	taken := 0
 	for i := range 4 { // the settings let it hold three beside one that is out
-		if v, _ := r.verdict(string(rune('a'+i)), 1, 8); v == Taken {
+		if v, _ := r.verdict(string(rune('a'+i)), 1, 8); v == Accepted {
 			taken++
 		}
 		if i == 0 {
@@ -280,8 +280,8 @@
 	if sent == 0 || sent > 2 {
 		t.Fatalf("%d calls before it is halted, want one or two", sent)
 	}
-	r.govern(capture.Stand{Version: 1, Halted: 2}, time.Hour)
-	lend(Resting(part))
+	r.govern(capture.Mandate{Version: 1, Halted: 2}, time.Hour)
+	lend(WithoutLease(part))
 	for range 100 {
 		r.after(20 * time.Millisecond)
 	}
@@ -289,7 +289,7 @@
 		t.Errorf("%d calls wait for the end of the halt", n)
 	}
 	lend(part)
-	r.govern(capture.Stand{Version: 2}, time.Hour)
+	r.govern(capture.Mandate{Version: 2}, time.Hour)
 	r.after(time.Millisecond)
 	drain()
 	if at := out - sent; at > 1 {
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -17,23 +17,23 @@
 	ends     []End
 }
 
-func (i *inspector) Arrive(_ string, m *Message) Ruling            { return i.arrive(m) }
-func (i *inspector) Sample(string, int, int) int                   { return i.sample }
-func (i *inspector) Answered(_ string, s *Attempt, outs []Outcome) { i.answered(s, outs) }
-func (i *inspector) Ended(_ string, e End)                         { i.ends = append(i.ends, e) }
+func (i *inspector) OnArrival(_ string, m *Message) Ruling         { return i.arrive(m) }
+func (i *inspector) SampleBytes(string, int, int) int              { return i.sample }
+func (i *inspector) OnAnswer(_ string, s *Attempt, outs []Outcome) { i.answered(s, outs) }
+func (i *inspector) OnEnd(_ string, e End)                         { i.ends = append(i.ends, e) }
 
 // TestRuling: a message that is held stays as it was first taken on, whatever is ruled when it is handed in again; one
 // that was turned down may come again.
 func TestRuling(t *testing.T) {
-	no, busy := Ruling{Verdict: Rejected, Status: 451, Why: "no"}, Ruling{Verdict: Busy}
+	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
 	for name, c := range map[string]struct {
 		rulings []Ruling
 		want    []Verdict
 		held    int
 	}{
-		"taken, then rejected":     {[]Ruling{{}, no}, []Verdict{Taken, Taken}, 1},
-		"taken, then out of order": {[]Ruling{{}, busy}, []Verdict{Taken, Taken}, 1},
-		"rejected, then taken":     {[]Ruling{no, {}}, []Verdict{Rejected, Taken}, 1},
+		"taken, then rejected":     {[]Ruling{{}, no}, []Verdict{Accepted, Accepted}, 1},
+		"taken, then out of order": {[]Ruling{{}, busy}, []Verdict{Accepted, Accepted}, 1},
+		"rejected, then taken":     {[]Ruling{no, {}}, []Verdict{Rejected, Accepted}, 1},
 		"rejected":                 {[]Ruling{no, no}, []Verdict{Rejected, Rejected}, 0},
 		"busy":                     {[]Ruling{busy}, []Verdict{Busy}, 0},
 	} {
@@ -44,7 +44,7 @@
 				var both []event
 				for i, ruling := range c.rulings {
 					a, reply := r.hand("m", 1, 7, 20*time.Second)
-					a.ruling, a.msg.Out = ruling, []string{"X-Turn", string(rune('0' + i))}
+					a.ruling, a.msg.ExtraHeaders = ruling, []string{"X-Turn", string(rune('0' + i))}
 					replies = append(replies, reply)
 					if both = append(both, a); apart > 0 {
 						r.after(apart, a)
@@ -55,14 +55,14 @@
 				}
 				for i, reply := range replies {
 					got := <-reply
-					if got.Verdict != c.want[i] || got.Verdict == Rejected && (got.Status != 451 || got.Why != "no") {
+					if got.Verdict != c.want[i] || got.Verdict == Rejected && (got.Status != 451 || got.Reason != "no") {
 						t.Errorf("hand-in %d: %+v, want %v", i, got, c.want[i])
 					}
 				}
 				if len(r.c.msgs) != c.held {
 					t.Errorf("%d messages are held", len(r.c.msgs))
 				}
-				if c.held > 0 && c.rulings[0].Verdict == Taken {
+				if c.held > 0 && c.rulings[0].Verdict == Accepted {
 					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-r.front.steps).Items[0].Headers); d != "" {
 						t.Errorf("it is not sent as it was shaped first: %s", d)
 					}
@@ -77,7 +77,7 @@
 	dir := t.TempDir()
 	r := newRig(t, dir, time.Now())
 	a, _ := r.hand("m", 1, 7, 20*time.Second)
-	a.msg.Out, a.msg.Body = []string{"X-Desk", "sports", "X-Empty", ""}, []byte("rewritten")
+	a.msg.ExtraHeaders, a.msg.Body = []string{"X-Desk", "sports", "X-Empty", ""}, []byte("rewritten")
 	r.after(0, a)
 	first := (<-r.front.steps).Items[0]
 	again := newRig(t, dir, r.now.Add(time.Second))
@@ -97,7 +97,7 @@
 	var in []event
 	for i, desk := range []string{"a", "b", "a"} {
 		a, _ := r.hand(string(rune('x'+i)), 1, 7, 20*time.Second)
-		a.msg.Out = []string{"X-Desk", desk}
+		a.msg.ExtraHeaders = []string{"X-Desk", desk}
 		in = append(in, a)
 	}
 	r.after(0, in...)
@@ -119,14 +119,14 @@
 func TestAnsweredFirst(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
-		if d := cmp.Diff(&Seen{503, map[string][]string{"X-Why": {"shut"}}, []byte("maint")}, s.Seen()); d != "" {
+		if d := cmp.Diff(&AnswerSample{503, map[string][]string{"X-Why": {"shut"}}, []byte("maint")}, s.SampledAnswer()); d != "" {
 			t.Error(d)
 		}
 		outs[0].Result = control.Rejected
 	}}
 	r.c.SetInspector(i)
 	r.front.at = func(s *Attempt) []Outcome {
-		s.See(503, map[string][]string{"X-Why": {"shut"}}, []byte("maintenance"))
+		s.ObserveAnswer(503, map[string][]string{"X-Why": {"shut"}}, []byte("maintenance"))
 		return []Outcome{{Result: control.Full}}
 	}
 	a, _ := r.hand("m", 1, 8, 20*time.Second)
--- a/internal/relay/engine/races_test.go
+++ b/internal/relay/engine/races_test.go
@@ -21,11 +21,11 @@
 	return w.fakeFront.Watch(ctx, after, changed)
 }
 
-// TestOverlap: a watch that was superseded still has a list on its way when the next one has spoken. Whole or not, it must undo nothing;
+// TestOverlap: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
 // before the next one has spoken it counts, since the relay has been told.
 func TestOverlap(t *testing.T) {
 	list := func(index int64, whole bool, state control.State) EndpointList {
-		return EndpointList{Index: index, Whole: whole, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
+		return EndpointList{Index: index, Complete: whole, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
 	}
 	for _, c := range []struct {
 		name          string
@@ -80,8 +80,8 @@
 		err  error
 		want time.Duration // below 0: the module is asked
 	}{
-		{"asked for, silent", true, true, ErrSilent, 200 * time.Millisecond},
-		{"pushed, silent", false, true, ErrSilent, 200 * time.Millisecond},
+		{"asked for, silent", true, true, ErrWatchTimeout, 200 * time.Millisecond},
+		{"pushed, silent", false, true, ErrWatchTimeout, 200 * time.Millisecond},
 		{"asked for, broken", true, true, broke, -1},
 		{"asked for, never up", true, false, broke, -1},
 		{"pushed, broken", false, true, broke, 0},
@@ -115,12 +115,12 @@
 	}
 	for i, id := range []string{"keyed", "safe", "of a class that is gone"} {
 		e := &journal.Entry{ID: id, Front: "platform", Destination: 7 + i%2, Class: i + i/2*7, Deadline: now.Add(16 * time.Second)}
-		_ = jour.Take(e)
+		_ = jour.Accept(e)
 		_ = jour.Flush()
 		if id == "keyed" {
-			jour.Start(e, now, "s-1")
+			jour.Schedule(e, now, "s-1")
 			jour.Begin([]*journal.Entry{e})
-			jour.Outcome(e, false)
+			jour.EndAttempt(e, false)
 		}
 	}
 	_ = jour.Close()
@@ -134,7 +134,7 @@
 		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(r.front.steps))
 	}
 	for _, m := range r.c.msgs {
-		if k := &r.c.set.Classes[min(m.e.Class, 1)]; m.e.Deadline.After(r.now.Add(k.Deadline)) && !m.e.Owed {
+		if k := &r.c.set.Classes[min(m.e.Class, 1)]; m.e.Deadline.After(r.now.Add(k.Deadline)) && !m.e.NoticePending {
 			t.Errorf("%s has time until %v, more than its class gives", m.e.ID, m.e.Deadline)
 		}
 	}
@@ -165,7 +165,7 @@
 
 // TestEndedID: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
 func TestEndedID(t *testing.T) {
-	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.Moot, Over: true}} {
+	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.Moot, Final: true}} {
 		r := newRig(t, t.TempDir(), time.Now())
 		r.c.lim.EndedKept, r.c.lim.EndedMost = 5*time.Second, 2
 		a, first := r.hand("m", 0, 8, 10*time.Second)
@@ -177,12 +177,12 @@
 			b, second := r.hand("m", 0, 8, 10*time.Second)
 			b.at = r.now.Add(after)
 			r.after(after, b)
-			return (<-second).Verdict == Taken && len(r.c.msgs) == 0
+			return (<-second).Verdict == Accepted && len(r.c.msgs) == 0
 		}
 		if !again(time.Second) || len(r.front.steps) != 0 {
 			t.Errorf("after %v the same id is a new message", outcome)
 		}
-		r.c.remember(&message{front: r.c.order[0], e: &journal.Entry{ID: "other"}}, Taken, r.now.Add(6*time.Second))
+		r.c.remember(&message{front: r.c.order[0], e: &journal.Entry{ID: "other"}}, Accepted, r.now.Add(6*time.Second))
 		if again(time.Second) {
 			t.Error("ids are kept for good")
 		}
--- a/internal/relay/engine/record.go
+++ b/internal/relay/engine/record.go
@@ -54,7 +54,7 @@
 	if c.rec.WantsState() {
 		c.recordState()
 	}
-	c.input = capture.Input{Now: c.clock(now), Events: c.input.Events[:0], Full: c.input.Full[:0], Did: c.input.Did[:0]}
+	c.input = capture.Input{Now: c.clock(now), Events: c.input.Events[:0], Full: c.input.Full[:0], Actions: c.input.Actions[:0]}
 	c.handeds = slices.Grow(c.handeds[:0], len(events)) // it does not move while events point into it
 	for _, ev := range events {
 		if e, ok := c.eventOf(ev, now); ok {
@@ -82,14 +82,14 @@
 	c.rec.State(c.mod.Snapshot(), x, x.Numbers, messages)
 }
 
-func (c *Core) did(d capture.Deed) {
+func (c *Core) did(d capture.Action) {
 	if c.rec == nil {
 		return
 	}
 	c.input.Add(&d)
 	if c.tells {
 		d.Refs = slices.Clone(d.Refs)
-		c.input.Did = append(c.input.Did, d)
+		c.input.Actions = append(c.input.Actions, d)
 	}
 }
 
@@ -101,21 +101,21 @@
 	for i := range s.Items {
 		c.refs = append(c.refs, s.Items[i].ref)
 	}
-	d := capture.Deed{Kind: capture.Began, No: s.no, To: s.To.no, Refs: c.refs, For: s.Timeout}
-	if !s.Before.IsZero() {
-		d.Before = c.clock(s.Before)
+	d := capture.Action{Kind: capture.Began, No: s.no, To: s.To.no, Refs: c.refs, For: s.Timeout}
+	if !s.WriteBefore.IsZero() {
+		d.Before = c.clock(s.WriteBefore)
 	}
 	c.did(d)
 }
 
 func (c *Core) didTell(f *frontState) {
 	if c.rec != nil {
-		c.did(capture.Deed{Kind: capture.Told, No: uint64(f.no), Refs: refs(f.sending)})
+		c.did(capture.Action{Kind: capture.Told, No: uint64(f.no), Refs: refs(f.sending)})
 	}
 }
 
 func (c *Core) didFinish(m *message) {
-	c.did(capture.Deed{Kind: capture.Finished, No: m.ref})
+	c.did(capture.Action{Kind: capture.Finished, No: m.ref})
 }
 
 func refs(notices []Notice) (all []uint64) {
@@ -137,14 +137,14 @@
 	case arrival:
 		m := &v.msg
 		c.handeds = append(c.handeds, capture.Arrival{ID: m.ID, KeySize: len(m.Key), Partner: m.Partner,
-			Class: m.Class, Tenant: m.Tenant, Deadline: m.Deadline.Sub(c.base) + clockStart, Again: m.Again, Size: len(m.Body), Headers: hash(m.Out),
-			Late: now.Sub(v.at), Verdict: uint8(v.ruling.Verdict), Status: v.ruling.Status, Why: v.ruling.Why, Under: v.under})
-		e = capture.CoreEvent{Kind: capture.Handed, Front: -1, Arrival: &c.handeds[len(c.handeds)-1]}
+			Class: m.Class, Tenant: m.Tenant, Deadline: m.Deadline.Sub(c.base) + clockStart, Again: m.Resubmitted, Size: len(m.Body), Headers: hash(m.ExtraHeaders),
+			Late: now.Sub(v.at), Verdict: uint8(v.ruling.Verdict), Status: v.ruling.Status, Why: v.ruling.Reason, Under: v.under})
+		e = capture.CoreEvent{Kind: capture.Submitted, Front: -1, Arrival: &c.handeds[len(c.handeds)-1]}
 		if f := c.fronts[v.front]; f != nil {
 			e.Front = f.no
 		}
-		if !m.RanAt.IsZero() {
-			e.Arrival.Ran, e.Arrival.RanAt = true, m.RanAt.Sub(c.base)+clockStart
+		if !m.MayHaveRunAt.IsZero() {
+			e.Arrival.Ran, e.Arrival.RanAt = true, m.MayHaveRunAt.Sub(c.base)+clockStart
 		}
 	case withdrawn:
 		e = capture.CoreEvent{Kind: capture.Withdrawn, Ref: v.ref}
@@ -156,22 +156,22 @@
 	case drain:
 		e.Kind = capture.Drained
 	case governed:
-		s := v.Stand.Stand
-		if s.Until = 0; !v.Stand.Until.IsZero() {
-			s.Until = c.clock(v.Stand.Until)
+		s := v.Mandate.Mandate
+		if s.Until = 0; !v.Mandate.Until.IsZero() {
+			s.Until = c.clock(v.Mandate.Until)
 		}
 		e = capture.CoreEvent{Kind: capture.Governed, Stand: &s}
 	case lent:
-		e = capture.CoreEvent{Kind: capture.Lent, Shared: v.on(c)}
+		e = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: v.on(c)}
 	case stepEnded:
-		e = capture.CoreEvent{Kind: capture.StepEnded, Step: v.step.no, Items: len(v.outcomes)} // the module is told the outcomes
+		e = capture.CoreEvent{Kind: capture.AttemptEnded, Step: v.step.no, Items: len(v.outcomes)} // the module is told the outcomes
 	case listChanged:
-		p := &capture.Pool{Index: v.Index, Whole: v.Whole}
+		p := &capture.EndpointList{Index: v.Index, Whole: v.Complete}
 		for _, d := range v.Destinations {
 			p.Dests = append(p.Dests, capture.DestState{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
 				Weight: d.Weight})
 		}
-		e = capture.CoreEvent{Kind: capture.PoolTold, Front: v.front.no, Step: uint64(v.no), Pool: p}
+		e = capture.CoreEvent{Kind: capture.ListReported, Front: v.front.no, Step: uint64(v.no), List: p}
 	case watchEnded:
 		e = capture.CoreEvent{Kind: capture.WatchEnded, Front: v.front.no, Step: uint64(v.no), Text: v.err.Error()}
 	case notified:
--- a/internal/relay/engine/rerun.go
+++ b/internal/relay/engine/rerun.go
@@ -18,9 +18,9 @@
 	"mastusher/internal/relay/wire"
 )
 
-// Rerun drives a whole core with a capture in the place of its clock, fronts and journal, and compares all that it does
+// CoreReplay drives a whole core with a capture in the place of its clock, fronts and journal, and compares all that it does
 // with what was recorded. It is handed a capture's records in order.
-type Rerun struct {
+type CoreReplay struct {
 	Turns int // of the core, that were the same
 
 	begin capture.Begin
@@ -35,13 +35,13 @@
 
 // CoreDifference is the first turn in which the core does otherwise than was recorded.
 type CoreDifference struct {
-	Input *capture.Input
-	Turn  *capture.Turn // the module's in it; nil: none
-	Got   capture.Input
-	Told  []control.Event  // what the core told the module
-	Acts  []control.Action // what that decided
-	State *control.Snapshot
-	Why   string
+	Input         *capture.Input
+	Turn          *capture.Turn // the module's in it; nil: none
+	Got           capture.Input
+	ModuleEvents  []control.Event  // what the core told the module
+	ModuleActions []control.Action // what that decided
+	State         *control.Snapshot
+	Why           string
 }
 
 func (d *CoreDifference) Error() string {
@@ -76,8 +76,11 @@
 func (t *tapeOfOne) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
 	t.turned, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
-func (t *tapeOfOne) Turns() uint64           { return 1 }
-func (t *tapeOfOne) Input(in *capture.Input) { t.input = *in; t.input.Did = slices.Clone(in.Did) }
+func (t *tapeOfOne) Turns() uint64 { return 1 }
+func (t *tapeOfOne) Input(in *capture.Input) {
+	t.input = *in
+	t.input.Actions = slices.Clone(in.Actions)
+}
 func (t *tapeOfOne) Name(capture.Name)       {}
 func (t *tapeOfOne) Message(capture.Message) {}
 func (t *tapeOfOne) Note(capture.Note)       {}
@@ -85,7 +88,7 @@
 func (t *tapeOfOne) Close()                  {}
 
 // Record takes the next record; it returns a *CoreDifference at the first turn that differs.
-func (r *Rerun) Record(record any) error {
+func (r *CoreReplay) Record(record any) error {
 	switch v := record.(type) {
 	case *capture.Begin:
 		r.begin = *v
@@ -108,14 +111,14 @@
 }
 
 // State is the core's state as it stands; nil: no core runs.
-func (r *Rerun) State() *capture.Core {
+func (r *CoreReplay) State() *capture.Core {
 	if r.core == nil {
 		return nil
 	}
 	return r.core.state()
 }
 
-func (r *Rerun) resume(x *capture.Core) error {
+func (r *CoreReplay) resume(x *capture.Core) error {
 	s := r.begin.Core
 	if s == nil || r.snap == nil {
 		return errors.New("capture: the core's state stands there without its settings, or without the module's")
@@ -126,7 +129,7 @@
 		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMost: s.NoticeRetryMost, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
 		EndedKept: s.EndedKept, EndedMost: s.EndedMost}
 	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
-	for i := range cfg.Settings.Classes { // see Told
+	for i := range cfg.Settings.Classes { // see ModuleSettings
 		if k := &cfg.Settings.Classes[i]; k.Memory > 0 {
 			k.Memory += s.WindowMargin
 		}
@@ -153,13 +156,13 @@
 		c.mod.Adopt(s.Worth, s.Quotas)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.msgs)) {
-		jour.Hold(c.msgs[ref].e)
+		jour.Restore(c.msgs[ref].e)
 	}
 	r.core = c
 	return nil
 }
 
-func (r *Rerun) input(in *capture.Input, turn *capture.Turn) error {
+func (r *CoreReplay) input(in *capture.Input, turn *capture.Turn) error {
 	c := r.core
 	r.full, r.takes, r.fails, r.got = in.Full, 0, in.Failed, tapeOfOne{}
 	d := &CoreDifference{Input: in, Turn: turn}
@@ -193,7 +196,7 @@
 		r.Turns++
 		return nil
 	}
-	d.Got, d.Told, d.Acts, d.State = r.got.input, r.got.events, r.got.actions, c.mod.Snapshot()
+	d.Got, d.ModuleEvents, d.ModuleActions, d.State = r.got.input, r.got.events, r.got.actions, c.mod.Snapshot()
 	r.core = nil // what follows would differ too
 	return d
 }
@@ -212,7 +215,7 @@
 	}
 	for _, e := range turn.Events[min(left, len(turn.Events)):] {
 		if e.Kind == control.Resolved {
-			outs = append(outs, Outcome{Result: e.Result, Wait: e.Wait, Over: e.Settled, Reported: e.Reported, Share: e.Share, Limit: e.Limit})
+			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.Wait, Final: e.Settled, Reported: e.Reported, Share: e.Share, Limit: e.Limit})
 		}
 	}
 	return outs
@@ -220,7 +223,7 @@
 
 // replayed is an event as it came by the queue.
 func (c *Core) replayed(e *capture.CoreEvent, now time.Time, told *[]Outcome) (event, error) {
-	if e.Front >= len(c.order) || e.Front < 0 && e.Kind != capture.Handed && e.Kind != capture.Moved {
+	if e.Front >= len(c.order) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
 		return nil, fmt.Errorf("there is no front %d", e.Front)
 	}
 	name := "?"
@@ -228,15 +231,15 @@
 		name = c.order[e.Front].name
 	}
 	switch e.Kind {
-	case capture.Handed:
+	case capture.Submitted:
 		a := e.Arrival
 		if a == nil {
 			return nil, errors.New("a message handed in is missing")
 		}
 		m := Message{ID: a.ID, Key: blank(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant, Deadline: c.base.Add(a.Deadline - clockStart),
-			Again: a.Again, Body: []byte(blank(a.Size)), Out: unhash(a.Headers)}
+			Resubmitted: a.Again, Body: []byte(blank(a.Size)), ExtraHeaders: unhash(a.Headers)}
 		if a.Ran {
-			m.RanAt = c.base.Add(a.RanAt - clockStart)
+			m.MayHaveRunAt = c.base.Add(a.RanAt - clockStart)
 		}
 		return arrival{front: name, msg: m, at: now.Add(-a.Late), reply: make(chan Reply, 1),
 			ruling: Ruling{Verdict(a.Verdict), a.Status, a.Why}, under: a.Under}, nil
@@ -250,13 +253,13 @@
 		if e.Stand == nil {
 			return nil, errors.New("what the fleet lets the relay do is missing")
 		}
-		return governed{Stand{*e.Stand, c.at(e.Stand.Until)}, nil}, nil
-	case capture.Lent:
+		return governed{Mandate{*e.Stand, c.at(e.Stand.Until)}, nil}, nil
+	case capture.QuotaGranted:
 		if e.Shared == nil {
 			return nil, errors.New("what the relay may spend is missing")
 		}
 		return lent{Shared: *e.Shared, until: c.at(e.Shared.Until)}, nil
-	case capture.StepEnded:
+	case capture.AttemptEnded:
 		s := c.out[e.Step]
 		var outs []Outcome
 		for _, o := range e.Outcomes {
@@ -269,11 +272,11 @@
 			return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Step)
 		}
 		return stepEnded{s, outs}, nil
-	case capture.PoolTold:
+	case capture.ListReported:
 		p := listChanged{front: c.order[e.Front], no: int(e.Step)}
-		if e.Pool != nil {
-			p.Index, p.Whole = e.Pool.Index, e.Pool.Whole
-			for _, d := range e.Pool.Dests {
+		if e.List != nil {
+			p.Index, p.Complete = e.List.Index, e.List.Whole
+			for _, d := range e.List.Dests {
 				p.Destinations = append(p.Destinations, Destination{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
 					Weight: d.Weight})
 			}
@@ -281,8 +284,8 @@
 		return p, nil
 	case capture.WatchEnded:
 		err := errors.New(e.Text)
-		if e.Text == ErrSilent.Error() {
-			err = ErrSilent
+		if e.Text == ErrWatchTimeout.Error() {
+			err = ErrWatchTimeout
 		}
 		return watchEnded{c.order[e.Front], int(e.Step), err}, nil
 	case capture.Notified:
@@ -307,6 +310,6 @@
 
 func (recorded) Call(context.Context, *Attempt) []Outcome                     { return nil }
 func (recorded) Notify(context.Context, []Notice) []bool                      { return nil }
-func (recorded) Retire(*Destination)                                          {}
+func (recorded) CloseIdle(*Destination)                                       {}
 func (recorded) Watch(context.Context, int64, func(EndpointList)) (err error) { return nil }
-func (r recorded) TellsDeliveries() bool                                      { return r.tells }
+func (r recorded) NotifiesDeliveries() bool                                   { return r.tells }
--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -47,13 +47,13 @@
 		}
 		switch v.rng.IntN(12) {
 		case 0:
-			outs[i] = Outcome{Result: control.Full, Wait: time.Duration(v.rng.IntN(900)) * time.Millisecond}
+			outs[i] = Outcome{Result: control.Full, RetryAfter: time.Duration(v.rng.IntN(900)) * time.Millisecond}
 		case 1:
 			outs[i].Result, took = control.TimedOut, until.Sub(v.now)
 		case 2:
 			outs[i].Result = []control.Result{control.Errored, control.NoConnection, control.Reset, control.Rejected, control.Spoilt}[v.rng.IntN(5)]
 		case 3:
-			outs[i] = Outcome{Over: true, Reported: true, Share: v.rng.Float64(), Limit: 9.5}
+			outs[i] = Outcome{Final: true, Reported: true, Share: v.rng.Float64(), Limit: 9.5}
 		}
 	}
 	ended := false
@@ -107,12 +107,12 @@
 	now := time.Date(2026, 12, 1, 15, 0, 0, 0, time.UTC)
 	for i := range rng.IntN(6) { // a restart: some were out, some notices are owed
 		e := &journal.Entry{ID: fmt.Sprint("old-", i), Front: "platform", Destination: 7 + i%2, Class: i % 2, Deadline: now.Add(6 * time.Second)}
-		jour.Hold(e)
+		jour.Restore(e)
 		switch i % 3 {
 		case 0:
-			jour.Start(e, now.Add(-time.Second), "s-1")
+			jour.Schedule(e, now.Add(-time.Second), "s-1")
 		case 1:
-			jour.Owe(e, journal.Notice{HandedBack: true, Retry: time.Second})
+			jour.EndWithNotice(e, journal.Notice{HandedBack: true, RetryAfter: time.Second})
 		}
 	}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -150,15 +150,15 @@
 		}
 		for range rng.IntN(3) {
 			m := Message{ID: fmt.Sprint("m-", rng.IntN(4*turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3), Body: make([]byte, rng.IntN(900)),
-				Deadline: v.now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Again: rng.IntN(5) == 0}
+				Deadline: v.now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
 			a := arrival{front: "platform", msg: m, at: v.now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
 			switch rng.IntN(12) {
 			case 0: // a plug-in's
 				a.ruling = Ruling{Rejected, 418, "not here"}
 			case 1:
-				a.msg.Out = []string{"X-Desk", fmt.Sprint(rng.IntN(2))}
+				a.msg.ExtraHeaders = []string{"X-Desk", fmt.Sprint(rng.IntN(2))}
 			case 2:
-				a.msg.RanAt = v.now.Add(-time.Second)
+				a.msg.MayHaveRunAt = v.now.Add(-time.Second)
 			case 3:
 				a.front = "nobody"
 			}
@@ -168,7 +168,7 @@
 		case 0:
 			c.queue <- withdrawn{uint64(rng.IntN(turns))}
 		case 1:
-			c.Moved([]string{"platform", "nobody"}[rng.IntN(2)])
+			c.DiscoveryMoved([]string{"platform", "nobody"}[rng.IntN(2)])
 		case 2, 3, 4:
 			if v.tell != nil {
 				index++
@@ -177,7 +177,7 @@
 				if rng.IntN(3) == 0 {
 					d.Name += fmt.Sprint("-", index)
 				}
-				v.tell(EndpointList{Index: index - int64(rng.IntN(3)), Whole: rng.IntN(6) == 0, Destinations: []Destination{d, dests[0]}})
+				v.tell(EndpointList{Index: index - int64(rng.IntN(3)), Complete: rng.IntN(6) == 0, Destinations: []Destination{d, dests[0]}})
 			}
 		case 5:
 			if v.lost != nil {
@@ -185,7 +185,7 @@
 			}
 		}
 		if seed%3 == 0 && no > 2 && rng.IntN(8) == 0 { // in a fleet, whose policy changes
-			s := Stand{Stand: capture.Stand{Version: uint64(no / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
+			s := Mandate{Mandate: capture.Mandate{Version: uint64(no / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
 				Until: v.now.Add(time.Duration(rng.IntN(900)-100) * time.Millisecond)}
 			switch rng.IntN(5) {
 			case 0:
@@ -231,13 +231,13 @@
 // middle: with calls out, notices owed and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
 func TestRerun(t *testing.T) {
 	kinds := map[capture.CoreKind]int{}
-	deeds := map[capture.DeedKind]int{}
+	deeds := map[capture.ActionKind]int{}
 	out, owed, rejected, failed := 0, 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		turns := rapid.IntRange(2, 500).Draw(rt, "turns")
 		from := rapid.IntRange(0, turns).Draw(rt, "from")
 		dir, last := playCore(t, rapid.Uint64().Draw(rt, "seed"), turns, from)
-		var r Rerun
+		var r CoreReplay
 		err := readCore(t, dir, func(record any) error {
 			switch v := record.(type) {
 			case *capture.Core:
@@ -256,15 +256,15 @@
 				}
 			}
 			err := r.Record(record)
-			for _, d := range r.got.input.Did {
+			for _, d := range r.got.input.Actions {
 				deeds[d.Kind]++
 			}
-			r.got.input.Did = nil
+			r.got.input.Actions = nil
 			return err
 		})
 		var d *CoreDifference
 		if errors.As(err, &d) {
-			rt.Fatalf("%v\nrecorded %+v\ndid      %+v\nmodule told %+v\nreplay      %+v", d, d.Input.Did, d.Got.Did, d.Turn, d.Told)
+			rt.Fatalf("%v\nrecorded %+v\ndid      %+v\nmodule told %+v\nreplay      %+v", d, d.Input.Actions, d.Got.Actions, d.Turn, d.ModuleEvents)
 		}
 		want := turns - from + 1
 		if from == 0 {
@@ -277,7 +277,7 @@
 			rt.Fatalf("in the end\n%s\nwant\n%s", got, want)
 		}
 	})
-	for k := capture.Handed; k <= capture.Notified; k++ {
+	for k := capture.Submitted; k <= capture.Notified; k++ {
 		if kinds[k] == 0 {
 			t.Errorf("no event of kind %d was replayed", k)
 		}
@@ -303,7 +303,7 @@
 		},
 		"an outcome": func(in *capture.Input) bool {
 			for i := range in.Events {
-				if in.Events[i].Kind == capture.StepEnded {
+				if in.Events[i].Kind == capture.AttemptEnded {
 					in.Events[i].Outcomes = make([]capture.Outcome, in.Events[i].Items)
 					in.Events[i].Outcomes[0].Result = control.Unknown
 					return true
@@ -342,7 +342,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r Rerun
+			var r CoreReplay
 			var altered time.Duration
 			err := readCore(t, dir, func(record any) error {
 				if in, ok := record.(*capture.Input); ok && altered == 0 && alter(in) {
@@ -389,7 +389,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var core Rerun
+		var core CoreReplay
 		r, err := capture.NewReader(f)
 		if err == nil {
 			_, err = capture.Replay(r, capture.Options{Core: core.Record})
@@ -415,14 +415,14 @@
 		t.Fatal(err)
 	}
 	var part bytes.Buffer
-	turns, err := capture.Window(r, &part, 3*time.Second, 6*time.Second, &Rerun{})
+	turns, err := capture.Window(r, &part, 3*time.Second, 6*time.Second, &CoreReplay{})
 	if err != nil || turns < 50 {
 		t.Fatalf("%d turns, %v", turns, err)
 	}
 	if r, err = capture.NewReader(bytes.NewReader(part.Bytes())); err != nil {
 		t.Fatal(err)
 	}
-	var core Rerun
+	var core CoreReplay
 	if res, err := capture.Replay(r, capture.Options{Core: core.Record}); err != nil || res.Turns != turns || core.Turns < turns {
 		t.Errorf("%d turns, %d of the core, want %d: %v", res.Turns, core.Turns, turns, err)
 	}
@@ -473,7 +473,7 @@
 				Deadline: v.now.Add(9 * time.Second)}, at: v.now, reply: make(chan Reply, 1)}
 			next = next.Add(time.Duration(v.rng.ExpFloat64() * float64(time.Second) / 120))
 		}
-		if events := c.pending(nil); len(events) > 0 || c.nap(v.now) == 0 {
+		if events := c.pending(nil); len(events) > 0 || c.idleFor(v.now) == 0 {
 			c.Turn(v.now, events)
 		}
 	}
@@ -487,7 +487,7 @@
 	info, _ := f.Stat()
 	for _, whole := range []bool{false, true} {
 		r, _ := capture.NewReader(f)
-		var core Rerun
+		var core CoreReplay
 		o := capture.Options{}
 		if whole {
 			o.Core = core.Record
--- a/internal/relay/engine/run.go
+++ b/internal/relay/engine/run.go
@@ -18,7 +18,7 @@
 		no := f.watchNo
 		f.unwatch = c.shell.Watch(f.Front, f.index, func(p EndpointList) { c.queue <- listChanged{f, no, p} },
 			func(err error) { c.queue <- watchEnded{f, no, err} })
-		c.did(capture.Deed{Kind: capture.Watched, No: uint64(f.no), To: uint32(no), After: f.index})
+		c.did(capture.Action{Kind: capture.Watched, No: uint64(f.no), To: uint32(no), After: f.index})
 	}
 }
 
@@ -44,7 +44,7 @@
 	var events []event
 	for {
 		events = events[:0]
-		timer.Reset(c.nap(time.Now()))
+		timer.Reset(c.idleFor(time.Now()))
 		select {
 		case ev := <-c.queue:
 			events = append(events, ev)
@@ -67,15 +67,15 @@
 // Step takes a turn with what stands in the queue, for those who have a clock of their own in the place of Run.
 func (c *Core) Step(now time.Time) { c.Turn(now, c.pending(nil)) }
 
-// Hand is Take for them: the answer comes in the next Step.
-func (c *Core) Hand(front string, m Message, at time.Time) <-chan Reply {
+// SubmitAt is Submit for them: the answer comes in the next Step.
+func (c *Core) SubmitAt(front string, m Message, at time.Time) <-chan Reply {
 	a := arrival{front: front, msg: m, at: at, reply: make(chan Reply, 1)}
 	c.queue <- a
 	return a.reply
 }
 
-// Nap is how long nothing needs to be done unless something happens.
-func (c *Core) Nap(now time.Time) time.Duration { return c.nap(now) }
+// IdleFor is how long nothing needs to be done unless something happens.
+func (c *Core) IdleFor(now time.Time) time.Duration { return c.idleFor(now) }
 
 // pending takes what stands in the queue.
 func (c *Core) pending(events []event) []event {
@@ -94,8 +94,8 @@
 	return !c.drainAt.IsZero() && (now.Sub(c.drainAt) > c.lim.DrainExit || len(c.msgs) == 0 && len(c.out) == 0)
 }
 
-// nap is how long nothing needs to be done unless something happens.
-func (c *Core) nap(now time.Time) time.Duration {
+// idleFor is how long nothing needs to be done unless something happens.
+func (c *Core) idleFor(now time.Time) time.Duration {
 	d := time.Second
 	until := func(t time.Time) {
 		if !t.IsZero() {
--- a/internal/relay/engine/share.go
+++ b/internal/relay/engine/share.go
@@ -8,33 +8,33 @@
 	"mastusher/control"
 )
 
-// Sight is what the module has seen and needs of a destination or a tenant, with a name that is the same at all relays.
-type Sight struct {
+// Observation is what the module has seen and needs of a destination or a tenant, with a name that is the same at all relays.
+type Observation struct {
 	control.Sight
 	Name string
 }
 
-// Look has tell called with what the module has seen and needs, and what the core has counted, from the core's own goroutine: it must
+// Observe has tell called with what the module has seen and needs, and what the core has counted, from the core's own goroutine: it must
 // not wait, nor keep the counts. The core counts from the first look on.
-func (c *Core) Look(tell func([]Sight, map[string]uint64)) { c.queue <- look{tell} }
+func (c *Core) Observe(tell func([]Observation, map[string]uint64)) { c.queue <- look{tell} }
 
 type look struct {
-	tell func([]Sight, map[string]uint64)
+	tell func([]Observation, map[string]uint64)
 }
 
 func (l look) apply(c *Core, now time.Time) {
-	var all []Sight
+	var all []Observation
 	for _, s := range c.mod.Sights(c.clock(now), nil) {
 		switch d := c.dests[s.Endpoint]; {
 		case s.Endpoint == 0:
 			if s.Tenant < len(c.set.TenantNames) {
-				all = append(all, Sight{s, c.set.TenantNames[s.Tenant]})
+				all = append(all, Observation{s, c.set.TenantNames[s.Tenant]})
 			}
 		case d == nil: // it has left the list
 		case s.Apart:
-			all = append(all, Sight{s, d.front.name + " " + d.Name})
+			all = append(all, Observation{s, d.front.name + " " + d.Name})
 		default: // a partner has one limit, whichever endpoint is called
-			all = append(all, Sight{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
+			all = append(all, Observation{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
 		}
 	}
 	if c.counts == nil {
@@ -43,8 +43,10 @@
 	l.tell(all, c.counts)
 }
 
-// Lend has the module spend what the fleet has lent it from the next turn on, until a time; done is called after that turn.
-func (c *Core) Lend(s control.Shared, until time.Time, done func()) { c.queue <- lent{s, until, done} }
+// GrantQuota has the module spend what the fleet has lent it from the next turn on, until a time; done is called after that turn.
+func (c *Core) GrantQuota(s control.Shared, until time.Time, done func()) {
+	c.queue <- lent{s, until, done}
+}
 
 type lent struct {
 	control.Shared
@@ -66,13 +68,13 @@
 	}
 }
 
-// restingFloor is what a relay spends of each limit while it may not act, of 1: none would read as a limit that nobody knows.
-const restingFloor = 1e-9
+// floorWithoutLease is what a relay spends of each limit while it may not act, of 1: none would read as a limit that nobody knows.
+const floorWithoutLease = 1e-9
 
-// Resting is what the module is lent instead of s while the relay may not act: next to nothing of each limit. What it decided meanwhile
+// WithoutLease is what the module is lent instead of s while the relay may not act: next to nothing of each limit. What it decided meanwhile
 // would wait, and all of it go out at once when the relay may act again, beyond the relay's part. What others have seen it is told as ever.
-func Resting(s control.Shared) control.Shared {
-	s.Floor, s.Stays = restingFloor, true
+func WithoutLease(s control.Shared) control.Shared {
+	s.Floor, s.Stays = floorWithoutLease, true
 	s.Rights = slices.Clone(s.Rights)
 	for i := range s.Rights {
 		s.Rights[i].Extra = 0
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -45,15 +45,15 @@
 }
 
 // Journal is where the core writes down what must outlast it; see journal.Log. Entries are the core's and the journal's
-// together: each call but Take and Begin changes the one it is given as it says. Begin may come from any goroutine.
+// together: each call but Accept and Begin changes the one it is given as it says. Begin may come from any goroutine.
 type Journal interface {
 	Entries() []*journal.Entry
-	Take(e *journal.Entry) error
+	Accept(e *journal.Entry) error
 	Begin(all []*journal.Entry) bool
-	Start(e *journal.Entry, at time.Time, destination string)
-	Outcome(e *journal.Entry, neverRan bool)
+	Schedule(e *journal.Entry, at time.Time, destination string)
+	EndAttempt(e *journal.Entry, neverRan bool)
 	End(e *journal.Entry)
-	Owe(e *journal.Entry, n journal.Notice)
+	EndWithNotice(e *journal.Entry, n journal.Notice)
 	Ack(e *journal.Entry)
 	Flush() error
 }
--- a/internal/relay/engine/state.go
+++ b/internal/relay/engine/state.go
@@ -17,7 +17,7 @@
 	x := &capture.Core{Events: slices.Clone(c.in), LastNo: c.lastNo, LastRef: c.lastRef, LastStep: c.lastStep, Handed: c.handed,
 		WakeAt: c.stamp(c.wakeAt), WatchAt: c.stamp(c.watchAt), DrainAt: c.stamp(c.drainAt), HouseAt: c.stamp(c.houseAt), Stand: c.gov, Ended: c.ended.state(c)}
 	for _, f := range c.order {
-		x.Fronts = append(x.Fronts, capture.FrontState{Name: f.name, Tells: f.Front.TellsDeliveries(), List: slices.Sorted(maps.Values(f.list)),
+		x.Fronts = append(x.Fronts, capture.FrontState{Name: f.name, Tells: f.Front.NotifiesDeliveries(), List: slices.Sorted(maps.Values(f.list)),
 			Index: f.index, WatchNo: f.watchNo, ToldBy: f.toldBy, Watching: f.unwatch != nil, Owed: refs(f.owed), Sending: refs(f.sending),
 			Calling: f.unsend != nil, Away: f.away, RetryAt: c.stamp(f.retryAt), Gap: f.gap})
 	}
@@ -37,20 +37,20 @@
 	for _, ref := range slices.Sorted(maps.Keys(c.msgs)) {
 		m := c.msgs[ref]
 		e := m.e
-		h := capture.HeldState{Ref: ref, Front: m.front.no, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
-			Deadline: e.Deadline.Sub(c.base) + clockStart, Again: e.Again, Size: len(e.Body), Headers: hash(e.Headers), Attempts: e.Attempts, Policy: e.Policy, Allow: e.Allow,
-			Out: e.Out, Ran: e.Ran, RanAt: c.stamp(e.RanAt), RanIn: e.RanIn, LastAt: c.stamp(e.LastAt), LastIn: e.LastIn,
-			Owed: e.Owed, Delivered: e.Notice.Delivered, HandedBack: e.Notice.HandedBack, Retry: e.Notice.Retry}
+		h := capture.MessageState{Ref: ref, Front: m.front.no, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
+			Deadline: e.Deadline.Sub(c.base) + clockStart, Again: e.Resubmitted, Size: len(e.Body), Headers: hash(e.Headers), Attempts: e.Attempts, Policy: e.PolicyVersion, Allow: e.MaxAttempts,
+			Out: e.InFlight, Ran: e.MayHaveRun, RanAt: c.stamp(e.MayHaveRunAt), RanIn: e.MayHaveRunOn, LastAt: c.stamp(e.LastAttemptAt), LastIn: e.LastAttemptOn,
+			Owed: e.NoticePending, Delivered: e.Notice.Delivered, HandedBack: e.Notice.HandedBack, Retry: e.Notice.RetryAfter}
 		if m.step != nil {
 			h.Step = m.step.no
 		}
 		x.Messages = append(x.Messages, h)
 	}
 	for _, no := range slices.Sorted(maps.Keys(c.out)) {
-		s := capture.StepState{No: no, To: c.out[no].To.no}
+		s := capture.AttemptState{No: no, To: c.out[no].To.no}
 		if i := slices.Index(c.stalled, c.out[no]); i >= 0 {
 			s.Waits, s.At, s.For = i+1, c.stamp(c.stalled[i].at), c.stalled[i].Timeout
-			s.Before, s.From = c.stamp(c.stalled[i].Before), c.stamp(c.stalled[i].from)
+			s.Before, s.From = c.stamp(c.stalled[i].WriteBefore), c.stamp(c.stalled[i].from)
 			s.Off = c.stalled[i].begun.Load() == 2
 		}
 		for _, it := range c.out[no].Items {
@@ -109,9 +109,9 @@
 			c.order[i].list[c.dests[n].Name] = n
 		}
 	}
-	var waits []capture.StepState // until the relay may act
+	var waits []capture.AttemptState // until the relay may act
 	for _, s := range x.Steps {
-		step := &Attempt{no: s.No, sample: -1, cancel: func() {}}
+		step := &Attempt{no: s.No, sampleBytes: -1, cancel: func() {}}
 		if d := c.dests[s.To]; d != nil {
 			step.To = *d
 		} else {
@@ -122,14 +122,14 @@
 		}
 		c.out[s.No] = step
 		if s.Waits > 0 {
-			step.at, step.Timeout, step.Before, step.from = c.at(s.At), s.For, c.at(s.Before), c.at(s.From)
+			step.at, step.Timeout, step.WriteBefore, step.from = c.at(s.At), s.For, c.at(s.Before), c.at(s.From)
 			if s.Off {
 				step.begun.Store(2)
 			}
 			waits = append(waits, s)
 		}
 	}
-	slices.SortFunc(waits, func(a, b capture.StepState) int { return cmp.Compare(a.Waits, b.Waits) })
+	slices.SortFunc(waits, func(a, b capture.AttemptState) int { return cmp.Compare(a.Waits, b.Waits) })
 	for _, s := range waits {
 		c.stall(c.out[s.No])
 	}
@@ -139,9 +139,9 @@
 	}
 	for _, h := range x.Messages {
 		e := &journal.Entry{ID: h.ID, Key: blank(h.KeySize), Front: c.order[h.Front].name, Destination: h.Partner, Class: h.Class, Tenant: h.Tenant,
-			Deadline: c.at(h.Deadline), Again: h.Again, Body: []byte(blank(h.Size)), Headers: unhash(h.Headers), Attempts: h.Attempts, Policy: h.Policy, Allow: h.Allow, Out: h.Out,
-			Ran: h.Ran, RanAt: c.at(h.RanAt), RanIn: h.RanIn, LastAt: c.at(h.LastAt), LastIn: h.LastIn,
-			Owed: h.Owed, Notice: journal.Notice{Delivered: h.Delivered, HandedBack: h.HandedBack, Retry: h.Retry}}
+			Deadline: c.at(h.Deadline), Resubmitted: h.Again, Body: []byte(blank(h.Size)), Headers: unhash(h.Headers), Attempts: h.Attempts, PolicyVersion: h.Policy, MaxAttempts: h.Allow, InFlight: h.Out,
+			MayHaveRun: h.Ran, MayHaveRunAt: c.at(h.RanAt), MayHaveRunOn: h.RanIn, LastAttemptAt: c.at(h.LastAt), LastAttemptOn: h.LastIn,
+			NoticePending: h.Owed, Notice: journal.Notice{Delivered: h.Delivered, HandedBack: h.HandedBack, RetryAfter: h.Retry}}
 		m := &message{ref: h.Ref, front: c.order[h.Front], e: e, step: c.out[h.Step]}
 		c.msgs[m.ref], c.byID[m.front.name+" "+e.ID] = m, m
 	}
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -45,7 +45,7 @@
 	if now.Sub(c.houseAt) > time.Second {
 		c.houseAt = now
 		for _, f := range c.order {
-			f.Front.Retire(nil)
+			f.Front.CloseIdle(nil)
 		}
 		c.forgetGone(now)
 	}
@@ -73,12 +73,12 @@
 		case control.Cancel:
 			if m != nil && m.step != nil {
 				m.step.cancel()
-				c.did(capture.Deed{Kind: capture.Called, No: m.step.no})
+				c.did(capture.Action{Kind: capture.Called, No: m.step.no})
 			}
 		case control.Recall:
 			if m != nil && m.step != nil {
 				m.step.recall()
-				c.did(capture.Deed{Kind: capture.Back, No: m.step.no})
+				c.did(capture.Action{Kind: capture.Back, No: m.step.no})
 			}
 		case control.Wake:
 			at := c.base.Add(a.At - clockStart)
@@ -113,23 +113,23 @@
 		step := open[s.a.Endpoint]
 		if step == nil || !c.joins(step, s.m) {
 			c.lastStep++
-			step = &Attempt{no: c.lastStep, To: *d, Timeout: s.a.For, sample: -1, at: now, cancel: func() {}}
+			step = &Attempt{no: c.lastStep, To: *d, Timeout: s.a.For, sampleBytes: -1, at: now, cancel: func() {}}
 			steps = append(steps, step)
 			if open == nil {
 				open = map[uint32]*Attempt{}
 			}
 			open[s.a.Endpoint] = step
 		}
-		c.jour.Start(s.m.e, now, d.Name)
+		c.jour.Schedule(s.m.e, now, d.Name)
 		if s.m.e.Attempts > 1 {
 			c.count(s.m.e.Class, s.m.e.Tenant, s.m.e.Destination, countRepeats)
 		}
 		c.log.Debug("route step", "id", s.m.e.ID, "class", s.m.e.Class, "attempt", s.m.e.Attempts-1, "destination", d.Name,
 			"within", s.a.For)
 		step.Timeout = min(step.Timeout, s.a.For)
-		if k := &c.set.Classes[s.m.e.Class]; s.m.e.Ran && k.Effect == control.Keyed {
-			if end := s.m.e.RanAt.Add(k.Memory - c.lim.WindowMargin/2); step.Before.IsZero() || end.Before(step.Before) {
-				step.Before = end
+		if k := &c.set.Classes[s.m.e.Class]; s.m.e.MayHaveRun && k.Effect == control.Keyed {
+			if end := s.m.e.MayHaveRunAt.Add(k.Memory - c.lim.WindowMargin/2); step.WriteBefore.IsZero() || end.Before(step.WriteBefore) {
+				step.WriteBefore = end
 			}
 		}
 		step.Items = append(step.Items, Item{ID: s.m.e.ID, Key: s.m.e.Key, Class: s.m.e.Class, Body: s.m.e.Body,
@@ -158,13 +158,13 @@
 func (c *Core) end(m *message, a control.Action) {
 	if m.reply != nil { // in the turn of its arrival: a plain answer will do, and nothing is taken on
 		if m.busy = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
-			m.busy = &Reply{Verdict: Busy, Retry: a.For}
+			m.busy = &Reply{Verdict: Busy, RetryAfter: a.For}
 		}
 		return
 	}
-	n := journal.Notice{HandedBack: a.Kind == control.Refuse, Retry: a.For}
+	n := journal.Notice{HandedBack: a.Kind == control.Refuse, RetryAfter: a.For}
 	c.owe(m, n)
-	c.jour.Owe(m.e, n)
+	c.jour.EndWithNotice(m.e, n)
 	if n.HandedBack {
 		c.tell(m, "handed_back")
 	} else {
@@ -174,16 +174,16 @@
 
 func (c *Core) owe(m *message, n journal.Notice) {
 	c.owed++
-	m.e.Owed, m.e.Notice = true, n
+	m.e.NoticePending, m.e.Notice = true, n
 	m.front.owed = append(m.front.owed, m.notice())
 }
 
 // notice is what is owed of a message that has ended.
 func (m *message) notice() Notice {
-	n := Notice{ID: m.e.ID, Delivered: m.e.Notice.Delivered, HandedBack: m.e.Notice.HandedBack, Retry: m.e.Notice.Retry,
+	n := Notice{ID: m.e.ID, Delivered: m.e.Notice.Delivered, HandedBack: m.e.Notice.HandedBack, RetryAfter: m.e.Notice.RetryAfter,
 		Class: m.e.Class, Deadline: m.e.Deadline, Body: m.e.Body, ref: m.ref}
-	if m.e.Ran {
-		n.RanAt = m.e.RanAt
+	if m.e.MayHaveRun {
+		n.MayHaveRunAt = m.e.MayHaveRunAt
 	}
 	return n
 }
@@ -199,7 +199,7 @@
 	c.count(m.e.Class, m.e.Tenant, m.e.Destination, how)
 	if c.spect != nil {
 		c.tellers = append(c.tellers, func() {
-			c.spect.Ended(m.front.name, End{m.e.ID, m.e.Key, m.e.Destination, m.e.Class, how})
+			c.spect.OnEnd(m.front.name, End{m.e.ID, m.e.Key, m.e.Destination, m.e.Class, how})
 		})
 	}
 }
@@ -209,14 +209,14 @@
 func (c *Core) answer() {
 	for i, m := range c.arrived {
 		if m.busy == nil {
-			err := c.jour.Take(m.e)
+			err := c.jour.Accept(m.e)
 			if err == nil {
 				continue
 			} else if !errors.Is(err, journal.ErrFull) {
 				c.log.Error("journal", "error", err)
 			}
 			c.input.Full = append(c.input.Full, i)
-			m.busy = &Reply{Verdict: Busy, Retry: c.lim.BusyRetry}
+			m.busy = &Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
 			c.in = append(c.in, control.Event{Kind: control.Gone, ID: m.ref}) // the module learns of it next turn
 		}
 		c.drop(m)
@@ -240,10 +240,10 @@
 		case m.busy != nil:
 			c.tellClient(m.reply, m.hand, *m.busy)
 		case err != nil: // not on disk: not taken on
-			c.tellClient(m.reply, m.hand, Reply{Verdict: Busy, Retry: c.lim.BusyRetry})
+			c.tellClient(m.reply, m.hand, Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry})
 			c.withdraw(m)
 		default:
-			c.tellClient(m.reply, m.hand, Reply{Verdict: Taken, ref: m.ref})
+			c.tellClient(m.reply, m.hand, Reply{Verdict: Accepted, ref: m.ref})
 		}
 		m.reply = nil
 	}
@@ -271,7 +271,7 @@
 	c.bind(s)
 	if c.spect != nil {
 		for i := range s.Items {
-			s.sample = max(s.sample, c.spect.Sample(s.To.front.name, s.To.Partner, s.Items[i].Class))
+			s.sampleBytes = max(s.sampleBytes, c.spect.SampleBytes(s.To.front.name, s.To.Partner, s.Items[i].Class))
 		}
 	}
 	var all []*journal.Entry
@@ -283,8 +283,8 @@
 	s.begin = func() bool { return c.jour.Begin(all) }
 	c.didBegin(s)
 	s.cancel = c.shell.Call(s.To.front.Front, s, s.at.Add(s.Timeout), func(outs []Outcome) {
-		if s.seen != nil { // an answer that came whole
-			c.spect.Answered(s.To.front.name, s, outs)
+		if s.sampled != nil { // an answer that came whole
+			c.spect.OnAnswer(s.To.front.name, s, outs)
 		}
 		c.queue <- stepEnded{s, outs}
 	})
@@ -293,11 +293,11 @@
 // tellClient answers a client.
 func (c *Core) tellClient(to chan<- Reply, hand uint64, r Reply) {
 	to <- r
-	c.did(capture.Deed{Kind: capture.Replied, No: hand, For: r.Retry, Verdict: uint8(r.Verdict)})
+	c.did(capture.Action{Kind: capture.Replied, No: hand, For: r.RetryAfter, Verdict: uint8(r.Verdict)})
 }
 
 // retire closes the idle connections to a destination.
 func (c *Core) retire(d *Destination) {
-	d.front.Front.Retire(d)
-	c.did(capture.Deed{Kind: capture.Retired, To: d.no})
+	d.front.Front.CloseIdle(d)
+	c.did(capture.Action{Kind: capture.Retired, To: d.no})
 }
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -132,8 +132,8 @@
 }
 
 // Stand is what the core is told: the document laid over the relay's own file.
-func (r *Rules) Stand(s node.Stand) (capture.Stand, error) {
-	out := capture.Stand{Version: s.Version, Halted: s.Halted}
+func (r *Rules) Stand(s node.Stand) (capture.Mandate, error) {
+	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &r.cfg.Settings
 	for i := range set.Classes {
 		out.Worth = append(out.Worth, set.Classes[i].Worth)
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -14,8 +14,8 @@
 
 // Core is what a fleet's part has to do with its relay's core, where the fleet shares limits.
 type Core interface {
-	Look(tell func([]engine.Sight, map[string]uint64))
-	Lend(s control.Shared, until time.Time, done func())
+	Observe(tell func([]engine.Observation, map[string]uint64))
+	GrantQuota(s control.Shared, until time.Time, done func())
 }
 
 // sight is how a key stands at this relay.
@@ -30,7 +30,7 @@
 
 // look asks the core what it needs. The answer comes with an event, or not at all where this relay can't keep up.
 func (f *Fleet) look() {
-	f.core.Look(func(all []engine.Sight, counted map[string]uint64) {
+	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
 		needs, sights := needs(all)
 		f.sights.Store(&sights)
 		counts := make(map[quota.Key]uint64, len(counted))
@@ -49,7 +49,7 @@
 }
 
 // needs is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
-func needs(all []engine.Sight) ([]quota.Need, map[quota.Key]sight) {
+func needs(all []engine.Observation) ([]quota.Need, map[quota.Key]sight) {
 	list, sights := make([]quota.Need, 0, len(all)), make(map[quota.Key]sight, len(all))
 	for _, s := range all {
 		n := quota.Need{Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
@@ -109,10 +109,10 @@
 	}
 	out := shared(s, sights, f.now()-f.lentAt)
 	if f.halted {
-		out = engine.Resting(out)
+		out = engine.WithoutLease(out)
 	}
 	goes := [2]uint64{s.By, s.No}
-	f.core.Lend(out, Times{f.begun}.At(s.Until), func() { f.tell(node.Event{Goes: &goes}) })
+	f.core.GrantQuota(out, Times{f.begun}.At(s.Until), func() { f.tell(node.Event{Goes: &goes}) })
 }
 
 // shared is what a relay was lent some time ago, as its core is told it.
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -17,9 +17,9 @@
 	told []any
 }
 
-func (w *wordsToCore) Look(func([]engine.Sight, map[string]uint64)) {}
+func (w *wordsToCore) Observe(func([]engine.Observation, map[string]uint64)) {}
 
-func (w *wordsToCore) Lend(s control.Shared, _ time.Time, done func()) {
+func (w *wordsToCore) GrantQuota(s control.Shared, _ time.Time, done func()) {
 	w.told = append(w.told, s)
 	done()
 }
@@ -44,7 +44,7 @@
 	spends := func(floor, extra float64, stays bool) control.Shared {
 		return control.Shared{Floor: floor, Stays: stays, Rights: []control.Right{{Endpoint: 7, Extra: extra}}}
 	}
-	resting := engine.Resting(spends(0, 0, false))
+	resting := engine.WithoutLease(spends(0, 0, false))
 
 	// When
 	f.stands(node.Stand{Version: 1})
--- a/internal/relay/journal/journal.go
+++ b/internal/relay/journal/journal.go
@@ -16,82 +16,82 @@
 
 // Entry is one message that is not over, as the log tells it.
 type Entry struct {
-	Seq         uint64 // its number in this log
-	ID, Key     string
-	Front       string // which front took it on
-	Destination int
-	Class       int
-	Tenant      int // below 0: nobody's
-	Deadline    time.Time
-	Again       bool
-	Body        []byte
-	Headers     []string // that go out with it, names and values in turn
-	Policy      uint64   // version of the fleet's policy under which it was taken on; 0: none
-	Allow       int      // attempts that it may have by that; 0: what the settings allow
-
-	Attempts int       // decided so far, and once the process has ended those that were begun
-	Out      bool      // the last of them has no outcome
-	Ran      bool      // one of them may have run
-	RanAt    time.Time // when the first such began
-	RanIn    string    // the destination it went to
-	LastAt   time.Time // when the last attempt began, and where to
-	LastIn   string
-
-	Owed   bool // it has ended, and the notice is still owed
-	Notice Notice
-
-	begun int // the attempt that the log tells of last; under the log's lock
+	Seq           uint64 // its number in this log
+	ID, Key       string
+	Front         string // which front took it on
+	Destination   int
+	Class         int
+	Tenant        int // below 0: nobody's
+	Deadline      time.Time
+	Resubmitted   bool
+	Body          []byte
+	Headers       []string // that go out with it, names and values in turn
+	PolicyVersion uint64   // version of the fleet's policy under which it was taken on; 0: none
+	MaxAttempts   int      // attempts that it may have by that; 0: what the settings allow
+
+	Attempts      int       // decided so far, and once the process has ended those that were begun
+	InFlight      bool      // the last of them has no outcome
+	MayHaveRun    bool      // one of them may have run
+	MayHaveRunAt  time.Time // when the first such began
+	MayHaveRunOn  string    // the destination it went to
+	LastAttemptAt time.Time // when the last attempt began, and where to
+	LastAttemptOn string
+
+	NoticePending bool // it has ended, and the notice is still owed
+	Notice        Notice
+
+	loggedAttempts int // the attempt that the log tells of last; under the log's lock
 }
 
 // Notice is how a message ended that was not delivered.
 type Notice struct {
 	Delivered  bool // for fronts that are told of deliveries too
 	HandedBack bool // its client may hand it in again
-	Retry      time.Duration
+	RetryAfter time.Duration
 }
 
 // ErrFull is returned where the folder has no room for a new message.
 var ErrFull = errors.New("journal: no room for a new message")
 
 const (
-	recTaken byte = iota + 1
-	recStarted
-	recOutcome
-	recEnded
-	recOwed
-	recAcked
+	recordAccepted byte = iota + 1
+	recordBegun
+	recordOutcome
+	recordEnded
+	recordNotice
+	recordAcked
 
 	frameHead  = 8 // length, checksum
 	maxPayload = 1 << 20
 	logName    = "journal.log"
 	nextName   = "journal.next"
-	block      = 512 // files count in whole blocks
+	blockSize  = 512 // files count in whole blocks
 	// A live message is charged for what it may come to in a new file beside its texts: two attempts, with the
 	// names of their destinations, their outcomes and its end.
-	reserve = 384
+	messageReserve = 384
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Log is an open journal. Begin may be called by any goroutine, all else by one at a time.
 type Log struct {
-	dir  string
-	disk int64 // bytes that the folder may hold
-
-	mu     sync.Mutex // over the file and what it holds
-	f      *os.File   // nil: closed
-	size   int64      // of the file
-	base   int64      // of the file when it was last compacted
-	live   int64      // what the messages that are not over may come to in a new file
-	behind bool       // the file lacks what the state holds, or ends in a torn record: only a new file will do
-	buf    []byte
-	open   map[uint64]*Entry
-	last   uint64
+	dir      string
+	maxBytes int64 // bytes that the folder may hold
+
+	mu            sync.Mutex // guards the file and what it holds
+	file          *os.File   // nil: closed
+	size          int64      // of the file
+	compactedSize int64      // of the file when it was last compacted
+	liveBytes     int64      // what the messages that are not over may come to in a new file
+	mustCompact   bool       // the file lacks what the state holds, or ends in a torn record: only a new file will do
+	buf           []byte
+	entries       map[uint64]*Entry
+	lastSeq       uint64
 }
 
 // Open reads the log in dir, drops a torn tail, and compacts it.
 func Open(dir string, disk int64) (*Log, error) {
-	l := &Log{dir: dir, disk: disk, open: map[uint64]*Entry{}}
+	l := &Log{dir: dir, maxBytes: disk, entries: map[uint64]*Entry{}}
 	data, err := os.ReadFile(filepath.Join(dir, logName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -108,12 +108,12 @@
 func (l *Log) Entries() []*Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.entries()
+	return l.sortedEntries()
 }
 
-func (l *Log) entries() []*Entry {
+func (l *Log) sortedEntries() []*Entry {
 	var all []*Entry
-	for _, e := range l.open {
+	for _, e := range l.entries {
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *Entry) int {
@@ -135,7 +135,7 @@
 			break
 		}
 		payload := data[at+frameHead : at+frameHead+n]
-		if crc32.Checksum(payload, table) != binary.LittleEndian.Uint32(data[at+4:]) || !l.apply(payload) {
+		if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[at+4:]) || !l.apply(payload) {
 			break
 		}
 		at += frameHead + n
@@ -147,11 +147,11 @@
 func (l *Log) apply(payload []byte) bool {
 	r := &decoder{b: payload[1:]}
 	seq := r.uint()
-	e := l.open[seq]
+	e := l.entries[seq]
 	switch payload[0] {
-	case recTaken:
+	case recordAccepted:
 		e = &Entry{Seq: seq, ID: r.text(), Key: r.text(), Front: r.text(), Destination: int(r.uint()),
-			Class: int(r.uint()), Deadline: r.time(), Again: r.uint() == 1, Body: []byte(r.text())}
+			Class: int(r.uint()), Deadline: r.time(), Resubmitted: r.uint() == 1, Body: []byte(r.text())}
 		if len(r.b) > 0 { // the log of an older version has none
 			for n := r.uint(); n > 0 && !r.bad; n-- {
 				e.Headers = append(e.Headers, r.text())
@@ -161,94 +161,96 @@
 			e.Tenant = int(r.uint()) - 1
 		}
 		if len(r.b) > 0 { // only in a fleet
-			e.Policy, e.Allow = r.uint(), int(r.uint())
+			e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())
 		}
 		if !r.bad {
-			l.open[seq], l.last = e, max(l.last, seq)
-			l.live += e.cost()
+			l.entries[seq], l.lastSeq = e, max(l.lastSeq, seq)
+			l.liveBytes += e.cost()
 		}
-	case recStarted:
+	case recordBegun:
 		if n, at, in := r.uint(), r.time(), r.text(); e != nil && !r.bad {
-			e.Attempts, e.Out, e.LastAt, e.LastIn, e.begun = int(n), true, at, in, int(n)
+			e.Attempts, e.InFlight, e.LastAttemptAt, e.LastAttemptOn, e.loggedAttempts = int(n), true, at, in, int(n)
 		}
-	case recOutcome:
+	case recordOutcome:
 		if neverRan := r.uint() == 1; e != nil && !r.bad {
-			e.settle(neverRan)
+			e.endAttempt(neverRan)
 		}
-	case recEnded, recAcked:
+	case recordEnded, recordAcked:
 		if e != nil {
-			l.live -= e.cost()
-			delete(l.open, seq)
+			l.liveBytes -= e.cost()
+			delete(l.entries, seq)
 		}
-	case recOwed:
+	case recordNotice:
 		if flags, retry := r.uint(), r.uint(); e != nil && !r.bad {
-			e.Owed, e.Notice = true, Notice{Delivered: flags&2 != 0, HandedBack: flags&1 != 0,
-				Retry: time.Duration(retry) * time.Millisecond}
+			e.NoticePending, e.Notice = true, Notice{Delivered: flags&2 != 0, HandedBack: flags&1 != 0,
+				RetryAfter: time.Duration(retry) * time.Millisecond}
 		}
 	default: // of a later version: skipped
 	}
 	return !r.bad
 }
 
-func (e *Entry) start(at time.Time, destination string) {
+func (e *Entry) scheduleAttempt(at time.Time, destination string) {
 	e.Attempts++
-	e.Out, e.LastAt, e.LastIn = true, at, destination
+	e.InFlight, e.LastAttemptAt, e.LastAttemptOn = true, at, destination
 }
 
-func (e *Entry) settle(neverRan bool) {
-	if e.Out = false; !neverRan && !e.Ran {
-		e.Ran, e.RanAt, e.RanIn = true, e.LastAt, e.LastIn
+func (e *Entry) endAttempt(neverRan bool) {
+	if e.InFlight = false; !neverRan && !e.MayHaveRun {
+		e.MayHaveRun, e.MayHaveRunAt, e.MayHaveRunOn = true, e.LastAttemptAt, e.LastAttemptOn
 	}
 }
 
 func (e *Entry) cost() int64 {
-	n := reserve + len(e.ID) + len(e.Key) + len(e.Front) + len(e.Body)
+	n := messageReserve + len(e.ID) + len(e.Key) + len(e.Front) + len(e.Body)
 	for _, h := range e.Headers {
 		n += len(h) + binary.MaxVarintLen16
 	}
 	return int64(n)
 }
 
-// Take notes a message that is taken on, if there is room for it and what it will still need, also while the
+// Accept notes a message that is taken on, if there is room for it and what it will still need, also while the
 // log is compacted, when the old file and the new one both stand.
-func (l *Log) Take(e *Entry) error {
+func (l *Log) Accept(e *Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if 2*(l.live+e.cost())+64*block > l.disk*8/10 {
+	if 2*(l.liveBytes+e.cost())+64*blockSize > l.maxBytes*8/10 {
 		return ErrFull
 	}
-	l.last++
-	e.Seq = l.last
-	l.open[e.Seq] = e
-	l.live += e.cost()
-	l.taken(e)
+	l.lastSeq++
+	e.Seq = l.lastSeq
+	l.entries[e.Seq] = e
+	l.liveBytes += e.cost()
+	l.appendAccepted(e)
 	return nil
 }
 
-func (l *Log) taken(e *Entry) {
+func (l *Log) appendAccepted(e *Entry) {
 	again := uint64(0)
-	if e.Again {
+	if e.Resubmitted {
 		again = 1
 	}
-	l.record(recTaken, e.Seq, func(b []byte) []byte {
-		b = text(text(text(b, e.ID), e.Key), e.Front)
+	l.appendRecord(recordAccepted, e.Seq, func(b []byte) []byte {
+		b = appendText(appendText(appendText(b, e.ID), e.Key), e.Front)
 		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(e.Destination)), uint64(e.Class))
-		b = binary.AppendUvarint(stamp(b, e.Deadline), again)
-		b = binary.AppendUvarint(text(b, string(e.Body)), uint64(len(e.Headers)))
+		b = binary.AppendUvarint(appendTime(b, e.Deadline), again)
+		b = binary.AppendUvarint(appendText(b, string(e.Body)), uint64(len(e.Headers)))
 		for _, h := range e.Headers {
-			b = text(b, h)
+			b = appendText(b, h)
 		}
 		b = binary.AppendUvarint(b, uint64(max(e.Tenant, -1)+1))
-		if e.Policy != 0 || e.Allow != 0 {
-			b = binary.AppendUvarint(binary.AppendUvarint(b, e.Policy), uint64(e.Allow))
+		if e.PolicyVersion != 0 || e.MaxAttempts != 0 {
+			b = binary.AppendUvarint(binary.AppendUvarint(b, e.PolicyVersion), uint64(e.MaxAttempts))
 		}
 		return b
 	})
 }
 
-// Start notes that an attempt at destination has been decided. The log has nothing of it before Begin: one whose connection is
+// Schedule notes that an attempt at destination has been decided. The log has nothing of it before Begin: one whose connection is
 // still coming up when the process ends has never been.
-func (l *Log) Start(e *Entry, at time.Time, destination string) { e.start(at, destination) }
+func (l *Log) Schedule(e *Entry, at time.Time, destination string) {
+	e.scheduleAttempt(at, destination)
+}
 
 // Begin writes that the attempts of these messages that were decided last begin now; false: nothing of them may be written. It
 // is the last that happens before the first byte, on the goroutine that writes it. Messages that are over are left out; where
@@ -259,60 +261,60 @@
 	was := len(l.buf)
 	defer func() { l.buf = l.buf[:was] }() // what the core has noted meanwhile waits for its turn's end
 	for _, e := range all {
-		if l.open[e.Seq] == e {
-			l.started(e, e.Attempts, e.LastAt, e.LastIn)
+		if l.entries[e.Seq] == e {
+			l.appendBegun(e, e.Attempts, e.LastAttemptAt, e.LastAttemptOn)
 		}
 	}
-	if len(l.buf) == was || l.f == nil || l.behind {
+	if len(l.buf) == was || l.file == nil || l.mustCompact {
 		return false
 	}
-	n, err := l.f.Write(l.buf[was:])
+	n, err := l.file.Write(l.buf[was:])
 	l.size += int64(n)
-	if l.behind = err != nil; l.behind {
+	if l.mustCompact = err != nil; l.mustCompact {
 		return false
 	}
 	for _, e := range all {
-		e.begun = e.Attempts
+		e.loggedAttempts = e.Attempts
 	}
 	return true
 }
 
-func (l *Log) started(e *Entry, n int, at time.Time, destination string) {
-	l.record(recStarted, e.Seq, func(b []byte) []byte {
-		return text(stamp(binary.AppendUvarint(b, uint64(n)), at), destination)
+func (l *Log) appendBegun(e *Entry, n int, at time.Time, destination string) {
+	l.appendRecord(recordBegun, e.Seq, func(b []byte) []byte {
+		return appendText(appendTime(binary.AppendUvarint(b, uint64(n)), at), destination)
 	})
 }
 
-// Outcome notes how the last attempt ended, for a message that goes on.
-func (l *Log) Outcome(e *Entry, neverRan bool) {
-	e.settle(neverRan)
+// EndAttempt notes how the last attempt ended, for a message that goes on.
+func (l *Log) EndAttempt(e *Entry, neverRan bool) {
+	e.endAttempt(neverRan)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e.begun == e.Attempts { // otherwise the log knows nothing of that attempt
-		l.outcome(e, neverRan)
+	if e.loggedAttempts == e.Attempts { // otherwise the log knows nothing of that attempt
+		l.appendOutcome(e, neverRan)
 	}
 }
 
-func (l *Log) outcome(e *Entry, neverRan bool) {
+func (l *Log) appendOutcome(e *Entry, neverRan bool) {
 	v := uint64(0)
 	if neverRan {
 		v = 1
 	}
-	l.record(recOutcome, e.Seq, func(b []byte) []byte { return binary.AppendUvarint(b, v) })
+	l.appendRecord(recordOutcome, e.Seq, func(b []byte) []byte { return binary.AppendUvarint(b, v) })
 }
 
 // End notes that a message is over and nothing more is owed.
-func (l *Log) End(e *Entry) { l.over(recEnded, e) }
+func (l *Log) End(e *Entry) { l.appendEnd(recordEnded, e) }
 
-// Owe notes that a message has ended and that a notice of it is owed.
-func (l *Log) Owe(e *Entry, n Notice) {
+// EndWithNotice notes that a message has ended and that a notice of it is owed.
+func (l *Log) EndWithNotice(e *Entry, n Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.Owed, e.Notice = true, n
-	l.owed(e)
+	e.NoticePending, e.Notice = true, n
+	l.appendNotice(e)
 }
 
-func (l *Log) owed(e *Entry) {
+func (l *Log) appendNotice(e *Entry) {
 	flags := uint64(0)
 	if e.Notice.HandedBack {
 		flags |= 1
@@ -320,32 +322,32 @@
 	if e.Notice.Delivered {
 		flags |= 2
 	}
-	l.record(recOwed, e.Seq, func(b []byte) []byte {
-		return binary.AppendUvarint(binary.AppendUvarint(b, flags), uint64(e.Notice.Retry/time.Millisecond))
+	l.appendRecord(recordNotice, e.Seq, func(b []byte) []byte {
+		return binary.AppendUvarint(binary.AppendUvarint(b, flags), uint64(e.Notice.RetryAfter/time.Millisecond))
 	})
 }
 
 // Ack notes that the notice owed has been taken.
-func (l *Log) Ack(e *Entry) { l.over(recAcked, e) }
+func (l *Log) Ack(e *Entry) { l.appendEnd(recordAcked, e) }
 
-func (l *Log) over(code byte, e *Entry) {
+func (l *Log) appendEnd(code byte, e *Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open[e.Seq] == nil {
+	if l.entries[e.Seq] == nil {
 		return
 	}
-	l.live -= e.cost()
-	delete(l.open, e.Seq)
-	l.record(code, e.Seq, func(b []byte) []byte { return b })
+	l.liveBytes -= e.cost()
+	delete(l.entries, e.Seq)
+	l.appendRecord(code, e.Seq, func(b []byte) []byte { return b })
 }
 
-func (l *Log) record(code byte, seq uint64, fields func([]byte) []byte) {
+func (l *Log) appendRecord(code byte, seq uint64, fields func([]byte) []byte) {
 	at := len(l.buf)
 	l.buf = append(l.buf, make([]byte, frameHead)...)
 	l.buf = fields(binary.AppendUvarint(append(l.buf, code), seq))
 	payload := l.buf[at+frameHead:]
 	binary.LittleEndian.PutUint32(l.buf[at:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(payload, table))
+	binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(payload, castagnoli))
 }
 
 // Flush writes what has been noted since the last call; nothing of it may be acted on before. It compacts
@@ -361,10 +363,10 @@
 		return nil
 	}
 	// While compacting, the old file and the new one must both fit.
-	if l.behind || l.size+int64(len(l.buf))+l.live+64*block > l.disk*9/10 || l.size > 2*(l.base+l.live)+256<<10 {
+	if l.mustCompact || l.size+int64(len(l.buf))+l.liveBytes+64*blockSize > l.maxBytes*9/10 || l.size > 2*(l.compactedSize+l.liveBytes)+256<<10 {
 		return l.compact() // the state holds what is in the buffer
 	}
-	n, err := l.f.Write(l.buf)
+	n, err := l.file.Write(l.buf)
 	l.size += int64(n)
 	if err != nil {
 		return l.compact() // a part of a record may stand at the end, behind which nothing would be read again
@@ -376,26 +378,26 @@
 // compact writes what is not over to a new file, which then takes the old one's place in one step. Until it has succeeded
 // nothing may be appended: behind a torn record, or to a file that has lost its name, nothing would be read again.
 func (l *Log) compact() error {
-	l.behind = true
+	l.mustCompact = true
 	l.buf = l.buf[:0]
-	for _, e := range l.entries() {
-		l.taken(e)
-		out := e.Out && e.begun == e.Attempts
-		if e.begun = e.Attempts; e.Out && !out { // decided, and not begun
-			e.begun--
+	for _, e := range l.sortedEntries() {
+		l.appendAccepted(e)
+		out := e.InFlight && e.loggedAttempts == e.Attempts
+		if e.loggedAttempts = e.Attempts; e.InFlight && !out { // decided, and not begun
+			e.loggedAttempts--
 		}
-		if e.Ran {
-			l.started(e, e.begun, e.RanAt, e.RanIn)
-			l.outcome(e, false)
+		if e.MayHaveRun {
+			l.appendBegun(e, e.loggedAttempts, e.MayHaveRunAt, e.MayHaveRunOn)
+			l.appendOutcome(e, false)
 		}
-		if e.begun > 0 && (out || !e.Ran) {
-			l.started(e, e.begun, e.LastAt, e.LastIn)
+		if e.loggedAttempts > 0 && (out || !e.MayHaveRun) {
+			l.appendBegun(e, e.loggedAttempts, e.LastAttemptAt, e.LastAttemptOn)
 			if !out {
-				l.outcome(e, true)
+				l.appendOutcome(e, true)
 			}
 		}
-		if e.Owed {
-			l.owed(e)
+		if e.NoticePending {
+			l.appendNotice(e)
 		}
 	}
 	name := filepath.Join(l.dir, nextName)
@@ -407,14 +409,14 @@
 		l.buf = l.buf[:0]
 		return fmt.Errorf("journal: %w", err)
 	}
-	if l.f != nil {
-		_ = l.f.Close()
+	if l.file != nil {
+		_ = l.file.Close()
 	}
-	l.size, l.base, l.buf = int64(len(l.buf)), int64(len(l.buf)), l.buf[:0]
-	if l.f, err = os.OpenFile(filepath.Join(l.dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
+	l.size, l.compactedSize, l.buf = int64(len(l.buf)), int64(len(l.buf)), l.buf[:0]
+	if l.file, err = os.OpenFile(filepath.Join(l.dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	l.behind = false
+	l.mustCompact = false
 	return nil
 }
 
@@ -423,16 +425,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.flush()
-	if l.f != nil {
-		err = errors.Join(err, l.f.Close())
-		l.f = nil
+	if l.file != nil {
+		err = errors.Join(err, l.file.Close())
+		l.file = nil
 	}
 	return err
 }
 
-func text(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
 
-func stamp(b []byte, t time.Time) []byte { return binary.AppendVarint(b, t.UnixMicro()) }
+func appendTime(b []byte, t time.Time) []byte { return binary.AppendVarint(b, t.UnixMicro()) }
 
 // decoder reads the fields of a payload; bad is set once one is missing.
 type decoder struct {
--- a/internal/relay/journal/journal_test.go
+++ b/internal/relay/journal/journal_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	e := &Entry{ID: id, Key: "k-" + id, Front: "platform", Destination: 7, Class: 1, Deadline: start.Add(time.Second),
 		Body: make([]byte, body)}
-	if err := l.Take(e); err != nil {
+	if err := l.Accept(e); err != nil {
 		t.Fatal(err)
 	}
 	return e
@@ -48,20 +48,20 @@
 	if err := l.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	l.Start(out, start, "a")
+	l.Schedule(out, start, "a")
 	begin(t, l, out)
-	l.Start(refused, start, "a")
+	l.Schedule(refused, start, "a")
 	begin(t, l, refused)
-	l.Outcome(refused, true)
-	l.Start(ran, start, "a")
+	l.EndAttempt(refused, true)
+	l.Schedule(ran, start, "a")
 	begin(t, l, ran)
-	l.Outcome(ran, false)
+	l.EndAttempt(ran, false)
 	_ = l.Flush()
-	l.Start(ran, start.Add(time.Second), "b")
+	l.Schedule(ran, start.Add(time.Second), "b")
 	begin(t, l, ran)
-	l.Owe(owed, Notice{HandedBack: true, Retry: 500 * time.Millisecond})
+	l.EndWithNotice(owed, Notice{HandedBack: true, RetryAfter: 500 * time.Millisecond})
 	l.End(over)
-	l.Owe(acked, Notice{})
+	l.EndWithNotice(acked, Notice{})
 	l.Ack(acked)
 }
 
@@ -99,7 +99,7 @@
 	}
 	most := 0
 	for n := range len(whole) + 1 {
-		torn := &Log{open: map[uint64]*Entry{}}
+		torn := &Log{entries: map[uint64]*Entry{}}
 		at := torn.replay(whole[:n])
 		if at > n || at < most {
 			t.Fatalf("%d bytes of %d are whole, and %d of fewer", at, n, most)
@@ -110,7 +110,7 @@
 		t.Errorf("%d bytes of %d are whole", most, len(whole))
 	}
 	whole[len(whole)/2] ^= 1
-	if at := (&Log{open: map[uint64]*Entry{}}).replay(whole); at > len(whole)/2 {
+	if at := (&Log{entries: map[uint64]*Entry{}}).replay(whole); at > len(whole)/2 {
 		t.Errorf("a damaged record at %d was read past, to %d", len(whole)/2, at)
 	}
 }
@@ -125,7 +125,7 @@
 	full := 0
 	for i := range 5000 {
 		e := &Entry{ID: "m", Front: "platform", Body: make([]byte, i%4000)}
-		if err := l.Take(e); errors.Is(err, ErrFull) {
+		if err := l.Accept(e); errors.Is(err, ErrFull) {
 			full++
 			for _, e := range held[:len(held)/2] {
 				l.End(e)
@@ -134,17 +134,17 @@
 		} else if err != nil {
 			t.Fatal(err)
 		} else {
-			l.Start(e, start, "a")
+			l.Schedule(e, start, "a")
 			held = append(held, e)
 		}
 		before := l.size
 		if err := l.Flush(); err != nil {
 			t.Fatal(err)
 		}
-		if n := len(held); n > 0 && held[n-1].Attempts > held[n-1].begun {
+		if n := len(held); n > 0 && held[n-1].Attempts > held[n-1].loggedAttempts {
 			begin(t, l, held[n-1])
 		}
-		if most := max(before, l.size) + l.live + 2*block; l.size < before && most > disk || l.size > disk {
+		if most := max(before, l.size) + l.liveBytes + 2*blockSize; l.size < before && most > disk || l.size > disk {
 			t.Fatalf("at message %d the folder may have held %d bytes of %d", i, most, disk)
 		}
 	}
@@ -158,7 +158,7 @@
 func TestRoom(t *testing.T) {
 	l := open(t, t.TempDir(), 3<<20)
 	for i := range 1100 {
-		if err := l.Take(&Entry{ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Front: "platform",
+		if err := l.Accept(&Entry{ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Front: "platform",
 			Body: make([]byte, 600)}); err != nil {
 			t.Fatalf("message %d: %v", i, err)
 		}
@@ -173,7 +173,7 @@
 	whole, _ := os.ReadFile(filepath.Join(dir, logName))
 	f.Add(whole)
 	f.Fuzz(func(t *testing.T, in []byte) {
-		l := &Log{open: map[uint64]*Entry{}}
+		l := &Log{entries: map[uint64]*Entry{}}
 		if at := l.replay(in); at > len(in) {
 			t.Errorf("%d bytes of %d were read", at, len(in))
 		}
@@ -188,13 +188,13 @@
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	for _, tenant := range []int{-1, 0, 300} {
-		if err := l.Take(&Entry{ID: "m", Front: "platform", Tenant: tenant}); err != nil {
+		if err := l.Accept(&Entry{ID: "m", Front: "platform", Tenant: tenant}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	old := binary.AppendUvarint(text(text(text(nil, "old"), ""), "platform"), 7) // as it was written before
-	old = binary.AppendUvarint(stamp(binary.AppendUvarint(old, 1), start), 0)
-	l.record(recTaken, 9, func(b []byte) []byte { return text(append(b, old...), "body") })
+	old := binary.AppendUvarint(appendText(appendText(appendText(nil, "old"), ""), "platform"), 7) // as it was written before
+	old = binary.AppendUvarint(appendTime(binary.AppendUvarint(old, 1), start), 0)
+	l.appendRecord(recordAccepted, 9, func(b []byte) []byte { return appendText(append(b, old...), "body") })
 	if err := l.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 	l := open(t, dir, 1<<20)
 	e := &Entry{ID: "m", Front: "platform", Headers: []string{"X-Desk", "sports", "X-Empty", ""}}
 	plain := (&Entry{ID: "m", Front: "platform"}).cost()
-	if err := l.Take(e); err != nil {
+	if err := l.Accept(e); err != nil {
 		t.Fatal(err)
 	}
 	if more := e.cost() - plain; more < int64(len("X-DesksportsX-Empty")) {
@@ -239,14 +239,14 @@
 	if err := l.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	good := l.f
+	good := l.file
 	torn, next := filepath.Join(dir, logName), filepath.Join(dir, nextName)
 	b := take(t, l, "b", 9)
 	if _, err := good.Write(l.buf[:len(l.buf)/2]); err != nil { // what a short write leaves
 		t.Fatal(err)
 	}
 	var err error
-	if l.f, err = os.Open(torn); err != nil { // can't be written to
+	if l.file, err = os.Open(torn); err != nil { // can't be written to
 		t.Fatal(err)
 	}
 	if err := os.MkdirAll(filepath.Join(next, "full"), 0o700); err != nil { // nor can a successor
@@ -258,8 +258,8 @@
 		}
 		l.End(b) // its client was told to come again
 	}
-	_ = l.f.Close()
-	l.f = good
+	_ = l.file.Close()
+	l.file = good
 	if err := os.RemoveAll(next); err != nil {
 		t.Fatal(err)
 	}
@@ -280,23 +280,23 @@
 // whether or not the log was written anew meanwhile.
 func TestBegin(t *testing.T) {
 	ran := func(l *Log, e *Entry) {
-		l.Start(e, start, "a")
+		l.Schedule(e, start, "a")
 		begin(t, l, e)
-		l.Outcome(e, false)
+		l.EndAttempt(e, false)
 		_ = l.Flush()
-		l.Start(e, start.Add(time.Second), "b")
+		l.Schedule(e, start.Add(time.Second), "b")
 	}
 	for _, c := range []struct {
 		name string
 		do   func(l *Log, e *Entry)
 		want Entry
 	}{
-		{"decided", func(l *Log, e *Entry) { l.Start(e, start, "a") }, Entry{}},
-		{"begun", func(l *Log, e *Entry) { l.Start(e, start, "a"); begin(t, l, e) }, Entry{Attempts: 1, Out: true, LastAt: start, LastIn: "a"}},
-		{"called back before it began", func(l *Log, e *Entry) { l.Start(e, start, "a"); l.Outcome(e, true); _ = l.Flush() }, Entry{}},
-		{"decided again after one that may have run", ran, Entry{Attempts: 1, Ran: true, RanAt: start, RanIn: "a", LastAt: start, LastIn: "a"}},
+		{"decided", func(l *Log, e *Entry) { l.Schedule(e, start, "a") }, Entry{}},
+		{"begun", func(l *Log, e *Entry) { l.Schedule(e, start, "a"); begin(t, l, e) }, Entry{Attempts: 1, InFlight: true, LastAttemptAt: start, LastAttemptOn: "a"}},
+		{"called back before it began", func(l *Log, e *Entry) { l.Schedule(e, start, "a"); l.EndAttempt(e, true); _ = l.Flush() }, Entry{}},
+		{"decided again after one that may have run", ran, Entry{Attempts: 1, MayHaveRun: true, MayHaveRunAt: start, MayHaveRunOn: "a", LastAttemptAt: start, LastAttemptOn: "a"}},
 		{"begun again after one that may have run", func(l *Log, e *Entry) { ran(l, e); begin(t, l, e) },
-			Entry{Attempts: 2, Out: true, Ran: true, RanAt: start, RanIn: "a", LastAt: start.Add(time.Second), LastIn: "b"}},
+			Entry{Attempts: 2, InFlight: true, MayHaveRun: true, MayHaveRunAt: start, MayHaveRunOn: "a", LastAttemptAt: start.Add(time.Second), LastAttemptOn: "b"}},
 	} {
 		for _, anew := range []bool{false, true} {
 			dir := t.TempDir()
@@ -310,10 +310,10 @@
 				}
 			}
 			killed := open(t, dir, 1<<20).Entries()[0]
-			all := cmpopts.IgnoreFields(Entry{}, "Seq", "ID", "Key", "Front", "Destination", "Class", "Tenant", "Deadline", "Body", "begun")
+			all := cmpopts.IgnoreFields(Entry{}, "Seq", "ID", "Key", "Front", "Destination", "Class", "Tenant", "Deadline", "Body", "loggedAttempts")
 			want := c.want
-			if anew && !e.Out && !e.Ran { // one that was called back counts in the state, and so in a new file
-				want.Attempts, want.LastAt, want.LastIn = 1, start, "a"
+			if anew && !e.InFlight && !e.MayHaveRun { // one that was called back counts in the state, and so in a new file
+				want.Attempts, want.LastAttemptAt, want.LastAttemptOn = 1, start, "a"
 			}
 			if d := cmp.Diff(&want, killed, all); d != "" {
 				t.Errorf("%s, log written anew %v (-want +got)\n%s", c.name, anew, d)
@@ -329,22 +329,22 @@
 	m, over, other := take(t, l, "m", 9), take(t, l, "over", 9), take(t, l, "other", 9)
 	_ = l.Flush()
 	for _, e := range []*Entry{m, over, other} {
-		l.Start(e, start, "a")
+		l.Schedule(e, start, "a")
 	}
 	if l.End(over); l.Begin([]*Entry{over}) {
 		t.Error("a message that is over begins an attempt")
 	}
 	begin(t, l, over, m) // one call may carry both: the one that is not over counts
-	good := l.f
+	good := l.file
 	var err error
-	if l.f, err = os.Open(filepath.Join(dir, logName)); err != nil { // can't be written to
+	if l.file, err = os.Open(filepath.Join(dir, logName)); err != nil { // can't be written to
 		t.Fatal(err)
 	}
 	if l.Begin([]*Entry{other}) {
 		t.Error("an attempt begins that is not on disk")
 	}
-	_ = l.f.Close()
-	if l.f = good; l.Begin([]*Entry{other}) {
+	_ = l.file.Close()
+	if l.file = good; l.Begin([]*Entry{other}) {
 		t.Error("an attempt begins behind a record that may be torn")
 	}
 	take(t, l, "next", 9)
@@ -360,7 +360,7 @@
 	}
 	var out []string
 	for _, e := range open(t, dir, 1<<20).Entries() {
-		if e.Out {
+		if e.InFlight {
 			out = append(out, e.ID)
 		}
 	}
--- a/internal/relay/journal/stored_format_test.go
+++ b/internal/relay/journal/stored_format_test.go
@@ -15,22 +15,22 @@
 func storedMessages() []*Entry {
 	entry := func(id string, tenant int) *Entry {
 		return &Entry{ID: id, Key: "key-" + id, Front: "platform", Destination: 300, Class: 2, Tenant: tenant,
-			Deadline: time.UnixMicro(4_102_444_800_000_001), Again: true, Body: []byte("body of " + id),
-			Headers: []string{"X-Desk", "sports", "X-Empty", ""}, Policy: 1 << 40, Allow: 3}
+			Deadline: time.UnixMicro(4_102_444_800_000_001), Resubmitted: true, Body: []byte("body of " + id),
+			Headers: []string{"X-Desk", "sports", "X-Empty", ""}, PolicyVersion: 1 << 40, MaxAttempts: 3}
 	}
 	accepted, inFlight, neverRan, ran := entry("accepted", 4), entry("in-flight", 0), entry("never-ran", 300), entry("ran", 1)
 	retried, handedBack, givenUp, delivered := entry("retried", 2), entry("handed-back", 3), entry("given-up", 5), entry("delivered", 6)
 	plain := &Entry{ID: "plain", Front: "activitypub", Tenant: -1, Deadline: start, Body: []byte{}}
 
-	inFlight.Attempts, inFlight.Out, inFlight.LastAt, inFlight.LastIn = 1, true, start.Add(time.Second), "s-1"
-	neverRan.Attempts, neverRan.LastAt, neverRan.LastIn = 1, start.Add(2*time.Second), "s-2"
-	ran.Attempts, ran.Ran, ran.RanAt, ran.RanIn = 1, true, start.Add(3*time.Second), "s-3"
-	ran.LastAt, ran.LastIn = ran.RanAt, ran.RanIn
-	retried.Attempts, retried.Out, retried.Ran, retried.RanAt, retried.RanIn = 2, true, true, start.Add(4*time.Second), "s-4"
-	retried.LastAt, retried.LastIn = start.Add(5*time.Second), "s-5"
-	handedBack.Owed, handedBack.Notice = true, Notice{HandedBack: true, Retry: 500 * time.Millisecond}
-	givenUp.Owed = true
-	delivered.Owed, delivered.Notice = true, Notice{Delivered: true}
+	inFlight.Attempts, inFlight.InFlight, inFlight.LastAttemptAt, inFlight.LastAttemptOn = 1, true, start.Add(time.Second), "s-1"
+	neverRan.Attempts, neverRan.LastAttemptAt, neverRan.LastAttemptOn = 1, start.Add(2*time.Second), "s-2"
+	ran.Attempts, ran.MayHaveRun, ran.MayHaveRunAt, ran.MayHaveRunOn = 1, true, start.Add(3*time.Second), "s-3"
+	ran.LastAttemptAt, ran.LastAttemptOn = ran.MayHaveRunAt, ran.MayHaveRunOn
+	retried.Attempts, retried.InFlight, retried.MayHaveRun, retried.MayHaveRunAt, retried.MayHaveRunOn = 2, true, true, start.Add(4*time.Second), "s-4"
+	retried.LastAttemptAt, retried.LastAttemptOn = start.Add(5*time.Second), "s-5"
+	handedBack.NoticePending, handedBack.Notice = true, Notice{HandedBack: true, RetryAfter: 500 * time.Millisecond}
+	givenUp.NoticePending = true
+	delivered.NoticePending, delivered.Notice = true, Notice{Delivered: true}
 	all := []*Entry{accepted, inFlight, neverRan, ran, retried, handedBack, givenUp, delivered, plain}
 	for i, e := range all {
 		e.Seq = uint64(i + 1)
@@ -42,39 +42,39 @@
 func writeStored(t *testing.T, l *Log) {
 	t.Helper()
 	attempt := func(e *Entry, at time.Time, destination string) {
-		l.Start(e, at, destination)
+		l.Schedule(e, at, destination)
 		begin(t, l, e)
 	}
 	for _, want := range storedMessages() {
 		e := *want
-		e.Attempts, e.Out, e.Ran, e.RanAt, e.RanIn, e.LastAt, e.LastIn = 0, false, false, time.Time{}, "", time.Time{}, ""
-		e.Owed, e.Notice = false, Notice{}
-		if err := l.Take(&e); err != nil {
+		e.Attempts, e.InFlight, e.MayHaveRun, e.MayHaveRunAt, e.MayHaveRunOn, e.LastAttemptAt, e.LastAttemptOn = 0, false, false, time.Time{}, "", time.Time{}, ""
+		e.NoticePending, e.Notice = false, Notice{}
+		if err := l.Accept(&e); err != nil {
 			t.Fatal(err)
 		}
 		if err := l.Flush(); err != nil {
 			t.Fatal(err)
 		}
-		if want.Ran {
-			attempt(&e, want.RanAt, want.RanIn)
-			l.Outcome(&e, false)
+		if want.MayHaveRun {
+			attempt(&e, want.MayHaveRunAt, want.MayHaveRunOn)
+			l.EndAttempt(&e, false)
 			if err := l.Flush(); err != nil { // as a turn does before the next attempt begins
 				t.Fatal(err)
 			}
 		}
-		if want.Out || want.Attempts > 0 && !want.Ran {
-			attempt(&e, want.LastAt, want.LastIn)
+		if want.InFlight || want.Attempts > 0 && !want.MayHaveRun {
+			attempt(&e, want.LastAttemptAt, want.LastAttemptOn)
 		}
-		if want.Attempts > 0 && !want.Ran && !want.Out {
-			l.Outcome(&e, true)
+		if want.Attempts > 0 && !want.MayHaveRun && !want.InFlight {
+			l.EndAttempt(&e, true)
 		}
-		if want.Owed {
-			l.Owe(&e, want.Notice)
+		if want.NoticePending {
+			l.EndWithNotice(&e, want.Notice)
 		}
 	}
 	ended, acknowledged := take(t, l, "ended", 3), take(t, l, "acknowledged", 3)
 	l.End(ended)
-	l.Owe(acknowledged, Notice{})
+	l.EndWithNotice(acknowledged, Notice{})
 	l.Ack(acknowledged)
 	if err := l.Flush(); err != nil {
 		t.Fatal(err)
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -53,14 +53,14 @@
 // Move takes discovery to be at address from now on.
 func (f *Front) Move(address string) {
 	f.discovery.Store(&address)
-	f.core.Moved(Name)
+	f.core.DiscoveryMoved(Name)
 }
 
-// TellsDeliveries is false: the platform counts the deliveries itself.
-func (f *Front) TellsDeliveries() bool { return false }
+// NotifiesDeliveries is false: the platform counts the deliveries itself.
+func (f *Front) NotifiesDeliveries() bool { return false }
 
-// Retire closes idle connections.
-func (f *Front) Retire(to *engine.Destination) { f.pool.Retire(peer(to)) }
+// CloseIdle closes idle connections.
+func (f *Front) CloseIdle(to *engine.Destination) { f.pool.Retire(peer(to)) }
 
 func peer(to *engine.Destination) httpwire.Peer {
 	if to == nil {
@@ -85,14 +85,14 @@
 	if status != 0 {
 		return fault(status, why)
 	}
-	switch r := f.core.Take(Name, m); r.Verdict {
-	case engine.Taken:
+	switch r := f.core.Submit(Name, m); r.Verdict {
+	case engine.Accepted:
 		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
 	case engine.Busy:
-		return BusyReply(r.Retry)
+		return BusyReply(r.RetryAfter)
 	case engine.Rejected:
 		// The message was sound, and others come on this connection too: a plug-in's word on one is not theirs.
-		return httpwire.Answer{Status: cmp.Or(r.Status, 422), Body: []byte(r.Why + "\n"), Prompt: true}
+		return httpwire.Answer{Status: cmp.Or(r.Status, 422), Body: []byte(r.Reason + "\n"), Prompt: true}
 	default:
 		return fault(500, "given up")
 	}
@@ -143,7 +143,7 @@
 	if m.Partner < 0 {
 		return m, 400, "X-Envelope names no dest"
 	}
-	m.Again, m.Header = q.Header.Get("X-Retried") != "", q.Header
+	m.Resubmitted, m.Header = q.Header.Get("X-Retried") != "", q.Header
 	return m, 0, ""
 }
 
@@ -186,7 +186,7 @@
 func (f *Front) Call(ctx context.Context, step *engine.Attempt) []engine.Outcome {
 	outs := make([]engine.Outcome, len(step.Items))
 	stage := f.pool.Do(ctx, peer(&step.To), f.request(step), step.MayWrite, func(p *httpwire.Response) {
-		step.See(p.Status, p.Header, p.Body)
+		step.ObserveAnswer(p.Status, p.Header, p.Body)
 		f.read(p, step, outs)
 	})
 	if r, failed := StageResult(stage); failed {
@@ -222,8 +222,8 @@
 
 func (f *Front) request(step *engine.Attempt) []byte {
 	header := []string{"X-Timeout", strconv.FormatInt(step.Timeout.Milliseconds(), 10) + "m"}
-	if step.Stamp != 0 {
-		header = append(header, "X-Policy-Version", strconv.FormatUint(step.Stamp, 10))
+	if step.PolicyVersion != 0 {
+		header = append(header, "X-Policy-Version", strconv.FormatUint(step.PolicyVersion, 10))
 	}
 	header = append(header, step.Items[0].Headers...) // the same for all of a bulk call
 	if len(step.Items) == 1 {
@@ -255,7 +255,7 @@
 // read turns an answer into an outcome for each item.
 func (f *Front) read(p *httpwire.Response, step *engine.Attempt, outs []engine.Outcome) {
 	var all engine.Outcome
-	all.Wait = RetryAfter(p.Header.Get("Retry-After"))
+	all.RetryAfter = RetryAfter(p.Header.Get("Retry-After"))
 	f.report(p.Header.Get("X-Server-Load"), &all)
 	switch p.Status {
 	case 200:
@@ -264,7 +264,7 @@
 		switch all.Result = control.Full; {
 		case p.Header.Get("X-No-Slot") != "":
 			all.Result = control.Moot
-		case p.Status == 503 && p.Close && p.Fresh && all.Wait == 0:
+		case p.Status == 503 && p.Close && p.Fresh && all.RetryAfter == 0:
 			// The connection itself was turned away: the endpoint holds as many as it takes, idle ones counted. That is no limit on
 			// calls; what helps is to hold none that is not in use.
 			all.Result = control.NoConnection
@@ -272,7 +272,7 @@
 	case 504, 400, 413: // has not run
 		all.Result = control.Moot
 	case 410:
-		all.Result, all.Over = control.Moot, true
+		all.Result, all.Final = control.Moot, true
 	default:
 		all.Result = control.Errored
 	}
@@ -302,7 +302,7 @@
 			case "refused":
 				o.Result = control.Full
 			case "over":
-				o.Result, o.Over = control.Moot, true
+				o.Result, o.Final = control.Moot, true
 			case "spent":
 				o.Result = control.Moot
 			}
@@ -347,7 +347,7 @@
 	for _, n := range notices {
 		body = gjson.AppendJSONString(append(body, `{"message":`...), n.ID)
 		if n.HandedBack {
-			body = fmt.Appendf(body, ",\"outcome\":\"handed_back\",\"retry_in_ms\":%d}\n", n.Retry.Milliseconds())
+			body = fmt.Appendf(body, ",\"outcome\":\"handed_back\",\"retry_in_ms\":%d}\n", n.RetryAfter.Milliseconds())
 		} else {
 			body = append(body, ",\"outcome\":\"given_up\"}\n"...)
 		}
@@ -361,7 +361,7 @@
 
 // ParseEndpointList reads a list in discovery's form.
 func ParseEndpointList(list gjson.Result) engine.EndpointList {
-	p := engine.EndpointList{Index: list.Get("index").Int(), Whole: list.Get("snapshot").Bool()}
+	p := engine.EndpointList{Index: list.Get("index").Int(), Complete: list.Get("snapshot").Bool()}
 	list.Get("endpoints").ForEach(func(_, e gjson.Result) bool {
 		d := engine.Destination{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Partner: int(e.Get("group").Int()), Weight: e.Get("weight").Float()}
@@ -407,7 +407,7 @@
 		}
 		switch entry = bytes.TrimSpace(entry); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return engine.ErrSilent
+			return engine.ErrWatchTimeout
 		case err != nil:
 			return err
 		case len(entry) == 0:
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -149,16 +149,16 @@
 			outs{{Result: control.Delivered, Reported: true, Share: 0.4, Limit: 25}}, false, false},
 		{"with half a report", one, 200, h("X-Server-Load", "TEXT x0=0.4"), "", outs{{Result: control.Delivered, Share: 0.4}}, false, false},
 		{"error", one, 500, nil, "", outs{{Result: control.Errored}}, false, false},
-		{"told to wait", one, 429, h("Retry-After", "0.43"), "", outs{{Result: control.Full, Wait: 430 * time.Millisecond}}, false, false},
+		{"told to wait", one, 429, h("Retry-After", "0.43"), "", outs{{Result: control.Full, RetryAfter: 430 * time.Millisecond}}, false, false},
 		{"shut", one, 503, nil, "", outs{{Result: control.Full}}, false, false},
 		{"no slot", one, 503, h("X-No-Slot", "1"), "", outs{{Result: control.Moot}}, false, false},
 		{"attempts used up", one, 504, nil, "", outs{{Result: control.Moot}}, false, false},
-		{"over", one, 410, nil, "", outs{{Result: control.Moot, Over: true}}, false, false},
+		{"over", one, 410, nil, "", outs{{Result: control.Moot, Final: true}}, false, false},
 		{"all alike", two, 500, nil, "", outs{{Result: control.Errored}, {Result: control.Errored}}, false, false},
 		{"each by itself", two, 200, h("Retry-After", "1"), `[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]`,
-			outs{{Result: control.Full, Wait: time.Second}, {Result: control.Delivered, Wait: time.Second}}, false, false},
+			outs{{Result: control.Full, RetryAfter: time.Second}, {Result: control.Delivered, RetryAfter: time.Second}}, false, false},
 		{"over and spent", two, 200, nil, `[{"id":"a","state":"over"},{"id":"b","state":"spent"}]`,
-			outs{{Result: control.Moot, Over: true}, {Result: control.Moot}}, false, false},
+			outs{{Result: control.Moot, Final: true}, {Result: control.Moot}}, false, false},
 		{"not named: may have run", two, 200, nil, `[{"id":"a","state":"failed"}]`,
 			outs{{Result: control.Errored}, {Result: control.Spoilt}}, false, false},
 		{"broken JSON", two, 200, nil, `[{"id":"a","state":"delivered"},{"id":"b","sta`,
@@ -169,7 +169,7 @@
 			outs{{Result: control.Full, Share: 0.1}}, false, false},
 		{"its connection is turned away", one, 503, nil, "", outs{{Result: control.NoConnection}}, true, false},
 		{"shut, on a connection that was kept", one, 503, nil, "", outs{{Result: control.Full}}, true, true},
-		{"told to wait, and the end", one, 503, h("Retry-After", "1"), "", outs{{Result: control.Full, Wait: time.Second}}, true, false},
+		{"told to wait, and the end", one, 503, h("Retry-After", "1"), "", outs{{Result: control.Full, RetryAfter: time.Second}}, true, false},
 		{"above the limit, and the end", one, 429, nil, "", outs{{Result: control.Full}}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -263,7 +263,7 @@
 	odd := engine.Destination{Name: `s-1 }] "{`, Address: "h:1", Zone: "a", Kind: "m2", Partner: 3}
 	for file, want := range map[string][]engine.EndpointList{
 		"testdata/watch.txt": {{Index: 43, Destinations: []engine.Destination{one, two}}},
-		"testdata/watch-indented.txt": {{Index: 43, Whole: true, Destinations: []engine.Destination{odd}},
+		"testdata/watch-indented.txt": {{Index: 43, Complete: true, Destinations: []engine.Destination{odd}},
 			{Index: 44, Destinations: []engine.Destination{two}}},
 	} {
 		l := wiretest.Listen(t)
@@ -271,7 +271,7 @@
 		done := make(chan bool, 1)
 		go play(t, l, file, done)
 		var got []engine.EndpointList
-		if err := f.Watch(context.Background(), 41, func(p engine.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err, engine.ErrSilent) {
+		if err := f.Watch(context.Background(), 41, func(p engine.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err, engine.ErrWatchTimeout) {
 			t.Errorf("%s: the watch ended with %v", file, err)
 		}
 		<-done
@@ -304,7 +304,7 @@
 			_ = conn.Close()
 		}()
 		err := New(cfg, nil).Watch(t.Context(), 41, func(engine.EndpointList) { t.Errorf("%s: a list is told", name) })
-		if !errors.Is(err, engine.ErrSilent) {
+		if !errors.Is(err, engine.ErrWatchTimeout) {
 			t.Errorf("%s: the watch ends with %v", name, err)
 		}
 		close(ended)
--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -85,6 +85,6 @@
 	m := message("m", 7)
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Arrive("platform", m)
+		h.OnArrival("platform", m)
 	}
 }
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -246,8 +246,8 @@
 	return ""
 }
 
-// Arrive lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as.
-func (h *Host) Arrive(front string, m *engine.Message) engine.Ruling {
+// OnArrival lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as.
+func (h *Host) OnArrival(front string, m *engine.Message) engine.Ruling {
 	g := h.use()
 	if g == nil {
 		return engine.Ruling{}
@@ -263,7 +263,7 @@
 		if c == nil {
 			by = now.Add(h.lim.PluginBudget)
 			c = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
-				ClassName: h.class(m.Class), Again: m.Again, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
+				ClassName: h.class(m.Class), Again: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
 		}
 		// A call of its own for each: one that was left to itself may still read the last.
 		mine := *c
@@ -272,12 +272,12 @@
 		switch {
 		case err != nil && v.cfg.Reject:
 			v.counts.Rejected.Add(1)
-			return engine.Ruling{Verdict: engine.Busy, Why: "plug-in " + v.cfg.Name + " is out of order"}
+			return engine.Ruling{Verdict: engine.Busy, Reason: "plug-in " + v.cfg.Name + " is out of order"}
 		case err != nil:
 			continue
 		case out.Reject:
 			v.counts.Rejected.Add(1)
-			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Why: out.Why}
+			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Reason: out.Why}
 		}
 		c.Shape = out.Shape
 		if out.Body != nil {
@@ -286,7 +286,7 @@
 		}
 	}
 	if c != nil {
-		m.Out = c.Shape
+		m.ExtraHeaders = c.Shape
 	}
 	return engine.Ruling{}
 }
@@ -298,8 +298,8 @@
 	return &rules.Front{Name: front}
 }
 
-// Sample is how many bytes of an answer's body some plug-in wants to see; below 0: none wants to see the answer.
-func (h *Host) Sample(front string, partner, class int) int {
+// SampleBytes is how many bytes of an answer's body some plug-in wants to see; below 0: none wants to see the answer.
+func (h *Host) SampleBytes(front string, partner, class int) int {
 	g := h.now.Load()
 	if g == nil {
 		return -1
@@ -312,9 +312,9 @@
 	return -1
 }
 
-// Answered shows the plug-ins an answer and makes of its outcomes what they may. Of those that nothing may be made
+// OnAnswer shows the plug-ins an answer and makes of its outcomes what they may. Of those that nothing may be made
 // of they hear later.
-func (h *Host) Answered(front string, step *engine.Attempt, outs []engine.Outcome) {
+func (h *Host) OnAnswer(front string, step *engine.Attempt, outs []engine.Outcome) {
 	g := h.use()
 	if g == nil {
 		return
@@ -322,18 +322,18 @@
 	defer h.release(g)
 	by := time.Now().Add(h.lim.PluginBudget)
 	for i := range outs {
-		h.answered(g, front, &step.To, &step.Items[i], step.Seen(), &outs[i], by)
+		h.answered(g, front, &step.To, &step.Items[i], step.SampledAnswer(), &outs[i], by)
 	}
 }
 
-func (h *Host) answered(g *generation, front string, to *engine.Destination, it *engine.Item, seen *engine.Seen,
+func (h *Host) answered(g *generation, front string, to *engine.Destination, it *engine.Item, seen *engine.AnswerSample,
 	o *engine.Outcome, by time.Time) {
 	for _, v := range g.chain {
 		if !v.applies(Answer, front, to.Partner, it.Class) {
 			continue
 		}
 		now := time.Now()
-		a := rules.Answer{Result: o.Result, Wait: o.Wait, Over: o.Over}
+		a := rules.Answer{Result: o.Result, Wait: o.RetryAfter, Over: o.Final}
 		c := &Call{Phase: Answer, Front: front, ID: it.ID, Key: it.Key, Partner: to.Partner, Class: it.Class,
 			ClassName: h.class(it.Class), In: seen.Header, Body: seen.Body, To: to.Name, Status: seen.Status, Answer: a, Now: now}
 		// The least that could be asked for: where that is refused there is nothing to wait for.
@@ -346,12 +346,12 @@
 			continue // an answer is never worse for a plug-in that fails
 		}
 		a, _ = rules.Tighten(a, out.Ask, &h.rules)
-		o.Result, o.Wait = a.Result, a.Wait
+		o.Result, o.RetryAfter = a.Result, a.Wait
 	}
 }
 
-// Ended tells the plug-ins, later, that a message is over.
-func (h *Host) Ended(front string, e engine.End) {
+// OnEnd tells the plug-ins, later, that a message is over.
+func (h *Host) OnEnd(front string, e engine.End) {
 	g := h.use()
 	if g == nil {
 		return
@@ -360,7 +360,7 @@
 	for _, v := range g.chain {
 		if v.applies(End, front, e.Partner, e.Class) {
 			v.later(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
-				ClassName: h.class(e.Class), How: e.How})
+				ClassName: h.class(e.Class), How: e.Result})
 		}
 	}
 }
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -122,9 +122,9 @@
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("bad", c.module, c.keys).with("good", wasmtest.Header("X-Desk", "sports"), "").host()
 			m := message("m", 7)
-			r := h.Arrive("platform", m)
+			r := h.OnArrival("platform", m)
 			if name == "floods" {
-				if r.Verdict != engine.Rejected || len(r.Why) > h.lim.PluginReason {
+				if r.Verdict != engine.Rejected || len(r.Reason) > h.lim.PluginReason {
 					t.Errorf("got %+v", r)
 				}
 				return
@@ -132,7 +132,7 @@
 			if d := cmp.Diff(engine.Ruling{}, r); d != "" {
 				t.Error(d)
 			}
-			if d := cmp.Diff([]string{"X-Desk", "sports"}, m.Out); d != "" {
+			if d := cmp.Diff([]string{"X-Desk", "sports"}, m.ExtraHeaders); d != "" {
 				t.Errorf("the plug-in behind it (-want +got)\n%s", d)
 			}
 			if string(m.Body) != "body" {
@@ -145,7 +145,7 @@
 			if got := h.now.Load().chain[0].counts.Failures.Load(); got != want {
 				t.Errorf("%d failures, want %d", got, want)
 			}
-			if r := h.Arrive("platform", message("n", 8)); r.Verdict != engine.Taken { // on a new instance
+			if r := h.OnArrival("platform", message("n", 8)); r.Verdict != engine.Accepted { // on a new instance
 				t.Errorf("the next message: %+v", r)
 			}
 		})
@@ -155,15 +155,15 @@
 // TestAfterwards: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
 func TestAfterwards(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
-	step := engine.NewStep(engine.Destination{Name: "s-1", Partner: 7}, h.Sample("platform", 7, 0), engine.Item{ID: "m"})
-	step.See(503, nil, nil)
-	outs := []engine.Outcome{{Result: control.Full, Wait: time.Second}}
-	h.Answered("platform", step, outs)
-	if d := cmp.Diff([]engine.Outcome{{Result: control.Full, Wait: time.Second}}, outs); d != "" {
+	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
+	step.ObserveAnswer(503, nil, nil)
+	outs := []engine.Outcome{{Result: control.Full, RetryAfter: time.Second}}
+	h.OnAnswer("platform", step, outs)
+	if d := cmp.Diff([]engine.Outcome{{Result: control.Full, RetryAfter: time.Second}}, outs); d != "" {
 		t.Error(d)
 	}
 	for i := range 3 * h.lim.PluginEnds {
-		h.Ended("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, How: "delivered"})
+		h.OnEnd("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, Result: "delivered"})
 	}
 	if v := h.now.Load().chain[0]; v.counts.Dropped.Load() == 0 {
 		t.Error("ends pile up without bound")
@@ -232,10 +232,10 @@
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("p", c.module, "").host()
 			m := message("m", 7)
-			if r := h.Arrive(c.front, m); r.Verdict != engine.Taken || string(m.Body) != "body" {
+			if r := h.OnArrival(c.front, m); r.Verdict != engine.Accepted || string(m.Body) != "body" {
 				t.Errorf("%+v, body %q", r, m.Body)
 			}
-			if d := cmp.Diff(c.out, m.Out); d != "" {
+			if d := cmp.Diff(c.out, m.ExtraHeaders); d != "" {
 				t.Error(d)
 			}
 			if got := h.now.Load().chain[0].counts.Refused.Load(); (got == 1) != (c.out == nil) {
@@ -256,7 +256,7 @@
 	for text, want := range map[string]string{"brave": "brave", "other": "body"} {
 		h := newSetup(t).with("p", rewrites(text), "").host()
 		m := message("m", 7)
-		h.Arrive("activitypub", m)
+		h.OnArrival("activitypub", m)
 		if string(m.Body) != want {
 			t.Errorf("%q leaves %q, want %q", text, m.Body, want)
 		}
@@ -272,9 +272,9 @@
 	}
 	sets := wasmtest.Header("X-Desk", "sports")
 	a, b := message("a", 7), message("b", 7)
-	newSetup(t).with("set", sets, "").with("remove", removes(), "").host().Arrive("platform", a)
-	newSetup(t).with("remove", removes(), "").with("set", sets, "").host().Arrive("platform", b)
-	if d := cmp.Diff([][]string{nil, {"X-Desk", "sports"}}, [][]string{a.Out, b.Out}, cmp.Transformer("empty", func(s []string) string { return strings.Join(s, ":") })); d != "" {
+	newSetup(t).with("set", sets, "").with("remove", removes(), "").host().OnArrival("platform", a)
+	newSetup(t).with("remove", removes(), "").with("set", sets, "").host().OnArrival("platform", b)
+	if d := cmp.Diff([][]string{nil, {"X-Desk", "sports"}}, [][]string{a.ExtraHeaders, b.ExtraHeaders}, cmp.Transformer("empty", func(s []string) string { return strings.Join(s, ":") })); d != "" {
 		t.Error(d)
 	}
 }
@@ -291,8 +291,8 @@
 	}{{"platform", 7, 1, 2}, {"platform", 9, 1, 2}, {"platform", 8, 1, 0}, {"platform", 7, 0, 0}, {"activitypub", 7, 1, 0}} {
 		m := message("m", c.partner)
 		m.Class = c.class
-		if h.Arrive(c.front, m); len(m.Out) != c.want {
-			t.Errorf("%+v: headers %v", c, m.Out)
+		if h.OnArrival(c.front, m); len(m.ExtraHeaders) != c.want {
+			t.Errorf("%+v: headers %v", c, m.ExtraHeaders)
 		}
 	}
 }
@@ -302,7 +302,7 @@
 	h := newSetup(t).with("p", wasmtest.FailsFor(7), "").host()
 	v := h.now.Load().chain[0]
 	for i := range 50 {
-		h.Arrive("platform", message(fmt.Sprint(i), 7+i%5))
+		h.OnArrival("platform", message(fmt.Sprint(i), 7+i%5))
 	}
 	look := v.gate.Look(time.Now())
 	if n := v.counts.Failures.Load(); n != 3 || look.Open || !cmp.Equal(look.Partners, []int{7}) {
@@ -317,7 +317,7 @@
 func TestThousandth(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.WorksUntil(999), `"instances": 1`).host()
 	for i := range 1500 {
-		h.Arrive("platform", message(fmt.Sprint(i), 7))
+		h.OnArrival("platform", message(fmt.Sprint(i), 7))
 	}
 	if c := &h.now.Load().chain[0].counts; c.Failures.Load() != 1 || c.Calls.Load() != 1500 {
 		t.Errorf("%d calls, %d failures", c.Calls.Load(), c.Failures.Load())
@@ -328,7 +328,7 @@
 func TestOnFailure(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.Traps(1), `"on_failure": "reject"`).host()
 	for range 9 { // also once the breaker is open
-		if r := h.Arrive("platform", message("m", 7)); r.Verdict != engine.Busy {
+		if r := h.OnArrival("platform", message("m", 7)); r.Verdict != engine.Busy {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -342,7 +342,7 @@
 	h := newSetup(t).with("p", wasmtest.LoopsFor(7), `"timeout": "50ms"`).host()
 	var all sync.WaitGroup
 	for i := range 40 {
-		all.Go(func() { h.Arrive("platform", message(fmt.Sprint(i), 7+i%2)) })
+		all.Go(func() { h.OnArrival("platform", message(fmt.Sprint(i), 7+i%2)) })
 	}
 	all.Wait()
 	v := h.now.Load().chain[0]
@@ -366,7 +366,7 @@
 	}
 	defer h.Close()
 	for i := range 20 {
-		h.Arrive("platform", message(fmt.Sprint(i), 7))
+		h.OnArrival("platform", message(fmt.Sprint(i), 7))
 	}
 	if c := &h.now.Load().chain[0].counts; c.Calls.Load() > 5 || c.Skipped.Load() < 15 {
 		t.Errorf("%d calls, %d skipped", c.Calls.Load(), c.Skipped.Load())
@@ -379,7 +379,7 @@
 	s.extra = `, "memory_mb": 3`
 	h := s.host()
 	for i := range 8 {
-		h.Arrive("platform", message(fmt.Sprint(i), i))
+		h.OnArrival("platform", message(fmt.Sprint(i), i))
 	}
 	if n := h.memories.used.Load(); n > 3<<20 || n < 2<<20 {
 		t.Errorf("the instances hold %d bytes of 3 MB", n)
@@ -397,19 +397,19 @@
 		module    []byte
 		out, want engine.Outcome
 	}{
-		"a longer wait":         {wasmtest.Asks(3000, false), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: 3 * time.Second}},
-		"a shorter wait":        {wasmtest.Asks(10, false), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: time.Second}},
+		"a longer wait":         {wasmtest.Asks(3000, false), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: 3 * time.Second}},
+		"a shorter wait":        {wasmtest.Asks(10, false), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: time.Second}},
 		"refused for good":      {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full}, engine.Outcome{Result: control.Rejected}},
-		"but not past a wait":   {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full, Wait: time.Second}, engine.Outcome{Result: control.Full, Wait: time.Second}},
+		"but not past a wait":   {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: time.Second}},
 		"nor what may have run": {wasmtest.Asks(0, true), engine.Outcome{Result: control.Errored}, engine.Outcome{Result: control.Errored}},
 		"nor a delivery":        {wasmtest.Asks(9, true), engine.Outcome{Result: control.Delivered}, engine.Outcome{Result: control.Delivered}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("p", c.module, "").host()
-			step := engine.NewStep(engine.Destination{Partner: 7}, h.Sample("platform", 7, 0), engine.Item{ID: "m"})
-			step.See(503, nil, []byte("full"))
+			step := engine.NewAttempt(engine.Destination{Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
+			step.ObserveAnswer(503, nil, []byte("full"))
 			outs := []engine.Outcome{c.out}
-			h.Answered("platform", step, outs)
+			h.OnAnswer("platform", step, outs)
 			if d := cmp.Diff([]engine.Outcome{c.want}, outs); d != "" {
 				t.Error(d)
 			}
@@ -423,8 +423,8 @@
 	h := s.host()
 	desk := func() string {
 		m := message("m", 7)
-		h.Arrive("platform", m)
-		return strings.Join(m.Out, ":")
+		h.OnArrival("platform", m)
+		return strings.Join(m.ExtraHeaders, ":")
 	}
 	kept := h.now.Load().chain[1]
 	for _, c := range []struct {
@@ -474,13 +474,13 @@
 				default:
 				}
 				m := message(fmt.Sprint(w, i), w)
-				if r := h.Arrive("platform", m); r.Verdict != engine.Taken {
+				if r := h.OnArrival("platform", m); r.Verdict != engine.Accepted {
 					t.Errorf("got %+v", r)
 				}
-				if len(m.Out) == 4 && m.Out[1] != m.Out[3] {
-					t.Errorf("shaped by two generations: %v", m.Out)
+				if len(m.ExtraHeaders) == 4 && m.ExtraHeaders[1] != m.ExtraHeaders[3] {
+					t.Errorf("shaped by two generations: %v", m.ExtraHeaders)
 				}
-				h.Ended("platform", engine.End{ID: m.ID, Partner: w, How: "delivered"})
+				h.OnEnd("platform", engine.End{ID: m.ID, Partner: w, Result: "delivered"})
 			}
 		})
 	}
@@ -495,8 +495,8 @@
 	close(stop)
 	all.Wait()
 	m := message("last", 7)
-	if h.Arrive("platform", m); cmp.Diff([]string{"X-A", "10", "X-B", "10"}, m.Out) != "" {
-		t.Errorf("the last version is not there: %v", m.Out)
+	if h.OnArrival("platform", m); cmp.Diff([]string{"X-A", "10", "X-B", "10"}, m.ExtraHeaders) != "" {
+		t.Errorf("the last version is not there: %v", m.ExtraHeaders)
 	}
 	h.Close()
 	if n := h.memories.used.Load(); n != 0 {
@@ -508,7 +508,7 @@
 func TestStoreLives(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Counts("n"), "")
 	h := s.host()
-	h.Arrive("platform", message("a", 7))
+	h.OnArrival("platform", message("a", 7))
 	_ = os.WriteFile(filepath.Join(s.dir, "p.wasm"), wasmtest.Plugin(1, 1, 1).On("arrival", 0, wasmtest.Const(0)).Bytes(), 0o600)
 	if err := h.Reload(s.config()); err != nil {
 		t.Fatal(err)
@@ -517,14 +517,14 @@
 	if err := h.Reload(s.config()); err != nil {
 		t.Fatal(err)
 	}
-	h.Arrive("platform", message("b", 7))
+	h.OnArrival("platform", message("b", 7))
 	h.Close()
 	again, err := s.open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer again.Close()
-	again.Arrive("platform", message("c", 7))
+	again.OnArrival("platform", message("c", 7))
 	if v, _ := again.stores["p"].Begin(time.Now()).Get("n"); string(v) != "\x03" {
 		t.Errorf("the store holds %q, want 3", v)
 	}
@@ -540,7 +540,7 @@
 	seen := map[string]string{}
 	for i := range 40 {
 		id := fmt.Sprint(i % 10)
-		h.Arrive("platform", message(id, i))
+		h.OnArrival("platform", message(id, i))
 		v, _ := h.stores["p"].Begin(time.Now()).Get("r")
 		if before, ok := seen[id]; ok && before != string(v) {
 			t.Errorf("message %s: %x, then %x", id, before, v)
@@ -556,7 +556,7 @@
 func TestOne(t *testing.T) {
 	h := newSetup(t).with("old", wasmtest.One(1024, 1), "").host()
 	for range 3 {
-		if d := cmp.Diff(engine.Ruling{Verdict: engine.Rejected, Status: 422, Why: "rejected by old"}, h.Arrive("platform", message("m", 7))); d != "" {
+		if d := cmp.Diff(engine.Ruling{Verdict: engine.Rejected, Status: 422, Reason: "rejected by old"}, h.OnArrival("platform", message("m", 7))); d != "" {
 			t.Error(d)
 		}
 	}
@@ -564,7 +564,7 @@
 
 // TestBudget: a plug-in for which none of the client's time is left counts as failed, and is not called.
 func TestBudget(t *testing.T) {
-	for keys, want := range map[string]engine.Verdict{`"on_failure": "pass"`: engine.Taken, `"on_failure": "reject"`: engine.Busy} {
+	for keys, want := range map[string]engine.Verdict{`"on_failure": "pass"`: engine.Accepted, `"on_failure": "reject"`: engine.Busy} {
 		s := newSetup(t).with("p", wasmtest.Header("X-Desk", "sports"), keys)
 		cfg := s.config()
 		cfg.Limits.PluginBudget = time.Nanosecond
@@ -573,8 +573,8 @@
 			t.Fatal(err)
 		}
 		m := message("m", 7)
-		if r := h.Arrive("platform", m); r.Verdict != want || len(m.Out) > 0 {
-			t.Errorf("%s: %+v, headers %v", keys, r, m.Out)
+		if r := h.OnArrival("platform", m); r.Verdict != want || len(m.ExtraHeaders) > 0 {
+			t.Errorf("%s: %+v, headers %v", keys, r, m.ExtraHeaders)
 		}
 		if c := &h.now.Load().chain[0].counts; c.Skipped.Load() != 1 || c.Calls.Load() != 0 {
 			t.Errorf("%s: %d skipped, %d calls", keys, c.Skipped.Load(), c.Calls.Load())
--- a/internal/relay/simulator/fullrelay/whole.go
+++ b/internal/relay/simulator/fullrelay/whole.go
@@ -107,16 +107,16 @@
 		case control.Listed:
 			p.listed(e)
 		case control.Arrived:
-			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Again: e.Again,
+			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Resubmitted: e.Again,
 				Body: []byte("{}")}
 			if e.Ran {
-				m.RanAt = p.at(e.RanAt)
+				m.MayHaveRunAt = p.at(e.RanAt)
 			}
-			arrived = append(arrived, handed{e.ID, p.core.Hand(front, m, p.at(now))})
+			arrived = append(arrived, handed{e.ID, p.core.SubmitAt(front, m, p.at(now))})
 		case control.Resolved:
 			if done := p.calls[e.ID]; done != nil {
 				delete(p.calls, e.ID)
-				done([]engine.Outcome{{Result: e.Result, Wait: e.Wait, Reported: e.Reported, Share: e.Share, Limit: e.Limit}})
+				done([]engine.Outcome{{Result: e.Result, RetryAfter: e.Wait, Reported: e.Reported, Share: e.Share, Limit: e.Limit}})
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 		case r := <-h.reply:
 			switch r.Verdict {
 			case engine.Busy:
-				p.out = append(p.out, control.Action{Kind: control.Refuse, ID: h.id, For: r.Retry})
+				p.out = append(p.out, control.Action{Kind: control.Refuse, ID: h.id, For: r.RetryAfter})
 			case engine.Failed, engine.Rejected:
 				p.out = append(p.out, control.Action{Kind: control.Fail, ID: h.id})
 			}
@@ -135,7 +135,7 @@
 			panic("lab: the core has not answered in the turn of an arrival")
 		}
 	}
-	wake := p.core.Nap(p.at(now))
+	wake := p.core.IdleFor(p.at(now))
 	if p.pending {
 		wake = min(wake, round)
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	p.index++
-	pool := engine.EndpointList{Index: p.index, Whole: e.Whole}
+	pool := engine.EndpointList{Index: p.index, Complete: e.Whole}
 	for _, d := range e.Endpoints {
 		pool.Destinations = append(pool.Destinations, engine.Destination{Name: fmt.Sprint("e", d.ID), Zone: zone(d.Zone), Kind: kind(d.Kind),
 			Partner: d.Destination, State: d.State})
@@ -181,7 +181,7 @@
 		p.told[id] = true
 		a := control.Action{Kind: control.Fail, ID: id}
 		if n.HandedBack {
-			a.Kind, a.For = control.Refuse, n.Retry
+			a.Kind, a.For = control.Refuse, n.RetryAfter
 		}
 		p.out = append(p.out, a)
 	}
@@ -201,6 +201,6 @@
 
 func (nobody) Call(context.Context, *engine.Attempt) []engine.Outcome        { return nil }
 func (nobody) Notify(context.Context, []engine.Notice) []bool                { return nil }
-func (nobody) Retire(*engine.Destination)                                    {}
+func (nobody) CloseIdle(*engine.Destination)                                 {}
 func (nobody) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
-func (nobody) TellsDeliveries() bool                                         { return false }
+func (nobody) NotifiesDeliveries() bool                                      { return false }
