--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -436,9 +436,9 @@
 // begin has a turn taken by a shard and returns its name once that is acknowledged.
 func (c *cluster) begin(shard, number int) string {
 	c.t.Helper()
-	turn := program.BeginTurn{Turn: fmt.Sprintf("turn-%d-%d", shard, number), Program: "p", Budget: 1 << 40, Most: 10, AtMs: c.time().UnixMilli(),
+	turn := program.BeginTurn{Turn: fmt.Sprintf("turn-%d-%d", shard, number), Program: "p", Budget: 1 << 40, MaxTokens: 10, AtMs: c.time().UnixMilli(),
 		Remembered: true, KeepForS: 600, Input: []byte("input")}
-	c.order(shard, program.Command{Begin: &turn}, program.Taken)
+	c.order(shard, program.Command{Begin: &turn}, program.Accepted)
 	return turn.Turn
 }
 
@@ -467,7 +467,7 @@
 func (c *cluster) wantTurns(turns map[string]int) {
 	c.t.Helper()
 	for _, turn := range slices.Sorted(maps.Keys(turns)) {
-		c.order(turns[turn], program.Command{End: &program.EndTurn{Turn: turn, Whole: true, Tokens: 1, AtMs: c.time().UnixMilli()}}, program.Taken)
+		c.order(turns[turn], program.Command{End: &program.EndTurn{Turn: turn, Complete: true, Tokens: 1, AtMs: c.time().UnixMilli()}}, program.Accepted)
 	}
 }
 
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -117,10 +117,10 @@
 	}
 	l.sent++
 	name := fmt.Sprintf("load-%d", l.sent)
-	begin := program.BeginTurn{Turn: name, Program: "p", Budget: 1 << 40, Most: 10, AtMs: l.cluster.time().UnixMilli(), Remembered: true,
+	begin := program.BeginTurn{Turn: name, Program: "p", Budget: 1 << 40, MaxTokens: 10, AtMs: l.cluster.time().UnixMilli(), Remembered: true,
 		KeepForS: 600, Input: []byte(strings.Repeat("x", 400))}
 	owner.ProposeAsync(program.Command{Begin: &begin}, func(answer any, err error) {
-		if result, ok := answer.(program.Result); ok && err == nil && result.Verdict == program.Taken {
+		if result, ok := answer.(program.Result); ok && err == nil && result.Verdict == program.Accepted {
 			l.turns[name] = shard
 			l.took(shard)
 		}
@@ -296,7 +296,7 @@
 		if owner == nil {
 			r.t.Fatalf("nobody owns shard %d", r.load.turns[name])
 		}
-		end := program.EndTurn{Turn: name, Whole: true, Tokens: 1, AtMs: r.time().UnixMilli()}
+		end := program.EndTurn{Turn: name, Complete: true, Tokens: 1, AtMs: r.time().UnixMilli()}
 		owner.ProposeAsync(program.Command{End: &end}, func(answer any, err error) {
 			if result, ok := answer.(program.Result); ok && err == nil {
 				verdicts[name] = result.Verdict
@@ -305,7 +305,7 @@
 	}
 	r.until("all turns are settled", 5*time.Second, func() bool { return len(verdicts) == len(r.load.turns) })
 	for _, name := range slices.Sorted(maps.Keys(verdicts)) {
-		if verdicts[name] != program.Taken {
+		if verdicts[name] != program.Accepted {
 			r.t.Fatalf("%s of shard %d was acknowledged and is %s", name, r.load.turns[name], verdicts[name])
 		}
 	}
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -22,7 +22,7 @@
 		for at := 0; at < bytesOfShard; at += piece {
 			begin := program.BeginTurn{Turn: fmt.Sprintf("fill-%d-%d", shard, at), AtMs: r.time().UnixMilli(), Remembered: true, KeepForS: 3600,
 				Input: bytes.Repeat([]byte{byte(at)}, min(piece, bytesOfShard-at))}
-			r.order(shard, program.Command{Begin: &begin}, program.Taken)
+			r.order(shard, program.Command{Begin: &begin}, program.Accepted)
 		}
 	}
 	r.run(time.Second)
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -240,7 +240,7 @@
 		return
 	}
 	end, safe := o.world.stores.ended(g.request.id)
-	if g.complete() && (!safe || !end.Whole || string(end.Output) != outputOf(g.body)) {
+	if g.complete() && (!safe || !end.Complete || string(end.Output) != outputOf(g.body)) {
 		o.fault(g.request, "LOST: looks complete, and the stores have %v, %+v", safe, end)
 	}
 	if events := int64(bytes.Count(g.body, []byte("\n\n"))); safe && end.Tokens < events {
--- a/internal/tier/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -39,13 +39,13 @@
 	}
 	switch request.begin {
 	case spent:
-		return program.Result{Verdict: program.BudgetSpent}, nil
+		return program.Result{Verdict: program.BudgetExceeded}, nil
 	case noTurn:
-		return program.Result{Verdict: program.NoSuchTurn}, nil
+		return program.Result{Verdict: program.TurnNotFound}, nil
 	case noStores:
 		return program.Result{}, errStores
 	}
-	return program.Result{Verdict: program.Taken, Chain: request.passedOn()[:request.chain]}, nil
+	return program.Result{Verdict: program.Accepted, Chain: request.passedOn()[:request.chain]}, nil
 }
 
 // End implements proxy.Programs.
@@ -66,13 +66,13 @@
 	case request.end == unsafe || request.end == failed && first:
 		return program.Result{}, errStores
 	case request.end == unknown:
-		return program.Result{Verdict: program.Unknown}, nil
+		return program.Result{Verdict: program.UnknownTurn}, nil
 	}
 	s.ends[turn.Turn] = append(s.ends[turn.Turn], turn)
 	if request.end == lostSafe && first {
 		return program.Result{}, errStores
 	}
-	return program.Result{Verdict: program.Taken}, nil
+	return program.Result{Verdict: program.Accepted}, nil
 }
 
 // wait sleeps for a time, or until the context ends.
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -48,7 +48,7 @@
 	request := wire.BeginTurnRequest{Shard: shard, Turn: turn}
 	c.call(shard, request, deadline, func(answer any, err error) {
 		result, _ := answer.(program.Result)
-		if err != nil || result.Verdict != program.NoSuchTurn {
+		if err != nil || result.Verdict != program.TurnNotFound {
 			done(result, err)
 			return
 		}
@@ -76,7 +76,7 @@
 	}
 	shard := placement.Shard(key, len(c.placed.Shards))
 	c.call(shard, wire.EndTurnRequest{Shard: shard, Turn: turn}, c.now()+within, func(answer any, err error) {
-		if result, _ := answer.(program.Result); err == nil && result.Verdict != program.Taken {
+		if result, _ := answer.(program.Result); err == nil && result.Verdict != program.Accepted {
 			err = errUnsettled
 		}
 		done(err)
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -58,7 +58,7 @@
 // beginTurn has the stores take the turn.
 func (r *proxyRequest) beginTurn() {
 	r.begun = true
-	turn := program.BeginTurn{Turn: r.asked.ID, Program: r.asked.Program, Budget: r.asked.Budget, Most: r.asked.Most,
+	turn := program.BeginTurn{Turn: r.asked.ID, Program: r.asked.Program, Budget: r.asked.Budget, MaxTokens: r.asked.Most,
 		Remembered: true, Previous: r.asked.Previous, KeepForS: keepFor.Seconds(), Input: r.asked.Input}
 	r.proxy.programs.begin(r.asked.Program, turn, requestTime/beginPart, r.taken)
 }
@@ -71,13 +71,13 @@
 		r.refuse()
 	case r.over:
 		r.settle(false)
-	case result.Verdict == program.Taken:
+	case result.Verdict == program.Accepted:
 		r.body = append(bytes.Clone(result.Chain), r.asked.Input...)
 		r.send()
-	case result.Verdict == program.BudgetSpent:
+	case result.Verdict == program.BudgetExceeded:
 		r.begun = false
 		r.answer(http.StatusPaymentRequired)
-	case result.Verdict == program.NoSuchTurn:
+	case result.Verdict == program.TurnNotFound:
 		r.begun = false
 		r.answer(http.StatusNotFound)
 	default:
@@ -180,7 +180,7 @@
 }
 
 func (r *proxyRequest) endOf(whole bool) program.EndTurn {
-	end := program.EndTurn{Turn: r.asked.ID, Whole: whole, Tokens: int64(r.events * tokensPerEvent)}
+	end := program.EndTurn{Turn: r.asked.ID, Complete: whole, Tokens: int64(r.events * tokensPerEvent)}
 	if whole {
 		end.Output = r.output
 	}
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -57,11 +57,11 @@
 func (s *shard) Apply(_ uint64, raw json.RawMessage) any {
 	var command shardCommand
 	if err := json.Unmarshal(raw, &command); err != nil {
-		return program.Result{Verdict: program.Unknown}
+		return program.Result{Verdict: program.UnknownTurn}
 	}
 	if command.Placement > 0 {
 		s.followed = max(s.followed, command.Placement)
-		return program.Result{Verdict: program.Taken}
+		return program.Result{Verdict: program.Accepted}
 	}
 	return s.programs.Apply(command.Command)
 }
@@ -86,7 +86,7 @@
 	if err := write(strconv.AppendUint(nil, s.followed, 10)); err != nil {
 		return err
 	}
-	return s.programs.Parts(func(part []byte) error { return write(part) })
+	return s.programs.WriteChunks(func(part []byte) error { return write(part) })
 }
 
 // BeginRestore implements group.ChunkedStateMachine.
--- a/internal/tier/program/bench_test.go
+++ b/internal/tier/program/bench_test.go
@@ -12,14 +12,14 @@
 	machine = New()
 	for i := range length {
 		name := fmt.Sprint("turn ", i)
-		machine.Apply(ask(name, last, strings.Repeat("i", inputBytes), 0))
-		machine.Apply(end(name, true, 1, strings.Repeat("o", outputBytes), 0))
+		machine.Apply(beginRemembered(name, last, strings.Repeat("i", inputBytes), 0))
+		machine.Apply(endTurn(name, true, 1, strings.Repeat("o", outputBytes), 0))
 		last = name
 	}
 	return machine, last
 }
 
-func BenchmarkBeginAndEndOfATurn(b *testing.B) {
+func BenchmarkMachine_BeginAndEnd(b *testing.B) {
 	tests := []struct{ turns, input, output int }{
 		{0, 0, 0},
 		{10, 1600, 400},
@@ -34,16 +34,16 @@
 			for i := 0; b.Loop(); i++ {
 				name := fmt.Sprint("next ", i)
 				atS += 0.001
-				command := ask(name, last, input, atS)
+				command := beginRemembered(name, last, input, atS)
 				command.Begin.Program = name
 				machine.Apply(command)
-				machine.Apply(end(name, false, 1, "", atS))
+				machine.Apply(endTurn(name, false, 1, "", atS))
 			}
 		})
 	}
 }
 
-func BenchmarkReplayOfATurn(b *testing.B) {
+func BenchmarkMachine_Replay(b *testing.B) {
 	machine, last := line(400, 1600, 500)
 	input := strings.Repeat("x", 1600)
 	b.ReportAllocs()
@@ -51,13 +51,13 @@
 	for i := 0; b.Loop(); i++ {
 		name := fmt.Sprint("next ", i)
 		atS += 0.001
-		machine.Replay(ask(name, last, input, atS))
-		machine.Replay(end(name, false, 1, "", atS))
+		machine.Replay(beginRemembered(name, last, input, atS))
+		machine.Replay(endTurn(name, false, 1, "", atS))
 	}
 }
 
-// BenchmarkMemoryOfPrograms reports what a record costs beside its contents.
-func BenchmarkMemoryOfPrograms(b *testing.B) {
+// BenchmarkMachine_Memory reports what a record costs beside its contents.
+func BenchmarkMachine_Memory(b *testing.B) {
 	const programs = 20_000
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -66,8 +66,8 @@
 		machine := New()
 		for i := range programs {
 			name := fmt.Sprintf("%016x", i)
-			machine.Apply(begin(name, name[8:], 1000, 100))
-			machine.Apply(end(name, true, 100, "", 0))
+			machine.Apply(beginTurn(name, name[8:], 1000, 100))
+			machine.Apply(endTurn(name, true, 100, "", 0))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -76,15 +76,15 @@
 	}
 }
 
-func BenchmarkImage(b *testing.B) {
+func BenchmarkMachine_Capture(b *testing.B) {
 	machine := filled(2000)
 	b.ReportAllocs()
 	for b.Loop() {
-		machine.Image()
+		machine.Capture()
 	}
 }
 
-func BenchmarkSnapshot(b *testing.B) {
+func BenchmarkMachine_Snapshot(b *testing.B) {
 	machine := filled(2000)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func BenchmarkRestore(b *testing.B) {
+func BenchmarkMachine_Restore(b *testing.B) {
 	data := filled(2000).Snapshot()
 	b.SetBytes(int64(len(data)))
 	b.ReportAllocs()
--- a/internal/tier/program/budget.go
+++ b/internal/tier/program/budget.go
@@ -1,94 +1,62 @@
 package program
 
+import "math"
+
 // program is the budget record of one program.
 type program struct {
-	name     string
-	limit    int64 // the least budget told; 0: none
-	spent    int64 // tokens of settled turns
-	reserved int64 // the most of each turn that hasn't been settled, also of those that were left by their relay
-	usedMs   int64 // last command that named it
-	open     int32 // turns under way
-	older    *program
-	newer    *program
-}
-
-// committed is what may already have reached the client or still will.
-func (p *program) committed() int64 {
+	name       string
+	limit      int64 // the lowest budget that any of its turns gave, tokens; 0: none
+	spent      int64 // tokens charged for ended turns
+	reserved   int64 // sum of the reservations of turns that haven't been committed, those abandoned included
+	lastUsedMs int64 // time of the last command that named it
+	inFlight   int32 // turns in flight; the record never expires before they have ended
+	prev       *program
+	next       *program
+}
+
+// usedTokens is the part of the budget that no new turn may use: what was sent to clients, or still may be.
+func (p *program) usedTokens() int64 {
 	return addTokens(p.spent, p.reserved)
 }
 
-// reserve sets most aside for a turn that begins.
-func (p *program) reserve(most int64) {
-	p.reserved = addTokens(p.reserved, most)
-	p.open++
+// reserve adds the reservation of a turn that begins.
+func (p *program) reserve(tokens int64) {
+	p.reserved = addTokens(p.reserved, tokens)
+	p.inFlight++
 }
 
-// settle turns what was set aside for a turn into what it cost.
-func (p *program) settle(most, cost int64) {
-	p.reserved = max(p.reserved-most, 0)
+// commit releases the reservation of a turn and charges its cost.
+func (p *program) commit(reserved, cost int64) {
+	p.reserved = max(p.reserved-reserved, 0)
 	p.spent = addTokens(p.spent, cost)
-	p.open--
+	p.inFlight--
 }
 
-// programs holds the records by name and by last use.
-type programs struct {
-	byName map[string]*program
-	oldest *program
-	newest *program
+// fitsBudget reports whether a turn of up to maxTokens fits into the remaining budget.
+func fitsBudget(p *program, maxTokens int64) bool {
+	return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()
 }
 
-// use gives the record of a program, a new one if there is none, and notes its use.
-func (l *programs) use(name string, nowMs int64) *program {
-	p := l.byName[name]
-	if p == nil {
-		p = &program{name: name}
-		l.byName[name] = p
-	} else {
-		l.unlink(p)
-	}
-	p.usedMs = nowMs
-	l.append(p)
-	return p
+// committedTokens is the cost of a turn that had a reservation and sent tokens to its client.
+func committedTokens(tokens, reserved int64) int64 {
+	return min(max(tokens, 0), reserved)
 }
 
-// touch notes the use of a record.
-func (l *programs) touch(p *program, nowMs int64) {
-	l.unlink(p)
-	p.usedMs = nowMs
-	l.append(p)
-}
-
-// dropDue forgets the record that has been unused for the longest, if that is long enough and no turn is under way.
-func (l *programs) dropDue(nowMs int64) bool {
-	p := l.oldest
-	if p == nil || p.open > 0 || p.usedMs+programMs > nowMs {
-		return false
+// tighterLimit returns the limit after a turn has given a budget; one that gives none changes nothing.
+func tighterLimit(limit, budget int64) int64 {
+	if budget <= 0 {
+		return limit
 	}
-	l.unlink(p)
-	delete(l.byName, p.name)
-	return true
-}
-
-func (l *programs) append(p *program) {
-	p.older = l.newest
-	if l.newest == nil {
-		l.oldest = p
-	} else {
-		l.newest.newer = p
+	if limit == 0 {
+		return budget
 	}
-	l.newest = p
+	return min(limit, budget)
 }
 
-func (l *programs) unlink(p *program) {
-	if p.older == nil {
-		l.oldest = p.newer
-	} else {
-		p.older.newer = p.newer
-	}
-	if p.newer == nil {
-		l.newest = p.older
-	} else {
-		p.newer.older = p.older
+// addTokens adds two amounts, neither negative, and saturates at the largest number.
+func addTokens(a, b int64) int64 {
+	if a > math.MaxInt64-b {
+		return math.MaxInt64
 	}
-	p.older, p.newer = nil, nil
+	return a + b
 }
--- a/internal/tier/program/budget_test.go
+++ b/internal/tier/program/budget_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-func TestBudgetRecordsOutlastTheirUse(t *testing.T) {
+func TestBudgetRecord_ProgramReturns_SpentUntilRetentionOver(t *testing.T) {
 	tests := []struct {
 		name  string
 		idleS float64
 		want  Verdict
 	}{
-		{"given a spent budget when the program comes back within ten minutes then it is still spent", 599, BudgetSpent},
-		{"given a spent budget when the program comes back much later then it is a new one", 601, Taken},
+		{"given a spent budget when the program comes back within ten minutes then it is still spent", 599, BudgetExceeded},
+		{"given a spent budget when the program comes back much later then it is a new one", 601, Accepted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			machine := New()
-			machine.Apply(begin("a", "p", 100, 100))
-			machine.Apply(end("a", true, 100, "", 0))
+			machine.Apply(beginTurn("a", "p", 100, 100))
+			machine.Apply(endTurn("a", true, 100, "", 0))
 			passTime(machine, 0, test.idleS)
-			late := begin("b", "p", 100, 1)
+			late := beginTurn("b", "p", 100, 1)
 			late.Begin.AtMs += int64(test.idleS * 1000)
 			if got := machine.Apply(late).Verdict; got != test.want {
 				t.Errorf("got %s, want %s", got, test.want)
@@ -30,38 +30,38 @@
 	}
 }
 
-func TestTurnLeftByItsRelayKeepsItsReservation(t *testing.T) {
+func TestTurnAbandonedByRelay_Expires_KeepsReservation(t *testing.T) {
 	// given a turn with an input that was begun and never ended
 	machine := New()
-	left := ask("a", "", "[in a]", 0)
+	left := beginRemembered("a", "", "[in a]", 0)
 	left.Begin.Program = "p"
 	left.Begin.Budget = 100
-	left.Begin.Most = 60
+	left.Begin.MaxTokens = 60
 	machine.Apply(left)
 	// when its bound and the margin have passed
 	passTime(machine, 0, 151)
 	// then its input is gone and its end comes too late, and what it reserved counts
-	if got := machine.Apply(end("a", true, 1, "[out a]", 152)).Verdict; got != Unknown {
+	if got := machine.Apply(endTurn("a", true, 1, "[out a]", 152)).Verdict; got != UnknownTurn {
 		t.Errorf("the end got %s", got)
 	}
 	if stats := machine.Stats(); stats.Bytes != 0 {
 		t.Errorf("%d bytes are left", stats.Bytes)
 	}
-	if got := machine.Apply(begin("b", "p", 100, 41)).Verdict; got != BudgetSpent {
+	if got := machine.Apply(beginTurn("b", "p", 100, 41)).Verdict; got != BudgetExceeded {
 		t.Errorf("a turn over what is left got %s", got)
 	}
-	if got := machine.Apply(begin("c", "p", 100, 40)).Verdict; got != Taken {
+	if got := machine.Apply(beginTurn("c", "p", 100, 40)).Verdict; got != Accepted {
 		t.Errorf("a turn within what is left got %s", got)
 	}
 }
 
-func TestTokensDoNotOverflow(t *testing.T) {
+func TestTokens_SumExceedsMaximum_Saturates(t *testing.T) {
 	// given a program without a budget that reserved as much as there is
 	machine := New()
-	machine.Apply(begin("a", "p", 0, math.MaxInt64))
-	machine.Apply(begin("b", "p", 0, math.MaxInt64))
+	machine.Apply(beginTurn("a", "p", 0, math.MaxInt64))
+	machine.Apply(beginTurn("b", "p", 0, math.MaxInt64))
 	// when it tells a budget, then nothing fits into it
-	if got := machine.Apply(begin("c", "p", math.MaxInt64, 1)).Verdict; got != BudgetSpent {
+	if got := machine.Apply(beginTurn("c", "p", math.MaxInt64, 1)).Verdict; got != BudgetExceeded {
 		t.Errorf("got %s", got)
 	}
 }
@@ -69,11 +69,11 @@
 // passTime applies commands of no consequence, one a second, from after one second up to another.
 func passTime(machine *Machine, fromS, toS float64) {
 	for atS := fromS + 1; atS <= toS; atS++ {
-		machine.Apply(end("nobody", false, 0, "", atS))
+		machine.Apply(endTurn("nobody", false, 0, "", atS))
 	}
 }
 
-func TestKeeping(t *testing.T) {
+func TestCompleteTurn_RetentionOver_Expires(t *testing.T) {
 	tests := []struct {
 		name  string
 		atS   float64
@@ -86,8 +86,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			machine := New()
-			machine.Apply(ask("a", "", "[in a]", 0))
-			machine.Apply(end("a", true, 1, "[out a]", 0))
+			machine.Apply(beginRemembered("a", "", "[in a]", 0))
+			machine.Apply(endTurn("a", true, 1, "[out a]", 0))
 			passTime(machine, 0, test.atS)
 			if _, found := machine.Chain("a"); found != test.found {
 				t.Errorf("held: %v", found)
@@ -96,18 +96,18 @@
 	}
 }
 
-func TestAncestorsLiveAsLongAsTheirDescendants(t *testing.T) {
+func TestAncestors_ExpireWithLastDescendant(t *testing.T) {
 	// given a line of three turns, half a minute apart, and a branch that was broken off
 	machine := New()
 	previous := ""
 	for i := range 3 {
 		name := fmt.Sprint("t", i)
-		machine.Apply(ask(name, previous, "[in]", float64(30*i)))
-		machine.Apply(end(name, true, 1, "[out]", float64(30*i)))
+		machine.Apply(beginRemembered(name, previous, "[in]", float64(30*i)))
+		machine.Apply(endTurn(name, true, 1, "[out]", float64(30*i)))
 		previous = name
 	}
-	machine.Apply(ask("branch", "t0", "[in]", 60))
-	machine.Apply(end("branch", false, 1, "", 60))
+	machine.Apply(beginRemembered("branch", "t0", "[in]", 60))
+	machine.Apply(endTurn("branch", false, 1, "", 60))
 	// when the time of the first two is over, then the last one's chain is whole
 	passTime(machine, 60, 149)
 	if chain, _ := machine.Chain("t2"); string(chain) != "[in][out][in][out][in][out]" {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestClock(t *testing.T) {
+func TestClock_Observe(t *testing.T) {
 	const start = 1_000_000
 	tests := []struct {
 		name  string
@@ -141,7 +141,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var c clock
 			for _, atMs := range test.heard {
-				c.hear(atMs)
+				c.observe(atMs)
 			}
 			if c.nowMs != test.want {
 				t.Errorf("now %d, want %d", c.nowMs, test.want)
--- /dev/null
+++ b/internal/tier/program/chunk.go
@@ -0,0 +1,127 @@
+package program
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Chunk is a snapshot of a machine's state, or one of the chunks in which WriteChunks writes it. It shares the inputs and
+// outputs with the machine, which are never changed, so it is quick to take and may be encoded by another goroutine while
+// the machine applies further commands.
+type Chunk struct {
+	NowMs         int64           `json:"nowMs"`   // the machine's clock; the same in all chunks
+	LastCommandMs int64           `json:"heardMs"` // the same in all chunks
+	Index         int             `json:"number,omitempty"`
+	HasNext       bool            `json:"goesOn,omitempty"` // another chunk follows
+	Continuation  *contentRecord  `json:"more,omitempty"`   // appended to the last turn of the chunks before
+	Programs      []programRecord `json:"programs"`         // by last use, the oldest first
+	Turns         []turnRecord    `json:"turns"`            // by sequence, so that a parent precedes its children
+	contentBytes  int64           // of all inputs and outputs, to allocate memory once
+}
+
+// programRecord is a budget record in a chunk.
+type programRecord struct {
+	Name       string `json:"name"`
+	Limit      int64  `json:"limit,omitempty"`
+	Spent      int64  `json:"spent,omitempty"`
+	Reserved   int64  `json:"reserved,omitempty"`
+	LastUsedMs int64  `json:"usedMs"`
+}
+
+// turnRecord is a turn in a chunk.
+type turnRecord struct {
+	Turn           string `json:"turn"`
+	State          state  `json:"state,omitempty"`
+	Remembered     bool   `json:"remembered,omitempty"`
+	Program        string `json:"program,omitempty"` // while in flight
+	ReservedTokens int64  `json:"most,omitempty"`    // while in flight
+	Parent         int    `json:"parent,omitempty"`  // the parent's position in the list of all chunks' turns, from 1; 0: none
+	RetainMs       int64  `json:"keepMs,omitempty"`
+	ExpiresAtMs    int64  `json:"dueMs,omitempty"` // 0: retained by its children alone
+	Input          []byte `json:"input,omitempty"`
+	Output         []byte `json:"output,omitempty"`
+}
+
+// contentRecord is a piece of the content of a turn that exceeds a chunk. It is appended to the pieces before.
+type contentRecord struct {
+	Input  []byte `json:"input,omitempty"`
+	Output []byte `json:"output,omitempty"`
+}
+
+// Snapshot returns the whole state as one chunk. Machines that applied the same commands give the same bytes.
+func (m *Machine) Snapshot() []byte {
+	return m.Capture().JSON()
+}
+
+// Capture returns the whole state as it is now, not encoded yet.
+func (m *Machine) Capture() *Chunk {
+	chunk := &Chunk{
+		NowMs:         m.clock.nowMs,
+		LastCommandMs: m.clock.lastCommandMs,
+		Programs:      make([]programRecord, 0, len(m.programs.byName)),
+		contentBytes:  m.contentBytes,
+	}
+	for p := m.programs.oldest; p != nil; p = p.next {
+		chunk.Programs = append(chunk.Programs, newProgramRecord(p))
+	}
+	turns := m.turnsBySequence()
+	chunk.Turns = make([]turnRecord, 0, len(turns))
+	for _, t := range turns {
+		chunk.Turns = append(chunk.Turns, newTurnRecord(t, positionOf(t.parent, turns)))
+	}
+	return chunk
+}
+
+func newProgramRecord(p *program) programRecord {
+	return programRecord{
+		Name:       p.name,
+		Limit:      p.limit,
+		Spent:      p.spent,
+		Reserved:   p.reserved,
+		LastUsedMs: p.lastUsedMs,
+	}
+}
+
+func newTurnRecord(t *turn, parent int) turnRecord {
+	record := turnRecord{
+		Turn:           t.name,
+		State:          t.state,
+		Remembered:     t.remembered,
+		ReservedTokens: t.reservedTokens,
+		Parent:         parent,
+		RetainMs:       t.retainMs,
+		ExpiresAtMs:    t.expiresAtMs,
+		Input:          t.input,
+		Output:         t.output,
+	}
+	if t.program != nil {
+		record.Program = t.program.name
+	}
+	return record
+}
+
+// turnsBySequence lists all turns and imported chains in the order in which they were added.
+func (m *Machine) turnsBySequence() []*turn {
+	turns := make([]*turn, 0, len(m.turns)+len(m.imported))
+	for _, t := range m.turns {
+		turns = append(turns, t)
+	}
+	for _, t := range m.imported {
+		turns = append(turns, t)
+	}
+	slices.SortFunc(turns, bySequence)
+	return turns
+}
+
+// positionOf returns the position of a turn in a list by sequence, from 1; 0 for nil.
+func positionOf(t *turn, turns []*turn) int {
+	if t == nil {
+		return 0
+	}
+	index, _ := slices.BinarySearchFunc(turns, t, bySequence)
+	return index + 1
+}
+
+func bySequence(a, b *turn) int {
+	return cmp.Compare(a.sequence, b.sequence)
+}
--- /dev/null
+++ b/internal/tier/program/chunk_mutants_test.go
@@ -0,0 +1,37 @@
+package program
+
+import (
+	"testing"
+
+	"mastusher/internal/tools/mutation"
+)
+
+func TestMutantsOfChunksAreNoticed(t *testing.T) {
+	t.Parallel()
+	mutation.Test(t, []mutation.Mutant{
+		{
+			Name:   "chunks have no index",
+			Change: mutation.Change{File: "chunk_writer.go", Old: "	w.chunk.Index++\n", New: ""},
+			Run:    "^TestWriteChunks_LargeState_BoundedAndFull$",
+		},
+		{
+			Name:   "a missing last chunk is not noticed",
+			Change: mutation.Change{File: "restore.go", Old: "if r.expectsMore {", New: "if false {"},
+			Run:    "^TestRestorer_IncompleteSeries_LeavesMachine$",
+		},
+		{
+			Name:   "pieces of an input are lost",
+			Change: mutation.Change{File: "restore.go", Old: "record.Input = joinContent(record.Input, r.pending.moreInput)", New: ""},
+			Run:    "^TestWriteChunks_LargeState_BoundedAndFull$",
+		},
+		{
+			Name: "chunks of different snapshots are mixed",
+			Change: mutation.Change{
+				File: "restore.go",
+				Old:  "if (r.restored.clock != clock{nowMs: chunk.NowMs, lastCommandMs: chunk.LastCommandMs}) {",
+				New:  "if false {",
+			},
+			Run: "^TestRestorer_IncompleteSeries_LeavesMachine$",
+		},
+	})
+}
--- /dev/null
+++ b/internal/tier/program/chunk_writer.go
@@ -0,0 +1,123 @@
+package program
+
+import "encoding/base64"
+
+// chunkBytes is about the length of the JSON of one chunk of a snapshot. The content of a turn that is longer spans several
+// chunks.
+const chunkBytes = 128 << 10
+
+// contentChunkBytes is the length of the pieces of such a content; a multiple of 3, so that its base64 has no padding.
+const contentChunkBytes = chunkBytes / 4 * 3
+
+// WriteChunks writes the whole state in chunks of bounded size, in the order in which Restorer.Add takes them. A chunk is
+// valid until write returns. An error of write ends it and is returned. Machines that applied the same commands write the
+// same chunks.
+func (m *Machine) WriteChunks(write func(chunk []byte) error) error {
+	w := chunkWriter{write: write, chunk: Chunk{NowMs: m.clock.nowMs, LastCommandMs: m.clock.lastCommandMs}}
+	for p := m.programs.oldest; p != nil; p = p.next {
+		if err := w.addProgram(newProgramRecord(p)); err != nil {
+			return err
+		}
+	}
+	turns := m.turnsBySequence()
+	for _, t := range turns {
+		if err := w.addTurn(newTurnRecord(t, positionOf(t.parent, turns))); err != nil {
+			return err
+		}
+	}
+	return w.emit()
+}
+
+// chunkWriter collects records until they fill a chunk.
+type chunkWriter struct {
+	write          func(chunk []byte) error
+	chunk          Chunk
+	estimatedBytes int // about the length of the chunk's JSON
+	buffer         []byte
+}
+
+func (w *chunkWriter) addProgram(record programRecord) error {
+	if err := w.makeRoom(programRecordBytes + len(record.Name)); err != nil {
+		return err
+	}
+	w.chunk.Programs = append(w.chunk.Programs, record)
+	return nil
+}
+
+func (w *chunkWriter) addTurn(record turnRecord) error {
+	content := contentRecord{Input: record.Input, Output: record.Output}
+	size := turnRecordBytes + len(record.Turn) + len(record.Program)
+	isLarge := size+content.encodedBytes() > chunkBytes
+	if isLarge {
+		record.Input, record.Output = nil, nil
+	} else {
+		size += content.encodedBytes()
+	}
+	if err := w.makeRoom(size); err != nil {
+		return err
+	}
+	w.chunk.Turns = append(w.chunk.Turns, record)
+	if !isLarge {
+		return nil
+	}
+	return w.addContent(content)
+}
+
+// addContent writes the content of the last turn in pieces, each in a chunk of its own. Later turns may share the last
+// piece's chunk.
+func (w *chunkWriter) addContent(content contentRecord) error {
+	for len(content.Input)+len(content.Output) > 0 {
+		if err := w.flush(); err != nil {
+			return err
+		}
+		piece := contentRecord{Input: takePrefix(&content.Input, contentChunkBytes)}
+		piece.Output = takePrefix(&content.Output, contentChunkBytes-len(piece.Input))
+		w.chunk.Continuation = &piece
+		w.estimatedBytes = piece.encodedBytes()
+	}
+	return nil
+}
+
+// takePrefix removes up to limit bytes from the start and returns them.
+func takePrefix(from *[]byte, limit int) []byte {
+	size := min(limit, len(*from))
+	prefix := (*from)[:size]
+	*from = (*from)[size:]
+	return prefix
+}
+
+// makeRoom starts another chunk if a record of that size doesn't fit into this one.
+func (w *chunkWriter) makeRoom(size int) error {
+	if w.estimatedBytes > 0 && w.estimatedBytes+size > chunkBytes {
+		if err := w.flush(); err != nil {
+			return err
+		}
+	}
+	w.estimatedBytes += size
+	return nil
+}
+
+// flush writes a chunk that is not the last one, and starts the next.
+func (w *chunkWriter) flush() error {
+	w.chunk.HasNext = true
+	if err := w.emit(); err != nil {
+		return err
+	}
+	w.chunk.Index++
+	w.chunk.HasNext = false
+	w.chunk.Continuation = nil
+	w.chunk.Programs, w.chunk.Turns = w.chunk.Programs[:0], w.chunk.Turns[:0]
+	w.estimatedBytes = 0
+	return nil
+}
+
+// emit encodes and writes the chunk as it is.
+func (w *chunkWriter) emit() error {
+	w.buffer = w.chunk.appendJSON(w.buffer[:0])
+	return w.write(w.buffer)
+}
+
+// encodedBytes is the length of the content's base64.
+func (c *contentRecord) encodedBytes() int {
+	return base64.StdEncoding.EncodedLen(len(c.Input)) + base64.StdEncoding.EncodedLen(len(c.Output))
+}
--- a/internal/tier/program/parts_test.go
+++ b/internal/tier/program/chunk_writer_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// partsOf gives copies of the parts of a machine's state.
-func partsOf(t interface{ Fatal(...any) }, machine *Machine) [][]byte {
+// chunksOf gives copies of the parts of a machine's state.
+func chunksOf(t interface{ Fatal(...any) }, machine *Machine) [][]byte {
 	var parts [][]byte
-	err := machine.Parts(func(part []byte) error {
+	err := machine.WriteChunks(func(part []byte) error {
 		parts = append(parts, bytes.Clone(part))
 		return nil
 	})
@@ -25,8 +25,8 @@
 	return parts
 }
 
-// restoredFrom gives a machine that was set to parts.
-func restoredFrom(machine *Machine, parts [][]byte) error {
+// restoreChunks gives a machine that was set to parts.
+func restoreChunks(machine *Machine, parts [][]byte) error {
 	restorer := machine.BeginRestore()
 	for _, part := range parts {
 		if err := restorer.Add(part); err != nil {
@@ -36,27 +36,27 @@
 	return restorer.Finish()
 }
 
-// longestPart is what a part may take: records are measured with some room, names in full.
-const longestPart = partBytes + partBytes/8
+// maxChunkBytes is what a part may take: records are measured with some room, names in full.
+const maxChunkBytes = chunkBytes + chunkBytes/8
 
-func TestAMachineThatIsRestoredFromPartsIsTheSame(t *testing.T) {
+func TestRestorer_AnyState_SameAfterRestore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// given a machine, also with contents that are far larger than a part
 		machine := New()
 		for _, step := range writeScript(drawing(t), 40, 400) {
 			machine.Apply(step.command)
 		}
-		sizes := rapid.OneOf(rapid.IntRange(0, 3*partBytes), rapid.SampledFrom([]int{pieceBytes - 1, pieceBytes, pieceBytes + 1, 2 * pieceBytes}))
+		sizes := rapid.OneOf(rapid.IntRange(0, 3*chunkBytes), rapid.SampledFrom([]int{contentChunkBytes - 1, contentChunkBytes, contentChunkBytes + 1, 2 * contentChunkBytes}))
 		large := rapid.IntRange(0, 2).Draw(t, "large turns")
 		for i := range large {
 			name := fmt.Sprint("large ", i)
-			machine.Apply(ask(name, "", strings.Repeat("i", sizes.Draw(t, "input")), 0))
-			machine.Apply(end(name, true, 1, strings.Repeat("o", sizes.Draw(t, "output")), 0))
+			machine.Apply(beginRemembered(name, "", strings.Repeat("i", sizes.Draw(t, "input")), 0))
+			machine.Apply(endTurn(name, true, 1, strings.Repeat("o", sizes.Draw(t, "output")), 0))
 		}
 		// when another one is set to its parts
-		parts := partsOf(t, machine)
+		parts := chunksOf(t, machine)
 		restored := filled(2)
-		if err := restoredFrom(restored, parts); err != nil {
+		if err := restoreChunks(restored, parts); err != nil {
 			t.Fatal(err)
 		}
 		// then it holds the same and gives the same parts
@@ -68,39 +68,39 @@
 		if got, want := restored.Stats(), machine.Stats(); got != want {
 			t.Fatalf("%+v was restored, want %+v", got, want)
 		}
-		if again := partsOf(t, restored); !slices.EqualFunc(parts, again, bytes.Equal) {
+		if again := chunksOf(t, restored); !slices.EqualFunc(parts, again, bytes.Equal) {
 			t.Fatalf("%d parts became %d, or others", len(parts), len(again))
 		}
 		// and no part is longer than the bound
 		for i, part := range parts {
-			if len(part) > longestPart {
+			if len(part) > maxChunkBytes {
 				t.Fatalf("part %d of %d takes %d bytes", i, len(parts), len(part))
 			}
 		}
 	})
 }
 
-func TestPartsOfALargeStateAreBoundedAndFull(t *testing.T) {
+func TestWriteChunks_LargeState_BoundedAndFull(t *testing.T) {
 	// given a machine with some MB in turns of usual length, and one turn of 1 MB
 	machine := filled(2000)
-	machine.Apply(ask("large", "", strings.Repeat("i", 1<<20), 0))
-	machine.Apply(end("large", true, 1, strings.Repeat("o", 1<<20), 0))
+	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 1<<20), 0))
+	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", 1<<20), 0))
 	// when its parts are taken
-	parts := partsOf(t, machine)
+	parts := chunksOf(t, machine)
 	total := 0
 	for i, part := range parts {
-		if len(part) > longestPart {
+		if len(part) > maxChunkBytes {
 			t.Errorf("part %d takes %d bytes", i, len(part))
 		}
 		total += len(part)
 	}
 	// then there are not many more than needed
-	if most := total/partBytes*5/4 + 4; len(parts) > most {
+	if most := total/chunkBytes*5/4 + 4; len(parts) > most {
 		t.Errorf("%d parts for %d bytes, want %d at most", len(parts), total, most)
 	}
 	// and another machine is set to them
 	restored := New()
-	if err := restoredFrom(restored, parts); err != nil {
+	if err := restoreChunks(restored, parts); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := restored.Stats(), machine.Stats(); got != want {
@@ -111,14 +111,14 @@
 	}
 }
 
-func TestPartsThatAreNotAWholeSeriesAreRefused(t *testing.T) {
+func TestRestorer_IncompleteSeries_LeavesMachine(t *testing.T) {
 	machine := filled(400)
-	machine.Apply(ask("large", "", strings.Repeat("i", 3*partBytes), 0))
-	machine.Apply(end("large", true, 1, strings.Repeat("o", partBytes), 0))
-	machine.Apply(ask("next", "large", "i", 0))
-	parts := partsOf(t, machine)
+	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 3*chunkBytes), 0))
+	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", chunkBytes), 0))
+	machine.Apply(beginRemembered("next", "large", "i", 0))
+	parts := chunksOf(t, machine)
 	machine.Apply(Command{Begin: &BeginTurn{Turn: "later", AtMs: 1_700_000_100_000}})
-	later := partsOf(t, machine)
+	later := chunksOf(t, machine)
 	other := filled(3)
 	passTime(other, 1, 5)
 	without := func(number int) [][]byte {
@@ -132,7 +132,7 @@
 		{"the first one missing", without(0)},
 		{"the last one missing", parts[:len(parts)-1]},
 		{"one twice", append(append([][]byte(nil), parts[:2]...), parts[1:]...)},
-		{"one of another machine", append(append([][]byte(nil), parts...), partsOf(t, other)...)},
+		{"one of another machine", append(append([][]byte(nil), parts...), chunksOf(t, other)...)},
 		{"those of two moments", append(append([][]byte(nil), parts[:1]...), later[1:]...)},
 		{"contents without a turn", [][]byte{[]byte(`{"nowMs":0,"heardMs":0,"more":{"input":"AAAA"}}`)}},
 		{"one that is cut", append(append([][]byte(nil), parts[:1]...), parts[1][:len(parts[1])/2])},
@@ -141,7 +141,7 @@
 		t.Run("given "+test.name+" when it is restored then the machine stays as it was", func(t *testing.T) {
 			machine := filled(3)
 			before := string(machine.Snapshot())
-			if err := restoredFrom(machine, test.parts); err == nil {
+			if err := restoreChunks(machine, test.parts); err == nil {
 				t.Error("no error")
 			}
 			if diff := cmp.Diff(before, string(machine.Snapshot())); diff != "" {
@@ -151,11 +151,11 @@
 	}
 }
 
-func TestTakingPartsEndsWithTheFirstError(t *testing.T) {
+func TestWriteChunks_WriteFails_StopsAtFirstError(t *testing.T) {
 	machine := filled(400)
 	full := errors.New("the disk is full")
 	taken := 0
-	err := machine.Parts(func([]byte) error {
+	err := machine.WriteChunks(func([]byte) error {
 		taken++
 		return full
 	})
@@ -164,19 +164,19 @@
 	}
 }
 
-func FuzzRestoreOfParts(f *testing.F) {
+func FuzzRestoreChunks(f *testing.F) {
 	f.Add([]byte(`{"goesOn":true}`), []byte(`{"number":1}`))
 	f.Add([]byte(`{"nowMs":9,"heardMs":9,"goesOn":true,"turns":[{"turn":"a","state":1,"remembered":true,"dueMs":9,"input":"AAAA"}]}`),
 		[]byte(`{"nowMs":9,"heardMs":9,"number":1,"more":{"input":"AAAA"}}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		// given parts that a machine can be set to
 		machine := New()
-		if restoredFrom(machine, [][]byte{first, second}) != nil {
+		if restoreChunks(machine, [][]byte{first, second}) != nil {
 			return
 		}
 		// when its own parts are restored, then that is the same state
 		again := New()
-		if err := restoredFrom(again, partsOf(t, machine)); err != nil {
+		if err := restoreChunks(again, chunksOf(t, machine)); err != nil {
 			t.Fatal(err)
 		}
 		if want, got := string(machine.Snapshot()), string(again.Snapshot()); want != got {
--- a/internal/tier/program/clock.go
+++ b/internal/tier/program/clock.go
@@ -1,35 +1,35 @@
 package program
 
-// Bounds on what a command's time of day may do to the machine's clock, in milliseconds.
+// Bounds on the effect of a command's time of day on the machine's clock, in milliseconds.
 const (
-	maxAdvanceMs  = 10_000  // most that one command moves the clock ahead
-	maxBackstepMs = 60_000  // owner's clocks differ by less; one that is further behind has been set back
-	maxTimeMs     = 1 << 52 // later times of day are nonsense
+	maxAdvanceMs  = 10_000  // upper bound of what one command advances the clock by
+	maxBackstepMs = 60_000  // clocks of leaders differ by less; one that is further behind has been set back
+	maxTimeMs     = 1 << 52 // later times of day are invalid
 )
 
-// clock is the machine's time, made of the times of day that commands carry. It never goes back. One command moves it by
-// maxAdvanceMs at most, so that an owner whose clock jumps far ahead doesn't end what is kept; a shard without commands
-// for longer than that keeps its contents for longer.
+// clock is the machine's time, derived from the times of day that commands carry. It never goes back. One command advances
+// it by at most maxAdvanceMs, so that a leader whose clock jumps far ahead doesn't expire what is stored; a shard without
+// commands for longer than that retains its contents for longer.
 type clock struct {
-	nowMs   int64
-	heardMs int64 // time of day that the next one is compared with
+	nowMs         int64
+	lastCommandMs int64 // time of day that the next command's is compared with; 0: no command yet
 }
 
-// hear takes a command's time of day in.
-func (c *clock) hear(atMs int64) {
+// observe advances the clock by a command's time of day.
+func (c *clock) observe(atMs int64) {
 	if atMs <= 0 || atMs > maxTimeMs {
 		return
 	}
-	if c.heardMs == 0 {
+	if c.lastCommandMs == 0 {
 		c.nowMs = atMs
-		c.heardMs = atMs
+		c.lastCommandMs = atMs
 		return
 	}
-	ahead := atMs - c.heardMs
+	ahead := atMs - c.lastCommandMs
 	if ahead > 0 {
 		c.nowMs += min(ahead, maxAdvanceMs)
 	}
 	if ahead > 0 || ahead < -maxBackstepMs {
-		c.heardMs = atMs
+		c.lastCommandMs = atMs
 	}
 }
--- /dev/null
+++ b/internal/tier/program/expiry_queue.go
@@ -0,0 +1,64 @@
+package program
+
+import "container/heap"
+
+// expiryQueue orders turns by when they expire, those that expire at the same time by sequence. It is a heap in which each
+// turn knows its index.
+type expiryQueue []*turn
+
+var _ heap.Interface = (*expiryQueue)(nil)
+
+// Len implements heap.Interface.
+func (q expiryQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q expiryQueue) Less(i, j int) bool {
+	if q[i].expiresAtMs != q[j].expiresAtMs {
+		return q[i].expiresAtMs < q[j].expiresAtMs
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+// Swap implements heap.Interface.
+func (q expiryQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].queueIndex = int32(i)
+	q[j].queueIndex = int32(j)
+}
+
+// Push implements heap.Interface: it appends a turn, without restoring the order.
+func (q *expiryQueue) Push(added any) {
+	t := added.(*turn)
+	t.queueIndex = int32(len(*q))
+	*q = append(*q, t)
+}
+
+// Pop implements heap.Interface: it removes the last turn.
+func (q *expiryQueue) Pop() any {
+	last := len(*q) - 1
+	t := (*q)[last]
+	(*q)[last] = nil
+	*q = (*q)[:last]
+	t.queueIndex = notQueued
+	return t
+}
+
+// schedule sets when a turn expires, whether it is queued or not.
+func (q *expiryQueue) schedule(t *turn, expiresAtMs int64) {
+	t.expiresAtMs = expiresAtMs
+	if t.queueIndex == notQueued {
+		heap.Push(q, t)
+		return
+	}
+	heap.Fix(q, int(t.queueIndex))
+}
+
+// popExpired removes the first turn, if it has expired, or returns nil.
+func (q *expiryQueue) popExpired(nowMs int64) *turn {
+	if len(*q) == 0 || (*q)[0].expiresAtMs > nowMs {
+		return nil
+	}
+	t := heap.Pop(q).(*turn)
+	t.expiresAtMs = 0
+	return t
+}
--- /dev/null
+++ b/internal/tier/program/model_comparison_test.go
@@ -0,0 +1,79 @@
+package program
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// subject is a machine, or a wrong one.
+type subject interface {
+	Apply(Command) Result
+	machine() *Machine
+}
+
+func (m *Machine) machine() *Machine { return m }
+
+// playScript applies a script and tells the first thing that differs from the reference.
+func playScript(subject subject, steps []step) error {
+	reference := newModel()
+	for i, step := range steps {
+		got := subject.Apply(step.command)
+		if err := reference.follow(step.command, step.trueMs, got); err != nil {
+			return fmt.Errorf("step %d: %w", i, err)
+		}
+		if err := reference.check(subject.machine(), step.trueMs); err != nil {
+			return fmt.Errorf("after step %d: %w", i, err)
+		}
+	}
+	return nil
+}
+
+// drain applies commands over two hours without any turn that matters, and tells what is left.
+func drain(subject subject, steps []step) error {
+	atMs := steps[len(steps)-1].trueMs + 2*3_600_000
+	for i := range 2 * 3600 / 10 {
+		atMs += 10_000
+		subject.Apply(Command{Begin: &BeginTurn{Turn: fmt.Sprint("filler ", i), AtMs: atMs}})
+	}
+	held := subject.machine()
+	const fillers = (inFlightRetentionMs+clockMarginMs)/10_000 + 1
+	stats := held.Stats()
+	if stats.Turns > fillers || stats.Programs > 0 || stats.Bytes != 0 || len(held.imported) > 0 {
+		return fmt.Errorf("%+v and %d imported chains are left", stats, len(held.imported))
+	}
+	return nil
+}
+
+func drawing(t *rapid.T) choose {
+	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
+}
+
+func TestMachine_AnyScript_FollowsModel(t *testing.T) {
+	tests := []struct {
+		name    string
+		length  int
+		longest int
+	}{
+		{"within the time in which nothing goes", 60, 400},
+		{"over minutes", 80, 15_000},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			rapid.Check(t, func(t *rapid.T) {
+				// given commands as relays and owners with differing clocks send them
+				steps := writeScript(drawing(t), test.length, test.longest)
+				// when a machine applies them, then it answers and holds what the reference does
+				machine := New()
+				if err := playScript(machine, steps); err != nil {
+					t.Fatal(err)
+				}
+				// and when nothing more comes, then it lets all go
+				if err := drain(machine, steps); err != nil {
+					t.Fatal(err)
+				}
+			})
+		})
+	}
+}
--- a/internal/tier/program/mutant_test.go
+++ b/internal/tier/program/model_mutants_test.go
@@ -34,7 +34,7 @@
 				return
 			}
 			if t := m.turns[command.Begin.Turn]; t != nil && t.program != nil {
-				t.program.reserved += t.most
+				t.program.reserved += t.reservedTokens
 			}
 		}}
 	}},
@@ -43,7 +43,7 @@
 			if command.Begin == nil {
 				return
 			}
-			if t := m.turns[command.Begin.Turn]; t != nil && t.state == settled {
+			if t := m.turns[command.Begin.Turn]; t != nil && t.state == discarded {
 				delete(m.turns, t.name)
 			}
 		}}
@@ -53,22 +53,22 @@
 			if command.End == nil {
 				return
 			}
-			if t := m.turns[command.End.Turn]; t != nil && t.state != underWay {
-				t.state = underWay
+			if t := m.turns[command.End.Turn]; t != nil && t.state != inFlight {
+				t.state = inFlight
 			}
 		}}
 	}},
 	{"a refused turn keeps its reservation", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, command Command, result Result) {
-			if result.Verdict == NoSuchTurn && command.Begin.Program != "" {
-				m.programs.byName[command.Begin.Program].reserved += max(command.Begin.Most, 0)
+			if result.Verdict == TurnNotFound && command.Begin.Program != "" {
+				m.programs.byName[command.Begin.Program].reserved += max(command.Begin.MaxTokens, 0)
 			}
 		}}
 	}},
 	{"a turn left by its relay frees its reservation", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, p := range m.programs.byName {
-				if p.open == 0 {
+				if p.inFlight == 0 {
 					p.reserved = 0
 				}
 			}
@@ -77,8 +77,8 @@
 	{"ancestors go when their own time is over", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, t := range m.turns {
-				if t.index == unqueued {
-					m.bytes -= int64(len(t.input))
+				if t.queueIndex == notQueued {
+					m.contentBytes -= int64(len(t.input))
 					t.input = nil
 				}
 			}
@@ -106,7 +106,7 @@
 	}},
 }
 
-func TestMutantsAreCaught(t *testing.T) {
+func TestModel_MutatedMachine_IsCaught(t *testing.T) {
 	const tries = 400
 	for _, test := range mutants {
 		t.Run(test.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 				longest := []int{400, 15_000}[seed%2]
 				steps := writeScript(random.IntN, 80, longest)
 				wrong := test.build()
-				if play(wrong, steps) != nil || drain(wrong, steps) != nil {
+				if playScript(wrong, steps) != nil || drain(wrong, steps) != nil {
 					return
 				}
 			}
@@ -124,12 +124,12 @@
 	}
 }
 
-func TestMachineWithoutAMistakeIsNotCaught(t *testing.T) {
+func TestModel_CorrectMachine_IsNotCaught(t *testing.T) {
 	for seed := range uint64(80) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		steps := writeScript(random.IntN, 80, []int{400, 15_000}[seed%2])
 		machine := New()
-		if err := play(machine, steps); err != nil {
+		if err := playScript(machine, steps); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if err := drain(machine, steps); err != nil {
--- a/internal/tier/program/model_test.go
+++ b/internal/tier/program/model_test.go
@@ -1,79 +1,173 @@
 package program
 
 import (
+	"bytes"
 	"fmt"
-	"testing"
+)
 
-	"pgregory.net/rapid"
+// Spans, in true milliseconds, in which a machine must answer as the reference does. Outside of them it may have let go.
+const (
+	modelInFlightMs = 2 * 60_000
+	modelEndedMs    = 30_000
 )
 
-// subject is a machine, or a wrong one.
-type subject interface {
-	Apply(Command) Result
-	held() *Machine
+// modelTurn is a turn with a chain of its own, copied as a whole.
+type modelTurn struct {
+	program    string
+	most       int64
+	remembered bool
+	keepMs     int64
+	before     []byte // the chain up to it
+	input      []byte
+	chain      []byte // with it, once it is whole
+	ended      bool
+	whole      bool
+	atMs       int64 // true time of its last command that changed it
 }
 
-func (m *Machine) held() *Machine { return m }
+type modelProgram struct{ limit, spent, reserved int64 }
+
+// model is the plainest machine there is: it copies every chain, forgets nothing and knows the true time.
+type model struct {
+	turns    map[string]*modelTurn
+	imported map[string][]byte
+	programs map[string]*modelProgram
+}
+
+func newModel() *model {
+	return &model{
+		turns:    map[string]*modelTurn{},
+		imported: map[string][]byte{},
+		programs: map[string]*modelProgram{},
+	}
+}
+
+// follow takes a command and a machine's answer to it, and tells what is wrong with that.
+func (r *model) follow(command Command, trueMs int64, got Result) error {
+	if command.Begin != nil {
+		return r.followBegin(command.Begin, trueMs, got)
+	}
+	return r.followEnd(command.End, trueMs, got)
+}
 
-// play applies a script and tells the first thing that differs from the reference.
-func play(subject subject, steps []step) error {
-	reference := newReference()
-	for i, step := range steps {
-		got := subject.Apply(step.command)
-		if err := reference.follow(step.command, step.trueMs, got); err != nil {
-			return fmt.Errorf("step %d: %w", i, err)
+func (r *model) followBegin(begin *BeginTurn, trueMs int64, got Result) error {
+	if t := r.turns[begin.Turn]; t != nil {
+		return expect(got, Result{Verdict: Accepted, Chain: t.before})
+	}
+	p := r.programs[begin.Program]
+	if p == nil {
+		p = &modelProgram{}
+		if begin.Program != "" {
+			r.programs[begin.Program] = p
 		}
-		if err := reference.check(subject.held(), step.trueMs); err != nil {
-			return fmt.Errorf("after step %d: %w", i, err)
+	}
+	if begin.Budget > 0 && (p.limit == 0 || begin.Budget < p.limit) {
+		p.limit = begin.Budget
+	}
+	most := max(begin.MaxTokens, 0)
+	if begin.Program != "" && p.limit > 0 && p.spent+p.reserved+most > p.limit {
+		return expect(got, Result{Verdict: BudgetExceeded})
+	}
+	t := &modelTurn{program: begin.Program, most: most, remembered: begin.Remembered, atMs: trueMs}
+	if begin.Remembered {
+		t.keepMs = int64(begin.KeepForS * 1000)
+		t.input = begin.Input
+		if refused, err := r.findBefore(t, begin, trueMs, got); refused {
+			return err
 		}
 	}
-	return nil
+	r.turns[begin.Turn] = t
+	p.reserved += most
+	return expect(got, Result{Verdict: Accepted, Chain: t.before})
 }
 
-// drain applies commands over two hours without any turn that matters, and tells what is left.
-func drain(subject subject, steps []step) error {
-	atMs := steps[len(steps)-1].trueMs + 2*3_600_000
-	for i := range 2 * 3600 / 10 {
-		atMs += 10_000
-		subject.Apply(Command{Begin: &BeginTurn{Turn: fmt.Sprint("filler ", i), AtMs: atMs}})
-	}
-	held := subject.held()
-	const fillers = (underWayMs+clockMarginMs)/10_000 + 1
-	stats := held.Stats()
-	if stats.Turns > fillers || stats.Programs > 0 || stats.Bytes != 0 || len(held.roots) > 0 {
-		return fmt.Errorf("%+v and %d imported chains are left", stats, len(held.roots))
+// findBefore sets the chain that a turn goes on from, and tells whether it is refused for want of one.
+func (r *model) findBefore(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (refused bool, err error) {
+	if begin.Previous == "" {
+		return false, nil
 	}
-	return nil
+	previous := r.turns[begin.Previous]
+	isWhole := previous != nil && previous.whole
+	imported := r.imported[begin.Previous]
+	switch {
+	case isWhole && trueMs <= previous.atMs+previous.keepMs:
+		t.before = previous.chain
+	case got.Verdict == TurnNotFound:
+		if len(begin.Imported) > 0 {
+			return true, fmt.Errorf("an imported chain was refused")
+		}
+		return true, nil
+	case isWhole:
+		t.before = previous.chain
+	case imported != nil:
+		t.before = imported
+	case len(begin.Imported) > 0:
+		t.before = begin.Imported
+		r.imported[begin.Previous] = begin.Imported
+	default:
+		return true, expect(got, Result{Verdict: TurnNotFound})
+	}
+	return false, nil
 }
 
-func drawing(t *rapid.T) choose {
-	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
+func (r *model) followEnd(end *EndTurn, trueMs int64, got Result) error {
+	t := r.turns[end.Turn]
+	if t == nil {
+		return expect(got, Result{Verdict: UnknownTurn})
+	}
+	if t.ended {
+		if end.Complete && t.remembered && !t.whole {
+			return expect(got, Result{Verdict: UnknownTurn})
+		}
+		return expect(got, Result{Verdict: Accepted})
+	}
+	if got.Verdict == UnknownTurn && trueMs > t.atMs+modelInFlightMs {
+		delete(r.turns, end.Turn) // its relay left it for so long that it begins anew; what it reserved counts
+		return nil
+	}
+	t.ended = true
+	t.atMs = trueMs
+	if p := r.programs[t.program]; p != nil {
+		p.reserved -= t.most
+		p.spent += min(max(end.Tokens, 0), t.most)
+	}
+	if end.Complete && t.remembered {
+		t.whole = true
+		t.chain = bytes.Join([][]byte{t.before, t.input, end.Output}, nil)
+	}
+	return expect(got, Result{Verdict: Accepted})
 }
 
-func TestMachineFollowsTheReference(t *testing.T) {
-	tests := []struct {
-		name    string
-		length  int
-		longest int
-	}{
-		{"within the time in which nothing goes", 60, 400},
-		{"over minutes", 80, 15_000},
-	}
-	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) {
-				// given commands as relays and owners with differing clocks send them
-				steps := writeScript(drawing(t), test.length, test.longest)
-				// when a machine applies them, then it answers and holds what the reference does
-				machine := New()
-				if err := play(machine, steps); err != nil {
-					t.Fatal(err)
-				}
-				// and when nothing more comes, then it lets all go
-				if err := drain(machine, steps); err != nil {
-					t.Fatal(err)
-				}
-			})
-		})
+func expect(got, want Result) error {
+	if got.Verdict != want.Verdict {
+		return fmt.Errorf("verdict %s, want %s", got.Verdict, want.Verdict)
+	}
+	if !bytes.Equal(got.Chain, want.Chain) {
+		return fmt.Errorf("chain %q, want %q", got.Chain, want.Chain)
 	}
+	return nil
+}
+
+// check compares what a machine holds with what it must hold at a true time.
+func (r *model) check(m *Machine, trueMs int64) error {
+	for name, p := range r.programs {
+		held := m.programs.byName[name]
+		if held == nil {
+			return fmt.Errorf("program %s is gone", name)
+		}
+		got := modelProgram{limit: held.limit, spent: held.spent, reserved: held.reserved}
+		if got != *p {
+			return fmt.Errorf("program %s is %+v, want %+v", name, got, *p)
+		}
+	}
+	for name, t := range r.turns {
+		chain, found := m.Chain(name)
+		if found && (!t.whole || !bytes.Equal(chain, t.chain)) {
+			return fmt.Errorf("turn %s has chain %q, want %q (whole: %v)", name, chain, t.chain, t.whole)
+		}
+		if !found && t.whole && trueMs <= t.atMs+t.keepMs {
+			return fmt.Errorf("turn %s is gone %d ms after its end, it is to be kept for %d", name, trueMs-t.atMs, t.keepMs)
+		}
+	}
+	return nil
 }
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -108,10 +108,10 @@
 	}
 	t := newest[s.choose(len(newest))]
 	t.end = &EndTurn{
-		Turn:   t.begin.Turn,
-		Whole:  s.choose(4) > 0,
-		Tokens: int64(s.choose(40)) - 5,
-		Output: s.bytes("out", t.begin.Turn),
+		Turn:     t.begin.Turn,
+		Complete: s.choose(4) > 0,
+		Tokens:   int64(s.choose(40)) - 5,
+		Output:   s.bytes("out", t.begin.Turn),
 	}
 	t.lastMs = s.nowMs
 	return Command{End: t.end}, true
@@ -133,7 +133,7 @@
 		return Command{Begin: t.begin}, true
 	}
 	other := *t.end
-	other.Whole = s.choose(2) == 0
+	other.Complete = s.choose(2) == 0
 	other.Tokens += int64(s.choose(3))
 	return Command{End: &other}, true
 }
@@ -142,7 +142,7 @@
 	name := fmt.Sprint("t", len(s.asked))
 	begin := &BeginTurn{
 		Turn:       name,
-		Most:       int64(s.choose(32)) - 1,
+		MaxTokens:  int64(s.choose(32)) - 1,
 		Remembered: s.choose(4) > 0,
 		KeepForS:   float64(s.choose(4) * 30),
 		Input:      s.bytes("in", name),
@@ -165,7 +165,7 @@
 	return Command{Begin: begin}
 }
 
-// bytes gives a turn's input or output; some are empty.
+// contentBytes gives a turn's input or output; some are empty.
 func (s *script) bytes(kind, turn string) []byte {
 	if s.choose(8) == 0 {
 		return nil
--- a/internal/tier/program/snapshot_test.go
+++ b/internal/tier/program/snapshot_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -13,9 +14,9 @@
 
 // replicaView compares all that a machine holds, apart from the numbers by which it orders turns.
 var replicaView = []cmp.Option{
-	cmp.AllowUnexported(Machine{}, clock{}, programs{}, program{}, turn{}),
-	cmpopts.IgnoreFields(Machine{}, "sequence", "queue"),
-	cmpopts.IgnoreFields(turn{}, "sequence", "index"),
+	cmp.AllowUnexported(Machine{}, clock{}, programTable{}, program{}, turn{}),
+	cmpopts.IgnoreFields(Machine{}, "sequence", "expiries"),
+	cmpopts.IgnoreFields(turn{}, "sequence", "queueIndex"),
 	cmpopts.EquateEmpty(),
 }
 
@@ -32,7 +33,7 @@
 	return read
 }
 
-func TestReplicasAgree(t *testing.T) {
+func TestReplicas_SameCommands_SameStateAndResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// given a log, an owner, and a replica that is set to the owner's snapshot somewhere on the way
 		longest := rapid.SampledFrom([]int{400, 15_000, 60_000}).Draw(t, "longest")
@@ -87,7 +88,7 @@
 	}
 }
 
-func TestSnapshotIsWhatItsTypesSay(t *testing.T) {
+func TestSnapshot_EncodedByHand_EqualsEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// given a machine, also with names that JSON quotes
 		machine := New()
@@ -95,11 +96,11 @@
 			machine.Apply(step.command)
 		}
 		odd := rapid.String().Draw(t, "name")
-		machine.Apply(bring(odd+"<\"\\\x01>", odd, "&", "\xff"))
-		machine.Apply(begin("open", odd+"\xff", 7, 3))
+		machine.Apply(beginImporting(odd+"<\"\\\x01>", odd, "&", "\xff"))
+		machine.Apply(beginTurn("open", odd+"\xff", 7, 3))
 		// when its snapshot is read and written by the types
 		data := machine.Snapshot()
-		var read Image
+		var read Chunk
 		if err := json.Unmarshal(data, &read); err != nil {
 			t.Fatal(err)
 		}
@@ -114,16 +115,16 @@
 	})
 }
 
-func TestSnapshotFitsItsRoom(t *testing.T) {
+func TestSnapshot_EstimatedBytes_FitTightly(t *testing.T) {
 	// given a machine with names of the usual length
-	image := filled(500).Image()
+	image := filled(500).Capture()
 	// when it is written, then the memory set aside was enough and not much more
-	if data := image.JSON(); len(data) > image.room() || len(data) < image.room()*9/10 {
-		t.Errorf("%d bytes set aside and %d written", image.room(), len(data))
+	if data := image.JSON(); len(data) > image.estimatedBytes() || len(data) < image.estimatedBytes()*9/10 {
+		t.Errorf("%d bytes set aside and %d written", image.estimatedBytes(), len(data))
 	}
 }
 
-func TestRestoreRefusesDamage(t *testing.T) {
+func TestRestore_CorruptSnapshot_LeavesMachine(t *testing.T) {
 	const head, tail = `{"nowMs":90,"heardMs":90,"programs":[{"name":"p","reserved":5,"usedMs":80}],"turns":[`, `]}`
 	turns := func(list ...string) string { return head + strings.Join(list, ",") + tail }
 	const (
@@ -139,25 +140,25 @@
 		{"a program without a name", `{"programs":[{}]}`, "no name"},
 		{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "future"},
 		{"a program that owes", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
-		{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "named twice"},
+		{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "duplicate name"},
 		{"programs out of order",
 			`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "out of order"},
-		{"two turns of one name", turns(first, first), "named twice"},
+		{"two turns of one name", turns(first, first), "duplicate name"},
 		{"a turn without a name", turns(`{"dueMs":99}`), "no name"},
-		{"a turn in no state", turns(`{"turn":"b","state":9,"dueMs":99}`), "no such state"},
-		{"a turn before its parent", turns(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, first), "go before it"},
+		{"a turn in no state", turns(`{"turn":"b","state":9,"dueMs":99}`), "unknown state"},
+		{"a turn before its parent", turns(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, first), "precede it"},
 		{"a parent that doesn't count",
-			turns(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "isn't whole"},
-		{"a turn of a program that isn't there", turns(`{"turn":"b","program":"q","dueMs":99}`), "isn't there"},
+			turns(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "isn't complete"},
+		{"a turn of a program that isn't there", turns(`{"turn":"b","program":"q","dueMs":99}`), "unknown program"},
 		{"a turn with more reserved than its program", turns(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "less reserved"},
 		{"a turn with less than nothing reserved", turns(`{"turn":"b","most":-1,"dueMs":99}`), "out of range"},
-		{"an ended turn with a reservation", turns(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "holds a reservation"},
-		{"a turn under way with an output", turns(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "output"},
+		{"an ended turn with a reservation", turns(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a reservation"},
+		{"a turn under way with an output", turns(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
 		{"a broken turn with an input", turns(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
-		{"a turn that is kept for years", turns(`{"turn":"b","dueMs":99999999999}`), "longer than anything"},
-		{"a turn under way without a time", turns(`{"turn":"b"}`), "no time"},
-		{"a whole turn that nothing holds", turns(`{"turn":"b","state":1,"remembered":true}`), "held by nothing"},
-		{"an imported chain that nothing holds", turns(root), "held by nothing"},
+		{"a turn that is kept for years", turns(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
+		{"a turn under way without a time", turns(`{"turn":"b"}`), "no expiry"},
+		{"a whole turn that nothing holds", turns(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
+		{"an imported chain that nothing holds", turns(root), "referenced by nothing"},
 		{"an imported chain with a time", turns(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
 		{"a whole turn that isn't remembered", turns(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
 	}
@@ -166,8 +167,8 @@
 			machine := filled(3)
 			before := string(machine.Snapshot())
 			err := machine.Restore([]byte(test.data))
-			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want one with %q", err, test.want)
+			if !errors.Is(err, ErrCorruptSnapshot) || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want an ErrCorruptSnapshot with %q", err, test.want)
 			}
 			if diff := cmp.Diff(before, string(machine.Snapshot())); diff != "" {
 				t.Errorf("(-before +after):\n%s", diff)
@@ -187,14 +188,14 @@
 	})
 }
 
-func TestImageStaysAsItWas(t *testing.T) {
+func TestCapture_MachineGoesOn_StaysUnchanged(t *testing.T) {
 	// given an image of a machine
 	machine := filled(20)
-	image := machine.Image()
+	image := machine.Capture()
 	want := string(machine.Snapshot())
 	// when the machine goes on, also until all of it has gone
 	for i := range 20 {
-		machine.Apply(end(fmt.Sprintf("%08x%08x", i, 3), true, 5, "[out]", 1))
+		machine.Apply(endTurn(fmt.Sprintf("%08x%08x", i, 3), true, 5, "[out]", 1))
 	}
 	passTime(machine, 1, 1000)
 	if stats := machine.Stats(); stats != (Stats{}) {
@@ -229,13 +230,13 @@
 		}
 		// and when the time of the turns and then that of the programs is over, then all goes
 		for range 2 {
-			machine.clock.nowMs += 2 * maxKeepMs
+			machine.clock.nowMs += 2 * maxRetentionMs
 			for range len(data) {
 				machine.Apply(Command{})
 			}
 		}
-		if stats := machine.Stats(); stats != (Stats{}) || len(machine.roots) > 0 {
-			t.Fatalf("%+v and %d imported chains are left", stats, len(machine.roots))
+		if stats := machine.Stats(); stats != (Stats{}) || len(machine.imported) > 0 {
+			t.Fatalf("%+v and %d imported chains are left", stats, len(machine.imported))
 		}
 	})
 }
@@ -255,13 +256,13 @@
 	previous := ""
 	for i := range 4 {
 		name := fmt.Sprintf("%08x%08x", number, i)
-		command := ask(name, previous, strings.Repeat("i", input), 0)
+		command := beginRemembered(name, previous, strings.Repeat("i", input), 0)
 		command.Begin.Program = program
 		command.Begin.Budget = 1000
-		command.Begin.Most = 100
+		command.Begin.MaxTokens = 100
 		machine.Apply(command)
 		if i < 3 {
-			machine.Apply(end(name, true, 80, strings.Repeat("o", output), 0))
+			machine.Apply(endTurn(name, true, 80, strings.Repeat("o", output), 0))
 		}
 		previous = name
 	}
--- /dev/null
+++ b/internal/tier/program/source_mutants_test.go
@@ -0,0 +1,89 @@
+package program
+
+import (
+	"testing"
+
+	"mastusher/internal/tools/mutation"
+)
+
+// scripts is the test that compares the machine with the reference.
+const scripts = "^TestModel_CorrectMachine_IsNotCaught$"
+
+func budgetChange(old, changed string) mutation.Change {
+	return mutation.Change{File: "budget.go", Old: old, New: changed}
+}
+
+func turnChange(old, changed string) mutation.Change {
+	return mutation.Change{File: "turn.go", Old: old, New: changed}
+}
+
+func retentionChange(old, changed string) mutation.Change {
+	return mutation.Change{File: "retention.go", Old: old, New: changed}
+}
+
+func TestMutantsAreNoticed(t *testing.T) {
+	t.Parallel()
+	mutation.Test(t, []mutation.Mutant{
+		{
+			Name:   "the budget leaves reservations out",
+			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.spent+maxTokens <= p.limit"),
+			Run:    scripts,
+			Always: true,
+		},
+		{
+			Name:   "the budget leaves what was spent out",
+			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.reserved+maxTokens <= p.limit"),
+			Run:    scripts,
+		},
+		{
+			Name:   "the last token of the budget can't be had",
+			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.usedTokens()+maxTokens < p.limit"),
+			Run:    scripts,
+		},
+		{
+			Name:   "the last budget told counts",
+			Change: budgetChange("return min(limit, budget)", "return budget"),
+			Run:    scripts,
+		},
+		{
+			Name:   "more is charged than was reserved",
+			Change: budgetChange("return min(max(tokens, 0), reserved)", "return max(tokens, 0)"),
+			Run:    scripts,
+		},
+		{
+			Name:   "less than nothing is charged",
+			Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
+			Run:    scripts,
+		},
+		{
+			Name:   "a turn always costs its most",
+			Change: budgetChange("return min(max(tokens, 0), reserved)", "return reserved"),
+			Run:    scripts,
+		},
+		{
+			Name:   "a broken turn counts",
+			Change: turnChange("if isComplete && t.remembered {", "if true {"),
+			Run:    scripts,
+		},
+		{
+			Name:   "any turn can be gone on from",
+			Change: turnChange("return t.state == complete || t.state == imported", "return true"),
+			Run:    scripts,
+		},
+		{
+			Name:   "whole turns go early",
+			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
+			Run:    scripts,
+		},
+		{
+			Name:   "whole turns are kept without a margin",
+			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
+			Run:    scripts,
+		},
+		{
+			Name:   "nothing is ever let go",
+			Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
+			Run:    scripts,
+		},
+	})
+}
--- a/internal/tier/program/stored_format_test.go
+++ b/internal/tier/program/stored_format_test.go
@@ -47,26 +47,26 @@
 	empty func() any
 }{
 	{"begin.json", &Command{Begin: &BeginTurn{
-		Turn: "turn 2", Program: "program", Budget: 1000, Most: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
+		Turn: "turn 2", Program: "program", Budget: 1000, MaxTokens: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
 		Input: []byte("input\x00\xff"), Imported: []byte("chain\xfe"), AtMs: startMs,
 	}}, func() any { return &Command{} }},
 	{"begin-least.json", &Command{Begin: &BeginTurn{}}, func() any { return &Command{} }},
-	{"end.json", &Command{End: &EndTurn{Turn: "turn 2", Whole: true, Tokens: 80, Output: []byte("output\x00\xff"), AtMs: startMs + 1}},
+	{"end.json", &Command{End: &EndTurn{Turn: "turn 2", Complete: true, Tokens: 80, Output: []byte("output\x00\xff"), AtMs: startMs + 1}},
 		func() any { return &Command{} }},
 	{"end-least.json", &Command{End: &EndTurn{}}, func() any { return &Command{} }},
-	{"result-taken.json", &Result{Verdict: Taken, Chain: []byte("chain\xfe")}, func() any { return &Result{} }},
-	{"result-budget.json", &Result{Verdict: BudgetSpent}, func() any { return &Result{} }},
-	{"result-missing.json", &Result{Verdict: NoSuchTurn}, func() any { return &Result{} }},
-	{"result-unknown.json", &Result{Verdict: Unknown}, func() any { return &Result{} }},
-	{"chunk.json", &Image{
-		NowMs: startMs, HeardMs: startMs + 1, Number: 2, GoesOn: true,
-		More:     &contentsRecord{Input: []byte("input\xff"), Output: []byte("output\xff")},
-		Programs: []programRecord{{Name: "program <é>", Limit: 1000, Spent: 80, Reserved: 120, UsedMs: startMs - 1}},
+	{"result-taken.json", &Result{Verdict: Accepted, Chain: []byte("chain\xfe")}, func() any { return &Result{} }},
+	{"result-budget.json", &Result{Verdict: BudgetExceeded}, func() any { return &Result{} }},
+	{"result-missing.json", &Result{Verdict: TurnNotFound}, func() any { return &Result{} }},
+	{"result-unknown.json", &Result{Verdict: UnknownTurn}, func() any { return &Result{} }},
+	{"chunk.json", &Chunk{
+		NowMs: startMs, LastCommandMs: startMs + 1, Index: 2, HasNext: true,
+		Continuation: &contentRecord{Input: []byte("input\xff"), Output: []byte("output\xff")},
+		Programs:     []programRecord{{Name: "program <é>", Limit: 1000, Spent: 80, Reserved: 120, LastUsedMs: startMs - 1}},
 		Turns: []turnRecord{{
-			Turn: "turn \"3\"", State: imported, Remembered: true, Program: "program <é>", Most: 100, Parent: 1, KeepMs: 60_000, DueMs: startMs + 2,
+			Turn: "turn \"3\"", State: imported, Remembered: true, Program: "program <é>", ReservedTokens: 100, Parent: 1, RetainMs: 60_000, ExpiresAtMs: startMs + 2,
 			Input: []byte("in"), Output: []byte("out"),
 		}},
-	}, func() any { return &Image{} }},
+	}, func() any { return &Chunk{} }},
 }
 
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
@@ -77,7 +77,7 @@
 			if err := json.Unmarshal(want, read); err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(test.value, read, cmp.AllowUnexported(Image{})); diff != "" {
+			if diff := cmp.Diff(test.value, read, cmp.AllowUnexported(Chunk{})); diff != "" {
 				t.Errorf("values (-want +read):\n%s", diff)
 			}
 			written, err := json.Marshal(test.value)
@@ -87,7 +87,7 @@
 			if diff := cmp.Diff(string(want), string(written)); diff != "" {
 				t.Errorf("bytes (-want +written):\n%s", diff)
 			}
-			if image, ok := test.value.(*Image); ok {
+			if image, ok := test.value.(*Chunk); ok {
 				if diff := cmp.Diff(string(want), string(image.JSON())); diff != "" {
 					t.Errorf("bytes by hand (-want +written):\n%s", diff)
 				}
@@ -99,16 +99,16 @@
 // storedMachine holds a turn in each state, on programs with and without a limit.
 func storedMachine() *Machine {
 	machine := New()
-	machine.Apply(bring("in flight", "elsewhere", "[chain of elsewhere]", "[in 1]"))
-	first := ask("complete", "elsewhere", "[in 2]", 1)
-	first.Begin.Program, first.Begin.Budget, first.Begin.Most = "limited", 1000, 100
+	machine.Apply(beginImporting("in flight", "elsewhere", "[chain of elsewhere]", "[in 1]"))
+	first := beginRemembered("complete", "elsewhere", "[in 2]", 1)
+	first.Begin.Program, first.Begin.Budget, first.Begin.MaxTokens = "limited", 1000, 100
 	machine.Apply(first)
-	machine.Apply(end("complete", true, 80, "[out 2]", 2))
-	next := ask("next", "complete", "[in 3]", 3)
-	next.Begin.Program, next.Begin.Most = "limited", 50
+	machine.Apply(endTurn("complete", true, 80, "[out 2]", 2))
+	next := beginRemembered("next", "complete", "[in 3]", 3)
+	next.Begin.Program, next.Begin.MaxTokens = "limited", 50
 	machine.Apply(next)
-	machine.Apply(begin("broken", "free", 0, 10))
-	machine.Apply(end("broken", false, 3, "", 4))
+	machine.Apply(beginTurn("broken", "free", 0, 10))
+	machine.Apply(endTurn("broken", false, 3, "", 4))
 	return machine
 }
 
@@ -137,10 +137,10 @@
 	// given a chunk a line: one with records, and those of a turn that is larger than a chunk
 	stored := goldenLines(t, "chunks.jsonl.gz")
 	machine := storedMachine()
-	machine.Apply(ask("large", "", strings.Repeat("i", 150_000), 5))
-	machine.Apply(end("large", true, 1, strings.Repeat("o", 50_000), 6))
+	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 150_000), 5))
+	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", 50_000), 6))
 	// when a machine writes the same state, then the bytes are the same
-	written := partsOf(t, machine)
+	written := chunksOf(t, machine)
 	if len(written) != len(stored) {
 		t.Fatalf("%d chunks, want %d", len(written), len(stored))
 	}
@@ -151,7 +151,7 @@
 	}
 	// and when one is restored from the files, then it holds the same
 	restored := filled(2)
-	if err := restoredFrom(restored, stored); err != nil {
+	if err := restoreChunks(restored, stored); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
--- a/internal/tier/program/turn.go
+++ b/internal/tier/program/turn.go
@@ -1,57 +1,70 @@
 package program
 
-// state is what has become of a turn.
+// state is the state of a turn. Its numbers are stored.
 type state uint8
 
 const (
-	underWay state = iota // begun and not ended
-	whole                 // ended whole and remembered: others may go on from it
-	settled               // ended, and it doesn't count: broken off, or not remembered
-	imported              // the chain of a turn that another shard holds; its bytes are the input
+	inFlight  state = iota // begun and not ended
+	complete               // ended, complete and remembered: it can be continued
+	discarded              // ended and can't be continued: broken off, or not remembered
+	imported               // a chain that was imported from another shard; its bytes are the input
 )
 
-// turn is one try of a client, or an imported chain. Turns that go on from the same one share it as their parent, so that
-// each input and output is there once.
+// turn is one attempt of a client, or an imported chain. Turns that continue the same one share it as their parent, so that
+// each input and output is stored once.
 type turn struct {
-	name       string
-	parent     *turn
-	program    *program // while under way; nil: it belongs to none
-	input      []byte
-	output     []byte
-	most       int64 // tokens reserved
-	keepMs     int64
-	dueMs      int64 // when it may go; 0: it isn't queued
-	chainBytes int   // length of the chain up to and including this turn, once it is whole
-	sequence   uint64
-	children   int32 // turns held that go on from this one
-	index      int32 // place in the queue; unqueued: held by its children alone
-	state      state
-	remembered bool
+	name           string
+	parent         *turn
+	program        *program // while in flight; nil: it belongs to none
+	input          []byte
+	output         []byte
+	reservedTokens int64
+	retainMs       int64 // retention after its end that was asked for
+	expiresAtMs    int64 // 0: it isn't queued
+	chainBytes     int   // length of the chain up to and including this turn, once it can be continued
+	sequence       uint64
+	children       int32 // turns stored that continue this one
+	queueIndex     int32 // index in the expiry queue; notQueued: retained by its children alone
+	state          state
+	remembered     bool
 }
 
-// unqueued is the index of a turn that isn't in the queue.
-const unqueued = -1
+// notQueued is the queueIndex of a turn that isn't in the expiry queue.
+const notQueued = -1
 
-// kept tells whether anything still needs the turn.
-func (t *turn) kept() bool {
-	return t.children > 0 || t.index != unqueued
+// isReferenced reports whether the expiry queue or another turn still needs the turn.
+func (t *turn) isReferenced() bool {
+	return t.children > 0 || t.queueIndex != notQueued
 }
 
-// bytes is the size of what the turn itself holds.
-func (t *turn) bytes() int64 {
+// canContinue reports whether others may continue the turn.
+func (t *turn) canContinue() bool {
+	return t.state == complete || t.state == imported
+}
+
+// stateAtEnd returns the state that a turn in flight gets at its end.
+func stateAtEnd(t *turn, isComplete bool) state {
+	if isComplete && t.remembered {
+		return complete
+	}
+	return discarded
+}
+
+// contentBytes is the size of the turn's own input and output.
+func (t *turn) contentBytes() int64 {
 	return int64(len(t.input) + len(t.output))
 }
 
-// seal notes the length of the chain once the output is there.
-func (t *turn) seal() {
+// setChainBytes stores the length of the chain once the output is there.
+func (t *turn) setChainBytes() {
 	t.chainBytes = len(t.input) + len(t.output)
 	if t.parent != nil {
 		t.chainBytes += t.parent.chainBytes
 	}
 }
 
-// chain gives the inputs and outputs from the oldest turn up to and including t, in memory of its own. It fills the bytes
-// from the end, so that the way from t to its oldest turn is walked once.
+// chain returns the inputs and outputs from the oldest turn up to and including t, in newly allocated memory. It fills the
+// bytes from the end, so that the path from t to its oldest turn is walked once.
 func (t *turn) chain() []byte {
 	if t == nil || t.chainBytes == 0 {
 		return nil
--- a/internal/tier/programclient/chains.go
+++ b/internal/tier/programclient/chains.go
@@ -82,7 +82,7 @@
 		return
 	}
 	c.drop(known)
-	if !turn.Whole || verdict != program.Taken {
+	if !turn.Complete || verdict != program.Accepted {
 		return
 	}
 	text := make([]byte, 0, len(known.text)+len(turn.Output))
--- a/internal/tier/programclient/chains_test.go
+++ b/internal/tier/programclient/chains_test.go
@@ -33,16 +33,16 @@
 	}
 	c.sent += len(begun.Chain)
 	c.full += len(result.Chain)
-	if result.Verdict == program.Taken {
+	if result.Verdict == program.Accepted {
 		client.begun(&turn, got)
 	}
-	return result.Verdict == program.Taken
+	return result.Verdict == program.Accepted
 }
 
 func (c *conversation) end(client *chains, end program.EndTurn) {
 	verdict := c.machine.Apply(program.Command{End: &end}).Verdict
 	client.ended(&end, verdict)
-	if end.Whole && verdict == program.Taken {
+	if end.Complete && verdict == program.Accepted {
 		c.whole = append(c.whole, end.Turn)
 	}
 }
@@ -67,7 +67,7 @@
 				turn.Input = []byte("another input")
 				c.begin(client, turn)
 			}
-			c.end(client, program.EndTurn{Turn: turn.Turn, Whole: rapid.IntRange(0, 5).Draw(t, "whole") > 0, Output: []byte(fmt.Sprint("out", number))})
+			c.end(client, program.EndTurn{Turn: turn.Turn, Complete: rapid.IntRange(0, 5).Draw(t, "whole") > 0, Output: []byte(fmt.Sprint("out", number))})
 		}
 		for i, client := range c.clients {
 			checkChains(t, i, client)
@@ -102,7 +102,7 @@
 			}
 			name := fmt.Sprint("t", number)
 			c.begin(client, program.BeginTurn{Turn: name, Program: "p", Remembered: true, KeepForS: 60, Previous: previous, Input: bytes.Repeat([]byte("i"), 100)})
-			c.end(client, program.EndTurn{Turn: name, Whole: true, Output: bytes.Repeat([]byte("o"), 100)})
+			c.end(client, program.EndTurn{Turn: name, Complete: true, Output: bytes.Repeat([]byte("o"), 100)})
 			previous = name
 		}
 		switch {
@@ -118,14 +118,14 @@
 	name := func(text string) wire.CachedChain {
 		return wire.CachedChain{Bytes: len(text), Digest: wire.DigestOf([]byte(text))}
 	}
-	result := program.Result{Verdict: program.Taken, Chain: []byte("abcdef")}
+	result := program.Result{Verdict: program.Accepted, Chain: []byte("abcdef")}
 	cases := map[string]struct {
 		held []wire.CachedChain
 		want wire.BeginTurnResponse
 	}{
 		"nothing held":            {nil, wire.BeginTurnResponse{Result: result}},
 		"something else held":     {[]wire.CachedChain{name("abx"), name("abcdefg")}, wire.BeginTurnResponse{Result: result}},
-		"the longest":             {[]wire.CachedChain{name("ab"), name("abcd"), name("abc")}, wire.BeginTurnResponse{Result: program.Result{Verdict: program.Taken, Chain: []byte("ef")}, CachedIndex: 2}},
+		"the longest":             {[]wire.CachedChain{name("ab"), name("abcd"), name("abc")}, wire.BeginTurnResponse{Result: program.Result{Verdict: program.Accepted, Chain: []byte("ef")}, CachedIndex: 2}},
 		"a negative length":       {[]wire.CachedChain{{Bytes: -1}}, wire.BeginTurnResponse{Result: result}},
 		"more than are looked at": {[]wire.CachedChain{name("x"), name("x"), name("x"), name("x"), name("ab")}, wire.BeginTurnResponse{Result: result}},
 	}
--- a/internal/tier/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -59,7 +59,7 @@
 		return program.Result{}, err
 	}
 	result, err := c.begin(ctx, shard, turn)
-	if err != nil || result.Verdict != program.NoSuchTurn {
+	if err != nil || result.Verdict != program.TurnNotFound {
 		return result, err
 	}
 	chain, found, err := c.find(ctx, shard, turn.Previous)
@@ -82,7 +82,7 @@
 	if result.Chain, err = joined(held, begun); err != nil {
 		return program.Result{}, fmt.Errorf("shard %d: %w", shard, err)
 	}
-	if result.Verdict == program.Taken {
+	if result.Verdict == program.Accepted {
 		c.chains.begun(&turn, result.Chain)
 	}
 	return result, nil
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -107,12 +107,12 @@
 		return program.Result{}, &notOwner{owner.address}
 	}
 	owner.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{Verdict: program.Taken, Chain: []byte(request.Turn.Turn)}, nil
+		return program.Result{Verdict: program.Accepted, Chain: []byte(request.Turn.Turn)}, nil
 	}
 	client := newClient(t, 1, first, owner)
 	for i := range 3 {
 		got, err := client.Begin(testContext(t, 5*time.Second), "key", program.BeginTurn{Turn: fmt.Sprint("t", i)})
-		if err != nil || got.Verdict != program.Taken || string(got.Chain) != fmt.Sprint("t", i) {
+		if err != nil || got.Verdict != program.Accepted || string(got.Chain) != fmt.Sprint("t", i) {
 			t.Errorf("got %+v, %v", got, err)
 		}
 	}
@@ -132,12 +132,12 @@
 		return program.Result{}, &notOwner{silent.address}
 	}
 	owner.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{Verdict: program.Taken}, nil
+		return program.Result{Verdict: program.Accepted}, nil
 	}
 	client := newClient(t, 1, silent, follower, owner)
 	// when a turn is begun, then the new owner is asked before the silent store is asked again
 	got, err := client.Begin(testContext(t, 5*time.Second), "key", program.BeginTurn{Turn: "t"})
-	if err != nil || got.Verdict != program.Taken || silent.begins.Load() != 1 {
+	if err != nil || got.Verdict != program.Accepted || silent.begins.Load() != 1 {
 		t.Errorf("got %+v, %v after asking the silent store %d times", got, err, silent.begins.Load())
 	}
 }
@@ -152,12 +152,12 @@
 	}{
 		{"given no shard that holds it then there is none",
 			func(wire.ChainRequest) (wire.ChainResponse, error) { return wire.ChainResponse{}, nil },
-			program.Result{Verdict: program.NoSuchTurn}, true},
+			program.Result{Verdict: program.TurnNotFound}, true},
 		{"given a shard that holds it then its chain is brought over",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				return wire.ChainResponse{Found: request.Shard == 2, Chain: []byte("old")}, nil
 			},
-			program.Result{Verdict: program.Taken, Chain: []byte("old")}, true},
+			program.Result{Verdict: program.Accepted, Chain: []byte("old")}, true},
 		{"given a shard without an owner then nothing is known",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
@@ -171,7 +171,7 @@
 					return wire.ChainResponse{}, &notOwner{}
 				}
 				return wire.ChainResponse{Found: true, Chain: []byte("old")}, nil
-			}, program.Result{Verdict: program.Taken, Chain: []byte("old")}, true},
+			}, program.Result{Verdict: program.Accepted, Chain: []byte("old")}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -179,9 +179,9 @@
 			s.chain = test.chain
 			s.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
 				if len(request.Turn.Imported) == 0 {
-					return program.Result{Verdict: program.NoSuchTurn}, nil
+					return program.Result{Verdict: program.TurnNotFound}, nil
 				}
-				return program.Result{Verdict: program.Taken, Chain: request.Turn.Imported}, nil
+				return program.Result{Verdict: program.Accepted, Chain: request.Turn.Imported}, nil
 			}
 			client := newClient(t, shards, s)
 			got, err := client.Begin(testContext(t, 300*time.Millisecond), keyOf(0, shards), program.BeginTurn{Turn: "t", Previous: "before"})
@@ -202,12 +202,12 @@
 	s := newStore(t)
 	s.end = func(request wire.EndTurnRequest) (program.Result, error) {
 		if strings.HasPrefix(request.Turn.Turn, "lost") {
-			return program.Result{Verdict: program.Unknown}, nil
+			return program.Result{Verdict: program.UnknownTurn}, nil
 		}
-		return program.Result{Verdict: program.Taken}, nil
+		return program.Result{Verdict: program.Accepted}, nil
 	}
 	client := newClient(t, 1, s)
-	for turn, want := range map[string]program.Verdict{"kept": program.Taken, "lost": program.Unknown} {
+	for turn, want := range map[string]program.Verdict{"kept": program.Accepted, "lost": program.UnknownTurn} {
 		got, err := client.End(testContext(t, 5*time.Second), "key", program.EndTurn{Turn: turn})
 		if err != nil || got.Verdict != want {
 			t.Errorf("%s: %+v, %v", turn, got, err)
@@ -220,7 +220,7 @@
 	silent, owner := newStore(t), newStore(t)
 	client := newClient(t, 1, silent, owner)
 	taken := func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{Verdict: program.Taken}, nil
+		return program.Result{Verdict: program.Accepted}, nil
 	}
 	silent.begin, owner.begin = taken, taken
 	if _, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "before"}); err != nil {
@@ -259,7 +259,7 @@
 				t.Fatal("the silent store has answered")
 			}
 			// then the next one is answered
-			if result, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "id"}); err != nil || result.Verdict != program.Taken {
+			if result, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "id"}); err != nil || result.Verdict != program.Accepted {
 				t.Errorf("got %+v, %v", result, err)
 			}
 			if asked := silent.begins.Load() - before; (asked > 1) != test.again {
--- a/internal/tier/programclient/wire_format_test.go
+++ b/internal/tier/programclient/wire_format_test.go
@@ -22,18 +22,18 @@
 	{"begin-request.json", &wire.BeginTurnRequest{
 		Shard: 3,
 		Turn: program.BeginTurn{
-			Turn: "turn 2", Program: "program", Budget: 1000, Most: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
+			Turn: "turn 2", Program: "program", Budget: 1000, MaxTokens: 100, Remembered: true, Previous: "turn 1", KeepForS: 1.5,
 			Input: []byte("input\xff"), Imported: []byte("chain\xfe"), AtMs: 1_700_000_000_000,
 		},
 		CachedChains: []wire.CachedChain{{Bytes: 5, Digest: wire.DigestOf([]byte("chain"))}},
 	}, func() any { return &wire.BeginTurnRequest{} }},
-	{"begin-answer.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.Taken, Chain: []byte("rest\xff")}, CachedIndex: 1},
+	{"begin-answer.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.Accepted, Chain: []byte("rest\xff")}, CachedIndex: 1},
 		func() any { return &wire.BeginTurnResponse{} }},
-	{"begin-refused.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.BudgetSpent}}, func() any { return &wire.BeginTurnResponse{} }},
+	{"begin-refused.json", &wire.BeginTurnResponse{Result: program.Result{Verdict: program.BudgetExceeded}}, func() any { return &wire.BeginTurnResponse{} }},
 	{"end-request.json", &wire.EndTurnRequest{
-		Shard: 3, Turn: program.EndTurn{Turn: "turn 2", Whole: true, Tokens: 80, Output: []byte("output\xff"), AtMs: 1_700_000_000_001},
+		Shard: 3, Turn: program.EndTurn{Turn: "turn 2", Complete: true, Tokens: 80, Output: []byte("output\xff"), AtMs: 1_700_000_000_001},
 	}, func() any { return &wire.EndTurnRequest{} }},
-	{"end-answer.json", &program.Result{Verdict: program.Unknown}, func() any { return &program.Result{} }},
+	{"end-answer.json", &program.Result{Verdict: program.UnknownTurn}, func() any { return &program.Result{} }},
 	{"chain-request.json", &wire.ChainRequest{Shard: 3, Turn: "turn 1"}, func() any { return &wire.ChainRequest{} }},
 	{"chain-answer.json", &wire.ChainResponse{Found: true, Chain: []byte("chain\xfe")}, func() any { return &wire.ChainResponse{} }},
 	{"members-answer.json", &wire.ShardMembersResponse{Shards: []wire.ShardMembers{
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("looks complete: %+v", got)
 	}
 	close(release)
-	if end := <-f.programs.ended; end.Whole || end.Tokens != 3 {
+	if end := <-f.programs.ended; end.Complete || end.Tokens != 3 {
 		t.Errorf("settled with %+v", end)
 	}
 }
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -53,7 +53,7 @@
 	p.keys = append(p.keys, key)
 	p.mutex.Unlock()
 	if p.begin == nil {
-		return program.Result{Verdict: program.Taken}, nil
+		return program.Result{Verdict: program.Accepted}, nil
 	}
 	return p.begin(turn)
 }
@@ -70,10 +70,10 @@
 		}
 	}
 	if p.lost != nil && p.lost(turn) {
-		return program.Result{Verdict: program.Unknown}, nil
+		return program.Result{Verdict: program.UnknownTurn}, nil
 	}
 	p.ended <- turn
-	return program.Result{Verdict: program.Taken}, nil
+	return program.Result{Verdict: program.Accepted}, nil
 }
 
 // chooser is a Selector that offers endpoints in order, each once.
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -85,7 +85,9 @@
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{Verdict: "new"}, nil }
 		},
 		"the stores don't know the turn": func(f *fixture) {
-			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{Verdict: program.Unknown}, nil }
+			f.programs.begin = func(program.BeginTurn) (program.Result, error) {
+				return program.Result{Verdict: program.UnknownTurn}, nil
+			}
 		},
 		"the service has gone": func(f *fixture) {
 			config := newConfiguration()
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -58,7 +58,7 @@
 				t.Error("the shutdown says that all requests have ended by themselves")
 			}
 			if test.route == "turn" {
-				if end := <-f.programs.ended; end.Whole || end.Turn != "id" {
+				if end := <-f.programs.ended; end.Complete || end.Turn != "id" {
 					t.Errorf("settled with %+v", end)
 				}
 			}
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -98,7 +98,7 @@
 	}
 	if err := endTurn(c.context, c.proxy.options.Programs, c.turn.key, end); err != nil {
 		// The client sees a cut answer, so the turn doesn't count; its tokens do.
-		end.Whole, end.Output = false, nil
+		end.Complete, end.Output = false, nil
 		if err != errUnknownTurn {
 			c.proxy.settler.settle(c.turn.key, end)
 		}
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -111,7 +111,7 @@
 	if outcome := <-f.chooser.outcomes; outcome.Result != ClientClosed {
 		t.Errorf("outcome %+v", outcome)
 	}
-	if end := <-f.programs.ended; end.Tokens != 3 || end.Whole {
+	if end := <-f.programs.ended; end.Tokens != 3 || end.Complete {
 		t.Errorf("settled with %+v", end)
 	}
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -67,7 +67,7 @@
 		Turn:       t.id,
 		Program:    facts.Program,
 		Budget:     budget,
-		Most:       facts.MaxOutputTokens,
+		MaxTokens:  facts.MaxOutputTokens,
 		Remembered: t.remembered,
 		Previous:   facts.Previous,
 		KeepForS:   facts.Route.RetentionS,
@@ -77,12 +77,12 @@
 		return apierror.StateUnavailable, nil, err
 	}
 	switch result.Verdict {
-	case program.Taken:
+	case program.Accepted:
 		return apierror.None, result.Chain, nil
-	case program.BudgetSpent:
+	case program.BudgetExceeded:
 		t.begun = false
 		return apierror.BudgetExhausted, nil, nil
-	case program.NoSuchTurn:
+	case program.TurnNotFound:
 		t.begun = false
 		return apierror.TurnNotFound, nil, nil
 	}
@@ -91,7 +91,7 @@
 
 // end returns what the stores are told at the end of the turn.
 func (t *turn) end(whole bool, scanner *eventScanner) program.EndTurn {
-	end := program.EndTurn{Turn: t.id, Whole: whole, Tokens: scanner.count * t.tokensPerEvent}
+	end := program.EndTurn{Turn: t.id, Complete: whole, Tokens: scanner.count * t.tokensPerEvent}
 	if whole && t.remembered {
 		end.Output = scanner.output
 	}
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -20,7 +20,7 @@
 	e := newEndpoint(t, stream(event(1, "one"), "id: 2\ndata: two\ndata: lines\n\n", ": nothing\n\n", event(3, "three")))
 	f := newFixture(t, e)
 	f.programs.begin = func(program.BeginTurn) (program.Result, error) {
-		return program.Result{Verdict: program.Taken, Chain: []byte("old input|old output\n")}, nil
+		return program.Result{Verdict: program.Accepted, Chain: []byte("old input|old output\n")}, nil
 	}
 	c := f.dial()
 	c.ask("POST", "/turn/x", "id", "new input", turnFields...)
@@ -32,12 +32,12 @@
 	if request := <-e.requests; request.body != "old input|old output\nnew input" || request.header.Get("Content-Length") != "30" {
 		t.Errorf("the endpoint got %q", request.body)
 	}
-	wantBegin := []program.BeginTurn{{Turn: "id", Program: "p1", Budget: 1080, Most: 135, Remembered: true, Previous: "before",
+	wantBegin := []program.BeginTurn{{Turn: "id", Program: "p1", Budget: 1080, MaxTokens: 135, Remembered: true, Previous: "before",
 		KeepForS: 60, Input: []byte("new input")}}
 	if diff := cmp.Diff(wantBegin, f.programs.begins); diff != "" {
 		t.Errorf("begin (-want +got):\n%s", diff)
 	}
-	wantEnd := program.EndTurn{Turn: "id", Whole: true, Tokens: 9, Output: []byte("one\ntwo\nlines\nthree\n")}
+	wantEnd := program.EndTurn{Turn: "id", Complete: true, Tokens: 9, Output: []byte("one\ntwo\nlines\nthree\n")}
 	if diff := cmp.Diff(wantEnd, <-f.programs.ended); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
@@ -53,8 +53,8 @@
 		err    error
 		status int
 	}{
-		{"spent", program.Result{Verdict: program.BudgetSpent}, nil, 402},
-		{"no such turn", program.Result{Verdict: program.NoSuchTurn}, nil, 404},
+		{"spent", program.Result{Verdict: program.BudgetExceeded}, nil, 402},
+		{"no such turn", program.Result{Verdict: program.TurnNotFound}, nil, 404},
 		{"not known", program.Result{}, errors.New("no owner"), 503},
 	}
 	for _, test := range cases {
@@ -174,7 +174,7 @@
 		t.Errorf("got %+v", got)
 	}
 	close(release)
-	if diff := cmp.Diff(program.EndTurn{Turn: "id", Whole: true, Tokens: 6}, <-f.programs.ended); diff != "" {
+	if diff := cmp.Diff(program.EndTurn{Turn: "id", Complete: true, Tokens: 6}, <-f.programs.ended); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
 }
@@ -193,7 +193,7 @@
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	var offers atomic.Int64
 	f.programs.lost = func(end program.EndTurn) bool {
-		if end.Whole {
+		if end.Complete {
 			offers.Add(1)
 		}
 		return true
@@ -221,7 +221,7 @@
 			if got := c.read("POST"); got.err != nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
-			if diff := cmp.Diff(program.EndTurn{Turn: "id", Whole: true}, <-f.programs.ended); diff != "" {
+			if diff := cmp.Diff(program.EndTurn{Turn: "id", Complete: true}, <-f.programs.ended); diff != "" {
 				t.Errorf("end (-want +got):\n%s", diff)
 			}
 		})
@@ -248,7 +248,7 @@
 					offers++
 					return offers < test.knownAt
 				}}
-				err := endTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Whole: test.whole})
+				err := endTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.whole})
 				if offers != test.offers || (err == nil) != test.known {
 					t.Errorf("%d offers, %v", offers, err)
 				}
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -99,11 +99,11 @@
 	for unknown := 0; ; {
 		result, err := tryEndTurn(ctx, programs, key, turn)
 		switch {
-		case err == nil && result.Verdict == program.Taken:
+		case err == nil && result.Verdict == program.Accepted:
 			return nil
 		case err == nil:
 			unknown++
-			if turn.Whole || unknown >= mostUnknown {
+			if turn.Complete || unknown >= mostUnknown {
 				return errUnknownTurn
 			}
 			err = errUnknownTurn
--- a/internal/tier/store/excess_race_test.go
+++ b/internal/tier/store/excess_race_test.go
@@ -97,11 +97,11 @@
 func (f *fleet) takeTurn(shard int, name string) {
 	f.until(name+" is taken", func(s *Store) bool {
 		began, err := s.begin(testContext(f.t), "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn(name).Begin})
-		if err != nil || began.Verdict != program.Taken {
+		if err != nil || began.Verdict != program.Accepted {
 			return false
 		}
 		ended, err := s.end(testContext(f.t), "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn(name).End})
-		return err == nil && ended.Verdict == program.Taken
+		return err == nil && ended.Verdict == program.Accepted
 	})
 }
 
--- a/internal/tier/store/machine.go
+++ b/internal/tier/store/machine.go
@@ -31,9 +31,9 @@
 	applied, err := m.take(raw)
 	switch {
 	case err != nil:
-		return program.Result{Verdict: program.Unknown}
+		return program.Result{Verdict: program.UnknownTurn}
 	case applied.Placement > 0:
-		return program.Result{Verdict: program.Taken}
+		return program.Result{Verdict: program.Accepted}
 	}
 	return m.programs.Apply(applied.Command)
 }
@@ -96,7 +96,7 @@
 	if err := write(first); err != nil {
 		return err
 	}
-	return m.programs.Parts(func(part []byte) error { return write(part) })
+	return m.programs.WriteChunks(func(part []byte) error { return write(part) })
 }
 
 // BeginRestore implements group.ChunkedStateMachine. The old state goes at once, so that no two of them are in memory.
--- a/internal/tier/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -21,22 +21,22 @@
 }
 
 func beginTurn(name string) program.Command {
-	return program.Command{Begin: &program.BeginTurn{Turn: name, Program: "p", Budget: 1000, Most: 10, Remembered: true, KeepForS: 60,
+	return program.Command{Begin: &program.BeginTurn{Turn: name, Program: "p", Budget: 1000, MaxTokens: 10, Remembered: true, KeepForS: 60,
 		Input: []byte("input of " + name), AtMs: 1_700_000_000_000}}
 }
 
 func endTurn(name string) program.Command {
-	return program.Command{End: &program.EndTurn{Turn: name, Whole: true, Tokens: 3, Output: []byte("output"), AtMs: 1_700_000_000_100}}
+	return program.Command{End: &program.EndTurn{Turn: name, Complete: true, Tokens: 3, Output: []byte("output"), AtMs: 1_700_000_000_100}}
 }
 
 func verdict(result any) program.Verdict { return result.(program.Result).Verdict }
 
 func TestMachineTakesBothKindsOfCommand(t *testing.T) {
 	m := newMachine()
-	if got := verdict(m.Apply(1, encode(t, beginTurn("a")))); got != program.Taken {
+	if got := verdict(m.Apply(1, encode(t, beginTurn("a")))); got != program.Accepted {
 		t.Errorf("turn was %s", got)
 	}
-	if got := verdict(m.Apply(2, encode(t, command{Placement: 7}))); got != program.Taken {
+	if got := verdict(m.Apply(2, encode(t, command{Placement: 7}))); got != program.Accepted {
 		t.Errorf("placement was %s", got)
 	}
 	m.Apply(3, encode(t, command{Placement: 5}))
@@ -44,7 +44,7 @@
 		t.Errorf("follows placement %d, want the newest, 7", got)
 	}
 	for _, raw := range []string{`{}`, `{"begin":7}`, `[]`, `{"placement":-1}`} {
-		if got := verdict(m.Apply(4, json.RawMessage(raw))); got == program.Taken {
+		if got := verdict(m.Apply(4, json.RawMessage(raw))); got == program.Accepted {
 			t.Errorf("%s was taken", raw)
 		}
 	}
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -307,9 +307,9 @@
 	number := f.turns.Add(1)
 	shard := int(number % measuredShards)
 	name := fmt.Sprintf("%032x", number)
-	f.ask(shard, wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, Most: 100,
+	f.ask(shard, wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, MaxTokens: 100,
 		Remembered: true, KeepForS: 3600, Input: contents(number, f.input)}})
-	f.ask(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Whole: true, Tokens: 100, Output: contents(number, f.input/4)}})
+	f.ask(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Complete: true, Tokens: 100, Output: contents(number, f.input/4)}})
 }
 
 // contents are bytes as no two turns have them.
@@ -331,7 +331,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		result, err := transport.Call[any, program.Result](ctx, f.pool, address, method, request)
 		cancel()
-		if err == nil && result.Verdict == program.Taken {
+		if err == nil && result.Verdict == program.Accepted {
 			f.owners[shard].Store(&address)
 			return
 		}
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -78,10 +78,10 @@
 
 	// Given a turn that was begun and ended.
 	began, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
-	if err != nil || began.Verdict != program.Taken {
+	if err != nil || began.Verdict != program.Accepted {
 		t.Fatalf("begun: %v, %v", began, err)
 	}
-	if ended, err := s.end(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Taken {
+	if ended, err := s.end(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Accepted {
 		t.Fatalf("ended: %v, %v", ended, err)
 	}
 
@@ -97,7 +97,7 @@
 	// And a turn that goes on from one that isn't there is refused.
 	next := *beginTurn("b").Begin
 	next.Previous = "nothing"
-	if got, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.NoSuchTurn {
+	if got, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
 		t.Errorf("begun without its chain: %v, %v", got, err)
 	}
 }
@@ -108,7 +108,7 @@
 		s := newStore(t, disk)
 		s.Place(4, alone(1))
 		settle(t, s, 1, 4)
-		if got, err := s.begin(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Taken {
+		if got, err := s.begin(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
 			t.Fatalf("begun: %v, %v", got, err)
 		}
 	})
@@ -116,7 +116,7 @@
 	s := newStore(t, disk)
 	s.Place(4, alone(1))
 	settle(t, s, 1, 4)
-	if got, err := s.end(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Taken {
+	if got, err := s.end(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
 		t.Errorf("the end of a turn that was acknowledged: %v, %v", got, err)
 	}
 }
@@ -179,7 +179,7 @@
 	defer pool.Close()
 	ctx := testContext(t)
 	got, err := transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Turn: *beginTurn("a").Begin})
-	if err != nil || got.Verdict != program.Taken {
+	if err != nil || got.Verdict != program.Accepted {
 		t.Errorf("begun: %v, %v", got, err)
 	}
 	_, err = transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: 5, Turn: *beginTurn("b").Begin})
--- a/internal/tier/store/stored_format_test.go
+++ b/internal/tier/store/stored_format_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	m := newMachine()
 	for i, entry := range storedCommands {
-		if got := verdict(m.Apply(uint64(i+1), golden(t, entry.file))); got != program.Taken {
+		if got := verdict(m.Apply(uint64(i+1), golden(t, entry.file))); got != program.Accepted {
 			t.Fatalf("%s: %s", entry.file, got)
 		}
 	}
--- a/internal/tier/wire/heldchain_test.go
+++ b/internal/tier/wire/heldchain_test.go
@@ -20,7 +20,7 @@
 		for _, h := range held {
 			names = append(names, wire.CachedChain{Bytes: len(h), Digest: wire.DigestOf([]byte(h))})
 		}
-		begun := wire.OmitCachedPrefix(program.Result{Verdict: program.Taken, Chain: []byte(chain)}, names)
+		begun := wire.OmitCachedPrefix(program.Result{Verdict: program.Accepted, Chain: []byte(chain)}, names)
 		whole := string(begun.Chain)
 		if begun.CachedIndex > 0 {
 			whole = held[begun.CachedIndex-1] + whole
