--- a/internal/tier/configuration/arrivals_test.go
+++ b/internal/tier/configuration/arrivals_test.go
@@ -11,7 +11,7 @@
 // snapshot before any of them.
 type arrivals struct {
 	t      *testing.T
-	orders []*configuration.Order
+	orders []*configuration.Proposal
 	left   []int // copies of each order that may still arrive
 	seen   []sight
 	states int
@@ -21,10 +21,10 @@
 // sight is what one copy was answered.
 type sight struct {
 	order   int
-	verdict configuration.Verdict
+	verdict configuration.Result
 }
 
-func (a *arrivals) explore(state configuration.State, index uint64) {
+func (a *arrivals) explore(state configuration.Snapshot, index uint64) {
 	a.paths++
 	for order := range a.orders {
 		if a.left[order] == 0 {
@@ -38,21 +38,21 @@
 		a.seen = append(a.seen, sight{order, register.Apply(index, a.orders[order])})
 		a.check(register)
 		a.states++
-		a.explore(register.State(), index+1)
+		a.explore(register.Snapshot(), index+1)
 		a.seen = a.seen[:len(a.seen)-1]
 		a.left[order]++
 	}
 }
 
 // check tells what must not be after any of the copies.
-func (a *arrivals) check(register *configuration.Register) {
+func (a *arrivals) check(register *configuration.StateMachine) {
 	last := a.seen[len(a.seen)-1]
 	byBase, byNumber := map[uint64]int{}, map[uint64]int{}
 	for _, s := range a.seen {
-		if s.order == last.order && s.verdict == configuration.Taken != (last.verdict == configuration.Taken) {
+		if s.order == last.order && s.verdict == configuration.Accepted != (last.verdict == configuration.Accepted) {
 			a.t.Fatalf("copies of one order were answered in both ways: %v", a.seen)
 		}
-		if s.verdict != configuration.Taken {
+		if s.verdict != configuration.Accepted {
 			continue
 		}
 		order := a.orders[s.order]
@@ -63,8 +63,8 @@
 			by[key] = s.order
 		}
 	}
-	taken := slices.Contains(a.seen, sight{last.order, configuration.Taken})
-	if taken != register.WasTaken(a.orders[last.order]) {
+	taken := slices.Contains(a.seen, sight{last.order, configuration.Accepted})
+	if taken != register.WasAccepted(a.orders[last.order]) {
 		a.t.Fatalf("what was taken isn't known, or what wasn't is: %v", a.seen)
 	}
 }
@@ -72,8 +72,8 @@
 // TestEveryArrivalOfCopies has two operators send different orders under one number and on one version, another one that builds
 // on them, and the same content on another version; each copy arrives at any time, also before the version on which it builds.
 func TestEveryArrivalOfCopies(t *testing.T) {
-	a := &arrivals{t: t, left: []int{2, 2, 2, 2, 1}, orders: []*configuration.Order{
+	a := &arrivals{t: t, left: []int{2, 2, 2, 2, 1}, orders: []*configuration.Proposal{
 		order(0, 3, "first"), order(0, 3, "other"), order(3, 5, "next"), order(3, 5, "rival"), order(0, 5, "next")}}
-	a.explore(configuration.New().State(), 1)
+	a.explore(configuration.New().Snapshot(), 1)
 	t.Logf("%d sequences, %d verdicts", a.paths, a.states)
 }
--- a/internal/tier/configuration/chain.go
+++ b/internal/tier/configuration/chain.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// historyBound is the number of orders taken of which a repeat is recognised.
-const historyBound = 32768
+// maxHistory is the number of orders taken of which a repeat is recognised.
+const maxHistory = 32768
 
 // fingerprint names an order by its whole content and the version on which it builds.
 type fingerprint [16]byte
 
-func fingerprintOf(order *Order) fingerprint {
+func fingerprintOf(order *Proposal) fingerprint {
 	sum := sha256.New()
 	sum.Write([]byte(strconv.FormatUint(order.Base, 10)))
 	sum.Write([]byte{'\n'})
@@ -24,35 +24,35 @@
 	return short
 }
 
-// link is one order that was taken. It builds on the number of the link before.
-type link struct {
+// historyEntry is one order that was taken. It builds on the number of the link before.
+type historyEntry struct {
 	number uint64
-	sum    fingerprint
+	digest fingerprint
 }
 
-// chain is the orders that were taken: each version has one successor, and numbers grow.
-type chain struct {
-	oldest uint64 // number on which the first link builds
-	links  []link
+// history is the orders that were taken: each version has one successor, and numbers grow.
+type history struct {
+	base    uint64 // number on which the first link builds
+	entries []historyEntry
 }
 
-// match is what a chain knows of an order.
-type match int
+// lookupResult is what a chain knows of an order.
+type lookupResult int
 
 const (
-	other  match = iota // it was not taken
-	same                // it was taken
-	tooOld              // the orders on its version are forgotten
+	notFound  lookupResult = iota // it was not taken
+	found                         // it was taken
+	truncated                     // the orders on its version are forgotten
 )
 
 // find looks for the order that was taken on a version. It takes a binary search.
-func (c *chain) find(base uint64, sum fingerprint) match {
-	if base < c.oldest {
-		return tooOld
+func (c *history) find(base uint64, sum fingerprint) lookupResult {
+	if base < c.base {
+		return truncated
 	}
 	next := 0
-	if base > c.oldest {
-		at, found := slices.BinarySearchFunc(c.links, base, func(l link, number uint64) int {
+	if base > c.base {
+		at, found := slices.BinarySearchFunc(c.entries, base, func(l historyEntry, number uint64) int {
 			switch {
 			case l.number < number:
 				return -1
@@ -62,50 +62,50 @@
 			return 0
 		})
 		if !found {
-			return other
+			return notFound
 		}
 		next = at + 1
 	}
-	if next < len(c.links) && c.links[next].sum == sum {
-		return same
+	if next < len(c.entries) && c.entries[next].digest == sum {
+		return found
 	}
-	return other
+	return notFound
 }
 
-// add appends an order that has just been taken, and forgets the oldest one beyond the bound.
-func (c *chain) add(number uint64, sum fingerprint) {
-	c.links = append(c.links, link{number, sum})
-	if len(c.links) > historyBound {
-		c.oldest = c.links[0].number
-		c.links = c.links[1:]
+// append appends an order that has just been taken, and forgets the oldest one beyond the bound.
+func (c *history) append(number uint64, sum fingerprint) {
+	c.entries = append(c.entries, historyEntry{number, sum})
+	if len(c.entries) > maxHistory {
+		c.base = c.entries[0].number
+		c.entries = c.entries[1:]
 	}
 }
 
 // encode writes each link as the difference of its number from the one before, a varint, and its fingerprint.
-func (c *chain) encode() []byte {
+func (c *history) encode() []byte {
 	var raw []byte
-	before := c.oldest
-	for _, l := range c.links {
+	before := c.base
+	for _, l := range c.entries {
 		raw = binary.AppendUvarint(raw, l.number-before)
-		raw = append(raw, l.sum[:]...)
+		raw = append(raw, l.digest[:]...)
 		before = l.number
 	}
 	return raw
 }
 
-func decodeChain(oldest uint64, raw []byte) (chain, error) {
-	c := chain{oldest: oldest}
+func decodeHistory(oldest uint64, raw []byte) (history, error) {
+	c := history{base: oldest}
 	number := oldest
 	for len(raw) > 0 {
 		difference, size := binary.Uvarint(raw)
 		if size <= 0 || difference == 0 || len(raw) < size+len(fingerprint{}) {
-			return chain{}, fmt.Errorf("history of orders: link %d cannot be read", len(c.links))
+			return history{}, fmt.Errorf("history of orders: link %d cannot be read", len(c.entries))
 		}
 		number += difference
-		l := link{number: number}
-		copy(l.sum[:], raw[size:])
-		c.links = append(c.links, l)
-		raw = raw[size+len(l.sum):]
+		l := historyEntry{number: number}
+		copy(l.digest[:], raw[size:])
+		c.entries = append(c.entries, l)
+		raw = raw[size+len(l.digest):]
 	}
 	return c, nil
 }
--- a/internal/tier/configuration/mutants_test.go
+++ b/internal/tier/configuration/mutants_test.go
@@ -13,8 +13,8 @@
 			Name: "no order is recognised again",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\tcase same:\n\t\treturn Taken\n\tcase tooOld",
-				New:  "\tcase tooOld",
+				Old:  "\tcase found:\n\t\treturn Accepted\n\tcase truncated",
+				New:  "\tcase truncated",
 			},
 			Run:    "^TestEveryArrival",
 			Always: true,
@@ -23,8 +23,8 @@
 			Name: "the number alone is compared",
 			Change: mutation.Change{
 				File: "chain.go",
-				Old:  "if next < len(c.links) && c.links[next].sum == sum {",
-				New:  "if next < len(c.links) {",
+				Old:  "if next < len(c.entries) && c.entries[next].digest == sum {",
+				New:  "if next < len(c.entries) {",
 			},
 			Run: "^TestApply$",
 		},
@@ -46,8 +46,8 @@
 			},
 			Also: []mutation.Change{{
 				File: "chain.go",
-				Old:  "	if base < c.oldest {\n",
-				New:  "	for _, l := range c.links {\n		if l.sum == sum {\n			return same\n		}\n	}\n	if base < c.oldest {\n",
+				Old:  "	if base < c.base {\n",
+				New:  "	for _, l := range c.entries {\n		if l.digest == sum {\n			return found\n		}\n	}\n	if base < c.base {\n",
 			}},
 			Run: "^TestApply$",
 		},
@@ -55,8 +55,8 @@
 			Name: "a snapshot loses the history",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "decodeChain(state.Oldest, state.History)",
-				New:  "decodeChain(0, nil)",
+				Old:  "decodeHistory(state.HistoryBase, state.History)",
+				New:  "decodeHistory(0, nil)",
 			},
 			Run: "^TestRegisterAgrees|^TestRepeats",
 		},
@@ -64,7 +64,7 @@
 			Name: "what is forgotten is refused",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\t\treturn Forgotten\n",
+				Old:  "\t\treturn HistoryTruncated\n",
 				New:  "\t\treturn Conflict\n",
 			},
 			Run: "^TestHistoryIsBounded$",
@@ -73,7 +73,7 @@
 			Name: "a snapshot loses what is forgotten",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "Oldest: r.taken.oldest, ",
+				Old:  "HistoryBase: r.history.base, ",
 				New:  "",
 			},
 			Run: "^TestHistoryIsBounded$",
@@ -82,7 +82,7 @@
 			Name: "what was refused is taken later",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\t\tr.refuse(order.Base, sum)\n",
+				Old:  "\t\tr.rememberRejection(order.Base, sum)\n",
 				New:  "",
 			},
 			Run: "^TestApply$|^TestRefusals",
@@ -91,7 +91,7 @@
 			Name: "a snapshot loses what was refused",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\t\tr.refused = append(r.refused, restored)\n",
+				Old:  "\t\tr.rejected = append(r.rejected, restored)\n",
 				New:  "\t\t_ = restored\n",
 			},
 			Run: "^TestRefusals",
--- a/internal/tier/configuration/register_test.go
+++ b/internal/tier/configuration/register_test.go
@@ -11,31 +11,31 @@
 	"mastusher/internal/tier/configuration"
 )
 
-func order(base, number uint64, content string) *configuration.Order {
-	return &configuration.Order{Base: base, Number: number, Raw: json.RawMessage(fmt.Sprintf(`{"number":%d,"x":%q}`, number, content))}
+func order(base, number uint64, content string) *configuration.Proposal {
+	return &configuration.Proposal{Base: base, Number: number, Raw: json.RawMessage(fmt.Sprintf(`{"number":%d,"x":%q}`, number, content))}
 }
 
 func TestApply(t *testing.T) {
 	first, second := order(0, 3, "first"), order(3, 7, "second")
 	tests := []struct {
 		name  string
-		given []*configuration.Order
-		order *configuration.Order
-		want  configuration.Verdict
+		given []*configuration.Proposal
+		order *configuration.Proposal
+		want  configuration.Result
 		now   uint64 // current number after it
 	}{
-		{"the first one", nil, first, configuration.Taken, 3},
-		{"on the current one", []*configuration.Order{first}, second, configuration.Taken, 7},
-		{"the same again", []*configuration.Order{first}, first, configuration.Taken, 3},
-		{"the same again after another", []*configuration.Order{first, second}, first, configuration.Taken, 7},
-		{"the same number with other content", []*configuration.Order{first}, order(0, 3, "other"), configuration.Conflict, 3},
-		{"the same content on another version", []*configuration.Order{first}, order(3, 3, "first"), configuration.NotNewer, 3},
-		{"on an older version", []*configuration.Order{first, second}, order(3, 9, "late"), configuration.Conflict, 7},
-		{"on a version that never was", []*configuration.Order{first}, order(4, 9, "lost"), configuration.Conflict, 3},
-		{"refused before its version came", []*configuration.Order{order(3, 7, "early"), first}, order(3, 7, "early"), configuration.Conflict, 3},
-		{"another than the one refused before its version came", []*configuration.Order{order(3, 7, "early"), first}, second, configuration.Taken, 7},
-		{"the same number on another base", []*configuration.Order{first, second}, order(3, 7, "other"), configuration.Conflict, 7},
-		{"with a lower number", []*configuration.Order{first, second}, order(7, 5, "back"), configuration.NotNewer, 7},
+		{"the first one", nil, first, configuration.Accepted, 3},
+		{"on the current one", []*configuration.Proposal{first}, second, configuration.Accepted, 7},
+		{"the same again", []*configuration.Proposal{first}, first, configuration.Accepted, 3},
+		{"the same again after another", []*configuration.Proposal{first, second}, first, configuration.Accepted, 7},
+		{"the same number with other content", []*configuration.Proposal{first}, order(0, 3, "other"), configuration.Conflict, 3},
+		{"the same content on another version", []*configuration.Proposal{first}, order(3, 3, "first"), configuration.NotNewer, 3},
+		{"on an older version", []*configuration.Proposal{first, second}, order(3, 9, "late"), configuration.Conflict, 7},
+		{"on a version that never was", []*configuration.Proposal{first}, order(4, 9, "lost"), configuration.Conflict, 3},
+		{"refused before its version came", []*configuration.Proposal{order(3, 7, "early"), first}, order(3, 7, "early"), configuration.Conflict, 3},
+		{"another than the one refused before its version came", []*configuration.Proposal{order(3, 7, "early"), first}, second, configuration.Accepted, 7},
+		{"the same number on another base", []*configuration.Proposal{first, second}, order(3, 7, "other"), configuration.Conflict, 7},
+		{"with a lower number", []*configuration.Proposal{first, second}, order(7, 5, "back"), configuration.NotNewer, 7},
 		{"the first one, with number 0", nil, order(0, 0, "nothing"), configuration.NotNewer, 0},
 	}
 	for _, test := range tests {
@@ -56,10 +56,10 @@
 
 // reference keeps everything and compares by whole content.
 type reference struct {
-	current *configuration.Order
+	current *configuration.Proposal
 	index   uint64
-	taken   []*configuration.Order
-	refused []*configuration.Order // on a version that had not come
+	taken   []*configuration.Proposal
+	refused []*configuration.Proposal // on a version that had not come
 }
 
 func (r *reference) number() uint64 {
@@ -69,9 +69,9 @@
 	return r.current.Number
 }
 
-func (r *reference) wasTaken(o *configuration.Order) bool { return contains(r.taken, o) }
+func (r *reference) wasTaken(o *configuration.Proposal) bool { return contains(r.taken, o) }
 
-func contains(list []*configuration.Order, o *configuration.Order) bool {
+func contains(list []*configuration.Proposal, o *configuration.Proposal) bool {
 	for _, t := range list {
 		if cmp.Equal(t, o) {
 			return true
@@ -80,10 +80,10 @@
 	return false
 }
 
-func (r *reference) apply(index uint64, o *configuration.Order) configuration.Verdict {
+func (r *reference) apply(index uint64, o *configuration.Proposal) configuration.Result {
 	switch {
 	case r.wasTaken(o):
-		return configuration.Taken
+		return configuration.Accepted
 	case o.Base != r.number():
 		if o.Base > r.number() {
 			r.refused = append(r.refused, o)
@@ -96,7 +96,7 @@
 	}
 	r.current, r.index = o, index
 	r.taken = append(r.taken, o)
-	return configuration.Taken
+	return configuration.Accepted
 }
 
 // TestRegisterAgreesWithReference applies any orders, resends among them, with snapshots in between: the verdicts and the
@@ -104,10 +104,10 @@
 func TestRegisterAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, want := configuration.New(), &reference{}
-		var sent []*configuration.Order
+		var sent []*configuration.Proposal
 		successors := map[uint64]string{} // content of the order taken on a version
 		for index := range uint64(rapid.IntRange(1, 40).Draw(t, "orders")) {
-			var o *configuration.Order
+			var o *configuration.Proposal
 			if len(sent) > 0 && rapid.Bool().Draw(t, "again") {
 				o = rapid.SampledFrom(sent).Draw(t, "which")
 			} else {
@@ -115,15 +115,15 @@
 				o = order(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
 				sent = append(sent, o)
 			}
-			known := r.WasTaken(o)
+			known := r.WasAccepted(o)
 			verdict := r.Apply(index+1, o)
-			if known && verdict != configuration.Taken {
+			if known && verdict != configuration.Accepted {
 				t.Fatalf("an order that had been taken was %s", verdict)
 			}
 			if wanted := want.apply(index+1, o); verdict != wanted {
 				t.Fatalf("order %+v was %s, want %s", o, verdict, wanted)
 			}
-			if verdict == configuration.Taken {
+			if verdict == configuration.Accepted {
 				if other, ok := successors[o.Base]; ok && other != string(o.Raw) {
 					t.Fatalf("two changes on version %d", o.Base)
 				}
@@ -140,12 +140,12 @@
 }
 
 // restored is the register after its snapshot has been written and read.
-func restored(t rapid.TB, r *configuration.Register) *configuration.Register {
-	raw, err := json.Marshal(r.State())
+func restored(t rapid.TB, r *configuration.StateMachine) *configuration.StateMachine {
+	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var state configuration.State
+	var state configuration.Snapshot
 	if err := json.Unmarshal(raw, &state); err != nil {
 		t.Fatal(err)
 	}
@@ -165,22 +165,22 @@
 	)
 	r := configuration.New()
 	for number := uint64(1); number <= bound+1; number++ {
-		if got := r.Apply(number, order(number-1, number, "x")); got != configuration.Taken {
+		if got := r.Apply(number, order(number-1, number, "x")); got != configuration.Accepted {
 			t.Fatalf("order %d was %s", number, got)
 		}
 	}
-	for _, known := range []*configuration.Register{r, restored(t, r)} {
-		if !known.WasTaken(order(1, 2, "x")) || known.WasTaken(order(0, 1, "x")) {
+	for _, known := range []*configuration.StateMachine{r, restored(t, r)} {
+		if !known.WasAccepted(order(1, 2, "x")) || known.WasAccepted(order(0, 1, "x")) {
 			t.Error("not the oldest order was forgotten")
 		}
-		if got := known.Apply(bound+2, order(0, 1, "x")); got != configuration.Forgotten {
+		if got := known.Apply(bound+2, order(0, 1, "x")); got != configuration.HistoryTruncated {
 			t.Errorf("an order that may have been taken was %s", got)
 		}
 		if got := known.Apply(bound+3, order(1, 2, "y")); got != configuration.Conflict {
 			t.Errorf("an order on a version that another one replaced was %s", got)
 		}
 	}
-	if got := len(r.State().History); got != bound*recordBytes {
+	if got := len(r.Snapshot().History); got != bound*recordBytes {
 		t.Errorf("the history takes %d bytes, want %d", got, bound*recordBytes)
 	}
 }
@@ -189,10 +189,10 @@
 func TestRepeatsAfterHundredsOfChanges(t *testing.T) {
 	const changes = 1000
 	r := configuration.New()
-	var sent []*configuration.Order
+	var sent []*configuration.Proposal
 	for i := range uint64(changes) {
 		o := order(r.Current().Number, r.Current().Number+1+i*i%97, fmt.Sprint(i))
-		if got := r.Apply(i+1, o); got != configuration.Taken {
+		if got := r.Apply(i+1, o); got != configuration.Accepted {
 			t.Fatalf("order %d was %s", i, got)
 		}
 		sent = append(sent, o)
@@ -200,7 +200,7 @@
 	r = restored(t, r)
 	now := r.Current()
 	for i, o := range sent {
-		if got := r.Apply(changes+1, o); got != configuration.Taken {
+		if got := r.Apply(changes+1, o); got != configuration.Accepted {
 			t.Errorf("order %d was %s when it came again", i, got)
 		}
 		other := *o
@@ -212,7 +212,7 @@
 	if diff := cmp.Diff(now, r.Current()); diff != "" {
 		t.Errorf("repeats changed the configuration (-before +after):\n%s", diff)
 	}
-	raw, err := json.Marshal(r.State())
+	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	for i := range uint64(3 * bound) {
 		r.Apply(i+1, order(5+i%2, 90, fmt.Sprint(i)))
 	}
-	if got := len(r.State().Refused); got != bound {
+	if got := len(r.Snapshot().Rejected); got != bound {
 		t.Errorf("%d refusals are kept, want %d", got, bound)
 	}
 	last := order(5+(3*bound-1)%2, 90, fmt.Sprint(3*bound-1))
@@ -239,7 +239,7 @@
 		t.Errorf("an order that was refused is %s", got)
 	}
 	r.Apply(502, order(last.Base, 91, "next"))
-	if got := r.State().Refused; len(got) > 0 {
+	if got := r.Snapshot().Rejected; len(got) > 0 {
 		t.Errorf("%d refusals are kept of versions that have been replaced", len(got))
 	}
 }
@@ -248,9 +248,9 @@
 func TestDamagedHistoryIsNoHistory(t *testing.T) {
 	r := configuration.New()
 	r.Apply(1, order(0, 3, "x"))
-	state := r.State()
+	state := r.Snapshot()
 	for size := 1; size < len(state.History); size++ {
-		if _, err := configuration.Restore(configuration.State{History: state.History[:size]}); err == nil {
+		if _, err := configuration.Restore(configuration.Snapshot{History: state.History[:size]}); err == nil {
 			t.Errorf("a history cut after %d bytes is read", size)
 		}
 	}
--- a/internal/tier/controller/api.go
+++ b/internal/tier/controller/api.go
@@ -22,41 +22,41 @@
 
 // Bounds of the operator's API.
 const (
-	agreeTimeout      = 2500 * time.Millisecond
-	readBackTimeout   = 900 * time.Millisecond
-	headerTimeout     = 3 * time.Second
-	bodyTimeout       = 10 * time.Second
-	apiIdleTimeout    = 30 * time.Second
-	mostHeaderBytes   = 64 << 10
-	shutdownPatience  = 500 * time.Millisecond
-	notOwnerRetryTime = "0.2"
+	proposeTimeout  = 2500 * time.Millisecond
+	readTimeout     = 900 * time.Millisecond
+	headerTimeout   = 3 * time.Second
+	bodyTimeout     = 10 * time.Second
+	apiIdleTimeout  = 30 * time.Second
+	maxHeaderBytes  = 64 << 10
+	shutdownTimeout = 500 * time.Millisecond
+	retryAfterS     = "0.2"
 )
 
 // Handler answers the operator.
 func (c *Controller) Handler() http.Handler {
 	router := echo.New()
-	router.HTTPErrorHandler = c.answerError
+	router.HTTPErrorHandler = c.writeError
 	router.Use(c.boundBody)
 	router.PUT("/mastusher/settings", c.putSettings)
 	router.GET("/mastusher/settings", c.getSettings)
 	router.POST("/mastusher/rollouts", c.postRollout)
 	router.GET("/mastusher/rollouts/:service", c.getRollout)
-	router.POST("/mastusher/retire/:node", c.postRetirement)
-	router.GET("/mastusher/retire/:node", c.getRetirement)
+	router.POST("/mastusher/retire/:node", c.postDecommission)
+	router.GET("/mastusher/retire/:node", c.getDecommission)
 	router.GET(metrics.Path, echo.WrapHandler(c.options.Metrics.Handler()))
 	return router
 }
 
 // Serve answers the operator until ctx ends.
 func (c *Controller) Serve(ctx context.Context, address string) error {
-	server := &http.Server{Handler: c.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout, MaxHeaderBytes: mostHeaderBytes}
+	server := &http.Server{Handler: c.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	listener, err := network.OrSystem(c.options.Network).Listen(context.Background(), new(net.ListenConfig), "tcp", address)
 	if err != nil {
 		return err
 	}
 	go func() {
 		<-ctx.Done()
-		bounded, cancel := context.WithTimeout(context.Background(), shutdownPatience)
+		bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if err := server.Shutdown(bounded); err != nil {
 			server.Close()
@@ -83,21 +83,21 @@
 	if status.IsLeader {
 		return false, nil
 	}
-	control := c.controlOf(status.Leader)
+	control := c.controlAddress(status.Leader)
 	if !isMember(status) {
-		control = c.controlOfAnother()
+		control = c.peerControlAddress()
 	}
 	if control == "" {
 		return true, apierror.New(apierror.NotReady, "the configuration has no owner that is known now")
 	}
 	// Callers that send the whole body before they read the answer would lose the answer if the connection ended before.
-	_, _ = io.Copy(io.Discard, http.MaxBytesReader(e.Response(), e.Request().Body, mostOrderBytes))
+	_, _ = io.Copy(io.Discard, http.MaxBytesReader(e.Response(), e.Request().Body, maxConfigurationBytes))
 	return true, e.Redirect(http.StatusTemporaryRedirect, "http://"+control+e.Request().RequestURI)
 }
 
-// controlOf is where the operator reaches another controller; empty if it isn't known. Whether membership takes it for dead
+// controlAddress is where the operator reaches another controller; empty if it isn't known. Whether membership takes it for dead
 // doesn't count: the group has heard it lately, and membership takes seconds to notice that a cut is over.
-func (c *Controller) controlOf(id string) string {
+func (c *Controller) controlAddress(id string) string {
 	if id == "" || id == c.options.ID {
 		return ""
 	}
@@ -114,10 +114,10 @@
 	return slices.ContainsFunc(status.Members, func(m replica.Member) bool { return m.ID == status.ID })
 }
 
-// controlOfAnother is where the operator reaches a controller other than this one that runs. All are named in turn, so that
+// peerControlAddress is where the operator reaches a controller other than this one that runs. All are named in turn, so that
 // two that aren't in the group don't go on sending callers to each other; the one that has run for the longest time comes
 // first, since it most likely is in the group. Empty if there is none.
-func (c *Controller) controlOfAnother() string {
+func (c *Controller) peerControlAddress() string {
 	var others []membership.Member
 	for _, m := range c.options.Fleet.Members() {
 		if m.Role == membership.Controller && m.State == membership.StateAlive && m.ID != c.options.ID {
@@ -132,8 +132,8 @@
 	return others[turn%uint64(len(others))].Control
 }
 
-// unagreed turns a group's error about an order into one that makes the operator ask again.
-func (c *Controller) unagreed(err error) error {
+// proposalError turns a group's error about an order into one that makes the operator ask again.
+func (c *Controller) proposalError(err error) error {
 	var not *group.NotLeaderError
 	if errors.As(err, &not) && not.Dropped {
 		return apierror.New(apierror.NotReady, "%w", err)
@@ -144,11 +144,11 @@
 	return apierror.New(apierror.Internal, "%w", err)
 }
 
-// unread turns a group's error about a read into one that makes the operator ask again.
-func unread(err error) error { return apierror.New(apierror.NotReady, "%w", err) }
+// readError turns a group's error about a read into one that makes the operator ask again.
+func readError(err error) error { return apierror.New(apierror.NotReady, "%w", err) }
 
-// answerError turns an error into its answer by the table of error kinds.
-func (c *Controller) answerError(err error, e echo.Context) {
+// writeError turns an error into its answer by the table of error kinds.
+func (c *Controller) writeError(err error, e echo.Context) {
 	if e.Response().Committed {
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 	answer := apierror.ResponseOf(err)
 	if answer.RetryAfter {
-		e.Response().Header().Set("Retry-After", notOwnerRetryTime)
+		e.Response().Header().Set("Retry-After", retryAfterS)
 	}
 	if answer.Close {
 		e.Response().Header().Set("Connection", "close")
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -227,10 +227,10 @@
 }
 
 // roll is the newest order of a service, as this member knows it.
-func (b *bed) roll(service string) rollout.Roll {
+func (b *bed) roll(service string) rollout.Rollout {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	roll, _ := b.agree.rollouts.Roll(service)
+	roll, _ := b.state.rollouts.Rollout(service)
 	return roll
 }
 
@@ -259,11 +259,11 @@
 		t.Helper()
 		answer := b.send(http.MethodGet, path+"/lm", "")
 		wantStatus(t, answer, http.StatusOK)
-		var told rolloutState
+		var told rolloutStatus
 		if err := json.Unmarshal(answer.Body.Bytes(), &told); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(rolloutState{State: state, Target: "v2"}, told); diff != "" {
+		if diff := cmp.Diff(rolloutStatus{State: state, Target: "v2"}, told); diff != "" {
 			t.Errorf("state (-want +got):\n%s", diff)
 		}
 	}
@@ -271,7 +271,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	decision := &rollout.Decision{Service: "lm", Target: "v2", Order: b.roll("lm").Index, State: rollout.Finished}
-	if _, err := b.group.Propose(ctx, Command{Decide: decision}); err != nil {
+	if _, err := b.group.Propose(ctx, Command{RolloutDecision: decision}); err != nil {
 		t.Fatal(err)
 	}
 	wantState(rollout.Finished)
@@ -308,10 +308,10 @@
 
 func TestOversizedBodies(t *testing.T) {
 	b := startBed(t, memorydisk.New())
-	wantStatus(t, b.put("0", strings.Repeat(" ", mostOrderBytes+1)), http.StatusRequestEntityTooLarge)
+	wantStatus(t, b.put("0", strings.Repeat(" ", maxConfigurationBytes+1)), http.StatusRequestEntityTooLarge)
 
 	// The same without a length told beforehand.
-	request := httptest.NewRequest(http.MethodPut, settingsPath, io.LimitReader(strings.NewReader(strings.Repeat(" ", mostOrderBytes+1)), mostOrderBytes+1))
+	request := httptest.NewRequest(http.MethodPut, settingsPath, io.LimitReader(strings.NewReader(strings.Repeat(" ", maxConfigurationBytes+1)), maxConfigurationBytes+1))
 	request.ContentLength = -1
 	request.Header.Set("If-Match", "0")
 	recorder := httptest.NewRecorder()
@@ -370,7 +370,7 @@
 	c.settle()
 	owner := c.owner()
 	taken := mustMarshal(t, json.RawMessage(document(3)))
-	c.propose(Command{Configure: &configuration.Order{Base: 0, Number: 3, Raw: taken}})
+	c.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
 	c.run(500 * time.Millisecond)
 	for _, m := range c.sorted() {
 		if m.controller == nil || m == owner {
@@ -434,10 +434,10 @@
 		got  error
 		want apierror.Kind
 	}{
-		{"certainly not proposed", c.unagreed(&group.NotLeaderError{Dropped: true, Cause: cause}), apierror.NotReady},
-		{"may have been proposed", c.unagreed(&group.NotLeaderError{Cause: cause}), apierror.Unconfirmed},
-		{"the disk failed", c.unagreed(fmt.Errorf("disk: %w", cause)), apierror.Internal},
-		{"a read", unread(&group.NotLeaderError{Cause: cause}), apierror.NotReady},
+		{"certainly not proposed", c.proposalError(&group.NotLeaderError{Dropped: true, Cause: cause}), apierror.NotReady},
+		{"may have been proposed", c.proposalError(&group.NotLeaderError{Cause: cause}), apierror.Unconfirmed},
+		{"the disk failed", c.proposalError(fmt.Errorf("disk: %w", cause)), apierror.Internal},
+		{"a read", readError(&group.NotLeaderError{Cause: cause}), apierror.NotReady},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -194,9 +194,9 @@
 		}
 	}
 	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.around.survive}},
-		Initial: initial, Disk: m.disk, Fleet: surroundingsOf{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), Send: send, Clock: clock,
-		Now: func() time.Time { return c.time().Add(m.skew) },
-		Ask: m.ask})
+		Initial: initial, Disk: m.disk, Fleet: surroundingsOf{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), SendMessage: send, Clock: clock,
+		Now:        func() time.Time { return c.time().Add(m.skew) },
+		QueryStore: m.ask})
 	if err != nil {
 		m.startAgain(err)
 		return
@@ -299,7 +299,7 @@
 		}
 	}
 	if m.controller != nil && m.cluster.now >= m.placeDue {
-		m.placeDue = m.cluster.now + m.controller.Place(m.cluster.time())
+		m.placeDue = m.cluster.now + m.controller.Reconcile(m.cluster.time())
 		m.controller.Publish()
 	}
 }
@@ -336,11 +336,11 @@
 func (c *cluster) retire(node string) any {
 	c.t.Helper()
 	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
-	order, err := c.owner().controller.retireOrderOf(c.time(), node)
+	order, err := c.owner().controller.decommissionProposal(c.time(), node)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return c.propose(Command{Retire: order})
+	return c.propose(Command{Decommission: order})
 }
 
 func (c *cluster) state(node string) decommission.State {
@@ -348,7 +348,7 @@
 	if owner == nil {
 		return ""
 	}
-	known, _ := owner.controller.agree.retirements.Retirement(node)
+	known, _ := owner.controller.state.decommissions.Operation(node)
 	return known.State
 }
 
@@ -359,7 +359,7 @@
 // placement is what the owner has agreed on.
 func (c *cluster) placement() decommission.Placement {
 	if owner := c.owner(); owner != nil {
-		return owner.controller.agree.Placement()
+		return owner.controller.state.Placement()
 	}
 	return decommission.Placement{}
 }
--- a/internal/tier/controller/command.go
+++ b/internal/tier/controller/command.go
@@ -12,13 +12,13 @@
 
 // Command is one entry of the configuration shard's log; one field is set.
 type Command struct {
-	Configure *configuration.Order   `json:"configure,omitempty"`
-	Place     *Place                 `json:"place,omitempty"`
-	Rollout   *rollout.Order         `json:"rollout,omitempty"`
-	Seen      *rollout.Seen          `json:"seen,omitempty"`
-	Decide    *rollout.Decision      `json:"decide,omitempty"`
-	Retire    *decommission.Order    `json:"retire,omitempty"`
-	Retired   *decommission.Decision `json:"retired,omitempty"`
+	Configuration        *configuration.Proposal  `json:"configure,omitempty"`
+	Placement            *PlacementProposal       `json:"place,omitempty"`
+	Rollout              *rollout.Proposal        `json:"rollout,omitempty"`
+	ObservedVersion      *rollout.ObservedVersion `json:"seen,omitempty"`
+	RolloutDecision      *rollout.Decision        `json:"decide,omitempty"`
+	Decommission         *decommission.Proposal   `json:"retire,omitempty"`
+	DecommissionDecision *decommission.Decision   `json:"retired,omitempty"`
 }
 
 // What stands between the parts of an order to take a configuration, as EncodeJSON writes it.
@@ -31,7 +31,7 @@
 
 // EncodeJSON implements group.Encoded: a configuration, which is JSON already, isn't read again for it.
 func (c Command) EncodeJSON() (json.RawMessage, error) {
-	order := c.Configure
+	order := c.Configuration
 	if order == nil || len(order.Raw) == 0 {
 		return json.Marshal(c)
 	}
@@ -46,18 +46,18 @@
 	return append(written, afterRaw...), nil
 }
 
-// readCommand reads an entry. A configuration isn't read where the entry stands there as EncodeJSON writes it.
-func readCommand(raw json.RawMessage) (Command, error) {
-	if order := cutOrder(raw); order != nil {
-		return Command{Configure: order}, nil
+// decodeCommand reads an entry. A configuration isn't read where the entry stands there as EncodeJSON writes it.
+func decodeCommand(raw json.RawMessage) (Command, error) {
+	if order := parseConfiguration(raw); order != nil {
+		return Command{Configuration: order}, nil
 	}
 	var command Command
 	err := json.Unmarshal(raw, &command)
 	return command, err
 }
 
-// cutOrder reads an order to take a configuration, in memory of its own; nil: it is another command, or written in another way.
-func cutOrder(raw json.RawMessage) *configuration.Order {
+// parseConfiguration reads an order to take a configuration, in memory of its own; nil: it is another command, or written in another way.
+func parseConfiguration(raw json.RawMessage) *configuration.Proposal {
 	rest, ok := bytes.CutPrefix(raw, []byte(beforeBase))
 	if !ok {
 		return nil
@@ -74,7 +74,7 @@
 	if !ok || len(content) == 0 {
 		return nil
 	}
-	order := &configuration.Order{Raw: bytes.Clone(content)}
+	order := &configuration.Proposal{Raw: bytes.Clone(content)}
 	var baseErr, numberErr error
 	order.Base, baseErr = strconv.ParseUint(string(base), 10, 64)
 	order.Number, numberErr = strconv.ParseUint(string(number), 10, 64)
--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -31,14 +31,14 @@
 
 // Times of the configuration shard's group.
 const (
-	heartbeat = 120 * time.Millisecond
-	election  = 500 * time.Millisecond
-	eager     = 120 * time.Millisecond // until an owner has been heard since the start
+	heartbeatInterval      = 120 * time.Millisecond
+	electionTimeout        = 500 * time.Millisecond
+	initialElectionTimeout = 120 * time.Millisecond // until an owner has been heard since the start
 )
 
 // Fleet is what the controller needs of the process's membership and spread.
 type Fleet interface {
-	// Members returns all members that are known.
+	// GroupMembers returns all members that are known.
 	Members() []membership.Member
 	// Publish spreads a piece, unless a newer one is known.
 	Publish(piece view.Update)
@@ -64,13 +64,13 @@
 	Seed     uint64
 
 	// In place of the pool and the process's own clock, where a test runs the controller in memory; nil: those.
-	Send  func(address string, envelope group.Envelope)                                // must not block
-	Ask   func(address string, done func(answer wire.ShardMembersResponse, err error)) // must not block
-	Clock func() time.Duration
-	// AskList has the controller at an address read the platform's list.
-	AskList func(ctx context.Context, address string) ([]model.Endpoint, error)
+	SendMessage func(address string, envelope group.Envelope)                                // must not block
+	QueryStore  func(address string, done func(answer wire.ShardMembersResponse, err error)) // must not block
+	Clock       func() time.Duration
+	// QueryEndpoints has the controller at an address read the platform's list.
+	QueryEndpoints func(ctx context.Context, address string) ([]model.Endpoint, error)
 
-	Metrics *metrics.Metrics // told on the operator's port; nil: the controller's own
+	Metrics *metrics.Metrics // published on the operator's port; nil: the controller's own
 	Network network.Network  // where the operator's calls come in; nil: the system's
 	Now     func() time.Time // time of day
 }
@@ -80,34 +80,34 @@
 	options Options
 	group   *group.Group
 
-	mutex   sync.Mutex // guards what is agreed on
-	agree   *Machine
-	repeats *dedup.Window // guarded by mutex like that
-	dirty   chan struct{}
-	told    view.Digest // what has been published; the publisher's own
-
-	changeMutex sync.Mutex // orders what the group is told of its members
-	planMutex   sync.Mutex // guards the planner; taken before mutex
-	planner     *Planner
-	placing     atomic.Bool // commands of a plan are under way
-	placeSoon   chan struct{}
-
-	electedIn   uint64 // epoch of the last owner that was counted; the group's goroutine's own
-	bodyTimeout time.Duration
-	redirects   atomic.Uint64 // so many callers have been sent on while this controller wasn't in the group
-
-	checking chan struct{} // holds a token while a configuration is being checked
-	reading  chan struct{} // holds a token while the platform's list is being read
-	evidence *evidence
+	mutex       sync.Mutex // guards what is agreed on
+	state       *StateMachine
+	dedupWindow *dedup.Window // guarded by mutex like that
+	changed     chan struct{}
+	published   view.Digest // what has been published; the publisher's own
+
+	changeMutex     sync.Mutex // orders what the group is told of its members
+	reconcilerMutex sync.Mutex // guards the planner; taken before mutex
+	reconciler      *Reconciler
+	proposing       atomic.Bool // commands of a plan are under way
+	reconcileNow    chan struct{}
+
+	lastElectionTerm uint64 // term of the last owner that was counted; the group's goroutine's own
+	bodyTimeout      time.Duration
+	redirects        atomic.Uint64 // so many callers have been sent on while this controller wasn't in the group
+
+	validationSlot chan struct{} // holds a token while a configuration is being checked
+	listReadSlot   chan struct{} // holds a token while the platform's list is being read
+	versionStats   *statsTable
 }
 
 // Open recovers the member from its disk.
 func Open(options Options) (*Controller, error) {
-	if options.Send == nil {
-		options.Send = sendByLink(options.Pool)
+	if options.SendMessage == nil {
+		options.SendMessage = sendOverTransport(options.Pool)
 	}
-	if options.Ask == nil {
-		options.Ask = askByLink(options.Pool)
+	if options.QueryStore == nil {
+		options.QueryStore = queryStoreOverTransport(options.Pool)
 	}
 	if options.Clock == nil {
 		start := time.Now()
@@ -119,19 +119,19 @@
 	if options.Metrics == nil {
 		options.Metrics = metrics.New()
 	}
-	if options.AskList == nil {
-		options.AskList = askListByLink(options.Pool)
+	if options.QueryEndpoints == nil {
+		options.QueryEndpoints = queryEndpointsOverTransport(options.Pool)
 	}
-	c := &Controller{options: options, dirty: make(chan struct{}, 1), told: view.Digest{}, placeSoon: make(chan struct{}, 1),
-		bodyTimeout: bodyTimeout,
-		checking:    make(chan struct{}, 1), reading: make(chan struct{}, 1), evidence: newEvidence()}
-	c.agree = NewMachine(c.markDirty)
-	c.repeats = dedup.NewWindow(repeatWindow(options.Settings.Bounds))
-	c.planner = NewPlanner(c.copies())
+	c := &Controller{options: options, changed: make(chan struct{}, 1), published: view.Digest{}, reconcileNow: make(chan struct{}, 1),
+		bodyTimeout:    bodyTimeout,
+		validationSlot: make(chan struct{}, 1), listReadSlot: make(chan struct{}, 1), versionStats: newStatsTable()}
+	c.state = NewStateMachine(c.notifyChanged)
+	c.dedupWindow = dedup.NewWindow(dedupWindowLength(options.Settings.Bounds))
+	c.reconciler = NewReconciler(c.replicationFactor())
 	opened, err := group.Open(group.Options{Name: GroupName, Disk: options.Disk, StateMachine: lockedMachine{c}, Logger: options.Logger,
-		Send: options.Send, Clock: options.Clock,
-		Replica:        replica.Options{ID: options.ID, Address: options.Address, InitialMembers: options.Initial, HeartbeatInterval: heartbeat, ElectionTimeout: election, InitialElectionTimeout: eager, Seed: options.Seed},
-		OnStatusChange: c.report})
+		Send: options.SendMessage, Clock: options.Clock,
+		Replica:        replica.Options{ID: options.ID, Address: options.Address, InitialMembers: options.Initial, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, InitialElectionTimeout: initialElectionTimeout, Seed: options.Seed},
+		OnStatusChange: c.onGroupChange})
 	if err != nil {
 		return nil, err
 	}
@@ -139,10 +139,10 @@
 	return c, nil
 }
 
-// copies is the number of replicas that bear the losses that are to be borne.
-func (c *Controller) copies() int { return 2*c.options.Settings.FaultTolerance.Machines + 1 }
+// replicationFactor is the number of replicas that bear the losses that are to be borne.
+func (c *Controller) replicationFactor() int { return 2*c.options.Settings.FaultTolerance.Machines + 1 }
 
-func sendByLink(pool *transport.Pool) func(address string, envelope group.Envelope) {
+func sendOverTransport(pool *transport.Pool) func(address string, envelope group.Envelope) {
 	return func(address string, envelope group.Envelope) {
 		// A message that can't be queued is lost like any other; the group sends again.
 		_ = transport.Notify(pool, address, wire.MethodReplica, envelope)
@@ -152,7 +152,7 @@
 // Group returns the member of the configuration shard's group, which Run drives.
 func (c *Controller) Group() *group.Group { return c.group }
 
-// Register adds what the controller answers over its link.
+// Configuration adds what the controller answers over its link.
 func (c *Controller) Register(handlers *transport.Handlers) {
 	transport.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) {
 		if envelope.Group == GroupName {
@@ -160,21 +160,21 @@
 		}
 	})
 	transport.Handle(handlers, wire.MethodEndpoints, c.answerList)
-	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, tallies wire.VersionStatsReport) { c.evidence.take(c.options.Clock(), tallies) })
+	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, tallies wire.VersionStatsReport) { c.versionStats.replace(c.options.Clock(), tallies) })
 }
 
 // Run drives the member until ctx ends or its disk fails.
 func (c *Controller) Run(ctx context.Context) error {
 	go c.publishLoop(ctx)
 	go c.readLoop(ctx)
-	go c.placeLoop(ctx)
-	go c.judgeLoop(ctx)
+	go c.reconcileLoop(ctx)
+	go c.analysisLoop(ctx)
 	return c.group.Run(ctx)
 }
 
-// report takes notice of a change in the group. A member that doesn't own it wants no other members than there are: should
+// groupReport takes notice of a change in the group. A member that doesn't own it wants no other members than there are: should
 // it become the owner, it must not go on with what it wanted before.
-func (c *Controller) report(status replica.Status) {
+func (c *Controller) onGroupChange(status replica.Status) {
 	level.Info(c.options.Logger).Log("msg", "group changed", "group", GroupName, "owner", status.Leader, "own", status.IsLeader,
 		"epoch", status.Term, "members", len(status.Members))
 	c.countElection(status)
@@ -188,15 +188,15 @@
 
 // countElection counts each owner once that this member sees. One goroutine at a time calls it.
 func (c *Controller) countElection(status replica.Status) {
-	if status.Leader == "" || status.Term == c.electedIn {
+	if status.Leader == "" || status.Term == c.lastElectionTerm {
 		return
 	}
-	c.electedIn = status.Term
+	c.lastElectionTerm = status.Term
 	c.options.Metrics.CountElection()
 }
 
-// change tells the group which members it is to have, if this member still owns it.
-func (c *Controller) change(members []replica.Member) {
+// changeMembers tells the group which members it is to have, if this member still owns it.
+func (c *Controller) changeMembers(members []replica.Member) {
 	c.changeMutex.Lock()
 	defer c.changeMutex.Unlock()
 	if c.group.Status().IsLeader {
@@ -207,27 +207,27 @@
 // lockedMachine guards the agreed state against the loops that read it.
 type lockedMachine struct{ controller *Controller }
 
-// Apply implements group.StateMachine.
+// Apply implements group.Machine.
 func (m lockedMachine) Apply(index uint64, command json.RawMessage) any {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
-	result := m.controller.agree.Apply(index, command)
-	m.controller.noteOrders()
+	result := m.controller.state.Apply(index, command)
+	m.controller.updateDedupWindow()
 	return result
 }
 
-// Snapshot implements group.StateMachine.
+// Snapshot implements group.Machine.
 func (m lockedMachine) Snapshot() (json.RawMessage, error) {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
-	return m.controller.agree.Snapshot()
+	return m.controller.state.Snapshot()
 }
 
-// Restore implements group.StateMachine.
+// Restore implements group.Machine.
 func (m lockedMachine) Restore(state json.RawMessage) error {
 	m.controller.mutex.Lock()
 	defer m.controller.mutex.Unlock()
-	err := m.controller.agree.Restore(state)
-	m.controller.noteOrders()
+	err := m.controller.state.Restore(state)
+	m.controller.updateDedupWindow()
 	return err
 }
--- a/internal/tier/controller/cutoff_fixture_test.go
+++ b/internal/tier/controller/cutoff_fixture_test.go
@@ -130,7 +130,7 @@
 	survive := settings.FaultTolerance{Machines: m.core.kind.group / 2}
 	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: survive},
 		Initial: initial, Disk: disk, Fleet: m, Reader: &list{endpoints: []model.Endpoint{endpoint("e", 0)}}, Logger: log.NewNopLogger(),
-		Seed: seed + uint64(m.number), Send: m.send, Ask: func(string, func(wire.ShardMembersResponse, error)) {}})
+		Seed: seed + uint64(m.number), SendMessage: m.send, QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}})
 	if err != nil {
 		m.core.t.Fatal(err)
 	}
@@ -181,20 +181,20 @@
 	var publisher EndpointPublisher
 	for ctx.Err() == nil {
 		m.pass()
-		m.controller.Place(time.Now())
+		m.controller.Reconcile(time.Now())
 		m.controller.Publish()
 		m.controller.ReadEndpoints(ctx, &publisher)
 		m.poke()
-		m.sleep(ctx, placeInterval)
+		m.sleep(ctx, reconcileInterval)
 	}
 }
 
 func (m *coreMachine) judge(ctx context.Context) {
-	trials := map[uint64]*rollout.Trial{}
+	trials := map[uint64]*rollout.Analysis{}
 	for ctx.Err() == nil {
 		m.pass()
-		m.controller.judgeAll(ctx, trials)
-		m.sleep(ctx, judgeInterval)
+		m.controller.analyzeRollouts(ctx, trials)
+		m.sleep(ctx, analysisInterval)
 	}
 }
 
--- a/internal/tier/controller/cutoff_history_test.go
+++ b/internal/tier/controller/cutoff_history_test.go
@@ -35,9 +35,9 @@
 
 // judge checks that all answers about the configuration are those of one register that is read and replaced as a whole, in
 // an order that agrees with real time, and those about other orders likewise.
-func (h *callHistory) judge(register *configuration.Register) []string {
+func (h *callHistory) judge(register *configuration.StateMachine) []string {
 	for _, order := range h.orders {
-		order.taken = register.WasTaken(order.configuration())
+		order.taken = register.WasAccepted(order.configuration())
 	}
 	slices.SortFunc(h.answers, func(a, b *coreAnswer) int { return a.ended.Compare(b.ended) })
 	h.link()
@@ -49,9 +49,9 @@
 }
 
 // configuration is the order as the controller takes it.
-func (o *sentOrder) configuration() *configuration.Order {
+func (o *sentOrder) configuration() *configuration.Proposal {
 	compact, _ := json.Marshal(json.RawMessage(document(int(o.number))))
-	return &configuration.Order{Base: o.base, Number: o.number, Raw: compact}
+	return &configuration.Proposal{Base: o.base, Number: o.number, Raw: compact}
 }
 
 // link finds the chain of the orders taken.
@@ -76,7 +76,7 @@
 	}
 }
 
-// place is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
+// desiredPlacement is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
 func (h *callHistory) place(number uint64) int {
 	if number == 0 {
 		return 0
@@ -204,7 +204,7 @@
 				h.fault(a, "version %d had been ordered", ordered.at(a.began))
 			}
 		case a.path == rolloutsPath+"/lm" && a.code == http.StatusOK:
-			var told rolloutState
+			var told rolloutStatus
 			if err := json.Unmarshal([]byte(a.body), &told); err != nil {
 				h.fault(a, "%v", err)
 				continue
--- a/internal/tier/controller/cutoff_mutants_test.go
+++ b/internal/tier/controller/cutoff_mutants_test.go
@@ -48,14 +48,14 @@
 		{
 			Name: "an order is refused for the version that a member holds",
 			Change: mutation.Change{File: "configure.go", Old: "\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {",
-				New: "\tc.mutex.Lock()\n\tother := err == nil && c.agree.register.Current().Number != order.Base\n\tc.mutex.Unlock()\n" +
-					"\tif other {\n\t\treturn fault.New(fault.VersionConflict, \"another version is current\")\n\t}\n" +
+				New: "\tc.mutex.Lock()\n\tother := err == nil && c.state.configuration.Current().Number != order.Base\n\tc.mutex.Unlock()\n" +
+					"\tif other {\n\t\treturn apierror.New(apierror.VersionConflict, \"another version is current\")\n\t}\n" +
 					"\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {"},
 			Run: cutOffTests,
 		},
 		{
 			Name: "an order is acknowledged though nothing is known of it",
-			Change: mutation.Change{File: "configure.go", Old: "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.unagreed(err)\n\t}",
+			Change: mutation.Change{File: "configure.go", Old: "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}",
 				New: "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}"},
 			Run: cutOffTests,
 		},
@@ -73,7 +73,7 @@
 		},
 		{
 			Name:   "a new owner is sure of the machines that it sees",
-			Change: mutation.Change{File: "retirements.go", Old: "return c.planner.Watch().IsSure(now, c.group.Status().Term)", New: "return true"},
+			Change: mutation.Change{File: "retirements.go", Old: "return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)", New: "return true"},
 			Run:    cutOffTests,
 		},
 		{
@@ -98,27 +98,27 @@
 		},
 		{
 			Name:   "a new owner goes on from what it read long ago",
-			Change: mutation.Change{File: "endpoints.go", Old: "if publisher.epoch != epoch {", New: "if publisher.epoch == 0 {"},
+			Change: mutation.Change{File: "endpoints.go", Old: "if publisher.term != epoch {", New: "if publisher.term == 0 {"},
 			Run:    listTests,
 		},
 		{
 			Name:   "the owner reads alone",
-			Change: mutation.Change{File: "listsource.go", Old: "&& !s.reads && len(others) > 0:", New: "&& !s.reads && len(others) > 9:"},
+			Change: mutation.Change{File: "listsource.go", Old: "&& !s.delegateWorks && len(others) > 0:", New: "&& !s.delegateWorks && len(others) > 9:"},
 			Run:    listTests, Always: true,
 		},
 		{
 			Name:   "a delegate that fails is kept",
-			Change: mutation.Change{File: "listsource.go", Old: "s.reads, s.ownDue = false, now", New: "s.reads = false"},
+			Change: mutation.Change{File: "listsource.go", Old: "s.delegateWorks, s.localRetryAt = false, now", New: "s.delegateWorks = false"},
 			Run:    listTests,
 		},
 		{
 			Name:   "the owner never tries again to read",
-			Change: mutation.Change{File: "listsource.go", Old: "case !now.Before(s.ownDue):", New: "case false:"},
+			Change: mutation.Change{File: "listsource.go", Old: "case !now.Before(s.localRetryAt):", New: "case false:"},
 			Run:    listTests,
 		},
 		{
 			Name:   "others are asked where the platform refuses",
-			Change: mutation.Change{File: "listsource.go", Old: "case errors.As(err, &unreachable) && !s.reads && len(others) > 0:", New: "case err != nil && !s.reads && len(others) > 0:"},
+			Change: mutation.Change{File: "listsource.go", Old: "case errors.As(err, &unreachable) && !s.delegateWorks && len(others) > 0:", New: "case err != nil && !s.delegateWorks && len(others) > 0:"},
 			Run:    listTests,
 		},
 	})
--- a/internal/tier/controller/cutoff_story_test.go
+++ b/internal/tier/controller/cutoff_story_test.go
@@ -353,7 +353,7 @@
 // check judges what the callers got.
 func (s *story) check(victim int, how cutKind) {
 	owner := s.core.machines[s.core.owner()].controller
-	faults := s.history.judge(owner.agree.register)
+	faults := s.history.judge(owner.state.configuration)
 	const most = 5
 	for _, fault := range faults[:min(most, len(faults))] {
 		s.t.Error(fault)
@@ -378,7 +378,7 @@
 	control := s.core.machines[victim].member.Control
 	for _, a := range s.history.answers {
 		for _, hop := range a.hops {
-			known := s.began.Add(election + slack)
+			known := s.began.Add(electionTimeout + slack)
 			if hop.from >= s.core.kind.group {
 				known = s.began.Add(noticedAfter + slack)
 			}
--- a/internal/tier/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -15,16 +15,16 @@
 
 // Pace of the reads of the platform's list.
 const (
-	readInterval = 700 * time.Millisecond
-	readTimeout  = 2500 * time.Millisecond
-	ownerCheck   = 100 * time.Millisecond // how often a member that isn't the owner looks whether it has become it
-	firstReads   = 2                      // of an owner, before it publishes: a single one may miss an endpoint that moved between pages
+	listReadInterval    = 700 * time.Millisecond
+	listReadTimeout     = 2500 * time.Millisecond
+	leaderCheckInterval = 100 * time.Millisecond // how often a member that isn't the owner looks whether it has become it
+	initialReads        = 2                      // of an owner, before it publishes: a single one may miss an endpoint that moved between pages
 )
 
 // readLoop reads the platform's list while this member owns the group, and publishes each change.
 func (c *Controller) readLoop(ctx context.Context) {
 	var lister EndpointPublisher
-	timer := time.NewTimer(ownerCheck)
+	timer := time.NewTimer(leaderCheckInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -41,50 +41,50 @@
 type EndpointPublisher struct {
 	stamp  view.Stamp
 	last   []model.Endpoint
-	source listSource
-	known  platformlist.Roll
-	epoch  uint64 // in which known was read
+	reader listReader
+	merged platformlist.Merger
+	term   uint64 // in which known was read
 }
 
 // ReadEndpoints reads the platform's list once, if this member owns the group, and tells when the next read is due.
 func (c *Controller) ReadEndpoints(ctx context.Context, publisher *EndpointPublisher) time.Duration {
 	status := c.group.Status()
 	if !status.IsLeader {
-		return ownerCheck
+		return leaderCheckInterval
 	}
-	endpoints, err := c.readKnown(ctx, publisher, status.Term)
+	endpoints, err := c.readCompleteList(ctx, publisher, status.Term)
 	if err != nil {
 		level.Warn(c.options.Logger).Log("msg", "list of endpoints cannot be read", "err", err)
-		return readInterval
+		return listReadInterval
 	}
 	if now := c.group.Status(); !now.IsLeader || now.Term != status.Term {
-		return ownerCheck
+		return leaderCheckInterval
 	}
 	c.recordVersions(ctx, endpoints)
 	c.publishEndpoints(publisher, endpoints, status.Term)
-	return readInterval
+	return listReadInterval
 }
 
-// readKnown reads the list and returns all endpoints that are there. What was known in an earlier epoch isn't taken over: it
+// readCompleteList reads the list and returns all endpoints that are there. What was known in an earlier epoch isn't taken over: it
 // may be as old as that epoch, and would bring back endpoints that have gone since.
-func (c *Controller) readKnown(ctx context.Context, publisher *EndpointPublisher, epoch uint64) ([]model.Endpoint, error) {
+func (c *Controller) readCompleteList(ctx context.Context, publisher *EndpointPublisher, epoch uint64) ([]model.Endpoint, error) {
 	reads := 1
-	if publisher.epoch != epoch {
-		publisher.known, reads = platformlist.Roll{}, firstReads
+	if publisher.term != epoch {
+		publisher.merged, reads = platformlist.Merger{}, initialReads
 	}
 	for range reads {
-		found, err := c.readList(ctx, &publisher.source)
+		found, err := c.readList(ctx, &publisher.reader)
 		if err != nil {
 			return nil, err
 		}
-		publisher.known.Observe(found)
+		publisher.merged.Merge(found)
 	}
-	publisher.epoch = epoch
-	return publisher.known.Endpoints(), nil
+	publisher.term = epoch
+	return publisher.merged.Endpoints(), nil
 }
 
 func (c *Controller) publishEndpoints(publisher *EndpointPublisher, endpoints []model.Endpoint, epoch uint64) {
-	piece, changed, err := publisher.next(endpoints, epoch)
+	piece, changed, err := publisher.update(endpoints, epoch)
 	if err != nil {
 		level.Error(c.options.Logger).Log("msg", "list of endpoints cannot be published", "err", err)
 		return
@@ -94,9 +94,9 @@
 	}
 }
 
-// next is the piece that a list makes, if it says anything new in the owner's epoch.
-func (p *EndpointPublisher) next(endpoints []model.Endpoint, epoch uint64) (piece view.Update, changed bool, err error) {
-	if p.stamp.Term == epoch && unchanged(p.last, endpoints) {
+// update is the piece that a list makes, if it says anything new in the owner's epoch.
+func (p *EndpointPublisher) update(endpoints []model.Endpoint, epoch uint64) (piece view.Update, changed bool, err error) {
+	if p.stamp.Term == epoch && sameEndpoints(p.last, endpoints) {
 		return view.Update{}, false, nil
 	}
 	body, err := json.Marshal(view.EndpointList{Endpoints: endpoints})
@@ -111,9 +111,9 @@
 	return view.Update{Section: view.EndpointsSection, Stamp: p.stamp, Body: body}, true, nil
 }
 
-// unchanged tells whether two lists say the same, apart from the time for which an endpoint is still cold: that runs down
+// sameEndpoints tells whether two lists say the same, apart from the time for which an endpoint is still cold: that runs down
 // with each read.
-func unchanged(a, b []model.Endpoint) bool {
+func sameEndpoints(a, b []model.Endpoint) bool {
 	return slices.EqualFunc(a, b, func(x, y model.Endpoint) bool {
 		x.WarmUpLeftMs, y.WarmUpLeftMs = 0, 0
 		return x == y
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			piece, changed, err := publisher.next(test.endpoints, test.epoch)
+			piece, changed, err := publisher.update(test.endpoints, test.epoch)
 			if err != nil || changed != (test.want != view.Stamp{}) {
 				t.Fatalf("changed %v, %v", changed, err)
 			}
@@ -47,15 +47,15 @@
 func TestOnlyTheOwnerReadsTheList(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 0)}}
 	follower := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
-	if got := follower.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != ownerCheck || len(follower.fleet.published) > 0 {
+	if got := follower.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(follower.fleet.published) > 0 {
 		t.Errorf("a follower published %v and comes back after %v", follower.fleet.published, got)
 	}
 	owner := startBed(t, memorydisk.New())
 	owner.options.Reader = reader
 	var publisher EndpointPublisher
 	for range 2 {
-		if got := owner.ReadEndpoints(t.Context(), &publisher); got != readInterval {
-			t.Errorf("the owner comes back after %v, want %v", got, readInterval)
+		if got := owner.ReadEndpoints(t.Context(), &publisher); got != listReadInterval {
+			t.Errorf("the owner comes back after %v, want %v", got, listReadInterval)
 		}
 	}
 	reader.err = errors.New("too many calls")
@@ -70,28 +70,28 @@
 	shards := func(node string) []view.ShardPlacement {
 		return []view.ShardPlacement{{Replicas: []view.Replica{{ID: node + "-1", Node: node}}}}
 	}
-	var machine *Machine
+	var machine *StateMachine
 	index := uint64(0)
 	apply := func(command string) {
 		index++
 		machine.Apply(index, json.RawMessage(command))
 	}
 	place := func(base, retirements uint64, node string) {
-		apply(string(mustMarshal(t, Command{Place: &Place{Base: base, Retirements: retirements, Shards: shards(node)}})))
+		apply(string(mustMarshal(t, Command{Placement: &PlacementProposal{BaseIndex: base, DecommissionsIndex: retirements, Shards: shards(node)}})))
 	}
-	machine = NewMachine(func() {})
+	machine = NewStateMachine(func() {})
 	place(0, 0, "a") // entry 1
 	place(0, 0, "b")
 	apply(`{"retire":{"node":"a","id":"a-1","running":[],"least":0}}`) // entry 3
 	place(1, 0, "c")
 	apply(`{"retired":{"node":"a","placement":9}}`)
-	if got := machine.Placement(); got.Index != 1 || got.Shards[0].Replicas[0].Node != "a" || len(machine.retirements.Open()) != 1 {
+	if got := machine.Placement(); got.Index != 1 || got.Shards[0].Replicas[0].Node != "a" || len(machine.decommissions.Active()) != 1 {
 		t.Fatalf("an entry made from older facts counted: %+v", got)
 	}
 	place(1, 3, "d") // entry 6
 	apply(`{"retired":{"node":"a","placement":6}}`)
-	if got := machine.Placement(); got.Index != 6 || len(machine.retirements.Open()) != 0 {
-		t.Errorf("placement %+v, open %v", got, machine.retirements.Open())
+	if got := machine.Placement(); got.Index != 6 || len(machine.decommissions.Active()) != 0 {
+		t.Errorf("placement %+v, open %v", got, machine.decommissions.Active())
 	}
 
 	// And all of it is there after a snapshot.
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewMachine(func() {})
+	restored := NewStateMachine(func() {})
 	if err := restored.Restore(state); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -92,7 +92,7 @@
 	return Options{ID: selfID, Address: selfAddress, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: 1}},
 		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: surroundings, Reader: &list{},
 		Logger: log.NewNopLogger(), Seed: 1,
-		Ask: func(string, func(wire.ShardMembersResponse, error)) {}}
+		QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}}
 }
 
 // newBed opens a controller without running it.
--- a/internal/tier/controller/largeorder_test.go
+++ b/internal/tier/controller/largeorder_test.go
@@ -22,10 +22,10 @@
 
 // mostTurn is the time that a turn may take around an order, as the processor counts it: a quarter of the election time-out at
 // that share.
-const mostTurn = time.Duration(leastShare * float64(election) / 4)
+const mostTurn = time.Duration(leastShare * float64(electionTimeout) / 4)
 
 // largeOrder is an order of a configuration with so many routes, padded to a length.
-func largeOrder(base uint64, routes, bytes int) *configuration.Order {
+func largeOrder(base uint64, routes, bytes int) *configuration.Proposal {
 	written := make([]string, routes)
 	for i := range written {
 		written[i] = fmt.Sprintf(`{"name":"r-%d","host":"play.example","startsWith":"/p%d/","kind":"streaming",`+
@@ -35,7 +35,7 @@
 	if missing := bytes - len(raw); missing > 0 {
 		raw = raw[:len(raw)-2] + strings.Repeat("x", missing) + raw[len(raw)-2:]
 	}
-	return &configuration.Order{Base: base, Number: base + 1, Raw: json.RawMessage(raw)}
+	return &configuration.Proposal{Base: base, Number: base + 1, Raw: json.RawMessage(raw)}
 }
 
 // lines is a group of controllers' members whose messages go as text between them. Only turns and the writing of messages
@@ -59,9 +59,9 @@
 		initial = append(initial, replica.Member{ID: name + "-id", Address: name})
 	}
 	for i, name := range names {
-		opened, err := group.Open(group.Options{Name: GroupName, Disk: memorydisk.New(), StateMachine: NewMachine(func() {}), Logger: log.NewNopLogger(),
+		opened, err := group.Open(group.Options{Name: GroupName, Disk: memorydisk.New(), StateMachine: NewStateMachine(func() {}), Logger: log.NewNopLogger(),
 			Clock: func() time.Duration { return l.now }, Send: l.send,
-			Replica: replica.Options{ID: name + "-id", Address: name, InitialMembers: initial, HeartbeatInterval: heartbeat, ElectionTimeout: election, InitialElectionTimeout: eager, Seed: uint64(i)}})
+			Replica: replica.Options{ID: name + "-id", Address: name, InitialMembers: initial, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, InitialElectionTimeout: initialElectionTimeout, Seed: uint64(i)}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,10 +124,10 @@
 }
 
 // take has an order agreed on, and on all members, and returns the longest turn meanwhile.
-func (l *lines) take(order *configuration.Order) (longest time.Duration) {
+func (l *lines) take(order *configuration.Proposal) (longest time.Duration) {
 	done := false
-	l.owner().ProposeAsync(Command{Configure: order}, func(result any, err error) {
-		if err != nil || result != configuration.Taken {
+	l.owner().ProposeAsync(Command{Configuration: order}, func(result any, err error) {
+		if err != nil || result != configuration.Accepted {
 			l.t.Errorf("order on %d: %v, %v", order.Base, result, err)
 		}
 		done = true
@@ -169,24 +169,24 @@
 
 // The entry is read back as it was written, and in any other form that JSON allows.
 func TestOrderIsReadBackAsItWas(t *testing.T) {
-	order := &configuration.Order{Base: 3, Number: 18446744073709551615, Raw: json.RawMessage(`{"a":"}}","raw":{"b":[1]}}`)}
-	written, err := Command{Configure: order}.EncodeJSON()
+	order := &configuration.Proposal{Base: 3, Number: 18446744073709551615, Raw: json.RawMessage(`{"a":"}}","raw":{"b":[1]}}`)}
+	written, err := Command{Configuration: order}.EncodeJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	library, err := json.Marshal(Command{Configure: order})
+	library, err := json.Marshal(Command{Configuration: order})
 	if err != nil || string(library) != string(written) {
 		t.Fatalf("written %s, the library writes %s, %v", written, library, err)
 	}
 	spaced := strings.ReplaceAll(string(written), `{"configure":`, `{ "configure" : `)
 	for _, raw := range []string{string(written), spaced} {
-		read, err := readCommand(json.RawMessage(raw))
-		if err != nil || read.Configure == nil || read.Configure.Base != order.Base || read.Configure.Number != order.Number || string(read.Configure.Raw) != string(order.Raw) {
-			t.Errorf("%s is read as %+v, %v", raw, read.Configure, err)
+		read, err := decodeCommand(json.RawMessage(raw))
+		if err != nil || read.Configuration == nil || read.Configuration.Base != order.Base || read.Configuration.Number != order.Number || string(read.Configuration.Raw) != string(order.Raw) {
+			t.Errorf("%s is read as %+v, %v", raw, read.Configuration, err)
 		}
 	}
 	for _, raw := range []string{`{"configure":{"base":x,"number":1,"raw":{}}}`, `{"configure":{"base":1,"number":1,"raw":}}`, `{"configure":{"base":1`} {
-		if _, err := readCommand(json.RawMessage(raw)); err == nil {
+		if _, err := decodeCommand(json.RawMessage(raw)); err == nil {
 			t.Errorf("%s is read", raw)
 		}
 	}
--- a/internal/tier/controller/listsource_test.go
+++ b/internal/tier/controller/listsource_test.go
@@ -85,7 +85,7 @@
 	}
 	r.fleet.set(members...)
 	r.options.Reader = reader{r.platform, selfAddress}
-	r.options.AskList = func(ctx context.Context, address string) ([]model.Endpoint, error) {
+	r.options.QueryEndpoints = func(ctx context.Context, address string) ([]model.Endpoint, error) {
 		r.asked[address]++
 		if r.apart[address] {
 			<-ctx.Done()
@@ -182,7 +182,7 @@
 				// and when the platform is back, then the owner reads itself again.
 				*r.platform = platform{began: r.platform.began, cut: map[string]bool{}, calls: r.platform.calls}
 				clear(r.apart)
-				r.run(ownRetry + 2*readTimeout)
+				r.run(localRetryInterval + 2*listReadTimeout)
 				clear(r.asked)
 				if lag := r.run(calm); lag > usual || len(r.asked) > 0 {
 					t.Errorf("after the cut the list lagged by %v, others were asked %v", lag, r.asked)
@@ -199,7 +199,7 @@
 	r.t.Helper()
 	const most = 2
 	for i := most; i < len(r.platform.calls); i++ {
-		if i > firstReads && r.platform.calls[i].Sub(r.platform.calls[i-most]) < readInterval {
+		if i > initialReads && r.platform.calls[i].Sub(r.platform.calls[i-most]) < listReadInterval {
 			r.t.Errorf("%d reads within %v", most+1, r.platform.calls[i].Sub(r.platform.calls[i-most]))
 		}
 	}
@@ -212,29 +212,29 @@
 	reader := &list{endpoints: []model.Endpoint{gone, endpoint("b", 0)}}
 	c := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	var publisher EndpointPublisher
-	if got, err := c.readKnown(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
+	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
 		t.Fatalf("read %v, %v", got, err)
 	}
 	// Within an epoch an endpoint that one read misses stays, since it may have moved between pages.
 	reader.endpoints = reader.endpoints[1:]
-	if got, err := c.readKnown(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
+	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
 		t.Errorf("read %v, %v", got, err)
 	}
 	// In a later one it may have been gone for long.
-	if got, err := c.readKnown(t.Context(), &publisher, 5); err != nil || len(got) != 1 {
+	if got, err := c.readCompleteList(t.Context(), &publisher, 5); err != nil || len(got) != 1 {
 		t.Errorf("read %v, %v", got, err)
 	}
 	// There too an endpoint must be missed twice: the first list is two reads.
 	moving := &missing{list: reader.endpoints}
 	c.options.Reader = moving
-	if got, err := c.readKnown(t.Context(), &publisher, 7); err != nil || len(got) != 1 || moving.reads != firstReads {
+	if got, err := c.readCompleteList(t.Context(), &publisher, 7); err != nil || len(got) != 1 || moving.reads != initialReads {
 		t.Errorf("read %v by %d reads, %v", got, moving.reads, err)
 	}
 	// A failure in between leaves nothing half read.
 	reader.err = errors.New("too many calls")
 	c.options.Reader = reader
-	if _, err := c.readKnown(t.Context(), &publisher, 9); err == nil || publisher.epoch != 7 {
-		t.Errorf("%v, epoch %d", err, publisher.epoch)
+	if _, err := c.readCompleteList(t.Context(), &publisher, 9); err == nil || publisher.term != 7 {
+		t.Errorf("%v, epoch %d", err, publisher.term)
 	}
 }
 
@@ -263,11 +263,11 @@
 		for _, m := range c.sorted() {
 			m.running = m.controller == owner
 		}
-		c.run(2 * election)
+		c.run(2 * electionTimeout)
 		return []model.Endpoint{endpoint("a", 0)}, nil
 	})
 	// when its read is over, then it publishes nothing.
-	if got := owner.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != ownerCheck || len(c.pieces) != published {
+	if got := owner.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(c.pieces) != published {
 		t.Errorf("comes back after %v, %d pieces were published", got, len(c.pieces)-published)
 	}
 }
@@ -292,7 +292,7 @@
 	defer pool.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	got, err := askListByLink(pool)(ctx, server.Address())
+	got, err := queryEndpointsOverTransport(pool)(ctx, server.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 		t.Errorf("list (-held +read):\n%s", diff)
 	}
 	reader.err = errors.New("not reached")
-	if _, err := askListByLink(pool)(ctx, server.Address()); err == nil {
+	if _, err := queryEndpointsOverTransport(pool)(ctx, server.Address()); err == nil {
 		t.Error("a read that failed brought a list")
 	}
 }
--- a/internal/tier/controller/orders_mutants_test.go
+++ b/internal/tier/controller/orders_mutants_test.go
@@ -14,8 +14,8 @@
 			Name: "no order is recognised again",
 			Change: mutation.Change{
 				File: "../configuration/register.go",
-				Old:  "\tcase same:\n\t\treturn Taken\n\tcase tooOld",
-				New:  "\tcase tooOld",
+				Old:  "\tcase found:\n\t\treturn Accepted\n\tcase truncated",
+				New:  "\tcase truncated",
 			},
 			Run: "^TestHistoriesAreLinearizable$",
 		},
@@ -23,8 +23,8 @@
 			Name: "the number alone is compared",
 			Change: mutation.Change{
 				File: "../configuration/chain.go",
-				Old:  "if next < len(c.links) && c.links[next].sum == sum {",
-				New:  "if next < len(c.links) {",
+				Old:  "if next < len(c.entries) && c.entries[next].digest == sum {",
+				New:  "if next < len(c.entries) {",
 			},
 			Run: "^TestHistoriesAreLinearizable$",
 		},
@@ -41,8 +41,8 @@
 			Name: "a snapshot loses the history",
 			Change: mutation.Change{
 				File: "../configuration/register.go",
-				Old:  "decodeChain(state.Oldest, state.History)",
-				New:  "decodeChain(0, nil)",
+				Old:  "decodeHistory(state.HistoryBase, state.History)",
+				New:  "decodeHistory(0, nil)",
 			},
 			Run: "^TestRepeatsAfterHundreds",
 		},
@@ -50,7 +50,7 @@
 			Name: "what was refused is taken later",
 			Change: mutation.Change{
 				File: "../configuration/register.go",
-				Old:  "\t\tr.refuse(order.Base, sum)\n",
+				Old:  "\t\tr.rememberRejection(order.Base, sum)\n",
 				New:  "",
 			},
 			Run: "^TestHistoriesAreLinearizable$",
@@ -59,7 +59,7 @@
 			Name: "any version is replaced",
 			Change: mutation.Change{
 				File: "../configuration/register.go",
-				Old:  "\tif order.Base != r.current.Number {\n\t\tr.refuse(order.Base, sum)\n\t\treturn Conflict\n\t}\n",
+				Old:  "\tif order.Base != r.current.Number {\n\t\tr.rememberRejection(order.Base, sum)\n\t\treturn Conflict\n\t}\n",
 				New:  "",
 			},
 			Run: "^TestHistoriesAreLinearizable$",
@@ -68,7 +68,7 @@
 			Name: "what isn't agreed on is acknowledged",
 			Change: mutation.Change{
 				File: "configure.go",
-				Old:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.unagreed(err)\n\t}\n",
+				Old:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}\n",
 				New:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}\n",
 			},
 			Run: "^TestAnAnswerLost",
@@ -77,8 +77,8 @@
 			Name: "only the newest roll-out is remembered",
 			Change: mutation.Change{
 				File: "../rollout/register.go",
-				Old:  "isUnderWay && roll.isRepeat(&order) || r.wasTaken(&order)",
-				New:  "known && roll.isRepeat(&order)",
+				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
+				New:  "known && roll.isDuplicate(&order)",
 			},
 			Run: "^TestRolloutOrdersBeginOnce$",
 		},
@@ -113,8 +113,8 @@
 			Name: "a machine that has gone is not known",
 			Change: mutation.Change{
 				File: "retirements.go",
-				Old:  "\t\tstore, known = c.placedOrAsked(node)\n",
-				New:  "\t\t_ = c.placedOrAsked\n",
+				Old:  "\t\tstore, known = c.absentStore(node)\n",
+				New:  "\t\t_ = c.absentStore\n",
 			},
 			Run: "^TestARetireOrder",
 		},
@@ -122,7 +122,7 @@
 			Name: "an order is in service since it was sent",
 			Change: mutation.Change{
 				File: "rollouts.go",
-				Old:  "\tif known == 0 && seen >= reportPatience {",
+				Old:  "\tif known == 0 && seen >= reportTimeout {",
 				New:  "\tif known == 0 {",
 			},
 			Run: "^TestTimeInService$",
--- a/internal/tier/controller/orders_story_test.go
+++ b/internal/tier/controller/orders_story_test.go
@@ -80,8 +80,8 @@
 		if !m.running {
 			continue
 		}
-		saved := m.controller.agree.rollouts.Saved()
-		for _, roll := range saved.Rolls {
+		saved := m.controller.state.rollouts.Snapshot()
+		for _, roll := range saved.Rollouts {
 			b.add(roll.Service, roll.Target, roll.OverMs, roll.Index)
 		}
 		for _, taken := range saved.Recent { // one that another has followed at once
@@ -150,7 +150,7 @@
 				}
 				c.heal()
 				c.wait("the group is whole", 30*time.Second, c.isWhole)
-				if got := c.owner().controller.agree.register.Current().Number; got != 5 {
+				if got := c.owner().controller.state.configuration.Current().Number; got != 5 {
 					t.Errorf("at step %d: version %d is current, want 5", step, got)
 				}
 			}
@@ -293,11 +293,11 @@
 	const changes = 200
 	c := newCluster(t, 0)
 	padding := strings.Repeat(" ", 8<<10)
-	var orders []*configuration.Order
+	var orders []*configuration.Proposal
 	for number := range uint64(changes) {
 		raw := mustMarshal(t, json.RawMessage(orderNamed(number+1, padding)))
-		order := &configuration.Order{Base: number, Number: number + 1, Raw: raw}
-		if got := c.propose(Command{Configure: order}); got != configuration.Taken {
+		order := &configuration.Proposal{Base: number, Number: number + 1, Raw: raw}
+		if got := c.propose(Command{Configuration: order}); got != configuration.Accepted {
 			t.Fatalf("order %d was %v", number+1, got)
 		}
 		orders = append(orders, order)
@@ -311,11 +311,11 @@
 	c.sorted()[0].wipe()
 	c.run(5 * time.Second)
 	for _, order := range orders {
-		if got := c.propose(Command{Configure: order}); got != configuration.Taken {
+		if got := c.propose(Command{Configuration: order}); got != configuration.Accepted {
 			t.Errorf("order %d was %v when it came again", order.Number, got)
 		}
 		for _, m := range c.sorted() {
-			if !m.controller.wasTaken(order) {
+			if !m.controller.wasAccepted(order) {
 				t.Fatalf("%s doesn't know that order %d was taken", m.member.Name, order.Number)
 			}
 		}
@@ -395,17 +395,17 @@
 				}
 				decide := func(state rollout.State) {
 					t.Helper()
-					roll, _ := c.owner().controller.agree.rollouts.Roll("lm")
-					c.agree(Command{Decide: &rollout.Decision{Service: "lm", Target: roll.Target, Order: roll.Index, State: state}})
+					roll, _ := c.owner().controller.state.rollouts.Rollout("lm")
+					c.agree(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: roll.Target, Order: roll.Index, State: state}})
 				}
 				wantRoll := func(target string, state rollout.State) {
 					t.Helper()
 					c.wait("an owner", 5*time.Second, func() bool { return c.owner() != nil })
-					if roll, _ := c.owner().controller.agree.rollouts.Roll("lm"); roll.Target != target || roll.State != state {
+					if roll, _ := c.owner().controller.state.rollouts.Rollout("lm"); roll.Target != target || roll.State != state {
 						t.Errorf("the newest order is for %s and %s, want %s and %s", roll.Target, roll.State, target, state)
 					}
 				}
-				c.agree(Command{Seen: &rollout.Seen{Service: "lm", Version: "v1"}})
+				c.agree(Command{ObservedVersion: &rollout.ObservedVersion{Service: "lm", Version: "v1"}})
 
 				// Given v2, which has ended, and v3, which is under way.
 				order("v2", http.StatusOK)
@@ -475,7 +475,7 @@
 	first := c.owner()
 	first.kill()
 	c.until("another owner", 5*time.Second, func() bool { return c.owner() != nil && c.owner() != first })
-	if got := c.retire("storage-1"); got != decommission.Taken {
+	if got := c.retire("storage-1"); got != decommission.Accepted {
 		t.Errorf("a repeat is %v", got)
 	}
 
@@ -488,7 +488,7 @@
 			m.start()
 		}
 	}
-	if got := c.retire("storage-1"); got != decommission.Taken {
+	if got := c.retire("storage-1"); got != decommission.Accepted {
 		t.Errorf("a repeat about a machine that has gone is %v", got)
 	}
 }
--- a/internal/tier/controller/plan_own_test.go
+++ b/internal/tier/controller/plan_own_test.go
@@ -59,14 +59,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			planner := NewPlanner(3)
+			planner := NewReconciler(3)
 			now := time.UnixMilli(1_700_000_000_000)
-			planner.Watch().Observe(now, []membership.Member{first, second, third}, 1)
+			planner.Tracker().Observe(now, []membership.Member{first, second, third}, 1)
 			for passed := time.Duration(0); passed <= test.passed; passed += 500 * time.Millisecond {
 				now = now.Add(500 * time.Millisecond)
-				planner.Watch().Observe(now, test.members, 1)
+				planner.Tracker().Observe(now, test.members, 1)
 			}
-			got := planner.own(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.answers})
+			got := planner.desiredControllers(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.answers})
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("members (-want +got):\n%s", diff)
 			}
--- a/internal/tier/controller/publish.go
+++ b/internal/tier/controller/publish.go
@@ -6,9 +6,9 @@
 	"github.com/go-kit/log/level"
 )
 
-func (c *Controller) markDirty() {
+func (c *Controller) notifyChanged() {
 	select {
-	case c.dirty <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
@@ -19,7 +19,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.dirty:
+		case <-c.changed:
 		}
 		c.Publish()
 	}
@@ -28,7 +28,7 @@
 // Publish spreads what has changed of the agreed state since the last call. One goroutine at a time may call it.
 func (c *Controller) Publish() {
 	c.mutex.Lock()
-	pieces, err := c.agree.Pieces(c.told)
+	pieces, err := c.state.UnpublishedSections(c.published)
 	c.mutex.Unlock()
 	if err != nil {
 		level.Error(c.options.Logger).Log("msg", "agreed state cannot be published", "err", err)
@@ -36,6 +36,6 @@
 	}
 	for _, piece := range pieces {
 		c.options.Fleet.Publish(piece)
-		c.told[piece.Section] = piece.Stamp
+		c.published[piece.Section] = piece.Stamp
 	}
 }
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -29,9 +29,9 @@
 		{
 			Name: "a lost controller is waited for",
 			Change: mutation.Change{File: "../placement/watch.go",
-				Old: "\tfor _, holder := range w.succeeded(now, w.spareMembers(role, holders), len(lost), missing) {",
+				Old: "\tfor _, holder := range w.replacedBySpares(now, w.spareMembers(role, holders), len(lost), missing) {",
 				New: "\tspare := w.spareMembers(role, holders)\n\tif role == membership.Controller {\n\t\tspare = nil\n\t}\n" +
-					"\tfor _, holder := range w.succeeded(now, spare, len(lost), missing) {"},
+					"\tfor _, holder := range w.replacedBySpares(now, spare, len(lost), missing) {"},
 			Run: "^TestSecondLossRightAfterARepair$/^controller",
 		},
 	})
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -71,11 +71,11 @@
 	ended   bool
 	turns   map[string]int // acknowledged, by name
 	sent    int
-	orders  []configuration.Order // acknowledged
-	order   configuration.Order   // the next one, sent again until it is
-	again   time.Duration         // when that is sent again, should nobody answer: its owner may have been killed
-	last    map[int]time.Duration // by shard, when it took something last; the configuration is configurationShard
-	gap     time.Duration         // the longest that any of them took nothing
+	orders  []configuration.Proposal // acknowledged
+	order   configuration.Proposal   // the next one, sent again until it is
+	again   time.Duration            // when that is sent again, should nobody answer: its owner may have been killed
+	last    map[int]time.Duration    // by shard, when it took something last; the configuration is configurationShard
+	gap     time.Duration            // the longest that any of them took nothing
 }
 
 const configurationShard = -1
@@ -92,7 +92,7 @@
 	r.settle()
 	r.until("the configuration's group is whole", 5*time.Second, r.coreIsWhole)
 	r.load = &load{cluster: r.cluster, turns: map[string]int{}, last: map[int]time.Duration{}}
-	r.load.order = configuration.Order{Number: 1, Raw: json.RawMessage(`1`)}
+	r.load.order = configuration.Proposal{Number: 1, Raw: json.RawMessage(`1`)}
 	r.load.tick()
 	r.run(time.Second)
 	return r
@@ -134,16 +134,16 @@
 	}
 	l.again = l.cluster.now + orderPatience
 	order := l.order
-	owner.controller.Group().ProposeAsync(Command{Configure: &order}, func(answer any, err error) {
+	owner.controller.Group().ProposeAsync(Command{Configuration: &order}, func(answer any, err error) {
 		if order.Number != l.order.Number {
 			return
 		}
 		l.again = l.cluster.now
-		if err != nil || answer != configuration.Taken {
+		if err != nil || answer != configuration.Accepted {
 			return
 		}
 		l.orders = append(l.orders, order)
-		l.order = configuration.Order{Base: order.Number, Number: order.Number + 1, Raw: json.RawMessage(fmt.Sprint(order.Number + 1))}
+		l.order = configuration.Proposal{Base: order.Number, Number: order.Number + 1, Raw: json.RawMessage(fmt.Sprint(order.Number + 1))}
 		l.took(configurationShard)
 	})
 }
@@ -209,7 +209,7 @@
 		return r.now + r.around.catchUp()
 	case retired:
 		r.remove(m)
-		if got := r.retire(m.node()); got != decommission.Taken {
+		if got := r.retire(m.node()); got != decommission.Accepted {
 			r.t.Fatalf("order about %s was %v", m.node(), got)
 		}
 		r.until("the machine is empty", recoveryTime, r.isFinished(m.node()))
@@ -275,9 +275,9 @@
 	r.until("all groups are whole", recoveryTime, r.allWhole)
 	r.load.ended = true
 	r.run(time.Second)
-	register := r.owner().controller.agree.register
+	register := r.owner().controller.state.configuration
 	for _, order := range r.load.orders {
-		if !register.WasTaken(&order) {
+		if !register.WasAccepted(&order) {
 			r.t.Fatalf("order %d was acknowledged and isn't known", order.Number)
 		}
 	}
--- a/internal/tier/controller/retire_story_test.go
+++ b/internal/tier/controller/retire_story_test.go
@@ -29,7 +29,7 @@
 
 			// When one of them is to be emptied.
 			leaving := c.storage(number)
-			if got := c.retire(fmt.Sprintf("storage-%d", number)); got != decommission.Taken {
+			if got := c.retire(fmt.Sprintf("storage-%d", number)); got != decommission.Accepted {
 				t.Fatalf("order was %v", got)
 			}
 			took := c.until("the machine is empty", 5*time.Second, c.isFinished(fmt.Sprintf("storage-%d", number)))
@@ -60,12 +60,12 @@
 	c.settle()
 	turns := turnsOf(c, 0)
 	for _, node := range []string{"storage-1", "storage-2"} {
-		if got := c.retire(node); got != decommission.Taken {
+		if got := c.retire(node); got != decommission.Accepted {
 			t.Fatalf("order about %s was %v", node, got)
 		}
 	}
-	if got := c.retire("storage-3"); got != decommission.TooFew {
-		t.Errorf("a third order was %v, want %v", got, decommission.TooFew)
+	if got := c.retire("storage-3"); got != decommission.TooFewStores {
+		t.Errorf("a third order was %v, want %v", got, decommission.TooFewStores)
 	}
 	c.until("the first is empty", 5*time.Second, c.isFinished("storage-1"))
 	c.until("the second is empty", 5*time.Second, c.isFinished("storage-2"))
@@ -84,7 +84,7 @@
 	down := c.storage(2)
 	down.kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != decommission.Taken {
+	if got := c.retire("storage-1"); got != decommission.Accepted {
 		t.Fatalf("order was %v", got)
 	}
 
@@ -110,7 +110,7 @@
 	turns := turnsOf(c, 0)
 	c.storage(1).kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != decommission.Taken {
+	if got := c.retire("storage-1"); got != decommission.Accepted {
 		t.Fatalf("order was %v", got)
 	}
 	c.until("the machine is empty", 8*time.Second, c.isFinished("storage-1"))
@@ -146,7 +146,7 @@
 			if got := c.state("storage-1"); got != decommission.Finished {
 				t.Errorf("state %v after a restart", got)
 			}
-			if got := c.retire("storage-1"); got != decommission.Taken {
+			if got := c.retire("storage-1"); got != decommission.Accepted {
 				t.Errorf("the same order again was %v", got)
 			}
 			c.run(6 * time.Second)
--- a/internal/tier/controller/retirements_test.go
+++ b/internal/tier/controller/retirements_test.go
@@ -18,15 +18,15 @@
 func (b *bed) watchFor(now time.Time, d time.Duration) {
 	const step = 500 * time.Millisecond
 	for passed := time.Duration(0); passed <= d; passed += step {
-		b.planner.Watch().Observe(now.Add(passed-d), b.fleet.Members(), b.group.Status().Term)
+		b.reconciler.Tracker().Observe(now.Add(passed-d), b.fleet.Members(), b.group.Status().Term)
 	}
 }
 
 // retireOrderFor is an order to empty a machine, of which enough others remain.
-func retireOrderFor(node string) *decommission.Order {
-	order := &decommission.Order{Machine: decommission.Machine{Node: node, ID: node + "-id"}, Least: 3}
+func retireOrderFor(node string) *decommission.Proposal {
+	order := &decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-id"}, MinRemaining: 3}
 	for number := range 4 {
-		order.Running = append(order.Running, decommission.Machine{Node: fmt.Sprint("other-", number), ID: fmt.Sprint("other-id-", number)})
+		order.RunningStores = append(order.RunningStores, decommission.Store{Node: fmt.Sprint("other-", number), ID: fmt.Sprint("other-id-", number)})
 	}
 	return order
 }
@@ -47,7 +47,7 @@
 		{"with more than is known", storeMembers(4), 3 * time.Second, `{"overS":1.5,"new":[1]}`, http.StatusOK},
 		{"no JSON", storeMembers(4), 3 * time.Second, `{"overS`, http.StatusBadRequest},
 		{"a time below 0", storeMembers(4), 3 * time.Second, `{"overS":-1}`, http.StatusBadRequest},
-		{"too large", storeMembers(4), 3 * time.Second, `{"x":"` + strings.Repeat("x", mostSmallOrderBytes) + `"}`, http.StatusRequestEntityTooLarge},
+		{"too large", storeMembers(4), 3 * time.Second, `{"x":"` + strings.Repeat("x", maxRequestBytes) + `"}`, http.StatusRequestEntityTooLarge},
 		{"unknown machine", storeMembers(0), sure, `{"overS":10}`, http.StatusNotFound},
 		{"unknown machine, soon after the election", storeMembers(0), 3 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
 		{"unknown machine, shortly after the start", storeMembers(0), 0, `{"overS":10}`, http.StatusServiceUnavailable},
--- a/internal/tier/controller/rollout_campaign_test.go
+++ b/internal/tier/controller/rollout_campaign_test.go
@@ -118,9 +118,9 @@
 	if owner == nil || c.frozen[owner] {
 		return
 	}
-	for _, roll := range owner.controller.agree.rollouts.Open() {
+	for _, roll := range owner.controller.state.rollouts.Active() {
 		state := []rollout.State{rollout.Finished, rollout.Reverted}[c.random.IntN(2)]
 		decision := &rollout.Decision{Service: roll.Service, Target: roll.Target, Order: roll.Index, State: state}
-		owner.controller.Group().ProposeAsync(Command{Decide: decision}, func(any, error) {})
+		owner.controller.Group().ProposeAsync(Command{RolloutDecision: decision}, func(any, error) {})
 	}
 }
--- a/internal/tier/controller/rollouts.go
+++ b/internal/tier/controller/rollouts.go
@@ -22,16 +22,16 @@
 
 // Pace of judgement.
 const (
-	judgeInterval = 150 * time.Millisecond
-	decideTimeout = time.Second
-	mostOverS     = 86400.0 // longest time that an order may take, s
+	analysisInterval = 150 * time.Millisecond
+	decideTimeout    = time.Second
+	maxOverS         = 86400.0 // longest time that an order may take, s
 
-	orderLag       = 100 * time.Millisecond // from when an order is sent until members see it, about
-	reportPatience = 2 * time.Second        // in which proxies that know of an order report
+	commitDelay   = 100 * time.Millisecond // from when an order is sent until members see it, about
+	reportTimeout = 2 * time.Second        // in which proxies that know of an order report
 )
 
-// evidence holds what the proxies have reported.
-type evidence struct {
+// versionStats holds what the proxies have reported.
+type statsTable struct {
 	mutex   sync.Mutex
 	sources map[string]proxyReport // by the proxy's start; each report replaces the one before
 }
@@ -42,16 +42,16 @@
 	versions []wire.VersionStats
 }
 
-func newEvidence() *evidence { return &evidence{sources: map[string]proxyReport{}} }
+func newStatsTable() *statsTable { return &statsTable{sources: map[string]proxyReport{}} }
 
-func (e *evidence) take(now time.Duration, tallies wire.VersionStatsReport) {
+func (e *statsTable) replace(now time.Duration, tallies wire.VersionStatsReport) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.sources[tallies.Source] = proxyReport{at: now, versions: tallies.Versions}
 }
 
 // each calls take with what each proxy has reported of a service's version. It holds the mutex meanwhile.
-func (e *evidence) each(service, version string, take func(at time.Duration, tally *wire.VersionStats)) {
+func (e *statsTable) each(service, version string, take func(at time.Duration, tally *wire.VersionStats)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, source := range e.sources {
@@ -64,16 +64,16 @@
 }
 
 // of sums up all that was seen of a service's version, by route.
-func (e *evidence) of(service, version string) rollout.Evidence {
-	sums := rollout.Evidence{}
+func (e *statsTable) total(service, version string) rollout.StatsByRoute {
+	sums := rollout.StatsByRoute{}
 	e.each(service, version, func(_ time.Duration, tally *wire.VersionStats) { sums.Add(tally.Route, tally.Stats) })
 	return sums
 }
 
-// during sums up what was seen of the target during one roll-out, by route, and for how long the proxy has known of that
+// duringRollout sums up what was seen of the target during one roll-out, by route, and for how long the proxy has known of that
 // which has known of it for the longest time.
-func (e *evidence) during(roll *rollout.Roll, now time.Duration) (rollout.Evidence, time.Duration) {
-	sums := rollout.Evidence{}
+func (e *statsTable) duringRollout(roll *rollout.Rollout, now time.Duration) (rollout.StatsByRoute, time.Duration) {
+	sums := rollout.StatsByRoute{}
 	var known time.Duration
 	e.each(roll.Service, roll.Target, func(at time.Duration, tally *wire.VersionStats) {
 		if tally.Order == roll.Index {
@@ -84,41 +84,41 @@
 	return sums, known
 }
 
-// judgeLoop decides on the orders in service while this member owns the group.
-func (c *Controller) judgeLoop(ctx context.Context) {
-	trials := map[uint64]*rollout.Trial{}
-	ticker := time.NewTicker(judgeInterval)
+// analysisLoop decides on the orders in service while this member owns the group.
+func (c *Controller) analysisLoop(ctx context.Context) {
+	trials := map[uint64]*rollout.Analysis{}
+	ticker := time.NewTicker(analysisInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.judgeAll(ctx, trials)
+			c.analyzeRollouts(ctx, trials)
 		}
 	}
 }
 
-// judgeAll judges the orders in service. The trials are named by the index of their order.
-func (c *Controller) judgeAll(ctx context.Context, trials map[uint64]*rollout.Trial) {
+// analyzeRollouts judges the orders in service. The trials are named by the index of their order.
+func (c *Controller) analyzeRollouts(ctx context.Context, trials map[uint64]*rollout.Analysis) {
 	now := c.options.Clock()
 	c.mutex.Lock()
-	open := c.agree.rollouts.Open()
+	open := c.state.rollouts.Active()
 	c.mutex.Unlock()
-	maps.DeleteFunc(trials, func(index uint64, _ *rollout.Trial) bool {
-		return !slices.ContainsFunc(open, func(roll rollout.Roll) bool { return roll.Index == index })
+	maps.DeleteFunc(trials, func(index uint64, _ *rollout.Analysis) bool {
+		return !slices.ContainsFunc(open, func(roll rollout.Rollout) bool { return roll.Index == index })
 	})
 	for _, roll := range open {
 		if trials[roll.Index] == nil {
-			trials[roll.Index] = rollout.NewTrial()
+			trials[roll.Index] = rollout.NewAnalysis()
 		}
 		if !c.group.Status().IsLeader {
 			continue
 		}
-		target, known := c.evidence.during(&roll, now)
-		baseline := c.evidence.of(roll.Service, roll.From)
-		if state := trials[roll.Index].Judge(roll, c.elapsed(&roll, now, known), target, baseline); state != rollout.InService {
-			c.decide(ctx, roll, state, target.Total(), baseline.Total())
+		target, known := c.versionStats.duringRollout(&roll, now)
+		baseline := c.versionStats.total(roll.Service, roll.Baseline)
+		if state := trials[roll.Index].Evaluate(roll, c.elapsed(&roll, now, known), target, baseline); state != rollout.InService {
+			c.proposeDecision(ctx, roll, state, target.Total(), baseline.Total())
 		}
 	}
 }
@@ -126,22 +126,22 @@
 // elapsed is how long an order has been in service: since this process has known of it, or since a proxy has, which may be
 // longer. An order that was agreed on long after it was sent has been in service only since then. Where no proxy has had to
 // send a request to the target, the time of day tells, once there was time to hear of that.
-func (c *Controller) elapsed(roll *rollout.Roll, now, known time.Duration) time.Duration {
+func (c *Controller) elapsed(roll *rollout.Rollout, now, known time.Duration) time.Duration {
 	c.mutex.Lock()
-	seen := c.repeats.SeenFor(now, roll.Index)
+	seen := c.dedupWindow.SeenFor(now, roll.Index)
 	c.mutex.Unlock()
-	elapsed := orderLag + max(seen, known)
-	if known == 0 && seen >= reportPatience {
+	elapsed := commitDelay + max(seen, known)
+	if known == 0 && seen >= reportTimeout {
 		return max(elapsed, c.options.Now().Sub(time.UnixMilli(roll.AtMs)))
 	}
 	return elapsed
 }
 
-func (c *Controller) decide(ctx context.Context, roll rollout.Roll, state rollout.State, target, baseline rollout.Tally) {
+func (c *Controller) proposeDecision(ctx context.Context, roll rollout.Rollout, state rollout.State, target, baseline rollout.Stats) {
 	bounded, cancel := context.WithTimeout(ctx, decideTimeout)
 	defer cancel()
 	decision := &rollout.Decision{Service: roll.Service, Target: roll.Target, Order: roll.Index, State: state}
-	_, err := c.group.Propose(bounded, Command{Decide: decision})
+	_, err := c.group.Propose(bounded, Command{RolloutDecision: decision})
 	level.Info(c.options.Logger).Log("msg", "roll-out decided", "service", roll.Service, "target", roll.Target, "state", state,
 		"good", target.Good, "bad", target.Bad, "baselineGood", baseline.Good, "baselineBad", baseline.Bad, "err", err)
 }
@@ -157,13 +157,13 @@
 	}
 	for service, version := range versions {
 		c.mutex.Lock()
-		known := c.agree.rollouts.Current(service) != ""
+		known := c.state.rollouts.Current(service) != ""
 		c.mutex.Unlock()
 		if known || several[service] || version == "" {
 			continue
 		}
 		bounded, cancel := context.WithTimeout(ctx, decideTimeout)
-		_, err := c.group.Propose(bounded, Command{Seen: &rollout.Seen{Service: service, Version: version}})
+		_, err := c.group.Propose(bounded, Command{ObservedVersion: &rollout.ObservedVersion{Service: service, Version: version}})
 		cancel()
 		if err != nil {
 			level.Warn(c.options.Logger).Log("msg", "version was not recorded", "service", service, "err", err)
@@ -172,21 +172,21 @@
 	}
 }
 
-// rolloutOrder is the body of an order.
-type rolloutOrder struct {
+// rolloutRequest is the body of an order.
+type rolloutRequest struct {
 	Service string  `json:"service"`
 	Target  string  `json:"target"`
 	OverS   float64 `json:"overS"` // s
 }
 
-func (o *rolloutOrder) check() error {
+func (o *rolloutRequest) validate() error {
 	switch {
 	case o.Service == "":
 		return apierror.New(apierror.BadRequest, "service: missing")
 	case o.Target == "":
 		return apierror.New(apierror.BadRequest, "target: missing")
-	case !(o.OverS > 0 && o.OverS <= mostOverS):
-		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", mostOverS)
+	case !(o.OverS > 0 && o.OverS <= maxOverS):
+		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", maxOverS)
 	}
 	return nil
 }
@@ -196,41 +196,41 @@
 	if redirected, err := c.redirect(e); redirected {
 		return err
 	}
-	var body rolloutOrder
-	if err := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, mostOrderBytes)).Decode(&body); err != nil {
+	var body rolloutRequest
+	if err := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, maxConfigurationBytes)).Decode(&body); err != nil {
 		return apierror.New(apierror.BadRequest, "the order cannot be read: %v", err)
 	}
-	if err := body.check(); err != nil {
+	if err := body.validate(); err != nil {
 		return err
 	}
-	order := c.rolloutOrderOf(&body)
-	ctx, cancel := context.WithTimeout(e.Request().Context(), agreeTimeout)
+	order := c.rolloutProposal(&body)
+	ctx, cancel := context.WithTimeout(e.Request().Context(), proposeTimeout)
 	defer cancel()
 	result, err := c.group.Propose(ctx, Command{Rollout: order})
 	if err != nil {
-		return c.unagreed(err)
+		return c.proposalError(err)
 	}
 	switch result {
-	case rollout.Taken:
+	case rollout.Accepted:
 		level.Info(c.options.Logger).Log("msg", "roll-out ordered", "service", order.Service, "target", order.Target, "overMs", order.OverMs)
 		return e.NoContent(http.StatusOK)
-	case rollout.UnderWay:
+	case rollout.InProgress:
 		return apierror.New(apierror.OperationInProgress, "another version of %s is being rolled out", order.Service)
 	}
 	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
-// rolloutOrderOf is the order as it is to be agreed on.
-func (c *Controller) rolloutOrderOf(body *rolloutOrder) *rollout.Order {
-	order := rollout.Order{Service: body.Service, Target: body.Target, OverMs: int64(math.Round(1000 * body.OverS)),
-		AtMs: c.options.Now().UnixMilli(), Settled: c.settled()}
+// rolloutProposal is the order as it is to be agreed on.
+func (c *Controller) rolloutProposal(body *rolloutRequest) *rollout.Proposal {
+	order := rollout.Proposal{Service: body.Service, Target: body.Target, OverMs: int64(math.Round(1000 * body.OverS)),
+		AtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
 	bounds := rollout.Bounds{Share: c.options.Settings.Bounds.BadShare(), Slack: c.options.Settings.Bounds.BadSlack()}
-	order = order.Within(bounds, c.proxies())
+	order = order.WithBounds(bounds, c.proxyCount())
 	return &order
 }
 
-// proxies counts the edge machines that are known, each of which has an agent.
-func (c *Controller) proxies() int {
+// proxyCount counts the edge machines that are known, each of which has an agent.
+func (c *Controller) proxyCount() int {
 	count := 0
 	for _, m := range c.options.Fleet.Members() {
 		if m.Role == membership.Agent {
@@ -240,8 +240,8 @@
 	return count
 }
 
-// rolloutState is the answer to the question how far an order is.
-type rolloutState struct {
+// rolloutStatus is the answer to the question how far an order is.
+type rolloutStatus struct {
 	State  rollout.State `json:"state"`
 	Target string        `json:"target"`
 }
@@ -251,21 +251,21 @@
 	if redirected, err := c.redirect(e); redirected {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(e.Request().Context(), readBackTimeout)
+	ctx, cancel := context.WithTimeout(e.Request().Context(), readTimeout)
 	defer cancel()
 	service := e.Param("service")
-	var roll rollout.Roll
+	var roll rollout.Rollout
 	var known bool
 	err := c.group.Read(ctx, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		roll, known = c.agree.rollouts.Roll(service)
+		roll, known = c.state.rollouts.Rollout(service)
 	})
 	if err != nil {
-		return unread(err)
+		return readError(err)
 	}
 	if !known {
 		return apierror.New(apierror.UnknownService, "no version of %s has been rolled out", service)
 	}
-	return e.JSON(http.StatusOK, rolloutState{State: roll.State, Target: roll.Target})
+	return e.JSON(http.StatusOK, rolloutStatus{State: roll.State, Target: roll.Target})
 }
--- a/internal/tier/controller/state.go
+++ b/internal/tier/controller/state.go
@@ -10,90 +10,90 @@
 	"mastusher/internal/tier/view"
 )
 
-// Place replaces the placement of shards, if what it was derived from still stands.
-type Place struct {
-	Base        uint64                `json:"base"`        // index of the entry that brought the placement before; 0: none yet
-	Retirements uint64                `json:"retirements"` // index of the newest entry about retirements; 0: none yet
-	Shards      []view.ShardPlacement `json:"shards"`
+// Placement replaces the placement of shards, if what it was derived from still stands.
+type PlacementProposal struct {
+	BaseIndex          uint64                `json:"base"`        // index of the entry that brought the placement before; 0: none yet
+	DecommissionsIndex uint64                `json:"retirements"` // index of the newest entry about retirements; 0: none yet
+	Shards             []view.ShardPlacement `json:"shards"`
 }
 
-// Machine is what the configuration shard's members agree on. It implements group.StateMachine.
-type Machine struct {
-	register         *configuration.Register
-	placement        []view.ShardPlacement
-	placementIndex   uint64
-	rollouts         *rollout.Register
-	rolloutsIndex    uint64
-	retirements      *decommission.Register
-	retirementsIndex uint64
-	changed          func() // told after each change; must not block
+// StateMachine is what the configuration shard's members agree on. It implements group.Machine.
+type StateMachine struct {
+	configuration      *configuration.StateMachine
+	placement          []view.ShardPlacement
+	placementIndex     uint64
+	rollouts           *rollout.StateMachine
+	rolloutsIndex      uint64
+	decommissions      *decommission.StateMachine
+	decommissionsIndex uint64
+	changed            func() // published after each change; must not block
 }
 
-// NewMachine returns an empty state. Changed is told after each change and must not block.
-func NewMachine(changed func()) *Machine {
-	return &Machine{register: configuration.New(), rollouts: rollout.New(), retirements: decommission.New(), changed: changed}
+// NewStateMachine returns an empty state. Changed is told after each change and must not block.
+func NewStateMachine(changed func()) *StateMachine {
+	return &StateMachine{configuration: configuration.New(), rollouts: rollout.New(), decommissions: decommission.New(), changed: changed}
 }
 
 // Apply folds one command in. What it returns is a verdict of the package that the order belongs to.
-func (s *Machine) Apply(index uint64, raw json.RawMessage) any {
-	command, err := readCommand(raw)
+func (s *StateMachine) Apply(index uint64, raw json.RawMessage) any {
+	command, err := decodeCommand(raw)
 	if err != nil {
 		return err
 	}
 	defer s.changed()
 	switch {
-	case command.Configure != nil:
-		return s.register.Apply(index, command.Configure)
-	case command.Place != nil:
-		s.place(index, command.Place)
+	case command.Configuration != nil:
+		return s.configuration.Apply(index, command.Configuration)
+	case command.Placement != nil:
+		s.applyPlacement(index, command.Placement)
 	case command.Rollout != nil:
 		s.rolloutsIndex = index
-		return s.rollouts.Order(index, *command.Rollout)
-	case command.Seen != nil:
+		return s.rollouts.ApplyProposal(index, *command.Rollout)
+	case command.ObservedVersion != nil:
 		s.rolloutsIndex = index
-		s.rollouts.See(*command.Seen)
-	case command.Decide != nil:
+		s.rollouts.ApplyObservedVersion(*command.ObservedVersion)
+	case command.RolloutDecision != nil:
 		s.rolloutsIndex = index
-		s.rollouts.Decide(*command.Decide)
-	case command.Retire != nil:
-		s.retirementsIndex = index
-		return s.retirements.Order(index, *command.Retire)
-	case command.Retired != nil && command.Retired.Placement == s.placementIndex:
-		s.retirementsIndex = index
-		s.retirements.Decide(*command.Retired)
+		s.rollouts.ApplyDecision(*command.RolloutDecision)
+	case command.Decommission != nil:
+		s.decommissionsIndex = index
+		return s.decommissions.ApplyProposal(index, *command.Decommission)
+	case command.DecommissionDecision != nil && command.DecommissionDecision.PlacementIndex == s.placementIndex:
+		s.decommissionsIndex = index
+		s.decommissions.ApplyDecision(*command.DecommissionDecision)
 	}
 	return nil
 }
 
-// place takes a placement over unless an entry has come in between that it doesn't know of.
-func (s *Machine) place(index uint64, place *Place) {
-	if place.Base == s.placementIndex && place.Retirements == s.retirementsIndex {
+// desiredPlacement takes a placement over unless an entry has come in between that it doesn't know of.
+func (s *StateMachine) applyPlacement(index uint64, place *PlacementProposal) {
+	if place.BaseIndex == s.placementIndex && place.DecommissionsIndex == s.decommissionsIndex {
 		s.placement, s.placementIndex = place.Shards, index
 	}
 }
 
 // Placement returns the placement that has been agreed on, with the index of its entry; 0 if there is none yet.
-func (s *Machine) Placement() decommission.Placement {
+func (s *StateMachine) Placement() decommission.Placement {
 	return decommission.Placement{Index: s.placementIndex, Shards: s.placement}
 }
 
-// usable lists the stores that may take replicas.
-func (s *Machine) usable(stores []placement.Store) []placement.Store {
+// usableStores lists the stores that may take replicas.
+func (s *StateMachine) usableStores(stores []placement.Store) []placement.Store {
 	var usable []placement.Store
 	for _, store := range stores {
-		if !s.retirements.Excludes(decommission.Machine{Node: store.Node, ID: store.ID}) {
+		if !s.decommissions.Excludes(decommission.Store{Node: store.Node, ID: store.ID}) {
 			usable = append(usable, store)
 		}
 	}
 	return usable
 }
 
-// retiring lists the identities of replicas that must leave their machines.
-func (s *Machine) retiring() map[string]bool {
+// drainingReplicas lists the identities of replicas that must leave their machines.
+func (s *StateMachine) drainingReplicas() map[string]bool {
 	leaving := map[string]bool{}
 	for _, shard := range s.placement {
 		for _, r := range shard.Replicas {
-			if s.retirements.Excludes(decommission.Machine{Node: r.Node, ID: r.ID}) {
+			if s.decommissions.Excludes(decommission.Store{Node: r.Node, ID: r.ID}) {
 				leaving[r.ID] = true
 			}
 		}
@@ -101,27 +101,27 @@
 	return leaving
 }
 
-// saved is the state as a snapshot holds it. The configuration stands before the rest, so that it needn't be read again when
+// snapshot is the state as a snapshot holds it. The configuration stands before the rest, so that it needn't be read again when
 // a snapshot is written.
-type saved struct {
-	Raw              json.RawMessage       `json:"raw,omitempty"`
-	Register         configuration.State   `json:"register"`
-	Placement        []view.ShardPlacement `json:"placement"`
-	PlacementIndex   uint64                `json:"placementIndex"`
-	Rollouts         rollout.Saved         `json:"rollouts"`
-	RolloutsIndex    uint64                `json:"rolloutsIndex"`
-	Retirements      decommission.Saved    `json:"retirements"`
-	RetirementsIndex uint64                `json:"retirementsIndex"`
+type snapshot struct {
+	Raw                json.RawMessage        `json:"raw,omitempty"`
+	Configuration      configuration.Snapshot `json:"register"`
+	Placement          []view.ShardPlacement  `json:"placement"`
+	PlacementIndex     uint64                 `json:"placementIndex"`
+	Rollouts           rollout.Snapshot       `json:"rollouts"`
+	RolloutsIndex      uint64                 `json:"rolloutsIndex"`
+	Decommissions      decommission.Snapshot  `json:"retirements"`
+	DecommissionsIndex uint64                 `json:"retirementsIndex"`
 }
 
-// Snapshot implements group.StateMachine.
-func (s *Machine) Snapshot() (json.RawMessage, error) {
-	register := s.register.State()
+// Snapshot implements group.Machine.
+func (s *StateMachine) Snapshot() (json.RawMessage, error) {
+	register := s.configuration.Snapshot()
 	raw := register.Current.Raw
 	register.Current.Raw = nil
-	rest, err := json.Marshal(saved{Register: register, Placement: s.placement, PlacementIndex: s.placementIndex,
-		Rollouts: s.rollouts.Saved(), RolloutsIndex: s.rolloutsIndex,
-		Retirements: s.retirements.Saved(), RetirementsIndex: s.retirementsIndex})
+	rest, err := json.Marshal(snapshot{Configuration: register, Placement: s.placement, PlacementIndex: s.placementIndex,
+		Rollouts: s.rollouts.Snapshot(), RolloutsIndex: s.rolloutsIndex,
+		Decommissions: s.decommissions.Snapshot(), DecommissionsIndex: s.decommissionsIndex})
 	if err != nil || len(raw) == 0 {
 		return rest, err
 	}
@@ -133,27 +133,27 @@
 	return append(state, rest[1:]...), nil
 }
 
-// Restore implements group.StateMachine.
-func (s *Machine) Restore(raw json.RawMessage) error {
-	var from saved
+// Restore implements group.Machine.
+func (s *StateMachine) Restore(raw json.RawMessage) error {
+	var from snapshot
 	if err := json.Unmarshal(raw, &from); err != nil {
 		return err
 	}
-	from.Register.Current.Raw = from.Raw
-	register, err := configuration.Restore(from.Register)
+	from.Configuration.Current.Raw = from.Raw
+	register, err := configuration.Restore(from.Configuration)
 	if err != nil {
 		return err
 	}
-	s.register = register
+	s.configuration = register
 	s.placement, s.placementIndex = from.Placement, from.PlacementIndex
 	s.rollouts, s.rolloutsIndex = rollout.Restore(from.Rollouts), from.RolloutsIndex
-	s.retirements, s.retirementsIndex = decommission.Restore(from.Retirements), from.RetirementsIndex
+	s.decommissions, s.decommissionsIndex = decommission.Restore(from.Decommissions), from.DecommissionsIndex
 	s.changed()
 	return nil
 }
 
-// Pieces returns what is to be spread of the agreed state, except for sections that are told already.
-func (s *Machine) Pieces(told view.Digest) ([]view.Update, error) {
+// UnpublishedSections returns what is to be spread of the agreed state, except for sections that are told already.
+func (s *StateMachine) UnpublishedSections(told view.Digest) ([]view.Update, error) {
 	var pieces []view.Update
 	isNew := func(section view.Section, index uint64) bool {
 		return index != 0 && told[section] != view.Stamp{Sequence: index}
@@ -168,7 +168,7 @@
 		}
 		return err
 	}
-	if current := s.register.Current(); isNew(view.ConfigurationSection, current.Index) {
+	if current := s.configuration.Current(); isNew(view.ConfigurationSection, current.Index) {
 		pieces = append(pieces, view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: current.Index},
 			Body: view.Config{Raw: current.Raw}.JSON()})
 	}
--- a/internal/tier/controller/stored_format_test.go
+++ b/internal/tier/controller/stored_format_test.go
@@ -26,15 +26,15 @@
 // storedCommands are entries of the log, one of each kind, with each field set. Each is named like its file.
 func storedCommands() map[string]Command {
 	return map[string]Command{
-		"configure": {Configure: &configuration.Order{Base: 3, Number: 8, Raw: json.RawMessage(`{"number":8,"x":"content"}`)}},
-		"place":     {Place: &Place{Base: 11, Retirements: 12, Shards: storedShards()}},
-		"rollout": {Rollout: &rollout.Order{Service: "a", Target: "v2", OverMs: 60000, AtMs: 1764676800123, Settled: 14,
-			Share: 0.04, Extra: 2.5}},
-		"seen":   {Seen: &rollout.Seen{Service: "a", Version: "v1"}},
-		"decide": {Decide: &rollout.Decision{Service: "a", Target: "v2", Order: 15, State: rollout.Reverted}},
-		"retire": {Retire: &decommission.Order{Machine: decommission.Machine{Node: "storage-1", ID: "s-1"},
-			Running: []decommission.Machine{{Node: "storage-2", ID: "s-2"}}, Least: 3, AtMs: 1764676801234, Settled: 16}},
-		"retired": {Retired: &decommission.Decision{Node: "storage-1", IDs: []string{"s-1", "s-9"}, Placement: 17}},
+		"configure": {Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: json.RawMessage(`{"number":8,"x":"content"}`)}},
+		"place":     {Placement: &PlacementProposal{BaseIndex: 11, DecommissionsIndex: 12, Shards: storedShards()}},
+		"rollout": {Rollout: &rollout.Proposal{Service: "a", Target: "v2", OverMs: 60000, AtMs: 1764676800123, DedupExpiredIndex: 14,
+			Share: 0.04, ExtraRequests: 2.5}},
+		"seen":   {ObservedVersion: &rollout.ObservedVersion{Service: "a", Version: "v1"}},
+		"decide": {RolloutDecision: &rollout.Decision{Service: "a", Target: "v2", Order: 15, State: rollout.Reverted}},
+		"retire": {Decommission: &decommission.Proposal{Store: decommission.Store{Node: "storage-1", ID: "s-1"},
+			RunningStores: []decommission.Store{{Node: "storage-2", ID: "s-2"}}, MinRemaining: 3, AtMs: 1764676801234, DedupExpiredIndex: 16}},
+		"retired": {DecommissionDecision: &decommission.Decision{Node: "storage-1", IDs: []string{"s-1", "s-9"}, PlacementIndex: 17}},
 	}
 }
 
@@ -53,7 +53,7 @@
 	for name, want := range storedCommands() {
 		t.Run(name, func(t *testing.T) {
 			golden := storedFile(t, "entry-"+name)
-			read, err := readCommand(json.RawMessage(golden))
+			read, err := decodeCommand(json.RawMessage(golden))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -72,27 +72,27 @@
 }
 
 // storedMachine is a state in which each part of a snapshot holds something.
-func storedMachine(t *testing.T) *Machine {
+func storedMachine(t *testing.T) *StateMachine {
 	t.Helper()
-	machine := NewMachine(func() {})
+	machine := NewStateMachine(func() {})
 	commands := storedCommands()
-	active, running := rollout.Order{Service: "b", Target: "v7", OverMs: 9000, AtMs: 1764676802345, Share: 0.05, Extra: 1}, *commands["retire"].Retire
-	running.Machine = decommission.Machine{Node: "storage-3", ID: "s-3"}
-	running.Running = []decommission.Machine{{Node: "storage-4", ID: "s-4"}, {Node: "storage-5", ID: "s-5"}, {Node: "storage-6", ID: "s-6"}}
+	active, running := rollout.Proposal{Service: "b", Target: "v7", OverMs: 9000, AtMs: 1764676802345, Share: 0.05, ExtraRequests: 1}, *commands["retire"].Decommission
+	running.Store = decommission.Store{Node: "storage-3", ID: "s-3"}
+	running.RunningStores = []decommission.Store{{Node: "storage-4", ID: "s-4"}, {Node: "storage-5", ID: "s-5"}, {Node: "storage-6", ID: "s-6"}}
 	for _, entry := range []struct {
 		index   uint64
 		command Command
 	}{
-		{1, Command{Configure: &configuration.Order{Number: 3, Raw: json.RawMessage(`{"number":3}`)}}},
+		{1, Command{Configuration: &configuration.Proposal{Number: 3, Raw: json.RawMessage(`{"number":3}`)}}},
 		{2, commands["configure"]},
-		{3, Command{Configure: &configuration.Order{Base: 20, Number: 21, Raw: json.RawMessage(`{"number":21}`)}}},
+		{3, Command{Configuration: &configuration.Proposal{Base: 20, Number: 21, Raw: json.RawMessage(`{"number":21}`)}}},
 		{4, commands["seen"]},
 		{15, commands["rollout"]},
 		{16, commands["decide"]},
 		{17, Command{Rollout: &active}},
-		{18, Command{Retire: &running}},
-		{19, Command{Place: &Place{Retirements: 18, Shards: storedShards()}}},
-		{20, Command{Retired: &decommission.Decision{Node: "storage-3", IDs: []string{"s-8"}, Placement: 19}}},
+		{18, Command{Decommission: &running}},
+		{19, Command{Placement: &PlacementProposal{DecommissionsIndex: 18, Shards: storedShards()}}},
+		{20, Command{DecommissionDecision: &decommission.Decision{Node: "storage-3", IDs: []string{"s-8"}, PlacementIndex: 19}}},
 	} {
 		raw, err := entry.command.EncodeJSON()
 		if err != nil {
@@ -106,11 +106,11 @@
 // TestStoredFormat_ReadsSnapshotsOfEarlierVersions restores a snapshot written before and writes the same bytes again.
 func TestStoredFormat_ReadsSnapshotsOfEarlierVersions(t *testing.T) {
 	golden := storedFile(t, "snapshot")
-	restored := NewMachine(func() {})
+	restored := NewStateMachine(func() {})
 	if err := restored.Restore(json.RawMessage(golden)); err != nil {
 		t.Fatal(err)
 	}
-	for name, machine := range map[string]*Machine{"restored": restored, "applied": storedMachine(t)} {
+	for name, machine := range map[string]*StateMachine{"restored": restored, "applied": storedMachine(t)} {
 		written, err := machine.Snapshot()
 		if err != nil {
 			t.Fatal(err)
@@ -118,13 +118,13 @@
 		if diff := cmp.Diff(golden, string(written)); diff != "" {
 			t.Errorf("%s: bytes (-golden +written):\n%s", name, diff)
 		}
-		if diff := cmp.Diff(storedMachine(t).register.State(), machine.register.State()); diff != "" {
+		if diff := cmp.Diff(storedMachine(t).configuration.Snapshot(), machine.configuration.Snapshot()); diff != "" {
 			t.Errorf("%s: configuration (-want +read):\n%s", name, diff)
 		}
-		if diff := cmp.Diff(storedMachine(t).rollouts.Saved(), machine.rollouts.Saved()); diff != "" {
+		if diff := cmp.Diff(storedMachine(t).rollouts.Snapshot(), machine.rollouts.Snapshot()); diff != "" {
 			t.Errorf("%s: roll-outs (-want +read):\n%s", name, diff)
 		}
-		if diff := cmp.Diff(storedMachine(t).retirements.Saved(), machine.retirements.Saved()); diff != "" {
+		if diff := cmp.Diff(storedMachine(t).decommissions.Snapshot(), machine.decommissions.Snapshot()); diff != "" {
 			t.Errorf("%s: decommissioning (-want +read):\n%s", name, diff)
 		}
 		if diff := cmp.Diff(storedMachine(t).Placement(), machine.Placement()); diff != "" {
@@ -136,9 +136,9 @@
 // TestWireFormat_TalliesOfProxies compares what a proxy reports of one version on one route.
 func TestWireFormat_TalliesOfProxies(t *testing.T) {
 	golden := storedFile(t, "tally")
-	want := rollout.Tally{Sent: 9, Good: 5, Bad: 2}
-	want.Paces[0], want.Paces[rollout.PaceSteps-1] = 4, 1
-	var read rollout.Tally
+	want := rollout.Stats{Sent: 9, Good: 5, Bad: 2}
+	want.LatencyBuckets[0], want.LatencyBuckets[rollout.LatencyBucketCount-1] = 4, 1
+	var read rollout.Stats
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
 	}
@@ -157,13 +157,13 @@
 // TestWireFormat_BodiesOfTheControlAPI compares the bodies that an operator sends and gets.
 func TestWireFormat_BodiesOfTheControlAPI(t *testing.T) {
 	for want, body := range map[string]any{
-		`{"service":"a","target":"v2","overS":1.5}`:     rolloutOrder{Service: "a", Target: "v2", OverS: 1.5},
-		`{"state":"reverted","target":"v2"}`:            rolloutState{State: rollout.Reverted, Target: "v2"},
-		`{"state":"in_service","target":"v2"}`:          rolloutState{State: rollout.InService, Target: "v2"},
-		`{"state":"finished","target":"v2"}`:            rolloutState{State: rollout.Finished, Target: "v2"},
-		`{"overS":60}`:                                  retireOrder{OverS: 60},
-		`{"state":"in_service"}`:                        retirementState{State: decommission.InService},
-		`{"state":"finished"}`:                          retirementState{State: decommission.Finished},
+		`{"service":"a","target":"v2","overS":1.5}`:     rolloutRequest{Service: "a", Target: "v2", OverS: 1.5},
+		`{"state":"reverted","target":"v2"}`:            rolloutStatus{State: rollout.Reverted, Target: "v2"},
+		`{"state":"in_service","target":"v2"}`:          rolloutStatus{State: rollout.InService, Target: "v2"},
+		`{"state":"finished","target":"v2"}`:            rolloutStatus{State: rollout.Finished, Target: "v2"},
+		`{"overS":60}`:                                  decommissionRequest{OverS: 60},
+		`{"state":"in_service"}`:                        decommissionStatus{State: decommission.InService},
+		`{"state":"finished"}`:                          decommissionStatus{State: decommission.Finished},
 		`{"error":"the platform didn't answer: \"x\""}`: errorBody{Error: `the platform didn't answer: "x"`},
 	} {
 		written, err := json.Marshal(body)
--- a/internal/tier/controller/succession_test.go
+++ b/internal/tier/controller/succession_test.go
@@ -22,7 +22,7 @@
 		defer close(answered)
 		m.controller.Handler().ServeHTTP(recorder, request)
 	}()
-	for end := c.now + agreeTimeout; c.now < end; c.step() {
+	for end := c.now + proposeTimeout; c.now < end; c.step() {
 		synctest.Wait()
 		select {
 		case <-answered:
@@ -59,7 +59,7 @@
 	// Given an owner that is frozen, and others that have elected another one and gone on,
 	c := newCluster(t, 0)
 	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
-	c.propose(Command{Configure: &configuration.Order{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
+	c.propose(Command{Configuration: &configuration.Proposal{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
 	c.run(time.Second)
 	former := c.owner()
 	former.running = false
@@ -70,8 +70,8 @@
 		}
 	}
 	began := c.now
-	c.propose(Command{Configure: &configuration.Order{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
-	if frozen := c.now - began; frozen >= election || !former.controller.Group().Status().IsLeader {
+	c.propose(Command{Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
+	if frozen := c.now - began; frozen >= electionTimeout || !former.controller.Group().Status().IsLeader {
 		t.Fatalf("it knows after %v that it isn't the owner", frozen)
 	}
 	// when it goes on, and is asked before it has heard of that,
--- a/internal/tier/controller/troubled_cluster_test.go
+++ b/internal/tier/controller/troubled_cluster_test.go
@@ -315,7 +315,7 @@
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			test(t)
-			time.Sleep(2 * agreeTimeout)
+			time.Sleep(2 * proposeTimeout)
 		})
 	})
 }
--- a/internal/tier/decommission/judge_test.go
+++ b/internal/tier/decommission/judge_test.go
@@ -24,47 +24,47 @@
 }
 
 func TestIsEmptied(t *testing.T) {
-	retirement := decommission.Retirement{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
+	retirement := decommission.Operation{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
 	placed := decommission.Placement{Index: 9, Shards: []view.ShardPlacement{shard("b", "c", "d"), shard("c", "d", "e")}}
-	whole := func() map[int]decommission.Group {
-		return map[int]decommission.Group{
-			0: {Epoch: 4, Placement: 9, Members: ids("d", "c", "b"), CaughtUp: ids("b", "c", "d")},
-			1: {Epoch: 2, Placement: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")},
+	whole := func() map[int]decommission.GroupStatus {
+		return map[int]decommission.GroupStatus{
+			0: {Term: 4, PlacementIndex: 9, Members: ids("d", "c", "b"), CaughtUp: ids("b", "c", "d")},
+			1: {Term: 2, PlacementIndex: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")},
 		}
 	}
 	tests := []struct {
 		name   string
-		change func(groups map[int]decommission.Group, placement *decommission.Placement)
+		change func(groups map[int]decommission.GroupStatus, placement *decommission.Placement)
 		want   bool
 	}{
-		{"all have moved", func(map[int]decommission.Group, *decommission.Placement) {}, true},
-		{"nothing is placed", func(_ map[int]decommission.Group, p *decommission.Placement) { p.Shards = nil }, false},
-		{"a shard's owner is silent", func(g map[int]decommission.Group, _ *decommission.Placement) { delete(g, 1) }, false},
-		{"a group follows an older placement", func(g map[int]decommission.Group, _ *decommission.Placement) {
-			g[1] = decommission.Group{Placement: 8, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")}
+		{"all have moved", func(map[int]decommission.GroupStatus, *decommission.Placement) {}, true},
+		{"nothing is placed", func(_ map[int]decommission.GroupStatus, p *decommission.Placement) { p.Shards = nil }, false},
+		{"a shard's owner is silent", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) { delete(g, 1) }, false},
+		{"a group follows an older placement", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+			g[1] = decommission.GroupStatus{PlacementIndex: 8, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")}
 		}, false},
-		{"the machine still is a member", func(g map[int]decommission.Group, _ *decommission.Placement) {
-			g[1] = decommission.Group{Placement: 9, Members: ids("a", "c", "d", "e"), CaughtUp: ids("c", "d", "e")}
+		{"the machine still is a member", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("a", "c", "d", "e"), CaughtUp: ids("c", "d", "e")}
 		}, false},
-		{"a new replica has no vote or lags", func(g map[int]decommission.Group, _ *decommission.Placement) {
-			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d")}
+		{"a new replica has no vote or lags", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d")}
 		}, false},
-		{"a new replica is missing", func(g map[int]decommission.Group, _ *decommission.Placement) {
-			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
+		{"a new replica is missing", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
 		}, false},
-		{"the machine is wanted under another identity", func(g map[int]decommission.Group, p *decommission.Placement) {
+		{"the machine is wanted under another identity", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d", "a")
 			p.Shards[1].Replicas[2].ID = "a-2"
-			g[1] = decommission.Group{Placement: 9, Members: []string{"c-1", "d-1", "a-2"}, CaughtUp: []string{"c-1", "d-1", "a-2"}}
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: []string{"c-1", "d-1", "a-2"}, CaughtUp: []string{"c-1", "d-1", "a-2"}}
 		}, false},
-		{"the identity is wanted under another name", func(g map[int]decommission.Group, p *decommission.Placement) {
+		{"the identity is wanted under another name", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d", "e")
 			p.Shards[1].Replicas[2].ID = "a-1"
-			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d", "a"), CaughtUp: ids("c", "d", "a")}
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d", "a"), CaughtUp: ids("c", "d", "a")}
 		}, false},
-		{"too few replicas are wanted", func(g map[int]decommission.Group, p *decommission.Placement) {
+		{"too few replicas are wanted", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d")
-			g[1] = decommission.Group{Placement: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
+			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
 		}, false},
 	}
 	for _, test := range tests {
@@ -72,7 +72,7 @@
 			groups := whole()
 			placement := decommission.Placement{Index: placed.Index, Shards: append([]view.ShardPlacement(nil), placed.Shards...)}
 			test.change(groups, &placement)
-			if got := decommission.IsEmptied(retirement, placement, groups, 3); got != test.want {
+			if got := decommission.IsDrained(retirement, placement, groups, 3); got != test.want {
 				t.Errorf("emptied: %v, want %v", got, test.want)
 			}
 		})
--- a/internal/tier/decommission/mutants_test.go
+++ b/internal/tier/decommission/mutants_test.go
@@ -13,7 +13,7 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "groups that follow another placement are believed",
-			Change: mutation.Change{File: "judge.go", Old: "if !reported || group.Placement != placement.Index {", New: "if !reported {"},
+			Change: mutation.Change{File: "judge.go", Old: "if !reported || group.PlacementIndex != placement.Index {", New: "if !reported {"},
 			Run:    judgement,
 		},
 		{
@@ -25,8 +25,8 @@
 		},
 		{
 			Name:   "the machine may still be wanted",
-			Change: mutation.Change{File: "judge.go", Old: " || holds(retirement, shard.Replicas) {", New: " {"},
-			Also:   []mutation.Change{{File: "judge.go", Old: "func holds(", New: "var _ = holds\n\nfunc holds("}},
+			Change: mutation.Change{File: "judge.go", Old: " || hosts(retirement, shard.Replicas) {", New: " {"},
+			Also:   []mutation.Change{{File: "judge.go", Old: "func hosts(", New: "var _ = hosts\n\nfunc hosts("}},
 			Run:    judgement,
 		},
 		{
--- a/internal/tier/decommission/register.go
+++ b/internal/tier/decommission/register.go
@@ -16,41 +16,41 @@
 	Finished  State = "finished"   // nothing depends on the machine: it may go with its disk
 )
 
-// Machine is a storage machine with the identity on its disk.
-type Machine struct {
+// Store is a storage machine with the identity on its disk.
+type Store struct {
 	Node string `json:"node"`
 	ID   string `json:"id"`
 }
 
-// Order asks for a storage machine to be emptied. It carries what its owner saw, so that all replicas judge it alike.
-type Order struct {
-	Machine
-	Running []Machine `json:"running"` // storage machines that ran when the order came
-	Least   int       `json:"least"`   // how many of them must remain
-	AtMs    int64     `json:"atMs"`    // time of day at which the owner took it
+// Proposal asks for a storage machine to be emptied. It carries what its owner saw, so that all replicas judge it alike.
+type Proposal struct {
+	Store
+	RunningStores []Store `json:"running"` // storage machines that ran when the order came
+	MinRemaining  int     `json:"least"`   // how many of them must remain
+	AtMs          int64   `json:"atMs"`    // time of day at which the owner took it
 
-	// Settled is the index up to which orders taken are no longer repeated by anyone, as the owner knows by its clocks.
-	Settled uint64 `json:"settled,omitempty"`
+	// DedupExpiredIndex is the index up to which orders taken are no longer repeated by anyone, as the owner knows by its clocks.
+	DedupExpiredIndex uint64 `json:"settled,omitempty"`
 }
 
 // Decision ends an order.
 type Decision struct {
-	Node      string   `json:"node"`
-	IDs       []string `json:"ids"`       // all identities that the machine has had
-	Placement uint64   `json:"placement"` // index of the placement under which it was found to be empty
+	Node           string   `json:"node"`
+	IDs            []string `json:"ids"`       // all identities that the machine has had
+	PlacementIndex uint64   `json:"placement"` // index of the placement under which it was found to be empty
 }
 
-// Verdict is the outcome of an order.
-type Verdict string
+// Result is the outcome of an order.
+type Result string
 
 // The verdicts.
 const (
-	Taken  Verdict = "taken"   // now, or before
-	TooFew Verdict = "too_few" // too few machines would remain
+	Accepted     Result = "taken"   // now, or before
+	TooFewStores Result = "too_few" // too few machines would remain
 )
 
-// Retirement is the newest order about a machine.
-type Retirement struct {
+// Operation is the newest order about a machine.
+type Operation struct {
 	Node  string   `json:"node"`
 	IDs   []string `json:"ids"` // identities that never get replicas again, sorted
 	State State    `json:"state"`
@@ -59,10 +59,10 @@
 }
 
 // has tells whether the identity is one of the machine's.
-func (r *Retirement) has(id string) bool { return slices.Contains(r.IDs, id) }
+func (r *Operation) has(id string) bool { return slices.Contains(r.IDs, id) }
 
 // add takes identities in.
-func (r *Retirement) add(ids ...string) {
+func (r *Operation) add(ids ...string) {
 	known := slices.Clone(r.IDs)
 	for _, id := range ids {
 		if id != "" && !slices.Contains(known, id) {
@@ -73,39 +73,39 @@
 	r.IDs = known
 }
 
-// Register is the state machine.
-type Register struct {
-	retirements map[string]Retirement // by machine
+// StateMachine is the state machine.
+type StateMachine struct {
+	operations map[string]Operation // by machine
 }
 
 // New returns a register without orders.
-func New() *Register { return &Register{retirements: map[string]Retirement{}} }
+func New() *StateMachine { return &StateMachine{operations: map[string]Operation{}} }
 
-// Order takes an order. The same one again changes nothing, also after its end; a machine that has come back with an
+// Proposal takes an order. The same one again changes nothing, also after its end; a machine that has come back with an
 // identity that wasn't retired is retired anew. Where too few machines would remain for that, an order that may be the repeat
 // of one that was taken is acknowledged all the same: that one has been carried out.
-func (r *Register) Order(index uint64, order Order) Verdict {
-	known, asked := r.retirements[order.Node]
+func (r *StateMachine) ApplyProposal(index uint64, order Proposal) Result {
+	known, asked := r.operations[order.Node]
 	if asked && (known.State == InService || order.ID == "" || known.has(order.ID)) {
-		return Taken
+		return Accepted
 	}
-	if r.Remaining(order) < order.Least {
-		if asked && known.Index > order.Settled {
-			return Taken
+	if r.Remaining(order) < order.MinRemaining {
+		if asked && known.Index > order.DedupExpiredIndex {
+			return Accepted
 		}
-		return TooFew
+		return TooFewStores
 	}
 	known.Node, known.State = order.Node, InService
 	known.Index, known.AtMs = index, order.AtMs
 	known.add(order.ID)
-	r.retirements[order.Node] = known
-	return Taken
+	r.operations[order.Node] = known
+	return Accepted
 }
 
 // Remaining counts the machines that may hold replicas once the order is carried out.
-func (r *Register) Remaining(order Order) int {
+func (r *StateMachine) Remaining(order Proposal) int {
 	count := 0
-	for _, m := range order.Running {
+	for _, m := range order.RunningStores {
 		if m.Node != order.Node && !r.Excludes(m) {
 			count++
 		}
@@ -113,23 +113,23 @@
 	return count
 }
 
-// Decide ends an order that is in service; a later decision on it changes nothing.
-func (r *Register) Decide(decision Decision) {
-	known, asked := r.retirements[decision.Node]
+// ApplyDecision ends an order that is in service; a later decision on it changes nothing.
+func (r *StateMachine) ApplyDecision(decision Decision) {
+	known, asked := r.operations[decision.Node]
 	if !asked || known.State != InService {
 		return
 	}
 	known.State = Finished
 	known.add(decision.IDs...)
-	r.retirements[decision.Node] = known
+	r.operations[decision.Node] = known
 }
 
 // Excludes tells whether the machine must not get replicas: it is being emptied, or its identity was retired.
-func (r *Register) Excludes(m Machine) bool {
-	if r.retirements[m.Node].State == InService {
+func (r *StateMachine) Excludes(m Store) bool {
+	if r.operations[m.Node].State == InService {
 		return true
 	}
-	for _, known := range r.retirements {
+	for _, known := range r.operations {
 		if known.has(m.ID) {
 			return true
 		}
@@ -137,23 +137,23 @@
 	return false
 }
 
-// Retirement returns the newest order about a machine.
-func (r *Register) Retirement(node string) (Retirement, bool) {
-	known, asked := r.retirements[node]
+// Operation returns the newest order about a machine.
+func (r *StateMachine) Operation(node string) (Operation, bool) {
+	known, asked := r.operations[node]
 	return known, asked
 }
 
-// All lists the newest order about each machine, by machine.
-func (r *Register) All() []Retirement {
-	list := slices.Collect(maps.Values(r.retirements))
+// Operations lists the newest order about each machine, by machine.
+func (r *StateMachine) Operations() []Operation {
+	list := slices.Collect(maps.Values(r.operations))
 	sortByNode(list)
 	return list
 }
 
-// Open lists the orders in service, by machine.
-func (r *Register) Open() []Retirement {
-	var open []Retirement
-	for _, known := range r.retirements {
+// Active lists the orders in service, by machine.
+func (r *StateMachine) Active() []Operation {
+	var open []Operation
+	for _, known := range r.operations {
 		if known.State == InService {
 			open = append(open, known)
 		}
@@ -162,23 +162,23 @@
 	return open
 }
 
-func sortByNode(list []Retirement) {
-	slices.SortFunc(list, func(a, b Retirement) int { return cmp.Compare(a.Node, b.Node) })
+func sortByNode(list []Operation) {
+	slices.SortFunc(list, func(a, b Operation) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// Saved is the register as a snapshot holds it.
-type Saved struct {
-	Retirements []Retirement `json:"retirements,omitempty"` // by machine
+// Snapshot is the register as a snapshot holds it.
+type Snapshot struct {
+	Operations []Operation `json:"retirements,omitempty"` // by machine
 }
 
-// Saved returns the whole register.
-func (r *Register) Saved() Saved { return Saved{Retirements: r.All()} }
+// Snapshot returns the whole register.
+func (r *StateMachine) Snapshot() Snapshot { return Snapshot{Operations: r.Operations()} }
 
 // Restore returns the register that a snapshot holds.
-func Restore(saved Saved) *Register {
+func Restore(saved Snapshot) *StateMachine {
 	r := New()
-	for _, known := range saved.Retirements {
-		r.retirements[known.Node] = known
+	for _, known := range saved.Operations {
+		r.operations[known.Node] = known
 	}
 	return r
 }
--- a/internal/tier/decommission/register_test.go
+++ b/internal/tier/decommission/register_test.go
@@ -11,16 +11,16 @@
 )
 
 // running are machines a, b, ... with the identities a-1, b-1, ...
-func running(nodes ...string) []decommission.Machine {
-	var machines []decommission.Machine
+func running(nodes ...string) []decommission.Store {
+	var machines []decommission.Store
 	for _, node := range nodes {
-		machines = append(machines, decommission.Machine{Node: node, ID: node + "-1"})
+		machines = append(machines, decommission.Store{Node: node, ID: node + "-1"})
 	}
 	return machines
 }
 
-func order(node string, nodes ...string) decommission.Order {
-	return decommission.Order{Machine: decommission.Machine{Node: node, ID: node + "-1"}, Running: running(nodes...), Least: 3}
+func order(node string, nodes ...string) decommission.Proposal {
+	return decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-1"}, RunningStores: running(nodes...), MinRemaining: 3}
 }
 
 func finish(node string) decommission.Decision {
@@ -30,24 +30,30 @@
 func TestOrderKeepsEnoughMachines(t *testing.T) {
 	tests := []struct {
 		name  string
-		given func(r *decommission.Register)
-		order decommission.Order
-		want  decommission.Verdict
+		given func(r *decommission.StateMachine)
+		order decommission.Proposal
+		want  decommission.Result
 	}{
-		{"three remain", nil, order("a", "a", "b", "c", "d"), decommission.Taken},
-		{"two remain", nil, order("a", "a", "b", "c"), decommission.TooFew},
-		{"the machine is down and three remain", nil, order("a", "b", "c", "d"), decommission.Taken},
-		{"the machine is down and two remain", nil, order("a", "b", "c"), decommission.TooFew},
-		{"another is being emptied", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d")) },
-			order("a", "a", "b", "c", "d"), decommission.TooFew},
-		{"another was emptied and still runs", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d")); r.Decide(finish("b")) },
-			order("a", "a", "b", "c", "d"), decommission.TooFew},
-		{"two at once and three remain", func(r *decommission.Register) { r.Order(1, order("b", "a", "b", "c", "d", "e")) },
-			order("a", "a", "b", "c", "d", "e"), decommission.Taken},
-		{"the same again, though now too few would remain", func(r *decommission.Register) { r.Order(1, order("a", "a", "b", "c", "d")) },
-			order("a", "a", "b"), decommission.Taken},
-		{"the same again after its end", func(r *decommission.Register) { r.Order(1, order("a", "a", "b", "c", "d")); r.Decide(finish("a")) },
-			order("a", "b", "c"), decommission.Taken},
+		{"three remain", nil, order("a", "a", "b", "c", "d"), decommission.Accepted},
+		{"two remain", nil, order("a", "a", "b", "c"), decommission.TooFewStores},
+		{"the machine is down and three remain", nil, order("a", "b", "c", "d"), decommission.Accepted},
+		{"the machine is down and two remain", nil, order("a", "b", "c"), decommission.TooFewStores},
+		{"another is being emptied", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("b", "a", "b", "c", "d")) },
+			order("a", "a", "b", "c", "d"), decommission.TooFewStores},
+		{"another was emptied and still runs", func(r *decommission.StateMachine) {
+			r.ApplyProposal(1, order("b", "a", "b", "c", "d"))
+			r.ApplyDecision(finish("b"))
+		},
+			order("a", "a", "b", "c", "d"), decommission.TooFewStores},
+		{"two at once and three remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("b", "a", "b", "c", "d", "e")) },
+			order("a", "a", "b", "c", "d", "e"), decommission.Accepted},
+		{"the same again, though now too few would remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("a", "a", "b", "c", "d")) },
+			order("a", "a", "b"), decommission.Accepted},
+		{"the same again after its end", func(r *decommission.StateMachine) {
+			r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
+			r.ApplyDecision(finish("a"))
+		},
+			order("a", "b", "c"), decommission.Accepted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -55,7 +61,7 @@
 			if test.given != nil {
 				test.given(r)
 			}
-			if got := r.Order(1, test.order); got != test.want {
+			if got := r.ApplyProposal(1, test.order); got != test.want {
 				t.Errorf("order was %s, want %s", got, test.want)
 			}
 		})
@@ -65,15 +71,15 @@
 func TestRetiredIdentitiesNeverComeBack(t *testing.T) {
 	// Given a machine that was emptied after its disk had been replaced on the way.
 	r := decommission.New()
-	r.Order(1, order("a", "a", "b", "c", "d"))
-	if !r.Excludes(decommission.Machine{Node: "a", ID: "a-2"}) {
+	r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
+	if !r.Excludes(decommission.Store{Node: "a", ID: "a-2"}) {
 		t.Error("a machine that is being emptied may take replicas under a new identity")
 	}
-	r.Decide(decommission.Decision{Node: "a", IDs: []string{"a-2"}})
+	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"a-2"}})
 
 	// Then neither identity may hold replicas again, wherever it appears, but a third one may.
 	for id, want := range map[string]bool{"a-1": true, "a-2": true, "a-3": false} {
-		if got := r.Excludes(decommission.Machine{Node: "a", ID: id}); got != want {
+		if got := r.Excludes(decommission.Store{Node: "a", ID: id}); got != want {
 			t.Errorf("identity %s is excluded: %v, want %v", id, got, want)
 		}
 	}
@@ -81,11 +87,11 @@
 	// And the machine can be emptied again under the third.
 	again := order("a", "a", "b", "c", "d")
 	again.ID, again.AtMs = "a-3", 70
-	if got := r.Order(9, again); got != decommission.Taken {
+	if got := r.ApplyProposal(9, again); got != decommission.Accepted {
 		t.Fatalf("order about the new identity was %s", got)
 	}
-	want := decommission.Retirement{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
-	got, _ := r.Retirement("a")
+	want := decommission.Operation{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
+	got, _ := r.Operation("a")
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("retirement (-want +got):\n%s", diff)
 	}
@@ -97,34 +103,34 @@
 	const index = 7
 	tests := []struct {
 		name  string
-		order func(order *decommission.Order)
-		want  decommission.Verdict
+		order func(order *decommission.Proposal)
+		want  decommission.Result
 		state decommission.State
 	}{
-		{"the same machine", func(*decommission.Order) {}, decommission.Taken, decommission.Finished},
-		{"the same machine, long after", func(o *decommission.Order) { o.Settled = index }, decommission.Taken, decommission.Finished},
-		{"a machine that is away", func(o *decommission.Order) { o.ID, o.Settled = "", index }, decommission.Taken, decommission.Finished},
-		{"another disk, and enough remain", func(o *decommission.Order) { o.ID, o.Running = "a-2", running("b", "c", "d") }, decommission.Taken, decommission.InService},
-		{"another disk, and too few remain", func(o *decommission.Order) { o.ID = "a-2" }, decommission.Taken, decommission.Finished},
-		{"another disk, and too few remain, long after", func(o *decommission.Order) { o.ID, o.Settled = "a-2", index }, decommission.TooFew, decommission.Finished},
-		{"another machine, and too few remain", func(o *decommission.Order) { o.Machine = decommission.Machine{Node: "b", ID: "b-1"} }, decommission.TooFew, ""},
+		{"the same machine", func(*decommission.Proposal) {}, decommission.Accepted, decommission.Finished},
+		{"the same machine, long after", func(o *decommission.Proposal) { o.DedupExpiredIndex = index }, decommission.Accepted, decommission.Finished},
+		{"a machine that is away", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "", index }, decommission.Accepted, decommission.Finished},
+		{"another disk, and enough remain", func(o *decommission.Proposal) { o.ID, o.RunningStores = "a-2", running("b", "c", "d") }, decommission.Accepted, decommission.InService},
+		{"another disk, and too few remain", func(o *decommission.Proposal) { o.ID = "a-2" }, decommission.Accepted, decommission.Finished},
+		{"another disk, and too few remain, long after", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "a-2", index }, decommission.TooFewStores, decommission.Finished},
+		{"another machine, and too few remain", func(o *decommission.Proposal) { o.Store = decommission.Store{Node: "b", ID: "b-1"} }, decommission.TooFewStores, ""},
 	}
 	for _, test := range tests {
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
 				// Given a machine that was emptied, and of the others two that run.
 				r := decommission.New()
-				r.Order(index, order("a", "a", "b", "c", "d"))
-				r.Decide(finish("a"))
+				r.ApplyProposal(index, order("a", "a", "b", "c", "d"))
+				r.ApplyDecision(finish("a"))
 				if snapshot {
-					r = decommission.Restore(r.Saved())
+					r = decommission.Restore(r.Snapshot())
 				}
 				// When an order comes.
 				asked := order("a", "b", "c")
 				test.order(&asked)
-				got := r.Order(index+5, asked)
+				got := r.ApplyProposal(index+5, asked)
 				// Then a repeat is acknowledged.
-				known, _ := r.Retirement(asked.Node)
+				known, _ := r.Operation(asked.Node)
 				if got != test.want || known.State != test.state {
 					t.Errorf("the order is %s and the machine %q, want %s and %q", got, known.State, test.want, test.state)
 				}
@@ -135,14 +141,14 @@
 
 func TestDecisionsCountOnce(t *testing.T) {
 	r := decommission.New()
-	r.Decide(finish("a"))
-	if _, asked := r.Retirement("a"); asked {
+	r.ApplyDecision(finish("a"))
+	if _, asked := r.Operation("a"); asked {
 		t.Error("a decision without an order made one")
 	}
-	r.Order(1, order("a", "a", "b", "c", "d"))
-	r.Decide(finish("a"))
-	r.Decide(decommission.Decision{Node: "a", IDs: []string{"late"}})
-	if r.Excludes(decommission.Machine{Node: "z", ID: "late"}) {
+	r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
+	r.ApplyDecision(finish("a"))
+	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"late"}})
+	if r.Excludes(decommission.Store{Node: "z", ID: "late"}) {
 		t.Error("a second decision changed a finished order")
 	}
 }
@@ -154,33 +160,33 @@
 		r := decommission.New()
 		finished := map[string]bool{} // identities
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			machine := decommission.Machine{Node: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "node")}
+			machine := decommission.Store{Node: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "node")}
 			machine.ID = fmt.Sprint(machine.Node, "-", rapid.IntRange(1, 2).Draw(t, "identity"))
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
-				asked := decommission.Order{Machine: machine, Least: 3,
-					Running: rapid.Permutation(running("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
-				before := r.Saved()
-				verdict := r.Order(1, asked)
-				if verdict == decommission.TooFew && !cmp.Equal(before, r.Saved()) {
+				asked := decommission.Proposal{Store: machine, MinRemaining: 3,
+					RunningStores: rapid.Permutation(running("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
+				before := r.Snapshot()
+				verdict := r.ApplyProposal(1, asked)
+				if verdict == decommission.TooFewStores && !cmp.Equal(before, r.Snapshot()) {
 					t.Fatal("a refused order changed something")
 				}
-				if verdict == decommission.Taken && !cmp.Equal(before, r.Saved()) && remaining(r, asked.Running) < 3 {
+				if verdict == decommission.Accepted && !cmp.Equal(before, r.Snapshot()) && remaining(r, asked.RunningStores) < 3 {
 					t.Fatal("an order left too few machines")
 				}
 			case 1:
-				open := r.Open()
+				open := r.Active()
 				if len(open) > 0 {
-					r.Decide(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
+					r.ApplyDecision(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
 					for _, id := range open[0].IDs {
 						finished[id] = true
 					}
 				}
 			case 2:
-				r = decommission.Restore(r.Saved())
+				r = decommission.Restore(r.Snapshot())
 			}
 			for id := range finished {
-				if !r.Excludes(decommission.Machine{Node: "other", ID: id}) {
+				if !r.Excludes(decommission.Store{Node: "other", ID: id}) {
 					t.Fatalf("retired identity %s may take replicas", id)
 				}
 			}
@@ -188,7 +194,7 @@
 	})
 }
 
-func remaining(r *decommission.Register, machines []decommission.Machine) int {
+func remaining(r *decommission.StateMachine, machines []decommission.Store) int {
 	count := 0
 	for _, m := range machines {
 		if !r.Excludes(m) {
--- a/internal/tier/decommission/repeat_mutants_test.go
+++ b/internal/tier/decommission/repeat_mutants_test.go
@@ -13,8 +13,8 @@
 			Name: "a repeat is refused when too few would remain",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "asked && known.Index > order.Settled",
-				New:  "asked && known.Index > order.Settled && order.ID == known.Node",
+				Old:  "asked && known.Index > order.DedupExpiredIndex",
+				New:  "asked && known.Index > order.DedupExpiredIndex && order.ID == known.Node",
 			},
 			Run: "^TestRepeatsAreNeverRefused$",
 		},
@@ -22,7 +22,7 @@
 			Name: "an order is acknowledged whenever the machine was emptied before",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "asked && known.Index > order.Settled",
+				Old:  "asked && known.Index > order.DedupExpiredIndex",
 				New:  "asked",
 			},
 			Run: "^TestRepeatsAreNeverRefused$",
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -42,8 +42,8 @@
 type controller struct {
 	process  *process
 	id       string
-	state    *core.Machine
-	planner  *core.Planner
+	state    *core.StateMachine
+	planner  *core.Reconciler
 	replica  *replicaRunner
 	member   *member
 	dirty    bool
@@ -60,8 +60,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &controller{process: p, id: id, planner: core.NewPlanner(copies), told: view.Digest{}}
-	c.state = core.NewMachine(c.markDirty)
+	c := &controller{process: p, id: id, planner: core.NewReconciler(copies), told: view.Digest{}}
+	c.state = core.NewStateMachine(c.markDirty)
 	options := replicaOptions{name: core.GroupName, machine: c.state, compact: f.options.CompactBytes,
 		replica: replica.Options{ID: id, Address: p.address, InitialMembers: firstMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElection}}
 	c.replica, err = openReplica(p, options)
@@ -110,7 +110,7 @@
 
 func (c *controller) publish() {
 	c.dirty = false
-	pieces, err := c.state.Pieces(c.told)
+	pieces, err := c.state.UnpublishedSections(c.told)
 	if err != nil {
 		c.process.machine.fleet.report("HARNESS", "agreed state cannot be published: %v", err)
 		return
@@ -171,8 +171,8 @@
 
 // put takes a whole configuration.
 func (c *controller) put(call *exchange, asked putOrder) {
-	order := &configuration.Order{Base: asked.Base, Number: asked.Number, Raw: asked.Raw}
-	c.agree(call, core.Command{Configure: order})
+	order := &configuration.Proposal{Base: asked.Base, Number: asked.Number, Raw: asked.Raw}
+	c.agree(call, core.Command{Configuration: order})
 }
 
 // agree has an order agreed on and answers it.
@@ -192,13 +192,13 @@
 		return http.StatusInternalServerError
 	}
 	switch result {
-	case configuration.Taken, rollout.Taken, decommission.Taken:
+	case configuration.Accepted, rollout.Accepted, decommission.Accepted:
 		return http.StatusOK
 	case configuration.Conflict:
 		return http.StatusPreconditionFailed
 	case configuration.NotNewer:
 		return http.StatusBadRequest
-	case rollout.UnderWay, decommission.TooFew:
+	case rollout.InProgress, decommission.TooFewStores:
 		return http.StatusConflict
 	}
 	return http.StatusInternalServerError
@@ -236,13 +236,13 @@
 }
 
 func (c *controller) orderRollout(call *exchange, asked rolloutOrder) {
-	order := &rollout.Order{Service: asked.Service, Target: asked.Target, OverMs: asked.OverMs, AtMs: c.process.machine.nowMs()}
+	order := &rollout.Proposal{Service: asked.Service, Target: asked.Target, OverMs: asked.OverMs, AtMs: c.process.machine.nowMs()}
 	c.agree(call, core.Command{Rollout: order})
 }
 
 func (c *controller) getRollout(call *exchange, asked getRollout) {
 	c.read(call, func(read agreedView) operatorAnswer {
-		roll, known := read.Rollouts.Rolls[asked.Service]
+		roll, known := read.Rollouts.Rollouts[asked.Service]
 		if !known {
 			return operatorAnswer{Status: http.StatusNotFound}
 		}
@@ -252,14 +252,14 @@
 
 // orderRetirement takes an order to empty a storage machine.
 func (c *controller) orderRetirement(call *exchange, asked retireOrder) {
-	order := &decommission.Order{Machine: decommission.Machine{Node: asked.Node}, Least: copies}
-	if store, known := c.planner.Watch().Store(asked.Node); known {
+	order := &decommission.Proposal{Store: decommission.Store{Node: asked.Node}, MinRemaining: copies}
+	if store, known := c.planner.Tracker().Store(asked.Node); known {
 		order.ID = store.ID
 	}
-	for _, store := range c.planner.Watch().Stores() {
-		order.Running = append(order.Running, decommission.Machine{Node: store.Node, ID: store.ID})
+	for _, store := range c.planner.Tracker().Stores() {
+		order.RunningStores = append(order.RunningStores, decommission.Store{Node: store.Node, ID: store.ID})
 	}
-	c.agree(call, core.Command{Retire: order})
+	c.agree(call, core.Command{Decommission: order})
 }
 
 func (c *controller) getRetirement(call *exchange, asked getRetirement) {
@@ -278,14 +278,14 @@
 	if !c.replica.group.Status().IsLeader {
 		return
 	}
-	rolls := c.view().Rollouts.Rolls
+	rolls := c.view().Rollouts.Rollouts
 	for _, service := range slices.Sorted(maps.Keys(rolls)) {
 		roll := rolls[service]
 		if roll.State != rollout.InService || c.process.machine.nowMs()-roll.AtMs < roll.OverMs {
 			continue
 		}
 		decision := &rollout.Decision{Service: service, Target: roll.Target, Order: roll.Index, State: rollout.Finished}
-		c.replica.propose(core.Command{Decide: decision}, placeTimeout, func(any, error) {})
+		c.replica.propose(core.Command{RolloutDecision: decision}, placeTimeout, func(any, error) {})
 	}
 }
 
@@ -293,15 +293,15 @@
 func (c *controller) place() {
 	c.process.after(placeInterval, c.place)
 	now := time.UnixMilli(dayStart).Add(c.process.machine.fleet.loop.now)
-	plan := c.planner.Tick(now, coreFacts(c))
-	if plan.Members != nil {
-		c.replica.change(plan.Members)
+	plan := c.planner.Reconcile(now, coreFacts(c))
+	if plan.GroupMembers != nil {
+		c.replica.change(plan.GroupMembers)
 	}
 	if len(plan.Commands) > 0 && !c.placing {
 		c.placing = true
 		c.agreeOn(plan.Commands)
 	}
-	for _, address := range plan.Ask {
+	for _, address := range plan.StoresToQuery {
 		c.askStore(now, address)
 	}
 }
@@ -325,7 +325,7 @@
 func (c *controller) askStore(now time.Time, address string) {
 	c.process.machine.fleet.network.ask(c.process, address, wire.ShardMembersRequest{}, askTimeout, func(answer any, err error) {
 		if err == nil {
-			c.planner.Report(now, answer.(wire.ShardMembersResponse))
+			c.planner.RecordGroups(now, answer.(wire.ShardMembersResponse))
 		}
 	})
 }
@@ -364,6 +364,6 @@
 }
 
 // coreFacts is what the controller's plan is made from.
-func coreFacts(c *controller) core.Facts {
-	return core.Facts{Status: c.replica.group.Status(), Members: c.member.members(), Agreed: c.state}
+func coreFacts(c *controller) core.ObservedState {
+	return core.ObservedState{Group: c.replica.group.Status(), Members: c.member.members(), Committed: c.state}
 }
--- a/internal/tier/fleettest/corestate.go
+++ b/internal/tier/fleettest/corestate.go
@@ -11,14 +11,14 @@
 
 // agreedView is what is read of the agreed state for operators.
 type agreedView struct {
-	Raw         json.RawMessage     `json:"raw"` // the register's configuration
-	Register    configuration.State `json:"register"`
-	Rollouts    rollout.Saved       `json:"rollouts"`
-	Retirements json.RawMessage     `json:"retirements"`
+	Raw         json.RawMessage        `json:"raw"` // the register's configuration
+	Register    configuration.Snapshot `json:"register"`
+	Rollouts    rollout.Snapshot       `json:"rollouts"`
+	Retirements json.RawMessage        `json:"retirements"`
 }
 
 // viewOf reads the agreed state.
-func viewOf(machine *core.Machine) (agreedView, error) {
+func viewOf(machine *core.StateMachine) (agreedView, error) {
 	var read agreedView
 	state, err := machine.Snapshot()
 	if err == nil {
@@ -29,10 +29,10 @@
 }
 
 // retirementOf reads what has become of the order to empty a machine.
-func (v *agreedView) retirementOf(node string) (decommission.Retirement, bool) {
-	var saved decommission.Saved
+func (v *agreedView) retirementOf(node string) (decommission.Operation, bool) {
+	var saved decommission.Snapshot
 	if err := json.Unmarshal(v.Retirements, &saved); err != nil {
-		return decommission.Retirement{}, false
+		return decommission.Operation{}, false
 	}
-	return decommission.Restore(saved).Retirement(node)
+	return decommission.Restore(saved).Operation(node)
 }
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -29,9 +29,9 @@
 			Name: "orders are acknowledged before they are agreed on",
 			Change: mutation.Change{
 				File: "controller.go",
-				Old:  "\tc.agree(call, core.Command{Configure: order})\n",
+				Old:  "\tc.agree(call, core.Command{Configuration: order})\n",
 				New: "\tcall.finish(operatorAnswer{Status: http.StatusOK})\n" +
-					"\tc.replica.propose(core.Command{Configure: order}, agreeTimeout, func(any, error) {})\n",
+					"\tc.replica.propose(core.Command{Configuration: order}, agreeTimeout, func(any, error) {})\n",
 			},
 			Run: cutDays,
 		},
@@ -60,7 +60,7 @@
 		},
 		{
 			Name:   "repeated orders are judged anew",
-			Change: mutation.Change{File: "../configuration/register.go", Old: "\tcase same:\n\t\treturn Taken\n", New: "\tcase same:\n"},
+			Change: mutation.Change{File: "../configuration/register.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
 			Run:    randomDays,
 		},
 		{
--- a/internal/tier/placement/mutants_test.go
+++ b/internal/tier/placement/mutants_test.go
@@ -27,7 +27,7 @@
 		},
 		{
 			Name:   "a suspicion counts without a newcomer",
-			Change: mutation.Change{File: "watch.go", Old: "now.Sub(w.met[m.ID]) < newcomerAge", New: "true || now.Sub(w.met[m.ID]) < newcomerAge"},
+			Change: mutation.Change{File: "watch.go", Old: "now.Sub(w.firstSeen[m.ID]) < newcomerAge", New: "true || now.Sub(w.firstSeen[m.ID]) < newcomerAge"},
 			Run:    "^TestWatchTellsWhatIsLost$",
 		},
 		{
--- a/internal/tier/placement/placement_test.go
+++ b/internal/tier/placement/placement_test.go
@@ -28,11 +28,11 @@
 }
 
 func TestFirstWaitsForEnoughStores(t *testing.T) {
-	if got := placement.First(machines(2, 2), 3); got != nil {
+	if got := placement.Initial(machines(2, 2), 3); got != nil {
 		t.Errorf("placed on two stores: %v", got)
 	}
 	for count, want := range map[int]int{3: 4, 4: 4, 5: 8, 9: 16, 100: 64} {
-		if got := len(placement.First(machines(count, 4), 3)); got != want {
+		if got := len(placement.Initial(machines(count, 4), 3)); got != want {
 			t.Errorf("%d stores make %d shards, want %d", count, got, want)
 		}
 	}
@@ -46,7 +46,7 @@
 		copies := 2*rapid.IntRange(0, 2).Draw(t, "losses") + 1
 		zones := rapid.IntRange(1, 5).Draw(t, "zones")
 		stores := machines(rapid.IntRange(copies, 12).Draw(t, "stores"), zones)
-		shards := placement.First(stores, copies)
+		shards := placement.Initial(stores, copies)
 		load := loads(shards, stores)
 		for number, shard := range shards {
 			checkShard(t, number, shard, copies)
@@ -55,7 +55,7 @@
 				t.Fatalf("shard %d begins with other members than it is to have", number)
 			}
 		}
-		if again := placement.First(rapid.Permutation(stores).Draw(t, "order"), copies); !cmp.Equal(shards, again) {
+		if again := placement.Initial(rapid.Permutation(stores).Draw(t, "order"), copies); !cmp.Equal(shards, again) {
 			t.Fatal("the order of the stores matters")
 		}
 		if bound := max(1, (copies-1)/2); len(zoneSizes(stores))*bound >= copies && !zonesLeaveAChoice(stores, copies) {
@@ -128,8 +128,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const copies = 3
 		stores := machines(rapid.IntRange(copies, 8).Draw(t, "stores"), rapid.IntRange(1, 4).Draw(t, "zones"))
-		shards := placement.First(stores, copies)
-		now := placement.Situation{Lost: map[string]bool{}, Retiring: map[string]bool{}, Copies: copies}
+		shards := placement.Initial(stores, copies)
+		now := placement.Inputs{Lost: map[string]bool{}, Draining: map[string]bool{}, ReplicationFactor: copies}
 		renewed := map[string]string{} // identity that replaces one that was wiped
 		for i, store := range stores {
 			switch rapid.SampledFrom([]string{"runs", "runs", "runs", "lost", "retiring", "wiped", "down"}).Draw(t, store.Node) {
@@ -138,7 +138,7 @@
 			case "lost":
 				now.Lost[store.ID] = true
 			case "retiring":
-				now.Retiring[store.ID] = true
+				now.Draining[store.ID] = true
 			case "wiped":
 				anew := machine(i, store.Zone, 2)
 				now.Lost[store.ID] = true
@@ -161,7 +161,7 @@
 		}
 		for number, shard := range shards {
 			for _, r := range shard.Replicas {
-				if (now.Lost[r.ID] || now.Retiring[r.ID]) && free(now.Stores, shard) {
+				if (now.Lost[r.ID] || now.Draining[r.ID]) && free(now.Stores, shard) {
 					t.Fatalf("shard %d still wants %s", number, r.ID)
 				}
 			}
@@ -176,9 +176,9 @@
 	})
 }
 
-func checkStep(t rapid.TB, number int, before, after view.ShardPlacement, now placement.Situation, renewed map[string]string) {
+func checkStep(t rapid.TB, number int, before, after view.ShardPlacement, now placement.Inputs, renewed map[string]string) {
 	t.Helper()
-	checkShard(t, number, after, now.Copies)
+	checkShard(t, number, after, now.ReplicationFactor)
 	left, come := difference(before.Replicas, after.Replicas), difference(after.Replicas, before.Replicas)
 	if len(left) != len(come) || len(left) > 1 {
 		t.Fatalf("shard %d: %v leave and %v come", number, left, come)
@@ -189,7 +189,7 @@
 	if len(left) == 0 {
 		return
 	}
-	if !now.Lost[left[0].ID] && !now.Retiring[left[0].ID] {
+	if !now.Lost[left[0].ID] && !now.Draining[left[0].ID] {
 		t.Fatalf("shard %d: %s leaves without need", number, left[0].ID)
 	}
 	if !slices.Contains(now.Stores, come[0]) {
@@ -235,7 +235,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			now := placement.Situation{Stores: test.stores, Lost: identities(test.lost), Retiring: identities(test.retiring), Copies: 3}
+			now := placement.Inputs{Stores: test.stores, Lost: identities(test.lost), Draining: identities(test.retiring), ReplicationFactor: 3}
 			before := []view.ShardPlacement{{Initial: test.replicas, Replicas: slices.Clone(test.replicas)}}
 			next, changed := placement.Next(before, now)
 			if diff := cmp.Diff(test.want, next[0].Replicas); diff != "" {
--- a/internal/tier/placement/watch_test.go
+++ b/internal/tier/placement/watch_test.go
@@ -20,13 +20,13 @@
 
 // observer hands a watch its observations in steps, as a process does.
 type observer struct {
-	*placement.Watch
+	*placement.Tracker
 	now   time.Time
 	epoch uint64
 }
 
 func newObserver() *observer {
-	return &observer{Watch: placement.NewWatch(), now: time.UnixMilli(1_700_000_000_000), epoch: 1}
+	return &observer{Tracker: placement.NewTracker(), now: time.UnixMilli(1_700_000_000_000), epoch: 1}
 }
 
 // see shows the members for a while.
@@ -47,7 +47,7 @@
 
 // lostController tells whether the only member of the controllers' group is lost.
 func (o *observer) lostController(id, address string) bool {
-	return o.LostHolders(o.now, membership.Controller, []placement.Holder{{ID: id, Address: address}})[id]
+	return o.LostHosts(o.now, membership.Controller, []placement.Host{{ID: id, Address: address}})[id]
 }
 
 func TestWatchTellsWhatIsLost(t *testing.T) {
@@ -179,29 +179,29 @@
 	o := newObserver()
 	o.epoch = 0
 	o.see(20*time.Second, alive)
-	if o.IsSure(o.now, 0) || o.IsSure(o.now, 4) {
+	if o.HasCompleteView(o.now, 0) || o.HasCompleteView(o.now, 4) {
 		t.Error("a member that doesn't own the group is sure")
 	}
 	// An owner is sure once the members on both sides of a cut have found each other, in the epoch that it owns.
 	o.epoch = 4
 	o.see(9*time.Second, alive)
-	if o.IsSure(o.now, 4) {
+	if o.HasCompleteView(o.now, 4) {
 		t.Error("it is sure 9 s after its election")
 	}
 	o.see(4*time.Second, alive)
-	if !o.IsSure(o.now, 4) || o.IsSure(o.now, 5) {
+	if !o.HasCompleteView(o.now, 4) || o.HasCompleteView(o.now, 5) {
 		t.Error("it isn't sure in its own epoch alone")
 	}
 	// One that stood still, or was elected anew, begins anew.
 	o.now = o.now.Add(3 * time.Second)
 	o.see(time.Second, alive)
-	if o.IsSure(o.now, 4) {
+	if o.HasCompleteView(o.now, 4) {
 		t.Error("it is sure after it stood still")
 	}
 	o.see(13*time.Second, alive)
 	o.epoch = 6
 	o.see(time.Second, alive)
-	if o.IsSure(o.now, 6) {
+	if o.HasCompleteView(o.now, 6) {
 		t.Error("it is sure after another election")
 	}
 }
@@ -210,21 +210,21 @@
 	o := newObserver()
 	o.epoch = 0
 	o.see(9*time.Second, member(1, 1, membership.StateAlive))
-	if o.MayBegin(o.now) {
+	if o.ReadyForInitial(o.now) {
 		t.Error("a member that doesn't own the group may begin")
 	}
 	o.epoch = 4
 	o.see(time.Second, member(1, 1, membership.StateAlive))
-	if o.MayBegin(o.now) {
+	if o.ReadyForInitial(o.now) {
 		t.Error("may begin a second after it became the owner")
 	}
 	o.see(750*time.Millisecond, member(1, 1, membership.StateAlive))
-	if !o.MayBegin(o.now) {
+	if !o.ReadyForInitial(o.now) {
 		t.Error("may not begin")
 	}
 	o.epoch = 6 // it was not the owner in between
 	o.see(0, member(1, 1, membership.StateAlive))
-	if o.MayBegin(o.now) {
+	if o.ReadyForInitial(o.now) {
 		t.Error("may begin at once in a later epoch")
 	}
 }
--- a/internal/tier/platformlist/pace.go
+++ b/internal/tier/platformlist/pace.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// bucket is a token bucket. It is pure: the caller tells the time.
-type bucket struct {
+// tokenBucket is a token bucket. It is pure: the caller tells the time.
+type tokenBucket struct {
 	size    float64
 	perS    float64
 	tokens  float64
 	updated time.Time
 }
 
-// newBucket keeps the calls of any one second within the rate: what may be used at once and what comes in a second add
+// newTokenBucket keeps the calls of any one second within the rate: what may be used at once and what comes in a second add
 // up to it.
-func newBucket(ratePerS float64, now time.Time) *bucket {
-	size := math.Max(1, math.Floor(ratePerS/bucketShare))
+func newTokenBucket(ratePerS float64, now time.Time) *tokenBucket {
+	size := math.Max(1, math.Floor(ratePerS/burstDivisor))
 	perS := ratePerS - size
 	if perS < ratePerS/2 {
-		perS = ratePerS * lowRateUsed
+		perS = ratePerS * lowRateFactor
 	}
-	return &bucket{size: size, perS: perS, tokens: size, updated: now}
+	return &tokenBucket{size: size, perS: perS, tokens: size, updated: now}
 }
 
 // take uses a token. The caller waits for the time given before it makes the call.
-func (b *bucket) take(now time.Time) time.Duration {
+func (b *tokenBucket) take(now time.Time) time.Duration {
 	if passed := now.Sub(b.updated); passed > 0 {
 		b.tokens = math.Min(b.size, b.tokens+passed.Seconds()*b.perS)
 		b.updated = now
@@ -39,9 +39,9 @@
 
 // backoff doubles with each failure up to its bound; the share, from 0 to 1, takes away up to half.
 func backoff(failures int, share float64) time.Duration {
-	pause := maximumBackoff
+	pause := maxBackoff
 	if shift := failures - 1; shift < 8 {
-		pause = min(pause, minimumBackoff<<shift)
+		pause = min(pause, minBackoff<<shift)
 	}
 	return pause - time.Duration(share*float64(pause)/2)
 }
--- a/internal/tier/platformlist/pure_test.go
+++ b/internal/tier/platformlist/pure_test.go
@@ -52,9 +52,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var held Roll
+			var held Merger
 			for _, found := range c.reads {
-				held.observe(found)
+				held.merge(found)
 			}
 			if diff := cmp.Diff(c.want, held.Endpoints()); diff != "" {
 				t.Error(diff)
@@ -66,14 +66,14 @@
 func TestRollHoldsWhatTheLastTwoReadsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"1", "2", "3", "4"}), rapid.ID)
-		var held Roll
+		var held Merger
 		var last, before map[string]model.Endpoint
 		for range rapid.IntRange(1, 8).Draw(t, "reads") {
 			before, last = last, map[string]model.Endpoint{}
 			for _, id := range ids.Draw(t, "found") {
 				last[id] = endpoint(id, model.Ready)
 			}
-			held.observe(last)
+			held.merge(last)
 		}
 		want := maps.Clone(last)
 		maps.Copy(want, before)
@@ -130,7 +130,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
 		now := time.Unix(1_000_000, 0)
-		pace := newBucket(rate, now)
+		pace := newTokenBucket(rate, now)
 		var calls []time.Time
 		for range 300 {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(50*time.Millisecond)).Draw(t, "idle")))
@@ -151,7 +151,7 @@
 
 func TestBucketIsNotSlowerThanNeeded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	pace := newBucket(47, now)
+	pace := newTokenBucket(47, now)
 	var waited time.Duration
 	for range 5 {
 		waited += pace.take(now)
--- a/internal/tier/platformlist/reader.go
+++ b/internal/tier/platformlist/reader.go
@@ -31,7 +31,7 @@
 	options    Options
 	connection *connection
 	clock      Clock
-	bucket     *bucket
+	bucket     *tokenBucket
 	random     *rand.Rand
 }
 
@@ -48,7 +48,7 @@
 		options:    options,
 		connection: newConnection(options.Address, network.OrSystem(options.Network)),
 		clock:      clock,
-		bucket:     newBucket(options.RatePerS, clock.Now()),
+		bucket:     newTokenBucket(options.RatePerS, clock.Now()),
 		random:     rand.New(rand.NewPCG(options.Seed, 0)),
 	}, nil
 }
@@ -68,7 +68,7 @@
 		switch {
 		case err == nil:
 			err = pager.accept(answer)
-		case unknownPage(err, pager.token) && restarts < maxRestarts:
+		case isUnknownPage(err, pager.token) && restarts < maxRestarts:
 			restarts++
 			pager, err = newPager(), nil
 		}
@@ -76,11 +76,11 @@
 			return nil, err
 		}
 	}
-	return inOrder(maps.Values(pager.found)), nil
+	return sortedByID(maps.Values(pager.found)), nil
 }
 
-// inOrder sorts endpoints by their ids.
-func inOrder(endpoints iter.Seq[model.Endpoint]) []model.Endpoint {
+// sortedByID sorts endpoints by their ids.
+func sortedByID(endpoints iter.Seq[model.Endpoint]) []model.Endpoint {
 	all := slices.AppendSeq([]model.Endpoint{}, endpoints)
 	slices.SortFunc(all, func(a, b model.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
@@ -93,7 +93,7 @@
 	}
 	for failures := 1; ; failures++ {
 		answer, err := r.fetch(ctx, token)
-		if err == nil || unknownPage(err, token) {
+		if err == nil || isUnknownPage(err, token) {
 			return answer, err
 		}
 		pause := max(r.pause(failures, err), r.bucket.take(r.clock.Now()))
@@ -122,8 +122,8 @@
 	return r.clock.Sleep(ctx, pause)
 }
 
-// unknownPage says whether the platform no longer knows the page, so that the read starts anew.
-func unknownPage(err error, token string) bool {
+// isUnknownPage says whether the platform no longer knows the page, so that the read starts anew.
+func isUnknownPage(err error, token string) bool {
 	var status *StatusError
 	if token == "" || !errors.As(err, &status) {
 		return false
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -221,8 +221,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var known Roll
-	known.Observe(first)
+	var known Merger
+	known.Merge(first)
 	stand.answers = []func(http.ResponseWriter){status(503), status(503), status(503)}
 	// When the context ends during the third pause
 	ctx, cancel := context.WithCancel(t.Context())
@@ -250,7 +250,7 @@
 	if diff := cmp.Diff(want[:1], got); diff != "" {
 		t.Error(diff)
 	}
-	known.Observe(got)
+	known.Merge(got)
 	if diff := cmp.Diff(want, known.Endpoints()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -13,8 +13,8 @@
 			Name: "only the newest order is remembered",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "isUnderWay && roll.isRepeat(&order) || r.wasTaken(&order)",
-				New:  "known && roll.isRepeat(&order)",
+				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
+				New:  "known && roll.isDuplicate(&order)",
 			},
 			Run:    "^TestLateRepeats$",
 			Always: true,
@@ -23,8 +23,8 @@
 			Name: "what has ended is never a repeat",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\tr.settle(order.Settled)\n",
-				New:  "\tr.settle(index)\n",
+				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
+				New:  "\tr.expireRecent(index)\n",
 			},
 			Run: "^TestAnOrderIsTaken",
 		},
@@ -32,7 +32,7 @@
 			Name: "repeats have no end",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "\tr.settle(order.Settled)\n",
+				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
 				New:  "",
 			},
 			Run: "^TestLateRepeats$",
@@ -59,8 +59,8 @@
 			Name: "a repeat of what is under way is refused after its window",
 			Change: mutation.Change{
 				File: "register.go",
-				Old:  "isUnderWay && roll.isRepeat(&order) || r.wasTaken(&order)",
-				New:  "r.wasTaken(&order)",
+				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
+				New:  "r.isRecentDuplicate(&order)",
 			},
 			Run: "^TestARevertedTarget",
 		},
--- a/internal/tier/rollout/register_test.go
+++ b/internal/tier/rollout/register_test.go
@@ -17,12 +17,12 @@
 const firstOrder = 7
 
 // register is one that has seen a service's version and taken an order for another one.
-func register(t *testing.T) *rollout.Register {
+func register(t *testing.T) *rollout.StateMachine {
 	t.Helper()
 	r := rollout.New()
-	r.See(rollout.Seen{Service: "s", Version: "v1"})
-	order := rollout.Order{Service: "s", Target: "v2", OverMs: 9000}.Within(rollout.Bounds{Share: 0.1, Slack: 50}, 10)
-	if verdict := r.Order(firstOrder, order); verdict != rollout.Taken {
+	r.ApplyObservedVersion(rollout.ObservedVersion{Service: "s", Version: "v1"})
+	order := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 10)
+	if verdict := r.ApplyProposal(firstOrder, order); verdict != rollout.Accepted {
 		t.Fatalf("the order is %s", verdict)
 	}
 	return r
@@ -32,14 +32,14 @@
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		// Given an order that has ended,
 		r := register(t)
-		r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: end})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: end})
 		// when it comes again, and when it is decided on again in another way,
-		verdict := r.Order(8, rollout.Order{Service: "s", Target: "v2", OverMs: 9000, AtMs: 5})
-		r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
-		r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
+		verdict := r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, AtMs: 5})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
 		// then it stays as it ended, also after a snapshot.
-		roll, known := rollout.Restore(r.Saved()).Roll("s")
-		if verdict != rollout.Taken || !known || roll.State != end {
+		roll, known := rollout.Restore(r.Snapshot()).Rollout("s")
+		if verdict != rollout.Accepted || !known || roll.State != end {
 			t.Errorf("the order that was %s is answered by %s, and is %s", end, verdict, roll.State)
 		}
 	}
@@ -48,17 +48,17 @@
 func TestOneOrderOfAServiceIsUnderWay(t *testing.T) {
 	// Given an order that is under way, when one for a third version comes, and one for the same in another time,
 	r := register(t)
-	verdicts := []rollout.Verdict{r.Order(8, rollout.Order{Service: "s", Target: "v3"}), r.Order(8, rollout.Order{Service: "s", Target: "v2", OverMs: 1})}
+	verdicts := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
 	// then they have to wait for the end of the first, and go on from there.
-	if diff := cmp.Diff([]rollout.Verdict{rollout.UnderWay, rollout.UnderWay}, verdicts); diff != "" {
+	if diff := cmp.Diff([]rollout.Result{rollout.InProgress, rollout.InProgress}, verdicts); diff != "" {
 		t.Error(diff)
 	}
-	r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
-	if verdict := r.Order(9, rollout.Order{Service: "s", Target: "v3"}); verdict != rollout.Taken {
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
+	if verdict := r.ApplyProposal(9, rollout.Proposal{Service: "s", Target: "v3"}); verdict != rollout.Accepted {
 		t.Errorf("after the end it is answered by %s", verdict)
 	}
-	if roll, _ := r.Roll("s"); roll.From != "v2" {
-		t.Errorf("it goes on from %s", roll.From)
+	if roll, _ := r.Rollout("s"); roll.Baseline != "v2" {
+		t.Errorf("it goes on from %s", roll.Baseline)
 	}
 }
 
@@ -66,15 +66,15 @@
 func TestLateRepeats(t *testing.T) {
 	const second = 20 // index of the order for v3
 	type outcome struct {
-		Verdict rollout.Verdict
+		Verdict rollout.Result
 		Target  string
 		State   rollout.State
 		From    string
 	}
-	again := rollout.Order{Service: "s", Target: "v2", OverMs: 9000}
-	in := func(settled uint64, change func(o *rollout.Order)) rollout.Order {
+	again := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
+	in := func(settled uint64, change func(o *rollout.Proposal)) rollout.Proposal {
 		o := again
-		o.Settled = settled
+		o.DedupExpiredIndex = settled
 		if change != nil {
 			change(&o)
 		}
@@ -84,48 +84,48 @@
 		name   string
 		first  rollout.State // how the order for v2 ends
 		second rollout.State // how the order for v3 after it ends
-		order  rollout.Order
+		order  rollout.Proposal
 		want   outcome
 	}{
 		{"finished, another under way, within its window", rollout.Finished, rollout.InService, again,
-			outcome{rollout.Taken, "v3", rollout.InService, "v2"}},
+			outcome{rollout.Accepted, "v3", rollout.InService, "v2"}},
 		{"finished, another finished, within its window", rollout.Finished, rollout.Finished, again,
-			outcome{rollout.Taken, "v3", rollout.Finished, "v2"}},
+			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
 		{"reverted, another finished, within its window", rollout.Reverted, rollout.Finished, again,
-			outcome{rollout.Taken, "v3", rollout.Finished, "v1"}},
-		{"another time, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Order) { o.OverMs = 8000 }),
-			outcome{rollout.Taken, "v2", rollout.InService, "v3"}},
-		{"another service, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Order) { o.Service = "other" }),
-			outcome{rollout.Taken, "v3", rollout.Finished, "v2"}},
+			outcome{rollout.Accepted, "v3", rollout.Finished, "v1"}},
+		{"another time, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.OverMs = 8000 }),
+			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
+		{"another service, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.Service = "other" }),
+			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
 		{"finished, another under way, after its window", rollout.Finished, rollout.InService, in(firstOrder, nil),
-			outcome{rollout.UnderWay, "v3", rollout.InService, "v2"}},
+			outcome{rollout.InProgress, "v3", rollout.InService, "v2"}},
 		{"finished, another finished, after its window: back", rollout.Finished, rollout.Finished, in(firstOrder, nil),
-			outcome{rollout.Taken, "v2", rollout.InService, "v3"}},
+			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 		{"reverted, another finished, after its window: another try", rollout.Reverted, rollout.Finished, in(second, nil),
-			outcome{rollout.Taken, "v2", rollout.InService, "v3"}},
+			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 		{"finished, another reverted, after its window: it is in service", rollout.Finished, rollout.Reverted, in(second, nil),
-			outcome{rollout.Taken, "v2", rollout.Finished, "v2"}},
+			outcome{rollout.Accepted, "v2", rollout.Finished, "v2"}},
 	}
 	for _, test := range tests {
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
 				// Given an order for v2 that has ended, and one for v3 after it,
 				r := register(t)
-				r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: test.first})
-				if verdict := r.Order(second, rollout.Order{Service: "s", Target: "v3", OverMs: 9000}); verdict != rollout.Taken {
+				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: test.first})
+				if verdict := r.ApplyProposal(second, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); verdict != rollout.Accepted {
 					t.Fatalf("the second order is %s", verdict)
 				}
 				if test.second != rollout.InService {
-					r.Decide(rollout.Decision{Service: "s", Target: "v3", Order: second, State: test.second})
+					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", Order: second, State: test.second})
 				}
 				if snapshot {
 					r = restored(t, r)
 				}
 				// when an order like the first comes,
-				verdict := r.Order(second+1, test.order)
+				verdict := r.ApplyProposal(second+1, test.order)
 				// then it is a repeat of the first, or a new one, by what it says and when it comes.
-				roll, _ := r.Roll("s")
-				if diff := cmp.Diff(test.want, outcome{verdict, roll.Target, roll.State, roll.From}); diff != "" {
+				roll, _ := r.Rollout("s")
+				if diff := cmp.Diff(test.want, outcome{verdict, roll.Target, roll.State, roll.Baseline}); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
 			})
@@ -136,31 +136,31 @@
 func TestARevertedTargetIsTriedAgain(t *testing.T) {
 	// Given an order that was reverted,
 	r := register(t)
-	r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
 	// when it comes after its window, and a late decision on the first try,
-	verdict := r.Order(12, rollout.Order{Service: "s", Target: "v2", OverMs: 9000, Settled: firstOrder})
-	r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
+	verdict := r.ApplyProposal(12, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: firstOrder})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
 	// then it is a new try, on which the late one has no effect.
-	roll, _ := r.Roll("s")
-	if verdict != rollout.Taken || roll.State != rollout.InService || roll.Index != 12 {
+	roll, _ := r.Rollout("s")
+	if verdict != rollout.Accepted || roll.State != rollout.InService || roll.Index != 12 {
 		t.Errorf("the order is answered by %s, and is %s, of entry %d", verdict, roll.State, roll.Index)
 	}
 	// And its repeat is that order's.
-	if verdict := r.Order(13, rollout.Order{Service: "s", Target: "v2", OverMs: 9000, Settled: 12}); verdict != rollout.Taken {
+	if verdict := r.ApplyProposal(13, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: 12}); verdict != rollout.Accepted {
 		t.Errorf("its repeat is answered by %s", verdict)
 	}
-	if roll, _ := r.Roll("s"); roll.Index != 12 {
+	if roll, _ := r.Rollout("s"); roll.Index != 12 {
 		t.Errorf("its repeat began roll-out %d", roll.Index)
 	}
 }
 
 // restored is the register after its snapshot has been written and read.
-func restored(t rapid.TB, r *rollout.Register) *rollout.Register {
-	raw, err := json.Marshal(r.Saved())
+func restored(t rapid.TB, r *rollout.StateMachine) *rollout.StateMachine {
+	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var saved rollout.Saved
+	var saved rollout.Snapshot
 	if err := json.Unmarshal(raw, &saved); err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 // taken is an order that was taken, as the reference keeps it: all of them, for ever.
 type taken struct {
 	index uint64
-	order rollout.Order
+	order rollout.Proposal
 	state rollout.State
 }
 
@@ -188,24 +188,24 @@
 	return &m.history[len(m.history)-1]
 }
 
-func (m *reference) take(index uint64, o rollout.Order) rollout.Verdict {
-	m.settled = max(m.settled, o.Settled)
+func (m *reference) take(index uint64, o rollout.Proposal) rollout.Result {
+	m.settled = max(m.settled, o.DedupExpiredIndex)
 	for i := range m.history {
 		t := &m.history[i]
 		isSame := t.order.Target == o.Target && t.order.OverMs == o.OverMs
 		if isSame && (t.index > m.settled || t.state == rollout.InService) {
-			return rollout.Taken
+			return rollout.Accepted
 		}
 	}
 	if m.newest().state == rollout.InService {
-		return rollout.UnderWay
+		return rollout.InProgress
 	}
 	state := rollout.InService
 	if o.Target == m.current {
 		state = rollout.Finished
 	}
 	m.history = append(m.history, taken{index: index, order: o, state: state})
-	return rollout.Taken
+	return rollout.Accepted
 }
 
 func (m *reference) decide(d rollout.Decision) {
@@ -221,25 +221,25 @@
 func TestRegisterAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, want := rollout.New(), &reference{current: "v1"}
-		r.See(rollout.Seen{Service: "s", Version: "v1"})
+		r.ApplyObservedVersion(rollout.ObservedVersion{Service: "s", Version: "v1"})
 		for index := range uint64(rapid.IntRange(1, 40).Draw(t, "steps")) {
 			index++
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1, 2:
-				o := rollout.Order{Service: "s", Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
-					OverMs: rapid.Int64Range(1, 2).Draw(t, "over"), Settled: rapid.Uint64Range(0, index-1).Draw(t, "settled")}
-				if got, wanted := r.Order(index, o), want.take(index, o); got != wanted {
+				o := rollout.Proposal{Service: "s", Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
+					OverMs: rapid.Int64Range(1, 2).Draw(t, "over"), DedupExpiredIndex: rapid.Uint64Range(0, index-1).Draw(t, "settled")}
+				if got, wanted := r.ApplyProposal(index, o), want.take(index, o); got != wanted {
 					t.Fatalf("order %+v was %s, want %s", o, got, wanted)
 				}
 			case 3:
 				d := rollout.Decision{Service: "s", Order: rapid.Uint64Range(want.newest().index, index).Draw(t, "order"),
 					State: rapid.SampledFrom([]rollout.State{rollout.Finished, rollout.Reverted}).Draw(t, "end")}
-				r.Decide(d)
+				r.ApplyDecision(d)
 				want.decide(d)
 			case 4:
 				r = restored(t, r)
 			}
-			roll, _ := r.Roll("s")
+			roll, _ := r.Rollout("s")
 			if newest := want.newest(); roll.Index != newest.index || newest.index > 0 && roll.State != newest.state || r.Current("s") != want.current {
 				t.Fatalf("roll-out %d is %s and %s in service, want %d, %s, %s", roll.Index, roll.State, r.Current("s"), newest.index, newest.state, want.current)
 			}
@@ -248,7 +248,7 @@
 }
 
 func TestProxiesAreToldWhatATargetMayGet(t *testing.T) {
-	versions := func(r *rollout.Register) []view.ServiceVersions { return r.Versions().Services }
+	versions := func(r *rollout.StateMachine) []view.ServiceVersions { return r.Versions().Services }
 	// Given an order under way, then the target may get a part of the bounds, split among the proxies;
 	r := register(t)
 	want := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: firstOrder, Share: 0.08, InitialAllowance: 3.5}}
@@ -256,7 +256,7 @@
 		t.Error(diff)
 	}
 	// when the order ends, then there is one version.
-	r.Decide(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
 	if diff := cmp.Diff([]view.ServiceVersions{{Service: "s", Current: "v2"}}, versions(r)); diff != "" {
 		t.Error(diff)
 	}
@@ -264,16 +264,16 @@
 
 func TestAnOrderWithoutToldBoundsIsTriedAllTheSame(t *testing.T) {
 	// Given an order where the settings tell no bounds, then its target gets a small share.
-	order := rollout.Order{}.Within(rollout.Bounds{}, 0)
-	if order.Share <= 0 || order.Share > 0.1 || order.Extra != 0 {
+	order := rollout.Proposal{}.WithBounds(rollout.Bounds{}, 0)
+	if order.Share <= 0 || order.Share > 0.1 || order.ExtraRequests != 0 {
 		t.Errorf("it is %+v", order)
 	}
 }
 
 func TestAnOwnerThatKnowsFewProxiesKeepsToTheBounds(t *testing.T) {
 	// Given an owner that has started just now and knows none of 9 proxies, then what they may send at first is within the slack.
-	order := rollout.Order{}.Within(rollout.Bounds{Share: 0.1, Slack: 50}, 0)
-	if sum := 9 * order.Extra; sum > 50 {
+	order := rollout.Proposal{}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 0)
+	if sum := 9 * order.ExtraRequests; sum > 50 {
 		t.Errorf("they may send %v", sum)
 	}
 }
