--- a/internal/tier/rollout/trial_test.go
+++ b/internal/tier/rollout/trial_test.go
@@ -51,20 +51,20 @@
 
 // play lets requests come by chance, sends the target its part of them, and has it judged.
 func (d *day) play() {
-	roll := rollout.Roll{Order: rollout.Order{OverMs: d.term.Milliseconds()}.Within(bounds, proxies), State: rollout.InService}
-	target, baseline := rollout.Evidence{}, rollout.Evidence{}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: d.term.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
+	target, baseline := rollout.StatsByRoute{}, rollout.StatsByRoute{}
 	for range 200 {
 		d.answer(baseline, d.route(), false, 0)
 	}
 	type told struct {
 		at               time.Duration
-		target, baseline rollout.Evidence
+		target, baseline rollout.StatsByRoute
 	}
 	var reports []told
-	judge := rollout.NewTrial()
+	judge := rollout.NewAnalysis()
 	credit, extra := make([]float64, proxies), make([]float64, proxies)
 	for i := range extra {
-		extra[i] = roll.Extra
+		extra[i] = roll.ExtraRequests
 	}
 	d.state = rollout.InService
 	next := time.Duration(0)
@@ -76,7 +76,7 @@
 				reports = reports[1:]
 			}
 			if d.state == rollout.InService && reports[0].at+lag <= next {
-				d.state = judge.Judge(roll, next, reports[0].target, reports[0].baseline)
+				d.state = judge.Evaluate(roll, next, reports[0].target, reports[0].baseline)
 				d.endedAt = next
 			}
 		}
@@ -111,7 +111,7 @@
 }
 
 // answer counts how one request ends.
-func (d *day) answer(of rollout.Evidence, route int, isTarget bool, now time.Duration) {
+func (d *day) answer(of rollout.StatsByRoute, route int, isTarget bool, now time.Duration) {
 	name := fmt.Sprint("route-", route)
 	t := of[name]
 	t.Sent++
@@ -128,13 +128,13 @@
 		t.Bad++
 	} else {
 		t.Good++
-		t.Time(time.Duration(took * float64(time.Millisecond)))
+		t.ObserveLatency(time.Duration(took * float64(time.Millisecond)))
 	}
 	of[name] = t
 }
 
-func copyOf(evidence rollout.Evidence) rollout.Evidence {
-	c := rollout.Evidence{}
+func copyOf(evidence rollout.StatsByRoute) rollout.StatsByRoute {
+	c := rollout.StatsByRoute{}
 	for route, t := range evidence {
 		c[route] = t
 	}
@@ -206,9 +206,9 @@
 
 func TestAVersionWithoutRequestsIsFinishedBeforeTheTerm(t *testing.T) {
 	// Given an order for a service that nobody calls,
-	roll := rollout.Roll{Order: rollout.Order{OverMs: 10_000}}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	// when its term is near,
-	got := rollout.NewTrial().Judge(roll, 9800*time.Millisecond, rollout.Evidence{}, rollout.Evidence{})
+	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, rollout.StatsByRoute{}, rollout.StatsByRoute{})
 	// then it is finished.
 	if got != rollout.Finished {
 		t.Errorf("the order is %s", got)
@@ -217,11 +217,11 @@
 
 func TestAVersionThatAnswersNothingIsReverted(t *testing.T) {
 	// Given a target that has got requests and has answered none until its term is near,
-	roll := rollout.Roll{Order: rollout.Order{OverMs: 10_000}}
-	target := rollout.Evidence{"r": {Sent: 12}}
-	baseline := rollout.Evidence{"r": {Sent: 100, Good: 99}}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
+	target := rollout.StatsByRoute{"r": {Sent: 12}}
+	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
 	// when it is judged,
-	got := rollout.NewTrial().Judge(roll, 9800*time.Millisecond, target, baseline)
+	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, target, baseline)
 	// then it is reverted.
 	if got != rollout.Reverted {
 		t.Errorf("the order is %s", got)
@@ -230,17 +230,17 @@
 
 func TestAnOlderReportIsNotCountedAgain(t *testing.T) {
 	// Given a trial that has seen two bad answers,
-	roll := rollout.Roll{Order: rollout.Order{OverMs: 10_000}}
-	baseline := rollout.Evidence{"r": {Sent: 100, Good: 99}}
-	newer, older := rollout.Evidence{"r": {Sent: 4, Good: 2, Bad: 2}}, rollout.Evidence{"r": {Sent: 2, Good: 1, Bad: 1}}
-	trial := rollout.NewTrial()
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
+	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
+	newer, older := rollout.StatsByRoute{"r": {Sent: 4, Good: 2, Bad: 2}}, rollout.StatsByRoute{"r": {Sent: 2, Good: 1, Bad: 1}}
+	trial := rollout.NewAnalysis()
 	// when what was seen before comes once more, and then what was seen last, again and again,
 	for range 5 {
-		trial.Judge(roll, time.Second, newer, baseline)
-		trial.Judge(roll, time.Second, older, baseline)
+		trial.Evaluate(roll, time.Second, newer, baseline)
+		trial.Evaluate(roll, time.Second, older, baseline)
 	}
 	// then the order stays open.
-	if got := trial.Judge(roll, time.Second, newer, baseline); got != rollout.InService {
+	if got := trial.Evaluate(roll, time.Second, newer, baseline); got != rollout.InService {
 		t.Errorf("the order is %s", got)
 	}
 }
--- a/internal/tier/versionstats/tally.go
+++ b/internal/tier/versionstats/tally.go
@@ -64,14 +64,14 @@
 
 	mutex    sync.Mutex
 	versions map[string]listed // by endpoint
-	tallies  map[key]*rollout.Tally
+	tallies  map[key]*rollout.Stats
 	trials   map[version]trial // the orders in service
 	changed  bool              // since the last report
 }
 
 // New returns a counter without counts. The source names this start of the proxy.
 func New(scheduler Scheduler, source string) *Counter {
-	return &Counter{scheduler: scheduler, source: source, versions: map[string]listed{}, tallies: map[key]*rollout.Tally{},
+	return &Counter{scheduler: scheduler, source: source, versions: map[string]listed{}, tallies: map[key]*rollout.Stats{},
 		trials: map[version]trial{}, now: time.Now}
 }
 
@@ -159,11 +159,11 @@
 }
 
 // tally returns the tally of a key, which is about to change. The caller holds the mutex.
-func (c *Counter) tally(of key) *rollout.Tally {
+func (c *Counter) tally(of key) *rollout.Stats {
 	c.changed = true
 	t := c.tallies[of]
 	if t == nil {
-		t = &rollout.Tally{}
+		t = &rollout.Stats{}
 		c.tallies[of] = t
 	}
 	return t
@@ -171,12 +171,12 @@
 
 // add counts how an attempt ended. What never ran and what the client called off early says nothing about a version, nor
 // does the time that an endpoint takes that has only just started.
-func add(t *rollout.Tally, outcome proxy.Outcome, cold bool) {
+func add(t *rollout.Stats, outcome proxy.Outcome, cold bool) {
 	switch outcome.Result {
 	case proxy.Succeeded:
 		t.Good++
 		if !cold {
-			t.Time(pace(outcome))
+			t.ObserveLatency(pace(outcome))
 		}
 	case proxy.ErrorResponse, proxy.IncompleteResponse, proxy.TimedOut, proxy.DeadlineExceeded:
 		t.Bad++
--- a/internal/tier/versionstats/tally_test.go
+++ b/internal/tier/versionstats/tally_test.go
@@ -60,12 +60,12 @@
 	if !due {
 		t.Fatal("no report is due")
 	}
-	var timed rollout.Tally
-	timed.Time(done.Took)
+	var timed rollout.Stats
+	timed.ObserveLatency(done.Took)
 	want := wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{
-		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Tally{Sent: 1, Good: 1, Paces: timed.Paces}},
-		{Service: "s", Route: "r1", Version: "v2", Stats: rollout.Tally{Sent: 1, Good: 1}},
-		{Service: "s", Route: "r2", Version: "v2", Stats: rollout.Tally{Sent: 2, Good: 1, Bad: 1, Paces: timed.Paces}},
+		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Stats{Sent: 1, Good: 1, LatencyBuckets: timed.LatencyBuckets}},
+		{Service: "s", Route: "r1", Version: "v2", Stats: rollout.Stats{Sent: 1, Good: 1}},
+		{Service: "s", Route: "r2", Version: "v2", Stats: rollout.Stats{Sent: 2, Good: 1, Bad: 1, LatencyBuckets: timed.LatencyBuckets}},
 	}}
 	if diff := cmp.Diff(want, report); diff != "" {
 		t.Error(diff)
@@ -84,10 +84,10 @@
 		{Result: proxy.ClientClosed, FirstByte: time.Second, Took: 9 * time.Second},
 	} {
 		// Given a count, when an attempt ends that says nothing of the version,
-		var tally rollout.Tally
+		var tally rollout.Stats
 		add(&tally, outcome, false)
 		// then nothing is counted.
-		if tally != (rollout.Tally{}) {
+		if tally != (rollout.Stats{}) {
 			t.Errorf("%+v is counted as %+v", outcome, tally)
 		}
 	}
@@ -124,8 +124,8 @@
 		t.Fatal("no report is due")
 	}
 	want := []wire.VersionStats{
-		{Service: "s", Route: "r", Version: "v2", Stats: rollout.Tally{Sent: 2, Bad: 2}},
-		{Service: "s", Route: "r", Version: "v2", Order: 9, AgeMs: 500, Stats: rollout.Tally{Sent: 1}},
+		{Service: "s", Route: "r", Version: "v2", Stats: rollout.Stats{Sent: 2, Bad: 2}},
+		{Service: "s", Route: "r", Version: "v2", Order: 9, AgeMs: 500, Stats: rollout.Stats{Sent: 1}},
 	}
 	if diff := cmp.Diff(want, report.Versions); diff != "" {
 		t.Error(diff)
--- a/internal/tier/wire/wire.go
+++ b/internal/tier/wire/wire.go
@@ -58,7 +58,7 @@
 	Version string        `json:"version"`
 	Order   uint64        `json:"order,omitempty"` // the order that rolls the version out; 0: none, or one that has ended
 	AgeMs   int64         `json:"ageMs,omitempty"` // time since the proxy first heard of the order, ms
-	Stats   rollout.Tally `json:"tally"`
+	Stats   rollout.Stats `json:"tally"`
 }
 
 // KindNotLeader is the kind of a remote error whose message is the owner's address, or empty where it is not known.
