--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -151,7 +151,7 @@
 			ev.Kind = control.ListFailed
 			break
 		}
-		ev.Kind, ev.Whole = control.Listed, rec.Mode != wire.ModeDelta
+		ev.Kind, ev.Complete = control.Listed, rec.Mode != wire.ModeDelta
 		members, ok := l.lists[rec.Roster]
 		if !ok {
 			return fmt.Errorf("field roster_id at offset 1: no list %d", rec.Roster)
@@ -172,19 +172,19 @@
 		ev.Kind, ev.Destination, ev.Class = control.Arrived, int(rec.Node), int(rec.Category)
 		ev.Tenant, ev.Key = int(rec.UserGroup), rec.NameKey
 		ev.Deadline = time.Duration(rec.NotAfter) * time.Microsecond
-		ev.Again = rec.Flags&(wire.FlagRetry|wire.FlagTakenOver) != 0
+		ev.Resubmitted = rec.Flags&(wire.FlagRetry|wire.FlagTakenOver) != 0
 	case wire.EvResolved:
 		ev.Kind, ev.Attempt, ev.Endpoint = control.Resolved, int(rec.Try), rec.Target
-		ev.Result, ev.Settled = result(rec.Status), rec.Settled != 0
+		ev.Result, ev.Final = result(rec.Status), rec.Settled != 0
 		ev.Elapsed = time.Duration(rec.WaitTime) * time.Microsecond
-		if ev.Result == control.Full {
-			ev.Wait = time.Duration(rec.Detail) * time.Millisecond
+		if ev.Result == control.Throttled {
+			ev.RetryAfter = time.Duration(rec.Detail) * time.Millisecond
 		}
 		if s, m := in.reports.Share, in.reports.Limit; s >= 0 && m >= 0 && max(s, m) < len(rec.Gauge) {
-			ev.Reported, ev.Share, ev.Limit = true, float64(rec.Gauge[s]), float64(rec.Gauge[m])
+			ev.Reported, ev.Remaining, ev.Limit = true, float64(rec.Gauge[s]), float64(rec.Gauge[m])
 		}
 	case wire.EvAbandoned:
-		ev.Kind = control.Gone
+		ev.Kind = control.Withdrawn
 	case wire.EvWake:
 		ev.Kind = control.Woken
 	default:
@@ -214,7 +214,7 @@
 	case 255:
 		return control.Errored
 	case 254:
-		return control.Full
+		return control.Throttled
 	case 253:
 		return control.TimedOut
 	case 252:
@@ -224,7 +224,7 @@
 	case 250:
 		return control.Cancelled
 	case 249:
-		return control.Moot
+		return control.NotProcessed
 	}
 	return control.Unknown
 }
--- a/control/control.go
+++ b/control/control.go
@@ -236,13 +236,13 @@
 			s.arrived(ev)
 		case Resolved:
 			s.resolved(ev)
-		case Gone:
+		case Withdrawn:
 			s.gone(ev)
-		case Others:
+		case SharedLimitsUpdated:
 			s.shared(ev.Shared)
 		}
 	}
-	if s.steps == 1 && s.set.Ask { // what is listed now is known from before
+	if s.steps == 1 && s.set.MustSubscribe { // what is listed now is known from before
 		s.askLater()
 	}
 	if s.askAt > 0 && s.now+1 >= s.askAt { // askAt is one late, as 0 means none
@@ -262,9 +262,9 @@
 // askLater puts off the request for the list. One service answers all senders, one by one, none in time if
 // all ask at the event that makes them ask: each has its turn, and asks again when all have had theirs.
 func (s *Sender) askLater() {
-	most, peers := max(s.set.AskWithin*3/4, time.Second), time.Duration(s.set.Peers)
+	most, peers := max(s.set.SubscribeWithin*3/4, time.Second), time.Duration(s.set.Peers)
 	if all := min(askSpan*peers, most); s.askGap == 0 {
-		s.askAt, s.askGap = s.now+1+all*time.Duration(s.set.Me)/peers, max(all, limitRest)
+		s.askAt, s.askGap = s.now+1+all*time.Duration(s.set.Index)/peers, max(all, limitRest)
 	} else {
 		s.askAt, s.askGap = s.now+seconds(s.askGap.Seconds()*(0.9+s.rand()/10)), min(2*s.askGap, most)
 	}
@@ -273,7 +273,7 @@
 // listed takes over the list. What has left it is only marked at first, since calls to it may be out.
 func (s *Sender) listed(ev *Event) {
 	s.askAt, s.askGap = 0, 0
-	if ev.Whole {
+	if ev.Complete {
 		for _, n := range s.order {
 			for _, e := range n.eps {
 				e.state = Removed
@@ -285,7 +285,7 @@
 		if e == nil {
 			e = s.learn(l)
 		}
-		e.state, e.node.stale, e.node.most = l.State, true, l.Most
+		e.state, e.node.stale, e.node.most = l.State, true, l.MaxRate
 		if l.Weight > 0 && e.dest.toldAt == 0 { // known before the first report
 			e.dest.total, e.dest.share = l.Weight, 1
 		}
@@ -341,7 +341,7 @@
 		e.kind, e.kindNo = s.set.Kinds[l.Kind], l.Kind
 	}
 	e.t = table{n: make([]float64, len(s.edges)), at: s.now}
-	if e.kind.Apart || len(n.eps) == 0 {
+	if e.kind.SeparateRoutes || len(n.eps) == 0 {
 		e.dest = &destination{id: e.id, node: n, tokens: 1, good: meter{since: s.now}}
 		e.dest.sent = e.dest.good
 		if e.dest.tokensAt = s.now; s.set.Peers > firstCalls {
@@ -363,16 +363,16 @@
 	n := s.nodeOf(ev.Destination)
 	s.seq++
 	m := &message{id: ev.ID, seq: s.seq, class: &s.set.Classes[ev.Class], key: ev.Key,
-		node: n, deadline: ev.Deadline, worth: s.set.Classes[ev.Class].Worth, attempts: ev.Attempt}
-	m.due = m.deadline - m.class.Deadline + m.class.Aim
-	if s.set.MarksAgain && !ev.Again { // a client with less patience than its class is not late yet
-		m.due = max(m.due, min(s.now+m.class.Aim, m.deadline))
+		node: n, deadline: ev.Deadline, worth: s.set.Classes[ev.Class].Value, attempts: ev.Attempt}
+	m.due = m.deadline - m.class.Deadline + m.class.LatencyTarget
+	if s.set.MarksResubmitted && !ev.Resubmitted { // a client with less patience than its class is not late yet
+		m.due = max(m.due, min(s.now+m.class.LatencyTarget, m.deadline))
 	}
 	sent := min(s.now, m.deadline-m.class.Deadline) // what was held over a restart came long ago
 	if ev.Tenant >= 0 && ev.Tenant < len(s.quotas) && !s.quotas[ev.Tenant].takes(sent) {
-		m.worth *= s.set.OverWorth
+		m.worth *= s.set.OverQuotaValue
 	}
-	if ev.Ran {
+	if ev.MayHaveRun {
 		if m.ranAt, m.ranIn, m.resend = ev.RanAt, s.eps[ev.Endpoint], true; m.ranIn == nil {
 			m.ranIn = &endpoint{id: ev.Endpoint, zone: -1, node: n}
 		}
@@ -409,14 +409,14 @@
 	return true
 }
 
-// shed refuses the held message that is worth least, so that the store never turns a better one away. Worth
+// shed refuses the held message that is worth least, so that the store never turns a better one away. Value
 // counts at the deadline at the latest: a long wait would level all.
 func (s *Sender) shed() {
 	var least *message
 	for _, n := range s.active {
 		q := s.drainTime(n)
 		for _, m := range n.held {
-			m.rank = m.value(min(s.now+q, m.deadline), s.set.WorthHalves)
+			m.rank = m.value(min(s.now+q, m.deadline), s.set.ValueHalves)
 			if m.ranIn == nil && (least == nil || m.rank < least.rank) {
 				least = m
 			}
@@ -435,12 +435,12 @@
 	switch {
 	case t > m.deadline:
 		return 0
-	case late <= 0 || c.Deadline <= c.Aim:
+	case late <= 0 || c.Deadline <= c.LatencyTarget:
 		return m.worth
-	case halves && c.Aim > 0:
-		return m.worth * max(math.Exp2(-float64(late)/float64(c.Aim)), c.LateWorth)
+	case halves && c.LatencyTarget > 0:
+		return m.worth * max(math.Exp2(-float64(late)/float64(c.LatencyTarget)), c.LateValue)
 	}
-	return m.worth * (1 - (1-c.LateWorth)*float64(late)/float64(c.Deadline-c.Aim))
+	return m.worth * (1 - (1-c.LateValue)*float64(late)/float64(c.Deadline-c.LatencyTarget))
 }
 
 // drainTime is about how long what is held for n takes to leave.
@@ -479,7 +479,7 @@
 		for _, d := range m.node.dests {
 			hold = max(hold, d.wait-s.now)
 		}
-		s.do(Action{Kind: Refuse, ID: m.id, For: min(hold, s.set.MaxHoldOff)})
+		s.do(Action{Kind: Refuse, ID: m.id, For: min(hold, s.set.MaxRetryAfter)})
 	} else {
 		s.do(Action{Kind: Fail, ID: m.id})
 	}
@@ -538,9 +538,9 @@
 	}
 	doubt := !neverRan && ev.Result != Delivered && ev.Result != Errored
 	if k := s.keys[m.key]; k != nil && m.class.InOrder && doubt {
-		k.rest = s.now + s.set.Settle
+		k.rest = s.now + s.set.InDoubtDelay
 	}
-	if over := ev.Settled || ev.Result == Delivered || m.ended; over || ev.Result == Rejected {
+	if over := ev.Final || ev.Result == Delivered || m.ended; over || ev.Result == Rejected {
 		if !over {
 			s.do(Action{Kind: Fail, ID: m.id})
 		}
@@ -619,12 +619,12 @@
 		s.report(d, ev)
 	}
 	// How soon a try again is let in tells whether refused calls use up the limit, and how many others try.
-	if k := &s.kinds[e.kindNo]; m.refused && ev.Result == Full {
+	if k := &s.kinds[e.kindNo]; m.refused && ev.Result == Throttled {
 		k.gap = min(gapMost, k.gap*gapMore)
 	} else if m.refused && ev.Result == Delivered {
 		k.gap = max(gapLeast, k.gap*gapLess)
 	}
-	m.refused = ev.Result == Full
+	m.refused = ev.Result == Throttled
 	switch ev.Result {
 	case Delivered:
 		if m.ranIn == nil || took >= e.mix.quantile(s.edges, 0.1) {
@@ -637,17 +637,17 @@
 		d.good.add(s.now, 1)
 		s.budget = min(budgetMost, s.budget+budgetShare)
 		s.fine(d)
-	case Moot, Cancelled:
+	case NotProcessed, Cancelled:
 	case Rejected: // it answers, so it is up
 		s.fine(d)
-	case Spoilt: // so it does here, in its usual time
+	case Malformed: // so it does here, in its usual time
 		e.t.add(s.now, s.edges, took)
 		e.node.t.add(s.now, s.edges, took)
 		d.newest = max(d.newest, m.sentAt)
 		s.fine(d)
-	case Full:
-		if d.wait = max(d.wait, s.now+ev.Wait); ev.Wait > 0 {
-			d.rest = min(ev.Wait, tripWait) // what it would have told others, too
+	case Throttled:
+		if d.wait = max(d.wait, s.now+ev.RetryAfter); ev.RetryAfter > 0 {
+			d.rest = min(ev.RetryAfter, tripWait) // what it would have told others, too
 			for _, o := range e.node.eps {
 				if o.dest == d {
 					s.recall(o)
@@ -696,7 +696,7 @@
 	}
 	had := min(d.sent.rate(s.now), cmp.Or(d.limit, math.Inf(1)))
 	if fair := s.fair(d, d.total); fair > 0 { // it may be shut, and come back cold
-		cold := rampPush * s.set.FallMultiple * s.set.StartShare
+		cold := rampPush * s.set.OverloadMultiple * s.set.SlowStartShare
 		d.limit = max(fairCut*had, fair*max(cold, limitCut*math.Pow(fairCut, float64(d.refused-1))))
 		d.tokens, d.tokensAt = s.rand()-0.5, max(s.now+d.rest, d.wait)
 		return
@@ -806,7 +806,7 @@
 			case d.health == steady && d.lateCalls > 0:
 				s.doubt(d, overrunning)
 			case d.health == overrunning && d.lateCalls == 0,
-				d.health == returning && s.now-d.since > s.set.Cold:
+				d.health == returning && s.now-d.since > s.set.SlowStart:
 				s.turn(d, steady)
 			case d.health == overrunning && s.now-d.since > overrunSeen:
 				s.doubt(d, stopped)
@@ -861,9 +861,9 @@
 	}
 	rate, depth := d.limit, 1+0.3*d.limit
 	if d.health != steady {
-		back := s.set.StartShare
-		if d.health == returning && s.set.Cold > 0 {
-			back += (1 - back) * min(1, float64(s.now-d.since)/float64(s.set.Cold))
+		back := s.set.SlowStartShare
+		if d.health == returning && s.set.SlowStart > 0 {
+			back += (1 - back) * min(1, float64(s.now-d.since)/float64(s.set.SlowStart))
 		}
 		held := float64(len(d.node.held)) / (2 * rateSpan.Seconds())
 		own := max(d.node.asked.rate(s.now), held) / float64(len(d.node.dests))
@@ -873,7 +873,7 @@
 		case part > 0 && d.share <= 0.5: // what is asked may be more than it takes when it is well
 			own = min(own, part)
 		}
-		r := max(own, d.base, 1/float64(s.set.Peers)) * max(1, rampPush*s.set.FallMultiple) * max(back, 0.1)
+		r := max(own, d.base, 1/float64(s.set.Peers)) * max(1, rampPush*s.set.OverloadMultiple) * max(back, 0.1)
 		if d.suspect() {
 			if rate, depth = r, 2; d.streak == 0 { // a limit that refused calls use up is left alone
 				rate *= math.Exp2(-float64(min(max(d.refused-tripRefused, 0), backMost)))
@@ -949,7 +949,7 @@
 				s.end(m)
 				return true
 			}
-			m.rank = (m.value(s.now, s.set.WorthHalves) - m.value(s.now+q, s.set.WorthHalves)) * per
+			m.rank = (m.value(s.now, s.set.ValueHalves) - m.value(s.now+q, s.set.ValueHalves)) * per
 			s.picks = append(s.picks, m)
 			return false
 		})
@@ -1010,13 +1010,13 @@
 func (s *Sender) price(m *message, e *endpoint) float64 {
 	p := 0.0
 	if e.zone != s.set.Zone {
-		p += s.set.CrossPrice
+		p += s.set.CrossZonePrice
 	}
-	if e.kind.Apart && e.zone >= 0 && e.zone < len(s.set.ZoneFee) {
+	if e.kind.SeparateRoutes && e.zone >= 0 && e.zone < len(s.set.ZoneFee) {
 		p += s.set.ZoneFee[e.zone]
 	}
 	c := m.class
-	return min(1, p*(c.Deadline-c.Aim).Seconds()/max(1-c.LateWorth, 0.1))
+	return min(1, p*(c.Deadline-c.LatencyTarget).Seconds()/max(1-c.LateValue, 0.1))
 }
 
 func (s *Sender) send(m *message, e *endpoint, stop int) {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -14,17 +14,17 @@
 
 // settings of a small service: a safe, a keyed, an unsafe and an ordered class.
 func settings() Settings {
-	return Settings{Peers: 2, Slots: 8, MaxOpen: 100, MaxAttempts: 6, Cancel: true, OverWorth: 0.2,
-		MaxHoldOff: 2 * time.Second, DrainGrace: time.Second, StartShare: 0.2, Cold: 10 * time.Second,
-		Fall: 2 * time.Second, FallMultiple: 2, Settle: time.Second,
-		Kinds: []Kind{{PerCall: 1}, {Apart: true, PerCall: 3}},
+	return Settings{Peers: 2, Slots: 8, MaxOpen: 100, MaxAttempts: 6, Cancel: true, OverQuotaValue: 0.2,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStart: 10 * time.Second,
+		OverloadWindow: 2 * time.Second, OverloadMultiple: 2, InDoubtDelay: time.Second,
+		Kinds: []Kind{{PerCall: 1}, {SeparateRoutes: true, PerCall: 3}},
 		Classes: []Class{
-			{Name: "notice", Effect: Safe, Aim: time.Second, Deadline: 8 * time.Second, Worth: 1, LateWorth: 0.5},
-			{Name: "order", Effect: Keyed, Group: GroupZone, Memory: 4 * time.Second, Aim: time.Second,
-				Deadline: 20 * time.Second, Worth: 2, LateWorth: 0.5},
-			{Name: "payment", Effect: Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 4, LateWorth: 0.5},
-			{Name: "update", Effect: Keyed, Group: GroupAll, Memory: 4 * time.Second, InOrder: true, Aim: time.Second,
-				Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5},
+			{Name: "notice", Effect: Safe, LatencyTarget: time.Second, Deadline: 8 * time.Second, Value: 1, LateValue: 0.5},
+			{Name: "order", Effect: Keyed, Group: GroupZone, Memory: 4 * time.Second, LatencyTarget: time.Second,
+				Deadline: 20 * time.Second, Value: 2, LateValue: 0.5},
+			{Name: "payment", Effect: Unsafe, LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 4, LateValue: 0.5},
+			{Name: "update", Effect: Keyed, Group: GroupAll, Memory: 4 * time.Second, InOrder: true, LatencyTarget: time.Second,
+				Deadline: 20 * time.Second, Value: 1, LateValue: 0.5},
 		}}
 }
 
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, s: s, now: time.Hour}
-	r.step(Event{Kind: Listed, Whole: true, Endpoints: eps})
+	r.step(Event{Kind: Listed, Complete: true, Endpoints: eps})
 	return r
 }
 
@@ -75,7 +75,7 @@
 }
 
 func outcome(id uint64, attempt int, ep uint32, res Result) Event {
-	return Event{Kind: Resolved, ID: id, Attempt: attempt, Endpoint: ep, Result: res, Settled: res == Delivered}
+	return Event{Kind: Resolved, ID: id, Attempt: attempt, Endpoint: ep, Result: res, Final: res == Delivered}
 }
 
 // warm delivers n safe messages, each taking d, one after the other.
@@ -195,12 +195,12 @@
 		"no slots":      func(s *Settings) { s.Slots = 0 },
 		"no classes":    func(s *Settings) { s.Classes = nil },
 		"no attempts":   func(s *Settings) { s.MaxAttempts = 0 },
-		"negative cold": func(s *Settings) { s.Cold = -1 },
-		"negative aim":  func(s *Settings) { s.Classes[0].Aim = -1 },
+		"negative cold": func(s *Settings) { s.SlowStart = -1 },
+		"negative aim":  func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
 		"no deadline":   func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"NaN worth":     func(s *Settings) { s.Classes[0].Worth = math.NaN() },
+		"NaN worth":     func(s *Settings) { s.Classes[0].Value = math.NaN() },
 		"infinite fee":  func(s *Settings) { s.ZoneFee = []float64{0, math.Inf(1)} },
-		"NaN share":     func(s *Settings) { s.StartShare = math.NaN() },
+		"NaN share":     func(s *Settings) { s.SlowStartShare = math.NaN() },
 	} {
 		set := settings()
 		if spoil(&set); true {
@@ -213,7 +213,7 @@
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: 1})
-	acts := r.step(outcome(99, 0, 1, Errored), Event{Kind: Gone, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
+	acts := r.step(outcome(99, 0, 1, Errored), Event{Kind: Withdrawn, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
 		Event{Kind: EventKind(200)})
 	if len(acts) != 0 {
 		t.Errorf("acts on unknown messages: %v", acts)
@@ -255,7 +255,7 @@
 			t.Errorf("result %d: %v", res, acts)
 		}
 	}
-	for _, res := range []Result{Full, NoConnection, Moot} {
+	for _, res := range []Result{Throttled, NoConnection, NotProcessed} {
 		r := newRig(t, settings(), Endpoint{ID: 1})
 		r.step(r.arrive(1, 2))
 		r.now += time.Second
@@ -297,7 +297,7 @@
 	}{{0, 1}, {1, 0}, {2, 0}, {3, 1}} {
 		r := newRig(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
 		ev := r.arrive(1, c.class)
-		ev.Attempt, ev.Ran, ev.RanAt, ev.Endpoint = 1, true, r.now-100*ms, 9
+		ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1, true, r.now-100*ms, 9
 		acts := append(r.step(ev), r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 9, Zone: 0}}})...)
 		if acts = append(acts, r.wait(500*ms)...); len(of(acts, Send)) != c.sends {
 			t.Errorf("class %d: %v, want %d calls", c.class, of(acts, Send), c.sends)
@@ -310,7 +310,7 @@
 	for _, ev := range []Event{
 		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Draining}}},
 		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
-		{Kind: Listed, Whole: true},
+		{Kind: Listed, Complete: true},
 	} {
 		r := newRig(t, settings(), Endpoint{ID: 1})
 		r.warm(5, 100*ms)
@@ -326,8 +326,8 @@
 	for kind, want := range map[int]int{0: 0, 1: 1} {
 		r := newRig(t, settings(), Endpoint{ID: 1, Kind: kind}, Endpoint{ID: 2, Kind: kind})
 		to := of(r.step(r.arrive(1, 2)), Send)[0].Endpoint
-		ev := outcome(1, 0, to, Full)
-		ev.Wait = time.Second
+		ev := outcome(1, 0, to, Throttled)
+		ev.RetryAfter = time.Second
 		acts := append(r.step(ev), r.wait(975*ms)...)
 		if got := of(acts, Send); len(got) != want || want == 1 && got[0].Endpoint == to {
 			t.Errorf("kind %d: sent during the wait: %v", kind, got)
@@ -350,7 +350,7 @@
 		t.Fatalf("second turn: %v", got)
 	}
 	r.now += 100 * ms
-	acts := r.step(Event{Kind: Gone, ID: 2})
+	acts := r.step(Event{Kind: Withdrawn, ID: 2})
 	if len(of(acts, Cancel)) != 1 || len(of(acts, Send)) != 0 {
 		t.Fatalf("withdrawn with an attempt out: %v", acts)
 	}
@@ -421,7 +421,7 @@
 		}
 		return early, late
 	}
-	if early, late := trials(Full); late == 0 || 4*late > early {
+	if early, late := trials(Throttled); late == 0 || 4*late > early {
 		t.Errorf("refused: %d tries in the first 40 s, %d in the last", early, late)
 	}
 	// Nor do failures make all messages look hopeless once they are most of what the table holds.
@@ -434,10 +434,10 @@
 func TestShortDeadlineIsNotLate(t *testing.T) {
 	set := settings()
 	for _, c := range []struct{ marks, again, late bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
-		set.MarksAgain = c.marks
+		set.MarksResubmitted = c.marks
 		r := newRig(t, set)
 		ev := r.arrive(1, 2)
-		ev.Deadline, ev.Again = r.now+900*ms, c.again
+		ev.Deadline, ev.Resubmitted = r.now+900*ms, c.again
 		r.step(ev)
 		if got := r.s.msgs[1].value(r.now+800*ms, false); (got < 4) != c.late {
 			t.Errorf("%+v: worth %.2f of 4 before its deadline", c, got)
@@ -459,23 +459,23 @@
 				if a.Kind != Send {
 					continue
 				}
-				ev := outcome(a.ID, tries[a.ID], 1, Full)
+				ev := outcome(a.ID, tries[a.ID], 1, Throttled)
 				if tries[a.ID]++; id <= 100 && id%10 == 0 {
-					ev.Result, ev.Settled = Delivered, true
+					ev.Result, ev.Final = Delivered, true
 				} else if id > 100 {
 					ev.Result = NoConnection
 					if id > 150 {
 						n++
 					}
 				}
-				ev.Reported, ev.Share, ev.Limit = report, 0.1, 2
+				ev.Reported, ev.Remaining, ev.Limit = report, 0.1, 2
 				acts = append(acts, r.step(ev)...)
 			}
 		}
 		return n
 	}
 	set := settings()
-	most := 25*2/2*set.FallMultiple*set.StartShare + 2
+	most := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
 	if told, not := trials(true), trials(false); float64(told) > most || told == 0 || not < 2*told {
 		t.Errorf("%d trials in 25 s where the limit is reported, %d where not; want %.0f at most and far more", told, not, most)
 	}
@@ -519,18 +519,18 @@
 			ev := r.arrive(uint64(d+1), 2)
 			ev.Destination = d
 			r.step(ev)
-			r.step(outcome(ev.ID, 0, uint32(d+1), Full))
+			r.step(outcome(ev.ID, 0, uint32(d+1), Throttled))
 			start := r.now
 			for r.now < start+15*time.Second && len(of(r.wait(25*ms), Send)) == 0 {
 			}
 			if d >= 40 {
 				sum += r.now - start
 			}
-			r.step(outcome(ev.ID, 1, uint32(d+1), again), Event{Kind: Gone, ID: ev.ID})
+			r.step(outcome(ev.ID, 1, uint32(d+1), again), Event{Kind: Withdrawn, ID: ev.ID})
 		}
 		return sum / 20
 	}
-	in, out := next(Delivered), next(Full)
+	in, out := next(Delivered), next(Throttled)
 	if in > 1500*ms || out < 2*in {
 		t.Errorf("the next try comes after %v where such are let in, %v where they are refused", in, out)
 	}
@@ -539,7 +539,7 @@
 // However many senders share a destination, what all of them together send it in the time of the rule after an
 // outage that each has seen stays under the multiple of what is back, whether it failed or refused its calls.
 func TestTrialsOfManySendersTogether(t *testing.T) {
-	for _, res := range []Result{NoConnection, Full, Errored} {
+	for _, res := range []Result{NoConnection, Throttled, Errored} {
 		for _, n := range []int{2, 20, 400} {
 			set, rng := settings(), rand.New(rand.NewSource(int64(n)))
 			set.Peers = n
@@ -568,8 +568,8 @@
 						a, end := acts[0], down+12*time.Second
 						out := outcome(a.ID, tries[a.ID], 1, Delivered)
 						if at > down && at < end {
-							out.Result, out.Settled, seen[i] = res, false, true
-						} else if at >= end && at < end+set.Fall && seen[i] {
+							out.Result, out.Final, seen[i] = res, false, true
+						} else if at >= end && at < end+set.OverloadWindow && seen[i] {
 							sent++
 						}
 						tries[a.ID]++
@@ -577,8 +577,8 @@
 					}
 				}
 			}
-			back := set.StartShare + (1-set.StartShare)*set.Fall.Seconds()/set.Cold.Seconds()
-			if most := set.FallMultiple * back * rate * set.Fall.Seconds(); float64(sent) > most || sent == 0 {
+			back := set.SlowStartShare + (1-set.SlowStartShare)*set.OverloadWindow.Seconds()/set.SlowStart.Seconds()
+			if most := set.OverloadMultiple * back * rate * set.OverloadWindow.Seconds(); float64(sent) > most || sent == 0 {
 				t.Errorf("result %d, %d senders: %d calls right after its return, %.0f at most", res, n, sent, most)
 			}
 		}
@@ -748,7 +748,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(time.Hour, []Event{{Kind: Listed, Whole: true, Endpoints: []Endpoint{{ID: 1}, {ID: 2}, {ID: 3}}},
+		acts := s.Step(time.Hour, []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}, {ID: 2}, {ID: 3}}},
 			{Kind: Arrived, ID: 1, Class: 2, Deadline: time.Hour + 20*time.Second}}, nil)
 		first[of(acts, Send)[0].Endpoint]++
 	}
@@ -879,7 +879,7 @@
 // The list must be asked for where it does not come by itself, and again after a failure.
 func TestAsksForTheList(t *testing.T) {
 	set := settings()
-	set.Ask, set.AskWithin = true, 10*time.Second
+	set.MustSubscribe, set.SubscribeWithin = true, 10*time.Second
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -925,7 +925,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := Event{Kind: Listed, Whole: true}
+			list := Event{Kind: Listed, Complete: true}
 			for i := range 2 * dests {
 				list.Endpoints = append(list.Endpoints, Endpoint{ID: uint32(i + 1), Destination: i / 2})
 			}
@@ -1028,11 +1028,11 @@
 func TestForgetsWhatIsGone(t *testing.T) {
 	r := newRig(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
 	to := of(r.step(r.arrive(1, 2)), Send)[0].Endpoint
-	told := outcome(1, 0, to, Full)
-	told.Wait = time.Minute
+	told := outcome(1, 0, to, Throttled)
+	told.RetryAfter = time.Minute
 	r.step(told)
 	for range 3 {
-		r.step(Event{Kind: Listed, Whole: true})
+		r.step(Event{Kind: Listed, Complete: true})
 		if len(r.s.eps) != 2 {
 			t.Fatalf("%d endpoints are known after %v, want 2", len(r.s.eps), r.now)
 		}
@@ -1057,7 +1057,7 @@
 	for i := range uint64(4) {
 		r.step(r.arrive(i, 0))
 		r.now += 100 * ms
-		acts := r.step(outcome(i, 0, 1, Spoilt))
+		acts := r.step(outcome(i, 0, 1, Malformed))
 		if got := of(acts, Send); len(got) != 1 || got[0].ID != i {
 			t.Fatalf("after %d spoilt answers: sent %v, want the message again", i+1, got)
 		}
@@ -1065,7 +1065,7 @@
 		r.step(outcome(i, 1, 1, Delivered))
 	}
 	r.step(r.arrive(9, 2))
-	if r.step(outcome(9, 0, 1, Spoilt)); len(of(r.out, Fail)) != 1 {
+	if r.step(outcome(9, 0, 1, Malformed)); len(of(r.out, Fail)) != 1 {
 		t.Error("it proves that the message ran: one that must not run twice has failed")
 	}
 }
@@ -1076,8 +1076,8 @@
 	elsewhere := r.arrive(3, 0)
 	elsewhere.Destination = 5
 	r.step(r.arrive(1, 0), r.arrive(2, 0), elsewhere)
-	told := outcome(1, 0, 1, Full)
-	if told.Wait = time.Second; len(of(r.out, Send)) != 3 {
+	told := outcome(1, 0, 1, Throttled)
+	if told.RetryAfter = time.Second; len(of(r.out, Send)) != 3 {
 		t.Fatalf("sent %v", r.out)
 	}
 	if got := of(r.step(told), Recall); len(got) != 1 || got[0].ID != 2 {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -10,10 +10,10 @@
 // A forwarder hands the sender what has happened, and does what it asks for.
 func Example() {
 	sender, err := control.New(control.Settings{
-		Peers: 1, Slots: 4, MaxAttempts: 3, MaxHoldOff: time.Second,
+		Peers: 1, Slots: 4, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		Kinds: []control.Kind{{PerCall: 1}},
-		Classes: []control.Class{{Name: "notice", Effect: control.Safe, Aim: time.Second,
-			Deadline: 5 * time.Second, Worth: 1}},
+		Classes: []control.Class{{Name: "notice", Effect: control.Safe, LatencyTarget: time.Second,
+			Deadline: 5 * time.Second, Value: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -21,7 +21,7 @@
 	}
 	now := time.Minute // any clock that does not go back
 	events := []control.Event{
-		{Kind: control.Listed, Whole: true, Endpoints: []control.Endpoint{{ID: 10, Destination: 3}}},
+		{Kind: control.Listed, Complete: true, Endpoints: []control.Endpoint{{ID: 10, Destination: 3}}},
 		{Kind: control.Arrived, ID: 1, Destination: 3, Deadline: now + 5*time.Second},
 	}
 	for _, a := range sender.Step(now, events, nil) {
@@ -33,7 +33,7 @@
 		}
 	}
 	now += 120 * time.Millisecond
-	events = []control.Event{{Kind: control.Resolved, ID: 1, Endpoint: 10, Result: control.Delivered, Settled: true}}
+	events = []control.Event{{Kind: control.Resolved, ID: 1, Endpoint: 10, Result: control.Delivered, Final: true}}
 	fmt.Println(len(sender.Step(now, events, nil)), "actions after the delivery")
 	// Output:
 	// send message 1 to endpoint 10, wait 5s
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		c.senders = append(c.senders, s)
-		s.Step(c.now, []Event{{Kind: Listed, Whole: true, Endpoints: []Endpoint{{ID: 1}}}}, nil)
+		s.Step(c.now, []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}, nil)
 	}
 	return c
 }
@@ -74,13 +74,13 @@
 				if a.Kind != Send {
 					continue
 				}
-				ev := Event{Kind: Resolved, ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: 1, Result: Full,
-					Reported: true, Share: max(0, c.room/(0.3*c.limit)), Limit: c.limit}
+				ev := Event{Kind: Resolved, ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: 1, Result: Throttled,
+					Reported: true, Remaining: max(0, c.room/(0.3*c.limit)), Limit: c.limit}
 				if c.room >= 1 {
-					ev.Result, ev.Settled = Delivered, true
+					ev.Result, ev.Final = Delivered, true
 					c.ok++
 				} else if c.full++; c.rng.IntN(2) == 0 {
-					ev.Wait = c.told
+					ev.RetryAfter = c.told
 				}
 				c.room = max(c.room-1, -0.6*c.limit)
 				c.late = append(c.late, due{c.now + 150*time.Millisecond, i, ev})
@@ -135,8 +135,8 @@
 		r.wait(4 * time.Second)
 		for id := uint64(1); id < 40; id++ {
 			for _, a := range of(append(r.step(r.arrive(id, 2)), r.wait(time.Second)...), Send) {
-				ev := outcome(a.ID, r.s.msgs[a.ID].attempts-1, 1, Full)
-				ev.Reported, ev.Share, ev.Limit = true, share, 4
+				ev := outcome(a.ID, r.s.msgs[a.ID].attempts-1, 1, Throttled)
+				ev.Reported, ev.Remaining, ev.Limit = true, share, 4
 				r.step(ev)
 			}
 		}
@@ -173,16 +173,16 @@
 func TestListRequestsTakeTurns(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 300} {
 		set := settings()
-		set.Peers, set.Ask, set.AskWithin = n, true, 10*time.Second
+		set.Peers, set.MustSubscribe, set.SubscribeWithin = n, true, 10*time.Second
 		for _, cause := range []string{"start", "loss", "refused"} {
 			asks, last := map[time.Duration]int{}, time.Duration(0)
 			for me := range n {
-				set.Me = me
+				set.Index = me
 				s, err := New(set, uint64(me))
 				if err != nil {
 					t.Fatal(err)
 				}
-				first := []Event{{Kind: Listed, Whole: true, Endpoints: []Endpoint{{ID: 1}}}}
+				first := []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}
 				now, from := time.Hour, time.Hour
 				left := map[string]int{"start": 1, "loss": 2, "refused": 2}[cause]
 				for left > 0 && now < 2*time.Hour {
@@ -198,7 +198,7 @@
 							break
 						}
 						if cause == "loss" { // all of them lose it at once, later
-							s.Step(now, []Event{{Kind: Listed, Whole: true}}, nil)
+							s.Step(now, []Event{{Kind: Listed, Complete: true}}, nil)
 							from = time.Hour + 20*time.Second
 							now = from
 						}
@@ -222,7 +222,7 @@
 func TestOwnNumberIsChecked(t *testing.T) {
 	for _, me := range []int{-1, 2} {
 		set := settings()
-		set.Me = me
+		set.Index = me
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), "Me") {
 			t.Errorf("number %d of %d: %v, want an error that names Me", me, set.Peers, err)
 		}
@@ -235,12 +235,12 @@
 	most, calls, turns := 0, 0, map[time.Duration]int{}
 	for i := range 80 {
 		set := settings()
-		set.Peers, set.Me = 80, i
+		set.Peers, set.Index = 80, i
 		s, err := New(set, uint64(i)+5)
 		if err != nil {
 			t.Fatal(err)
 		}
-		evs := []Event{{Kind: Listed, Whole: true, Endpoints: []Endpoint{{ID: 1}}}}
+		evs := []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}
 		for id := uint64(1); id <= 4; id++ {
 			evs = append(evs, Event{Kind: Arrived, ID: id, Deadline: time.Hour + 8*time.Second})
 		}
--- a/control/most_test.go
+++ b/control/most_test.go
@@ -15,15 +15,15 @@
 		apart bool
 		res   func(n int) Result
 	}{{"all let in", false, func(int) Result { return Delivered }}, {"two routes", true, func(int) Result { return Delivered }},
-		{"some refused", false, func(n int) Result { return []Result{Delivered, Full, Delivered, Errored}[n%4] }}} {
+		{"some refused", false, func(n int) Result { return []Result{Delivered, Throttled, Delivered, Errored}[n%4] }}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
 			set.Peers, set.Slots, set.Cancel = peers, 100, true
-			set.Kinds = []Kind{{PerCall: 1, Apart: c.apart}}
-			list := func(m float64) []Endpoint { return []Endpoint{{ID: 1, Most: m}, {ID: 2, Most: m}} }
+			set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: c.apart}}
+			list := func(m float64) []Endpoint { return []Endpoint{{ID: 1, MaxRate: m}, {ID: 2, MaxRate: m}} }
 			var all []*rig
 			for i := range peers {
-				set.Me = i
+				set.Index = i
 				all = append(all, newRig(t, set, list(most)...))
 			}
 			var sent []time.Duration
--- a/control/planner.go
+++ b/control/planner.go
@@ -17,8 +17,8 @@
 	scratch node
 }
 
-// CallTimes is the table of one endpoint: its own calls, and what Pool adds from those of others.
-type CallTimes struct {
+// LatencyTable is the table of one endpoint: its own calls, and what Pool adds from those of others.
+type LatencyTable struct {
 	planner  *Planner
 	endpoint endpoint
 }
@@ -42,8 +42,8 @@
 }
 
 // NewTable returns a table without calls.
-func (p *Planner) NewTable() *CallTimes {
-	c := &CallTimes{planner: p}
+func (p *Planner) NewTable() *LatencyTable {
+	c := &LatencyTable{planner: p}
 	c.endpoint.dest = &p.open
 	c.endpoint.t.n = make([]float64, len(p.sender.edges))
 	c.endpoint.mix.n = make([]float64, len(p.sender.edges))
@@ -52,7 +52,7 @@
 
 // Pool brings tables up to now, and fills up what each of them lacks from the calls that common has, which are
 // usually those of all endpoints of one service. Quantile, Known, Solve and Attempt go by what Pool has made.
-func (p *Planner) Pool(now time.Duration, common *CallTimes, tables []*CallTimes) {
+func (p *Planner) Pool(now time.Duration, common *LatencyTable, tables []*LatencyTable) {
 	p.sender.now = now
 	p.scratch.t = common.endpoint.t
 	p.fill(tables)
@@ -62,23 +62,23 @@
 
 // Solve returns the plan for requests with up to that many attempts. Tables that are not Known take no part; without
 // any that is, all expected times are infinite.
-func (p *Planner) Solve(now time.Duration, tables []*CallTimes, attempts int) Plan {
+func (p *Planner) Solve(now time.Duration, tables []*LatencyTable, attempts int) Plan {
 	p.fill(tables)
 	s := Plan{planner: p}
 	s.plan.solve(p.sender.edges, p.scratch.eps, attempts, p.sender.penalty(), now)
 	return s
 }
 
-// Resent tells how long a request took that was sent again after a time-out of the plan's, and what the plan had
+// ObserveRetry tells how long a request took that was sent again after a time-out of the plan's, and what the plan had
 // expected. Where resent requests take longer than that, the work is slow of itself and a restart repeats it: the
 // plan then restarts later. Both times are in the unit of the tables.
-func (p *Planner) Resent(took, expected time.Duration) {
+func (p *Planner) ObserveRetry(took, expected time.Duration) {
 	again := &p.sender.again
 	again[0] = again[0]*againKeep + took.Seconds()
 	again[1] = again[1]*againKeep + expected.Seconds()
 }
 
-func (p *Planner) fill(tables []*CallTimes) {
+func (p *Planner) fill(tables []*LatencyTable) {
 	p.scratch.eps = p.scratch.eps[:0]
 	for _, c := range tables {
 		p.scratch.eps = append(p.scratch.eps, &c.endpoint)
@@ -86,29 +86,29 @@
 }
 
 // Add counts a call that was answered after elapsed.
-func (c *CallTimes) Add(now, elapsed time.Duration) {
+func (c *LatencyTable) Add(now, elapsed time.Duration) {
 	c.endpoint.t.add(now, c.planner.sender.edges, elapsed.Seconds())
 }
 
-// AddLost counts a call that failed, in the slowest bucket.
-func (c *CallTimes) AddLost(now time.Duration) { c.endpoint.t.addLost(now) }
+// AddFailed counts a call that failed, in the slowest bucket.
+func (c *LatencyTable) AddFailed(now time.Duration) { c.endpoint.t.addLost(now) }
 
-// AddLonger counts a call that was cut off after elapsed.
-func (c *CallTimes) AddLonger(now, elapsed time.Duration) {
+// AddCensored counts a call that was cut off after elapsed.
+func (c *LatencyTable) AddCensored(now, elapsed time.Duration) {
 	c.endpoint.t.addLonger(now, c.planner.sender.edges, elapsed.Seconds())
 }
 
-// Calls is how many of the endpoint's own calls the table holds; they count for less as they age.
-func (c *CallTimes) Calls(now time.Duration) float64 {
+// Count is how many of the endpoint's own calls the table holds; they count for less as they age.
+func (c *LatencyTable) Count(now time.Duration) float64 {
 	c.endpoint.t.decay(now)
 	return c.endpoint.t.total
 }
 
 // Known tells whether there are enough calls, own or pooled, to plan by.
-func (c *CallTimes) Known() bool { return c.endpoint.known() }
+func (c *LatencyTable) Known() bool { return c.endpoint.known() }
 
 // Quantile is the time of the bucket in which the share q of the answered calls is reached; 0 while not Known.
-func (c *CallTimes) Quantile(q float64) time.Duration {
+func (c *LatencyTable) Quantile(q float64) time.Duration {
 	if !c.Known() {
 		return 0
 	}
@@ -127,7 +127,7 @@
 // included: the expected time until an answer, of this attempt or a later one, and the time after which to restart
 // elsewhere. Where runsOn is true, a restart gains nothing and the call should last as long as it may. An endpoint
 // whose table is not Known has no expected time, and its call runs on.
-func (p Plan) Attempt(c *CallTimes, attemptsLeft int) (expected, timeout time.Duration, runsOn bool) {
+func (p Plan) Attempt(c *LatencyTable, attemptsLeft int) (expected, timeout time.Duration, runsOn bool) {
 	if !c.Known() || len(p.plan.least) < 2 {
 		return 0, 0, true
 	}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -12,7 +12,7 @@
 const plannerLongest = 8 * time.Second
 
 // teachTable adds each of the times once.
-func teachTable(c *CallTimes, now time.Duration, times ...time.Duration) {
+func teachTable(c *LatencyTable, now time.Duration, times ...time.Duration) {
 	for _, t := range times {
 		c.Add(now, t)
 	}
@@ -30,7 +30,7 @@
 	// Given a service of two endpoints, one of which has been called four times and the other never.
 	p := NewPlanner(plannerLongest)
 	common, called, fresh := p.NewTable(), p.NewTable(), p.NewTable()
-	tables := []*CallTimes{called, fresh}
+	tables := []*LatencyTable{called, fresh}
 	p.Pool(0, common, tables)
 	if called.Known() || fresh.Known() {
 		t.Fatal("tables without a call are known")
@@ -49,7 +49,7 @@
 	if got, want := fresh.Quantile(0.5), called.Quantile(0.5); got != want {
 		t.Errorf("median of the fresh table is %v, want %v", got, want)
 	}
-	if got := called.Calls(0); got != 4 {
+	if got := called.Count(0); got != 4 {
 		t.Errorf("own calls: %v, want 4", got)
 	}
 }
@@ -58,7 +58,7 @@
 	p := NewPlanner(plannerLongest)
 	c := p.NewTable()
 	teachTable(c, 0, repeated(100*time.Millisecond, 8)...)
-	if got := c.Calls(halfLife); math.Abs(got-4) > 1e-9 {
+	if got := c.Count(halfLife); math.Abs(got-4) > 1e-9 {
 		t.Errorf("calls after one half-life: %v, want 4", got)
 	}
 }
@@ -67,13 +67,13 @@
 	// Given endpoints that mostly take 100 ms, and one call in four times 5 s.
 	p := NewPlanner(plannerLongest)
 	common := p.NewTable()
-	tables := []*CallTimes{p.NewTable(), p.NewTable()}
+	tables := []*LatencyTable{p.NewTable(), p.NewTable()}
 	for _, c := range append(tables, common) {
 		teachTable(c, 0, repeated(100*time.Millisecond, 30)...)
 		teachTable(c, 0, repeated(5*time.Second, 10)...)
 	}
 	for range 200 { // resent requests take what was expected
-		p.Resent(time.Second, time.Second)
+		p.ObserveRetry(time.Second, time.Second)
 	}
 	p.Pool(0, common, tables)
 
@@ -94,17 +94,17 @@
 	// Given the same tail, and resent requests that took twenty times what was expected.
 	p := NewPlanner(plannerLongest)
 	common, c := p.NewTable(), p.NewTable()
-	for _, o := range []*CallTimes{common, c} {
+	for _, o := range []*LatencyTable{common, c} {
 		teachTable(o, 0, repeated(100*time.Millisecond, 30)...)
 		teachTable(o, 0, repeated(time.Second, 10)...)
 	}
 	for range 200 {
-		p.Resent(20*time.Second, time.Second)
+		p.ObserveRetry(20*time.Second, time.Second)
 	}
-	p.Pool(0, common, []*CallTimes{c})
+	p.Pool(0, common, []*LatencyTable{c})
 
 	// When, then: a restart gains nothing.
-	if _, _, runsOn := p.Solve(0, []*CallTimes{c}, 3).Attempt(c, 3); !runsOn {
+	if _, _, runsOn := p.Solve(0, []*LatencyTable{c}, 3).Attempt(c, 3); !runsOn {
 		t.Error("the attempt is cut although resent requests take far longer")
 	}
 }
@@ -114,7 +114,7 @@
 		// Given tables with the same calls in a planner and in a sender's own types.
 		p := NewPlanner(plannerLongest)
 		edges, common := p.sender.edges, p.NewTable()
-		var tables []*CallTimes
+		var tables []*LatencyTable
 		own := node{t: table{n: make([]float64, len(edges))}}
 		sender := Sender{edges: edges, all: table{n: make([]float64, len(edges))}}
 		for range rapid.IntRange(1, 5).Draw(rt, "endpoints") {
@@ -124,13 +124,13 @@
 				x := elapsed.Seconds()
 				switch rapid.IntRange(0, 3).Draw(rt, "outcome") {
 				case 0:
-					c.AddLost(0)
-					common.AddLost(0)
+					c.AddFailed(0)
+					common.AddFailed(0)
 					e.t.addLost(0)
 					own.t.addLost(0)
 				case 1:
-					c.AddLonger(0, elapsed)
-					common.AddLonger(0, elapsed)
+					c.AddCensored(0, elapsed)
+					common.AddCensored(0, elapsed)
 					e.t.addLonger(0, edges, x)
 					own.t.addLonger(0, edges, x)
 				default:
@@ -167,7 +167,7 @@
 func BenchmarkPlannerSolve(b *testing.B) {
 	p := NewPlanner(plannerLongest)
 	common := p.NewTable()
-	var tables []*CallTimes
+	var tables []*LatencyTable
 	for i := range 28 {
 		c := p.NewTable()
 		teachTable(c, 0, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -49,7 +49,7 @@
 }
 
 func (o *oracle) route(e Endpoint) int {
-	if o.set.Kinds[e.Kind].Apart {
+	if o.set.Kinds[e.Kind].SeparateRoutes {
 		return -1 - int(e.ID)
 	}
 	return e.Destination
@@ -58,7 +58,7 @@
 // routes is how many routes a destination has that are apart, or 1.
 func (o *oracle) routes(dest int) (n int) {
 	for _, e := range o.eps {
-		if e.Destination == dest && o.set.Kinds[e.Kind].Apart {
+		if e.Destination == dest && o.set.Kinds[e.Kind].SeparateRoutes {
 			n++
 		}
 	}
@@ -142,7 +142,7 @@
 // of the rule stays under the multiple of what is back of the best pace before, with slack for two trials.
 func (o *oracle) coldWindow(a Action, r int, now time.Duration) {
 	back, out := o.back[r]
-	if !out || now-back > o.set.Fall || o.set.Cold == 0 {
+	if !out || now-back > o.set.OverloadWindow || o.set.SlowStart == 0 {
 		return
 	}
 	best, n := 0, 0.0
@@ -156,7 +156,7 @@
 		}
 		in := 0
 		for _, u := range o.sent[r][i:] {
-			if u <= back && u-t <= o.set.Fall {
+			if u <= back && u-t <= o.set.OverloadWindow {
 				in++
 			}
 		}
@@ -165,14 +165,14 @@
 	// Where it failed from the start what was asked of it is the pace that it is known by.
 	in, from := 0, max(0, len(o.asked[o.eps[a.Endpoint].Destination])-400)
 	for _, t := range o.asked[o.eps[a.Endpoint].Destination][from:] {
-		if back-t >= 0 && back-t <= o.set.Fall {
+		if back-t >= 0 && back-t <= o.set.OverloadWindow {
 			in++
 		}
 	}
 	best = max(best, in/o.routes(o.eps[a.Endpoint].Destination))
 	o.cold++
-	share := o.set.StartShare + (1-o.set.StartShare)*float64(o.set.Fall)/float64(o.set.Cold)
-	if most := 2 + o.set.FallMultiple*share*float64(max(best, 1)); n > most {
+	share := o.set.SlowStartShare + (1-o.set.SlowStartShare)*float64(o.set.OverloadWindow)/float64(o.set.SlowStart)
+	if most := 2 + o.set.OverloadMultiple*share*float64(max(best, 1)); n > most {
 		o.t.Fatalf("%v: %.1f sent to route %d within %v of its failures, %.1f at most", a, n, r, now-back, most)
 	}
 }
@@ -185,7 +185,7 @@
 	set.Cancel = rng.Intn(4) > 0
 	set.MaxOpen = 20 + rng.Intn(80)
 	if rng.Intn(4) == 0 {
-		set.Cold, set.StartShare, set.Settle = 0, 0, 0
+		set.SlowStart, set.SlowStartShare, set.InDoubtDelay = 0, 0, 0
 	}
 	o := &oracle{t: t, set: set, eps: map[uint32]Endpoint{}, msgs: map[uint64]*oracleMsg{},
 		waits: map[int]time.Duration{}, rest: map[uint64]time.Duration{},
@@ -200,7 +200,7 @@
 		list = append(list, e)
 		o.eps[e.ID] = e
 	}
-	evs := []Event{{Kind: Listed, Whole: true, Endpoints: list}}
+	evs := []Event{{Kind: Listed, Complete: true, Endpoints: list}}
 	var all, out []Action
 	now, id := time.Hour, uint64(0)
 	end := steps - int(25*time.Second/(10*time.Millisecond))
@@ -225,7 +225,7 @@
 		if trouble == 1 && id > 0 {
 			if m := o.msgs[1+uint64(rng.Intn(int(id)))]; !m.closed {
 				m.closed, m.goneAt = true, now
-				evs = append(evs, Event{Kind: Gone, ID: m.ev.ID})
+				evs = append(evs, Event{Kind: Withdrawn, ID: m.ev.ID})
 			}
 		}
 		// Outcomes due by now, in a random but fixed order.
@@ -242,11 +242,11 @@
 			case c.due > c.at:
 				ev.Result = TimedOut
 			case sick || rng.Intn(12) == 0:
-				ev.Result = []Result{Errored, Full, NoConnection, Reset, Moot, Unknown, Result(99)}[rng.Intn(7)]
+				ev.Result = []Result{Errored, Throttled, NoConnection, Reset, NotProcessed, Unknown, Result(99)}[rng.Intn(7)]
 			}
-			if ev.Result == Full && rng.Intn(2) == 0 {
-				ev.Wait = time.Duration(rng.Intn(4000)) * time.Millisecond
-				o.waits[o.route(c.ep)] = max(o.waits[o.route(c.ep)], now+ev.Wait)
+			if ev.Result == Throttled && rng.Intn(2) == 0 {
+				ev.RetryAfter = time.Duration(rng.Intn(4000)) * time.Millisecond
+				o.waits[o.route(c.ep)] = max(o.waits[o.route(c.ep)], now+ev.RetryAfter)
 			}
 			m.out = false
 			switch r := o.route(c.ep); ev.Result {
@@ -259,15 +259,15 @@
 			}
 			switch ev.Result {
 			case Delivered:
-				m.closed, ev.Settled = true, true
-			case Full, NoConnection, Moot:
+				m.closed, ev.Final = true, true
+			case Throttled, NoConnection, NotProcessed:
 			default:
 				m.risk = append(m.risk, oracleSend{c.ep, c.sentAt})
 				if ev.Result != Errored && set.Classes[m.ev.Class].InOrder {
-					o.rest[m.ev.Key] = now + set.Settle
+					o.rest[m.ev.Key] = now + set.InDoubtDelay
 				}
 			}
-			ev.Settled = m.closed
+			ev.Final = m.closed
 			evs = append(evs, ev)
 		}
 		evs = append(evs, Event{Kind: Woken})
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -55,7 +55,7 @@
 			r.step(evs...)
 			over := 0
 			for _, m := range r.s.msgs {
-				if m.worth < m.class.Worth {
+				if m.worth < m.class.Value {
 					over++
 				}
 			}
@@ -77,7 +77,7 @@
 		r.step(ev)
 		want := 1.0
 		if tenant == 0 {
-			want = set.OverWorth // a share of nothing, but for the first of a second
+			want = set.OverQuotaValue // a share of nothing, but for the first of a second
 			r.step(Event{Kind: Arrived, ID: 9, Deadline: ev.Deadline})
 			ev.ID = 9
 		}
@@ -98,7 +98,7 @@
 		for r.now < time.Hour+20*time.Second { // two a second, all refused for ten seconds
 			id++
 			ev := r.arrive(id, 1)
-			res := Full
+			res := Throttled
 			if r.now > time.Hour+10*time.Second {
 				res = Delivered
 			}
@@ -123,7 +123,7 @@
 	r := newRig(t, settings(), Endpoint{ID: 1, Weight: 16})
 	r.step(r.arrive(1, 1))
 	ev := outcome(1, 0, 1, Delivered)
-	ev.Reported, ev.Share, ev.Limit = true, 0.4, 6
+	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
 	r.step(ev)
 	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
 	if d := r.s.eps[1].dest; d.total != 6 || d.share != 0.4 {
--- a/control/shared.go
+++ b/control/shared.go
@@ -9,41 +9,41 @@
 // What a sender tells others that share its limits, and what it is told by them. What a part is, whether evidence is enough and
 // whose turn it is to try is decided elsewhere; here it is entered as facts. Without a word of it all is as ever: equal parts.
 
-// Shared is what a sender may spend of what all senders have together, and what others have seen.
-type Shared struct {
-	Floor  float64       `cbor:"1,keyasint,omitempty"` // of 1, of each limit
-	Until  time.Duration `cbor:"2,keyasint,omitempty"` // Rights count before that, on the clock of Step
-	Stays  bool          `cbor:"3,keyasint,omitempty"` // but for the floor, which has no end
-	Rights []Right       `cbor:"4,keyasint,omitempty"` // what is not named here is at its floor
+// SharedLimits is what a sender may spend of what all senders have together, and what others have seen.
+type SharedLimits struct {
+	GuaranteedShare float64       `cbor:"1,keyasint,omitempty"` // of 1, of each limit
+	LeaseExpiry     time.Duration `cbor:"2,keyasint,omitempty"` // Grants count before that, on the clock of Step
+	KeepsGuaranteed bool          `cbor:"3,keyasint,omitempty"` // but for the floor, which has no end
+	Grants          []Grant       `cbor:"4,keyasint,omitempty"` // what is not named here is at its floor
 }
 
-// Right is one destination's, or one tenant's.
-type Right struct {
-	Endpoint uint32        `cbor:"1,keyasint,omitempty"` // one of the destination's; 0: a tenant's
-	Tenant   int           `cbor:"2,keyasint,omitempty"`
-	Extra    float64       `cbor:"3,keyasint,omitempty"` // beyond the floor, of 1
-	Limit    float64       `cbor:"4,keyasint,omitempty"` // that another was told; 0: none
-	Told     time.Duration `cbor:"5,keyasint,omitempty"` // since that
-	Down     bool          `cbor:"6,keyasint,omitempty"` // others have found it down
-	Well     bool          `cbor:"7,keyasint,omitempty"` // it has delivered to another
-	Seen     time.Duration `cbor:"8,keyasint,omitempty"` // since the newest evidence of that
-	Wait     time.Duration `cbor:"9,keyasint,omitempty"` // from now on, told to another
-	Try      bool          `cbor:"10,keyasint,omitempty"`
+// Grant is one destination's, or one tenant's.
+type Grant struct {
+	Endpoint   uint32        `cbor:"1,keyasint,omitempty"` // one of the destination's; 0: a tenant's
+	Tenant     int           `cbor:"2,keyasint,omitempty"`
+	ExtraShare float64       `cbor:"3,keyasint,omitempty"` // beyond the floor, of 1
+	Limit      float64       `cbor:"4,keyasint,omitempty"` // that another was told; 0: none
+	LimitAge   time.Duration `cbor:"5,keyasint,omitempty"` // since that
+	Unhealthy  bool          `cbor:"6,keyasint,omitempty"` // others have found it down
+	Healthy    bool          `cbor:"7,keyasint,omitempty"` // it has delivered to another
+	HealthAge  time.Duration `cbor:"8,keyasint,omitempty"` // since the newest evidence of that
+	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"` // from now on, told to another
+	MayProbe   bool          `cbor:"10,keyasint,omitempty"`
 }
 
-// Sight is what a sender has seen itself of a destination, or of a tenant, and needs of it.
-type Sight struct {
-	Endpoint uint32 // one of the destination's; 0: a tenant's
-	Apart    bool   // the endpoint is a destination of its own
-	Tenant   int
-	Want     float64       // units a second
-	Worth    float64       // of one, in the mean of what is held
-	Limit    float64       // told last; 0: none
-	Told     time.Duration // since that
-	Down     bool          // found down by its own calls
-	Well     bool          // it has delivered
-	Seen     time.Duration // since the newest call which that stands on
-	Wait     time.Duration // told, from now on
+// Observation is what a sender has seen itself of a destination, or of a tenant, and needs of it.
+type Observation struct {
+	Endpoint      uint32 // one of the destination's; 0: a tenant's
+	SeparateRoute bool   // the endpoint is a destination of its own
+	Tenant        int
+	Demand        float64       // units a second
+	Value         float64       // of one, in the mean of what is held
+	Limit         float64       // told last; 0: none
+	LimitAge      time.Duration // since that
+	Unhealthy     bool          // found down by its own calls
+	Healthy       bool          // it has delivered
+	HealthAge     time.Duration // since the newest call which that stands on
+	RetryAfter    time.Duration // told, from now on
 }
 
 // hearsayAfter is how old what a sender was told itself must be before another's word counts more.
@@ -99,18 +99,18 @@
 // report takes a report of d's limit. Where limits are shared the part is there to be spent, also after a refusal.
 func (s *Sender) report(d *destination, ev *Event) {
 	fair := s.fair(d, ev.Limit)
-	d.report(s.now, ev.Share, ev.Limit, fair)
+	d.report(s.now, ev.Remaining, ev.Limit, fair)
 	if s.rights != nil && ev.Result == Delivered {
 		d.limit = max(d.limit, fair)
 	}
 }
 
 // shared takes what others tell.
-func (s *Sender) shared(h *Shared) {
+func (s *Sender) shared(h *SharedLimits) {
 	if h == nil {
 		return
 	}
-	s.rights = &rights{h.Floor, h.Until, h.Stays}
+	s.rights = &rights{h.GuaranteedShare, h.LeaseExpiry, h.KeepsGuaranteed}
 	for _, n := range s.order {
 		for _, d := range n.dests {
 			d.extra, d.down, d.try = 0, false, false
@@ -119,11 +119,11 @@
 	for i := range s.quotas {
 		s.quotas[i].extra = 0
 	}
-	for i := range h.Rights {
-		r := &h.Rights[i]
+	for i := range h.Grants {
+		r := &h.Grants[i]
 		if r.Endpoint == 0 {
 			if r.Tenant >= 0 && r.Tenant < len(s.quotas) {
-				s.quotas[r.Tenant].extra = r.Extra
+				s.quotas[r.Tenant].extra = r.ExtraShare
 			}
 		} else if e := s.eps[r.Endpoint]; e != nil {
 			s.heard(e.dest, r)
@@ -136,9 +136,9 @@
 }
 
 // heard takes one destination's part. A sender's own newer evidence goes before others' word.
-func (s *Sender) heard(d *destination, r *Right) {
-	d.extra, d.down, d.try = r.Extra, r.Down, r.Try
-	if told := s.now - r.Told; r.Limit > 0 && told > d.toldAt+hearsayAfter {
+func (s *Sender) heard(d *destination, r *Grant) {
+	d.extra, d.down, d.try = r.ExtraShare, r.Unhealthy, r.MayProbe
+	if told := s.now - r.LimitAge; r.Limit > 0 && told > d.toldAt+hearsayAfter {
 		if d.total > 0 && d.limit > 0 {
 			d.limit *= min(1, r.Limit/d.total)
 		}
@@ -147,15 +147,15 @@
 	if d.limit > 0 && d.refused == 0 { // a larger part is there to be spent at once
 		d.limit = max(d.limit, s.fair(d, d.total))
 	}
-	if r.Wait > 0 {
-		d.wait = max(d.wait, s.now+min(r.Wait, s.set.MaxHoldOff))
+	if r.RetryAfter > 0 {
+		d.wait = max(d.wait, s.now+min(r.RetryAfter, s.set.MaxRetryAfter))
 	}
-	switch at := s.now - r.Seen; {
-	case r.Down && d.newest < at && !d.suspect() && d.failed < at:
+	switch at := s.now - r.HealthAge; {
+	case r.Unhealthy && d.newest < at && !d.suspect() && d.failed < at:
 		was := d.failed
 		s.doubt(d, stopped)
 		d.failed, d.heard = max(was, at), true
-	case r.Well && d.health == stopped && d.failed < at:
+	case r.Healthy && d.health == stopped && d.failed < at:
 		d.streak, d.resets, d.refused, d.again, d.heard = 0, 0, 0, 0, false
 		d.tokens, d.tokensAt = s.rand(), s.now
 		s.turn(d, returning)
@@ -163,8 +163,8 @@
 	}
 }
 
-// Sights appends what this sender has seen and needs, the destinations that are in use and then the tenants.
-func (s *Sender) Sights(now time.Duration, out []Sight) []Sight {
+// Observations appends what this sender has seen and needs, the destinations that are in use and then the tenants.
+func (s *Sender) Observations(now time.Duration, out []Observation) []Observation {
 	now = max(now, s.now)
 	for _, n := range s.order {
 		if !n.active && n.asked.rate(now) < 0.01 {
@@ -183,26 +183,26 @@
 					continue
 				}
 			}
-			x := Sight{Endpoint: e.id, Apart: e.kind.Apart, Limit: d.total, Told: now - d.toldAt, Wait: max(d.wait-now, 0), Worth: 1}
+			x := Observation{Endpoint: e.id, SeparateRoute: e.kind.SeparateRoutes, Limit: d.total, LimitAge: now - d.toldAt, RetryAfter: max(d.wait-now, 0), Value: 1}
 			each := float64(len(n.dests) * max(e.kind.PerCall, 1))
-			if x.Want = (n.asked.rate(now) + float64(len(n.held))/2) / each; worth > 0 {
-				x.Worth = worth
+			if x.Demand = (n.asked.rate(now) + float64(len(n.held))/2) / each; worth > 0 {
+				x.Value = worth
 			}
 			if d.toldAt == 0 {
 				x.Limit = 0
 			}
 			switch {
 			case d.health == stopped && !d.heard:
-				x.Down, x.Seen = true, now-d.failed
+				x.Unhealthy, x.HealthAge = true, now-d.failed
 			case d.newest > 0 && !d.suspect():
-				x.Well, x.Seen = true, now-d.newest
+				x.Healthy, x.HealthAge = true, now-d.newest
 			}
 			out = append(out, x)
 		}
 	}
 	for i := range s.quotas {
 		if rate := s.quotas[i].asked.rate(now); rate > 0.01 {
-			out = append(out, Sight{Tenant: i, Want: rate, Worth: 1, Limit: s.quotas[i].total})
+			out = append(out, Observation{Tenant: i, Demand: rate, Value: 1, Limit: s.quotas[i].total})
 		}
 	}
 	return out
--- a/control/shared_test.go
+++ b/control/shared_test.go
@@ -6,8 +6,8 @@
 )
 
 // lend tells a rig what it may spend.
-func (r *rig) lend(floor float64, until time.Duration, stays bool, rights ...Right) []Action {
-	return r.step(Event{Kind: Others, Shared: &Shared{Floor: floor, Until: until, Stays: stays, Rights: rights}})
+func (r *rig) lend(floor float64, until time.Duration, stays bool, rights ...Grant) []Action {
+	return r.step(Event{Kind: SharedLimitsUpdated, Shared: &SharedLimits{GuaranteedShare: floor, LeaseExpiry: until, KeepsGuaranteed: stays, Grants: rights}})
 }
 
 // calls counts what a rig sends in a while with plenty held, each call let in after 10 ms; reported says of what limit.
@@ -17,7 +17,7 @@
 		for _, a := range of(r.step(r.arrive(id, 0)), Send) {
 			n++
 			ev := outcome(a.ID, r.s.msgs[a.ID].attempts-1, a.Endpoint, Delivered)
-			ev.Reported, ev.Limit, ev.Share = limit > 0, limit, 0.9
+			ev.Reported, ev.Limit, ev.Remaining = limit > 0, limit, 0.9
 			r.now += 10 * ms
 			r.step(ev)
 			r.now -= 10 * ms
@@ -36,7 +36,7 @@
 		set.Peers, set.Slots = 10, 200
 		r := newRig(t, set, Endpoint{ID: 1})
 		until := r.now + 20*time.Second
-		r.lend(0.05, until, c.stays, Right{Endpoint: 1, Extra: 0.25, Limit: 40})
+		r.lend(0.05, until, c.stays, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 40})
 		r.calls(2*time.Second, 40)
 		first := float64(r.calls(18*time.Second, 40)) / 18
 		r.calls(2*time.Second, 40)
@@ -52,12 +52,12 @@
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	r := newRig(t, set, Endpoint{ID: 1})
-	r.lend(0.1, r.now+time.Hour, false, Right{Endpoint: 1, Limit: 20, Told: time.Second})
+	r.lend(0.1, r.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20, LimitAge: time.Second})
 	if n := r.calls(10*time.Second, 0); n > 22 || n < 15 {
 		t.Errorf("%d calls in 10 s, by others' word 2 a second are its own", n)
 	}
 	r.calls(5*time.Second, 60)
-	r.lend(0.1, r.now+time.Hour, false, Right{Endpoint: 1, Limit: 20})
+	r.lend(0.1, r.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20})
 	if n := r.calls(10*time.Second, 60); n < 50 {
 		t.Errorf("%d calls in 10 s, by its own newer word 6 a second", n)
 	}
@@ -72,21 +72,21 @@
 	r.warm(3, 50*ms)
 	d := r.s.eps[1].dest
 	far := r.now + time.Hour
-	r.lend(0.1, far, false, Right{Endpoint: 1, Down: true, Seen: 10 * time.Second})
+	r.lend(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 10 * time.Second})
 	if d.health != steady {
 		t.Error("others' older word goes before its own delivery")
 	}
 	r.now += 20 * time.Second
-	r.lend(0.1, far, false, Right{Endpoint: 1, Down: true, Seen: time.Second})
+	r.lend(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: time.Second})
 	if d.health != stopped {
 		t.Error("others' newer word does not count")
 	}
-	for _, s := range r.s.Sights(r.now, nil) {
-		if s.Down || s.Well {
+	for _, s := range r.s.Observations(r.now, nil) {
+		if s.Unhealthy || s.Healthy {
 			t.Errorf("it tells others' word as its own: %+v", s)
 		}
 	}
-	r.lend(0.1, far, false, Right{Endpoint: 1, Well: true, Seen: 100 * ms})
+	r.lend(0.1, far, false, Grant{Endpoint: 1, Healthy: true, HealthAge: 100 * ms})
 	if d.health != returning || r.now-d.since != 100*ms {
 		t.Errorf("others' delivery leaves it %v, since %v", healthText[d.health], r.now-d.since)
 	}
@@ -100,7 +100,7 @@
 			r.step(outcome(a.ID, r.s.msgs[a.ID].attempts-1, a.Endpoint, Errored))
 		}
 	}
-	if s := r.s.Sights(r.now, nil); len(s) != 1 || !s[0].Down {
+	if s := r.s.Observations(r.now, nil); len(s) != 1 || !s[0].Unhealthy {
 		t.Errorf("its own failures are no evidence: %+v", s)
 	}
 }
@@ -114,7 +114,7 @@
 		r.warm(5, 50*ms)
 		for i := range uint64(2000) {
 			r.now += 25 * ms
-			r.lend(0.1, r.now+time.Second, false, Right{Endpoint: 1, Down: true, Seen: 0, Try: try, Limit: 100})
+			r.lend(0.1, r.now+time.Second, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 0, MayProbe: try, Limit: 100})
 			if i%20 == 0 {
 				r.step(r.arrive(100+i, 0))
 			}
@@ -134,9 +134,9 @@
 // A told wait that another heard of binds here too, for no longer than the settings' longest.
 func TestHeardWait(t *testing.T) {
 	set := settings()
-	set.MaxHoldOff = 2 * time.Second
+	set.MaxRetryAfter = 2 * time.Second
 	r := newRig(t, set, Endpoint{ID: 1})
-	r.lend(1, r.now+time.Hour, false, Right{Endpoint: 1, Wait: time.Hour})
+	r.lend(1, r.now+time.Hour, false, Grant{Endpoint: 1, RetryAfter: time.Hour})
 	if got := of(r.step(r.arrive(1, 0)), Send); len(got) != 0 {
 		t.Error("a call goes out while another was told to wait")
 	}
@@ -150,9 +150,9 @@
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	r := newRig(t, set, Endpoint{ID: 1})
-	r.lend(0.05, r.now+time.Hour, false, Right{Endpoint: 1, Extra: 0.25, Limit: 100})
+	r.lend(0.05, r.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 100})
 	r.calls(2*time.Second, 100)
-	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Most: 20}}})
+	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, MaxRate: 20}}})
 	if n := r.calls(20*time.Second, 100); n > 122 || n < 100 {
 		t.Errorf("%d calls in 20 s, want 6 a second", n)
 	}
@@ -163,12 +163,12 @@
 func TestLeftWithRights(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
-	set.Kinds = []Kind{{PerCall: 1, Apart: true}}
+	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: true}}
 	r := newRig(t, set, Endpoint{ID: 1})
-	r.lend(0.05, r.now+time.Hour, false, Right{Endpoint: 1, Extra: 0.5, Limit: 100, Down: true, Seen: time.Minute})
+	r.lend(0.05, r.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100, Unhealthy: true, HealthAge: time.Minute})
 	r.calls(2*time.Second, 100)
 	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}, {ID: 2}}})
-	r.lend(0.05, r.now+time.Hour, false, Right{Endpoint: 1, Extra: 0.5, Limit: 100}, Right{Endpoint: 9, Extra: 0.5})
+	r.lend(0.05, r.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
 	d := r.s.eps[2].dest
 	if d.extra != 0 || d.down || d.total != 0 {
 		t.Errorf("it begins with %+v", d)
--- a/control/spread_test.go
+++ b/control/spread_test.go
@@ -15,8 +15,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		set.Peers = rapid.IntRange(1, 300).Draw(t, "peers")
-		set.Me = rapid.IntRange(0, set.Peers-1).Draw(t, "me")
-		set.Ask, set.AskWithin = true, 10*time.Second
+		set.Index = rapid.IntRange(0, set.Peers-1).Draw(t, "me")
+		set.MustSubscribe, set.SubscribeWithin = true, 10*time.Second
 		set.Slots, set.MaxOpen = rapid.IntRange(1, 40).Draw(t, "slots"), rapid.IntRange(0, 60).Draw(t, "open")
 		for range rapid.IntRange(0, 3).Draw(t, "tenants") {
 			set.Tenants = append(set.Tenants, Tenant{Quota: rapid.Float64Range(0, 20).Draw(t, "quota")})
@@ -29,7 +29,7 @@
 		now := time.Hour
 		drainAt := now + time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond
 		limit := rapid.Float64Range(0, 200).Draw(t, "limit")
-		evs := []Event{{Kind: Listed, Whole: true, Endpoints: []Endpoint{{ID: 1, Weight: weight}, {ID: 2, Destination: 1, Weight: weight},
+		evs := []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1, Weight: weight}, {ID: 2, Destination: 1, Weight: weight},
 			{ID: 3, Zone: 1, Weight: weight}, {ID: 4, Zone: 1, Kind: 1, Destination: 2, Weight: weight}}}}
 		type run struct {
 			zone int
@@ -65,19 +65,19 @@
 						t.Fatalf("%v at %v: drained %v, wait until %v, message until %v, ends %d", a, now, drained, waits[to], deadlines[a.ID], ends[a.ID])
 					}
 					ev := outcome(a.ID, s.msgs[a.ID].attempts-1, a.Endpoint, Delivered)
-					ev.Reported, ev.Limit, ev.Share = limit > 0, limit, rapid.Float64Range(0, 1).Draw(t, "share")
+					ev.Reported, ev.Limit, ev.Remaining = limit > 0, limit, rapid.Float64Range(0, 1).Draw(t, "share")
 					switch rapid.IntRange(0, 3).Draw(t, "refused") {
 					case 0:
 						ends[a.ID]++
 					case 1:
-						ev.Result, ev.Settled = rapid.SampledFrom([]Result{Errored, Reset, TimedOut}).Draw(t, "result"), false
+						ev.Result, ev.Final = rapid.SampledFrom([]Result{Errored, Reset, TimedOut}).Draw(t, "result"), false
 						if _, risky := ran[a.ID]; !risky {
 							ran[a.ID] = run{zones[a.Endpoint], now}
 						}
 					default:
-						ev.Result, ev.Settled = Full, false
-						ev.Wait = time.Duration(rapid.IntRange(0, 1500).Draw(t, "wait ms")) * time.Millisecond
-						told[to] = max(told[to], now+25*time.Millisecond+ev.Wait)
+						ev.Result, ev.Final = Throttled, false
+						ev.RetryAfter = time.Duration(rapid.IntRange(0, 1500).Draw(t, "wait ms")) * time.Millisecond
+						told[to] = max(told[to], now+25*time.Millisecond+ev.RetryAfter)
 					}
 					evs = append(evs, ev)
 				case Refuse, Fail:
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -391,7 +391,7 @@
 func TestSpoilt(t *testing.T) {
 	none := stand(t, nil)
 	f, _ := start(t, none, none)
-	for status, want := range map[string]control.Result{"202": control.Delivered, "503": control.Spoilt} {
+	for status, want := range map[string]control.Result{"202": control.Delivered, "503": control.Malformed} {
 		l := wiretest.Listen(t)
 		go func() {
 			if conn, err := l.Accept(); err == nil {
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -302,7 +302,7 @@
 	head, err := f.signer.Headers("POST", u.Host, u.RequestURI(), body, f.Now())
 	if err != nil {
 		f.log.Error("activitypub", "error", err)
-		return engine.Outcome{Result: control.Moot}
+		return engine.Outcome{Result: control.NotProcessed}
 	}
 	request := httpwire.AppendRequest(nil, "POST", u.RequestURI(), u.Host, append(head, more...), body)
 	var mayWrite func() bool
@@ -327,7 +327,7 @@
 	case s >= 200 && s < 300:
 		return engine.Outcome{Result: control.Delivered}
 	case s == 429 || s == 503:
-		return engine.Outcome{Result: control.Full, RetryAfter: platform.RetryAfter(p.Header.Get("Retry-After"))}
+		return engine.Outcome{Result: control.Throttled, RetryAfter: platform.RetryAfter(p.Header.Get("Retry-After"))}
 	case s == 408 || s >= 500:
 		return engine.Outcome{Result: control.Errored}
 	}
--- a/internal/relay/capture/core.go
+++ b/internal/relay/capture/core.go
@@ -232,7 +232,7 @@
 	Items    int           `cbor:"10,keyasint,omitempty"`
 	Stand    *Mandate      `cbor:"11,keyasint,omitempty"`
 
-	Shared *control.Shared `cbor:"12,keyasint,omitempty"`
+	Shared *control.SharedLimits `cbor:"12,keyasint,omitempty"`
 }
 
 // Arrival is a message handed in, with what an inspector (a plug-in) ruled.
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -52,11 +52,11 @@
 
 var scenes = map[string]scene{
 	"silent-partner":   {answer: during(3*time.Second, 9*time.Second, control.TimedOut, time.Hour, 0)},
-	"refusing-partner": {answer: during(3*time.Second, 9*time.Second, control.Full, 10*time.Millisecond, 900*time.Millisecond)},
+	"refusing-partner": {answer: during(3*time.Second, 9*time.Second, control.Throttled, 10*time.Millisecond, 900*time.Millisecond)},
 	// A wait that ends in the very turn in which the drain begins: told at 3 s for 1 s.
-	"wait-ends-then-drains": {answer: during(3*time.Second, 3*time.Second+grid, control.Full, grid, time.Second-grid),
+	"wait-ends-then-drains": {answer: during(3*time.Second, 3*time.Second+grid, control.Throttled, grid, time.Second-grid),
 		events: map[time.Duration][]control.Event{4 * time.Second: {change(control.Draining, 2, 3)}, 6 * time.Second: {change(control.Ready, 2, 3)}}},
-	"drains-then-wait-ends": {answer: during(3*time.Second, 3*time.Second+grid, control.Full, grid, time.Second-grid), first: true,
+	"drains-then-wait-ends": {answer: during(3*time.Second, 3*time.Second+grid, control.Throttled, grid, time.Second-grid), first: true,
 		events: map[time.Duration][]control.Event{4 * time.Second: {change(control.Draining, 2, 3)}, 6 * time.Second: {change(control.Ready, 2, 3)}}},
 	// Word that an endpoint is gone comes seconds late, its replacement before it, and a change of it after that.
 	"late-list": {answer: during(2*time.Second, 12*time.Second, control.NoConnection, 5*time.Millisecond, 0), events: map[time.Duration][]control.Event{
@@ -78,15 +78,15 @@
 		return at
 	}},
 	"cold-return":   {answer: during(2*time.Second, 6*time.Second, control.Errored, 5*time.Millisecond, 0), rate: 12},
-	"spoilt":        {answer: during(2*time.Second, 8*time.Second, control.Spoilt, 60*time.Millisecond, 0)},
-	"told-too-long": {answer: during(3*time.Second, 6*time.Second, control.Full, 5*time.Millisecond, 4*time.Second)},
+	"spoilt":        {answer: during(2*time.Second, 8*time.Second, control.Malformed, 60*time.Millisecond, 0)},
+	"told-too-long": {answer: during(3*time.Second, 6*time.Second, control.Throttled, 5*time.Millisecond, 4*time.Second)},
 }
 
 func resumed() (all []control.Event) {
 	for i := range 12 {
-		ev := control.Event{Kind: control.Arrived, ID: uint64(1000 + i), Destination: i % 4, Class: i % 3, Deadline: start + time.Duration(2+i)*time.Second, Again: i%2 == 0, Attempt: i % 5}
+		ev := control.Event{Kind: control.Arrived, ID: uint64(1000 + i), Destination: i % 4, Class: i % 3, Deadline: start + time.Duration(2+i)*time.Second, Resubmitted: i%2 == 0, Attempt: i % 5}
 		if ev.Attempt > 0 && i%2 == 0 {
-			ev.Ran, ev.RanAt, ev.Endpoint = true, start-time.Duration(i)*400*time.Millisecond, uint32(2*(i%4))
+			ev.MayHaveRun, ev.RanAt, ev.Endpoint = true, start-time.Duration(i)*400*time.Millisecond, uint32(2*(i%4))
 		}
 		all = append(all, ev)
 	}
@@ -128,7 +128,7 @@
 		var in []control.Event
 		if no == 1 {
 			ev := change(control.Ready, 0, 1, 2, 3, 4, 5, 6, 7)
-			ev.Whole = true
+			ev.Complete = true
 			in = append(in, ev)
 		}
 		if sc.first {
@@ -168,7 +168,7 @@
 			if took > a.For {
 				result, took, wait = control.TimedOut, a.For, 0
 			}
-			out = append(out, call{at + took, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint, Result: result, Wait: wait}})
+			out = append(out, call{at + took, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint, Result: result, RetryAfter: wait}})
 			tries[a.ID]++
 		}
 	}
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -102,7 +102,7 @@
 	f.int(4, int64(e.Destination))
 	f.uint(5, uint64(e.State))
 	f.float(6, e.Weight)
-	f.float(7, e.Most)
+	f.float(7, e.MaxRate)
 	return f.b
 }
 
@@ -115,20 +115,20 @@
 	f.int(5, int64(e.Tenant))
 	f.uint(6, e.Key)
 	f.int(7, int64(e.Deadline))
-	f.bool(8, e.Again)
+	f.bool(8, e.Resubmitted)
 	f.int(9, int64(e.Attempt))
-	f.bool(10, e.Ran)
+	f.bool(10, e.MayHaveRun)
 	f.int(11, int64(e.RanAt))
 	f.uint(12, uint64(e.Endpoint))
 	f.uint(13, uint64(e.Result))
 	f.int(14, int64(e.Elapsed))
-	f.bool(15, e.Settled)
-	f.int(16, int64(e.Wait))
+	f.bool(15, e.Final)
+	f.int(16, int64(e.RetryAfter))
 	f.bool(17, e.Reported)
-	f.float(18, e.Share)
+	f.float(18, e.Remaining)
 	f.float(19, e.Limit)
 	appendList(&f, 20, e.Endpoints, appendEndpoint)
-	f.bool(21, e.Whole)
+	f.bool(21, e.Complete)
 	return f.b
 }
 
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -176,7 +176,7 @@
 			p.res.Outcomes["arrived"]++
 		case e.Kind == control.Resolved && e.Result == control.Delivered:
 			p.res.Outcomes["delivered"]++
-		case e.Kind == control.Gone:
+		case e.Kind == control.Withdrawn:
 			p.res.Outcomes["withdrawn"]++
 		}
 	}
@@ -212,30 +212,30 @@
 
 // Explain tells, a line each, how the destinations of some endpoints stand: tables, plan, health, waits.
 func Explain(x *control.Snapshot, res *Result, endpoints map[uint32]bool) (lines []string) {
-	lines = append(lines, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", x.Slots, x.Open, x.Sick, x.Budget))
-	for _, n := range x.Nodes {
+	lines = append(lines, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", x.SlotsInUse, x.OpenMessages, x.CallsToUnhealthy, x.Budget))
+	for _, n := range x.Destinations {
 		for _, e := range n.Endpoints {
 			if !endpoints[e.ID] {
 				continue
 			}
-			d := n.Dests[e.Dest]
+			d := n.Routes[e.Route]
 			health := "?"
 			if int(d.Health) < len(healths) {
 				health = healths[d.Health]
 			}
 			line := fmt.Sprintf("%s of destination %d: %s, list says %s; table of %.1f calls, %.1f lost; %d out, %d held",
-				res.name(e.ID), n.ID, health, [...]string{"ready", "draining", "gone"}[min(int(e.State), 2)], e.T.Total, e.T.Lost, len(e.Out), len(n.Held))
-			if d.Wait > x.Now {
-				line += fmt.Sprintf("; told to wait %v more", d.Wait-x.Now)
+				res.name(e.ID), n.ID, health, [...]string{"ready", "draining", "gone"}[min(int(e.State), 2)], e.Own.Total, e.Own.Failed, len(e.InFlight), len(n.Queued))
+			if d.WaitUntil > x.Now {
+				line += fmt.Sprintf("; told to wait %v more", d.WaitUntil-x.Now)
 			}
-			if d.Again > x.Now {
-				line += fmt.Sprintf("; rests %v more after %d refusals", d.Again-x.Now, d.Refused)
+			if d.RetryAt > x.Now {
+				line += fmt.Sprintf("; rests %v more after %d refusals", d.RetryAt-x.Now, d.RefusalStreak)
 			}
-			if d.Limit > 0 {
-				line += fmt.Sprintf("; limit %.1f/s, tokens %.2f", d.Limit, d.Tokens)
+			if d.RateLimit > 0 {
+				line += fmt.Sprintf("; limit %.1f/s, tokens %.2f", d.RateLimit, d.Tokens)
 			}
-			if len(n.Plan) > 1 {
-				line += fmt.Sprintf("; the plan expects %.0f ms", n.Plan[1]*1000)
+			if len(n.ExpectedTimes) > 1 {
+				line += fmt.Sprintf("; the plan expects %.0f ms", n.ExpectedTimes[1]*1000)
 			}
 			lines = append(lines, line)
 		}
--- a/internal/relay/capture/story.go
+++ b/internal/relay/capture/story.go
@@ -138,9 +138,9 @@
 	}
 	var over []uint64
 	for _, e := range turn.Events {
-		if (e.Kind == control.Arrived || e.Kind == control.Resolved || e.Kind == control.Gone) && t.open[e.ID] {
+		if (e.Kind == control.Arrived || e.Kind == control.Resolved || e.Kind == control.Withdrawn) && t.open[e.ID] {
 			at(res.Event(e))
-			if e.Kind == control.Gone || e.Kind == control.Resolved && (e.Result == control.Delivered || e.Settled) {
+			if e.Kind == control.Withdrawn || e.Kind == control.Resolved && (e.Result == control.Delivered || e.Final) {
 				over = append(over, e.ID)
 			}
 		}
@@ -167,8 +167,8 @@
 // others are an endpoint and those that its messages might have gone to as well.
 func others(x *control.Snapshot, endpoint uint32) map[uint32]bool {
 	all := map[uint32]bool{}
-	for _, n := range x.Nodes {
-		if slices.ContainsFunc(n.Endpoints, func(e control.EndpointState) bool { return e.ID == endpoint }) {
+	for _, n := range x.Destinations {
+		if slices.ContainsFunc(n.Endpoints, func(e control.EndpointSnapshot) bool { return e.ID == endpoint }) {
 			for _, e := range n.Endpoints {
 				all[e.ID] = true
 			}
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -52,7 +52,7 @@
 func (res *Result) Event(e control.Event) string {
 	switch e.Kind {
 	case control.Listed:
-		return fmt.Sprintf("list: %d endpoints, whole %t", len(e.Endpoints), e.Whole)
+		return fmt.Sprintf("list: %d endpoints, whole %t", len(e.Endpoints), e.Complete)
 	case control.ListFailed:
 		return "the list could not be had"
 	case control.Arrived:
@@ -67,14 +67,14 @@
 			what = results[e.Result]
 		}
 		s := fmt.Sprintf("attempt %d of %s at %s: %s", e.Attempt, res.message(e.ID), res.name(e.Endpoint), what)
-		if e.Wait > 0 {
-			s += fmt.Sprintf(", wait %v", e.Wait)
+		if e.RetryAfter > 0 {
+			s += fmt.Sprintf(", wait %v", e.RetryAfter)
 		}
 		if e.Reported {
-			s += fmt.Sprintf(", %.0f %% of %.1f/s left", 100*e.Share, e.Limit)
+			s += fmt.Sprintf(", %.0f %% of %.1f/s left", 100*e.Remaining, e.Limit)
 		}
 		return s
-	case control.Gone:
+	case control.Withdrawn:
 		return res.message(e.ID) + " is withdrawn"
 	case control.Woken:
 		return "woken"
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -34,13 +34,13 @@
 }
 
 func settings() control.Settings {
-	return control.Settings{Peers: 1, Slots: 12, MaxOpen: 200, MaxAttempts: 6, Cancel: true, WorthHalves: true, MaxHoldOff: 3 * time.Second,
-		Kinds: []control.Kind{{Apart: true, PerCall: 4}, {PerCall: 1}}, DrainGrace: 250 * time.Millisecond, StartShare: 0.21,
-		Cold: 14 * time.Second, Fall: 2 * time.Second, FallMultiple: 2, ConnIdle: 15 * time.Second, ZoneFee: []float64{0, 0.05},
+	return control.Settings{Peers: 1, Slots: 12, MaxOpen: 200, MaxAttempts: 6, Cancel: true, ValueHalves: true, MaxRetryAfter: 3 * time.Second,
+		Kinds: []control.Kind{{SeparateRoutes: true, PerCall: 4}, {PerCall: 1}}, DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.21,
+		SlowStart: 14 * time.Second, OverloadWindow: 2 * time.Second, OverloadMultiple: 2, ConnIdle: 15 * time.Second, ZoneFee: []float64{0, 0.05},
 		Classes: []control.Class{
-			{Name: "match-event", Effect: control.Keyed, Group: control.GroupAll, Memory: 4 * time.Second, Aim: 3 * time.Second, Deadline: 16 * time.Second, Worth: 1, LateWorth: 0.3},
-			{Name: "score-state", Effect: control.Safe, Aim: 2 * time.Second, Deadline: 24 * time.Second, Worth: 3, LateWorth: 0.5},
-			{Name: "ordered", Effect: control.Unsafe, InOrder: true, Aim: 2 * time.Second, Deadline: 9 * time.Second, Worth: 2, LateWorth: 0.5}}}
+			{Name: "match-event", Effect: control.Keyed, Group: control.GroupAll, Memory: 4 * time.Second, LatencyTarget: 3 * time.Second, Deadline: 16 * time.Second, Value: 1, LateValue: 0.3},
+			{Name: "score-state", Effect: control.Safe, LatencyTarget: 2 * time.Second, Deadline: 24 * time.Second, Value: 3, LateValue: 0.5},
+			{Name: "ordered", Effect: control.Unsafe, InOrder: true, LatencyTarget: 2 * time.Second, Deadline: 9 * time.Second, Value: 2, LateValue: 0.5}}}
 }
 
 func newWorld(seed uint64) *world {
@@ -57,14 +57,14 @@
 	w.now += time.Duration(5+w.rng.IntN(40)) * time.Millisecond
 	var in []control.Event
 	if no == 0 {
-		in = append(in, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.eps...), Whole: true})
+		in = append(in, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.eps...), Complete: true})
 	}
 	if w.rng.IntN(40) == 0 { // trouble comes or goes
 		e := w.eps[w.rng.IntN(len(w.eps))].ID
 		if _, ok := w.bad[e]; ok {
 			delete(w.bad, e)
 		} else {
-			w.bad[e] = []control.Result{control.Errored, control.Full, control.TimedOut, control.NoConnection, control.Reset, control.Spoilt}[w.rng.IntN(6)]
+			w.bad[e] = []control.Result{control.Errored, control.Throttled, control.TimedOut, control.NoConnection, control.Reset, control.Malformed}[w.rng.IntN(6)]
 			if w.wait[e] = 0; w.rng.IntN(2) == 0 {
 				w.wait[e] = time.Duration(w.rng.IntN(2000)) * time.Millisecond
 			}
@@ -96,11 +96,11 @@
 		}
 		delete(w.out, ref)
 		ev := control.Event{Kind: control.Resolved, ID: ref, Attempt: a.no, Endpoint: a.endpoint, Result: a.result}
-		if a.result == control.Full {
-			ev.Wait = w.wait[a.endpoint]
+		if a.result == control.Throttled {
+			ev.RetryAfter = w.wait[a.endpoint]
 		}
 		if w.rng.IntN(3) == 0 {
-			ev.Reported, ev.Share, ev.Limit = true, w.rng.Float64(), 5+10*w.rng.Float64()
+			ev.Reported, ev.Remaining, ev.Limit = true, w.rng.Float64(), 5+10*w.rng.Float64()
 		}
 		in = append(in, ev)
 	}
@@ -109,15 +109,15 @@
 		class := w.rng.IntN(3)
 		left := []time.Duration{16, 24, 9}[class] * time.Second
 		ev := control.Event{Kind: control.Arrived, ID: w.ref, Destination: w.rng.IntN(5), Class: class, Deadline: w.now + time.Duration(w.rng.Int64N(int64(left))),
-			Key: uint64(w.rng.IntN(8)), Again: w.rng.IntN(9) == 0}
+			Key: uint64(w.rng.IntN(8)), Resubmitted: w.rng.IntN(9) == 0}
 		if w.rng.IntN(20) == 0 { // taken up after a restart
-			ev.Attempt, ev.Ran, ev.RanAt, ev.Endpoint = 1+w.rng.IntN(3), true, w.now-time.Duration(w.rng.IntN(3000))*time.Millisecond, uint32(w.rng.IntN(300))
+			ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1+w.rng.IntN(3), true, w.now-time.Duration(w.rng.IntN(3000))*time.Millisecond, uint32(w.rng.IntN(300))
 			w.tries[w.ref] = ev.Attempt
 		}
 		in = append(in, ev)
 	}
 	if w.rng.IntN(50) == 0 && w.ref > 0 {
-		in = append(in, control.Event{Kind: control.Gone, ID: 1 + w.rng.Uint64N(w.ref)})
+		in = append(in, control.Event{Kind: control.Withdrawn, ID: 1 + w.rng.Uint64N(w.ref)})
 	}
 	now := w.now
 	if w.rng.IntN(100) == 0 { // a clock that steps back
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -310,7 +310,7 @@
 	}
 	// Where the list is pushed, what discovery has to tell at its return counts as told at once: the watch is to be back well
 	// within the grace for drains.
-	if !set.Ask && set.DrainGrace > 0 {
+	if !set.MustSubscribe && set.DrainGrace > 0 {
 		l.WatchRetry = min(l.WatchRetry, set.DrainGrace/4)
 	}
 	return l
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -172,7 +172,7 @@
 		c.narrow(e, now)
 		c.in = append(c.in, c.arrival(m))
 	}
-	if !c.set.Ask {
+	if !c.set.MustSubscribe {
 		c.watchAt = now
 	}
 	c.Turn(now, c.pending(nil)) // a capture that is on from the start has this turn too
@@ -199,8 +199,8 @@
 
 func (c *Core) arrival(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.no<<20 + m.e.Destination,
-		Class: m.e.Class, Tenant: m.e.Tenant, Deadline: c.clock(m.e.Deadline), Again: m.e.Resubmitted, Attempt: m.e.Attempts, Ran: m.e.MayHaveRun}
-	if ev.Ran {
+		Class: m.e.Class, Tenant: m.e.Tenant, Deadline: c.clock(m.e.Deadline), Resubmitted: m.e.Resubmitted, Attempt: m.e.Attempts, MayHaveRun: m.e.MayHaveRun}
+	if ev.MayHaveRun {
 		ev.RanAt, ev.Endpoint = c.clock(m.e.MayHaveRunAt), c.number(m.front, m.e.MayHaveRunOn)
 	}
 	return ev
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -301,8 +301,8 @@
 		t.Error("a message joins a call that in Base64 would outgrow a body")
 	}
 	r.front.taken <- true
-	r.answered(Outcome{Result: control.Delivered}, Outcome{Result: control.Moot, Final: true},
-		Outcome{Result: control.Full, RetryAfter: 10 * time.Second})
+	r.answered(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
+		Outcome{Result: control.Throttled, RetryAfter: 10 * time.Second})
 	if got := <-r.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
 		t.Errorf("notices %+v, want one of the delivery", got)
 	}
@@ -460,7 +460,7 @@
 func TestRecall(t *testing.T) {
 	for name, happens := range map[string]func(r *rig, out, on *Attempt){
 		"a wait is told": func(r *rig, out, on *Attempt) {
-			r.after(0, stepEnded{out, []Outcome{{Result: control.Full, RetryAfter: time.Second}}})
+			r.after(0, stepEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
 		"it drains": func(r *rig, _, on *Attempt) {
 			r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Destinations: []Destination{
--- a/internal/relay/engine/events.go
+++ b/internal/relay/engine/events.go
@@ -73,7 +73,7 @@
 
 // withdraw forgets a message whose client does not count on it, and calls off what is out.
 func (c *Core) withdraw(m *message) {
-	c.in = append(c.in, control.Event{Kind: control.Gone, ID: m.ref})
+	c.in = append(c.in, control.Event{Kind: control.Withdrawn, ID: m.ref})
 	c.jour.End(m.e)
 	if s := m.step; s != nil && len(s.Items) == 1 { // the module can't: the message is no longer there when it decides
 		if s.recall(); c.set.Cancel {
@@ -139,8 +139,8 @@
 			m.step = nil
 		}
 		c.in = append(c.in, control.Event{Kind: control.Resolved, ID: it.ref, Attempt: it.attempt,
-			Endpoint: s.step.To.no, Result: o.Result, Settled: o.Final, Wait: o.RetryAfter,
-			Reported: o.Reported, Share: o.Share, Limit: o.Limit})
+			Endpoint: s.step.To.no, Result: o.Result, Final: o.Final, RetryAfter: o.RetryAfter,
+			Reported: o.Reported, Remaining: o.Share, Limit: o.Limit})
 		switch {
 		case m == nil || m.e.NoticePending: // ended before
 		case o.Result == control.Delivered && m.front.Front.NotifiesDeliveries():
@@ -171,7 +171,7 @@
 		return
 	}
 	p.front.index, p.front.toldBy = p.Index, p.no
-	ev := control.Event{Kind: control.Listed, Whole: p.Complete}
+	ev := control.Event{Kind: control.Listed, Complete: p.Complete}
 	if p.Complete {
 		for _, n := range p.front.list { // unless it is named again below
 			if d := c.dests[n]; d.goneAt.IsZero() {
@@ -206,7 +206,7 @@
 		state = control.Draining // it gets nothing new
 	}
 	return control.Endpoint{ID: n, Zone: slices.Index(c.set.Zones, d.Zone), Kind: slices.Index(c.set.KindNames, d.Kind),
-		Destination: d.front.no<<20 + d.Partner, State: state, Weight: c.set.Weight(d.Weight), Most: c.gov.MostTo(d.Partner)}
+		Destination: d.front.no<<20 + d.Partner, State: state, Weight: c.set.Weight(d.Weight), MaxRate: c.gov.MostTo(d.Partner)}
 }
 
 type watchEnded struct {
@@ -227,8 +227,8 @@
 	case told && errors.Is(w.err, ErrWatchTimeout):
 		// Discovery is there and all watches have fallen silent together: what they miss counts as told soon, so each opens its
 		// own anew by itself, in a moment of its own.
-		c.watchAt = now.Add(c.lim.WatchSpread * time.Duration(c.set.Me) / time.Duration(max(c.set.Peers, 1)))
-	case c.set.Ask:
+		c.watchAt = now.Add(c.lim.WatchSpread * time.Duration(c.set.Index) / time.Duration(max(c.set.Peers, 1)))
+	case c.set.MustSubscribe:
 		c.in = append(c.in, control.Event{Kind: control.ListFailed}) // the module says when to ask again
 	case told:
 		c.watchAt = now // what the agent has counts as told at once
--- a/internal/relay/engine/govern.go
+++ b/internal/relay/engine/govern.go
@@ -57,7 +57,7 @@
 		c.note(now, "another policy is in force")
 	}
 	if len(s.Worth) > 0 || len(s.Quotas) > 0 {
-		c.mod.Adopt(s.Worth, s.Quotas)
+		c.mod.Reconfigure(s.Worth, s.Quotas)
 	}
 	if !slices.Equal(s.Shut, was.Shut) || !slices.Equal(s.Most, was.Most) {
 		c.relist(was)
@@ -100,7 +100,7 @@
 	}
 	c.in = append(c.in, ev)
 	for _, f := range c.order {
-		if f.unwatch == nil && c.set.Ask { // the module takes any word of the list for the end of its asking
+		if f.unwatch == nil && c.set.MustSubscribe { // the module takes any word of the list for the end of its asking
 			c.in = append(c.in, control.Event{Kind: control.ListFailed})
 			break
 		}
@@ -160,7 +160,7 @@
 	for _, s := range c.stalled {
 		switch {
 		case s.begun.Load() == 2 || !now.Before(s.at.Add(s.Timeout)):
-			moot := slices.Repeat([]Outcome{{Result: control.Moot}}, len(s.Items))
+			moot := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
 			stepEnded{s, moot}.apply(c, now)
 		case acts && !now.Before(s.from) && !c.stillAllowed(s, now):
 		case acts && !now.Before(s.from):
@@ -196,7 +196,7 @@
 
 // stillAllowed tells whether a step that has waited may begin under the policy that is in force now; otherwise it is over.
 func (c *Core) stillAllowed(s *Attempt, now time.Time) bool {
-	outs := slices.Repeat([]Outcome{{Result: control.Moot}}, len(s.Items))
+	outs := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
 	ok := !c.shut(s.To.Partner)
 	for i, it := range s.Items {
 		m := c.msgs[it.ref]
--- a/internal/relay/engine/govern_test.go
+++ b/internal/relay/engine/govern_test.go
@@ -93,7 +93,7 @@
 	if first.MayWriteAt(r.now) {
 		t.Error("a call that had written nothing goes out after the relay has stopped")
 	}
-	r.answered(Outcome{Result: control.Moot}) // the module sends it again at once
+	r.answered(Outcome{Result: control.NotProcessed}) // the module sends it again at once
 	r.after(20 * time.Millisecond)
 	r.after(20 * time.Millisecond)
 	r.noStep("halted")
@@ -144,7 +144,7 @@
 	r.now = r.now.Add(40 * time.Millisecond)
 	r.after(5*time.Millisecond, a)
 	first := <-r.front.steps
-	r.answered(Outcome{Result: control.Full, RetryAfter: time.Millisecond})
+	r.answered(Outcome{Result: control.Throttled, RetryAfter: time.Millisecond})
 	for range 600 {
 		r.after(20 * time.Millisecond)
 	}
@@ -247,8 +247,8 @@
 func TestHaltedDecidesNothing(t *testing.T) {
 	r := newRig(t, t.TempDir(), time.Now())
 	endpoint := r.c.fronts["platform"].list["s-2"]
-	part := control.Shared{Floor: 0.25, Stays: true, Rights: []control.Right{{Endpoint: endpoint, Extra: 0.25, Limit: 10}}} // 5 calls/s
-	lend := func(s control.Shared) {
+	part := control.SharedLimits{GuaranteedShare: 0.25, KeepsGuaranteed: true, Grants: []control.Grant{{Endpoint: endpoint, ExtraShare: 0.25, Limit: 10}}} // 5 calls/s
+	lend := func(s control.SharedLimits) {
 		r.c.GrantQuota(s, r.now.Add(time.Hour), nil)
 		r.after(time.Millisecond, <-r.c.queue)
 	}
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -127,7 +127,7 @@
 	r.c.SetInspector(i)
 	r.front.at = func(s *Attempt) []Outcome {
 		s.ObserveAnswer(503, map[string][]string{"X-Why": {"shut"}}, []byte("maintenance"))
-		return []Outcome{{Result: control.Full}}
+		return []Outcome{{Result: control.Throttled}}
 	}
 	a, _ := r.hand("m", 1, 8, 20*time.Second)
 	r.after(0, a)
--- a/internal/relay/engine/races_test.go
+++ b/internal/relay/engine/races_test.go
@@ -90,7 +90,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, t.TempDir(), time.Now())
 			<-r.front.watches
-			r.c.set.Ask, r.c.set.Peers, r.c.set.Me = c.ask, 4, 1
+			r.c.set.MustSubscribe, r.c.set.Peers, r.c.set.Index = c.ask, 4, 1
 			r.c.lim.WatchSpread, r.c.lim.WatchRetry = 800*time.Millisecond, 50*time.Millisecond
 			f := r.c.order[0]
 			if c.told {
@@ -165,7 +165,7 @@
 
 // TestEndedID: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
 func TestEndedID(t *testing.T) {
-	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.Moot, Final: true}} {
+	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
 		r := newRig(t, t.TempDir(), time.Now())
 		r.c.lim.EndedKept, r.c.lim.EndedMost = 5*time.Second, 2
 		a, first := r.hand("m", 0, 8, 10*time.Second)
--- a/internal/relay/engine/rerun.go
+++ b/internal/relay/engine/rerun.go
@@ -153,7 +153,7 @@
 	c.rec, c.shell, c.tells = &r.got, still{}, true
 	c.resume(x, func(f capture.FrontState) Front { return recorded{f.Tells} })
 	if s := x.Stand; s != nil && (len(s.Worth) > 0 || len(s.Quotas) > 0) {
-		c.mod.Adopt(s.Worth, s.Quotas)
+		c.mod.Reconfigure(s.Worth, s.Quotas)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.msgs)) {
 		jour.Restore(c.msgs[ref].e)
@@ -215,7 +215,7 @@
 	}
 	for _, e := range turn.Events[min(left, len(turn.Events)):] {
 		if e.Kind == control.Resolved {
-			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.Wait, Final: e.Settled, Reported: e.Reported, Share: e.Share, Limit: e.Limit})
+			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.RetryAfter, Final: e.Final, Reported: e.Reported, Share: e.Remaining, Limit: e.Limit})
 		}
 	}
 	return outs
@@ -258,7 +258,7 @@
 		if e.Shared == nil {
 			return nil, errors.New("what the relay may spend is missing")
 		}
-		return lent{Shared: *e.Shared, until: c.at(e.Shared.Until)}, nil
+		return lent{SharedLimits: *e.Shared, until: c.at(e.Shared.LeaseExpiry)}, nil
 	case capture.AttemptEnded:
 		s := c.out[e.Step]
 		var outs []Outcome
--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -47,11 +47,11 @@
 		}
 		switch v.rng.IntN(12) {
 		case 0:
-			outs[i] = Outcome{Result: control.Full, RetryAfter: time.Duration(v.rng.IntN(900)) * time.Millisecond}
+			outs[i] = Outcome{Result: control.Throttled, RetryAfter: time.Duration(v.rng.IntN(900)) * time.Millisecond}
 		case 1:
 			outs[i].Result, took = control.TimedOut, until.Sub(v.now)
 		case 2:
-			outs[i].Result = []control.Result{control.Errored, control.NoConnection, control.Reset, control.Rejected, control.Spoilt}[v.rng.IntN(5)]
+			outs[i].Result = []control.Result{control.Errored, control.NoConnection, control.Reset, control.Rejected, control.Malformed}[v.rng.IntN(5)]
 		case 3:
 			outs[i] = Outcome{Final: true, Reported: true, Share: v.rng.Float64(), Limit: 9.5}
 		}
--- a/internal/relay/engine/share.go
+++ b/internal/relay/engine/share.go
@@ -10,7 +10,7 @@
 
 // Observation is what the module has seen and needs of a destination or a tenant, with a name that is the same at all relays.
 type Observation struct {
-	control.Sight
+	control.Observation
 	Name string
 }
 
@@ -24,14 +24,14 @@
 
 func (l look) apply(c *Core, now time.Time) {
 	var all []Observation
-	for _, s := range c.mod.Sights(c.clock(now), nil) {
+	for _, s := range c.mod.Observations(c.clock(now), nil) {
 		switch d := c.dests[s.Endpoint]; {
 		case s.Endpoint == 0:
 			if s.Tenant < len(c.set.TenantNames) {
 				all = append(all, Observation{s, c.set.TenantNames[s.Tenant]})
 			}
 		case d == nil: // it has left the list
-		case s.Apart:
+		case s.SeparateRoute:
 			all = append(all, Observation{s, d.front.name + " " + d.Name})
 		default: // a partner has one limit, whichever endpoint is called
 			all = append(all, Observation{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
@@ -44,25 +44,25 @@
 }
 
 // GrantQuota has the module spend what the fleet has lent it from the next turn on, until a time; done is called after that turn.
-func (c *Core) GrantQuota(s control.Shared, until time.Time, done func()) {
+func (c *Core) GrantQuota(s control.SharedLimits, until time.Time, done func()) {
 	c.queue <- lent{s, until, done}
 }
 
 type lent struct {
-	control.Shared
+	control.SharedLimits
 	until time.Time
 	done  func()
 }
 
 // on is what was lent on the module's clock.
-func (l lent) on(c *Core) *control.Shared {
-	s := l.Shared
-	s.Until = c.clock(l.until)
+func (l lent) on(c *Core) *control.SharedLimits {
+	s := l.SharedLimits
+	s.LeaseExpiry = c.clock(l.until)
 	return &s
 }
 
 func (l lent) apply(c *Core, _ time.Time) {
-	c.in = append(c.in, control.Event{Kind: control.Others, Shared: l.on(c)})
+	c.in = append(c.in, control.Event{Kind: control.SharedLimitsUpdated, Shared: l.on(c)})
 	if l.done != nil {
 		c.tellers = append(c.tellers, l.done)
 	}
@@ -73,11 +73,11 @@
 
 // WithoutLease is what the module is lent instead of s while the relay may not act: next to nothing of each limit. What it decided meanwhile
 // would wait, and all of it go out at once when the relay may act again, beyond the relay's part. What others have seen it is told as ever.
-func WithoutLease(s control.Shared) control.Shared {
-	s.Floor, s.Stays = floorWithoutLease, true
-	s.Rights = slices.Clone(s.Rights)
-	for i := range s.Rights {
-		s.Rights[i].Extra = 0
+func WithoutLease(s control.SharedLimits) control.SharedLimits {
+	s.GuaranteedShare, s.KeepsGuaranteed = floorWithoutLease, true
+	s.Grants = slices.Clone(s.Grants)
+	for i := range s.Grants {
+		s.Grants[i].ExtraShare = 0
 	}
 	return s
 }
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -104,7 +104,7 @@
 		}
 		if c.msgs[s.m.ref] == nil || d == nil { // not taken on after all: the module has its slot back
 			c.in = append(c.in, control.Event{Kind: control.Resolved, ID: s.a.ID, Attempt: s.m.e.Attempts,
-				Endpoint: s.a.Endpoint, Result: control.Moot})
+				Endpoint: s.a.Endpoint, Result: control.NotProcessed})
 			continue
 		}
 		if c.exhausted(s.m, s.a) {
@@ -217,7 +217,7 @@
 			}
 			c.input.Full = append(c.input.Full, i)
 			m.busy = &Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
-			c.in = append(c.in, control.Event{Kind: control.Gone, ID: m.ref}) // the module learns of it next turn
+			c.in = append(c.in, control.Event{Kind: control.Withdrawn, ID: m.ref}) // the module learns of it next turn
 		}
 		c.drop(m)
 	}
@@ -254,7 +254,7 @@
 	for _, s := range steps {
 		c.out[s.no] = s
 		if err != nil {
-			moot := slices.Repeat([]Outcome{{Result: control.Moot}}, len(s.Items))
+			moot := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
 			stepEnded{s, moot}.apply(c, now)
 			continue
 		}
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -136,7 +136,7 @@
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &r.cfg.Settings
 	for i := range set.Classes {
-		out.Worth = append(out.Worth, set.Classes[i].Worth)
+		out.Worth = append(out.Worth, set.Classes[i].Value)
 	}
 	for _, t := range set.Tenants {
 		out.Quotas = append(out.Quotas, t.Quota)
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -15,7 +15,7 @@
 // Core is what a fleet's part has to do with its relay's core, where the fleet shares limits.
 type Core interface {
 	Observe(tell func([]engine.Observation, map[string]uint64))
-	GrantQuota(s control.Shared, until time.Time, done func())
+	GrantQuota(s control.SharedLimits, until time.Time, done func())
 }
 
 // sight is how a key stands at this relay.
@@ -52,15 +52,15 @@
 func needs(all []engine.Observation) ([]quota.Need, map[quota.Key]sight) {
 	list, sights := make([]quota.Need, 0, len(all)), make(map[quota.Key]sight, len(all))
 	for _, s := range all {
-		n := quota.Need{Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
+		n := quota.Need{Want: s.Demand, Worth: s.Value, Limit: s.Limit, Told: s.LimitAge, Seen: s.HealthAge, Wait: s.RetryAfter}
 		at := sight{s.Name, -1, s.Endpoint}
 		if n.Key = quota.Of(quota.Destination, s.Name); s.Endpoint == 0 {
 			n.Key, at.tenant = quota.Of(quota.Tenant, s.Name), s.Tenant
 		}
 		switch {
-		case s.Down:
+		case s.Unhealthy:
 			n.State = quota.Down
-		case s.Well:
+		case s.Healthy:
 			n.State = quota.Well
 		}
 		list, sights[n.Key] = append(list, n), at
@@ -116,19 +116,19 @@
 }
 
 // shared is what a relay was lent some time ago, as its core is told it.
-func shared(s *quota.Spend, sights map[quota.Key]sight, ago time.Duration) control.Shared {
-	out := control.Shared{Floor: s.Floor, Stays: s.Stays}
+func shared(s *quota.Spend, sights map[quota.Key]sight, ago time.Duration) control.SharedLimits {
+	out := control.SharedLimits{GuaranteedShare: s.Floor, KeepsGuaranteed: s.Stays}
 	for _, p := range s.Parts {
 		at, ok := sights[p.Key]
 		if !ok {
 			continue
 		}
-		r := control.Right{Endpoint: at.at, Extra: p.Extra, Limit: p.Limit, Told: p.Told + ago, Down: p.State == quota.Down,
-			Well: p.State == quota.Well, Seen: p.Seen + ago, Wait: max(p.Wait-ago, 0), Try: p.Try}
+		r := control.Grant{Endpoint: at.at, ExtraShare: p.Extra, Limit: p.Limit, LimitAge: p.Told + ago, Unhealthy: p.State == quota.Down,
+			Healthy: p.State == quota.Well, HealthAge: p.Seen + ago, RetryAfter: max(p.Wait-ago, 0), MayProbe: p.Try}
 		if at.tenant >= 0 {
-			r = control.Right{Tenant: at.tenant, Extra: p.Extra}
+			r = control.Grant{Tenant: at.tenant, ExtraShare: p.Extra}
 		}
-		out.Rights = append(out.Rights, r)
+		out.Grants = append(out.Grants, r)
 	}
 	return out
 }
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -19,7 +19,7 @@
 
 func (w *wordsToCore) Observe(func([]engine.Observation, map[string]uint64)) {}
 
-func (w *wordsToCore) GrantQuota(s control.Shared, _ time.Time, done func()) {
+func (w *wordsToCore) GrantQuota(s control.SharedLimits, _ time.Time, done func()) {
 	w.told = append(w.told, s)
 	done()
 }
@@ -41,8 +41,8 @@
 	loan := func(no uint64, extra float64) *quota.Spend {
 		return &quota.Spend{By: 1, No: no, Floor: 0.1, Parts: []quota.Part{{Key: key, Extra: extra}}, Until: time.Hour}
 	}
-	spends := func(floor, extra float64, stays bool) control.Shared {
-		return control.Shared{Floor: floor, Stays: stays, Rights: []control.Right{{Endpoint: 7, Extra: extra}}}
+	spends := func(floor, extra float64, stays bool) control.SharedLimits {
+		return control.SharedLimits{GuaranteedShare: floor, KeepsGuaranteed: stays, Grants: []control.Grant{{Endpoint: 7, ExtraShare: extra}}}
 	}
 	resting := engine.WithoutLease(spends(0, 0, false))
 
@@ -57,7 +57,7 @@
 	// Then
 	want := []any{node.Stand{Version: 1}, spends(0.1, 0.5, false), node.Stand{Version: 1, Halted: 2}, resting, resting,
 		node.Stand{Version: 1, Halted: 2, Until: time.Minute}, spends(0.1, 0.6, false), node.Stand{Version: 2}}
-	ages := cmp.FilterPath(func(p cmp.Path) bool { return p.Last().String() == ".Told" || p.Last().String() == ".Seen" }, cmp.Ignore())
+	ages := cmp.FilterPath(func(p cmp.Path) bool { return p.Last().String() == ".LimitAge" || p.Last().String() == ".HealthAge" }, cmp.Ignore())
 	if d := cmp.Diff(want, core.told, ages); d != "" {
 		t.Error(d)
 	}
@@ -80,8 +80,8 @@
 		{"given one older than its wait, then that is over", time.Second, 2 * time.Second, 3 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			want := control.Shared{Floor: 0.1, Rights: []control.Right{{Endpoint: 7, Extra: 0.5, Limit: 30, Told: c.told, Down: true, Seen: c.seen,
-				Wait: c.wait, Try: true}}}
+			want := control.SharedLimits{GuaranteedShare: 0.1, Grants: []control.Grant{{Endpoint: 7, ExtraShare: 0.5, Limit: 30, LimitAge: c.told, Unhealthy: true, HealthAge: c.seen,
+				RetryAfter: c.wait, MayProbe: true}}}
 			if d := cmp.Diff(want, shared(lent, sights, c.ago)); d != "" {
 				t.Error(d)
 			}
--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -43,7 +43,7 @@
 	{"one witness suffices", "quota/judge.go", "case z.down >= 2 && z.down > 2*z.well", "case z.down >= 1 && z.down > 2*z.well", "TestVerdict", ""},
 	{"evidence never ages", "quota/judge.go", "n.State == Down && now-at <= freshFor", "n.State == Down", "TestVerdict", ""},
 	{"echoes are evidence", "../../../control/shared.go", "case d.health == stopped && !d.heard:", "case d.health == stopped:", "TestHearsay", "mastusher/control"},
-	{"own evidence does not count", "../../../control/shared.go", "case r.Down && d.newest < at &&", "case r.Down &&", "TestHearsay", "mastusher/control"},
+	{"own evidence does not count", "../../../control/shared.go", "case r.Unhealthy && d.newest < at &&", "case r.Unhealthy &&", "TestHearsay", "mastusher/control"},
 	{"all try what is down", "../../../control/shared.go", "if d.down && !d.try &&", "if false && !d.try &&", "TestTurnToTry", "mastusher/control"},
 	{"a life that was summed up counts again", "quota/count.go", "	if t.Gen <= a.until {", "	if false {", "TestBook", "mastusher/internal/relay/fleet/quota"},
 	{"a tally that comes twice counts twice", "quota/count.go", "l.n[k] = max(l.n[k], v)", "l.n[k] += v", "TestBook", "mastusher/internal/relay/fleet/quota"},
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -205,9 +205,9 @@
 func StageResult(s httpwire.Stage) (control.Result, bool) {
 	switch s {
 	case httpwire.Spoilt:
-		return control.Spoilt, true
+		return control.Malformed, true
 	case httpwire.Withheld:
-		return control.Moot, true
+		return control.NotProcessed, true
 	case httpwire.NotConnected:
 		return control.NoConnection, true
 	case httpwire.Broken:
@@ -261,18 +261,18 @@
 	case 200:
 		all.Result = control.Delivered
 	case 429, 503:
-		switch all.Result = control.Full; {
+		switch all.Result = control.Throttled; {
 		case p.Header.Get("X-No-Slot") != "":
-			all.Result = control.Moot
+			all.Result = control.NotProcessed
 		case p.Status == 503 && p.Close && p.Fresh && all.RetryAfter == 0:
 			// The connection itself was turned away: the endpoint holds as many as it takes, idle ones counted. That is no limit on
 			// calls; what helps is to hold none that is not in use.
 			all.Result = control.NoConnection
 		}
 	case 504, 400, 413: // has not run
-		all.Result = control.Moot
+		all.Result = control.NotProcessed
 	case 410:
-		all.Result, all.Final = control.Moot, true
+		all.Result, all.Final = control.NotProcessed, true
 	default:
 		all.Result = control.Errored
 	}
@@ -283,7 +283,7 @@
 		return
 	}
 	for i := range outs { // an item that the answer does not name may have run
-		outs[i].Result = control.Spoilt
+		outs[i].Result = control.Malformed
 	}
 	if !gjson.ValidBytes(p.Body) { // gjson would read what it can of it
 		return
@@ -300,11 +300,11 @@
 			case "failed":
 				o.Result = control.Errored
 			case "refused":
-				o.Result = control.Full
+				o.Result = control.Throttled
 			case "over":
-				o.Result, o.Final = control.Moot, true
+				o.Result, o.Final = control.NotProcessed, true
 			case "spent":
-				o.Result = control.Moot
+				o.Result = control.NotProcessed
 			}
 		}
 		return true
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -74,7 +74,7 @@
 			if c.client == "testdata/client-tenant.txt" {
 				cfg.Settings.TenantNames, cfg.Settings.Tenants = []string{"north", "acme"}, make([]control.Tenant, 2)
 			}
-			cfg.Settings.Ask = true // and the module asks once: the watch below fails, and is let be
+			cfg.Settings.MustSubscribe = true // and the module asks once: the watch below fails, and is let be
 			jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
 			if err != nil {
 				t.Fatal(err)
@@ -149,28 +149,28 @@
 			outs{{Result: control.Delivered, Reported: true, Share: 0.4, Limit: 25}}, false, false},
 		{"with half a report", one, 200, h("X-Server-Load", "TEXT x0=0.4"), "", outs{{Result: control.Delivered, Share: 0.4}}, false, false},
 		{"error", one, 500, nil, "", outs{{Result: control.Errored}}, false, false},
-		{"told to wait", one, 429, h("Retry-After", "0.43"), "", outs{{Result: control.Full, RetryAfter: 430 * time.Millisecond}}, false, false},
-		{"shut", one, 503, nil, "", outs{{Result: control.Full}}, false, false},
-		{"no slot", one, 503, h("X-No-Slot", "1"), "", outs{{Result: control.Moot}}, false, false},
-		{"attempts used up", one, 504, nil, "", outs{{Result: control.Moot}}, false, false},
-		{"over", one, 410, nil, "", outs{{Result: control.Moot, Final: true}}, false, false},
+		{"told to wait", one, 429, h("Retry-After", "0.43"), "", outs{{Result: control.Throttled, RetryAfter: 430 * time.Millisecond}}, false, false},
+		{"shut", one, 503, nil, "", outs{{Result: control.Throttled}}, false, false},
+		{"no slot", one, 503, h("X-No-Slot", "1"), "", outs{{Result: control.NotProcessed}}, false, false},
+		{"attempts used up", one, 504, nil, "", outs{{Result: control.NotProcessed}}, false, false},
+		{"over", one, 410, nil, "", outs{{Result: control.NotProcessed, Final: true}}, false, false},
 		{"all alike", two, 500, nil, "", outs{{Result: control.Errored}, {Result: control.Errored}}, false, false},
 		{"each by itself", two, 200, h("Retry-After", "1"), `[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]`,
-			outs{{Result: control.Full, RetryAfter: time.Second}, {Result: control.Delivered, RetryAfter: time.Second}}, false, false},
+			outs{{Result: control.Throttled, RetryAfter: time.Second}, {Result: control.Delivered, RetryAfter: time.Second}}, false, false},
 		{"over and spent", two, 200, nil, `[{"id":"a","state":"over"},{"id":"b","state":"spent"}]`,
-			outs{{Result: control.Moot, Final: true}, {Result: control.Moot}}, false, false},
+			outs{{Result: control.NotProcessed, Final: true}, {Result: control.NotProcessed}}, false, false},
 		{"not named: may have run", two, 200, nil, `[{"id":"a","state":"failed"}]`,
-			outs{{Result: control.Errored}, {Result: control.Spoilt}}, false, false},
+			outs{{Result: control.Errored}, {Result: control.Malformed}}, false, false},
 		{"broken JSON", two, 200, nil, `[{"id":"a","state":"delivered"},{"id":"b","sta`,
-			outs{{Result: control.Spoilt}, {Result: control.Spoilt}}, false, false},
+			outs{{Result: control.Malformed}, {Result: control.Malformed}}, false, false},
 		{"figures that are none", one, 429, h("Retry-After", "Inf", "X-Server-Load", "TEXT x0=NaN, x1=-5"), "",
-			outs{{Result: control.Full}}, false, false},
+			outs{{Result: control.Throttled}}, false, false},
 		{"a wait that nobody means", one, 503, h("Retry-After", "1e300", "X-Server-Load", "TEXT x0=0.1, x1=1e300"), "",
-			outs{{Result: control.Full, Share: 0.1}}, false, false},
+			outs{{Result: control.Throttled, Share: 0.1}}, false, false},
 		{"its connection is turned away", one, 503, nil, "", outs{{Result: control.NoConnection}}, true, false},
-		{"shut, on a connection that was kept", one, 503, nil, "", outs{{Result: control.Full}}, true, true},
-		{"told to wait, and the end", one, 503, h("Retry-After", "1"), "", outs{{Result: control.Full, RetryAfter: time.Second}}, true, false},
-		{"above the limit, and the end", one, 429, nil, "", outs{{Result: control.Full}}, true, false},
+		{"shut, on a connection that was kept", one, 503, nil, "", outs{{Result: control.Throttled}}, true, true},
+		{"told to wait, and the end", one, 503, h("Retry-After", "1"), "", outs{{Result: control.Throttled, RetryAfter: time.Second}}, true, false},
+		{"above the limit, and the end", one, 429, nil, "", outs{{Result: control.Throttled}}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(outs, len(c.step.Items))
@@ -190,8 +190,8 @@
 		items []engine.Item
 		want  control.Result
 	}{
-		{"testdata/spoilt-200.txt", one, control.Delivered}, {"testdata/spoilt-200.txt", two, control.Spoilt},
-		{"testdata/spoilt-503.txt", one, control.Spoilt},
+		{"testdata/spoilt-200.txt", one, control.Delivered}, {"testdata/spoilt-200.txt", two, control.Malformed},
+		{"testdata/spoilt-503.txt", one, control.Malformed},
 	} {
 		l, done := wiretest.Listen(t), make(chan bool, 1)
 		go play(t, l, c.file, done)
@@ -366,7 +366,7 @@
 	known := fmt.Sprintf(`{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":%q,"zone":"a","type":"m2","group":7,"status":"ready"},
 		{"name":"s-2","address":%q,"zone":"a","type":"m2","group":8,"status":"ready"}]}`, room.Addr(), full.Addr())
 	cfg.Known = gjson.Parse(known)
-	cfg.Settings.Ask, cfg.Settings.ConnIdle, cfg.Limits.IdleSocket = true, time.Hour, time.Hour
+	cfg.Settings.MustSubscribe, cfg.Settings.ConnIdle, cfg.Limits.IdleSocket = true, time.Hour, time.Hour
 	_, f, jour, end := begin(t, cfg)
 	for i, dest := range []string{"dest=7", "dest=8"} {
 		q := &httpwire.Request{Method: "POST", Path: "/score-state", Header: map[string][]string{"X-Request-Id": {dest}, "X-Timeout": {"20000m"},
@@ -402,8 +402,8 @@
 		})
 		go func() { _ = ends.Serve(endpoint) }()
 		cfg := configure(t, "-", endpoint.Addr().String())
-		cfg.Settings.Ask = true
-		cfg.Settings.Classes = append(cfg.Settings.Classes, control.Class{Name: "order", Aim: time.Second, Deadline: time.Minute, Worth: 1})
+		cfg.Settings.MustSubscribe = true
+		cfg.Settings.Classes = append(cfg.Settings.Classes, control.Class{Name: "order", LatencyTarget: time.Second, Deadline: time.Minute, Value: 1})
 		_, f, jour, end := begin(t, cfg)
 		clients := wiretest.Listen(t)
 		broken, lost, tries := make(chan struct{}), make(chan struct{}), 0
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -157,9 +157,9 @@
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
 	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
 	step.ObserveAnswer(503, nil, nil)
-	outs := []engine.Outcome{{Result: control.Full, RetryAfter: time.Second}}
+	outs := []engine.Outcome{{Result: control.Throttled, RetryAfter: time.Second}}
 	h.OnAnswer("platform", step, outs)
-	if d := cmp.Diff([]engine.Outcome{{Result: control.Full, RetryAfter: time.Second}}, outs); d != "" {
+	if d := cmp.Diff([]engine.Outcome{{Result: control.Throttled, RetryAfter: time.Second}}, outs); d != "" {
 		t.Error(d)
 	}
 	for i := range 3 * h.lim.PluginEnds {
@@ -397,10 +397,10 @@
 		module    []byte
 		out, want engine.Outcome
 	}{
-		"a longer wait":         {wasmtest.Asks(3000, false), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: 3 * time.Second}},
-		"a shorter wait":        {wasmtest.Asks(10, false), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: time.Second}},
-		"refused for good":      {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full}, engine.Outcome{Result: control.Rejected}},
-		"but not past a wait":   {wasmtest.Asks(0, true), engine.Outcome{Result: control.Full, RetryAfter: time.Second}, engine.Outcome{Result: control.Full, RetryAfter: time.Second}},
+		"a longer wait":         {wasmtest.Asks(3000, false), engine.Outcome{Result: control.Throttled, RetryAfter: time.Second}, engine.Outcome{Result: control.Throttled, RetryAfter: 3 * time.Second}},
+		"a shorter wait":        {wasmtest.Asks(10, false), engine.Outcome{Result: control.Throttled, RetryAfter: time.Second}, engine.Outcome{Result: control.Throttled, RetryAfter: time.Second}},
+		"refused for good":      {wasmtest.Asks(0, true), engine.Outcome{Result: control.Throttled}, engine.Outcome{Result: control.Rejected}},
+		"but not past a wait":   {wasmtest.Asks(0, true), engine.Outcome{Result: control.Throttled, RetryAfter: time.Second}, engine.Outcome{Result: control.Throttled, RetryAfter: time.Second}},
 		"nor what may have run": {wasmtest.Asks(0, true), engine.Outcome{Result: control.Errored}, engine.Outcome{Result: control.Errored}},
 		"nor a delivery":        {wasmtest.Asks(9, true), engine.Outcome{Result: control.Delivered}, engine.Outcome{Result: control.Delivered}},
 	} {
--- a/internal/relay/plugin/rules/rules.go
+++ b/internal/relay/plugin/rules/rules.go
@@ -176,7 +176,7 @@
 	if ask == (Ask{}) {
 		return a, None
 	}
-	if a.Over || a.Result != control.Full {
+	if a.Over || a.Result != control.Throttled {
 		return a, Looser
 	}
 	if ask.Refuse {
--- a/internal/relay/plugin/rules/rules_test.go
+++ b/internal/relay/plugin/rules/rules_test.go
@@ -106,14 +106,14 @@
 		if after.Over != before.Over || after.Wait < before.Wait {
 			t.Fatalf("%+v becomes %+v", before, after)
 		}
-		if after.Result != before.Result && !(before.Result == control.Full && after.Result == control.Rejected && before.Wait == 0) {
+		if after.Result != before.Result && !(before.Result == control.Throttled && after.Result == control.Rejected && before.Wait == 0) {
 			t.Fatalf("%+v becomes %+v", before, after)
 		}
 		if !before.Result.NeverRan() && after.Result.NeverRan() {
 			t.Fatalf("%+v may have run, %+v claims that it did not", before, after)
 		}
 	})
-	if got, _ := Tighten(Answer{Result: control.Full, Wait: time.Second}, Ask{Wait: time.Hour}, &lim); got.Wait != time.Minute {
+	if got, _ := Tighten(Answer{Result: control.Throttled, Wait: time.Second}, Ask{Wait: time.Hour}, &lim); got.Wait != time.Minute {
 		t.Errorf("a wait of an hour is cut to %v", got.Wait)
 	}
 }
--- a/internal/relay/plugin/trial/trial.go
+++ b/internal/relay/plugin/trial/trial.go
@@ -92,7 +92,7 @@
 		number(&k.Status)
 		k.Answer.Result = control.Errored
 		if k.Status == 429 || k.Status == 503 {
-			k.Answer.Result = control.Full
+			k.Answer.Result = control.Throttled
 		} else if k.Status/100 == 2 {
 			k.Answer.Result = control.Delivered
 		}
--- a/internal/relay/simulator/checker.go
+++ b/internal/relay/simulator/checker.go
@@ -64,12 +64,12 @@
 // hears is what a relay is told, in the turn in which it is.
 func (k *Checker) hears(relay int32, ev *control.Event) {
 	switch {
-	case ev.Kind == control.Resolved && ev.Result == control.Full && ev.Wait > 0:
+	case ev.Kind == control.Resolved && ev.Result == control.Throttled && ev.RetryAfter > 0:
 		if k.until == nil {
 			k.until = map[[2]int32]time.Duration{}
 		}
 		at := [2]int32{relay, int32(ev.Endpoint)}
-		k.until[at] = max(k.until[at], k.run.now+ev.Wait)
+		k.until[at] = max(k.until[at], k.run.now+ev.RetryAfter)
 	case ev.Kind == control.Listed:
 		if k.left == nil {
 			k.left = map[[2]int32]time.Duration{}
--- a/internal/relay/simulator/emulator.go
+++ b/internal/relay/simulator/emulator.go
@@ -163,7 +163,7 @@
 		s.See(r.truth)
 	}
 	*re = relay{policy: p, seed: re.seed + 1, calls: map[uint64]int32{}}
-	whole := control.Event{Kind: control.Listed, Whole: true}
+	whole := control.Event{Kind: control.Listed, Complete: true}
 	for e := range r.ends {
 		if s := r.ends[e].listed; s != control.Removed {
 			whole.Endpoints = append(whole.Endpoints, r.listing(int32(e), s))
@@ -308,9 +308,9 @@
 	}
 	msg.tries++
 	r.ticks = append(r.ticks, ticket{msg: m, relay: at})
-	ev := control.Event{Kind: control.Arrived, ID: uint64(len(r.ticks)), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline, Again: msg.tries > 1}
+	ev := control.Event{Kind: control.Arrived, ID: uint64(len(r.ticks)), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline, Resubmitted: msg.tries > 1}
 	if msg.mayRan { // as its first relay told the client
-		ev.Ran, ev.RanAt = true, msg.ranAt
+		ev.MayHaveRun, ev.RanAt = true, msg.ranAt
 	}
 	r.tell(at, ev)
 }
@@ -404,7 +404,7 @@
 		}
 	case control.Recall:
 		if c, ok := re.calls[a.ID]; ok && r.calls[c].born+r.way(i, r.calls[c].endpoint, false) > r.now {
-			r.resolve(c, control.Moot, 0) // nothing of it has been written
+			r.resolve(c, control.NotProcessed, 0) // nothing of it has been written
 		}
 	case control.Wake:
 		if at := max(a.At, r.now+1); re.wakeAt == 0 || at < re.wakeAt {
--- a/internal/relay/simulator/endpoint.go
+++ b/internal/relay/simulator/endpoint.go
@@ -130,7 +130,7 @@
 	case e.gone || e.down > 0 || int(c.relay) < e.cut:
 		r.back(n, control.NoConnection, 0)
 	case e.refuse > 0:
-		r.back(n, control.Full, time.Duration(e.wait))
+		r.back(n, control.Throttled, time.Duration(e.wait))
 	case e.fail > 0:
 		r.back(n, control.Errored, 0)
 	case e.silent > 0:
@@ -143,7 +143,7 @@
 		if p.Tells {
 			wait = time.Duration((1 - e.tokens) / r.limit(e) * float64(time.Second))
 		}
-		r.back(n, control.Full, wait)
+		r.back(n, control.Throttled, wait)
 	case len(e.serving) < r.capacity(e):
 		r.runs(n)
 		r.serve(n)
@@ -156,7 +156,7 @@
 		if p.Tells {
 			wait = time.Duration(float64(p.Median) * float64(1+len(e.waiting)/max(r.capacity(e), 1)))
 		}
-		r.back(n, control.Full, wait)
+		r.back(n, control.Throttled, wait)
 		r.pressed(c.endpoint)
 	}
 }
@@ -305,12 +305,12 @@
 		msg.mayRan, msg.ranAt = true, c.born
 	}
 	r.Stats.resolved(result)
-	ev := control.Event{Kind: control.Resolved, ID: c.ticket, Attempt: int(c.attempt), Endpoint: uint32(c.endpoint + 1), Result: result, Wait: wait,
+	ev := control.Event{Kind: control.Resolved, ID: c.ticket, Attempt: int(c.attempt), Endpoint: uint32(c.endpoint + 1), Result: result, RetryAfter: wait,
 		Elapsed: r.now - c.born}
-	if p := &r.W.Partners[r.ends[c.endpoint].group]; p.Limit > 0 && (result == control.Delivered || result == control.Full) {
+	if p := &r.W.Partners[r.ends[c.endpoint].group]; p.Limit > 0 && (result == control.Delivered || result == control.Throttled) {
 		e := &r.ends[c.endpoint]
 		ev.Reported, ev.Limit = true, r.limit(e)
-		ev.Share = max(0, min(1, e.tokens/r.depth(e)))
+		ev.Remaining = max(0, min(1, e.tokens/r.depth(e)))
 	}
 	if result == control.Delivered {
 		r.Check.delivered(&r.ticks[c.ticket-1])
--- a/internal/relay/simulator/fullrelay/whole.go
+++ b/internal/relay/simulator/fullrelay/whole.go
@@ -107,16 +107,16 @@
 		case control.Listed:
 			p.listed(e)
 		case control.Arrived:
-			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Resubmitted: e.Again,
+			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.at(e.Deadline), Resubmitted: e.Resubmitted,
 				Body: []byte("{}")}
-			if e.Ran {
+			if e.MayHaveRun {
 				m.MayHaveRunAt = p.at(e.RanAt)
 			}
 			arrived = append(arrived, handed{e.ID, p.core.SubmitAt(front, m, p.at(now))})
 		case control.Resolved:
 			if done := p.calls[e.ID]; done != nil {
 				delete(p.calls, e.ID)
-				done([]engine.Outcome{{Result: e.Result, RetryAfter: e.Wait, Reported: e.Reported, Share: e.Share, Limit: e.Limit}})
+				done([]engine.Outcome{{Result: e.Result, RetryAfter: e.RetryAfter, Reported: e.Reported, Share: e.Remaining, Limit: e.Limit}})
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	p.index++
-	pool := engine.EndpointList{Index: p.index, Complete: e.Whole}
+	pool := engine.EndpointList{Index: p.index, Complete: e.Complete}
 	for _, d := range e.Endpoints {
 		pool.Destinations = append(pool.Destinations, engine.Destination{Name: fmt.Sprint("e", d.ID), Zone: zone(d.Zone), Kind: kind(d.Kind),
 			Partner: d.Destination, State: d.State})
--- a/internal/relay/simulator/lab_test.go
+++ b/internal/relay/simulator/lab_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	return map[simulator.Rule]func(simulator.Policy) simulator.Policy{
-		"waits": every(func(e *control.Event) { e.Wait = 0 }),
+		"waits": every(func(e *control.Event) { e.RetryAfter = 0 }),
 		"drains": every(func(e *control.Event) {
 			for i := range e.Endpoints {
 				e.Endpoints[i].State = control.Ready
@@ -164,13 +164,13 @@
 			if e.Kind == control.Resolved && e.Result != control.Delivered {
 				e.Result = control.NoConnection
 			}
-			e.Ran = false
+			e.MayHaveRun = false
 		}),
 		"effects": every(func(e *control.Event) {
 			if e.Kind == control.Resolved && e.Result != control.Delivered {
 				e.Result = control.NoConnection
 			}
-			e.Ran = false
+			e.MayHaveRun = false
 		}),
 		"attempts": every(func(e *control.Event) { e.Attempt = 0 }),
 		"one end": after(func(a control.Action) []control.Action {
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -123,7 +123,7 @@
 		p.listed(e)
 	case control.Arrived:
 		p.purse = min(p.purse+p.o.Budget, 100)
-		m := &held{id: e.ID, dest: e.Destination, class: e.Class, deadline: e.Deadline, tries: e.Attempt, ran: e.Ran, ranAt: e.RanAt}
+		m := &held{id: e.ID, dest: e.Destination, class: e.Class, deadline: e.Deadline, tries: e.Attempt, ran: e.MayHaveRun, ranAt: e.RanAt}
 		p.held[m.id] = m
 		if p.set.MaxOpen > 0 && len(p.held) > p.set.MaxOpen || !p.may(m) {
 			return p.refuse(m, out)
@@ -143,8 +143,8 @@
 			delete(p.held, m.id)
 			return out
 		}
-		if e.Wait > 0 {
-			at.until = max(at.until, p.now+e.Wait)
+		if e.RetryAfter > 0 {
+			at.until = max(at.until, p.now+e.RetryAfter)
 		}
 		if at.failed++; p.o.Breaker > 0 && at.failed >= p.o.Breaker {
 			at.until, at.failed = max(at.until, p.now+time.Second), 0
@@ -180,7 +180,7 @@
 }
 
 func (p *Simple) listed(e *control.Event) {
-	if e.Whole {
+	if e.Complete {
 		for _, at := range p.ends {
 			at.state = control.Removed
 		}
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -25,7 +25,7 @@
 
 // Sharer is a policy that takes part in sharing.
 type Sharer interface {
-	Sights(now time.Duration, out []control.Sight) []control.Sight
+	Observations(now time.Duration, out []control.Observation) []control.Observation
 }
 
 // sharing is the fleet's side while a world is played. One relay leads; when it is down another does, after a while.
@@ -114,20 +114,20 @@
 	}
 	var needs []quota.Need
 	x.sights[i] = map[quota.Key]uint32{}
-	for _, s := range p.Sights(r.now, nil) {
+	for _, s := range p.Observations(r.now, nil) {
 		if s.Endpoint == 0 {
 			continue
 		}
 		e := &r.ends[s.Endpoint-1]
 		k := quota.Key(1<<20 + e.partner)
-		if s.Apart {
+		if s.SeparateRoute {
 			k = quota.Key(s.Endpoint)
 		}
-		n := quota.Need{Key: k, Want: s.Want, Worth: s.Worth, Limit: s.Limit, Told: s.Told, Seen: s.Seen, Wait: s.Wait}
+		n := quota.Need{Key: k, Want: s.Demand, Worth: s.Value, Limit: s.Limit, Told: s.LimitAge, Seen: s.HealthAge, Wait: s.RetryAfter}
 		switch {
-		case s.Down:
+		case s.Unhealthy:
 			n.State = quota.Down
-		case s.Well:
+		case s.Healthy:
 			n.State = quota.Well
 		}
 		if len(needs) < quota.MostKeys {
@@ -182,13 +182,13 @@
 	if s == nil {
 		return
 	}
-	out := &control.Shared{Floor: s.Floor, Until: s.Until, Stays: s.Stays}
+	out := &control.SharedLimits{GuaranteedShare: s.Floor, LeaseExpiry: s.Until, KeepsGuaranteed: s.Stays}
 	for _, part := range s.Parts {
 		if e, ok := x.sights[p.relay][part.Key]; ok {
-			out.Rights = append(out.Rights, control.Right{Endpoint: e, Extra: part.Extra, Limit: part.Limit, Told: part.Told, Down: part.State == quota.Down,
-				Well: part.State == quota.Well, Seen: part.Seen, Wait: part.Wait, Try: part.Try})
+			out.Grants = append(out.Grants, control.Grant{Endpoint: e, ExtraShare: part.Extra, Limit: part.Limit, LimitAge: part.Told, Unhealthy: part.State == quota.Down,
+				Healthy: part.State == quota.Well, HealthAge: part.Seen, RetryAfter: part.Wait, MayProbe: part.Try})
 		}
 	}
-	r.tell(p.relay, control.Event{Kind: control.Others, Shared: out})
+	r.tell(p.relay, control.Event{Kind: control.SharedLimitsUpdated, Shared: out})
 	x.purses[p.relay].Goes(s.By, s.No) // its turn comes before anything that it says
 }
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -90,7 +90,7 @@
 func (s *Stats) resolved(r control.Result) {
 	switch r {
 	case control.Delivered:
-	case control.Full:
+	case control.Throttled:
 		s.Full[s.bucket]++
 	default:
 		s.Failed[s.bucket]++
--- a/internal/relay/simulator/trouble.go
+++ b/internal/relay/simulator/trouble.go
@@ -180,9 +180,9 @@
 			continue
 		}
 		ev := control.Event{Kind: control.Arrived, ID: uint64(id + 1), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline,
-			Again: true, Attempt: int(t.tries)}
+			Resubmitted: true, Attempt: int(t.tries)}
 		if msg.mayRan {
-			ev.Ran, ev.RanAt = true, msg.ranAt
+			ev.MayHaveRun, ev.RanAt = true, msg.ranAt
 		}
 		r.tell(i, ev)
 	}
--- a/internal/relay/simulator/world.go
+++ b/internal/relay/simulator/world.go
@@ -226,14 +226,14 @@
 
 // Settings are what a module is told of the world.
 func (w *World) Settings(relay int) control.Settings {
-	s := control.Settings{Peers: w.Relays, Me: relay, Zone: relay % w.Net.Zones, Slots: w.Slots, MaxOpen: w.MaxOpen, MaxAttempts: w.MaxAttempts, Cancel: true,
-		MaxHoldOff: time.Duration(w.MaxHoldOff), DrainGrace: time.Duration(w.DrainGrace), StartShare: startShare, Cold: 14 * time.Second,
-		Fall: fallAfter, FallMultiple: fallMultiple, ConnIdle: 15 * time.Second}
+	s := control.Settings{Peers: w.Relays, Index: relay, Zone: relay % w.Net.Zones, Slots: w.Slots, MaxOpen: w.MaxOpen, MaxAttempts: w.MaxAttempts, Cancel: true,
+		MaxRetryAfter: time.Duration(w.MaxHoldOff), DrainGrace: time.Duration(w.DrainGrace), SlowStartShare: startShare, SlowStart: 14 * time.Second,
+		OverloadWindow: fallAfter, OverloadMultiple: fallMultiple, ConnIdle: 15 * time.Second}
 	for _, p := range w.Partners {
-		s.Kinds = append(s.Kinds, control.Kind{Apart: p.Apart, PerCall: 1})
+		s.Kinds = append(s.Kinds, control.Kind{SeparateRoutes: p.Apart, PerCall: 1})
 	}
 	for _, c := range w.Classes {
-		k := control.Class{Name: c.Name, Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth, LateWorth: 0.5, Memory: max(time.Duration(c.Window)-windowMargin, 0)}
+		k := control.Class{Name: c.Name, LatencyTarget: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Value: c.Worth, LateValue: 0.5, Memory: max(time.Duration(c.Window)-windowMargin, 0)}
 		switch c.Effect {
 		case "safe":
 			k.Effect = control.Safe
--- a/internal/relay/wire/settings.go
+++ b/internal/relay/wire/settings.go
@@ -152,21 +152,21 @@
 	}
 	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 	s := control.Settings{
-		Peers: in.PeersTotal, Me: in.Me, Zone: in.Zone,
+		Peers: in.PeersTotal, Index: in.Me, Zone: in.Zone,
 		Slots: in.FamilyInfo.Workers, MaxOpen: in.Allowed.MaxOpen, MaxAttempts: in.Allowed.MaxAttempts,
-		Cancel: in.Allowed.Cancel, ConnIdle: us(in.Allowed.ConnIdle), OverWorth: in.OverShareWorth,
-		WorthHalves: in.FamilyInfo.LosesWorth == "halves", MarksAgain: in.Clients.MarksRetry,
-		Ask: in.RegistryMode == "subscribe", AskWithin: us(in.Rules.AskWithin),
-		DrainGrace: us(in.Rules.DrainGrace), StartShare: in.Rules.StartCapacity, Cold: us(in.Rules.Cold),
-		Fall: us(in.Rules.Fall), FallMultiple: in.Rules.OverloadFactor, Settle: us(in.Rules.SettleAfterDoubt),
-		CrossPrice: in.Prices.CrossZone, ZoneFee: in.FamilyInfo.Carriage,
+		Cancel: in.Allowed.Cancel, ConnIdle: us(in.Allowed.ConnIdle), OverQuotaValue: in.OverShareWorth,
+		ValueHalves: in.FamilyInfo.LosesWorth == "halves", MarksResubmitted: in.Clients.MarksRetry,
+		MustSubscribe: in.RegistryMode == "subscribe", SubscribeWithin: us(in.Rules.AskWithin),
+		DrainGrace: us(in.Rules.DrainGrace), SlowStartShare: in.Rules.StartCapacity, SlowStart: us(in.Rules.Cold),
+		OverloadWindow: us(in.Rules.Fall), OverloadMultiple: in.Rules.OverloadFactor, InDoubtDelay: us(in.Rules.SettleAfterDoubt),
+		CrossZonePrice: in.Prices.CrossZone, ZoneFee: in.FamilyInfo.Carriage,
 	}
 	if in.Allowed.RetryAfter {
-		s.MaxHoldOff = us(in.Allowed.MaxRetryAfter)
+		s.MaxRetryAfter = us(in.Allowed.MaxRetryAfter)
 	}
 	for _, l := range in.Lanes {
-		c := control.Class{Name: l.Name, Aim: us(l.Aim), Deadline: us(l.Deadline), Worth: l.Worth,
-			LateWorth: l.LateWorth, Memory: us(l.MemorySpan), InOrder: l.Sequential}
+		c := control.Class{Name: l.Name, LatencyTarget: us(l.Aim), Deadline: us(l.Deadline), Value: l.Worth,
+			LateValue: l.LateWorth, Memory: us(l.MemorySpan), InOrder: l.Sequential}
 		switch l.Effect {
 		case "pure":
 			c.Effect = control.Safe
@@ -184,7 +184,7 @@
 	for i := range max(len(in.MachineTypes), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
 		k := control.Kind{PerCall: 1}
 		if i < len(in.FamilyInfo.KindApart) {
-			k.Apart = in.FamilyInfo.KindApart[i]
+			k.SeparateRoutes = in.FamilyInfo.KindApart[i]
 		}
 		if i < len(in.FamilyInfo.PerCall) {
 			k.PerCall = in.FamilyInfo.PerCall[i]
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -175,8 +175,8 @@
 		set.Classes[1].Effect != control.Safe || set.Classes[2].Effect != control.Unsafe {
 		t.Errorf("classes: %+v", set.Classes)
 	}
-	if !set.Ask || set.Slots != 12 || set.Cold != 14*time.Second || set.Settle != 700*time.Millisecond ||
-		set.MaxHoldOff != 2*time.Second || !set.Kinds[0].Apart || set.Kinds[0].PerCall != 5 {
+	if !set.MustSubscribe || set.Slots != 12 || set.SlowStart != 14*time.Second || set.InDoubtDelay != 700*time.Millisecond ||
+		set.MaxRetryAfter != 2*time.Second || !set.Kinds[0].SeparateRoutes || set.Kinds[0].PerCall != 5 {
 		t.Errorf("settings: %+v", set)
 	}
 	for source, want := range map[string]float64{"nominal": 4, "rough": 4, "off": 0, "live": 0} {
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -108,7 +108,7 @@
 // resent tells the plan how a restarted request fared.
 func (s *Balancer) resent(a *Attempt, took time.Duration) {
 	if a.restart {
-		a.endpoint.service.kind(a.kind).planner.Resent(took, a.expected)
+		a.endpoint.service.kind(a.kind).planner.ObserveRetry(took, a.expected)
 	}
 }
 
@@ -116,9 +116,9 @@
 func (s *Balancer) lost(a *Attempt, ranNot bool) {
 	e, k := a.endpoint, a.endpoint.service.kind(a.kind)
 	e.health.fail(s.now, a.sentAt, ranNot)
-	k.track(e).table.AddLost(s.now)
+	k.track(e).table.AddFailed(s.now)
 	if !ranNot { // else it says nothing of the others
-		k.common.AddLost(s.now)
+		k.common.AddFailed(s.now)
 	}
 }
 
@@ -130,8 +130,8 @@
 		return
 	}
 	in := s.inUnits(a, o.Elapsed)
-	k.track(e).table.AddLonger(s.now, in)
-	k.common.AddLonger(s.now, in)
+	k.track(e).table.AddCensored(s.now, in)
+	k.common.AddCensored(s.now, in)
 	s.resent(a, in)
 	if f := k.figures(e); a.probe || o.Elapsed >= max(overrunLeast, seconds(a.scale*f.overrun.Seconds())) {
 		e.health.fail(s.now, a.sentAt, false)
--- a/internal/tier/balancer/plan.go
+++ b/internal/tier/balancer/plan.go
@@ -31,7 +31,7 @@
 // track is the table of one endpoint for one kind of call.
 type track struct {
 	endpoint *endpoint
-	table    *control.CallTimes
+	table    *control.LatencyTable
 	figures  figures
 }
 
@@ -39,11 +39,11 @@
 type kind struct {
 	kind     callKind
 	planner  *control.Planner
-	common   *control.CallTimes // all calls of the service
-	fresh    track              // stands for the endpoints without a table
+	common   *control.LatencyTable // all calls of the service
+	fresh    track                 // stands for the endpoints without a table
 	called   []*track
-	pooled   []*control.CallTimes
-	solved   []*control.CallTimes
+	pooled   []*control.LatencyTable
+	solved   []*control.LatencyTable
 	levels   int  // attempts that a request has had left at most
 	stale    bool // calls have ended since it was solved
 	changed  bool // the list or the levels have
@@ -114,7 +114,7 @@
 // forget drops the tables of endpoints that have left, and those that hold next to nothing any more.
 func (k *kind) forget(now time.Duration) {
 	k.called = slices.DeleteFunc(k.called, func(t *track) bool {
-		drop := len(t.endpoint.out) == 0 && (!t.endpoint.listed || t.table.Calls(now) < forgotten)
+		drop := len(t.endpoint.out) == 0 && (!t.endpoint.listed || t.table.Count(now) < forgotten)
 		if drop && t.endpoint.tracks[k.kind] == t {
 			t.endpoint.tracks[k.kind] = nil
 		}
@@ -130,7 +130,7 @@
 	}
 }
 
-func (f *figures) read(plan control.Plan, table *control.CallTimes, levels int) {
+func (f *figures) read(plan control.Plan, table *control.LatencyTable, levels int) {
 	f.known = table.Known()
 	if !f.known {
 		*f = figures{}
