--- a/internal/tier/balancer/affinity.go
+++ b/internal/tier/balancer/affinity.go
@@ -1,67 +1,68 @@
 package balancer
 
-// holderSlots is how many affinities the scheduler remembers.
-const holderSlots = 1024
+// affinityTableSize is how many affinities the balancer remembers. A larger table finds more prefixes again and takes 24 bytes
+// an entry.
+const affinityTableSize = 1024
 
-// holders remembers which endpoint last got an affinity from this proxy. A newer affinity displaces an older one.
-type holders []holder
+// affinityTable remembers which endpoint last got an affinity from this proxy. A newer affinity displaces an older one of the
+// same slot.
+type affinityTable []affinityEntry
 
-type holder struct {
-	affinity uint64
+type affinityEntry struct {
+	key      uint64
 	endpoint *endpoint
 }
 
-func (h *holders) of(affinity uint64) *endpoint {
-	if len(*h) == 0 || affinity == 0 {
+// lookup returns the endpoint that last got the affinity; nil if it is unknown or takes no requests any more.
+func (t *affinityTable) lookup(key uint64) *endpoint {
+	if len(*t) == 0 || key == 0 {
 		return nil
 	}
-	if kept := (*h)[affinity%holderSlots]; kept.affinity == affinity && kept.endpoint.ready && kept.endpoint.listed {
-		return kept.endpoint
+	if entry := (*t)[key%affinityTableSize]; entry.key == key && entry.endpoint.ready && entry.endpoint.listed {
+		return entry.endpoint
 	}
 	return nil
 }
 
-func (h *holders) set(affinity uint64, e *endpoint) {
-	if affinity == 0 {
+func (t *affinityTable) store(key uint64, e *endpoint) {
+	if key == 0 {
 		return
 	}
-	if len(*h) == 0 {
-		*h = make(holders, holderSlots)
+	if len(*t) == 0 {
+		*t = make(affinityTable, affinityTableSize)
 	}
-	(*h)[affinity%holderSlots] = holder{affinity: affinity, endpoint: e}
+	(*t)[key%affinityTableSize] = affinityEntry{key: key, endpoint: e}
 }
 
 // preferred is the endpoint of the affinity by rendezvous hashing over those of the proxy's own zone, or over all where the
 // zone has none: all proxies of a zone with the same list agree on it, and an endpoint that leaves moves only its own
-// affinities. A client's requests come through the proxies of its zone, so that leaving it would gain nothing.
-func (g *group) preferred(affinity uint64) *endpoint {
-	best, near, most := 0, false, uint64(0)
+// affinities. A client's requests come through the proxies of its zone, so leaving the zone would gain nothing.
+func (g *versionGroup) preferred(key uint64) *endpoint {
+	best, bestInZone, bestScore := 0, false, uint64(0)
 	for i, hash := range g.hashes {
-		own := g.ready[i].zoneCharge == 0
-		score := mix(hash ^ affinity)
-		if own == near && score <= most || near && !own {
+		inZone := g.ready[i].zonePenalty == 0
+		score := mix(hash ^ key)
+		if inZone == bestInZone && score <= bestScore || bestInZone && !inZone {
 			continue
 		}
-		best, near, most = i, own, score
+		best, bestInZone, bestScore = i, inZone, score
 	}
 	return g.ready[best]
 }
 
-// mix spreads the bits of x.
-func mix(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// unit maps a hash to [0, 1).
-func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
-
-// hashString is the FNV-1a hash of s, mixed. It is the same in all processes.
-func hashString(s string) uint64 {
-	h := uint64(14695981039346656037)
-	for i := range len(s) {
-		h = (h ^ uint64(s[i])) * 1099511628211
+// findAffinity finds the endpoints that may have the request's prefix in their cache, and what a miss costs.
+func (b *Balancer) findAffinity(sel *selection, svc *service, group *versionGroup) {
+	r := sel.request
+	if !r.Route.UsesAffinity || r.AffinityKey == 0 || len(group.ready) == 0 {
+		return
+	}
+	sel.preferred, sel.lastServed = group.preferred(r.AffinityKey), b.lastServed.lookup(r.AffinityKey)
+	if sel.lastServed != nil && sel.lastServed.service != svc {
+		sel.lastServed = nil
+	}
+	if sel.plan.kind == streamCall {
+		_, perToken := svc.work.prefill.fit()
+		sel.prefixCost = prefixWeight * perToken * float64(r.PrefixTokens)
 	}
-	return mix(h)
+	sel.prefixCost = max(sel.prefixCost, affinitySaving*sel.workScale*workUnit.Seconds())
 }
--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -7,46 +7,53 @@
 	"mastusher/internal/tier/view"
 )
 
-// Options is what a Balancer is told at its start.
+// Options are the settings of a Balancer. A zero or negative number takes its default.
 type Options struct {
-	Zone             string        // of this proxy
-	Seed             uint64        // differs from proxy to proxy, so that they don't act alike
-	MaxInFlight      int           // calls out at once
-	CrossZonePenalty time.Duration // what leaving the zone costs, as time; 0: the default
+	// Zone is the zone of this proxy. Endpoints of any other zone cost CrossZonePenalty.
+	Zone string
+	// Seed starts the sequence of random draws. It must differ from proxy to proxy: with equal seeds proxies break ties and
+	// come back from backoff together.
+	Seed uint64
+	// MaxInFlight bounds the attempts in flight to all endpoints; default 512. A larger value admits more work before requests
+	// are rejected, and leaves more calls at an endpoint that stops answering.
+	MaxInFlight int
+	// CrossZonePenalty is the time that leaving the zone is taken to cost; default 4 ms. A larger value keeps more traffic in
+	// the zone, at the price of longer queues there.
+	CrossZonePenalty time.Duration
 }
 
 // Defaults of the options.
 const (
-	defaultSlots      = 512
-	defaultZoneCharge = 4 * time.Millisecond
+	defaultMaxInFlight      = 512
+	defaultCrossZonePenalty = 4 * time.Millisecond
 )
 
-// How long what is known of those that have left the list is kept. One that comes back under its ID is the same
-// incarnation: its waits still bind.
+// How long the state of what has left the list is retained. An endpoint that returns under its ID is the same incarnation: its
+// backoff still binds.
 const (
-	serviceKept  = time.Minute
-	endpointKept = time.Minute
+	serviceRetention  = time.Minute
+	endpointRetention = time.Minute
 )
 
 // Balancer makes the decisions of one proxy for all services. It is not safe for concurrent use.
 type Balancer struct {
-	options   Options
-	now       time.Duration
-	random    uint64
-	inFlight  int // attempts out
-	services  map[string]*service
-	endpoints map[string]*endpoint
-	versions  map[string]view.ServiceVersions
-	holders   holders
+	options    Options
+	now        time.Duration
+	random     uint64
+	inFlight   int // attempts between Sent and Done
+	services   map[string]*service
+	endpoints  map[string]*endpoint
+	versions   map[string]view.ServiceVersions
+	lastServed affinityTable
 }
 
-// New returns a scheduler that knows no endpoint.
+// New returns a balancer that knows no endpoint.
 func New(options Options) *Balancer {
 	if options.MaxInFlight <= 0 {
-		options.MaxInFlight = defaultSlots
+		options.MaxInFlight = defaultMaxInFlight
 	}
 	if options.CrossZonePenalty <= 0 {
-		options.CrossZonePenalty = defaultZoneCharge
+		options.CrossZonePenalty = defaultCrossZonePenalty
 	}
 	return &Balancer{
 		options:   options,
@@ -57,80 +64,96 @@
 	}
 }
 
-// advance takes the time; a clock that goes back stands still.
-func (s *Balancer) advance(now time.Duration) { s.now = max(s.now, now) }
+// advance takes the caller's time. A clock that goes back stands still here.
+func (b *Balancer) advance(now time.Duration) { b.now = max(b.now, now) }
 
-// draw is the next number in [0, 1) of the scheduler's own sequence.
-func (s *Balancer) draw() float64 {
-	s.random += 0x9e3779b97f4a7c15
-	return float64(mix(s.random)>>11) / (1 << 53)
+// nextRandom returns the next number in [0, 1) of the balancer's own sequence.
+func (b *Balancer) nextRandom() float64 {
+	b.random += 0x9e3779b97f4a7c15
+	return float64(mix(b.random)>>11) / (1 << 53)
 }
 
-// SetEndpoints takes over the whole list of endpoints, which must not be changed afterwards. Those that are draining or
-// have left the list get nothing new; what they have under way still settles.
-func (s *Balancer) SetEndpoints(now time.Duration, list []model.Endpoint) {
-	s.advance(now)
-	for _, svc := range s.services {
-		svc.endpoints = svc.endpoints[:0]
-	}
-	for _, e := range s.endpoints {
-		e.listed, e.ready = false, false
-	}
+// SetEndpoints replaces the list of endpoints, which must not be changed afterwards. Endpoints that are draining or have left
+// the list get no new attempts; Done still takes those that they have in flight.
+func (b *Balancer) SetEndpoints(now time.Duration, list []model.Endpoint) {
+	b.advance(now)
+	b.unlistAll()
 	for i := range list {
-		e := s.learn(&list[i])
-		if e.listed { // named twice
+		e := b.upsertEndpoint(&list[i])
+		if e.listed { // listed twice
 			continue
 		}
 		e.listed, e.model = true, &list[i]
 		e.service.endpoints = append(e.service.endpoints, e)
 	}
-	for id, e := range s.endpoints {
+	b.evictEndpoints()
+	b.regroupServices()
+}
+
+// unlistAll takes every endpoint off the list, before the new one is applied.
+func (b *Balancer) unlistAll() {
+	for _, svc := range b.services {
+		svc.endpoints = svc.endpoints[:0]
+	}
+	for _, e := range b.endpoints {
+		e.listed, e.ready = false, false
+	}
+}
+
+// evictEndpoints drops the endpoints that left the list long enough ago. One with attempts in flight stays until their Done.
+func (b *Balancer) evictEndpoints() {
+	for id, e := range b.endpoints {
 		if e.listed {
-			e.listedAt = s.now
-		} else if len(e.out) == 0 && s.now-e.listedAt > endpointKept {
-			delete(s.endpoints, id)
+			e.lastListedAt = b.now
+		} else if len(e.inFlight) == 0 && b.now-e.lastListedAt > endpointRetention {
+			delete(b.endpoints, id)
 		}
 	}
-	for name, svc := range s.services {
-		svc.regroup(s.options.Seed)
+}
+
+// regroupServices groups each service's endpoints anew, and drops the services that have been empty long enough.
+func (b *Balancer) regroupServices() {
+	for name, svc := range b.services {
+		svc.regroup(b.options.Seed)
 		if len(svc.endpoints) > 0 {
-			svc.emptyAt = s.now
-		} else if s.now-svc.emptyAt > serviceKept {
-			delete(s.services, name)
+			svc.lastNonEmptyAt = b.now
+		} else if b.now-svc.lastNonEmptyAt > serviceRetention {
+			delete(b.services, name)
 		}
 	}
 }
 
-// learn returns the endpoint of that ID, which it makes at need.
-func (s *Balancer) learn(m *model.Endpoint) *endpoint {
-	cold := s.now + time.Duration(m.WarmUpLeftMs)*time.Millisecond
-	if e := s.endpoints[m.ID]; e != nil && e.model.Service == m.Service {
-		e.coldUntil = min(e.coldUntil, cold)
+// upsertEndpoint returns the endpoint of that ID, which it creates if necessary. One that has moved to another service is a new
+// endpoint.
+func (b *Balancer) upsertEndpoint(m *model.Endpoint) *endpoint {
+	warmUpUntil := b.now + time.Duration(m.WarmUpLeftMs)*time.Millisecond
+	if e := b.endpoints[m.ID]; e != nil && e.model.Service == m.Service {
+		e.warmUpUntil = min(e.warmUpUntil, warmUpUntil)
 		return e
 	}
-	svc := s.services[m.Service]
+	svc := b.services[m.Service]
 	if svc == nil {
 		svc = newService(m.Service)
-		svc.setVersions(s.versions[m.Service])
-		s.services[m.Service] = svc
+		svc.setVersions(b.versions[m.Service])
+		b.services[m.Service] = svc
 	}
-	e := &endpoint{model: m, service: svc, hash: hashString(m.ID), coldUntil: cold}
-	if m.Zone != s.options.Zone {
-		e.zoneCharge = s.options.CrossZonePenalty.Seconds()
+	e := &endpoint{model: m, service: svc, hash: hashString(m.ID), warmUpUntil: warmUpUntil}
+	if m.Zone != b.options.Zone {
+		e.zonePenalty = b.options.CrossZonePenalty.Seconds()
 	}
-	e.tieBreak = float64(mix(e.hash^s.options.Seed)>>11) / (1 << 53)
-	s.endpoints[m.ID] = e
+	e.tieBreak = float64(mix(e.hash^b.options.Seed)>>11) / (1 << 53)
+	b.endpoints[m.ID] = e
 	return e
 }
 
-// SetVersions takes over which versions of each service may take requests.
-func (s *Balancer) SetVersions(versions []view.ServiceVersions) {
-	clear(s.versions)
+// SetVersions replaces which versions of each service may take requests.
+func (b *Balancer) SetVersions(versions []view.ServiceVersions) {
+	clear(b.versions)
 	for _, v := range versions {
-		s.versions[v.Service] = v
+		b.versions[v.Service] = v
 	}
-	for name, svc := range s.services {
-		svc.setVersions(s.versions[name])
-		svc.regroup(s.options.Seed)
+	for name, svc := range b.services {
+		svc.setVersions(b.versions[name])
+		svc.regroup(b.options.Seed)
 	}
 }
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// fleetOf lists n ready endpoints of one service.
-func fleetOf(service string, n, capacity int) []model.Endpoint {
+// endpointsOf lists n ready endpoints of one service.
+func endpointsOf(service string, n, capacity int) []model.Endpoint {
 	list := make([]model.Endpoint, n)
 	for i := range list {
 		list[i] = model.Endpoint{ID: fmt.Sprintf("%s-%d", service, i), Service: service, Zone: fmt.Sprintf("z%d", i%4),
@@ -19,19 +19,19 @@
 	return list
 }
 
-func newScheduler(list []model.Endpoint) *Balancer {
+func newBalancer(list []model.Endpoint) *Balancer {
 	s := New(Options{Zone: "z0", Seed: 7})
 	s.SetEndpoints(0, list)
 	return s
 }
 
-func plain(service string) Request {
+func retryableRequest(service string) Request {
 	return Request{Service: service, Route: Route{Name: "r", Kind: model.Retryable, MaxAttempts: 3}, Retryable: true,
 		TimeLeft: 2 * time.Second}
 }
 
-func onceOnly(service string) Request {
-	r := plain(service)
+func onceOnlyRequest(service string) Request {
+	r := retryableRequest(service)
 	r.Route.Kind, r.Retryable = model.AtMostOnce, false
 	return r
 }
@@ -48,30 +48,30 @@
 	return d.Endpoint.ID
 }
 
-// teach makes calls of that length, one after the other, from now on, and returns the time after them.
-func teach(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
+// trainTimes makes calls of that length, one after the other, from now on, and returns the time after them.
+func trainTimes(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
 	t.Helper()
 	for range calls {
 		call(t, s, now, r, Success, elapsed)
-		now += elapsed + solveEvery
+		now += elapsed + solveInterval
 	}
 	return now
 }
 
-func TestChooseWithoutATableMakesOneCallBoundedByTheTimeLeft(t *testing.T) {
-	s := newScheduler(fleetOf("feeds", 3, 6))
-	d := s.Select(0, plain("feeds"))
+func TestSelect_NoCallTimes_LastsUntilDeadline(t *testing.T) {
+	s := newBalancer(endpointsOf("feeds", 3, 6))
+	d := s.Select(0, retryableRequest("feeds"))
 	if d.Endpoint == nil || !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("decision %+v; want a call that runs on for the time left", d)
 	}
 }
 
-func TestChooseRefusals(t *testing.T) {
-	drained := fleetOf("feeds", 2, 6)
+func TestSelect_NothingEligible_RejectsWithReason(t *testing.T) {
+	drained := endpointsOf("feeds", 2, 6)
 	for i := range drained {
 		drained[i].State = model.Draining
 	}
-	mixed := fleetOf("feeds", 2, 6)
+	mixed := endpointsOf("feeds", 2, 6)
 	mixed[1].Version = "v2"
 	tests := []struct {
 		name   string
@@ -82,17 +82,17 @@
 		{"the service has no endpoint", nil, nil, NoEndpoint},
 		{"all endpoints are draining", drained, nil, NoEndpoint},
 		{"two versions are listed and none is known to be in service", mixed, nil, NoEndpoint},
-		{"all endpoints have been tried", fleetOf("feeds", 2, 6),
+		{"all endpoints have been tried", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Excluded = []string{"feeds-0", "feeds-1"} }, NoEndpoint},
-		{"all tries are used", fleetOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
-		{"it may have run and must not run twice", fleetOf("feeds", 2, 6),
+		{"all tries are used", endpointsOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
+		{"it may have run and must not run twice", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Retryable, r.MayHaveRun = false, true }, AttemptsExhausted},
-		{"no time is left", fleetOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, AttemptsExhausted},
+		{"no time is left", endpointsOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, AttemptsExhausted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newScheduler(test.list)
-			r := plain("feeds")
+			s := newBalancer(test.list)
+			r := retryableRequest("feeds")
 			if test.change != nil {
 				test.change(&r)
 			}
@@ -103,13 +103,13 @@
 	}
 }
 
-func TestHopelessRequestIsNotSent(t *testing.T) {
+func TestSelect_LessTimeThanMedian_RejectsAsDeadlineTooShort(t *testing.T) {
 	// Given endpoints whose calls take 300 ms.
-	s := newScheduler(fleetOf("feeds", 3, 6))
-	now := teach(t, s, 0, plain("feeds"), 12, 300*time.Millisecond)
+	s := newBalancer(endpointsOf("feeds", 3, 6))
+	now := trainTimes(t, s, 0, retryableRequest("feeds"), 12, 300*time.Millisecond)
 
 	// When a request comes with 100 ms left, then it is refused; with 500 ms left it is sent.
-	r := plain("feeds")
+	r := retryableRequest("feeds")
 	if r.TimeLeft = 100 * time.Millisecond; s.Select(now, r).Rejection.Kind != DeadlineTooShort {
 		t.Error("a request with a third of the median left was not refused as hopeless")
 	}
@@ -118,31 +118,31 @@
 	}
 }
 
-func TestRestartsElsewhereByThePlan(t *testing.T) {
+func TestSelect_SlowOutlierCalls_PlansTimeoutForRetryableOnly(t *testing.T) {
 	// Given endpoints that take 50 ms, but 2 s one time in five, whatever the request.
-	s := newScheduler(fleetOf("feeds", 3, 6))
+	s := newBalancer(endpointsOf("feeds", 3, 6))
 	now := time.Duration(0)
 	for i := range 150 {
 		elapsed := 50 * time.Millisecond
 		if i%5 == 4 {
 			elapsed = 2 * time.Second
 		}
-		call(t, s, now, plain("feeds"), Success, elapsed)
-		now += solveEvery
+		call(t, s, now, retryableRequest("feeds"), Success, elapsed)
+		now += solveInterval
 	}
 	now += 2 * time.Second
 
 	// When a retryable request comes, then it is cut long before its time is over.
-	d := s.Select(now, plain("feeds"))
+	d := s.Select(now, retryableRequest("feeds"))
 	if d.UntilDeadline || d.Timeout > time.Second {
 		t.Errorf("retryable: time-out %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
-	if d := s.Select(now, onceOnly("feeds")); !d.UntilDeadline || d.Timeout != 2*time.Second {
+	if d := s.Select(now, onceOnlyRequest("feeds")); !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("once only: time-out %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
-	r := plain("feeds")
+	r := retryableRequest("feeds")
 	if r.AffordableAttempts = 1; !s.Select(now, r).UntilDeadline {
 		t.Error("the only attempt that the budget pays for is cut")
 	}
@@ -154,12 +154,12 @@
 	}
 }
 
-func TestFasterEndpointIsPreferred(t *testing.T) {
+func TestSelect_OneEndpointFaster_PrefersIt(t *testing.T) {
 	// Given two endpoints, one of which takes four times as long.
-	s := newScheduler(fleetOf("feeds", 2, 6))
+	s := newBalancer(endpointsOf("feeds", 2, 6))
 	now, counts := time.Duration(0), map[string]int{}
 	for range 200 {
-		d := s.Select(now, plain("feeds"))
+		d := s.Select(now, retryableRequest("feeds"))
 		elapsed := 50 * time.Millisecond
 		if d.Endpoint.ID == "feeds-0" {
 			elapsed = 200 * time.Millisecond
@@ -174,18 +174,18 @@
 	}
 }
 
-func TestRefusedEndpointIsLeftAloneUntilItsWaitEnds(t *testing.T) {
-	s := newScheduler(fleetOf("feeds", 1, 6))
+func TestSelect_EndpointRejects_BacksOffLonger(t *testing.T) {
+	s := newBalancer(endpointsOf("feeds", 1, 6))
 	now := time.Duration(0)
 	last := time.Duration(0)
 	for range 4 {
-		call(t, s, now, plain("feeds"), NotRun, time.Millisecond)
+		call(t, s, now, retryableRequest("feeds"), NotRun, time.Millisecond)
 		now += time.Millisecond
-		d := s.Select(now, plain("feeds"))
+		d := s.Select(now, retryableRequest("feeds"))
 		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 			t.Fatalf("decision %+v right after a refusal; want Full and a time to come back", d)
 		}
-		wait := s.endpoints["feeds-0"].health.waitUntil - now
+		wait := s.endpoints["feeds-0"].health.backoffUntil - now
 		if wait < last/2 {
 			t.Errorf("wait of %v after one of %v; want them to grow", wait, last)
 		}
@@ -196,36 +196,36 @@
 	}
 }
 
-func TestWaitBindsAnEndpointThatLeavesTheListAndComesBack(t *testing.T) {
+func TestSetEndpoints_EndpointReturns_KeepsBackoff(t *testing.T) {
 	// Given an endpoint that has refused a call.
-	list := fleetOf("feeds", 1, 6)
-	s := newScheduler(list)
-	call(t, s, 0, plain("feeds"), NotRun, time.Millisecond)
+	list := endpointsOf("feeds", 1, 6)
+	s := newBalancer(list)
+	call(t, s, 0, retryableRequest("feeds"), NotRun, time.Millisecond)
 	// When a list without it comes, and then one with it again.
 	s.SetEndpoints(2*time.Millisecond, nil)
 	s.SetEndpoints(3*time.Millisecond, list)
 	// Then nothing is sent there before the wait is over.
-	if d := s.Select(4*time.Millisecond, plain("feeds")); d.Rejection.Kind != Saturated {
+	if d := s.Select(4*time.Millisecond, retryableRequest("feeds")); d.Rejection.Kind != Saturated {
 		t.Errorf("decision %+v, want Full", d)
 	}
 }
 
-func TestFailingEndpointGetsProbesOnly(t *testing.T) {
+func TestSelect_EndpointEjected_GetsProbesOnly(t *testing.T) {
 	// Given a service where one endpoint's connections are reset.
-	s := newScheduler(fleetOf("feeds", 3, 6))
-	now := teach(t, s, 0, plain("feeds"), 30, 30*time.Millisecond)
+	s := newBalancer(endpointsOf("feeds", 3, 6))
+	now := trainTimes(t, s, 0, retryableRequest("feeds"), 30, 30*time.Millisecond)
 	sick := "feeds-1"
 	others := []string{"feeds-0", "feeds-2"}
-	r := plain("feeds")
+	r := retryableRequest("feeds")
 	r.Excluded = others
-	for range failingStreak {
+	for range maxFails {
 		call(t, s, now, r, IncompleteResponse, time.Millisecond)
 	}
 
 	// When retryable requests go on for two seconds.
 	probes := 0
 	for range 100 {
-		d := s.Select(now, plain("feeds"))
+		d := s.Select(now, retryableRequest("feeds"))
 		kind := Success
 		if d.Endpoint.ID == sick {
 			probes++
@@ -241,9 +241,9 @@
 	}
 	// And a request that must not run twice is none.
 	now += 10 * time.Second
-	s.Select(now, plain("feeds"))
+	s.Select(now, retryableRequest("feeds"))
 	for range 5 {
-		if got := call(t, s, now, onceOnly("feeds"), Success, time.Millisecond); got == sick {
+		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, time.Millisecond); got == sick {
 			t.Error("a request that must not run twice was used as a probe")
 		}
 	}
@@ -253,11 +253,11 @@
 	}
 }
 
-func TestSilentEndpointIsAvoided(t *testing.T) {
+func TestSelect_CallOverdue_AvoidsEndpoint(t *testing.T) {
 	// Given a service of two, one of which stops answering.
-	s := newScheduler(fleetOf("feeds", 2, 6))
-	now := teach(t, s, 0, onceOnly("feeds"), 30, 30*time.Millisecond)
-	r := onceOnly("feeds")
+	s := newBalancer(endpointsOf("feeds", 2, 6))
+	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 30, 30*time.Millisecond)
+	r := onceOnlyRequest("feeds")
 	r.Excluded = []string{"feeds-0"}
 	silent := s.Select(now, r)
 	s.Sent(now, &silent.Attempt)
@@ -265,57 +265,57 @@
 	// When a second has passed, then nothing else goes there.
 	now += time.Second
 	for range 20 {
-		if got := call(t, s, now, onceOnly("feeds"), Success, 30*time.Millisecond); got != "feeds-0" {
+		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, 30*time.Millisecond); got != "feeds-0" {
 			t.Fatal("a request went to the endpoint that doesn't answer")
 		}
 		now += 10 * time.Millisecond
 	}
 }
 
-func TestFullServiceRefusesAtOnce(t *testing.T) {
+func TestSelect_AllEndpointsAtCapacity_RejectsAsSaturated(t *testing.T) {
 	// Given two endpoints of two slots that tell that they are full and their queues too.
-	s := newScheduler(fleetOf("feeds", 2, 2))
+	s := newBalancer(endpointsOf("feeds", 2, 2))
 	for range 2 {
-		d := s.Select(0, plain("feeds"))
+		d := s.Select(0, retryableRequest("feeds"))
 		s.Sent(0, &d.Attempt)
 		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
 	// When a request comes, then it is refused with a time to come back; some time later it is tried.
-	if d := s.Select(0, plain("feeds")); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
+	if d := s.Select(0, retryableRequest("feeds")); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 		t.Errorf("decision %+v, want Full", d)
 	}
-	if d := s.Select(5*time.Second, plain("feeds")); d.Endpoint == nil {
+	if d := s.Select(5*time.Second, retryableRequest("feeds")); d.Endpoint == nil {
 		t.Errorf("refused (%v) by what was told 5 s ago", d.Rejection.Kind)
 	}
 }
 
-func TestCancelledCallCountsAsRunning(t *testing.T) {
-	s := newScheduler(fleetOf("feeds", 1, 6))
-	now := teach(t, s, 0, onceOnly("feeds"), 8, 200*time.Millisecond)
-	d := s.Select(now, onceOnly("feeds"))
+func TestDone_Cancelled_CountsAsInFlightForAWhile(t *testing.T) {
+	s := newBalancer(endpointsOf("feeds", 1, 6))
+	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 8, 200*time.Millisecond)
+	d := s.Select(now, onceOnlyRequest("feeds"))
 	s.Sent(now, &d.Attempt)
 	s.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
 	e := s.endpoints["feeds-0"]
-	if got := e.running(now+60*time.Millisecond, 0); got < 1 {
+	if got := e.estimatedInFlight(now+60*time.Millisecond, 0); got < 1 {
 		t.Errorf("running right after a cancel: %v, want 1", got)
 	}
-	if got := e.running(now+time.Second, 0); got > 0.5 {
+	if got := e.estimatedInFlight(now+time.Second, 0); got > 0.5 {
 		t.Errorf("running a second later: %v, want 0", got)
 	}
 }
 
-func TestTargetVersionGetsItsShare(t *testing.T) {
-	list := fleetOf("feeds", 8, 6)
+func TestSelect_TargetVersion_GetsItsShare(t *testing.T) {
+	list := endpointsOf("feeds", 8, 6)
 	for i := range 4 {
 		list[i].Version = "v2"
 	}
 	for _, share := range []float64{0, 0.05, 0.3, 1} {
 		for _, pinned := range []bool{false, true} {
-			s := newScheduler(list)
+			s := newBalancer(list)
 			s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: share}})
 			target := 0
 			for i := range 1000 {
-				r := plain("feeds")
+				r := retryableRequest("feeds")
 				if pinned {
 					r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 				}
@@ -334,15 +334,15 @@
 	}
 }
 
-// turnOf returns a turn of a program with that affinity.
-func turnOf(affinity uint64) Request {
+// turnRequest returns a turn of a program with that affinity.
+func turnRequest(affinity uint64) Request {
 	return Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 		TimeLeft: 4 * time.Second, PrefixTokens: 2000, NewTokens: 300, OutTokens: 24, AffinityKey: affinity}
 }
 
-func TestAffinityIsAgreedOnWithoutTalk(t *testing.T) {
+func TestSelect_Affinity_AgreesAcrossProxies(t *testing.T) {
 	// Given two proxies of one zone that know nothing of each other, and one of a zone without endpoints beside another such.
-	list := fleetOf("models", 9, 64) // three of them in z0
+	list := endpointsOf("models", 9, 64) // three of them in z0
 	for _, test := range []struct {
 		zone     string
 		endpoint []model.Endpoint // that may be chosen
@@ -352,7 +352,7 @@
 		b.SetEndpoints(0, list)
 		places, counts := map[uint64]string{}, map[string]int{}
 		for key := uint64(1); key <= 300; key++ {
-			at, bt := a.Select(0, turnOf(mix(key))).Endpoint, b.Select(0, turnOf(mix(key))).Endpoint
+			at, bt := a.Select(0, turnRequest(mix(key))).Endpoint, b.Select(0, turnRequest(mix(key))).Endpoint
 			// Then they agree.
 			if at.ID != bt.ID {
 				t.Fatalf("zone %s, key %d: %s and %s", test.zone, key, at.ID, bt.ID)
@@ -373,7 +373,7 @@
 		// And when one endpoint leaves, only what it held moves.
 		a.SetEndpoints(0, list[1:])
 		for key := uint64(1); key <= 300; key++ {
-			moved := a.Select(0, turnOf(mix(key))).Endpoint.ID != places[key]
+			moved := a.Select(0, turnRequest(mix(key))).Endpoint.ID != places[key]
 			if moved != (places[key] == list[0].ID) {
 				t.Fatalf("zone %s, key %d of %s: moved %v", test.zone, key, places[key], moved)
 			}
@@ -381,10 +381,10 @@
 	}
 }
 
-func TestATrialLoadsFewEndpointsOfTheTarget(t *testing.T) {
+func TestSelect_SmallShare_LoadsFewTargetEndpoints(t *testing.T) {
 	// Given proxies that give a twentieth to a target that has as many endpoints as the version in service.
 	for _, test := range []struct{ endpoints, want int }{{9, 1}, {48, 2}, {100, 5}} {
-		list := fleetOf("models", 2*test.endpoints, 64)
+		list := endpointsOf("models", 2*test.endpoints, 64)
 		for i := range test.endpoints {
 			list[i].Version = "v2"
 		}
@@ -395,7 +395,7 @@
 			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", Share: 0.05}})
 			for key := range uint64(4000) {
 				now := time.Duration(key) * 10 * time.Millisecond
-				d := s.Select(now, turnOf(mix(key+1)))
+				d := s.Select(now, turnRequest(mix(key+1)))
 				s.Sent(now, &d.Attempt)
 				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 				if d.Endpoint.Version == "v2" {
@@ -406,7 +406,7 @@
 			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
 			after := map[string]bool{}
 			for key := range uint64(4000) {
-				after[s.Select(time.Minute, turnOf(mix(key+1))).Endpoint.ID] = true
+				after[s.Select(time.Minute, turnRequest(mix(key+1))).Endpoint.ID] = true
 			}
 			if zone := test.endpoints / 4; len(after) < zone {
 				t.Errorf("%d endpoints, after the trial: %d are chosen, want the %d of the zone at least", test.endpoints, len(after), zone)
@@ -419,8 +419,8 @@
 	}
 }
 
-func TestCrowdedPreferredEndpointIsPassedOver(t *testing.T) {
-	s := newScheduler(fleetOf("models", 9, 8))
+func TestSelect_PreferredEndpointCongested_GoesElsewhere(t *testing.T) {
+	s := newBalancer(endpointsOf("models", 9, 8))
 	r := Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 		TimeLeft: 4 * time.Second, PrefixTokens: 500, NewTokens: 300, OutTokens: 24, AffinityKey: 12345}
 	preferred, elsewhere := s.Select(0, r).Endpoint.ID, false
@@ -435,13 +435,13 @@
 	}
 }
 
-func TestOneEndpointHoldsAtMostItsPartOfTheSlots(t *testing.T) {
+func TestSelect_OneEndpoint_TakesAtMostItsShareOfInFlight(t *testing.T) {
 	s := New(Options{Seed: 1, MaxInFlight: 16})
-	list := fleetOf("feeds", 1, 1000)
+	list := endpointsOf("feeds", 1, 1000)
 	s.SetEndpoints(0, list)
 	attempts := make([]Attempt, 0, 20)
 	for {
-		d := s.Select(0, onceOnly("feeds"))
+		d := s.Select(0, onceOnlyRequest("feeds"))
 		if d.Endpoint == nil {
 			break
 		}
@@ -452,25 +452,25 @@
 		t.Errorf("one endpoint held %d of 16 slots, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
-	s.Select(5*time.Second, onceOnly("feeds"))
-	if got := s.cap(s.endpoints["feeds-0"]); got != 8 {
+	s.Select(5*time.Second, onceOnlyRequest("feeds"))
+	if got := s.maxInFlightTo(s.endpoints["feeds-0"]); got != 8 {
 		t.Errorf("cap while calls overrun: %d, want 8", got)
 	}
 }
 
-func TestRetriesAreEarned(t *testing.T) {
-	s := newScheduler(fleetOf("feeds", 4, 6))
-	r := plain("feeds")
+func TestRetryBudget_Successes_EarnRetries(t *testing.T) {
+	s := newBalancer(endpointsOf("feeds", 4, 6))
+	r := retryableRequest("feeds")
 	r.AttemptsUsed, r.MayHaveRun = 1, true
 	sent := 0
 	for s.Select(0, r).Endpoint != nil {
 		call(t, s, 0, r, IncompleteResponse, time.Millisecond)
 		sent++
 	}
-	if sent != int(budgetMost/2) {
-		t.Errorf("%d retries without a success, want %d", sent, int(budgetMost/2))
+	if sent != int(maxRetryBudget/2) {
+		t.Errorf("%d retries without a success, want %d", sent, int(maxRetryBudget/2))
 	}
-	now := teach(t, s, 10*time.Second, plain("feeds"), 5, 10*time.Millisecond)
+	now := trainTimes(t, s, 10*time.Second, retryableRequest("feeds"), 5, 10*time.Millisecond)
 	if s.Select(now, r).Endpoint == nil {
 		t.Error("five successes earned no retry")
 	}
--- a/internal/tier/balancer/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -8,14 +8,14 @@
 	"mastusher/internal/tier/model"
 )
 
-// BenchmarkChoose makes calls at 200 a second, each of which takes 100 ms.
-func BenchmarkChoose(b *testing.B) {
+// BenchmarkSelect makes calls at 200 a second, each of which takes 100 ms.
+func BenchmarkSelect(b *testing.B) {
 	for _, n := range []int{9, 28, 4500} {
 		for _, pinned := range []bool{false, true} {
 			b.Run(fmt.Sprintf("endpoints=%d/pinned=%v", n, pinned), func(b *testing.B) {
-				s := newScheduler(fleetOf("feeds", n, 6))
+				s := newBalancer(endpointsOf("feeds", n, 6))
 				attempts := make([]Attempt, 20)
-				r := plain("feeds")
+				r := retryableRequest("feeds")
 				r.Route.UsesAffinity = pinned
 				b.ReportAllocs()
 				now, i := time.Duration(0), 0
@@ -42,7 +42,7 @@
 func BenchmarkSetEndpoints(b *testing.B) {
 	for _, n := range []int{28, 4500} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			s, list := New(Options{Seed: 1}), fleetOf("feeds", n, 6)
+			s, list := New(Options{Seed: 1}), endpointsOf("feeds", n, 6)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.SetEndpoints(0, append([]model.Endpoint(nil), list...))
--- a/internal/tier/balancer/endpoint.go
+++ b/internal/tier/balancer/endpoint.go
@@ -6,30 +6,30 @@
 	"mastusher/internal/tier/model"
 )
 
-// endpoint is all that the scheduler knows of one incarnation of an endpoint.
+// endpoint is the state of one incarnation of an endpoint.
 type endpoint struct {
-	model      *model.Endpoint
-	service    *service
-	hash       uint64  // of its ID
-	zoneCharge float64 // s
-	tieBreak   float64 // [0, 1), differs from proxy to proxy
-	rank       float64 // by which it came on the shortlist
-	listed     bool
-	listedAt   time.Duration // when the list last held it
-	ready      bool          // it may take requests
-	target     bool          // it is of the version being rolled out
-	coldUntil  time.Duration
-	tracks     [callKinds]*track
-	out        []*Attempt // in the order in which they went out
-	load       load
-	health     health
-	pace       pace
+	model         *model.Endpoint
+	service       *service
+	hash          uint64  // of its ID
+	zonePenalty   float64 // s; 0 in the proxy's own zone
+	tieBreak      float64 // [0, 1), differs from proxy to proxy
+	shortlistCost float64 // by which it was shortlisted
+	listed        bool
+	lastListedAt  time.Duration // when the list last named it
+	ready         bool          // listed, not draining, and of a version that takes requests
+	ofTarget      bool          // of the version being rolled out
+	warmUpUntil   time.Duration
+	stats         [callKinds]*endpointStats
+	inFlight      []*Attempt // in the order of Sent
+	load          load
+	health        health
+	pace          tokenPace
 }
 
-// takes tells whether something new may be sent to it.
-func (e *endpoint) takes(now time.Duration) bool {
-	return e.ready && now >= e.health.waitUntil
+// accepting tells whether new attempts may go there: it is ready and not in backoff.
+func (e *endpoint) accepting(now time.Duration) bool {
+	return e.ready && now >= e.health.backoffUntil
 }
 
-// suspect tells whether only probes should go to it.
-func (e *endpoint) suspect() bool { return e.health.failing || e.health.late != [callKinds]bool{} }
+// unhealthy tells whether only probes should go there: it is ejected, or its calls are overdue.
+func (e *endpoint) unhealthy() bool { return e.health.ejected || e.health.overdue != [callKinds]bool{} }
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -7,106 +7,116 @@
 
 // What is assumed of the load at endpoints.
 const (
-	toldHalfLife  = time.Second // of the part in which what was told differs from the mean
-	ageEvery      = 25 * time.Millisecond
-	meanHalfLife  = 4 * time.Second // of the mean, without any news
-	meanWeight    = 0.1             // of the newest figure in the mean
-	crowdCharge   = 1.0             // of the expectation, at full slots
-	unknownCharge = 0.25            // of it, for each call in flight where the slots aren't known
-	queuePart     = 0.5             // of the slots, that may wait at an endpoint until a refusal tells its bound
+	reportHalfLife         = time.Second // of the difference between a report and the service's mean
+	decayInterval          = 25 * time.Millisecond
+	meanHalfLife           = 4 * time.Second // of the mean, without new reports
+	meanWeight             = 0.1             // of the newest report in the mean
+	congestionPenalty      = 1.0             // of the expected time, at full capacity
+	unknownCapacityPenalty = 0.25            // of it, for each call in flight where the capacity is unknown
+	assumedQueueShare      = 0.5             // of the capacity, that may be queued at an endpoint until a rejection shows its limit
+	abandonedRunFactor     = 1.0             // times its predicted time, that an abandoned call is taken to run at most
 )
 
 // load is what is known of the calls in flight at an endpoint.
 type load struct {
-	others  float64 // calls of others, as last told
-	toldAt  time.Duration
-	told    bool
-	aged    float64 // others, as they are taken to be at agedAt
-	agedAt  time.Duration
-	slots   int             // told by itself; 0: not told
-	lingers []time.Duration // until when calls that were given up are taken to run
+	othersInFlight float64 // calls of other proxies, by the last report
+	reportedAt     time.Duration
+	reported       bool
+	decayed        float64 // othersInFlight as estimated at decayedAt
+	decayedAt      time.Duration
+	capacity       int             // by the last report; 0: none came
+	abandonedUntil []time.Duration // until when each abandoned call is taken to run
 }
 
-// serviceLoad is what is usual at a service.
+// serviceLoad is the mean load at a service's endpoints.
 type serviceLoad struct {
-	share  float64 // of the slots, taken by others
-	at     time.Duration
-	queued int // calls that waited at an endpoint that refused for being full
-	known  bool
+	othersShare     float64 // of the capacity, taken by other proxies
+	updatedAt       time.Duration
+	queueLimit      int // calls that were queued at an endpoint that rejected one at full capacity
+	queueLimitKnown bool
 }
 
-// slots is how many calls the endpoint works on at once; 0: not known.
-func (e *endpoint) slots() int {
-	if e.load.slots > 0 {
-		return e.load.slots
+// capacity is how many calls the endpoint works on at once; 0: unknown.
+func (e *endpoint) capacity() int {
+	if e.load.capacity > 0 {
+		return e.load.capacity
 	}
 	return e.model.Capacity
 }
 
-// tell takes what the endpoint says of its load. The proxy's own calls are part of it.
-func (e *endpoint) tell(now time.Duration, told Load, own int) {
-	if told.Capacity <= 0 {
+// recordLoad takes the endpoint's report of its load, in which the proxy's own calls are included.
+func (e *endpoint) recordLoad(now time.Duration, report Load, own int) {
+	if report.Capacity <= 0 {
 		return
 	}
 	l, mean := &e.load, &e.service.load
-	l.others, l.toldAt, l.told, l.slots = float64(max(0, told.Running+told.Queued-own)), now, true, told.Capacity
-	l.aged, l.agedAt = l.others, now
-	mean.share = mean.usual(now)
-	mean.share += meanWeight * (l.others/float64(told.Capacity) - mean.share)
-	mean.at = now
+	l.othersInFlight, l.reportedAt, l.reported = float64(max(0, report.Running+report.Queued-own)), now, true
+	l.capacity = report.Capacity
+	l.decayed, l.decayedAt = l.othersInFlight, now
+	mean.othersShare = mean.expectedShare(now)
+	mean.othersShare += meanWeight * (l.othersInFlight/float64(report.Capacity) - mean.othersShare)
+	mean.updatedAt = now
 }
 
-// usual is the share of an endpoint's slots that others take in the mean.
-func (m *serviceLoad) usual(now time.Duration) float64 {
-	return m.share * fading(now-m.at, meanHalfLife)
+// expectedShare is the mean share of an endpoint's capacity that other proxies take.
+func (m *serviceLoad) expectedShare(now time.Duration) float64 {
+	return m.othersShare * decay(now-m.updatedAt, meanHalfLife)
 }
 
-// running estimates the calls at the endpoint: the proxy's own, those given up that may still run, and those of others,
-// which usually take that share of its slots.
-func (e *endpoint) running(now time.Duration, usualShare float64) float64 {
+// estimatedInFlight estimates the calls at the endpoint: the proxy's own, abandoned ones that may still run, and those of other
+// proxies, which take othersShare of its capacity in the mean.
+func (e *endpoint) estimatedInFlight(now time.Duration, othersShare float64) float64 {
 	l := &e.load
-	others := usualShare * float64(e.slots())
-	if l.told {
-		if now-l.agedAt >= ageEvery {
-			l.aged, l.agedAt = others+(l.others-others)*fading(now-l.toldAt, toldHalfLife), now
+	others := othersShare * float64(e.capacity())
+	if l.reported {
+		if now-l.decayedAt >= decayInterval {
+			l.decayed, l.decayedAt = others+(l.othersInFlight-others)*decay(now-l.reportedAt, reportHalfLife), now
 		}
-		others = l.aged
+		others = l.decayed
 	}
-	lingering := 0
-	for _, until := range l.lingers {
+	abandoned := 0
+	for _, until := range l.abandonedUntil {
 		if until > now {
-			lingering++
+			abandoned++
 		}
 	}
-	return float64(len(e.out)+lingering) + others
+	return float64(len(e.inFlight)+abandoned) + others
 }
 
-// crowd is the share of the expectation that so many calls in flight there add to it.
-func (e *endpoint) crowd(running float64) float64 {
-	slots := float64(e.slots())
-	if slots <= 0 {
-		return unknownCharge * running
+// congestion is the share of the expected time that calls in flight there add to it.
+func (e *endpoint) congestion(inFlight float64) float64 {
+	capacity := float64(e.capacity())
+	if capacity <= 0 {
+		return unknownCapacityPenalty * inFlight
 	}
-	return crowdCharge*running/slots + max(0, running+1-slots)/slots
+	return congestionPenalty*inFlight/capacity + max(0, inFlight+1-capacity)/capacity
 }
 
-// full tells whether the endpoint would turn a call away with so many in flight there.
-func (e *endpoint) full(running float64) bool {
-	slots := e.slots()
-	if slots <= 0 {
+// atCapacity tells whether the endpoint would reject a call with so many in flight there.
+func (e *endpoint) atCapacity(inFlight float64) bool {
+	capacity := e.capacity()
+	if capacity <= 0 {
 		return false
 	}
-	queue := max(1, int(queuePart*float64(slots)))
-	if e.service.load.known {
-		queue = e.service.load.queued
+	queue := max(1, int(assumedQueueShare*float64(capacity)))
+	if e.service.load.queueLimitKnown {
+		queue = e.service.load.queueLimit
 	}
-	return running >= float64(slots+queue)
+	return inFlight >= float64(capacity+queue)
 }
 
-// linger counts a call that was given up as running for rest more.
-func (e *endpoint) linger(now, rest time.Duration) {
-	e.load.lingers = slices.DeleteFunc(e.load.lingers, func(until time.Duration) bool { return until <= now })
-	if rest > 0 {
-		e.load.lingers = append(e.load.lingers, now+rest)
+// addAbandoned counts an abandoned call as running for some time more.
+func (e *endpoint) addAbandoned(now, remaining time.Duration) {
+	e.load.abandonedUntil = slices.DeleteFunc(e.load.abandonedUntil, func(until time.Duration) bool { return until <= now })
+	if remaining > 0 {
+		e.load.abandonedUntil = append(e.load.abandonedUntil, now+remaining)
 	}
 }
+
+// remainingTime is how long an abandoned call is taken to run on.
+func (b *Balancer) remainingTime(a *Attempt, o Outcome) time.Duration {
+	svc := a.endpoint.service
+	total := svc.work.predict(a.kind, a.route, a.promptTokens)
+	total += a.outputTokens * a.endpoint.pace.perToken(svc.work.pace.perToken(priorSecondsPerOutputToken))
+	return max(0, seconds(abandonedRunFactor*total)-o.Elapsed)
+}
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -5,166 +5,166 @@
 	"time"
 )
 
-// lingerTimes is how many times its predicted whole time a call that was given up is taken to run, at most.
-const lingerTimes = 1.0
-
 // Eligible tells whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
 // requests.
-func (s *Balancer) Eligible(a *Attempt) bool {
+func (b *Balancer) Eligible(a *Attempt) bool {
 	return a.endpoint != nil && a.endpoint.listed && a.endpoint.ready
 }
 
-// Sent tells that an attempt goes out. From now on until Done the scheduler keeps the pointer.
-func (s *Balancer) Sent(now time.Duration, a *Attempt) {
-	s.advance(now)
+// Sent records that an attempt goes out. The balancer keeps the pointer until Done.
+func (b *Balancer) Sent(now time.Duration, a *Attempt) {
+	b.advance(now)
 	e := a.endpoint
 	if e == nil || a.sent {
 		return
 	}
-	a.sent, a.sentAt = true, s.now
-	e.out = append(e.out, a)
-	s.inFlight++
-	e.service.kind(a.kind).track(e)
-	e.service.earnCredit(e)
-	if a.resend {
+	a.sent, a.sentAt = true, b.now
+	e.inFlight = append(e.inFlight, a)
+	b.inFlight++
+	e.service.plan(a.kind).statsFor(e)
+	e.service.accrueTargetCredit(e)
+	if a.usesRetryBudget {
 		e.service.budget.spend()
 	}
 	if a.probe {
-		e.health.probed(s.now, s.draw())
+		e.health.probeSent(b.now, b.nextRandom())
 	}
-	s.holders.set(a.affinity, e)
+	b.lastServed.store(a.affinityKey, e)
 }
 
-// FirstEvent tells that the first event of a stream has come, and what the endpoint told of its load.
-func (s *Balancer) FirstEvent(now time.Duration, a *Attempt, told Load) {
-	s.advance(now)
+// FirstEvent records that the first event of a stream has come, with the load that the endpoint reported.
+func (b *Balancer) FirstEvent(now time.Duration, a *Attempt, report Load) {
+	b.advance(now)
 	e := a.endpoint
 	if !a.sent || a.answered {
 		return
 	}
-	a.answered, a.firstAt = true, s.now
-	e.tell(s.now, told, len(e.out))
-	s.answered(a, s.now-a.sentAt)
+	a.answered, a.firstEventAt = true, b.now
+	e.recordLoad(b.now, report, len(e.inFlight))
+	b.recordAnswer(a, b.now-a.sentAt)
 }
 
-// Done tells the end of an attempt that was sent.
-func (s *Balancer) Done(now time.Duration, a *Attempt, o Outcome) {
-	s.advance(now)
-	e := a.endpoint
+// Done records the end of an attempt that was sent.
+func (b *Balancer) Done(now time.Duration, a *Attempt, o Outcome) {
+	b.advance(now)
 	if !a.sent {
 		return
 	}
+	b.removeInFlight(a, o.Load)
+	a.endpoint.service.plan(a.kind).stale = true
+	b.recordOutcome(a, o)
+}
+
+// removeInFlight takes an attempt out of the counts.
+func (b *Balancer) removeInFlight(a *Attempt, report Load) {
+	e := a.endpoint
 	a.sent = false
-	e.tell(s.now, o.Load, len(e.out))
-	e.out = slices.DeleteFunc(e.out, func(other *Attempt) bool { return other == a })
-	s.inFlight--
+	e.recordLoad(b.now, report, len(e.inFlight)) // the report still counts the attempt
+	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *Attempt) bool { return other == a })
+	b.inFlight--
 	if a.probe {
-		e.health.probes--
+		e.health.probesInFlight--
 	}
-	svc := e.service
-	svc.kind(a.kind).stale = true
+}
+
+// recordOutcome learns from the end of an attempt.
+func (b *Balancer) recordOutcome(a *Attempt, o Outcome) {
+	e := a.endpoint
 	switch o.Kind {
 	case Success:
-		if svc.budget.earn(); !a.answered {
-			s.answered(a, o.Elapsed)
+		if e.service.budget.earn(); !a.answered {
+			b.recordAnswer(a, o.Elapsed)
 		}
-		s.learnPace(a, o)
+		b.learnOutputPace(a, o)
 	case NotRun:
-		s.refused(a, o.Load)
+		b.recordRejection(a, o.Load)
 	case Misdirected:
-		e.health.waitUntil = max(e.health.waitUntil, s.now+misdirectedFor)
+		e.health.backoffUntil = max(e.health.backoffUntil, b.now+misdirectedBackoff)
 	case ConnectFailure:
-		s.lost(a, true)
+		b.recordFailure(a, true)
 	case ErrorStatus, IncompleteResponse:
-		s.lost(a, false)
+		b.recordFailure(a, false)
 	case TimedOut:
-		s.timedOut(a, o)
+		b.recordTimeout(a, o)
 	case Cancelled:
-		e.linger(s.now, s.rest(a, o))
+		e.addAbandoned(b.now, b.remainingTime(a, o))
 	}
 }
 
-// answered enters a call that was answered into the tables.
-func (s *Balancer) answered(a *Attempt, took time.Duration) {
+// recordAnswer enters a call that was answered into the tables.
+func (b *Balancer) recordAnswer(a *Attempt, took time.Duration) {
 	e, svc := a.endpoint, a.endpoint.service
-	k := svc.kind(a.kind)
-	if e.health.answer(a.sentAt) {
-		k.renew(e)
+	plan := svc.plan(a.kind)
+	if e.health.recordAnswer(a.sentAt) {
+		plan.resetStats(e)
 	}
-	svc.work.learn(s.now, a, took.Seconds())
-	in := s.inUnits(a, took)
-	k.track(e).table.Add(s.now, in)
-	k.common.Add(s.now, in)
-	s.resent(a, in)
-	k.stale = true
+	svc.work.learn(b.now, a, took.Seconds())
+	units := b.toWorkUnits(a, took)
+	plan.statsFor(e).times.Add(b.now, units)
+	plan.serviceTimes.Add(b.now, units)
+	b.recordRetry(a, units)
+	plan.stale = true
 }
 
-// inUnits is the time of a call as the tables hold it: divided by its work as it is known now.
-func (s *Balancer) inUnits(a *Attempt, took time.Duration) time.Duration {
-	work := a.endpoint.service.work.predict(a.kind, a.route, a.tokens)
+// toWorkUnits converts the time of a call to what the tables hold: divided by its work as it is predicted now.
+func (b *Balancer) toWorkUnits(a *Attempt, took time.Duration) time.Duration {
+	work := a.endpoint.service.work.predict(a.kind, a.route, a.promptTokens)
 	return seconds(took.Seconds() / work * workUnit.Seconds())
 }
 
-// resent tells the plan how a restarted request fared.
-func (s *Balancer) resent(a *Attempt, took time.Duration) {
-	if a.restart {
-		a.endpoint.service.kind(a.kind).planner.ObserveRetry(took, a.expected)
+// recordRetry reports to the planner how long a retry after a planned timeout took.
+func (b *Balancer) recordRetry(a *Attempt, took time.Duration) {
+	if a.afterTimeout {
+		a.endpoint.service.plan(a.kind).planner.ObserveRetry(took, a.expected)
 	}
 }
 
-// lost takes a failure.
-func (s *Balancer) lost(a *Attempt, ranNot bool) {
-	e, k := a.endpoint, a.endpoint.service.kind(a.kind)
-	e.health.fail(s.now, a.sentAt, ranNot)
-	k.track(e).table.AddFailed(s.now)
-	if !ranNot { // else it says nothing of the others
-		k.common.AddFailed(s.now)
+// recordFailure takes a failure. A call that proved not to have run says nothing of the service's other endpoints.
+func (b *Balancer) recordFailure(a *Attempt, notRun bool) {
+	e, plan := a.endpoint, a.endpoint.service.plan(a.kind)
+	e.health.recordFailure(b.now, a.sentAt, notRun)
+	plan.statsFor(e).times.AddFailed(b.now)
+	if !notRun {
+		plan.serviceTimes.AddFailed(b.now)
 	}
 }
 
-// timedOut takes a call that was cut: it took longer than that, and may still run.
-func (s *Balancer) timedOut(a *Attempt, o Outcome) {
-	e, k := a.endpoint, a.endpoint.service.kind(a.kind)
-	e.linger(s.now, s.rest(a, o))
+// recordTimeout takes a call that was abandoned at its timeout: it takes longer than that, and may still run. It is a failure
+// only if it was a probe or had become overdue.
+func (b *Balancer) recordTimeout(a *Attempt, o Outcome) {
+	e, plan := a.endpoint, a.endpoint.service.plan(a.kind)
+	e.addAbandoned(b.now, b.remainingTime(a, o))
 	if a.answered { // its first event is in the table
 		return
 	}
-	in := s.inUnits(a, o.Elapsed)
-	k.track(e).table.AddCensored(s.now, in)
-	k.common.AddCensored(s.now, in)
-	s.resent(a, in)
-	if f := k.figures(e); a.probe || o.Elapsed >= max(overrunLeast, seconds(a.scale*f.overrun.Seconds())) {
-		e.health.fail(s.now, a.sentAt, false)
+	units := b.toWorkUnits(a, o.Elapsed)
+	plan.statsFor(e).times.AddCensored(b.now, units)
+	plan.serviceTimes.AddCensored(b.now, units)
+	b.recordRetry(a, units)
+	if estimates := plan.estimatesFor(e); a.probe || o.Elapsed >= max(minOverdue, seconds(a.workScale*estimates.overdueAfter.Seconds())) {
+		e.health.recordFailure(b.now, a.sentAt, false)
 	}
 }
 
-// refused takes a refusal. The first wait is about the time until a slot is free.
-func (s *Balancer) refused(a *Attempt, told Load) {
+// recordRejection takes a rejection by the endpoint. The first backoff is about the time until it has capacity again.
+func (b *Balancer) recordRejection(a *Attempt, report Load) {
 	e, svc := a.endpoint, a.endpoint.service
-	base, f := waitFirst.Seconds(), svc.kind(a.kind).figures(e)
-	if f.known {
-		base = max(waitLeast.Seconds(), a.scale*f.median.Seconds()/float64(max(1, e.slots())))
+	base, estimates := defaultBackoff.Seconds(), svc.plan(a.kind).estimatesFor(e)
+	if estimates.known {
+		base = max(minBackoff.Seconds(), a.workScale*estimates.median.Seconds()/float64(max(1, e.capacity())))
 	}
-	e.health.refuse(s.now, a.sentAt, base, s.draw())
-	if told.Capacity > 0 && told.Running >= told.Capacity {
-		svc.load.known, svc.load.queued = true, told.Queued
+	e.health.recordRejection(b.now, a.sentAt, base, b.nextRandom())
+	if report.Capacity > 0 && report.Running >= report.Capacity {
+		svc.load.queueLimitKnown, svc.load.queueLimit = true, report.Queued
 	}
 }
 
-// rest is how long a call that was given up is taken to run on.
-func (s *Balancer) rest(a *Attempt, o Outcome) time.Duration {
-	svc := a.endpoint.service
-	whole := svc.work.predict(a.kind, a.route, a.tokens)
-	whole += a.out * a.endpoint.pace.perToken(svc.work.pace.perToken(pacePrior))
-	return max(0, seconds(lingerTimes*whole)-o.Elapsed)
-}
-
-// learnPace learns from a stream that ended whole how fast tokens come.
-func (s *Balancer) learnPace(a *Attempt, o Outcome) {
+// learnOutputPace learns from a complete stream how fast tokens are generated.
+func (b *Balancer) learnOutputPace(a *Attempt, o Outcome) {
 	if !a.answered || o.Tokens <= 1 {
 		return
 	}
-	took, tokens := (s.now - a.firstAt).Seconds(), float64(o.Tokens)
-	a.endpoint.pace.add(s.now, took, tokens)
-	a.endpoint.service.work.pace.add(s.now, took, tokens)
+	took, tokens := (b.now - a.firstEventAt).Seconds(), float64(o.Tokens)
+	a.endpoint.pace.add(b.now, took, tokens)
+	a.endpoint.service.work.pace.add(b.now, took, tokens)
 }
--- a/internal/tier/balancer/outlier.go
+++ b/internal/tier/balancer/outlier.go
@@ -2,119 +2,96 @@
 
 import "time"
 
-// How endpoints that fail or refuse are avoided.
+// When an endpoint is ejected, and how long it is left alone after a rejection.
 const (
-	failingStreak  = 2 // failures in a row that make an endpoint failing
-	probeFirst     = 250 * time.Millisecond
-	probeMost      = 4 * time.Second
-	probeUnsafe    = 3               // times as long until a request that must not run twice is a probe
-	safeAbsent     = 5 * time.Second // without a retryable request, others are probes
-	overrunLeast   = 400 * time.Millisecond
-	waitLeast      = 10 * time.Millisecond
-	waitFirst      = 50 * time.Millisecond // where the endpoint's speed isn't known
-	waitMost       = time.Second
-	waitDoublings  = 6
-	refusalFading  = 2 * time.Second // half-life of refusals
-	misdirectedFor = 5 * time.Second
+	maxFails            = 2 // consecutive failures that eject an endpoint
+	minOverdue          = 400 * time.Millisecond
+	minBackoff          = 10 * time.Millisecond
+	defaultBackoff      = 50 * time.Millisecond // where the endpoint's call times are unknown
+	maxBackoff          = time.Second
+	maxBackoffDoublings = 6
+	rejectionHalfLife   = 2 * time.Second
+	misdirectedBackoff  = 5 * time.Second // after another endpoint answered at the address
 )
 
-// health is what is observed of an endpoint.
+// health is what the proxy's own calls show of an endpoint (passive health checks).
 type health struct {
-	streak     int             // failures in a row
-	failing    bool            // it has failed, and has not answered since
-	late       [callKinds]bool // calls in flight are older than its calls usually get, and no newer one was answered
-	ranNot     bool            // the last failure proved that the call never ran
-	newest     time.Duration
-	probeAt    time.Duration // the next probe
-	probeGap   time.Duration
-	probes     int // in flight
-	refusals   float64
-	refusedAt  time.Duration
-	refused    bool
-	waitUntil  time.Duration // nothing is sent before
-	answeredBy bool          // a call has been answered
+	consecutiveFailures int
+	ejected             bool            // maxFails calls in a row have failed, and none was answered since
+	overdue             [callKinds]bool // calls in flight are older than its calls usually get, and no newer one was answered
+	lastFailureNotRun   bool            // the last failure proved that the call has not run and never will
+	newestAnswered      time.Duration   // when the newest answered call was sent
+	everAnswered        bool
+
+	nextProbeAt    time.Duration
+	probeInterval  time.Duration
+	probesInFlight int
+
+	rejections   float64 // count that decays
+	rejectedAt   time.Duration
+	everRejected bool
+	backoffUntil time.Duration // nothing is sent before
 }
 
-// refuse takes a refusal: the wait doubles with each one that has not faded, and chance keeps proxies from coming
-// back together. Calls that were out when the wait began tell nothing new.
-func (h *health) refuse(now, sentAt time.Duration, base, draw float64) {
-	if h.refused && sentAt < h.refusedAt {
+// recordRejection takes a rejection: the backoff doubles with each one that has not decayed, and a random draw keeps proxies from
+// coming back together. Rejections of calls that were sent before the backoff began are one with it.
+func (h *health) recordRejection(now, sentAt time.Duration, base, draw float64) {
+	if h.everRejected && sentAt < h.rejectedAt {
 		return
 	}
-	h.refusals = h.refusals*fading(now-h.refusedAt, refusalFading) + 1
-	h.refusedAt, h.refused = now, true
-	wait := base * (0.5 + draw)
-	for i := 1; i < min(int(h.refusals), waitDoublings); i++ {
-		wait *= 2
+	h.rejections = h.rejections*decay(now-h.rejectedAt, rejectionHalfLife) + 1
+	h.rejectedAt, h.everRejected = now, true
+	backoff := base * (0.5 + draw)
+	for i := 1; i < min(int(h.rejections), maxBackoffDoublings); i++ {
+		backoff *= 2
 	}
-	h.waitUntil = max(h.waitUntil, now+min(seconds(wait), waitMost))
+	h.backoffUntil = max(h.backoffUntil, now+min(seconds(backoff), maxBackoff))
 }
 
-// fail takes a failure of a call. One that is older than an answered call tells nothing of now.
-func (h *health) fail(now, sentAt time.Duration, ranNot bool) {
-	if h.answeredBy && sentAt < h.newest {
+// recordFailure takes the failure of a call. One of a call that was sent before the newest answered one is out of date.
+func (h *health) recordFailure(now, sentAt time.Duration, notRun bool) {
+	if h.everAnswered && sentAt < h.newestAnswered {
 		return
 	}
-	h.ranNot = ranNot
-	h.streak++
-	if h.streak < failingStreak {
+	h.lastFailureNotRun = notRun
+	h.consecutiveFailures++
+	if h.consecutiveFailures < maxFails {
 		return
 	}
-	if !h.failing {
-		h.doubt(now)
+	if !h.ejected {
+		h.scheduleProbe(now)
 	}
-	h.failing = true
+	h.ejected = true
 }
 
-// doubt puts off the first probe.
-func (h *health) doubt(now time.Duration) {
-	h.probeGap = probeFirst
-	h.probeAt = now + h.probeGap
-}
-
-// answer takes an answered call, and tells whether the endpoint has come back with it.
-func (h *health) answer(sentAt time.Duration) bool {
-	back := h.failing
-	h.streak, h.failing, h.late = 0, false, [callKinds]bool{}
-	h.refusals /= 2
-	h.newest, h.answeredBy = max(h.newest, sentAt), true
-	return back
-}
-
-// probed puts off the next probe.
-func (h *health) probed(now time.Duration, draw float64) {
-	h.probes++
-	h.probeAt = now + seconds(h.probeGap.Seconds()*(0.75+0.5*draw))
-	h.probeGap = min(2*h.probeGap, probeMost)
-}
-
-// mayProbe tells whether a request may go out as a probe.
-func (h *health) mayProbe(now time.Duration, safe bool) bool {
-	at := h.probeAt
-	if !safe && !h.ranNot {
-		at += (probeUnsafe - 1) * h.probeGap
-	}
-	return h.probes == 0 && now >= at
+// recordAnswer takes an answered call, which readmits the endpoint. It tells whether that was ejected.
+func (h *health) recordAnswer(sentAt time.Duration) (readmitted bool) {
+	readmitted = h.ejected
+	h.consecutiveFailures, h.ejected, h.overdue = 0, false, [callKinds]bool{}
+	h.rejections /= 2
+	h.newestAnswered, h.everAnswered = max(h.newestAnswered, sentAt), true
+	return readmitted
 }
 
-// watch looks whether calls in flight overrun.
-func (e *endpoint) watch(now time.Duration, kind callKind, f *figures) {
-	late := false
-	for _, a := range e.out {
-		if a.answered || a.kind != kind || e.health.answeredBy && a.sentAt < e.health.newest {
+// detectOverdue checks whether calls of a kind have been in flight for too long. Calls older than the newest answered one don't
+// count: the endpoint answers.
+func (e *endpoint) detectOverdue(now time.Duration, kind callKind, estimates *estimates) {
+	overdue := false
+	for _, a := range e.inFlight {
+		if a.answered || a.kind != kind || e.health.everAnswered && a.sentAt < e.health.newestAnswered {
 			continue
 		}
-		bound := max(overrunLeast, seconds(a.scale*f.overrun.Seconds()))
-		if f.overrun == 0 {
-			bound = 2 * overrunLeast
+		bound := max(minOverdue, seconds(a.workScale*estimates.overdueAfter.Seconds()))
+		if estimates.overdueAfter == 0 {
+			bound = 2 * minOverdue
 		}
-		late = late || now-a.sentAt > bound
+		overdue = overdue || now-a.sentAt > bound
 	}
-	if late && !e.suspect() {
-		e.health.doubt(now)
+	if overdue && !e.unhealthy() {
+		e.health.scheduleProbe(now)
 	}
-	e.health.late[kind] = late
+	e.health.overdue[kind] = overdue
 }
 
-// seconds is a duration of that many seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -12,7 +12,7 @@
 // server is a plain endpoint.
 type server struct {
 	sim     *simulation
-	speed   float64 // x the work
+	speed   float64 // times the work
 	slots   int
 	queue   int
 	running int
@@ -61,66 +61,66 @@
 	})
 }
 
-// plainKind is one kind of plain request.
-type plainKind struct {
-	route     Route
-	retryable bool
-	work, aim time.Duration
-	deadline  time.Duration
-	share     float64
+// plainRequestKind is one kind of plain request.
+type plainRequestKind struct {
+	route               Route
+	retryable           bool
+	work, latencyTarget time.Duration
+	deadline            time.Duration
+	share               float64
 }
 
-var plainKinds = []plainKind{
+var plainRequestKinds = []plainRequestKind{
 	{Route{Name: "alerts", Kind: model.Retryable, MaxAttempts: 3}, true, 78 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, 0.4},
 	{Route{Name: "archive", Kind: model.AtMostOnce, Priority: 2, MaxAttempts: 3}, false, 312 * time.Millisecond, 1200 * time.Millisecond, 6 * time.Second, 0.3},
 	{Route{Name: "desks", Kind: model.AtMostOnce, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
 }
 
-// plainRelay is one proxy. Requests that a scheduler refuses as Saturated wait in its queue.
-type plainRelay struct {
+// simulatedProxy is one proxy. Requests that a scheduler refuses as Saturated wait in its queue.
+type simulatedProxy struct {
 	policy  policy
 	queue   *Queue // nil: nothing waits
-	waiting map[uint64]*plainClient
+	waiting map[uint64]*simulatedClient
 }
 
-// freed lets the most urgent waiter try again.
-func (r *plainRelay) freed() {
+// slotFreed lets the most urgent waiter try again.
+func (r *simulatedProxy) slotFreed() {
 	if r.queue == nil {
 		return
 	}
 	if w, ok := r.queue.Pop(); ok {
-		r.waiting[w.ID].try()
+		r.waiting[w.ID].attempt()
 	}
 }
 
 // expire refuses those that have waited for too long.
-func (r *plainRelay) expire(now time.Duration) {
+func (r *simulatedProxy) expire(now time.Duration) {
 	for w, ok := r.queue.PopExpired(now); ok; w, ok = r.queue.PopExpired(now) {
-		r.leave(w.ID)
+		r.rejectQueued(w.ID)
 	}
 }
 
-// leave gives a waiter its refusal.
-func (r *plainRelay) leave(id uint64) {
+// rejectQueued gives a waiter its refusal.
+func (r *simulatedProxy) rejectQueued(id uint64) {
 	c := r.waiting[id]
 	delete(r.waiting, id)
-	c.turnedAway(retryLeast)
+	c.rejected(minRetryAfter)
 }
 
-// plainWorld is what plain calls meet.
-type plainWorld struct {
+// plainSimulation is what plain calls meet.
+type plainSimulation struct {
 	sim     *simulation
 	list    []model.Endpoint
 	servers []*server
-	relays  []*plainRelay
-	tally   *tally
+	relays  []*simulatedProxy
+	stats   *callStats
 	serial  uint64
 }
 
-// playPlain plays plain calls of nine relays to 28 endpoints of six slots, at that part of what these can do.
-func playPlain(seed uint64, usage float64, outage, queues bool, relay func(list []model.Endpoint, i int) policy) *tally {
+// simulatePlainCalls plays plain calls of nine relays to 28 endpoints of six slots, at that part of what these can do.
+func simulatePlainCalls(seed uint64, usage float64, outage, queues bool, relay func(list []model.Endpoint, i int) policy) *callStats {
 	const endpoints, slots, relays, length = 28, 6, 9, 11 * time.Second
-	w := &plainWorld{sim: newSimulation(seed), list: fleetOf("feeds", endpoints, slots), tally: &tally{}}
+	w := &plainSimulation{sim: newSimulation(seed), list: endpointsOf("feeds", endpoints, slots), stats: &callStats{}}
 	power := 0.0
 	for i := range endpoints {
 		v := &server{sim: w.sim, speed: math.Exp(0.4 * w.sim.random.NormFloat64()), slots: slots, queue: 4}
@@ -130,153 +130,155 @@
 		w.servers = append(w.servers, v)
 	}
 	for i := range relays {
-		r := &plainRelay{policy: relay(w.list, i), waiting: map[uint64]*plainClient{}}
+		r := &simulatedProxy{policy: relay(w.list, i), waiting: map[uint64]*simulatedClient{}}
 		if queues {
 			r.queue = NewQueue(200)
 		}
 		w.relays = append(w.relays, r)
 	}
 	work := 0.0
-	for _, k := range plainKinds {
+	for _, k := range plainRequestKinds {
 		work += k.share * k.work.Seconds() * 1.1
 	}
 	w.sim.arrivals(usage*power/work, length, w.arrive)
 	w.sim.run(length + 6*time.Second)
-	return w.tally
+	return w.stats
 }
 
-func (w *plainWorld) arrive() {
-	at, k := w.sim.coming.Float64(), 0
-	for at > plainKinds[k].share && k < len(plainKinds)-1 {
-		at -= plainKinds[k].share
+func (w *plainSimulation) arrive() {
+	at, k := w.sim.arrivalRandom.Float64(), 0
+	for at > plainRequestKinds[k].share && k < len(plainRequestKinds)-1 {
+		at -= plainRequestKinds[k].share
 		k++
 	}
 	w.serial++
-	c := &plainClient{world: w, id: w.serial, kind: &plainKinds[k], begun: w.sim.now, comesBack: 1,
-		relay: w.relays[w.sim.coming.IntN(len(w.relays))]}
+	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.sim.now, returnsLeft: 1,
+		relay: w.relays[w.sim.arrivalRandom.IntN(len(w.relays))]}
 	if w.sim.now > 3*time.Second { // what is learnt counts, not the learning
-		w.tally.asked++
-		c.counts = true
+		w.stats.requests++
+		c.measured = true
 	}
-	c.try()
+	c.attempt()
 }
 
-// plainClient is one request on its way through a relay.
-type plainClient struct {
-	world     *plainWorld
-	id        uint64
-	kind      *plainKind
-	relay     *plainRelay
-	begun     time.Duration
-	waitsTill time.Duration // bound of its wait in the queue; 0: it hasn't waited
-	comesBack int           // times that the client comes again after a refusal
-	tries     int
-	ran       bool
-	restarted bool
-	counts    bool
-	excluded  []string
+// simulatedClient is one request on its way through a relay.
+type simulatedClient struct {
+	simulation   *plainSimulation
+	id           uint64
+	kind         *plainRequestKind
+	relay        *simulatedProxy
+	startedAt    time.Duration
+	queuedUntil  time.Duration // bound of its wait in the queue; 0: it hasn't waited
+	returnsLeft  int           // times that the client comes again after a refusal
+	attempts     int
+	mayHaveRun   bool
+	afterTimeout bool
+	measured     bool
+	excluded     []string
 }
 
-func (c *plainClient) left() time.Duration { return c.kind.deadline - (c.world.sim.now - c.begun) }
+func (c *simulatedClient) timeLeft() time.Duration {
+	return c.kind.deadline - (c.simulation.sim.now - c.startedAt)
+}
 
-func (c *plainClient) try() {
+func (c *simulatedClient) attempt() {
 	delete(c.relay.waiting, c.id)
-	r := Request{Service: "feeds", Route: c.kind.route, Retryable: c.kind.retryable, TimeLeft: c.left(), AttemptsUsed: c.tries,
-		MayHaveRun: c.ran, AfterTimeout: c.restarted, Excluded: c.excluded}
-	if r.TimeLeft <= 0 || c.ran && (c.tries >= 3 || !c.kind.retryable) {
+	r := Request{Service: "feeds", Route: c.kind.route, Retryable: c.kind.retryable, TimeLeft: c.timeLeft(), AttemptsUsed: c.attempts,
+		MayHaveRun: c.mayHaveRun, AfterTimeout: c.afterTimeout, Excluded: c.excluded}
+	if r.TimeLeft <= 0 || c.mayHaveRun && (c.attempts >= 3 || !c.kind.retryable) {
 		return
 	}
-	if c.tries >= 3 {
-		c.turnedAway(100 * time.Millisecond)
+	if c.attempts >= 3 {
+		c.rejected(100 * time.Millisecond)
 		return
 	}
-	now := c.world.sim.now
+	now := c.simulation.sim.now
 	i, timeout, a := c.relay.policy.choose(now, r)
 	if i < 0 {
-		c.wait(timeout)
+		c.enqueue(timeout)
 		return
 	}
-	if c.counts {
-		c.world.tally.sends++
+	if c.measured {
+		c.simulation.stats.attempts++
 	}
-	c.tries++
+	c.attempts++
 	c.relay.policy.sent(now, i, a)
 	over := false
 	end := func(o Outcome) {
 		if over {
 			return
 		}
-		over, o.Elapsed = true, c.world.sim.now-now
-		c.relay.policy.done(c.world.sim.now, i, a, o)
-		c.ended(i, o)
-		c.relay.freed()
+		over, o.Elapsed = true, c.simulation.sim.now-now
+		c.relay.policy.done(c.simulation.sim.now, i, a, o)
+		c.attemptEnded(i, o)
+		c.relay.slotFreed()
 	}
-	c.world.servers[i].serve(c.kind.work, end)
-	c.world.sim.after(timeout, func() { end(Outcome{Kind: TimedOut}) })
+	c.simulation.servers[i].serve(c.kind.work, end)
+	c.simulation.sim.after(timeout, func() { end(Outcome{Kind: TimedOut}) })
 }
 
-// wait joins the relay's queue, if there is one.
-func (c *plainClient) wait(comeBack time.Duration) {
-	now, queue := c.world.sim.now, c.relay.queue
-	if queue == nil || c.ran {
-		c.turnedAway(comeBack)
+// enqueue joins the relay's queue, if there is one.
+func (c *simulatedClient) enqueue(comeBack time.Duration) {
+	now, queue := c.simulation.sim.now, c.relay.queue
+	if queue == nil || c.mayHaveRun {
+		c.rejected(comeBack)
 		return
 	}
-	w := NewQueuedRequest(c.id, c.kind.route.Priority, now, c.kind.aim, c.left())
-	if c.waitsTill > 0 {
-		w.ExpiresAt = c.waitsTill
+	w := NewQueuedRequest(c.id, c.kind.route.Priority, now, c.kind.latencyTarget, c.timeLeft())
+	if c.queuedUntil > 0 {
+		w.ExpiresAt = c.queuedUntil
 	}
-	if c.waitsTill = w.ExpiresAt; w.ExpiresAt <= now {
-		c.turnedAway(comeBack)
+	if c.queuedUntil = w.ExpiresAt; w.ExpiresAt <= now {
+		c.rejected(comeBack)
 		return
 	}
 	c.relay.waiting[c.id] = c
 	if refused, full := queue.Push(w); full {
-		c.relay.leave(refused.ID)
+		c.relay.rejectQueued(refused.ID)
 	}
 	relay := c.relay
-	c.world.sim.after(w.ExpiresAt-now, func() { relay.expire(c.world.sim.now) })
+	c.simulation.sim.after(w.ExpiresAt-now, func() { relay.expire(c.simulation.sim.now) })
 }
 
-// turnedAway ends the try with a promise; the client comes back if it has the time.
-func (c *plainClient) turnedAway(after time.Duration) {
-	if c.counts {
-		c.world.tally.refused++
+// rejected ends the try with a promise; the client comes back if it has the time.
+func (c *simulatedClient) rejected(after time.Duration) {
+	if c.measured {
+		c.simulation.stats.rejected++
 	}
-	if c.ran || c.comesBack == 0 || after > c.left()/3 {
+	if c.mayHaveRun || c.returnsLeft == 0 || after > c.timeLeft()/3 {
 		return
 	}
-	c.comesBack--
-	c.tries, c.excluded, c.waitsTill = 0, nil, 0
-	c.relay = c.world.relays[c.world.sim.coming.IntN(len(c.world.relays))]
-	c.world.sim.after(after, c.try)
+	c.returnsLeft--
+	c.attempts, c.excluded, c.queuedUntil = 0, nil, 0
+	c.relay = c.simulation.relays[c.simulation.sim.arrivalRandom.IntN(len(c.simulation.relays))]
+	c.simulation.sim.after(after, c.attempt)
 }
 
-func (c *plainClient) ended(i int, o Outcome) {
-	t := c.world.tally
-	if c.counts {
+func (c *simulatedClient) attemptEnded(i int, o Outcome) {
+	t := c.simulation.stats
+	if c.measured {
 		t.outcomes[o.Kind]++
 	}
 	if o.Kind != Success {
-		c.excluded = append(c.excluded, c.world.list[i].ID)
-		c.ran = c.ran || o.Kind != NotRun
-		c.restarted = o.Kind == TimedOut
-		c.try()
+		c.excluded = append(c.excluded, c.simulation.list[i].ID)
+		c.mayHaveRun = c.mayHaveRun || o.Kind != NotRun
+		c.afterTimeout = o.Kind == TimedOut
+		c.attempt()
 		return
 	}
-	took := c.world.sim.now - c.begun
-	if !c.counts || took > c.kind.deadline {
+	took := c.simulation.sim.now - c.startedAt
+	if !c.measured || took > c.kind.deadline {
 		return
 	}
 	t.served++
 	t.times = append(t.times, took.Seconds())
-	if took <= c.kind.aim {
-		t.inTime++
-		t.byRank[c.kind.route.Priority]++
+	if took <= c.kind.latencyTarget {
+		t.onTime++
+		t.onTimeByPriority[c.kind.route.Priority]++
 	}
 }
 
-func TestSimulatedPlainCalls(t *testing.T) {
+func TestSimulation_PlainCalls_BeatBaselines(t *testing.T) {
 	tests := []struct {
 		usage  float64 // of what the endpoints can do
 		outage bool
@@ -284,23 +286,23 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("usage=%v/outage=%v", test.usage, test.outage), func(t *testing.T) {
 			t.Parallel()
-			play := func(queues bool, relay func(list []model.Endpoint, i int) policy) *tally {
-				return playPlain(1, test.usage, test.outage, queues, relay)
+			play := func(queues bool, relay func(list []model.Endpoint, i int) policy) *callStats {
+				return simulatePlainCalls(1, test.usage, test.outage, queues, relay)
 			}
-			random := play(false, func(l []model.Endpoint, i int) policy { return newSimple(l, false, uint64(i)) })
-			least := play(false, func(l []model.Endpoint, i int) policy { return newSimple(l, true, uint64(i)) })
-			direct, ours := play(false, scheduledRelay), play(true, scheduledRelay)
+			random := play(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
+			least := play(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			direct, ours := play(false, balancedProxyPolicy), play(true, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", least)
 			t.Logf("scheduler:  %v", direct)
 			t.Logf("with queue: %v", ours)
-			if share := ours.share(ours.inTime); share < random.share(random.inTime) || share < least.share(least.inTime) {
+			if share := ours.share(ours.onTime); share < random.share(random.onTime) || share < least.share(least.onTime) {
 				t.Error("fewer requests are in time than with a simple choice")
 			}
 		})
 	}
 }
 
-func scheduledRelay(list []model.Endpoint, i int) policy {
-	return newScheduled(list, fmt.Sprintf("z%d", i%4), uint64(i))
+func balancedProxyPolicy(list []model.Endpoint, i int) policy {
+	return newBalancedPolicy(list, fmt.Sprintf("z%d", i%4), uint64(i))
 }
--- a/internal/tier/balancer/plan.go
+++ b/internal/tier/balancer/plan.go
@@ -9,140 +9,141 @@
 
 // How the plan of a service is kept.
 const (
-	tableLongest = 16 * workUnit // what is slower, and what fails, counts as this
-	mostAttempts = 4             // attempts that a plan looks ahead
-	solveEvery   = 50 * time.Millisecond
-	solveSize    = 64 // tables above which the plan is solved less often, in proportion
-	solveAtLeast = time.Second
-	forgotten    = 0.02 // calls that are left of a table, below which it is dropped
-	overrunTimes = 2.5  // the 90th percentile; older calls overrun
+	maxCallTime         = 16 * workUnit // slower calls, and failures, count as this
+	maxPlannedAttempts  = 4             // attempts that a plan looks ahead
+	solveInterval       = 50 * time.Millisecond
+	solveIntervalTables = 64 // tables above which the interval grows in proportion
+	maxPlanAge          = time.Second
+	minCallsKept        = 0.02 // decayed calls of a table, below which it is dropped
+	overdueFactor       = 2.5  // times the 90th percentile, after which a call is overdue
 )
 
-// figures is what a solved plan says of an endpoint, in units of work.
-type figures struct {
-	expected [mostAttempts + 1]float64 // s, by attempts left
-	timeout  [mostAttempts + 1]time.Duration
-	runsOn   [mostAttempts + 1]bool
-	median   time.Duration
-	overrun  time.Duration
-	known    bool
+// estimates is what a solved plan says of an endpoint, in units of work.
+type estimates struct {
+	expected      [maxPlannedAttempts + 1]float64 // s, by attempts left
+	timeout       [maxPlannedAttempts + 1]time.Duration
+	untilDeadline [maxPlannedAttempts + 1]bool // a timeout wouldn't pay
+	median        time.Duration
+	overdueAfter  time.Duration
+	known         bool // there are enough calls for an estimate
 }
 
-// track is the table of one endpoint for one kind of call.
-type track struct {
-	endpoint *endpoint
-	table    *control.LatencyTable
-	figures  figures
+// endpointStats is the table of one endpoint for one kind of call.
+type endpointStats struct {
+	endpoint  *endpoint
+	times     *control.LatencyTable
+	estimates estimates
 }
 
-// kind is the tables of a service for one kind of call, and the plan solved from them.
-type kind struct {
-	kind     callKind
-	planner  *control.Planner
-	common   *control.LatencyTable // all calls of the service
-	fresh    track                 // stands for the endpoints without a table
-	called   []*track
-	pooled   []*control.LatencyTable
-	solved   []*control.LatencyTable
-	levels   int  // attempts that a request has had left at most
-	stale    bool // calls have ended since it was solved
-	changed  bool // the list or the levels have
-	solvedAt time.Duration
+// callPlan is the tables of a service for one kind of call, and the plan solved from them.
+type callPlan struct {
+	kind            callKind
+	planner         *control.Planner
+	serviceTimes    *control.LatencyTable // all calls of the service
+	untried         endpointStats         // stands for the endpoints without a table
+	tried           []*endpointStats
+	poolTables      []*control.LatencyTable // of the last refresh; kept for their memory
+	solveTables     []*control.LatencyTable
+	maxAttemptsLeft int  // the most attempts that a request has had left
+	stale           bool // calls have ended since it was solved
+	changed         bool // the list or maxAttemptsLeft has changed since
+	solvedAt        time.Duration
 }
 
-func newKind(k callKind) *kind {
-	p := control.NewPlanner(tableLongest)
-	n := &kind{kind: k, planner: p, common: p.NewTable()}
-	n.fresh.table = p.NewTable()
-	return n
+func newCallPlan(kind callKind) *callPlan {
+	planner := control.NewPlanner(maxCallTime)
+	p := &callPlan{kind: kind, planner: planner, serviceTimes: planner.NewTable()}
+	p.untried.times = planner.NewTable()
+	return p
 }
 
-// track returns the endpoint's table, which it makes at need.
-func (k *kind) track(e *endpoint) *track {
-	if e.tracks[k.kind] == nil {
-		t := &track{endpoint: e, table: k.planner.NewTable(), figures: k.fresh.figures}
-		e.tracks[k.kind] = t
-		k.called = append(k.called, t)
+// statsFor returns the endpoint's table, which it creates if necessary.
+func (p *callPlan) statsFor(e *endpoint) *endpointStats {
+	if e.stats[p.kind] == nil {
+		stats := &endpointStats{endpoint: e, times: p.planner.NewTable(), estimates: p.untried.estimates}
+		e.stats[p.kind] = stats
+		p.tried = append(p.tried, stats)
 	}
-	return e.tracks[k.kind]
+	return e.stats[p.kind]
 }
 
-// figures is what the plan says of an endpoint.
-func (k *kind) figures(e *endpoint) *figures {
-	if t := e.tracks[k.kind]; t != nil {
-		return &t.figures
+// estimatesFor is what the plan says of an endpoint.
+func (p *callPlan) estimatesFor(e *endpoint) *estimates {
+	if stats := e.stats[p.kind]; stats != nil {
+		return &stats.estimates
 	}
-	return &k.fresh.figures
+	return &p.untried.estimates
 }
 
-// due tells whether the plan is to be solved again, for requests with so many attempts left.
-func (k *kind) due(now time.Duration, level int) bool {
-	if level > k.levels {
-		k.levels, k.changed = level, true
+// needsSolve tells whether the plan is to be solved again, for requests with so many attempts left.
+func (p *callPlan) needsSolve(now time.Duration, attemptsLeft int) bool {
+	if attemptsLeft > p.maxAttemptsLeft {
+		p.maxAttemptsLeft, p.changed = attemptsLeft, true
 	}
-	age, every := now-k.solvedAt, solveEvery
-	if n := len(k.called); n > solveSize {
-		every = solveEvery * time.Duration(n) / solveSize
+	age, interval := now-p.solvedAt, solveInterval
+	if n := len(p.tried); n > solveIntervalTables {
+		interval = solveInterval * time.Duration(n) / solveIntervalTables
 	}
-	return k.changed || k.stale && age >= every || age >= max(solveAtLeast, every)
+	return p.changed || p.stale && age >= interval || age >= max(maxPlanAge, interval)
 }
 
-// refresh solves the plan again where it is due.
-func (k *kind) refresh(now time.Duration, level int) {
-	if !k.due(now, level) {
+// refresh solves the plan again where that is due. Unhealthy endpoints and those in backoff take no part in the solution.
+func (p *callPlan) refresh(now time.Duration, attemptsLeft int) {
+	if !p.needsSolve(now, attemptsLeft) {
 		return
 	}
-	k.stale, k.changed, k.solvedAt = false, false, now
-	k.forget(now)
-	k.pooled = append(k.pooled[:0], k.fresh.table)
-	k.solved = append(k.solved[:0], k.fresh.table)
-	for _, t := range k.called {
-		t.endpoint.watch(now, k.kind, &t.figures)
-		k.pooled = append(k.pooled, t.table)
-		if t.endpoint.takes(now) && !t.endpoint.suspect() {
-			k.solved = append(k.solved, t.table)
+	p.stale, p.changed, p.solvedAt = false, false, now
+	p.evict(now)
+	p.poolTables = append(p.poolTables[:0], p.untried.times)
+	p.solveTables = append(p.solveTables[:0], p.untried.times)
+	for _, stats := range p.tried {
+		stats.endpoint.detectOverdue(now, p.kind, &stats.estimates)
+		p.poolTables = append(p.poolTables, stats.times)
+		if stats.endpoint.accepting(now) && !stats.endpoint.unhealthy() {
+			p.solveTables = append(p.solveTables, stats.times)
 		}
 	}
-	k.planner.Pool(now, k.common, k.pooled)
-	plan := k.planner.Solve(now, k.solved, k.levels)
-	k.fresh.figures.read(plan, k.fresh.table, k.levels)
-	for _, t := range k.called {
-		t.figures.read(plan, t.table, k.levels)
+	p.planner.Pool(now, p.serviceTimes, p.poolTables)
+	solution := p.planner.Solve(now, p.solveTables, p.maxAttemptsLeft)
+	p.untried.estimates.update(solution, p.untried.times, p.maxAttemptsLeft)
+	for _, stats := range p.tried {
+		stats.estimates.update(solution, stats.times, p.maxAttemptsLeft)
 	}
 }
 
-// forget drops the tables of endpoints that have left, and those that hold next to nothing any more.
-func (k *kind) forget(now time.Duration) {
-	k.called = slices.DeleteFunc(k.called, func(t *track) bool {
-		drop := len(t.endpoint.out) == 0 && (!t.endpoint.listed || t.table.Count(now) < forgotten)
-		if drop && t.endpoint.tracks[k.kind] == t {
-			t.endpoint.tracks[k.kind] = nil
+// evict drops the tables of endpoints that have left the list, and those whose calls have decayed to next to nothing.
+func (p *callPlan) evict(now time.Duration) {
+	p.tried = slices.DeleteFunc(p.tried, func(stats *endpointStats) bool {
+		drop := len(stats.endpoint.inFlight) == 0 && (!stats.endpoint.listed || stats.times.Count(now) < minCallsKept)
+		if drop && stats.endpoint.stats[p.kind] == stats {
+			stats.endpoint.stats[p.kind] = nil
 		}
 		return drop
 	})
 }
 
-// renew gives an endpoint that has come back a table without calls: what it did before says little of it now.
-func (k *kind) renew(e *endpoint) {
-	if t := e.tracks[k.kind]; t != nil {
-		t.table = k.planner.NewTable()
-		k.stale = true
+// resetStats gives a readmitted endpoint an empty table: its calls from before the ejection say little of it now.
+func (p *callPlan) resetStats(e *endpoint) {
+	if stats := e.stats[p.kind]; stats != nil {
+		stats.times = p.planner.NewTable()
+		p.stale = true
 	}
 }
 
-func (f *figures) read(plan control.Plan, table *control.LatencyTable, levels int) {
+// update reads what the solution says of a table, for requests with up to maxAttemptsLeft attempts.
+func (f *estimates) update(solution control.Plan, table *control.LatencyTable, maxAttemptsLeft int) {
 	f.known = table.Known()
 	if !f.known {
-		*f = figures{}
+		*f = estimates{}
 		for i := range f.expected {
-			f.expected[i], f.runsOn[i] = workUnit.Seconds(), true
+			f.expected[i], f.untilDeadline[i] = workUnit.Seconds(), true
 		}
 		return
 	}
-	for left := 1; left <= levels; left++ {
-		expected, timeout, runsOn := plan.Attempt(table, left)
-		f.expected[left], f.timeout[left], f.runsOn[left] = expected.Seconds(), timeout, runsOn
+	for left := 1; left <= maxAttemptsLeft; left++ {
+		expected, timeout, untilDeadline := solution.Attempt(table, left)
+		f.expected[left], f.timeout[left], f.untilDeadline[left] = expected.Seconds(), timeout, untilDeadline
 	}
 	f.median = table.Quantile(0.5)
-	f.overrun = time.Duration(overrunTimes * float64(table.Quantile(0.9)))
+	f.overdueAfter = time.Duration(overdueFactor * float64(table.Quantile(0.9)))
 }
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -12,43 +12,43 @@
 	"mastusher/internal/tier/view"
 )
 
-// step is one decision as a trace keeps it.
-type step struct {
+// decisionRecord is one decision as a trace keeps it.
+type decisionRecord struct {
 	Endpoint string
 	Timeout  time.Duration
 	RunsOn   bool
 	Refusal  Rejection
 }
 
-// world drives a scheduler at random, and checks each decision.
-type world struct {
-	rt      *rapid.T
-	s       *Balancer
-	now     time.Duration
-	list    []model.Endpoint
-	target  string
-	share   float64
-	out     []*Attempt
-	sentAt  []time.Duration
-	waits   map[string]time.Duration
-	trace   []step
-	sent    float64
-	exposed float64
+// randomRun drives a scheduler at random, and checks each decision.
+type randomRun struct {
+	rt           *rapid.T
+	s            *Balancer
+	now          time.Duration
+	list         []model.Endpoint
+	target       string
+	share        float64
+	inFlight     []*Attempt
+	sentAt       []time.Duration
+	backoffs     map[string]time.Duration
+	trace        []decisionRecord
+	sent         float64
+	sentToTarget float64
 }
 
-const worldSlots = 16
+const runMaxInFlight = 16
 
-func newWorld(rt *rapid.T, seed uint64) *world {
-	return &world{rt: rt, s: New(Options{Zone: "z0", Seed: seed, MaxInFlight: worldSlots}), waits: map[string]time.Duration{}}
+func newRandomRun(rt *rapid.T, seed uint64) *randomRun {
+	return &randomRun{rt: rt, s: New(Options{Zone: "z0", Seed: seed, MaxInFlight: runMaxInFlight}), backoffs: map[string]time.Duration{}}
 }
 
-func (w *world) relist() {
+func (w *randomRun) changeEndpoints() {
 	w.list = nil
 	n := rapid.IntRange(0, 9).Draw(w.rt, "endpoints")
 	if rapid.IntRange(0, 9).Draw(w.rt, "large") == 0 {
 		n = 80
 	}
-	for i, e := range fleetOf("feeds", n, 2) {
+	for i, e := range endpointsOf("feeds", n, 2) {
 		if i%5 == 3 {
 			e.Version = "v2"
 		}
@@ -60,13 +60,13 @@
 	w.s.SetEndpoints(w.now, slices.Clone(w.list))
 }
 
-func (w *world) reversion() {
+func (w *randomRun) changeVersions() {
 	w.share = rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(w.rt, "share")
 	w.target = rapid.SampledFrom([]string{"", "v2"}).Draw(w.rt, "target")
 	w.s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: w.target, Share: w.share}})
 }
 
-func (w *world) request() Request {
+func (w *randomRun) request() Request {
 	rt := w.rt
 	r := Request{
 		Service:      "feeds",
@@ -89,10 +89,10 @@
 	return r
 }
 
-func (w *world) choose() {
+func (w *randomRun) choose() {
 	r := w.request()
 	d := w.s.Select(w.now, r)
-	at := step{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
+	at := decisionRecord{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
 	if d.Endpoint == nil {
 		if d.Rejection.Kind == NotRejected {
 			w.rt.Fatal("neither an endpoint nor a refusal")
@@ -105,13 +105,13 @@
 	w.check(&r, &d)
 	attempt := d.Attempt
 	w.s.Sent(w.now, &attempt)
-	w.out, w.sentAt = append(w.out, &attempt), append(w.sentAt, w.now)
+	w.inFlight, w.sentAt = append(w.inFlight, &attempt), append(w.sentAt, w.now)
 	if w.sent++; d.Endpoint.Version == "v2" {
-		w.exposed++
+		w.sentToTarget++
 	}
 }
 
-func (w *world) check(r *Request, d *Decision) {
+func (w *randomRun) check(r *Request, d *Decision) {
 	i := slices.IndexFunc(w.list, func(e model.Endpoint) bool { return e.ID == d.Endpoint.ID })
 	e := w.s.endpoints[d.Endpoint.ID]
 	switch {
@@ -125,96 +125,96 @@
 		w.rt.Fatalf("time-out %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
 	case !r.Retryable && (!d.UntilDeadline || r.MayHaveRun):
 		w.rt.Fatal("a request that must not run twice is cut, or sent again")
-	case len(e.out) >= worldSlots*3/4 || e.health.streak > 0 && len(e.out) >= worldSlots/2:
-		w.rt.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.out))
-	case w.now < w.waits[d.Endpoint.ID]:
-		w.rt.Fatalf("%s must not be called before %v", d.Endpoint.ID, w.waits[d.Endpoint.ID])
-	case len(w.out) >= worldSlots:
+	case len(e.inFlight) >= runMaxInFlight*3/4 || e.health.consecutiveFailures > 0 && len(e.inFlight) >= runMaxInFlight/2:
+		w.rt.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.inFlight))
+	case w.now < w.backoffs[d.Endpoint.ID]:
+		w.rt.Fatalf("%s must not be called before %v", d.Endpoint.ID, w.backoffs[d.Endpoint.ID])
+	case len(w.inFlight) >= runMaxInFlight:
 		w.rt.Fatal("more calls than slots")
 	}
-	k := e.service.kind(d.Attempt.kind)
-	if f := k.figures(e); f.known && r.TimeLeft < time.Duration(d.Attempt.scale*float64(f.median)) {
+	k := e.service.plan(d.Attempt.kind)
+	if f := k.estimatesFor(e); f.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(f.median)) {
 		w.rt.Fatal("a hopeless request is sent")
 	}
 }
 
-func (w *world) settle() {
-	if len(w.out) == 0 {
+func (w *randomRun) endAttempt() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.out)-1).Draw(w.rt, "which")
-	a, sentAt := w.out[i], w.sentAt[i]
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.rt, "which")
+	a, sentAt := w.inFlight[i], w.sentAt[i]
 	if a.kind == streamCall && rapid.Bool().Draw(w.rt, "first") {
 		w.s.FirstEvent(w.now, a, Load{Running: 1, Capacity: 2})
 		return
 	}
-	w.out, w.sentAt = slices.Delete(w.out, i, i+1), slices.Delete(w.sentAt, i, i+1)
+	w.inFlight, w.sentAt = slices.Delete(w.inFlight, i, i+1), slices.Delete(w.sentAt, i, i+1)
 	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(NotSent)).Draw(w.rt, "outcome")), Elapsed: w.now - sentAt}
 	if rapid.Bool().Draw(w.rt, "told") {
 		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.rt, "running"), Capacity: 2,
 			Queued: rapid.IntRange(0, 2).Draw(w.rt, "waiting")}
 	}
 	w.s.Done(w.now, a, o)
-	w.waits[a.endpoint.model.ID] = a.endpoint.health.waitUntil
+	w.backoffs[a.endpoint.model.ID] = a.endpoint.health.backoffUntil
 }
 
-func (w *world) run(steps int) {
-	w.reversion()
-	w.relist()
+func (w *randomRun) run(steps int) {
+	w.changeVersions()
+	w.changeEndpoints()
 	for range steps {
 		w.now += time.Duration(rapid.IntRange(0, 200).Draw(w.rt, "ms")) * time.Millisecond
 		switch rapid.IntRange(0, 20).Draw(w.rt, "what") {
 		case 0:
-			w.relist()
+			w.changeEndpoints()
 		case 1:
-			w.reversion()
+			w.changeVersions()
 		case 2, 3, 4, 5, 6, 7, 8:
-			w.settle()
+			w.endAttempt()
 		default:
 			w.choose()
 		}
 	}
 }
 
-func TestDecisionsKeepTheRules(t *testing.T) {
+func TestSelect_RandomRuns_KeepInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		newWorld(rt, rapid.Uint64().Draw(rt, "seed")).run(rapid.IntRange(1, 80).Draw(rt, "steps"))
+		newRandomRun(rt, rapid.Uint64().Draw(rt, "seed")).run(rapid.IntRange(1, 80).Draw(rt, "steps"))
 	})
 }
 
-func TestNothingLeaksWhenAllHasSettled(t *testing.T) {
+func TestDone_AllAttemptsEnded_LeavesNothingInFlight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt, 1)
+		w := newRandomRun(rt, 1)
 		w.run(rapid.IntRange(1, 60).Draw(rt, "steps"))
-		for len(w.out) > 0 {
-			w.settle()
+		for len(w.inFlight) > 0 {
+			w.endAttempt()
 		}
 		if w.s.inFlight != 0 {
 			rt.Fatalf("%d calls in flight", w.s.inFlight)
 		}
 		for _, e := range w.s.endpoints {
-			if len(e.out) != 0 || e.health.probes != 0 {
-				rt.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.out), e.health.probes)
+			if len(e.inFlight) != 0 || e.health.probesInFlight != 0 {
+				rt.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.inFlight), e.health.probesInFlight)
 			}
 		}
 	})
 }
 
-func TestSameCallsGiveTheSameDecisions(t *testing.T) {
+func TestSelect_SameSeedAndCalls_SameDecisions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		// Given two schedulers with the same seed, and the endpoints listed in another order.
-		list := fleetOf("feeds", 20, 2)
+		list := endpointsOf("feeds", 20, 2)
 		turned := slices.Clone(list)
 		slices.Reverse(turned)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		a, b := New(Options{Zone: "z0", Seed: seed}), New(Options{Zone: "z0", Seed: seed})
 		a.SetEndpoints(0, list)
 		b.SetEndpoints(0, turned)
-		var traces [2][]step
+		var traces [2][]decisionRecord
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms")) * time.Millisecond
-			r := plain("feeds")
+			r := retryableRequest("feeds")
 			r.AffinityKey = rapid.Uint64Range(0, 5).Draw(rt, "affinity")
 			r.Route.UsesAffinity = r.AffinityKey > 0
 			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(rt, "outcome")),
@@ -222,7 +222,7 @@
 			// When both get the same calls.
 			for i, s := range []*Balancer{a, b} {
 				d := s.Select(now, r)
-				at := step{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
+				at := decisionRecord{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
 				if d.Endpoint != nil {
 					at.Endpoint = d.Endpoint.ID
 					s.Sent(now, &d.Attempt)
--- a/internal/tier/balancer/queue.go
+++ b/internal/tier/balancer/queue.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// waitPart is the part of its target time that a request may wait for a slot: one that is refused by then still earns
-// about half of its worth when it comes again.
-const waitPart = 4
+// queueTimeDivisor gives the part of its latency target for which a request may be queued: one that is rejected by then still
+// earns about half of its value when it comes again.
+const queueTimeDivisor = 4
 
-// QueuedRequest is one request that waits for a slot.
+// QueuedRequest is one request that waits for capacity.
 type QueuedRequest struct {
 	ID        uint64
 	Priority  int           // 0 is the most urgent
-	Deadline  time.Duration // of the request: of one rank, the earlier one goes first
-	ExpiresAt time.Duration // it is refused if it hasn't left by then
+	Deadline  time.Duration // of the request: within a priority, the earlier one goes first
+	ExpiresAt time.Duration // it is rejected if it is still queued then
 }
 
-// NewQueuedRequest returns a waiter that came at now, on a route with that target time.
-func NewQueuedRequest(id uint64, rank int, now, target, timeLeft time.Duration) QueuedRequest {
-	return QueuedRequest{ID: id, Priority: rank, Deadline: now + timeLeft, ExpiresAt: now + min(target/waitPart, timeLeft)}
+// NewQueuedRequest returns a request that arrived at now, on a route with that latency target.
+func NewQueuedRequest(id uint64, priority int, now, latencyTarget, timeLeft time.Duration) QueuedRequest {
+	return QueuedRequest{ID: id, Priority: priority, Deadline: now + timeLeft,
+		ExpiresAt: now + min(latencyTarget/queueTimeDivisor, timeLeft)}
 }
 
 // before tells whether w leaves the queue before o.
@@ -28,38 +29,42 @@
 	return cmp.Or(cmp.Compare(w.Priority, o.Priority), cmp.Compare(w.Deadline, o.Deadline), cmp.Compare(w.ID, o.ID)) < 0
 }
 
-// Queue holds the requests of one service that wait for a slot: the most urgent one leaves first, and none waits longer
-// than its bound. It is not safe for concurrent use.
+// expiresBefore tells whether w is to be rejected before o.
+func (w *QueuedRequest) expiresBefore(o *QueuedRequest) bool {
+	return w.ExpiresAt < o.ExpiresAt || w.ExpiresAt == o.ExpiresAt && w.ID < o.ID
+}
+
+// Queue holds the requests of one service that wait for capacity: the most urgent one leaves first, and none waits beyond its
+// expiry. It is not safe for concurrent use.
 type Queue struct {
-	limit   int
-	urgent  order // the first to leave on top
-	expiry  order // the first to be refused on top
-	entries map[uint64]*entry
+	limit      int
+	byPriority requestHeap // the first to leave on top
+	byExpiry   requestHeap // the first to expire on top
+	entries    map[uint64]*queueEntry
 }
 
-// entry is a waiter with its places in both heaps.
-type entry struct {
+// queueEntry is a request with its index in both heaps.
+type queueEntry struct {
 	QueuedRequest
-	at [2]int
+	heapIndexes [2]int
 }
 
-// NewQueue returns an empty queue for so many waiters.
+// NewQueue returns an empty queue for up to limit requests, at least one.
 func NewQueue(limit int) *Queue {
 	return &Queue{
-		limit:  max(1, limit),
-		urgent: order{place: 0, before: func(a, b *QueuedRequest) bool { return a.before(b) }},
-		expiry: order{place: 1, before: func(a, b *QueuedRequest) bool {
-			return a.ExpiresAt < b.ExpiresAt || a.ExpiresAt == b.ExpiresAt && a.ID < b.ID
-		}},
-		entries: map[uint64]*entry{},
+		limit:      max(1, limit),
+		byPriority: requestHeap{indexSlot: 0, before: (*QueuedRequest).before},
+		byExpiry:   requestHeap{indexSlot: 1, before: (*QueuedRequest).expiresBefore},
+		entries:    map[uint64]*queueEntry{},
 	}
 }
 
-// Len is how many wait.
+// Len returns how many requests are queued.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Push lets w wait. Where the queue is full, the one that would leave last is refused: it is returned, and may be w.
-func (q *Queue) Push(w QueuedRequest) (refused QueuedRequest, full bool) {
+// Push queues w. Where the queue is full, the request that would leave last is rejected: it is returned, and may be w. A request
+// that is queued already is rejected too.
+func (q *Queue) Push(w QueuedRequest) (rejected QueuedRequest, full bool) {
 	if q.entries[w.ID] != nil {
 		return w, true
 	}
@@ -69,19 +74,19 @@
 			return w, true
 		}
 		q.Remove(last.ID)
-		refused, full = last.QueuedRequest, true
+		rejected, full = last.QueuedRequest, true
 	}
-	e := &entry{QueuedRequest: w}
+	e := &queueEntry{QueuedRequest: w}
 	q.entries[w.ID] = e
-	heap.Push(&q.urgent, e)
-	heap.Push(&q.expiry, e)
-	return refused, full
+	heap.Push(&q.byPriority, e)
+	heap.Push(&q.byExpiry, e)
+	return rejected, full
 }
 
-// last is the waiter that would leave last.
-func (q *Queue) last() *entry {
-	last := q.urgent.list[0]
-	for _, e := range q.urgent.list {
+// last is the request that would leave last.
+func (q *Queue) last() *queueEntry {
+	last := q.byPriority.entries[0]
+	for _, e := range q.byPriority.entries {
 		if last.before(&e.QueuedRequest) {
 			last = e
 		}
@@ -89,81 +94,80 @@
 	return last
 }
 
-// Pop takes out the most urgent waiter, for which a slot is free now.
+// Pop removes and returns the most urgent request; false: none is queued.
 func (q *Queue) Pop() (QueuedRequest, bool) {
-	if len(q.urgent.list) == 0 {
-		return QueuedRequest{}, false
+	w, ok := q.Peek()
+	if ok {
+		q.Remove(w.ID)
 	}
-	w := q.urgent.list[0].QueuedRequest
-	q.Remove(w.ID)
-	return w, true
+	return w, ok
 }
 
-// Peek is the waiter that Pop would take out.
-func (q *Queue) Peek() (QueuedRequest, bool) {
-	if len(q.urgent.list) == 0 {
-		return QueuedRequest{}, false
-	}
-	return q.urgent.list[0].QueuedRequest, true
-}
+// Peek returns the request that Pop would remove.
+func (q *Queue) Peek() (QueuedRequest, bool) { return q.byPriority.peek() }
 
-// PopExpired takes out one waiter whose bound has come; it is to be refused.
+// PopExpired removes and returns one request that has expired and is to be rejected; false: none has.
 func (q *Queue) PopExpired(now time.Duration) (QueuedRequest, bool) {
-	if len(q.expiry.list) == 0 || q.expiry.list[0].ExpiresAt > now {
+	w, ok := q.byExpiry.peek()
+	if !ok || w.ExpiresAt > now {
 		return QueuedRequest{}, false
 	}
-	w := q.expiry.list[0].QueuedRequest
 	q.Remove(w.ID)
 	return w, true
 }
 
-// NextExpiry is when the next bound comes.
+// NextExpiry returns when the next request expires; false: none is queued.
 func (q *Queue) NextExpiry() (time.Duration, bool) {
-	if len(q.expiry.list) == 0 {
-		return 0, false
-	}
-	return q.expiry.list[0].ExpiresAt, true
+	w, ok := q.byExpiry.peek()
+	return w.ExpiresAt, ok
 }
 
-// Remove takes out a waiter whose client has gone, and tells whether it waited.
+// Remove takes out a request whose client has gone, and tells whether it was queued.
 func (q *Queue) Remove(id uint64) bool {
 	e := q.entries[id]
 	if e == nil {
 		return false
 	}
 	delete(q.entries, id)
-	heap.Remove(&q.urgent, e.at[q.urgent.place])
-	heap.Remove(&q.expiry, e.at[q.expiry.place])
+	heap.Remove(&q.byPriority, e.heapIndexes[q.byPriority.indexSlot])
+	heap.Remove(&q.byExpiry, e.heapIndexes[q.byExpiry.indexSlot])
 	return true
 }
 
-// order is a heap of entries, each of which knows its place in it.
-type order struct {
-	list   []*entry
-	place  int // which of an entry's places is that in this heap
-	before func(a, b *QueuedRequest) bool
+// requestHeap is a heap of entries, each of which knows its index in it. It implements heap.Interface.
+type requestHeap struct {
+	entries   []*queueEntry
+	indexSlot int // which of an entry's heapIndexes is that in this heap
+	before    func(a, b *QueuedRequest) bool
+}
+
+func (h *requestHeap) peek() (QueuedRequest, bool) {
+	if len(h.entries) == 0 {
+		return QueuedRequest{}, false
+	}
+	return h.entries[0].QueuedRequest, true
 }
 
-func (o *order) Len() int { return len(o.list) }
-func (o *order) Less(i, j int) bool {
-	return o.before(&o.list[i].QueuedRequest, &o.list[j].QueuedRequest)
+func (h *requestHeap) Len() int { return len(h.entries) }
+func (h *requestHeap) Less(i, j int) bool {
+	return h.before(&h.entries[i].QueuedRequest, &h.entries[j].QueuedRequest)
 }
-func (o *order) Swap(i, j int) {
-	o.list[i], o.list[j] = o.list[j], o.list[i]
-	o.list[i].at[o.place], o.list[j].at[o.place] = i, j
+func (h *requestHeap) Swap(i, j int) {
+	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
+	h.entries[i].heapIndexes[h.indexSlot], h.entries[j].heapIndexes[h.indexSlot] = i, j
 }
 
-// Push appends an entry; it is called by the heap.
-func (o *order) Push(x any) {
-	e := x.(*entry)
-	e.at[o.place] = len(o.list)
-	o.list = append(o.list, e)
+// Push appends an entry for package heap.
+func (h *requestHeap) Push(x any) {
+	e := x.(*queueEntry)
+	e.heapIndexes[h.indexSlot] = len(h.entries)
+	h.entries = append(h.entries, e)
 }
 
-// Pop takes off the last entry; it is called by the heap.
-func (o *order) Pop() any {
-	last := o.list[len(o.list)-1]
-	o.list[len(o.list)-1] = nil
-	o.list = o.list[:len(o.list)-1]
+// Pop removes the last entry for package heap.
+func (h *requestHeap) Pop() any {
+	last := h.entries[len(h.entries)-1]
+	h.entries[len(h.entries)-1] = nil
+	h.entries = h.entries[:len(h.entries)-1]
 	return last
 }
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestQueueLetsTheMostUrgentLeaveFirst(t *testing.T) {
+func TestQueue_Pop_MostUrgentFirst(t *testing.T) {
 	// Given waiters of two ranks.
 	q := NewQueue(10)
 	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestQueueRefusesTheLeastUrgentWhenFull(t *testing.T) {
+func TestQueue_PushWhenFull_RejectsLeastUrgent(t *testing.T) {
 	q := NewQueue(2)
 	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 2, Priority: 2, Deadline: 100, ExpiresAt: 50})
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWaiterMayWaitAQuarterOfItsTarget(t *testing.T) {
+func TestNewQueuedRequest_Expiry_QuarterOfLatencyTarget(t *testing.T) {
 	if got := NewQueuedRequest(1, 0, time.Second, 400*time.Millisecond, 2*time.Second).ExpiresAt; got != 1100*time.Millisecond {
 		t.Errorf("waits until %v, want 1.1s", got)
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestQueueProperties(t *testing.T) {
+func TestQueue_RandomOperations_KeepInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(rt, "limit")
 		q, waiting, now, id := NewQueue(limit), map[uint64]QueuedRequest{}, time.Duration(0), uint64(0)
--- a/internal/tier/balancer/retries.go
+++ b/internal/tier/balancer/retries.go
@@ -1,16 +1,25 @@
 package balancer
 
-// The retry budget of a service.
+// The retry budget of a service: a proxy whose endpoints all fail must not multiply the load on them by retries.
 const (
-	budgetEarned = 0.2 // retries that a success earns
-	budgetMost   = 10.0
+	retriesPerSuccess = 0.2 // retries that a success earns; a larger value lets more of the traffic be retries
+	maxRetryBudget    = 10.0
 )
 
-// retryBudget is the retries that successes have earned.
-type retryBudget struct{ left float64 }
+// retryBudget is the retries that successes have earned and that were not spent.
+type retryBudget struct{ retries float64 }
 
-func newRetryBudget() retryBudget { return retryBudget{left: budgetMost / 2} }
+func newRetryBudget() retryBudget { return retryBudget{retries: maxRetryBudget / 2} }
 
-func (b *retryBudget) earn()      { b.left = min(budgetMost, b.left+budgetEarned) }
-func (b *retryBudget) spend()     { b.left = max(0, b.left-1) }
-func (b *retryBudget) pays() bool { return b.left >= 1 }
+func (b *retryBudget) earn()        { b.retries = min(maxRetryBudget, b.retries+retriesPerSuccess) }
+func (b *retryBudget) spend()       { b.retries = max(0, b.retries-1) }
+func (b *retryBudget) allows() bool { return b.retries >= 1 }
+
+// attemptsLeft is how many attempts the route's maximum and the program's budget leave.
+func attemptsLeft(r *Request) int {
+	left := max(1, r.Route.MaxAttempts) - r.AttemptsUsed
+	if r.AffordableAttempts > 0 {
+		left = min(left, r.AffordableAttempts)
+	}
+	return left
+}
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -7,20 +7,20 @@
 	"mastusher/internal/tier/view"
 )
 
-func TestATargetGetsItsExtraSoonAndNoMore(t *testing.T) {
+func TestSelect_TargetBonus_IsSpentSoonAndOnce(t *testing.T) {
 	for _, pinned := range []bool{false, true} {
 		// Given a version that may get 4 requests above its share at first,
-		list := fleetOf("feeds", 8, 6)
+		list := endpointsOf("feeds", 8, 6)
 		for i := range 4 {
 			list[i].Version = "v2"
 		}
-		s := newScheduler(list)
+		s := newBalancer(list)
 		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: 0.05, InitialAllowance: 4}}
 		s.SetVersions(versions)
 		// when requests come, and the same versions are told again meanwhile,
 		target := [1001]int{}
 		for i := range 1000 {
-			r := plain("feeds")
+			r := retryableRequest("feeds")
 			if pinned {
 				r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 			}
--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -6,298 +6,261 @@
 	"time"
 )
 
-// What bounds and tilts the choice.
+// Bounds of a selection.
 const (
-	capNormal    = 0.75 // of the proxy's slots, for one endpoint
-	capSick      = 0.5  // of them, for one whose calls overrun or fail
-	coldCharge   = 0.5  // of the expectation, at an endpoint that has just started
-	tieCharge    = 0.03 // of it, so that proxies that know nothing don't all begin with the same endpoint
-	warmShare    = 0.25 // of it, saved by an endpoint that has lately seen a subject
-	prefixWeight = 1.5  // of the time to read a prefix again: reading it also delays others
-	readDelays   = 0.5  // of that time, by which each request that runs there is delayed
-	otherHolder  = 0.5  // of that, at the preferred endpoint where another one is known to hold the prefix
-	probeTimes   = 3.0  // the median, that a retryable probe may last
-	retryLeast   = 50 * time.Millisecond
-	retryNothing = 500 * time.Millisecond // where there is no endpoint
+	maxShareHealthy      = 0.75 // of MaxInFlight, for one endpoint
+	maxShareUnhealthy    = 0.5  // of it, for one whose calls are overdue or fail
+	probeTimeoutFactor   = 3.0  // times the median, that a retryable probe may last
+	minRetryAfter        = 50 * time.Millisecond
+	noEndpointRetryAfter = 500 * time.Millisecond
 )
 
-// pick is a choice under way.
-type pick struct {
-	now       time.Duration
-	request   *Request
-	kind      *kind
-	level     int     // attempts left, this one included
-	scale     float64 // the request's work in units
-	prefix    float64 // s to read its prefix again
-	preferred *endpoint
-	holder    *endpoint
-	safe      bool
-	usual     float64 // the share of slots that others take in the mean
+// selection is the state of one Select.
+type selection struct {
+	now          time.Duration
+	request      *Request
+	plan         *callPlan
+	attemptsLeft int       // this one included, as far as the plan looks ahead; 1 if the request isn't retryable
+	workScale    float64   // the request's work in units
+	prefixCost   float64   // s of prefill of its prefix
+	preferred    *endpoint // of its affinity, by rendezvous hashing; nil: it has none
+	lastServed   *endpoint // that served its affinity last
+	retryable    bool
+	othersShare  float64 // the mean share of an endpoint's capacity that other proxies take
 
-	best, sick, probe  *endpoint
-	bestCost, sickCost float64
-	reserve            bool          // there is a healthy endpoint, free or not; a request that must not run twice waits for it
-	open               int           // healthy endpoints that would take it
-	waiting            time.Duration // the end of the first wait
-	full               bool          // one that may take it is full or must be waited for
+	best, bestUnhealthy, probeCandidate *endpoint
+	bestCost, bestUnhealthyCost         float64
+	hasHealthy                          bool          // an endpoint is healthy, available or not; a request that isn't retryable waits for it
+	available                           int           // healthy endpoints that would take the request
+	earliestBackoffEnd                  time.Duration // 0: no endpoint is in backoff
+	saturated                           bool          // an endpoint that may take the request is at capacity or in backoff
 }
 
-// Select decides where the next attempt of a request goes. It changes nothing that a later choice depends on, but for
-// the plan: an attempt counts from Sent on.
-func (s *Balancer) Select(now time.Duration, r Request) Decision {
-	s.advance(now)
-	svc := s.services[r.Service]
+// Select decides where the next attempt of a request goes. Beside solving the plan it changes nothing that a later selection
+// depends on: an attempt counts from Sent on.
+func (b *Balancer) Select(now time.Duration, r Request) Decision {
+	b.advance(now)
+	svc := b.services[r.Service]
 	if svc == nil {
-		return refuse(NoEndpoint, retryNothing)
+		return reject(NoEndpoint, noEndpointRetryAfter)
 	}
 	if r.Retryable && !r.MayHaveRun {
-		svc.safeAt, svc.safeSeen = s.now, true
+		svc.lastRetryableAt, svc.sawRetryable = b.now, true
 	}
 	left := attemptsLeft(&r)
-	if left < 1 || r.MayHaveRun && (!r.Retryable || !svc.budget.pays()) || r.TimeLeft <= 0 {
-		return refuse(AttemptsExhausted, 0)
+	if left < 1 || r.MayHaveRun && (!r.Retryable || !svc.budget.allows()) || r.TimeLeft <= 0 {
+		return reject(AttemptsExhausted, 0)
 	}
 	route := svc.work.route(r.Route.Name)
-	p := pick{now: s.now, request: &r, kind: svc.kind(kindOf(r.Route.Kind)), level: min(left, mostAttempts)}
-	if p.safe = r.Retryable; !p.safe {
-		p.level = 1
+	sel := b.newSelection(svc, &r, route, left)
+	if b.inFlight >= b.options.MaxInFlight {
+		return reject(Saturated, sel.retryAfter())
 	}
-	work := svc.work.predict(p.kind.kind, route, float64(r.NewTokens))
-	p.scale = work / workUnit.Seconds()
-	p.kind.refresh(s.now, p.level)
-	if s.inFlight >= s.options.MaxInFlight {
-		return refuse(Saturated, p.retryAfter())
-	}
-	e := s.place(&p, svc)
+	e := b.selectEndpoint(&sel, svc)
 	if e == nil {
-		return p.nothing()
+		return sel.rejectAll()
 	}
-	d := p.decide(svc, e)
-	d.Attempt.route, d.Attempt.tokens, d.Attempt.out = route, float64(r.NewTokens), float64(r.OutTokens)
-	return d
+	decision := sel.decide(svc, e)
+	decision.Attempt.route, decision.Attempt.promptTokens, decision.Attempt.outputTokens = route, float64(r.NewTokens), float64(r.OutTokens)
+	return decision
+}
+
+// newSelection predicts the request's work and brings the plan up to date.
+func (b *Balancer) newSelection(svc *service, r *Request, route *routeWork, left int) selection {
+	sel := selection{now: b.now, request: r, plan: svc.plan(kindOf(r.Route.Kind)), attemptsLeft: min(left, maxPlannedAttempts)}
+	if sel.retryable = r.Retryable; !sel.retryable {
+		sel.attemptsLeft = 1
+	}
+	work := svc.work.predict(sel.plan.kind, route, float64(r.NewTokens))
+	sel.workScale = work / workUnit.Seconds()
+	sel.plan.refresh(b.now, sel.attemptsLeft)
+	return sel
 }
 
-// place finds the endpoint in the group whose turn it is, else in the other one as far as that may take it.
-func (s *Balancer) place(p *pick, svc *service) *endpoint {
-	group := svc.pick(p.request.AffinityKey)
-	e := s.placeIn(p, svc, group)
-	if e != nil && !e.suspect() {
+// selectEndpoint selects from the group of versions whose turn it is, or from the other one if it has no healthy endpoint.
+func (b *Balancer) selectEndpoint(sel *selection, svc *service) *endpoint {
+	group := svc.selectGroup(sel.request.AffinityKey)
+	e := b.selectIn(sel, svc, group)
+	if e != nil && !e.unhealthy() {
 		return e
 	}
-	other := svc.other(group)
-	if other == nil {
+	fallback := svc.fallbackGroup(group)
+	if fallback == nil {
 		return e
 	}
-	if o := s.placeIn(p, svc, other); o != nil && (e == nil || !o.suspect()) {
-		return o
+	if other := b.selectIn(sel, svc, fallback); other != nil && (e == nil || !other.unhealthy()) {
+		return other
 	}
 	return e
 }
 
-func (s *Balancer) placeIn(p *pick, svc *service, g *group) *endpoint {
-	p.best, p.sick, p.probe, p.preferred, p.holder = nil, nil, nil, nil, nil
-	p.bestCost, p.sickCost, p.open, p.reserve = math.Inf(1), math.Inf(1), 0, false
-	p.usual = svc.load.usual(s.now)
-	s.prepare(p, svc, g)
-	s.scan(p, svc, g)
-	return p.chosen(svc)
-}
-
-func refuse(kind RejectionKind, after time.Duration) Decision {
-	return Decision{Rejection: Rejection{Kind: kind, RetryAfter: after}}
+// selectIn selects from one group.
+func (b *Balancer) selectIn(sel *selection, svc *service, group *versionGroup) *endpoint {
+	sel.best, sel.bestUnhealthy, sel.probeCandidate, sel.preferred, sel.lastServed = nil, nil, nil, nil, nil
+	sel.bestCost, sel.bestUnhealthyCost, sel.available, sel.hasHealthy = math.Inf(1), math.Inf(1), 0, false
+	sel.othersShare = svc.load.expectedShare(b.now)
+	b.findAffinity(sel, svc, group)
+	b.scanCandidates(sel, group, group.candidates(svc, sel.plan, b.now))
+	return sel.winner(svc)
 }
 
-// attemptsLeft is how many attempts the route's tries and the program's budget leave.
-func attemptsLeft(r *Request) int {
-	left := max(1, r.Route.MaxAttempts) - r.AttemptsUsed
-	if r.AffordableAttempts > 0 {
-		left = min(left, r.AffordableAttempts)
+// scanCandidates considers the candidates, and all endpoints of the group if none of the candidates takes the request.
+func (b *Balancer) scanCandidates(sel *selection, group *versionGroup, candidates []*endpoint) {
+	for _, e := range candidates {
+		b.consider(sel, e)
 	}
-	return left
-}
-
-// prepare finds out which endpoint holds what the request goes on from.
-func (s *Balancer) prepare(p *pick, svc *service, g *group) {
-	r := p.request
-	if !r.Route.UsesAffinity || r.AffinityKey == 0 || len(g.ready) == 0 {
+	if len(candidates) >= len(group.ready) {
 		return
 	}
-	p.preferred, p.holder = g.preferred(r.AffinityKey), s.holders.of(r.AffinityKey)
-	if p.holder != nil && p.holder.service != svc {
-		p.holder = nil
-	}
-	if p.kind.kind == streamCall {
-		_, each := svc.work.reads.fit()
-		p.prefix = prefixWeight * each * float64(r.PrefixTokens)
-	}
-	p.prefix = max(p.prefix, warmShare*p.scale*workUnit.Seconds())
-}
-
-// scan looks at the candidates, and at all endpoints of the group if none of these takes the request.
-func (s *Balancer) scan(p *pick, svc *service, g *group) {
-	list := g.candidates(svc, p.kind, s.now)
-	for _, e := range list {
-		s.consider(p, e)
-	}
-	if p.preferred != nil && len(list) < len(g.ready) {
-		s.consider(p, p.preferred)
-		if p.holder != nil {
-			s.consider(p, p.holder)
+	if sel.preferred != nil {
+		b.consider(sel, sel.preferred)
+		if sel.lastServed != nil {
+			b.consider(sel, sel.lastServed)
 		}
 	}
-	if p.best == nil && len(list) < len(g.ready) {
-		for _, e := range g.ready {
-			s.consider(p, e)
+	if sel.best == nil {
+		for _, e := range group.ready {
+			b.consider(sel, e)
 		}
 	}
 }
 
-// consider weighs one endpoint.
-func (s *Balancer) consider(p *pick, e *endpoint) {
+// consider compares one endpoint with the best so far.
+func (b *Balancer) consider(sel *selection, e *endpoint) {
 	if !e.ready {
 		return
 	}
-	suspect := e.suspect()
-	if len(p.request.Excluded) > 0 && slices.Contains(p.request.Excluded, e.model.ID) {
-		p.reserve = p.reserve || !suspect && !p.safe
+	unhealthy := e.unhealthy()
+	if len(sel.request.Excluded) > 0 && slices.Contains(sel.request.Excluded, e.model.ID) {
+		sel.hasHealthy = sel.hasHealthy || !unhealthy && !sel.retryable
 		return
 	}
-	p.reserve = p.reserve || !suspect
-	if wait := e.health.waitUntil; wait > p.now {
-		if p.waiting == 0 || wait < p.waiting {
-			p.waiting = wait
+	sel.hasHealthy = sel.hasHealthy || !unhealthy
+	if backoff := e.health.backoffUntil; backoff > sel.now {
+		if sel.earliestBackoffEnd == 0 || backoff < sel.earliestBackoffEnd {
+			sel.earliestBackoffEnd = backoff
 		}
-		p.full = true
+		sel.saturated = true
 		return
 	}
-	running := e.running(p.now, p.usual)
-	if len(e.out) >= s.cap(e) || e.full(running) {
-		p.full = true
+	inFlight := e.estimatedInFlight(sel.now, sel.othersShare)
+	if len(e.inFlight) >= b.maxInFlightTo(e) || e.atCapacity(inFlight) {
+		sel.saturated = true
 		return
 	}
-	cost := p.cost(e, running)
-	if suspect {
-		if cost < p.sickCost {
-			p.sick, p.sickCost = e, cost
-		}
-		if e.health.mayProbe(p.now, p.safe) && (p.probe == nil || e.health.probeAt < p.probe.health.probeAt) {
-			p.probe = e
-		}
+	cost := sel.cost(e, inFlight)
+	if unhealthy {
+		sel.considerUnhealthy(e, cost)
 		return
 	}
-	p.open++
-	if cost < p.bestCost {
-		p.best, p.bestCost = e, cost
-	}
-}
-
-// cap is how many calls the endpoint may hold of this proxy's slots.
-func (s *Balancer) cap(e *endpoint) int {
-	share := capNormal
-	if e.suspect() || e.health.streak > 0 {
-		share = capSick
+	sel.available++
+	if cost < sel.bestCost {
+		sel.best, sel.bestCost = e, cost
 	}
-	return max(1, int(share*float64(s.options.MaxInFlight)))
 }
 
-// cost is the expected time at an endpoint with all charges, in seconds.
-func (p *pick) cost(e *endpoint, running float64) float64 {
-	f := p.kind.figures(e)
-	expected := p.scale * f.expected[p.level]
-	factor := 1 + e.crowd(running) + tieCharge*e.tieBreak
-	if e.coldUntil > p.now {
-		factor += coldCharge
+// considerUnhealthy compares an unhealthy endpoint with the best of those, and with the probe that is due first.
+func (sel *selection) considerUnhealthy(e *endpoint, cost float64) {
+	if cost < sel.bestUnhealthyCost {
+		sel.bestUnhealthy, sel.bestUnhealthyCost = e, cost
 	}
-	cost := expected*factor + e.zoneCharge
-	if p.request.OutTokens > 0 {
-		usual := e.service.work.pace.perToken(pacePrior)
-		cost += float64(p.request.OutTokens) * e.pace.perToken(usual) * factor
+	if e.health.probeDue(sel.now, sel.retryable) && (sel.probeCandidate == nil || e.health.nextProbeAt < sel.probeCandidate.health.nextProbeAt) {
+		sel.probeCandidate = e
 	}
-	return cost + p.readAgain(e, running)
 }
 
-// readAgain charges what reading the prefix anew costs, to the request and to those that run there meanwhile: without
-// these, a crowd makes requests leave the endpoints that hold their prefixes, and reading them adds to the crowd.
-func (p *pick) readAgain(e *endpoint, running float64) float64 {
-	charge := p.prefix
-	if p.kind.kind == streamCall {
-		charge *= 1 + readDelays*running
-	}
-	switch {
-	case p.preferred == nil || e == p.holder, e == p.preferred && p.holder == nil:
-		return 0
-	case e == p.preferred:
-		return otherHolder * charge
+// maxInFlightTo bounds the attempts of this proxy at one endpoint.
+func (b *Balancer) maxInFlightTo(e *endpoint) int {
+	share := maxShareHealthy
+	if e.unhealthy() || e.health.consecutiveFailures > 0 {
+		share = maxShareUnhealthy
 	}
-	return charge
+	return max(1, int(share*float64(b.options.MaxInFlight)))
 }
 
-// chosen settles between the best endpoint, a probe, and the best of those that fail where no other is left.
-func (p *pick) chosen(svc *service) *endpoint {
+// winner decides between the best endpoint, a probe, and, where no healthy endpoint is left, the best unhealthy one.
+func (sel *selection) winner(svc *service) *endpoint {
 	switch {
-	case p.best == nil && !p.reserve:
-		return p.sick
-	case p.probe != nil && p.mayProbe(svc):
-		return p.probe
+	case sel.best == nil && !sel.hasHealthy:
+		return sel.bestUnhealthy
+	case sel.probeCandidate != nil && sel.mayProbe(svc):
+		return sel.probeCandidate
 	}
-	return p.best
+	return sel.best
 }
 
-// mayProbe tells whether the request may be risked: it can be sent again, or nothing comes that could.
-func (p *pick) mayProbe(svc *service) bool {
+// mayProbe tells whether the request may be risked as a probe: it can be retried, or no request comes that could be.
+func (sel *selection) mayProbe(svc *service) bool {
 	switch {
-	case p.request.AttemptsUsed > 0:
+	case sel.request.AttemptsUsed > 0:
 		return false
-	case p.safe:
-		return p.level > 1 && svc.budget.pays()
+	case sel.retryable:
+		return sel.attemptsLeft > 1 && svc.budget.allows()
 	}
-	return p.probe.health.ranNot || !svc.safeSeen || p.now-svc.safeAt > safeAbsent
+	return sel.probeCandidate.health.lastFailureNotRun || !svc.sawRetryable || sel.now-svc.lastRetryableAt > retryableAbsence
 }
 
-// nothing refuses a request that no endpoint takes.
-func (p *pick) nothing() Decision {
-	if !p.full && !p.reserve {
-		return refuse(NoEndpoint, retryNothing)
+func reject(kind RejectionKind, after time.Duration) Decision {
+	return Decision{Rejection: Rejection{Kind: kind, RetryAfter: after}}
+}
+
+// rejectAll rejects a request that no endpoint takes.
+func (sel *selection) rejectAll() Decision {
+	if !sel.saturated && !sel.hasHealthy {
+		return reject(NoEndpoint, noEndpointRetryAfter)
 	}
-	after := p.retryAfter()
-	if p.waiting > 0 {
-		after = max(retryLeast, min(after, p.waiting-p.now))
+	after := sel.retryAfter()
+	if sel.earliestBackoffEnd > 0 {
+		after = max(minRetryAfter, min(after, sel.earliestBackoffEnd-sel.now))
 	}
-	return refuse(Saturated, after)
+	return reject(Saturated, after)
 }
 
-// retryAfter is about how long it takes until a place is free.
-func (p *pick) retryAfter() time.Duration {
-	return max(retryLeast, seconds(p.scale*p.kind.fresh.figures.expected[1]/2))
+// retryAfter is about how long it takes until an endpoint has capacity again.
+func (sel *selection) retryAfter() time.Duration {
+	return max(minRetryAfter, seconds(sel.workScale*sel.plan.untried.estimates.expected[1]/2))
 }
 
-// decide sets the time-out by the plan. A call is cut only where another attempt can be paid for, has an endpoint to go
-// to and the time that it needs.
-func (p *pick) decide(svc *service, e *endpoint) Decision {
-	f := p.kind.figures(e)
-	left := p.request.TimeLeft
-	median := p.scaled(f.median)
-	if f.known && left < median {
-		return refuse(DeadlineTooShort, 0)
+// decide sets the timeout of the attempt by the plan.
+func (sel *selection) decide(svc *service, e *endpoint) Decision {
+	estimates := sel.plan.estimatesFor(e)
+	left := sel.request.TimeLeft
+	if median := sel.scaled(estimates.median); estimates.known && left < median {
+		return reject(DeadlineTooShort, 0)
+	}
+	decision := Decision{Endpoint: e.model, Timeout: left, UntilDeadline: true}
+	if sel.hasRetryFor(svc, e) {
+		timeout, untilDeadline := sel.plannedTimeout(e, estimates)
+		if !untilDeadline && timeout+sel.scaled(sel.plan.untried.estimates.median) < left {
+			decision.Timeout, decision.UntilDeadline = timeout, false
+		}
 	}
-	d := Decision{Endpoint: e.model, Timeout: left, UntilDeadline: true}
-	others := p.open
-	if !e.suspect() {
+	decision.Attempt = Attempt{endpoint: e, kind: sel.plan.kind, affinityKey: sel.request.AffinityKey, workScale: sel.workScale,
+		expected: seconds(estimates.expected[sel.attemptsLeft]), probe: e.unhealthy(), usesRetryBudget: sel.request.MayHaveRun,
+		afterTimeout: sel.request.AfterTimeout && estimates.known}
+	return decision
+}
+
+// hasRetryFor tells whether a timeout would leave the request a retry: one that the budget allows, at another endpoint.
+func (sel *selection) hasRetryFor(svc *service, e *endpoint) bool {
+	others := sel.available
+	if !e.unhealthy() {
 		others--
 	}
-	if p.safe && p.level > 1 && others > 0 && svc.budget.pays() {
-		cut, runsOn := p.scaled(f.timeout[p.level]), f.runsOn[p.level]
-		if e.suspect() {
-			cut, runsOn = seconds(probeTimes*p.scale*p.kind.fresh.figures.median.Seconds()), !p.kind.fresh.figures.known
-		}
-		if !runsOn && cut+p.scaled(p.kind.fresh.figures.median) < left {
-			d.Timeout, d.UntilDeadline = cut, false
-		}
-	}
-	d.Attempt = Attempt{endpoint: e, kind: p.kind.kind, affinity: p.request.AffinityKey, scale: p.scale,
-		expected: seconds(f.expected[p.level]), probe: e.suspect(), resend: p.request.MayHaveRun,
-		restart: p.request.AfterTimeout && f.known}
-	return d
+	return sel.retryable && sel.attemptsLeft > 1 && others > 0 && svc.budget.allows()
+}
+
+// plannedTimeout returns the timeout of an attempt by the plan, or that it is to last until the deadline. A probe's timeout
+// follows the other endpoints' median, as the endpoint's own calls say little of what to expect of it.
+func (sel *selection) plannedTimeout(e *endpoint, own *estimates) (timeout time.Duration, untilDeadline bool) {
+	if e.unhealthy() {
+		pooled := &sel.plan.untried.estimates
+		return seconds(probeTimeoutFactor * sel.workScale * pooled.median.Seconds()), !pooled.known
+	}
+	return sel.scaled(own.timeout[sel.attemptsLeft]), own.untilDeadline[sel.attemptsLeft]
 }
 
-func (p *pick) scaled(d time.Duration) time.Duration { return time.Duration(p.scale * float64(d)) }
+// scaled converts a time in units of work to one of this request.
+func (sel *selection) scaled(d time.Duration) time.Duration {
+	return time.Duration(sel.workScale * float64(d))
+}
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -16,53 +16,53 @@
 
 // simulation is a clock with what is due.
 type simulation struct {
-	now    time.Duration
-	due    dueList
-	serial uint64
-	random *rand.Rand
-	coming *rand.Rand // the requests are the same whatever serves them
+	now           time.Duration
+	events        eventHeap
+	serial        uint64
+	random        *rand.Rand
+	arrivalRandom *rand.Rand // the requests are the same whatever serves them
 }
 
-type dueEvent struct {
+type simulatedEvent struct {
 	at     time.Duration
 	serial uint64
-	do     func()
+	run    func()
 }
 
-type dueList []dueEvent
+type eventHeap []simulatedEvent
 
-func (d dueList) Len() int { return len(d) }
-func (d dueList) Less(i, j int) bool {
+func (d eventHeap) Len() int { return len(d) }
+func (d eventHeap) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].serial < d[j].serial
 }
-func (d dueList) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dueList) Push(x any)   { *d = append(*d, x.(dueEvent)) }
-func (d *dueList) Pop() any {
+func (d eventHeap) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventHeap) Push(x any)   { *d = append(*d, x.(simulatedEvent)) }
+func (d *eventHeap) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
 func newSimulation(seed uint64) *simulation {
-	return &simulation{random: rand.New(rand.NewPCG(seed, 0)), coming: rand.New(rand.NewPCG(seed, 2))}
+	return &simulation{random: rand.New(rand.NewPCG(seed, 0)), arrivalRandom: rand.New(rand.NewPCG(seed, 2))}
 }
 
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.serial++
-	heap.Push(&sim.due, dueEvent{at: sim.now + max(0, d), serial: sim.serial, do: do})
+	heap.Push(&sim.events, simulatedEvent{at: sim.now + max(0, d), serial: sim.serial, run: do})
 }
 
 func (sim *simulation) run(until time.Duration) {
-	for len(sim.due) > 0 && sim.due[0].at <= until {
-		e := heap.Pop(&sim.due).(dueEvent)
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		e := heap.Pop(&sim.events).(simulatedEvent)
 		sim.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
 // arrivals calls do at random moments, so many a second.
 func (sim *simulation) arrivals(rate float64, until time.Duration, do func()) {
-	sim.after(seconds(sim.coming.ExpFloat64()/rate), func() {
+	sim.after(seconds(sim.arrivalRandom.ExpFloat64()/rate), func() {
 		if sim.now < until {
 			do()
 			sim.arrivals(rate, until, do)
@@ -79,50 +79,52 @@
 	done(now time.Duration, endpoint int, a *Attempt, o Outcome)
 }
 
-// scheduled is the scheduler as a policy.
-type scheduled struct {
-	s       *Balancer
-	numbers map[string]int
+// balancedPolicy is the scheduler as a policy.
+type balancedPolicy struct {
+	balancer *Balancer
+	indexes  map[string]int
 }
 
-func newScheduled(list []model.Endpoint, zone string, seed uint64) *scheduled {
-	p := &scheduled{s: New(Options{Zone: zone, Seed: seed}), numbers: map[string]int{}}
-	p.s.SetEndpoints(0, list)
+func newBalancedPolicy(list []model.Endpoint, zone string, seed uint64) *balancedPolicy {
+	p := &balancedPolicy{balancer: New(Options{Zone: zone, Seed: seed}), indexes: map[string]int{}}
+	p.balancer.SetEndpoints(0, list)
 	for i, e := range list {
-		p.numbers[e.ID] = i
+		p.indexes[e.ID] = i
 	}
 	return p
 }
 
-func (p *scheduled) choose(now time.Duration, r Request) (int, time.Duration, *Attempt) {
-	d := p.s.Select(now, r)
+func (p *balancedPolicy) choose(now time.Duration, r Request) (int, time.Duration, *Attempt) {
+	d := p.balancer.Select(now, r)
 	if d.Endpoint == nil {
-		return -1, max(d.Rejection.RetryAfter, retryLeast), nil
+		return -1, max(d.Rejection.RetryAfter, minRetryAfter), nil
 	}
-	return p.numbers[d.Endpoint.ID], d.Timeout, &d.Attempt
+	return p.indexes[d.Endpoint.ID], d.Timeout, &d.Attempt
 }
 
-func (p *scheduled) sent(now time.Duration, _ int, a *Attempt) { p.s.Sent(now, a) }
-func (p *scheduled) first(now time.Duration, _ int, a *Attempt, told Load) {
-	p.s.FirstEvent(now, a, told)
+func (p *balancedPolicy) sent(now time.Duration, _ int, a *Attempt) { p.balancer.Sent(now, a) }
+func (p *balancedPolicy) first(now time.Duration, _ int, a *Attempt, told Load) {
+	p.balancer.FirstEvent(now, a, told)
+}
+func (p *balancedPolicy) done(now time.Duration, _ int, a *Attempt, o Outcome) {
+	p.balancer.Done(now, a, o)
 }
-func (p *scheduled) done(now time.Duration, _ int, a *Attempt, o Outcome) { p.s.Done(now, a, o) }
 
-// simple chooses at random, or the endpoint with the least load told and own calls.
-type simple struct {
-	random *rand.Rand
-	least  bool
-	list   []model.Endpoint
-	own    []int
-	told   []float64
+// baselinePolicy chooses at random, or the endpoint with the least load told and own calls.
+type baselinePolicy struct {
+	random       *rand.Rand
+	leastLoaded  bool
+	list         []model.Endpoint
+	ownInFlight  []int
+	reportedLoad []float64
 }
 
-func newSimple(list []model.Endpoint, least bool, seed uint64) *simple {
-	return &simple{random: rand.New(rand.NewPCG(seed, 1)), least: least, list: list, own: make([]int, len(list)),
-		told: make([]float64, len(list))}
+func newBaselinePolicy(list []model.Endpoint, least bool, seed uint64) *baselinePolicy {
+	return &baselinePolicy{random: rand.New(rand.NewPCG(seed, 1)), leastLoaded: least, list: list, ownInFlight: make([]int, len(list)),
+		reportedLoad: make([]float64, len(list))}
 }
 
-func (p *simple) choose(_ time.Duration, r Request) (int, time.Duration, *Attempt) {
+func (p *baselinePolicy) choose(_ time.Duration, r Request) (int, time.Duration, *Attempt) {
 	best, bestLoad := -1, math.Inf(1)
 	for range 20 {
 		if i := p.random.IntN(len(p.list)); !slices.Contains(r.Excluded, p.list[i].ID) {
@@ -130,11 +132,11 @@
 			break
 		}
 	}
-	if !p.least {
+	if !p.leastLoaded {
 		return best, r.TimeLeft, nil
 	}
 	for i := range p.list {
-		load := float64(p.own[i]) + p.told[i] + 0.01*p.random.Float64()
+		load := float64(p.ownInFlight[i]) + p.reportedLoad[i] + 0.01*p.random.Float64()
 		if load < bestLoad && !slices.Contains(r.Excluded, p.list[i].ID) {
 			best, bestLoad = i, load
 		}
@@ -142,37 +144,37 @@
 	return best, r.TimeLeft, nil
 }
 
-func (p *simple) sent(_ time.Duration, i int, _ *Attempt) { p.own[i]++ }
-func (p *simple) first(_ time.Duration, i int, _ *Attempt, told Load) {
-	p.told[i] = float64(told.Running + told.Queued - p.own[i])
+func (p *baselinePolicy) sent(_ time.Duration, i int, _ *Attempt) { p.ownInFlight[i]++ }
+func (p *baselinePolicy) first(_ time.Duration, i int, _ *Attempt, told Load) {
+	p.reportedLoad[i] = float64(told.Running + told.Queued - p.ownInFlight[i])
 }
-func (p *simple) done(_ time.Duration, i int, _ *Attempt, o Outcome) {
-	p.own[i]--
+func (p *baselinePolicy) done(_ time.Duration, i int, _ *Attempt, o Outcome) {
+	p.ownInFlight[i]--
 	if o.Load.Capacity > 0 {
-		p.told[i] = max(0, float64(o.Load.Running+o.Load.Queued-p.own[i]))
+		p.reportedLoad[i] = max(0, float64(o.Load.Running+o.Load.Queued-p.ownInFlight[i]))
 	}
 }
 
-// tally is how the requests of one run fared.
-type tally struct {
-	asked, inTime, served, refused, sends int
-	outcomes                              [Misdirected + 1]int
-	byRank                                [3]int // in time
-	times                                 []float64
+// stats is how the requests of one run fared.
+type callStats struct {
+	requests, onTime, served, rejected, attempts int
+	outcomes                                     [Misdirected + 1]int
+	onTimeByPriority                             [3]int // in time
+	times                                        []float64
 }
 
-func (t *tally) String() string {
+func (t *callStats) String() string {
 	slices.Sort(t.times)
 	mean, p95 := meanOf(t.times), 0.0
 	if len(t.times) > 0 {
 		p95 = t.times[len(t.times)*95/100]
 	}
 	return fmt.Sprintf("in time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f sends each (%d turned away, %d reset, %d cut), %d refused, in time by rank %d",
-		t.share(t.inTime), t.share(t.served), 1000*mean, 1000*p95, float64(t.sends)/float64(max(1, t.asked)),
-		t.outcomes[NotRun], t.outcomes[IncompleteResponse], t.outcomes[TimedOut], t.refused, t.byRank)
+		t.share(t.onTime), t.share(t.served), 1000*mean, 1000*p95, float64(t.attempts)/float64(max(1, t.requests)),
+		t.outcomes[NotRun], t.outcomes[IncompleteResponse], t.outcomes[TimedOut], t.rejected, t.onTimeByPriority)
 }
 
-func (t *tally) share(n int) float64 { return float64(n) / float64(max(1, t.asked)) }
+func (t *callStats) share(n int) float64 { return float64(n) / float64(max(1, t.requests)) }
 
 func meanOf(values []float64) float64 {
 	sum := 0.0
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -11,39 +11,39 @@
 // engine is a model server: it works in steps, in each of which every running request gets one token and some of the
 // waiting prompts are read. It keeps the prefixes of sessions, the longest unused of which give way.
 type engine struct {
-	sim      *simulation
-	speed    float64
-	capacity int
-	memory   int
-	running  []*generation
-	waiting  []*generation
-	kept     map[uint64]int // tokens by session
-	used     []uint64       // sessions, the longest unused first
-	busy     bool
-	reread   *int
+	sim               *simulation
+	speed             float64
+	capacity          int
+	cacheTokens       int
+	running           []*generation
+	waiting           []*generation
+	cachedPrefixes    map[uint64]int // tokens by session
+	leastRecentlyUsed []uint64       // sessions, the longest unused first
+	busy              bool
+	rereadTokens      *int
 }
 
 const (
-	engineStep  = 3790 * time.Microsecond
-	engineEach  = 60 * time.Microsecond // more for each running request
-	enginePiece = 512                   // prompt tokens read in a step
-	engineRead  = 56.6                  // prompt tokens a ms
+	engineStep              = 3790 * time.Microsecond
+	engineStepPerRequest    = 60 * time.Microsecond // more for each running request
+	engineChunkTokens       = 512                   // prompt tokens read in a step
+	enginePromptTokensPerMs = 56.6                  // prompt tokens a ms
 )
 
 // generation is one stream at an engine.
 type generation struct {
-	session       uint64
-	prompt        int
-	toRead, toGen int
-	first         func(Load)
-	done          func(Outcome)
-	begun         bool
+	session                uint64
+	prompt                 int
+	promptLeft, outputLeft int
+	first                  func(Load)
+	done                   func(Outcome)
+	started                bool
 }
 
 func (g *engine) add(n *generation) {
-	kept := min(g.kept[n.session], n.prompt)
-	*g.reread += n.prompt - kept
-	n.toRead = n.prompt - kept
+	kept := min(g.cachedPrefixes[n.session], n.prompt)
+	*g.rereadTokens += n.prompt - kept
+	n.promptLeft = n.prompt - kept
 	g.waiting = append(g.waiting, n)
 	if !g.busy {
 		g.busy = true
@@ -56,22 +56,22 @@
 }
 
 func (g *engine) step() {
-	read := enginePiece
+	read := engineChunkTokens
 	for len(g.waiting) > 0 && len(g.running) < g.capacity && read > 0 {
 		n := g.waiting[0]
-		part := min(read, n.toRead)
-		n.toRead, read = n.toRead-part, read-part
-		if n.toRead > 0 {
+		part := min(read, n.promptLeft)
+		n.promptLeft, read = n.promptLeft-part, read-part
+		if n.promptLeft > 0 {
 			break
 		}
 		g.running, g.waiting = append(g.running, n), g.waiting[1:]
 	}
-	if len(g.running) == 0 && read == enginePiece {
+	if len(g.running) == 0 && read == engineChunkTokens {
 		g.busy = false
 		return
 	}
-	took := engineStep + time.Duration(len(g.running))*engineEach
-	took += time.Duration(float64(enginePiece-read) / engineRead * float64(time.Millisecond))
+	took := engineStep + time.Duration(len(g.running))*engineStepPerRequest
+	took += time.Duration(float64(engineChunkTokens-read) / enginePromptTokensPerMs * float64(time.Millisecond))
 	g.sim.after(time.Duration(g.speed*float64(took)), func() {
 		g.generate()
 		g.step()
@@ -82,56 +82,56 @@
 func (g *engine) generate() {
 	still := g.running[:0]
 	for _, n := range g.running {
-		if !n.begun {
-			n.begun = true
+		if !n.started {
+			n.started = true
 			n.first(g.load())
 		}
-		if n.toGen--; n.toGen > 0 {
+		if n.outputLeft--; n.outputLeft > 0 {
 			still = append(still, n)
 			continue
 		}
-		g.keep(n.session, n.prompt)
+		g.cachePrefix(n.session, n.prompt)
 		n.done(Outcome{Kind: Success, Load: g.load()})
 	}
 	g.running = still
 }
 
-// keep keeps the prefix of a session.
-func (g *engine) keep(session uint64, tokens int) {
-	if g.kept[session] == 0 {
-		g.used = append(g.used, session)
+// cachePrefix keeps the prefix of a session.
+func (g *engine) cachePrefix(session uint64, tokens int) {
+	if g.cachedPrefixes[session] == 0 {
+		g.leastRecentlyUsed = append(g.leastRecentlyUsed, session)
 	}
-	g.kept[session] = tokens
+	g.cachedPrefixes[session] = tokens
 	total := 0
-	for _, k := range g.kept {
+	for _, k := range g.cachedPrefixes {
 		total += k
 	}
-	for total > g.memory && len(g.used) > 1 {
-		total -= g.kept[g.used[0]]
-		delete(g.kept, g.used[0])
-		g.used = g.used[1:]
+	for total > g.cacheTokens && len(g.leastRecentlyUsed) > 1 {
+		total -= g.cachedPrefixes[g.leastRecentlyUsed[0]]
+		delete(g.cachedPrefixes, g.leastRecentlyUsed[0])
+		g.leastRecentlyUsed = g.leastRecentlyUsed[1:]
 	}
 }
 
-// turnTally is how the streams of one run fared.
-type turnTally struct {
-	turns, reread int
-	first, whole  []float64
+// turnStats is how the streams of one run fared.
+type turnStats struct {
+	turns, rereadTokens int
+	first, complete     []float64
 }
 
-func (t *turnTally) String() string {
+func (t *turnStats) String() string {
 	return fmt.Sprintf("first event %3.0f ms, whole %3.0f ms in the mean, %.0f tokens read a turn", 1000*meanOf(t.first),
-		1000*meanOf(t.whole), float64(t.reread)/float64(max(1, t.turns)))
+		1000*meanOf(t.complete), float64(t.rereadTokens)/float64(max(1, t.turns)))
 }
 
-// playTurns plays programs of several turns over nine relays and nine engines. Each turn comes to any of the relays.
-func playTurns(seed uint64, rate float64, relay func(list []model.Endpoint, i int) policy) *turnTally {
+// simulateTurns plays programs of several turns over nine relays and nine engines. Each turn comes to any of the relays.
+func simulateTurns(seed uint64, rate float64, relay func(list []model.Endpoint, i int) policy) *turnStats {
 	const engines, relays, length, turns, out = 9, 9, 12 * time.Second, 6, 24
-	sim, list, t := newSimulation(seed), fleetOf("models", engines, 64), &turnTally{}
+	sim, list, t := newSimulation(seed), endpointsOf("models", engines, 64), &turnStats{}
 	var nodes []*engine
 	for i := range engines {
-		nodes = append(nodes, &engine{sim: sim, speed: 1 + 0.1*float64(i%4), capacity: 64, memory: 120000, reread: &t.reread,
-			kept: map[uint64]int{}})
+		nodes = append(nodes, &engine{sim: sim, speed: 1 + 0.1*float64(i%4), capacity: 64, cacheTokens: 120000, rereadTokens: &t.rereadTokens,
+			cachedPrefixes: map[uint64]int{}})
 	}
 	var policies []policy
 	for i := range relays {
@@ -142,7 +142,7 @@
 	turn = func(session uint64, number int) {
 		t.turns++
 		history := 600 + 500*number
-		p, begun := policies[sim.coming.IntN(relays)], sim.now
+		p, begun := policies[sim.arrivalRandom.IntN(relays)], sim.now
 		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
 			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 			PrefixTokens: history - 500, NewTokens: 500, OutTokens: out})
@@ -150,14 +150,14 @@
 			return
 		}
 		p.sent(sim.now, i, a)
-		n := &generation{session: session, prompt: history, toGen: out}
+		n := &generation{session: session, prompt: history, outputLeft: out}
 		n.first = func(l Load) {
 			t.first = append(t.first, (sim.now - begun).Seconds())
 			p.first(sim.now, i, a, l)
 		}
 		n.done = func(o Outcome) {
 			o.Elapsed, o.Tokens = sim.now-begun, out
-			t.whole = append(t.whole, o.Elapsed.Seconds())
+			t.complete = append(t.complete, o.Elapsed.Seconds())
 			p.done(sim.now, i, a, o)
 			if number < turns {
 				sim.after(200*time.Millisecond, func() { turn(session, number+1) })
@@ -173,17 +173,17 @@
 	return t
 }
 
-func TestSimulatedTurns(t *testing.T) {
+func TestSimulation_Streams_BeatBaselines(t *testing.T) {
 	for _, rate := range []float64{30, 150, 300} {
 		t.Run(fmt.Sprintf("turns=%v", rate), func(t *testing.T) {
 			t.Parallel()
-			random := playTurns(1, rate, func(l []model.Endpoint, i int) policy { return newSimple(l, false, uint64(i)) })
-			least := playTurns(1, rate, func(l []model.Endpoint, i int) policy { return newSimple(l, true, uint64(i)) })
-			ours := playTurns(1, rate, scheduledRelay)
+			random := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
+			least := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			ours := simulateTurns(1, rate, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", least)
 			t.Logf("scheduler:  %v", ours)
-			if w := meanOf(ours.whole); w > meanOf(random.whole) || w > meanOf(least.whole) {
+			if w := meanOf(ours.complete); w > meanOf(random.complete) || w > meanOf(least.complete) {
 				t.Error("streams take longer than with a simple choice")
 			}
 		})
--- a/internal/tier/balancer/workestimate.go
+++ b/internal/tier/balancer/workestimate.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// workUnit is the time in which a table enters a call that took as long as its predicted work.
+// workUnit is the time at which a table enters a call that took as long as its predicted work.
 const workUnit = 250 * time.Millisecond
 
-// What is assumed and kept of the work of requests.
+// Priors and bounds of the predicted work.
 const (
-	workHalfLife   = 60 * time.Second
-	readPrior      = 20e-6 // s a token
-	readPriorCalls = 4.0   // calls that this counts for,
-	readPriorSize  = 500.0 // as far apart as so many tokens
-	readMost       = 1e-3  // s a token
-	basePrior      = 0.030 // s of a stream's first event without any token to read
-	baseLeast      = 0.002
-	pacePrior      = 0.006 // s a token generated
-	paceWeight     = 100.0 // tokens that the service's pace counts for at an endpoint
+	workHalfLife               = 60 * time.Second
+	priorSecondsPerToken       = 20e-6 // s a prompt token,
+	priorCalls                 = 4.0   // which counts for so many calls
+	priorTokenSpread           = 500.0 // as far apart as so many tokens
+	maxSecondsPerToken         = 1e-3  // s a prompt token
+	priorBaseSeconds           = 0.030 // s until the first event of a stream without prompt tokens
+	minBaseSeconds             = 0.002
+	priorSecondsPerOutputToken = 0.006 // s a generated token
+	paceSmoothingTokens        = 100.0 // tokens that the service's pace counts for at an endpoint
 )
 
-// fading is the factor by which counts have faded over an age.
-func fading(age, halfLife time.Duration) float64 {
+// decay is the factor by which counts have decayed over an age.
+func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
@@ -32,27 +32,28 @@
 // routeWork is the mean time of a route's plain calls.
 type routeWork struct {
 	seconds, calls float64
-	at             time.Duration
+	updatedAt      time.Duration
 }
 
-func (r *routeWork) add(now time.Duration, x float64) {
-	f := fading(now-r.at, workHalfLife)
-	r.seconds, r.calls, r.at = r.seconds*f+x, r.calls*f+1, now
+func (r *routeWork) add(now time.Duration, took float64) {
+	f := decay(now-r.updatedAt, workHalfLife)
+	r.seconds, r.calls, r.updatedAt = r.seconds*f+took, r.calls*f+1, now
 }
 
-// work predicts how long requests of a service take at an endpoint of middling speed.
-type work struct {
-	routes map[string]*routeWork
-	all    routeWork
-	reads  line
-	pace   pace
+// workEstimator predicts how long requests of a service take at an endpoint of middling speed.
+type workEstimator struct {
+	routes    map[string]*routeWork
+	allRoutes routeWork
+	prefill   linearFit // time until the first event against prompt tokens
+	pace      tokenPace
 }
 
-func newWork() work {
-	return work{routes: map[string]*routeWork{}}
+func newWorkEstimator() workEstimator {
+	return workEstimator{routes: map[string]*routeWork{}}
 }
 
-func (w *work) route(name string) *routeWork {
+// route returns the work of a route, which it creates if necessary.
+func (w *workEstimator) route(name string) *routeWork {
 	r := w.routes[name]
 	if r == nil {
 		r = &routeWork{}
@@ -62,65 +63,65 @@
 }
 
 // predict returns the work of an attempt in seconds.
-func (w *work) predict(kind callKind, r *routeWork, tokens float64) float64 {
+func (w *workEstimator) predict(kind callKind, r *routeWork, promptTokens float64) float64 {
 	switch {
 	case kind == streamCall:
-		base, each := w.reads.fit()
-		return base + each*tokens
+		base, perToken := w.prefill.fit()
+		return base + perToken*promptTokens
 	case r.calls > 0:
-		return max(r.seconds/r.calls, baseLeast)
-	case w.all.calls > 0:
-		return max(w.all.seconds/w.all.calls, baseLeast)
+		return max(r.seconds/r.calls, minBaseSeconds)
+	case w.allRoutes.calls > 0:
+		return max(w.allRoutes.seconds/w.allRoutes.calls, minBaseSeconds)
 	}
 	return workUnit.Seconds()
 }
 
 // learn enters how long an attempt took, until its end or its first event.
-func (w *work) learn(now time.Duration, a *Attempt, took float64) {
+func (w *workEstimator) learn(now time.Duration, a *Attempt, took float64) {
 	if a.kind == streamCall {
-		w.reads.add(now, a.tokens, took)
+		w.prefill.add(now, a.promptTokens, took)
 		return
 	}
 	a.route.add(now, took)
-	w.all.add(now, took)
+	w.allRoutes.add(now, took)
 }
 
-// line is a fit of time against tokens by least squares over counts that fade.
-type line struct {
-	n, x, y, xx, xy float64
-	at              time.Duration
+// linearFit is a fit of time against tokens by least squares over counts that decay.
+type linearFit struct {
+	count, sumX, sumY, sumXX, sumXY float64
+	updatedAt                       time.Duration
 }
 
-func (l *line) add(now time.Duration, x, y float64) {
-	f := fading(now-l.at, workHalfLife)
-	l.n, l.x, l.y, l.xx, l.xy = l.n*f+1, l.x*f+x, l.y*f+y, l.xx*f+x*x, l.xy*f+x*y
-	l.at = now
+func (l *linearFit) add(now time.Duration, x, y float64) {
+	f := decay(now-l.updatedAt, workHalfLife)
+	l.count, l.sumX, l.sumY, l.sumXX, l.sumXY = l.count*f+1, l.sumX*f+x, l.sumY*f+y, l.sumXX*f+x*x, l.sumXY*f+x*y
+	l.updatedAt = now
 }
 
-// fit returns the time without any token and the time of each, drawn towards what is assumed while little is known.
-func (l *line) fit() (base, each float64) {
-	if l.n <= 0 {
-		return basePrior, readPrior
+// fit returns the time without any token and the time of each, drawn towards the priors while few calls are known.
+func (l *linearFit) fit() (base, perToken float64) {
+	if l.count <= 0 {
+		return priorBaseSeconds, priorSecondsPerToken
 	}
-	const weight = readPriorCalls * readPriorSize * readPriorSize
-	spread := max(0, l.xx-l.x*l.x/l.n)
-	each = (max(0, l.xy-l.x*l.y/l.n) + weight*readPrior) / (spread + weight)
-	each = min(each, readMost, l.y/max(l.x, 1))
-	return max(baseLeast, (l.y-each*l.x)/l.n), each
+	const weight = priorCalls * priorTokenSpread * priorTokenSpread
+	spread := max(0, l.sumXX-l.sumX*l.sumX/l.count)
+	perToken = (max(0, l.sumXY-l.sumX*l.sumY/l.count) + weight*priorSecondsPerToken) / (spread + weight)
+	perToken = min(perToken, maxSecondsPerToken, l.sumY/max(l.sumX, 1))
+	return max(minBaseSeconds, (l.sumY-perToken*l.sumX)/l.count), perToken
 }
 
-// pace is the time of a token generated, over tokens that fade.
-type pace struct {
+// tokenPace is the time of a generated token, over tokens that decay.
+type tokenPace struct {
 	seconds, tokens float64
-	at              time.Duration
+	updatedAt       time.Duration
 }
 
-func (p *pace) add(now time.Duration, seconds, tokens float64) {
-	f := fading(now-p.at, workHalfLife)
-	p.seconds, p.tokens, p.at = p.seconds*f+seconds, p.tokens*f+tokens, now
+func (p *tokenPace) add(now time.Duration, seconds, tokens float64) {
+	f := decay(now-p.updatedAt, workHalfLife)
+	p.seconds, p.tokens, p.updatedAt = p.seconds*f+seconds, p.tokens*f+tokens, now
 }
 
-// perToken is the time of a token, drawn towards what is usual elsewhere.
-func (p *pace) perToken(usual float64) float64 {
-	return (p.seconds + paceWeight*usual) / (p.tokens + paceWeight)
+// perToken is the time of a token, drawn towards a prior.
+func (p *tokenPace) perToken(prior float64) float64 {
+	return (p.seconds + paceSmoothingTokens*prior) / (p.tokens + paceSmoothingTokens)
 }
