--- /dev/null
+++ b/internal/tools/docscheck/main.go
@@ -0,0 +1,28 @@
+// Command docscheck holds what the pages name against the tree: files and folders, links between pages, targets of the Makefile,
+// and Go symbols written as package.Name. It is part of `make check`, so that a rename cannot leave the pages behind.
+//
+//	go run ./internal/tools/docscheck README.md docs
+package main
+
+import (
+	"fmt"
+	"os"
+)
+
+func main() {
+	if len(os.Args) < 2 {
+		fmt.Fprintln(os.Stderr, "usage: docscheck PAGE|FOLDER...")
+		os.Exit(2)
+	}
+	findings, err := checkPages(".", os.Args[1:])
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "docscheck:", err)
+		os.Exit(2)
+	}
+	for _, f := range findings {
+		fmt.Println(f)
+	}
+	if len(findings) > 0 {
+		os.Exit(1)
+	}
+}
--- /dev/null
+++ b/internal/tools/docscheck/pages.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+)
+
+var (
+	codeSpan = regexp.MustCompile("`([^`]+)`")
+	link     = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
+	// treePath matches what can only be a path of this tree: it begins with one of its top folders.
+	treePath = regexp.MustCompile(`^(?:\./)?((?:cmd|control|deploy|docs|examples|internal|pluginsdk|tools|\.ci)/[\w./*-]*\w[\w/*]*|[A-Z]\w+\.md)$`)
+	makeCall = regexp.MustCompile(`^(?:    )?make ([a-z][a-z-]*)`)
+	symbol   = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?)(?:\(.*\))?$`)
+	target   = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
+)
+
+// built are files that a build leaves behind; pages may name them.
+var built = regexp.MustCompile(`^(?:\./)?(?:bin|target)/`)
+
+// finding is one name in a page that the tree doesn't have.
+type finding struct {
+	page   string
+	line   int
+	reason string
+}
+
+func (f finding) String() string { return fmt.Sprintf("%s:%d: %s", f.page, f.line, f.reason) }
+
+// checker holds the tree that pages are checked against.
+type checker struct {
+	root    string
+	known   symbols
+	targets map[string]bool
+}
+
+// checkPages checks the named pages, and all pages in the named folders, against the tree under root.
+func checkPages(root string, pages []string) ([]finding, error) {
+	known, err := readSymbols(root)
+	if err != nil {
+		return nil, err
+	}
+	makefile, err := os.ReadFile(filepath.Join(root, "Makefile"))
+	if err != nil {
+		return nil, err
+	}
+	c := checker{root: root, known: known, targets: map[string]bool{}}
+	for _, m := range target.FindAllStringSubmatch(string(makefile), -1) {
+		c.targets[m[1]] = true
+	}
+	var findings []finding
+	for _, start := range pages {
+		err := filepath.WalkDir(filepath.Join(root, start), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".md") {
+				return err
+			}
+			found, err := c.page(path)
+			findings = append(findings, found...)
+			return err
+		})
+		if err != nil {
+			return nil, err
+		}
+	}
+	return findings, nil
+}
+
+// page checks one page, line by line.
+func (c *checker) page(path string) ([]finding, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	var findings []finding
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, 1<<20)
+	for number := 1; lines.Scan(); number++ {
+		for _, reason := range c.line(filepath.Dir(path), lines.Text()) {
+			findings = append(findings, finding{path, number, reason})
+		}
+	}
+	return findings, lines.Err()
+}
+
+// line gives what is wrong with one line of a page in folder.
+func (c *checker) line(folder, text string) (reasons []string) {
+	for _, m := range link.FindAllStringSubmatch(text, -1) {
+		if !strings.Contains(m[1], "://") && !exists(filepath.Join(folder, m[1])) {
+			reasons = append(reasons, "link to "+m[1]+", which is not there")
+		}
+	}
+	spans := codeSpan.FindAllStringSubmatch(text, -1)
+	if strings.HasPrefix(text, "    ") {
+		spans = append(spans, []string{"", strings.TrimSpace(text)})
+	}
+	for _, m := range spans {
+		reasons = append(reasons, c.span(m[1])...)
+	}
+	return reasons
+}
+
+// span checks one piece of code: a call of make, a symbol, and each word that is a path of the tree.
+func (c *checker) span(code string) (reasons []string) {
+	if m := makeCall.FindStringSubmatch(code); m != nil && !c.targets[m[1]] {
+		reasons = append(reasons, "make "+m[1]+": no such target")
+	}
+	if m := symbol.FindStringSubmatch(code); m != nil {
+		if declared := c.known[m[1]]; declared != nil && !declared[m[2]] {
+			reasons = append(reasons, "package "+m[1]+" declares no "+m[2])
+		}
+	}
+	for word := range strings.FieldsSeq(code) {
+		word = strings.TrimSuffix(strings.Trim(word, `"',;:()`), "/...")
+		if m := treePath.FindStringSubmatch(word); m != nil && !built.MatchString(word) {
+			found, err := filepath.Glob(filepath.Join(c.root, m[1]))
+			if err != nil || len(found) == 0 {
+				reasons = append(reasons, m[1]+" is not there")
+			}
+		}
+	}
+	return reasons
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(path)
+	return err == nil
+}
