--- a/internal/tier/controller/cutoff_mutants_test.go
+++ b/internal/tier/controller/cutoff_mutants_test.go
@@ -42,7 +42,7 @@
 		},
 		{
 			Name:   "any answer to a round of heartbeats confirms a read",
-			Change: mutation.Change{File: "../replica/reads.go", Old: "confirmed := r.quorum(r.ownership.round, roundOf)", New: "confirmed := r.ownership.round"},
+			Change: mutation.Change{File: "../replica/read_only.go", Old: "confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)", New: "confirmed := r.leadership.readIndexRound"},
 			Run:    successionTests,
 		},
 		{
@@ -61,8 +61,8 @@
 		},
 		{
 			Name: "one vote or copy less than a majority is enough",
-			Change: mutation.Change{File: "../replica/election.go", Old: "return r.groups.newest().majority()",
-				New: "return max(1, r.groups.newest().majority()-1)"},
+			Change: mutation.Change{File: "../replica/election.go", Old: "return r.configurations.latest().quorumSize()",
+				New: "return max(1, r.configurations.latest().quorumSize()-1)"},
 			Run: cutOffTests,
 		},
 		{
@@ -78,7 +78,7 @@
 		},
 		{
 			Name:   "an owner stays one without a majority",
-			Change: mutation.Change{File: "../replica/ownership.go", Old: "if r.now-heard < r.options.ElectionTimeout {", New: "if r.now-heard < 1000*r.options.ElectionTimeout {"},
+			Change: mutation.Change{File: "../replica/leader.go", Old: "if r.now-heard < r.options.ElectionTimeout {", New: "if r.now-heard < 1000*r.options.ElectionTimeout {"},
 			Run:    cutOffTests,
 		},
 		{
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -32,14 +32,14 @@
 	}
 	c := &campaign{simulation: s, churn: seed%3 == 2, storm: seed%8 >= 5}
 	if seed%2 == 0 {
-		c.limits = &limits{message: 150, flight: 400, open: 16 << 20, tail: 3, trail: 1 << 20, parts: 2}
+		c.limits = &limits{maxMessageBytes: 150, maxInflightBytes: 400, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, maxInflightChunks: 2}
 	}
 	if seed%7 == 3 {
 		c.eager = testHeartbeat
 	}
 	if c.storm {
 		c.conditions.loss = 0.4
-		c.limits = &limits{message: 1, flight: 1, open: 16 << 20, tail: 3, trail: 1 << 20, parts: 1}
+		c.limits = &limits{maxMessageBytes: 1, maxInflightBytes: 1, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, maxInflightChunks: 1}
 	}
 	if seed%5 < 2 {
 		for _, n := range c.nodes {
@@ -125,7 +125,7 @@
 func (c *campaign) believers() []*node {
 	var believers []*node
 	for _, n := range c.nodes {
-		if n.alive && n.replica.role == owner {
+		if n.alive && n.replica.role == leader {
 			believers = append(believers, n)
 		}
 	}
--- a/internal/tier/replica/change_mutants_test.go
+++ b/internal/tier/replica/change_mutants_test.go
@@ -14,29 +14,29 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "silent voters go before a successor has caught up",
-			Change: mutation.Change{File: "change.go", Old: "return voters > wantedVoters || voters == wantedVoters && ready", New: "return ready || voters+wantedVoters > 0"},
+			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return ready || voters+targetVoters > 0"},
 			Run:    successors,
 		},
 		{
 			Name:   "two silent voters go for one successor",
-			Change: mutation.Change{File: "change.go", Old: "return voters > wantedVoters || voters == wantedVoters && ready", New: "return voters > wantedVoters || ready"},
+			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return voters > targetVoters || ready"},
 			Run:    successors,
 		},
 		{
 			Name:   "a successor votes beside the silent voter",
-			Change: mutation.Change{File: "change.go", Old: "if r.hasSuccessor() {", New: "if false {"},
+			Change: mutation.Change{File: "confchange.go", Old: "if r.canSpareVoter() {", New: "if false {"},
 			Run:    successors,
 		},
 		{
 			Name:   "a learner votes before it has caught up",
-			Change: mutation.Change{File: "change.go", Old: "return r.hears(p) && p.match > 0 &&", New: "return r.hears(p) || p.match > 0 &&"},
+			Change: mutation.Change{File: "confchange.go", Old: "return r.isActive(p) && p.match > 0 &&", New: "return r.isActive(p) || p.match > 0 &&"},
 			Run:    "^TestPromotedMemberKnowsItsGroup$",
 		},
 		{
 			Name: "learners count, explored",
 			Change: mutation.Change{
-				File: "ownership.go",
-				Old:  "if !peer.learner {",
+				File: "leader.go",
+				Old:  "if !p.learner {",
 				New:  "if true {",
 			},
 			Run: "^TestEveryOrderAroundAChangeIsSafe$",
--- a/internal/tier/replica/change_test.go
+++ b/internal/tier/replica/change_test.go
@@ -87,7 +87,7 @@
 	s.setWanted(wanted)
 	for s.now < 2*time.Second && !cmp.Equal(s.checker.group, wanted, anyOrder) {
 		s.runFor(time.Millisecond)
-		group := newGroup(0, s.checker.group)
+		group := newConfiguration(0, s.checker.group)
 		if len(voters) == 0 || voters[len(voters)-1] != group.voters {
 			voters = append(voters, group.voters)
 		}
@@ -105,7 +105,7 @@
 	s.setWanted(wanted)
 	most := 0
 	for end := s.now + time.Second; s.now < end; s.runFor(time.Millisecond) {
-		group := newGroup(0, s.checker.group)
+		group := newConfiguration(0, s.checker.group)
 		most = max(most, group.voters)
 		if group.voters < 3 {
 			t.Fatalf("only %d voters", group.voters)
@@ -115,7 +115,7 @@
 		t.Errorf("at most %d voters, want 4 for a while", most)
 	}
 	s.thenGroupIs(t, time.Second, wanted)
-	if newest := newGroup(0, s.checker.group); newest.find(leaving.id) != nil {
+	if newest := newConfiguration(0, s.checker.group); newest.find(leaving.id) != nil {
 		t.Errorf("%s is still in", leaving.id)
 	}
 }
@@ -206,7 +206,7 @@
 	s.drop = func(m Message) bool { return m.To == spare.id && len(m.Entries) > 0 }
 	s.setWanted(membersOf(s.nodes...))
 	s.runFor(time.Second)
-	if got := first.replica.groups.newest(); got.votes(spare.id) {
+	if got := first.replica.configurations.latest(); got.isVoter(spare.id) {
 		t.Errorf("a member without entries has a vote")
 	}
 	s.drop = nil
@@ -214,7 +214,7 @@
 }
 
 // storyOfUnopenedChange is the known way to lose a change of members: an owner's list reaches one other member, the
-// next owner removes the first one by a majority of the smaller group, and the first one comes back with the larger
+// nextChunk owner removes the first one by a majority of the smaller group, and the first one comes back with the larger
 // group's majority.
 func storyOfUnopenedChange(t *testing.T) string {
 	t.Helper()
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -17,7 +17,7 @@
 	checksums []uint64                     // of the state machine after each entry
 	position  map[uint64]uint64            // of a command's token in log
 	group     []Member                     // of the last committed list
-	floor     uint64                       // newest entry that anybody outside has seen the effect of
+	floor     uint64                       // latest entry that anybody outside has seen the effect of
 	open      map[uint64]invocation
 	never     map[uint64]bool
 	done      int
@@ -49,7 +49,7 @@
 	}
 }
 
-// sent looks at a message that leaves a member.
+// sentSinceHeartbeat looks at a message that leaves a member.
 func (c *checker) sent(message Message) {
 	switch message.Kind {
 	case AppendEntries, InstallSnapshot:
@@ -73,7 +73,7 @@
 	}
 }
 
-// committed looks at an entry that a member is about to apply.
+// discardBefore looks at an entry that a member is about to apply.
 func (c *checker) committed(n *node, entry Entry) {
 	if entry.Index != n.machine.Index+1 {
 		c.fail("%s applies entry %d after entry %d", n.id, entry.Index, n.machine.Index)
@@ -151,7 +151,7 @@
 	return apart
 }
 
-// installed looks at a state machine that was set to a snapshot.
+// installedSnapshot looks at a state machine that was set to a snapshot.
 func (c *checker) installed(n *node, before uint64, snapshot *Snapshot) {
 	if snapshot.Index <= before {
 		c.fail("%s goes back from entry %d to a snapshot at %d", n.id, before, snapshot.Index)
--- a/internal/tier/replica/election.go
+++ b/internal/tier/replica/election.go
@@ -5,207 +5,204 @@
 	"time"
 )
 
-// waitForOwner sets the election timer anew.
-func (r *Replica) waitForOwner() {
-	shortest := r.options.ElectionTimeout
-	if r.isEager() {
-		shortest = r.options.InitialElectionTimeout
+// resetElectionTimer draws a new election timeout, which begins now.
+func (r *Replica) resetElectionTimer() {
+	minTimeout := r.options.ElectionTimeout
+	if r.usesInitialTimeout() {
+		minTimeout = r.options.InitialElectionTimeout
 	}
-	r.timeout = shortest + time.Duration(r.random.below(uint64(shortest)))
-	r.electionDue = r.now + r.timeout
+	r.electionTimeout = minTimeout + time.Duration(r.random.uint64N(uint64(minTimeout)))
+	r.electionDeadline = r.now + r.electionTimeout
 }
 
-// isEager tells whether this member needn't wait for an owner: it has heard none since its start. Where there is one its
-// heartbeat comes soon; where all members have started anew nothing is gained by waiting. Standing on trial disturbs nobody.
-func (r *Replica) isEager() bool {
-	return r.options.InitialElectionTimeout > 0 && !r.heardOwner && r.role != candidate
+// usesInitialTimeout tells whether this member need not wait for a leader's heartbeats: it has heard no leader since its
+// start. Where there is one its heartbeat comes soon; where all members have restarted nothing is gained by waiting. A
+// PreVote that comes too early disturbs nobody.
+func (r *Replica) usesInitialTimeout() bool {
+	return r.options.InitialElectionTimeout > 0 && !r.hasHeardLeader && r.role != candidate
 }
 
-// mayStand tells whether this member may stand for election: it has a vote in a group that may still be in force. That
-// includes one that its own log takes it out of, since that entry may need it to be committed.
-func (r *Replica) mayStand() bool {
-	return r.groups.votes(r.options.ID)
+// isPromotable tells whether this member may campaign: it has a vote in a configuration that may still be in force. That
+// includes one that its own log removes it from, since that entry may need its vote to be committed.
+func (r *Replica) isPromotable() bool {
+	return r.configurations.isVoter(r.options.ID)
 }
 
-// isOnlyVoter tells whether nobody else's vote is needed.
-func (r *Replica) isOnlyVoter() bool {
-	newest := r.groups.newest()
-	return newest.voters == 1 && newest.votes(r.options.ID)
+// isSingleVoter tells whether no other member's vote is needed.
+func (r *Replica) isSingleVoter() bool {
+	latest := r.configurations.latest()
+	return latest.voters == 1 && latest.isVoter(r.options.ID)
 }
 
-// hearsOwner tells whether there has been an owner within the election time-out.
-func (r *Replica) hearsOwner() bool {
-	if r.role == owner {
+// hasActiveLeader tells whether a leader was heard within the election timeout. Such a member supports no other candidate.
+func (r *Replica) hasActiveLeader() bool {
+	if r.role == leader {
 		return true
 	}
-	return r.owner.id != "" && r.now-r.owner.heard < r.options.ElectionTimeout
+	return r.leader.id != "" && r.now-r.leader.lastContact < r.options.ElectionTimeout
 }
 
-// follow makes this member a follower, in a new epoch if that is higher. From may be empty when the owner is not known.
-func (r *Replica) follow(epoch uint64, from string) {
-	if r.role == owner {
-		r.loseOwnership()
+// becomeFollower makes this member a follower, in a new term if that is higher. From is empty when the leader is not known.
+func (r *Replica) becomeFollower(term uint64, from string) {
+	if r.role == leader {
+		r.stepDown()
 	}
-	if r.role != follower || epoch > r.promise.Term {
+	if r.role != follower || term > r.hardState.Term {
 		r.role = follower
-		r.granted = nil
-		r.waitForOwner()
-	}
-	if epoch > r.promise.Term {
-		r.promise = HardState{Term: epoch}
-		r.step.promiseChanged = true
-		r.step.answer = pendingAnswer{}
-		r.owner = ownerContact{}
-		r.incoming = incoming{}
-	}
-	if from != r.owner.id {
-		r.owner = ownerContact{id: from}
-	}
-}
-
-// standOnTrial asks whether a majority would vote for this member. No epoch begins before they would, so that a member
-// that was cut off does not unseat an owner.
-func (r *Replica) standOnTrial() {
-	r.role = trialCandidate
-	r.owner = ownerContact{}
-	r.granted = r.granted[:0]
-	r.waitForOwner()
-	r.grant(r.options.ID)
-	if r.isElected() {
-		r.stand(false)
+		r.votesGranted = nil
+		r.resetElectionTimer()
+	}
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
+		r.step.hardStateChanged = true
+		r.step.appendResponse = pendingAppendResponse{}
+		r.leader = leaderContact{}
+		r.incoming = incomingSnapshot{}
+	}
+	if from != r.leader.id {
+		r.leader = leaderContact{id: from}
+	}
+}
+
+// campaignPreVote asks whether a majority would vote for this member. No term begins before they would, so that a member
+// that was partitioned does not depose a leader (thesis section 9.6).
+func (r *Replica) campaignPreVote() {
+	r.role = preCandidate
+	r.leader = leaderContact{}
+	r.votesGranted = r.votesGranted[:0]
+	r.resetElectionTimer()
+	r.recordVote(r.options.ID)
+	if r.hasWonElection() {
+		r.campaign(false)
 		return
 	}
-	r.askForVotes(Message{Kind: RequestVote, Term: r.promise.Term + 1, PreVote: true})
+	r.requestVotes(Message{Kind: RequestVote, Term: r.hardState.Term + 1, PreVote: true})
 }
 
-// stand begins an epoch as its candidate.
-func (r *Replica) stand(voluntary bool) {
+// campaign begins a term as its candidate. With transfer, the previous leader has asked for it.
+func (r *Replica) campaign(transfer bool) {
 	r.role = candidate
-	r.owner = ownerContact{}
-	r.granted = r.granted[:0]
-	r.waitForOwner()
-	r.promise = HardState{Term: r.promise.Term + 1, Vote: r.options.ID}
-	r.step.promiseChanged = true
-	r.step.answer = pendingAnswer{}
-	r.grant(r.options.ID)
-	if r.isElected() {
-		r.takeOwnership()
+	r.leader = leaderContact{}
+	r.votesGranted = r.votesGranted[:0]
+	r.resetElectionTimer()
+	r.hardState = HardState{Term: r.hardState.Term + 1, Vote: r.options.ID}
+	r.step.hardStateChanged = true
+	r.step.appendResponse = pendingAppendResponse{}
+	r.recordVote(r.options.ID)
+	if r.hasWonElection() {
+		r.becomeLeader()
 		return
 	}
-	r.askForVotes(Message{Kind: RequestVote, Term: r.promise.Term, LeadershipTransfer: voluntary})
+	r.requestVotes(Message{Kind: RequestVote, Term: r.hardState.Term, LeadershipTransfer: transfer})
 }
 
-func (r *Replica) askForVotes(ask Message) {
-	ask.Index, ask.LogTerm = r.log.last(), r.log.lastEpoch()
-	for _, member := range r.groups.newest().members {
+func (r *Replica) requestVotes(request Message) {
+	request.Index, request.LogTerm = r.log.lastIndex(), r.log.lastTerm()
+	for _, member := range r.configurations.latest().members {
 		if member.Learner || member.ID == r.options.ID {
 			continue
 		}
-		ask.To = member.ID
-		r.sendAfterSync(ask)
+		request.To = member.ID
+		r.sendAfterSync(request)
 	}
 }
 
-func (r *Replica) grant(id string) {
-	if !slices.Contains(r.granted, id) {
-		r.granted = append(r.granted, id)
+func (r *Replica) recordVote(id string) {
+	if !slices.Contains(r.votesGranted, id) {
+		r.votesGranted = append(r.votesGranted, id)
 	}
 }
 
-// isElected tells whether a majority of the group has voted for this member.
-func (r *Replica) isElected() bool {
-	newest := r.groups.newest()
+// hasWonElection tells whether a majority of the voters has voted for this member.
+func (r *Replica) hasWonElection() bool {
+	latest := r.configurations.latest()
 	votes := 0
-	for _, id := range r.granted {
-		if newest.votes(id) {
+	for _, id := range r.votesGranted {
+		if latest.isVoter(id) {
 			votes++
 		}
 	}
-	return votes >= r.majority()
+	return votes >= r.quorumSize()
 }
 
-// majority is the number of voters that decide.
-func (r *Replica) majority() int {
-	return r.groups.newest().majority()
+// quorumSize is the number of voters that decide, in the latest configuration.
+func (r *Replica) quorumSize() int {
+	return r.configurations.latest().quorumSize()
 }
 
-func (r *Replica) receiveAskVote(ask *Message) {
-	if len(r.groups.newest().members) == 0 {
+// handleRequestVote votes at most once in a term, and only for a candidate whose log is up to date (Raft section 5.4.1). A
+// member that hears a leader ignores candidates that the leader has not asked to campaign.
+func (r *Replica) handleRequestVote(request *Message) {
+	if len(r.configurations.latest().members) == 0 {
 		return
 	}
-	if ask.PreVote {
-		r.answerVote(ask, ask.Term > r.promise.Term && !r.hearsOwner() && r.isBehind(ask))
+	if request.PreVote {
+		r.respondToVote(request, request.Term > r.hardState.Term && !r.hasActiveLeader() && r.isCandidateUpToDate(request))
 		return
 	}
-	if ask.Term > r.promise.Term {
-		if r.hearsOwner() && !ask.LeadershipTransfer {
+	if request.Term > r.hardState.Term {
+		if r.hasActiveLeader() && !request.LeadershipTransfer {
 			return
 		}
-		r.follow(ask.Term, "")
+		r.becomeFollower(request.Term, "")
 	}
-	mayVote := r.promise.Vote == "" || r.promise.Vote == ask.From
-	if ask.Term < r.promise.Term || r.role != follower || !mayVote || !r.isBehind(ask) {
-		r.answerVote(ask, false)
+	mayVote := r.hardState.Vote == "" || r.hardState.Vote == request.From
+	if request.Term < r.hardState.Term || r.role != follower || !mayVote || !r.isCandidateUpToDate(request) {
+		r.respondToVote(request, false)
 		return
 	}
-	if r.promise.Vote != ask.From {
-		r.promise.Vote = ask.From
-		r.step.promiseChanged = true
+	if r.hardState.Vote != request.From {
+		r.hardState.Vote = request.From
+		r.step.hardStateChanged = true
 	}
-	r.waitForOwner()
-	r.answerVote(ask, true)
+	r.resetElectionTimer()
+	r.respondToVote(request, true)
 }
 
-// isBehind tells whether the candidate's log holds all that this member's log may have to keep.
-func (r *Replica) isBehind(ask *Message) bool {
-	if ask.LogTerm != r.log.lastEpoch() {
-		return ask.LogTerm > r.log.lastEpoch()
+// isCandidateUpToDate tells whether the candidate's log is at least as up to date as this member's (Raft section 5.4.1).
+func (r *Replica) isCandidateUpToDate(request *Message) bool {
+	if request.LogTerm != r.log.lastTerm() {
+		return request.LogTerm > r.log.lastTerm()
 	}
-	return ask.Index >= r.log.last()
+	return request.Index >= r.log.lastIndex()
 }
 
-// answerVote answers a candidate: with the epoch that it asks for, or with this member's own if it is denied.
-func (r *Replica) answerVote(ask *Message, granted bool) {
-	answer := Message{Kind: RequestVoteResponse, To: ask.From, PreVote: ask.PreVote, Term: ask.Term}
+// respondToVote responds to a candidate: with the term that it asks for, or with this member's own if it is denied.
+func (r *Replica) respondToVote(request *Message, granted bool) {
+	response := Message{Kind: RequestVoteResponse, To: request.From, PreVote: request.PreVote, Term: request.Term}
 	if !granted {
-		answer.Term = r.promise.Term
-		answer.Reject = true
+		response.Term = r.hardState.Term
+		response.Reject = true
 	}
-	r.sendAfterSync(answer)
+	r.sendAfterSync(response)
 }
 
-func (r *Replica) receiveAnswerVote(answer *Message) {
-	if answer.Reject {
-		if answer.Term > r.promise.Term {
-			r.follow(answer.Term, "")
+func (r *Replica) handleRequestVoteResponse(response *Message) {
+	if response.Reject {
+		if response.Term > r.hardState.Term {
+			r.becomeFollower(response.Term, "")
 		}
 		return
 	}
-	if answer.PreVote {
-		r.countTrialVote(answer)
+	if response.PreVote {
+		r.handlePreVoteResponse(response)
 		return
 	}
-	if r.role != candidate || answer.Term != r.promise.Term {
+	if r.role != candidate || response.Term != r.hardState.Term {
 		return
 	}
-	r.grant(answer.From)
-	if r.isElected() {
-		r.takeOwnership()
+	r.recordVote(response.From)
+	if r.hasWonElection() {
+		r.becomeLeader()
 	}
 }
 
-func (r *Replica) countTrialVote(answer *Message) {
-	if r.role != trialCandidate || answer.Term != r.promise.Term+1 {
+func (r *Replica) handlePreVoteResponse(response *Message) {
+	if r.role != preCandidate || response.Term != r.hardState.Term+1 {
 		return
 	}
-	r.grant(answer.From)
-	if r.isElected() {
-		r.stand(false)
+	r.recordVote(response.From)
+	if r.hasWonElection() {
+		r.campaign(false)
 	}
 }
-
-// sendAfterSync sends a message once what this Step changes is on disk.
-func (r *Replica) sendAfterSync(message Message) {
-	message.From, message.Address = r.options.ID, r.options.Address
-	r.step.effects.MessagesAfterSync = append(r.step.effects.MessagesAfterSync, message)
-}
--- a/internal/tier/replica/explore_change_test.go
+++ b/internal/tier/replica/explore_change_test.go
@@ -44,7 +44,7 @@
 	left      changeAllowance
 	committed []committedEntry
 	owners    map[uint64]string
-	finished  uint64 // epoch of the owner that was confirmed when the group had become whole without c; 0: none yet
+	finished  uint64 // term of the owner that was confirmed when the group had become whole without c; 0: none yet
 	violation string
 }
 
@@ -83,12 +83,12 @@
 		w.violation = err.Error()
 		return
 	}
-	replica.limits.message, replica.limits.tail = 1, 0
-	replica.wanted = m.wanted
+	replica.limits.maxMessageBytes, replica.limits.trailingEntries = 1, 0
+	replica.targetMembers = m.wanted
 	m.replica = replica
 }
 
-// settle delivers all messages and gives owners so many heartbeats.
+// resolve delivers all messages and gives owners so many heartbeats.
 func (w *changeWorld) settle(t *testing.T, beats int) {
 	t.Helper()
 	for range beats {
@@ -99,7 +99,7 @@
 		}
 		for i := range w.members {
 			m := &w.members[i]
-			if !m.down && m.replica.role == owner {
+			if !m.down && m.replica.role == leader {
 				m.clock = max(m.clock, m.wake)
 				w.carryOut(i, m.replica.Step(m.clock, Input{}), noCrash)
 			}
@@ -224,7 +224,7 @@
 func (w *changeWorld) apply(i int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index > uint64(len(w.committed)) {
-			w.committed = append(w.committed, committedEntry{Entry: entry, epoch: w.members[i].replica.promise.Term})
+			w.committed = append(w.committed, committedEntry{Entry: entry, epoch: w.members[i].replica.hardState.Term})
 			continue
 		}
 		if known := w.committed[entry.Index-1]; known.Term != entry.Term {
@@ -237,15 +237,15 @@
 // more owns nothing.
 func (w *changeWorld) checkOwner(i int) {
 	r := w.members[i].replica
-	if r.role != owner {
+	if r.role != leader {
 		return
 	}
 	for _, entry := range w.committed {
-		if entry.epoch < r.promise.Term && entry.Index > r.snapshotIndex() && !r.log.holds(entry.Index, entry.Term) {
-			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.promise.Term, entry)
+		if entry.epoch < r.hardState.Term && entry.Index > r.snapshotIndex() && !r.log.matchTerm(entry.Index, entry.Term) {
+			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.hardState.Term, entry)
 		}
 	}
-	if w.finished > 0 && i == atC && r.promise.Term > w.finished {
+	if w.finished > 0 && i == atC && r.hardState.Term > w.finished {
 		w.violation = "c owns the group after nothing depended on it"
 	}
 }
@@ -321,7 +321,7 @@
 	return written
 }
 
-// stand lets a member begin an epoch at once.
+// campaign lets a member begin an epoch at once.
 func (w *changeWorld) stand(i int) Ready { return w.members[i].stand() }
 
 // successors are all worlds that one event leads to.
@@ -369,9 +369,9 @@
 		}
 	}
 	try(w.left.snapshots, func(a *changeAllowance) { a.snapshots-- }, func(w *changeWorld) bool { return w.snapshot(i) })
-	if r.role != owner {
+	if r.role != leader {
 		try(w.left.stands, func(a *changeAllowance) { a.stands-- }, func(w *changeWorld) bool {
-			if !r.mayStand() {
+			if !r.isPromotable() {
 				return false
 			}
 			w.carryOut(i, w.stand(i), noCrash)
@@ -433,10 +433,10 @@
 		m := &w.members[i]
 		r := m.replica
 		b = appendReplica(b, r)
-		b = appendNumbers(b, int(r.log.offset), int(r.snapshotIndex()), len(r.groups), int(r.groups.newest().index), len(m.incoming),
-			r.incoming.wanted, len(r.ownership.reads), int(r.ownership.round))
-		for _, p := range r.ownership.peers {
-			b = appendNumbers(b, int(p.round), p.transfer.wanted, p.transfer.next)
+		b = appendNumbers(b, int(r.log.offset), int(r.snapshotIndex()), len(r.configurations), int(r.configurations.latest().index), len(m.incoming),
+			r.incoming.wantedChunk, len(r.leadership.pendingReads), int(r.leadership.readIndexRound))
+		for _, p := range r.leadership.followers {
+			b = appendNumbers(b, int(p.readIndexRound), p.transfer.wantedChunk, p.transfer.nextChunk)
 		}
 		b = strconv.AppendBool(b, m.reading)
 	}
@@ -505,7 +505,7 @@
 			w.learn(t)
 			w.wantAll(membersNamed("a", "b", "d"))
 			for range 20 {
-				newest := w.members[atA].replica.groups.newest()
+				newest := w.members[atA].replica.configurations.latest()
 				if newest.find("c") == nil {
 					return
 				}
--- a/internal/tier/replica/explore_test.go
+++ b/internal/tier/replica/explore_test.go
@@ -76,7 +76,7 @@
 		w.violation = err.Error()
 		return
 	}
-	replica.limits.message = 1
+	replica.limits.maxMessageBytes = 1
 	m.replica = replica
 }
 
@@ -99,16 +99,16 @@
 func cloneReplica(r *Replica) *Replica {
 	c := *r
 	c.log.entries = slices.Clip(r.log.entries)
-	c.groups = slices.Clip(r.groups)
-	c.granted = slices.Clone(r.granted)
-	c.ownership.open = slices.Clip(r.ownership.open)
-	c.ownership.reads = slices.Clip(r.ownership.reads)
-	c.ownership.ranking = nil
-	c.ownership.peers = make([]*peer, len(r.ownership.peers))
-	for i, p := range r.ownership.peers {
+	c.configurations = slices.Clip(r.configurations)
+	c.votesGranted = slices.Clone(r.votesGranted)
+	c.leadership.pendingProposals = slices.Clip(r.leadership.pendingProposals)
+	c.leadership.pendingReads = slices.Clip(r.leadership.pendingReads)
+	c.leadership.quorumScratch = nil
+	c.leadership.followers = make([]*progress, len(r.leadership.followers))
+	for i, p := range r.leadership.followers {
 		copied := *p
-		copied.flights = slices.Clone(p.flights)
-		c.ownership.peers[i] = &copied
+		copied.inflights = slices.Clone(p.inflights)
+		c.leadership.followers[i] = &copied
 	}
 	return &c
 }
@@ -202,7 +202,7 @@
 func (w *world) apply(i int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index > uint64(len(w.committed)) {
-			epoch := w.members[i].replica.promise.Term
+			epoch := w.members[i].replica.hardState.Term
 			w.committed = append(w.committed, committedEntry{Entry: entry, epoch: epoch})
 			continue
 		}
@@ -215,13 +215,13 @@
 // checkOwner demands that an owner has all that was committed in earlier epochs.
 func (w *world) checkOwner(i int) {
 	r := w.members[i].replica
-	if r.role != owner {
+	if r.role != leader {
 		return
 	}
 	for _, entry := range w.committed {
 		isInSnapshot := entry.Index < r.log.offset
-		if entry.epoch < r.promise.Term && !isInSnapshot && !r.log.holds(entry.Index, entry.Term) {
-			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.promise.Term, entry)
+		if entry.epoch < r.hardState.Term && !isInSnapshot && !r.log.matchTerm(entry.Index, entry.Term) {
+			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.hardState.Term, entry)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 // moved adds the worlds in which a member does something of itself.
 func (w *world) moved(all []*world, i int) []*world {
 	r := w.members[i].replica
-	if r.role == owner && w.left.beats > 0 {
+	if r.role == leader && w.left.beats > 0 {
 		next := w.clone()
 		next.left.beats--
 		m := &next.members[i]
@@ -283,7 +283,7 @@
 		next.carryOut(i, m.replica.Step(m.clock, Input{}), noCrash)
 		all = append(all, next)
 	}
-	if r.role == owner && w.left.proposals > 0 {
+	if r.role == leader && w.left.proposals > 0 {
 		next := w.clone()
 		next.left.proposals--
 		m := &next.members[i]
@@ -292,7 +292,7 @@
 		next.carryOut(i, m.replica.Step(m.clock, input), noCrash)
 		all = append(all, next)
 	}
-	if r.role != owner && w.left.stands > 0 {
+	if r.role != leader && w.left.stands > 0 {
 		next := w.clone()
 		next.left.stands--
 		next.carryOut(i, next.members[i].stand(), noCrash)
@@ -301,11 +301,11 @@
 	return all
 }
 
-// stand lets a member begin an epoch at once: trial votes are a courtesy that safety must not rest on.
+// campaign lets a member begin an epoch at once: trial votes are a courtesy that safety must not rest on.
 func (m *explored) stand() Ready {
-	m.replica.begin(m.clock)
-	m.replica.stand(true)
-	return m.replica.finish()
+	m.replica.beginStep(m.clock)
+	m.replica.campaign(true)
+	return m.replica.takeReady()
 }
 
 // explorer visits all worlds up to a depth, each only once, the near ones first.
@@ -368,22 +368,22 @@
 }
 
 func appendReplica(b []byte, r *Replica) []byte {
-	b = appendNumbers(b, int(r.promise.Term), int(r.commit), int(r.role), int(r.now))
-	b = append(b, r.promise.Vote...)
+	b = appendNumbers(b, int(r.hardState.Term), int(r.commit), int(r.role), int(r.now))
+	b = append(b, r.hardState.Vote...)
 	b = append(b, '|')
 	b = appendEntries(b, r.log.entries)
-	for _, id := range r.granted {
+	for _, id := range r.votesGranted {
 		b = append(b, id...)
 	}
-	for _, p := range r.ownership.peers {
-		b = appendNumbers(b, int(p.match), int(p.next), int(p.state), len(p.flights), int(p.heard))
-		b = strconv.AppendBool(b, p.probed)
-		b = appendNumbers(b, p.transfer.wanted, p.transfer.next, int(p.transfer.due))
+	for _, p := range r.leadership.followers {
+		b = appendNumbers(b, int(p.match), int(p.next), int(p.state), len(p.inflights), int(p.lastContact))
+		b = strconv.AppendBool(b, p.probeSent)
+		b = appendNumbers(b, p.transfer.wantedChunk, p.transfer.nextChunk, int(p.transfer.retryAt))
 		b = strconv.AppendBool(b, p.transfer.rewound)
 	}
-	b = appendNumbers(b, int(r.snapshotIndex()), r.incoming.wanted, int(r.incoming.epoch), int(r.incoming.due))
+	b = appendNumbers(b, int(r.snapshotIndex()), r.incoming.wantedChunk, int(r.incoming.term), int(r.incoming.deadline))
 	b = append(b, r.incoming.from...)
-	return append(b, r.owner.id...)
+	return append(b, r.leader.id...)
 }
 
 func appendMessage(b []byte, m Message) []byte {
--- a/internal/tier/replica/follower.go
+++ b/internal/tier/replica/follower.go
@@ -1,36 +1,39 @@
 package replica
 
-// pendingAnswer is the acknowledgement of all appends that were accepted in a Step.
-type pendingAnswer struct {
-	to    string // empty: none
-	epoch uint64
-	index uint64
-	round uint64
+// pendingAppendResponse acknowledges all appends that were accepted in a Step.
+type pendingAppendResponse struct {
+	to             string // empty: none
+	term           uint64
+	index          uint64 // last entry that matches the leader's log
+	readIndexRound uint64
 }
 
-// heed takes the sender of an append or a snapshot for the owner; false when its epoch is over, or this member leads.
-func (r *Replica) heed(message *Message) bool {
-	if message.Term < r.promise.Term {
-		r.sendAfterSync(Message{Kind: AppendEntriesResponse, To: message.From, Term: r.promise.Term, Reject: true})
+// acceptLeader takes the sender of an append or a snapshot for the leader; false when its term is over, or this member
+// leads.
+func (r *Replica) acceptLeader(message *Message) bool {
+	if message.Term < r.hardState.Term {
+		r.sendAfterSync(Message{Kind: AppendEntriesResponse, To: message.From, Term: r.hardState.Term, Reject: true})
 		return false
 	}
-	if r.role == owner && message.Term == r.promise.Term {
+	if r.role == leader && message.Term == r.hardState.Term {
 		return false
 	}
-	first := !r.heardOwner
-	r.heardOwner = true
-	r.follow(message.Term, message.From)
-	r.owner.address = message.Address
-	r.owner.heard = r.now
+	first := !r.hasHeardLeader
+	r.hasHeardLeader = true
+	r.becomeFollower(message.Term, message.From)
+	r.leader.address = message.Address
+	r.leader.lastContact = r.now
 	if first && r.options.InitialElectionTimeout > 0 {
-		r.waitForOwner()
+		r.resetElectionTimer()
 	}
-	r.electionDue = r.now + r.timeout
+	r.electionDeadline = r.now + r.electionTimeout
 	return true
 }
 
-func (r *Replica) receiveAppend(message *Message) {
-	if !r.heed(message) {
+// handleAppendEntries takes over the leader's entries if the entry before them matches (Raft section 5.3). Entries up to the
+// commit index match in any case, also where the log no longer holds them.
+func (r *Replica) handleAppendEntries(message *Message) {
+	if !r.acceptLeader(message) {
 		return
 	}
 	previous, entries := message.Index, message.Entries
@@ -43,74 +46,75 @@
 	}
 	switch {
 	case previous < r.commit:
-		r.accept(message, r.commit)
+		r.acknowledge(message, r.commit)
 		return
 	case previous == r.commit:
-	case !r.log.holds(previous, message.LogTerm):
-		r.reject(message)
+	case !r.log.matchTerm(previous, message.LogTerm):
+		r.rejectAppend(message)
 		return
 	}
-	if !r.merge(previous, entries) {
+	if !r.mergeEntries(previous, entries) {
 		return
 	}
 	matched := previous + uint64(len(entries))
-	r.commitUpTo(min(message.Commit, matched))
-	r.accept(message, matched)
-	if message.LeadershipTransfer && r.mayStand() {
-		r.stand(true)
+	r.commitTo(min(message.Commit, matched))
+	r.acknowledge(message, matched)
+	if message.LeadershipTransfer && r.isPromotable() {
+		r.campaign(true)
 	}
 }
 
-// merge takes over the entries after previous that are not in the log yet, in place of those that differ.
-func (r *Replica) merge(previous uint64, entries []Entry) bool {
-	for len(entries) > 0 && r.log.holds(entries[0].Index, entries[0].Term) {
+// mergeEntries appends the entries after previous that are not in the log yet, in place of those that conflict. Entries
+// that agree must stay: a delayed message may bring fewer than the log holds. False: an entry cannot be read.
+func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {
+	for len(entries) > 0 && r.log.matchTerm(entries[0].Index, entries[0].Term) {
 		entries = entries[1:]
 	}
 	if len(entries) == 0 {
 		return true
 	}
-	if entries[0].Index <= r.log.last() {
+	if entries[0].Index <= r.log.lastIndex() {
 		r.truncate(entries[0].Index)
 	}
 	return r.appendEntries(entries) == nil
 }
 
-// accept acknowledges what is in the log up to index. A Step's acknowledgements go in one message.
-func (r *Replica) accept(message *Message, index uint64) {
-	answer := &r.step.answer
-	answer.to, answer.epoch = message.From, message.Term
-	answer.index = max(answer.index, index)
-	answer.round = max(answer.round, message.ReadIndexRound)
+// acknowledge responds that the log matches the leader's up to index. A Step's acknowledgements go in one message.
+func (r *Replica) acknowledge(message *Message, index uint64) {
+	response := &r.step.appendResponse
+	response.to, response.term = message.From, message.Term
+	response.index = max(response.index, index)
+	response.readIndexRound = max(response.readIndexRound, message.ReadIndexRound)
 }
 
-// reject tells the owner that the entry before those it sent is not in the log, and where the logs may agree.
-func (r *Replica) reject(message *Message) {
-	answer := Message{
+// rejectAppend tells the leader that the entry before those it sent is not in the log, and where the logs may agree.
+func (r *Replica) rejectAppend(message *Message) {
+	response := Message{
 		Kind:           AppendEntriesResponse,
 		To:             message.From,
-		Term:           r.promise.Term,
+		Term:           r.hardState.Term,
 		Index:          message.Index,
 		Reject:         true,
 		ReadIndexRound: message.ReadIndexRound,
 	}
-	answer.RejectHint = max(r.commit, r.log.agreement(message.Index, message.LogTerm))
-	answer.LogTerm, _ = r.log.epochAt(answer.RejectHint)
-	r.sendAfterSync(answer)
+	response.RejectHint = max(r.commit, r.log.findConflictByTerm(message.Index, message.LogTerm))
+	response.LogTerm, _ = r.log.termAt(response.RejectHint)
+	r.sendAfterSync(response)
 }
 
-// flushAnswer sends the acknowledgement of this Step.
-func (r *Replica) flushAnswer() {
-	pending := r.step.answer
+// flushAppendResponse sends the acknowledgement of this Step, after the sync.
+func (r *Replica) flushAppendResponse() {
+	pending := r.step.appendResponse
 	if pending.to == "" {
 		return
 	}
-	answer := Message{
+	response := Message{
 		Kind:           AppendEntriesResponse,
 		From:           r.options.ID,
 		To:             pending.to,
-		Term:           pending.epoch,
+		Term:           pending.term,
 		Index:          pending.index,
-		ReadIndexRound: pending.round,
+		ReadIndexRound: pending.readIndexRound,
 	}
-	r.step.effects.MessagesAfterSync = append(r.step.effects.MessagesAfterSync, answer)
+	r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, response)
 }
--- a/internal/tier/replica/log_test.go
+++ b/internal/tier/replica/log_test.go
@@ -10,7 +10,7 @@
 // TestLogIsLikeAListOfAllEntries compares the log with a plain list that forgets nothing.
 func TestLogIsLikeAListOfAllEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var log entryLog
+		var log raftLog
 		var all []Entry
 		epoch := uint64(1)
 		t.Repeat(map[string]func(*rapid.T){
@@ -21,15 +21,15 @@
 				all = append(all, entry)
 			},
 			"truncate": func(t *rapid.T) {
-				index := rapid.Uint64Range(log.offset+1, log.last()+1).Draw(t, "index")
+				index := rapid.Uint64Range(log.offset+1, log.lastIndex()+1).Draw(t, "index")
 				log.truncate(index)
 				all = all[: index-1 : index-1]
 			},
 			"compact": func(t *rapid.T) {
-				log.compact(rapid.Uint64Range(0, log.last()).Draw(t, "index"))
+				log.compact(rapid.Uint64Range(0, log.lastIndex()).Draw(t, "index"))
 			},
 			"tail": func(t *rapid.T) {
-				index := rapid.Uint64Range(log.offset, log.last()).Draw(t, "index")
+				index := rapid.Uint64Range(log.offset, log.lastIndex()).Draw(t, "index")
 				count := rapid.Uint64Range(0, 9).Draw(t, "count")
 				bytes := rapid.IntRange(0, 600).Draw(t, "bytes")
 				checkTail(t, &log, index, count, bytes)
@@ -41,28 +41,28 @@
 	})
 }
 
-func checkLog(t *rapid.T, log *entryLog, all []Entry) {
-	if log.last() != uint64(len(all)) {
-		t.Fatalf("last %d, want %d", log.last(), len(all))
+func checkLog(t *rapid.T, log *raftLog, all []Entry) {
+	if log.lastIndex() != uint64(len(all)) {
+		t.Fatalf("last %d, want %d", log.lastIndex(), len(all))
 	}
-	if difference := cmp.Diff(all[log.offset:], log.between(log.offset+1, log.last())); difference != "" && len(all) > int(log.offset) {
+	if difference := cmp.Diff(all[log.offset:], log.slice(log.offset+1, log.lastIndex())); difference != "" && len(all) > int(log.offset) {
 		t.Fatalf("entries (-want +got):\n%s", difference)
 	}
-	if log.offset > 0 && !log.holds(log.offset, all[log.offset-1].Term) {
+	if log.offset > 0 && !log.matchTerm(log.offset, all[log.offset-1].Term) {
 		t.Fatalf("the epoch at %d is lost", log.offset)
 	}
-	if _, known := log.epochAt(log.last() + 1); known {
+	if _, known := log.termAt(log.lastIndex() + 1); known {
 		t.Fatal("an entry behind the last is known")
 	}
 	checkBatch(t, log)
 	checkAgreement(t, log, all)
 }
 
-func checkBatch(t *rapid.T, log *entryLog) {
-	if log.last() == log.offset {
+func checkBatch(t *rapid.T, log *raftLog) {
+	if log.lastIndex() == log.offset {
 		return
 	}
-	first := rapid.Uint64Range(log.offset+1, log.last()).Draw(t, "first")
+	first := rapid.Uint64Range(log.offset+1, log.lastIndex()).Draw(t, "first")
 	limit := rapid.IntRange(1, 500).Draw(t, "limit")
 	entries, size := log.batch(first, limit)
 	if len(entries) == 0 || entries[0].Index != first {
@@ -73,12 +73,12 @@
 	}
 }
 
-func checkAgreement(t *rapid.T, log *entryLog, all []Entry) {
-	limit := rapid.Uint64Range(log.offset, log.last()+3).Draw(t, "agree")
+func checkAgreement(t *rapid.T, log *raftLog, all []Entry) {
+	limit := rapid.Uint64Range(log.offset, log.lastIndex()+3).Draw(t, "agree")
 	epoch := rapid.Uint64Range(0, 9).Draw(t, "epoch")
-	got := log.agreement(limit, epoch)
+	got := log.findConflictByTerm(limit, epoch)
 	want := log.offset
-	for index := log.offset + 1; index <= min(limit, log.last()); index++ {
+	for index := log.offset + 1; index <= min(limit, log.lastIndex()); index++ {
 		if all[index-1].Term <= epoch {
 			want = index
 		}
@@ -89,11 +89,11 @@
 }
 
 // checkTail demands the longest tail within both bounds.
-func checkTail(t *rapid.T, log *entryLog, index, count uint64, bytes int) {
-	got := log.tailOf(index, count, bytes)
+func checkTail(t *rapid.T, log *raftLog, index, count uint64, bytes int) {
+	got := log.compactionIndex(index, count, bytes)
 	sizeFrom := func(first uint64) int {
 		size := 0
-		for _, entry := range log.between(first+1, index) {
+		for _, entry := range log.slice(first+1, index) {
 			size += entrySize(&entry)
 		}
 		return size
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -16,23 +16,23 @@
 
 var (
 	committingByCount = mutation.Change{
-		File: "ownership.go",
-		Old:  "if !r.log.holds(index, r.promise.Term) {",
+		File: "leader.go",
+		Old:  "if !r.log.matchTerm(index, r.hardState.Term) {",
 		New:  "if false {",
 	}
 	savingNoPromise = mutation.Change{
-		File: "replica.go",
-		Old:  "if r.step.promiseChanged {",
+		File: "raft.go",
+		Old:  "if r.step.hardStateChanged {",
 		New:  "if false {",
 	}
 	answeringEarly = mutation.Change{
 		File: "follower.go",
-		Old:  "r.step.effects.MessagesAfterSync = append(r.step.effects.MessagesAfterSync, answer)",
-		New:  "r.step.effects.MessagesBeforeSync = append(r.step.effects.MessagesBeforeSync, answer)",
+		Old:  "r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, response)",
+		New:  "r.step.ready.MessagesBeforeSync = append(r.step.ready.MessagesBeforeSync, response)",
 	}
 	votingAgain = mutation.Change{
 		File: "election.go",
-		Old:  `mayVote := r.promise.Vote == "" || r.promise.Vote == ask.From`,
+		Old:  `mayVote := r.hardState.Vote == "" || r.hardState.Vote == request.From`,
 		New:  "mayVote := true",
 	}
 )
@@ -74,8 +74,8 @@
 		{
 			Name: "two changes at once",
 			Change: mutation.Change{
-				File: "change.go",
-				Old:  "if r.groups.newest().index > r.commit {",
+				File: "confchange.go",
+				Old:  "if r.configurations.latest().index > r.commit {",
 				New:  "if false {",
 			},
 			Run: campaigns,
@@ -83,8 +83,8 @@
 		{
 			Name: "a change begins before an entry of the own epoch is committed",
 			Change: mutation.Change{
-				File: "change.go",
-				Old:  "if !r.isOpen() {",
+				File: "confchange.go",
+				Old:  "if !r.hasCommittedInTerm() {",
 				New:  "if false {",
 			},
 			Run:    unopenedElection,
@@ -105,9 +105,9 @@
 				},
 				{
 					File: "follower.go",
-					Old:  "func (r *Replica) merge(previous uint64, entries []Entry) bool {\n",
-					New: "func (r *Replica) merge(previous uint64, entries []Entry) bool {\n" +
-						"if previous < r.log.last() && previous >= r.log.offset { r.truncate(previous + 1) }\n",
+					Old:  "func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {\n",
+					New: "func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {\n" +
+						"if previous < r.log.lastIndex() && previous >= r.log.offset { r.truncate(previous + 1) }\n",
 				},
 			},
 			Run: campaigns,
@@ -115,17 +115,17 @@
 		{
 			Name: "reads without a round",
 			Change: mutation.Change{
-				File: "reads.go",
-				Old:  "confirmed := r.quorum(r.ownership.round, roundOf)",
-				New:  "confirmed := r.ownership.round",
+				File: "read_only.go",
+				Old:  "confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)",
+				New:  "confirmed := r.leadership.readIndexRound",
 			},
 			Run: campaigns,
 		},
 		{
 			Name: "reads before the own epoch is open",
 			Change: mutation.Change{
-				File: "reads.go",
-				Old:  "if len(reads) == 0 || !r.isOpen() {",
+				File: "read_only.go",
+				Old:  "if len(reads) == 0 || !r.hasCommittedInTerm() {",
 				New:  "if len(reads) == 0 {",
 			},
 			Run: campaigns,
@@ -134,8 +134,8 @@
 			Name: "votes for logs that lack entries",
 			Change: mutation.Change{
 				File: "election.go",
-				Old:  "func (r *Replica) isBehind(ask *Message) bool {\n",
-				New:  "func (r *Replica) isBehind(ask *Message) bool {\nif true { return true }\n",
+				Old:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\n",
+				New:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\nif true { return true }\n",
 			},
 			Run: campaigns,
 		},
@@ -152,14 +152,14 @@
 		{
 			Name: "learners count",
 			Change: mutation.Change{
-				File: "ownership.go",
-				Old:  "if !peer.learner {\n			ranking",
-				New:  "if true {\n			ranking",
+				File: "leader.go",
+				Old:  "if !p.learner {\n			values",
+				New:  "if true {\n			values",
 			},
 			Also: []mutation.Change{{
-				File: "ownership.go",
-				Old:  "majority := r.majority()",
-				New:  "majority := newest.majority()",
+				File: "leader.go",
+				Old:  "quorum := r.quorumSize()",
+				New:  "quorum := latest.quorumSize()",
 			}},
 			Run: campaigns,
 		},
@@ -167,8 +167,8 @@
 			Name: "followers commit what they have not compared",
 			Change: mutation.Change{
 				File: "follower.go",
-				Old:  "r.commitUpTo(min(message.Commit, matched))",
-				New:  "r.commitUpTo(min(message.Commit, r.log.last()))",
+				Old:  "r.commitTo(min(message.Commit, matched))",
+				New:  "r.commitTo(min(message.Commit, r.log.lastIndex()))",
 			},
 			Run: campaigns,
 		},
@@ -176,7 +176,7 @@
 			Name: "owners of older epochs are obeyed",
 			Change: mutation.Change{
 				File: "follower.go",
-				Old:  "if message.Term < r.promise.Term {",
+				Old:  "if message.Term < r.hardState.Term {",
 				New:  "if false {",
 			},
 			Run: campaigns,
@@ -184,13 +184,13 @@
 		{
 			Name: "old snapshots are installed",
 			Change: mutation.Change{
-				File: "transfer.go",
+				File: "snapshot_receiver.go",
 				Old:  "if snapshot.Index <= r.commit {",
 				New:  "if false {",
 			},
 			Also: []mutation.Change{{
-				File: "transfer.go",
-				Old:  "if r.log.holds(snapshot.Index, snapshot.Term) {",
+				File: "snapshot_receiver.go",
+				Old:  "if r.log.matchTerm(snapshot.Index, snapshot.Term) {",
 				New:  "if false {",
 			}},
 			Run: campaigns,
@@ -198,8 +198,8 @@
 		{
 			Name: "truncated lists of members stay in force",
 			Change: mutation.Change{
-				File: "replica.go",
-				Old:  "	r.groups = r.groups.truncate(index)\n",
+				File: "raft.go",
+				Old:  "	r.configurations = r.configurations.truncate(index)\n",
 				New:  "",
 			},
 			Run: campaigns,
@@ -209,7 +209,7 @@
 			Change: mutation.Change{
 				File: "follower.go",
 				Old:  "case previous == r.commit:",
-				New:  "case previous == r.commit || previous <= r.log.last():",
+				New:  "case previous == r.commit || previous <= r.log.lastIndex():",
 			},
 			Run: campaigns,
 		},
@@ -217,17 +217,17 @@
 			Name: "less than a majority decides",
 			Change: mutation.Change{
 				File: "election.go",
-				Old:  "return r.groups.newest().majority()",
-				New:  "return max(1, r.groups.newest().majority()-1)",
+				Old:  "return r.configurations.latest().quorumSize()",
+				New:  "return max(1, r.configurations.latest().quorumSize()-1)",
 			},
 			Run: campaigns,
 		},
 		{
 			Name: "lost proposals are reported as done",
 			Change: mutation.Change{
-				File: "ownership.go",
-				Old:  "r.settle(r.ownership.open[i].token, false)",
-				New:  "r.settle(r.ownership.open[i].token, true)",
+				File: "leader.go",
+				Old:  "r.resolve(r.leadership.pendingProposals[i].token, false)",
+				New:  "r.resolve(r.leadership.pendingProposals[i].token, true)",
 			},
 			Run: campaigns,
 		},
--- a/internal/tier/replica/offer_test.go
+++ b/internal/tier/replica/offer_test.go
@@ -21,7 +21,7 @@
 		if !s.runUntil(s.now+time.Second, func() bool { return s.nodes[3].machine.Index > 0 }) {
 			t.Fatal("it gets no snapshot")
 		}
-		if took := s.now - begun; took > (offerBeats+2)*testHeartbeat {
+		if took := s.now - begun; took > (firstChunkRetryHeartbeats+2)*testHeartbeat {
 			t.Errorf("seed %d: the snapshot is there %v later", seed, took)
 		}
 		s.thenHolds(t)
--- /dev/null
+++ b/internal/tier/replica/raft.go
@@ -0,0 +1,291 @@
+package replica
+
+import (
+	"slices"
+	"time"
+
+	"github.com/gravitational/trace"
+)
+
+const (
+	// maxIdle is how long a member without any timer may sleep.
+	maxIdle = time.Hour
+
+	// minHeartbeatsPerElection is the smallest number of heartbeat intervals in an election timeout.
+	minHeartbeatsPerElection = 3
+)
+
+// role is what a member is in its term.
+type role uint8
+
+const (
+	follower role = iota
+	preCandidate
+	candidate
+	leader
+)
+
+// Replica is one member of a group. It is driven by Step, by one goroutine at a time.
+type Replica struct {
+	options Options
+	limits  limits
+	random  randomSource
+
+	// What its disk holds once each Ready is carried out.
+	hardState      HardState
+	log            raftLog
+	snapshot       *Snapshot // without its state
+	configurations configurationHistory
+
+	incoming incomingSnapshot // snapshot that is being received
+
+	commit  uint64 // last entry known to be committed
+	applied uint64 // last entry handed out as committed; never over commit
+
+	now              time.Duration
+	role             role
+	leader           leaderContact
+	electionTimeout  time.Duration // time without a leader after which it campaigns, drawn anew each time
+	electionDeadline time.Duration
+	hasHeardLeader   bool     // since its start
+	votesGranted     []string // members that have voted for this one
+
+	leadership    leadership // zero unless it leads
+	targetMembers []Member   // empty: not known
+
+	step stepState
+}
+
+// leaderContact is what a follower knows of its leader.
+type leaderContact struct {
+	id          string // empty: no leader is known
+	address     string
+	lastContact time.Duration
+}
+
+// stepState is what one Step gathers.
+type stepState struct {
+	ready             Ready
+	stable            uint64 // last entry on disk that is still the same in memory
+	stableLast        uint64 // last entry on disk, still the same or not
+	hardStateChanged  bool
+	receivedChunks    []Chunk
+	installedSnapshot *Snapshot
+	appendResponse    pendingAppendResponse
+}
+
+// New makes a member from what it found on its disk. The state machine must start from the recovered snapshot; entries
+// after it come as CommittedEntries once they are known to be committed. The first Step, with an empty Input, tells when the
+// next one is due. Options that make no sense and a disk that contradicts itself are bad parameters (trace.BadParameter).
+func New(options Options, recovered Recovered, now time.Duration) (*Replica, error) {
+	if err := options.validate(); err != nil {
+		return nil, err
+	}
+	r := &Replica{
+		options:   options,
+		limits:    defaultLimits,
+		random:    newRandomSource(options.Seed, options.ID),
+		hardState: recovered.HardState,
+		now:       now,
+	}
+	if err := r.recover(recovered); err != nil {
+		return nil, err
+	}
+	r.resetElectionTimer()
+	if r.isSingleVoter() {
+		r.electionDeadline = now
+	}
+	return r, nil
+}
+
+// recover takes over snapshot and entries from the disk.
+func (r *Replica) recover(recovered Recovered) error {
+	base := newConfiguration(0, slices.Clone(r.options.InitialMembers))
+	if snapshot := recovered.Snapshot; snapshot != nil {
+		r.snapshot = snapshot
+		r.log.restore(snapshot.Index, snapshot.Term)
+		r.commit, r.applied = snapshot.Index, snapshot.Index
+		base = newConfiguration(snapshot.Index, snapshot.Members)
+	}
+	entries := recovered.Entries
+	for len(entries) > 0 && entries[0].Index <= r.log.offset {
+		entries = entries[1:]
+	}
+	if err := checkSequence(r.log.offset, r.log.offsetTerm, entries); err != nil {
+		return err
+	}
+	r.log.append(entries...)
+	if r.log.lastTerm() > r.hardState.Term {
+		return trace.BadParameter("the hard state of term %d is older than the log's term %d",
+			r.hardState.Term, r.log.lastTerm())
+	}
+	groups, err := configurationHistory{base}.extend(entries)
+	r.configurations = groups
+	return err
+}
+
+// checkSequence returns an error unless entries follow each other without a gap from the one after index on, and no term
+// is lower than the one before.
+func checkSequence(index, term uint64, entries []Entry) error {
+	for i := range entries {
+		if entries[i].Index != index+1 {
+			return trace.BadParameter("entry %d follows entry %d", entries[i].Index, index)
+		}
+		if entries[i].Term < term {
+			return trace.BadParameter("entry %d of term %d follows term %d", entries[i].Index, entries[i].Term, term)
+		}
+		index, term = entries[i].Index, entries[i].Term
+	}
+	return nil
+}
+
+// Step takes in all that has happened up to now, and returns what must be done. The time must never go back.
+func (r *Replica) Step(now time.Duration, input Input) Ready {
+	r.beginStep(now)
+	r.compact(input.Compact)
+	for i := range input.Messages {
+		r.handleMessage(&input.Messages[i])
+	}
+	r.tick()
+	r.setTargetMembers(input.TargetMembers)
+	r.propose(input.Proposals)
+	r.read(input.Reads)
+	if input.TransferLeadership {
+		r.beginLeadershipTransfer()
+	}
+	if r.role == leader {
+		r.tickLeader()
+	}
+	return r.takeReady()
+}
+
+func (r *Replica) beginStep(now time.Duration) {
+	r.now = max(r.now, now)
+	last := r.log.lastIndex()
+	r.step = stepState{stable: last, stableLast: last}
+}
+
+// handleMessage handles one message. Those meant for another identity are dropped: an address may have changed hands.
+func (r *Replica) handleMessage(message *Message) {
+	if message.To != r.options.ID || message.From == r.options.ID {
+		return
+	}
+	switch message.Kind {
+	case RequestVote:
+		r.handleRequestVote(message)
+	case RequestVoteResponse:
+		r.handleRequestVoteResponse(message)
+	case AppendEntries:
+		r.handleAppendEntries(message)
+	case AppendEntriesResponse:
+		r.handleAppendEntriesResponse(message)
+	case InstallSnapshot:
+		r.handleInstallSnapshot(message)
+	case InstallSnapshotResponse:
+		r.handleInstallSnapshotResponse(message)
+	}
+}
+
+// tick acts on the timers that are due.
+func (r *Replica) tick() {
+	r.expireIncomingSnapshot()
+	if r.role == leader {
+		r.checkQuorum()
+		return
+	}
+	if r.now >= r.electionDeadline && r.isPromotable() {
+		r.campaignPreVote()
+	}
+}
+
+// takeReady completes the Ready of a Step. If term or vote change, no message may leave before they are on disk.
+func (r *Replica) takeReady() Ready {
+	r.flushAppendResponse()
+	ready := &r.step.ready
+	if r.step.hardStateChanged {
+		hardState := r.hardState
+		ready.HardState = &hardState
+	}
+	if r.step.hardStateChanged && len(ready.MessagesBeforeSync) > 0 {
+		ready.MessagesAfterSync = append(ready.MessagesBeforeSync, ready.MessagesAfterSync...)
+		ready.MessagesBeforeSync = nil
+	}
+	ready.ReceivedChunks = r.step.receivedChunks
+	ready.Snapshot = r.step.installedSnapshot
+	if r.step.stable < r.step.stableLast {
+		ready.TruncateFrom = r.step.stable + 1
+	}
+	ready.Entries = r.log.slice(r.step.stable+1, r.log.lastIndex())
+	ready.CommittedEntries = r.log.slice(r.applied+1, r.commit)
+	r.applied = r.commit
+	ready.NextWake = r.nextDeadline()
+	taken := *ready
+	r.step.ready = Ready{}
+	return taken
+}
+
+// nextDeadline is when the next timer is due.
+func (r *Replica) nextDeadline() time.Duration {
+	if r.role == leader {
+		if r.commitsOnLocalSync() {
+			return r.now
+		}
+		return r.leadership.heartbeatDeadline
+	}
+	wake := r.now + maxIdle
+	if r.isPromotable() {
+		wake = r.electionDeadline
+	}
+	if r.IsReceivingSnapshot() {
+		wake = min(wake, r.incoming.deadline)
+	}
+	return wake
+}
+
+// appendEntries adds entries to the log. A configuration among them is in force at once, committed or not (thesis section
+// 4.1).
+func (r *Replica) appendEntries(entries []Entry) error {
+	groups, err := r.configurations.extend(entries)
+	if err != nil {
+		return err
+	}
+	r.configurations = groups
+	r.log.append(entries...)
+	return nil
+}
+
+// truncate drops the entries from index on, and the configurations among them.
+func (r *Replica) truncate(index uint64) {
+	r.log.truncate(index)
+	r.step.stable = min(r.step.stable, index-1)
+	r.configurations = r.configurations.truncate(index)
+}
+
+// commitTo records that the entries up to index are committed. The commit index never goes back.
+func (r *Replica) commitTo(index uint64) {
+	if index <= r.commit {
+		return
+	}
+	r.commit = index
+	if len(r.configurations) > 1 {
+		r.configurations = r.configurations.discardBefore(index)
+	}
+}
+
+// sendAfterSync sends a message once what this Step changes is on disk.
+func (r *Replica) sendAfterSync(message Message) {
+	message.From, message.Address = r.options.ID, r.options.Address
+	r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, message)
+}
+
+// sendBeforeSync sends a message that does not wait for the local sync: what a leader sends its followers may reach their
+// disks before its own (thesis section 10.2.1). A chunk of a snapshot does not count as a heartbeat, since the follower may
+// drop it.
+func (r *Replica) sendBeforeSync(p *progress, message Message) {
+	message.From, message.Address = r.options.ID, r.options.Address
+	if message.Kind == AppendEntries {
+		p.sentSinceHeartbeat = true
+		p.sentReadIndexRound = message.ReadIndexRound
+	}
+	r.step.ready.MessagesBeforeSync = append(r.step.ready.MessagesBeforeSync, message)
+}
--- a/internal/tier/replica/random.go
+++ b/internal/tier/replica/random.go
@@ -12,8 +12,8 @@
 	return randomSource(seed ^ hash.Sum64())
 }
 
-// below draws a number from 0 to limit-1.
-func (s *randomSource) below(limit uint64) uint64 {
+// uint64N draws a number from 0 to limit-1.
+func (s *randomSource) uint64N(limit uint64) uint64 {
 	*s += 0x9e3779b97f4a7c15
 	mixed := uint64(*s)
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
--- a/internal/tier/replica/reads_test.go
+++ b/internal/tier/replica/reads_test.go
@@ -55,7 +55,7 @@
 	s.startAll()
 	s.runUntil(time.Second, func() bool { return s.newOwner() != nil })
 	first := s.newOwner()
-	if first.replica.isOpen() {
+	if first.replica.hasCommittedInTerm() {
 		t.Fatal("the epoch is open already")
 	}
 	s.drop = func(m Message) bool { return m.Kind == AppendEntriesResponse && !m.Reject && m.Index > 0 }
@@ -75,7 +75,7 @@
 // newOwner is a node that leads, whether its epoch is open or not.
 func (s *simulation) newOwner() *node {
 	for _, n := range s.nodes {
-		if n.alive && n.replica.role == owner {
+		if n.alive && n.replica.role == leader {
 			return n
 		}
 	}
--- /dev/null
+++ b/internal/tier/replica/replication.go
@@ -0,0 +1,125 @@
+package replica
+
+// replicate sends each follower what it lacks, and heartbeats when they are due.
+func (r *Replica) replicate() {
+	heartbeatDue := r.now >= r.leadership.heartbeatDeadline
+	if heartbeatDue {
+		r.leadership.heartbeatDeadline = r.now + r.options.HeartbeatInterval
+	}
+	for _, p := range r.leadership.followers {
+		if heartbeatDue {
+			r.pauseInactive(p)
+		}
+		r.sendEntries(p)
+		confirm := !p.learner && p.sentReadIndexRound < r.leadership.readIndexRound
+		if confirm || heartbeatDue && !p.sentSinceHeartbeat {
+			r.sendHeartbeat(p)
+		}
+		if heartbeatDue {
+			p.sentSinceHeartbeat = false
+		}
+	}
+}
+
+// pauseInactive sends no more entries to a follower that does not respond, until it does.
+func (r *Replica) pauseInactive(p *progress) {
+	if p.state == stateReplicate && !r.isActive(p) {
+		p.becomeProbe(p.match + 1)
+		p.probeSent = true
+	}
+}
+
+// sendEntries sends as much of the log as the follower may have in flight.
+func (r *Replica) sendEntries(p *progress) {
+	switch p.state {
+	case stateProbe:
+		if !p.probeSent && p.next <= r.log.lastIndex() {
+			r.sendAppend(p)
+		}
+	case stateReplicate:
+		for p.next <= r.log.lastIndex() && p.inflightBytes < r.limits.maxInflightBytes && p.state == stateReplicate {
+			r.sendAppend(p)
+		}
+	case stateSnapshot:
+		r.sendChunks(p)
+	}
+}
+
+// sendAppend sends the next entries, or a snapshot if they are no longer in the log.
+func (r *Replica) sendAppend(p *progress) {
+	if p.next <= r.log.offset {
+		r.becomeSnapshot(p)
+		return
+	}
+	entries, size := r.log.batch(p.next, r.limits.maxMessageBytes)
+	r.sendBeforeSync(p, r.newAppendEntries(p, p.next-1, entries))
+	if p.state == stateProbe {
+		p.probeSent = true
+		return
+	}
+	last := entries[len(entries)-1].Index
+	p.next = last + 1
+	p.inflights = append(p.inflights, inflight{last: last, size: size})
+	p.inflightBytes += size
+}
+
+// sendHeartbeat sends an append without entries. It also shows whether the entries before it have arrived.
+func (r *Replica) sendHeartbeat(p *progress) {
+	if p.state != stateSnapshot && p.next <= r.log.offset {
+		r.becomeSnapshot(p)
+	}
+	previous := p.next - 1
+	if p.state == stateSnapshot {
+		previous = 0
+	}
+	r.sendBeforeSync(p, r.newAppendEntries(p, previous, nil))
+}
+
+// newAppendEntries is an append with the entries after previous.
+func (r *Replica) newAppendEntries(p *progress, previous uint64, entries []Entry) Message {
+	term, _ := r.log.termAt(previous)
+	return Message{
+		Kind:           AppendEntries,
+		To:             p.id,
+		Term:           r.hardState.Term,
+		Index:          previous,
+		LogTerm:        term,
+		Commit:         r.commit,
+		Entries:        entries,
+		ReadIndexRound: r.leadership.readIndexRound,
+	}
+}
+
+func (r *Replica) handleAppendEntriesResponse(response *Message) {
+	if response.Term > r.hardState.Term {
+		r.becomeFollower(response.Term, "")
+		return
+	}
+	if r.role != leader || response.Term != r.hardState.Term {
+		return
+	}
+	p := findProgress(r.leadership.followers, response.From)
+	if p == nil {
+		return
+	}
+	p.lastContact, p.hasResponded = r.now, true
+	p.readIndexRound = max(p.readIndexRound, response.ReadIndexRound)
+	if response.Reject {
+		r.handleAppendRejection(p, response)
+		return
+	}
+	if response.Index <= r.log.lastIndex() {
+		p.updateMatch(response.Index, r.log.offset)
+	}
+}
+
+// handleAppendRejection goes back to where the follower's log may agree with the leader's. Rejections that were overtaken
+// by an acknowledgement or by another probe are ignored.
+func (r *Replica) handleAppendRejection(p *progress, response *Message) {
+	outdated := response.Index <= p.match || p.state == stateSnapshot || p.state == stateProbe && response.Index != p.next-1
+	if outdated {
+		return
+	}
+	hint := min(response.RejectHint, response.Index-1)
+	p.becomeProbe(max(p.match, r.log.findConflictByTerm(hint, response.LogTerm)) + 1)
+}
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -52,7 +52,7 @@
 	return p.r.Step(p.now, input)
 }
 
-// acknowledge lets a follower answer that it has the log up to index.
+// updateMatch lets a follower answer that it has the log up to index.
 func (p *handDriven) acknowledge(id string, index uint64) Ready {
 	answer := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
 	return p.step(Input{Messages: []Message{answer}})
@@ -117,16 +117,16 @@
 			sent += len(indexes) * size
 		}
 	}
-	if sent < usualLimits.flight-2*size || sent > usualLimits.flight+size {
-		t.Errorf("%d bytes in flight, want about %d", sent, usualLimits.flight)
+	if sent < defaultLimits.maxInflightBytes-2*size || sent > defaultLimits.maxInflightBytes+size {
+		t.Errorf("%d bytes in flight, want about %d", sent, defaultLimits.maxInflightBytes)
 	}
 	effects := p.acknowledge("b", 101)
 	for _, indexes := range appendsTo(effects.MessagesBeforeSync, "b") {
-		if len(indexes)*size > usualLimits.message {
+		if len(indexes)*size > defaultLimits.maxMessageBytes {
 			t.Errorf("a message of %d entries", len(indexes))
 		}
 	}
-	large := p.step(Input{Proposals: []Proposal{command(999, 2*usualLimits.message)}})
+	large := p.step(Input{Proposals: []Proposal{command(999, 2*defaultLimits.maxMessageBytes)}})
 	if len(large.Entries) != 1 || large.Entries[0].Index != 302 {
 		t.Errorf("a large entry is not taken: %d", len(large.Entries))
 	}
@@ -134,7 +134,7 @@
 
 func TestProposalsBeyondTheOpenLimitAreRefused(t *testing.T) {
 	p := givenOwnerByHand(t, "a", "b", "c")
-	half := usualLimits.open/2 - 100
+	half := defaultLimits.maxPendingBytes/2 - 100
 	input := Input{Proposals: []Proposal{command(1, half), command(2, half), command(3, half)}}
 	effects := p.step(input)
 	if difference := cmp.Diff([]Outcome{{Token: 3, Dropped: true}}, effects.Outcomes); difference != "" {
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -428,14 +428,14 @@
 	s.wake(n)
 }
 
-// owner is the living node that believes itself the owner in the highest epoch, or nil.
+// leader is the living node that believes itself the owner in the highest epoch, or nil.
 func (s *simulation) owner() *node {
 	var best *node
 	for _, n := range s.nodes {
 		if !n.alive || n.frozen || !n.replica.IsLeader() {
 			continue
 		}
-		if best == nil || n.replica.promise.Term > best.replica.promise.Term {
+		if best == nil || n.replica.hardState.Term > best.replica.hardState.Term {
 			best = n
 		}
 	}
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -84,7 +84,7 @@
 	s, first := givenOwner(t, 4, 3, 0)
 	behind := s.others(first)[0]
 	s.kill(behind)
-	for range int(usualLimits.tail) / 2 {
+	for range int(defaultLimits.trailingEntries) / 2 {
 		s.propose(first)
 	}
 	s.runFor(2 * testHeartbeat)
@@ -171,7 +171,7 @@
 		t.Errorf("compacted to %d", got)
 	}
 	p.step(Input{Compact: &mark})
-	if got, want := p.r.log.offset, mark.Index-usualLimits.tail; got != want {
+	if got, want := p.r.log.offset, mark.Index-defaultLimits.trailingEntries; got != want {
 		t.Errorf("compacted to %d, want %d", got, want)
 	}
 	if got := p.r.Status().LastIndex; got != 201 {
@@ -189,7 +189,7 @@
 	p.acknowledge("b", 21)
 	mark := p.r.SnapshotMetadata()
 	p.step(Input{Compact: &mark})
-	if got, want := p.r.log.offset, uint64(21-usualLimits.flight/size); got != want {
+	if got, want := p.r.log.offset, uint64(21-defaultLimits.maxInflightBytes/size); got != want {
 		t.Errorf("the owner's log is compacted to %d, want %d", got, want)
 	}
 	// and a follower with the same, which keeps less.
@@ -201,7 +201,7 @@
 	r.Step(0, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Commit: 20, Entries: entries}}})
 	mark = r.SnapshotMetadata()
 	r.Step(0, Input{Compact: &mark})
-	if got, want := r.log.offset, uint64(20-usualLimits.trail/size); got != want {
+	if got, want := r.log.offset, uint64(20-defaultLimits.trailingBytes/size); got != want {
 		t.Errorf("the follower's log is compacted to %d, want %d", got, want)
 	}
 }
--- a/internal/tier/replica/successor_test.go
+++ b/internal/tier/replica/successor_test.go
@@ -32,7 +32,7 @@
 	var voters []int
 	for range 1000 {
 		s.runFor(time.Millisecond)
-		if now := newGroup(0, s.checker.group).voters; len(voters) == 0 || voters[len(voters)-1] != now {
+		if now := newConfiguration(0, s.checker.group).voters; len(voters) == 0 || voters[len(voters)-1] != now {
 			voters = append(voters, now)
 		}
 	}
@@ -72,9 +72,9 @@
 	s.start(first)
 	most := 0
 	s.runUntil(s.now+5*time.Second, func() bool {
-		agreed := newGroup(0, s.checker.group)
+		agreed := newConfiguration(0, s.checker.group)
 		most = max(most, agreed.voters)
-		return agreed.votes(spare.id)
+		return agreed.isVoter(spare.id)
 	})
 	if most != 3 {
 		t.Errorf("the group had %d voters, want 3 at most", most)
--- a/internal/tier/replica/transfer_test.go
+++ b/internal/tier/replica/transfer_test.go
@@ -13,7 +13,7 @@
 		Snapshot: &Snapshot{Index: index, Term: 2, Chunks: 3, Members: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, State: []byte{byte('0' + number)}}}
 }
 
-// wanted is what a follower answers to a part.
+// targetMembers is what a follower answers to a part.
 type wanted struct {
 	Index    uint64
 	Part     int
@@ -78,7 +78,7 @@
 	// Given a follower that has received a part,
 	r := givenFollower(t, 2, 1)
 	effects := r.Step(0, Input{Messages: []Message{partOfSnapshot("a", 2, 9, 0)}})
-	due := r.incoming.due
+	due := r.incoming.deadline
 	if effects.NextWake > due {
 		t.Errorf("it sleeps until %v, and gives the snapshot up at %v", effects.NextWake, due)
 	}
