--- a/internal/tier/controller/surroundings_test.go
+++ b/internal/tier/controller/surroundings_test.go
@@ -22,7 +22,7 @@
 }
 
 // Two kinds of sites. Suspicion and death are the longest that were measured in a fleet of the size (membership's
-// TestControllersSuspectReplicasSoon).
+// TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound).
 var (
 	fastSite = surroundings{survive: 1, join: 300 * time.Millisecond, suspicion: 1850 * time.Millisecond, death: 4350 * time.Millisecond,
 		sync: 500 * time.Microsecond, disk: 120_000_000, link: 600_000_000 / 8}
--- /dev/null
+++ b/internal/tier/membership/cluster_test.go
@@ -0,0 +1,198 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"mastusher/internal/tier/virtualtime"
+)
+
+// cluster is a set of hosts in virtual time, joined by an in-memory network.
+type cluster struct {
+	loop      virtualtime.Loop
+	random    *rand.Rand
+	hosts     []*host
+	byAddress map[string]*host
+
+	loss      float64 // share of datagrams that are lost
+	duplicate float64
+	shortest  time.Duration // delay of one way
+	longest   time.Duration
+	blocked   func(from, to *host) bool // a partition of one direction
+	measure   bool                      // encode each datagram
+
+	tombstoneTimeout time.Duration
+	largest          int // bytes of the largest datagram
+	calls            int
+	callBytes        int
+	routes           []replyRoute
+}
+
+// newCluster returns size hosts that are down. The first three are the controllers and seeds.
+func newCluster(size int, seed uint64) *cluster {
+	w := &cluster{
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		byAddress: map[string]*host{},
+		loss:      0.02,
+		shortest:  500 * time.Microsecond,
+		longest:   5 * time.Millisecond,
+		blocked:   func(from, to *host) bool { return false },
+	}
+	for i := range size {
+		w.addHost(i)
+	}
+	return w
+}
+
+func (w *cluster) addHost(i int) *host {
+	role, class := Agent, "edge"
+	if i < 3 {
+		role, class = Controller, "core"
+	} else if i < 7 {
+		role, class = Store, "storage"
+	}
+	machine := fmt.Sprintf("%s-muscat-hall-%c-%d", class, 'a'+i%4, i)
+	added := &host{member: Member{
+		Name:    machine + "/" + string(role),
+		ID:      fmt.Sprintf("%016x", w.random.Uint64()),
+		Role:    role,
+		Zone:    fmt.Sprintf("muscat-hall-%c", 'a'+i%4),
+		Address: fmt.Sprintf("10.%d.%d.%d:7380", i%4, i/250, i%250),
+	}}
+	if role == Controller {
+		added.member.Control = fmt.Sprintf("10.%d.0.%d:8144", i%4, i)
+	}
+	for s := range 3 {
+		added.seeds = append(added.seeds, fmt.Sprintf("10.%d.0.%d:7380", s, s))
+	}
+	w.hosts = append(w.hosts, added)
+	w.byAddress[added.member.Address] = added
+	return added
+}
+
+const epochMs = 1_764_651_362_000
+
+// start starts the process of a host, with an incarnation by the time of day.
+func (w *cluster) start(h *host) {
+	h.starts++
+	h.member.Incarnation = uint64(epochMs + w.loop.Now().Milliseconds())
+	h.node = New(Options{
+		Self:             h.member,
+		Seeds:            h.seeds,
+		TombstoneTimeout: w.tombstoneTimeout,
+		Seed:             w.random.Uint64(),
+	})
+	h.frozen = false
+	h.pending = Input{}
+	w.step(h, Input{})
+}
+
+// startAll starts all hosts within 0.3 s in any order.
+func (w *cluster) startAll() {
+	for _, h := range w.hosts {
+		w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), func() { w.start(h) })
+	}
+}
+
+func (w *cluster) kill(h *host) {
+	h.node = nil
+	h.version++
+}
+
+func (w *cluster) freeze(h *host, duration time.Duration) {
+	h.frozen = true
+	w.after(duration, func() {
+		if !h.frozen || h.node == nil {
+			return
+		}
+		h.frozen = false
+		pending := h.pending
+		h.pending = Input{}
+		w.step(h, Input{}) // its timer fires before it reads what has arrived
+		w.step(h, pending)
+	})
+}
+
+func (w *cluster) after(delay time.Duration, run func()) { w.loop.After(delay, run) }
+
+func (w *cluster) runFor(duration time.Duration) { w.loop.RunFor(duration) }
+
+// runUntil runs until the condition holds, looking every 100 ms, and returns how long that took.
+func (w *cluster) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
+	started := w.loop.Now()
+	for w.loop.Now()-started < limit {
+		if condition() {
+			return w.loop.Now() - started, true
+		}
+		w.runFor(100 * time.Millisecond)
+	}
+	return w.loop.Now() - started, condition()
+}
+
+// runUntilProbing runs until a host has a pending probe.
+func (w *cluster) runUntilProbing(h *host) {
+	for len(h.node.prober.pending) == 0 {
+		w.loop.Step()
+	}
+}
+
+// deliverPayload hands something to a host at once, or later when it is slow or frozen.
+func (w *cluster) deliver(to *host, input Input) {
+	if to.lag > 0 {
+		starts := to.starts
+		w.after(to.lag, func() {
+			if to.starts == starts {
+				w.stepUnlessFrozen(to, input)
+			}
+		})
+		return
+	}
+	w.stepUnlessFrozen(to, input)
+}
+
+func (w *cluster) stepUnlessFrozen(to *host, input Input) {
+	if to.frozen {
+		to.pending.Datagrams = append(to.pending.Datagrams, input.Datagrams...)
+		to.pending.Arrivals = append(to.pending.Arrivals, input.Arrivals...)
+		to.pending.Results = append(to.pending.Results, input.Results...)
+		return
+	}
+	if to.node != nil {
+		w.step(to, input)
+	}
+}
+
+func (w *cluster) step(h *host, input Input) {
+	effects := h.node.Step(w.loop.Now(), input)
+	h.steps++
+	for _, change := range effects.Events {
+		h.events = append(h.events, timedEvent{w.loop.Now(), change})
+	}
+	for _, datagram := range effects.Datagrams {
+		w.sendDatagram(h, datagram)
+	}
+	for _, call := range effects.Calls {
+		w.call(h, call)
+	}
+	for _, reply := range effects.Replies {
+		w.replies(h, reply)
+	}
+	h.version++
+	version := h.version
+	if effects.NextWake == never {
+		return
+	}
+	if effects.NextWake > w.loop.Now() {
+		h.immediateSteps = 0
+	}
+	h.immediateSteps++
+	if h.immediateSteps > maxImmediateSteps {
+		panic(h.member.Name + " asks to be woken at once without end")
+	}
+	w.after(effects.NextWake-w.loop.Now()+h.lag, func() {
+		if h.version == version && h.node != nil && !h.frozen {
+			w.step(h, Input{})
+		}
+	})
+}
--- /dev/null
+++ b/internal/tier/membership/clusterhost_test.go
@@ -0,0 +1,123 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// host is one machine with one process.
+type host struct {
+	member         Member
+	seeds          []string
+	node           *Node // nil: it is down
+	starts         int
+	version        uint64 // of the timer
+	immediateSteps int    // steps in a row that wanted the next one at once
+	frozen         bool
+	pending        Input         // arrived while it was frozen
+	lag            time.Duration // how late a slow process does everything
+	events         []timedEvent
+	suspicions     []timedSuspicion
+	sent           int
+	bytes          int
+	steps          int
+}
+
+// maxImmediateSteps bounds the steps in a row that ask for the next one at once, as they might never end.
+const maxImmediateSteps = 1000
+
+type timedEvent struct {
+	At time.Duration
+	Event
+}
+
+// timedSuspicion is the first time that a host itself suspects a member.
+type timedSuspicion struct {
+	at          time.Duration
+	name        string
+	incarnation uint64
+}
+
+// noteSuspicions records whom a host suspects itself. Suspicions that it only forwards are not its own.
+func (h *host) noteSuspicions(at time.Duration, updates []Update) {
+	for _, update := range updates {
+		if update.State != StateSuspect || update.From != h.member.Name {
+			continue
+		}
+		known := func(a timedSuspicion) bool {
+			return a.name == update.Name && a.incarnation == update.Incarnation
+		}
+		if !slices.ContainsFunc(h.suspicions, known) {
+			h.suspicions = append(h.suspicions, timedSuspicion{at, update.Name, update.Incarnation})
+		}
+	}
+}
+
+// live lists the names of the members that a host considers alive or suspect.
+func (h *host) live() []string {
+	var names []string
+	for _, member := range h.node.Members() {
+		if !member.DeadOrLeft() {
+			names = append(names, member.Name)
+		}
+	}
+	return names
+}
+
+// running lists the hosts whose process runs.
+func (w *cluster) running() []*host {
+	var running []*host
+	for _, h := range w.hosts {
+		if h.node != nil {
+			running = append(running, h)
+		}
+	}
+	return running
+}
+
+// converged reports whether each running host considers exactly the running ones live.
+func (w *cluster) converged() bool { return w.convergedAmong(w.running()) }
+
+func (w *cluster) convergedAmong(group []*host) bool {
+	var names []string
+	for _, h := range group {
+		names = append(names, h.member.Name)
+	}
+	slices.Sort(names)
+	for _, h := range group {
+		if h.node.table.liveCount+1 != len(names) { // quicker than names
+			return false
+		}
+	}
+	for _, h := range group {
+		if !slices.Equal(h.live(), names) {
+			return false
+		}
+	}
+	return true
+}
+
+// disagreements describes what is not converged.
+func (w *cluster) disagreements() string {
+	text := ""
+	for _, h := range w.running() {
+		if len(text) < 2000 {
+			text += fmt.Sprintf("%s has %d live members\n", h.member.Name, len(h.live()))
+		}
+	}
+	return text
+}
+
+// died lists the deaths that running hosts have reported since a time, without those of the names expected.
+func (w *cluster) died(since time.Duration, expected ...string) []string {
+	var deaths []string
+	for _, h := range w.hosts {
+		for _, change := range h.events {
+			if change.Kind == MemberDied && change.At >= since && !slices.Contains(expected, change.Member.Name) {
+				deaths = append(deaths, fmt.Sprintf("%v %s: %s", change.At, h.member.Name, change.Member.Name))
+			}
+		}
+	}
+	return deaths
+}
--- a/internal/tier/membership/coldstart_test.go
+++ b/internal/tier/membership/coldstart_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// coldStartBound is the time within which all members know each other after a start of the whole system: what waits for those
+// maxColdStart is the time within which all members know each other after a start of the whole system: what waits for those
 // that are missing, such as the decision that a replica is lost, waits for longer.
-const coldStartBound = 3500 * time.Millisecond
+const maxColdStart = 3500 * time.Millisecond
 
-// withSeedsOfTheirOwn lays out a network of five controllers in which each machine's settings name three of them, as operators'
+// clusterWithDifferentSeeds lays out a network of five controllers in which each machine's settings name three of them, as operators'
 // lists do that were written at different times.
-func withSeedsOfTheirOwn(size int, seed uint64) *network {
-	w := newNetwork(size, seed)
+func clusterWithDifferentSeeds(size int, seed uint64) *cluster {
+	w := newCluster(size, seed)
 	for _, h := range w.hosts[3:5] {
 		h.member.Role = Controller
 	}
@@ -26,17 +26,17 @@
 	return w
 }
 
-func TestAllKnowEachOtherSoonAfterAColdStart(t *testing.T) {
+func TestFleet_ColdStartWithDifferentSeeds_MeetsWithinTheBound(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(60) {
 		// Given machines whose seeds differ, when all start at once,
-		w := withSeedsOfTheirOwn(25, seed)
+		w := clusterWithDifferentSeeds(25, seed)
 		w.startAll()
 		w.runFor(300 * time.Millisecond)
-		// then they don't stay apart as parts that have each found seeds of their own.
+		// then no groups remain that have each joined by other seeds.
 		took, done := w.runUntil(20*time.Second, w.converged)
 		worst = max(worst, took)
-		if !done || took > coldStartBound {
+		if !done || took > maxColdStart {
 			t.Errorf("seed %d: %v until all know each other", seed, took)
 		}
 	}
--- a/internal/tier/membership/detection_test.go
+++ b/internal/tier/membership/detection_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// detections are the sizes of fleets, and how many deaths are measured for each.
+// detections are the sizes of fleets, and how many failures are measured for each.
 var detections = []struct {
 	size  int
 	seeds uint64
@@ -15,13 +15,13 @@
 
 // Bounds on the time until a controller suspects a member with replicas that has lost power, with 2 % of the datagrams lost.
 const (
-	usualSuspicion   = 1500 * time.Millisecond // for half of the controllers
-	longestSuspicion = 2 * time.Second         // for all but one of a hundred
+	maxMedianSuspicion = 1500 * time.Millisecond // for half of the controllers
+	maxSuspicion99     = 2 * time.Second         // for all but one of a hundred
 )
 
-// TestControllersSuspectReplicasSoon measures after which time the controllers suspect that a machine with replicas has lost
+// TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound measures after which time the controllers suspect that a machine with replicas has lost
 // power, and take it for dead: placement counts from the suspicion where a successor runs.
-func TestControllersSuspectReplicasSoon(t *testing.T) {
+func TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound(t *testing.T) {
 	t.Parallel()
 	for _, tc := range detections {
 		if tc.size > largestFleet/2 {
@@ -31,13 +31,13 @@
 			t.Parallel()
 			var suspected, died []time.Duration
 			for seed := range tc.seeds {
-				suspicion, death := deathOf(t, tc.size, seed)
+				suspicion, death := failureOf(t, tc.size, seed)
 				suspected = append(suspected, suspicion...)
 				died = append(died, death...)
 			}
 			report(t, "suspected", suspected)
 			report(t, "dead", died)
-			if share(suspected, 50) > usualSuspicion || share(suspected, 99) > longestSuspicion {
+			if percentile(suspected, 50) > maxMedianSuspicion || percentile(suspected, 99) > maxSuspicion99 {
 				t.Error("suspicions come too late")
 			}
 		})
@@ -47,16 +47,16 @@
 // hostsWithReplicas is how many hosts of a network are controllers and stores; they come first.
 const hostsWithReplicas = 7
 
-// deathOf kills a host with replicas in a calm fleet, and tells when each controller suspected it and took it for dead.
-func deathOf(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
+// failureOf kills a host with replicas in a calm fleet, and tells when each controller suspected it and took it for dead.
+func failureOf(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
 	t.Helper()
-	w := newNetwork(size, seed+1)
+	w := newCluster(size, seed+1)
 	w.startAll()
 	w.runFor(12*time.Second + time.Duration(seed)*37*time.Millisecond)
 	victim := w.hosts[int(seed)%hostsWithReplicas]
 	killedAt := w.loop.Now()
 	w.kill(victim)
-	if _, done := w.runUntil(longestDetection, w.converged); !done {
+	if _, done := w.runUntil(maxDetection, w.converged); !done {
 		t.Fatalf("seed %d: the death isn't seen by all", seed)
 	}
 	for _, h := range w.running() {
@@ -64,7 +64,7 @@
 			continue
 		}
 		first := time.Duration(0)
-		for _, change := range h.changes {
+		for _, change := range h.events {
 			if change.Member.Name != victim.member.Name || change.At < killedAt {
 				continue
 			}
@@ -80,14 +80,14 @@
 	return suspected, died
 }
 
-// share is the value that so many of a hundred don't exceed.
-func share(times []time.Duration, percent int) time.Duration {
+// percentile is the value that so many of a hundred don't exceed.
+func percentile(times []time.Duration, percent int) time.Duration {
 	slices.Sort(times)
 	return times[(len(times)-1)*percent/100]
 }
 
 func report(t *testing.T, what string, times []time.Duration) {
 	t.Helper()
-	t.Logf("%s after: median %v, 90 %% %v, 99 %% %v, longest %v", what, share(times, 50).Round(time.Millisecond),
-		share(times, 90).Round(time.Millisecond), share(times, 99).Round(time.Millisecond), share(times, 100).Round(time.Millisecond))
+	t.Logf("%s after: median %v, 90 %% %v, 99 %% %v, longest %v", what, percentile(times, 50).Round(time.Millisecond),
+		percentile(times, 90).Round(time.Millisecond), percentile(times, 99).Round(time.Millisecond), percentile(times, 100).Round(time.Millisecond))
 }
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -9,16 +9,15 @@
 
 // Bounds on the figures, in units of time or per member and second.
 const (
-	longestMeeting    = 15 * time.Second // until all that started at once know all
-	longestDetection  = 15 * time.Second // until all know of a death
-	mostMessagesCalm  = 5.0
-	mostBytesCalm     = 3000.0
-	mostWakesCalm     = 5.0
-	mostBytesAtAStart = 40_000.0
+	maxMeeting      = 15 * time.Second // until all that started at once know all
+	maxDetection    = 15 * time.Second // until all know of a death
+	maxMessagesCalm = 5.0
+	maxBytesCalm    = 3000.0
+	maxStepsCalm    = 5.0
 )
 
-// TestFigures measures what a fleet of each size costs, and how long it takes to meet and to see a death, with 2 % loss.
-func TestFigures(t *testing.T) {
+// TestFleet_CostAndDetection_WithinTheBounds measures what a fleet of each size costs, and how long it takes to meet and to see a death, with 2 % loss.
+func TestFleet_CostAndDetection_WithinTheBounds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16, 100, 380, 1000} {
 		if size > largestFleet {
@@ -26,12 +25,12 @@
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			w := newNetwork(size, 7)
-			const settleSeconds = 12 // all have lost interest in the news of the start
+			w := newCluster(size, 7)
+			const quietSeconds = 12 // until the updates of the start are no longer broadcast
 			w.measure = true
 			w.startAll()
 			w.runFor(300 * time.Millisecond)
-			met, done := w.runUntil(longestMeeting, w.converged)
+			met, done := w.runUntil(maxMeeting, w.converged)
 			if !done {
 				t.Fatalf("not all know all after %v", met)
 			}
@@ -39,21 +38,21 @@
 			t.Logf("all met after %v; in that time %.0f bytes a member in datagrams, %.0f in %.1f calls",
 				met, start.bytes, start.callBytes, start.calls)
 
-			w.runFor(settleSeconds * time.Second)
+			w.runFor(quietSeconds * time.Second)
 			before := w.totals()
 			const calmSeconds = 10
 			w.runFor(calmSeconds * time.Second)
 			calm := w.totals().since(before, calmSeconds)
 			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes, %.2f steps, %.3f calls",
 				calm.messages, calm.bytes, calm.steps, calm.calls)
-			if calm.messages > mostMessagesCalm || calm.bytes > mostBytesCalm || calm.steps > mostWakesCalm || calm.calls > 0.1 {
+			if calm.messages > maxMessagesCalm || calm.bytes > maxBytesCalm || calm.steps > maxStepsCalm || calm.calls > 0.1 {
 				t.Error("a calm fleet costs too much")
 			}
 
 			killedAt := w.loop.Now()
 			victim := w.hosts[size/2]
 			w.kill(victim)
-			if took, done := w.runUntil(longestDetection, w.converged); !done {
+			if took, done := w.runUntil(maxDetection, w.converged); !done {
 				t.Errorf("not all see the death after %v", took)
 			}
 			took := w.deathTimes(victim, killedAt)
@@ -71,7 +70,7 @@
 // totals are sums over all hosts, divided by their number.
 type totals struct{ messages, bytes, steps, calls, callBytes float64 }
 
-func (w *network) totals() totals {
+func (w *cluster) totals() totals {
 	var sum totals
 	for _, h := range w.hosts {
 		sum.messages += float64(h.sent)
@@ -93,10 +92,10 @@
 }
 
 // deathTimes lists, in order, how long after a kill each host reported the death.
-func (w *network) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
+func (w *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
 	var times []time.Duration
 	for _, h := range w.running() {
-		for _, change := range h.changes {
+		for _, change := range h.events {
 			if change.Kind == MemberDied && change.Member.Name == victim.member.Name {
 				times = append(times, (change.At - killedAt).Round(time.Millisecond))
 			}
--- a/internal/tier/membership/gossip.go
+++ b/internal/tier/membership/gossip.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// gossipNodes is how many members each one tells of news at once. The rest hear of it with the probes.
+// gossipNodes is how many random members get a gossip message at once when something has changed; the others get the
+// updates with the probes.
 const gossipNodes = 3
 
-// gossipsPerProbeInterval bounds how often that is done in a probe interval.
+// gossipsPerProbeInterval bounds the rounds of gossip messages per probe interval.
 const gossipsPerProbeInterval = 5
 
-// leaveGossipNodes is how many members hear at once that this one leaves.
+// leaveGossipNodes is how many members get a gossip message when this one leaves: it has no later probes to carry that.
 const leaveGossipNodes = 6
 
-// broadcast queues an update in place of all older ones about that member.
+// broadcast queues an update in place of all older ones about the same member.
 func (n *Node) broadcast(queue *transmitLimitedQueue, update Update) {
 	n.priority.invalidate(update.Name)
 	n.broadcasts.invalidate(update.Name)
 	queue.queueBroadcast(update)
 }
 
-// gossip tells a few members of news at once, unless that was done a moment ago.
+// gossip sends the queued updates to a few random members at once (SWIM section 4.1 waits for the next probe), at most
+// once per gossipInterval.
 func (n *Node) gossip() {
 	if !n.gossipDue || n.now < n.lastGossip+n.gossipInterval() {
 		return
@@ -37,32 +39,33 @@
 	return n.options.ProbeInterval / gossipsPerProbeInterval
 }
 
-// randomAlive returns up to count different members that are alive, without the one named.
-func (n *Node) randomAlive(count int, without string) []*entry {
-	const drawsForEach = 4
+// randomAlive returns up to count different random members in StateAlive, without the one named. It draws a few times, and
+// walks the table from a random place when that did not find enough.
+func (n *Node) randomAlive(count int, excluded string) []*entry {
+	const drawsPerMember = 4
 	chosen := make([]*entry, 0, count)
 	all := n.table.sorted
 	if len(all) == 0 {
 		return chosen
 	}
-	for range drawsForEach * count {
+	for range drawsPerMember * count {
 		if len(chosen) == count {
 			return chosen
 		}
-		chosen = appendAlive(chosen, all[n.random.IntN(len(all))], without)
+		chosen = appendAlive(chosen, all[n.random.IntN(len(all))], excluded)
 	}
 	offset := n.random.IntN(len(all))
 	for i := range all {
 		if len(chosen) == count {
 			return chosen
 		}
-		chosen = appendAlive(chosen, all[(offset+i)%len(all)], without)
+		chosen = appendAlive(chosen, all[(offset+i)%len(all)], excluded)
 	}
 	return chosen
 }
 
-func appendAlive(chosen []*entry, candidate *entry, without string) []*entry {
-	if candidate.State != StateAlive || candidate.Name == without || slices.Contains(chosen, candidate) {
+func appendAlive(chosen []*entry, candidate *entry, excluded string) []*entry {
+	if candidate.State != StateAlive || candidate.Name == excluded || slices.Contains(chosen, candidate) {
 		return chosen
 	}
 	return append(chosen, candidate)
--- a/internal/tier/membership/hash.go
+++ b/internal/tier/membership/hash.go
@@ -1,6 +1,7 @@
 package membership
 
-// recordHash tells records apart by what must agree between nodes. Suspicion is left out, as it passes.
+// recordHash hashes what must agree between nodes about a member. A suspicion is left out, as it is temporary. The hashes
+// travel in messages, so the function must not change.
 func recordHash(member Member) uint64 {
 	hash := uint64(fnvOffset)
 	hash = hashString(hash, member.Name)
@@ -36,7 +37,7 @@
 	return hash
 }
 
-// mixBits mixes the bits, so that hashes may be combined by exclusive or.
+// mixBits is the finalizer of MurmurHash3. It spreads the bits, so that hashes may be combined by exclusive or.
 func mixBits(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
--- a/internal/tier/membership/indirect.go
+++ b/internal/tier/membership/indirect.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// maxIndirectProbes bounds the probes that this node makes for others at one time.
+// maxIndirectProbes bounds the probes that this node makes for others at one time; requests beyond it are dropped.
 const maxIndirectProbes = 64
 
-// indirectProbe is a probe that this node makes for another.
+// indirectProbe is a probe that this node makes for another (SWIM section 3.1).
 type indirectProbe struct {
-	sequence          uint64 // of this node's ping
-	target            string
-	requester         string
-	requesterAddress  string // of the requester
-	requesterSequence uint64 // the requester's sequence
-	deadline          time.Duration
+	sequence          uint64 // of this node's ping to the target
+	target            string // name
+	requester         string // name
+	requesterAddress  string
+	requesterSequence uint64        // of the request, returned with the ack or nack
+	deadline          time.Duration // when the requester gets a nack
 }
 
+// sendIndirectProbes asks random helpers to probe a member that has not answered in time.
 func (n *Node) sendIndirectProbes(pending *probe) {
 	pending.indirectAt = never
 	helpers := n.randomAlive(n.options.IndirectProbes, pending.target.Name)
@@ -33,6 +34,7 @@
 	}
 }
 
+// nackProbe notes that a helper is reachable and got no answer from the target either (Lifeguard's nack).
 func (n *Node) nackProbe(sequence uint64, helper string) {
 	for i := range n.prober.pending {
 		if pending := &n.prober.pending[i]; pending.sequence == sequence {
@@ -41,6 +43,7 @@
 	}
 }
 
+// handlePingReq probes a member for another one.
 func (n *Node) handlePingReq(address string, message *Message) {
 	if message.TargetAddress == "" || len(n.indirect) >= maxIndirectProbes {
 		return
@@ -57,7 +60,7 @@
 	n.send(message.TargetAddress, Message{Kind: MsgPing, To: message.Target, Sequence: sequence})
 }
 
-// expireIndirectProbes tells requesters that the target has not answered.
+// expireIndirectProbes sends a nack to each requester whose target has not answered in time.
 func (n *Node) expireIndirectProbes() {
 	n.indirect = slices.DeleteFunc(n.indirect, func(r indirectProbe) bool {
 		if n.now < r.deadline {
--- a/internal/tier/membership/member.go
+++ b/internal/tier/membership/member.go
@@ -1,29 +1,29 @@
 package membership
 
-// Role says what a member does in the system.
+// Role is what a member does in the system.
 type Role string
 
-// The roles that are members. A proxy is none: the agent beside it stands for it.
+// The roles of members. A proxy is not a member: the agent on its machine represents it.
 const (
 	Agent      Role = "agent"
 	Controller Role = "controller"
 	Store      Role = "store"
 )
 
-// State is what is believed of a member. For one incarnation the state only grows.
+// State is what a node believes of a member. Within one incarnation it must only grow.
 type State uint8
 
 // The states.
 const (
 	StateAlive   State = iota
-	StateSuspect       // did not answer; it may still refute
-	StateDead          // did not refute in time
-	StateLeft          // said that it ends
+	StateSuspect       // did not answer a probe; it may still refute
+	StateDead          // did not refute the suspicion in time
+	StateLeft          // announced its end
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// String returns the state's name.
+// String returns the state's name, or "unknown".
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -31,10 +31,11 @@
 	return stateNames[s]
 }
 
-// Member is one process as the others know it. The tags are short because several members share a datagram.
+// Member is one process as the others know it. It travels in datagrams; the tags are short because several members share
+// one.
 type Member struct {
-	Name        string `json:"n"`           // machine and role, joined by a slash; unique
-	ID          string `json:"d,omitempty"` // on its disk, or drawn at its start where it has none
+	Name        string `json:"n"`           // machine and role, joined by a slash; unique in the system
+	ID          string `json:"d,omitempty"` // from its disk, or drawn at its start where it has none
 	Role        Role   `json:"r,omitempty"`
 	Zone        string `json:"z,omitempty"`
 	Address     string `json:"a,omitempty"` // host:port, the same for datagrams and connections
@@ -43,10 +44,10 @@
 	State       State  `json:"s,omitempty"`
 }
 
-// DeadOrLeft tells whether the member is taken for dead or has left.
+// DeadOrLeft reports whether the member is dead or has left.
 func (m Member) DeadOrLeft() bool { return m.State == StateDead || m.State == StateLeft }
 
-// sameProcess tells whether both describe one start of a process.
+// sameProcess reports whether both describe one start of a process.
 func (m Member) sameProcess(other Member) bool {
 	return m.ID == other.ID && m.Address == other.Address && m.Control == other.Control &&
 		m.Zone == other.Zone && m.Role == other.Role
--- a/internal/tier/membership/mutants_test.go
+++ b/internal/tier/membership/mutants_test.go
@@ -6,47 +6,47 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Scenarios that notice the mutants.
+// Scenarios that detect the mutants.
 const (
-	accusations  = "^TestScenarios$/given_a_healthy_member"
-	oldRecords   = "^TestScenarios$/given_a_new_process"
-	isolation    = "^TestScenarios$/given_an_isolated_member"
-	freezes      = "^TestScenarios$/given_a_probe_under_way"
-	oneWayCuts   = "^TestScenarios$/given_a_one-way_cut"
-	crowds       = "^TestScenarios$/given_a_hundred_members"
-	longDeaths   = "^TestScenarios$/given_a_dead_member"
-	cutsThatHeal = "^TestScenarios$/given_two_halves"
+	refutations      = "^TestScenarios$/given_a_healthy_member"
+	staleRecords     = "^TestScenarios$/given_a_new_process"
+	isolation        = "^TestScenarios$/given_an_isolated_member"
+	freezes          = "^TestScenarios$/given_a_pending_probe"
+	oneWayPartitions = "^TestScenarios$/given_a_one-way_partition"
+	largeFleets      = "^TestScenarios$/given_a_hundred_members"
+	reaping          = "^TestScenarios$/given_a_dead_member"
+	healedPartitions = "^TestScenarios$/given_two_halves"
 )
 
-func TestMutantsAreNoticed(t *testing.T) {
+func TestMutants_AreDetected(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "controllers leave replicas to the usual round",
+			Name:   "controllers probe replicas only in the round",
 			Change: mutation.Change{File: "probe.go", Old: "	n.probeReplicas()\n", New: ""},
-			Run:    "^TestControllersSuspectReplicasSoon$",
+			Run:    "^TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound$",
 		},
 		{
-			Name: "accusations are not refuted",
+			Name: "suspicions are not refuted",
 			Change: mutation.Change{
 				File: "state.go",
 				Old:  "if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {",
 				New:  "if true {",
 			},
-			Run: accusations,
+			Run: refutations,
 		},
 		{
-			Name: "records of earlier processes are taken",
+			Name: "records of older incarnations are accepted",
 			Change: mutation.Change{
 				File: "state.go",
 				Old:  "case update.Incarnation > known.Incarnation:",
 				New:  "case true:",
 			},
-			Run:    oldRecords,
+			Run:    staleRecords,
 			Always: true,
 		},
 		{
-			Name: "deaths are believed without a question",
+			Name: "deaths are believed without verification",
 			Change: mutation.Change{
 				File: "state.go",
 				Old:  "\tswitch known.State {\n\tcase StateAlive:\n\t\tn.verifyNode(known, update.Incarnation)",
@@ -62,7 +62,7 @@
 			Run: isolation,
 		},
 		{
-			Name: "others are blamed after a freeze",
+			Name: "others are suspected after a freeze",
 			Change: mutation.Change{
 				File: "awareness.go",
 				Old:  "if late <= n.options.ProbeTimeout {",
@@ -71,34 +71,34 @@
 			Run: freezes,
 		},
 		{
-			Name: "helpers are not asked",
+			Name: "no indirect probes are sent",
 			Change: mutation.Change{
 				File: "indirect.go",
 				Old:  "\tpending.indirectAt = never\n\thelpers",
 				New:  "\tpending.indirectAt = never\n\tif true { return }\n\thelpers",
 			},
-			Run: oneWayCuts,
+			Run: oneWayPartitions,
 		},
 		{
-			Name: "datagrams have no bound",
+			Name: "datagrams are not bounded",
 			Change: mutation.Change{
 				File: "send.go",
 				Old:  "budget := MaxDatagramBytes - envelopeSize(&message) - len(message.Payload)",
 				New:  "budget := 100 * MaxDatagramBytes",
 			},
-			Run: crowds,
+			Run: largeFleets,
 		},
 		{
-			Name: "the gone are not forgotten",
+			Name: "tombstones are not reaped",
 			Change: mutation.Change{
 				File: "tombstone.go",
 				Old:  "if n.now-e.stateChange < n.options.TombstoneTimeout {",
 				New:  "if true {",
 			},
-			Run: longDeaths,
+			Run: reaping,
 		},
 		{
-			Name: "neither the gone nor seeds are called again",
+			Name: "neither dead members nor seeds are probed again",
 			Change: mutation.Change{
 				File: "tombstone.go",
 				Old:  "|| len(n.prober.tombstones) == 0 {",
@@ -111,25 +111,25 @@
 					New:  "func (n *Node) probeUnknownSeeds() {\n\tif true { return }\n",
 				},
 			},
-			Run: cutsThatHeal,
+			Run: healedPartitions,
 		},
 		{
-			Name: "seeds are not tried sooner while a node is young",
+			Name: "seeds are not probed sooner after a start",
 			Change: mutation.Change{
 				File: "join.go",
 				Old:  "return n.jittered(initialSeedProbeInterval)",
 				New:  "return n.jittered(n.options.PushPullInterval)",
 			},
-			Run: "^TestAllKnowEachOtherSoonAfterAColdStart$",
+			Run: "^TestFleet_ColdStartWithDifferentSeeds_MeetsWithinTheBound$",
 		},
 		{
-			Name: "lists that differ are not reconciled",
+			Name: "tables that differ are not reconciled",
 			Change: mutation.Change{
 				File: "pushpull.go",
 				Old:  "func (n *Node) schedulePushPull(address string) {\n",
-				New:  "func (n *Node) schedulePushPull(address string) {\n\tif n.pushPull.joined { return }\n",
+				New:  "func (n *Node) schedulePushPull(address string) {\n\tif n.joiner.joined { return }\n",
 			},
-			Run: crowds,
+			Run: largeFleets,
 		},
 	})
 }
--- a/internal/tier/membership/node.go
+++ b/internal/tier/membership/node.go
@@ -7,60 +7,61 @@
 	"time"
 )
 
-// Input is all that has happened since the last Step.
+// Input is what has happened since the last Step.
 type Input struct {
-	Datagrams []Datagram
-	Arrivals  []PushPullArrival
-	Results   []PushPullResult
-	Seeds     []string        // replace the seeds; nil: as they are
-	Payload   json.RawMessage // is attached from now on; nil: as it is
-	Leave     bool            // the process is about to end
+	Datagrams []Datagram        // received
+	Arrivals  []PushPullArrival // received, each to be answered
+	Results   []PushPullResult  // of earlier calls
+	Seeds     []string          // replaces the seeds; nil: unchanged
+	Payload   json.RawMessage   // attached to pings and acks from now on; nil: unchanged
+	Leave     bool              // the process is about to end
 }
 
-// Effects is what must be done.
+// Effects is what the caller of Step must do.
 type Effects struct {
-	Datagrams []Datagram
-	Calls     []PushPullCall
-	Replies   []PushPullReply
-	Events    []Event
-	Payloads  []Payload
-	NextWake  time.Duration // when Step is to be called again at the latest
+	Datagrams []Datagram      // to be sent
+	Calls     []PushPullCall  // to be made
+	Replies   []PushPullReply // to be sent
+	Events    []Event         // in the order in which they happened
+	Payloads  []Payload       // received from other members
+	NextWake  time.Duration   // when Step is to be called again at the latest
 }
 
-// Payload is what the application of another member has attached.
+// Payload is what the application of another member attached to a ping or ack.
 type Payload struct {
 	Name    string // of the sender
 	Address string // of the sender
 	Body    json.RawMessage
 }
 
-// Node is one member's part of the protocol.
+// Node runs the protocol for one member. It is not safe for concurrent use.
 type Node struct {
 	options Options
 	self    Member
 	random  *rand.Rand
 
-	now        time.Duration
-	started    time.Duration
+	now        time.Duration // of the present Step
+	started    time.Duration // time of the first Step
 	nextWakeAt time.Duration // last NextWake; zero before the first Step
 	effects    Effects
 
 	table      *table
-	priority   *transmitLimitedQueue // suspicions and refutations
-	broadcasts *transmitLimitedQueue // who is there and who is gone
+	priority   *transmitLimitedQueue // suspicions and refutations; sent first
+	broadcasts *transmitLimitedQueue // joins, deaths and leaves
 	payload    json.RawMessage
 	seeds      []string
 
 	prober     prober
-	suspects   []*entry // those with a suspicion
+	suspects   []*entry // those in StateSuspect
 	indirect   []indirectProbe
-	awareness  int // how slow this node itself seems, from 0 to maxHealthScore
+	awareness  awareness
 	pushPull   pushPullState
-	gossipDue  bool          // there is news that a few members are told at once
-	lastGossip time.Duration // when that was last done
+	joiner     joiner
+	gossipDue  bool          // an update must be gossiped without waiting for a probe
+	lastGossip time.Duration // time of the last gossip messages
 }
 
-// New returns a node that has not been started: the first Step does that.
+// New returns a node. The first Step starts it.
 func New(options Options) *Node {
 	options = withDefaults(options)
 	self := options.Self
@@ -78,7 +79,9 @@
 	return n
 }
 
-// Step takes in what has happened up to now, a clock that never goes back, and returns what must be done.
+// Step handles what has happened up to now and returns what must be done. now is a monotonic clock; the caller must call
+// Step again at NextWake at the latest, also without input. A call that comes later by more than ProbeTimeout is taken for a
+// process that was frozen.
 func (n *Node) Step(now time.Duration, input Input) Effects {
 	n.now = now
 	n.effects = Effects{}
@@ -89,8 +92,8 @@
 	for _, arrival := range input.Arrivals {
 		n.handlePushPull(arrival)
 	}
-	for _, outcome := range input.Results {
-		n.handlePushPullResult(outcome)
+	for _, result := range input.Results {
+		n.handlePushPullResult(result)
 	}
 	for i := range input.Datagrams {
 		n.handleMessage(input.Datagrams[i].Address, &input.Datagrams[i].Message)
@@ -104,7 +107,7 @@
 	return n.effects
 }
 
-// initialize sets the first times up in the first Step.
+// initialize sets the timers in the first Step.
 func (n *Node) initialize() {
 	if n.nextWakeAt != 0 {
 		return
@@ -114,10 +117,11 @@
 	n.pushPull.lastStart = n.now - n.options.PushPullInterval
 	n.prober.nextProbe = n.now + n.jittered(n.options.ProbeInterval)
 	n.prober.nextDeadProbe = n.prober.nextProbe
-	n.pushPull.nextSeedProbe = n.now + n.seedProbeInterval()
+	n.joiner.nextSeedProbe = n.now + n.seedProbeInterval()
 	n.broadcasts.queueBroadcast(updateOf(n.self))
 }
 
+// configure takes new seeds and a new payload.
 func (n *Node) configure(input Input) {
 	if input.Seeds != nil {
 		n.seeds = input.Seeds
@@ -131,7 +135,7 @@
 	}
 }
 
-// runTimers does what is due.
+// runTimers does what is due. A node that has left only finishes the probes that it makes for others.
 func (n *Node) runTimers() {
 	if n.self.State == StateLeft {
 		n.expireIndirectProbes()
@@ -146,7 +150,7 @@
 	n.gossip()
 }
 
-// never is a time that does not come.
+// never is a deadline that does not pass.
 const never = time.Duration(math.MaxInt64)
 
 func (n *Node) nextWake() time.Duration {
@@ -164,13 +168,14 @@
 	return next
 }
 
-// jittered returns a duration within a tenth of the one given, so that members do not fall into step.
+// jittered returns a duration within a tenth of the one given, so that members do not synchronise.
 func (n *Node) jittered(duration time.Duration) time.Duration {
-	const share = 10
-	return duration - duration/share + time.Duration(n.random.Int64N(int64(2*duration/share)+1))
+	const fraction = 10
+	return duration - duration/fraction + time.Duration(n.random.Int64N(int64(2*duration/fraction)+1))
 }
 
-// Members returns all members that are known, the node itself among them, by name. The slice must not be changed.
+// Members returns all known members, this node and those with a tombstone included, sorted by name. The slice must not be
+// changed.
 func (n *Node) Members() []Member {
 	if n.table.members != nil {
 		return n.table.members
@@ -191,11 +196,11 @@
 	return members
 }
 
-// Self returns the node's own record with its present incarnation.
+// Self returns this node's record with its present incarnation.
 func (n *Node) Self() Member { return n.self }
 
-// Joined tells whether another member has answered since the start.
-func (n *Node) Joined() bool { return n.pushPull.joined }
+// Joined reports whether a push-pull with another member has succeeded since the start.
+func (n *Node) Joined() bool { return n.joiner.joined }
 
-// HealthScore tells how slow the node itself seems: 0 is well.
-func (n *Node) HealthScore() int { return n.awareness }
+// HealthScore returns Lifeguard's local health score, from 0 (healthy) to 5; time-outs are one more times as long.
+func (n *Node) HealthScore() int { return n.awareness.score }
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// probeTimeouts is how many time-outs a probe takes: for the ping, for that of the helpers, and for their answers.
+// probeTimeouts is how many ProbeTimeouts a probe lasts: for the ping, for the pings of the helpers, and for their answers.
 const probeTimeouts = 3
 
-// maxVerifications bounds the pings of one Step to members about which nodes disagree.
+// maxVerifications bounds the pings of one Step to members on whose state nodes disagree.
 const maxVerifications = 8
 
-// prober holds the probes under way and whose turn it is.
+// prober is the state of the failure detector.
 type prober struct {
 	nextProbe     time.Duration // when the next member is probed
-	rotation      []string      // names in random order; each is probed once in a round
-	position      int
+	rotation      []string      // names in random order; each is probed once per round (SWIM section 4.3)
+	position      int           // in rotation, of the next target
 	pending       []probe
-	sequence      uint64
-	verifications int // verifications in this Step
+	sequence      uint64 // of the last ping
+	verifications int    // in this Step
 
-	tombstones    []*entry // those that are gone and not forgotten yet
+	tombstones    []*entry // those that are dead or have left and are not reaped yet
 	nextDeadProbe time.Duration
 }
 
-// probe is one ping that must be answered.
+// probe is a ping that must be answered.
 type probe struct {
 	sequence      uint64
 	target        *entry
 	indirectAt    time.Duration // when helpers are asked; never: they were, or will not be
 	deadline      time.Duration
-	nacks         []string // helpers that found it silent too
-	expectedNacks int
+	nacks         []string // names of helpers that got no answer either
+	expectedNacks int      // helpers asked
 }
 
-// probe pings the next member when it is time to.
+// probe starts the probes of one interval when it is due.
 func (n *Node) probe() {
 	if n.now < n.prober.nextProbe {
 		return
 	}
-	n.prober.nextProbe = n.now + n.jittered(n.scaleTimeout(n.options.ProbeInterval))
+	n.prober.nextProbe = n.now + n.jittered(n.awareness.scaleTimeout(n.options.ProbeInterval))
 	if target := n.nextTarget(); target != nil {
 		n.probeNode(target)
 	}
@@ -48,33 +48,35 @@
 	n.reapTombstones()
 }
 
+// probeNode pings a member. If it does not answer it is probed indirectly, and then suspected.
 func (n *Node) probeNode(target *entry) {
 	started := probe{
 		sequence:   n.nextSequence(),
 		target:     target,
-		indirectAt: n.now + n.scaleTimeout(n.options.ProbeTimeout),
-		deadline:   n.now + n.scaleTimeout(probeTimeouts*n.options.ProbeTimeout),
+		indirectAt: n.now + n.awareness.scaleTimeout(n.options.ProbeTimeout),
+		deadline:   n.now + n.awareness.scaleTimeout(probeTimeouts*n.options.ProbeTimeout),
 	}
 	n.prober.pending = append(n.prober.pending, started)
 	n.send(target.Address, Message{Kind: MsgPing, To: target.Name, Sequence: started.sequence})
 }
 
-// verifyNode asks a member about which nodes disagree. The ping tells it that some take it for dead in that incarnation, so
-// that it can refute this.
+// verifyNode pings a member on whose state nodes disagree. The ping carries the update that it is dead in that incarnation,
+// so that it can refute it. A member that has a tombstone here may stay silent; another one is suspected without indirect
+// probes.
 func (n *Node) verifyNode(target *entry, incarnation uint64) {
 	if n.prober.verifications >= maxVerifications || n.isProbing(target) {
 		return
 	}
 	n.prober.verifications++
-	accusation := Update{Member: Member{Name: target.Name, Incarnation: incarnation, State: StateDead}}
-	ping := Message{Kind: MsgPing, To: target.Name, Updates: []Update{accusation}}
+	dead := Update{Member: Member{Name: target.Name, Incarnation: incarnation, State: StateDead}}
+	ping := Message{Kind: MsgPing, To: target.Name, Updates: []Update{dead}}
 	if !target.DeadOrLeft() {
 		ping.Sequence = n.nextSequence()
 		n.prober.pending = append(n.prober.pending, probe{
 			sequence:   ping.Sequence,
 			target:     target,
 			indirectAt: never,
-			deadline:   n.now + n.scaleTimeout(2*n.options.ProbeTimeout),
+			deadline:   n.now + n.awareness.scaleTimeout(2*n.options.ProbeTimeout),
 		})
 	}
 	n.send(target.Address, ping)
@@ -89,7 +91,7 @@
 	return n.prober.sequence
 }
 
-// expireProbes asks helpers about members that have not answered yet, and suspects those that nobody reached.
+// expireProbes starts the indirect probes that are due, and suspects members that nobody reached.
 func (n *Node) expireProbes() {
 	for i := 0; i < len(n.prober.pending); {
 		pending := &n.prober.pending[i]
@@ -106,25 +108,25 @@
 	}
 }
 
-// probeFailed suspects the target. When no helper has answered either, this node may be the one that is slow or cut off.
+// probeFailed suspects the target. If no helper has sent even a nack, this node may be the one that is slow or partitioned.
 func (n *Node) probeFailed(failed probe) {
 	if failed.expectedNacks > 0 && len(failed.nacks) == 0 {
-		n.worsenHealth()
+		n.awareness.applyDelta(1)
 	}
 	if failed.target.State == StateAlive {
 		n.startSuspicion(failed.target, Update{From: n.self.Name})
-		n.send(failed.target.Address, Message{Kind: MsgGossip, To: failed.target.Name}) // it may refute at once
+		n.send(failed.target.Address, Message{Kind: MsgGossip, To: failed.target.Name}) // so that it may refute at once
 	}
-	news := failed.target.suspicion.confirm(n.self.Name)
+	changed := failed.target.suspicion.confirm(n.self.Name)
 	for _, helper := range failed.nacks {
-		news = failed.target.suspicion.confirm(helper) || news
+		changed = failed.target.suspicion.confirm(helper) || changed
 	}
-	if news {
+	if changed {
 		n.broadcastSuspicion(failed.target, n.self.Name)
 	}
 }
 
-// ackProbe ends the probe with that sequence when it was of the member named.
+// ackProbe ends the probe with that sequence if it was of the member named, and reports whether there was one.
 func (n *Node) ackProbe(sequence uint64, name string) bool {
 	for i, pending := range n.prober.pending {
 		if pending.sequence == sequence && pending.target.Name == name {
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -12,24 +12,24 @@
 	"pgregory.net/rapid"
 )
 
-// trouble is one thing that befalls a network.
-type trouble struct {
+// fault is one fault that is injected into a network.
+type fault struct {
 	Kind     string
 	Host     int
 	Duration time.Duration
-	Pause    time.Duration // until the next one
+	Delay    time.Duration // until the next one
 }
 
-var troubles = rapid.Custom(func(t *rapid.T) trouble {
-	return trouble{
-		Kind:     rapid.SampledFrom([]string{"kill", "restart", "freeze", "lag", "cut", "one way", "leave", "heal"}).Draw(t, "kind"),
+var faults = rapid.Custom(func(t *rapid.T) fault {
+	return fault{
+		Kind:     rapid.SampledFrom([]string{"kill", "restart", "freeze", "lag", "partition", "one way", "leave", "heal"}).Draw(t, "kind"),
 		Host:     rapid.IntRange(0, 100).Draw(t, "host"),
 		Duration: time.Duration(rapid.IntRange(100, 12_000).Draw(t, "duration")) * time.Millisecond,
-		Pause:    time.Duration(rapid.IntRange(0, 8_000).Draw(t, "pause")) * time.Millisecond,
+		Delay:    time.Duration(rapid.IntRange(0, 8_000).Draw(t, "pause")) * time.Millisecond,
 	}
 })
 
-func (w *network) befall(happens trouble) {
+func (w *cluster) inject(happens fault) {
 	h := w.hosts[happens.Host%len(w.hosts)]
 	switch happens.Kind {
 	case "kill":
@@ -41,7 +41,7 @@
 		w.freeze(h, happens.Duration)
 	case "lag":
 		h.lag = happens.Duration / 10
-	case "cut":
+	case "partition":
 		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
 		w.blocked = func(from, to *host) bool { return from == h }
@@ -55,8 +55,8 @@
 	}
 }
 
-// calmDown ends all troubles but freezes, which end by themselves, and starts what is down.
-func (w *network) calmDown() {
+// healAll ends all faults but freezes, which end by themselves, and starts what is down.
+func (w *cluster) healAll() {
 	w.blocked = func(from, to *host) bool { return false }
 	for _, h := range w.hosts {
 		h.lag = 0
@@ -66,21 +66,21 @@
 	}
 }
 
-// Given any troubles, when they are over, then all running members agree on who is there, and nobody's record of a member
-// has ever gone back.
-func TestConvergesAfterAnyTroubles(t *testing.T) {
+// Given any faults, when they are over, then all running members agree on who is running, and no record of a member has ever
+// gone back.
+func TestFleet_AnyFaults_ConvergesAfterwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNetwork(rapid.IntRange(2, 9).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
+		w := newCluster(rapid.IntRange(2, 9).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		w.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
 		w.duplicate = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicate")
 		w.startAll()
 		w.runFor(5 * time.Second)
-		for _, happens := range rapid.SliceOfN(troubles, 0, 8).Draw(t, "troubles") {
-			w.befall(happens)
-			w.runFor(happens.Pause)
+		for _, happens := range rapid.SliceOfN(faults, 0, 8).Draw(t, "faults") {
+			w.inject(happens)
+			w.runFor(happens.Delay)
 		}
 		w.loss = min(w.loss, 0.02)
-		w.calmDown()
+		w.healAll()
 		w.runFor(12 * time.Second) // the longest freeze ends
 		if _, done := w.runUntil(40*time.Second, w.converged); !done {
 			t.Fatalf("not converged:\n%s", w.disagreements())
@@ -93,7 +93,7 @@
 
 // checkNeverBack looks at all that a host has reported.
 func checkNeverBack(t *rapid.T, h *host) {
-	for _, change := range h.changes {
+	for _, change := range h.events {
 		before, after := change.Previous, change.Member
 		if before.Name == "" {
 			continue
@@ -105,27 +105,27 @@
 }
 
 // Given one seed, when a story is played twice, then all changes are the same.
-func TestSameSeedSameChanges(t *testing.T) {
-	play := func() [][]timedChange {
-		w := newNetwork(12, 5)
+func TestNetwork_SameSeed_GivesTheSameEvents(t *testing.T) {
+	run := func() [][]timedEvent {
+		w := newCluster(12, 5)
 		w.startAll()
 		w.runFor(5 * time.Second)
 		w.kill(w.hosts[4])
 		w.freeze(w.hosts[6], 9*time.Second)
 		w.runFor(20 * time.Second)
-		var changes [][]timedChange
+		var changes [][]timedEvent
 		for _, h := range w.hosts {
-			changes = append(changes, h.changes)
+			changes = append(changes, h.events)
 		}
 		return changes
 	}
-	if difference := cmp.Diff(play(), play()); difference != "" {
+	if difference := cmp.Diff(run(), run()); difference != "" {
 		t.Error(difference)
 	}
 }
 
 // Given members with any names and any payload, when they exchange messages, then each fits into a datagram.
-func TestDatagramsStaySmall(t *testing.T) {
+func TestDatagrams_AnyNamesAndPayloads_FitTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-z0-9"<é-]{1,60}`)
 		node := New(Options{Self: Member{Name: name.Draw(t, "self") + "/a", Address: "10.0.0.1:7380", Incarnation: 1 << 62}})
@@ -160,7 +160,7 @@
 }
 
 // Given two lists, when one requests and the other answers and gets what it wanted, then both hold the same.
-func TestOneReconciliationIsEnough(t *testing.T) {
+func TestPushPull_AnyTwoTables_AreTheSameAfterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := twoNodes(t)
 		request := Input{Datagrams: []Datagram{{second.self.Address, Message{Kind: MsgGossip, From: second.self.Name, Incarnation: 1}}}}
--- a/internal/tier/membership/pushpull.go
+++ b/internal/tier/membership/pushpull.go
@@ -7,65 +7,60 @@
 	"time"
 )
 
-// maxPendingPushPulls bounds the calls whose outcome is waited for.
+// maxPendingPushPulls bounds the calls whose result is awaited; the oldest is given up beyond it.
 const maxPendingPushPulls = 16
 
-// pushPullState decides when and with whom lists are compared over a reliable connection.
+// pushPullState decides when and with whom this node reconciles its table over a reliable connection.
 type pushPullState struct {
-	joined       bool
-	joinAt       time.Duration // nextProbe try, until joined
-	joinAttempts int
-	seed         int // index of the next seed
-
 	pending   []pendingPushPull
-	token     uint64
+	token     uint64 // of the last call
 	lastStart time.Duration
 
-	target            string // requesterAddress to reconcile with; empty: none
-	targetDue         time.Duration
-	divergedUnchanged time.Duration // how long hashes have differed with no change here; zero: they do not
-	divergedSince     time.Duration // how long hashes have differed; zero: they do not
-	agreements        int           // pings with the same hash since the list last changed
-	afterPause        bool
-	nextSeedProbe     time.Duration // when seeds that are not known to be alive are pinged
+	target            string        // address of the member to reconcile with; empty: none
+	targetDue         time.Duration // when to reconcile with target
+	divergedUnchanged time.Duration // since when hashes differ with no change of this table; zero: they do not
+	divergedSince     time.Duration // since when hashes differ; zero: they do not
+	agreements        int           // pings with the same hash since the table last changed
+	afterPause        bool          // the process was frozen and must reconcile at once
 }
 
-// pendingPushPull is a PushPullCall whose outcome is waited for.
+// pendingPushPull is a PushPullCall whose result is awaited.
 type pendingPushPull struct {
 	token   uint64
 	address string
 }
 
-// recentlyStarted tells whether the node has started lately: lists differ a lot then.
+// recentlyStarted reports whether the node started less than a PushPullInterval ago: tables differ a lot then.
 func (n *Node) recentlyStarted() bool { return n.now-n.started < n.options.PushPullInterval }
 
-// compareHash notes whether another member's list has the same hash. Lists differ for a moment with every change, so only a
-// difference that lasts leads to a reconciliation.
+// compareHash compares the hashes of both tables. Tables differ for a moment with every change, so only a difference that
+// outlasts the spread of updates, or PushPullInterval, leads to a push-pull.
 func (n *Node) compareHash(address string, message *Message) {
 	if message.Hash == 0 {
 		return
 	}
-	r := &n.pushPull
+	state := &n.pushPull
 	if message.Hash == n.table.hash {
-		r.divergedUnchanged = 0
-		r.divergedSince = 0
+		state.divergedUnchanged = 0
+		state.divergedSince = 0
 		n.noteAgreement(message.Kind)
 		return
 	}
-	if r.divergedUnchanged == 0 {
-		r.divergedUnchanged = n.now
+	if state.divergedUnchanged == 0 {
+		state.divergedUnchanged = n.now
 	}
-	if r.divergedSince == 0 {
-		r.divergedSince = n.now
+	if state.divergedSince == 0 {
+		state.divergedSince = n.now
 	}
-	settled := n.now-r.divergedUnchanged >= n.convergenceTime()
-	overdue := n.now-r.divergedSince >= n.options.PushPullInterval
-	if n.recentlyStarted() || settled || overdue {
+	converged := n.now-state.divergedUnchanged >= n.convergenceTime()
+	overdue := n.now-state.divergedSince >= n.options.PushPullInterval
+	if n.recentlyStarted() || converged || overdue {
 		n.schedulePushPull(address)
 	}
 }
 
-// noteAgreement stops telling who is there once enough members have shown, by pings of their own, that they know.
+// noteAgreement drops the queued joins, deaths and leaves once pings of enough members have shown the same table: most
+// members then know them, and push-pull reaches the others.
 func (n *Node) noteAgreement(kind MessageKind) {
 	if kind != MsgPing {
 		return
@@ -76,56 +71,58 @@
 	}
 }
 
-// convergenceTime is how long news needs to reach all members.
+// convergenceTime is about the time in which an update reaches all members: it grows with the logarithm of their number
+// (SWIM section 4.1).
 func (n *Node) convergenceTime() time.Duration {
 	doublings := bits.Len(uint(n.table.liveCount + 1))
 	return n.options.ProbeInterval * time.Duration(2+doublings) / 2
 }
 
-// schedulePushPull plans a reconciliation, not too soon after the last one.
+// schedulePushPull plans a push-pull with a member, at least one or two probe intervals after the last one. The last
+// member that asked for it is the one.
 func (n *Node) schedulePushPull(address string) {
-	pause := 2 * n.options.ProbeInterval
+	spacing := 2 * n.options.ProbeInterval
 	if n.recentlyStarted() {
-		pause = n.options.ProbeInterval
+		spacing = n.options.ProbeInterval
 	}
 	if n.pushPull.target == "" {
-		n.pushPull.targetDue = max(n.now, n.pushPull.lastStart+n.jittered(pause))
+		n.pushPull.targetDue = max(n.now, n.pushPull.lastStart+n.jittered(spacing))
 	}
 	n.pushPull.target = address
 }
 
-// runPushPull makes the calls that are due.
+// runPushPull makes the calls and probes of seeds that are due.
 func (n *Node) runPushPull() {
-	r := &n.pushPull
-	if r.afterPause {
-		r.afterPause = false
+	state := &n.pushPull
+	if state.afterPause {
+		state.afterPause = false
 		n.pushPullAfterPause()
 	}
-	if !r.joined && n.now >= r.joinAt {
+	if !n.joiner.joined && n.now >= n.joiner.nextAttempt {
 		n.join()
 	}
-	if r.target != "" && n.now >= r.targetDue {
-		n.startPushPull(r.target)
+	if state.target != "" && n.now >= state.targetDue {
+		n.startPushPull(state.target)
 	}
-	if n.now >= r.nextSeedProbe {
-		r.nextSeedProbe = n.now + n.seedProbeInterval()
+	if n.now >= n.joiner.nextSeedProbe {
+		n.joiner.nextSeedProbe = n.now + n.seedProbeInterval()
 		n.probeUnknownSeeds()
 	}
 }
 
 func (n *Node) nextPushPull() time.Duration {
-	r := &n.pushPull
-	next := r.nextSeedProbe
-	if !r.joined {
-		next = min(next, r.joinAt)
+	state := &n.pushPull
+	next := n.joiner.nextSeedProbe
+	if !n.joiner.joined {
+		next = min(next, n.joiner.nextAttempt)
 	}
-	if r.target != "" {
-		next = min(next, r.targetDue)
+	if state.target != "" {
+		next = min(next, state.targetDue)
 	}
 	return next
 }
 
-// pushPullAfterPause reconciles with any member, or with a seed when none is left.
+// pushPullAfterPause reconciles with a random live member, or with a seed when there is none.
 func (n *Node) pushPullAfterPause() {
 	if chosen := n.randomAlive(1, ""); len(chosen) > 0 {
 		n.startPushPull(chosen[0].Address)
@@ -136,60 +133,64 @@
 	}
 }
 
+// startPushPull requests the records that this node lacks.
 func (n *Node) startPushPull(address string) {
-	r := &n.pushPull
-	r.target = ""
-	r.divergedUnchanged = 0
-	r.divergedSince = 0
-	r.lastStart = n.now
+	state := &n.pushPull
+	state.target = ""
+	state.divergedUnchanged = 0
+	state.divergedSince = 0
+	state.lastStart = n.now
 	n.sendPushPull(address, PushPullMessage{Kind: PushPullRequest, Digest: n.table.digest(n.self)})
 }
 
+// sendPushPull makes a call and remembers it until its result comes.
 func (n *Node) sendPushPull(address string, message PushPullMessage) {
-	r := &n.pushPull
-	r.token++
+	state := &n.pushPull
+	state.token++
 	message.From = n.self
-	if len(r.pending) >= maxPendingPushPulls {
-		r.pending = slices.Delete(r.pending, 0, 1)
+	if len(state.pending) >= maxPendingPushPulls {
+		state.pending = slices.Delete(state.pending, 0, 1)
 	}
-	r.pending = append(r.pending, pendingPushPull{r.token, address})
-	n.effects.Calls = append(n.effects.Calls, PushPullCall{r.token, address, message})
+	state.pending = append(state.pending, pendingPushPull{state.token, address})
+	n.effects.Calls = append(n.effects.Calls, PushPullCall{state.token, address, message})
 }
 
-// handlePushPullResult takes in the outcome of a call.
-func (n *Node) handlePushPullResult(outcome PushPullResult) {
-	r := &n.pushPull
-	position := slices.IndexFunc(r.pending, func(c pendingPushPull) bool { return c.token == outcome.Token })
+// handlePushPullResult merges a response and pushes what it requested. A failure makes the next attempt to join earlier.
+func (n *Node) handlePushPullResult(result PushPullResult) {
+	state := &n.pushPull
+	position := slices.IndexFunc(state.pending, func(c pendingPushPull) bool { return c.token == result.Token })
 	if position < 0 {
 		return
 	}
-	finished := r.pending[position]
-	r.pending = slices.Delete(r.pending, position, position+1)
-	if outcome.Failed {
-		r.joinAt = min(r.joinAt, n.now+n.joinBackoff())
+	finished := state.pending[position]
+	state.pending = slices.Delete(state.pending, position, position+1)
+	if result.Failed {
+		n.joiner.nextAttempt = min(n.joiner.nextAttempt, n.now+n.joinBackoff())
 		return
 	}
-	n.gossipDue = n.gossipDue || !r.joined
-	r.joined = true
-	n.mergeRecords(outcome.Response)
-	if records := n.recordsMatching(outcome.Response.Requested); len(records) > 0 {
+	n.gossipDue = n.gossipDue || !n.joiner.joined
+	n.joiner.joined = true
+	n.mergeRecords(result.Response)
+	if records := n.recordsMatching(result.Response.Requested); len(records) > 0 {
 		n.sendPushPull(finished.address, PushPullMessage{Kind: PushPullPush, Records: records})
 	}
 }
 
-// handlePushPull takes in another member's part of a reconciliation and answers it.
+// handlePushPull merges the records of a request or push, and answers it. The response is made of the table before the
+// merge, so that it does not return the records just received.
 func (n *Node) handlePushPull(arrival PushPullArrival) {
-	answer := PushPullMessage{Kind: PushPullResponse}
+	response := PushPullMessage{Kind: PushPullResponse}
 	if arrival.Message.Kind == PushPullRequest {
-		theirs := sortedHashes(arrival.Message.Digest)
-		answer.Records = n.recordsMissing(theirs)
-		answer.Requested = n.unknownHashes(theirs)
+		remote := sortedHashes(arrival.Message.Digest)
+		response.Records = n.recordsMissing(remote)
+		response.Requested = n.unknownHashes(remote)
 	}
 	n.mergeRecords(arrival.Message)
-	answer.From = n.self
-	n.effects.Replies = append(n.effects.Replies, PushPullReply{arrival.Token, answer})
+	response.From = n.self
+	n.effects.Replies = append(n.effects.Replies, PushPullReply{arrival.Token, response})
 }
 
+// mergeRecords applies the records of a message like updates of any other source.
 func (n *Node) mergeRecords(message PushPullMessage) {
 	n.applyUpdate(Update{Member: message.From})
 	for _, record := range message.Records {
@@ -197,7 +198,7 @@
 	}
 }
 
-// recordsMissing lists the records that are not among the sorted hashes. The node's own travels as From.
+// recordsMissing lists the records whose hashes are not among the sorted ones. This node's own record is sent as From.
 func (n *Node) recordsMissing(hashes []uint64) []Member {
 	var records []Member
 	for _, e := range n.table.sorted {
@@ -210,20 +211,20 @@
 
 // recordsMatching lists the records whose hashes are in the digest.
 func (n *Node) recordsMatching(digest []byte) []Member {
-	wanted := sortedHashes(digest)
-	if len(wanted) == 0 {
+	requested := sortedHashes(digest)
+	if len(requested) == 0 {
 		return nil
 	}
 	var records []Member
 	for _, e := range n.table.sorted {
-		if _, found := slices.BinarySearch(wanted, e.hash); found {
+		if _, found := slices.BinarySearch(requested, e.hash); found {
 			records = append(records, pushPullRecord(e.Member))
 		}
 	}
 	return records
 }
 
-// pushPullRecord leaves a suspicion out: it passes, and travels with the probes.
+// pushPullRecord leaves a suspicion out: it is temporary, and travels with the probes.
 func pushPullRecord(member Member) Member {
 	if member.State == StateSuspect {
 		member.State = StateAlive
@@ -231,7 +232,7 @@
 	return updateOf(member).Member
 }
 
-// unknownHashes lists those of the sorted hashes that belong to no record of this node.
+// unknownHashes lists the hashes that belong to no record of this node.
 func (n *Node) unknownHashes(hashes []uint64) []byte {
 	own := sortedHashes(n.table.digest(n.self))
 	var unknown []byte
--- a/internal/tier/membership/queue.go
+++ b/internal/tier/membership/queue.go
@@ -5,31 +5,32 @@
 	"slices"
 )
 
-// retransmitMult is how many times one member sends an update, for each doubling of the number of members.
+// retransmitMult is how many times one member sends an update per doubling of the number of members (SWIM's lambda). More
+// makes it less likely that an update misses a member, and costs bytes in the datagrams.
 const retransmitMult = 3
 
-// minUpdateBytes is a lower bound of an update's encoding, in bytes. With less room there is no use in looking for one.
+// minUpdateBytes is a lower bound of an update's encoding, in bytes: with less room none is looked for.
 const minUpdateBytes = 20
 
-// broadcast is one update that is still to be attached to messages.
+// broadcast is an update that is piggybacked on messages.
 type broadcast struct {
 	update      Update
-	size        int // encoded, in bytes; 0: not known yet
-	invalidated bool
+	size        int  // encoded, in bytes; 0: not measured yet
+	invalidated bool // a newer update about the same member has replaced it
 }
 
-// transmitLimitedQueue holds the updates to be attached, by how often each was sent. The least sent go first, and the newest of
-// those.
+// transmitLimitedQueue holds the updates to be piggybacked, by how often each was sent. Those sent least often go first (SWIM
+// section 4.1), and the newest of them. An update leaves the queue after retransmitLimit transmits.
 type transmitLimitedQueue struct {
-	tiers    [][]*broadcast // the index is how often each was sent
+	tiers    [][]*broadcast // the index is the number of transmits
 	byName   map[string]*broadcast
-	selected []selection // scratch of take
+	selected []selection // scratch of getBroadcasts
 }
 
-// selection is a broadcast that take has chosen, and its level.
+// selection is a broadcast that getBroadcasts has chosen.
 type selection struct {
 	item      *broadcast
-	transmits int
+	transmits int // before this one
 }
 
 func newTransmitLimitedQueue() *transmitLimitedQueue {
@@ -44,7 +45,7 @@
 	q.push(0, added)
 }
 
-// invalidate takes back the update about a member.
+// invalidate drops the update about a member.
 func (q *transmitLimitedQueue) invalidate(name string) {
 	if older := q.byName[name]; older != nil {
 		older.invalidated = true
@@ -52,37 +53,37 @@
 	}
 }
 
-func (q *transmitLimitedQueue) push(level int, item *broadcast) {
-	for len(q.tiers) <= level {
+func (q *transmitLimitedQueue) push(transmits int, item *broadcast) {
+	for len(q.tiers) <= transmits {
 		q.tiers = append(q.tiers, nil)
 	}
-	q.tiers[level] = append(q.tiers[level], item)
+	q.tiers[transmits] = append(q.tiers[transmits], item)
 }
 
-// getBroadcasts appends updates that fit into budget bytes and counts them as sent once more. One that was sent limit times is
-// dropped. It also returns the bytes that are left.
+// getBroadcasts appends updates that fit into budget bytes and counts a transmit of each; one that reaches limit transmits
+// is dropped. It also returns the bytes that are left.
 func (q *transmitLimitedQueue) getBroadcasts(updates []Update, budget, limit int) ([]Update, int) {
 	if len(q.byName) == 0 {
 		return updates, budget
 	}
 	q.selected = q.selected[:0]
-	for level := range q.tiers {
+	for transmits := range q.tiers {
 		if budget < minUpdateBytes {
 			break
 		}
-		budget = q.selectTier(level, budget)
+		budget = q.selectTier(transmits, budget)
 	}
 	updates = slices.Grow(updates, len(q.selected))
-	for _, p := range q.selected {
-		updates = append(updates, p.item.update)
-		q.noteTransmit(p, limit)
+	for _, chosen := range q.selected {
+		updates = append(updates, chosen.item.update)
+		q.noteTransmit(chosen, limit)
 	}
 	return updates, budget
 }
 
-// selectTier picks from the end of one level until the next does not fit.
-func (q *transmitLimitedQueue) selectTier(level, budget int) int {
-	items := q.tiers[level]
+// selectTier takes broadcasts from the end of one tier, the newest first, until one does not fit.
+func (q *transmitLimitedQueue) selectTier(transmits, budget int) int {
+	items := q.tiers[transmits]
 	for len(items) > 0 {
 		last := items[len(items)-1]
 		if last.invalidated {
@@ -97,28 +98,28 @@
 		}
 		items = items[:len(items)-1]
 		budget -= last.size
-		q.selected = append(q.selected, selection{last, level})
+		q.selected = append(q.selected, selection{last, transmits})
 	}
-	q.tiers[level] = items
+	q.tiers[transmits] = items
 	return budget
 }
 
-func (q *transmitLimitedQueue) noteTransmit(p selection, limit int) {
-	if p.transmits+1 >= limit {
-		delete(q.byName, p.item.update.Name)
+func (q *transmitLimitedQueue) noteTransmit(chosen selection, limit int) {
+	if chosen.transmits+1 >= limit {
+		delete(q.byName, chosen.item.update.Name)
 		return
 	}
-	q.push(p.transmits+1, p.item)
+	q.push(chosen.transmits+1, chosen.item)
 }
 
-// reset drops all updates.
+// reset drops all broadcasts.
 func (q *transmitLimitedQueue) reset() {
 	clear(q.byName)
-	for level := range q.tiers {
-		clear(q.tiers[level])
-		q.tiers[level] = q.tiers[level][:0]
+	for transmits := range q.tiers {
+		clear(q.tiers[transmits])
+		q.tiers[transmits] = q.tiers[transmits][:0]
 	}
 }
 
-// retransmitLimit is how often an update is sent by one of so many members.
+// retransmitLimit is how often each of so many members sends an update.
 func retransmitLimit(members int) int { return retransmitMult * bits.Len(uint(members)) }
--- a/internal/tier/membership/receive.go
+++ b/internal/tier/membership/receive.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// handleMessage takes in one message.
+// handleMessage handles one datagram.
 func (n *Node) handleMessage(address string, message *Message) {
 	if message.From == "" || message.From == n.self.Name {
 		return
@@ -11,7 +11,7 @@
 		n.applyUpdate(update)
 	}
 	if message.To != "" && message.To != n.self.Name {
-		return // for a process that had this address before
+		return // meant for a process that had this address before
 	}
 	n.checkSender(address, message)
 	n.deliverPayload(address, message)
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkSender compares what both sides hold of each other.
+// checkSender compares the sender with its record, and both tables when they agree on it.
 func (n *Node) checkSender(address string, message *Message) {
 	if n.self.State == StateLeft {
 		return
@@ -52,15 +52,18 @@
 	}
 }
 
+// handleAck ends the probe that the ack answers: one of this node, or one that it makes for another.
 func (n *Node) handleAck(message *Message) {
 	if n.ackProbe(message.Sequence, message.From) {
-		n.improveHealth()
+		n.awareness.applyDelta(-1)
 		return
 	}
-	for i, r := range n.indirect {
-		if r.sequence == message.Sequence && r.target == message.From {
+	for i, probe := range n.indirect {
+		if probe.sequence == message.Sequence && probe.target == message.From {
 			n.indirect = slices.Delete(n.indirect, i, i+1)
-			n.send(r.requesterAddress, Message{Kind: MsgIndirectAck, To: r.requester, Sequence: r.requesterSequence, Target: r.target})
+			n.send(probe.requesterAddress, Message{
+				Kind: MsgIndirectAck, To: probe.requester, Sequence: probe.requesterSequence, Target: probe.target,
+			})
 			return
 		}
 	}
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// scenario is a story that ends in an error when the protocol does not keep what it promises.
+// scenario returns an error when the protocol violates what its name says.
 type scenario struct {
 	name string
 	run  func(seed uint64) error
 }
 
-// began returns a network of which all hosts have started and found one another.
-func began(size int, seed uint64) (*network, error) {
-	w := newNetwork(size, seed)
+// startedCluster returns a network whose hosts have all started and met.
+func startedCluster(size int, seed uint64) (*cluster, error) {
+	w := newCluster(size, seed)
 	w.startAll()
 	w.runFor(300 * time.Millisecond)
 	if _, done := w.runUntil(15*time.Second, w.converged); !done {
-		return w, fmt.Errorf("not all found one another:\n%s", w.disagreements())
+		return w, fmt.Errorf("not all members met:\n%s", w.disagreements())
 	}
 	return w, nil
 }
 
 // expectConverged runs until all running hosts agree.
-func expectConverged(w *network, limit time.Duration) error {
+func expectConverged(w *cluster, limit time.Duration) error {
 	if _, done := w.runUntil(limit, w.converged); !done {
 		return fmt.Errorf("not converged after %v:\n%s", limit, w.disagreements())
 	}
 	return nil
 }
 
-func expectNoDeath(w *network, since time.Duration, expected ...string) error {
+func expectNoDeath(w *cluster, since time.Duration, expected ...string) error {
 	if deaths := w.died(since, expected...); len(deaths) > 0 {
 		return fmt.Errorf("%d false deaths, first: %s", len(deaths), deaths[0])
 	}
@@ -42,23 +42,23 @@
 	{"given a calm network, when a member is killed, then all see it dead", killed},
 	{"given a killed member, when it restarts, then all know the new process", restarts},
 	{"given a killed member, when it restarts with its clock set back, then all know it", clockBack},
-	{"given a probe under way, when the member freezes, then it blames nobody", frozenMember},
+	{"given a pending probe, when the member freezes, then it suspects nobody", frozenMember},
 	{"given a calm network, when a member is slow, then nobody else dies", slowMember},
-	{"given a one-way cut, when probes are lost, then helpers clear the suspect", oneWayCut},
-	{"given an isolated member, when it is back, then it takes nobody down", isolatedMember},
-	{"given two halves, when the cut heals, then they meet again", halves},
-	{"given two parts that have forgotten each other, when the cut heals, then they meet", forgottenHalves},
-	{"given a healthy member, when it is accused, then it refutes", accused},
-	{"given a new process, when old news comes late, then the record stays", oldNews},
-	{"given a calm network, when a member leaves, then all know and nobody calls it dead", leaves},
+	{"given a one-way partition, when probes are lost, then indirect probes reach the target", oneWayPartition},
+	{"given an isolated member, when it is back, then it declares nobody dead", isolatedMember},
+	{"given two halves, when the partition heals, then they meet again", halves},
+	{"given two partitions that have forgotten each other, when they heal, then they meet", forgottenPartitions},
+	{"given a healthy member, when it is suspected, then it refutes", suspected},
+	{"given a new process, when a stale update arrives, then the record stays", staleUpdate},
+	{"given a calm network, when a member leaves, then all know and nobody declares it dead", leaves},
 	{"given stale seeds, when one is right or is replaced, then the member joins", staleSeeds},
 	{"given seeds that are down, when they start, then all meet", seedsDown},
 	{"given a hundred members, when they start at once, then datagrams stay small", manyJoin},
-	{"given a dead member, when time passes, then it is forgotten", forgotten},
+	{"given a dead member, when its tombstone expires, then it is reaped", reaped},
 }
 
 func calm(seed uint64) error {
-	w, err := began(24, seed)
+	w, err := startedCluster(24, seed)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 }
 
 func killed(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 }
 
 func restarts(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -113,9 +113,9 @@
 	}
 	w.runFor(20 * time.Second)
 	for _, h := range w.hosts {
-		for _, change := range h.changes {
+		for _, change := range h.events {
 			if change.Kind == MemberDied && change.At >= restarted && change.Member.Incarnation >= victim.member.Incarnation {
-				return fmt.Errorf("%s took the new process of %s for dead", h.member.Name, change.Member.Name)
+				return fmt.Errorf("%s declared the new process of %s dead", h.member.Name, change.Member.Name)
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func clockBack(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 }
 
 func frozenMember(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -147,8 +147,8 @@
 		w.runUntilProbing(victim)
 		w.freeze(victim, 8*time.Second)
 		w.runFor(8*time.Second + 50*time.Millisecond)
-		if accused := accusedBy(victim, w.loop.Now()-51*time.Millisecond); accused > 0 {
-			return fmt.Errorf("%d accused by the frozen member right after its freeze", accused)
+		if accused := suspectedBy(victim, w.loop.Now()-51*time.Millisecond); accused > 0 {
+			return fmt.Errorf("%d suspected by the frozen member right after its freeze", accused)
 		}
 		w.runFor(4 * time.Second)
 	}
@@ -158,10 +158,10 @@
 	return expectConverged(w, 10*time.Second)
 }
 
-// accusedBy counts the members that a host has accused by itself since a moment.
-func accusedBy(h *host, since time.Duration) int {
+// suspectedBy counts the members that a host has suspected by itself since a time.
+func suspectedBy(h *host, since time.Duration) int {
 	count := 0
-	for _, accusation := range h.accused {
+	for _, accusation := range h.suspicions {
 		if accusation.at >= since {
 			count++
 		}
@@ -170,7 +170,7 @@
 }
 
 func slowMember(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -184,8 +184,8 @@
 	return expectConverged(w, 15*time.Second)
 }
 
-func oneWayCut(seed uint64) error {
-	w, err := began(16, seed)
+func oneWayPartition(seed uint64) error {
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -193,8 +193,8 @@
 	w.blocked = func(from, to *host) bool { return from == first && to == second }
 	w.runFor(120 * time.Second)
 	for _, h := range []*host{first, second} {
-		if count := accusedBy(h, 0); count > 2 {
-			return fmt.Errorf("%s accused others %d times in spite of the helpers", h.member.Name, count)
+		if count := suspectedBy(h, 0); count > 2 {
+			return fmt.Errorf("%s suspected others %d times in spite of indirect probes", h.member.Name, count)
 		}
 	}
 	if err := expectNoDeath(w, 0); err != nil {
@@ -204,7 +204,7 @@
 }
 
 func isolatedMember(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -221,9 +221,9 @@
 		if h == victim {
 			continue
 		}
-		for _, change := range h.changes {
+		for _, change := range h.events {
 			if change.Kind == MemberDied && change.At >= healed {
-				return fmt.Errorf("%s took %s for dead after the heal", h.member.Name, change.Member.Name)
+				return fmt.Errorf("%s declared %s dead after the heal", h.member.Name, change.Member.Name)
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 }
 
 func halves(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -242,8 +242,8 @@
 	w.blocked = func(from, to *host) bool { return half[from] != half[to] }
 	w.runFor(30 * time.Second)
 	for _, h := range w.hosts {
-		if len(h.believed()) != len(w.hosts)/2 {
-			return fmt.Errorf("%s believes in %d during the cut", h.member.Name, len(h.believed()))
+		if len(h.live()) != len(w.hosts)/2 {
+			return fmt.Errorf("%s has %d live members during the partition", h.member.Name, len(h.live()))
 		}
 	}
 	w.blocked = func(from, to *host) bool { return false }
@@ -254,9 +254,9 @@
 	return expectConverged(w, 0)
 }
 
-func forgottenHalves(seed uint64) error {
-	w := newNetwork(16, seed)
-	w.forgetAfter = 20 * time.Second
+func forgottenPartitions(seed uint64) error {
+	w := newCluster(16, seed)
+	w.tombstoneTimeout = 20 * time.Second
 	w.blocked = func(from, to *host) bool { return (from == w.hosts[0]) != (to == w.hosts[0]) }
 	w.startAll()
 	w.runFor(60 * time.Second)
@@ -264,8 +264,8 @@
 	return expectConverged(w, 30*time.Second)
 }
 
-func accused(seed uint64) error {
-	w, err := began(16, seed)
+func suspected(seed uint64) error {
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -284,8 +284,8 @@
 	return expectConverged(w, 0)
 }
 
-func oldNews(seed uint64) error {
-	w, err := began(8, seed)
+func staleUpdate(seed uint64) error {
+	w, err := startedCluster(8, seed)
 	if err != nil {
 		return err
 	}
@@ -305,7 +305,7 @@
 }
 
 func leaves(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -320,7 +320,7 @@
 }
 
 func staleSeeds(seed uint64) error {
-	w, err := began(16, seed)
+	w, err := startedCluster(16, seed)
 	if err != nil {
 		return err
 	}
@@ -339,7 +339,7 @@
 }
 
 func seedsDown(seed uint64) error {
-	w := newNetwork(12, seed)
+	w := newCluster(12, seed)
 	for _, h := range w.hosts[3:] {
 		w.start(h)
 	}
@@ -351,7 +351,7 @@
 }
 
 func manyJoin(seed uint64) error {
-	w := newNetwork(100, seed)
+	w := newCluster(100, seed)
 	w.measure = true
 	w.startAll()
 	w.runFor(300 * time.Millisecond)
@@ -364,16 +364,16 @@
 	return expectNoDeath(w, 0)
 }
 
-func forgotten(seed uint64) error {
-	w := newNetwork(8, seed)
-	w.forgetAfter = 10 * time.Second
+func reaped(seed uint64) error {
+	w := newCluster(8, seed)
+	w.tombstoneTimeout = 10 * time.Second
 	w.startAll()
 	w.runFor(5 * time.Second)
 	w.kill(w.hosts[7])
 	w.runFor(40 * time.Second)
 	for _, h := range w.running() {
 		if members := h.node.Members(); len(members) != 7 {
-			return fmt.Errorf("%s still holds %d members", h.member.Name, len(members))
+			return fmt.Errorf("%s still has %d members", h.member.Name, len(members))
 		}
 	}
 	return nil
--- a/internal/tier/membership/send.go
+++ b/internal/tier/membership/send.go
@@ -1,15 +1,17 @@
 package membership
 
-// send completes a message and attaches what there is room for. A member that is not taken for alive is told so.
+// send completes a message and piggybacks the updates that fit.
 func (n *Node) send(address string, message Message) { n.sendMessage(address, message, false) }
 
-// sendAck answers a ping. One whose sender has the same list is not told who is there.
+// sendAck answers a ping. A sender with the same table gets no joins, deaths and leaves, which it knows.
 func (n *Node) sendAck(address string, ping *Message) {
-	agreed := ping.Hash == n.table.hash
-	n.sendMessage(address, Message{Kind: MsgAck, To: ping.From, Sequence: ping.Sequence}, agreed)
+	sameTable := ping.Hash == n.table.hash
+	n.sendMessage(address, Message{Kind: MsgAck, To: ping.From, Sequence: ping.Sequence}, sameTable)
 }
 
-func (n *Node) sendMessage(address string, message Message, agreed bool) {
+// sendMessage completes a message. Updates that the caller has set come first, else what this node believes of the receiver
+// if that is not alive (Lifeguard's Buddy System), so that it can refute; then the queued broadcasts.
+func (n *Node) sendMessage(address string, message Message, sameTable bool) {
 	message.From = n.self.Name
 	message.Incarnation = n.self.Incarnation
 	if n.self.State != StateLeft {
@@ -28,17 +30,17 @@
 	}
 	limit := retransmitLimit(n.table.liveCount + 1)
 	message.Updates, budget = n.priority.getBroadcasts(message.Updates, budget, limit)
-	if !agreed {
+	if !sameTable {
 		message.Updates, _ = n.broadcasts.getBroadcasts(message.Updates, budget, limit)
 	}
 	n.effects.Datagrams = append(n.effects.Datagrams, Datagram{address, message})
 }
 
-// beliefAbout tells a member what is believed of it.
-func (n *Node) beliefAbout(accused *entry) Update {
-	update := updateOf(accused.Member)
-	if accused.State == StateSuspect {
-		update.From = accused.suspicion.from[0]
+// beliefAbout returns the update that tells a member that it is suspected, dead or taken to have left.
+func (n *Node) beliefAbout(subject *entry) Update {
+	update := updateOf(subject.Member)
+	if subject.State == StateSuspect {
+		update.From = subject.suspicion.from[0]
 	}
 	return update
 }
--- a/internal/tier/membership/state.go
+++ b/internal/tier/membership/state.go
@@ -1,6 +1,6 @@
 package membership
 
-// applyUpdate takes in news about one member.
+// applyUpdate applies an update about one member, of whatever source. An update of an older incarnation never takes effect.
 func (n *Node) applyUpdate(update Update) {
 	if update.Name == "" {
 		return
@@ -21,6 +21,8 @@
 	}
 }
 
+// aliveNode handles the update that a member is alive. Another incarnation or a new member is taken over; a member that is
+// dead here in the same incarnation is asked itself.
 func (n *Node) aliveNode(update Update) {
 	known := n.table.entries[update.Name]
 	switch {
@@ -33,7 +35,7 @@
 	}
 }
 
-// addMember adds a member that was not known.
+// addMember adds an unknown member as alive. Without an address it is ignored: nil.
 func (n *Node) addMember(member Member) *entry {
 	if member.Address == "" {
 		return nil
@@ -48,33 +50,36 @@
 	return added
 }
 
-// renewMember takes over a newer incarnation of a known member.
+// renewMember takes over a newer incarnation of a known member, which ends any suspicion. The end of a suspicion is urgent
+// news, as others may still be counting down.
 func (n *Node) renewMember(known *entry, member Member) {
 	if member.Address == "" {
 		return
 	}
-	before := known.Member
+	previous := known.Member
 	member.State = StateAlive
 	n.clearSuspicion(known)
 	n.table.replace(known, member, n.now)
 	n.tableChanged()
 	queue := n.broadcasts
-	if before.State == StateSuspect {
+	if previous.State == StateSuspect {
 		queue = n.priority
 	}
 	n.broadcast(queue, updateOf(member))
-	n.gossipDue = n.gossipDue || before.State == StateSuspect || !n.recentlyStarted()
-	if before.DeadOrLeft() {
+	n.gossipDue = n.gossipDue || previous.State == StateSuspect || !n.recentlyStarted()
+	if previous.DeadOrLeft() {
 		n.prober.removeTombstone(known)
 		n.prober.insert(member.Name, n.random)
-		n.emit(MemberJoined, before, member)
+		n.emit(MemberJoined, previous, member)
 		return
 	}
-	if before.State == StateSuspect || !before.sameProcess(member) {
-		n.emit(MemberUpdated, before, member)
+	if previous.State == StateSuspect || !previous.sameProcess(member) {
+		n.emit(MemberUpdated, previous, member)
 	}
 }
 
+// suspectNode handles the update that another member suspects one: it starts a suspicion here, or confirms the one that
+// runs.
 func (n *Node) suspectNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil {
@@ -95,8 +100,9 @@
 	}
 }
 
-// deadNode is told that others take a member for dead. A node that already suspects it ends the suspicion in the shortest
-// time; one that does not asks the member itself, because those others may be the ones that were cut off or slow.
+// deadNode handles the update that others consider a member dead. Unlike in SWIM this is not believed as it is: a node that
+// suspects the member lets the suspicion expire after its minimum time-out; one that does not probes the member itself,
+// because those others may be the ones that are partitioned or slow.
 func (n *Node) deadNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
@@ -112,6 +118,7 @@
 	}
 }
 
+// leftNode handles the update that a member has left, which is believed, as only the member itself says so.
 func (n *Node) leftNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
@@ -125,47 +132,48 @@
 	n.gossipDue = true
 }
 
-// markDeadOrLeft notes that a member is gone.
-func (n *Node) markDeadOrLeft(gone *entry, state State, incarnation uint64) {
-	before := gone.Member
-	member := before
+// markDeadOrLeft gives a live member a tombstone.
+func (n *Node) markDeadOrLeft(known *entry, state State, incarnation uint64) {
+	previous := known.Member
+	member := previous
 	member.State = state
 	member.Incarnation = incarnation
-	n.clearSuspicion(gone)
-	n.table.replace(gone, member, n.now)
-	n.prober.tombstones = append(n.prober.tombstones, gone)
-	n.cancelProbe(gone.Name)
+	n.clearSuspicion(known)
+	n.table.replace(known, member, n.now)
+	n.prober.tombstones = append(n.prober.tombstones, known)
+	n.cancelProbe(known.Name)
 	n.tableChanged()
 	n.broadcast(n.broadcasts, updateOf(member))
 	kind := MemberDied
 	if state == StateLeft {
 		kind = MemberLeft
 	}
-	n.emit(kind, before, member)
+	n.emit(kind, previous, member)
 }
 
-// tableChanged notes that the list is new: others need time to hear of it before a difference means anything.
+// tableChanged notes that this node's table is new: the others need convergenceTime before a difference means anything.
 func (n *Node) tableChanged() {
 	n.pushPull.divergedUnchanged = 0
 	n.pushPull.agreements = 0
 }
 
-// refute refutes what is no longer true of this node: a suspicion, or a record of an earlier process of that name.
+// refute handles an update about this node. One that is not true, a suspicion or a record of an earlier process of that
+// name, is refuted by an incarnation above it (SWIM section 4.2).
 func (n *Node) refute(update Update) {
 	if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {
 		return
 	}
-	same := update.Incarnation == n.self.Incarnation
-	if same && update.State == StateAlive && update.sameProcess(n.self) {
+	sameIncarnation := update.Incarnation == n.self.Incarnation
+	if sameIncarnation && update.State == StateAlive && update.sameProcess(n.self) {
 		return
 	}
-	if same && update.State != StateAlive {
-		n.worsenHealth()
+	if sameIncarnation && update.State != StateAlive {
+		n.awareness.applyDelta(1)
 	}
 	n.setSelf(update.Incarnation+1, StateAlive)
 }
 
-// setSelf changes the node's own record and tells the others.
+// setSelf changes this node's record and broadcasts it.
 func (n *Node) setSelf(incarnation uint64, state State) {
 	n.table.hash ^= recordHash(n.self)
 	n.self.Incarnation = incarnation
@@ -177,7 +185,7 @@
 	n.gossipDue = true
 }
 
-// leave says that this process ends.
+// leave announces that this process ends.
 func (n *Node) leave() {
 	if n.self.State == StateLeft {
 		return
--- a/internal/tier/membership/table.go
+++ b/internal/tier/membership/table.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// entry is what a node holds of one other member.
+// entry is the record of one other member.
 type entry struct {
 	Member
 	hash        uint64        // see recordHash
-	stateChange time.Duration // when State became what it is
-	suspicion   *suspicion    // with StateSuspect
+	stateChange time.Duration // when State last changed
+	suspicion   *suspicion    // set in StateSuspect only
 }
 
-// table is the list of the other members. Its hash covers those that are not gone, whatever is suspected of them: two
-// nodes with the same hash agree on who is there.
+// table holds the other members. Its hash covers the live ones, suspected or not, and this node: two nodes with the same
+// hash agree on who is running.
 type table struct {
 	entries   map[string]*entry
-	sorted    []*entry // from name
-	liveCount int      // entries that are not gone
-	hash      uint64   // combined hash of those, with the node itself
-	members   []Member // what Members returns; nil: to be made anew
+	sorted    []*entry // by name
+	liveCount int      // entries that are alive or suspect
+	hash      uint64   // exclusive or of the hashes of those and of this node
+	members   []Member // cache of Node.Members; nil: invalid
 }
 
 func newTable() *table { return &table{entries: map[string]*entry{}} }
@@ -44,7 +44,7 @@
 	t.sorted = slices.Delete(t.sorted, position, position+1)
 }
 
-// replace gives an entry a new description and state.
+// replace gives an entry a new description and state, and ends its suspicion.
 func (t *table) replace(changed *entry, member Member, now time.Duration) {
 	t.account(changed, -1)
 	changed.Member = member
@@ -54,6 +54,7 @@
 	t.account(changed, 1)
 }
 
+// account adds an entry to the totals or, with sign -1, removes it. It must enclose every change of an entry.
 func (t *table) account(counted *entry, sign int) {
 	t.members = nil
 	if counted.DeadOrLeft() {
@@ -65,9 +66,10 @@
 
 func compareEntry(e *entry, name string) int { return cmp.Compare(e.Name, name) }
 
+// hashBytes is the size of a record's hash in a digest.
 const hashBytes = 8
 
-// digest lists the hashes of all records, also of those that are gone, and of the node itself.
+// digest lists the hashes of all records, tombstones and this node's own included, eight bytes each, little-endian.
 func (t *table) digest(self Member) []byte {
 	digest := make([]byte, 0, hashBytes*(len(t.sorted)+1))
 	digest = binary.LittleEndian.AppendUint64(digest, recordHash(self))
--- a/internal/tier/membership/target.go
+++ b/internal/tier/membership/target.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// insert puts a new member at a random place among those that are still to come in this round.
+// insert puts a new member at a random place among those still to be probed in this round (SWIM section 4.3).
 func (p *prober) insert(name string, random *rand.Rand) {
 	position := p.position + random.IntN(len(p.rotation)-p.position+1)
 	p.rotation = slices.Insert(p.rotation, position, name)
 }
 
-// nextTarget returns the next member of the round, and begins a new round when all have had their turn.
+// nextTarget returns the next live member of the round, and starts a new round after the last one.
 func (n *Node) nextTarget() *entry {
 	if n.table.liveCount == 0 {
 		return nil
@@ -28,6 +28,7 @@
 	}
 }
 
+// shuffleRotation starts a round over all live members in a new random order.
 func (n *Node) shuffleRotation() {
 	n.prober.position = 0
 	n.prober.rotation = n.prober.rotation[:0]
@@ -40,8 +41,9 @@
 	n.random.Shuffle(len(rotation), func(i, j int) { rotation[i], rotation[j] = rotation[j], rotation[i] })
 }
 
-// probeReplicas has the controllers share out, and ping once an interval, all members that hold replicas of groups, since their
-// loss is to be made good before the next one: in the usual round some of them would be probed only after seconds.
+// probeReplicas makes the controllers probe, beside the round, every member that has replicas of groups once per interval.
+// The members are divided among the controllers. Their loss must be repaired before the next one, and in the round some
+// would be probed only after many intervals.
 func (n *Node) probeReplicas() {
 	if n.self.Role != Controller {
 		return
@@ -60,14 +62,14 @@
 	}
 }
 
-// probeOnce pings a member, unless a probe of it is under way.
+// probeOnce probes a member unless a probe of it is pending.
 func (n *Node) probeOnce(name string) {
 	if target := n.table.entries[name]; target != nil && !n.isProbing(target) {
 		n.probeNode(target)
 	}
 }
 
-// proberOf is the controller that pings the member with that number: none pings itself.
+// proberOf returns the controller that probes the member with that number: none probes itself.
 func proberOf(name string, number int, controllers []string) string {
 	prober := controllers[number%len(controllers)]
 	if prober == name {
@@ -76,7 +78,7 @@
 	return prober
 }
 
-// runningControllers are the names of the controllers that run, in their order. The node itself is one of them.
+// runningControllers returns the names of the controllers that are alive, sorted. This node must be one of them.
 func runningControllers(members []Member) []string {
 	var names []string
 	for i := range members {
