--- a/internal/tier/command/store.go
+++ b/internal/tier/command/store.go
@@ -27,9 +27,9 @@
 	groups := newReplicas(ctx)
 	began := time.Now()
 	shards := store.New(ctx, store.Options{ID: id, Address: address, Disk: disk, Pool: p.pool, Logger: p.logger, Seed: p.seed, Now: p.around.TimeOfDay,
-		WaitingBytes: int(p.settings.Limits.MemoryMb << 20 / waitingShare),
-		Run:          groups.run, Checks: p.checks})
-	member := p.newNode(p.member(membership.Store, id, address), shards.Take)
+		QueueBudgetBytes: int(p.settings.Limits.MemoryMb << 20 / waitingShare),
+		RunGroup:         groups.run, Invariants: p.checks})
+	member := p.newNode(p.member(membership.Store, id, address), shards.ApplyUpdate)
 	handlers := transport.NewHandlers()
 	shards.Register(handlers)
 	member.Register(handlers)
@@ -46,7 +46,7 @@
 	leave := p.join(ctx, member, server)
 	defer leave()
 	logStoreVitals := func() []any {
-		count, held := shards.Vitals()
+		count, held := shards.Stats()
 		return []any{"shards", count, "stateKB", held.StateBytes >> 10, "snapshotKB", held.SnapshotBytes >> 10, "logKB", held.LogBytes >> 10,
 			"entries", held.Entries}
 	}
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -147,7 +147,7 @@
 		piece = *m.stale
 	}
 	if known && m.isReachable() && m.store != nil {
-		m.store.Take(piece)
+		m.store.ApplyUpdate(piece)
 	}
 }
 
@@ -178,8 +178,8 @@
 	}
 	if m.member.Role == membership.Store {
 		m.store = store.New(c.t.Context(), store.Options{ID: m.member.ID, Address: m.member.Address, Disk: m.disk, Logger: log.NewNopLogger(),
-			Seed: uint64(c.starts), Now: c.time, Send: send, Clock: clock, Run: func(opened *group.Group) { m.groups = append(m.groups, opened) },
-			After: c.after, Ask: m.ask})
+			Seed: uint64(c.starts), Now: c.time, Send: send, Clock: clock, RunGroup: func(opened *group.Group) { m.groups = append(m.groups, opened) },
+			AfterFunc: c.after, QueryMembers: m.ask})
 		if err := m.store.Recover(); err != nil {
 			m.startAgain(err)
 			return
@@ -209,7 +209,7 @@
 func (m *machineUnderTest) ask(address string, done func(wire.ShardMembersResponse, error)) {
 	asked := m.cluster.machines[address]
 	if asked != nil && asked.isReachable() && !asked.frozen && asked.store != nil && m.isReachable() {
-		asked.store.Report(func(answer wire.ShardMembersResponse) { done(answer, nil) })
+		asked.store.ReportMembers(func(answer wire.ShardMembersResponse) { done(answer, nil) })
 	}
 }
 
--- a/internal/tier/controller/excess_review_test.go
+++ b/internal/tier/controller/excess_review_test.go
@@ -20,7 +20,7 @@
 	c.storage(1).kill()
 	c.run(clusterStep)
 	c.storage(1).start()
-	held, _ := c.storage(1).store.Vitals()
+	held, _ := c.storage(1).store.Stats()
 	if wanted := len(shardsOf(c.placement(), c.storage(1).member.ID)); held > wanted {
 		t.Errorf("the store reads %d replicas at its start, and is to hold %d", held, wanted)
 	}
--- a/internal/tier/controller/excess_story_test.go
+++ b/internal/tier/controller/excess_story_test.go
@@ -11,7 +11,7 @@
 		if m.store == nil || !m.running {
 			continue
 		}
-		if count, _ := m.store.Vitals(); count > len(shardsOf(c.placement(), m.member.ID)) {
+		if count, _ := m.store.Stats(); count > len(shardsOf(c.placement(), m.member.ID)) {
 			return m.member.Name
 		}
 	}
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -13,7 +13,7 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "an owner follows an older placement",
-			Change: mutation.Change{File: "../store/shard.go", Old: "case s.index == followed && !slices.Equal(s.told, s.wanted):", New: "case s.index > 0 && !slices.Equal(s.told, s.wanted):"},
+			Change: mutation.Change{File: "../store/shard.go", Old: "case s.placementIndex == followed && !slices.Equal(s.lastTarget, s.targetMembers):", New: "case s.placementIndex > 0 && !slices.Equal(s.lastTarget, s.targetMembers):"},
 			Run:    "^TestOwnerWithAnOlderPlacementUndoesNothing$",
 		},
 		{
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -366,7 +366,7 @@
 	at, _ := c.shardOwner(0)
 	at.cutOff()
 	var reported []int
-	at.store.Report(func(answer wire.ShardMembersResponse) {
+	at.store.ReportMembers(func(answer wire.ShardMembersResponse) {
 		for _, told := range answer.Shards {
 			reported = append(reported, told.Shard)
 		}
--- a/internal/tier/programclient/chains_test.go
+++ b/internal/tier/programclient/chains_test.go
@@ -16,32 +16,32 @@
 type conversation struct {
 	t       *rapid.T
 	machine *program.Machine
-	clients []*chains
+	clients []*prefixCache
 	whole   []string // turns that others may go on from
 	sent    int      // bytes of chains that travelled
 	full    int      // bytes that would have without what the clients hold
 }
 
 // begin has a turn begun as Client does, and checks its chain.
-func (c *conversation) begin(client *chains, turn program.BeginTurn) bool {
-	held := client.beginnings(&turn)
+func (c *conversation) begin(client *prefixCache, turn program.BeginTurn) bool {
+	held := client.prefixes(&turn)
 	result := c.machine.Apply(program.Command{Begin: &turn})
-	begun := wire.OmitCachedPrefix(result, namesOf(held))
-	got, err := joined(held, begun)
+	begun := wire.OmitCachedPrefix(result, cachedChainsOf(held))
+	got, err := joinPrefix(held, begun)
 	if err != nil || !bytes.Equal(got, result.Chain) {
 		c.t.Fatalf("turn %s: %q, %v, want %q", turn.Turn, got, err, result.Chain)
 	}
 	c.sent += len(begun.Chain)
 	c.full += len(result.Chain)
 	if result.Verdict == program.Accepted {
-		client.begun(&turn, got)
+		client.addBegun(&turn, got)
 	}
 	return result.Verdict == program.Accepted
 }
 
-func (c *conversation) end(client *chains, end program.EndTurn) {
+func (c *conversation) end(client *prefixCache, end program.EndTurn) {
 	verdict := c.machine.Apply(program.Command{End: &end}).Verdict
-	client.ended(&end, verdict)
+	client.addEnded(&end, verdict)
 	if end.Complete && verdict == program.Accepted {
 		c.whole = append(c.whole, end.Turn)
 	}
@@ -52,7 +52,7 @@
 func TestChainsAreWhatTheShardHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{0, 40, 400, 1 << 20}).Draw(t, "bound")
-		c := &conversation{t: t, machine: program.New(), clients: []*chains{newChains(bound), newChains(bound)}}
+		c := &conversation{t: t, machine: program.New(), clients: []*prefixCache{newPrefixCache(bound), newPrefixCache(bound)}}
 		for number := range rapid.IntRange(1, 25).Draw(t, "turns") {
 			client := c.clients[rapid.IntRange(0, 1).Draw(t, "client")]
 			turn := program.BeginTurn{Turn: fmt.Sprint("t", number), Program: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "program"), Remembered: true,
@@ -76,7 +76,7 @@
 }
 
 // checkChains tells where what is kept doesn't fit together or is over its bound.
-func checkChains(t *rapid.T, number int, c *chains) {
+func checkChains(t *rapid.T, number int, c *prefixCache) {
 	sum, listed := 0, 0
 	for _, kept := range c.byTurn {
 		sum += len(kept.text)
@@ -84,15 +84,15 @@
 	for _, kept := range c.byProgram {
 		listed += len(kept)
 	}
-	if sum != c.bytes || c.bytes > c.bound || listed != len(c.byTurn) || c.recent.Len() != len(c.byTurn) {
-		t.Fatalf("client %d keeps %d bytes, counted %d of %d; %d turns, %d of programs, %d in order", number, sum, c.bytes, c.bound, len(c.byTurn), listed, c.recent.Len())
+	if sum != c.bytes || c.bytes > c.maxBytes || listed != len(c.byTurn) || c.recent.Len() != len(c.byTurn) {
+		t.Fatalf("client %d keeps %d bytes, counted %d of %d; %d turns, %d of programs, %d in order", number, sum, c.bytes, c.maxBytes, len(c.byTurn), listed, c.recent.Len())
 	}
 }
 
 func TestHeldChainsDoNotTravel(t *testing.T) {
 	const turns = 10
 	rapid.Check(t, func(t *rapid.T) {
-		c := &conversation{t: t, machine: program.New(), clients: []*chains{newChains(1 << 20), newChains(1 << 20)}}
+		c := &conversation{t: t, machine: program.New(), clients: []*prefixCache{newPrefixCache(1 << 20), newPrefixCache(1 << 20)}}
 		alternate := rapid.Bool().Draw(t, "through two proxies by turns")
 		previous := ""
 		for number := range turns {
@@ -134,7 +134,7 @@
 			t.Errorf("%s: %s", label, diff)
 		}
 	}
-	if _, err := joined([][]byte{[]byte("a")}, wire.BeginTurnResponse{CachedIndex: 2}); err != errNotHeld {
+	if _, err := joinPrefix([][]byte{[]byte("a")}, wire.BeginTurnResponse{CachedIndex: 2}); err != errPrefixNotCached {
 		t.Errorf("a beginning that isn't held: %v", err)
 	}
 }
--- a/internal/tier/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -20,8 +20,8 @@
 // Bounds of one call.
 const (
 	attemptTimeout = 400 * time.Millisecond // one store's time to answer
-	firstPause     = 15 * time.Millisecond  // after a round in which no store was the owner
-	mostPause      = 120 * time.Millisecond
+	initialBackoff = 15 * time.Millisecond  // after a round in which no store was the owner
+	maxBackoff     = 120 * time.Millisecond
 )
 
 // ErrNoPlacement says that it is not known yet which store holds which shard.
@@ -31,22 +31,22 @@
 type Client struct {
 	pool      *transport.Pool
 	placement atomic.Pointer[view.Placement]
-	chains    *chains
+	cache     *prefixCache
 
-	mutex  sync.Mutex
-	owners map[int]string // address that answered last, by shard
+	mutex   sync.Mutex
+	leaders map[int]string // address that answered last, by shard
 }
 
 // New returns a client that knows no placement yet, and keeps so many bytes of what programs have said; see chains.
 func New(pool *transport.Pool, keptBytes int) *Client {
-	return &Client{pool: pool, chains: newChains(keptBytes), owners: map[int]string{}}
+	return &Client{pool: pool, cache: newPrefixCache(keptBytes), leaders: map[int]string{}}
 }
 
-// Place takes over a placement.
-func (c *Client) Place(placement *view.Placement) { c.placement.Store(placement) }
+// SetPlacement takes over a placement.
+func (c *Client) SetPlacement(placement *view.Placement) { c.placement.Store(placement) }
 
-// Placed tells whether a placement is known.
-func (c *Client) Placed() bool {
+// HasPlacement tells whether a placement is known.
+func (c *Client) HasPlacement() bool {
 	p := c.placement.Load()
 	return p != nil && len(p.Shards) > 0
 }
@@ -62,7 +62,7 @@
 	if err != nil || result.Verdict != program.TurnNotFound {
 		return result, err
 	}
-	chain, found, err := c.find(ctx, shard, turn.Previous)
+	chain, found, err := c.findChain(ctx, shard, turn.Previous)
 	if err != nil || !found {
 		return result, err
 	}
@@ -72,18 +72,18 @@
 
 // begin asks the owner of a shard, and puts the chain together of what comes and what is held here.
 func (c *Client) begin(ctx context.Context, shard int, turn program.BeginTurn) (program.Result, error) {
-	held := c.chains.beginnings(&turn)
-	request := wire.BeginTurnRequest{Shard: shard, Turn: turn, CachedChains: namesOf(held)}
-	begun, err := call[wire.BeginTurnRequest, wire.BeginTurnResponse](ctx, c, shard, wire.MethodBeginTurn, request)
+	held := c.cache.prefixes(&turn)
+	request := wire.BeginTurnRequest{Shard: shard, Turn: turn, CachedChains: cachedChainsOf(held)}
+	begun, err := callLeader[wire.BeginTurnRequest, wire.BeginTurnResponse](ctx, c, shard, wire.MethodBeginTurn, request)
 	if err != nil {
 		return program.Result{}, err
 	}
 	result := begun.Result
-	if result.Chain, err = joined(held, begun); err != nil {
+	if result.Chain, err = joinPrefix(held, begun); err != nil {
 		return program.Result{}, fmt.Errorf("shard %d: %w", shard, err)
 	}
 	if result.Verdict == program.Accepted {
-		c.chains.begun(&turn, result.Chain)
+		c.cache.addBegun(&turn, result.Chain)
 	}
 	return result, nil
 }
@@ -94,9 +94,9 @@
 	if err != nil {
 		return program.Result{}, err
 	}
-	result, err := call[wire.EndTurnRequest, program.Result](ctx, c, shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: turn})
+	result, err := callLeader[wire.EndTurnRequest, program.Result](ctx, c, shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: turn})
 	if err == nil {
-		c.chains.ended(&turn, result.Verdict)
+		c.cache.addEnded(&turn, result.Verdict)
 	}
 	return result, err
 }
@@ -109,8 +109,8 @@
 	return placement.Shard(key, len(p.Shards)), nil
 }
 
-// find asks the owners of all other shards for a turn's chain. Only if each of them is certain is there none.
-func (c *Client) find(ctx context.Context, except int, turn string) ([]byte, bool, error) {
+// findChain asks the owners of all other shards for a turn's chain. Only if each of them is certain is there none.
+func (c *Client) findChain(ctx context.Context, except int, turn string) ([]byte, bool, error) {
 	p := c.placement.Load()
 	type reply struct {
 		answer wire.ChainResponse
@@ -124,7 +124,7 @@
 		}
 		asked++
 		go func() {
-			answer, err := call[wire.ChainRequest, wire.ChainResponse](ctx, c, shard, wire.MethodChain, wire.ChainRequest{Shard: shard, Turn: turn})
+			answer, err := callLeader[wire.ChainRequest, wire.ChainResponse](ctx, c, shard, wire.MethodChain, wire.ChainRequest{Shard: shard, Turn: turn})
 			replies <- reply{answer, err}
 		}()
 	}
@@ -142,20 +142,20 @@
 	return nil, false, failed
 }
 
-// call asks the shard's stores in turn until its owner answers or ctx ends. A store that is named as the owner and has just
+// callLeader asks the shard's stores in turn until its owner answers or ctx ends. A store that is named as the owner and has just
 // given no answer is asked again only after the others: one of them may own the shard by then.
-func call[Request, Answer any](ctx context.Context, c *Client, shard int, method string, request Request) (Answer, error) {
-	pause := firstPause
-	address, silent := c.owner(shard), ""
+func callLeader[Request, Answer any](ctx context.Context, c *Client, shard int, method string, request Request) (Answer, error) {
+	pause := initialBackoff
+	address, silent := c.leader(shard), ""
 	for round := 0; ; round++ {
-		answer, hint, err := ask[Request, Answer](ctx, c, address, method, request)
+		answer, hint, err := callStore[Request, Answer](ctx, c, address, method, request)
 		if err == nil {
-			c.learn(shard, address)
+			c.setLeader(shard, address)
 			return answer, nil
 		}
-		if isSilence(err) && !errors.Is(ctx.Err(), context.Canceled) {
+		if isUnanswered(err) && !errors.Is(ctx.Err(), context.Canceled) {
 			silent = address
-			c.doubt(shard, address)
+			c.avoid(shard, address)
 		}
 		if ctx.Err() != nil {
 			var none Answer
@@ -164,21 +164,21 @@
 		if hint != "" && hint != address && hint != silent {
 			address = hint
 		} else {
-			address = c.other(shard, address)
+			address = c.nextReplica(shard, address)
 		}
-		if (round+1)%c.copies(shard) != 0 {
+		if (round+1)%c.replicaCount(shard) != 0 {
 			continue
 		}
-		if err := rest(ctx, pause); err != nil {
+		if err := sleep(ctx, pause); err != nil {
 			var none Answer
 			return none, fmt.Errorf("shard %d: %w", shard, err)
 		}
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// ask calls one store. The hint is the address of the owner, when the store knows another.
-func ask[Request, Answer any](ctx context.Context, c *Client, address, method string, request Request) (answer Answer, hint string, err error) {
+// callStore calls one store. The hint is the address of the owner, when the store knows another.
+func callStore[Request, Answer any](ctx context.Context, c *Client, address, method string, request Request) (answer Answer, hint string, err error) {
 	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	answer, err = transport.Call[Request, Answer](bounded, c.pool, address, method, request)
@@ -189,13 +189,13 @@
 	return answer, hint, err
 }
 
-// isSilence tells whether a store gave no answer at all.
-func isSilence(err error) bool {
+// isUnanswered tells whether a store gave no answer at all.
+func isUnanswered(err error) bool {
 	var remote *transport.RemoteError
 	return !errors.As(err, &remote)
 }
 
-func rest(ctx context.Context, pause time.Duration) error {
+func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -230,14 +230,14 @@
 	return "", false
 }
 
-func (c *Client) copies(shard int) int { return max(1, len(c.replicas(shard))) }
+func (c *Client) replicaCount(shard int) int { return max(1, len(c.replicas(shard))) }
 
-// owner is the store that answered last, or the first replica.
-func (c *Client) owner(shard int) string {
+// leader is the store that answered last, or the first replica.
+func (c *Client) leader(shard int) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	replicas := c.replicas(shard)
-	known := c.owners[shard]
+	known := c.leaders[shard]
 	for _, r := range replicas {
 		if r.Address == known {
 			return known
@@ -249,27 +249,27 @@
 	return replicas[0].Address
 }
 
-// other is the replica after the one at address.
-func (c *Client) other(shard int, address string) string {
+// nextReplica is the replica after the one at address.
+func (c *Client) nextReplica(shard int, address string) string {
 	replicas := c.replicas(shard)
 	for i, r := range replicas {
 		if r.Address == address {
 			return replicas[(i+1)%len(replicas)].Address
 		}
 	}
-	return c.owner(shard)
+	return c.leader(shard)
 }
 
-// doubt makes the next calls begin at another store than one that gave no answer: a call whose time ends with that store's
+// avoid makes the next calls begin at another store than one that gave no answer: a call whose time ends with that store's
 // would never come to the others.
-func (c *Client) doubt(shard int, address string) {
-	if c.owner(shard) == address {
-		c.learn(shard, c.other(shard, address))
+func (c *Client) avoid(shard int, address string) {
+	if c.leader(shard) == address {
+		c.setLeader(shard, c.nextReplica(shard, address))
 	}
 }
 
-func (c *Client) learn(shard int, address string) {
+func (c *Client) setLeader(shard int, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.owners[shard] = address
+	c.leaders[shard] = address
 }
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	client := New(pool, 1<<20)
-	client.Place(placed)
+	client.SetPlacement(placed)
 	return client
 }
 
@@ -241,7 +241,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client.learn(0, silent.address)
+			client.setLeader(0, silent.address)
 			before := silent.begins.Load()
 			ctx, cancel := context.WithTimeout(t.Context(), test.bound)
 			if test.leaves {
--- a/internal/tier/programclient/mutants_test.go
+++ b/internal/tier/programclient/mutants_test.go
@@ -11,12 +11,12 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "the next call begins with a silent store",
-			Change: change("\t\t\tc.doubt(shard, address)\n", ""),
+			Change: change("\t\t\tc.avoid(shard, address)\n", ""),
 			Run:    "^TestNextCallBeginsElsewhereAfterASilence$",
 		},
 		{
 			Name:   "a caller that goes makes the owner doubtful",
-			Change: change("isSilence(err) && !errors.Is(ctx.Err(), context.Canceled)", "isSilence(err)"),
+			Change: change("isUnanswered(err) && !errors.Is(ctx.Err(), context.Canceled)", "isUnanswered(err)"),
 			Run:    "^TestNextCallBeginsElsewhereAfterASilence$",
 		},
 		{
@@ -26,7 +26,7 @@
 		},
 		{
 			Name:   "hints are not followed",
-			Change: change("\t\t\taddress = hint\n", "\t\t\taddress = c.owner(shard)\n"),
+			Change: change("\t\t\taddress = hint\n", "\t\t\taddress = c.leader(shard)\n"),
 			Run:    "^TestOwnerIsFoundByTheOthersHint$",
 		},
 		{
@@ -41,12 +41,12 @@
 		},
 		{
 			Name:   "a chain keeps the input of a turn that was begun again",
-			Change: mutation.Change{File: "chains.go", Old: "\tc.drop(c.byTurn[turn.Turn])\n", New: ""},
+			Change: mutation.Change{File: "chains.go", Old: "\tc.evict(c.byTurn[turn.Turn])\n", New: ""},
 			Run:    "^TestChainsAreWhatTheShardHolds$",
 		},
 		{
 			Name:   "chains go beyond their bound",
-			Change: mutation.Change{File: "chains.go", Old: "for c.bytes > c.bound {", New: "for c.bytes > 2*c.bound {"},
+			Change: mutation.Change{File: "chains.go", Old: "for c.bytes > c.maxBytes {", New: "for c.bytes > 2*c.maxBytes {"},
 			Run:    "^TestChainsAreWhatTheShardHolds$",
 		},
 	})
--- a/internal/tier/store/excess_race_test.go
+++ b/internal/tier/store/excess_race_test.go
@@ -37,10 +37,10 @@
 	}
 	for i, r := range replicas {
 		made := New(t.Context(), Options{ID: r.ID, Address: r.Address, Disk: memorydisk.New(), Logger: log.NewNopLogger(), Seed: uint64(i + 1), Now: time.Now,
-			Send:  func(address string, envelope group.Envelope) { find(address).Deliver(envelope) },
-			After: func(delay time.Duration, run func()) { time.AfterFunc(delay/haste, run) },
-			Ask: func(address string, done func(wire.ShardMembersResponse, error)) {
-				go find(address).Report(func(answer wire.ShardMembersResponse) { done(answer, nil) })
+			Send:      func(address string, envelope group.Envelope) { find(address).Deliver(envelope) },
+			AfterFunc: func(delay time.Duration, run func()) { time.AfterFunc(delay/haste, run) },
+			QueryMembers: func(address string, done func(wire.ShardMembersResponse, error)) {
+				go find(address).ReportMembers(func(answer wire.ShardMembersResponse) { done(answer, nil) })
 			}})
 		mutex.Lock()
 		stores[r.Address] = made
@@ -59,12 +59,12 @@
 	shards []view.ShardPlacement
 }
 
-// place tells all stores of the placement, each in its own time.
+// setPlacement tells all stores of the placement, each in its own time.
 func (f *fleet) place() {
 	f.index++
 	index, shards := f.index, slices.Clone(f.shards)
 	for _, s := range f.stores {
-		go s.Place(index, view.Placement{Shards: shards})
+		go s.ApplyPlacement(index, view.Placement{Shards: shards})
 	}
 }
 
@@ -96,11 +96,11 @@
 // takeTurn has a turn begun and ended.
 func (f *fleet) takeTurn(shard int, name string) {
 	f.until(name+" is taken", func(s *Store) bool {
-		began, err := s.begin(testContext(f.t), "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn(name).Begin})
+		began, err := s.handleBeginTurn(testContext(f.t), "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn(name).Begin})
 		if err != nil || began.Verdict != program.Accepted {
 			return false
 		}
-		ended, err := s.end(testContext(f.t), "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn(name).End})
+		ended, err := s.handleEndTurn(testContext(f.t), "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn(name).End})
 		return err == nil && ended.Verdict == program.Accepted
 	})
 }
@@ -109,7 +109,7 @@
 func (f *fleet) held() int {
 	sum := 0
 	for _, s := range f.stores {
-		count, _ := s.Vitals()
+		count, _ := s.Stats()
 		sum += count
 	}
 	return sum
@@ -141,7 +141,7 @@
 	f.until("only what is placed is held", func(*Store) bool { return f.held() == 6 })
 	for name, shard := range turns {
 		f.until(name+" is found", func(s *Store) bool {
-			answer, err := s.chain(testContext(t), "", wire.ChainRequest{Shard: shard, Turn: name})
+			answer, err := s.handleChain(testContext(t), "", wire.ChainRequest{Shard: shard, Turn: name})
 			return err == nil && answer.Found
 		})
 	}
--- a/internal/tier/store/machine.go
+++ b/internal/tier/store/machine.go
@@ -28,7 +28,7 @@
 
 // Apply implements group.StateMachine; it returns a program.Result.
 func (m *machine) Apply(_ uint64, raw json.RawMessage) any {
-	applied, err := m.take(raw)
+	applied, err := m.decode(raw)
 	switch {
 	case err != nil:
 		return program.Result{Verdict: program.UnknownTurn}
@@ -43,13 +43,13 @@
 
 // Replay implements group.Replayer: it saves putting a chain together.
 func (m *machine) Replay(_ uint64, raw json.RawMessage) {
-	if applied, err := m.take(raw); err == nil && applied.Placement == 0 {
+	if applied, err := m.decode(raw); err == nil && applied.Placement == 0 {
 		m.programs.Replay(applied.Command)
 	}
 }
 
-// take reads a command, and takes note of a placement.
-func (m *machine) take(raw json.RawMessage) (command, error) {
+// decode reads a command, and takes note of a placement.
+func (m *machine) decode(raw json.RawMessage) (command, error) {
 	var applied command
 	if err := json.Unmarshal(raw, &applied); err != nil {
 		return command{}, err
@@ -77,19 +77,19 @@
 	if err := m.programs.Restore(state); err != nil {
 		return err
 	}
-	m.placement.Store(placementOf(state))
+	m.placement.Store(placementIndexIn(state))
 	return nil
 }
 
-// placementPart is the first part of a snapshot in parts; the programs' parts follow it.
-type placementPart struct {
+// placementChunk is the first part of a snapshot in parts; the programs' parts follow it.
+type placementChunk struct {
 	Placement *uint64 `json:"placement"`
 }
 
 // WriteChunks implements group.ChunkedStateMachine.
 func (m *machine) WriteChunks(write func(part json.RawMessage) error) error {
 	placement := m.placement.Load()
-	first, err := json.Marshal(placementPart{Placement: &placement})
+	first, err := json.Marshal(placementChunk{Placement: &placement})
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if r.placement != nil {
 		return r.programs.Add(part)
 	}
-	var first placementPart
+	var first placementChunk
 	if err := json.Unmarshal(part, &first); err != nil {
 		return err
 	}
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// placementOf reads the field that Snapshot has added; 0 if there is none.
-func placementOf(state []byte) uint64 {
+// placementIndexIn reads the field that Snapshot has added; 0 if there is none.
+func placementIndexIn(state []byte) uint64 {
 	at := bytes.LastIndex(state, []byte(placementField))
 	if at < 0 {
 		return 0
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -51,7 +51,7 @@
 	Folder  string
 }
 
-// placed is a line that a store process reads: a placement, or a question for the peak of its memory since the last one.
+// placementIndex is a line that a store process reads: a placement, or a question for the peak of its memory since the last one.
 type placed struct {
 	Index     uint64
 	Placement view.Placement
@@ -109,7 +109,7 @@
 			fmt.Printf("peak %d\n", peak)
 			continue
 		}
-		running.Place(told.Index, told.Placement)
+		running.ApplyPlacement(told.Index, told.Placement)
 	}
 }
 
@@ -230,7 +230,7 @@
 	return processOptions{ID: id, Address: listener.Addr().String(), Folder: folder}
 }
 
-// place tells all stores that each shard lies on all of them.
+// setPlacement tells all stores that each shard lies on all of them.
 func (f *fleet) place() {
 	var replicas []view.Replica
 	for _, p := range f.processes {
--- a/internal/tier/store/opening_test.go
+++ b/internal/tier/store/opening_test.go
@@ -37,11 +37,11 @@
 	disk := &stuckDisk{Disk: memorydisk.New(), group: groupName(1), asked: make(chan struct{}, 1), let: make(chan struct{})}
 	s := New(t.Context(), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
 		Now: time.Now, Send: func(string, group.Envelope) {}})
-	s.Place(1, alone(1))
+	s.ApplyPlacement(1, alone(1))
 	placed := make(chan struct{})
 	go func() {
 		defer close(placed)
-		s.Place(2, alone(2))
+		s.ApplyPlacement(2, alone(2))
 	}()
 	<-disk.asked
 	// when a message for the first one comes,
--- a/internal/tier/store/recover.go
+++ b/internal/tier/store/recover.go
@@ -12,14 +12,14 @@
 // still on its way. Those whose members it doesn't know wait for the placement. Each takes part as soon as it is open, and follows
 // the placement that is known by then. Replicas that have moved away stay closed.
 func (s *Store) Recover() error {
-	defer s.reviewExcess()
+	defer s.reviewSurplus()
 	names, err := storage.ListGroups(s.options.Disk)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
 		number, ok := shardNumber(name)
-		if !ok || s.hasDeparted(number) {
+		if !ok || s.isRemoved(number) {
 			continue
 		}
 		begun, err := storage.HasSnapshot(s.options.Disk, name)
@@ -32,18 +32,18 @@
 		if err := s.open(number, view.ShardPlacement{}); err != nil {
 			return err
 		}
-		s.follow(number)
+		s.placeShard(number)
 	}
 	return nil
 }
 
-// follow tells a shard of the newest placement, which may have come before the shard was open.
-func (s *Store) follow(number int) {
+// placeShard tells a shard of the newest placement, which may have come before the shard was open.
+func (s *Store) placeShard(number int) {
 	s.mutex.Lock()
-	index, placement, opened := s.placed, s.placement, s.shards[number]
+	index, placement, opened := s.placementIndex, s.placement, s.shards[number]
 	s.mutex.Unlock()
 	if opened != nil && number < len(placement.Shards) {
-		opened.place(index, membersOf(placement.Shards[number].Replicas))
+		opened.setPlacement(index, membersOf(placement.Shards[number].Replicas))
 	}
 }
 
--- a/internal/tier/store/recover_late_test.go
+++ b/internal/tier/store/recover_late_test.go
@@ -19,15 +19,15 @@
 	// Given a store on whose disk there is a shard,
 	disk := memorydisk.New()
 	before := []view.Replica{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}
-	newQuietStore(disk).Place(1, view.Placement{Shards: []view.ShardPlacement{{Initial: before, Replicas: before}}})
+	newQuietStore(disk).ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{{Initial: before, Replicas: before}}})
 	disk.LosePower(7)
 
 	// when it starts and hears of a placement that wants the shard elsewhere, and only then opens it,
 	planned := 0
 	restarted := New(t.Context(), Options{ID: "a", Address: "a:1", Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
-		Send: func(string, group.Envelope) {}, Run: func(*group.Group) {}, After: func(time.Duration, func()) { planned++ }})
+		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(time.Duration, func()) { planned++ }})
 	after := []view.Replica{{ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}, {ID: "d", Address: "d:1"}}
-	restarted.Place(2, view.Placement{Shards: []view.ShardPlacement{{Initial: after, Replicas: after}}})
+	restarted.ApplyPlacement(2, view.Placement{Shards: []view.ShardPlacement{{Initial: after, Replicas: after}}})
 	if err := restarted.Recover(); err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 	if opened == nil {
 		t.Fatal("the shard on its disk isn't open")
 	}
-	if opened.index != 2 || len(opened.wanted) != len(after) {
-		t.Errorf("the replica follows placement %d with %d members, want 2 with %d", opened.index, len(opened.wanted), len(after))
+	if opened.placementIndex != 2 || len(opened.targetMembers) != len(after) {
+		t.Errorf("the replica follows placement %d with %d members, want 2 with %d", opened.placementIndex, len(opened.targetMembers), len(after))
 	}
 	if planned != 1 {
 		t.Errorf("a look at what is in excess is planned %d times, want once", planned)
@@ -85,7 +85,7 @@
 			disk := memorydisk.New()
 			members := []view.Replica{{ID: "a", Address: "a:1"}}
 			first := newQuietStore(disk)
-			first.Place(1, view.Placement{Shards: []view.ShardPlacement{{Initial: members, Replicas: members}}})
+			first.ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{{Initial: members, Replicas: members}}})
 			for range 400 {
 				if _, err := first.shard(0).group.RunOnce(); err != nil {
 					t.Fatal(err)
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -18,14 +18,14 @@
 // newQuietStore returns a store whose groups are driven by nobody and whose messages go nowhere.
 func newQuietStore(disk storage.Disk) *Store {
 	return New(context.Background(), Options{ID: "a", Address: "a:1", Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
-		Send: func(string, group.Envelope) {}, Run: func(*group.Group) {}})
+		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}})
 }
 
 func TestShardsOnDiskOpenBeforeThePlacementIsKnown(t *testing.T) {
 	disk := memorydisk.New()
 	members := []view.Replica{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}
 	elsewhere := []view.Replica{{ID: "d", Address: "d:1"}}
-	newQuietStore(disk).Place(1, view.Placement{Shards: []view.ShardPlacement{
+	newQuietStore(disk).ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{
 		{Initial: members, Replicas: members}, {Initial: elsewhere, Replicas: elsewhere}}})
 
 	disk.LosePower(7)
@@ -72,9 +72,9 @@
 	disk := memorydisk.New()
 	var later []func()
 	s := New(testContext(t), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(),
-		Send: func(string, group.Envelope) {}, Run: func(*group.Group) {}, After: func(_ time.Duration, run func()) { later = append(later, run) }})
+		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(_ time.Duration, run func()) { later = append(later, run) }})
 	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
-	s.Place(4, alone(1))
+	s.ApplyPlacement(4, alone(1))
 	if s.shard(0) != nil || len(later) != 1 {
 		t.Fatalf("opened %v, to be tried again %d times", s.shard(0) != nil, len(later))
 	}
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -28,16 +28,16 @@
 
 // Times of a shard's group.
 const (
-	heartbeat = 150 * time.Millisecond
-	election  = 600 * time.Millisecond
-	eager     = 120 * time.Millisecond // until an owner has been heard since the start
+	heartbeatInterval      = 150 * time.Millisecond
+	electionTimeout        = 600 * time.Millisecond
+	initialElectionTimeout = 120 * time.Millisecond // until an owner has been heard since the start
 )
 
-// defaultWaitingBytes bounds what waits for the turns of all shards where the options say nothing.
-const defaultWaitingBytes = 8 << 20
+// defaultQueueBudgetBytes bounds what waits for the turns of all shards where the options say nothing.
+const defaultQueueBudgetBytes = 8 << 20
 
-// mostReceiving is the number of shards that receive snapshots at the same time.
-const mostReceiving = 2
+// maxSnapshotReceivers is the number of shards that receive snapshots at the same time.
+const maxSnapshotReceivers = 2
 
 // Options sets a store up.
 type Options struct {
@@ -49,54 +49,54 @@
 	Seed    uint64
 	Now     func() time.Time
 
-	Checks *invariant.Counter
+	Invariants *invariant.Counter
 
-	WaitingBytes int // of messages and commands that wait for the turns of all shards; 0: 8 MiB
+	QueueBudgetBytes int // of messages and commands that wait for the turns of all shards; 0: 8 MiB
 
 	// In place of the pool, the process's own clock and goroutines, where a test runs the store in memory; nil: those.
-	Send  func(address string, envelope group.Envelope) // must not block
-	Clock func() time.Duration
-	Run   func(opened *group.Group)             // drives a group; must not block
-	After func(delay time.Duration, run func()) // calls run after a while
-	// Ask has the store at an address report on the groups that it owns; must not block.
-	Ask func(address string, done func(answer wire.ShardMembersResponse, err error))
+	Send      func(address string, envelope group.Envelope) // must not block
+	Clock     func() time.Duration
+	RunGroup  func(opened *group.Group)             // drives a group; must not block
+	AfterFunc func(delay time.Duration, run func()) // calls run after a while
+	// QueryMembers has the store at an address report on the groups that it owns; must not block.
+	QueryMembers func(address string, done func(answer wire.ShardMembersResponse, err error))
 }
 
 // Store holds the replicas of one machine.
 type Store struct {
-	options    Options
-	compacting sync.Mutex             // held by the group that compacts
-	receiving  *group.SnapshotLimiter // of the groups that receive snapshots
-	opening    chan struct{}          // holds a token while a shard opens; taken before mutex
-	waiting    *group.QueueBudget     // of what waits for the groups' turns
-
-	mutex     sync.Mutex
-	shards    map[int]*shard
-	placed    uint64         // index of the newest placement; 0: none is known
-	placement view.Placement // that is it
-	departed  map[int]bool   // shards whose replicas have moved away since the start; the disk has marks of all
-	reviewing bool           // a look at replicas in excess is planned
-	failures  chan error
+	options        Options
+	compactionLock sync.Mutex             // held by the group that compacts
+	receiveLimiter *group.SnapshotLimiter // of the groups that receive snapshots
+	openingToken   chan struct{}          // shouldRun a token while a shard opens; taken before mutex
+	queueBudget    *group.QueueBudget     // of what waits for the groups' turns
+
+	mutex           sync.Mutex
+	shards          map[int]*shard
+	placementIndex  uint64         // placementIndex of the newest placement; 0: none is known
+	placement       view.Placement // that is it
+	removed         map[int]bool   // shards whose replicas have moved away since the start; the disk has marks of all
+	reviewScheduled bool           // a look at replicas in excess is planned
+	failures        chan error
 }
 
 // New returns a store without shards; those on its disk open once the placement is known.
 func New(ctx context.Context, options Options) *Store {
-	if options.WaitingBytes == 0 {
-		options.WaitingBytes = defaultWaitingBytes
+	if options.QueueBudgetBytes == 0 {
+		options.QueueBudgetBytes = defaultQueueBudgetBytes
 	}
 	if options.Send == nil {
-		options.Send = sendByLink(options.Pool)
+		options.Send = sendByTransport(options.Pool)
 	}
-	s := &Store{options: options, receiving: group.NewSnapshotLimiter(mostReceiving), waiting: group.NewQueueBudget(options.WaitingBytes),
-		opening: make(chan struct{}, 1), shards: map[int]*shard{}, departed: map[int]bool{}, failures: make(chan error, 1)}
-	if options.Ask == nil {
-		s.options.Ask = askByLink(options.Pool)
+	s := &Store{options: options, receiveLimiter: group.NewSnapshotLimiter(maxSnapshotReceivers), queueBudget: group.NewQueueBudget(options.QueueBudgetBytes),
+		openingToken: make(chan struct{}, 1), shards: map[int]*shard{}, removed: map[int]bool{}, failures: make(chan error, 1)}
+	if options.QueryMembers == nil {
+		s.options.QueryMembers = queryByTransport(options.Pool)
 	}
-	if options.After == nil {
-		s.options.After = func(delay time.Duration, run func()) { time.AfterFunc(delay, run) }
+	if options.AfterFunc == nil {
+		s.options.AfterFunc = func(delay time.Duration, run func()) { time.AfterFunc(delay, run) }
 	}
-	if options.Run == nil {
-		s.options.Run = func(opened *group.Group) { go s.run(ctx, opened) }
+	if options.RunGroup == nil {
+		s.options.RunGroup = func(opened *group.Group) { go s.run(ctx, opened) }
 	}
 	return s
 }
@@ -105,45 +105,45 @@
 func (s *Store) run(ctx context.Context, opened *group.Group) {
 	if err := opened.Run(ctx); err != nil {
 		level.Error(s.options.Logger).Log("msg", "replica ended", "group", opened.Name(), "err", err)
-		s.failed(err)
+		s.reportFailure(err)
 	}
 }
 
-// failed keeps the first error that a group has ended with.
-func (s *Store) failed(err error) {
+// reportFailure keeps the first error that a group has ended with.
+func (s *Store) reportFailure(err error) {
 	select {
 	case s.failures <- err:
 	default:
 	}
 }
 
-// Failed tells of a group that has ended for good, which can't be repaired while the process runs.
-func (s *Store) Failed() <-chan error { return s.failures }
+// Failures tells of a group that has ended for good, which can't be repaired while the process runs.
+func (s *Store) Failures() <-chan error { return s.failures }
 
 // Register adds what the store answers.
 func (s *Store) Register(handlers *transport.Handlers) {
 	transport.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) { s.Deliver(envelope) })
-	transport.Handle(handlers, wire.MethodBeginTurn, s.begin)
-	transport.Handle(handlers, wire.MethodEndTurn, s.end)
-	transport.Handle(handlers, wire.MethodChain, s.chain)
-	transport.Handle(handlers, wire.MethodShardMembers, s.members)
+	transport.Handle(handlers, wire.MethodBeginTurn, s.handleBeginTurn)
+	transport.Handle(handlers, wire.MethodEndTurn, s.handleEndTurn)
+	transport.Handle(handlers, wire.MethodChain, s.handleChain)
+	transport.Handle(handlers, wire.MethodShardMembers, s.handleShardMembers)
 }
 
-// openPause is the time after which shards are tried again that couldn't be opened.
-const openPause = 300 * time.Millisecond
+// openRetryDelay is the time after which shards are tried again that couldn't be opened.
+const openRetryDelay = 300 * time.Millisecond
 
-// Place takes over a new placement, with the index of its entry in the configuration shard's log: shards that are this
+// ApplyPlacement takes over a new placement, with the index of its entry in the configuration shard's log: shards that are this
 // store's open, and every owner moves its group to its members. A shard that can't be opened, since the disk is full or
 // fails, is tried again after a pause, by the newest placement that is known then.
-func (s *Store) Place(index uint64, placement view.Placement) {
+func (s *Store) ApplyPlacement(index uint64, placement view.Placement) {
 	s.mutex.Lock()
-	if index >= s.placed {
-		s.placed, s.placement = index, placement
+	if index >= s.placementIndex {
+		s.placementIndex, s.placement = index, placement
 	}
 	s.mutex.Unlock()
 	failed := false
 	for number, wanted := range placement.Shards {
-		if s.holds(number, wanted) {
+		if s.shouldRun(number, wanted) {
 			if err := s.open(number, wanted); err != nil {
 				level.Error(s.options.Logger).Log("msg", "shard cannot be opened", "shard", number, "err", err)
 				failed = true
@@ -151,49 +151,49 @@
 			}
 		}
 		if running := s.shard(number); running != nil {
-			running.place(index, membersOf(wanted.Replicas))
+			running.setPlacement(index, membersOf(wanted.Replicas))
 		}
 	}
 	if failed {
-		s.options.After(openPause, s.placeAgain)
+		s.options.AfterFunc(openRetryDelay, s.reapplyPlacement)
 	}
-	s.reviewExcess()
+	s.reviewSurplus()
 }
 
-// placeAgain goes on with the newest placement.
-func (s *Store) placeAgain() {
+// reapplyPlacement goes on with the newest placement.
+func (s *Store) reapplyPlacement() {
 	s.mutex.Lock()
-	index, placement := s.placed, s.placement
+	index, placement := s.placementIndex, s.placement
 	s.mutex.Unlock()
-	s.Place(index, placement)
+	s.ApplyPlacement(index, placement)
 }
 
-// holds tells whether a shard's replica is to run here: it is wanted here, or the group begins with it and it hasn't moved away.
-func (s *Store) holds(number int, placement view.ShardPlacement) bool {
+// shouldRun tells whether a shard's replica is to run here: it is wanted here, or the group begins with it and it hasn't moved away.
+func (s *Store) shouldRun(number int, placement view.ShardPlacement) bool {
 	if contains(placement.Replicas, s.options.ID) {
 		return true
 	}
-	return contains(placement.Initial, s.options.ID) && !s.hasDeparted(number)
+	return contains(placement.Initial, s.options.ID) && !s.isRemoved(number)
 }
 
 // open starts the replica of a shard, if it doesn't run yet. The other shards go on meanwhile, however long the disk takes.
 func (s *Store) open(number int, placement view.ShardPlacement) error {
-	s.opening <- struct{}{}
-	defer func() { <-s.opening }()
+	s.openingToken <- struct{}{}
+	defer func() { <-s.openingToken }()
 	if s.shard(number) != nil {
 		return nil
 	}
-	if err := s.comeBack(number); err != nil {
+	if err := s.clearRemoved(number); err != nil {
 		return err
 	}
-	opening := &shard{number: number, logger: s.options.Logger, machine: newMachine(), after: s.options.After}
-	options := replica.Options{ID: s.options.ID, Address: s.options.Address, HeartbeatInterval: heartbeat, ElectionTimeout: election, InitialElectionTimeout: eager,
+	opening := &shard{number: number, logger: s.options.Logger, machine: newMachine(), after: s.options.AfterFunc}
+	options := replica.Options{ID: s.options.ID, Address: s.options.Address, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, InitialElectionTimeout: initialElectionTimeout,
 		Seed: s.options.Seed + uint64(number)}
 	if contains(placement.Initial, s.options.ID) {
 		options.InitialMembers = membersOf(placement.Initial)
 	}
 	opened, err := group.Open(group.Options{Name: groupName(number), Replica: options, Disk: s.options.Disk,
-		StateMachine: opening.machine, CompactionLock: &s.compacting, ReceiveLimiter: s.receiving, QueueBudget: s.waiting, Send: s.options.Send, Logger: s.options.Logger, Clock: s.options.Clock, OnStatusChange: opening.changed})
+		StateMachine: opening.machine, CompactionLock: &s.compactionLock, ReceiveLimiter: s.receiveLimiter, QueueBudget: s.queueBudget, Send: s.options.Send, Logger: s.options.Logger, Clock: s.options.Clock, OnStatusChange: opening.onStatusChange})
 	if err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 	s.mutex.Lock()
 	s.shards[number] = opening
 	s.mutex.Unlock()
-	s.options.Run(opened)
+	s.options.RunGroup(opened)
 	return nil
 }
 
@@ -209,7 +209,7 @@
 
 func groupName(number int) string { return groupPrefix + strconv.Itoa(number) }
 
-func sendByLink(pool *transport.Pool) func(address string, envelope group.Envelope) {
+func sendByTransport(pool *transport.Pool) func(address string, envelope group.Envelope) {
 	return func(address string, envelope group.Envelope) {
 		// A message that can't be queued is lost like any other; the group sends again.
 		_ = transport.Notify(pool, address, wire.MethodReplica, envelope)
@@ -223,7 +223,7 @@
 }
 
 // Deliver hands a message to the group that it names. Messages for a group that doesn't run here yet are dropped: its
-// members send again.
+// handleShardMembers send again.
 func (s *Store) Deliver(envelope group.Envelope) {
 	if len(envelope.Group) <= len(groupPrefix) {
 		return
@@ -237,24 +237,24 @@
 	}
 }
 
-// NotOwnerError answers a call for a shard that another store owns.
-type NotOwnerError struct{ Owner string }
+// NotLeaderError answers a call for a shard that another store owns.
+type NotLeaderError struct{ Leader string }
 
 // Error gives the owner's address.
-func (e *NotOwnerError) Error() string { return e.Owner }
+func (e *NotLeaderError) Error() string { return e.Leader }
 
 // ErrorKind names the kind for the link.
-func (e *NotOwnerError) ErrorKind() string { return wire.KindNotLeader }
+func (e *NotLeaderError) ErrorKind() string { return wire.KindNotLeader }
 
 // propose has a command agreed on by the shard's group.
 func (s *Store) propose(ctx context.Context, number int, command program.Command) (program.Result, error) {
 	running := s.shard(number)
 	if running == nil {
-		return program.Result{}, &NotOwnerError{}
+		return program.Result{}, &NotLeaderError{}
 	}
 	result, err := running.group.Propose(ctx, command)
 	if err != nil {
-		return program.Result{}, s.ownership(err)
+		return program.Result{}, s.remoteError(err)
 	}
 	answer, ok := result.(program.Result)
 	if !ok {
@@ -263,8 +263,8 @@
 	return answer, nil
 }
 
-// ownership turns a group's error into one for the link.
-func (s *Store) ownership(err error) error {
+// remoteError turns a group's error into one for the link.
+func (s *Store) remoteError(err error) error {
 	var not *group.NotLeaderError
 	if !errors.As(err, &not) {
 		return err
@@ -273,37 +273,37 @@
 	if owner == s.options.Address {
 		owner = ""
 	}
-	return &NotOwnerError{Owner: owner}
+	return &NotLeaderError{Leader: owner}
 }
 
-func (s *Store) begin(ctx context.Context, _ string, request wire.BeginTurnRequest) (wire.BeginTurnResponse, error) {
+func (s *Store) handleBeginTurn(ctx context.Context, _ string, request wire.BeginTurnRequest) (wire.BeginTurnResponse, error) {
 	request.Turn.AtMs = s.options.Now().UnixMilli()
 	result, err := s.propose(ctx, request.Shard, program.Command{Begin: &request.Turn})
 	return wire.OmitCachedPrefix(result, request.CachedChains), err
 }
 
-func (s *Store) end(ctx context.Context, _ string, request wire.EndTurnRequest) (program.Result, error) {
+func (s *Store) handleEndTurn(ctx context.Context, _ string, request wire.EndTurnRequest) (program.Result, error) {
 	request.Turn.AtMs = s.options.Now().UnixMilli()
 	return s.propose(ctx, request.Shard, program.Command{End: &request.Turn})
 }
 
-func (s *Store) chain(ctx context.Context, _ string, request wire.ChainRequest) (wire.ChainResponse, error) {
+func (s *Store) handleChain(ctx context.Context, _ string, request wire.ChainRequest) (wire.ChainResponse, error) {
 	running := s.shard(request.Shard)
 	if running == nil {
-		return wire.ChainResponse{}, &NotOwnerError{}
+		return wire.ChainResponse{}, &NotLeaderError{}
 	}
 	var answer wire.ChainResponse
 	err := running.group.Read(ctx, func() { answer.Chain, answer.Found = running.machine.programs.Chain(request.Turn) })
 	if err != nil {
-		return wire.ChainResponse{}, s.ownership(err)
+		return wire.ChainResponse{}, s.remoteError(err)
 	}
 	return answer, nil
 }
 
-// members answers with the members of the groups that this store owns.
-func (s *Store) members(ctx context.Context, _ string, _ wire.ShardMembersRequest) (wire.ShardMembersResponse, error) {
+// handleShardMembers answers with the members of the groups that this store owns.
+func (s *Store) handleShardMembers(ctx context.Context, _ string, _ wire.ShardMembersRequest) (wire.ShardMembersResponse, error) {
 	answered := make(chan wire.ShardMembersResponse, 1)
-	s.Report(func(answer wire.ShardMembersResponse) { answered <- answer })
+	s.ReportMembers(func(answer wire.ShardMembersResponse) { answered <- answer })
 	select {
 	case answer := <-answered:
 		return answer, nil
@@ -312,8 +312,8 @@
 	}
 }
 
-// Vitals adds up what the replicas of this store hold.
-func (s *Store) Vitals() (shards int, sum group.MemberStats) {
+// Stats adds up what the replicas of this store hold.
+func (s *Store) Stats() (shards int, sum group.MemberStats) {
 	running := s.running()
 	for _, shard := range running {
 		held := shard.group.Stats()
@@ -325,9 +325,9 @@
 	return len(running), sum
 }
 
-// Report tells done the members of all groups that this store owns, as a majority of each has confirmed them. It doesn't
+// ReportMembers tells done the members of all groups that this store owns, as a majority of each has confirmed them. It doesn't
 // block.
-func (s *Store) Report(done func(answer wire.ShardMembersResponse)) {
+func (s *Store) ReportMembers(done func(answer wire.ShardMembersResponse)) {
 	shards := s.running()
 	if len(shards) == 0 {
 		done(wire.ShardMembersResponse{})
@@ -337,7 +337,7 @@
 	var answer wire.ShardMembersResponse
 	open := len(shards)
 	for _, running := range shards {
-		running.report(func(told wire.ShardMembers, confirmed bool) {
+		running.reportMembers(func(told wire.ShardMembers, confirmed bool) {
 			mutex.Lock()
 			if confirmed {
 				answer.Shards = append(answer.Shards, told)
@@ -361,8 +361,8 @@
 	return list
 }
 
-// Take takes over a section that has been spread.
-func (s *Store) Take(piece view.Update) {
+// ApplyUpdate takes over a section that has been spread.
+func (s *Store) ApplyUpdate(piece view.Update) {
 	if piece.Section != view.PlacementSection {
 		return
 	}
@@ -371,5 +371,5 @@
 		level.Error(s.options.Logger).Log("msg", "placement cannot be read", "err", err)
 		return
 	}
-	s.Place(piece.Stamp.Sequence, placement)
+	s.ApplyPlacement(piece.Stamp.Sequence, placement)
 }
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	ctx := testContext(t)
 	for {
-		answer, err := s.members(ctx, "", wire.ShardMembersRequest{})
+		answer, err := s.handleShardMembers(ctx, "", wire.ShardMembersRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,32 +72,32 @@
 
 func TestTurnsOfAStore(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Take(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
+	s.ApplyUpdate(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
 	settle(t, s, 2, 4)
 	ctx := testContext(t)
 
 	// Given a turn that was begun and ended.
-	began, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
+	began, err := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
 	if err != nil || began.Verdict != program.Accepted {
 		t.Fatalf("begun: %v, %v", began, err)
 	}
-	if ended, err := s.end(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Accepted {
+	if ended, err := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Accepted {
 		t.Fatalf("ended: %v, %v", ended, err)
 	}
 
 	// Then its chain is found in its shard, and certainly not in another.
-	found, err := s.chain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
+	found, err := s.handleChain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
 	if diff := cmp.Diff(wire.ChainResponse{Found: true, Chain: []byte("input of aoutput")}, found); diff != "" || err != nil {
 		t.Errorf("chain (-want +got), %v:\n%s", err, diff)
 	}
-	if missing, err := s.chain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
+	if missing, err := s.handleChain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
 		t.Errorf("chain in another shard: %v, %v", missing, err)
 	}
 
 	// And a turn that goes on from one that isn't there is refused.
 	next := *beginTurn("b").Begin
 	next.Previous = "nothing"
-	if got, err := s.begin(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
+	if got, err := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
 		t.Errorf("begun without its chain: %v, %v", got, err)
 	}
 }
@@ -106,32 +106,32 @@
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
 		s := newStore(t, disk)
-		s.Place(4, alone(1))
+		s.ApplyPlacement(4, alone(1))
 		settle(t, s, 1, 4)
-		if got, err := s.begin(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
+		if got, err := s.handleBeginTurn(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
 			t.Fatalf("begun: %v, %v", got, err)
 		}
 	})
 	disk.LosePower(3)
 	s := newStore(t, disk)
-	s.Place(4, alone(1))
+	s.ApplyPlacement(4, alone(1))
 	settle(t, s, 1, 4)
-	if got, err := s.end(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
+	if got, err := s.handleEndTurn(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
 		t.Errorf("the end of a turn that was acknowledged: %v, %v", got, err)
 	}
 }
 
 func TestShardsThatAreNotHeld(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Place(4, view.Placement{Shards: []view.ShardPlacement{{Initial: []view.Replica{other}, Replicas: []view.Replica{other}}}})
+	s.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: []view.Replica{other}, Replicas: []view.Replica{other}}}})
 	ctx := testContext(t)
 	for _, shard := range []int{0, 1, -1} {
-		_, begun := s.begin(ctx, "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn("a").Begin})
-		_, ended := s.end(ctx, "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn("a").End})
-		_, found := s.chain(ctx, "", wire.ChainRequest{Shard: shard, Turn: "a"})
+		_, begun := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn("a").Begin})
+		_, ended := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn("a").End})
+		_, found := s.handleChain(ctx, "", wire.ChainRequest{Shard: shard, Turn: "a"})
 		for name, err := range map[string]error{"begin": begun, "end": ended, "chain": found} {
-			var not *NotOwnerError
-			if !errors.As(err, &not) || not.Owner != "" {
+			var not *NotLeaderError
+			if !errors.As(err, &not) || not.Leader != "" {
 				t.Errorf("%s of shard %d: %v, want that it isn't its owner", name, shard, err)
 			}
 		}
@@ -152,13 +152,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var not *NotOwnerError
-			if got := s.ownership(test.err); !errors.As(got, &not) || not.Owner != test.want {
+			var not *NotLeaderError
+			if got := s.remoteError(test.err); !errors.As(got, &not) || not.Leader != test.want {
 				t.Errorf("error %v, want that %q is the owner", got, test.want)
 			}
 		})
 	}
-	if got := s.ownership(context.Canceled); !errors.Is(got, context.Canceled) {
+	if got := s.remoteError(context.Canceled); !errors.Is(got, context.Canceled) {
 		t.Errorf("error %v, want what it was", got)
 	}
 }
@@ -166,7 +166,7 @@
 // TestOverTheLink asks a store as proxies and controllers do.
 func TestOverTheLink(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Place(4, alone(1))
+	s.ApplyPlacement(4, alone(1))
 	settle(t, s, 1, 4)
 	handlers := transport.NewHandlers()
 	s.Register(handlers)
@@ -210,12 +210,12 @@
 // TestOwnerFollowsTheNewestPlacement has placements come in any order.
 func TestOwnerFollowsTheNewestPlacement(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Place(4, alone(1))
+	s.ApplyPlacement(4, alone(1))
 	settle(t, s, 1, 4)
 	wanted := alone(1)
 	wanted.Shards[0].Replicas = []view.Replica{self, other}
-	s.Place(9, wanted)
-	s.Place(6, alone(1))
+	s.ApplyPlacement(9, wanted)
+	s.ApplyPlacement(6, alone(1))
 
 	// Then the group has begun to take the other store in, and an older placement doesn't change that.
 	settle(t, s, 1, 9)
@@ -226,8 +226,8 @@
 			t.Fatal(err)
 		}
 	}
-	s.Place(8, alone(1))
-	s.Place(9, wanted)
+	s.ApplyPlacement(8, alone(1))
+	s.ApplyPlacement(9, wanted)
 	if got := running.machine.placement.Load(); got != 9 {
 		t.Errorf("follows placement %d, want 9", got)
 	}
@@ -237,8 +237,8 @@
 func TestReportsOfOthersAreSilent(t *testing.T) {
 	s := newStore(t, memorydisk.New())
 	both := []view.Replica{self, other}
-	s.Place(4, view.Placement{Shards: []view.ShardPlacement{{Initial: both, Replicas: both}}})
-	answer, err := s.members(testContext(t), "", wire.ShardMembersRequest{})
+	s.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: both, Replicas: both}}})
+	answer, err := s.handleShardMembers(testContext(t), "", wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) > 0 {
 		t.Errorf("members: %v, %v", answer, err)
 	}
@@ -248,17 +248,17 @@
 func TestDamageIsReported(t *testing.T) {
 	s := newStore(t, memorydisk.New())
 	cause := errors.New("damage")
-	s.failed(cause)
-	s.failed(errors.New("another"))
-	if got := <-s.Failed(); !errors.Is(got, cause) {
+	s.reportFailure(cause)
+	s.reportFailure(errors.New("another"))
+	if got := <-s.Failures(); !errors.Is(got, cause) {
 		t.Errorf("failed with %v, want %v", got, cause)
 	}
 }
 
 func TestOtherSectionsAndBrokenOnesAreIgnored(t *testing.T) {
 	s := newStore(t, memorydisk.New())
-	s.Take(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
-	s.Take(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
+	s.ApplyUpdate(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
+	s.ApplyUpdate(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
 	s.Deliver(group.Envelope{Group: "shard-"})
 	s.Deliver(group.Envelope{Group: "shard-x"})
 	s.Deliver(group.Envelope{Group: "shard-3"})
--- a/internal/tier/store/stored_format_test.go
+++ b/internal/tier/store/stored_format_test.go
@@ -112,10 +112,10 @@
 		t.Fatal(err)
 	}
 	s := newQuietStore(disk)
-	if !s.hasDeparted(3) || s.hasDeparted(4) {
+	if !s.isRemoved(3) || s.isRemoved(4) {
 		t.Error("the marker is not found, or one that isn't there is")
 	}
-	s.depart(4)
+	s.markRemoved(4)
 	if _, err := disk.Open("shard-4.departed"); err != nil {
 		t.Error(err)
 	}
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -56,7 +56,7 @@
 // Ready implements proxy.Views. A way to the stores is needed only where turns are remembered.
 func (f *Feed) Ready() bool {
 	routes := f.routes.Load()
-	return routes != nil && f.listed.Load() && (!routes.HasRememberedTurns || f.programs.Placed())
+	return routes != nil && f.listed.Load() && (!routes.HasRememberedTurns || f.programs.HasPlacement())
 }
 
 // Run takes what the agent sends until ctx ends.
@@ -112,7 +112,7 @@
 		if err := json.Unmarshal(piece.Body, &placement); err != nil {
 			return err
 		}
-		f.programs.Place(&placement)
+		f.programs.SetPlacement(&placement)
 	}
 	return nil
 }
