--- a/internal/tier/storage/bench_test.go
+++ b/internal/tier/storage/bench_test.go
@@ -44,7 +44,7 @@
 		if group.LogBytes() > maxLogBytes {
 			b.StopTimer()
 			snapshot := replica.Snapshot{Index: next - 1, Term: 1, Chunks: 1, State: data}
-			if err := group.Compact(snapshot, written(&snapshot), nil, replica.HardState{}); err != nil {
+			if err := group.Compact(snapshot, chunkSource(&snapshot), nil, replica.HardState{}); err != nil {
 				b.Fatal(err)
 			}
 			b.StartTimer()
@@ -54,9 +54,9 @@
 
 func BenchmarkSave(b *testing.B) {
 	disks := map[string]func(b *testing.B) storage.Disk{
-		"memory":          func(*testing.B) storage.Disk { return memorydisk.New() },
-		"folder":          func(b *testing.B) storage.Disk { return openFolder(b, b.TempDir()) },
-		"folder unsynced": func(b *testing.B) storage.Disk { return unsynced{openFolder(b, b.TempDir())} },
+		"memory":             func(*testing.B) storage.Disk { return memorydisk.New() },
+		"directory":          func(b *testing.B) storage.Disk { return openDir(b, b.TempDir()) },
+		"directory unsynced": func(b *testing.B) storage.Disk { return unsynced{openDir(b, b.TempDir())} },
 	}
 	for name, open := range disks {
 		for _, entries := range []int{1, 10} {
--- a/internal/tier/storage/compaction.go
+++ b/internal/tier/storage/compaction.go
@@ -6,43 +6,44 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Compact replaces the log by a snapshot, whose parts are written as they come, and the entries that remain after it.
-// Remaining has to reach as far as what is saved, and the promise must not take back the saved one; otherwise it is refused
-// and nothing changes. A snapshot that was being received is given up.
+// Compact replaces the log by a snapshot, whose chunks are written as they come, and the entries that remain after it. The
+// remaining entries must reach as far as what is saved, and the HardState must not go back; otherwise the error is
+// ErrInvalidChange, and nothing changes. Any other error is a FailedError. A snapshot that was being received is dropped.
 //
-// Up to the sync of the new log the old slot and log hold everything; from then on the new ones do. A loss of power or a
-// kill in between leaves the one or the other.
-func (g *Group) Compact(snapshot replica.Snapshot, parts ChunkSource, remaining []replica.Entry, promise replica.HardState) error {
-	if g.broken != nil {
-		return trace.Wrap(g.broken)
+// Up to the sync of the new log the old slot and log hold everything; from then on the new ones do. A crash or a loss of power
+// in between leaves the one or the other.
+func (g *Group) Compact(snapshot replica.Snapshot, chunks ChunkSource, remaining []replica.Entry, state replica.HardState) error {
+	if g.failure != nil {
+		return trace.Wrap(g.failure)
 	}
-	if err := g.checkCompaction(&snapshot, remaining, promise); err != nil {
+	if err := g.checkCompaction(&snapshot, remaining, state); err != nil {
 		return trace.Wrap(err)
 	}
 	writer, err := g.beginSlot()
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := parts(writer.add); err != nil {
+	if err := chunks(writer.writeChunk); err != nil {
 		_ = writer.file.Close()
-		return trace.Wrap(g.fail("writing of a snapshot", err))
+		return trace.Wrap(g.fail("write of a snapshot", err))
 	}
-	return trace.Wrap(g.adopt(writer, &snapshot, remaining, promise))
+	return trace.Wrap(g.switchTo(writer, &snapshot, remaining, state))
 }
 
-// adopt completes a slot and puts it and a new log in place of those before.
-func (g *Group) adopt(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, promise replica.HardState) error {
-	if err := writer.finish(snapshot, promise); err != nil {
+// switchTo completes a slot, creates the log of its generation, and then removes the old log. The order is what makes a
+// compaction safe: the new log must never be durable before its slot, nor the old one be gone before the new one is durable.
+func (g *Group) switchTo(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, state replica.HardState) error {
+	if err := writer.finish(snapshot, state); err != nil {
 		return err
 	}
-	old, oldName := g.log, fileName(g.name, logName(g.generation))
-	if err := g.beginLog(writer.layout.generation, entries); err != nil {
+	old, oldName := g.log, fileName(g.name, logSuffix(g.generation))
+	if err := g.createLog(writer.layout.generation, entries); err != nil {
 		return err
 	}
-	g.layout = writer.layout
-	g.promise = promise
-	g.base = snapshot.Index
-	g.last = snapshot.Index + uint64(len(entries))
+	g.active = writer.layout
+	g.hardState = state
+	g.snapshotIndex = snapshot.Index
+	g.lastIndex = snapshot.Index + uint64(len(entries))
 	_ = old.Close()
 	if err := g.disk.Remove(oldName); err != nil {
 		return g.fail("removal of the old log", err)
@@ -50,57 +51,17 @@
 	return nil
 }
 
-// install puts a snapshot that was received, and the entries behind it, in place of all that was saved before.
-func (g *Group) install(effects *replica.Ready) error {
-	writer := g.incoming
-	g.incoming = nil
-	if writer == nil || len(writer.layout.offsets) != effects.Snapshot.Chunks || effects.TruncateFrom > 0 {
-		if writer != nil {
-			_ = writer.file.Close()
-		}
-		return g.fail("check of what is to be saved", trace.BadParameter("a snapshot is installed that was not received whole"))
-	}
-	promise := g.promise
-	if effects.HardState != nil {
-		promise = *effects.HardState
-	}
-	return g.adopt(writer, effects.Snapshot, effects.Entries, promise)
-}
-
-// checkCompaction refuses a compaction that would lose something saved.
-func (g *Group) checkCompaction(snapshot *replica.Snapshot, remaining []replica.Entry, promise replica.HardState) error {
-	if err := checkPromise(g.promise, promise); err != nil {
-		return trace.BadParameter("compaction: %v", err)
-	}
-	last, err := checkEntries(snapshot.Index, remaining)
-	if err != nil {
-		return trace.BadParameter("compaction: %v", err)
-	}
-	if snapshot.Index < g.base || last < g.last {
-		return trace.BadParameter("compaction from %d to %d would lose entries from %d to %d", snapshot.Index, last, g.base, g.last)
-	}
-	return nil
-}
-
-// spareSlot returns the slot that the log does not follow.
-func (g *Group) spareSlot() int {
-	if g.generation == 0 {
-		return 0
-	}
-	return 1 - g.layout.slot
-}
-
-// beginLog makes the log of a generation with its first entries, returns once it lasts, and saves there from then on.
-func (g *Group) beginLog(generation uint64, entries []replica.Entry) error {
+// createLog creates the log of a generation with its first entries, returns once it is durable, and lets Save append there.
+func (g *Group) createLog(generation uint64, entries []replica.Entry) error {
 	buffer := appendEntries(beginFrame(g.buffer[:0], generation, 0), entries)
 	finishFrame(buffer)
-	g.keep(buffer)
-	log, err := g.disk.Create(fileName(g.name, logName(generation)))
+	g.recycle(buffer)
+	log, err := g.disk.Create(fileName(g.name, logSuffix(generation)))
 	if err != nil {
 		return g.fail("creation of a log", err)
 	}
-	if err := g.writeFirst(log, buffer); err != nil {
-		_ = log.Truncate(0) // a later process must not take for lasting what it reads there
+	if err := g.writeFirstFrame(log, buffer); err != nil {
+		_ = log.Truncate(0) // a later process must not take for durable what it reads there
 		_ = log.Close()
 		return err
 	}
@@ -111,8 +72,8 @@
 	return nil
 }
 
-// writeFirst writes the first frame of a new log and returns once frame and name last.
-func (g *Group) writeFirst(log File, frame []byte) error {
+// writeFirstFrame writes the first frame of a new log and returns once the frame and the file's name are durable.
+func (g *Group) writeFirstFrame(log File, frame []byte) error {
 	if _, err := log.Write(frame); err != nil {
 		return g.fail("write to a new log", err)
 	}
@@ -120,7 +81,7 @@
 		return g.fail("sync of a new log", err)
 	}
 	if err := g.disk.SyncDir(); err != nil {
-		return g.fail("sync of the folder", err)
+		return g.fail("sync of the directory", err)
 	}
 	return nil
 }
--- a/internal/tier/storage/damage_test.go
+++ b/internal/tier/storage/corruption_test.go
@@ -17,8 +17,8 @@
 // saves makes a member with a log of three saves.
 func saves(t *testing.T) *member {
 	t.Helper()
-	m := newMember(asItIs)
-	mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Entries: 1, Bytes: 20}})
+	m := newMember(unwrapped)
+	mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
 }
 
@@ -27,28 +27,28 @@
 	t.Helper()
 	m := saves(t)
 	m.disk.Kill()
-	mustPlay(t, m, []step{{Compact: true, Keep: 1, Bytes: 20}, {Entries: 1, Bytes: 20}})
+	mustApply(t, m, []step{{Compact: true, Keep: 1, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
 }
 
-// wantDamage checks that the disk is refused.
-func wantDamage(t *testing.T, m *member, what string, where int64) {
+// wantCorrupt checks that the disk is refused.
+func wantCorrupt(t *testing.T, m *member, what string, where int64) {
 	t.Helper()
 	m.disk.Kill()
 	_, recovered, err := storage.Open(m.disk, groupName)
-	var damage *storage.CorruptError
-	if !errors.As(err, &damage) {
-		t.Fatalf("%s at %d: got %v and %+v, want a DamageError", what, where, err, recovered)
+	var corrupt *storage.CorruptError
+	if !errors.As(err, &corrupt) || !errors.Is(err, storage.ErrCorrupt) {
+		t.Fatalf("%s at %d: got %v and %+v, want a CorruptError", what, where, err, recovered)
 	}
 }
 
 // Given a synced log, when any byte before its last frame is damaged, then the disk is refused.
-func TestDamagedMiddleIsRefused(t *testing.T) {
+func TestOpen_LogDamagedBeforeLastFrame_IsCorrupt(t *testing.T) {
 	before := saves(t).disk.Size(firstLog)
 	last := func(t *testing.T) *member {
 		m := saves(t)
 		m.disk.Kill()
-		mustPlay(t, m, []step{{Entries: 1, Bytes: 20}})
+		mustApply(t, m, []step{{Entries: 1, Bytes: 20}})
 		return m
 	}
 	for offset := range before {
@@ -56,26 +56,26 @@
 		if err := m.disk.Corrupt(firstLog, offset); err != nil {
 			t.Fatal(err)
 		}
-		wantDamage(t, m, "log", offset)
+		wantCorrupt(t, m, "log", offset)
 	}
 }
 
-// Given a log, when its last frame is damaged at any byte or cut at any length, then it counts as torn and is cut off, and
+// Given a log, when its last frame is damaged at any byte or truncated at any length, then it counts as torn and is truncated, and
 // the next save goes where it was.
-func TestTornEndIsCutOff(t *testing.T) {
+func TestOpen_TornLastFrame_IsTruncated(t *testing.T) {
 	earlier := saves(t)
 	start := earlier.disk.Size(firstLog)
 	whole := func(t *testing.T) *member {
 		m := saves(t)
 		m.disk.Kill()
-		mustPlay(t, m, []step{{Raise: 1, Entries: 1, Bytes: 20}})
+		mustApply(t, m, []step{{Raise: 1, Entries: 1, Bytes: 20}})
 		m.possible = earlier.possible
 		return m
 	}
 	end := whole(t).disk.Size(firstLog)
 	spoil := map[string]func(disk *memorydisk.Disk, offset int64) error{
-		"damage": func(disk *memorydisk.Disk, offset int64) error { return disk.Corrupt(firstLog, offset) },
-		"cut":    func(disk *memorydisk.Disk, offset int64) error { return cut(disk, firstLog, offset) },
+		"damage":     func(disk *memorydisk.Disk, offset int64) error { return disk.Corrupt(firstLog, offset) },
+		"truncation": func(disk *memorydisk.Disk, offset int64) error { return cut(disk, firstLog, offset) },
 	}
 	for name, spoilAt := range spoil {
 		for offset := start; offset < end; offset++ {
@@ -84,7 +84,7 @@
 				t.Fatal(err)
 			}
 			m.disk.Kill()
-			if err := m.live([]step{{Entries: 2, Bytes: 40}}); err != nil {
+			if err := m.runProcess([]step{{Entries: 2, Bytes: 40}}); err != nil {
 				t.Fatalf("%s at %d: %v", name, offset, err)
 			}
 			m.disk.Kill()
@@ -108,50 +108,50 @@
 }
 
 // Given a compacted group, when any byte of its slot or of its log's first frame is damaged, then the disk is refused.
-func TestDamagedCompactionIsRefused(t *testing.T) {
+func TestOpen_SlotOrFirstFrameDamaged_IsCorrupt(t *testing.T) {
 	for name, frames := range map[string]int64{firstSlot: compacted(t).disk.Size(firstSlot), secondLog: 28} {
 		for offset := range frames {
 			m := compacted(t)
 			if err := m.disk.Corrupt(name, offset); err != nil {
 				t.Fatal(err)
 			}
-			wantDamage(t, m, name, offset)
+			wantCorrupt(t, m, name, offset)
 		}
 	}
 }
 
 // Given a compacted group, when one of its files is missing, then the disk is refused and not taken for empty.
-func TestMissingFileIsRefused(t *testing.T) {
+func TestOpen_FileMissing_IsCorrupt(t *testing.T) {
 	for _, name := range []string{firstSlot, secondLog} {
 		m := compacted(t)
 		if err := m.disk.Remove(name); err != nil {
 			t.Fatal(err)
 		}
-		wantDamage(t, m, name, 0)
+		wantCorrupt(t, m, name, 0)
 	}
 }
 
-// Given whole frames whose records make no sense, when the group is opened, then the disk is refused.
-func TestUnreadableRecordsAreRefused(t *testing.T) {
+// Given intact frames with bad records, when the group is opened, then the disk is refused.
+func TestOpen_BadRecord_IsCorrupt(t *testing.T) {
 	for name, payload := range map[string]string{
-		"no end":           `{"record":"promise","epoch":1}`,
-		"no JSON":          "promise\n",
-		"unknown kind":     `{"record":"wish"}` + "\n",
-		"gap":              `{"record":"entry","index":5,"epoch":1}` + "\n\n",
-		"size too large":   `{"record":"entry","index":1,"epoch":1,"size":9}` + "\n1\n",
-		"size negative":    `{"record":"entry","index":1,"epoch":1,"size":-1}` + "\n1\n",
-		"size too small":   `{"record":"entry","index":1,"epoch":1,"size":1}` + "\n123\n",
-		"cut in snapshot":  `{"record":"snapshot","index":9}` + "\n\n" + `{"record":"truncate","index":9}` + "\n",
-		"negative index":   `{"record":"entry","index":-1,"epoch":1}` + "\n\n",
-		"kind too large":   `{"record":"entry","index":1,"kind":300}` + "\n\n",
-		"entry of index 0": `{"record":"entry","epoch":1}` + "\n\n",
+		"no end":                     `{"record":"promise","epoch":1}`,
+		"no JSON":                    "promise\n",
+		"unknown kind":               `{"record":"wish"}` + "\n",
+		"gap":                        `{"record":"entry","index":5,"epoch":1}` + "\n\n",
+		"size too large":             `{"record":"entry","index":1,"epoch":1,"size":9}` + "\n1\n",
+		"size negative":              `{"record":"entry","index":1,"epoch":1,"size":-1}` + "\n1\n",
+		"size too small":             `{"record":"entry","index":1,"epoch":1,"size":1}` + "\n123\n",
+		"truncation within snapshot": `{"record":"snapshot","index":9}` + "\n\n" + `{"record":"truncate","index":9}` + "\n",
+		"negative index":             `{"record":"entry","index":-1,"epoch":1}` + "\n\n",
+		"kind too large":             `{"record":"entry","index":1,"kind":300}` + "\n\n",
+		"entry of index 0":           `{"record":"entry","epoch":1}` + "\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(asItIs)
+			m := newMember(unwrapped)
 			if err := write(m.disk, firstLog, storage.Frame(0, 0, payload)); err != nil {
 				t.Fatal(err)
 			}
-			wantDamage(t, m, name, 0)
+			wantCorrupt(t, m, name, 0)
 		})
 	}
 }
--- a/internal/tier/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -13,25 +13,25 @@
 
 // Given any steps of several processes that are killed or lose power at any change to the disk, when the next one starts,
 // then it finds all that was acknowledged, and of the step under way everything or nothing.
-func TestRecoveryHoldsAllThatWasSaved(t *testing.T) {
+func TestOpen_AfterAnyCrashes_RecoversAllThatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := run(scripts.Draw(t, "script"), asItIs); err != nil {
+		if err := run(histories.Draw(t, "history"), unwrapped); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// lossSeeds is how many losses of power are tried at each change of an enumerated case.
-const lossSeeds = 16
+// powerLossSeeds is how many losses of power are tried at each change of an enumerated case.
+const powerLossSeeds = 16
 
 // enumerate stops a process at each change that the last step makes, in each way, and recovers after it. Prelude is what
 // was done before.
 func enumerate(t *testing.T, prelude []step, last step) {
 	t.Helper()
-	changes := changesOf(t, prelude, last)
+	changes := countChanges(t, prelude, last)
 	for change := range changes {
 		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
-			for seed := range lossSeeds {
+			for seed := range powerLossSeeds {
 				if err := crash(prelude, last, change, effect, seed); err != nil {
 					t.Fatalf("change %d of %d, effect %d, seed %d: %v", change, changes, effect, seed, err)
 				}
@@ -40,26 +40,26 @@
 	}
 }
 
-// changesOf counts the changes that the last step makes.
-func changesOf(t *testing.T, prelude []step, last step) int {
+// countChanges counts the changes that the last step makes.
+func countChanges(t *testing.T, prelude []step, last step) int {
 	t.Helper()
-	m := newMember(asItIs)
-	group := mustPlay(t, m, prelude)
+	m := newMember(unwrapped)
+	group := mustApply(t, m, prelude)
 	before := m.disk.Counts().Changes
-	if err := m.take(group, last); err != nil {
+	if err := m.apply(group, last); err != nil {
 		t.Fatal(err)
 	}
 	return m.disk.Counts().Changes - before
 }
 
-func mustPlay(t *testing.T, m *member, prelude []step) *storage.Group {
+func mustApply(t *testing.T, m *member, prelude []step) *storage.Group {
 	t.Helper()
 	group, err := m.open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, one := range prelude {
-		if err := m.take(group, one); err != nil {
+		if err := m.apply(group, one); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,18 +68,18 @@
 
 // crash stops the last step at a change. Seed 0 is a kill, the others are losses of power.
 func crash(prelude []step, last step, change int, effect memorydisk.Effect, seed int) error {
-	m := newMember(asItIs)
+	m := newMember(unwrapped)
 	group, err := m.open()
 	if err != nil {
 		return err
 	}
 	for _, one := range prelude {
-		if err := m.take(group, one); err != nil {
+		if err := m.apply(group, one); err != nil {
 			return err
 		}
 	}
 	m.disk.CrashAt(change, effect)
-	if err := m.take(group, last); err == nil {
+	if err := m.apply(group, last); err == nil {
 		return fmt.Errorf("the step was not stopped")
 	}
 	if seed == 0 {
@@ -91,7 +91,7 @@
 }
 
 // Given each state that a group's files can be in, when a compaction is stopped at any change, then nothing is lost.
-func TestCompactionIsStoppedAnywhere(t *testing.T) {
+func TestCompact_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	save := step{Raise: 1, Vote: "north", Entries: 3, Bytes: 200}
 	compact := step{Compact: true, Keep: 2, Bytes: 400}
 	for name, prelude := range map[string][]step{
@@ -106,13 +106,13 @@
 	}
 }
 
-// Given a group, when a save is stopped at any change, then it is there as a whole or not at all.
-func TestSaveIsStoppedAnywhere(t *testing.T) {
+// Given a group, when a save is stopped at any change, then it is there completely or not at all.
+func TestSave_CrashAtAnyChange_IsAtomic(t *testing.T) {
 	save := step{Raise: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, last := range map[string]step{
 		"entries":              {Entries: 4, Bytes: 150},
-		"promise":              {Raise: 1, Vote: "south"},
-		"cut":                  {Cut: 2},
+		"hard state":           {Raise: 1, Vote: "south"},
+		"truncation":           {Cut: 2},
 		"snapshot":             {Install: true, Bytes: 2000},
 		"all of them together": {Raise: 1, Install: true, Entries: 2, Cut: 1, Bytes: 300},
 	} {
@@ -122,13 +122,13 @@
 
 // Given a disk in any state that a stopped process leaves, when recovery itself is stopped at any change, then the next
 // recovery loses nothing either.
-func TestRecoveryIsStoppedAnywhere(t *testing.T) {
+func TestOpen_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	prelude := []step{{Raise: 1, Entries: 3, Bytes: 90}, {Compact: true, Keep: 1}, {Entries: 2, Bytes: 90}}
 	last := step{Compact: true, Keep: 1, Bytes: 90}
-	for change := range changesOf(t, prelude, last) {
+	for change := range countChanges(t, prelude, last) {
 		for recovery := range 6 {
-			for seed := range lossSeeds {
-				if err := crashTwice(t, prelude, last, change, recovery, uint64(seed)); err != nil {
+			for seed := range powerLossSeeds {
+				if err := crashDuringRecovery(t, prelude, last, change, recovery, uint64(seed)); err != nil {
 					t.Fatalf("change %d, change %d of the recovery, seed %d: %v", change, recovery, seed, err)
 				}
 			}
@@ -136,11 +136,11 @@
 	}
 }
 
-func crashTwice(t *testing.T, prelude []step, last step, change, recovery int, seed uint64) error {
-	m := newMember(asItIs)
-	group := mustPlay(t, m, prelude)
+func crashDuringRecovery(t *testing.T, prelude []step, last step, change, recovery int, seed uint64) error {
+	m := newMember(unwrapped)
+	group := mustApply(t, m, prelude)
 	m.disk.CrashAt(change, memorydisk.Applied)
-	_ = m.take(group, last)
+	_ = m.apply(group, last)
 	if seed%2 == 0 {
 		m.disk.Kill()
 	} else {
@@ -156,10 +156,10 @@
 }
 
 // Given an empty disk, when its first start is stopped at any change, then the next start finds an empty group.
-func TestFirstStartIsStoppedAnywhere(t *testing.T) {
+func TestOpen_FirstStartCrashesAtAnyChange_RecoversEmptyGroup(t *testing.T) {
 	for change := range 5 {
-		for seed := range uint64(lossSeeds) {
-			m := newMember(asItIs)
+		for seed := range uint64(powerLossSeeds) {
+			m := newMember(unwrapped)
 			m.disk.CrashAt(change, memorydisk.Effect(seed%3))
 			if _, err := m.open(); err != nil && !m.disk.Crashed() {
 				t.Fatal(err)
--- /dev/null
+++ b/internal/tier/storage/entry_record.go
@@ -0,0 +1,87 @@
+package storage
+
+import (
+	"bytes"
+	"encoding/json"
+	"strconv"
+
+	"mastusher/internal/tier/replica"
+)
+
+// The text around the numbers of an entry's line. Most records are entries, so their lines are written and parsed by hand.
+const (
+	entryIndexKey = `{"record":"entry","index":`
+	entryTermKey  = `,"epoch":`
+	entryKindKey  = `,"kind":`
+	entrySizeKey  = `,"size":`
+	entryLineEnd  = "}"
+)
+
+// appendEntries appends the records of entries, each with its data behind it.
+func appendEntries(buffer []byte, entries []replica.Entry) []byte {
+	for i := range entries {
+		entry := &entries[i]
+		buffer = append(buffer, entryIndexKey...)
+		buffer = strconv.AppendUint(buffer, entry.Index, 10)
+		buffer = append(buffer, entryTermKey...)
+		buffer = strconv.AppendUint(buffer, entry.Term, 10)
+		buffer = append(buffer, entryKindKey...)
+		buffer = strconv.AppendUint(buffer, uint64(entry.Kind), 10)
+		buffer = append(buffer, entrySizeKey...)
+		buffer = strconv.AppendInt(buffer, int64(len(entry.Data)), 10)
+		buffer = append(buffer, entryLineEnd...)
+		buffer = append(buffer, '\n')
+		buffer = append(buffer, entry.Data...)
+		buffer = append(buffer, '\n')
+	}
+	return buffer
+}
+
+// parseRecord parses a line.
+func parseRecord(text []byte) (record, error) {
+	if line, ok := parseEntryRecord(text); ok {
+		return line, nil
+	}
+	var line record
+	err := json.Unmarshal(text, &line)
+	return line, err
+}
+
+// parseEntryRecord parses a line that appendEntries has written. It leaves any other line to the JSON decoder.
+func parseEntryRecord(text []byte) (record, bool) {
+	line := entryParser{text: text}
+	index := line.number(entryIndexKey)
+	term := line.number(entryTermKey)
+	kind := line.number(entryKindKey)
+	size := line.number(entrySizeKey)
+	if line.failed || string(line.text) != entryLineEnd || kind > maxEntryKind || size > maxPayloadBytes {
+		return record{}, false
+	}
+	return record{Kind: entryRecord, Index: index, Term: term, EntryKind: replica.EntryKind(kind), Size: int(size)}, true
+}
+
+// Bounds of the numbers in a line.
+const (
+	maxEntryKind    = 1<<8 - 1
+	maxPayloadBytes = 1<<32 - 1
+	maxSafeDigits   = 18 // a number of as many digits cannot overflow
+)
+
+// entryParser parses a line from its start on.
+type entryParser struct {
+	text   []byte
+	failed bool
+}
+
+// number consumes a key and the number behind it.
+func (p *entryParser) number(key string) uint64 {
+	rest, found := bytes.CutPrefix(p.text, []byte(key))
+	digits, value := 0, uint64(0)
+	for digits < len(rest) && rest[digits] >= '0' && rest[digits] <= '9' {
+		value = value*10 + uint64(rest[digits]-'0')
+		digits++
+	}
+	p.failed = p.failed || !found || digits == 0 || digits > maxSafeDigits
+	p.text = rest[digits:]
+	return value
+}
--- a/internal/tier/storage/trouble_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -13,28 +13,28 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// wantBroken checks that an error is the group's lasting one.
-func wantBroken(t *testing.T, err error) {
+// wantFailed checks that an error is the group's failure.
+func wantFailed(t *testing.T, err error) {
 	t.Helper()
-	var broken *storage.FailedError
-	if !errors.As(err, &broken) {
-		t.Fatalf("got %v, want a BrokenError", err)
+	var failed *storage.FailedError
+	if !errors.As(err, &failed) || !errors.Is(err, storage.ErrFailed) {
+		t.Fatalf("got %v, want a FailedError", err)
 	}
 }
 
 // Given a save, when there is something to save, then it takes one write and one sync; otherwise it takes nothing.
-func TestSaveTakesOneWriteAndOneSync(t *testing.T) {
+func TestSave_AnyReady_TakesOneWriteAndOneSync(t *testing.T) {
 	for name, test := range map[string]struct {
 		effects replica.Ready
 		want    int
 	}{
 		"nothing":    {replica.Ready{MessagesAfterSync: []replica.Message{{}}, CommittedEntries: []replica.Entry{entryAt(1, 1, 1)}}, 0},
-		"promise":    {replica.Ready{HardState: &replica.HardState{Term: 9}}, 1},
+		"hard state": {replica.Ready{HardState: &replica.HardState{Term: 9}}, 1},
 		"everything": {replica.Ready{HardState: &replica.HardState{Term: 9}, TruncateFrom: 3, Entries: []replica.Entry{entryAt(3, 1, 9), entryAt(4, 1, 9)}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(asItIs)
-			group := mustPlay(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}})
+			m := newMember(unwrapped)
+			group := mustApply(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}})
 			before, bytes := m.disk.Counts(), group.LogBytes()
 			if err := group.Save(&test.effects); err != nil {
 				t.Fatal(err)
@@ -50,26 +50,26 @@
 	}
 }
 
-// Given a full disk, when a member saves, then the group is broken also once there is space, and nothing saved is lost.
-func TestFullDisk(t *testing.T) {
+// Given a full disk, when a member saves, then the group has failed, also once there is space, and nothing saved is lost.
+func TestGroup_DiskFull_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 300}, "compaction": {Compact: true, Keep: 2, Bytes: 300}} {
 		t.Run(name, func(t *testing.T) {
 			full := 0
 			for free := range int64(700) {
-				m := newMember(asItIs)
-				group := mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}})
+				m := newMember(unwrapped)
+				group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}})
 				m.disk.SetCapacity(m.disk.Size(firstLog) + free + 1)
-				err := m.take(group, last)
+				err := m.apply(group, last)
 				if err == nil {
 					continue
 				}
 				full++
-				wantBroken(t, err)
+				wantFailed(t, err)
 				if !storage.IsDiskFull(err) {
-					t.Fatalf("got %v, want an error for which IsFull holds", err)
+					t.Fatalf("got %v, want an error for which IsDiskFull holds", err)
 				}
 				m.disk.SetCapacity(0)
-				wantBroken(t, group.Save(&replica.Ready{}))
+				wantFailed(t, group.Save(&replica.Ready{}))
 				m.disk.LosePower(uint64(free))
 				m.disk.SetCapacity(1) // recovery needs no space
 				if err := m.recoverTwice(); err != nil {
@@ -86,26 +86,26 @@
 // failures is how many operations of a step are made to fail, one in each trial.
 const failures = 8
 
-// Given a disk on which any one operation of a step fails, then the group is broken and asks nothing more of the disk, a
+// Given a disk on which any one operation of a step fails, then the group has failed and asks nothing more of the disk, a
 // failed sync least of all. What the next process recovers lasts, even though the failed sync's writes never will.
-func TestFailedOperation(t *testing.T) {
+func TestGroup_DiskOperationFails_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Keep: 2, Bytes: 90}} {
 		t.Run(name, func(t *testing.T) {
 			for failing := range failures {
-				m := newMember(asItIs)
-				group := mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
+				m := newMember(unwrapped)
+				group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
 				m.disk.InjectFaults(failAt(failing))
-				err := m.take(group, last)
+				err := m.apply(group, last)
 				if err == nil {
 					continue
 				}
-				wantBroken(t, err)
+				wantFailed(t, err)
 				if !errors.Is(err, syscall.EIO) {
 					t.Fatalf("got %v, want the disk's error as its cause", err)
 				}
 				changes := m.disk.Counts().Changes
-				wantBroken(t, group.Save(&replica.Ready{Entries: []replica.Entry{entryAt(4, 1, 1)}}))
-				wantBroken(t, group.Compact(*snapshotAt(3, 1, 1), written(snapshotAt(3, 1, 1)), nil, replica.HardState{Term: 9}))
+				wantFailed(t, group.Save(&replica.Ready{Entries: []replica.Entry{entryAt(4, 1, 1)}}))
+				wantFailed(t, group.Compact(*snapshotAt(3, 1, 1), chunkSource(snapshotAt(3, 1, 1)), nil, replica.HardState{Term: 9}))
 				if after := m.disk.Counts().Changes; after != changes {
 					t.Fatalf("%d changes were made to the disk after the failure", after-changes)
 				}
@@ -130,11 +130,11 @@
 }
 
 // Given a disk on which any one operation of a recovery fails, then the error is that of the disk and not of damage.
-func TestFailedRecovery(t *testing.T) {
+func TestOpen_DiskOperationFails_IsNotCorrupt(t *testing.T) {
 	failed := 0
 	for failing := range 12 {
-		m := newMember(asItIs)
-		mustPlay(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
+		m := newMember(unwrapped)
+		mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
 		m.disk.Kill()
 		m.disk.InjectFaults(failAt(failing))
 		_, err := m.open()
@@ -157,23 +157,27 @@
 }
 
 // Given a member, when it saves what does not follow what it has saved, then it is refused before anything is written.
-func TestSaveThatDoesNotFollowIsRefused(t *testing.T) {
+func TestSave_InvalidChange_WritesNothing(t *testing.T) {
 	for name, effects := range map[string]replica.Ready{
-		"gap":               {Entries: []replica.Entry{entryAt(9, 2, 1)}},
-		"repeated entry":    {Entries: []replica.Entry{entryAt(3, 2, 1)}},
-		"cut in snapshot":   {TruncateFrom: 2},
-		"lower epoch":       {HardState: &replica.HardState{Term: 1}},
-		"another vote":      {HardState: &replica.HardState{Term: 2, Vote: "south"}},
-		"vote taken back":   {HardState: &replica.HardState{Term: 2}},
-		"gap after install": {Snapshot: snapshotAt(9, 2, 1), Entries: []replica.Entry{entryAt(4, 2, 1)}},
-		"no parts":          {Snapshot: snapshotAt(9, 2, 1)},
-		"a later part":      {ReceivedChunks: partsOf(snapshotAt(9, 2, 1))[1:]},
+		"gap":                        {Entries: []replica.Entry{entryAt(9, 2, 1)}},
+		"repeated entry":             {Entries: []replica.Entry{entryAt(3, 2, 1)}},
+		"truncation within snapshot": {TruncateFrom: 2},
+		"lower term":                 {HardState: &replica.HardState{Term: 1}},
+		"another vote":               {HardState: &replica.HardState{Term: 2, Vote: "south"}},
+		"vote withdrawn":             {HardState: &replica.HardState{Term: 2}},
+		"gap after install":          {Snapshot: snapshotAt(9, 2, 1), Entries: []replica.Entry{entryAt(4, 2, 1)}},
+		"no chunks":                  {Snapshot: snapshotAt(9, 2, 1)},
+		"a later chunk":              {ReceivedChunks: chunksOf(snapshotAt(9, 2, 1))[1:]},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(asItIs)
-			group := mustPlay(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
+			m := newMember(unwrapped)
+			group := mustApply(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
 			changes := m.disk.Counts().Changes
-			wantBroken(t, group.Save(&effects))
+			err := group.Save(&effects)
+			wantFailed(t, err)
+			if !errors.Is(err, storage.ErrInvalidChange) && !errors.Is(err, storage.ErrChunkOrder) {
+				t.Errorf("got %v, want an invalid change or a chunk out of order as its cause", err)
+			}
 			if after := m.disk.Counts().Changes; after != changes {
 				t.Fatal("something was written")
 			}
@@ -182,7 +186,7 @@
 }
 
 // Given a member, when a compaction would lose what it has saved, then it is refused and the member goes on.
-func TestCompactionThatLosesIsRefused(t *testing.T) {
+func TestCompact_InvalidChange_ChangesNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		snapshot  *replica.Snapshot
 		remaining []replica.Entry
@@ -191,17 +195,17 @@
 		"entries missing":  {snapshotAt(2, 2, 1), nil, replica.HardState{Term: 2, Vote: "north"}},
 		"gap":              {snapshotAt(1, 2, 1), []replica.Entry{entryAt(3, 2, 1)}, replica.HardState{Term: 2, Vote: "north"}},
 		"earlier snapshot": {snapshotAt(1, 2, 1), []replica.Entry{entryAt(2, 2, 1), entryAt(3, 2, 1)}, replica.HardState{Term: 2, Vote: "north"}},
-		"lower promise":    {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 1}},
+		"lower term":       {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 1}},
 		"other vote":       {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 2, Vote: "south"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(asItIs)
-			group := mustPlay(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
-			err := group.Compact(*test.snapshot, written(test.snapshot), test.remaining, test.promise)
-			if !trace.IsBadParameter(err) {
-				t.Fatalf("got %v, want a bad parameter", err)
+			m := newMember(unwrapped)
+			group := mustApply(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
+			err := group.Compact(*test.snapshot, chunkSource(test.snapshot), test.remaining, test.promise)
+			if !errors.Is(err, storage.ErrInvalidChange) || errors.Is(err, storage.ErrFailed) {
+				t.Fatalf("got %v, want an invalid change that doesn't fail the group", err)
 			}
-			if err := m.take(group, step{Entries: 1}); err != nil {
+			if err := m.apply(group, step{Entries: 1}); err != nil {
 				t.Fatal(err)
 			}
 			m.disk.LosePower(1)
@@ -212,20 +216,20 @@
 	}
 }
 
-// Given a closed group, when it is used, then it is broken.
-func TestClosedGroup(t *testing.T) {
-	m := newMember(asItIs)
-	group := mustPlay(t, m, nil)
+// Given a closed group, when it is used, then it has failed.
+func TestGroup_Closed_AcceptsNothing(t *testing.T) {
+	m := newMember(unwrapped)
+	group := mustApply(t, m, nil)
 	for range 2 {
 		if err := group.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wantBroken(t, group.Save(&replica.Ready{}))
+	wantFailed(t, group.Save(&replica.Ready{}))
 }
 
 // Given a name that cannot begin a file's name, when a group is opened by it, then it is refused.
-func TestGroupNameIsChecked(t *testing.T) {
+func TestOpen_BadGroupName_IsRefused(t *testing.T) {
 	for _, name := range []string{"", "a/b", ".hidden", "nul\x00"} {
 		if _, _, err := storage.Open(memorydisk.New(), name); !trace.IsBadParameter(err) {
 			t.Errorf("%q: got %v, want a bad parameter", name, err)
@@ -234,7 +238,7 @@
 }
 
 // Given two groups whose names begin alike, and files of others, when they are used, then each has its own files.
-func TestGroupsShareADisk(t *testing.T) {
+func TestOpen_GroupsWithLikeNames_KeepTheirOwnFiles(t *testing.T) {
 	disk := memorydisk.New()
 	for _, name := range []string{"turns", "turns.log-1", "identity", "turns.slot-c", "turns.log-01"} {
 		if err := write(disk, name, nil); err != nil {
--- a/internal/tier/storage/mutant_test.go
+++ b/internal/tier/storage/faulty_disk_test.go
@@ -7,10 +7,10 @@
 	"mastusher/internal/tier/storage"
 )
 
-// mutant is a disk that leaves out or reorders what the package asks of it, as a mistake in the package would.
+// mutant is a disk that omits or reorders what the package asks of it, as a mistake in the package would.
 type mutant struct {
 	storage.Disk
-	skipsFolderSync  bool
+	skipsDirSync     bool
 	skipsSyncOf      string // files with this in their names
 	skipsFirstSync   bool   // of files that were there, before anything is written to them
 	skipsTruncate    bool
@@ -18,7 +18,7 @@
 }
 
 func (m *mutant) SyncDir() error {
-	if m.skipsFolderSync {
+	if m.skipsDirSync {
 		return nil
 	}
 	return m.Disk.SyncDir()
@@ -90,14 +90,14 @@
 }
 
 const (
-	mutantScripts  = 3000 // that a mutant has to survive to count as not caught
-	controlScripts = 1000 // of these, that the package as it is plays
+	mutantHistories  = 3000 // that a mutant has to survive to count as not caught
+	controlHistories = 1000 // of these, that the package as it is runs
 )
 
-// catch plays scripts until one shows that something is wrong, and returns what.
-func catch(scriptCount int, wrap func(storage.Disk) storage.Disk) error {
-	for seed := range scriptCount {
-		if err := run(scripts.Example(seed), wrap); err != nil {
+// catch runs histories until one shows that something is wrong, and returns what.
+func catch(count int, wrap func(storage.Disk) storage.Disk) error {
+	for seed := range count {
+		if err := run(histories.Example(seed), wrap); err != nil {
 			return err
 		}
 	}
@@ -113,28 +113,28 @@
 	}
 }
 
-// Given the package as it is, when the scripts that catch the mutants are played, then none shows a mistake.
-func TestScriptsShowNoMistakeByThemselves(t *testing.T) {
-	if err := catch(controlScripts, mutant{}.wrapping()); err != nil {
+// Given the package as it is, when the histories that catch the mutants are run, then none shows a mistake.
+func TestHistories_UnchangedPackage_ShowNoMistake(t *testing.T) {
+	if err := catch(controlHistories, mutant{}.wrapping()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Given the package with a mistake, when the scripts of the crash tests are played, then at least one shows the mistake.
-func TestMutantsAreCaught(t *testing.T) {
+// Given the package with a mistake, when the histories of the crash tests are run, then at least one shows the mistake.
+func TestHistories_MutantDisk_IsCaught(t *testing.T) {
 	mutants := map[string]mutant{
-		"folder not synced": {skipsFolderSync: true},
-		"slot not synced":   {skipsSyncOf: ".slot-"},
-		"log not synced":    {skipsSyncOf: ".log-"},
+		"directory not synced":                       {skipsDirSync: true},
+		"slot not synced":                            {skipsSyncOf: ".slot-"},
+		"log not synced":                             {skipsSyncOf: ".log-"},
 		"old log removed before the new one is made": {removesLogsEarly: true},
 		"log not synced by recovery":                 {skipsFirstSync: true},
-		"log not cut at a torn end":                  {skipsTruncate: true},
+		"torn write not truncated":                   {skipsTruncate: true},
 	}
 	for name, settings := range mutants {
 		t.Run(name, func(t *testing.T) {
-			err := catch(mutantScripts, settings.wrapping())
+			err := catch(mutantHistories, settings.wrapping())
 			if err == nil {
-				t.Fatalf("%d scripts did not catch it", mutantScripts)
+				t.Fatalf("%d histories did not catch it", mutantHistories)
 			}
 			t.Log(err)
 		})
--- a/internal/tier/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"fmt"
 	"io/fs"
 
 	"github.com/gravitational/trace"
@@ -9,75 +8,83 @@
 	"mastusher/internal/tier/replica"
 )
 
-// maxKeptBytes bounds the buffer that a group keeps from one save to the next.
-const maxKeptBytes = 1 << 20
+// maxBufferBytes bounds the buffer that a group keeps from one save to the next.
+const maxBufferBytes = 1 << 20
 
-// Group is the disk of one replica group's member. It is not safe for concurrent use. After an operation on the disk has
-// failed it is broken: each later call returns the same FailedError, and nothing is tried again.
+// Group is the durable state of one member of a replica group. It is not safe for concurrent use: the group's goroutine owns it.
+// After any failed operation each later call returns the same FailedError, and no further operation reaches the disk.
 type Group struct {
 	disk Disk
 	name string
 
+	// The log segment that Save appends to.
 	log        File
 	logBytes   int64
-	generation uint64 // of the log
-	sequence   uint64 // of the log's next frame
-	newest     uint64 // generation that was ever seen or begun
-	slotLasts  [2]bool
-	layout     slotLayout  // of the slot that the log follows; of no meaning in generation 0
-	incoming   *slotWriter // of a snapshot that is being received; nil: none
-
-	promise replica.HardState
-	base    uint64 // index that the snapshot stands for
-	last    uint64 // index of the last saved entry
-
-	buffer []byte
-	broken *FailedError
+	generation uint64
+	sequence   uint64 // of the next frame
+
+	// The slots.
+	maxGeneration uint64      // ever found or begun; a new slot gets the next one, so that none is ever reused
+	slotNamed     [2]bool     // the slot's file name is durable
+	active        slotLayout  // of the slot that the log follows; without meaning in generation 0
+	incoming      *slotWriter // of a snapshot that is being received; nil: none
+
+	// What is saved, against which changes are checked.
+	hardState     replica.HardState
+	snapshotIndex uint64
+	lastIndex     uint64
+
+	buffer  []byte       // for reuse
+	failure *FailedError // nil: none
+	closed  bool
 }
 
-// Save writes what one step has to save by one write and one sync. It does nothing when there is nothing to save. ReadChunks of
-// a snapshot are written and not synced, as long as that isn't installed; installing it is done as a compaction.
-func (g *Group) Save(effects *replica.Ready) error {
-	if g.broken != nil {
-		return trace.Wrap(g.broken)
+// Save makes what one step has to save durable, by one write and one sync; it does nothing when there is nothing to save.
+// Received chunks of a snapshot are written without a sync, since nothing depends on them before the snapshot is installed;
+// installing it costs what a compaction does.
+//
+// Errors: a FailedError, whose cause is the disk's error, ErrInvalidChange or ErrChunkOrder.
+func (g *Group) Save(ready *replica.Ready) error {
+	if g.failure != nil {
+		return trace.Wrap(g.failure)
 	}
-	base, last, err := g.follow(effects)
+	snapshotIndex, lastIndex, err := g.checkReady(ready)
 	if err != nil {
 		return trace.Wrap(g.fail("check of what is to be saved", err))
 	}
-	if err := g.receive(effects.ReceivedChunks); err != nil {
+	if err := g.receive(ready.ReceivedChunks); err != nil {
 		return trace.Wrap(err)
 	}
-	if effects.HardState == nil && effects.Snapshot == nil && effects.TruncateFrom == 0 && len(effects.Entries) == 0 {
+	if ready.HardState == nil && ready.Snapshot == nil && ready.TruncateFrom == 0 && len(ready.Entries) == 0 {
 		return nil
 	}
-	if effects.Snapshot != nil {
-		return trace.Wrap(g.install(effects))
+	if ready.Snapshot != nil {
+		return trace.Wrap(g.install(ready))
 	}
 	buffer := beginFrame(g.buffer[:0], g.generation, g.sequence)
-	if buffer, err = appendEffects(buffer, effects); err != nil {
+	if buffer, err = appendReady(buffer, ready); err != nil {
 		return trace.Wrap(g.fail("encoding", err))
 	}
-	g.keep(buffer)
+	g.recycle(buffer)
 	finishFrame(buffer)
-	if err := g.append(buffer); err != nil {
+	if err := g.appendFrame(buffer); err != nil {
 		return trace.Wrap(err)
 	}
-	if effects.HardState != nil {
-		g.promise = *effects.HardState
+	if ready.HardState != nil {
+		g.hardState = *ready.HardState
 	}
-	g.base, g.last = base, last
+	g.snapshotIndex, g.lastIndex = snapshotIndex, lastIndex
 	return nil
 }
 
-// append writes a frame at the log's end and syncs it.
-func (g *Group) append(frame []byte) error {
+// appendFrame writes a frame at the log's end and syncs it.
+func (g *Group) appendFrame(frame []byte) error {
 	if _, err := g.log.Write(frame); err != nil {
-		g.cutLog()
+		g.truncateUnsynced()
 		return g.fail("write to the log", err)
 	}
 	if err := g.log.Sync(); err != nil {
-		g.cutLog()
+		g.truncateUnsynced()
 		return g.fail("sync of the log", err)
 	}
 	g.logBytes += int64(len(frame))
@@ -85,78 +92,37 @@
 	return nil
 }
 
-// cutLog takes back, as far as possible, a frame whose write or sync failed. Otherwise the next process may read it from
-// memory and take it for lasting, while the disk never gets it.
-func (g *Group) cutLog() { _ = g.log.Truncate(g.logBytes) }
-
-// follow checks that effects fit behind what is saved, and returns the indexes that they lead to.
-func (g *Group) follow(effects *replica.Ready) (base, last uint64, err error) {
-	base, last = g.base, g.last
-	if effects.HardState != nil {
-		if err := checkPromise(g.promise, *effects.HardState); err != nil {
-			return 0, 0, err
-		}
-	}
-	if effects.Snapshot != nil {
-		base, last = effects.Snapshot.Index, effects.Snapshot.Index
-	}
-	if effects.TruncateFrom > 0 {
-		if effects.TruncateFrom <= base {
-			return 0, 0, fmt.Errorf("a cut at %d lies within the snapshot up to %d", effects.TruncateFrom, base)
-		}
-		last = min(last, effects.TruncateFrom-1)
-	}
-	last, err = checkEntries(last, effects.Entries)
-	return base, last, err
-}
-
-// checkPromise refuses a promise that takes back an earlier one.
-func checkPromise(saved, next replica.HardState) error {
-	if next.Term < saved.Term {
-		return fmt.Errorf("a promise of epoch %d would take back that of epoch %d", next.Term, saved.Term)
-	}
-	if next.Term == saved.Term && saved.Vote != "" && next.Vote != saved.Vote {
-		return fmt.Errorf("a vote for %q in epoch %d would take back that for %q", next.Vote, next.Term, saved.Vote)
-	}
-	return nil
-}
-
-// checkEntries refuses entries that leave a gap behind the last index, and returns the last one.
-func checkEntries(last uint64, entries []replica.Entry) (uint64, error) {
-	for i := range entries {
-		if entries[i].Index != last+1 {
-			return 0, fmt.Errorf("entry %d does not follow entry %d", entries[i].Index, last)
-		}
-		last++
-	}
-	return last, nil
-}
+// truncateUnsynced takes back, as far as possible, a frame whose write or sync failed. Otherwise the next process might read it
+// from the page cache and take it for durable, while it never reaches the disk.
+func (g *Group) truncateUnsynced() { _ = g.log.Truncate(g.logBytes) }
 
-// keep holds a buffer for the next save, unless it is large.
-func (g *Group) keep(buffer []byte) {
-	if cap(buffer) > maxKeptBytes {
+// recycle keeps a buffer for the next save, unless it is large.
+func (g *Group) recycle(buffer []byte) {
+	if cap(buffer) > maxBufferBytes {
 		buffer = nil
 	}
 	g.buffer = buffer
 }
 
-// fail breaks the group for good.
+// fail puts the group out of use for good. Only the first failure counts.
 func (g *Group) fail(operation string, cause error) error {
-	if g.broken == nil {
-		g.broken = &FailedError{Operation: operation, Cause: cause}
+	if g.failure == nil {
+		g.failure = &FailedError{Operation: operation, Cause: cause}
 	}
-	return g.broken
+	return g.failure
 }
 
 // LogBytes returns the length of the log.
 func (g *Group) LogBytes() int64 { return g.logBytes }
 
-// Close closes the log. Later calls return a FailedError.
+// Close closes the log without a sync; everything that was acknowledged is durable already. Later calls return a FailedError,
+// apart from Close.
 func (g *Group) Close() error {
-	if g.broken != nil && g.broken.Cause == fs.ErrClosed {
+	if g.closed {
 		return nil
 	}
-	g.broken = &FailedError{Operation: "use", Cause: fs.ErrClosed}
+	g.closed = true
+	g.failure = &FailedError{Operation: "use", Cause: fs.ErrClosed}
 	g.dropIncoming()
 	return trace.Wrap(g.log.Close())
 }
--- /dev/null
+++ b/internal/tier/storage/has_snapshot.go
@@ -0,0 +1,39 @@
+package storage
+
+import "github.com/gravitational/trace"
+
+// HasSnapshot reports whether Open would recover a snapshot of a group, and with it the group's members. It reads no more than
+// the first frame of the newest log where that is intact. Otherwise, after an interrupted compaction or where the disk is
+// damaged, it opens the group, and returns the errors of Open.
+func HasSnapshot(disk Disk, group string) (bool, error) {
+	names, err := disk.List()
+	if err != nil {
+		return false, trace.Wrap(err)
+	}
+	if logs := findGroupFiles(names, group).logs; len(logs) > 0 && logs[0] > 0 {
+		found, err := hasFirstFrame(disk, fileName(group, logSuffix(logs[0])), logs[0])
+		if err != nil || found {
+			return found, trace.Wrap(err)
+		}
+	}
+	opened, recovered, err := Open(disk, group)
+	if err != nil {
+		return false, err
+	}
+	return recovered.Snapshot != nil, opened.Close()
+}
+
+// hasFirstFrame reports whether the first frame of a generation's log is intact.
+func hasFirstFrame(disk Disk, name string, generation uint64) (bool, error) {
+	file, err := disk.Open(name)
+	if err != nil {
+		return false, err
+	}
+	defer file.Close()
+	reader, err := newFrameReader(file, true)
+	if err != nil {
+		return false, err
+	}
+	first, intact, err := reader.next()
+	return intact && first.generation == generation && first.sequence == 0, err
+}
--- a/internal/tier/storage/script_test.go
+++ b/internal/tier/storage/history_test.go
@@ -22,19 +22,19 @@
 // step is one call of a member, relative to what it has saved.
 type step struct {
 	Compact bool
-	Raise   uint64 // of the promise's epoch
+	Raise   uint64 // by which the term rises
 	Vote    string
 	Install bool
-	Cut     int // entries at the end that are void
+	Cut     int // entries at the end that are truncated
 	Entries int // that are appended
 	Bytes   int // of each one's data
 	Keep    int // entries that remain after a compaction
 
-	Received int // parts of a snapshot that is never whole
+	Received int // chunks of a snapshot that never becomes complete
 }
 
-// round is the life of one process, up to its end at one of the changes that it makes to the disk.
-type round struct {
+// processRun is what one process does, up to its crash at one of the changes that it makes to the disk.
+type processRun struct {
 	Steps  []step
 	StopAt int
 	Effect memorydisk.Effect
@@ -58,9 +58,9 @@
 	}
 })
 
-// rounds draws a round.
-var rounds = rapid.Custom(func(t *rapid.T) round {
-	return round{
+// processRuns draws the run of a process.
+var processRuns = rapid.Custom(func(t *rapid.T) processRun {
+	return processRun{
 		Steps:  rapid.SliceOfN(steps, 1, 10).Draw(t, "steps"),
 		StopAt: rapid.IntRange(0, 30).Draw(t, "stop at"),
 		Effect: rapid.SampledFrom([]memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied}).Draw(t, "effect"),
@@ -69,8 +69,8 @@
 	}
 })
 
-// scripts draws the lives of several processes that use a disk one after the other.
-var scripts = rapid.SliceOfN(rounds, 1, 8)
+// histories draws the runs of several processes that use a disk one after the other.
+var histories = rapid.SliceOfN(processRuns, 1, 8)
 
 // state is what a member has saved, with the whole state of its snapshot.
 type state struct{ replica.Recovered }
@@ -116,7 +116,7 @@
 	base, last := s.base(), s.last()
 	if wanted.Install {
 		effects.Snapshot = snapshotAt(last+3, epoch, wanted.Bytes)
-		effects.ReceivedChunks = partsOf(effects.Snapshot)
+		effects.ReceivedChunks = chunksOf(effects.Snapshot)
 		base, last = last+3, last+3
 	}
 	for number := 0; number < wanted.Received && !wanted.Install; number++ {
@@ -152,14 +152,14 @@
 
 func snapshotAt(index, epoch uint64, bytes int) *replica.Snapshot {
 	return &replica.Snapshot{Index: index, Term: epoch, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
-		Chunks: partCount(bytes), State: entryAt(index, epoch, bytes+1).Data}
+		Chunks: chunkCount(bytes), State: entryAt(index, epoch, bytes+1).Data}
 }
 
-// partCount is the number of parts in which a state of so many bytes comes.
-func partCount(bytes int) int { return 1 + bytes%4 }
+// chunkCount is the number of chunks in which a state of so many bytes comes.
+func chunkCount(bytes int) int { return 1 + bytes%4 }
 
-// partsOf cuts the state of a snapshot into its parts.
-func partsOf(snapshot *replica.Snapshot) []replica.Chunk {
+// chunksOf splits the state of a snapshot into its chunks.
+func chunksOf(snapshot *replica.Snapshot) []replica.Chunk {
 	var parts []replica.Chunk
 	state := snapshot.State
 	for number := range snapshot.Chunks {
@@ -169,10 +169,10 @@
 	return parts
 }
 
-// written hands the parts of a snapshot's state over, as a state machine does.
-func written(snapshot *replica.Snapshot) storage.ChunkSource {
+// written hands the chunks of a snapshot's state over, as a state machine does.
+func chunkSource(snapshot *replica.Snapshot) storage.ChunkSource {
 	return func(write func(part json.RawMessage) error) error {
-		for _, part := range partsOf(snapshot) {
+		for _, part := range chunksOf(snapshot) {
 			if err := write(part.Data); err != nil {
 				return err
 			}
@@ -181,8 +181,8 @@
 	}
 }
 
-// withState adds to what was recovered the state that lies in the slot, read in both ways.
-func withState(group *storage.Group, recovered replica.Recovered) (replica.Recovered, error) {
+// withSnapshotState adds to what was recovered the state that lies in the slot, read in both ways.
+func withSnapshotState(group *storage.Group, recovered replica.Recovered) (replica.Recovered, error) {
 	if recovered.Snapshot == nil {
 		return recovered, nil
 	}
@@ -192,13 +192,13 @@
 		whole.State = append(whole.State, part...)
 		single, err := group.ReadChunk(number)
 		if err == nil && !bytes.Equal(single, part) {
-			err = fmt.Errorf("part %d is %q by itself and %q in sequence", number, single, part)
+			err = fmt.Errorf("chunk %d is %q by itself and %q in sequence", number, single, part)
 		}
 		number++
 		return err
 	})
 	if err == nil && number != whole.Chunks {
-		err = fmt.Errorf("%d parts were read of %d", number, whole.Chunks)
+		err = fmt.Errorf("%d chunks were read of %d", number, whole.Chunks)
 	}
 	recovered.Snapshot = &whole
 	return recovered, err
@@ -217,27 +217,27 @@
 // member is a member that uses a disk, and what its disk may hold after a stop.
 type member struct {
 	disk     *memorydisk.Disk
-	seen     storage.Disk // the disk as the member's process sees it
+	view     storage.Disk // the disk as the member's process sees it
 	saved    state
 	possible []state
 }
 
 func newMember(wrap func(storage.Disk) storage.Disk) *member {
 	disk := memorydisk.New()
-	return &member{disk: disk, seen: wrap(disk), possible: []state{{}}}
+	return &member{disk: disk, view: wrap(disk), possible: []state{{}}}
 }
 
 // open recovers the member and checks that it is in one of the possible states.
 func (m *member) open() (*storage.Group, error) {
-	hasSnapshot, seenErr := storage.HasSnapshot(m.seen, groupName)
-	group, recovered, err := storage.Open(m.seen, groupName)
+	hasSnapshot, seenErr := storage.HasSnapshot(m.view, groupName)
+	group, recovered, err := storage.Open(m.view, groupName)
 	if err != nil {
 		return nil, err
 	}
 	if seenErr != nil || hasSnapshot != (recovered.Snapshot != nil) {
 		return nil, fmt.Errorf("the first frames of the logs tell that a snapshot is there: %v, %v", hasSnapshot, seenErr)
 	}
-	if recovered, err = withState(group, recovered); err != nil {
+	if recovered, err = withSnapshotState(group, recovered); err != nil {
 		return nil, err
 	}
 	for _, possible := range m.possible {
@@ -251,11 +251,11 @@
 }
 
 // take makes one step.
-func (m *member) take(group *storage.Group, wanted step) error {
+func (m *member) apply(group *storage.Group, wanted step) error {
 	next, err := state{}, error(nil)
 	if wanted.Compact {
 		next = m.saved.compacted(wanted)
-		err = group.Compact(*next.Snapshot, written(next.Snapshot), next.Entries, next.HardState)
+		err = group.Compact(*next.Snapshot, chunkSource(next.Snapshot), next.Entries, next.HardState)
 	} else {
 		effects := m.saved.effects(wanted)
 		next = m.saved.with(effects)
@@ -270,27 +270,27 @@
 	return nil
 }
 
-// live is the life of one process.
-func (m *member) live(wanted []step) error {
+// live runs one process.
+func (m *member) runProcess(wanted []step) error {
 	group, err := m.open()
 	if err != nil {
 		return err
 	}
 	for _, one := range wanted {
-		if err := m.take(group, one); err != nil {
+		if err := m.apply(group, one); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// run plays a script. The error says what was wrong.
-func run(script []round, wrap func(storage.Disk) storage.Disk) error {
+// run runs a history. The error says what was wrong.
+func run(history []processRun, wrap func(storage.Disk) storage.Disk) error {
 	m := newMember(wrap)
-	for i, one := range script {
+	for i, one := range history {
 		m.disk.CrashAt(one.StopAt, one.Effect)
-		if err := m.live(one.Steps); err != nil && !errors.Is(err, memorydisk.ErrCrashed) {
-			return fmt.Errorf("round %d: %w", i, err)
+		if err := m.runProcess(one.Steps); err != nil && !errors.Is(err, memorydisk.ErrCrashed) {
+			return fmt.Errorf("run %d: %w", i, err)
 		}
 		if one.Power {
 			m.disk.LosePower(one.Seed)
@@ -313,5 +313,5 @@
 	return nil
 }
 
-// asItIs is no wrapping at all.
-func asItIs(disk storage.Disk) storage.Disk { return disk }
+// unwrapped is no wrapping at all.
+func unwrapped(disk storage.Disk) storage.Disk { return disk }
--- a/internal/tier/storage/identity.go
+++ b/internal/tier/storage/identity.go
@@ -9,18 +9,20 @@
 	"github.com/gravitational/trace"
 )
 
-// The machine's identity lies in a file of its own, IdentityFile.
+// IdentityFile is the name of the file that holds the machine's identity.
+const IdentityFile = "identity"
+
 const (
-	IdentityFile      = "identity"
-	identityDraftName = "identity.new"
-	identityBytes     = 16 // before they are written as hexadecimal digits
+	identityTempFile = "identity.new"
+	identityBytes    = 16 // before hexadecimal encoding
 )
 
-// LoadOrCreateIdentity returns the identity of a machine, which lies on its disk, and makes it out of random bytes if there is none.
-// It returns once the identity lasts. A created identity says that the disk was empty; whether it may have been is known
-// to the caller only.
+// LoadOrCreateIdentity returns the identity of a machine, which lies on its disk, and makes one out of random bytes if there is
+// none. It returns once the identity is durable. Created reports that the disk had none; only the caller knows whether a disk
+// without an identity was to be expected. The error is a CorruptError where the file holds no identity, the disk's, or that of
+// random.
 func LoadOrCreateIdentity(disk Disk, random io.Reader) (id string, created bool, err error) {
-	id, err = readIdentity(disk)
+	id, err = loadIdentity(disk)
 	if errors.Is(err, fs.ErrNotExist) {
 		id, err = createIdentity(disk, random)
 		return id, err == nil, trace.Wrap(err)
@@ -28,8 +30,9 @@
 	return id, false, trace.Wrap(err)
 }
 
-// readIdentity reads the identity. Its name may come from a process that was killed before it synced the folder.
-func readIdentity(disk Disk) (string, error) {
+// loadIdentity reads the identity. Its name may come from a process that was killed before it synced the directory, so that is
+// synced here.
+func loadIdentity(disk Disk) (string, error) {
 	file, err := disk.Open(IdentityFile)
 	if err != nil {
 		return "", err
@@ -45,25 +48,25 @@
 	return string(data), disk.SyncDir()
 }
 
-// createIdentity writes a new identity under another name first, so that its own name never stands for half of it.
+// createIdentity writes a new identity to a temporary file and renames it, so that its name never stands for half of it.
 func createIdentity(disk Disk, random io.Reader) (string, error) {
 	var bytes [identityBytes]byte
 	if _, err := io.ReadFull(random, bytes[:]); err != nil {
 		return "", err
 	}
 	id := hex.EncodeToString(bytes[:])
-	if err := writeDraft(disk, id); err != nil {
+	if err := writeIdentityTemp(disk, id); err != nil {
 		return "", err
 	}
-	if err := disk.Rename(identityDraftName, IdentityFile); err != nil {
+	if err := disk.Rename(identityTempFile, IdentityFile); err != nil {
 		return "", err
 	}
 	return id, disk.SyncDir()
 }
 
-// writeDraft writes the identity under its preliminary name and returns once the content lasts.
-func writeDraft(disk Disk, id string) error {
-	file, err := disk.Create(identityDraftName)
+// writeIdentityTemp writes the temporary file and returns once its content is durable.
+func writeIdentityTemp(disk Disk, id string) error {
+	file, err := disk.Create(identityTempFile)
 	if err != nil {
 		return err
 	}
--- a/internal/tier/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -14,7 +14,7 @@
 func random(value byte) *bytes.Reader { return bytes.NewReader(bytes.Repeat([]byte{value}, 64)) }
 
 // Given an empty disk, when a machine starts for the first time, then it makes an identity that all later starts find.
-func TestIdentityIsMadeOnce(t *testing.T) {
+func TestIdentity_LaterStarts_FindTheSame(t *testing.T) {
 	disk := memorydisk.New()
 	first, created, err := storage.LoadOrCreateIdentity(disk, random(0xab))
 	if err != nil || !created || first != strings.Repeat("ab", 16) {
@@ -31,9 +31,9 @@
 
 // Given a first start that is stopped at any change, when the machine starts again, then it has one identity that lasts, and
 // one that was returned stays.
-func TestIdentityIsStoppedAnywhere(t *testing.T) {
+func TestIdentity_CrashAtAnyChange_StaysOnceReturned(t *testing.T) {
 	for change := range 6 {
-		for seed := range uint64(lossSeeds) {
+		for seed := range uint64(powerLossSeeds) {
 			disk := memorydisk.New()
 			disk.CrashAt(change, memorydisk.Effect(seed%3))
 			returned, _, err := storage.LoadOrCreateIdentity(disk, random(0xab))
@@ -56,7 +56,7 @@
 }
 
 // Given a file that holds no identity, when the machine starts, then the disk is refused.
-func TestDamagedIdentityIsRefused(t *testing.T) {
+func TestIdentity_FileDamaged_IsCorrupt(t *testing.T) {
 	for _, content := range []string{"", "abcd", strings.Repeat("g", 32), strings.Repeat("a", 34)} {
 		disk := memorydisk.New()
 		if err := write(disk, "identity", []byte(content)); err != nil {
@@ -65,13 +65,13 @@
 		_, created, err := storage.LoadOrCreateIdentity(disk, random(1))
 		var damage *storage.CorruptError
 		if !errors.As(err, &damage) || created {
-			t.Errorf("%q: got %v and %v, want a DamageError", content, created, err)
+			t.Errorf("%q: got %v and %v, want a CorruptError", content, created, err)
 		}
 	}
 }
 
 // Given too little randomness, when an identity is made, then there is an error and nothing on the disk.
-func TestIdentityNeedsRandomness(t *testing.T) {
+func TestIdentity_TooLittleRandomness_WritesNothing(t *testing.T) {
 	disk := memorydisk.New()
 	_, created, err := storage.LoadOrCreateIdentity(disk, strings.NewReader("short"))
 	names, _ := disk.List()
--- a/internal/tier/storage/memorydisk/disk_test.go
+++ b/internal/tier/storage/memorydisk/disk_test.go
@@ -78,7 +78,7 @@
 }
 
 // Given synced files and names, when power is lost, then they stay.
-func TestSyncedContentStays(t *testing.T) {
+func TestLosePower_SyncedContent_Stays(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "hello")
 		must(t, file.Truncate(4))
@@ -93,7 +93,7 @@
 
 // Given writes and cuts since the last sync, when power is lost, then each is there, missing or torn, and what was synced
 // stays.
-func TestUnsyncedWritesAreThereMissingOrTorn(t *testing.T) {
+func TestLosePower_UnsyncedWrites_AreThereMissingOrTorn(t *testing.T) {
 	long := strings.Repeat("x", 200)
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "synced")
@@ -124,7 +124,7 @@
 
 // Given names that were made, renamed and removed since the folder's last sync, when power is lost, then each is as it was
 // or as it became, by itself.
-func TestUnsyncedNamesAreKeptOrLost(t *testing.T) {
+func TestLosePower_UnsyncedNames_AreKeptOrLost(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		must(t, create(t, disk, "removed", "1").Sync())
 		must(t, create(t, disk, "from", "2").Sync())
@@ -140,7 +140,7 @@
 }
 
 // Given a file that both its names outlived, when one of them is written, then the other does not change.
-func TestNamesOfARenamedFilePart(t *testing.T) {
+func TestLosePower_BothNamesOfARenamedFile_AreSeparateFiles(t *testing.T) {
 	for seed := range uint64(seeds) {
 		disk := memorydisk.New()
 		must(t, create(t, disk, "from", "text").Sync())
@@ -160,7 +160,7 @@
 }
 
 // Given a failed sync, when a later one succeeds and power is lost, then the writes before the failed one are gone.
-func TestFailedSyncLosesItsWrites(t *testing.T) {
+func TestLosePower_AfterFailedSync_LosesItsWrites(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "1")
 		must(t, file.Sync())
@@ -183,7 +183,7 @@
 }
 
 // Given a killed process, then all that was written stays, and its files are closed.
-func TestKillKeepsEverything(t *testing.T) {
+func TestKill_UnsyncedWrites_Stay(t *testing.T) {
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "text")
 	disk.Kill()
@@ -196,7 +196,7 @@
 }
 
 // Given a process that is stopped at a write, then the write has the effect that was asked for and nothing comes after it.
-func TestStopAt(t *testing.T) {
+func TestCrashAt_EachEffect_StopsTheProcess(t *testing.T) {
 	for effect, want := range map[memorydisk.Effect]string{memorydisk.NotApplied: "", memorydisk.Torn: "te", memorydisk.Applied: "text"} {
 		disk := memorydisk.New()
 		disk.CrashAt(1, effect)
@@ -218,7 +218,7 @@
 }
 
 // Given a bound on the space, then a write beyond it is short, and space that is freed can be used.
-func TestCapacity(t *testing.T) {
+func TestSetCapacity_FullDisk_ShortWrite(t *testing.T) {
 	disk := memorydisk.New()
 	disk.SetCapacity(5)
 	file := create(t, disk, "a", "123")
@@ -235,7 +235,7 @@
 }
 
 // Given some operations, then they are counted.
-func TestCounts(t *testing.T) {
+func TestCounts_SomeOperations_AreCounted(t *testing.T) {
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "123")
 	must(t, file.Sync())
@@ -248,7 +248,7 @@
 }
 
 // Given names that are not there, then there are errors that say so.
-func TestMissingNames(t *testing.T) {
+func TestDisk_FileMissing_IsNotExist(t *testing.T) {
 	disk := memorydisk.New()
 	_, err := disk.Open("a")
 	for _, err := range []error{err, disk.Remove("a"), disk.Rename("a", "b")} {
--- a/internal/tier/storage/mutants_test.go
+++ b/internal/tier/storage/mutants_test.go
@@ -19,13 +19,13 @@
 		{
 			Name:   "checksums are ignored, damaged files",
 			Change: ignoringChecksums,
-			Run:    "^(TestDamagedMiddleIsRefused|TestTornEndIsCutOff|TestDamagedCompactionIsRefused)$",
+			Run:    "^(TestOpen_LogDamagedBeforeLastFrame_IsCorrupt|TestOpen_TornLastFrame_IsTruncated|TestOpen_SlotOrFirstFrameDamaged_IsCorrupt)$",
 			Always: true,
 		},
 		{
-			Name:   "checksums are ignored, scripts of crashes",
+			Name:   "checksums are ignored, crash histories",
 			Change: ignoringChecksums,
-			Run:    "^TestScriptsShowNoMistakeByThemselves$",
+			Run:    "^TestHistories_UnchangedPackage_ShowNoMistake$",
 		},
 	})
 }
--- a/internal/tier/storage/os.go
+++ b/internal/tier/storage/osdisk.go
@@ -13,23 +13,23 @@
 // filePermissions are those of new files.
 const filePermissions = 0o600
 
-// OSDisk is the folder of the operating system that it is rooted at.
+// OSDisk is a directory of the operating system.
 type OSDisk struct {
-	root   string
-	folder *os.File // kept open for syncs
+	root string
+	dir  *os.File // kept open for SyncDir
 }
 
-// OpenOSDisk opens a folder, which must be there.
+// OpenOSDisk opens an existing directory. The error is the operating system's, converted by package trace.
 func OpenOSDisk(root string) (*OSDisk, error) {
-	folder, err := os.Open(root)
+	dir, err := os.Open(root)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	return &OSDisk{root: root, folder: folder}, nil
+	return &OSDisk{root: root, dir: dir}, nil
 }
 
-// Close gives the folder up.
-func (o *OSDisk) Close() error { return o.folder.Close() }
+// Close closes the directory. Open files stay open.
+func (o *OSDisk) Close() error { return o.dir.Close() }
 
 // Open implements Disk.
 func (o *OSDisk) Open(name string) (File, error) { return o.open(name, os.O_RDWR) }
@@ -39,7 +39,7 @@
 	return o.open(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
 
-// open opens a file with flags.
+// open opens a file with the flags of os.OpenFile.
 func (o *OSDisk) open(name string, flags int) (File, error) {
 	file, err := os.OpenFile(o.path(name), flags, filePermissions)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return &osFile{file: file, descriptor: int(file.Fd()), end: status.Size()}, nil
 }
 
-// path returns where a file lies.
+// path returns the path of a file.
 func (o *OSDisk) path(name string) string { return filepath.Join(o.root, name) }
 
 // Rename implements Disk.
@@ -64,24 +64,24 @@
 
 // List implements Disk.
 func (o *OSDisk) List() ([]string, error) {
-	folder, err := os.Open(o.root)
+	dir, err := os.Open(o.root)
 	if err != nil {
 		return nil, err
 	}
-	defer folder.Close()
-	names, err := folder.Readdirnames(-1)
+	defer dir.Close()
+	names, err := dir.Readdirnames(-1)
 	slices.Sort(names)
 	return names, err
 }
 
 // SyncDir implements Disk.
-func (o *OSDisk) SyncDir() error { return o.folder.Sync() }
+func (o *OSDisk) SyncDir() error { return o.dir.Sync() }
 
 // osFile is an open file of the operating system.
 type osFile struct {
 	file       *os.File
 	descriptor int
-	end        int64 // where the next write goes
+	end        int64 // offset of the next write
 }
 
 // ReadAt implements File.
@@ -123,7 +123,7 @@
 	return status.Size(), nil
 }
 
-// Sync implements File. An interrupted call has not been answered yet and is made again; a failed one never is.
+// Sync implements File. A call that was interrupted by a signal has had no result and is repeated; a failed one never is.
 func (f *osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(f.descriptor)
--- a/internal/tier/storage/os_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/storage"
 )
 
-// openFolder opens the disk of a folder.
-func openFolder(t testing.TB, root string) *storage.OSDisk {
+// openDir opens a directory as a disk.
+func openDir(t testing.TB, root string) *storage.OSDisk {
 	t.Helper()
 	disk, err := storage.OpenOSDisk(root)
 	if err != nil {
@@ -22,34 +22,34 @@
 	return disk
 }
 
-// Given a group in a folder, when processes use it one after the other, then each finds what the one before has saved.
-func TestGroupInAFolder(t *testing.T) {
+// Given a group in a directory, when processes use it one after the other, then each finds what the one before has saved.
+func TestOSDisk_GroupOfSeveralProcesses_RecoversWhatWasSaved(t *testing.T) {
 	root := t.TempDir()
-	m := &member{seen: openFolder(t, root), possible: []state{{}}}
+	m := &member{view: openDir(t, root), possible: []state{{}}}
 	for _, life := range [][]step{
 		{{Raise: 1, Vote: "north", Entries: 3, Bytes: 100}, {Cut: 1, Entries: 2, Bytes: 10}},
 		{{Entries: 2, Bytes: 10}, {Compact: true, Keep: 2, Bytes: 200}, {Entries: 1, Bytes: 10}},
 		{{Compact: true, Keep: 1, Bytes: 200}, {Install: true, Entries: 1, Bytes: 20}, {Compact: true, Bytes: 10}},
 		{{Raise: 1, Entries: 1}},
 	} {
-		if err := m.live(life); err != nil {
+		if err := m.runProcess(life); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := m.live(nil); err != nil {
+	if err := m.runProcess(nil); err != nil {
 		t.Fatal(err)
 	}
-	names, err := m.seen.List()
+	names, err := m.view.List()
 	if err != nil || strings.Join(names, " ") != "turns-1.log-4 turns-1.slot-a turns-1.slot-b" {
 		t.Fatalf("got files %q and %v", names, err)
 	}
 }
 
-// Given a log in a folder with a torn end, when a process opens it, then it cuts the end off and appends there.
-func TestTornEndInAFolder(t *testing.T) {
+// Given a log in a directory with a torn write, when a process opens it, then it truncates that and appends there.
+func TestOSDisk_TornLog_IsTruncatedAndAppendedTo(t *testing.T) {
 	root := t.TempDir()
-	m := &member{seen: openFolder(t, root), possible: []state{{}}}
-	if err := m.live([]step{{Raise: 1, Entries: 3, Bytes: 100}}); err != nil {
+	m := &member{view: openDir(t, root), possible: []state{{}}}
+	if err := m.runProcess([]step{{Raise: 1, Entries: 3, Bytes: 100}}); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(root, firstLog)
@@ -61,15 +61,15 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := m.live([]step{{Entries: 1, Bytes: 10}}); err != nil {
+		if err := m.runProcess([]step{{Entries: 1, Bytes: 10}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Given a folder, when files are made, renamed, cut and removed, then it behaves as the interface says.
-func TestFilesInAFolder(t *testing.T) {
-	disk := openFolder(t, t.TempDir())
+// Given a directory, when files are created, renamed, truncated and removed, then it behaves as the interface says.
+func TestOSDisk_Files_BehaveAsDiskSays(t *testing.T) {
+	disk := openDir(t, t.TempDir())
 	if _, err := disk.Open("missing"); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("got %v, want that it does not exist", err)
 	}
@@ -116,16 +116,16 @@
 	}
 }
 
-// Given no folder, when it is opened, then there is an error.
-func TestMissingFolder(t *testing.T) {
+// Given no directory, when it is opened, then there is an error.
+func TestOSDisk_DirectoryMissing_IsAnError(t *testing.T) {
 	if _, err := storage.OpenOSDisk(filepath.Join(t.TempDir(), "missing")); err == nil {
-		t.Fatal("a missing folder was opened")
+		t.Fatal("a missing directory was opened")
 	}
 }
 
-// Given a folder, when a machine starts twice, then it keeps its identity.
-func TestIdentityInAFolder(t *testing.T) {
-	disk := openFolder(t, t.TempDir())
+// Given a directory, when a machine starts twice, then it keeps its identity.
+func TestOSDisk_Identity_IsKept(t *testing.T) {
+	disk := openDir(t, t.TempDir())
 	first, created, err := storage.LoadOrCreateIdentity(disk, random(7))
 	if err != nil || !created {
 		t.Fatalf("got %v and %v", created, err)
--- a/internal/tier/storage/record.go
+++ b/internal/tier/storage/record.go
@@ -7,15 +7,15 @@
 	"mastusher/internal/tier/replica"
 )
 
-// recordKind tells what a record holds.
+// recordKind says what a record holds. Its values are stored.
 type recordKind string
 
 // The kinds of record.
 const (
-	promiseRecord  recordKind = "promise"
-	snapshotRecord recordKind = "snapshot" // what the parts of a slot stand for
-	truncateRecord recordKind = "truncate" // voids the entries from its index on
-	entryRecord    recordKind = "entry"
+	hardStateRecord recordKind = "promise"
+	snapshotRecord  recordKind = "snapshot" // metadata of the snapshot whose chunks the slot holds
+	truncateRecord  recordKind = "truncate" // voids the entries from its index on
+	entryRecord     recordKind = "entry"
 )
 
 // record is a line of JSON. Behind the line of an entry come Size bytes of its data as they are, and a line break unless the
@@ -23,12 +23,12 @@
 type record struct {
 	Kind      recordKind        `json:"record"`
 	Index     uint64            `json:"index,omitempty"`
-	Epoch     uint64            `json:"epoch,omitempty"`
+	Term      uint64            `json:"epoch,omitempty"`
 	Vote      string            `json:"vote,omitempty"`
 	EntryKind replica.EntryKind `json:"kind,omitempty"`
 	Members   []replica.Member  `json:"members,omitempty"`
 	Size      int               `json:"size,omitempty"`
-	Parts     int               `json:"parts,omitempty"`
+	Chunks    int               `json:"parts,omitempty"`
 }
 
 // appendRecord appends a record's line.
@@ -41,35 +41,35 @@
 	return append(buffer, '\n'), nil
 }
 
-// appendPromise appends a promise.
-func appendPromise(buffer []byte, promise replica.HardState) ([]byte, error) {
-	return appendRecord(buffer, &record{Kind: promiseRecord, Epoch: promise.Term, Vote: promise.Vote})
+// appendHardState appends the record of a HardState.
+func appendHardState(buffer []byte, state replica.HardState) ([]byte, error) {
+	return appendRecord(buffer, &record{Kind: hardStateRecord, Term: state.Term, Vote: state.Vote})
 }
 
-// appendSnapshot appends a snapshot without its state.
+// appendSnapshot appends the record of a snapshot's metadata.
 func appendSnapshot(buffer []byte, snapshot *replica.Snapshot) ([]byte, error) {
-	line := record{Kind: snapshotRecord, Index: snapshot.Index, Epoch: snapshot.Term,
-		Members: snapshot.Members, Parts: snapshot.Chunks}
+	line := record{Kind: snapshotRecord, Index: snapshot.Index, Term: snapshot.Term,
+		Members: snapshot.Members, Chunks: snapshot.Chunks}
 	return appendRecord(buffer, &line)
 }
 
-// appendTruncate appends the cut of all entries from an index on.
+// appendTruncate appends the record that voids all entries from an index on.
 func appendTruncate(buffer []byte, index uint64) []byte {
 	buffer = append(buffer, `{"record":"truncate","index":`...)
 	buffer = strconv.AppendUint(buffer, index, 10)
 	return append(buffer, "}\n"...)
 }
 
-// appendEffects appends all that one step has to save, apart from snapshots.
-func appendEffects(buffer []byte, effects *replica.Ready) ([]byte, error) {
+// appendReady appends the records of what one step has to save, apart from snapshots. The order counts: recovery replays it.
+func appendReady(buffer []byte, ready *replica.Ready) ([]byte, error) {
 	var err error
-	if effects.HardState != nil {
-		if buffer, err = appendPromise(buffer, *effects.HardState); err != nil {
+	if ready.HardState != nil {
+		if buffer, err = appendHardState(buffer, *ready.HardState); err != nil {
 			return buffer, err
 		}
 	}
-	if effects.TruncateFrom > 0 {
-		buffer = appendTruncate(buffer, effects.TruncateFrom)
+	if ready.TruncateFrom > 0 {
+		buffer = appendTruncate(buffer, ready.TruncateFrom)
 	}
-	return appendEntries(buffer, effects.Entries), nil
+	return appendEntries(buffer, ready.Entries), nil
 }
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -13,7 +13,7 @@
 )
 
 // Given any effects, whatever their data and numbers hold, when they are saved, then they are recovered as they were.
-func TestEffectsAreRecoveredAsTheyWere(t *testing.T) {
+func TestSave_AnyReady_IsRecoveredUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "\n", "\x00\x1fG\x01", `{"record":"truncate","index":1}` + "\n"}))
 		epoch := rapid.OneOf(rapid.Uint64(), rapid.Just[uint64](math.MaxUint64))
@@ -23,7 +23,7 @@
 				Members: []replica.Member{{ID: strings.ToValidUTF8(text.Draw(t, "member"), "")}}, State: []byte(text.Draw(t, "state")),
 				Chunks: rapid.IntRange(1, 4).Draw(t, "parts")},
 		}
-		effects.ReceivedChunks = partsOf(effects.Snapshot)
+		effects.ReceivedChunks = chunksOf(effects.Snapshot)
 		for i := range rapid.Uint64Max(5).Draw(t, "entries") {
 			effects.Entries = append(effects.Entries, replica.Entry{Index: effects.Snapshot.Index + i + 1, Term: epoch.Draw(t, "epoch"),
 				Kind: replica.EntryKind(rapid.Uint8().Draw(t, "kind")), Data: []byte(text.Draw(t, "data"))})
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if recovered, err = withState(opened, recovered); err != nil {
+		if recovered, err = withSnapshotState(opened, recovered); err != nil {
 			t.Fatal(err)
 		}
 		want := state{}.with(effects).Recovered
