--- a/internal/tier/configuration/arrivals_test.go
+++ b/internal/tier/configuration/delivery_order_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestEveryArrivalOfCopies has two operators send different orders under one number and on one version, another one that builds
+// TestStateMachine_CopiesInAnyOrder_OneWinnerPerVersion has two operators send different orders under one number and on one version, another one that builds
 // on them, and the same content on another version; each copy arrives at any time, also before the version on which it builds.
-func TestEveryArrivalOfCopies(t *testing.T) {
+func TestStateMachine_CopiesInAnyOrder_OneWinnerPerVersion(t *testing.T) {
 	a := &arrivals{t: t, left: []int{2, 2, 2, 2, 1}, orders: []*configuration.Proposal{
 		order(0, 3, "first"), order(0, 3, "other"), order(3, 5, "next"), order(3, 5, "rival"), order(0, 5, "next")}}
 	a.explore(configuration.New().Snapshot(), 1)
--- a/internal/tier/configuration/register_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -15,7 +15,7 @@
 	return &configuration.Proposal{Base: base, Number: number, Raw: json.RawMessage(fmt.Sprintf(`{"number":%d,"x":%q}`, number, content))}
 }
 
-func TestApply(t *testing.T) {
+func TestStateMachine_Apply(t *testing.T) {
 	first, second := order(0, 3, "first"), order(3, 7, "second")
 	tests := []struct {
 		name  string
@@ -99,9 +99,9 @@
 	return configuration.Accepted
 }
 
-// TestRegisterAgreesWithReference applies any orders, resends among them, with snapshots in between: the verdicts and the
+// TestStateMachine_RandomProposals_AgreesWithReference applies any orders, resends among them, with snapshots in between: the verdicts and the
 // current one are the reference's, and each version has one successor at most.
-func TestRegisterAgreesWithReference(t *testing.T) {
+func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, want := configuration.New(), &reference{}
 		var sent []*configuration.Proposal
@@ -156,9 +156,9 @@
 	return restored
 }
 
-// TestHistoryIsBounded checks that only the oldest orders are forgotten, that none of them is refused for it, and how much
+// TestHistory_BeyondBound_TruncatesOldest checks that only the oldest orders are forgotten, that none of them is refused for it, and how much
 // the rest takes.
-func TestHistoryIsBounded(t *testing.T) {
+func TestHistory_BeyondBound_TruncatesOldest(t *testing.T) {
 	const (
 		bound       = 32768
 		recordBytes = 17 // with the numbers in steps of one
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestRepeatsAfterHundredsOfChanges repeats each of 1,000 orders after all of them, in uneven steps and over snapshots.
-func TestRepeatsAfterHundredsOfChanges(t *testing.T) {
+// TestStateMachine_DuplicatesAfterManyChanges_Acknowledged repeats each of 1,000 orders after all of them, in uneven steps and over snapshots.
+func TestStateMachine_DuplicatesAfterManyChanges_Acknowledged(t *testing.T) {
 	const changes = 1000
 	r := configuration.New()
 	var sent []*configuration.Proposal
@@ -223,8 +223,8 @@
 	t.Logf("a snapshot after %d changes takes %d bytes", changes, len(raw))
 }
 
-// TestRefusalsAreBounded has many orders come before their version; those that still can be taken are remembered.
-func TestRefusalsAreBounded(t *testing.T) {
+// TestRejections_BeyondBound_DropsOldest has many orders come before their version; those that still can be taken are remembered.
+func TestRejections_BeyondBound_DropsOldest(t *testing.T) {
 	const bound = 64
 	r := configuration.New()
 	for i := range uint64(3 * bound) {
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestDamagedHistoryIsNoHistory checks that a history that was cut short is told.
-func TestDamagedHistoryIsNoHistory(t *testing.T) {
+// TestRestore_TruncatedHistory_Fails checks that a history that was cut short is told.
+func TestRestore_TruncatedHistory_Fails(t *testing.T) {
 	r := configuration.New()
 	r.Apply(1, order(0, 3, "x"))
 	state := r.Snapshot()
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -47,7 +47,7 @@
 	return b.send(http.MethodPut, settingsPath, body, "If-Match", base)
 }
 
-func TestConfigurationIsTakenAndReadBack(t *testing.T) {
+func TestSettingsAPI_PutThenGet_ReturnsNewest(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 
@@ -75,7 +75,7 @@
 	wantStatus(t, b.put("8", document(7)), http.StatusBadRequest)
 }
 
-func TestOrdersAreCounted(t *testing.T) {
+func TestSettingsAPI_Proposals_Counted(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	wantStatus(t, b.put("0", document(3)), http.StatusOK)
 	wantStatus(t, b.put("3", document(3)), http.StatusBadRequest)
@@ -105,7 +105,7 @@
 	return value
 }
 
-func TestConfigurationOutlastsARestart(t *testing.T) {
+func TestSettingsAPI_Restart_KeepsConfiguration(t *testing.T) {
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
 		b := startBed(t, disk)
@@ -123,7 +123,7 @@
 	wantStatus(t, b.put("3", document(6)), http.StatusPreconditionFailed)
 }
 
-func TestInvalidConfigurationsAreRefused(t *testing.T) {
+func TestSettingsAPI_InvalidConfiguration_Rejected(t *testing.T) {
 	replaced := func(old, replacement string) string {
 		if !strings.Contains(document(3), old) {
 			t.Fatalf("the document has no %s", old)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestFormsOfIfMatch(t *testing.T) {
+func TestSettingsAPI_IfMatchForms(t *testing.T) {
 	tests := []struct {
 		values []string
 		want   int
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestOneOfTwoChangesOnAVersionWins(t *testing.T) {
+func TestSettingsAPI_ConcurrentChanges_OneWins(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	wantStatus(t, b.put("0", document(1)), http.StatusOK)
 	const writers = 8
@@ -234,7 +234,7 @@
 	return roll
 }
 
-func TestRolloutAnswers(t *testing.T) {
+func TestRolloutsAPI_Statuses(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	const path = "/mastusher/rollouts"
 	wantStatus(t, b.send(http.MethodGet, path+"/lm", ""), http.StatusNotFound)
@@ -279,7 +279,7 @@
 	wantState(rollout.Finished)
 }
 
-func TestUnknownPathsAndMethods(t *testing.T) {
+func TestAPI_UnknownPathsAndMethods(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	tests := []struct {
 		method, path string
@@ -306,7 +306,7 @@
 	}
 }
 
-func TestOversizedBodies(t *testing.T) {
+func TestAPI_OversizedBodies(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	wantStatus(t, b.put("0", strings.Repeat(" ", maxConfigurationBytes+1)), http.StatusRequestEntityTooLarge)
 
@@ -319,8 +319,8 @@
 	wantStatus(t, recorder, http.StatusRequestEntityTooLarge)
 }
 
-// TestSlowBodies has a caller that sends half of a body and then waits.
-func TestSlowBodies(t *testing.T) {
+// TestAPI_SlowBodies_TimeOut has a caller that sends half of a body and then waits.
+func TestAPI_SlowBodies_TimeOut(t *testing.T) {
 	for _, target := range []string{"PUT " + settingsPath, "POST /mastusher/retire/storage-1"} {
 		t.Run(target, func(t *testing.T) {
 			b := startBed(t, memorydisk.New())
@@ -347,8 +347,8 @@
 	}
 }
 
-// TestWithoutOwner asks a controller whose group has no owner.
-func TestWithoutOwner(t *testing.T) {
+// TestAPI_NoLeader_NotReady asks a controller whose group has no owner.
+func TestAPI_NoLeader_NotReady(t *testing.T) {
 	b := newBed(t, memorydisk.New(), nil)
 	for _, request := range []struct{ method, path, body string }{
 		{http.MethodPut, settingsPath, document(3)},
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestFollowersRedirectToTheOwner asks each of three controllers.
-func TestFollowersRedirectToTheOwner(t *testing.T) {
+// TestAPI_Follower_RedirectsToLeader asks each of three controllers.
+func TestAPI_Follower_RedirectsToLeader(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	owner := c.owner()
@@ -401,8 +401,8 @@
 	}
 }
 
-// TestOutsidersRedirectToAnother asks a controller that isn't in the group.
-func TestOutsidersRedirectToAnother(t *testing.T) {
+// TestAPI_NonMember_RedirectsToPeer asks a controller that isn't in the group.
+func TestAPI_NonMember_RedirectsToPeer(t *testing.T) {
 	b := newBed(t, memorydisk.New(), func(options *Options) { options.Initial = nil })
 	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 
@@ -426,7 +426,7 @@
 	}
 }
 
-func TestGroupErrorsKeepTheirCause(t *testing.T) {
+func TestAPI_GroupErrors_KeepCause(t *testing.T) {
 	c := &Controller{}
 	cause := context.DeadlineExceeded
 	tests := []struct {
@@ -451,7 +451,7 @@
 	}
 }
 
-func TestPublishTellsEachChangeOnce(t *testing.T) {
+func TestPublish_EachChangeOnce(t *testing.T) {
 	b := startBed(t, memorydisk.New())
 	b.Publish()
 	wantStatus(t, b.put("0", document(3)), http.StatusOK)
--- a/internal/tier/controller/retirements_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -31,7 +31,7 @@
 	return order
 }
 
-func TestRetirementAnswers(t *testing.T) {
+func TestDecommissionAPI_Statuses(t *testing.T) {
 	down := func(m membership.Member) membership.Member { m.State = membership.StateDead; return m }
 	const path = "/mastusher/retire/storage-1"
 	const sure = 13 * time.Second // as owner, with all members in sight
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestAMachineThatHasJustGoneDownMayComeBack asks an owner that has long seen all machines run.
-func TestAMachineThatHasJustGoneDownMayComeBack(t *testing.T) {
+// TestDecommissionAPI_StoreJustDown_NotReady asks an owner that has long seen all machines run.
+func TestDecommissionAPI_StoreJustDown_NotReady(t *testing.T) {
 	const path = "/mastusher/retire/storage-1"
 	for down, want := range map[time.Duration]int{3 * time.Second: http.StatusServiceUnavailable, 8 * time.Second: http.StatusConflict} {
 		b := startBed(t, memorydisk.New())
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestAnOwnerWithoutItsMajorityRefusesNothing asks an owner that has just been cut off, when it doesn't know it yet, for a
+// TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing asks an owner that has just been cut off, when it doesn't know it yet, for a
 // machine that it doesn't know and for one too many.
-func TestAnOwnerWithoutItsMajorityRefusesNothing(t *testing.T) {
+func TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing(t *testing.T) {
 	c := newCluster(t, 3)
 	c.settle()
 	c.run(13 * time.Second)
--- a/internal/tier/controller/retire_story_test.go
+++ b/internal/tier/controller/decommission_test.go
@@ -19,7 +19,7 @@
 	return turns
 }
 
-func TestEmptiedMachineMayGo(t *testing.T) {
+func TestDecommission_Drained_MachineMayBeRemoved(t *testing.T) {
 	for number := 1; number <= 4; number++ {
 		t.Run(fmt.Sprintf("storage-%d", number), func(t *testing.T) {
 			// Given four stores with turns that were acknowledged.
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestTwoMachinesAreEmptiedAtOnce(t *testing.T) {
+func TestDecommission_TwoMachinesAtOnce_BothDrained(t *testing.T) {
 	c := newCluster(t, 5)
 	c.settle()
 	turns := turnsOf(c, 0)
@@ -77,7 +77,7 @@
 	c.wantTurns(turns)
 }
 
-func TestRetirementWaitsForAStoreThatIsDown(t *testing.T) {
+func TestDecommission_AnotherStoreDown_Waits(t *testing.T) {
 	// Given four stores of which one is down, and an order to empty another.
 	c := newCluster(t, 4)
 	c.settle()
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestRetirementOfAMachineThatIsDown(t *testing.T) {
+func TestDecommission_MachineDown_Drained(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	turns := turnsOf(c, 0)
@@ -120,7 +120,7 @@
 	c.wantTurns(turns)
 }
 
-func TestRetirementOutlastsOwners(t *testing.T) {
+func TestDecommission_LeaderChanges_Completes(t *testing.T) {
 	for _, pause := range []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(pause.String(), func(t *testing.T) {
 			// Given an order whose owner is killed while it is carried out, or right after its end.
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestRetiredMachineComesBackAnew(t *testing.T) {
+func TestDecommission_MachineReturnsWithNewIdentity_GetsReplicas(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	c.retire("storage-1")
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -16,7 +16,7 @@
 	return model.Endpoint{ID: id, Service: "lm", Address: "10.1.0.1:8080", Version: "v1", State: model.Ready, WarmUpLeftMs: coldLeftMs}
 }
 
-func TestEndpointsArePublishedWhenTheyChange(t *testing.T) {
+func TestEndpoints_PublishedOnChange(t *testing.T) {
 	var publisher EndpointPublisher
 	tests := []struct {
 		name      string
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestOnlyTheOwnerReadsTheList(t *testing.T) {
+func TestEndpoints_OnlyLeaderReads(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 0)}}
 	follower := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	if got := follower.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(follower.fleet.published) > 0 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestPlacementsOfOldFactsAreDropped has commands come that were made before something else was agreed on.
-func TestPlacementsOfOldFactsAreDropped(t *testing.T) {
+// TestStateMachine_StalePlacement_Dropped has commands come that were made before something else was agreed on.
+func TestStateMachine_StalePlacement_Dropped(t *testing.T) {
 	shards := func(node string) []view.ShardPlacement {
 		return []view.ShardPlacement{{Replicas: []view.Replica{{ID: node + "-1", Node: node}}}}
 	}
--- a/internal/tier/controller/succession_test.go
+++ b/internal/tier/controller/former_leader_test.go
@@ -37,9 +37,9 @@
 // formerOwnerCall is what an owner is asked that has a successor.
 type formerOwnerCall struct{ method, path, body, base string }
 
-// TestAnOwnerThatDoesNotKnowOfItsSuccessorTellsNothing freezes an owner for less than an election time-out. Meanwhile the others
+// TestFormerLeader_UnawareOfSuccessor_AnswersNothing freezes an owner for less than an election time-out. Meanwhile the others
 // have begun anew, so that they didn't wait for it, and have taken another configuration.
-func TestAnOwnerThatDoesNotKnowOfItsSuccessorTellsNothing(t *testing.T) {
+func TestFormerLeader_UnawareOfSuccessor_AnswersNothing(t *testing.T) {
 	for _, call := range []formerOwnerCall{
 		{http.MethodGet, settingsPath, "", ""},
 		{http.MethodGet, rolloutsPath + "/lm", "", ""},
--- a/internal/tier/controller/largeorder_test.go
+++ b/internal/tier/controller/large_configuration_test.go
@@ -143,7 +143,7 @@
 
 // Given an order of many routes, then no member's turn around it takes a quarter of the election time-out on the smallest
 // machine, and the owner stays the same. The shortest of some tries is taken, since the collector may work in any of them.
-func TestLargeOrderKeepsNoHeartbeatWaiting(t *testing.T) {
+func TestLargeConfiguration_HeartbeatsNotDelayed(t *testing.T) {
 	const tries = 5
 	for _, routes := range []int{517, 2000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
@@ -168,7 +168,7 @@
 }
 
 // The entry is read back as it was written, and in any other form that JSON allows.
-func TestOrderIsReadBackAsItWas(t *testing.T) {
+func TestCommand_EncodeDecode_SameProposal(t *testing.T) {
 	order := &configuration.Proposal{Base: 3, Number: 18446744073709551615, Raw: json.RawMessage(`{"a":"}}","raw":{"b":[1]}}`)}
 	written, err := Command{Configuration: order}.EncodeJSON()
 	if err != nil {
--- a/internal/tier/controller/listsource_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestTheListIsReadAlsoWhereTheOwnerDoesNotReachThePlatform(t *testing.T) {
+func TestEndpoints_LeaderCutOffFromPlatform_PeerReads(t *testing.T) {
 	const (
 		calm  = 10 * time.Second
 		cut   = 40 * time.Second
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestANewOwnerForgetsWhatItReadInAnEarlierEpoch has a controller own the group, lose it, and own it again much later.
-func TestANewOwnerForgetsWhatItReadInAnEarlierEpoch(t *testing.T) {
+// TestEndpoints_NewTerm_DropsEarlierReads has a controller own the group, lose it, and own it again much later.
+func TestEndpoints_NewTerm_DropsEarlierReads(t *testing.T) {
 	gone := endpoint("gone", 0)
 	gone.Address = "10.1.0.9:8080"
 	reader := &list{endpoints: []model.Endpoint{gone, endpoint("b", 0)}}
@@ -252,8 +252,8 @@
 	return m.list, nil
 }
 
-// TestAFormerOwnerPublishesNoList has the group change its owner during a read.
-func TestAFormerOwnerPublishesNoList(t *testing.T) {
+// TestEndpoints_FormerLeader_PublishesNothing has the group change its owner during a read.
+func TestEndpoints_FormerLeader_PublishesNothing(t *testing.T) {
 	c := newCluster(t, 0)
 	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
 	owner := c.owner().controller
@@ -277,8 +277,8 @@
 
 func (f readerFunc) ReadAll(context.Context) ([]model.Endpoint, error) { return f() }
 
-// TestAnotherControllerReadsOverTheLink has a list read by another process's controller.
-func TestAnotherControllerReadsOverTheLink(t *testing.T) {
+// TestEndpoints_PeerReadsOverTransport has a list read by another process's controller.
+func TestEndpoints_PeerReadsOverTransport(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 900), endpoint("b", 0)}}
 	asked := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	handlers := transport.NewHandlers()
--- a/internal/tier/controller/orders_story_test.go
+++ b/internal/tier/controller/order_duplicates_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestAnAnswerLostAtAnyStep loses the owner at each step while an order is being agreed on, in each way; the operator repeats
+// TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent loses the owner at each step while an order is being agreed on, in each way; the operator repeats
 // it until it is acknowledged.
-func TestAnAnswerLostAtAnyStep(t *testing.T) {
+func TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent(t *testing.T) {
 	t.Parallel()
 	for _, loss := range losses {
 		inBubble(t, loss.name, func(t *testing.T) {
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestARetirementsAnswerLostAtAnyStep is the same for an order to empty a machine: it is acknowledged, carried out once, and
+// TestDecommissionOrder_AnswerLostAtAnyStep_Idempotent is the same for an order to empty a machine: it is acknowledged, carried out once, and
 // acknowledged again after its end.
-func TestARetirementsAnswerLostAtAnyStep(t *testing.T) {
+func TestDecommissionOrder_AnswerLostAtAnyStep_Idempotent(t *testing.T) {
 	t.Parallel()
 	const path = "/mastusher/retire/storage-1"
 	for _, loss := range losses {
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestARepeatWhileTheFirstIsBeingAgreedOn has copies of an order arrive at the same time, at all members, while the owner can't
+// TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged has copies of an order arrive at the same time, at all members, while the owner can't
 // reach a majority for some time, or loses its power.
-func TestARepeatWhileTheFirstIsBeingAgreedOn(t *testing.T) {
+func TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged(t *testing.T) {
 	t.Parallel()
 	for _, loss := range losses {
 		inBubble(t, loss.name, func(t *testing.T) {
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestARepeatToAMemberThatLags asks a member that has heard nothing of the changes since the order, and one that has lost its
+// TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected asks a member that has heard nothing of the changes since the order, and one that has lost its
 // disk.
-func TestARepeatToAMemberThatLags(t *testing.T) {
+func TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		inBubble(t, fmt.Sprint("wiped: ", wiped), func(t *testing.T) {
 			c := newTroubledCluster(t, 1, 0)
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestRepeatsAfterHundredsOfChangesAndRestarts changes the configuration hundreds of times, so that snapshots replace the log,
+// TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged changes the configuration hundreds of times, so that snapshots replace the log,
 // restarts all members and replaces one, and repeats all orders.
-func TestRepeatsAfterHundredsOfChangesAndRestarts(t *testing.T) {
+func TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged(t *testing.T) {
 	t.Parallel()
 	const changes = 200
 	c := newCluster(t, 0)
@@ -365,9 +365,9 @@
 	})
 }
 
-// TestALateRepeatOfARollout has v2 ordered, v3 after it, and v2 again: within confirmMs that is a repeat, long after it is an
+// TestRolloutOrder_LateDuplicate_StartsNoSecondRollout has v2 ordered, v3 after it, and v2 again: within confirmMs that is a repeat, long after it is an
 // order to go back. What ends in reverting is tried again.
-func TestALateRepeatOfARollout(t *testing.T) {
+func TestRolloutOrder_LateDuplicate_StartsNoSecondRollout(t *testing.T) {
 	t.Parallel()
 	const window = 9 * time.Second // confirmMs and stretchMs, as they are where settings tell none
 	body := func(target string) string { return fmt.Sprintf(`{"service":"lm","target":%q,"overS":60}`, target) }
@@ -459,8 +459,8 @@
 	})
 }
 
-// TestARetireOrderIsRepeatedAfterItsEnd repeats an order when the machine has gone, and when it has come back anew.
-func TestARetireOrderIsRepeatedAfterItsEnd(t *testing.T) {
+// TestDecommissionOrder_DuplicateAfterEnd_Acknowledged repeats an order when the machine has gone, and when it has come back anew.
+func TestDecommissionOrder_DuplicateAfterEnd_Acknowledged(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	c.retire("storage-1")
--- a/internal/tier/controller/orders_campaign_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -197,9 +197,9 @@
 	})
 }
 
-// TestHistoriesAreLinearizable has operators change the configuration at once while machines are cut off, frozen, restarted
+// TestRandomOrderHistories_AreLinearizable has operators change the configuration at once while machines are cut off, frozen, restarted
 // and replaced, clocks go wrong and answers are lost.
-func TestHistoriesAreLinearizable(t *testing.T) {
+func TestRandomOrderHistories_AreLinearizable(t *testing.T) {
 	t.Parallel()
 	var sum tally
 	for seed := *firstSeed; seed < *firstSeed+uint64(*histories); seed++ {
--- a/internal/tier/controller/orders_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -13,56 +13,56 @@
 		{
 			Name: "no order is recognised again",
 			Change: mutation.Change{
-				File: "../configuration/register.go",
+				File: "../configuration/state_machine.go",
 				Old:  "\tcase found:\n\t\treturn Accepted\n\tcase truncated",
 				New:  "\tcase truncated",
 			},
-			Run: "^TestHistoriesAreLinearizable$",
+			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
 			Name: "the number alone is compared",
 			Change: mutation.Change{
-				File: "../configuration/chain.go",
-				Old:  "if next < len(c.entries) && c.entries[next].digest == sum {",
-				New:  "if next < len(c.entries) {",
+				File: "../configuration/history.go",
+				Old:  "if next < len(h.entries) && h.entries[next].digest == digest {",
+				New:  "if next < len(h.entries) {",
 			},
-			Run: "^TestHistoriesAreLinearizable$",
+			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
 			Name: "the version is looked at before repeats",
 			Change: mutation.Change{
-				File: "../configuration/register.go",
-				Old:  "\tsum := fingerprintOf(order)\n\tswitch",
-				New:  "\tsum := fingerprintOf(order)\n\tif order.Base != r.current.Number {\n\t\treturn Conflict\n\t}\n\tswitch",
+				File: "../configuration/state_machine.go",
+				Old:  "\tdigest := fingerprintOf(proposal)\n\tswitch",
+				New:  "\tdigest := fingerprintOf(proposal)\n\tif proposal.Base != s.current.Number {\n\t\treturn Conflict\n\t}\n\tswitch",
 			},
-			Run: "^TestHistoriesAreLinearizable$",
+			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
 			Name: "a snapshot loses the history",
 			Change: mutation.Change{
-				File: "../configuration/register.go",
-				Old:  "decodeHistory(state.HistoryBase, state.History)",
+				File: "../configuration/snapshot.go",
+				Old:  "decodeHistory(snapshot.HistoryBase, snapshot.History)",
 				New:  "decodeHistory(0, nil)",
 			},
-			Run: "^TestRepeatsAfterHundreds",
+			Run: "^TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged",
 		},
 		{
 			Name: "what was refused is taken later",
 			Change: mutation.Change{
-				File: "../configuration/register.go",
-				Old:  "\t\tr.rememberRejection(order.Base, sum)\n",
+				File: "../configuration/state_machine.go",
+				Old:  "\t\ts.rememberRejection(proposal.Base, digest)\n",
 				New:  "",
 			},
-			Run: "^TestHistoriesAreLinearizable$",
+			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
 			Name: "any version is replaced",
 			Change: mutation.Change{
-				File: "../configuration/register.go",
-				Old:  "\tif order.Base != r.current.Number {\n\t\tr.rememberRejection(order.Base, sum)\n\t\treturn Conflict\n\t}\n",
+				File: "../configuration/state_machine.go",
+				Old:  "\tif proposal.Base != s.current.Number {\n\t\ts.rememberRejection(proposal.Base, digest)\n\t\treturn Conflict\n\t}\n",
 				New:  "",
 			},
-			Run: "^TestHistoriesAreLinearizable$",
+			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
 			Name: "what isn't agreed on is acknowledged",
@@ -71,7 +71,7 @@
 				Old:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}\n",
 				New:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}\n",
 			},
-			Run: "^TestAnAnswerLost",
+			Run: "^TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent",
 		},
 		{
 			Name: "only the newest roll-out is remembered",
@@ -80,7 +80,7 @@
 				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
 				New:  "known && roll.isDuplicate(&order)",
 			},
-			Run: "^TestRolloutOrdersBeginOnce$",
+			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
 		},
 		{
 			Name: "the window of repeats is too short",
@@ -89,16 +89,16 @@
 				Old:  "return bounds.ConfirmWithin() + bounds.Stretch()",
 				New:  "return bounds.ConfirmWithin() / 8",
 			},
-			Run: "^TestRolloutOrdersBeginOnce$",
+			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
 		},
 		{
 			Name: "the window of repeats has no end",
 			Change: mutation.Change{
 				File: "repeats.go",
-				Old:  "\treturn c.repeats.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.agree.taken())\n",
+				Old:  "\treturn c.dedupWindow.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.state.dedupEntries())\n",
 				New:  "\treturn 0\n",
 			},
-			Run: "^TestALateRepeat",
+			Run: "^TestRolloutOrder_LateDuplicate_StartsNoSecondRollout",
 		},
 		{
 			Name: "the time of day alone tells what is a repeat",
@@ -107,7 +107,7 @@
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
 				New:  "age > w.length",
 			},
-			Run: "^TestALateRepeat",
+			Run: "^TestRolloutOrder_LateDuplicate_StartsNoSecondRollout",
 		},
 		{
 			Name: "a machine that has gone is not known",
@@ -116,7 +116,7 @@
 				Old:  "\t\tstore, known = c.absentStore(node)\n",
 				New:  "\t\t_ = c.absentStore\n",
 			},
-			Run: "^TestARetireOrder",
+			Run: "^TestDecommissionOrder_DuplicateAfterEnd_Acknowledged",
 		},
 		{
 			Name: "an order is in service since it was sent",
@@ -125,7 +125,7 @@
 				Old:  "\tif known == 0 && seen >= reportTimeout {",
 				New:  "\tif known == 0 {",
 			},
-			Run: "^TestTimeInService$",
+			Run: "^TestRollout_TimeInService$",
 		},
 		{
 			Name: "the answers to an earlier order count",
@@ -134,7 +134,7 @@
 				Old:  "\t\tif tally.Order == roll.Index {",
 				New:  "\t\tif tally.Order <= roll.Index {",
 			},
-			Run: "^TestEachRollout",
+			Run: "^TestRollout_StatsOfEarlierOrder_Ignored",
 		},
 	})
 }
--- a/internal/tier/controller/cutoff_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -8,14 +8,14 @@
 
 // The tests that must notice what goes wrong at a controller that is cut off.
 const (
-	cutOffTests     = "TestAControllerThatIsCutOff"
-	successionTests = "TestAnOwnerThatDoesNotKnow"
-	listTests       = "TestTheListIsReadAlso|TestANewOwnerForgets|TestAFormerOwnerPublishes"
+	cutOffTests     = "TestPartitionedController_AnswersStayLinearizable"
+	successionTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
+	listTests       = "TestEndpoints_LeaderCutOffFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
 )
 
-// TestMutantsOfCutOffControllersAreCaught tries the mistakes that a controller could make while it is cut off. The stories
+// TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is cut off. The stories
 // notice each with one seed.
-func TestMutantsOfCutOffControllersAreCaught(t *testing.T) {
+func TestPartitionMutantsAreNoticed(t *testing.T) {
 	const unconfirmed = "err := func(_ context.Context, view func()) error { view(); return nil }(ctx, func() {"
 	const confirmed = "err := c.group.Read(ctx, func() {"
 	mutation.Test(t, []mutation.Mutant{
@@ -69,7 +69,7 @@
 			Name: "a machine is unknown without a confirmed read",
 			Change: mutation.Change{File: "retirements.go", Old: "if err := c.group.Read(ctx, func() {}); err != nil {",
 				New: "if err := error(nil); err != nil {"},
-			Run: "TestAnOwnerWithoutItsMajority",
+			Run: "TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing",
 		},
 		{
 			Name:   "a new owner is sure of the machines that it sees",
--- a/internal/tier/controller/cutoff_story_test.go
+++ b/internal/tier/controller/partition_test.go
@@ -51,9 +51,9 @@
 	apart         cutKind = "as all are from each other"
 )
 
-// TestAControllerThatIsCutOff has each kind of controller cut off in each way, while operators go on at every machine. Every
+// TestPartitionedController_AnswersStayLinearizable has each kind of controller cut off in each way, while operators go on at every machine. Every
 // answer must be of the newest state that a majority has confirmed, or send on, or say that it can't be told.
-func TestAControllerThatIsCutOff(t *testing.T) {
+func TestPartitionedController_AnswersStayLinearizable(t *testing.T) {
 	for _, who := range []role{owning, formerly, following, standing} {
 		for _, how := range []cutKind{fromAll, fromMajority, fromOne, inward, outward, standingStill} {
 			t.Run(fmt.Sprintf("given the %s, when it is cut off %s", who, how), func(t *testing.T) { playCut(t, who, how) })
--- a/internal/tier/controller/place_story_test.go
+++ b/internal/tier/controller/placement_test.go
@@ -22,7 +22,7 @@
 	return shards
 }
 
-func TestNothingMovesOnACalmDay(t *testing.T) {
+func TestPlacement_NoFaults_Unchanged(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	first := c.placement()
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestNothingMovesAfterARestartOfAll(t *testing.T) {
+func TestPlacement_RestartOfAll_Unchanged(t *testing.T) {
 	// Given that everything lost power, and stores that come back later than the controllers.
 	c := newCluster(t, 5)
 	c.settle()
@@ -69,7 +69,7 @@
 	c.wantTurns(turns)
 }
 
-func TestLostStoreIsReplacedAfterAWhile(t *testing.T) {
+func TestLostStore_NoSpare_ReplacedAfterTimeout(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	c.storage(1).kill()
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestLostStoreIsReplacedSoonByOneThatHoldsNothing(t *testing.T) {
+func TestLostStore_SpareRuns_ReplacedSoon(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	c.add(storeMember(5)).start()
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestWipedStoreIsReplacedByItself(t *testing.T) {
+func TestWipedStore_ReplacedByItself(t *testing.T) {
 	c := newCluster(t, 5)
 	c.settle()
 	turns := turnsOf(c, 0)
@@ -114,8 +114,8 @@
 	c.wantTurns(turns)
 }
 
-// TestOwnerWithAnOlderPlacementUndoesNothing has a store that hears no placements own the groups after a change.
-func TestOwnerWithAnOlderPlacementUndoesNothing(t *testing.T) {
+// TestShardLeader_OlderPlacement_UndoesNothing has a store that hears no placements own the groups after a change.
+func TestShardLeader_OlderPlacement_UndoesNothing(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestWipedControllerIsReplacedAtOnce(t *testing.T) {
+func TestWipedController_ReplacedAtOnce(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	index := c.placement().Index
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestControllerAtAnotherAddressReplacesALostOne(t *testing.T) {
+func TestLostController_ReplacedAtAnotherAddress(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	lost := c.machines["10.0.0.1:7000"]
--- a/internal/tier/controller/plan_own_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// TestMembersOfTheOwnGroup checks which members the configuration shard's group is to have, step by step of a replacement.
-func TestMembersOfTheOwnGroup(t *testing.T) {
+// TestReconciler_DesiredControllers checks which members the configuration shard's group is to have, step by step of a replacement.
+func TestReconciler_DesiredControllers(t *testing.T) {
 	running := func(name string) membership.Member {
 		return controllerMember(name, name, name+":7000", name+":8144")
 	}
--- a/internal/tier/controller/repair_disk_test.go
+++ b/internal/tier/controller/repair_disk_test.go
@@ -7,8 +7,8 @@
 	"mastusher/internal/tier/membership"
 )
 
-// TestSuccessorWithADiskInTroubleCatchesUp has the machine that takes a lost one's replicas get a disk in trouble at each step.
-func TestSuccessorWithADiskInTroubleCatchesUp(t *testing.T) {
+// TestRepair_SuccessorWithFailingDisk_CatchesUp has the machine that takes a lost one's replicas get a disk in trouble at each step.
+func TestRepair_SuccessorWithFailingDisk_CatchesUp(t *testing.T) {
 	const lasts = 4 * time.Second
 	steps := []time.Duration{700 * time.Millisecond, 0, 1400 * time.Millisecond}
 	if watched {
--- a/internal/tier/controller/repair_coordinator_test.go
+++ b/internal/tier/controller/repair_leader_loss_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestCoordinatorIsLostAtEachStep plays repairs of which a coordinator is killed at each step, and a final fault at the first
+// TestRepair_LeaderLostAtEachStep_Completes plays repairs of which a coordinator is killed at each step, and a final fault at the first
 // moment that the rules allow.
-func TestCoordinatorIsLostAtEachStep(t *testing.T) {
+func TestRepair_LeaderLostAtEachStep_Completes(t *testing.T) {
 	number := 0
 	for _, what := range []trouble{diskLost, gone, planned} {
 		for _, who := range []coordinator{ownerOfConfiguration, ownerOfShard, everyone} {
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -14,17 +14,17 @@
 		{
 			Name:   "an owner follows an older placement",
 			Change: mutation.Change{File: "../store/shard.go", Old: "case s.placementIndex == followed && !slices.Equal(s.lastTarget, s.targetMembers):", New: "case s.placementIndex > 0 && !slices.Equal(s.lastTarget, s.targetMembers):"},
-			Run:    "^TestOwnerWithAnOlderPlacementUndoesNothing$",
+			Run:    "^TestShardLeader_OlderPlacement_UndoesNothing$",
 		},
 		{
 			Name:   "reports are not confirmed",
 			Change: mutation.Change{File: "../store/shard.go", Old: "confirmed := err == nil && after.IsLeader && after.Term == before.Term", New: "confirmed := true || err == nil && after.IsLeader && after.Term == before.Term"},
-			Run:    "^TestReportOfADeposedOwnerIsNotConfirmed$",
+			Run:    "^TestGroupReport_DeposedLeader_NotConfirmed$",
 		},
 		{
 			Name:   "a loss is forgotten when the newcomers hold something",
 			Change: mutation.Change{File: "../placement/watch.go", Old: "lost[holder.ID], w.lost[holder.ID] = true, true", New: "lost[holder.ID] = true"},
-			Run:    "^TestTwoLossesAtOnceAreBothMadeGood$",
+			Run:    "^TestRepair_TwoLossesAtOnce_BothRepaired$",
 		},
 		{
 			Name: "a lost controller is waited for",
@@ -32,7 +32,7 @@
 				Old: "\tfor _, holder := range w.replacedBySpares(now, w.spareMembers(role, holders), len(lost), missing) {",
 				New: "\tspare := w.spareMembers(role, holders)\n\tif role == membership.Controller {\n\t\tspare = nil\n\t}\n" +
 					"\tfor _, holder := range w.replacedBySpares(now, spare, len(lost), missing) {"},
-			Run: "^TestSecondLossRightAfterARepair$/^controller",
+			Run: "^TestRepair_SecondLossRightAfter_LosesNothing$/^controller",
 		},
 	})
 }
--- a/internal/tier/controller/repair_campaign_test.go
+++ b/internal/tier/controller/repair_random_test.go
@@ -16,9 +16,9 @@
 // longestTrouble is how long a disk is in trouble at most, and the longest time from a loss until all processes are killed.
 const longestTrouble = 3 * time.Second
 
-// TestRandomRepairs plays random troubles, each at the first moment that the rules allow or a little later, with kills of all
+// TestRandomRepairs_LoseNothing plays random troubles, each at the first moment that the rules allow or a little later, with kills of all
 // processes at any moment and troubles of the disks of those that catch up.
-func TestRandomRepairs(t *testing.T) {
+func TestRandomRepairs_LoseNothing(t *testing.T) {
 	for seed := range uint64(max(1, *repairWorlds/pairStride)) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -311,9 +311,9 @@
 	}
 }
 
-// TestSecondLossRightAfterARepair plays every pair of troubles, the second one at the first moment that the rules allow, and a
+// TestRepair_SecondLossRightAfter_LosesNothing plays every pair of troubles, the second one at the first moment that the rules allow, and a
 // final fault likewise.
-func TestSecondLossRightAfterARepair(t *testing.T) {
+func TestRepair_SecondLossRightAfter_LosesNothing(t *testing.T) {
 	sites := []struct {
 		name   string
 		around surroundings
@@ -345,8 +345,8 @@
 	}
 }
 
-// TestTwoLossesAtOnceAreBothMadeGood has two of eight stores gone for good at once, each with an empty one in its place.
-func TestTwoLossesAtOnceAreBothMadeGood(t *testing.T) {
+// TestRepair_TwoLossesAtOnce_BothRepaired has two of eight stores gone for good at once, each with an empty one in its place.
+func TestRepair_TwoLossesAtOnce_BothRepaired(t *testing.T) {
 	r := newRepair(t, membership.Store, fastSite.large())
 	allowed := r.now
 	for _, m := range r.oldest(2) {
@@ -358,9 +358,9 @@
 	}
 }
 
-// TestReportOfADeposedOwnerIsNotConfirmed has an owner of a shard cut off that doesn't know it yet: it must not report on its group,
+// TestGroupReport_DeposedLeader_NotConfirmed has an owner of a shard cut off that doesn't know it yet: it must not report on its group,
 // neither then nor when it is back.
-func TestReportOfADeposedOwnerIsNotConfirmed(t *testing.T) {
+func TestGroupReport_DeposedLeader_NotConfirmed(t *testing.T) {
 	c := newCluster(t, 4)
 	c.settle()
 	at, _ := c.shardOwner(0)
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -39,9 +39,9 @@
 	return most
 }
 
-// TestRepairIsDoneInTime measures how long after the start of an empty machine all groups are whole again. The bound is
+// TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are whole again. The bound is
 // catchUpS: from then on the next loss is allowed.
-func TestRepairIsDoneInTime(t *testing.T) {
+func TestRepair_CompletesInTime(t *testing.T) {
 	sites := []struct {
 		name   string
 		around surroundings
--- a/internal/tier/controller/rollout_campaign_test.go
+++ b/internal/tier/controller/rollout_duplicates_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestRolloutOrdersBeginOnce has operators order roll-outs at once, and repeat them for as long as they may, while roll-outs end,
+// TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce has operators order roll-outs at once, and repeat them for as long as they may, while roll-outs end,
 // machines have trouble and clocks go wrong. Each order names a time of its own.
-func TestRolloutOrdersBeginOnce(t *testing.T) {
+func TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce(t *testing.T) {
 	t.Parallel()
 	calls, taken := 0, 0
 	for seed := *firstSeed; seed < *firstSeed+uint64(*histories); seed++ {
--- a/internal/tier/controller/rollouts_test.go
+++ b/internal/tier/controller/rollout_test.go
@@ -35,7 +35,7 @@
 	return lockedMachine{b.Controller}.Apply(index, mustMarshal(t, command))
 }
 
-func TestTimeInService(t *testing.T) {
+func TestRollout_TimeInService(t *testing.T) {
 	const order = 7
 	reportOf := func(order uint64, age time.Duration) *wire.VersionStats {
 		return &wire.VersionStats{Service: "lm", Route: "r", Version: "v2", Order: order, AgeMs: age.Milliseconds(), Stats: rollout.Stats{Sent: 1}}
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestEachRolloutIsJudgedByItsOwnAnswers(t *testing.T) {
+func TestRollout_StatsOfEarlierOrder_Ignored(t *testing.T) {
 	// Given a version that failed while it was first rolled out, and is rolled out again.
 	const first, second = 5, 9
 	b := newClockedBed(t)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestAnOrderTellsWhatIsSettled(t *testing.T) {
+func TestRolloutProposal_CarriesDedupExpiredIndex(t *testing.T) {
 	// Given an order of a roll-out and, later, one of a retirement.
 	b := newClockedBed(t)
 	window := dedupWindowLength(b.options.Settings.Bounds)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestTheWindowOfRepeatsFollowsTheSettings(t *testing.T) {
+func TestDedupWindow_FollowsSettings(t *testing.T) {
 	if got := dedupWindowLength(settings.Bounds{"confirmMs": 5000, "stretchMs": 6000}); got != 11*time.Second {
 		t.Errorf("the window is %v, want 11 s", got)
 	}
--- a/internal/tier/controller/excess_review_test.go
+++ b/internal/tier/controller/surplus_replicas_restart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestReplicasThatHaveMovedAwayAreNotReadAgain has a store that gave replicas up lose its power.
-func TestReplicasThatHaveMovedAwayAreNotReadAgain(t *testing.T) {
+// TestRestartedStore_SurplusReplicas_NotLoaded has a store that gave replicas up lose its power.
+func TestRestartedStore_SurplusReplicas_NotLoaded(t *testing.T) {
 	// Given a store that has stopped the replicas that others have now,
 	c := newCluster(t, 5)
 	c.settle()
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestStopsAndReturnsInAnyOrder has placements change while replicas that have moved away are being stopped: the machines under
+// TestStores_StopAndReturnInAnyOrder_NoSurplus has placements change while replicas that have moved away are being stopped: the machines under
 // the same identity are lost to the group and wanted again, at all distances around the review.
-func TestStopsAndReturnsInAnyOrder(t *testing.T) {
+func TestStores_StopAndReturnInAnyOrder_NoSurplus(t *testing.T) {
 	for away := 0 * time.Millisecond; away <= 4*time.Second; away += 200 * time.Millisecond {
 		t.Run(away.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/tier/controller/excess_story_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -18,7 +18,7 @@
 	return ""
 }
 
-func TestAStoreThatComesBackKeepsNoReplicasThatHaveMovedAway(t *testing.T) {
+func TestReturningStore_SurplusReplicas_Removed(t *testing.T) {
 	// Given a store that was away for so long that others have its replicas,
 	c := newCluster(t, 5)
 	c.settle()
--- a/internal/tier/decommission/judge_test.go
+++ b/internal/tier/decommission/judge_test.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-func TestIsEmptied(t *testing.T) {
+func TestIsDrained(t *testing.T) {
 	retirement := decommission.Operation{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
 	placed := decommission.Placement{Index: 9, Shards: []view.ShardPlacement{shard("b", "c", "d"), shard("c", "d", "e")}}
 	whole := func() map[int]decommission.GroupStatus {
--- a/internal/tier/decommission/mutants_test.go
+++ b/internal/tier/decommission/mutants_test.go
@@ -9,7 +9,7 @@
 // TestMutantsAreNoticed tries mistakes in the judgement that nothing depends on a machine.
 func TestMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
-	const judgement = "^TestIsEmptied$"
+	const judgement = "^TestIsDrained$"
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "groups that follow another placement are believed",
--- a/internal/tier/decommission/register_test.go
+++ b/internal/tier/decommission/register_test.go
@@ -27,7 +27,7 @@
 	return decommission.Decision{Node: node, IDs: []string{node + "-1"}}
 }
 
-func TestOrderKeepsEnoughMachines(t *testing.T) {
+func TestStateMachine_Proposal_KeepsMinimumOfStores(t *testing.T) {
 	tests := []struct {
 		name  string
 		given func(r *decommission.StateMachine)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRetiredIdentitiesNeverComeBack(t *testing.T) {
+func TestStateMachine_RetiredIdentities_StayExcluded(t *testing.T) {
 	// Given a machine that was emptied after its disk had been replaced on the way.
 	r := decommission.New()
 	r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestRepeatsAreNeverRefused has an order come again when the machine has come back with another disk, and too few machines
+// TestStateMachine_Duplicates_NeverRejected has an order come again when the machine has come back with another disk, and too few machines
 // would remain without it.
-func TestRepeatsAreNeverRefused(t *testing.T) {
+func TestStateMachine_Duplicates_NeverRejected(t *testing.T) {
 	const index = 7
 	tests := []struct {
 		name  string
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestDecisionsCountOnce(t *testing.T) {
+func TestStateMachine_RepeatedDecision_ChangesNothing(t *testing.T) {
 	r := decommission.New()
 	r.ApplyDecision(finish("a"))
 	if _, asked := r.Operation("a"); asked {
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestRegisterKeepsItsRules checks any sequence of orders and decisions: a finished order stays finished for its identity,
+// TestStateMachine_RandomProposals_KeepsInvariants checks any sequence of orders and decisions: a finished order stays finished for its identity,
 // too few machines never remain, and a snapshot at any point changes nothing.
-func TestRegisterKeepsItsRules(t *testing.T) {
+func TestStateMachine_RandomProposals_KeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := decommission.New()
 		finished := map[string]bool{} // identities
--- a/internal/tier/decommission/repeat_mutants_test.go
+++ b/internal/tier/decommission/repeat_mutants_test.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-func TestRepeatMutantsAreNoticed(t *testing.T) {
+func TestDuplicateMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
@@ -16,7 +16,7 @@
 				Old:  "asked && known.Index > order.DedupExpiredIndex",
 				New:  "asked && known.Index > order.DedupExpiredIndex && order.ID == known.Node",
 			},
-			Run: "^TestRepeatsAreNeverRefused$",
+			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
 			Name: "an order is acknowledged whenever the machine was emptied before",
@@ -25,7 +25,7 @@
 				Old:  "asked && known.Index > order.DedupExpiredIndex",
 				New:  "asked",
 			},
-			Run: "^TestRepeatsAreNeverRefused$",
+			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
 			Name: "what has ended is asked for anew",
@@ -34,7 +34,7 @@
 				Old:  `known.State == InService || order.ID == "" || known.has(order.ID)`,
 				New:  `known.State == InService || order.ID == ""`,
 			},
-			Run: "^TestOrderKeepsEnough|^TestRepeatsAreNever",
+			Run: "^TestStateMachine_Proposal_KeepsMinimumOfStores|^TestStateMachine_Duplicates_NeverRejected",
 		},
 		{
 			Name: "another disk counts as the same machine",
@@ -43,7 +43,7 @@
 				Old:  `known.State == InService || order.ID == "" || known.has(order.ID)`,
 				New:  "true",
 			},
-			Run: "^TestRetiredIdentities",
+			Run: "^TestStateMachine_RetiredIdentities_StayExcluded",
 		},
 	})
 }
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -60,7 +60,7 @@
 		},
 		{
 			Name:   "repeated orders are judged anew",
-			Change: mutation.Change{File: "../configuration/register.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
+			Change: mutation.Change{File: "../configuration/state_machine.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
 			Run:    randomDays,
 		},
 		{
--- a/internal/tier/placement/mutants_test.go
+++ b/internal/tier/placement/mutants_test.go
@@ -13,27 +13,27 @@
 		{
 			Name:   "a loss is forgotten",
 			Change: mutation.Change{File: "watch.go", Old: "lost[holder.ID], w.lost[holder.ID] = true, true", New: "lost[holder.ID] = true"},
-			Run:    "^TestLostStaysLost$",
+			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
 			Name:   "a machine that is back stays lost",
 			Change: mutation.Change{File: "watch.go", Old: "		delete(w.lost, m.ID)\n", New: ""},
-			Run:    "^TestLostStaysLost$",
+			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
 			Name:   "one newcomer stands for all that are missing",
 			Change: mutation.Change{File: "watch.go", Old: "missing[:min(successors, len(missing))]", New: "missing[:min(successors*9, len(missing))]"},
-			Run:    "^TestOneNewcomerStandsForOneLoss$",
+			Run:    "^TestTracker_OneSpare_ReplacesOneMissing$",
 		},
 		{
 			Name:   "a suspicion counts without a newcomer",
 			Change: mutation.Change{File: "watch.go", Old: "now.Sub(w.firstSeen[m.ID]) < newcomerAge", New: "true || now.Sub(w.firstSeen[m.ID]) < newcomerAge"},
-			Run:    "^TestWatchTellsWhatIsLost$",
+			Run:    "^TestTracker_LostReplicas$",
 		},
 		{
 			Name:   "a wiped machine isn't lost",
 			Change: mutation.Change{File: "watch.go", Old: "return m.Name == name || m.Address == holder.Address && !m.DeadOrLeft()", New: "return false && (m.Name == name || m.Address == holder.Address)"},
-			Run:    "^TestWatchTellsWhatIsLost$",
+			Run:    "^TestTracker_LostReplicas$",
 		},
 	})
 }
--- a/internal/tier/placement/placement_test.go
+++ b/internal/tier/placement/placement_test.go
@@ -27,7 +27,7 @@
 	return stores
 }
 
-func TestFirstWaitsForEnoughStores(t *testing.T) {
+func TestInitial_TooFewStores_Nil(t *testing.T) {
 	if got := placement.Initial(machines(2, 2), 3); got != nil {
 		t.Errorf("placed on two stores: %v", got)
 	}
@@ -38,10 +38,10 @@
 	}
 }
 
-// TestFirstSpreads checks any first placement: each shard has its replicas on different machines, no zone holds a majority of
+// TestInitial_SpreadsOverStoresAndZones checks any first placement: each shard has its replicas on different machines, no zone holds a majority of
 // them where there are zones enough, no machine holds many more than another where zones leave the choice, and the order of the
 // stores doesn't matter.
-func TestFirstSpreads(t *testing.T) {
+func TestInitial_SpreadsOverStoresAndZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copies := 2*rapid.IntRange(0, 2).Draw(t, "losses") + 1
 		zones := rapid.IntRange(1, 5).Draw(t, "zones")
@@ -120,11 +120,11 @@
 	}
 }
 
-// TestNextMovesWhatMustMove checks any step from any placement: replicas only leave where they are lost or retiring, at most
+// TestNext_MovesOnlyLostAndDraining checks any step from any placement: replicas only leave where they are lost or retiring, at most
 // one of each shard; one is replaced by its machine's new identity if there is one; a store is never wanted twice; replicas
 // come only to stores that run; and repeated steps lead to a placement that wants nothing that is lost or retiring, if
 // there are enough stores.
-func TestNextMovesWhatMustMove(t *testing.T) {
+func TestNext_MovesOnlyLostAndDraining(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const copies = 3
 		stores := machines(rapid.IntRange(copies, 8).Draw(t, "stores"), rapid.IntRange(1, 4).Draw(t, "zones"))
@@ -259,7 +259,7 @@
 	return set
 }
 
-func TestShardIsStable(t *testing.T) {
+func TestShard_SameKey_SameShard(t *testing.T) {
 	counts := make([]int, 8)
 	for key := range 8000 {
 		counts[placement.Shard(fmt.Sprint("program-", key), len(counts))]++
--- a/internal/tier/placement/share_test.go
+++ b/internal/tier/placement/share_test.go
@@ -57,7 +57,7 @@
 	return stores
 }
 
-func TestNoStoreHoldsMoreThanItsShare(t *testing.T) {
+func TestNext_NoStoreAboveItsShare(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		sizes  []int
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestReplicasOfALostStoreGoToThoseWithTheLeast(t *testing.T) {
+func TestNext_LostStore_ReplicasGoToLeastLoaded(t *testing.T) {
 	// Given stores of which the one that is alone in its zone is lost for good, and another one in its place
 	stores := inZones(2, 2, 2, 1, 1)
 	shards := placement.Initial(stores, 5)
@@ -97,9 +97,9 @@
 	checkShare(t, shards, running, 5)
 }
 
-// TestSharesInAnyZones places shards over stores in zones of any sizes. Where there is room for it, no store holds more than one
+// TestInitial_AnyZones_BalancedShares places shards over stores in zones of any sizes. Where there is room for it, no store holds more than one
 // replica above its share, and no zone more of a shard than it may.
-func TestSharesInAnyZones(t *testing.T) {
+func TestInitial_AnyZones_BalancedShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "copies")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 6), 1, 8).Draw(t, "sizes")
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestPlacementComesToRestInAnyZones loses and adds stores in any order.
-func TestPlacementComesToRestInAnyZones(t *testing.T) {
+// TestNext_AnyZones_Converges loses and adds stores in any order.
+func TestNext_AnyZones_Converges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.SampledFrom([]int{3, 5}).Draw(t, "copies")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 4), 3, 6).Draw(t, "sizes")
--- a/internal/tier/placement/watch_test.go
+++ b/internal/tier/placement/watch_test.go
@@ -50,7 +50,7 @@
 	return o.LostHosts(o.now, membership.Controller, []placement.Host{{ID: id, Address: address}})[id]
 }
 
-func TestWatchTellsWhatIsLost(t *testing.T) {
+func TestTracker_LostReplicas(t *testing.T) {
 	alive, dead := member(1, 1, membership.StateAlive), member(1, 1, membership.StateDead)
 	second := member(2, 1, membership.StateAlive)
 	moved := member(1, 2, membership.StateAlive)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestWatchKnowsControllersByTheirOldNames checks a group whose members are told without names.
-func TestWatchKnowsControllersByTheirOldNames(t *testing.T) {
+// TestTracker_ControllersByFormerNames_Lost checks a group whose members are told without names.
+func TestTracker_ControllersByFormerNames_Lost(t *testing.T) {
 	before := membership.Member{Name: "core-1/controller", ID: "old", Role: membership.Controller, Address: "10.0.0.1:7000"}
 	after := before
 	after.ID, after.Address = "new", "10.0.0.9:7000"
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestWatchTellsLostControllers checks that a controller that holds nothing counts as a successor, as a store does.
-func TestWatchTellsLostControllers(t *testing.T) {
+// TestTracker_LostControllers checks that a controller that holds nothing counts as a successor, as a store does.
+func TestTracker_LostControllers(t *testing.T) {
 	running := membership.Member{Name: "core-1/controller", ID: "first", Role: membership.Controller, Address: "10.0.0.1:7000"}
 	dead, left, spare := running, running, running
 	dead.State, left.State = membership.StateDead, membership.StateLeft
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestWatchIsSureLongAfterTheElection(t *testing.T) {
+func TestTracker_CompleteView_OnlyLongAfterElection(t *testing.T) {
 	alive := member(1, 1, membership.StateAlive)
 	o := newObserver()
 	o.epoch = 0
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestWatchBeginsOnceStoresAreKnown(t *testing.T) {
+func TestTracker_ReadyForInitial_OnceStoresAreKnown(t *testing.T) {
 	o := newObserver()
 	o.epoch = 0
 	o.see(9*time.Second, member(1, 1, membership.StateAlive))
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestWatchListsStores(t *testing.T) {
+func TestTracker_Stores(t *testing.T) {
 	agent := membership.Member{Name: "edge-1/agent", ID: "x", Role: membership.Agent}
 	o := newObserver()
 	o.see(time.Second, agent, member(3, 1, membership.StateAlive), member(1, 1, membership.StateSuspect), member(2, 1, membership.StateAlive), member(4, 1, membership.StateDead))
@@ -254,9 +254,9 @@
 	}
 }
 
-// TestOneNewcomerStandsForOneLoss has two machines missing and one that has just come: only the machine that has been missing for
+// TestTracker_OneSpare_ReplacesOneMissing has two machines missing and one that has just come: only the machine that has been missing for
 // longer counts as lost, since the other one may come back.
-func TestOneNewcomerStandsForOneLoss(t *testing.T) {
+func TestTracker_OneSpare_ReplacesOneMissing(t *testing.T) {
 	first, second, third := member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(2, "zone", 1), machine(1, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestLostStaysLost has two machines missing and two that have just come. Once those hold replicas of the first loss, no machine is
+// TestTracker_Lost_StaysLostUntilBack has two machines missing and two that have just come. Once those hold replicas of the first loss, no machine is
 // empty any more; the second loss isn't forgotten for that.
-func TestLostStaysLost(t *testing.T) {
+func TestTracker_Lost_StaysLostUntilBack(t *testing.T) {
 	missing := []membership.Member{member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)}
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(1, "zone", 1), machine(2, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
--- a/internal/tier/platformlist/pure_test.go
+++ b/internal/tier/platformlist/pure_test.go
@@ -24,7 +24,7 @@
 	return found
 }
 
-func TestRoll(t *testing.T) {
+func TestMerger(t *testing.T) {
 	one, two := endpoint("1", model.Ready), endpoint("2", model.Ready)
 	oneDraining := endpoint("1", model.Draining)
 	successor := endpoint("9", model.Ready)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRollHoldsWhatTheLastTwoReadsFound(t *testing.T) {
+func TestMerger_ReadsAnyLists_KeepsWhatLastTwoFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"1", "2", "3", "4"}), rapid.ID)
 		var held Merger
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBucketKeepsTheRateInAnySecond(t *testing.T) {
+func TestTokenBucket_AnySecond_KeepsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
 		now := time.Unix(1_000_000, 0)
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestBucketIsNotSlowerThanNeeded(t *testing.T) {
+func TestTokenBucket_Backlog_UsesRate(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	pace := newTokenBucket(47, now)
 	var waited time.Duration
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -123,7 +123,7 @@
 	return func(response http.ResponseWriter) { fmt.Fprint(response, text) }
 }
 
-func TestReadAllReadsAllPages(t *testing.T) {
+func TestReadAll_ReadsAllPages(t *testing.T) {
 	want := endpoints(7)
 	stand := startPlatform(t, 3, want...)
 	got, err := newTestReader(t, stand, &steppingClock{}, 47).ReadAll(t.Context())
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestReadAllKeepsTheRate(t *testing.T) {
+func TestReadAll_KeepsRate(t *testing.T) {
 	stand := startPlatform(t, 1, endpoints(40)...)
 	clock := &steppingClock{}
 	if _, err := newTestReader(t, stand, clock, 10).ReadAll(t.Context()); err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestAPageThatFailsIsAskedForAgain(t *testing.T) {
+func TestReadAll_FailedPage_Retried(t *testing.T) {
 	cases := []struct {
 		name    string
 		answer  func(http.ResponseWriter)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestAPageThatIsNoLongerKnownStartsTheReadAnew(t *testing.T) {
+func TestReadAll_UnknownPage_Restarts(t *testing.T) {
 	want := endpoints(4)
 	stand := startPlatform(t, 2, want...)
 	stand.answers = []func(http.ResponseWriter){nil, status(http.StatusBadRequest)}
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestAReadThatNeverEndsStopsWithItsContext(t *testing.T) {
+func TestReadAll_EndlessList_EndsWithContext(t *testing.T) {
 	// Given a reader that knows the list, and a platform that goes
 	want := endpoints(2)
 	stand := startPlatform(t, 5, want...)
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestAZoneIsAskedFor(t *testing.T) {
+func TestReadAll_Zone_InQuery(t *testing.T) {
 	stand := startPlatform(t, 5, endpoints(1)...)
 	reader, err := NewReader(Options{Address: stand.Listener.Addr().String(), RatePerS: 5, Zone: "hall a&b"})
 	if err != nil {
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestAReaderNeedsARate(t *testing.T) {
+func TestNewReader_NoRate_Fails(t *testing.T) {
 	if _, err := NewReader(Options{Address: "127.0.0.1:1"}); err == nil {
 		t.Error("no error")
 	}
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -16,7 +16,7 @@
 				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
 				New:  "known && roll.isDuplicate(&order)",
 			},
-			Run:    "^TestLateRepeats$",
+			Run:    "^TestStateMachine_LateDuplicates_Acknowledged$",
 			Always: true,
 		},
 		{
@@ -26,7 +26,7 @@
 				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
 				New:  "\tr.expireRecent(index)\n",
 			},
-			Run: "^TestAnOrderIsTaken",
+			Run: "^TestStateMachine_Duplicate_StartsNoSecondRollout",
 		},
 		{
 			Name: "repeats have no end",
@@ -35,7 +35,7 @@
 				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
 				New:  "",
 			},
-			Run: "^TestLateRepeats$",
+			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
 			Name: "a snapshot loses the recent orders",
@@ -44,7 +44,7 @@
 				Old:  "\tr.recent = slices.Clone(saved.Recent)\n",
 				New:  "",
 			},
-			Run: "^TestLateRepeats$",
+			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
 			Name: "the target alone names an order",
@@ -53,7 +53,7 @@
 				Old:  "taken.Service == order.Service && taken.Target == order.Target && taken.OverMs == order.OverMs",
 				New:  "taken.Service == order.Service && taken.Target == order.Target",
 			},
-			Run: "^TestLateRepeats$",
+			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
 			Name: "a repeat of what is under way is refused after its window",
@@ -62,7 +62,7 @@
 				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
 				New:  "r.isRecentDuplicate(&order)",
 			},
-			Run: "^TestARevertedTarget",
+			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
 		},
 		{
 			Name: "a decision holds for any order of the target",
@@ -71,7 +71,7 @@
 				Old:  "roll.Index != decision.Order",
 				New:  "roll.Target != decision.Target",
 			},
-			Run: "^TestARevertedTarget",
+			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
 		},
 	})
 }
--- a/internal/tier/rollout/register_test.go
+++ b/internal/tier/rollout/register_test.go
@@ -28,7 +28,7 @@
 	return r
 }
 
-func TestAnOrderIsTakenOnceAndItsEndLasts(t *testing.T) {
+func TestStateMachine_Duplicate_StartsNoSecondRollout(t *testing.T) {
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		// Given an order that has ended,
 		r := register(t)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestOneOrderOfAServiceIsUnderWay(t *testing.T) {
+func TestStateMachine_SecondTarget_InProgress(t *testing.T) {
 	// Given an order that is under way, when one for a third version comes, and one for the same in another time,
 	r := register(t)
 	verdicts := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestLateRepeats has an order come again after others.
-func TestLateRepeats(t *testing.T) {
+// TestStateMachine_LateDuplicates_Acknowledged has an order come again after others.
+func TestStateMachine_LateDuplicates_Acknowledged(t *testing.T) {
 	const second = 20 // index of the order for v3
 	type outcome struct {
 		Verdict rollout.Result
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestARevertedTargetIsTriedAgain(t *testing.T) {
+func TestStateMachine_RevertedTarget_MayBeProposedAgain(t *testing.T) {
 	// Given an order that was reverted,
 	r := register(t)
 	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestRegisterAgreesWithReference applies any orders and decisions, repeats among them, with snapshots in between.
-func TestRegisterAgreesWithReference(t *testing.T) {
+// TestStateMachine_RandomProposals_AgreesWithReference applies any orders and decisions, repeats among them, with snapshots in between.
+func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, want := rollout.New(), &reference{current: "v1"}
 		r.ApplyObservedVersion(rollout.ObservedVersion{Service: "s", Version: "v1"})
@@ -247,7 +247,7 @@
 	})
 }
 
-func TestProxiesAreToldWhatATargetMayGet(t *testing.T) {
+func TestStateMachine_Versions_CarryTargetShare(t *testing.T) {
 	versions := func(r *rollout.StateMachine) []view.ServiceVersions { return r.Versions().Services }
 	// Given an order under way, then the target may get a part of the bounds, split among the proxies;
 	r := register(t)
@@ -262,7 +262,7 @@
 	}
 }
 
-func TestAnOrderWithoutToldBoundsIsTriedAllTheSame(t *testing.T) {
+func TestProposal_WithoutBounds_GetsDefaultShare(t *testing.T) {
 	// Given an order where the settings tell no bounds, then its target gets a small share.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{}, 0)
 	if order.Share <= 0 || order.Share > 0.1 || order.ExtraRequests != 0 {
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestAnOwnerThatKnowsFewProxiesKeepsToTheBounds(t *testing.T) {
+func TestProposal_FewKnownProxies_KeepsBounds(t *testing.T) {
 	// Given an owner that has started just now and knows none of 9 proxies, then what they may send at first is within the slack.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 0)
 	if sum := 9 * order.ExtraRequests; sum > 50 {
--- a/internal/tier/rollout/trial_test.go
+++ b/internal/tier/rollout/trial_test.go
@@ -141,7 +141,7 @@
 	return c
 }
 
-func TestBadVersionsAreFoundInTime(t *testing.T) {
+func TestAnalysis_BadVersions_RevertedInTime(t *testing.T) {
 	const days = 100
 	even, uneven := []float64{0.5, 0.5}, []float64{0.75, 0.25}
 	kinds := []kind{
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestGoodVersionsAreFinishedByTheTerm(t *testing.T) {
+func TestAnalysis_GoodVersions_FinishedByDeadline(t *testing.T) {
 	const days = 100
 	for _, perSecond := range []float64{0.05, 0.5, 5, 28, 100} {
 		for _, usual := range []float64{0, 0.02} {
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestAVersionWithoutRequestsIsFinishedBeforeTheTerm(t *testing.T) {
+func TestAnalysis_NoRequests_FinishedByDeadline(t *testing.T) {
 	// Given an order for a service that nobody calls,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	// when its term is near,
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestAVersionThatAnswersNothingIsReverted(t *testing.T) {
+func TestAnalysis_NoAnswers_Reverted(t *testing.T) {
 	// Given a target that has got requests and has answered none until its term is near,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	target := rollout.StatsByRoute{"r": {Sent: 12}}
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestAnOlderReportIsNotCountedAgain(t *testing.T) {
+func TestAnalysis_OlderReport_Ignored(t *testing.T) {
 	// Given a trial that has seen two bad answers,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -23,8 +23,8 @@
 
 var mutants = []sourceMutant{
 	{"a minority decides", "../replica/members.go", "return g.voters/2 + 1", "return max(1, g.voters/2)", "TestAControlMachine"},
-	{"few repeats are known", "../configuration/register.go", "const maxHistory = 32768", "const maxHistory = 16", "TestAnOrderThatIs"},
-	{"two orders win on one version", "../configuration/register.go", "if order.Base != r.current.Number {", "if order.Base > r.current.Number {",
+	{"few repeats are known", "../configuration/history.go", "const maxHistory = 32768", "const maxHistory = 16", "TestAnOrderThatIs"},
+	{"two orders win on one version", "../configuration/state_machine.go", "if proposal.Base != s.current.Number {", "if proposal.Base > s.current.Number {",
 		"TestOneOfTwo|TestTheFirstMachine"},
 	{"entries are acknowledged before they last", "../storage/group.go", "if err := g.log.Sync(); err != nil {", "if err := error(nil); err != nil {",
 		"TestTheFirstMachine|TestRandomDays"},
