--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	d := s.Select(now, r)
 	if d.Endpoint == nil {
-		t.Fatalf("refused: %v", d.Rejection)
+		t.Fatalf("rejected: %v", d.Rejection)
 	}
 	s.Sent(now, &d.Attempt)
 	s.Done(now+elapsed, &d.Attempt, Outcome{Kind: kind, Elapsed: elapsed})
@@ -84,7 +84,7 @@
 		{"two versions are listed and none is known to be in service", mixed, nil, NoEndpoint},
 		{"all endpoints have been tried", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Excluded = []string{"feeds-0", "feeds-1"} }, NoEndpoint},
-		{"all tries are used", endpointsOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
+		{"all attempts are used", endpointsOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
 		{"it may have run and must not run twice", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Retryable, r.MayHaveRun = false, true }, AttemptsExhausted},
 		{"no time is left", endpointsOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, AttemptsExhausted},
@@ -97,7 +97,7 @@
 				test.change(&r)
 			}
 			if d := s.Select(0, r); d.Endpoint != nil || d.Rejection.Kind != test.want {
-				t.Errorf("endpoint %v, refusal %v; want %v", d.Endpoint, d.Rejection.Kind, test.want)
+				t.Errorf("endpoint %v, rejection %v; want %v", d.Endpoint, d.Rejection.Kind, test.want)
 			}
 		})
 	}
@@ -108,13 +108,13 @@
 	s := newBalancer(endpointsOf("feeds", 3, 6))
 	now := trainTimes(t, s, 0, retryableRequest("feeds"), 12, 300*time.Millisecond)
 
-	// When a request comes with 100 ms left, then it is refused; with 500 ms left it is sent.
+	// When a request comes with 100 ms left, then it is rejected; with 500 ms left it is sent.
 	r := retryableRequest("feeds")
 	if r.TimeLeft = 100 * time.Millisecond; s.Select(now, r).Rejection.Kind != DeadlineTooShort {
-		t.Error("a request with a third of the median left was not refused as hopeless")
+		t.Error("a request with a third of the median left was not rejected as DeadlineTooShort")
 	}
 	if r.TimeLeft = 500 * time.Millisecond; s.Select(now, r).Endpoint == nil {
-		t.Error("a request with more than the median left was refused")
+		t.Error("a request with more than the median left was rejected")
 	}
 }
 
@@ -135,11 +135,11 @@
 	// When a retryable request comes, then it is cut long before its time is over.
 	d := s.Select(now, retryableRequest("feeds"))
 	if d.UntilDeadline || d.Timeout > time.Second {
-		t.Errorf("retryable: time-out %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
+		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
 	if d := s.Select(now, onceOnlyRequest("feeds")); !d.UntilDeadline || d.Timeout != 2*time.Second {
-		t.Errorf("once only: time-out %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
+		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
 	r := retryableRequest("feeds")
@@ -183,7 +183,7 @@
 		now += time.Millisecond
 		d := s.Select(now, retryableRequest("feeds"))
 		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
-			t.Fatalf("decision %+v right after a refusal; want Full and a time to come back", d)
+			t.Fatalf("decision %+v right after a rejection; want Saturated and a time to come back", d)
 		}
 		wait := s.endpoints["feeds-0"].health.backoffUntil - now
 		if wait < last/2 {
@@ -197,7 +197,7 @@
 }
 
 func TestSetEndpoints_EndpointReturns_KeepsBackoff(t *testing.T) {
-	// Given an endpoint that has refused a call.
+	// Given an endpoint that has rejected a call.
 	list := endpointsOf("feeds", 1, 6)
 	s := newBalancer(list)
 	call(t, s, 0, retryableRequest("feeds"), NotRun, time.Millisecond)
@@ -206,7 +206,7 @@
 	s.SetEndpoints(3*time.Millisecond, list)
 	// Then nothing is sent there before the wait is over.
 	if d := s.Select(4*time.Millisecond, retryableRequest("feeds")); d.Rejection.Kind != Saturated {
-		t.Errorf("decision %+v, want Full", d)
+		t.Errorf("decision %+v, want Saturated", d)
 	}
 }
 
@@ -214,7 +214,7 @@
 	// Given a service where one endpoint's connections are reset.
 	s := newBalancer(endpointsOf("feeds", 3, 6))
 	now := trainTimes(t, s, 0, retryableRequest("feeds"), 30, 30*time.Millisecond)
-	sick := "feeds-1"
+	ejected := "feeds-1"
 	others := []string{"feeds-0", "feeds-2"}
 	r := retryableRequest("feeds")
 	r.Excluded = others
@@ -227,7 +227,7 @@
 	for range 100 {
 		d := s.Select(now, retryableRequest("feeds"))
 		kind := Success
-		if d.Endpoint.ID == sick {
+		if d.Endpoint.ID == ejected {
 			probes++
 			kind = IncompleteResponse
 		}
@@ -243,12 +243,12 @@
 	now += 10 * time.Second
 	s.Select(now, retryableRequest("feeds"))
 	for range 5 {
-		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, time.Millisecond); got == sick {
+		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, time.Millisecond); got == ejected {
 			t.Error("a request that must not run twice was used as a probe")
 		}
 	}
 	// And if all others are excluded, the failing one is used.
-	if got := call(t, s, now, r, Success, time.Millisecond); got != sick {
+	if got := call(t, s, now, r, Success, time.Millisecond); got != ejected {
 		t.Errorf("went to %s, want the only one left", got)
 	}
 }
@@ -259,8 +259,8 @@
 	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 30, 30*time.Millisecond)
 	r := onceOnlyRequest("feeds")
 	r.Excluded = []string{"feeds-0"}
-	silent := s.Select(now, r)
-	s.Sent(now, &silent.Attempt)
+	overdue := s.Select(now, r)
+	s.Sent(now, &overdue.Attempt)
 
 	// When a second has passed, then nothing else goes there.
 	now += time.Second
@@ -273,19 +273,19 @@
 }
 
 func TestSelect_AllEndpointsAtCapacity_RejectsAsSaturated(t *testing.T) {
-	// Given two endpoints of two slots that tell that they are full and their queues too.
+	// Given two endpoints of two slots that report that they are full and their queues too.
 	s := newBalancer(endpointsOf("feeds", 2, 2))
 	for range 2 {
 		d := s.Select(0, retryableRequest("feeds"))
 		s.Sent(0, &d.Attempt)
 		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
-	// When a request comes, then it is refused with a time to come back; some time later it is tried.
+	// When a request comes, then it is rejected with a time to come back; some time later it is tried.
 	if d := s.Select(0, retryableRequest("feeds")); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
-		t.Errorf("decision %+v, want Full", d)
+		t.Errorf("decision %+v, want Saturated", d)
 	}
 	if d := s.Select(5*time.Second, retryableRequest("feeds")); d.Endpoint == nil {
-		t.Errorf("refused (%v) by what was told 5 s ago", d.Rejection.Kind)
+		t.Errorf("rejected (%v) by a report of 5 s ago", d.Rejection.Kind)
 	}
 }
 
@@ -370,7 +370,7 @@
 				t.Errorf("zone %s: %s got %d of 300, want about %d", test.zone, e.ID, got, even)
 			}
 		}
-		// And when one endpoint leaves, only what it held moves.
+		// And when one endpoint leaves, only its affinities move.
 		a.SetEndpoints(0, list[1:])
 		for key := uint64(1); key <= 300; key++ {
 			moved := a.Select(0, turnRequest(mix(key))).Endpoint.ID != places[key]
@@ -449,7 +449,7 @@
 		s.Sent(0, &attempts[len(attempts)-1])
 	}
 	if len(attempts) != 12 {
-		t.Errorf("one endpoint held %d of 16 slots, want 12", len(attempts))
+		t.Errorf("one endpoint took %d of 16 in flight, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
 	s.Select(5*time.Second, onceOnlyRequest("feeds"))
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -76,14 +76,14 @@
 	{Route{Name: "desks", Kind: model.AtMostOnce, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
 }
 
-// simulatedProxy is one proxy. Requests that a scheduler refuses as Saturated wait in its queue.
+// simulatedProxy is one proxy. Requests that a balancer rejects as Saturated wait in its queue.
 type simulatedProxy struct {
 	policy  policy
 	queue   *Queue // nil: nothing waits
 	waiting map[uint64]*simulatedClient
 }
 
-// slotFreed lets the most urgent waiter try again.
+// slotFreed lets the most urgent request attempt again.
 func (r *simulatedProxy) slotFreed() {
 	if r.queue == nil {
 		return
@@ -93,83 +93,83 @@
 	}
 }
 
-// expire refuses those that have waited for too long.
+// expire rejects those that have waited for too long.
 func (r *simulatedProxy) expire(now time.Duration) {
 	for w, ok := r.queue.PopExpired(now); ok; w, ok = r.queue.PopExpired(now) {
 		r.rejectQueued(w.ID)
 	}
 }
 
-// rejectQueued gives a waiter its refusal.
+// rejectQueued gives a queued request its rejection.
 func (r *simulatedProxy) rejectQueued(id uint64) {
 	c := r.waiting[id]
 	delete(r.waiting, id)
 	c.rejected(minRetryAfter)
 }
 
-// plainSimulation is what plain calls meet.
+// plainSimulation is the environment of plain calls.
 type plainSimulation struct {
-	sim     *simulation
+	clock   *simulation
 	list    []model.Endpoint
 	servers []*server
-	relays  []*simulatedProxy
+	proxies []*simulatedProxy
 	stats   *callStats
 	serial  uint64
 }
 
-// simulatePlainCalls plays plain calls of nine relays to 28 endpoints of six slots, at that part of what these can do.
-func simulatePlainCalls(seed uint64, usage float64, outage, queues bool, relay func(list []model.Endpoint, i int) policy) *callStats {
-	const endpoints, slots, relays, length = 28, 6, 9, 11 * time.Second
-	w := &plainSimulation{sim: newSimulation(seed), list: endpointsOf("feeds", endpoints, slots), stats: &callStats{}}
+// simulatePlainCalls simulates plain calls of nine proxies to 28 endpoints of six slots, at that part of what these can do.
+func simulatePlainCalls(seed uint64, usage float64, outage, queues bool, newPolicy func(list []model.Endpoint, i int) policy) *callStats {
+	const endpoints, slots, proxies, length = 28, 6, 9, 11 * time.Second
+	w := &plainSimulation{clock: newSimulation(seed), list: endpointsOf("feeds", endpoints, slots), stats: &callStats{}}
 	power := 0.0
 	for i := range endpoints {
-		v := &server{sim: w.sim, speed: math.Exp(0.4 * w.sim.random.NormFloat64()), slots: slots, queue: 4}
+		v := &server{sim: w.clock, speed: math.Exp(0.4 * w.clock.random.NormFloat64()), slots: slots, queue: 4}
 		if power += slots / v.speed; outage && i%7 == 3 {
 			v.down = func(now time.Duration) bool { return now > 5*time.Second && now < 9*time.Second }
 		}
 		w.servers = append(w.servers, v)
 	}
-	for i := range relays {
-		r := &simulatedProxy{policy: relay(w.list, i), waiting: map[uint64]*simulatedClient{}}
+	for i := range proxies {
+		r := &simulatedProxy{policy: newPolicy(w.list, i), waiting: map[uint64]*simulatedClient{}}
 		if queues {
 			r.queue = NewQueue(200)
 		}
-		w.relays = append(w.relays, r)
+		w.proxies = append(w.proxies, r)
 	}
 	work := 0.0
 	for _, k := range plainRequestKinds {
 		work += k.share * k.work.Seconds() * 1.1
 	}
-	w.sim.arrivals(usage*power/work, length, w.arrive)
-	w.sim.run(length + 6*time.Second)
+	w.clock.arrivals(usage*power/work, length, w.arrive)
+	w.clock.run(length + 6*time.Second)
 	return w.stats
 }
 
 func (w *plainSimulation) arrive() {
-	at, k := w.sim.arrivalRandom.Float64(), 0
+	at, k := w.clock.arrivalRandom.Float64(), 0
 	for at > plainRequestKinds[k].share && k < len(plainRequestKinds)-1 {
 		at -= plainRequestKinds[k].share
 		k++
 	}
 	w.serial++
-	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.sim.now, returnsLeft: 1,
-		relay: w.relays[w.sim.arrivalRandom.IntN(len(w.relays))]}
-	if w.sim.now > 3*time.Second { // what is learnt counts, not the learning
+	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.clock.now, returnsLeft: 1,
+		proxy: w.proxies[w.clock.arrivalRandom.IntN(len(w.proxies))]}
+	if w.clock.now > 3*time.Second { // what is learnt counts, not the learning
 		w.stats.requests++
 		c.measured = true
 	}
 	c.attempt()
 }
 
-// simulatedClient is one request on its way through a relay.
+// simulatedClient is one request on its way through a proxy.
 type simulatedClient struct {
 	simulation   *plainSimulation
 	id           uint64
 	kind         *plainRequestKind
-	relay        *simulatedProxy
+	proxy        *simulatedProxy
 	startedAt    time.Duration
 	queuedUntil  time.Duration // bound of its wait in the queue; 0: it hasn't waited
-	returnsLeft  int           // times that the client comes again after a refusal
+	returnsLeft  int           // times that the client comes again after a rejection
 	attempts     int
 	mayHaveRun   bool
 	afterTimeout bool
@@ -178,11 +178,11 @@
 }
 
 func (c *simulatedClient) timeLeft() time.Duration {
-	return c.kind.deadline - (c.simulation.sim.now - c.startedAt)
+	return c.kind.deadline - (c.simulation.clock.now - c.startedAt)
 }
 
 func (c *simulatedClient) attempt() {
-	delete(c.relay.waiting, c.id)
+	delete(c.proxy.waiting, c.id)
 	r := Request{Service: "feeds", Route: c.kind.route, Retryable: c.kind.retryable, TimeLeft: c.timeLeft(), AttemptsUsed: c.attempts,
 		MayHaveRun: c.mayHaveRun, AfterTimeout: c.afterTimeout, Excluded: c.excluded}
 	if r.TimeLeft <= 0 || c.mayHaveRun && (c.attempts >= 3 || !c.kind.retryable) {
@@ -192,8 +192,8 @@
 		c.rejected(100 * time.Millisecond)
 		return
 	}
-	now := c.simulation.sim.now
-	i, timeout, a := c.relay.policy.choose(now, r)
+	now := c.simulation.clock.now
+	i, timeout, a := c.proxy.policy.choose(now, r)
 	if i < 0 {
 		c.enqueue(timeout)
 		return
@@ -202,24 +202,24 @@
 		c.simulation.stats.attempts++
 	}
 	c.attempts++
-	c.relay.policy.sent(now, i, a)
+	c.proxy.policy.sent(now, i, a)
 	over := false
 	end := func(o Outcome) {
 		if over {
 			return
 		}
-		over, o.Elapsed = true, c.simulation.sim.now-now
-		c.relay.policy.done(c.simulation.sim.now, i, a, o)
+		over, o.Elapsed = true, c.simulation.clock.now-now
+		c.proxy.policy.done(c.simulation.clock.now, i, a, o)
 		c.attemptEnded(i, o)
-		c.relay.slotFreed()
+		c.proxy.slotFreed()
 	}
 	c.simulation.servers[i].serve(c.kind.work, end)
-	c.simulation.sim.after(timeout, func() { end(Outcome{Kind: TimedOut}) })
+	c.simulation.clock.after(timeout, func() { end(Outcome{Kind: TimedOut}) })
 }
 
-// enqueue joins the relay's queue, if there is one.
+// enqueue joins the proxy's queue, if there is one.
 func (c *simulatedClient) enqueue(comeBack time.Duration) {
-	now, queue := c.simulation.sim.now, c.relay.queue
+	now, queue := c.simulation.clock.now, c.proxy.queue
 	if queue == nil || c.mayHaveRun {
 		c.rejected(comeBack)
 		return
@@ -232,15 +232,15 @@
 		c.rejected(comeBack)
 		return
 	}
-	c.relay.waiting[c.id] = c
-	if refused, full := queue.Push(w); full {
-		c.relay.rejectQueued(refused.ID)
+	c.proxy.waiting[c.id] = c
+	if rejected, full := queue.Push(w); full {
+		c.proxy.rejectQueued(rejected.ID)
 	}
-	relay := c.relay
-	c.simulation.sim.after(w.ExpiresAt-now, func() { relay.expire(c.simulation.sim.now) })
+	proxy := c.proxy
+	c.simulation.clock.after(w.ExpiresAt-now, func() { proxy.expire(c.simulation.clock.now) })
 }
 
-// rejected ends the try with a promise; the client comes back if it has the time.
+// rejected ends the attempt with a time to come back; the client comes back if it has the time.
 func (c *simulatedClient) rejected(after time.Duration) {
 	if c.measured {
 		c.simulation.stats.rejected++
@@ -250,8 +250,8 @@
 	}
 	c.returnsLeft--
 	c.attempts, c.excluded, c.queuedUntil = 0, nil, 0
-	c.relay = c.simulation.relays[c.simulation.sim.arrivalRandom.IntN(len(c.simulation.relays))]
-	c.simulation.sim.after(after, c.attempt)
+	c.proxy = c.simulation.proxies[c.simulation.clock.arrivalRandom.IntN(len(c.simulation.proxies))]
+	c.simulation.clock.after(after, c.attempt)
 }
 
 func (c *simulatedClient) attemptEnded(i int, o Outcome) {
@@ -266,7 +266,7 @@
 		c.attempt()
 		return
 	}
-	took := c.simulation.sim.now - c.startedAt
+	took := c.simulation.clock.now - c.startedAt
 	if !c.measured || took > c.kind.deadline {
 		return
 	}
@@ -286,15 +286,15 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("usage=%v/outage=%v", test.usage, test.outage), func(t *testing.T) {
 			t.Parallel()
-			play := func(queues bool, relay func(list []model.Endpoint, i int) policy) *callStats {
-				return simulatePlainCalls(1, test.usage, test.outage, queues, relay)
+			simulate := func(queues bool, newPolicy func(list []model.Endpoint, i int) policy) *callStats {
+				return simulatePlainCalls(1, test.usage, test.outage, queues, newPolicy)
 			}
-			random := play(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
-			least := play(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
-			direct, ours := play(false, balancedProxyPolicy), play(true, balancedProxyPolicy)
+			random := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
+			least := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			direct, ours := simulate(false, balancedProxyPolicy), simulate(true, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", least)
-			t.Logf("scheduler:  %v", direct)
+			t.Logf("balancer:   %v", direct)
 			t.Logf("with queue: %v", ours)
 			if share := ours.share(ours.onTime); share < random.share(random.onTime) || share < least.share(least.onTime) {
 				t.Error("fewer requests are in time than with a simple choice")
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -14,13 +14,13 @@
 
 // decisionRecord is one decision as a trace keeps it.
 type decisionRecord struct {
-	Endpoint string
-	Timeout  time.Duration
-	RunsOn   bool
-	Refusal  Rejection
+	Endpoint      string
+	Timeout       time.Duration
+	UntilDeadline bool
+	Rejection     Rejection
 }
 
-// randomRun drives a scheduler at random, and checks each decision.
+// randomRun drives a balancer at random, and checks each decision.
 type randomRun struct {
 	rt           *rapid.T
 	s            *Balancer
@@ -73,7 +73,7 @@
 		Route:        Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "route"), Kind: model.Retryable, MaxAttempts: 3},
 		Retryable:    rapid.Bool().Draw(rt, "retryable"),
 		TimeLeft:     time.Duration(rapid.IntRange(1, 3000).Draw(rt, "left")) * time.Millisecond,
-		AttemptsUsed: rapid.IntRange(0, 3).Draw(rt, "tries"),
+		AttemptsUsed: rapid.IntRange(0, 3).Draw(rt, "attempts"),
 		AffinityKey:  rapid.Uint64Range(0, 3).Draw(rt, "affinity"),
 	}
 	r.Route.UsesAffinity = rapid.Bool().Draw(rt, "pinned")
@@ -92,10 +92,10 @@
 func (w *randomRun) choose() {
 	r := w.request()
 	d := w.s.Select(w.now, r)
-	at := decisionRecord{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
+	at := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
 	if d.Endpoint == nil {
 		if d.Rejection.Kind == NotRejected {
-			w.rt.Fatal("neither an endpoint nor a refusal")
+			w.rt.Fatal("neither an endpoint nor a rejection")
 		}
 		w.trace = append(w.trace, at)
 		return
@@ -122,7 +122,7 @@
 	case slices.Contains(r.Excluded, d.Endpoint.ID):
 		w.rt.Fatalf("%s is excluded", d.Endpoint.ID)
 	case d.Timeout > r.TimeLeft || d.Timeout <= 0 || d.UntilDeadline && d.Timeout != r.TimeLeft:
-		w.rt.Fatalf("time-out %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
+		w.rt.Fatalf("timeout %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
 	case !r.Retryable && (!d.UntilDeadline || r.MayHaveRun):
 		w.rt.Fatal("a request that must not run twice is cut, or sent again")
 	case len(e.inFlight) >= runMaxInFlight*3/4 || e.health.consecutiveFailures > 0 && len(e.inFlight) >= runMaxInFlight/2:
@@ -134,7 +134,7 @@
 	}
 	k := e.service.plan(d.Attempt.kind)
 	if f := k.estimatesFor(e); f.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(f.median)) {
-		w.rt.Fatal("a hopeless request is sent")
+		w.rt.Fatal("a request is sent with less time left than the median")
 	}
 }
 
@@ -202,14 +202,14 @@
 
 func TestSelect_SameSeedAndCalls_SameDecisions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Given two schedulers with the same seed, and the endpoints listed in another order.
+		// Given two balancers with the same seed, and the endpoints listed in another order.
 		list := endpointsOf("feeds", 20, 2)
-		turned := slices.Clone(list)
-		slices.Reverse(turned)
+		reversed := slices.Clone(list)
+		slices.Reverse(reversed)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		a, b := New(Options{Zone: "z0", Seed: seed}), New(Options{Zone: "z0", Seed: seed})
 		a.SetEndpoints(0, list)
-		b.SetEndpoints(0, turned)
+		b.SetEndpoints(0, reversed)
 		var traces [2][]decisionRecord
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
@@ -222,7 +222,7 @@
 			// When both get the same calls.
 			for i, s := range []*Balancer{a, b} {
 				d := s.Select(now, r)
-				at := decisionRecord{Timeout: d.Timeout, RunsOn: d.UntilDeadline, Refusal: d.Rejection}
+				at := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
 				if d.Endpoint != nil {
 					at.Endpoint = d.Endpoint.ID
 					s.Sent(now, &d.Attempt)
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -29,10 +29,10 @@
 	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 2, Priority: 2, Deadline: 100, ExpiresAt: 50})
 	if w, full := q.Push(QueuedRequest{ID: 3, Priority: 0, Deadline: 100, ExpiresAt: 50}); !full || w.ID != 2 {
-		t.Errorf("refused %v (%v), want 2", w.ID, full)
+		t.Errorf("rejected %v (%v), want 2", w.ID, full)
 	}
 	if w, full := q.Push(QueuedRequest{ID: 4, Priority: 3, Deadline: 100, ExpiresAt: 50}); !full || w.ID != 4 {
-		t.Errorf("refused %v (%v), want 4", w.ID, full)
+		t.Errorf("rejected %v (%v), want 4", w.ID, full)
 	}
 }
 
@@ -57,13 +57,13 @@
 				left := time.Duration(rapid.IntRange(1, 500).Draw(rt, "left")) * time.Millisecond
 				w := NewQueuedRequest(id, rapid.IntRange(0, 2).Draw(rt, "rank"), now, 400*time.Millisecond, left)
 				waiting[id] = w
-				if refused, full := q.Push(w); full {
+				if rejected, full := q.Push(w); full {
 					for _, other := range waiting {
-						if refused.before(&other) {
-							rt.Fatalf("refused %+v while %+v is less urgent", refused, other)
+						if rejected.before(&other) {
+							rt.Fatalf("rejected %+v while %+v is less urgent", rejected, other)
 						}
 					}
-					delete(waiting, refused.ID)
+					delete(waiting, rejected.ID)
 				}
 			case 2:
 				if w, ok := q.Pop(); ok {
@@ -83,7 +83,7 @@
 			}
 			for w, ok := q.PopExpired(now); ok; w, ok = q.PopExpired(now) {
 				if w.ExpiresAt > now {
-					rt.Fatalf("%+v refused at %v", w, now)
+					rt.Fatalf("%+v rejected at %v", w, now)
 				}
 				delete(waiting, w.ID)
 			}
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -17,7 +17,7 @@
 		s := newBalancer(list)
 		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: 0.05, InitialAllowance: 4}}
 		s.SetVersions(versions)
-		// when requests come, and the same versions are told again meanwhile,
+		// when requests come, and the same versions are set again meanwhile,
 		target := [1001]int{}
 		for i := range 1000 {
 			r := retryableRequest("feeds")
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/model"
 )
 
-// The simulation plays plain calls and streams in virtual time. Its endpoints follow the words of the protocol: they
-// differ in speed, work on so many requests at once, let a few more wait, refuse the rest, and tell their load.
+// The simulation simulates plain calls and streams in virtual time. Its endpoints follow the protocol: they
+// differ in speed, work on so many requests at once, let a few more wait, refuse the rest, and report their load.
 
 // simulation is a clock with what is due.
 type simulation struct {
@@ -20,7 +20,7 @@
 	events        eventHeap
 	serial        uint64
 	random        *rand.Rand
-	arrivalRandom *rand.Rand // the requests are the same whatever serves them
+	arrivalRandom *rand.Rand // the requests are the same whichever endpoint serves them
 }
 
 type simulatedEvent struct {
@@ -70,16 +70,16 @@
 	})
 }
 
-// policy is a way to choose among endpoints at one relay.
+// policy is a way to choose among endpoints at one proxy.
 type policy interface {
-	// choose returns an endpoint and a time-out, or -1 and the time after which to come back.
+	// choose returns an endpoint and a timeout, or -1 and the time after which to come back.
 	choose(now time.Duration, r Request) (endpoint int, timeout time.Duration, attempt *Attempt)
 	sent(now time.Duration, endpoint int, a *Attempt)
-	first(now time.Duration, endpoint int, a *Attempt, told Load)
+	first(now time.Duration, endpoint int, a *Attempt, report Load)
 	done(now time.Duration, endpoint int, a *Attempt, o Outcome)
 }
 
-// balancedPolicy is the scheduler as a policy.
+// balancedPolicy is the balancer as a policy.
 type balancedPolicy struct {
 	balancer *Balancer
 	indexes  map[string]int
@@ -103,14 +103,14 @@
 }
 
 func (p *balancedPolicy) sent(now time.Duration, _ int, a *Attempt) { p.balancer.Sent(now, a) }
-func (p *balancedPolicy) first(now time.Duration, _ int, a *Attempt, told Load) {
-	p.balancer.FirstEvent(now, a, told)
+func (p *balancedPolicy) first(now time.Duration, _ int, a *Attempt, report Load) {
+	p.balancer.FirstEvent(now, a, report)
 }
 func (p *balancedPolicy) done(now time.Duration, _ int, a *Attempt, o Outcome) {
 	p.balancer.Done(now, a, o)
 }
 
-// baselinePolicy chooses at random, or the endpoint with the least load told and own calls.
+// baselinePolicy chooses at random, or the endpoint with the least reported load and own calls.
 type baselinePolicy struct {
 	random       *rand.Rand
 	leastLoaded  bool
@@ -145,8 +145,8 @@
 }
 
 func (p *baselinePolicy) sent(_ time.Duration, i int, _ *Attempt) { p.ownInFlight[i]++ }
-func (p *baselinePolicy) first(_ time.Duration, i int, _ *Attempt, told Load) {
-	p.reportedLoad[i] = float64(told.Running + told.Queued - p.ownInFlight[i])
+func (p *baselinePolicy) first(_ time.Duration, i int, _ *Attempt, report Load) {
+	p.reportedLoad[i] = float64(report.Running + report.Queued - p.ownInFlight[i])
 }
 func (p *baselinePolicy) done(_ time.Duration, i int, _ *Attempt, o Outcome) {
 	p.ownInFlight[i]--
@@ -169,7 +169,7 @@
 	if len(t.times) > 0 {
 		p95 = t.times[len(t.times)*95/100]
 	}
-	return fmt.Sprintf("in time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f sends each (%d turned away, %d reset, %d cut), %d refused, in time by rank %d",
+	return fmt.Sprintf("on time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f sends each (%d rejected by endpoints, %d broken, %d timed out), %d rejected, on time by priority %d",
 		t.share(t.onTime), t.share(t.served), 1000*mean, 1000*p95, float64(t.attempts)/float64(max(1, t.requests)),
 		t.outcomes[NotRun], t.outcomes[IncompleteResponse], t.outcomes[TimedOut], t.rejected, t.onTimeByPriority)
 }
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -120,13 +120,13 @@
 }
 
 func (t *turnStats) String() string {
-	return fmt.Sprintf("first event %3.0f ms, whole %3.0f ms in the mean, %.0f tokens read a turn", 1000*meanOf(t.first),
+	return fmt.Sprintf("first event %3.0f ms, complete %3.0f ms in the mean, %.0f tokens read a turn", 1000*meanOf(t.first),
 		1000*meanOf(t.complete), float64(t.rereadTokens)/float64(max(1, t.turns)))
 }
 
-// simulateTurns plays programs of several turns over nine relays and nine engines. Each turn comes to any of the relays.
-func simulateTurns(seed uint64, rate float64, relay func(list []model.Endpoint, i int) policy) *turnStats {
-	const engines, relays, length, turns, out = 9, 9, 12 * time.Second, 6, 24
+// simulateTurns simulates programs of several turns over nine proxies and nine engines. Each turn comes to any of the proxies.
+func simulateTurns(seed uint64, rate float64, newPolicy func(list []model.Endpoint, i int) policy) *turnStats {
+	const engines, proxies, length, turns, out = 9, 9, 12 * time.Second, 6, 24
 	sim, list, t := newSimulation(seed), endpointsOf("models", engines, 64), &turnStats{}
 	var nodes []*engine
 	for i := range engines {
@@ -134,15 +134,15 @@
 			cachedPrefixes: map[uint64]int{}})
 	}
 	var policies []policy
-	for i := range relays {
-		policies = append(policies, relay(list, i))
+	for i := range proxies {
+		policies = append(policies, newPolicy(list, i))
 	}
 	program := uint64(0)
 	var turn func(session uint64, number int)
 	turn = func(session uint64, number int) {
 		t.turns++
 		history := 600 + 500*number
-		p, begun := policies[sim.arrivalRandom.IntN(relays)], sim.now
+		p, begun := policies[sim.arrivalRandom.IntN(proxies)], sim.now
 		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
 			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 			PrefixTokens: history - 500, NewTokens: 500, OutTokens: out})
@@ -182,7 +182,7 @@
 			ours := simulateTurns(1, rate, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", least)
-			t.Logf("scheduler:  %v", ours)
+			t.Logf("balancer:   %v", ours)
 			if w := meanOf(ours.complete); w > meanOf(random.complete) || w > meanOf(least.complete) {
 				t.Error("streams take longer than with a simple choice")
 			}
