--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -12,73 +12,73 @@
 )
 
 const (
-	// mostNotRun bounds the endpoints that may turn a request away before it is refused.
-	mostNotRun = 4
-	// mostUnsent bounds the endpoints that can't be reached before a request is refused.
-	mostUnsent = 4
+	// maxNotRun bounds the endpoints that may turn a request away before it is refused.
+	maxNotRun = 4
+	// maxNeverSent bounds the endpoints that can't be reached before a request is refused.
+	maxNeverSent = 4
 )
 
 var errAttemptTimeout = errors.New("the attempt's time is over")
 
 // attempt is one send of a call.
 type attempt struct {
-	choice  Selection
-	started time.Time
-	context context.Context
-	cancel  context.CancelCauseFunc // nil: there is no time-out
-	timer   *time.Timer             // nil: there is none
-	outcome Outcome
-	answer  *upstream.Response
-	before  int64 // events that the client had before
-	closed  bool  // the chooser has been told its outcome
+	selection    Selection
+	started      time.Time
+	context      context.Context
+	cancel       context.CancelCauseFunc // nil: there is no time-out
+	timer        *time.Timer             // nil: there is none
+	outcome      Outcome
+	response     *upstream.Response
+	eventsBefore int64 // events that the client had before
+	done         bool  // the chooser has been told its outcome
 }
 
-// attempt sends the request to one endpoint. It returns true when the request is to be sent again.
-func (c *call) attempt() (again bool) {
-	choice, err := c.proxy.options.Selector.Select(c.context, &c.facts)
+// sendAttempt sends the request to one endpoint. It returns true when the request is to be sent again.
+func (c *clientRequest) sendAttempt() (again bool) {
+	choice, err := c.proxy.options.Selector.Select(c.context, &c.info)
 	if err != nil {
-		c.refused(err)
+		c.handleRejection(err)
 		return false
 	}
-	a := &attempt{choice: choice, started: c.proxy.options.Now(), before: c.scanner.count}
+	a := &attempt{selection: choice, started: c.proxy.options.Now(), eventsBefore: c.scanner.count}
 	a.outcome.Result = IncompleteResponse
-	c.bound(a)
-	defer c.done(a)
-	c.facts.Excluded = append(c.facts.Excluded, choice.ID)
-	a.answer, err = c.proxy.pool.Do(a.context, c.endpoint(choice), c.attemptRequest(choice))
+	c.applyTimeout(a)
+	defer c.finishAttempt(a)
+	c.info.Excluded = append(c.info.Excluded, choice.ID)
+	a.response, err = c.proxy.pool.Do(a.context, c.upstreamEndpoint(choice), c.attemptRequest(choice))
 	if err != nil {
-		return c.unanswered(a, err)
+		return c.handleNoResponse(a, err)
 	}
-	return c.answered(a)
+	return c.handleResponse(a)
 }
 
-// done closes what belongs to an attempt and tells the chooser its outcome, once.
-func (c *call) done(a *attempt) {
-	if a.closed {
+// finishAttempt closes what belongs to an attempt and tells the chooser its outcome, once.
+func (c *clientRequest) finishAttempt(a *attempt) {
+	if a.done {
 		return
 	}
-	a.closed = true
+	a.done = true
 	a.stopTimer()
-	if a.answer != nil {
-		a.answer.Close()
+	if a.response != nil {
+		a.response.Close()
 	}
 	if a.cancel != nil {
 		a.cancel(nil)
 	}
 	a.outcome.Took = c.proxy.options.Now().Sub(a.started)
-	a.outcome.Events = c.scanner.count - a.before
-	a.outcome.Tokens = a.outcome.Events * tokensPerEvent(c.facts.Service)
-	c.proxy.options.Selector.Done(a.choice, a.outcome)
+	a.outcome.Events = c.scanner.count - a.eventsBefore
+	a.outcome.Tokens = a.outcome.Events * tokensPerEvent(c.info.Service)
+	c.proxy.options.Selector.Done(a.selection, a.outcome)
 }
 
-// bound makes an attempt end after its choice's time-out.
-func (c *call) bound(a *attempt) {
+// applyTimeout makes an attempt end after its choice's time-out.
+func (c *clientRequest) applyTimeout(a *attempt) {
 	a.context = c.context
-	if a.choice.Timeout <= 0 {
+	if a.selection.Timeout <= 0 {
 		return
 	}
 	a.context, a.cancel = context.WithCancelCause(c.context)
-	a.timer = time.AfterFunc(a.choice.Timeout, func() { a.cancel(errAttemptTimeout) })
+	a.timer = time.AfterFunc(a.selection.Timeout, func() { a.cancel(errAttemptTimeout) })
 }
 
 func (a *attempt) stopTimer() {
@@ -87,9 +87,9 @@
 	}
 }
 
-// inTime ends the attempt's time-out, as its answer begins to go to the client. It returns false where the time-out has
+// stopTimeout ends the attempt's time-out, as its answer begins to go to the client. It returns false where the time-out has
 // fired already: then nothing of the answer may go out, as the rest of it won't come.
-func (a *attempt) inTime() bool {
+func (a *attempt) stopTimeout() bool {
 	timer := a.timer
 	if timer == nil {
 		return true
@@ -102,12 +102,12 @@
 	return false
 }
 
-func (c *call) endpoint(choice Selection) upstream.Endpoint {
+func (c *clientRequest) upstreamEndpoint(choice Selection) upstream.Endpoint {
 	return upstream.Endpoint{ID: choice.ID, Address: choice.Address, MaxConnections: choice.MaxConnections, Permit: choice.Permit}
 }
 
 // attemptRequest returns the request with the fields of this attempt.
-func (c *call) attemptRequest(choice Selection) *upstream.Request {
+func (c *clientRequest) attemptRequest(choice Selection) *upstream.Request {
 	extra := append(c.upstream.AttemptFields[:0],
 		upstream.Field{Name: headerExpected, Value: choice.ID},
 		upstream.Field{Name: headerPriority, Value: c.priority},
@@ -120,68 +120,68 @@
 }
 
 // lastEventID returns the id of the last event that the client has, from this answer or from an earlier one.
-func (c *call) lastEventID() string {
+func (c *clientRequest) lastEventID() string {
 	if c.scanner.lastID != "" {
 		return c.scanner.lastID
 	}
 	return first(c.request.Header, headerLastEventID)
 }
 
-// unanswered deals with an attempt that brought no answer.
-func (c *call) unanswered(a *attempt, err error) (again bool) {
+// handleNoResponse deals with an attempt that brought no answer.
+func (c *clientRequest) handleNoResponse(a *attempt, err error) (again bool) {
 	var failure *upstream.Error
 	if errors.As(err, &failure) && failure.Kind == upstream.NeverSent {
-		return c.neverSent(a, failure.Reason)
+		return c.handleNeverSent(a, failure.Reason)
 	}
-	return c.broken(a)
+	return c.handleIncomplete(a)
 }
 
-// neverSent deals with an attempt of which no byte left.
-func (c *call) neverSent(a *attempt, reason upstream.Reason) (again bool) {
-	a.outcome.Result = c.unsentResult(reason)
-	c.unsent++
+// handleNeverSent deals with an attempt of which no byte left.
+func (c *clientRequest) handleNeverSent(a *attempt, reason upstream.Reason) (again bool) {
+	a.outcome.Result = c.neverSentResult(reason)
+	c.neverSentAttempts++
 	if reason == upstream.PoolExhausted {
-		c.facts.RejectedBy = append(c.facts.RejectedBy, a.choice.ID)
+		c.info.RejectedBy = append(c.info.RejectedBy, a.selection.ID)
 	}
-	if c.context.Err() == nil && c.unsent < mostUnsent {
+	if c.context.Err() == nil && c.neverSentAttempts < maxNeverSent {
 		return true
 	}
-	c.giveUp()
+	c.abandon()
 	return false
 }
 
-// unsentResult returns what an attempt that wasn't sent tells of its endpoint.
-func (c *call) unsentResult(reason upstream.Reason) Result {
+// neverSentResult returns what an attempt that wasn't sent tells of its endpoint.
+func (c *clientRequest) neverSentResult(reason upstream.Reason) Result {
 	switch reason {
 	case upstream.PoolExhausted:
 		return NotRun
 	case upstream.PermitRevoked:
 		return Cancelled
 	case upstream.Cancelled, upstream.ConnectFailed:
-		if c.isOver() {
+		if c.ended() {
 			return Cancelled
 		}
 	}
 	return NeverSent
 }
 
-// isOver tells whether the deadline has passed or the client has gone.
-func (c *call) isOver() bool {
-	return c.context.Err() != nil || !c.proxy.options.Now().Before(c.facts.Deadline)
+// ended tells whether the deadline has passed or the client has gone.
+func (c *clientRequest) ended() bool {
+	return c.context.Err() != nil || !c.proxy.options.Now().Before(c.info.Deadline)
 }
 
-// broken deals with an attempt that was sent, and whose answer didn't come or can't be passed on.
-func (c *call) broken(a *attempt) (again bool) {
-	a.outcome.Result = c.brokenResult(a)
-	c.ran(a.outcome.Result)
-	if c.mayTryAgain() {
+// handleIncomplete deals with an attempt that was sent, and whose answer didn't come or can't be passed on.
+func (c *clientRequest) handleIncomplete(a *attempt) (again bool) {
+	a.outcome.Result = c.incompleteResult(a)
+	c.recordMayHaveRun(a.outcome.Result)
+	if c.mayRetry() {
 		return true
 	}
-	c.giveUp()
+	c.abandon()
 	return false
 }
 
-func (c *call) brokenResult(a *attempt) Result {
+func (c *clientRequest) incompleteResult(a *attempt) Result {
 	switch {
 	case c.request.Context().Err() != nil:
 		return ClientClosed
@@ -193,72 +193,72 @@
 	return IncompleteResponse
 }
 
-// refused ends a call for which there is no endpoint.
-func (c *call) refused(err error) {
+// handleRejection ends a call for which there is no endpoint.
+func (c *clientRequest) handleRejection(err error) {
 	var refusal *Rejection
 	if errors.As(err, &refusal) {
-		c.retryIn = refusal.RetryAfter
+		c.retryAfter = refusal.RetryAfter
 		if refusal.Kind != apierror.None {
-			c.refusal = refusal.Kind
+			c.rejection = refusal.Kind
 		}
 	}
-	c.giveUp()
+	c.abandon()
 }
 
-// giveUp ends a call with an answer of the proxy's own, or breaks off the answer that has begun.
-func (c *call) giveUp() {
+// abandon ends a call with an answer of the proxy's own, or breaks off the answer that has begun.
+func (c *clientRequest) abandon() {
 	switch {
-	case c.committed:
-		abort()
+	case c.headerWritten:
+		abortConnection()
 	case !c.mayHaveRun:
-		c.fail(c.refusal, c.retryIn)
+		c.writeError(c.rejection, c.retryAfter)
 	case c.context.Err() != nil:
-		c.fail(apierror.EndpointTimeout, 0)
+		c.writeError(apierror.EndpointTimeout, 0)
 	default:
-		c.fail(apierror.MayHaveExecuted, 0)
+		c.writeError(apierror.MayHaveExecuted, 0)
 	}
 }
 
-// answered deals with the head of an answer.
-func (c *call) answered(a *attempt) (again bool) {
-	header := a.answer.Header
-	a.outcome.Status = a.answer.Status
+// handleResponse deals with the head of an answer.
+func (c *clientRequest) handleResponse(a *attempt) (again bool) {
+	header := a.response.Header
+	a.outcome.Status = a.response.Status
 	a.outcome.Load = first(header, headerLoad)
 	a.outcome.RetryAfter = seconds(first(header, headerRetryAfter))
-	if promisesNotRun(a.answer) {
-		return c.turnedAway(a)
+	if provesNotRun(a.response) {
+		return c.handleNotRun(a)
 	}
-	if !c.presentable(a.answer) {
-		return c.broken(a)
+	if !c.mayForward(a.response) {
+		return c.handleIncomplete(a)
 	}
-	if a.answer.Status >= http.StatusInternalServerError && !c.committed && repeatable(c.facts.Route) && c.runs+1 < c.facts.Route.MaxAttempts {
-		return c.repeatFailed(a)
+	if a.response.Status >= http.StatusInternalServerError && !c.headerWritten && retryable(c.info.Route) && c.mayHaveRunAttempts+1 < c.info.Route.MaxAttempts {
+		return c.retryErrorResponse(a)
 	}
-	if c.committed && a.answer.Status/100 != 2 {
-		return c.broken(a)
+	if c.headerWritten && a.response.Status/100 != 2 {
+		return c.handleIncomplete(a)
 	}
-	return c.deliver(a)
+	return c.forwardResponse(a)
 }
 
-// promisesNotRun tells whether an answer says that the endpoint did not run the request and never will.
-func promisesNotRun(answer *upstream.Response) bool {
+// provesNotRun tells whether an answer says that the endpoint did not run the request and never will.
+func provesNotRun(answer *upstream.Response) bool {
 	_, told := answer.Header[headerNotRun]
 	return told || answer.Status == http.StatusMisdirectedRequest
 }
 
-// presentable tells whether an answer may go to the client as it is.
-func (c *call) presentable(answer *upstream.Response) bool {
+// mayForward tells whether an answer may go to the client as it is.
+func (c *clientRequest) mayForward(answer *upstream.Response) bool {
 	if first(answer.Header, headerSeal) == "" || answer.Status == http.StatusSwitchingProtocols {
 		return false
 	}
 	if answer.Status/100 == 2 {
-		return first(answer.Header, upstream.AttemptIDHeader) == c.facts.AttemptID
+		return first(answer.Header, upstream.AttemptIDHeader) == c.info.AttemptID
 	}
-	return repeatable(c.facts.Route) || !clientPromise(answer.Status)
+	return retryable(c.info.Route) || !impliesNotRun(answer.Status)
 }
 
-// clientPromise tells whether clients read a status as a promise that the request has not run.
-func clientPromise(status int) bool {
+// impliesNotRun tells whether clients read a status as a promise that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable, http.StatusPaymentRequired:
@@ -267,37 +267,37 @@
 	return false
 }
 
-// turnedAway deals with an endpoint that did not run the request.
-func (c *call) turnedAway(a *attempt) (again bool) {
+// handleNotRun deals with an endpoint that did not run the request.
+func (c *clientRequest) handleNotRun(a *attempt) (again bool) {
 	a.outcome.Result = NotRun
-	a.outcome.Misdirected = a.answer.Status == http.StatusMisdirectedRequest
-	c.notRun++
+	a.outcome.Misdirected = a.response.Status == http.StatusMisdirectedRequest
+	c.notRunAttempts++
 	if !a.outcome.Misdirected {
-		c.facts.RejectedBy = append(c.facts.RejectedBy, a.choice.ID)
+		c.info.RejectedBy = append(c.info.RejectedBy, a.selection.ID)
 	}
-	c.refusal, c.retryIn = apierror.EndpointRefused, a.outcome.RetryAfter
-	if a.answer.Status == http.StatusBadRequest && !c.committed {
-		return c.deliver(a)
+	c.rejection, c.retryAfter = apierror.EndpointRefused, a.outcome.RetryAfter
+	if a.response.Status == http.StatusBadRequest && !c.headerWritten {
+		return c.forwardResponse(a)
 	}
-	drain(a.answer)
-	if c.context.Err() == nil && c.notRun < mostNotRun {
+	drainBody(a.response)
+	if c.context.Err() == nil && c.notRunAttempts < maxNotRun {
 		return true
 	}
-	c.giveUp()
+	c.abandon()
 	return false
 }
 
-// repeatFailed goes on to another endpoint after a failure that came whole.
-func (c *call) repeatFailed(a *attempt) bool {
-	drain(a.answer)
+// retryErrorResponse goes on to another endpoint after a failure that came whole.
+func (c *clientRequest) retryErrorResponse(a *attempt) bool {
+	drainBody(a.response)
 	a.outcome.Result = ErrorResponse
-	c.ran(ErrorResponse)
+	c.recordMayHaveRun(ErrorResponse)
 	return true
 }
 
-// drain reads the rest of an answer that has come already, so that its connection can be kept. It doesn't wait: an endpoint
+// drainBody reads the rest of an answer that has come already, so that its connection can be kept. It doesn't wait: an endpoint
 // that has said that it won't run a request must not hold it up.
-func drain(answer *upstream.Response) {
+func drainBody(answer *upstream.Response) {
 	if answer.Complete() {
 		return
 	}
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -163,7 +163,7 @@
 			}}
 			began := time.Now()
 			// when it is offered again, then it is safe within the bound
-			if err := endTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id"}); err != nil {
+			if err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id"}); err != nil {
 				t.Error(err)
 			}
 			if took := time.Since(began); took >= bound {
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -95,7 +95,7 @@
 	f.stop()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if left := s.queue("plain").Len(); left != 0 {
+	if left := s.queueFor("plain").Len(); left != 0 {
 		t.Errorf("%d in the queue", left)
 	}
 }
@@ -104,7 +104,7 @@
 	// given a request that gets a place at the moment at which its client goes
 	s, held := newFullScheduler(t)
 	s.mutex.Lock()
-	id, w, refusal := s.join(newFacts(0))
+	id, w, refusal := s.enqueue(newFacts(0))
 	s.mutex.Unlock()
 	if refusal != nil {
 		t.Fatal(refusal)
@@ -112,7 +112,7 @@
 	s.Done(held, Outcome{Result: Succeeded})
 	gone, leave := context.WithCancel(t.Context())
 	leave()
-	s.leave(gone, id, w)
+	s.leaveQueue(gone, id, w)
 	// then the next one gets that place
 	if _, err := s.Select(t.Context(), newFacts(0)); err != nil {
 		t.Errorf("the place was not free: %v", err)
--- a/internal/tier/proxy/clientconnection.go
+++ b/internal/tier/proxy/clientconn.go
@@ -9,9 +9,9 @@
 	"mastusher/internal/tier/network"
 )
 
-// clientConnection is a connection of a client. It knows whether a request has begun on it, so that a shutdown closes it
+// clientConn is a connection of a client. It knows whether a request has begun on it, so that a shutdown closes it
 // only while none of a request's bytes have been read.
-type clientConnection struct {
+type clientConn struct {
 	network.TCPConn
 
 	mutex   sync.Mutex
@@ -20,7 +20,7 @@
 }
 
 // Read reads from the client. Once the connection is closing, it gives out no first bytes of a request.
-func (c *clientConnection) Read(buffer []byte) (int, error) {
+func (c *clientConn) Read(buffer []byte) (int, error) {
 	n, err := c.TCPConn.Read(buffer)
 	if n == 0 {
 		return n, err
@@ -34,8 +34,8 @@
 	return n, err
 }
 
-// resetOnClose makes every close of the connection a reset, or takes that back.
-func (c *clientConnection) resetOnClose(on bool) {
+// setResetOnClose makes every close of the connection a reset, or takes that back.
+func (c *clientConn) setResetOnClose(on bool) {
 	seconds := -1
 	if on {
 		seconds = 0
@@ -43,8 +43,8 @@
 	c.TCPConn.SetLinger(seconds)
 }
 
-// rest notes that an answer has gone out and the next request may come.
-func (c *clientConnection) rest() {
+// responseSent notes that an answer has gone out and the next request may come.
+func (c *clientConn) responseSent() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.idle = true
@@ -53,8 +53,8 @@
 	}
 }
 
-// closeUnread closes the connection if no request has begun on it, and else once its answer has gone out.
-func (c *clientConnection) closeUnread() {
+// closeIfUnread closes the connection if no request has begun on it, and else once its answer has gone out.
+func (c *clientConn) closeIfUnread() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closing = true
@@ -63,9 +63,9 @@
 	}
 }
 
-// begin notes that a request has been read. It returns false if the connection was closed before: the library may have had the
+// requestStarted notes that a request has been read. It returns false if the connection was closed before: the library may have had the
 // request in its buffer already, and then no byte of it has passed here.
-func (c *clientConnection) begin() bool {
+func (c *clientConn) requestStarted() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing && c.idle {
@@ -75,16 +75,16 @@
 	return true
 }
 
-// clientKey finds the clientConnection in a request's context.
-type clientKey struct{}
+// clientConnKey finds the clientConn in a request's context.
+type clientConnKey struct{}
 
 // withClient is a server's ConnContext.
 func withClient(ctx context.Context, connection net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, connection)
+	return context.WithValue(ctx, clientConnKey{}, connection)
 }
 
 // clientOf returns the connection that a request came on, or nil.
-func clientOf(r *http.Request) *clientConnection {
-	connection, _ := r.Context().Value(clientKey{}).(*clientConnection)
+func clientOf(r *http.Request) *clientConn {
+	connection, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return connection
 }
--- a/internal/tier/proxy/clientconnection_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -8,7 +8,7 @@
 )
 
 // newPair returns both ends of a client's connection.
-func newPair(t *testing.T) (*clientConnection, net.Conn) {
+func newPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { far.Close(); near.Close() })
-	return &clientConnection{TCPConn: near.(*net.TCPConn), idle: true}, far
+	return &clientConn{TCPConn: near.(*net.TCPConn), idle: true}, far
 }
 
 func TestClosingConnectionGivesOutNoNewRequest(t *testing.T) {
@@ -34,7 +34,7 @@
 	if n, err := near.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if near.begin() {
+	if near.requestStarted() {
 		t.Error("a request has begun")
 	}
 }
@@ -45,17 +45,17 @@
 	if n, err := near.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatalf("read %d bytes, %v", n, err)
 	}
-	near.closeUnread()
+	near.closeIfUnread()
 	if n, err := near.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Errorf("read %d bytes of the rest, %v", n, err)
 	}
-	if !near.begin() {
+	if !near.requestStarted() {
 		t.Error("the request is taken for one that has not begun")
 	}
 	if _, err := near.Write([]byte("answer")); err != nil {
 		t.Errorf("write: %v", err)
 	}
-	near.rest()
+	near.responseSent()
 	if got, err := io.ReadAll(far); string(got) != "answer" || err != nil {
 		t.Errorf("the client got %q, %v", got, err)
 	}
@@ -63,7 +63,7 @@
 
 func TestIdleConnectionIsClosedAtOnce(t *testing.T) {
 	near, far := newPair(t)
-	near.closeUnread()
+	near.closeIfUnread()
 	if got, err := io.ReadAll(far); len(got) != 0 || err != nil {
 		t.Errorf("the client got %q, %v", got, err)
 	}
--- a/internal/tier/proxy/connlistener.go
+++ b/internal/tier/proxy/connlistener.go
@@ -5,43 +5,43 @@
 	"sync"
 )
 
-// feed is a listener whose connections are put into it.
-type feed struct {
+// connListener is a listener whose connections are put into it.
+type connListener struct {
 	address net.Addr
-	waiting chan net.Conn
-	closing chan struct{}
+	conns   chan net.Conn
+	closed  chan struct{}
 	once    sync.Once
 }
 
-func newFeed(address net.Addr) *feed {
-	return &feed{address: address, waiting: make(chan net.Conn), closing: make(chan struct{})}
+func newConnListener(address net.Addr) *connListener {
+	return &connListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// put hands a connection to the server. It returns false if that has been shut down.
-func (l *feed) put(connection net.Conn) bool {
+// deliver hands a connection to the server. It returns false if that has been shut down.
+func (l *connListener) deliver(connection net.Conn) bool {
 	select {
-	case l.waiting <- connection:
+	case l.conns <- connection:
 		return true
-	case <-l.closing:
+	case <-l.closed:
 		return false
 	}
 }
 
 // Accept returns the next connection.
-func (l *feed) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-l.waiting:
+	case connection := <-l.conns:
 		return connection, nil
-	case <-l.closing:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close makes Accept return.
-func (l *feed) Close() error {
-	l.once.Do(func() { close(l.closing) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr returns where the connections come in.
-func (l *feed) Addr() net.Addr { return l.address }
+func (l *connListener) Addr() net.Addr { return l.address }
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -170,7 +170,7 @@
 
 // firstFails is a failure after which a request of the route goes to another endpoint.
 func firstFails(route model.Route) func(net.Conn, received) bool {
-	if repeatable(&route) {
+	if retryable(&route) {
 		return resetAtOnce
 	}
 	return turnAway
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -18,8 +18,8 @@
 	retryJitter        = 0.3 // of it more, at the most, so that not all come back at once
 )
 
-// waitFor is what a client is told that is refused for such a reason.
-func waitFor(kind apierror.Kind) time.Duration {
+// defaultRetryAfter is what a client is told that is refused for such a reason.
+func defaultRetryAfter(kind apierror.Kind) time.Duration {
 	switch kind {
 	case apierror.NotReady, apierror.StateUnavailable:
 		return time.Duration(float64(retryAfterElection) * (1 + retryJitter*rand.Float64()))
@@ -27,9 +27,9 @@
 	return retryAfterDefault
 }
 
-// fail gives an answer of the proxy's own, by the table of kinds. It carries no seal. The wait, for answers that tell when to
+// writeError gives an answer of the proxy's own, by the table of kinds. It carries no seal. The wait, for answers that tell when to
 // come back, is 0 where nobody named one.
-func fail(w http.ResponseWriter, kind apierror.Kind, wait time.Duration) {
+func writeError(w http.ResponseWriter, kind apierror.Kind, wait time.Duration) {
 	answer := kind.Response()
 	text := kind.String() + "\n"
 	header := w.Header()
@@ -41,7 +41,7 @@
 	}
 	if answer.RetryAfter {
 		if wait <= 0 {
-			wait = waitFor(kind)
+			wait = defaultRetryAfter(kind)
 		}
 		header[headerRetryAfter] = []string{apierror.FormatRetryAfter(wait)}
 	}
@@ -49,15 +49,15 @@
 	io.WriteString(w, text)
 }
 
-// fail answers the call, as fail does.
-func (c *call) fail(kind apierror.Kind, wait time.Duration) {
-	c.failed = true
-	c.proxy.refusals.add(kind)
+// writeError answers the call, as fail does.
+func (c *clientRequest) writeError(kind apierror.Kind, wait time.Duration) {
+	c.answeredLocally = true
+	c.proxy.rejections.add(kind)
 	c.proxy.closeIfDraining(c.writer.Header())
-	fail(c.writer, kind, wait)
+	writeError(c.writer, kind, wait)
 }
 
-// abort breaks off the client's connection: the client sees a close and no answer, or one that doesn't look complete.
-func abort() {
+// abortConnection breaks off the client's connection: the client sees a close and no answer, or one that doesn't look complete.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -24,7 +24,7 @@
 	} {
 		for range 20 {
 			recorder := httptest.NewRecorder()
-			fail(recorder, test.kind, test.wait)
+			writeError(recorder, test.kind, test.wait)
 			told, err := strconv.ParseFloat(recorder.Header().Get(headerRetryAfter), 64)
 			if err != nil {
 				t.Fatal(err)
@@ -35,7 +35,7 @@
 		}
 	}
 	recorder := httptest.NewRecorder()
-	if fail(recorder, apierror.MayHaveExecuted, 0); recorder.Header().Get(headerRetryAfter) != "" {
+	if writeError(recorder, apierror.MayHaveExecuted, 0); recorder.Header().Get(headerRetryAfter) != "" {
 		t.Error("an answer that promises nothing tells when to come back")
 	}
 }
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -5,33 +5,33 @@
 	"strconv"
 )
 
-// mostEventBytes bounds one event: an endpoint that sends bytes which are no events isn't to fill the memory.
-const mostEventBytes = 1 << 20
+// maxEventBytes bounds one event: an endpoint that sends bytes which are no events isn't to fill the memory.
+const maxEventBytes = 1 << 20
 
 // eventScanner follows a text/event-stream as its bytes come. It holds back the bytes of an event until that is complete,
 // counts the events, keeps the last id, and collects their data if asked to.
 type eventScanner struct {
-	collect    bool
-	output     []byte // the data of each complete event with a line feed behind
-	count      int64  // complete events that have data or an id
-	lastID     string
-	unnumbered bool // the last event with data had no id: nothing tells where the stream could be taken up
-	resumed    bool // the stream was taken up at another endpoint, and its events are to have higher ids than the last one
-	spoiled    bool // what comes can't be passed on: an event that may have come before, or one without end
-
-	held    []byte // bytes not yet passed on
-	scanned int    // bytes of held that belong to lines already seen
-	hasData bool   // of the event being read
-	hasID   bool
-	id      string
-	data    int // where the data of the event being read begins in output
+	collect       bool
+	output        []byte // the data of each complete event with a line feed behind
+	count         int64  // complete events that have data or an id
+	lastID        string
+	lastWithoutID bool // the last event with data had no id: nothing tells where the stream could be taken up
+	resumed       bool // the stream was taken up at another endpoint, and its events are to have higher ids than the last one
+	unforwardable bool // what comes can't be passed on: an event that may have come before, or one without end
+
+	pending      []byte // bytes not yet passed on
+	scannedBytes int    // bytes of held that belong to lines already seen
+	hasData      bool   // of the event being read
+	hasID        bool
+	id           string
+	dataStart    int // where the data of the event being read begins in output
 }
 
 // feed takes the next bytes and returns those that may be passed on: whole events. They are valid until the next call.
 func (s *eventScanner) feed(chunk []byte) []byte {
-	if len(s.held) > 0 {
-		s.held = append(s.held, chunk...)
-		return s.scan(s.held)
+	if len(s.pending) > 0 {
+		s.pending = append(s.pending, chunk...)
+		return s.scan(s.pending)
 	}
 	return s.scan(chunk)
 }
@@ -40,45 +40,45 @@
 func (s *eventScanner) scan(buffer []byte) []byte {
 	complete := 0
 	for {
-		feed := bytes.IndexByte(buffer[s.scanned:], '\n')
+		feed := bytes.IndexByte(buffer[s.scannedBytes:], '\n')
 		if feed < 0 {
 			break
 		}
-		line := buffer[s.scanned : s.scanned+feed]
-		s.scanned += feed + 1
+		line := buffer[s.scannedBytes : s.scannedBytes+feed]
+		s.scannedBytes += feed + 1
 		line = bytes.TrimSuffix(line, []byte{'\r'})
 		if len(line) > 0 {
 			s.line(line)
 			continue
 		}
-		if s.repeats() {
-			s.spoiled = true
+		if s.isDuplicate() {
+			s.unforwardable = true
 			break
 		}
 		s.endEvent()
-		complete = s.scanned
+		complete = s.scannedBytes
 	}
-	s.hold(buffer, complete)
+	s.keepPending(buffer, complete)
 	return buffer[:complete]
 }
 
-// hold keeps the bytes from complete on. They are copied behind the ones that are returned, so that both stay valid.
-func (s *eventScanner) hold(buffer []byte, complete int) {
-	s.scanned -= complete
+// keepPending keeps the bytes from complete on. They are copied behind the ones that are returned, so that both stay valid.
+func (s *eventScanner) keepPending(buffer []byte, complete int) {
+	s.scannedBytes -= complete
 	rest := buffer[complete:]
-	s.spoiled = s.spoiled || len(rest) > mostEventBytes
+	s.unforwardable = s.unforwardable || len(rest) > maxEventBytes
 	if len(rest) == 0 {
-		s.held = nil
+		s.pending = nil
 		return
 	}
-	if complete == 0 && len(s.held) > 0 {
+	if complete == 0 && len(s.pending) > 0 {
 		return
 	}
-	s.held = append(make([]byte, 0, len(rest)+256), rest...)
+	s.pending = append(make([]byte, 0, len(rest)+256), rest...)
 }
 
-// repeats tells whether the event that has just been read may be one that the client has had before the stream was taken up.
-func (s *eventScanner) repeats() bool {
+// isDuplicate tells whether the event that has just been read may be one that the client has had before the stream was taken up.
+func (s *eventScanner) isDuplicate() bool {
 	if !s.resumed || !s.hasID && !s.hasData {
 		return false
 	}
@@ -123,16 +123,16 @@
 		s.count++
 	}
 	if s.hasID {
-		s.lastID, s.unnumbered = s.id, false
+		s.lastID, s.lastWithoutID = s.id, false
 	} else if s.hasData {
-		s.unnumbered = true
+		s.lastWithoutID = true
 	}
 	s.hasData, s.hasID = false, false
-	s.data = len(s.output)
+	s.dataStart = len(s.output)
 }
 
 // insideEvent tells whether an event has begun and not ended.
-func (s *eventScanner) insideEvent() bool { return len(s.held) > 0 || s.hasData || s.hasID }
+func (s *eventScanner) insideEvent() bool { return len(s.pending) > 0 || s.hasData || s.hasID }
 
 // finish takes the end of a whole stream: an event that no blank line ends is complete too. It returns the bytes held; none
 // where the stream is spoiled.
@@ -140,41 +140,41 @@
 	if !s.insideEvent() {
 		return nil
 	}
-	rest := s.held
-	if line := bytes.TrimSuffix(rest[s.scanned:], []byte{'\r'}); len(line) > 0 {
+	rest := s.pending
+	if line := bytes.TrimSuffix(rest[s.scannedBytes:], []byte{'\r'}); len(line) > 0 {
 		s.line(line)
 	}
-	if s.repeats() {
-		s.spoiled = true
+	if s.isDuplicate() {
+		s.unforwardable = true
 		return nil
 	}
 	s.endEvent()
-	s.held, s.scanned = nil, 0
+	s.pending, s.scannedBytes = nil, 0
 	return rest
 }
 
-// progress is how much of a stream has gone to the client.
-type progress struct {
-	count      int64
-	lastID     string
-	unnumbered bool
-	data       int
+// streamProgress is how much of a stream has gone to the client.
+type streamProgress struct {
+	count         int64
+	lastID        string
+	lastWithoutID bool
+	dataStart     int
 }
 
-func (s *eventScanner) progress() progress {
-	return progress{s.count, s.lastID, s.unnumbered, s.data}
+func (s *eventScanner) progress() streamProgress {
+	return streamProgress{s.count, s.lastID, s.lastWithoutID, s.dataStart}
 }
 
 // rewind forgets the events since then, which were not passed on, and the one being read.
-func (s *eventScanner) rewind(to progress) {
-	s.count, s.lastID, s.unnumbered, s.data = to.count, to.lastID, to.unnumbered, to.data
+func (s *eventScanner) rewind(to streamProgress) {
+	s.count, s.lastID, s.lastWithoutID, s.dataStart = to.count, to.lastID, to.lastWithoutID, to.dataStart
 	s.restart()
 }
 
 // restart forgets an event that was broken off, before the stream is taken up at another endpoint.
 func (s *eventScanner) restart() {
-	s.held, s.scanned = nil, 0
+	s.pending, s.scannedBytes = nil, 0
 	s.hasData, s.hasID = false, false
-	s.output = s.output[:s.data]
-	s.resumed, s.spoiled = s.lastID != "", false
+	s.output = s.output[:s.dataStart]
+	s.resumed, s.unforwardable = s.lastID != "", false
 }
--- /dev/null
+++ b/internal/tier/proxy/frontend.go
@@ -0,0 +1,270 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	kitlog "github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network"
+)
+
+const (
+	// netHTTPHeaderSlop is what net/http adds to a limit on the header's size.
+	netHTTPHeaderSlop = 4 << 10
+	// acceptBackoff is how long no connection is taken after the system could not give one.
+	acceptBackoff = 10 * time.Millisecond
+	// defaultWriteTimeout bounds the writing of an answer that has no deadline of its own.
+	defaultWriteTimeout = 10 * time.Second
+	// finalResponsesTimeout is for the answers to requests that are given up as the proxy ends.
+	finalResponsesTimeout = 150 * time.Millisecond
+)
+
+// clientLimits bounds what clients may send and how long they may take.
+type clientLimits struct {
+	headerBytes   int
+	headerTimeout time.Duration
+	idleTimeout   time.Duration
+}
+
+// defaultLimits hold until a configuration is known.
+var defaultLimits = clientLimits{headerBytes: 16 << 10, headerTimeout: 3 * time.Second, idleTimeout: 15 * time.Second}
+
+// limitsOf reads the limits of a configuration.
+func limitsOf(configured model.Limits) clientLimits {
+	l := defaultLimits
+	if configured.MaxHeaderBytes > 0 {
+		l.headerBytes = configured.MaxHeaderBytes
+	}
+	if configured.HeaderTimeoutMs > 0 {
+		l.headerTimeout = time.Duration(configured.HeaderTimeoutMs) * time.Millisecond
+	}
+	if configured.IdleTimeoutMs > 0 {
+		l.idleTimeout = time.Duration(configured.IdleTimeoutMs) * time.Millisecond
+	}
+	return l
+}
+
+// frontend takes the connections of clients. The library reads a server's limits without a lock, so each set of limits has a
+// server of its own; a connection stays with the one that it began at.
+type frontend struct {
+	listener       net.Listener
+	handler        http.Handler
+	currentLimits  func() clientLimits
+	maxConnections int
+	errorLog       *log.Logger
+	baseContext    context.Context    // of which each request's context is a part
+	cancelRequests context.CancelFunc // ends it: each request is answered at once, or its answer broken off
+
+	mutex     sync.Mutex
+	current   *serverGeneration
+	old       []*serverGeneration
+	clients   map[*clientConn]struct{}
+	closed    bool
+	allClosed chan struct{} // closed once closed is set and no connection is left
+}
+
+// serverGeneration is a server for one set of limits.
+type serverGeneration struct {
+	limits      clientLimits
+	server      *http.Server
+	listener    *connListener
+	connections int // connections
+}
+
+func newFrontend(listener net.Listener, handler http.Handler, current func() clientLimits, options Options) *frontend {
+	f := &frontend{
+		listener:       listener,
+		handler:        handler,
+		currentLimits:  current,
+		maxConnections: options.MaxClientConnections,
+		errorLog:       log.New(io.Discard, "", 0),
+		clients:        make(map[*clientConn]struct{}),
+		allClosed:      make(chan struct{}),
+	}
+	f.baseContext, f.cancelRequests = context.WithCancel(context.Background())
+	if options.Logger != nil {
+		f.errorLog = log.New(kitlog.NewStdlibAdapter(level.Error(options.Logger)), "", 0)
+	}
+	return f
+}
+
+// serve takes connections until the listener is closed.
+func (f *frontend) serve() error {
+	for {
+		connection, err := f.listener.Accept()
+		if err != nil {
+			if isResourceExhausted(err) {
+				time.Sleep(acceptBackoff)
+				continue
+			}
+			return err
+		}
+		f.assign(&clientConn{TCPConn: connection.(network.TCPConn), idle: true})
+	}
+}
+
+func isResourceExhausted(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) ||
+		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
+}
+
+// assign gives a connection to the server for the limits of now.
+func (f *frontend) assign(client *clientConn) {
+	current := f.admit(client)
+	if current == nil {
+		client.Close()
+		return
+	}
+	if !current.listener.deliver(client) {
+		f.remove(current, client)
+		client.Close()
+	}
+}
+
+// admit counts a new connection and returns its server; nil if it isn't to be taken.
+func (f *frontend) admit(client *clientConn) *serverGeneration {
+	wanted := f.currentLimits()
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.closed || f.maxConnections > 0 && len(f.clients) >= f.maxConnections {
+		return nil
+	}
+	if f.current == nil || f.current.limits != wanted {
+		f.startGeneration(wanted)
+	}
+	f.current.connections++
+	f.clients[client] = struct{}{}
+	return f.current
+}
+
+// remove takes a connection that has ended out of the count.
+func (f *frontend) remove(g *serverGeneration, client *clientConn) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	g.connections--
+	delete(f.clients, client)
+	f.signalEmpty()
+}
+
+// connStateChanged is told of the states of a server's connections.
+func (f *frontend) connStateChanged(g *serverGeneration, connection net.Conn, state http.ConnState) {
+	client := connection.(*clientConn)
+	switch state {
+	case http.StateIdle:
+		client.responseSent()
+	case http.StateClosed, http.StateHijacked:
+		f.remove(g, client)
+	}
+}
+
+// startGeneration starts a server for other limits. The caller holds the mutex.
+func (f *frontend) startGeneration(wanted clientLimits) {
+	f.retireGeneration()
+	g := &serverGeneration{limits: wanted, listener: newConnListener(f.listener.Addr())}
+	g.server = &http.Server{
+		Handler:           f.handler,
+		ReadHeaderTimeout: wanted.headerTimeout,
+		IdleTimeout:       wanted.idleTimeout,
+		WriteTimeout:      defaultWriteTimeout,
+		MaxHeaderBytes:    max(wanted.headerBytes-netHTTPHeaderSlop, 1),
+		ErrorLog:          f.errorLog,
+		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
+		ConnContext:       withClient,
+		ConnState: func(connection net.Conn, state http.ConnState) {
+			f.connStateChanged(g, connection, state)
+		},
+		DisableGeneralOptionsHandler: true,
+	}
+	f.current = g
+	go g.server.Serve(g.listener)
+}
+
+// retireGeneration makes the current server an old one, and forgets the old ones that have no connection left. The caller holds the
+// mutex.
+func (f *frontend) retireGeneration() {
+	if f.current != nil {
+		f.current.listener.Close()
+		f.old = append(f.old, f.current)
+	}
+	f.old = slices.DeleteFunc(f.old, func(g *serverGeneration) bool { return g.connections == 0 })
+}
+
+// shutdown closes the listener and the connections without a request, and waits until the requests under way have been
+// answered and their connections have ended. What is left when the context ends is given up, and told so. The library's own
+// Shutdown isn't used: it takes a kept connection for idle until the whole head of its next request has been read, and closes
+// it in the middle. Each phase is told.
+func (f *frontend) shutdown(ctx context.Context, tell func(message string)) error {
+	f.listener.Close()
+	generations, clients := f.close()
+	for _, client := range clients {
+		client.closeIfUnread()
+	}
+	tell("proxy takes no more connections")
+	failure := f.awaitEmpty(ctx)
+	f.cancelRequests()
+	if failure != nil {
+		tell("proxy gives up the requests that are left")
+		bounded, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
+		defer cancel()
+		f.awaitEmpty(bounded)
+	}
+	for _, g := range generations {
+		g.listener.Close()
+	}
+	tell("proxy has ended its connections")
+	return failure
+}
+
+// connections returns how many connections there are.
+func (f *frontend) connections() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return len(f.clients)
+}
+
+// awaitEmpty returns nil once no connection is left and none will come, or the context's error.
+func (f *frontend) awaitEmpty(ctx context.Context) error {
+	select {
+	case <-f.allClosed:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// close takes no more connections, and returns what there is.
+func (f *frontend) close() ([]*serverGeneration, []*clientConn) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.closed = true
+	f.signalEmpty()
+	generations := slices.Clone(f.old)
+	if f.current != nil {
+		generations = append(generations, f.current)
+	}
+	return generations, slices.Collect(maps.Keys(f.clients))
+}
+
+// signalEmpty tells that the last connection has ended and none will come. The caller holds the mutex.
+func (f *frontend) signalEmpty() {
+	if !f.closed || len(f.clients) > 0 {
+		return
+	}
+	select {
+	case <-f.allClosed:
+	default:
+		close(f.allClosed)
+	}
+}
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -30,9 +30,9 @@
 	subjectCookie     = "X-Subject"
 )
 
-// connectionOnly tells whether a field concerns only one connection. Content-Length and Host are framed anew; the answer to
+// isHopByHop tells whether a field concerns only one connection. Content-Length and Host are framed anew; the answer to
 // Expect has been given by the time a body is sent on.
-func connectionOnly(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 		"Proxy-Authorization", "Proxy-Authenticate", "Content-Length", "Host", "Expect", "Http2-Settings":
@@ -41,13 +41,13 @@
 	return false
 }
 
-// setByAttempt tells whether each attempt sets the field anew.
-func setByAttempt(name string) bool {
+// isPerAttempt tells whether each attempt sets the field anew.
+func isPerAttempt(name string) bool {
 	return name == headerTimeLeft || name == headerExpected || name == headerPriority || name == headerLastEventID
 }
 
-// namedByConnection returns the fields that a Connection header names as concerning that connection only.
-func namedByConnection(header http.Header) []string {
+// connectionOptions returns the fields that a Connection header names as concerning that connection only.
+func connectionOptions(header http.Header) []string {
 	var named []string
 	for _, value := range header["Connection"] {
 		for token := range strings.SplitSeq(value, ",") {
@@ -60,11 +60,11 @@
 	return named
 }
 
-// appendPassedOn appends the header lines of a request that go to every endpoint.
-func appendPassedOn(buffer []byte, header http.Header) []byte {
-	named := namedByConnection(header)
+// appendForwarded appends the header lines of a request that go to every endpoint.
+func appendForwarded(buffer []byte, header http.Header) []byte {
+	named := connectionOptions(header)
 	for name, values := range header {
-		if connectionOnly(name) || setByAttempt(name) || contains(named, name) {
+		if isHopByHop(name) || isPerAttempt(name) || contains(named, name) {
 			continue
 		}
 		for _, value := range values {
@@ -74,11 +74,11 @@
 	return buffer
 }
 
-// copyAnswerHeader copies the fields of an endpoint's answer that go to the client. Nothing is added by the library.
-func copyAnswerHeader(to, from http.Header) {
-	named := namedByConnection(from)
+// copyResponseHeader copies the fields of an endpoint's answer that go to the client. Nothing is added by the library.
+func copyResponseHeader(to, from http.Header) {
+	named := connectionOptions(from)
 	for name, values := range from {
-		if !connectionOnly(name) && !contains(named, name) {
+		if !isHopByHop(name) && !contains(named, name) {
 			to[name] = values
 		}
 	}
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	// zoneCharge is the time that is worth spending so that a request doesn't leave its zone.
-	zoneCharge = 15 * time.Millisecond
-	// proxiesUntold is the number of proxies that share an endpoint's connections, as long as nobody told it.
-	proxiesUntold = 8
-	// leastConnections is what a proxy may have to an endpoint in any case.
-	leastConnections = 2
-	// mostWaiting bounds the requests of one service that wait for a place.
-	mostWaiting = 512
-	// nearlyAll is the part of its time after which a client that goes is taken to have waited to the end.
-	nearlyAll = 0.9
+	// crossZonePenalty is the time that is worth spending so that a request doesn't leave its zone.
+	crossZonePenalty = 15 * time.Millisecond
+	// defaultProxyCount is the number of proxies that share an endpoint's connections, as long as nobody told it.
+	defaultProxyCount = 8
+	// minConnections is what a proxy may have to an endpoint in any case.
+	minConnections = 2
+	// maxQueued bounds the requests of one service that wait for a place.
+	maxQueued = 512
+	// timeoutShare is the part of its time after which a client that goes is taken to have waited to the end.
+	timeoutShare = 0.9
 )
 
 // LoadBalancer is the Selector that decides by package schedule. It adds the clock, a lock, and the waiting for a place.
 type LoadBalancer struct {
 	now func() time.Duration
 
-	mutex   sync.Mutex
-	core    *balancer.Balancer
-	queues  map[string]*balancer.Queue
-	waiting map[uint64]*waiter
-	lastID  uint64
-	proxies int
+	mutex    sync.Mutex
+	balancer *balancer.Balancer
+	queues   map[string]*balancer.Queue
+	waiting  map[uint64]*queuedWaiter
+	lastID   uint64
+	proxies  int
 }
 
-// waiter is a request that waits for a place.
-type waiter struct {
-	facts *RequestInfo
-	until time.Duration // when it is refused
-	given chan placing  // holds the answer once the waiter has left its queue
+// queuedWaiter is a request that waits for a place.
+type queuedWaiter struct {
+	info      *RequestInfo
+	expiresAt time.Duration     // when it is refused
+	result    chan selectResult // holds the answer once the waiter has left its queue
 }
 
-// placing is what Select returns.
-type placing struct {
-	choice Selection
-	err    error
+// selectResult is what Select returns.
+type selectResult struct {
+	selection Selection
+	err       error
 }
 
-// ticket is the scheduler's own part of a choice.
-type ticket struct {
-	scheduler *LoadBalancer
-	attempt   balancer.Attempt
-	left      time.Duration
+// attemptTicket is the scheduler's own part of a choice.
+type attemptTicket struct {
+	balancer *LoadBalancer
+	attempt  balancer.Attempt
+	timeLeft time.Duration
 }
 
 // Granted implements upstream.Permit: an endpoint that began to drain, or whose version was withdrawn, while a connection
 // was made gets nothing any more.
-func (t *ticket) Granted() bool {
-	t.scheduler.mutex.Lock()
-	defer t.scheduler.mutex.Unlock()
-	return t.scheduler.core.Eligible(&t.attempt)
+func (t *attemptTicket) Granted() bool {
+	t.balancer.mutex.Lock()
+	defer t.balancer.mutex.Unlock()
+	return t.balancer.balancer.Eligible(&t.attempt)
 }
 
 // NewLoadBalancer returns a scheduler that knows no endpoint. The seed differs from proxy to proxy.
@@ -76,11 +76,11 @@
 
 func newLoadBalancer(zone string, seed uint64, now func() time.Duration) *LoadBalancer {
 	return &LoadBalancer{
-		now:     now,
-		core:    balancer.New(balancer.Options{Zone: zone, Seed: seed, CrossZonePenalty: zoneCharge}),
-		queues:  make(map[string]*balancer.Queue),
-		waiting: make(map[uint64]*waiter),
-		proxies: proxiesUntold,
+		now:      now,
+		balancer: balancer.New(balancer.Options{Zone: zone, Seed: seed, CrossZonePenalty: crossZonePenalty}),
+		queues:   make(map[string]*balancer.Queue),
+		waiting:  make(map[uint64]*queuedWaiter),
+		proxies:  defaultProxyCount,
 	}
 }
 
@@ -88,16 +88,16 @@
 func (s *LoadBalancer) SetEndpoints(endpoints []model.Endpoint) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.SetEndpoints(s.now(), endpoints)
-	s.pumpAll()
+	s.balancer.SetEndpoints(s.now(), endpoints)
+	s.dispatchAll()
 }
 
 // SetVersions takes over which versions of each service may take requests.
 func (s *LoadBalancer) SetVersions(versions []view.ServiceVersions) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.SetVersions(versions)
-	s.pumpAll()
+	s.balancer.SetVersions(versions)
+	s.dispatchAll()
 }
 
 // SetProxies tells how many proxies share the connections that an endpoint takes.
@@ -113,49 +113,49 @@
 	s.mutex.Lock()
 	queue := s.queues[facts.Service.Name]
 	if queue == nil || queue.Len() == 0 {
-		placed, full := s.place(facts)
+		placed, full := s.trySelect(facts)
 		if !full || facts.MayHaveRun {
 			s.mutex.Unlock()
-			return placed.choice, placed.err
+			return placed.selection, placed.err
 		}
 	}
-	id, w, refusal := s.join(facts)
+	id, w, refusal := s.enqueue(facts)
 	s.mutex.Unlock()
 	if refusal != nil {
 		return Selection{}, refusal
 	}
-	return s.wait(ctx, id, w)
+	return s.await(ctx, id, w)
 }
 
-// place asks for a decision, and counts the attempt as sent. The caller holds the mutex.
-func (s *LoadBalancer) place(facts *RequestInfo) (placed placing, full bool) {
+// trySelect asks for a decision, and counts the attempt as sent. The caller holds the mutex.
+func (s *LoadBalancer) trySelect(facts *RequestInfo) (placed selectResult, full bool) {
 	now := s.now()
-	request := requestOf(facts)
-	decision := s.core.Select(now, request)
+	request := requestFor(facts)
+	decision := s.balancer.Select(now, request)
 	if decision.Endpoint == nil && len(facts.RejectedBy) > 0 {
-		request.Excluded = without(facts.Excluded, facts.RejectedBy)
-		decision = s.core.Select(now, request)
+		request.Excluded = subtract(facts.Excluded, facts.RejectedBy)
+		decision = s.balancer.Select(now, request)
 	}
 	if decision.Endpoint == nil {
-		return placing{err: refusalOf(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
+		return selectResult{err: rejectionOf(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
 	}
-	t := &ticket{scheduler: s, attempt: decision.Attempt, left: request.TimeLeft}
-	s.core.Sent(now, &t.attempt)
+	t := &attemptTicket{balancer: s, attempt: decision.Attempt, timeLeft: request.TimeLeft}
+	s.balancer.Sent(now, &t.attempt)
 	choice := Selection{
 		ID:             decision.Endpoint.ID,
 		Address:        decision.Endpoint.Address,
-		MaxConnections: s.connections(facts.Service),
+		MaxConnections: s.maxConnectionsTo(facts.Service),
 		Permit:         t,
 		Ticket:         t,
 	}
 	if !decision.UntilDeadline {
 		choice.Timeout = decision.Timeout
 	}
-	return placing{choice: choice}, false
+	return selectResult{selection: choice}, false
 }
 
-// without returns the texts of a list that aren't in another one.
-func without(list, other []string) []string {
+// subtract returns the texts of a list that aren't in another one.
+func subtract(list, other []string) []string {
 	var rest []string
 	for _, text := range list {
 		if !contains(other, text) {
@@ -165,8 +165,8 @@
 	return rest
 }
 
-// refusalOf returns a refusal in the proxy's words.
-func refusalOf(refusal balancer.Rejection) *Rejection {
+// rejectionOf returns a refusal in the proxy's words.
+func rejectionOf(refusal balancer.Rejection) *Rejection {
 	kind := apierror.Overloaded
 	switch refusal.Kind {
 	case balancer.NoEndpoint:
@@ -177,37 +177,37 @@
 	return &Rejection{Kind: kind, RetryAfter: refusal.RetryAfter}
 }
 
-// connections returns this proxy's part of the connections that an endpoint of a service takes; 0: no bound.
-func (s *LoadBalancer) connections(service *model.Service) int {
+// maxConnectionsTo returns this proxy's part of the connections that an endpoint of a service takes; 0: no bound.
+func (s *LoadBalancer) maxConnectionsTo(service *model.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/s.proxies, leastConnections)
+	return max(service.MaxConnections/s.proxies, minConnections)
 }
 
 // FirstEvent implements Selector.
 func (s *LoadBalancer) FirstEvent(choice Selection, load string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.FirstEvent(s.now(), &choice.Ticket.(*ticket).attempt, parseLoad(load))
+	s.balancer.FirstEvent(s.now(), &choice.Ticket.(*attemptTicket).attempt, parseLoad(load))
 }
 
 // Done implements Selector.
 func (s *LoadBalancer) Done(choice Selection, outcome Outcome) {
-	t := choice.Ticket.(*ticket)
+	t := choice.Ticket.(*attemptTicket)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.Done(s.now(), &t.attempt, balancer.Outcome{
-		Kind:    kindOf(outcome, t.left),
+	s.balancer.Done(s.now(), &t.attempt, balancer.Outcome{
+		Kind:    outcomeKind(outcome, t.timeLeft),
 		Elapsed: outcome.Took,
 		Load:    parseLoad(outcome.Load),
 		Tokens:  int(outcome.Tokens),
 	})
-	s.pumpAll()
+	s.dispatchAll()
 }
 
-// kindOf returns the scheduler's word for an outcome.
-func kindOf(outcome Outcome, left time.Duration) balancer.OutcomeKind {
+// outcomeKind returns the scheduler's word for an outcome.
+func outcomeKind(outcome Outcome, left time.Duration) balancer.OutcomeKind {
 	switch outcome.Result {
 	case Succeeded:
 		return balancer.Success
@@ -225,7 +225,7 @@
 	case Cancelled:
 		return balancer.NotSent
 	case ClientClosed:
-		if float64(outcome.Took) >= nearlyAll*float64(left) {
+		if float64(outcome.Took) >= timeoutShare*float64(left) {
 			return balancer.TimedOut
 		}
 		return balancer.Cancelled
@@ -233,29 +233,29 @@
 	return balancer.IncompleteResponse
 }
 
-// requestOf returns what the scheduler needs to know of a request.
-func requestOf(facts *RequestInfo) balancer.Request {
+// requestFor returns what the scheduler needs to know of a request.
+func requestFor(facts *RequestInfo) balancer.Request {
 	route := facts.Route
 	prefix, own := promptTokens(facts)
 	return balancer.Request{
 		Service: facts.Service.Name,
 		Route: balancer.Route{Name: route.Name, Priority: route.Priority, Kind: route.Kind, MaxAttempts: route.MaxAttempts,
 			UsesAffinity: route.Affinity},
-		Retryable:    repeatable(route),
+		Retryable:    retryable(route),
 		TimeLeft:     time.Until(facts.Deadline),
 		AttemptsUsed: facts.AttemptsUsed,
 		MayHaveRun:   facts.MayHaveRun,
 		AfterTimeout: facts.AfterTimeout,
 		Excluded:     facts.Excluded,
-		AffinityKey:  affinity(facts),
+		AffinityKey:  affinityKey(facts),
 		PrefixTokens: prefix,
 		NewTokens:    own,
 		OutTokens:    int(facts.MaxOutputTokens),
 	}
 }
 
-// affinity returns a hash of what a request goes on from; 0: nothing.
-func affinity(facts *RequestInfo) uint64 {
+// affinityKey returns a hash of what a request goes on from; 0: nothing.
+func affinityKey(facts *RequestInfo) uint64 {
 	for _, key := range []string{facts.Program, facts.Session, facts.Subject} {
 		if key != "" {
 			return max(xxhash.Sum64String(key), 1)
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -33,7 +33,7 @@
 func newFullScheduler(t *testing.T) (*LoadBalancer, Selection) {
 	t.Helper()
 	s := NewLoadBalancer("z", 1)
-	s.core = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
+	s.balancer = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
 	s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
 	held, err := s.Select(t.Context(), newFacts(0))
 	if err != nil || held.ID != "e" || held.Address != "127.0.0.1:1" || held.MaxConnections != 10 {
@@ -153,7 +153,7 @@
 		{Outcome{Result: Cancelled, Took: left}, balancer.NotSent},
 	}
 	for _, test := range cases {
-		if got := kindOf(test.outcome, left); got != test.want {
+		if got := outcomeKind(test.outcome, left); got != test.want {
 			t.Errorf("%+v: got %v, want %v", test.outcome, got, test.want)
 		}
 	}
@@ -303,16 +303,16 @@
 		config.Routes[i].LatencyTargetMs = 8000
 	}
 	for i := range config.Services {
-		config.Services[i].MaxConnections = leastConnections
+		config.Services[i].MaxConnections = minConnections
 	}
 	f.views.routes.Store(NewRoutes(config))
 	clients := []*client{f.dial(), f.dial(), f.dial()}
-	for i, c := range clients[:leastConnections] {
+	for i, c := range clients[:minConnections] {
 		c.ask("GET", "/once/x", fmt.Sprint(i), "")
 		<-started
 	}
 	// when another request comes and a connection is free later
-	clients[leastConnections].ask("GET", "/once/x", "another", "")
+	clients[minConnections].ask("GET", "/once/x", "another", "")
 	awaitWaiters(s, 1)
 	close(release)
 	// then all of them are served
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -108,7 +108,7 @@
 func (s *LoadBalancer) askOnce(t *testing.T, endpoint *slots, rank int, targetMs int64, work time.Duration) bool {
 	facts := newFacts(rank)
 	facts.Route.LatencyTargetMs = targetMs
-	for range mostNotRun {
+	for range maxNotRun {
 		choice, err := s.Select(t.Context(), facts)
 		if err != nil {
 			return false
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -7,105 +7,105 @@
 	"mastusher/internal/tier/balancer"
 )
 
-// leastPause is the shortest time after which a waiting request asks again by itself.
-const leastPause = 5 * time.Millisecond
+// minPollInterval is the shortest time after which a waiting request asks again by itself.
+const minPollInterval = 5 * time.Millisecond
 
-// join puts a request into its service's queue. The caller holds the mutex.
-func (s *LoadBalancer) join(facts *RequestInfo) (uint64, *waiter, *Rejection) {
+// enqueue puts a request into its service's queue. The caller holds the mutex.
+func (s *LoadBalancer) enqueue(facts *RequestInfo) (uint64, *queuedWaiter, *Rejection) {
 	now := s.now()
 	arrived := now - time.Since(facts.ArrivedAt)
 	target := time.Duration(facts.Route.LatencyTargetMs) * time.Millisecond
 	s.lastID++
 	entry := balancer.NewQueuedRequest(s.lastID, facts.Route.Priority, arrived, target, facts.Deadline.Sub(facts.ArrivedAt))
 	if entry.ExpiresAt <= now {
-		return 0, nil, s.refusal(facts)
+		return 0, nil, s.rejectionFor(facts)
 	}
-	w := &waiter{facts: facts, until: entry.ExpiresAt, given: make(chan placing, 1)}
+	w := &queuedWaiter{info: facts, expiresAt: entry.ExpiresAt, result: make(chan selectResult, 1)}
 	s.waiting[entry.ID] = w
-	if displaced, full := s.queue(facts.Service.Name).Push(entry); full {
-		s.give(displaced.ID, placing{err: s.refusal(facts)})
+	if displaced, full := s.queueFor(facts.Service.Name).Push(entry); full {
+		s.resolve(displaced.ID, selectResult{err: s.rejectionFor(facts)})
 	}
-	s.pump(facts.Service.Name)
+	s.dispatch(facts.Service.Name)
 	return entry.ID, w, nil
 }
 
-func (s *LoadBalancer) queue(service string) *balancer.Queue {
+func (s *LoadBalancer) queueFor(service string) *balancer.Queue {
 	queue := s.queues[service]
 	if queue == nil {
-		queue = balancer.NewQueue(mostWaiting)
+		queue = balancer.NewQueue(maxQueued)
 		s.queues[service] = queue
 	}
 	return queue
 }
 
-// refusal returns the refusal of a request for which there is no place, with the scheduler's time to come back.
-func (s *LoadBalancer) refusal(facts *RequestInfo) *Rejection {
-	return refusalOf(s.core.Select(s.now(), requestOf(facts)).Rejection)
+// rejectionFor returns the refusal of a request for which there is no place, with the scheduler's time to come back.
+func (s *LoadBalancer) rejectionFor(facts *RequestInfo) *Rejection {
+	return rejectionOf(s.balancer.Select(s.now(), requestFor(facts)).Rejection)
 }
 
-// wait returns what a waiter is given. It asks again now and then, as an endpoint's refusal may have come to its end, and
+// await returns what a waiter is given. It asks again now and then, as an endpoint's refusal may have come to its end, and
 // when the waiter's own time is over.
-func (s *LoadBalancer) wait(ctx context.Context, id uint64, w *waiter) (Selection, error) {
-	timer := time.NewTimer(pauseUntil(w.until-s.now(), leastPause))
+func (s *LoadBalancer) await(ctx context.Context, id uint64, w *queuedWaiter) (Selection, error) {
+	timer := time.NewTimer(nextPollIn(w.expiresAt-s.now(), minPollInterval))
 	defer timer.Stop()
-	for pause := 2 * leastPause; ; pause *= 2 {
+	for pause := 2 * minPollInterval; ; pause *= 2 {
 		select {
-		case placed := <-w.given:
-			return placed.choice, placed.err
+		case placed := <-w.result:
+			return placed.selection, placed.err
 		case <-timer.C:
-			s.ask(w.facts.Service.Name)
-			timer.Reset(pauseUntil(w.until-s.now(), pause))
+			s.poll(w.info.Service.Name)
+			timer.Reset(nextPollIn(w.expiresAt-s.now(), pause))
 		case <-ctx.Done():
-			return Selection{}, s.leave(ctx, id, w)
+			return Selection{}, s.leaveQueue(ctx, id, w)
 		}
 	}
 }
 
-// pauseUntil returns how long a waiter sleeps that has left time to wait: no longer than that, as it is to be refused on
+// nextPollIn returns how long a waiter sleeps that has left time to wait: no longer than that, as it is to be refused on
 // time, and as long as the pause once that is over.
-func pauseUntil(left, pause time.Duration) time.Duration {
+func nextPollIn(left, pause time.Duration) time.Duration {
 	if left <= 0 {
 		return pause
 	}
 	return min(left, pause)
 }
 
-// ask looks for places and refuses those whose time to wait is over.
-func (s *LoadBalancer) ask(service string) {
+// poll looks for places and refuses those whose time to wait is over.
+func (s *LoadBalancer) poll(service string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pump(service)
+	s.dispatch(service)
 }
 
-// leave takes a waiter whose client has gone out of its queue, and gives back a place that it got meanwhile.
-func (s *LoadBalancer) leave(ctx context.Context, id uint64, w *waiter) error {
+// leaveQueue takes a waiter whose client has gone out of its queue, and gives back a place that it got meanwhile.
+func (s *LoadBalancer) leaveQueue(ctx context.Context, id uint64, w *queuedWaiter) error {
 	s.mutex.Lock()
 	delete(s.waiting, id)
-	s.queue(w.facts.Service.Name).Remove(id)
+	s.queueFor(w.info.Service.Name).Remove(id)
 	s.mutex.Unlock()
 	select {
-	case placed := <-w.given:
+	case placed := <-w.result:
 		if placed.err == nil {
-			s.Done(placed.choice, Outcome{Result: Cancelled})
+			s.Done(placed.selection, Outcome{Result: Cancelled})
 		}
 	default:
 	}
 	return context.Cause(ctx)
 }
 
-// pumpAll serves all queues. The caller holds the mutex.
-func (s *LoadBalancer) pumpAll() {
+// dispatchAll serves all queues. The caller holds the mutex.
+func (s *LoadBalancer) dispatchAll() {
 	if len(s.waiting) == 0 {
 		return
 	}
 	for service := range s.queues {
-		s.pump(service)
+		s.dispatch(service)
 	}
 }
 
-// pump gives places to the waiters of a service, the most urgent first, and refuses those whose time to wait is over. The
+// dispatch gives places to the waiters of a service, the most urgent first, and refuses those whose time to wait is over. The
 // caller holds the mutex.
-func (s *LoadBalancer) pump(service string) {
+func (s *LoadBalancer) dispatch(service string) {
 	queue := s.queues[service]
 	if queue == nil {
 		return
@@ -115,25 +115,25 @@
 		if !waits {
 			return
 		}
-		placed, full := s.place(s.waiting[entry.ID].facts)
+		placed, full := s.trySelect(s.waiting[entry.ID].info)
 		if full {
 			break
 		}
 		queue.Pop()
-		s.give(entry.ID, placed)
+		s.resolve(entry.ID, placed)
 	}
 	for {
 		entry, expired := queue.PopExpired(s.now())
 		if !expired {
 			return
 		}
-		s.give(entry.ID, placing{err: s.refusal(s.waiting[entry.ID].facts)})
+		s.resolve(entry.ID, selectResult{err: s.rejectionFor(s.waiting[entry.ID].info)})
 	}
 }
 
-// give hands a waiter its answer. The caller holds the mutex.
-func (s *LoadBalancer) give(id uint64, placed placing) {
+// resolve hands a waiter its answer. The caller holds the mutex.
+func (s *LoadBalancer) resolve(id uint64, placed selectResult) {
 	w := s.waiting[id]
 	delete(s.waiting, id)
-	w.given <- placed
+	w.result <- placed
 }
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -13,14 +13,14 @@
 	"mastusher/internal/tier/metrics"
 )
 
-// refusalsInterval is the pace at which a proxy logs what it has answered by itself.
-const refusalsInterval = time.Second
+// rejectionsInterval is the pace at which a proxy logs what it has answered by itself.
+const rejectionsInterval = time.Second
 
-// outageShare is the number of refusals beside one request that is served from which on a proxy is in an outage.
-const outageShare = 3
+// outageRejectionsPerServed is the number of refusals beside one request that is served from which on a proxy is in an outage.
+const outageRejectionsPerServed = 3
 
-// refusals counts a proxy's own answers by their kind, and notices outages.
-type refusals struct {
+// rejectionCounter counts a proxy's own answers by their kind, and notices outages.
+type rejectionCounter struct {
 	mutex  sync.Mutex
 	counts map[apierror.Kind]int
 	served int
@@ -31,12 +31,12 @@
 	outage outage // used by the reporting goroutine only
 }
 
-func newRefusals(options *Options) *refusals {
-	return &refusals{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.MaxOutage, checks: options.Checks}}
+func newRejectionCounter(options *Options) *rejectionCounter {
+	return &rejectionCounter{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.MaxOutage, checks: options.Checks}}
 }
 
 // add counts one answer.
-func (r *refusals) add(kind apierror.Kind) {
+func (r *rejectionCounter) add(kind apierror.Kind) {
 	r.metrics.CountRejection(kind.String())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -44,21 +44,21 @@
 }
 
 // addServed counts a request whose endpoint's answer goes to the client.
-func (r *refusals) addServed() {
+func (r *rejectionCounter) addServed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.served++
 }
 
-// noteCause keeps why a turn could not be begun.
-func (r *refusals) noteCause(err error) {
+// recordCause keeps why a turn could not be begun.
+func (r *rejectionCounter) recordCause(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cause = err
 }
 
-// take returns what has come since the last call.
-func (r *refusals) take() (counts map[apierror.Kind]int, served int, cause error) {
+// reset returns what has come since the last call.
+func (r *rejectionCounter) reset() (counts map[apierror.Kind]int, served int, cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts, served, cause = r.counts, r.served, r.cause
@@ -67,8 +67,8 @@
 }
 
 // run reports at each interval until ctx ends.
-func (r *refusals) run(ctx context.Context, logger log.Logger) {
-	ticker := time.NewTicker(refusalsInterval)
+func (r *rejectionCounter) run(ctx context.Context, logger log.Logger) {
+	ticker := time.NewTicker(rejectionsInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -81,8 +81,8 @@
 }
 
 // report logs the counts, if there are any, and looks whether an outage goes on.
-func (r *refusals) report(now time.Time, logger log.Logger) {
-	counts, served, cause := r.take()
+func (r *rejectionCounter) report(now time.Time, logger log.Logger) {
+	counts, served, cause := r.reset()
 	r.outage.observe(now, counts[apierror.NotReady]+counts[apierror.StateUnavailable], served)
 	if len(counts) == 0 {
 		return
@@ -104,9 +104,9 @@
 	bound  time.Duration // after which it breaks the invariant; 0: never
 	checks *invariant.Counter
 
-	isOn   bool
-	since  time.Time
-	isTold bool // that it breaks the invariant
+	active   bool
+	since    time.Time
+	reported bool // that it breaks the invariant
 }
 
 // observe takes in how many requests were refused for that reason, and how many were served, since the last call. Without
@@ -115,15 +115,15 @@
 	if refused+served == 0 {
 		return
 	}
-	if refused <= outageShare*served {
-		o.isOn, o.isTold = false, false
+	if refused <= outageRejectionsPerServed*served {
+		o.active, o.reported = false, false
 		return
 	}
-	if !o.isOn {
-		o.isOn, o.since = true, now
+	if !o.active {
+		o.active, o.since = true, now
 	}
-	if lasts := now.Sub(o.since); o.bound > 0 && lasts > o.bound && !o.isTold {
-		o.isTold = true
+	if lasts := now.Sub(o.since); o.bound > 0 && lasts > o.bound && !o.reported {
+		o.reported = true
 		o.checks.Violated(invariant.Recovery, "outage", lasts, "refused", refused, "served", served)
 	}
 }
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -53,12 +53,12 @@
 func TestOwnAnswersAreToldByTheirKindAndCause(t *testing.T) {
 	// Given answers of a proxy's own, when they are reported, then kinds, counts and cause are told, and no second time.
 	var logged bytes.Buffer
-	counted := newRefusals(&Options{Metrics: metrics.New()})
+	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
 	counted.add(apierror.StateUnavailable)
 	counted.add(apierror.StateUnavailable)
 	counted.add(apierror.NotReady)
 	counted.addServed()
-	counted.noteCause(errors.New("no owner"))
+	counted.recordCause(errors.New("no owner"))
 	counted.report(time.Unix(1, 0), log.NewLogfmtLogger(&logged))
 	counted.report(time.Unix(2, 0), log.NewLogfmtLogger(&logged))
 	for _, want := range []string{"served=1", "notready=1", "stateunavailable=2", `cause="no owner"`} {
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// firstBodyBytes is the size at which a buffer for a body of unknown length begins.
-	firstBodyBytes = 4 << 10
-	// largestPooledBytes is the size up to which a buffer is kept for other requests.
-	largestPooledBytes = 64 << 10
+	// initialBodyBytes is the size at which a buffer for a body of unknown length begins.
+	initialBodyBytes = 4 << 10
+	// maxPooledBytes is the size up to which a buffer is kept for other requests.
+	maxPooledBytes = 64 << 10
 )
 
 var errBodyTooLarge = errors.New("the body is larger than the configuration allows")
 
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
-func takeBuffer() *[]byte { return buffers.Get().(*[]byte) }
+func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-func returnBuffer(buffer *[]byte) {
-	if cap(*buffer) <= largestPooledBytes {
+func putBuffer(buffer *[]byte) {
+	if cap(*buffer) <= maxPooledBytes {
 		*buffer = (*buffer)[:0]
 		buffers.Put(buffer)
 	}
 }
 
-// deadliner is what net/http's ResponseWriter offers beside its interface.
-type deadliner interface {
+// deadlineSetter is what net/http's ResponseWriter offers beside its interface.
+type deadlineSetter interface {
 	SetReadDeadline(time.Time) error
 	SetWriteDeadline(time.Time) error
 }
 
-// boundReading bounds the time in which the rest of a request may come, also where the library reads it after an answer.
+// setReadDeadline bounds the time in which the rest of a request may come, also where the library reads it after an answer.
 // The library sets the time anew for the connection's next request.
-func boundReading(w http.ResponseWriter, r *http.Request, deadline time.Time) {
-	if connection, ok := w.(deadliner); ok && r.ContentLength != 0 {
+func setReadDeadline(w http.ResponseWriter, r *http.Request, deadline time.Time) {
+	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
 		connection.SetReadDeadline(deadline)
 	}
 }
 
-// endReading takes the bound back once a request has been read: the library goes on reading, to see whether the client
+// clearReadDeadline takes the bound back once a request has been read: the library goes on reading, to see whether the client
 // goes.
-func endReading(w http.ResponseWriter, r *http.Request) {
-	if connection, ok := w.(deadliner); ok && r.ContentLength != 0 {
+func clearReadDeadline(w http.ResponseWriter, r *http.Request) {
+	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
 		connection.SetReadDeadline(time.Time{})
 	}
 }
@@ -60,7 +60,7 @@
 	case r.ContentLength > 0:
 		return readExactly(r.Body, buffer, r.ContentLength)
 	}
-	return readToEnd(r.Body, buffer, limit)
+	return readUntilEOF(r.Body, buffer, limit)
 }
 
 func readExactly(body io.Reader, buffer *[]byte, length int64) error {
@@ -81,10 +81,10 @@
 	return nil
 }
 
-func readToEnd(body io.Reader, buffer *[]byte, limit int64) error {
+func readUntilEOF(body io.Reader, buffer *[]byte, limit int64) error {
 	data := (*buffer)[:0]
 	if cap(data) == 0 {
-		data = make([]byte, 0, firstBodyBytes)
+		data = make([]byte, 0, initialBodyBytes)
 	}
 	for {
 		if len(data) == cap(data) {
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -9,208 +9,208 @@
 )
 
 const (
-	// readBytes is the size of the buffer through which an answer goes.
-	readBytes = 8 << 10
-	// wholeBytes is the length up to which an answer is read whole before its head is passed on.
-	wholeBytes = 32 << 10
+	// copyBufferBytes is the size of the buffer through which an answer goes.
+	copyBufferBytes = 8 << 10
+	// maxBufferedBytes is the length up to which an answer is read whole before its head is passed on.
+	maxBufferedBytes = 32 << 10
 )
 
-// deliver passes an answer on to the client. It returns true when the request is to be sent again.
-func (c *call) deliver(a *attempt) (again bool) {
-	buffer := takeBuffer()
-	defer returnBuffer(buffer)
-	if cap(*buffer) < readBytes {
-		*buffer = make([]byte, 0, readBytes)
+// forwardResponse passes an answer on to the client. It returns true when the request is to be sent again.
+func (c *clientRequest) forwardResponse(a *attempt) (again bool) {
+	buffer := getBuffer()
+	defer putBuffer(buffer)
+	if cap(*buffer) < copyBufferBytes {
+		*buffer = make([]byte, 0, copyBufferBytes)
 	}
-	if c.facts.Route.Kind == model.Streaming && a.answer.Status/100 == 2 && (c.turn != nil || !a.answer.Complete()) {
-		return c.deliverStream(a, (*buffer)[:cap(*buffer)])
+	if c.info.Route.Kind == model.Streaming && a.response.Status/100 == 2 && (c.turn != nil || !a.response.Complete()) {
+		return c.forwardStream(a, (*buffer)[:cap(*buffer)])
 	}
-	length := a.answer.ContentLength
-	if a.answer.Complete() || length >= 0 && length <= wholeBytes {
-		return c.deliverWhole(a, buffer)
+	length := a.response.ContentLength
+	if a.response.Complete() || length >= 0 && length <= maxBufferedBytes {
+		return c.forwardShort(a, buffer)
 	}
-	if length < 0 && repeatable(c.facts.Route) {
-		return c.deliverGathered(a, buffer)
+	if length < 0 && retryable(c.info.Route) {
+		return c.forwardBuffered(a, buffer)
 	}
-	return c.deliverParts(a, (*buffer)[:cap(*buffer)])
+	return c.forwardCopying(a, (*buffer)[:cap(*buffer)])
 }
 
-// deliverGathered reads an answer of untold length, up to a bound, before its head goes out: as long as that hasn't, a
+// forwardBuffered reads an answer of untold length, up to a bound, before its head goes out: as long as that hasn't, a
 // request that may run again can go to another endpoint when the answer breaks off.
-func (c *call) deliverGathered(a *attempt, buffer *[]byte) (again bool) {
+func (c *clientRequest) forwardBuffered(a *attempt, buffer *[]byte) (again bool) {
 	data := (*buffer)[:0]
-	for len(data) < wholeBytes {
+	for len(data) < maxBufferedBytes {
 		if len(data) == cap(data) {
 			data = append(data, 0)[:len(data)]
 		}
-		n, err := a.answer.Read(data[len(data):cap(data)])
+		n, err := a.response.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
 		*buffer = data
 		if err == io.EOF {
-			c.finished(a)
-			c.commit(a)
-			c.done(a)
+			c.recordComplete(a)
+			c.writeHeader(a)
+			c.finishAttempt(a)
 			c.write(a, data)
 			return false
 		}
 		if err != nil {
-			return c.broken(a)
+			return c.handleIncomplete(a)
 		}
 	}
-	if !a.inTime() {
-		return c.broken(a)
+	if !a.stopTimeout() {
+		return c.handleIncomplete(a)
 	}
-	c.firstByte(a)
-	c.commit(a)
+	c.recordFirstByte(a)
+	c.writeHeader(a)
 	c.write(a, data)
-	return c.deliverParts(a, data[:cap(data)])
+	return c.forwardCopying(a, data[:cap(data)])
 }
 
-// commit passes on the head of an answer. An answer whose end only its connection tells goes on in chunks: so it can't look
+// writeHeader passes on the head of an answer. An answer whose end only its connection tells goes on in chunks: so it can't look
 // complete when it was broken off, also where this process ends in the middle.
-func (c *call) commit(a *attempt) {
-	if c.committed {
+func (c *clientRequest) writeHeader(a *attempt) {
+	if c.headerWritten {
 		return
 	}
-	c.committed = true
-	c.proxy.refusals.addServed()
+	c.headerWritten = true
+	c.proxy.rejections.addServed()
 	header := c.writer.Header()
 	c.proxy.closeIfDraining(header)
-	copyAnswerHeader(header, a.answer.Header)
-	if a.answer.ContentLength >= 0 && first(a.answer.Header, "Content-Length") != "" {
-		header["Content-Length"] = []string{strconv.FormatInt(a.answer.ContentLength, 10)}
+	copyResponseHeader(header, a.response.Header)
+	if a.response.ContentLength >= 0 && first(a.response.Header, "Content-Length") != "" {
+		header["Content-Length"] = []string{strconv.FormatInt(a.response.ContentLength, 10)}
 	}
-	c.guardEnd(header)
-	c.writer.WriteHeader(a.answer.Status)
+	c.resetOnUnframedEnd(header)
+	c.writer.WriteHeader(a.response.Status)
 }
 
-// guardEnd makes every close of the client's connection a reset where only that end tells the end of the answer: to a client of
+// resetOnUnframedEnd makes every close of the client's connection a reset where only that end tells the end of the answer: to a client of
 // HTTP/1.0, if no length is told. The library closes it by itself when a write fails, and the system when this process ends.
-func (c *call) guardEnd(header http.Header) {
+func (c *clientRequest) resetOnUnframedEnd(header http.Header) {
 	if c.request.ProtoAtLeast(1, 1) || first(header, "Content-Length") != "" {
 		return
 	}
 	if client := clientOf(c.request); client != nil {
-		client.resetOnClose(true)
-		c.guarded = true
+		client.setResetOnClose(true)
+		c.resetsOnClose = true
 	}
 }
 
-// releaseEnd lets the client's connection end in order once the whole answer has gone out.
-func (c *call) releaseEnd() {
-	if !c.guarded {
+// allowOrderlyClose lets the client's connection end in order once the whole answer has gone out.
+func (c *clientRequest) allowOrderlyClose() {
+	if !c.resetsOnClose {
 		return
 	}
 	flusher, ok := c.writer.(interface{ FlushError() error })
 	if ok && flusher.FlushError() != nil {
-		abort()
+		abortConnection()
 	}
-	clientOf(c.request).resetOnClose(false)
+	clientOf(c.request).setResetOnClose(false)
 }
 
-// deliverWhole reads a short answer to its end and passes it on in one piece.
-func (c *call) deliverWhole(a *attempt, buffer *[]byte) (again bool) {
+// forwardShort reads a short answer to its end and passes it on in one piece.
+func (c *clientRequest) forwardShort(a *attempt, buffer *[]byte) (again bool) {
 	data := (*buffer)[:0]
-	if !a.answer.Complete() {
-		if int64(cap(data)) < a.answer.ContentLength {
-			data = make([]byte, 0, a.answer.ContentLength)
+	if !a.response.Complete() {
+		if int64(cap(data)) < a.response.ContentLength {
+			data = make([]byte, 0, a.response.ContentLength)
 		}
-		data = data[:a.answer.ContentLength]
-		if _, err := io.ReadFull(a.answer, data); err != nil {
-			return c.broken(a)
+		data = data[:a.response.ContentLength]
+		if _, err := io.ReadFull(a.response, data); err != nil {
+			return c.handleIncomplete(a)
 		}
 		*buffer = data
-		a.readEnd()
+		a.readEOF()
 	}
-	c.finished(a)
-	c.commit(a)
-	c.done(a)
+	c.recordComplete(a)
+	c.writeHeader(a)
+	c.finishAttempt(a)
 	if len(data) > 0 {
 		c.write(a, data)
 	}
 	return false
 }
 
-// readEnd reads the end of a body whose last byte has been read, so that its connection can be kept.
-func (a *attempt) readEnd() {
-	if !a.answer.Complete() {
+// readEOF reads the end of a body whose last byte has been read, so that its connection can be kept.
+func (a *attempt) readEOF() {
+	if !a.response.Complete() {
 		var beyond [1]byte
-		a.answer.Read(beyond[:])
+		a.response.Read(beyond[:])
 	}
 }
 
-// deliverParts passes a long answer on as it comes.
-func (c *call) deliverParts(a *attempt, buffer []byte) (again bool) {
+// forwardCopying passes a long answer on as it comes.
+func (c *clientRequest) forwardCopying(a *attempt, buffer []byte) (again bool) {
 	for {
-		n, err := a.answer.Read(buffer)
+		n, err := a.response.Read(buffer)
 		if n > 0 {
-			if !a.inTime() {
-				return c.cut(a)
+			if !a.stopTimeout() {
+				return c.handleInterrupted(a)
 			}
-			c.firstByte(a)
-			c.commit(a)
+			c.recordFirstByte(a)
+			c.writeHeader(a)
 			c.write(a, buffer[:n])
 		}
 		if err == io.EOF {
-			c.finished(a)
-			c.commit(a)
+			c.recordComplete(a)
+			c.writeHeader(a)
 			return false
 		}
 		if err != nil {
-			return c.cut(a)
+			return c.handleInterrupted(a)
 		}
-		if n > 0 && a.answer.Buffered() == 0 {
+		if n > 0 && a.response.Buffered() == 0 {
 			c.flush(a)
 		}
 	}
 }
 
-// firstByte notes when the body began.
-func (c *call) firstByte(a *attempt) {
+// recordFirstByte notes when the body began.
+func (c *clientRequest) recordFirstByte(a *attempt) {
 	if a.outcome.FirstByte == 0 {
 		a.outcome.FirstByte = c.proxy.options.Now().Sub(a.started)
 	}
 }
 
-// finished notes that a whole answer has come.
-func (c *call) finished(a *attempt) {
+// recordComplete notes that a whole answer has come.
+func (c *clientRequest) recordComplete(a *attempt) {
 	if a.outcome.Result == NotRun {
 		return
 	}
 	a.outcome.Result = ErrorResponse
-	if a.answer.Status/100 == 2 {
+	if a.response.Status/100 == 2 {
 		a.outcome.Result = Succeeded
 	}
-	c.ran(a.outcome.Result)
+	c.recordMayHaveRun(a.outcome.Result)
 }
 
-// cut deals with an answer that broke off.
-func (c *call) cut(a *attempt) (again bool) {
-	if !c.committed {
-		return c.broken(a)
+// handleInterrupted deals with an answer that broke off.
+func (c *clientRequest) handleInterrupted(a *attempt) (again bool) {
+	if !c.headerWritten {
+		return c.handleIncomplete(a)
 	}
-	a.outcome.Result = c.brokenResult(a)
-	abort()
+	a.outcome.Result = c.incompleteResult(a)
+	abortConnection()
 	return false
 }
 
 // write hands bytes on to the client. One that takes none any more has gone.
-func (c *call) write(a *attempt, data []byte) {
+func (c *clientRequest) write(a *attempt, data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
-		c.lost(a)
+		c.handleClientClosed(a)
 	}
 }
 
 // flush sends what was written at once.
-func (c *call) flush(a *attempt) {
+func (c *clientRequest) flush(a *attempt) {
 	flusher, ok := c.writer.(interface{ FlushError() error })
 	if ok && flusher.FlushError() != nil {
-		c.lost(a)
+		c.handleClientClosed(a)
 	}
 }
 
-// lost ends a call whose client has gone.
-func (c *call) lost(a *attempt) {
+// handleClientClosed ends a call whose client has gone.
+func (c *clientRequest) handleClientClosed(a *attempt) {
 	a.outcome.Result = ClientClosed
-	abort()
+	abortConnection()
 }
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -73,13 +73,13 @@
 				}
 			}
 			most := 1
-			if repeatable(&route) {
+			if retryable(&route) {
 				most = tries
 			}
 			if ran > most {
 				t.Errorf("runs on %d endpoints, at most %d; they got:%s", ran, most, receivedBy(list))
 			}
-			if ran > 0 && !repeatable(&route) && clientPromise(status) {
+			if ran > 0 && !retryable(&route) && impliesNotRun(status) {
 				t.Errorf("answered by %d, and has run", status)
 			}
 		})
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -21,18 +21,18 @@
 const readyPath = "/mastusher/ready"
 
 // ShutdownGracePeriod is how much longer than its context Shutdown takes at most, when requests and ends of turns go on.
-const ShutdownGracePeriod = lastAnswersTime + lastSettlesTime
+const ShutdownGracePeriod = finalResponsesTimeout + finalCommitsTimeout
 
 // Proxy is the HTTP data path.
 type Proxy struct {
-	options  Options
-	pool     *upstream.Pool
-	settler  *settler
-	refusals *refusals
-	front    *front
-	ready    *http.Server
-	readyAt  net.Listener
-	draining atomic.Bool
+	options           Options
+	pool              *upstream.Pool
+	usage             *usageCommitter
+	rejections        *rejectionCounter
+	frontend          *frontend
+	readinessServer   *http.Server
+	readinessListener net.Listener
+	draining          atomic.Bool
 }
 
 // New opens the listeners of a proxy. Serve makes it take requests.
@@ -48,37 +48,37 @@
 	}
 	options.Network = network.OrSystem(options.Network)
 	options.Upstream.Network = options.Network
-	p := &Proxy{options: options, pool: upstream.NewPool(options.Upstream), settler: newSettler(options.Programs), refusals: newRefusals(&options)}
+	p := &Proxy{options: options, pool: upstream.NewPool(options.Upstream), usage: newUsageCommitter(options.Programs), rejections: newRejectionCounter(&options)}
 	frontListener, err := options.Network.Listen(context.Background(), new(net.ListenConfig), "tcp4", options.FrontAddress)
 	if err != nil {
 		return nil, err
 	}
-	p.readyAt, err = options.Network.Listen(context.Background(), new(net.ListenConfig), "tcp4", options.ReadinessAddress)
+	p.readinessListener, err = options.Network.Listen(context.Background(), new(net.ListenConfig), "tcp4", options.ReadinessAddress)
 	if err != nil {
 		frontListener.Close()
 		return nil, err
 	}
-	p.front = newFront(frontListener, p.frontHandler(), p.currentLimits, options)
-	p.ready = &http.Server{Handler: p.readinessHandler(), ReadHeaderTimeout: 5 * time.Second}
+	p.frontend = newFrontend(frontListener, p.frontHandler(), p.currentLimits, options)
+	p.readinessServer = &http.Server{Handler: p.readinessHandler(), ReadHeaderTimeout: 5 * time.Second}
 	return p, nil
 }
 
 // FrontAddress returns where clients connect.
-func (p *Proxy) FrontAddress() net.Addr { return p.front.listener.Addr() }
+func (p *Proxy) FrontAddress() net.Addr { return p.frontend.listener.Addr() }
 
 // ReadinessAddress returns where readiness is asked.
-func (p *Proxy) ReadinessAddress() net.Addr { return p.readyAt.Addr() }
+func (p *Proxy) ReadinessAddress() net.Addr { return p.readinessListener.Addr() }
 
 // Serve takes requests until Shutdown.
 func (p *Proxy) Serve() error {
 	if p.options.Logger != nil {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go p.refusals.run(ctx, p.options.Logger)
+		go p.rejections.run(ctx, p.options.Logger)
 	}
 	failed := make(chan error, 2)
-	go func() { failed <- p.ready.Serve(p.readyAt) }()
-	go func() { failed <- p.front.serve() }()
+	go func() { failed <- p.readinessServer.Serve(p.readinessListener) }()
+	go func() { failed <- p.frontend.serve() }()
 	err := <-failed
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -90,13 +90,13 @@
 // are still taken.
 func (p *Proxy) Drain() {
 	if p.draining.CompareAndSwap(false, true) {
-		p.tellPhase("proxy is not ready any more")
+		p.logShutdownPhase("proxy is not ready any more")
 	}
 }
 
-// tellPhase logs a phase of the proxy's end, and what is left to end.
-func (p *Proxy) tellPhase(message string, more ...any) {
-	pairs := []any{"msg", message, "connections", p.front.open(), "settles", p.settler.open()}
+// logShutdownPhase logs a phase of the proxy's end, and what is left to end.
+func (p *Proxy) logShutdownPhase(message string, more ...any) {
+	pairs := []any{"msg", message, "connections", p.frontend.connections(), "settles", p.usage.pending()}
 	level.Info(p.options.Logger).Log(append(pairs, more...)...)
 }
 
@@ -113,10 +113,10 @@
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	began := time.Now()
-	err := p.front.shutdown(ctx, func(message string) { p.tellPhase(message, "took", time.Since(began)) })
-	givenUp := p.settler.wait(ctx)
-	p.tellPhase("proxy has ended the settling of turns", "took", time.Since(began), "given_up", givenUp)
-	p.ready.Close()
+	err := p.frontend.shutdown(ctx, func(message string) { p.logShutdownPhase(message, "took", time.Since(began)) })
+	givenUp := p.usage.drain(ctx)
+	p.logShutdownPhase("proxy has ended the settling of turns", "took", time.Since(began), "given_up", givenUp)
+	p.readinessServer.Close()
 	p.pool.Close()
 	return err
 }
@@ -145,7 +145,7 @@
 }
 
 // currentLimits returns the limits for a new connection.
-func (p *Proxy) currentLimits() limits {
+func (p *Proxy) currentLimits() clientLimits {
 	routes := p.options.Views.Routes()
 	if routes == nil {
 		return defaultLimits
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -118,9 +118,9 @@
 
 // isIdle tells whether no request has begun on the proxy's only connection.
 func (f *fixture) isIdle() bool {
-	f.proxy.front.mutex.Lock()
-	defer f.proxy.front.mutex.Unlock()
-	for client := range f.proxy.front.clients {
+	f.proxy.frontend.mutex.Lock()
+	defer f.proxy.frontend.mutex.Unlock()
+	for client := range f.proxy.frontend.clients {
 		client.mutex.Lock()
 		defer client.mutex.Unlock()
 		return client.idle
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -123,13 +123,13 @@
 						return ctx.Err()
 					}
 				}}
-				s := newSettler(stores)
-				s.settle("key", program.EndTurn{Turn: "id"})
+				s := newUsageCommitter(stores)
+				s.commit("key", program.EndTurn{Turn: "id"})
 				over, cancel := context.WithCancel(t.Context())
 				cancel()
 				began := time.Now()
-				s.wait(over)
-				if waited := time.Since(began); waited > lastSettlesTime {
+				s.drain(over)
+				if waited := time.Since(began); waited > finalCommitsTimeout {
 					t.Errorf("waited for %v", waited)
 				}
 				if taken := len(stores.ended) == 1; taken != test.taken {
@@ -147,10 +147,10 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}}
-		p := &Proxy{options: Options{Logger: log.NewNopLogger()}, pool: upstream.NewPool(upstream.Options{}), settler: newSettler(stores),
-			ready: new(http.Server), front: newFront(noListener{}, nil, func() limits { return defaultLimits }, Options{})}
-		p.front.clients[&clientConnection{}] = struct{}{}
-		p.settler.settle("key", program.EndTurn{Turn: "id"})
+		p := &Proxy{options: Options{Logger: log.NewNopLogger()}, pool: upstream.NewPool(upstream.Options{}), usage: newUsageCommitter(stores),
+			readinessServer: new(http.Server), frontend: newFrontend(noListener{}, nil, func() clientLimits { return defaultLimits }, Options{})}
+		p.frontend.clients[&clientConn{}] = struct{}{}
+		p.usage.commit("key", program.EndTurn{Turn: "id"})
 		over, cancel := context.WithCancel(t.Context())
 		cancel()
 		// when a shutdown comes to the end of its time, then it takes no longer than it says
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -191,18 +191,18 @@
 
 func TestTimeOutThatHasFiredLetsNothingOut(t *testing.T) {
 	// given an attempt whose time-out has fired while its first bytes came
-	c := &call{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
-	a := &attempt{choice: Selection{Timeout: time.Nanosecond}}
-	c.bound(a)
+	c := &clientRequest{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
+	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
+	c.applyTimeout(a)
 	<-a.context.Done()
 	// when its answer would begin to go to the client, then it is given up, by the time-out
-	if a.inTime() || c.brokenResult(a) != TimedOut {
-		t.Errorf("in time, or ended by %v", c.brokenResult(a))
+	if a.stopTimeout() || c.incompleteResult(a) != TimedOut {
+		t.Errorf("in time, or ended by %v", c.incompleteResult(a))
 	}
 	// given one that is in time, then nothing ends it afterwards
-	a = &attempt{choice: Selection{Timeout: time.Hour}}
-	c.bound(a)
-	if first, again := a.inTime(), a.inTime(); !first || !again || a.context.Err() != nil {
+	a = &attempt{selection: Selection{Timeout: time.Hour}}
+	c.applyTimeout(a)
+	if first, again := a.stopTimeout(), a.stopTimeout(); !first || !again || a.context.Err() != nil {
 		t.Errorf("ended by %v", context.Cause(a.context))
 	}
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -14,12 +14,12 @@
 type turn struct {
 	key            string // of the shard that keeps it
 	id             string
-	remembered     bool
+	stateful       bool
 	tokensPerEvent int64
-	begun          bool   // Begin was called: the stores may hold a reservation
-	settled        bool   // the end was given over
-	passed         int64  // bytes of the answer passed on
-	last           []byte // the last byte of the answer, held back until the stores have its end
+	reserved       bool   // Begin was called: the stores may hold a reservation
+	committed      bool   // the end was given over
+	bytesForwarded int64  // bytes of the answer passed on
+	withheld       []byte // the last byte of the answer, held back until the stores have its end
 }
 
 // newTurn returns the turn that a request is; nil if it is none. Endpoints refuse a request without an id.
@@ -35,7 +35,7 @@
 	return &turn{
 		key:            shardKey(facts),
 		id:             facts.AttemptID,
-		remembered:     route.Stateful,
+		stateful:       route.Stateful,
 		tokensPerEvent: tokensPerEvent(facts.Service),
 	}, max(budget, 0)
 }
@@ -62,13 +62,13 @@
 // begin has the turn's budget reserved and returns its chain, or why it isn't to be sent, with the error if the
 // stores gave no verdict.
 func (t *turn) begin(ctx context.Context, programs Programs, facts *RequestInfo, budget int64, input []byte) (apierror.Kind, []byte, error) {
-	t.begun = true
+	t.reserved = true
 	result, err := programs.Begin(ctx, t.key, program.BeginTurn{
 		Turn:       t.id,
 		Program:    facts.Program,
 		Budget:     budget,
 		MaxTokens:  facts.MaxOutputTokens,
-		Remembered: t.remembered,
+		Remembered: t.stateful,
 		Previous:   facts.Previous,
 		KeepForS:   facts.Route.RetentionS,
 		Input:      input,
@@ -80,10 +80,10 @@
 	case program.Accepted:
 		return apierror.None, result.Chain, nil
 	case program.BudgetExceeded:
-		t.begun = false
+		t.reserved = false
 		return apierror.BudgetExhausted, nil, nil
 	case program.TurnNotFound:
-		t.begun = false
+		t.reserved = false
 		return apierror.TurnNotFound, nil, nil
 	}
 	return apierror.StateUnavailable, nil, nil
@@ -92,7 +92,7 @@
 // end returns what the stores are told at the end of the turn.
 func (t *turn) end(whole bool, scanner *eventScanner) program.EndTurn {
 	end := program.EndTurn{Turn: t.id, Complete: whole, Tokens: scanner.count * t.tokensPerEvent}
-	if whole && t.remembered {
+	if whole && t.stateful {
 		end.Output = scanner.output
 	}
 	return end
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -237,7 +237,7 @@
 		known   bool
 	}{
 		{"given a turn whose beginning comes late when it broke off then its end is taken", 4, false, 4, true},
-		{"given a turn that never was begun when it broke off then its end is given up", 1000, false, mostUnknown, false},
+		{"given a turn that never was begun when it broke off then its end is given up", 1000, false, maxUnknownAnswers, false},
 		{"given a turn that isn't known when it is whole then its end is given up at once", 2, true, 1, false},
 	}
 	for _, test := range cases {
@@ -248,7 +248,7 @@
 					offers++
 					return offers < test.knownAt
 				}}
-				err := endTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.whole})
+				err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.whole})
 				if offers != test.offers || (err == nil) != test.known {
 					t.Errorf("%d offers, %v", offers, err)
 				}
--- a/internal/tier/proxy/wire_format_test.go
+++ b/internal/tier/proxy/wire_format_test.go
@@ -44,7 +44,7 @@
 			continue // nothing can be answered any more
 		}
 		w := httptest.NewRecorder()
-		fail(w, kind, 1250*time.Millisecond)
+		writeError(w, kind, 1250*time.Millisecond)
 		response := w.Result()
 		fmt.Fprintf(&got, "%d\n", response.StatusCode)
 		if err := response.Header.Write(&got); err != nil {
@@ -57,7 +57,7 @@
 
 // TestWireFormat_MetricsOfErrorResponses_AreThoseOfEarlierVersions compares the metrics that count them.
 func TestWireFormat_MetricsOfErrorResponses_AreThoseOfEarlierVersions(t *testing.T) {
-	counted := newRefusals(&Options{Metrics: metrics.New()})
+	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
 	for _, kind := range apierror.Kinds() {
 		counted.add(kind)
 	}
