--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -83,7 +83,7 @@
 		},
 		{
 			Name:   "callers are sent to an owner of which nothing is heard",
-			Change: mutation.Change{File: "../group/group.go", Old: "status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout", New: "false"},
+			Change: mutation.Change{File: "../group/status.go", Old: "status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout", New: "false"},
 			Run:    cutOffTests,
 		},
 		{
--- a/internal/tier/group/budget_test.go
+++ b/internal/tier/group/budget_test.go
@@ -111,7 +111,7 @@
 	now := time.Duration(0)
 	machine := &replayingMachine{}
 	g := openAlone(t, "g", machine, nil, &now)
-	foreign, _ := json.Marshal(proposed{Origin: "other", Token: 1, Command: json.RawMessage(`1`)})
+	foreign, _ := json.Marshal(proposal{Origin: "other", Token: 1, Command: json.RawMessage(`1`)})
 	var told any
 	proposedBoth := false
 	for range 8 {
--- a/internal/tier/group/calls.go
+++ b/internal/tier/group/calls.go
@@ -3,160 +3,120 @@
 import (
 	"context"
 
-	"github.com/go-kit/log/level"
-
 	"mastusher/internal/tier/replica"
 )
 
-// call is one that waits for its outcome.
-type call struct {
-	read func() // of a read: run once it is confirmed
+// pendingCall waits for its outcome.
+type pendingCall struct {
+	view func() // of a read: run once it is confirmed; else nil
 	done func(result any, err error)
 }
 
-// Propose has the command agreed on and returns what the machine answered. An *NotLeaderError tells whether the command
-// can still be committed.
+// Propose has the command committed and returns the state machine's result. A *NotLeaderError tells whether the command can
+// still be committed.
 func (g *Group) Propose(ctx context.Context, command any) (any, error) {
 	return g.wait(ctx, func(done func(any, error)) uint64 { return g.ProposeAsync(command, done) })
 }
 
-// Read runs view on the group's goroutine once it is certain that this member owned the group after Read was called.
+// Read runs view on the member's goroutine once it is confirmed that this member led the group after Read was called. An
+// error is a *NotLeaderError.
 func (g *Group) Read(ctx context.Context, view func()) error {
 	_, err := g.wait(ctx, func(done func(any, error)) uint64 { return g.ReadAsync(view, done) })
 	return err
 }
 
-// ProposeAsync has the command agreed on; done is told the outcome, on the group's goroutine or at once. The token can be given
-// to Cancel.
+// ProposeAsync has the command committed; done is called with the result, on the member's goroutine, or at once where the
+// command cannot be queued. The token can be given to Cancel; it is 0 if done was called at once.
 func (g *Group) ProposeAsync(command any, done func(result any, err error)) (token uint64) {
 	data, err := encodeCommand(command)
 	if err != nil {
 		done(nil, err)
 		return 0
 	}
-	return g.enter(call{done: done}, func(token uint64) error {
-		wrapped := appendProposed(nil, &proposed{Origin: g.origin, Token: token, Command: data})
-		if !g.takeRoom(len(wrapped)+messageBytes, false) {
-			return &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: errTooMuchWaits}
+	return g.submit(pendingCall{done: done}, func(token uint64) error {
+		wrapped := appendProposal(nil, &proposal{Origin: g.origin, Token: token, Command: data})
+		if !g.reserve(len(wrapped)+messageOverhead, false) {
+			return &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: errQueueFull}
 		}
 		g.input.Proposals = append(g.input.Proposals, replica.Proposal{Token: token, Data: wrapped})
 		return nil
 	})
 }
 
-// ReadAsync runs view once a read is confirmed, and then tells done.
+// ReadAsync runs view once a read is confirmed, and then calls done, as ProposeAsync does.
 func (g *Group) ReadAsync(view func(), done func(result any, err error)) (token uint64) {
-	return g.enter(call{read: view, done: done}, func(token uint64) error {
+	return g.submit(pendingCall{view: view, done: done}, func(token uint64) error {
 		g.input.Reads = append(g.input.Reads, token)
 		return nil
 	})
 }
 
-// Cancel makes sure that nobody is told of a call's outcome any more.
+// Cancel makes sure that a call's done is not called any more. The command may still be committed.
 func (g *Group) Cancel(token uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	delete(g.calls, token)
+	delete(g.pendingCalls, token)
 }
 
-func (g *Group) enter(entered call, queue func(token uint64) error) uint64 {
+// submit registers a call and queues its input.
+func (g *Group) submit(submitted pendingCall, queue func(token uint64) error) uint64 {
 	g.mutex.Lock()
 	var err error
-	if g.broken != nil {
-		err = &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: g.broken}
+	if g.failure != nil {
+		err = &NotLeaderError{Group: g.options.Name, Dropped: true, Cause: g.failure}
 	}
-	g.token++
-	token := g.token
+	g.lastToken++
+	token := g.lastToken
 	if err == nil {
 		err = queue(token)
 	}
 	if err == nil {
-		g.calls[token] = entered
+		g.pendingCalls[token] = submitted
 	}
 	g.mutex.Unlock()
 	if err != nil {
-		entered.done(nil, err)
+		submitted.done(nil, err)
 		return 0
 	}
-	g.poke()
+	g.signal()
 	return token
 }
 
-// outcome is what a call that is waited for has come to.
+// outcome is the result of a call that is waited for.
 type outcome struct {
 	result any
 	err    error
 }
 
 func (g *Group) wait(ctx context.Context, start func(done func(any, error)) uint64) (any, error) {
-	ended := make(chan outcome, 1)
-	token := start(func(result any, err error) { ended <- outcome{result, err} })
+	outcomes := make(chan outcome, 1)
+	token := start(func(result any, err error) { outcomes <- outcome{result, err} })
 	select {
-	case o := <-ended:
-		return o.result, o.err
+	case ended := <-outcomes:
+		return ended.result, ended.err
 	case <-ctx.Done():
 		g.Cancel(token)
-		return nil, &NotLeaderError{Group: g.options.Name, Leader: g.ownerAddress(), Cause: ctx.Err()}
-	}
-}
-
-// ownerAddress is where the group's owner was last known to be; empty if it is not known.
-func (g *Group) ownerAddress() string {
-	status := g.Status()
-	for _, member := range status.Members {
-		if member.ID == status.Leader {
-			return member.Address
-		}
+		return nil, &NotLeaderError{Group: g.options.Name, Leader: g.leaderAddress(), Cause: ctx.Err()}
 	}
-	return ""
 }
 
-// answer tells the calls whose outcome is known.
-func (g *Group) answer(outcomes []replica.Outcome, results map[uint64]any) {
+// completeCalls ends the calls whose outcome is known.
+func (g *Group) completeCalls(outcomes []replica.Outcome, results map[uint64]any) {
 	for _, o := range outcomes {
 		g.mutex.Lock()
-		ended, waits := g.calls[o.Token]
-		delete(g.calls, o.Token)
+		call, found := g.pendingCalls[o.Token]
+		delete(g.pendingCalls, o.Token)
 		g.mutex.Unlock()
-		if !waits {
+		if !found {
 			continue
 		}
 		if !o.Done {
-			ended.done(nil, &NotLeaderError{Group: g.options.Name, Leader: g.ownerAddress(), Dropped: o.Dropped})
+			call.done(nil, &NotLeaderError{Group: g.options.Name, Leader: g.leaderAddress(), Dropped: o.Dropped})
 			continue
 		}
-		if ended.read != nil {
-			ended.read()
+		if call.view != nil {
+			call.view()
 		}
-		ended.done(results[o.Token], nil)
-	}
-}
-
-// brokenBy returns what has broken the member; nil: it works.
-func (g *Group) brokenBy() error {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.broken
-}
-
-// fail breaks the member: all calls under way end, and nobody is its owner as far as it knows.
-func (g *Group) fail(cause error) {
-	level.Error(g.options.Logger).Log("msg", "replica stopped", "group", g.options.Name, "err", cause)
-	g.disable(cause)
-}
-
-// disable breaks the member without a word.
-func (g *Group) disable(cause error) {
-	g.mutex.Lock()
-	g.broken = cause
-	g.release(false)
-	calls := g.calls
-	g.calls = map[uint64]call{}
-	g.mutex.Unlock()
-	status := g.Status()
-	status.Leader, status.IsLeader, status.CaughtUp = "", false, nil
-	g.tell(status)
-	for _, ended := range calls {
-		ended.done(nil, &NotLeaderError{Group: g.options.Name, Cause: cause})
+		call.done(results[o.Token], nil)
 	}
 }
--- a/internal/tier/group/encoding_test.go
+++ b/internal/tier/group/encoding_test.go
@@ -53,13 +53,13 @@
 func TestProposalIsReadBackAsItWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		command, _ := json.Marshal(rapid.SampledFrom([]any{nil, 1, "}", `"c":`, map[string]any{"c": 1, "t": "x"}, []int{2}}).Draw(t, "command"))
-		want := proposed{Origin: rapid.StringMatching(`[0-9a-z@\-"\\]*`).Draw(t, "origin"), Token: rapid.Uint64().Draw(t, "token"), Command: command}
+		want := proposal{Origin: rapid.StringMatching(`[0-9a-z@\-"\\]*`).Draw(t, "origin"), Token: rapid.Uint64().Draw(t, "token"), Command: command}
 		library, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, data := range []json.RawMessage{appendProposed(nil, &want), library, append([]byte(" "), library...)} {
-			got, err := readProposed(data)
+		for _, data := range []json.RawMessage{appendProposal(nil, &want), library, append([]byte(" "), library...)} {
+			got, err := parseProposal(data)
 			if err != nil {
 				t.Fatalf("%s: %v", data, err)
 			}
@@ -69,7 +69,7 @@
 		}
 	})
 	for _, data := range []string{``, `{"o":"a","t":1`, `{"o":"a","t":1,"c":}`, `{"o":"a","t":x,"c":1}`} {
-		if _, err := readProposed(json.RawMessage(data)); err == nil {
+		if _, err := parseProposal(json.RawMessage(data)); err == nil {
 			t.Errorf("%q is read", data)
 		}
 	}
--- a/internal/tier/group/envelope.go
+++ b/internal/tier/group/envelope.go
@@ -8,14 +8,14 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Envelope is a message between members of the group that it names.
+// Envelope is a message between members, with the group that it is for. It is sent.
 type Envelope struct {
 	Group   string          `json:"group"`
 	Message replica.Message `json:"message"`
 }
 
-// AppendJSON implements transport.Appender: the data of entries and parts of snapshots are JSON already and stand there as they
-// are.
+// AppendJSON implements transport.Appender. It writes what encoding/json would; the data of entries and chunks, which are
+// JSON already, are copied unread.
 func (e Envelope) AppendJSON(buffer []byte) ([]byte, error) {
 	name, err := json.Marshal(e.Group)
 	if err != nil {
@@ -31,7 +31,7 @@
 }
 
 func appendMessage(buffer []byte, message replica.Message) ([]byte, error) {
-	buffer = slices.Grow(buffer, sizeOf(&message))
+	buffer = slices.Grow(buffer, messageSize(&message))
 	entries, snapshot := message.Entries, message.Snapshot
 	message.Entries, message.Snapshot = nil, nil
 	head, err := json.Marshal(message)
--- a/internal/tier/group/errors.go
+++ b/internal/tier/group/errors.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// errTooMuchWaits refuses a command since the member hasn't had its turn for too long.
-var errTooMuchWaits = errors.New("too much waits for the member's turn")
+// errQueueFull is the cause for which a command is dropped when the member has had no iteration for too long.
+var errQueueFull = errors.New("the member's queue is full")
 
-// NotLeaderError says that this member could not see a call through.
+// NotLeaderError says that this member could not complete a call.
 type NotLeaderError struct {
 	Group   string
-	Leader  string // address of the owner, as far as it is known
-	Dropped bool   // the command was certainly not proposed
-	Cause   error
+	Leader  string // address of the leader; empty: not known
+	Dropped bool   // the command was certainly not proposed; else it may yet be committed
+	Cause   error  // why, where this member is out of service or the caller gave up; else nil
 }
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
-	text := fmt.Sprintf("group %s: not its owner", e.Group)
+	text := fmt.Sprintf("group %s: this member is not the leader", e.Group)
 	if e.Leader != "" {
 		text += ", which is " + e.Leader
 	}
--- a/internal/tier/group/fixture_test.go
+++ b/internal/tier/group/fixture_test.go
@@ -52,7 +52,7 @@
 	s.group = opened
 }
 
-// turn hands messages in and lets the member act on them.
+// process hands messages in and lets the member act on them.
 func (s *single) turn(messages ...replica.Message) {
 	s.t.Helper()
 	for _, message := range messages {
--- a/internal/tier/group/format_test.go
+++ b/internal/tier/group/format_test.go
@@ -32,7 +32,7 @@
 }
 
 // formatProposal is a command as it lies in an entry of the log.
-var formatProposal = proposed{Origin: "a@1f", Token: 4, Command: json.RawMessage(`{"x":1}`)}
+var formatProposal = proposal{Origin: "a@1f", Token: 4, Command: json.RawMessage(`{"x":1}`)}
 
 // Members of earlier versions send these bytes, and read them.
 func TestWireFormat_ReadsMessagesOfEarlierVersions(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 	golden = bytes.TrimSuffix(golden, []byte("\n"))
 	for name, data := range map[string][]byte{"as_written": golden, "in_any_other_form": append([]byte(" "), golden...)} {
-		got, err := readProposed(data)
+		got, err := parseProposal(data)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -82,7 +82,7 @@
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
 	}
-	if written := appendProposed(nil, &formatProposal); !bytes.Equal(written, golden) {
+	if written := appendProposal(nil, &formatProposal); !bytes.Equal(written, golden) {
 		t.Errorf("written as %s, want %s", written, golden)
 	}
 	if written, err := json.Marshal(formatProposal); err != nil || !bytes.Equal(written, golden) {
--- /dev/null
+++ b/internal/tier/group/options.go
@@ -0,0 +1,38 @@
+package group
+
+import (
+	"sync"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage"
+)
+
+// Options sets a member up.
+type Options struct {
+	Name         string // of the group, the same at all members
+	Replica      replica.Options
+	Disk         storage.Disk
+	StateMachine StateMachine                            // a ChunkedStateMachine where the state may be large
+	Send         func(address string, envelope Envelope) // must not block; messages may be lost, duplicated and reordered
+	// CompactionLock is held while a member compacts, so that members that share it do so in turn. Nil: one of its own.
+	CompactionLock *sync.Mutex
+	// ReceiveLimiter bounds the snapshots that members that share it receive at once. Nil: one of its own, for one snapshot.
+	ReceiveLimiter *SnapshotLimiter
+	// QueueBudget bounds the bytes that are queued at all members that share it. Nil: one of its own, of 4 MiB.
+	QueueBudget *QueueBudget
+	// CompactionBytes is the length of the log from which on a snapshot replaces it. A larger one writes the state more
+	// seldom, and costs disk, memory and time of a restart. 0: 1 MiB.
+	CompactionBytes int64
+	Logger          log.Logger
+	// Clock must be monotonic. Nil: the time since Open.
+	Clock func() time.Duration
+	// OnStatusChange is called on the member's goroutine after a change of leader, term or members. It must not block. May
+	// be nil.
+	OnStatusChange func(status replica.Status)
+}
+
+// defaultCompactBytes is CompactionBytes where the options leave it open.
+const defaultCompactBytes = 1 << 20
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Open recovers the member from its disk. A disk that is damaged is an error, never an empty disk.
+// Open recovers the member from its disk. A damaged disk is an error (*storage.DamageError), never an empty disk.
 func Open(options Options) (*Group, error) {
 	if options.CompactionBytes == 0 {
 		options.CompactionBytes = defaultCompactBytes
@@ -30,8 +30,8 @@
 		options.QueueBudget = NewQueueBudget(defaultBudgetBytes)
 	}
 	g := &Group{options: options, origin: options.Replica.ID + "@" + strconv.FormatUint(options.Replica.Seed, 16),
-		machine: inParts(options.StateMachine), heard: map[string]string{}, wake: make(chan struct{}, 1), calls: map[uint64]call{}}
-	if err := g.machine.WriteChunks(g.keepBlank); err != nil {
+		stateMachine: asChunked(options.StateMachine), peerAddresses: map[string]string{}, wake: make(chan struct{}, 1), pendingCalls: map[uint64]pendingCall{}}
+	if err := g.stateMachine.WriteChunks(g.keepInitialChunk); err != nil {
 		return nil, err
 	}
 	if err := g.recover(false); err != nil {
@@ -41,31 +41,13 @@
 	return g, nil
 }
 
-// Reopen recovers a broken member from its disk, as a new process would: nothing that memory held is kept. What the failed
-// operation left behind has been cut off, as far as the disk allowed.
-func (g *Group) Reopen() error {
-	if g.disk != nil {
-		_ = g.disk.Close() // it is broken
-		g.disk = nil
-	}
-	if err := g.recover(true); err != nil {
-		return err
-	}
-	g.takeInput()
-	g.mutex.Lock()
-	g.broken = nil
-	g.mutex.Unlock()
-	g.publish()
-	return nil
-}
-
-// recover sets the member up with what its disk holds. A machine that has been in use begins anew.
+// recover sets the member up with what its disk holds. A state machine that has been used starts again from its initial state.
 func (g *Group) recover(used bool) error {
 	disk, recovered, err := storage.Open(g.options.Disk, g.options.Name)
 	if err != nil {
 		return err
 	}
-	if err := g.begin(disk, &recovered); err != nil {
+	if err := g.writeInitialSnapshot(disk, &recovered); err != nil {
 		_ = disk.Close()
 		return err
 	}
@@ -78,21 +60,21 @@
 		_ = disk.Close()
 		return err
 	}
-	g.disk, g.member, g.promise, g.entries, g.base, g.compacted = disk, member, recovered.HardState, recovered.Entries, 0, 0
+	g.disk, g.replica, g.hardState, g.entries, g.snapshotIndex, g.logBytesAtCompaction = disk, member, recovered.HardState, recovered.Entries, 0, 0
 	if recovered.Snapshot != nil {
-		g.base = recovered.Snapshot.Index
+		g.snapshotIndex = recovered.Snapshot.Index
 	}
 	return nil
 }
 
-// begin writes the first members down at the first start, so that a later start doesn't have to be told them.
-func (g *Group) begin(disk *storage.Group, recovered *replica.Recovered) error {
+// writeInitialSnapshot stores the initial members at the first start, so that a later start needs no others.
+func (g *Group) writeInitialSnapshot(disk *storage.Group, recovered *replica.Recovered) error {
 	untouched := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.HardState == replica.HardState{}
 	if !untouched || len(g.options.Replica.InitialMembers) == 0 {
 		return nil
 	}
 	first := replica.Snapshot{Members: g.options.Replica.InitialMembers}
-	if err := disk.Compact(first, g.blankParts, nil, replica.HardState{}); err != nil {
+	if err := disk.Compact(first, g.writeInitialChunks, nil, replica.HardState{}); err != nil {
 		return err
 	}
 	first.Chunks = disk.SnapshotChunks()
@@ -100,33 +82,33 @@
 	return nil
 }
 
-// keepBlank keeps a part of the state of a machine that has applied nothing.
-func (g *Group) keepBlank(part json.RawMessage) error {
-	g.blank = append(g.blank, bytes.Clone(part))
+// keepInitialChunk keeps a chunk of the state of a machine that has applied nothing.
+func (g *Group) keepInitialChunk(chunk json.RawMessage) error {
+	g.initialState = append(g.initialState, bytes.Clone(chunk))
 	return nil
 }
 
-// blankParts hands over what keepBlank has kept.
-func (g *Group) blankParts(write func(part json.RawMessage) error) error {
-	for _, part := range g.blank {
-		if err := write(part); err != nil {
+// writeInitialChunks writes what keepInitialChunk has kept.
+func (g *Group) writeInitialChunks(write func(chunk json.RawMessage) error) error {
+	for _, chunk := range g.initialState {
+		if err := write(chunk); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restore sets the machine to what the disk's snapshot holds, part by part; without one, to what it was in the beginning.
+// restore sets the state machine to what the disk's snapshot holds, chunk by chunk; without one, to its initial state.
 func (g *Group) restore(disk *storage.Group, used bool) error {
-	parts := disk.ReadChunks
+	chunks := disk.ReadChunks
 	if disk.SnapshotChunks() == 0 {
 		if !used {
 			return nil
 		}
-		parts = g.blankParts
+		chunks = g.writeInitialChunks
 	}
-	restorer := g.machine.BeginRestore()
-	if err := parts(restorer.Add); err != nil {
+	restorer := g.stateMachine.BeginRestore()
+	if err := chunks(restorer.Add); err != nil {
 		return err
 	}
 	return restorer.Finish()
--- /dev/null
+++ b/internal/tier/group/snapshot_limiter.go
@@ -0,0 +1,55 @@
+package group
+
+import (
+	"sync"
+
+	"mastusher/internal/tier/replica"
+)
+
+// SnapshotLimiter bounds how many members of a process receive snapshots at the same time. A member without a slot does
+// everything else; its leader sends the first chunk again after a while.
+type SnapshotLimiter struct {
+	mutex sync.Mutex
+	free  int // slots
+}
+
+// NewSnapshotLimiter returns a limiter with so many slots.
+func NewSnapshotLimiter(members int) *SnapshotLimiter { return &SnapshotLimiter{free: members} }
+
+func (a *SnapshotLimiter) tryAcquire() bool {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.free == 0 {
+		return false
+	}
+	a.free--
+	return true
+}
+
+func (a *SnapshotLimiter) release() {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.free++
+}
+
+// limitIncomingSnapshots removes the snapshots from messages that bring chunks of them, unless this member has or gets a
+// slot. What is left of such a message shows that the leader is there.
+func (g *Group) limitIncomingSnapshots(messages []replica.Message) {
+	for i := range messages {
+		message := &messages[i]
+		if message.Kind != replica.InstallSnapshot || g.receiving {
+			continue
+		}
+		if g.receiving = g.options.ReceiveLimiter.tryAcquire(); !g.receiving {
+			message.Snapshot = nil
+		}
+	}
+}
+
+// releaseSnapshotSlot returns this member's slot once it no longer receives a snapshot.
+func (g *Group) releaseSnapshotSlot(receiving bool) {
+	if g.receiving && !receiving {
+		g.receiving = false
+		g.options.ReceiveLimiter.release()
+	}
+}
--- a/internal/tier/group/snapshot_test.go
+++ b/internal/tier/group/snapshot_test.go
@@ -33,15 +33,15 @@
 		}
 	}
 	// then it goes on with its log,
-	if opened.base != 0 {
-		t.Errorf("it has compacted up to %d although another member does", opened.base)
+	if opened.snapshotIndex != 0 {
+		t.Errorf("it has compacted up to %d although another member does", opened.snapshotIndex)
 	}
 	// and compacts when the other one has done so.
 	compacting.Unlock()
 	if _, err := opened.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
-	if opened.base == 0 {
+	if opened.snapshotIndex == 0 {
 		t.Error("it hasn't compacted")
 	}
 	if !compacting.TryLock() {
