--- a/internal/tier/storage/corruption_test.go
+++ b/internal/tier/storage/corruption_test.go
@@ -15,24 +15,24 @@
 )
 
 // saves makes a member with a log of three saves.
-func saves(t *testing.T) *member {
+func saves(t *testing.T) *testMember {
 	t.Helper()
-	m := newMember(unwrapped)
-	mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Entries: 1, Bytes: 20}})
+	m := newTestMember(unwrapped)
+	mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
 }
 
 // compacted makes a member with a slot and a log of the first frame and one save.
-func compacted(t *testing.T) *member {
+func compacted(t *testing.T) *testMember {
 	t.Helper()
 	m := saves(t)
 	m.disk.Kill()
-	mustApply(t, m, []step{{Compact: true, Keep: 1, Bytes: 20}, {Entries: 1, Bytes: 20}})
+	mustApply(t, m, []step{{Compact: true, Remaining: 1, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
 }
 
 // wantCorrupt checks that the disk is refused.
-func wantCorrupt(t *testing.T, m *member, what string, where int64) {
+func wantCorrupt(t *testing.T, m *testMember, what string, where int64) {
 	t.Helper()
 	m.disk.Kill()
 	_, recovered, err := storage.Open(m.disk, groupName)
@@ -45,7 +45,7 @@
 // Given a synced log, when any byte before its last frame is damaged, then the disk is refused.
 func TestOpen_LogDamagedBeforeLastFrame_IsCorrupt(t *testing.T) {
 	before := saves(t).disk.Size(firstLog)
-	last := func(t *testing.T) *member {
+	last := func(t *testing.T) *testMember {
 		m := saves(t)
 		m.disk.Kill()
 		mustApply(t, m, []step{{Entries: 1, Bytes: 20}})
@@ -65,11 +65,11 @@
 func TestOpen_TornLastFrame_IsTruncated(t *testing.T) {
 	earlier := saves(t)
 	start := earlier.disk.Size(firstLog)
-	whole := func(t *testing.T) *member {
+	whole := func(t *testing.T) *testMember {
 		m := saves(t)
 		m.disk.Kill()
-		mustApply(t, m, []step{{Raise: 1, Entries: 1, Bytes: 20}})
-		m.possible = earlier.possible
+		mustApply(t, m, []step{{TermIncrement: 1, Entries: 1, Bytes: 20}})
+		m.allowed = earlier.allowed
 		return m
 	}
 	end := whole(t).disk.Size(firstLog)
@@ -147,7 +147,7 @@
 		"entry of index 0":           `{"record":"entry","epoch":1}` + "\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
+			m := newTestMember(unwrapped)
 			if err := write(m.disk, firstLog, storage.Frame(0, 0, payload)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/tier/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -15,7 +15,7 @@
 // then it finds all that was acknowledged, and of the step under way everything or nothing.
 func TestOpen_AfterAnyCrashes_RecoversAllThatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := run(histories.Draw(t, "history"), unwrapped); err != nil {
+		if err := runHistory(anyHistory.Draw(t, "history"), unwrapped); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -43,7 +43,7 @@
 // countChanges counts the changes that the last step makes.
 func countChanges(t *testing.T, prelude []step, last step) int {
 	t.Helper()
-	m := newMember(unwrapped)
+	m := newTestMember(unwrapped)
 	group := mustApply(t, m, prelude)
 	before := m.disk.Counts().Changes
 	if err := m.apply(group, last); err != nil {
@@ -52,7 +52,7 @@
 	return m.disk.Counts().Changes - before
 }
 
-func mustApply(t *testing.T, m *member, prelude []step) *storage.Group {
+func mustApply(t *testing.T, m *testMember, prelude []step) *storage.Group {
 	t.Helper()
 	group, err := m.open()
 	if err != nil {
@@ -68,7 +68,7 @@
 
 // crash stops the last step at a change. Seed 0 is a kill, the others are losses of power.
 func crash(prelude []step, last step, change int, effect memorydisk.Effect, seed int) error {
-	m := newMember(unwrapped)
+	m := newTestMember(unwrapped)
 	group, err := m.open()
 	if err != nil {
 		return err
@@ -92,15 +92,15 @@
 
 // Given each state that a group's files can be in, when a compaction is stopped at any change, then nothing is lost.
 func TestCompact_CrashAtAnyChange_LosesNothing(t *testing.T) {
-	save := step{Raise: 1, Vote: "north", Entries: 3, Bytes: 200}
-	compact := step{Compact: true, Keep: 2, Bytes: 400}
+	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
+	compact := step{Compact: true, Remaining: 2, Bytes: 400}
 	for name, prelude := range map[string][]step{
 		"the first one":          {save, save},
 		"the second one":         {save, save, compact, save},
 		"a later one":            {save, compact, save, compact, save, compact, save},
 		"two in direct sequence": {save, compact, save, compact},
 		"nothing saved":          {},
-		"an installed snapshot":  {save, {Install: true, Bytes: 500}, {Cut: 1, Entries: 2, Bytes: 9}},
+		"an installed snapshot":  {save, {Install: true, Bytes: 500}, {Truncate: 1, Entries: 2, Bytes: 9}},
 	} {
 		t.Run(name, func(t *testing.T) { enumerate(t, prelude, compact) })
 	}
@@ -108,13 +108,13 @@
 
 // Given a group, when a save is stopped at any change, then it is there completely or not at all.
 func TestSave_CrashAtAnyChange_IsAtomic(t *testing.T) {
-	save := step{Raise: 1, Vote: "north", Entries: 3, Bytes: 200}
+	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, last := range map[string]step{
 		"entries":              {Entries: 4, Bytes: 150},
-		"hard state":           {Raise: 1, Vote: "south"},
-		"truncation":           {Cut: 2},
+		"hard state":           {TermIncrement: 1, Vote: "south"},
+		"truncation":           {Truncate: 2},
 		"snapshot":             {Install: true, Bytes: 2000},
-		"all of them together": {Raise: 1, Install: true, Entries: 2, Cut: 1, Bytes: 300},
+		"all of them together": {TermIncrement: 1, Install: true, Entries: 2, Truncate: 1, Bytes: 300},
 	} {
 		t.Run(name, func(t *testing.T) { enumerate(t, []step{save, save}, last) })
 	}
@@ -123,8 +123,8 @@
 // Given a disk in any state that a stopped process leaves, when recovery itself is stopped at any change, then the next
 // recovery loses nothing either.
 func TestOpen_CrashAtAnyChange_LosesNothing(t *testing.T) {
-	prelude := []step{{Raise: 1, Entries: 3, Bytes: 90}, {Compact: true, Keep: 1}, {Entries: 2, Bytes: 90}}
-	last := step{Compact: true, Keep: 1, Bytes: 90}
+	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 90}, {Compact: true, Remaining: 1}, {Entries: 2, Bytes: 90}}
+	last := step{Compact: true, Remaining: 1, Bytes: 90}
 	for change := range countChanges(t, prelude, last) {
 		for recovery := range 6 {
 			for seed := range powerLossSeeds {
@@ -137,7 +137,7 @@
 }
 
 func crashDuringRecovery(t *testing.T, prelude []step, last step, change, recovery int, seed uint64) error {
-	m := newMember(unwrapped)
+	m := newTestMember(unwrapped)
 	group := mustApply(t, m, prelude)
 	m.disk.CrashAt(change, memorydisk.Applied)
 	_ = m.apply(group, last)
@@ -159,7 +159,7 @@
 func TestOpen_FirstStartCrashesAtAnyChange_RecoversEmptyGroup(t *testing.T) {
 	for change := range 5 {
 		for seed := range uint64(powerLossSeeds) {
-			m := newMember(unwrapped)
+			m := newTestMember(unwrapped)
 			m.disk.CrashAt(change, memorydisk.Effect(seed%3))
 			if _, err := m.open(); err != nil && !m.disk.Crashed() {
 				t.Fatal(err)
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -33,8 +33,8 @@
 		"everything": {replica.Ready{HardState: &replica.HardState{Term: 9}, TruncateFrom: 3, Entries: []replica.Entry{entryAt(3, 1, 9), entryAt(4, 1, 9)}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}})
 			before, bytes := m.disk.Counts(), group.LogBytes()
 			if err := group.Save(&test.effects); err != nil {
 				t.Fatal(err)
@@ -52,12 +52,12 @@
 
 // Given a full disk, when a member saves, then the group has failed, also once there is space, and nothing saved is lost.
 func TestGroup_DiskFull_AcceptsNothingMore(t *testing.T) {
-	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 300}, "compaction": {Compact: true, Keep: 2, Bytes: 300}} {
+	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 300}, "compaction": {Compact: true, Remaining: 2, Bytes: 300}} {
 		t.Run(name, func(t *testing.T) {
 			full := 0
 			for free := range int64(700) {
-				m := newMember(unwrapped)
-				group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}})
+				m := newTestMember(unwrapped)
+				group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}})
 				m.disk.SetCapacity(m.disk.Size(firstLog) + free + 1)
 				err := m.apply(group, last)
 				if err == nil {
@@ -89,11 +89,11 @@
 // Given a disk on which any one operation of a step fails, then the group has failed and asks nothing more of the disk, a
 // failed sync least of all. What the next process recovers lasts, even though the failed sync's writes never will.
 func TestGroup_DiskOperationFails_AcceptsNothingMore(t *testing.T) {
-	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Keep: 2, Bytes: 90}} {
+	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Remaining: 2, Bytes: 90}} {
 		t.Run(name, func(t *testing.T) {
 			for failing := range failures {
-				m := newMember(unwrapped)
-				group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
+				m := newTestMember(unwrapped)
+				group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1}, {Entries: 1}})
 				m.disk.InjectFaults(failAt(failing))
 				err := m.apply(group, last)
 				if err == nil {
@@ -133,8 +133,8 @@
 func TestOpen_DiskOperationFails_IsNotCorrupt(t *testing.T) {
 	failed := 0
 	for failing := range 12 {
-		m := newMember(unwrapped)
-		mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1}, {Entries: 1}})
+		m := newTestMember(unwrapped)
+		mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1}, {Entries: 1}})
 		m.disk.Kill()
 		m.disk.InjectFaults(failAt(failing))
 		_, err := m.open()
@@ -170,8 +170,8 @@
 		"a later chunk":              {ReceivedChunks: chunksOf(snapshotAt(9, 2, 1))[1:]},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}})
 			changes := m.disk.Counts().Changes
 			err := group.Save(&effects)
 			wantFailed(t, err)
@@ -199,8 +199,8 @@
 		"other vote":       {snapshotAt(3, 2, 1), nil, replica.HardState{Term: 2, Vote: "south"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}})
 			err := group.Compact(*test.snapshot, chunkSource(test.snapshot), test.remaining, test.promise)
 			if !errors.Is(err, storage.ErrInvalidChange) || errors.Is(err, storage.ErrFailed) {
 				t.Fatalf("got %v, want an invalid change that doesn't fail the group", err)
@@ -218,7 +218,7 @@
 
 // Given a closed group, when it is used, then it has failed.
 func TestGroup_Closed_AcceptsNothing(t *testing.T) {
-	m := newMember(unwrapped)
+	m := newTestMember(unwrapped)
 	group := mustApply(t, m, nil)
 	for range 2 {
 		if err := group.Close(); err != nil {
--- a/internal/tier/storage/faulty_disk_test.go
+++ b/internal/tier/storage/faulty_disk_test.go
@@ -91,13 +91,13 @@
 
 const (
 	mutantHistories  = 3000 // that a mutant has to survive to count as not caught
-	controlHistories = 1000 // of these, that the package as it is runs
+	controlHistories = 2000 // of these, that the package as it is runs
 )
 
 // catch runs histories until one shows that something is wrong, and returns what.
 func catch(count int, wrap func(storage.Disk) storage.Disk) error {
 	for seed := range count {
-		if err := run(histories.Example(seed), wrap); err != nil {
+		if err := runHistory(anyHistory.Example(seed), wrap); err != nil {
 			return err
 		}
 	}
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -35,17 +35,17 @@
 	}
 	formatReplacement = replica.Entry{Index: 4, Term: 5, Kind: replica.NoOp}
 	formatTail        = replica.Entry{Index: 5, Term: 5, Kind: replica.Command, Data: json.RawMessage(`"five"`)}
-	formatPromise     = replica.HardState{Term: 5, Vote: "2c\n\""}
+	formatHardState   = replica.HardState{Term: 5, Vote: "2c\n\""}
 )
 
-// formatSnapshot is a snapshot whose state comes in so many parts.
-func formatSnapshot(index uint64, parts int) *replica.Snapshot {
-	return &replica.Snapshot{Index: index, Term: 4, Members: formatMembers, Chunks: parts}
+// formatSnapshot is a snapshot whose state comes in so many chunks.
+func formatSnapshot(index uint64, chunks int) *replica.Snapshot {
+	return &replica.Snapshot{Index: index, Term: 4, Members: formatMembers, Chunks: chunks}
 }
 
-// formatChunks hands texts over as the parts of a snapshot's state.
+// formatChunks hands texts over as the chunks of a snapshot's state.
 func formatChunks(chunks ...string) storage.ChunkSource {
-	return func(write func(part json.RawMessage) error) error {
+	return func(write func(chunk json.RawMessage) error) error {
 		for _, chunk := range chunks {
 			if err := write(json.RawMessage(chunk)); err != nil {
 				return err
@@ -55,7 +55,7 @@
 	}
 }
 
-// formatLog saves entries of every kind, promises and a cut.
+// formatLog saves entries of every kind, hard states and a truncation.
 func formatLog(t *testing.T, disk *memorydisk.Disk) *storage.Group {
 	t.Helper()
 	group, _, err := storage.Open(disk, groupName)
@@ -66,7 +66,7 @@
 		{HardState: &replica.HardState{Term: 3}},
 		{Entries: formatEntries[:2]},
 		{HardState: &replica.HardState{Term: 4, Vote: "0a1b"}, Entries: formatEntries[2:]},
-		{HardState: &formatPromise, TruncateFrom: 4, Entries: []replica.Entry{formatReplacement}},
+		{HardState: &formatHardState, TruncateFrom: 4, Entries: []replica.Entry{formatReplacement}},
 	} {
 		if err := group.Save(&effects); err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 	t.Helper()
 	group := formatLog(t, disk)
 	remaining := []replica.Entry{formatEntries[2], formatReplacement}
-	if err := group.Compact(*formatSnapshot(2, 3), formatChunks(`{"a":`, `1`, `}`), remaining, formatPromise); err != nil {
+	if err := group.Compact(*formatSnapshot(2, 3), formatChunks(`{"a":`, `1`, `}`), remaining, formatHardState); err != nil {
 		t.Fatal(err)
 	}
 	if err := group.Save(&replica.Ready{Entries: []replica.Entry{formatTail}}); err != nil {
@@ -89,12 +89,12 @@
 	return group
 }
 
-// formatStopped saves or compacts with a process that ends at a change of the disk.
-func formatStopped(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
+// formatCrashed saves or compacts with a process that crashes at a change of the disk.
+func formatCrashed(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
 	t.Helper()
 	disk.CrashAt(change, effect)
 	if err := act(); !errors.Is(err, memorydisk.ErrCrashed) {
-		t.Fatalf("got %v, want a process that was stopped", err)
+		t.Fatalf("got %v, want a process that has crashed", err)
 	}
 	disk.Kill()
 }
@@ -102,22 +102,22 @@
 var formatFixtures = map[string]formatFixture{
 	"log": {
 		write: func(t *testing.T, disk *memorydisk.Disk) { formatLog(t, disk) },
-		want:  replica.Recovered{HardState: formatPromise, Entries: []replica.Entry{formatEntries[0], formatEntries[1], formatEntries[2], formatReplacement}},
+		want:  replica.Recovered{HardState: formatHardState, Entries: []replica.Entry{formatEntries[0], formatEntries[1], formatEntries[2], formatReplacement}},
 	},
 	"compacted": {
 		write: func(t *testing.T, disk *memorydisk.Disk) { formatCompacted(t, disk) },
-		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
 	"both-slots": {
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			if err := group.Compact(*formatSnapshot(5, 2), formatChunks(`{"b"`, `:2}`), nil, formatPromise); err != nil {
+			if err := group.Compact(*formatSnapshot(5, 2), formatChunks(`{"b"`, `:2}`), nil, formatHardState); err != nil {
 				t.Fatal(err)
 			}
 		},
-		want:   replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(5, 2)},
+		want:   replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(5, 2)},
 		chunks: []string{`{"b"`, `:2}`},
 	},
 	"installed": { // a snapshot that another member sent, and an entry behind it
@@ -138,47 +138,47 @@
 			Entries: []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}},
 		chunks: []string{`[3,`, `4]`},
 	},
-	"received": { // a snapshot of which one part has come: it counts for nothing
+	"received": { // a snapshot of which one chunk has come: it counts for nothing
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{{Data: json.RawMessage(`[3,`)}}}); err != nil {
 				t.Fatal(err)
 			}
 		},
-		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"slot-begun": { // a compaction that ended within its slot's last frame
+	"slot-begun": { // a compaction that crashed within its slot's last frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 2, memorydisk.Torn, func() error {
-				return group.Compact(*formatSnapshot(5, 1), formatChunks(`{}`), nil, formatPromise)
+			formatCrashed(t, disk, 2, memorydisk.Torn, func() error {
+				return group.Compact(*formatSnapshot(5, 1), formatChunks(`{}`), nil, formatHardState)
 			})
 		},
-		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"log-begun": { // a compaction that ended within the first frame of its log
+	"log-begun": { // a compaction that crashed within the first frame of its log
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 6, memorydisk.Torn, func() error {
-				return group.Compact(*formatSnapshot(4, 1), formatChunks(`{}`), []replica.Entry{formatTail}, formatPromise)
+			formatCrashed(t, disk, 6, memorydisk.Torn, func() error {
+				return group.Compact(*formatSnapshot(4, 1), formatChunks(`{}`), []replica.Entry{formatTail}, formatHardState)
 			})
 		},
-		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"torn": { // a save that ended within its frame
+	"torn": { // a save that crashed within its frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
-			formatStopped(t, disk, 0, memorydisk.Torn, func() error {
+			formatCrashed(t, disk, 0, memorydisk.Torn, func() error {
 				return group.Save(&replica.Ready{Entries: []replica.Entry{{Index: 6, Term: 5, Data: json.RawMessage(`"six"`)}}})
 			})
 		},
-		want: replica.Recovered{HardState: formatPromise, Snapshot: formatSnapshot(2, 3),
+		want: replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(2, 3),
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
@@ -243,12 +243,12 @@
 // writeFormat stores the files of a fixture.
 func writeFormat(t *testing.T, name string, files map[string]string) {
 	t.Helper()
-	folder := filepath.Join("testdata", "format", name)
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	dir := filepath.Join("testdata", "format", name)
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
 	for file, data := range files {
-		if err := os.WriteFile(filepath.Join(folder, file), []byte(data), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, file), []byte(data), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -289,7 +289,7 @@
 					t.Error(text)
 				}
 				var chunks []string
-				if err := group.ReadChunks(func(part json.RawMessage) error { chunks = append(chunks, string(part)); return nil }); err != nil {
+				if err := group.ReadChunks(func(chunk json.RawMessage) error { chunks = append(chunks, string(chunk)); return nil }); err != nil {
 					t.Fatal(err)
 				}
 				if text := cmp.Diff(fixture.chunks, chunks); text != "" {
--- a/internal/tier/storage/history_test.go
+++ b/internal/tier/storage/history_test.go
@@ -21,77 +21,77 @@
 
 // step is one call of a member, relative to what it has saved.
 type step struct {
-	Compact bool
-	Raise   uint64 // by which the term rises
-	Vote    string
-	Install bool
-	Cut     int // entries at the end that are truncated
-	Entries int // that are appended
-	Bytes   int // of each one's data
-	Keep    int // entries that remain after a compaction
+	Compact       bool
+	TermIncrement uint64 // by which the term rises
+	Vote          string
+	Install       bool
+	Truncate      int // entries at the end that are truncated
+	Entries       int // that are appended
+	Bytes         int // of each one's data
+	Remaining     int // entries that remain after a compaction
 
 	Received int // chunks of a snapshot that never becomes complete
 }
 
 // processRun is what one process does, up to its crash at one of the changes that it makes to the disk.
 type processRun struct {
-	Steps  []step
-	StopAt int
-	Effect memorydisk.Effect
-	Power  bool // it ends with the power
-	Seed   uint64
+	Steps     []step
+	CrashAt   int
+	Effect    memorydisk.Effect
+	PowerLoss bool // it ends by a loss of power, otherwise by a crash of the process alone
+	Seed      uint64
 }
 
-// steps draws a step.
-var steps = rapid.Custom(func(t *rapid.T) step {
+// anyStep draws a step.
+var anyStep = rapid.Custom(func(t *rapid.T) step {
 	return step{
-		Compact: rapid.IntRange(0, 3).Draw(t, "compact") == 0,
-		Raise:   rapid.Uint64Range(0, 2).Draw(t, "raise"),
-		Vote:    rapid.SampledFrom([]string{"", "north", "south\"\n"}).Draw(t, "vote"),
-		Install: rapid.IntRange(0, 7).Draw(t, "install") == 0,
-		Cut:     rapid.IntRange(0, 2).Draw(t, "cut"),
-		Entries: rapid.IntRange(0, 4).Draw(t, "entries"),
-		Bytes:   rapid.IntRange(0, 300).Draw(t, "bytes"),
-		Keep:    rapid.IntRange(0, 5).Draw(t, "keep"),
+		Compact:       rapid.IntRange(0, 3).Draw(t, "compact") == 0,
+		TermIncrement: rapid.Uint64Range(0, 2).Draw(t, "raise"),
+		Vote:          rapid.SampledFrom([]string{"", "north", "south\"\n"}).Draw(t, "vote"),
+		Install:       rapid.IntRange(0, 7).Draw(t, "install") == 0,
+		Truncate:      rapid.IntRange(0, 2).Draw(t, "cut"),
+		Entries:       rapid.IntRange(0, 4).Draw(t, "entries"),
+		Bytes:         rapid.IntRange(0, 300).Draw(t, "bytes"),
+		Remaining:     rapid.IntRange(0, 5).Draw(t, "keep"),
 
 		Received: rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "received"),
 	}
 })
 
-// processRuns draws the run of a process.
-var processRuns = rapid.Custom(func(t *rapid.T) processRun {
+// anyProcessRun draws the run of a process.
+var anyProcessRun = rapid.Custom(func(t *rapid.T) processRun {
 	return processRun{
-		Steps:  rapid.SliceOfN(steps, 1, 10).Draw(t, "steps"),
-		StopAt: rapid.IntRange(0, 30).Draw(t, "stop at"),
-		Effect: rapid.SampledFrom([]memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied}).Draw(t, "effect"),
-		Power:  rapid.Bool().Draw(t, "power"),
-		Seed:   rapid.Uint64().Draw(t, "seed"),
+		Steps:     rapid.SliceOfN(anyStep, 1, 10).Draw(t, "steps"),
+		CrashAt:   rapid.IntRange(0, 30).Draw(t, "stop at"),
+		Effect:    rapid.SampledFrom([]memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied}).Draw(t, "effect"),
+		PowerLoss: rapid.Bool().Draw(t, "power"),
+		Seed:      rapid.Uint64().Draw(t, "seed"),
 	}
 })
 
-// histories draws the runs of several processes that use a disk one after the other.
-var histories = rapid.SliceOfN(processRuns, 1, 8)
+// anyHistory draws the runs of several processes that use a disk one after the other.
+var anyHistory = rapid.SliceOfN(anyProcessRun, 1, 8)
 
-// state is what a member has saved, with the whole state of its snapshot.
-type state struct{ replica.Recovered }
+// savedState is what a member has saved, with the complete state of its snapshot.
+type savedState struct{ replica.Recovered }
 
-func (s state) base() uint64 {
+func (s savedState) base() uint64 {
 	if s.Snapshot == nil {
 		return 0
 	}
 	return s.Snapshot.Index
 }
 
-func (s state) last() uint64 { return s.base() + uint64(len(s.Entries)) }
+func (s savedState) last() uint64 { return s.base() + uint64(len(s.Entries)) }
 
 // clone copies what with appends to.
-func (s state) clone() state {
+func (s savedState) clone() savedState {
 	s.Entries = append([]replica.Entry(nil), s.Entries...)
 	return s
 }
 
 // with returns the state once effects are saved.
-func (s state) with(effects *replica.Ready) state {
+func (s savedState) with(effects *replica.Ready) savedState {
 	next := s.clone()
 	if effects.HardState != nil {
 		next.HardState = *effects.HardState
@@ -107,10 +107,10 @@
 }
 
 // effects returns what a step saves.
-func (s state) effects(wanted step) *replica.Ready {
+func (s savedState) effects(wanted step) *replica.Ready {
 	effects := &replica.Ready{}
-	epoch := s.HardState.Term + wanted.Raise
-	if wanted.Raise > 0 {
+	epoch := s.HardState.Term + wanted.TermIncrement
+	if wanted.TermIncrement > 0 {
 		effects.HardState = &replica.HardState{Term: epoch, Vote: wanted.Vote}
 	}
 	base, last := s.base(), s.last()
@@ -122,8 +122,8 @@
 	for number := 0; number < wanted.Received && !wanted.Install; number++ {
 		effects.ReceivedChunks = append(effects.ReceivedChunks, replica.Chunk{Number: number, Data: entryAt(last, epoch, wanted.Bytes+1).Data})
 	}
-	if wanted.Cut > 0 && last > base {
-		last -= min(uint64(wanted.Cut), last-base)
+	if wanted.Truncate > 0 && last > base {
+		last -= min(uint64(wanted.Truncate), last-base)
 		effects.TruncateFrom = last + 1
 	}
 	for i := 1; i <= wanted.Entries; i++ {
@@ -133,12 +133,12 @@
 }
 
 // compacted returns the state once a snapshot has replaced all entries but the last few.
-func (s state) compacted(wanted step) state {
-	index := s.last() - min(uint64(wanted.Keep), uint64(len(s.Entries)))
+func (s savedState) compacted(wanted step) savedState {
+	index := s.last() - min(uint64(wanted.Remaining), uint64(len(s.Entries)))
 	next := s.clone()
 	next.Entries = next.Entries[index-s.base():]
 	next.Snapshot = snapshotAt(index, s.HardState.Term, wanted.Bytes)
-	next.HardState.Term += wanted.Raise
+	next.HardState.Term += wanted.TermIncrement
 	return next
 }
 
@@ -214,45 +214,45 @@
 
 func diff(want, got replica.Recovered) string { return cmp.Diff(want, got, cmpopts.EquateEmpty()) }
 
-// member is a member that uses a disk, and what its disk may hold after a stop.
-type member struct {
-	disk     *memorydisk.Disk
-	view     storage.Disk // the disk as the member's process sees it
-	saved    state
-	possible []state
+// testMember is a member that uses a disk, and what its disk may hold after a crash.
+type testMember struct {
+	disk    *memorydisk.Disk
+	view    storage.Disk // the disk as the member's process sees it
+	saved   savedState
+	allowed []savedState // that recovery may find
 }
 
-func newMember(wrap func(storage.Disk) storage.Disk) *member {
+func newTestMember(wrap func(storage.Disk) storage.Disk) *testMember {
 	disk := memorydisk.New()
-	return &member{disk: disk, view: wrap(disk), possible: []state{{}}}
+	return &testMember{disk: disk, view: wrap(disk), allowed: []savedState{{}}}
 }
 
-// open recovers the member and checks that it is in one of the possible states.
-func (m *member) open() (*storage.Group, error) {
-	hasSnapshot, seenErr := storage.HasSnapshot(m.view, groupName)
+// open recovers the member and checks that it is in one of the allowed states.
+func (m *testMember) open() (*storage.Group, error) {
+	hasSnapshot, hasErr := storage.HasSnapshot(m.view, groupName)
 	group, recovered, err := storage.Open(m.view, groupName)
 	if err != nil {
 		return nil, err
 	}
-	if seenErr != nil || hasSnapshot != (recovered.Snapshot != nil) {
-		return nil, fmt.Errorf("the first frames of the logs tell that a snapshot is there: %v, %v", hasSnapshot, seenErr)
+	if hasErr != nil || hasSnapshot != (recovered.Snapshot != nil) {
+		return nil, fmt.Errorf("HasSnapshot gives %v and %v", hasSnapshot, hasErr)
 	}
 	if recovered, err = withSnapshotState(group, recovered); err != nil {
 		return nil, err
 	}
-	for _, possible := range m.possible {
-		if equal(possible.Recovered, recovered) {
-			m.saved = possible
-			m.possible = []state{possible}
+	for _, allowed := range m.allowed {
+		if equal(allowed.Recovered, recovered) {
+			m.saved = allowed
+			m.allowed = []savedState{allowed}
 			return group, nil
 		}
 	}
-	return nil, fmt.Errorf("recovered what was never saved, or lost what was:\n%s", diff(m.possible[0].Recovered, recovered))
+	return nil, fmt.Errorf("recovered what was never saved, or lost what was:\n%s", diff(m.allowed[0].Recovered, recovered))
 }
 
-// take makes one step.
-func (m *member) apply(group *storage.Group, wanted step) error {
-	next, err := state{}, error(nil)
+// apply makes one step.
+func (m *testMember) apply(group *storage.Group, wanted step) error {
+	next, err := savedState{}, error(nil)
 	if wanted.Compact {
 		next = m.saved.compacted(wanted)
 		err = group.Compact(*next.Snapshot, chunkSource(next.Snapshot), next.Entries, next.HardState)
@@ -262,16 +262,16 @@
 		err = group.Save(effects)
 	}
 	if err != nil {
-		m.possible = []state{m.saved, next}
+		m.allowed = []savedState{m.saved, next}
 		return err
 	}
 	m.saved = next
-	m.possible = []state{next}
+	m.allowed = []savedState{next}
 	return nil
 }
 
-// live runs one process.
-func (m *member) runProcess(wanted []step) error {
+// runProcess runs one process.
+func (m *testMember) runProcess(wanted []step) error {
 	group, err := m.open()
 	if err != nil {
 		return err
@@ -284,15 +284,15 @@
 	return nil
 }
 
-// run runs a history. The error says what was wrong.
-func run(history []processRun, wrap func(storage.Disk) storage.Disk) error {
-	m := newMember(wrap)
+// runHistory runs a history. The error says what was wrong.
+func runHistory(history []processRun, wrap func(storage.Disk) storage.Disk) error {
+	m := newTestMember(wrap)
 	for i, one := range history {
-		m.disk.CrashAt(one.StopAt, one.Effect)
+		m.disk.CrashAt(one.CrashAt, one.Effect)
 		if err := m.runProcess(one.Steps); err != nil && !errors.Is(err, memorydisk.ErrCrashed) {
 			return fmt.Errorf("run %d: %w", i, err)
 		}
-		if one.Power {
+		if one.PowerLoss {
 			m.disk.LosePower(one.Seed)
 		} else {
 			m.disk.Kill()
@@ -301,8 +301,8 @@
 	return m.recoverTwice()
 }
 
-// recoverTwice checks that what is recovered lasts, whatever happens next.
-func (m *member) recoverTwice() error {
+// recoverTwice checks that what is recovered is durable, whatever happens next.
+func (m *testMember) recoverTwice() error {
 	if _, err := m.open(); err != nil {
 		return fmt.Errorf("first recovery: %w", err)
 	}
--- a/internal/tier/storage/memorydisk/disk.go
+++ b/internal/tier/storage/memorydisk/disk.go
@@ -1,5 +1,11 @@
-// Package memorydisk is a disk in memory for tests. It loses power, is killed, fills up and fails as a machine's disk does,
-// and counts what is asked of it. The same seeds and calls give the same outcome.
+// Package memorydisk is a storage.Disk in memory, for tests and simulations. It crashes, loses power, fills up and fails as a
+// machine's disk does, and counts the operations on it. The same seeds and calls give the same outcome.
+//
+// The model: a write is in the page cache at once, where every later process sees it, and durable once its file was synced; a
+// name is durable once the directory was synced. A crash of the process (Kill, CrashAt) loses nothing that was written. A loss of
+// power (LosePower) leaves each unsynced write and name by itself applied, torn or lost, in any combination: more than any one
+// file system allows, so that code that survives it depends on no file system's ordering. A write whose sync has failed is lost
+// with the power for good, though reads still show it.
 package memorydisk
 
 import (
@@ -12,13 +18,13 @@
 	"mastusher/internal/tier/storage"
 )
 
-// ErrCrashed is the answer to each call of a process that was stopped by CrashAt, or to a file of an earlier process.
-var ErrCrashed = errors.New("the process has ended")
+// ErrCrashed is returned by each call after a crash of CrashAt, and by each call on a file that an earlier process opened.
+var ErrCrashed = errors.New("process has crashed")
 
-// Operation tells what is asked of the disk.
+// Operation is a kind of operation on a disk.
 type Operation string
 
-// The kinds of operation. Those from Create on change something and count for CrashAt.
+// The kinds of operation. Those from Create on are changes, which CrashAt counts.
 const (
 	Open     Operation = "open"
 	Read     Operation = "read"
@@ -27,118 +33,118 @@
 	Write    Operation = "write"
 	Truncate Operation = "truncate"
 	Sync     Operation = "sync"
-	SyncDir  Operation = "sync folder"
+	SyncDir  Operation = "sync directory"
 	Rename   Operation = "rename"
 	Remove   Operation = "remove"
 )
 
-// changes tells whether an operation of this kind changes something.
-func (k Operation) changes() bool { return k != Open && k != Read && k != List }
+// isChange reports whether an operation of this kind changes something.
+func (o Operation) isChange() bool { return o != Open && o != Read && o != List }
 
-// Effect is what the operation at which a process is stopped still does.
+// Effect is how much of the operation at which a process crashes still happens.
 type Effect uint8
 
 // The effects.
 const (
 	NotApplied Effect = iota
-	Torn              // of a write; no other operation has a half, so it has none
-	Applied           // but its caller does not learn of it
+	Torn              // the first half of a write; of any other operation nothing
+	Applied           // all of it, though its caller gets ErrCrashed
 )
 
-// Counts is what was asked of a disk so far.
+// Counts are the operations on a disk so far. Those that failed or crashed count among Changes only.
 type Counts struct {
 	Writes       int
 	BytesWritten int64
 	Syncs        int // of files
 	DirSyncs     int
-	Changes      int // operations that change something, these included
+	Changes      int // operations that change something, writes and syncs included
 }
 
 // Disk is a disk in memory. It is safe for concurrent use.
 type Disk struct {
-	mutex    sync.Mutex
-	names    map[string]*inode
-	lasting  map[string]*inode // names as of the last sync of the folder
-	process  int               // that may use the disk
-	capacity int64             // in bytes; 0: no bound
-	used     int64
-	counts   Counts
-	inject   func(kind Operation, name string) error
+	mutex        sync.Mutex
+	names        map[string]*inode
+	durableNames map[string]*inode // names as of the last sync of the directory
+	process      int               // number of the process that may use the disk
+	capacity     int64             // in bytes; 0: unlimited
+	used         int64
+	counts       Counts
+	fault        func(kind Operation, name string) error
 
-	stopArmed  bool
-	stopAfter  int // changes until the stop
-	stopEffect Effect
-	stopped    bool
+	crashArmed  bool
+	crashAfter  int // changes until the crash
+	crashEffect Effect
+	crashed     bool
 }
 
 var _ storage.Disk = (*Disk)(nil)
 
 // New returns an empty disk.
 func New() *Disk {
-	return &Disk{names: map[string]*inode{}, lasting: map[string]*inode{}}
+	return &Disk{names: map[string]*inode{}, durableNames: map[string]*inode{}}
 }
 
-// SetCapacity bounds the length of all files together. 0 takes the bound away.
+// SetCapacity limits the length of all files together, in bytes; 0: unlimited. A write beyond it is short and returns ENOSPC.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// InjectFaults sets what is asked before each operation; its error, if any, is the operation's. A failed operation does nothing,
-// except that the writes before a failed sync of a file are lost with the power, also if a later sync succeeds. Nil takes
-// it away. It is called with the disk locked.
-func (d *Disk) InjectFaults(inject func(kind Operation, name string) error) {
+// InjectFaults sets a function that is called before each operation, with the disk locked; its error, if any, is the operation's.
+// A failed operation does nothing, except that the writes before a failed sync of a file are lost with the power, also if a
+// later sync succeeds. Nil removes it.
+func (d *Disk) InjectFaults(fault func(kind Operation, name string) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.inject = inject
+	d.fault = fault
 }
 
-// CrashAt ends the process at a change, counted from 0 at this call. That change has the effect; all calls from then on
+// CrashAt crashes the process at a change, counted from 0 at this call. That change has the effect; all calls from it on
 // return ErrCrashed until Kill or LosePower starts the next process.
 func (d *Disk) CrashAt(change int, effect Effect) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.stopArmed, d.stopAfter, d.stopEffect = true, change, effect
+	d.crashArmed, d.crashAfter, d.crashEffect = true, change, effect
 }
 
-// Crashed tells whether the process was stopped by CrashAt.
+// Crashed reports whether the process has crashed at the change of CrashAt.
 func (d *Disk) Crashed() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.stopped
+	return d.crashed
 }
 
-// Counts returns what was asked of the disk so far.
+// Counts returns the operations so far.
 func (d *Disk) Counts() Counts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.counts
 }
 
-// begin starts an operation. The error is what its caller gets; the effect is what it still does.
+// begin starts an operation. The error is what its caller gets; the effect is how much of it still happens.
 func (d *Disk) begin(kind Operation, name string, process int) (Effect, error) {
-	if d.stopped || process != d.process {
+	if d.crashed || process != d.process {
 		return NotApplied, ErrCrashed
 	}
-	if d.inject != nil {
-		if err := d.inject(kind, name); err != nil {
+	if d.fault != nil {
+		if err := d.fault(kind, name); err != nil {
 			return NotApplied, err
 		}
 	}
-	if !kind.changes() {
+	if !kind.isChange() {
 		return Applied, nil
 	}
 	d.counts.Changes++
-	if !d.stopArmed {
+	if !d.crashArmed {
 		return Applied, nil
 	}
-	d.stopAfter--
-	if d.stopAfter >= 0 {
+	d.crashAfter--
+	if d.crashAfter >= 0 {
 		return Applied, nil
 	}
-	d.stopArmed, d.stopped = false, true
-	return d.stopEffect, ErrCrashed
+	d.crashArmed, d.crashed = false, true
+	return d.crashEffect, ErrCrashed
 }
 
 // Open implements storage.Disk.
@@ -208,7 +214,7 @@
 	return err
 }
 
-// unlink takes a name away and frees its file's space.
+// unlink removes a name and frees its file's space.
 func (d *Disk) unlink(name string) {
 	if node := d.names[name]; node != nil {
 		d.used -= int64(len(node.content))
@@ -238,6 +244,6 @@
 		return err
 	}
 	d.counts.DirSyncs++
-	d.lasting = maps.Clone(d.names)
+	d.durableNames = maps.Clone(d.names)
 	return err
 }
--- a/internal/tier/storage/memorydisk/faults.go
+++ b/internal/tier/storage/memorydisk/faults.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// dropAllOneIn is how many losses of power there are for one that takes away everything that was not synced.
+// dropAllOneIn: one loss of power in so many loses everything that was not synced.
 const dropAllOneIn = 4
 
-// Kill ends the process that uses the disk and starts the next: all that was written stays, and its files are closed.
+// Kill crashes the process that uses the disk and starts the next: all that was written stays, and its files are closed.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.restart()
 }
 
-// restart lets the next process use the disk.
+// restart starts the next process, without a crash armed.
 func (d *Disk) restart() {
 	d.process++
-	d.stopArmed, d.stopped = false, false
+	d.crashArmed, d.crashed = false, false
 }
 
-// LosePower ends the process and takes away, by the seed, some of what was not synced: each write since its file's last
-// sync is there, missing or torn, and each name that was made, renamed or removed since the folder's last sync is as it was
-// or as it became, each by itself.
+// LosePower crashes the process and loses, chosen by the seed, some of what was not synced: each write since its file's last
+// sync is applied, lost or torn, and each name that was created, renamed or removed since the directory's last sync is as it
+// was or as it became, each by itself.
 func (d *Disk) LosePower(seed uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -37,8 +37,8 @@
 	for _, name := range d.sortedNames() {
 		node := d.names[name]
 		if seen[node] { // a renamed file that kept both names
-			node = &inode{lasting: append([]byte(nil), node.lasting...)}
-			d.names[name], d.lasting[name] = node, node
+			node = &inode{durable: append([]byte(nil), node.durable...)}
+			d.names[name], d.durableNames[name] = node, node
 		}
 		seen[node] = true
 		node.losePower(random, dropAll)
@@ -47,27 +47,27 @@
 	d.restart()
 }
 
-// loseNames takes some changes of names back.
+// loseNames reverts some of the changes of names since the last sync of the directory.
 func (d *Disk) loseNames(random *rand.Rand, dropAll bool) {
-	all := maps.Clone(d.lasting)
+	all := maps.Clone(d.durableNames)
 	maps.Copy(all, d.names)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if d.names[name] == d.lasting[name] {
+		if d.names[name] == d.durableNames[name] {
 			continue
 		}
 		if !dropAll && random.IntN(2) == 0 {
 			continue
 		}
-		if node := d.lasting[name]; node != nil {
+		if node := d.durableNames[name]; node != nil {
 			d.names[name] = node
 		} else {
 			delete(d.names, name)
 		}
 	}
-	d.lasting = maps.Clone(d.names)
+	d.durableNames = maps.Clone(d.names)
 }
 
-// Corrupt inverts a byte that had lasted.
+// Corrupt inverts a byte, and makes the content of its file durable as it then is.
 func (d *Disk) Corrupt(name string, offset int64) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -77,11 +77,11 @@
 	}
 	node.sync()
 	node.content[offset] ^= 0xff
-	node.lasting = append([]byte(nil), node.content...)
+	node.durable = append([]byte(nil), node.content...)
 	return nil
 }
 
-// Size returns the length of a file, and 0 when it is not there.
+// Size returns the length of a file; 0 where there is none.
 func (d *Disk) Size(name string) int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/tier/storage/memorydisk/file.go
+++ b/internal/tier/storage/memorydisk/file.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	if err != ErrCrashed {
-		f.node.forsake()
+		f.node.markLost()
 	}
 	return err
 }
--- a/internal/tier/storage/memorydisk/inode.go
+++ b/internal/tier/storage/memorydisk/inode.go
@@ -4,24 +4,24 @@
 	"math/rand/v2"
 )
 
-// tearBytes is the length of the pieces of a torn write that are there or missing each by itself.
-const tearBytes = 64
+// sectorBytes is the length of the sectors of a torn write, each of which is applied or lost by itself.
+const sectorBytes = 64
 
-// inode is what a file holds.
+// inode is the content of a file.
 type inode struct {
-	content []byte   // that processes see
-	lasting []byte   // as of the last sync
-	pending []change // since then
+	content []byte   // in the page cache: what processes see
+	durable []byte   // as of the last sync that succeeded
+	pending []change // since then, in order
 }
 
-// change is a write at an offset, or a cut there when it has no data.
+// change is a write at an offset, or a truncation to it when it has no data.
 type change struct {
 	offset int64
 	data   []byte
-	lost   bool // a sync of it failed: no later one covers it
+	lost   bool // a sync of it failed: no later one makes it durable
 }
 
-// write adds data at the end.
+// write appends data.
 func (n *inode) write(data []byte) {
 	if len(data) == 0 {
 		return
@@ -37,24 +37,24 @@
 	n.pending = append(n.pending, change{offset: size})
 }
 
-// sync makes the content last, except for what a failed sync has lost.
+// sync makes the content durable, except for what a failed sync has lost.
 func (n *inode) sync() {
 	for _, pending := range n.pending {
 		if !pending.lost {
-			n.lasting = pending.apply(n.lasting)
+			n.durable = pending.apply(n.durable)
 		}
 	}
 	n.pending = nil
 }
 
-// forsake notes that a sync failed.
-func (n *inode) forsake() {
+// markLost records that a sync failed.
+func (n *inode) markLost() {
 	for i := range n.pending {
 		n.pending[i].lost = true
 	}
 }
 
-// losePower leaves what lasted, and of the later changes each whole, torn or not at all.
+// losePower leaves what was durable, and of the later changes each applied, torn or lost.
 func (n *inode) losePower(random *rand.Rand, dropAll bool) {
 	for _, pending := range n.pending {
 		if dropAll || pending.lost {
@@ -62,16 +62,16 @@
 		}
 		switch random.IntN(3) {
 		case 0:
-			n.lasting = pending.apply(n.lasting)
+			n.durable = pending.apply(n.durable)
 		case 1:
-			n.lasting = pending.tear(n.lasting, random)
+			n.durable = pending.applyTorn(n.durable, random)
 		}
 	}
 	n.pending = nil
-	n.content = append([]byte(nil), n.lasting...)
+	n.content = append([]byte(nil), n.durable...)
 }
 
-// apply makes a change to content.
+// apply applies a change to content.
 func (c *change) apply(content []byte) []byte {
 	if c.data == nil {
 		return resize(content, c.offset)
@@ -79,16 +79,16 @@
 	return writeAt(content, c.offset, c.data)
 }
 
-// tear makes a part of a change: a write's beginning, or some of its pieces. A cut has no parts.
-func (c *change) tear(content []byte, random *rand.Rand) []byte {
+// applyTorn applies a part of a change: the beginning of a write, or some of its sectors. A truncation is never torn.
+func (c *change) applyTorn(content []byte, random *rand.Rand) []byte {
 	if c.data == nil {
 		return content
 	}
 	if random.IntN(2) == 0 {
 		return writeAt(content, c.offset, c.data[:random.IntN(len(c.data))])
 	}
-	for start := 0; start < len(c.data); start += tearBytes {
-		end := min(start+tearBytes, len(c.data))
+	for start := 0; start < len(c.data); start += sectorBytes {
+		end := min(start+sectorBytes, len(c.data))
 		if random.IntN(2) == 0 {
 			content = writeAt(content, c.offset+int64(start), c.data[start:end])
 		}
@@ -96,7 +96,7 @@
 	return content
 }
 
-// resize cuts content, or extends it by zeros.
+// resize truncates content, or extends it by zeros.
 func resize(content []byte, size int64) []byte {
 	if size <= int64(len(content)) {
 		return content[:size]
@@ -104,7 +104,7 @@
 	return append(content, make([]byte, size-int64(len(content)))...)
 }
 
-// writeAt puts data at an offset; a gap before it holds zeros.
+// writeAt writes data at an offset; a gap before it holds zeros.
 func writeAt(content []byte, offset int64, data []byte) []byte {
 	if offset == int64(len(content)) {
 		return append(content, data...)
--- a/internal/tier/storage/osdisk_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -25,12 +25,12 @@
 // Given a group in a directory, when processes use it one after the other, then each finds what the one before has saved.
 func TestOSDisk_GroupOfSeveralProcesses_RecoversWhatWasSaved(t *testing.T) {
 	root := t.TempDir()
-	m := &member{view: openDir(t, root), possible: []state{{}}}
+	m := &testMember{view: openDir(t, root), allowed: []savedState{{}}}
 	for _, life := range [][]step{
-		{{Raise: 1, Vote: "north", Entries: 3, Bytes: 100}, {Cut: 1, Entries: 2, Bytes: 10}},
-		{{Entries: 2, Bytes: 10}, {Compact: true, Keep: 2, Bytes: 200}, {Entries: 1, Bytes: 10}},
-		{{Compact: true, Keep: 1, Bytes: 200}, {Install: true, Entries: 1, Bytes: 20}, {Compact: true, Bytes: 10}},
-		{{Raise: 1, Entries: 1}},
+		{{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 100}, {Truncate: 1, Entries: 2, Bytes: 10}},
+		{{Entries: 2, Bytes: 10}, {Compact: true, Remaining: 2, Bytes: 200}, {Entries: 1, Bytes: 10}},
+		{{Compact: true, Remaining: 1, Bytes: 200}, {Install: true, Entries: 1, Bytes: 20}, {Compact: true, Bytes: 10}},
+		{{TermIncrement: 1, Entries: 1}},
 	} {
 		if err := m.runProcess(life); err != nil {
 			t.Fatal(err)
@@ -48,8 +48,8 @@
 // Given a log in a directory with a torn write, when a process opens it, then it truncates that and appends there.
 func TestOSDisk_TornLog_IsTruncatedAndAppendedTo(t *testing.T) {
 	root := t.TempDir()
-	m := &member{view: openDir(t, root), possible: []state{{}}}
-	if err := m.runProcess([]step{{Raise: 1, Entries: 3, Bytes: 100}}); err != nil {
+	m := &testMember{view: openDir(t, root), allowed: []savedState{{}}}
+	if err := m.runProcess([]step{{TermIncrement: 1, Entries: 3, Bytes: 100}}); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(root, firstLog)
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -44,7 +44,7 @@
 		if recovered, err = withSnapshotState(opened, recovered); err != nil {
 			t.Fatal(err)
 		}
-		want := state{}.with(effects).Recovered
+		want := savedState{}.with(effects).Recovered
 		if text := diff(want, recovered); text != "" {
 			t.Fatal(text)
 		}
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -13,8 +13,8 @@
 // Given a snapshot that comes in chunks, when they are saved, then each takes one write and none a sync, and entries that are
 // saved meanwhile go to the log as ever. Only the last step syncs the slot and begins a new log.
 func TestSave_ReceivedChunks_TakeOneWriteAndNoSync(t *testing.T) {
-	m := newMember(unwrapped)
-	group := mustApply(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}, {Entries: 1}})
+	m := newTestMember(unwrapped)
+	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}})
 	snapshot := snapshotAt(9, 1, 3)
 	parts := chunksOf(snapshot)
 	for _, part := range parts[:3] {
@@ -34,7 +34,7 @@
 	if err := group.Save(last); err != nil {
 		t.Fatal(err)
 	}
-	m.possible = []state{m.saved.with(last)}
+	m.allowed = []savedState{m.saved.with(last)}
 	m.disk.LosePower(3)
 	if err := m.recoverTwice(); err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 // Given a member with a slot, when a snapshot is being received and its process ends at any change, in any way, then it is
 // either as before or has the complete snapshot.
 func TestInstall_CrashAtAnyChange_IsAtomic(t *testing.T) {
-	prelude := []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 1}, {Entries: 1}}
+	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}}
 	receive := func(group *storage.Group) error {
 		snapshot := snapshotAt(9, 1, 3)
 		for _, part := range chunksOf(snapshot) {
@@ -58,7 +58,7 @@
 		}
 		return nil
 	}
-	whole := newMember(unwrapped)
+	whole := newTestMember(unwrapped)
 	group := mustApply(t, whole, prelude)
 	before := whole.disk.Counts().Changes
 	if err := receive(group); err != nil {
@@ -67,13 +67,13 @@
 	for change := range whole.disk.Counts().Changes - before {
 		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
 			for seed := range uint64(powerLossSeeds) {
-				m := newMember(unwrapped)
+				m := newTestMember(unwrapped)
 				group := mustApply(t, m, prelude)
 				m.disk.CrashAt(change, effect)
 				if err := receive(group); err == nil {
 					t.Fatal("it was not stopped")
 				}
-				m.possible = []state{m.saved, m.saved.with(&replica.Ready{Snapshot: snapshotAt(9, 1, 3)})}
+				m.allowed = []savedState{m.saved, m.saved.with(&replica.Ready{Snapshot: snapshotAt(9, 1, 3)})}
 				if seed == 0 {
 					m.disk.Kill()
 				} else {
@@ -90,15 +90,17 @@
 // Given a member that receives a snapshot, when it compacts or another snapshot begins, then the first one is abandoned, and
 // chunks of it are refused.
 func TestInstall_SnapshotAbandoned_Fails(t *testing.T) {
-	for name, begin := range map[string]func(m *member, group *storage.Group) error{
-		"compaction": func(m *member, group *storage.Group) error { return m.apply(group, step{Compact: true, Keep: 1}) },
-		"another snapshot": func(_ *member, group *storage.Group) error {
+	for name, begin := range map[string]func(m *testMember, group *storage.Group) error{
+		"compaction": func(m *testMember, group *storage.Group) error {
+			return m.apply(group, step{Compact: true, Remaining: 1})
+		},
+		"another snapshot": func(_ *testMember, group *storage.Group) error {
 			return group.Save(&replica.Ready{ReceivedChunks: chunksOf(snapshotAt(7, 1, 2))[:1]})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 2}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 2}})
 			snapshot := snapshotAt(9, 1, 3)
 			parts := chunksOf(snapshot)
 			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:3]}); err != nil {
@@ -129,8 +131,8 @@
 		"installed and truncated": {ReceivedChunks: parts[1:4], Snapshot: snapshot, TruncateFrom: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 1, Entries: 3, Bytes: 9}, {Compact: true, Keep: 2}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 2}})
 			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:1]}); err != nil {
 				t.Fatal(err)
 			}
@@ -150,9 +152,9 @@
 // Given a slot of several frames, when it is truncated at any length, or frames of it are missing, repeated or of another
 // generation, then the disk is refused.
 func TestOpen_IncompleteSlot_IsCorrupt(t *testing.T) {
-	made := func() *member {
-		m := newMember(unwrapped)
-		mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
+	made := func() *testMember {
+		m := newTestMember(unwrapped)
+		mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
 		return m
 	}
 	whole := content(t, made().disk, firstSlot)
@@ -218,8 +220,8 @@
 
 // Given a slot that is damaged while its member runs, when its chunks are read, then that is found.
 func TestReadChunks_SlotDamaged_IsCorrupt(t *testing.T) {
-	m := newMember(unwrapped)
-	group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}, {Compact: true, Keep: 1, Bytes: 3}})
+	m := newTestMember(unwrapped)
+	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}})
 	partsEnd := group.SnapshotBytes() - endBytes(t, m.disk)
 	for offset := range group.SnapshotBytes() {
 		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
@@ -259,8 +261,8 @@
 		}, errSource},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMember(unwrapped)
-			group := mustApply(t, m, []step{{Raise: 1, Entries: 2, Bytes: 20}})
+			m := newTestMember(unwrapped)
+			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}})
 			err := group.Compact(*snapshotAt(2, 1, 1), test.chunks, nil, replica.HardState{Term: 1})
 			wantFailed(t, err)
 			if !errors.Is(err, test.cause) {
