--- a/internal/tools/docscheck/docscheck_test.go
+++ b/internal/tools/docscheck/docscheck_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	write("Makefile", "check: test\ntest:\n\ttrue\n")
-	write("internal/log/log.go", "package log\n\ntype Log[T any] struct{ Term uint64 }\n\nfunc (l *Log[T]) Append() {}\n\nconst Max = 1\n")
+	write("internal/log/log.go", "package log\n\ntype Log[T any] struct{ Term uint64 }\n\nfunc (l *Log[T]) Append() {}\n\ntype entry struct{ size int }\n\nconst Max = 1\n")
 	write("docs/other.md", "nothing\n")
 
 	for name, c := range map[string]struct {
@@ -31,6 +31,7 @@
 			"`log.Log`, `log.Log.Append`, `log.Log.Term`, `log.Max`, `internal/log/log.go`, `internal/*/`, [other](other.md#part)\n    make check\n", nil},
 		"a symbol that is gone":        {"`log.Ledger`", []string{"page.md:1: package log declares no Ledger"}},
 		"a method that is gone":        {"one\n`log.Log.Book()`", []string{"page.md:2: package log declares no Log.Book"}},
+		"an unexported type's method":  {"`log.entry.size` `log.entry.term`", []string{"page.md:1: package log declares no entry.term"}},
 		"a package of others":          {"`http.Nothing`", nil},
 		"a file that is gone":          {"see `internal/log/old.go`", []string{"page.md:1: internal/log/old.go is not there"}},
 		"a path in a command":          {"    go test ./internal/old -run X", []string{"page.md:1: internal/old is not there"}},
--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -16,8 +16,10 @@
 	// treePath matches what can only be a path of this tree: it begins with one of its top folders.
 	treePath = regexp.MustCompile(`^(?:\./)?((?:cmd|control|deploy|docs|examples|internal|pluginsdk|tools|\.ci)/[\w./*-]*\w[\w/*]*|[A-Z]\w+\.md)$`)
 	makeCall = regexp.MustCompile(`^(?:    )?make ([a-z][a-z-]*)`)
-	symbol   = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?)(?:\(.*\))?$`)
-	target   = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
+	// symbol matches package.Name, package.Type.member and package.type.member. A lower-case name right behind a package could as well be
+	// the key of a settings file.
+	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?|[a-z]\w*\.[A-Za-z]\w*)(?:\(.*\))?$`)
+	target = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
 )
 
 // built are files that a build leaves behind; pages may name them.
