--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -98,7 +98,7 @@
 				return errWork{err}
 			}
 			if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
-				return errWork{&config.KeyError{Key: "capture.dir", Why: "missing: where captures go"}}
+				return errWork{&config.KeyError{Key: "capture.dir", Reason: "missing: where captures go"}}
 			}
 			if err := syscall.Kill(pid, sig); err != nil {
 				return errWork{fmt.Errorf("--pid %d: %w", pid, err)}
@@ -317,7 +317,7 @@
 	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
 		moduleDiffers(w, res, &capture.Difference{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
 	}
-	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Why)
+	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Reason)
 	list(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
 	list(w, "done now", d.Got.Actions, res.CoreAction)
 	var was []control.Event
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -266,7 +266,7 @@
 				return errWork{err}
 			}
 			if cfg.PluginHost.Store == "" {
-				return errWork{&config.KeyError{Key: "plugin_host.store", Why: "missing: the relay's word is read there"}}
+				return errWork{&config.KeyError{Key: "plugin_host.store", Reason: "missing: the relay's word is read there"}}
 			}
 			if err := tryPlugins(cfg); err != nil {
 				return errWork{fmt.Errorf("the relay is not told: %w", err)}
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -40,11 +40,11 @@
 // signal to end it changes nothing.
 func serve(cfg *config.Config, log *slog.Logger, told signals, again func() (*config.Config, error)) error {
 	runtime.GOMAXPROCS(cfg.Limits.Cores)
-	debug.SetMemoryLimit(cfg.Limits.Memory * 3 / 4)
+	debug.SetMemoryLimit(cfg.Limits.MemoryBytes * 3 / 4)
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(50) // what lives is small: the heap need not grow to 4 MB before it is looked through
 	}
-	jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
+	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
+	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -338,7 +338,7 @@
 		{"never ran", "Create", end{}, false, time.Time{}, nil},
 		{"within its window", "Create", end{ranAt: now.Add(-time.Second)}, false, now.Add(-time.Second), nil},
 		{"past its window", "Create", end{ranAt: now.Add(-5 * time.Second)}, false, time.Time{},
-			&Refusal{409, "it may have taken effect, and can't be repeated any more"}},
+			&RequestError{409, "it may have taken effect, and can't be repeated any more"}},
 		{"safe", "Update", end{ranAt: now.Add(-5 * time.Second)}, false, now.Add(-5 * time.Second), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -353,7 +353,7 @@
 				q.Header.Set(h[i], h[i+1])
 			}
 			m, again, err := f.message(q)
-			var want, got *Refusal
+			var want, got *RequestError
 			errors.As(c.err, &want)
 			errors.As(err, &got)
 			if d := cmp.Diff(want, got); d != "" || again != c.again || c.err == nil && !m.MayHaveRunAt.Equal(c.ranAt) && !again {
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -101,22 +101,22 @@
 	none := engine.EndpointList{}
 	key, err := ReadKey(a.KeyFile)
 	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.key_file", Why: err.Error()}
+		return nil, none, &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
 	}
 	f.signer = Signer{KeyID: a.KeyID, Key: key}
 	u, err := url.Parse(a.Actor)
 	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.actor", Why: err.Error()}
+		return nil, none, &config.KeyError{Key: "activitypub.actor", Reason: err.Error()}
 	}
 	public, err := publicPEM(key)
 	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.key_file", Why: err.Error()}
+		return nil, none, &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
 	}
 	f.path, f.doc = u.Path, actorDocument(a, u, string(public))
 	for i := range a.Clients {
 		c := &a.Clients[i]
 		if f.keys[c.KeyID], err = ReadPublicKey(c.KeyFile); err != nil {
-			return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.clients.%d.key_file", i), Why: err.Error()}
+			return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.clients.%d.key_file", i), Reason: err.Error()}
 		}
 		f.owners[c.KeyID], f.clients[c.Actor] = c, c
 	}
@@ -133,7 +133,7 @@
 		for k, inbox := range p.Inboxes {
 			u, err := url.Parse(inbox)
 			if err != nil || u.Host == "" {
-				return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Why: "not a URL"}
+				return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Reason: "not a URL"}
 			}
 			f.inboxes[inbox] = u
 			pool.Destinations = append(pool.Destinations, engine.Destination{Name: inbox, Address: address(u),
@@ -165,9 +165,9 @@
 // CloseIdle closes idle connections.
 func (f *Front) CloseIdle(to *engine.Destination) {
 	if to == nil {
-		f.pool.Retire(httpwire.Peer{})
+		f.pool.CloseIdle(httpwire.Peer{})
 	} else {
-		f.pool.Retire(httpwire.Peer{Address: to.Address})
+		f.pool.CloseIdle(httpwire.Peer{Address: to.Address})
 	}
 }
 
@@ -198,9 +198,9 @@
 			Body: []byte("this router stands by\n")}
 	}
 	m, again, err := f.message(q)
-	var no *Refusal
+	var no *RequestError
 	if errors.As(err, &no) {
-		return say(no.Status, no.Why)
+		return say(no.Status, no.Reason)
 	}
 	if again {
 		return say(200, "delivered before")
@@ -208,12 +208,12 @@
 	m.Partner, m.Tenant = partner.Destination, partner.Tenant
 	switch r := f.core.Submit(Name, m); r.Verdict {
 	case engine.Accepted:
-		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
+		return httpwire.Answer{Status: 202, OnLost: func() { f.core.Withdraw(r) }}
 	case engine.Busy:
 		return platform.BusyReply(r.RetryAfter)
 	case engine.Rejected:
 		a := say(cmp.Or(r.Status, 422), r.Reason)
-		a.Prompt = true
+		a.NoErrorDelay = true
 		return a
 	default:
 		return say(500, "given up")
@@ -230,7 +230,7 @@
 func (f *Front) message(q *httpwire.Request) (m engine.Message, again bool, err error) {
 	kind, _, _ := strings.Cut(q.Header.Get("Content-Type"), ";")
 	if kind = strings.TrimSpace(kind); kind != contentType && kind != "application/ld+json" {
-		return m, false, &Refusal{415, "want " + contentType}
+		return m, false, &RequestError{415, "want " + contentType}
 	}
 	now := f.Now()
 	keyID, err := Verify(q, f.keys, now, f.cfg.Skew)
@@ -238,28 +238,28 @@
 		return m, false, err
 	}
 	if !gjson.ValidBytes(q.Body) {
-		return m, false, &Refusal{400, "the body is not JSON"}
+		return m, false, &RequestError{400, "the body is not JSON"}
 	}
 	act := gjson.ParseBytes(q.Body)
 	id, actor := act.Get("id").String(), act.Get("actor").String()
 	class, known := f.classes[act.Get("type").String()]
 	switch {
 	case !act.IsObject() || id == "" || len(id) > 2048:
-		return m, false, &Refusal{400, "the activity has no usable id"}
+		return m, false, &RequestError{400, "the activity has no usable id"}
 	case f.owners[keyID].Actor != actor:
-		return m, false, &Refusal{403, "the activity's actor does not own the key"}
+		return m, false, &RequestError{403, "the activity's actor does not own the key"}
 	case !known:
-		return m, false, &Refusal{422, "no class for this type of activity"}
+		return m, false, &RequestError{422, "no class for this type of activity"}
 	}
 	m = engine.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.set[class].Deadline), Body: q.Body,
 		Header: q.Header}
 	if v := act.Get("endTime"); v.Exists() {
 		t, err := time.Parse(time.RFC3339, v.String())
 		if err != nil {
-			return m, false, &Refusal{400, "endTime can't be read"}
+			return m, false, &RequestError{400, "endTime can't be read"}
 		}
 		if !t.After(now) {
-			return m, false, &Refusal{422, "endTime has passed"}
+			return m, false, &RequestError{422, "endTime has passed"}
 		}
 		if t.Before(m.Deadline) {
 			m.Deadline = t
@@ -278,7 +278,7 @@
 	}
 	c := &f.set[class]
 	if c.Effect == control.Unsafe || c.Effect == control.Keyed && now.Sub(before.ranAt) >= c.Memory {
-		return m, false, &Refusal{409, "it may have taken effect, and can't be repeated any more"}
+		return m, false, &RequestError{409, "it may have taken effect, and can't be repeated any more"}
 	}
 	m.MayHaveRunAt = before.ranAt
 	return m, false, nil
@@ -314,7 +314,7 @@
 			step.ObserveAnswer(p.Status, p.Header, p.Body)
 		}
 	})
-	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Spoilt || o.Result != control.Delivered) {
+	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Malformed || o.Result != control.Delivered) {
 		o = engine.Outcome{Result: r}
 	}
 	return o
@@ -338,7 +338,7 @@
 // has had it.
 func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
 	taken := make([]bool, len(notices))
-	room := make(chan struct{}, f.lim.NoticesAtOnce)
+	room := make(chan struct{}, f.lim.ParallelNotices)
 	var all sync.WaitGroup
 	for i := range notices {
 		n := &notices[i]
@@ -400,7 +400,7 @@
 		f.line = append(f.line, n.ID)
 	}
 	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.MayHaveRunAt}
-	for len(f.line) > f.lim.Remembered {
+	for len(f.line) > f.lim.MaxRemembered {
 		delete(f.ended, f.line[0])
 		f.line = f.line[1:]
 	}
--- a/internal/relay/activitypub/signature.go
+++ b/internal/relay/activitypub/signature.go
@@ -80,43 +80,43 @@
 	return strings.Join(lines, "\n")
 }
 
-// Refusal is why a request is not accepted, and the status that says so.
-type Refusal struct {
+// RequestError is why a request is not accepted, and the status that says so.
+type RequestError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RequestError) Error() string { return r.Reason }
 
 // Verify checks that q was signed by the key it names, that the signature covers what matters, that its date
 // is within skew of now, and that its digest is that of its body. It returns the key's id.
 func Verify(q *httpwire.Request, keys keyring, now time.Time, skew time.Duration) (string, error) {
 	head := q.Header.Get("Signature")
 	if head == "" {
-		return "", &Refusal{401, "the request is not signed"}
+		return "", &RequestError{401, "the request is not signed"}
 	}
 	p := params(head)
 	id := p["keyId"]
 	key := keys[id]
 	if key == nil {
-		return "", &Refusal{401, "the signature's key is not known"}
+		return "", &RequestError{401, "the signature's key is not known"}
 	}
 	names := strings.Fields(strings.ToLower(p["headers"]))
 	for _, want := range signedHeaders {
 		if !slices.Contains(names, want) {
-			return "", &Refusal{401, "the signature does not cover " + want}
+			return "", &RequestError{401, "the signature does not cover " + want}
 		}
 	}
 	date, err := http.ParseTime(q.Header.Get("Date"))
 	if err != nil {
-		return "", &Refusal{401, "the date is missing or can't be read"}
+		return "", &RequestError{401, "the date is missing or can't be read"}
 	}
 	if d := now.Sub(date); d > skew || d < -skew {
-		return "", &Refusal{401, "the date is too far from this relay's clock"}
+		return "", &RequestError{401, "the date is too far from this relay's clock"}
 	}
 	digest := []byte(digestOf(q.Body))
 	if subtle.ConstantTimeCompare(digest, []byte(q.Header.Get("Digest"))) != 1 {
-		return "", &Refusal{400, "the digest is not that of the body"}
+		return "", &RequestError{400, "the digest is not that of the body"}
 	}
 	text := signingText(names, func(name string) string {
 		if name == "(request-target)" {
@@ -126,7 +126,7 @@
 	})
 	sig, err := base64.StdEncoding.DecodeString(p["signature"])
 	if err != nil || !signed(key, p["algorithm"], []byte(text), sig) {
-		return "", &Refusal{401, "the signature is wrong"}
+		return "", &RequestError{401, "the signature is wrong"}
 	}
 	return id, nil
 }
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -188,7 +188,7 @@
 // usual tells whether appendInput knows all of an input.
 func (in *Input) usual() bool {
 	for i := range in.Events {
-		if e := &in.Events[i]; e.List != nil || e.Stand != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Taken) > 0 {
+		if e := &in.Events[i]; e.List != nil || e.Mandate != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Accepted) > 0 {
 			return false
 		}
 	}
@@ -200,7 +200,7 @@
 	f.must(1, int64(e.Kind))
 	f.int(2, int64(e.Front))
 	f.uint(3, e.Ref)
-	f.uint(4, e.Step)
+	f.uint(4, e.Number)
 	if a := e.Arrival; a != nil {
 		f.key(5)
 		f.b = appendArrival(f.b, a)
@@ -218,17 +218,17 @@
 	f.int(3, int64(a.Partner))
 	f.int(4, int64(a.Class))
 	f.must(5, int64(a.Deadline))
-	f.bool(6, a.Again)
+	f.bool(6, a.Resubmitted)
 	f.int(7, int64(a.Size))
 	f.uint(8, a.Headers)
-	f.bool(9, a.Ran)
-	f.int(10, int64(a.RanAt))
-	f.int(11, int64(a.Late))
+	f.bool(9, a.MayHaveRun)
+	f.int(10, int64(a.MayHaveRunAt))
+	f.int(11, int64(a.QueuedFor))
 	f.uint(12, uint64(a.Verdict))
 	f.int(13, int64(a.Status))
-	f.text(14, a.Why)
+	f.text(14, a.Reason)
 	f.int(15, int64(a.Tenant))
-	f.uint(16, a.Under)
+	f.uint(16, a.SeenUnderPolicy)
 	return f.b
 }
 
--- a/internal/relay/capture/fast_test.go
+++ b/internal/relay/capture/fast_test.go
@@ -62,7 +62,7 @@
 				if in, is := record.(*Input); is {
 					in.Full, in.Failed = nil, false
 					for i := range in.Events {
-						in.Events[i].List, in.Events[i].Outcomes, in.Events[i].Taken, in.Events[i].Stand = nil, nil, nil, nil
+						in.Events[i].List, in.Events[i].Outcomes, in.Events[i].Accepted, in.Events[i].Mandate = nil, nil, nil, nil
 						in.Events[i].Shared = nil
 					}
 				}
--- a/internal/relay/capture/format.go
+++ b/internal/relay/capture/format.go
@@ -107,7 +107,7 @@
 	Snapshot *control.Snapshot `cbor:"1,keyasint,omitempty"`
 }
 
-// Turn is one Step: what the module was told and what it decided.
+// Turn is one Step of the module: what the module was told and what it decided.
 type Turn struct {
 	No      uint64           `cbor:"1,keyasint"`
 	Now     time.Duration    `cbor:"2,keyasint"`
@@ -131,8 +131,8 @@
 
 // Gap stands where turns are missing.
 type Gap struct {
-	Turns uint64 `cbor:"1,keyasint"`
-	Why   string `cbor:"2,keyasint"`
+	Turns  uint64 `cbor:"1,keyasint"`
+	Reason string `cbor:"2,keyasint"`
 }
 
 // Note is what happened to the relay itself.
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -107,7 +107,7 @@
 	case *Gap:
 		p.res.Gaps++
 		if p.gap = true; !p.o.PastGap {
-			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, r.Turns, p.res.Turns, r.Why)
+			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, r.Turns, p.res.Turns, r.Reason)
 		}
 	case *State:
 		// Under other settings the sender goes on with what it has made of the past.
--- a/internal/relay/capture/stored_format_test.go
+++ b/internal/relay/capture/stored_format_test.go
@@ -90,7 +90,7 @@
 	usual.Full, usual.Failed = nil, false
 	for i := range usual.Events {
 		e := &usual.Events[i]
-		usual.Events[i] = CoreEvent{Kind: e.Kind, Front: e.Front, Ref: e.Ref, Step: e.Step, Arrival: e.Arrival, Text: e.Text, Items: e.Items}
+		usual.Events[i] = CoreEvent{Kind: e.Kind, Front: e.Front, Ref: e.Ref, Number: e.Number, Arrival: e.Arrival, Text: e.Text, Items: e.Items}
 	}
 	add(&Note{}, "note")
 	add(&Gap{}, "gap")
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -96,18 +96,18 @@
 	case Submitted:
 		s := fmt.Sprintf("%s is handed in to front %d for partner %d, class %d", e.Arrival.ID, e.Front, e.Arrival.Partner, e.Arrival.Class)
 		if e.Arrival.Verdict != 0 {
-			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", e.Arrival.Verdict, e.Arrival.Status, e.Arrival.Why)
+			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", e.Arrival.Verdict, e.Arrival.Status, e.Arrival.Reason)
 		}
 		return s
 	case Withdrawn:
 		return res.message(e.Ref) + " is withdrawn: its client never heard the answer"
 	case Moved:
 		return fmt.Sprintf("the discovery of front %d has moved", e.Front)
-	case Drained:
+	case DrainStarted:
 		return "the relay is told to drain"
 	case AttemptEnded:
 		if e.Outcomes == nil {
-			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", e.Step, e.Items)
+			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", e.Number, e.Items)
 		}
 		var ends []string
 		for _, o := range e.Outcomes {
@@ -117,19 +117,19 @@
 			}
 			ends = append(ends, what)
 		}
-		return fmt.Sprintf("route step %d ends: %s", e.Step, strings.Join(ends, ", "))
+		return fmt.Sprintf("route step %d ends: %s", e.Number, strings.Join(ends, ", "))
 	case ListReported:
-		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", e.List.Index, e.Front, len(e.List.Dests), e.List.Whole)
+		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", e.List.Index, e.Front, len(e.List.Destinations), e.List.Complete)
 	case WatchEnded:
-		return fmt.Sprintf("watch %d of front %d is lost: %s", e.Step, e.Front, e.Text)
+		return fmt.Sprintf("watch %d of front %d is lost: %s", e.Number, e.Front, e.Text)
 	case Notified:
 		taken := 0
-		for _, ok := range e.Taken {
+		for _, ok := range e.Accepted {
 			if ok {
 				taken++
 			}
 		}
-		return fmt.Sprintf("%d of %d notices are taken from front %d", taken, len(e.Taken), e.Front)
+		return fmt.Sprintf("%d of %d notices are taken from front %d", taken, len(e.Accepted), e.Front)
 	}
 	return fmt.Sprintf("event of kind %d", e.Kind)
 }
@@ -144,21 +144,21 @@
 		if int(d.Verdict) < len(verdicts) {
 			what = verdicts[d.Verdict]
 		}
-		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.No, what, d.For)
-	case Began:
-		return fmt.Sprintf("route step %d to %s within %v: %s", d.No, res.name(d.To), d.For, res.messages(d.Refs))
-	case Called:
-		return fmt.Sprintf("route step %d is called off", d.No)
-	case Back:
-		return fmt.Sprintf("route step %d is called back unless it has begun", d.No)
-	case Told:
-		return fmt.Sprintf("notices by front %d: %s", d.No, res.messages(d.Refs))
-	case Watched:
-		return fmt.Sprintf("watch %d of front %d, after index %d", d.To, d.No, d.After)
-	case Retired:
-		return "idle connections to " + res.name(d.To) + " are closed"
-	case Finished:
-		return res.message(d.No) + " is over"
+		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.Number, what, d.Wait)
+	case AttemptBegan:
+		return fmt.Sprintf("route step %d to %s within %v: %s", d.Number, res.name(d.Target), d.Wait, res.messages(d.Refs))
+	case AttemptCanceled:
+		return fmt.Sprintf("route step %d is called off", d.Number)
+	case AttemptRecalled:
+		return fmt.Sprintf("route step %d is called back unless it has begun", d.Number)
+	case NoticesSent:
+		return fmt.Sprintf("notices by front %d: %s", d.Number, res.messages(d.Refs))
+	case WatchStarted:
+		return fmt.Sprintf("watch %d of front %d, after index %d", d.Target, d.Number, d.After)
+	case IdleClosed:
+		return "idle connections to " + res.name(d.Target) + " are closed"
+	case MessageFinished:
+		return res.message(d.Number) + " is over"
 	}
 	return fmt.Sprintf("deed of kind %d", d.Kind)
 }
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -21,78 +21,78 @@
 // Limits holds every limit on sizes, counts and times outside the module. It is filled once, at start, and
 // handed down.
 type Limits struct {
-	Cores    int
-	Memory   int64 // bytes
-	Disk     int64 // bytes in the folder that lasts
-	Sockets  int   // descriptors of the process
-	HeadSize int   // bytes of a request's or answer's first line and headers
-	BodySize int   // bytes of a body
-	NameSize int   // bytes of an id or key
+	Cores       int
+	MemoryBytes int64 // bytes
+	DiskBytes   int64 // bytes in the folder that lasts
+	Sockets     int   // descriptors of the process
+	HeadSize    int   // bytes of a request's or answer's first line and headers
+	BodySize    int   // bytes of a body
+	NameSize    int   // bytes of an id or key
 
 	ClientConnections int // at once
 	Queue             int // events on their way to the core
 	IdleEndpoints     int // connections kept to endpoints, in all
 	IdlePerEndpoint   int
 
-	Round           time.Duration // from one turn of the core to the next
-	AnswerWithin    time.Duration // an arrival older than this is refused: its client is about to leave
-	BusyRetry       time.Duration // told with a refusal that the module had no part in
-	ConnectTimeout  time.Duration
-	IdleSocket      time.Duration // a pooled connection is retired after this
-	TrustLeast      time.Duration // one that stood idle for less is always used again
-	TrustDoubles    time.Duration // after a loss on an idle connection, so long until twice the time is trusted
-	AnswerRead      time.Duration // an answer must be whole within this, from its first byte
-	Provisional     int           // answers to one call, of which all but the last are 1xx
-	FrontIdle       time.Duration // a client's connection may stand idle for this long
-	FrontRead       time.Duration // a request must be whole within this, from its first byte; the first of a connection, from its start
-	FrontWrite      time.Duration // a client takes its answer within this
-	FrontRest       time.Duration // what follows a request that was turned away is not read before
-	FrontLinger     time.Duration // how long what follows a faulty request is still read
-	WatchSilence    time.Duration // a watch that says nothing for so long is dead
-	WatchRetry      time.Duration // before a watch that did not come up is tried again
-	WatchSpread     time.Duration // over which all relays open theirs anew that fell silent together
-	EndedKept       time.Duration // how long the id of a message that is over is known
-	EndedMost       int           // and of how many
-	NoticeTimeout   time.Duration
-	NoticeRetry     time.Duration // doubles with each try in a row that fails
-	NoticeRetryMost time.Duration
-	NoticesAtOnce   int // calls, where each notice is one
-	Remembered      int // messages that have ended, to answer for when they come again
-	NoticesPerCall  int
-	WindowMargin    time.Duration // no repeat of a keyed message is begun in this last part of its window
-	DrainSends      time.Duration // after SIGTERM, attempts are still begun for so long
-	DrainExit       time.Duration // and the core ends within this
-	DrainLinger     time.Duration // clients are still answered for so long
-	DrainClose      time.Duration // then their connections end within this
+	Round             time.Duration // from one turn of the core to the next
+	AnswerWithin      time.Duration // an arrival older than this is refused: its client is about to leave
+	BusyRetry         time.Duration // told with a refusal that the module had no part in
+	ConnectTimeout    time.Duration
+	IdleSocket        time.Duration // a pooled connection is retired after this
+	IdleTrustMin      time.Duration // one that stood idle for less is always used again
+	IdleTrustDoubling time.Duration // after a loss on an idle connection, so long until twice the time is trusted
+	AnswerRead        time.Duration // an answer must be whole within this, from its first byte
+	MaxInterim        int           // answers to one call, of which all but the last are 1xx
+	FrontIdle         time.Duration // a client's connection may stand idle for this long
+	FrontRead         time.Duration // a request must be whole within this, from its first byte; the first of a connection, from its start
+	FrontWrite        time.Duration // a client takes its answer within this
+	ErrorDelay        time.Duration // what follows a request that was turned away is not read before
+	FrontLinger       time.Duration // how long what follows a faulty request is still read
+	WatchTimeout      time.Duration // a watch that says nothing for so long is dead
+	WatchRetry        time.Duration // before a watch that did not come up is tried again
+	WatchSpread       time.Duration // over which all relays open theirs anew that fell silent together
+	EndedRetention    time.Duration // how long the id of a message that is over is known
+	MaxEnded          int           // and of how many
+	NoticeTimeout     time.Duration
+	NoticeRetry       time.Duration // doubles with each try in a row that fails
+	NoticeRetryMax    time.Duration
+	ParallelNotices   int // calls, where each notice is one
+	MaxRemembered     int // messages that have ended, to answer for when they come again
+	NoticesPerCall    int
+	WindowMargin      time.Duration // no repeat of a keyed message is begun in this last part of its window
+	DrainSends        time.Duration // after SIGTERM, attempts are still begun for so long
+	DrainExit         time.Duration // and the core ends within this
+	DrainLinger       time.Duration // clients are still answered for so long
+	DrainClose        time.Duration // then their connections end within this
 
 	CaptureQueue  int           // batches on their way to a capture's writer
 	CaptureChunk  int           // bytes of records, about, that make a chunk
 	CaptureWithin time.Duration // after which what there is makes one
 
-	PluginStart      time.Duration // for an instance's start
-	PluginBudget     time.Duration // for all plug-ins that see a message arrive, of the 400 ms that its client waits
-	PluginGrace      time.Duration // after its deadline a call that can't be stopped is left to itself
-	PluginMemory     int64         // bytes, of all instances together
-	PluginStack      int           // values of eight bytes that the open calls in an instance may take
-	PluginCopied     int           // bytes that a call may have the relay copy out of its memory
-	PluginThreads    int           // that run plug-ins at once
-	PluginYields     bool          // those give way to the relay's own threads
-	PluginBurst      time.Duration // processor time that a plug-in may use at once beyond its share
-	PluginStrikes    float64       // failures that open a circuit breaker, less a part of the good calls
-	PluginRest       time.Duration // how long it stays open at first
-	PluginMostRest   time.Duration // and at most
-	PluginTrials     int           // good calls in a row that close it
-	PluginPartners   int           // that a plug-in keeps breakers for
-	PluginEnds       int           // calls after the fact that wait for a plug-in
-	PluginLines      int           // log lines a second, and in one call
-	PluginReason     int           // bytes of a log line or reason
-	PluginHeaders    int           // set on one message
-	PluginValue      int           // bytes of a header's value
-	PluginHeaderSize int           // bytes of all headers set on one message
-	PluginSample     int           // bytes of an answer that plug-ins may see
-	PluginMostWait   time.Duration // that a plug-in may ask for
-	PluginSave       time.Duration // from one saving of the stores to the next
-	PluginCache      int64         // bytes of compiled modules that are kept
+	PluginStart            time.Duration // for an instance's start
+	PluginBudget           time.Duration // for all plug-ins that see a message arrive, of the 400 ms that its client waits
+	PluginGrace            time.Duration // after its deadline a call that can't be stopped is left to itself
+	PluginMemory           int64         // bytes, of all instances together
+	PluginStack            int           // values of eight bytes that the open calls in an instance may take
+	PluginCopyBytes        int           // bytes that a call may have the relay copy out of its memory
+	PluginThreads          int           // that run plug-ins at once
+	PluginYields           bool          // those give way to the relay's own threads
+	PluginBurst            time.Duration // processor time that a plug-in may use at once beyond its share
+	PluginBreakerThreshold float64       // failures that open a circuit breaker, less a part of the good calls
+	PluginBreakerOpen      time.Duration // how long it stays open at first
+	PluginBreakerOpenMax   time.Duration // and at most
+	PluginBreakerTrials    int           // good calls in a row that close it
+	PluginBreakers         int           // that a plug-in keeps breakers for
+	PluginEndQueue         int           // calls after the fact that wait for a plug-in
+	PluginLines            int           // log lines a second, and in one call
+	PluginReason           int           // bytes of a log line or reason
+	PluginHeaders          int           // set on one message
+	PluginValue            int           // bytes of a header's value
+	PluginHeaderSize       int           // bytes of all headers set on one message
+	PluginSample           int           // bytes of an answer that plug-ins may see
+	PluginRetryAfterMax    time.Duration // that a plug-in may ask for
+	PluginSave             time.Duration // from one saving of the stores to the next
+	PluginCache            int64         // bytes of compiled modules that are kept
 }
 
 // Config is all that a relay is told at its start.
@@ -186,9 +186,9 @@
 }
 
 // KeyError names the key of the configuration that is at fault.
-type KeyError struct{ Key, Why string }
+type KeyError struct{ Key, Reason string }
 
-func (e *KeyError) Error() string { return fmt.Sprintf("config: key %s: %s", e.Key, e.Why) }
+func (e *KeyError) Error() string { return fmt.Sprintf("config: key %s: %s", e.Key, e.Reason) }
 
 // Load reads the file that RELAY_CONFIG names, or file if that is not empty; RELAY_NAME, RELAY_LISTEN and
 // RELAY_STATE from the environment go before the file. RELAY_DISCOVERY goes after it: a file can be replaced
@@ -267,29 +267,29 @@
 // limits gives each limit its default, from what the platform grants.
 func (p *parser) limits(set *wire.Settings) Limits {
 	l := Limits{
-		Cores:    max(1, int(p.number("limits.cores", 1, 0.01, 1024))),
-		Memory:   int64(p.number("limits.memory_mb", 192, 16, 1<<20)) << 20,
-		Disk:     int64(p.number("limits.disk_mb", 3, 0.5, 1<<20) * (1 << 20)),
-		Sockets:  int(p.number("limits.sockets", 1024, 64, 1<<20)),
-		HeadSize: 16 << 10, BodySize: 64 << 10, NameSize: 256,
+		Cores:       max(1, int(p.number("limits.cores", 1, 0.01, 1024))),
+		MemoryBytes: int64(p.number("limits.memory_mb", 192, 16, 1<<20)) << 20,
+		DiskBytes:   int64(p.number("limits.disk_mb", 3, 0.5, 1<<20) * (1 << 20)),
+		Sockets:     int(p.number("limits.sockets", 1024, 64, 1<<20)),
+		HeadSize:    16 << 10, BodySize: 64 << 10, NameSize: 256,
 		Queue: 4096, IdlePerEndpoint: 16,
 		AnswerWithin: 300 * time.Millisecond, BusyRetry: 500 * time.Millisecond,
 		FrontIdle: 2 * time.Second, FrontRead: 2500 * time.Millisecond, FrontWrite: 2 * time.Second,
-		TrustLeast: 100 * time.Millisecond, TrustDoubles: 10 * time.Second,
-		AnswerRead: 500 * time.Millisecond, Provisional: 64, FrontRest: 50 * time.Millisecond, FrontLinger: 400 * time.Millisecond,
+		IdleTrustMin: 100 * time.Millisecond, IdleTrustDoubling: 10 * time.Second,
+		AnswerRead: 500 * time.Millisecond, MaxInterim: 64, ErrorDelay: 50 * time.Millisecond, FrontLinger: 400 * time.Millisecond,
 		// A watch says something every 2 s: two of those are missing. What it misses counts as told 6 s after it fell silent.
-		WatchSilence: 4400 * time.Millisecond, WatchSpread: 800 * time.Millisecond, WatchRetry: 250 * time.Millisecond,
-		EndedKept: 5 * time.Second, EndedMost: 4096,
+		WatchTimeout: 4400 * time.Millisecond, WatchSpread: 800 * time.Millisecond, WatchRetry: 250 * time.Millisecond,
+		EndedRetention: 5 * time.Second, MaxEnded: 4096,
 		NoticeTimeout: time.Second, NoticeRetry: 100 * time.Millisecond, NoticesPerCall: 200,
-		NoticeRetryMost: time.Second, NoticesAtOnce: 16, Remembered: 20000,
+		NoticeRetryMax: time.Second, ParallelNotices: 16, MaxRemembered: 20000,
 		DrainSends: 2500 * time.Millisecond, DrainExit: 3200 * time.Millisecond,
 		DrainLinger: time.Second, DrainClose: 250 * time.Millisecond, WindowMargin: 250 * time.Millisecond,
 		CaptureQueue: 8, CaptureChunk: 16 << 10, CaptureWithin: 2 * time.Second,
 		PluginStart: time.Second, PluginBudget: 60 * time.Millisecond, PluginGrace: 5 * time.Millisecond,
-		PluginStack: 128 << 10, PluginCopied: 256 << 10, PluginThreads: 16, PluginYields: true, PluginBurst: 50 * time.Millisecond, PluginStrikes: 3,
-		PluginRest: 500 * time.Millisecond, PluginMostRest: time.Minute, PluginTrials: 5, PluginPartners: 1024,
-		PluginEnds: 1024, PluginLines: 10, PluginReason: 256, PluginHeaders: 16, PluginValue: 1024,
-		PluginHeaderSize: 4 << 10, PluginSample: 512, PluginMostWait: time.Minute, PluginSave: 5 * time.Second,
+		PluginStack: 128 << 10, PluginCopyBytes: 256 << 10, PluginThreads: 16, PluginYields: true, PluginBurst: 50 * time.Millisecond, PluginBreakerThreshold: 3,
+		PluginBreakerOpen: 500 * time.Millisecond, PluginBreakerOpenMax: time.Minute, PluginBreakerTrials: 5, PluginBreakers: 1024,
+		PluginEndQueue: 1024, PluginLines: 10, PluginReason: 256, PluginHeaders: 16, PluginValue: 1024,
+		PluginHeaderSize: 4 << 10, PluginSample: 512, PluginRetryAfterMax: time.Minute, PluginSave: 5 * time.Second,
 		PluginMemory: int64(p.number("plugin_host.memory_mb", 16, 1, 1<<12)) << 20,
 		PluginCache:  int64(p.number("plugin_host.cache_mb", 64, 1, 1<<12)) << 20,
 		Round:        set.Round, ConnectTimeout: set.ConnectTimeout,
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Limits.IdleSocket != 13500*time.Millisecond || c.Limits.Round != 5*time.Millisecond ||
-		c.Limits.Disk != 3<<20 || c.ActivityPub.KeyID != "http://r.example/actor#main-key" || !c.VRRP.Preempt ||
+		c.Limits.DiskBytes != 3<<20 || c.ActivityPub.KeyID != "http://r.example/actor#main-key" || !c.VRRP.Preempt ||
 		c.Plugins[0].Timeout != 10*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -11,21 +11,21 @@
 
 // Peers sets up the relay's part in a fleet whose relays talk to each other.
 type Peers struct {
-	Fleet  string            // messages of another are dropped
-	Name   string            // this relay's
-	Listen string            // UDP address
-	Others map[string]string // the other relays' addresses, by name
-	Voters []string          // those who have a say
-	State  string            // folder that lasts
-	Lease  time.Duration     // a relay that hears nothing acts for this long at most
-	Drift  float64           // how much faster or slower than another's a clock may run, as a share
-	Serve  bool              // a relay that is cut off goes on; otherwise it refuses
-	Kept   float64           // of each limit, that is the relays' own and never lent; 0: they share nothing
+	Fleet                string            // messages of another are dropped
+	Name                 string            // this relay's
+	Listen               string            // UDP address
+	Addresses            map[string]string // the other relays' addresses, by name
+	Voters               []string          // those who have a say
+	State                string            // folder that lasts
+	Lease                time.Duration     // a relay that hears nothing acts for this long at most
+	Drift                float64           // how much faster or slower than another's a clock may run, as a share
+	ServeWhenPartitioned bool              // a relay that is cut off goes on; otherwise it refuses
+	GuaranteedShare      float64           // of each limit, that is the relays' own and never lent; 0: they share nothing
 }
 
 // Roster is the names of all relays of the fleet, sorted.
 func (p *Peers) Roster() []string {
-	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(p.Others)), p.Name)))
+	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(p.Addresses)), p.Name)))
 }
 
 // mostPeers bounds a fleet: the state that a datagram carries holds all names.
@@ -36,7 +36,7 @@
 	if !p.root.Get("peers").Exists() {
 		return
 	}
-	q := &Peers{Fleet: p.must("peers.fleet"), Name: p.text("peers.name", c.Name), Listen: p.must("peers.listen"), Others: map[string]string{},
+	q := &Peers{Fleet: p.must("peers.fleet"), Name: p.text("peers.name", c.Name), Listen: p.must("peers.listen"), Addresses: map[string]string{},
 		State: p.text("peers.state", filepath.Join(c.State, "fleet")), Lease: p.duration("peers.lease", 2*time.Second),
 		Drift: p.number("peers.drift", 0.01, 0, 0.5)}
 	p.need("peers.name", relayName(q.Name), "want letters, digits, . - and _, 64 at most")
@@ -47,21 +47,21 @@
 		p.need(at, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
 		p.need(at, name != q.Name, "this relay's own name")
 		p.address(at, a.String())
-		q.Others[name] = a.String()
+		q.Addresses[name] = a.String()
 	}
-	p.need("peers.others", len(q.Others) < mostPeers, "too many")
+	p.need("peers.others", len(q.Addresses) < mostPeers, "too many")
 	p.each("peers.voters", func(at string) {
 		name := p.must(at)
-		p.need(at, name == q.Name || q.Others[name] != "", "no relay of that name")
+		p.need(at, name == q.Name || q.Addresses[name] != "", "no relay of that name")
 		p.need(at, !slices.Contains(q.Voters, name), "named twice")
 		q.Voters = append(q.Voters, name)
 	})
 	p.need("peers.voters", len(q.Voters) >= 1 && len(q.Voters) <= 7 && len(q.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
 	alone := p.text("peers.alone", "refuse")
 	p.need("peers.alone", alone == "serve" || alone == "refuse", "want serve or refuse")
-	q.Serve = alone == "serve"
+	q.ServeWhenPartitioned = alone == "serve"
 	if p.root.Get("peers.share").Exists() {
-		q.Kept = p.number("peers.share.kept", 0.25, 0.01, 1)
+		q.GuaranteedShare = p.number("peers.share.kept", 0.25, 0.01, 1)
 	}
 	c.Peers = q
 }
--- a/internal/relay/config/peers_test.go
+++ b/internal/relay/config/peers_test.go
@@ -12,7 +12,7 @@
 	const good = `{"fleet": "f", "name": "a", "listen": "10.0.0.1:7400", "others": {"b": "10.0.0.2:7400", "c": "10.0.0.3:7400"}, "voters": ["a", "b", "c"]}`
 	none := func(string) string { return "" }
 	c, err := Parse([]byte(strings.Replace(base, "PEERS", good, 1)), none)
-	if err != nil || strings.Join(c.Peers.Roster(), "") != "abc" || c.Peers.Serve {
+	if err != nil || strings.Join(c.Peers.Roster(), "") != "abc" || c.Peers.ServeWhenPartitioned {
 		t.Fatal(err, c)
 	}
 	for _, x := range []struct{ old, new, key string }{
--- a/internal/relay/engine/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -12,10 +12,10 @@
 	"mastusher/internal/relay/journal"
 )
 
-// quickly is a shell whose calls are delivered at once.
-type quickly struct{ still }
+// instantShell is a shell whose calls are delivered at once.
+type instantShell struct{ inertShell }
 
-func (quickly) Call(_ Front, s *Attempt, _ time.Time, done func([]Outcome)) func() {
+func (instantShell) Call(_ Front, s *Attempt, _ time.Time, done func([]Outcome)) func() {
 	go done(make([]Outcome, len(s.Items)))
 	return func() {}
 }
@@ -31,7 +31,7 @@
 			quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 			now := time.Now()
 			c, _ := New(cfg, &journal.Memory{}, quiet, now)
-			c.SetShell(quickly{})
+			c.SetShell(instantShell{})
 			c.AddFront("platform", &fakeFront{}, EndpointList{Destinations: []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}}})
 			if recorded {
 				rec, err := capture.New(b.TempDir(), c.Begin("b", ""), capture.Limits{Queue: 1 << 12, Chunk: cfg.Limits.CaptureChunk, Within: time.Hour,
@@ -48,13 +48,13 @@
 			for b.Loop() {
 				n++
 				a := arrival{front: "platform", msg: Message{ID: fmt.Sprint("id-of-a-message-", n), Key: "key", Class: 1, Partner: 7, Deadline: now.Add(9 * time.Second), Body: make([]byte, 40)},
-					at: now, reply: make(chan Reply, 1)}
+					submittedAt: now, reply: make(chan Reply, 1)}
 				c.Turn(now, []event{a})
 				now = now.Add(5 * time.Millisecond)
 				if r := <-a.reply; r.Verdict != Accepted {
 					b.Fatal(r)
 				}
-				for len(c.out) > 0 {
+				for len(c.inFlight) > 0 {
 					c.Turn(now, []event{<-c.queue})
 					now = now.Add(5 * time.Millisecond)
 				}
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -21,84 +21,84 @@
 // Core owns the module. All but Submit, Withdraw, Drain and Ready belong to the goroutine that runs Run (or
 // calls Turn: tests and replays). It reads no clock in a turn, and walks no map in an order that counts.
 type Core struct {
-	set   *wire.Settings
-	lim   *config.Limits
-	log   *slog.Logger
-	mod   *control.Sender
-	rec   tape             // nil: nothing is recorded
-	told  control.Settings // what the module was told
-	seed  uint64
-	jour  Journal
-	shell Shell
-	spect Inspector // nil: none
-	queue chan event
+	settings       *wire.Settings
+	limits         *config.Limits
+	log            *slog.Logger
+	policy         *control.Sender
+	recorder       recorder         // nil: nothing is recorded
+	moduleSettings control.Settings // what the module was told
+	seed           uint64
+	journal        Journal
+	shell          Shell
+	inspector      Inspector // nil: none
+	queue          chan event
 
-	base     time.Time // when the process started
-	fronts   map[string]*frontState
-	order    []*frontState
-	msgs     map[uint64]*message
-	byID     map[string]*message // by front and id
-	dests    map[uint32]*Destination
-	names    map[string]uint32 // numbers of destinations, by front and name
-	lastNo   uint32
-	lastRef  uint64
-	forget   time.Duration // after which nothing of a destination that is gone can be unfinished
-	lastStep uint64
-	out      map[uint64]*Attempt // by number
-	handed   uint64              // messages handed in
-	owed     int                 // notices
+	startedAt          time.Time // when the process started
+	fronts             map[string]*frontState
+	frontsInOrder      []*frontState
+	messages           map[uint64]*message
+	messagesByID       map[string]*message // by front and id
+	destinations       map[uint32]*Destination
+	destinationNumbers map[string]uint32 // numbers of destinations, by front and name
+	lastDestination    uint32
+	lastRef            uint64
+	forgetAfter        time.Duration // after which nothing of a destination that is gone can be unfinished
+	lastAttempt        uint64
+	inFlight           map[uint64]*Attempt // by number
+	submitted          uint64              // messages handed in
+	outstanding        int                 // notices
 
-	in      []control.Event // for the turn at hand
-	acts    []control.Action
-	arrived []*message
-	tellers []func() // told to hooks once the turn is journalled
-	ended   endings
-	wakeAt  time.Time
-	watchAt time.Time
-	drainAt time.Time // when the process was told to end; zero: it was not
-	houseAt time.Time // when what has grown old was last looked for
-	input   capture.Input
-	handeds []capture.Arrival // that its events point to
-	refs    []uint64          // for the deed at hand
-	tells   bool              // deeds are kept in full
-	ready   atomic.Bool
-	drained chan struct{}
-	over    bool // drained is closed
-	stopped bool // this turn is the last
+	moduleEvents     []control.Event // for the turn at hand
+	moduleActions    []control.Action
+	arrivals         []*message
+	notifications    []func() // told to hooks once the turn is journalled
+	endings          endings
+	wakeAt           time.Time
+	watchAt          time.Time
+	drainAt          time.Time // when the process was told to end; zero: it was not
+	lastHousekeeping time.Time // when what has grown old was last looked for
+	turnInput        capture.Input
+	recordedArrivals []capture.Arrival // that its events point to
+	actionRefs       []uint64          // for the deed at hand
+	keepActions      bool              // deeds are kept in full
+	ready            atomic.Bool
+	drained          chan struct{}
+	closed           bool // drained is closed
+	stopped          bool // this turn is the last
 
-	counts   counts           // nil: nobody asks
-	gov      *capture.Mandate // what the fleet lets this relay do; nil: it belongs to none
-	stalled  []*Attempt       // that wait until it may act
-	standing atomic.Pointer[standing]
+	counters      counters         // nil: nobody asks
+	governor      *capture.Mandate // what the fleet lets this relay do; nil: it belongs to none
+	awaitingLease []*Attempt       // that wait until it may act
+	mandate       atomic.Pointer[frontMandate]
 }
 
 // frontState is what the core keeps for a front.
 type frontState struct {
-	name    string
-	no      int
-	Front   Front
-	list    map[string]uint32 // its destinations
-	index   int64             // of the newest endpoint list
-	watchNo int               // of the watch that was begun last
-	toldBy  int               // the watch that told the newest list; 0: it was known at the start
-	unwatch func()            // ends that watch; nil: it has ended
-	owed    []Notice
-	sending []Notice
-	unsend  func() // ends the call with those; nil: none is out
-	away    bool   // the front has moved while it was out
-	retryAt time.Time
-	gap     time.Duration // before the next try
+	name           string
+	number         int
+	Front          Front
+	listed         map[string]uint32 // its destinations
+	listIndex      int64             // of the newest endpoint list
+	lastWatch      int               // of the watch that was begun last
+	listReportedBy int               // the watch that told the newest list; 0: it was known at the start
+	stopWatch      func()            // ends that watch; nil: it has ended
+	outstanding    []Notice
+	sending        []Notice
+	cancelNotify   func() // ends the call with those; nil: none is out
+	movedMeanwhile bool   // the front has moved while it was out
+	retryAt        time.Time
+	backoff        time.Duration // before the next try
 }
 
 // message is one that is not over.
 type message struct {
-	ref   uint64
-	hand  uint64 // its number among those handed in; 0: it was there at the start
-	front *frontState
-	e     *journal.Entry
-	reply chan Reply // nil once it is answered
-	busy  *Reply     // the answer, if the module ended it in the turn of its arrival
-	step  *Attempt   // out now
+	ref        uint64
+	submission uint64 // its number among those handed in; 0: it was there at the start
+	front      *frontState
+	entry      *journal.Entry
+	reply      chan Reply // nil once it is answered
+	refusal    *Reply     // the answer, if the module ended it in the turn of its arrival
+	attempt    *Attempt   // out now
 }
 
 // event is what socket code hands to the core.
@@ -126,30 +126,30 @@
 	for _, k := range set.Classes {
 		forget = max(forget, k.Deadline+time.Second)
 	}
-	return &Core{told: ModuleSettings(cfg), seed: cfg.Seed, set: &cfg.Settings, forget: forget, lim: &cfg.Limits, log: log, mod: mod, jour: jour,
-		queue: make(chan event, cfg.Limits.Queue), shell: live{context.Background()}, base: now, houseAt: now,
-		fronts: map[string]*frontState{}, msgs: map[uint64]*message{}, byID: map[string]*message{},
-		drained: make(chan struct{}), dests: map[uint32]*Destination{}, names: map[string]uint32{}, out: map[uint64]*Attempt{}}, nil
+	return &Core{moduleSettings: ModuleSettings(cfg), seed: cfg.Seed, settings: &cfg.Settings, forgetAfter: forget, limits: &cfg.Limits, log: log, policy: mod, journal: jour,
+		queue: make(chan event, cfg.Limits.Queue), shell: goroutineShell{context.Background()}, startedAt: now, lastHousekeeping: now,
+		fronts: map[string]*frontState{}, messages: map[uint64]*message{}, messagesByID: map[string]*message{},
+		drained: make(chan struct{}), destinations: map[uint32]*Destination{}, destinationNumbers: map[string]uint32{}, inFlight: map[uint64]*Attempt{}}, nil
 }
 
 // AddFront makes a wire known under a name that stays the same across restarts, with its list as last known.
 func (c *Core) AddFront(name string, f Front, known EndpointList) {
-	st := &frontState{name: name, no: len(c.order), Front: f, list: map[string]uint32{}}
+	st := &frontState{name: name, number: len(c.frontsInOrder), Front: f, listed: map[string]uint32{}}
 	c.fronts[name] = st
-	c.order = append(c.order, st)
+	c.frontsInOrder = append(c.frontsInOrder, st)
 	known.Complete = true
-	listChanged{st, 0, known}.apply(c, c.base)
+	listChanged{st, 0, known}.apply(c, c.startedAt)
 }
 
 // SetInspector sets who sees messages, answers and ends; it must be called before the fronts take messages.
-func (c *Core) SetInspector(i Inspector) { c.spect = i }
+func (c *Core) SetInspector(i Inspector) { c.inspector = i }
 
 // SetShell has the core's calls made otherwise than on goroutines; it must be called before Restore.
 func (c *Core) SetShell(s Shell) { c.shell = s }
 
 // Restore takes up again what the journal holds: the module is told what happened before the restart.
 func (c *Core) Restore(now time.Time) {
-	for _, e := range c.jour.Entries() {
+	for _, e := range c.journal.Entries() {
 		f := c.fronts[e.Front]
 		if f == nil {
 			c.log.Warn("a message of a front that is off waits in the journal", "front", e.Front, "id", e.ID)
@@ -157,32 +157,32 @@
 		}
 		m := c.add(f, e)
 		if e.NoticePending {
-			c.owe(m, e.Notice)
+			c.addOutstanding(m, e.Notice)
 			continue
 		}
 		if e.InFlight { // it was out when the process ended: it may have run
-			c.jour.EndAttempt(e, false)
+			c.journal.EndAttempt(e, false)
 		}
-		if e.Class < 0 || e.Class >= len(c.set.Classes) { // of other settings: nothing says how it may be sent
+		if e.Class < 0 || e.Class >= len(c.settings.Classes) { // of other settings: nothing says how it may be sent
 			c.log.Warn("a message of a class that the settings no longer have is given up", "id", e.ID, "class", e.Class)
-			c.owe(m, journal.Notice{})
-			c.jour.EndWithNotice(e, e.Notice)
+			c.addOutstanding(m, journal.Notice{})
+			c.journal.EndWithNotice(e, e.Notice)
 			continue
 		}
-		c.narrow(e, now)
-		c.in = append(c.in, c.arrival(m))
+		c.clampTimes(e, now)
+		c.moduleEvents = append(c.moduleEvents, c.arrival(m))
 	}
-	if !c.set.MustSubscribe {
+	if !c.settings.MustSubscribe {
 		c.watchAt = now
 	}
-	c.Turn(now, c.pending(nil)) // a capture that is on from the start has this turn too
+	c.Turn(now, c.drainQueue(nil)) // a capture that is on from the start has this turn too
 	c.ready.Store(true)
 }
 
-// narrow takes what the journal tells of times for the narrower where the clock has gone back since: no message has more time than
+// clampTimes takes what the journal tells of times for the narrower where the clock has gone back since: no message has more time than
 // its class gives, and a window that began in what is now the future is over.
-func (c *Core) narrow(e *journal.Entry, now time.Time) {
-	k := &c.set.Classes[e.Class]
+func (c *Core) clampTimes(e *journal.Entry, now time.Time) {
+	k := &c.settings.Classes[e.Class]
 	if most := now.Add(k.Deadline); e.Deadline.After(most) {
 		e.Deadline = most
 	}
@@ -195,44 +195,44 @@
 func (c *Core) Ready() bool { return c.ready.Load() && c.leased() }
 
 // clock is t on the module's clock.
-func (c *Core) clock(t time.Time) time.Duration { return max(clockStart+t.Sub(c.base), 1) }
+func (c *Core) clock(t time.Time) time.Duration { return max(clockStart+t.Sub(c.startedAt), 1) }
 
 func (c *Core) arrival(m *message) control.Event {
-	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.no<<20 + m.e.Destination,
-		Class: m.e.Class, Tenant: m.e.Tenant, Deadline: c.clock(m.e.Deadline), Resubmitted: m.e.Resubmitted, Attempt: m.e.Attempts, MayHaveRun: m.e.MayHaveRun}
+	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.number<<20 + m.entry.Destination,
+		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted, Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
 	if ev.MayHaveRun {
-		ev.RanAt, ev.Endpoint = c.clock(m.e.MayHaveRunAt), c.number(m.front, m.e.MayHaveRunOn)
+		ev.RanAt, ev.Endpoint = c.clock(m.entry.MayHaveRunAt), c.destinationNumber(m.front, m.entry.MayHaveRunOn)
 	}
 	return ev
 }
 
 func (c *Core) add(f *frontState, e *journal.Entry) *message {
 	c.lastRef++
-	m := &message{ref: c.lastRef, front: f, e: e}
-	c.msgs[m.ref], c.byID[f.name+" "+e.ID] = m, m
-	if c.rec != nil {
-		c.rec.Message(capture.Message{Ref: m.ref, Front: f.name, ID: e.ID})
+	m := &message{ref: c.lastRef, front: f, entry: e}
+	c.messages[m.ref], c.messagesByID[f.name+" "+e.ID] = m, m
+	if c.recorder != nil {
+		c.recorder.Message(capture.Message{Ref: m.ref, Front: f.name, ID: e.ID})
 	}
 	return m
 }
 
 func (c *Core) drop(m *message) {
-	delete(c.msgs, m.ref)
-	if k := m.front.name + " " + m.e.ID; c.byID[k] == m {
-		delete(c.byID, k)
+	delete(c.messages, m.ref)
+	if k := m.front.name + " " + m.entry.ID; c.messagesByID[k] == m {
+		delete(c.messagesByID, k)
 	}
 }
 
-// number is the module's id of a destination.
-func (c *Core) number(f *frontState, name string) uint32 {
+// destinationNumber is the module's id of a destination.
+func (c *Core) destinationNumber(f *frontState, name string) uint32 {
 	key := f.name + " " + name
-	n, ok := c.names[key]
+	n, ok := c.destinationNumbers[key]
 	if !ok {
-		c.lastNo++
-		n = c.lastNo
-		c.names[key] = n
-		if c.rec != nil {
-			c.rec.Name(capture.Name{Number: n, Front: f.name, Name: name})
+		c.lastDestination++
+		n = c.lastDestination
+		c.destinationNumbers[key] = n
+		if c.recorder != nil {
+			c.recorder.Name(capture.Name{Number: n, Front: f.name, Name: name})
 		}
 	}
 	return n
@@ -240,7 +240,7 @@
 
 // serves tells whether the endpoint list names a destination of that partner, or did so until lately.
 func (c *Core) serves(f *frontState, partner int) bool {
-	for _, d := range c.dests {
+	for _, d := range c.destinations {
 		if d.front == f && d.Partner == partner {
 			return true
 		}
@@ -248,19 +248,19 @@
 	return false
 }
 
-// forgetGone drops the destinations that left the list so long ago that no message can still be out there.
-func (c *Core) forgetGone(now time.Time) {
-	for n, d := range c.dests {
-		if !d.goneAt.IsZero() && now.Sub(d.goneAt) > c.forget {
-			delete(c.dests, n)
-			if d.front.list[d.Name] == n {
-				delete(d.front.list, d.Name)
+// forgetRemoved drops the destinations that left the list so long ago that no message can still be out there.
+func (c *Core) forgetRemoved(now time.Time) {
+	for n, d := range c.destinations {
+		if !d.removedAt.IsZero() && now.Sub(d.removedAt) > c.forgetAfter {
+			delete(c.destinations, n)
+			if d.front.listed[d.Name] == n {
+				delete(d.front.listed, d.Name)
 			}
 		}
 	}
-	for name, n := range c.names { // some stand only in the journal
-		if c.dests[n] == nil {
-			delete(c.names, name)
+	for name, n := range c.destinationNumbers { // some stand only in the journal
+		if c.destinations[n] == nil {
+			delete(c.destinationNumbers, name)
 		}
 	}
 }
@@ -268,24 +268,24 @@
 // Submit hands in a message and waits for the answer, which comes within the turn.
 func (c *Core) Submit(front string, m Message) Reply {
 	if !c.ready.Load() || !c.admitted() {
-		return Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
+		return Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
 	}
-	a := arrival{front: front, at: time.Now(), reply: make(chan Reply, 1)}
+	a := arrival{front: front, submittedAt: time.Now(), reply: make(chan Reply, 1)}
 	for {
 		a.msg = m
-		if c.spect != nil {
-			if s := c.standing.Load(); s != nil {
-				a.under = s.version + 1
+		if c.inspector != nil {
+			if s := c.mandate.Load(); s != nil {
+				a.seenUnderPolicy = s.version + 1
 			}
-			a.ruling = c.spect.OnArrival(front, &a.msg)
+			a.ruling = c.inspector.OnArrival(front, &a.msg)
 		}
 		select {
 		case c.queue <- a:
 		default: // the queue is full: the relay can't keep up
-			return Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry}
+			return Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
 		}
 		// It may have passed the check above right before a change stopped the relay: it waits for that like those after it.
-		if r := <-a.reply; !r.halted || time.Since(a.at) > haltWait || !c.admitted() {
+		if r := <-a.reply; !r.halted || time.Since(a.submittedAt) > haltTimeout || !c.admitted() {
 			return r
 		}
 	}
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -57,16 +57,16 @@
 }
 func (f *fakeFront) NotifiesDeliveries() bool { return f.tells }
 
-// rig is a core whose turns and clock the test drives.
-type rig struct {
+// harness is a core whose turns and clock the test drives.
+type harness struct {
 	t     *testing.T
-	c     *Core
+	core  *Core
 	front *fakeFront
 	now   time.Time
 	dir   string
 }
 
-func newRig(t *testing.T, dir string, now time.Time, before ...func(*Core)) *rig {
+func newHarness(t *testing.T, dir string, now time.Time, before ...func(*Core)) *harness {
 	t.Helper()
 	cfg, err := config.Parse([]byte(settings), func(string) string { return "" })
 	if err != nil {
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: now, dir: dir, front: &fakeFront{steps: make(chan *Attempt, 9),
+	r := &harness{t: t, core: c, now: now, dir: dir, front: &fakeFront{steps: make(chan *Attempt, 9),
 		answers: make(chan []Outcome, 9), notices: make(chan []Notice, 9), taken: make(chan bool, 9),
 		watches: make(chan int64, 9)}}
 	c.AddFront("platform", r.front, EndpointList{Destinations: []Destination{
@@ -93,22 +93,22 @@
 }
 
 // hand makes the arrival of a message.
-func (r *rig) hand(id string, class, partner int, left time.Duration) (arrival, chan Reply) {
+func (r *harness) arrival(id string, class, partner int, left time.Duration) (arrival, chan Reply) {
 	reply := make(chan Reply, 1)
 	return arrival{front: "platform", msg: Message{ID: id, Key: "k", Class: class, Partner: partner, Deadline: r.now.Add(left),
-		Body: []byte("body")}, at: r.now, reply: reply}, reply
+		Body: []byte("body")}, submittedAt: r.now, reply: reply}, reply
 }
 
-// after lets d pass and takes the turn.
-func (r *rig) after(d time.Duration, events ...event) {
+// turnAfter lets d pass and takes the turn.
+func (r *harness) turnAfter(d time.Duration, events ...event) {
 	r.now = r.now.Add(d)
-	r.c.Turn(r.now, events)
+	r.core.Turn(r.now, events)
 }
 
-// answered gives the call that is out its answer and takes the turn that learns of it.
-func (r *rig) answered(outs ...Outcome) {
+// answer gives the call that is out its answer and takes the turn that learns of it.
+func (r *harness) answer(outs ...Outcome) {
 	r.front.answers <- outs
-	r.after(5*time.Millisecond, <-r.c.queue)
+	r.turnAfter(5*time.Millisecond, <-r.core.queue)
 }
 
 func TestAnswerInTheTurn(t *testing.T) {
@@ -126,29 +126,29 @@
 		{"no such class", 9, time.Second, 0, Accepted}, // the front has checked it: the module just ignores it
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, t.TempDir(), time.Now())
-			a, reply := r.hand("m", c.class, 7, c.left)
-			r.after(c.late, a)
+			r := newHarness(t, t.TempDir(), time.Now())
+			a, reply := r.arrival("m", c.class, 7, c.left)
+			r.turnAfter(c.late, a)
 			got := <-reply
 			if got.Verdict != c.want || got.Verdict == Busy && got.RetryAfter <= 0 {
 				t.Errorf("got %+v, want verdict %d, and with a refusal when to come again", got, c.want)
 			}
-			if held := len(r.c.msgs) == 1; held != (c.want == Accepted) {
+			if held := len(r.core.messages) == 1; held != (c.want == Accepted) {
 				t.Errorf("held: %v", held)
 			}
 		})
 	}
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	for i := range 5 {
-		a, reply := r.hand(fmt.Sprint(i), 1, 7, time.Second)
-		r.after(0, a)
-		if <-reply; len(r.c.msgs)-r.c.owed > 4 {
-			t.Errorf("%d messages are held, 4 at most", len(r.c.msgs)-r.c.owed)
+		a, reply := r.arrival(fmt.Sprint(i), 1, 7, time.Second)
+		r.turnAfter(0, a)
+		if <-reply; len(r.core.messages)-r.core.outstanding > 4 {
+			t.Errorf("%d messages are held, 4 at most", len(r.core.messages)-r.core.outstanding)
 		}
 	}
-	a, reply := r.hand("0", 1, 7, time.Second)
-	r.c.msgs = map[uint64]*message{}
-	if r.after(0, a); (<-reply).Verdict != Accepted || len(r.c.msgs) != 0 {
+	a, reply := r.arrival("0", 1, 7, time.Second)
+	r.core.messages = map[uint64]*message{}
+	if r.turnAfter(0, a); (<-reply).Verdict != Accepted || len(r.core.messages) != 0 {
 		t.Error("a message that is held already is taken on again")
 	}
 }
@@ -156,9 +156,9 @@
 // TestJournalFirst guards against a kill right after the answer or the first byte of a call: the journal
 // must hold both by then.
 func TestJournalFirst(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	a, reply := r.hand("m", 0, 7, time.Second)
-	r.after(0, a)
+	r := newHarness(t, t.TempDir(), time.Now())
+	a, reply := r.arrival("m", 0, 7, time.Second)
+	r.turnAfter(0, a)
 	if got := <-reply; got.Verdict != Accepted {
 		t.Fatalf("got %+v", got)
 	}
@@ -231,7 +231,7 @@
 				}
 			}
 			_ = jour.Flush()
-			r := newRig(t, dir, now.Add(c.gap))
+			r := newHarness(t, dir, now.Add(c.gap))
 			if c.sent {
 				step := <-r.front.steps
 				if step.Items[0].attempt != c.attempts {
@@ -247,7 +247,7 @@
 					t.Errorf("notices (-want +got)\n%s", d)
 				}
 			}
-			if n := len(r.c.out); (n == 1) != c.sent {
+			if n := len(r.core.inFlight); (n == 1) != c.sent {
 				t.Errorf("%d calls are out", n)
 			}
 		})
@@ -257,143 +257,143 @@
 // TestTenantAndWeight: whose a message is and what the list says of a destination reach the module, the first also
 // after a restart.
 func TestTenantAndWeight(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	r.c.set.Weights = true
-	a, _ := r.hand("m", 0, 7, time.Minute)
+	r := newHarness(t, t.TempDir(), time.Now())
+	r.core.settings.Weights = true
+	a, _ := r.arrival("m", 0, 7, time.Minute)
 	a.msg.Tenant = 2
-	a.apply(r.c, r.now)
-	listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Index: 9, Destinations: []Destination{{Name: "s-1", Partner: 7, Weight: 4.5},
-		{Name: "s-2", Partner: 8, Weight: math.NaN()}}}}.apply(r.c, r.now)
-	if ev := r.c.in[0]; ev.Tenant != 2 {
+	a.apply(r.core, r.now)
+	listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Index: 9, Destinations: []Destination{{Name: "s-1", Partner: 7, Weight: 4.5},
+		{Name: "s-2", Partner: 8, Weight: math.NaN()}}}}.apply(r.core, r.now)
+	if ev := r.core.moduleEvents[0]; ev.Tenant != 2 {
 		t.Errorf("the module hears of tenant %d", ev.Tenant)
 	}
-	if eps := r.c.in[1].Endpoints; eps[0].Weight != 4.5 || eps[1].Weight != 0 {
+	if eps := r.core.moduleEvents[1].Endpoints; eps[0].Weight != 4.5 || eps[1].Weight != 0 {
 		t.Errorf("weights %v and %v", eps[0].Weight, eps[1].Weight)
 	}
-	r.after(time.Millisecond)
-	r = newRig(t, r.dir, r.now)
-	for _, m := range r.c.msgs {
-		if ev := r.c.arrival(m); ev.Tenant != 2 {
+	r.turnAfter(time.Millisecond)
+	r = newHarness(t, r.dir, r.now)
+	for _, m := range r.core.messages {
+		if ev := r.core.arrival(m); ev.Tenant != 2 {
 			t.Errorf("after a restart the module hears of tenant %d", ev.Tenant)
 		}
 	}
-	if len(r.c.msgs) != 1 {
-		t.Errorf("%d messages after a restart", len(r.c.msgs))
+	if len(r.core.messages) != 1 {
+		t.Errorf("%d messages after a restart", len(r.core.messages))
 	}
 }
 
 // TestBulk: sends of one turn to one destination share a call, as in the simulator, and each item fares as
 // its own answer says.
 func TestBulk(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	r.front.tells = true
 	var in []event
 	for _, id := range []string{"a", "b", "c", "d"} {
-		a, _ := r.hand(id, 1, 7, 20*time.Second)
+		a, _ := r.arrival(id, 1, 7, 20*time.Second)
 		in = append(in, a)
 	}
-	r.after(0, in...)
+	r.turnAfter(0, in...)
 	step := <-r.front.steps
 	if len(step.Items) != 3 {
 		t.Fatalf("%d messages in the call, want the 3 that its kind carries", len(step.Items))
 	}
-	if r.c.joins(&Attempt{To: step.To}, &message{e: &journal.Entry{Body: make([]byte, 60<<10)}}) {
+	if r.core.joins(&Attempt{To: step.To}, &message{entry: &journal.Entry{Body: make([]byte, 60<<10)}}) {
 		t.Error("a message joins a call that in Base64 would outgrow a body")
 	}
 	r.front.taken <- true
-	r.answered(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
+	r.answer(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
 		Outcome{Result: control.Throttled, RetryAfter: 10 * time.Second})
 	if got := <-r.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
 		t.Errorf("notices %+v, want one of the delivery", got)
 	}
-	if r.c.byID["platform "+step.Items[1].ID] != nil || r.c.byID["platform "+step.Items[2].ID] == nil {
+	if r.core.messagesByID["platform "+step.Items[1].ID] != nil || r.core.messagesByID["platform "+step.Items[2].ID] == nil {
 		t.Error("want the message that is over forgotten and the one turned away held")
 	}
 }
 
 // TestEnds follows messages that are not delivered to their one notice, which is owed until it is taken.
 func TestEnds(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	a, _ := r.hand("m", 0, 8, 2*time.Second)
-	r.after(0, a)
+	r := newHarness(t, t.TempDir(), time.Now())
+	a, _ := r.arrival("m", 0, 8, 2*time.Second)
+	r.turnAfter(0, a)
 	<-r.front.steps
 	r.front.taken <- false // discovery is down
-	r.answered(Outcome{Result: control.Rejected})
+	r.answer(Outcome{Result: control.Rejected})
 	if got := <-r.front.notices; len(got) != 1 || got[0].HandedBack {
 		t.Errorf("notices %+v, want one that m was given up", got)
 	}
-	r.after(0, <-r.c.queue)
+	r.turnAfter(0, <-r.core.queue)
 	if len(r.front.notices) != 0 {
 		t.Error("the notice is sent again at once")
 	}
 	r.front.taken <- true
-	r.after(r.c.lim.NoticeRetry)
+	r.turnAfter(r.core.limits.NoticeRetry)
 	if got := <-r.front.notices; len(got) != 1 || got[0].ID != "m" {
 		t.Errorf("notices %+v, want that of m again", got)
 	}
-	r.after(0, <-r.c.queue)
-	if len(r.c.jour.Entries()) != 0 || len(r.c.msgs) != 0 || r.c.owed != 0 {
+	r.turnAfter(0, <-r.core.queue)
+	if len(r.core.journal.Entries()) != 0 || len(r.core.messages) != 0 || r.core.outstanding != 0 {
 		t.Error("a message whose notice was taken is still held")
 	}
 }
 
 // TestWithdrawn: a client that never heard its answer hands the message in elsewhere, so this copy must stop.
 func TestWithdrawn(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	a, _ := r.hand("m", 0, 8, 2*time.Second)
-	r.after(0, a)
+	r := newHarness(t, t.TempDir(), time.Now())
+	a, _ := r.arrival("m", 0, 8, 2*time.Second)
+	r.turnAfter(0, a)
 	step := <-r.front.steps
-	r.after(0, withdrawn{1})
-	r.answered(Outcome{Result: control.Cancelled})
-	if len(r.c.msgs) != 0 || len(r.front.steps) != 0 || step.cancel == nil || len(r.c.jour.Entries()) != 0 {
+	r.turnAfter(0, withdrawn{1})
+	r.answer(Outcome{Result: control.Cancelled})
+	if len(r.core.messages) != 0 || len(r.front.steps) != 0 || step.cancel == nil || len(r.core.journal.Entries()) != 0 {
 		t.Error("it is still held, or sent again")
 	}
 }
 
 // TestPoolConfig: a whole list of one front must not take the other front's destinations away.
 func TestPoolConfig(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	r.c.AddFront("other", r.front, EndpointList{Destinations: []Destination{{Name: "s-1", Partner: 7}}})
-	r.after(0, listChanged{r.c.order[1], r.c.order[1].toldBy, EndpointList{Complete: true}})
-	a, _ := r.hand("m", 1, 8, time.Second)
-	if r.after(0, a); (<-r.front.steps).To.Name != "s-2" {
+	r := newHarness(t, t.TempDir(), time.Now())
+	r.core.AddFront("other", r.front, EndpointList{Destinations: []Destination{{Name: "s-1", Partner: 7}}})
+	r.turnAfter(0, listChanged{r.core.frontsInOrder[1], r.core.frontsInOrder[1].listReportedBy, EndpointList{Complete: true}})
+	a, _ := r.arrival("m", 1, 8, time.Second)
+	if r.turnAfter(0, a); (<-r.front.steps).To.Name != "s-2" {
 		t.Error("the first front's destination is gone")
 	}
 }
 
 // TestDrain: after SIGTERM new work is refused, and what is held goes on.
 func TestDrain(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	first, _ := r.hand("m", 1, 8, 20*time.Second)
-	r.after(0, first)
-	r.c.Drain()
-	if got := r.c.Submit("platform", Message{}); got.Verdict != Busy {
+	r := newHarness(t, t.TempDir(), time.Now())
+	first, _ := r.arrival("m", 1, 8, 20*time.Second)
+	r.turnAfter(0, first)
+	r.core.Drain()
+	if got := r.core.Submit("platform", Message{}); got.Verdict != Busy {
 		t.Errorf("got %+v", got)
 	}
-	second, reply := r.hand("n", 1, 8, time.Second)
-	r.after(0, <-r.c.queue, second)
+	second, reply := r.arrival("n", 1, 8, time.Second)
+	r.turnAfter(0, <-r.core.queue, second)
 	if got := <-reply; got.Verdict != Busy {
 		t.Errorf("got %+v", got)
 	}
 	ended := make(chan struct{})
-	go func() { r.c.Run(); close(ended) }()
+	go func() { r.core.Run(); close(ended) }()
 	select {
-	case <-r.c.Drained():
+	case <-r.core.Drained():
 		t.Error("it has drained while a call is out")
 	default:
 	}
 	r.front.answers <- []Outcome{{Result: control.Delivered}}
-	<-r.c.Drained()
+	<-r.core.Drained()
 	for range 2 { // whoever passed Submit's check before Drain is answered until Stop, and in the very last turn
-		late, reply := r.hand("o", 1, 8, time.Second)
-		if r.c.queue <- late; (<-reply).Verdict != Busy {
+		late, reply := r.arrival("o", 1, 8, time.Second)
+		if r.core.queue <- late; (<-reply).Verdict != Busy {
 			t.Error("a message that came after the relay had drained is not refused")
 		}
 	}
-	late, reply := r.hand("p", 1, 8, time.Second)
-	r.c.queue <- late
-	r.c.Stop()
-	if <-ended; (<-reply).Verdict != Busy || len(r.c.jour.Entries()) != 0 {
+	late, reply := r.arrival("p", 1, 8, time.Second)
+	r.core.queue <- late
+	r.core.Stop()
+	if <-ended; (<-reply).Verdict != Busy || len(r.core.journal.Entries()) != 0 {
 		t.Error("a message that came before the last turn is not refused, or one that was over is left")
 	}
 }
@@ -401,24 +401,24 @@
 // TestMoved guards against a reload that leaves the watch or the notices with the old discovery, which takes
 // no new connection, and against one that asks for what has been told already or forgets what has not.
 func TestMoved(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	if got := <-r.front.watches; got != 0 {
 		t.Errorf("the first watch goes on after %d", got)
 	}
-	r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Index: 43}})
-	a, _ := r.hand("m", 0, 8, 2*time.Second)
-	r.after(0, a)
+	r.turnAfter(0, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Index: 43}})
+	a, _ := r.arrival("m", 0, 8, 2*time.Second)
+	r.turnAfter(0, a)
 	<-r.front.steps
-	r.answered(Outcome{Result: control.Rejected})
+	r.answer(Outcome{Result: control.Rejected})
 	<-r.front.notices // goes to the old discovery, and gets no answer there
-	call := r.c.order[0].unsend
-	r.after(0, moved{"platform"}, moved{"nobody"})
+	call := r.core.frontsInOrder[0].cancelNotify
+	r.turnAfter(0, moved{"platform"}, moved{"nobody"})
 	if got := <-r.front.watches; got != 43 {
 		t.Errorf("the new watch goes on after %d, want 43", got)
 	}
 	r.front.taken <- false
 	for range 2 { // that call's end, and the old watch's
-		r.after(0, <-r.c.queue)
+		r.turnAfter(0, <-r.core.queue)
 	}
 	if got := <-r.front.notices; call == nil || len(got) != 1 || got[0].ID != "m" {
 		t.Errorf("notices %+v, want that of m again, at once", got)
@@ -431,26 +431,26 @@
 // TestHeldID: a second request with the id of a message that is held owns nothing of it. When its answer is lost,
 // the first client's message goes on.
 func TestHeldID(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	a, first := r.hand("m", 1, 8, 2*time.Second)
-	r.after(0, a)
-	b, second := r.hand("m", 1, 8, 2*time.Second)
-	r.after(0, b)
+	r := newHarness(t, t.TempDir(), time.Now())
+	a, first := r.arrival("m", 1, 8, 2*time.Second)
+	r.turnAfter(0, a)
+	b, second := r.arrival("m", 1, 8, 2*time.Second)
+	r.turnAfter(0, b)
 	if got := <-second; got.Verdict != Accepted {
 		t.Fatalf("got %+v", got)
-	} else if r.c.Withdraw(got); len(r.c.queue) != 0 {
+	} else if r.core.Withdraw(got); len(r.core.queue) != 0 {
 		t.Error("the second client withdraws the first one's message")
 	}
-	if r.c.Withdraw(<-first); len(r.c.queue) != 1 {
+	if r.core.Withdraw(<-first); len(r.core.queue) != 1 {
 		t.Error("the first client can't withdraw its message")
 	}
 }
 
 // TestNoDestination: a message for a partner that no endpoint list names is refused, not held until its time is up.
 func TestNoDestination(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	a, reply := r.hand("m", 1, 9, 2*time.Second)
-	if r.after(0, a); (<-reply).Verdict != Busy || len(r.c.msgs) != 0 {
+	r := newHarness(t, t.TempDir(), time.Now())
+	a, reply := r.arrival("m", 1, 9, 2*time.Second)
+	if r.turnAfter(0, a); (<-reply).Verdict != Busy || len(r.core.messages) != 0 {
 		t.Error("it is taken on")
 	}
 }
@@ -458,27 +458,27 @@
 // TestRecall guards against a call whose connection comes up only after its destination has told to wait, or
 // drains: nothing of it may be written any more.
 func TestRecall(t *testing.T) {
-	for name, happens := range map[string]func(r *rig, out, on *Attempt){
-		"a wait is told": func(r *rig, out, on *Attempt) {
-			r.after(0, stepEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
+	for name, happens := range map[string]func(r *harness, out, on *Attempt){
+		"a wait is told": func(r *harness, out, on *Attempt) {
+			r.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
-		"it drains": func(r *rig, _, on *Attempt) {
-			r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Destinations: []Destination{
+		"it drains": func(r *harness, _, on *Attempt) {
+			r.turnAfter(0, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Destinations: []Destination{
 				{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, t.TempDir(), time.Now())
+			r := newHarness(t, t.TempDir(), time.Now())
 			var steps []*Attempt
 			for _, id := range []string{"a", "b"} {
-				a, _ := r.hand(id, 1, 7, 20*time.Second)
-				r.after(5*time.Millisecond, a)
+				a, _ := r.arrival(id, 1, 7, 20*time.Second)
+				r.turnAfter(5*time.Millisecond, a)
 				steps = append(steps, <-r.front.steps)
 			}
 			if !steps[0].MayWrite() {
 				t.Fatal("the first call may not be written")
 			}
-			if happens(r, steps[0], steps[1]); steps[1].MayWrite() || steps[0].begun.Load() != 1 {
+			if happens(r, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != 1 {
 				t.Error("want the second call alone called back")
 			}
 		})
@@ -491,23 +491,23 @@
 // TestForget guards against tables that grow for as long as the relay runs: a destination that has left the list
 // is forgotten once nothing of it can be unfinished, and its number is not given to another.
 func TestForget(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	for i := range 50 {
 		gone := Destination{Name: fmt.Sprint("old-", i), Zone: "a", Kind: "news-groups", Partner: 7}
-		r.after(time.Second, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Index: int64(2 * i), Destinations: []Destination{gone}}})
+		r.turnAfter(time.Second, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Index: int64(2 * i), Destinations: []Destination{gone}}})
 		gone.State = control.Removed
-		r.after(time.Second, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Index: int64(2*i + 1), Destinations: []Destination{gone}}})
-		r.c.forgetGone(r.now)
+		r.turnAfter(time.Second, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Index: int64(2*i + 1), Destinations: []Destination{gone}}})
+		r.core.forgetRemoved(r.now)
 	}
-	if n, names, list := len(r.c.dests), len(r.c.names), len(r.c.order[0].list); n > 20 || names != n || list != n {
+	if n, names, list := len(r.core.destinations), len(r.core.destinationNumbers), len(r.core.frontsInOrder[0].listed); n > 20 || names != n || list != n {
 		t.Errorf("%d destinations, %d names and %d in the list, want those of the last 25 s", n, names, list)
 	}
-	if r.c.names["platform s-1"] != 1 || r.c.number(r.c.order[0], "new") <= 50 {
+	if r.core.destinationNumbers["platform s-1"] != 1 || r.core.destinationNumber(r.core.frontsInOrder[0], "new") <= 50 {
 		t.Error("the one still listed is gone, or a number is used again")
 	}
-	r.after(0, listChanged{r.c.order[0], r.c.order[0].toldBy, EndpointList{Complete: true, Index: 999}})
-	r.c.forgetGone(r.now.Add(time.Minute))
-	if len(r.c.dests) != 0 || r.c.serves(r.c.order[0], 7) {
-		t.Errorf("%d destinations stay though the whole list is empty", len(r.c.dests))
+	r.turnAfter(0, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Complete: true, Index: 999}})
+	r.core.forgetRemoved(r.now.Add(time.Minute))
+	if len(r.core.destinations) != 0 || r.core.serves(r.core.frontsInOrder[0], 7) {
+		t.Errorf("%d destinations stay though the whole list is empty", len(r.core.destinations))
 	}
 }
--- a/internal/relay/engine/count.go
+++ b/internal/relay/engine/count.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// counts are what a core has counted since its start, by class, tenant and partner. There is nothing in them that a journal holds:
+// counters are what a core has counted since its start, by class, tenant and partner. There is nothing in them that a journal holds:
 // what was taken on before a restart was counted then, its end is counted where it comes about.
-type counts map[string]uint64
+type counters map[string]uint64
 
 // MaxCountedPartners bounds the partners that are counted apart, by number; those beyond count together.
 const MaxCountedPartners = 10
@@ -20,18 +20,18 @@
 var CounterNames = []string{countTaken, countRefused, countRepeats, "delivered", "handed_back", "given_up", "withdrawn"}
 
 func (c *Core) count(class, tenant, partner int, what string) {
-	if c.counts == nil {
+	if c.counters == nil {
 		return
 	}
-	if class >= 0 && class < len(c.set.Classes) {
-		c.counts["class "+c.set.Classes[class].Name+" "+what]++
+	if class >= 0 && class < len(c.settings.Classes) {
+		c.counters["class "+c.settings.Classes[class].Name+" "+what]++
 	}
-	if tenant >= 0 && tenant < len(c.set.TenantNames) {
-		c.counts["tenant "+c.set.TenantNames[tenant]+" "+what]++
+	if tenant >= 0 && tenant < len(c.settings.TenantNames) {
+		c.counters["tenant "+c.settings.TenantNames[tenant]+" "+what]++
 	}
 	name := "others"
 	if partner >= 0 && partner < MaxCountedPartners {
 		name = strconv.Itoa(partner)
 	}
-	c.counts["partner "+name+" "+what]++
+	c.counters["partner "+name+" "+what]++
 }
--- a/internal/relay/engine/events.go
+++ b/internal/relay/engine/events.go
@@ -13,59 +13,59 @@
 )
 
 type arrival struct {
-	front  string
-	msg    Message
-	at     time.Time
-	reply  chan Reply
-	ruling Ruling
-	under  uint64 // one more than the version of the policy under which plug-ins have seen it; 0: none has
+	front           string
+	msg             Message
+	submittedAt     time.Time
+	reply           chan Reply
+	ruling          Ruling
+	seenUnderPolicy uint64 // one more than the version of the policy under which plug-ins have seen it; 0: none has
 }
 
 // stale tells whether plug-ins have seen a message under another policy than is in force now: it is theirs to see again.
 func (a *arrival) stale(c *Core) bool {
-	return a.under != 0 && c.gov != nil && a.under != c.gov.Version+1
+	return a.seenUnderPolicy != 0 && c.governor != nil && a.seenUnderPolicy != c.governor.Version+1
 }
 
 func (a arrival) apply(c *Core, now time.Time) {
 	f, m := c.fronts[a.front], &a.msg
 	// Past AnswerWithin the client is about to leave, and would hand it in again beside this one.
-	c.handed++
-	busy := Reply{Verdict: Busy, RetryAfter: c.lim.BusyRetry, halted: c.gov != nil && c.gov.Halted != 0 || a.stale(c)}
+	c.submitted++
+	busy := Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry, halted: c.governor != nil && c.governor.Halted != 0 || a.stale(c)}
 	// It is held already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
-	if v, again := c.before(a.front, m.ID); again {
-		c.tellClient(a.reply, c.handed, Reply{Verdict: v, RetryAfter: c.lim.BusyRetry})
+	if v, again := c.earlierVerdict(a.front, m.ID); again {
+		c.replyTo(a.reply, c.submitted, Reply{Verdict: v, RetryAfter: c.limits.BusyRetry})
 		return
 	}
-	if f == nil || !c.drainAt.IsZero() || now.Sub(a.at) > c.lim.AnswerWithin || !c.mayAct(now) || c.gov != nil && c.gov.Closed || a.stale(c) {
+	if f == nil || !c.drainAt.IsZero() || now.Sub(a.submittedAt) > c.limits.AnswerWithin || !c.mayAct(now) || c.governor != nil && c.governor.Closed || a.stale(c) {
 		c.count(m.Class, m.Tenant, m.Partner, countRefused)
-		c.tellClient(a.reply, c.handed, busy)
+		c.replyTo(a.reply, c.submitted, busy)
 		return
 	}
 	if a.ruling.Verdict != Accepted {
-		c.tellClient(a.reply, c.handed, Reply{Verdict: a.ruling.Verdict, RetryAfter: c.lim.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
+		c.replyTo(a.reply, c.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: c.limits.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
 		return
 	}
-	if c.set.MaxOpen > 0 && len(c.msgs)-c.owed >= c.set.MaxOpen || !c.serves(f, m.Partner) || c.shut(m.Partner) {
+	if c.settings.MaxOpen > 0 && len(c.messages)-c.outstanding >= c.settings.MaxOpen || !c.serves(f, m.Partner) || c.isShut(m.Partner) {
 		c.count(m.Class, m.Tenant, m.Partner, countRefused)
-		c.tellClient(a.reply, c.handed, busy)
+		c.replyTo(a.reply, c.submitted, busy)
 		return
 	}
 	msg := c.add(f, &journal.Entry{ID: m.ID, Key: m.Key, Front: a.front, Destination: m.Partner, Class: m.Class,
 		Tenant: m.Tenant, Deadline: m.Deadline, Resubmitted: m.Resubmitted, Body: bytes.Clone(m.Body), Headers: m.ExtraHeaders, MayHaveRun: !m.MayHaveRunAt.IsZero(), MayHaveRunAt: m.MayHaveRunAt})
-	c.mark(msg.e)
-	msg.reply, msg.hand = a.reply, c.handed
-	c.arrived = append(c.arrived, msg)
-	c.in = append(c.in, c.arrival(msg))
+	c.stampPolicy(msg.entry)
+	msg.reply, msg.submission = a.reply, c.submitted
+	c.arrivals = append(c.arrivals, msg)
+	c.moduleEvents = append(c.moduleEvents, c.arrival(msg))
 }
 
 type withdrawn struct{ ref uint64 }
 
 func (w withdrawn) apply(c *Core, now time.Time) {
-	m := c.msgs[w.ref]
-	if m == nil || m.e.NoticePending {
+	m := c.messages[w.ref]
+	if m == nil || m.entry.NoticePending {
 		return
 	}
-	if v, ok := c.afterWithdrawal(m.e); ok {
+	if v, ok := c.afterWithdrawal(m.entry); ok {
 		c.remember(m, v, now)
 	}
 	c.withdraw(m)
@@ -73,13 +73,13 @@
 
 // withdraw forgets a message whose client does not count on it, and calls off what is out.
 func (c *Core) withdraw(m *message) {
-	c.in = append(c.in, control.Event{Kind: control.Withdrawn, ID: m.ref})
-	c.jour.End(m.e)
-	if s := m.step; s != nil && len(s.Items) == 1 { // the module can't: the message is no longer there when it decides
-		if s.recall(); c.set.Cancel {
+	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Withdrawn, ID: m.ref})
+	c.journal.End(m.entry)
+	if s := m.attempt; s != nil && len(s.Items) == 1 { // the module can't: the message is no longer there when it decides
+		if s.recall(); c.settings.Cancel {
 			s.cancel()
 		}
-		c.did(capture.Action{Kind: capture.Called, No: s.no})
+		c.recordAction(capture.Action{Kind: capture.AttemptCanceled, Number: s.number})
 	}
 	c.finish(m, "withdrawn")
 }
@@ -94,17 +94,17 @@
 	if f == nil {
 		return
 	}
-	if f.unwatch != nil {
-		f.unwatch()
-		f.unwatch = nil // what it still reports of its end is out of date
+	if f.stopWatch != nil {
+		f.stopWatch()
+		f.stopWatch = nil // what it still reports of its end is out of date
 	}
 	c.watchAt = now
-	c.note(now, "discovery of "+v.front+" has moved")
-	if f.unsend != nil {
-		f.unsend() // comes back as not taken
-		f.away = true
+	c.recordNote(now, "discovery of "+v.front+" has moved")
+	if f.cancelNotify != nil {
+		f.cancelNotify() // comes back as not taken
+		f.movedMeanwhile = true
 	}
-	f.retryAt, f.gap = now, 0
+	f.retryAt, f.backoff = now, 0
 }
 
 type drain struct{}
@@ -114,45 +114,45 @@
 		return
 	}
 	c.drainAt = now
-	c.note(now, "the relay drains")
+	c.recordNote(now, "the relay drains")
 }
 
 type stop struct{}
 
 func (stop) apply(c *Core, _ time.Time) { c.stopped = true }
 
-type stepEnded struct {
-	step     *Attempt
+type attemptEnded struct {
+	attempt  *Attempt
 	outcomes []Outcome
 }
 
-func (s stepEnded) apply(c *Core, now time.Time) {
-	s.step.cancel()
-	delete(c.out, s.step.no)
-	for i, it := range s.step.Items {
+func (s attemptEnded) apply(c *Core, now time.Time) {
+	s.attempt.cancel()
+	delete(c.inFlight, s.attempt.number)
+	for i, it := range s.attempt.Items {
 		o := s.outcomes[i]
-		m := c.msgs[it.ref]
-		c.log.Debug("route step ended", "id", it.ID, "attempt", it.attempt, "destination", s.step.To.Name,
+		m := c.messages[it.ref]
+		c.log.Debug("route step ended", "id", it.ID, "attempt", it.attempt, "destination", s.attempt.To.Name,
 			"result", o.Result, "wait", o.RetryAfter, "over", o.Final,
 			"share", o.Share, "limit", o.Limit)
-		if m != nil && m.step == s.step {
-			m.step = nil
+		if m != nil && m.attempt == s.attempt {
+			m.attempt = nil
 		}
-		c.in = append(c.in, control.Event{Kind: control.Resolved, ID: it.ref, Attempt: it.attempt,
-			Endpoint: s.step.To.no, Result: o.Result, Final: o.Final, RetryAfter: o.RetryAfter,
+		c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: it.ref, Attempt: it.attempt,
+			Endpoint: s.attempt.To.number, Result: o.Result, Final: o.Final, RetryAfter: o.RetryAfter,
 			Reported: o.Reported, Remaining: o.Share, Limit: o.Limit})
 		switch {
-		case m == nil || m.e.NoticePending: // ended before
+		case m == nil || m.entry.NoticePending: // ended before
 		case o.Result == control.Delivered && m.front.Front.NotifiesDeliveries():
-			c.owe(m, journal.Notice{Delivered: true})
-			c.jour.EndWithNotice(m.e, m.e.Notice)
-			c.tell(m, "delivered")
+			c.addOutstanding(m, journal.Notice{Delivered: true})
+			c.journal.EndWithNotice(m.entry, m.entry.Notice)
+			c.notifyEnd(m, "delivered")
 		case o.Result == control.Delivered || o.Final:
-			c.jour.End(m.e)
+			c.journal.End(m.entry)
 			c.remember(m, Accepted, now)
 			c.finish(m, "delivered")
 		default:
-			c.jour.EndAttempt(m.e, o.Result.NeverRan())
+			c.journal.EndAttempt(m.entry, o.Result.NeverRan())
 		}
 	}
 }
@@ -160,107 +160,107 @@
 // listChanged is what a watch tells of the endpoint list; no is that watch's, 0 that of none.
 type listChanged struct {
 	front *frontState
-	no    int
+	watch int
 	EndpointList
 }
 
 func (p listChanged) apply(c *Core, now time.Time) {
 	// What a watch tells after one that was begun later has spoken is older, also where it is a whole list; until then it counts:
 	// the relay has been told. A change of an older version adds nothing to what is known.
-	if p.no < p.front.toldBy || !p.Complete && p.Index < p.front.index {
+	if p.watch < p.front.listReportedBy || !p.Complete && p.Index < p.front.listIndex {
 		return
 	}
-	p.front.index, p.front.toldBy = p.Index, p.no
+	p.front.listIndex, p.front.listReportedBy = p.Index, p.watch
 	ev := control.Event{Kind: control.Listed, Complete: p.Complete}
 	if p.Complete {
-		for _, n := range p.front.list { // unless it is named again below
-			if d := c.dests[n]; d.goneAt.IsZero() {
-				d.goneAt = now
+		for _, n := range p.front.listed { // unless it is named again below
+			if d := c.destinations[n]; d.removedAt.IsZero() {
+				d.removedAt = now
 			}
 		}
-		p.front.list = map[string]uint32{}
-		for _, f := range c.order { // a whole list is one front's; the others' stand
-			for _, n := range slices.Sorted(maps.Values(f.list)) { // the module learns them in this order
-				ev.Endpoints = append(ev.Endpoints, c.listed(n, c.dests[n]))
+		p.front.listed = map[string]uint32{}
+		for _, f := range c.frontsInOrder { // a whole list is one front's; the others' stand
+			for _, n := range slices.Sorted(maps.Values(f.listed)) { // the module learns them in this order
+				ev.Endpoints = append(ev.Endpoints, c.moduleEndpoint(n, c.destinations[n]))
 			}
 		}
 	}
 	for _, d := range p.Destinations {
-		n := c.number(p.front, d.Name)
-		d.front, d.no = p.front, n
+		n := c.destinationNumber(p.front, d.Name)
+		d.front, d.number = p.front, n
 		if d.State == control.Removed {
-			d.goneAt = now
+			d.removedAt = now
 		}
 		if d.State != control.Ready { // it gets nothing new, and another may come to stand at its address
-			c.retire(&d)
+			c.closeIdle(&d)
 		}
-		c.dests[n], p.front.list[d.Name] = &d, n
-		ev.Endpoints = append(ev.Endpoints, c.listed(n, &d))
+		c.destinations[n], p.front.listed[d.Name] = &d, n
+		ev.Endpoints = append(ev.Endpoints, c.moduleEndpoint(n, &d))
 	}
-	c.in = append(c.in, ev)
+	c.moduleEvents = append(c.moduleEvents, ev)
 }
 
-func (c *Core) listed(n uint32, d *Destination) control.Endpoint {
+func (c *Core) moduleEndpoint(n uint32, d *Destination) control.Endpoint {
 	state := d.State
-	if state == control.Ready && c.shut(d.Partner) {
+	if state == control.Ready && c.isShut(d.Partner) {
 		state = control.Draining // it gets nothing new
 	}
-	return control.Endpoint{ID: n, Zone: slices.Index(c.set.Zones, d.Zone), Kind: slices.Index(c.set.KindNames, d.Kind),
-		Destination: d.front.no<<20 + d.Partner, State: state, Weight: c.set.Weight(d.Weight), MaxRate: c.gov.MostTo(d.Partner)}
+	return control.Endpoint{ID: n, Zone: slices.Index(c.settings.Zones, d.Zone), Kind: slices.Index(c.settings.KindNames, d.Kind),
+		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.governor.MostTo(d.Partner)}
 }
 
 type watchEnded struct {
 	front *frontState
-	no    int
+	watch int
 	err   error
 }
 
 func (w watchEnded) apply(c *Core, now time.Time) {
-	if w.no != w.front.watchNo || w.front.unwatch == nil {
+	if w.watch != w.front.lastWatch || w.front.stopWatch == nil {
 		return // it was ended here, for another
 	}
-	w.front.unwatch()
-	w.front.unwatch = nil
+	w.front.stopWatch()
+	w.front.stopWatch = nil
 	c.log.Info("the endpoint list's watch is lost", "error", w.err)
-	told := w.front.toldBy == w.no // it had come up: discovery may be there
+	told := w.front.listReportedBy == w.watch // it had come up: discovery may be there
 	switch {
 	case told && errors.Is(w.err, ErrWatchTimeout):
 		// Discovery is there and all watches have fallen silent together: what they miss counts as told soon, so each opens its
 		// own anew by itself, in a moment of its own.
-		c.watchAt = now.Add(c.lim.WatchSpread * time.Duration(c.set.Index) / time.Duration(max(c.set.Peers, 1)))
-	case c.set.MustSubscribe:
-		c.in = append(c.in, control.Event{Kind: control.ListFailed}) // the module says when to ask again
+		c.watchAt = now.Add(c.limits.WatchSpread * time.Duration(c.settings.Index) / time.Duration(max(c.settings.Peers, 1)))
+	case c.settings.MustSubscribe:
+		c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed}) // the module says when to ask again
 	case told:
 		c.watchAt = now // what the agent has counts as told at once
 	default:
-		c.watchAt = now.Add(c.lim.WatchRetry)
+		c.watchAt = now.Add(c.limits.WatchRetry)
 	}
 }
 
 type notified struct {
-	front *frontState
-	taken []bool
+	front    *frontState
+	accepted []bool
 }
 
 func (n notified) apply(c *Core, now time.Time) {
-	sent, moved := n.front.sending, n.front.away // then the next goes elsewhere, and at once
-	n.front.unsend()
-	n.front.unsend, n.front.sending, n.front.away = nil, nil, false
-	if moved || !slices.Contains(n.taken, false) {
-		n.front.gap = 0
+	sent, moved := n.front.sending, n.front.movedMeanwhile // then the next goes elsewhere, and at once
+	n.front.cancelNotify()
+	n.front.cancelNotify, n.front.sending, n.front.movedMeanwhile = nil, nil, false
+	if moved || !slices.Contains(n.accepted, false) {
+		n.front.backoff = 0
 	} else { // twice as long each time in a row
-		n.front.gap = min(max(2*n.front.gap, c.lim.NoticeRetry), c.lim.NoticeRetryMost)
-		n.front.retryAt = now.Add(n.front.gap)
+		n.front.backoff = min(max(2*n.front.backoff, c.limits.NoticeRetry), c.limits.NoticeRetryMax)
+		n.front.retryAt = now.Add(n.front.backoff)
 	}
 	for i, notice := range sent {
-		if m := c.msgs[notice.ref]; !n.taken[i] {
-			n.front.owed = append(n.front.owed, notice)
+		if m := c.messages[notice.ref]; !n.accepted[i] {
+			n.front.outstanding = append(n.front.outstanding, notice)
 		} else if m != nil {
-			c.owed--
-			c.jour.Ack(m.e)
-			c.remember(m, as(m.e.Notice), now)
+			c.outstanding--
+			c.journal.Ack(m.entry)
+			c.remember(m, verdictOf(m.entry.Notice), now)
 			c.drop(m)
-			c.didFinish(m)
+			c.recordFinish(m)
 		}
 	}
 }
--- a/internal/relay/engine/govern.go
+++ b/internal/relay/engine/govern.go
@@ -9,9 +9,9 @@
 	"mastusher/internal/relay/journal"
 )
 
-// haltWait is how long a message that is handed in while a change of policy takes hold waits for that: old stops before new
+// haltTimeout is how long a message that is handed in while a change of policy takes hold waits for that: old stops before new
 // starts, which takes some milliseconds where all relays are there.
-const haltWait = 100 * time.Millisecond
+const haltTimeout = 100 * time.Millisecond
 
 // Mandate is what the fleet lets this relay do; see capture.Mandate.
 type Mandate struct {
@@ -20,7 +20,7 @@
 }
 
 // standing is Mandate as the fronts' goroutines see it.
-type standing struct {
+type frontMandate struct {
 	until   time.Time
 	version uint64
 	halted  bool
@@ -30,8 +30,8 @@
 // Govern has the core act as the fleet lets it from the next turn on; until the first one it acts on nothing. done is called
 // after that turn: nothing that the stand forbids is begun from then on.
 func (c *Core) Govern(s Mandate, done func()) {
-	next := &standing{until: s.Until, version: s.Version, halted: s.Halted != 0, changed: make(chan struct{})}
-	if was := c.standing.Swap(next); was != nil {
+	next := &frontMandate{until: s.Until, version: s.Version, halted: s.Halted != 0, changed: make(chan struct{})}
+	if was := c.mandate.Swap(next); was != nil {
 		close(was.changed)
 	}
 	c.queue <- governed{s, done}
@@ -43,7 +43,7 @@
 }
 
 func (g governed) apply(c *Core, now time.Time) {
-	was := c.gov
+	was := c.governor
 	if was == nil {
 		was = &capture.Mandate{}
 	}
@@ -52,176 +52,176 @@
 	if !g.Mandate.Until.IsZero() {
 		s.Until = c.clock(g.Mandate.Until)
 	}
-	c.gov = &s
+	c.governor = &s
 	if s.Version != was.Version {
-		c.note(now, "another policy is in force")
+		c.recordNote(now, "another policy is in force")
 	}
 	if len(s.Worth) > 0 || len(s.Quotas) > 0 {
-		c.mod.Reconfigure(s.Worth, s.Quotas)
+		c.policy.Reconfigure(s.Worth, s.Quotas)
 	}
 	if !slices.Equal(s.Shut, was.Shut) || !slices.Equal(s.Most, was.Most) {
-		c.relist(was)
+		c.reportLimited(was)
 	}
 	if s.Halted != 0 && s.Halted != was.Halted {
-		for _, no := range c.outs() { // what has written nothing begins nothing under the policy before
-			c.out[no].recall()
+		for _, no := range c.inFlightNumbers() { // what has written nothing begins nothing under the policy before
+			c.inFlight[no].recall()
 		}
 	}
 	if g.done != nil {
-		c.tellers = append(c.tellers, g.done)
+		c.notifications = append(c.notifications, g.done)
 	}
 }
 
-// outs are the numbers of the steps that are out, in order.
-func (c *Core) outs() []uint64 {
-	all := make([]uint64, 0, len(c.out))
-	for no := range c.out {
+// inFlightNumbers are the numbers of the steps that are out, in order.
+func (c *Core) inFlightNumbers() []uint64 {
+	all := make([]uint64, 0, len(c.inFlight))
+	for no := range c.inFlight {
 		all = append(all, no)
 	}
 	slices.Sort(all)
 	return all
 }
 
-// relist tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
-func (c *Core) relist(was *capture.Mandate) {
+// reportLimited tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
+func (c *Core) reportLimited(was *capture.Mandate) {
 	ev := control.Event{Kind: control.Listed}
-	numbers := make([]uint32, 0, len(c.dests))
-	for n := range c.dests {
+	numbers := make([]uint32, 0, len(c.destinations))
+	for n := range c.destinations {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		if d := c.dests[n]; was.Shuts(d.Partner) != c.shut(d.Partner) || was.MostTo(d.Partner) != c.gov.MostTo(d.Partner) {
-			ev.Endpoints = append(ev.Endpoints, c.listed(n, d))
+		if d := c.destinations[n]; was.Shuts(d.Partner) != c.isShut(d.Partner) || was.MostTo(d.Partner) != c.governor.MostTo(d.Partner) {
+			ev.Endpoints = append(ev.Endpoints, c.moduleEndpoint(n, d))
 		}
 	}
 	if len(ev.Endpoints) == 0 {
 		return
 	}
-	c.in = append(c.in, ev)
-	for _, f := range c.order {
-		if f.unwatch == nil && c.set.MustSubscribe { // the module takes any word of the list for the end of its asking
-			c.in = append(c.in, control.Event{Kind: control.ListFailed})
+	c.moduleEvents = append(c.moduleEvents, ev)
+	for _, f := range c.frontsInOrder {
+		if f.stopWatch == nil && c.settings.MustSubscribe { // the module takes any word of the list for the end of its asking
+			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed})
 			break
 		}
 	}
 }
 
-func (c *Core) shut(partner int) bool { return c.gov.Shuts(partner) }
+func (c *Core) isShut(partner int) bool { return c.governor.Shuts(partner) }
 
 // mayAct tells whether the relay may take messages on and begin attempts.
 func (c *Core) mayAct(now time.Time) bool {
-	return c.gov == nil || c.gov.Halted == 0 && c.gov.Until != 0 && c.clock(now) < c.gov.Until
+	return c.governor == nil || c.governor.Halted == 0 && c.governor.Until != 0 && c.clock(now) < c.governor.Until
 }
 
-// allowed is how many attempts a message may have: the narrower of what was in force when it was taken on and now; 0: as
+// maxAttempts is how many attempts a message may have: the narrower of what was in force when it was taken on and now; 0: as
 // many as the settings permit.
-func (c *Core) allowed(e *journal.Entry) int {
+func (c *Core) maxAttempts(e *journal.Entry) int {
 	most := e.MaxAttempts
-	if c.gov != nil && e.Class < len(c.gov.Attempts) {
-		if n := c.gov.Attempts[e.Class]; n > 0 && (most == 0 || n < most) {
+	if c.governor != nil && e.Class < len(c.governor.Attempts) {
+		if n := c.governor.Attempts[e.Class]; n > 0 && (most == 0 || n < most) {
 			most = n
 		}
 	}
 	return most
 }
 
-// mark notes in a message that is taken on under which policy it is.
-func (c *Core) mark(e *journal.Entry) {
-	if c.gov != nil {
-		e.PolicyVersion = c.gov.Version
-		e.MaxAttempts = c.allowed(e)
+// stampPolicy notes in a message that is taken on under which policy it is.
+func (c *Core) stampPolicy(e *journal.Entry) {
+	if c.governor != nil {
+		e.PolicyVersion = c.governor.Version
+		e.MaxAttempts = c.maxAttempts(e)
 	}
 }
 
-// exhausted tells the module of a send that the policy does not allow: no other attempt would fare better.
-func (c *Core) exhausted(m *message, a control.Action) bool {
-	if most := c.allowed(m.e); most == 0 || m.e.Attempts < most {
+// rejectExhausted tells the module of a send that the policy does not allow: no other attempt would fare better.
+func (c *Core) rejectExhausted(m *message, a control.Action) bool {
+	if most := c.maxAttempts(m.entry); most == 0 || m.entry.Attempts < most {
 		return false
 	}
-	c.in = append(c.in, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: m.e.Attempts, Endpoint: a.Endpoint, Result: control.Rejected})
+	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: m.entry.Attempts, Endpoint: a.Endpoint, Result: control.Rejected})
 	return true
 }
 
-// stall has a step wait until the relay may act, for as long as its time-out.
-func (c *Core) stall(s *Attempt) {
-	s.cancel = func() { s.begun.CompareAndSwap(0, 2) }
-	c.stalled = append(c.stalled, s)
+// awaitLease has a step wait until the relay may act, for as long as its time-out.
+func (c *Core) awaitLease(s *Attempt) {
+	s.cancel = func() { s.progress.CompareAndSwap(0, 2) }
+	c.awaitingLease = append(c.awaitingLease, s)
 }
 
-// unstall returns the stalled steps that may begin now; those that were called off, or whose time is over, never began.
-func (c *Core) unstall(now time.Time) (steps []*Attempt) {
-	if len(c.stalled) == 0 {
+// takeStartable returns the stalled steps that may begin now; those that were called off, or whose time is over, never began.
+func (c *Core) takeStartable(now time.Time) (steps []*Attempt) {
+	if len(c.awaitingLease) == 0 {
 		return nil
 	}
 	acts := c.mayAct(now)
-	c.line(now, acts)
-	keep := c.stalled[:0]
-	for _, s := range c.stalled {
+	c.paceAwaiting(now, acts)
+	keep := c.awaitingLease[:0]
+	for _, s := range c.awaitingLease {
 		switch {
-		case s.begun.Load() == 2 || !now.Before(s.at.Add(s.Timeout)):
+		case s.progress.Load() == 2 || !now.Before(s.scheduledAt.Add(s.Timeout)):
 			moot := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
-			stepEnded{s, moot}.apply(c, now)
-		case acts && !now.Before(s.from) && !c.stillAllowed(s, now):
-		case acts && !now.Before(s.from):
+			attemptEnded{s, moot}.apply(c, now)
+		case acts && !now.Before(s.startAfter) && !c.recheck(s, now):
+		case acts && !now.Before(s.startAfter):
 			steps = append(steps, s)
 		default:
 			keep = append(keep, s)
 		}
 	}
-	clear(c.stalled[len(keep):])
-	c.stalled = keep
+	clear(c.awaitingLease[len(keep):])
+	c.awaitingLease = keep
 	return steps
 }
 
-// line has the steps that have waited for a lease go out one by one to partners that are limited by hand: the module has decided them
+// paceAwaiting has the steps that have waited for a lease go out one by one to partners that are limited by hand: the module has decided them
 // at that pace, and all at once they would be more than it.
-func (c *Core) line(now time.Time, acts bool) {
+func (c *Core) paceAwaiting(now time.Time, acts bool) {
 	next := map[int]time.Time{}
-	for _, s := range c.stalled {
-		most := c.gov.MostTo(s.To.Partner)
+	for _, s := range c.awaitingLease {
+		most := c.governor.MostTo(s.To.Partner)
 		switch {
 		case !acts || most == 0:
-			s.from = time.Time{}
+			s.startAfter = time.Time{}
 			continue
-		case s.from.IsZero():
-			s.from = now
+		case s.startAfter.IsZero():
+			s.startAfter = now
 			if at, ok := next[s.To.Partner]; ok {
-				s.from = at.Add(time.Duration(float64(time.Second) * float64(max(c.set.Peers, 1)) / most))
+				s.startAfter = at.Add(time.Duration(float64(time.Second) * float64(max(c.settings.Peers, 1)) / most))
 			}
 		}
-		next[s.To.Partner] = s.from
+		next[s.To.Partner] = s.startAfter
 	}
 }
 
-// stillAllowed tells whether a step that has waited may begin under the policy that is in force now; otherwise it is over.
-func (c *Core) stillAllowed(s *Attempt, now time.Time) bool {
+// recheck tells whether a step that has waited may begin under the policy that is in force now; otherwise it is over.
+func (c *Core) recheck(s *Attempt, now time.Time) bool {
 	outs := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
-	ok := !c.shut(s.To.Partner)
+	ok := !c.isShut(s.To.Partner)
 	for i, it := range s.Items {
-		m := c.msgs[it.ref]
+		m := c.messages[it.ref]
 		if m == nil {
 			continue
 		}
-		if most := c.allowed(m.e); most > 0 && m.e.Attempts > most {
+		if most := c.maxAttempts(m.entry); most > 0 && m.entry.Attempts > most {
 			outs[i].Result, ok = control.Rejected, false
 		}
 	}
 	if !ok {
-		stepEnded{s, outs}.apply(c, now)
+		attemptEnded{s, outs}.apply(c, now)
 	}
 	return ok
 }
 
-// bind has a step tell its version, and write nothing once the lease is over.
-func (c *Core) bind(s *Attempt) {
-	if c.gov == nil {
+// bindToMandate has a step tell its version, and write nothing once the lease is over.
+func (c *Core) bindToMandate(s *Attempt) {
+	if c.governor == nil {
 		return
 	}
-	if c.gov.Stamp {
-		s.PolicyVersion = c.gov.Version
+	if c.governor.Stamp {
+		s.PolicyVersion = c.governor.Version
 	}
-	if end := c.at(c.gov.Until); s.WriteBefore.IsZero() || end.Before(s.WriteBefore) {
+	if end := c.timeOf(c.governor.Until); s.WriteBefore.IsZero() || end.Before(s.WriteBefore) {
 		s.WriteBefore = end
 	}
 }
@@ -229,17 +229,17 @@
 // admitted tells, on a front's goroutine, whether the fleet lets this relay take a message on. While a change takes hold it
 // waits a little for that.
 func (c *Core) admitted() bool {
-	s := c.standing.Load()
+	s := c.mandate.Load()
 	if s == nil {
 		return true
 	}
 	if s.halted {
-		patience := time.NewTimer(haltWait)
+		patience := time.NewTimer(haltTimeout)
 		defer patience.Stop()
 		for s.halted {
 			select {
 			case <-s.changed:
-				s = c.standing.Load()
+				s = c.mandate.Load()
 			case <-patience.C:
 				return false
 			}
@@ -251,6 +251,6 @@
 // leased tells whether this relay belongs to no fleet, or has a lease: a change that is about to take hold is no reason to send
 // clients elsewhere.
 func (c *Core) leased() bool {
-	s := c.standing.Load()
+	s := c.mandate.Load()
 	return s == nil || time.Now().Before(s.until)
 }
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -39,19 +39,19 @@
 	} {
 		for _, apart := range []time.Duration{0, 5 * time.Millisecond} { // in one turn, and in two
 			t.Run(name, func(t *testing.T) {
-				r := newRig(t, t.TempDir(), time.Now())
+				r := newHarness(t, t.TempDir(), time.Now())
 				var replies []chan Reply
 				var both []event
 				for i, ruling := range c.rulings {
-					a, reply := r.hand("m", 1, 7, 20*time.Second)
+					a, reply := r.arrival("m", 1, 7, 20*time.Second)
 					a.ruling, a.msg.ExtraHeaders = ruling, []string{"X-Turn", string(rune('0' + i))}
 					replies = append(replies, reply)
 					if both = append(both, a); apart > 0 {
-						r.after(apart, a)
+						r.turnAfter(apart, a)
 					}
 				}
 				if apart == 0 {
-					r.after(0, both...)
+					r.turnAfter(0, both...)
 				}
 				for i, reply := range replies {
 					got := <-reply
@@ -59,8 +59,8 @@
 						t.Errorf("hand-in %d: %+v, want %v", i, got, c.want[i])
 					}
 				}
-				if len(r.c.msgs) != c.held {
-					t.Errorf("%d messages are held", len(r.c.msgs))
+				if len(r.core.messages) != c.held {
+					t.Errorf("%d messages are held", len(r.core.messages))
 				}
 				if c.held > 0 && c.rulings[0].Verdict == Accepted {
 					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-r.front.steps).Items[0].Headers); d != "" {
@@ -75,13 +75,13 @@
 // TestShapeLasts: what a message is sent as stands in the journal: after a kill nobody is asked again.
 func TestShapeLasts(t *testing.T) {
 	dir := t.TempDir()
-	r := newRig(t, dir, time.Now())
-	a, _ := r.hand("m", 1, 7, 20*time.Second)
+	r := newHarness(t, dir, time.Now())
+	a, _ := r.arrival("m", 1, 7, 20*time.Second)
 	a.msg.ExtraHeaders, a.msg.Body = []string{"X-Desk", "sports", "X-Empty", ""}, []byte("rewritten")
-	r.after(0, a)
+	r.turnAfter(0, a)
 	first := (<-r.front.steps).Items[0]
-	again := newRig(t, dir, r.now.Add(time.Second))
-	again.c.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("asked again"); return Ruling{} }, sample: -1})
+	again := newHarness(t, dir, r.now.Add(time.Second))
+	again.core.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("asked again"); return Ruling{} }, sample: -1})
 	second := (<-again.front.steps).Items[0]
 	if d := cmp.Diff([]any{first.Headers, string(first.Body), first.Key}, []any{second.Headers, string(second.Body), second.Key}); d != "" {
 		t.Errorf("(-before +after the restart)\n%s", d)
@@ -93,15 +93,15 @@
 
 // TestApart: a call has one set of headers, so messages that differ in theirs do not share one.
 func TestApart(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	var in []event
 	for i, desk := range []string{"a", "b", "a"} {
-		a, _ := r.hand(string(rune('x'+i)), 1, 7, 20*time.Second)
+		a, _ := r.arrival(string(rune('x'+i)), 1, 7, 20*time.Second)
 		a.msg.ExtraHeaders = []string{"X-Desk", desk}
 		in = append(in, a)
 	}
-	r.after(0, in...)
-	for n := len(r.c.out); n > 0; n-- {
+	r.turnAfter(0, in...)
+	for n := len(r.core.inFlight); n > 0; n-- {
 		select {
 		case s := <-r.front.steps:
 			for _, it := range s.Items {
@@ -117,21 +117,21 @@
 
 // TestAnsweredFirst: the module hears of an answer what the inspector has made of it, and an end is told once.
 func TestAnsweredFirst(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
+	r := newHarness(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
 		if d := cmp.Diff(&AnswerSample{503, map[string][]string{"X-Why": {"shut"}}, []byte("maint")}, s.SampledAnswer()); d != "" {
 			t.Error(d)
 		}
 		outs[0].Result = control.Rejected
 	}}
-	r.c.SetInspector(i)
+	r.core.SetInspector(i)
 	r.front.at = func(s *Attempt) []Outcome {
 		s.ObserveAnswer(503, map[string][]string{"X-Why": {"shut"}}, []byte("maintenance"))
 		return []Outcome{{Result: control.Throttled}}
 	}
-	a, _ := r.hand("m", 1, 8, 20*time.Second)
-	r.after(0, a)
-	r.after(5*time.Millisecond, <-r.c.queue)
+	a, _ := r.arrival("m", 1, 8, 20*time.Second)
+	r.turnAfter(0, a)
+	r.turnAfter(5*time.Millisecond, <-r.core.queue)
 	if n := <-r.front.notices; len(n) != 1 || n[0].HandedBack {
 		t.Errorf("notices %+v, want that it was given up", n)
 	}
--- a/internal/relay/engine/races_test.go
+++ b/internal/relay/engine/races_test.go
@@ -39,18 +39,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			front := watched{nil, make(chan func(EndpointList), 9)}
-			r := newRig(t, t.TempDir(), time.Now(), func(core *Core) {
-				f := core.order[0]
+			r := newHarness(t, t.TempDir(), time.Now(), func(core *Core) {
+				f := core.frontsInOrder[0]
 				front.fakeFront = f.Front.(*fakeFront)
 				f.Front = front
 			})
 			old := <-front.told
-			r.after(0, moved{"platform"})
+			r.turnAfter(0, moved{"platform"})
 			next := <-front.told
 			say := func(to func(EndpointList), all []EndpointList) {
 				for _, p := range all {
 					to(p)
-					r.after(0, r.c.pending(nil)...)
+					r.turnAfter(0, r.core.drainQueue(nil)...)
 				}
 			}
 			say(old, c.before)
@@ -58,11 +58,11 @@
 				say(next, []EndpointList{list(43, false, control.Draining)})
 			}
 			say(old, c.after)
-			f := r.c.order[0]
-			if got := r.c.dests[f.list["s-2"]].State; got != c.want {
+			f := r.core.frontsInOrder[0]
+			if got := r.core.destinations[f.listed["s-2"]].State; got != c.want {
 				t.Errorf("s-2 is in state %v, want %v", got, c.want)
 			}
-			if say(next, []EndpointList{list(46, false, control.Removed)}); r.c.dests[f.list["s-2"]].State != control.Removed {
+			if say(next, []EndpointList{list(46, false, control.Removed)}); r.core.destinations[f.listed["s-2"]].State != control.Removed {
 				t.Error("what the new watch tells is not heard any more")
 			}
 		})
@@ -88,17 +88,17 @@
 		{"pushed, never up", false, false, broke, 50 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, t.TempDir(), time.Now())
+			r := newHarness(t, t.TempDir(), time.Now())
 			<-r.front.watches
-			r.c.set.MustSubscribe, r.c.set.Peers, r.c.set.Index = c.ask, 4, 1
-			r.c.lim.WatchSpread, r.c.lim.WatchRetry = 800*time.Millisecond, 50*time.Millisecond
-			f := r.c.order[0]
+			r.core.settings.MustSubscribe, r.core.settings.Peers, r.core.settings.Index = c.ask, 4, 1
+			r.core.limits.WatchSpread, r.core.limits.WatchRetry = 800*time.Millisecond, 50*time.Millisecond
+			f := r.core.frontsInOrder[0]
 			if c.told {
-				r.after(0, listChanged{f, f.watchNo, EndpointList{Index: 43}})
+				r.turnAfter(0, listChanged{f, f.lastWatch, EndpointList{Index: 43}})
 			}
-			watchEnded{f, f.watchNo, c.err}.apply(r.c, r.now)
-			asked := len(r.c.in) == 1 && r.c.in[0].Kind == control.ListFailed
-			if got := r.c.watchAt.Sub(r.now); asked != (c.want < 0) || !asked && got != c.want {
+			watchEnded{f, f.lastWatch, c.err}.apply(r.core, r.now)
+			asked := len(r.core.moduleEvents) == 1 && r.core.moduleEvents[0].Kind == control.ListFailed
+			if got := r.core.watchAt.Sub(r.now); asked != (c.want < 0) || !asked && got != c.want {
 				t.Errorf("opened again after %v, the module is asked %v", got, asked)
 			}
 		})
@@ -124,7 +124,7 @@
 		}
 	}
 	_ = jour.Close()
-	r := newRig(t, dir, now.Add(-time.Hour))
+	r := newHarness(t, dir, now.Add(-time.Hour))
 	// The keyed one may be handed back: its partner's endpoints all know its key, whatever the time is.
 	if n := <-r.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
 		t.Errorf("notices %+v", n)
@@ -133,9 +133,9 @@
 	if step.Items[0].ID != "safe" || len(r.front.steps) != 0 {
 		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(r.front.steps))
 	}
-	for _, m := range r.c.msgs {
-		if k := &r.c.set.Classes[min(m.e.Class, 1)]; m.e.Deadline.After(r.now.Add(k.Deadline)) && !m.e.NoticePending {
-			t.Errorf("%s has time until %v, more than its class gives", m.e.ID, m.e.Deadline)
+	for _, m := range r.core.messages {
+		if k := &r.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(r.now.Add(k.Deadline)) && !m.entry.NoticePending {
+			t.Errorf("%s has time until %v, more than its class gives", m.entry.ID, m.entry.Deadline)
 		}
 	}
 }
@@ -143,20 +143,20 @@
 // TestEndedByNotice: an id that comes again when its message has ended with a notice is told that end, before the notice was taken and after:
 // its client may never have heard that it was taken on, and would wait for another.
 func TestEndedByNotice(t *testing.T) {
-	r := newRig(t, t.TempDir(), time.Now())
-	r.c.lim.EndedKept, r.c.lim.EndedMost = 5*time.Second, 9
-	a, first := r.hand("m", 0, 8, 10*time.Second)
-	r.after(0, a)
+	r := newHarness(t, t.TempDir(), time.Now())
+	r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 9
+	a, first := r.arrival("m", 0, 8, 10*time.Second)
+	r.turnAfter(0, a)
 	<-first
 	<-r.front.steps
-	r.answered(Outcome{Result: control.Rejected})
+	r.answer(Outcome{Result: control.Rejected})
 	for _, taken := range []bool{false, true} {
 		if taken {
 			r.front.taken <- true
-			r.after(5*time.Millisecond, <-r.c.queue)
+			r.turnAfter(5*time.Millisecond, <-r.core.queue)
 		}
-		b, second := r.hand("m", 0, 8, 10*time.Second)
-		r.after(5*time.Millisecond, b)
+		b, second := r.arrival("m", 0, 8, 10*time.Second)
+		r.turnAfter(5*time.Millisecond, b)
 		if got := <-second; got.Verdict != Failed || len(r.front.steps) != 0 {
 			t.Errorf("given up, notice taken %v: the same id is answered %+v", taken, got)
 		}
@@ -166,27 +166,27 @@
 // TestEndedID: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
 func TestEndedID(t *testing.T) {
 	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
-		r := newRig(t, t.TempDir(), time.Now())
-		r.c.lim.EndedKept, r.c.lim.EndedMost = 5*time.Second, 2
-		a, first := r.hand("m", 0, 8, 10*time.Second)
-		r.after(0, a)
+		r := newHarness(t, t.TempDir(), time.Now())
+		r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 2
+		a, first := r.arrival("m", 0, 8, 10*time.Second)
+		r.turnAfter(0, a)
 		<-first
 		<-r.front.steps
-		r.answered(outcome)
+		r.answer(outcome)
 		again := func(after time.Duration) bool {
-			b, second := r.hand("m", 0, 8, 10*time.Second)
-			b.at = r.now.Add(after)
-			r.after(after, b)
-			return (<-second).Verdict == Accepted && len(r.c.msgs) == 0
+			b, second := r.arrival("m", 0, 8, 10*time.Second)
+			b.submittedAt = r.now.Add(after)
+			r.turnAfter(after, b)
+			return (<-second).Verdict == Accepted && len(r.core.messages) == 0
 		}
 		if !again(time.Second) || len(r.front.steps) != 0 {
 			t.Errorf("after %v the same id is a new message", outcome)
 		}
-		r.c.remember(&message{front: r.c.order[0], e: &journal.Entry{ID: "other"}}, Accepted, r.now.Add(6*time.Second))
+		r.core.remember(&message{front: r.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, r.now.Add(6*time.Second))
 		if again(time.Second) {
 			t.Error("ids are kept for good")
 		}
-		if n := len(r.c.ended.line); n != 1 || len(r.c.ended.by) != 1 {
+		if n := len(r.core.endings.oldestFirst); n != 1 || len(r.core.endings.verdicts) != 1 {
 			t.Errorf("%d ids are kept", n)
 		}
 	}
--- a/internal/relay/engine/relay.go
+++ b/internal/relay/engine/relay.go
@@ -35,9 +35,9 @@
 	State         control.State
 	Weight        float64 // as the list tells it; the settings say what it means
 
-	front  *frontState
-	no     uint32    // the module's id of it
-	goneAt time.Time // when it left the list; zero: it is on it
+	front     *frontState
+	number    uint32    // the module's id of it
+	removedAt time.Time // when it left the list; zero: it is on it
 }
 
 // EndpointList is a list of destinations: the whole of one front's, or what has changed.
@@ -66,15 +66,15 @@
 	WriteBefore   time.Time     // nothing of it may be written from then on; zero: no bound
 	PolicyVersion uint64        // version of the policy that it tells its destination; 0: it tells none
 
-	no          uint64
-	at          time.Time     // when it was decided
-	from        time.Time     // it waits until then, since others to its partner go first; zero: it does not
+	number      uint64
+	scheduledAt time.Time     // when it was decided
+	startAfter  time.Time     // it waits until then, since others to its partner go first; zero: it does not
 	sampleBytes int           // bytes of the answer that an inspector wants to see; below 0: it wants none of it
 	sampled     *AnswerSample // what it is shown
 
-	cancel func()
-	begin  func() bool  // writes to the journal that it begins; false: it must not
-	begun  atomic.Int32 // 1: its first byte may have been written; 2: it was called back before that
+	cancel   func()
+	begin    func() bool  // writes to the journal that it begins; false: it must not
+	progress atomic.Int32 // 1: its first byte may have been written; 2: it was called back before that
 }
 
 // AnswerSample is a destination's answer as an inspector is shown it.
@@ -100,12 +100,12 @@
 // MayWriteAt is MayWrite on a clock of one's own. An attempt is in the journal from here on and not before: what a kill finds
 // waiting for its connection is tried again after the restart, whatever its class.
 func (s *Attempt) MayWriteAt(now time.Time) bool {
-	return (s.WriteBefore.IsZero() || now.Before(s.WriteBefore)) && s.begun.CompareAndSwap(0, 1) && (s.begin == nil || s.begin())
+	return (s.WriteBefore.IsZero() || now.Before(s.WriteBefore)) && s.progress.CompareAndSwap(0, 1) && (s.begin == nil || s.begin())
 }
 
 // recall ends the step if nothing of it has been written.
 func (s *Attempt) recall() {
-	if s.begun.CompareAndSwap(0, 2) {
+	if s.progress.CompareAndSwap(0, 2) {
 		s.cancel()
 	}
 }
--- a/internal/relay/engine/rerun.go
+++ b/internal/relay/engine/rerun.go
@@ -23,14 +23,14 @@
 type CoreReplay struct {
 	Turns int // of the core, that were the same
 
-	begin capture.Begin
-	snap  *control.Snapshot
-	turn  *capture.Turn // the module's, until the core's turn comes
-	core  *Core
-	full  []int // of the turn at hand: the messages that there is no room for
-	takes int
-	fails bool
-	got   tapeOfOne
+	begin      capture.Begin
+	snapshot   *control.Snapshot
+	turn       *capture.Turn // the module's, until the core's turn comes
+	core       *Core
+	noRoomFor  []int // of the turn at hand: the messages that there is no room for
+	accepts    int
+	flushFails bool
+	recorded   singleTurn
 }
 
 // CoreDifference is the first turn in which the core does otherwise than was recorded.
@@ -41,15 +41,15 @@
 	ModuleEvents  []control.Event  // what the core told the module
 	ModuleActions []control.Action // what that decided
 	State         *control.Snapshot
-	Why           string
+	Reason        string
 }
 
 func (d *CoreDifference) Error() string {
-	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Why)
+	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Reason)
 }
 
-// tape is what a core's turns are recorded on; see capture.Recorder.
-type tape interface {
+// recorder is what a core's turns are recorded on; see capture.Recorder.
+type recorder interface {
 	WantsState() bool
 	State(x *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
 	Turn(now time.Duration, events []control.Event, actions []control.Action)
@@ -62,30 +62,30 @@
 	Close()
 }
 
-// tapeOfOne holds a single turn.
-type tapeOfOne struct {
-	turned  bool
+// singleTurn holds a single turn.
+type singleTurn struct {
+	hasTurn bool
 	events  []control.Event
 	actions []control.Action
 	input   capture.Input
 }
 
-func (t *tapeOfOne) WantsState() bool { return false }
-func (t *tapeOfOne) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
+func (t *singleTurn) WantsState() bool { return false }
+func (t *singleTurn) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
 }
-func (t *tapeOfOne) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
-	t.turned, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
+func (t *singleTurn) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
+	t.hasTurn, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
-func (t *tapeOfOne) Turns() uint64 { return 1 }
-func (t *tapeOfOne) Input(in *capture.Input) {
+func (t *singleTurn) Turns() uint64 { return 1 }
+func (t *singleTurn) Input(in *capture.Input) {
 	t.input = *in
 	t.input.Actions = slices.Clone(in.Actions)
 }
-func (t *tapeOfOne) Name(capture.Name)       {}
-func (t *tapeOfOne) Message(capture.Message) {}
-func (t *tapeOfOne) Note(capture.Note)       {}
-func (t *tapeOfOne) Tick(time.Time)          {}
-func (t *tapeOfOne) Close()                  {}
+func (t *singleTurn) Name(capture.Name)       {}
+func (t *singleTurn) Message(capture.Message) {}
+func (t *singleTurn) Note(capture.Note)       {}
+func (t *singleTurn) Tick(time.Time)          {}
+func (t *singleTurn) Close()                  {}
 
 // Record takes the next record; it returns a *CoreDifference at the first turn that differs.
 func (r *CoreReplay) Record(record any) error {
@@ -95,7 +95,7 @@
 	case *capture.Gap:
 		r.core = nil
 	case *capture.State:
-		r.snap, r.core = v.Snapshot, nil
+		r.snapshot, r.core = v.Snapshot, nil
 	case *capture.Core:
 		return r.resume(v)
 	case *capture.Turn:
@@ -120,14 +120,14 @@
 
 func (r *CoreReplay) resume(x *capture.Core) error {
 	s := r.begin.Core
-	if s == nil || r.snap == nil {
+	if s == nil || r.snapshot == nil {
 		return errors.New("capture: the core's state stands there without its settings, or without the module's")
 	}
 	cfg := &config.Config{Seed: r.begin.Seed, Settings: wire.Settings{Settings: r.begin.Settings, Zones: s.Zones, KindNames: s.Kinds, Weights: s.Weights}}
 	cfg.Limits = config.Limits{Queue: 1, WindowMargin: s.WindowMargin, BusyRetry: s.BusyRetry, AnswerWithin: s.AnswerWithin,
 		BodySize: s.BodySize, DrainSends: s.DrainSends, DrainExit: s.DrainExit, NoticesPerCall: s.NoticesPerCall,
-		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMost: s.NoticeRetryMost, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
-		EndedKept: s.EndedKept, EndedMost: s.EndedMost}
+		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMax: s.NoticeRetryMax, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
+		EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
 	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
 	for i := range cfg.Settings.Classes { // see ModuleSettings
 		if k := &cfg.Settings.Classes[i]; k.Memory > 0 {
@@ -135,10 +135,10 @@
 		}
 	}
 	jour := &journal.Memory{Full: func(*journal.Entry) bool {
-		r.takes++
-		return slices.Contains(r.full, r.takes-1)
+		r.accepts++
+		return slices.Contains(r.noRoomFor, r.accepts-1)
 	}, Failed: func() error {
-		if r.fails {
+		if r.flushFails {
 			return errors.New("as recorded")
 		}
 		return nil
@@ -147,16 +147,16 @@
 	if err != nil {
 		return err
 	}
-	if c.mod, err = control.Restore(r.begin.Settings, r.snap); err != nil {
+	if c.policy, err = control.Restore(r.begin.Settings, r.snapshot); err != nil {
 		return err
 	}
-	c.rec, c.shell, c.tells = &r.got, still{}, true
-	c.resume(x, func(f capture.FrontState) Front { return recorded{f.Tells} })
-	if s := x.Stand; s != nil && (len(s.Worth) > 0 || len(s.Quotas) > 0) {
-		c.mod.Reconfigure(s.Worth, s.Quotas)
+	c.recorder, c.shell, c.keepActions = &r.recorded, inertShell{}, true
+	c.restoreState(x, func(f capture.FrontState) Front { return recordedFront{f.NotifiesDeliveries} })
+	if s := x.Mandate; s != nil && (len(s.Worth) > 0 || len(s.Quotas) > 0) {
+		c.policy.Reconfigure(s.Worth, s.Quotas)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(c.msgs)) {
-		jour.Restore(c.msgs[ref].e)
+	for _, ref := range slices.Sorted(maps.Keys(c.messages)) {
+		jour.Restore(c.messages[ref].entry)
 	}
 	r.core = c
 	return nil
@@ -164,15 +164,15 @@
 
 func (r *CoreReplay) input(in *capture.Input, turn *capture.Turn) error {
 	c := r.core
-	r.full, r.takes, r.fails, r.got = in.Full, 0, in.Failed, tapeOfOne{}
+	r.noRoomFor, r.accepts, r.flushFails, r.recorded = in.Full, 0, in.Failed, singleTurn{}
 	d := &CoreDifference{Input: in, Turn: turn}
-	now := c.at(in.Now)
+	now := c.timeOf(in.Now)
 	var events []event
-	outs := outcomes(turn, len(c.in))
+	outs := outcomes(turn, len(c.moduleEvents))
 	for i := range in.Events {
-		ev, err := c.replayed(&in.Events[i], now, &outs)
+		ev, err := c.eventFrom(&in.Events[i], now, &outs)
 		if err != nil {
-			d.Why = err.Error()
+			d.Reason = err.Error()
 			r.core = nil // it can't go on without that
 			return d
 		}
@@ -184,19 +184,19 @@
 		was = *turn
 	}
 	switch {
-	case r.got.turned != (in.No != 0):
-		d.Why = "the module has a turn in one of them only"
-	case !reflect.DeepEqual(empty(was.Events), empty(r.got.events)):
-		d.Why = "the module is told something else"
-	case !slices.Equal(was.Actions, r.got.actions):
-		d.Why = "the module decides otherwise"
-	case in.Sum != r.got.input.Sum:
-		d.Why = "the core does something else"
+	case r.recorded.hasTurn != (in.No != 0):
+		d.Reason = "the module has a turn in one of them only"
+	case !reflect.DeepEqual(empty(was.Events), empty(r.recorded.events)):
+		d.Reason = "the module is told something else"
+	case !slices.Equal(was.Actions, r.recorded.actions):
+		d.Reason = "the module decides otherwise"
+	case in.Sum != r.recorded.input.Sum:
+		d.Reason = "the core does something else"
 	default:
 		r.Turns++
 		return nil
 	}
-	d.Got, d.ModuleEvents, d.ModuleActions, d.State = r.got.input, r.got.events, r.got.actions, c.mod.Snapshot()
+	d.Got, d.ModuleEvents, d.ModuleActions, d.State = r.recorded.input, r.recorded.events, r.recorded.actions, c.policy.Snapshot()
 	r.core = nil // what follows would differ too
 	return d
 }
@@ -221,14 +221,14 @@
 	return outs
 }
 
-// replayed is an event as it came by the queue.
-func (c *Core) replayed(e *capture.CoreEvent, now time.Time, told *[]Outcome) (event, error) {
-	if e.Front >= len(c.order) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
+// eventFrom is an event as it came by the queue.
+func (c *Core) eventFrom(e *capture.CoreEvent, now time.Time, told *[]Outcome) (event, error) {
+	if e.Front >= len(c.frontsInOrder) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
 		return nil, fmt.Errorf("there is no front %d", e.Front)
 	}
 	name := "?"
 	if e.Front >= 0 {
-		name = c.order[e.Front].name
+		name = c.frontsInOrder[e.Front].name
 	}
 	switch e.Kind {
 	case capture.Submitted:
@@ -236,31 +236,31 @@
 		if a == nil {
 			return nil, errors.New("a message handed in is missing")
 		}
-		m := Message{ID: a.ID, Key: blank(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant, Deadline: c.base.Add(a.Deadline - clockStart),
-			Resubmitted: a.Again, Body: []byte(blank(a.Size)), ExtraHeaders: unhash(a.Headers)}
-		if a.Ran {
-			m.MayHaveRunAt = c.base.Add(a.RanAt - clockStart)
+		m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant, Deadline: c.startedAt.Add(a.Deadline - clockStart),
+			Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
+		if a.MayHaveRun {
+			m.MayHaveRunAt = c.startedAt.Add(a.MayHaveRunAt - clockStart)
 		}
-		return arrival{front: name, msg: m, at: now.Add(-a.Late), reply: make(chan Reply, 1),
-			ruling: Ruling{Verdict(a.Verdict), a.Status, a.Why}, under: a.Under}, nil
+		return arrival{front: name, msg: m, submittedAt: now.Add(-a.QueuedFor), reply: make(chan Reply, 1),
+			ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
 	case capture.Withdrawn:
 		return withdrawn{e.Ref}, nil
 	case capture.Moved:
 		return moved{name}, nil
-	case capture.Drained:
+	case capture.DrainStarted:
 		return drain{}, nil
 	case capture.Governed:
-		if e.Stand == nil {
+		if e.Mandate == nil {
 			return nil, errors.New("what the fleet lets the relay do is missing")
 		}
-		return governed{Mandate{*e.Stand, c.at(e.Stand.Until)}, nil}, nil
+		return governed{Mandate{*e.Mandate, c.timeOf(e.Mandate.Until)}, nil}, nil
 	case capture.QuotaGranted:
 		if e.Shared == nil {
 			return nil, errors.New("what the relay may spend is missing")
 		}
-		return lent{SharedLimits: *e.Shared, until: c.at(e.Shared.LeaseExpiry)}, nil
+		return quotaGranted{SharedLimits: *e.Shared, until: c.timeOf(e.Shared.LeaseExpiry)}, nil
 	case capture.AttemptEnded:
-		s := c.out[e.Step]
+		s := c.inFlight[e.Number]
 		var outs []Outcome
 		for _, o := range e.Outcomes {
 			outs = append(outs, Outcome(o))
@@ -269,14 +269,14 @@
 			outs, *told = (*told)[:n], (*told)[n:]
 		}
 		if s == nil || len(s.Items) != len(outs) {
-			return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Step)
+			return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Number)
 		}
-		return stepEnded{s, outs}, nil
+		return attemptEnded{s, outs}, nil
 	case capture.ListReported:
-		p := listChanged{front: c.order[e.Front], no: int(e.Step)}
+		p := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
 		if e.List != nil {
-			p.Index, p.Complete = e.List.Index, e.List.Whole
-			for _, d := range e.List.Dests {
+			p.Index, p.Complete = e.List.Index, e.List.Complete
+			for _, d := range e.List.Destinations {
 				p.Destinations = append(p.Destinations, Destination{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
 					Weight: d.Weight})
 			}
@@ -287,29 +287,31 @@
 		if e.Text == ErrWatchTimeout.Error() {
 			err = ErrWatchTimeout
 		}
-		return watchEnded{c.order[e.Front], int(e.Step), err}, nil
+		return watchEnded{c.frontsInOrder[e.Front], int(e.Number), err}, nil
 	case capture.Notified:
-		f := c.order[e.Front]
-		if f.unsend == nil || len(f.sending) != len(e.Taken) {
+		f := c.frontsInOrder[e.Front]
+		if f.cancelNotify == nil || len(f.sending) != len(e.Accepted) {
 			return nil, errors.New("no call with so many notices is out")
 		}
-		return notified{f, e.Taken}, nil
+		return notified{f, e.Accepted}, nil
 	}
 	return nil, fmt.Errorf("an event of kind %d is not known", e.Kind)
 }
 
-// still is a shell in which nothing moves: what comes of calls stands in the recording.
-type still struct{}
+// inertShell is a shell in which nothing moves: what comes of calls stands in the recording.
+type inertShell struct{}
 
-func (still) Call(Front, *Attempt, time.Time, func([]Outcome)) func()             { return func() {} }
-func (still) Notify(Front, []Notice, time.Time, func([]bool)) func()              { return func() {} }
-func (still) Watch(Front, int64, func(EndpointList), func(error)) (cancel func()) { return func() {} }
+func (inertShell) Call(Front, *Attempt, time.Time, func([]Outcome)) func() { return func() {} }
+func (inertShell) Notify(Front, []Notice, time.Time, func([]bool)) func()  { return func() {} }
+func (inertShell) Watch(Front, int64, func(EndpointList), func(error)) (cancel func()) {
+	return func() {}
+}
 
-// recorded is a front of a recording.
-type recorded struct{ tells bool }
+// recordedFront is a front of a recording.
+type recordedFront struct{ notifiesDeliveries bool }
 
-func (recorded) Call(context.Context, *Attempt) []Outcome                     { return nil }
-func (recorded) Notify(context.Context, []Notice) []bool                      { return nil }
-func (recorded) CloseIdle(*Destination)                                       {}
-func (recorded) Watch(context.Context, int64, func(EndpointList)) (err error) { return nil }
-func (r recorded) NotifiesDeliveries() bool                                   { return r.tells }
+func (recordedFront) Call(context.Context, *Attempt) []Outcome                     { return nil }
+func (recordedFront) Notify(context.Context, []Notice) []bool                      { return nil }
+func (recordedFront) CloseIdle(*Destination)                                       {}
+func (recordedFront) Watch(context.Context, int64, func(EndpointList)) (err error) { return nil }
+func (r recordedFront) NotifiesDeliveries() bool                                   { return r.notifiesDeliveries }
--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -151,7 +151,7 @@
 		for range rng.IntN(3) {
 			m := Message{ID: fmt.Sprint("m-", rng.IntN(4*turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3), Body: make([]byte, rng.IntN(900)),
 				Deadline: v.now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
-			a := arrival{front: "platform", msg: m, at: v.now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
+			a := arrival{front: "platform", msg: m, submittedAt: v.now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
 			switch rng.IntN(12) {
 			case 0: // a plug-in's
 				a.ruling = Ruling{Rejected, 418, "not here"}
@@ -200,7 +200,7 @@
 		if no == turns*9/10 {
 			c.Drain()
 		}
-		c.Turn(v.now, c.pending(nil))
+		c.Turn(v.now, c.drainQueue(nil))
 	}
 	rec.Close()
 	if err := rec.Err(); err != nil || rec.Lost.Load() != 0 {
@@ -241,9 +241,9 @@
 		err := readCore(t, dir, func(record any) error {
 			switch v := record.(type) {
 			case *capture.Core:
-				out += len(v.Steps)
+				out += len(v.Attempts)
 				for _, f := range v.Fronts {
-					owed += len(f.Owed) + len(f.Sending)
+					owed += len(f.Outstanding) + len(f.Sending)
 				}
 			case *capture.Input:
 				for _, e := range v.Events {
@@ -256,10 +256,10 @@
 				}
 			}
 			err := r.Record(record)
-			for _, d := range r.got.input.Actions {
+			for _, d := range r.recorded.input.Actions {
 				deeds[d.Kind]++
 			}
-			r.got.input.Actions = nil
+			r.recorded.input.Actions = nil
 			return err
 		})
 		var d *CoreDifference
@@ -282,7 +282,7 @@
 			t.Errorf("no event of kind %d was replayed", k)
 		}
 	}
-	for k := capture.Replied; k <= capture.Finished; k++ {
+	for k := capture.Replied; k <= capture.MessageFinished; k++ {
 		if deeds[k] == 0 {
 			t.Errorf("no deed of kind %d was compared", k)
 		}
@@ -313,8 +313,8 @@
 		},
 		"the notices taken": func(in *capture.Input) bool {
 			for i := range in.Events {
-				if t := in.Events[i].Taken; len(t) > 0 {
-					in.Events[i].Taken = append(t, true)
+				if t := in.Events[i].Accepted; len(t) > 0 {
+					in.Events[i].Accepted = append(t, true)
 					return true
 				}
 			}
@@ -323,7 +323,7 @@
 		"a disk that was well": func(in *capture.Input) bool {
 			taken := 0 // handed in, and refused because nothing could be written
 			for _, e := range in.Events {
-				if a := e.Arrival; a != nil && e.Front >= 0 && a.Verdict == 0 && a.Late < 250*time.Millisecond && a.Partner < 9 {
+				if a := e.Arrival; a != nil && e.Front >= 0 && a.Verdict == 0 && a.QueuedFor < 250*time.Millisecond && a.Partner < 9 {
 					taken++
 				}
 			}
@@ -333,7 +333,7 @@
 		},
 		"a plug-in's verdict": func(in *capture.Input) bool {
 			for i := range in.Events {
-				if a := in.Events[i].Arrival; a != nil && a.Verdict != 0 && in.Events[i].Front >= 0 && a.Late < 250*time.Millisecond {
+				if a := in.Events[i].Arrival; a != nil && a.Verdict != 0 && in.Events[i].Front >= 0 && a.QueuedFor < 250*time.Millisecond {
 					a.Verdict = 0
 					return true
 				}
@@ -351,7 +351,7 @@
 				return r.Record(record)
 			})
 			var d *CoreDifference
-			if !errors.As(err, &d) || d.Input.Now != altered || d.Why == "" {
+			if !errors.As(err, &d) || d.Input.Now != altered || d.Reason == "" {
 				t.Errorf("altered at %v: %v", altered, err)
 			}
 		})
@@ -470,10 +470,10 @@
 		for !next.After(v.now) {
 			n++
 			c.queue <- arrival{front: "platform", msg: Message{ID: fmt.Sprintf("%016x", n*0x9e3779b97f4a7c1), Key: "0123456789abcdef", Class: n % 2, Partner: n % 22, Body: make([]byte, 60),
-				Deadline: v.now.Add(9 * time.Second)}, at: v.now, reply: make(chan Reply, 1)}
+				Deadline: v.now.Add(9 * time.Second)}, submittedAt: v.now, reply: make(chan Reply, 1)}
 			next = next.Add(time.Duration(v.rng.ExpFloat64() * float64(time.Second) / 120))
 		}
-		if events := c.pending(nil); len(events) > 0 || c.idleFor(v.now) == 0 {
+		if events := c.drainQueue(nil); len(events) > 0 || c.idleFor(v.now) == 0 {
 			c.Turn(v.now, events)
 		}
 	}
--- a/internal/relay/engine/run.go
+++ b/internal/relay/engine/run.go
@@ -10,30 +10,30 @@
 // watch begins a watch for each front that has none.
 func (c *Core) watch() {
 	c.watchAt = time.Time{}
-	for _, f := range c.order {
-		if f.unwatch != nil {
+	for _, f := range c.frontsInOrder {
+		if f.stopWatch != nil {
 			continue
 		}
-		f.watchNo++
-		no := f.watchNo
-		f.unwatch = c.shell.Watch(f.Front, f.index, func(p EndpointList) { c.queue <- listChanged{f, no, p} },
+		f.lastWatch++
+		no := f.lastWatch
+		f.stopWatch = c.shell.Watch(f.Front, f.listIndex, func(p EndpointList) { c.queue <- listChanged{f, no, p} },
 			func(err error) { c.queue <- watchEnded{f, no, err} })
-		c.did(capture.Action{Kind: capture.Watched, No: uint64(f.no), To: uint32(no), After: f.index})
+		c.recordAction(capture.Action{Kind: capture.WatchStarted, Number: uint64(f.number), Target: uint32(no), After: f.listIndex})
 	}
 }
 
 // notify sends the notices owed, one call a front at a time.
 func (c *Core) notify(now time.Time) {
-	for _, f := range c.order {
-		if f.unsend != nil || len(f.owed) == 0 || now.Before(f.retryAt) {
+	for _, f := range c.frontsInOrder {
+		if f.cancelNotify != nil || len(f.outstanding) == 0 || now.Before(f.retryAt) {
 			continue
 		}
-		n := min(len(f.owed), c.lim.NoticesPerCall)
-		batch := slices.Clone(f.owed[:n])
-		f.owed = slices.Delete(f.owed, 0, n)
+		n := min(len(f.outstanding), c.limits.NoticesPerCall)
+		batch := slices.Clone(f.outstanding[:n])
+		f.outstanding = slices.Delete(f.outstanding, 0, n)
 		f.sending = batch
-		c.didTell(f)
-		f.unsend = c.shell.Notify(f.Front, batch, now.Add(c.lim.NoticeTimeout), func(taken []bool) { c.queue <- notified{f, taken} })
+		c.recordNotices(f)
+		f.cancelNotify = c.shell.Notify(f.Front, batch, now.Add(c.limits.NoticeTimeout), func(taken []bool) { c.queue <- notified{f, taken} })
 	}
 }
 
@@ -50,12 +50,12 @@
 			events = append(events, ev)
 		case <-timer.C:
 		}
-		time.Sleep(c.lim.Round - time.Since(c.base)%c.lim.Round)
-		events = c.pending(events)
+		time.Sleep(c.limits.Round - time.Since(c.startedAt)%c.limits.Round)
+		events = c.drainQueue(events)
 		now := time.Now()
 		c.Turn(now, events)
-		if c.Done(now) && !c.over {
-			c.over = true
+		if c.Done(now) && !c.closed {
+			c.closed = true
 			close(c.drained)
 		}
 		if c.stopped {
@@ -65,11 +65,11 @@
 }
 
 // Step takes a turn with what stands in the queue, for those who have a clock of their own in the place of Run.
-func (c *Core) Step(now time.Time) { c.Turn(now, c.pending(nil)) }
+func (c *Core) Step(now time.Time) { c.Turn(now, c.drainQueue(nil)) }
 
 // SubmitAt is Submit for them: the answer comes in the next Step.
 func (c *Core) SubmitAt(front string, m Message, at time.Time) <-chan Reply {
-	a := arrival{front: front, msg: m, at: at, reply: make(chan Reply, 1)}
+	a := arrival{front: front, msg: m, submittedAt: at, reply: make(chan Reply, 1)}
 	c.queue <- a
 	return a.reply
 }
@@ -77,8 +77,8 @@
 // IdleFor is how long nothing needs to be done unless something happens.
 func (c *Core) IdleFor(now time.Time) time.Duration { return c.idleFor(now) }
 
-// pending takes what stands in the queue.
-func (c *Core) pending(events []event) []event {
+// drainQueue takes what stands in the queue.
+func (c *Core) drainQueue(events []event) []event {
 	for {
 		select {
 		case ev := <-c.queue:
@@ -91,7 +91,7 @@
 
 // Done tells whether the core was told to drain and has done so, as far as it may.
 func (c *Core) Done(now time.Time) bool {
-	return !c.drainAt.IsZero() && (now.Sub(c.drainAt) > c.lim.DrainExit || len(c.msgs) == 0 && len(c.out) == 0)
+	return !c.drainAt.IsZero() && (now.Sub(c.drainAt) > c.limits.DrainExit || len(c.messages) == 0 && len(c.inFlight) == 0)
 }
 
 // idleFor is how long nothing needs to be done unless something happens.
@@ -104,13 +104,13 @@
 	}
 	until(c.wakeAt)
 	until(c.watchAt)
-	for _, f := range c.order {
-		if len(f.owed) > 0 && f.unsend == nil {
+	for _, f := range c.frontsInOrder {
+		if len(f.outstanding) > 0 && f.cancelNotify == nil {
 			until(f.retryAt)
 		}
 	}
-	if len(c.in) > 0 || len(c.stalled) > 0 || !c.drainAt.IsZero() {
-		d = min(d, c.lim.Round)
+	if len(c.moduleEvents) > 0 || len(c.awaitingLease) > 0 || !c.drainAt.IsZero() {
+		d = min(d, c.limits.Round)
 	}
 	return d
 }
--- a/internal/relay/engine/share.go
+++ b/internal/relay/engine/share.go
@@ -16,19 +16,19 @@
 
 // Observe has tell called with what the module has seen and needs, and what the core has counted, from the core's own goroutine: it must
 // not wait, nor keep the counts. The core counts from the first look on.
-func (c *Core) Observe(tell func([]Observation, map[string]uint64)) { c.queue <- look{tell} }
+func (c *Core) Observe(tell func([]Observation, map[string]uint64)) { c.queue <- observe{tell} }
 
-type look struct {
+type observe struct {
 	tell func([]Observation, map[string]uint64)
 }
 
-func (l look) apply(c *Core, now time.Time) {
+func (l observe) apply(c *Core, now time.Time) {
 	var all []Observation
-	for _, s := range c.mod.Observations(c.clock(now), nil) {
-		switch d := c.dests[s.Endpoint]; {
+	for _, s := range c.policy.Observations(c.clock(now), nil) {
+		switch d := c.destinations[s.Endpoint]; {
 		case s.Endpoint == 0:
-			if s.Tenant < len(c.set.TenantNames) {
-				all = append(all, Observation{s, c.set.TenantNames[s.Tenant]})
+			if s.Tenant < len(c.settings.TenantNames) {
+				all = append(all, Observation{s, c.settings.TenantNames[s.Tenant]})
 			}
 		case d == nil: // it has left the list
 		case s.SeparateRoute:
@@ -37,34 +37,34 @@
 			all = append(all, Observation{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
 		}
 	}
-	if c.counts == nil {
-		c.counts = counts{}
+	if c.counters == nil {
+		c.counters = counters{}
 	}
-	l.tell(all, c.counts)
+	l.tell(all, c.counters)
 }
 
 // GrantQuota has the module spend what the fleet has lent it from the next turn on, until a time; done is called after that turn.
 func (c *Core) GrantQuota(s control.SharedLimits, until time.Time, done func()) {
-	c.queue <- lent{s, until, done}
+	c.queue <- quotaGranted{s, until, done}
 }
 
-type lent struct {
+type quotaGranted struct {
 	control.SharedLimits
 	until time.Time
 	done  func()
 }
 
 // on is what was lent on the module's clock.
-func (l lent) on(c *Core) *control.SharedLimits {
+func (l quotaGranted) on(c *Core) *control.SharedLimits {
 	s := l.SharedLimits
 	s.LeaseExpiry = c.clock(l.until)
 	return &s
 }
 
-func (l lent) apply(c *Core, _ time.Time) {
-	c.in = append(c.in, control.Event{Kind: control.SharedLimitsUpdated, Shared: l.on(c)})
+func (l quotaGranted) apply(c *Core, _ time.Time) {
+	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.SharedLimitsUpdated, Shared: l.on(c)})
 	if l.done != nil {
-		c.tellers = append(c.tellers, l.done)
+		c.notifications = append(c.notifications, l.done)
 	}
 }
 
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -19,22 +19,22 @@
 	Watch(f Front, after int64, changed func(EndpointList), lost func(error)) (cancel func())
 }
 
-// live is the shell of a relay that serves.
-type live struct{ ctx context.Context }
+// goroutineShell is the shell of a relay that serves.
+type goroutineShell struct{ ctx context.Context }
 
-func (l live) Call(f Front, s *Attempt, until time.Time, done func([]Outcome)) func() {
+func (l goroutineShell) Call(f Front, s *Attempt, until time.Time, done func([]Outcome)) func() {
 	ctx, cancel := context.WithDeadline(l.ctx, until)
 	go func() { done(f.Call(ctx, s)) }()
 	return cancel
 }
 
-func (l live) Notify(f Front, notices []Notice, until time.Time, done func([]bool)) func() {
+func (l goroutineShell) Notify(f Front, notices []Notice, until time.Time, done func([]bool)) func() {
 	ctx, cancel := context.WithDeadline(l.ctx, until)
 	go func() { done(f.Notify(ctx, notices)) }()
 	return cancel
 }
 
-func (l live) Watch(f Front, after int64, changed func(EndpointList), lost func(error)) func() {
+func (l goroutineShell) Watch(f Front, after int64, changed func(EndpointList), lost func(error)) func() {
 	ctx, cancel := context.WithCancel(l.ctx)
 	go func() {
 		if err := f.Watch(ctx, after, changed); err != nil {
--- a/internal/relay/engine/state.go
+++ b/internal/relay/engine/state.go
@@ -14,49 +14,49 @@
 
 // state is the core's state as plain data, between two turns.
 func (c *Core) state() *capture.Core {
-	x := &capture.Core{Events: slices.Clone(c.in), LastNo: c.lastNo, LastRef: c.lastRef, LastStep: c.lastStep, Handed: c.handed,
-		WakeAt: c.stamp(c.wakeAt), WatchAt: c.stamp(c.watchAt), DrainAt: c.stamp(c.drainAt), HouseAt: c.stamp(c.houseAt), Stand: c.gov, Ended: c.ended.state(c)}
-	for _, f := range c.order {
-		x.Fronts = append(x.Fronts, capture.FrontState{Name: f.name, Tells: f.Front.NotifiesDeliveries(), List: slices.Sorted(maps.Values(f.list)),
-			Index: f.index, WatchNo: f.watchNo, ToldBy: f.toldBy, Watching: f.unwatch != nil, Owed: refs(f.owed), Sending: refs(f.sending),
-			Calling: f.unsend != nil, Away: f.away, RetryAt: c.stamp(f.retryAt), Gap: f.gap})
-	}
-	for _, n := range slices.Sorted(maps.Keys(c.dests)) {
-		d := c.dests[n]
-		x.Dests = append(x.Dests, capture.DestState{No: n, Front: d.front.no, Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner,
-			State: d.State, Weight: d.Weight, GoneAt: c.stamp(d.goneAt)})
-	}
-	for _, f := range c.order {
-		for key, n := range c.names {
+	x := &capture.Core{Events: slices.Clone(c.moduleEvents), LastDestination: c.lastDestination, LastRef: c.lastRef, LastAttempt: c.lastAttempt, Submitted: c.submitted,
+		WakeAt: c.stamp(c.wakeAt), WatchAt: c.stamp(c.watchAt), DrainAt: c.stamp(c.drainAt), LastHousekeeping: c.stamp(c.lastHousekeeping), Mandate: c.governor, Ended: c.endings.state(c)}
+	for _, f := range c.frontsInOrder {
+		x.Fronts = append(x.Fronts, capture.FrontState{Name: f.name, NotifiesDeliveries: f.Front.NotifiesDeliveries(), List: slices.Sorted(maps.Values(f.listed)),
+			Index: f.listIndex, LastWatch: f.lastWatch, ListReportedBy: f.listReportedBy, Watching: f.stopWatch != nil, Outstanding: refs(f.outstanding), Sending: refs(f.sending),
+			Calling: f.cancelNotify != nil, MovedMeanwhile: f.movedMeanwhile, RetryAt: c.stamp(f.retryAt), Backoff: f.backoff})
+	}
+	for _, n := range slices.Sorted(maps.Keys(c.destinations)) {
+		d := c.destinations[n]
+		x.Destinations = append(x.Destinations, capture.DestinationState{Number: n, Front: d.front.number, Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner,
+			State: d.State, Weight: d.Weight, RemovedAt: c.stamp(d.removedAt)})
+	}
+	for _, f := range c.frontsInOrder {
+		for key, n := range c.destinationNumbers {
 			if name, ok := strings.CutPrefix(key, f.name+" "); ok {
 				x.Numbers = append(x.Numbers, capture.Name{Number: n, Front: f.name, Name: name})
 			}
 		}
 	}
 	slices.SortFunc(x.Numbers, func(a, b capture.Name) int { return cmp.Compare(a.Number, b.Number) })
-	for _, ref := range slices.Sorted(maps.Keys(c.msgs)) {
-		m := c.msgs[ref]
-		e := m.e
-		h := capture.MessageState{Ref: ref, Front: m.front.no, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
-			Deadline: e.Deadline.Sub(c.base) + clockStart, Again: e.Resubmitted, Size: len(e.Body), Headers: hash(e.Headers), Attempts: e.Attempts, Policy: e.PolicyVersion, Allow: e.MaxAttempts,
-			Out: e.InFlight, Ran: e.MayHaveRun, RanAt: c.stamp(e.MayHaveRunAt), RanIn: e.MayHaveRunOn, LastAt: c.stamp(e.LastAttemptAt), LastIn: e.LastAttemptOn,
-			Owed: e.NoticePending, Delivered: e.Notice.Delivered, HandedBack: e.Notice.HandedBack, Retry: e.Notice.RetryAfter}
-		if m.step != nil {
-			h.Step = m.step.no
+	for _, ref := range slices.Sorted(maps.Keys(c.messages)) {
+		m := c.messages[ref]
+		e := m.entry
+		h := capture.MessageState{Ref: ref, Front: m.front.number, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
+			Deadline: e.Deadline.Sub(c.startedAt) + clockStart, Resubmitted: e.Resubmitted, Size: len(e.Body), Headers: hashHeaders(e.Headers), Attempts: e.Attempts, PolicyVersion: e.PolicyVersion, MaxAttempts: e.MaxAttempts,
+			InFlight: e.InFlight, MayHaveRun: e.MayHaveRun, MayHaveRunAt: c.stamp(e.MayHaveRunAt), MayHaveRunOn: e.MayHaveRunOn, LastAttemptAt: c.stamp(e.LastAttemptAt), LastAttemptOn: e.LastAttemptOn,
+			NoticePending: e.NoticePending, Delivered: e.Notice.Delivered, HandedBack: e.Notice.HandedBack, RetryAfter: e.Notice.RetryAfter}
+		if m.attempt != nil {
+			h.Attempt = m.attempt.number
 		}
 		x.Messages = append(x.Messages, h)
 	}
-	for _, no := range slices.Sorted(maps.Keys(c.out)) {
-		s := capture.AttemptState{No: no, To: c.out[no].To.no}
-		if i := slices.Index(c.stalled, c.out[no]); i >= 0 {
-			s.Waits, s.At, s.For = i+1, c.stamp(c.stalled[i].at), c.stalled[i].Timeout
-			s.Before, s.From = c.stamp(c.stalled[i].WriteBefore), c.stamp(c.stalled[i].from)
-			s.Off = c.stalled[i].begun.Load() == 2
+	for _, no := range slices.Sorted(maps.Keys(c.inFlight)) {
+		s := capture.AttemptState{Number: no, To: c.inFlight[no].To.number}
+		if i := slices.Index(c.awaitingLease, c.inFlight[no]); i >= 0 {
+			s.QueuePosition, s.ScheduledAt, s.Timeout = i+1, c.stamp(c.awaitingLease[i].scheduledAt), c.awaitingLease[i].Timeout
+			s.WriteBefore, s.StartAfter = c.stamp(c.awaitingLease[i].WriteBefore), c.stamp(c.awaitingLease[i].startAfter)
+			s.Canceled = c.awaitingLease[i].progress.Load() == 2
 		}
-		for _, it := range c.out[no].Items {
+		for _, it := range c.inFlight[no].Items {
 			s.Refs, s.Attempts = append(s.Refs, it.ref), append(s.Attempts, it.attempt)
 		}
-		x.Steps = append(x.Steps, s)
+		x.Attempts = append(x.Attempts, s)
 	}
 	return x
 }
@@ -66,113 +66,113 @@
 	if t.IsZero() {
 		return 0
 	}
-	if d := t.Sub(c.base) + clockStart; d != 0 {
+	if d := t.Sub(c.startedAt) + clockStart; d != 0 {
 		return d
 	}
 	return 1
 }
 
 // at is the time of a stamp.
-func (c *Core) at(d time.Duration) time.Time {
+func (c *Core) timeOf(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
 	}
-	return c.base.Add(d - clockStart)
+	return c.startedAt.Add(d - clockStart)
 }
 
-// resume puts a new core into a state. Fronts are made by their names; the calls that are out are the shell's to know.
-func (c *Core) resume(x *capture.Core, front func(capture.FrontState) Front) {
-	c.in = slices.Clone(x.Events)
-	c.lastNo, c.lastRef, c.lastStep, c.handed = x.LastNo, x.LastRef, x.LastStep, x.Handed
-	c.wakeAt, c.watchAt, c.drainAt, c.houseAt = c.at(x.WakeAt), c.at(x.WatchAt), c.at(x.DrainAt), c.at(x.HouseAt)
+// restoreState puts a new core into a state. Fronts are made by their names; the calls that are out are the shell's to know.
+func (c *Core) restoreState(x *capture.Core, front func(capture.FrontState) Front) {
+	c.moduleEvents = slices.Clone(x.Events)
+	c.lastDestination, c.lastRef, c.lastAttempt, c.submitted = x.LastDestination, x.LastRef, x.LastAttempt, x.Submitted
+	c.wakeAt, c.watchAt, c.drainAt, c.lastHousekeeping = c.timeOf(x.WakeAt), c.timeOf(x.WatchAt), c.timeOf(x.DrainAt), c.timeOf(x.LastHousekeeping)
 	for _, s := range x.Fronts {
-		f := &frontState{name: s.Name, no: len(c.order), Front: front(s), list: map[string]uint32{}, index: s.Index, watchNo: s.WatchNo, toldBy: s.ToldBy,
-			away: s.Away, retryAt: c.at(s.RetryAt), gap: s.Gap}
+		f := &frontState{name: s.Name, number: len(c.frontsInOrder), Front: front(s), listed: map[string]uint32{}, listIndex: s.Index, lastWatch: s.LastWatch, listReportedBy: s.ListReportedBy,
+			movedMeanwhile: s.MovedMeanwhile, retryAt: c.timeOf(s.RetryAt), backoff: s.Backoff}
 		if s.Watching {
-			f.unwatch = func() {}
+			f.stopWatch = func() {}
 		}
 		if s.Calling {
-			f.unsend = func() {}
+			f.cancelNotify = func() {}
 		}
 		c.fronts[s.Name] = f
-		c.order = append(c.order, f)
+		c.frontsInOrder = append(c.frontsInOrder, f)
 	}
 	for _, n := range x.Numbers {
-		c.names[n.Front+" "+n.Name] = n.Number
+		c.destinationNumbers[n.Front+" "+n.Name] = n.Number
 	}
-	for _, s := range x.Dests {
-		c.dests[s.No] = &Destination{Name: s.Name, Zone: s.Zone, Kind: s.Kind, Partner: s.Partner, State: s.State, Weight: s.Weight,
-			front: c.order[s.Front], no: s.No, goneAt: c.at(s.GoneAt)}
+	for _, s := range x.Destinations {
+		c.destinations[s.Number] = &Destination{Name: s.Name, Zone: s.Zone, Kind: s.Kind, Partner: s.Partner, State: s.State, Weight: s.Weight,
+			front: c.frontsInOrder[s.Front], number: s.Number, removedAt: c.timeOf(s.RemovedAt)}
 	}
 	for i, s := range x.Fronts {
 		for _, n := range s.List {
-			c.order[i].list[c.dests[n].Name] = n
+			c.frontsInOrder[i].listed[c.destinations[n].Name] = n
 		}
 	}
 	var waits []capture.AttemptState // until the relay may act
-	for _, s := range x.Steps {
-		step := &Attempt{no: s.No, sampleBytes: -1, cancel: func() {}}
-		if d := c.dests[s.To]; d != nil {
+	for _, s := range x.Attempts {
+		step := &Attempt{number: s.Number, sampleBytes: -1, cancel: func() {}}
+		if d := c.destinations[s.To]; d != nil {
 			step.To = *d
 		} else {
-			step.To.no = s.To
+			step.To.number = s.To
 		}
 		for i, ref := range s.Refs {
 			step.Items = append(step.Items, Item{ref: ref, attempt: s.Attempts[i]})
 		}
-		c.out[s.No] = step
-		if s.Waits > 0 {
-			step.at, step.Timeout, step.WriteBefore, step.from = c.at(s.At), s.For, c.at(s.Before), c.at(s.From)
-			if s.Off {
-				step.begun.Store(2)
+		c.inFlight[s.Number] = step
+		if s.QueuePosition > 0 {
+			step.scheduledAt, step.Timeout, step.WriteBefore, step.startAfter = c.timeOf(s.ScheduledAt), s.Timeout, c.timeOf(s.WriteBefore), c.timeOf(s.StartAfter)
+			if s.Canceled {
+				step.progress.Store(2)
 			}
 			waits = append(waits, s)
 		}
 	}
-	slices.SortFunc(waits, func(a, b capture.AttemptState) int { return cmp.Compare(a.Waits, b.Waits) })
+	slices.SortFunc(waits, func(a, b capture.AttemptState) int { return cmp.Compare(a.QueuePosition, b.QueuePosition) })
 	for _, s := range waits {
-		c.stall(c.out[s.No])
+		c.awaitLease(c.inFlight[s.Number])
 	}
-	c.gov = x.Stand
+	c.governor = x.Mandate
 	for _, e := range x.Ended {
-		c.ended.add(e.Key, Verdict(e.Verdict), c.at(e.At))
+		c.endings.add(e.Key, Verdict(e.Verdict), c.timeOf(e.At))
 	}
 	for _, h := range x.Messages {
-		e := &journal.Entry{ID: h.ID, Key: blank(h.KeySize), Front: c.order[h.Front].name, Destination: h.Partner, Class: h.Class, Tenant: h.Tenant,
-			Deadline: c.at(h.Deadline), Resubmitted: h.Again, Body: []byte(blank(h.Size)), Headers: unhash(h.Headers), Attempts: h.Attempts, PolicyVersion: h.Policy, MaxAttempts: h.Allow, InFlight: h.Out,
-			MayHaveRun: h.Ran, MayHaveRunAt: c.at(h.RanAt), MayHaveRunOn: h.RanIn, LastAttemptAt: c.at(h.LastAt), LastAttemptOn: h.LastIn,
-			NoticePending: h.Owed, Notice: journal.Notice{Delivered: h.Delivered, HandedBack: h.HandedBack, RetryAfter: h.Retry}}
-		m := &message{ref: h.Ref, front: c.order[h.Front], e: e, step: c.out[h.Step]}
-		c.msgs[m.ref], c.byID[m.front.name+" "+e.ID] = m, m
+		e := &journal.Entry{ID: h.ID, Key: blankText(h.KeySize), Front: c.frontsInOrder[h.Front].name, Destination: h.Partner, Class: h.Class, Tenant: h.Tenant,
+			Deadline: c.timeOf(h.Deadline), Resubmitted: h.Resubmitted, Body: []byte(blankText(h.Size)), Headers: headersOfHash(h.Headers), Attempts: h.Attempts, PolicyVersion: h.PolicyVersion, MaxAttempts: h.MaxAttempts, InFlight: h.InFlight,
+			MayHaveRun: h.MayHaveRun, MayHaveRunAt: c.timeOf(h.MayHaveRunAt), MayHaveRunOn: h.MayHaveRunOn, LastAttemptAt: c.timeOf(h.LastAttemptAt), LastAttemptOn: h.LastAttemptOn,
+			NoticePending: h.NoticePending, Notice: journal.Notice{Delivered: h.Delivered, HandedBack: h.HandedBack, RetryAfter: h.RetryAfter}}
+		m := &message{ref: h.Ref, front: c.frontsInOrder[h.Front], entry: e, attempt: c.inFlight[h.Attempt]}
+		c.messages[m.ref], c.messagesByID[m.front.name+" "+e.ID] = m, m
 	}
 	for i, s := range x.Fronts {
-		for _, ref := range s.Owed {
-			c.order[i].owed = append(c.order[i].owed, c.notice(ref))
+		for _, ref := range s.Outstanding {
+			c.frontsInOrder[i].outstanding = append(c.frontsInOrder[i].outstanding, c.notice(ref))
 		}
 		for _, ref := range s.Sending {
-			c.order[i].sending = append(c.order[i].sending, c.notice(ref))
+			c.frontsInOrder[i].sending = append(c.frontsInOrder[i].sending, c.notice(ref))
 		}
-		c.owed += len(s.Owed) + len(s.Sending)
+		c.outstanding += len(s.Outstanding) + len(s.Sending)
 	}
 	c.ready.Store(c.drainAt.IsZero())
 }
 
 func (c *Core) notice(ref uint64) Notice {
-	if m := c.msgs[ref]; m != nil {
+	if m := c.messages[ref]; m != nil {
 		return m.notice()
 	}
 	return Notice{ref: ref}
 }
 
-// blank stands for a text of which only the length is known.
-func blank(n int) string { return string(make([]byte, max(n, 0))) }
+// blankText stands for a text of which only the length is known.
+func blankText(n int) string { return string(make([]byte, max(n, 0))) }
 
-// unhash stands for headers of which only the hash is known: the same for the same.
-func unhash(h uint64) []string {
+// headersOfHash stands for headers of which only the hash is known: the same for the same.
+func headersOfHash(h uint64) []string {
 	if h == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf(hashed, h)}
+	return []string{fmt.Sprintf(hashedHeader, h)}
 }
 
-const hashed = "\x00%016x" // no header is called that
+const hashedHeader = "\x00%016x" // no header is called that
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -87,18 +87,18 @@
 		events: make(chan node.Event, mostPackets), packets: make(chan packet, mostPackets), ended: make(chan struct{}),
 		done: make(chan struct{}), askers: map[uint64]asker{}, counts: map[string]int{}, begun: time.Now()}
 	zone := max(0, cfg.Settings.Zone)
-	if p.Kept > 0 {
+	if p.GuaranteedShare > 0 {
 		f.core = core
 	}
 	f.free.New = func() any { b := make([]byte, mostFrame+1); return &b }
 	listen, err := net.ResolveUDPAddr("udp4", p.Listen)
 	if err != nil {
-		return nil, &config.KeyError{Key: "peers.listen", Why: err.Error()}
+		return nil, &config.KeyError{Key: "peers.listen", Reason: err.Error()}
 	}
-	for name, address := range p.Others {
+	for name, address := range p.Addresses {
 		a, err := netip.ParseAddrPort(address)
 		if err != nil {
-			return nil, &config.KeyError{Key: "peers.others." + name, Why: err.Error()}
+			return nil, &config.KeyError{Key: "peers.others." + name, Reason: err.Error()}
 		}
 		f.addresses[name] = a
 	}
@@ -115,13 +115,13 @@
 		log.Error("this relay comes back as a new member of its fleet", "error", why)
 	}
 	f.node, err = node.New(node.Config{Name: p.Name, Gen: disk.id.Gen, Life: draw() | 1, Seed: draw(), Member: disk.member, Voters: p.Voters,
-		Roster: p.Roster(), Lease: p.Lease, Drift: p.Drift, Serve: p.Serve, Kept: p.Kept, Zone: zone}, image, f.now())
+		Roster: p.Roster(), Lease: p.Lease, Drift: p.Drift, Serve: p.ServeWhenPartitioned, Kept: p.GuaranteedShare, Zone: zone}, image, f.now())
 	if err != nil { // what lies there is sound but makes no sense
 		log.Error("this relay comes back as a new member of its fleet", "error", err)
 		disk.member = draw() | 1
 		if err = disk.rewrite(wiped()); err == nil {
 			f.node, err = node.New(node.Config{Name: p.Name, Gen: disk.id.Gen, Life: draw() | 1, Seed: draw(), Member: disk.member,
-				Voters: p.Voters, Roster: p.Roster(), Lease: p.Lease, Drift: p.Drift, Serve: p.Serve, Kept: p.Kept, Zone: zone}, wiped(), f.now())
+				Voters: p.Voters, Roster: p.Roster(), Lease: p.Lease, Drift: p.Drift, Serve: p.ServeWhenPartitioned, Kept: p.GuaranteedShare, Zone: zone}, wiped(), f.now())
 		}
 		if err != nil {
 			_ = f.conn.Close()
--- a/internal/relay/httpwire/client.go
+++ b/internal/relay/httpwire/client.go
@@ -23,12 +23,12 @@
 // The stages.
 const (
 	Answered     Stage = iota // there is an answer
-	Spoilt                    // there is one, of which at most the first line could be read: it has run
+	Malformed                 // there is one, of which at most the first line could be read: it has run
 	Withheld                  // it was called back before its first byte: it has not run
 	NotConnected              // its last byte was never written: it has not run
 	Broken                    // the connection broke after that: it may have run
 	TimedOut                  // no answer came in time: it may have run
-	CalledOff                 // the context was cancelled: it may have run
+	Canceled                  // the context was cancelled: it may have run
 )
 
 // Peer is a machine to call. One that takes over another's address is not the same, and must not be called on
@@ -109,7 +109,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	answer, stage := c.call(ctx, request)
 	if answer != nil {
-		answer.Fresh = !used
+		answer.FirstOnConnection = !used
 		use(answer)
 	} else if stage == Broken && used {
 		p.doubt(idle)
@@ -127,7 +127,7 @@
 	if _, err := c.Write(request); err != nil {
 		return nil, NotConnected
 	}
-	for range c.lim.Provisional {
+	for range c.lim.MaxInterim {
 		if err := c.r.await(); err != nil {
 			break
 		}
@@ -137,16 +137,16 @@
 		c.bound(ctx, time.Time{})
 		switch {
 		case err != nil && answer == nil:
-			return &Response{}, Spoilt
+			return &Response{}, Malformed
 		case err != nil:
-			return answer, Spoilt
+			return answer, Malformed
 		case answer.Status >= 200:
 			return answer, Answered
 		}
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return nil, CalledOff
+		return nil, Canceled
 	case ctx.Err() != nil:
 		return nil, TimedOut
 	}
@@ -165,7 +165,7 @@
 	if p.trust == 0 {
 		return p.lim.IdleSocket
 	}
-	grown := float64(p.trust) * math.Exp2(float64(now.Sub(p.trustAt))/float64(p.lim.TrustDoubles))
+	grown := float64(p.trust) * math.Exp2(float64(now.Sub(p.trustAt))/float64(p.lim.IdleTrustDoubling))
 	return time.Duration(min(grown, float64(p.lim.IdleSocket)))
 }
 
@@ -174,7 +174,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.trust, p.trustAt = max(min(p.trusted(now), idle*3/4), p.lim.TrustLeast), now
+	p.trust, p.trustAt = max(min(p.trusted(now), idle*3/4), p.lim.IdleTrustMin), now
 }
 
 // take returns an idle connection that is still good, or nil. Those that stood too long, or that the other
@@ -207,8 +207,8 @@
 	p.count++
 }
 
-// Retire closes the idle connections to a peer, or those to all that have stood too long if it is the zero one.
-func (p *Pool) Retire(to Peer) {
+// CloseIdle closes the idle connections to a peer, or those to all that have stood too long if it is the zero one.
+func (p *Pool) CloseIdle(to Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for peer, list := range p.idle {
@@ -272,7 +272,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(lim.WatchSilence))
+	_ = conn.SetDeadline(time.Now().Add(lim.WatchTimeout))
 	r := NewReader(conn, lim)
 	var p *Response
 	if _, err = conn.Write(request); err == nil {
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -287,12 +287,12 @@
 	p, to := NewPool(limits()), Peer{"s-1", l.Addr().String()}
 	for _, want := range []bool{true, false, false} {
 		got := !want
-		stage := p.Do(t.Context(), to, AppendRequest(nil, "GET", "/", "h", nil, nil), nil, func(r *Response) { got = r.Fresh })
+		stage := p.Do(t.Context(), to, AppendRequest(nil, "GET", "/", "h", nil, nil), nil, func(r *Response) { got = r.FirstOnConnection })
 		if stage != Answered || got != want {
 			t.Errorf("stage %d, fresh %v, want %v", stage, got, want)
 		}
 	}
-	p.Retire(to)
+	p.CloseIdle(to)
 	_ = l.Close()
 	s.Close(time.Minute)
 }
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -16,8 +16,8 @@
 
 func limits() *config.Limits {
 	return &config.Limits{HeadSize: 16 << 10, BodySize: 64 << 10, ClientConnections: 8, FrontIdle: time.Minute,
-		FrontRead: time.Minute, FrontWrite: time.Minute, AnswerRead: time.Minute, Provisional: 4, IdleEndpoints: 4, IdlePerEndpoint: 2, IdleSocket: time.Minute,
-		ConnectTimeout: time.Minute, WatchSilence: time.Minute}
+		FrontRead: time.Minute, FrontWrite: time.Minute, AnswerRead: time.Minute, MaxInterim: 4, IdleEndpoints: 4, IdlePerEndpoint: 2, IdleSocket: time.Minute,
+		ConnectTimeout: time.Minute, WatchTimeout: time.Minute}
 }
 
 func echo(q *Request) Answer {
@@ -61,20 +61,20 @@
 		{"provisional answers without end", func(c net.Conn, _ func()) {
 			_, _ = c.Write([]byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)))
 		}, Broken, 0},
-		{"cut within the answer", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok[:30])); _ = c.Close() }, Spoilt, 0},
-		{"noise, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Spoilt, 0},
-		{"no status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Spoilt, 0},
-		{"unreadable head", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Spoilt, 0},
+		{"cut within the answer", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok[:30])); _ = c.Close() }, Malformed, 0},
+		{"noise, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Malformed, 0},
+		{"no status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Malformed, 0},
+		{"unreadable head", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Malformed, 0},
 		{"a head without end", func(c net.Conn, _ func()) {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4<<10)))
-		}, Spoilt, 0},
+		}, Malformed, 0},
 		{"3 GB to come", func(c net.Conn, _ func()) {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"))
-		}, Spoilt, 0},
+		}, Malformed, 0},
 		{"less than its length", func(c net.Conn, _ func()) {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"))
-		}, Spoilt, 0},
-		{"called off", func(_ net.Conn, cancel func()) { cancel() }, CalledOff, 0},
+		}, Malformed, 0},
+		{"called off", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := wiretest.Listen(t)
@@ -144,7 +144,7 @@
 	request := AppendRequest(nil, "GET", "/", address, nil, nil)
 	for range 2 {
 		if got := p.Do(context.Background(), Peer{Address: address}, request, nil, func(r *Response) {
-			if !r.Fresh {
+			if !r.FirstOnConnection {
 				t.Error("the first answer on its connection is not told to be")
 			}
 		}); got != Answered {
@@ -152,7 +152,7 @@
 		}
 		<-closed
 	}
-	if p.Retire(Peer{Address: address}); p.count != 0 {
+	if p.CloseIdle(Peer{Address: address}); p.count != 0 {
 		t.Errorf("%d connections left after Retire", p.count)
 	}
 }
@@ -198,7 +198,7 @@
 // on which a call was lost is not used, for a while.
 func TestTrust(t *testing.T) {
 	lim := limits()
-	lim.TrustLeast, lim.TrustDoubles = 100*time.Millisecond, time.Hour
+	lim.IdleTrustMin, lim.IdleTrustDoubling = 100*time.Millisecond, time.Hour
 	p, to := NewPool(lim), Peer{"s-1", "h:1"}
 	usable := func(idle time.Duration) bool {
 		conn, _ := net.Pipe()
--- a/internal/relay/httpwire/read.go
+++ b/internal/relay/httpwire/read.go
@@ -17,10 +17,10 @@
 // Error is a fault in what was read; Status is what a server answers to it.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return "httpwire: " + e.Why }
+func (e *Error) Error() string { return "httpwire: " + e.Reason }
 
 // Request is one request. Body is a slice of the connection's read buffer: it holds until the next read.
 type Request struct {
@@ -32,11 +32,11 @@
 
 // Response is one answer, as a client reads it. Body holds until the next read.
 type Response struct {
-	Status int
-	Header textproto.MIMEHeader
-	Body   []byte
-	Close  bool
-	Fresh  bool // the first on its connection; set by Pool.Do
+	Status            int
+	Header            textproto.MIMEHeader
+	Body              []byte
+	Close             bool
+	FirstOnConnection bool // the first on its connection; set by Pool.Do
 }
 
 // Reader reads requests or answers off one connection.
--- a/internal/relay/httpwire/server.go
+++ b/internal/relay/httpwire/server.go
@@ -13,13 +13,13 @@
 	"mastusher/internal/relay/config"
 )
 
-// Answer is what a handler returns. Lost, if set, is called when it could not be written.
+// Answer is what a handler returns. OnLost, if set, is called when it could not be written.
 type Answer struct {
-	Status int
-	Header []string // name, value, name, value...
-	Body   []byte
-	Prompt bool // an error that is no sign of a client that hammers: the next request is read at once
-	Lost   func()
+	Status       int
+	Header       []string // name, value, name, value...
+	Body         []byte
+	NoErrorDelay bool // an error that is no sign of a client that hammers: the next request is read at once
+	OnLost       func()
 }
 
 // Handler answers one request, whose bytes it may use until it returns.
@@ -218,7 +218,7 @@
 	var fault *Error
 	switch {
 	case errors.As(err, &fault):
-		a = Answer{Status: fault.Status, Body: []byte(fault.Why + "\n")}
+		a = Answer{Status: fault.Status, Body: []byte(fault.Reason + "\n")}
 	case err != nil:
 		return false
 	case left(f.Conn) || !f.enter(answering): // its client has gone, or it has made room for others: nobody would hear an answer
@@ -233,15 +233,15 @@
 	f.out = AppendAnswer(f.out[:0], &a, last)
 	_ = f.SetWriteDeadline(time.Now().Add(lim.FrontWrite))
 	if _, err := f.Write(f.out); err != nil {
-		if a.Lost != nil {
-			a.Lost()
+		if a.OnLost != nil {
+			a.OnLost()
 		}
 		return false
 	}
 	if last {
 		f.part()
-	} else if a.Status >= 400 && !a.Prompt { // whoever comes again at once waits, and not the relay
-		time.Sleep(lim.FrontRest)
+	} else if a.Status >= 400 && !a.NoErrorDelay { // whoever comes again at once waits, and not the relay
+		time.Sleep(lim.ErrorDelay)
 	}
 	return !last
 }
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -60,7 +60,7 @@
 func (f *Front) NotifiesDeliveries() bool { return false }
 
 // CloseIdle closes idle connections.
-func (f *Front) CloseIdle(to *engine.Destination) { f.pool.Retire(peer(to)) }
+func (f *Front) CloseIdle(to *engine.Destination) { f.pool.CloseIdle(peer(to)) }
 
 func peer(to *engine.Destination) httpwire.Peer {
 	if to == nil {
@@ -87,12 +87,12 @@
 	}
 	switch r := f.core.Submit(Name, m); r.Verdict {
 	case engine.Accepted:
-		return httpwire.Answer{Status: 202, Lost: func() { f.core.Withdraw(r) }}
+		return httpwire.Answer{Status: 202, OnLost: func() { f.core.Withdraw(r) }}
 	case engine.Busy:
 		return BusyReply(r.RetryAfter)
 	case engine.Rejected:
 		// The message was sound, and others come on this connection too: a plug-in's word on one is not theirs.
-		return httpwire.Answer{Status: cmp.Or(r.Status, 422), Body: []byte(r.Reason + "\n"), Prompt: true}
+		return httpwire.Answer{Status: cmp.Or(r.Status, 422), Body: []byte(r.Reason + "\n"), NoErrorDelay: true}
 	default:
 		return fault(500, "given up")
 	}
@@ -191,7 +191,7 @@
 	})
 	if r, failed := StageResult(stage); failed {
 		// Of one message the first line tells all, of several each has its part in the body.
-		if stage == httpwire.Spoilt && len(outs) == 1 && outs[0].Result == control.Delivered {
+		if stage == httpwire.Malformed && len(outs) == 1 && outs[0].Result == control.Delivered {
 			r = control.Delivered
 		}
 		for i := range outs {
@@ -204,7 +204,7 @@
 // StageResult is the result of a call that got no answer; false: it got one.
 func StageResult(s httpwire.Stage) (control.Result, bool) {
 	switch s {
-	case httpwire.Spoilt:
+	case httpwire.Malformed:
 		return control.Malformed, true
 	case httpwire.Withheld:
 		return control.NotProcessed, true
@@ -214,7 +214,7 @@
 		return control.Reset, true
 	case httpwire.TimedOut:
 		return control.TimedOut, true
-	case httpwire.CalledOff:
+	case httpwire.Canceled:
 		return control.Cancelled, true
 	}
 	return 0, false
@@ -264,7 +264,7 @@
 		switch all.Result = control.Throttled; {
 		case p.Header.Get("X-No-Slot") != "":
 			all.Result = control.NotProcessed
-		case p.Status == 503 && p.Close && p.Fresh && all.RetryAfter == 0:
+		case p.Status == 503 && p.Close && p.FirstOnConnection && all.RetryAfter == 0:
 			// The connection itself was turned away: the endpoint holds as many as it takes, idle ones counted. That is no limit on
 			// calls; what helps is to hold none that is not in use.
 			all.Result = control.NoConnection
@@ -390,7 +390,7 @@
 	defer s.Close()
 	defer context.AfterFunc(ctx, s.Close)()
 	for {
-		by := time.Now().Add(f.lim.WatchSilence)
+		by := time.Now().Add(f.lim.WatchTimeout)
 		entry, err := s.Next(by)
 		open := nesting(entry)
 		if open > 0 {
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -75,7 +75,7 @@
 				cfg.Settings.TenantNames, cfg.Settings.Tenants = []string{"north", "acme"}, make([]control.Tenant, 2)
 			}
 			cfg.Settings.MustSubscribe = true // and the module asks once: the watch below fails, and is let be
-			jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
+			jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -174,7 +174,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(outs, len(c.step.Items))
-			f.read(&httpwire.Response{Status: c.status, Header: c.header, Body: []byte(c.body), Close: c.ends, Fresh: !c.again}, c.step, got)
+			f.read(&httpwire.Response{Status: c.status, Header: c.header, Body: []byte(c.body), Close: c.ends, FirstOnConnection: !c.again}, c.step, got)
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
 			}
@@ -287,7 +287,7 @@
 	for name, says := range map[string]string{"nothing": "\n", "half a line": `{"index":43,"endpo`, "half a list": "{\"index\":43,\n\n\n\n"} {
 		l := wiretest.Listen(t)
 		cfg := configure(t, l.Addr().String(), "-")
-		cfg.Limits.WatchSilence = 200 * time.Millisecond
+		cfg.Limits.WatchTimeout = 200 * time.Millisecond
 		ended := make(chan struct{})
 		go func() {
 			conn, err := l.Accept()
@@ -314,7 +314,7 @@
 // begin has a core and its front at work on a configuration, without a watch, until end.
 func begin(t *testing.T, cfg *config.Config) (core *engine.Core, f *Front, jour *journal.Log, end func()) {
 	t.Helper()
-	jour, err := journal.Open(cfg.State, cfg.Limits.Disk)
+	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 	if err == nil {
 		core, err = engine.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
 	}
@@ -410,8 +410,8 @@
 		s := httpwire.NewServer(&cfg.Limits, func(q *httpwire.Request) httpwire.Answer {
 			a := f.Handle(q)
 			if tries++; tries == 1 { // it is taken on, and its answer not written yet
-				was := a.Lost
-				a.Lost = func() { was(); close(lost) }
+				was := a.OnLost
+				a.OnLost = func() { was(); close(lost) }
 				<-calls
 				close(broken)
 				if c.over {
--- a/internal/relay/plugin/abi1.go
+++ b/internal/relay/plugin/abi1.go
@@ -31,7 +31,7 @@
 	b := r.NewHostModuleBuilder(moduleOne)
 	pair := []api.ValueType{i32, i32}
 	b.NewFunctionBuilder().WithGoModuleFunction(text(func(w *worker, s string) {
-		w.out.Why = cut(s, w.v.host.lim.PluginReason)
+		w.out.Reason = cut(s, w.v.host.lim.PluginReason)
 	}), pair, nil).Export("reason")
 	b.NewFunctionBuilder().WithGoModuleFunction(text((*worker).say), pair, nil).Export("log")
 	_, err := b.Instantiate(ctx)
@@ -54,8 +54,8 @@
 	}
 	if w.call.Phase == Arrival && len(out) == 1 && uint32(out[0]) != 0 {
 		w.out.Reject, w.out.Status = true, 422
-		if w.out.Why == "" {
-			w.out.Why = "rejected by " + w.v.cfg.Name
+		if w.out.Reason == "" {
+			w.out.Reason = "rejected by " + w.v.cfg.Name
 		}
 	}
 	return nil
@@ -65,9 +65,9 @@
 	b := gjson.AppendJSONString([]byte(`{"abi":1,"front":`), c.Front)
 	b = gjson.AppendJSONString(append(b, `,"id":`...), c.ID)
 	if c.Phase == End {
-		return append(gjson.AppendJSONString(append(b, `,"end":`...), c.How), '}')
+		return append(gjson.AppendJSONString(append(b, `,"end":`...), c.Result), '}')
 	}
 	b = fmt.Appendf(b, `,"class":%d,"dest":%d,"left_ms":%d,"again":%t,"body":"`, c.Class, c.Partner,
-		c.Left.Milliseconds(), c.Again)
+		c.TimeLeft.Milliseconds(), c.Resubmitted)
 	return append(base64.StdEncoding.AppendEncode(b, c.Body), `"}`...)
 }
--- a/internal/relay/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -132,7 +132,7 @@
 		case status < 400 || status > 499 || status == 429 || status == 408:
 			why = rules.Looser // a refusal is the module's to give
 		default:
-			w.out.Reject, w.out.Status, w.out.Why = true, int(status), cut(reason, w.v.host.lim.PluginReason)
+			w.out.Reject, w.out.Status, w.out.Reason = true, int(status), cut(reason, w.v.host.lim.PluginReason)
 		}
 		s[0] = w.refuse("reject", why)
 	}},
@@ -182,11 +182,11 @@
 // bytesAt is a part of the module's memory; it holds until the module runs on.
 func bytesAt(m api.Memory, at, size uint64) []byte {
 	if m == nil {
-		panic(ErrMemory)
+		panic(ErrOutOfBounds)
 	}
 	b, ok := m.Read(uint32(at), uint32(size))
 	if !ok {
-		panic(ErrMemory)
+		panic(ErrOutOfBounds)
 	}
 	return b
 }
@@ -202,8 +202,8 @@
 func (w *worker) part(m api.Memory, at, size uint64, most int) []byte {
 	b := bytesAt(m, at, size)
 	b = b[:min(len(b), most)]
-	if w.copied += len(b) + 64; w.copied > w.v.host.lim.PluginCopied {
-		panic(ErrGreedy)
+	if w.copied += len(b) + 64; w.copied > w.v.host.lim.PluginCopyBytes {
+		panic(ErrCopyLimit)
 	}
 	return b
 }
@@ -232,9 +232,9 @@
 	case fieldClass:
 		return c.ClassName, true
 	case fieldTo:
-		return c.To, c.Phase == Answer
+		return c.Destination, c.Phase == Answer
 	case fieldHow:
-		return c.How, c.Phase == End
+		return c.Result, c.Phase == End
 	case fieldConfig:
 		return w.v.cfg.Config, w.v.cfg.Config != ""
 	case fieldName:
@@ -251,9 +251,9 @@
 	case numPartner:
 		return int64(c.Partner)
 	case numLeft:
-		return c.Left.Milliseconds()
+		return c.TimeLeft.Milliseconds()
 	case numAgain:
-		if c.Again {
+		if c.Resubmitted {
 			return 1
 		}
 		return 0
--- a/internal/relay/plugin/call.go
+++ b/internal/relay/plugin/call.go
@@ -47,30 +47,30 @@
 
 // Call is what a plug-in is told of one message. It belongs to the call: nothing in it is written to later.
 type Call struct {
-	Phase     Phase
-	Front     string
-	ID, Key   string
-	Partner   int
-	Class     int
-	ClassName string
-	Again     bool
-	Left      time.Duration        // until the deadline; on arrival
-	In        textproto.MIMEHeader // the client's headers on arrival, the destination's upon an answer
-	Body      []byte               // on arrival the message's, upon an answer its first bytes
-	Shape     rules.Shape          // headers that go out, as the plug-ins before have left them
-	To        string               // name of the destination that answered
-	Status    int                  // its status
-	Answer    rules.Answer         // what the relay makes of it
-	How       string               // the message ended as
-	Now       time.Time            // the plug-in's clock, for the whole call
-	guard     *rules.Front
+	Phase       Phase
+	Front       string
+	ID, Key     string
+	Partner     int
+	Class       int
+	ClassName   string
+	Resubmitted bool
+	TimeLeft    time.Duration        // until the deadline; on arrival
+	In          textproto.MIMEHeader // the client's headers on arrival, the destination's upon an answer
+	Body        []byte               // on arrival the message's, upon an answer its first bytes
+	Shape       rules.Shape          // headers that go out, as the plug-ins before have left them
+	Destination string               // name of the destination that answered
+	Status      int                  // its status
+	Answer      rules.Answer         // what the relay makes of it
+	Result      string               // the message ended as
+	Now         time.Time            // the plug-in's clock, for the whole call
+	guard       *rules.Front
 }
 
 // Outcome is what a plug-in wants. Of a call that failed nothing of it counts.
 type Outcome struct {
 	Reject  bool
 	Status  int // with Reject: 4xx
-	Why     string
+	Reason  string
 	Shape   rules.Shape
 	Body    []byte // nil: unchanged
 	Ask     rules.Ask
@@ -87,13 +87,13 @@
 
 // Why a call did not do its work.
 var (
-	ErrOpen    = errors.New("plugin: its circuit breaker is open")
-	ErrDry     = errors.New("plugin: its share of processor time is used up")
-	ErrCrowded = errors.New("plugin: no instance was free in time")
-	ErrBudget  = errors.New("plugin: no time is left for it")
-	ErrMemory  = errors.New("plugin: a pointer or length lies outside its memory")
-	ErrGreedy  = errors.New("plugin: it has had the relay copy more than one call may")
-	ErrTime    = errors.New("plugin: it ran over its time")
-	ErrStatus  = errors.New("plugin: it returned a failure of its own")
-	ErrStuck   = errors.New("plugin: it did not end in time, and could not be stopped at once")
+	ErrBreakerOpen    = errors.New("plugin: its circuit breaker is open")
+	ErrCPUShareUsed   = errors.New("plugin: its share of processor time is used up")
+	ErrNoInstanceFree = errors.New("plugin: no instance was free in time")
+	ErrBudget         = errors.New("plugin: no time is left for it")
+	ErrOutOfBounds    = errors.New("plugin: a pointer or length lies outside its memory")
+	ErrCopyLimit      = errors.New("plugin: it has had the relay copy more than one call may")
+	ErrTimeout        = errors.New("plugin: it ran over its time")
+	ErrPluginFailure  = errors.New("plugin: it returned a failure of its own")
+	ErrNotStopped     = errors.New("plugin: it did not end in time, and could not be stopped at once")
 )
--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -45,11 +45,11 @@
 		}
 		defer h.Close()
 		for range 2 {
-			out, err := h.Try("plugin", Call{Phase: p, Front: "platform", ID: "m", Body: []byte("body"), How: "delivered", Now: time.Now()})
+			out, err := h.CallOnce("plugin", Call{Phase: p, Front: "platform", ID: "m", Body: []byte("body"), Result: "delivered", Now: time.Now()})
 			if err != nil && (len(out.Shape) > 0 || out.Body != nil || out.Reject) {
 				t.Fatalf("failed, and yet %+v", out)
 			}
-			if out.Reject && (p != Arrival || out.Status < 400 || out.Status > 499 || len(out.Why) > 4*h.lim.PluginReason) {
+			if out.Reject && (p != Arrival || out.Status < 400 || out.Status > 499 || len(out.Reason) > 4*h.lim.PluginReason) {
 				t.Fatalf("%+v", out)
 			}
 			if out.Body != nil || p != Arrival && len(out.Shape) > 0 {
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -62,7 +62,7 @@
 	h := &Host{lim: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
 		owners: map[string]config.Plugin{}, stop: make(chan struct{}), storeDir: cfg.PluginHost.Store,
 		rules: rules.Limits{Headers: l.PluginHeaders, NameSize: 64, ValueSize: l.PluginValue,
-			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MostWait: l.PluginMostWait}}
+			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MostWait: l.PluginRetryAfterMax}}
 	h.memories.most = l.PluginMemory
 	for i := range cfg.Settings.Classes {
 		h.classes = append(h.classes, cfg.Settings.Classes[i].Name)
@@ -73,13 +73,13 @@
 	if dir := cfg.PluginHost.Cache; dir != "" {
 		cache, err := wazero.NewCompilationCacheWithDir(dir)
 		if err != nil {
-			return nil, &config.KeyError{Key: "plugin_host.cache", Why: err.Error()}
+			return nil, &config.KeyError{Key: "plugin_host.cache", Reason: err.Error()}
 		}
 		h.cache, h.cacheDir = cache, dir
 	}
 	if h.storeDir != "" {
 		if err := os.MkdirAll(h.storeDir, 0o700); err != nil {
-			return nil, &config.KeyError{Key: "plugin_host.store", Why: err.Error()}
+			return nil, &config.KeyError{Key: "plugin_host.store", Reason: err.Error()}
 		}
 	}
 	if err := h.Reload(cfg); err != nil {
@@ -107,7 +107,7 @@
 			for _, v := range next.chain {
 				h.letGo(v)
 			}
-			err = &config.KeyError{Key: c.Key, Why: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
+			err = &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
 			h.status(cfg, err)
 			return err
 		}
@@ -234,9 +234,9 @@
 }
 
 func (h *Host) gateLimits(c *config.Plugin) gate.Limits {
-	return gate.Limits{Instances: c.Instances, Share: c.Share, Burst: h.lim.PluginBurst, Strikes: h.lim.PluginStrikes,
-		Pardon: 0.05, Rest: h.lim.PluginRest, MostRest: h.lim.PluginMostRest, Trials: h.lim.PluginTrials,
-		Partners: h.lim.PluginPartners, SharedOpen: 4}
+	return gate.Limits{Instances: c.Instances, Share: c.Share, Burst: h.lim.PluginBurst, Strikes: h.lim.PluginBreakerThreshold,
+		Pardon: 0.05, Rest: h.lim.PluginBreakerOpen, MostRest: h.lim.PluginBreakerOpenMax, Trials: h.lim.PluginBreakerTrials,
+		Partners: h.lim.PluginBreakers, SharedOpen: 4}
 }
 
 func (h *Host) class(n int) string {
@@ -263,11 +263,11 @@
 		if c == nil {
 			by = now.Add(h.lim.PluginBudget)
 			c = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
-				ClassName: h.class(m.Class), Again: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
+				ClassName: h.class(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
 		}
 		// A call of its own for each: one that was left to itself may still read the last.
 		mine := *c
-		mine.Now, mine.Left = now, m.Deadline.Sub(now)
+		mine.Now, mine.TimeLeft = now, m.Deadline.Sub(now)
 		out, err := v.try(&mine, by)
 		switch {
 		case err != nil && v.cfg.Reject:
@@ -277,7 +277,7 @@
 			continue
 		case out.Reject:
 			v.counts.Rejected.Add(1)
-			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Reason: out.Why}
+			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Reason: out.Reason}
 		}
 		c.Shape = out.Shape
 		if out.Body != nil {
@@ -335,7 +335,7 @@
 		now := time.Now()
 		a := rules.Answer{Result: o.Result, Wait: o.RetryAfter, Over: o.Final}
 		c := &Call{Phase: Answer, Front: front, ID: it.ID, Key: it.Key, Partner: to.Partner, Class: it.Class,
-			ClassName: h.class(it.Class), In: seen.Header, Body: seen.Body, To: to.Name, Status: seen.Status, Answer: a, Now: now}
+			ClassName: h.class(it.Class), In: seen.Header, Body: seen.Body, Destination: to.Name, Status: seen.Status, Answer: a, Now: now}
 		// The least that could be asked for: where that is refused there is nothing to wait for.
 		if _, why := rules.Tighten(a, rules.Ask{Wait: a.Wait + 1}, &h.rules); why != rules.None {
 			v.later(c)
@@ -360,7 +360,7 @@
 	for _, v := range g.chain {
 		if v.applies(End, front, e.Partner, e.Class) {
 			v.later(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
-				ClassName: h.class(e.Class), How: e.Result})
+				ClassName: h.class(e.Class), Result: e.Result})
 		}
 	}
 }
@@ -443,8 +443,8 @@
 	}
 }
 
-// Try makes one call to a plug-in, for tools: neither scope nor phase is asked for.
-func (h *Host) Try(name string, c Call) (Outcome, error) {
+// CallOnce makes one call to a plug-in, for tools: neither scope nor phase is asked for.
+func (h *Host) CallOnce(name string, c Call) (Outcome, error) {
 	g := h.use()
 	if g == nil {
 		return Outcome{}, ErrBudget
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	cfg.Limits.PluginBurst = time.Minute
-	cfg.Limits.PluginRest, cfg.Limits.PluginMostRest = time.Hour, time.Hour // no trial comes while a test runs
+	cfg.Limits.PluginBreakerOpen, cfg.Limits.PluginBreakerOpenMax = time.Hour, time.Hour // no trial comes while a test runs
 	return cfg
 }
 
@@ -162,7 +162,7 @@
 	if d := cmp.Diff([]engine.Outcome{{Result: control.Throttled, RetryAfter: time.Second}}, outs); d != "" {
 		t.Error(d)
 	}
-	for i := range 3 * h.lim.PluginEnds {
+	for i := range 3 * h.lim.PluginEndQueue {
 		h.OnEnd("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, Result: "delivered"})
 	}
 	if v := h.now.Load().chain[0]; v.counts.Dropped.Load() == 0 {
@@ -359,7 +359,7 @@
 	s := newSetup(t).with("p", wasmtest.Loops(1), `"cpu_share": 0.001, "timeout": "50ms"`)
 	cfg := s.config()
 	cfg.Limits.PluginBurst = 10 * time.Millisecond
-	cfg.Limits.PluginStrikes = 1000
+	cfg.Limits.PluginBreakerThreshold = 1000
 	h, err := New(cfg, fronts, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/plugin/prepare.go
+++ b/internal/relay/plugin/prepare.go
@@ -18,7 +18,7 @@
 			for _, v := range next {
 				h.letGo(v)
 			}
-			return &config.KeyError{Key: c.Key, Why: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
+			return &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
 		}
 		v.users++
 		next = append(next, v)
--- a/internal/relay/plugin/trial/trial.go
+++ b/internal/relay/plugin/trial/trial.go
@@ -48,7 +48,7 @@
 // New returns a case with everything that it need not name.
 func New(name string) Case {
 	return Case{Name: name, Call: plugin.Call{Phase: plugin.Arrival, Front: "platform", ID: "message-1", Key: "key-1",
-		Partner: 1, ClassName: "match-event", Left: 10 * time.Second, To: "endpoint-1", How: "delivered", Now: Start,
+		Partner: 1, ClassName: "match-event", TimeLeft: 10 * time.Second, Destination: "endpoint-1", Result: "delivered", Now: Start,
 		In: textproto.MIMEHeader{}}}
 }
 
@@ -83,9 +83,9 @@
 		}
 		k.In.Add(textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)), strings.TrimSpace(v))
 	case "again":
-		k.Again, err = strconv.ParseBool(value)
+		k.Resubmitted, err = strconv.ParseBool(value)
 	case "left":
-		span(&k.Left)
+		span(&k.TimeLeft)
 	case "now":
 		k.Now, err = time.Parse(time.RFC3339Nano, value)
 	case "status":
@@ -99,9 +99,9 @@
 	case "told":
 		span(&k.Answer.Wait)
 	case "to":
-		k.To = value
+		k.Destination = value
 	case "how":
-		k.How = value
+		k.Result = value
 	case "fresh":
 		c.Fresh = true
 	default:
@@ -153,7 +153,7 @@
 	}
 	lines := []string{"pass"}
 	if out.Reject {
-		lines[0] = strings.TrimSpace(fmt.Sprintf("reject %d %s", out.Status, out.Why))
+		lines[0] = strings.TrimSpace(fmt.Sprintf("reject %d %s", out.Status, out.Reason))
 	}
 	if c.Phase == plugin.Arrival && !out.Reject {
 		for pair := range slices.Chunk(out.Shape, 2) {
@@ -196,7 +196,7 @@
 		}
 	}
 	call := c.Call
-	out, failed := p.h.Try(p.Name, call)
+	out, failed := p.h.CallOnce(p.Name, call)
 	return Lines(&call, out, failed, p.h.Rules()), out, nil
 }
 
--- a/internal/relay/plugin/version.go
+++ b/internal/relay/plugin/version.go
@@ -84,7 +84,7 @@
 // load reads, checks, compiles and warms up a module. It takes processor time, on a thread that gives way.
 func (h *Host) load(cfg config.Plugin, text []byte) (v *version, err error) {
 	v = &version{host: h, cfg: cfg, hash: hashOf(text), changed: make(chan struct{}),
-		idle: make(chan *worker, cfg.Instances), line: make(chan *Call, h.lim.PluginEnds)}
+		idle: make(chan *worker, cfg.Instances), line: make(chan *Call, h.lim.PluginEndQueue)}
 	v.gate = gate.New(h.gateLimits(&cfg))
 	if v.store, err = h.storeOf(&cfg); err != nil {
 		return nil, err
@@ -280,14 +280,14 @@
 		case gate.Go:
 			return v.send(<-v.idle, c, by, ticket)
 		case gate.Open:
-			return v.skip(ErrOpen)
+			return v.skip(ErrBreakerOpen)
 		case gate.Dry:
-			return v.skip(ErrDry)
+			return v.skip(ErrCPUShareUsed)
 		}
 		select {
 		case <-changed: // also when a breaker opens: whoever waits hears of it at once
 		case <-timer.C:
-			return v.skip(ErrCrowded)
+			return v.skip(ErrNoInstanceFree)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 	case d := <-j.done:
 		return d.out, d.err
 	case <-late.C:
-		return Outcome{}, ErrStuck
+		return Outcome{}, ErrNotStopped
 	}
 }
 
@@ -323,7 +323,7 @@
 		switch result = gate.Failed; {
 		case errors.As(err, new(errStart)):
 			result = gate.Crashed
-		case errors.Is(err, ErrTime):
+		case errors.Is(err, ErrTimeout):
 			result = gate.Overran
 		}
 	}
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -121,7 +121,7 @@
 		err = w.callOne(ctx, fn)
 	} else {
 		if err = fn.CallWithStack(ctx, w.stack[:]); err == nil && uint32(w.stack[0]) != 0 {
-			err = fmt.Errorf("%w: %d", ErrStatus, int32(w.stack[0]))
+			err = fmt.Errorf("%w: %d", ErrPluginFailure, int32(w.stack[0]))
 		}
 	}
 	if err != nil {
@@ -215,9 +215,9 @@
 func plain(err error) error {
 	var exit *wasys.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == wasys.ExitCodeDeadlineExceeded {
-		return ErrTime
+		return ErrTimeout
 	}
-	for _, own := range []error{ErrMemory, ErrGreedy} {
+	for _, own := range []error{ErrOutOfBounds, ErrCopyLimit} {
 		if errors.Is(err, own) {
 			return own
 		}
--- a/internal/relay/simulator/fullrelay/whole.go
+++ b/internal/relay/simulator/fullrelay/whole.go
@@ -72,7 +72,7 @@
 	}
 	cfg.Limits = config.Limits{Queue: 1 << 14, BusyRetry: 500 * time.Millisecond, AnswerWithin: 300 * time.Millisecond, BodySize: 64 << 10,
 		DrainSends: time.Second, DrainExit: 4 * time.Second, NoticesPerCall: 64, NoticeTimeout: time.Second, NoticeRetry: 250 * time.Millisecond,
-		NoticeRetryMost: 4 * time.Second, WatchRetry: 500 * time.Millisecond, Round: round}
+		NoticeRetryMax: 4 * time.Second, WatchRetry: 500 * time.Millisecond, Round: round}
 	core, err := engine.New(cfg, p.jour, slog.New(slog.NewTextHandler(io.Discard, nil)), p.at(p.now))
 	if err != nil {
 		panic(err) // the lab's settings have passed its own checks
--- a/internal/relay/standin/standin.go
+++ b/internal/relay/standin/standin.go
@@ -19,7 +19,7 @@
 // Limits are those of the stand-ins' sockets.
 func Limits() *config.Limits {
 	return &config.Limits{HeadSize: 64 << 10, BodySize: 1 << 20, ClientConnections: 4096, FrontIdle: time.Hour, FrontRead: time.Minute,
-		FrontWrite: time.Minute, AnswerRead: time.Minute, Provisional: 4, ConnectTimeout: time.Minute, IdleSocket: time.Hour}
+		FrontWrite: time.Minute, AnswerRead: time.Minute, MaxInterim: 4, ConnectTimeout: time.Minute, IdleSocket: time.Hour}
 }
 
 // Arrival is one call that an endpoint got.
