--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -12,15 +12,15 @@
 	"mastusher/internal/relay/config"
 )
 
-// Counts are the packets taken and dropped since the start.
-type Counts struct {
-	Taken, Sent                                     atomic.Uint64
-	Malformed, Checksum, OtherRouter, Stranger, Own atomic.Uint64 // dropped
+// Counters are the packets taken and dropped since the start.
+type Counters struct {
+	Accepted, Sent                                     atomic.Uint64
+	Malformed, Checksum, OtherRouter, UnknownPeer, Own atomic.Uint64 // dropped
 }
 
 // Instance runs a machine over UDP.
 type Instance struct {
-	Counts Counts
+	Counts Counters
 
 	mu     sync.Mutex
 	m      *Machine
@@ -40,14 +40,14 @@
 func Listen(cfg *config.VRRP, log *slog.Logger) (*Instance, error) {
 	at, err := net.ResolveUDPAddr("udp", cfg.Listen)
 	if err != nil {
-		return nil, &config.KeyError{Key: "vrrp.listen", Why: err.Error()}
+		return nil, &config.KeyError{Key: "vrrp.listen", Reason: err.Error()}
 	}
 	own, _ := netip.AddrFromSlice(cfg.Address)
 	r := Router{VRID: cfg.VRID, Priority: cfg.Priority, Advertise: cfg.Advertise, Preempt: cfg.Preempt, Address: own.Unmap()}
 	for _, ip := range cfg.Virtual {
 		a, _ := netip.AddrFromSlice(ip)
 		if a = a.Unmap(); a.Is4() != r.Address.Is4() {
-			return nil, &config.KeyError{Key: "vrrp.virtual", Why: "not of the family of vrrp.address"}
+			return nil, &config.KeyError{Key: "vrrp.virtual", Reason: "not of the family of vrrp.address"}
 		}
 		r.Virtual = append(r.Virtual, a)
 	}
@@ -56,7 +56,7 @@
 	for _, p := range cfg.Peers {
 		ap, err := netip.ParseAddrPort(p)
 		if err != nil {
-			return nil, &config.KeyError{Key: "vrrp.peers", Why: err.Error()}
+			return nil, &config.KeyError{Key: "vrrp.peers", Reason: err.Error()}
 		}
 		in.peers[ap.Addr().Unmap()] = ap
 	}
@@ -81,9 +81,9 @@
 		_ = in.conn.Close()
 		in.done.Wait()
 		c := &in.Counts
-		in.log.Info("the virtual router has stopped", "vrid", in.vrid, "sent", c.Sent.Load(), "taken", c.Taken.Load(),
+		in.log.Info("the virtual router has stopped", "vrid", in.vrid, "sent", c.Sent.Load(), "taken", c.Accepted.Load(),
 			"malformed", c.Malformed.Load(), "checksum", c.Checksum.Load(), "other_router", c.OtherRouter.Load(),
-			"stranger", c.Stranger.Load(), "own", c.Own.Load())
+			"stranger", c.UnknownPeer.Load(), "own", c.Own.Load())
 	})
 }
 
@@ -131,7 +131,7 @@
 	case from == in.own:
 		in.Counts.Own.Add(1)
 	case !known:
-		in.Counts.Stranger.Add(1)
+		in.Counts.UnknownPeer.Add(1)
 	case errors.Is(err, ErrChecksum):
 		in.Counts.Checksum.Add(1)
 	case err != nil:
@@ -139,7 +139,7 @@
 	case p.VRID != in.vrid:
 		in.Counts.OtherRouter.Add(1)
 	default:
-		in.Counts.Taken.Add(1)
+		in.Counts.Accepted.Add(1)
 		in.act(func(now time.Time) []Packet { return in.m.Receive(now, p, from) })
 	}
 }
--- a/internal/relay/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -180,7 +180,7 @@
 	in.take(nil, peer)
 	in.take(other, peer)
 	c := &in.Counts
-	got := []uint64{c.Taken.Load(), c.Own.Load(), c.Stranger.Load(), c.Checksum.Load(), c.Malformed.Load(), c.OtherRouter.Load()}
+	got := []uint64{c.Accepted.Load(), c.Own.Load(), c.UnknownPeer.Load(), c.Checksum.Load(), c.Malformed.Load(), c.OtherRouter.Load()}
 	if d := cmp.Diff([]uint64{1, 1, 1, 1, 1, 1}, got); d != "" || in.Active() {
 		t.Errorf("active %v, counts (-want +got)\n%s", in.Active(), d)
 	}
