--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -8,40 +8,54 @@
 	"mastusher/internal/tier/view"
 )
 
-// maxSources bounds the members that are remembered as holding a section.
+// Fetch asks a member for the sections of Wanted, with those stamps or newer ones, over a reliable connection. The caller
+// of Step must return its outcome as a FetchResult with the same token.
+type Fetch struct {
+	Token   uint64
+	Address string
+	Wanted  view.Digest
+}
+
+// FetchResult is the outcome of a Fetch. Without updates it has failed.
+type FetchResult struct {
+	Token   uint64
+	Updates []view.Update
+}
+
+// maxSources bounds the sources that are remembered per section.
 const maxSources = 8
 
-// maxFailures is how often a source may fail before it is forgotten.
-const maxFailures = 3
+// maxSourceFailures is how often a source may fail until it is forgotten.
+const maxSourceFailures = 3
 
-// source is a member that has announced a stamp of a section.
-type source struct {
-	address  string
-	stamp    view.Stamp
-	failures int
+// fetcher is the state of the fetches, one per section.
+type fetcher struct {
+	sections []*sectionFetch // by section
+	token    uint64          // of the last fetch
 }
 
-// want is a section of which a newer piece has been announced. It stays after the piece has come, so that its sources are
-// not told what they know.
-type want struct {
+// sectionFetch is the state of a section of which a newer update has been announced. It stays after the fetch, so that its
+// sources do not get an announcement of what they have.
+type sectionFetch struct {
 	section view.Section
 	sources []source
 
-	token    uint64 // of the fetch under way; 0: none
-	from     string // its source
-	asked    view.Stamp
-	deadline time.Duration
-	retryAt  time.Duration // a source that failed is not tried again before
+	token     uint64 // of the pending fetch; 0: none
+	source    string // address that it asks
+	requested view.Stamp
+	deadline  time.Duration
+	retryAt   time.Duration // backoff of a source that failed
 }
 
-// fetches holds the wants, one a section, by section.
-type fetches struct {
-	wants []*want
-	token uint64
+// source is a member that has announced a stamp of a section.
+type source struct {
+	address  string
+	stamp    view.Stamp
+	failures int
 }
 
-func (f *fetches) find(section view.Section) *want {
-	for _, w := range f.wants {
+func (f *fetcher) find(section view.Section) *sectionFetch {
+	for _, w := range f.sections {
 		if w.section == section {
 			return w
 		}
@@ -49,26 +63,26 @@
 	return nil
 }
 
-// announced notes that a member holds a stamp of a section.
-func (f *fetches) announced(section view.Section, stamp view.Stamp, address string) {
+// addSource notes that a member has announced a stamp of a section.
+func (f *fetcher) addSource(section view.Section, stamp view.Stamp, address string) {
 	w := f.find(section)
 	if w == nil {
-		w = &want{section: section}
-		f.wants = append(f.wants, w)
-		slices.SortFunc(f.wants, func(a, b *want) int { return cmp.Compare(a.section, b.section) })
+		w = &sectionFetch{section: section}
+		f.sections = append(f.sections, w)
+		slices.SortFunc(f.sections, func(a, b *sectionFetch) int { return cmp.Compare(a.section, b.section) })
 	}
-	w.add(stamp, address)
+	w.addSource(stamp, address)
 }
 
-func (f *fetches) hasAnnounced(section view.Section, stamp view.Stamp, address string) bool {
+func (f *fetcher) hasAnnounced(section view.Section, stamp view.Stamp, address string) bool {
 	w := f.find(section)
 	return w != nil && slices.ContainsFunc(w.sources, func(s source) bool {
 		return s.address == address && !s.stamp.Less(stamp)
 	})
 }
 
-// add remembers a source; when there are many, the one with the oldest stamp gives way.
-func (w *want) add(stamp view.Stamp, address string) {
+// addSource adds a source; beyond maxSources it replaces the one with the oldest stamp, if that is older.
+func (w *sectionFetch) addSource(stamp view.Stamp, address string) {
 	position := slices.IndexFunc(w.sources, func(s source) bool { return s.address == address })
 	if position >= 0 {
 		if w.sources[position].stamp.Less(stamp) {
@@ -91,13 +105,13 @@
 	}
 }
 
-// best returns the source to try next of those that hold more than held: the one that failed least, then the one with the
-// newest stamp, then a later announcement. Nil: there is none.
-func (w *want) best(held view.Stamp) *source {
+// bestSource returns the source to ask next of those with a newer stamp than current: with the fewest failures, then the
+// newest stamp, then the latest announcement. Nil: there is none.
+func (w *sectionFetch) bestSource(current view.Stamp) *source {
 	var best *source
 	for i := range w.sources {
 		candidate := &w.sources[i]
-		if !held.Less(candidate.stamp) {
+		if !current.Less(candidate.stamp) {
 			continue
 		}
 		if best == nil || candidate.failures < best.failures ||
@@ -108,85 +122,85 @@
 	return best
 }
 
-// failed notes that the fetch under way has brought nothing.
-func (w *want) failed(now, pause time.Duration) {
+// noteFailure ends the pending fetch without result. The backoff grows with the failures of its source.
+func (w *sectionFetch) noteFailure(now, backoff time.Duration) {
 	w.token = 0
-	position := slices.IndexFunc(w.sources, func(s source) bool { return s.address == w.from })
+	position := slices.IndexFunc(w.sources, func(s source) bool { return s.address == w.source })
 	if position < 0 {
 		return
 	}
 	w.sources[position].failures++
-	w.retryAt = now + pause*time.Duration(w.sources[position].failures)
-	if w.sources[position].failures >= maxFailures {
+	w.retryAt = now + backoff*time.Duration(w.sources[position].failures)
+	if w.sources[position].failures >= maxSourceFailures {
 		w.sources = slices.Delete(w.sources, position, position+1)
 	}
 }
 
-// finish takes in the outcome of a fetch.
-func (s *Gossiper) finish(fetched FetchResult) {
-	for _, piece := range fetched.Pieces {
-		s.accept(piece)
+// handleFetchResult applies the updates of a fetch. Sections that are still older than requested count as failed.
+func (s *Gossiper) handleFetchResult(fetched FetchResult) {
+	for _, update := range fetched.Updates {
+		s.apply(update)
 	}
-	for _, w := range s.fetches.wants {
+	for _, w := range s.fetcher.sections {
 		if w.token != fetched.Token || w.token == 0 {
 			continue
 		}
-		if s.store.Stamp(w.section).Less(w.asked) {
-			w.failed(s.now, s.options.RetryBackoff)
+		if s.store.Stamp(w.section).Less(w.requested) {
+			w.noteFailure(s.now, s.options.RetryBackoff)
 			continue
 		}
 		w.token = 0
 	}
 }
 
-// expire gives up waiting for fetches that take too long. What they bring later is still taken.
-func (s *Gossiper) expire() {
-	for _, w := range s.fetches.wants {
+// expireFetches counts fetches that exceed their time-out as failed. Updates that arrive later are still applied.
+func (s *Gossiper) expireFetches() {
+	for _, w := range s.fetcher.sections {
 		if w.token != 0 && s.now >= w.deadline {
-			w.failed(s.now, s.options.RetryBackoff)
+			w.noteFailure(s.now, s.options.RetryBackoff)
 		}
 	}
 }
 
-// startFetches asks for all that is wanted and not under way, with one fetch for each source.
+// startFetches fetches the sections that have a source and no pending fetch, with one fetch per source.
 func (s *Gossiper) startFetches() {
-	begun := len(s.effects.Fetches)
-	for _, w := range s.fetches.wants {
+	first := len(s.effects.Fetches)
+	for _, w := range s.fetcher.sections {
 		if w.token != 0 {
 			continue
 		}
-		chosen := w.best(s.store.Stamp(w.section))
+		chosen := w.bestSource(s.store.Stamp(w.section))
 		if chosen == nil || chosen.failures > 0 && s.now < w.retryAt {
 			continue
 		}
-		fetch := s.fetchFrom(chosen.address, begun)
+		fetch := s.fetchOf(chosen.address, first)
 		fetch.Wanted[w.section] = chosen.stamp
 		w.token = fetch.Token
-		w.from = chosen.address
-		w.asked = chosen.stamp
+		w.source = chosen.address
+		w.requested = chosen.stamp
 		w.deadline = s.now + s.options.FetchTimeout
 	}
 }
 
-// fetchFrom returns the fetch of this Step from a source.
-func (s *Gossiper) fetchFrom(address string, begun int) *Fetch {
-	for i := begun; i < len(s.effects.Fetches); i++ {
+// fetchOf returns the fetch of this Step from a source; those of this Step start at index first.
+func (s *Gossiper) fetchOf(address string, first int) *Fetch {
+	for i := first; i < len(s.effects.Fetches); i++ {
 		if s.effects.Fetches[i].Address == address {
 			return &s.effects.Fetches[i]
 		}
 	}
-	s.fetches.token++
-	s.effects.Fetches = append(s.effects.Fetches, Fetch{s.fetches.token, address, view.Digest{}})
+	s.fetcher.token++
+	s.effects.Fetches = append(s.effects.Fetches, Fetch{s.fetcher.token, address, view.Digest{}})
 	return &s.effects.Fetches[len(s.effects.Fetches)-1]
 }
 
-// nextFetch returns when a fetch is given up or may be tried again.
+// nextFetch returns when a pending fetch expires or a failed one may be retried.
 func (s *Gossiper) nextFetch() time.Duration {
 	next := never
-	for _, w := range s.fetches.wants {
+	for _, w := range s.fetcher.sections {
 		if w.token != 0 {
 			next = min(next, w.deadline)
-		} else if w.best(s.store.Stamp(w.section)) != nil {
+		} else if w.bestSource(s.store.Stamp(w.section)) != nil {
 			next = min(next, w.retryAt)
 		}
 	}
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -11,13 +11,13 @@
 
 // Bounds on the figures.
 const (
-	mostMessagesCalm = 1.2 // for each member and second
-	mostBytesCalm    = 300.0
-	longestSpread    = 4 * time.Second
+	maxMessagesCalm = 1.2 // for each member and second
+	maxBytesCalm    = 300.0
+	maxSpread       = 4 * time.Second
 )
 
-// TestFigures measures how long a new piece needs and what it costs, with 2 % loss.
-func TestFigures(t *testing.T) {
+// TestCluster_SpreadAndCost_WithinTheBounds measures how long a new update needs and what it costs, with 2 % loss.
+func TestCluster_SpreadAndCost_WithinTheBounds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16, 100, 380, 1000} {
 		if size > largestFleet {
@@ -25,7 +25,7 @@
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			w := newNetwork(size, 11)
+			w := newCluster(size, 11)
 			for _, section := range []view.Section{view.ConfigurationSection, view.EndpointsSection, view.RolloutsSection, view.PlacementSection} {
 				w.write(w.hosts[0], section, 1, 1)
 			}
@@ -36,7 +36,7 @@
 			perSecond := 1 / float64(size*calmSeconds)
 			calmMessages, calmBytes := float64(w.messages-messages)*perSecond, float64(w.bytes-bytes)*perSecond
 			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes", calmMessages, calmBytes)
-			if calmMessages > mostMessagesCalm || calmBytes > mostBytesCalm {
+			if calmMessages > maxMessagesCalm || calmBytes > maxBytesCalm {
 				t.Error("a calm fleet costs too much")
 			}
 
@@ -45,32 +45,32 @@
 			const writes = 10
 			for i := range uint64(writes) {
 				author := w.hosts[w.random.IntN(size)]
-				begun := w.loop.Now()
+				started := w.loop.Now()
 				w.write(author, view.EndpointsSection, 1, 2+i)
-				w.runFor(longestSpread)
-				times = append(times, w.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, begun)...)
+				w.runFor(maxSpread)
+				times = append(times, w.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, started)...)
 			}
 			slices.Sort(times)
-			t.Logf("a new piece arrives after: median %v, 99 %% %v, longest %v; each write costs a member %.2f messages and %.2f fetches",
+			t.Logf("a new update arrives after: median %v, 99 %% %v, longest %v; each write costs a member %.2f messages and %.2f fetches",
 				times[len(times)/2], times[len(times)*99/100], times[len(times)-1],
-				float64(w.messages-messages)/float64(size*writes)-calmMessages*longestSpread.Seconds(),
+				float64(w.messages-messages)/float64(size*writes)-calmMessages*maxSpread.Seconds(),
 				float64(w.fetches-fetches)/float64(size*writes))
-			if w.broken != nil {
-				t.Error(w.broken)
+			if w.violation != nil {
+				t.Error(w.violation)
 			}
 		})
 	}
 }
 
 // spreadTimes lists how long each host waited for a stamp of the endpoints.
-func (w *network) spreadTimes(t *testing.T, stamp view.Stamp, begun time.Duration) []time.Duration {
+func (w *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
 	var times []time.Duration
 	for _, h := range w.hosts {
 		if h.reported[view.EndpointsSection] != stamp {
-			t.Errorf("%s does not hold %v after %v", h.address, stamp, longestSpread)
+			t.Errorf("%s does not hold %v after %v", h.address, stamp, maxSpread)
 			continue
 		}
-		times = append(times, (h.at[view.EndpointsSection] - begun).Round(time.Millisecond))
+		times = append(times, (h.at[view.EndpointsSection] - started).Round(time.Millisecond))
 	}
 	return times
 }
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -6,62 +6,62 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Scenarios that notice the mutants.
+// Scenarios that detect the mutants.
 const (
-	fencedOwners   = "^TestScenarios$/given_an_owner_that_was_replaced"
-	piecesTwice    = "^TestScenarios$/given_a_piece_that_comes_twice"
-	membersBehind  = "^TestScenarios$/given_a_member_behind"
-	cuts           = "^TestScenarios$/given_a_member_that_was_cut_off"
+	formerLeaders  = "^TestScenarios$/given_a_leader_that_was_replaced"
+	duplicates     = "^TestScenarios$/given_an_update_that_comes_twice"
+	staleMembers   = "^TestScenarios$/given_a_stale_member"
+	partitions     = "^TestScenarios$/given_a_partitioned_member"
 	hangingSources = "^TestScenarios$/given_a_source_that_hangs"
 	dyingSources   = "^TestScenarios$/given_a_source_that_dies"
 )
 
-func TestMutantsAreNoticed(t *testing.T) {
+func TestMutants_AreDetected(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "older pieces are taken",
+			Name: "older updates are applied",
 			Change: mutation.Change{
-				File: "spreader.go",
-				Old:  "\tif !s.store.Put(piece) {",
-				New:  "\tdelete(s.store.pieces, piece.Section)\n\tif !s.store.Put(piece) {",
+				File: "gossiper.go",
+				Old:  "\tif !s.store.Put(update) {",
+				New:  "\tdelete(s.store.updates, update.Section)\n\tif !s.store.Put(update) {",
 			},
-			Run:    fencedOwners,
+			Run:    formerLeaders,
 			Always: true,
 		},
 		{
-			Name: "pieces are reported twice",
+			Name: "updates are reported twice",
 			Change: mutation.Change{
-				File: "spreader.go",
-				Old:  "if !s.store.Put(piece) {",
-				New:  "if !s.store.Put(piece) && false {",
+				File: "gossiper.go",
+				Old:  "if !s.store.Put(update) {",
+				New:  "if !s.store.Put(update) && false {",
 			},
-			Run: piecesTwice,
+			Run: duplicates,
 		},
 		{
-			Name: "members behind are not told",
+			Name: "stale members are not answered",
 			Change: mutation.Change{
-				File: "spreader.go",
+				File: "digest.go",
 				Old:  "; newer != nil {",
 				New:  "; newer != nil && false {",
 			},
-			Run: membersBehind,
+			Run: staleMembers,
 		},
 		{
-			Name: "whole digests are not exchanged",
+			Name: "complete digests are not sent",
 			Change: mutation.Change{
-				File: "spreader.go",
-				Old:  "|| s.now < s.exchange {",
+				File: "digest.go",
+				Old:  "|| s.now < s.nextDigest {",
 				New:  "|| true {",
 			},
 			Also: []mutation.Change{
 				{
-					File: "spreader.go",
+					File: "gossiper.go",
 					Old:  "if s.options.DigestInterval > 0 && len(s.peers) > 0 {",
 					New:  "if false {",
 				},
 			},
-			Run: cuts,
+			Run: partitions,
 		},
 		{
 			Name: "fetches never expire",
@@ -73,7 +73,7 @@
 			Run: hangingSources,
 		},
 		{
-			Name: "a piece is asked for while its fetch is under way",
+			Name: "a section is fetched while its fetch is pending",
 			Change: mutation.Change{
 				File: "fetch.go",
 				Old:  "if w.token != 0 {\n\t\t\tcontinue",
--- /dev/null
+++ b/internal/tier/gossip/options.go
@@ -0,0 +1,50 @@
+package gossip
+
+import "time"
+
+// The defaults of Options.
+const (
+	DefaultFanout         = 4
+	DefaultDigestInterval = time.Second
+	DefaultFetchTimeout   = 400 * time.Millisecond
+	DefaultRetryBackoff   = 100 * time.Millisecond
+)
+
+// Options configures a Gossiper. A zero value means the default; none is bounded here.
+type Options struct {
+	// Fanout is how many random members a new update is announced to; default 4. A larger value spreads faster and bears
+	// more loss, and costs as many more datagrams per member and update.
+	Fanout int
+
+	// DigestInterval is the time between complete digests to a random member; default one second. Negative: none are
+	// sent, because digests travel by other means, see Gossiper.CompleteDigest. A larger value saves datagrams, and
+	// delays the repair of lost announcements.
+	DigestInterval time.Duration
+
+	// FetchTimeout is the time until another source is asked; default 400 ms. It must exceed a connect and a round trip.
+	// A larger value bears slower sources, and delays an update whose source hangs.
+	FetchTimeout time.Duration
+
+	// RetryBackoff is the time until a source that failed is asked again, times its failures; default 100 ms. A larger
+	// value saves calls to a failing source, and delays an update that nobody else has.
+	RetryBackoff time.Duration
+
+	// Seed is that of all random choices. It must differ between members, or they choose the same peers.
+	Seed uint64
+}
+
+func withDefaults(options Options) Options {
+	if options.Fanout == 0 {
+		options.Fanout = DefaultFanout
+	}
+	if options.DigestInterval == 0 {
+		options.DigestInterval = DefaultDigestInterval
+	}
+	if options.FetchTimeout == 0 {
+		options.FetchTimeout = DefaultFetchTimeout
+	}
+	if options.RetryBackoff == 0 {
+		options.RetryBackoff = DefaultRetryBackoff
+	}
+	return options
+}
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -19,21 +19,21 @@
 	})
 )
 
-// Given any pieces in any order, when they are put into a store, then it holds the newest of each section and said so
-// only of those that were newer.
-func TestStoreHoldsTheNewest(t *testing.T) {
+// Given any updates in any order, when they are put into a store, then it has the newest of each section, and Put
+// reported only those that were newer.
+func TestStore_AnyUpdates_HoldsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore()
 		newest := view.Digest{}
-		for range rapid.IntRange(0, 30).Draw(t, "pieces") {
-			piece := view.Update{Section: sections.Draw(t, "section"), Stamp: stamps.Draw(t, "stamp")}
-			held, found := newest[piece.Section]
-			newer := !found || held.Less(piece.Stamp)
-			if store.Put(piece) != newer {
-				t.Fatalf("put %v over %v", piece.Stamp, held)
+		for range rapid.IntRange(0, 30).Draw(t, "updates") {
+			update := view.Update{Section: sections.Draw(t, "section"), Stamp: stamps.Draw(t, "stamp")}
+			held, found := newest[update.Section]
+			newer := !found || held.Less(update.Stamp)
+			if store.Put(update) != newer {
+				t.Fatalf("put %v over %v", update.Stamp, held)
 			}
 			if newer {
-				newest[piece.Section] = piece.Stamp
+				newest[update.Section] = update.Stamp
 			}
 		}
 		if difference := cmp.Diff(newest, store.Digest()); difference != "" {
@@ -42,30 +42,30 @@
 	})
 }
 
-// trouble is one thing that befalls a network.
-type trouble struct {
+// fault is one write or fault that is injected into a cluster.
+type fault struct {
 	Kind     string
 	Host     int
 	Section  view.Section
 	Sequence uint64
-	Pause    time.Duration // until the next one
+	Delay    time.Duration // until the next one
 }
 
-var troubles = rapid.Custom(func(t *rapid.T) trouble {
-	return trouble{
-		Kind:     rapid.SampledFrom([]string{"write", "write", "write", "kill", "restart", "hang", "cut", "one way", "heal"}).Draw(t, "kind"),
+var faults = rapid.Custom(func(t *rapid.T) fault {
+	return fault{
+		Kind:     rapid.SampledFrom([]string{"write", "write", "write", "kill", "restart", "hang", "partition", "one way", "heal"}).Draw(t, "kind"),
 		Host:     rapid.IntRange(0, 100).Draw(t, "host"),
 		Section:  sections.Draw(t, "section"),
 		Sequence: rapid.Uint64Range(0, 20).Draw(t, "sequence"),
-		Pause:    time.Duration(rapid.IntRange(0, 1_500).Draw(t, "pause")) * time.Millisecond,
+		Delay:    time.Duration(rapid.IntRange(0, 1_500).Draw(t, "pause")) * time.Millisecond,
 	}
 })
 
-func (w *network) befall(happens trouble) {
+func (w *cluster) inject(happens fault) {
 	h := w.hosts[happens.Host%len(w.hosts)]
 	switch happens.Kind {
 	case "write":
-		if h.spreader != nil {
+		if h.gossiper != nil {
 			w.write(h, happens.Section, 1, happens.Sequence)
 		}
 	case "kill":
@@ -75,7 +75,7 @@
 		w.start(h)
 	case "hang":
 		h.hangs = true
-	case "cut":
+	case "partition":
 		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
 		w.blocked = func(from, to *host) bool { return from == h }
@@ -84,44 +84,44 @@
 	}
 }
 
-func (w *network) calmDown() {
+func (w *cluster) healAll() {
 	w.blocked = func(from, to *host) bool { return false }
 	for _, h := range w.hosts {
 		h.hangs = false
-		if h.spreader == nil {
+		if h.gossiper == nil {
 			w.start(h)
 		}
 	}
 }
 
-// Given any writes and troubles, when they are over, then all members hold the newest piece that a running one holds, no
-// report ever went back, and no section was fetched twice at a time.
-func TestAllHoldTheNewestAfterAnyTroubles(t *testing.T) {
+// Given any writes and faults, when they are over, then all members have the newest update that a running one has, no
+// stamp ever went back, and no section was fetched twice at a time.
+func TestCluster_AnyFaults_AllHoldTheNewestAfterwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNetwork(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
+		w := newCluster(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		w.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-		for _, happens := range rapid.SliceOfN(troubles, 1, 20).Draw(t, "troubles") {
-			w.befall(happens)
-			w.runFor(happens.Pause)
+		for _, happens := range rapid.SliceOfN(faults, 1, 20).Draw(t, "faults") {
+			w.inject(happens)
+			w.runFor(happens.Delay)
 		}
 		w.loss = min(w.loss, 0.02)
-		w.calmDown()
+		w.healAll()
 		for section, stamp := range w.newest() {
 			if err := w.expectAll(view.Update{Section: section, Stamp: stamp}, 8*time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if w.broken != nil {
-			t.Fatal(w.broken)
+		if w.violation != nil {
+			t.Fatal(w.violation)
 		}
 	})
 }
 
-// newest returns the newest stamps that a running host holds.
-func (w *network) newest() view.Digest {
+// newest returns the newest stamps that a running host has.
+func (w *cluster) newest() view.Digest {
 	newest := view.Digest{}
 	for _, h := range w.hosts {
-		for section, stamp := range h.spreader.store.Digest() {
+		for section, stamp := range h.gossiper.store.Digest() {
 			if newest[section].Less(stamp) {
 				newest[section] = stamp
 			}
@@ -130,21 +130,21 @@
 	return newest
 }
 
-// Given one seed, when a story is played twice, then all figures are the same.
-func TestSameSeedSameStory(t *testing.T) {
-	play := func() []any {
-		w := newNetwork(20, 3)
+// Given one seed, when a run is repeated, then all figures are the same.
+func TestCluster_SameSeed_GivesTheSameRun(t *testing.T) {
+	run := func() []any {
+		w := newCluster(20, 3)
 		for i := range uint64(20) {
 			w.write(w.hosts[i%4], view.EndpointsSection, 1, i)
 			w.runFor(150 * time.Millisecond)
 		}
-		story := []any{w.messages, w.bytes, w.fetches}
+		figures := []any{w.messages, w.bytes, w.fetches}
 		for _, h := range w.hosts {
-			story = append(story, h.at)
+			figures = append(figures, h.at)
 		}
-		return story
+		return figures
 	}
-	if difference := cmp.Diff(play(), play()); difference != "" {
+	if difference := cmp.Diff(run(), run()); difference != "" {
 		t.Error(difference)
 	}
 }
--- a/internal/tier/gossip/store.go
+++ b/internal/tier/gossip/store.go
@@ -6,76 +6,77 @@
 	"mastusher/internal/tier/view"
 )
 
-// Store holds the newest piece of each section. A section never goes back. The zero stamp stands for nothing held.
+// Store has the newest update of each section. The stamp of a section must never go back. The zero stamp means that there
+// is no update.
 type Store struct {
-	sections []view.Section // in order, so that nothing depends on the order of a map
-	pieces   map[view.Section]view.Update
+	sections []view.Section // sorted, so that nothing depends on the order of a map
+	updates  map[view.Section]view.Update
 }
 
 // NewStore returns an empty store.
-func NewStore() *Store { return &Store{pieces: map[view.Section]view.Update{}} }
+func NewStore() *Store { return &Store{updates: map[view.Section]view.Update{}} }
 
-// Put keeps a piece if it is newer than what is held of its section, and tells whether it was.
-func (s *Store) Put(piece view.Update) bool {
-	held, found := s.pieces[piece.Section]
-	if found && !held.Stamp.Less(piece.Stamp) {
+// Put stores an update if it is newer than the one of its section, and reports whether it was.
+func (s *Store) Put(update view.Update) bool {
+	current, found := s.updates[update.Section]
+	if found && !current.Stamp.Less(update.Stamp) {
 		return false
 	}
 	if !found {
-		position, _ := slices.BinarySearch(s.sections, piece.Section)
-		s.sections = slices.Insert(s.sections, position, piece.Section)
+		position, _ := slices.BinarySearch(s.sections, update.Section)
+		s.sections = slices.Insert(s.sections, position, update.Section)
 	}
-	s.pieces[piece.Section] = piece
+	s.updates[update.Section] = update
 	return true
 }
 
-// Get returns the piece of a section.
+// Get returns the update of a section; false: there is none.
 func (s *Store) Get(section view.Section) (view.Update, bool) {
-	piece, found := s.pieces[section]
-	return piece, found
+	update, found := s.updates[section]
+	return update, found
 }
 
-// Stamp returns what is held of a section; zero: nothing.
-func (s *Store) Stamp(section view.Section) view.Stamp { return s.pieces[section].Stamp }
+// Stamp returns the stamp of a section; zero: there is no update.
+func (s *Store) Stamp(section view.Section) view.Stamp { return s.updates[section].Stamp }
 
-// Digest tells what is held. The caller may keep it.
+// Digest returns the stamps of all sections. The caller owns the result.
 func (s *Store) Digest() view.Digest {
 	digest := make(view.Digest, len(s.sections))
 	for _, section := range s.sections {
-		digest[section] = s.pieces[section].Stamp
+		digest[section] = s.updates[section].Stamp
 	}
 	return digest
 }
 
-// AtLeast returns the pieces that answer a fetch: those wanted that are held with that stamp or a newer one.
+// AtLeast returns the updates that answer a fetch: those of the wanted sections with that stamp or a newer one.
 func (s *Store) AtLeast(wanted view.Digest) []view.Update {
-	var pieces []view.Update
+	var updates []view.Update
 	for _, section := range s.sections {
-		stamp, asked := wanted[section]
-		if asked && !s.pieces[section].Stamp.Less(stamp) {
-			pieces = append(pieces, s.pieces[section])
+		stamp, requested := wanted[section]
+		if requested && !s.updates[section].Stamp.Less(stamp) {
+			updates = append(updates, s.updates[section])
 		}
 	}
-	return pieces
+	return updates
 }
 
-// newerThan tells which of the sections held are newer than a digest says; nil: none. A whole digest has nothing of the
-// sections that it does not name; another one says nothing of them.
-func (s *Store) newerThan(digest view.Digest, whole bool) view.Digest {
+// newerThan returns the stamps of the sections that are newer than in a digest; nil: none. A section that a complete digest
+// does not name is missing there; another digest says nothing about it.
+func (s *Store) newerThan(digest view.Digest, complete bool) view.Digest {
 	var newer view.Digest
 	for _, section := range s.sections {
 		stamp, named := digest[section]
-		if !named && !whole {
+		if !named && !complete {
 			continue
 		}
-		held := s.pieces[section].Stamp
-		if named && !stamp.Less(held) {
+		current := s.updates[section].Stamp
+		if named && !stamp.Less(current) {
 			continue
 		}
 		if newer == nil {
 			newer = view.Digest{}
 		}
-		newer[section] = held
+		newer[section] = current
 	}
 	return newer
 }
--- /dev/null
+++ b/internal/tier/node/feed.go
@@ -0,0 +1,47 @@
+package node
+
+import (
+	"context"
+	"maps"
+
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
+)
+
+// newerThan returns the updates of which the digest has an older stamp or none.
+func (s *gossipDriver) newerThan(digest view.Digest) []view.Update {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	var updates []view.Update
+	for _, section := range view.Sections {
+		update, found := s.store.Get(section)
+		if found && digest[section].Less(update.Stamp) {
+			updates = append(updates, update)
+		}
+	}
+	return updates
+}
+
+// handleFeed streams new updates to a process on this machine: first those newer than its digest, then each as it comes.
+func (s *gossipDriver) handleFeed(ctx context.Context, request wire.FetchRequest, send func(view.Update) error) error {
+	sent := maps.Clone(request.Digest)
+	if sent == nil {
+		sent = view.Digest{}
+	}
+	for {
+		s.mutex.Lock()
+		changed := s.changed
+		s.mutex.Unlock()
+		for _, update := range s.newerThan(sent) {
+			if err := send(update); err != nil {
+				return err
+			}
+			sent[update.Section] = update.Stamp
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-changed:
+		}
+	}
+}
--- a/internal/tier/node/mutants_test.go
+++ b/internal/tier/node/mutants_test.go
@@ -6,28 +6,28 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestMutantsOfStaleViewsAreCaught tries the mistakes by which a controller that is cut off could bring old sections back.
-func TestMutantsOfStaleViewsAreCaught(t *testing.T) {
-	const noticing = "TestWhatIsTakenFromAControllerThatIsCutOff"
+// TestMutants_StaleViews_AreDetected tries the mistakes by which a partitioned controller could bring old sections back.
+func TestMutants_StaleViews_AreDetected(t *testing.T) {
+	const detecting = "TestAgent_AsksPartitionedController_NeverGoesBackAndCatchesUp"
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "the sequence of a former owner counts",
+			Name: "the sequence of a former leader counts",
 			Change: mutation.Change{File: "../view/view.go", Old: "return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence",
 				New: "return s.Sequence < o.Sequence"},
-			Run: noticing, Always: true,
+			Run: detecting, Always: true,
 		},
 		{
-			Name:   "older pieces are taken",
-			Change: mutation.Change{File: "../gossip/store.go", Old: "if found && !held.Stamp.Less(piece.Stamp) {", New: "if found && held.Stamp == piece.Stamp {"},
-			Also: []mutation.Change{{File: "../gossip/spreader.go", Old: "if s.store.Stamp(section).Less(stamp) {",
+			Name:   "older updates are applied",
+			Change: mutation.Change{File: "../gossip/store.go", Old: "if found && !current.Stamp.Less(update.Stamp) {", New: "if found && current.Stamp == update.Stamp {"},
+			Also: []mutation.Change{{File: "../gossip/digest.go", Old: "if s.store.Stamp(section).Less(stamp) {",
 				New: "if s.store.Stamp(section) != stamp {"},
-				{File: "../gossip/fetch.go", Old: "if !held.Less(candidate.stamp) {", New: "if held == candidate.stamp {"}},
-			Run: noticing,
+				{File: "../gossip/fetch.go", Old: "if !current.Less(candidate.stamp) {", New: "if current == candidate.stamp {"}},
+			Run: detecting,
 		},
 		{
-			Name:   "one controller is asked at the start and after a thaw",
-			Change: mutation.Change{File: "questions.go", Old: "askedAnew       = 3", New: "askedAnew       = 1"},
-			Run:    noticing,
+			Name:   "one controller is asked at the start and after a freeze",
+			Change: mutation.Change{File: "antientropy.go", Old: "controllersAfterPause = 3", New: "controllersAfterPause = 1"},
+			Run:    detecting,
 		},
 	})
 }
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -1,10 +1,7 @@
-// Package node makes a process a member of the tier: it drives the membership protocol and the spread of views over the
-// process's link, and tells the process of each new piece.
 package node
 
 import (
 	"context"
-	"encoding/json"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,74 +9,76 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/tier/gossip"
 	"mastusher/internal/tier/membership"
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/view"
 	"mastusher/internal/tier/wire"
 )
 
-// Options sets a node up.
+// Options configures a Node.
 type Options struct {
-	Self     membership.Member
-	Seeds    []string // link addresses of controllers
-	Pool     *transport.Pool
-	Logger   log.Logger
-	Seed     uint64
-	OnUpdate func(piece view.Update) // told of each new piece, in order, on one goroutine; may be nil
+	Self   membership.Member // as in membership.Options
+	Seeds  []string          // host:port of controllers; SetSeeds replaces them
+	Pool   *transport.Pool   // for calls to other members; the caller closes it after Run
+	Logger log.Logger
+	Seed   uint64 // of all random choices; must differ between processes
+
+	// OnUpdate is called with each new update of the view, in order and on one goroutine. It delays the gossip of this
+	// process while it runs. Nil: updates are only spread.
+	OnUpdate func(update view.Update)
 }
 
-// Node is a process's part in membership and spread.
+// Node runs membership and gossip for one process.
 type Node struct {
 	options Options
 	start   time.Time
 	server  *transport.Server
 	swim    *membership.Node
-	spread  *spread
+	gossip  *gossipDriver
 	wake    chan struct{}
 	members atomic.Pointer[[]membership.Member]
 
-	turnOfControllers int // used by the spread's goroutine only
+	nextController int // used by the goroutine of the gossip only
 
-	mutex    sync.Mutex
-	seeds    []string
-	input    membership.Input
-	arrivals map[uint64]chan membership.PushPullMessage
-	token    uint64
+	mutex          sync.Mutex // guards what follows
+	seeds          []string
+	input          membership.Input
+	pendingReplies map[uint64]chan membership.PushPullMessage
+	token          uint64 // of the last call received
 }
 
-// New returns a node that is not a member yet.
+// New returns a node. It joins when Run is called.
 func New(options Options) *Node {
-	n := &Node{options: options, seeds: options.Seeds, start: time.Now(), wake: make(chan struct{}, 1), arrivals: map[uint64]chan membership.PushPullMessage{}}
+	n := &Node{options: options, seeds: options.Seeds, start: time.Now(), wake: make(chan struct{}, 1), pendingReplies: map[uint64]chan membership.PushPullMessage{}}
 	n.swim = membership.New(membership.Options{Self: options.Self, Seeds: options.Seeds, Seed: options.Seed})
-	n.spread = newSpread(n, options.Seed)
+	n.gossip = newGossipDriver(n, options.Seed)
 	n.members.Store(&[]membership.Member{options.Self})
 	return n
 }
 
-// Register adds what the node answers.
+// Register adds the handlers of the node's messages, calls and feed. It must be called before the server listens.
 func (n *Node) Register(handlers *transport.Handlers) {
-	handlers.HandleDatagram(n.datagram)
-	transport.Handle(handlers, wire.MethodMembers, n.sync)
-	transport.Handle(handlers, wire.MethodFetch, n.spread.answerFetch)
-	transport.HandleStream(handlers, wire.MethodFeed, n.spread.feed)
+	handlers.HandleDatagram(n.handleDatagram)
+	transport.Handle(handlers, wire.MethodMembers, n.handlePushPull)
+	transport.Handle(handlers, wire.MethodFetch, n.gossip.handleFetch)
+	transport.HandleStream(handlers, wire.MethodFeed, n.gossip.handleFeed)
 }
 
-// Members returns all members that are known, by name. The slice must not be changed.
+// Members returns all known members, this one and the dead included, sorted by name. The slice must not be changed.
 func (n *Node) Members() []membership.Member { return *n.members.Load() }
 
-// Publish spreads a piece, unless a newer one is known.
-func (n *Node) Publish(piece view.Update) { n.spread.publish(piece) }
+// Publish spreads an update, unless a newer one of its section is known. It does not wait.
+func (n *Node) Publish(update view.Update) { n.gossip.publish(update) }
 
-// Digest tells which pieces are held.
-func (n *Node) Digest() view.Digest { return n.spread.digest() }
+// Digest returns the stamps of the sections that this node has.
+func (n *Node) Digest() view.Digest { return n.gossip.digest() }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the seeds, also of a node that has joined.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mutex.Lock()
 	n.input.Seeds, n.seeds = seeds, seeds
 	n.mutex.Unlock()
-	n.poke()
+	n.signal()
 }
 
 func (n *Node) currentSeeds() []string {
@@ -88,10 +87,10 @@
 	return n.seeds
 }
 
-// Run drives the node over the server until ctx ends; then it tells the others that it leaves.
+// Run drives the node over the server until ctx ends; then it announces to the others that it leaves.
 func (n *Node) Run(ctx context.Context, server *transport.Server) {
 	n.server = server
-	go n.spread.run(ctx)
+	go n.gossip.run(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -100,25 +99,27 @@
 			n.mutex.Lock()
 			n.input.Leave = true
 			n.mutex.Unlock()
-			n.turn(ctx)
+			n.step(ctx)
 			return
 		case <-n.wake:
 		case <-timer.C:
 		}
-		next := n.turn(ctx)
+		next := n.step(ctx)
 		timer.Reset(max(0, next-time.Since(n.start)))
 	}
 }
 
-func (n *Node) poke() {
+// signal makes Run step soon.
+func (n *Node) signal() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// turn takes in what has come and does what follows from it.
-func (n *Node) turn(ctx context.Context) time.Duration {
+// step hands the input since the last step to membership, carries out its effects and returns the time of the next step at
+// the latest, since the start of the node.
+func (n *Node) step(ctx context.Context) time.Duration {
 	n.mutex.Lock()
 	input := n.input
 	n.input = membership.Input{}
@@ -128,116 +129,30 @@
 		n.send(datagram.Address, envelope{Membership: &datagram.Message})
 	}
 	for _, reply := range effects.Replies {
-		n.reply(reply)
+		n.deliverReply(reply)
 	}
 	for _, call := range effects.Calls {
-		go n.call(ctx, call)
+		go n.pushPull(ctx, call)
 	}
 	if len(effects.Events) > 0 {
 		members := append([]membership.Member(nil), n.swim.Members()...)
 		n.members.Store(&members)
 	}
-	for _, change := range effects.Events {
-		n.report(change)
+	for _, event := range effects.Events {
+		n.logEvent(event)
 	}
-	for _, received := range effects.Payloads {
-		n.spread.heardPayload(received.Address, received.Body)
+	for _, payload := range effects.Payloads {
+		n.gossip.receivePayload(payload.Address, payload.Body)
 	}
 	return effects.NextWake
 }
 
-// report logs a change. At the start of a large fleet every process hears of every other one, so that those who join are
-// told at the level of debugging only.
-func (n *Node) report(change membership.Event) {
+// logEvent logs a change of a member. At the start of a large fleet every process learns of every other one, so joins and
+// updates are logged at debug level only.
+func (n *Node) logEvent(event membership.Event) {
 	logger := level.Info(n.options.Logger)
-	if change.Kind == membership.MemberJoined || change.Kind == membership.MemberUpdated {
+	if event.Kind == membership.MemberJoined || event.Kind == membership.MemberUpdated {
 		logger = level.Debug(n.options.Logger)
 	}
-	logger.Log("msg", "member "+string(change.Kind), "name", change.Member.Name, "id", change.Member.ID)
-}
-
-// envelope is one datagram; one field is set.
-type envelope struct {
-	Membership *membership.Message `json:"m,omitempty"`
-	Gossip     *gossip.Message     `json:"g,omitempty"`
-}
-
-func (n *Node) send(address string, message envelope) {
-	payload, err := json.Marshal(message)
-	if err != nil {
-		level.Error(n.options.Logger).Log("msg", "datagram cannot be encoded", "err", err)
-		return
-	}
-	// A datagram that can't be sent is lost like any other.
-	_ = n.server.SendDatagram(address, payload)
-}
-
-func (n *Node) datagram(from string, payload []byte) {
-	var message envelope
-	if err := json.Unmarshal(payload, &message); err != nil {
-		return
-	}
-	if message.Gossip != nil {
-		n.spread.heard(from, *message.Gossip)
-	}
-	if message.Membership == nil {
-		return
-	}
-	n.mutex.Lock()
-	n.input.Datagrams = append(n.input.Datagrams, membership.Datagram{Address: from, Message: *message.Membership})
-	n.mutex.Unlock()
-	n.poke()
-}
-
-// setPayload sets what travels on probes.
-func (n *Node) setPayload(payload json.RawMessage) {
-	n.mutex.Lock()
-	n.input.Payload = payload
-	n.mutex.Unlock()
-	n.poke()
-}
-
-// callTimeout bounds one reconciliation.
-const callTimeout = 2 * time.Second
-
-// call reconciles with another member.
-func (n *Node) call(ctx context.Context, call membership.PushPullCall) {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	answer, err := transport.Call[membership.PushPullMessage, membership.PushPullMessage](bounded, n.options.Pool, call.Address, wire.MethodMembers, call.Message)
-	n.mutex.Lock()
-	n.input.Results = append(n.input.Results, membership.PushPullResult{Token: call.Token, Failed: err != nil, Response: answer})
-	n.mutex.Unlock()
-	n.poke()
-}
-
-// sync answers another member's reconciliation.
-func (n *Node) sync(ctx context.Context, _ string, message membership.PushPullMessage) (membership.PushPullMessage, error) {
-	answer := make(chan membership.PushPullMessage, 1)
-	n.mutex.Lock()
-	n.token++
-	token := n.token
-	n.arrivals[token] = answer
-	n.input.Arrivals = append(n.input.Arrivals, membership.PushPullArrival{Token: token, Message: message})
-	n.mutex.Unlock()
-	n.poke()
-	select {
-	case reply := <-answer:
-		return reply, nil
-	case <-ctx.Done():
-		n.mutex.Lock()
-		delete(n.arrivals, token)
-		n.mutex.Unlock()
-		return membership.PushPullMessage{}, ctx.Err()
-	}
-}
-
-func (n *Node) reply(reply membership.PushPullReply) {
-	n.mutex.Lock()
-	answer := n.arrivals[reply.Token]
-	delete(n.arrivals, reply.Token)
-	n.mutex.Unlock()
-	if answer != nil {
-		answer <- reply.Message
-	}
+	logger.Log("msg", "member "+string(event.Kind), "name", event.Member.Name, "id", event.Member.ID)
 }
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -14,22 +14,22 @@
 	"mastusher/internal/tier/wire"
 )
 
-// patience bounds what a test waits for; nothing waits so long but a failure.
-const patience = 20 * time.Second
+// testTimeout bounds what a test waits for; nothing waits so long but a failure.
+const testTimeout = 20 * time.Second
 
-// running is a node on loopback and the pieces that it has told its process.
-type running struct {
+// testNode is a node on loopback and the updates that it has handed to its process.
+type testNode struct {
 	node    *Node
 	address string
-	took    chan view.Update
-	seen    view.Digest // the newest of took
+	updates chan view.Update
+	seen    view.Digest // the newest stamps of updates
 	stop    context.CancelFunc
 }
 
 // start runs a node; the first one has no seeds.
-func start(t *testing.T, name string, role membership.Role, seeds ...string) *running {
+func start(t *testing.T, name string, role membership.Role, seeds ...string) *testNode {
 	t.Helper()
-	r := &running{took: make(chan view.Update, 64), seen: view.Digest{}}
+	r := &testNode{updates: make(chan view.Update, 64), seen: view.Digest{}}
 	handlers := transport.NewHandlers()
 	// The address must be known before the node is made, so the handlers go through the variable.
 	probe, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
@@ -40,7 +40,7 @@
 	probe.Close()
 	pool := transport.NewPool()
 	r.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: r.address, Incarnation: 1}, Seeds: seeds,
-		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(piece view.Update) { r.took <- piece }})
+		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(update view.Update) { r.updates <- update }})
 	r.node.Register(handlers)
 	server, err := transport.Listen(r.address, handlers, log.NewNopLogger())
 	if err != nil {
@@ -59,30 +59,30 @@
 	return r
 }
 
-// waitFor returns once the node has told its process of a section with the stamp.
-func (r *running) waitFor(t *testing.T, section view.Section, stamp view.Stamp) {
+// waitFor returns once the node has handed a section with the stamp to its process.
+func (r *testNode) waitFor(t *testing.T, section view.Section, stamp view.Stamp) {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for r.seen[section] != stamp {
 		select {
-		case piece := <-r.took:
-			r.seen[piece.Section] = piece.Stamp
-		case <-late:
-			t.Fatalf("%s %v never came", section, stamp)
+		case update := <-r.updates:
+			r.seen[update.Section] = update.Stamp
+		case <-timeout:
+			t.Fatalf("%s %v was not received", section, stamp)
 		}
 	}
 }
 
-func piece(section view.Section, sequence uint64) view.Update {
+func update(section view.Section, sequence uint64) view.Update {
 	return view.Update{Section: section, Stamp: view.Stamp{Sequence: sequence}, Body: json.RawMessage(`{}`)}
 }
 
-func TestPiecesReachMembersThatStartBeforeAndAfter(t *testing.T) {
+func TestNode_PublishedUpdates_ReachMembersStartedBeforeAndAfter(t *testing.T) {
 	first := start(t, "core/controller", membership.Controller)
 	early := start(t, "edge-1/agent", membership.Agent, first.address)
 
 	for i, section := range view.Sections {
-		first.node.Publish(piece(section, uint64(i+1)))
+		first.node.Publish(update(section, uint64(i+1)))
 	}
 	for i, section := range view.Sections {
 		early.waitFor(t, section, view.Stamp{Sequence: uint64(i + 1)})
@@ -92,9 +92,9 @@
 	late.waitFor(t, view.EndpointsSection, view.Stamp{Sequence: 3})
 }
 
-func TestAFeedGetsWhatIsHeldAndWhatComes(t *testing.T) {
+func TestFeed_PublishedUpdates_SendsTheHeldAndThenTheNewer(t *testing.T) {
 	agent := start(t, "edge-1/agent", membership.Agent)
-	agent.node.Publish(piece(view.ConfigurationSection, 7))
+	agent.node.Publish(update(view.ConfigurationSection, 7))
 	agent.waitFor(t, view.ConfigurationSection, view.Stamp{Sequence: 7})
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -108,16 +108,16 @@
 	if got := <-fed; got.Stamp.Sequence != 7 {
 		t.Errorf("first it gets %v", got.Stamp)
 	}
-	agent.node.Publish(piece(view.ConfigurationSection, 6))
-	agent.node.Publish(piece(view.ConfigurationSection, 9))
+	agent.node.Publish(update(view.ConfigurationSection, 6))
+	agent.node.Publish(update(view.ConfigurationSection, 9))
 	if got := <-fed; got.Stamp.Sequence != 9 {
 		t.Errorf("then it gets %v", got.Stamp)
 	}
 }
 
 func feedFrom(ctx context.Context, pool *transport.Pool, address string, fed chan<- view.Update) error {
-	return transport.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(piece view.Update) error {
-		fed <- piece
+	return transport.Stream(ctx, pool, address, wire.MethodFeed, wire.FetchRequest{}, func(update view.Update) error {
+		fed <- update
 		return nil
 	})
 }
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -12,28 +12,28 @@
 
 // Times and bounds of an agent among controllers.
 const (
-	staleStep = 10 * time.Millisecond // also one way of a message
-	quiet     = 3 * time.Second       // the shortest after which a machine must have what is new
+	staleStep    = 10 * time.Millisecond // also one way of a message
+	maxStaleness = 3 * time.Second       // within which a machine must have what is new
 )
 
-// asking is an agent that knows of the view only through its questions to controllers, in virtual time.
-type asking struct {
-	t           *testing.T
-	now         time.Duration
-	agent       *gossip.Gossiper
-	store       *gossip.Store
-	questions   questions
-	turn        int
-	controllers []*askedController
-	input       gossip.Input // of the agent's next turn
-	taken       []view.Update
+// simulatedAgent is an agent that learns of the view only by anti-entropy with controllers, in virtual time.
+type simulatedAgent struct {
+	t              *testing.T
+	now            time.Duration
+	agent          *gossip.Gossiper
+	store          *gossip.Store
+	antiEntropy    antiEntropy
+	nextController int
+	controllers    []*simulatedController
+	input          gossip.Input // of the agent's next step
+	applied        []view.Update
 }
 
-// askedController is a controller as its agents see it.
-type askedController struct {
-	spreader *gossip.Gossiper
-	store    *gossip.Store
-	isApart  bool // from the agent
+// simulatedController is a controller as its agents see it.
+type simulatedController struct {
+	gossiper      *gossip.Gossiper
+	store         *gossip.Store
+	isPartitioned bool // from the agent
 }
 
 var (
@@ -41,9 +41,9 @@
 	newStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 12}, view.PlacementSection: {Sequence: 15}, view.EndpointsSection: {Term: 4, Sequence: 2}}
 )
 
-// newAsking has controllers of which the first ones hold old sections, as they were when they were cut off.
-func newAsking(t *testing.T, count, stale int) *asking {
-	a := &asking{t: t}
+// newSimulatedAgent has controllers of which the first ones have old sections, as when they were partitioned.
+func newSimulatedAgent(t *testing.T, count, stale int) *simulatedAgent {
+	a := &simulatedAgent{t: t}
 	for number := range count {
 		stamps := newStamps
 		if number < stale {
@@ -53,23 +53,23 @@
 		for section, stamp := range stamps {
 			store.Put(view.Update{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)})
 		}
-		a.controllers = append(a.controllers, &askedController{spreader: gossip.New(gossip.Options{DigestInterval: -1}, store), store: store})
+		a.controllers = append(a.controllers, &simulatedController{gossiper: gossip.New(gossip.Options{DigestInterval: -1}, store), store: store})
 	}
 	a.start()
 	return a
 }
 
-// start begins the agent anew.
-func (a *asking) start() {
-	a.store, a.questions, a.input, a.taken, a.turn = gossip.NewStore(), questions{dueAt: a.now}, gossip.Input{}, nil, 0
+// start restarts the agent.
+func (a *simulatedAgent) start() {
+	a.store, a.antiEntropy, a.input, a.applied, a.nextController = gossip.NewStore(), antiEntropy{nextAt: a.now}, gossip.Input{}, nil, 0
 	a.agent = gossip.New(gossip.Options{DigestInterval: -1}, a.store)
 }
 
-func (a *asking) address(number int) string { return fmt.Sprintf("core-%d", number) }
+func (a *simulatedAgent) address(number int) string { return fmt.Sprintf("core-%d", number) }
 
-// lacks is what spread.lacks tells.
-func (a *asking) lacks() bool {
-	for _, section := range needed {
+// lacksSections does what gossipDriver.lacksSections does.
+func (a *simulatedAgent) lacksSections() bool {
+	for _, section := range requiredSections {
 		if a.store.Stamp(section) == (view.Stamp{}) {
 			return true
 		}
@@ -77,49 +77,49 @@
 	return false
 }
 
-func (a *asking) step() {
+func (a *simulatedAgent) step() {
 	input := a.input
 	a.input = gossip.Input{}
 	effects := a.agent.Step(a.now, input)
-	a.taken = append(a.taken, effects.Updated...)
+	a.applied = append(a.applied, effects.Updated...)
 	for _, fetch := range effects.Fetches {
 		a.fetch(fetch)
 	}
-	count, _ := a.questions.due(a.now, a.lacks())
+	count, _ := a.antiEntropy.due(a.now, a.lacksSections())
 	for range min(count, len(a.controllers)) {
-		a.ask(a.turn % len(a.controllers))
-		a.turn++
+		a.ask(a.nextController % len(a.controllers))
+		a.nextController++
 	}
 	a.now += staleStep
 }
 
-// ask tells a controller what is held, and takes its answer in with the next step.
-func (a *asking) ask(number int) {
+// sendDigest tells a controller what is held, and takes its answer in with the next step.
+func (a *simulatedAgent) ask(number int) {
 	asked := a.controllers[number]
-	if asked.isApart {
+	if asked.isPartitioned {
 		return
 	}
-	answer := asked.spreader.Step(a.now, gossip.Input{Datagrams: []gossip.Datagram{{Address: "agent", Message: a.agent.CompleteDigest()}}})
+	answer := asked.gossiper.Step(a.now, gossip.Input{Datagrams: []gossip.Datagram{{Address: "agent", Message: a.agent.CompleteDigest()}}})
 	for _, notice := range answer.Datagrams {
 		a.input.Datagrams = append(a.input.Datagrams, gossip.Datagram{Address: a.address(number), Message: notice.Message})
 	}
 }
 
-func (a *asking) fetch(fetch gossip.Fetch) {
+func (a *simulatedAgent) fetch(fetch gossip.Fetch) {
 	for number, asked := range a.controllers {
-		if a.address(number) == fetch.Address && !asked.isApart {
-			a.input.Fetched = append(a.input.Fetched, gossip.FetchResult{Token: fetch.Token, Pieces: asked.store.AtLeast(fetch.Wanted)})
+		if a.address(number) == fetch.Address && !asked.isPartitioned {
+			a.input.Fetched = append(a.input.Fetched, gossip.FetchResult{Token: fetch.Token, Updates: asked.store.AtLeast(fetch.Wanted)})
 		}
 	}
 }
 
-func (a *asking) run(d time.Duration) {
+func (a *simulatedAgent) run(d time.Duration) {
 	for end := a.now + d; a.now < end; {
 		a.step()
 	}
 }
 
-func (a *asking) holds(stamps map[view.Section]view.Stamp) bool {
+func (a *simulatedAgent) holds(stamps map[view.Section]view.Stamp) bool {
 	for section, stamp := range stamps {
 		if a.store.Stamp(section) != stamp {
 			return false
@@ -129,12 +129,12 @@
 }
 
 // untilNew returns how long it takes until the agent holds all that is new.
-func (a *asking) untilNew() time.Duration {
+func (a *simulatedAgent) untilNew() time.Duration {
 	a.t.Helper()
 	began := a.now
 	for !a.holds(newStamps) {
 		if a.now-began > time.Minute {
-			a.t.Fatalf("it holds %v", a.store.Digest())
+			a.t.Fatalf("it has %v", a.store.Digest())
 		}
 		a.step()
 	}
@@ -142,45 +142,45 @@
 }
 
 // wantForward checks that no section has gone back.
-func (a *asking) wantForward() {
+func (a *simulatedAgent) wantForward() {
 	a.t.Helper()
 	last := map[view.Section]view.Stamp{}
-	for _, piece := range a.taken {
-		if !last[piece.Section].Less(piece.Stamp) {
-			a.t.Errorf("%s went from %v to %v", piece.Section, last[piece.Section], piece.Stamp)
+	for _, update := range a.applied {
+		if !last[update.Section].Less(update.Stamp) {
+			a.t.Errorf("%s went from %v to %v", update.Section, last[update.Section], update.Stamp)
 		}
-		last[piece.Section] = piece.Stamp
+		last[update.Section] = update.Stamp
 	}
 }
 
-func TestWhatIsTakenFromAControllerThatIsCutOff(t *testing.T) {
+func TestAgent_AsksPartitionedController_NeverGoesBackAndCatchesUp(t *testing.T) {
 	const atOnce = 10 * staleStep
 	for _, core := range []struct{ controllers, stale int }{{3, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d of %d controllers", core.stale, core.controllers), func(t *testing.T) {
-			// Given an agent that starts on the side of the controllers that are cut off,
-			a := newAsking(t, core.controllers, core.stale)
+			// Given an agent that starts on the side of the partitioned controllers,
+			a := newSimulatedAgent(t, core.controllers, core.stale)
 			for _, other := range a.controllers[core.stale:] {
-				other.isApart = true
+				other.isPartitioned = true
 			}
 			a.run(20 * time.Second)
 			// then it has what these have: its machine isn't in touch, and what is old is better than nothing;
 			if !a.holds(oldStamps) {
-				t.Fatalf("it holds %v", a.store.Digest())
+				t.Fatalf("it has %v", a.store.Digest())
 			}
-			// and when the cut ends, then it has what is new before its machine is in touch,
+			// and when the partition heals, then it has what is new before its machine is in touch,
 			for _, other := range a.controllers {
-				other.isApart = false
+				other.isPartitioned = false
 			}
-			a.turn = 0 // those that were cut off are asked first
+			a.nextController = 0 // those that were partitioned are asked first
 			took := a.untilNew()
-			if took > quiet {
+			if took > maxStaleness {
 				t.Errorf("it took %v", took)
 			}
 			// and nothing that it is offered after that brings it back.
 			a.run(20 * time.Second)
 			a.wantForward()
 
-			// When it stands still meanwhile and thaws, or starts anew, beside controllers that haven't noticed yet, then it
+			// When it is frozen meanwhile and thaws, or restarts, beside controllers that haven't noticed yet, then it
 			// asks several, and has what is new at once.
 			a.now += 20 * time.Second
 			for section, stamp := range newStamps {
@@ -190,19 +190,19 @@
 					other.store.Put(newer)
 				}
 			}
-			a.turn = 0
+			a.nextController = 0
 			a.run(atOnce)
 			if a.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its thaw it holds %v", atOnce, a.store.Digest())
+				t.Errorf("%v after its thaw it has %v", atOnce, a.store.Digest())
 			}
 			a.wantForward()
 			a.start()
 			a.run(atOnce)
 			if a.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its start it holds %v", atOnce, a.store.Digest())
+				t.Errorf("%v after its start it has %v", atOnce, a.store.Digest())
 			}
 			a.wantForward()
-			t.Logf("after the cut it had what is new in %v", took)
+			t.Logf("after the partition it had what is new in %v", took)
 		})
 	}
 }
