--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// addSource is the update that is told of in networks without exchanges.
+// announcedUpdate is the update that is announced in clusters without digests.
 var announcedUpdate = view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}}
 
 // clusterWithoutDigests starts a cluster in which nobody sends complete digests.
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -93,7 +93,7 @@
 	a.now += staleStep
 }
 
-// sendDigest tells a controller what is held, and takes its answer in with the next step.
+// ask sends the digest to a controller, and queues its answer for the next step.
 func (a *simulatedAgent) ask(number int) {
 	asked := a.controllers[number]
 	if asked.isPartitioned {
