--- a/internal/tier/controller/order_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -76,9 +76,9 @@
 		{
 			Name: "only the newest roll-out is remembered",
 			Change: mutation.Change{
-				File: "../rollout/register.go",
-				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
-				New:  "known && roll.isDuplicate(&order)",
+				File: "../rollout/state_machine.go",
+				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
+				New:  "known && newest.isDuplicate(&proposal)",
 			},
 			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
 		},
--- a/internal/tier/decommission/repeat_mutants_test.go
+++ b/internal/tier/decommission/duplicate_mutants_test.go
@@ -12,35 +12,35 @@
 		{
 			Name: "a repeat is refused when too few would remain",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "asked && known.Index > order.DedupExpiredIndex",
-				New:  "asked && known.Index > order.DedupExpiredIndex && order.ID == known.Node",
+				File: "state_machine.go",
+				Old:  "exists && operation.Index > proposal.DedupExpiredIndex",
+				New:  "exists && operation.Index > proposal.DedupExpiredIndex && proposal.ID == operation.Node",
 			},
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
 			Name: "an order is acknowledged whenever the machine was emptied before",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "asked && known.Index > order.DedupExpiredIndex",
-				New:  "asked",
+				File: "state_machine.go",
+				Old:  "exists && operation.Index > proposal.DedupExpiredIndex",
+				New:  "exists",
 			},
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
 			Name: "what has ended is asked for anew",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  `known.State == InService || order.ID == "" || known.has(order.ID)`,
-				New:  `known.State == InService || order.ID == ""`,
+				File: "state_machine.go",
+				Old:  `operation.State == InService || proposal.ID == "" || operation.has(proposal.ID)`,
+				New:  `operation.State == InService || proposal.ID == ""`,
 			},
 			Run: "^TestStateMachine_Proposal_KeepsMinimumOfStores|^TestStateMachine_Duplicates_NeverRejected",
 		},
 		{
 			Name: "another disk counts as the same machine",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  `known.State == InService || order.ID == "" || known.has(order.ID)`,
+				File: "state_machine.go",
+				Old:  `operation.State == InService || proposal.ID == "" || operation.has(proposal.ID)`,
 				New:  "true",
 			},
 			Run: "^TestStateMachine_RetiredIdentities_StayExcluded",
--- a/internal/tier/decommission/mutants_test.go
+++ b/internal/tier/decommission/mutants_test.go
@@ -13,25 +13,25 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "groups that follow another placement are believed",
-			Change: mutation.Change{File: "judge.go", Old: "if !reported || group.PlacementIndex != placement.Index {", New: "if !reported {"},
+			Change: mutation.Change{File: "drained.go", Old: "if !reported || group.PlacementIndex != placement.Index {", New: "if !reported {"},
 			Run:    judgement,
 		},
 		{
 			Name: "members that lag count",
-			Change: mutation.Change{File: "judge.go", Old: " || len(group.CaughtUp) != len(wanted) {",
+			Change: mutation.Change{File: "drained.go", Old: " || len(group.CaughtUp) != len(target) {",
 				New: " {"},
-			Also: []mutation.Change{{File: "judge.go", Old: " || !slices.Contains(group.CaughtUp, replica.ID) {", New: " {"}},
+			Also: []mutation.Change{{File: "drained.go", Old: " || !slices.Contains(group.CaughtUp, replica.ID) {", New: " {"}},
 			Run:  judgement,
 		},
 		{
 			Name:   "the machine may still be wanted",
-			Change: mutation.Change{File: "judge.go", Old: " || hosts(retirement, shard.Replicas) {", New: " {"},
-			Also:   []mutation.Change{{File: "judge.go", Old: "func hosts(", New: "var _ = hosts\n\nfunc hosts("}},
+			Change: mutation.Change{File: "drained.go", Old: " || hosts(operation, shard.Replicas) {", New: " {"},
+			Also:   []mutation.Change{{File: "drained.go", Old: "func hosts(", New: "var _ = hosts\n\nfunc hosts("}},
 			Run:    judgement,
 		},
 		{
 			Name:   "groups with too few replicas are whole",
-			Change: mutation.Change{File: "judge.go", Old: "if len(wanted) < copies || ", New: "if "},
+			Change: mutation.Change{File: "drained.go", Old: "if len(target) < replicationFactor || ", New: "if "},
 			Run:    judgement,
 		},
 	})
--- a/internal/tier/rollout/trial_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -64,7 +64,7 @@
 	judge := rollout.NewAnalysis()
 	credit, extra := make([]float64, proxies), make([]float64, proxies)
 	for i := range extra {
-		extra[i] = roll.ExtraRequests
+		extra[i] = roll.InitialAllowance
 	}
 	d.state = rollout.InService
 	next := time.Duration(0)
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -12,9 +12,9 @@
 		{
 			Name: "only the newest order is remembered",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
-				New:  "known && roll.isDuplicate(&order)",
+				File: "state_machine.go",
+				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
+				New:  "known && newest.isDuplicate(&proposal)",
 			},
 			Run:    "^TestStateMachine_LateDuplicates_Acknowledged$",
 			Always: true,
@@ -22,17 +22,17 @@
 		{
 			Name: "what has ended is never a repeat",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
-				New:  "\tr.expireRecent(index)\n",
+				File: "state_machine.go",
+				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
+				New:  "\ts.expireRecent(index)\n",
 			},
 			Run: "^TestStateMachine_Duplicate_StartsNoSecondRollout",
 		},
 		{
 			Name: "repeats have no end",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "\tr.expireRecent(order.DedupExpiredIndex)\n",
+				File: "state_machine.go",
+				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
 				New:  "",
 			},
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
@@ -40,36 +40,36 @@
 		{
 			Name: "a snapshot loses the recent orders",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "\tr.recent = slices.Clone(saved.Recent)\n",
-				New:  "",
+				File: "snapshot.go",
+				Old:  "\ts.recent = slices.Clone(snapshot.Recent)\n",
+				New:  "\t_ = slices.Clone(snapshot.Recent)\n",
 			},
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
 			Name: "the target alone names an order",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "taken.Service == order.Service && taken.Target == order.Target && taken.OverMs == order.OverMs",
-				New:  "taken.Service == order.Service && taken.Target == order.Target",
+				File: "state_machine.go",
+				Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
+				New:  "r.Service == proposal.Service && r.Target == proposal.Target",
 			},
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
 			Name: "a repeat of what is under way is refused after its window",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "isUnderWay && roll.isDuplicate(&order) || r.isRecentDuplicate(&order)",
-				New:  "r.isRecentDuplicate(&order)",
+				File: "state_machine.go",
+				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
+				New:  "s.isRecentDuplicate(&proposal)",
 			},
 			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
 		},
 		{
 			Name: "a decision holds for any order of the target",
 			Change: mutation.Change{
-				File: "register.go",
-				Old:  "roll.Index != decision.Order",
-				New:  "roll.Target != decision.Target",
+				File: "state_machine.go",
+				Old:  "newest.Index != decision.Order",
+				New:  "newest.Target != decision.Target",
 			},
 			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
 		},
--- /dev/null
+++ b/internal/tier/rollout/snapshot.go
@@ -0,0 +1,28 @@
+package rollout
+
+import (
+	"maps"
+	"slices"
+)
+
+// Snapshot is the complete state as it is stored.
+type Snapshot struct {
+	Current  map[string]string  `json:"current"`
+	Rollouts map[string]Rollout `json:"rolls"`
+	Recent   []RecentProposal   `json:"recent,omitempty"`
+}
+
+// Snapshot returns the complete state. It shares the maps of the state machine: the caller must encode it before the next entry
+// is applied.
+func (s *StateMachine) Snapshot() Snapshot {
+	return Snapshot{Current: s.current, Rollouts: s.rollouts, Recent: s.recent}
+}
+
+// Restore returns the state machine of a snapshot.
+func Restore(snapshot Snapshot) *StateMachine {
+	s := New()
+	maps.Copy(s.current, snapshot.Current)
+	maps.Copy(s.rollouts, snapshot.Rollouts)
+	s.recent = slices.Clone(snapshot.Recent)
+	return s
+}
--- /dev/null
+++ b/internal/tier/rollout/state_machine.go
@@ -0,0 +1,135 @@
+package rollout
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"mastusher/internal/tier/view"
+)
+
+// Rollout is the newest roll-out of a service.
+type Rollout struct {
+	Proposal
+	Index    uint64 `json:"index"` // log index of the proposal
+	Baseline string `json:"from"`  // version in service when it was accepted
+	State    State  `json:"state"`
+}
+
+// isDuplicate reports whether a proposal is the same as the one that began this roll-out.
+func (r *Rollout) isDuplicate(proposal *Proposal) bool {
+	return r.Target == proposal.Target && r.OverMs == proposal.OverMs
+}
+
+// RecentProposal is a proposal that was accepted so recently that duplicates may still arrive.
+type RecentProposal struct {
+	Index   uint64 `json:"index"` // log index of its entry
+	AtMs    int64  `json:"atMs"`  // the leader's time of day when it proposed this, ms since 1970
+	Service string `json:"service"`
+	Target  string `json:"target"`
+	OverMs  int64  `json:"overMs"`
+}
+
+// StateMachine holds the version in service and the newest roll-out of each service.
+type StateMachine struct {
+	current  map[string]string // version in service, by service
+	rollouts map[string]Rollout
+	recent   []RecentProposal // the oldest first
+}
+
+// New returns a state machine that knows no service.
+func New() *StateMachine {
+	return &StateMachine{current: map[string]string{}, rollouts: map[string]Rollout{}}
+}
+
+// ApplyProposal decides a proposal that was committed at that log index. Its identity is its service, target and duration. A
+// duplicate changes nothing while its roll-out is in service, and as long as it may be a late copy of one that has ended,
+// whatever was proposed since; after that, it begins a new roll-out. A target that is in service already is finished at once.
+func (s *StateMachine) ApplyProposal(index uint64, proposal Proposal) Result {
+	s.expireRecent(proposal.DedupExpiredIndex)
+	newest, known := s.rollouts[proposal.Service]
+	inProgress := known && newest.State == InService
+	if inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal) {
+		return Accepted
+	}
+	if inProgress {
+		return InProgress
+	}
+	started := Rollout{Proposal: proposal, Index: index, Baseline: s.current[proposal.Service], State: InService}
+	if started.Baseline == proposal.Target {
+		started.State = Finished
+	}
+	s.rollouts[proposal.Service] = started
+	s.recent = append(s.recent, RecentProposal{Index: index, AtMs: proposal.AtMs, Service: proposal.Service, Target: proposal.Target,
+		OverMs: proposal.OverMs})
+	return Accepted
+}
+
+// expireRecent drops the proposals of which no duplicates arrive any more.
+func (s *StateMachine) expireRecent(upTo uint64) {
+	s.recent = slices.DeleteFunc(s.recent, func(r RecentProposal) bool { return r.Index <= upTo })
+}
+
+// isRecentDuplicate reports whether a proposal may be a late copy of one that was accepted.
+func (s *StateMachine) isRecentDuplicate(proposal *Proposal) bool {
+	return slices.ContainsFunc(s.recent, func(r RecentProposal) bool {
+		return r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs
+	})
+}
+
+// RecentProposals lists the accepted proposals of which duplicates may still arrive, the oldest first.
+func (s *StateMachine) RecentProposals() []RecentProposal { return s.recent }
+
+// ApplyObservedVersion records a service's version, unless one is known.
+func (s *StateMachine) ApplyObservedVersion(observed ObservedVersion) {
+	if s.current[observed.Service] == "" {
+		s.current[observed.Service] = observed.Version
+	}
+}
+
+// ApplyDecision ends a roll-out that is in service; a later decision on it changes nothing.
+func (s *StateMachine) ApplyDecision(decision Decision) {
+	newest, known := s.rollouts[decision.Service]
+	if !known || newest.State != InService || newest.Index != decision.Order {
+		return
+	}
+	newest.State = decision.State
+	s.rollouts[decision.Service] = newest
+	if decision.State == Finished {
+		s.current[decision.Service] = newest.Target
+	}
+}
+
+// Rollout returns the newest roll-out of a service.
+func (s *StateMachine) Rollout(service string) (Rollout, bool) {
+	newest, known := s.rollouts[service]
+	return newest, known
+}
+
+// Current returns the version in service, or "" while it is unknown.
+func (s *StateMachine) Current(service string) string { return s.current[service] }
+
+// Active lists the roll-outs in service, by service.
+func (s *StateMachine) Active() []Rollout {
+	var active []Rollout
+	for _, newest := range s.rollouts {
+		if newest.State == InService {
+			active = append(active, newest)
+		}
+	}
+	slices.SortFunc(active, func(a, b Rollout) int { return cmp.Compare(a.Service, b.Service) })
+	return active
+}
+
+// Versions lists for the proxies the version in service of each service, and the target and its share of a roll-out in service.
+func (s *StateMachine) Versions() view.RolloutList {
+	var list view.RolloutList
+	for _, service := range slices.Sorted(maps.Keys(s.current)) {
+		versions := view.ServiceVersions{Service: service, Current: s.current[service]}
+		if newest, known := s.rollouts[service]; known && newest.State == InService && newest.Target != versions.Current {
+			versions.Target, versions.Order, versions.Share, versions.InitialAllowance = newest.Target, newest.Index, newest.Share, newest.InitialAllowance
+		}
+		list.Services = append(list.Services, versions)
+	}
+	return list
+}
--- a/internal/tier/rollout/register_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -265,7 +265,7 @@
 func TestProposal_WithoutBounds_GetsDefaultShare(t *testing.T) {
 	// Given an order where the settings tell no bounds, then its target gets a small share.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{}, 0)
-	if order.Share <= 0 || order.Share > 0.1 || order.ExtraRequests != 0 {
+	if order.Share <= 0 || order.Share > 0.1 || order.InitialAllowance != 0 {
 		t.Errorf("it is %+v", order)
 	}
 }
@@ -273,7 +273,7 @@
 func TestProposal_FewKnownProxies_KeepsBounds(t *testing.T) {
 	// Given an owner that has started just now and knows none of 9 proxies, then what they may send at first is within the slack.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 0)
-	if sum := 9 * order.ExtraRequests; sum > 50 {
+	if sum := 9 * order.InitialAllowance; sum > 50 {
 		t.Errorf("they may send %v", sum)
 	}
 }
--- /dev/null
+++ b/internal/tier/rollout/stats.go
@@ -0,0 +1,104 @@
+package rollout
+
+import (
+	"math"
+	"time"
+)
+
+// LatencyBucketCount is the number of latency buckets of Stats.
+const LatencyBucketCount = 40
+
+// Upper bounds of the latency buckets: the first one's, and how many buckets double the bound.
+const (
+	firstBucketBound   = 100 * time.Microsecond
+	bucketsPerDoubling = 2
+)
+
+// Stats counts what proxies have seen of one version on one route. Proxies send it to the leader.
+type Stats struct {
+	Sent           int64                     `json:"sent"` // requests sent
+	Good           int64                     `json:"good"` // complete, successful answers
+	Bad            int64                     `json:"bad"`  // failures of the version itself, broken answers, time-outs
+	LatencyBuckets [LatencyBucketCount]int64 `json:"paces"`
+}
+
+// ObserveLatency counts the time that a good answer took; of a stream, the time per event.
+func (s *Stats) ObserveLatency(took time.Duration) {
+	bucket := 0
+	if took > firstBucketBound {
+		bucket = int(math.Ceil(bucketsPerDoubling * math.Log2(float64(took)/float64(firstBucketBound))))
+	}
+	s.LatencyBuckets[min(bucket, LatencyBucketCount-1)]++
+}
+
+// Add adds other counts.
+func (s *Stats) Add(other Stats) {
+	s.Sent += other.Sent
+	s.Good += other.Good
+	s.Bad += other.Bad
+	for i := range other.LatencyBuckets {
+		s.LatencyBuckets[i] += other.LatencyBuckets[i]
+	}
+}
+
+// since returns what was counted after an earlier state of the same counts.
+func (s *Stats) since(earlier Stats) Stats {
+	difference := Stats{Sent: s.Sent - earlier.Sent, Good: s.Good - earlier.Good, Bad: s.Bad - earlier.Bad}
+	for i := range difference.LatencyBuckets {
+		difference.LatencyBuckets[i] = s.LatencyBuckets[i] - earlier.LatencyBuckets[i]
+	}
+	return difference
+}
+
+// includes reports whether no count is lower than the other's; if not, these counts are the older ones.
+func (s *Stats) includes(other Stats) bool {
+	return s.Sent >= other.Sent && s.Good >= other.Good && s.Bad >= other.Bad && s.latencyCount() >= other.latencyCount()
+}
+
+// latencyCount is the number of answers whose latency was counted.
+func (s *Stats) latencyCount() int64 {
+	var sum int64
+	for _, count := range s.LatencyBuckets {
+		sum += count
+	}
+	return sum
+}
+
+// medianBucket is the latency bucket of the middle answer.
+func (s *Stats) medianBucket() int {
+	half := (s.latencyCount() + 1) / 2
+	for bucket, count := range s.LatencyBuckets {
+		if half -= count; half <= 0 {
+			return bucket
+		}
+	}
+	return LatencyBucketCount - 1
+}
+
+// countFromBucket counts the answers in a bucket and in all slower ones.
+func (s *Stats) countFromBucket(bucket int) int64 {
+	var sum int64
+	for _, count := range s.LatencyBuckets[min(bucket, LatencyBucketCount):] {
+		sum += count
+	}
+	return sum
+}
+
+// StatsByRoute counts what was seen of one version, by route.
+type StatsByRoute map[string]Stats
+
+// Add adds counts of a route.
+func (s StatsByRoute) Add(route string, stats Stats) {
+	sum := s[route]
+	sum.Add(stats)
+	s[route] = sum
+}
+
+// Total sums up all routes.
+func (s StatsByRoute) Total() Stats {
+	var sum Stats
+	for _, stats := range s {
+		sum.Add(stats)
+	}
+	return sum
+}
