--- /dev/null
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -0,0 +1,149 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
+	"mastusher/internal/tools/filler"
+)
+
+const formatFile = "testdata/formats.txt"
+
+var updateFormat = flag.Bool("update-format", false, "write the golden files anew; only for a format that is meant to change")
+
+// formats are all that relays of a fleet send and store as CBOR: the golden file has a line for each.
+var formats = []any{&frame{}, &identity{}, &part{}, &node.Message{}, &node.Ask{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
+	&quota.Report{}, &quota.Allotment{}, &quota.Tally{}, &quota.Sums{}}
+
+func goldenLines(t *testing.T) []string {
+	t.Helper()
+	data, err := os.ReadFile(formatFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
+	if len(lines) != len(formats) {
+		t.Fatalf("%d formats are stored, want %d", len(lines), len(formats))
+	}
+	return lines
+}
+
+func TestCBORFormat_WritesAndReadsTheBytesOfEarlierVersions(t *testing.T) {
+	if *updateFormat {
+		var all strings.Builder
+		for _, format := range formats {
+			encoded, err := cbor.Marshal(filler.New(format))
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&all, "%x\n", encoded)
+		}
+		if err := os.WriteFile(formatFile, []byte(all.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, line := range goldenLines(t) {
+		t.Run(fmt.Sprintf("%d", i), func(t *testing.T) {
+			golden, err := hex.DecodeString(line)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := filler.New(formats[i])
+			encoded, err := cbor.Marshal(want)
+			if err != nil || !bytes.Equal(encoded, golden) {
+				t.Errorf("%T: written %x, want %x; %v", want, encoded, golden, err)
+			}
+			read := reflect.New(reflect.TypeOf(formats[i]).Elem()).Interface()
+			if err := decoding.Unmarshal(golden, read); err != nil {
+				t.Fatal(err)
+			}
+			again, err := cbor.Marshal(read)
+			if err != nil || !bytes.Equal(again, golden) {
+				t.Errorf("%T: read back as %x, want %x; %v", want, again, golden, err)
+			}
+		})
+	}
+}
+
+// TestStatusJSON_KeepsItsKeys holds what `mastusher fleet --json` prints.
+func TestStatusJSON_KeepsItsKeys(t *testing.T) {
+	const file = "testdata/status.json"
+	got, err := json.MarshalIndent(filler.New(&node.Status{}), "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *updateFormat {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), string(got)); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestStoredFormat_ReadsTheFolderOfEarlierVersions starts on a copy of a folder whose log has two records.
+func TestStoredFormat_ReadsTheFolderOfEarlierVersions(t *testing.T) {
+	const folder = "testdata/folder"
+	image := &consensus.Image{Hard: []byte{8, 3, 16, 1, 24, 5}, Entries: [][]byte{{8, 0, 16, 3, 24, 5}}, Whole: true,
+		Memory: map[uint64]consensus.Position{7: {Term: 3, Last: 5}}}
+	more := &consensus.Image{Entries: [][]byte{{8, 0, 16, 3, 24, 6}}}
+	if *updateFormat {
+		if err := os.RemoveAll(folder); err != nil {
+			t.Fatal(err)
+		}
+		d, _, why, err := openDisk(folder, "fleet one", func() uint64 { return 40 })
+		if err != nil || why != nil {
+			t.Fatal(err, why)
+		}
+		if err := d.rewrite(image); err != nil {
+			t.Fatal(err)
+		}
+		if err := d.save(more, 0); err != nil {
+			t.Fatal(err)
+		}
+		_ = d.f.Close()
+	}
+	dir := t.TempDir()
+	for _, name := range []string{identityName, logName} {
+		data, err := os.ReadFile(filepath.Join(folder, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(dir, name), data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	d, got, why, err := openDisk(dir, "fleet one", func() uint64 { return 0 })
+	if err != nil || why != nil {
+		t.Fatal(err, why)
+	}
+	t.Cleanup(func() { _ = d.f.Close() })
+	if d.id.Fleet != "fleet one" || d.id.Gen != 2 || d.member != 41 {
+		t.Errorf("identity %+v, member %d", d.id, d.member)
+	}
+	want := &consensus.Image{Hard: image.Hard, Entries: append(image.Entries, more.Entries...), Whole: true, Memory: image.Memory}
+	got.Whole = true
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
