--- a/internal/tier/apierror/fault_test.go
+++ b/internal/tier/apierror/apierror_test.go
@@ -16,16 +16,16 @@
 	"pgregory.net/rapid"
 )
 
-// promises are the statuses that clients take for a promise that the request has not run.
-var promises = []int{
+// notExecutedStatuses are the statuses from which clients conclude that the request was not executed.
+var notExecutedStatuses = []int{
 	http.StatusPaymentRequired, http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 	http.StatusServiceUnavailable,
 }
 
-// unsure are the statuses that promise nothing.
-var unsure = []int{http.StatusBadGateway, http.StatusGatewayTimeout}
+// unsureStatuses are the statuses from which they conclude nothing.
+var unsureStatuses = []int{http.StatusBadGateway, http.StatusGatewayTimeout}
 
-func TestTableOfAnswers(t *testing.T) {
+func TestResponse_AllKinds_MatchTheTable(t *testing.T) {
 	var table strings.Builder
 	fmt.Fprintf(&table, "%-22s %6s %-9s %-11s %s\n", "kind", "status", "never ran", "retry after", "close")
 	for _, kind := range Kinds() {
@@ -36,7 +36,7 @@
 	goldie.New(t).Assert(t, "answers", []byte(table.String()))
 }
 
-func TestEveryKindHasANameAndAnAnswer(t *testing.T) {
+func TestKinds_Each_HasANameAndAResponse(t *testing.T) {
 	seen := make(map[string]Kind)
 	for _, kind := range Kinds() {
 		name := kind.String()
@@ -50,16 +50,16 @@
 	}
 }
 
-func TestOnlyWhatNeverRanIsPromised(t *testing.T) {
+func TestResponse_RetryableStatus_OnlyIfNotExecuted(t *testing.T) {
 	for _, kind := range Kinds() {
 		answer := kind.Response()
-		if slices.Contains(promises, answer.Status) && !answer.NotExecuted {
+		if slices.Contains(notExecutedStatuses, answer.Status) && !answer.NotExecuted {
 			t.Errorf("%v is answered by %d and may have run", kind, answer.Status)
 		}
-		if !answer.NotExecuted && !slices.Contains(unsure, answer.Status) && !answer.Close {
+		if !answer.NotExecuted && !slices.Contains(unsureStatuses, answer.Status) && !answer.Close {
 			t.Errorf("%v may have run, and is answered by %d on a connection that stays", kind, answer.Status)
 		}
-		if answer.NotExecuted && slices.Contains(unsure, answer.Status) {
+		if answer.NotExecuted && slices.Contains(unsureStatuses, answer.Status) {
 			t.Errorf("%v never ran, and %d doesn't say so", kind, answer.Status)
 		}
 		if answer.RetryAfter != (answer.Status == http.StatusServiceUnavailable) {
@@ -71,13 +71,13 @@
 	}
 }
 
-func TestNoSuchTurnNeverRan(t *testing.T) {
+func TestResponse_TurnNotFound_IsNotExecuted(t *testing.T) {
 	if answer := TurnNotFound.Response(); answer.Status != http.StatusNotFound || !answer.NotExecuted {
 		t.Errorf("got %+v", answer)
 	}
 }
 
-func TestKindOfAnError(t *testing.T) {
+func TestKindOf_WrappedAndJoined_OutermostMostCautious(t *testing.T) {
 	refused := New(EndpointRefused, "endpoint %s", "e-1")
 	unsure := New(MayHaveExecuted, "connection reset: %w", io.ErrUnexpectedEOF)
 	cases := map[string]struct {
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestErrorsKeepTheirCauses(t *testing.T) {
+func TestNew_Causes_AreKept(t *testing.T) {
 	one := trace.Wrap(New(MayHaveExecuted, "read: %w", io.ErrUnexpectedEOF))
 	if !errors.Is(one, io.ErrUnexpectedEOF) || !errors.Is(one, MayHaveExecuted) || errors.Is(one, NoRoute) {
 		t.Errorf("one cause: %v", one)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestErrorsReadAsKindAndMessage(t *testing.T) {
+func TestError_Text_IsKindAndMessage(t *testing.T) {
 	if got := New(NoRoute, "host %q", "a").Error(); got != `no route: host "a"` {
 		t.Errorf("got %q", got)
 	}
@@ -144,13 +144,13 @@
 	}
 }
 
-func TestAKindOutsideTheListIsAnsweredAsInternal(t *testing.T) {
+func TestResponse_UnknownKind_IsInternal(t *testing.T) {
 	if got := Kind(250).Response(); got != Internal.Response() {
 		t.Errorf("got %+v", got)
 	}
 }
 
-func TestKindsAreReturnedWithoutAllocation(t *testing.T) {
+func TestKind_AsError_DoesNotAllocate(t *testing.T) {
 	refuse := func(overloaded bool) error {
 		if overloaded {
 			return Overloaded
@@ -162,23 +162,23 @@
 	}
 }
 
-// However errors are joined, a promise is made only if all of them that have a kind make it.
-func TestJoinedErrorsPromiseOnlyWhatAllPromise(t *testing.T) {
+// However errors are joined, the response is NotExecuted only if those of all kinds in them are.
+func TestResponseOf_JoinedErrors_NotExecutedOnlyIfAllAre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kinds := rapid.SliceOfN(rapid.SampledFrom(Kinds()), 1, 6).Draw(t, "kinds")
 		var joined error
-		promised := true
+		notExecuted := true
 		for _, kind := range kinds {
 			joined = errors.Join(joined, New(kind, "x"))
-			promised = promised && kind.Response().NotExecuted
+			notExecuted = notExecuted && kind.Response().NotExecuted
 		}
-		if got := ResponseOf(joined).NotExecuted; got != promised {
-			t.Fatalf("got %t, want %t", got, promised)
+		if got := ResponseOf(joined).NotExecuted; got != notExecuted {
+			t.Fatalf("got %t, want %t", got, notExecuted)
 		}
 	})
 }
 
-func TestRetryAfterInSeconds(t *testing.T) {
+func TestFormatRetryAfter_Durations_Seconds(t *testing.T) {
 	cases := map[time.Duration]string{
 		-time.Second:              "0",
 		0:                         "0",
--- a/internal/tier/apierror/kind.go
+++ b/internal/tier/apierror/kind.go
@@ -1,55 +1,57 @@
-// Package apierror holds the closed list of the serving tier's error kinds and the table from kind to answer. What a client
-// is told follows from the kind alone, so a status that promises that a request has not run is never chosen by hand.
+// Package apierror holds the closed list of the serving tier's error kinds and the table from kind to HTTP response. What a client
+// gets follows from the kind alone, so that a status from which clients conclude that a request was not executed, and that they
+// may retry it, is never chosen by hand. All parts of the tier that answer clients or operators use it. Its values are immutable.
 package apierror
 
 import "fmt"
 
-// Kind is one kind of error. A kind is itself an error, so that a frequent one can be returned without an allocation.
+// Kind is one kind of error. A Kind is itself an error, so that a frequent one can be returned without an allocation.
 type Kind uint8
 
 // The kinds. None stands for no error.
 const (
 	None Kind = iota
 
-	// Of requests that have not been sent to any endpoint.
+	// Of requests that were not sent to any endpoint.
 
 	BadRequest       // the request can't be read
-	RequestTimeout   // the client was too slow in sending the request
-	HeadersTooLarge  // the head is over the limit
+	RequestTimeout   // the client was too slow to send the request
+	HeadersTooLarge  // the header section is over the limit
 	BodyTooLarge     // the body is over the limit
 	NoRoute          // no route has this host and path
-	NotReady         // the process lacks a configuration, endpoints or the way to an owner
+	NotReady         // the process lacks a configuration, endpoints or the route to a leader
 	NoEndpoint       // the service has no endpoint that could take the request
-	Overloaded       // the request was refused so that others are served
-	DeadlineTooShort // the client's time is too short for any endpoint
+	Overloaded       // load shedding
+	DeadlineTooShort // the client's deadline is too short for any endpoint
 	ShuttingDown     // the process is ending
-	BudgetExhausted  // the program's budget doesn't hold the turn
-	TurnNotFound     // an owner knows that there is no such earlier turn
-	StateUnavailable // the program's state can't be read or written now
+	BudgetExhausted  // what is left of the program's budget is too little for the turn
+	TurnNotFound     // a leader has confirmed that there is no such earlier turn
+	StateUnavailable // the program's state can't be read or written at present
 
 	// Of requests that were sent to an endpoint.
 
-	EndpointRefused   // every endpoint that was asked has promised not to run the request
-	MayHaveExecuted   // the request was sent, and nothing promises that it has not run
-	EndpointTimeout   // the request was sent, and no answer came in time
-	ResponseTruncated // an answer that the client has begun to get can't be completed
+	EndpointRefused   // every endpoint that was tried has rejected the request without executing it
+	MayHaveExecuted   // the request was sent, and nothing rules out that it was executed
+	EndpointTimeout   // the request was sent, and no response came in time
+	ResponseTruncated // a response that the client has begun to receive can't be completed
 
 	// Of the operator's orders.
 
-	InvalidConfiguration // the configuration can't be taken whatever the current one is
+	InvalidConfiguration // the configuration can't be accepted whatever the current one is
 	VersionConflict      // another version is current
-	NotLeader            // another process owns what the order is about
+	NotLeader            // another process is the leader of what the order is about
 	Unconfirmed          // the order may or may not take effect
 	TooFewStores         // too few storage machines would remain
 	UnknownNode          // there is no machine of this name
 	UnknownService       // there is no service of this name
-	OperationInProgress  // the order, or another about the same thing, is under way
+	OperationInProgress  // the order, or another on the same object, is in progress
 
 	Internal // anything else
 
 	kindCount
 )
 
+// kindNames are the kinds' texts in messages, and labels of metrics: operators' dashboards depend on them.
 var kindNames = [kindCount]string{
 	None:                 "none",
 	BadRequest:           "bad request",
@@ -89,7 +91,7 @@
 	return kinds
 }
 
-// String names the kind.
+// String returns the kind's text.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return fmt.Sprintf("kind %d", uint8(k))
@@ -97,7 +99,7 @@
 	return kindNames[k]
 }
 
-// Error names the kind.
+// Error implements error.
 func (k Kind) Error() string {
 	return k.String()
 }
--- a/internal/tier/apierror/answer.go
+++ b/internal/tier/apierror/response.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Response is what a caller gets for a kind of error.
+// Response is how a kind of error is answered over HTTP.
 type Response struct {
-	Status      int  // 0: nothing can be answered any more
-	NotExecuted bool // the request has not run and never will; the order takes no effect through this call
-	RetryAfter  bool // the answer tells when to come back
-	Close       bool // the connection ends after it
+	Status      int  // 0: the response has already begun, no status can be sent
+	NotExecuted bool // the request was not and will not be executed; an order takes no effect through this call
+	RetryAfter  bool // a Retry-After header is sent
+	Close       bool // the connection is closed after it
 }
 
-// The answers. A status that clients take for a promise stands only beside NotExecuted.
-var answers = [kindCount]Response{
+// responses is the table. A status from which clients conclude that the request was not executed must have NotExecuted.
+var responses = [kindCount]Response{
 	None:                 {Status: http.StatusOK},
 	BadRequest:           {Status: http.StatusBadRequest, NotExecuted: true, Close: true},
 	RequestTimeout:       {Status: http.StatusRequestTimeout, NotExecuted: true, Close: true},
@@ -45,27 +45,28 @@
 	Internal:             {Status: http.StatusInternalServerError, Close: true},
 }
 
-// Response is the kind's line of the table; a kind that isn't on the list is answered as Internal.
+// Response returns the kind's row of the table; that of Internal for a kind that isn't on the list.
 func (k Kind) Response() Response {
 	if k >= kindCount {
-		return answers[Internal]
+		return responses[Internal]
 	}
-	return answers[k]
+	return responses[k]
 }
 
-// ResponseOf is the answer to an error.
+// ResponseOf returns the response to an error, by its KindOf.
 func ResponseOf(err error) Response {
 	return KindOf(err).Response()
 }
 
-// FormatRetryAfter writes a wait as the value of a Retry-After header: seconds, rounded up to a thousandth.
+// FormatRetryAfter formats a wait as the value of a Retry-After header: seconds, rounded up to a thousandth. A negative wait is 0. The
+// fraction goes beyond RFC 9110 section 10.2.3, which has whole seconds.
 func FormatRetryAfter(wait time.Duration) string {
 	const digits = 3
 	rounded := (max(wait, 0) + time.Millisecond - 1).Truncate(time.Millisecond)
 	return trimFraction(strconv.FormatFloat(rounded.Seconds(), 'f', digits, 64))
 }
 
-// trimFraction drops the zeros at the end of a fraction.
+// trimFraction removes the trailing zeros of a fraction.
 func trimFraction(text string) string {
 	end := len(text)
 	for text[end-1] == '0' {
--- a/internal/tier/controller/configure.go
+++ b/internal/tier/controller/configure.go
@@ -70,7 +70,7 @@
 	case err != nil:
 		c.options.Metrics.CountOrder(metrics.Unconfirmed)
 	case verdict == configuration.Accepted:
-		c.options.Metrics.CountOrder(metrics.Taken)
+		c.options.Metrics.CountOrder(metrics.Accepted)
 	default:
 		c.options.Metrics.CountOrder(metrics.Rejected)
 	}
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -68,21 +68,21 @@
 	got := e.call(http.MethodPut, settingsPath, orderNamed(order.Number, order.Content+e.padding), "If-Match", fmt.Sprint(order.Base))
 	switch got.status {
 	case http.StatusOK:
-		operation.Outcome = linearizability.Taken
+		operation.Outcome = linearizability.Accepted
 	case http.StatusPreconditionFailed:
 		operation.Outcome = linearizability.Conflict
 	case http.StatusBadRequest:
-		operation.Outcome = linearizability.NotNewer
+		operation.Outcome = linearizability.StaleVersion
 	case 0, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 	default:
 		e.cluster.t.Errorf("order %+v: answer %d %s", order, got.status, got.body)
 	}
 	operation.Return = time.Now().UnixNano()
 	e.recorder.add(operation)
-	if operation.Outcome == linearizability.Taken {
+	if operation.Outcome == linearizability.Accepted {
 		e.known = linearizability.Version{Number: order.Number, Content: order.Content}
 	}
-	return operation.Outcome != linearizability.Unclear
+	return operation.Outcome != linearizability.Unknown
 }
 
 // get asks for the newest configuration once and tells whether it came.
@@ -103,7 +103,7 @@
 	}
 	operation.Return = time.Now().UnixNano()
 	e.recorder.add(operation)
-	return operation.Outcome != linearizability.Unclear
+	return operation.Outcome != linearizability.Unknown
 }
 
 // work sends orders, on the newest version or an older one, and repeats some.
@@ -228,12 +228,12 @@
 	for i := range operations {
 		s.Calls++
 		switch operations[i].Outcome {
-		case linearizability.Unclear:
+		case linearizability.Unknown:
 			continue
-		case linearizability.Taken:
+		case linearizability.Accepted:
 			taken[operations[i].Order] = true
 			s.Confirmed++
-		case linearizability.Conflict, linearizability.NotNewer:
+		case linearizability.Conflict, linearizability.StaleVersion:
 			s.Refused++
 		case linearizability.Read:
 			s.Read++
--- a/internal/tier/controller/repeats.go
+++ b/internal/tier/controller/repeats.go
@@ -19,10 +19,10 @@
 func (s *StateMachine) dedupEntries() []dedup.AcceptedOrder {
 	var taken []dedup.AcceptedOrder
 	for _, order := range s.rollouts.RecentProposals() {
-		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AcceptedAtMs: order.AtMs})
 	}
 	for _, order := range s.decommissions.Operations() {
-		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AtMs: order.AtMs})
+		taken = append(taken, dedup.AcceptedOrder{Index: order.Index, AcceptedAtMs: order.AtMs})
 	}
 	slices.SortFunc(taken, func(a, b dedup.AcceptedOrder) int { return cmp.Compare(a.Index, b.Index) })
 	return taken
--- a/internal/tier/dedup/mutants_test.go
+++ b/internal/tier/dedup/mutants_test.go
@@ -10,22 +10,22 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "the time of day alone tells",
+			Name: "the wall clock alone decides",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
 				New:  "age > w.length",
 			},
-			Run: "^TestAnOrderIsSettled",
+			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "the steady clock alone tells",
+			Name: "the monotonic clock alone decides",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
 				New:  "max(w.SeenFor(now, order.Index), 0*age) > w.length",
 			},
-			Run: "^TestAnOrderIsSettled",
+			Run: "^TestExpiredUpTo_",
 		},
 		{
 			Name: "clocks are taken to agree",
@@ -34,16 +34,16 @@
 				Old:  "clockSkew = 5 * time.Second",
 				New:  "clockSkew = time.Millisecond",
 			},
-			Run: "^TestAnOrderIsSettled",
+			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "an order is seen anew whenever another comes",
+			Name: "an order counts as new whenever another comes",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "\t\tif !known {\n\t\t\tat = now\n\t\t}\n",
 				New:  "\t\tif known || !known {\n\t\t\tat = now\n\t\t}\n",
 			},
-			Run: "^TestAnOrderIsSettled",
+			Run: "^TestExpiredUpTo_",
 		},
 	})
 }
--- a/internal/tier/dedup/window.go
+++ b/internal/tier/dedup/window.go
@@ -1,63 +1,69 @@
-// Package dedup tells until when an order that arrives may be the repeat of one that was taken before: the operator sends an
-// order again for a limited time only. It is pure.
+// Package dedup tells until when an operator's order that arrives may be a duplicate of one that was accepted before: an order
+// may be retried for a limited time only, after which its entry is no longer needed to recognise a duplicate. Controllers use it
+// to bound what they remember of past orders. It is pure: callers pass both clocks.
 package dedup
 
 import "time"
 
-// clockSkew is how far the times of day of two machines may differ, a clock that was set wrong among them.
+// clockSkew is how far the wall clocks of two machines may differ, including one that was set wrong.
 const clockSkew = 5 * time.Second
 
-// AcceptedOrder is an order that was taken.
+// AcceptedOrder is an order that was accepted.
 type AcceptedOrder struct {
-	Index uint64 // of its entry
-	AtMs  int64  // time of day at which the owner took it, ms since 1970
+	Index        uint64 // of its entry in the group's log
+	AcceptedAtMs int64  // wall-clock time at which the leader accepted it, Unix ms
 }
 
-// Window notes when this process has seen orders, and tells which of them are no longer repeated. It isn't safe for concurrent
-// use.
+// Window records when this process has first seen orders, and tells which of them can no longer be retried. It is not safe for
+// concurrent use.
 type Window struct {
-	length time.Duration
-	seen   map[uint64]time.Duration // when this process first saw the order, by its steady clock
+	length    time.Duration
+	firstSeen map[uint64]time.Duration // by index, on this process' monotonic clock
 }
 
-// NewWindow returns a window for orders that are repeated for that long after they were taken.
+// NewWindow returns a window for orders that may be retried for length after they were accepted. A longer one remembers orders
+// for longer; one shorter than the operator's retries may execute an order twice.
 func NewWindow(length time.Duration) *Window {
-	return &Window{length: length, seen: map[uint64]time.Duration{}}
+	return &Window{length: length, firstSeen: map[uint64]time.Duration{}}
 }
 
-// Observe takes in all orders that may be repeated; it is to be called whenever one is added. Now is the steady clock's.
-func (w *Window) Observe(now time.Duration, taken []AcceptedOrder) {
-	seen := make(map[uint64]time.Duration, len(taken))
-	for _, order := range taken {
-		at, known := w.seen[order.Index]
+// Observe takes in all orders that may still be retried, and forgets others. It must be called whenever one is added. Now is the
+// monotonic clock's.
+func (w *Window) Observe(now time.Duration, accepted []AcceptedOrder) {
+	firstSeen := make(map[uint64]time.Duration, len(accepted))
+	for _, order := range accepted {
+		at, known := w.firstSeen[order.Index]
 		if !known {
 			at = now
 		}
-		seen[order.Index] = at
+		firstSeen[order.Index] = at
 	}
-	w.seen = seen
+	w.firstSeen = firstSeen
 }
 
-// SeenFor is the time since this process first saw an order.
+// SeenFor returns the time since this process first saw an order; 0 if it has not.
 func (w *Window) SeenFor(now time.Duration, index uint64) time.Duration {
-	at, known := w.seen[index]
+	at, known := w.firstSeen[index]
 	if !known {
 		return 0
 	}
 	return now - at
 }
 
-// ExpiredUpTo is the index up to which none of the orders is repeated any more; 0 if all may be. The steady clock decides for
-// orders that this process has seen for long enough: it runs from a time at which they had been taken, so that it can't tell
-// too soon. The time of day decides for those that are older than the process; only a clock that is ahead by more than the
-// allowance lets it tell too soon, and one that is behind lets it tell no later than the steady clock.
-func (w *Window) ExpiredUpTo(now time.Duration, timeOfDay time.Time, taken []AcceptedOrder) uint64 {
-	var settled uint64
-	for _, order := range taken {
-		age := timeOfDay.Sub(time.UnixMilli(order.AtMs)) - clockSkew
+// ExpiredUpTo returns the highest index of an order that can no longer be retried; 0: all may be. Orders with lower indexes were
+// accepted earlier, so they have expired too.
+//
+// Either clock suffices. The monotonic clock decides for orders that this process has seen for long enough: it counts from a
+// time at which they had been accepted, so that it is never too early. The wall clock decides for orders that are older than the
+// process. It is too early only where it is ahead by more than clockSkew, and where it is behind it is no later than the
+// monotonic clock.
+func (w *Window) ExpiredUpTo(now time.Duration, wallClock time.Time, accepted []AcceptedOrder) uint64 {
+	var expired uint64
+	for _, order := range accepted {
+		age := wallClock.Sub(time.UnixMilli(order.AcceptedAtMs)) - clockSkew
 		if max(w.SeenFor(now, order.Index), age) > w.length {
-			settled = max(settled, order.Index)
+			expired = max(expired, order.Index)
 		}
 	}
-	return settled
+	return expired
 }
--- a/internal/tier/dedup/window_test.go
+++ b/internal/tier/dedup/window_test.go
@@ -9,18 +9,18 @@
 
 const length = 9 * time.Second
 
-// dayOf is the time of day that a right clock shows.
-func dayOf(now time.Duration) time.Time { return time.UnixMilli(1_700_000_000_000).Add(now) }
+// wallClockAt is what a correct wall clock shows.
+func wallClockAt(now time.Duration) time.Time { return time.UnixMilli(1_700_000_000_000).Add(now) }
 
-func TestAnOrderIsSettledAfterItsWindow(t *testing.T) {
+func TestExpiredUpTo_OneOrder_ExpiresAfterTheWindow(t *testing.T) {
 	tests := []struct {
 		name    string
 		age     time.Duration // of the order
-		seen    time.Duration // since this process has seen it
-		skew    time.Duration // of this machine's time of day against that of the one that took the order
-		settled bool
+		seen    time.Duration // since this process first saw it
+		skew    time.Duration // of this machine's wall clock against that of the one that accepted the order
+		expired bool
 	}{
-		{"just taken", 0, 0, 0, false},
+		{"just accepted", 0, 0, 0, false},
 		{"within its window", length, length, 0, false},
 		{"after its window", length + 1, length + 1, 0, true},
 		{"after its window, on a clock that went back", length + 1, length + 1, -2 * time.Second, true},
@@ -36,33 +36,33 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			const now = time.Hour
-			order := dedup.AcceptedOrder{Index: 7, AtMs: dayOf(now - test.age).UnixMilli()}
+			order := dedup.AcceptedOrder{Index: 7, AcceptedAtMs: wallClockAt(now - test.age).UnixMilli()}
 			w := dedup.NewWindow(length)
 			w.Observe(now-test.seen, []dedup.AcceptedOrder{order})
 			w.Observe(now, []dedup.AcceptedOrder{order})
-			got := w.ExpiredUpTo(now, dayOf(now+test.skew), []dedup.AcceptedOrder{order})
-			if want := map[bool]uint64{true: 7}[test.settled]; got != want {
-				t.Errorf("orders are settled up to entry %d, want %d", got, want)
+			got := w.ExpiredUpTo(now, wallClockAt(now+test.skew), []dedup.AcceptedOrder{order})
+			if want := map[bool]uint64{true: 7}[test.expired]; got != want {
+				t.Errorf("orders have expired up to entry %d, want %d", got, want)
 			}
 		})
 	}
 }
 
-func TestTheNewestSettledOrderCounts(t *testing.T) {
+func TestExpiredUpTo_SeveralOrders_HighestExpiredIndex(t *testing.T) {
 	// Given orders of which the first three are old, the second by a clock that was ahead,
-	taken := []dedup.AcceptedOrder{{Index: 3, AtMs: dayOf(0).UnixMilli()}, {Index: 5, AtMs: dayOf(time.Hour).UnixMilli()}, {Index: 8, AtMs: dayOf(0).UnixMilli()}}
+	accepted := []dedup.AcceptedOrder{{Index: 3, AcceptedAtMs: wallClockAt(0).UnixMilli()}, {Index: 5, AcceptedAtMs: wallClockAt(time.Hour).UnixMilli()}, {Index: 8, AcceptedAtMs: wallClockAt(0).UnixMilli()}}
 	w := dedup.NewWindow(length)
-	w.Observe(0, taken)
-	taken = append(taken, dedup.AcceptedOrder{Index: 9, AtMs: dayOf(time.Minute).UnixMilli()})
-	w.Observe(time.Minute, taken)
-	// then the third settles those before it, and not the one after it.
-	if got := w.ExpiredUpTo(time.Minute, dayOf(time.Minute), taken); got != 8 {
-		t.Errorf("orders are settled up to entry %d, want 8", got)
+	w.Observe(0, accepted)
+	accepted = append(accepted, dedup.AcceptedOrder{Index: 9, AcceptedAtMs: wallClockAt(time.Minute).UnixMilli()})
+	w.Observe(time.Minute, accepted)
+	// then the third has expired with those before it, and not the one after it.
+	if got := w.ExpiredUpTo(time.Minute, wallClockAt(time.Minute), accepted); got != 8 {
+		t.Errorf("orders have expired up to entry %d, want 8", got)
 	}
-	// And an order that is gone and comes again, as after a restored snapshot, is seen anew.
+	// And an order that was forgotten and comes back, as after a restored snapshot, counts as new.
 	w.Observe(2*time.Minute, nil)
-	w.Observe(3*time.Minute, taken)
+	w.Observe(3*time.Minute, accepted)
 	if got := w.SeenFor(3*time.Minute, 8); got != 0 {
-		t.Errorf("an order that was gone has been seen for %v", got)
+		t.Errorf("an order that was forgotten has been seen for %v", got)
 	}
 }
--- a/internal/tier/identity/identity.go
+++ b/internal/tier/identity/identity.go
@@ -1,5 +1,7 @@
-// Package identity gives a machine with a disk the identity under which its replicas vote. The identity lies on the disk:
-// a disk that comes back empty gets a new one, so that nothing the lost disk promised is taken for known.
+// Package identity gives a machine with a disk the identity under which its replicas vote. The identity lies on the disk: a disk
+// that comes back empty or damaged gets a new one, so that no member votes twice in a term after it has forgotten its first vote
+// (Raft figure 2: the term and the vote are persistent). It is called once, at the start of a process, before anything
+// else uses the disk.
 package identity
 
 import (
@@ -14,40 +16,39 @@
 	"mastusher/internal/tier/storage"
 )
 
-// BootstrapID returns the identity of a machine at the first start of the whole system. It follows from its address, so that
-// the others can name it before they have heard of it.
+// identityBytes is the length of an identity before hexadecimal encoding.
+const identityBytes = 16
+
+// BootstrapID returns the identity of a machine at the first start of the whole system. It follows from the machine's address
+// (host:port), so that the others can name it as an initial member before they have heard from it.
 func BootstrapID(address string) string {
 	sum := sha256.Sum256([]byte("first start " + address))
 	return hex.EncodeToString(sum[:identityBytes])
 }
 
-// identityBytes is the length of an identity before it is written as hexadecimal digits.
-const identityBytes = 16
-
-// LoadOrCreate returns the identity on the disk and makes one if there is none: that of BootstrapID at the first start of the whole
-// system, else a random one. A damaged disk is emptied and gets a new one, and so does one that was being emptied when its
-// process ended.
-func LoadOrCreate(disk storage.Disk, address string, firstStart bool) (string, error) {
-	if err := finishEmptying(disk); err != nil {
+// LoadOrCreate returns the identity on the disk, and creates one if there is none: that of BootstrapID where bootstrap says that
+// the whole system starts for the first time, otherwise a random one. It opens each group once, and erases a disk on which
+// something is damaged, which then gets a random identity; so does a disk whose erasure was interrupted. Errors are the disk's.
+func LoadOrCreate(disk storage.Disk, address string, bootstrap bool) (string, error) {
+	if err := finishErasure(disk); err != nil {
 		return "", err
 	}
-	id, _, err := storage.LoadOrCreateIdentity(disk, source(address, firstStart))
+	id, _, err := storage.LoadOrCreateIdentity(disk, idSource(address, bootstrap))
 	if err == nil {
-		err = check(disk)
+		err = checkGroups(disk)
 	}
-	var damage *storage.CorruptError
-	if !errors.As(err, &damage) {
+	if !errors.Is(err, storage.ErrCorrupt) {
 		return id, err
 	}
-	if err := empty(disk); err != nil {
+	if err := erase(disk); err != nil {
 		return "", err
 	}
 	id, _, err = storage.LoadOrCreateIdentity(disk, rand.Reader)
 	return id, err
 }
 
-// finishEmptying removes the groups of a disk without an identity.
-func finishEmptying(disk storage.Disk) error {
+// finishErasure removes the groups of a disk without an identity: its erasure was interrupted.
+func finishErasure(disk storage.Disk) error {
 	file, err := disk.Open(storage.IdentityFile)
 	if err == nil {
 		return file.Close()
@@ -59,22 +60,23 @@
 	if err != nil || len(names) == 0 {
 		return err
 	}
-	return empty(disk)
+	return erase(disk)
 }
 
-func source(address string, firstStart bool) io.Reader {
-	if !firstStart {
+// idSource returns the bytes that a new identity is made of.
+func idSource(address string, bootstrap bool) io.Reader {
+	if !bootstrap {
 		return rand.Reader
 	}
-	first, err := hex.DecodeString(BootstrapID(address))
+	id, err := hex.DecodeString(BootstrapID(address))
 	if err != nil {
 		return rand.Reader
 	}
-	return bytes.NewReader(first)
+	return bytes.NewReader(id)
 }
 
-// check opens and closes each group, to find damage before the identity is told to anyone.
-func check(disk storage.Disk) error {
+// checkGroups opens and closes each group, so that damage is found before any peer learns the identity.
+func checkGroups(disk storage.Disk) error {
 	names, err := storage.ListGroups(disk)
 	if err != nil {
 		return err
@@ -91,9 +93,9 @@
 	return nil
 }
 
-// empty removes everything. The identity goes first, and for good: whatever else a loss of power in between brings back, no
-// groups that have forgotten something are there under the identity that they had.
-func empty(disk storage.Disk) error {
+// erase removes all files. The identity must go first, and durably: whatever else a loss of power in between brings back, no
+// group that has forgotten something is then left under the identity that it had.
+func erase(disk storage.Disk) error {
 	if err := disk.Remove(storage.IdentityFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
--- a/internal/tier/identity/identity_test.go
+++ b/internal/tier/identity/identity_test.go
@@ -11,7 +11,7 @@
 
 const address = "10.0.0.1:7380"
 
-// vote saves a promise in a group.
+// vote saves a vote in a group.
 func vote(t *testing.T, disk storage.Disk, group string) {
 	t.Helper()
 	opened, _, err := storage.Open(disk, group)
@@ -42,7 +42,7 @@
 	return disk, id
 }
 
-func TestIdentityFollowsFromTheAddressAtTheFirstStartOnly(t *testing.T) {
+func TestLoadOrCreate_EmptyDisk_BootstrapIDAtTheFirstStartOnly(t *testing.T) {
 	// Given an empty disk at the first start, and one later,
 	_, first := used(t)
 	later, err := identity.LoadOrCreate(memorydisk.New(), address, false)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestIdentityStaysWithTheDisk(t *testing.T) {
+func TestLoadOrCreate_AddressChanged_KeepsTheIdentity(t *testing.T) {
 	// Given a disk that has been used at one address, when its machine starts again at another,
 	disk, id := used(t)
 	disk.LosePower(1)
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestAnIdentityNeverForgetsItsVotes ends the process at each change, and then the power, while a damaged disk gets a new
-// identity.
-func TestAnIdentityNeverForgetsItsVotes(t *testing.T) {
+// TestLoadOrCreate_PowerLossDuringErasure_ForgetsNoVoteUnderTheOldIdentity loses power at each change while a damaged disk gets a
+// new identity.
+func TestLoadOrCreate_PowerLossDuringErasure_ForgetsNoVoteUnderTheOldIdentity(t *testing.T) {
 	for change := 0; change < 40; change++ {
 		for seed := range uint64(24) {
 			// Given a disk of which one group is damaged,
@@ -102,8 +102,8 @@
 	}
 }
 
-func TestANewIdentityHasNoGroups(t *testing.T) {
-	// Given a disk that was being emptied when its process ended,
+func TestLoadOrCreate_ErasureInterrupted_LeavesNoGroups(t *testing.T) {
+	// Given a disk that was being erased when its process ended,
 	disk, _ := used(t)
 	if err := disk.Remove("identity"); err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestADamagedDiskGetsANewIdentity(t *testing.T) {
+func TestLoadOrCreate_GroupDamaged_NewIdentityWithoutGroups(t *testing.T) {
 	// Given a disk of which one group is damaged, when its machine starts again,
 	disk, id := used(t)
 	if err := disk.Corrupt("configuration.log-0", 20); err != nil {
--- a/internal/tier/identity/mutants_test.go
+++ b/internal/tier/identity/mutants_test.go
@@ -6,18 +6,18 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestMutantsAreNoticed tries mistakes by which an empty disk would vote in its predecessor's name.
+// TestMutantsAreNoticed tries mistakes by which a disk would vote under the identity of an erased one.
 func TestMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "an empty disk gets the identity that it had",
-			Change: mutation.Change{File: "identity.go", Old: "	if !firstStart {\n", New: "	if false && !firstStart {\n"},
+			Change: mutation.Change{File: "identity.go", Old: "	if !bootstrap {\n", New: "	if false && !bootstrap {\n"},
 			Run:    "Test",
 		},
 		{
 			Name:   "a damaged disk keeps its identity",
-			Change: mutation.Change{File: "identity.go", Old: "if err := empty(disk); err != nil {\n		return \"\", err\n	}\n	id, _, err", New: "if err != nil {\n		return id, nil\n	}\n	id, _, err"},
+			Change: mutation.Change{File: "identity.go", Old: "if err := erase(disk); err != nil {\n		return \"\", err\n	}\n	id, _, err", New: "if err != nil {\n		return id, nil\n	}\n	id, _, err"},
 			Run:    "Test",
 		},
 	})
--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant counts violations of what must always hold in a running process. A violation is logged and counted; it
-// ends nothing. Tests and operators look for the log line, whose message is Message.
+// Package invariant counts violations of what must always hold in a running process. A violation is logged and counted, and the
+// process goes on. Tests and operators look for the log line, whose message is Message.
 package invariant
 
 import (
@@ -13,15 +13,15 @@
 // Message is the msg of a violation's log line.
 const Message = "invariant broken"
 
-// Name names an invariant.
+// Name is an invariant's name in the log.
 type Name string
 
 // The invariants.
 const (
-	// Recovery: no outage of a proxy lasts longer than recoveryS. An outage is a time in which it refuses more than three quarters
-	// of the requests that come, since it lacks a view or the stores' answer.
+	// Recovery: no outage of a proxy lasts longer than the setting bounds.recoveryS. An outage is a time in which it rejects more
+	// than three quarters of its requests, because it lacks a view or the stores don't answer.
 	Recovery Name = "recovery"
-	// ExcessReplica: a store runs no replica for long that its group has certainly done without.
+	// ExcessReplica: a store doesn't keep running a replica that its group has certainly removed.
 	ExcessReplica Name = "excess"
 )
 
@@ -33,10 +33,10 @@
 	counts map[Name]int
 }
 
-// New returns a counter that logs each violation.
+// New returns a counter that logs each violation to logger.
 func New(logger log.Logger) *Counter { return &Counter{logger: logger, counts: map[Name]int{}} }
 
-// Violated counts a violation and logs it with its details, which are keys and values.
+// Violated counts a violation and logs it at level error with its details, which are alternating keys and values.
 func (c *Counter) Violated(name Name, details ...any) {
 	if c == nil {
 		return
@@ -48,7 +48,7 @@
 	level.Error(c.logger).Log(append([]any{"msg", Message, "invariant", name, "count", count}, details...)...)
 }
 
-// Counts returns the number of violations by invariant.
+// Counts returns the number of violations so far by invariant; nil for a nil Counter.
 func (c *Counter) Counts() map[Name]int {
 	if c == nil {
 		return nil
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestViolationsAreCountedAndLogged(t *testing.T) {
+func TestCounter_Violated_CountsAndLogs(t *testing.T) {
 	// Given a counter, when two violations of one invariant and one of another come,
 	var logged bytes.Buffer
 	counter := New(log.NewLogfmtLogger(&logged))
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestNoCounterCountsNothing(t *testing.T) {
+func TestCounter_Nil_CountsNothing(t *testing.T) {
 	var none *Counter
 	none.Violated(Recovery)
 	if got := none.Counts(); got != nil {
--- a/internal/tier/linearizability/check.go
+++ b/internal/tier/linearizability/check.go
@@ -13,7 +13,7 @@
 	if s.explore(0) {
 		return nil
 	}
-	return &ViolationError{Operations: operations, Placed: s.best, Stuck: s.stuck}
+	return &ViolationError{Operations: operations, Linearized: s.best, Candidates: s.stuckAt}
 }
 
 // search is the state of a search by depth.
@@ -23,16 +23,16 @@
 	byCall     []int // operations, by the time of their call
 	contents   []Order
 	visited    map[string]bool
-	placed     bitset
+	linearized bitset
 	state      register
 	path       []int
 	best       []int
-	stuck      []int
-	clear      int // operations with a clear answer
+	stuckAt    []int
+	known      int // operations with a clear answer
 }
 
 func newSearch(operations []Operation) *search {
-	s := &search{operations: operations, visited: map[string]bool{}, placed: newBitset(len(operations))}
+	s := &search{operations: operations, visited: map[string]bool{}, linearized: newBitset(len(operations))}
 	known := map[Order]int{}
 	for i := range operations {
 		order := -1
@@ -46,10 +46,10 @@
 			order = number
 		}
 		s.orders = append(s.orders, order)
-		if operations[i].Outcome != Unclear {
-			s.clear++
+		if operations[i].Outcome != Unknown {
+			s.known++
 		}
-		if operations[i].Outcome != Unclear || operations[i].Kind == Put {
+		if operations[i].Outcome != Unknown || operations[i].Kind == Put {
 			s.byCall = append(s.byCall, i)
 		}
 	}
@@ -69,51 +69,51 @@
 func (r *register) apply(number int, order *Order) Outcome {
 	switch {
 	case r.taken.has(number):
-		return Taken
+		return Accepted
 	case order.Base != r.current.Number:
 		if order.Base > r.current.Number {
 			r.refused.add(number)
 		}
 		return Conflict
 	case order.Number <= r.current.Number:
-		return NotNewer
+		return StaleVersion
 	case r.refused.has(number):
 		return Conflict
 	}
 	r.taken.add(number)
 	r.current = Version{Number: order.Number, Content: order.Content}
-	return Taken
+	return Accepted
 }
 
 // explore places the operations that remain, given how many with a clear answer are placed.
 func (s *search) explore(clear int) bool {
-	if clear == s.clear {
+	if clear == s.known {
 		return true
 	}
-	key := string(s.placed) + string(s.state.taken) + string(s.state.refused)
+	key := string(s.linearized) + string(s.state.taken) + string(s.state.refused)
 	if s.visited[key] {
 		return false
 	}
 	s.visited[key] = true
 	next := s.candidates()
 	if len(s.path) >= len(s.best) {
-		s.best, s.stuck = slices.Clone(s.path), next
+		s.best, s.stuckAt = slices.Clone(s.path), next
 	}
 	for _, i := range next {
 		before := s.state
 		s.state.taken, s.state.refused = slices.Clone(before.taken), slices.Clone(before.refused)
-		if s.place(i) {
+		if s.linearize(i) {
 			s.path = append(s.path, i)
 			placed := clear
-			if s.operations[i].Outcome != Unclear {
-				s.placed.add(i)
+			if s.operations[i].Outcome != Unknown {
+				s.linearized.add(i)
 				placed++
 			}
 			if s.explore(placed) {
 				return true
 			}
 			s.path = s.path[:len(s.path)-1]
-			s.placed.remove(i)
+			s.linearized.remove(i)
 		}
 		s.state = before
 	}
@@ -129,10 +129,10 @@
 		if operation.Call > earliest {
 			break
 		}
-		if s.placed.has(i) {
+		if s.linearized.has(i) {
 			continue
 		}
-		if operation.Outcome != Unclear {
+		if operation.Outcome != Unknown {
 			earliest = min(earliest, operation.Return)
 		}
 		list = append(list, i)
@@ -140,9 +140,9 @@
 	return list
 }
 
-// place lets an operation take effect and tells whether that explains its answer. One without a clear answer is worth placing
+// linearize lets an operation take effect and tells whether that explains its answer. One without a clear answer is worth placing
 // only where it changes something.
-func (s *search) place(i int) bool {
+func (s *search) linearize(i int) bool {
 	operation := &s.operations[i]
 	if operation.Kind == Get {
 		return operation.Version == s.state.current
@@ -150,7 +150,7 @@
 	number := s.orders[i]
 	known := s.state.taken.has(number) || s.state.refused.has(number)
 	got := s.state.apply(number, &operation.Order)
-	if operation.Outcome == Unclear {
+	if operation.Outcome == Unknown {
 		return !known && (s.state.taken.has(number) || s.state.refused.has(number))
 	}
 	return got == operation.Outcome
--- a/internal/tier/linearizability/check_test.go
+++ b/internal/tier/linearizability/check_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	const taken, conflict, notNewer, unclear = linearizability.Taken, linearizability.Conflict, linearizability.NotNewer, linearizability.Unclear
+	const taken, conflict, notNewer, unclear = linearizability.Accepted, linearizability.Conflict, linearizability.StaleVersion, linearizability.Unknown
 	tests := []struct {
 		name       string
 		operations []linearizability.Operation
@@ -91,24 +91,24 @@
 func (s *service) put(o linearizability.Order) linearizability.Outcome {
 	switch {
 	case s.fault == comparesNumber && o.Number == s.number:
-		return linearizability.Taken
+		return linearizability.Accepted
 	case s.taken[o] && s.fault == repeatsAgain:
 		s.number, s.content = o.Number, o.Content
-		return linearizability.Taken
+		return linearizability.Accepted
 	case s.taken[o] && s.fault != forgetsOrders:
-		return linearizability.Taken
+		return linearizability.Accepted
 	case o.Base != s.number && s.fault != ignoresBase:
 		return linearizability.Conflict
 	case o.Number <= s.number:
-		return linearizability.NotNewer
+		return linearizability.StaleVersion
 	}
 	s.taken[o] = true
 	if s.fault == losesUpdates && s.random.IntN(8) == 0 {
-		return linearizability.Taken
+		return linearizability.Accepted
 	}
 	s.before = linearizability.Version{Number: s.number, Content: s.content}
 	s.number, s.content = o.Number, o.Content
-	return linearizability.Taken
+	return linearizability.Accepted
 }
 
 func (s *service) get() linearizability.Version {
@@ -151,7 +151,7 @@
 			}
 			sent = append(sent, o.Order)
 			if random.IntN(6) == 0 {
-				o.Outcome = linearizability.Unclear
+				o.Outcome = linearizability.Unknown
 				if random.IntN(2) == 0 {
 					s.put(o.Order)
 				}
--- a/internal/tier/linearizability/operation.go
+++ b/internal/tier/linearizability/operation.go
@@ -22,14 +22,14 @@
 
 // The outcomes.
 const (
-	Unclear  Outcome = iota // no clear answer: an order may take effect at any time after its call, or never
-	Taken                   // now, or before
-	Conflict                // another version is current
-	NotNewer                // its number isn't higher than the current one
-	Read                    // the answer to a Get
+	Unknown      Outcome = iota // no clear answer: an order may take effect at any time after its call, or never
+	Accepted                    // now, or before
+	Conflict                    // another version is current
+	StaleVersion                // its number isn't higher than the current one
+	Read                        // the answer to a Get
 )
 
-var outcomeNames = map[Outcome]string{Unclear: "unclear", Taken: "taken", Conflict: "conflict", NotNewer: "not newer", Read: "read"}
+var outcomeNames = map[Outcome]string{Unknown: "unclear", Accepted: "taken", Conflict: "conflict", StaleVersion: "not newer", Read: "read"}
 
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -64,7 +64,7 @@
 	if o.Kind == Put {
 		what = fmt.Sprintf("put %d on %d, %q", o.Order.Number, o.Order.Base, o.Order.Content)
 	}
-	if o.Outcome == Unclear {
+	if o.Outcome == Unknown {
 		return fmt.Sprintf("[%d, ...] operator %d, %s: %s", o.Call, o.Operator, what, o.Outcome)
 	}
 	return fmt.Sprintf("[%d, %d] operator %d, %s: %s", o.Call, o.Return, o.Operator, what, o.Outcome)
@@ -73,14 +73,14 @@
 // ViolationError says that there is no order of the operations that explains all answers.
 type ViolationError struct {
 	Operations []Operation
-	Placed     []int // the longest sequence that was found to explain its answers
-	Stuck      []int // the operations of which one had to come next
+	Linearized []int // the longest sequence that was found to explain its answers
+	Candidates []int // the operations of which one had to come next
 }
 
 // Error lists the linearizability.
 func (e *ViolationError) Error() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "the history is not linearizable: after %v, none of %v explains its answer\n", e.Placed, e.Stuck)
+	fmt.Fprintf(&text, "the history is not linearizable: after %v, none of %v explains its answer\n", e.Linearized, e.Candidates)
 	for i := range e.Operations {
 		fmt.Fprintf(&text, "%4d %s\n", i, &e.Operations[i])
 	}
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -29,7 +29,7 @@
 
 // The outcomes of an order.
 const (
-	Taken       Outcome = "taken"
+	Accepted    Outcome = "taken"
 	Rejected    Outcome = "refused"     // invalid, or not on top of the newest version
 	Unconfirmed Outcome = "unconfirmed" // the group gave no answer in time
 )
@@ -55,11 +55,11 @@
 	orderSeconds *prometheus.HistogramVec
 	orders       *prometheus.CounterVec
 	elections    prometheus.Counter
-	refusals     *prometheus.CounterVec
+	rejections   *prometheus.CounterVec
 
-	mutex   sync.Mutex
-	classOf func(host string) ZoneClass // nil: nothing is known of zones
-	classes map[string]ZoneClass        // by host
+	mutex       sync.Mutex
+	lookUpZone  func(host string) ZoneClass // nil: nothing is known of zones
+	zoneClasses map[string]ZoneClass        // by host
 }
 
 // New returns metrics that have counted nothing.
@@ -76,10 +76,10 @@
 		orders: counters("orders_total", "Configurations that the operator has sent, by outcome.", "outcome"),
 		elections: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "mastusher", Name: "elections_total",
 			Help: "Owners of the configuration's group that this member has seen elected."}),
-		refusals: counters("own_answers_total", "Requests that the proxy has answered by itself, by kind.", "kind"),
-		classes:  map[string]ZoneClass{},
+		rejections:  counters("own_answers_total", "Requests that the proxy has answered by itself, by kind.", "kind"),
+		zoneClasses: map[string]ZoneClass{},
 	}
-	m.registry.MustRegister(m.lineBytes, m.wireBytes, m.orderSeconds, m.orders, m.elections, m.refusals)
+	m.registry.MustRegister(m.lineBytes, m.wireBytes, m.orderSeconds, m.orders, m.elections, m.rejections)
 	return m
 }
 
@@ -92,17 +92,17 @@
 func (m *Metrics) SetZoneLookup(classOf func(host string) ZoneClass) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.classOf = classOf
+	m.lookUpZone = classOf
 }
 
 // SentLine implements transport.Meter.
 func (m *Metrics) SentLine(kind, address string, bytes int) {
-	m.lineBytes.WithLabelValues(kind, string(m.class(address))).Add(float64(bytes))
+	m.lineBytes.WithLabelValues(kind, string(m.zoneClass(address))).Add(float64(bytes))
 }
 
 // Written implements transport.Meter.
 func (m *Metrics) Written(address string, bytes int) {
-	m.wireBytes.WithLabelValues(string(m.class(address))).Add(float64(bytes))
+	m.wireBytes.WithLabelValues(string(m.zoneClass(address))).Add(float64(bytes))
 }
 
 // ObserveStep notes how long a step of an order took.
@@ -117,24 +117,24 @@
 func (m *Metrics) CountElection() { m.elections.Inc() }
 
 // CountRejection notes a request that the proxy has answered by itself.
-func (m *Metrics) CountRejection(kind string) { m.refusals.WithLabelValues(kind).Inc() }
+func (m *Metrics) CountRejection(kind string) { m.rejections.WithLabelValues(kind).Inc() }
 
-func (m *Metrics) class(address string) ZoneClass {
+func (m *Metrics) zoneClass(address string) ZoneClass {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return UnknownZone
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if known, ok := m.classes[host]; ok {
+	if known, ok := m.zoneClasses[host]; ok {
 		return known
 	}
-	if m.classOf == nil {
+	if m.lookUpZone == nil {
 		return UnknownZone
 	}
-	class := m.classOf(host)
+	class := m.lookUpZone(host)
 	if class != UnknownZone {
-		m.classes[host] = class
+		m.zoneClasses[host] = class
 	}
 	return class
 }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -37,7 +37,7 @@
 		m.Written("nowhere", 1)
 	}
 	m.ObserveStep(metrics.CheckStep, 20*time.Millisecond)
-	m.CountOrder(metrics.Taken)
+	m.CountOrder(metrics.Accepted)
 	m.CountElection()
 	m.CountRejection("no_route")
 	got := text(m)
--- a/internal/tier/model/decode.go
+++ b/internal/tier/model/decode.go
@@ -26,7 +26,7 @@
 		err = decodeFractions(key, raw, target)
 	}
 	if err != nil {
-		return decodeFault(err)
+		return decodeError(err)
 	}
 	return nil
 }
@@ -43,7 +43,7 @@
 	return len(value) > len(prefix) && value[:len(prefix)] == prefix
 }
 
-func decodeFault(err error) *validation.FieldError {
+func decodeError(err error) *validation.FieldError {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
 		return &validation.FieldError{Field: mismatch.Field, Reason: fmt.Sprintf("can't be a JSON %s", mismatch.Value)}
--- a/internal/tier/model/form/check.go
+++ b/internal/tier/model/form/check.go
@@ -7,18 +7,18 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// check reads one value and notes what is wrong with it.
-type check func(r *reader)
+// checker reads one value and notes what is wrong with it.
+type checker func(r *reader)
 
-// field is one field of an object.
-type field struct {
+// fieldForm is one field of an object.
+type fieldForm struct {
 	name     string
 	required bool
-	check    check
+	check    checker
 }
 
 // object returns a check of an object. Fields beyond the listed ones may hold anything.
-func object(fields []field) check {
+func object(fields []fieldForm) checker {
 	return func(r *reader) {
 		if !r.enter('{') {
 			return
@@ -36,7 +36,7 @@
 			fields[at].check(r)
 			r.path.pop()
 		}
-		if r.broken {
+		if r.aborted {
 			return
 		}
 		for at := range fields {
@@ -49,7 +49,7 @@
 	}
 }
 
-func findField(fields []field, name string) int {
+func findField(fields []fieldForm, name string) int {
 	for at := range fields {
 		if fields[at].name == name {
 			return at
@@ -59,7 +59,7 @@
 }
 
 // list returns a check of a list whose elements all have one form.
-func list(element check) check {
+func list(element checker) checker {
 	return func(r *reader) {
 		if !r.enter('[') {
 			return
@@ -74,7 +74,7 @@
 }
 
 // orNull returns a check that lets null pass.
-func orNull(other check) check {
+func orNull(other checker) checker {
 	return func(r *reader) {
 		if r.kind() == 'n' {
 			r.skip()
@@ -85,7 +85,7 @@
 }
 
 // textWith returns a check of a text that fits a test; the reason says what it must be.
-func textWith(fits func(text string) bool, reason string) check {
+func textWith(fits func(text string) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('"')
 		if ok && !fits(token.String()) {
@@ -95,14 +95,14 @@
 }
 
 var (
-	text       = textWith(func(string) bool { return true }, "")
-	filledText = textWith(func(text string) bool { return text != "" }, "is empty")
-	prefixText = textWith(func(text string) bool { return strings.HasPrefix(text, "/") && strings.HasSuffix(text, "/") },
+	anyText      = textWith(func(string) bool { return true }, "")
+	nonEmptyText = textWith(func(text string) bool { return text != "" }, "is empty")
+	prefixText   = textWith(func(text string) bool { return strings.HasPrefix(text, "/") && strings.HasSuffix(text, "/") },
 		"doesn't begin and end with a slash")
 )
 
 // oneOf returns a check of a text that is one of those listed.
-func oneOf(listed ...string) check {
+func oneOf(listed ...string) checker {
 	return textWith(func(text string) bool {
 		for _, allowed := range listed {
 			if text == allowed {
@@ -114,7 +114,7 @@
 }
 
 // numberWith returns a check of a number that fits a test.
-func numberWith(fits func(value float64) bool, reason string) check {
+func numberWith(fits func(value float64) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('0')
 		if !ok {
@@ -134,11 +134,11 @@
 var (
 	number      = numberWith(func(float64) bool { return true }, "")
 	positive    = numberWith(func(value float64) bool { return value > 0 }, "is not above 0")
-	notNegative = numberWith(func(value float64) bool { return value >= 0 }, "is negative")
+	nonNegative = numberWith(func(value float64) bool { return value >= 0 }, "is negative")
 )
 
-// flag checks a value that is true or false.
-func flag(r *reader) {
+// boolean checks a value that is true or false.
+func boolean(r *reader) {
 	if kind := r.kind(); kind == 't' || kind == 'f' {
 		r.skip()
 		return
@@ -154,7 +154,7 @@
 // mismatch notes that a value is of another kind, and passes it over.
 func (r *reader) mismatch(wanted string) {
 	kind := r.kind()
-	if r.broken {
+	if r.aborted {
 		return
 	}
 	r.fail("is %s, not %s", kindNames[kind], wanted)
--- a/internal/tier/model/form/configuration.go
+++ b/internal/tier/model/form/configuration.go
@@ -3,36 +3,36 @@
 // The form of a configuration and of its parts. Fields that aren't listed are passed over, for a configuration may gain
 // fields. What ties the parts together is checked by model.Validate.
 var (
-	routeForm = object([]field{
-		{name: "name", check: text},
-		{name: "host", required: true, check: filledText},
+	routeForm = object([]fieldForm{
+		{name: "name", check: anyText},
+		{name: "host", required: true, check: nonEmptyText},
 		{name: "startsWith", required: true, check: prefixText},
 		{name: "kind", required: true, check: oneOf("retryable", "once_only", "streaming")},
 		{name: "giveUpMs", required: true, check: positive},
 		{name: "targetMs", check: number},
 		{name: "rank", check: number},
-		{name: "service", check: orNull(text)},
+		{name: "service", check: orNull(anyText)},
 		{name: "shares", check: orNull(list(shareForm))},
 		{name: "tries", check: number},
-		{name: "remembered", check: orNull(flag)},
+		{name: "remembered", check: orNull(boolean)},
 		{name: "keepForS", check: orNull(number)},
-		{name: "pinned", check: orNull(flag)},
-		{name: "canResume", check: orNull(flag)},
+		{name: "pinned", check: orNull(boolean)},
+		{name: "canResume", check: orNull(boolean)},
 		{name: "gap_aim_ms", check: orNull(number)},
 	})
-	shareForm = object([]field{
-		{name: "service", required: true, check: filledText},
-		{name: "share", required: true, check: notNegative},
+	shareForm = object([]fieldForm{
+		{name: "service", required: true, check: nonEmptyText},
+		{name: "share", required: true, check: nonNegative},
 	})
-	serviceForm = object([]field{
-		{name: "name", required: true, check: filledText},
-		{name: "healthPath", check: orNull(text)},
+	serviceForm = object([]fieldForm{
+		{name: "name", required: true, check: nonEmptyText},
+		{name: "healthPath", check: orNull(anyText)},
 		{name: "maxConnections", check: orNull(number)},
-		{name: "protocol", check: orNull(text)},
-		{name: "tls", check: orNull(flag)},
+		{name: "protocol", check: orNull(anyText)},
+		{name: "tls", check: orNull(boolean)},
 		{name: "engine", check: orNull(engineForm)},
 	})
-	engineForm = object([]field{
+	engineForm = object([]fieldForm{
 		{name: "capacity", check: orNull(number)},
 		{name: "cacheTokens", check: orNull(number)},
 		{name: "tokenCacheBytes", check: orNull(number)},
@@ -40,8 +40,8 @@
 		{name: "tokensPerEvent", check: orNull(number)},
 		{name: "models", check: orNull(list(modelForm))},
 	})
-	modelForm  = object([]field{{name: "name", required: true, check: text}})
-	limitsForm = object([]field{
+	modelForm  = object([]fieldForm{{name: "name", required: true, check: anyText}})
+	limitsForm = object([]fieldForm{
 		{name: "maxHeaderBytes", check: orNull(number)},
 		{name: "maxBodyBytes", check: orNull(number)},
 		{name: "headerWaitMs", check: orNull(number)},
--- a/internal/tier/model/form/form.go
+++ b/internal/tier/model/form/form.go
@@ -39,8 +39,8 @@
 	raw      []byte
 	decoder  *jsontext.Decoder
 	path     path
-	faults   []*validation.FieldError
-	broken   bool // the text is no JSON from here on
+	errs     []*validation.FieldError
+	aborted  bool // the text is no JSON from here on
 	elements int  // of lists, read so far
 }
 
@@ -50,26 +50,26 @@
 
 // document reads the configuration and what follows it: nothing.
 func (r *reader) document(into *model.Configuration) {
-	object([]field{
+	object([]fieldForm{
 		{name: "number", required: true, check: decoded(positive, &into.Version)},
 		{name: "routes", required: true, check: decodedList(routeForm, &into.Routes)},
 		{name: "services", required: true, check: decodedList(serviceForm, &into.Services)},
 		{name: "limits", check: decoded(orNull(limitsForm), &into.Limits)},
 	})(r)
-	if r.broken {
+	if r.aborted {
 		return
 	}
 	if len(bytes.TrimSpace(r.raw[r.decoder.InputOffset():])) > 0 {
-		r.breakOff("bytes follow the document")
+		r.abort("bytes follow the document")
 	}
 }
 
 // decoded returns a check that also decodes the value, if nothing is wrong with it.
-func decoded(form check, target any) check {
+func decoded(form checker, target any) checker {
 	return func(r *reader) {
-		known, from := r.faults, r.decoder.InputOffset()
+		known, from := r.errs, r.decoder.InputOffset()
 		form(r)
-		if r.broken || len(r.faults) > len(known) {
+		if r.aborted || len(r.errs) > len(known) {
 			return
 		}
 		if err := model.DecodeValue(r.path.last(), r.since(from), target); err != nil {
@@ -79,7 +79,7 @@
 }
 
 // decodedList returns a check of a list whose elements are decoded one by one.
-func decodedList[Element any](form check, target *[]Element) check {
+func decodedList[Element any](form checker, target *[]Element) checker {
 	return func(r *reader) {
 		*target = []Element{}
 		list(func(r *reader) {
@@ -110,21 +110,21 @@
 	if below != "" && place != "" {
 		place += "."
 	}
-	r.faults = append(r.faults, &validation.FieldError{Field: place + below, Reason: reason})
+	r.errs = append(r.errs, &validation.FieldError{Field: place + below, Reason: reason})
 }
 
-// breakOff notes a fault of the text, which isn't read any further.
-func (r *reader) breakOff(reason string) {
-	if !r.broken {
-		r.faults = append(r.faults, &validation.FieldError{Reason: "can't be read whole: " + reason})
+// abort notes a fault of the text, which isn't read any further.
+func (r *reader) abort(reason string) {
+	if !r.aborted {
+		r.errs = append(r.errs, &validation.FieldError{Reason: "can't be read whole: " + reason})
 	}
-	r.broken = true
+	r.aborted = true
 }
 
 // err returns all faults together; nil: there are none.
 func (r *reader) err() error {
 	var joined error
-	for _, fault := range r.faults {
+	for _, fault := range r.errs {
 		multierr.AppendInto(&joined, fault)
 	}
 	return joined
--- a/internal/tier/model/form/tokens.go
+++ b/internal/tier/model/form/tokens.go
@@ -10,7 +10,7 @@
 
 // kind tells of which kind the next value is; 0 at the end of an unreadable text.
 func (r *reader) kind() jsontext.Kind {
-	if r.broken {
+	if r.aborted {
 		return 0
 	}
 	kind := r.decoder.PeekKind()
@@ -34,7 +34,7 @@
 // ends leaves an object or a list at its end. It is true as well where the text can't be read any further.
 func (r *reader) ends(end jsontext.Kind) bool {
 	kind := r.kind()
-	if r.broken {
+	if r.aborted {
 		return true
 	}
 	if kind != end {
@@ -66,7 +66,7 @@
 
 // skip passes one value over.
 func (r *reader) skip() {
-	if !r.broken {
+	if !r.aborted {
 		r.readable(r.decoder.SkipValue())
 	}
 }
@@ -84,7 +84,7 @@
 	if errors.As(err, &syntax) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		reason = syntax.Error()
 	}
-	r.breakOff(reason)
+	r.abort(reason)
 }
 
 // path is the way from the document to the value that is being read: names of fields, and places in lists in brackets.
--- a/internal/tier/model/fractions.go
+++ b/internal/tier/model/integers.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// longestExact is the highest number up to which a float64 holds every whole number.
-const longestExact = 1 << 53
+// maxExactInteger is the highest number up to which a float64 holds every whole number.
+const maxExactInteger = 1 << 53
 
-// roundedKeys are the keys of whole numbers that may be rounded up if they come with a fraction. The configuration's
+// roundedUpKeys are the keys of whole numbers that may be rounded up if they come with a fraction. The configuration's
 // own number isn't among them: two versions must never become one.
-var roundedKeys = map[string]bool{
+var roundedUpKeys = map[string]bool{
 	"giveUpMs": true, "targetMs": true, "rank": true, "tries": true, "gap_aim_ms": true,
 	"maxConnections": true, "capacity": true, "cacheTokens": true, "tokenCacheBytes": true, "tokensPerEvent": true,
 	"maxHeaderBytes": true, "maxBodyBytes": true, "headerWaitMs": true, "idleCloseMs": true,
@@ -27,37 +27,37 @@
 	if err := decoder.Decode(&document); err != nil {
 		return err
 	}
-	rewritten, err := json.Marshal(withWholeNumbers(key, document))
+	rewritten, err := json.Marshal(integersOnly(key, document))
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(rewritten, target)
 }
 
-// withWholeNumbers rewrites the numbers below a key in place.
-func withWholeNumbers(key string, value any) any {
+// integersOnly rewrites the numbers below a key in place.
+func integersOnly(key string, value any) any {
 	switch value := value.(type) {
 	case map[string]any:
 		for inner := range value {
-			value[inner] = withWholeNumbers(inner, value[inner])
+			value[inner] = integersOnly(inner, value[inner])
 		}
 	case []any:
 		for i := range value {
-			value[i] = withWholeNumbers(key, value[i])
+			value[i] = integersOnly(key, value[i])
 		}
 	case json.Number:
-		return wholeNumber(key, value)
+		return integer(key, value)
 	}
 	return value
 }
 
-// wholeNumber writes a number without a fraction if it has none, or if its key allows that it is rounded up.
-func wholeNumber(key string, number json.Number) json.Number {
+// integer writes a number without a fraction if it has none, or if its key allows that it is rounded up.
+func integer(key string, number json.Number) json.Number {
 	value, err := number.Float64()
-	if err != nil || math.Abs(value) > longestExact {
+	if err != nil || math.Abs(value) > maxExactInteger {
 		return number
 	}
-	if roundedKeys[key] {
+	if roundedUpKeys[key] {
 		value = math.Ceil(value)
 	}
 	if value != math.Trunc(value) {
--- a/internal/tier/model/schema/faults.go
+++ b/internal/tier/model/schema/field_errors.go
@@ -10,18 +10,18 @@
 	"mastusher/internal/tier/validation"
 )
 
-// faultsOf turns an error of the evaluator into faults with places.
-func faultsOf(err error) error {
+// fieldErrors turns an error of the evaluator into faults with places.
+func fieldErrors(err error) error {
 	var faults error
 	for _, one := range errors.Errors(err) {
 		format, args := one.Msg()
-		multierr.AppendInto(&faults, &validation.FieldError{Field: place(one.Path()), Reason: fmt.Sprintf(format, args...)})
+		multierr.AppendInto(&faults, &validation.FieldError{Field: fieldPath(one.Path()), Reason: fmt.Sprintf(format, args...)})
 	}
 	return faults
 }
 
-// place writes a path in the document as routes[3].giveUpMs.
-func place(path []string) string {
+// fieldPath writes a path in the document as routes[3].giveUpMs.
+func fieldPath(path []string) string {
 	var written strings.Builder
 	for _, step := range path {
 		switch {
@@ -42,8 +42,8 @@
 	return step != "" && strings.Trim(step, "0123456789") == ""
 }
 
-// withoutRepeats keeps the first fault of each place: the form and the rules may find the same thing.
-func withoutRepeats(err error) error {
+// firstOfEachField keeps the first fault of each place: the form and the rules may find the same thing.
+func firstOfEachField(err error) error {
 	var kept error
 	seen := make(map[string]bool)
 	for _, fault := range validation.FieldErrors(err) {
--- a/internal/tier/model/schema/form_test.go
+++ b/internal/tier/model/schema/form_test.go
@@ -58,7 +58,7 @@
 // agree tells where the typed checks and the schema differ on a document; empty: nowhere.
 func agree(raw []byte) string {
 	read, formErr := form.Parse(raw)
-	schemaErr := checkForm(raw)
+	schemaErr := checkSchema(raw)
 	decoded, decodeErr := model.Decode(raw)
 	validErr := error(nil)
 	if decodeErr == nil {
--- a/internal/tier/model/schema/schema.go
+++ b/internal/tier/model/schema/schema.go
@@ -25,9 +25,9 @@
 	definition = "#Configuration"
 )
 
-// renewAfter is the number of checks after which the schema is compiled anew, since an evaluator keeps the names of all
+// recompileAfter is the number of checks after which the schema is compiled anew, since an evaluator keeps the names of all
 // fields that it has ever seen.
-const renewAfter = 256
+const recompileAfter = 256
 
 // evaluator holds the compiled schema. It serves one caller at a time.
 var evaluator struct {
@@ -45,15 +45,15 @@
 	if !json.Valid(raw) {
 		return faults
 	}
-	faults = multierr.Append(faults, checkForm(raw))
+	faults = multierr.Append(faults, checkSchema(raw))
 	if decoded, err := model.Decode(raw); err == nil {
 		faults = multierr.Append(faults, model.Validate(decoded))
 	}
-	return withoutRepeats(faults)
+	return firstOfEachField(faults)
 }
 
-// checkForm holds a document to the schema.
-func checkForm(raw []byte) error {
+// checkSchema holds a document to the schema.
+func checkSchema(raw []byte) error {
 	document, err := cuejson.Extract("", raw)
 	if err != nil {
 		return &validation.FieldError{Reason: err.Error()}
@@ -65,12 +65,12 @@
 		return &validation.FieldError{Reason: err.Error()}
 	}
 	built := evaluator.context.BuildExpr(document)
-	return faultsOf(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
+	return fieldErrors(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
 }
 
 // compile gives the compiled schema; the caller holds the lock.
 func compile() (cue.Value, error) {
-	if evaluator.checks%renewAfter == 0 {
+	if evaluator.checks%recompileAfter == 0 {
 		evaluator.context = cuecontext.New()
 		whole := evaluator.context.CompileString(source, cue.Filename(sourceName))
 		evaluator.compiled = whole.LookupPath(cue.ParsePath(definition))
--- a/internal/tier/model/table.go
+++ b/internal/tier/model/table.go
@@ -96,14 +96,14 @@
 	return nil, false
 }
 
-// usualHostLength is the length up to which a host name in capitals is looked up without an allocation.
-const usualHostLength = 255
+// maxStackHostBytes is the length up to which a host name in capitals is looked up without an allocation.
+const maxStackHostBytes = 255
 
 func (t *Table) routesOf(host string) *hostRoutes {
 	if routes, ok := t.hosts[host]; ok || !hasCapital(host) {
 		return routes
 	}
-	var space [usualHostLength]byte
+	var space [maxStackHostBytes]byte
 	lower := appendLower(space[:0], host)
 	return t.hosts[string(lower)]
 }
--- a/internal/tier/model/validate.go
+++ b/internal/tier/model/validate.go
@@ -15,22 +15,22 @@
 func Validate(c *Configuration) error {
 	var check validator
 	check.services(c.Services)
-	check.whole(c)
+	check.topLevel(c)
 	check.routes(c.Routes)
-	return check.faults
+	return check.errs
 }
 
 // validator gathers the faults of one configuration.
 type validator struct {
-	known  map[string]bool // names of services
-	faults error
+	knownServices map[string]bool // names of services
+	errs          error
 }
 
 func (v *validator) fail(place, format string, args ...any) {
-	multierr.AppendInto(&v.faults, &validation.FieldError{Field: place, Reason: fmt.Sprintf(format, args...)})
+	multierr.AppendInto(&v.errs, &validation.FieldError{Field: place, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (v *validator) whole(c *Configuration) {
+func (v *validator) topLevel(c *Configuration) {
 	if c.Version == 0 {
 		v.fail("number", "is 0")
 	}
@@ -43,17 +43,17 @@
 }
 
 func (v *validator) services(services []Service) {
-	v.known = make(map[string]bool, len(services))
+	v.knownServices = make(map[string]bool, len(services))
 	for i := range services {
 		place := fmt.Sprintf("services[%d].name", i)
 		name := services[i].Name
 		switch {
 		case name == "":
 			v.fail(place, "is missing")
-		case v.known[name]:
+		case v.knownServices[name]:
 			v.fail(place, "%q stands there twice", name)
 		}
-		v.known[name] = true
+		v.knownServices[name] = true
 	}
 }
 
@@ -103,7 +103,7 @@
 		v.fail(place, "names no service")
 		return
 	}
-	if !v.known[service] {
+	if !v.knownServices[service] {
 		v.fail(place, "%q is not known", service)
 	}
 }
--- a/internal/tier/model/pick.go
+++ b/internal/tier/model/weighted_pick.go
@@ -8,7 +8,7 @@
 	if !isUsableTotal(total) {
 		return r.Service
 	}
-	left := fraction(key) * total
+	left := unitInterval(key) * total
 	picked := r.Service
 	for i := range r.WeightedServices {
 		share := &r.WeightedServices[i]
@@ -24,17 +24,17 @@
 	return picked
 }
 
-// fraction spreads keys, also those that follow one another, evenly over 0 to 1 (without 1).
-func fraction(key uint64) float64 {
+// unitInterval spreads keys, also those that follow one another, evenly over 0 to 1 (without 1).
+func unitInterval(key uint64) float64 {
 	const (
 		bits  = 53 // of a float64's mantissa
 		whole = 1 << bits
 	)
-	return float64(mix(key)>>(64-bits)) / whole
+	return float64(splitMix64(key)>>(64-bits)) / whole
 }
 
-// mix is the finishing step of SplitMix64: every bit of the key changes about half of the bits of the result.
-func mix(key uint64) uint64 {
+// splitMix64 is the finishing step of SplitMix64: every bit of the key changes about half of the bits of the result.
+func splitMix64(key uint64) uint64 {
 	key += 0x9e3779b97f4a7c15
 	key = (key ^ key>>30) * 0xbf58476d1ce4e5b9
 	key = (key ^ key>>27) * 0x94d049bb133111eb
--- a/internal/tier/settings/bounds.go
+++ b/internal/tier/settings/bounds.go
@@ -31,22 +31,22 @@
 
 // The highest values that make sense.
 const (
-	longest      = 365 * 24 * time.Hour
-	longestS     = float64(longest / time.Second)
-	longestMs    = float64(longest / time.Millisecond)
-	wholeShare   = 1.0
-	mostRequests = 1e12
+	maxDuration = 365 * 24 * time.Hour
+	maxSeconds  = float64(maxDuration / time.Second)
+	maxMs       = float64(maxDuration / time.Millisecond)
+	maxShare    = 1.0
+	maxRequests = 1e12
 )
 
-// boundKind is the unit of a bound, its usual value and the highest value that makes sense.
-type boundKind struct {
-	unit    time.Duration // 0: a bare number
-	usual   float64
-	highest float64
+// boundSpec is the unit of a bound, its usual value and the highest value that makes sense.
+type boundSpec struct {
+	unit         time.Duration // 0: a bare number
+	defaultValue float64
+	max          float64
 }
 
-// boundKinds lists the known bounds. Others in the file are kept as they are if they are numbers.
-var boundKinds = map[string]boundKind{
+// boundSpecs lists the known bounds. Others in the file are kept as they are if they are numbers.
+var boundSpecs = map[string]boundSpec{
 	seedDelayKey:  seconds(3),
 	reuseAfterKey: seconds(2),
 	quietKey:      milliseconds(3000),
@@ -58,8 +58,8 @@
 	applyKey:      milliseconds(2000),
 	downgradeKey:  milliseconds(250),
 	stretchKey:    milliseconds(5000),
-	badShareKey:   {usual: 0.1, highest: wholeShare},
-	badSlackKey:   {usual: 50, highest: mostRequests},
+	badShareKey:   {defaultValue: 0.1, max: maxShare},
+	badSlackKey:   {defaultValue: 50, max: maxRequests},
 	rollbackKey:   milliseconds(5000),
 	recoveryKey:   seconds(12),
 	passKey:       milliseconds(120),
@@ -68,12 +68,12 @@
 	settleKey:     milliseconds(1000),
 }
 
-func seconds(usual float64) boundKind {
-	return boundKind{unit: time.Second, usual: usual, highest: longestS}
+func seconds(usual float64) boundSpec {
+	return boundSpec{unit: time.Second, defaultValue: usual, max: maxSeconds}
 }
 
-func milliseconds(usual float64) boundKind {
-	return boundKind{unit: time.Millisecond, usual: usual, highest: longestMs}
+func milliseconds(usual float64) boundSpec {
+	return boundSpec{unit: time.Millisecond, defaultValue: usual, max: maxMs}
 }
 
 // SeedDelay is how far the list of seeds may run behind.
@@ -136,13 +136,13 @@
 func (b Bounds) number(key string) float64 {
 	value, ok := b[key]
 	if !ok {
-		return boundKinds[key].usual
+		return boundSpecs[key].defaultValue
 	}
 	return value
 }
 
 func (b Bounds) duration(key string) time.Duration {
-	return scaled(b.number(key), boundKinds[key].unit)
+	return scaled(b.number(key), boundSpecs[key].unit)
 }
 
 // scaled is a number of units as a duration.
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -12,9 +12,9 @@
 
 // The highest values that make sense.
 const (
-	highestPort     = 65535
-	highestQuantity = 1 << 50 // of megabytes, descriptors
-	highestCount    = math.MaxInt32
+	maxPort     = 65535
+	maxQuantity = 1 << 50 // of megabytes, descriptors
+	maxCount    = math.MaxInt32
 )
 
 // Parse reads and checks the content of a settings file. Its error holds all faults; see validation.Faults.
@@ -24,7 +24,7 @@
 		return nil, &validation.FieldError{Reason: fmt.Sprintf("is no YAML: %v", err)}
 	}
 	var faults error
-	top := section{faults: &faults}
+	top := section{errs: &faults}
 	if !isEmpty(&document) {
 		top = newSection("", "", &document, &faults)
 	}
@@ -53,13 +53,13 @@
 		ListenOn:        readListenOn(top.inner("listenOn"), serves),
 		PortRange:       readPortRange(top),
 		SeedNodes:       top.addresses("seedNodes"),
-		Bootstrap:       top.flag("firstBoot"),
-		CountsForQuorum: top.flag("countsForQuorum"),
+		Bootstrap:       top.boolean("firstBoot"),
+		CountsForQuorum: top.boolean("countsForQuorum"),
 		Limits:          readLimits(top.inner("limits")),
 		DataDir:         top.text("dataFolder", optional),
 		Discovery:       findBy,
 		EntryKind:       top.text("entryKind", optional),
-		HeartbeatMs:     top.within("heartbeatMs", longestMs),
+		HeartbeatMs:     top.within("heartbeatMs", maxMs),
 		RuleParts:       top.texts("ruleParts"),
 		FaultTolerance:  readSurvive(top.inner("survive")),
 		Bounds:          readBounds(top.inner("bounds")),
@@ -74,8 +74,8 @@
 
 // readListenOn reads the addresses; those of what the role serves are needed.
 func readListenOn(s section, serves []string) ListenOn {
-	edge := need(slices.Contains(serves, ServesEdge))
-	control := need(slices.Contains(serves, ServesControl))
+	edge := necessity(slices.Contains(serves, ServesEdge))
+	control := necessity(slices.Contains(serves, ServesControl))
 	return ListenOn{
 		FrontHTTP: s.address("frontHttp", edge),
 		Readiness: s.address("readiness", edge),
@@ -94,7 +94,7 @@
 		return PortRange{}
 	}
 	first, last := ports[0], ports[1]
-	if first < 1 || last > highestPort || first > last {
+	if first < 1 || last > maxPort || first > last {
 		top.fail(key, "%d to %d is no range of ports", first, last)
 		return PortRange{}
 	}
@@ -105,18 +105,18 @@
 	return Limits{
 		CPUShare:    s.number("cpuShare"),
 		CPUCores:    s.number("cpuCores"),
-		MemoryMb:    s.whole("memoryMb", highestQuantity),
-		OpenFiles:   s.whole("openFiles", highestQuantity),
+		MemoryMb:    s.integer("memoryMb", maxQuantity),
+		OpenFiles:   s.integer("openFiles", maxQuantity),
 		NetworkMbps: s.number("networkMbps"),
-		DiskMb:      s.whole("diskMb", highestQuantity),
+		DiskMb:      s.integer("diskMb", maxQuantity),
 	}
 }
 
 func readSurvive(s section) FaultTolerance {
 	return FaultTolerance{
-		Machines: int(s.whole("machines", highestCount)),
-		Zones:    int(s.whole("zones", highestCount)),
-		Regions:  int(s.whole("regions", highestCount)),
+		Machines: int(s.integer("machines", maxCount)),
+		Zones:    int(s.integer("zones", maxCount)),
+		Regions:  int(s.integer("regions", maxCount)),
 	}
 }
 
@@ -125,7 +125,7 @@
 		Address:  s.address("address", findBy == findByCloudAPI),
 		RatePerS: s.number("ratePerS"),
 		Jobs:     s.texts("jobs"),
-		DelayMs:  s.within("delayMs", longestMs),
+		DelayMs:  s.within("delayMs", maxMs),
 	}
 }
 
@@ -148,11 +148,11 @@
 
 // figure reads a number, or true as 1 and false as 0.
 func (s section) figure(key string) (float64, bool) {
-	node, given := s.lookUp(key, optional)
+	node, given := s.lookup(key, optional)
 	if !given {
 		return 0, false
 	}
-	kind, known := boundKinds[key]
+	kind, known := boundSpecs[key]
 	figure, ok := decodeFigure(node)
 	if !known {
 		return figure, ok
@@ -161,8 +161,8 @@
 		s.fail(key, "line %d: is no number", node.Line)
 		return 0, false
 	}
-	if !isWithin(figure, kind.highest) {
-		s.fail(key, outOfRange, figure, kind.highest)
+	if !isWithin(figure, kind.max) {
+		s.fail(key, outOfRange, figure, kind.max)
 		return 0, false
 	}
 	return figure, true
--- a/internal/tier/settings/section.go
+++ b/internal/tier/settings/section.go
@@ -11,12 +11,12 @@
 	"mastusher/internal/tier/validation"
 )
 
-// need says whether a key must have a value.
-type need bool
+// necessity says whether a key must have a value.
+type necessity bool
 
 const (
-	required need = true
-	optional need = false
+	required necessity = true
+	optional necessity = false
 )
 
 const missing = "missing"
@@ -25,12 +25,12 @@
 type section struct {
 	prefix string // path of its keys, ending in a dot; empty at the top
 	fields map[string]yaml.Node
-	faults *error
+	errs   *error
 }
 
 // newSection reads a mapping; one that can't be read is a fault, and has no keys.
 func newSection(key, prefix string, node *yaml.Node, faults *error) section {
-	read := section{prefix: prefix, faults: faults}
+	read := section{prefix: prefix, errs: faults}
 	if err := node.Decode(&read.fields); err != nil {
 		multierr.AppendInto(faults, &validation.FieldError{Field: key, Reason: fmt.Sprintf("is no mapping of keys to values: %v", err)})
 	}
@@ -38,11 +38,11 @@
 }
 
 func (s section) fail(key, format string, args ...any) {
-	multierr.AppendInto(s.faults, &validation.FieldError{Field: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
+	multierr.AppendInto(s.errs, &validation.FieldError{Field: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// lookUp finds the value of a key; an empty one counts as missing.
-func (s section) lookUp(key string, needed need) (*yaml.Node, bool) {
+// lookup finds the value of a key; an empty one counts as missing.
+func (s section) lookup(key string, needed necessity) (*yaml.Node, bool) {
 	node, ok := s.fields[key]
 	if ok && !isEmpty(&node) {
 		return &node, true
@@ -60,17 +60,17 @@
 // inner reads a mapping below a key; an absent one has no keys.
 func (s section) inner(key string) section {
 	prefix := s.prefix + key + "."
-	node, ok := s.lookUp(key, optional)
+	node, ok := s.lookup(key, optional)
 	if !ok {
-		return section{prefix: prefix, faults: s.faults}
+		return section{prefix: prefix, errs: s.errs}
 	}
-	return newSection(s.prefix+key, prefix, node, s.faults)
+	return newSection(s.prefix+key, prefix, node, s.errs)
 }
 
 // value reads what stands under a key, and tells whether there is such a value; kind names what it must be.
-func value[T any](s section, key string, needed need, kind string) (T, bool) {
+func value[T any](s section, key string, needed necessity, kind string) (T, bool) {
 	var read, none T
-	node, ok := s.lookUp(key, needed)
+	node, ok := s.lookup(key, needed)
 	if !ok {
 		return none, false
 	}
@@ -81,7 +81,7 @@
 	return read, true
 }
 
-func (s section) text(key string, needed need) string {
+func (s section) text(key string, needed necessity) string {
 	read, ok := value[string](s, key, needed, "text")
 	if ok && read == "" && needed == required {
 		s.fail(key, missing)
@@ -94,13 +94,13 @@
 	return read
 }
 
-func (s section) flag(key string) bool {
+func (s section) boolean(key string) bool {
 	read, _ := value[bool](s, key, optional, "true or false")
 	return read
 }
 
 // ip reads an IP address.
-func (s section) ip(key string, needed need) string {
+func (s section) ip(key string, needed necessity) string {
 	read := s.text(key, needed)
 	if read == "" {
 		return ""
@@ -112,7 +112,7 @@
 }
 
 // address reads an IP address with a port.
-func (s section) address(key string, needed need) string {
+func (s section) address(key string, needed necessity) string {
 	read := s.text(key, needed)
 	if read != "" {
 		s.checkAddress(key, read)
@@ -157,7 +157,7 @@
 	return number >= 0 && number <= highest
 }
 
-// whole reads a number of 0 to highest and drops its fraction.
-func (s section) whole(key string, highest int64) int64 {
+// integer reads a number of 0 to highest and drops its fraction.
+func (s section) integer(key string, highest int64) int64 {
 	return int64(s.within(key, float64(highest)))
 }
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -23,8 +23,8 @@
 // defaultHeartbeat holds where the file gives no heartbeat.
 const defaultHeartbeat = time.Second
 
-// shortestHeartbeat keeps a tiny figure from filling the process's time.
-const shortestHeartbeat = time.Millisecond
+// minHeartbeat keeps a tiny figure from filling the process's time.
+const minHeartbeat = time.Millisecond
 
 // Settings is one whole settings file.
 type Settings struct {
@@ -136,7 +136,7 @@
 	if s.HeartbeatMs <= 0 {
 		return defaultHeartbeat
 	}
-	return max(scaled(s.HeartbeatMs, time.Millisecond), shortestHeartbeat)
+	return max(scaled(s.HeartbeatMs, time.Millisecond), minHeartbeat)
 }
 
 // Delay is the time by which the platform's list runs behind.
--- a/internal/tier/validation/fault_test.go
+++ b/internal/tier/validation/field_error_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/multierr"
 )
 
-func TestFaultsReadAsPlaceAndReason(t *testing.T) {
+func TestFieldError_Text_IsFieldAndReason(t *testing.T) {
 	if got := (&FieldError{Field: "routes[0]", Reason: "is odd"}).Error(); got != "routes[0]: is odd" {
 		t.Errorf("got %q", got)
 	}
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestFaultsOfAGroupStandInTheirOrder(t *testing.T) {
+func TestFieldErrors_Joined_KeepTheirOrder(t *testing.T) {
 	first, second := &FieldError{Field: "a", Reason: "is odd"}, &FieldError{Field: "b", Reason: "is missing"}
 	group := fmt.Errorf("settings.yaml: %w", multierr.Combine(first, fmt.Errorf("other"), second))
 	got := FieldErrors(group)
--- a/internal/tier/virtualtime/loop.go
+++ b/internal/tier/virtualtime/loop.go
@@ -1,5 +1,5 @@
-// Package virtualtime plays events in virtual time. It is test support: simulations of several machines run on it, in one
-// goroutine and without waiting, the same way each time.
+// Package virtualtime is the event loop of a discrete-event simulation: it runs callbacks in virtual time, in one goroutine and
+// without waiting. It is test support. The same calls run the same callbacks in the same order.
 package virtualtime
 
 import (
@@ -7,50 +7,51 @@
 	"time"
 )
 
-// Loop is a clock and what is due on it. The zero value is a loop at time zero with nothing due.
+// Loop is a virtual clock with its scheduled events. The zero value is at time zero with none. It is not safe for concurrent use.
 type Loop struct {
 	now      time.Duration
-	due      queue
+	events   queue
 	sequence uint64
 }
 
-// Now returns the time since the loop's beginning.
+// Now returns the virtual time since the loop's start.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// After has run called once the delay is over. Events of one moment are played in the order in which they were asked for; a
-// negative delay counts as none.
+// After schedules run for when the delay has passed. Events of the same time run in the order in which they were scheduled; a
+// negative delay counts as 0.
 func (l *Loop) After(delay time.Duration, run func()) {
 	l.sequence++
-	heap.Push(&l.due, event{at: l.now + max(0, delay), sequence: l.sequence, run: run})
+	heap.Push(&l.events, event{at: l.now + max(0, delay), sequence: l.sequence, run: run})
 }
 
-// Step plays the next event, whenever it is due, and tells whether there was one.
+// Step advances the clock to the next event and runs it. It reports whether there was one.
 func (l *Loop) Step() bool {
-	if len(l.due) == 0 {
+	if len(l.events) == 0 {
 		return false
 	}
-	next := heap.Pop(&l.due).(event)
+	next := heap.Pop(&l.events).(event)
 	l.now = next.at
 	next.run()
 	return true
 }
 
-// RunFor plays what is due within a time, which is over when it returns.
+// RunFor runs the events of the next span, including those that these schedule, and advances the clock by all of it.
 func (l *Loop) RunFor(span time.Duration) {
 	end := l.now + span
-	for len(l.due) > 0 && l.due[0].at <= end {
+	for len(l.events) > 0 && l.events[0].at <= end {
 		l.Step()
 	}
 	l.now = end
 }
 
+// event is a scheduled callback.
 type event struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // breaks ties: the order of scheduling
 	run      func()
 }
 
-// queue is a heap with the next event first.
+// queue is a heap.Interface with the next event first.
 type queue []event
 
 func (q queue) Len() int { return len(q) }
