--- /dev/null
+++ b/control/admission.go
@@ -0,0 +1,110 @@
+package control
+
+import "time"
+
+const (
+	// fullQuota is what a tenant has left at first: the first message fills it up to what its rate allows.
+	fullQuota = 1e18
+	// minDrainRate is the deliveries a second that a destination is taken to make at least, when waits are estimated.
+	minDrainRate = 0.5
+)
+
+// tenantQuota is a tenant's share at this sender: a token bucket that holds what a second brings, and one message at least.
+type tenantQuota struct {
+	rate       float64 // messages a second through this sender
+	tokens     float64
+	refilledAt time.Duration
+	total      float64   // messages a second through all senders
+	extraShare float64   // of total beyond the guaranteed share, where quotas are shared
+	demand     rateMeter // messages that came
+}
+
+// allow counts a message that was sent at that time, and tells whether it is within the quota.
+func (q *tenantQuota) allow(at time.Duration) bool {
+	at = max(at, q.refilledAt)
+	q.demand.add(at, 1)
+	q.tokens, q.refilledAt = min(max(1, q.rate), q.tokens+q.rate*(at-q.refilledAt).Seconds()), at
+	if q.tokens < 1 {
+		return false
+	}
+	q.tokens--
+	return true
+}
+
+// applyArrival takes on a message. One whose id is known, or whose class isn't, is ignored.
+func (s *Sender) applyArrival(event *Event) {
+	if s.messages[event.ID] != nil || event.Class < 0 || event.Class >= len(s.settings.Classes) {
+		return
+	}
+	dest := s.destinationOf(event.Destination)
+	msg := s.newMessage(event, dest)
+	s.messages[msg.id] = msg
+	s.openMessages++
+	if msg.class.InOrder && msg.key != 0 {
+		queue := s.keyQueues[msg.key]
+		if queue == nil {
+			queue = &keyQueue{}
+			s.keyQueues[msg.key] = queue
+		}
+		queue.messages = append(queue.messages, msg)
+	}
+	dest.queue = append(dest.queue, msg)
+	dest.demand.add(s.now, 1)
+	if !dest.active {
+		dest.active, s.active = true, append(s.active, dest)
+	}
+	// A margin of a thirty-second is kept free, so that the caller's store never turns a message away itself.
+	if s.settings.MaxOpen > 0 && s.openMessages > s.settings.MaxOpen-1-s.settings.MaxOpen/32 {
+		s.shedLowestValue()
+	}
+}
+
+// newMessage returns the message of an arrival, with the value that it has for its tenant's quota.
+func (s *Sender) newMessage(event *Event, dest *destinationState) *message {
+	s.lastSeq++
+	class := &s.settings.Classes[event.Class]
+	msg := &message{id: event.ID, seq: s.lastSeq, class: class, key: event.Key,
+		destination: dest, deadline: event.Deadline, value: class.Value, attempts: event.Attempt}
+	msg.targetAt = msg.deadline - class.Deadline + class.LatencyTarget
+	if s.settings.MarksResubmitted && !event.Resubmitted { // a client with less patience than its class is not late yet
+		msg.targetAt = max(msg.targetAt, min(s.now+class.LatencyTarget, msg.deadline))
+	}
+	sent := min(s.now, msg.deadline-class.Deadline) // what was kept over a restart came long ago
+	if event.Tenant >= 0 && event.Tenant < len(s.quotas) && !s.quotas[event.Tenant].allow(sent) {
+		msg.value *= s.settings.OverQuotaValue
+	}
+	if event.MayHaveRun {
+		if msg.ranAt, msg.ranOn, msg.isRetry = event.RanAt, s.endpoints[event.Endpoint], true; msg.ranOn == nil {
+			msg.ranOn = &endpointState{id: event.Endpoint, zone: -1, destination: dest}
+		}
+	}
+	return msg
+}
+
+// shedLowestValue refuses the queued message of least value, so that the store never turns a better one away. The value counts at the
+// deadline at the latest: a long wait would level all. A message that may have run is never shed.
+func (s *Sender) shedLowestValue() {
+	var lowest *message
+	for _, dest := range s.active {
+		drainTime := s.drainTime(dest)
+		for _, msg := range dest.queue {
+			msg.rank = msg.valueAt(min(s.now+drainTime, msg.deadline), s.settings.ValueHalves)
+			if msg.ranOn == nil && (lowest == nil || msg.rank < lowest.rank) {
+				lowest = msg
+			}
+		}
+	}
+	if lowest != nil {
+		s.dequeue(lowest)
+		s.finish(lowest)
+	}
+}
+
+// drainTime is about how long what is queued for dest takes to leave.
+func (s *Sender) drainTime(dest *destinationState) time.Duration {
+	rate := 0.0
+	for _, route := range dest.routes {
+		rate += max(route.deliveries.rate(s.now), route.rateBeforeOutage)
+	}
+	return toDuration(float64(len(dest.queue)+1) / max(rate, minDrainRate))
+}
--- /dev/null
+++ b/control/rate_meter.go
@@ -0,0 +1,27 @@
+package control
+
+import (
+	"math"
+	"time"
+)
+
+// rateWindow is the time constant of all rate meters: an event counts for 1/e after it.
+const rateWindow = 10 * time.Second
+
+// rateMeter is an exponentially decaying rate of events.
+type rateMeter struct {
+	count     float64
+	updatedAt time.Duration
+	startedAt time.Duration // counts are missing before that, and the rate is corrected for it
+}
+
+func (m *rateMeter) add(now time.Duration, n float64) {
+	m.count = m.count*math.Exp(-float64(now-m.updatedAt)/float64(rateWindow)) + n
+	m.updatedAt = now
+}
+
+// rate is events a second.
+func (m *rateMeter) rate(now time.Duration) float64 {
+	count := m.count * math.Exp(-float64(now-m.updatedAt)/float64(rateWindow))
+	return count / (rateWindow.Seconds() * (1 - math.Exp(-float64(now-m.startedAt+time.Second)/float64(rateWindow))))
+}
--- /dev/null
+++ b/control/selection.go
@@ -0,0 +1,216 @@
+package control
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// queuedCallCost is the share of the expected time that each call in flight to an endpoint adds to it, and queuedCallSeconds what each
+	// adds beyond that, in seconds. Larger values spread calls, smaller ones stay with the fastest endpoint.
+	queuedCallCost    = 0.5
+	queuedCallSeconds = 0.1
+	// minLateLoss is the loss of value by lateness, as a share, that prices are put in relation to at least.
+	minLateLoss = 0.1
+)
+
+// dispatch ends the queued messages that have too little time left, and sends what may go: first that which would lose most by going
+// last.
+func (s *Sender) dispatch() {
+	s.candidates, s.slotStarved = s.candidates[:0], false
+	for _, dest := range s.active {
+		drainTime, perSlot := s.drainTime(dest), s.messagesPerSlotSecond(dest)
+		dest.queue = slices.DeleteFunc(dest.queue, func(msg *message) bool {
+			if s.outOfTime(msg) || msg.attempts >= s.settings.MaxAttempts {
+				s.finish(msg)
+				return true
+			}
+			now, later := msg.valueAt(s.now, s.settings.ValueHalves), msg.valueAt(s.now+drainTime, s.settings.ValueHalves)
+			msg.rank = (now - later) * perSlot
+			s.candidates = append(s.candidates, msg)
+			return false
+		})
+	}
+	slices.SortFunc(s.candidates, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.seq, b.seq))
+	})
+	for _, msg := range s.candidates {
+		s.sendToBest(msg)
+	}
+}
+
+// messagesPerSlotSecond is about how many messages for dest a slot delivers in a second: where slots are short, value counts by it. A
+// call that no later one has overtaken takes its age at least: what has just slowed down, whatever the cause, does not keep the slots
+// from the others. It hurts those that are slow for good.
+func (s *Sender) messagesPerSlotSecond(dest *destinationState) float64 {
+	took, perCall := 1.0, 1
+	if len(dest.plan.expected) > 1 && !math.IsInf(dest.plan.expected[1], 1) {
+		took = dest.plan.expected[1]
+	} else if s.allLatencies.total >= minTableCalls {
+		took = s.allLatencies.quantile(s.bounds, 0.5)
+	}
+	for _, endpoint := range dest.endpoints {
+		if len(endpoint.inFlight) > 0 && endpoint.inFlight[0].sentAt >= endpoint.route.newestDelivered {
+			took = max(took, (s.now - endpoint.inFlight[0].sentAt).Seconds())
+		}
+		perCall = endpoint.kind.PerCall
+	}
+	return float64(max(1, min(perCall, len(dest.queue)))) / took
+}
+
+// maySend is the one gate: whether msg may be sent to endpoint now. It keeps the package's invariants, whatever health and load say. The
+// order of its steps counts: the last ones refill tokens and note that slots are short.
+func (s *Sender) maySend(msg *message, endpoint *endpointState) bool {
+	if !s.isSafe(msg, endpoint) || !s.isItsTurn(msg) || !s.hasCall(endpoint) {
+		return false
+	}
+	route := endpoint.route
+	return !route.probesOnly() || s.hasSlotForProbe() && s.mayProbe(msg, route)
+}
+
+// isSafe tells whether msg can be sent to endpoint without being lost, or taking effect twice, and whether endpoint takes anything.
+func (s *Sender) isSafe(msg *message, endpoint *endpointState) bool {
+	switch class := msg.class; {
+	case msg.ended || msg.inFlightOn != nil || msg.attempts >= s.settings.MaxAttempts || msg.deadline <= s.now,
+		endpoint.state != Ready, endpoint.route.waitUntil > s.now:
+		return false
+	case msg.ranOn == nil:
+		return true
+	case class.Effect == Unsafe, msg.isRetry && !s.hasRetry(),
+		class.Effect == Keyed && (s.now >= msg.ranAt+class.Memory || class.Group == GroupZone && endpoint.zone != msg.ranOn.zone ||
+			class.Group == GroupEndpoint && endpoint != msg.ranOn):
+		return false
+	}
+	return true
+}
+
+// isItsTurn tells whether msg is first among the messages of its key, and no older attempt of that key may still be running.
+func (s *Sender) isItsTurn(msg *message) bool {
+	if !msg.class.InOrder || msg.key == 0 {
+		return true
+	}
+	queue := s.keyQueues[msg.key]
+	return queue.messages[0] == msg && (msg.attempts != 0 || queue.blockedUntil <= s.now)
+}
+
+// canJoin tells whether a call to endpoint that was opened in this Step has room for one more message.
+func (s *Sender) canJoin(endpoint *endpointState) bool {
+	return endpoint.callStep == s.steps && endpoint.call != nil && endpoint.call.capacity > 0
+}
+
+// hasCall tells whether a message can go to endpoint in a call that is open, or in a new one.
+func (s *Sender) hasCall(endpoint *endpointState) bool {
+	if s.canJoin(endpoint) {
+		return true
+	}
+	route := endpoint.route
+	s.slotStarved = s.slotStarved || s.slotsInUse >= s.settings.Slots && !route.probesOnly()
+	return s.slotsInUse < s.settings.Slots && endpoint.destination.callsInFlight < s.maxSlots(route) && s.paceAllows(route)
+}
+
+// sendToBest sends msg to the endpoint of least cost among those that the gate lets it go to, if there is one.
+func (s *Sender) sendToBest(msg *message) {
+	dest := msg.destination
+	var best *endpointState
+	lowest, bestStop := math.Inf(1), -1
+	for _, endpoint := range dest.endpoints {
+		if !s.maySend(msg, endpoint) {
+			continue
+		}
+		s.refreshPlan(dest)
+		if cost, stop := s.cost(msg, endpoint); cost < lowest {
+			best, lowest, bestStop = endpoint, cost, stop
+		}
+	}
+	if best != nil {
+		s.send(msg, best, bestStop)
+	}
+}
+
+// cost is the expected time of msg in seconds if its next attempt goes to endpoint, with load and prices, and the bucket at whose bound
+// the plan would restart it; -1 where nothing is known. Chance decides there: hundreds must not all begin with the same endpoint.
+func (s *Sender) cost(msg *message, endpoint *endpointState) (float64, int) {
+	cost, stop := 0.0, -1
+	if endpoint.known() {
+		attemptsLeft := s.settings.MaxAttempts - msg.attempts
+		if msg.class.Effect == Unsafe {
+			attemptsLeft = 1
+		}
+		cost, stop = endpoint.pooled.bestRestart(s.bounds, s.retryPenalty()*endpoint.destination.plan.expected[attemptsLeft-1])
+	}
+	cost = cost*(1+queuedCallCost*float64(len(endpoint.inFlight))) + s.routingPrice(msg, endpoint) +
+		queuedCallSeconds*(float64(len(endpoint.inFlight))+s.random()/(1+endpoint.own.total))
+	return cost, stop
+}
+
+// routingPrice is what the way to endpoint costs, as seconds of delay that would lose as much; a second at most.
+func (s *Sender) routingPrice(msg *message, endpoint *endpointState) float64 {
+	price := 0.0
+	if endpoint.zone != s.settings.Zone {
+		price += s.settings.CrossZonePrice
+	}
+	if endpoint.kind.SeparateRoutes && endpoint.zone >= 0 && endpoint.zone < len(s.settings.ZoneFee) {
+		price += s.settings.ZoneFee[endpoint.zone]
+	}
+	class := msg.class
+	return min(1, price*(class.Deadline-class.LatencyTarget).Seconds()/max(1-class.LateValue, minLateLoss))
+}
+
+// send makes the next attempt of msg at endpoint; stop is the bucket at whose bound the plan restarts it.
+func (s *Sender) send(msg *message, endpoint *endpointState, stop int) {
+	route, timeout := endpoint.route, s.attemptTimeout(msg, endpoint, stop)
+	afterPlan := msg.planTimeout // at a healthy route: only such a retry tells whether restarts help
+	msg.plannedTime, msg.cancelled, msg.planTimeout = 0, false, timeout < msg.deadline-s.now && route.health == healthy
+	if msg.isRetry {
+		s.retryBudget--
+		if expected := endpoint.destination.plan.expected; afterPlan && len(expected) > 0 && !math.IsInf(expected[len(expected)-1], 1) {
+			msg.plannedTime = expected[len(expected)-1]
+		}
+	}
+	s.dequeue(msg)
+	s.joinCall(endpoint)
+	msg.call, msg.inFlightOn, msg.sentAt = endpoint.call, endpoint, s.now
+	msg.attempts++
+	endpoint.inFlight = append(endpoint.inFlight, msg)
+	route.inFlight++
+	route.sends.add(s.now, 1)
+	s.emit(Action{Kind: Send, ID: msg.id, Endpoint: endpoint.id, For: timeout})
+}
+
+// attemptTimeout is the time that an attempt of msg at endpoint gets: what is left until the deadline, or less where the plan restarts it
+// at the bound of bucket stop, and at an ejected route.
+func (s *Sender) attemptTimeout(msg *message, endpoint *endpointState, stop int) time.Duration {
+	timeout := msg.deadline - s.now
+	window := msg.deadline // a keyed message is cut off only where a second call as long fits into its window
+	if msg.class.Effect == Keyed && msg.ranOn != nil {
+		window = min(window, msg.ranAt+msg.class.Memory)
+	} else if msg.class.Effect == Keyed {
+		window = min(window, s.now+msg.class.Memory)
+	}
+	if msg.class.Effect != Unsafe && stop >= 0 && stop < len(s.bounds)-1 && s.hasRetry() &&
+		s.now+2*toDuration(s.bounds[stop]) < window {
+		timeout = min(timeout, toDuration(s.bounds[stop]))
+	}
+	if msg.class.Effect == Safe && endpoint.route.health == ejected {
+		timeout = min(timeout, toDuration(2*s.lateAge(endpoint)))
+	}
+	return timeout
+}
+
+// joinCall enters one more message into the open call to endpoint, or opens one.
+func (s *Sender) joinCall(endpoint *endpointState) {
+	if s.canJoin(endpoint) {
+		endpoint.call.capacity--
+		endpoint.call.pending++
+		if endpoint.route.health == recovering {
+			endpoint.route.tokens -= batchedMessageCost
+		}
+		return
+	}
+	endpoint.callStep, endpoint.call = s.steps, &call{pending: 1, capacity: endpoint.kind.PerCall - 1}
+	s.slotsInUse++
+	endpoint.destination.callsInFlight++
+	endpoint.route.tokens--
+}
--- /dev/null
+++ b/control/sender.go
@@ -0,0 +1,127 @@
+package control
+
+import (
+	"slices"
+	"time"
+)
+
+// Sender makes the decisions of one sender. It is not safe for concurrent use.
+type Sender struct {
+	settings        Settings
+	longestDeadline time.Duration // of a class, a second at least
+	bounds          []float64     // upper bounds of the buckets of all latency tables, in seconds
+	rngState        uint64
+	now             time.Duration
+	steps           uint64 // Steps so far, the current one included
+	actions         []Action
+
+	destinations     map[int]*destinationState
+	destinationOrder []*destinationState // in the order in which they became known: maps are never walked to decide
+	endpoints        map[uint32]*endpointState
+	active           []*destinationState // those with a message queued or in flight
+
+	messages     map[uint64]*message
+	lastSeq      uint64
+	openMessages int // without a final answer
+	keyQueues    map[uint64]*keyQueue
+	candidates   []*message // scratch of dispatch
+
+	slotsInUse       int
+	callsToUnhealthy int  // calls in flight to routes that get only probes
+	slotStarved      bool // a message waits for nothing but a slot
+
+	retryBudget  float64
+	retryTimes   [2]float64 // seconds that retries took, and that the plan had expected, both decayed
+	allLatencies latencyTable
+
+	kinds         []kindState // by kind; the last is for endpoints of no listed kind
+	idleEndpoints []*endpointState
+	quotas        []tenantQuota // by tenant
+	lease         *lease        // nil: nothing is shared
+
+	wakeAt           time.Duration
+	subscribeAt      time.Duration // when to ask for the list, 1 ns late; 0: subscribed, or an answer is due
+	subscribeBackoff time.Duration
+}
+
+// New returns a sender that knows nothing but its settings. Senders of one service must have different seeds: what they do at random
+// must not coincide. An error names the first setting with an impossible figure.
+func New(set Settings, seed uint64) (*Sender, error) {
+	if err := set.check(); err != nil {
+		return nil, err
+	}
+	longest := time.Second
+	for _, class := range set.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	s := &Sender{settings: set, longestDeadline: longest, rngState: seed,
+		destinations: map[int]*destinationState{}, endpoints: map[uint32]*endpointState{},
+		messages: map[uint64]*message{}, keyQueues: map[uint64]*keyQueue{},
+		kinds: slices.Repeat([]kindState{{retryGap: initialRetryGap}}, len(set.Kinds)+1), retryBudget: maxRetryBudget / 2}
+	s.bounds = bucketBounds(longest.Seconds())
+	s.allLatencies.counts = make([]float64, len(s.bounds))
+	for _, tenant := range set.Tenants {
+		s.quotas = append(s.quotas, tenantQuota{rate: tenant.Quota / float64(set.Peers), tokens: fullQuota, total: tenant.Quota})
+	}
+	return s, nil
+}
+
+// Step takes what has happened by now and appends what is to be done to out. A clock that goes back is taken as standing still. The
+// caller must call Step at each event and, at the latest, at the time of the last Wake.
+func (s *Sender) Step(now time.Duration, events []Event, out []Action) []Action {
+	s.now, s.actions, s.steps = max(s.now, now), out, s.steps+1
+	for i := range events {
+		s.apply(&events[i])
+	}
+	s.subscribe()
+	s.updateHealth()
+	s.dispatch()
+	s.wake()
+	out, s.actions = s.actions, nil
+	return out
+}
+
+func (s *Sender) apply(event *Event) {
+	switch event.Kind {
+	case Listed:
+		s.applyList(event)
+	case ListFailed:
+		s.scheduleSubscribe()
+	case Arrived:
+		s.applyArrival(event)
+	case Resolved:
+		s.applyOutcome(event)
+	case Withdrawn:
+		s.applyWithdrawal(event)
+	case SharedLimitsUpdated:
+		s.applySharedLimits(event.Shared)
+	}
+}
+
+// Reconfigure changes what classes are worth and what tenants may hand in from now on, messages a second over all senders; lists that
+// are shorter than the settings' leave the rest as it is. What has arrived keeps its value.
+func (s *Sender) Reconfigure(values, quotas []float64) {
+	for i := range min(len(values), len(s.settings.Classes)) {
+		s.settings.Classes[i].Value = values[i]
+	}
+	for i := range min(len(quotas), len(s.quotas)) {
+		quota := &s.quotas[i]
+		quota.total, quota.rate = quotas[i], quotas[i]/float64(s.settings.Peers)
+		if s.lease != nil {
+			quota.rate = quotas[i] * s.share(quota.extraShare)
+		}
+	}
+}
+
+// random is the next number in [0, 1) of the sender's own sequence (SplitMix64).
+func (s *Sender) random() float64 {
+	s.rngState += 0x9e3779b97f4a7c15
+	z := s.rngState
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
+	z = (z ^ z>>27) * 0x94d049bb133111eb
+	return float64((z^z>>31)>>11) / (1 << 53)
+}
+
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
+
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
