--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -230,17 +230,17 @@
 	logged := m.output.String()
 	for _, phase := range []string{
 		`msg="process is told to end" grace=2s`,
-		`msg="proxy is not ready any more"`,
-		`msg="proxy takes no more connections"`,
-		`msg="proxy gives up the requests that are left"`,
-		`msg="proxy has ended its connections"`,
-		`msg="proxy has ended the settling of turns"`,
+		`msg="proxy draining"`,
+		`msg="proxy listener closed"`,
+		`msg="abandoning pending requests"`,
+		`msg="proxy connections closed"`,
+		`msg="proxy usage commits ended"`,
 	} {
 		if !strings.Contains(logged, phase) {
 			t.Errorf("%s isn't logged", phase)
 		}
 	}
-	if !strings.Contains(logged, "given_up=1") {
+	if !strings.Contains(logged, "abandoned=1") {
 		t.Error("no settle was given up")
 	}
 	account := regexp.MustCompile(`msg="process has ended" after=(\S+)`).FindStringSubmatch(logged)
--- a/internal/tier/exchangetest/mutants_test.go
+++ b/internal/tier/exchangetest/mutants_test.go
@@ -13,6 +13,7 @@
 		answer   = "../upstream/response.go"
 		attempt  = "../proxy/attempt.go"
 		call     = "../proxy/request.go"
+		retries  = "../proxy/retries.go"
 		deliver  = "../proxy/response.go"
 		stream   = "../proxy/streaming.go"
 		events   = "../proxy/eventscanner.go"
@@ -24,17 +25,17 @@
 		{Name: "a connection is used again after an early answer", Run: "TestEarlyAnswerLeavesNoOtherBytes",
 			Change: change(answer, "return e.writtenWhole()", "return true")},
 		{Name: "a request that runs once is sent again after a reset", Run: "TestCampaign",
-			Change: change(call, "return retryable(c.info.Route) && c.mayHaveRunAttempts < c.info.Route.MaxAttempts", "return c.mayHaveRunAttempts < c.info.Route.MaxAttempts")},
+			Change: change(retries, "return retryable(c.info.Route) && c.mayHaveRunAttempts < c.info.Route.MaxAttempts", "return c.mayHaveRunAttempts < c.info.Route.MaxAttempts")},
 		{Name: "a reset on a kept connection counts as never sent", Run: "TestConnectionMayEndAtEachMomentOfItsReuse",
 			Change: change(exchange, "	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}",
 				"	if e.connection.used > 1 {\n		return &Error{Kind: NeverSent, Reason: reason, Err: err}\n	}\n	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}")},
 		{Name: "a reset ends an unframed answer", Run: "TestCampaign",
 			Change: change(answer, "	if err != nil {\n		reason := ReadFailed", "	if err != nil && a.CloseDelimited {\n		a.whole = true\n		return n, io.EOF\n	}\n	if err != nil {\n		reason := ReadFailed")},
 		{Name: "503 is answered after a send that may have run", Run: "TestCampaign",
-			Change: change(call, "	c.mayHaveRun = true\n", "")},
+			Change: change(retries, "	c.mayHaveRun = true\n", "")},
 		{Name: "any 503 counts as not run", Run: "TestCampaign",
-			Change: change(attempt, "return told || answer.Status == http.StatusMisdirectedRequest",
-				"return told || answer.Status == http.StatusMisdirectedRequest || answer.Status == http.StatusServiceUnavailable")},
+			Change: change(attempt, "return notRun || response.Status == http.StatusMisdirectedRequest",
+				"return notRun || response.Status == http.StatusMisdirectedRequest || response.Status == http.StatusServiceUnavailable")},
 		{Name: "a stream closed inside an event looks complete", Run: "TestAnswerMayEndAtEachByte",
 			Change: change(stream, "return a.response.CloseDelimited && c.scanner.insideEvent()", "return false")},
 		{Name: "a stream that was taken up brings old events", Run: "TestCampaign",
@@ -43,7 +44,7 @@
 			Change: change(stream, "	c.scanner.restart()\n	return true", "	return true")},
 		{Name: "any stream is taken up", Run: "TestCampaign",
 			Change: change(stream, "return c.info.Route.Resumable &&", "return "),
-			Also:   []mutation.Change{change(call, "return retryable(c.info.Route) && c.mayHaveRunAttempts", "return c.mayHaveRunAttempts")}},
+			Also:   []mutation.Change{change(retries, "return retryable(c.info.Route) && c.mayHaveRunAttempts", "return c.mayHaveRunAttempts")}},
 		{Name: "a turn's last byte doesn't wait for the stores", Run: "TestCampaign",
 			Change: change(stream, "return c.turn != nil && c.turn.stateful && a.response.ContentLength > 0", "return false")},
 		{Name: "an unframed answer goes on unframed", Run: "TestKilledProxyLeavesNothingThatLooksComplete",
@@ -51,6 +52,6 @@
 		{Name: "a client of HTTP/1.0 sees every close as orderly", Run: "TestAnswerThatAClientDoesNotTakeIsCut",
 			Change: change(deliver, "		client.setResetOnClose(true)\n", "")},
 		{Name: "work goes on for a client that left", Run: "TestClientMayLeaveWhileItsAnswerComes",
-			Change: change(call, "context.WithDeadline(r.Context(), c.info.Deadline)", "context.WithDeadline(context.WithoutCancel(r.Context()), c.info.Deadline)")},
+			Change: change(call, "context.WithDeadline(c.request.Context(), c.info.Deadline)", "context.WithDeadline(context.WithoutCancel(c.request.Context()), c.info.Deadline)")},
 	})
 }
--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -1,6 +1,3 @@
-// Package proxy is the HTTP data path of an edge machine: it takes the requests of clients, finds their route, has turns
-// of programs kept by the stores, sends each request to an endpoint and passes the answer on as it comes. What it knows
-// and decides by comes through the interfaces in this file.
 package proxy
 
 import (
@@ -13,23 +10,24 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// Views tells what the control plane has brought. Its methods are called for every request and must not block.
+// Views gives access to what the control plane has distributed. Its methods are called for every request and must not block.
 type Views interface {
 	// Routes returns the routes of the newest configuration; nil until one is known.
 	Routes() *Routes
-	// Ready tells whether the proxy can serve: it has a configuration, endpoints and a way to the owners of programs.
+	// Ready tells whether the proxy can serve: it has a configuration, endpoints and a connection to the leaders of programs.
 	Ready() bool
 }
 
-// Programs keeps the turns and budgets of programs. The key is the same for all turns of a program; it picks the shard.
+// Programs keeps the turns and budgets of programs. The key is the same for all turns of a program; it selects the shard.
 type Programs interface {
-	// Begin reserves the most that a turn may generate and returns its chain. An error means that nothing is known.
+	// Begin reserves the most tokens that a turn may generate and returns its chain. After an error the reservation may or may not
+	// have been made.
 	Begin(ctx context.Context, key string, turn program.BeginTurn) (program.Result, error)
-	// End settles a turn, which is safe once it returns Taken. An error means that nothing is known.
+	// End commits the usage of a turn, which is durable once it returns Accepted. After an error it may or may not have been.
 	End(ctx context.Context, key string, turn program.EndTurn) (program.Result, error)
 }
 
-// RequestInfo is what is known of a request when an endpoint is chosen for it.
+// RequestInfo is what is known of a request when an endpoint is selected for it.
 type RequestInfo struct {
 	Route           *model.Route
 	Service         *model.Service
@@ -42,14 +40,14 @@
 	Prefix          string // X-Prompt-Prefix
 	PromptTokens    int64
 	MaxOutputTokens int64
-	ProgramTimeLeft time.Duration // until the program should be over, at ArrivedAt; 0: not told
+	ProgramTimeLeft time.Duration // at ArrivedAt, until the program should end; 0: unknown
 	BodyBytes       int           // that go to the endpoint
 	ArrivedAt       time.Time
 	Deadline        time.Time
-	AttemptsUsed    int      // attempts of which an endpoint may have run one
-	MayHaveRun      bool     // an earlier attempt of this request may have run
-	AfterTimeout    bool     // the last attempt was given up after its choice's time-out
-	Excluded        []string // endpoints that this request has been sent to
+	AttemptsUsed    int      // attempts that an endpoint may have run
+	MayHaveRun      bool     // AttemptsUsed isn't 0
+	AfterTimeout    bool     // the last attempt was abandoned at its selection's timeout
+	Excluded        []string // IDs of the endpoints that this request has been sent to
 	RejectedBy      []string // those of them that promised not to run it, or had no connection free: they may get it where no other does
 }
 
@@ -58,28 +56,29 @@
 	ID             string
 	Address        string
 	MaxConnections int             // that this proxy may have to it; 0: no bound
-	Timeout        time.Duration   // after which the attempt is given up; 0: it runs until the deadline
-	Permit         upstream.Permit // withdrawn where the endpoint must not get the request any more; nil: never
-	Ticket         any             // the chooser's own
+	Timeout        time.Duration   // after which the attempt is abandoned; 0: it lasts until the deadline
+	Permit         upstream.Permit // revoked where the endpoint must not get the request any more; nil: never
+	Ticket         any             // the Selector's own
 }
 
 // Rejection is Select's error when the request isn't to be sent.
 type Rejection struct {
 	Kind       apierror.Kind // one that promises that the request hasn't run; None: NoEndpoint
-	RetryAfter time.Duration
+	RetryAfter time.Duration // 0: unknown
 }
 
-// Error describes the refusal.
+// Error describes the rejection.
 func (*Rejection) Error() string { return "no endpoint takes the request now" }
 
-// Selector decides which endpoint takes an attempt. Each choice is answered by one call of Done. Its methods are called by
-// many goroutines.
+// Selector selects the endpoint of each attempt. Each selection is followed by one call of Done. Its methods are called by many
+// goroutines.
 type Selector interface {
-	// Select may wait for a place. Its error is a *Rejection, or the context's.
-	Select(ctx context.Context, facts *RequestInfo) (Selection, error)
-	// FirstEvent tells that the first event of a stream has come, and the X-Server-Load told with it.
-	FirstEvent(choice Selection, load string)
-	Done(choice Selection, outcome Outcome)
+	// Select may wait for capacity. Its error is a *Rejection, or the context's.
+	Select(ctx context.Context, info *RequestInfo) (Selection, error)
+	// FirstEvent reports that the first event of a stream has come, with its X-Server-Load.
+	FirstEvent(selection Selection, load string)
+	// Done reports the end of an attempt.
+	Done(selection Selection, outcome Outcome)
 }
 
 // Result is how an attempt ended.
@@ -87,18 +86,18 @@
 
 // The results of an attempt.
 const (
-	Succeeded          Result = iota + 1 // a whole answer with success
-	ErrorResponse                        // a whole answer with a failure
-	NotRun                               // the endpoint said that it didn't run the request, or takes no more connections
+	Succeeded          Result = iota + 1 // a complete response with success
+	ErrorResponse                        // a complete response with a failure
+	NotRun                               // the endpoint promised that it didn't run the request, or takes no more connections
 	NeverSent                            // no byte was sent
-	IncompleteResponse                   // sent, and no whole answer came
-	TimedOut                             // given up after the choice's time-out
+	IncompleteResponse                   // sent, and no complete response came
+	TimedOut                             // abandoned at the selection's timeout
 	DeadlineExceeded                     // the request's deadline passed
 	ClientClosed                         // the client closed its connection
-	Cancelled                            // not sent, since the endpoint was withdrawn, the deadline passed or the client went
+	Cancelled                            // not sent, since the endpoint was withdrawn, the deadline passed or the client closed
 )
 
-// Outcome is what an attempt showed.
+// Outcome is what an attempt showed of its endpoint.
 type Outcome struct {
 	Result      Result
 	Status      int
@@ -108,5 +107,5 @@
 	Tokens      int64
 	Load        string        // X-Server-Load
 	Misdirected bool          // with NotRun: another endpoint answered at the address
-	RetryAfter  time.Duration // Retry-After; 0: not told
+	RetryAfter  time.Duration // Retry-After; 0: none
 }
--- a/internal/tier/proxy/clientconn.go
+++ b/internal/tier/proxy/clientconn.go
@@ -14,9 +14,9 @@
 type clientConn struct {
 	network.TCPConn
 
-	mutex   sync.Mutex
-	idle    bool // no byte of a next request has been read
-	closing bool // no further request is to be read
+	mutex   sync.Mutex // guards all below
+	idle    bool       // no byte of a next request has been read
+	closing bool       // no further request is to be read
 }
 
 // Read reads from the client. Once the connection is closing, it gives out no first bytes of a request.
@@ -43,7 +43,7 @@
 	c.TCPConn.SetLinger(seconds)
 }
 
-// responseSent notes that an answer has gone out and the next request may come.
+// responseSent records that a response has gone out and the next request may come.
 func (c *clientConn) responseSent() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// closeIfUnread closes the connection if no request has begun on it, and else once its answer has gone out.
+// closeIfUnread closes the connection if no request has begun on it, and else once its response has gone out.
 func (c *clientConn) closeIfUnread() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// requestStarted notes that a request has been read. It returns false if the connection was closed before: the library may have had the
-// request in its buffer already, and then no byte of it has passed here.
+// requestStarted records that a request has been read. It returns false if the connection was closed before: the library may have
+// had the request in its buffer already, and then no byte of it has passed Read.
 func (c *clientConn) requestStarted() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/tier/proxy/connlistener.go
+++ b/internal/tier/proxy/connlistener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// connListener is a listener whose connections are put into it.
+// connListener is a net.Listener whose connections are delivered by the frontend.
 type connListener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -43,5 +43,5 @@
 	return nil
 }
 
-// Addr returns where the connections come in.
+// Addr returns the address of the frontend's listener.
 func (l *connListener) Addr() net.Addr { return l.address }
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -10,15 +10,15 @@
 	"mastusher/internal/tier/apierror"
 )
 
-// What is told with a refusal for which nobody named a wait. Where the control plane or the stores have no owner, the next
-// election is over after some hundred ms: a client that came back sooner would spend one of its few tries for nothing.
+// The Retry-After of a rejection for which nobody set a time. Where the control plane or the stores have no leader, the next
+// election takes some hundred ms: a client that came back sooner would spend one of its few attempts for nothing.
 const (
 	retryAfterDefault  = 100 * time.Millisecond
 	retryAfterElection = 450 * time.Millisecond
-	retryJitter        = 0.3 // of it more, at the most, so that not all come back at once
+	retryJitter        = 0.3 // of it more, at most, so that clients don't come back at once
 )
 
-// defaultRetryAfter is what a client is told that is refused for such a reason.
+// defaultRetryAfter returns the Retry-After of a kind for which nobody set a time.
 func defaultRetryAfter(kind apierror.Kind) time.Duration {
 	switch kind {
 	case apierror.NotReady, apierror.StateUnavailable:
@@ -27,37 +27,38 @@
 	return retryAfterDefault
 }
 
-// writeError gives an answer of the proxy's own, by the table of kinds. It carries no seal. The wait, for answers that tell when to
-// come back, is 0 where nobody named one.
-func writeError(w http.ResponseWriter, kind apierror.Kind, wait time.Duration) {
-	answer := kind.Response()
+// writeError writes an error response of the proxy's own, by the table of kinds. It carries no seal. A retryAfter of 0 is replaced
+// by the default where the kind has one.
+func writeError(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
+	response := kind.Response()
 	text := kind.String() + "\n"
 	header := w.Header()
 	header["Date"] = nil
 	header["Content-Type"] = []string{"text/plain"}
 	header["Content-Length"] = []string{strconv.Itoa(len(text))}
-	if answer.Close {
+	if response.Close {
 		header["Connection"] = []string{"close"}
 	}
-	if answer.RetryAfter {
-		if wait <= 0 {
-			wait = defaultRetryAfter(kind)
+	if response.RetryAfter {
+		if retryAfter <= 0 {
+			retryAfter = defaultRetryAfter(kind)
 		}
-		header[headerRetryAfter] = []string{apierror.FormatRetryAfter(wait)}
+		header[headerRetryAfter] = []string{apierror.FormatRetryAfter(retryAfter)}
 	}
-	w.WriteHeader(answer.Status)
+	w.WriteHeader(response.Status)
 	io.WriteString(w, text)
 }
 
-// writeError answers the call, as fail does.
-func (c *clientRequest) writeError(kind apierror.Kind, wait time.Duration) {
+// writeError ends the request with an error response, and counts it.
+func (c *clientRequest) writeError(kind apierror.Kind, retryAfter time.Duration) {
 	c.answeredLocally = true
 	c.proxy.rejections.add(kind)
 	c.proxy.closeIfDraining(c.writer.Header())
-	writeError(c.writer, kind, wait)
+	writeError(c.writer, kind, retryAfter)
 }
 
-// abortConnection breaks off the client's connection: the client sees a close and no answer, or one that doesn't look complete.
+// abortConnection breaks off the client's connection: the client sees a close without a response, or an incomplete one. It
+// doesn't return.
 func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -5,29 +5,29 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event: an endpoint that sends bytes which are no events isn't to fill the memory.
+// maxEventBytes bounds one event: an endpoint that sends bytes which are no events must not fill the memory.
 const maxEventBytes = 1 << 20
 
-// eventScanner follows a text/event-stream as its bytes come. It holds back the bytes of an event until that is complete,
-// counts the events, keeps the last id, and collects their data if asked to.
+// eventScanner parses a text/event-stream as its bytes come. It withholds the bytes of an event until that is complete, counts
+// the events, keeps the last id, and collects their data if asked to.
 type eventScanner struct {
 	collect       bool
 	output        []byte // the data of each complete event with a line feed behind
 	count         int64  // complete events that have data or an id
 	lastID        string
-	lastWithoutID bool // the last event with data had no id: nothing tells where the stream could be taken up
-	resumed       bool // the stream was taken up at another endpoint, and its events are to have higher ids than the last one
-	unforwardable bool // what comes can't be passed on: an event that may have come before, or one without end
+	lastWithoutID bool // the last event with data had no id: nothing tells where the stream could be resumed
+	resumed       bool // the stream was resumed at another endpoint: its events must have higher ids than the last one
+	unforwardable bool // what comes can't be forwarded: an event that may be a duplicate, or one without end
 
-	pending      []byte // bytes not yet passed on
-	scannedBytes int    // bytes of held that belong to lines already seen
+	pending      []byte // bytes not yet forwarded
+	scannedBytes int    // bytes of pending that belong to lines already parsed
 	hasData      bool   // of the event being read
 	hasID        bool
 	id           string
 	dataStart    int // where the data of the event being read begins in output
 }
 
-// feed takes the next bytes and returns those that may be passed on: whole events. They are valid until the next call.
+// feed takes the next bytes and returns those that may be forwarded: complete events. They are valid until the next call.
 func (s *eventScanner) feed(chunk []byte) []byte {
 	if len(s.pending) > 0 {
 		s.pending = append(s.pending, chunk...)
@@ -36,7 +36,7 @@
 	return s.scan(chunk)
 }
 
-// scan reads the lines in buffer from the scanned ones on. What follows the last whole event becomes the held bytes.
+// scan reads the lines in buffer from the scanned ones on. What follows the last complete event becomes pending.
 func (s *eventScanner) scan(buffer []byte) []byte {
 	complete := 0
 	for {
@@ -62,7 +62,7 @@
 	return buffer[:complete]
 }
 
-// keepPending keeps the bytes from complete on. They are copied behind the ones that are returned, so that both stay valid.
+// keepPending keeps the bytes from complete on. They are copied, so that the returned ones stay valid too.
 func (s *eventScanner) keepPending(buffer []byte, complete int) {
 	s.scannedBytes -= complete
 	rest := buffer[complete:]
@@ -77,7 +77,7 @@
 	s.pending = append(make([]byte, 0, len(rest)+256), rest...)
 }
 
-// isDuplicate tells whether the event that has just been read may be one that the client has had before the stream was taken up.
+// isDuplicate tells whether the event that has just been read may be one that the client got before the stream was resumed.
 func (s *eventScanner) isDuplicate() bool {
 	if !s.resumed || !s.hasID && !s.hasData {
 		return false
@@ -134,8 +134,8 @@
 // insideEvent tells whether an event has begun and not ended.
 func (s *eventScanner) insideEvent() bool { return len(s.pending) > 0 || s.hasData || s.hasID }
 
-// finish takes the end of a whole stream: an event that no blank line ends is complete too. It returns the bytes held; none
-// where the stream is spoiled.
+// finish takes the end of a complete stream: an event that no blank line ends is complete too. It returns the pending bytes; none
+// where the stream is unforwardable.
 func (s *eventScanner) finish() []byte {
 	if !s.insideEvent() {
 		return nil
@@ -165,13 +165,13 @@
 	return streamProgress{s.count, s.lastID, s.lastWithoutID, s.dataStart}
 }
 
-// rewind forgets the events since then, which were not passed on, and the one being read.
+// rewind forgets the events since then, which were not forwarded, and the one being read.
 func (s *eventScanner) rewind(to streamProgress) {
 	s.count, s.lastID, s.lastWithoutID, s.dataStart = to.count, to.lastID, to.lastWithoutID, to.dataStart
 	s.restart()
 }
 
-// restart forgets an event that was broken off, before the stream is taken up at another endpoint.
+// restart forgets an event that was broken off, before the stream is resumed at another endpoint.
 func (s *eventScanner) restart() {
 	s.pending, s.scannedBytes = nil, 0
 	s.hasData, s.hasID = false, false
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -9,6 +9,7 @@
 	"net"
 	"net/http"
 	"net/textproto"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -91,7 +92,7 @@
 	defer c.mutex.Unlock()
 	c.facts = append(c.facts, *facts)
 	for _, choice := range c.endpoints {
-		if !contains(facts.Excluded, choice.ID) {
+		if !slices.Contains(facts.Excluded, choice.ID) {
 			return choice, nil
 		}
 	}
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -25,9 +25,9 @@
 	netHTTPHeaderSlop = 4 << 10
 	// acceptBackoff is how long no connection is taken after the system could not give one.
 	acceptBackoff = 10 * time.Millisecond
-	// defaultWriteTimeout bounds the writing of an answer that has no deadline of its own.
+	// defaultWriteTimeout bounds the writing of a response that has no deadline of its own.
 	defaultWriteTimeout = 10 * time.Second
-	// finalResponsesTimeout is for the answers to requests that are given up as the proxy ends.
+	// finalResponsesTimeout is for the error responses to requests that are abandoned in a shutdown.
 	finalResponsesTimeout = 150 * time.Millisecond
 )
 
@@ -64,12 +64,12 @@
 	currentLimits  func() clientLimits
 	maxConnections int
 	errorLog       *log.Logger
-	baseContext    context.Context    // of which each request's context is a part
-	cancelRequests context.CancelFunc // ends it: each request is answered at once, or its answer broken off
+	baseContext    context.Context    // parent of each request's context
+	cancelRequests context.CancelFunc // ends it: each request gets an error response at once, or its response is broken off
 
-	mutex     sync.Mutex
+	mutex     sync.Mutex // guards all below, and the generations' counts
 	current   *serverGeneration
-	old       []*serverGeneration
+	old       []*serverGeneration // with connections left
 	clients   map[*clientConn]struct{}
 	closed    bool
 	allClosed chan struct{} // closed once closed is set and no connection is left
@@ -80,7 +80,7 @@
 	limits      clientLimits
 	server      *http.Server
 	listener    *connListener
-	connections int // connections
+	connections int
 }
 
 func newFrontend(listener net.Listener, handler http.Handler, current func() clientLimits, options Options) *frontend {
@@ -120,7 +120,7 @@
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// assign gives a connection to the server for the limits of now.
+// assign gives a connection to the server for the current limits.
 func (f *frontend) assign(client *clientConn) {
 	current := f.admit(client)
 	if current == nil {
@@ -158,7 +158,7 @@
 	f.signalEmpty()
 }
 
-// connStateChanged is told of the states of a server's connections.
+// connStateChanged is the ConnState hook of a server.
 func (f *frontend) connStateChanged(g *serverGeneration, connection net.Conn, state http.ConnState) {
 	client := connection.(*clientConn)
 	switch state {
@@ -201,21 +201,21 @@
 	f.old = slices.DeleteFunc(f.old, func(g *serverGeneration) bool { return g.connections == 0 })
 }
 
-// shutdown closes the listener and the connections without a request, and waits until the requests under way have been
-// answered and their connections have ended. What is left when the context ends is given up, and told so. The library's own
-// Shutdown isn't used: it takes a kept connection for idle until the whole head of its next request has been read, and closes
-// it in the middle. Each phase is told.
-func (f *frontend) shutdown(ctx context.Context, tell func(message string)) error {
+// shutdown closes the listener and the connections without a request, and waits until the pending requests have got their
+// responses and their connections have ended. What is pending when the context ends is abandoned. The library's own Shutdown
+// isn't used: it takes a kept connection for idle until the complete head of its next request has been read, and closes it in
+// the middle. Each phase is logged.
+func (f *frontend) shutdown(ctx context.Context, logPhase func(message string)) error {
 	f.listener.Close()
 	generations, clients := f.close()
 	for _, client := range clients {
 		client.closeIfUnread()
 	}
-	tell("proxy takes no more connections")
+	logPhase("proxy listener closed")
 	failure := f.awaitEmpty(ctx)
 	f.cancelRequests()
 	if failure != nil {
-		tell("proxy gives up the requests that are left")
+		logPhase("abandoning pending requests")
 		bounded, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
 		defer cancel()
 		f.awaitEmpty(bounded)
@@ -223,11 +223,11 @@
 	for _, g := range generations {
 		g.listener.Close()
 	}
-	tell("proxy has ended its connections")
+	logPhase("proxy connections closed")
 	return failure
 }
 
-// connections returns how many connections there are.
+// connections returns how many connections of clients are open.
 func (f *frontend) connections() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -244,7 +244,7 @@
 	}
 }
 
-// close takes no more connections, and returns what there is.
+// close stops admitting connections, and returns what there is.
 func (f *frontend) close() ([]*serverGeneration, []*clientConn) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -257,7 +257,7 @@
 	return generations, slices.Collect(maps.Keys(f.clients))
 }
 
-// signalEmpty tells that the last connection has ended and none will come. The caller holds the mutex.
+// signalEmpty closes allClosed once the last connection has ended and none will come. The caller holds the mutex.
 func (f *frontend) signalEmpty() {
 	if !f.closed || len(f.clients) > 0 {
 		return
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -30,8 +31,8 @@
 	subjectCookie     = "X-Subject"
 )
 
-// isHopByHop tells whether a field concerns only one connection. Content-Length and Host are framed anew; the answer to
-// Expect has been given by the time a body is sent on.
+// isHopByHop tells whether a field concerns only one connection (RFC 9110 section 7.6.1). Content-Length and Host are framed
+// anew; Expect has been answered by the time a body is forwarded.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -64,7 +65,7 @@
 func appendForwarded(buffer []byte, header http.Header) []byte {
 	named := connectionOptions(header)
 	for name, values := range header {
-		if isHopByHop(name) || isPerAttempt(name) || contains(named, name) {
+		if isHopByHop(name) || isPerAttempt(name) || slices.Contains(named, name) {
 			continue
 		}
 		for _, value := range values {
@@ -74,11 +75,11 @@
 	return buffer
 }
 
-// copyResponseHeader copies the fields of an endpoint's answer that go to the client. Nothing is added by the library.
+// copyResponseHeader copies the fields of an endpoint's response that go to the client, and keeps the library from adding any.
 func copyResponseHeader(to, from http.Header) {
 	named := connectionOptions(from)
 	for name, values := range from {
-		if !isHopByHop(name) && !contains(named, name) {
+		if !isHopByHop(name) && !slices.Contains(named, name) {
 			to[name] = values
 		}
 	}
@@ -89,15 +90,6 @@
 	}
 }
 
-func contains(list []string, text string) bool {
-	for _, item := range list {
-		if item == text {
-			return true
-		}
-	}
-	return false
-}
-
 // first returns the first value of a field whose name is in canonical form.
 func first(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
@@ -130,15 +122,15 @@
 	return time.Duration(number * float64(time.Second))
 }
 
-// tokenCounts reads X-Token-Counts: the tokens of the prompt and the most tokens out.
-func tokenCounts(value string) (prompt, most int64) {
+// tokenCounts reads X-Token-Counts: the tokens of the prompt and the most tokens to generate.
+func tokenCounts(value string) (prompt, maxOutput int64) {
 	if value == "" {
 		return 0, 0
 	}
 	before, after, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.ParseInt(strings.TrimSpace(before), 10, 64)
-	most, _ = strconv.ParseInt(strings.TrimSpace(after), 10, 64)
-	return max(prompt, 0), max(most, 0)
+	maxOutput, _ = strconv.ParseInt(strings.TrimSpace(after), 10, 64)
+	return max(prompt, 0), max(maxOutput, 0)
 }
 
 // subject returns the value of the cookie that names what a request is about.
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -18,42 +19,28 @@
 const (
 	// crossZonePenalty is the time that is worth spending so that a request doesn't leave its zone.
 	crossZonePenalty = 15 * time.Millisecond
-	// defaultProxyCount is the number of proxies that share an endpoint's connections, as long as nobody told it.
+	// defaultProxyCount is the number of proxies that share an endpoint's connections until SetProxies is called.
 	defaultProxyCount = 8
 	// minConnections is what a proxy may have to an endpoint in any case.
 	minConnections = 2
-	// maxQueued bounds the requests of one service that wait for a place.
-	maxQueued = 512
-	// timeoutShare is the part of its time after which a client that goes is taken to have waited to the end.
+	// timeoutShare is the part of its time after which a client that closes is taken to have waited to its end.
 	timeoutShare = 0.9
 )
 
-// LoadBalancer is the Selector that decides by package schedule. It adds the clock, a lock, and the waiting for a place.
+// LoadBalancer is the Selector that decides by package balancer. It adds the clock, a lock, and the goroutines that wait in the
+// queues. It is safe for concurrent use.
 type LoadBalancer struct {
 	now func() time.Duration
 
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards all below, and the balancer's own state
 	balancer *balancer.Balancer
 	queues   map[string]*balancer.Queue
-	waiting  map[uint64]*queuedWaiter
+	waiting  map[uint64]*queuedWaiter // by the ID of the queued request
 	lastID   uint64
 	proxies  int
 }
 
-// queuedWaiter is a request that waits for a place.
-type queuedWaiter struct {
-	info      *RequestInfo
-	expiresAt time.Duration     // when it is refused
-	result    chan selectResult // holds the answer once the waiter has left its queue
-}
-
-// selectResult is what Select returns.
-type selectResult struct {
-	selection Selection
-	err       error
-}
-
-// attemptTicket is the scheduler's own part of a choice.
+// attemptTicket is a selection's Ticket: the balancer's state of the attempt.
 type attemptTicket struct {
 	balancer *LoadBalancer
 	attempt  balancer.Attempt
@@ -61,14 +48,14 @@
 }
 
 // Granted implements upstream.Permit: an endpoint that began to drain, or whose version was withdrawn, while a connection
-// was made gets nothing any more.
+// was made must not get the request.
 func (t *attemptTicket) Granted() bool {
 	t.balancer.mutex.Lock()
 	defer t.balancer.mutex.Unlock()
 	return t.balancer.balancer.Eligible(&t.attempt)
 }
 
-// NewLoadBalancer returns a scheduler that knows no endpoint. The seed differs from proxy to proxy.
+// NewLoadBalancer returns a load balancer that knows no endpoint. The seed must differ from proxy to proxy.
 func NewLoadBalancer(zone string, seed uint64) *LoadBalancer {
 	start := time.Now()
 	return newLoadBalancer(zone, seed, func() time.Duration { return time.Since(start) })
@@ -84,130 +71,131 @@
 	}
 }
 
-// SetEndpoints takes over the list of endpoints, which must not be changed afterwards.
-func (s *LoadBalancer) SetEndpoints(endpoints []model.Endpoint) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.balancer.SetEndpoints(s.now(), endpoints)
-	s.dispatchAll()
+// SetEndpoints replaces the list of endpoints, which must not be changed afterwards.
+func (b *LoadBalancer) SetEndpoints(endpoints []model.Endpoint) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.balancer.SetEndpoints(b.now(), endpoints)
+	b.dispatchAll()
 }
 
-// SetVersions takes over which versions of each service may take requests.
-func (s *LoadBalancer) SetVersions(versions []view.ServiceVersions) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.balancer.SetVersions(versions)
-	s.dispatchAll()
+// SetVersions replaces which versions of each service may take requests.
+func (b *LoadBalancer) SetVersions(versions []view.ServiceVersions) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.balancer.SetVersions(versions)
+	b.dispatchAll()
 }
 
-// SetProxies tells how many proxies share the connections that an endpoint takes.
-func (s *LoadBalancer) SetProxies(count int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.proxies = max(count, 1)
+// SetProxies sets how many proxies, at least one, share the connections that an endpoint takes.
+func (b *LoadBalancer) SetProxies(count int) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.proxies = max(count, 1)
 }
 
-// Select implements Selector. Where all endpoints are full, a request that surely hasn't run waits for a part of its
-// route's target time.
-func (s *LoadBalancer) Select(ctx context.Context, facts *RequestInfo) (Selection, error) {
-	s.mutex.Lock()
-	queue := s.queues[facts.Service.Name]
+// Select implements Selector. Where all endpoints are saturated, a request that surely hasn't run is queued for a part of its
+// route's latency target.
+func (b *LoadBalancer) Select(ctx context.Context, info *RequestInfo) (Selection, error) {
+	b.mutex.Lock()
+	queue := b.queues[info.Service.Name]
 	if queue == nil || queue.Len() == 0 {
-		placed, full := s.trySelect(facts)
-		if !full || facts.MayHaveRun {
-			s.mutex.Unlock()
-			return placed.selection, placed.err
+		result, saturated := b.trySelect(info)
+		if !saturated || info.MayHaveRun {
+			b.mutex.Unlock()
+			return result.selection, result.err
 		}
 	}
-	id, w, refusal := s.enqueue(facts)
-	s.mutex.Unlock()
-	if refusal != nil {
-		return Selection{}, refusal
+	id, waiter, rejection := b.enqueue(info)
+	b.mutex.Unlock()
+	if rejection != nil {
+		return Selection{}, rejection
 	}
-	return s.await(ctx, id, w)
+	return b.await(ctx, id, waiter)
 }
 
-// trySelect asks for a decision, and counts the attempt as sent. The caller holds the mutex.
-func (s *LoadBalancer) trySelect(facts *RequestInfo) (placed selectResult, full bool) {
-	now := s.now()
-	request := requestFor(facts)
-	decision := s.balancer.Select(now, request)
-	if decision.Endpoint == nil && len(facts.RejectedBy) > 0 {
-		request.Excluded = subtract(facts.Excluded, facts.RejectedBy)
-		decision = s.balancer.Select(now, request)
+// trySelect asks for a decision, and counts the attempt as sent. Endpoints that rejected the request before get it only where no
+// other one takes it. The caller holds the mutex.
+func (b *LoadBalancer) trySelect(info *RequestInfo) (result selectResult, saturated bool) {
+	now := b.now()
+	request := requestFor(info)
+	decision := b.balancer.Select(now, request)
+	if decision.Endpoint == nil && len(info.RejectedBy) > 0 {
+		request.Excluded = subtract(info.Excluded, info.RejectedBy)
+		decision = b.balancer.Select(now, request)
 	}
 	if decision.Endpoint == nil {
 		return selectResult{err: rejectionOf(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
 	}
-	t := &attemptTicket{balancer: s, attempt: decision.Attempt, timeLeft: request.TimeLeft}
-	s.balancer.Sent(now, &t.attempt)
-	choice := Selection{
+	ticket := &attemptTicket{balancer: b, attempt: decision.Attempt, timeLeft: request.TimeLeft}
+	b.balancer.Sent(now, &ticket.attempt)
+	selection := Selection{
 		ID:             decision.Endpoint.ID,
 		Address:        decision.Endpoint.Address,
-		MaxConnections: s.maxConnectionsTo(facts.Service),
-		Permit:         t,
-		Ticket:         t,
+		MaxConnections: b.maxConnectionsTo(info.Service),
+		Permit:         ticket,
+		Ticket:         ticket,
 	}
 	if !decision.UntilDeadline {
-		choice.Timeout = decision.Timeout
+		selection.Timeout = decision.Timeout
 	}
-	return selectResult{selection: choice}, false
+	return selectResult{selection: selection}, false
 }
 
-// subtract returns the texts of a list that aren't in another one.
+// subtract returns the elements of a list that aren't in another one.
 func subtract(list, other []string) []string {
 	var rest []string
 	for _, text := range list {
-		if !contains(other, text) {
+		if !slices.Contains(other, text) {
 			rest = append(rest, text)
 		}
 	}
 	return rest
 }
 
-// rejectionOf returns a refusal in the proxy's words.
-func rejectionOf(refusal balancer.Rejection) *Rejection {
+// rejectionOf converts a rejection of the balancer to the kind of error that the client gets.
+func rejectionOf(rejection balancer.Rejection) *Rejection {
 	kind := apierror.Overloaded
-	switch refusal.Kind {
+	switch rejection.Kind {
 	case balancer.NoEndpoint:
 		kind = apierror.NoEndpoint
 	case balancer.DeadlineTooShort:
 		kind = apierror.DeadlineTooShort
 	}
-	return &Rejection{Kind: kind, RetryAfter: refusal.RetryAfter}
+	return &Rejection{Kind: kind, RetryAfter: rejection.RetryAfter}
 }
 
-// maxConnectionsTo returns this proxy's part of the connections that an endpoint of a service takes; 0: no bound.
-func (s *LoadBalancer) maxConnectionsTo(service *model.Service) int {
+// maxConnectionsTo returns this proxy's share of the connections that an endpoint of a service takes; 0: no bound.
+func (b *LoadBalancer) maxConnectionsTo(service *model.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(service.MaxConnections/s.proxies, minConnections)
+	return max(service.MaxConnections/b.proxies, minConnections)
 }
 
 // FirstEvent implements Selector.
-func (s *LoadBalancer) FirstEvent(choice Selection, load string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.balancer.FirstEvent(s.now(), &choice.Ticket.(*attemptTicket).attempt, parseLoad(load))
+func (b *LoadBalancer) FirstEvent(selection Selection, load string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.balancer.FirstEvent(b.now(), &selection.Ticket.(*attemptTicket).attempt, parseLoad(load))
 }
 
 // Done implements Selector.
-func (s *LoadBalancer) Done(choice Selection, outcome Outcome) {
-	t := choice.Ticket.(*attemptTicket)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.balancer.Done(s.now(), &t.attempt, balancer.Outcome{
-		Kind:    outcomeKind(outcome, t.timeLeft),
+func (b *LoadBalancer) Done(selection Selection, outcome Outcome) {
+	ticket := selection.Ticket.(*attemptTicket)
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.balancer.Done(b.now(), &ticket.attempt, balancer.Outcome{
+		Kind:    outcomeKind(outcome, ticket.timeLeft),
 		Elapsed: outcome.Took,
 		Load:    parseLoad(outcome.Load),
 		Tokens:  int(outcome.Tokens),
 	})
-	s.dispatchAll()
+	b.dispatchAll()
 }
 
-// outcomeKind returns the scheduler's word for an outcome.
-func outcomeKind(outcome Outcome, left time.Duration) balancer.OutcomeKind {
+// outcomeKind converts an outcome to the balancer's kind. A client that closes when its time is nearly over counts as a timeout.
+func outcomeKind(outcome Outcome, timeLeft time.Duration) balancer.OutcomeKind {
 	switch outcome.Result {
 	case Succeeded:
 		return balancer.Success
@@ -225,7 +213,7 @@
 	case Cancelled:
 		return balancer.NotSent
 	case ClientClosed:
-		if float64(outcome.Took) >= timeoutShare*float64(left) {
+		if float64(outcome.Took) >= timeoutShare*float64(timeLeft) {
 			return balancer.TimedOut
 		}
 		return balancer.Cancelled
@@ -233,30 +221,30 @@
 	return balancer.IncompleteResponse
 }
 
-// requestFor returns what the scheduler needs to know of a request.
-func requestFor(facts *RequestInfo) balancer.Request {
-	route := facts.Route
-	prefix, own := promptTokens(facts)
+// requestFor returns what the balancer needs to know of a request.
+func requestFor(info *RequestInfo) balancer.Request {
+	route := info.Route
+	prefix, own := promptTokens(info)
 	return balancer.Request{
-		Service: facts.Service.Name,
+		Service: info.Service.Name,
 		Route: balancer.Route{Name: route.Name, Priority: route.Priority, Kind: route.Kind, MaxAttempts: route.MaxAttempts,
 			UsesAffinity: route.Affinity},
 		Retryable:    retryable(route),
-		TimeLeft:     time.Until(facts.Deadline),
-		AttemptsUsed: facts.AttemptsUsed,
-		MayHaveRun:   facts.MayHaveRun,
-		AfterTimeout: facts.AfterTimeout,
-		Excluded:     facts.Excluded,
-		AffinityKey:  affinityKey(facts),
+		TimeLeft:     time.Until(info.Deadline),
+		AttemptsUsed: info.AttemptsUsed,
+		MayHaveRun:   info.MayHaveRun,
+		AfterTimeout: info.AfterTimeout,
+		Excluded:     info.Excluded,
+		AffinityKey:  affinityKey(info),
 		PrefixTokens: prefix,
 		NewTokens:    own,
-		OutTokens:    int(facts.MaxOutputTokens),
+		OutTokens:    int(info.MaxOutputTokens),
 	}
 }
 
-// affinityKey returns a hash of what a request goes on from; 0: nothing.
-func affinityKey(facts *RequestInfo) uint64 {
-	for _, key := range []string{facts.Program, facts.Session, facts.Subject} {
+// affinityKey returns a hash of the program, session or subject that a request belongs to; 0: none.
+func affinityKey(info *RequestInfo) uint64 {
+	for _, key := range []string{info.Program, info.Session, info.Subject} {
 		if key != "" {
 			return max(xxhash.Sum64String(key), 1)
 		}
@@ -264,16 +252,16 @@
 	return 0
 }
 
-// promptTokens returns the tokens of the shared parts of a prompt, and those of its own part, which is the last one.
-func promptTokens(facts *RequestInfo) (prefix, own int) {
-	if facts.Prefix == "" {
-		return 0, int(facts.PromptTokens)
+// promptTokens returns the tokens of the shared prefix of a prompt, and those of its own end: the last element of X-Prompt-Prefix.
+func promptTokens(info *RequestInfo) (prefix, own int) {
+	if info.Prefix == "" {
+		return 0, int(info.PromptTokens)
 	}
-	for part := range strings.SplitSeq(facts.Prefix, ",") {
-		_, count, _ := strings.Cut(part, ":")
+	for element := range strings.SplitSeq(info.Prefix, ",") {
+		_, count, _ := strings.Cut(element, ":")
 		tokens, err := strconv.Atoi(strings.TrimSpace(count))
 		if err != nil || tokens < 0 {
-			return 0, int(facts.PromptTokens)
+			return 0, int(info.PromptTokens)
 		}
 		prefix += own
 		own = tokens
@@ -281,19 +269,19 @@
 	return prefix, own
 }
 
-// parseLoad reads X-Server-Load: running, waiting, slots.
-func parseLoad(told string) balancer.Load {
-	if told == "" {
+// parseLoad reads X-Server-Load: "running,queued,capacity". A malformed value is no report.
+func parseLoad(value string) balancer.Load {
+	if value == "" {
 		return balancer.Load{}
 	}
-	running, rest, _ := strings.Cut(told, ",")
-	waiting, slots, _ := strings.Cut(rest, ",")
+	running, rest, _ := strings.Cut(value, ",")
+	queued, capacity, _ := strings.Cut(rest, ",")
 	var load balancer.Load
-	var failed [3]error
-	load.Running, failed[0] = strconv.Atoi(strings.TrimSpace(running))
-	load.Queued, failed[1] = strconv.Atoi(strings.TrimSpace(waiting))
-	load.Capacity, failed[2] = strconv.Atoi(strings.TrimSpace(slots))
-	if failed != [3]error{} {
+	var errs [3]error
+	load.Running, errs[0] = strconv.Atoi(strings.TrimSpace(running))
+	load.Queued, errs[1] = strconv.Atoi(strings.TrimSpace(queued))
+	load.Capacity, errs[2] = strconv.Atoi(strings.TrimSpace(capacity))
+	if errs != [3]error{} {
 		return balancer.Load{}
 	}
 	return load
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -11,19 +11,24 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// Options are what a Proxy is built from.
+// Options are the settings and dependencies of a Proxy. Views, Programs and Selector are required.
 type Options struct {
-	FrontAddress         string // where clients connect
-	ReadinessAddress     string // where the platform asks whether the proxy is ready
-	Views                Views
-	Programs             Programs
-	Selector             Selector
-	Upstream             upstream.Options
-	Network              network.Network // nil: the system's
-	MaxClientConnections int             // connections of clients at once; 0: no bound
-	MaxOutage            time.Duration   // the longest outage; 0: none is too long
-	Checks               *invariant.Counter
-	Metrics              *metrics.Metrics // told beside readiness; nil: the proxy's own
-	Logger               log.Logger       // of faults in the library or a handler, and of the phases of the end; nil: none
-	Now                  func() time.Time // nil: the system's clock
+	FrontAddress     string // where clients connect, "host:port"
+	ReadinessAddress string // where the platform asks for readiness and metrics
+	Views            Views
+	Programs         Programs
+	Selector         Selector
+	Upstream         upstream.Options
+	Network          network.Network // nil: the system's
+
+	// MaxClientConnections bounds the connections of clients; 0: no bound. A connection over it is closed unread. A larger value
+	// serves more clients and takes more memory and descriptors.
+	MaxClientConnections int
+	// MaxOutage is the time after which an outage counts as a broken invariant in Checks; 0: never.
+	MaxOutage time.Duration
+	Checks    *invariant.Counter
+
+	Metrics *metrics.Metrics // served beside readiness; nil: the proxy's own
+	Logger  log.Logger       // of faults in the library or a handler, and of the phases of a shutdown; nil: none
+	Now     func() time.Time // nil: the system's clock
 }
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -7,133 +7,154 @@
 	"mastusher/internal/tier/balancer"
 )
 
-// minPollInterval is the shortest time after which a waiting request asks again by itself.
-const minPollInterval = 5 * time.Millisecond
+const (
+	// maxQueued bounds the requests of one service that wait for capacity. A larger value rides out longer bursts, and makes
+	// the least urgent requests wait in vain in longer ones.
+	maxQueued = 512
+	// minPollInterval is the shortest time after which a queued request polls for capacity by itself.
+	minPollInterval = 5 * time.Millisecond
+)
+
+// queuedWaiter is a goroutine that waits in Select until its request leaves the queue.
+type queuedWaiter struct {
+	info      *RequestInfo
+	expiresAt time.Duration     // when the request is rejected
+	result    chan selectResult // gets one result, when the request leaves the queue
+}
+
+// selectResult is what Select returns.
+type selectResult struct {
+	selection Selection
+	err       error
+}
 
-// enqueue puts a request into its service's queue. The caller holds the mutex.
-func (s *LoadBalancer) enqueue(facts *RequestInfo) (uint64, *queuedWaiter, *Rejection) {
-	now := s.now()
-	arrived := now - time.Since(facts.ArrivedAt)
-	target := time.Duration(facts.Route.LatencyTargetMs) * time.Millisecond
-	s.lastID++
-	entry := balancer.NewQueuedRequest(s.lastID, facts.Route.Priority, arrived, target, facts.Deadline.Sub(facts.ArrivedAt))
+// enqueue puts a request into its service's queue. A request that has waited long enough already is rejected. The caller holds
+// the mutex.
+func (b *LoadBalancer) enqueue(info *RequestInfo) (uint64, *queuedWaiter, *Rejection) {
+	now := b.now()
+	arrivedAt := now - time.Since(info.ArrivedAt)
+	latencyTarget := time.Duration(info.Route.LatencyTargetMs) * time.Millisecond
+	b.lastID++
+	entry := balancer.NewQueuedRequest(b.lastID, info.Route.Priority, arrivedAt, latencyTarget, info.Deadline.Sub(info.ArrivedAt))
 	if entry.ExpiresAt <= now {
-		return 0, nil, s.rejectionFor(facts)
+		return 0, nil, b.rejectionFor(info)
 	}
-	w := &queuedWaiter{info: facts, expiresAt: entry.ExpiresAt, result: make(chan selectResult, 1)}
-	s.waiting[entry.ID] = w
-	if displaced, full := s.queueFor(facts.Service.Name).Push(entry); full {
-		s.resolve(displaced.ID, selectResult{err: s.rejectionFor(facts)})
+	waiter := &queuedWaiter{info: info, expiresAt: entry.ExpiresAt, result: make(chan selectResult, 1)}
+	b.waiting[entry.ID] = waiter
+	if displaced, full := b.queueFor(info.Service.Name).Push(entry); full {
+		b.resolve(displaced.ID, selectResult{err: b.rejectionFor(info)})
 	}
-	s.dispatch(facts.Service.Name)
-	return entry.ID, w, nil
+	b.dispatch(info.Service.Name)
+	return entry.ID, waiter, nil
 }
 
-func (s *LoadBalancer) queueFor(service string) *balancer.Queue {
-	queue := s.queues[service]
+// queueFor returns the queue of a service, which it creates if necessary.
+func (b *LoadBalancer) queueFor(service string) *balancer.Queue {
+	queue := b.queues[service]
 	if queue == nil {
 		queue = balancer.NewQueue(maxQueued)
-		s.queues[service] = queue
+		b.queues[service] = queue
 	}
 	return queue
 }
 
-// rejectionFor returns the refusal of a request for which there is no place, with the scheduler's time to come back.
-func (s *LoadBalancer) rejectionFor(facts *RequestInfo) *Rejection {
-	return rejectionOf(s.balancer.Select(s.now(), requestFor(facts)).Rejection)
+// rejectionFor returns the rejection of a request for which there is no capacity, with the balancer's Retry-After.
+func (b *LoadBalancer) rejectionFor(info *RequestInfo) *Rejection {
+	return rejectionOf(b.balancer.Select(b.now(), requestFor(info)).Rejection)
 }
 
-// await returns what a waiter is given. It asks again now and then, as an endpoint's refusal may have come to its end, and
-// when the waiter's own time is over.
-func (s *LoadBalancer) await(ctx context.Context, id uint64, w *queuedWaiter) (Selection, error) {
-	timer := time.NewTimer(nextPollIn(w.expiresAt-s.now(), minPollInterval))
+// await returns the result of a queued request. It polls with a growing interval, as an endpoint's backoff may end without any
+// event, and when the request itself expires.
+func (b *LoadBalancer) await(ctx context.Context, id uint64, waiter *queuedWaiter) (Selection, error) {
+	timer := time.NewTimer(nextPollIn(waiter.expiresAt-b.now(), minPollInterval))
 	defer timer.Stop()
-	for pause := 2 * minPollInterval; ; pause *= 2 {
+	for interval := 2 * minPollInterval; ; interval *= 2 {
 		select {
-		case placed := <-w.result:
-			return placed.selection, placed.err
+		case result := <-waiter.result:
+			return result.selection, result.err
 		case <-timer.C:
-			s.poll(w.info.Service.Name)
-			timer.Reset(nextPollIn(w.expiresAt-s.now(), pause))
+			b.poll(waiter.info.Service.Name)
+			timer.Reset(nextPollIn(waiter.expiresAt-b.now(), interval))
 		case <-ctx.Done():
-			return Selection{}, s.leaveQueue(ctx, id, w)
+			return Selection{}, b.leaveQueue(ctx, id, waiter)
 		}
 	}
 }
 
-// nextPollIn returns how long a waiter sleeps that has left time to wait: no longer than that, as it is to be refused on
-// time, and as long as the pause once that is over.
-func nextPollIn(left, pause time.Duration) time.Duration {
-	if left <= 0 {
-		return pause
+// nextPollIn returns the time until the next poll of a request that expires in timeLeft: no longer than that, as it must be
+// rejected on time, and a full interval once it has expired.
+func nextPollIn(timeLeft, interval time.Duration) time.Duration {
+	if timeLeft <= 0 {
+		return interval
 	}
-	return min(left, pause)
+	return min(timeLeft, interval)
 }
 
-// poll looks for places and refuses those whose time to wait is over.
-func (s *LoadBalancer) poll(service string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.dispatch(service)
+// poll dispatches a service's queue.
+func (b *LoadBalancer) poll(service string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.dispatch(service)
 }
 
-// leaveQueue takes a waiter whose client has gone out of its queue, and gives back a place that it got meanwhile.
-func (s *LoadBalancer) leaveQueue(ctx context.Context, id uint64, w *queuedWaiter) error {
-	s.mutex.Lock()
-	delete(s.waiting, id)
-	s.queueFor(w.info.Service.Name).Remove(id)
-	s.mutex.Unlock()
+// leaveQueue takes a request whose client has closed its connection out of its queue, and gives back a selection that it got
+// meanwhile.
+func (b *LoadBalancer) leaveQueue(ctx context.Context, id uint64, waiter *queuedWaiter) error {
+	b.mutex.Lock()
+	delete(b.waiting, id)
+	b.queueFor(waiter.info.Service.Name).Remove(id)
+	b.mutex.Unlock()
 	select {
-	case placed := <-w.result:
-		if placed.err == nil {
-			s.Done(placed.selection, Outcome{Result: Cancelled})
+	case result := <-waiter.result:
+		if result.err == nil {
+			b.Done(result.selection, Outcome{Result: Cancelled})
 		}
 	default:
 	}
 	return context.Cause(ctx)
 }
 
-// dispatchAll serves all queues. The caller holds the mutex.
-func (s *LoadBalancer) dispatchAll() {
-	if len(s.waiting) == 0 {
+// dispatchAll dispatches all queues. The caller holds the mutex.
+func (b *LoadBalancer) dispatchAll() {
+	if len(b.waiting) == 0 {
 		return
 	}
-	for service := range s.queues {
-		s.dispatch(service)
+	for service := range b.queues {
+		b.dispatch(service)
 	}
 }
 
-// dispatch gives places to the waiters of a service, the most urgent first, and refuses those whose time to wait is over. The
-// caller holds the mutex.
-func (s *LoadBalancer) dispatch(service string) {
-	queue := s.queues[service]
+// dispatch selects endpoints for the queued requests of a service, the most urgent first, until one must wait on, and rejects those
+// that have expired. The caller holds the mutex.
+func (b *LoadBalancer) dispatch(service string) {
+	queue := b.queues[service]
 	if queue == nil {
 		return
 	}
 	for {
-		entry, waits := queue.Peek()
-		if !waits {
+		entry, queued := queue.Peek()
+		if !queued {
 			return
 		}
-		placed, full := s.trySelect(s.waiting[entry.ID].info)
-		if full {
+		result, saturated := b.trySelect(b.waiting[entry.ID].info)
+		if saturated {
 			break
 		}
 		queue.Pop()
-		s.resolve(entry.ID, placed)
+		b.resolve(entry.ID, result)
 	}
 	for {
-		entry, expired := queue.PopExpired(s.now())
+		entry, expired := queue.PopExpired(b.now())
 		if !expired {
 			return
 		}
-		s.resolve(entry.ID, selectResult{err: s.rejectionFor(s.waiting[entry.ID].info)})
+		b.resolve(entry.ID, selectResult{err: b.rejectionFor(b.waiting[entry.ID].info)})
 	}
 }
 
-// resolve hands a waiter its answer. The caller holds the mutex.
-func (s *LoadBalancer) resolve(id uint64, placed selectResult) {
-	w := s.waiting[id]
-	delete(s.waiting, id)
-	w.result <- placed
+// resolve hands a waiter its result. The caller holds the mutex.
+func (b *LoadBalancer) resolve(id uint64, result selectResult) {
+	waiter := b.waiting[id]
+	delete(b.waiting, id)
+	waiter.result <- result
 }
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -13,15 +13,15 @@
 	"mastusher/internal/tier/metrics"
 )
 
-// rejectionsInterval is the pace at which a proxy logs what it has answered by itself.
+// rejectionsInterval is the interval at which a proxy logs its own error responses.
 const rejectionsInterval = time.Second
 
-// outageRejectionsPerServed is the number of refusals beside one request that is served from which on a proxy is in an outage.
+// outageRejectionsPerServed is the number of rejections for each served request above which a proxy is in an outage.
 const outageRejectionsPerServed = 3
 
-// rejectionCounter counts a proxy's own answers by their kind, and notices outages.
+// rejectionCounter counts a proxy's own error responses by their kind, and detects outages.
 type rejectionCounter struct {
-	mutex  sync.Mutex
+	mutex  sync.Mutex // guards counts, served and cause
 	counts map[apierror.Kind]int
 	served int
 	cause  error // of the last turn that the stores could not begin; nil: none since the last report
@@ -32,10 +32,14 @@
 }
 
 func newRejectionCounter(options *Options) *rejectionCounter {
-	return &rejectionCounter{counts: map[apierror.Kind]int{}, metrics: options.Metrics, outage: outage{bound: options.MaxOutage, checks: options.Checks}}
+	return &rejectionCounter{
+		counts:  map[apierror.Kind]int{},
+		metrics: options.Metrics,
+		outage:  outage{bound: options.MaxOutage, checks: options.Checks},
+	}
 }
 
-// add counts one answer.
+// add counts one error response.
 func (r *rejectionCounter) add(kind apierror.Kind) {
 	r.metrics.CountRejection(kind.String())
 	r.mutex.Lock()
@@ -43,21 +47,21 @@
 	r.counts[kind]++
 }
 
-// addServed counts a request whose endpoint's answer goes to the client.
+// addServed counts a request whose endpoint's response goes to the client.
 func (r *rejectionCounter) addServed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.served++
 }
 
-// recordCause keeps why a turn could not be begun.
+// recordCause keeps why a turn could not be begun, for the next report.
 func (r *rejectionCounter) recordCause(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cause = err
 }
 
-// reset returns what has come since the last call.
+// reset returns what was counted since the last call.
 func (r *rejectionCounter) reset() (counts map[apierror.Kind]int, served int, cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,14 +84,14 @@
 	}
 }
 
-// report logs the counts, if there are any, and looks whether an outage goes on.
+// report logs the counts, if there are any, and checks whether an outage goes on.
 func (r *rejectionCounter) report(now time.Time, logger log.Logger) {
 	counts, served, cause := r.reset()
 	r.outage.observe(now, counts[apierror.NotReady]+counts[apierror.StateUnavailable], served)
 	if len(counts) == 0 {
 		return
 	}
-	fields := []any{"msg", "own answers", "served", served}
+	fields := []any{"msg", "proxy error responses", "served", served}
 	for _, kind := range apierror.Kinds() {
 		if counts[kind] > 0 {
 			fields = append(fields, kind.String(), counts[kind])
@@ -99,7 +103,7 @@
 	level.Info(logger).Log(fields...)
 }
 
-// outage is the time for which a proxy has refused most requests, since it lacks a view or the stores' answer.
+// outage is the time for which a proxy has rejected most requests because it lacks a view or the stores' answer.
 type outage struct {
 	bound  time.Duration // after which it breaks the invariant; 0: never
 	checks *invariant.Counter
@@ -109,13 +113,13 @@
 	reported bool // that it breaks the invariant
 }
 
-// observe takes in how many requests were refused for that reason, and how many were served, since the last call. Without
-// any request nothing is known of whether it goes on.
-func (o *outage) observe(now time.Time, refused, served int) {
-	if refused+served == 0 {
+// observe takes how many requests were rejected for that reason, and how many were served, since the last call. An interval
+// without any request doesn't show whether the outage goes on.
+func (o *outage) observe(now time.Time, rejected, served int) {
+	if rejected+served == 0 {
 		return
 	}
-	if refused <= outageRejectionsPerServed*served {
+	if rejected <= outageRejectionsPerServed*served {
 		o.active, o.reported = false, false
 		return
 	}
@@ -124,6 +128,6 @@
 	}
 	if lasts := now.Sub(o.since); o.bound > 0 && lasts > o.bound && !o.reported {
 		o.reported = true
-		o.checks.Violated(invariant.Recovery, "outage", lasts, "refused", refused, "served", served)
+		o.checks.Violated(invariant.Recovery, "outage", lasts, "rejected", rejected, "served", served)
 	}
 }
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -15,7 +15,7 @@
 	maxPooledBytes = 64 << 10
 )
 
-var errBodyTooLarge = errors.New("the body is larger than the configuration allows")
+var errBodyTooLarge = errors.New("request body larger than the configured limit")
 
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
@@ -34,7 +34,7 @@
 	SetWriteDeadline(time.Time) error
 }
 
-// setReadDeadline bounds the time in which the rest of a request may come, also where the library reads it after an answer.
+// setReadDeadline bounds the time in which the rest of a request may come, also where the library reads it after a response.
 // The library sets the time anew for the connection's next request.
 func setReadDeadline(w http.ResponseWriter, r *http.Request, deadline time.Time) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
@@ -42,15 +42,16 @@
 	}
 }
 
-// clearReadDeadline takes the bound back once a request has been read: the library goes on reading, to see whether the client
-// goes.
+// clearReadDeadline takes the bound back once a request has been read: the library goes on reading, to detect that the client
+// closes its connection.
 func clearReadDeadline(w http.ResponseWriter, r *http.Request) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
 		connection.SetReadDeadline(time.Time{})
 	}
 }
 
-// readBody reads a request's whole body, up to limit bytes, into the buffer.
+// readBody reads a request's complete body, up to limit bytes, into the buffer. A limit of 0 is none. A larger body fails with
+// errBodyTooLarge.
 func readBody(r *http.Request, buffer *[]byte, limit int64) error {
 	switch {
 	case r.ContentLength == 0:
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// copyBufferBytes is the size of the buffer through which an answer goes.
+	// copyBufferBytes is the size of the buffer through which a response goes.
 	copyBufferBytes = 8 << 10
-	// maxBufferedBytes is the length up to which an answer is read whole before its head is passed on.
+	// maxBufferedBytes is the length up to which a response is read completely before its head is forwarded. A larger value makes
+	// more broken responses retryable, and holds back the first bytes of more responses.
 	maxBufferedBytes = 32 << 10
 )
 
-// forwardResponse passes an answer on to the client. It returns true when the request is to be sent again.
-func (c *clientRequest) forwardResponse(a *attempt) (again bool) {
+// forwardResponse forwards a response to the client. It returns true when the request is to be retried.
+func (c *clientRequest) forwardResponse(a *attempt) (retry bool) {
 	buffer := getBuffer()
 	defer putBuffer(buffer)
 	if cap(*buffer) < copyBufferBytes {
@@ -35,9 +36,46 @@
 	return c.forwardCopying(a, (*buffer)[:cap(*buffer)])
 }
 
-// forwardBuffered reads an answer of untold length, up to a bound, before its head goes out: as long as that hasn't, a
-// request that may run again can go to another endpoint when the answer breaks off.
-func (c *clientRequest) forwardBuffered(a *attempt, buffer *[]byte) (again bool) {
+// forwardShort reads a short response to its end and forwards it at once.
+func (c *clientRequest) forwardShort(a *attempt, buffer *[]byte) (retry bool) {
+	data := (*buffer)[:0]
+	if !a.response.Complete() {
+		if int64(cap(data)) < a.response.ContentLength {
+			data = make([]byte, 0, a.response.ContentLength)
+		}
+		data = data[:a.response.ContentLength]
+		if _, err := io.ReadFull(a.response, data); err != nil {
+			return c.handleIncomplete(a)
+		}
+		*buffer = data
+		a.readEOF()
+	}
+	c.forwardComplete(a, data)
+	return false
+}
+
+// readEOF reads the end of a body whose last byte has been read, so that its connection can be kept.
+func (a *attempt) readEOF() {
+	if !a.response.Complete() {
+		var beyond [1]byte
+		a.response.Read(beyond[:])
+	}
+}
+
+// forwardComplete forwards a response whose body has been read completely. The attempt is finished before the body goes out, so
+// that its connection serves other requests meanwhile.
+func (c *clientRequest) forwardComplete(a *attempt, data []byte) {
+	c.recordComplete(a)
+	c.writeHeader(a)
+	c.finishAttempt(a)
+	if len(data) > 0 {
+		c.write(a, data)
+	}
+}
+
+// forwardBuffered reads a response of unknown length, up to a bound, before its head goes out: until then a retryable request
+// can go to another endpoint when the response breaks off.
+func (c *clientRequest) forwardBuffered(a *attempt, buffer *[]byte) (retry bool) {
 	data := (*buffer)[:0]
 	for len(data) < maxBufferedBytes {
 		if len(data) == cap(data) {
@@ -66,81 +104,8 @@
 	return c.forwardCopying(a, data[:cap(data)])
 }
 
-// writeHeader passes on the head of an answer. An answer whose end only its connection tells goes on in chunks: so it can't look
-// complete when it was broken off, also where this process ends in the middle.
-func (c *clientRequest) writeHeader(a *attempt) {
-	if c.headerWritten {
-		return
-	}
-	c.headerWritten = true
-	c.proxy.rejections.addServed()
-	header := c.writer.Header()
-	c.proxy.closeIfDraining(header)
-	copyResponseHeader(header, a.response.Header)
-	if a.response.ContentLength >= 0 && first(a.response.Header, "Content-Length") != "" {
-		header["Content-Length"] = []string{strconv.FormatInt(a.response.ContentLength, 10)}
-	}
-	c.resetOnUnframedEnd(header)
-	c.writer.WriteHeader(a.response.Status)
-}
-
-// resetOnUnframedEnd makes every close of the client's connection a reset where only that end tells the end of the answer: to a client of
-// HTTP/1.0, if no length is told. The library closes it by itself when a write fails, and the system when this process ends.
-func (c *clientRequest) resetOnUnframedEnd(header http.Header) {
-	if c.request.ProtoAtLeast(1, 1) || first(header, "Content-Length") != "" {
-		return
-	}
-	if client := clientOf(c.request); client != nil {
-		client.setResetOnClose(true)
-		c.resetsOnClose = true
-	}
-}
-
-// allowOrderlyClose lets the client's connection end in order once the whole answer has gone out.
-func (c *clientRequest) allowOrderlyClose() {
-	if !c.resetsOnClose {
-		return
-	}
-	flusher, ok := c.writer.(interface{ FlushError() error })
-	if ok && flusher.FlushError() != nil {
-		abortConnection()
-	}
-	clientOf(c.request).setResetOnClose(false)
-}
-
-// forwardShort reads a short answer to its end and passes it on in one piece.
-func (c *clientRequest) forwardShort(a *attempt, buffer *[]byte) (again bool) {
-	data := (*buffer)[:0]
-	if !a.response.Complete() {
-		if int64(cap(data)) < a.response.ContentLength {
-			data = make([]byte, 0, a.response.ContentLength)
-		}
-		data = data[:a.response.ContentLength]
-		if _, err := io.ReadFull(a.response, data); err != nil {
-			return c.handleIncomplete(a)
-		}
-		*buffer = data
-		a.readEOF()
-	}
-	c.recordComplete(a)
-	c.writeHeader(a)
-	c.finishAttempt(a)
-	if len(data) > 0 {
-		c.write(a, data)
-	}
-	return false
-}
-
-// readEOF reads the end of a body whose last byte has been read, so that its connection can be kept.
-func (a *attempt) readEOF() {
-	if !a.response.Complete() {
-		var beyond [1]byte
-		a.response.Read(beyond[:])
-	}
-}
-
-// forwardCopying passes a long answer on as it comes.
-func (c *clientRequest) forwardCopying(a *attempt, buffer []byte) (again bool) {
+// forwardCopying forwards a long response as it comes.
+func (c *clientRequest) forwardCopying(a *attempt, buffer []byte) (retry bool) {
 	for {
 		n, err := a.response.Read(buffer)
 		if n > 0 {
@@ -165,14 +130,24 @@
 	}
 }
 
-// recordFirstByte notes when the body began.
+// handleInterrupted deals with a response that broke off.
+func (c *clientRequest) handleInterrupted(a *attempt) (retry bool) {
+	if !c.headerWritten {
+		return c.handleIncomplete(a)
+	}
+	a.outcome.Result = c.incompleteResult(a)
+	abortConnection()
+	return false
+}
+
+// recordFirstByte records when the body began.
 func (c *clientRequest) recordFirstByte(a *attempt) {
 	if a.outcome.FirstByte == 0 {
 		a.outcome.FirstByte = c.proxy.options.Now().Sub(a.started)
 	}
 }
 
-// recordComplete notes that a whole answer has come.
+// recordComplete records that a complete response has come.
 func (c *clientRequest) recordComplete(a *attempt) {
 	if a.outcome.Result == NotRun {
 		return
@@ -184,17 +159,50 @@
 	c.recordMayHaveRun(a.outcome.Result)
 }
 
-// handleInterrupted deals with an answer that broke off.
-func (c *clientRequest) handleInterrupted(a *attempt) (again bool) {
-	if !c.headerWritten {
-		return c.handleIncomplete(a)
+// writeHeader forwards the head of a response, once. A close-delimited response goes on in chunks: so it can't look complete
+// when it was broken off, also where this process ends in the middle.
+func (c *clientRequest) writeHeader(a *attempt) {
+	if c.headerWritten {
+		return
 	}
-	a.outcome.Result = c.incompleteResult(a)
-	abortConnection()
-	return false
+	c.headerWritten = true
+	c.proxy.rejections.addServed()
+	header := c.writer.Header()
+	c.proxy.closeIfDraining(header)
+	copyResponseHeader(header, a.response.Header)
+	if a.response.ContentLength >= 0 && first(a.response.Header, "Content-Length") != "" {
+		header["Content-Length"] = []string{strconv.FormatInt(a.response.ContentLength, 10)}
+	}
+	c.resetOnUnframedEnd(header)
+	c.writer.WriteHeader(a.response.Status)
+}
+
+// resetOnUnframedEnd makes every close of the client's connection a reset where only that close tells the end of the response: to a
+// client of HTTP/1.0, if there is no length. The library closes it by itself when a write fails, and the system when this
+// process ends.
+func (c *clientRequest) resetOnUnframedEnd(header http.Header) {
+	if c.request.ProtoAtLeast(1, 1) || first(header, "Content-Length") != "" {
+		return
+	}
+	if client := clientOf(c.request); client != nil {
+		client.setResetOnClose(true)
+		c.resetsOnClose = true
+	}
+}
+
+// allowOrderlyClose lets the client's connection end in order once the complete response has gone out.
+func (c *clientRequest) allowOrderlyClose() {
+	if !c.resetsOnClose {
+		return
+	}
+	flusher, ok := c.writer.(interface{ FlushError() error })
+	if ok && flusher.FlushError() != nil {
+		abortConnection()
+	}
+	clientOf(c.request).setResetOnClose(false)
 }
 
-// write hands bytes on to the client. One that takes none any more has gone.
+// write forwards bytes to the client. One that takes none any more has closed its connection.
 func (c *clientRequest) write(a *attempt, data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
 		c.handleClientClosed(a)
@@ -209,7 +217,7 @@
 	}
 }
 
-// handleClientClosed ends a call whose client has gone.
+// handleClientClosed ends a request whose client has closed its connection.
 func (c *clientRequest) handleClientClosed(a *attempt) {
 	a.outcome.Result = ClientClosed
 	abortConnection()
--- a/internal/tier/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -31,7 +31,7 @@
 	return route
 }
 
-// pickService returns the service that takes a request, or nil: always the same for a key.
-func (r *Routes) pickService(route *model.Route, key uint64) *model.Service {
+// selectService returns the service that takes a request, or nil: always the same for a key.
+func (r *Routes) selectService(route *model.Route, key uint64) *model.Service {
 	return r.table.Service(route.PickService(key))
 }
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -17,13 +17,16 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// readyPath is what the platform asks for.
+// readyPath is the path of the readiness check.
 const readyPath = "/mastusher/ready"
 
-// ShutdownGracePeriod is how much longer than its context Shutdown takes at most, when requests and ends of turns go on.
+// ShutdownGracePeriod is how much longer than its context Shutdown takes at most, when requests and commits of turns go on.
 const ShutdownGracePeriod = finalResponsesTimeout + finalCommitsTimeout
 
-// Proxy is the HTTP data path.
+// readinessHeaderTimeout bounds the head of a request for readiness.
+const readinessHeaderTimeout = 5 * time.Second
+
+// Proxy is the HTTP data path. It is safe for concurrent use.
 type Proxy struct {
 	options           Options
 	pool              *upstream.Pool
@@ -35,7 +38,7 @@
 	draining          atomic.Bool
 }
 
-// New opens the listeners of a proxy. Serve makes it take requests.
+// New opens the listeners of a proxy. Serve makes it take requests. The error is that of a listener.
 func New(options Options) (*Proxy, error) {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -48,7 +51,12 @@
 	}
 	options.Network = network.OrSystem(options.Network)
 	options.Upstream.Network = options.Network
-	p := &Proxy{options: options, pool: upstream.NewPool(options.Upstream), usage: newUsageCommitter(options.Programs), rejections: newRejectionCounter(&options)}
+	p := &Proxy{
+		options:    options,
+		pool:       upstream.NewPool(options.Upstream),
+		usage:      newUsageCommitter(options.Programs),
+		rejections: newRejectionCounter(&options),
+	}
 	frontListener, err := options.Network.Listen(context.Background(), new(net.ListenConfig), "tcp4", options.FrontAddress)
 	if err != nil {
 		return nil, err
@@ -59,17 +67,17 @@
 		return nil, err
 	}
 	p.frontend = newFrontend(frontListener, p.frontHandler(), p.currentLimits, options)
-	p.readinessServer = &http.Server{Handler: p.readinessHandler(), ReadHeaderTimeout: 5 * time.Second}
+	p.readinessServer = &http.Server{Handler: p.readinessHandler(), ReadHeaderTimeout: readinessHeaderTimeout}
 	return p, nil
 }
 
 // FrontAddress returns where clients connect.
 func (p *Proxy) FrontAddress() net.Addr { return p.frontend.listener.Addr() }
 
-// ReadinessAddress returns where readiness is asked.
+// ReadinessAddress returns where readiness and metrics are served.
 func (p *Proxy) ReadinessAddress() net.Addr { return p.readinessListener.Addr() }
 
-// Serve takes requests until Shutdown.
+// Serve takes requests until Shutdown, then returns nil. Any other error is that of a listener.
 func (p *Proxy) Serve() error {
 	if p.options.Logger != nil {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -86,42 +94,42 @@
 	return err
 }
 
-// Drain makes the proxy say that it is not ready, and end each client's connection with its next answer. New connections
+// Drain makes the proxy report that it is not ready, and end each client's connection with its next response. New connections
 // are still taken.
 func (p *Proxy) Drain() {
 	if p.draining.CompareAndSwap(false, true) {
-		p.logShutdownPhase("proxy is not ready any more")
+		p.logShutdownPhase("proxy draining")
 	}
 }
 
-// logShutdownPhase logs a phase of the proxy's end, and what is left to end.
+// logShutdownPhase logs a phase of the shutdown, and what is still pending.
 func (p *Proxy) logShutdownPhase(message string, more ...any) {
-	pairs := []any{"msg", message, "connections", p.frontend.connections(), "settles", p.usage.pending()}
+	pairs := []any{"msg", message, "connections", p.frontend.connections(), "pending_commits", p.usage.pending()}
 	level.Info(p.options.Logger).Log(append(pairs, more...)...)
 }
 
-// closeIfDraining makes an answer the last one of its connection while the proxy drains, so that none is kept by its client.
+// closeIfDraining makes a response the last one of its connection while the proxy drains.
 func (p *Proxy) closeIfDraining(header http.Header) {
 	if p.draining.Load() {
 		header["Connection"] = []string{"close"}
 	}
 }
 
-// Shutdown takes no more connections, and returns when the requests under way and the turns being settled have ended. When
-// the context ends before, the requests that are left are answered at once that they were given up, and what can be settled
-// in a moment is; that takes no more than ShutdownGracePeriod.
+// Shutdown takes no more connections, and returns when the pending requests and the commits of turns have ended. When the
+// context ends before, the pending requests are abandoned: each gets an error response, or its response is broken off; and what
+// can be committed in a moment is. That takes no more than ShutdownGracePeriod. The error is then the context's.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	began := time.Now()
 	err := p.frontend.shutdown(ctx, func(message string) { p.logShutdownPhase(message, "took", time.Since(began)) })
-	givenUp := p.usage.drain(ctx)
-	p.logShutdownPhase("proxy has ended the settling of turns", "took", time.Since(began), "given_up", givenUp)
+	abandoned := p.usage.drain(ctx)
+	p.logShutdownPhase("proxy usage commits ended", "took", time.Since(began), "abandoned", abandoned)
 	p.readinessServer.Close()
 	p.pool.Close()
 	return err
 }
 
-// frontHandler hands every request to the data path.
+// frontHandler serves every request of a client.
 func (p *Proxy) frontHandler() http.Handler {
 	e := echo.New()
 	e.RouteNotFound("/*", func(c echo.Context) error {
@@ -131,7 +139,7 @@
 	return e
 }
 
-// readinessHandler answers the platform.
+// readinessHandler serves the platform's checks and metrics.
 func (p *Proxy) readinessHandler() http.Handler {
 	e := echo.New()
 	e.GET(readyPath, func(c echo.Context) error {
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -1,13 +1,14 @@
 package proxy
 
 import (
+	"errors"
 	"io"
 
 	"mastusher/internal/tier/upstream"
 )
 
-// forwardStream passes a stream on event by event. It returns true when the stream is to be taken up at another endpoint.
-func (c *clientRequest) forwardStream(a *attempt, buffer []byte) (again bool) {
+// forwardStream forwards a stream event by event. It returns true when the stream is to be resumed at another endpoint.
+func (c *clientRequest) forwardStream(a *attempt, buffer []byte) (retry bool) {
 	for {
 		n, err := a.response.Read(buffer)
 		if n > 0 && !c.scanEvents(a, buffer[:n]) {
@@ -22,8 +23,8 @@
 	}
 }
 
-// scanEvents passes on the events that bytes complete. It returns false when the stream ends there: its attempt was given up
-// before its first event, or what came can't be passed on.
+// scanEvents forwards the events that the bytes complete. It returns false when the stream ends there: its attempt timed out
+// before its first event, or what came can't be forwarded.
 func (c *clientRequest) scanEvents(a *attempt, data []byte) bool {
 	before := c.scanner.progress()
 	events := c.scanner.feed(data)
@@ -35,7 +36,7 @@
 	return !c.scanner.unforwardable
 }
 
-// finishAtEOF takes the end of an answer's body. It returns false where that is no end of the stream.
+// finishAtEOF takes the end of a response's body. It returns false where that is no end of the stream.
 func (c *clientRequest) finishAtEOF(a *attempt) bool {
 	if c.closedInsideEvent(a) {
 		return false
@@ -48,12 +49,12 @@
 	return true
 }
 
-// closedInsideEvent tells whether a stream whose end only the connection tells was closed inside an event.
+// closedInsideEvent tells whether a close-delimited stream was closed inside an event.
 func (c *clientRequest) closedInsideEvent(a *attempt) bool {
 	return a.response.CloseDelimited && c.scanner.insideEvent()
 }
 
-// forwardEvents passes whole events on at once.
+// forwardEvents forwards complete events at once.
 func (c *clientRequest) forwardEvents(a *attempt, events []byte) {
 	if len(events) == 0 {
 		return
@@ -74,14 +75,13 @@
 	c.flush(a)
 }
 
-// withholdsLastByte tells whether the last byte of the answer waits for the stores. In an answer of untold length that is the byte
-// that ends it, which goes out when the request returns.
+// withholdsLastByte tells whether the last byte of the response waits for the turn's commit. In a response of unknown length that
+// is the byte that ends it, which goes out when the request returns.
 func (c *clientRequest) withholdsLastByte(a *attempt) bool {
 	return c.turn != nil && c.turn.stateful && a.response.ContentLength > 0
 }
 
-// finishStream ends a stream whose last byte has come, with an event that no blank line ended. A remembered turn is made safe
-// before the client has all of it.
+// finishStream ends a stream whose last byte has come, with an event that no blank line ended.
 func (c *clientRequest) finishStream(a *attempt, rest []byte) {
 	c.forwardEvents(a, rest)
 	c.recordComplete(a)
@@ -90,28 +90,36 @@
 	if c.turn == nil {
 		return
 	}
+	c.commitCompleteTurn()
+	if len(c.turn.withheld) > 0 {
+		c.write(a, c.turn.withheld)
+	}
+}
+
+// commitCompleteTurn commits a turn whose stream is complete. A stateful turn must be committed before the client has all of its
+// response; where that fails the response is broken off.
+func (c *clientRequest) commitCompleteTurn() {
 	c.turn.committed = true
 	end := c.turn.end(true, &c.scanner)
 	if !c.turn.stateful {
 		c.proxy.usage.commit(c.turn.key, end)
 		return
 	}
-	if err := commitTurn(c.context, c.proxy.options.Programs, c.turn.key, end); err != nil {
-		// The client sees a cut answer, so the turn doesn't count; its tokens do.
-		end.Complete, end.Output = false, nil
-		if err != errUnknownTurn {
-			c.proxy.usage.commit(c.turn.key, end)
-		}
-		abortConnection()
+	err := commitTurn(c.context, c.proxy.options.Programs, c.turn.key, end)
+	if err == nil {
+		return
 	}
-	if len(c.turn.withheld) > 0 {
-		c.write(a, c.turn.withheld)
+	// The client sees an incomplete response, so the turn doesn't count; its tokens do.
+	end.Complete, end.Output = false, nil
+	if !errors.Is(err, errUnknownTurn) {
+		c.proxy.usage.commit(c.turn.key, end)
 	}
+	abortConnection()
 }
 
-// handleStreamInterrupted deals with a stream that broke off: it is taken up at another endpoint if that is allowed and can be done
-// without a gap.
-func (c *clientRequest) handleStreamInterrupted(a *attempt) (again bool) {
+// handleStreamInterrupted deals with a stream that broke off: it is resumed at another endpoint if that is allowed and can be
+// done without a gap.
+func (c *clientRequest) handleStreamInterrupted(a *attempt) (retry bool) {
 	if !c.headerWritten {
 		c.scanner.restart()
 		return c.handleIncomplete(a)
@@ -125,7 +133,8 @@
 	return true
 }
 
-// resumable tells whether another endpoint can go on where an answer broke off: each event has an id, and no length was told.
-func (c *clientRequest) resumable(answer *upstream.Response) bool {
-	return c.info.Route.Resumable && c.scanner.lastID != "" && !c.scanner.lastWithoutID && answer.ContentLength < 0
+// resumable tells whether another endpoint can go on where a response broke off: each event has an id, and the client has no
+// length.
+func (c *clientRequest) resumable(response *upstream.Response) bool {
+	return c.info.Route.Resumable && c.scanner.lastID != "" && !c.scanner.lastWithoutID && response.ContentLength < 0
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -4,39 +4,49 @@
 	"context"
 	"net/http"
 	"strconv"
+	"time"
 
 	"mastusher/internal/tier/apierror"
 	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/program"
 )
 
-// turn is a program's turn that the stores know of.
+const (
+	// beginTimeoutDivisor gives the part of a request's time in which the leader of its program must be reached; then it is
+	// rejected, so that its client has time to come back.
+	beginTimeoutDivisor = 4
+	// minBeginTimeout is the time for that in any case.
+	minBeginTimeout = 300 * time.Millisecond
+)
+
+// turn is a program's turn that the program stores know of.
 type turn struct {
 	key            string // of the shard that keeps it
 	id             string
-	stateful       bool
+	stateful       bool // its input and output become part of the program's history
 	tokensPerEvent int64
 	reserved       bool   // Begin was called: the stores may hold a reservation
-	committed      bool   // the end was given over
-	bytesForwarded int64  // bytes of the answer passed on
-	withheld       []byte // the last byte of the answer, held back until the stores have its end
+	committed      bool   // the commit was handed over
+	bytesForwarded int64  // of the response
+	withheld       []byte // the last byte of the response, until the turn is committed
 }
 
-// newTurn returns the turn that a request is; nil if it is none. Endpoints refuse a request without an id.
-func newTurn(header http.Header, route *model.Route, facts *RequestInfo) (*turn, int64) {
-	if route.Kind != model.Streaming || facts.AttemptID == "" {
+// newTurn returns the turn that a request is, and its program's budget in tokens; nil if it is none. Endpoints refuse a request
+// without an id.
+func newTurn(header http.Header, info *RequestInfo) (*turn, int64) {
+	if info.Route.Kind != model.Streaming || info.AttemptID == "" {
 		return nil, 0
 	}
-	told := first(header, headerBudget)
-	if told == "" && !route.Stateful {
+	value := first(header, headerBudget)
+	if value == "" && !info.Route.Stateful {
 		return nil, 0
 	}
-	budget, _ := strconv.ParseInt(told, 10, 64)
+	budget, _ := strconv.ParseInt(value, 10, 64)
 	return &turn{
-		key:            shardKey(facts),
-		id:             facts.AttemptID,
-		stateful:       route.Stateful,
-		tokensPerEvent: tokensPerEvent(facts.Service),
+		key:            shardKey(info),
+		id:             info.AttemptID,
+		stateful:       info.Route.Stateful,
+		tokensPerEvent: tokensPerEvent(info.Service),
 	}, max(budget, 0)
 }
 
@@ -48,29 +58,29 @@
 	return max(service.Engine.TokensPerEvent, 1)
 }
 
-// shardKey returns what picks the shard of a turn: its program, or else its line of turns.
-func shardKey(facts *RequestInfo) string {
+// shardKey returns what selects the shard of a turn: its program, or else its session.
+func shardKey(info *RequestInfo) string {
 	switch {
-	case facts.Program != "":
-		return facts.Program
-	case facts.Session != "":
-		return facts.Session
+	case info.Program != "":
+		return info.Program
+	case info.Session != "":
+		return info.Session
 	}
-	return facts.AttemptID
+	return info.AttemptID
 }
 
-// begin has the turn's budget reserved and returns its chain, or why it isn't to be sent, with the error if the
-// stores gave no verdict.
-func (t *turn) begin(ctx context.Context, programs Programs, facts *RequestInfo, budget int64, input []byte) (apierror.Kind, []byte, error) {
+// begin has the turn's budget reserved and returns its chain, or the kind of error for which it isn't to be sent, with the cause
+// if the stores gave no verdict.
+func (t *turn) begin(ctx context.Context, programs Programs, info *RequestInfo, budget int64, input []byte) (apierror.Kind, []byte, error) {
 	t.reserved = true
 	result, err := programs.Begin(ctx, t.key, program.BeginTurn{
 		Turn:       t.id,
-		Program:    facts.Program,
+		Program:    info.Program,
 		Budget:     budget,
-		MaxTokens:  facts.MaxOutputTokens,
+		MaxTokens:  info.MaxOutputTokens,
 		Remembered: t.stateful,
-		Previous:   facts.Previous,
-		KeepForS:   facts.Route.RetentionS,
+		Previous:   info.Previous,
+		KeepForS:   info.Route.RetentionS,
 		Input:      input,
 	})
 	if err != nil {
@@ -89,11 +99,52 @@
 	return apierror.StateUnavailable, nil, nil
 }
 
-// end returns what the stores are told at the end of the turn.
-func (t *turn) end(whole bool, scanner *eventScanner) program.EndTurn {
-	end := program.EndTurn{Turn: t.id, Complete: whole, Tokens: scanner.count * t.tokensPerEvent}
-	if whole && t.stateful {
+// end returns the turn's usage, and the output of a complete one, for the stores.
+func (t *turn) end(complete bool, scanner *eventScanner) program.EndTurn {
+	end := program.EndTurn{Turn: t.id, Complete: complete, Tokens: scanner.count * t.tokensPerEvent}
+	if complete && t.stateful {
 		end.Output = scanner.output
 	}
 	return end
 }
+
+// beginTurn has the stores begin a turn. It returns false when the request has ended with an error response.
+func (c *clientRequest) beginTurn() bool {
+	var budget int64
+	c.turn, budget = newTurn(c.request.Header, &c.info)
+	if c.turn == nil {
+		return true
+	}
+	c.scanner.collect = c.turn.stateful
+	bounded, cancel := context.WithTimeout(c.context, beginTimeout(c.info.Deadline.Sub(c.proxy.options.Now())))
+	defer cancel()
+	kind, chain, err := c.turn.begin(bounded, c.proxy.options.Programs, &c.info, budget, *c.body)
+	if err != nil {
+		c.proxy.rejections.recordCause(err)
+	}
+	if kind != apierror.None {
+		c.commitUnfinishedTurn()
+		c.writeError(kind, 0)
+		return false
+	}
+	if len(chain) > 0 {
+		c.upstream.Body = [][]byte{chain, *c.body}
+		c.upstream.HasBody = true
+		c.info.BodyBytes += len(chain)
+	}
+	return true
+}
+
+// beginTimeout returns how long a turn may take to begin.
+func beginTimeout(left time.Duration) time.Duration {
+	return min(left, max(left/beginTimeoutDivisor, minBeginTimeout))
+}
+
+// commitUnfinishedTurn commits, beside the request, the usage of a turn that did not complete.
+func (c *clientRequest) commitUnfinishedTurn() {
+	if c.turn == nil || !c.turn.reserved || c.turn.committed {
+		return
+	}
+	c.turn.committed = true
+	c.proxy.usage.commit(c.turn.key, c.turn.end(false, &c.scanner))
+}
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -10,62 +10,63 @@
 )
 
 const (
-	// commitDeadline is how long the end of a turn is offered to the stores before it is given up: its reservation then counts
-	// as spent.
+	// commitDeadline is how long the commit of a turn is attempted before it is given up: its reservation then counts as spent. A
+	// larger value loses fewer tokens in an outage of the stores, and keeps more goroutines.
 	commitDeadline = 30 * time.Second
-	// commitTimeout bounds one offer.
+	// commitTimeout bounds one attempt.
 	commitTimeout = 2 * time.Second
-	// minCommitBackoff and maxCommitBackoff bound the growing pause between two offers.
+	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between two attempts.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = 2 * time.Second
-	// maxUnknownAnswers bounds the offers that the stores answer by not knowing the turn: about three seconds with the pauses.
+	// maxUnknownAnswers bounds the attempts that the stores answer by not knowing the turn: about three seconds with the backoff.
 	maxUnknownAnswers = 7
-	// finalCommitsTimeout is for the ends of turns whose requests were given up as the proxy ends.
+	// finalCommitsTimeout is for the turns whose requests were abandoned as the proxy shuts down.
 	finalCommitsTimeout = 150 * time.Millisecond
-	// maxConcurrentCommits bounds the turns that are being settled beside their requests.
+	// maxConcurrentCommits bounds the turns that are committed beside their requests.
 	maxConcurrentCommits = 4096
 )
 
-// usageCommitter brings the ends of turns to the stores beside the requests.
+// usageCommitter commits the usage of turns beside their requests, a goroutine each. drain ends these.
 type usageCommitter struct {
 	programs Programs
 	slots    chan struct{}
 	commits  sync.WaitGroup
-	context  context.Context
+	context  context.Context // of every commit
 	cancel   context.CancelFunc
 }
 
 func newUsageCommitter(programs Programs) *usageCommitter {
-	s := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits)}
-	s.context, s.cancel = context.WithCancel(context.Background())
-	return s
+	u := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits)}
+	u.context, u.cancel = context.WithCancel(context.Background())
+	return u
 }
 
-// commit offers the end of a turn until it is acknowledged. Beyond the bound it is dropped, and counts as spent.
-func (s *usageCommitter) commit(key string, turn program.EndTurn) {
+// commit attempts to commit a turn until that is acknowledged. Beyond maxConcurrentCommits the turn is dropped, and its
+// reservation counts as spent.
+func (u *usageCommitter) commit(key string, turn program.EndTurn) {
 	select {
-	case s.slots <- struct{}{}:
+	case u.slots <- struct{}{}:
 	default:
 		return
 	}
-	s.commits.Add(1)
+	u.commits.Add(1)
 	go func() {
-		defer s.commits.Done()
-		defer func() { <-s.slots }()
-		ctx, cancel := context.WithTimeout(s.context, commitDeadline)
+		defer u.commits.Done()
+		defer func() { <-u.slots }()
+		ctx, cancel := context.WithTimeout(u.context, commitDeadline)
 		defer cancel()
-		commitTurn(ctx, s.programs, key, turn)
+		commitTurn(ctx, u.programs, key, turn)
 	}()
 }
 
-// pending returns how many turns are being settled.
-func (s *usageCommitter) pending() int { return len(s.slots) }
+// pending returns how many turns are being committed.
+func (u *usageCommitter) pending() int { return len(u.slots) }
 
-// drain returns when all settles are done, or some time after the context has ended; the rest, so many, is then given up.
-func (s *usageCommitter) drain(ctx context.Context) (givenUp int) {
+// drain returns when all commits have ended, at most finalCommitsTimeout after the context. The rest, so many, is then abandoned.
+func (u *usageCommitter) drain(ctx context.Context) (abandoned int) {
 	done := make(chan struct{})
 	go func() {
-		s.commits.Wait()
+		u.commits.Wait()
 		close(done)
 	}()
 	select {
@@ -73,15 +74,15 @@
 	case <-ctx.Done():
 		waitAtMost(done, finalCommitsTimeout)
 	}
-	givenUp = s.pending()
-	s.cancel()
+	abandoned = u.pending()
+	u.cancel()
 	<-done
-	return givenUp
+	return abandoned
 }
 
-// waitAtMost returns when done is closed, or after so long.
-func waitAtMost(done <-chan struct{}, bound time.Duration) {
-	timer := time.NewTimer(bound)
+// waitAtMost returns when done is closed, or after the timeout.
+func waitAtMost(done <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -89,13 +90,14 @@
 	}
 }
 
-// errUnknownTurn says that the stores don't hold a turn as one that is under way.
-var errUnknownTurn = errors.New("the stores don't know the turn")
+// errUnknownTurn says that the stores have no such turn in progress.
+var errUnknownTurn = errors.New("turn unknown to the stores")
 
-// commitTurn offers the end of a turn until it is acknowledged or the context ends. A whole turn that the stores don't know
-// never counts; of one that broke off they may hear after its end, as the beginning may still be on its way.
+// commitTurn attempts to commit a turn until that is acknowledged or the context ends. A complete turn that the stores don't know
+// never counts, and fails with errUnknownTurn at once; the commit of an incomplete one may overtake its Begin, and is attempted
+// again.
 func commitTurn(ctx context.Context, programs Programs, key string, turn program.EndTurn) error {
-	wait := minCommitBackoff
+	backoff := minCommitBackoff
 	for unknown := 0; ; {
 		result, err := attemptCommit(ctx, programs, key, turn)
 		switch {
@@ -108,14 +110,14 @@
 			}
 			err = errUnknownTurn
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return err
 		}
-		wait = min(2*wait, maxCommitBackoff)
+		backoff = min(2*backoff, maxCommitBackoff)
 	}
 }
 
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -32,7 +32,7 @@
 		"if err := error(nil); err != nil {", "TestTheFirstMachine"},
 	{"there are too few copies", "../controller/controller.go", "return 2*c.options.Settings.FaultTolerance.Machines + 1",
 		"return c.options.Settings.FaultTolerance.Machines + 1", "TestASecondLoss"},
-	{"all requests may be repeated", "../proxy/request.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable",
+	{"all requests may be repeated", "../proxy/retries.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable",
 		"return true", "TestOnceOnly"},
 }
 
