--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -478,7 +478,7 @@
 			if !steps[0].MayWrite() {
 				t.Fatal("the first call may not be written")
 			}
-			if happens(r, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != 1 {
+			if happens(r, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptBegun {
 				t.Error("want the second call alone called back")
 			}
 		})
--- a/internal/relay/engine/govern.go
+++ b/internal/relay/engine/governor.go
@@ -72,16 +72,6 @@
 	}
 }
 
-// inFlightNumbers are the numbers of the steps that are out, in order.
-func (c *Core) inFlightNumbers() []uint64 {
-	all := make([]uint64, 0, len(c.inFlight))
-	for no := range c.inFlight {
-		all = append(all, no)
-	}
-	slices.Sort(all)
-	return all
-}
-
 // reportLimited tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
 func (c *Core) reportLimited(was *capture.Mandate) {
 	ev := control.Event{Kind: control.Listed}
@@ -143,77 +133,7 @@
 	return true
 }
 
-// awaitLease has a step wait until the relay may act, for as long as its time-out.
-func (c *Core) awaitLease(s *Attempt) {
-	s.cancel = func() { s.progress.CompareAndSwap(0, 2) }
-	c.awaitingLease = append(c.awaitingLease, s)
-}
-
-// takeStartable returns the stalled steps that may begin now; those that were called off, or whose time is over, never began.
-func (c *Core) takeStartable(now time.Time) (steps []*Attempt) {
-	if len(c.awaitingLease) == 0 {
-		return nil
-	}
-	acts := c.mayAct(now)
-	c.paceAwaiting(now, acts)
-	keep := c.awaitingLease[:0]
-	for _, s := range c.awaitingLease {
-		switch {
-		case s.progress.Load() == 2 || !now.Before(s.scheduledAt.Add(s.Timeout)):
-			moot := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
-			attemptEnded{s, moot}.apply(c, now)
-		case acts && !now.Before(s.startAfter) && !c.recheck(s, now):
-		case acts && !now.Before(s.startAfter):
-			steps = append(steps, s)
-		default:
-			keep = append(keep, s)
-		}
-	}
-	clear(c.awaitingLease[len(keep):])
-	c.awaitingLease = keep
-	return steps
-}
-
-// paceAwaiting has the steps that have waited for a lease go out one by one to partners that are limited by hand: the module has decided them
-// at that pace, and all at once they would be more than it.
-func (c *Core) paceAwaiting(now time.Time, acts bool) {
-	next := map[int]time.Time{}
-	for _, s := range c.awaitingLease {
-		most := c.governor.MostTo(s.To.Partner)
-		switch {
-		case !acts || most == 0:
-			s.startAfter = time.Time{}
-			continue
-		case s.startAfter.IsZero():
-			s.startAfter = now
-			if at, ok := next[s.To.Partner]; ok {
-				s.startAfter = at.Add(time.Duration(float64(time.Second) * float64(max(c.settings.Peers, 1)) / most))
-			}
-		}
-		next[s.To.Partner] = s.startAfter
-	}
-}
-
-// recheck tells whether a step that has waited may begin under the policy that is in force now; otherwise it is over.
-func (c *Core) recheck(s *Attempt, now time.Time) bool {
-	outs := slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(s.Items))
-	ok := !c.isShut(s.To.Partner)
-	for i, it := range s.Items {
-		m := c.messages[it.ref]
-		if m == nil {
-			continue
-		}
-		if most := c.maxAttempts(m.entry); most > 0 && m.entry.Attempts > most {
-			outs[i].Result, ok = control.Rejected, false
-		}
-	}
-	if !ok {
-		attemptEnded{s, outs}.apply(c, now)
-	}
-	return ok
-}
-
-// bindToMandate has a step tell its version, and write nothing once the lease is over.
+// bindToMandate has an attempt tell its version, and write nothing once the lease is over.
 func (c *Core) bindToMandate(s *Attempt) {
 	if c.governor == nil {
 		return
--- a/internal/relay/engine/record.go
+++ b/internal/relay/engine/recording.go
@@ -7,6 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"mastusher/control"
 	"mastusher/internal/relay/capture"
 )
 
@@ -41,6 +42,20 @@
 	}
 }
 
+// recorder is what a core's turns are recorded on; see capture.Recorder.
+type recorder interface {
+	WantsState() bool
+	State(x *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
+	Turn(now time.Duration, events []control.Event, actions []control.Action)
+	Turns() uint64
+	Input(in *capture.Input)
+	Name(n capture.Name)
+	Message(m capture.Message)
+	Note(n capture.Note)
+	Tick(now time.Time)
+	Close()
+}
+
 // recordBefore begins the record of a turn: with the state, where one is wanted, and then with what has happened.
 func (c *Core) recordBefore(now time.Time, events []event) {
 	for _, ev := range events {
@@ -193,3 +208,16 @@
 	}
 	return h
 }
+
+const hashedHeader = "\x00%016x" // no header is called that
+
+// headersOfHash stands for headers of which only the hash is known: the same for the same.
+func headersOfHash(h uint64) []string {
+	if h == 0 {
+		return nil
+	}
+	return []string{fmt.Sprintf(hashedHeader, h)}
+}
+
+// blankText stands for a text of which only the length is known.
+func blankText(n int) string { return string(make([]byte, max(n, 0))) }
--- a/internal/relay/engine/rerun.go
+++ b/internal/relay/engine/replay.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -48,20 +47,6 @@
 	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Reason)
 }
 
-// recorder is what a core's turns are recorded on; see capture.Recorder.
-type recorder interface {
-	WantsState() bool
-	State(x *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
-	Turn(now time.Duration, events []control.Event, actions []control.Action)
-	Turns() uint64
-	Input(in *capture.Input)
-	Name(n capture.Name)
-	Message(m capture.Message)
-	Note(n capture.Note)
-	Tick(now time.Time)
-	Close()
-}
-
 // singleTurn holds a single turn.
 type singleTurn struct {
 	hasTurn bool
@@ -71,21 +56,30 @@
 }
 
 func (t *singleTurn) WantsState() bool { return false }
+
 func (t *singleTurn) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
 }
+
 func (t *singleTurn) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
 	t.hasTurn, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
+
 func (t *singleTurn) Turns() uint64 { return 1 }
+
 func (t *singleTurn) Input(in *capture.Input) {
 	t.input = *in
 	t.input.Actions = slices.Clone(in.Actions)
 }
-func (t *singleTurn) Name(capture.Name)       {}
+
+func (t *singleTurn) Name(capture.Name) {}
+
 func (t *singleTurn) Message(capture.Message) {}
-func (t *singleTurn) Note(capture.Note)       {}
-func (t *singleTurn) Tick(time.Time)          {}
-func (t *singleTurn) Close()                  {}
+
+func (t *singleTurn) Note(capture.Note) {}
+
+func (t *singleTurn) Tick(time.Time) {}
+
+func (t *singleTurn) Close() {}
 
 // Record takes the next record; it returns a *CoreDifference at the first turn that differs.
 func (r *CoreReplay) Record(record any) error {
@@ -220,98 +214,3 @@
 	}
 	return outs
 }
-
-// eventFrom is an event as it came by the queue.
-func (c *Core) eventFrom(e *capture.CoreEvent, now time.Time, told *[]Outcome) (event, error) {
-	if e.Front >= len(c.frontsInOrder) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
-		return nil, fmt.Errorf("there is no front %d", e.Front)
-	}
-	name := "?"
-	if e.Front >= 0 {
-		name = c.frontsInOrder[e.Front].name
-	}
-	switch e.Kind {
-	case capture.Submitted:
-		a := e.Arrival
-		if a == nil {
-			return nil, errors.New("a message handed in is missing")
-		}
-		m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant, Deadline: c.startedAt.Add(a.Deadline - clockStart),
-			Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
-		if a.MayHaveRun {
-			m.MayHaveRunAt = c.startedAt.Add(a.MayHaveRunAt - clockStart)
-		}
-		return arrival{front: name, msg: m, submittedAt: now.Add(-a.QueuedFor), reply: make(chan Reply, 1),
-			ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
-	case capture.Withdrawn:
-		return withdrawn{e.Ref}, nil
-	case capture.Moved:
-		return moved{name}, nil
-	case capture.DrainStarted:
-		return drain{}, nil
-	case capture.Governed:
-		if e.Mandate == nil {
-			return nil, errors.New("what the fleet lets the relay do is missing")
-		}
-		return governed{Mandate{*e.Mandate, c.timeOf(e.Mandate.Until)}, nil}, nil
-	case capture.QuotaGranted:
-		if e.Shared == nil {
-			return nil, errors.New("what the relay may spend is missing")
-		}
-		return quotaGranted{SharedLimits: *e.Shared, until: c.timeOf(e.Shared.LeaseExpiry)}, nil
-	case capture.AttemptEnded:
-		s := c.inFlight[e.Number]
-		var outs []Outcome
-		for _, o := range e.Outcomes {
-			outs = append(outs, Outcome(o))
-		}
-		if n := min(e.Items, len(*told)); outs == nil {
-			outs, *told = (*told)[:n], (*told)[n:]
-		}
-		if s == nil || len(s.Items) != len(outs) {
-			return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Number)
-		}
-		return attemptEnded{s, outs}, nil
-	case capture.ListReported:
-		p := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
-		if e.List != nil {
-			p.Index, p.Complete = e.List.Index, e.List.Complete
-			for _, d := range e.List.Destinations {
-				p.Destinations = append(p.Destinations, Destination{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
-					Weight: d.Weight})
-			}
-		}
-		return p, nil
-	case capture.WatchEnded:
-		err := errors.New(e.Text)
-		if e.Text == ErrWatchTimeout.Error() {
-			err = ErrWatchTimeout
-		}
-		return watchEnded{c.frontsInOrder[e.Front], int(e.Number), err}, nil
-	case capture.Notified:
-		f := c.frontsInOrder[e.Front]
-		if f.cancelNotify == nil || len(f.sending) != len(e.Accepted) {
-			return nil, errors.New("no call with so many notices is out")
-		}
-		return notified{f, e.Accepted}, nil
-	}
-	return nil, fmt.Errorf("an event of kind %d is not known", e.Kind)
-}
-
-// inertShell is a shell in which nothing moves: what comes of calls stands in the recording.
-type inertShell struct{}
-
-func (inertShell) Call(Front, *Attempt, time.Time, func([]Outcome)) func() { return func() {} }
-func (inertShell) Notify(Front, []Notice, time.Time, func([]bool)) func()  { return func() {} }
-func (inertShell) Watch(Front, int64, func(EndpointList), func(error)) (cancel func()) {
-	return func() {}
-}
-
-// recordedFront is a front of a recording.
-type recordedFront struct{ notifiesDeliveries bool }
-
-func (recordedFront) Call(context.Context, *Attempt) []Outcome                     { return nil }
-func (recordedFront) Notify(context.Context, []Notice) []bool                      { return nil }
-func (recordedFront) CloseIdle(*Destination)                                       {}
-func (recordedFront) Watch(context.Context, int64, func(EndpointList)) (err error) { return nil }
-func (r recordedFront) NotifiesDeliveries() bool                                   { return r.notifiesDeliveries }
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -3,15 +3,13 @@
 import (
 	"context"
 	"time"
-
-	"mastusher/internal/relay/journal"
 )
 
 // Shell makes what the core decides happen, and hands back what comes of it: the live one by goroutines and sockets, a
 // replay from a recording, a simulation in its own time. The core takes what it is handed in its next turn.
 type Shell interface {
 	// Call makes an attempt that ends at until at the latest, and hands done its outcomes once, however it ends; not
-	// before it has returned. What it returns calls the step off, and may be called more than once.
+	// before it has returned. What it returns calls the attempt off, and may be called more than once.
 	Call(f Front, s *Attempt, until time.Time, done func([]Outcome)) (cancel func())
 	// Notify passes on notices, under the same terms.
 	Notify(f Front, notices []Notice, until time.Time, done func(taken []bool)) (cancel func())
@@ -43,17 +41,3 @@
 	}()
 	return cancel
 }
-
-// Journal is where the core writes down what must outlast it; see journal.Log. Entries are the core's and the journal's
-// together: each call but Accept and Begin changes the one it is given as it says. Begin may come from any goroutine.
-type Journal interface {
-	Entries() []*journal.Entry
-	Accept(e *journal.Entry) error
-	Begin(all []*journal.Entry) bool
-	Schedule(e *journal.Entry, at time.Time, destination string)
-	EndAttempt(e *journal.Entry, neverRan bool)
-	End(e *journal.Entry)
-	EndWithNotice(e *journal.Entry, n journal.Notice)
-	Ack(e *journal.Entry)
-	Flush() error
-}
--- a/internal/relay/engine/state.go
+++ b/internal/relay/engine/snapshot.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
@@ -51,7 +50,7 @@
 		if i := slices.Index(c.awaitingLease, c.inFlight[no]); i >= 0 {
 			s.QueuePosition, s.ScheduledAt, s.Timeout = i+1, c.stamp(c.awaitingLease[i].scheduledAt), c.awaitingLease[i].Timeout
 			s.WriteBefore, s.StartAfter = c.stamp(c.awaitingLease[i].WriteBefore), c.stamp(c.awaitingLease[i].startAfter)
-			s.Canceled = c.awaitingLease[i].progress.Load() == 2
+			s.Canceled = c.awaitingLease[i].progress.Load() == attemptRecalled
 		}
 		for _, it := range c.inFlight[no].Items {
 			s.Refs, s.Attempts = append(s.Refs, it.ref), append(s.Attempts, it.attempt)
@@ -111,20 +110,20 @@
 	}
 	var waits []capture.AttemptState // until the relay may act
 	for _, s := range x.Attempts {
-		step := &Attempt{number: s.Number, sampleBytes: -1, cancel: func() {}}
+		attempt := &Attempt{number: s.Number, sampleBytes: -1, cancel: func() {}}
 		if d := c.destinations[s.To]; d != nil {
-			step.To = *d
+			attempt.To = *d
 		} else {
-			step.To.number = s.To
+			attempt.To.number = s.To
 		}
 		for i, ref := range s.Refs {
-			step.Items = append(step.Items, Item{ref: ref, attempt: s.Attempts[i]})
+			attempt.Items = append(attempt.Items, Item{ref: ref, attempt: s.Attempts[i]})
 		}
-		c.inFlight[s.Number] = step
+		c.inFlight[s.Number] = attempt
 		if s.QueuePosition > 0 {
-			step.scheduledAt, step.Timeout, step.WriteBefore, step.startAfter = c.timeOf(s.ScheduledAt), s.Timeout, c.timeOf(s.WriteBefore), c.timeOf(s.StartAfter)
+			attempt.scheduledAt, attempt.Timeout, attempt.WriteBefore, attempt.startAfter = c.timeOf(s.ScheduledAt), s.Timeout, c.timeOf(s.WriteBefore), c.timeOf(s.StartAfter)
 			if s.Canceled {
-				step.progress.Store(2)
+				attempt.progress.Store(attemptRecalled)
 			}
 			waits = append(waits, s)
 		}
@@ -163,16 +162,3 @@
 	}
 	return Notice{ref: ref}
 }
-
-// blankText stands for a text of which only the length is known.
-func blankText(n int) string { return string(make([]byte, max(n, 0))) }
-
-// headersOfHash stands for headers of which only the hash is known: the same for the same.
-func headersOfHash(h uint64) []string {
-	if h == 0 {
-		return nil
-	}
-	return []string{fmt.Sprintf(hashedHeader, h)}
-}
-
-const hashedHeader = "\x00%016x" // no header is called that
