--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -29,11 +29,11 @@
 	chain   func(request wire.ChainRequest) (wire.ChainResponse, error)
 }
 
-// notOwner is the error of a store that doesn't own a shard.
-type notOwner struct{ owner string }
+// notLeader is the error of a store that doesn't lead a shard.
+type notLeader struct{ leader string }
 
-func (e *notOwner) Error() string     { return e.owner }
-func (e *notOwner) ErrorKind() string { return wire.KindNotLeader }
+func (e *notLeader) Error() string     { return e.leader }
+func (e *notLeader) ErrorKind() string { return wire.KindNotLeader }
 
 func newStore(t *testing.T) *store {
 	t.Helper()
@@ -89,7 +89,7 @@
 	return ctx
 }
 
-func TestNothingIsKnownWithoutPlacement(t *testing.T) {
+func TestClient_NoPlacement_ReturnsErrNoPlacement(t *testing.T) {
 	pool := transport.NewPool()
 	t.Cleanup(pool.Close)
 	client := New(pool, 1<<20)
@@ -101,48 +101,48 @@
 	}
 }
 
-func TestOwnerIsFoundByTheOthersHint(t *testing.T) {
-	first, owner := newStore(t), newStore(t)
+func TestClient_FollowerHints_FindsLeader(t *testing.T) {
+	first, leader := newStore(t), newStore(t)
 	first.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{}, &notOwner{owner.address}
+		return program.Result{}, &notLeader{leader.address}
 	}
-	owner.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
+	leader.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Accepted, Chain: []byte(request.Turn.Turn)}, nil
 	}
-	client := newClient(t, 1, first, owner)
+	client := newClient(t, 1, first, leader)
 	for i := range 3 {
 		got, err := client.Begin(testContext(t, 5*time.Second), "key", program.BeginTurn{Turn: fmt.Sprint("t", i)})
 		if err != nil || got.Verdict != program.Accepted || string(got.Chain) != fmt.Sprint("t", i) {
 			t.Errorf("got %+v, %v", got, err)
 		}
 	}
-	if asked := first.begins.Load(); asked != 1 {
-		t.Errorf("the other store was asked %d times", asked)
+	if attempts := first.begins.Load(); attempts != 1 {
+		t.Errorf("the follower was tried %d times", attempts)
 	}
 }
 
-func TestSilentStoreIsAskedAgainOnlyAfterTheOthers(t *testing.T) {
-	// given a silent store, one that still takes it for the owner, and the new owner
-	silent, follower, owner := newStore(t), newStore(t), newStore(t)
-	silent.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
+func TestClient_HintedLeaderUnresponsive_TriesOthersFirst(t *testing.T) {
+	// given an unresponsive store, a follower that still takes it for the leader, and the new leader
+	unresponsive, follower, leader := newStore(t), newStore(t), newStore(t)
+	unresponsive.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
 		<-ctx.Done()
 		return program.Result{}, ctx.Err()
 	}
 	follower.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{}, &notOwner{silent.address}
+		return program.Result{}, &notLeader{unresponsive.address}
 	}
-	owner.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
+	leader.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Accepted}, nil
 	}
-	client := newClient(t, 1, silent, follower, owner)
-	// when a turn is begun, then the new owner is asked before the silent store is asked again
+	client := newClient(t, 1, unresponsive, follower, leader)
+	// when a turn is begun, then the new leader is tried before the unresponsive store is retried
 	got, err := client.Begin(testContext(t, 5*time.Second), "key", program.BeginTurn{Turn: "t"})
-	if err != nil || got.Verdict != program.Accepted || silent.begins.Load() != 1 {
-		t.Errorf("got %+v, %v after asking the silent store %d times", got, err, silent.begins.Load())
+	if err != nil || got.Verdict != program.Accepted || unresponsive.begins.Load() != 1 {
+		t.Errorf("got %+v, %v after trying the unresponsive store %d times", got, err, unresponsive.begins.Load())
 	}
 }
 
-func TestTurnIsMissingOnlyIfEveryShardIsCertain(t *testing.T) {
+func TestClient_TurnNotFound_OnlyIfEveryShardAnswers(t *testing.T) {
 	const shards = 3
 	cases := []struct {
 		name  string
@@ -150,25 +150,25 @@
 		want  program.Result
 		known bool
 	}{
-		{"given no shard that holds it then there is none",
+		{"given no shard that has it then it isn't found",
 			func(wire.ChainRequest) (wire.ChainResponse, error) { return wire.ChainResponse{}, nil },
 			program.Result{Verdict: program.TurnNotFound}, true},
-		{"given a shard that holds it then its chain is brought over",
+		{"given a shard that has it then its chain is imported",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				return wire.ChainResponse{Found: request.Shard == 2, Chain: []byte("old")}, nil
 			},
 			program.Result{Verdict: program.Accepted, Chain: []byte("old")}, true},
-		{"given a shard without an owner then nothing is known",
+		{"given a shard without a leader then the outcome is unknown",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainResponse{}, &notOwner{}
+					return wire.ChainResponse{}, &notLeader{}
 				}
 				return wire.ChainResponse{}, nil
 			}, program.Result{}, false},
-		{"given a shard without an owner and one that holds it then its chain is brought over",
+		{"given a shard without a leader and one that has it then its chain is imported",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainResponse{}, &notOwner{}
+					return wire.ChainResponse{}, &notLeader{}
 				}
 				return wire.ChainResponse{Found: true, Chain: []byte("old")}, nil
 			}, program.Result{Verdict: program.Accepted, Chain: []byte("old")}, true},
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestEndGivesTheVerdict(t *testing.T) {
+func TestClient_End_ReturnsVerdict(t *testing.T) {
 	s := newStore(t)
 	s.end = func(request wire.EndTurnRequest) (program.Result, error) {
 		if strings.HasPrefix(request.Turn.Turn, "lost") {
@@ -215,39 +215,39 @@
 	}
 }
 
-func TestNextCallBeginsElsewhereAfterASilence(t *testing.T) {
-	// given a shard's owner that has fallen silent, and another store that owns the shard by now
-	silent, owner := newStore(t), newStore(t)
-	client := newClient(t, 1, silent, owner)
-	taken := func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
+func TestClient_LeaderUnresponsive_NextCallStartsElsewhere(t *testing.T) {
+	// given a shard's leader that has become unresponsive, and another store that leads the shard by now
+	unresponsive, leader := newStore(t), newStore(t)
+	client := newClient(t, 1, unresponsive, leader)
+	accept := func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Accepted}, nil
 	}
-	silent.begin, owner.begin = taken, taken
+	unresponsive.begin, leader.begin = accept, accept
 	if _, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "before"}); err != nil {
 		t.Fatal(err)
 	}
-	silent.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
+	unresponsive.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
 		<-ctx.Done()
 		return program.Result{}, ctx.Err()
 	}
 	cases := []struct {
-		name   string
-		bound  time.Duration // of a call to the silent store
-		leaves bool          // its caller goes, rather than that its time ends
-		again  bool          // the next call asks the silent store too
+		name    string
+		timeout time.Duration // of a call to the unresponsive store
+		cancels bool          // its caller cancels, rather than that its deadline ends
+		retried bool          // the next call tries the unresponsive store too
 	}{
-		{"given a caller that goes when it has hardly waited then the owner is still the owner", 0, true, true},
-		{"given a call whose time ends with the silent store's then the next call begins elsewhere", 350 * time.Millisecond, false, false},
+		{"given a caller that cancels at once then the leader is still tried first", 0, true, true},
+		{"given a call whose deadline ends with the unresponsive store's attempt then the next call starts elsewhere", 350 * time.Millisecond, false, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client.setLeader(0, silent.address)
-			before := silent.begins.Load()
-			ctx, cancel := context.WithTimeout(t.Context(), test.bound)
-			if test.leaves {
+			client.setLeader(0, unresponsive.address)
+			before := unresponsive.begins.Load()
+			ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
+			if test.cancels {
 				ctx, cancel = context.WithCancel(t.Context())
 				go func() {
-					for silent.begins.Load() == before {
+					for unresponsive.begins.Load() == before {
 						runtime.Gosched()
 					}
 					cancel()
@@ -256,14 +256,14 @@
 			defer cancel()
 			// when a call gets no answer
 			if _, err := client.Begin(ctx, "key", program.BeginTurn{Turn: "id"}); err == nil {
-				t.Fatal("the silent store has answered")
+				t.Fatal("the unresponsive store has answered")
 			}
 			// then the next one is answered
 			if result, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "id"}); err != nil || result.Verdict != program.Accepted {
 				t.Errorf("got %+v, %v", result, err)
 			}
-			if asked := silent.begins.Load() - before; (asked > 1) != test.again {
-				t.Errorf("the silent store was asked %d times", asked)
+			if attempts := unresponsive.begins.Load() - before; (attempts > 1) != test.retried {
+				t.Errorf("the unresponsive store was tried %d times", attempts)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/tier/programclient/leader.go
@@ -0,0 +1,138 @@
+package programclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
+)
+
+// Bounds of a call. Its deadline is that of its context.
+const (
+	attemptTimeout = 400 * time.Millisecond // of one store
+	initialBackoff = 15 * time.Millisecond  // after all replicas of a shard were tried, none of which led it; doubles each time
+	maxBackoff     = 120 * time.Millisecond
+)
+
+// callLeader tries the replicas of a shard until its leader responds or ctx ends. A store that was hinted as the leader and has
+// just not responded is retried only after the others: one of them may lead the shard by then.
+func callLeader[Request, Response any](ctx context.Context, c *Client, shard int, method string, request Request) (Response, error) {
+	var none Response
+	backoff := initialBackoff
+	address, unresponsive := c.leader(shard), ""
+	for attempt := 1; ; attempt++ {
+		response, hint, err := callStore[Request, Response](ctx, c, address, method, request)
+		if err == nil {
+			c.setLeader(shard, address)
+			return response, nil
+		}
+		if isUnanswered(err) && !errors.Is(ctx.Err(), context.Canceled) {
+			unresponsive = address
+			c.avoid(shard, address)
+		}
+		if ctx.Err() != nil {
+			return none, fmt.Errorf("shard %d: %w", shard, err)
+		}
+		if hint != "" && hint != address && hint != unresponsive {
+			address = hint
+		} else {
+			address = c.nextReplica(shard, address)
+		}
+		if attempt%c.replicaCount(shard) != 0 {
+			continue
+		}
+		if err := sleep(ctx, backoff); err != nil {
+			return none, fmt.Errorf("shard %d: %w", shard, err)
+		}
+		backoff = min(2*backoff, maxBackoff)
+	}
+}
+
+// callStore calls one store. The hint is the leader's address, where the store knows another as that.
+func callStore[Request, Response any](ctx context.Context, c *Client, address, method string, request Request) (response Response, hint string, err error) {
+	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
+	defer cancel()
+	response, err = transport.Call[Request, Response](bounded, c.pool, address, method, request)
+	var remote *transport.RemoteError
+	if errors.As(err, &remote) && remote.Kind == wire.KindNotLeader {
+		hint = remote.Message
+	}
+	return response, hint, err
+}
+
+// isUnanswered reports whether a store sent no response at all, not even an error.
+func isUnanswered(err error) bool {
+	var remote *transport.RemoteError
+	return !errors.As(err, &remote)
+}
+
+// sleep waits, or returns ctx's error if that ends first.
+func sleep(ctx context.Context, delay time.Duration) error {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
+
+func (c *Client) replicas(shard int) []view.Replica {
+	p := c.placement.Load()
+	if p == nil || shard >= len(p.Shards) {
+		return nil
+	}
+	return p.Shards[shard].Replicas
+}
+
+// replicaCount is the number of a shard's replicas, at least 1.
+func (c *Client) replicaCount(shard int) int { return max(1, len(c.replicas(shard))) }
+
+// leader returns the address to try first: that of the store that responded last, if it still has a replica, or the first
+// replica's.
+func (c *Client) leader(shard int) string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	replicas := c.replicas(shard)
+	known := c.leaders[shard]
+	for _, r := range replicas {
+		if r.Address == known {
+			return known
+		}
+	}
+	if len(replicas) == 0 {
+		return ""
+	}
+	return replicas[0].Address
+}
+
+// setLeader sets the address to try first.
+func (c *Client) setLeader(shard int, address string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.leaders[shard] = address
+}
+
+// nextReplica returns the address of the replica after the one at an address.
+func (c *Client) nextReplica(shard int, address string) string {
+	replicas := c.replicas(shard)
+	for i, r := range replicas {
+		if r.Address == address {
+			return replicas[(i+1)%len(replicas)].Address
+		}
+	}
+	return c.leader(shard)
+}
+
+// avoid makes the next calls start at another store than one that didn't respond: a call whose deadline ends with that store's
+// attempt would never reach the others.
+func (c *Client) avoid(shard int, address string) {
+	if c.leader(shard) == address {
+		c.setLeader(shard, c.nextReplica(shard, address))
+	}
+}
--- a/internal/tier/programclient/mutants_test.go
+++ b/internal/tier/programclient/mutants_test.go
@@ -7,47 +7,47 @@
 )
 
 func TestMutantsAreNoticed(t *testing.T) {
-	change := func(from, to string) mutation.Change { return mutation.Change{File: "client.go", Old: from, New: to} }
+	change := func(from, to string) mutation.Change { return mutation.Change{File: "leader.go", Old: from, New: to} }
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "the next call begins with a silent store",
+			Name:   "the next call starts with an unresponsive store",
 			Change: change("\t\t\tc.avoid(shard, address)\n", ""),
-			Run:    "^TestNextCallBeginsElsewhereAfterASilence$",
+			Run:    "^TestClient_LeaderUnresponsive_NextCallStartsElsewhere$",
 		},
 		{
-			Name:   "a caller that goes makes the owner doubtful",
+			Name:   "a caller that cancels makes the leader avoided",
 			Change: change("isUnanswered(err) && !errors.Is(ctx.Err(), context.Canceled)", "isUnanswered(err)"),
-			Run:    "^TestNextCallBeginsElsewhereAfterASilence$",
+			Run:    "^TestClient_LeaderUnresponsive_NextCallStartsElsewhere$",
 		},
 		{
-			Name:   "a hint to a silent store is followed at once",
-			Change: change(" && hint != silent {", " && (hint != silent || true) {"),
-			Run:    "^TestSilentStoreIsAskedAgainOnlyAfterTheOthers$",
+			Name:   "a hint to an unresponsive store is followed at once",
+			Change: change(" && hint != unresponsive {", " && (hint != unresponsive || true) {"),
+			Run:    "^TestClient_HintedLeaderUnresponsive_TriesOthersFirst$",
 		},
 		{
 			Name:   "hints are not followed",
 			Change: change("\t\t\taddress = hint\n", "\t\t\taddress = c.leader(shard)\n"),
-			Run:    "^TestOwnerIsFoundByTheOthersHint$",
+			Run:    "^TestClient_FollowerHints_FindsLeader$",
 		},
 		{
-			Name:   "a turn is missing though a shard didn't answer",
-			Change: change("\treturn nil, false, failed\n", "\tfailed = nil\n\treturn nil, false, failed\n"),
-			Run:    "^TestTurnIsMissingOnlyIfEveryShardIsCertain$",
+			Name:   "a turn is not found though a shard didn't answer",
+			Change: mutation.Change{File: "client.go", Old: "\treturn nil, false, failed\n", New: "\tfailed = nil\n\treturn nil, false, failed\n"},
+			Run:    "^TestClient_TurnNotFound_OnlyIfEveryShardAnswers$",
 		},
 		{
-			Name:   "another beginning than the owner names is put in front",
-			Change: mutation.Change{File: "chains.go", Old: "held[begun.CachedIndex-1]", New: "held[0]"},
-			Run:    "^TestChainsAreWhatTheShardHolds$",
+			Name:   "another prefix than the leader names is joined",
+			Change: mutation.Change{File: "prefix_cache.go", Old: "cached[response.CachedIndex-1]", New: "cached[0]"},
+			Run:    "^TestPrefixCache_AnyTurns_ChainsEqualTheShards$",
 		},
 		{
-			Name:   "a chain keeps the input of a turn that was begun again",
-			Change: mutation.Change{File: "chains.go", Old: "\tc.evict(c.byTurn[turn.Turn])\n", New: ""},
-			Run:    "^TestChainsAreWhatTheShardHolds$",
+			Name:   "a chain keeps the input of a duplicate turn",
+			Change: mutation.Change{File: "prefix_cache.go", Old: "\tc.evict(c.byTurn[turn.Turn])\n", New: ""},
+			Run:    "^TestPrefixCache_AnyTurns_ChainsEqualTheShards$",
 		},
 		{
-			Name:   "chains go beyond their bound",
-			Change: mutation.Change{File: "chains.go", Old: "for c.bytes > c.maxBytes {", New: "for c.bytes > 2*c.maxBytes {"},
-			Run:    "^TestChainsAreWhatTheShardHolds$",
+			Name:   "the cache exceeds its bound",
+			Change: mutation.Change{File: "prefix_cache.go", Old: "for c.bytes > c.maxBytes {", New: "for c.bytes > 2*c.maxBytes {"},
+			Run:    "^TestPrefixCache_AnyTurns_ChainsEqualTheShards$",
 		},
 	})
 }
--- /dev/null
+++ b/internal/tier/programclient/prefix_cache.go
@@ -0,0 +1,150 @@
+package programclient
+
+import (
+	"container/list"
+	"errors"
+	"slices"
+	"sync"
+
+	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wire"
+)
+
+// maxChainsPerProgram bounds the chains cached for a program. Most series of turns come through one proxy, some through two
+// alternately, and those of subagents, which run concurrently, start with their parent's chain.
+const maxChainsPerProgram = 8
+
+// prefixCache caches the chains of the newest turns that went through this process, least recently used ones evicted first. A
+// chain grows with each turn, and would be transferred completely each time. Nothing of the cache is used unless the leader of
+// the shard has confirmed by its digest that the chain starts with it. It is safe for concurrent use.
+type prefixCache struct {
+	maxBytes int
+
+	mutex     sync.Mutex // guards the fields below
+	bytes     int
+	recent    *list.List // of *cachedChain, the most recently used first
+	byTurn    map[string]*cachedChain
+	byProgram map[string][]*cachedChain // the newest last
+}
+
+// cachedChain is the chain up to the end of a turn, or up to its input while it is in flight.
+type cachedChain struct {
+	turn     string
+	program  string
+	text     []byte // never changed
+	complete bool   // the turn has ended complete: others may continue it
+	element  *list.Element
+}
+
+func newPrefixCache(maxBytes int) *prefixCache {
+	return &prefixCache{maxBytes: maxBytes, recent: list.New(), byTurn: map[string]*cachedChain{}, byProgram: map[string][]*cachedChain{}}
+}
+
+// prefixes lists candidates for the start of a turn's chain: the chain of the turn that it continues, or else those of its
+// program's newest turns.
+func (c *prefixCache) prefixes(turn *program.BeginTurn) [][]byte {
+	if !turn.Remembered || turn.Previous == "" {
+		return nil
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if previous := c.byTurn[turn.Previous]; previous != nil && previous.complete {
+		c.recent.MoveToFront(previous.element)
+		return [][]byte{previous.text}
+	}
+	var texts [][]byte
+	for _, other := range slices.Backward(c.byProgram[turn.Program]) {
+		if other.complete && len(texts) < wire.MaxCachedChains {
+			texts = append(texts, other.text)
+		}
+	}
+	return texts
+}
+
+// addBegun caches the chain of an accepted turn up to its input. A duplicate replaces it: the input may be another.
+func (c *prefixCache) addBegun(turn *program.BeginTurn, chain []byte) {
+	if !turn.Remembered || turn.Program == "" {
+		return
+	}
+	text := make([]byte, 0, len(chain)+len(turn.Input))
+	text = append(append(text, chain...), turn.Input...)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.evict(c.byTurn[turn.Turn])
+	c.add(&cachedChain{turn: turn.Turn, program: turn.Program, text: text})
+}
+
+// addEnded completes the chain of a turn by its output, or evicts it if the turn can't be continued.
+func (c *prefixCache) addEnded(turn *program.EndTurn, verdict program.Verdict) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	known := c.byTurn[turn.Turn]
+	if known == nil || known.complete {
+		return
+	}
+	c.evict(known)
+	if !turn.Complete || verdict != program.Accepted {
+		return
+	}
+	text := make([]byte, 0, len(known.text)+len(turn.Output))
+	known.text = append(append(text, known.text...), turn.Output...)
+	known.complete = true
+	c.add(known)
+}
+
+// add inserts a chain, and evicts what exceeds the bounds.
+func (c *prefixCache) add(added *cachedChain) {
+	added.element = c.recent.PushFront(added)
+	c.byTurn[added.turn] = added
+	c.byProgram[added.program] = append(c.byProgram[added.program], added)
+	c.bytes += len(added.text)
+	if cached := c.byProgram[added.program]; len(cached) > maxChainsPerProgram {
+		c.evict(cached[0])
+	}
+	for c.bytes > c.maxBytes {
+		c.evict(c.recent.Back().Value.(*cachedChain))
+	}
+}
+
+// evict removes a chain; nil: there is none.
+func (c *prefixCache) evict(evicted *cachedChain) {
+	if evicted == nil {
+		return
+	}
+	c.recent.Remove(evicted.element)
+	delete(c.byTurn, evicted.turn)
+	c.bytes -= len(evicted.text)
+	cached := c.byProgram[evicted.program]
+	if at := slices.Index(cached, evicted); at >= 0 {
+		cached = slices.Delete(cached, at, at+1)
+	}
+	c.byProgram[evicted.program] = cached
+	if len(cached) == 0 {
+		delete(c.byProgram, evicted.program)
+	}
+}
+
+// digestsOf names cached chains to the leader of a shard.
+func digestsOf(texts [][]byte) []wire.CachedChain {
+	var digests []wire.CachedChain
+	for _, text := range texts {
+		digests = append(digests, wire.CachedChain{Bytes: len(text), Digest: wire.DigestOf(text)})
+	}
+	return digests
+}
+
+// errPrefixNotCached is returned where a store omitted a prefix that it wasn't told of. Only a faulty store does so.
+var errPrefixNotCached = errors.New("store omitted a prefix that is not cached")
+
+// joinPrefix returns the complete chain of a response from which one of the cached prefixes was omitted.
+func joinPrefix(cached [][]byte, response wire.BeginTurnResponse) ([]byte, error) {
+	if response.CachedIndex == 0 {
+		return response.Chain, nil
+	}
+	if response.CachedIndex > len(cached) {
+		return nil, errPrefixNotCached
+	}
+	prefix := cached[response.CachedIndex-1]
+	chain := make([]byte, 0, len(prefix)+len(response.Chain))
+	return append(append(chain, prefix...), response.Chain...), nil
+}
--- a/internal/tier/programclient/chains_test.go
+++ b/internal/tier/programclient/prefix_cache_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"testing"
 
@@ -12,22 +13,22 @@
 	"mastusher/internal/tier/wire"
 )
 
-// conversation is what one program says, as its shard holds it and as two clients that its turns come through see it.
+// conversation is what one program says, as its shard stores it and as two clients that its turns come through cache it.
 type conversation struct {
-	t       *rapid.T
-	machine *program.Machine
-	clients []*prefixCache
-	whole   []string // turns that others may go on from
-	sent    int      // bytes of chains that travelled
-	full    int      // bytes that would have without what the clients hold
+	t        *rapid.T
+	machine  *program.Machine
+	clients  []*prefixCache
+	complete []string // turns that can be continued
+	sent     int      // bytes of chains transferred
+	full     int      // bytes without the caches
 }
 
-// begin has a turn begun as Client does, and checks its chain.
+// begin begins a turn as Client does, and checks its chain.
 func (c *conversation) begin(client *prefixCache, turn program.BeginTurn) bool {
-	held := client.prefixes(&turn)
+	cached := client.prefixes(&turn)
 	result := c.machine.Apply(program.Command{Begin: &turn})
-	begun := wire.OmitCachedPrefix(result, cachedChainsOf(held))
-	got, err := joinPrefix(held, begun)
+	begun := wire.OmitCachedPrefix(result, digestsOf(cached))
+	got, err := joinPrefix(cached, begun)
 	if err != nil || !bytes.Equal(got, result.Chain) {
 		c.t.Fatalf("turn %s: %q, %v, want %q", turn.Turn, got, err, result.Chain)
 	}
@@ -43,13 +44,13 @@
 	verdict := c.machine.Apply(program.Command{End: &end}).Verdict
 	client.addEnded(&end, verdict)
 	if end.Complete && verdict == program.Accepted {
-		c.whole = append(c.whole, end.Turn)
+		c.complete = append(c.complete, end.Turn)
 	}
 }
 
-// Given a program whose turns go on from any earlier ones, through either of two proxies that keep little, some broken off and
-// some begun again with another input, then each gets the very chain that its shard holds.
-func TestChainsAreWhatTheShardHolds(t *testing.T) {
+// Given a program whose turns continue any earlier ones, through either of two proxies with small caches, some broken off and
+// some begun again with another input, then each gets exactly the chain of its shard.
+func TestPrefixCache_AnyTurns_ChainsEqualTheShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{0, 40, 400, 1 << 20}).Draw(t, "bound")
 		c := &conversation{t: t, machine: program.New(), clients: []*prefixCache{newPrefixCache(bound), newPrefixCache(bound)}}
@@ -57,8 +58,8 @@
 			client := c.clients[rapid.IntRange(0, 1).Draw(t, "client")]
 			turn := program.BeginTurn{Turn: fmt.Sprint("t", number), Program: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "program"), Remembered: true,
 				KeepForS: 60, Input: bytes.Repeat([]byte{byte('a' + number)}, rapid.IntRange(0, 30).Draw(t, "input"))}
-			if len(c.whole) > 0 && rapid.IntRange(0, 9).Draw(t, "goes on") > 0 {
-				turn.Previous = rapid.SampledFrom(c.whole).Draw(t, "previous")
+			if len(c.complete) > 0 && rapid.IntRange(0, 9).Draw(t, "goes on") > 0 {
+				turn.Previous = rapid.SampledFrom(c.complete).Draw(t, "previous")
 			}
 			if !c.begin(client, turn) {
 				continue
@@ -75,21 +76,21 @@
 	})
 }
 
-// checkChains tells where what is kept doesn't fit together or is over its bound.
+// checkChains fails where the cache's tables disagree or exceed the bound.
 func checkChains(t *rapid.T, number int, c *prefixCache) {
 	sum, listed := 0, 0
-	for _, kept := range c.byTurn {
-		sum += len(kept.text)
+	for _, cached := range c.byTurn {
+		sum += len(cached.text)
 	}
-	for _, kept := range c.byProgram {
-		listed += len(kept)
+	for _, cached := range c.byProgram {
+		listed += len(cached)
 	}
 	if sum != c.bytes || c.bytes > c.maxBytes || listed != len(c.byTurn) || c.recent.Len() != len(c.byTurn) {
-		t.Fatalf("client %d keeps %d bytes, counted %d of %d; %d turns, %d of programs, %d in order", number, sum, c.bytes, c.maxBytes, len(c.byTurn), listed, c.recent.Len())
+		t.Fatalf("client %d caches %d bytes, counted %d of %d; %d turns, %d of programs, %d in order", number, sum, c.bytes, c.maxBytes, len(c.byTurn), listed, c.recent.Len())
 	}
 }
 
-func TestHeldChainsDoNotTravel(t *testing.T) {
+func TestPrefixCache_CachedChains_AreNotTransferred(t *testing.T) {
 	const turns = 10
 	rapid.Check(t, func(t *rapid.T) {
 		c := &conversation{t: t, machine: program.New(), clients: []*prefixCache{newPrefixCache(1 << 20), newPrefixCache(1 << 20)}}
@@ -107,34 +108,34 @@
 		}
 		switch {
 		case !alternate && c.sent != 0:
-			t.Fatalf("%d bytes travelled", c.sent)
+			t.Fatalf("%d bytes were transferred", c.sent)
 		case alternate && c.sent != (turns-1)*200:
-			t.Fatalf("%d bytes travelled, where each turn misses the one before", c.sent)
+			t.Fatalf("%d bytes were transferred, where each turn misses the one before", c.sent)
 		}
 	})
 }
 
-func TestOnlyTheLongestBeginningIsLeftOut(t *testing.T) {
+func TestPrefixCache_SeveralPrefixes_LongestIsOmitted(t *testing.T) {
 	name := func(text string) wire.CachedChain {
 		return wire.CachedChain{Bytes: len(text), Digest: wire.DigestOf([]byte(text))}
 	}
 	result := program.Result{Verdict: program.Accepted, Chain: []byte("abcdef")}
 	cases := map[string]struct {
-		held []wire.CachedChain
-		want wire.BeginTurnResponse
+		cached []wire.CachedChain
+		want   wire.BeginTurnResponse
 	}{
-		"nothing held":            {nil, wire.BeginTurnResponse{Result: result}},
-		"something else held":     {[]wire.CachedChain{name("abx"), name("abcdefg")}, wire.BeginTurnResponse{Result: result}},
-		"the longest":             {[]wire.CachedChain{name("ab"), name("abcd"), name("abc")}, wire.BeginTurnResponse{Result: program.Result{Verdict: program.Accepted, Chain: []byte("ef")}, CachedIndex: 2}},
-		"a negative length":       {[]wire.CachedChain{{Bytes: -1}}, wire.BeginTurnResponse{Result: result}},
-		"more than are looked at": {[]wire.CachedChain{name("x"), name("x"), name("x"), name("x"), name("ab")}, wire.BeginTurnResponse{Result: result}},
+		"nothing cached":        {nil, wire.BeginTurnResponse{Result: result}},
+		"something else cached": {[]wire.CachedChain{name("abx"), name("abcdefg")}, wire.BeginTurnResponse{Result: result}},
+		"the longest":           {[]wire.CachedChain{name("ab"), name("abcd"), name("abc")}, wire.BeginTurnResponse{Result: program.Result{Verdict: program.Accepted, Chain: []byte("ef")}, CachedIndex: 2}},
+		"a negative length":     {[]wire.CachedChain{{Bytes: -1}}, wire.BeginTurnResponse{Result: result}},
+		"more than the maximum": {[]wire.CachedChain{name("x"), name("x"), name("x"), name("x"), name("ab")}, wire.BeginTurnResponse{Result: result}},
 	}
 	for label, test := range cases {
-		if diff := cmp.Diff(test.want, wire.OmitCachedPrefix(result, test.held)); diff != "" {
+		if diff := cmp.Diff(test.want, wire.OmitCachedPrefix(result, test.cached)); diff != "" {
 			t.Errorf("%s: %s", label, diff)
 		}
 	}
-	if _, err := joinPrefix([][]byte{[]byte("a")}, wire.BeginTurnResponse{CachedIndex: 2}); err != errPrefixNotCached {
-		t.Errorf("a beginning that isn't held: %v", err)
+	if _, err := joinPrefix([][]byte{[]byte("a")}, wire.BeginTurnResponse{CachedIndex: 2}); !errors.Is(err, errPrefixNotCached) {
+		t.Errorf("a prefix that is not cached: %v", err)
 	}
 }
