--- a/internal/tier/transport/link_test.go
+++ b/internal/tier/transport/call_test.go
@@ -9,65 +9,12 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"github.com/go-kit/log"
 	"github.com/google/go-cmp/cmp"
 )
 
-type question struct {
-	Text string `json:"text"`
-}
-
-type reply struct {
-	Text string `json:"text"`
-}
-
-// patience bounds every wait of a test that goes as it should.
-const patience = 10 * time.Second
-
-func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
-	t.Cleanup(cancel)
-	return ctx
-}
-
-func startServer(t testing.TB, address string, handlers *Handlers) *Server {
-	t.Helper()
-	server, err := Listen(address, handlers, log.NewNopLogger())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { server.Close() })
-	return server
-}
-
-func startPool(t testing.TB) *Pool {
-	pool := NewPool()
-	t.Cleanup(pool.Close)
-	return pool
-}
-
-func echoHandlers() *Handlers {
-	handlers := NewHandlers()
-	Handle(handlers, "echo", func(_ context.Context, _ string, request question) (reply, error) {
-		return reply(request), nil
-	})
-	return handlers
-}
-
-func receive[T any](t testing.TB, from <-chan T) T {
-	t.Helper()
-	select {
-	case value := <-from:
-		return value
-	case <-time.After(patience):
-		t.Fatal("nothing came")
-		panic("unreachable")
-	}
-}
-
-func TestCallsOfOneConnectionAreAnsweredOutOfOrder(t *testing.T) {
+func TestCall_ManyOnOneConnection_AnsweredOutOfOrder(t *testing.T) {
 	// Given a call that is held until another on the same connection has been answered
 	release := make(chan struct{})
 	handlers := echoHandlers()
@@ -107,10 +54,11 @@
 
 type orderError struct{}
 
-func (orderError) Error() string     { return "not now" }
+func (orderError) Error() string { return "not now" }
+
 func (orderError) ErrorKind() string { return "busy_store" }
 
-func TestErrorsOfHandlersTravel(t *testing.T) {
+func TestCall_HandlerFails_ReturnsItsKind(t *testing.T) {
 	handlers := NewHandlers()
 	failing := map[string]error{
 		"kinded": fmt.Errorf("wrapped: %w", orderError{}),
@@ -144,7 +92,7 @@
 	}
 }
 
-func TestABodyOfTheWrongShapeIsRefusedAndTheConnectionStays(t *testing.T) {
+func TestCall_BodyOfAnotherType_FailsAndKeepsTheConnection(t *testing.T) {
 	server, pool, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t), testContext(t)
 	_, err := Call[int, reply](ctx, pool, server.Address(), "echo", 7)
 	var remote *RemoteError
@@ -162,7 +110,7 @@
 	}
 }
 
-func TestBigLines(t *testing.T) {
+func TestCall_LargeBody_IsAnswered(t *testing.T) {
 	server, pool, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t), testContext(t)
 	text := strings.Repeat("0123456789", 300_000)
 	got, err := Call[question, reply](ctx, pool, server.Address(), "echo", question{Text: text})
@@ -171,7 +119,7 @@
 	}
 }
 
-func TestARequestOverTheBoundIsNotSent(t *testing.T) {
+func TestCall_RequestOverTheBound_IsNotSent(t *testing.T) {
 	server, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), testContext(t)
 	pool := newPool(limits{lineBytes: 100, noticeBytes: 100, queuedBytes: 100})
 	t.Cleanup(pool.Close)
@@ -182,7 +130,7 @@
 	}
 }
 
-func TestAnAnswerOverTheBound(t *testing.T) {
+func TestCall_AnswerOverTheBound_Fails(t *testing.T) {
 	text := strings.Repeat("x", 200)
 	small := limits{lineBytes: 150, noticeBytes: 1000, queuedBytes: 1000}
 	handlers := NewHandlers()
@@ -212,32 +160,7 @@
 	})
 }
 
-func TestGarbageClosesTheConnection(t *testing.T) {
-	server := startServer(t, "127.0.0.1:0", echoHandlers())
-	garbage := []string{
-		"GET / HTTP/1.1\r\n",
-		"\n",
-		`{"call":1,"method":"echo","body":{"text":}}` + "\n",
-		`{"call":1,"method":"echo","body":{}},{"call":2}` + "\n",
-		`{"answer":1,"body":{}}` + "\n",
-	}
-	for _, text := range garbage {
-		t.Run(text, func(t *testing.T) {
-			socket, err := net.Dial("tcp4", server.Address())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer socket.Close()
-			socket.SetDeadline(time.Now().Add(patience))
-			fmt.Fprint(socket, text)
-			if got, err := bufio.NewReader(socket).ReadString('\n'); err == nil || errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("got %q, %v", got, err)
-			}
-		})
-	}
-}
-
-func TestGarbageInPlaceOfAnAnswerFailsTheCall(t *testing.T) {
+func TestCall_MalformedAnswer_Fails(t *testing.T) {
 	address := startRaw(t, func(socket net.Conn) {
 		bufio.NewReader(socket).ReadString('\n')
 		fmt.Fprint(socket, "HTTP/1.1 400 Bad Request\n")
@@ -248,31 +171,7 @@
 	}
 }
 
-// startRaw accepts connections and hands each to serve.
-func startRaw(t testing.TB, serve func(net.Conn)) string {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var serving sync.WaitGroup
-	serving.Go(func() {
-		for {
-			socket, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			serving.Go(func() {
-				defer socket.Close()
-				serve(socket)
-			})
-		}
-	})
-	t.Cleanup(serving.Wait)
-	t.Cleanup(func() { listener.Close() })
-	return listener.Addr().String()
-}
-
-func TestABrokenConnectionFailsAllItsCallsAtOnce(t *testing.T) {
+func TestCall_ConnectionBreaks_AllPendingFailAtOnce(t *testing.T) {
 	const calls = 10
 	address := startRaw(t, func(socket net.Conn) {
 		reader := bufio.NewReader(socket)
@@ -297,95 +196,7 @@
 	}
 }
 
-func TestAPeerThatIsNotThere(t *testing.T) {
-	// Given an address where nobody listens
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	listener.Close()
-	pool, ctx := startPool(t), testContext(t)
-	// When it is called, then the call fails and has surely not run
-	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
-	var failed *CallError
-	if !errors.As(err, &failed) || MayHaveArrived(err) {
-		t.Fatalf("got %v", err)
-	}
-	// And while the next dial waits, calls and notices fail at once
-	pin(t, pool, address, time.Hour)
-	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
-	if !errors.Is(err, ErrBackoff) || MayHaveArrived(err) {
-		t.Errorf("got %v", err)
-	}
-	if err := Notify(pool, address, "offer", question{}); !errors.Is(err, ErrBackoff) {
-		t.Errorf("got %v", err)
-	}
-	// And once it is over, the peer is dialled again
-	startServer(t, address, echoHandlers())
-	pin(t, pool, address, -time.Hour)
-	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
-		t.Errorf("got %v", err)
-	}
-}
-
-// pin sets when a peer that failed may be dialled again.
-func pin(t testing.TB, pool *Pool, address string, after time.Duration) {
-	t.Helper()
-	peer, err := pool.peer(address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	peer.mutex.Lock()
-	defer peer.mutex.Unlock()
-	if peer.failures == 0 {
-		t.Fatal("no failure noted")
-	}
-	peer.retryAt = time.Now().Add(after)
-}
-
-func TestBackoff(t *testing.T) {
-	cases := []struct {
-		failures int
-		share    float64
-		want     time.Duration
-	}{
-		{failures: 1, share: 0, want: 50 * time.Millisecond},
-		{failures: 1, share: 1, want: 25 * time.Millisecond},
-		{failures: 3, share: 0, want: 200 * time.Millisecond},
-		{failures: 6, share: 0, want: 200 * time.Millisecond},
-		{failures: 1000, share: 0.5, want: 150 * time.Millisecond},
-	}
-	for _, c := range cases {
-		if got := backoff(c.failures, c.share); got != c.want {
-			t.Errorf("%d failures, share %v: %v, want %v", c.failures, c.share, got, c.want)
-		}
-	}
-}
-
-func TestAServerThatStartsAgainAtItsAddress(t *testing.T) {
-	// Given a connection that was of use
-	server, pool, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t), testContext(t)
-	address := server.Address()
-	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
-		t.Fatal(err)
-	}
-	connection, err := pool.connection(address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	// When the server starts again
-	server.Close()
-	receive(t, connection.dialCtx.Done())
-	startServer(t, address, echoHandlers())
-	// Then the next call dials at once
-	got, err := Call[question, reply](ctx, pool, address, "echo", question{Text: "again"})
-	if err != nil || got.Text != "again" {
-		t.Fatalf("got %v, %v", got, err)
-	}
-}
-
-func TestAHandlersContextEndsWithItsCaller(t *testing.T) {
+func TestCall_CallerStops_EndsTheHandlersContext(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
 	handlers := NewHandlers()
 	Handle(handlers, "wait", func(ctx context.Context, _ string, _ question) (reply, error) {
@@ -408,27 +219,3 @@
 	}
 	receive(t, ended)
 }
-
-func TestClosingThePoolFailsOpenCalls(t *testing.T) {
-	started := make(chan struct{})
-	handlers := NewHandlers()
-	Handle(handlers, "wait", func(ctx context.Context, _ string, _ question) (reply, error) {
-		close(started)
-		<-ctx.Done()
-		return reply{}, nil
-	})
-	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
-	failure := make(chan error, 1)
-	go func() {
-		_, err := Call[question, reply](testContext(t), pool, server.Address(), "wait", question{})
-		failure <- err
-	}()
-	receive(t, started)
-	pool.Close()
-	if err := receive(t, failure); !errors.Is(err, ErrClosed) || !MayHaveArrived(err) {
-		t.Errorf("got %v", err)
-	}
-	if err := Notify(pool, server.Address(), "offer", question{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("got %v", err)
-	}
-}
--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// pendingCall is a call that waits for its answer.
+// pendingCall is a call that awaits its answer.
 type pendingCall struct {
 	id     uint64
 	method string
-	answer any // pointer that the answer is decoded into
+	answer any // pointer into which the answer is decoded
 	frame  frame
-	done   chan error // holds one result
+	done   chan error // buffered; gets exactly one result
 }
 
-// clientConnection is one connection of a pool: a reader, and a writer while something is queued.
+// clientConnection is one connection of a pool. Its goroutine dials and reads; the outbox writes.
 type clientConnection struct {
 	peer     *peer
 	out      outbox
 	stopDial context.CancelFunc
 	dialCtx  context.Context
 
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards what follows
 	pending  map[uint64]*pendingCall
 	socket   net.Conn
 	failed   bool
 	openedAt time.Time
-	received atomic.Bool // a line has come back
+	received atomic.Bool // a line was received
 }
 
 func newClientConnection(peer *peer) *clientConnection {
 	connection := &clientConnection{peer: peer, pending: map[uint64]*pendingCall{}}
 	connection.out.limits = peer.pool.limits
 	connection.out.meter = peer.pool.meter
-	connection.out.broken = connection.fail
+	connection.out.onWriteError = connection.fail
 	connection.dialCtx, connection.stopDial = context.WithCancel(context.Background())
 	return connection
 }
@@ -50,7 +50,7 @@
 		c.fail(err)
 		return
 	}
-	if !c.opened(socket) {
+	if !c.setSocket(socket) {
 		socket.Close()
 		return
 	}
@@ -58,8 +58,8 @@
 	c.fail(c.read(socket))
 }
 
-// opened notes the socket; false means that the connection was given up meanwhile.
-func (c *clientConnection) opened(socket net.Conn) bool {
+// setSocket stores the dialled socket; false: the connection has failed meanwhile.
+func (c *clientConnection) setSocket(socket net.Conn) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failed {
@@ -77,14 +77,14 @@
 		if err != nil {
 			return err
 		}
-		if err := c.take(text); err != nil {
+		if err := c.handleLine(text); err != nil {
 			return err
 		}
 	}
 }
 
-// take acts on one line; an error breaks the connection.
-func (c *clientConnection) take(text []byte) error {
+// handleLine handles one line; an error breaks the connection.
+func (c *clientConnection) handleLine(text []byte) error {
 	parsed, err := parseLine(text)
 	if err != nil {
 		return err
@@ -93,11 +93,11 @@
 		return fmt.Errorf("%w: %s isn't for a caller", ErrBadLine, parsed.kind)
 	}
 	c.received.Store(true)
-	pending := c.claim(parsed.id)
+	pending := c.removePending(parsed.id)
 	if pending == nil {
 		return nil // its caller has stopped waiting
 	}
-	result := c.result(pending, parsed)
+	result := c.decodeResult(pending, parsed)
 	pending.done <- result
 	if errors.Is(result, ErrBadLine) {
 		return result
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// claim removes a pending call, so that it gets one result only.
-func (c *clientConnection) claim(id uint64) *pendingCall {
+// removePending removes a pending call, so that it gets one result only.
+func (c *clientConnection) removePending(id uint64) *pendingCall {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	pending := c.pending[id]
@@ -114,8 +114,8 @@
 	return pending
 }
 
-// result decodes an answer or a handler's error.
-func (c *clientConnection) result(pending *pendingCall, parsed line) error {
+// decodeResult decodes an answer, or a handler's error, which it returns.
+func (c *clientConnection) decodeResult(pending *pendingCall, parsed line) error {
 	var err error
 	if parsed.kind == errorLine {
 		remote := new(RemoteError)
@@ -150,20 +150,20 @@
 	return nil
 }
 
-// abandon gives up a call whose caller stops waiting, unless its result is there.
+// abandon gives up a call whose caller stops waiting, unless its result is there. A request that was written is cancelled.
 func (c *clientConnection) abandon(pending *pendingCall, cause error) error {
-	if c.claim(pending.id) == nil {
-		return c.settled(pending, cause)
+	if c.removePending(pending.id) == nil {
+		return c.completed(pending, cause)
 	}
-	taken := c.out.withdraw(&pending.frame)
-	if taken {
+	written := c.out.withdraw(&pending.frame)
+	if written {
 		c.sendCancel(pending.id)
 	}
-	return c.callError(pending, taken, cause)
+	return c.callError(pending, written, cause)
 }
 
-// settled gives the result of a call that is no longer pending. The result may be a moment away.
-func (c *clientConnection) settled(pending *pendingCall, cause error) error {
+// completed returns the result of a call that is no longer pending, or cause if the result is not sent yet.
+func (c *clientConnection) completed(pending *pendingCall, cause error) error {
 	select {
 	case err := <-pending.done:
 		return err
@@ -172,7 +172,7 @@
 	}
 }
 
-// sendCancel is best effort: a cancel that is lost costs only the handler's time.
+// sendCancel is best effort: a lost cancel costs only the handler's time.
 func (c *clientConnection) sendCancel(id uint64) {
 	encoded, err := encodeLine(cancelLine, id, "", nil, c.peer.pool.limits.lineBytes)
 	if err == nil {
@@ -180,7 +180,7 @@
 	}
 }
 
-// fail breaks the connection and gives every open call its error. It may be called more than once.
+// fail breaks the connection and fails every pending call. It may be called more than once; the first cause counts.
 func (c *clientConnection) fail(cause error) {
 	c.mutex.Lock()
 	if c.failed {
@@ -191,16 +191,16 @@
 	pending := c.pending
 	c.pending = nil
 	socket := c.socket
-	useful := socket != nil && (c.received.Load() || time.Since(c.openedAt) > usefulAfter)
+	useful := socket != nil && (c.received.Load() || time.Since(c.openedAt) > minUsefulLifetime)
 	c.mutex.Unlock()
 
 	c.stopDial()
-	c.peer.lost(c, useful)
+	c.peer.connectionLost(c, useful)
 	c.out.close()
 	if socket != nil {
 		socket.Close()
 	}
-	for _, open := range pending {
-		open.done <- c.callError(open, c.out.withdraw(&open.frame), cause)
+	for _, call := range pending {
+		call.done <- c.callError(call, c.out.withdraw(&call.frame), cause)
 	}
 }
--- a/internal/tier/transport/datagram.go
+++ b/internal/tier/transport/datagram.go
@@ -8,7 +8,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// SendDatagram sends a payload once, without an answer or a promise to arrive.
+// SendDatagram sends a payload to an address (IP:port) once; it may be lost. A *TooLongError means that it exceeds
+// MaxDatagramBytes.
 func (s *Server) SendDatagram(address string, payload []byte) error {
 	if len(payload) > MaxDatagramBytes {
 		return &TooLongError{Bytes: len(payload), Bound: MaxDatagramBytes}
@@ -21,9 +22,10 @@
 	return err
 }
 
+// readDatagrams hands datagrams to the handler until the server closes.
 func (s *Server) readDatagrams() {
 	defer s.running.Done()
-	buffer := make([]byte, MaxDatagramBytes+1) // one more shows a payload over the bound
+	buffer := make([]byte, MaxDatagramBytes+1) // one more byte shows a payload over the bound
 	names := map[netip.AddrPort]string{}
 	for {
 		count, sender, err := s.packets.ReadFromUDPAddrPort(buffer)
@@ -31,7 +33,7 @@
 			return
 		}
 		if err != nil {
-			level.Debug(s.logger).Log("msg", "datagram not read", "err", err)
+			level.Debug(s.logger).Log("msg", "reading datagram failed", "err", err)
 			continue
 		}
 		if count > MaxDatagramBytes {
@@ -41,13 +43,13 @@
 	}
 }
 
-// nameOf gives a sender's address as text and keeps a bounded number of them.
+// nameOf returns a sender's address as text, from a cache of maxCachedAddresses.
 func nameOf(names map[netip.AddrPort]string, sender netip.AddrPort) string {
 	name, known := names[sender]
 	if known {
 		return name
 	}
-	if len(names) >= addressesKept {
+	if len(names) >= maxCachedAddresses {
 		clear(names)
 	}
 	name = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()).String()
--- a/internal/tier/transport/errors.go
+++ b/internal/tier/transport/errors.go
@@ -5,62 +5,62 @@
 	"fmt"
 )
 
-// Kinds of error that the package itself answers with.
+// The kinds of RemoteError that the package itself answers with.
 const (
-	KindInternal      = "internal"       // a handler's error without a kind of its own
+	KindInternal      = "internal"       // an error without a kind of its own, of the handler or of encoding the answer
 	KindUnknownMethod = "unknown_method" // nothing is registered under the name
 	KindBadRequest    = "bad_request"    // the body does not fit the handler's type
-	KindBusy          = "busy"           // too many calls are open on the connection; this one has not run
-	KindTooLong       = "too_long"       // the answer does not fit one line
+	KindBusy          = "busy"           // too many handlers run for the connection; this one was not started
+	KindTooLong       = "too_long"       // the answer exceeds MaxLineBytes
 )
 
 var (
-	// ErrClosed means that the pool or server has been closed.
+	// ErrClosed means that the pool, or the connection to the peer, was closed.
 	ErrClosed = errors.New("link: closed")
-	// ErrBackoff means that the peer could not be reached a moment ago and is not dialled again yet.
+	// ErrBackoff means that the peer could not be reached recently and is not dialled again before the backoff is over.
 	ErrBackoff = errors.New("link: waiting before the next dial")
-	// ErrQueueFull means that too many bytes wait for a peer already.
+	// ErrQueueFull means that too many bytes are queued for the peer.
 	ErrQueueFull = errors.New("link: queue full")
-	// ErrBadLine means that the other side sent something that is no line of this protocol.
+	// ErrBadLine means that the other side sent bytes that are no line of this protocol.
 	ErrBadLine = errors.New("link: bad line")
 )
 
-// RemoteError is the error of a handler, as the other side reported it.
+// RemoteError is the error of a handler as the other side sent it.
 type RemoteError struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
 }
 
-// Error gives kind and message.
+// Error returns kind and message.
 func (e *RemoteError) Error() string {
 	return e.Kind + ": " + e.Message
 }
 
-// ErrorKind gives the kind.
+// ErrorKind returns the kind.
 func (e *RemoteError) ErrorKind() string {
 	return e.Kind
 }
 
-// CallError says why a call has no answer.
+// CallError means that a call or stream got no answer.
 type CallError struct {
-	Address string
+	Address string // of the peer
 	Method  string
-	// MayHaveArrived is false only when no byte of the request was handed to the network.
+	// MayHaveArrived is false only if no byte of the request was written: then the call may be repeated without a duplicate.
 	MayHaveArrived bool
 	Cause          error
 }
 
-// Error names the call and the cause.
+// Error returns method, address and cause.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("call %s at %s: %v", e.Method, e.Address, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error {
 	return e.Cause
 }
 
-// MayHaveArrived says whether a failed call may have run at the other side. An error of the handler itself counts.
+// MayHaveArrived reports whether a failed call may have run at the other side. It is true for an error of the handler itself.
 func MayHaveArrived(err error) bool {
 	var call *CallError
 	if errors.As(err, &call) {
@@ -70,31 +70,31 @@
 	return errors.As(err, &remote)
 }
 
-// TooLongError means that a line or a datagram is over its bound.
+// TooLongError means that a line or datagram exceeds its bound.
 type TooLongError struct {
-	Bytes int // as far as they were counted
+	Bytes int // of the line or datagram, as far as they were read
 	Bound int
 }
 
-// Error gives both sizes.
+// Error returns both sizes.
 func (e *TooLongError) Error() string {
 	return fmt.Sprintf("link: %d bytes are over the bound of %d", e.Bytes, e.Bound)
 }
 
-// kinded is an error that knows its kind.
-type kinded interface {
+// errorKinder is an error with a kind, see package apierror.
+type errorKinder interface {
 	ErrorKind() string
 }
 
-// asRemote turns a handler's error into what travels.
-func asRemote(err error) *RemoteError {
+// toRemoteError returns the error that is sent for a handler's error.
+func toRemoteError(err error) *RemoteError {
 	var remote *RemoteError
 	if errors.As(err, &remote) {
 		return remote
 	}
-	var known kinded
-	if errors.As(err, &known) {
-		return &RemoteError{Kind: known.ErrorKind(), Message: err.Error()}
+	var kinder errorKinder
+	if errors.As(err, &kinder) {
+		return &RemoteError{Kind: kinder.ErrorKind(), Message: err.Error()}
 	}
 	return &RemoteError{Kind: KindInternal, Message: err.Error()}
 }
--- a/internal/tier/transport/handlers.go
+++ b/internal/tier/transport/handlers.go
@@ -7,38 +7,38 @@
 	"fmt"
 )
 
-// Handlers says what a server does by method. All are registered before the server listens.
+// Handlers maps methods to what a server runs for them. All must be registered before the server listens.
 type Handlers struct {
-	calls    map[string]prepareCall
-	streams  map[string]prepareStream
-	notices  map[string]takeNotice
+	calls    map[string]decodeCall
+	streams  map[string]decodeStream
+	notices  map[string]noticeHandler
 	datagram func(from string, payload []byte)
 	meter    Meter
 }
 
 type (
-	// Each decodes the body at once, since the read buffer is used again.
-	prepareCall   func(from string, body []byte) (runCall, error)
-	runCall       func(ctx context.Context) (any, error)
-	prepareStream func(body []byte) (runStream, error)
-	runStream     func(ctx context.Context, send func(any) error) error
-	takeNotice    func(from string, body []byte) error
+	// decodeCall, decodeStream and noticeHandler must decode the body before they return, as the read buffer is reused.
+	decodeCall    func(from string, body []byte) (callFunc, error)
+	callFunc      func(ctx context.Context) (any, error)
+	decodeStream  func(body []byte) (streamFunc, error)
+	streamFunc    func(ctx context.Context, send func(any) error) error
+	noticeHandler func(from string, body []byte) error
 )
 
-// NewHandlers gives an empty set.
+// NewHandlers returns an empty set.
 func NewHandlers() *Handlers {
 	return &Handlers{
-		calls:   map[string]prepareCall{},
-		streams: map[string]prepareStream{},
-		notices: map[string]takeNotice{},
+		calls:   map[string]decodeCall{},
+		streams: map[string]decodeStream{},
+		notices: map[string]noticeHandler{},
 	}
 }
 
-// Handle registers what answers calls of a method. Each call runs in a goroutine of its own; its context ends when the
-// caller stops waiting or the connection breaks.
+// Handle registers the handler of calls of a method. Each call runs in a goroutine of its own; its context ends when the
+// caller stops waiting or the connection breaks. An error with an ErrorKind method reaches the caller with that kind.
 func Handle[Request, Answer any](handlers *Handlers, method string, handle func(ctx context.Context, from string, request Request) (Answer, error)) {
-	mustBeValid(method)
-	handlers.calls[method] = func(from string, body []byte) (runCall, error) {
+	mustBeValidMethod(method)
+	handlers.calls[method] = func(from string, body []byte) (callFunc, error) {
 		var request Request
 		if err := decode(body, &request); err != nil {
 			return nil, err
@@ -49,10 +49,10 @@
 	}
 }
 
-// HandleNotice registers what takes notices of a method. It runs in the connection's reader, one notice after the other,
+// HandleNotice registers the handler of notices of a method. It runs in the connection's reader, one notice after the other,
 // and must not block.
 func HandleNotice[Notice any](handlers *Handlers, method string, handle func(from string, notice Notice)) {
-	mustBeValid(method)
+	mustBeValidMethod(method)
 	handlers.notices[method] = func(from string, body []byte) error {
 		var notice Notice
 		if err := decode(body, &notice); err != nil {
@@ -63,11 +63,11 @@
 	}
 }
 
-// HandleStream registers what sends items for as long as it likes. send waits while the other side does not read. The
-// context ends with the connection; the stream ends when the handler returns.
+// HandleStream registers the handler of streams of a method. send waits while the other side does not read. The context ends
+// with the connection; the stream ends when the handler returns.
 func HandleStream[Request, Item any](handlers *Handlers, method string, handle func(ctx context.Context, request Request, send func(Item) error) error) {
-	mustBeValid(method)
-	handlers.streams[method] = func(body []byte) (runStream, error) {
+	mustBeValidMethod(method)
+	handlers.streams[method] = func(body []byte) (streamFunc, error) {
 		var request Request
 		if err := decode(body, &request); err != nil {
 			return nil, err
@@ -78,21 +78,22 @@
 	}
 }
 
-// Measure has a meter count what servers with these handlers send on connections; to be called before they listen.
+// Measure makes a meter count what servers with these handlers send on connections. It must be called before they listen.
 func (h *Handlers) Measure(meter Meter) { h.meter = meter }
 
-// HandleDatagram sets what takes datagrams, one after the other. It must not block, nor keep the payload.
+// HandleDatagram sets the handler of datagrams, which gets one after the other. It must not block, nor keep the payload.
 func (h *Handlers) HandleDatagram(handle func(from string, payload []byte)) {
 	h.datagram = handle
 }
 
-func mustBeValid(method string) {
+// mustBeValidMethod panics on a method that can't stand in a line: a mistake of the programmer.
+func mustBeValidMethod(method string) {
 	if !validMethod(method) {
 		panic(fmt.Sprintf("link: %q can't name a method", method))
 	}
 }
 
-// decode reads a body. ErrBadLine means that it is no JSON; any other error, that it doesn't fit the type.
+// decode decodes a body. ErrBadLine means that it is no JSON; any other error, that it doesn't fit the type.
 func decode(body []byte, target any) error {
 	if body == nil {
 		return nil
--- a/internal/tier/transport/line.go
+++ b/internal/tier/transport/line.go
@@ -1,13 +1,8 @@
 package transport
 
-import (
-	"bytes"
-	"encoding/json"
-	"strconv"
-	"sync"
-)
+import "bytes"
 
-// lineKind is the first key of a line.
+// lineKind is the first key of a line. It travels.
 type lineKind string
 
 const (
@@ -21,17 +16,18 @@
 	endLine    lineKind = "end"
 )
 
-// line is a parsed line; its parts point into the read buffer.
+// lineKinds lists all kinds, the most frequent first.
+var lineKinds = []lineKind{callLine, answerLine, noticeLine, itemLine, errorLine, cancelLine, streamLine, endLine}
+
+// line is a parsed line. Its slices point into the read buffer and are valid until the next line is read.
 type line struct {
 	kind   lineKind
 	id     uint64
 	method []byte
-	body   []byte // unchecked JSON; nil if there is none
+	body   []byte // not validated JSON; nil: there is none
 }
 
-var lineKinds = []lineKind{callLine, answerLine, noticeLine, itemLine, errorLine, cancelLine, streamLine, endLine}
-
-// parseLine splits a line, given without its line feed. The body is checked where it is decoded.
+// parseLine parses a line without its line feed; the error is ErrBadLine. The body is validated where it is decoded.
 func parseLine(text []byte) (line, error) {
 	rest, ok := bytes.CutPrefix(text, []byte(`{"`))
 	if !ok {
@@ -79,7 +75,7 @@
 	return "", rest
 }
 
-// maxNumberDigits keeps a number from overflowing.
+// maxNumberDigits bounds a number so that it can't overflow.
 const maxNumberDigits = 18
 
 func cutNumber(rest []byte) (uint64, []byte, bool) {
@@ -92,7 +88,7 @@
 	return number, rest[digits:], digits > 0 && digits <= maxNumberDigits
 }
 
-// validMethod says whether a name can stand in a line as it is.
+// validMethod reports whether a name can stand in a line without escapes.
 func validMethod(method string) bool {
 	for i := range len(method) {
 		c := method[i]
@@ -102,66 +98,3 @@
 	}
 	return method != ""
 }
-
-// lineBuffers holds buffers for written lines.
-var lineBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-
-func releaseLine(buffer *bytes.Buffer) {
-	if buffer.Cap() > keptLineBytes {
-		return
-	}
-	buffer.Reset()
-	lineBuffers.Put(buffer)
-}
-
-// Appender is a body that writes its own JSON. It is for large parts that are JSON already: the encoder of the library
-// would read each of them again, for every receiver.
-type Appender interface {
-	// AppendJSON appends the body as encoding/json would write it. Where line feeds stand in it, the library writes the body.
-	AppendJSON(buffer []byte) ([]byte, error)
-}
-
-// encodeLine writes a whole line, once, into a buffer that releaseLine takes back.
-func encodeLine(kind lineKind, id uint64, method string, body any, bound int) (*bytes.Buffer, error) {
-	buffer := lineBuffers.Get().(*bytes.Buffer)
-	buffer.WriteString(`{"`)
-	buffer.WriteString(string(kind))
-	buffer.WriteString(`":`)
-	buffer.Write(strconv.AppendUint(buffer.AvailableBuffer(), id, 10))
-	if method != "" {
-		buffer.WriteString(`,"method":"`)
-		buffer.WriteString(method)
-		buffer.WriteByte('"')
-	}
-	if body != nil {
-		buffer.WriteString(`,"body":`)
-		if err := encodeBody(buffer, body); err != nil {
-			releaseLine(buffer)
-			return nil, err
-		}
-	}
-	buffer.WriteString("}\n")
-	if buffer.Len() > bound {
-		err := &TooLongError{Bytes: buffer.Len(), Bound: bound}
-		releaseLine(buffer)
-		return nil, err
-	}
-	return buffer, nil
-}
-
-func encodeBody(buffer *bytes.Buffer, body any) error {
-	if appender, ok := body.(Appender); ok {
-		written, err := appender.AppendJSON(buffer.AvailableBuffer())
-		if err != nil || bytes.IndexByte(written, '\n') < 0 {
-			buffer.Write(written)
-			return err
-		}
-	}
-	encoder := json.NewEncoder(buffer)
-	encoder.SetEscapeHTML(false)
-	if err := encoder.Encode(body); err != nil {
-		return err
-	}
-	buffer.Truncate(buffer.Len() - 1) // the encoder's line feed
-	return nil
-}
--- a/internal/tier/transport/line_test.go
+++ b/internal/tier/transport/line_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestEncodedLinesAreParsedAgain(t *testing.T) {
+func TestLine_EncodedThenParsed_IsTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom(lineKinds).Draw(t, "kind")
 		id := rapid.Uint64Range(0, 1<<59).Draw(t, "id")
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestParseLineTakesAnyBytes(t *testing.T) {
+func TestParseLine_AnyBytes_DoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "text")
 		if rapid.Bool().Draw(t, "nearly right") {
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestEncodeLineRefusesWhatIsTooLong(t *testing.T) {
+func TestEncodeLine_OverTheBound_Fails(t *testing.T) {
 	_, err := encodeLine(callLine, 1, "m", "0123456789", 20)
 	var tooLong *TooLongError
 	if !errors.As(err, &tooLong) || tooLong.Bound != 20 {
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestLineReaderGivesLinesHoweverTheyArrive(t *testing.T) {
+func TestLineReader_AnyChunks_GivesTheLines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := rapid.SliceOfN(rapid.OneOf(rapid.IntRange(0, 5), rapid.IntRange(0, 9000)), 0, 8).Draw(t, "lengths")
 		var lines []string
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestLineReaderBounds(t *testing.T) {
+func TestLineReader_LineOverTheBound_Fails(t *testing.T) {
 	cases := []struct {
 		name string
 		text string
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestLineReaderGivesBackAGrownBuffer(t *testing.T) {
+func TestLineReader_AfterALongLine_ReleasesTheBuffer(t *testing.T) {
 	text := append(bytes.Repeat([]byte("x"), 1<<20), '\n')
 	reader := newLineReader(io.MultiReader(bytes.NewReader(text), bytes.NewBufferString("y\n")), MaxLineBytes)
 	for range 2 {
@@ -154,7 +154,7 @@
 			t.Fatal(err)
 		}
 	}
-	if len(reader.buffer) != firstReadBytes {
+	if len(reader.buffer) != initialReadBytes {
 		t.Errorf("%d bytes are kept", len(reader.buffer))
 	}
 }
--- a/internal/tier/transport/mutants_test.go
+++ b/internal/tier/transport/mutants_test.go
@@ -6,30 +6,30 @@
 	"mastusher/internal/tools/mutation"
 )
 
-func TestMutantsAreNoticed(t *testing.T) {
+func TestMutants_AreDetected(t *testing.T) {
 	change := func(from, to string) mutation.Change { return mutation.Change{File: "pack.go", Old: from, New: to} }
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "a reader forgets the lines before",
-			Change: change("\tu.history.add(text)\n", ""),
-			Run:    "^TestPackedLinesAreReadAsTheyWere$",
+			Name:   "a reader drops the dictionary",
+			Change: change("\tu.dictionary.add(text)\n", ""),
+			Run:    "^TestPacker_AnyBatches_ReaderGivesEveryLine$",
 			Always: true,
 		},
 		{
-			Name:   "packed lines have no bound",
+			Name:   "unpacked lines are not bounded",
 			Change: change("N: int64(bound) + 1}", "N: 1 << 40}"),
 			Also:   []mutation.Change{change("if len(text) > bound {", "if false {")},
-			Run:    "^TestPackedLinesThatAreDamaged$",
+			Run:    "^TestUnpacker_DamagedLines_Fail$",
 		},
 		{
-			Name:   "half a line is taken",
+			Name:   "an incomplete line is accepted",
 			Change: change(` || !bytes.HasSuffix(text, []byte("\n"))`, ""),
-			Run:    "^TestPackedLinesThatAreDamaged$",
+			Run:    "^TestUnpacker_DamagedLines_Fail$",
 		},
 		{
-			Name:   "text that doesn't repeat is left as it is",
-			Change: change("if float64(into.Len()) <= (1-littleGain)*float64(len(lines)) {", "if true {"),
-			Run:    "^TestPackingMakesLinesShorter$",
+			Name:   "text without repetitions is not compressed",
+			Change: change("if float64(into.Len()) <= (1-minSaving)*float64(len(lines)) {", "if true {"),
+			Run:    "^TestPacker_UsualLines_AreShorter$",
 		},
 	})
 }
--- a/internal/tier/transport/outbox.go
+++ b/internal/tier/transport/outbox.go
@@ -8,53 +8,54 @@
 	"sync"
 )
 
-// frame is one line on its way out.
+// frame is one queued line.
 type frame struct {
 	line *bytes.Buffer
 	kind string // for the meter
-	// taken is set when the line goes to the network. The outbox's lock guards it.
-	taken bool
+	// dequeued is set when the line is handed to the writer. The outbox's mutex guards it.
+	dequeued bool
 }
 
-// outbox is the queue of one connection. A goroutine writes while something is queued, several lines in one write.
+// outbox is the send queue of one connection. A goroutine writes while something is queued, several lines in one write; see
+// writer.go.
 type outbox struct {
-	limits limits
-	broken func(error) // told once of a failed write, without the lock
+	limits       limits
+	onWriteError func(error) // called once after a failed write, without the mutex
 
-	packer  packer // used by the goroutine that writes
-	packing bool   // lines go to another machine
-	meter   Meter  // nil: nobody counts
+	packer  packer // used by the writer only
+	packing bool   // lines are packed, as they go to another machine
+	meter   Meter  // nil: nothing is counted
 	address string // of the other end, for the meter
 
-	mutex       sync.Mutex
-	socket      net.Conn // nil until the dial is done
-	kept        []*frame // calls, answers and items, which are never dropped
-	keptBytes   int
+	mutex       sync.Mutex // guards what follows
+	socket      net.Conn   // nil until the dial is done
+	queue       []*frame   // calls, answers and items, which must not be dropped
+	queueBytes  int
 	notices     []*frame
 	noticeBytes int
-	writing     bool
+	writing     bool // a writer runs
 	closed      bool
-	room        chan struct{} // closed when the backlog has shrunk; nil when nobody waits
+	space       chan struct{} // closed when the queue has shrunk; nil: nobody waits
 }
 
-// start gives the connection that lines go to, and writes what waits.
+// start sets the connection and writes what is queued.
 func (o *outbox) start(socket net.Conn) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.socket = socket
-	o.packing = !isLocal(socket)
+	o.packing = !isSameMachine(socket)
 	o.address = socket.RemoteAddr().String()
-	o.wakeLocked()
+	o.startWriterLocked()
 }
 
-// push queues a line that must not be dropped.
+// push queues a line that must not be dropped. It fails with ErrClosed or ErrQueueFull; a line always fits an empty queue.
 func (o *outbox) push(queued *frame) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.closed {
 		return ErrClosed
 	}
-	if o.keptBytes > 0 && o.keptBytes+queued.line.Len() > o.limits.queuedBytes {
+	if o.queueBytes > 0 && o.queueBytes+queued.line.Len() > o.limits.queuedBytes {
 		return ErrQueueFull
 	}
 	o.pushLocked(queued)
@@ -62,44 +63,44 @@
 }
 
 func (o *outbox) pushLocked(queued *frame) {
-	o.kept = append(o.kept, queued)
-	o.keptBytes += queued.line.Len()
-	o.wakeLocked()
+	o.queue = append(o.queue, queued)
+	o.queueBytes += queued.line.Len()
+	o.startWriterLocked()
 }
 
-// pushWhenRoom queues a line once the backlog is short, and waits for that.
-func (o *outbox) pushWhenRoom(ctx context.Context, queued *frame) error {
+// pushWait queues a line, and waits while more than streamBacklogBytes are queued.
+func (o *outbox) pushWait(ctx context.Context, queued *frame) error {
 	for {
-		room, err := o.pushOrWait(queued)
-		if err != nil || room == nil {
+		space, err := o.pushOrWait(queued)
+		if err != nil || space == nil {
 			return err
 		}
 		select {
-		case <-room:
+		case <-space:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// pushOrWait queues the line, or gives a channel that closes when there may be room.
+// pushOrWait queues the line, or returns a channel that closes when there may be space.
 func (o *outbox) pushOrWait(queued *frame) (<-chan struct{}, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.closed {
 		return nil, ErrClosed
 	}
-	if o.keptBytes < streamBacklogBytes {
+	if o.queueBytes < streamBacklogBytes {
 		o.pushLocked(queued)
 		return nil, nil
 	}
-	if o.room == nil {
-		o.room = make(chan struct{})
+	if o.space == nil {
+		o.space = make(chan struct{})
 	}
-	return o.room, nil
+	return o.space, nil
 }
 
-// pushNotice queues a line and drops the oldest notices beyond the bound. It gives the number dropped.
+// pushNotice queues a notice, drops the oldest ones beyond the bound and returns how many.
 func (o *outbox) pushNotice(queued *frame) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -117,142 +118,39 @@
 		o.notices = o.notices[1:]
 		dropped++
 	}
-	o.wakeLocked()
+	o.startWriterLocked()
 	return dropped
 }
 
-// withdraw removes a line that has not been taken, and says whether it has been.
-func (o *outbox) withdraw(queued *frame) (taken bool) {
+// withdraw removes a queued line, and reports whether it was dequeued already, so that bytes of it may be written.
+func (o *outbox) withdraw(queued *frame) (dequeued bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if queued.taken {
+	if queued.dequeued {
 		return true
 	}
-	at := slices.Index(o.kept, queued)
+	at := slices.Index(o.queue, queued)
 	if at >= 0 {
-		o.keptBytes -= queued.line.Len()
+		o.queueBytes -= queued.line.Len()
 		releaseLine(queued.line)
-		o.kept = slices.Delete(o.kept, at, at+1)
+		o.queue = slices.Delete(o.queue, at, at+1)
 	}
 	return false
 }
 
-// close drops what waits; later pushes fail.
+// close drops what is queued; later pushes fail.
 func (o *outbox) close() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.closed = true
-	o.kept, o.keptBytes = nil, 0
+	o.queue, o.queueBytes = nil, 0
 	o.notices, o.noticeBytes = nil, 0
-	o.openRoomLocked()
+	o.signalSpaceLocked()
 }
 
-func (o *outbox) openRoomLocked() {
-	if o.room != nil {
-		close(o.room)
-		o.room = nil
+func (o *outbox) signalSpaceLocked() {
+	if o.space != nil {
+		close(o.space)
+		o.space = nil
 	}
 }
-
-func (o *outbox) wakeLocked() {
-	if o.writing || o.socket == nil || len(o.kept)+len(o.notices) == 0 {
-		return
-	}
-	o.writing = true
-	go o.drain()
-}
-
-// batches holds buffers in which short lines are joined, and packed.
-var batches = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-
-// drain writes until nothing is queued.
-func (o *outbox) drain() {
-	batch := batches.Get().(*bytes.Buffer)
-	defer batches.Put(batch)
-	for {
-		batch.Reset()
-		long := o.take(batch)
-		if long == nil && batch.Len() == 0 {
-			return
-		}
-		if err := o.write(batch, long); err != nil {
-			o.broken(err)
-			return
-		}
-	}
-}
-
-func (o *outbox) write(batch, long *bytes.Buffer) error {
-	lines := batch
-	if long != nil {
-		lines = long
-		defer releaseLine(long)
-	}
-	if !o.packing {
-		return o.writeOut(lines.Bytes())
-	}
-	packed := batches.Get().(*bytes.Buffer)
-	defer batches.Put(packed)
-	packed.Reset()
-	if err := o.packer.pack(packed, lines.Bytes()); err != nil {
-		return err
-	}
-	return o.writeOut(packed.Bytes())
-}
-
-func (o *outbox) writeOut(bytes []byte) error {
-	count, err := o.socket.Write(bytes)
-	if o.meter != nil {
-		o.meter.Written(o.address, count)
-	}
-	return err
-}
-
-// take moves queued lines into the batch, or gives one long line by itself. When there is none, the writing ends.
-func (o *outbox) take(batch *bytes.Buffer) (long *bytes.Buffer) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	long = o.takeFrom(&o.kept, &o.keptBytes, batch)
-	if long == nil {
-		long = o.takeFrom(&o.notices, &o.noticeBytes, batch)
-	}
-	if o.keptBytes < streamBacklogBytes {
-		o.openRoomLocked()
-	}
-	o.writing = !o.closed && (long != nil || batch.Len() > 0)
-	if o.closed {
-		batch.Reset()
-		return nil
-	}
-	return long
-}
-
-func (o *outbox) takeFrom(queue *[]*frame, queuedBytes *int, batch *bytes.Buffer) (long *bytes.Buffer) {
-	count := 0
-	for _, queued := range *queue {
-		size := queued.line.Len()
-		if batch.Len() > 0 && batch.Len()+size > batchBytes {
-			break
-		}
-		queued.taken = true
-		if o.meter != nil {
-			o.meter.SentLine(queued.kind, o.address, size)
-		}
-		*queuedBytes -= size
-		count++
-		if size > batchBytes {
-			long = queued.line
-			break
-		}
-		batch.Write(queued.line.Bytes())
-		releaseLine(queued.line)
-	}
-	*queue = slices.Delete(*queue, 0, count)
-	if len(*queue) == 0 && cap(*queue) > keptQueueFrames {
-		*queue = nil
-	}
-	return long
-}
-
-// keptQueueFrames is the capacity that an empty queue may keep.
-const keptQueueFrames = 256
--- /dev/null
+++ b/internal/tier/transport/outbox_test.go
@@ -0,0 +1,75 @@
+package transport
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func queuedFrame(text string) *frame {
+	return &frame{line: bytes.NewBufferString(text)}
+}
+
+func TestOutbox_NoticesOverTheBound_DropsTheOldest(t *testing.T) {
+	// Given a queue that holds three notices and is not written
+	out := outbox{limits: limits{noticeBytes: 6, queuedBytes: 4}}
+	dropped := 0
+	for _, text := range []string{"1\n", "2\n", "3\n", "4\n", "5\n"} {
+		dropped += out.pushNotice(queuedFrame(text))
+	}
+	// Then the newest three are left
+	var batch bytes.Buffer
+	out.nextBatch(&batch)
+	if batch.String() != "3\n4\n5\n" || dropped != 2 {
+		t.Errorf("%q is left, %d dropped", batch.String(), dropped)
+	}
+}
+
+func TestOutbox_CallsOverTheBound_Fail(t *testing.T) {
+	out := outbox{limits: limits{noticeBytes: 4, queuedBytes: 4}}
+	first, second := queuedFrame("too long alone\n"), queuedFrame("2\n")
+	if err := out.push(first); err != nil {
+		t.Fatalf("one call always fits: %v", err)
+	}
+	if err := out.push(second); err != ErrQueueFull {
+		t.Fatalf("got %v", err)
+	}
+	if out.withdraw(first) {
+		t.Error("counted as taken")
+	}
+	if err := out.push(second); err != nil {
+		t.Errorf("after the withdrawal: %v", err)
+	}
+	var batch bytes.Buffer
+	out.nextBatch(&batch)
+	if !out.withdraw(second) || batch.String() != "2\n" {
+		t.Errorf("not counted as taken; batch %q", batch.String())
+	}
+}
+
+func TestOutbox_SeveralLines_GoIntoOneWrite(t *testing.T) {
+	out := outbox{limits: defaultLimits()}
+	long := strings.Repeat("x", maxBatchBytes+1)
+	out.push(queuedFrame("1\n"))
+	out.push(queuedFrame("2\n"))
+	out.push(queuedFrame(long))
+	out.pushNotice(queuedFrame("n\n"))
+	var got []int
+	for {
+		var batch bytes.Buffer
+		alone := out.nextBatch(&batch)
+		if alone != nil {
+			got = append(got, alone.Len())
+			continue
+		}
+		if batch.Len() == 0 {
+			break
+		}
+		got = append(got, batch.Len())
+	}
+	if diff := cmp.Diff([]int{6, len(long)}, got); diff != "" {
+		t.Error(diff)
+	}
+}
--- a/internal/tier/transport/pack.go
+++ b/internal/tier/transport/pack.go
@@ -12,16 +12,16 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Bounds of packing. What two sides say to each other is much alike from line to line, and the bytes that it holds stand
-// there as text: compressed, lines between machines take about half.
+// Bounds of packing, in bytes. Lines between two machines resemble each other, and binary data stands in them as text:
+// compressed, they take about half.
 const (
-	packFrom     = 96        // bytes of lines from which on they are packed
-	packMost     = 512 << 10 // up to which they are: beyond, it would keep a small machine busy for long
-	historyBytes = 3 << 10   // of the last lines that one direction of a connection goes on from; a longer one costs more than it saves
+	minPackBytes    = 96        // shorter batches are not packed
+	maxPackBytes    = 512 << 10 // longer ones neither: compressing them would keep a small machine busy for long
+	dictionaryBytes = 3 << 10   // of the preset dictionary; a longer one costs more time than it saves bytes
 )
 
-// Every batch of lines is compressed by itself, going on from the text of the last ones: a compressor of its own for each
-// connection would take a hundred times the memory.
+// Every batch of lines is a complete stream with the text of the last ones as its dictionary: a compressor per connection
+// would take a hundred times the memory.
 const (
 	packedPrefix = `{"packed":` // then the number of bytes that follow the line
 	packedSuffix = "}"
@@ -32,15 +32,15 @@
 	errPackedEnd    = fmt.Errorf("%w: packed lines don't end with a line", ErrBadLine)
 )
 
-// history is the text of the last packed lines of one direction of a connection.
-type history []byte
+// dictionary is the text of the last packed lines of one direction of a connection. Both sides must keep the same.
+type dictionary []byte
 
-func (h *history) add(text []byte) {
-	if len(text) >= historyBytes {
-		*h = append((*h)[:0], text[len(text)-historyBytes:]...)
+func (h *dictionary) add(text []byte) {
+	if len(text) >= dictionaryBytes {
+		*h = append((*h)[:0], text[len(text)-dictionaryBytes:]...)
 		return
 	}
-	if over := len(*h) + len(text) - historyBytes; over > 0 {
+	if over := len(*h) + len(text) - dictionaryBytes; over > 0 {
 		*h = append((*h)[:0], (*h)[over:]...)
 	}
 	*h = append(*h, text...)
@@ -48,26 +48,26 @@
 
 // packer packs the lines that go out on one connection.
 type packer struct {
-	history history
+	dictionary dictionary
 }
 
-// pack appends lines to a buffer, packed if that is shorter.
+// pack appends lines to a buffer, packed if that is shorter. Only packed lines enter the dictionary.
 func (p *packer) pack(into *bytes.Buffer, lines []byte) error {
-	if len(lines) < packFrom || len(lines) > packMost {
+	if len(lines) < minPackBytes || len(lines) > maxPackBytes {
 		into.Write(lines)
 		return nil
 	}
 	packed := batches.Get().(*bytes.Buffer)
 	defer batches.Put(packed)
 	packed.Reset()
-	if err := compress(packed, lines, p.history); err != nil {
+	if err := compress(packed, lines, p.dictionary); err != nil {
 		return err
 	}
 	if packed.Len() >= len(lines) {
 		into.Write(lines)
 		return nil
 	}
-	p.history.add(lines)
+	p.dictionary.add(lines)
 	into.WriteString(packedPrefix)
 	into.Write(strconv.AppendInt(into.AvailableBuffer(), int64(packed.Len()), 10))
 	into.WriteString(packedSuffix + "\n")
@@ -75,38 +75,38 @@
 	return nil
 }
 
-// littleGain is the part that a compressor must save at least. Where nothing is repeated the stateless one stores text as it
-// is, and so with it the bytes that stand in it at six bits for each eight: a code for single letters saves these.
-const littleGain = 1.0 / 8
+// minSaving is the fraction that the stateless compressor must save. Without repetitions it stores text uncompressed, also
+// base64, of which each byte carries six bits: a Huffman code saves the other two.
+const minSaving = 1.0 / 8
 
-// compress appends a deflate stream that goes on from the history, if that helps.
-func compress(into *bytes.Buffer, lines, history []byte) error {
-	if err := flate.StatelessDeflate(into, lines, true, history); err != nil {
+// compress appends a deflate stream with the dictionary, or one with a Huffman code only if that saves too little.
+func compress(into *bytes.Buffer, lines, dictionary []byte) error {
+	if err := flate.StatelessDeflate(into, lines, true, dictionary); err != nil {
 		return err
 	}
-	if float64(into.Len()) <= (1-littleGain)*float64(len(lines)) {
+	if float64(into.Len()) <= (1-minSaving)*float64(len(lines)) {
 		return nil
 	}
 	into.Reset()
-	coder := letterCoders.Get().(*flate.Writer)
-	defer letterCoders.Put(coder)
-	coder.Reset(into)
-	if _, err := coder.Write(lines); err != nil {
+	writer := huffmanWriters.Get().(*flate.Writer)
+	defer huffmanWriters.Put(writer)
+	writer.Reset(into)
+	if _, err := writer.Write(lines); err != nil {
 		return err
 	}
-	return coder.Close()
+	return writer.Close()
 }
 
-// letterCoders holds compressors that look for nothing that is repeated.
-var letterCoders = sync.Pool{New: func() any {
-	coder, err := flate.NewWriter(io.Discard, flate.HuffmanOnly)
+// huffmanWriters pools compressors that do not search for repetitions.
+var huffmanWriters = sync.Pool{New: func() any {
+	writer, err := flate.NewWriter(io.Discard, flate.HuffmanOnly)
 	if err != nil {
-		panic(err) // the level is a known one
+		panic(err) // never: the level is valid
 	}
-	return coder
+	return writer
 }}
 
-// inflater is a decompressor in a pool.
+// inflater is a pooled decompressor.
 type inflater struct {
 	source bytes.Reader
 	reader io.ReadCloser
@@ -119,17 +119,18 @@
 	return i
 }}
 
-// unpacker takes apart what a packer has packed.
+// unpacker unpacks the lines of one connection.
 type unpacker struct {
-	history history
+	dictionary dictionary
 }
 
-// unpack appends the lines to a buffer. An error means that the connection is of no use any more.
+// unpack appends the lines to a buffer, up to bound bytes. After an error the connection must be closed, as the dictionaries
+// differ.
 func (u *unpacker) unpack(into *bytes.Buffer, packed []byte, bound int) error {
 	i := inflaters.Get().(*inflater)
 	defer inflaters.Put(i)
 	i.source.Reset(packed)
-	if err := i.reader.(flate.Resetter).Reset(&i.source, u.history); err != nil {
+	if err := i.reader.(flate.Resetter).Reset(&i.source, u.dictionary); err != nil {
 		return err
 	}
 	i.bound = io.LimitedReader{R: i.reader, N: int64(bound) + 1}
@@ -143,11 +144,11 @@
 	if i.source.Len() > 0 || !bytes.HasSuffix(text, []byte("\n")) {
 		return errPackedEnd
 	}
-	u.history.add(text)
+	u.dictionary.add(text)
 	return nil
 }
 
-// packedLength reads the line before packed lines; false: it is another line.
+// packedLength parses the line before packed lines; false: it is another line. The error is ErrBadLine.
 func packedLength(text []byte) (length int, isPacked bool, err error) {
 	rest, isPacked := bytes.CutPrefix(text, []byte(packedPrefix))
 	if !isPacked {
@@ -155,14 +156,14 @@
 	}
 	digits, ended := bytes.CutSuffix(rest, []byte(packedSuffix))
 	length, err = strconv.Atoi(string(digits))
-	if err != nil || !ended || length <= 0 || length > packMost {
+	if err != nil || !ended || length <= 0 || length > maxPackBytes {
 		return 0, true, errPackedLength
 	}
 	return length, true, nil
 }
 
-// isLocal tells whether both ends of a connection are on one machine.
-func isLocal(socket net.Conn) bool {
+// isSameMachine reports whether both ends of a connection have the same IP address.
+func isSameMachine(socket net.Conn) bool {
 	local, err := hostOf(socket.LocalAddr())
 	remote, remoteErr := hostOf(socket.RemoteAddr())
 	return errors.Join(err, remoteErr) == nil && local == remote
--- a/internal/tier/transport/pack_test.go
+++ b/internal/tier/transport/pack_test.go
@@ -24,7 +24,7 @@
 
 // Given any batches of lines, when they are packed one after the other, then the reader gives every line, however the bytes
 // arrive.
-func TestPackedLinesAreReadAsTheyWere(t *testing.T) {
+func TestPacker_AnyBatches_ReaderGivesEveryLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var packer packer
 		var wire bytes.Buffer
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestPackingMakesLinesShorter(t *testing.T) {
+func TestPacker_UsualLines_AreShorter(t *testing.T) {
 	for _, c := range []struct {
 		bytes, lines int
 		most         float64 // of what it was
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestLongLinesGoAsTheyAre(t *testing.T) {
-	line := append(bytes.Repeat([]byte("x"), packMost), '\n')
+func TestPacker_LongLines_AreNotPacked(t *testing.T) {
+	line := append(bytes.Repeat([]byte("x"), maxPackBytes), '\n')
 	var packer packer
 	var wire bytes.Buffer
 	if err := packer.pack(&wire, line); err != nil || !bytes.Equal(wire.Bytes(), line) {
@@ -97,7 +97,7 @@
 	return wire.Bytes()
 }
 
-func TestPackedLinesThatAreDamaged(t *testing.T) {
+func TestUnpacker_DamagedLines_Fail(t *testing.T) {
 	line := noticeOf(1, 900)
 	whole := packedBy(t, line)
 	for cut := 1; cut < len(whole); cut++ {
@@ -142,14 +142,14 @@
 func (b between) LocalAddr() net.Addr  { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.from), Port: 7} }
 func (b between) RemoteAddr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.to), Port: 8} }
 
-func TestLinesArePackedBetweenMachinesOnly(t *testing.T) {
+func TestOutbox_LinesBetweenMachinesOnly_ArePacked(t *testing.T) {
 	for _, packed := range []bool{false, true} {
 		near, end := net.Pipe()
 		socket := between{Conn: near, from: 1, to: 1}
 		if packed {
 			socket.to = 2
 		}
-		box := outbox{limits: defaultLimits(), broken: func(error) {}}
+		box := outbox{limits: defaultLimits(), onWriteError: func(error) {}}
 		box.start(socket)
 		box.pushNotice(&frame{line: bytes.NewBuffer(noticeOf(1, 900))})
 		got := make([]byte, len(packedPrefix))
--- /dev/null
+++ b/internal/tier/transport/peer.go
@@ -0,0 +1,72 @@
+package transport
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+// peer is the state of one address: its connection, and the backoff after failed dials.
+type peer struct {
+	pool    *Pool
+	address string
+
+	mutex      sync.Mutex // guards what follows
+	connection *clientConnection
+	failures   int       // in a row
+	retryAt    time.Time // end of the backoff
+	closed     bool
+}
+
+// currentConnection returns the connection, and dials a new one if there is none and no backoff.
+func (p *peer) currentConnection() (*clientConnection, error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.closed {
+		return nil, ErrClosed
+	}
+	if p.connection != nil {
+		return p.connection, nil
+	}
+	if p.failures > 0 && time.Now().Before(p.retryAt) {
+		return nil, ErrBackoff
+	}
+	p.connection = newClientConnection(p)
+	go p.connection.run()
+	return p.connection, nil
+}
+
+// connectionLost notes the end of a connection. One that was never useful starts or doubles the backoff.
+func (p *peer) connectionLost(connection *clientConnection, useful bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.connection != connection {
+		return
+	}
+	p.connection = nil
+	if useful {
+		p.failures = 0
+		return
+	}
+	p.failures++
+	p.retryAt = time.Now().Add(backoff(p.failures, rand.Float64()))
+}
+
+func (p *peer) close() {
+	p.mutex.Lock()
+	p.closed = true
+	connection := p.connection
+	p.mutex.Unlock()
+	if connection != nil {
+		connection.fail(ErrClosed)
+	}
+}
+
+// backoff doubles with each failure from minBackoff to maxBackoff; jitter, from 0 to 1, subtracts up to half.
+func backoff(failures int, jitter float64) time.Duration {
+	delay := maxBackoff
+	if shift := failures - 1; shift < 8 {
+		delay = min(delay, minBackoff<<shift)
+	}
+	return delay - time.Duration(jitter*float64(delay)/2)
+}
--- /dev/null
+++ b/internal/tier/transport/pool_test.go
@@ -0,0 +1,121 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+)
+
+func TestCall_UnreachablePeer_FailsAndBacksOff(t *testing.T) {
+	// Given an address where nobody listens
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	listener.Close()
+	pool, ctx := startPool(t), testContext(t)
+	// When it is called, then the call fails and has surely not run
+	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
+	var failed *CallError
+	if !errors.As(err, &failed) || MayHaveArrived(err) {
+		t.Fatalf("got %v", err)
+	}
+	// And while the next dial waits, calls and notices fail at once
+	pin(t, pool, address, time.Hour)
+	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
+	if !errors.Is(err, ErrBackoff) || MayHaveArrived(err) {
+		t.Errorf("got %v", err)
+	}
+	if err := Notify(pool, address, "offer", question{}); !errors.Is(err, ErrBackoff) {
+		t.Errorf("got %v", err)
+	}
+	// And once it is over, the peer is dialled again
+	startServer(t, address, echoHandlers())
+	pin(t, pool, address, -time.Hour)
+	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
+		t.Errorf("got %v", err)
+	}
+}
+
+// pin sets when a peer that failed may be dialled again.
+func pin(t testing.TB, pool *Pool, address string, after time.Duration) {
+	t.Helper()
+	peer, err := pool.peer(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer.mutex.Lock()
+	defer peer.mutex.Unlock()
+	if peer.failures == 0 {
+		t.Fatal("no failure noted")
+	}
+	peer.retryAt = time.Now().Add(after)
+}
+
+func TestBackoff(t *testing.T) {
+	cases := []struct {
+		failures int
+		share    float64
+		want     time.Duration
+	}{
+		{failures: 1, share: 0, want: 50 * time.Millisecond},
+		{failures: 1, share: 1, want: 25 * time.Millisecond},
+		{failures: 3, share: 0, want: 200 * time.Millisecond},
+		{failures: 6, share: 0, want: 200 * time.Millisecond},
+		{failures: 1000, share: 0.5, want: 150 * time.Millisecond},
+	}
+	for _, c := range cases {
+		if got := backoff(c.failures, c.share); got != c.want {
+			t.Errorf("%d failures, share %v: %v, want %v", c.failures, c.share, got, c.want)
+		}
+	}
+}
+
+func TestCall_ServerRestarts_ReachesIt(t *testing.T) {
+	// Given a connection that was of use
+	server, pool, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t), testContext(t)
+	address := server.Address()
+	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
+		t.Fatal(err)
+	}
+	connection, err := pool.connection(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	// When the server starts again
+	server.Close()
+	receive(t, connection.dialCtx.Done())
+	startServer(t, address, echoHandlers())
+	// Then the next call dials at once
+	got, err := Call[question, reply](ctx, pool, address, "echo", question{Text: "again"})
+	if err != nil || got.Text != "again" {
+		t.Fatalf("got %v, %v", got, err)
+	}
+}
+
+func TestPool_Close_FailsPendingCalls(t *testing.T) {
+	started := make(chan struct{})
+	handlers := NewHandlers()
+	Handle(handlers, "wait", func(ctx context.Context, _ string, _ question) (reply, error) {
+		close(started)
+		<-ctx.Done()
+		return reply{}, nil
+	})
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	failure := make(chan error, 1)
+	go func() {
+		_, err := Call[question, reply](testContext(t), pool, server.Address(), "wait", question{})
+		failure <- err
+	}()
+	receive(t, started)
+	pool.Close()
+	if err := receive(t, failure); !errors.Is(err, ErrClosed) || !MayHaveArrived(err) {
+		t.Errorf("got %v", err)
+	}
+	if err := Notify(pool, server.Address(), "offer", question{}); !errors.Is(err, ErrClosed) {
+		t.Errorf("got %v", err)
+	}
+}
--- a/internal/tier/transport/reader.go
+++ b/internal/tier/transport/reader.go
@@ -5,22 +5,22 @@
 	"io"
 )
 
-// lineReader cuts a connection into lines. A line is valid until the next call.
+// lineReader splits a connection into lines and unpacks them. A line is valid until the next call.
 type lineReader struct {
 	source   io.Reader
 	bound    int
 	buffer   []byte
-	start    int // first byte not handed out
-	end      int // end of what has been read
+	start    int // first byte that was not returned
+	end      int // end of the bytes read
 	unpacker unpacker
-	unpacked bytes.Buffer // lines that came packed and are not handed out
+	unpacked bytes.Buffer // lines that were packed and not yet returned
 }
 
 func newLineReader(source io.Reader, bound int) *lineReader {
-	return &lineReader{source: source, bound: bound, buffer: make([]byte, firstReadBytes)}
+	return &lineReader{source: source, bound: bound, buffer: make([]byte, initialReadBytes)}
 }
 
-// next gives the next line without its line feed.
+// next returns the next line without its line feed.
 func (r *lineReader) next() ([]byte, error) {
 	for r.unpacked.Len() == 0 {
 		text, err := r.nextRaw()
@@ -44,32 +44,32 @@
 	return text[:end], nil
 }
 
-// unpack takes the bytes that follow as packed lines.
+// unpack reads and unpacks the bytes that follow.
 func (r *lineReader) unpack(length int) error {
 	for r.end-r.start < length {
-		r.makeRoom()
+		r.compact()
 		if err := r.fill(); err != nil {
-			return unexpected(err)
+			return unexpectedEOF(err)
 		}
 	}
 	packed := r.buffer[r.start : r.start+length]
 	r.start += length
-	if r.unpacked.Cap() > keptReadBytes {
+	if r.unpacked.Cap() > maxIdleReadBytes {
 		r.unpacked = bytes.Buffer{}
 	}
 	r.unpacked.Reset()
 	return r.unpacker.unpack(&r.unpacked, packed, r.bound)
 }
 
-// unexpected is the error of a connection that ends where more must come.
-func unexpected(err error) error {
+// unexpectedEOF returns the error of a connection that ends inside a line.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// nextRaw gives the next line of the connection itself.
+// nextRaw returns the next line of the connection, packed lines not unpacked.
 func (r *lineReader) nextRaw() ([]byte, error) {
 	searched := r.start
 	for {
@@ -84,15 +84,16 @@
 		if r.end-r.start >= r.bound {
 			return nil, &TooLongError{Bytes: r.end - r.start, Bound: r.bound}
 		}
-		held := r.end - r.start
-		r.makeRoom()
-		searched = r.start + held
+		unread := r.end - r.start
+		r.compact()
+		searched = r.start + unread
 		if err := r.fill(); err != nil {
 			return nil, err
 		}
 	}
 }
 
+// fill reads once.
 func (r *lineReader) fill() error {
 	count, err := r.source.Read(r.buffer[r.end:])
 	r.end += count
@@ -103,23 +104,23 @@
 		return io.ErrNoProgress
 	}
 	if r.end > r.start {
-		return unexpected(err)
+		return unexpectedEOF(err)
 	}
 	return err
 }
 
-// makeRoom moves what is held to the front, grows a full buffer and gives back one that a long line left behind.
-func (r *lineReader) makeRoom() {
-	held := r.buffer[r.start:r.end]
+// compact moves the unread bytes to the front, grows a full buffer and releases an empty one that a long line has grown.
+func (r *lineReader) compact() {
+	unread := r.buffer[r.start:r.end]
 	switch {
-	case len(held) == 0 && len(r.buffer) > keptReadBytes:
-		r.buffer = make([]byte, firstReadBytes)
-	case len(held) == len(r.buffer):
+	case len(unread) == 0 && len(r.buffer) > maxIdleReadBytes:
+		r.buffer = make([]byte, initialReadBytes)
+	case len(unread) == len(r.buffer):
 		grown := make([]byte, 2*len(r.buffer))
-		copy(grown, held)
+		copy(grown, unread)
 		r.buffer = grown
 	case r.start > 0:
-		copy(r.buffer, held)
+		copy(r.buffer, unread)
 	}
-	r.start, r.end = 0, len(held)
+	r.start, r.end = 0, len(unread)
 }
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/network"
 )
 
-// Server takes lines and datagrams at one address.
+// Server accepts connections and datagrams at one address, and sends datagrams from it.
 type Server struct {
 	handlers *Handlers
 	logger   log.Logger
@@ -23,19 +23,19 @@
 	listener net.Listener
 	packets  network.PacketConn
 	done     chan struct{}
-	running  sync.WaitGroup
+	running  sync.WaitGroup // all goroutines of the server and its handlers
 
-	mutex       sync.Mutex
+	mutex       sync.Mutex // guards what follows
 	connections map[*serverConnection]struct{}
 	closed      bool
 }
 
-// Listen opens the address for TCP and, on the same port, for UDP. Port 0 picks one.
+// Listen opens the address (host:port) for TCP and, on the same port, for UDP. Port 0 picks one that is free for both.
 func Listen(address string, handlers *Handlers, logger log.Logger) (*Server, error) {
 	return ListenOn(network.System{}, address, handlers, logger)
 }
 
-// ListenOn is Listen for a network in place of the system's.
+// ListenOn is Listen with a network in place of the system's.
 func ListenOn(on network.Network, address string, handlers *Handlers, logger log.Logger) (*Server, error) {
 	return listenOn(on, address, handlers, logger, defaultLimits())
 }
@@ -45,7 +45,7 @@
 }
 
 func listenOn(on network.Network, address string, handlers *Handlers, logger log.Logger, bounds limits) (*Server, error) {
-	listener, packets, err := openBoth(on, address)
+	listener, packets, err := listenBoth(on, address)
 	if err != nil {
 		return nil, err
 	}
@@ -67,15 +67,15 @@
 	return server, nil
 }
 
-// portTries bounds the search for a port that is free for both protocols.
-const portTries = 16
+// maxPortAttempts bounds the search for a port that is free for both TCP and UDP.
+const maxPortAttempts = 16
 
-func openBoth(on network.Network, address string) (net.Listener, network.PacketConn, error) {
+func listenBoth(on network.Network, address string) (net.Listener, network.PacketConn, error) {
 	wanted, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, err
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		listener, err := on.Listen(context.Background(), plainTCP(), "tcp4", wanted.String())
 		if err != nil {
 			return nil, nil, err
@@ -86,25 +86,25 @@
 			return listener, packets, nil
 		}
 		listener.Close()
-		if wanted.Port != 0 || try == portTries {
+		if wanted.Port != 0 || attempt == maxPortAttempts {
 			return nil, nil, fmt.Errorf("listen at %s for datagrams: %w", chosen, err)
 		}
 	}
 }
 
-// plainTCP listens without multipath TCP.
+// plainTCP returns a configuration without multipath TCP.
 func plainTCP() *net.ListenConfig {
 	config := new(net.ListenConfig)
 	config.SetMultipathTCP(false)
 	return config
 }
 
-// Address gives the address with its port.
+// Address returns the address with its port.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close stops listening, breaks all connections, ends the contexts of all handlers and waits for them.
+// Close stops listening, closes all connections, ends the contexts of all handlers and waits for them.
 func (s *Server) Close() error {
 	s.mutex.Lock()
 	if s.closed {
@@ -133,11 +133,11 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		level.Warn(s.logger).Log("msg", "accept failed", "err", err)
+		level.Warn(s.logger).Log("msg", "accepting connection failed", "err", err)
 		select {
 		case <-s.done:
 			return
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
@@ -149,30 +149,30 @@
 		socket.Close()
 		return
 	}
-	s.prepare(socket)
+	s.setSocketOptions(socket)
 	connection := newServerConnection(s, socket)
 	s.connections[connection] = struct{}{}
 	s.running.Add(1)
 	go connection.read()
 }
 
-// prepare sets what the connection needs to notice a silent peer.
-func (s *Server) prepare(socket net.Conn) {
+// setSocketOptions sets the time-outs after which the kernel breaks the connection to a silent peer. Without them it works on.
+func (s *Server) setSocketOptions(socket net.Conn) {
 	var err error
-	if probed, ok := socket.(interface {
+	if keptAlive, ok := socket.(interface {
 		SetKeepAliveConfig(config net.KeepAliveConfig) error
 	}); ok {
-		err = probed.SetKeepAliveConfig(keepAlive)
+		err = keptAlive.SetKeepAliveConfig(keepAlive)
 	}
 	if system, ok := socket.(syscall.Conn); ok {
 		raw, rawErr := system.SyscallConn()
 		if rawErr == nil {
-			rawErr = setSilenceTimeout(raw)
+			rawErr = setTCPUserTimeout(raw)
 		}
 		err = errors.Join(err, rawErr)
 	}
 	if err != nil {
-		level.Warn(s.logger).Log("msg", "can't set how a silent peer is noticed", "err", err)
+		level.Warn(s.logger).Log("msg", "setting keep-alive failed", "err", err)
 	}
 }
 
--- a/internal/tier/transport/serverconnection.go
+++ b/internal/tier/transport/serverconnection.go
@@ -10,35 +10,35 @@
 	"github.com/go-kit/log/level"
 )
 
-// serverConnection is one accepted connection: a reader, and a writer while answers wait.
+// serverConnection is one accepted connection. One goroutine reads; the outbox writes.
 type serverConnection struct {
 	server *Server
 	socket net.Conn
-	from   string
+	from   string // address of the peer
 	out    outbox
-	ctx    context.Context
+	ctx    context.Context // of the handlers; ends with the connection
 	cancel context.CancelFunc
 
-	mutex sync.Mutex
-	open  map[uint64]context.CancelFunc // handlers at work, by the number of their call
+	mutex   sync.Mutex                    // guards what follows
+	cancels map[uint64]context.CancelFunc // of the running handlers, by the number of the call or stream
 }
 
 func newServerConnection(server *Server, socket net.Conn) *serverConnection {
 	connection := &serverConnection{
-		server: server,
-		socket: socket,
-		from:   socket.RemoteAddr().String(),
-		open:   map[uint64]context.CancelFunc{},
+		server:  server,
+		socket:  socket,
+		from:    socket.RemoteAddr().String(),
+		cancels: map[uint64]context.CancelFunc{},
 	}
 	connection.ctx, connection.cancel = context.WithCancel(context.Background())
 	connection.out.limits = server.limits
 	connection.out.meter = server.handlers.meter
-	connection.out.broken = func(error) { connection.close() }
+	connection.out.onWriteError = func(error) { connection.close() }
 	connection.out.start(socket)
 	return connection
 }
 
-// close breaks the connection and ends its handlers' contexts. It may be called more than once.
+// close closes the connection and ends its handlers' contexts. It may be called more than once.
 func (c *serverConnection) close() {
 	c.cancel()
 	c.out.close()
@@ -53,36 +53,36 @@
 	for {
 		text, err := reader.next()
 		if err == nil {
-			err = c.take(text)
+			err = c.handleLine(text)
 		}
 		if err != nil {
-			c.report(err)
+			c.logError(err)
 			return
 		}
 	}
 }
 
-// report logs the end of a connection when it is the other side's mistake.
-func (c *serverConnection) report(err error) {
+// logError logs the end of a connection that is the other side's mistake.
+func (c *serverConnection) logError(err error) {
 	var tooLong *TooLongError
 	if errors.Is(err, ErrBadLine) || errors.As(err, &tooLong) {
-		level.Warn(c.server.logger).Log("msg", "connection closed", "from", c.from, "err", err)
+		level.Warn(c.server.logger).Log("msg", "closing connection, malformed line", "peer", c.from, "err", err)
 	}
 }
 
-// take acts on one line; an error closes the connection.
-func (c *serverConnection) take(text []byte) error {
+// handleLine handles one line; an error closes the connection.
+func (c *serverConnection) handleLine(text []byte) error {
 	parsed, err := parseLine(text)
 	if err != nil {
 		return err
 	}
 	switch parsed.kind {
 	case callLine:
-		return c.takeCall(parsed)
+		return c.handleCall(parsed)
 	case noticeLine:
-		return c.takeNotice(parsed)
+		return c.handleNotice(parsed)
 	case streamLine:
-		return c.takeStream(parsed)
+		return c.handleStream(parsed)
 	case cancelLine:
 		c.cancelCall(parsed.id)
 		return nil
@@ -91,21 +91,21 @@
 	}
 }
 
-func (c *serverConnection) takeNotice(notice line) error {
+func (c *serverConnection) handleNotice(notice line) error {
 	handle, known := c.server.handlers.notices[string(notice.method)]
 	if !known {
-		level.Debug(c.server.logger).Log("msg", "unknown notice", "method", string(notice.method), "from", c.from)
+		level.Debug(c.server.logger).Log("msg", "unknown notice", "method", string(notice.method), "peer", c.from)
 		return nil
 	}
 	err := handle(c.from, notice.body)
 	if err == nil || errors.Is(err, ErrBadLine) {
 		return err
 	}
-	level.Warn(c.server.logger).Log("msg", "notice not read", "method", string(notice.method), "from", c.from, "err", err)
+	level.Warn(c.server.logger).Log("msg", "decoding notice failed", "method", string(notice.method), "peer", c.from, "err", err)
 	return nil
 }
 
-func (c *serverConnection) takeCall(call line) error {
+func (c *serverConnection) handleCall(call line) error {
 	prepare, known := c.server.handlers.calls[string(call.method)]
 	if !known {
 		c.sendError(call.id, unknownMethod, &RemoteError{Kind: KindUnknownMethod, Message: string(call.method)})
@@ -113,19 +113,19 @@
 	}
 	run, err := prepare(c.from, call.body)
 	if err != nil {
-		return c.refuse(call.id, string(call.method), err)
+		return c.rejectBody(call.id, string(call.method), err)
 	}
-	ctx, err := c.begin(call.id)
+	ctx, err := c.startHandler(call.id)
 	if err != nil {
 		c.sendError(call.id, string(call.method), err)
 		return nil
 	}
-	go c.answer(ctx, call.id, string(call.method), run)
+	go c.runCall(ctx, call.id, string(call.method), run)
 	return nil
 }
 
-// refuse answers a body that doesn't fit; one that is no JSON closes the connection.
-func (c *serverConnection) refuse(id uint64, method string, err error) error {
+// rejectBody answers a body that doesn't fit the handler's type; one that is no JSON closes the connection.
+func (c *serverConnection) rejectBody(id uint64, method string, err error) error {
 	if errors.Is(err, ErrBadLine) {
 		return err
 	}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-func (c *serverConnection) answer(ctx context.Context, id uint64, method string, run runCall) {
-	defer c.finish(id)
+func (c *serverConnection) runCall(ctx context.Context, id uint64, method string, run callFunc) {
+	defer c.finishHandler(id)
 	answer, err := run(ctx)
 	if err != nil {
 		c.sendError(id, method, err)
@@ -143,7 +143,7 @@
 	c.send(answerLine, id, method, answer)
 }
 
-func (c *serverConnection) takeStream(stream line) error {
+func (c *serverConnection) handleStream(stream line) error {
 	prepare, known := c.server.handlers.streams[string(stream.method)]
 	if !known {
 		c.sendError(stream.id, unknownMethod, &RemoteError{Kind: KindUnknownMethod, Message: string(stream.method)})
@@ -151,25 +151,25 @@
 	}
 	run, err := prepare(stream.body)
 	if err != nil {
-		return c.refuse(stream.id, string(stream.method), err)
+		return c.rejectBody(stream.id, string(stream.method), err)
 	}
-	ctx, err := c.begin(stream.id)
+	ctx, err := c.startHandler(stream.id)
 	if err != nil {
 		c.sendError(stream.id, string(stream.method), err)
 		return nil
 	}
-	go c.stream(ctx, stream.id, string(stream.method), run)
+	go c.runStream(ctx, stream.id, string(stream.method), run)
 	return nil
 }
 
-func (c *serverConnection) stream(ctx context.Context, id uint64, method string, run runStream) {
-	defer c.finish(id)
+func (c *serverConnection) runStream(ctx context.Context, id uint64, method string, run streamFunc) {
+	defer c.finishHandler(id)
 	err := run(ctx, func(item any) error {
 		encoded, err := encodeLine(itemLine, id, "", item, c.server.limits.lineBytes)
 		if err != nil {
 			return err
 		}
-		return c.out.pushWhenRoom(ctx, &frame{line: encoded, kind: method})
+		return c.out.pushWait(ctx, &frame{line: encoded, kind: method})
 	})
 	if err != nil {
 		c.sendError(id, method, err)
@@ -178,33 +178,33 @@
 	c.send(endLine, id, method, nil)
 }
 
-// begin notes a handler at work and gives its context.
-func (c *serverConnection) begin(id uint64) (context.Context, error) {
+// startHandler registers a running handler and returns its context. The caller must call finishHandler.
+func (c *serverConnection) startHandler(id uint64) (context.Context, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, used := c.open[id]; used {
+	if _, used := c.cancels[id]; used {
 		return nil, &RemoteError{Kind: KindBadRequest, Message: "number in use"}
 	}
-	if len(c.open) >= maxOpenCalls {
+	if len(c.cancels) >= maxRunningHandlers {
 		return nil, &RemoteError{Kind: KindBusy, Message: "too many open calls"}
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	c.open[id] = cancel
+	c.cancels[id] = cancel
 	c.server.running.Add(1)
 	return ctx, nil
 }
 
-func (c *serverConnection) finish(id uint64) {
+func (c *serverConnection) finishHandler(id uint64) {
 	c.cancelCall(id)
 	c.mutex.Lock()
-	delete(c.open, id)
+	delete(c.cancels, id)
 	c.mutex.Unlock()
 	c.server.running.Done()
 }
 
 func (c *serverConnection) cancelCall(id uint64) {
 	c.mutex.Lock()
-	cancel := c.open[id]
+	cancel := c.cancels[id]
 	c.mutex.Unlock()
 	if cancel != nil {
 		cancel()
@@ -212,14 +212,14 @@
 }
 
 func (c *serverConnection) sendError(id uint64, method string, err error) {
-	c.send(errorLine, id, method, asRemote(err))
+	c.send(errorLine, id, method, toRemoteError(err))
 }
 
-// send queues an answer. A peer that lets too many answers wait loses its connection.
+// send queues an answer. A peer that does not read its answers loses its connection.
 func (c *serverConnection) send(kind lineKind, id uint64, method string, body any) {
 	encoded, err := encodeLine(kind, id, "", body, c.server.limits.lineBytes)
 	if err != nil {
-		encoded, err = encodeLine(errorLine, id, "", unencodable(err), c.server.limits.lineBytes)
+		encoded, err = encodeLine(errorLine, id, "", encodingError(err), c.server.limits.lineBytes)
 	}
 	if err != nil {
 		c.close()
@@ -227,12 +227,13 @@
 	}
 	err = c.out.push(&frame{line: encoded, kind: method})
 	if errors.Is(err, ErrQueueFull) {
-		level.Warn(c.server.logger).Log("msg", "connection closed: answers aren't read", "from", c.from)
+		level.Warn(c.server.logger).Log("msg", "closing connection, answers are not read", "peer", c.from)
 		c.close()
 	}
 }
 
-func unencodable(err error) *RemoteError {
+// encodingError returns the error that is sent in place of an answer that can't be encoded.
+func encodingError(err error) *RemoteError {
 	var tooLong *TooLongError
 	if errors.As(err, &tooLong) {
 		return &RemoteError{Kind: KindTooLong, Message: err.Error()}
--- a/internal/tier/transport/socket.go
+++ b/internal/tier/transport/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAlive makes the kernel probe an idle peer; the process is not woken for it.
+// keepAlive makes the kernel probe an idle peer without waking the process.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     keepAliveIdle,
@@ -15,24 +15,25 @@
 	Count:    keepAliveCount,
 }
 
-// setSilenceTimeout makes the kernel break a connection whose peer says nothing at all.
-func setSilenceTimeout(raw syscall.RawConn) error {
-	var failed error
+// setTCPUserTimeout makes the kernel break a connection whose peer acknowledges nothing (RFC 5482).
+func setTCPUserTimeout(raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
+// newDialer returns a dialer with the time-outs of a connection.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: keepAlive,
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return setSilenceTimeout(raw)
+			return setTCPUserTimeout(raw)
 		},
 	}
 }
--- a/internal/tier/transport/socket_test.go
+++ b/internal/tier/transport/socket_test.go
@@ -24,7 +24,7 @@
 	return value
 }
 
-func TestBothSidesNoticeASilentPeer(t *testing.T) {
+func TestSocket_BothSides_HaveKeepAliveAndUserTimeout(t *testing.T) {
 	server, pool := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t)
 	if _, err := Call[question, reply](testContext(t), pool, server.Address(), "echo", question{}); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 	for side, socket := range sockets {
 		for name, want := range map[int]int{
-			unix.TCP_USER_TIMEOUT: int(silenceTimeout.Milliseconds()),
+			unix.TCP_USER_TIMEOUT: int(tcpUserTimeout.Milliseconds()),
 			unix.TCP_KEEPIDLE:     int(keepAliveIdle.Seconds()),
 			unix.TCP_KEEPINTVL:    int(keepAliveInterval.Seconds()),
 			unix.TCP_KEEPCNT:      keepAliveCount,
--- a/internal/tier/transport/stream.go
+++ b/internal/tier/transport/stream.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// Stream asks for a series of items on a connection of its own and hands each to receive, in order, in the caller's
-// goroutine. A receive that is slow holds the sender up; one that stops for longer than a silent peer is borne loses the
-// connection. Stream gives nil when the sender ends the series, receive's error
-// when that stops it, a *RemoteError when the handler failed, and a *CallError when the connection broke or ctx ended.
+// Stream requests a series of items on a connection of its own and hands each to receive, in order, in the caller's
+// goroutine. A slow receive delays the sender; one that blocks for longer than the TCP time-out loses the connection. Stream
+// returns nil when the sender ends the series, receive's error when that fails, a *RemoteError when the handler failed, and a
+// *CallError when the connection broke or ctx ended.
 func Stream[Request, Item any](ctx context.Context, pool *Pool, address, method string, request Request, receive func(Item) error) error {
 	return pool.stream(ctx, address, method, request, func(body []byte) (func() error, error) {
 		var item Item
@@ -20,11 +20,11 @@
 	})
 }
 
-// decodeItem reads an item and gives what hands it on.
+// decodeItem decodes an item and returns the function that hands it to the receiver.
 type decodeItem func(body []byte) (func() error, error)
 
 func (p *Pool) stream(ctx context.Context, address, method string, request any, decodeItem decodeItem) error {
-	mustBeValid(method)
+	mustBeValidMethod(method)
 	callerDone := ctx.Err
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -39,7 +39,7 @@
 		return &CallError{Address: address, Method: method, MayHaveArrived: mayHaveArrived, Cause: cause}
 	}
 	if err := ctx.Err(); err != nil || p.lifetime.Err() != nil {
-		return failed(false, err) // closing a pool ends the context in a goroutine of its own, which may come late
+		return failed(false, err) // Pool.Close ends ctx in a goroutine of its own, which may be late
 	}
 	id := p.lastID.Add(1)
 	encoded, err := encodeLine(streamLine, id, method, request, p.limits.lineBytes)
@@ -64,7 +64,8 @@
 	return err
 }
 
-// receive hands items on until the series ends. The first error is the connection's, the second the series'.
+// receive hands items to the receiver until the series ends. broken is an error of the connection, ended one of the handler
+// or of the receiver.
 func (p *Pool) receive(socket net.Conn, id uint64, decodeItem decodeItem) (broken, ended error) {
 	reader := newLineReader(socket, p.limits.lineBytes)
 	for {
--- a/internal/tier/transport/wire_test.go
+++ b/internal/tier/transport/wire_test.go
@@ -82,7 +82,7 @@
 }
 
 // TestWireFormat_PackedLinesOfEarlierVersions_Read reads packed lines that an earlier version wrote. What the compressor
-// makes of them may change with its version; that the reader takes it again is shown by TestPackedLinesAreReadAsTheyWere.
+// makes of them may change with its version; that the reader takes it again is shown by TestPacker_AnyBatches_ReaderGivesEveryLine.
 func TestWireFormat_PackedLinesOfEarlierVersions_Read(t *testing.T) {
 	t.Parallel()
 	golden := readGolden(t, "packed.bin")
--- /dev/null
+++ b/internal/tier/transport/writer.go
@@ -0,0 +1,113 @@
+package transport
+
+import (
+	"bytes"
+	"slices"
+	"sync"
+)
+
+// maxIdleQueueFrames is the capacity that an empty queue keeps.
+const maxIdleQueueFrames = 256
+
+// batches pools the buffers in which short lines are joined, and packed.
+var batches = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+
+// startWriterLocked starts the writer unless it runs or has nothing to do.
+func (o *outbox) startWriterLocked() {
+	if o.writing || o.socket == nil || len(o.queue)+len(o.notices) == 0 {
+		return
+	}
+	o.writing = true
+	go o.writeLoop()
+}
+
+// writeLoop writes until nothing is queued, or a write fails.
+func (o *outbox) writeLoop() {
+	batch := batches.Get().(*bytes.Buffer)
+	defer batches.Put(batch)
+	for {
+		batch.Reset()
+		long := o.nextBatch(batch)
+		if long == nil && batch.Len() == 0 {
+			return
+		}
+		if err := o.writeBatch(batch, long); err != nil {
+			o.onWriteError(err)
+			return
+		}
+	}
+}
+
+// writeBatch writes a batch or one long line, packed for another machine.
+func (o *outbox) writeBatch(batch, long *bytes.Buffer) error {
+	lines := batch
+	if long != nil {
+		lines = long
+		defer releaseLine(long)
+	}
+	if !o.packing {
+		return o.writeBytes(lines.Bytes())
+	}
+	packed := batches.Get().(*bytes.Buffer)
+	defer batches.Put(packed)
+	packed.Reset()
+	if err := o.packer.pack(packed, lines.Bytes()); err != nil {
+		return err
+	}
+	return o.writeBytes(packed.Bytes())
+}
+
+func (o *outbox) writeBytes(bytes []byte) error {
+	count, err := o.socket.Write(bytes)
+	if o.meter != nil {
+		o.meter.Written(o.address, count)
+	}
+	return err
+}
+
+// nextBatch moves queued lines into the batch, or returns one long line instead. Without either the writer must end.
+func (o *outbox) nextBatch(batch *bytes.Buffer) (long *bytes.Buffer) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	long = o.dequeue(&o.queue, &o.queueBytes, batch)
+	if long == nil {
+		long = o.dequeue(&o.notices, &o.noticeBytes, batch)
+	}
+	if o.queueBytes < streamBacklogBytes {
+		o.signalSpaceLocked()
+	}
+	o.writing = !o.closed && (long != nil || batch.Len() > 0)
+	if o.closed {
+		batch.Reset()
+		return nil
+	}
+	return long
+}
+
+// dequeue takes lines from the front of one queue while they fit the batch. A line over maxBatchBytes is returned alone.
+func (o *outbox) dequeue(queue *[]*frame, queuedBytes *int, batch *bytes.Buffer) (long *bytes.Buffer) {
+	count := 0
+	for _, queued := range *queue {
+		size := queued.line.Len()
+		if batch.Len() > 0 && batch.Len()+size > maxBatchBytes {
+			break
+		}
+		queued.dequeued = true
+		if o.meter != nil {
+			o.meter.SentLine(queued.kind, o.address, size)
+		}
+		*queuedBytes -= size
+		count++
+		if size > maxBatchBytes {
+			long = queued.line
+			break
+		}
+		batch.Write(queued.line.Bytes())
+		releaseLine(queued.line)
+	}
+	*queue = slices.Delete(*queue, 0, count)
+	if len(*queue) == 0 && cap(*queue) > maxIdleQueueFrames {
+		*queue = nil
+	}
+	return long
+}
