--- /dev/null
+++ b/internal/tier/group/chunks_test.go
@@ -0,0 +1,263 @@
+package group_test
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
+)
+
+// chunkedList is a state machine whose snapshot has a chunk for each command, and one before them.
+type chunkedList struct{ commandList }
+
+// WriteChunks implements group.ChunkedStateMachine.
+func (s *chunkedList) WriteChunks(write func(chunk json.RawMessage) error) error {
+	if err := write(json.RawMessage(`"begin"`)); err != nil {
+		return err
+	}
+	for _, command := range s.Commands {
+		chunk, err := json.Marshal(command)
+		if err != nil {
+			return err
+		}
+		if err := write(chunk); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// BeginRestore implements group.ChunkedStateMachine.
+func (s *chunkedList) BeginRestore() group.Restorer {
+	s.Commands = nil
+	return &chunkedListRestorer{series: s}
+}
+
+type chunkedListRestorer struct {
+	series *chunkedList
+	begun  bool
+}
+
+// Add implements group.Restorer.
+func (r *chunkedListRestorer) Add(chunk json.RawMessage) error {
+	var command string
+	if err := json.Unmarshal(chunk, &command); err != nil {
+		return err
+	}
+	if !r.begun {
+		r.begun = true
+		if command != "begin" {
+			return fmt.Errorf("the first chunk is %q", command)
+		}
+		return nil
+	}
+	r.series.Commands = append(r.series.Commands, command)
+	return nil
+}
+
+// Finish implements group.Restorer.
+func (r *chunkedListRestorer) Finish() error {
+	if !r.begun {
+		return errors.New("no first chunk")
+	}
+	return nil
+}
+
+// newChunkedCluster starts members a, b and c, of which a leads the group at first, and has them compact a number of commands.
+func newChunkedCluster(t *testing.T, commands int) *cluster {
+	t.Helper()
+	c := emptyCluster(t)
+	c.compactionBytes = 4 << 10
+	c.newMachine = func() group.StateMachine { return &chunkedList{} }
+	c.begin("a", "b", "c")
+	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
+	c.write(commands)
+	return c
+}
+
+// write has commands committed, one after the other.
+func (c *cluster) write(commands int) {
+	c.t.Helper()
+	for range commands {
+		done := false
+		c.groups[c.leader()].ProposeAsync(strings.Repeat("x", 200), func(_ any, err error) {
+			if err != nil {
+				c.t.Fatal(err)
+			}
+			done = true
+		})
+		c.runUntil("the command is committed", func() bool { return done })
+	}
+}
+
+// join has a member that knows nothing taken in.
+func (c *cluster) join(name string) {
+	c.open(name, 99, nil)
+	c.members = append(c.members, member(name))
+	c.setTargetMembers(c.members...)
+}
+
+// hasAll tells whether a member's machine holds what the leader's does.
+func (c *cluster) hasAll(name string) bool {
+	leader := c.leader()
+	if leader == "" {
+		return false
+	}
+	want, got := c.machines[leader].(*chunkedList).Commands, c.machines[member(name).Address].(*chunkedList).Commands
+	return len(want) > 0 && slices.Equal(want, got)
+}
+
+// countChunks counts the chunks that are sent, by the sender and number; those for which lost is true don't arrive.
+func (c *cluster) countChunks(lost func(message replica.Message, sent int) bool) map[int]int {
+	sent := map[int]int{}
+	c.drop = func(_ string, message replica.Message) bool {
+		if message.Kind != replica.InstallSnapshot {
+			return false
+		}
+		sent[message.Chunk]++
+		return lost != nil && lost(message, sent[message.Chunk])
+	}
+	return sent
+}
+
+func TestSnapshot_MemberJoins_GetsEachChunkOnce(t *testing.T) {
+	// Given a group whose log begins with a snapshot of many chunks,
+	c := newChunkedCluster(t, 200)
+	sent := c.countChunks(nil)
+	// when a member without anything joins it,
+	c.join("d")
+	c.runUntil("it has a vote", func() bool { return c.isVoter(member("d")) })
+	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	// then each chunk was sent once.
+	if len(sent) < 10 {
+		t.Errorf("only %d chunks were sent", len(sent))
+	}
+	for chunk, times := range sent {
+		if times != 1 {
+			t.Errorf("chunk %d was sent %d times", chunk, times)
+		}
+	}
+}
+
+func TestSnapshot_ChunkLost_OnlyThatOneIsSentAgain(t *testing.T) {
+	for name, lost := range map[string]func(message replica.Message, sent int) bool{
+		"one": func(message replica.Message, sent int) bool { return message.Chunk == 7 && sent == 1 },
+		"the last one": func(message replica.Message, sent int) bool {
+			return message.Chunk == message.Snapshot.Chunks-1 && sent == 1
+		},
+		"the first":  func(message replica.Message, sent int) bool { return message.Chunk == 0 && sent == 1 },
+		"one, twice": func(message replica.Message, sent int) bool { return message.Chunk == 7 && sent <= 2 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newChunkedCluster(t, 200)
+			sent := c.countChunks(lost)
+			c.join("d")
+			c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+			again := 0
+			for _, times := range sent {
+				again += times - 1
+			}
+			if again == 0 || again > 4 {
+				t.Errorf("%d chunks were sent again: %v", again, sent)
+			}
+		})
+	}
+}
+
+func TestSnapshot_ResponsesLost_TransferCompletes(t *testing.T) {
+	c := newChunkedCluster(t, 200)
+	answers := 0
+	c.drop = func(_ string, message replica.Message) bool {
+		if message.Kind != replica.InstallSnapshotResponse {
+			return false
+		}
+		answers++
+		return answers%3 == 0
+	}
+	c.join("d")
+	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+}
+
+func TestSnapshot_ReceiverRestarts_StartsOver(t *testing.T) {
+	c := newChunkedCluster(t, 200)
+	d := member("d")
+	sent := c.countChunks(nil)
+	c.join("d")
+	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
+	// when its process ends and another one starts on the same disk,
+	c.disks[d.Address].Kill()
+	c.open("d", 100, nil)
+	// then an incomplete snapshot counts for nothing,
+	if status := c.groups[d.Address].Status(); status.LastIndex != 0 {
+		t.Fatalf("its last entry is %d", status.LastIndex)
+	}
+	// and it gets all of them.
+	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	if sent[0] < 2 {
+		t.Errorf("the first chunk was sent %d times", sent[0])
+	}
+}
+
+func TestSnapshot_LeaderLost_NewLeaderSendsItsOwn(t *testing.T) {
+	c := newChunkedCluster(t, 200)
+	sent := c.countChunks(nil)
+	c.join("d")
+	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
+	// when the leader falls silent in the middle of it,
+	old := c.leader()
+	c.isolated[old] = true
+	// then another one leads the group and sends its snapshot.
+	c.runUntil("another one leads the group", func() bool { return c.leader() != "" && c.leader() != old })
+	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+}
+
+func TestCompact_SnapshotBeingSent_Waits(t *testing.T) {
+	c := newChunkedCluster(t, 200)
+	sent := c.countChunks(func(message replica.Message, _ int) bool { return message.Chunk >= 8 })
+	c.join("d")
+	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
+	base := func() int { return snapshotIndex(t, c.disks[c.leader()]) }
+	// when as much is written meanwhile as makes a compaction due,
+	before, leader := base(), c.leader()
+	c.write(45)
+	// then the snapshot that is on its way stays,
+	if got := base(); leader != c.leader() || got != before {
+		t.Fatalf("the snapshot up to %d was replaced by one up to %d", before, got)
+	}
+	// but not for ever,
+	c.write(200)
+	if got := base(); got == before {
+		t.Fatalf("the log of %d entries is not compacted", c.groups[leader].Status().LastIndex)
+	}
+	// and the member gets the newer one then.
+	c.drop = nil
+	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+}
+
+func TestSnapshot_WritesGoOn_MemberCatchesUp(t *testing.T) {
+	c := newChunkedCluster(t, 200)
+	c.join("d")
+	for range 600 {
+		if c.isVoter(member("d")) {
+			return
+		}
+		c.write(1)
+	}
+	t.Fatal("it has not caught up while 600 commands were written")
+}
+
+// snapshotIndex is the last entry that the snapshot on a disk stands for.
+func snapshotIndex(t *testing.T, disk *memorydisk.Disk) int {
+	t.Helper()
+	found := (&singleMember{t: t, disk: disk}).recovered()
+	if found.Snapshot == nil {
+		return 0
+	}
+	return int(found.Snapshot.Index)
+}
--- /dev/null
+++ b/internal/tier/group/cluster_test.go
@@ -0,0 +1,157 @@
+package group_test
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/storage/memorydisk"
+)
+
+const (
+	heartbeat = 20 * time.Millisecond
+	election  = 80 * time.Millisecond
+	step      = 5 * time.Millisecond
+)
+
+// commandList is a state machine that keeps all commands.
+type commandList struct{ Commands []string }
+
+func (l *commandList) Apply(_ uint64, command json.RawMessage) any {
+	l.Commands = append(l.Commands, string(command))
+	return len(l.Commands)
+}
+
+func (l *commandList) Snapshot() (json.RawMessage, error) { return json.Marshal(l) }
+
+func (l *commandList) Restore(state json.RawMessage) error { return json.Unmarshal(state, l) }
+
+// cluster is a group in virtual time whose messages arrive with the next step.
+type cluster struct {
+	t        *testing.T
+	now      time.Duration
+	members  []replica.Member
+	groups   map[string]*group.Group // by address
+	isolated map[string]bool         // addresses that neither send nor receive
+	sent     []func()
+
+	disks           map[string]*memorydisk.Disk // by address
+	machines        map[string]group.StateMachine
+	newMachine      func() group.StateMachine
+	compactionBytes int64
+	drop            func(to string, message replica.Message) bool // nil: nothing is dropped on purpose
+}
+
+func newCluster(t *testing.T, names ...string) *cluster {
+	c := emptyCluster(t)
+	c.begin(names...)
+	return c
+}
+
+// emptyCluster is one without members, to be set up otherwise than usual.
+func emptyCluster(t *testing.T) *cluster {
+	return &cluster{t: t, groups: map[string]*group.Group{}, isolated: map[string]bool{}, disks: map[string]*memorydisk.Disk{},
+		machines: map[string]group.StateMachine{}, newMachine: func() group.StateMachine { return &commandList{} }}
+}
+
+// writeInitialSnapshot starts the first members.
+func (c *cluster) begin(names ...string) {
+	for _, name := range names {
+		c.members = append(c.members, member(name))
+	}
+	for i, name := range names {
+		c.open(name, uint64(i), c.members)
+	}
+}
+
+func member(name string) replica.Member {
+	return replica.Member{ID: "id-" + name, Address: "address-" + name}
+}
+
+func (c *cluster) open(name string, seed uint64, initial []replica.Member) {
+	c.t.Helper()
+	own := member(name)
+	machine := c.newMachine()
+	if c.disks[own.Address] == nil {
+		c.disks[own.Address] = memorydisk.New()
+	}
+	opened, err := group.Open(group.Options{
+		Name:         "g",
+		Disk:         c.disks[own.Address],
+		StateMachine: machine,
+		Logger:       log.NewNopLogger(),
+		Clock:        func() time.Duration { return c.now },
+		Replica:      replica.Options{ID: own.ID, Address: own.Address, InitialMembers: initial, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed},
+
+		CompactionBytes: c.compactionBytes,
+		Send: func(address string, envelope group.Envelope) {
+			if c.drop != nil && c.drop(address, envelope.Message) {
+				return
+			}
+			c.sent = append(c.sent, func() {
+				if to := c.groups[address]; to != nil && !c.isolated[address] && !c.isolated[own.Address] {
+					to.Deliver(envelope.Message)
+				}
+			})
+		},
+	})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.groups[own.Address], c.machines[own.Address] = opened, machine
+}
+
+// runUntil plays until the condition holds.
+func (c *cluster) runUntil(what string, holds func() bool) {
+	c.t.Helper()
+	for range 2000 {
+		if holds() {
+			return
+		}
+		c.now += step
+		sent := c.sent
+		c.sent = nil
+		for _, deliver := range sent {
+			deliver()
+		}
+		for _, address := range c.addresses() {
+			if _, err := c.groups[address].RunOnce(); err != nil {
+				c.t.Fatal(err)
+			}
+		}
+	}
+	c.t.Fatalf("it doesn't come to hold that %s", what)
+}
+
+func (c *cluster) addresses() []string {
+	var addresses []string
+	for address := range c.groups {
+		addresses = append(addresses, address)
+	}
+	slices.Sort(addresses)
+	return addresses
+}
+
+// leader is the address of the member that leads the group and is heard.
+func (c *cluster) leader() string {
+	for _, address := range c.addresses() {
+		if !c.isolated[address] && c.groups[address].Status().IsLeader {
+			return address
+		}
+	}
+	return ""
+}
+
+func (c *cluster) setTargetMembers(members ...replica.Member) {
+	c.groups[c.leader()].SetTargetMembers(members)
+}
+
+// isVoter tells whether a member's own list gives it a vote.
+func (c *cluster) isVoter(m replica.Member) bool {
+	return slices.Contains(c.groups[m.Address].Status().Members, m)
+}
--- a/internal/tier/group/snapshot_test.go
+++ b/internal/tier/group/compact_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-func TestMembersOfOneProcessCompactInTurn(t *testing.T) {
+func TestCompact_TwoMembers_TakeTurns(t *testing.T) {
 	// Given a member whose log is due for a snapshot while another one of its process takes its own,
 	var compacting sync.Mutex
 	disk := memorydisk.New()
--- a/internal/tier/group/encoding_test.go
+++ b/internal/tier/group/encoding_test.go
@@ -11,17 +11,17 @@
 )
 
 // Given any message, then it is written as the library writes it.
-func TestEnvelopeIsWrittenAsTheLibraryWritesIt(t *testing.T) {
+func TestEnvelope_AppendJSON_MatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String()
 		data := func(label string) json.RawMessage {
 			encoded, _ := json.Marshal(text.Draw(t, label))
 			return encoded
 		}
-		message := replica.Message{Kind: replica.AppendEntries, From: text.Draw(t, "from"), To: text.Draw(t, "to"), Term: rapid.Uint64().Draw(t, "epoch"),
+		message := replica.Message{Kind: replica.AppendEntries, From: text.Draw(t, "from"), To: text.Draw(t, "to"), Term: rapid.Uint64().Draw(t, "term"),
 			Index: rapid.Uint64().Draw(t, "index"), Reject: rapid.Bool().Draw(t, "rejected"), Address: text.Draw(t, "address")}
 		for i := range rapid.Uint64Max(3).Draw(t, "entries") {
-			entry := replica.Entry{Index: i, Term: rapid.Uint64().Draw(t, "entry epoch"), Kind: replica.EntryKind(rapid.Uint8Max(2).Draw(t, "kind"))}
+			entry := replica.Entry{Index: i, Term: rapid.Uint64().Draw(t, "entry term"), Kind: replica.EntryKind(rapid.Uint8Max(2).Draw(t, "kind"))}
 			if rapid.Bool().Draw(t, "data") {
 				entry.Data = data("entry")
 			}
@@ -50,7 +50,7 @@
 }
 
 // Given any proposal, then it is read back from its own form and from any other.
-func TestProposalIsReadBackAsItWas(t *testing.T) {
+func TestProposal_AnyForm_IsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		command, _ := json.Marshal(rapid.SampledFrom([]any{nil, 1, "}", `"c":`, map[string]any{"c": 1, "t": "x"}, []int{2}}).Draw(t, "command"))
 		want := proposal{Origin: rapid.StringMatching(`[0-9a-z@\-"\\]*`).Draw(t, "origin"), Token: rapid.Uint64().Draw(t, "token"), Command: command}
--- a/internal/tier/group/fixture_test.go
+++ b/internal/tier/group/fixture_test.go
@@ -13,21 +13,21 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// single is one member in virtual time whose messages are kept, and to which a test speaks for the others.
-type single struct {
+// singleMember is one member in virtual time whose messages are kept, and to which a test speaks for the others.
+type singleMember struct {
 	t       *testing.T
 	now     time.Duration
 	disk    *memorydisk.Disk
-	machine *list
+	machine *commandList
 	group   *group.Group
 	sent    []replica.Message
 	changes []replica.Status
 }
 
 // newSingle opens member a of a group of those names.
-func newSingle(t *testing.T, compactBytes int64, names ...string) *single {
+func newSingle(t *testing.T, compactBytes int64, names ...string) *singleMember {
 	t.Helper()
-	s := &single{t: t, disk: memorydisk.New(), machine: &list{}}
+	s := &singleMember{t: t, disk: memorydisk.New(), machine: &commandList{}}
 	var members []replica.Member
 	for _, name := range names {
 		members = append(members, member(name))
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *single) open(initial []replica.Member, compactBytes int64) {
+func (s *singleMember) open(initial []replica.Member, compactBytes int64) {
 	s.t.Helper()
 	own := member("a")
 	opened, err := group.Open(group.Options{
@@ -52,8 +52,8 @@
 	s.group = opened
 }
 
-// process hands messages in and lets the member act on them.
-func (s *single) turn(messages ...replica.Message) {
+// run delivers messages and lets the member act on them.
+func (s *singleMember) run(messages ...replica.Message) {
 	s.t.Helper()
 	for _, message := range messages {
 		message.To = member("a").ID
@@ -64,21 +64,21 @@
 	}
 }
 
-// append is what the owner b sends in its epoch.
-func appended(epoch, previous, previousEpoch, commit uint64, entries ...replica.Entry) replica.Message {
-	return replica.Message{Kind: replica.AppendEntries, From: member("b").ID, Address: member("b").Address, Term: epoch,
-		Index: previous, LogTerm: previousEpoch, Commit: commit, Entries: entries}
+// appendEntries is what the leader b sends in its term.
+func appendEntries(term, previous, previousTerm, commit uint64, entries ...replica.Entry) replica.Message {
+	return replica.Message{Kind: replica.AppendEntries, From: member("b").ID, Address: member("b").Address, Term: term,
+		Index: previous, LogTerm: previousTerm, Commit: commit, Entries: entries}
 }
 
 // command is an entry as another member has proposed it.
-func command(index, epoch uint64, text string) replica.Entry {
+func command(index, term uint64, text string) replica.Entry {
 	content, _ := json.Marshal(text)
 	data, _ := json.Marshal(map[string]any{"o": "other", "t": index, "c": json.RawMessage(content)})
-	return replica.Entry{Index: index, Term: epoch, Data: data}
+	return replica.Entry{Index: index, Term: term, Data: data}
 }
 
 // recovered is what the next process would find on the disk.
-func (s *single) recovered() replica.Recovered {
+func (s *singleMember) recovered() replica.Recovered {
 	s.t.Helper()
 	opened, recovered, err := storage.Open(s.disk, "g")
 	if err != nil {
--- a/internal/tier/group/mutants_test.go
+++ b/internal/tier/group/mutants_test.go
@@ -6,38 +6,38 @@
 	"mastusher/internal/tools/mutation"
 )
 
-func TestMutantsOfSnapshotsAreNoticed(t *testing.T) {
+func TestMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "a compaction doesn't wait for a transfer",
 			Change: mutation.Change{File: "compaction.go", Old: "if g.replica.IsSendingSnapshot() || g.replica.IsReceivingSnapshot() {", New: "if false {"},
-			Run:    "^TestACompactionWaitsWhileASnapshotIsSent$",
+			Run:    "^TestCompact_SnapshotBeingSent_Waits$",
 		},
 		{
 			Name:   "a compaction waits for a transfer for ever",
 			Change: mutation.Change{File: "compaction.go", Old: "bound *= transferBoundFactor", New: "return nil"},
-			Run:    "^TestACompactionWaitsWhileASnapshotIsSent$",
+			Run:    "^TestCompact_SnapshotBeingSent_Waits$",
 		},
 		{
-			Name:   "a member that isn't admitted receives all the same",
+			Name:   "a member without a slot receives all the same",
 			Change: mutation.Change{File: "snapshot_limiter.go", Old: "message.Snapshot = nil", New: "_ = message"},
-			Run:    "^TestMembersOfOneProcessReceiveSnapshotsInTurn$",
+			Run:    "^TestSnapshotLimiter_TwoMembers_ReceiveInTurn$",
 		},
 		{
-			Name:   "an admission is never given back",
+			Name:   "a slot is never released",
 			Change: mutation.Change{File: "snapshot_limiter.go", Old: "		g.options.ReceiveLimiter.release()\n", New: ""},
-			Run:    "^TestMembersOfOneProcessReceiveSnapshotsInTurn$",
+			Run:    "^TestSnapshotLimiter_TwoMembers_ReceiveInTurn$",
 		},
 		{
 			Name:   "a machine isn't set to the snapshot that was installed",
 			Change: mutation.Change{File: "iteration.go", Old: "if err := g.restore(g.disk, true); err != nil {", New: "if err := error(nil); err != nil {"},
-			Run:    "^TestASnapshotIsSentInPartsAndTakenOver$",
+			Run:    "^TestSnapshot_MemberJoins_GetsEachChunkOnce$",
 		},
 		{
-			Name:   "what has waited counts for ever",
+			Name:   "what was queued counts for ever",
 			Change: mutation.Change{File: "queue.go", Old: "	g.options.QueueBudget.release(g.queuedBytes)\n", New: ""},
-			Run:    "^TestMembersOfOneProcessShareWhatMayWait$",
+			Run:    "^TestQueueBudget_TwoMembers_ShareIt$",
 		},
 	})
 }
--- a/internal/tier/group/budget_test.go
+++ b/internal/tier/group/queue_test.go
@@ -13,8 +13,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// openAlone opens the only member of a group, in virtual time.
-func openAlone(t *testing.T, name string, machine StateMachine, waiting *QueueBudget, now *time.Duration) *Group {
+// openSingle opens the only member of a group, in virtual time.
+func openSingle(t *testing.T, name string, machine StateMachine, waiting *QueueBudget, now *time.Duration) *Group {
 	t.Helper()
 	own := replica.Member{ID: "a", Address: "a:1"}
 	opened, err := Open(Options{Name: name, Disk: memorydisk.New(), StateMachine: machine, Logger: log.NewNopLogger(), QueueBudget: waiting,
@@ -26,10 +26,10 @@
 	return opened
 }
 
-func TestCommandsThatWaitForATurnAreBounded(t *testing.T) {
-	// Given a member that has no turn,
+func TestProposeAsync_QueueFull_DropsCommands(t *testing.T) {
+	// Given a member that has no iteration,
 	now := time.Duration(0)
-	g := openAlone(t, "g", &emptyMachine{}, nil, &now)
+	g := openSingle(t, "g", &emptyMachine{}, nil, &now)
 	refused := 0
 	propose := func() {
 		g.ProposeAsync(strings.Repeat("x", 1<<20), func(_ any, err error) {
@@ -47,7 +47,7 @@
 	if refused < 6 || refused > 8 {
 		t.Errorf("%d of 10 commands of 1 MB were refused", refused)
 	}
-	// and once it has had its turn, more are taken.
+	// and once it has had an iteration, more are taken.
 	if _, err := g.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
@@ -58,11 +58,11 @@
 	}
 }
 
-func TestMembersOfOneProcessShareWhatMayWait(t *testing.T) {
+func TestQueueBudget_TwoMembers_ShareIt(t *testing.T) {
 	// Given two members of a process that may have 3 MB waiting together,
 	now := time.Duration(0)
 	budget := NewQueueBudget(3 << 20)
-	first, second := openAlone(t, "g", &emptyMachine{}, budget, &now), openAlone(t, "h", &emptyMachine{}, budget, &now)
+	first, second := openSingle(t, "g", &emptyMachine{}, budget, &now), openSingle(t, "h", &emptyMachine{}, budget, &now)
 	message := func() replica.Message {
 		data, _ := json.Marshal(strings.Repeat("x", 1<<20))
 		return replica.Message{Kind: replica.AppendEntries, From: "b", To: "a", Entries: []replica.Entry{{Index: 1, Data: data}}}
@@ -80,7 +80,7 @@
 	if got := len(second.input.Messages); got != 1 {
 		t.Errorf("%d messages wait at the second one, want 1", got)
 	}
-	// until the first one has had its turn.
+	// until the first one has had an iteration.
 	if _, err := first.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
@@ -106,27 +106,27 @@
 
 func (m *replayingMachine) Replay(uint64, json.RawMessage) { m.replayed++ }
 
-func TestOnlyAProposersMachineGivesResults(t *testing.T) {
+func TestApply_CommandOfAnotherMember_IsReplayed(t *testing.T) {
 	// Given a member whose log holds a command of another one and one of its own,
 	now := time.Duration(0)
 	machine := &replayingMachine{}
-	g := openAlone(t, "g", machine, nil, &now)
+	g := openSingle(t, "g", machine, nil, &now)
 	foreign, _ := json.Marshal(proposal{Origin: "other", Token: 1, Command: json.RawMessage(`1`)})
-	var told any
+	var result any
 	proposedBoth := false
 	for range 8 {
 		now += time.Second
 		if !proposedBoth && g.Status().IsLeader {
 			proposedBoth = true
 			g.input.Proposals = append(g.input.Proposals, replica.Proposal{Token: 1 << 40, Data: foreign})
-			g.ProposeAsync(7, func(result any, _ error) { told = result })
+			g.ProposeAsync(7, func(got any, _ error) { result = got })
 		}
 		if _, err := g.RunOnce(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// then the first one is replayed, and its own is applied and told.
-	if machine.replayed != 1 || machine.applied != 1 || told != 1 {
-		t.Errorf("%d commands were replayed, %d applied, told %v", machine.replayed, machine.applied, told)
+	// then the first one is replayed, and its own is applied with its result.
+	if machine.replayed != 1 || machine.applied != 1 || result != 1 {
+		t.Errorf("%d commands were replayed, %d applied, result %v", machine.replayed, machine.applied, result)
 	}
 }
--- a/internal/tier/group/recovery_test.go
+++ b/internal/tier/group/recovery_test.go
@@ -11,37 +11,37 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// own makes the member the owner of its group of one.
-func (s *single) own() {
+// becomeLeader makes the member the leader of its group of one.
+func (s *singleMember) becomeLeader() {
 	s.t.Helper()
 	for range 4 {
 		s.now += step
-		s.turn()
+		s.run()
 	}
 	if !s.group.Status().IsLeader {
-		s.t.Fatal("the member doesn't own its group")
+		s.t.Fatal("the member doesn't lead its group")
 	}
 }
 
 // propose has a command agreed on and returns its error.
-func (s *single) propose(text string) error {
+func (s *singleMember) propose(text string) error {
 	s.t.Helper()
 	var outcome error
-	told := false
-	s.group.ProposeAsync(text, func(_ any, err error) { outcome, told = err, true })
+	completed := false
+	s.group.ProposeAsync(text, func(_ any, err error) { outcome, completed = err, true })
 	for range 4 {
 		s.now += step
 		if _, err := s.group.RunOnce(); err != nil {
 			break
 		}
 	}
-	if !told {
+	if !completed {
 		s.t.Fatal("the call has no outcome")
 	}
 	return outcome
 }
 
-func TestAMemberGoesOnAfterItsDiskHasFailed(t *testing.T) {
+func TestReopen_DiskWorksAgain_MemberGoesOn(t *testing.T) {
 	faults := map[string]func(kind memorydisk.Operation, name string) error{
 		"full": func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Write {
@@ -59,9 +59,9 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			// Given an owner that has acknowledged a command,
+			// Given a leader that has acknowledged a command,
 			s := newSingle(t, 0, "a")
-			s.own()
+			s.becomeLeader()
 			if err := s.propose("x"); err != nil {
 				t.Fatal(err)
 			}
@@ -71,7 +71,7 @@
 				t.Fatal("a command was acknowledged without having been saved")
 			}
 			if status := s.group.Status(); status.IsLeader || s.changes[len(s.changes)-1].IsLeader {
-				t.Fatal("a broken member says that it owns the group")
+				t.Fatal("a failed member says that it leads the group")
 			}
 			failed := s.group.Reopen()
 			if _, err := s.group.RunOnce(); err == nil && failed != nil {
@@ -86,7 +86,7 @@
 			if err := s.group.Reopen(); err != nil {
 				t.Fatal(err)
 			}
-			s.own()
+			s.becomeLeader()
 			if err := s.propose("w"); err != nil {
 				t.Fatal(err)
 			}
@@ -97,10 +97,10 @@
 	}
 }
 
-func TestACallAtABrokenMemberWasNeverProposed(t *testing.T) {
+func TestPropose_MemberFailed_IsDropped(t *testing.T) {
 	// Given a member whose disk has failed,
 	s := newSingle(t, 0, "a")
-	s.own()
+	s.becomeLeader()
 	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 	if err := s.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
@@ -114,10 +114,10 @@
 	}
 }
 
-func TestADamagedDiskIsNotReopened(t *testing.T) {
-	// Given an owner that has saved something,
+func TestReopen_DiskDamaged_Fails(t *testing.T) {
+	// Given a leader that has saved something,
 	s := newSingle(t, 0, "a")
-	s.own()
+	s.becomeLeader()
 	if err := s.propose("x"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/group/stop_test.go
+++ b/internal/tier/group/stop_test.go
@@ -7,10 +7,10 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-func TestAMemberStopsWhoseDiskIsBroken(t *testing.T) {
-	// Given an owner whose disk fails, also when the member is to begin anew,
+func TestStop_DiskFails_Ends(t *testing.T) {
+	// Given a leader whose disk fails, also when the member is to begin anew,
 	s := newSingle(t, 0, "a")
-	s.own()
+	s.becomeLeader()
 	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 	if err := s.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
@@ -27,14 +27,14 @@
 		}
 	}
 	if ends != 1 {
-		t.Errorf("the end was told %d times, want once", ends)
+		t.Errorf("done was called %d times, want once", ends)
 	}
 }
 
-func TestAStoppedMemberEndsItsCallsAndTakesNoMore(t *testing.T) {
-	// Given an owner with a command and a read under way,
+func TestStop_CallsPending_EndWithoutResult(t *testing.T) {
+	// Given a leader with a command and a read under way,
 	s := newSingle(t, 0, "a")
-	s.own()
+	s.becomeLeader()
 	var outcomes []error
 	note := func(_ any, err error) { outcomes = append(outcomes, err) }
 	s.group.ProposeAsync("x", note)
@@ -54,6 +54,6 @@
 		}
 	}
 	if s.group.Status().IsLeader {
-		t.Error("a stopped member says that it owns its group")
+		t.Error("a stopped member says that it leads its group")
 	}
 }
--- a/internal/tier/replica/bench_test.go
+++ b/internal/tier/replica/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// benchGroup is three members without a network; the first is the owner.
+// benchGroup is three members without a network; the first is the leader.
 type benchGroup struct {
 	members []*Replica
 	now     time.Duration
@@ -28,16 +28,16 @@
 	g.now = 2 * testElection
 	g.play(0, Input{})
 	if !g.members[0].Status().IsLeader {
-		b.Fatal("no owner")
+		b.Fatal("no leader")
 	}
 	return g
 }
 
 // play gives one member a step, and the others their steps for the messages that follow.
 func (g *benchGroup) play(at int, input Input) (committed int) {
-	effects := g.members[at].Step(g.now, input)
-	committed += len(effects.CommittedEntries)
-	for _, messages := range [2][]Message{effects.MessagesBeforeSync, effects.MessagesAfterSync} {
+	ready := g.members[at].Step(g.now, input)
+	committed += len(ready.CommittedEntries)
+	for _, messages := range [2][]Message{ready.MessagesBeforeSync, ready.MessagesAfterSync} {
 		for i := range messages {
 			to := int(messages[i].To[0] - 'a')
 			committed += g.play(to, Input{Messages: messages[i : i+1]})
@@ -49,14 +49,14 @@
 // compact keeps the logs short, as a shell does.
 func (g *benchGroup) compact() {
 	for at, r := range g.members {
-		if mark := r.SnapshotMetadata(); mark.Index > 0 {
-			mark.State = json.RawMessage("{}")
-			g.play(at, Input{Compact: &mark})
+		if metadata := r.SnapshotMetadata(); metadata.Index > 0 {
+			metadata.State = json.RawMessage("{}")
+			g.play(at, Input{Compact: &metadata})
 		}
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat of the owner, the steps of both followers, and those of the owner for their answers.
+// BenchmarkHeartbeat is a heartbeat of the leader, the steps of both followers, and those of the leader for their answers.
 func BenchmarkHeartbeat(b *testing.B) {
 	g := newBenchGroup(b)
 	b.ReportAllocs()
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	troubleTime  = 1200 * time.Millisecond
-	recoveryTime = 5 * time.Second
-	troubleEvery = 60 * time.Millisecond
-	stormEvery   = 15 * time.Millisecond
-	churnEvery   = 30 * time.Millisecond
-	clientEvery  = 6 * time.Millisecond
+	faultDuration   = 1200 * time.Millisecond
+	recoveryTimeout = 5 * time.Second
+	faultInterval   = 60 * time.Millisecond
+	stormInterval   = 15 * time.Millisecond
+	churnInterval   = 30 * time.Millisecond
+	clientInterval  = 6 * time.Millisecond
 )
 
-// campaign is one random run: clients, troubles of all kinds, then calm.
+// campaign is one random run: clients, faults of all kinds, then none.
 type campaign struct {
 	*simulation
 	lastChange time.Duration
-	churn      bool // the wanted group changes all the time, and members are told different ones
-	storm      bool // owners come and go quickly, and each message carries a single entry
+	churn      bool // the target changes all the time, and members get different ones
+	storm      bool // leaders come and go quickly, and each message carries a single entry
 	keepIDs    bool // a fault outside the member: an empty disk comes back under the old identity
 }
 
@@ -35,7 +35,7 @@
 		c.limits = &limits{maxMessageBytes: 150, maxInflightBytes: 400, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, maxInflightChunks: 2}
 	}
 	if seed%7 == 3 {
-		c.eager = testHeartbeat
+		c.initialElectionTimeout = testHeartbeat
 	}
 	if c.storm {
 		c.conditions.loss = 0.4
@@ -61,20 +61,20 @@
 // run plays the campaign and returns what was violated, if anything.
 func (c *campaign) run() string {
 	c.startAll()
-	troubleTime := troubleTime
+	troubleTime := faultDuration
 	if c.storm {
 		troubleTime *= 2
-		c.every(stormEvery, troubleTime, c.strikeOwner)
+		c.every(stormInterval, troubleTime, c.injectLeaderFault)
 	} else {
-		c.every(troubleEvery, troubleTime, c.trouble)
+		c.every(faultInterval, troubleTime, c.injectFault)
 	}
-	c.every(clientEvery, troubleTime, c.clients)
+	c.every(clientInterval, troubleTime, c.clients)
 	if c.churn {
-		c.every(churnEvery, troubleTime, c.tellWanted)
+		c.every(churnInterval, troubleTime, c.setRandomTarget)
 	}
 	c.runFor(troubleTime)
-	c.recoverAll()
-	if !c.whenSettled(recoveryTime) {
+	c.endFaults()
+	if !c.convergesWithin(recoveryTimeout) {
 		c.checker.fail("the group does not come back: %s", c.describe())
 	}
 	return c.checker.violation
@@ -89,25 +89,25 @@
 	})
 }
 
-// tellWanted tells one member to want a random group.
-func (c *campaign) tellWanted() {
-	n := c.victim()
+// setRandomTarget gives one member a random target.
+func (c *campaign) setRandomTarget() {
+	n := c.pickNode()
 	if !n.alive {
 		return
 	}
-	var wanted []Member
+	var target []Member
 	for _, slot := range c.random.Perm(len(c.nodes))[:1+c.random.IntN(4)] {
 		other := c.nodes[slot]
-		wanted = append(wanted, Member{ID: other.id, Address: address(slot), Learner: c.random.IntN(5) == 0})
+		target = append(target, Member{ID: other.id, Address: address(slot), Learner: c.random.IntN(5) == 0})
 	}
-	n.inbox.TargetMembers = wanted
+	n.inbox.TargetMembers = target
 	c.wake(n)
 }
 
-// clients hands proposals and reads to a member that believes itself the owner, at times to somebody else.
+// clients hands proposals and reads to a member that believes itself the leader, at times to somebody else.
 func (c *campaign) clients() {
 	n := c.nodes[c.random.IntN(len(c.nodes))]
-	if believers := c.believers(); len(believers) > 0 && c.random.IntN(5) > 0 {
+	if believers := c.claimedLeaders(); len(believers) > 0 && c.random.IntN(5) > 0 {
 		n = believers[c.random.IntN(len(believers))]
 	}
 	if !n.alive {
@@ -121,8 +121,8 @@
 	}
 }
 
-// believers are the members that believe themselves the owner.
-func (c *campaign) believers() []*node {
+// claimedLeaders are the members that believe themselves the leader.
+func (c *campaign) claimedLeaders() []*node {
 	var believers []*node
 	for _, n := range c.nodes {
 		if n.alive && n.replica.role == leader {
@@ -132,9 +132,9 @@
 	return believers
 }
 
-// trouble does one thing to the group.
-func (c *campaign) trouble() {
-	n := c.victim()
+// injectFault injects one random fault, or another disturbance.
+func (c *campaign) injectFault() {
+	n := c.pickNode()
 	switch c.random.IntN(18) {
 	case 0, 1:
 		c.kill(n)
@@ -146,16 +146,16 @@
 	case 5:
 		c.killAll()
 	case 6:
-		c.wipeIfBearable(n)
+		c.wipeIfSafe(n)
 	case 7:
 		c.freeze(n)
-		c.after(c.pause(), func() { c.thaw(n) })
+		c.after(c.randomPause(), func() { c.thaw(n) })
 	case 8, 9:
 		c.isolate(n)
-		c.after(c.pause(), c.heal)
+		c.after(c.randomPause(), c.heal)
 	case 10, 11:
-		c.cutOneWay()
-		c.after(c.pause(), c.heal)
+		c.partitionOneWay()
+		c.after(c.randomPause(), c.heal)
 	case 12:
 		c.compactNode(n)
 	case 13:
@@ -167,7 +167,7 @@
 	case 15, 16:
 		c.setRate(n, 0.1)
 		c.isolate(n)
-		c.after(c.pause(), func() {
+		c.after(c.randomPause(), func() {
 			c.setRate(n, 1)
 			c.heal()
 		})
@@ -177,9 +177,9 @@
 	}
 }
 
-// strikeOwner takes the ownership away from whoever has it, and at times leaves it some company.
-func (c *campaign) strikeOwner() {
-	believers := c.believers()
+// injectLeaderFault takes the leadership away from whoever has it, and at times leaves it a follower.
+func (c *campaign) injectLeaderFault() {
+	believers := c.claimedLeaders()
 	if len(believers) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 	switch c.random.IntN(6) {
 	case 0:
 		c.kill(n)
-		c.after(c.pause()/2, func() {
+		c.after(c.randomPause()/2, func() {
 			if !n.alive {
 				c.start(n)
 			}
@@ -196,35 +196,35 @@
 		c.killDuringSync(n)
 	case 2:
 		c.isolate(n)
-		c.after(c.pause(), c.heal)
+		c.after(c.randomPause(), c.heal)
 	case 3:
 		c.isolate(n)
 		friend := c.nodes[c.random.IntN(len(c.nodes))]
-		delete(c.cut, [2]int{n.slot, friend.slot})
-		delete(c.cut, [2]int{friend.slot, n.slot})
-		c.after(c.pause(), c.heal)
+		delete(c.partitioned, [2]int{n.slot, friend.slot})
+		delete(c.partitioned, [2]int{friend.slot, n.slot})
+		c.after(c.randomPause(), c.heal)
 	case 4:
 		n.inbox.TransferLeadership = true
 		c.wake(n)
 	}
 }
 
-// victim is the owner half of the time.
-func (c *campaign) victim() *node {
-	if n := c.owner(); n != nil && c.random.IntN(2) == 0 {
+// pickNode picks the leader half of the time, else any node.
+func (c *campaign) pickNode() *node {
+	if n := c.leader(); n != nil && c.random.IntN(2) == 0 {
 		return n
 	}
 	return c.nodes[c.random.IntN(len(c.nodes))]
 }
 
-func (c *campaign) pause() time.Duration {
+func (c *campaign) randomPause() time.Duration {
 	return time.Duration(c.random.Int64N(int64(3 * testElection)))
 }
 
 func (c *campaign) startLater(n *node) {
-	life := n.life
-	c.after(c.pause(), func() {
-		if n.life == life && !n.alive {
+	life := n.incarnation
+	c.after(c.randomPause(), func() {
+		if n.incarnation == life && !n.alive {
 			c.start(n)
 		}
 	})
@@ -237,9 +237,9 @@
 			return
 		}
 		c.onSync = nil
-		life := n.life
+		life := n.incarnation
 		c.after(time.Duration(c.random.Int64N(int64(c.conditions.syncTime))), func() {
-			if n.life == life && n.busy {
+			if n.incarnation == life && n.syncing {
 				c.kill(n)
 				c.startLater(n)
 			}
@@ -247,7 +247,7 @@
 	}
 }
 
-// killAfterAcknowledgement ends the owner right after its next acknowledgement.
+// killAfterAcknowledgement ends the leader right after its next acknowledgement.
 func (c *campaign) killAfterAcknowledgement() {
 	c.onOutcome = func(n *node, outcome Outcome) {
 		if outcome.Done {
@@ -265,21 +265,21 @@
 	}
 }
 
-func (c *campaign) cutOneWay() {
+func (c *campaign) partitionOneWay() {
 	for range 1 + c.random.IntN(4) {
-		c.cut[[2]int{c.random.IntN(len(c.nodes)), c.random.IntN(len(c.nodes))}] = true
+		c.partitioned[[2]int{c.random.IntN(len(c.nodes)), c.random.IntN(len(c.nodes))}] = true
 	}
 }
 
-// wipeIfBearable empties a disk, unless an earlier loss or change is not made up for yet.
-func (c *campaign) wipeIfBearable(n *node) {
+// wipeIfSafe empties a disk, unless an earlier loss or change is not made up for yet.
+func (c *campaign) wipeIfSafe(n *node) {
 	if c.keepIDs {
 		c.kill(n)
 		n.disk = Recovered{}
 		c.startLater(n)
 		return
 	}
-	if c.churn || !c.isSettled() || c.now-c.lastChange < 4*testElection || c.votersCommitted() < 3 {
+	if c.churn || !c.isAtTarget() || c.now-c.lastChange < 4*testElection || c.committedVoters() < 3 {
 		return
 	}
 	old := n.id
@@ -290,46 +290,46 @@
 
 // replaceMember puts a spare in place of a member, or takes one more in or out.
 func (c *campaign) replaceMember() {
-	if c.churn || !c.isSettled() || c.now-c.lastChange < 4*testElection {
+	if c.churn || !c.isAtTarget() || c.now-c.lastChange < 4*testElection {
 		return
 	}
 	spare := c.nodes[c.random.IntN(len(c.nodes))]
-	if slices.ContainsFunc(c.wanted, func(m Member) bool { return m.ID == spare.id }) {
+	if slices.ContainsFunc(c.targetMembers, func(m Member) bool { return m.ID == spare.id }) {
 		return
 	}
 	leaving := ""
 	if c.random.IntN(4) > 0 {
-		leaving = c.wanted[c.random.IntN(len(c.wanted))].ID
+		leaving = c.targetMembers[c.random.IntN(len(c.targetMembers))].ID
 	}
 	c.change(leaving, Member{ID: spare.id, Address: address(spare.slot)})
 }
 
-// change wants one member in place of another; an identity that is not wanted anyhow changes nothing.
+// change wants one member in place of another; an identity that is no target anyhow changes nothing.
 func (c *campaign) change(leaving string, joining Member) {
-	kept := slices.DeleteFunc(slices.Clone(c.wanted), func(m Member) bool { return m.ID == leaving })
-	if leaving != "" && len(kept) == len(c.wanted) {
+	kept := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
+	if leaving != "" && len(kept) == len(c.targetMembers) {
 		return
 	}
 	c.lastChange = c.now
-	c.setWanted(append(kept, joining))
+	c.setTargetMembers(append(kept, joining))
 }
 
-// isSettled tells whether the committed group is the wanted one.
-func (c *campaign) isSettled() bool {
-	if len(c.checker.group) != len(c.wanted) {
+// isAtTarget tells whether the committed members are the target members.
+func (c *campaign) isAtTarget() bool {
+	if len(c.checker.members) != len(c.targetMembers) {
 		return false
 	}
-	for _, member := range c.wanted {
-		if !slices.Contains(c.checker.group, member) {
+	for _, member := range c.targetMembers {
+		if !slices.Contains(c.checker.members, member) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *campaign) votersCommitted() int {
+func (c *campaign) committedVoters() int {
 	voters := 0
-	for _, member := range c.checker.group {
+	for _, member := range c.checker.members {
 		if !member.Learner {
 			voters++
 		}
@@ -337,12 +337,12 @@
 	return voters
 }
 
-// recoverAll ends all troubles.
-func (c *campaign) recoverAll() {
+// endFaults ends all faults.
+func (c *campaign) endFaults() {
 	c.onOutcome, c.onSync = nil, nil
-	c.conditions = calm
+	c.conditions = noFaults
 	c.heal()
-	c.setWanted(c.wanted)
+	c.setTargetMembers(c.targetMembers)
 	for _, n := range c.nodes {
 		c.setRate(n, 1)
 		c.thaw(n)
@@ -352,15 +352,15 @@
 	}
 }
 
-// whenSettled waits until the wanted group is in place, and a command and a read are served.
-func (c *campaign) whenSettled(within time.Duration) bool {
+// convergesWithin waits until the target members are in place, and a command and a read are served.
+func (c *campaign) convergesWithin(within time.Duration) bool {
 	end := c.now + within
-	if !c.runUntil(end, c.isSettled) || !c.whenDone(end-c.now) {
+	if !c.runUntil(end, c.isAtTarget) || !c.commitsWithin(end-c.now) {
 		return false
 	}
 	reads := c.checker.reads
 	for c.now < end && c.checker.violation == "" {
-		if n := c.owner(); n != nil {
+		if n := c.leader(); n != nil {
 			c.read(n)
 		}
 		if c.runUntil(c.now+testHeartbeat, func() bool { return c.checker.reads > reads }) {
@@ -371,17 +371,17 @@
 }
 
 func (c *campaign) describe() string {
-	text := fmt.Sprintf("wanted %v, committed group %v", c.wanted, c.checker.group)
+	text := fmt.Sprintf("target %v, committed members %v", c.targetMembers, c.checker.members)
 	for _, n := range c.nodes {
 		if n.alive {
 			status := n.replica.Status()
-			text += fmt.Sprintf("\n%s role %d frozen %v busy %v: %+v", n.id, n.replica.role, n.frozen, n.busy, status)
+			text += fmt.Sprintf("\n%s role %d frozen %v busy %v: %+v", n.id, n.replica.role, n.frozen, n.syncing, status)
 		}
 	}
 	return text
 }
 
-func TestCampaigns(t *testing.T) {
+func TestCampaigns_RandomFaults_StaySafeAndRecover(t *testing.T) {
 	const workers = 4
 	totals := make([][4]int, workers)
 	t.Run("group", func(t *testing.T) {
@@ -393,7 +393,7 @@
 					if violation := c.run(); violation != "" {
 						t.Fatalf("seed %d: %s", seed, violation)
 					}
-					counts := [4]int{c.checker.done, c.checker.reads, c.checker.groups, len(c.checker.owners)}
+					counts := [4]int{c.checker.commands, c.checker.reads, c.checker.confChanges, len(c.checker.leaders)}
 					for i := range counts {
 						totals[worker][i] += counts[i]
 					}
@@ -407,8 +407,8 @@
 			sum[i] += counts[i]
 		}
 	}
-	t.Logf("%d runs: %d commands, %d reads, %d lists of members, %d epochs", campaignSeeds, sum[0], sum[1], sum[2], sum[3])
-	for i, name := range []string{"commands", "reads", "lists of members", "epochs"} {
+	t.Logf("%d runs: %d commands, %d reads, %d lists of members, %d terms", campaignSeeds, sum[0], sum[1], sum[2], sum[3])
+	for i, name := range []string{"commands", "reads", "lists of members", "terms"} {
 		if sum[i] < campaignSeeds {
 			t.Errorf("only %d %s in %d runs: the campaigns test too little", sum[i], name, campaignSeeds)
 		}
--- a/internal/tier/replica/faults_test.go
+++ b/internal/tier/replica/checker_faults_test.go
@@ -5,7 +5,7 @@
 // faultSeeds is the number of random runs within which a fault outside the members must be noticed.
 const faultSeeds = 400
 
-func TestCheckerNoticesAnEmptyDiskUnderTheOldIdentity(t *testing.T) {
+func TestChecker_EmptiedDiskKeepsIdentity_IsNoticed(t *testing.T) {
 	for seed := range uint64(faultSeeds) {
 		c := newCampaign(seed)
 		c.keepIDs = true
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -7,39 +7,39 @@
 	"strconv"
 )
 
-// checker watches a group from outside: messages that leave, entries that are applied, outcomes that are told. It knows
+// checker watches a group from outside: messages that leave, entries that are applied, outcomes that are reported. It knows
 // nothing of the members' insides.
 type checker struct {
-	violation string
-	owners    map[uint64]string            // who has sent appends in an epoch
-	votes     map[string]map[uint64]string // whom a member has voted for
-	log       []Entry                      // all entries that any member has applied; log[i] has index i+1
-	checksums []uint64                     // of the state machine after each entry
-	position  map[uint64]uint64            // of a command's token in log
-	group     []Member                     // of the last committed list
-	floor     uint64                       // latest entry that anybody outside has seen the effect of
-	open      map[uint64]invocation
-	never     map[uint64]bool
-	done      int
-	reads     int
-	groups    int
+	violation   string
+	leaders     map[uint64]string            // who has sent appends in a term
+	votes       map[string]map[uint64]string // whom a member has voted for
+	log         []Entry                      // all entries that any member has applied; log[i] has index i+1
+	checksums   []uint64                     // of the state machine after each entry
+	indexOf     map[uint64]uint64            // of a command's token in log
+	members     []Member                     // of the last committed list
+	observed    uint64                       // newest entry that anybody outside has seen the effect of
+	pending     map[uint64]invocation
+	dropped     map[uint64]bool
+	commands    int
+	reads       int
+	confChanges int
 }
 
 // invocation is a proposal or a read that has no outcome yet.
 type invocation struct {
-	node  string
-	floor uint64
-	read  bool
+	node     string
+	observed uint64
+	read     bool
 }
 
 func newChecker(initial []Member) *checker {
 	return &checker{
-		owners:   map[uint64]string{},
-		votes:    map[string]map[uint64]string{},
-		position: map[uint64]uint64{},
-		group:    initial,
-		open:     map[uint64]invocation{},
-		never:    map[uint64]bool{},
+		leaders: map[uint64]string{},
+		votes:   map[string]map[uint64]string{},
+		indexOf: map[uint64]uint64{},
+		members: initial,
+		pending: map[uint64]invocation{},
+		dropped: map[uint64]bool{},
 	}
 }
 
@@ -49,15 +49,15 @@
 	}
 }
 
-// sentSinceHeartbeat looks at a message that leaves a member.
+// sent looks at a message that leaves a member.
 func (c *checker) sent(message Message) {
 	switch message.Kind {
 	case AppendEntries, InstallSnapshot:
-		known := c.owners[message.Term]
+		known := c.leaders[message.Term]
 		if known != "" && known != message.From {
-			c.fail("epoch %d has the owners %s and %s", message.Term, known, message.From)
+			c.fail("term %d has the leaders %s and %s", message.Term, known, message.From)
 		}
-		c.owners[message.Term] = message.From
+		c.leaders[message.Term] = message.From
 	case RequestVoteResponse:
 		if message.Reject || message.PreVote {
 			return
@@ -67,13 +67,13 @@
 		}
 		known := c.votes[message.From][message.Term]
 		if known != "" && known != message.To {
-			c.fail("%s votes for %s and %s in epoch %d", message.From, known, message.To, message.Term)
+			c.fail("%s votes for %s and %s in term %d", message.From, known, message.To, message.Term)
 		}
 		c.votes[message.From][message.Term] = message.To
 	}
 }
 
-// discardBefore looks at an entry that a member is about to apply.
+// committed looks at an entry that a member is about to apply.
 func (c *checker) committed(n *node, entry Entry) {
 	if entry.Index != n.machine.Index+1 {
 		c.fail("%s applies entry %d after entry %d", n.id, entry.Index, n.machine.Index)
@@ -90,7 +90,7 @@
 }
 
 func describe(entry Entry) string {
-	return fmt.Sprintf("entry %d of epoch %d (kind %d, %.60s)", entry.Index, entry.Term, entry.Kind, entry.Data)
+	return fmt.Sprintf("entry %d of term %d (kind %d, %.60s)", entry.Index, entry.Term, entry.Kind, entry.Data)
 }
 
 // extend adds an entry that is applied for the first time.
@@ -99,7 +99,7 @@
 	if len(c.checksums) > 0 {
 		checksum = c.checksums[len(c.checksums)-1]
 		if last := c.log[len(c.log)-1]; last.Term > entry.Term {
-			c.fail("entry %d of epoch %d follows epoch %d", entry.Index, entry.Term, last.Term)
+			c.fail("entry %d of term %d follows term %d", entry.Index, entry.Term, last.Term)
 		}
 	}
 	c.log = append(c.log, entry)
@@ -107,13 +107,13 @@
 	switch entry.Kind {
 	case Command:
 		token, _ := strconv.ParseUint(string(entry.Data), 10, 64)
-		if c.position[token] != 0 {
-			c.fail("command %d is at %d and at %d", token, c.position[token], entry.Index)
+		if c.indexOf[token] != 0 {
+			c.fail("command %d is at %d and at %d", token, c.indexOf[token], entry.Index)
 		}
-		if c.never[token] {
+		if c.dropped[token] {
 			c.fail("command %d was reported as never proposed and is at %d", token, entry.Index)
 		}
-		c.position[token] = entry.Index
+		c.indexOf[token] = entry.Index
 	case ConfChange:
 		c.changed(entry)
 	}
@@ -125,14 +125,14 @@
 	if err := json.Unmarshal(entry.Data, &members); err != nil {
 		c.fail("entry %d: %v", entry.Index, err)
 	}
-	if difference := votersApart(c.group, members); difference > 1 {
-		c.fail("entry %d changes %d votes at once: %v to %v", entry.Index, difference, c.group, members)
+	if difference := votesChanged(c.members, members); difference > 1 {
+		c.fail("entry %d changes %d votes at once: %v to %v", entry.Index, difference, c.members, members)
 	}
-	c.group = members
-	c.groups++
+	c.members = members
+	c.confChanges++
 }
 
-func votersApart(a, b []Member) int {
+func votesChanged(a, b []Member) int {
 	votes := map[string]int{}
 	for _, member := range a {
 		if !member.Learner {
@@ -151,7 +151,7 @@
 	return apart
 }
 
-// installedSnapshot looks at a state machine that was set to a snapshot.
+// installed looks at a state machine that was set to a snapshot.
 func (c *checker) installed(n *node, before uint64, snapshot *Snapshot) {
 	if snapshot.Index <= before {
 		c.fail("%s goes back from entry %d to a snapshot at %d", n.id, before, snapshot.Index)
@@ -168,65 +168,65 @@
 
 // invoked notes that a proposal or a read begins.
 func (c *checker) invoked(n *node, token uint64, read bool) {
-	c.open[token] = invocation{node: n.id, floor: c.floor, read: read}
+	c.pending[token] = invocation{node: n.id, observed: c.observed, read: read}
 }
 
 // outcome looks at what a member tells its clients.
 func (c *checker) outcome(n *node, outcome Outcome) {
-	begun, known := c.open[outcome.Token]
+	begun, known := c.pending[outcome.Token]
 	if !known {
 		c.fail("%s tells a second outcome of %d", n.id, outcome.Token)
 		return
 	}
-	delete(c.open, outcome.Token)
+	delete(c.pending, outcome.Token)
 	switch {
 	case !outcome.Done:
-		c.refused(outcome, begun)
+		c.notDone(outcome, begun)
 	case begun.read:
-		c.confirmed(n, outcome, begun)
+		c.readDone(n, outcome, begun)
 	default:
-		c.acknowledged(n, outcome, begun)
+		c.commandDone(n, outcome, begun)
 	}
 }
 
-func (c *checker) refused(outcome Outcome, begun invocation) {
+func (c *checker) notDone(outcome Outcome, begun invocation) {
 	if !outcome.Dropped || begun.read {
 		return
 	}
-	c.never[outcome.Token] = true
-	if at := c.position[outcome.Token]; at != 0 {
+	c.dropped[outcome.Token] = true
+	if at := c.indexOf[outcome.Token]; at != 0 {
 		c.fail("command %d is at %d and reported as never proposed", outcome.Token, at)
 	}
 }
 
-// confirmed demands that a read sees all that was seen or acknowledged before it began.
-func (c *checker) confirmed(n *node, outcome Outcome, begun invocation) {
+// readDone demands that a read sees all that was seen or acknowledged before it began.
+func (c *checker) readDone(n *node, outcome Outcome, begun invocation) {
 	c.reads++
-	if n.machine.Index < begun.floor {
-		c.fail("read %d at %s sees entry %d, entry %d was known when it began", outcome.Token, n.id, n.machine.Index, begun.floor)
+	if n.machine.Index < begun.observed {
+		c.fail("read %d at %s sees entry %d, entry %d was known when it began", outcome.Token, n.id, n.machine.Index, begun.observed)
 	}
-	c.floor = max(c.floor, n.machine.Index)
+	c.observed = max(c.observed, n.machine.Index)
 }
 
-// acknowledged demands that a command has its place, after all that was known when it began.
-func (c *checker) acknowledged(n *node, outcome Outcome, begun invocation) {
-	c.done++
-	at := c.position[outcome.Token]
+// commandDone demands that a command has its place, after all that was known when it began.
+func (c *checker) commandDone(n *node, outcome Outcome, begun invocation) {
+	c.commands++
+	at := c.indexOf[outcome.Token]
 	if at == 0 {
 		c.fail("command %d is acknowledged by %s and was never applied", outcome.Token, n.id)
 		return
 	}
-	if at <= begun.floor {
-		c.fail("command %d is at %d, and entry %d was known when it began", outcome.Token, at, begun.floor)
+	if at <= begun.observed {
+		c.fail("command %d is at %d, and entry %d was known when it began", outcome.Token, at, begun.observed)
 	}
-	c.floor = max(c.floor, at)
+	c.observed = max(c.observed, at)
 }
 
 // forget drops what a member that was killed will never tell.
 func (c *checker) forget(id string) {
-	for token, begun := range c.open {
+	for token, begun := range c.pending {
 		if begun.node == id {
-			delete(c.open, token)
+			delete(c.pending, token)
 		}
 	}
 }
--- a/internal/tier/replica/change_mutants_test.go
+++ b/internal/tier/replica/confchange_mutants_test.go
@@ -6,31 +6,31 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestChangeMutantsAreNoticed tries mistakes in the order of a change's steps. Each test that notices one plays one seed, or all
+// TestConfChangeMutants_AreNoticed tries mistakes in the order of a change's steps. Each test that notices one plays one seed, or all
 // orders of events.
-func TestChangeMutantsAreNoticed(t *testing.T) {
+func TestConfChangeMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
-	const successors = "^TestEachSuccessorVotesAsSoonAsItHasCaughtUp$"
+	const successors = "^TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp$"
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "silent voters go before a successor has caught up",
+			Name:   "inactive voters go before a replacement has caught up",
 			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return ready || voters+targetVoters > 0"},
 			Run:    successors,
 		},
 		{
-			Name:   "two silent voters go for one successor",
+			Name:   "two inactive voters go for one replacement",
 			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return voters > targetVoters || ready"},
 			Run:    successors,
 		},
 		{
-			Name:   "a successor votes beside the silent voter",
+			Name:   "a replacement votes beside the inactive voter",
 			Change: mutation.Change{File: "confchange.go", Old: "if r.canSpareVoter() {", New: "if false {"},
 			Run:    successors,
 		},
 		{
 			Name:   "a learner votes before it has caught up",
 			Change: mutation.Change{File: "confchange.go", Old: "return r.isActive(p) && p.match > 0 &&", New: "return r.isActive(p) || p.match > 0 &&"},
-			Run:    "^TestPromotedMemberKnowsItsGroup$",
+			Run:    "^TestConfChange_LearnerWithoutConfiguration_IsNotPromoted$",
 		},
 		{
 			Name: "learners count, explored",
@@ -39,7 +39,7 @@
 				Old:  "if !p.learner {",
 				New:  "if true {",
 			},
-			Run: "^TestEveryOrderAroundAChangeIsSafe$",
+			Run: "^TestExploration_OrdersAroundConfChange_AreSafe$",
 		},
 	})
 }
--- /dev/null
+++ b/internal/tier/replica/confchange_replacement_test.go
@@ -0,0 +1,83 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp has two of five members gone for good, and one of their replacements unreachable.
+func TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp(t *testing.T) {
+	t.Run("their inactivity is known", func(t *testing.T) { exchangeOneOfTwo(t, 2*testElection, []int{5, 4, 5}) })
+	t.Run("their inactivity is found out later", func(t *testing.T) { exchangeOneOfTwo(t, 0, []int{5, 6, 5}) })
+}
+
+func exchangeOneOfTwo(t *testing.T, silent time.Duration, want []int) {
+	t.Helper()
+	s := newSimulation(21, 5, 2, noFaults)
+	s.startAll()
+	s.runUntil(time.Second, func() bool { return s.leader() != nil })
+	first := s.leader()
+	others := s.others(first)
+	gone, staying, spares := others[:2], append([]*node{first}, others[2:4]...), others[4:]
+	for _, n := range gone {
+		s.kill(n)
+	}
+	s.kill(spares[1])
+	s.runFor(silent)
+
+	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is gone.
+	s.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
+	var voters []int
+	for range 1000 {
+		s.runFor(time.Millisecond)
+		if now := newConfiguration(0, s.checker.members).voters; len(voters) == 0 || voters[len(voters)-1] != now {
+			voters = append(voters, now)
+		}
+	}
+	if difference := cmp.Diff(want, voters); difference != "" {
+		t.Errorf("number of voters (-want +got):\n%s", difference)
+	}
+
+	// Then it bears that one more of those that are left is lost.
+	s.kill(staying[1])
+	if !s.commitsWithin(2 * time.Second) {
+		t.Error("nothing is committed any more")
+	}
+	s.requireSafe(t)
+
+	// And it becomes complete once the other replacement is reachable.
+	s.start(staying[1])
+	s.start(spares[1])
+	s.requireMembers(t, 2*time.Second, append(membersOf(staying...), membersOf(spares...)...))
+}
+
+// TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is gone that a replacement is to follow: the leader
+// gives no fourth vote before it knows that the member is silent.
+func TestConfChange_NewLeader_RemovesInactiveVoterFirst(t *testing.T) {
+	s := newSimulation(22, 3, 1, noFaults)
+	s.startAll()
+	s.runUntil(time.Second, func() bool { return s.leader() != nil })
+	first := s.leader()
+	others := s.others(first)
+	gone, staying, spare := others[0], []*node{first, others[1]}, others[2]
+	s.kill(gone)
+	s.runFor(2 * testElection)
+	s.setTargetMembers(membersOf(first, others[1], spare))
+
+	// When the remaining two elect a leader anew, right before the replacement has caught up.
+	s.kill(first)
+	s.runFor(2 * testElection)
+	s.start(first)
+	most := 0
+	s.runUntil(s.now+5*time.Second, func() bool {
+		agreed := newConfiguration(0, s.checker.members)
+		most = max(most, agreed.voters)
+		return agreed.isVoter(spare.id)
+	})
+	if most != 3 {
+		t.Errorf("the group had %d voters, want 3 at most", most)
+	}
+	s.requireMembers(t, time.Second, append(membersOf(staying...), membersOf(spare)...))
+}
--- a/internal/tier/replica/configuration.go
+++ b/internal/tier/replica/configuration.go
@@ -45,7 +45,7 @@
 }
 
 // configurationHistory holds the configuration of the last committed entry and those of later entries, in order. It is
-// never empty.
+// dropped empty.
 type configurationHistory []configuration
 
 // latest is the configuration in force: one is from the moment that its entry is in the log.
--- a/internal/tier/replica/disk_test.go
+++ b/internal/tier/replica/disk_test.go
@@ -10,7 +10,7 @@
 	return r
 }
 
-// withoutStates is what a member is told of its disk: the state of a snapshot is for the state machine.
+// withoutStates is what a member recovers from its disk: the state of a snapshot is for the state machine.
 func withoutStates(r Recovered) Recovered {
 	r = cloneRecovered(r)
 	if r.Snapshot != nil {
@@ -20,7 +20,7 @@
 }
 
 // save applies the first writes of a step to a disk.
-func save(disk Recovered, effects Ready, writes int) Recovered {
+func save(disk Recovered, ready Ready, writes int) Recovered {
 	take := func(needed bool) bool {
 		if !needed || writes == 0 {
 			return false
@@ -28,20 +28,20 @@
 		writes--
 		return true
 	}
-	if take(effects.HardState != nil) {
-		disk.HardState = *effects.HardState
+	if take(ready.HardState != nil) {
+		disk.HardState = *ready.HardState
 	}
-	if take(effects.Snapshot != nil) {
-		disk.Snapshot, disk.Entries = effects.Snapshot, nil
+	if take(ready.Snapshot != nil) {
+		disk.Snapshot, disk.Entries = ready.Snapshot, nil
 	}
-	if take(effects.TruncateFrom > 0) {
+	if take(ready.TruncateFrom > 0) {
 		kept := 0
-		for kept < len(disk.Entries) && disk.Entries[kept].Index < effects.TruncateFrom {
+		for kept < len(disk.Entries) && disk.Entries[kept].Index < ready.TruncateFrom {
 			kept++
 		}
 		disk.Entries = disk.Entries[:kept:kept]
 	}
-	for _, entry := range effects.Entries {
+	for _, entry := range ready.Entries {
 		if take(true) {
 			disk.Entries = append(disk.Entries, entry)
 		}
@@ -49,16 +49,16 @@
 	return disk
 }
 
-// snapshotParts is the number of parts in which simulated members send their snapshots.
-const snapshotParts = 3
+// snapshotChunks is the number of chunks in which simulated members send their snapshots.
+const snapshotChunks = 3
 
-// partOf is one of the parts of a state.
-func partOf(state []byte, number int) []byte {
-	return state[len(state)*number/snapshotParts : len(state)*(number+1)/snapshotParts]
+// chunkOf is one of the chunks of a state.
+func chunkOf(state []byte, number int) []byte {
+	return state[len(state)*number/snapshotChunks : len(state)*(number+1)/snapshotChunks]
 }
 
-// addPart adds to a message that brings a part of a snapshot what the sender's disk holds; false when that is no longer there.
-func addPart(message *Message, disk Recovered) bool {
+// addChunk adds to a message that brings a chunk of a snapshot what the sender's disk holds; false when that is no longer there.
+func addChunk(message *Message, disk Recovered) bool {
 	if message.Kind != InstallSnapshot {
 		return true
 	}
@@ -66,45 +66,45 @@
 		return false
 	}
 	snapshot := *message.Snapshot
-	snapshot.State = partOf(disk.Snapshot.State, message.Chunk)
+	snapshot.State = chunkOf(disk.Snapshot.State, message.Chunk)
 	message.Snapshot = &snapshot
 	return true
 }
 
-// receiveParts writes received parts behind those before, and adds the state to a snapshot that is installed. What it returns
+// receiveChunks writes received chunks behind those before, and adds the state to a snapshot that is installed. What it returns
 // is not synced, so it is lost with the process. The text tells what was wrong.
-func receiveParts(incoming [][]byte, effects *Ready) (parts [][]byte, wrong string) {
-	parts = incoming[:len(incoming):len(incoming)]
-	for _, part := range effects.ReceivedChunks {
-		if part.Number == 0 {
-			parts = nil
+func receiveChunks(incoming [][]byte, ready *Ready) (chunks [][]byte, wrong string) {
+	chunks = incoming[:len(incoming):len(incoming)]
+	for _, chunk := range ready.ReceivedChunks {
+		if chunk.Number == 0 {
+			chunks = nil
 		}
-		if part.Number != len(parts) {
-			return parts, fmt.Sprintf("part %d is received behind %d parts", part.Number, len(parts))
+		if chunk.Number != len(chunks) {
+			return chunks, fmt.Sprintf("chunk %d is received behind %d chunks", chunk.Number, len(chunks))
 		}
-		parts = append(parts, part.Data)
+		chunks = append(chunks, chunk.Data)
 	}
-	if effects.Snapshot == nil {
-		return parts, ""
+	if ready.Snapshot == nil {
+		return chunks, ""
 	}
-	if len(parts) != effects.Snapshot.Chunks {
-		return parts, fmt.Sprintf("a snapshot of %d parts is installed after %d", effects.Snapshot.Chunks, len(parts))
+	if len(chunks) != ready.Snapshot.Chunks {
+		return chunks, fmt.Sprintf("a snapshot of %d chunks is installed after %d", ready.Snapshot.Chunks, len(chunks))
 	}
-	whole := *effects.Snapshot
-	whole.State = bytes.Join(parts, nil)
-	effects.Snapshot = &whole
+	complete := *ready.Snapshot
+	complete.State = bytes.Join(chunks, nil)
+	ready.Snapshot = &complete
 	return nil, ""
 }
 
-func countWrites(effects Ready) int {
-	writes := len(effects.Entries)
-	if effects.HardState != nil {
+func countWrites(ready Ready) int {
+	writes := len(ready.Entries)
+	if ready.HardState != nil {
 		writes++
 	}
-	if effects.Snapshot != nil {
+	if ready.Snapshot != nil {
 		writes++
 	}
-	if effects.TruncateFrom > 0 {
+	if ready.TruncateFrom > 0 {
 		writes++
 	}
 	return writes
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// givenOwner starts a calm group and waits for its owner.
-func givenOwner(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
+// newGroupWithLeader starts a group without faults and waits for its leader.
+func newGroupWithLeader(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
 	t.Helper()
-	s := newSimulation(seed, members, spares, calm)
+	s := newSimulation(seed, members, spares, noFaults)
 	s.startAll()
-	found := s.runUntil(s.now+time.Second, func() bool { return s.owner() != nil })
+	found := s.runUntil(s.now+time.Second, func() bool { return s.leader() != nil })
 	if !found {
-		t.Fatalf("no owner within a second")
+		t.Fatalf("no leader within a second")
 	}
-	return s, s.owner()
+	return s, s.leader()
 }
 
-// thenHolds fails the test if the checker has seen a violation.
-func (s *simulation) thenHolds(t *testing.T) {
+// requireSafe fails the test if the checker has seen a violation.
+func (s *simulation) requireSafe(t *testing.T) {
 	t.Helper()
 	if s.checker.violation != "" {
 		t.Fatal(s.checker.violation)
 	}
 }
 
-// whenDone proposes a command at the owner of the moment until one is acknowledged.
-func (s *simulation) whenDone(within time.Duration) bool {
+// commitsWithin proposes a command at the leader of the moment until one is acknowledged.
+func (s *simulation) commitsWithin(within time.Duration) bool {
 	end := s.now + within
-	done := s.checker.done
+	done := s.checker.commands
 	for s.now < end && s.checker.violation == "" {
-		if n := s.owner(); n != nil {
+		if n := s.leader(); n != nil {
 			s.propose(n)
 		}
 		next := min(end, s.now+testHeartbeat)
-		if s.runUntil(next, func() bool { return s.checker.done > done }) {
+		if s.runUntil(next, func() bool { return s.checker.commands > done }) {
 			return true
 		}
 	}
@@ -52,59 +52,59 @@
 	return others
 }
 
-func TestGroupsOfAnySizeElectAnOwnerAndCommit(t *testing.T) {
+func TestElection_AnyGroupSize_ElectsAndCommits(t *testing.T) {
 	for members := 1; members <= 5; members++ {
-		s, _ := givenOwner(t, uint64(members), members, 0)
-		if !s.whenDone(time.Second) {
+		s, _ := newGroupWithLeader(t, uint64(members), members, 0)
+		if !s.commitsWithin(time.Second) {
 			t.Errorf("%d members: nothing was committed", members)
 		}
-		s.thenHolds(t)
+		s.requireSafe(t)
 	}
 }
 
-func TestOwnerStaysWhileNothingHappens(t *testing.T) {
-	s, first := givenOwner(t, 3, 3, 0)
-	epoch := first.replica.Status().Term
+func TestLeader_NoFaults_Stays(t *testing.T) {
+	s, first := newGroupWithLeader(t, 3, 3, 0)
+	term := first.replica.Status().Term
 	s.runFor(10 * time.Second)
-	if s.owner() != first || first.replica.Status().Term != epoch {
-		t.Errorf("owner %v in epoch %d, want %s in %d", s.owner(), first.replica.Status().Term, first.id, epoch)
+	if s.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("leader %v in term %d, want %s in %d", s.leader(), first.replica.Status().Term, first.id, term)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestMemberThatWasCutOffDoesNotUnseatTheOwner(t *testing.T) {
-	s, first := givenOwner(t, 4, 3, 0)
-	epoch := first.replica.Status().Term
+func TestPreVote_MemberWasPartitioned_DoesNotDeposeLeader(t *testing.T) {
+	s, first := newGroupWithLeader(t, 4, 3, 0)
+	term := first.replica.Status().Term
 	lonely := s.others(first)[0]
 	s.isolate(lonely)
 	s.runFor(2 * time.Second)
 	s.heal()
 	s.runFor(2 * time.Second)
-	if s.owner() != first || first.replica.Status().Term != epoch {
-		t.Errorf("the owner changed from %s in %d to %v", first.id, epoch, s.owner())
+	if s.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("the leader changed from %s in %d to %v", first.id, term, s.leader())
 	}
-	if got := lonely.replica.Status(); got.Leader != first.id || got.Term != epoch {
+	if got := lonely.replica.Status(); got.Leader != first.id || got.Term != term {
 		t.Errorf("the member that came back follows %q in %d", got.Leader, got.Term)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestMemberThatOnlySendsDoesNotUnseatTheOwner(t *testing.T) {
-	s, first := givenOwner(t, 5, 3, 0)
-	epoch := first.replica.Status().Term
+func TestPreVote_MemberOnlySends_DoesNotDeposeLeader(t *testing.T) {
+	s, first := newGroupWithLeader(t, 5, 3, 0)
+	term := first.replica.Status().Term
 	deaf := s.others(first)[0]
 	for _, n := range s.nodes {
-		s.cut[[2]int{n.slot, deaf.slot}] = true
+		s.partitioned[[2]int{n.slot, deaf.slot}] = true
 	}
 	s.runFor(2 * time.Second)
-	if s.owner() != first || first.replica.Status().Term != epoch {
-		t.Errorf("the owner changed from %s in %d to %v", first.id, epoch, s.owner())
+	if s.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("the leader changed from %s in %d to %v", first.id, term, s.leader())
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestOwnerWithoutMajorityStepsDown(t *testing.T) {
-	s, first := givenOwner(t, 6, 3, 0)
+func TestLeader_LosesQuorum_StepsDown(t *testing.T) {
+	s, first := newGroupWithLeader(t, 6, 3, 0)
 	s.isolate(first)
 	token := s.propose(first)
 	var got *Outcome
@@ -115,32 +115,32 @@
 	}
 	s.runFor(testElection + 2*testHeartbeat)
 	if first.replica.Status().IsLeader {
-		t.Errorf("still the owner after an election time-out alone")
+		t.Errorf("still the leader after an election timeout alone")
 	}
 	if got == nil || got.Done || got.Dropped {
 		t.Errorf("outcome %+v, want one that is unsure", got)
 	}
-	if !s.whenDone(time.Second) || s.owner() == first {
-		t.Errorf("the others have no owner")
+	if !s.commitsWithin(time.Second) || s.leader() == first {
+		t.Errorf("the others have no leader")
 	}
 	s.heal()
 	s.runFor(time.Second)
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestAppendsThatOnlyLeaveKeepNoOwner(t *testing.T) {
-	s, first := givenOwner(t, 7, 3, 0)
+func TestLeader_HearsNobody_IsReplaced(t *testing.T) {
+	s, first := newGroupWithLeader(t, 7, 3, 0)
 	for _, n := range s.nodes {
-		s.cut[[2]int{n.slot, first.slot}] = true
+		s.partitioned[[2]int{n.slot, first.slot}] = true
 	}
-	if !s.whenDone(2*time.Second) || s.owner() == first {
-		t.Errorf("an owner that hears nobody still blocks the group")
+	if !s.commitsWithin(2*time.Second) || s.leader() == first {
+		t.Errorf("a leader that hears nobody still blocks the group")
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestProposalElsewhereIsRefusedForGood(t *testing.T) {
-	s, first := givenOwner(t, 8, 3, 0)
+func TestFollower_Proposal_IsDropped(t *testing.T) {
+	s, first := newGroupWithLeader(t, 8, 3, 0)
 	other := s.others(first)[0]
 	token := s.propose(other)
 	var got []Outcome
@@ -151,24 +151,24 @@
 	}
 }
 
-func TestMemberWithoutGroupNeitherStandsNorVotes(t *testing.T) {
+func TestElection_MemberWithoutConfiguration_NeitherCampaignsNorVotes(t *testing.T) {
 	options := Options{ID: "x", HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
 	r, err := New(options, Recovered{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now := time.Duration(0); now < 10*time.Second; now += testHeartbeat {
-		if effects := r.Step(now, Input{}); len(effects.MessagesAfterSync)+len(effects.MessagesBeforeSync) > 0 {
-			t.Fatalf("it sends %+v", effects)
+		if ready := r.Step(now, Input{}); len(ready.MessagesAfterSync)+len(ready.MessagesBeforeSync) > 0 {
+			t.Fatalf("it sends %+v", ready)
 		}
 	}
 	ask := Message{Kind: RequestVote, From: "a", To: "x", Term: 9, Index: 100, LogTerm: 8}
-	if effects := r.Step(11*time.Second, Input{Messages: []Message{ask}}); len(effects.MessagesAfterSync) > 0 {
-		t.Errorf("it answers %+v", effects.MessagesAfterSync)
+	if ready := r.Step(11*time.Second, Input{Messages: []Message{ask}}); len(ready.MessagesAfterSync) > 0 {
+		t.Errorf("it answers %+v", ready.MessagesAfterSync)
 	}
 }
 
-func TestVoteIsSavedBeforeItLeaves(t *testing.T) {
+func TestElection_Vote_IsSavedBeforeItIsSent(t *testing.T) {
 	initial := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	options := Options{ID: "b", InitialMembers: initial, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
 	r, err := New(options, Recovered{}, 0)
@@ -177,28 +177,28 @@
 	}
 	first := Message{Kind: RequestVote, From: "a", To: "b", Term: 1}
 	second := Message{Kind: RequestVote, From: "c", To: "b", Term: 1}
-	effects := r.Step(0, Input{Messages: []Message{first, second}})
-	if effects.HardState == nil || *effects.HardState != (HardState{Term: 1, Vote: "a"}) {
-		t.Errorf("promise %+v", effects.HardState)
+	ready := r.Step(0, Input{Messages: []Message{first, second}})
+	if ready.HardState == nil || *ready.HardState != (HardState{Term: 1, Vote: "a"}) {
+		t.Errorf("hard state %+v", ready.HardState)
 	}
-	if len(effects.MessagesBeforeSync) != 0 || len(effects.MessagesAfterSync) != 2 {
-		t.Fatalf("messages %+v and %+v", effects.MessagesBeforeSync, effects.MessagesAfterSync)
+	if len(ready.MessagesBeforeSync) != 0 || len(ready.MessagesAfterSync) != 2 {
+		t.Fatalf("messages %+v and %+v", ready.MessagesBeforeSync, ready.MessagesAfterSync)
 	}
-	if effects.MessagesAfterSync[0].Reject || !effects.MessagesAfterSync[1].Reject {
-		t.Errorf("votes %+v", effects.MessagesAfterSync)
+	if ready.MessagesAfterSync[0].Reject || !ready.MessagesAfterSync[1].Reject {
+		t.Errorf("votes %+v", ready.MessagesAfterSync)
 	}
-	promise := *effects.HardState
-	again, err := New(options, Recovered{HardState: promise}, 0)
+	hardState := *ready.HardState
+	again, err := New(options, Recovered{HardState: hardState}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	effects = again.Step(0, Input{Messages: []Message{second}})
-	if len(effects.MessagesAfterSync) != 1 || !effects.MessagesAfterSync[0].Reject {
-		t.Errorf("after a restart it votes again: %+v", effects.MessagesAfterSync)
+	ready = again.Step(0, Input{Messages: []Message{second}})
+	if len(ready.MessagesAfterSync) != 1 || !ready.MessagesAfterSync[0].Reject {
+		t.Errorf("after a restart it votes again: %+v", ready.MessagesAfterSync)
 	}
 }
 
-func TestElectionTimeoutsDifferAndFollowTheSeed(t *testing.T) {
+func TestElectionTimeout_SeedAndIdentity_DetermineIt(t *testing.T) {
 	initial := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	wake := func(id string, seed uint64) time.Duration {
 		options := Options{ID: id, InitialMembers: initial, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: seed}
@@ -209,39 +209,39 @@
 		return r.Step(0, Input{}).NextWake
 	}
 	if first, again := wake("a", 1), wake("a", 1); first != again {
-		t.Error("the same seed gives different time-outs")
+		t.Error("the same seed gives different timeouts")
 	}
 	if wake("a", 1) == wake("b", 1) || wake("a", 1) == wake("a", 2) {
-		t.Error("different members or seeds give the same time-out")
+		t.Error("different members or seeds give the same timeout")
 	}
 	for seed := range uint64(100) {
 		if got := wake("a", seed); got < testElection || got >= 2*testElection {
-			t.Errorf("seed %d: time-out %v", seed, got)
+			t.Errorf("seed %d: timeout %v", seed, got)
 		}
 	}
 }
 
-func TestOwnershipIsHandedOver(t *testing.T) {
-	s, first := givenOwner(t, 9, 3, 0)
+func TestLeadershipTransfer_Requested_NeedsNoElectionTimeout(t *testing.T) {
+	s, first := newGroupWithLeader(t, 9, 3, 0)
 	for range 20 {
 		s.propose(first)
 	}
 	first.inbox.TransferLeadership = true
 	s.wake(first)
 	begun := s.now
-	if !s.runUntil(s.now+testElection, func() bool { return s.owner() != nil && s.owner() != first }) {
+	if !s.runUntil(s.now+testElection, func() bool { return s.leader() != nil && s.leader() != first }) {
 		t.Fatalf("nobody took over")
 	}
 	if s.now-begun > testElection/2 {
 		t.Errorf("it took %v", s.now-begun)
 	}
-	if s.checker.done != 0 && s.checker.done != 20 {
-		t.Errorf("%d of 20 proposals were settled", s.checker.done)
+	if s.checker.commands != 0 && s.checker.commands != 20 {
+		t.Errorf("%d of 20 proposals were settled", s.checker.commands)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestFirstTrialsComeSoonerWhereNoOwnerHasBeenHeard(t *testing.T) {
+func TestPreVote_NoLeaderHeardYet_UsesInitialTimeout(t *testing.T) {
 	const eager = testElection / 4
 	initial := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	for seed := range uint64(100) {
@@ -252,19 +252,19 @@
 		}
 		first := r.Step(0, Input{}).NextWake
 		if first < eager || first >= 2*eager {
-			t.Errorf("seed %d: it first stands after %v", seed, first)
+			t.Errorf("seed %d: it first campaigns after %v", seed, first)
 		}
-		effects := r.Step(first, Input{})
-		if len(effects.MessagesAfterSync) != 2 || !effects.MessagesAfterSync[0].PreVote || effects.HardState != nil {
-			t.Fatalf("seed %d: it doesn't stand on trial: %+v", seed, effects)
+		ready := r.Step(first, Input{})
+		if len(ready.MessagesAfterSync) != 2 || !ready.MessagesAfterSync[0].PreVote || ready.HardState != nil {
+			t.Fatalf("seed %d: it doesn't ask for PreVotes: %+v", seed, ready)
 		}
-		if pause := effects.NextWake - first; pause < eager || pause >= 2*eager {
-			t.Errorf("seed %d: the next trial comes after %v", seed, pause)
+		if pause := ready.NextWake - first; pause < eager || pause >= 2*eager {
+			t.Errorf("seed %d: the next PreVote comes after %v", seed, pause)
 		}
-		heard := effects.NextWake
-		effects = r.Step(heard, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
-		if pause := effects.NextWake - heard; pause < testElection || pause >= 2*testElection {
-			t.Errorf("seed %d: with an owner it stands after %v", seed, pause)
+		heard := ready.NextWake
+		ready = r.Step(heard, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
+		if pause := ready.NextWake - heard; pause < testElection || pause >= 2*testElection {
+			t.Errorf("seed %d: with a leader it campaigns after %v", seed, pause)
 		}
 	}
 }
--- a/internal/tier/replica/explore_change_test.go
+++ b/internal/tier/replica/explore_confchange_test.go
@@ -14,7 +14,7 @@
 // deeper is how much further than usual orders of events around a change of members are explored.
 var deeper = flag.Int("deeper", 0, "explore orders of events around a change of members so much deeper")
 
-// The members around a change: c is to go, d is to come.
+// The members around a change: d replaces c.
 var changeIDs = [4]string{"a", "b", "c", "d"}
 
 const (
@@ -34,43 +34,43 @@
 
 // changeAllowance is how many events of each kind an exploration may still use.
 type changeAllowance struct {
-	stands, beats, crashes, proposals, snapshots, reads int
+	campaigns, heartbeats, crashes, proposals, snapshots, reads int
 }
 
 // changeWorld is one state of three members, their newcomer and the messages between them.
 type changeWorld struct {
-	members   [4]changing
-	flying    []flyingMessage // sorted by key
+	members   [4]changingMember
+	inflight  []inflightMessage // sorted by key
 	left      changeAllowance
 	committed []committedEntry
-	owners    map[uint64]string
-	finished  uint64 // term of the owner that was confirmed when the group had become whole without c; 0: none yet
+	leaders   map[uint64]string
+	finished  uint64 // term of the leader that was confirmed when the group had become complete without c; 0: none yet
 	violation string
 }
 
-// changing is one member, with its own clock and disk.
-type changing struct {
-	explored
-	incoming [][]byte
-	initial  []Member
-	wanted   []Member
-	down     bool
-	asked    Status // when the read under way began
-	reading  bool
+// changingMember is one member, with its own clock and disk.
+type changingMember struct {
+	exploredMember
+	incoming      [][]byte
+	initial       []Member
+	targetMembers []Member
+	down          bool
+	asked         Status // when the read under way began
+	reading       bool
 }
 
 // newChangeWorld starts a group of a, b and c with d beside it. All messages arrive at once until an exploration begins.
 func newChangeWorld(t *testing.T) *changeWorld {
 	t.Helper()
-	w := &changeWorld{owners: map[uint64]string{}}
+	w := &changeWorld{leaders: map[uint64]string{}}
 	for i := range w.members {
 		if i != atD {
 			w.members[i].initial = membersNamed("a", "b", "c")
 		}
 		w.restart(i)
 	}
-	w.carryOut(atA, w.stand(atA), noCrash)
-	w.settle(t, 3)
+	w.applyReady(atA, w.campaign(atA), noCrash)
+	w.deliverAll(t, 3)
 	return w
 }
 
@@ -84,30 +84,30 @@
 		return
 	}
 	replica.limits.maxMessageBytes, replica.limits.trailingEntries = 1, 0
-	replica.targetMembers = m.wanted
+	replica.targetMembers = m.targetMembers
 	m.replica = replica
 }
 
-// resolve delivers all messages and gives owners so many heartbeats.
-func (w *changeWorld) settle(t *testing.T, beats int) {
+// deliverAll delivers all messages, and has leaders send so many heartbeats.
+func (w *changeWorld) deliverAll(t *testing.T, heartbeats int) {
 	t.Helper()
-	for range beats {
-		for len(w.flying) > 0 {
-			message := w.flying[0]
-			w.flying = slices.Delete(w.flying, 0, 1)
+	for range heartbeats {
+		for len(w.inflight) > 0 {
+			message := w.inflight[0]
+			w.inflight = slices.Delete(w.inflight, 0, 1)
 			w.deliver(message.Message, noCrash)
 		}
 		for i := range w.members {
 			m := &w.members[i]
 			if !m.down && m.replica.role == leader {
 				m.clock = max(m.clock, m.wake)
-				w.carryOut(i, m.replica.Step(m.clock, Input{}), noCrash)
+				w.applyReady(i, m.replica.Step(m.clock, Input{}), noCrash)
 			}
 		}
 	}
-	for len(w.flying) > 0 {
-		message := w.flying[0]
-		w.flying = slices.Delete(w.flying, 0, 1)
+	for len(w.inflight) > 0 {
+		message := w.inflight[0]
+		w.inflight = slices.Delete(w.inflight, 0, 1)
 		w.deliver(message.Message, noCrash)
 	}
 	if w.violation != "" {
@@ -115,18 +115,18 @@
 	}
 }
 
-// want tells a member which group is wanted.
-func (w *changeWorld) want(i int, members []Member) {
+// setTarget tells a member which members the group is to have.
+func (w *changeWorld) setTarget(i int, members []Member) {
 	m := &w.members[i]
-	m.wanted = members
-	w.carryOut(i, m.replica.Step(m.clock, Input{TargetMembers: members}), noCrash)
+	m.targetMembers = members
+	w.applyReady(i, m.replica.Step(m.clock, Input{TargetMembers: members}), noCrash)
 }
 
 func (w *changeWorld) propose(i int) {
 	m := &w.members[i]
 	token := uint64(len(w.committed) + 1000*i)
 	data := strconv.AppendUint(nil, token, 10)
-	w.carryOut(i, m.replica.Step(m.clock, Input{Proposals: []Proposal{{Token: token, Data: data}}}), noCrash)
+	w.applyReady(i, m.replica.Step(m.clock, Input{Proposals: []Proposal{{Token: token, Data: data}}}), noCrash)
 }
 
 // snapshot has a member put a snapshot in place of what it has applied.
@@ -140,22 +140,22 @@
 	if err != nil {
 		return false
 	}
-	snapshot.Chunks, snapshot.State = snapshotParts, state
+	snapshot.Chunks, snapshot.State = snapshotChunks, state
 	kept := 0
 	for kept < len(m.disk.Entries) && m.disk.Entries[kept].Index <= snapshot.Index {
 		kept++
 	}
 	m.disk.Entries, m.disk.Snapshot = slices.Clone(m.disk.Entries[kept:]), &snapshot
-	w.carryOut(i, m.replica.Step(m.clock, Input{Compact: withoutState(&snapshot)}), noCrash)
+	w.applyReady(i, m.replica.Step(m.clock, Input{Compact: withoutState(&snapshot)}), noCrash)
 	return true
 }
 
 func (w *changeWorld) clone() *changeWorld {
 	c := *w
-	c.flying, c.committed = slices.Clone(w.flying), slices.Clip(w.committed)
-	c.owners = make(map[uint64]string, len(w.owners)+1)
-	for epoch, id := range w.owners {
-		c.owners[epoch] = id
+	c.inflight, c.committed = slices.Clone(w.inflight), slices.Clip(w.committed)
+	c.leaders = make(map[uint64]string, len(w.leaders)+1)
+	for term, id := range w.leaders {
+		c.leaders[term] = id
 	}
 	for i := range c.members {
 		c.members[i].disk.Entries = slices.Clip(c.members[i].disk.Entries)
@@ -165,49 +165,49 @@
 	return &c
 }
 
-// carryOut does the effects of a step at a member.
-func (w *changeWorld) carryOut(i int, effects Ready, crash crashPoint) {
+// applyReady carries out the Ready of a step at a member.
+func (w *changeWorld) applyReady(i int, ready Ready, crash crashPoint) {
 	m := &w.members[i]
-	parts, wrong := receiveParts(m.incoming, &effects)
+	chunks, wrong := receiveChunks(m.incoming, &ready)
 	if wrong != "" {
 		w.violation = wrong
 	}
-	m.incoming = parts
-	w.launch(m, effects.MessagesBeforeSync)
-	writes := countWrites(effects)
+	m.incoming = chunks
+	w.send(m, ready.MessagesBeforeSync)
+	writes := countWrites(ready)
 	switch crash {
 	case beforeWrites:
 		writes = 0
-	case afterPromise:
+	case afterFirstWrite:
 		writes = min(1, writes)
 	}
-	m.disk = save(m.disk, effects, writes)
+	m.disk = save(m.disk, ready, writes)
 	if crash != noCrash {
 		w.restart(i)
 		return
 	}
-	w.launch(m, effects.MessagesAfterSync)
-	w.apply(i, effects.CommittedEntries)
-	w.confirm(i, effects.Outcomes)
-	m.wake = effects.NextWake
-	w.checkOwner(i)
+	w.send(m, ready.MessagesAfterSync)
+	w.apply(i, ready.CommittedEntries)
+	w.confirm(i, ready.Outcomes)
+	m.wake = ready.NextWake
+	w.checkLeader(i)
 }
 
-func (w *changeWorld) launch(from *changing, messages []Message) {
+func (w *changeWorld) send(from *changingMember, messages []Message) {
 	for _, message := range messages {
 		if message.Kind == AppendEntries {
-			if known := w.owners[message.Term]; known != "" && known != message.From {
-				w.violation = fmt.Sprintf("epoch %d has the owners %s and %s", message.Term, known, message.From)
+			if known := w.leaders[message.Term]; known != "" && known != message.From {
+				w.violation = fmt.Sprintf("term %d has the leaders %s and %s", message.Term, known, message.From)
 			}
-			w.owners[message.Term] = message.From
+			w.leaders[message.Term] = message.From
 		}
-		if !addPart(&message, from.disk) {
+		if !addChunk(&message, from.disk) {
 			continue
 		}
 		key := string(appendMessage(nil, message))
 		key += fmt.Sprint(message.Chunk, message.ReadIndexRound, message.PreVote, message.Snapshot != nil && message.Snapshot.Index > 0)
-		at, _ := slices.BinarySearchFunc(w.flying, key, func(m flyingMessage, key string) int { return compareKeys(m.key, key) })
-		w.flying = slices.Insert(w.flying, at, flyingMessage{Message: message, key: key})
+		at, _ := slices.BinarySearchFunc(w.inflight, key, func(m inflightMessage, key string) int { return compareKeys(m.key, key) })
+		w.inflight = slices.Insert(w.inflight, at, inflightMessage{Message: message, key: key})
 	}
 }
 
@@ -224,7 +224,7 @@
 func (w *changeWorld) apply(i int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index > uint64(len(w.committed)) {
-			w.committed = append(w.committed, committedEntry{Entry: entry, epoch: w.members[i].replica.hardState.Term})
+			w.committed = append(w.committed, committedEntry{Entry: entry, committedIn: w.members[i].replica.hardState.Term})
 			continue
 		}
 		if known := w.committed[entry.Index-1]; known.Term != entry.Term {
@@ -233,25 +233,25 @@
 	}
 }
 
-// checkOwner demands that an owner has all that was committed in earlier epochs, and that a member on which nothing depends any
-// more owns nothing.
-func (w *changeWorld) checkOwner(i int) {
+// checkLeader demands that a leader has all that was committed in earlier terms, and that a member on which nothing depends any
+// more does not lead.
+func (w *changeWorld) checkLeader(i int) {
 	r := w.members[i].replica
 	if r.role != leader {
 		return
 	}
 	for _, entry := range w.committed {
-		if entry.epoch < r.hardState.Term && entry.Index > r.snapshotIndex() && !r.log.matchTerm(entry.Index, entry.Term) {
-			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.hardState.Term, entry)
+		if entry.committedIn < r.hardState.Term && entry.Index > r.snapshotIndex() && !r.log.matchTerm(entry.Index, entry.Term) {
+			w.violation = fmt.Sprintf("%s leads term %d without entry %v", r.options.ID, r.hardState.Term, entry)
 		}
 	}
 	if w.finished > 0 && i == atC && r.hardState.Term > w.finished {
-		w.violation = "c owns the group after nothing depended on it"
+		w.violation = "c leads the group after nothing depended on it"
 	}
 }
 
 // confirm takes notice of a read that a majority has confirmed, as a store's report on its groups asks for one. A group that
-// is then whole without c, as the wanted one, needs c no more.
+// is then complete without c, with its target members, needs c no more.
 func (w *changeWorld) confirm(i int, outcomes []Outcome) {
 	m := &w.members[i]
 	for _, outcome := range outcomes {
@@ -260,9 +260,9 @@
 		}
 		m.reading = false
 		after := m.replica.Status()
-		if outcome.Done && isConfirmed(m.asked, after) && isWholeWithoutC(after) && w.finished == 0 {
+		if outcome.Done && isConfirmed(m.asked, after) && isCompleteWithoutC(after) && w.finished == 0 {
 			w.finished = after.Term
-			w.checkNothingNeeds()
+			w.checkCopies()
 		}
 	}
 }
@@ -274,8 +274,8 @@
 	return after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex && slices.Equal(before.Members, after.Members)
 }
 
-// isWholeWithoutC is what decommission.IsEmptied demands of a group.
-func isWholeWithoutC(status Status) bool {
+// isCompleteWithoutC is what decommission.IsEmptied demands of a group.
+func isCompleteWithoutC(status Status) bool {
 	if len(status.Members) != 3 {
 		return false
 	}
@@ -287,8 +287,8 @@
 	return true
 }
 
-// checkNothingNeeds demands that each committed entry is on the disks of a majority of those that stay.
-func (w *changeWorld) checkNothingNeeds() {
+// checkCopies demands that each committed entry is on the disks of a majority of those that stay.
+func (w *changeWorld) checkCopies() {
 	for _, entry := range w.committed {
 		copies := 0
 		for _, i := range []int{atA, atB, atD} {
@@ -315,30 +315,30 @@
 	if m.down {
 		return false
 	}
-	effects := m.replica.Step(m.clock, Input{Messages: []Message{message}})
-	written = countWrites(effects) > 0
-	w.carryOut(to, effects, crash)
+	ready := m.replica.Step(m.clock, Input{Messages: []Message{message}})
+	written = countWrites(ready) > 0
+	w.applyReady(to, ready, crash)
 	return written
 }
 
-// campaign lets a member begin an epoch at once.
-func (w *changeWorld) stand(i int) Ready { return w.members[i].stand() }
+// campaign lets a member begin a term at once.
+func (w *changeWorld) campaign(i int) Ready { return w.members[i].campaign() }
 
 // successors are all worlds that one event leads to.
 func (w *changeWorld) successors() []*changeWorld {
 	var all []*changeWorld
-	for at := range w.flying {
-		if at > 0 && w.flying[at-1].key == w.flying[at].key {
+	for at := range w.inflight {
+		if at > 0 && w.inflight[at-1].key == w.inflight[at].key {
 			continue
 		}
 		crashes := []crashPoint{noCrash}
 		if w.left.crashes > 0 {
-			crashes = append(crashes, beforeWrites, afterPromise, beforeAnswer)
+			crashes = append(crashes, beforeWrites, afterFirstWrite, afterWrites)
 		}
 		for _, crash := range crashes {
 			next := w.clone()
-			message := next.flying[at].Message
-			next.flying = slices.Delete(next.flying, at, at+1)
+			message := next.inflight[at].Message
+			next.inflight = slices.Delete(next.inflight, at, at+1)
 			if crash != noCrash {
 				next.left.crashes--
 			}
@@ -370,26 +370,26 @@
 	}
 	try(w.left.snapshots, func(a *changeAllowance) { a.snapshots-- }, func(w *changeWorld) bool { return w.snapshot(i) })
 	if r.role != leader {
-		try(w.left.stands, func(a *changeAllowance) { a.stands-- }, func(w *changeWorld) bool {
+		try(w.left.campaigns, func(a *changeAllowance) { a.campaigns-- }, func(w *changeWorld) bool {
 			if !r.isPromotable() {
 				return false
 			}
-			w.carryOut(i, w.stand(i), noCrash)
+			w.applyReady(i, w.campaign(i), noCrash)
 			return true
 		})
 		return all
 	}
-	try(w.left.beats, func(a *changeAllowance) { a.beats-- }, func(w *changeWorld) bool {
+	try(w.left.heartbeats, func(a *changeAllowance) { a.heartbeats-- }, func(w *changeWorld) bool {
 		m := &w.members[i]
 		m.clock = max(m.clock, m.wake)
-		w.carryOut(i, m.replica.Step(m.clock, Input{}), noCrash)
+		w.applyReady(i, m.replica.Step(m.clock, Input{}), noCrash)
 		return true
 	})
 	try(w.left.proposals, func(a *changeAllowance) { a.proposals-- }, func(w *changeWorld) bool { w.propose(i); return true })
 	try(w.left.reads, func(a *changeAllowance) { a.reads-- }, func(w *changeWorld) bool {
 		m := &w.members[i]
 		m.asked, m.reading = m.replica.Status(), true
-		w.carryOut(i, m.replica.Step(m.clock, Input{Reads: []uint64{readToken}}), noCrash)
+		w.applyReady(i, m.replica.Step(m.clock, Input{Reads: []uint64{readToken}}), noCrash)
 		return true
 	})
 	return all
@@ -440,15 +440,15 @@
 		}
 		b = strconv.AppendBool(b, m.reading)
 	}
-	for i := range w.flying {
-		b = append(b, w.flying[i].key...)
+	for i := range w.inflight {
+		b = append(b, w.inflight[i].key...)
 	}
 	b = appendNumbers(b, len(w.committed), int(w.finished))
 	for i := range w.committed {
-		b = appendNumbers(b, int(w.committed[i].Term), int(w.committed[i].epoch))
+		b = appendNumbers(b, int(w.committed[i].Term), int(w.committed[i].committedIn))
 	}
 	left := w.left
-	return appendNumbers(b, left.stands, left.beats, left.crashes, left.proposals, left.snapshots, left.reads)
+	return appendNumbers(b, left.campaigns, left.heartbeats, left.crashes, left.proposals, left.snapshots, left.reads)
 }
 
 // changeExplorations are the starting points: how far the change from a, b, c to a, b, d has come, and what may happen from
@@ -462,85 +462,85 @@
 	{
 		name: "d is to come",
 		begin: func(_ *testing.T, w *changeWorld) {
-			w.wantAll(membersNamed("a", "b", "d"))
+			w.setTargetEverywhere(membersNamed("a", "b", "d"))
 		},
-		left:  changeAllowance{stands: 2, crashes: 1, beats: 1},
+		left:  changeAllowance{campaigns: 2, crashes: 1, heartbeats: 1},
 		depth: 6,
 	},
 	{
 		name: "d needs a snapshot",
 		begin: func(t *testing.T, w *changeWorld) {
 			w.propose(atA)
-			w.settle(t, 2)
+			w.deliverAll(t, 2)
 			w.snapshot(atA)
-			w.wantAll(membersNamed("a", "b", "d"))
+			w.setTargetEverywhere(membersNamed("a", "b", "d"))
 		},
-		left:  changeAllowance{stands: 1, crashes: 1, beats: 1, snapshots: 1},
+		left:  changeAllowance{campaigns: 1, crashes: 1, heartbeats: 1, snapshots: 1},
 		depth: 6,
 	},
 	{
 		name: "d is about to get its vote",
 		begin: func(t *testing.T, w *changeWorld) {
-			w.learn(t)
-			w.wantAll(membersNamed("a", "b", "d"))
+			w.addLearner(t)
+			w.setTargetEverywhere(membersNamed("a", "b", "d"))
 		},
-		left:  changeAllowance{stands: 2, crashes: 1, beats: 1},
+		left:  changeAllowance{campaigns: 2, crashes: 1, heartbeats: 1},
 		depth: 6,
 	},
 	{
-		name: "c is silent",
+		name: "c is inactive",
 		begin: func(t *testing.T, w *changeWorld) {
-			w.learn(t)
+			w.addLearner(t)
 			w.members[atC].down = true
-			w.settle(t, 6)
-			w.wantAll(membersNamed("a", "b", "d"))
+			w.deliverAll(t, 6)
+			w.setTargetEverywhere(membersNamed("a", "b", "d"))
 			w.members[atC].down = false
 		},
-		left:  changeAllowance{stands: 2, crashes: 1, beats: 1},
+		left:  changeAllowance{campaigns: 2, crashes: 1, heartbeats: 1},
 		depth: 6,
 	},
 	{
-		name: "c has lost its vote, and somebody asks",
+		name: "c has lost its vote, and a read confirms it",
 		begin: func(t *testing.T, w *changeWorld) {
-			w.learn(t)
-			w.wantAll(membersNamed("a", "b", "d"))
+			w.addLearner(t)
+			w.setTargetEverywhere(membersNamed("a", "b", "d"))
 			for range 20 {
 				newest := w.members[atA].replica.configurations.latest()
 				if newest.find("c") == nil {
 					return
 				}
-				w.settle(t, 1)
+				w.deliverAll(t, 1)
 			}
 			t.Fatal("c stays")
 		},
-		left:  changeAllowance{stands: 1, crashes: 1, reads: 1, proposals: 1},
+		left:  changeAllowance{campaigns: 1, crashes: 1, reads: 1, proposals: 1},
 		depth: 7,
 	},
 }
 
-// wantAll tells all members which group is wanted.
-func (w *changeWorld) wantAll(members []Member) {
+// setTargetEverywhere tells all members which members the group is to have.
+func (w *changeWorld) setTargetEverywhere(members []Member) {
 	for i := range w.members {
-		w.want(i, members)
+		w.setTarget(i, members)
 	}
 }
 
-// learn makes d a learner that has all entries.
-func (w *changeWorld) learn(t *testing.T) {
+// addLearner makes d a learner that has all entries.
+func (w *changeWorld) addLearner(t *testing.T) {
 	t.Helper()
 	learner := Member{ID: "d", Address: "d", Learner: true}
-	w.wantAll(append(membersNamed("a", "b", "c"), learner))
-	w.settle(t, 4)
+	w.setTargetEverywhere(append(membersNamed("a", "b", "c"), learner))
+	w.deliverAll(t, 4)
 }
 
-func TestEveryOrderAroundAChangeIsSafe(t *testing.T) {
+func TestExploration_OrdersAroundConfChange_AreSafe(t *testing.T) {
 	for _, tc := range changeExplorations {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			w := newChangeWorld(t)
 			tc.begin(t, w)
 			w.left = tc.left
-			depth := tc.depth + *deeper - raceShallower
+			depth := tc.depth + *deeper - raceDepthReduction
 			began := time.Now()
 			states, finished, violation := exploreChange(w, depth)
 			if violation != "" {
--- a/internal/tier/replica/explore_test.go
+++ b/internal/tier/replica/explore_test.go
@@ -13,36 +13,36 @@
 
 // allowance is how many events of each kind an exploration may still use.
 type allowance struct {
-	stands, beats, crashes, proposals, duplicates int
+	campaigns, heartbeats, crashes, proposals, duplicates int
 }
 
 // world is one state of three members and the messages between them, during an exploration.
 type world struct {
-	members   [3]explored
-	flying    []flyingMessage // sorted by key
+	members   [3]exploredMember
+	inflight  []inflightMessage // sorted by key
 	left      allowance
 	committed []committedEntry
-	owners    map[uint64]string
+	leaders   map[uint64]string
 	violation string
 }
 
-// flyingMessage is a message on its way. Key holds all of it that matters.
-type flyingMessage struct {
+// inflightMessage is a message on its way. Key holds all of it that matters.
+type inflightMessage struct {
 	Message
 	key string
 }
 
-// committedEntry is an entry that a member has applied; epoch is the one in which it was first.
+// committedEntry is an entry that a member has applied; term is the one in which it was first.
 type committedEntry struct {
 	Entry
-	epoch uint64
+	committedIn uint64
 }
 
-// explored is one member, with its own clock and disk.
-type explored struct {
+// exploredMember is one member, with its own clock and disk.
+type exploredMember struct {
 	replica *Replica
 	disk    Recovered
-	parts   [][]byte // of a snapshot that is being received
+	chunks  [][]byte // of a snapshot that is being received
 	clock   time.Duration
 	wake    time.Duration
 }
@@ -56,7 +56,7 @@
 // newWorld starts three members from their disks.
 func newWorld(t *testing.T, disks [3]Recovered, left allowance) *world {
 	t.Helper()
-	w := &world{left: left, owners: map[uint64]string{}}
+	w := &world{left: left, leaders: map[uint64]string{}}
 	for i, id := range explorationIDs {
 		w.members[i].disk = disks[i]
 		w.restart(i, id)
@@ -70,7 +70,7 @@
 func (w *world) restart(i int, id string) {
 	options := Options{ID: id, InitialMembers: explorationGroup(), HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
 	m := &w.members[i]
-	m.clock, m.wake, m.parts = 0, 0, nil
+	m.clock, m.wake, m.chunks = 0, 0, nil
 	replica, err := New(options, withoutStates(m.disk), 0)
 	if err != nil {
 		w.violation = err.Error()
@@ -83,11 +83,11 @@
 // clone copies a world so that either copy can go on.
 func (w *world) clone() *world {
 	c := *w
-	c.flying = slices.Clone(w.flying)
+	c.inflight = slices.Clone(w.inflight)
 	c.committed = slices.Clip(w.committed)
-	c.owners = make(map[uint64]string, len(w.owners)+1)
-	for epoch, id := range w.owners {
-		c.owners[epoch] = id
+	c.leaders = make(map[uint64]string, len(w.leaders)+1)
+	for term, id := range w.leaders {
+		c.leaders[term] = id
 	}
 	for i := range c.members {
 		c.members[i].disk.Entries = slices.Clip(c.members[i].disk.Entries)
@@ -113,49 +113,49 @@
 	return &c
 }
 
-// crashPoint is how far a member comes with the effects of a step.
+// crashPoint is how far a member comes with the Ready of a step.
 type crashPoint int
 
 const (
-	noCrash      crashPoint = iota
-	beforeWrites            // only what may leave early has left
-	afterPromise            // and the first write has lasted
-	beforeAnswer            // and all writes have lasted, and nothing else was done
+	noCrash         crashPoint = iota
+	beforeWrites               // only what may leave early has left
+	afterFirstWrite            // and the first write has lasted
+	afterWrites                // and all writes have lasted, and nothing else was done
 )
 
-// carryOut does the effects of a step at a member.
-func (w *world) carryOut(i int, effects Ready, crash crashPoint) {
+// applyReady carries out the Ready of a step at a member.
+func (w *world) applyReady(i int, ready Ready, crash crashPoint) {
 	m := &w.members[i]
-	w.receiveParts(i, &effects)
-	w.launch(effects.MessagesBeforeSync)
-	writes := countWrites(effects)
+	w.receiveChunks(i, &ready)
+	w.send(ready.MessagesBeforeSync)
+	writes := countWrites(ready)
 	switch crash {
 	case beforeWrites:
 		writes = 0
-	case afterPromise:
+	case afterFirstWrite:
 		writes = min(1, writes)
 	}
-	m.disk = save(m.disk, effects, writes)
+	m.disk = save(m.disk, ready, writes)
 	if crash != noCrash {
 		w.restart(i, explorationIDs[i])
 		return
 	}
-	w.checkAnswers(i, effects.MessagesAfterSync)
-	w.launch(effects.MessagesAfterSync)
-	w.apply(i, effects.CommittedEntries)
-	m.wake = effects.NextWake
-	w.checkOwner(i)
+	w.checkAcknowledgements(i, ready.MessagesAfterSync)
+	w.send(ready.MessagesAfterSync)
+	w.apply(i, ready.CommittedEntries)
+	m.wake = ready.NextWake
+	w.checkLeader(i)
 }
 
-// receiveParts keeps the parts of snapshots that a step has received. One that is installed has to be the whole state.
-func (w *world) receiveParts(i int, effects *Ready) {
+// receiveChunks keeps the chunks of snapshots that a step has received. One that is installed has to be the complete state.
+func (w *world) receiveChunks(i int, ready *Ready) {
 	m := &w.members[i]
-	parts, wrong := receiveParts(m.parts, effects)
-	m.parts = parts
+	chunks, wrong := receiveChunks(m.chunks, ready)
+	m.chunks = chunks
 	if wrong != "" {
 		w.violation = fmt.Sprintf("%s: %s", explorationIDs[i], wrong)
 	}
-	if installed := effects.Snapshot; installed != nil && string(installed.State) != string(exploredState(installed.Index)) {
+	if installed := ready.Snapshot; installed != nil && string(installed.State) != string(exploredState(installed.Index)) {
 		w.violation = fmt.Sprintf("%s installs %q as the state at %d", explorationIDs[i], installed.State, installed.Index)
 	}
 }
@@ -163,8 +163,8 @@
 // exploredState is the state that a snapshot up to index stands for.
 func exploredState(index uint64) []byte { return fmt.Appendf(nil, "the state at %d", index) }
 
-// checkAnswers demands that a member acknowledges nothing that its disk doesn't hold.
-func (w *world) checkAnswers(i int, messages []Message) {
+// checkAcknowledgements demands that a member acknowledges nothing that its disk doesn't hold.
+func (w *world) checkAcknowledgements(i int, messages []Message) {
 	disk := &w.members[i].disk
 	last := uint64(len(disk.Entries))
 	if disk.Snapshot != nil {
@@ -177,33 +177,33 @@
 	}
 }
 
-func (w *world) launch(messages []Message) {
+func (w *world) send(messages []Message) {
 	for _, message := range messages {
-		if !addPart(&message, w.members[slices.Index(explorationIDs[:], message.From)].disk) {
+		if !addChunk(&message, w.members[slices.Index(explorationIDs[:], message.From)].disk) {
 			continue
 		}
 		if message.Kind == AppendEntries {
-			if known := w.owners[message.Term]; known != "" && known != message.From {
-				w.violation = fmt.Sprintf("epoch %d has the owners %s and %s", message.Term, known, message.From)
+			if known := w.leaders[message.Term]; known != "" && known != message.From {
+				w.violation = fmt.Sprintf("term %d has the leaders %s and %s", message.Term, known, message.From)
 			}
-			w.owners[message.Term] = message.From
+			w.leaders[message.Term] = message.From
 		}
-		w.add(flyingMessage{Message: message, key: string(appendMessage(nil, message))})
+		w.add(inflightMessage{Message: message, key: string(appendMessage(nil, message))})
 	}
 }
 
-func (w *world) add(message flyingMessage) {
-	at, _ := slices.BinarySearchFunc(w.flying, message.key, func(m flyingMessage, key string) int {
+func (w *world) add(message inflightMessage) {
+	at, _ := slices.BinarySearchFunc(w.inflight, message.key, func(m inflightMessage, key string) int {
 		return strings.Compare(m.key, key)
 	})
-	w.flying = slices.Insert(w.flying, at, message)
+	w.inflight = slices.Insert(w.inflight, at, message)
 }
 
 func (w *world) apply(i int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index > uint64(len(w.committed)) {
-			epoch := w.members[i].replica.hardState.Term
-			w.committed = append(w.committed, committedEntry{Entry: entry, epoch: epoch})
+			term := w.members[i].replica.hardState.Term
+			w.committed = append(w.committed, committedEntry{Entry: entry, committedIn: term})
 			continue
 		}
 		if known := w.committed[entry.Index-1]; known.Term != entry.Term {
@@ -212,16 +212,16 @@
 	}
 }
 
-// checkOwner demands that an owner has all that was committed in earlier epochs.
-func (w *world) checkOwner(i int) {
+// checkLeader demands that a leader has all that was committed in earlier terms.
+func (w *world) checkLeader(i int) {
 	r := w.members[i].replica
 	if r.role != leader {
 		return
 	}
 	for _, entry := range w.committed {
 		isInSnapshot := entry.Index < r.log.offset
-		if entry.epoch < r.hardState.Term && !isInSnapshot && !r.log.matchTerm(entry.Index, entry.Term) {
-			w.violation = fmt.Sprintf("%s owns epoch %d without entry %v", r.options.ID, r.hardState.Term, entry)
+		if entry.committedIn < r.hardState.Term && !isInSnapshot && !r.log.matchTerm(entry.Index, entry.Term) {
+			w.violation = fmt.Sprintf("%s leads term %d without entry %v", r.options.ID, r.hardState.Term, entry)
 		}
 	}
 }
@@ -229,8 +229,8 @@
 // successors are all worlds that one event leads to.
 func (w *world) successors() []*world {
 	var all []*world
-	for i := range w.flying {
-		if i > 0 && w.flying[i-1].key == w.flying[i].key {
+	for i := range w.inflight {
+		if i > 0 && w.inflight[i-1].key == w.inflight[i].key {
 			continue
 		}
 		all = w.delivered(all, i)
@@ -243,24 +243,24 @@
 
 // delivered adds the worlds in which a message arrives; one that never arrives is simply left.
 func (w *world) delivered(all []*world, at int) []*world {
-	message := w.flying[at]
+	message := w.inflight[at]
 	to := slices.Index(explorationIDs[:], message.To)
 	crashes := []crashPoint{noCrash}
 	if w.left.crashes > 0 {
-		crashes = []crashPoint{noCrash, beforeWrites, afterPromise, beforeAnswer}
+		crashes = []crashPoint{noCrash, beforeWrites, afterFirstWrite, afterWrites}
 	}
 	for _, crash := range crashes {
 		next := w.clone()
-		next.flying = slices.Delete(next.flying, at, at+1)
+		next.inflight = slices.Delete(next.inflight, at, at+1)
 		m := &next.members[to]
-		effects := m.replica.Step(m.clock, Input{Messages: []Message{message.Message}})
+		ready := m.replica.Step(m.clock, Input{Messages: []Message{message.Message}})
 		if crash != noCrash {
-			if countWrites(effects) == 0 {
+			if countWrites(ready) == 0 {
 				continue
 			}
 			next.left.crashes--
 		}
-		next.carryOut(to, effects, crash)
+		next.applyReady(to, ready, crash)
 		all = append(all, next)
 	}
 	if w.left.duplicates > 0 {
@@ -275,12 +275,12 @@
 // moved adds the worlds in which a member does something of itself.
 func (w *world) moved(all []*world, i int) []*world {
 	r := w.members[i].replica
-	if r.role == leader && w.left.beats > 0 {
+	if r.role == leader && w.left.heartbeats > 0 {
 		next := w.clone()
-		next.left.beats--
+		next.left.heartbeats--
 		m := &next.members[i]
 		m.clock = max(m.clock, m.wake)
-		next.carryOut(i, m.replica.Step(m.clock, Input{}), noCrash)
+		next.applyReady(i, m.replica.Step(m.clock, Input{}), noCrash)
 		all = append(all, next)
 	}
 	if r.role == leader && w.left.proposals > 0 {
@@ -289,20 +289,20 @@
 		m := &next.members[i]
 		data := strconv.AppendInt(nil, int64(10*i+w.left.proposals), 10)
 		input := Input{Proposals: []Proposal{{Token: uint64(w.left.proposals), Data: data}}}
-		next.carryOut(i, m.replica.Step(m.clock, input), noCrash)
+		next.applyReady(i, m.replica.Step(m.clock, input), noCrash)
 		all = append(all, next)
 	}
-	if r.role != leader && w.left.stands > 0 {
+	if r.role != leader && w.left.campaigns > 0 {
 		next := w.clone()
-		next.left.stands--
-		next.carryOut(i, next.members[i].stand(), noCrash)
+		next.left.campaigns--
+		next.applyReady(i, next.members[i].campaign(), noCrash)
 		all = append(all, next)
 	}
 	return all
 }
 
-// campaign lets a member begin an epoch at once: trial votes are a courtesy that safety must not rest on.
-func (m *explored) stand() Ready {
+// campaign lets a member begin a term at once: PreVotes are a courtesy that safety must not rest on.
+func (m *exploredMember) campaign() Ready {
 	m.replica.beginStep(m.clock)
 	m.replica.campaign(true)
 	return m.replica.takeReady()
@@ -353,16 +353,16 @@
 	for i := range w.members {
 		b = appendReplica(b, w.members[i].replica)
 	}
-	for i := range w.flying {
-		b = append(b, w.flying[i].key...)
+	for i := range w.inflight {
+		b = append(b, w.inflight[i].key...)
 	}
 	b = appendNumbers(b, len(w.committed))
 	for i := range w.committed {
-		b = appendNumbers(b, int(w.committed[i].Term), int(w.committed[i].epoch))
+		b = appendNumbers(b, int(w.committed[i].Term), int(w.committed[i].committedIn))
 		b = append(b, w.committed[i].Data...)
 	}
 	left := w.left
-	b = appendNumbers(b, left.stands, left.beats, left.crashes, left.proposals, left.duplicates)
+	b = appendNumbers(b, left.campaigns, left.heartbeats, left.crashes, left.proposals, left.duplicates)
 	e.buffer = b
 	return maphash.Bytes(e.seed, b)
 }
@@ -414,16 +414,16 @@
 	return b
 }
 
-func logOf(epochs ...uint64) []Entry {
-	entries := make([]Entry, len(epochs))
-	for i, epoch := range epochs {
-		entries[i] = Entry{Index: uint64(i + 1), Term: epoch, Kind: NoOp}
+func logOf(terms ...uint64) []Entry {
+	entries := make([]Entry, len(terms))
+	for i, term := range terms {
+		entries[i] = Entry{Index: uint64(i + 1), Term: term, Kind: NoOp}
 	}
 	return entries
 }
 
-func diskOf(promised uint64, epochs ...uint64) Recovered {
-	return Recovered{HardState: HardState{Term: promised}, Entries: logOf(epochs...)}
+func diskOf(term uint64, terms ...uint64) Recovered {
+	return Recovered{HardState: HardState{Term: term}, Entries: logOf(terms...)}
 }
 
 // explorations are the starting points. Depths are what a few seconds allow.
@@ -435,37 +435,37 @@
 }{
 	{
 		name:  "first start",
-		left:  allowance{stands: 2, proposals: 1, crashes: 1},
+		left:  allowance{campaigns: 2, proposals: 1, crashes: 1},
 		depth: 8,
 	},
 	{
 		name:  "first start, a message comes twice",
-		left:  allowance{stands: 3, duplicates: 1},
+		left:  allowance{campaigns: 3, duplicates: 1},
 		depth: 7,
 	},
 	{
 		name:  "logs that differ",
 		disks: [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(4, 1, 3)},
-		left:  allowance{stands: 2},
+		left:  allowance{campaigns: 2},
 		depth: 12,
 	},
 	{
 		name:  "logs that differ, with a crash",
 		disks: [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(3, 1, 3)},
-		left:  allowance{stands: 2, beats: 1, crashes: 1},
+		left:  allowance{campaigns: 2, heartbeats: 1, crashes: 1},
 		depth: 8,
 	},
 }
 
-func TestEveryOrderOfEventsIsSafe(t *testing.T) {
+func TestExploration_OrdersOfEvents_AreSafe(t *testing.T) {
 	for _, tc := range explorations {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			found := explore(newWorld(t, tc.disks, tc.left), tc.depth-raceShallower)
+			found := explore(newWorld(t, tc.disks, tc.left), tc.depth-raceDepthReduction)
 			if found.violation != "" {
 				t.Error(found.violation)
 			}
-			t.Logf("%d states to depth %d", len(found.seen), tc.depth-raceShallower)
+			t.Logf("%d states to depth %d", len(found.seen), tc.depth-raceDepthReduction)
 		})
 	}
 }
--- a/internal/tier/replica/log_test.go
+++ b/internal/tier/replica/log_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestLogIsLikeAListOfAllEntries compares the log with a plain list that forgets nothing.
-func TestLogIsLikeAListOfAllEntries(t *testing.T) {
+// TestRaftLog_RandomOperations_MatchPlainList compares the log with a plain list that forgets nothing.
+func TestRaftLog_RandomOperations_MatchPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log raftLog
 		var all []Entry
-		epoch := uint64(1)
+		term := uint64(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"append": func(t *rapid.T) {
-				epoch += rapid.Uint64Range(0, 2).Draw(t, "epochs")
-				entry := Entry{Index: uint64(len(all)) + 1, Term: epoch, Data: make([]byte, rapid.IntRange(0, 100).Draw(t, "size"))}
+				term += rapid.Uint64Range(0, 2).Draw(t, "terms")
+				entry := Entry{Index: uint64(len(all)) + 1, Term: term, Data: make([]byte, rapid.IntRange(0, 100).Draw(t, "size"))}
 				log.append(entry)
 				all = append(all, entry)
 			},
@@ -49,7 +49,7 @@
 		t.Fatalf("entries (-want +got):\n%s", difference)
 	}
 	if log.offset > 0 && !log.matchTerm(log.offset, all[log.offset-1].Term) {
-		t.Fatalf("the epoch at %d is lost", log.offset)
+		t.Fatalf("the term at %d is lost", log.offset)
 	}
 	if _, known := log.termAt(log.lastIndex() + 1); known {
 		t.Fatal("an entry behind the last is known")
@@ -75,16 +75,16 @@
 
 func checkAgreement(t *rapid.T, log *raftLog, all []Entry) {
 	limit := rapid.Uint64Range(log.offset, log.lastIndex()+3).Draw(t, "agree")
-	epoch := rapid.Uint64Range(0, 9).Draw(t, "epoch")
-	got := log.findConflictByTerm(limit, epoch)
+	term := rapid.Uint64Range(0, 9).Draw(t, "term")
+	got := log.findConflictByTerm(limit, term)
 	want := log.offset
 	for index := log.offset + 1; index <= min(limit, log.lastIndex()); index++ {
-		if all[index-1].Term <= epoch {
+		if all[index-1].Term <= term {
 			want = index
 		}
 	}
 	if got != want {
-		t.Fatalf("agreement up to %d in epoch %d: %d, want %d", limit, epoch, got, want)
+		t.Fatalf("conflict up to %d in term %d: %d, want %d", limit, term, got, want)
 	}
 }
 
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -8,24 +8,24 @@
 
 // Tests that notice the mutants: random campaigns, and all orders of events from some starting points.
 const (
-	campaigns        = "^TestCampaigns$"
-	fromFirstStart   = "^TestEveryOrderOfEventsIsSafe$/^first_start$"
-	fromLogsOfTwo    = "^TestEveryOrderOfEventsIsSafe$/^logs_that_differ$"
-	unopenedElection = "^TestChangeWaitsForTheOwnEpoch$"
+	campaigns           = "^TestCampaigns_RandomFaults_StaySafeAndRecover$"
+	fromFirstStart      = "^TestExploration_OrdersOfEvents_AreSafe$/^first_start$"
+	fromConflictingLogs = "^TestExploration_OrdersOfEvents_AreSafe$/^logs_that_differ$"
+	uncommittedTerm     = "^TestConfChange_NothingCommittedInTerm_Waits$"
 )
 
 var (
-	committingByCount = mutation.Change{
+	committingOlderTerms = mutation.Change{
 		File: "leader.go",
 		Old:  "if !r.log.matchTerm(index, r.hardState.Term) {",
 		New:  "if false {",
 	}
-	savingNoPromise = mutation.Change{
+	savingNoHardState = mutation.Change{
 		File: "raft.go",
 		Old:  "if r.step.hardStateChanged {",
 		New:  "if false {",
 	}
-	answeringEarly = mutation.Change{
+	acknowledgingBeforeSync = mutation.Change{
 		File: "follower.go",
 		Old:  "r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, response)",
 		New:  "r.step.ready.MessagesBeforeSync = append(r.step.ready.MessagesBeforeSync, response)",
@@ -37,38 +37,38 @@
 	}
 )
 
-func TestMutantsAreNoticed(t *testing.T) {
+func TestMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "promises are not saved",
-			Change: savingNoPromise,
+			Name:   "hard states are not saved",
+			Change: savingNoHardState,
 			Run:    campaigns,
 		},
 		{
-			Name:   "promises are not saved, explored",
-			Change: savingNoPromise,
+			Name:   "hard states are not saved, explored",
+			Change: savingNoHardState,
 			Run:    fromFirstStart,
 		},
 		{
 			Name:   "appends are acknowledged before the sync",
-			Change: answeringEarly,
+			Change: acknowledgingBeforeSync,
 			Run:    campaigns,
 		},
 		{
 			Name:   "appends are acknowledged before the sync, explored",
-			Change: answeringEarly,
+			Change: acknowledgingBeforeSync,
 			Run:    fromFirstStart,
 		},
 		{
-			Name:   "entries of older epochs are committed by counting",
-			Change: committingByCount,
+			Name:   "entries of older terms are committed by counting",
+			Change: committingOlderTerms,
 			Run:    campaigns,
 		},
 		{
-			Name:   "entries of older epochs are committed by counting, explored",
-			Change: committingByCount,
-			Run:    fromLogsOfTwo,
+			Name:   "entries of older terms are committed by counting, explored",
+			Change: committingOlderTerms,
+			Run:    fromConflictingLogs,
 			Always: true,
 		},
 		{
@@ -81,13 +81,13 @@
 			Run: campaigns,
 		},
 		{
-			Name: "a change begins before an entry of the own epoch is committed",
+			Name: "a change begins before an entry of the own term is committed",
 			Change: mutation.Change{
 				File: "confchange.go",
 				Old:  "if !r.hasCommittedInTerm() {",
 				New:  "if false {",
 			},
-			Run:    unopenedElection,
+			Run:    uncommittedTerm,
 			Always: true,
 		},
 		{
@@ -113,7 +113,7 @@
 			Run: campaigns,
 		},
 		{
-			Name: "reads without a round",
+			Name: "reads without a ReadIndex round",
 			Change: mutation.Change{
 				File: "read_only.go",
 				Old:  "confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)",
@@ -122,7 +122,7 @@
 			Run: campaigns,
 		},
 		{
-			Name: "reads before the own epoch is open",
+			Name: "reads before an entry of the own term is committed",
 			Change: mutation.Change{
 				File: "read_only.go",
 				Old:  "if len(reads) == 0 || !r.hasCommittedInTerm() {",
@@ -140,12 +140,12 @@
 			Run: campaigns,
 		},
 		{
-			Name:   "two votes in an epoch",
+			Name:   "two votes in a term",
 			Change: votingAgain,
 			Run:    campaigns,
 		},
 		{
-			Name:   "two votes in an epoch, explored",
+			Name:   "two votes in a term, explored",
 			Change: votingAgain,
 			Run:    fromFirstStart,
 		},
@@ -173,7 +173,7 @@
 			Run: campaigns,
 		},
 		{
-			Name: "owners of older epochs are obeyed",
+			Name: "leaders of older terms are obeyed",
 			Change: mutation.Change{
 				File: "follower.go",
 				Old:  "if message.Term < r.hardState.Term {",
--- a/internal/tier/replica/race_off_test.go
+++ b/internal/tier/replica/race_off_test.go
@@ -5,5 +5,5 @@
 // campaignSeeds is the number of random runs.
 const campaignSeeds = 1600
 
-// raceShallower is how much shallower explorations are.
-const raceShallower = 0
+// raceDepthReduction is how much shallower explorations are.
+const raceDepthReduction = 0
--- /dev/null
+++ b/internal/tier/replica/read_only_test.go
@@ -0,0 +1,124 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestReadIndex_EarlierRound_DoesNotConfirm(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
+	ready := p.step(Input{Reads: []uint64{7, 8}})
+	if len(ready.Outcomes) != 0 || len(ready.MessagesBeforeSync) != 2 {
+		t.Fatalf("ready %+v", ready)
+	}
+	round := ready.MessagesBeforeSync[0].ReadIndexRound
+	late := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadIndexRound: round - 1}
+	if ready = p.step(Input{Messages: []Message{late}}); len(ready.Outcomes) != 0 {
+		t.Errorf("an earlier round confirms: %+v", ready.Outcomes)
+	}
+	answer := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadIndexRound: round}
+	ready = p.step(Input{Messages: []Message{answer}})
+	want := []Outcome{{Token: 7, Done: true}, {Token: 8, Done: true}}
+	if difference := cmp.Diff(want, ready.Outcomes); difference != "" {
+		t.Errorf("outcomes (-want +got):\n%s", difference)
+	}
+}
+
+func TestReadIndex_ReadsOfOneStep_ShareARoundWithAppends(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
+	ready := p.step(Input{Reads: []uint64{1, 2}, Proposals: []Proposal{command(3, 10)}})
+	if len(ready.MessagesBeforeSync) != 2 || len(ready.MessagesBeforeSync[0].Entries) != 1 || ready.MessagesBeforeSync[0].ReadIndexRound == 0 {
+		t.Errorf("messages %+v", ready.MessagesBeforeSync)
+	}
+}
+
+func TestReadIndex_SingleVoter_ConfirmsAtOnce(t *testing.T) {
+	p := newManualLeader(t, "a")
+	ready := p.step(Input{Reads: []uint64{5}})
+	if difference := cmp.Diff([]Outcome{{Token: 5, Done: true}}, ready.Outcomes); difference != "" {
+		t.Errorf("outcomes (-want +got):\n%s", difference)
+	}
+}
+
+func TestReadIndex_AtFollower_IsDropped(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
+	ready := r.Step(0, Input{Reads: []uint64{5}})
+	if difference := cmp.Diff([]Outcome{{Token: 5, Dropped: true}}, ready.Outcomes); difference != "" {
+		t.Errorf("outcomes (-want +got):\n%s", difference)
+	}
+}
+
+func TestReadIndex_NothingCommittedInTerm_Waits(t *testing.T) {
+	s := newSimulation(3, 3, 0, noFaults)
+	s.startAll()
+	s.runUntil(time.Second, func() bool { return s.anyLeader() != nil })
+	first := s.anyLeader()
+	if first.replica.hasCommittedInTerm() {
+		t.Fatal("an entry of the term is committed already")
+	}
+	s.drop = func(m Message) bool { return m.Kind == AppendEntriesResponse && !m.Reject && m.Index > 0 }
+	s.read(first)
+	s.runFor(testElection / 2)
+	if s.checker.reads != 0 {
+		t.Error("a read is confirmed before an entry of the term is committed")
+	}
+	s.drop = nil
+	s.runFor(2 * testHeartbeat)
+	if s.checker.reads != 1 {
+		t.Errorf("%d reads are confirmed", s.checker.reads)
+	}
+	s.requireSafe(t)
+}
+
+// anyLeader is a node that leads, whether an entry of its term is committed or not.
+func (s *simulation) anyLeader() *node {
+	for _, n := range s.nodes {
+		if n.alive && n.replica.role == leader {
+			return n
+		}
+	}
+	return nil
+}
+
+func TestReadIndex_LeaderPartitioned_Fails(t *testing.T) {
+	s, first := newGroupWithLeader(t, 4, 3, 0)
+	s.isolate(first)
+	token := s.read(first)
+	var got []Outcome
+	s.onOutcome = func(n *node, outcome Outcome) { got = append(got, outcome) }
+	s.runFor(testElection + 2*testHeartbeat)
+	if difference := cmp.Diff([]Outcome{{Token: token}}, got); difference != "" {
+		t.Errorf("outcomes (-want +got):\n%s", difference)
+	}
+	s.requireSafe(t)
+}
+
+func TestReadIndex_LeaderWasFrozen_IsNotStale(t *testing.T) {
+	s, first := newGroupWithLeader(t, 5, 3, 0)
+	s.freeze(first)
+	s.runFor(3 * testElection)
+	if !s.commitsWithin(time.Second) {
+		t.Fatal("the others have no leader")
+	}
+	s.read(first)
+	s.thaw(first)
+	s.runFor(testElection)
+	if s.checker.reads != 0 {
+		t.Error("a leader that was frozen confirms a read")
+	}
+	s.requireSafe(t)
+}
+
+func TestReadIndex_HeartbeatLost_IsSentAgain(t *testing.T) {
+	s, first := newGroupWithLeader(t, 6, 3, 0)
+	s.drop = func(m Message) bool { return m.Kind == AppendEntries }
+	s.read(first)
+	s.runFor(testHeartbeat / 4)
+	s.drop = nil
+	s.runFor(2 * testHeartbeat)
+	if s.checker.reads != 1 {
+		t.Errorf("%d reads are confirmed", s.checker.reads)
+	}
+}
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -10,15 +10,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// handDriven is an owner "a" whose steps a test makes one by one, while the test plays the other members.
-type handDriven struct {
+// manualLeader is a leader "a" whose steps a test makes one by one, while the test plays the other members.
+type manualLeader struct {
 	t   *testing.T
 	r   *Replica
 	now time.Duration
 }
 
-// givenOwnerByHand makes "a" the owner of epoch 1 with its first entry committed.
-func givenOwnerByHand(t *testing.T, initial ...string) *handDriven {
+// newManualLeader makes "a" the leader of term 1 with its first entry committed.
+func newManualLeader(t *testing.T, initial ...string) *manualLeader {
 	t.Helper()
 	var members []Member
 	for _, id := range initial {
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &handDriven{t: t, r: r}
+	p := &manualLeader{t: t, r: r}
 	p.now = p.step(Input{}).NextWake
 	p.step(Input{})
 	for _, id := range initial[1:] {
@@ -43,17 +43,17 @@
 	}
 	p.step(Input{})
 	if !r.Status().IsLeader {
-		t.Fatalf("not the owner: %+v", r.Status())
+		t.Fatalf("not the leader: %+v", r.Status())
 	}
 	return p
 }
 
-func (p *handDriven) step(input Input) Ready {
+func (p *manualLeader) step(input Input) Ready {
 	return p.r.Step(p.now, input)
 }
 
-// updateMatch lets a follower answer that it has the log up to index.
-func (p *handDriven) acknowledge(id string, index uint64) Ready {
+// acknowledge lets a follower respond that it has the log up to index.
+func (p *manualLeader) acknowledge(id string, index uint64) Ready {
 	answer := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
 	return p.step(Input{Messages: []Message{answer}})
 }
@@ -79,49 +79,49 @@
 	return appends
 }
 
-func TestProposalsOfAStepLeaveEarlyInOneAppend(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
-	effects := p.step(Input{Proposals: []Proposal{command(1, 10), command(2, 10), command(3, 10)}})
+func TestReplication_ProposalsOfOneStep_LeaveBeforeSyncInOneAppend(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
+	ready := p.step(Input{Proposals: []Proposal{command(1, 10), command(2, 10), command(3, 10)}})
 	for _, id := range []string{"b", "c"} {
-		if difference := cmp.Diff([][]uint64{{2, 3, 4}}, appendsTo(effects.MessagesBeforeSync, id)); difference != "" {
+		if difference := cmp.Diff([][]uint64{{2, 3, 4}}, appendsTo(ready.MessagesBeforeSync, id)); difference != "" {
 			t.Errorf("appends to %s (-want +got):\n%s", id, difference)
 		}
 	}
-	if len(effects.Entries) != 3 || len(effects.CommittedEntries) != 0 || len(effects.Outcomes) != 0 {
-		t.Errorf("effects %+v", effects)
+	if len(ready.Entries) != 3 || len(ready.CommittedEntries) != 0 || len(ready.Outcomes) != 0 {
+		t.Errorf("ready %+v", ready)
 	}
-	effects = p.acknowledge("c", 3)
+	ready = p.acknowledge("c", 3)
 	want := []Outcome{{Token: 1, Done: true}, {Token: 2, Done: true}}
-	if difference := cmp.Diff(want, effects.Outcomes); difference != "" || len(effects.CommittedEntries) != 2 {
-		t.Errorf("committed %v, outcomes (-want +got):\n%s", effects.CommittedEntries, difference)
+	if difference := cmp.Diff(want, ready.Outcomes); difference != "" || len(ready.CommittedEntries) != 2 {
+		t.Errorf("committed %v, outcomes (-want +got):\n%s", ready.CommittedEntries, difference)
 	}
 }
 
-func TestAppendsFollowEachOtherWithoutAnswers(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
+func TestReplication_NoResponses_AppendsArePipelined(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
 	for token := uint64(1); token <= 3; token++ {
-		effects := p.step(Input{Proposals: []Proposal{command(token, 10)}})
-		if difference := cmp.Diff([][]uint64{{token + 1}}, appendsTo(effects.MessagesBeforeSync, "b")); difference != "" {
+		ready := p.step(Input{Proposals: []Proposal{command(token, 10)}})
+		if difference := cmp.Diff([][]uint64{{token + 1}}, appendsTo(ready.MessagesBeforeSync, "b")); difference != "" {
 			t.Errorf("appends (-want +got):\n%s", difference)
 		}
 	}
 }
 
-func TestBytesInFlightAndInAMessageAreBounded(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
+func TestReplication_BytesInFlightAndPerMessage_AreBounded(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
 	const size = 10 << 10
 	sent := 0
 	for token := range uint64(300) {
-		effects := p.step(Input{Proposals: []Proposal{command(token, size)}})
-		for _, indexes := range appendsTo(effects.MessagesBeforeSync, "b") {
+		ready := p.step(Input{Proposals: []Proposal{command(token, size)}})
+		for _, indexes := range appendsTo(ready.MessagesBeforeSync, "b") {
 			sent += len(indexes) * size
 		}
 	}
 	if sent < defaultLimits.maxInflightBytes-2*size || sent > defaultLimits.maxInflightBytes+size {
 		t.Errorf("%d bytes in flight, want about %d", sent, defaultLimits.maxInflightBytes)
 	}
-	effects := p.acknowledge("b", 101)
-	for _, indexes := range appendsTo(effects.MessagesBeforeSync, "b") {
+	ready := p.acknowledge("b", 101)
+	for _, indexes := range appendsTo(ready.MessagesBeforeSync, "b") {
 		if len(indexes)*size > defaultLimits.maxMessageBytes {
 			t.Errorf("a message of %d entries", len(indexes))
 		}
@@ -132,34 +132,34 @@
 	}
 }
 
-func TestProposalsBeyondTheOpenLimitAreRefused(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
+func TestLeader_ProposalsBeyondPendingLimit_AreDropped(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
 	half := defaultLimits.maxPendingBytes/2 - 100
 	input := Input{Proposals: []Proposal{command(1, half), command(2, half), command(3, half)}}
-	effects := p.step(input)
-	if difference := cmp.Diff([]Outcome{{Token: 3, Dropped: true}}, effects.Outcomes); difference != "" {
+	ready := p.step(input)
+	if difference := cmp.Diff([]Outcome{{Token: 3, Dropped: true}}, ready.Outcomes); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
 	}
 	p.acknowledge("b", 3)
-	if effects = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(effects.Outcomes) != 0 {
-		t.Errorf("refused though all is committed: %+v", effects.Outcomes)
+	if ready = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
+		t.Errorf("refused though all is committed: %+v", ready.Outcomes)
 	}
 }
 
-func TestGroupOfOneCommitsAfterItsSync(t *testing.T) {
-	p := givenOwnerByHand(t, "a")
-	effects := p.step(Input{Proposals: []Proposal{command(1, 10)}})
-	if len(effects.Entries) != 1 || len(effects.CommittedEntries) != 0 || effects.NextWake != p.now {
-		t.Errorf("first step: %+v", effects)
+func TestCommit_SingleVoter_FollowsItsSync(t *testing.T) {
+	p := newManualLeader(t, "a")
+	ready := p.step(Input{Proposals: []Proposal{command(1, 10)}})
+	if len(ready.Entries) != 1 || len(ready.CommittedEntries) != 0 || ready.NextWake != p.now {
+		t.Errorf("first step: %+v", ready)
 	}
-	effects = p.step(Input{})
-	if len(effects.CommittedEntries) != 1 || len(effects.Outcomes) != 1 || effects.NextWake <= p.now {
-		t.Errorf("second step: %+v", effects)
+	ready = p.step(Input{})
+	if len(ready.CommittedEntries) != 1 || len(ready.Outcomes) != 1 || ready.NextWake <= p.now {
+		t.Errorf("second step: %+v", ready)
 	}
 }
 
-func TestOtherMembersMayCommitBeforeTheOwnSync(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
+func TestCommit_OtherVotersSynced_NeedsNoLocalSync(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
 	p.step(Input{Proposals: []Proposal{command(1, 10)}})
 	input := Input{
 		Proposals: []Proposal{command(2, 10)},
@@ -168,25 +168,25 @@
 			{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 2},
 		},
 	}
-	if effects := p.step(input); len(effects.CommittedEntries) != 1 || effects.CommittedEntries[0].Index != 2 {
-		t.Errorf("committed %+v", effects.CommittedEntries)
+	if ready := p.step(input); len(ready.CommittedEntries) != 1 || ready.CommittedEntries[0].Index != 2 {
+		t.Errorf("committed %+v", ready.CommittedEntries)
 	}
 }
 
-// givenFollower makes "b" a follower with a log of those epochs.
-func givenFollower(t *testing.T, promised uint64, epochs ...uint64) *Replica {
+// newTestFollower makes "b" a follower with a log of those terms.
+func newTestFollower(t *testing.T, term uint64, terms ...uint64) *Replica {
 	t.Helper()
 	members := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	options := Options{ID: "b", InitialMembers: members, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
-	r, err := New(options, diskOf(promised, epochs...), 0)
+	r, err := New(options, diskOf(term, terms...), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func TestFollowerTakesAppends(t *testing.T) {
-	entry := func(index, epoch uint64) Entry { return Entry{Index: index, Term: epoch, Kind: NoOp} }
+func TestFollower_AppendEntries_AppendsReplacesOrRejects(t *testing.T) {
+	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term, Kind: NoOp} }
 	cases := []struct {
 		name     string
 		log      []uint64
@@ -241,35 +241,35 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := givenFollower(t, 2, tc.log...)
+			r := newTestFollower(t, 2, tc.log...)
 			tc.message.Kind, tc.message.From, tc.message.To = AppendEntries, "a", "b"
 			tc.want.Kind, tc.want.From, tc.want.To, tc.want.Term = AppendEntriesResponse, "b", "a", tc.message.Term
-			effects := r.Step(0, Input{Messages: []Message{tc.message}})
-			if difference := cmp.Diff([]Message{tc.want}, effects.MessagesAfterSync); difference != "" {
+			ready := r.Step(0, Input{Messages: []Message{tc.message}})
+			if difference := cmp.Diff([]Message{tc.want}, ready.MessagesAfterSync); difference != "" {
 				t.Errorf("answer (-want +got):\n%s", difference)
 			}
-			if len(effects.MessagesBeforeSync) != 0 {
-				t.Errorf("early messages %+v", effects.MessagesBeforeSync)
+			if len(ready.MessagesBeforeSync) != 0 {
+				t.Errorf("early messages %+v", ready.MessagesBeforeSync)
 			}
-			if effects.TruncateFrom != tc.truncate || len(effects.Entries) != tc.append || r.Status().Commit != tc.commit {
-				t.Errorf("truncate %d, append %d, commit %d", effects.TruncateFrom, len(effects.Entries), r.Status().Commit)
+			if ready.TruncateFrom != tc.truncate || len(ready.Entries) != tc.append || r.Status().Commit != tc.commit {
+				t.Errorf("truncate %d, append %d, commit %d", ready.TruncateFrom, len(ready.Entries), r.Status().Commit)
 			}
 		})
 	}
 }
 
-func TestAppendOfAnEarlierEpochIsTurnedAway(t *testing.T) {
-	r := givenFollower(t, 5, 1)
+func TestFollower_AppendOfEarlierTerm_IsRejected(t *testing.T) {
+	r := newTestFollower(t, 5, 1)
 	message := Message{Kind: AppendEntries, From: "a", To: "b", Term: 4, Index: 1, LogTerm: 1}
-	effects := r.Step(0, Input{Messages: []Message{message}})
+	ready := r.Step(0, Input{Messages: []Message{message}})
 	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 5, Reject: true}}
-	if difference := cmp.Diff(want, effects.MessagesAfterSync); difference != "" {
+	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" {
 		t.Errorf("answer (-want +got):\n%s", difference)
 	}
 }
 
-func TestAcknowledgementsOfAStepGoInOneMessage(t *testing.T) {
-	r := givenFollower(t, 1, 1)
+func TestFollower_AppendsOfOneStep_AreAcknowledgedInOneMessage(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
 	var messages []Message
 	for index := uint64(1); index <= 5; index++ {
 		messages = append(messages, Message{
@@ -277,29 +277,29 @@
 			Entries: []Entry{{Index: index + 1, Term: 1}},
 		})
 	}
-	effects := r.Step(0, Input{Messages: messages})
+	ready := r.Step(0, Input{Messages: messages})
 	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 6, ReadIndexRound: 5}}
-	if difference := cmp.Diff(want, effects.MessagesAfterSync); difference != "" || len(effects.Entries) != 5 {
-		t.Errorf("%d entries, answers (-want +got):\n%s", len(effects.Entries), difference)
+	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" || len(ready.Entries) != 5 {
+		t.Errorf("%d entries, answers (-want +got):\n%s", len(ready.Entries), difference)
 	}
 }
 
-func TestMessageForAnotherIdentityIsDropped(t *testing.T) {
-	r := givenFollower(t, 1, 1)
+func TestReplica_MessageForAnotherIdentity_IsDropped(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
 	message := Message{Kind: AppendEntries, From: "a", To: "earlier", Term: 9, Index: 1, LogTerm: 1}
-	effects := r.Step(0, Input{Messages: []Message{message}})
-	if len(effects.MessagesAfterSync) != 0 || effects.HardState != nil {
-		t.Errorf("effects %+v", effects)
+	ready := r.Step(0, Input{Messages: []Message{message}})
+	if len(ready.MessagesAfterSync) != 0 || ready.HardState != nil {
+		t.Errorf("ready %+v", ready)
 	}
 }
 
-func TestSentEntriesAreNeverChanged(t *testing.T) {
-	r := givenFollower(t, 1, 1)
+func TestRaftLog_EntriesHandedOut_AreNeverChanged(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
 	first := []Entry{{Index: 2, Term: 1, Data: json.RawMessage(`"old"`)}, {Index: 3, Term: 1}}
-	effects := r.Step(0, Input{Messages: []Message{{
+	ready := r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1, Entries: first,
 	}}})
-	kept := effects.Entries
+	kept := ready.Entries
 	before := slices.Clone(kept)
 	r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "c", To: "b", Term: 2, Index: 1, LogTerm: 1,
@@ -310,12 +310,12 @@
 	}
 }
 
-func TestLogsThatDifferAreRepairedInFewMessages(t *testing.T) {
-	s := newSimulation(5, 3, 0, calm)
-	long := func(epochs ...uint64) Recovered {
+func TestReplication_ConflictingLogs_AreRepairedInFewMessages(t *testing.T) {
+	s := newSimulation(5, 3, 0, noFaults)
+	long := func(terms ...uint64) Recovered {
 		var log []uint64
-		for _, epoch := range epochs {
-			log = append(log, slices.Repeat([]uint64{epoch}, 200)...)
+		for _, term := range terms {
+			log = append(log, slices.Repeat([]uint64{term}, 200)...)
 		}
 		return diskOf(9, log...)
 	}
@@ -330,7 +330,7 @@
 		return false
 	}
 	s.startAll()
-	if !s.whenDone(time.Second) {
+	if !s.commitsWithin(time.Second) {
 		t.Fatal("nothing is committed")
 	}
 	s.runFor(4 * testHeartbeat)
@@ -340,24 +340,24 @@
 	if rejections > 4 {
 		t.Errorf("%d rejections", rejections)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestLostAppendIsSentAgainWithinTwoHeartbeats(t *testing.T) {
-	s, first := givenOwner(t, 6, 3, 0)
+func TestReplication_AppendLost_IsSentAgainWithinTwoHeartbeats(t *testing.T) {
+	s, first := newGroupWithLeader(t, 6, 3, 0)
 	s.drop = func(m Message) bool { return len(m.Entries) > 0 }
 	s.propose(first)
 	s.runFor(testHeartbeat / 4)
 	s.drop = nil
 	s.runFor(2 * testHeartbeat)
-	if s.checker.done != 1 {
-		t.Errorf("%d commands are done", s.checker.done)
+	if s.checker.commands != 1 {
+		t.Errorf("%d commands are done", s.checker.commands)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestSilentFollowerIsSentNoEntries(t *testing.T) {
-	s, first := givenOwner(t, 7, 3, 0)
+func TestReplication_FollowerInactive_IsSentNoEntries(t *testing.T) {
+	s, first := newGroupWithLeader(t, 7, 3, 0)
 	silent := s.others(first)[0]
 	s.kill(silent)
 	s.runFor(2 * testElection)
@@ -380,26 +380,26 @@
 	if got := silent.machine.Index; got < 100 {
 		t.Errorf("it has applied only %d entries", got)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestAcknowledgedCommandsOutlastALossOfPowerEverywhere(t *testing.T) {
-	s, first := givenOwner(t, 8, 3, 0)
+func TestCommit_PowerLossEverywhere_KeepsAcknowledgedCommands(t *testing.T) {
+	s, first := newGroupWithLeader(t, 8, 3, 0)
 	for range 50 {
 		s.propose(first)
 	}
-	s.runUntil(s.now+time.Second, func() bool { return s.checker.done > 0 })
+	s.runUntil(s.now+time.Second, func() bool { return s.checker.commands > 0 })
 	for _, n := range s.nodes {
 		s.kill(n)
 	}
 	s.startAll()
-	if !s.whenDone(time.Second) {
+	if !s.commitsWithin(time.Second) {
 		t.Error("nothing is committed after the restart")
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestDamagedDisksAreRefused(t *testing.T) {
+func TestNew_InconsistentDisk_IsRejected(t *testing.T) {
 	snapshot := &Snapshot{Index: 4, Term: 2, Members: []Member{{ID: "a"}}}
 	cases := []struct {
 		name      string
@@ -407,11 +407,11 @@
 		refused   bool
 	}{
 		{name: "empty"},
-		{name: "whole", recovered: diskOf(2, 1, 2)},
+		{name: "complete", recovered: diskOf(2, 1, 2)},
 		{name: "a gap", recovered: Recovered{Entries: []Entry{{Index: 2}}}, refused: true},
-		{name: "epochs go back", recovered: diskOf(2, 2, 1), refused: true},
-		{name: "promise lost", recovered: diskOf(1, 1, 2), refused: true},
-		{name: "promise lost beside a snapshot", recovered: Recovered{Snapshot: snapshot}, refused: true},
+		{name: "terms go back", recovered: diskOf(2, 2, 1), refused: true},
+		{name: "hard state lost", recovered: diskOf(1, 1, 2), refused: true},
+		{name: "hard state lost beside a snapshot", recovered: Recovered{Snapshot: snapshot}, refused: true},
 		{
 			name: "entries before the snapshot",
 			recovered: Recovered{
@@ -440,7 +440,7 @@
 	}
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestNew_InvalidOptions_AreRejected(t *testing.T) {
 	cases := []Options{
 		{HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection},
 		{ID: "a", ElectionTimeout: testElection},
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -23,50 +23,50 @@
 	syncTime        time.Duration // at most
 }
 
-var calm = conditions{delay: time.Millisecond, syncTime: time.Millisecond}
+var noFaults = conditions{delay: time.Millisecond, syncTime: time.Millisecond}
 
 // simulation is a group in virtual time. The same seed gives the same run.
 type simulation struct {
-	random     *rand.Rand
-	conditions conditions
-	limits     *limits       // nil: the usual ones
-	eager      time.Duration // of the members' options
-	now        time.Duration
-	sequence   int
-	queue      eventQueue
-	nodes      []*node
-	slotOf     map[string]int // where an identity lives or lived
-	cut        map[[2]int]bool
-	wanted     []Member
-	checker    *checker
-	tokens     uint64
-	identities int
-	delivered  int
-	messages   map[MessageKind]int
-	drop       func(Message) bool // nil: nothing is dropped on purpose
-	onOutcome  func(*node, Outcome)
-	onSync     func(*node) // before a step's saves are synced
+	random                 *rand.Rand
+	conditions             conditions
+	limits                 *limits       // nil: the usual ones
+	initialElectionTimeout time.Duration // of the members' options
+	now                    time.Duration
+	sequence               int
+	queue                  eventQueue
+	nodes                  []*node
+	slotOf                 map[string]int // where an identity lives or lived
+	partitioned            map[[2]int]bool
+	targetMembers          []Member
+	checker                *checker
+	tokens                 uint64
+	identities             int
+	delivered              int
+	messages               map[MessageKind]int
+	drop                   func(Message) bool // nil: nothing is dropped on purpose
+	onOutcome              func(*node, Outcome)
+	onSync                 func(*node) // before a step's saves are synced
 }
 
 // node is one machine: its disk outlasts its process.
 type node struct {
-	slot    int
-	id      string
-	rate    float64       // of its clock
-	shown   time.Duration // what its clock showed when the rate was set
-	rateSet time.Duration // when that was
-	initial []Member
-	disk    Recovered
-	parts   [][]byte // of a snapshot that is being received: written and not synced
-	replica *Replica
-	machine machine
-	alive   bool
-	frozen  bool
-	busy    bool // a sync is under way
-	effects Ready
-	inbox   Input
-	wakeAt  time.Duration
-	life    int // counts processes, so that events of an earlier one are void
+	slot              int
+	id                string
+	rate              float64       // of its clock
+	clockAtRateChange time.Duration // what its clock showed when the rate was set
+	rateChangedAt     time.Duration // when that was
+	initial           []Member
+	disk              Recovered
+	chunks            [][]byte // of a snapshot that is being received: written and not synced
+	replica           *Replica
+	machine           machine
+	alive             bool
+	frozen            bool
+	syncing           bool // a sync is under way
+	ready             Ready
+	inbox             Input
+	wakeAt            time.Duration
+	incarnation       int // counts processes, so that events of an earlier one are void
 }
 
 // machine is the state machine: a checksum over all commands up to an index.
@@ -93,11 +93,11 @@
 // newSimulation starts a group with the members, and spares that belong to no group yet.
 func newSimulation(seed uint64, members, spares int, with conditions) *simulation {
 	s := &simulation{
-		random:     rand.New(rand.NewPCG(seed, 7)),
-		conditions: with,
-		slotOf:     map[string]int{},
-		cut:        map[[2]int]bool{},
-		messages:   map[MessageKind]int{},
+		random:      rand.New(rand.NewPCG(seed, 7)),
+		conditions:  with,
+		slotOf:      map[string]int{},
+		partitioned: map[[2]int]bool{},
+		messages:    map[MessageKind]int{},
 	}
 	var initial []Member
 	for slot := range members + spares {
@@ -111,7 +111,7 @@
 	for slot := range members {
 		s.nodes[slot].initial = initial
 	}
-	s.wanted = initial
+	s.targetMembers = initial
 	s.checker = newChecker(initial)
 	return s
 }
@@ -139,7 +139,7 @@
 		InitialMembers:         n.initial,
 		HeartbeatInterval:      testHeartbeat,
 		ElectionTimeout:        testElection,
-		InitialElectionTimeout: s.eager,
+		InitialElectionTimeout: s.initialElectionTimeout,
 		Seed:                   s.random.Uint64(),
 	}
 	replica, err := New(options, withoutStates(n.disk), s.clock(n))
@@ -155,23 +155,23 @@
 	if n.disk.Snapshot != nil {
 		_ = json.Unmarshal(n.disk.Snapshot.State, &n.machine)
 	}
-	n.alive, n.frozen, n.busy = true, false, false
-	n.inbox = Input{TargetMembers: s.wanted}
-	n.life++
+	n.alive, n.frozen, n.syncing = true, false, false
+	n.inbox = Input{TargetMembers: s.targetMembers}
+	n.incarnation++
 	s.step(n)
 }
 
-// kill ends a process. Of the writes that are not synced, a part in order may last.
+// kill ends a process. Of the writes that are not synced, a prefix may last.
 func (s *simulation) kill(n *node) {
 	if !n.alive {
 		return
 	}
-	if n.busy {
-		n.disk = save(n.disk, n.effects, s.random.IntN(countWrites(n.effects)+1))
+	if n.syncing {
+		n.disk = save(n.disk, n.ready, s.random.IntN(countWrites(n.ready)+1))
 	}
-	n.alive, n.busy = false, false
-	n.replica, n.parts = nil, nil
-	n.life++
+	n.alive, n.syncing = false, false
+	n.replica, n.chunks = nil, nil
+	n.incarnation++
 	s.checker.forget(n.id)
 }
 
@@ -183,12 +183,12 @@
 	s.identify(n)
 }
 
-// setWanted tells all members which group is wanted.
-func (s *simulation) setWanted(wanted []Member) {
-	s.wanted = wanted
+// setTargetMembers tells all members which group is target.
+func (s *simulation) setTargetMembers(target []Member) {
+	s.targetMembers = target
 	for _, n := range s.nodes {
 		if n.alive {
-			n.inbox.TargetMembers = wanted
+			n.inbox.TargetMembers = target
 			s.wake(n)
 		}
 	}
@@ -220,10 +220,10 @@
 
 // wake gives a node a step as soon as it is free.
 func (s *simulation) wake(n *node) {
-	if n.alive && !n.frozen && !n.busy {
-		life := n.life
+	if n.alive && !n.frozen && !n.syncing {
+		life := n.incarnation
 		s.after(0, func() {
-			if n.life == life && n.alive && !n.frozen && !n.busy && n.hasInput() {
+			if n.incarnation == life && n.alive && !n.frozen && !n.syncing && n.hasInput() {
 				s.step(n)
 			}
 		})
@@ -239,30 +239,30 @@
 func (s *simulation) step(n *node) {
 	input := n.inbox
 	n.inbox = Input{}
-	n.effects = n.replica.Step(s.clock(n), input)
-	parts, wrong := receiveParts(n.parts, &n.effects)
-	if n.parts = parts; wrong != "" {
+	n.ready = n.replica.Step(s.clock(n), input)
+	chunks, wrong := receiveChunks(n.chunks, &n.ready)
+	if n.chunks = chunks; wrong != "" {
 		s.checker.fail("%s: %s", n.id, wrong)
 	}
-	s.send(n, n.effects.MessagesBeforeSync)
-	life := n.life
+	s.send(n, n.ready.MessagesBeforeSync)
+	life := n.incarnation
 	syncTime := time.Duration(0)
-	if countWrites(n.effects) > 0 && s.conditions.syncTime > 0 {
+	if countWrites(n.ready) > 0 && s.conditions.syncTime > 0 {
 		syncTime = time.Duration(1 + s.random.Int64N(int64(s.conditions.syncTime)))
 		if s.onSync != nil {
 			s.onSync(n)
 		}
 	}
-	if n.life != life {
+	if n.incarnation != life {
 		return
 	}
-	n.busy = true
+	n.syncing = true
 	if syncTime == 0 {
 		s.complete(n)
 		return
 	}
 	s.after(syncTime, func() {
-		if n.life == life {
+		if n.incarnation == life {
 			s.complete(n)
 		}
 	})
@@ -270,26 +270,26 @@
 
 // complete does what comes after the sync.
 func (s *simulation) complete(n *node) {
-	effects := n.effects
-	n.busy = false
-	n.disk = save(n.disk, effects, countWrites(effects))
-	s.send(n, effects.MessagesAfterSync)
-	if effects.Snapshot != nil {
+	ready := n.ready
+	n.syncing = false
+	n.disk = save(n.disk, ready, countWrites(ready))
+	s.send(n, ready.MessagesAfterSync)
+	if ready.Snapshot != nil {
 		before := n.machine.Index
-		_ = json.Unmarshal(effects.Snapshot.State, &n.machine)
-		s.checker.installed(n, before, effects.Snapshot)
+		_ = json.Unmarshal(ready.Snapshot.State, &n.machine)
+		s.checker.installed(n, before, ready.Snapshot)
 	}
-	for _, entry := range effects.CommittedEntries {
+	for _, entry := range ready.CommittedEntries {
 		s.checker.committed(n, entry)
 		n.machine.apply(entry)
 	}
-	life := n.life
-	for _, outcome := range effects.Outcomes {
+	life := n.incarnation
+	for _, outcome := range ready.Outcomes {
 		s.checker.outcome(n, outcome)
 		if s.onOutcome != nil {
 			s.onOutcome(n, outcome)
 		}
-		if n.life != life {
+		if n.incarnation != life {
 			return
 		}
 	}
@@ -299,26 +299,26 @@
 	if n.hasInput() {
 		s.wake(n)
 	}
-	s.setTimer(n, effects.NextWake)
+	s.setTimer(n, ready.NextWake)
 }
 
 // clock is what a node's own clock shows.
 func (s *simulation) clock(n *node) time.Duration {
-	return n.shown + time.Duration(float64(s.now-n.rateSet)*n.rate)
+	return n.clockAtRateChange + time.Duration(float64(s.now-n.rateChangedAt)*n.rate)
 }
 
 // setRate makes a node's clock slower or faster from now on.
 func (s *simulation) setRate(n *node, rate float64) {
-	n.shown, n.rateSet, n.rate = s.clock(n), s.now, rate
+	n.clockAtRateChange, n.rateChangedAt, n.rate = s.clock(n), s.now, rate
 }
 
 // setTimer gives a node a step at a time of its own clock.
 func (s *simulation) setTimer(n *node, wake time.Duration) {
-	at := n.rateSet + time.Duration(float64(wake-n.shown)/n.rate) + 1
+	at := n.rateChangedAt + time.Duration(float64(wake-n.clockAtRateChange)/n.rate) + 1
 	n.wakeAt = at
-	life := n.life
+	life := n.incarnation
 	s.after(max(0, at-s.now), func() {
-		if n.life == life && n.wakeAt == at && !n.frozen && !n.busy {
+		if n.incarnation == life && n.wakeAt == at && !n.frozen && !n.syncing {
 			s.step(n)
 		}
 	})
@@ -333,7 +333,7 @@
 		return
 	}
 	n.frozen = false
-	if n.alive && !n.busy {
+	if n.alive && !n.syncing {
 		s.step(n)
 	}
 }
@@ -345,10 +345,10 @@
 		s.messages[message.Kind]++
 		s.checker.sent(message)
 		slot, known := s.slotOf[message.To]
-		if s.drop != nil && s.drop(message) || !addPart(&message, from.disk) {
+		if s.drop != nil && s.drop(message) || !addChunk(&message, from.disk) {
 			continue
 		}
-		if !known || s.cut[[2]int{from.slot, slot}] || s.random.Float64() < s.conditions.loss {
+		if !known || s.partitioned[[2]int{from.slot, slot}] || s.random.Float64() < s.conditions.loss {
 			continue
 		}
 		s.deliver(slot, message)
@@ -380,13 +380,13 @@
 // isolate cuts a node off from all others, in both directions.
 func (s *simulation) isolate(n *node) {
 	for _, other := range s.nodes {
-		s.cut[[2]int{n.slot, other.slot}] = true
-		s.cut[[2]int{other.slot, n.slot}] = true
+		s.partitioned[[2]int{n.slot, other.slot}] = true
+		s.partitioned[[2]int{other.slot, n.slot}] = true
 	}
 }
 
 // heal joins all nodes again.
-func (s *simulation) heal() { clear(s.cut) }
+func (s *simulation) heal() { clear(s.partitioned) }
 
 // propose hands a new command to a node.
 func (s *simulation) propose(n *node) uint64 {
@@ -410,7 +410,7 @@
 
 // compactNode takes a snapshot of a node's machine; its disk keeps the entries after it.
 func (s *simulation) compactNode(n *node) {
-	if !n.alive || n.busy || n.frozen {
+	if !n.alive || n.syncing || n.frozen {
 		return
 	}
 	snapshot := n.replica.SnapshotMetadata()
@@ -418,8 +418,8 @@
 		return
 	}
 	snapshot.State, _ = json.Marshal(n.machine)
-	snapshot.Chunks = snapshotParts
-	n.parts = nil // the new one lies in their place
+	snapshot.Chunks = snapshotChunks
+	n.chunks = nil // the new one lies in their place
 	for len(n.disk.Entries) > 0 && n.disk.Entries[0].Index <= snapshot.Index {
 		n.disk.Entries = n.disk.Entries[1:]
 	}
@@ -428,8 +428,8 @@
 	s.wake(n)
 }
 
-// leader is the living node that believes itself the owner in the highest epoch, or nil.
-func (s *simulation) owner() *node {
+// leader is the living node that believes itself the leader in the highest term, or nil.
+func (s *simulation) leader() *node {
 	var best *node
 	for _, n := range s.nodes {
 		if !n.alive || n.frozen || !n.replica.IsLeader() {
--- /dev/null
+++ b/internal/tier/replica/snapshot_chunks_test.go
@@ -0,0 +1,173 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// chunkMessage is a chunk of a snapshot up to index as a leader sends it to b.
+func chunkMessage(from string, term, index uint64, number int) Message {
+	return Message{Kind: InstallSnapshot, From: from, To: "b", Term: term, Chunk: number,
+		Snapshot: &Snapshot{Index: index, Term: 2, Chunks: 3, Members: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, State: []byte{byte('0' + number)}}}
+}
+
+// chunkResponse is what a follower responds to a chunk.
+type chunkResponse struct {
+	Index    uint64
+	Chunk    int
+	Rejected bool
+}
+
+func TestFollower_SnapshotChunks_AreTakenInOrder(t *testing.T) {
+	type given struct {
+		name      string
+		before    []Message
+		message   Message
+		answer    chunkResponse
+		received  []Chunk
+		receiving bool
+		installed bool
+	}
+	first, second, third := chunkMessage("a", 2, 9, 0), chunkMessage("a", 2, 9, 1), chunkMessage("a", 2, 9, 2)
+	cases := []given{
+		{name: "the first", message: first, answer: chunkResponse{Index: 9, Chunk: 1}, received: []Chunk{{0, []byte("0")}}, receiving: true},
+		{name: "a later one at first", message: second, answer: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
+		{name: "the next", before: []Message{first}, message: second, answer: chunkResponse{Index: 9, Chunk: 2}, received: []Chunk{{1, []byte("1")}}, receiving: true},
+		{name: "a gap", before: []Message{first}, message: third, answer: chunkResponse{Index: 9, Chunk: 1, Rejected: true}, receiving: true},
+		{name: "the first again", before: []Message{first, second}, message: first, answer: chunkResponse{Index: 9, Chunk: 2}, receiving: true},
+		{name: "a newer snapshot", before: []Message{first, second}, message: chunkMessage("a", 2, 12, 0), answer: chunkResponse{Index: 12, Chunk: 1},
+			received: []Chunk{{0, []byte("0")}}, receiving: true},
+		{name: "a later chunk of a newer snapshot", before: []Message{first}, message: chunkMessage("a", 2, 12, 1), answer: chunkResponse{Index: 12, Chunk: 0, Rejected: true}},
+		{name: "late, of an older snapshot", before: []Message{first}, message: chunkMessage("a", 2, 7, 0), receiving: true},
+		{name: "of a new leader", before: []Message{first}, message: chunkMessage("c", 3, 9, 1), answer: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
+		{name: "of a leader whose term is over", before: []Message{first, chunkMessage("c", 3, 9, 0)}, message: second, receiving: true},
+		{name: "the last", before: []Message{first, second}, message: third, received: []Chunk{{2, []byte("2")}}, installed: true},
+		{name: "without a snapshot", before: []Message{first}, message: Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2}, receiving: true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			r := newTestFollower(t, 2, 1)
+			for _, message := range tc.before {
+				if r.Step(0, Input{Messages: []Message{message}}); r.Status().LastIndex != 1 || r.Status().Commit != 0 {
+					t.Fatalf("an incomplete snapshot counts: %+v", r.Status())
+				}
+			}
+			ready := r.Step(0, Input{Messages: []Message{tc.message}})
+			var got chunkResponse
+			for _, answer := range ready.MessagesAfterSync {
+				if answer.Kind == InstallSnapshotResponse {
+					got = chunkResponse{Index: answer.Index, Chunk: answer.Chunk, Rejected: answer.Reject}
+				}
+			}
+			if got != tc.answer {
+				t.Errorf("answer %+v, want %+v", got, tc.answer)
+			}
+			if diff := cmp.Diff(tc.received, ready.ReceivedChunks); diff != "" {
+				t.Errorf("received (-want +got):\n%s", diff)
+			}
+			if r.IsReceivingSnapshot() != tc.receiving || (ready.Snapshot != nil) != tc.installed {
+				t.Errorf("receiving %v, installed %+v", r.IsReceivingSnapshot(), ready.Snapshot)
+			}
+		})
+	}
+}
+
+func TestFollower_SnapshotStalls_IsGivenUp(t *testing.T) {
+	// Given a follower that has received a chunk,
+	r := newTestFollower(t, 2, 1)
+	ready := r.Step(0, Input{Messages: []Message{chunkMessage("a", 2, 9, 0)}})
+	due := r.incoming.deadline
+	if ready.NextWake > due {
+		t.Errorf("it sleeps until %v, and gives the snapshot up at %v", ready.NextWake, due)
+	}
+	// when its leader goes on and sends no more chunks, then it gives the snapshot up in time.
+	for now := time.Duration(0); now <= due; now += testHeartbeat {
+		r.Step(now, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1}}})
+		if r.IsReceivingSnapshot() != (now < due) {
+			t.Fatalf("receiving %v at %v", r.IsReceivingSnapshot(), now)
+		}
+	}
+}
+
+func TestCompaction_SnapshotIncoming_IsGivenUp(t *testing.T) {
+	r := newTestFollower(t, 2, 1, 1)
+	r.Step(0, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: 2, LogTerm: 1, Commit: 2}}})
+	r.Step(0, Input{Messages: []Message{chunkMessage("a", 2, 9, 0)}})
+	metadata := r.SnapshotMetadata()
+	ready := r.Step(0, Input{Compact: &metadata, Messages: []Message{chunkMessage("a", 2, 9, 1)}})
+	if r.IsReceivingSnapshot() || len(ready.ReceivedChunks) > 0 {
+		t.Errorf("it goes on with a snapshot whose chunks are gone: %+v", ready.ReceivedChunks)
+	}
+}
+
+// newSnapshotSender makes a manual leader with a snapshot that c lacks.
+func newSnapshotSender(t *testing.T) *manualLeader {
+	t.Helper()
+	p := newManualLeader(t, "a", "b", "c")
+	for token := range uint64(200) {
+		p.step(Input{Proposals: []Proposal{command(token, 1)}})
+	}
+	p.acknowledge("b", 150)
+	metadata := p.r.SnapshotMetadata()
+	metadata.Chunks = 9
+	p.step(Input{Compact: &metadata})
+	return p
+}
+
+// respondChunk tells the leader which chunk c wants, and returns the chunks that it sends.
+func (p *manualLeader) respondChunk(chunk int, rejected bool) []int {
+	ready := p.step(Input{Messages: []Message{{Kind: InstallSnapshotResponse, From: "c", To: "a", Term: 1, Index: p.r.snapshotIndex(), Chunk: chunk, Reject: rejected}}})
+	return chunksIn(ready.MessagesBeforeSync)
+}
+
+func chunksIn(messages []Message) []int {
+	var chunks []int
+	for _, message := range messages {
+		if message.Kind == InstallSnapshot {
+			chunks = append(chunks, message.Chunk)
+		}
+	}
+	return chunks
+}
+
+func TestLeader_SnapshotChunks_AreSentAFewAhead(t *testing.T) {
+	p := newSnapshotSender(t)
+	ready := p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 201, Reject: true, RejectHint: 0}}})
+	if diff := cmp.Diff([]int{0}, chunksIn(ready.MessagesBeforeSync)); diff != "" {
+		t.Fatalf("at first (-want +got):\n%s", diff)
+	}
+	if p.r.IsSendingSnapshot() {
+		t.Error("a snapshot counts as being sent though nothing of it has arrived")
+	}
+	for _, step := range []struct {
+		name     string
+		chunk    int
+		rejected bool
+		sent     []int
+	}{
+		{name: "the first has arrived", chunk: 1, sent: []int{1, 2}},
+		{name: "two have arrived", chunk: 3, sent: []int{3, 4}},
+		{name: "an old answer comes late", chunk: 2},
+		{name: "one is missing", chunk: 3, rejected: true, sent: []int{3, 4}},
+		{name: "it is still missing, and on its way", chunk: 3, rejected: true},
+		{name: "it has arrived", chunk: 5, sent: []int{5, 6}},
+		{name: "the member begins anew", chunk: 0, rejected: true, sent: []int{0}},
+		{name: "more than there are", chunk: 10},
+	} {
+		if diff := cmp.Diff(step.sent, p.respondChunk(step.chunk, step.rejected)); diff != "" {
+			t.Fatalf("%s (-want +got):\n%s", step.name, diff)
+		}
+	}
+	p.respondChunk(8, false)
+	if !p.r.IsSendingSnapshot() {
+		t.Error("no snapshot counts as being sent")
+	}
+	// What is lost without an answer is sent again after a while, as long as the member answers at all.
+	p.now += 2 * testElection
+	ready = p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1}, {Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 201}}})
+	if diff := cmp.Diff([]int{8}, chunksIn(ready.MessagesBeforeSync)); diff != "" {
+		t.Errorf("after a while (-want +got):\n%s", diff)
+	}
+}
--- a/internal/tier/replica/transfer_mutants_test.go
+++ b/internal/tier/replica/snapshot_mutants_test.go
@@ -6,51 +6,51 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Tests that notice mistakes in the transfer of snapshots.
+// Tests that notice mistakes in the sending and receiving of snapshots.
 const (
-	orderOfParts    = "^TestEveryOrderOfPartsIsSafe$"
-	answersToParts  = "^TestFollowerAndPartsOfSnapshots$"
-	partsSent       = "^TestOwnerSendsAFewPartsAhead$"
-	compactedMiddle = "^TestCompactionGivesUpASnapshotThatIsReceived$"
+	orderOfChunks     = "^TestExploration_OrdersOfSnapshotChunks_AreSafe$"
+	responsesToChunks = "^TestFollower_SnapshotChunks_AreTakenInOrder$"
+	chunksSent        = "^TestLeader_SnapshotChunks_AreSentAFewAhead$"
+	compactedMiddle   = "^TestCompaction_SnapshotIncoming_IsGivenUp$"
 )
 
-func TestMutantsOfTransfersAreNoticed(t *testing.T) {
+func TestSnapshotMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "a gap is taken over",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if message.Chunk != incoming.wantedChunk {", New: "if message.Chunk < incoming.wantedChunk {"},
-			Run:    orderOfParts,
+			Run:    orderOfChunks,
 		},
 		{
-			Name:   "parts of different owners are mixed",
+			Name:   "chunks of different leaders are mixed",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "return i.from == message.From && i.term == message.Term &&\n\t\ti.snapshot", New: "return i.snapshot"},
 			Also:   []mutation.Change{{File: "election.go", Old: "		r.incoming = incomingSnapshot{}\n", New: ""}},
-			Run:    answersToParts,
+			Run:    responsesToChunks,
 		},
 		{
-			Name:   "installed without the last part",
+			Name:   "installed without the last chunk",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if incoming.wantedChunk < incoming.snapshot.Chunks {", New: "if incoming.wantedChunk < incoming.snapshot.Chunks-1 {"},
-			Run:    orderOfParts,
+			Run:    orderOfChunks,
 		},
 		{
-			Name: "half a snapshot counts as a match",
+			Name: "an incomplete snapshot counts as a match",
 			Change: mutation.Change{
 				File: "snapshot_receiver.go",
 				Old:  "		r.requestChunk(message, incoming.wantedChunk, false)\n",
 				New:  "		r.acknowledge(message, message.Snapshot.Index)\n",
 			},
-			Run: orderOfParts,
+			Run: orderOfChunks,
 		},
 		{
-			Name:   "lost parts are never sent again",
+			Name:   "lost chunks are never sent again",
 			Change: mutation.Change{File: "snapshot_sender.go", Old: "case r.now >= t.retryAt:", New: "case false:"},
-			Run:    partsSent,
+			Run:    chunksSent,
 		},
 		{
-			Name:   "a part of an older snapshot ends the newer one",
+			Name:   "a chunk of an older snapshot ends the newer one",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if r.incoming.isNewerThan(message) {", New: "if false {"},
-			Run:    answersToParts,
+			Run:    responsesToChunks,
 		},
 		{
 			Name:   "a compaction keeps what was being received",
@@ -58,14 +58,14 @@
 			Run:    compactedMiddle,
 		},
 		{
-			Name:   "a snapshot that ceased to come is never given up",
+			Name:   "a stalled snapshot is never given up",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if r.IsReceivingSnapshot() && r.now >= r.incoming.deadline {", New: "if false {"},
-			Run:    "^TestFollowerGivesUpASnapshotWhenNoMoreOfItComes$",
+			Run:    "^TestFollower_SnapshotStalls_IsGivenUp$",
 		},
 		{
-			Name:   "all parts are sent at once",
+			Name:   "all chunks are sent at once",
 			Change: mutation.Change{File: "snapshot_sender.go", Old: "min(t.wantedChunk+window, t.snapshot.Chunks)", New: "t.snapshot.Chunks+0*window"},
-			Run:    partsSent,
+			Run:    chunksSent,
 		},
 	})
 }
--- a/internal/tier/replica/offer_test.go
+++ b/internal/tier/replica/snapshot_retry_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestFirstPartIsOfferedOften has a member that takes no snapshot for a while, since its process receives others, and goes on
+// TestSnapshot_FirstChunkDropped_IsRetriedSoon has a member that takes no snapshot for a while, since its process receives others, and goes on
 // soon after.
-func TestFirstPartIsOfferedOften(t *testing.T) {
+func TestSnapshot_FirstChunkDropped_IsRetriedSoon(t *testing.T) {
 	for seed := range uint64(6) {
-		s, _ := givenCompacted(t, 40+seed, 3, 1)
+		s, _ := newCompactedGroup(t, 40+seed, 3, 1)
 		busy := true
 		s.drop = func(m Message) bool { return busy && m.Kind == InstallSnapshot }
-		s.setWanted(membersOf(s.nodes...))
+		s.setTargetMembers(membersOf(s.nodes...))
 		s.runFor(7*testElection + time.Duration(seed)*7*time.Millisecond)
 
-		// When its process has room, it has the whole snapshot soon.
+		// When its process has room, it has the complete snapshot soon.
 		busy = false
 		begun := s.now
 		if !s.runUntil(s.now+time.Second, func() bool { return s.nodes[3].machine.Index > 0 }) {
@@ -24,6 +24,6 @@
 		if took := s.now - begun; took > (firstChunkRetryHeartbeats+2)*testHeartbeat {
 			t.Errorf("seed %d: the snapshot is there %v later", seed, took)
 		}
-		s.thenHolds(t)
+		s.requireSafe(t)
 	}
 }
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -7,10 +7,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// givenCompacted starts a group whose first 200 entries only the snapshots hold, but for those kept as a tail.
-func givenCompacted(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
+// newCompactedGroup starts a group whose first 200 entries only the snapshots hold, but for those kept as a tail.
+func newCompactedGroup(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
 	t.Helper()
-	s, first := givenOwner(t, seed, members, spares)
+	s, first := newGroupWithLeader(t, seed, members, spares)
 	for range 200 {
 		s.propose(first)
 	}
@@ -25,24 +25,24 @@
 	return s, first
 }
 
-func TestMemberFarBehindGetsASnapshotAndThenEntries(t *testing.T) {
-	s, first := givenCompacted(t, 1, 3, 1)
+func TestSnapshot_MemberFarBehind_GetsSnapshotThenEntries(t *testing.T) {
+	s, first := newCompactedGroup(t, 1, 3, 1)
 	for range 20 {
 		s.propose(first)
 	}
-	s.setWanted(membersOf(s.nodes...))
-	s.thenGroupIs(t, time.Second, membersOf(s.nodes...))
+	s.setTargetMembers(membersOf(s.nodes...))
+	s.requireMembers(t, time.Second, membersOf(s.nodes...))
 	s.runFor(2 * testHeartbeat)
-	if got := s.messages[InstallSnapshot]; got != snapshotParts {
-		t.Errorf("%d parts of snapshots were sent, want %d", got, snapshotParts)
+	if got := s.messages[InstallSnapshot]; got != snapshotChunks {
+		t.Errorf("%d chunks of snapshots were sent, want %d", got, snapshotChunks)
 	}
 	if s.nodes[3].machine != first.machine {
 		t.Errorf("state %+v, want %+v", s.nodes[3].machine, first.machine)
 	}
 }
 
-func TestLostSnapshotIsSentAgain(t *testing.T) {
-	s, _ := givenCompacted(t, 2, 3, 1)
+func TestSnapshot_ChunkLost_IsSentAgain(t *testing.T) {
+	s, _ := newCompactedGroup(t, 2, 3, 1)
 	lost := 0
 	s.drop = func(m Message) bool {
 		if m.Kind == InstallSnapshot && lost == 0 {
@@ -51,15 +51,15 @@
 		}
 		return false
 	}
-	s.setWanted(membersOf(s.nodes...))
-	s.thenGroupIs(t, time.Second, membersOf(s.nodes...))
+	s.setTargetMembers(membersOf(s.nodes...))
+	s.requireMembers(t, time.Second, membersOf(s.nodes...))
 	if lost != 1 {
 		t.Error("no snapshot was lost")
 	}
 }
 
-func TestMemberThatIsGoneIsSentNoSnapshots(t *testing.T) {
-	s, first := givenOwner(t, 3, 3, 0)
+func TestSnapshot_MemberInactive_IsSentNone(t *testing.T) {
+	s, first := newGroupWithLeader(t, 3, 3, 0)
 	gone := s.others(first)[0]
 	s.kill(gone)
 	s.runFor(2 * testElection)
@@ -77,11 +77,11 @@
 	if gone.machine != first.machine {
 		t.Errorf("state %+v, want %+v", gone.machine, first.machine)
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestMemberALittleBehindNeedsNoSnapshot(t *testing.T) {
-	s, first := givenOwner(t, 4, 3, 0)
+func TestSnapshot_MemberALittleBehind_NeedsNone(t *testing.T) {
+	s, first := newGroupWithLeader(t, 4, 3, 0)
 	behind := s.others(first)[0]
 	s.kill(behind)
 	for range int(defaultLimits.trailingEntries) / 2 {
@@ -99,21 +99,21 @@
 	}
 }
 
-func TestGroupGoesOnFromItsSnapshotsAfterARestart(t *testing.T) {
-	s, _ := givenCompacted(t, 5, 3, 0)
+func TestSnapshot_AllRestarted_GroupGoesOn(t *testing.T) {
+	s, _ := newCompactedGroup(t, 5, 3, 0)
 	for _, n := range s.nodes {
 		s.kill(n)
 	}
 	s.startAll()
-	if !s.whenDone(time.Second) {
+	if !s.commitsWithin(time.Second) {
 		t.Error("nothing is committed after the restart")
 	}
-	s.thenHolds(t)
+	s.requireSafe(t)
 }
 
-func TestFollowerAndSnapshots(t *testing.T) {
-	snapshot := func(index, epoch uint64) *Snapshot {
-		return &Snapshot{Index: index, Term: epoch, Members: []Member{{ID: "a"}, {ID: "b"}}, Chunks: 1}
+func TestFollower_InstallSnapshot_InstallsOrAcknowledges(t *testing.T) {
+	snapshot := func(index, term uint64) *Snapshot {
+		return &Snapshot{Index: index, Term: term, Members: []Member{{ID: "a"}, {ID: "b"}}, Chunks: 1}
 	}
 	cases := []struct {
 		name    string
@@ -131,47 +131,47 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := givenFollower(t, 2, tc.log...)
+			r := newTestFollower(t, 2, tc.log...)
 			if tc.commit > 0 {
-				epoch := tc.log[tc.commit-1]
+				term := tc.log[tc.commit-1]
 				r.Step(0, Input{Messages: []Message{{
-					Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: tc.commit, LogTerm: epoch, Commit: tc.commit,
+					Kind: AppendEntries, From: "a", To: "b", Term: 2, Index: tc.commit, LogTerm: term, Commit: tc.commit,
 				}}})
 			}
 			message := Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2, Snapshot: tc.sent}
-			effects := r.Step(0, Input{Messages: []Message{message}})
+			ready := r.Step(0, Input{Messages: []Message{message}})
 			want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 2, Index: tc.matched}}
-			if difference := cmp.Diff(want, effects.MessagesAfterSync); difference != "" {
+			if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" {
 				t.Errorf("answer (-want +got):\n%s", difference)
 			}
-			if installed := effects.Snapshot != nil; installed != tc.install || r.Status().LastIndex != tc.last {
+			if installed := ready.Snapshot != nil; installed != tc.install || r.Status().LastIndex != tc.last {
 				t.Errorf("installed %v, last %d", installed, r.Status().LastIndex)
 			}
-			if effects.TruncateFrom != 0 || len(effects.Entries) != 0 {
-				t.Errorf("truncate %d, append %v", effects.TruncateFrom, effects.Entries)
+			if ready.TruncateFrom != 0 || len(ready.Entries) != 0 {
+				t.Errorf("truncate %d, append %v", ready.TruncateFrom, ready.Entries)
 			}
 		})
 	}
 }
 
-func TestCompactionIsOnlyForWhatWasApplied(t *testing.T) {
-	p := givenOwnerByHand(t, "a", "b", "c")
+func TestCompaction_BeyondApplied_IsIgnored(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(200) {
 		p.step(Input{Proposals: []Proposal{command(token, 1)}})
 	}
 	p.acknowledge("b", 150)
-	mark := p.r.SnapshotMetadata()
-	if mark.Index != 150 || mark.Term != 1 || len(mark.Members) != 3 {
-		t.Fatalf("mark %+v", mark)
+	metadata := p.r.SnapshotMetadata()
+	if metadata.Index != 150 || metadata.Term != 1 || len(metadata.Members) != 3 {
+		t.Fatalf("metadata %+v", metadata)
 	}
-	ahead := mark
+	ahead := metadata
 	ahead.Index = 151
 	p.step(Input{Compact: &ahead})
 	if got := p.r.log.offset; got != 0 {
 		t.Errorf("compacted to %d", got)
 	}
-	p.step(Input{Compact: &mark})
-	if got, want := p.r.log.offset, mark.Index-defaultLimits.trailingEntries; got != want {
+	p.step(Input{Compact: &metadata})
+	if got, want := p.r.log.offset, metadata.Index-defaultLimits.trailingEntries; got != want {
 		t.Errorf("compacted to %d, want %d", got, want)
 	}
 	if got := p.r.Status().LastIndex; got != 201 {
@@ -179,28 +179,28 @@
 	}
 }
 
-func TestCompactionKeepsATailOfBoundedBytes(t *testing.T) {
-	// Given an owner with 20 large commands, of which those that fit into what may be in flight are kept,
+func TestCompaction_TrailingEntries_AreBoundedInBytes(t *testing.T) {
+	// Given a leader with 20 large commands, of which those that fit into what may be in flight are kept,
 	const size = 100 << 10
-	p := givenOwnerByHand(t, "a", "b", "c")
+	p := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(20) {
 		p.step(Input{Proposals: []Proposal{command(token, size)}})
 	}
 	p.acknowledge("b", 21)
-	mark := p.r.SnapshotMetadata()
-	p.step(Input{Compact: &mark})
+	metadata := p.r.SnapshotMetadata()
+	p.step(Input{Compact: &metadata})
 	if got, want := p.r.log.offset, uint64(21-defaultLimits.maxInflightBytes/size); got != want {
-		t.Errorf("the owner's log is compacted to %d, want %d", got, want)
+		t.Errorf("the leader's log is compacted to %d, want %d", got, want)
 	}
 	// and a follower with the same, which keeps less.
-	r := givenFollower(t, 2)
+	r := newTestFollower(t, 2)
 	entries := make([]Entry, 20)
 	for i := range entries {
 		entries[i] = Entry{Index: uint64(i + 1), Term: 2, Data: command(1, size).Data}
 	}
 	r.Step(0, Input{Messages: []Message{{Kind: AppendEntries, From: "a", To: "b", Term: 2, Commit: 20, Entries: entries}}})
-	mark = r.SnapshotMetadata()
-	r.Step(0, Input{Compact: &mark})
+	metadata = r.SnapshotMetadata()
+	r.Step(0, Input{Compact: &metadata})
 	if got, want := r.log.offset, uint64(20-defaultLimits.trailingBytes/size); got != want {
 		t.Errorf("the follower's log is compacted to %d, want %d", got, want)
 	}
--- a/internal/tools/mutation/mutation.go
+++ b/internal/tools/mutation/mutation.go
@@ -5,8 +5,8 @@
 //	func TestMutantsAreCaught(t *testing.T) {
 //		mutation.Test(t, []mutation.Mutant{{
 //			Name:   "older epochs are obeyed",
-//			Change: mutation.Change{File: "follower.go", Old: "if message.Epoch < r.epoch {", New: "if false {"},
-//			Run:    "TestCampaigns",
+//			Change: mutation.Change{File: "follower.go", Old: "if message.Term < r.hardState.Term {", New: "if false {"},
+//			Run:    "TestCampaigns_RandomFaults_StaySafeAndRecover",
 //		}})
 //	}
 //
