--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -123,7 +123,7 @@
 		},
 		{
 			Name:   "no other shard is asked for a turn",
-			Change: mutation.Change{File: "programs.go", Old: "result.Verdict != program.NoSuchTurn {\n\t\t\tdone", New: "true {\n\t\t\tdone"},
+			Change: mutation.Change{File: "programs.go", Old: "result.Verdict != program.TurnNotFound {\n\t\t\tdone", New: "true {\n\t\t\tdone"},
 			Run:    randomDays,
 		},
 		{
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts what a process of the tier does, and tells it in Prometheus' text format.
+// Package metrics counts what a process of the tier does, and serves it in Prometheus' text format. Names, labels and label
+// values are an interface: dashboards and alerts use them.
 package metrics
 
 import (
@@ -11,20 +12,20 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Path is where a process tells its metrics over HTTP.
+// Path is the HTTP path of a process' metrics.
 const Path = "/metrics"
 
-// Step is one step of an order of the operator.
+// Step is a step in processing an operator's order, the value of the label step.
 type Step string
 
 // The steps of an order.
 const (
-	ReadStep      Step = "read"  // its body
-	CheckStep     Step = "check" // its form and its rules
-	ReplicateStep Step = "agree" // by the group, on disk
+	ReadStep      Step = "read"  // reading its body
+	CheckStep     Step = "check" // validating it
+	ReplicateStep Step = "agree" // replication by the controllers' group, on disk
 )
 
-// Outcome is what an order came to.
+// Outcome is the outcome of an order, the value of the label outcome.
 type Outcome string
 
 // The outcomes of an order.
@@ -34,7 +35,7 @@
 	Unconfirmed Outcome = "unconfirmed" // the group gave no answer in time
 )
 
-// ZoneClass tells where a peer is.
+// ZoneClass says whether a peer is in this process' zone, the value of the label zone.
 type ZoneClass string
 
 // The classes of zones.
@@ -58,11 +59,11 @@
 	rejections   *prometheus.CounterVec
 
 	mutex       sync.Mutex
-	lookUpZone  func(host string) ZoneClass // nil: nothing is known of zones
+	lookUpZone  func(host string) ZoneClass // nil: no zone is known
 	zoneClasses map[string]ZoneClass        // by host
 }
 
-// New returns metrics that have counted nothing.
+// New returns metrics in a registry of their own, all 0.
 func New() *Metrics {
 	counters := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "mastusher", Name: name, Help: help}, labels)
@@ -83,40 +84,41 @@
 	return m
 }
 
-// Handler tells the metrics.
+// Handler serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// SetZoneLookup sets what tells the zone of a host. Until it knows a host it is asked again.
+// SetZoneLookup sets the function that classifies the zone of a host. Its answer is cached unless it is UnknownZone. It is called
+// with a lock held and must not call back.
 func (m *Metrics) SetZoneLookup(classOf func(host string) ZoneClass) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lookUpZone = classOf
 }
 
-// SentLine implements transport.Meter.
+// SentLine implements transport.Meter: bytes of one encoded message, before compression.
 func (m *Metrics) SentLine(kind, address string, bytes int) {
 	m.lineBytes.WithLabelValues(kind, string(m.zoneClass(address))).Add(float64(bytes))
 }
 
-// Written implements transport.Meter.
+// Written implements transport.Meter: bytes written to a connection, after compression.
 func (m *Metrics) Written(address string, bytes int) {
 	m.wireBytes.WithLabelValues(string(m.zoneClass(address))).Add(float64(bytes))
 }
 
-// ObserveStep notes how long a step of an order took.
+// ObserveStep records how long a step of an order took.
 func (m *Metrics) ObserveStep(step Step, took time.Duration) {
 	m.orderSeconds.WithLabelValues(string(step)).Observe(took.Seconds())
 }
 
-// CountOrder notes what an order came to.
+// CountOrder counts the outcome of an order.
 func (m *Metrics) CountOrder(outcome Outcome) { m.orders.WithLabelValues(string(outcome)).Inc() }
 
-// CountElection notes a new owner.
+// CountElection counts a new leader of the controllers' group.
 func (m *Metrics) CountElection() { m.elections.Inc() }
 
-// CountRejection notes a request that the proxy has answered by itself.
+// CountRejection counts a request that the proxy has answered by itself, by the text of its apierror.Kind.
 func (m *Metrics) CountRejection(kind string) { m.rejections.WithLabelValues(kind).Inc() }
 
 func (m *Metrics) zoneClass(address string) ZoneClass {
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -15,7 +15,7 @@
 	return recorder.Body.String()
 }
 
-func TestWhatIsCountedIsTold(t *testing.T) {
+func TestHandler_CountedEvents_AreServed(t *testing.T) {
 	m := metrics.New()
 	m.SentLine("replica", "10.0.0.1:7", 5) // nothing is known of zones yet
 	asked := 0
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -1,5 +1,8 @@
-// Package view holds what the control plane spreads to every process: one section each for the configuration, the
-// endpoints, the roll-outs and the placement of shards. A section is replaced as a whole by one with a higher stamp.
+// Package view holds what the control plane disseminates to every process: one section each for the configuration, the endpoints,
+// the roll-outs and the placement of shards. The leader of the controllers writes sections; package gossip spreads them between
+// processes, and a proxy's feed brings them to proxies. A section is replaced as a whole by one with a higher stamp, so that
+// updates may arrive in any order and more than once. Values are immutable once shared. The JSON goes between processes of
+// different versions: tags must not change.
 package view
 
 import (
@@ -9,18 +12,18 @@
 	"mastusher/internal/tier/model"
 )
 
-// Stamp orders the contents of one section: by the epoch of the owner that wrote it, then by its sequence number.
+// Stamp orders the contents of one section: by the term of the leader that wrote it, then by that leader's sequence number.
 type Stamp struct {
 	Term     uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// Less tells whether s is older than o.
+// Less reports whether s is older than o.
 func (s Stamp) Less(o Stamp) bool {
 	return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence
 }
 
-// Section names one part of the view.
+// Section names a section of the view.
 type Section string
 
 // The sections.
@@ -31,33 +34,33 @@
 	PlacementSection     Section = "placement"     // a Placement
 )
 
-// Digest tells which contents a process holds.
+// Digest is the stamp of each section that a process has.
 type Digest map[Section]Stamp
 
-// Update is one section's content with its stamp, as it travels.
+// Update is one section's content with its stamp, as it goes between processes.
 type Update struct {
 	Section Section         `json:"section"`
 	Stamp   Stamp           `json:"stamp"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// AppendJSON implements transport.Appender.
-func (p Update) AppendJSON(buffer []byte) ([]byte, error) {
-	section, err := json.Marshal(p.Section)
+// AppendJSON implements transport.Appender: the bytes are those of encoding/json, without encoding the body again.
+func (u Update) AppendJSON(buffer []byte) ([]byte, error) {
+	section, err := json.Marshal(u.Section)
 	if err != nil {
 		return buffer, err
 	}
 	buffer = append(buffer, `{"section":`...)
 	buffer = append(buffer, section...)
 	buffer = append(buffer, `,"stamp":{"epoch":`...)
-	buffer = strconv.AppendUint(buffer, p.Stamp.Term, 10)
+	buffer = strconv.AppendUint(buffer, u.Stamp.Term, 10)
 	buffer = append(buffer, `,"sequence":`...)
-	buffer = strconv.AppendUint(buffer, p.Stamp.Sequence, 10)
+	buffer = strconv.AppendUint(buffer, u.Stamp.Sequence, 10)
 	buffer = append(buffer, `},"body":`...)
-	if p.Body == nil {
+	if u.Body == nil {
 		buffer = append(buffer, "null"...)
 	}
-	buffer = append(buffer, p.Body...)
+	buffer = append(buffer, u.Body...)
 	return append(buffer, '}'), nil
 }
 
@@ -66,13 +69,13 @@
 	Raw json.RawMessage `json:"raw"` // as the operator sent it
 }
 
-// JSON writes the section without reading the configuration again, which is JSON already.
+// JSON encodes the section without parsing the configuration again, which is JSON already.
 func (c Config) JSON() json.RawMessage {
 	const before, after = `{"raw":`, `}`
-	written := make([]byte, 0, len(before)+len(c.Raw)+len(after))
-	written = append(written, before...)
-	written = append(written, c.Raw...)
-	return append(written, after...)
+	encoded := make([]byte, 0, len(before)+len(c.Raw)+len(after))
+	encoded = append(encoded, before...)
+	encoded = append(encoded, c.Raw...)
+	return append(encoded, after...)
 }
 
 // EndpointList is the section of the endpoints.
@@ -80,18 +83,18 @@
 	Endpoints []model.Endpoint `json:"endpoints"`
 }
 
-// RolloutList is the section of the roll-outs: for each service the version that takes its traffic, and the order under way.
+// RolloutList is the section of the roll-outs: for each service the version that takes its traffic, and the roll-out in progress.
 type RolloutList struct {
 	Services []ServiceVersions `json:"services"`
 }
 
-// ServiceVersions says which versions of a service's software may take requests.
+// ServiceVersions lists the versions of a service's software that may take requests.
 type ServiceVersions struct {
 	Service          string  `json:"service"`
 	Current          string  `json:"current"`          // version in service
 	Target           string  `json:"target,omitempty"` // version being rolled out; empty: none
-	Order            uint64  `json:"order,omitempty"`  // names the order to roll Target out: the same version may be ordered again
-	Share            float64 `json:"share,omitempty"`  // of requests that Target may get, 0 to 1
+	Order            uint64  `json:"order,omitempty"`  // identifies the order to roll Target out: the same version may be ordered more than once
+	Share            float64 `json:"share,omitempty"`  // of the service's requests that Target may get, 0 to 1
 	InitialAllowance float64 `json:"extra,omitempty"`  // requests above Share that each proxy may send to Target at first
 }
 
@@ -100,19 +103,19 @@
 	Shards []ShardPlacement `json:"shards"` // the index is the shard's number
 }
 
-// ShardPlacement names the replicas that a shard is meant to have.
+// ShardPlacement lists the replicas that a shard is to have.
 type ShardPlacement struct {
 	Initial  []Replica `json:"initial"`  // the members with which the group began
 	Replicas []Replica `json:"replicas"` // the members that it is to have now
 }
 
-// Replica is one copy of a shard.
+// Replica is one replica of a shard.
 type Replica struct {
-	ID      string `json:"id"`      // identity that lies on the machine's disk
+	ID      string `json:"id"`      // identity on the machine's disk; see package identity
 	Node    string `json:"node"`    // name of the machine
-	Address string `json:"address"` // host:port of its control link
+	Address string `json:"address"` // host:port for calls of package transport
 	Zone    string `json:"zone"`
 }
 
-// Sections lists all sections, in the order in which they are taken over.
+// Sections lists all sections, in the order in which updates are applied.
 var Sections = []Section{ConfigurationSection, PlacementSection, EndpointsSection, RolloutsSection}
--- a/internal/tier/wire/cached_chain.go
+++ b/internal/tier/wire/cached_chain.go
@@ -6,44 +6,36 @@
 	"mastusher/internal/tier/program"
 )
 
-// chainSumBytes is the length of a sum: two chains with the same one are the same.
-const chainSumBytes = 16
+// chainDigestBytes is the length of a digest. Chains with the same digest count as the same.
+const chainDigestBytes = 16
 
-// ChainDigest stands for the bytes of a chain, or of its beginning.
+// MaxCachedChains is the number of cached chains that count in one request.
+const MaxCachedChains = 4
+
+// ChainDigest is the truncated SHA-256 of a chain, or of a prefix of one.
 type ChainDigest []byte
 
-// DigestOf returns the sum of a chain.
+// DigestOf returns the digest of a chain.
 func DigestOf(chain []byte) ChainDigest {
 	sum := sha256.Sum256(chain)
-	return sum[:chainSumBytes]
+	return sum[:chainDigestBytes]
 }
 
-// CachedChain names bytes with which the chain of a turn may begin, and that its asker holds.
+// CachedChain identifies a chain that the caller has, with which the chain of a turn may begin.
 type CachedChain struct {
 	Bytes  int         `json:"bytes"`
 	Digest ChainDigest `json:"sum"`
 }
 
-// BeginTurnResponse answers a BeginTurnRequest.
-type BeginTurnResponse struct {
-	program.Result
-	// CachedChains is the place, counted from 1, of that of the call's held chains which is left out at the beginning of the result's; 0:
-	// the chain is whole.
-	CachedIndex int `json:"held,omitempty"`
-}
-
-// MaxCachedChains bounds the held chains that one call may name.
-const MaxCachedChains = 4
-
-// OmitCachedPrefix leaves out of a result the longest beginning of its chain that the asker holds.
-func OmitCachedPrefix(result program.Result, held []CachedChain) BeginTurnResponse {
-	answer := BeginTurnResponse{Result: result}
-	left := 0
-	for i, h := range held[:min(len(held), MaxCachedChains)] {
-		if h.Bytes > left && h.Bytes <= len(result.Chain) && string(DigestOf(result.Chain[:h.Bytes])) == string(h.Digest) {
-			answer.CachedIndex, left = i+1, h.Bytes
+// OmitCachedPrefix leaves out of a result the longest prefix of its chain that the caller has.
+func OmitCachedPrefix(result program.Result, cached []CachedChain) BeginTurnResponse {
+	response := BeginTurnResponse{Result: result}
+	omitted := 0
+	for i, prefix := range cached[:min(len(cached), MaxCachedChains)] {
+		if prefix.Bytes > omitted && prefix.Bytes <= len(result.Chain) && string(DigestOf(result.Chain[:prefix.Bytes])) == string(prefix.Digest) {
+			response.CachedIndex, omitted = i+1, prefix.Bytes
 		}
 	}
-	answer.Chain = result.Chain[left:]
-	return answer
+	response.Chain = result.Chain[omitted:]
+	return response
 }
--- a/internal/tier/wire/cached_chain_test.go
+++ b/internal/tier/wire/cached_chain_test.go
@@ -10,22 +10,22 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Given any texts that an asker holds, then what is left out is the beginning of the chain, and one of them.
-func TestWhatIsLeftOutIsHeld(t *testing.T) {
+// Given any chains that a caller has cached, then what is left out is a prefix of the result's chain, and one of them.
+func TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[ab]{0,6}`)
 		chain := text.Draw(t, "chain")
-		held := rapid.SliceOfN(text, 0, 6).Draw(t, "held")
-		var names []wire.CachedChain
-		for _, h := range held {
-			names = append(names, wire.CachedChain{Bytes: len(h), Digest: wire.DigestOf([]byte(h))})
+		cached := rapid.SliceOfN(text, 0, 6).Draw(t, "held")
+		var identified []wire.CachedChain
+		for _, one := range cached {
+			identified = append(identified, wire.CachedChain{Bytes: len(one), Digest: wire.DigestOf([]byte(one))})
 		}
-		begun := wire.OmitCachedPrefix(program.Result{Verdict: program.Accepted, Chain: []byte(chain)}, names)
-		whole := string(begun.Chain)
-		if begun.CachedIndex > 0 {
-			whole = held[begun.CachedIndex-1] + whole
+		response := wire.OmitCachedPrefix(program.Result{Verdict: program.Accepted, Chain: []byte(chain)}, identified)
+		complete := string(response.Chain)
+		if response.CachedIndex > 0 {
+			complete = cached[response.CachedIndex-1] + complete
 		}
-		if diff := cmp.Diff(chain, whole); diff != "" {
+		if diff := cmp.Diff(chain, complete); diff != "" {
 			t.Fatal(diff)
 		}
 	})
--- a/internal/tier/wire/mutants_test.go
+++ b/internal/tier/wire/mutants_test.go
@@ -10,15 +10,15 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name: "chains are compared by length alone",
-			Change: mutation.Change{File: "cached_chain.go", Old: " && string(DigestOf(result.Chain[:h.Bytes])) == string(h.Digest)",
+			Change: mutation.Change{File: "cached_chain.go", Old: " && string(DigestOf(result.Chain[:prefix.Bytes])) == string(prefix.Digest)",
 				New: ""},
-			Run:    "^TestWhatIsLeftOutIsHeld$",
+			Run:    "^TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached$",
 			Always: true,
 		},
 		{
-			Name:   "less is left out of a chain than is said",
-			Change: mutation.Change{File: "cached_chain.go", Old: "result.Chain[left:]", New: "result.Chain[left/2:]"},
-			Run:    "^TestWhatIsLeftOutIsHeld$",
+			Name:   "less of a chain is left out than CachedIndex says",
+			Change: mutation.Change{File: "cached_chain.go", Old: "result.Chain[omitted:]", New: "result.Chain[omitted/2:]"},
+			Run:    "^TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached$",
 		},
 	})
 }
