--- a/internal/tier/versionstats/tally_test.go
+++ b/internal/tier/versionstats/counter_test.go
@@ -14,24 +14,24 @@
 	"mastusher/internal/tier/wire"
 )
 
-// scheduler sends each request to the endpoint that its attempt names, and keeps the tickets that it gets back.
-type scheduler struct{ tickets []any }
+// balancer sends each request to the endpoint that its attempt names, and keeps the tickets that it gets back.
+type fakeBalancer struct{ tickets []any }
 
-func (s *scheduler) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
+func (s *fakeBalancer) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
 	return proxy.Selection{ID: facts.AttemptID, Ticket: "ticket of " + facts.AttemptID}, nil
 }
-func (s *scheduler) FirstEvent(choice proxy.Selection, _ string) {
-	s.tickets = append(s.tickets, choice.Ticket)
+func (s *fakeBalancer) FirstEvent(selection proxy.Selection, _ string) {
+	s.tickets = append(s.tickets, selection.Ticket)
 }
-func (s *scheduler) Done(choice proxy.Selection, _ proxy.Outcome) {
-	s.tickets = append(s.tickets, choice.Ticket)
+func (s *fakeBalancer) Done(selection proxy.Selection, _ proxy.Outcome) {
+	s.tickets = append(s.tickets, selection.Ticket)
 }
-func (s *scheduler) SetEndpoints([]model.Endpoint)      {}
-func (s *scheduler) SetVersions([]view.ServiceVersions) {}
+func (s *fakeBalancer) SetEndpoints([]model.Endpoint)      {}
+func (s *fakeBalancer) SetVersions([]view.ServiceVersions) {}
 
-func TestAnswersAreCountedByVersionAndRoute(t *testing.T) {
-	// Given a counter that knows two versions, one with an endpoint that has only just started,
-	inner := &scheduler{}
+func TestCounter_Outcomes_CountedByVersionAndRoute(t *testing.T) {
+	// Given a counter that knows two versions, one with an endpoint that is warming up,
+	inner := &fakeBalancer{}
 	now := time.Unix(1000, 0)
 	c := New(inner, "p")
 	c.now = func() time.Time { return now }
@@ -39,11 +39,11 @@
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Share: 0.1}})
 	// when requests on two routes end, one of them after its endpoint has left the list,
 	send := func(endpoint, route string) proxy.Selection {
-		choice, err := c.Select(context.Background(), &proxy.RequestInfo{AttemptID: endpoint, Route: &model.Route{Name: route}})
+		selection, err := c.Select(context.Background(), &proxy.RequestInfo{AttemptID: endpoint, Route: &model.Route{Name: route}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return choice
+		return selection
 	}
 	done := proxy.Outcome{Result: proxy.Succeeded, Took: 40 * time.Millisecond}
 	c.Done(send("a", "r1"), done)
@@ -55,7 +55,7 @@
 	c.SetEndpoints(nil)
 	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
 	c.Done(send("b", "r2"), done)
-	// then each is counted at its version and route, and the scheduler has its own tickets back.
+	// then each is counted at its version and route, and the balancer gets its own tickets back.
 	report, due := c.Report()
 	if !due {
 		t.Fatal("no report is due")
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWhatNeverRanSaysNothing(t *testing.T) {
+func TestCounter_AttemptNeverRan_CountsNothing(t *testing.T) {
 	for _, outcome := range []proxy.Outcome{
 		{Result: proxy.NotRun, Status: 503},
 		{Result: proxy.NeverSent},
@@ -84,33 +84,33 @@
 		{Result: proxy.ClientClosed, FirstByte: time.Second, Took: 9 * time.Second},
 	} {
 		// Given a count, when an attempt ends that says nothing of the version,
-		var tally rollout.Stats
-		add(&tally, outcome, false)
+		var stats rollout.Stats
+		observe(&stats, outcome, false)
 		// then nothing is counted.
-		if tally != (rollout.Stats{}) {
-			t.Errorf("%+v is counted as %+v", outcome, tally)
+		if stats != (rollout.Stats{}) {
+			t.Errorf("%+v is counted as %+v", outcome, stats)
 		}
 	}
 }
 
-func TestARepeatedRolloutIsCountedAnew(t *testing.T) {
-	// Given a version that answered badly while it was rolled out, and had a request under way when that was called off,
+func TestCounter_RolloutRepeated_CountsAnew(t *testing.T) {
+	// Given a version that answered badly while it was rolled out, and had a request in flight when that was cancelled,
 	now := time.Unix(1000, 0)
-	c := New(&scheduler{}, "p")
+	c := New(&fakeBalancer{}, "p")
 	c.now = func() time.Time { return now }
 	c.SetEndpoints([]model.Endpoint{{ID: "b", Service: "s", Version: "v2"}})
 	send := func() proxy.Selection {
-		choice, err := c.Select(t.Context(), &proxy.RequestInfo{AttemptID: "b", Route: &model.Route{Name: "r"}})
+		selection, err := c.Select(t.Context(), &proxy.RequestInfo{AttemptID: "b", Route: &model.Route{Name: "r"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return choice
+		return selection
 	}
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 7}})
 	c.Done(send(), proxy.Outcome{Result: proxy.IncompleteResponse})
 	late := send()
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1"}})
-	// when it is rolled out again, and the versions are told twice,
+	// when it is rolled out again, and the versions are set twice,
 	again := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 9}}
 	c.SetVersions(again)
 	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -1,5 +1,8 @@
-// Package viewfeed keeps a proxy's view: it takes what the agent on the same machine sends, and goes on with the last it was
-// given while the agent is away.
+// Package viewfeed maintains a proxy's view: the configuration, the endpoints, the rollouts and the placement of shards. A Feed
+// streams updates from the agent on the same machine, and keeps the last ones while the agent is unavailable.
+//
+// Package command runs one Feed in each proxy. Run applies updates in one goroutine; Routes and Ready are safe to call from
+// any.
 package viewfeed
 
 import (
@@ -20,32 +23,32 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Pauses between tries to reach the agent.
+// Backoff between attempts to reach the agent, doubled each time and reset by an update.
 const (
-	firstPause = 20 * time.Millisecond
-	mostPause  = 250 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
 )
 
-// Endpoints takes over what the list and the roll-outs say of endpoints.
+// Endpoints receives the list of endpoints and the versions that rollouts allow.
 type Endpoints interface {
 	SetEndpoints(endpoints []model.Endpoint)
 	SetVersions(versions []view.ServiceVersions)
 }
 
-// Feed holds a proxy's view. It implements proxy.Views.
+// Feed is a proxy's view. It implements proxy.Views.
 type Feed struct {
-	address   string // of the agent's link
+	address   string // of the agent
 	pool      *transport.Pool
 	programs  *programclient.Client
 	endpoints Endpoints
 	logger    log.Logger
 
-	digest view.Digest // used by Run only
-	routes atomic.Pointer[proxy.Routes]
-	listed atomic.Bool
+	digest       view.Digest // stamps of the current sections; used by Run only
+	routes       atomic.Pointer[proxy.Routes]
+	hasEndpoints atomic.Bool // a list of endpoints has been applied
 }
 
-// New returns a feed that knows nothing yet.
+// New returns a feed without any section of a view.
 func New(address string, pool *transport.Pool, programs *programclient.Client, endpoints Endpoints, logger log.Logger) *Feed {
 	return &Feed{address: address, pool: pool, programs: programs, endpoints: endpoints, logger: logger, digest: view.Digest{}}
 }
@@ -53,63 +56,64 @@
 // Routes implements proxy.Views.
 func (f *Feed) Routes() *proxy.Routes { return f.routes.Load() }
 
-// Ready implements proxy.Views. A way to the stores is needed only where turns are remembered.
+// Ready implements proxy.Views. The placement is needed only where turns are remembered.
 func (f *Feed) Ready() bool {
 	routes := f.routes.Load()
-	return routes != nil && f.listed.Load() && (!routes.HasRememberedTurns || f.programs.HasPlacement())
+	return routes != nil && f.hasEndpoints.Load() && (!routes.HasRememberedTurns || f.programs.HasPlacement())
 }
 
-// Run takes what the agent sends until ctx ends.
+// Run applies the updates that the agent sends until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
-	pause := firstPause
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		request := wire.FetchRequest{Digest: f.digest}
-		err := transport.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(piece view.Update) error {
-			pause = firstPause
-			f.take(piece)
+		err := transport.Stream(ctx, f.pool, f.address, wire.MethodFeed, request, func(update view.Update) error {
+			backoff = initialBackoff
+			f.handle(update)
 			return nil
 		})
 		level.Debug(f.logger).Log("msg", "feed ended", "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, mostPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// take takes a piece over, unless it is older than the one held.
-func (f *Feed) take(piece view.Update) {
-	if held, known := f.digest[piece.Section]; known && !held.Less(piece.Stamp) {
+// handle applies an update, unless it isn't newer than the current one.
+func (f *Feed) handle(update view.Update) {
+	if current, known := f.digest[update.Section]; known && !current.Less(update.Stamp) {
 		return
 	}
-	if err := f.apply(piece); err != nil {
-		level.Error(f.logger).Log("msg", "piece cannot be taken over", "section", piece.Section, "err", err)
+	if err := f.apply(update); err != nil {
+		level.Error(f.logger).Log("msg", "update cannot be applied", "section", update.Section, "err", err)
 		return
 	}
-	f.digest[piece.Section] = piece.Stamp
+	f.digest[update.Section] = update.Stamp
 }
 
-func (f *Feed) apply(piece view.Update) error {
-	switch piece.Section {
+// apply decodes an update and passes it on. Sections that it doesn't know are ignored.
+func (f *Feed) apply(update view.Update) error {
+	switch update.Section {
 	case view.ConfigurationSection:
-		return f.configure(piece.Body)
+		return f.applyConfiguration(update.Body)
 	case view.EndpointsSection:
 		var list view.EndpointList
-		if err := json.Unmarshal(piece.Body, &list); err != nil {
+		if err := json.Unmarshal(update.Body, &list); err != nil {
 			return err
 		}
 		f.endpoints.SetEndpoints(list.Endpoints)
-		f.listed.Store(true)
+		f.hasEndpoints.Store(true)
 	case view.RolloutsSection:
 		var list view.RolloutList
-		if err := json.Unmarshal(piece.Body, &list); err != nil {
+		if err := json.Unmarshal(update.Body, &list); err != nil {
 			return err
 		}
 		f.endpoints.SetVersions(list.Services)
 	case view.PlacementSection:
 		var placement view.Placement
-		if err := json.Unmarshal(piece.Body, &placement); err != nil {
+		if err := json.Unmarshal(update.Body, &placement); err != nil {
 			return err
 		}
 		f.programs.SetPlacement(&placement)
@@ -117,7 +121,8 @@
 	return nil
 }
 
-func (f *Feed) configure(body json.RawMessage) error {
+// applyConfiguration swaps the routes. The configuration's number must not decrease, whatever the update's stamp.
+func (f *Feed) applyConfiguration(body json.RawMessage) error {
 	var config view.Config
 	if err := json.Unmarshal(body, &config); err != nil {
 		return err
@@ -126,8 +131,8 @@
 	if err != nil {
 		return err
 	}
-	if held := f.routes.Load(); held != nil && configuration.Version < held.Number {
-		return fmt.Errorf("configuration %d is older than %d, which is in force", configuration.Version, held.Number)
+	if current := f.routes.Load(); current != nil && configuration.Version < current.Number {
+		return fmt.Errorf("configuration %d is older than %d, which is in force", configuration.Version, current.Number)
 	}
 	f.routes.Store(proxy.NewRoutes(configuration))
 	level.Info(f.logger).Log("msg", "configuration in force", "number", configuration.Version)
--- a/internal/tier/viewfeed/feed_test.go
+++ b/internal/tier/viewfeed/feed_test.go
@@ -14,45 +14,45 @@
 	"mastusher/internal/tier/view"
 )
 
-// endpoints records what a feed hands on.
-type endpoints struct {
-	listed   [][]model.Endpoint
+// recordedEndpoints records what a feed passes on.
+type recordedEndpoints struct {
+	lists    [][]model.Endpoint
 	versions [][]view.ServiceVersions
 }
 
-func (e *endpoints) SetEndpoints(list []model.Endpoint) { e.listed = append(e.listed, list) }
-func (e *endpoints) SetVersions(versions []view.ServiceVersions) {
+func (e *recordedEndpoints) SetEndpoints(list []model.Endpoint) { e.lists = append(e.lists, list) }
+func (e *recordedEndpoints) SetVersions(versions []view.ServiceVersions) {
 	e.versions = append(e.versions, versions)
 }
 
-func newFeed(t *testing.T) (*Feed, *endpoints) {
+func newFeed(t *testing.T) (*Feed, *recordedEndpoints) {
 	pool := transport.NewPool()
 	t.Cleanup(pool.Close)
-	taken := &endpoints{}
-	return New("127.0.0.1:1", pool, programclient.New(pool, 0), taken, log.NewNopLogger()), taken
+	recorded := &recordedEndpoints{}
+	return New("127.0.0.1:1", pool, programclient.New(pool, 0), recorded, log.NewNopLogger()), recorded
 }
 
-// piece is a section's content with its stamp.
-func piece(section view.Section, epoch, sequence uint64, body string) view.Update {
-	return view.Update{Section: section, Stamp: view.Stamp{Term: epoch, Sequence: sequence}, Body: json.RawMessage(body)}
+// update returns a section's content with its stamp.
+func update(section view.Section, term, sequence uint64, body string) view.Update {
+	return view.Update{Section: section, Stamp: view.Stamp{Term: term, Sequence: sequence}, Body: json.RawMessage(body)}
 }
 
-// configuration is a configuration's section: one route, whose turns may be remembered.
-func configuration(epoch, sequence uint64, number int, remembered bool) view.Update {
+// configuration returns a configuration's section: one route, whose turns may be remembered.
+func configuration(term, sequence uint64, number int, remembered bool) view.Update {
 	raw := fmt.Sprintf(`{"number":%d,"routes":[{"name":"r","host":"a.example","startsWith":"/r/","kind":"streaming","giveUpMs":5000,
 		"targetMs":200,"rank":1,"service":"s","tries":1,"remembered":%t,"keepForS":60}],"services":[{"name":"s","healthPath":"/h",
 		"maxConnections":10,"protocol":"h1","tls":false}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,
 		"idleCloseMs":15000}}`, number, remembered)
-	return piece(view.ConfigurationSection, epoch, sequence, `{"raw":`+raw+`}`)
+	return update(view.ConfigurationSection, term, sequence, `{"raw":`+raw+`}`)
 }
 
-func TestReadiness(t *testing.T) {
-	list := piece(view.EndpointsSection, 1, 1, `{"endpoints":[]}`)
-	placement := piece(view.PlacementSection, 1, 1, `{"shards":[{"replicas":[{"id":"i","address":"127.0.0.1:1"}]}]}`)
+func TestFeed_Ready(t *testing.T) {
+	list := update(view.EndpointsSection, 1, 1, `{"endpoints":[]}`)
+	placement := update(view.PlacementSection, 1, 1, `{"shards":[{"replicas":[{"id":"i","address":"127.0.0.1:1"}]}]}`)
 	cases := []struct {
-		name   string
-		pieces []view.Update
-		want   bool
+		name    string
+		updates []view.Update
+		want    bool
 	}{
 		{"given nothing then it isn't ready", nil, false},
 		{"given no list then it isn't ready", []view.Update{configuration(1, 1, 1, true), placement}, false},
@@ -64,8 +64,8 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f, _ := newFeed(t)
-			for _, one := range test.pieces {
-				f.take(one)
+			for _, one := range test.updates {
+				f.handle(one)
 			}
 			if got := f.Ready(); got != test.want {
 				t.Errorf("ready: %v", got)
@@ -74,26 +74,26 @@
 	}
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestFeed_Configuration_NeverGoesBack(t *testing.T) {
 	cases := []struct {
-		name   string
-		pieces []view.Update
-		want   uint64
+		name    string
+		updates []view.Update
+		want    uint64
 	}{
-		{"given a newer one then it is taken over", []view.Update{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
-		{"given an older stamp then it is passed over", []view.Update{configuration(1, 2, 4, false), configuration(1, 1, 7, false)}, 4},
-		{"given an older number under a newer stamp then it is passed over",
+		{"given a newer one then it is applied", []view.Update{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
+		{"given an older stamp then it is ignored", []view.Update{configuration(1, 2, 4, false), configuration(1, 1, 7, false)}, 4},
+		{"given an older number under a newer stamp then it is ignored",
 			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false)}, 7},
-		{"given one that can't be read then the one before stays",
-			[]view.Update{configuration(1, 1, 7, false), piece(view.ConfigurationSection, 2, 1, `{"raw":{"number":`)}, 7},
-		{"given one that comes after an older number then it is taken over",
+		{"given one that can't be decoded then the one before stays",
+			[]view.Update{configuration(1, 1, 7, false), update(view.ConfigurationSection, 2, 1, `{"raw":{"number":`)}, 7},
+		{"given one that comes after an older number then it is applied",
 			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false), configuration(2, 2, 9, false)}, 9},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f, _ := newFeed(t)
-			for _, one := range test.pieces {
-				f.take(one)
+			for _, one := range test.updates {
+				f.handle(one)
 			}
 			if got := f.Routes().Number; got != test.want {
 				t.Errorf("configuration %d is in force, want %d", got, test.want)
@@ -102,15 +102,15 @@
 	}
 }
 
-func TestListsAndVersionsAreHandedOnInOrder(t *testing.T) {
-	f, taken := newFeed(t)
-	f.take(piece(view.EndpointsSection, 1, 2, `{"endpoints":[{"id":"new"}]}`))
-	f.take(piece(view.EndpointsSection, 1, 1, `{"endpoints":[{"id":"old"}]}`))
-	f.take(piece(view.RolloutsSection, 1, 1, `{"services":[{"service":"s","current":"v1"}]}`))
-	if diff := cmp.Diff([][]model.Endpoint{{{ID: "new"}}}, taken.listed); diff != "" {
+func TestFeed_EndpointsAndVersions_OlderAreIgnored(t *testing.T) {
+	f, recorded := newFeed(t)
+	f.handle(update(view.EndpointsSection, 1, 2, `{"endpoints":[{"id":"new"}]}`))
+	f.handle(update(view.EndpointsSection, 1, 1, `{"endpoints":[{"id":"old"}]}`))
+	f.handle(update(view.RolloutsSection, 1, 1, `{"services":[{"service":"s","current":"v1"}]}`))
+	if diff := cmp.Diff([][]model.Endpoint{{{ID: "new"}}}, recorded.lists); diff != "" {
 		t.Errorf("lists (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([][]view.ServiceVersions{{{Service: "s", Current: "v1"}}}, taken.versions); diff != "" {
+	if diff := cmp.Diff([][]view.ServiceVersions{{{Service: "s", Current: "v1"}}}, recorded.versions); diff != "" {
 		t.Errorf("versions (-want +got):\n%s", diff)
 	}
 }
