--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -11,29 +11,29 @@
 	"mastusher/internal/tier/network"
 )
 
-// readBufferBytes is the size of a connection's read buffer: an answer's head and a small body in one call.
+// readBufferBytes is the size of a connection's read buffer: a response's head and a small body in one call.
 const readBufferBytes = 4 << 10
 
 // unlimited is the read limit while a body is read.
 const unlimited = int64(1) << 62
 
-var errHeadTooLarge = errors.New("the head of the answer is too large")
+var errHeadTooLarge = errors.New("response head too large")
 
 // connection is one connection to an endpoint. It carries one request at a time.
 type connection struct {
-	host      *host
+	endpoint  *endpointConns
 	socket    net.Conn
 	raw       syscall.RawConn
 	reader    *bufio.Reader
-	readLeft  int64 // bytes that may still be read before the limit on an answer's head is reached
-	used      int   // requests that were written to it
+	readLeft  int64 // bytes that may still be read before the limit on a response's head is reached
+	requests  int   // requests that were written to it
 	idleUntil time.Time
 
-	carriedHead bool // one of those was a HEAD, whose answer has no body whatever its head says
+	carriedHead bool // one of those was a HEAD, whose response has no body whatever its head says
 }
 
-func newConnection(host *host, socket net.Conn) *connection {
-	c := &connection{host: host, socket: socket, readLeft: unlimited}
+func newConnection(endpoint *endpointConns, socket net.Conn) *connection {
+	c := &connection{endpoint: endpoint, socket: socket, readLeft: unlimited}
 	if system, ok := socket.(syscall.Conn); ok {
 		c.raw, _ = system.SyscallConn()
 	}
@@ -65,12 +65,12 @@
 	if prober, ok := c.socket.(network.IdleProber); ok {
 		return prober.Idle()
 	}
-	return c.raw == nil || quiet(c.raw)
+	return c.raw == nil || isQuiet(c.raw)
 }
 
-// abortOn makes every read and write of the connection fail once the context ends. The function returned takes that back;
-// it returns false if the context has ended already.
-func (c *connection) abortOn(ctx context.Context) (stop func() bool) {
+// abortOnDone makes every read and write of the connection fail once the context ends. stop takes that back; it returns false if
+// the context has ended already.
+func (c *connection) abortOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		c.resetOnClose()
 		c.socket.SetDeadline(time.Unix(1, 0))
@@ -78,7 +78,7 @@
 }
 
 // resetOnClose makes the connection end with a reset when it is closed: bytes of a request that haven't arrived yet, as a link
-// holds them up, are then dropped. After an orderly close they would still be sent, for a caller that has gone.
+// delays them, are then dropped. After an orderly close they would still be sent, for a caller that has gone.
 func (c *connection) resetOnClose() {
 	if socket, ok := c.socket.(interface{ SetLinger(seconds int) error }); ok {
 		socket.SetLinger(0)
--- a/internal/tier/upstream/dial.go
+++ b/internal/tier/upstream/dial.go
@@ -12,7 +12,7 @@
 // dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// newDialer returns a dialer whose connections notice a peer that has gone silent.
+// newDialer returns a dialer whose connections detect a dead peer.
 func newDialer(options Options) dialFunc {
 	dialer := &net.Dialer{
 		Timeout: options.ConnectTimeout,
@@ -43,8 +43,8 @@
 	return failure
 }
 
-// quiet tells whether a connection that should be idle is: open, and without bytes that wait to be read.
-func quiet(raw syscall.RawConn) bool {
+// isQuiet tells whether a connection that should be idle is: open, and without bytes to be read.
+func isQuiet(raw syscall.RawConn) bool {
 	idle := false
 	err := raw.Control(func(descriptor uintptr) {
 		var peeked [1]byte
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what is known of a request whose answer didn't come.
+// Kind says what is known of a request whose response didn't come. Whether the request may be retried depends on it.
 type Kind int
 
 // The kinds of error.
@@ -31,13 +31,13 @@
 	PoolClosed      Reason = "closed"      // the pool is closed
 	PermitRevoked   Reason = "recalled"    // the endpoint's permit was withdrawn before anything was written
 	WriteFailed     Reason = "write"       // the request could not be written
-	ReadFailed      Reason = "read"        // the answer's head did not come
-	ForeignResponse Reason = "foreign"     // the answers that came belong to other requests
+	ReadFailed      Reason = "read"        // the response's head did not come
+	ForeignResponse Reason = "foreign"     // the responses that came belong to other requests
 	Cancelled       Reason = "cancelled"   // the caller's context ended
 	InvalidRequest  Reason = "bad_request" // the request can't be put on the wire as it is
 )
 
-// Error is the only kind of error that Pool.Do returns.
+// Error is the only type of error that Pool.Do returns, and that of a Response whose body breaks off.
 type Error struct {
 	Kind   Kind
 	Reason Reason
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// directWriteBytes is the most that is written before the answer is read. A longer request is written at the same
-	// time as its answer is read, since an endpoint may answer without reading it.
+	// directWriteBytes is the most that is written before the response is read. A longer request is written while its response is
+	// read, since an endpoint may answer without reading it.
 	directWriteBytes = 32 << 10
-	// maxInformational bounds the 1xx heads that may come before an answer.
+	// maxInformational bounds the 1xx heads that may come before a response.
 	maxInformational = 16
-	// maxForeign bounds the late answers to other requests that are passed over on one connection.
-	maxForeign = 4
-	// maxForeignBytes bounds the body of a late answer.
+	// maxForeignResponses bounds the late responses to other requests that are skipped on one connection.
+	maxForeignResponses = 4
+	// maxForeignBytes bounds the body of a late response.
 	maxForeignBytes = 1 << 20
 )
 
-// AttemptIDHeader holds the id of a try, in requests and in their answers.
+// AttemptIDHeader holds the id of an attempt, in requests and in their responses.
 const AttemptIDHeader = "X-Attempt-Id"
 
 // TimeLeftHeader holds how many milliseconds the caller of a request will wait.
 const TimeLeftHeader = "X-Time-Left-Ms"
 
 var (
-	errForeign       = errors.New("the answer has another request's id")
-	errInformational = errors.New("too many informational answers")
+	errForeign       = errors.New("response has another request's id")
+	errInformational = errors.New("too many informational responses")
 )
 
-var writeBuffers = sync.Pool{New: func() any { return new([]byte) }}
+var headBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// Do sends a request to an endpoint, once, and returns its answer when the head has come. The caller closes the answer. The
-// answer's body fails when the context ends.
+// Do sends a request to an endpoint, once, and returns its response when the head has come. The caller must close the response.
+// The response's body fails when the context ends. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, endpoint Endpoint, request *Request) (*Response, error) {
 	if err := request.check(); err != nil {
 		return nil, &Error{Kind: NeverSent, Reason: InvalidRequest, Err: err}
@@ -59,7 +59,7 @@
 		return nil, &Error{Kind: NeverSent, Reason: Cancelled, Err: context.Cause(ctx)}
 	}
 	exchange := &exchange{pool: p, connection: c, request: request, ctx: ctx}
-	answer, failure := exchange.run()
+	response, failure := exchange.run()
 	if failure != nil {
 		exchange.stop()
 		p.discard(c)
@@ -68,18 +68,18 @@
 		}
 		return nil, failure
 	}
-	return answer, nil
+	return response, nil
 }
 
-// exchange is one request and its answer on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
-	pool       *Pool
-	connection *connection
-	request    *Request
-	ctx        context.Context
-	stop       func() bool
-	written    chan writeResult // nil: the request was written before its answer was read
-	tainted    bool             // the connection must not be used again
+	pool        *Pool
+	connection  *connection
+	request     *Request
+	ctx         context.Context
+	stop        func() bool
+	writeDone   chan writeResult // nil: the request was written before its response was read
+	notReusable bool             // the connection must not be used again
 }
 
 type writeResult struct {
@@ -88,32 +88,32 @@
 }
 
 func (e *exchange) run() (*Response, *Error) {
-	e.stop = e.connection.abortOn(e.ctx)
-	e.connection.used++
+	e.stop = e.connection.abortOnDone(e.ctx)
+	e.connection.requests++
 	e.connection.carriedHead = e.connection.carriedHead || e.request.Method == http.MethodHead
 	if e.request.bodyLength() > directWriteBytes {
-		e.written = make(chan writeResult, 1)
-		go func() { e.written <- e.write() }()
+		e.writeDone = make(chan writeResult, 1)
+		go func() { e.writeDone <- e.write() }()
 	} else if result := e.write(); result.err != nil {
 		if result.count == 0 {
 			return nil, &Error{Kind: NeverSent, Reason: WriteFailed, Err: result.err}
 		}
-		e.tainted = true
+		e.notReusable = true
 	}
 	response, err := e.readHead()
 	if err != nil {
-		return nil, e.readFailure(err)
+		return nil, e.readError(err)
 	}
 	return newResponse(e, response), nil
 }
 
-// readFailure tells what is known when no answer came. A write that still runs is ended first.
-func (e *exchange) readFailure(err error) *Error {
+// readError returns what is known when no response came. A write that still runs is ended first.
+func (e *exchange) readError(err error) *Error {
 	reason := ReadFailed
 	if errors.Is(err, errForeign) {
 		reason = ForeignResponse
 	}
-	if e.written != nil {
+	if e.writeDone != nil {
 		e.connection.socket.Close()
 		if result := e.awaitWrite(); result.count == 0 {
 			return &Error{Kind: NeverSent, Reason: WriteFailed, Err: result.err}
@@ -122,24 +122,24 @@
 	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}
 }
 
-// awaitWrite waits for a write that runs beside the reading, so that nothing reads the request's parts any more.
+// awaitWrite waits for a write that runs beside the reading, so that nothing reads the request's body any more.
 func (e *exchange) awaitWrite() writeResult {
-	if e.written == nil {
+	if e.writeDone == nil {
 		return writeResult{}
 	}
-	result := <-e.written
-	e.written = nil
+	result := <-e.writeDone
+	e.writeDone = nil
 	return result
 }
 
-// writtenWhole tells, without waiting, whether a write that ran beside the reading has ended well.
-func (e *exchange) writtenWhole() bool {
-	if e.written == nil {
+// writeSucceeded tells, without waiting, whether a write that ran beside the reading has succeeded.
+func (e *exchange) writeSucceeded() bool {
+	if e.writeDone == nil {
 		return true
 	}
 	select {
-	case result := <-e.written:
-		e.written = nil
+	case result := <-e.writeDone:
+		e.writeDone = nil
 		return result.err == nil
 	default:
 		return false
@@ -148,8 +148,8 @@
 
 // write puts the request on the wire.
 func (e *exchange) write() writeResult {
-	pooled := writeBuffers.Get().(*[]byte)
-	defer writeBuffers.Put(pooled)
+	pooled := headBuffers.Get().(*[]byte)
+	defer headBuffers.Put(pooled)
 	head := e.request.appendHead((*pooled)[:0], e.pool.options.Now())
 	*pooled = head[:0]
 	if len(e.request.Body) == 0 {
@@ -158,17 +158,17 @@
 	}
 	buffers := make(net.Buffers, 0, 1+len(e.request.Body))
 	buffers = append(buffers, head)
-	for _, part := range e.request.Body {
-		if len(part) > 0 {
-			buffers = append(buffers, part)
+	for _, slice := range e.request.Body {
+		if len(slice) > 0 {
+			buffers = append(buffers, slice)
 		}
 	}
 	n, err := buffers.WriteTo(e.connection.socket)
 	return writeResult{n, err}
 }
 
-// readHead reads the head of this request's answer, past informational ones and past late answers to others. Where one of
-// those may belong to a HEAD request, nothing tells whether a body follows it, and so where the next answer begins.
+// readHead reads the head of this request's response, past informational ones and past late responses to other requests. Where
+// one of those may belong to a HEAD request, nothing tells whether a body follows it, and so where the next response begins.
 func (e *exchange) readHead() (*http.Response, error) {
 	c := e.connection
 	libraryRequest := &http.Request{Method: e.request.Method}
@@ -186,29 +186,29 @@
 			}
 			continue
 		}
-		if e.belongs(response) {
+		if e.matches(response) {
 			return response, nil
 		}
-		e.tainted = true
+		e.notReusable = true
 		foreign++
-		if foreign > maxForeign || c.carriedHead || !passOver(response) {
+		if foreign > maxForeignResponses || c.carriedHead || !skipForeign(response) {
 			return nil, errForeign
 		}
 	}
 }
 
-// belongs tells whether an answer is this request's. One without an id is, if the connection has carried no other request.
-// One that names several ids is nobody's.
-func (e *exchange) belongs(response *http.Response) bool {
+// matches tells whether a response is this request's. One without an id is, if the connection has carried no other request. One
+// with several ids is nobody's.
+func (e *exchange) matches(response *http.Response) bool {
 	ids := response.Header[AttemptIDHeader]
 	if len(ids) == 0 {
-		return e.connection.used == 1
+		return e.connection.requests == 1
 	}
 	return len(ids) == 1 && ids[0] == e.request.AttemptID
 }
 
-// passOver reads the body of a late answer to another request. It returns false when no answer can follow it.
-func passOver(response *http.Response) bool {
+// skipForeign reads the body of a late response to another request. It returns false when no response can follow it.
+func skipForeign(response *http.Response) bool {
 	if response.Close {
 		return false
 	}
--- a/internal/tier/upstream/options.go
+++ b/internal/tier/upstream/options.go
@@ -7,20 +7,23 @@
 )
 
 // Options are the settings of a Pool. A zero field takes its default.
+//
+// Smaller timeouts detect a dead endpoint earlier and give up on slow networks earlier. A larger IdleTimeout or a smaller
+// IdleTimeoutMargin reuses more connections, and sends more requests on connections that the endpoint is about to close.
 type Options struct {
-	ConnectTimeout    time.Duration // for a connection to be made
-	UserTimeout       time.Duration // for sent bytes to be acknowledged
-	KeepAliveIdle     time.Duration // silence before the first probe
-	KeepAliveInterval time.Duration // between probes
-	KeepAliveCount    int           // unanswered probes after which a connection is dead
-	IdleTimeout       time.Duration // how long an idle connection is kept when the endpoint tells no time
-	IdleTimeoutMargin time.Duration // how long before the endpoint's own time an idle connection is closed
-	MaxHeaderBytes    int64         // in the head of an answer
-	Now               func() time.Time
-	Network           network.Network // nil: the system's
+	ConnectTimeout    time.Duration    // for a connection to be made; default 400 ms
+	UserTimeout       time.Duration    // for sent bytes to be acknowledged (TCP_USER_TIMEOUT, RFC 5482); default 2.5 s
+	KeepAliveIdle     time.Duration    // without bytes, until the first keep-alive probe; default 1 s
+	KeepAliveInterval time.Duration    // between probes; default 1 s
+	KeepAliveCount    int              // unanswered probes after which a connection is dead; default 2
+	IdleTimeout       time.Duration    // of an idle connection whose endpoint sends no Keep-Alive timeout; default 300 ms
+	IdleTimeoutMargin time.Duration    // by which an idle connection is closed before the endpoint's timeout; default 300 ms
+	MaxHeaderBytes    int64            // in the head of a response; default 64 KiB
+	Now               func() time.Time // nil: the system's clock
+	Network           network.Network  // nil: the system's
 }
 
-// The defaults.
+// The defaults of Options.
 const (
 	DefaultConnectTimeout    = 400 * time.Millisecond
 	DefaultUserTimeout       = 2500 * time.Millisecond
@@ -32,7 +35,7 @@
 	DefaultMaxHeaderBytes    = 64 << 10
 )
 
-// reapInterval is the time between two looks for idle connections that are due to be closed.
+// reapInterval is the time between two checks for idle connections that have expired.
 const reapInterval = 250 * time.Millisecond
 
 func (o Options) withDefaults() Options {
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -1,7 +1,3 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 connections of its own keeping. A connection belongs to one
-// endpoint by its ID, never by its address, and carries one request at a time. A request is written at most once: nothing
-// here repeats it, and errors tell whether any of its bytes were sent. Answers are parsed by net/http; its Transport, which
-// pools by address and repeats requests by itself, is not used.
 package upstream
 
 import (
@@ -18,47 +14,48 @@
 	Permit         Permit // nil: it may get the request in any case
 }
 
-// Permit is asked once there is a connection, right before a request is written to it.
+// Permit is checked once there is a connection, right before a request is written to it: the endpoint may have been withdrawn while
+// the connection was made.
 type Permit interface {
 	// Granted tells whether the endpoint may still get the request.
 	Granted() bool
 }
 
-// host holds the connections to one endpoint.
-type host struct {
+// endpointConns holds the connections to one endpoint.
+type endpointConns struct {
 	id    string
 	idle  []*connection // the last one returned is at the end
-	total int           // idle, in use and being made
+	total int           // idle, in use and being made: never above the endpoint's MaxConnections
 }
 
-// Pool keeps the connections to endpoints. It is safe for concurrent use.
+// Pool pools the connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dial    dialFunc
 
-	mutex   sync.Mutex
-	hosts   map[string]*host
-	inUse   map[*connection]struct{}
-	reaper  *time.Timer
-	reaping bool
-	closed  bool
+	mutex         sync.Mutex
+	endpoints     map[string]*endpointConns
+	inUse         map[*connection]struct{}
+	reaper        *time.Timer
+	reapScheduled bool
+	closed        bool
 }
 
 // NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	return &Pool{
-		options: options,
-		dial:    newDialer(options),
-		hosts:   make(map[string]*host),
-		inUse:   make(map[*connection]struct{}),
+		options:   options,
+		dial:      newDialer(options),
+		endpoints: make(map[string]*endpointConns),
+		inUse:     make(map[*connection]struct{}),
 	}
 }
 
-// acquire returns an idle connection to the endpoint, or a new one. A fresh one carries no other request before.
+// acquire returns an idle connection to the endpoint, or a new one. A fresh one must not have carried another request.
 func (p *Pool) acquire(ctx context.Context, endpoint Endpoint, fresh bool) (*connection, *Error) {
 	for {
-		idle, reserved, failure := p.takeIdle(endpoint, fresh)
+		idle, reserved, failure := p.takeIdleOrReserve(endpoint, fresh)
 		if failure != nil {
 			return nil, failure
 		}
@@ -72,18 +69,18 @@
 	}
 }
 
-// takeIdle takes the idle connection that was used last. If there is none, it reserves the place of a new one. For a fresh
-// connection it takes an idle one, which is to make room, only where the endpoint has no more places.
-func (p *Pool) takeIdle(endpoint Endpoint, fresh bool) (idle *connection, reserved *host, failure *Error) {
+// takeIdleOrReserve takes the idle connection that was used last. If there is none, it reserves the slot of a new one. For a fresh
+// connection it takes an idle one, which is to make room, only where the endpoint has no more slots.
+func (p *Pool) takeIdleOrReserve(endpoint Endpoint, fresh bool) (idle *connection, reserved *endpointConns, failure *Error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return nil, nil, &Error{Kind: NeverSent, Reason: PoolClosed}
 	}
-	h := p.hosts[endpoint.ID]
+	h := p.endpoints[endpoint.ID]
 	if h == nil {
-		h = &host{id: endpoint.ID}
-		p.hosts[endpoint.ID] = h
+		h = &endpointConns{id: endpoint.ID}
+		p.endpoints[endpoint.ID] = h
 	}
 	full := endpoint.MaxConnections > 0 && h.total >= endpoint.MaxConnections
 	if last := len(h.idle) - 1; last >= 0 && (full || !fresh) {
@@ -100,12 +97,12 @@
 	return nil, h, nil
 }
 
-// connect makes a new connection in the place reserved for it.
-func (p *Pool) connect(ctx context.Context, endpoint Endpoint, reserved *host) (*connection, *Error) {
+// connect makes a new connection in the slot reserved for it.
+func (p *Pool) connect(ctx context.Context, endpoint Endpoint, reserved *endpointConns) (*connection, *Error) {
 	socket, err := p.dial(ctx, endpoint.Address)
 	if err != nil {
 		p.mutex.Lock()
-		p.leave(reserved)
+		p.releaseSlot(reserved)
 		p.mutex.Unlock()
 		return nil, &Error{Kind: NeverSent, Reason: ConnectFailed, Err: err}
 	}
@@ -121,17 +118,17 @@
 	return c, nil
 }
 
-// leave gives up one place of a host. The caller holds the mutex.
-func (p *Pool) leave(h *host) {
-	h.total--
-	if h.total == 0 && p.hosts[h.id] == h {
-		delete(p.hosts, h.id)
+// releaseSlot gives up one slot of an endpoint. The caller holds the mutex.
+func (p *Pool) releaseSlot(e *endpointConns) {
+	e.total--
+	if e.total == 0 && p.endpoints[e.id] == e {
+		delete(p.endpoints, e.id)
 	}
 }
 
-// release takes back a connection whose answer came whole, to be used again within the time given.
-func (p *Pool) release(c *connection, keep time.Duration) {
-	c.idleUntil = p.options.Now().Add(keep)
+// release takes back a connection whose response was complete, to be reused within the idle timeout.
+func (p *Pool) release(c *connection, idleTimeout time.Duration) {
+	c.idleUntil = p.options.Now().Add(idleTimeout)
 	p.mutex.Lock()
 	if p.closed {
 		p.mutex.Unlock()
@@ -139,8 +136,8 @@
 		return
 	}
 	delete(p.inUse, c)
-	c.host.idle = append(c.host.idle, c)
-	p.armReaper()
+	c.endpoint.idle = append(c.endpoint.idle, c)
+	p.scheduleReap()
 	p.mutex.Unlock()
 }
 
@@ -151,7 +148,7 @@
 	defer p.mutex.Unlock()
 	if _, known := p.inUse[c]; known {
 		delete(p.inUse, c)
-		p.leave(c.host)
+		p.releaseSlot(c.endpoint)
 	}
 }
 
@@ -160,7 +157,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.closed = true
-	for _, h := range p.hosts {
+	for _, h := range p.endpoints {
 		for _, c := range h.idle {
 			c.socket.Close()
 		}
@@ -175,11 +172,11 @@
 	}
 }
 
-// Connections tells how many connections to an endpoint are in use or being made, and how many are idle.
+// Connections returns how many connections to an endpoint are in use or being made, and how many are idle.
 func (p *Pool) Connections(endpointID string) (inUse, idle int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	h := p.hosts[endpointID]
+	h := p.endpoints[endpointID]
 	if h == nil {
 		return 0, 0
 	}
--- a/internal/tier/upstream/reaper.go
+++ b/internal/tier/upstream/reaper.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// armReaper starts the timer that closes idle connections in time. The caller holds the mutex.
-func (p *Pool) armReaper() {
-	if p.reaping || p.closed {
+// scheduleReap starts the reaper's timer, unless it runs already. The caller holds the mutex.
+func (p *Pool) scheduleReap() {
+	if p.reapScheduled || p.closed {
 		return
 	}
-	p.reaping = true
+	p.reapScheduled = true
 	if p.reaper == nil {
 		p.reaper = time.AfterFunc(reapInterval, p.reap)
 		return
@@ -15,38 +15,38 @@
 	p.reaper.Reset(reapInterval)
 }
 
-// reap closes the idle connections whose time is over. It runs on only while there are others.
+// reap closes the idle connections that have expired, and runs again only while there are others.
 func (p *Pool) reap() {
 	now := p.options.Now()
-	var due []*connection
+	var expired []*connection
 	p.mutex.Lock()
-	p.reaping = false
+	p.reapScheduled = false
 	remaining := false
-	for _, h := range p.hosts {
-		due = p.takeDue(h, now, due)
-		remaining = remaining || len(h.idle) > 0
+	for _, e := range p.endpoints {
+		expired = p.collectExpired(e, now, expired)
+		remaining = remaining || len(e.idle) > 0
 	}
 	if remaining {
-		p.armReaper()
+		p.scheduleReap()
 	}
 	p.mutex.Unlock()
-	for _, c := range due {
+	for _, c := range expired {
 		c.socket.Close()
 	}
 }
 
-// takeDue moves the idle connections of a host whose time is over to due. The caller holds the mutex.
-func (p *Pool) takeDue(h *host, now time.Time, due []*connection) []*connection {
-	kept := h.idle[:0]
-	for _, c := range h.idle {
+// collectExpired moves the idle connections of an endpoint that have expired to expired. The caller holds the mutex.
+func (p *Pool) collectExpired(e *endpointConns, now time.Time, expired []*connection) []*connection {
+	kept := e.idle[:0]
+	for _, c := range e.idle {
 		if now.Before(c.idleUntil) {
 			kept = append(kept, c)
 			continue
 		}
-		due = append(due, c)
-		p.leave(h)
+		expired = append(expired, c)
+		p.releaseSlot(e)
 	}
-	clear(h.idle[len(kept):])
-	h.idle = kept
-	return due
+	clear(e.idle[len(kept):])
+	e.idle = kept
+	return expired
 }
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -20,16 +20,16 @@
 	Fields        []byte   // formatted header lines, each with its line end; see AppendField
 	AttemptFields []Field  // header fields of this attempt only
 	Body          [][]byte // the parts of the body, in order
-	HasBody       bool     // a length is told, also when the body is empty
+	HasBody       bool     // there is a Content-Length, also when the body is empty
 	AttemptID     string   // the X-Attempt-Id among Fields; empty: none, and the request gets a connection of its own
 
-	// Deadline is when the request ends. What is left until then is told in X-Time-Left-Ms as the request is written: making a
-	// connection takes time too. Zero: nothing is told.
+	// Deadline is when the request ends. What is left until then is computed for X-Time-Left-Ms as the request is
+	// written: making a connection takes time too. Zero: no such field.
 	Deadline time.Time
 }
 
-// leastTimeLeft is what a request is told to have left at least, in milliseconds.
-const leastTimeLeft = 1
+// minTimeLeftMs is the least value of X-Time-Left-Ms.
+const minTimeLeftMs = 1
 
 // AppendField appends a header line to a buffer for Request.Fields.
 func AppendField(buffer []byte, name, value string) []byte {
@@ -39,11 +39,11 @@
 	return append(buffer, "\r\n"...)
 }
 
-var errControlBytes = errors.New("a space or control byte in the request's method, target, host or a field")
+var errControlBytes = errors.New("space or control byte in method, target, host or header field")
 
-// check refuses what would end up as other bytes, or as a second request, on the wire.
+// check rejects what would end up as other bytes, or as a second request, on the wire.
 func (r *Request) check() error {
-	if r.Method == "" || hasBreak(r.Method) || r.Target == "" || hasBreak(r.Target) || hasBreak(r.Host) {
+	if r.Method == "" || hasSpaceOrControl(r.Method) || r.Target == "" || hasSpaceOrControl(r.Target) || hasSpaceOrControl(r.Host) {
 		return errControlBytes
 	}
 	for _, field := range r.AttemptFields {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func hasBreak(text string) bool {
+func hasSpaceOrControl(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] == 0x7f {
 			return true
@@ -66,15 +66,15 @@
 // bodyLength returns the number of bytes in the body.
 func (r *Request) bodyLength() int {
 	length := 0
-	for _, part := range r.Body {
-		length += len(part)
+	for _, slice := range r.Body {
+		length += len(slice)
 	}
 	return length
 }
 
 // timeLeft returns the value of X-Time-Left-Ms.
 func (r *Request) timeLeft(now time.Time) string {
-	return strconv.FormatInt(max(r.Deadline.Sub(now).Milliseconds(), leastTimeLeft), 10)
+	return strconv.FormatInt(max(r.Deadline.Sub(now).Milliseconds(), minTimeLeftMs), 10)
 }
 
 // appendHead appends the request line and all header fields, as they are now.
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Response is an endpoint's answer to a request. It is read by one goroutine.
+// Response is an endpoint's response to a request. It belongs to one goroutine.
 type Response struct {
 	Status         int
 	Header         http.Header
-	ContentLength  int64 // -1: not told
-	CloseDelimited bool  // the body has no end but that of the connection
+	ContentLength  int64 // -1: unknown
+	CloseDelimited bool  // the body ends with the connection (RFC 9112 section 6.3)
 	Reused         bool  // the connection had carried another request before
 
 	exchange *exchange
 	response *http.Response
-	whole    bool
-	finished bool
+	complete bool
+	closed   bool
 }
 
 func newResponse(e *exchange, response *http.Response) *Response {
@@ -30,27 +30,27 @@
 		Header:         response.Header,
 		ContentLength:  response.ContentLength,
 		CloseDelimited: response.ContentLength < 0 && !chunked && response.Body != http.NoBody,
-		Reused:         e.connection.used > 1,
+		Reused:         e.connection.requests > 1,
 		exchange:       e,
 		response:       response,
-		whole:          response.Body == http.NoBody,
+		complete:       response.Body == http.NoBody,
 	}
 }
 
-// Read reads the body. It returns io.EOF only at the end of a whole body, and an Error of kind MayHaveRun when the body
-// breaks off.
-func (a *Response) Read(buffer []byte) (int, error) {
-	if a.finished {
+// Read reads the body. It returns io.EOF only at the end of a complete body, an *Error of kind MayHaveRun when the body breaks off,
+// and io.ErrClosedPipe after Close.
+func (r *Response) Read(buffer []byte) (int, error) {
+	if r.closed {
 		return 0, io.ErrClosedPipe
 	}
-	n, err := a.response.Body.Read(buffer)
+	n, err := r.response.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		r.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
 		reason := ReadFailed
-		if a.exchange.ctx.Err() != nil {
+		if r.exchange.ctx.Err() != nil {
 			reason = Cancelled
 		}
 		return n, &Error{Kind: MayHaveRun, Reason: reason, Err: err}
@@ -58,28 +58,28 @@
 	return n, nil
 }
 
-// Buffered tells how many bytes of the answer, framing included, wait to be read without a call to the system.
-func (a *Response) Buffered() int {
-	if a.finished {
+// Buffered returns how many bytes of the response, framing included, can be read without a system call.
+func (r *Response) Buffered() int {
+	if r.closed {
 		return 0
 	}
-	return a.exchange.connection.reader.Buffered()
+	return r.exchange.connection.reader.Buffered()
 }
 
 // Complete tells whether the body has been read to its end.
-func (a *Response) Complete() bool { return a.whole }
+func (r *Response) Complete() bool { return r.complete }
 
 // Close ends the exchange. The connection is kept if it can carry another request, and closed otherwise; an endpoint takes a
-// close in the middle of an answer as a sign to stop its work.
-func (a *Response) Close() {
-	if a.finished {
+// close in the middle of a response as a sign to stop its work.
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.finished = true
-	e := a.exchange
+	r.closed = true
+	e := r.exchange
 	undisturbed := e.stop()
-	keep := a.keepFor()
-	if undisturbed && keep > 0 && a.reusable() {
+	keep := r.idleTimeout()
+	if undisturbed && keep > 0 && r.reusable() {
 		e.pool.release(e.connection, keep)
 		return
 	}
@@ -88,25 +88,25 @@
 }
 
 // reusable tells whether nothing of this exchange is left on the connection.
-func (a *Response) reusable() bool {
-	e := a.exchange
-	if !a.whole || e.tainted || a.response.Close || a.CloseDelimited || e.request.AttemptID == "" {
+func (r *Response) reusable() bool {
+	e := r.exchange
+	if !r.complete || e.notReusable || r.response.Close || r.CloseDelimited || e.request.AttemptID == "" {
 		return false
 	}
-	if a.Status == http.StatusSwitchingProtocols || e.connection.reader.Buffered() > 0 {
+	if r.Status == http.StatusSwitchingProtocols || e.connection.reader.Buffered() > 0 {
 		return false
 	}
-	return e.writtenWhole()
+	return e.writeSucceeded()
 }
 
-// keepFor returns how long the connection may stay idle.
-func (a *Response) keepFor() time.Duration {
-	options := &a.exchange.pool.options
-	told, ok := keepAliveTimeout(a.Header.Get("Keep-Alive"))
+// idleTimeout returns how long the connection may stay idle.
+func (r *Response) idleTimeout() time.Duration {
+	options := &r.exchange.pool.options
+	timeout, ok := keepAliveTimeout(r.Header.Get("Keep-Alive"))
 	if !ok {
 		return options.IdleTimeout
 	}
-	return told - options.IdleTimeoutMargin
+	return timeout - options.IdleTimeoutMargin
 }
 
 // keepAliveTimeout reads the timeout of a Keep-Alive header.
