--- a/control/message.go
+++ b/control/message.go
@@ -19,21 +19,22 @@
 	targetAt    time.Duration // its value is complete until then
 	value       float64
 	rank        float64 // scratch: of shedLowestValue and dispatch
-	ended       bool    // it has its final answer
 
-	attempts     int
-	ranAt        time.Duration  // when the first attempt that may have run was sent
-	ranOn        *endpointState // and where; nil: none may have run
-	isRetry      bool           // the next attempt draws on the retry budget
-	wasThrottled bool           // the last attempt was
+	attempts int
+	ranAt    time.Duration  // when the first attempt that may have run was sent
+	ranOn    *endpointState // and where; nil: none may have run
 
 	// The attempt in flight.
 	inFlightOn  *endpointState // nil: none is
 	sentAt      time.Duration
 	call        *call
-	cancelled   bool    // it has been called off
-	planTimeout bool    // its time-out is the restart plan's
-	plannedTime float64 // seconds that the plan expected of it, if it is a retry after such a time-out; 0: it is not
+	plannedTime float64 // seconds that the plan expected of it, if it is a retry after a time-out of the plan's; 0: it is not
+
+	ended        bool // it has its final answer
+	isRetry      bool // the next attempt draws on the retry budget
+	wasThrottled bool // the last attempt was
+	cancelled    bool // the attempt in flight has been called off
+	planTimeout  bool // the attempt in flight has the restart plan's time-out
 }
 
 // keyQueue is the messages of one key, in the order of their arrival.
