--- a/control/share_test.go
+++ b/control/admission_test.go
@@ -5,8 +5,28 @@
 	"time"
 )
 
+// A store that is nearly full gives up what is worth least, at once, with a hold-off.
+func TestLoadShedding_FullStore_ShedsLowestValue(t *testing.T) {
+	set := settings()
+	set.MaxOpen, set.Slots = 20, 2
+	r := newHarness(t, set, Endpoint{ID: 1})
+	var evs []Event
+	for i := range uint64(40) {
+		evs = append(evs, r.arrive(i+1, int(i%2)*2))
+	}
+	refused := actionsOf(r.step(evs...), Refuse)
+	if len(refused) != 40-(set.MaxOpen-1) {
+		t.Errorf("%d refused, want the store kept one short of full", len(refused))
+	}
+	for _, a := range refused[:10] {
+		if a.ID%2 == 0 || a.For <= 0 {
+			t.Errorf("%v: a payment went before the notices, or without a hold-off", a)
+		}
+	}
+}
+
 // What one tenant sends beyond its share is refused before what another sends within its own, and is sent after it.
-func TestShareDecidesWhatIsShed(t *testing.T) {
+func TestLoadShedding_BeyondQuota_IsShedFirst(t *testing.T) {
 	set := settings()
 	set.MaxOpen, set.Slots = 20, 2
 	set.Tenants = []Tenant{{Quota: 8}, {Quota: 8}} // four a second here: of two senders each has a half
@@ -36,7 +56,7 @@
 }
 
 // A share counts from when a client sent a message: what was held over a restart comes all at once, and is no flood.
-func TestShareCountsFromSending(t *testing.T) {
+func TestQuota_KeptMessages_CountFromSending(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gap  time.Duration // from one message's sending to the next
@@ -67,7 +87,7 @@
 }
 
 // Messages of no tenant, or of one that the settings do not name, are worth what their class is.
-func TestNoTenant(t *testing.T) {
+func TestQuota_NoTenant_KeepsValue(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Quota: 0}}
 	r := newHarness(t, set, Endpoint{ID: 1})
@@ -86,47 +106,3 @@
 		}
 	}
 }
-
-// A destination that was shut refuses all, which tells nothing of a limit that the list names: when it opens again its pace
-// goes by an equal part of that, not what little was let in meanwhile. Without the weight it has to be learnt again.
-func TestWeightOutlivesRefusals(t *testing.T) {
-	for _, weight := range []float64{0, 16} {
-		set := settings()
-		set.Slots = 40
-		r := newHarness(t, set, Endpoint{ID: 1, Weight: weight})
-		id := uint64(0)
-		for r.now < time.Hour+20*time.Second { // two a second, all refused for ten seconds
-			id++
-			ev := r.arrive(id, 1)
-			res := Throttled
-			if r.now > time.Hour+10*time.Second {
-				res = Delivered
-			}
-			sent := actionsOf(r.step(ev), Send)
-			sent = append(sent, actionsOf(r.wait(500*ms), Send)...)
-			for _, a := range sent {
-				r.step(outcome(a.ID, r.s.messages[a.ID].attempts-1, 1, res))
-			}
-		}
-		limit := r.s.endpoints[1].route.rateLimit
-		if weight > 0 && (limit < weight/4 || limit > weight) {
-			t.Errorf("with a weight of %v the pace is %.2f calls/s, want half of an equal part at least", weight, limit)
-		}
-		if weight == 0 && limit > 3 {
-			t.Errorf("without a weight the pace is %.2f calls/s: nothing was learnt, and the test shows nothing", limit)
-		}
-	}
-}
-
-// A report tells more than the list, whose weight is known before it and does not come back with each change.
-func TestReportOverridesWeight(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1, Weight: 16})
-	r.step(r.arrive(1, 1))
-	ev := outcome(1, 0, 1, Delivered)
-	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
-	r.step(ev)
-	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
-	if d := r.s.endpoints[1].route; d.reportedLimit != 6 || d.reportedRemaining != 0.4 {
-		t.Errorf("limit %v and share %v, want what was reported", d.reportedLimit, d.reportedRemaining)
-	}
-}
--- /dev/null
+++ b/control/endpoint_list_test.go
@@ -0,0 +1,97 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+// Rule: drains are kept, also with messages held; a whole list that lacks an endpoint removes it.
+func TestEndpoint_DrainingOrRemoved_GetsNothing(t *testing.T) {
+	for _, ev := range []Event{
+		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Draining}}},
+		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
+		{Kind: Listed, Complete: true},
+	} {
+		r := newHarness(t, settings(), Endpoint{ID: 1})
+		r.warm(5, 100*ms)
+		acts := r.step(ev, r.arrive(1, 0), r.arrive(2, 2))
+		if acts = append(acts, r.wait(3*time.Second)...); len(actionsOf(acts, Send)) != 0 {
+			t.Errorf("%+v: sent %v", ev, actionsOf(acts, Send))
+		}
+	}
+}
+
+// What has left the list is forgotten once nothing of it can be unfinished, but not a wait that still binds.
+func TestEndpoint_Removed_IsForgottenInTime(t *testing.T) {
+	r := newHarness(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
+	to := actionsOf(r.step(r.arrive(1, 2)), Send)[0].Endpoint
+	told := outcome(1, 0, to, Throttled)
+	told.RetryAfter = time.Minute
+	r.step(told)
+	for range 3 {
+		r.step(Event{Kind: Listed, Complete: true})
+		if len(r.s.endpoints) != 2 {
+			t.Fatalf("%d endpoints are known after %v, want 2", len(r.s.endpoints), r.now)
+		}
+		r.now += 10 * time.Second
+	}
+	if r.step(Event{Kind: Listed}); len(r.s.endpoints) != 1 || len(r.s.destinationOrder) != 1 || len(r.s.destinations) != 1 {
+		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(r.s.endpoints), len(r.s.destinationOrder))
+	}
+	r.now += time.Minute
+	if r.step(Event{Kind: Listed}); len(r.s.endpoints)+len(r.s.destinationOrder)+len(r.s.destinations)+len(r.s.idleEndpoints) != 0 {
+		t.Errorf("%d endpoints and %d destinations are still known", len(r.s.endpoints), len(r.s.destinationOrder))
+	}
+	if r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, r.arrive(2, 0)); len(actionsOf(r.out, Send)) != 1 {
+		t.Error("nothing is sent to one that is new there")
+	}
+}
+
+// A connection may come up only after a wait was told: what is on its way is called back.
+func TestRecall_WaitOrDrain_RecallsCallsOnTheirWay(t *testing.T) {
+	r := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 5})
+	elsewhere := r.arrive(3, 0)
+	elsewhere.Destination = 5
+	r.step(r.arrive(1, 0), r.arrive(2, 0), elsewhere)
+	told := outcome(1, 0, 1, Throttled)
+	if told.RetryAfter = time.Second; len(actionsOf(r.out, Send)) != 3 {
+		t.Fatalf("sent %v", r.out)
+	}
+	if got := actionsOf(r.step(told), Recall); len(got) != 1 || got[0].ID != 2 {
+		t.Errorf("called back %v, want message 2", got)
+	}
+	if got := actionsOf(r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 2, Destination: 5, State: Draining}}}), Recall); len(got) != 1 {
+		t.Errorf("called back %v, want message 3", got)
+	}
+}
+
+// Eighty senders that are started again with messages held know nothing of any limit: they begin one by one, each with
+// one call, and the answer tells it the rest.
+func TestNewRoute_ManySenders_BeginOneByOne(t *testing.T) {
+	most, calls, turns := 0, 0, map[time.Duration]int{}
+	for i := range 80 {
+		set := settings()
+		set.Peers, set.Index = 80, i
+		s, err := New(set, uint64(i)+5)
+		if err != nil {
+			t.Fatal(err)
+		}
+		evs := []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}
+		for id := uint64(1); id <= 4; id++ {
+			evs = append(evs, Event{Kind: Arrived, ID: id, Deadline: time.Hour + 8*time.Second})
+		}
+		for now := time.Hour; now < time.Hour+time.Second; now += 10 * ms {
+			if n := len(actionsOf(s.Step(now, evs, nil), Send)); n > 0 {
+				turns[now]++
+				calls += n
+			}
+			evs = []Event{{Kind: Woken}}
+		}
+	}
+	for _, n := range turns {
+		most = max(most, n)
+	}
+	if most > 10 || calls != 80 {
+		t.Errorf("%d of 80 senders begin in the same turn of 10 ms, want 10 at most; %d calls before any answer, want one each", most, calls)
+	}
+}
--- /dev/null
+++ b/control/harness_test.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// settings of a small service: a safe, a keyed, an unsafe and an ordered class.
+func settings() Settings {
+	return Settings{Peers: 2, Slots: 8, MaxOpen: 100, MaxAttempts: 6, Cancel: true, OverQuotaValue: 0.2,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStart: 10 * time.Second,
+		OverloadWindow: 2 * time.Second, OverloadMultiple: 2, InDoubtDelay: time.Second,
+		Kinds: []Kind{{PerCall: 1}, {SeparateRoutes: true, PerCall: 3}},
+		Classes: []Class{
+			{Name: "notice", Effect: Safe, LatencyTarget: time.Second, Deadline: 8 * time.Second, Value: 1, LateValue: 0.5},
+			{Name: "order", Effect: Keyed, Group: GroupZone, Memory: 4 * time.Second, LatencyTarget: time.Second,
+				Deadline: 20 * time.Second, Value: 2, LateValue: 0.5},
+			{Name: "payment", Effect: Unsafe, LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 4, LateValue: 0.5},
+			{Name: "update", Effect: Keyed, Group: GroupAll, Memory: 4 * time.Second, InOrder: true, LatencyTarget: time.Second,
+				Deadline: 20 * time.Second, Value: 1, LateValue: 0.5},
+		}}
+}
+
+// rig drives one sender with scripted events.
+type harness struct {
+	t   *testing.T
+	s   *Sender
+	now time.Duration
+	out []Action
+}
+
+func newHarness(t *testing.T, set Settings, eps ...Endpoint) *harness {
+	t.Helper()
+	s, err := New(set, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &harness{t: t, s: s, now: time.Hour}
+	r.step(Event{Kind: Listed, Complete: true, Endpoints: eps})
+	return r
+}
+
+func (r *harness) step(evs ...Event) []Action {
+	r.out = r.s.Step(r.now, evs, nil)
+	return r.out
+}
+
+// wait steps through d in ticks and returns all actions.
+func (r *harness) wait(d time.Duration) (all []Action) {
+	for end := r.now + d; r.now < end; {
+		r.now += 25 * ms
+		all = append(all, r.step(Event{Kind: Woken})...)
+	}
+	return all
+}
+
+func (r *harness) arrive(id uint64, class int) Event {
+	return Event{Kind: Arrived, ID: id, Class: class, Deadline: r.now + settings().Classes[class].Deadline}
+}
+
+func actionsOf(acts []Action, k ActionKind) (got []Action) {
+	for _, a := range acts {
+		if a.Kind == k {
+			got = append(got, a)
+		}
+	}
+	return got
+}
+
+func outcome(id uint64, attempt int, ep uint32, res Result) Event {
+	return Event{Kind: Resolved, ID: id, Attempt: attempt, Endpoint: ep, Result: res, Final: res == Delivered}
+}
+
+// warm delivers n safe messages, each taking d, one after the other.
+func (r *harness) warm(n int, d time.Duration) {
+	r.t.Helper()
+	for i := range n {
+		id := uint64(1e6 + float64(r.now/ms) + float64(i))
+		sent := actionsOf(r.step(r.arrive(id, 0)), Send)
+		if len(sent) != 1 {
+			r.t.Fatalf("warming call %d: sent %v", i, sent)
+		}
+		r.now += d
+		r.step(outcome(id, 0, sent[0].Endpoint, Delivered))
+		r.now += 200 * ms
+	}
+}
+
+func tableOf(edges []float64, shares map[float64]float64) *latencyTable {
+	t := &latencyTable{counts: make([]float64, len(edges))}
+	for c, p := range shares {
+		for i, e := range edges {
+			if e == c {
+				t.counts[i] = p
+				t.total += p
+			}
+		}
+	}
+	return t
+}
+
+func near(t *testing.T, what string, got, want float64) {
+	t.Helper()
+	if math.Abs(got-want) > 1e-9 {
+		t.Errorf("%s = %v, want %v", what, got, want)
+	}
+}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -26,7 +26,7 @@
 	return times
 }
 
-func TestPlannerKnowsATableAfterEnoughCalls(t *testing.T) {
+func TestPlanner_EnoughCalls_TableIsKnown(t *testing.T) {
 	// Given a service of two endpoints, one of which has been called four times and the other never.
 	p := NewPlanner(plannerLongest)
 	common, called, fresh := p.NewTable(), p.NewTable(), p.NewTable()
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestPlannerCallsFade(t *testing.T) {
+func TestPlanner_Calls_Decay(t *testing.T) {
 	p := NewPlanner(plannerLongest)
 	c := p.NewTable()
 	teachTable(c, 0, repeated(100*time.Millisecond, 8)...)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestPlanRestartsWhereTheTailIsLong(t *testing.T) {
+func TestPlan_LongTail_Restarts(t *testing.T) {
 	// Given endpoints that mostly take 100 ms, and one call in four times 5 s.
 	p := NewPlanner(plannerLongest)
 	common := p.NewTable()
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestPlanRunsOnWhereWorkIsSlowOfItself(t *testing.T) {
+func TestPlan_SlowRetries_RunsOn(t *testing.T) {
 	// Given the same tail, and resent requests that took twenty times what was expected.
 	p := NewPlanner(plannerLongest)
 	common, c := p.NewTable(), p.NewTable()
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestPlannerAgreesWithTheSendersPlan(t *testing.T) {
+func TestPlanner_SameCalls_AgreesWithSender(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		// Given tables with the same calls in a planner and in a sender's own types.
 		p := NewPlanner(plannerLongest)
--- /dev/null
+++ b/control/sender_test.go
@@ -0,0 +1,92 @@
+package control
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestStep_UnknownEvents_AreIgnored(t *testing.T) {
+	r := newHarness(t, settings(), Endpoint{ID: 1})
+	acts := r.step(outcome(99, 0, 1, Errored), Event{Kind: Withdrawn, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
+		Event{Kind: EventKind(200)})
+	if len(acts) != 0 {
+		t.Errorf("acts on unknown messages: %v", acts)
+	}
+	r.warm(2, 100*ms)
+	before := r.s.now
+	r.s.Step(before-time.Hour, nil, nil)
+	if r.s.now != before {
+		t.Error("the clock went back")
+	}
+}
+
+// A Step looks only at destinations for which something is held or out, not at all that the list names: at
+// hundreds of endpoints its cost had a day cut off.
+func TestStep_IdleDestinations_AreNotVisited(t *testing.T) {
+	var eps []Endpoint
+	for i := range 800 {
+		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i / 2})
+	}
+	r := newHarness(t, settings(), eps...)
+	ev := r.arrive(1, 2)
+	ev.Destination = 7
+	sent := actionsOf(r.step(ev), Send)
+	r.wait(100 * ms)
+	if n := len(r.s.active); n != 1 || len(sent) != 1 {
+		t.Fatalf("%d destinations looked at with one call out (%v)", n, sent)
+	}
+	r.step(outcome(1, 0, sent[0].Endpoint, Delivered))
+	r.wait(100 * ms)
+	if n := len(r.s.active); n != 0 {
+		t.Errorf("%d destinations looked at with nothing held or out", n)
+	}
+}
+
+func TestStep_SameEvents_GiveSameActions(t *testing.T) {
+	a, b := fuzzRun(t, 42, 4000), fuzzRun(t, 42, 4000)
+	if !reflect.DeepEqual(a, b) {
+		t.Error("the same events gave other actions")
+	}
+	if c := fuzzRun(t, 43, 4000); reflect.DeepEqual(a, c) {
+		t.Error("another script gave the same actions: the script is not played")
+	}
+}
+
+// BenchmarkStep is the cost of one message, from arrival to delivery, over many destinations.
+func BenchmarkStep(b *testing.B) {
+	for _, dests := range []int{10, 100, 400} {
+		b.Run(fmt.Sprintf("%d destinations", dests), func(b *testing.B) {
+			set := settings()
+			set.Slots, set.MaxOpen = 64, 1000
+			s, err := New(set, 1)
+			if err != nil {
+				b.Fatal(err)
+			}
+			list := Event{Kind: Listed, Complete: true}
+			for i := range 2 * dests {
+				list.Endpoints = append(list.Endpoints, Endpoint{ID: uint32(i + 1), Destination: i / 2})
+			}
+			now, evs, sent := time.Hour, []Event{list}, 0
+			var out []Action
+			b.ReportAllocs()
+			b.ResetTimer()
+			for i := range b.N {
+				now += 5 * ms
+				evs = append(evs, Event{Kind: Arrived, ID: uint64(i + 1), Destination: i % dests, Deadline: now + 8*time.Second})
+				out = s.Step(now, evs, out[:0])
+				evs = evs[:0]
+				for _, a := range out {
+					if a.Kind == Send {
+						sent++
+						evs = append(evs, outcome(a.ID, 0, a.Endpoint, Delivered))
+					}
+				}
+			}
+			if sent < b.N*9/10 {
+				b.Errorf("%d of %d sent", sent, b.N)
+			}
+		})
+	}
+}
--- a/control/shared_test.go
+++ b/control/shared_limits_test.go
@@ -27,7 +27,7 @@
 }
 
 // A part that was lent is what is spent, until its time is over; then the floor alone, or nothing.
-func TestLentPart(t *testing.T) {
+func TestLease_GrantedShare_IsSpentUntilExpiry(t *testing.T) {
 	for _, c := range []struct {
 		stays      bool
 		first, two float64 // calls a second
@@ -48,7 +48,7 @@
 }
 
 // What others were told of a limit counts where a sender has not been told lately itself.
-func TestHeardLimit(t *testing.T) {
+func TestGrant_LimitReportedToOthers_CountsIfNewer(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	r := newHarness(t, set, Endpoint{ID: 1})
@@ -65,7 +65,7 @@
 
 // Others' word stops a destination for one that has nothing newer of its own; it says nothing of that itself, so that no word comes
 // back as evidence. Their delivery brings it back, cold.
-func TestHearsay(t *testing.T) {
+func TestGrant_EvidenceOfOthers_EjectsAndReturns(t *testing.T) {
 	set := settings()
 	set.Peers = 10
 	r := newHarness(t, set, Endpoint{ID: 1})
@@ -106,7 +106,7 @@
 }
 
 // Of those who take a destination for down by the fleet's word one tries it; the others hardly do, but the last way is never shut.
-func TestTurnToTry(t *testing.T) {
+func TestGrant_UnhealthyRoute_OneSenderProbes(t *testing.T) {
 	tries := func(try bool) (n int) {
 		set := settings()
 		set.Peers, set.Slots = 10, 50
@@ -132,7 +132,7 @@
 }
 
 // A told wait that another heard of binds here too, for no longer than the settings' longest.
-func TestHeardWait(t *testing.T) {
+func TestGrant_WaitToldToOthers_Binds(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = 2 * time.Second
 	r := newHarness(t, set, Endpoint{ID: 1})
@@ -146,7 +146,7 @@
 }
 
 // A limit by hand that comes while limits are shared is split as they are.
-func TestHandWhileShared(t *testing.T) {
+func TestMaxRate_SharedLimits_IsSplit(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	r := newHarness(t, set, Endpoint{ID: 1})
@@ -160,7 +160,7 @@
 
 // A destination that leaves the list with rights out and comes back under another id has its floor, and what it is lent anew; what was
 // lent for the one before is nobody's.
-func TestLeftWithRights(t *testing.T) {
+func TestGrant_EndpointLeft_IsNobodys(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: true}}
