--- a/internal/tier/linearizability/check.go
+++ b/internal/tier/linearizability/check.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Check returns a *ViolationError if no sequence of the operations explains all answers. It searches by depth, and visits
-// no state twice: which operations with a clear answer are placed, and which orders were taken or refused.
+// Check returns a *ViolationError if no sequence of the operations explains all responses. It searches depth first, and visits no
+// state twice: a state is the set of linearized operations with a known outcome, and the sets of accepted and refused orders. Its
+// time can grow exponentially with the number of concurrent operations.
 func Check(operations []Operation) error {
 	s := newSearch(operations)
 	if s.explore(0) {
@@ -16,31 +17,32 @@
 	return &ViolationError{Operations: operations, Linearized: s.best, Candidates: s.stuckAt}
 }
 
-// search is the state of a search by depth.
+// search is the state of a depth-first search.
 type search struct {
 	operations []Operation
-	orders     []int // of each operation, the number of its order; -1: none
-	byCall     []int // operations, by the time of their call
-	contents   []Order
+	orders     []int   // of each operation, the number of its order; -1: none
+	byCall     []int   // operations, by the time of their call
+	contents   []Order // by number
 	visited    map[string]bool
-	linearized bitset
+	linearized bitset // operations with a known outcome
 	state      register
-	path       []int
-	best       []int
-	stuckAt    []int
-	known      int // operations with a clear answer
+	path       []int // linearized operations, in order
+	best       []int // the longest path so far
+	stuckAt    []int // candidates after that
+	known      int   // number of operations with a known outcome
 }
 
+// newSearch numbers the orders and sorts the operations. A Get with an unknown outcome constrains nothing and is left out.
 func newSearch(operations []Operation) *search {
 	s := &search{operations: operations, visited: map[string]bool{}, linearized: newBitset(len(operations))}
-	known := map[Order]int{}
+	numbers := map[Order]int{}
 	for i := range operations {
 		order := -1
 		if operations[i].Kind == Put {
-			number, ok := known[operations[i].Order]
+			number, ok := numbers[operations[i].Order]
 			if !ok {
 				number = len(s.contents)
-				known[operations[i].Order] = number
+				numbers[operations[i].Order] = number
 				s.contents = append(s.contents, operations[i].Order)
 			}
 			order = number
@@ -54,21 +56,21 @@
 		}
 	}
 	slices.SortStableFunc(s.byCall, func(a, b int) int { return cmp.Compare(operations[a].Call, operations[b].Call) })
-	s.state = register{taken: newBitset(len(s.contents)), refused: newBitset(len(s.contents))}
+	s.state = register{accepted: newBitset(len(s.contents)), refused: newBitset(len(s.contents))}
 	return s
 }
 
 // register is the state that the operations act on.
 type register struct {
-	current Version
-	taken   bitset
-	refused bitset // orders that were refused while their version had not come
+	current  Version
+	accepted bitset
+	refused  bitset // orders whose base was not current yet: they conflict for good
 }
 
 // apply lets an order take effect and returns its outcome.
 func (r *register) apply(number int, order *Order) Outcome {
 	switch {
-	case r.taken.has(number):
+	case r.accepted.has(number):
 		return Accepted
 	case order.Base != r.current.Number:
 		if order.Base > r.current.Number {
@@ -80,17 +82,17 @@
 	case r.refused.has(number):
 		return Conflict
 	}
-	r.taken.add(number)
+	r.accepted.add(number)
 	r.current = Version{Number: order.Number, Content: order.Content}
 	return Accepted
 }
 
-// explore places the operations that remain, given how many with a clear answer are placed.
-func (s *search) explore(clear int) bool {
-	if clear == s.known {
+// explore linearizes the operations that remain, given how many with a known outcome are linearized.
+func (s *search) explore(done int) bool {
+	if done == s.known {
 		return true
 	}
-	key := string(s.linearized) + string(s.state.taken) + string(s.state.refused)
+	key := string(s.linearized) + string(s.state.accepted) + string(s.state.refused)
 	if s.visited[key] {
 		return false
 	}
@@ -101,15 +103,15 @@
 	}
 	for _, i := range next {
 		before := s.state
-		s.state.taken, s.state.refused = slices.Clone(before.taken), slices.Clone(before.refused)
+		s.state.accepted, s.state.refused = slices.Clone(before.accepted), slices.Clone(before.refused)
 		if s.linearize(i) {
 			s.path = append(s.path, i)
-			placed := clear
+			nextDone := done
 			if s.operations[i].Outcome != Unknown {
 				s.linearized.add(i)
-				placed++
+				nextDone++
 			}
-			if s.explore(placed) {
+			if s.explore(nextDone) {
 				return true
 			}
 			s.path = s.path[:len(s.path)-1]
@@ -120,7 +122,7 @@
 	return false
 }
 
-// candidates lists the operations that may come next: those called before any that isn't placed yet was answered.
+// candidates lists the operations that may come next: those called before the first response among those not linearized yet.
 func (s *search) candidates() []int {
 	earliest := int64(math.MaxInt64)
 	var list []int
@@ -140,18 +142,18 @@
 	return list
 }
 
-// linearize lets an operation take effect and tells whether that explains its answer. One without a clear answer is worth placing
-// only where it changes something.
+// linearize lets an operation take effect and reports whether that explains its response. One with an unknown outcome is tried
+// only where it changes the state.
 func (s *search) linearize(i int) bool {
 	operation := &s.operations[i]
 	if operation.Kind == Get {
 		return operation.Version == s.state.current
 	}
 	number := s.orders[i]
-	known := s.state.taken.has(number) || s.state.refused.has(number)
+	known := s.state.accepted.has(number) || s.state.refused.has(number)
 	got := s.state.apply(number, &operation.Order)
 	if operation.Outcome == Unknown {
-		return !known && (s.state.taken.has(number) || s.state.refused.has(number))
+		return !known && (s.state.accepted.has(number) || s.state.refused.has(number))
 	}
 	return got == operation.Outcome
 }
--- a/internal/tier/linearizability/check_test.go
+++ b/internal/tier/linearizability/check_test.go
@@ -19,40 +19,40 @@
 	return linearizability.Operation{Kind: linearizability.Get, Outcome: linearizability.Read, Version: linearizability.Version{Number: number, Content: content}, Call: call, Return: answer}
 }
 
-func TestCheck(t *testing.T) {
-	const taken, conflict, notNewer, unclear = linearizability.Accepted, linearizability.Conflict, linearizability.StaleVersion, linearizability.Unknown
+func TestCheck_SingleHistories_ViolationOrNot(t *testing.T) {
+	const accepted, conflict, stale, unknown = linearizability.Accepted, linearizability.Conflict, linearizability.StaleVersion, linearizability.Unknown
 	tests := []struct {
 		name       string
 		operations []linearizability.Operation
 		want       bool
 	}{
 		{"nothing", nil, true},
-		{"one after the other", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", taken), get(6, 7, 4, "b")}, true},
-		{"nothing yet", []linearizability.Operation{get(0, 1, 0, ""), put(0, 1, 0, 3, "a", taken)}, true},
-		{"a lost update", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 4, "b", taken), get(4, 5, 3, "a")}, false},
-		{"a stale read", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 9, 3, 4, "b", taken), get(3, 4, 4, "b"), get(5, 6, 3, "a")}, false},
-		{"reads on both sides of a change", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 9, 3, 4, "b", taken), get(3, 4, 3, "a"), get(5, 6, 4, "b")}, true},
-		{"two confirmed under one number", []linearizability.Operation{put(0, 9, 0, 3, "a", taken), put(0, 9, 0, 3, "b", taken)}, false},
-		{"two confirmed on one version", []linearizability.Operation{put(0, 9, 0, 3, "a", taken), put(0, 9, 0, 4, "b", taken)}, false},
-		{"one of two wins", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", taken), get(10, 11, 3, "b")}, true},
+		{"one after the other", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", accepted), get(6, 7, 4, "b")}, true},
+		{"nothing yet", []linearizability.Operation{get(0, 1, 0, ""), put(0, 1, 0, 3, "a", accepted)}, true},
+		{"a lost update", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), get(4, 5, 3, "a")}, false},
+		{"a stale read", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 9, 3, 4, "b", accepted), get(3, 4, 4, "b"), get(5, 6, 3, "a")}, false},
+		{"reads on both sides of a change", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 9, 3, 4, "b", accepted), get(3, 4, 3, "a"), get(5, 6, 4, "b")}, true},
+		{"two confirmed under one number", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "b", accepted)}, false},
+		{"two confirmed on one version", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 4, "b", accepted)}, false},
+		{"one of two wins", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", accepted), get(10, 11, 3, "b")}, true},
 		{"none of two wins", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", conflict)}, false},
-		{"two operators send the same", []linearizability.Operation{put(0, 9, 0, 3, "a", taken), put(0, 9, 0, 3, "a", taken)}, true},
-		{"a repeat", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 4, "b", taken), put(4, 5, 0, 3, "a", taken), get(6, 7, 4, "b")}, true},
-		{"a refused repeat", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 0, 3, "a", conflict)}, false},
-		{"a refused repeat after another change", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 4, "b", taken), put(4, 5, 0, 3, "a", conflict)}, false},
-		{"a repeat takes effect again", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 4, "b", taken), put(4, 5, 0, 3, "a", taken), get(6, 7, 3, "a")}, false},
-		{"a refused repeat after an unclear answer that was in force", []linearizability.Operation{put(0, 0, 0, 3, "a", unclear), get(2, 3, 3, "a"), put(4, 5, 0, 3, "a", conflict)}, false},
-		{"an unclear order never takes effect", []linearizability.Operation{put(0, 0, 0, 3, "a", unclear), put(2, 3, 0, 4, "b", taken), get(4, 5, 4, "b")}, true},
-		{"an unclear order takes effect late", []linearizability.Operation{put(0, 0, 0, 3, "a", unclear), get(2, 3, 0, ""), get(50, 51, 3, "a")}, true},
-		{"an unclear order takes effect twice", []linearizability.Operation{put(0, 0, 0, 3, "a", unclear), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", taken), get(50, 51, 3, "a")}, false},
-		{"an effect before the call", []linearizability.Operation{get(0, 1, 3, "a"), put(2, 3, 0, 3, "a", taken)}, false},
-		{"a number that isn't higher", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 3, "b", notNewer), put(4, 5, 3, 4, "b", taken)}, true},
-		{"a number that isn't higher is confirmed", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 3, 3, 3, "b", taken)}, false},
-		{"refused before its version came, then in force", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", taken), get(4, 5, 4, "b"), put(0, 0, 3, 4, "b", unclear)}, false},
-		{"refused without a clear answer before its version came, then again", []linearizability.Operation{put(0, 0, 3, 4, "b", unclear), put(2, 3, 0, 3, "a", taken), put(4, 5, 3, 4, "b", conflict)}, true},
-		{"sent without a clear answer after its version came, then refused", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), put(2, 2, 3, 4, "b", unclear), put(4, 5, 3, 4, "b", conflict)}, false},
-		{"refused, then taken", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", taken), put(4, 5, 3, 4, "b", taken)}, false},
-		{"read with other content", []linearizability.Operation{put(0, 1, 0, 3, "a", taken), get(2, 3, 3, "b")}, false},
+		{"two operators send the same", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "a", accepted)}, true},
+		{"a duplicate", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", accepted), get(6, 7, 4, "b")}, true},
+		{"a refused duplicate", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 0, 3, "a", conflict)}, false},
+		{"a refused duplicate after another change", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", conflict)}, false},
+		{"a duplicate takes effect again", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", accepted), get(6, 7, 3, "a")}, false},
+		{"a refused duplicate after an unknown answer that was in force", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 3, "a"), put(4, 5, 0, 3, "a", conflict)}, false},
+		{"an order with an unknown outcome never takes effect", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), put(2, 3, 0, 4, "b", accepted), get(4, 5, 4, "b")}, true},
+		{"an order with an unknown outcome takes effect late", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 0, ""), get(50, 51, 3, "a")}, true},
+		{"an order with an unknown outcome takes effect twice", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", accepted), get(50, 51, 3, "a")}, false},
+		{"an effect before the call", []linearizability.Operation{get(0, 1, 3, "a"), put(2, 3, 0, 3, "a", accepted)}, false},
+		{"a number that isn't higher", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 3, "b", stale), put(4, 5, 3, 4, "b", accepted)}, true},
+		{"a number that isn't higher is confirmed", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 3, "b", accepted)}, false},
+		{"refused before its version came, then in force", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", accepted), get(4, 5, 4, "b"), put(0, 0, 3, 4, "b", unknown)}, false},
+		{"refused with an unknown outcome before its version came, then again", []linearizability.Operation{put(0, 0, 3, 4, "b", unknown), put(2, 3, 0, 3, "a", accepted), put(4, 5, 3, 4, "b", conflict)}, true},
+		{"sent with an unknown outcome after its version came, then refused", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 2, 3, 4, "b", unknown), put(4, 5, 3, 4, "b", conflict)}, false},
+		{"refused, then accepted", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", accepted), put(4, 5, 3, 4, "b", accepted)}, false},
+		{"read with other content", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "b")}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -70,39 +70,39 @@
 
 // service is a register that answers at once, with a fault or without.
 type service struct {
-	number  uint64
-	content string
-	taken   map[linearizability.Order]bool
-	before  linearizability.Version
-	fault   string
-	random  *rand.Rand
+	number   uint64
+	content  string
+	accepted map[linearizability.Order]bool
+	before   linearizability.Version
+	fault    string
+	random   *rand.Rand
 }
 
 // The faults of a service.
 const (
-	forgetsOrders  = "it forgets the orders taken"
-	losesUpdates   = "it loses an update now and then"
-	readsStale     = "it reads the version before now and then"
-	ignoresBase    = "it takes an order on any version"
-	comparesNumber = "it acknowledges the number, whatever the content"
-	repeatsAgain   = "a repeat takes effect again"
+	forgetsOrders     = "it forgets accepted orders"
+	losesUpdates      = "it loses an update now and then"
+	readsStale        = "it reads the version before now and then"
+	ignoresBase       = "it accepts an order on any version"
+	comparesNumber    = "it acknowledges the number, whatever the content"
+	repeatsDuplicates = "a duplicate takes effect again"
 )
 
 func (s *service) put(o linearizability.Order) linearizability.Outcome {
 	switch {
 	case s.fault == comparesNumber && o.Number == s.number:
 		return linearizability.Accepted
-	case s.taken[o] && s.fault == repeatsAgain:
+	case s.accepted[o] && s.fault == repeatsDuplicates:
 		s.number, s.content = o.Number, o.Content
 		return linearizability.Accepted
-	case s.taken[o] && s.fault != forgetsOrders:
+	case s.accepted[o] && s.fault != forgetsOrders:
 		return linearizability.Accepted
 	case o.Base != s.number && s.fault != ignoresBase:
 		return linearizability.Conflict
 	case o.Number <= s.number:
 		return linearizability.StaleVersion
 	}
-	s.taken[o] = true
+	s.accepted[o] = true
 	if s.fault == losesUpdates && s.random.IntN(8) == 0 {
 		return linearizability.Accepted
 	}
@@ -122,7 +122,7 @@
 func record(seed uint64, fault string) []linearizability.Operation {
 	const calls, operators = 60, 4
 	random := rand.New(rand.NewPCG(seed, 1))
-	s := &service{taken: map[linearizability.Order]bool{}, fault: fault, random: random}
+	s := &service{accepted: map[linearizability.Order]bool{}, fault: fault, random: random}
 	var list []linearizability.Operation
 	var sent []linearizability.Order
 	free := make([]int64, operators) // when each operator has its answer
@@ -164,24 +164,24 @@
 	return list
 }
 
-// TestRecordedHistories checks histories of a service that is right, and that one with a fault is found out.
-func TestRecordedHistories(t *testing.T) {
+// TestCheck_RecordedHistories_FindsEachFaultyService checks histories of a service that is right, and that one with a fault is found out.
+func TestCheck_RecordedHistories_FindsEachFaultyService(t *testing.T) {
 	const histories = 300
 	for seed := range uint64(histories) {
 		if err := linearizability.Check(record(seed, "")); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	const mostSeeds = 10
-	for _, fault := range []string{forgetsOrders, losesUpdates, readsStale, ignoresBase, comparesNumber, repeatsAgain} {
+	const maxSeeds = 10
+	for _, fault := range []string{forgetsOrders, losesUpdates, readsStale, ignoresBase, comparesNumber, repeatsDuplicates} {
 		t.Run(fault, func(t *testing.T) {
-			for seed := range uint64(mostSeeds) {
+			for seed := range uint64(maxSeeds) {
 				if linearizability.Check(record(seed, fault)) != nil {
 					t.Logf("found with seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", mostSeeds)
+			t.Errorf("not found with %d seeds", maxSeeds)
 		})
 	}
 }
--- a/internal/tier/linearizability/operation.go
+++ b/internal/tier/linearizability/operation.go
@@ -1,6 +1,9 @@
-// Package linearizability checks what operators have seen of the configuration: whether all their calls can have taken effect one
-// after the other, each between its call and its answer, on a register with compare-and-set whose orders count once. It is
-// pure.
+// Package linearizability checks histories of operators' calls on the configuration: whether all of them can have taken effect one
+// after the other, each between its call and its response, on a compare-and-set register on which an order counts once however
+// often it is sent. It is pure, and used by tests and simulations.
+//
+// Source: the search of Wing and Gong, Testing and Verifying Concurrent Objects (1993), with the memoization of Lowe, Testing for
+// Linearizability (2017).
 package linearizability
 
 import (
@@ -8,7 +11,7 @@
 	"strings"
 )
 
-// Kind is what a call asks for.
+// Kind is the kind of a call.
 type Kind int
 
 // The kinds.
@@ -17,37 +20,37 @@
 	Get             // the newest configuration
 )
 
-// Outcome is what a call was answered.
+// Outcome is the result that a caller got.
 type Outcome int
 
 // The outcomes.
 const (
-	Unknown      Outcome = iota // no clear answer: an order may take effect at any time after its call, or never
-	Accepted                    // now, or before
+	Unknown      Outcome = iota // none or an ambiguous one: an order may take effect at any time after its call, or never
+	Accepted                    // an order has taken effect, by this call or an earlier one
 	Conflict                    // another version is current
-	StaleVersion                // its number isn't higher than the current one
-	Read                        // the answer to a Get
+	StaleVersion                // an order's number isn't higher than the current one
+	Read                        // the result of a Get
 )
 
-var outcomeNames = map[Outcome]string{Unknown: "unclear", Accepted: "taken", Conflict: "conflict", StaleVersion: "not newer", Read: "read"}
+var outcomeNames = map[Outcome]string{Unknown: "unknown", Accepted: "accepted", Conflict: "conflict", StaleVersion: "stale version", Read: "read"}
 
-// String names the outcome.
+// String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Order is the content of a Put. Two of the same content are the same order.
+// Order is the content of a Put. Two with equal fields are the same order.
 type Order struct {
-	Base    uint64
-	Number  uint64
+	Base    uint64 // number of the version that must be current
+	Number  uint64 // of the new version
 	Content string
 }
 
-// Version is what a Get tells.
+// Version is the result of a Get.
 type Version struct {
 	Number  uint64 // 0: none yet
 	Content string
 }
 
-// Operation is one call of one operator.
+// Operation is one call of one operator. Times are on one clock, in any unit.
 type Operation struct {
 	Operator int
 	Kind     Kind
@@ -55,7 +58,7 @@
 	Outcome  Outcome
 	Version  Version // of a Get
 	Call     int64   // when it was sent
-	Return   int64   // when its answer came; without meaning if that was unclear
+	Return   int64   // when its response came; without meaning if the outcome is Unknown
 }
 
 // String describes the operation on one line.
@@ -70,17 +73,17 @@
 	return fmt.Sprintf("[%d, %d] operator %d, %s: %s", o.Call, o.Return, o.Operator, what, o.Outcome)
 }
 
-// ViolationError says that there is no order of the operations that explains all answers.
+// ViolationError says that no sequence of the operations explains all responses. Its numbers are indexes of Operations.
 type ViolationError struct {
 	Operations []Operation
-	Linearized []int // the longest sequence that was found to explain its answers
-	Candidates []int // the operations of which one had to come next
+	Linearized []int // the longest sequence found whose responses are explained
+	Candidates []int // operations of which one had to come next, and none could
 }
 
-// Error lists the linearizability.
+// Error implements error, with all operations listed.
 func (e *ViolationError) Error() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "the history is not linearizable: after %v, none of %v explains its answer\n", e.Linearized, e.Candidates)
+	fmt.Fprintf(&text, "history is not linearizable: after %v, the response of none of %v is explained\n", e.Linearized, e.Candidates)
 	for i := range e.Operations {
 		fmt.Fprintf(&text, "%4d %s\n", i, &e.Operations[i])
 	}
--- a/internal/tier/model/decode.go
+++ b/internal/tier/model/decode.go
@@ -8,18 +8,18 @@
 	"mastusher/internal/tier/validation"
 )
 
-// Decode reads one whole configuration. Fields that it doesn't know are dropped; bytes after the document are refused.
-// It doesn't tell whether the configuration is valid; see Validate.
+// Decode decodes one complete configuration. It ignores unknown fields, and refuses bytes after the document. It doesn't check whether
+// the configuration is valid; see Validate. The error is a validation.FieldError.
 func Decode(raw []byte) (*Configuration, error) {
-	read := new(Configuration)
-	if fault := DecodeValue("", raw, read); fault != nil {
-		return nil, fault
+	decoded := new(Configuration)
+	if err := DecodeValue("", raw, decoded); err != nil {
+		return nil, err
 	}
-	return read, nil
+	return decoded, nil
 }
 
-// DecodeValue reads one value of a configuration, which stands there under a key, into its target. A fault's place is below
-// the value.
+// DecodeValue decodes the value of a key of a configuration into its target. The field of an error is relative to the value. A
+// nil result must not be assigned to an error: that would be a typed nil.
 func DecodeValue(key string, raw []byte, target any) *validation.FieldError {
 	err := json.Unmarshal(raw, target)
 	if isFractionError(err) {
@@ -31,13 +31,13 @@
 	return nil
 }
 
-// isFractionError tells whether a number such as 250.0 may stand where a whole one is expected.
+// isFractionError reports whether an error may come from a number such as 250.0 in place of an integer.
 func isFractionError(err error) bool {
 	var mismatch *json.UnmarshalTypeError
 	return errors.As(err, &mismatch) && isNumber(mismatch.Value)
 }
 
-// isNumber tells whether the decoder's name of a value is that of a number.
+// isNumber reports whether the decoder's name of a value is that of a number.
 func isNumber(value string) bool {
 	const prefix = "number "
 	return len(value) > len(prefix) && value[:len(prefix)] == prefix
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -29,7 +29,7 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`)
 }
 
-func TestReadDecodesTheWhole(t *testing.T) {
+func TestParse_CompleteDocument_EqualsDecode(t *testing.T) {
 	raw := document(3)
 	want, err := model.Decode(raw)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestReadNamesPlaceAndReason(t *testing.T) {
+func TestParse_InvalidField_NamesFieldAndReason(t *testing.T) {
 	cases := []struct{ old, changed, want string }{
 		{`"giveUpMs":5000`, `"giveUpMs":"x"`, "routes[0].giveUpMs: is a text, not a number"},
 		{`"giveUpMs":5000`, `"giveUpMs":-3`, "routes[0].giveUpMs: -3 is not above 0"},
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestReadRefusesWhatIsNotWhole(t *testing.T) {
+func TestParse_IncompleteDocument_IsRefused(t *testing.T) {
 	whole := document(2)
 	for end := range len(whole) {
 		if _, err := form.Parse(whole[:end]); err == nil {
@@ -106,7 +106,7 @@
 }
 
 // Given one processor, when a large document is read, then others get their turn again and again: heartbeats are among them.
-func TestOthersRunWhileADocumentIsRead(t *testing.T) {
+func TestParse_LargeDocument_YieldsToOtherGoroutines(t *testing.T) {
 	const routes, elementsBetween = 2000, 64
 	raw := document(routes)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/internal/tier/model/model.go
+++ b/internal/tier/model/model.go
@@ -1,62 +1,66 @@
-// Package model holds the operator's configuration and the platform's endpoints as typed values. It does no I/O.
+// Package model holds the operator's configuration and the platform's endpoints as typed values, and looks up the route of a
+// request. Controllers validate configurations with it (through package form), proxies route by its Table. It does no I/O. Values
+// are read-only once a Table is made of them, so that goroutines share them without locks.
+//
+// The JSON keys are the operators' interface and partly older than the names of the fields; they must not change.
 package model
 
-// RouteKind says what may be repeated on a route.
+// RouteKind says whether a request of a route may be retried.
 type RouteKind string
 
 // The kinds of route.
 const (
-	Retryable  RouteKind = "retryable" // a request may run more than once
-	AtMostOnce RouteKind = "once_only" // a request runs at most once
-	Streaming  RouteKind = "streaming" // a series of events; once only unless it can be resumed
+	Retryable  RouteKind = "retryable" // idempotent: a request may be executed more than once
+	AtMostOnce RouteKind = "once_only" // a request must be executed at most once
+	Streaming  RouteKind = "streaming" // the response is a stream of events; at most once unless it is resumable
 )
 
-// Configuration is one whole version of what the operator wants.
+// Configuration is one complete version of the operator's configuration.
 type Configuration struct {
-	Version  uint64    `json:"number"` // its version; grows with each change
+	Version  uint64    `json:"number"` // grows with each change
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
 }
 
-// Route leads requests of one host and path prefix to a service, or to several by shares.
+// Route maps the requests of one host and path prefix to a service, or to several by weight.
 type Route struct {
 	Name             string            `json:"name"`
-	Host             string            `json:"host"`
+	Host             string            `json:"host"`       // compared without port and case
 	PathPrefix       string            `json:"startsWith"` // begins and ends with a slash
 	Kind             RouteKind         `json:"kind"`
-	TimeoutMs        int64             `json:"giveUpMs"` // longest time that a request is held
-	LatencyTargetMs  int64             `json:"targetMs"` // time within which an answer earns its full worth
-	Priority         int               `json:"rank"`     // 0 is the most urgent
-	Service          string            `json:"service,omitempty"`
+	TimeoutMs        int64             `json:"giveUpMs"`          // total time of a request, retries included; above 0
+	LatencyTargetMs  int64             `json:"targetMs"`          // latency target: a later response is of less value
+	Priority         int               `json:"rank"`              // 0 is the highest
+	Service          string            `json:"service,omitempty"` // empty where WeightedServices are given
 	WeightedServices []WeightedService `json:"shares,omitempty"`
-	MaxAttempts      int               `json:"tries"` // endpoints that one request may be sent to
-	Stateful         bool              `json:"remembered,omitempty"`
-	RetentionS       float64           `json:"keepForS,omitempty"` // how long a finished turn is kept, in seconds
-	Affinity         bool              `json:"pinned,omitempty"`   // an endpoint works faster on what it has lately seen
-	Resumable        bool              `json:"canResume,omitempty"`
-	EventGapTargetMs int64             `json:"gap_aim_ms,omitempty"` // longest pause between events of an answer in time
+	MaxAttempts      int               `json:"tries"`                // number of endpoints that one request may be sent to
+	Stateful         bool              `json:"remembered,omitempty"` // turns build on earlier ones, whose chains the shards store
+	RetentionS       float64           `json:"keepForS,omitempty"`   // of a turn that has ended, s
+	Affinity         bool              `json:"pinned,omitempty"`     // prefer the endpoint that served the same prefix lately: it is in its cache
+	Resumable        bool              `json:"canResume,omitempty"`  // a broken stream may continue on another endpoint
+	EventGapTargetMs int64             `json:"gap_aim_ms,omitempty"` // latency target between two events of a stream, ms
 }
 
-// WeightedService is one service's part of a route.
+// WeightedService is a service with its share of a route's requests.
 type WeightedService struct {
 	Service string  `json:"service"`
-	Weight  float64 `json:"share"`
+	Weight  float64 `json:"share"` // at least 0; relative to the sum of all weights
 }
 
-// Service is a set of endpoints that do the same work.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name           string  `json:"name"`
 	HealthPath     string  `json:"healthPath"`
-	MaxConnections int     `json:"maxConnections"` // that one endpoint takes from all callers together
+	MaxConnections int     `json:"maxConnections"` // of one endpoint, from all callers together
 	Protocol       string  `json:"protocol"`
 	TLS            bool    `json:"tls"`
 	Engine         *Engine `json:"engine,omitempty"` // nil: not a model server
 }
 
-// Engine describes the model servers of a service.
+// Engine describes the model servers (LLM inference engines) of a service.
 type Engine struct {
-	Capacity        int     `json:"capacity"` // requests in one batch
+	Capacity        int     `json:"capacity"` // batch size: requests that run at once
 	CacheTokens     int64   `json:"cacheTokens"`
 	TokenCacheBytes int64   `json:"tokenCacheBytes"`
 	NetworkMbps     float64 `json:"networkMbps"`
@@ -69,7 +73,7 @@
 	Name string `json:"name"`
 }
 
-// Limits bounds what a client may send and how long it may take.
+// Limits are the limits of what a client may send and how long it may take; 0: the proxy's default.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`
@@ -77,23 +81,23 @@
 	IdleTimeoutMs   int64 `json:"idleCloseMs"`
 }
 
-// EndpointState is what the platform says of an endpoint.
+// EndpointState is an endpoint's state on the platform's list.
 type EndpointState string
 
-// The states of an endpoint on the platform's list.
+// The states of an endpoint.
 const (
-	Ready    EndpointState = "ready"
-	Draining EndpointState = "draining"
+	Ready    EndpointState = "ready"    // takes requests
+	Draining EndpointState = "draining" // must get no new requests
 )
 
-// Endpoint is one entry of the platform's list. Its ID names one incarnation; its address may later be another's.
+// Endpoint is one entry of the platform's list. Its ID names one incarnation; its address may be reused by another later.
 type Endpoint struct {
 	ID           string        `json:"id"`
 	Service      string        `json:"service"`
 	Address      string        `json:"address"`
 	Zone         string        `json:"zone"`
-	Version      string        `json:"number"` // version of its software
-	Capacity     int           `json:"capacity"`
+	Version      string        `json:"number"`   // version of its software
+	Capacity     int           `json:"capacity"` // requests that it runs at once
 	State        EndpointState `json:"state"`
-	WarmUpLeftMs int64         `json:"coldLeftMs,omitempty"`
+	WarmUpLeftMs int64         `json:"coldLeftMs,omitempty"` // remaining warm-up time, ms
 }
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestDecodeReadsEveryField(t *testing.T) {
+func TestDecode_EveryField_IsDecoded(t *testing.T) {
 	got, err := Decode([]byte(document))
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestDecodeTakesOtherSpellingsOfTheSameNumbers(t *testing.T) {
+func TestDecode_NumbersSpelledDifferently_AreTheSame(t *testing.T) {
 	cases := map[string][2]string{
 		"a fraction of zero":          {`"giveUpMs":5000`, `"giveUpMs":5000.0`},
 		"an exponent":                 {`"giveUpMs":5000`, `"giveUpMs":5e3`},
@@ -93,7 +93,7 @@
 	return strings.Replace(document, old, replacement, 1)
 }
 
-func TestDecodeRefusesWhatIsNotOneWholeConfiguration(t *testing.T) {
+func TestDecode_NotOneCompleteConfiguration_IsRefused(t *testing.T) {
 	cases := map[string]string{
 		"nothing":              "",
 		"bytes after it":       document + "x",
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestDecodeRefusesEveryDocumentCutShort(t *testing.T) {
+func TestDecode_DocumentTruncatedAnywhere_IsRefused(t *testing.T) {
 	for length := range len(document) {
 		if got, err := Decode([]byte(document[:length])); err == nil {
 			t.Fatalf("cut at %d: got %v", length, got)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestValidateTakesAWholeConfiguration(t *testing.T) {
+func TestValidate_CompleteConfiguration_IsValid(t *testing.T) {
 	if err := Validate(configuration()); err != nil {
 		t.Error(err)
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestValidateNamesThePlaceOfEachFault(t *testing.T) {
+func TestValidate_EachError_NamesItsField(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Configuration)
 		places []string
--- a/internal/tier/model/schema/form_test.go
+++ b/internal/tier/model/schema/form_test.go
@@ -95,7 +95,7 @@
 }
 
 // Given any document near a proper one, then the typed checks that controllers use and the schema agree on it.
-func TestTypedChecksAgreeWithTheSchema(t *testing.T) {
+func TestForm_AnyDocument_AgreesWithSchema(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := changed(t)
 		if text := agree(raw); text != "" {
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -27,7 +27,7 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`
 }
 
-func TestCheckTakesProperConfigurations(t *testing.T) {
+func TestCheck_ValidConfigurations_HaveNoErrors(t *testing.T) {
 	whole := document(3)
 	cases := map[string]string{
 		"whole":                     whole,
@@ -62,7 +62,7 @@
 	return strings.Replace(whole, old, replacement, 1)
 }
 
-func TestCheckNamesThePlaceOfEachFault(t *testing.T) {
+func TestCheck_EachError_NamesItsField(t *testing.T) {
 	cases := map[string]struct {
 		raw    string
 		places []string
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCheckNamesNothingThatIsProper(t *testing.T) {
+func TestCheck_ValidFields_AreNotNamed(t *testing.T) {
 	raw := replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`)
 	var places []string
 	for _, fault := range validation.FieldErrors(Check([]byte(raw))) {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestManyMayCheckAtOnce(t *testing.T) {
+func TestCheck_Concurrently_GivesTheSame(t *testing.T) {
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() {
--- a/internal/tier/model/table.go
+++ b/internal/tier/model/table.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Table finds the routes and services of one configuration. It is never changed, so many goroutines may use it.
+// Table looks up the routes and services of one configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	configuration *Configuration
 	hosts         map[string]*hostRoutes // by canonical host
 	services      map[string]*Service
 }
 
-// hostRoutes holds the routes of one host by their prefixes. A path is looked up once for each length that a prefix
-// has, the longest first.
+// hostRoutes holds the routes of one host by their prefixes. A path is looked up once for each length that a prefix has, the longest
+// first.
 type hostRoutes struct {
-	lengths  []int
+	lengths  []int // of the prefixes, descending, each once
 	prefixes map[string]*Route
 }
 
-// NewTable makes the table of a configuration, which must not be changed afterwards. Of two routes with the same host
-// and prefix, and of two services with the same name, the first counts.
+// NewTable builds the table of a configuration, which must not be changed afterwards. Of two routes with the same host and prefix, and
+// of two services with the same name, the first counts.
 func NewTable(c *Configuration) *Table {
 	table := &Table{
 		configuration: c,
@@ -64,18 +64,18 @@
 	slices.Reverse(r.lengths)
 }
 
-// Configuration is the one that the table was made of.
+// Configuration returns the configuration that the table was built from.
 func (t *Table) Configuration() *Configuration {
 	return t.configuration
 }
 
-// Service finds a service by its name; nil: there is none.
+// Service returns the service of that name, or nil.
 func (t *Table) Service(name string) *Service {
 	return t.services[name]
 }
 
-// Match finds the route of a request: of the routes of its host, the one with the longest prefix that begins the path.
-// The host may carry a port, and its case doesn't matter; the path is the escaped one, as it came.
+// Match returns the route of a request: of the routes of its host, the one with the longest prefix of the path. The host may carry a
+// port and is compared without case; the path is the escaped one, as received.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes := t.routesOf(withoutPort(host))
 	if routes == nil {
@@ -96,19 +96,19 @@
 	return nil, false
 }
 
-// maxStackHostBytes is the length up to which a host name in capitals is looked up without an allocation.
+// maxStackHostBytes is the length up to which a host name with capitals is looked up without an allocation. It is the limit of DNS.
 const maxStackHostBytes = 255
 
 func (t *Table) routesOf(host string) *hostRoutes {
 	if routes, ok := t.hosts[host]; ok || !hasCapital(host) {
 		return routes
 	}
-	var space [maxStackHostBytes]byte
-	lower := appendLower(space[:0], host)
+	var buffer [maxStackHostBytes]byte
+	lower := appendLower(buffer[:0], host)
 	return t.hosts[string(lower)]
 }
 
-// canonicalHost is a host as it is compared: without its port, in lower case.
+// canonicalHost returns a host as it is compared: without its port, in lower case.
 func canonicalHost(host string) string {
 	host = withoutPort(host)
 	if !hasCapital(host) {
@@ -117,7 +117,7 @@
 	return string(appendLower(nil, host))
 }
 
-// withoutPort cuts the port off; the colons inside the brackets of an IPv6 address stay.
+// withoutPort removes the port. Colons inside the brackets of an IPv6 address don't begin one.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
--- a/internal/tier/model/table_test.go
+++ b/internal/tier/model/table_test.go
@@ -22,7 +22,7 @@
 	return NewTable(&Configuration{Routes: routes})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatch_SeveralPrefixes_LongestOfTheHost(t *testing.T) {
 	table := matchTable()
 	cases := []struct {
 		host, path, want string
@@ -80,7 +80,7 @@
 	return best
 }
 
-func TestMatchEqualsTheNaiveOne(t *testing.T) {
+func TestMatch_AnyTable_EqualsLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := rapid.StringMatching(`[aAbB]{1,2}(:80)?`)
 		prefix := rapid.StringMatching(`/([xy]{1,2}/){0,3}`)
@@ -123,7 +123,7 @@
 	return strings.IndexFunc(text, func(r rune) bool { return r >= firstBeyond }) < 0
 }
 
-func TestMatchAllocatesNothing(t *testing.T) {
+func TestMatch_AnyHost_DoesNotAllocate(t *testing.T) {
 	table := matchTable()
 	requests := [][2]string{{"a.example:8149", "/x/yy/1"}, {"A.Example:8149", "/x/yy/1"}, {"c.example", "/"}}
 	for _, request := range requests {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestServicesAreFoundByName(t *testing.T) {
+func TestService_ByName_FirstOrNil(t *testing.T) {
 	table := NewTable(configuration())
 	if got := table.Service("lm"); got == nil || got.MaxConnections != 370 {
 		t.Errorf("got %+v", got)
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestPickWithoutSharesIsTheService(t *testing.T) {
+func TestPickService_NoWeights_IsTheService(t *testing.T) {
 	for name, route := range map[string]Route{
 		"one service":    {Service: "a"},
 		"shares of 0":    {Service: "a", WeightedServices: []WeightedService{{Service: "b"}}},
@@ -164,7 +164,7 @@
 }
 
 // Over many keys, also those that follow one another, each service is picked by its share, within five deviations.
-func TestPickKeepsTheShares(t *testing.T) {
+func TestPickService_ManyKeys_FollowWeights(t *testing.T) {
 	const keys = 4000
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.OneOf(rapid.Just(0.0), rapid.Float64Range(0.01, 100))
@@ -178,7 +178,7 @@
 		for i := range uint64(keys) {
 			picked[route.PickService(first+i)]++
 		}
-		total := totalShare(route.WeightedServices)
+		total := sumOfWeights(route.WeightedServices)
 		if total == 0 {
 			if picked["none"] != keys {
 				t.Fatalf("got %v", picked)
@@ -199,7 +199,7 @@
 }
 
 // A share that grows from the first service to the second moves only the keys of that part.
-func TestPickMovesOnlyWhatShifted(t *testing.T) {
+func TestPickService_WeightMoves_OnlyItsKeysMove(t *testing.T) {
 	before := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	after := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}}}
 	for key := range uint64(10000) {
--- a/internal/tier/model/validate.go
+++ b/internal/tier/model/validate.go
@@ -10,24 +10,25 @@
 	"mastusher/internal/tier/validation"
 )
 
-// Validate finds what makes a configuration invalid by itself, and returns all faults together; see validation.Faults.
-// Whether its number is higher than the current one is not judged here.
+// Validate checks a configuration by itself, and returns all errors together; see validation.FieldErrors. Whether its version is
+// higher than the current one is not checked here.
 func Validate(c *Configuration) error {
-	var check validator
-	check.services(c.Services)
-	check.topLevel(c)
-	check.routes(c.Routes)
-	return check.errs
+	var v validator
+	v.services(c.Services)
+	v.topLevel(c)
+	v.routes(c.Routes)
+	return v.errs
 }
 
-// validator gathers the faults of one configuration.
+// validator collects the errors of one configuration.
 type validator struct {
-	knownServices map[string]bool // names of services
+	knownServices map[string]bool // by name
 	errs          error
 }
 
-func (v *validator) fail(place, format string, args ...any) {
-	multierr.AppendInto(&v.errs, &validation.FieldError{Field: place, Reason: fmt.Sprintf(format, args...)})
+// fail records an error of a field.
+func (v *validator) fail(field, format string, args ...any) {
+	multierr.AppendInto(&v.errs, &validation.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (v *validator) topLevel(c *Configuration) {
@@ -45,79 +46,79 @@
 func (v *validator) services(services []Service) {
 	v.knownServices = make(map[string]bool, len(services))
 	for i := range services {
-		place := fmt.Sprintf("services[%d].name", i)
+		field := fmt.Sprintf("services[%d].name", i)
 		name := services[i].Name
 		switch {
 		case name == "":
-			v.fail(place, "is missing")
+			v.fail(field, "is missing")
 		case v.knownServices[name]:
-			v.fail(place, "%q stands there twice", name)
+			v.fail(field, "%q stands there twice", name)
 		}
 		v.knownServices[name] = true
 	}
 }
 
-// target is what a request is matched by.
-type target struct {
+// matchKey is what a request is matched by.
+type matchKey struct {
 	host, prefix string
 }
 
 func (v *validator) routes(routes []Route) {
-	seen := make(map[target]int, len(routes))
+	seen := make(map[matchKey]int, len(routes))
 	for i := range routes {
 		route := &routes[i]
-		place := fmt.Sprintf("routes[%d]", i)
-		v.route(place, route)
-		matched := target{host: canonicalHost(route.Host), prefix: route.PathPrefix}
+		field := fmt.Sprintf("routes[%d]", i)
+		v.route(field, route)
+		matched := matchKey{host: canonicalHost(route.Host), prefix: route.PathPrefix}
 		if first, ok := seen[matched]; ok {
-			v.fail(place, "has the same host and prefix as routes[%d]", first)
+			v.fail(field, "has the same host and prefix as routes[%d]", first)
 			continue
 		}
 		seen[matched] = i
 	}
 }
 
-func (v *validator) route(place string, route *Route) {
+func (v *validator) route(field string, route *Route) {
 	if route.Host == "" {
-		v.fail(place+".host", "is missing")
+		v.fail(field+".host", "is missing")
 	}
 	if !isPrefix(route.PathPrefix) {
-		v.fail(place+".startsWith", "%q doesn't begin and end with a slash", route.PathPrefix)
+		v.fail(field+".startsWith", "%q doesn't begin and end with a slash", route.PathPrefix)
 	}
 	if !route.Kind.isKnown() {
-		v.fail(place+".kind", "%q is no kind of route", route.Kind)
+		v.fail(field+".kind", "%q is no kind of route", route.Kind)
 	}
 	if route.TimeoutMs <= 0 {
-		v.fail(place+".giveUpMs", "%d is not above 0", route.TimeoutMs)
+		v.fail(field+".giveUpMs", "%d is not above 0", route.TimeoutMs)
 	}
 	if len(route.WeightedServices) == 0 || route.Service != "" {
-		v.reference(place+".service", route.Service)
+		v.reference(field+".service", route.Service)
 	}
 	if len(route.WeightedServices) > 0 {
-		v.shares(place+".shares", route.WeightedServices)
+		v.shares(field+".shares", route.WeightedServices)
 	}
 }
 
-func (v *validator) reference(place, service string) {
+func (v *validator) reference(field, service string) {
 	if service == "" {
-		v.fail(place, "names no service")
+		v.fail(field, "names no service")
 		return
 	}
 	if !v.knownServices[service] {
-		v.fail(place, "%q is not known", service)
+		v.fail(field, "%q is not known", service)
 	}
 }
 
-func (v *validator) shares(place string, shares []WeightedService) {
+func (v *validator) shares(field string, shares []WeightedService) {
 	for i := range shares {
-		inner := fmt.Sprintf("%s[%d]", place, i)
+		inner := fmt.Sprintf("%s[%d]", field, i)
 		v.reference(inner+".service", shares[i].Service)
 		if shares[i].Weight < 0 {
 			v.fail(inner+".share", "%v is negative", shares[i].Weight)
 		}
 	}
-	if total := totalShare(shares); !isUsableTotal(total) {
-		v.fail(place, "add up to %v", total)
+	if total := sumOfWeights(shares); !isUsableSum(total) {
+		v.fail(field, "add up to %v", total)
 	}
 }
 
@@ -129,7 +130,7 @@
 	return k == Retryable || k == AtMostOnce || k == Streaming
 }
 
-func totalShare(shares []WeightedService) float64 {
+func sumOfWeights(shares []WeightedService) float64 {
 	total := 0.0
 	for i := range shares {
 		total += shares[i].Weight
@@ -137,7 +138,7 @@
 	return total
 }
 
-// isUsableTotal tells whether shares that add up to this can be picked by.
-func isUsableTotal(total float64) bool {
+// isUsableSum reports whether a service can be picked by weights with this sum.
+func isUsableSum(total float64) bool {
 	return total > 0 && !math.IsInf(total, 1)
 }
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestParseReadsEveryKeyAndIgnoresUnknownOnes(t *testing.T) {
+func TestParse_EveryKey_IsReadAndUnknownIgnored(t *testing.T) {
 	got, err := Parse([]byte(edgeFile))
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestParseNamesTheKeyOfEachFault(t *testing.T) {
+func TestParse_EachError_NamesItsKey(t *testing.T) {
 	cases := map[string]struct {
 		old, new string
 		keys     []string
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestParseOfAnEmptyFileNamesAllThatIsNeeded(t *testing.T) {
+func TestParse_EmptyFile_NamesAllRequiredKeys(t *testing.T) {
 	want := []string{"nodeName", "role", "machineClass", "ip", "zone", "portRange"}
 	for _, raw := range []string{"", "null", "{}", "---\n"} {
 		_, err := Parse([]byte(raw))
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestParseOfBytesThatAreNoYAML(t *testing.T) {
+func TestParse_NotYAML_IsRefused(t *testing.T) {
 	for _, raw := range []string{"a: [", "\x00", "\t- x", "a: *b"} {
 		_, err := Parse([]byte(raw))
 		if len(validation.FieldErrors(err)) == 0 {
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestARegionLeftOutIsThatOfTheZone(t *testing.T) {
+func TestParse_RegionMissing_IsThatOfTheZone(t *testing.T) {
 	got, err := Parse([]byte(strings.Replace(edgeFile, `region: "coast"`, ``, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestLoadNamesTheFile(t *testing.T) {
+func TestLoad_Errors_NameTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 
 	_, absent := Load(path)
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestPortsOfTheRange(t *testing.T) {
+func TestPort_Offsets_WithinTheRangeOnly(t *testing.T) {
 	s := &Settings{PortRange: PortRange{First: 7380, Last: 7382}}
 	for offset, want := range map[int]int{-1: 0, 0: 7380, 2: 7382, 3: 0} {
 		if got := s.Port(offset); got != want {
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestBoundsHaveUsualValues(t *testing.T) {
+func TestBounds_NotGiven_HaveDefaults(t *testing.T) {
 	usual := map[string]time.Duration{
 		"seed delay": Bounds(nil).SeedDelay(), "reuse": Bounds(nil).ReuseAfter(), "quiet": Bounds(nil).Quiet(),
 		"confirm": Bounds(nil).ConfirmWithin(), "catch up": Bounds(nil).CatchUp(), "drain": Bounds(nil).DrainWithin(),
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestBoundsOfTheFileGoFirst(t *testing.T) {
+func TestBounds_Given_OverrideDefaults(t *testing.T) {
 	bounds := edgeSettings().Bounds
 	if got := bounds.DrainWithin(); got != 2500*time.Millisecond {
 		t.Errorf("drain: got %v", got)
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestTimesOutsideTheBounds(t *testing.T) {
+func TestHeartbeatAndDelay_Figures_BecomeDurations(t *testing.T) {
 	if got := (&Settings{HeartbeatMs: 1200}).Heartbeat(); got != 1200*time.Millisecond {
 		t.Errorf("given heartbeat: got %v", got)
 	}
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestQuestionsAboutARole(t *testing.T) {
+func TestSettings_Role_ServesAndHasWhatTheFileSays(t *testing.T) {
 	s := edgeSettings()
 	if !s.DoesServe(ServesEdge) || s.DoesServe(ServesStorage) {
 		t.Errorf("serves %v", s.Serves)
@@ -305,7 +305,7 @@
 }
 
 // Any fractional bound in range is read back as that many units, within a nanosecond's rounding.
-func TestBoundsKeepTheirUnits(t *testing.T) {
+func TestBounds_EachKey_HasItsUnit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		given := rapid.Float64Range(0, 1e6).Draw(t, "catchUpS")
 		bounds := Bounds{catchUpKey: given}
