--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -59,8 +59,8 @@
 	return route == onceRoute || kind != misdirected
 }
 
-// TestAnswerMayPauseAtEachByte has an endpoint pause after each byte of its answer: it is passed on whole all the same.
-func TestAnswerMayPauseAtEachByte(t *testing.T) {
+// TestResponse_PausesAtEachByte_IsForwarded has an endpoint pause after each byte of its answer: it is passed on whole all the same.
+func TestResponse_PausesAtEachByte_IsForwarded(t *testing.T) {
 	forEachFraming(t, []routeKind{onceRoute, resumeRoute, turnRoute}, func(t *testing.T, route routeKind, kind answerKind) {
 		var requests []*requestScript
 		for at := range answerLength(newRequest(route, 0, whole(kind, 2))) {
@@ -83,9 +83,9 @@
 	})
 }
 
-// TestAnswerMayEndAtEachByte has an endpoint end its connection after each byte of its answer. A request that may run again is
+// TestResponse_EndsAtEachByte_LooksIncomplete has an endpoint end its connection after each byte of its answer. A request that may run again is
 // served by another one; a request that may not is sent once, and no broken answer looks complete.
-func TestAnswerMayEndAtEachByte(t *testing.T) {
+func TestResponse_EndsAtEachByte_LooksIncomplete(t *testing.T) {
 	forEachFraming(t, withTurns, func(t *testing.T, route routeKind, kind answerKind) {
 		for _, end := range allEndings {
 			if end == halfOnly && kind != success && kind != unframed {
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestRequestMayBeBrokenOffAtEachByte has an endpoint end its connection after it has read each byte of a request.
-func TestRequestMayBeBrokenOffAtEachByte(t *testing.T) {
+// TestRequest_EndpointClosesAtEachByte_KeepsRules has an endpoint end its connection after it has read each byte of a request.
+func TestRequest_EndpointClosesAtEachByte_KeepsRules(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, end := range allEndings {
 			t.Run(fmt.Sprint(route, "/", endings[end]), func(t *testing.T) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestClientMayPauseOrLeaveAtEachByte has a client pause, or leave, after each byte of its request.
-func TestClientMayPauseOrLeaveAtEachByte(t *testing.T) {
+// TestClient_PausesOrClosesAtEachByte_KeepsRules has a client pause, or leave, after each byte of its request.
+func TestClient_PausesOrClosesAtEachByte_KeepsRules(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, chunks := range []int{0, 2} {
 			for _, leave := range append(allEndings, stay) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestClientMayLeaveWhileItsAnswerComes has a client leave at each moment of a slow answer.
-func TestClientMayLeaveWhileItsAnswerComes(t *testing.T) {
+// TestClient_ClosesWhileResponseComes_EndsWork has a client leave at each moment of a slow answer.
+func TestClient_ClosesWhileResponseComes_EndsWork(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, leave := range allEndings {
 			t.Run(fmt.Sprint(route, "/", endings[leave]), func(t *testing.T) {
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestConnectionMayEndAtEachMomentOfItsReuse has an endpoint end a kept connection at each moment around the next request: one that
+// TestConnection_ClosesAtEachMomentOfReuse_SendsOnce has an endpoint end a kept connection at each moment around the next request: one that
 // may not run again is sent once, whatever became of it.
-func TestConnectionMayEndAtEachMomentOfItsReuse(t *testing.T) {
+func TestConnection_ClosesAtEachMomentOfReuse_SendsOnce(t *testing.T) {
 	const between = 20 * time.Millisecond
 	for _, route := range allRoutes {
 		for _, end := range allEndings {
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestEarlyAnswerLeavesNoOtherBytes has endpoints answer before they have read a long body, keep the connection, and read on at
+// TestEarlyResponse_LongBody_LeavesNoForeignBytes has endpoints answer before they have read a long body, keep the connection, and read on at
 // another time: they never get another request's bytes where the rest of the body is due.
-func TestEarlyAnswerLeavesNoOtherBytes(t *testing.T) {
+func TestEarlyResponse_LongBody_LeavesNoForeignBytes(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, kind := range []answerKind{notRun, success, failure} {
 			t.Run(fmt.Sprint(route, "/", framings[kind]), func(t *testing.T) {
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestSecondAnswerGoesToNobody has endpoints answer each request twice, the second time at each moment around the next request.
-func TestSecondAnswerGoesToNobody(t *testing.T) {
+// TestSecondResponse_IsNeverForwarded has endpoints answer each request twice, the second time at each moment around the next request.
+func TestSecondResponse_IsNeverForwarded(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, kind := range []answerKind{success, chunked, informational, failure, notRun} {
 			t.Run(fmt.Sprint(route, "/", framings[kind]), func(t *testing.T) {
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestAnswerThatAClientDoesNotTakeIsCut has a client read nothing of a long answer until the proxy gives it up: what it reads then
+// TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long answer until the proxy gives it up: what it reads then
 // doesn't look complete, also where only the end of its connection tells the end of the answer.
-func TestAnswerThatAClientDoesNotTakeIsCut(t *testing.T) {
+func TestResponse_ClientReadsNothing_LooksIncomplete(t *testing.T) {
 	for _, old := range []bool{false, true} {
 		for _, route := range []routeKind{onceRoute, safeRoute} {
 			for _, kind := range []answerKind{success, chunked, unframed} {
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestKilledProxyLeavesNothingThatLooksComplete kills the proxy at each millisecond of a slow answer: the system closes its
+// TestProxy_Killed_ResponseLooksIncomplete kills the proxy at each millisecond of a slow answer: the system closes its
 // connections in order then, and what the client has got doesn't look complete.
-func TestKilledProxyLeavesNothingThatLooksComplete(t *testing.T) {
+func TestProxy_Killed_ResponseLooksIncomplete(t *testing.T) {
 	const slowest = 400 // ms: where no kill of the first 40 has cut an answer, later ones are tried until one has
 	for _, old := range []bool{false, true} {
 		for _, kind := range []answerKind{success, chunked, unframed} {
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -77,7 +77,7 @@
 	return got
 }
 
-func TestTurnThatDidNotRunGivesItsTokensBack(t *testing.T) {
+func TestTurn_DidNotRun_ReleasesReservation(t *testing.T) {
 	five := stream(event(1, "a"), event(2, "b"), event(3, "c"), event(4, "d"), event(5, "e"))
 	cutAfterOne := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestLoopWithoutEndNeverGetsMoreThanItsBudget(t *testing.T) {
+func TestProgram_EndlessLoop_StaysWithinBudget(t *testing.T) {
 	// given a program that asks on, also when it is told that its budget is spent
 	events := stream(event(1, "a"), event(2, "b"))
 	e := newEndpoint(t, events)
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestEndThatIsLostIsSafeWithinTheBound(t *testing.T) {
+func TestUsageCommitter_CommitLost_RetriesWithinBound(t *testing.T) {
 	const bound = time.Second // settleMs of the deployments
 	for lost := range 4 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -25,7 +25,7 @@
 // gonePatience is more than it takes until a client's leaving is noticed.
 const gonePatience = 10 * time.Second
 
-func TestNothingGoesOnForAClientThatHasGone(t *testing.T) {
+func TestClient_Closes_EndsAllWorkForIt(t *testing.T) {
 	nothing := func(received) string { return "" }
 	head := func(request received) string { return sealed(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWaitingRequestLeavesWithItsClient(t *testing.T) {
+func TestQueuedRequest_ClientCloses_LeavesQueue(t *testing.T) {
 	// given an endpoint whose only place is taken, and a request that waits for it
 	s, held := newFullScheduler(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestPlaceThatComesAsTheClientGoesIsGivenBack(t *testing.T) {
+func TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack(t *testing.T) {
 	// given a request that gets a place at the moment at which its client goes
 	s, held := newFullScheduler(t)
 	s.mutex.Lock()
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestTurnWhoseClientGoesWhileItIsBegunIsNotSent(t *testing.T) {
+func TestTurn_ClientClosesDuringBegin_IsNotSent(t *testing.T) {
 	// given stores that take a turn just after its client has gone
 	e := newEndpoint(t, stream(event(1, "one")))
 	f := newFixture(t, e)
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestTurnOfAClientThatWentBeforeItsLastByteIsSettled(t *testing.T) {
+func TestTurn_ClientClosesBeforeLastByte_IsCommitted(t *testing.T) {
 	// given a turn whose answer has come whole but for its last byte, which waits for the stores
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	asked, release := make(chan struct{}, 2), make(chan struct{})
--- a/internal/tier/proxy/clientconn_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -27,7 +27,7 @@
 	return &clientConn{TCPConn: near.(*net.TCPConn), idle: true}, far
 }
 
-func TestClosingConnectionGivesOutNoNewRequest(t *testing.T) {
+func TestClientConn_Closing_ReadsNoNewRequest(t *testing.T) {
 	near, far := newPair(t)
 	io.WriteString(far, "GET")
 	near.closing = true // as if the close came between the bytes' arrival and their reading
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestClosingConnectionServesTheRequestThatHasBegun(t *testing.T) {
+func TestClientConn_Closing_ServesStartedRequest(t *testing.T) {
 	near, far := newPair(t)
 	io.WriteString(far, "GET")
 	if n, err := near.Read(make([]byte, 2)); n != 2 || err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestIdleConnectionIsClosedAtOnce(t *testing.T) {
+func TestClientConn_Idle_IsClosedAtOnce(t *testing.T) {
 	near, far := newPair(t)
 	near.closeIfUnread()
 	if got, err := io.ReadAll(far); len(got) != 0 || err != nil {
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -24,7 +24,7 @@
 	f.views.routes.Store(NewRoutes(config))
 }
 
-func TestEveryRequestEndsAtItsRoutesGiveUpTime(t *testing.T) {
+func TestRequest_RouteTimeout_EndsInEveryState(t *testing.T) {
 	t.Parallel()
 	nothing := func(received) string { return "" }
 	head := func(request received) string { return sealed(200, request, streamHead) }
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRequestThatWasNotSentByItsGiveUpTimeIsRefused(t *testing.T) {
+func TestRequest_NotSentByDeadline_IsRejected(t *testing.T) {
 	t.Parallel()
 	t.Run("it waits for a place", func(t *testing.T) {
 		t.Parallel()
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestTurnWhoseEndIsNotSafeByItsGiveUpTimeIsCut(t *testing.T) {
+func TestTurn_CommitNotDurableByDeadline_IsBrokenOff(t *testing.T) {
 	t.Parallel()
 	// given stores that don't answer the end of a turn that came whole
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestTimeLeftIsNeverLongerThanTheClientsAndItsRoutes(t *testing.T) {
+func TestTimeLeft_IsAtMostClientsAndRoutes(t *testing.T) {
 	cases := []struct {
 		name   string
 		told   string // by the client; empty: nothing
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/apierror"
 )
 
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+func TestErrorResponse_Rejection_HasRetryAfter(t *testing.T) {
 	const second = float64(time.Second)
 	for _, test := range []struct {
 		kind        apierror.Kind
--- a/internal/tier/proxy/eventscanner_test.go
+++ b/internal/tier/proxy/eventscanner_test.go
@@ -24,7 +24,7 @@
 	return scanned{passed.String(), string(scanner.output), scanner.lastID, scanner.count}
 }
 
-func TestScannerReadsEvents(t *testing.T) {
+func TestEventScanner_Streams_CountsEventsAndIDs(t *testing.T) {
 	cases := []struct {
 		name   string
 		stream string
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestScannerDoesNotMindWhereAStreamIsSplit(t *testing.T) {
+func TestEventScanner_AnySplit_SameResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"", "", "id: 1", "id: 22", "data: x", "data:", "data: yy zz", ": c", "event: e", "\r"})).Draw(t, "lines")
 		stream := strings.Join(lines, "\n")
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestScannerPassesOnWholeEventsOnly(t *testing.T) {
+func TestEventScanner_Feed_ReturnsCompleteEventsOnly(t *testing.T) {
 	var scanner eventScanner
 	steps := []struct{ chunk, passed string }{
 		{"id: 1\n", ""},
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestSchedulerRefusesWithoutEndpoint(t *testing.T) {
+func TestLoadBalancer_NoEndpoint_Rejects(t *testing.T) {
 	s := NewLoadBalancer("z", 1)
 	_, err := s.Select(t.Context(), newFacts(0))
 	var refusal *Rejection
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestPlaceGoesToTheMostUrgentWaiter(t *testing.T) {
+func TestLoadBalancer_CapacityFreed_MostUrgentFirst(t *testing.T) {
 	s, held := newFullScheduler(t)
 	order := make(chan int, 3)
 	var done sync.WaitGroup
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestWaiterIsRefusedInTime(t *testing.T) {
+func TestLoadBalancer_QueuedTooLong_Rejects(t *testing.T) {
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
 	facts.Route.LatencyTargetMs = 80
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestRequestThatMayHaveRunDoesNotWait(t *testing.T) {
+func TestLoadBalancer_MayHaveRun_IsNotQueued(t *testing.T) {
 	s, _ := newFullScheduler(t)
 	facts := newFacts(0)
 	facts.Route.Kind, facts.Route.MaxAttempts = model.Retryable, 2
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestWaiterWhoseClientGoesLeavesNothing(t *testing.T) {
+func TestLoadBalancer_ClientCloses_LeavesNothingQueued(t *testing.T) {
 	s, held := newFullScheduler(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan error)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestOutcomesInTheSchedulersWords(t *testing.T) {
+func TestOutcomeKind_EachResult_MapsToBalancers(t *testing.T) {
 	const left = time.Second
 	cases := []struct {
 		outcome Outcome
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestFiguresInHeaders(t *testing.T) {
+func TestHeaders_Figures_AreParsed(t *testing.T) {
 	loads := map[string]balancer.Load{"3,0,8": {Running: 3, Capacity: 8}, "1, 2, 3": {Running: 1, Queued: 2, Capacity: 3}, "": {}, "3,0": {}, "a,b,c": {}}
 	for told, want := range loads {
 		if got := parseLoad(told); got != want {
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestSchedulerServesThroughTheProxy(t *testing.T) {
+func TestLoadBalancer_InProxy_ServesRequests(t *testing.T) {
 	first, second := newEndpoint(t, turnAway), newEndpoint(t, answerWith(200, "good", "X-Server-Load: 1,0,8"))
 	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints([]model.Endpoint{
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestBusyConnectionsAreNoFailureOfTheEndpoint(t *testing.T) {
+func TestLoadBalancer_PoolExhausted_IsNoEndpointFailure(t *testing.T) {
 	release := make(chan struct{})
 	started := make(chan struct{}, 1)
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestRequestGoesBackToAnEndpointThatTurnedItAway(t *testing.T) {
+func TestLoadBalancer_OnlyRejectingEndpointsLeft_ReturnsToThem(t *testing.T) {
 	// given a service's only endpoint, which turns a request away once
 	var asked atomic.Int64
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestOthersGoBeforeTheEndpointThatTurnedARequestAway(t *testing.T) {
+func TestLoadBalancer_EndpointRejected_PrefersOthers(t *testing.T) {
 	addresses := []string{"127.0.0.1:1", "127.0.0.1:2"}
 	cases := []struct {
 		name       string
@@ -287,7 +287,7 @@
 	}
 }
 
-func TestRequestWaitsForAConnection(t *testing.T) {
+func TestLoadBalancer_NoConnectionFree_QueuesRequest(t *testing.T) {
 	// given a service's only endpoint, to which all connections are in use
 	started, release := make(chan struct{}, 3), make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
--- a/internal/tier/proxy/mutants_test.go
+++ b/internal/tier/proxy/mutants_test.go
@@ -8,11 +8,11 @@
 
 // Tests that notice the mutants.
 const (
-	triesTest    = "^TestNoRequestRunsOnMoreEndpointsThanItsTries$"
-	timeLeftTest = "^TestTimeLeftIsNeverLongerThanTheClientsAndItsRoutes$"
-	goneTest     = "^TestNothingGoesOnForAClientThatHasGone$"
-	giveUpTest   = "^TestEveryRequestEndsAtItsRoutesGiveUpTime$"
-	budgetTest   = "^TestTurnThatDidNotRunGivesItsTokensBack$"
+	triesTest    = "^TestRequest_AnyFailures_StaysWithinMaxAttempts$"
+	timeLeftTest = "^TestTimeLeft_IsAtMostClientsAndRoutes$"
+	goneTest     = "^TestClient_Closes_EndsAllWorkForIt$"
+	giveUpTest   = "^TestRequest_RouteTimeout_EndsInEveryState$"
+	budgetTest   = "^TestTurn_DidNotRun_ReleasesReservation$"
 )
 
 func TestMutantsAreNoticed(t *testing.T) {
@@ -33,9 +33,9 @@
 		{Name: "work goes on without a client", Run: goneTest,
 			Change: change("request.go", "context.WithDeadline(c.request.Context(), c.info.Deadline)",
 				"context.WithDeadline(context.WithoutCancel(c.request.Context()), c.info.Deadline)")},
-		{Name: "a request whose client has gone waits on", Run: "^TestWaiterWhoseClientGoesLeavesNothing$",
+		{Name: "a request whose client has gone waits on", Run: "^TestLoadBalancer_ClientCloses_LeavesNothingQueued$",
 			Change: change("queue.go", "\tb.queueFor(waiter.info.Service.Name).Remove(id)\n", "")},
-		{Name: "a place that came too late is kept", Run: "^TestPlaceThatComesAsTheClientGoesIsGivenBack$",
+		{Name: "a place that came too late is kept", Run: "^TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack$",
 			Change: change("queue.go", "\t\tif result.err == nil {\n", "\t\tif result.err != nil {\n")},
 		{Name: "nothing ends at the give-up time", Run: giveUpTest,
 			Change: change("request.go", "allowed = time.Duration(routeTimeoutMs) * time.Millisecond", "allowed = time.Minute")},
@@ -45,19 +45,19 @@
 			Change: change("turn.go", "\t\tt.reserved = false\n\t\treturn apierror.BudgetExhausted, nil, nil", "\t\treturn apierror.None, nil, nil")},
 		{Name: "a turn that was never sent isn't settled", Run: budgetTest,
 			Change: change("request.go", "\tdefer c.commitUnfinishedTurn()\n", "")},
-		{Name: "ends are offered again too late", Run: "^TestEndThatIsLostIsSafeWithinTheBound$",
+		{Name: "ends are offered again too late", Run: "^TestUsageCommitter_CommitLost_RetriesWithinBound$",
 			Change: change("usage.go", "minCommitBackoff = 50 * time.Millisecond", "minCommitBackoff = 500 * time.Millisecond")},
-		{Name: "requests are left to the end of the process", Run: "^TestRequestsThatAShutdownGivesUpAreAnswered$",
+		{Name: "requests are left to the end of the process", Run: "^TestShutdown_AbandonedRequests_GetErrorResponses$",
 			Change: change("frontend.go", "\tfailure := f.awaitEmpty(ctx)\n\tf.cancelRequests()", "\tfailure := f.awaitEmpty(ctx)")},
-		{Name: "404 without a configuration", Run: "^TestNothingIsDeniedBeforeAConfigurationIsKnown$",
+		{Name: "404 without a configuration", Run: "^TestRequest_NoConfiguration_IsNotDenied$",
 			Change: change("request.go", "\t\twriteError(w, apierror.NotReady, 0)", "\t\twriteError(w, apierror.NoRoute, 0)")},
-		{Name: "404 for what no store knows", Run: "^TestTroubleIsNoDenial$",
+		{Name: "404 for what no store knows", Run: "^TestTurn_StoreFaults_AreNoDenial$",
 			Change: change("turn.go", "\treturn apierror.StateUnavailable, nil, nil\n}", "\treturn apierror.TurnNotFound, nil, nil\n}")},
-		{Name: "the least urgent go first", Run: "^TestMoreUrgentRequestsAreNotServedLessOften$",
+		{Name: "the least urgent go first", Run: "^TestPriority_Overload_MoreUrgentServedNoLess$",
 			Change: change("../balancer/queue.go", "cmp.Compare(w.Priority, o.Priority)", "cmp.Compare(o.Priority, w.Priority)")},
-		{Name: "a drain cuts streams", Run: "^TestChangesOfTheViewCutNothing$",
+		{Name: "a drain cuts streams", Run: "^TestViewChange_PendingRequests_AreNotBrokenOff$",
 			Change: change("server.go", "if p.draining.CompareAndSwap(false, true) {\n", "if p.draining.CompareAndSwap(false, true) {\n\t\tp.frontend.cancelRequests()\n")},
-		{Name: "the ends of turns hold up the end of the proxy", Run: "^TestShutdownThatGivesUpTakesItsLastWordsAtMost$",
+		{Name: "the ends of turns hold up the end of the proxy", Run: "^TestShutdown_Abandoning_TakesGracePeriodAtMost$",
 			Change: change("usage.go", "waitAtMost(done, finalCommitsTimeout)", "waitAtMost(done, 2*ShutdownGracePeriod)")},
 	})
 }
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -14,7 +14,7 @@
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
 
-func TestProperRequestsAreNotDenied(t *testing.T) {
+func TestProperRequest_AnyCondition_IsNotDenied(t *testing.T) {
 	limits := newConfiguration().Limits
 	line := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n"
 	longest := func(end string) string {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNothingIsDeniedBeforeAConfigurationIsKnown(t *testing.T) {
+func TestRequest_NoConfiguration_IsNotDenied(t *testing.T) {
 	f := newFixture(t)
 	f.views.routes.Store(nil)
 	for _, host := range []string{"a.example", "other.example"} {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestTroubleIsNoDenial(t *testing.T) {
+func TestTurn_StoreFaults_AreNoDenial(t *testing.T) {
 	cases := map[string]func(*fixture){
 		"no endpoint": func(f *fixture) { f.chooser.endpoints = nil },
 		"all endpoints turn requests away": func(f *fixture) {
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -32,7 +32,7 @@
 	return choice, err
 }
 
-func TestEndpointThatDrainsBeforeTheSendGetsNothing(t *testing.T) {
+func TestPermit_RevokedBeforeSend_EndpointGetsNothing(t *testing.T) {
 	ready, draining := model.Ready, model.Draining
 	withdraw := map[string]func(*LoadBalancer, []string){
 		"draining": func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)) },
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestPlainRequestGoesThroughUnchanged(t *testing.T) {
+func TestPlainRequest_IsForwardedUnchanged(t *testing.T) {
 	e := newEndpoint(t, answerWith(200, "the body", "Content-Type: a/b", "Content-Encoding: zz", "X-Other: 1", "Connection: X-Hop", "X-Hop: 2"))
 	f := newFixture(t, e)
 	c := f.dial()
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestAnswersOfItsOwn(t *testing.T) {
+func TestErrorResponse_EachCondition_HasItsStatus(t *testing.T) {
 	cases := []struct {
 		name    string
 		target  string
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestWhatAnEndpointsTroubleLeadsTo(t *testing.T) {
+func TestEndpointFaults_EachKindOfRoute_RetryOrError(t *testing.T) {
 	good := answerWith(200, "good")
 	noSeal := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestAnswerInChunksThatBreaksOffIsAskedForAgain(t *testing.T) {
+func TestChunkedResponse_BreaksOff_IsRetried(t *testing.T) {
 	cut := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
 		return false
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestTriesBoundTheSends(t *testing.T) {
+func TestRequest_AllAttemptsFail_StopsAtMaxAttempts(t *testing.T) {
 	endpoints := []*endpoint{newEndpoint(t, resetAtOnce), newEndpoint(t, resetAtOnce), newEndpoint(t, resetAtOnce)}
 	f := newFixture(t, endpoints...)
 	c := f.dial()
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestAllEndpointsTurnARequestAway(t *testing.T) {
+func TestRequest_AllEndpointsReject_IsRejected(t *testing.T) {
 	first, second := newEndpoint(t, turnAway), newEndpoint(t, turnAway)
 	f := newFixture(t, first, second)
 	c := f.dial()
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestUnreachableEndpointIsPassedOver(t *testing.T) {
+func TestRequest_EndpointUnreachable_GoesToNext(t *testing.T) {
 	good := newEndpoint(t, answerWith(200, "good"))
 	dead := newEndpoint(t, nil)
 	dead.listener.Close()
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestLateAnswerIsNeverGivenToTheNextRequest(t *testing.T) {
+func TestLateResponse_IsNeverGivenToNextRequest(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.id() == "id2" {
 			late := received{header: map[string][]string{"X-Attempt-Id": {"id1"}}}
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestLargeBodies(t *testing.T) {
+func TestLargeBodies_AreForwarded(t *testing.T) {
 	megabyte := strings.Repeat("0123456789abcdef", 1<<16)
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		return answerWith(200, request.body)(socket, request)
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestLongAnswerThatBreaksOffDoesNotLookComplete(t *testing.T) {
+func TestLongResponse_BreaksOff_LooksIncomplete(t *testing.T) {
 	for name, framing := range map[string]string{"length": "Content-Length: 100000", "chunks": "Transfer-Encoding: chunked"} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestHead(t *testing.T) {
+func TestHeadRequest_HasNoBody(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, "Content-Length: 4711"))
 		return true
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestConnectThatHangsEndsWithTheChoicesTime(t *testing.T) {
+func TestConnect_Hangs_EndsAtSelectionsTimeout(t *testing.T) {
 	full := newFullListener(t)
 	good := newEndpoint(t, answerWith(200, "good"))
 	f := newFixture(t, good)
@@ -322,7 +322,7 @@
 	}
 }
 
-func TestDeadlineBeforeTheSendSaysNothingOfTheEndpoint(t *testing.T) {
+func TestDeadline_BeforeSend_SaysNothingOfEndpoint(t *testing.T) {
 	// given a connection that doesn't come up, and a request with less time than that is given
 	f := newFixture(t)
 	f.chooser.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
@@ -337,7 +337,7 @@
 	}
 }
 
-func TestEveryMethodAndPathGoesThrough(t *testing.T) {
+func TestRequest_EveryMethodAndPath_IsForwarded(t *testing.T) {
 	e := newEndpoint(t, answerWith(200, "body"))
 	f := newFixture(t, e)
 	c := f.dial()
@@ -355,7 +355,7 @@
 	}
 }
 
-func TestAbsoluteTargetKeepsItsPath(t *testing.T) {
+func TestAbsoluteTarget_KeepsItsPath(t *testing.T) {
 	e := newEndpoint(t, answerWith(200, "body"))
 	f := newFixture(t, e)
 	c := f.dial()
@@ -370,7 +370,7 @@
 	}
 }
 
-func TestRefusalWhoseBodyDoesNotComeHoldsNothingUp(t *testing.T) {
+func TestNotRunResponse_BodyMissing_DelaysNothing(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nContent-Length: 10\r\n\r\n")
 		_, err := socket.Read(make([]byte, 1))
@@ -384,7 +384,7 @@
 	}
 }
 
-func TestConnectionIsKeptAfterARefusal(t *testing.T) {
+func TestNotRunResponse_ConnectionIsKept(t *testing.T) {
 	refusals := 0
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if refusals++; refusals > 1 {
@@ -406,7 +406,7 @@
 	}
 }
 
-func TestRefusalWhoseBodyBreaksOffIsNoSuccess(t *testing.T) {
+func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
 	// given an endpoint that says that it didn't run a request, and breaks off
 	broken := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
@@ -427,7 +427,7 @@
 	}
 }
 
-func TestUnframedAnswerThatIsResetIsAskedForAgain(t *testing.T) {
+func TestCloseDelimitedResponse_Reset_IsRetried(t *testing.T) {
 	bad := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request)+"the first part")
 		return resetAtOnce(socket, request)
@@ -448,7 +448,7 @@
 	}
 }
 
-func TestUnframedAnswerGoesOnInAFramedOne(t *testing.T) {
+func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
 	// given an answer whose end only its connection tells
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -125,7 +125,7 @@
 	return false
 }
 
-func TestMoreUrgentRequestsAreNotServedLessOften(t *testing.T) {
+func TestPriority_Overload_MoreUrgentServedNoLess(t *testing.T) {
 	const slack = 0.05 // by which a more urgent kind of request may be served less often
 	for _, proxies := range []int{1, 8} {
 		for _, rate := range []float64{100, 240} { // of 80 that the endpoint can serve
--- a/internal/tier/proxy/queue_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestWaiterIsRefusedWhenItsTimeIsOver(t *testing.T) {
+func TestQueuedRequest_NoCapacity_IsRejectedAtExpiry(t *testing.T) {
 	for _, target := range []time.Duration{100, 320, 800, 1200, 4000} {
 		synctest.Test(t, func(t *testing.T) {
 			// given an endpoint whose only slot stays taken
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/metrics"
 )
 
-func TestAnOutageThatLastsBreaksTheInvariantOnce(t *testing.T) {
+func TestOutage_LastsTooLong_BreaksInvariantOnce(t *testing.T) {
 	const bound = 15 * time.Second
 	type second struct{ refused, served int }
 	repeated := func(count int, one second) []second {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestOwnAnswersAreToldByTheirKindAndCause(t *testing.T) {
+func TestRejections_Report_LogsKindsAndCause(t *testing.T) {
 	// Given answers of a proxy's own, when they are reported, then kinds, counts and cause are told, and no second time.
 	var logged bytes.Buffer
 	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNoRequestRunsOnMoreEndpointsThanItsTries(t *testing.T) {
+func TestRequest_AnyFailures_StaysWithinMaxAttempts(t *testing.T) {
 	const rounds, endpoints = 150, 5
 	random := rand.New(rand.NewPCG(3, 4))
 	all, routes := behaviours(), newConfiguration().Routes
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -21,7 +21,7 @@
 	return response.StatusCode
 }
 
-func TestReadiness(t *testing.T) {
+func TestReadiness_EachState_HasItsStatus(t *testing.T) {
 	f := newFixture(t)
 	if got := f.readiness("/mastusher/ready"); got != 200 {
 		t.Errorf("ready: %d", got)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestShutdownLetsRequestsEnd(t *testing.T) {
+func TestShutdown_PendingRequests_End(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.id() == "slow" {
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestConnectionsOverTheBoundAreClosedUnread(t *testing.T) {
+func TestFrontend_OverMaxConnections_ClosesUnread(t *testing.T) {
 	f := newFixtureWith(t, func(options *Options) { options.MaxClientConnections = 1 }, newEndpoint(t, answerWith(200, "body")))
 	first := f.dial()
 	first.ask("GET", "/once/x", "1", "")
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestShutdownServesARequestWhoseHeadIsBeingRead(t *testing.T) {
+func TestShutdown_HeadBeingRead_IsServed(t *testing.T) {
 	// given a kept connection on which half the head of a request has been read
 	f := newFixture(t, newEndpoint(t, answerWith(200, "body")))
 	c := f.dial()
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestAnswerThatBeginsWhileDrainingIsTheLastOfItsConnection(t *testing.T) {
+func TestDrain_NextResponse_EndsItsConnection(t *testing.T) {
 	cases := map[string]func(net.Conn, received) bool{"an endpoint's": answerWith(200, "body"), "its own": turnAway}
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestShutdownServesARequestThatWasReadWithTheOneBefore(t *testing.T) {
+func TestShutdown_PipelinedRequest_IsServed(t *testing.T) {
 	// given two requests that came together, of which the second one is at work
 	started, release := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, newEndpoint(t, func(socket net.Conn, request received) bool {
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
-func TestRequestsThatAShutdownGivesUpAreAnswered(t *testing.T) {
+func TestShutdown_AbandonedRequests_GetErrorResponses(t *testing.T) {
 	nothing := func(received) string { return "" }
 	head := func(request received) string { return sealed(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) }
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestWaitingRequestThatAShutdownGivesUpIsRefused(t *testing.T) {
+func TestShutdown_QueuedRequest_IsRejected(t *testing.T) {
 	// given a request that waits for a place
 	s, _ := newFullScheduler(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
@@ -103,7 +103,7 @@
 	return false
 }
 
-func TestSettlesHaveAMomentAfterAShutdownsTime(t *testing.T) {
+func TestShutdown_PendingCommits_GetFinalTimeout(t *testing.T) {
 	cases := []struct {
 		name  string
 		takes time.Duration // until the stores answer
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestShutdownThatGivesUpTakesItsLastWordsAtMost(t *testing.T) {
+func TestShutdown_Abandoning_TakesGracePeriodAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// given a client that doesn't take its answer, and a turn whose end no store takes
 		stores := &programs{ended: make(chan program.EndTurn, 1), settle: func(ctx context.Context) error {
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestEventIsPassedOnBeforeTheNextIsMade(t *testing.T) {
+func TestStream_Event_IsForwardedBeforeNextExists(t *testing.T) {
 	next := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead))
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestCutStreamDoesNotLookComplete(t *testing.T) {
+func TestStream_BreaksOff_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
 		return false
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCutStreamIsTakenUpAtAnotherEndpoint(t *testing.T) {
+func TestStream_BreaksOff_ResumesAtAnotherEndpoint(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
 		return false
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestStreamCutBeforeItsFirstEventBeginsAnew(t *testing.T) {
+func TestStream_BreaksOffBeforeFirstEvent_IsRetried(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk("id: 1\nda"))
 		return false
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestEndpointIsToldWhenTheClientGoes(t *testing.T) {
+func TestStream_ClientCloses_ResetsEndpoint(t *testing.T) {
 	started := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestStream_NoEvents_EndsAtDeadline(t *testing.T) {
 	for _, route := range []string{"once", "safe", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, _ received) bool {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestResumedStreamNeverBringsAnEventTwice(t *testing.T) {
+func TestStream_Resumed_HasNoDuplicateEvent(t *testing.T) {
 	// given a stream that broke off, and another endpoint that begins it anew
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestStreamThatIsClosedInsideAnEventDoesNotLookComplete(t *testing.T) {
+func TestStream_ClosedInsideEvent_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
 		return false
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestEventWithoutEndIsNotHeld(t *testing.T) {
+func TestStream_EndlessEvent_IsNotBuffered(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
 		for {
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestTimeOutThatHasFiredLetsNothingOut(t *testing.T) {
+func TestAttempt_TimeoutFired_ForwardsNothing(t *testing.T) {
 	// given an attempt whose time-out has fired while its first bytes came
 	c := &clientRequest{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
 	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestScannerForgetsEventsThatWereNotPassedOn(t *testing.T) {
+func TestEventScanner_Rewind_ForgetsUnforwardedEvents(t *testing.T) {
 	scanner := eventScanner{collect: true}
 	scanner.feed([]byte(event(1, "one") + "id: 2\nda"))
 	before := scanner.progress()
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestUnframedStreamThatIsResetIsTakenUp(t *testing.T) {
+func TestStream_CloseDelimitedReset_Resumes(t *testing.T) {
 	read := make(chan struct{})
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestStreamWithoutIDsIsNotTakenUp(t *testing.T) {
+func TestStream_EventsWithoutIDs_IsNotResumed(t *testing.T) {
 	unnumbered := "data: none\n\n"
 	cases := map[string]struct {
 		first, second []string
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -16,7 +16,7 @@
 
 var turnFields = []string{"Program: p1", "Session: s1", "Finish-Ms: 5200", "Budget: 1080", "X-Token-Counts: 1840,135", "Previous: before"}
 
-func TestTurnIsPutTogetherAndSettled(t *testing.T) {
+func TestTurn_Complete_GetsChainAndIsCommitted(t *testing.T) {
 	e := newEndpoint(t, stream(event(1, "one"), "id: 2\ndata: two\ndata: lines\n\n", ": nothing\n\n", event(3, "three")))
 	f := newFixture(t, e)
 	f.programs.begin = func(program.BeginTurn) (program.Result, error) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestVerdictsOfTheStores(t *testing.T) {
+func TestTurn_EachVerdict_HasItsStatus(t *testing.T) {
 	cases := []struct {
 		name   string
 		result program.Result
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestEndIsSafeBeforeTheLastByte(t *testing.T) {
+func TestTurn_LastByte_WaitsForCommit(t *testing.T) {
 	framings := map[string]func(net.Conn, received) bool{
 		"chunks": stream(event(1, "one"), event(2, "two")),
 		"length": answerWith(200, event(1, "one")+event(2, "two"), "Content-Type: text/event-stream"),
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestAnswerBreaksOffWhenTheEndIsNotSafe(t *testing.T) {
+func TestTurn_CommitFails_ResponseBreaksOff(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	var refused atomic.Bool
 	refused.Store(true)
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestTurnThatDidNotEndWholeIsSettled(t *testing.T) {
+func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
 	cut := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestBudgetOnlyTurnIsSettledBesideTheAnswer(t *testing.T) {
+func TestTurn_BudgetOnly_IsCommittedBesideResponse(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"), event(2, "two"))))
 	release := make(chan struct{})
 	f.programs.end = func(program.EndTurn) error { <-release; return nil }
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestStreamWithoutBudgetIsNoTurn(t *testing.T) {
+func TestStream_WithoutBudget_IsNoTurn(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	c := f.dial()
 	c.ask("POST", "/stream/x", "id", "input")
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestWholeTurnThatTheStoresDoNotKnowBreaksOffAtOnce(t *testing.T) {
+func TestTurn_CompleteButUnknown_BreaksOffAtOnce(t *testing.T) {
 	// given stores that have lost a turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	var offers atomic.Int64
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestWholeTurnWithoutEventsCounts(t *testing.T) {
+func TestTurn_CompleteWithoutEvents_Counts(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, received) bool{"a length of nothing": answerWith(200, ""), "no chunk": stream()} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestEndsOfUnknownTurnsAreOfferedForAWhile(t *testing.T) {
+func TestUsageCommitter_UnknownTurn_RetriesForAWhile(t *testing.T) {
 	cases := []struct {
 		name    string
 		knownAt int // the offer from which on the turn is known
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/view"
 )
 
-func TestChangesOfTheViewCutNothing(t *testing.T) {
+func TestViewChange_PendingRequests_AreNotBrokenOff(t *testing.T) {
 	// reconfigure puts another configuration in force.
 	reconfigure := func(change func(*model.Configuration)) func(*fixture, *LoadBalancer) {
 		return func(f *fixture, _ *LoadBalancer) {
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -17,7 +17,7 @@
 	return answerWith(200, request.body)(socket, request)
 }
 
-func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequests_AreAnsweredInOrder(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, echoBody))
 	c := f.dial()
 	text := ""
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestChunkedBodyGoesOnWithALength(t *testing.T) {
+func TestChunkedBody_IsForwardedWithLength(t *testing.T) {
 	e := newEndpoint(t, echoBody)
 	f := newFixture(t, e)
 	c := f.dial()
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestContinueIsAnsweredBeforeTheBody(t *testing.T) {
+func TestExpectContinue_IsAnsweredBeforeBody(t *testing.T) {
 	e := newEndpoint(t, echoBody)
 	f := newFixture(t, e)
 	c := f.dial()
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRequestsThatCouldBeReadInTwoWays(t *testing.T) {
+func TestAmbiguousRequests_AreRejected(t *testing.T) {
 	inner := "GET /once/smuggled HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: evil\r\n\r\n"
 	cases := []struct {
 		name string
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAnOlderClientSeesACutAnswerAsCut(t *testing.T) {
+func TestHTTP10Client_ResponseBreaksOff_SeesReset(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
 		return false
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
+func TestCloseDelimitedResponse_EndsWithConnection(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed": func(net.Conn) {},
 		"reset":  func(socket net.Conn) { socket.(*net.TCPConn).SetLinger(0) },
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestBodyThatIsNotReadWholeIsNeverSent(t *testing.T) {
+func TestRequestBody_Incomplete_IsNeverSent(t *testing.T) {
 	for name, part := range map[string]string{
 		"length": "Content-Length: 10\r\n\r\nabc",
 		"chunks": "Transfer-Encoding: chunked\r\n\r\na\r\nabc",
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestLimitsFollowTheConfiguration(t *testing.T) {
+func TestClientLimits_FollowConfiguration(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, echoBody))
 	setLimits := func(limits model.Limits) {
 		config := *f.config
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestSlowAndIdleClientsAreClosed(t *testing.T) {
+func TestClientLimits_SlowAndIdleClients_AreClosed(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, echoBody))
 	config := *f.config
 	config.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 60, IdleTimeoutMs: 60}
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestClientThatReadsNothingDoesNotHoldAnEndpoint(t *testing.T) {
+func TestClient_ReadsNothing_DoesNotOccupyEndpoint(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealed(200, request, streamHead))
 		for {
--- a/internal/tier/upstream/abandon_test.go
+++ b/internal/tier/upstream/abandon_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
-func TestAbandonedRequestIsReset(t *testing.T) {
+func TestDo_ContextEndsWhileWriting_ResetsConnection(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer string // what has come of the answer when the caller goes
--- a/internal/tier/upstream/mutants_test.go
+++ b/internal/tier/upstream/mutants_test.go
@@ -11,7 +11,7 @@
 		{
 			Name:   "an abandoned request is closed in good order",
 			Change: mutation.Change{File: "connection.go", Old: "\t\tc.resetOnClose()\n", New: ""},
-			Run:    "^TestAbandonedRequestIsReset$",
+			Run:    "^TestDo_ContextEndsWhileWriting_ResetsConnection$",
 		},
 		{
 			Name: "the time left is that of an earlier moment",
@@ -20,7 +20,7 @@
 				Old:  "e.request.appendHead((*pooled)[:0], e.pool.options.Now())",
 				New:  "e.request.appendHead((*pooled)[:0], e.request.Deadline.Add(-2e9))",
 			},
-			Run: "^TestTimeLeftIsToldAsTheRequestIsWritten$",
+			Run: "^TestDo_TimeLeft_IsComputedAsRequestIsWritten$",
 		},
 	})
 }
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -22,7 +22,7 @@
 	return true
 }
 
-func TestRequestGoesOntoTheWireByteForByte(t *testing.T) {
+func TestDo_Request_IsWrittenByteForByte(t *testing.T) {
 	targets := []string{"/", "//", "//a//b", "/a%2Fb", "/a;b=c;d", "/a?", "/a?x=1&y=%20;z", "/a?b?c", "/%61/../b/./c", "/a|b\"<>",
 		"//host/path?q#f", "/%zz", "/caf\xc3\xa9"}
 	e := newEndpoint(t, answerShortly)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestBodyKeepsItsLength(t *testing.T) {
+func TestDo_Body_KeepsItsLength(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 1<<16)
 	cases := []struct {
 		name  string
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestConnectionsAreKeptByID(t *testing.T) {
+func TestPool_Connections_AreKeptByEndpointID(t *testing.T) {
 	e := newEndpoint(t, answerShortly)
 	pool := newPool(t, upstream.Options{})
 	for i, id := range []string{"first", "first", "second", "first"} {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestConnectionIsNotReused(t *testing.T) {
+func TestPool_UnfitConnection_IsNotReused(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer func(socket net.Conn, request received) bool
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestIdleConnectionIsClosedBeforeTheEndpointWould(t *testing.T) {
+func TestPool_IdleConnection_IsClosedBeforeEndpointsTimeout(t *testing.T) {
 	clock := newClock()
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		respond(socket, request, "x", "Keep-Alive: timeout=5, max=100")
@@ -157,7 +157,7 @@
 	<-e.closed
 }
 
-func TestReaperClosesIdleConnections(t *testing.T) {
+func TestReaper_ExpiredConnections_AreClosed(t *testing.T) {
 	clock := newClock()
 	e := newEndpoint(t, answerShortly)
 	pool := newPool(t, upstream.Options{Now: clock.now})
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestConnectionsAreBoundedByEndpoint(t *testing.T) {
+func TestPool_MaxConnections_BoundsEachEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		<-release
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestRequestIsSentOnce(t *testing.T) {
+func TestDo_AnyFailure_SendsRequestOnce(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "PUT", "HEAD", "OPTIONS"} {
 		t.Run(method, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestInformationalAnswersArePassedOver(t *testing.T) {
+func TestDo_InformationalResponses_AreSkipped(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
 		return answerShortly(socket, request)
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestForeignAnswerIsNeverGiven(t *testing.T) {
+func TestDo_ForeignResponse_IsNeverReturned(t *testing.T) {
 	t.Run("the own answer follows", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, request received) bool {
 			if request.header.Get("X-Attempt-Id") == "2" {
@@ -279,7 +279,7 @@
 	})
 }
 
-func TestSurplusBytesThatComeLateAreNoAnswer(t *testing.T) {
+func TestPool_LateSurplusBytes_AreNoResponse(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.header.Get("X-Attempt-Id") == "2" {
 			io.WriteString(socket, "surplus")
@@ -300,7 +300,7 @@
 	}
 }
 
-func TestErrorsTellWhetherTheRequestWasSent(t *testing.T) {
+func TestDo_Errors_TellWhetherRequestWasSent(t *testing.T) {
 	pool := newPool(t, upstream.Options{ConnectTimeout: 200 * time.Millisecond})
 	t.Run("nobody listens", func(t *testing.T) {
 		listener, _ := net.Listen("tcp4", "127.0.0.1:0")
@@ -344,7 +344,7 @@
 	}
 }
 
-func TestBodyThatBreaksOffIsAnError(t *testing.T) {
+func TestResponse_BodyBreaksOff_FailsWithMayHaveRun(t *testing.T) {
 	cases := map[string]string{
 		"within its length":     "Content-Length: 10\r\n\r\n12345",
 		"within a chunk":        "Transfer-Encoding: chunked\r\n\r\na\r\n12345",
@@ -367,7 +367,7 @@
 	}
 }
 
-func TestEarlyAnswerToALongRequest(t *testing.T) {
+func TestDo_EarlyResponseToLongRequest_IsReturned(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -396,7 +396,7 @@
 	}
 }
 
-func TestManyCallersShareAPool(t *testing.T) {
+func TestPool_ManyCallers_Share(t *testing.T) {
 	e := newEndpoint(t, answerShortly)
 	pool := newPool(t, upstream.Options{})
 	var callers sync.WaitGroup
@@ -453,7 +453,7 @@
 	return true
 }
 
-func TestNothingIsSentForACallerThatLeftWhileAConnectionWasMade(t *testing.T) {
+func TestDo_ContextEndsWhileConnecting_SendsNothing(t *testing.T) {
 	e := newEndpoint(t, answerShortly)
 	pool := newPool(t, upstream.Options{})
 	for _, kept := range []bool{false, true} {
@@ -474,7 +474,7 @@
 	}
 }
 
-func TestNoBodyIsTakenForAnAnswerAfterAHeadRequest(t *testing.T) {
+func TestDo_LateBodyAfterHead_IsNoResponse(t *testing.T) {
 	// The late answer to a HEAD request tells a length and has no body: whoever skipped one would skip the own answer, and
 	// go on in its middle. The late answer to a GET has one: whoever reads no body after a HEAD would take it for an answer.
 	for name, methods := range map[string][2]string{"a late answer to a HEAD": {"HEAD", "GET"}, "a late answer to a GET": {"GET", "HEAD"}} {
@@ -499,7 +499,7 @@
 	}
 }
 
-func TestAnswerWithSeveralIDsIsNobodys(t *testing.T) {
+func TestDo_ResponseWithSeveralIDs_IsForeign(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		respond(socket, request, "x", "X-Attempt-Id: other", "Connection: close")
 		return false
@@ -509,7 +509,7 @@
 	expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 }
 
-func TestRequestWithoutIDHasItsOwnConnection(t *testing.T) {
+func TestDo_RequestWithoutID_GetsOwnConnection(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.header.Get("X-Attempt-Id") == "" {
 			io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
@@ -538,7 +538,7 @@
 	}
 }
 
-func TestEndpointThatReadsOnAfterAnEarlyAnswerGetsNothingElse(t *testing.T) {
+func TestPool_EarlyResponseWhileWriting_ConnectionIsNotReused(t *testing.T) {
 	// given an endpoint that answers once it has the head of a long request, and reads the rest when it is told to
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -587,7 +587,7 @@
 	}
 }
 
-func TestHalfClosedConnectionIsNotUsedAgain(t *testing.T) {
+func TestPool_HalfClosedConnection_IsNotReused(t *testing.T) {
 	halfClosed := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		answerShortly(socket, request)
--- a/internal/tier/upstream/timeleft_test.go
+++ b/internal/tier/upstream/timeleft_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestTimeLeftIsToldAsTheRequestIsWritten(t *testing.T) {
+func TestDo_TimeLeft_IsComputedAsRequestIsWritten(t *testing.T) {
 	cases := []struct {
 		name    string
 		left    time.Duration // when the request is handed over
