--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -18,7 +18,7 @@
 // to a message before that.
 const clockStart = 24 * time.Hour
 
-// Core owns the module. All but Submit, Withdraw, Drain and Ready belong to the goroutine that runs Run (or
+// Core is the relay's core; see the package comment. It owns the module. All but Submit, Withdraw, Drain and Ready belong to the goroutine that runs Run (or
 // calls Turn: tests and replays). It reads no clock in a turn, and walks no map in an order that counts.
 type Core struct {
 	settings       *wire.Settings
@@ -26,7 +26,7 @@
 	log            *slog.Logger
 	policy         *control.Sender
 	recorder       recorder         // nil: nothing is recorded
-	moduleSettings control.Settings // what the module was told
+	moduleSettings control.Settings // those that the module has
 	seed           uint64
 	journal        Journal
 	shell          Shell
@@ -45,22 +45,22 @@
 	forgetAfter        time.Duration // after which nothing of a destination that is gone can be unfinished
 	lastAttempt        uint64
 	inFlight           map[uint64]*Attempt // by number
-	submitted          uint64              // messages handed in
-	outstanding        int                 // notices
+	submitted          uint64              // messages submitted so far
+	outstanding        int                 // notices, of all fronts
 
 	moduleEvents     []control.Event // for the turn at hand
 	moduleActions    []control.Action
 	arrivals         []*message
-	notifications    []func() // told to hooks once the turn is journalled
+	notifications    []func() // called once the turn is journalled
 	endings          endings
 	wakeAt           time.Time
 	watchAt          time.Time
-	drainAt          time.Time // when the process was told to end; zero: it was not
-	lastHousekeeping time.Time // when what has grown old was last looked for
+	drainAt          time.Time // when Drain took hold; zero: it did not
+	lastHousekeeping time.Time // when keepHouse last did its work
 	turnInput        capture.Input
 	recordedArrivals []capture.Arrival // that its events point to
-	actionRefs       []uint64          // for the deed at hand
-	keepActions      bool              // deeds are kept in full
+	actionRefs       []uint64          // for the action at hand
+	keepActions      bool              // actions are kept in full, for a replay
 	ready            atomic.Bool
 	drained          chan struct{}
 	closed           bool // drained is closed
@@ -80,14 +80,14 @@
 	listed         map[string]uint32 // its destinations
 	listIndex      int64             // of the newest endpoint list
 	lastWatch      int               // of the watch that was begun last
-	listReportedBy int               // the watch that told the newest list; 0: it was known at the start
+	listReportedBy int               // the watch that reported the newest list; 0: it was known at the start
 	stopWatch      func()            // ends that watch; nil: it has ended
 	outstanding    []Notice
 	sending        []Notice
 	cancelNotify   func() // ends the call with those; nil: none is out
 	movedMeanwhile bool   // the front has moved while it was out
 	retryAt        time.Time
-	backoff        time.Duration // before the next try
+	backoff        time.Duration // before the next attempt to notify
 }
 
 // event is what socket code hands to the core.
@@ -96,38 +96,43 @@
 // ModuleSettings is what the module is told of a configuration's settings. It counts a window from one decision to the next; a
 // partner counts it between arrivals, and a repeat on a new connection arrives later than it was decided.
 func ModuleSettings(cfg *config.Config) control.Settings {
-	set := cfg.Settings.Settings
-	set.Classes = slices.Clone(set.Classes)
-	for i := range set.Classes {
-		set.Classes[i].Memory = max(set.Classes[i].Memory-cfg.Limits.WindowMargin, 0)
+	settings := cfg.Settings.Settings
+	settings.Classes = slices.Clone(settings.Classes)
+	for i := range settings.Classes {
+		settings.Classes[i].Memory = max(settings.Classes[i].Memory-cfg.Limits.WindowMargin, 0)
 	}
-	return set
+	return settings
 }
 
-// New returns a core with the journal's messages taken up again. Fronts must be added before Run.
-func New(cfg *config.Config, jour Journal, log *slog.Logger, now time.Time) (*Core, error) {
-	set := ModuleSettings(cfg)
-	mod, err := control.New(set, cfg.Seed)
+// New returns a core on a journal, whose messages Restore takes up again; now is the start of its clock. Fronts must be added before
+// Restore and Run.
+func New(cfg *config.Config, journal Journal, logger *slog.Logger, now time.Time) (*Core, error) {
+	settings := ModuleSettings(cfg)
+	policy, err := control.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	forget := time.Second
-	for _, k := range set.Classes {
-		forget = max(forget, k.Deadline+time.Second)
+	forgetAfter := time.Second
+	for _, class := range settings.Classes {
+		forgetAfter = max(forgetAfter, class.Deadline+time.Second)
 	}
-	return &Core{moduleSettings: ModuleSettings(cfg), seed: cfg.Seed, settings: &cfg.Settings, forgetAfter: forget, limits: &cfg.Limits, log: log, policy: mod, journal: jour,
-		queue: make(chan event, cfg.Limits.Queue), shell: goroutineShell{context.Background()}, startedAt: now, lastHousekeeping: now,
+	return &Core{
+		settings: &cfg.Settings, limits: &cfg.Limits, moduleSettings: ModuleSettings(cfg), seed: cfg.Seed,
+		log: logger, policy: policy, journal: journal, shell: goroutineShell{context.Background()},
+		queue: make(chan event, cfg.Limits.Queue), drained: make(chan struct{}),
+		startedAt: now, lastHousekeeping: now, forgetAfter: forgetAfter,
 		fronts: map[string]*frontState{}, messages: map[uint64]*message{}, messagesByID: map[string]*message{},
-		drained: make(chan struct{}), destinations: map[uint32]*Destination{}, destinationNumbers: map[string]uint32{}, inFlight: map[uint64]*Attempt{}}, nil
+		destinations: map[uint32]*Destination{}, destinationNumbers: map[string]uint32{}, inFlight: map[uint64]*Attempt{},
+	}, nil
 }
 
 // AddFront makes a wire known under a name that stays the same across restarts, with its list as last known.
-func (c *Core) AddFront(name string, f Front, known EndpointList) {
-	st := &frontState{name: name, number: len(c.frontsInOrder), Front: f, listed: map[string]uint32{}}
-	c.fronts[name] = st
-	c.frontsInOrder = append(c.frontsInOrder, st)
+func (c *Core) AddFront(name string, front Front, known EndpointList) {
+	f := &frontState{name: name, number: len(c.frontsInOrder), Front: front, listed: map[string]uint32{}}
+	c.fronts[name] = f
+	c.frontsInOrder = append(c.frontsInOrder, f)
 	known.Complete = true
-	listChanged{st, 0, known}.apply(c, c.startedAt)
+	listChanged{f, 0, known}.apply(c, c.startedAt)
 }
 
 // SetInspector sets who sees messages, answers and ends; it must be called before the fronts take messages.
@@ -136,30 +141,11 @@
 // SetShell has the core's calls made otherwise than on goroutines; it must be called before Restore.
 func (c *Core) SetShell(s Shell) { c.shell = s }
 
-// Restore takes up again what the journal holds: the module is told what happened before the restart.
+// Restore takes up again what the journal holds, in the order in which it was taken on, and takes the first turn: the module is told
+// what happened before the restart. New messages are accepted once it returns.
 func (c *Core) Restore(now time.Time) {
 	for _, e := range c.journal.Entries() {
-		f := c.fronts[e.Front]
-		if f == nil {
-			c.log.Warn("a message of a front that is off waits in the journal", "front", e.Front, "id", e.ID)
-			continue
-		}
-		m := c.add(f, e)
-		if e.NoticePending {
-			c.addOutstanding(m, e.Notice)
-			continue
-		}
-		if e.InFlight { // it was out when the process ended: it may have run
-			c.journal.EndAttempt(e, false)
-		}
-		if e.Class < 0 || e.Class >= len(c.settings.Classes) { // of other settings: nothing says how it may be sent
-			c.log.Warn("a message of a class that the settings no longer have is given up", "id", e.ID, "class", e.Class)
-			c.addOutstanding(m, journal.Notice{})
-			c.journal.EndWithNotice(e, e.Notice)
-			continue
-		}
-		c.clampTimes(e, now)
-		c.moduleEvents = append(c.moduleEvents, c.arrival(m))
+		c.restoreEntry(e, now)
 	}
 	if !c.settings.MustSubscribe {
 		c.watchAt = now
@@ -168,15 +154,40 @@
 	c.ready.Store(true)
 }
 
+// restoreEntry takes one message up again. What can no longer be sent has ended; what is of a front that is off stays in the journal.
+func (c *Core) restoreEntry(e *journal.Entry, now time.Time) {
+	f := c.fronts[e.Front]
+	if f == nil {
+		c.log.Warn("journal keeps message of a front that is off", "front", e.Front, "id", e.ID)
+		return
+	}
+	m := c.add(f, e)
+	if e.NoticePending {
+		c.addOutstanding(m, e.Notice)
+		return
+	}
+	if e.InFlight { // it was out when the process ended: it may have run
+		c.journal.EndAttempt(e, false)
+	}
+	if e.Class < 0 || e.Class >= len(c.settings.Classes) { // of other settings: nothing says how it may be sent
+		c.log.Warn("giving up message of a class that the settings no longer have", "id", e.ID, "class", e.Class)
+		c.addOutstanding(m, journal.Notice{})
+		c.journal.EndWithNotice(e, e.Notice)
+		return
+	}
+	c.clampTimes(e, now)
+	c.moduleEvents = append(c.moduleEvents, c.arrival(m))
+}
+
 // clampTimes takes what the journal tells of times for the narrower where the clock has gone back since: no message has more time than
 // its class gives, and a window that began in what is now the future is over.
 func (c *Core) clampTimes(e *journal.Entry, now time.Time) {
-	k := &c.settings.Classes[e.Class]
-	if most := now.Add(k.Deadline); e.Deadline.After(most) {
-		e.Deadline = most
+	class := &c.settings.Classes[e.Class]
+	if latest := now.Add(class.Deadline); e.Deadline.After(latest) {
+		e.Deadline = latest
 	}
 	if e.MayHaveRun && e.MayHaveRunAt.After(now) {
-		e.MayHaveRunAt = now.Add(-k.Memory)
+		e.MayHaveRunAt = now.Add(-class.Memory)
 	}
 }
 
--- a/internal/relay/engine/ended.go
+++ b/internal/relay/engine/ended.go
@@ -15,6 +15,7 @@
 	oldestFirst []ending           // the oldest first
 }
 
+// ending is one such message.
 type ending struct {
 	key string
 	at  time.Time
@@ -75,6 +76,7 @@
 	return Failed, true
 }
 
+// state is the memory as a capture keeps it, the oldest first.
 func (e *endings) state(c *Core) (all []capture.EndedState) {
 	for _, o := range e.oldestFirst {
 		all = append(all, capture.EndedState{Key: o.key, At: c.stamp(o.at), Verdict: uint8(e.verdicts[o.key])})
--- a/internal/relay/engine/front.go
+++ b/internal/relay/engine/front.go
@@ -26,6 +26,8 @@
 
 // ErrWatchTimeout is what Watch returns of a watch that came up and then said nothing for too long: its connection is dead, and discovery
 // may well be there.
+//
+// Its text stands in captures, where a replay knows it by that: it must not change.
 var ErrWatchTimeout = errors.New("the watch has fallen silent")
 
 // Destination is one endpoint of a partner.
@@ -41,7 +43,7 @@
 	removedAt time.Time // when it left the list; zero: it is on it
 }
 
-// EndpointList is a list of destinations: the whole of one front's, or what has changed.
+// EndpointList is a list of destinations: the complete one of a front, or what has changed.
 type EndpointList struct {
 	Index        int64
 	Complete     bool
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -19,7 +20,7 @@
 	Until time.Time // it may act before that only
 }
 
-// standing is Mandate as the fronts' goroutines see it.
+// frontMandate is a Mandate as the fronts' goroutines see it.
 type frontMandate struct {
 	until   time.Time
 	version uint64
@@ -28,43 +29,44 @@
 }
 
 // Govern has the core act as the fleet lets it from the next turn on; until the first one it acts on nothing. done is called
-// after that turn: nothing that the stand forbids is begun from then on.
-func (c *Core) Govern(s Mandate, done func()) {
-	next := &frontMandate{until: s.Until, version: s.Version, halted: s.Halted != 0, changed: make(chan struct{})}
-	if was := c.mandate.Swap(next); was != nil {
-		close(was.changed)
+// after that turn: nothing that the mandate forbids is begun from then on.
+func (c *Core) Govern(mandate Mandate, done func()) {
+	next := &frontMandate{until: mandate.Until, version: mandate.Version, halted: mandate.Halted != 0, changed: make(chan struct{})}
+	if before := c.mandate.Swap(next); before != nil {
+		close(before.changed)
 	}
-	c.queue <- governed{s, done}
+	c.queue <- governed{mandate, done}
 }
 
+// governed is a mandate that takes hold; done is called once it does.
 type governed struct {
 	Mandate
 	done func()
 }
 
 func (g governed) apply(c *Core, now time.Time) {
-	was := c.governor
-	if was == nil {
-		was = &capture.Mandate{}
+	before := c.governor
+	if before == nil {
+		before = &capture.Mandate{}
 	}
-	s := g.Mandate.Mandate
-	s.Until = 0
+	mandate := g.Mandate.Mandate
+	mandate.Until = 0
 	if !g.Mandate.Until.IsZero() {
-		s.Until = c.clock(g.Mandate.Until)
+		mandate.Until = c.clock(g.Mandate.Until)
 	}
-	c.governor = &s
-	if s.Version != was.Version {
+	c.governor = &mandate
+	if mandate.Version != before.Version {
 		c.recordNote(now, "another policy is in force")
 	}
-	if len(s.Worth) > 0 || len(s.Quotas) > 0 {
-		c.policy.Reconfigure(s.Worth, s.Quotas)
+	if len(mandate.Worth) > 0 || len(mandate.Quotas) > 0 {
+		c.policy.Reconfigure(mandate.Worth, mandate.Quotas)
 	}
-	if !slices.Equal(s.Shut, was.Shut) || !slices.Equal(s.Most, was.Most) {
-		c.reportLimited(was)
+	if !slices.Equal(mandate.Shut, before.Shut) || !slices.Equal(mandate.Most, before.Most) {
+		c.reportLimited(before)
 	}
-	if s.Halted != 0 && s.Halted != was.Halted {
-		for _, no := range c.inFlightNumbers() { // what has written nothing begins nothing under the policy before
-			c.inFlight[no].recall()
+	if mandate.Halted != 0 && mandate.Halted != before.Halted {
+		for _, number := range c.inFlightNumbers() { // what has written nothing begins nothing under the policy before
+			c.inFlight[number].recall()
 		}
 	}
 	if g.done != nil {
@@ -73,22 +75,18 @@
 }
 
 // reportLimited tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
-func (c *Core) reportLimited(was *capture.Mandate) {
-	ev := control.Event{Kind: control.Listed}
-	numbers := make([]uint32, 0, len(c.destinations))
-	for n := range c.destinations {
-		numbers = append(numbers, n)
-	}
-	slices.Sort(numbers)
-	for _, n := range numbers {
-		if d := c.destinations[n]; was.Shuts(d.Partner) != c.isShut(d.Partner) || was.MostTo(d.Partner) != c.governor.MostTo(d.Partner) {
-			ev.Endpoints = append(ev.Endpoints, c.moduleEndpoint(n, d))
+func (c *Core) reportLimited(before *capture.Mandate) {
+	listed := control.Event{Kind: control.Listed}
+	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
+		d := c.destinations[number]
+		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.MostTo(d.Partner) != c.governor.MostTo(d.Partner) {
+			listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(number, d))
 		}
 	}
-	if len(ev.Endpoints) == 0 {
+	if len(listed.Endpoints) == 0 {
 		return
 	}
-	c.moduleEvents = append(c.moduleEvents, ev)
+	c.moduleEvents = append(c.moduleEvents, listed)
 	for _, f := range c.frontsInOrder {
 		if f.stopWatch == nil && c.settings.MustSubscribe { // the module takes any word of the list for the end of its asking
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed})
@@ -97,6 +95,7 @@
 	}
 }
 
+// isShut tells whether operators have shut a partner.
 func (c *Core) isShut(partner int) bool { return c.governor.Shuts(partner) }
 
 // mayAct tells whether the relay may take messages on and begin attempts.
@@ -107,13 +106,13 @@
 // maxAttempts is how many attempts a message may have: the narrower of what was in force when it was taken on and now; 0: as
 // many as the settings permit.
 func (c *Core) maxAttempts(e *journal.Entry) int {
-	most := e.MaxAttempts
+	limit := e.MaxAttempts
 	if c.governor != nil && e.Class < len(c.governor.Attempts) {
-		if n := c.governor.Attempts[e.Class]; n > 0 && (most == 0 || n < most) {
-			most = n
+		if now := c.governor.Attempts[e.Class]; now > 0 && (limit == 0 || now < limit) {
+			limit = now
 		}
 	}
-	return most
+	return limit
 }
 
 // stampPolicy notes in a message that is taken on under which policy it is.
@@ -126,7 +125,7 @@
 
 // rejectExhausted tells the module of a send that the policy does not allow: no other attempt would fare better.
 func (c *Core) rejectExhausted(m *message, a control.Action) bool {
-	if most := c.maxAttempts(m.entry); most == 0 || m.entry.Attempts < most {
+	if limit := c.maxAttempts(m.entry); limit == 0 || m.entry.Attempts < limit {
 		return false
 	}
 	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: m.entry.Attempts, Endpoint: a.Endpoint, Result: control.Rejected})
@@ -134,43 +133,43 @@
 }
 
 // bindToMandate has an attempt tell its version, and write nothing once the lease is over.
-func (c *Core) bindToMandate(s *Attempt) {
+func (c *Core) bindToMandate(attempt *Attempt) {
 	if c.governor == nil {
 		return
 	}
 	if c.governor.Stamp {
-		s.PolicyVersion = c.governor.Version
+		attempt.PolicyVersion = c.governor.Version
 	}
-	if end := c.timeOf(c.governor.Until); s.WriteBefore.IsZero() || end.Before(s.WriteBefore) {
-		s.WriteBefore = end
+	if end := c.timeOf(c.governor.Until); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
+		attempt.WriteBefore = end
 	}
 }
 
 // admitted tells, on a front's goroutine, whether the fleet lets this relay take a message on. While a change takes hold it
 // waits a little for that.
 func (c *Core) admitted() bool {
-	s := c.mandate.Load()
-	if s == nil {
+	mandate := c.mandate.Load()
+	if mandate == nil {
 		return true
 	}
-	if s.halted {
-		patience := time.NewTimer(haltTimeout)
-		defer patience.Stop()
-		for s.halted {
+	if mandate.halted {
+		timeout := time.NewTimer(haltTimeout)
+		defer timeout.Stop()
+		for mandate.halted {
 			select {
-			case <-s.changed:
-				s = c.mandate.Load()
-			case <-patience.C:
+			case <-mandate.changed:
+				mandate = c.mandate.Load()
+			case <-timeout.C:
 				return false
 			}
 		}
 	}
-	return time.Now().Before(s.until)
+	return time.Now().Before(mandate.until)
 }
 
 // leased tells whether this relay belongs to no fleet, or has a lease: a change that is about to take hold is no reason to send
 // clients elsewhere.
 func (c *Core) leased() bool {
-	s := c.mandate.Load()
-	return s == nil || time.Now().Before(s.until)
+	mandate := c.mandate.Load()
+	return mandate == nil || time.Now().Before(mandate.until)
 }
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -59,7 +59,7 @@
 	ref uint64
 }
 
-// message is one that is not over.
+// message is one that the relay has taken on and that has not ended, or whose notice is outstanding.
 type message struct {
 	ref        uint64
 	submission uint64 // its number among those handed in; 0: it was there at the start
@@ -70,7 +70,7 @@
 	attempt    *Attempt   // out now
 }
 
-// notice is what is owed of a message that has ended.
+// notice is the notice of a message that has ended.
 func (m *message) notice() Notice {
 	n := Notice{ID: m.entry.ID, Delivered: m.entry.Notice.Delivered, HandedBack: m.entry.Notice.HandedBack, RetryAfter: m.entry.Notice.RetryAfter,
 		Class: m.entry.Class, Deadline: m.entry.Deadline, Body: m.entry.Body, ref: m.ref}
@@ -80,6 +80,7 @@
 	return n
 }
 
+// add makes a message known under a number of its own and its front and id.
 func (c *Core) add(f *frontState, e *journal.Entry) *message {
 	c.lastRef++
 	m := &message{ref: c.lastRef, front: f, entry: e}
@@ -90,6 +91,7 @@
 	return m
 }
 
+// drop forgets a message. Another may have come under its id meanwhile: that one stays.
 func (c *Core) drop(m *message) {
 	delete(c.messages, m.ref)
 	if k := m.front.name + " " + m.entry.ID; c.messagesByID[k] == m {
@@ -97,6 +99,7 @@
 	}
 }
 
+// arrival is a message as the module is told of it.
 func (c *Core) arrival(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.number<<20 + m.entry.Destination,
 		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted, Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
@@ -106,11 +109,11 @@
 	return ev
 }
 
-// finish forgets a message that is over.
-func (c *Core) finish(m *message, how string) {
+// finish forgets a message that has ended and owes no notice.
+func (c *Core) finish(m *message, result string) {
 	c.recordFinish(m)
 	c.drop(m)
-	c.notifyEnd(m, how)
+	c.notifyEnd(m, result)
 }
 
 // end gives a message its one final answer.
--- a/internal/relay/engine/notices.go
+++ b/internal/relay/engine/notices.go
@@ -7,13 +7,14 @@
 	"mastusher/internal/relay/journal"
 )
 
+// addOutstanding notes that a message has ended and that its client must be notified.
 func (c *Core) addOutstanding(m *message, n journal.Notice) {
 	c.outstanding++
 	m.entry.NoticePending, m.entry.Notice = true, n
 	m.front.outstanding = append(m.front.outstanding, m.notice())
 }
 
-// notify sends the notices owed, one call a front at a time.
+// notify sends the notices outstanding, one call a front at a time.
 func (c *Core) notify(now time.Time) {
 	for _, f := range c.frontsInOrder {
 		if f.cancelNotify != nil || len(f.outstanding) == 0 || now.Before(f.retryAt) {
@@ -24,28 +25,30 @@
 		f.outstanding = slices.Delete(f.outstanding, 0, n)
 		f.sending = batch
 		c.recordNotices(f)
-		f.cancelNotify = c.shell.Notify(f.Front, batch, now.Add(c.limits.NoticeTimeout), func(taken []bool) { c.queue <- notified{f, taken} })
+		f.cancelNotify = c.shell.Notify(f.Front, batch, now.Add(c.limits.NoticeTimeout), func(accepted []bool) { c.queue <- notified{f, accepted} })
 	}
 }
 
+// notified is the end of a call with notices, with those that were accepted.
 type notified struct {
 	front    *frontState
 	accepted []bool
 }
 
 func (n notified) apply(c *Core, now time.Time) {
-	sent, moved := n.front.sending, n.front.movedMeanwhile // then the next goes elsewhere, and at once
-	n.front.cancelNotify()
-	n.front.cancelNotify, n.front.sending, n.front.movedMeanwhile = nil, nil, false
+	f := n.front
+	sent, moved := f.sending, f.movedMeanwhile // then the next goes elsewhere, and at once
+	f.cancelNotify()
+	f.cancelNotify, f.sending, f.movedMeanwhile = nil, nil, false
 	if moved || !slices.Contains(n.accepted, false) {
-		n.front.backoff = 0
+		f.backoff = 0
 	} else { // twice as long each time in a row
-		n.front.backoff = min(max(2*n.front.backoff, c.limits.NoticeRetry), c.limits.NoticeRetryMax)
-		n.front.retryAt = now.Add(n.front.backoff)
+		f.backoff = min(max(2*f.backoff, c.limits.NoticeRetry), c.limits.NoticeRetryMax)
+		f.retryAt = now.Add(f.backoff)
 	}
 	for i, notice := range sent {
 		if m := c.messages[notice.ref]; !n.accepted[i] {
-			n.front.outstanding = append(n.front.outstanding, notice)
+			f.outstanding = append(f.outstanding, notice)
 		} else if m != nil {
 			c.outstanding--
 			c.journal.Ack(m.entry)
@@ -56,11 +59,12 @@
 	}
 }
 
-func (c *Core) notifyEnd(m *message, how string) {
-	c.count(m.entry.Class, m.entry.Tenant, m.entry.Destination, how)
+// notifyEnd counts a message's end and has the inspector told of it once the turn is journalled.
+func (c *Core) notifyEnd(m *message, result string) {
+	c.count(m.entry.Class, m.entry.Tenant, m.entry.Destination, result)
 	if c.inspector != nil {
 		c.notifications = append(c.notifications, func() {
-			c.inspector.OnEnd(m.front.name, End{m.entry.ID, m.entry.Key, m.entry.Destination, m.entry.Class, how})
+			c.inspector.OnEnd(m.front.name, End{m.entry.ID, m.entry.Key, m.entry.Destination, m.entry.Class, result})
 		})
 	}
 }
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -89,14 +89,15 @@
 
 // recordState hands over the state of module and core, and the names of all that they hold.
 func (c *Core) recordState() {
-	x := c.state()
-	messages := make([]capture.Message, len(x.Messages))
-	for i, m := range x.Messages {
+	state := c.state()
+	messages := make([]capture.Message, len(state.Messages))
+	for i, m := range state.Messages {
 		messages[i] = capture.Message{Ref: m.Ref, Front: c.frontsInOrder[m.Front].name, ID: m.ID}
 	}
-	c.recorder.State(c.policy.Snapshot(), x, x.Numbers, messages)
+	c.recorder.State(c.policy.Snapshot(), state, state.Numbers, messages)
 }
 
+// recordAction takes one thing that the core does into the turn's sum; a replay keeps it in full too.
 func (c *Core) recordAction(d capture.Action) {
 	if c.recorder == nil {
 		return
@@ -108,19 +109,19 @@
 	}
 }
 
-func (c *Core) recordBegin(s *Attempt) {
+func (c *Core) recordBegin(attempt *Attempt) {
 	if c.recorder == nil {
 		return
 	}
 	c.actionRefs = c.actionRefs[:0]
-	for i := range s.Items {
-		c.actionRefs = append(c.actionRefs, s.Items[i].ref)
+	for i := range attempt.Items {
+		c.actionRefs = append(c.actionRefs, attempt.Items[i].ref)
 	}
-	d := capture.Action{Kind: capture.AttemptBegan, Number: s.number, Target: s.To.number, Refs: c.actionRefs, Wait: s.Timeout}
-	if !s.WriteBefore.IsZero() {
-		d.WriteBefore = c.clock(s.WriteBefore)
+	began := capture.Action{Kind: capture.AttemptBegan, Number: attempt.number, Target: attempt.To.number, Refs: c.actionRefs, Wait: attempt.Timeout}
+	if !attempt.WriteBefore.IsZero() {
+		began.WriteBefore = c.clock(attempt.WriteBefore)
 	}
-	c.recordAction(d)
+	c.recordAction(began)
 }
 
 func (c *Core) recordNotices(f *frontState) {
@@ -146,47 +147,34 @@
 	}
 }
 
-// eventOf is an event as a capture tells it; false: a replay has no need of it.
+// eventOf is an event as a capture tells it; false: a replay has no need of it. eventFrom is its reverse.
 func (c *Core) eventOf(ev event, now time.Time) (e capture.CoreEvent, ok bool) {
 	switch v := ev.(type) {
 	case arrival:
-		m := &v.msg
-		c.recordedArrivals = append(c.recordedArrivals, capture.Arrival{ID: m.ID, KeySize: len(m.Key), Partner: m.Partner,
-			Class: m.Class, Tenant: m.Tenant, Deadline: m.Deadline.Sub(c.startedAt) + clockStart, Resubmitted: m.Resubmitted, Size: len(m.Body), Headers: hashHeaders(m.ExtraHeaders),
-			QueuedFor: now.Sub(v.submittedAt), Verdict: uint8(v.ruling.Verdict), Status: v.ruling.Status, Reason: v.ruling.Reason, SeenUnderPolicy: v.seenUnderPolicy})
-		e = capture.CoreEvent{Kind: capture.Submitted, Front: -1, Arrival: &c.recordedArrivals[len(c.recordedArrivals)-1]}
-		if f := c.fronts[v.front]; f != nil {
-			e.Front = f.number
-		}
-		if !m.MayHaveRunAt.IsZero() {
-			e.Arrival.MayHaveRun, e.Arrival.MayHaveRunAt = true, m.MayHaveRunAt.Sub(c.startedAt)+clockStart
-		}
+		e = c.recordedArrival(&v, now)
 	case withdrawn:
 		e = capture.CoreEvent{Kind: capture.Withdrawn, Ref: v.ref}
 	case moved:
-		e = capture.CoreEvent{Kind: capture.Moved, Front: -1}
-		if f := c.fronts[v.front]; f != nil {
-			e.Front = f.number
-		}
+		e = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(v.front)}
 	case drain:
 		e.Kind = capture.DrainStarted
 	case governed:
-		s := v.Mandate.Mandate
-		if s.Until = 0; !v.Mandate.Until.IsZero() {
-			s.Until = c.clock(v.Mandate.Until)
+		mandate := v.Mandate.Mandate
+		if mandate.Until = 0; !v.Mandate.Until.IsZero() {
+			mandate.Until = c.clock(v.Mandate.Until)
 		}
-		e = capture.CoreEvent{Kind: capture.Governed, Mandate: &s}
+		e = capture.CoreEvent{Kind: capture.Governed, Mandate: &mandate}
 	case quotaGranted:
 		e = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: v.on(c)}
 	case attemptEnded:
 		e = capture.CoreEvent{Kind: capture.AttemptEnded, Number: v.attempt.number, Items: len(v.outcomes)} // the module is told the outcomes
 	case listChanged:
-		p := &capture.EndpointList{Index: v.Index, Complete: v.Complete}
+		list := &capture.EndpointList{Index: v.Index, Complete: v.Complete}
 		for _, d := range v.Destinations {
-			p.Destinations = append(p.Destinations, capture.DestinationState{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
-				Weight: d.Weight})
+			list.Destinations = append(list.Destinations, capture.DestinationState{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner,
+				State: d.State, Weight: d.Weight})
 		}
-		e = capture.CoreEvent{Kind: capture.ListReported, Front: v.front.number, Number: uint64(v.watch), List: p}
+		e = capture.CoreEvent{Kind: capture.ListReported, Front: v.front.number, Number: uint64(v.watch), List: list}
 	case watchEnded:
 		e = capture.CoreEvent{Kind: capture.WatchEnded, Front: v.front.number, Number: uint64(v.watch), Text: v.err.Error()}
 	case notified:
@@ -197,6 +185,29 @@
 	return e, true
 }
 
+// recordedArrival is a message handed in, without its body and key, of which only the lengths are recorded.
+func (c *Core) recordedArrival(a *arrival, now time.Time) capture.CoreEvent {
+	m := &a.msg
+	c.recordedArrivals = append(c.recordedArrivals, capture.Arrival{ID: m.ID, KeySize: len(m.Key), Partner: m.Partner,
+		Class: m.Class, Tenant: m.Tenant, Deadline: m.Deadline.Sub(c.startedAt) + clockStart, Resubmitted: m.Resubmitted,
+		Size: len(m.Body), Headers: hashHeaders(m.ExtraHeaders), QueuedFor: now.Sub(a.submittedAt),
+		Verdict: uint8(a.ruling.Verdict), Status: a.ruling.Status, Reason: a.ruling.Reason, SeenUnderPolicy: a.seenUnderPolicy})
+	recorded := &c.recordedArrivals[len(c.recordedArrivals)-1]
+	if !m.MayHaveRunAt.IsZero() {
+		recorded.MayHaveRun, recorded.MayHaveRunAt = true, m.MayHaveRunAt.Sub(c.startedAt)+clockStart
+	}
+	return capture.CoreEvent{Kind: capture.Submitted, Front: c.frontNumber(a.front), Arrival: recorded}
+}
+
+// frontNumber is a front's number; -1: there is no front of that name.
+func (c *Core) frontNumber(name string) int {
+	if f := c.fronts[name]; f != nil {
+		return f.number
+	}
+	return -1
+}
+
+// hashHeaders stands in a capture for headers: the same for the same.
 func hashHeaders(headers []string) (h uint64) {
 	if len(headers) == 1 { // out of a recording
 		if _, err := fmt.Sscanf(headers[0], hashedHeader, &h); err == nil {
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -112,32 +112,21 @@
 	return r.core.state()
 }
 
-func (r *CoreReplay) resume(x *capture.Core) error {
-	s := r.begin.Core
-	if s == nil || r.snapshot == nil {
-		return errors.New("capture: the core's state stands there without its settings, or without the module's")
+// resume makes a core in a recorded state.
+func (r *CoreReplay) resume(state *capture.Core) error {
+	if r.begin.Core == nil || r.snapshot == nil {
+		return errNoCoreSettings
 	}
-	cfg := &config.Config{Seed: r.begin.Seed, Settings: wire.Settings{Settings: r.begin.Settings, Zones: s.Zones, KindNames: s.Kinds, Weights: s.Weights}}
-	cfg.Limits = config.Limits{Queue: 1, WindowMargin: s.WindowMargin, BusyRetry: s.BusyRetry, AnswerWithin: s.AnswerWithin,
-		BodySize: s.BodySize, DrainSends: s.DrainSends, DrainExit: s.DrainExit, NoticesPerCall: s.NoticesPerCall,
-		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMax: s.NoticeRetryMax, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
-		EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
-	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
-	for i := range cfg.Settings.Classes { // see ModuleSettings
-		if k := &cfg.Settings.Classes[i]; k.Memory > 0 {
-			k.Memory += s.WindowMargin
-		}
-	}
-	jour := &journal.Memory{Full: func(*journal.Entry) bool {
+	memory := &journal.Memory{Full: func(*journal.Entry) bool {
 		r.accepts++
 		return slices.Contains(r.noRoomFor, r.accepts-1)
 	}, Failed: func() error {
 		if r.flushFails {
-			return errors.New("as recorded")
+			return errAsRecorded
 		}
 		return nil
 	}}
-	c, err := New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.UnixMicro(r.begin.At))
+	c, err := New(configOf(&r.begin), memory, slog.New(slog.NewTextHandler(io.Discard, nil)), time.UnixMicro(r.begin.At))
 	if err != nil {
 		return err
 	}
@@ -145,56 +134,81 @@
 		return err
 	}
 	c.recorder, c.shell, c.keepActions = &r.recorded, inertShell{}, true
-	c.restoreState(x, func(f capture.FrontState) Front { return recordedFront{f.NotifiesDeliveries} })
-	if s := x.Mandate; s != nil && (len(s.Worth) > 0 || len(s.Quotas) > 0) {
-		c.policy.Reconfigure(s.Worth, s.Quotas)
+	c.restoreState(state, func(f capture.FrontState) Front { return recordedFront{f.NotifiesDeliveries} })
+	if mandate := state.Mandate; mandate != nil && (len(mandate.Worth) > 0 || len(mandate.Quotas) > 0) {
+		c.policy.Reconfigure(mandate.Worth, mandate.Quotas)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.messages)) {
-		jour.Restore(c.messages[ref].entry)
+		memory.Restore(c.messages[ref].entry)
 	}
 	r.core = c
 	return nil
 }
 
+// configOf is the configuration of a recorded relay, as far as its core needs it.
+func configOf(begin *capture.Begin) *config.Config {
+	s := begin.Core
+	cfg := &config.Config{Seed: begin.Seed, Settings: wire.Settings{Settings: begin.Settings, Zones: s.Zones, KindNames: s.Kinds, Weights: s.Weights}}
+	cfg.Limits = config.Limits{Queue: 1, WindowMargin: s.WindowMargin, BusyRetry: s.BusyRetry, AnswerWithin: s.AnswerWithin,
+		BodySize: s.BodySize, DrainSends: s.DrainSends, DrainExit: s.DrainExit, NoticesPerCall: s.NoticesPerCall,
+		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMax: s.NoticeRetryMax, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
+		EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
+	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
+	for i := range cfg.Settings.Classes { // the reverse of ModuleSettings
+		if class := &cfg.Settings.Classes[i]; class.Memory > 0 {
+			class.Memory += s.WindowMargin
+		}
+	}
+	return cfg
+}
+
+var (
+	errNoCoreSettings = errors.New("capture: the core's state stands there without its settings, or without the module's")
+	errAsRecorded     = errors.New("as recorded")
+)
+
+// input replays one turn and compares what the core tells the module, what that decides and what the core does.
 func (r *CoreReplay) input(in *capture.Input, turn *capture.Turn) error {
-	c := r.core
+	core := r.core
 	r.noRoomFor, r.accepts, r.flushFails, r.recorded = in.Full, 0, in.Failed, singleTurn{}
-	d := &CoreDifference{Input: in, Turn: turn}
-	now := c.timeOf(in.Now)
+	difference := &CoreDifference{Input: in, Turn: turn}
+	now := core.timeOf(in.Now)
 	var events []event
-	outs := outcomes(turn, len(c.moduleEvents))
+	moduleOutcomes := outcomes(turn, len(core.moduleEvents))
 	for i := range in.Events {
-		ev, err := c.eventFrom(&in.Events[i], now, &outs)
+		ev, err := core.eventFrom(&in.Events[i], now, &moduleOutcomes)
 		if err != nil {
-			d.Reason = err.Error()
+			difference.Reason = err.Error()
 			r.core = nil // it can't go on without that
-			return d
+			return difference
 		}
 		events = append(events, ev)
 	}
-	c.Turn(now, events)
-	var was capture.Turn
+	core.Turn(now, events)
+	var expected capture.Turn
 	if turn != nil && in.No != 0 {
-		was = *turn
+		expected = *turn
 	}
 	switch {
 	case r.recorded.hasTurn != (in.No != 0):
-		d.Reason = "the module has a turn in one of them only"
-	case !reflect.DeepEqual(empty(was.Events), empty(r.recorded.events)):
-		d.Reason = "the module is told something else"
-	case !slices.Equal(was.Actions, r.recorded.actions):
-		d.Reason = "the module decides otherwise"
+		difference.Reason = "the module has a turn in one of them only"
+	case !reflect.DeepEqual(empty(expected.Events), empty(r.recorded.events)):
+		difference.Reason = "the module is told something else"
+	case !slices.Equal(expected.Actions, r.recorded.actions):
+		difference.Reason = "the module decides otherwise"
 	case in.Sum != r.recorded.input.Sum:
-		d.Reason = "the core does something else"
+		difference.Reason = "the core does something else"
 	default:
 		r.Turns++
 		return nil
 	}
-	d.Got, d.ModuleEvents, d.ModuleActions, d.State = r.recorded.input, r.recorded.events, r.recorded.actions, c.policy.Snapshot()
+	difference.Got, difference.ModuleEvents, difference.ModuleActions = r.recorded.input, r.recorded.events, r.recorded.actions
+	difference.State = core.policy.Snapshot()
 	r.core = nil // what follows would differ too
-	return d
+	return difference
 }
 
+// empty makes no difference between an empty list and none.
 func empty[T any](all []T) []T {
 	if len(all) == 0 {
 		return nil
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -8,8 +8,9 @@
 	"mastusher/internal/relay/capture"
 )
 
-// eventFrom is an event as it came by the queue.
-func (c *Core) eventFrom(e *capture.CoreEvent, now time.Time, told *[]Outcome) (event, error) {
+// eventFrom is a recorded event as it came by the queue. Outcomes that the recording does not repeat are taken from those that the module
+// was told of in the same turn.
+func (c *Core) eventFrom(e *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
 	if e.Front >= len(c.frontsInOrder) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
 		return nil, fmt.Errorf("there is no front %d", e.Front)
 	}
@@ -19,17 +20,7 @@
 	}
 	switch e.Kind {
 	case capture.Submitted:
-		a := e.Arrival
-		if a == nil {
-			return nil, errors.New("a message handed in is missing")
-		}
-		m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant, Deadline: c.startedAt.Add(a.Deadline - clockStart),
-			Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
-		if a.MayHaveRun {
-			m.MayHaveRunAt = c.startedAt.Add(a.MayHaveRunAt - clockStart)
-		}
-		return arrival{front: name, msg: m, submittedAt: now.Add(-a.QueuedFor), reply: make(chan Reply, 1),
-			ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
+		return c.arrivalFrom(e.Arrival, name, now)
 	case capture.Withdrawn:
 		return withdrawn{e.Ref}, nil
 	case capture.Moved:
@@ -47,28 +38,9 @@
 		}
 		return quotaGranted{SharedLimits: *e.Shared, until: c.timeOf(e.Shared.LeaseExpiry)}, nil
 	case capture.AttemptEnded:
-		s := c.inFlight[e.Number]
-		var outs []Outcome
-		for _, o := range e.Outcomes {
-			outs = append(outs, Outcome(o))
-		}
-		if n := min(e.Items, len(*told)); outs == nil {
-			outs, *told = (*told)[:n], (*told)[n:]
-		}
-		if s == nil || len(s.Items) != len(outs) {
-			return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Number)
-		}
-		return attemptEnded{s, outs}, nil
+		return c.attemptEndedFrom(e, moduleOutcomes)
 	case capture.ListReported:
-		p := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
-		if e.List != nil {
-			p.Index, p.Complete = e.List.Index, e.List.Complete
-			for _, d := range e.List.Destinations {
-				p.Destinations = append(p.Destinations, Destination{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
-					Weight: d.Weight})
-			}
-		}
-		return p, nil
+		return c.listChangedFrom(e), nil
 	case capture.WatchEnded:
 		err := errors.New(e.Text)
 		if e.Text == ErrWatchTimeout.Error() {
@@ -84,3 +56,44 @@
 	}
 	return nil, fmt.Errorf("an event of kind %d is not known", e.Kind)
 }
+
+func (c *Core) arrivalFrom(a *capture.Arrival, front string, now time.Time) (event, error) {
+	if a == nil {
+		return nil, errors.New("a message handed in is missing")
+	}
+	m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant,
+		Deadline: c.startedAt.Add(a.Deadline - clockStart), Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
+	if a.MayHaveRun {
+		m.MayHaveRunAt = c.startedAt.Add(a.MayHaveRunAt - clockStart)
+	}
+	return arrival{front: front, msg: m, submittedAt: now.Add(-a.QueuedFor), reply: make(chan Reply, 1),
+		ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
+}
+
+func (c *Core) attemptEndedFrom(e *capture.CoreEvent, moduleOutcomes *[]Outcome) (event, error) {
+	attempt := c.inFlight[e.Number]
+	var outcomes []Outcome
+	for _, o := range e.Outcomes {
+		outcomes = append(outcomes, Outcome(o))
+	}
+	if n := min(e.Items, len(*moduleOutcomes)); outcomes == nil {
+		outcomes, *moduleOutcomes = (*moduleOutcomes)[:n], (*moduleOutcomes)[n:]
+	}
+	if attempt == nil || len(attempt.Items) != len(outcomes) {
+		return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Number)
+	}
+	return attemptEnded{attempt, outcomes}, nil
+}
+
+func (c *Core) listChangedFrom(e *capture.CoreEvent) event {
+	change := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
+	if e.List == nil {
+		return change
+	}
+	change.Index, change.Complete = e.List.Index, e.List.Complete
+	for _, d := range e.List.Destinations {
+		change.Destinations = append(change.Destinations, Destination{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State,
+			Weight: d.Weight})
+	}
+	return change
+}
--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -473,7 +473,7 @@
 				Deadline: v.now.Add(9 * time.Second)}, submittedAt: v.now, reply: make(chan Reply, 1)}
 			next = next.Add(time.Duration(v.rng.ExpFloat64() * float64(time.Second) / 120))
 		}
-		if events := c.drainQueue(nil); len(events) > 0 || c.idleFor(v.now) == 0 {
+		if events := c.drainQueue(nil); len(events) > 0 || c.IdleFor(v.now) == 0 {
 			c.Turn(v.now, events)
 		}
 	}
--- a/internal/relay/engine/run.go
+++ b/internal/relay/engine/run.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// Run is the one goroutine that owns the module. It attempts in turns of Limits.Round, on a fixed grid, so that
+// Run is the one goroutine that owns the module. It takes turns of Limits.Round, on a fixed grid, so that
 // what comes within one turn is decided together. It returns after Stop, and until then answers whatever comes.
 func (c *Core) Run() {
 	timer := time.NewTimer(0)
 	var events []event
 	for {
 		events = events[:0]
-		timer.Reset(c.idleFor(time.Now()))
+		timer.Reset(c.IdleFor(time.Now()))
 		select {
 		case ev := <-c.queue:
 			events = append(events, ev)
@@ -34,9 +34,6 @@
 // Step takes a turn with what stands in the queue, for those who have a clock of their own in the place of Run.
 func (c *Core) Step(now time.Time) { c.Turn(now, c.drainQueue(nil)) }
 
-// IdleFor is how long nothing needs to be done unless something happens.
-func (c *Core) IdleFor(now time.Time) time.Duration { return c.idleFor(now) }
-
 // drainQueue takes what stands in the queue.
 func (c *Core) drainQueue(events []event) []event {
 	for {
@@ -49,12 +46,12 @@
 	}
 }
 
-// idleFor is how long nothing needs to be done unless something happens.
-func (c *Core) idleFor(now time.Time) time.Duration {
-	d := time.Second
+// IdleFor is how long nothing needs to be done unless something happens.
+func (c *Core) IdleFor(now time.Time) time.Duration {
+	idle := time.Second
 	until := func(t time.Time) {
 		if !t.IsZero() {
-			d = min(d, max(t.Sub(now), 0))
+			idle = min(idle, max(t.Sub(now), 0))
 		}
 	}
 	until(c.wakeAt)
@@ -65,7 +62,7 @@
 		}
 	}
 	if len(c.moduleEvents) > 0 || len(c.awaitingLease) > 0 || !c.drainAt.IsZero() {
-		d = min(d, c.limits.Round)
+		idle = min(idle, c.limits.Round)
 	}
-	return d
+	return idle
 }
--- a/internal/relay/engine/shutdown.go
+++ b/internal/relay/engine/shutdown.go
@@ -8,12 +8,13 @@
 	c.queue <- drain{}
 }
 
-// Drained is closed when all that was held at Drain is over, or at the limit.
+// Drained is closed when all messages in the relay at Drain have ended, or at the limit.
 func (c *Core) Drained() <-chan struct{} { return c.drained }
 
 // Stop has Run return after one more turn. Whoever might still hand something in must have ended: nobody would answer.
 func (c *Core) Stop() { c.queue <- stop{} }
 
+// drain begins the end of the process: nothing new is taken on.
 type drain struct{}
 
 func (drain) apply(c *Core, now time.Time) {
@@ -24,6 +25,7 @@
 	c.recordNote(now, "the relay drains")
 }
 
+// stop ends Run.
 type stop struct{}
 
 func (stop) apply(c *Core, _ time.Time) { c.stopped = true }
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// SubmitAt is Submit for them: the answer comes in the next Step.
+// SubmitAt is Submit for those who have a clock of their own (see Step): the answer comes in the next Step.
 func (c *Core) SubmitAt(front string, m Message, at time.Time) <-chan Reply {
 	a := arrival{front: front, msg: m, submittedAt: at, reply: make(chan Reply, 1)}
 	c.queue <- a
@@ -51,6 +51,7 @@
 	}
 }
 
+// arrival is a message that a front hands in.
 type arrival struct {
 	front           string
 	msg             Message
@@ -66,37 +67,60 @@
 }
 
 func (a arrival) apply(c *Core, now time.Time) {
-	f, m := c.fronts[a.front], &a.msg
-	// Past AnswerWithin the client is about to leave, and would hand it in again beside this one.
 	c.submitted++
-	busy := Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry, halted: c.governor != nil && c.governor.Halted != 0 || a.stale(c)}
-	// It is held already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
-	if v, again := c.earlierVerdict(a.front, m.ID); again {
-		c.replyTo(a.reply, c.submitted, Reply{Verdict: v, RetryAfter: c.limits.BusyRetry})
+	// It is in the relay already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
+	if verdict, known := c.earlierVerdict(a.front, a.msg.ID); known {
+		c.replyTo(a.reply, c.submitted, Reply{Verdict: verdict, RetryAfter: c.limits.BusyRetry})
 		return
 	}
-	if f == nil || !c.drainAt.IsZero() || now.Sub(a.submittedAt) > c.limits.AnswerWithin || !c.mayAct(now) || c.governor != nil && c.governor.Closed || a.stale(c) {
-		c.count(m.Class, m.Tenant, m.Partner, countRefused)
-		c.replyTo(a.reply, c.submitted, busy)
+	if c.closedTo(&a, now) {
+		c.refuse(&a)
 		return
 	}
 	if a.ruling.Verdict != Accepted {
 		c.replyTo(a.reply, c.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: c.limits.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
 		return
 	}
-	if c.settings.MaxOpen > 0 && len(c.messages)-c.outstanding >= c.settings.MaxOpen || !c.serves(f, m.Partner) || c.isShut(m.Partner) {
-		c.count(m.Class, m.Tenant, m.Partner, countRefused)
-		c.replyTo(a.reply, c.submitted, busy)
+	if c.fullFor(&a) {
+		c.refuse(&a)
 		return
 	}
-	msg := c.add(f, &journal.Entry{ID: m.ID, Key: m.Key, Front: a.front, Destination: m.Partner, Class: m.Class,
-		Tenant: m.Tenant, Deadline: m.Deadline, Resubmitted: m.Resubmitted, Body: bytes.Clone(m.Body), Headers: m.ExtraHeaders, MayHaveRun: !m.MayHaveRunAt.IsZero(), MayHaveRunAt: m.MayHaveRunAt})
-	c.stampPolicy(msg.entry)
-	msg.reply, msg.submission = a.reply, c.submitted
-	c.arrivals = append(c.arrivals, msg)
-	c.moduleEvents = append(c.moduleEvents, c.arrival(msg))
+	c.take(&a)
 }
 
+// closedTo tells whether nothing is taken on now, whatever the message.
+func (c *Core) closedTo(a *arrival, now time.Time) bool {
+	return c.fronts[a.front] == nil || !c.drainAt.IsZero() ||
+		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client is about to leave, and would hand it in again beside this one
+		!c.mayAct(now) || c.governor != nil && c.governor.Closed || a.stale(c)
+}
+
+// fullFor tells whether there is no room for the message, or no way to its partner.
+func (c *Core) fullFor(a *arrival) bool {
+	return c.settings.MaxOpen > 0 && len(c.messages)-c.outstanding >= c.settings.MaxOpen ||
+		!c.serves(c.fronts[a.front], a.msg.Partner) || c.isShut(a.msg.Partner)
+}
+
+// refuse answers that the message may be handed in again.
+func (c *Core) refuse(a *arrival) {
+	halted := c.governor != nil && c.governor.Halted != 0 || a.stale(c)
+	c.count(a.msg.Class, a.msg.Tenant, a.msg.Partner, countRefused)
+	c.replyTo(a.reply, c.submitted, Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry, halted: halted})
+}
+
+// take has the module decide on the message; it is answered once that is done and the journal written.
+func (c *Core) take(a *arrival) {
+	msg := &a.msg
+	m := c.add(c.fronts[a.front], &journal.Entry{ID: msg.ID, Key: msg.Key, Front: a.front, Destination: msg.Partner, Class: msg.Class,
+		Tenant: msg.Tenant, Deadline: msg.Deadline, Resubmitted: msg.Resubmitted, Body: bytes.Clone(msg.Body), Headers: msg.ExtraHeaders,
+		MayHaveRun: !msg.MayHaveRunAt.IsZero(), MayHaveRunAt: msg.MayHaveRunAt})
+	c.stampPolicy(m.entry)
+	m.reply, m.submission = a.reply, c.submitted
+	c.arrivals = append(c.arrivals, m)
+	c.moduleEvents = append(c.moduleEvents, c.arrival(m))
+}
+
+// withdrawn is a message whose client never heard that it was taken on.
 type withdrawn struct{ ref uint64 }
 
 func (w withdrawn) apply(c *Core, now time.Time) {
@@ -114,23 +138,23 @@
 func (c *Core) withdraw(m *message) {
 	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Withdrawn, ID: m.ref})
 	c.journal.End(m.entry)
-	if s := m.attempt; s != nil && len(s.Items) == 1 { // the module can't: the message is no longer there when it decides
-		if s.recall(); c.settings.Cancel {
-			s.cancel()
+	if attempt := m.attempt; attempt != nil && len(attempt.Items) == 1 { // the module can't: the message is no longer there when it decides
+		if attempt.recall(); c.settings.Cancel {
+			attempt.cancel()
 		}
-		c.recordAction(capture.Action{Kind: capture.AttemptCanceled, Number: s.number})
+		c.recordAction(capture.Action{Kind: capture.AttemptCanceled, Number: attempt.number})
 	}
 	c.finish(m, "withdrawn")
 }
 
-// replyTo answers a client.
-func (c *Core) replyTo(to chan<- Reply, hand uint64, r Reply) {
+// replyTo answers whoever handed in a message; submission is its number among those handed in.
+func (c *Core) replyTo(to chan<- Reply, submission uint64, r Reply) {
 	to <- r
-	c.recordAction(capture.Action{Kind: capture.Replied, Number: hand, Wait: r.RetryAfter, Verdict: uint8(r.Verdict)})
+	c.recordAction(capture.Action{Kind: capture.Replied, Number: submission, Wait: r.RetryAfter, Verdict: uint8(r.Verdict)})
 }
 
 // journalArrivals journals the messages that were taken on in this turn, and drops those that were not. Nothing is
-// told to a client before the journal is written; see begin.
+// told to a client before the journal is written; see flushAndBegin.
 func (c *Core) journalArrivals() {
 	for i, m := range c.arrivals {
 		if m.refusal == nil {
--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -47,7 +47,7 @@
 	{"all try what is down", "../../../control/shared_limits.go", "if route.unhealthyElsewhere && !route.mayProbe &&", "if false && !route.mayProbe &&", "TestGrant_UnhealthyRoute_OneSenderProbes", "mastusher/control"},
 	{"a life that was summed up counts again", "quota/count.go", "	if t.Gen <= a.until {", "	if false {", "TestBook", "mastusher/internal/relay/fleet/quota"},
 	{"a tally that comes twice counts twice", "quota/count.go", "l.n[k] = max(l.n[k], v)", "l.n[k] += v", "TestBook", "mastusher/internal/relay/fleet/quota"},
-	{"a call outlives its lease", "../engine/governor.go", "s.WriteBefore = end", "_ = end", "TestGoverned", "mastusher/internal/relay/engine"},
+	{"a call outlives its lease", "../engine/governor.go", "attempt.WriteBefore = end", "_ = end", "TestGoverned", "mastusher/internal/relay/engine"},
 	{"what waits begins whatever is in force", "../engine/lease.go", "case mayAct && !now.Before(attempt.startAfter) && !c.recheck(attempt, now):", "case false:", "TestNarrower", "mastusher/internal/relay/engine"},
 }
 
