--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -71,12 +71,12 @@
 }
 
 // countsOf gives the counters their names: those that this relay's settings have.
-func countsOf(cfg *config.Config, s *quota.Sums) (*countsView, error) {
-	n, err := quota.UnpackCounts(s.N)
+func countsOf(cfg *config.Config, s *quota.Totals) (*countsView, error) {
+	n, err := quota.DecodeCounters(s.Counters)
 	if err != nil {
 		return nil, err
 	}
-	v := &countsView{Relays: s.Relays, Lives: s.Lives, Oldest: s.Oldest, Silent: s.Silent, Counts: map[string]map[string]uint64{}}
+	v := &countsView{Relays: s.Relays, Lives: s.Incarnations, Oldest: s.SilentFor, Silent: s.Silent, Counts: map[string]map[string]uint64{}}
 	var of []string
 	for i := range cfg.Settings.Classes {
 		of = append(of, "class "+cfg.Settings.Classes[i].Name)
@@ -90,7 +90,7 @@
 	of = append(of, "partner others")
 	for _, name := range of {
 		for _, what := range engine.CounterNames {
-			k := quota.Of(quota.Count, name+" "+what)
+			k := quota.KeyOf(quota.Counter, name+" "+what)
 			if c, ok := n[k]; ok {
 				if v.Counts[name] == nil {
 					v.Counts[name] = map[string]uint64{}
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -166,7 +166,7 @@
 	}
 	fmt.Fprintln(t, "all relays:\tlimit\twanted/s\tlent\tfloors\trelays\tby zone")
 	for _, s := range st.Shared {
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4f\t%.4f\t%d\t%v\n", s.Name, s.Limit, s.Want, s.Lent, s.Floors, s.Relays, s.Zones)
+		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4f\t%.4f\t%d\t%v\n", s.Name, s.Limit, s.Demand, s.Leased, s.Minimums, s.Relays, s.Zones)
 	}
 	for _, name := range slices.Sorted(maps.Keys(st.Odd)) {
 		fmt.Fprintf(t, "at odds with the others, %s\t%d\n", name, st.Odd[name])
--- a/internal/relay/fleet/node/count.go
+++ b/internal/relay/fleet/node/count.go
@@ -17,7 +17,7 @@
 func (n *Node) tell() {
 	if n.counts != nil && n.now >= n.countAt {
 		n.countAt = n.now + countEvery
-		own := []quota.Tally{{Relay: n.cfg.Name, Gen: n.cfg.Gen, N: quota.PackCounts(n.counts)}}
+		own := []quota.Tally{{Relay: n.cfg.Name, Generation: n.cfg.Gen, Counters: quota.EncodeCounters(n.counts)}}
 		for _, name := range n.cfg.Voters {
 			n.send(name, &Message{Tallies: own})
 		}
@@ -27,7 +27,7 @@
 		return
 	}
 	n.sayAt = n.now + talkEvery
-	for _, t := range n.book.Say(talkOf) {
+	for _, t := range n.book.NextTallies(talkOf) {
 		for _, name := range n.cfg.Voters {
 			n.send(name, &Message{Tallies: []quota.Tally{t}})
 		}
@@ -38,7 +38,7 @@
 func (n *Node) tallied(all []quota.Tally) {
 	for i := range all {
 		if n.book != nil {
-			n.book.Take(n.now, &all[i], 4*len(n.known.Roster)+64)
+			n.book.Merge(n.now, &all[i], 4*len(n.known.Roster)+64)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 func (n *Node) sums(from string, s *Sums) {
 	switch {
 	case s.N == nil && n.book != nil:
-		n.send(from, &Message{Sums: &Sums{No: s.No, N: n.book.Sums(n.now)}})
+		n.send(from, &Message{Sums: &Sums{No: s.No, N: n.book.Totals(n.now)}})
 	case s.N != nil:
 		st := n.Status()
 		st.Sums = s.N
@@ -58,7 +58,7 @@
 // askSums answers an operator, or has a voter do so.
 func (n *Node) askSums(no uint64) {
 	if n.book != nil {
-		n.sums(n.cfg.Name, &Sums{No: no, N: n.book.Sums(n.now)})
+		n.sums(n.cfg.Name, &Sums{No: no, N: n.book.Totals(n.now)})
 	} else if len(n.cfg.Voters) > 0 { // one that does not answer is asked again, or another is
 		n.send(n.cfg.Voters[n.via], &Message{Sums: &Sums{No: no}})
 		n.via = (n.via + 1) % len(n.cfg.Voters)
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -26,7 +26,7 @@
 	pushAt    time.Duration
 	said      map[string]time.Duration // commands that have not come back from the log
 	dutyAt    time.Duration
-	ledger    *quota.Ledger // nil: nothing is shared
+	ledger    *quota.Allocator // nil: nothing is shared
 }
 
 // seen is a relay as its pings tell.
@@ -124,8 +124,8 @@
 	}
 	s.over = n.now + n.over()
 	if n.lead.ledger != nil && p.Share != nil {
-		n.lead.ledger.Roster(n.agreed.Roster)
-		n.lead.ledger.Report(n.now, p.From, p.Life, p.Share)
+		n.lead.ledger.SetRoster(n.agreed.Roster)
+		n.lead.ledger.HandleRequest(n.now, p.From, p.Life, p.Share)
 	}
 	n.lead.waits = append(n.lead.waits, wait{n.lead.reads + 1, from, *p, n.now})
 }
@@ -169,7 +169,7 @@
 		l.reset(n.now)
 		l.leads = true
 		if n.purse != nil {
-			l.ledger = quota.NewLedger(quota.Rules{Kept: n.cfg.Kept, Over: n.over(), Serve: n.cfg.Serve}, n.engine.Position().Term, n.now)
+			l.ledger = quota.NewAllocator(quota.Options{MinimumSum: n.cfg.Kept, LeaseDuration: n.over(), ServeAlone: n.cfg.Serve}, n.engine.Position().Term, n.now)
 		}
 		n.log("this relay leads its fleet", "members", len(n.agreed.Members))
 	}
@@ -454,7 +454,7 @@
 		}
 	}
 	if n.lead.ledger != nil {
-		st.Odd, st.Shared = n.lead.ledger.Odd, n.lead.ledger.View()
+		st.Odd, st.Shared = n.lead.ledger.Contradictions, n.lead.ledger.Usage()
 	}
 	for _, name := range n.known.Members {
 		st.Voters = append(st.Voters, name)
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -25,8 +25,8 @@
 
 // Sums asks a voter what all relays have counted, or answers.
 type Sums struct {
-	No uint64      `cbor:"1,keyasint"` // of the ask
-	N  *quota.Sums `cbor:"2,keyasint,omitempty"`
+	No uint64        `cbor:"1,keyasint"` // of the ask
+	N  *quota.Totals `cbor:"2,keyasint,omitempty"`
 }
 
 // Raft is a message of the engine's.
@@ -51,7 +51,7 @@
 	Last    uint64   `cbor:"11,keyasint,omitempty"`
 	Passed  bool     `cbor:"12,keyasint,omitempty"` // it was passed on once, or is only for the record
 
-	Share *quota.Report `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
+	Share *quota.Request `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
 }
 
 // Verdict is whether a relay can apply a version.
@@ -74,7 +74,7 @@
 	Newest   uint64        `cbor:"11,keyasint,omitempty"` // a later generation of the name that was heard
 	Progress *Progress     `cbor:"10,keyasint,omitempty"`
 
-	Share *quota.Allotment `cbor:"12,keyasint,omitempty"` // for as long as the lease
+	Share *quota.Grant `cbor:"12,keyasint,omitempty"` // for as long as the lease
 }
 
 // Push tells what has been agreed on, unasked.
@@ -109,7 +109,7 @@
 	Verdict *Verdict // a check that was asked for is done
 	Ask     *Ask
 	Broken  error                 // what was to be saved is not on disk
-	Needs   *[]quota.Need         // of this relay, now
+	Needs   *[]quota.Demand       // of this relay, now
 	Counts  *map[quota.Key]uint64 // of this life
 	Goes    *[2]uint64            // the core goes by that loan (Spend's By and No), and by none before
 }
@@ -133,7 +133,7 @@
 	Message *Message
 	Check   *policy.Change // may this relay apply it?
 	Stand   *Stand
-	Spend   *quota.Spend // what the core may spend from now on
+	Spend   *quota.Lease // what the core may spend from now on
 	Answer  *Status
 	No      uint64 // of the ask that Answer is for
 	Log     string
@@ -151,22 +151,22 @@
 
 // Status is what a relay knows, for operators.
 type Status struct {
-	Relay    string         `cbor:"1,keyasint" json:"relay"`
-	Error    string         `cbor:"2,keyasint,omitempty" json:"error,omitempty"`
-	Gen      uint64         `cbor:"3,keyasint" json:"generation"`
-	Leader   string         `cbor:"4,keyasint,omitempty" json:"leader,omitempty"` // as far as it knows
-	Voter    string         `cbor:"5,keyasint,omitempty" json:"voter,omitempty"`
-	Acts     bool           `cbor:"6,keyasint" json:"acts"`
-	Lease    time.Duration  `cbor:"7,keyasint,omitempty" json:"lease_left_ns"`
-	Why      string         `cbor:"8,keyasint,omitempty" json:"why_not,omitempty"`
-	State    *policy.State  `cbor:"9,keyasint,omitempty" json:"-"`
-	Progress *Progress      `cbor:"10,keyasint,omitempty" json:"progress,omitempty"`
-	Voters   []string       `cbor:"11,keyasint,omitempty" json:"voters,omitempty"`
-	Counts   map[string]int `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
-	Rights   *Rights        `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
-	Sums     *quota.Sums    `cbor:"16,keyasint,omitempty" json:"-"`
-	Shared   []quota.Whole  `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the one that leads
-	Odd      map[string]int `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // at the one that leads: relays whose word stood against all others'
+	Relay    string           `cbor:"1,keyasint" json:"relay"`
+	Error    string           `cbor:"2,keyasint,omitempty" json:"error,omitempty"`
+	Gen      uint64           `cbor:"3,keyasint" json:"generation"`
+	Leader   string           `cbor:"4,keyasint,omitempty" json:"leader,omitempty"` // as far as it knows
+	Voter    string           `cbor:"5,keyasint,omitempty" json:"voter,omitempty"`
+	Acts     bool             `cbor:"6,keyasint" json:"acts"`
+	Lease    time.Duration    `cbor:"7,keyasint,omitempty" json:"lease_left_ns"`
+	Why      string           `cbor:"8,keyasint,omitempty" json:"why_not,omitempty"`
+	State    *policy.State    `cbor:"9,keyasint,omitempty" json:"-"`
+	Progress *Progress        `cbor:"10,keyasint,omitempty" json:"progress,omitempty"`
+	Voters   []string         `cbor:"11,keyasint,omitempty" json:"voters,omitempty"`
+	Counts   map[string]int   `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
+	Rights   *Rights          `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
+	Sums     *quota.Totals    `cbor:"16,keyasint,omitempty" json:"-"`
+	Shared   []quota.KeyUsage `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the one that leads
+	Odd      map[string]int   `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // at the one that leads: relays whose word stood against all others'
 }
 
 // Rights is what a relay may spend of what the fleet shares.
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -67,7 +67,7 @@
 	asked    [2]uint64
 	stand    Stand
 	stood    bool
-	purse    *quota.Purse // nil: nothing is shared
+	purse    *quota.Lessee // nil: nothing is shared
 	counts   map[quota.Key]uint64
 	countAt  time.Duration
 
@@ -78,7 +78,7 @@
 	recallAt  time.Duration
 	memory    map[uint64]consensus.Position // what others' members have shown
 	routes    map[uint64]string             // where members were heard from that the state does not name yet
-	book      *quota.Book
+	book      *quota.CounterTable
 	sayAt     time.Duration
 
 	lead leader
@@ -89,7 +89,7 @@
 	n := &Node{cfg: cfg, now: now, rng: cfg.Seed | 1, agreed: &policy.State{}, known: &policy.State{}, sent: map[uint64]time.Duration{},
 		answers: map[string]bool{}, memory: map[uint64]consensus.Position{}, routes: map[uint64]string{}, since: now}
 	if cfg.Kept > 0 {
-		n.purse = &quota.Purse{Serve: cfg.Serve}
+		n.purse = &quota.Lessee{ServeAlone: cfg.Serve}
 	}
 	n.via = int(n.draw() % uint64(max(len(cfg.Voters), 1)))
 	if !slices.Contains(cfg.Voters, cfg.Name) {
@@ -102,7 +102,7 @@
 	if s := n.engine.Snapshot(); s != nil {
 		n.restore(s)
 	}
-	n.book = quota.NewBook()
+	n.book = quota.NewCounterTable()
 	n.probation = cfg.Gen > 1 // also with an empty log: an older folder may be from before it was filled
 	for id, p := range image.Memory {
 		n.memory[id] = p
@@ -175,11 +175,11 @@
 			n.current = ev.Verdict
 		}
 	case ev.Needs != nil && n.purse != nil:
-		n.purse.Needs(*ev.Needs)
+		n.purse.SetDemands(*ev.Needs)
 	case ev.Counts != nil:
 		n.counts = *ev.Counts
 	case ev.Goes != nil && n.purse != nil:
-		n.purse.Goes(ev.Goes[0], ev.Goes[1])
+		n.purse.Confirm(ev.Goes[0], ev.Goes[1])
 		n.pingAt = min(n.pingAt, n.now+pushAgain) // what it holds no more is others' then
 	case ev.Broken != nil:
 		n.retire(ev.Broken.Error())
@@ -321,7 +321,7 @@
 	p := Ping{From: n.cfg.Name, Gen: n.cfg.Gen, Life: n.cfg.Life, Seq: n.seq, Epoch: n.known.Epoch, Index: n.known.Index,
 		Verdict: n.verdict}
 	if n.purse != nil {
-		p.Share = n.purse.Report(n.now, n.cfg.Zone)
+		p.Share = n.purse.NextRequest(n.now, n.cfg.Zone)
 	}
 	if n.known.Halted() && n.stopped >= n.known.Change.Version {
 		p.Stopped = n.stopped
@@ -384,10 +384,10 @@
 	n.index = max(n.index, g.Index)
 	until := at + time.Duration(float64(g.Lease)*(1-n.cfg.Drift))
 	if n.purse != nil && g.Share != nil {
-		if s := n.purse.Granted(until, g.Share); s != nil {
+		if s := n.purse.HandleGrant(until, g.Share); s != nil {
 			n.do(Action{Spend: s})
 		}
-		if g.Share.Tell {
+		if g.Share.ReportLeased {
 			n.pingAt = min(n.pingAt, n.now+pushAgain)
 		}
 	}
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -45,7 +45,7 @@
 	out    []byte
 
 	sights atomic.Pointer[map[quota.Key]sight]
-	lent   *quota.Spend // by the fleet last; nil: nothing yet
+	lent   *quota.Lease // by the fleet last; nil: nothing yet
 	lentAt time.Duration
 	halted bool // the core was told last that it is
 	lookAt time.Duration
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -35,8 +35,8 @@
 		f.sights.Store(&sights)
 		counts := make(map[quota.Key]uint64, len(counted))
 		for _, name := range slices.Sorted(maps.Keys(counted)) {
-			if len(counts) < quota.MostCounts { // the same ones each time
-				counts[quota.Of(quota.Count, name)] = counted[name]
+			if len(counts) < quota.MaxCounters { // the same ones each time
+				counts[quota.KeyOf(quota.Counter, name)] = counted[name]
 			}
 		}
 		for _, ev := range [...]node.Event{{Needs: &needs}, {Counts: &counts}} {
@@ -49,25 +49,25 @@
 }
 
 // needs is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
-func needs(all []engine.Observation) ([]quota.Need, map[quota.Key]sight) {
-	list, sights := make([]quota.Need, 0, len(all)), make(map[quota.Key]sight, len(all))
+func needs(all []engine.Observation) ([]quota.Demand, map[quota.Key]sight) {
+	list, sights := make([]quota.Demand, 0, len(all)), make(map[quota.Key]sight, len(all))
 	for _, s := range all {
-		n := quota.Need{Want: s.Demand, Worth: s.Value, Limit: s.Limit, Told: s.LimitAge, Seen: s.HealthAge, Wait: s.RetryAfter}
+		n := quota.Demand{Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
 		at := sight{s.Name, -1, s.Endpoint}
-		if n.Key = quota.Of(quota.Destination, s.Name); s.Endpoint == 0 {
-			n.Key, at.tenant = quota.Of(quota.Tenant, s.Name), s.Tenant
+		if n.Key = quota.KeyOf(quota.Destination, s.Name); s.Endpoint == 0 {
+			n.Key, at.tenant = quota.KeyOf(quota.Tenant, s.Name), s.Tenant
 		}
 		switch {
 		case s.Unhealthy:
 			n.State = quota.Down
 		case s.Healthy:
-			n.State = quota.Well
+			n.State = quota.Healthy
 		}
 		list, sights[n.Key] = append(list, n), at
 	}
-	if len(list) > quota.MostKeys {
-		slices.SortStableFunc(list, func(a, b quota.Need) int { return cmp.Compare(b.Want*b.Worth, a.Want*a.Worth) })
-		list = list[:quota.MostKeys]
+	if len(list) > quota.MaxKeys {
+		slices.SortStableFunc(list, func(a, b quota.Demand) int { return cmp.Compare(b.Rate*b.Value, a.Rate*a.Value) })
+		list = list[:quota.MaxKeys]
 	}
 	return list, sights
 }
@@ -92,7 +92,7 @@
 }
 
 // lend has the core go by what the fleet lends this relay.
-func (f *Fleet) lend(s *quota.Spend) {
+func (f *Fleet) lend(s *quota.Lease) {
 	f.lent, f.lentAt = s, f.now()
 	f.spend()
 }
@@ -111,20 +111,20 @@
 	if f.halted {
 		out = engine.WithoutLease(out)
 	}
-	goes := [2]uint64{s.By, s.No}
-	f.core.GrantQuota(out, Times{f.begun}.At(s.Until), func() { f.tell(node.Event{Goes: &goes}) })
+	goes := [2]uint64{s.Term, s.Number}
+	f.core.GrantQuota(out, Times{f.begun}.At(s.Expires), func() { f.tell(node.Event{Goes: &goes}) })
 }
 
 // shared is what a relay was lent some time ago, as its core is told it.
-func shared(s *quota.Spend, sights map[quota.Key]sight, ago time.Duration) control.SharedLimits {
-	out := control.SharedLimits{GuaranteedShare: s.Floor, KeepsGuaranteed: s.Stays}
-	for _, p := range s.Parts {
+func shared(s *quota.Lease, sights map[quota.Key]sight, ago time.Duration) control.SharedLimits {
+	out := control.SharedLimits{GuaranteedShare: s.Minimum, KeepsGuaranteed: s.MinimumLasts}
+	for _, p := range s.Shares {
 		at, ok := sights[p.Key]
 		if !ok {
 			continue
 		}
-		r := control.Grant{Endpoint: at.at, ExtraShare: p.Extra, Limit: p.Limit, LimitAge: p.Told + ago, Unhealthy: p.State == quota.Down,
-			Healthy: p.State == quota.Well, HealthAge: p.Seen + ago, RetryAfter: max(p.Wait-ago, 0), MayProbe: p.Try}
+		r := control.Grant{Endpoint: at.at, ExtraShare: p.Extra, Limit: p.Limit, LimitAge: p.LimitAge + ago, Unhealthy: p.State == quota.Down,
+			Healthy: p.State == quota.Healthy, HealthAge: p.StateAge + ago, RetryAfter: max(p.Wait-ago, 0), MayProbe: p.MayProbe}
 		if at.tenant >= 0 {
 			r = control.Grant{Tenant: at.tenant, ExtraShare: p.Extra}
 		}
@@ -139,12 +139,12 @@
 	if s == nil {
 		return nil
 	}
-	r := &node.Rights{Loan: s.No, Floor: s.Floor, Left: max(s.Until-f.now(), 0)}
+	r := &node.Rights{Loan: s.Number, Floor: s.Minimum, Left: max(s.Expires-f.now(), 0)}
 	sights := f.sights.Load()
-	for _, p := range s.Parts {
-		x := node.Right{Name: f.nameOf(sights, p.Key), Part: s.Floor + p.Extra, Limit: p.Limit, State: p.State.String(), Try: p.Try}
+	for _, p := range s.Shares {
+		x := node.Right{Name: f.nameOf(sights, p.Key), Part: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), Try: p.MayProbe}
 		if r.Left == 0 {
-			x.Part = s.Floor
+			x.Part = s.Minimum
 		}
 		r.Parts = append(r.Parts, x)
 	}
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -36,10 +36,10 @@
 	core := &wordsToCore{}
 	f := &Fleet{core: core, begun: time.Now(), events: make(chan node.Event, 9)}
 	f.stand = core.stand
-	key := quota.Of(quota.Destination, "platform #0")
+	key := quota.KeyOf(quota.Destination, "platform #0")
 	f.sights.Store(&map[quota.Key]sight{key: {"platform #0", -1, 7}})
-	loan := func(no uint64, extra float64) *quota.Spend {
-		return &quota.Spend{By: 1, No: no, Floor: 0.1, Parts: []quota.Part{{Key: key, Extra: extra}}, Until: time.Hour}
+	loan := func(no uint64, extra float64) *quota.Lease {
+		return &quota.Lease{Term: 1, Number: no, Minimum: 0.1, Shares: []quota.KeyShare{{Key: key, Extra: extra}}, Expires: time.Hour}
 	}
 	spends := func(floor, extra float64, stays bool) control.SharedLimits {
 		return control.SharedLimits{GuaranteedShare: floor, KeepsGuaranteed: stays, Grants: []control.Grant{{Endpoint: 7, ExtraShare: extra}}}
@@ -65,9 +65,9 @@
 
 // TestSharedAges: what a relay was lent a while ago has aged by that when its core is told it once more.
 func TestSharedAges(t *testing.T) {
-	key := quota.Of(quota.Destination, "platform #0")
-	lent := &quota.Spend{Floor: 0.1, Parts: []quota.Part{{Key: key, Extra: 0.5, Limit: 30, Told: time.Second, State: quota.Down,
-		Seen: 2 * time.Second, Wait: 300 * time.Millisecond, Try: true}}}
+	key := quota.KeyOf(quota.Destination, "platform #0")
+	lent := &quota.Lease{Minimum: 0.1, Shares: []quota.KeyShare{{Key: key, Extra: 0.5, Limit: 30, LimitAge: time.Second, State: quota.Down,
+		StateAge: 2 * time.Second, Wait: 300 * time.Millisecond, MayProbe: true}}}
 	sights := map[quota.Key]sight{key: {"platform #0", -1, 7}}
 	for _, c := range []struct {
 		name             string
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -28,7 +28,7 @@
 
 // formats are all that relays of a fleet send and store as CBOR: the golden file has a line for each.
 var formats = []any{&frame{}, &identity{}, &part{}, &node.Message{}, &node.Ask{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
-	&quota.Report{}, &quota.Allotment{}, &quota.Tally{}, &quota.Sums{}}
+	&quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
 
 func goldenLines(t *testing.T) []string {
 	t.Helper()
--- a/internal/relay/fleet/quota/count.go
+++ b/internal/relay/fleet/quota/count.go
@@ -11,19 +11,19 @@
 // Tally is what one life of a relay has counted since its start. It only grows, so that of two the larger is the newer, and to take
 // one in twice changes nothing.
 type Tally struct {
-	Relay string `cbor:"1,keyasint"`
-	Gen   uint64 `cbor:"2,keyasint"`
-	N     []byte `cbor:"3,keyasint,omitempty"` // see PackCounts
-	Past  bool   `cbor:"4,keyasint,omitempty"` // the sum of all lives up to Gen, none of which counts any more
+	Relay      string `cbor:"1,keyasint"`
+	Generation uint64 `cbor:"2,keyasint"`
+	Counters   []byte `cbor:"3,keyasint,omitempty"` // see EncodeCounters
+	Compacted  bool   `cbor:"4,keyasint,omitempty"` // the sum of all lives up to Generation, none of which counts any more
 }
 
-// MostCounts is how many counters a relay has.
-const MostCounts = 160
+// MaxCounters is how many counters a relay has.
+const MaxCounters = 160
 
-var errCounts = errors.New("share: a tally that no relay has written")
+var ErrCounters = errors.New("share: a tally that no relay has written")
 
-// PackCounts is counters as they go on the wire.
-func PackCounts(n map[Key]uint64) []byte {
+// EncodeCounters is counters as they go on the wire.
+func EncodeCounters(n map[Key]uint64) []byte {
 	b := make([]byte, 0, 7*len(n))
 	for _, k := range slices.Sorted(maps.Keys(n)) {
 		b = binary.AppendUvarint(binary.BigEndian.AppendUint32(b, uint32(k)), n[k])
@@ -31,16 +31,16 @@
 	return b
 }
 
-// UnpackCounts reads them.
-func UnpackCounts(b []byte) (map[Key]uint64, error) {
+// DecodeCounters reads them.
+func DecodeCounters(b []byte) (map[Key]uint64, error) {
 	all := map[Key]uint64{}
 	for len(b) > 0 {
-		if len(b) < 5 || len(all) >= 4*MostCounts {
-			return nil, errCounts
+		if len(b) < 5 || len(all) >= 4*MaxCounters {
+			return nil, ErrCounters
 		}
 		v, n := binary.Uvarint(b[4:])
 		if n <= 0 || v > 1<<53 {
-			return nil, errCounts
+			return nil, ErrCounters
 		}
 		all[Key(binary.BigEndian.Uint32(b))] = v
 		b = b[4+n:]
@@ -48,33 +48,33 @@
 	return all, nil
 }
 
-// Book is what a voter knows of all relays' counts. It is not safe for concurrent use.
-type Book struct {
-	relays map[string]*account
-	turn   int
+// CounterTable is what a voter knows of all relays' counts. It is not safe for concurrent use.
+type CounterTable struct {
+	relays    map[string]*relayCounters
+	nextRelay int
 }
 
-// account is one relay's: its lives that may still count, and the sum of those that don't.
-type account struct {
-	lives map[uint64]*tally
-	past  map[Key]uint64
-	until uint64 // the newest generation in past
+// relayCounters is one relay's: its lives that may still count, and the sum of those that don't.
+type relayCounters struct {
+	incarnations  map[uint64]*incarnationCounters
+	compacted     map[Key]uint64
+	compactedUpTo uint64 // the newest generation in past
 }
 
-type tally struct {
-	n  map[Key]uint64
-	at time.Duration
+type incarnationCounters struct {
+	counters  map[Key]uint64
+	updatedAt time.Duration
 }
 
-// mostLives are kept apart for a relay; older ones are summed up.
-const mostLives = 3
+// maxIncarnations are kept apart for a relay; older ones are summed up.
+const maxIncarnations = 3
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{relays: map[string]*account{}} }
+// NewCounterTable returns an empty book.
+func NewCounterTable() *CounterTable { return &CounterTable{relays: map[string]*relayCounters{}} }
 
-// Take takes a tally in, in whatever order they come and how often. One of a life that has been summed up is too late.
-func (b *Book) Take(now time.Duration, t *Tally, most int) {
-	n, err := UnpackCounts(t.N)
+// Merge takes a tally in, in whatever order they come and how often. One of a life that has been summed up is too late.
+func (b *CounterTable) Merge(now time.Duration, t *Tally, most int) {
+	n, err := DecodeCounters(t.Counters)
 	if err != nil {
 		return
 	}
@@ -83,93 +83,93 @@
 		if len(b.relays) >= most {
 			return
 		}
-		a = &account{lives: map[uint64]*tally{}, past: map[Key]uint64{}}
+		a = &relayCounters{incarnations: map[uint64]*incarnationCounters{}, compacted: map[Key]uint64{}}
 		b.relays[t.Relay] = a
 	}
-	if t.Past {
-		if t.Gen > a.until { // another voter has summed up more: what it has stands for all of it
-			for g := range a.lives {
-				if g <= t.Gen {
-					delete(a.lives, g)
+	if t.Compacted {
+		if t.Generation > a.compactedUpTo { // another voter has summed up more: what it has stands for all of it
+			for g := range a.incarnations {
+				if g <= t.Generation {
+					delete(a.incarnations, g)
 				}
 			}
-			a.until, a.past = t.Gen, n
-		} else if t.Gen == a.until { // each may have missed the end of a life
+			a.compactedUpTo, a.compacted = t.Generation, n
+		} else if t.Generation == a.compactedUpTo { // each may have missed the end of a life
 			for k, v := range n {
-				a.past[k] = max(a.past[k], v)
+				a.compacted[k] = max(a.compacted[k], v)
 			}
 		}
 		return
 	}
-	if t.Gen <= a.until {
+	if t.Generation <= a.compactedUpTo {
 		return
 	}
-	l := a.lives[t.Gen]
+	l := a.incarnations[t.Generation]
 	if l == nil {
-		l = &tally{n: map[Key]uint64{}}
-		a.lives[t.Gen] = l
+		l = &incarnationCounters{counters: map[Key]uint64{}}
+		a.incarnations[t.Generation] = l
 	}
-	l.at = now
+	l.updatedAt = now
 	for k, v := range n { // counters only grow: whatever says less is older, or not true
-		l.n[k] = max(l.n[k], v)
+		l.counters[k] = max(l.counters[k], v)
 	}
-	gens := slices.Sorted(maps.Keys(a.lives))
-	for len(gens) > mostLives {
-		for k, v := range a.lives[gens[0]].n {
-			a.past[k] += v
+	gens := slices.Sorted(maps.Keys(a.incarnations))
+	for len(gens) > maxIncarnations {
+		for k, v := range a.incarnations[gens[0]].counters {
+			a.compacted[k] += v
 		}
-		a.until = gens[0]
-		delete(a.lives, gens[0])
+		a.compactedUpTo = gens[0]
+		delete(a.incarnations, gens[0])
 		gens = gens[1:]
 	}
 }
 
-// Say is what one voter tells another this time: a few relays' accounts, in turn.
-func (b *Book) Say(most int) (all []Tally) {
+// NextTallies is what one voter tells another this time: a few relays' accounts, in turn.
+func (b *CounterTable) NextTallies(most int) (all []Tally) {
 	names := slices.Sorted(maps.Keys(b.relays))
 	for range min(most, len(names)) {
-		b.turn++
-		name := names[b.turn%len(names)]
+		b.nextRelay++
+		name := names[b.nextRelay%len(names)]
 		a := b.relays[name]
-		if a.until > 0 {
-			all = append(all, Tally{name, a.until, PackCounts(a.past), true})
+		if a.compactedUpTo > 0 {
+			all = append(all, Tally{name, a.compactedUpTo, EncodeCounters(a.compacted), true})
 		}
-		for _, g := range slices.Sorted(maps.Keys(a.lives)) {
-			all = append(all, Tally{name, g, PackCounts(a.lives[g].n), false})
+		for _, g := range slices.Sorted(maps.Keys(a.incarnations)) {
+			all = append(all, Tally{name, g, EncodeCounters(a.incarnations[g].counters), false})
 		}
 	}
 	return all
 }
 
-// Sums is what a fleet has counted.
-type Sums struct {
-	N      []byte        `cbor:"1,keyasint,omitempty"` // see PackCounts
-	Relays int           `cbor:"2,keyasint"`           // that have ever counted
-	Lives  int           `cbor:"3,keyasint"`           // that are known by their own word
-	Oldest time.Duration `cbor:"4,keyasint"`           // since the last word of the newest life that has been silent the longest
-	Silent string        `cbor:"5,keyasint,omitempty"` // that one
+// Totals is what a fleet has counted.
+type Totals struct {
+	Counters     []byte        `cbor:"1,keyasint,omitempty"` // see EncodeCounters
+	Relays       int           `cbor:"2,keyasint"`           // that have ever counted
+	Incarnations int           `cbor:"3,keyasint"`           // that are known by their own word
+	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last word of the newest life that has been silent the longest
+	Silent       string        `cbor:"5,keyasint,omitempty"` // that one
 }
 
-// Sums adds all up.
-func (b *Book) Sums(now time.Duration) *Sums {
-	s, sum := &Sums{Relays: len(b.relays)}, map[Key]uint64{}
+// Totals adds all up.
+func (b *CounterTable) Totals(now time.Duration) *Totals {
+	s, sum := &Totals{Relays: len(b.relays)}, map[Key]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(b.relays)) {
 		a := b.relays[name]
-		for k, v := range a.past {
+		for k, v := range a.compacted {
 			sum[k] += v
 		}
 		newest := uint64(0)
-		for g, l := range a.lives {
-			s.Lives++
+		for g, l := range a.incarnations {
+			s.Incarnations++
 			newest = max(newest, g)
-			for k, v := range l.n {
+			for k, v := range l.counters {
 				sum[k] += v
 			}
 		}
-		if l := a.lives[newest]; l != nil && now-l.at > s.Oldest {
-			s.Oldest, s.Silent = now-l.at, name
+		if l := a.incarnations[newest]; l != nil && now-l.updatedAt > s.SilentFor {
+			s.SilentFor, s.Silent = now-l.updatedAt, name
 		}
 	}
-	s.N = PackCounts(sum)
+	s.Counters = EncodeCounters(sum)
 	return s
 }
--- a/internal/relay/fleet/quota/count_test.go
+++ b/internal/relay/fleet/quota/count_test.go
@@ -13,7 +13,7 @@
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		books := []*Book{NewBook(), NewBook(), NewBook()}
+		books := []*CounterTable{NewCounterTable(), NewCounterTable(), NewCounterTable()}
 		type life struct {
 			relay string
 			gen   uint64
@@ -33,24 +33,24 @@
 			l := life{name, gens[name]}
 			switch d.IntN(8) {
 			case 0: // started again; its last word has come to somebody
-				books[d.IntN(3)].Take(0, &Tally{l.relay, l.gen, PackCounts(map[Key]uint64{1: truth[l]}), false}, 10)
+				books[d.IntN(3)].Merge(0, &Tally{l.relay, l.gen, EncodeCounters(map[Key]uint64{1: truth[l]}), false}, 10)
 				gens[name]++
 			case 1, 2, 3:
 				truth[l] += uint64(d.IntN(5))
-				way = append(way, Tally{l.relay, l.gen, PackCounts(map[Key]uint64{1: truth[l]}), false})
+				way = append(way, Tally{l.relay, l.gen, EncodeCounters(map[Key]uint64{1: truth[l]}), false})
 			case 4, 5:
 				if len(way) > 0 {
 					t := way[d.IntN(len(way))]
-					books[d.IntN(3)].Take(time.Second, &t, 10)
+					books[d.IntN(3)].Merge(time.Second, &t, 10)
 				}
 			default: // two voters talk
 				to := books[d.IntN(3)]
-				for _, x := range books[d.IntN(3)].Say(10) {
-					to.Take(time.Second, &x, 10)
+				for _, x := range books[d.IntN(3)].NextTallies(10) {
+					to.Merge(time.Second, &x, 10)
 				}
 			}
 			for i, b := range books {
-				n, err := UnpackCounts(b.Sums(0).N)
+				n, err := DecodeCounters(b.Totals(0).Counters)
 				if err != nil || n[1] > total() {
 					t.Fatalf("voter %d says %d of %d: %v", i, n[1], total(), err)
 				}
@@ -62,7 +62,7 @@
 // TestBookAgrees: voters that have heard different parts say the same once they have talked, and a relay that was replaced many times
 // keeps its past in little room.
 func TestBookAgrees(t *testing.T) {
-	a, b := NewBook(), NewBook()
+	a, b := NewCounterTable(), NewCounterTable()
 	want := uint64(0)
 	for gen := uint64(1); gen <= 40; gen++ {
 		for n := uint64(1); n <= 5; n++ {
@@ -70,30 +70,30 @@
 			if n%2 == 0 {
 				to = b
 			}
-			to.Take(time.Second, &Tally{"r", gen, PackCounts(map[Key]uint64{7: n}), false}, 10)
+			to.Merge(time.Second, &Tally{"r", gen, EncodeCounters(map[Key]uint64{7: n}), false}, 10)
 		}
 		want += 5
 		for range 2 {
-			for _, x := range a.Say(4) {
-				b.Take(time.Second, &x, 10)
+			for _, x := range a.NextTallies(4) {
+				b.Merge(time.Second, &x, 10)
 			}
-			for _, x := range b.Say(4) {
-				a.Take(time.Second, &x, 10)
+			for _, x := range b.NextTallies(4) {
+				a.Merge(time.Second, &x, 10)
 			}
 		}
 	}
-	for _, book := range []*Book{a, b} {
-		s := book.Sums(3 * time.Second)
-		n, err := UnpackCounts(s.N)
-		if err != nil || n[7] != want || s.Lives > mostLives || s.Oldest != 2*time.Second || s.Silent != "r" {
+	for _, book := range []*CounterTable{a, b} {
+		s := book.Totals(3 * time.Second)
+		n, err := DecodeCounters(s.Counters)
+		if err != nil || n[7] != want || s.Incarnations > maxIncarnations || s.SilentFor != 2*time.Second || s.Silent != "r" {
 			t.Errorf("%d of %d, %+v, %v", n[7], want, s, err)
 		}
 	}
-	if _, err := UnpackCounts([]byte{1, 2, 3}); err == nil {
+	if _, err := DecodeCounters([]byte{1, 2, 3}); err == nil {
 		t.Error("a tally that was cut is taken")
 	}
-	a.Take(0, &Tally{Relay: "stranger", Gen: 1}, 1)
-	if s := a.Sums(0); s.Relays != 1 {
+	a.Merge(0, &Tally{Relay: "stranger", Generation: 1}, 1)
+	if s := a.Totals(0); s.Relays != 1 {
 		t.Error("more relays than the fleet has")
 	}
 }
--- a/internal/relay/fleet/quota/judge.go
+++ b/internal/relay/fleet/quota/judge.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// learn takes the newest limits and waits that relays tell.
-func (p *pot) learn(now time.Duration, k Key, all []*holder) {
+// observe takes the newest limits and waits that relays tell.
+func (p *keyState) observe(now time.Duration, k Key, all []*relayState) {
 	type told struct {
 		limit float64
 		at    time.Duration
@@ -14,15 +14,15 @@
 	var list []told
 	well := -time.Hour // when the newest call that was delivered had been sent, to anyone
 	for _, h := range all {
-		n := h.needs[k]
-		if n.Limit > 0 && n.Told < 254*unit {
-			list = append(list, told{n.Limit, h.at - n.Told})
+		n := h.demands[k]
+		if n.Limit > 0 && n.LimitAge < 254*ageUnit {
+			list = append(list, told{n.Limit, h.demandsAt - n.LimitAge})
 		}
-		if n.State == Well {
-			well = max(well, h.at-n.Seen)
+		if n.State == Healthy {
+			well = max(well, h.demandsAt-n.StateAge)
 		}
 	}
-	// Of the three that are the freshest the middle one: no single relay's word has all others send more, or less.
+	// KeyOf the three that are the freshest the middle one: no single relay's word has all others send more, or less.
 	slices.SortStableFunc(list, func(a, b told) int { return int(min(max(b.at-a.at, -1), 1)) })
 	if len(list) > 0 {
 		if fresh := list[0].at; fresh >= p.limitAt {
@@ -42,10 +42,10 @@
 			}
 		}
 	}
-	p.waitTill = 0
+	p.waitUntil = 0
 	for _, h := range all {
-		if n := h.needs[k]; n.Wait > 0 && well < h.at { // nothing that was sent since speaks against it
-			p.waitTill = max(p.waitTill, h.at+min(n.Wait, mostWait))
+		if n := h.demands[k]; n.Wait > 0 && well < h.demandsAt { // nothing that was sent since speaks against it
+			p.waitUntil = max(p.waitUntil, h.demandsAt+min(n.Wait, maxReportedWait))
 		}
 	}
 }
@@ -53,32 +53,32 @@
 // judge says what each zone's relays are to take a destination for. What one relay sees may be its own link, and what one zone
 // sees may be that zone's: a verdict takes two witnesses in the zone that it is for, or witnesses in two zones and none there who
 // says otherwise. Evidence ages out; a relay's own goes before all this.
-func (l *Ledger) judge(now time.Duration, k Key, p *pot, all []*holder) {
+func (l *Allocator) judge(now time.Duration, k Key, p *keyState, all []*relayState) {
 	type seen struct {
 		down, well int
 		at, wellAt time.Duration
-		alone      *holder
+		alone      *relayState
 	}
 	zones := map[int]*seen{}
 	var down, well, in int
 	for _, h := range all {
-		n, z := h.needs[k], zones[h.zone]
+		n, z := h.demands[k], zones[h.zone]
 		if z == nil {
 			z = &seen{at: -1 << 62, wellAt: -1 << 62}
 			zones[h.zone] = z
 		}
-		switch at := h.at - n.Seen; {
-		case n.State == Down && now-at <= freshFor:
+		switch at := h.demandsAt - n.StateAge; {
+		case n.State == Down && now-at <= evidenceTTL:
 			if z.down == 0 {
 				in++
 			}
 			down, z.down, z.at, z.alone = down+1, z.down+1, max(z.at, at), h
-		case n.State == Well && now-at <= newsFor:
+		case n.State == Healthy && now-at <= deliveryTTL:
 			well, z.well, z.wellAt = well+1, z.well+1, max(z.wellAt, at)
 		}
 	}
 	for no, z := range zones {
-		was := p.zones[no]
+		was := p.verdicts[no]
 		is, at := Unseen, time.Duration(0)
 		switch {
 		case z.down >= 2 && z.down > 2*z.well, in >= 2 && z.well == 0 && down > 2*well:
@@ -89,69 +89,69 @@
 				}
 			}
 		case z.well > 0:
-			is, at = Well, z.wellAt
+			is, at = Healthy, z.wellAt
 		}
 		if z.down == 1 && z.well >= 3 {
-			l.Odd[z.alone.name]++
+			l.Contradictions[z.alone.name]++
 		}
-		if p.zones[no], p.seenAt[no] = is, at; is != was {
+		if p.verdicts[no], p.evidenceAt[no] = is, at; is != was {
 			for _, h := range all {
-				h.news = h.news || h.zone == no
+				h.verdictChanged = h.verdictChanged || h.zone == no
 			}
 		}
 	}
-	for no := range p.zones {
+	for no := range p.verdicts {
 		if zones[no] == nil {
-			delete(p.zones, no)
-			delete(p.seenAt, no)
-			delete(p.tries, no)
+			delete(p.verdicts, no)
+			delete(p.evidenceAt, no)
+			delete(p.probers, no)
 		}
 	}
-	l.turns(now, k, p, all)
+	l.assignProbes(now, k, p, all)
 }
 
-// turns says whose turn it is to try what is down, one relay a zone: it goes round, so that one that is dead costs a turn.
-func (l *Ledger) turns(now time.Duration, k Key, p *pot, all []*holder) {
-	if now < p.tryTill {
+// assignProbes says whose turn it is to try what is down, one relay a zone: it goes round, so that one that is dead costs a turn.
+func (l *Allocator) assignProbes(now time.Duration, k Key, p *keyState, all []*relayState) {
+	if now < p.probeTurnEnds {
 		return
 	}
-	p.tryTill = now + tryFor
+	p.probeTurnEnds = now + probeTurn
 	p.turn++
-	for no, s := range p.zones {
+	for no, s := range p.verdicts {
 		for _, h := range all {
-			h.news = h.news || h.name == p.tries[no]
+			h.verdictChanged = h.verdictChanged || h.name == p.probers[no]
 		}
-		delete(p.tries, no)
+		delete(p.probers, no)
 		if s != Down {
 			continue
 		}
-		var can []*holder
+		var can []*relayState
 		for _, h := range all {
-			if h.zone == no && h.needs[k].Want > 0 {
+			if h.zone == no && h.demands[k].Rate > 0 {
 				can = append(can, h)
 			}
 		}
 		if len(can) > 0 {
 			h := can[p.turn%len(can)]
-			p.tries[no], h.news = h.name, true
+			p.probers[no], h.verdictChanged = h.name, true
 		}
 	}
 }
 
-// part is what a relay is told of a key beside its part.
-func (l *Ledger) part(now time.Duration, h *holder, k Key) Part {
-	t := Part{Key: k}
-	p := l.pots[k]
+// keyShare is what a relay is told of a key beside its part.
+func (l *Allocator) keyShare(now time.Duration, h *relayState, k Key) KeyShare {
+	t := KeyShare{Key: k}
+	p := l.keys[k]
 	if p == nil {
 		return t
 	}
 	if p.limit > 0 {
-		t.Limit, t.Told = p.limit, now-p.limitAt
+		t.Limit, t.LimitAge = p.limit, now-p.limitAt
 	}
-	if s := p.zones[h.zone]; s != Unseen {
-		t.State, t.Seen = s, now-p.seenAt[h.zone]
+	if s := p.verdicts[h.zone]; s != Unseen {
+		t.State, t.StateAge = s, now-p.evidenceAt[h.zone]
 	}
-	t.Wait = max(0, p.waitTill-now)
-	t.Try = p.tries[h.zone] == h.name
+	t.Wait = max(0, p.waitUntil-now)
+	t.MayProbe = p.probers[h.zone] == h.name
 	return t
 }
--- a/internal/relay/fleet/quota/purse.go
+++ b/internal/relay/fleet/quota/purse.go
@@ -2,86 +2,86 @@
 
 import "time"
 
-// Purse is the holder's side: what a relay may spend, by its own clock. It is not safe for concurrent use.
-type Purse struct {
-	Serve bool // the relay goes on when it is cut off: its floor has no end
+// Lessee is the holder's side: what a relay may spend, by its own clock. It is not safe for concurrent use.
+type Lessee struct {
+	ServeAlone bool // the relay goes on when it is cut off: its floor has no end
 
-	heard  uint64 // the newest ledger that it has heard of
-	by, no uint64 // the loan that it goes by; 0: none
-	floor  float64
-	parts  []Part
-	until  time.Duration // it may spend the parts before that; the floor for as long as it acts
-	tell   bool
-	goes   [2]uint64 // the loan that the core has said it goes by
-	needs  []Need
-	sent   int
+	newestTerm   uint64 // the newest ledger that it has heard of
+	term, number uint64 // the loan that it goes by; 0: none
+	minimum      float64
+	shares       []KeyShare
+	expires      time.Duration // it may spend the parts before that; the floor for as long as it acts
+	reportLeased bool
+	confirmed    [2]uint64 // the loan that the core has said it goes by
+	demands      []Demand
+	requests     int
 }
 
-// Spend is what the core is told.
-type Spend struct {
-	By, No uint64 // to be given back once the core goes by it
-	Floor  float64
-	Parts  []Part
-	Until  time.Duration // it may be spent before that
-	Stays  bool          // but for the floor, which has no end
+// Lease is what the core is told.
+type Lease struct {
+	Term, Number uint64 // to be given back once the core goes by it
+	Minimum      float64
+	Shares       []KeyShare
+	Expires      time.Duration // it may be spent before that
+	MinimumLasts bool          // but for the floor, which has no end
 }
 
-// Granted takes an allotment that came with a lease until a time, and tells what the core is to go by from now on, if that changes.
-func (p *Purse) Granted(until time.Duration, a *Allotment) *Spend {
+// HandleGrant takes an allotment that came with a lease until a time, and tells what the core is to go by from now on, if that changes.
+func (p *Lessee) HandleGrant(until time.Duration, a *Grant) *Lease {
 	switch {
-	case a == nil || a.By < p.heard || a.By == p.by && a.No != 0 && a.No < p.no:
+	case a == nil || a.Term < p.newestTerm || a.Term == p.term && a.LeaseNumber != 0 && a.LeaseNumber < p.number:
 		return nil // of one that led before, or late
-	case a.Tell:
-		p.heard, p.tell = a.By, true
+	case a.ReportLeased:
+		p.newestTerm, p.reportLeased = a.Term, true
 		return nil
-	case a.No == 0 || !a.New && (a.By != p.by || a.No != p.no):
+	case a.LeaseNumber == 0 || !a.HasShares && (a.Term != p.term || a.LeaseNumber != p.number):
 		return nil // a loan whose parts have not come
 	}
-	p.heard = a.By
-	if a.By != p.by || a.No != p.no { // another loan lasts as long as its own lease
-		p.until = 0
+	p.newestTerm = a.Term
+	if a.Term != p.term || a.LeaseNumber != p.number { // another loan lasts as long as its own lease
+		p.expires = 0
 	}
-	if a.New {
-		parts, err := UnpackParts(a.Parts)
+	if a.HasShares {
+		parts, err := DecodeKeyShares(a.Shares)
 		if err != nil {
 			return nil
 		}
-		p.by, p.no, p.floor, p.parts = a.By, a.No, wide(a.Floor), parts
+		p.term, p.number, p.minimum, p.shares = a.Term, a.LeaseNumber, fromFloat16(a.Minimum), parts
 	}
-	p.tell, p.until = false, max(p.until, until)
-	return p.Spend()
+	p.reportLeased, p.expires = false, max(p.expires, until)
+	return p.Lease()
 }
 
-// Spend is what the core is to go by.
-func (p *Purse) Spend() *Spend {
-	return &Spend{By: p.by, No: p.no, Floor: p.floor, Parts: p.parts, Until: p.until, Stays: p.Serve}
+// Lease is what the core is to go by.
+func (p *Lessee) Lease() *Lease {
+	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeAlone}
 }
 
-// Goes notes that the core goes by a loan, and by none before.
-func (p *Purse) Goes(by, no uint64) {
-	if by == p.by && no == p.no {
-		p.goes = [2]uint64{by, no}
+// Confirm notes that the core goes by a loan, and by none before.
+func (p *Lessee) Confirm(by, no uint64) {
+	if by == p.term && no == p.number {
+		p.confirmed = [2]uint64{by, no}
 	}
 }
 
-// Needs takes what the relay needs now.
-func (p *Purse) Needs(all []Need) { p.needs = all }
+// Demands takes what the relay needs now.
+func (p *Lessee) SetDemands(all []Demand) { p.demands = all }
 
-// Report is what a ping says.
-func (p *Purse) Report(now time.Duration, zone int) *Report {
-	r := &Report{By: p.goes[0], No: p.goes[1], Zone: zone, For: p.heard}
-	if p.until <= now { // what it was lent is over
-		r.By, r.No = 0, 0
+// Request is what a ping says.
+func (p *Lessee) NextRequest(now time.Duration, zone int) *Request {
+	r := &Request{LeaseTerm: p.confirmed[0], LeaseNumber: p.confirmed[1], Zone: zone, NewestTerm: p.newestTerm}
+	if p.expires <= now { // what it was lent is over
+		r.LeaseTerm, r.LeaseNumber = 0, 0
 	}
-	if p.Serve {
-		r.Floor = narrow(p.floor)
+	if p.ServeAlone {
+		r.Minimum = toFloat16(p.minimum)
 	}
-	if p.tell && p.goes == [2]uint64{p.by, p.no} && r.No != 0 { // otherwise the core may still go by more
-		r.Holds, r.Floor = PackParts(p.parts), narrow(p.floor)
+	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // otherwise the core may still go by more
+		r.LeasedShares, r.Minimum = EncodeKeyShares(p.shares), toFloat16(p.minimum)
 	}
-	if p.sent++; p.sent%2 == 0 || p.tell {
-		if r.Needs = PackNeeds(p.needs); len(p.needs) == 0 {
-			r.None = true
+	if p.requests++; p.requests%2 == 0 || p.reportLeased {
+		if r.Demands = EncodeDemands(p.demands); len(p.demands) == 0 {
+			r.NoDemand = true
 		}
 	}
 	return r
--- a/internal/relay/fleet/quota/share.go
+++ b/internal/relay/fleet/quota/share.go
@@ -24,11 +24,11 @@
 const (
 	Destination byte = 'd' // a partner, or a route that stands apart
 	Tenant      byte = 't'
-	Count       byte = 'c' // a counter
+	Counter     byte = 'c' // a counter
 )
 
-// Of is the key of a name.
-func Of(kind byte, name string) Key {
+// KeyOf is the key of a name.
+func KeyOf(kind byte, name string) Key {
 	h := xxhash.Sum64String(string(kind) + name)
 	return Key(h ^ h>>32)
 }
@@ -40,52 +40,52 @@
 
 // The states.
 const (
-	Unseen State = iota
-	Well         // it delivered
-	Down         // it fails what is sent, or can't be reached
+	Unseen  State = iota
+	Healthy       // it delivered
+	Down          // it fails what is sent, or can't be reached
 )
 
 func (s State) String() string { return [...]string{"", "well", "down"}[min(s, Down)] }
 
-// Need is what a relay tells of one key.
-type Need struct {
-	Key   Key
-	Want  float64       // units a second that it could spend now
-	Worth float64       // of a unit, against others'
-	Limit float64       // units a second for all relays, as it was told last; 0: not told
-	Told  time.Duration // since that
-	State State
-	Seen  time.Duration // since the newest call that State stands on was sent
-	Wait  time.Duration // that the destination has told it to wait from now on
+// Demand is what a relay tells of one key.
+type Demand struct {
+	Key      Key
+	Rate     float64       // units a second that it could spend now
+	Value    float64       // of a unit, against others'
+	Limit    float64       // units a second for all relays, as it was told last; 0: not told
+	LimitAge time.Duration // since that
+	State    State
+	StateAge time.Duration // since the newest call that State stands on was sent
+	Wait     time.Duration // that the destination has told it to wait from now on
 }
 
-// Part is what a relay is told of one key.
-type Part struct {
-	Key   Key
-	Extra float64       // beyond its floor, of 1
-	Limit float64       // the freshest that any relay was told; 0: none
-	Told  time.Duration // since that
-	State State         // what the fleet takes it for; Unseen: whatever the relay has seen itself
-	Seen  time.Duration // since the newest evidence for that
-	Wait  time.Duration // that another was told to wait, from now on
-	Try   bool          // it is this relay's turn to try what is down
+// KeyShare is what a relay is told of one key.
+type KeyShare struct {
+	Key      Key
+	Extra    float64       // beyond its floor, of 1
+	Limit    float64       // the freshest that any relay was told; 0: none
+	LimitAge time.Duration // since that
+	State    State         // what the fleet takes it for; Unseen: whatever the relay has seen itself
+	StateAge time.Duration // since the newest evidence for that
+	Wait     time.Duration // that another was told to wait, from now on
+	MayProbe bool          // it is this relay's turn to try what is down
 }
 
-// MostKeys is how many keys a relay tells of, and is told of: those that it needs the most. A datagram stays within 1,200 bytes.
-const MostKeys = 48
+// MaxKeys is how many keys a relay tells of, and is told of: those that it needs the most. A datagram stays within 1,200 bytes.
+const MaxKeys = 48
 
 const (
-	needSize = 4 + 3*2 + 4
-	partSize = 4 + 2*2 + 4
-	unit     = 50 * time.Millisecond // of ages and waits on the wire
-	tryFlag  = 0x80
+	demandBytes   = 4 + 3*2 + 4
+	keyShareBytes = 4 + 2*2 + 4
+	ageUnit       = 50 * time.Millisecond // of ages and waits on the wire
+	probeFlag     = 0x80
 )
 
-// errSize is a list of needs or parts that no relay has written.
-var errSize = errors.New("share: a list of another size than its entries'")
+// ErrListSize is a list of needs or parts that no relay has written.
+var ErrListSize = errors.New("share: a list of another size than its entries'")
 
-// narrow is a number in the 16 bits that go on the wire, rounded to zero: what is lent must not grow under way.
-func narrow(v float64) uint16 {
+// toFloat16 is a number in the 16 bits that go on the wire, rounded to zero: what is lent must not grow under way.
+func toFloat16(v float64) uint16 {
 	if !(v > 0) {
 		return 0
 	}
@@ -96,77 +96,77 @@
 	return uint16(math.Float32bits(f) >> 16)
 }
 
-func wide(b uint16) float64 { return float64(math.Float32frombits(uint32(b) << 16)) }
+func fromFloat16(b uint16) float64 { return float64(math.Float32frombits(uint32(b) << 16)) }
 
-// Round is a part as the wire carries it.
-func Round(v float64) float64 { return wide(narrow(v)) }
+// RoundToWire is a part as the wire carries it.
+func RoundToWire(v float64) float64 { return fromFloat16(toFloat16(v)) }
 
-// older is a time in a byte, rounded up: what is told is never fresher than it is.
-func older(d time.Duration) byte { return byte(min((max(d, 0)+unit-1)/unit, 255)) }
+// encodeAge is a time in a byte, rounded up: what is told is never fresher than it is.
+func encodeAge(d time.Duration) byte { return byte(min((max(d, 0)+ageUnit-1)/ageUnit, 255)) }
 
-// PackNeeds is needs as they go on the wire.
-func PackNeeds(all []Need) []byte {
-	b := make([]byte, 0, needSize*len(all))
+// EncodeDemands is needs as they go on the wire.
+func EncodeDemands(all []Demand) []byte {
+	b := make([]byte, 0, demandBytes*len(all))
 	for i := range all {
 		n := &all[i]
 		b = binary.BigEndian.AppendUint32(b, uint32(n.Key))
-		for _, v := range [...]float64{n.Want, n.Worth, n.Limit} {
-			b = binary.BigEndian.AppendUint16(b, narrow(v))
+		for _, v := range [...]float64{n.Rate, n.Value, n.Limit} {
+			b = binary.BigEndian.AppendUint16(b, toFloat16(v))
 		}
-		b = append(b, older(n.Told), byte(n.State), older(n.Seen), older(n.Wait))
+		b = append(b, encodeAge(n.LimitAge), byte(n.State), encodeAge(n.StateAge), encodeAge(n.Wait))
 	}
 	return b
 }
 
-// UnpackNeeds reads them.
-func UnpackNeeds(b []byte) ([]Need, error) {
-	if len(b)%needSize != 0 || len(b) > needSize*MostKeys {
-		return nil, errSize
+// DecodeDemands reads them.
+func DecodeDemands(b []byte) ([]Demand, error) {
+	if len(b)%demandBytes != 0 || len(b) > demandBytes*MaxKeys {
+		return nil, ErrListSize
 	}
-	all := make([]Need, 0, len(b)/needSize)
-	for ; len(b) > 0; b = b[needSize:] {
-		v := func(at int) float64 { return finite(wide(binary.BigEndian.Uint16(b[at:]))) }
-		age := func(at int) time.Duration { return time.Duration(b[at]) * unit }
-		all = append(all, Need{Key: Key(binary.BigEndian.Uint32(b)), Want: v(4), Worth: v(6), Limit: v(8), Told: age(10),
-			State: State(min(b[11], byte(Down))), Seen: age(12), Wait: age(13)})
+	all := make([]Demand, 0, len(b)/demandBytes)
+	for ; len(b) > 0; b = b[demandBytes:] {
+		v := func(at int) float64 { return finiteOrZero(fromFloat16(binary.BigEndian.Uint16(b[at:]))) }
+		age := func(at int) time.Duration { return time.Duration(b[at]) * ageUnit }
+		all = append(all, Demand{Key: Key(binary.BigEndian.Uint32(b)), Rate: v(4), Value: v(6), Limit: v(8), LimitAge: age(10),
+			State: State(min(b[11], byte(Down))), StateAge: age(12), Wait: age(13)})
 	}
 	return all, nil
 }
 
-// PackParts is parts as they go on the wire.
-func PackParts(all []Part) []byte {
-	b := make([]byte, 0, partSize*len(all))
+// EncodeKeyShares is parts as they go on the wire.
+func EncodeKeyShares(all []KeyShare) []byte {
+	b := make([]byte, 0, keyShareBytes*len(all))
 	for i := range all {
 		p := &all[i]
 		b = binary.BigEndian.AppendUint32(b, uint32(p.Key))
-		b = binary.BigEndian.AppendUint16(b, narrow(p.Extra))
-		b = binary.BigEndian.AppendUint16(b, narrow(p.Limit))
+		b = binary.BigEndian.AppendUint16(b, toFloat16(p.Extra))
+		b = binary.BigEndian.AppendUint16(b, toFloat16(p.Limit))
 		flags := byte(p.State)
-		if p.Try {
-			flags |= tryFlag
+		if p.MayProbe {
+			flags |= probeFlag
 		}
-		b = append(b, older(p.Told), flags, older(p.Seen), older(p.Wait))
+		b = append(b, encodeAge(p.LimitAge), flags, encodeAge(p.StateAge), encodeAge(p.Wait))
 	}
 	return b
 }
 
-// UnpackParts reads them.
-func UnpackParts(b []byte) ([]Part, error) {
-	if len(b)%partSize != 0 || len(b) > partSize*MostKeys {
-		return nil, errSize
+// DecodeKeyShares reads them.
+func DecodeKeyShares(b []byte) ([]KeyShare, error) {
+	if len(b)%keyShareBytes != 0 || len(b) > keyShareBytes*MaxKeys {
+		return nil, ErrListSize
 	}
-	all := make([]Part, 0, len(b)/partSize)
-	for ; len(b) > 0; b = b[partSize:] {
-		v := func(at int) float64 { return finite(wide(binary.BigEndian.Uint16(b[at:]))) }
-		age := func(at int) time.Duration { return time.Duration(b[at]) * unit }
-		all = append(all, Part{Key: Key(binary.BigEndian.Uint32(b)), Extra: v(4), Limit: v(6), Told: age(8), State: State(min(b[9]&^tryFlag, byte(Down))),
-			Seen: age(10), Wait: age(11), Try: b[9]&tryFlag != 0})
+	all := make([]KeyShare, 0, len(b)/keyShareBytes)
+	for ; len(b) > 0; b = b[keyShareBytes:] {
+		v := func(at int) float64 { return finiteOrZero(fromFloat16(binary.BigEndian.Uint16(b[at:]))) }
+		age := func(at int) time.Duration { return time.Duration(b[at]) * ageUnit }
+		all = append(all, KeyShare{Key: Key(binary.BigEndian.Uint32(b)), Extra: v(4), Limit: v(6), LimitAge: age(8), State: State(min(b[9]&^probeFlag, byte(Down))),
+			StateAge: age(10), Wait: age(11), MayProbe: b[9]&probeFlag != 0})
 	}
 	return all, nil
 }
 
-// finite takes what is no sound number for none.
-func finite(v float64) float64 {
+// finiteOrZero takes what is no sound number for none.
+func finiteOrZero(v float64) float64 {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/relay/fleet/quota/share_test.go
+++ b/internal/relay/fleet/quota/share_test.go
@@ -13,23 +13,23 @@
 		age := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(11*time.Second)).Draw(t, name))
 		}
-		part := Part{Key: Key(rapid.Uint32().Draw(t, "key")), Extra: rapid.Float64Range(0, 1).Draw(t, "extra"), Limit: rapid.Float64Range(0, 1e6).Draw(t, "limit"),
-			Told: age("told"), State: State(rapid.IntRange(0, 2).Draw(t, "state")), Seen: age("seen"), Wait: age("wait"), Try: rapid.Bool().Draw(t, "try")}
-		b := PackParts([]Part{part})
-		got, err := UnpackParts(b)
+		part := KeyShare{Key: Key(rapid.Uint32().Draw(t, "key")), Extra: rapid.Float64Range(0, 1).Draw(t, "extra"), Limit: rapid.Float64Range(0, 1e6).Draw(t, "limit"),
+			LimitAge: age("told"), State: State(rapid.IntRange(0, 2).Draw(t, "state")), StateAge: age("seen"), Wait: age("wait"), MayProbe: rapid.Bool().Draw(t, "try")}
+		b := EncodeKeyShares([]KeyShare{part})
+		got, err := DecodeKeyShares(b)
 		if err != nil || len(got) != 1 {
 			t.Fatal(err, got)
 		}
 		g := got[0]
-		if g.Extra > part.Extra || g.Extra < part.Extra*0.99-1e-30 || g.Limit > part.Limit || g.Told < part.Told || g.Seen < part.Seen || g.Wait < part.Wait ||
-			g.State != part.State || g.Try != part.Try || g.Key != part.Key || Round(g.Extra) != g.Extra {
+		if g.Extra > part.Extra || g.Extra < part.Extra*0.99-1e-30 || g.Limit > part.Limit || g.LimitAge < part.LimitAge || g.StateAge < part.StateAge || g.Wait < part.Wait ||
+			g.State != part.State || g.MayProbe != part.MayProbe || g.Key != part.Key || RoundToWire(g.Extra) != g.Extra {
 			t.Fatalf("%+v became %+v", part, g)
 		}
-		cut := rapid.IntRange(1, partSize-1).Draw(t, "cut")
-		if _, err := UnpackParts(b[:cut]); err == nil {
+		cut := rapid.IntRange(1, keyShareBytes-1).Draw(t, "cut")
+		if _, err := DecodeKeyShares(b[:cut]); err == nil {
 			t.Fatal("a list that was cut is taken")
 		}
-		if needs, err := UnpackNeeds(rapid.SliceOfN(rapid.Byte(), needSize, needSize).Draw(t, "garbled")); err != nil || !(needs[0].Want >= 0 && needs[0].Want < 1e39) ||
+		if needs, err := DecodeDemands(rapid.SliceOfN(rapid.Byte(), demandBytes, demandBytes).Draw(t, "garbled")); err != nil || !(needs[0].Rate >= 0 && needs[0].Rate < 1e39) ||
 			needs[0].State > Down {
 			t.Fatalf("garbled needs are read as %+v: %v", needs, err)
 		}
@@ -37,13 +37,13 @@
 }
 
 // TestSplit: whatever relays need, no more than there is is lent, floors are nobody else's, equal needs have equal parts, and where
-// all can't have what they need nobody has more than another of the same worth who has less than it needs.
+// relays can't have what they need nobody has more than another of the same worth who has less than it needs.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger(Rules{Kept: 0.25, Over: 2 * time.Second}, 1, 0)
+		l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 1, 0)
 		n := rapid.IntRange(1, 12).Draw(t, "relays")
 		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}[:n]
-		l.Roster(names)
+		l.SetRoster(names)
 		wants := rapid.SliceOfN(rapid.Float64Range(0, 200), n, n).Draw(t, "wants")
 		limit := rapid.SampledFrom([]float64{0, 1, 100, 1e5}).Draw(t, "limit")
 		loans := make([]uint64, n)
@@ -52,19 +52,19 @@
 			now := time.Duration(round) * 200 * time.Millisecond
 			sum := 0.0
 			for i, name := range names {
-				l.Report(now, name, 1, &Report{By: 1, For: 1, No: loans[i], Needs: PackNeeds([]Need{{Key: 7, Want: wants[i], Worth: 1, Limit: limit}})})
+				l.HandleRequest(now, name, 1, &Request{LeaseTerm: 1, NewestTerm: 1, LeaseNumber: loans[i], Demands: EncodeDemands([]Demand{{Key: 7, Rate: wants[i], Value: 1, Limit: limit}})})
 			}
 			for i, name := range names {
 				a := l.Grant(now, now, name)
-				if a == nil || a.Tell {
+				if a == nil || a.ReportLeased {
 					t.Fatalf("%s is told %+v", name, a)
 				}
-				if loans[i] = a.No; a.New {
-					p, err := UnpackParts(a.Parts)
+				if loans[i] = a.LeaseNumber; a.HasShares {
+					p, err := DecodeKeyShares(a.Shares)
 					if err != nil || len(p) != 1 {
 						t.Fatal(p, err)
 					}
-					parts[i] = wide(a.Floor) + p[0].Extra
+					parts[i] = fromFloat16(a.Minimum) + p[0].Extra
 				}
 			}
 			for _, p := range parts {
@@ -93,25 +93,25 @@
 // TestLateLoan: one that has heard of a newer leader takes nothing any more from the one before, and the newer one lends nothing that
 // the other may still lend until it has that word.
 func TestLateLoan(t *testing.T) {
-	p := &Purse{}
-	loan := func(by uint64) *Allotment {
-		return &Allotment{By: by, No: 1, New: true, Floor: narrow(0.1), Parts: PackParts([]Part{{Key: 7, Extra: 0.5}})}
+	p := &Lessee{}
+	loan := func(by uint64) *Grant {
+		return &Grant{Term: by, LeaseNumber: 1, HasShares: true, Minimum: toFloat16(0.1), Shares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: 0.5}})}
 	}
-	if p.Granted(time.Second, &Allotment{By: 5, Tell: true}) != nil || p.Granted(time.Second, loan(4)) != nil {
+	if p.HandleGrant(time.Second, &Grant{Term: 5, ReportLeased: true}) != nil || p.HandleGrant(time.Second, loan(4)) != nil {
 		t.Error("it takes a loan of one that led before another of which it has heard")
 	}
-	if s := p.Granted(time.Second, loan(5)); s == nil || len(s.Parts) != 1 || s.Parts[0].Extra != 0.5 {
+	if s := p.HandleGrant(time.Second, loan(5)); s == nil || len(s.Shares) != 1 || s.Shares[0].Extra != 0.5 {
 		t.Errorf("it does not take one of the newest: %+v", s)
 	}
-	l := NewLedger(Rules{Kept: 0.25, Over: 2 * time.Second, Serve: true}, 5, 0)
-	l.Roster([]string{"a"})
-	needs := PackNeeds([]Need{{Key: 7, Want: 1, Worth: 1}})
-	l.Report(time.Millisecond, "a", 1, &Report{For: 4, Needs: needs})
-	if a := l.Grant(time.Millisecond, time.Millisecond, "a"); !a.Tell || a.New {
+	l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second, ServeAlone: true}, 5, 0)
+	l.SetRoster([]string{"a"})
+	needs := EncodeDemands([]Demand{{Key: 7, Rate: 1, Value: 1}})
+	l.HandleRequest(time.Millisecond, "a", 1, &Request{NewestTerm: 4, Demands: needs})
+	if a := l.Grant(time.Millisecond, time.Millisecond, "a"); !a.ReportLeased || a.HasShares {
 		t.Errorf("it lends to one that may yet take a loan of another: %+v", a)
 	}
-	l.Report(time.Second, "a", 1, &Report{For: 5, Needs: needs})
-	if a := l.Grant(time.Second, time.Second, "a"); a.Tell || !a.New {
+	l.HandleRequest(time.Second, "a", 1, &Request{NewestTerm: 5, Demands: needs})
+	if a := l.Grant(time.Second, time.Second, "a"); a.ReportLeased || !a.HasShares {
 		t.Errorf("it does not lend: %+v", a)
 	}
 }
@@ -119,25 +119,25 @@
 // TestClaims: one that claims to hold what it can't is named, takes nothing from what others truly hold beyond one lease, and gains
 // nothing by it.
 func TestClaims(t *testing.T) {
-	l := NewLedger(Rules{Kept: 0.25, Over: 2 * time.Second}, 9, 0)
+	l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 9, 0)
 	names := []string{"a", "b", "liar"}
-	l.Roster(names)
-	needs := PackNeeds([]Need{{Key: 7, Want: 50, Worth: 1, Limit: 100}})
+	l.SetRoster(names)
+	needs := EncodeDemands([]Demand{{Key: 7, Rate: 50, Value: 1, Limit: 100}})
 	holds := map[string]float64{"a": 0.4, "b": 0.3, "liar": 0.9}
 	for _, n := range names {
-		l.Report(0, n, 1, &Report{By: 8, No: 3, For: 9, Needs: needs, Floor: narrow(0.08), Holds: PackParts([]Part{{Key: 7, Extra: holds[n]}})})
+		l.HandleRequest(0, n, 1, &Request{LeaseTerm: 8, LeaseNumber: 3, NewestTerm: 9, Demands: needs, Minimum: toFloat16(0.08), LeasedShares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: holds[n]}})})
 	}
 	loans, parts := map[string]uint64{}, map[string]float64{}
 	for now := 100 * time.Millisecond; now < 6*time.Second; now += 200 * time.Millisecond {
 		sum := 0.0
 		for _, n := range names {
-			l.Report(now, n, 1, &Report{By: 9, No: loans[n], For: 9, Needs: needs})
-			if a := l.Grant(now, now, n); a != nil && a.New {
-				p, err := UnpackParts(a.Parts)
+			l.HandleRequest(now, n, 1, &Request{LeaseTerm: 9, LeaseNumber: loans[n], NewestTerm: 9, Demands: needs})
+			if a := l.Grant(now, now, n); a != nil && a.HasShares {
+				p, err := DecodeKeyShares(a.Shares)
 				if err != nil || len(p) != 1 {
 					t.Fatal(p, err)
 				}
-				loans[n], parts[n] = a.No, wide(a.Floor)+p[0].Extra
+				loans[n], parts[n] = a.LeaseNumber, fromFloat16(a.Minimum)+p[0].Extra
 			}
 			sum += parts[n]
 		}
@@ -145,8 +145,8 @@
 			t.Fatalf("at %v %.3f is lent: %v", now, sum, parts)
 		}
 	}
-	if l.Odd["liar"] == 0 || len(l.Odd) != 1 {
-		t.Errorf("named: %v", l.Odd)
+	if l.Contradictions["liar"] == 0 || len(l.Contradictions) != 1 {
+		t.Errorf("named: %v", l.Contradictions)
 	}
 	for _, n := range names {
 		if parts[n] < 0.3 || parts[n] > 0.37 {
--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -34,12 +34,12 @@
 		o := Options{Relays: relays, Voters: relays, Seed: 9, Lease: 2 * time.Second, Drift: 0.05, Delay: 500 * time.Microsecond, Acts: 10 * time.Millisecond}
 		if shares {
 			o.Kept, o.Acts, o.Serve = 0.25, 0, serve
-			o.Needs = func(w *World, r *Relay) []quota.Need {
-				n := quota.Need{Key: 1, Want: 2, Worth: 1, Limit: 100}
+			o.Needs = func(w *World, r *Relay) []quota.Demand {
+				n := quota.Demand{Key: 1, Rate: 2, Value: 1, Limit: 100}
 				if r.No == busy {
-					n.Want = 90
+					n.Rate = 90
 				}
-				return []quota.Need{n}
+				return []quota.Demand{n}
 			}
 		}
 		w := New(o)
--- a/internal/relay/fleet/simulation/share.go
+++ b/internal/relay/fleet/simulation/share.go
@@ -30,12 +30,12 @@
 	if r.Node == nil || r.Slow || r.Stand.Until <= now {
 		return 0
 	}
-	part := r.Spend.Floor
-	if r.Spend.Until <= now && !r.Spend.Stays {
+	part := r.Spend.Minimum
+	if r.Spend.Expires <= now && !r.Spend.MinimumLasts {
 		part = 0
 	}
-	if i := slices.IndexFunc(r.Spend.Parts, func(p quota.Part) bool { return p.Key == k }); i >= 0 && r.Spend.Until > now {
-		part += r.Spend.Parts[i].Extra
+	if i := slices.IndexFunc(r.Spend.Shares, func(p quota.KeyShare) bool { return p.Key == k }); i >= 0 && r.Spend.Expires > now {
+		part += r.Spend.Shares[i].Extra
 	}
 	return part
 }
@@ -43,8 +43,8 @@
 // spent looks whether all together may spend more than there is, after a relay's part has changed.
 func (w *World) spent(r *Relay) {
 	keys := []quota.Key{0} // the floors alone
-	for i := range r.Spend.Parts {
-		keys = append(keys, r.Spend.Parts[i].Key)
+	for i := range r.Spend.Shares {
+		keys = append(keys, r.Spend.Shares[i].Key)
 	}
 	for _, k := range keys {
 		sum, text := 0.0, ""
--- a/internal/relay/fleet/simulation/share_test.go
+++ b/internal/relay/fleet/simulation/share_test.go
@@ -10,14 +10,14 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-var key = quota.Of(quota.Destination, "p1")
+var key = quota.KeyOf(quota.Destination, "p1")
 
 // sharing is a fleet in which relays want, of a limit of 100 a second, what want says.
 func sharing(relays, voters int, seed uint64, want func(r *Relay) float64) Options {
 	o := calm(relays, voters, seed)
 	o.Kept, o.Zones = 0.25, 2
-	o.Needs = func(w *World, r *Relay) []quota.Need {
-		return []quota.Need{{Key: key, Want: want(r), Worth: 1, Limit: 100}}
+	o.Needs = func(w *World, r *Relay) []quota.Demand {
+		return []quota.Demand{{Key: key, Rate: want(r), Value: 1, Limit: 100}}
 	}
 	return o
 }
@@ -112,11 +112,11 @@
 func TestLiar(t *testing.T) {
 	o := sharing(7, 3, 4, func(r *Relay) float64 { return 20 })
 	down := o.Needs
-	o.Needs = func(w *World, r *Relay) []quota.Need {
+	o.Needs = func(w *World, r *Relay) []quota.Demand {
 		n := down(w, r)
-		n[0].State = quota.Well
+		n[0].State = quota.Healthy
 		if r.No == 6 {
-			n[0].Want, n[0].Limit, n[0].State = 1e9, 1, quota.Down
+			n[0].Rate, n[0].Limit, n[0].State = 1e9, 1, quota.Down
 		}
 		return n
 	}
@@ -128,7 +128,7 @@
 		}
 	}
 	for _, r := range w.Relays[:6] {
-		for _, p := range r.Spend.Parts {
+		for _, p := range r.Spend.Shares {
 			if p.State == quota.Down || p.Limit < 90 {
 				t.Errorf("%s is told %+v by the word of one", r.Name, p)
 			}
@@ -146,15 +146,15 @@
 	sees := map[int]quota.State{}
 	o := sharing(8, 3, 5, nil)
 	var at time.Duration
-	o.Needs = func(w *World, r *Relay) []quota.Need {
-		return []quota.Need{{Key: key, Want: 1, Worth: 1, Limit: 100, State: sees[r.No], Seen: w.Now - at}}
+	o.Needs = func(w *World, r *Relay) []quota.Demand {
+		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.No], StateAge: w.Now - at}}
 	}
 	w := formedWorld(t, o)
-	told := func(r int) quota.Part {
-		for _, p := range w.Relays[r].Spend.Parts {
+	told := func(r int) quota.KeyShare {
+		for _, p := range w.Relays[r].Spend.Shares {
 			return p
 		}
-		return quota.Part{}
+		return quota.KeyShare{}
 	}
 	see := func(s quota.State, relays ...int) {
 		clear(sees)
@@ -176,7 +176,7 @@
 	if told(6).State != quota.Down || told(5).State != quota.Down {
 		t.Errorf("one of each zone: told %v and %v", told(6).State, told(5).State)
 	}
-	sees[4], sees[5], at = quota.Well, quota.Well, w.Now // as where each second call fails
+	sees[4], sees[5], at = quota.Healthy, quota.Healthy, w.Now // as where each second call fails
 	w.Run(1500 * time.Millisecond)
 	if told(6).State == quota.Down || told(7).State == quota.Down {
 		t.Errorf("as many deliver there as fail: told %v and %v", told(6).State, told(7).State)
@@ -185,7 +185,7 @@
 	w.Run(200 * time.Millisecond)
 	tries := 0
 	for i := range 8 {
-		if told(i).Try {
+		if told(i).MayProbe {
 			tries++
 		}
 	}
@@ -196,8 +196,8 @@
 	if told(6).State != quota.Unseen {
 		t.Errorf("a verdict outlasts its evidence: %+v", told(6))
 	}
-	see(quota.Well, 2, 3)
-	if told(6).State != quota.Well || told(5).State != quota.Well {
+	see(quota.Healthy, 2, 3)
+	if told(6).State != quota.Healthy || told(5).State != quota.Healthy {
 		t.Errorf("it is back: told %v and %v", told(6).State, told(5).State)
 	}
 	judge(t, w)
@@ -217,10 +217,10 @@
 		o.Drift, o.Serve, o.Delay = 0.05, d.IntN(3) == 0, time.Duration(200+d.IntN(3000))*time.Microsecond
 		o.Loss, o.Twice = d.Float64()*0.3, d.Float64()*0.1
 		wants := make([]float64, o.Relays)
-		o.Needs = func(w *World, r *Relay) []quota.Need {
-			n := []quota.Need{{Key: key, Want: wants[r.No], Worth: 1, Limit: 100}}
+		o.Needs = func(w *World, r *Relay) []quota.Demand {
+			n := []quota.Demand{{Key: key, Rate: wants[r.No], Value: 1, Limit: 100}}
 			for k := range r.No % 3 {
-				n = append(n, quota.Need{Key: quota.Key(k + 1), Want: wants[r.No], Worth: float64(k + 1)})
+				n = append(n, quota.Demand{Key: quota.Key(k + 1), Rate: wants[r.No], Value: float64(k + 1)})
 			}
 			return n
 		}
--- a/internal/relay/fleet/simulation/sim.go
+++ b/internal/relay/fleet/simulation/sim.go
@@ -29,10 +29,10 @@
 	Loss, Twice    float64
 	Acts           time.Duration // how often a relay tries to act; 0: never
 	Applies        func(relay string, life int, doc []byte) error
-	Apart          time.Duration                         // from one relay\'s clock to the next one\'s
-	Kept           float64                               // of each right, that is relays' own; 0: nothing is shared
-	Zones          int                                   // that relays stand in, in turn
-	Needs          func(w *World, r *Relay) []quota.Need // of a relay, now
+	Apart          time.Duration                           // from one relay\'s clock to the next one\'s
+	Kept           float64                                 // of each right, that is relays' own; 0: nothing is shared
+	Zones          int                                     // that relays stand in, in turn
+	Needs          func(w *World, r *Relay) []quota.Demand // of a relay, now
 }
 
 // World is a fleet in virtual time.
@@ -86,7 +86,7 @@
 	crashIn   int    // actions until it crashes; below 0: never
 	waiting   []node.Event
 	acting    uint64      // numbers of its ticker
-	Spend     quota.Spend // what it goes by
+	Spend     quota.Lease // what it goes by
 }
 
 type disk struct {
@@ -197,7 +197,7 @@
 func (w *World) Start(r *Relay) {
 	r.disk.gen++
 	r.Lives++
-	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Stand{}, quota.Spend{}, nil, -1, false
+	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Stand{}, quota.Lease{}, nil, -1, false
 	cfg := node.Config{Name: r.Name, Gen: r.disk.gen, Life: w.rng.Uint64() | 1, Seed: w.rng.Uint64(), Member: r.disk.member, Voters: w.names(w.Voters),
 		Roster: w.names(w.Options.Relays), Lease: w.Lease, Drift: w.Drift, Serve: w.Serve, Kept: w.Kept, Zone: r.No % max(w.Zones, 1)}
 	if w.roster != nil {
@@ -395,7 +395,7 @@
 			if r.Node == life {
 				r.Spend = s
 				w.spent(r)
-				w.tell(r, node.Event{Goes: &[2]uint64{s.By, s.No}})
+				w.tell(r, node.Event{Goes: &[2]uint64{s.Term, s.Number}})
 			}
 		})
 	case a.Log != "":
--- a/internal/relay/fleet/testcluster/count.go
+++ b/internal/relay/fleet/testcluster/count.go
@@ -29,11 +29,11 @@
 		if err != nil || st.Sums == nil {
 			return -1
 		}
-		n, err := quota.UnpackCounts(st.Sums.N)
+		n, err := quota.DecodeCounters(st.Sums.Counters)
 		if err != nil {
 			return -1
 		}
-		return int(n[quota.Of(quota.Count, "class transfer taken")] + n[quota.Of(quota.Count, "class match-event taken")])
+		return int(n[quota.KeyOf(quota.Counter, "class transfer taken")] + n[quota.KeyOf(quota.Counter, "class match-event taken")])
 	}
 	text := ""
 	if f.Await(patience, func() bool {
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -32,11 +32,11 @@
 type sharing struct {
 	Sharing
 	on      bool
-	ledger  *quota.Ledger
+	ledger  *quota.Allocator
 	leads   int32
 	term    uint64
 	leadsAt time.Duration // nobody leads before
-	purses  []*quota.Purse
+	purses  []*quota.Lessee
 	lives   []uint64
 	sights  []map[quota.Key]uint32
 	names   []string
@@ -50,8 +50,8 @@
 	relay  int32
 	life   uint64
 	sent   time.Duration // of the ping
-	report *quota.Report
-	allot  *quota.Allotment
+	report *quota.Request
+	allot  *quota.Grant
 }
 
 const (
@@ -65,7 +65,7 @@
 	x := &r.share
 	x.Sharing, x.on, x.term, x.leadsAt = s, true, 1, r.now
 	for i := range r.relays {
-		x.purses, x.lives, x.sights = append(x.purses, &quota.Purse{Serve: s.Serve}), append(x.lives, 1), append(x.sights, nil)
+		x.purses, x.lives, x.sights = append(x.purses, &quota.Lessee{ServeAlone: s.Serve}), append(x.lives, 1), append(x.sights, nil)
 		x.names = append(x.names, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
 		r.q.put(r.now+time.Duration(i)*time.Duration(s.Lease)/time.Duration(pingsALease*len(r.relays)), doPing, int32(i), 0)
 	}
@@ -74,7 +74,7 @@
 // reborn has a relay that is started again forget what it was lent.
 func (x *sharing) reborn(i int32) {
 	if x.on {
-		x.purses[i] = &quota.Purse{Serve: x.Serve}
+		x.purses[i] = &quota.Lessee{ServeAlone: x.Serve}
 		x.lives[i]++
 	}
 }
@@ -112,7 +112,7 @@
 	if r.relays[i].down || !ok {
 		return
 	}
-	var needs []quota.Need
+	var needs []quota.Demand
 	x.sights[i] = map[quota.Key]uint32{}
 	for _, s := range p.Observations(r.now, nil) {
 		if s.Endpoint == 0 {
@@ -123,20 +123,20 @@
 		if s.SeparateRoute {
 			k = quota.Key(s.Endpoint)
 		}
-		n := quota.Need{Key: k, Want: s.Demand, Worth: s.Value, Limit: s.Limit, Told: s.LimitAge, Seen: s.HealthAge, Wait: s.RetryAfter}
+		n := quota.Demand{Key: k, Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
 		switch {
 		case s.Unhealthy:
 			n.State = quota.Down
 		case s.Healthy:
-			n.State = quota.Well
+			n.State = quota.Healthy
 		}
-		if len(needs) < quota.MostKeys {
+		if len(needs) < quota.MaxKeys {
 			needs, x.sights[i][k] = append(needs, n), s.Endpoint
 		}
 	}
-	x.purses[i].Needs(needs)
-	report := x.purses[i].Report(r.now, int(i)%r.W.Net.Zones)
-	x.bytes += int64(len(report.Needs) + len(report.Holds) + 20)
+	x.purses[i].SetDemands(needs)
+	report := x.purses[i].NextRequest(r.now, int(i)%r.W.Net.Zones)
+	x.bytes += int64(len(report.Demands) + len(report.LeasedShares) + 20)
 	x.put(r, post{relay: i, life: x.lives[i], sent: r.now, report: report}, doReport)
 }
 
@@ -159,15 +159,15 @@
 	}
 	if x.ledger == nil {
 		over := time.Duration(float64(x.Lease)*(1+x.Drift)) + time.Millisecond
-		x.ledger = quota.NewLedger(quota.Rules{Kept: x.Kept, Over: over, Serve: x.Serve}, x.term, r.now)
-		x.ledger.Roster(x.names)
+		x.ledger = quota.NewAllocator(quota.Options{MinimumSum: x.Kept, LeaseDuration: over, ServeAlone: x.Serve}, x.term, r.now)
+		x.ledger.SetRoster(x.names)
 	}
-	x.ledger.Report(r.now, x.names[p.relay], p.life, p.report)
+	x.ledger.HandleRequest(r.now, x.names[p.relay], p.life, p.report)
 	a := x.ledger.Grant(r.now, r.now, x.names[p.relay])
 	if a == nil {
 		return
 	}
-	x.bytes += int64(len(a.Parts) + 10)
+	x.bytes += int64(len(a.Shares) + 10)
 	x.put(r, post{relay: p.relay, life: p.life, sent: p.sent, allot: a}, doAllot)
 }
 
@@ -178,17 +178,17 @@
 	if r.relays[p.relay].down || p.life != x.lives[p.relay] {
 		return
 	}
-	s := x.purses[p.relay].Granted(p.sent+time.Duration(float64(x.Lease)*(1-x.Drift)), p.allot)
+	s := x.purses[p.relay].HandleGrant(p.sent+time.Duration(float64(x.Lease)*(1-x.Drift)), p.allot)
 	if s == nil {
 		return
 	}
-	out := &control.SharedLimits{GuaranteedShare: s.Floor, LeaseExpiry: s.Until, KeepsGuaranteed: s.Stays}
-	for _, part := range s.Parts {
+	out := &control.SharedLimits{GuaranteedShare: s.Minimum, LeaseExpiry: s.Expires, KeepsGuaranteed: s.MinimumLasts}
+	for _, part := range s.Shares {
 		if e, ok := x.sights[p.relay][part.Key]; ok {
-			out.Grants = append(out.Grants, control.Grant{Endpoint: e, ExtraShare: part.Extra, Limit: part.Limit, LimitAge: part.Told, Unhealthy: part.State == quota.Down,
-				Healthy: part.State == quota.Well, HealthAge: part.Seen, RetryAfter: part.Wait, MayProbe: part.Try})
+			out.Grants = append(out.Grants, control.Grant{Endpoint: e, ExtraShare: part.Extra, Limit: part.Limit, LimitAge: part.LimitAge, Unhealthy: part.State == quota.Down,
+				Healthy: part.State == quota.Healthy, HealthAge: part.StateAge, RetryAfter: part.Wait, MayProbe: part.MayProbe})
 		}
 	}
 	r.tell(p.relay, control.Event{Kind: control.SharedLimitsUpdated, Shared: out})
-	x.purses[p.relay].Goes(s.By, s.No) // its turn comes before anything that it says
+	x.purses[p.relay].Confirm(s.Term, s.Number) // its turn comes before anything that it says
 }
