--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -42,7 +42,7 @@
 		},
 		{
 			Name:   "any answer to a round of heartbeats confirms a read",
-			Change: mutation.Change{File: "../replica/read_only.go", Old: "confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)", New: "confirmed := r.leadership.readIndexRound"},
+			Change: mutation.Change{File: "../replica/read_only.go", Old: "confirmed := r.quorumValue(r.leadership.readContext, readContextOf)", New: "confirmed := r.leadership.readContext"},
 			Run:    successionTests,
 		},
 		{
@@ -78,7 +78,7 @@
 		},
 		{
 			Name:   "an owner stays one without a majority",
-			Change: mutation.Change{File: "../replica/leader.go", Old: "if r.now-heard < r.options.ElectionTimeout {", New: "if r.now-heard < 1000*r.options.ElectionTimeout {"},
+			Change: mutation.Change{File: "../replica/leader.go", Old: "if r.now-lastContact < r.options.ElectionTimeout {", New: "if r.now-lastContact < 1000*r.options.ElectionTimeout {"},
 			Run:    cutOffTests,
 		},
 		{
--- a/internal/tier/group/iteration.go
+++ b/internal/tier/group/iteration.go
@@ -35,7 +35,7 @@
 	if err := g.compact(); err != nil {
 		return 0, err
 	}
-	timing.write = timing.lap()
+	timing.compact = timing.lap()
 	g.recordStats()
 	g.logSlowRun(&timing, &ready)
 	return ready.NextWake, nil
@@ -112,7 +112,8 @@
 		}
 		p, err := parseProposal(entry.Data)
 		if err != nil {
-			level.Error(g.options.Logger).Log("msg", "unreadable entry skipped", "group", g.options.Name, "index", entry.Index, "err", err)
+			level.Error(g.options.Logger).Log("msg", "unreadable entry skipped", "group", g.options.Name,
+				"index", entry.Index, "err", err)
 			continue
 		}
 		if p.Origin != g.origin {
--- a/internal/tier/group/options.go
+++ b/internal/tier/group/options.go
@@ -34,5 +34,25 @@
 	OnStatusChange func(status replica.Status)
 }
 
-// defaultCompactBytes is CompactionBytes where the options leave it open.
-const defaultCompactBytes = 1 << 20
+// defaultCompactionBytes is CompactionBytes where the options leave it open.
+const defaultCompactionBytes = 1 << 20
+
+// setDefaults fills in what the options leave open.
+func (o *Options) setDefaults() {
+	if o.CompactionBytes == 0 {
+		o.CompactionBytes = defaultCompactionBytes
+	}
+	if o.CompactionLock == nil {
+		o.CompactionLock = &sync.Mutex{}
+	}
+	if o.Clock == nil {
+		start := time.Now()
+		o.Clock = func() time.Duration { return time.Since(start) }
+	}
+	if o.ReceiveLimiter == nil {
+		o.ReceiveLimiter = NewSnapshotLimiter(1)
+	}
+	if o.QueueBudget == nil {
+		o.QueueBudget = NewQueueBudget(defaultBudgetBytes)
+	}
+}
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"strconv"
-	"sync"
-	"time"
 
 	"mastusher/internal/tier/replica"
 	"mastusher/internal/tier/storage"
@@ -13,24 +11,15 @@
 
 // Open recovers the member from its disk. A damaged disk is an error (*storage.DamageError), never an empty disk.
 func Open(options Options) (*Group, error) {
-	if options.CompactionBytes == 0 {
-		options.CompactionBytes = defaultCompactBytes
+	options.setDefaults()
+	g := &Group{
+		options:       options,
+		origin:        options.Replica.ID + "@" + strconv.FormatUint(options.Replica.Seed, 16),
+		wake:          make(chan struct{}, 1),
+		stateMachine:  asChunked(options.StateMachine),
+		peerAddresses: map[string]string{},
+		pendingCalls:  map[uint64]pendingCall{},
 	}
-	if options.CompactionLock == nil {
-		options.CompactionLock = &sync.Mutex{}
-	}
-	if options.Clock == nil {
-		start := time.Now()
-		options.Clock = func() time.Duration { return time.Since(start) }
-	}
-	if options.ReceiveLimiter == nil {
-		options.ReceiveLimiter = NewSnapshotLimiter(1)
-	}
-	if options.QueueBudget == nil {
-		options.QueueBudget = NewQueueBudget(defaultBudgetBytes)
-	}
-	g := &Group{options: options, origin: options.Replica.ID + "@" + strconv.FormatUint(options.Replica.Seed, 16),
-		stateMachine: asChunked(options.StateMachine), peerAddresses: map[string]string{}, wake: make(chan struct{}, 1), pendingCalls: map[uint64]pendingCall{}}
 	if err := g.stateMachine.WriteChunks(g.keepInitialChunk); err != nil {
 		return nil, err
 	}
@@ -60,7 +49,9 @@
 		_ = disk.Close()
 		return err
 	}
-	g.disk, g.replica, g.hardState, g.entries, g.snapshotIndex, g.logBytesAtCompaction = disk, member, recovered.HardState, recovered.Entries, 0, 0
+	g.disk, g.replica = disk, member
+	g.hardState, g.entries = recovered.HardState, recovered.Entries
+	g.snapshotIndex, g.logBytesAtCompaction = 0, 0
 	if recovered.Snapshot != nil {
 		g.snapshotIndex = recovered.Snapshot.Index
 	}
--- a/internal/tier/group/stats.go
+++ b/internal/tier/group/stats.go
@@ -37,9 +37,9 @@
 
 // phases measures the phases of an iteration.
 type phases struct {
-	clock              func() time.Duration
-	began, last        time.Duration
-	save, apply, write time.Duration // of records and chunks, of committed commands, of a snapshot
+	clock                func() time.Duration
+	began, last          time.Duration
+	save, apply, compact time.Duration // of records and chunks, of committed commands, of a snapshot
 }
 
 func startPhases(clock func() time.Duration) phases {
@@ -61,6 +61,7 @@
 	if took < slowRun {
 		return
 	}
-	level.Info(g.options.Logger).Log("msg", "slow replica iteration", "group", g.options.Name, "took", took, "save", p.save, "apply", p.apply,
-		"compact", p.write, "committed", len(ready.CommittedEntries), "appended", len(ready.Entries), "installed", ready.Snapshot != nil)
+	level.Info(g.options.Logger).Log("msg", "slow replica iteration", "group", g.options.Name,
+		"took", took, "save", p.save, "apply", p.apply, "compact", p.compact,
+		"committed", len(ready.CommittedEntries), "appended", len(ready.Entries), "installed", ready.Snapshot != nil)
 }
--- a/internal/tier/group/status.go
+++ b/internal/tier/group/status.go
@@ -30,11 +30,17 @@
 	if g.options.OnStatusChange == nil {
 		return
 	}
-	if old == nil || old.Leader != status.Leader || old.Term != status.Term || old.IsLeader != status.IsLeader || !slices.Equal(old.Members, status.Members) {
+	if old == nil || statusChanged(old, &status) {
 		g.options.OnStatusChange(status)
 	}
 }
 
+// statusChanged tells whether a change of status is reported: of leader, term or members, not of progress.
+func statusChanged(old, status *replica.Status) bool {
+	return old.Leader != status.Leader || old.IsLeader != status.IsLeader || old.Term != status.Term ||
+		!slices.Equal(old.Members, status.Members)
+}
+
 // hasOtherLeader tells whether another member is known to lead.
 func (g *Group) hasOtherLeader() bool {
 	status := g.Status()
--- a/internal/tier/replica/bench_test.go
+++ b/internal/tier/replica/bench_test.go
@@ -26,21 +26,21 @@
 		g.members = append(g.members, r)
 	}
 	g.now = 2 * testElection
-	g.play(0, Input{})
+	g.deliver(0, Input{})
 	if !g.members[0].Status().IsLeader {
 		b.Fatal("no leader")
 	}
 	return g
 }
 
-// play gives one member a step, and the others their steps for the messages that follow.
-func (g *benchGroup) play(at int, input Input) (committed int) {
+// deliver gives one member a step, and the others their steps for the messages that follow.
+func (g *benchGroup) deliver(at int, input Input) (committed int) {
 	ready := g.members[at].Step(g.now, input)
 	committed += len(ready.CommittedEntries)
 	for _, messages := range [2][]Message{ready.MessagesBeforeSync, ready.MessagesAfterSync} {
 		for i := range messages {
 			to := int(messages[i].To[0] - 'a')
-			committed += g.play(to, Input{Messages: messages[i : i+1]})
+			committed += g.deliver(to, Input{Messages: messages[i : i+1]})
 		}
 	}
 	return committed
@@ -51,7 +51,7 @@
 	for at, r := range g.members {
 		if metadata := r.SnapshotMetadata(); metadata.Index > 0 {
 			metadata.State = json.RawMessage("{}")
-			g.play(at, Input{Compact: &metadata})
+			g.deliver(at, Input{Compact: &metadata})
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		g.now += testHeartbeat
-		g.play(0, Input{})
+		g.deliver(0, Input{})
 	}
 }
 
@@ -71,9 +71,9 @@
 	g := newBenchGroup(b)
 	proposals := []Proposal{{Token: 1, Data: bytes.Repeat([]byte("1"), 1024)}}
 	b.ReportAllocs()
-	for round := 0; b.Loop(); round++ {
-		g.play(0, Input{Proposals: proposals})
-		if round%1000 == 999 {
+	for i := 0; b.Loop(); i++ {
+		g.deliver(0, Input{Proposals: proposals})
+		if i%1000 == 999 {
 			g.compact()
 		}
 	}
@@ -87,19 +87,19 @@
 		proposals[i] = Proposal{Token: uint64(i), Data: bytes.Repeat([]byte("1"), 1024)}
 	}
 	b.ReportAllocs()
-	for round := 0; b.Loop(); round++ {
-		g.play(0, Input{Proposals: proposals})
-		if round%100 == 99 {
+	for i := 0; b.Loop(); i++ {
+		g.deliver(0, Input{Proposals: proposals})
+		if i%100 == 99 {
 			g.compact()
 		}
 	}
 }
 
-// BenchmarkRead is a confirmed read with its round of heartbeats.
+// BenchmarkRead is a confirmed read with its heartbeats.
 func BenchmarkRead(b *testing.B) {
 	g := newBenchGroup(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.play(0, Input{Reads: []uint64{1}})
+		g.deliver(0, Input{Reads: []uint64{1}})
 	}
 }
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -61,18 +61,18 @@
 // run plays the campaign and returns what was violated, if anything.
 func (c *campaign) run() string {
 	c.startAll()
-	troubleTime := faultDuration
+	duration := faultDuration
 	if c.storm {
-		troubleTime *= 2
-		c.every(stormInterval, troubleTime, c.injectLeaderFault)
+		duration *= 2
+		c.every(stormInterval, duration, c.injectLeaderFault)
 	} else {
-		c.every(faultInterval, troubleTime, c.injectFault)
+		c.every(faultInterval, duration, c.injectFault)
 	}
-	c.every(clientInterval, troubleTime, c.clients)
+	c.every(clientInterval, duration, c.clients)
 	if c.churn {
-		c.every(churnInterval, troubleTime, c.setRandomTarget)
+		c.every(churnInterval, duration, c.setRandomTarget)
 	}
-	c.runFor(troubleTime)
+	c.runFor(duration)
 	c.endFaults()
 	if !c.convergesWithin(recoveryTimeout) {
 		c.checker.fail("the group does not come back: %s", c.describe())
@@ -222,9 +222,9 @@
 }
 
 func (c *campaign) startLater(n *node) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	c.after(c.randomPause(), func() {
-		if n.incarnation == life && !n.alive {
+		if n.incarnation == incarnation && !n.alive {
 			c.start(n)
 		}
 	})
@@ -237,9 +237,9 @@
 			return
 		}
 		c.onSync = nil
-		life := n.incarnation
+		incarnation := n.incarnation
 		c.after(time.Duration(c.random.Int64N(int64(c.conditions.syncTime))), func() {
-			if n.incarnation == life && n.syncing {
+			if n.incarnation == incarnation && n.syncing {
 				c.kill(n)
 				c.startLater(n)
 			}
@@ -306,12 +306,12 @@
 
 // change wants one member in place of another; an identity that is no target anyhow changes nothing.
 func (c *campaign) change(leaving string, joining Member) {
-	kept := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
-	if leaving != "" && len(kept) == len(c.targetMembers) {
+	remaining := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
+	if leaving != "" && len(remaining) == len(c.targetMembers) {
 		return
 	}
 	c.lastChange = c.now
-	c.setTargetMembers(append(kept, joining))
+	c.setTargetMembers(append(remaining, joining))
 }
 
 // isAtTarget tells whether the committed members are the target members.
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -144,11 +144,11 @@
 			votes[member.ID]--
 		}
 	}
-	apart := 0
+	changed := 0
 	for _, difference := range votes {
-		apart += difference * difference
+		changed += difference * difference
 	}
-	return apart
+	return changed
 }
 
 // installed looks at a state machine that was set to a snapshot.
@@ -173,7 +173,7 @@
 
 // outcome looks at what a member tells its clients.
 func (c *checker) outcome(n *node, outcome Outcome) {
-	begun, known := c.pending[outcome.Token]
+	call, known := c.pending[outcome.Token]
 	if !known {
 		c.fail("%s tells a second outcome of %d", n.id, outcome.Token)
 		return
@@ -181,16 +181,16 @@
 	delete(c.pending, outcome.Token)
 	switch {
 	case !outcome.Done:
-		c.notDone(outcome, begun)
-	case begun.read:
-		c.readDone(n, outcome, begun)
+		c.notDone(outcome, call)
+	case call.read:
+		c.readDone(n, outcome, call)
 	default:
-		c.commandDone(n, outcome, begun)
+		c.commandDone(n, outcome, call)
 	}
 }
 
-func (c *checker) notDone(outcome Outcome, begun invocation) {
-	if !outcome.Dropped || begun.read {
+func (c *checker) notDone(outcome Outcome, call invocation) {
+	if !outcome.Dropped || call.read {
 		return
 	}
 	c.dropped[outcome.Token] = true
@@ -200,32 +200,32 @@
 }
 
 // readDone demands that a read sees all that was seen or acknowledged before it began.
-func (c *checker) readDone(n *node, outcome Outcome, begun invocation) {
+func (c *checker) readDone(n *node, outcome Outcome, call invocation) {
 	c.reads++
-	if n.machine.Index < begun.observed {
-		c.fail("read %d at %s sees entry %d, entry %d was known when it began", outcome.Token, n.id, n.machine.Index, begun.observed)
+	if n.machine.Index < call.observed {
+		c.fail("read %d at %s sees entry %d, entry %d was known when it began", outcome.Token, n.id, n.machine.Index, call.observed)
 	}
 	c.observed = max(c.observed, n.machine.Index)
 }
 
 // commandDone demands that a command has its place, after all that was known when it began.
-func (c *checker) commandDone(n *node, outcome Outcome, begun invocation) {
+func (c *checker) commandDone(n *node, outcome Outcome, call invocation) {
 	c.commands++
 	at := c.indexOf[outcome.Token]
 	if at == 0 {
 		c.fail("command %d is acknowledged by %s and was never applied", outcome.Token, n.id)
 		return
 	}
-	if at <= begun.observed {
-		c.fail("command %d is at %d, and entry %d was known when it began", outcome.Token, at, begun.observed)
+	if at <= call.observed {
+		c.fail("command %d is at %d, and entry %d was known when it began", outcome.Token, at, call.observed)
 	}
 	c.observed = max(c.observed, at)
 }
 
 // forget drops what a member that was killed will never tell.
 func (c *checker) forget(id string) {
-	for token, begun := range c.pending {
-		if begun.node == id {
+	for token, call := range c.pending {
+		if call.node == id {
 			delete(c.pending, token)
 		}
 	}
--- a/internal/tier/replica/confchange_replacement_test.go
+++ b/internal/tier/replica/confchange_replacement_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp has two of five members gone for good, and one of their replacements unreachable.
+// TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp has two of five members lost for good, and one of their replacements unreachable.
 func TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp(t *testing.T) {
 	t.Run("their inactivity is known", func(t *testing.T) { exchangeOneOfTwo(t, 2*testElection, []int{5, 4, 5}) })
 	t.Run("their inactivity is found out later", func(t *testing.T) { exchangeOneOfTwo(t, 0, []int{5, 6, 5}) })
@@ -20,14 +20,14 @@
 	s.runUntil(time.Second, func() bool { return s.leader() != nil })
 	first := s.leader()
 	others := s.others(first)
-	gone, staying, spares := others[:2], append([]*node{first}, others[2:4]...), others[4:]
-	for _, n := range gone {
+	lost, staying, spares := others[:2], append([]*node{first}, others[2:4]...), others[4:]
+	for _, n := range lost {
 		s.kill(n)
 	}
 	s.kill(spares[1])
 	s.runFor(silent)
 
-	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is gone.
+	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is lost.
 	s.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
 	var voters []int
 	for range 1000 {
@@ -53,7 +53,7 @@
 	s.requireMembers(t, 2*time.Second, append(membersOf(staying...), membersOf(spares...)...))
 }
 
-// TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is gone that a replacement is to follow: the leader
+// TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is lost that a replacement is to follow: the leader
 // gives no fourth vote before it knows that the member is silent.
 func TestConfChange_NewLeader_RemovesInactiveVoterFirst(t *testing.T) {
 	s := newSimulation(22, 3, 1, noFaults)
@@ -61,8 +61,8 @@
 	s.runUntil(time.Second, func() bool { return s.leader() != nil })
 	first := s.leader()
 	others := s.others(first)
-	gone, staying, spare := others[0], []*node{first, others[1]}, others[2]
-	s.kill(gone)
+	lost, staying, spare := others[0], []*node{first, others[1]}, others[2]
+	s.kill(lost)
 	s.runFor(2 * testElection)
 	s.setTargetMembers(membersOf(first, others[1], spare))
 
@@ -70,14 +70,14 @@
 	s.kill(first)
 	s.runFor(2 * testElection)
 	s.start(first)
-	most := 0
+	maxVoters := 0
 	s.runUntil(s.now+5*time.Second, func() bool {
 		agreed := newConfiguration(0, s.checker.members)
-		most = max(most, agreed.voters)
+		maxVoters = max(maxVoters, agreed.voters)
 		return agreed.isVoter(spare.id)
 	})
-	if most != 3 {
-		t.Errorf("the group had %d voters, want 3 at most", most)
+	if maxVoters != 3 {
+		t.Errorf("the group had %d voters, want 3 at most", maxVoters)
 	}
 	s.requireMembers(t, time.Second, append(membersOf(staying...), membersOf(spare)...))
 }
--- a/internal/tier/replica/confchange_test.go
+++ b/internal/tier/replica/confchange_test.go
@@ -79,8 +79,8 @@
 
 func TestConfChange_VoterInactive_IsRemovedBeforeReplacementVotes(t *testing.T) {
 	s, first := newGroupWithLeader(t, 3, 3, 1)
-	gone, spare := s.others(first)[0], s.nodes[3]
-	s.kill(gone)
+	lost, spare := s.others(first)[0], s.nodes[3]
+	s.kill(lost)
 	s.runFor(2 * testElection)
 	var voters []int
 	target := append(membersOf(s.others(spare)...), spare.member())
@@ -103,16 +103,16 @@
 	leaving := s.others(first)[0]
 	target := append(membersOf(first), membersOf(s.others(first)[1:]...)...)
 	s.setTargetMembers(target)
-	most := 0
+	maxVoters := 0
 	for end := s.now + time.Second; s.now < end; s.runFor(time.Millisecond) {
 		group := newConfiguration(0, s.checker.members)
-		most = max(most, group.voters)
+		maxVoters = max(maxVoters, group.voters)
 		if group.voters < 3 {
 			t.Fatalf("only %d voters", group.voters)
 		}
 	}
-	if most != 4 {
-		t.Errorf("at most %d voters, want 4 for a while", most)
+	if maxVoters != 4 {
+		t.Errorf("at most %d voters, want 4 for a while", maxVoters)
 	}
 	s.requireMembers(t, time.Second, target)
 	if newest := newConfiguration(0, s.checker.members); newest.find(leaving.id) != nil {
@@ -125,12 +125,12 @@
 	others := s.others(first)
 	s.setTargetMembers(membersOf(others...))
 	s.requireMembers(t, time.Second, membersOf(others...))
-	begun := s.now
+	began := s.now
 	if !s.commitsWithin(time.Second) || s.leader() == first {
 		t.Fatalf("nobody took over")
 	}
-	if s.now-begun > testElection {
-		t.Errorf("it took %v", s.now-begun)
+	if s.now-began > testElection {
+		t.Errorf("it took %v", s.now-began)
 	}
 	if first.replica.Status().IsLeader {
 		t.Errorf("the removed leader goes on")
@@ -192,8 +192,8 @@
 func TestConfChange_DuplicateTargetMembers_ChangeNothing(t *testing.T) {
 	s, _ := newGroupWithLeader(t, 10, 3, 0)
 	target := membersOf(s.nodes...)
-	again := Member{ID: target[0].ID, Address: "10.9.9.9"}
-	s.setTargetMembers(append(target, again, Member{}))
+	duplicate := Member{ID: target[0].ID, Address: "10.9.9.9"}
+	s.setTargetMembers(append(target, duplicate, Member{}))
 	s.runFor(time.Second)
 	if s.checker.confChanges != 0 {
 		t.Errorf("%d changes, want none", s.checker.confChanges)
--- a/internal/tier/replica/configuration.go
+++ b/internal/tier/replica/configuration.go
@@ -75,11 +75,11 @@
 
 // truncate forgets the configurations of entries from index on. The first one is never forgotten.
 func (h configurationHistory) truncate(index uint64) configurationHistory {
-	kept := len(h)
-	for kept > 1 && h[kept-1].index >= index {
-		kept--
+	remaining := len(h)
+	for remaining > 1 && h[remaining-1].index >= index {
+		remaining--
 	}
-	return h[:kept:kept]
+	return h[:remaining:remaining]
 }
 
 // discardBefore forgets the configurations before the one in force at the committed index.
--- a/internal/tier/replica/disk_test.go
+++ b/internal/tier/replica/disk_test.go
@@ -35,11 +35,11 @@
 		disk.Snapshot, disk.Entries = ready.Snapshot, nil
 	}
 	if take(ready.TruncateFrom > 0) {
-		kept := 0
-		for kept < len(disk.Entries) && disk.Entries[kept].Index < ready.TruncateFrom {
-			kept++
+		remaining := 0
+		for remaining < len(disk.Entries) && disk.Entries[remaining].Index < ready.TruncateFrom {
+			remaining++
 		}
-		disk.Entries = disk.Entries[:kept:kept]
+		disk.Entries = disk.Entries[:remaining:remaining]
 	}
 	for _, entry := range ready.Entries {
 		if take(true) {
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -188,11 +188,11 @@
 		t.Errorf("votes %+v", ready.MessagesAfterSync)
 	}
 	hardState := *ready.HardState
-	again, err := New(options, Recovered{HardState: hardState}, 0)
+	restarted, err := New(options, Recovered{HardState: hardState}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ready = again.Step(0, Input{Messages: []Message{second}})
+	ready = restarted.Step(0, Input{Messages: []Message{second}})
 	if len(ready.MessagesAfterSync) != 1 || !ready.MessagesAfterSync[0].Reject {
 		t.Errorf("after a restart it votes again: %+v", ready.MessagesAfterSync)
 	}
@@ -208,7 +208,7 @@
 		}
 		return r.Step(0, Input{}).NextWake
 	}
-	if first, again := wake("a", 1), wake("a", 1); first != again {
+	if first, second := wake("a", 1), wake("a", 1); first != second {
 		t.Error("the same seed gives different timeouts")
 	}
 	if wake("a", 1) == wake("b", 1) || wake("a", 1) == wake("a", 2) {
@@ -228,12 +228,12 @@
 	}
 	first.inbox.TransferLeadership = true
 	s.wake(first)
-	begun := s.now
+	began := s.now
 	if !s.runUntil(s.now+testElection, func() bool { return s.leader() != nil && s.leader() != first }) {
 		t.Fatalf("nobody took over")
 	}
-	if s.now-begun > testElection/2 {
-		t.Errorf("it took %v", s.now-begun)
+	if s.now-began > testElection/2 {
+		t.Errorf("it took %v", s.now-began)
 	}
 	if s.checker.commands != 0 && s.checker.commands != 20 {
 		t.Errorf("%d of 20 proposals were settled", s.checker.commands)
@@ -242,29 +242,29 @@
 }
 
 func TestPreVote_NoLeaderHeardYet_UsesInitialTimeout(t *testing.T) {
-	const eager = testElection / 4
+	const initialTimeout = testElection / 4
 	initial := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	for seed := range uint64(100) {
-		options := Options{ID: "a", InitialMembers: initial, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, InitialElectionTimeout: eager, Seed: seed}
+		options := Options{ID: "a", InitialMembers: initial, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, InitialElectionTimeout: initialTimeout, Seed: seed}
 		r, err := New(options, Recovered{}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		first := r.Step(0, Input{}).NextWake
-		if first < eager || first >= 2*eager {
+		if first < initialTimeout || first >= 2*initialTimeout {
 			t.Errorf("seed %d: it first campaigns after %v", seed, first)
 		}
 		ready := r.Step(first, Input{})
 		if len(ready.MessagesAfterSync) != 2 || !ready.MessagesAfterSync[0].PreVote || ready.HardState != nil {
 			t.Fatalf("seed %d: it doesn't ask for PreVotes: %+v", seed, ready)
 		}
-		if pause := ready.NextWake - first; pause < eager || pause >= 2*eager {
-			t.Errorf("seed %d: the next PreVote comes after %v", seed, pause)
+		if wait := ready.NextWake - first; wait < initialTimeout || wait >= 2*initialTimeout {
+			t.Errorf("seed %d: the next PreVote comes after %v", seed, wait)
 		}
 		heard := ready.NextWake
 		ready = r.Step(heard, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
-		if pause := ready.NextWake - heard; pause < testElection || pause >= 2*testElection {
-			t.Errorf("seed %d: with a leader it campaigns after %v", seed, pause)
+		if wait := ready.NextWake - heard; wait < testElection || wait >= 2*testElection {
+			t.Errorf("seed %d: with a leader it campaigns after %v", seed, wait)
 		}
 	}
 }
--- a/internal/tier/replica/explore_confchange_test.go
+++ b/internal/tier/replica/explore_confchange_test.go
@@ -141,11 +141,11 @@
 		return false
 	}
 	snapshot.Chunks, snapshot.State = snapshotChunks, state
-	kept := 0
-	for kept < len(m.disk.Entries) && m.disk.Entries[kept].Index <= snapshot.Index {
-		kept++
+	remaining := 0
+	for remaining < len(m.disk.Entries) && m.disk.Entries[remaining].Index <= snapshot.Index {
+		remaining++
 	}
-	m.disk.Entries, m.disk.Snapshot = slices.Clone(m.disk.Entries[kept:]), &snapshot
+	m.disk.Entries, m.disk.Snapshot = slices.Clone(m.disk.Entries[remaining:]), &snapshot
 	w.applyReady(i, m.replica.Step(m.clock, Input{Compact: withoutState(&snapshot)}), noCrash)
 	return true
 }
@@ -205,7 +205,7 @@
 			continue
 		}
 		key := string(appendMessage(nil, message))
-		key += fmt.Sprint(message.Chunk, message.ReadIndexRound, message.PreVote, message.Snapshot != nil && message.Snapshot.Index > 0)
+		key += fmt.Sprint(message.Chunk, message.ReadContext, message.PreVote, message.Snapshot != nil && message.Snapshot.Index > 0)
 		at, _ := slices.BinarySearchFunc(w.inflight, key, func(m inflightMessage, key string) int { return compareKeys(m.key, key) })
 		w.inflight = slices.Insert(w.inflight, at, inflightMessage{Message: message, key: key})
 	}
@@ -292,7 +292,7 @@
 	for _, entry := range w.committed {
 		copies := 0
 		for _, i := range []int{atA, atB, atD} {
-			if holdsEntry(w.members[i].disk, entry.Entry) {
+			if diskHasEntry(w.members[i].disk, entry.Entry) {
 				copies++
 			}
 		}
@@ -302,7 +302,7 @@
 	}
 }
 
-func holdsEntry(disk Recovered, entry Entry) bool {
+func diskHasEntry(disk Recovered, entry Entry) bool {
 	if disk.Snapshot != nil && disk.Snapshot.Index >= entry.Index {
 		return true
 	}
@@ -358,7 +358,7 @@
 // moved adds the worlds in which a member does something of itself.
 func (w *changeWorld) moved(all []*changeWorld, i int) []*changeWorld {
 	r := w.members[i].replica
-	try := func(left int, spend func(*changeAllowance), do func(*changeWorld) bool) {
+	attempt := func(left int, spend func(*changeAllowance), do func(*changeWorld) bool) {
 		if left == 0 {
 			return
 		}
@@ -368,9 +368,9 @@
 			all = append(all, next)
 		}
 	}
-	try(w.left.snapshots, func(a *changeAllowance) { a.snapshots-- }, func(w *changeWorld) bool { return w.snapshot(i) })
+	attempt(w.left.snapshots, func(a *changeAllowance) { a.snapshots-- }, func(w *changeWorld) bool { return w.snapshot(i) })
 	if r.role != leader {
-		try(w.left.campaigns, func(a *changeAllowance) { a.campaigns-- }, func(w *changeWorld) bool {
+		attempt(w.left.campaigns, func(a *changeAllowance) { a.campaigns-- }, func(w *changeWorld) bool {
 			if !r.isPromotable() {
 				return false
 			}
@@ -379,14 +379,14 @@
 		})
 		return all
 	}
-	try(w.left.heartbeats, func(a *changeAllowance) { a.heartbeats-- }, func(w *changeWorld) bool {
+	attempt(w.left.heartbeats, func(a *changeAllowance) { a.heartbeats-- }, func(w *changeWorld) bool {
 		m := &w.members[i]
 		m.clock = max(m.clock, m.wake)
 		w.applyReady(i, m.replica.Step(m.clock, Input{}), noCrash)
 		return true
 	})
-	try(w.left.proposals, func(a *changeAllowance) { a.proposals-- }, func(w *changeWorld) bool { w.propose(i); return true })
-	try(w.left.reads, func(a *changeAllowance) { a.reads-- }, func(w *changeWorld) bool {
+	attempt(w.left.proposals, func(a *changeAllowance) { a.proposals-- }, func(w *changeWorld) bool { w.propose(i); return true })
+	attempt(w.left.reads, func(a *changeAllowance) { a.reads-- }, func(w *changeWorld) bool {
 		m := &w.members[i]
 		m.asked, m.reading = m.replica.Status(), true
 		w.applyReady(i, m.replica.Step(m.clock, Input{Reads: []uint64{readToken}}), noCrash)
@@ -434,9 +434,9 @@
 		r := m.replica
 		b = appendReplica(b, r)
 		b = appendNumbers(b, int(r.log.offset), int(r.snapshotIndex()), len(r.configurations), int(r.configurations.latest().index), len(m.incoming),
-			r.incoming.wantedChunk, len(r.leadership.pendingReads), int(r.leadership.readIndexRound))
+			r.incoming.wantedChunk, len(r.leadership.pendingReads), int(r.leadership.readContext))
 		for _, p := range r.leadership.followers {
-			b = appendNumbers(b, int(p.readIndexRound), p.transfer.wantedChunk, p.transfer.nextChunk)
+			b = appendNumbers(b, int(p.readContext), p.transfer.wantedChunk, p.transfer.nextChunk)
 		}
 		b = strconv.AppendBool(b, m.reading)
 	}
--- a/internal/tier/replica/follower.go
+++ b/internal/tier/replica/follower.go
@@ -2,10 +2,10 @@
 
 // pendingAppendResponse acknowledges all appends that were accepted in a Step.
 type pendingAppendResponse struct {
-	to             string // empty: none
-	term           uint64
-	index          uint64 // last entry that matches the leader's log
-	readIndexRound uint64
+	to          string // empty: none
+	term        uint64
+	index       uint64 // last entry that matches the leader's log
+	readContext uint64
 }
 
 // acceptLeader takes the sender of an append or a snapshot for the leader; false when its term is over, or this member
@@ -84,18 +84,18 @@
 	response := &r.step.appendResponse
 	response.to, response.term = message.From, message.Term
 	response.index = max(response.index, index)
-	response.readIndexRound = max(response.readIndexRound, message.ReadIndexRound)
+	response.readContext = max(response.readContext, message.ReadContext)
 }
 
 // rejectAppend tells the leader that the entry before those it sent is not in the log, and where the logs may agree.
 func (r *Replica) rejectAppend(message *Message) {
 	response := Message{
-		Kind:           AppendEntriesResponse,
-		To:             message.From,
-		Term:           r.hardState.Term,
-		Index:          message.Index,
-		Reject:         true,
-		ReadIndexRound: message.ReadIndexRound,
+		Kind:        AppendEntriesResponse,
+		To:          message.From,
+		Term:        r.hardState.Term,
+		Index:       message.Index,
+		Reject:      true,
+		ReadContext: message.ReadContext,
 	}
 	response.RejectHint = max(r.commit, r.log.findConflictByTerm(message.Index, message.LogTerm))
 	response.LogTerm, _ = r.log.termAt(response.RejectHint)
@@ -109,12 +109,12 @@
 		return
 	}
 	response := Message{
-		Kind:           AppendEntriesResponse,
-		From:           r.options.ID,
-		To:             pending.to,
-		Term:           pending.term,
-		Index:          pending.index,
-		ReadIndexRound: pending.readIndexRound,
+		Kind:        AppendEntriesResponse,
+		From:        r.options.ID,
+		To:          pending.to,
+		Term:        pending.term,
+		Index:       pending.index,
+		ReadContext: pending.readContext,
 	}
 	r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, response)
 }
--- a/internal/tier/replica/format_test.go
+++ b/internal/tier/replica/format_test.go
@@ -19,7 +19,7 @@
 	"snapshot": Snapshot{Index: 6, Term: 2, Members: []Member{{ID: "a", Address: "a:1", Learner: true}}, Chunks: 2,
 		State: json.RawMessage(`{"s":1}`)},
 	"message": Message{Kind: AppendEntries, From: "a", To: "b", Term: 3, PreVote: true, Index: 7, LogTerm: 2, Commit: 6,
-		Entries: []Entry{{Index: 8, Term: 3, Kind: NoOp}}, Reject: true, RejectHint: 5, ReadIndexRound: 9,
+		Entries: []Entry{{Index: 8, Term: 3, Kind: NoOp}}, Reject: true, RejectHint: 5, ReadContext: 9,
 		Snapshot: &Snapshot{Index: 6, Term: 2, Members: []Member{{ID: "a"}}, Chunks: 2}, Chunk: 1, Address: "a:1", LeadershipTransfer: true},
 }
 
--- a/internal/tier/replica/leader.go
+++ b/internal/tier/replica/leader.go
@@ -12,8 +12,8 @@
 	followers         []*progress       // all members but this one, in the order of the configuration
 	pendingProposals  []pendingProposal // by index
 	pendingBytes      int
-	readIndexRound    uint64        // newest round of heartbeats that confirms reads
-	pendingReads      []pendingRead // by round
+	readContext       uint64        // of the newest reads
+	pendingReads      []pendingRead // by context
 	transferring      bool          // the leadership is to be handed over
 	transferDeadline  time.Duration
 	quorumScratch     []uint64 // memory of quorumValue
@@ -71,16 +71,25 @@
 	for i := range proposals {
 		proposal := &proposals[i]
 		size := len(proposal.Data) + entryOverhead
-		if r.role != leader || r.leadership.transferring || r.leadership.pendingBytes > 0 && r.leadership.pendingBytes+size > r.limits.maxPendingBytes {
+		if !r.acceptsProposal(size) {
 			r.step.ready.Outcomes = append(r.step.ready.Outcomes, Outcome{Token: proposal.Token, Dropped: true})
 			continue
 		}
 		index := r.appendEntry(Command, proposal.Data)
-		r.leadership.pendingProposals = append(r.leadership.pendingProposals, pendingProposal{index: index, token: proposal.Token, size: size})
+		pending := pendingProposal{index: index, token: proposal.Token, size: size}
+		r.leadership.pendingProposals = append(r.leadership.pendingProposals, pending)
 		r.leadership.pendingBytes += size
 	}
 }
 
+// acceptsProposal tells whether a command of that size may be appended. A single one may be, however large.
+func (r *Replica) acceptsProposal(size int) bool {
+	if r.role != leader || r.leadership.transferring {
+		return false
+	}
+	return r.leadership.pendingBytes == 0 || r.leadership.pendingBytes+size <= r.limits.maxPendingBytes
+}
+
 // tickLeader does a leader's work at the end of a Step.
 func (r *Replica) tickLeader() {
 	r.maybeCommit()
@@ -152,7 +161,7 @@
 
 func matchIndexOf(p *progress) uint64 { return p.match }
 
-func readIndexRoundOf(p *progress) uint64 { return p.readIndexRound }
+func readContextOf(p *progress) uint64 { return p.readContext }
 
 func lastContactOf(p *progress) uint64 { return uint64(p.lastContact) }
 
@@ -161,8 +170,8 @@
 	if r.now < r.leadership.heartbeatDeadline {
 		return
 	}
-	heard := time.Duration(r.quorumValue(uint64(r.now), lastContactOf))
-	if r.now-heard < r.options.ElectionTimeout {
+	lastContact := time.Duration(r.quorumValue(uint64(r.now), lastContactOf))
+	if r.now-lastContact < r.options.ElectionTimeout {
 		return
 	}
 	r.stepDown()
--- a/internal/tier/replica/log.go
+++ b/internal/tier/replica/log.go
@@ -71,8 +71,8 @@
 
 // truncate drops the entries from index on. What is appended later goes to new memory, since messages may share the old.
 func (l *raftLog) truncate(index uint64) {
-	kept := index - l.offset - 1
-	l.entries = l.entries[:kept:kept]
+	remaining := index - l.offset - 1
+	l.entries = l.entries[:remaining:remaining]
 }
 
 // compact drops the entries up to index and frees their memory.
@@ -81,8 +81,8 @@
 		return
 	}
 	term, _ := l.termAt(index)
-	kept := l.entries[index-l.offset:]
-	l.entries = append(make([]Entry, 0, len(kept)+len(kept)/2), kept...)
+	remaining := l.entries[index-l.offset:]
+	l.entries = append(make([]Entry, 0, len(remaining)+len(remaining)/2), remaining...)
 	l.offset, l.offsetTerm = index, term
 }
 
--- a/internal/tier/replica/message.go
+++ b/internal/tier/replica/message.go
@@ -79,11 +79,11 @@
 	Reject  bool    `json:"rejected,omitempty"`
 	// RejectHint is the highest index at which the log of a follower that rejected may agree with the leader's.
 	RejectHint uint64 `json:"hint,omitempty"`
-	// ReadIndexRound numbers the heartbeats that confirm reads. A response repeats it.
-	ReadIndexRound uint64    `json:"round,omitempty"`
-	Snapshot       *Snapshot `json:"snapshot,omitempty"`
-	Chunk          int       `json:"part,omitempty"`    // number of the chunk that is sent, or needed next
-	Address        string    `json:"address,omitempty"` // of the sender, so that a new member can respond
+	// ReadContext names the reads that the message is to confirm, by a number that grows with each. A response repeats it.
+	ReadContext uint64    `json:"round,omitempty"`
+	Snapshot    *Snapshot `json:"snapshot,omitempty"`
+	Chunk       int       `json:"part,omitempty"`    // number of the chunk that is sent, or needed next
+	Address     string    `json:"address,omitempty"` // of the sender, so that a new member can respond
 	// LeadershipTransfer asks, in AppendEntries, the receiver to campaign at once, and excuses a candidate, in
 	// RequestVote, from waiting until the leader is no longer heard.
 	LeadershipTransfer bool `json:"voluntary,omitempty"`
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -30,7 +30,7 @@
 		Old:  "r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, response)",
 		New:  "r.step.ready.MessagesBeforeSync = append(r.step.ready.MessagesBeforeSync, response)",
 	}
-	votingAgain = mutation.Change{
+	votingTwice = mutation.Change{
 		File: "election.go",
 		Old:  `mayVote := r.hardState.Vote == "" || r.hardState.Vote == request.From`,
 		New:  "mayVote := true",
@@ -113,11 +113,11 @@
 			Run: campaigns,
 		},
 		{
-			Name: "reads without a ReadIndex round",
+			Name: "reads without ReadIndex",
 			Change: mutation.Change{
 				File: "read_only.go",
-				Old:  "confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)",
-				New:  "confirmed := r.leadership.readIndexRound",
+				Old:  "confirmed := r.quorumValue(r.leadership.readContext, readContextOf)",
+				New:  "confirmed := r.leadership.readContext",
 			},
 			Run: campaigns,
 		},
@@ -141,12 +141,12 @@
 		},
 		{
 			Name:   "two votes in a term",
-			Change: votingAgain,
+			Change: votingTwice,
 			Run:    campaigns,
 		},
 		{
 			Name:   "two votes in a term, explored",
-			Change: votingAgain,
+			Change: votingTwice,
 			Run:    fromFirstStart,
 		},
 		{
--- a/internal/tier/replica/progress.go
+++ b/internal/tier/replica/progress.go
@@ -23,8 +23,8 @@
 	inflightBytes int           // sum over inflights
 	lastContact   time.Duration // last response; until hasResponded, when it became a follower
 
-	readIndexRound     uint64 // newest round of heartbeats that it has responded to
-	sentReadIndexRound uint64 // newest round that was sent to it
+	readContext        uint64 // newest one that it has responded to
+	sentReadContext    uint64 // newest one that was sent to it
 	sentSinceHeartbeat bool   // an append was sent since the last heartbeat
 
 	hasResponded bool // to this leader in this term
--- a/internal/tier/replica/raft.go
+++ b/internal/tier/replica/raft.go
@@ -285,7 +285,7 @@
 	message.From, message.Address = r.options.ID, r.options.Address
 	if message.Kind == AppendEntries {
 		p.sentSinceHeartbeat = true
-		p.sentReadIndexRound = message.ReadIndexRound
+		p.sentReadContext = message.ReadContext
 	}
 	r.step.ready.MessagesBeforeSync = append(r.step.ready.MessagesBeforeSync, message)
 }
--- a/internal/tier/replica/read_only.go
+++ b/internal/tier/replica/read_only.go
@@ -1,14 +1,14 @@
 package replica
 
-// pendingRead waits for a majority to respond to a round of heartbeats that began after it.
+// pendingRead waits for a majority to respond to heartbeats with its context or a newer one.
 type pendingRead struct {
-	readIndexRound uint64
-	token          uint64
+	context uint64
+	token   uint64
 }
 
-// read begins a round of heartbeats for all reads of a Step (ReadIndex, thesis section 6.4). Once a majority has responded
-// to it, no other member led when the reads came in, so that this member's commit index covers all that was acknowledged
-// before them.
+// read gives all reads of a Step one context, which goes out with heartbeats (ReadIndex, thesis section 6.4). Once a majority
+// has responded to it, no other member led when the reads came in, so that this member's commit index covers all that was
+// acknowledged before them.
 func (r *Replica) read(tokens []uint64) {
 	if len(tokens) == 0 {
 		return
@@ -19,22 +19,22 @@
 		}
 		return
 	}
-	r.leadership.readIndexRound++
+	r.leadership.readContext++
 	for _, token := range tokens {
-		r.leadership.pendingReads = append(r.leadership.pendingReads, pendingRead{readIndexRound: r.leadership.readIndexRound, token: token})
+		r.leadership.pendingReads = append(r.leadership.pendingReads, pendingRead{context: r.leadership.readContext, token: token})
 	}
 }
 
-// confirmReads resolves the reads whose round a majority has responded to. None is resolved before an entry of the own
+// confirmReads resolves the reads whose context a majority has responded to. None is resolved before an entry of the own
 // term is committed.
 func (r *Replica) confirmReads() {
 	reads := r.leadership.pendingReads
 	if len(reads) == 0 || !r.hasCommittedInTerm() {
 		return
 	}
-	confirmed := r.quorumValue(r.leadership.readIndexRound, readIndexRoundOf)
+	confirmed := r.quorumValue(r.leadership.readContext, readContextOf)
 	resolved := 0
-	for resolved < len(reads) && reads[resolved].readIndexRound <= confirmed {
+	for resolved < len(reads) && reads[resolved].context <= confirmed {
 		r.resolve(reads[resolved].token, true)
 		resolved++
 	}
--- a/internal/tier/replica/read_only_test.go
+++ b/internal/tier/replica/read_only_test.go
@@ -7,18 +7,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestReadIndex_EarlierRound_DoesNotConfirm(t *testing.T) {
+func TestReadIndex_EarlierContext_DoesNotConfirm(t *testing.T) {
 	p := newManualLeader(t, "a", "b", "c")
 	ready := p.step(Input{Reads: []uint64{7, 8}})
 	if len(ready.Outcomes) != 0 || len(ready.MessagesBeforeSync) != 2 {
 		t.Fatalf("ready %+v", ready)
 	}
-	round := ready.MessagesBeforeSync[0].ReadIndexRound
-	late := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadIndexRound: round - 1}
+	context := ready.MessagesBeforeSync[0].ReadContext
+	late := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context - 1}
 	if ready = p.step(Input{Messages: []Message{late}}); len(ready.Outcomes) != 0 {
-		t.Errorf("an earlier round confirms: %+v", ready.Outcomes)
+		t.Errorf("an earlier context confirms: %+v", ready.Outcomes)
 	}
-	answer := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadIndexRound: round}
+	answer := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context}
 	ready = p.step(Input{Messages: []Message{answer}})
 	want := []Outcome{{Token: 7, Done: true}, {Token: 8, Done: true}}
 	if difference := cmp.Diff(want, ready.Outcomes); difference != "" {
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestReadIndex_ReadsOfOneStep_ShareARoundWithAppends(t *testing.T) {
+func TestReadIndex_ReadsOfOneStep_ShareAContextWithAppends(t *testing.T) {
 	p := newManualLeader(t, "a", "b", "c")
 	ready := p.step(Input{Reads: []uint64{1, 2}, Proposals: []Proposal{command(3, 10)}})
-	if len(ready.MessagesBeforeSync) != 2 || len(ready.MessagesBeforeSync[0].Entries) != 1 || ready.MessagesBeforeSync[0].ReadIndexRound == 0 {
+	if len(ready.MessagesBeforeSync) != 2 || len(ready.MessagesBeforeSync[0].Entries) != 1 || ready.MessagesBeforeSync[0].ReadContext == 0 {
 		t.Errorf("messages %+v", ready.MessagesBeforeSync)
 	}
 }
--- a/internal/tier/replica/replication.go
+++ b/internal/tier/replica/replication.go
@@ -8,10 +8,10 @@
 	}
 	for _, p := range r.leadership.followers {
 		if heartbeatDue {
-			r.pauseInactive(p)
+			r.probeInactive(p)
 		}
 		r.sendEntries(p)
-		confirm := !p.learner && p.sentReadIndexRound < r.leadership.readIndexRound
+		confirm := !p.learner && p.sentReadContext < r.leadership.readContext
 		if confirm || heartbeatDue && !p.sentSinceHeartbeat {
 			r.sendHeartbeat(p)
 		}
@@ -21,8 +21,8 @@
 	}
 }
 
-// pauseInactive sends no more entries to a follower that does not respond, until it does.
-func (r *Replica) pauseInactive(p *progress) {
+// probeInactive sends no more entries to a follower that does not respond, until it does.
+func (r *Replica) probeInactive(p *progress) {
 	if p.state == stateReplicate && !r.isActive(p) {
 		p.becomeProbe(p.match + 1)
 		p.probeSent = true
@@ -79,14 +79,14 @@
 func (r *Replica) newAppendEntries(p *progress, previous uint64, entries []Entry) Message {
 	term, _ := r.log.termAt(previous)
 	return Message{
-		Kind:           AppendEntries,
-		To:             p.id,
-		Term:           r.hardState.Term,
-		Index:          previous,
-		LogTerm:        term,
-		Commit:         r.commit,
-		Entries:        entries,
-		ReadIndexRound: r.leadership.readIndexRound,
+		Kind:        AppendEntries,
+		To:          p.id,
+		Term:        r.hardState.Term,
+		Index:       previous,
+		LogTerm:     term,
+		Commit:      r.commit,
+		Entries:     entries,
+		ReadContext: r.leadership.readContext,
 	}
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	p.lastContact, p.hasResponded = r.now, true
-	p.readIndexRound = max(p.readIndexRound, response.ReadIndexRound)
+	p.readContext = max(p.readContext, response.ReadContext)
 	if response.Reject {
 		r.handleAppendRejection(p, response)
 		return
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -234,8 +234,8 @@
 		{
 			name:    "a heartbeat",
 			log:     []uint64{1, 1},
-			message: Message{Term: 2, Index: 2, LogTerm: 1, Commit: 2, ReadIndexRound: 7},
-			want:    Message{Index: 2, ReadIndexRound: 7},
+			message: Message{Term: 2, Index: 2, LogTerm: 1, Commit: 2, ReadContext: 7},
+			want:    Message{Index: 2, ReadContext: 7},
 			commit:  2,
 		},
 	}
@@ -273,12 +273,12 @@
 	var messages []Message
 	for index := uint64(1); index <= 5; index++ {
 		messages = append(messages, Message{
-			Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: index, LogTerm: 1, ReadIndexRound: index,
+			Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: index, LogTerm: 1, ReadContext: index,
 			Entries: []Entry{{Index: index + 1, Term: 1}},
 		})
 	}
 	ready := r.Step(0, Input{Messages: messages})
-	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 6, ReadIndexRound: 5}}
+	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 6, ReadContext: 5}}
 	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" || len(ready.Entries) != 5 {
 		t.Errorf("%d entries, answers (-want +got):\n%s", len(ready.Entries), difference)
 	}
@@ -299,13 +299,13 @@
 	ready := r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1, Entries: first,
 	}}})
-	kept := ready.Entries
-	before := slices.Clone(kept)
+	handedOut := ready.Entries
+	before := slices.Clone(handedOut)
 	r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "c", To: "b", Term: 2, Index: 1, LogTerm: 1,
 		Entries: []Entry{{Index: 2, Term: 2, Data: json.RawMessage(`"new"`)}, {Index: 3, Term: 2}},
 	}}})
-	if difference := cmp.Diff(before, kept); difference != "" {
+	if difference := cmp.Diff(before, handedOut); difference != "" {
 		t.Errorf("entries handed out before (-before +after):\n%s", difference)
 	}
 }
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -221,9 +221,9 @@
 // wake gives a node a step as soon as it is free.
 func (s *simulation) wake(n *node) {
 	if n.alive && !n.frozen && !n.syncing {
-		life := n.incarnation
+		incarnation := n.incarnation
 		s.after(0, func() {
-			if n.incarnation == life && n.alive && !n.frozen && !n.syncing && n.hasInput() {
+			if n.incarnation == incarnation && n.alive && !n.frozen && !n.syncing && n.hasInput() {
 				s.step(n)
 			}
 		})
@@ -245,7 +245,7 @@
 		s.checker.fail("%s: %s", n.id, wrong)
 	}
 	s.send(n, n.ready.MessagesBeforeSync)
-	life := n.incarnation
+	incarnation := n.incarnation
 	syncTime := time.Duration(0)
 	if countWrites(n.ready) > 0 && s.conditions.syncTime > 0 {
 		syncTime = time.Duration(1 + s.random.Int64N(int64(s.conditions.syncTime)))
@@ -253,7 +253,7 @@
 			s.onSync(n)
 		}
 	}
-	if n.incarnation != life {
+	if n.incarnation != incarnation {
 		return
 	}
 	n.syncing = true
@@ -262,7 +262,7 @@
 		return
 	}
 	s.after(syncTime, func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			s.complete(n)
 		}
 	})
@@ -283,13 +283,13 @@
 		s.checker.committed(n, entry)
 		n.machine.apply(entry)
 	}
-	life := n.incarnation
+	incarnation := n.incarnation
 	for _, outcome := range ready.Outcomes {
 		s.checker.outcome(n, outcome)
 		if s.onOutcome != nil {
 			s.onOutcome(n, outcome)
 		}
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 	}
@@ -316,9 +316,9 @@
 func (s *simulation) setTimer(n *node, wake time.Duration) {
 	at := n.rateChangedAt + time.Duration(float64(wake-n.clockAtRateChange)/n.rate) + 1
 	n.wakeAt = at
-	life := n.incarnation
+	incarnation := n.incarnation
 	s.after(max(0, at-s.now), func() {
-		if n.incarnation == life && n.wakeAt == at && !n.frozen && !n.syncing {
+		if n.incarnation == incarnation && n.wakeAt == at && !n.frozen && !n.syncing {
 			s.step(n)
 		}
 	})
--- a/internal/tier/replica/snapshot_receiver.go
+++ b/internal/tier/replica/snapshot_receiver.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if r.step.installedSnapshot != nil {
-		return // its parts are on their way to where the next one's would go
+		return // its chunks lie where the next one's would be written
 	}
 	r.receiveChunk(message)
 }
@@ -86,8 +86,10 @@
 
 // requestChunk tells the leader which chunk is needed next; with reject, that those before the one it has sent are missing.
 func (r *Replica) requestChunk(message *Message, number int, reject bool) {
-	r.sendAfterSync(Message{Kind: InstallSnapshotResponse, To: message.From, Term: message.Term, Index: message.Snapshot.Index,
-		Chunk: number, Reject: reject})
+	r.sendAfterSync(Message{
+		Kind: InstallSnapshotResponse, To: message.From, Term: message.Term, Index: message.Snapshot.Index,
+		Chunk: number, Reject: reject,
+	})
 }
 
 // installSnapshot puts a snapshot in place of the log.
--- a/internal/tier/replica/snapshot_retry_test.go
+++ b/internal/tier/replica/snapshot_retry_test.go
@@ -17,11 +17,11 @@
 
 		// When its process has room, it has the complete snapshot soon.
 		busy = false
-		begun := s.now
+		began := s.now
 		if !s.runUntil(s.now+time.Second, func() bool { return s.nodes[3].machine.Index > 0 }) {
 			t.Fatal("it gets no snapshot")
 		}
-		if took := s.now - begun; took > (firstChunkRetryHeartbeats+2)*testHeartbeat {
+		if took := s.now - began; took > (firstChunkRetryHeartbeats+2)*testHeartbeat {
 			t.Errorf("seed %d: the snapshot is there %v later", seed, took)
 		}
 		s.requireSafe(t)
--- a/internal/tier/replica/snapshot_sender.go
+++ b/internal/tier/replica/snapshot_sender.go
@@ -43,10 +43,12 @@
 	}
 	window := r.limits.maxInflightChunks
 	if t.wantedChunk == 0 {
-		window = 1 // the peer may not be able to take it now
+		window = 1 // the follower may not be able to take it now
 	}
 	for t.nextChunk < min(t.wantedChunk+window, t.snapshot.Chunks) {
-		r.sendBeforeSync(p, Message{Kind: InstallSnapshot, To: p.id, Term: r.hardState.Term, Snapshot: t.snapshot, Chunk: t.nextChunk})
+		r.sendBeforeSync(p, Message{
+			Kind: InstallSnapshot, To: p.id, Term: r.hardState.Term, Snapshot: t.snapshot, Chunk: t.nextChunk,
+		})
 		t.nextChunk++
 	}
 }
