--- a/internal/tier/controller/retirements.go
+++ b/internal/tier/controller/api_decommission.go
@@ -17,15 +17,12 @@
 	"mastusher/internal/tier/placement"
 )
 
-// maxRequestBytes bounds the body of an order that isn't a configuration.
-const maxRequestBytes = 64 << 10
-
-// decommissionRequest is the body of an order. The time in which the machine is to be emptied needn't be told: that begins at once.
+// decommissionRequest is the body of POST /mastusher/retire/NODE. It may be empty: draining begins at once, whatever the duration.
 type decommissionRequest struct {
-	OverS float64 `json:"overS"` // s
+	OverS float64 `json:"overS"` // duration, s
 }
 
-// postDecommission takes an order to empty a storage machine.
+// postDecommission proposes to drain a storage machine.
 func (c *Controller) postDecommission(e echo.Context) error {
 	if redirected, err := c.redirect(e); redirected {
 		return err
@@ -35,34 +32,35 @@
 	}
 	ctx, cancel := context.WithTimeout(e.Request().Context(), proposeTimeout)
 	defer cancel()
-	// What is known of machines may refuse the order only while a majority still takes this member for the owner.
+	// What this member knows of machines must not reject the order unless a majority still confirms it as the leader.
 	if err := c.group.Read(ctx, func() {}); err != nil {
 		return readError(err)
 	}
-	order, err := c.decommissionProposal(time.Now(), e.Param("node"))
+	proposal, err := c.decommissionProposal(time.Now(), e.Param("node"))
 	if err != nil {
 		return err
 	}
-	result, err := c.group.Propose(ctx, Command{Decommission: order})
+	result, err := c.group.Propose(ctx, Command{Decommission: proposal})
 	if err != nil {
 		return c.proposalError(err)
 	}
 	switch result {
 	case decommission.Accepted:
-		level.Info(c.options.Logger).Log("msg", "machine is to be emptied", "machine", order.Node, "id", order.ID)
+		level.Info(c.options.Logger).Log("msg", "draining store", "node", proposal.Node, "id", proposal.ID)
 		c.triggerReconcile()
 		return e.NoContent(http.StatusOK)
 	case decommission.TooFewStores:
-		return c.tooFewStoresError(time.Now(), order)
+		return c.tooFewStoresError(time.Now(), proposal)
 	}
 	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
+// readDecommissionRequest validates the body. Its duration isn't used.
 func readDecommissionRequest(e echo.Context) error {
 	var body decommissionRequest
 	err := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, maxRequestBytes)).Decode(&body)
 	switch {
-	case errors.Is(err, io.EOF): // an empty body tells no time
+	case errors.Is(err, io.EOF): // empty
 		return nil
 	case err != nil:
 		return bodyError(err)
@@ -72,12 +70,12 @@
 	return nil
 }
 
-// decommissionProposal is the order to empty a machine as it is known now.
+// decommissionProposal returns the proposal to drain a machine as it is known now.
 func (c *Controller) decommissionProposal(now time.Time, node string) (*decommission.Proposal, error) {
 	c.reconcilerMutex.Lock()
 	defer c.reconcilerMutex.Unlock()
-	watch := c.reconciler.Tracker()
-	store, known := watch.Store(node)
+	tracker := c.reconciler.Tracker()
+	store, known := tracker.Store(node)
 	if !known {
 		store, known = c.newlyJoinedStore(node)
 	}
@@ -90,21 +88,21 @@
 	if !known {
 		return nil, apierror.New(apierror.UnknownNode, "no storage machine is named %s", node)
 	}
-	order := &decommission.Proposal{Store: decommission.Store{Node: node, ID: store.ID}, MinRemaining: c.replicationFactor(),
+	proposal := &decommission.Proposal{Store: decommission.Store{Node: node, ID: store.ID}, MinRemaining: c.replicationFactor(),
 		AtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
-	for _, running := range watch.Stores() {
-		order.RunningStores = append(order.RunningStores, decommission.Store{Node: running.Node, ID: running.ID})
+	for _, running := range tracker.Stores() {
+		proposal.RunningStores = append(proposal.RunningStores, decommission.Store{Node: running.Node, ID: running.ID})
 	}
-	return order, nil
+	return proposal, nil
 }
 
-// hasCompleteView tells whether what this member knows of machines may refuse an order for good. An owner that was cut off before its
-// electionTimeout may lack some machines, or take them for dead. The caller holds reconcilerMutex.
+// hasCompleteView reports whether what this member knows of machines may reject an order for good. A leader that was partitioned
+// before its election may not know some machines, or take them for dead. The caller must hold reconcilerMutex.
 func (c *Controller) hasCompleteView(now time.Time) bool {
 	return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)
 }
 
-// newlyJoinedStore finds a machine that the planner hasn't looked at yet.
+// newlyJoinedStore finds a store that the tracker hasn't observed yet.
 func (c *Controller) newlyJoinedStore(node string) (placement.Store, bool) {
 	for _, m := range c.options.Fleet.Members() {
 		if m.Role == membership.Store && placement.NodeOf(m.Name) == node {
@@ -114,7 +112,7 @@
 	return placement.Store{}, false
 }
 
-// absentStore finds a machine of which membership knows nothing any more: by its replicas, or by an earlier order.
+// absentStore finds a store that membership has forgotten, by its replicas or by an earlier operation.
 func (c *Controller) absentStore(node string) (placement.Store, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -125,35 +123,35 @@
 			}
 		}
 	}
-	_, asked := c.state.decommissions.Operation(node)
-	return placement.Store{Node: node}, asked
+	_, exists := c.state.decommissions.Operation(node)
+	return placement.Store{Node: node}, exists
 }
 
-// tooFewStoresError tells why an order was not taken: machines that are down may soon be back, then it isn't final.
-func (c *Controller) tooFewStoresError(now time.Time, order *decommission.Proposal) error {
+// tooFewStoresError is the error for a proposal that would leave too few stores. It isn't final as long as enough would remain
+// with the stores that are down but may soon be back, or the view isn't complete.
+func (c *Controller) tooFewStoresError(now time.Time, proposal *decommission.Proposal) error {
 	c.reconcilerMutex.Lock()
 	defer c.reconcilerMutex.Unlock()
-	watch := c.reconciler.Tracker()
-	missing := watch.Missing(now)
+	missing := c.reconciler.Tracker().Missing(now)
 	c.mutex.Lock()
-	hopeful := *order
+	withMissing := *proposal
 	for _, store := range missing {
-		hopeful.RunningStores = append(hopeful.RunningStores, decommission.Store{Node: store.Node, ID: store.ID})
+		withMissing.RunningStores = append(withMissing.RunningStores, decommission.Store{Node: store.Node, ID: store.ID})
 	}
-	final := c.state.decommissions.Remaining(hopeful) < order.MinRemaining
+	final := c.state.decommissions.Remaining(withMissing) < proposal.MinRemaining
 	c.mutex.Unlock()
 	if !c.hasCompleteView(now) || !final {
 		return apierror.New(apierror.NotReady, "too few storage machines run now")
 	}
-	return apierror.New(apierror.TooFewStores, "fewer than %d storage machines would remain without %s", order.MinRemaining, order.Node)
+	return apierror.New(apierror.TooFewStores, "fewer than %d storage machines would remain without %s", proposal.MinRemaining, proposal.Node)
 }
 
-// decommissionStatus is the answer to the question how far an order is.
+// decommissionStatus is the body of the response to GET /mastusher/retire/NODE.
 type decommissionStatus struct {
 	State decommission.State `json:"state"`
 }
 
-// getDecommission tells how far the newest order about a machine is.
+// getDecommission returns the status of a machine's newest decommissioning.
 func (c *Controller) getDecommission(e echo.Context) error {
 	if redirected, err := c.redirect(e); redirected {
 		return err
@@ -161,18 +159,18 @@
 	ctx, cancel := context.WithTimeout(e.Request().Context(), readTimeout)
 	defer cancel()
 	node := e.Param("node")
-	var retirement decommission.Operation
-	var asked bool
+	var operation decommission.Operation
+	var exists bool
 	err := c.group.Read(ctx, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		retirement, asked = c.state.decommissions.Operation(node)
+		operation, exists = c.state.decommissions.Operation(node)
 	})
 	if err != nil {
 		return readError(err)
 	}
-	if !asked {
+	if !exists {
 		return apierror.New(apierror.UnknownNode, "%s has not been asked to be emptied", node)
 	}
-	return e.JSON(http.StatusOK, decommissionStatus{State: retirement.State})
+	return e.JSON(http.StatusOK, decommissionStatus{State: operation.State})
 }
--- /dev/null
+++ b/internal/tier/controller/api_errors.go
@@ -0,0 +1,68 @@
+package controller
+
+import (
+	"errors"
+	"net/http"
+	"os"
+
+	"github.com/labstack/echo/v4"
+
+	"mastusher/internal/tier/apierror"
+	"mastusher/internal/tier/group"
+)
+
+// retryAfterS is the Retry-After of a 503, s: about the time of an election.
+const retryAfterS = "0.2"
+
+// errorBody is the body of a response that reports an error.
+type errorBody struct {
+	Error string `json:"error"`
+}
+
+// writeError writes the response to an error, by the table of error kinds.
+func (c *Controller) writeError(err error, e echo.Context) {
+	if e.Response().Committed {
+		return
+	}
+	var routed *echo.HTTPError
+	if errors.As(err, &routed) {
+		_ = e.JSON(routed.Code, errorBody{Error: http.StatusText(routed.Code)})
+		return
+	}
+	response := apierror.ResponseOf(err)
+	if response.RetryAfter {
+		e.Response().Header().Set("Retry-After", retryAfterS)
+	}
+	if response.Close {
+		e.Response().Header().Set("Connection", "close")
+	}
+	_ = e.JSON(response.Status, errorBody{Error: err.Error()})
+}
+
+// proposalError is the error for a proposal that the group has not confirmed. A dropped one was certainly not taken (NotReady);
+// of any other, that is unknown (Unconfirmed), and the operator must send the same order again.
+func (c *Controller) proposalError(err error) error {
+	var notLeader *group.NotLeaderError
+	if errors.As(err, &notLeader) && notLeader.Dropped {
+		return apierror.New(apierror.NotReady, "%w", err)
+	}
+	if errors.As(err, &notLeader) {
+		return apierror.New(apierror.Unconfirmed, "%w", err)
+	}
+	return apierror.New(apierror.Internal, "%w", err)
+}
+
+// readError is the error for a read that no majority has confirmed: the operator is to ask again.
+func readError(err error) error { return apierror.New(apierror.NotReady, "%w", err) }
+
+// bodyError is the error for a request body that can't be read.
+func bodyError(err error) error {
+	var large *http.MaxBytesError
+	switch {
+	case errors.As(err, &large):
+		return apierror.New(apierror.BodyTooLarge, "the body is over %d bytes: %w", large.Limit, err)
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return apierror.New(apierror.RequestTimeout, "the body came too slowly: %w", err)
+	}
+	return apierror.New(apierror.BadRequest, "the body cannot be read whole: %w", err)
+}
--- a/internal/tier/controller/configure.go
+++ b/internal/tier/controller/api_settings.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"io"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"time"
@@ -20,15 +18,15 @@
 	"mastusher/internal/tier/model/form"
 )
 
-// maxConfigurationBytes bounds a configuration. Checking one takes a multiple of its size in memory.
+// maxConfigurationBytes is the maximum size of a configuration. Validating one takes a multiple of its size in memory.
 const maxConfigurationBytes = 8 << 20
 
-// putSettings takes a whole configuration. Any member of the group acknowledges one that it knows to have been taken.
+// putSettings proposes a configuration. Any member of the group acknowledges one that it knows to have been accepted.
 func (c *Controller) putSettings(e echo.Context) error {
-	began := time.Now()
-	order, err := readProposal(e)
-	c.options.Metrics.ObserveStep(metrics.ReadStep, time.Since(began))
-	if err == nil && c.wasAccepted(order) {
+	start := time.Now()
+	proposal, err := readProposal(e)
+	c.options.Metrics.ObserveStep(metrics.ReadStep, time.Since(start))
+	if err == nil && c.wasAccepted(proposal) {
 		return e.NoContent(http.StatusOK)
 	}
 	if redirected, err := c.redirect(e); redirected {
@@ -37,53 +35,53 @@
 	if err != nil {
 		return err
 	}
-	if err := c.validate(e.Request().Context(), order); err != nil {
+	if err := c.validate(e.Request().Context(), proposal); err != nil {
 		c.options.Metrics.CountOrder(metrics.Rejected)
 		return err
 	}
-	result, err := c.propose(e.Request().Context(), order)
+	result, err := c.propose(e.Request().Context(), proposal)
 	if err != nil {
 		return c.proposalError(err)
 	}
 	switch result {
 	case configuration.Accepted:
-		level.Info(c.options.Logger).Log("msg", "configuration taken", "number", order.Number, "base", order.Base)
+		level.Info(c.options.Logger).Log("msg", "configuration accepted", "number", proposal.Number, "base", proposal.Base)
 		return e.NoContent(http.StatusOK)
 	case configuration.Conflict:
-		return apierror.New(apierror.VersionConflict, "another version than %d is current", order.Base)
+		return apierror.New(apierror.VersionConflict, "another version than %d is current", proposal.Base)
 	case configuration.NotNewer:
-		return apierror.New(apierror.InvalidConfiguration, "number: %d is not higher than the current one", order.Number)
+		return apierror.New(apierror.InvalidConfiguration, "number: %d is not higher than the current one", proposal.Number)
 	case configuration.HistoryTruncated:
-		return apierror.New(apierror.Unconfirmed, "version %d is so old that the orders on it are forgotten", order.Base)
+		return apierror.New(apierror.Unconfirmed, "version %d is so old that the orders on it are forgotten", proposal.Base)
 	}
 	return apierror.New(apierror.Internal, "the order has no outcome")
 }
 
-// propose has the group agree on an order, and counts what it comes to.
-func (c *Controller) propose(ctx context.Context, order *configuration.Proposal) (verdict any, err error) {
+// propose has the group commit a proposal, and counts the outcome.
+func (c *Controller) propose(ctx context.Context, proposal *configuration.Proposal) (result any, err error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	began := time.Now()
-	verdict, err = c.group.Propose(ctx, Command{Configuration: order})
-	c.options.Metrics.ObserveStep(metrics.ReplicateStep, time.Since(began))
+	start := time.Now()
+	result, err = c.group.Propose(ctx, Command{Configuration: proposal})
+	c.options.Metrics.ObserveStep(metrics.ReplicateStep, time.Since(start))
 	switch {
 	case err != nil:
 		c.options.Metrics.CountOrder(metrics.Unconfirmed)
-	case verdict == configuration.Accepted:
+	case result == configuration.Accepted:
 		c.options.Metrics.CountOrder(metrics.Accepted)
 	default:
 		c.options.Metrics.CountOrder(metrics.Rejected)
 	}
-	return verdict, err
+	return result, err
 }
 
-func (c *Controller) wasAccepted(order *configuration.Proposal) bool {
+func (c *Controller) wasAccepted(proposal *configuration.Proposal) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.state.configuration.WasAccepted(order)
+	return c.state.configuration.WasAccepted(proposal)
 }
 
-// readProposal reads an order, whose configuration may still be invalid.
+// readProposal reads the proposal of a request, whose configuration may still be invalid.
 func readProposal(e echo.Context) (*configuration.Proposal, error) {
 	request := e.Request()
 	base, err := readBase(request.Header)
@@ -97,7 +95,7 @@
 	if err != nil {
 		return nil, bodyError(err)
 	}
-	// Written as the log will hold it, so that the same order always is the same bytes.
+	// Compacted as the log stores it: duplicates are recognized by their bytes.
 	compact, err := json.Marshal(json.RawMessage(raw))
 	if err != nil {
 		return nil, apierror.New(apierror.InvalidConfiguration, "can't be read whole: %w", err)
@@ -105,7 +103,8 @@
 	return &configuration.Proposal{Base: base, Raw: compact}, nil
 }
 
-// readBase reads the number of the version that an order builds on, with quotes or without. Of several, none would be meant.
+// readBase reads from If-Match the number of the version that a proposal builds on, with quotes or without. Several values are
+// an error, since none of them would be meant.
 func readBase(header http.Header) (uint64, error) {
 	values := header.Values("If-Match")
 	if len(values) != 1 {
@@ -118,38 +117,26 @@
 	return base, nil
 }
 
-// validate tells what is wrong with an order's configuration, and notes its number. One is checked at a time, for the memory
-// that it takes.
-func (c *Controller) validate(ctx context.Context, order *configuration.Proposal) error {
+// validate validates a proposal's configuration and sets its number. Only one at a time is validated, for the memory that it
+// takes.
+func (c *Controller) validate(ctx context.Context, proposal *configuration.Proposal) error {
 	select {
 	case c.validationSlot <- struct{}{}:
 		defer func() { <-c.validationSlot }()
 	case <-ctx.Done():
 		return apierror.New(apierror.NotReady, "another configuration is being checked: %w", ctx.Err())
 	}
-	began := time.Now()
-	decoded, err := form.Parse(order.Raw)
-	c.options.Metrics.ObserveStep(metrics.CheckStep, time.Since(began))
+	start := time.Now()
+	decoded, err := form.Parse(proposal.Raw)
+	c.options.Metrics.ObserveStep(metrics.CheckStep, time.Since(start))
 	if err != nil {
 		return apierror.New(apierror.InvalidConfiguration, "%w", err)
 	}
-	order.Number = decoded.Version
+	proposal.Number = decoded.Version
 	return nil
 }
 
-// bodyError is the error for a body that can't be read.
-func bodyError(err error) error {
-	var large *http.MaxBytesError
-	switch {
-	case errors.As(err, &large):
-		return apierror.New(apierror.BodyTooLarge, "the body is over %d bytes: %w", large.Limit, err)
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return apierror.New(apierror.RequestTimeout, "the body came too slowly: %w", err)
-	}
-	return apierror.New(apierror.BadRequest, "the body cannot be read whole: %w", err)
-}
-
-// getSettings answers with the newest configuration, or not at all: an older one is never told.
+// getSettings returns the newest configuration. It must never return an older one, so a majority confirms the read.
 func (c *Controller) getSettings(e echo.Context) error {
 	if redirected, err := c.redirect(e); redirected {
 		return err
--- a/internal/tier/controller/command.go
+++ b/internal/tier/controller/command.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// Command is one entry of the configuration shard's log; one field is set.
+// Command is one entry of the configuration shard's log. Exactly one field is set.
 type Command struct {
 	Configuration        *configuration.Proposal  `json:"configure,omitempty"`
 	Placement            *PlacementProposal       `json:"place,omitempty"`
@@ -21,7 +21,7 @@
 	DecommissionDecision *decommission.Decision   `json:"retired,omitempty"`
 }
 
-// What stands between the parts of an order to take a configuration, as EncodeJSON writes it.
+// The text around the fields of a configuration proposal, as EncodeJSON writes it.
 const (
 	beforeBase   = `{"configure":{"base":`
 	beforeNumber = `,"number":`
@@ -29,34 +29,36 @@
 	afterRaw     = `}}`
 )
 
-// EncodeJSON implements group.Encoded: a configuration, which is JSON already, isn't read again for it.
+// EncodeJSON implements group.Encoded. A configuration's document, which may have megabytes and is JSON already, is copied
+// instead of being encoded again.
 func (c Command) EncodeJSON() (json.RawMessage, error) {
-	order := c.Configuration
-	if order == nil || len(order.Raw) == 0 {
+	proposal := c.Configuration
+	if proposal == nil || len(proposal.Raw) == 0 {
 		return json.Marshal(c)
 	}
-	const numbers = 2 * 20 // digits at most
-	written := make([]byte, 0, len(beforeBase)+len(beforeNumber)+len(beforeRaw)+len(order.Raw)+len(afterRaw)+numbers)
-	written = append(written, beforeBase...)
-	written = strconv.AppendUint(written, order.Base, 10)
-	written = append(written, beforeNumber...)
-	written = strconv.AppendUint(written, order.Number, 10)
-	written = append(written, beforeRaw...)
-	written = append(written, order.Raw...)
-	return append(written, afterRaw...), nil
+	const numbers = 2 * 20 // maximum digits of two uint64
+	encoded := make([]byte, 0, len(beforeBase)+len(beforeNumber)+len(beforeRaw)+len(proposal.Raw)+len(afterRaw)+numbers)
+	encoded = append(encoded, beforeBase...)
+	encoded = strconv.AppendUint(encoded, proposal.Base, 10)
+	encoded = append(encoded, beforeNumber...)
+	encoded = strconv.AppendUint(encoded, proposal.Number, 10)
+	encoded = append(encoded, beforeRaw...)
+	encoded = append(encoded, proposal.Raw...)
+	return append(encoded, afterRaw...), nil
 }
 
-// decodeCommand reads an entry. A configuration isn't read where the entry stands there as EncodeJSON writes it.
+// decodeCommand decodes an entry. The document of a configuration isn't parsed where EncodeJSON has written the entry.
 func decodeCommand(raw json.RawMessage) (Command, error) {
-	if order := parseConfiguration(raw); order != nil {
-		return Command{Configuration: order}, nil
+	if proposal := parseConfiguration(raw); proposal != nil {
+		return Command{Configuration: proposal}, nil
 	}
 	var command Command
 	err := json.Unmarshal(raw, &command)
 	return command, err
 }
 
-// parseConfiguration reads an order to take a configuration, in memory of its own; nil: it is another command, or written in another way.
+// parseConfiguration reads a configuration proposal into memory of its own. It returns nil for any other command, and for one
+// that is written in another way.
 func parseConfiguration(raw json.RawMessage) *configuration.Proposal {
 	rest, ok := bytes.CutPrefix(raw, []byte(beforeBase))
 	if !ok {
@@ -70,16 +72,16 @@
 	if !ok {
 		return nil
 	}
-	content, ok := bytes.CutSuffix(rest, []byte(afterRaw))
-	if !ok || len(content) == 0 {
+	document, ok := bytes.CutSuffix(rest, []byte(afterRaw))
+	if !ok || len(document) == 0 {
 		return nil
 	}
-	order := &configuration.Proposal{Raw: bytes.Clone(content)}
+	proposal := &configuration.Proposal{Raw: bytes.Clone(document)}
 	var baseErr, numberErr error
-	order.Base, baseErr = strconv.ParseUint(string(base), 10, 64)
-	order.Number, numberErr = strconv.ParseUint(string(number), 10, 64)
+	proposal.Base, baseErr = strconv.ParseUint(string(base), 10, 64)
+	proposal.Number, numberErr = strconv.ParseUint(string(number), 10, 64)
 	if baseErr != nil || numberErr != nil {
 		return nil
 	}
-	return order
+	return proposal
 }
--- /dev/null
+++ b/internal/tier/controller/list_reader.go
@@ -0,0 +1,136 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/platformlist"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wire"
+)
+
+// Timing of a leader that doesn't reach the platform.
+const (
+	localRetryInterval = 10 * time.Second       // between its attempts to reach it, while a delegate reads in its place
+	localRetryTimeout  = 700 * time.Millisecond // of such an attempt
+	delegateGrace      = 300 * time.Millisecond // for the transport of a delegate's answer, beyond the time for its read
+)
+
+// listReader decides who makes the next read of the platform's list: the leader itself, or, while it doesn't reach the platform,
+// another controller as its delegate. Reads never overlap and the leader alone publishes, so neither the stamps nor the rate of
+// calls to the platform depend on that choice. Its zero value has no delegate.
+type listReader struct {
+	delegate      string    // address of the controller that is to read; empty: the leader
+	delegateWorks bool      // the delegate's last read succeeded
+	localRetryAt  time.Time // when the leader's next attempt is due, while there is a delegate
+	nextDelegate  int       // counts the delegates chosen
+}
+
+// next returns the address of the controller that reads next, empty for the leader, and the time-out of its read.
+func (r *listReader) next(now time.Time, peers []string) (address string, timeout time.Duration) {
+	if !slices.Contains(peers, r.delegate) {
+		r.delegate, r.delegateWorks = "", false
+	}
+	switch {
+	case r.delegate == "":
+		return "", listReadTimeout
+	case !now.Before(r.localRetryAt):
+		return "", localRetryTimeout
+	}
+	return r.delegate, listReadTimeout
+}
+
+// record takes the outcome of a read. Only an unreachable platform makes the leader choose a delegate: one that answers with a
+// failure would answer any other controller alike.
+func (r *listReader) record(now time.Time, address string, peers []string, err error) {
+	var unreachable *platformlist.UnreachableError
+	switch {
+	case address != "" && err == nil:
+		r.delegateWorks = true
+	case address != "": // the leader tries next, and after it another delegate
+		r.delegateWorks, r.localRetryAt = false, now
+	case errors.As(err, &unreachable) && !r.delegateWorks && len(peers) > 0:
+		r.delegate = peers[r.nextDelegate%len(peers)]
+		r.nextDelegate++
+		r.localRetryAt = now.Add(localRetryInterval)
+	case errors.As(err, &unreachable):
+		r.localRetryAt = now.Add(localRetryInterval)
+	default:
+		r.delegate, r.delegateWorks = "", false
+	}
+}
+
+// readList reads the list once, here or through a delegate.
+func (c *Controller) readList(ctx context.Context, reader *listReader) ([]model.Endpoint, error) {
+	peers := c.peerAddresses()
+	address, timeout := reader.next(time.Now(), peers)
+	endpoints, err := c.readListAt(ctx, address, timeout)
+	previous := reader.delegate
+	reader.record(time.Now(), address, peers, err)
+	if reader.delegate != previous {
+		level.Warn(c.options.Logger).Log("msg", "endpoint list reader changed", "reader", reader.delegate, "previous", previous)
+	}
+	return endpoints, err
+}
+
+func (c *Controller) readListAt(ctx context.Context, address string, timeout time.Duration) ([]model.Endpoint, error) {
+	if address == "" {
+		return c.readListHere(ctx, timeout)
+	}
+	bounded, cancel := context.WithTimeout(ctx, timeout+delegateGrace)
+	defer cancel()
+	return c.options.QueryEndpoints(bounded, address)
+}
+
+// readListHere reads the list from the platform. At most one read at a time may use the reader.
+func (c *Controller) readListHere(ctx context.Context, timeout time.Duration) ([]model.Endpoint, error) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	select {
+	case c.listReadSlot <- struct{}{}:
+		defer func() { <-c.listReadSlot }()
+		return c.options.Reader.ReadAll(bounded)
+	case <-bounded.Done():
+		return nil, bounded.Err()
+	}
+}
+
+// answerList reads the list as a delegate of the leader.
+func (c *Controller) answerList(ctx context.Context, _ string, _ wire.EndpointsRequest) (wire.EndpointsResponse, error) {
+	endpoints, err := c.readListHere(ctx, listReadTimeout)
+	return wire.EndpointsResponse{Endpoints: endpoints}, err
+}
+
+// queryEndpointsOverTransport has another controller read the list.
+func queryEndpointsOverTransport(pool *transport.Pool) func(ctx context.Context, address string) ([]model.Endpoint, error) {
+	return func(ctx context.Context, address string) ([]model.Endpoint, error) {
+		response, err := transport.Call[wire.EndpointsRequest, wire.EndpointsResponse](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
+		return response.Endpoints, err
+	}
+}
+
+// peerAddresses lists the addresses of the other controllers that run, by name.
+func (c *Controller) peerAddresses() []string {
+	var addresses []string
+	for _, m := range c.runningPeers() {
+		addresses = append(addresses, m.Address)
+	}
+	return addresses
+}
+
+// runningPeers lists the other controllers that run, by name.
+func (c *Controller) runningPeers() []membership.Member {
+	var peers []membership.Member
+	for _, m := range c.options.Fleet.Members() {
+		if m.Role == membership.Controller && m.State == membership.StateAlive && m.ID != c.options.ID {
+			peers = append(peers, m)
+		}
+	}
+	return peers
+}
--- /dev/null
+++ b/internal/tier/controller/options.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
+)
+
+// Fleet is what the controller needs of its process's membership and gossip.
+type Fleet interface {
+	// Members returns all known members, by name.
+	Members() []membership.Member
+	// Publish spreads an update, unless a newer one of its section is known.
+	Publish(update view.Update)
+}
+
+// EndpointReader reads the platform's complete list of endpoints.
+type EndpointReader interface {
+	// ReadAll returns the list as it is now. An *platformlist.UnreachableError says that the platform gave no answer.
+	ReadAll(ctx context.Context) ([]model.Endpoint, error)
+}
+
+// Options configures a controller. Fields without a default must be set.
+type Options struct {
+	ID       string // identity on its disk
+	Address  string // host:port at which other processes reach its transport
+	Settings *settings.Settings
+	Initial  []replica.Member // members of the group at the first start of the whole system; empty at any other start
+	Disk     storage.Disk
+	Pool     *transport.Pool
+	Fleet    Fleet
+	Reader   EndpointReader
+	Logger   log.Logger
+	Seed     uint64 // of the randomized election time-outs
+
+	// The calls to other processes and the steady clock. Default: through Pool, and the process's clock. Tests that run
+	// controllers in memory replace them.
+	SendMessage func(address string, envelope group.Envelope)                                // must not block
+	QueryStore  func(address string, done func(answer wire.ShardMembersResponse, err error)) // must not block
+	Clock       func() time.Duration
+	// QueryEndpoints has the controller at an address read the platform's list.
+	QueryEndpoints func(ctx context.Context, address string) ([]model.Endpoint, error)
+
+	Metrics *metrics.Metrics // served on the operator's port; default: the controller's own
+	Network network.Network  // on which the operator's port listens; default: the system's
+	Now     func() time.Time // time of day; default: time.Now
+}
+
+// withDefaults returns the options with each default in place.
+func (o Options) withDefaults() Options {
+	if o.SendMessage == nil {
+		o.SendMessage = sendOverTransport(o.Pool)
+	}
+	if o.QueryStore == nil {
+		o.QueryStore = queryStoreOverTransport(o.Pool)
+	}
+	if o.Clock == nil {
+		start := time.Now()
+		o.Clock = func() time.Duration { return time.Since(start) }
+	}
+	if o.Now == nil {
+		o.Now = time.Now
+	}
+	if o.Metrics == nil {
+		o.Metrics = metrics.New()
+	}
+	if o.QueryEndpoints == nil {
+		o.QueryEndpoints = queryEndpointsOverTransport(o.Pool)
+	}
+	return o
+}
--- a/internal/tier/controller/order_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -67,9 +67,9 @@
 		{
 			Name: "what isn't agreed on is acknowledged",
 			Change: mutation.Change{
-				File: "configure.go",
-				Old:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}\n",
-				New:  "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}\n",
+				File: "api_settings.go",
+				Old:  "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}\n",
+				New:  "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}\n",
 			},
 			Run: "^TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent",
 		},
@@ -85,7 +85,7 @@
 		{
 			Name: "the window of repeats is too short",
 			Change: mutation.Change{
-				File: "repeats.go",
+				File: "dedup.go",
 				Old:  "return bounds.ConfirmWithin() + bounds.Stretch()",
 				New:  "return bounds.ConfirmWithin() / 8",
 			},
@@ -94,7 +94,7 @@
 		{
 			Name: "the window of repeats has no end",
 			Change: mutation.Change{
-				File: "repeats.go",
+				File: "dedup.go",
 				Old:  "\treturn c.dedupWindow.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.state.dedupEntries())\n",
 				New:  "\treturn 0\n",
 			},
@@ -112,7 +112,7 @@
 		{
 			Name: "a machine that has gone is not known",
 			Change: mutation.Change{
-				File: "retirements.go",
+				File: "api_decommission.go",
 				Old:  "\t\tstore, known = c.absentStore(node)\n",
 				New:  "\t\t_ = c.absentStore\n",
 			},
@@ -121,18 +121,18 @@
 		{
 			Name: "an order is in service since it was sent",
 			Change: mutation.Change{
-				File: "rollouts.go",
-				Old:  "\tif known == 0 && seen >= reportTimeout {",
-				New:  "\tif known == 0 {",
+				File: "rollout_analysis.go",
+				Old:  "\tif knownFor == 0 && seenFor >= reportTimeout {",
+				New:  "\tif knownFor == 0 {",
 			},
 			Run: "^TestRollout_TimeInService$",
 		},
 		{
 			Name: "the answers to an earlier order count",
 			Change: mutation.Change{
-				File: "rollouts.go",
-				Old:  "\t\tif tally.Order == roll.Index {",
-				New:  "\t\tif tally.Order <= roll.Index {",
+				File: "rollout_stats.go",
+				Old:  "\t\tif stats.Order == current.Index {",
+				New:  "\t\tif stats.Order <= current.Index {",
 			},
 			Run: "^TestRollout_StatsOfEarlierOrder_Ignored",
 		},
--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -21,23 +21,23 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name: "members tell the configuration that they hold",
-			Change: mutation.Change{File: "configure.go",
+			Change: mutation.Change{File: "api_settings.go",
 				Old: "func (c *Controller) getSettings(e echo.Context) error {\n\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}",
 				New: "func (c *Controller) getSettings(e echo.Context) error {"},
-			Also: []mutation.Change{{File: "configure.go", Old: confirmed, New: unconfirmed}},
+			Also: []mutation.Change{{File: "api_settings.go", Old: confirmed, New: unconfirmed}},
 			Run:  cutOffTests,
 		},
 		{
 			Name: "members tell the state of roll-outs that they hold",
-			Change: mutation.Change{File: "rollouts.go",
+			Change: mutation.Change{File: "api_rollouts.go",
 				Old: "func (c *Controller) getRollout(e echo.Context) error {\n\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}",
 				New: "func (c *Controller) getRollout(e echo.Context) error {"},
-			Also: []mutation.Change{{File: "rollouts.go", Old: confirmed, New: unconfirmed}},
+			Also: []mutation.Change{{File: "api_rollouts.go", Old: confirmed, New: unconfirmed}},
 			Run:  cutOffTests,
 		},
 		{
 			Name:   "the owner tells the configuration without asking the others",
-			Change: mutation.Change{File: "configure.go", Old: confirmed, New: unconfirmed},
+			Change: mutation.Change{File: "api_settings.go", Old: confirmed, New: unconfirmed},
 			Run:    successionTests, Always: true,
 		},
 		{
@@ -47,16 +47,16 @@
 		},
 		{
 			Name: "an order is refused for the version that a member holds",
-			Change: mutation.Change{File: "configure.go", Old: "\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {",
-				New: "\tc.mutex.Lock()\n\tother := err == nil && c.state.configuration.Current().Number != order.Base\n\tc.mutex.Unlock()\n" +
+			Change: mutation.Change{File: "api_settings.go", Old: "\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {",
+				New: "\tc.mutex.Lock()\n\tother := err == nil && c.state.configuration.Current().Number != proposal.Base\n\tc.mutex.Unlock()\n" +
 					"\tif other {\n\t\treturn apierror.New(apierror.VersionConflict, \"another version is current\")\n\t}\n" +
 					"\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {"},
 			Run: cutOffTests,
 		},
 		{
 			Name: "an order is acknowledged though nothing is known of it",
-			Change: mutation.Change{File: "configure.go", Old: "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}",
-				New: "\tresult, err := c.propose(e.Request().Context(), order)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}"},
+			Change: mutation.Change{File: "api_settings.go", Old: "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}",
+				New: "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}"},
 			Run: cutOffTests,
 		},
 		{
@@ -67,13 +67,13 @@
 		},
 		{
 			Name: "a machine is unknown without a confirmed read",
-			Change: mutation.Change{File: "retirements.go", Old: "if err := c.group.Read(ctx, func() {}); err != nil {",
+			Change: mutation.Change{File: "api_decommission.go", Old: "if err := c.group.Read(ctx, func() {}); err != nil {",
 				New: "if err := error(nil); err != nil {"},
 			Run: "TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing",
 		},
 		{
 			Name:   "a new owner is sure of the machines that it sees",
-			Change: mutation.Change{File: "retirements.go", Old: "return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)", New: "return true"},
+			Change: mutation.Change{File: "api_decommission.go", Old: "return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)", New: "return true"},
 			Run:    cutOffTests,
 		},
 		{
@@ -88,7 +88,7 @@
 		},
 		{
 			Name:   "callers are sent only to owners that membership takes to run",
-			Change: mutation.Change{File: "api.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.DeadOrLeft() {"},
+			Change: mutation.Change{File: "api_redirect.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.DeadOrLeft() {"},
 			Run:    cutOffTests,
 		},
 		{
@@ -98,27 +98,27 @@
 		},
 		{
 			Name:   "a new owner goes on from what it read long ago",
-			Change: mutation.Change{File: "endpoints.go", Old: "if publisher.term != epoch {", New: "if publisher.term == 0 {"},
+			Change: mutation.Change{File: "endpoints.go", Old: "if publisher.term != term {", New: "if publisher.term == 0 {"},
 			Run:    listTests,
 		},
 		{
 			Name:   "the owner reads alone",
-			Change: mutation.Change{File: "listsource.go", Old: "&& !s.delegateWorks && len(others) > 0:", New: "&& !s.delegateWorks && len(others) > 9:"},
+			Change: mutation.Change{File: "list_reader.go", Old: "&& !r.delegateWorks && len(peers) > 0:", New: "&& !r.delegateWorks && len(peers) > 9:"},
 			Run:    listTests, Always: true,
 		},
 		{
 			Name:   "a delegate that fails is kept",
-			Change: mutation.Change{File: "listsource.go", Old: "s.delegateWorks, s.localRetryAt = false, now", New: "s.delegateWorks = false"},
+			Change: mutation.Change{File: "list_reader.go", Old: "r.delegateWorks, r.localRetryAt = false, now", New: "r.delegateWorks = false"},
 			Run:    listTests,
 		},
 		{
 			Name:   "the owner never tries again to read",
-			Change: mutation.Change{File: "listsource.go", Old: "case !now.Before(s.localRetryAt):", New: "case false:"},
+			Change: mutation.Change{File: "list_reader.go", Old: "case !now.Before(r.localRetryAt):", New: "case false:"},
 			Run:    listTests,
 		},
 		{
 			Name:   "others are asked where the platform refuses",
-			Change: mutation.Change{File: "listsource.go", Old: "case errors.As(err, &unreachable) && !s.delegateWorks && len(others) > 0:", New: "case err != nil && !s.delegateWorks && len(others) > 0:"},
+			Change: mutation.Change{File: "list_reader.go", Old: "case errors.As(err, &unreachable) && !r.delegateWorks && len(peers) > 0:", New: "case err != nil && !r.delegateWorks && len(peers) > 0:"},
 			Run:    listTests,
 		},
 	})
--- a/internal/tier/controller/publish.go
+++ b/internal/tier/controller/publish.go
@@ -2,10 +2,14 @@
 
 import (
 	"context"
+	"encoding/json"
 
 	"github.com/go-kit/log/level"
+
+	"mastusher/internal/tier/view"
 )
 
+// notifyChanged has publishLoop publish what was committed. It doesn't block.
 func (c *Controller) notifyChanged() {
 	select {
 	case c.changed <- struct{}{}:
@@ -13,7 +17,7 @@
 	}
 }
 
-// publishLoop spreads what the group has agreed on after each change.
+// publishLoop publishes the committed state after each change.
 func (c *Controller) publishLoop(ctx context.Context) {
 	for {
 		select {
@@ -25,17 +29,47 @@
 	}
 }
 
-// Publish spreads what has changed of the agreed state since the last call. One goroutine at a time may call it.
+// Publish publishes those sections of the committed state that have changed since the last call. One goroutine at a time may
+// call it.
 func (c *Controller) Publish() {
 	c.mutex.Lock()
-	pieces, err := c.state.UnpublishedSections(c.published)
+	updates, err := c.state.UnpublishedSections(c.published)
 	c.mutex.Unlock()
 	if err != nil {
-		level.Error(c.options.Logger).Log("msg", "agreed state cannot be published", "err", err)
+		level.Error(c.options.Logger).Log("msg", "publishing committed state failed", "err", err)
 		return
 	}
-	for _, piece := range pieces {
-		c.options.Fleet.Publish(piece)
-		c.published[piece.Section] = piece.Stamp
+	for _, update := range updates {
+		c.options.Fleet.Publish(update)
+		c.published[update.Section] = update.Stamp
+	}
+}
+
+// UnpublishedSections returns an update for each section of the committed state whose stamp isn't the published one.
+func (s *StateMachine) UnpublishedSections(published view.Digest) ([]view.Update, error) {
+	var updates []view.Update
+	isNew := func(section view.Section, index uint64) bool {
+		return index != 0 && published[section] != view.Stamp{Sequence: index}
+	}
+	add := func(section view.Section, index uint64, content any) error {
+		if !isNew(section, index) {
+			return nil
+		}
+		body, err := json.Marshal(content)
+		if err == nil {
+			updates = append(updates, view.Update{Section: section, Stamp: view.Stamp{Sequence: index}, Body: body})
+		}
+		return err
+	}
+	if current := s.configuration.Current(); isNew(view.ConfigurationSection, current.Index) {
+		updates = append(updates, view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: current.Index},
+			Body: view.Config{Raw: current.Raw}.JSON()})
+	}
+	if err := add(view.PlacementSection, s.placementIndex, view.Placement{Shards: s.placement}); err != nil {
+		return nil, err
+	}
+	if err := add(view.RolloutsSection, s.rolloutsIndex, s.rollouts.Versions()); err != nil {
+		return nil, err
 	}
+	return updates, nil
 }
--- a/internal/tier/controller/place.go
+++ b/internal/tier/controller/reconcile_loop.go
@@ -10,14 +10,14 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Pace of placement.
+// Timing of reconciliation.
 const (
 	reconcileInterval = 250 * time.Millisecond
-	drainingInterval  = 100 * time.Millisecond // the same, while a machine is being emptied
-	queryTimeout      = 700 * time.Millisecond
+	drainingInterval  = 100 * time.Millisecond // the same, while a store is being drained
+	queryTimeout      = 700 * time.Millisecond // of a query for the status of a store's groups
 )
 
-// reconcileLoop keeps the members of all groups right while this member owns the configuration shard.
+// reconcileLoop reconciles the members of all groups with the desired state.
 func (c *Controller) reconcileLoop(ctx context.Context) {
 	timer := time.NewTimer(reconcileInterval)
 	defer timer.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// triggerReconcile has the next round of placement begin at once.
+// triggerReconcile has the next reconciliation begin at once.
 func (c *Controller) triggerReconcile() {
 	select {
 	case c.reconcileNow <- struct{}{}:
@@ -40,19 +40,20 @@
 	}
 }
 
-// Placement does one round of placement and tells when the next one is due. It never waits for the group or for a store.
+// Reconcile takes the actions that are due, and returns the time until the next call. It never waits for the group or for a
+// store. On a member that isn't the leader it only observes.
 func (c *Controller) Reconcile(now time.Time) time.Duration {
-	plan := c.nextActions(now)
-	if plan.GroupMembers != nil {
-		c.changeMembers(plan.GroupMembers)
+	actions := c.nextActions(now)
+	if actions.GroupMembers != nil {
+		c.changeMembers(actions.GroupMembers)
 	}
-	if len(plan.Commands) > 0 && c.proposing.CompareAndSwap(false, true) {
-		c.proposeInOrder(plan.Commands)
+	if len(actions.Commands) > 0 && c.proposing.CompareAndSwap(false, true) {
+		c.proposeInOrder(actions.Commands)
 	}
-	for _, address := range plan.StoresToQuery {
+	for _, address := range actions.StoresToQuery {
 		c.queryStore(now, address)
 	}
-	if len(plan.StoresToQuery) > 0 {
+	if len(actions.StoresToQuery) > 0 {
 		return drainingInterval
 	}
 	return reconcileInterval
@@ -68,7 +69,7 @@
 	return c.reconciler.Reconcile(now, ObservedState{Group: status, Members: members, Committed: c.state})
 }
 
-// proposeInOrder proposes commands one after the other, and lets the next round propose again once all have an outcome.
+// proposeInOrder proposes commands one after the other. The next reconciliation may propose again once all have an outcome.
 func (c *Controller) proposeInOrder(commands []Command) {
 	if len(commands) == 0 {
 		c.proposing.Store(false)
@@ -78,7 +79,7 @@
 	c.group.ProposeAsync(commands[0], func(_ any, err error) {
 		if err != nil {
 			c.proposing.Store(false)
-			level.Warn(c.options.Logger).Log("msg", "placement was not agreed on", "err", err)
+			level.Warn(c.options.Logger).Log("msg", "placement proposal failed", "err", err)
 			return
 		}
 		c.logCommitted(commands[0])
@@ -91,24 +92,24 @@
 	case command.Placement != nil:
 		level.Info(c.options.Logger).Log("msg", "shards placed", "base", command.Placement.BaseIndex, "shards", len(command.Placement.Shards))
 	case command.DecommissionDecision != nil:
-		level.Info(c.options.Logger).Log("msg", "machine emptied", "machine", command.DecommissionDecision.Node)
+		level.Info(c.options.Logger).Log("msg", "store drained", "node", command.DecommissionDecision.Node)
 	}
 }
 
-// queryStore has a store report on the groups that it owns.
+// queryStore asks a store for the status of the groups that it leads.
 func (c *Controller) queryStore(now time.Time, address string) {
-	c.options.QueryStore(address, func(answer wire.ShardMembersResponse, err error) {
+	c.options.QueryStore(address, func(response wire.ShardMembersResponse, err error) {
 		if err != nil {
-			level.Debug(c.options.Logger).Log("msg", "store doesn't report on its groups", "address", address, "err", err)
+			level.Debug(c.options.Logger).Log("msg", "querying store for group status failed", "peer", address, "err", err)
 			return
 		}
 		c.reconcilerMutex.Lock()
 		defer c.reconcilerMutex.Unlock()
-		c.reconciler.RecordGroups(now, answer)
+		c.reconciler.RecordGroups(now, response)
 	})
 }
 
-// queryStoreOverTransport calls a store in a goroutine of its own.
+// queryStoreOverTransport calls a store in a goroutine of its own, which ends within queryTimeout.
 func queryStoreOverTransport(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
 	return func(address string, done func(wire.ShardMembersResponse, error)) {
 		go func() {
--- /dev/null
+++ b/internal/tier/controller/rollout_analysis.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/go-kit/log/level"
+
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/rollout"
+)
+
+// Timing of analyses.
+const (
+	analysisInterval = 150 * time.Millisecond
+	decideTimeout    = time.Second            // for the group to commit a decision or a version
+	commitDelay      = 100 * time.Millisecond // from when an order is sent until members apply it, about
+	reportTimeout    = 2 * time.Second        // in which proxies that know of a roll-out report
+)
+
+// analysisLoop decides the roll-outs in service while this member is the leader.
+func (c *Controller) analysisLoop(ctx context.Context) {
+	analyses := map[uint64]*rollout.Analysis{}
+	ticker := time.NewTicker(analysisInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			c.analyzeRollouts(ctx, analyses)
+		}
+	}
+}
+
+// analyzeRollouts evaluates the roll-outs in service. analyses has one for each of them, by the log index of its proposal.
+func (c *Controller) analyzeRollouts(ctx context.Context, analyses map[uint64]*rollout.Analysis) {
+	now := c.options.Clock()
+	c.mutex.Lock()
+	active := c.state.rollouts.Active()
+	c.mutex.Unlock()
+	maps.DeleteFunc(analyses, func(index uint64, _ *rollout.Analysis) bool {
+		return !slices.ContainsFunc(active, func(current rollout.Rollout) bool { return current.Index == index })
+	})
+	for _, current := range active {
+		if analyses[current.Index] == nil {
+			analyses[current.Index] = rollout.NewAnalysis()
+		}
+		if !c.group.Status().IsLeader {
+			continue
+		}
+		target, knownFor := c.versionStats.duringRollout(&current, now)
+		baseline := c.versionStats.total(current.Service, current.Baseline)
+		if state := analyses[current.Index].Evaluate(current, c.elapsed(&current, now, knownFor), target, baseline); state != rollout.InService {
+			c.proposeDecision(ctx, current, state, target.Total(), baseline.Total())
+		}
+	}
+}
+
+// elapsed is how long a roll-out has been in service: since this process has known of it, or since a proxy has, which may be
+// longer. A proposal that was committed long after it was sent has been in service only since then. Where no proxy has had to
+// send a request to the target, the time of day decides, once proxies had the time to report.
+func (c *Controller) elapsed(current *rollout.Rollout, now, knownFor time.Duration) time.Duration {
+	c.mutex.Lock()
+	seenFor := c.dedupWindow.SeenFor(now, current.Index)
+	c.mutex.Unlock()
+	elapsed := commitDelay + max(seenFor, knownFor)
+	if knownFor == 0 && seenFor >= reportTimeout {
+		return max(elapsed, c.options.Now().Sub(time.UnixMilli(current.AtMs)))
+	}
+	return elapsed
+}
+
+// proposeDecision proposes the end of a roll-out. After a failure the next evaluation proposes it again.
+func (c *Controller) proposeDecision(ctx context.Context, current rollout.Rollout, state rollout.State, target, baseline rollout.Stats) {
+	bounded, cancel := context.WithTimeout(ctx, decideTimeout)
+	defer cancel()
+	decision := &rollout.Decision{Service: current.Service, Target: current.Target, Order: current.Index, State: state}
+	_, err := c.group.Propose(bounded, Command{RolloutDecision: decision})
+	level.Info(c.options.Logger).Log("msg", "roll-out decided", "service", current.Service, "target", current.Target, "state", state,
+		"good", target.Good, "bad", target.Bad, "baselineGood", baseline.Good, "baselineBad", baseline.Bad, "err", err)
+}
+
+// recordVersions records the version of each service that runs in a single one, unless one is known already.
+func (c *Controller) recordVersions(ctx context.Context, endpoints []model.Endpoint) {
+	versions := map[string]string{}
+	several := map[string]bool{}
+	for i := range endpoints {
+		e := &endpoints[i]
+		several[e.Service] = several[e.Service] || versions[e.Service] != "" && versions[e.Service] != e.Version
+		versions[e.Service] = e.Version
+	}
+	for service, version := range versions {
+		c.mutex.Lock()
+		known := c.state.rollouts.Current(service) != ""
+		c.mutex.Unlock()
+		if known || several[service] || version == "" {
+			continue
+		}
+		bounded, cancel := context.WithTimeout(ctx, decideTimeout)
+		_, err := c.group.Propose(bounded, Command{ObservedVersion: &rollout.ObservedVersion{Service: service, Version: version}})
+		cancel()
+		if err != nil {
+			level.Warn(c.options.Logger).Log("msg", "recording service version failed", "service", service, "err", err)
+			return
+		}
+	}
+}
--- a/internal/tier/controller/rollout_test.go
+++ b/internal/tier/controller/rollout_test.go
@@ -32,7 +32,7 @@
 // apply lets the member see an entry that has been agreed on.
 func (b *clockedBed) apply(t testing.TB, index uint64, command Command) any {
 	t.Helper()
-	return lockedMachine{b.Controller}.Apply(index, mustMarshal(t, command))
+	return lockedStateMachine{b.Controller}.Apply(index, mustMarshal(t, command))
 }
 
 func TestRollout_TimeInService(t *testing.T) {
--- a/internal/tier/soak/checks_test.go
+++ b/internal/tier/soak/checks_test.go
@@ -160,7 +160,7 @@
 
 func TestControllersAgreeOnceAllMembersSayTheSame(t *testing.T) {
 	line := func(owner string, epoch, members int) string {
-		return fmt.Sprintf("level=info msg=\"group changed\" group=configuration owner=%s own=false epoch=%d members=%d\n", owner, epoch, members)
+		return fmt.Sprintf("level=info msg=\"group changed\" group=configuration leader=%s isLeader=false term=%d members=%d\n", owner, epoch, members)
 	}
 	cases := []struct {
 		name string
--- a/internal/tier/soak/groups.go
+++ b/internal/tier/soak/groups.go
@@ -63,7 +63,7 @@
 }
 
 // changed is the line that a controller logs at each change of the group that holds the configuration.
-var changed = regexp.MustCompile(`msg="group changed" group=\S+ owner=(\S*) own=\S+ epoch=(\d+) members=(\d+)`)
+var changed = regexp.MustCompile(`msg="group changed" group=\S+ leader=(\S*) isLeader=\S+ term=(\d+) members=(\d+)`)
 
 // controllersAgree tells whether as many controllers as the group has members, and no fewer than there are to be copies, say the same of it
 // in what they have logged last: one owner in the newest epoch. There is no call that asks for it. Other controllers stand by.
--- a/internal/tier/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -45,8 +45,8 @@
 // onStatusChange handles a new leader, term or membership. A follower's target are the members that there are: should it
 // become the leader, it must not continue a change that it started in an earlier term.
 func (s *shard) onStatusChange(status replica.Status) {
-	level.Info(s.logger).Log("msg", "group changed", "shard", s.number, "owner", status.Leader, "own", status.IsLeader,
-		"epoch", status.Term, "members", len(status.Members))
+	level.Info(s.logger).Log("msg", "group changed", "shard", s.number, "leader", status.Leader, "isLeader", status.IsLeader,
+		"term", status.Term, "members", len(status.Members))
 	if s.group == nil {
 		return
 	}
