--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -41,19 +41,19 @@
 	}
 	defer listener.Close()
 	go answerAll(listener, []byte(answer))
-	scheduler := NewLoadBalancer("z", 1)
-	scheduler.SetEndpoints([]model.Endpoint{
+	loadBalancer := NewLoadBalancer("z", 1)
+	loadBalancer.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 		{ID: "e2", Service: "engine", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 	})
-	v := &views{}
+	v := &fakeViews{}
 	v.routes.Store(NewRoutes(newConfiguration()))
-	stores := &programs{ended: make(chan program.EndTurn, 1)}
+	stores := &fakePrograms{ended: make(chan program.EndTurn, 1)}
 	go func() {
 		for range stores.ended {
 		}
 	}()
-	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: v, Programs: stores, Selector: scheduler})
+	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: v, Programs: stores, Selector: loadBalancer})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -15,18 +15,18 @@
 	"mastusher/internal/tier/program"
 )
 
-// keeper is a Programs that keeps turns and budgets as the stores do.
-type keeper struct {
+// budgetStore is a Programs that keeps turns and budgets as the stores do.
+type budgetStore struct {
 	mutex   sync.Mutex
 	machine *program.Machine
 	ended   chan program.EndTurn
 }
 
-func newKeeper() *keeper {
-	return &keeper{machine: program.New(), ended: make(chan program.EndTurn, 16)}
+func newBudgetStore() *budgetStore {
+	return &budgetStore{machine: program.New(), ended: make(chan program.EndTurn, 16)}
 }
 
-func (k *keeper) Begin(_ context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
+func (k *budgetStore) Begin(_ context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	turn.Input = bytes.Clone(turn.Input)
@@ -34,7 +34,7 @@
 	return k.machine.Apply(program.Command{Begin: &turn}), nil
 }
 
-func (k *keeper) End(_ context.Context, _ string, turn program.EndTurn) (program.Result, error) {
+func (k *budgetStore) End(_ context.Context, _ string, turn program.EndTurn) (program.Result, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	turn.Output = bytes.Clone(turn.Output)
@@ -47,31 +47,31 @@
 // A budget for one turn and two events more: the most of a turn is five events, and an event holds three tokens.
 var tightBudget = []string{"Program: p", "Budget: 21", "X-Token-Counts: 100,15"}
 
-// settlePatience is more than a turn needs to be settled.
-const settlePatience = 10 * time.Second
+// commitWait is more than a turn needs to be committed.
+const commitWait = 10 * time.Second
 
-// newKept starts a proxy whose programs a keeper keeps.
-func newKept(t *testing.T, endpoints ...*endpoint) (*fixture, *keeper) {
+// newFixtureWithBudgets starts a proxy whose programs a keeper keeps.
+func newFixtureWithBudgets(t *testing.T, endpoints ...*endpoint) (*fixture, *budgetStore) {
 	t.Helper()
-	k := newKeeper()
+	k := newBudgetStore()
 	f := newFixtureWith(t, func(options *Options) { options.Programs = k }, endpoints...)
 	return f, k
 }
 
-// turn plays one turn and waits until it is settled; one that is refused by its budget isn't.
-func (f *fixture) turn(k *keeper, route, id string) answer {
+// turn runs one turn and waits until it is committed; one that is rejected by its budget isn't.
+func (f *fixture) turn(k *budgetStore, route, id string) clientResponse {
 	f.t.Helper()
 	c := f.dial()
-	c.ask("POST", "/"+route+"/x", id, "input", tightBudget...)
+	c.request("POST", "/"+route+"/x", id, "input", tightBudget...)
 	got := c.read("POST")
 	if got.status != 402 {
 		select {
 		case end := <-k.ended:
 			if end.Turn != id {
-				f.t.Fatalf("settled %q in place of %q", end.Turn, id)
+				f.t.Fatalf("committed %q in place of %q", end.Turn, id)
 			}
-		case <-time.After(settlePatience):
-			f.t.Fatalf("%q isn't settled", id)
+		case <-time.After(commitWait):
+			f.t.Fatalf("%q isn't committed", id)
 		}
 	}
 	return got
@@ -80,7 +80,7 @@
 func TestTurn_DidNotRun_ReleasesReservation(t *testing.T) {
 	five := stream(event(1, "a"), event(2, "b"), event(3, "c"), event(4, "d"), event(5, "e"))
 	cutAfterOne := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	}
 	cases := []struct {
@@ -88,12 +88,12 @@
 		script func(net.Conn, received) bool // of the first turn; nil: no endpoint
 		left   bool                          // a turn of the most still fits
 	}{
-		{"given no endpoint for a turn then all of it is given back", nil, true},
-		{"given a turn that is turned away then all of it is given back", turnAway, true},
-		{"given a turn that fails with a 4xx then all of it is given back", answerWith(413, "no"), true},
-		{"given a turn that is reset before its first event then all of it is given back", resetAtOnce, true},
+		{"given no endpoint for a turn then its whole reservation is released", nil, true},
+		{"given a turn that is rejected then its whole reservation is released", respondNotRun, true},
+		{"given a turn that fails with a 4xx then its whole reservation is released", respondWith(413, "no"), true},
+		{"given a turn that is reset before its first event then its whole reservation is released", resetConnection, true},
 		{"given a turn that breaks off after an event then the rest is given back", cutAfterOne, true},
-		{"given a turn that is answered whole then what it handed on is spent", five, false},
+		{"given a turn that is answered completely then what it forwarded is spent", five, false},
 	}
 	for _, test := range cases {
 		for _, route := range []string{"turn", "stream"} {
@@ -105,21 +105,21 @@
 					}
 					return five(socket, request)
 				})
-				f, k := newKept(t, e)
-				all := f.chooser.endpoints
+				f, k := newFixtureWithBudgets(t, e)
+				all := f.selector.endpoints
 				if test.script == nil {
 					again.Store(true)
-					f.chooser.endpoints = nil
+					f.selector.endpoints = nil
 				}
 				f.turn(k, route, "first")
-				f.chooser.endpoints = all
+				f.selector.endpoints = all
 				runs := e.count.Load()
 				got := f.turn(k, route, "second")
 				if (got.status == 200) != test.left || (got.status == 402) == test.left {
 					t.Errorf("the second turn got %+v", got)
 				}
 				if got.status == 402 && e.count.Load() != runs {
-					t.Error("a turn that was refused for its budget has run")
+					t.Error("a turn that was rejected for its budget has run")
 				}
 			})
 		}
@@ -127,34 +127,34 @@
 }
 
 func TestProgram_EndlessLoop_StaysWithinBudget(t *testing.T) {
-	// given a program that asks on, also when it is told that its budget is spent
+	// given a program that requests on, also when it learns that its budget is spent
 	events := stream(event(1, "a"), event(2, "b"))
 	e := newEndpoint(t, events)
-	f, k := newKept(t, e)
-	served, refused := 0, 0
+	f, k := newFixtureWithBudgets(t, e)
+	served, rejected := 0, 0
 	for i := range 10 {
 		switch got := f.turn(k, "turn", "t"+string(rune('0'+i))); got.status {
 		case 200:
 			served++
 		case 402:
-			refused++
+			rejected++
 		default:
 			t.Fatalf("got %+v", got)
 		}
 	}
 	// then it gets turns as long as one of the most fits: 6 tokens each, up to 21 with 15 set aside
-	if served != 2 || refused != 8 || e.count.Load() != 2 {
-		t.Errorf("%d served, %d refused, %d runs", served, refused, e.count.Load())
+	if served != 2 || rejected != 8 || e.count.Load() != 2 {
+		t.Errorf("%d served, %d rejected, %d runs", served, rejected, e.count.Load())
 	}
 }
 
 func TestUsageCommitter_CommitLost_RetriesWithinBound(t *testing.T) {
-	const bound = time.Second // settleMs of the deployments
+	const bound = time.Second // the settleMs setting of the deployments
 	for lost := range 4 {
 		synctest.Test(t, func(t *testing.T) {
 			// given stores that lose some offers of an end
 			offers := 0
-			stores := &programs{ended: make(chan program.EndTurn, 1), end: func(program.EndTurn) error {
+			stores := &fakePrograms{ended: make(chan program.EndTurn, 1), end: func(program.EndTurn) error {
 				offers++
 				if offers <= lost {
 					return errors.New("lost")
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -12,8 +12,8 @@
 	"mastusher/internal/tier/program"
 )
 
-// workOn answers with a part and then works until its caller goes.
-func workOn(started chan<- struct{}, part func(received) string) func(net.Conn, received) bool {
+// workUntilClose answers with a part and then works until its caller goes.
+func workUntilClose(started chan<- struct{}, part func(received) string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
 		io.WriteString(socket, part(request))
 		started <- struct{}{}
@@ -22,14 +22,14 @@
 	}
 }
 
-// gonePatience is more than it takes until a client's leaving is noticed.
-const gonePatience = 10 * time.Second
+// disconnectWait is more than it takes until a client's leaving is noticed.
+const disconnectWait = 10 * time.Second
 
 func TestClient_Closes_EndsAllWorkForIt(t *testing.T) {
 	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealed(200, request, streamHead) }
+	head := func(request received) string { return sealedHead(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
-	half := func(request received) string { return sealed(200, request, "Content-Length: 100000") + "half" }
+	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
 	cases := []struct {
 		name  string
 		route string
@@ -51,21 +51,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work, and another one that could take the request
 			started := make(chan struct{}, 1)
-			first, second := newEndpoint(t, workOn(started, test.part)), newEndpoint(t, answerWith(200, "good"))
+			first, second := newEndpoint(t, workUntilClose(started, test.part)), newEndpoint(t, respondWith(200, "good"))
 			f := newFixture(t, first, second)
-			f.giveUpAfter(10 * gonePatience.Milliseconds())
+			f.setRouteTimeout(10 * disconnectWait.Milliseconds())
 			c := f.dial()
-			c.ask("POST", "/"+test.route+"/x", "id", "body", turnFields...)
+			c.request("POST", "/"+test.route+"/x", "id", "body", turnFields...)
 			<-started
 			// when the client goes
 			c.socket.Close()
 			// then the endpoint's work ends, long before the request's time is over, and nothing is begun anew
 			select {
 			case <-first.closed:
-			case <-time.After(gonePatience):
+			case <-time.After(disconnectWait):
 				t.Fatal("the endpoint works on")
 			}
-			if outcome := <-f.chooser.outcomes; outcome.Result != ClientClosed {
+			if outcome := <-f.selector.outcomes; outcome.Result != ClientClosed {
 				t.Errorf("outcome %+v", outcome)
 			}
 			f.stop()
@@ -77,8 +77,8 @@
 }
 
 func TestQueuedRequest_ClientCloses_LeavesQueue(t *testing.T) {
-	// given an endpoint whose only place is taken, and a request that waits for it
-	s, held := newFullScheduler(t)
+	// given an endpoint at capacity, and a request that waits for it
+	s, inFlight := newSaturatedBalancer(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
 	config := newConfiguration()
 	for i := range config.Routes {
@@ -86,12 +86,12 @@
 	}
 	f.views.routes.Store(NewRoutes(config))
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body")
-	awaitWaiters(s, 1)
-	// when its client goes, then it waits no more, and gets no place when there is one
+	c.request("POST", "/once/x", "id", "body")
+	awaitQueued(s, 1)
+	// when its client goes, then it waits no more, and gets no capacity when there is some
 	c.socket.Close()
-	awaitWaiters(s, 0)
-	s.Done(held, Outcome{Result: Succeeded})
+	awaitQueued(s, 0)
+	s.Done(inFlight, Outcome{Result: Succeeded})
 	f.stop()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,21 +101,21 @@
 }
 
 func TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack(t *testing.T) {
-	// given a request that gets a place at the moment at which its client goes
-	s, held := newFullScheduler(t)
+	// given a request that gets capacity at the moment at which its client goes
+	s, inFlight := newSaturatedBalancer(t)
 	s.mutex.Lock()
-	id, w, refusal := s.enqueue(newFacts(0))
+	id, w, rejection := s.enqueue(newRequestInfo(0))
 	s.mutex.Unlock()
-	if refusal != nil {
-		t.Fatal(refusal)
+	if rejection != nil {
+		t.Fatal(rejection)
 	}
-	s.Done(held, Outcome{Result: Succeeded})
+	s.Done(inFlight, Outcome{Result: Succeeded})
 	gone, leave := context.WithCancel(t.Context())
 	leave()
 	s.leaveQueue(gone, id, w)
-	// then the next one gets that place
-	if _, err := s.Select(t.Context(), newFacts(0)); err != nil {
-		t.Errorf("the place was not free: %v", err)
+	// then the next one gets that capacity
+	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
+		t.Errorf("the capacity was not free: %v", err)
 	}
 }
 
@@ -124,12 +124,12 @@
 	e := newEndpoint(t, stream(event(1, "one")))
 	f := newFixture(t, e)
 	asked := make(chan struct{})
-	f.programs.hold = func(ctx context.Context) {
+	f.programs.beforeBegin = func(ctx context.Context) {
 		close(asked)
 		<-ctx.Done()
 	}
 	c := f.dial()
-	c.ask("POST", "/turn/x", "id", "body", turnFields...)
+	c.request("POST", "/turn/x", "id", "body", turnFields...)
 	<-asked
 	// when the client goes, then the turn isn't sent, and what it reserved is given back
 	c.socket.Close()
@@ -143,7 +143,7 @@
 }
 
 func TestTurn_ClientClosesBeforeLastByte_IsCommitted(t *testing.T) {
-	// given a turn whose answer has come whole but for its last byte, which waits for the stores
+	// given a turn whose answer has come completely but for its last byte, which waits for the stores
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	asked, release := make(chan struct{}, 2), make(chan struct{})
 	f.programs.end = func(program.EndTurn) error {
@@ -152,12 +152,12 @@
 		return nil
 	}
 	c := f.dial()
-	c.ask("POST", "/turn/x", "id", "body", turnFields...)
+	c.request("POST", "/turn/x", "id", "body", turnFields...)
 	<-asked
 	// when the client goes and the stores answer, then its tokens count
 	c.socket.Close()
 	close(release)
 	if end := <-f.programs.ended; end.Turn != "id" || end.Tokens != 3 {
-		t.Errorf("settled with %+v", end)
+		t.Errorf("committed with %+v", end)
 	}
 }
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -11,11 +11,11 @@
 	"mastusher/internal/tier/program"
 )
 
-// shortGiveUpMs is a time for which routes hold requests that a test can wait for, and in which an endpoint surely answers.
-const shortGiveUpMs = 1000
+// shortTimeoutMs is a time for which routes hold requests that a test can wait for, and in which an endpoint surely answers.
+const shortTimeoutMs = 1000
 
-// giveUpAfter makes every route hold its requests so long, and let them wait for a place all that time.
-func (f *fixture) giveUpAfter(milliseconds int64) {
+// setRouteTimeout makes every route hold its requests so long, and let them wait for capacity all that time.
+func (f *fixture) setRouteTimeout(milliseconds int64) {
 	config := newConfiguration()
 	for i := range config.Routes {
 		config.Routes[i].TimeoutMs = milliseconds
@@ -27,9 +27,9 @@
 func TestRequest_RouteTimeout_EndsInEveryState(t *testing.T) {
 	t.Parallel()
 	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealed(200, request, streamHead) }
+	head := func(request received) string { return sealedHead(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
-	half := func(request received) string { return sealed(200, request, "Content-Length: 100000") + "half" }
+	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
 	const cut = 0
 	cases := []struct {
 		name   string
@@ -53,11 +53,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			// given an endpoint that goes on for ever, and a client with all the time in the world
-			e := newEndpoint(t, workOn(make(chan struct{}, 1), test.part))
+			e := newEndpoint(t, workUntilClose(make(chan struct{}, 1), test.part))
 			f := newFixture(t, e)
-			f.giveUpAfter(shortGiveUpMs)
+			f.setRouteTimeout(shortTimeoutMs)
 			c := f.dial()
-			c.ask("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
+			c.request("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 			// when the route's time is over, then the request ends, at the client as at the endpoint
 			got := c.read("POST")
 			if test.status == cut && got.err == nil {
@@ -67,7 +67,7 @@
 				t.Errorf("got %+v", got)
 			}
 			<-e.closed
-			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded {
+			if outcome := <-f.selector.outcomes; outcome.Result != DeadlineExceeded {
 				t.Errorf("outcome %+v", outcome)
 			}
 		})
@@ -76,13 +76,13 @@
 
 func TestRequest_NotSentByDeadline_IsRejected(t *testing.T) {
 	t.Parallel()
-	t.Run("it waits for a place", func(t *testing.T) {
+	t.Run("it waits for capacity", func(t *testing.T) {
 		t.Parallel()
-		s, _ := newFullScheduler(t)
+		s, _ := newSaturatedBalancer(t)
 		f := newFixtureWith(t, func(options *Options) { options.Selector = s })
-		f.giveUpAfter(shortGiveUpMs)
+		f.setRouteTimeout(shortTimeoutMs)
 		c := f.dial()
-		c.ask("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 60000")
+		c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 60000")
 		if got := c.read("POST"); got.status != 503 {
 			t.Errorf("got %+v", got)
 		}
@@ -91,11 +91,11 @@
 		t.Parallel()
 		e := newEndpoint(t, stream(event(1, "one")))
 		f := newFixture(t, e)
-		f.giveUpAfter(shortGiveUpMs)
-		f.programs.hold = func(ctx context.Context) { <-ctx.Done() }
+		f.setRouteTimeout(shortTimeoutMs)
+		f.programs.beforeBegin = func(ctx context.Context) { <-ctx.Done() }
 		f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{}, errors.New("no owner") }
 		c := f.dial()
-		c.ask("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
+		c.request("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 		if got := c.read("POST"); got.status != 503 || e.count.Load() != 0 {
 			t.Errorf("got %+v", got)
 		}
@@ -104,11 +104,11 @@
 
 func TestTurn_CommitNotDurableByDeadline_IsBrokenOff(t *testing.T) {
 	t.Parallel()
-	// given stores that don't answer the end of a turn that came whole
+	// given stores that don't answer the end of a turn that came completely
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
-	f.giveUpAfter(shortGiveUpMs)
+	f.setRouteTimeout(shortTimeoutMs)
 	release := make(chan struct{})
-	f.programs.settle = func(ctx context.Context) error {
+	f.programs.beforeEnd = func(ctx context.Context) error {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -117,21 +117,21 @@
 		}
 	}
 	c := f.dial()
-	c.ask("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
-	// when the route's time is over, then the client sees the turn cut, and its tokens are settled later
+	c.request("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
+	// when the route's time is over, then the client sees the response broken off, and its tokens are committed later
 	if got := c.read("POST"); got.err == nil {
 		t.Errorf("looks complete: %+v", got)
 	}
 	close(release)
 	if end := <-f.programs.ended; end.Complete || end.Tokens != 3 {
-		t.Errorf("settled with %+v", end)
+		t.Errorf("committed with %+v", end)
 	}
 }
 
 func TestTimeLeft_IsAtMostClientsAndRoutes(t *testing.T) {
 	cases := []struct {
 		name   string
-		told   string // by the client; empty: nothing
+		sent   string // by the client; empty: nothing
 		giveUp int64
 		most   int
 	}{
@@ -143,49 +143,49 @@
 	for _, test := range cases {
 		for _, route := range newConfiguration().Routes {
 			t.Run(test.name+", "+route.Name, func(t *testing.T) {
-				script := answerWith(200, "good")
+				script := respondWith(200, "good")
 				if route.Kind == model.Streaming {
 					script = stream(event(1, "one"))
 				}
-				first, second := newEndpoint(t, firstFails(route)), newEndpoint(t, script)
+				first, second := newEndpoint(t, failFirstAttempt(route)), newEndpoint(t, script)
 				f := newFixture(t, first, second)
-				f.giveUpAfter(test.giveUp)
+				f.setRouteTimeout(test.giveUp)
 				c := f.dial()
 				fields := turnFields
-				if test.told != "" {
-					fields = append(fields, "X-Time-Left-Ms: "+test.told)
+				if test.sent != "" {
+					fields = append(fields, "X-Time-Left-Ms: "+test.sent)
 				}
-				c.ask("POST", "/"+route.Name+"/x", "id", "body", fields...)
+				c.request("POST", "/"+route.Name+"/x", "id", "body", fields...)
 				if got := c.read("POST"); got.status != 200 || got.err != nil {
 					t.Fatalf("got %+v", got)
 				}
 				before, after := timeLeftOf(t, <-first.requests), timeLeftOf(t, <-second.requests)
 				if before > test.most || after > before || after < test.most/2 {
-					t.Errorf("told %d, then %d, at most %d", before, after, test.most)
+					t.Errorf("received %d, then %d, at most %d", before, after, test.most)
 				}
 			})
 		}
 	}
 }
 
-// firstFails is a failure after which a request of the route goes to another endpoint.
-func firstFails(route model.Route) func(net.Conn, received) bool {
+// failFirstAttempt is a failure after which a request of the route goes to another endpoint.
+func failFirstAttempt(route model.Route) func(net.Conn, received) bool {
 	if retryable(&route) {
-		return resetAtOnce
+		return resetConnection
 	}
-	return turnAway
+	return respondNotRun
 }
 
-// timeLeftOf returns the milliseconds that an endpoint was told.
+// timeLeftOf returns the milliseconds that an endpoint got.
 func timeLeftOf(t *testing.T, request received) int {
 	t.Helper()
-	told := request.header["X-Time-Left-Ms"]
-	if len(told) != 1 {
-		t.Fatalf("told %q", told)
+	value := request.header["X-Time-Left-Ms"]
+	if len(value) != 1 {
+		t.Fatalf("time left %q", value)
 	}
-	milliseconds, err := strconv.Atoi(told[0])
+	milliseconds, err := strconv.Atoi(value[0])
 	if err != nil || milliseconds < 1 {
-		t.Fatalf("told %q", told[0])
+		t.Fatalf("time left %q", value[0])
 	}
 	return milliseconds
 }
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -13,8 +13,8 @@
 	const second = float64(time.Second)
 	for _, test := range []struct {
 		kind        apierror.Kind
-		wait        time.Duration // named by whoever refused
-		least, most time.Duration // told
+		wait        time.Duration // set by whoever rejected
+		least, most time.Duration // of Retry-After
 	}{
 		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
 		{apierror.StateUnavailable, 0, 450 * time.Millisecond, 585 * time.Millisecond},
@@ -25,12 +25,12 @@
 		for range 20 {
 			recorder := httptest.NewRecorder()
 			writeError(recorder, test.kind, test.wait)
-			told, err := strconv.ParseFloat(recorder.Header().Get(headerRetryAfter), 64)
+			value, err := strconv.ParseFloat(recorder.Header().Get(headerRetryAfter), 64)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := time.Duration(told * second); got < test.least || got > test.most+time.Millisecond {
-				t.Errorf("%v, named %v: told %v, want %v to %v", test.kind, test.wait, got, test.least, test.most)
+			if got := time.Duration(value * second); got < test.least || got > test.most+time.Millisecond {
+				t.Errorf("%v, set to %v: got %v, want %v to %v", test.kind, test.wait, got, test.least, test.most)
 			}
 		}
 	}
--- a/internal/tier/proxy/eventscanner_test.go
+++ b/internal/tier/proxy/eventscanner_test.go
@@ -8,37 +8,37 @@
 	"pgregory.net/rapid"
 )
 
-// scanned is what a scanner made of a stream.
-type scanned struct {
+// scanResult is what a scanner made of a stream.
+type scanResult struct {
 	Passed, Output, LastID string
 	Count                  int64
 }
 
-func scanAll(chunks ...string) scanned {
+func scanAll(chunks ...string) scanResult {
 	scanner := eventScanner{collect: true}
 	var passed strings.Builder
 	for _, chunk := range chunks {
 		passed.Write(scanner.feed([]byte(chunk)))
 	}
 	passed.Write(scanner.finish())
-	return scanned{passed.String(), string(scanner.output), scanner.lastID, scanner.count}
+	return scanResult{passed.String(), string(scanner.output), scanner.lastID, scanner.count}
 }
 
 func TestEventScanner_Streams_CountsEventsAndIDs(t *testing.T) {
 	cases := []struct {
 		name   string
 		stream string
-		want   scanned
+		want   scanResult
 	}{
-		{"nothing", "", scanned{}},
-		{"one event", "id: 7\ndata: a b\n\n", scanned{Output: "a b\n", LastID: "7", Count: 1}},
-		{"several lines of data", "data: a\ndata:b\ndata:  c\ndata\n\n", scanned{Output: "a\nb\n c\n\n", Count: 1}},
-		{"line ends of two bytes", "id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", scanned{Output: "a\nb\n", LastID: "1", Count: 2}},
+		{"nothing", "", scanResult{}},
+		{"one event", "id: 7\ndata: a b\n\n", scanResult{Output: "a b\n", LastID: "7", Count: 1}},
+		{"several lines of data", "data: a\ndata:b\ndata:  c\ndata\n\n", scanResult{Output: "a\nb\n c\n\n", Count: 1}},
+		{"line ends of two bytes", "id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", scanResult{Output: "a\nb\n", LastID: "1", Count: 2}},
 		{"comments and other fields", ": hello\n\nversions: 3\nid: 2\nevent: x\ndata: a\n\nretry: 5\n\n",
-			scanned{Output: "a\n", LastID: "2", Count: 1}},
-		{"no blank line at the end", "data: a\n\nid: 3\ndata: b", scanned{Output: "a\nb\n", LastID: "3", Count: 2}},
-		{"one line feed at the end", "data: a\n\ndata: b\n", scanned{Output: "a\nb\n", Count: 2}},
-		{"blank lines", "\n\n\ndata: a\n\n\n", scanned{Output: "a\n", Count: 1}},
+			scanResult{Output: "a\n", LastID: "2", Count: 1}},
+		{"no blank line at the end", "data: a\n\nid: 3\ndata: b", scanResult{Output: "a\nb\n", LastID: "3", Count: 2}},
+		{"one line feed at the end", "data: a\n\ndata: b\n", scanResult{Output: "a\nb\n", Count: 2}},
+		{"blank lines", "\n\n\ndata: a\n\n\n", scanResult{Output: "a\n", Count: 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -21,37 +21,37 @@
 	"mastusher/internal/tier/program"
 )
 
-// views is a Views that a test sets.
-type views struct {
+// fakeViews is a Views that a test sets.
+type fakeViews struct {
 	routes atomic.Pointer[Routes]
 	ready  atomic.Bool
 }
 
-func (v *views) Routes() *Routes { return v.routes.Load() }
-func (v *views) Ready() bool     { return v.ready.Load() }
+func (v *fakeViews) Routes() *Routes { return v.routes.Load() }
+func (v *fakeViews) Ready() bool     { return v.ready.Load() }
 
-// programs is a Programs that records what it is told.
-type programs struct {
-	hold   func(context.Context)                           // nil: a beginning is answered at once
-	begin  func(program.BeginTurn) (program.Result, error) // nil: every turn is taken
-	end    func(program.EndTurn) error                     // nil: every end is safe
-	settle func(context.Context) error                     // nil: an end is answered at once
-	lost   func(program.EndTurn) bool                      // nil: every turn is known
+// fakePrograms is a Programs that records its calls.
+type fakePrograms struct {
+	beforeBegin func(context.Context)                           // nil: a beginning is answered at once
+	begin       func(program.BeginTurn) (program.Result, error) // nil: every turn is taken
+	end         func(program.EndTurn) error                     // nil: every end is safe
+	beforeEnd   func(context.Context) error                     // nil: an end is answered at once
+	unknown     func(program.EndTurn) bool                      // nil: every turn is known
 
-	mutex  sync.Mutex
-	begins []program.BeginTurn
-	keys   []string
-	ended  chan program.EndTurn
+	mutex     sync.Mutex
+	begins    []program.BeginTurn
+	shardKeys []string
+	ended     chan program.EndTurn
 }
 
-func (p *programs) Begin(ctx context.Context, key string, turn program.BeginTurn) (program.Result, error) {
-	if p.hold != nil {
-		p.hold(ctx)
+func (p *fakePrograms) Begin(ctx context.Context, key string, turn program.BeginTurn) (program.Result, error) {
+	if p.beforeBegin != nil {
+		p.beforeBegin(ctx)
 	}
 	p.mutex.Lock()
 	turn.Input = bytes.Clone(turn.Input)
 	p.begins = append(p.begins, turn)
-	p.keys = append(p.keys, key)
+	p.shardKeys = append(p.shardKeys, key)
 	p.mutex.Unlock()
 	if p.begin == nil {
 		return program.Result{Verdict: program.Accepted}, nil
@@ -59,9 +59,9 @@
 	return p.begin(turn)
 }
 
-func (p *programs) End(ctx context.Context, _ string, turn program.EndTurn) (program.Result, error) {
-	if p.settle != nil {
-		if err := p.settle(ctx); err != nil {
+func (p *fakePrograms) End(ctx context.Context, _ string, turn program.EndTurn) (program.Result, error) {
+	if p.beforeEnd != nil {
+		if err := p.beforeEnd(ctx); err != nil {
 			return program.Result{}, err
 		}
 	}
@@ -70,50 +70,50 @@
 			return program.Result{}, err
 		}
 	}
-	if p.lost != nil && p.lost(turn) {
+	if p.unknown != nil && p.unknown(turn) {
 		return program.Result{Verdict: program.UnknownTurn}, nil
 	}
 	p.ended <- turn
 	return program.Result{Verdict: program.Accepted}, nil
 }
 
-// chooser is a Selector that offers endpoints in order, each once.
-type chooser struct {
+// fakeSelector is a Selector that offers endpoints in order, each once.
+type fakeSelector struct {
 	endpoints []Selection
 	outcomes  chan Outcome
 
-	mutex sync.Mutex
-	facts []RequestInfo
-	first int
+	mutex       sync.Mutex
+	infos       []RequestInfo
+	firstEvents int
 }
 
-func (c *chooser) Select(_ context.Context, facts *RequestInfo) (Selection, error) {
+func (c *fakeSelector) Select(_ context.Context, info *RequestInfo) (Selection, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.facts = append(c.facts, *facts)
-	for _, choice := range c.endpoints {
-		if !slices.Contains(facts.Excluded, choice.ID) {
-			return choice, nil
+	c.infos = append(c.infos, *info)
+	for _, selection := range c.endpoints {
+		if !slices.Contains(info.Excluded, selection.ID) {
+			return selection, nil
 		}
 	}
 	return Selection{}, &Rejection{RetryAfter: 250 * time.Millisecond}
 }
 
-func (c *chooser) FirstEvent(Selection, string) {
+func (c *fakeSelector) FirstEvent(Selection, string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.first++
+	c.firstEvents++
 }
 
-func (c *chooser) Done(_ Selection, outcome Outcome) { c.outcomes <- outcome }
+func (c *fakeSelector) Done(_ Selection, outcome Outcome) { c.outcomes <- outcome }
 
 // fixture is a proxy that runs with everything around it under a test's control.
 type fixture struct {
 	t        *testing.T
 	proxy    *Proxy
-	views    *views
-	programs *programs
-	chooser  *chooser
+	views    *fakeViews
+	programs *fakePrograms
+	selector *fakeSelector
 	config   *model.Configuration
 }
 
@@ -128,13 +128,13 @@
 	t.Helper()
 	f := &fixture{
 		t:        t,
-		views:    &views{},
-		programs: &programs{ended: make(chan program.EndTurn, 16)},
-		chooser:  &chooser{outcomes: make(chan Outcome, 64)},
+		views:    &fakeViews{},
+		programs: &fakePrograms{ended: make(chan program.EndTurn, 16)},
+		selector: &fakeSelector{outcomes: make(chan Outcome, 64)},
 		config:   newConfiguration(),
 	}
 	for i, e := range endpoints {
-		f.chooser.endpoints = append(f.chooser.endpoints, Selection{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
+		f.selector.endpoints = append(f.selector.endpoints, Selection{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
 	}
 	f.views.routes.Store(NewRoutes(f.config))
 	f.views.ready.Store(true)
@@ -143,7 +143,7 @@
 		ReadinessAddress: "127.0.0.1:0",
 		Views:            f.views,
 		Programs:         f.programs,
-		Selector:         f.chooser,
+		Selector:         f.selector,
 	}
 	change(&options)
 	var err error
@@ -224,8 +224,8 @@
 	}
 }
 
-// ask sends a request with a body of known length.
-func (c *client) ask(method, target, id, body string, fields ...string) {
+// request sends a request with a body of known length.
+func (c *client) request(method, target, id, body string, fields ...string) {
 	c.t.Helper()
 	head := method + " " + target + " HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: " + id + "\r\n"
 	if body != "" {
@@ -237,8 +237,8 @@
 	c.send(head + "\r\n" + body)
 }
 
-// answer is an answer with its whole body, or with the error at which the body ended.
-type answer struct {
+// clientResponse is an response with its complete body, or with the error at which the body ended.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -256,11 +256,11 @@
 	return response
 }
 
-func (c *client) read(method string) answer {
+func (c *client) read(method string) clientResponse {
 	c.t.Helper()
 	response := c.head(method)
 	body, err := io.ReadAll(response.Body)
-	return answer{response.StatusCode, response.Header, string(body), response.Close, err}
+	return clientResponse{response.StatusCode, response.Header, string(body), response.Close, err}
 }
 
 // closedSilently tells whether the connection ends without any byte.
@@ -344,30 +344,30 @@
 	}
 }
 
-// sealed returns the head of an answer with a seal; fields are whole lines.
-func sealed(status int, request received, fields ...string) string {
+// sealedHead returns the head of a response with a seal; fields are complete lines.
+func sealedHead(status int, request received, fields ...string) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nX-Attempt-Id: " + request.id() +
 		"\r\nX-Server-Seal: seal-" + request.id() + "\r\nKeep-Alive: timeout=30\r\n" + strings.Join(append(fields, ""), "\r\n") + "\r\n"
 }
 
 func withLength(body string) string { return "Content-Length: " + strconv.Itoa(len(body)) }
 
-// answerWith gives a whole answer of a length that is told.
-func answerWith(status int, body string, fields ...string) func(net.Conn, received) bool {
+// respondWith gives a complete response with a Content-Length.
+func respondWith(status int, body string, fields ...string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(status, request, append(fields, withLength(body))...)+body)
+		io.WriteString(socket, sealedHead(status, request, append(fields, withLength(body))...)+body)
 		return true
 	}
 }
 
-// turnAway says that the request was not run.
-func turnAway(socket net.Conn, request received) bool {
+// respondNotRun says that the request was not run.
+func respondNotRun(socket net.Conn, request received) bool {
 	io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// resetAtOnce breaks the connection after the request was read.
-func resetAtOnce(socket net.Conn, _ received) bool {
+// resetConnection breaks the connection after the request was read.
+func resetConnection(socket net.Conn, _ received) bool {
 	socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
 	return false
@@ -391,7 +391,7 @@
 // stream answers with events, each in a chunk of its own.
 func stream(events ...string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
-		text := sealed(200, request, streamHead)
+		text := sealedHead(200, request, streamHead)
 		for _, one := range events {
 			text += chunk(one)
 		}
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -17,11 +17,11 @@
 	"mastusher/internal/tier/model"
 )
 
-// newFacts returns a request of a route with that rank, which may wait for a second.
-func newFacts(rank int) *RequestInfo {
+// newRequestInfo returns a request of a route with that priority, which may wait for a second.
+func newRequestInfo(priority int) *RequestInfo {
 	now := time.Now()
 	return &RequestInfo{
-		Route: &model.Route{Name: fmt.Sprint("r", rank), Kind: model.AtMostOnce, Priority: rank, MaxAttempts: 1, LatencyTargetMs: 4000, TimeoutMs: 8000,
+		Route: &model.Route{Name: fmt.Sprint("r", priority), Kind: model.AtMostOnce, Priority: priority, MaxAttempts: 1, LatencyTargetMs: 4000, TimeoutMs: 8000,
 			Service: "plain"},
 		Service:   &model.Service{Name: "plain", MaxConnections: 80},
 		ArrivedAt: now,
@@ -29,58 +29,58 @@
 	}
 }
 
-// newFullScheduler returns a scheduler with one endpoint whose only slot is taken, and what holds it.
-func newFullScheduler(t *testing.T) (*LoadBalancer, Selection) {
+// newSaturatedBalancer returns a load balancer with one endpoint at capacity, and the selection in flight there.
+func newSaturatedBalancer(t *testing.T) (*LoadBalancer, Selection) {
 	t.Helper()
 	s := NewLoadBalancer("z", 1)
 	s.balancer = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
 	s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
-	held, err := s.Select(t.Context(), newFacts(0))
-	if err != nil || held.ID != "e" || held.Address != "127.0.0.1:1" || held.MaxConnections != 10 {
-		t.Fatalf("%+v, %v", held, err)
+	inFlight, err := s.Select(t.Context(), newRequestInfo(0))
+	if err != nil || inFlight.ID != "e" || inFlight.Address != "127.0.0.1:1" || inFlight.MaxConnections != 10 {
+		t.Fatalf("%+v, %v", inFlight, err)
 	}
-	return s, held
+	return s, inFlight
 }
 
-// waiters returns how many requests wait.
-func (s *LoadBalancer) waiters() int {
+// queued returns how many requests wait.
+func (s *LoadBalancer) queued() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.waiting)
 }
 
-func awaitWaiters(s *LoadBalancer, count int) {
-	for s.waiters() != count {
+func awaitQueued(s *LoadBalancer, count int) {
+	for s.queued() != count {
 		runtime.Gosched()
 	}
 }
 
 func TestLoadBalancer_NoEndpoint_Rejects(t *testing.T) {
 	s := NewLoadBalancer("z", 1)
-	_, err := s.Select(t.Context(), newFacts(0))
-	var refusal *Rejection
-	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
+	_, err := s.Select(t.Context(), newRequestInfo(0))
+	var rejection *Rejection
+	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestLoadBalancer_CapacityFreed_MostUrgentFirst(t *testing.T) {
-	s, held := newFullScheduler(t)
+	s, inFlight := newSaturatedBalancer(t)
 	order := make(chan int, 3)
 	var done sync.WaitGroup
-	for i, rank := range []int{2, 0, 1} {
+	for i, priority := range []int{2, 0, 1} {
 		done.Go(func() {
-			choice, err := s.Select(t.Context(), newFacts(rank))
+			selection, err := s.Select(t.Context(), newRequestInfo(priority))
 			if err != nil {
-				t.Errorf("rank %d: %v", rank, err)
+				t.Errorf("priority %d: %v", priority, err)
 				return
 			}
-			order <- rank
-			s.Done(choice, Outcome{Result: Succeeded, Took: time.Millisecond})
+			order <- priority
+			s.Done(selection, Outcome{Result: Succeeded, Took: time.Millisecond})
 		})
-		awaitWaiters(s, i+1)
+		awaitQueued(s, i+1)
 	}
-	s.Done(held, Outcome{Result: Succeeded, Took: time.Millisecond})
+	s.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
 	done.Wait()
 	if diff := cmp.Diff([]int{0, 1, 2}, []int{<-order, <-order, <-order}); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
@@ -88,48 +88,48 @@
 }
 
 func TestLoadBalancer_QueuedTooLong_Rejects(t *testing.T) {
-	s, _ := newFullScheduler(t)
-	facts := newFacts(0)
-	facts.Route.LatencyTargetMs = 80
-	_, err := s.Select(t.Context(), facts)
-	var refusal *Rejection
-	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
+	s, _ := newSaturatedBalancer(t)
+	info := newRequestInfo(0)
+	info.Route.LatencyTargetMs = 80
+	_, err := s.Select(t.Context(), info)
+	var rejection *Rejection
+	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
-	if waited := time.Since(facts.ArrivedAt); waited < 20*time.Millisecond || waited > time.Second {
-		t.Errorf("refused after %v", waited)
+	if waited := time.Since(info.ArrivedAt); waited < 20*time.Millisecond || waited > time.Second {
+		t.Errorf("rejected after %v", waited)
 	}
-	if s.waiters() != 0 {
+	if s.queued() != 0 {
 		t.Error("still waiting")
 	}
 }
 
 func TestLoadBalancer_MayHaveRun_IsNotQueued(t *testing.T) {
-	s, _ := newFullScheduler(t)
-	facts := newFacts(0)
-	facts.Route.Kind, facts.Route.MaxAttempts = model.Retryable, 2
-	facts.MayHaveRun, facts.AttemptsUsed = true, 1
-	if _, err := s.Select(t.Context(), facts); err == nil {
-		t.Error("not refused")
+	s, _ := newSaturatedBalancer(t)
+	info := newRequestInfo(0)
+	info.Route.Kind, info.Route.MaxAttempts = model.Retryable, 2
+	info.MayHaveRun, info.AttemptsUsed = true, 1
+	if _, err := s.Select(t.Context(), info); err == nil {
+		t.Error("not rejected")
 	}
 }
 
 func TestLoadBalancer_ClientCloses_LeavesNothingQueued(t *testing.T) {
-	s, held := newFullScheduler(t)
+	s, inFlight := newSaturatedBalancer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan error)
 	go func() {
-		_, err := s.Select(ctx, newFacts(0))
+		_, err := s.Select(ctx, newRequestInfo(0))
 		left <- err
 	}()
-	awaitWaiters(s, 1)
+	awaitQueued(s, 1)
 	cancel()
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	s.Done(held, Outcome{Result: Succeeded, Took: time.Millisecond})
-	if _, err := s.Select(t.Context(), newFacts(0)); err != nil {
-		t.Errorf("the place was not free: %v", err)
+	s.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
+	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
+		t.Errorf("the capacity was not free: %v", err)
 	}
 }
 
@@ -161,9 +161,9 @@
 
 func TestHeaders_Figures_AreParsed(t *testing.T) {
 	loads := map[string]balancer.Load{"3,0,8": {Running: 3, Capacity: 8}, "1, 2, 3": {Running: 1, Queued: 2, Capacity: 3}, "": {}, "3,0": {}, "a,b,c": {}}
-	for told, want := range loads {
-		if got := parseLoad(told); got != want {
-			t.Errorf("load %q: %+v", told, got)
+	for value, want := range loads {
+		if got := parseLoad(value); got != want {
+			t.Errorf("load %q: %+v", value, got)
 		}
 	}
 	prompts := []struct {
@@ -187,7 +187,7 @@
 }
 
 func TestLoadBalancer_InProxy_ServesRequests(t *testing.T) {
-	first, second := newEndpoint(t, turnAway), newEndpoint(t, answerWith(200, "good", "X-Server-Load: 1,0,8"))
+	first, second := newEndpoint(t, respondNotRun), newEndpoint(t, respondWith(200, "good", "X-Server-Load: 1,0,8"))
 	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: first.listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
@@ -196,13 +196,13 @@
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, first, second)
 	c := f.dial()
 	for i := range 20 {
-		c.ask("GET", "/once/x", fmt.Sprint(i), "")
+		c.request("GET", "/once/x", fmt.Sprint(i), "")
 		if got := c.read("GET"); got.status != 200 || got.body != "good" {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
 	if first.count.Load() == 20 {
-		t.Error("an endpoint that turns all requests away got them all")
+		t.Error("an endpoint that rejects all requests got them all")
 	}
 }
 
@@ -212,18 +212,18 @@
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		started <- struct{}{}
 		<-release
-		return answerWith(200, "good")(socket, request)
+		return respondWith(200, "good")(socket, request)
 	})
 	f := newFixture(t, e)
-	f.chooser.endpoints[0].MaxConnections = 1
+	f.selector.endpoints[0].MaxConnections = 1
 	first, second := f.dial(), f.dial()
-	first.ask("GET", "/once/x", "1", "")
+	first.request("GET", "/once/x", "1", "")
 	<-started
-	second.ask("GET", "/once/x", "2", "")
+	second.request("GET", "/once/x", "2", "")
 	if got := second.read("GET"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != NotRun {
+	if outcome := <-f.selector.outcomes; outcome.Result != NotRun {
 		t.Errorf("outcome %+v", outcome)
 	}
 	close(release)
@@ -237,12 +237,12 @@
 	var asked atomic.Int64
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if asked.Add(1) == 1 {
-			return turnAway(socket, request)
+			return respondNotRun(socket, request)
 		}
-		return answerWith(200, "good")(socket, request)
+		return respondWith(200, "good")(socket, request)
 	})
 	s := NewLoadBalancer("z", 1)
-	s.SetEndpoints(listOf([]string{e.listener.Addr().String()}, model.Ready))
+	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
@@ -251,9 +251,9 @@
 	f.views.routes.Store(NewRoutes(config))
 	// when the request comes, and another one behind it
 	first, second := f.dial(), f.dial()
-	first.ask("POST", "/once/x", "id1", "body")
+	first.request("POST", "/once/x", "id1", "body")
 	got := first.read("POST")
-	second.ask("POST", "/once/x", "id2", "body")
+	second.request("POST", "/once/x", "id2", "body")
 	// then both are served: the endpoint had promised not to run the first one
 	if got.status != 200 {
 		t.Errorf("the first request: %+v", got)
@@ -272,16 +272,16 @@
 		want       string
 	}{
 		{"given another endpoint when one has turned the request away then the other gets it", []string{"e1"}, []string{"e1"}, "e2"},
-		{"given one that may have run it when the other has turned it away then that gets it again", []string{"e1"}, []string{"e1", "e2"}, "e1"},
+		{"given one that may have run it when the other has rejected it then that gets it once more", []string{"e1"}, []string{"e1", "e2"}, "e1"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			s := NewLoadBalancer("z", 1)
-			s.SetEndpoints(listOf(addresses, model.Ready, model.Ready))
-			facts := newFacts(0)
-			facts.RejectedBy, facts.Excluded = test.turnedAway, test.excluded
-			if choice, err := s.Select(t.Context(), facts); err != nil || choice.ID != test.want {
-				t.Errorf("got %q, %v", choice.ID, err)
+			s.SetEndpoints(endpointsOf(addresses, model.Ready, model.Ready))
+			info := newRequestInfo(0)
+			info.RejectedBy, info.Excluded = test.turnedAway, test.excluded
+			if selection, err := s.Select(t.Context(), info); err != nil || selection.ID != test.want {
+				t.Errorf("got %q, %v", selection.ID, err)
 			}
 		})
 	}
@@ -293,10 +293,10 @@
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		started <- struct{}{}
 		<-release
-		return answerWith(200, "good")(socket, request)
+		return respondWith(200, "good")(socket, request)
 	})
 	s := NewLoadBalancer("z", 1)
-	s.SetEndpoints(listOf([]string{e.listener.Addr().String()}, model.Ready))
+	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
 	config := newConfiguration()
 	for i := range config.Routes {
@@ -308,12 +308,12 @@
 	f.views.routes.Store(NewRoutes(config))
 	clients := []*client{f.dial(), f.dial(), f.dial()}
 	for i, c := range clients[:minConnections] {
-		c.ask("GET", "/once/x", fmt.Sprint(i), "")
+		c.request("GET", "/once/x", fmt.Sprint(i), "")
 		<-started
 	}
 	// when another request comes and a connection is free later
-	clients[minConnections].ask("GET", "/once/x", "another", "")
-	awaitWaiters(s, 1)
+	clients[minConnections].request("GET", "/once/x", "another", "")
+	awaitQueued(s, 1)
 	close(release)
 	// then all of them are served
 	for i, c := range clients {
--- a/internal/tier/proxy/mutants_test.go
+++ b/internal/tier/proxy/mutants_test.go
@@ -8,46 +8,46 @@
 
 // Tests that notice the mutants.
 const (
-	triesTest    = "^TestRequest_AnyFailures_StaysWithinMaxAttempts$"
-	timeLeftTest = "^TestTimeLeft_IsAtMostClientsAndRoutes$"
-	goneTest     = "^TestClient_Closes_EndsAllWorkForIt$"
-	giveUpTest   = "^TestRequest_RouteTimeout_EndsInEveryState$"
-	budgetTest   = "^TestTurn_DidNotRun_ReleasesReservation$"
+	maxAttemptsTest  = "^TestRequest_AnyFailures_StaysWithinMaxAttempts$"
+	timeLeftTest     = "^TestTimeLeft_IsAtMostClientsAndRoutes$"
+	clientClosesTest = "^TestClient_Closes_EndsAllWorkForIt$"
+	routeTimeoutTest = "^TestRequest_RouteTimeout_EndsInEveryState$"
+	budgetTest       = "^TestTurn_DidNotRun_ReleasesReservation$"
 )
 
 func TestMutantsAreNoticed(t *testing.T) {
 	change := func(file, from, to string) mutation.Change { return mutation.Change{File: file, Old: from, New: to} }
 	mutation.Test(t, []mutation.Mutant{
-		{Name: "one try too many", Run: triesTest, Always: true,
+		{Name: "one attempt too many", Run: maxAttemptsTest, Always: true,
 			Change: change("retries.go", "c.mayHaveRunAttempts < c.info.Route.MaxAttempts", "c.mayHaveRunAttempts <= c.info.Route.MaxAttempts")},
-		{Name: "one try too many after a failure", Run: triesTest,
+		{Name: "one attempt too many after a failure", Run: maxAttemptsTest,
 			Change: change("retries.go", "c.mayHaveRunAttempts+1 < c.info.Route.MaxAttempts", "c.mayHaveRunAttempts < c.info.Route.MaxAttempts")},
-		{Name: "only failures count as tries", Run: triesTest,
+		{Name: "only failures count as attempts", Run: maxAttemptsTest,
 			Change: change("retries.go", "\tc.mayHaveRunAttempts++\n", "\tif result == ErrorResponse {\n\t\tc.mayHaveRunAttempts++\n\t}\n")},
-		{Name: "503 after one run", Run: triesTest,
+		{Name: "503 after one run", Run: maxAttemptsTest,
 			Change: change("retries.go", "case !c.mayHaveRun:", "case c.mayHaveRunAttempts < 2:")},
 		{Name: "the client's time is taken though its route's is shorter", Run: timeLeftTest,
 			Change: change("request.go", "allowed = min(allowed, timeLeft)", "allowed = timeLeft")},
-		{Name: "no time is told", Run: timeLeftTest,
+		{Name: "no time left is sent", Run: timeLeftTest,
 			Change: change("request.go", "\t\tDeadline:  c.info.Deadline,\n", "")},
-		{Name: "work goes on without a client", Run: goneTest,
+		{Name: "work goes on without a client", Run: clientClosesTest,
 			Change: change("request.go", "context.WithDeadline(c.request.Context(), c.info.Deadline)",
 				"context.WithDeadline(context.WithoutCancel(c.request.Context()), c.info.Deadline)")},
 		{Name: "a request whose client has gone waits on", Run: "^TestLoadBalancer_ClientCloses_LeavesNothingQueued$",
 			Change: change("queue.go", "\tb.queueFor(waiter.info.Service.Name).Remove(id)\n", "")},
-		{Name: "a place that came too late is kept", Run: "^TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack$",
+		{Name: "a selection that came too late is kept", Run: "^TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack$",
 			Change: change("queue.go", "\t\tif result.err == nil {\n", "\t\tif result.err != nil {\n")},
-		{Name: "nothing ends at the give-up time", Run: giveUpTest,
+		{Name: "nothing ends at the give-up time", Run: routeTimeoutTest,
 			Change: change("request.go", "allowed = time.Duration(routeTimeoutMs) * time.Millisecond", "allowed = time.Minute")},
 		{Name: "a turn that broke off costs all that it reserved", Run: budgetTest,
 			Change: change("turn.go", "Tokens: scanner.count * t.tokensPerEvent", "Tokens: 1 << 40")},
 		{Name: "a turn that is over its budget is sent", Run: budgetTest,
 			Change: change("turn.go", "\t\tt.reserved = false\n\t\treturn apierror.BudgetExhausted, nil, nil", "\t\treturn apierror.None, nil, nil")},
-		{Name: "a turn that was never sent isn't settled", Run: budgetTest,
+		{Name: "a turn that was never sent isn't committed", Run: budgetTest,
 			Change: change("request.go", "\tdefer c.commitUnfinishedTurn()\n", "")},
-		{Name: "ends are offered again too late", Run: "^TestUsageCommitter_CommitLost_RetriesWithinBound$",
+		{Name: "commits are retried too late", Run: "^TestUsageCommitter_CommitLost_RetriesWithinBound$",
 			Change: change("usage.go", "minCommitBackoff = 50 * time.Millisecond", "minCommitBackoff = 500 * time.Millisecond")},
-		{Name: "requests are left to the end of the process", Run: "^TestShutdown_AbandonedRequests_GetErrorResponses$",
+		{Name: "requests are not abandoned before the process ends", Run: "^TestShutdown_AbandonedRequests_GetErrorResponses$",
 			Change: change("frontend.go", "\tfailure := f.awaitEmpty(ctx)\n\tf.cancelRequests()", "\tfailure := f.awaitEmpty(ctx)")},
 		{Name: "404 without a configuration", Run: "^TestRequest_NoConfiguration_IsNotDenied$",
 			Change: change("request.go", "\t\twriteError(w, apierror.NotReady, 0)", "\t\twriteError(w, apierror.NoRoute, 0)")},
@@ -55,9 +55,9 @@
 			Change: change("turn.go", "\treturn apierror.StateUnavailable, nil, nil\n}", "\treturn apierror.TurnNotFound, nil, nil\n}")},
 		{Name: "the least urgent go first", Run: "^TestPriority_Overload_MoreUrgentServedNoLess$",
 			Change: change("../balancer/queue.go", "cmp.Compare(w.Priority, o.Priority)", "cmp.Compare(o.Priority, w.Priority)")},
-		{Name: "a drain cuts streams", Run: "^TestViewChange_PendingRequests_AreNotBrokenOff$",
+		{Name: "a drain breaks streams off", Run: "^TestViewChange_PendingRequests_AreNotBrokenOff$",
 			Change: change("server.go", "if p.draining.CompareAndSwap(false, true) {\n", "if p.draining.CompareAndSwap(false, true) {\n\t\tp.frontend.cancelRequests()\n")},
-		{Name: "the ends of turns hold up the end of the proxy", Run: "^TestShutdown_Abandoning_TakesGracePeriodAtMost$",
+		{Name: "commits of turns delay the end of the proxy", Run: "^TestShutdown_Abandoning_TakesGracePeriodAtMost$",
 			Change: change("usage.go", "waitAtMost(done, finalCommitsTimeout)", "waitAtMost(done, 2*ShutdownGracePeriod)")},
 	})
 }
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/program"
 )
 
-// denies tells whether a status of the proxy's own denies a request, and doesn't merely put it off.
-func denies(status int) bool {
+// isDenial tells whether a status of the proxy's own denies a request, and doesn't merely put it off.
+func isDenial(status int) bool {
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
 
@@ -30,7 +30,7 @@
 		"an older client":                    "GET /once/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"the shortest path of the route":     "GET /once/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"a path that could be cleaned":       "GET /once//../x/. HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
-		"no body, told":                      line + "Content-Length: 0\r\n\r\n",
+		"no body, with a length":             line + "Content-Length: 0\r\n\r\n",
 		"a body that is announced":           line + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		"a body in chunks":                   line + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
 		"the largest body":                   line + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(largest)) + largest,
@@ -41,7 +41,7 @@
 	}
 	for name, request := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, newEndpoint(t, answerWith(200, "good")))
+			f := newFixture(t, newEndpoint(t, respondWith(200, "good")))
 			c := f.dial()
 			c.send(request)
 			got := c.head("POST")
@@ -73,11 +73,11 @@
 
 func TestTurn_StoreFaults_AreNoDenial(t *testing.T) {
 	cases := map[string]func(*fixture){
-		"no endpoint": func(f *fixture) { f.chooser.endpoints = nil },
+		"no endpoint": func(f *fixture) { f.selector.endpoints = nil },
 		"all endpoints turn requests away": func(f *fixture) {
-			f.chooser.endpoints[0].Address = newEndpoint(f.t, turnAway).listener.Addr().String()
+			f.selector.endpoints[0].Address = newEndpoint(f.t, respondNotRun).listener.Addr().String()
 		},
-		"no endpoint can be reached": func(f *fixture) { f.chooser.endpoints[0].Address = "127.0.0.1:1" },
+		"no endpoint can be reached": func(f *fixture) { f.selector.endpoints[0].Address = "127.0.0.1:1" },
 		"no store answers": func(f *fixture) {
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{}, errors.New("no owner") }
 		},
@@ -101,8 +101,8 @@
 				f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 				trouble(f)
 				c := f.dial()
-				c.ask("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
-				if got := c.read("POST"); denies(got.status) {
+				c.request("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
+				if got := c.read("POST"); isDenial(got.status) {
 					t.Errorf("got %+v", got)
 				}
 			})
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -8,8 +8,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// listOf returns a list with one endpoint of each state, named e1, e2 and so on.
-func listOf(addresses []string, states ...model.EndpointState) []model.Endpoint {
+// endpointsOf returns a list with one endpoint of each state, named e1, e2 and so on.
+func endpointsOf(addresses []string, states ...model.EndpointState) []model.Endpoint {
 	var list []model.Endpoint
 	for i, state := range states {
 		list = append(list, model.Endpoint{ID: "e" + string(rune('1'+i)), Service: "plain", Address: addresses[i], Zone: "z",
@@ -18,27 +18,27 @@
 	return list
 }
 
-// withdrawn is a chooser that lets something happen between a choice and its send.
-type withdrawn struct {
+// revokingSelector is a chooser that lets something happen between a selection and its send.
+type revokingSelector struct {
 	*LoadBalancer
 	before func(Selection)
 }
 
-func (w *withdrawn) Select(ctx context.Context, facts *RequestInfo) (Selection, error) {
-	choice, err := w.LoadBalancer.Select(ctx, facts)
+func (w *revokingSelector) Select(ctx context.Context, info *RequestInfo) (Selection, error) {
+	selection, err := w.LoadBalancer.Select(ctx, info)
 	if err == nil {
-		w.before(choice)
+		w.before(selection)
 	}
-	return choice, err
+	return selection, err
 }
 
 func TestPermit_RevokedBeforeSend_EndpointGetsNothing(t *testing.T) {
 	ready, draining := model.Ready, model.Draining
 	withdraw := map[string]func(*LoadBalancer, []string){
-		"draining": func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)) },
-		"gone":     func(s *LoadBalancer, addresses []string) { s.SetEndpoints(listOf(addresses, draining, ready)[1:]) },
+		"draining": func(s *LoadBalancer, addresses []string) { s.SetEndpoints(endpointsOf(addresses, draining, ready)) },
+		"gone":     func(s *LoadBalancer, addresses []string) { s.SetEndpoints(endpointsOf(addresses, draining, ready)[1:]) },
 		"a version that is withdrawn": func(s *LoadBalancer, addresses []string) {
-			list := listOf(addresses, ready, ready)
+			list := endpointsOf(addresses, ready, ready)
 			list[0].Version = "v2"
 			s.SetEndpoints(list)
 			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v1"}})
@@ -47,16 +47,16 @@
 	for name, change := range withdraw {
 		t.Run(name, func(t *testing.T) {
 			// given two endpoints, of which only the first one is known
-			first, second := newEndpoint(t, answerWith(200, "first")), newEndpoint(t, answerWith(200, "second"))
+			first, second := newEndpoint(t, respondWith(200, "first")), newEndpoint(t, respondWith(200, "second"))
 			addresses := []string{first.listener.Addr().String(), second.listener.Addr().String()}
 			s := NewLoadBalancer("z", 1)
-			s.SetEndpoints(listOf(addresses, ready))
+			s.SetEndpoints(endpointsOf(addresses, ready))
 			// when the first one is withdrawn after it was chosen
 			f := newFixtureWith(t, func(options *Options) {
-				options.Selector = &withdrawn{s, func(Selection) { change(s, addresses) }}
+				options.Selector = &revokingSelector{s, func(Selection) { change(s, addresses) }}
 			}, first, second)
 			c := f.dial()
-			c.ask("POST", "/once/x", "id", "body")
+			c.request("POST", "/once/x", "id", "body")
 			// then the second one gets the request
 			if got := c.read("POST"); got.status != 200 || got.body != "second" {
 				t.Errorf("got %+v", got)
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -13,14 +13,14 @@
 )
 
 func TestPlainRequest_IsForwardedUnchanged(t *testing.T) {
-	e := newEndpoint(t, answerWith(200, "the body", "Content-Type: a/b", "Content-Encoding: zz", "X-Other: 1", "Connection: X-Hop", "X-Hop: 2"))
+	e := newEndpoint(t, respondWith(200, "the body", "Content-Type: a/b", "Content-Encoding: zz", "X-Other: 1", "Connection: X-Hop", "X-Hop: 2"))
 	f := newFixture(t, e)
 	c := f.dial()
 	target := "//safe/../safe/%2F;a=b//?x=%20&y;z??"
 	config := *f.config
 	config.Routes[0].PathPrefix = "/"
 	f.views.routes.Store(NewRoutes(&config))
-	c.ask("POST", target, "id1", "input", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "Te: trailers",
+	c.request("POST", target, "id1", "input", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "Te: trailers",
 		"X-Time-Left-Ms: 2000", "Priority: 9", "X-Expected-Server: other", "X-Subject: s", "Cookie: a=b; X-Subject=s1", "Accept: */*")
 	got := c.read("POST")
 	if got.err != nil || got.status != 200 || got.body != "the body" {
@@ -46,8 +46,8 @@
 	if request.line != "POST "+target+" HTTP/1.1" || request.body != "input" {
 		t.Errorf("got %q with %q", request.line, request.body)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != Succeeded || f.chooser.facts[0].Subject != "s1" {
-		t.Errorf("outcome %+v, facts %+v", outcome, f.chooser.facts[0])
+	if outcome := <-f.selector.outcomes; outcome.Result != Succeeded || f.selector.infos[0].Subject != "s1" {
+		t.Errorf("outcome %+v, info %+v", outcome, f.selector.infos[0])
 	}
 }
 
@@ -69,12 +69,12 @@
 			test.prepare(f)
 			c := f.dial()
 			for range 2 {
-				c.ask("POST", test.target, "id", "body")
+				c.request("POST", test.target, "id", "body")
 				got := c.read("POST")
 				if got.status != test.status || got.header.Get("X-Server-Seal") != "" {
 					t.Errorf("got %+v", got)
 				}
-				if told := got.header.Get("Retry-After") != ""; told != (test.status == 503) {
+				if hasRetryAfter := got.header.Get("Retry-After") != ""; hasRetryAfter != (test.status == 503) {
 					t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
 				}
 			}
@@ -83,7 +83,7 @@
 }
 
 func TestEndpointFaults_EachKindOfRoute_RetryOrError(t *testing.T) {
-	good := answerWith(200, "good")
+	good := respondWith(200, "good")
 	noSeal := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
 		return true
@@ -93,7 +93,7 @@
 		return true
 	}
 	cutShort := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, "Content-Length: 10")+"12345")
+		io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
 		return false
 	}
 	misdirected := func(socket net.Conn, request received) bool {
@@ -111,32 +111,32 @@
 		status int
 		sends  int64 // to the second endpoint
 	}{
-		{"full, safe", "safe", turnAway, 200, 1},
-		{"full, once", "once", turnAway, 200, 1},
+		{"full, safe", "safe", respondNotRun, 200, 1},
+		{"full, once", "once", respondNotRun, 200, 1},
 		{"misdirected, once", "once", misdirected, 200, 1},
-		{"reset, safe", "safe", resetAtOnce, 200, 1},
-		{"reset, once", "once", resetAtOnce, 502, 0},
-		{"reset, stream", "stream", resetAtOnce, 502, 0},
-		{"reset, resumable", "resume", resetAtOnce, 200, 1},
+		{"reset, safe", "safe", resetConnection, 200, 1},
+		{"reset, once", "once", resetConnection, 502, 0},
+		{"reset, stream", "stream", resetConnection, 502, 0},
+		{"reset, resumable", "resume", resetConnection, 200, 1},
 		{"cut short, safe", "safe", cutShort, 200, 1},
 		{"cut short, once", "once", cutShort, 502, 0},
 		{"no seal, once", "once", noSeal, 502, 0},
 		{"no seal, safe", "safe", noSeal, 200, 1},
 		{"no id, once", "once", noID, 502, 0},
 		{"garbage, once", "once", garbage, 502, 0},
-		{"own failure, once", "once", answerWith(500, "failed"), 500, 0},
-		{"own failure, safe", "safe", answerWith(500, "failed"), 200, 1},
-		{"own deadline, once", "once", answerWith(504, "late"), 504, 0},
-		{"not found, safe", "safe", answerWith(404, "not here"), 404, 0},
-		{"a refusal without the promise, once", "once", answerWith(503, "hm"), 502, 0},
-		{"a refusal without the promise, 429, once", "once", answerWith(429, "hm"), 502, 0},
+		{"own failure, once", "once", respondWith(500, "failed"), 500, 0},
+		{"own failure, safe", "safe", respondWith(500, "failed"), 200, 1},
+		{"own deadline, once", "once", respondWith(504, "late"), 504, 0},
+		{"not found, safe", "safe", respondWith(404, "not here"), 404, 0},
+		{"a rejection without the promise, once", "once", respondWith(503, "hm"), 502, 0},
+		{"a rejection without the promise, 429, once", "once", respondWith(429, "hm"), 502, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			bad, second := newEndpoint(t, test.first), newEndpoint(t, good)
 			f := newFixture(t, bad, second)
 			c := f.dial()
-			c.ask("POST", "/"+test.route+"/x", "id", "body")
+			c.request("POST", "/"+test.route+"/x", "id", "body")
 			got := c.read("POST")
 			if got.status != test.status || got.err != nil {
 				t.Errorf("got %+v", got)
@@ -153,20 +153,20 @@
 
 func TestChunkedResponse_BreaksOff_IsRetried(t *testing.T) {
 	cut := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
+		io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
 		return false
 	}
 	long := strings.Repeat("0123456789abcdef", 1<<14)
 	for name, body := range map[string]string{"short": "whole", "long": long} {
 		t.Run(name, func(t *testing.T) {
 			whole := func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealed(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
+				io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
 				return true
 			}
 			bad, good := newEndpoint(t, cut), newEndpoint(t, whole)
 			f := newFixture(t, bad, good)
 			c := f.dial()
-			c.ask("GET", "/safe/x", "id", "")
+			c.request("GET", "/safe/x", "id", "")
 			if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != body {
 				t.Errorf("status %d with %d bytes, %v", got.status, len(got.body), got.err)
 			}
@@ -175,10 +175,10 @@
 }
 
 func TestRequest_AllAttemptsFail_StopsAtMaxAttempts(t *testing.T) {
-	endpoints := []*endpoint{newEndpoint(t, resetAtOnce), newEndpoint(t, resetAtOnce), newEndpoint(t, resetAtOnce)}
+	endpoints := []*endpoint{newEndpoint(t, resetConnection), newEndpoint(t, resetConnection), newEndpoint(t, resetConnection)}
 	f := newFixture(t, endpoints...)
 	c := f.dial()
-	c.ask("GET", "/safe/x", "id", "")
+	c.request("GET", "/safe/x", "id", "")
 	if got := c.read("GET"); got.status != 502 {
 		t.Errorf("got %+v", got)
 	}
@@ -188,10 +188,10 @@
 }
 
 func TestRequest_AllEndpointsReject_IsRejected(t *testing.T) {
-	first, second := newEndpoint(t, turnAway), newEndpoint(t, turnAway)
+	first, second := newEndpoint(t, respondNotRun), newEndpoint(t, respondNotRun)
 	f := newFixture(t, first, second)
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body")
+	c.request("POST", "/once/x", "id", "body")
 	got := c.read("POST")
 	if got.status != 503 || got.header.Get("Retry-After") != "0.25" || got.header.Get("X-Server-Seal") != "" {
 		t.Errorf("got %+v", got)
@@ -199,12 +199,12 @@
 }
 
 func TestRequest_EndpointUnreachable_GoesToNext(t *testing.T) {
-	good := newEndpoint(t, answerWith(200, "good"))
+	good := newEndpoint(t, respondWith(200, "good"))
 	dead := newEndpoint(t, nil)
 	dead.listener.Close()
 	f := newFixture(t, dead, good)
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body")
+	c.request("POST", "/once/x", "id", "body")
 	if got := c.read("POST"); got.status != 200 || got.body != "good" {
 		t.Errorf("got %+v", got)
 	}
@@ -214,14 +214,14 @@
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.id() == "id2" {
 			late := received{header: map[string][]string{"X-Attempt-Id": {"id1"}}}
-			answerWith(200, "late")(socket, late)
+			respondWith(200, "late")(socket, late)
 		}
-		return answerWith(200, "own "+request.id())(socket, request)
+		return respondWith(200, "own "+request.id())(socket, request)
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	for _, id := range []string{"id1", "id2", "id3"} {
-		c.ask("GET", "/once/x", id, "")
+		c.request("GET", "/once/x", id, "")
 		if got := c.read("GET"); got.status != 200 || got.body != "own "+id || got.header.Get("X-Attempt-Id") != id {
 			t.Errorf("%s got %+v", id, got)
 		}
@@ -231,12 +231,12 @@
 func TestLargeBodies_AreForwarded(t *testing.T) {
 	megabyte := strings.Repeat("0123456789abcdef", 1<<16)
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		return answerWith(200, request.body)(socket, request)
+		return respondWith(200, request.body)(socket, request)
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	for i := range 3 {
-		c.ask("POST", "/once/x", fmt.Sprint("id", i), megabyte)
+		c.request("POST", "/once/x", fmt.Sprint("id", i), megabyte)
 		if got := c.read("POST"); got.status != 200 || got.body != megabyte {
 			t.Errorf("status %d with %d bytes, %v", got.status, len(got.body), got.err)
 		}
@@ -247,12 +247,12 @@
 	for name, framing := range map[string]string{"length": "Content-Length: 100000", "chunks": "Transfer-Encoding: chunked"} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealed(200, request, framing)+"a\r\n0123456789\r\n")
+				io.WriteString(socket, sealedHead(200, request, framing)+"a\r\n0123456789\r\n")
 				return false
 			})
 			f := newFixture(t, e)
 			c := f.dial()
-			c.ask("GET", "/once/x", "id", "")
+			c.request("GET", "/once/x", "id", "")
 			if got := c.read("GET"); got.err == nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
@@ -262,13 +262,13 @@
 
 func TestHeadRequest_HasNoBody(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, "Content-Length: 4711"))
+		io.WriteString(socket, sealedHead(200, request, "Content-Length: 4711"))
 		return true
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	for i := range 2 {
-		c.ask("HEAD", "/safe/x", fmt.Sprint("id", i), "")
+		c.request("HEAD", "/safe/x", fmt.Sprint("id", i), "")
 		got := c.read("HEAD")
 		if got.status != 200 || got.header.Get("Content-Length") != "4711" || got.body != "" {
 			t.Errorf("got %+v", got)
@@ -281,15 +281,15 @@
 
 func TestConnect_Hangs_EndsAtSelectionsTimeout(t *testing.T) {
 	full := newFullListener(t)
-	good := newEndpoint(t, answerWith(200, "good"))
+	good := newEndpoint(t, respondWith(200, "good"))
 	f := newFixture(t, good)
-	f.chooser.endpoints = []Selection{{ID: "hung", Address: full, Timeout: 30 * time.Millisecond}, f.chooser.endpoints[0]}
+	f.selector.endpoints = []Selection{{ID: "hung", Address: full, Timeout: 30 * time.Millisecond}, f.selector.endpoints[0]}
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body")
+	c.request("POST", "/once/x", "id", "body")
 	if got := c.read("POST"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != NeverSent {
+	if outcome := <-f.selector.outcomes; outcome.Result != NeverSent {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
@@ -325,42 +325,42 @@
 func TestDeadline_BeforeSend_SaysNothingOfEndpoint(t *testing.T) {
 	// given a connection that doesn't come up, and a request with less time than that is given
 	f := newFixture(t)
-	f.chooser.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
+	f.selector.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 20")
-	// then the client is told that it has not run, and the endpoint isn't blamed
+	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 20")
+	// then the client learns that it has not run, and the endpoint isn't blamed
 	if got := c.read("POST"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != Cancelled {
+	if outcome := <-f.selector.outcomes; outcome.Result != Cancelled {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
 
 func TestRequest_EveryMethodAndPath_IsForwarded(t *testing.T) {
-	e := newEndpoint(t, answerWith(200, "body"))
+	e := newEndpoint(t, respondWith(200, "body"))
 	f := newFixture(t, e)
 	c := f.dial()
 	for _, method := range []string{"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE", "PURGE", "PROPFIND", "REPORT"} {
 		for _, target := range []string{"/safe/", "/safe/x", "/safe/:id", "/safe/*", "/safe/a%2Fb", "/safe//", "/safe/../safe/?q", "/safe/%C3%A9", "/safe/;a=b"} {
-			c.ask(method, target, "id", "")
+			c.request(method, target, "id", "")
 			if got := c.read(method); got.status != 200 {
 				t.Errorf("%s %s: %+v", method, target, got)
 			}
 			if request := <-e.requests; request.line != method+" "+target+" HTTP/1.1" {
 				t.Errorf("%s %s went on as %q", method, target, request.line)
 			}
-			<-f.chooser.outcomes
+			<-f.selector.outcomes
 		}
 	}
 }
 
 func TestAbsoluteTarget_KeepsItsPath(t *testing.T) {
-	e := newEndpoint(t, answerWith(200, "body"))
+	e := newEndpoint(t, respondWith(200, "body"))
 	f := newFixture(t, e)
 	c := f.dial()
 	for _, target := range []string{"/safe/x?y=1", "/safe/a%2fb//c?", "/safe/;a='b'|c"} {
-		c.ask("GET", "http://a.example"+target, "id", "")
+		c.request("GET", "http://a.example"+target, "id", "")
 		if got := c.read("GET"); got.status != 200 {
 			t.Errorf("%s: %+v", target, got)
 		}
@@ -376,19 +376,19 @@
 		_, err := socket.Read(make([]byte, 1))
 		return err == nil
 	})
-	f := newFixture(t, e, newEndpoint(t, answerWith(200, "good")))
+	f := newFixture(t, e, newEndpoint(t, respondWith(200, "good")))
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 3000")
+	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 3000")
 	if got := c.read("POST"); got.status != 200 || got.body != "good" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestNotRunResponse_ConnectionIsKept(t *testing.T) {
-	refusals := 0
+	rejections := 0
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		if refusals++; refusals > 1 {
-			return answerWith(200, "good")(socket, request)
+		if rejections++; rejections > 1 {
+			return respondWith(200, "good")(socket, request)
 		}
 		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nKeep-Alive: timeout=30\r\nContent-Length: 4\r\n\r\nfull")
 		return true
@@ -396,7 +396,7 @@
 	f := newFixture(t, e)
 	c := f.dial()
 	for _, want := range []int{503, 200} {
-		c.ask("POST", "/once/x", "id", "body")
+		c.request("POST", "/once/x", "id", "body")
 		if got := c.read("POST"); got.status != want {
 			t.Errorf("got %+v", got)
 		}
@@ -409,15 +409,15 @@
 func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
 	// given an endpoint that says that it didn't run a request, and breaks off
 	broken := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
+		io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
 		return false
 	}
 	for route, want := range map[string]int{"safe": 200, "once": 502} {
 		t.Run(route, func(t *testing.T) {
-			second := newEndpoint(t, answerWith(200, "good"))
+			second := newEndpoint(t, respondWith(200, "good"))
 			f := newFixture(t, newEndpoint(t, broken), second)
 			c := f.dial()
-			c.ask("GET", "/"+route+"/x", "id", "")
+			c.request("GET", "/"+route+"/x", "id", "")
 			// then the client never gets an empty success in its place
 			got := c.read("GET")
 			if got.status != want || want == 200 && got.body != "good" {
@@ -429,20 +429,20 @@
 
 func TestCloseDelimitedResponse_Reset_IsRetried(t *testing.T) {
 	bad := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request)+"the first part")
-		return resetAtOnce(socket, request)
+		io.WriteString(socket, sealedHead(200, request)+"the first part")
+		return resetConnection(socket, request)
 	})
 	good := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request)+"whole")
+		io.WriteString(socket, sealedHead(200, request)+"whole")
 		return false
 	})
 	f := newFixture(t, bad, good)
 	c := f.dial()
-	c.ask("GET", "/safe/x", "id", "")
+	c.request("GET", "/safe/x", "id", "")
 	if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != "whole" {
 		t.Errorf("got %+v", got)
 	}
-	c.ask("GET", "/safe/x", "next", "")
+	c.request("GET", "/safe/x", "next", "")
 	if got := c.read("GET"); got.status != 200 {
 		t.Errorf("the next answer on the client's connection: %+v", got)
 	}
@@ -452,13 +452,13 @@
 	// given an answer whose end only its connection tells
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request)+"some bytes")
+		io.WriteString(socket, sealedHead(200, request)+"some bytes")
 		<-end
 		return false
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/once/x", "id", "")
+	c.request("GET", "/once/x", "id", "")
 	response := c.head("GET")
 	// then the client's has an end of its own, so that it can't look complete when this process ends in its middle
 	if len(response.TransferEncoding) != 1 || response.TransferEncoding[0] != "chunked" || response.Close {
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -12,9 +12,9 @@
 	"mastusher/internal/tier/model"
 )
 
-// slots is a stand-in for an endpoint that works on so many requests at once, and lets the most urgent of those that wait in
-// first. A full queue turns away the least urgent one.
-type slots struct {
+// slottedEndpoint is a stand-in for an endpoint that works on so many requests at once, and lets the most urgent of those that wait in
+// first. A full queue rejects the least urgent one.
+type slottedEndpoint struct {
 	count, queue int
 	mutex        sync.Mutex
 	running      int
@@ -23,16 +23,16 @@
 
 // slotRequest is a request that waits in an endpoint.
 type slotRequest struct {
-	rank int
-	let  chan bool // whether it runs
+	priority int
+	let      chan bool // whether it runs
 }
 
-// run works on a request for so long; it returns false if the request was turned away.
-func (s *slots) run(rank int, work time.Duration) bool {
-	request := &slotRequest{rank: rank, let: make(chan bool, 1)}
+// run works on a request for so long; it returns false if the request was rejected.
+func (s *slottedEndpoint) run(priority int, work time.Duration) bool {
+	request := &slotRequest{priority: priority, let: make(chan bool, 1)}
 	s.mutex.Lock()
 	s.waiting = append(s.waiting, request)
-	slices.SortStableFunc(s.waiting, func(a, b *slotRequest) int { return a.rank - b.rank })
+	slices.SortStableFunc(s.waiting, func(a, b *slotRequest) int { return a.priority - b.priority })
 	s.admit()
 	if len(s.waiting) > s.queue {
 		last := s.waiting[len(s.waiting)-1]
@@ -52,7 +52,7 @@
 }
 
 // admit lets in what waits as far as there are slots. The caller holds the mutex.
-func (s *slots) admit() {
+func (s *slottedEndpoint) admit() {
 	for s.running < s.count && len(s.waiting) > 0 {
 		s.running++
 		s.waiting[0].let <- true
@@ -61,25 +61,25 @@
 }
 
 // load is what the endpoint tells of itself.
-func (s *slots) load() string {
+func (s *slottedEndpoint) load() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return fmt.Sprintf("%d,%d,%d", s.running, len(s.waiting), s.count)
 }
 
-// crowd plays requests of two routes on so many proxies that share an endpoint, and returns the share of each rank that was
+// overload plays requests of two routes on so many proxies that share an endpoint, and returns the share of each priority that was
 // answered within its aim.
-func crowd(t *testing.T, proxies int, rate float64, targets [2]int64) (served [2]float64) {
+func overload(t *testing.T, proxies int, rate float64, targets [2]int64) (served [2]float64) {
 	const (
 		work  = 100 * time.Millisecond
 		lasts = 3 * time.Second
 	)
-	endpoint := &slots{count: 8, queue: 4}
-	var schedulers []*LoadBalancer
+	endpoint := &slottedEndpoint{count: 8, queue: 4}
+	var loadBalancers []*LoadBalancer
 	for i := range proxies {
 		s := NewLoadBalancer("z", uint64(i+1))
 		s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Version: "v1", State: model.Ready}})
-		schedulers = append(schedulers, s)
+		loadBalancers = append(loadBalancers, s)
 	}
 	var mutex sync.Mutex
 	var asked, good [2]int
@@ -87,40 +87,40 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for began := time.Now(); time.Since(began) < lasts; {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		rank, s := random.IntN(2), schedulers[random.IntN(proxies)]
-		asked[rank]++
+		priority, s := random.IntN(2), loadBalancers[random.IntN(proxies)]
+		asked[priority]++
 		all.Go(func() {
-			if s.askOnce(t, endpoint, rank, targets[rank], work) {
+			if s.requestOnce(t, endpoint, priority, targets[priority], work) {
 				mutex.Lock()
 				defer mutex.Unlock()
-				good[rank]++
+				good[priority]++
 			}
 		})
 	}
 	all.Wait()
-	for rank := range served {
-		served[rank] = float64(good[rank]) / float64(asked[rank])
+	for priority := range served {
+		served[priority] = float64(good[priority]) / float64(asked[priority])
 	}
 	return served
 }
 
-// askOnce plays one request, and tells whether it was answered within its aim.
-func (s *LoadBalancer) askOnce(t *testing.T, endpoint *slots, rank int, targetMs int64, work time.Duration) bool {
-	facts := newFacts(rank)
-	facts.Route.LatencyTargetMs = targetMs
+// requestOnce plays one request, and tells whether it was answered within its aim.
+func (s *LoadBalancer) requestOnce(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
+	info := newRequestInfo(priority)
+	info.Route.LatencyTargetMs = targetMs
 	for range maxNotRun {
-		choice, err := s.Select(t.Context(), facts)
+		selection, err := s.Select(t.Context(), info)
 		if err != nil {
 			return false
 		}
-		facts.Excluded = append(facts.Excluded, choice.ID)
+		info.Excluded = append(info.Excluded, selection.ID)
 		sent := time.Now()
-		if endpoint.run(rank, work) {
-			s.Done(choice, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
-			return time.Since(facts.ArrivedAt) <= time.Duration(targetMs)*time.Millisecond
+		if endpoint.run(priority, work) {
+			s.Done(selection, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
+			return time.Since(info.ArrivedAt) <= time.Duration(targetMs)*time.Millisecond
 		}
-		facts.RejectedBy = append(facts.RejectedBy, choice.ID)
-		s.Done(choice, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
+		info.RejectedBy = append(info.RejectedBy, selection.ID)
+		s.Done(selection, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
 	}
 	return false
 }
@@ -131,7 +131,7 @@
 		for _, rate := range []float64{100, 240} { // of 80 that the endpoint can serve
 			for _, targets := range [][2]int64{{400, 1600}, {1600, 400}} {
 				synctest.Test(t, func(t *testing.T) {
-					served := crowd(t, proxies, rate, targets)
+					served := overload(t, proxies, rate, targets)
 					if served[0] < served[1]-slack {
 						t.Errorf("%d proxies, %.0f/s, aims %v ms: %.2f of the more urgent served, %.2f of the others",
 							proxies, rate, targets, served[0], served[1])
--- a/internal/tier/proxy/queue_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -11,18 +11,18 @@
 	for _, target := range []time.Duration{100, 320, 800, 1200, 4000} {
 		synctest.Test(t, func(t *testing.T) {
 			// given an endpoint whose only slot stays taken
-			s, _ := newFullScheduler(t)
-			facts := newFacts(0)
-			facts.Route.LatencyTargetMs = int64(target)
+			s, _ := newSaturatedBalancer(t)
+			info := newRequestInfo(0)
+			info.Route.LatencyTargetMs = int64(target)
 			// when a request waits for it
-			_, err := s.Select(t.Context(), facts)
-			// then it is refused after a quarter of its target time, neither sooner nor later
-			var refusal *Rejection
-			if !errors.As(err, &refusal) {
+			_, err := s.Select(t.Context(), info)
+			// then it is rejected after a quarter of its target time, neither sooner nor later
+			var rejection *Rejection
+			if !errors.As(err, &rejection) {
 				t.Errorf("got %v", err)
 			}
-			if waited, want := time.Since(facts.ArrivedAt), target*time.Millisecond/4; waited != want {
-				t.Errorf("target %d ms: refused after %v, want %v", target, waited, want)
+			if waited, want := time.Since(info.ArrivedAt), target*time.Millisecond/4; waited != want {
+				t.Errorf("target %d ms: rejected after %v, want %v", target, waited, want)
 			}
 		})
 	}
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -16,7 +16,7 @@
 
 func TestOutage_LastsTooLong_BreaksInvariantOnce(t *testing.T) {
 	const bound = 15 * time.Second
-	type second struct{ refused, served int }
+	type second struct{ rejected, served int }
 	repeated := func(count int, one second) []second {
 		var list []second
 		for range count {
@@ -41,7 +41,7 @@
 			checks := invariant.New(log.NewNopLogger())
 			observed := outage{bound: bound, checks: checks}
 			for at, one := range c.seconds {
-				observed.observe(time.Unix(int64(at), 0), one.refused, one.served)
+				observed.observe(time.Unix(int64(at), 0), one.rejected, one.served)
 			}
 			if got := checks.Counts()[invariant.Recovery]; got != c.want {
 				t.Errorf("broken %d times, want %d", got, c.want)
@@ -51,7 +51,7 @@
 }
 
 func TestRejections_Report_LogsKindsAndCause(t *testing.T) {
-	// Given answers of a proxy's own, when they are reported, then kinds, counts and cause are told, and no second time.
+	// Given error responses of a proxy, when they are reported, then kinds, counts and cause are logged, and no second time.
 	var logged bytes.Buffer
 	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
 	counted.add(apierror.StateUnavailable)
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -24,10 +24,10 @@
 		}
 	}
 	return []behaviour{
-		{"reset", resetAtOnce, true},
+		{"reset", resetConnection, true},
 		{"close", func(net.Conn, received) bool { return false }, true},
-		{"fail", answerWith(500, "failed"), true},
-		{"late", answerWith(504, "late"), true},
+		{"fail", respondWith(500, "failed"), true},
+		{"late", respondWith(504, "late"), true},
 		{"no seal", say(func(r received) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 2\r\n\r\nno"
 		}, true), true},
@@ -35,11 +35,11 @@
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno"
 		}, false), true},
 		{"garbage", say(func(received) string { return "\x16\x03\x01 garbage\r\n\r\n" }, false), true},
-		{"cut head", say(func(r received) string { return sealed(200, r)[:20] }, false), true},
-		{"cut body", say(func(r received) string { return sealed(200, r, "Content-Length: 10") + "12345" }, false), true},
-		{"cut event", say(func(r received) string { return sealed(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
-		{"cut stream", say(func(r received) string { return sealed(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
-		{"full", turnAway, false},
+		{"cut head", say(func(r received) string { return sealedHead(200, r)[:20] }, false), true},
+		{"cut body", say(func(r received) string { return sealedHead(200, r, "Content-Length: 10") + "12345" }, false), true},
+		{"cut event", say(func(r received) string { return sealedHead(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
+		{"cut stream", say(func(r received) string { return sealedHead(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
+		{"full", respondNotRun, false},
 		{"misdirected", say(func(r received) string {
 			return "HTTP/1.1 421 Other\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 0\r\n\r\n"
 		}, true), false},
@@ -51,7 +51,7 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	all, routes := behaviours(), newConfiguration().Routes
 	for range rounds {
-		route, tries := routes[random.IntN(len(routes))], 1+random.IntN(3)
+		route, attempts := routes[random.IntN(len(routes))], 1+random.IntN(3)
 		var drawn []behaviour
 		var list []*endpoint
 		var names []string
@@ -59,12 +59,12 @@
 			b := all[random.IntN(len(all))]
 			drawn, names, list = append(drawn, b), append(names, b.name), append(list, newEndpoint(t, b.answer))
 		}
-		t.Run(fmt.Sprint(route.Name, " ", tries, " ", strings.Join(names, ",")), func(t *testing.T) {
+		t.Run(fmt.Sprint(route.Name, " ", attempts, " ", strings.Join(names, ",")), func(t *testing.T) {
 			f := newFixture(t, list...)
-			f.setTries(tries)
+			f.setMaxAttempts(attempts)
 			c := f.dial()
-			c.ask("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
-			status := c.statusIfAny()
+			c.request("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
+			status := c.readStatus()
 			f.stop()
 			ran := 0
 			for i, b := range drawn {
@@ -72,12 +72,12 @@
 					ran += sends
 				}
 			}
-			most := 1
+			maxRuns := 1
 			if retryable(&route) {
-				most = tries
+				maxRuns = attempts
 			}
-			if ran > most {
-				t.Errorf("runs on %d endpoints, at most %d; they got:%s", ran, most, receivedBy(list))
+			if ran > maxRuns {
+				t.Errorf("runs on %d endpoints, at most %d; they got:%s", ran, maxRuns, requestsOf(list))
 			}
 			if ran > 0 && !retryable(&route) && impliesNotRun(status) {
 				t.Errorf("answered by %d, and has run", status)
@@ -89,8 +89,8 @@
 	}
 }
 
-// receivedBy tells what each endpoint got.
-func receivedBy(list []*endpoint) string {
+// requestsOf tells what each endpoint got.
+func requestsOf(list []*endpoint) string {
 	var text strings.Builder
 	for i, e := range list {
 		for len(e.requests) > 0 {
@@ -101,18 +101,18 @@
 	return text.String()
 }
 
-// statusIfAny returns the status of an answer, or 0 if the connection ends without one.
-func (c *client) statusIfAny() int {
+// readStatus returns the status of an answer, or 0 if the connection ends without one.
+func (c *client) readStatus() int {
 	var version, status int
 	fmt.Fscanf(c.reader, "HTTP/1.%d %d ", &version, &status)
 	return status
 }
 
-// setTries sets the tries of all routes.
-func (f *fixture) setTries(tries int) {
+// setMaxAttempts sets the attempts of all routes.
+func (f *fixture) setMaxAttempts(attempts int) {
 	config := newConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].MaxAttempts = tries
+		config.Routes[i].MaxAttempts = attempts
 	}
 	f.views.routes.Store(NewRoutes(config))
 }
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -47,19 +47,19 @@
 			close(started)
 			<-release
 		}
-		return answerWith(200, "body")(socket, request)
+		return respondWith(200, "body")(socket, request)
 	})
 	f := newFixture(t, e)
 	idle, busy := f.dial(), f.dial()
-	idle.ask("GET", "/once/x", "first", "")
+	idle.request("GET", "/once/x", "first", "")
 	idle.read("GET")
-	busy.ask("GET", "/once/x", "slow", "")
+	busy.request("GET", "/once/x", "slow", "")
 	<-started
 
 	f.proxy.Drain()
 	late := f.dial()
 	for name, c := range map[string]*client{"new": late, "open": idle} {
-		c.ask("GET", "/once/x", "during", "")
+		c.request("GET", "/once/x", "during", "")
 		if got := c.read("GET"); got.status != 200 || !got.close {
 			t.Errorf("%s connection while draining: %+v", name, got)
 		}
@@ -95,15 +95,15 @@
 }
 
 func TestFrontend_OverMaxConnections_ClosesUnread(t *testing.T) {
-	f := newFixtureWith(t, func(options *Options) { options.MaxClientConnections = 1 }, newEndpoint(t, answerWith(200, "body")))
+	f := newFixtureWith(t, func(options *Options) { options.MaxClientConnections = 1 }, newEndpoint(t, respondWith(200, "body")))
 	first := f.dial()
-	first.ask("GET", "/once/x", "1", "")
+	first.request("GET", "/once/x", "1", "")
 	first.read("GET")
 	second := f.dial()
 	if !second.closedSilently() {
 		t.Error("a connection over the bound was answered")
 	}
-	first.ask("GET", "/once/x", "2", "")
+	first.request("GET", "/once/x", "2", "")
 	if got := first.read("GET"); got.status != 200 {
 		t.Errorf("within the bound: %+v", got)
 	}
@@ -147,9 +147,9 @@
 
 func TestShutdown_HeadBeingRead_IsServed(t *testing.T) {
 	// given a kept connection on which half the head of a request has been read
-	f := newFixture(t, newEndpoint(t, answerWith(200, "body")))
+	f := newFixture(t, newEndpoint(t, respondWith(200, "body")))
 	c := f.dial()
-	c.ask("GET", "/once/x", "first", "")
+	c.request("GET", "/once/x", "first", "")
 	c.read("GET")
 	f.awaitIdle(true)
 	c.send("GET /once/x HTTP/1.1\r\nHost: a.exa")
@@ -167,7 +167,7 @@
 }
 
 func TestDrain_NextResponse_EndsItsConnection(t *testing.T) {
-	cases := map[string]func(net.Conn, received) bool{"an endpoint's": answerWith(200, "body"), "its own": turnAway}
+	cases := map[string]func(net.Conn, received) bool{"an endpoint's": respondWith(200, "body"), "its own": respondNotRun}
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
 			// given a request that is under way
@@ -178,7 +178,7 @@
 				return script(socket, request)
 			}))
 			c := f.dial()
-			c.ask("GET", "/once/x", "id", "")
+			c.request("GET", "/once/x", "id", "")
 			<-started
 			// when the proxy begins to drain before the answer does
 			f.proxy.Drain()
@@ -199,7 +199,7 @@
 			close(started)
 			<-release
 		}
-		return answerWith(200, "body")(socket, request)
+		return respondWith(200, "body")(socket, request)
 	}))
 	c := f.dial()
 	head := "GET /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: "
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -17,7 +17,7 @@
 
 func TestShutdown_AbandonedRequests_GetErrorResponses(t *testing.T) {
 	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealed(200, request, streamHead) }
+	head := func(request received) string { return sealedHead(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) }
 	const cut = 0
 	cases := []struct {
@@ -36,17 +36,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work
 			started := make(chan struct{}, 1)
-			f := newFixture(t, newEndpoint(t, workOn(started, test.part)))
+			f := newFixture(t, newEndpoint(t, workUntilClose(started, test.part)))
 			c := f.dial()
-			c.ask("POST", "/"+test.route+"/x", "id", "body", turnFields...)
+			c.request("POST", "/"+test.route+"/x", "id", "body", turnFields...)
 			<-started
 			var begun *http.Response
 			if test.status == cut {
 				begun = c.head("POST")
 			}
 			// when a shutdown comes to the end of its time
-			ended := f.shutDownUntil(f.closedToClients)
-			// then the client is told, and the connection ends
+			ended := f.shutDownOnce(f.closedToClients)
+			// then the client gets an error response, and the connection ends
 			if test.status == cut {
 				if body, err := io.ReadAll(begun.Body); err == nil {
 					t.Errorf("looks complete: %q", body)
@@ -59,7 +59,7 @@
 			}
 			if test.route == "turn" {
 				if end := <-f.programs.ended; end.Complete || end.Turn != "id" {
-					t.Errorf("settled with %+v", end)
+					t.Errorf("committed with %+v", end)
 				}
 			}
 		})
@@ -67,23 +67,23 @@
 }
 
 func TestShutdown_QueuedRequest_IsRejected(t *testing.T) {
-	// given a request that waits for a place
-	s, _ := newFullScheduler(t)
+	// given a request that waits for capacity
+	s, _ := newSaturatedBalancer(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
-	f.giveUpAfter(60_000)
+	f.setRouteTimeout(60_000)
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "body")
-	awaitWaiters(s, 1)
-	// when a shutdown comes to the end of its time, then the client is told that it has not run
-	ended := f.shutDownUntil(f.closedToClients)
+	c.request("POST", "/once/x", "id", "body")
+	awaitQueued(s, 1)
+	// when a shutdown comes to the end of its time, then the client learns that it has not run
+	ended := f.shutDownOnce(f.closedToClients)
 	if got := c.read("POST"); got.status != 503 || !got.close {
 		t.Errorf("got %+v", got)
 	}
 	<-ended
 }
 
-// shutDownUntil shuts the proxy down, and ends the time for that once a condition holds.
-func (f *fixture) shutDownUntil(holds func() bool) <-chan error {
+// shutDownOnce shuts the proxy down, and ends the time for that once a condition holds.
+func (f *fixture) shutDownOnce(holds func() bool) <-chan error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.proxy.Shutdown(ctx) }()
@@ -109,13 +109,13 @@
 		takes time.Duration // until the stores answer
 		taken bool
 	}{
-		{"given stores that answer in time when the shutdown's time is over then the turn is settled", 100 * time.Millisecond, true},
-		{"given stores that don't when it is over then the turn is given up", time.Second, false},
+		{"given stores that answer in time when the shutdown's time is over then the turn is committed", 100 * time.Millisecond, true},
+		{"given stores that don't when it is over then the turn is abandoned", time.Second, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stores := &programs{ended: make(chan program.EndTurn, 1), settle: func(ctx context.Context) error {
+				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), beforeEnd: func(ctx context.Context) error {
 					select {
 					case <-time.After(test.takes):
 						return nil
@@ -133,7 +133,7 @@
 					t.Errorf("waited for %v", waited)
 				}
 				if taken := len(stores.ended) == 1; taken != test.taken {
-					t.Errorf("settled: %v", taken)
+					t.Errorf("committed: %v", taken)
 				}
 			})
 		})
@@ -143,7 +143,7 @@
 func TestShutdown_Abandoning_TakesGracePeriodAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// given a client that doesn't take its answer, and a turn whose end no store takes
-		stores := &programs{ended: make(chan program.EndTurn, 1), settle: func(ctx context.Context) error {
+		stores := &fakePrograms{ended: make(chan program.EndTurn, 1), beforeEnd: func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}}
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -13,7 +13,7 @@
 func TestStream_Event_IsForwardedBeforeNextExists(t *testing.T) {
 	next := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead))
+		io.WriteString(socket, sealedHead(200, request, streamHead))
 		for i := range 3 {
 			io.WriteString(socket, chunk(event(i, "data")))
 			<-next
@@ -23,7 +23,7 @@
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "")
+	c.request("GET", "/stream/x", "id", "")
 	response := c.head("GET")
 	for i := range 3 {
 		got := make([]byte, len(event(i, "data")))
@@ -39,30 +39,30 @@
 
 func TestStream_BreaksOff_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
 		return false
 	})
 	other := newEndpoint(t, stream(event(1, "one")))
 	f := newFixture(t, e, other)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "")
+	c.request("GET", "/stream/x", "id", "")
 	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") || other.count.Load() != 0 {
 		t.Errorf("got %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 || outcome.Tokens != 3 {
+	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 || outcome.Tokens != 3 {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
 
 func TestStream_BreaksOff_ResumesAtAnotherEndpoint(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
+		io.WriteString(socket, sealedHead(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
 		return false
 	})
 	second := newEndpoint(t, stream(event(3, "three"), event(4, "four")))
 	f := newFixture(t, first, second)
 	c := f.dial()
-	c.ask("GET", "/resume/x", "id", "", "Last-Event-Id: 0")
+	c.request("GET", "/resume/x", "id", "", "Last-Event-Id: 0")
 	got := c.read("GET")
 	want := event(1, "one") + event(2, "two") + event(3, "three") + event(4, "four")
 	if got.err != nil || got.body != want || got.header.Get("X-First") != "1" {
@@ -78,13 +78,13 @@
 
 func TestStream_BreaksOffBeforeFirstEvent_IsRetried(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk("id: 1\nda"))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk("id: 1\nda"))
 		return false
 	})
 	second := newEndpoint(t, stream(event(1, "one")))
 	f := newFixture(t, first, second)
 	c := f.dial()
-	c.ask("GET", "/resume/x", "id", "")
+	c.request("GET", "/resume/x", "id", "")
 	if got := c.read("GET"); got.err != nil || got.body != event(1, "one") {
 		t.Errorf("got %+v", got)
 	}
@@ -96,23 +96,23 @@
 func TestStream_ClientCloses_ResetsEndpoint(t *testing.T) {
 	started := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		close(started)
 		_, err := socket.Read(make([]byte, 1))
 		return err == nil
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "", "Budget: 100", "Program: p")
+	c.request("GET", "/stream/x", "id", "", "Budget: 100", "Program: p")
 	<-started
 	c.head("GET")
 	c.socket.Close()
 	<-e.closed
-	if outcome := <-f.chooser.outcomes; outcome.Result != ClientClosed {
+	if outcome := <-f.selector.outcomes; outcome.Result != ClientClosed {
 		t.Errorf("outcome %+v", outcome)
 	}
 	if end := <-f.programs.ended; end.Tokens != 3 || end.Complete {
-		t.Errorf("settled with %+v", end)
+		t.Errorf("committed with %+v", end)
 	}
 }
 
@@ -125,11 +125,11 @@
 			})
 			f := newFixture(t, e)
 			c := f.dial()
-			c.ask("GET", "/"+route+"/x", "id", "", "X-Time-Left-Ms: 100")
+			c.request("GET", "/"+route+"/x", "id", "", "X-Time-Left-Ms: 100")
 			if got := c.read("GET"); got.status != 504 {
 				t.Errorf("got %+v", got)
 			}
-			if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded {
+			if outcome := <-f.selector.outcomes; outcome.Result != DeadlineExceeded {
 				t.Errorf("outcome %+v", outcome)
 			}
 		})
@@ -139,14 +139,14 @@
 func TestStream_Resumed_HasNoDuplicateEvent(t *testing.T) {
 	// given a stream that broke off, and another endpoint that begins it anew
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
 		return false
 	})
 	second := newEndpoint(t, stream(event(9, "nine"), event(10, "ten"), event(11, "eleven")))
 	f := newFixture(t, first, second)
 	c := f.dial()
 	// when the stream is taken up there
-	c.ask("GET", "/resume/x", "id", "")
+	c.request("GET", "/resume/x", "id", "")
 	// then the client sees it cut after the events that it has
 	if got := c.read("GET"); got.err == nil || got.body != event(9, "nine")+event(10, "ten") {
 		t.Errorf("got %+v", got)
@@ -155,23 +155,23 @@
 
 func TestStream_ClosedInsideEvent_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
+		io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
 		return false
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "")
+	c.request("GET", "/stream/x", "id", "")
 	if got := c.read("GET"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 {
+	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
 
 func TestStream_EndlessEvent_IsNotBuffered(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		for {
 			if _, err := io.WriteString(socket, chunk(strings.Repeat("x", 64<<10))); err != nil {
 				return false
@@ -180,22 +180,22 @@
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "")
+	c.request("GET", "/stream/x", "id", "")
 	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") {
 		t.Errorf("got %d bytes, %v", len(got.body), got.err)
 	}
-	if outcome := <-f.chooser.outcomes; outcome.Result != IncompleteResponse {
+	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
 
 func TestAttempt_TimeoutFired_ForwardsNothing(t *testing.T) {
-	// given an attempt whose time-out has fired while its first bytes came
+	// given an attempt whose timeout has fired while its first bytes came
 	c := &clientRequest{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
 	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
 	c.applyTimeout(a)
 	<-a.context.Done()
-	// when its answer would begin to go to the client, then it is given up, by the time-out
+	// when its answer would begin to go to the client, then it is abandoned, by the timeout
 	if a.stopTimeout() || c.incompleteResult(a) != TimedOut {
 		t.Errorf("in time, or ended by %v", c.incompleteResult(a))
 	}
@@ -224,14 +224,14 @@
 func TestStream_CloseDelimitedReset_Resumes(t *testing.T) {
 	read := make(chan struct{})
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
+		io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
 		<-read
-		return resetAtOnce(socket, request)
+		return resetConnection(socket, request)
 	})
 	second := newEndpoint(t, stream(event(2, "two")))
 	f := newFixture(t, first, second)
 	c := f.dial()
-	c.ask("GET", "/resume/x", "id", "")
+	c.request("GET", "/resume/x", "id", "")
 	response := c.head("GET")
 	got := make([]byte, len(event(1, "one")))
 	io.ReadFull(response.Body, got)
@@ -261,7 +261,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			first := newEndpoint(t, func(socket net.Conn, request received) bool {
-				text := sealed(200, request, streamHead)
+				text := sealedHead(200, request, streamHead)
 				for _, one := range test.first {
 					text += chunk(one)
 				}
@@ -270,7 +270,7 @@
 			})
 			f := newFixture(t, first, newEndpoint(t, stream(test.second...)))
 			c := f.dial()
-			c.ask("GET", "/resume/x", "id", "")
+			c.request("GET", "/resume/x", "id", "")
 			got := c.read("GET")
 			if cut := got.err != nil; got.body != test.want || cut == strings.HasSuffix(name, "fields") {
 				t.Errorf("got %q, %v", got.body, got.err)
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -23,7 +23,7 @@
 		return program.Result{Verdict: program.Accepted, Chain: []byte("old input|old output\n")}, nil
 	}
 	c := f.dial()
-	c.ask("POST", "/turn/x", "id", "new input", turnFields...)
+	c.request("POST", "/turn/x", "id", "new input", turnFields...)
 	got := c.read("POST")
 	want := event(1, "one") + "id: 2\ndata: two\ndata: lines\n\n" + ": nothing\n\n" + event(3, "three")
 	if got.err != nil || got.status != 200 || got.body != want || got.header.Get("X-Server-Seal") != "seal-id" {
@@ -41,7 +41,7 @@
 	if diff := cmp.Diff(wantEnd, <-f.programs.ended); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]string{"p1"}, f.programs.keys); diff != "" {
+	if diff := cmp.Diff([]string{"p1"}, f.programs.shardKeys); diff != "" {
 		t.Errorf("key (-want +got):\n%s", diff)
 	}
 }
@@ -63,7 +63,7 @@
 			f := newFixture(t, e)
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return test.result, test.err }
 			c := f.dial()
-			c.ask("POST", "/turn/x", "id", "input", turnFields...)
+			c.request("POST", "/turn/x", "id", "input", turnFields...)
 			if got := c.read("POST"); got.status != test.status || got.header.Get("X-Server-Seal") != "" {
 				t.Errorf("got %+v", got)
 			}
@@ -77,7 +77,7 @@
 func TestTurn_LastByte_WaitsForCommit(t *testing.T) {
 	framings := map[string]func(net.Conn, received) bool{
 		"chunks": stream(event(1, "one"), event(2, "two")),
-		"length": answerWith(200, event(1, "one")+event(2, "two"), "Content-Type: text/event-stream"),
+		"length": respondWith(200, event(1, "one")+event(2, "two"), "Content-Type: text/event-stream"),
 	}
 	for name, script := range framings {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 				return nil
 			}
 			c := f.dial()
-			c.ask("POST", "/turn/x", "id", "input", turnFields...)
+			c.request("POST", "/turn/x", "id", "input", turnFields...)
 			response := c.head("POST")
 			whole := event(1, "one") + event(2, "two")
 			if _, err := io.ReadFull(response.Body, make([]byte, len(whole)-1)); err != nil {
@@ -116,28 +116,28 @@
 
 func TestTurn_CommitFails_ResponseBreaksOff(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
-	var refused atomic.Bool
-	refused.Store(true)
+	var rejected atomic.Bool
+	rejected.Store(true)
 	f.programs.end = func(program.EndTurn) error {
-		if refused.Load() {
+		if rejected.Load() {
 			return errors.New("no owner")
 		}
 		return nil
 	}
 	c := f.dial()
-	c.ask("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 150")...)
+	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 150")...)
 	if got := c.read("POST"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
-	refused.Store(false)
+	rejected.Store(false)
 	if end := <-f.programs.ended; end.Tokens != 3 {
-		t.Errorf("settled with %+v", end)
+		t.Errorf("committed with %+v", end)
 	}
 }
 
 func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
 	cut := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
 	}
 	cases := []struct {
@@ -145,16 +145,16 @@
 		script func(net.Conn, received) bool
 		tokens int64
 	}{
-		{"turned away", turnAway, 0},
-		{"reset", resetAtOnce, 0},
+		{"rejected", respondNotRun, 0},
+		{"reset", resetConnection, 0},
 		{"cut inside the second event", cut, 3},
-		{"failed", answerWith(500, "failed"), 0},
+		{"failed", respondWith(500, "failed"), 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, test.script))
 			c := f.dial()
-			c.ask("POST", "/turn/x", "id", "input", turnFields...)
+			c.request("POST", "/turn/x", "id", "input", turnFields...)
 			c.read("POST")
 			want := program.EndTurn{Turn: "id", Tokens: test.tokens}
 			if diff := cmp.Diff(want, <-f.programs.ended); diff != "" {
@@ -169,7 +169,7 @@
 	release := make(chan struct{})
 	f.programs.end = func(program.EndTurn) error { <-release; return nil }
 	c := f.dial()
-	c.ask("POST", "/stream/x", "id", "input", "Program: p", "Budget: 10", "X-Token-Counts: 5,6")
+	c.request("POST", "/stream/x", "id", "input", "Program: p", "Budget: 10", "X-Token-Counts: 5,6")
 	if got := c.read("POST"); got.err != nil || got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
@@ -182,7 +182,7 @@
 func TestStream_WithoutBudget_IsNoTurn(t *testing.T) {
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	c := f.dial()
-	c.ask("POST", "/stream/x", "id", "input")
+	c.request("POST", "/stream/x", "id", "input")
 	if got := c.read("POST"); got.status != 200 || len(f.programs.begins) != 0 {
 		t.Errorf("got %+v with %d turns", got, len(f.programs.begins))
 	}
@@ -192,32 +192,32 @@
 	// given stores that have lost a turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	var offers atomic.Int64
-	f.programs.lost = func(end program.EndTurn) bool {
+	f.programs.unknown = func(end program.EndTurn) bool {
 		if end.Complete {
 			offers.Add(1)
 		}
 		return true
 	}
-	// when its answer comes whole, with much time left
+	// when its answer comes completely, with much time left
 	c := f.dial()
 	asked := time.Now()
-	c.ask("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
+	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
 	got := c.read("POST")
 	// then the client sees it cut, well before its deadline
 	if got.err == nil || offers.Load() != 1 {
 		t.Errorf("got %+v after %d offers", got, offers.Load())
 	}
-	if held := time.Since(asked); held > 4*time.Second {
-		t.Errorf("held for %v", held)
+	if inFlight := time.Since(asked); inFlight > 4*time.Second {
+		t.Errorf("inFlight for %v", inFlight)
 	}
 }
 
 func TestTurn_CompleteWithoutEvents_Counts(t *testing.T) {
-	for name, script := range map[string]func(net.Conn, received) bool{"a length of nothing": answerWith(200, ""), "no chunk": stream()} {
+	for name, script := range map[string]func(net.Conn, received) bool{"a length of nothing": respondWith(200, ""), "no chunk": stream()} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
 			c := f.dial()
-			c.ask("POST", "/turn/x", "id", "input", turnFields...)
+			c.request("POST", "/turn/x", "id", "input", turnFields...)
 			if got := c.read("POST"); got.err != nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
@@ -230,25 +230,25 @@
 
 func TestUsageCommitter_UnknownTurn_RetriesForAWhile(t *testing.T) {
 	cases := []struct {
-		name    string
-		knownAt int // the offer from which on the turn is known
-		whole   bool
-		offers  int
-		known   bool
+		name     string
+		knownAt  int // the offer from which on the turn is known
+		complete bool
+		offers   int
+		known    bool
 	}{
 		{"given a turn whose beginning comes late when it broke off then its end is taken", 4, false, 4, true},
-		{"given a turn that never was begun when it broke off then its end is given up", 1000, false, maxUnknownAnswers, false},
-		{"given a turn that isn't known when it is whole then its end is given up at once", 2, true, 1, false},
+		{"given a turn that never was begun when it broke off then its end is abandoned", 1000, false, maxUnknownAnswers, false},
+		{"given a turn that isn't known when it is complete then its end is abandoned at once", 2, true, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				offers := 0
-				stores := &programs{ended: make(chan program.EndTurn, 1), lost: func(program.EndTurn) bool {
+				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), unknown: func(program.EndTurn) bool {
 					offers++
 					return offers < test.knownAt
 				}}
-				err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.whole})
+				err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.complete})
 				if offers != test.offers || (err == nil) != test.known {
 					t.Errorf("%d offers, %v", offers, err)
 				}
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -53,13 +53,13 @@
 				e := newEndpoint(t, func(socket net.Conn, request received) bool {
 					text := ""
 					if head != "" {
-						text = sealed(200, request, head) + chunk(event(1, "one"))
+						text = sealedHead(200, request, head) + chunk(event(1, "one"))
 					}
 					io.WriteString(socket, text)
 					close(started)
 					<-release
 					if head == "" {
-						return answerWith(200, "whole")(socket, request)
+						return respondWith(200, "whole")(socket, request)
 					}
 					io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
 					return true
@@ -73,12 +73,12 @@
 				if head != "" {
 					target, want = "/stream/x", event(1, "one")+event(2, "two")
 				}
-				c.ask("POST", target, "id", "body")
+				c.request("POST", target, "id", "body")
 				<-started
 				// when what the proxy knows changes
 				change(f, s)
 				close(release)
-				// then the request is answered whole
+				// then the request is answered completely
 				if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
 					t.Errorf("got %+v", got)
 				}
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -14,7 +14,7 @@
 
 // echoBody answers with the request's own body.
 func echoBody(socket net.Conn, request received) bool {
-	return answerWith(200, request.body)(socket, request)
+	return respondWith(200, request.body)(socket, request)
 }
 
 func TestPipelinedRequests_AreAnsweredInOrder(t *testing.T) {
@@ -37,7 +37,7 @@
 	e := newEndpoint(t, echoBody)
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "", "Transfer-Encoding: chunked")
+	c.request("POST", "/once/x", "id", "", "Transfer-Encoding: chunked")
 	for _, part := range []string{"one ", "two ", "three"} {
 		c.send(chunk(part))
 	}
@@ -49,7 +49,7 @@
 	if request.header.Get("Content-Length") != "13" || request.header.Get("Transfer-Encoding") != "" {
 		t.Errorf("the endpoint got %v", request.header)
 	}
-	c.ask("GET", "/once/x", "id2", "")
+	c.request("GET", "/once/x", "id2", "")
 	if got := c.read("GET"); got.status != 200 {
 		t.Errorf("next request on the connection: %+v", got)
 	}
@@ -59,7 +59,7 @@
 	e := newEndpoint(t, echoBody)
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("POST", "/once/x", "id", "", "Expect: 100-continue", "Content-Length: 4")
+	c.request("POST", "/once/x", "id", "", "Expect: 100-continue", "Content-Length: 4")
 	line, err := c.reader.ReadString('\n')
 	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q, %v", line, err)
@@ -117,7 +117,7 @@
 
 func TestHTTP10Client_ResponseBreaksOff_SeesReset(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead)+chunk(event(1, "one")))
+		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	})
 	f := newFixture(t, e)
@@ -136,14 +136,14 @@
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealed(200, request)+"some bytes")
+				io.WriteString(socket, sealedHead(200, request)+"some bytes")
 				<-read
 				end(socket)
 				return false
 			})
 			f := newFixture(t, e)
 			c := f.dial()
-			c.ask("GET", "/once/x", "id", "")
+			c.request("GET", "/once/x", "id", "")
 			response := c.head("GET")
 			io.ReadFull(response.Body, make([]byte, len("some bytes")))
 			close(read)
@@ -176,7 +176,7 @@
 		e := newEndpoint(t, echoBody)
 		f := newFixture(t, e)
 		c := f.dial()
-		c.ask("POST", "/once/x", "id", "", "Content-Length: 10", "X-Time-Left-Ms: 50")
+		c.request("POST", "/once/x", "id", "", "Content-Length: 10", "X-Time-Left-Ms: 50")
 		if !c.closedSilently() || e.count.Load() != 0 {
 			t.Error("an incomplete request was answered or sent")
 		}
@@ -191,7 +191,7 @@
 		f.views.routes.Store(NewRoutes(&config))
 	}
 	status := func(c *client, headerBytes, bodyBytes int) int {
-		c.ask("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
+		c.request("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
 		return c.read("POST").status
 	}
 	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
@@ -232,7 +232,7 @@
 		t.Error("a header that doesn't come was answered")
 	}
 	idle := f.dial()
-	idle.ask("GET", "/once/x", "id", "")
+	idle.request("GET", "/once/x", "id", "")
 	if got := idle.read("GET"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
@@ -243,7 +243,7 @@
 
 func TestClient_ReadsNothing_DoesNotOccupyEndpoint(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealed(200, request, streamHead))
+		io.WriteString(socket, sealedHead(200, request, streamHead))
 		for {
 			if _, err := io.WriteString(socket, chunk(event(1, strings.Repeat("x", 64<<10)))); err != nil {
 				return false
@@ -252,9 +252,9 @@
 	})
 	f := newFixture(t, e)
 	c := f.dial()
-	c.ask("GET", "/stream/x", "id", "", "X-Time-Left-Ms: 100")
+	c.request("GET", "/stream/x", "id", "", "X-Time-Left-Ms: 100")
 	<-e.closed
-	if outcome := <-f.chooser.outcomes; outcome.Result != DeadlineExceeded && outcome.Result != ClientClosed {
+	if outcome := <-f.selector.outcomes; outcome.Result != DeadlineExceeded && outcome.Result != ClientClosed {
 		t.Errorf("outcome %+v", outcome)
 	}
 }
