--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// deliverPayload hands something to a host at once, or later when it is slow or frozen.
+// deliver steps a host with an input at once, or later when it is slow or frozen.
 func (w *cluster) deliver(to *host, input Input) {
 	if to.lag > 0 {
 		starts := to.starts
--- a/internal/tier/membership/coldstart_test.go
+++ b/internal/tier/membership/coldstart_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxColdStart is the time within which all members know each other after a start of the whole system: what waits for those
-// that are missing, such as the decision that a replica is lost, waits for longer.
+// maxColdStart is the time within which all members know each other after a start of the whole system: decisions on missing
+// members, such as that a replica is lost, must wait longer.
 const maxColdStart = 3500 * time.Millisecond
 
-// clusterWithDifferentSeeds lays out a network of five controllers in which each machine's settings name three of them, as operators'
+// clusterWithDifferentSeeds returns a cluster of five controllers in which each machine's settings name three of them, as operators'
 // lists do that were written at different times.
 func clusterWithDifferentSeeds(size int, seed uint64) *cluster {
 	w := newCluster(size, seed)
--- a/internal/tier/membership/detection_test.go
+++ b/internal/tier/membership/detection_test.go
@@ -20,7 +20,7 @@
 )
 
 // TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound measures after which time the controllers suspect that a machine with replicas has lost
-// power, and take it for dead: placement counts from the suspicion where a successor runs.
+// power, and declare it dead: placement counts from the suspicion where a successor runs.
 func TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound(t *testing.T) {
 	t.Parallel()
 	for _, tc := range detections {
@@ -44,10 +44,10 @@
 	}
 }
 
-// hostsWithReplicas is how many hosts of a network are controllers and stores; they come first.
+// hostsWithReplicas is how many hosts of a cluster are controllers and stores; they come first.
 const hostsWithReplicas = 7
 
-// failureOf kills a host with replicas in a calm fleet, and tells when each controller suspected it and took it for dead.
+// failureOf kills a host with replicas in a calm fleet, and returns when each controller suspected it and declared it dead.
 func failureOf(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
 	t.Helper()
 	w := newCluster(size, seed+1)
@@ -57,7 +57,7 @@
 	killedAt := w.loop.Now()
 	w.kill(victim)
 	if _, done := w.runUntil(maxDetection, w.converged); !done {
-		t.Fatalf("seed %d: the death isn't seen by all", seed)
+		t.Fatalf("seed %d: not all members know of the death", seed)
 	}
 	for _, h := range w.running() {
 		if h.member.Role != Controller {
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// fault is one fault that is injected into a network.
+// fault is one fault that is injected into a cluster.
 type fault struct {
 	Kind     string
 	Host     int
@@ -91,7 +91,7 @@
 	})
 }
 
-// checkNeverBack looks at all that a host has reported.
+// checkNeverBack checks that no event of a host has an older incarnation than the one before.
 func checkNeverBack(t *rapid.T, h *host) {
 	for _, change := range h.events {
 		before, after := change.Previous, change.Member
@@ -104,7 +104,7 @@
 	}
 }
 
-// Given one seed, when a story is played twice, then all changes are the same.
+// Given one seed, when a run is repeated, then all events are the same.
 func TestNetwork_SameSeed_GivesTheSameEvents(t *testing.T) {
 	run := func() [][]timedEvent {
 		w := newCluster(12, 5)
@@ -159,7 +159,7 @@
 	})
 }
 
-// Given two lists, when one requests and the other answers and gets what it wanted, then both hold the same.
+// Given two tables, when one requests and the other answers and gets what it requested, then both have the same records.
 func TestPushPull_AnyTwoTables_AreTheSameAfterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := twoNodes(t)
--- a/internal/tier/membership/tombstone.go
+++ b/internal/tier/membership/tombstone.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // deadProbeIntervals is how many probe intervals pass between two pings of dead members. They let the partitions of a healed
-// cluster find each other.
+// network find each other.
 const deadProbeIntervals = 5
 
 // removeTombstone drops the tombstone of a member that is alive again.
--- a/internal/tier/network/memorynetwork/connection.go
+++ b/internal/tier/network/memorynetwork/connection.go
@@ -11,82 +11,82 @@
 	"mastusher/internal/tier/network"
 )
 
-// segment is what travels from one end to the other at once.
+// segment is what travels from one endpoint to the other at once.
 type segment struct {
-	data  []byte
-	fin   bool
-	reset bool
-	at    time.Time // of its arrival
+	data      []byte
+	fin       bool
+	reset     bool
+	arrivesAt time.Time
 }
 
-// end is one end of a connection. The network's mutex guards all of it.
-type end struct {
+// endpoint is one end of a connection. The network's mutex guards all of it.
+type endpoint struct {
 	network *Network
 	process *Process
-	peer    *end
+	peer    *endpoint
 	local   *net.TCPAddr
 	remote  *net.TCPAddr
 	changed *sync.Cond
 
-	received    []byte
-	finished    bool  // the peer sends no more
-	failure     error // of the connection
-	closed      bool
-	writeClosed bool
-	abort       bool // Close resets
-
-	flight      []segment // sent and not arrived
-	flightBytes int
-	pumping     bool
-	pause       time.Duration // until the next retransmission; 0: none was needed
-
-	probeAfter  time.Duration // of silence the peer is probed; 0: never
-	silence     time.Duration // after which a silent peer counts as gone
-	readUntil   deadline
-	writeUntil  deadline
-	noticeSince int
+	receiveBuffer []byte
+	remoteClosed  bool  // a FIN was received
+	failure       error // of the connection; nil: none
+	closed        bool
+	writeClosed   bool
+	resetOnClose  bool // Close sends a reset
+
+	inFlight          []segment // sent and not delivered, in order
+	inFlightBytes     int
+	delivering        bool
+	retransmitTimeout time.Duration // until the next retransmission; 0: none is needed
+
+	keepAliveIdle    time.Duration // after which the peer is probed; 0: never
+	keepAliveTimeout time.Duration // after which a silent peer is timed out; 0: never
+	readDeadline     deadline
+	writeDeadline    deadline
+	keepAliveTimer   int
 }
 
 var (
-	_ network.TCPConn    = (*end)(nil)
-	_ network.IdleProber = (*end)(nil)
+	_ network.TCPConn    = (*endpoint)(nil)
+	_ network.IdleProber = (*endpoint)(nil)
 )
 
-// newPair joins two processes. The caller holds the mutex.
-func newPair(from, to *Process, local, remote *net.TCPAddr) (near, far *end) {
+// newPair connects two processes. The caller holds the mutex.
+func newPair(from, to *Process, local, remote *net.TCPAddr) (near, far *endpoint) {
 	n := from.machine.network
-	near = &end{network: n, process: from, local: local, remote: remote}
-	far = &end{network: n, process: to, local: remote, remote: local}
+	near = &endpoint{network: n, process: from, local: local, remote: remote}
+	far = &endpoint{network: n, process: to, local: remote, remote: local}
 	near.peer, far.peer = far, near
-	for _, e := range []*end{near, far} {
+	for _, e := range []*endpoint{near, far} {
 		e.changed = sync.NewCond(&n.mutex)
-		n.ends[e] = struct{}{}
-		e.process.ends[e] = struct{}{}
+		n.endpoints[e] = struct{}{}
+		e.process.endpoints[e] = struct{}{}
 	}
 	return near, far
 }
 
 // Read implements net.Conn.
-func (e *end) Read(buffer []byte) (int, error) {
+func (e *endpoint) Read(buffer []byte) (int, error) {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	for {
 		switch {
-		case e.closed || e.process.dead:
+		case e.closed || e.process.killed:
 			return 0, e.error("read", net.ErrClosed)
 		case e.process.machine.frozen:
-		case e.readUntil.isOver():
+		case e.readDeadline.isOver():
 			return 0, e.error("read", os.ErrDeadlineExceeded)
 		case len(buffer) == 0:
 			return 0, nil
-		case len(e.received) > 0:
-			count := copy(buffer, e.received)
-			e.received = e.received[count:]
+		case len(e.receiveBuffer) > 0:
+			count := copy(buffer, e.receiveBuffer)
+			e.receiveBuffer = e.receiveBuffer[count:]
 			e.peer.changed.Broadcast()
 			return count, nil
 		case e.failure != nil:
 			return 0, e.error("read", e.failure)
-		case e.finished:
+		case e.remoteClosed:
 			return 0, io.EOF
 		}
 		e.changed.Wait()
@@ -94,12 +94,12 @@
 }
 
 // Write implements net.Conn.
-func (e *end) Write(data []byte) (written int, err error) {
+func (e *endpoint) Write(data []byte) (written int, err error) {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	for {
 		switch {
-		case e.closed || e.process.dead:
+		case e.closed || e.process.killed:
 			return written, e.error("write", net.ErrClosed)
 		case e.process.machine.frozen:
 			e.changed.Wait()
@@ -108,17 +108,17 @@
 			return written, e.error("write", e.failure)
 		case e.writeClosed:
 			return written, e.error("write", syscall.EPIPE)
-		case e.writeUntil.isOver():
+		case e.writeDeadline.isOver():
 			return written, e.error("write", os.ErrDeadlineExceeded)
 		case written == len(data):
 			return written, nil
 		}
-		room := windowBytes - e.flightBytes - len(e.peer.received)
-		if room <= 0 {
+		space := windowBytes - e.inFlightBytes - len(e.peer.receiveBuffer)
+		if space <= 0 {
 			e.changed.Wait()
 			continue
 		}
-		count := min(room, len(data)-written)
+		count := min(space, len(data)-written)
 		e.send(segment{data: append([]byte(nil), data[written:written+count]...)})
 		written += count
 		if written == len(data) {
@@ -128,12 +128,12 @@
 }
 
 // ReadFrom implements io.ReaderFrom.
-func (e *end) ReadFrom(source io.Reader) (int64, error) {
+func (e *endpoint) ReadFrom(source io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{e}, source)
 }
 
 // Close implements net.Conn.
-func (e *end) Close() error {
+func (e *endpoint) Close() error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	if e.closed {
@@ -143,13 +143,14 @@
 	return nil
 }
 
-// close ends the connection: orderly, unless bytes were left unread or a reset is wanted. The caller holds the mutex.
-func (e *end) close() {
+// close closes the endpoint: with a FIN, or with a reset if bytes were left unread or SetLinger asked for it. The caller holds
+// the mutex.
+func (e *endpoint) close() {
 	if e.closed {
 		return
 	}
-	orderly := len(e.received) == 0 && !e.abort
-	e.forget()
+	orderly := len(e.receiveBuffer) == 0 && !e.resetOnClose
+	e.detach()
 	if e.failure != nil {
 		return
 	}
@@ -159,30 +160,30 @@
 		}
 		return
 	}
-	e.flight, e.flightBytes = nil, 0
+	e.inFlight, e.inFlightBytes = nil, 0
 	e.send(segment{reset: true})
 }
 
-// vanish ends the connection without a word. The caller holds the mutex.
-func (e *end) vanish() {
-	e.forget()
-	e.flight, e.flightBytes = nil, 0
+// discard closes the endpoint without a segment, as a loss of power does. The caller holds the mutex.
+func (e *endpoint) discard() {
+	e.detach()
+	e.inFlight, e.inFlightBytes = nil, 0
 }
 
-// forget makes the end unknown to its machine. The caller holds the mutex.
-func (e *end) forget() {
+// detach removes the endpoint from its machine. The caller holds the mutex.
+func (e *endpoint) detach() {
 	e.closed = true
-	e.received = nil
-	e.readUntil.stop()
-	e.writeUntil.stop()
-	delete(e.network.ends, e)
-	delete(e.process.ends, e)
+	e.receiveBuffer = nil
+	e.readDeadline.stop()
+	e.writeDeadline.stop()
+	delete(e.network.endpoints, e)
+	delete(e.process.endpoints, e)
 	e.changed.Broadcast()
 	e.peer.changed.Broadcast()
 }
 
-// CloseWrite tells the peer that no more comes.
-func (e *end) CloseWrite() error {
+// CloseWrite sends a FIN.
+func (e *endpoint) CloseWrite() error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	if e.closed {
@@ -196,57 +197,57 @@
 }
 
 // SetLinger with 0 makes Close reset the connection.
-func (e *end) SetLinger(seconds int) error {
+func (e *endpoint) SetLinger(seconds int) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
-	e.abort = seconds == 0
+	e.resetOnClose = seconds == 0
 	return nil
 }
 
-// SetKeepAliveConfig sets how a silent peer is noticed.
-func (e *end) SetKeepAliveConfig(config net.KeepAliveConfig) error {
+// SetKeepAliveConfig sets how a silent peer is detected.
+func (e *endpoint) SetKeepAliveConfig(config net.KeepAliveConfig) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	e.setKeepAlive(config)
 	return nil
 }
 
-func (e *end) setKeepAlive(config net.KeepAliveConfig) {
+func (e *endpoint) setKeepAlive(config net.KeepAliveConfig) {
 	if !config.Enable {
 		return
 	}
-	e.probeAfter = config.Idle
-	e.silence = config.Idle + time.Duration(config.Count)*config.Interval
-	if !e.inTouch() {
-		e.noticeSilence()
+	e.keepAliveIdle = config.Idle
+	e.keepAliveTimeout = config.Idle + time.Duration(config.Count)*config.Interval
+	if !e.isConnected() {
+		e.startKeepAliveTimer()
 	}
 }
 
 // Idle implements network.IdleProber.
-func (e *end) Idle() bool {
+func (e *endpoint) Idle() bool {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
-	return !e.closed && e.failure == nil && !e.finished && len(e.received) == 0
+	return !e.closed && e.failure == nil && !e.remoteClosed && len(e.receiveBuffer) == 0
 }
 
 // LocalAddr implements net.Conn.
-func (e *end) LocalAddr() net.Addr { return e.local }
+func (e *endpoint) LocalAddr() net.Addr { return e.local }
 
 // RemoteAddr implements net.Conn.
-func (e *end) RemoteAddr() net.Addr { return e.remote }
+func (e *endpoint) RemoteAddr() net.Addr { return e.remote }
 
 // SetDeadline implements net.Conn.
-func (e *end) SetDeadline(at time.Time) error {
-	return e.setDeadlines(at, &e.readUntil, &e.writeUntil)
+func (e *endpoint) SetDeadline(at time.Time) error {
+	return e.setDeadlines(at, &e.readDeadline, &e.writeDeadline)
 }
 
 // SetReadDeadline implements net.Conn.
-func (e *end) SetReadDeadline(at time.Time) error { return e.setDeadlines(at, &e.readUntil) }
+func (e *endpoint) SetReadDeadline(at time.Time) error { return e.setDeadlines(at, &e.readDeadline) }
 
 // SetWriteDeadline implements net.Conn.
-func (e *end) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeUntil) }
+func (e *endpoint) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeDeadline) }
 
-func (e *end) setDeadlines(at time.Time, deadlines ...*deadline) error {
+func (e *endpoint) setDeadlines(at time.Time, deadlines ...*deadline) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	if e.closed {
@@ -259,14 +260,14 @@
 	return nil
 }
 
-// wake has those who wait at this end look again.
-func (e *end) wake() {
+// wake makes blocked calls check their conditions again.
+func (e *endpoint) wake() {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	e.changed.Broadcast()
 }
 
-func (e *end) error(operation string, cause error) error {
+func (e *endpoint) error(operation string, cause error) error {
 	if _, isNumber := cause.(syscall.Errno); isNumber {
 		cause = os.NewSyscallError(operation, cause)
 	}
@@ -282,8 +283,8 @@
 func (d *deadline) set(at time.Time, passed func()) {
 	d.stop()
 	d.at = at
-	if left := time.Until(at); !at.IsZero() && left > 0 {
-		d.timer = time.AfterFunc(left, passed)
+	if remaining := time.Until(at); !at.IsZero() && remaining > 0 {
+		d.timer = time.AfterFunc(remaining, passed)
 	}
 }
 
--- a/internal/tier/network/memorynetwork/dial.go
+++ b/internal/tier/network/memorynetwork/dial.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// firstAttempt is the pause after an attempt to open a connection that got no answer; it doubles.
-const firstAttempt = time.Second
+// initialConnectTimeout is the time until an unanswered SYN is retransmitted; it doubles.
+const initialConnectTimeout = time.Second
 
 // Dial implements network.Network.
 func (p *Process) Dial(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error) {
@@ -38,16 +38,16 @@
 	return opened, nil
 }
 
-// open tries until an attempt is answered.
-func (p *Process) open(ctx context.Context, target netip.AddrPort) (*end, error) {
-	for pause := firstAttempt; ; pause *= 2 {
+// open attempts to connect until an attempt is answered.
+func (p *Process) open(ctx context.Context, target netip.AddrPort) (*endpoint, error) {
+	for timeout := initialConnectTimeout; ; timeout *= 2 {
 		if err := p.AwaitThaw(); err != nil {
 			return nil, err
 		}
 		there := p.machine.network.Machine(target.Addr().String())
 		answer, answered := p.roundTrip(there)
 		if !answered {
-			if err := p.sleep(ctx, pause); err != nil {
+			if err := p.sleep(ctx, timeout); err != nil {
 				return nil, err
 			}
 			continue
@@ -59,56 +59,56 @@
 		if opened != nil || err != nil {
 			return opened, err
 		}
-		if err := p.sleep(ctx, pause); err != nil {
+		if err := p.sleep(ctx, timeout); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// roundTrip returns the time until an answer comes; false means that none does.
+// roundTrip draws the time until a SYN is answered; false: it or the answer is lost.
 func (p *Process) roundTrip(there *Machine) (time.Duration, bool) {
 	n := p.machine.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.carries(p.machine, there) || !n.carries(there, p.machine) {
+	if !n.reachable(p.machine, there) || !n.reachable(there, p.machine) {
 		return 0, false
 	}
 	return n.delay(p.machine, there) + n.delay(there, p.machine), true
 }
 
-// connect joins the process with who listens there; neither an end nor an error means that the attempt was lost.
-func (p *Process) connect(there *Machine, port uint16) (*end, error) {
+// connect connects the process with the listener of a port. Neither an endpoint nor an error: the SYN was lost.
+func (p *Process) connect(there *Machine, port uint16) (*endpoint, error) {
 	n := p.machine.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	listening := there.listeners[port]
 	switch {
-	case p.dead:
+	case p.killed:
 		return nil, net.ErrClosed
-	case !n.carries(p.machine, there) || !n.carries(there, p.machine):
+	case !n.reachable(p.machine, there) || !n.reachable(there, p.machine):
 		return nil, nil
 	case listening == nil || n.link(p.machine.ip, there.ip).refuse:
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
-	case len(listening.backlog) >= mostBacklog:
+	case len(listening.backlog) >= maxBacklog:
 		return nil, nil
 	}
-	local := &net.TCPAddr{IP: p.machine.ip.AsSlice(), Port: int(p.machine.nextPort())}
+	local := &net.TCPAddr{IP: p.machine.ip.AsSlice(), Port: int(p.machine.ephemeralPort())}
 	near, far := newPair(p, listening.process, local, listening.address)
 	listening.backlog = append(listening.backlog, far)
 	listening.changed.Broadcast()
 	return near, nil
 }
 
-// nextPort returns a port for a dialer. The caller holds the mutex.
-func (m *Machine) nextPort() uint16 {
-	m.port++
-	if m.port < firstPort {
-		m.port = firstPort
+// ephemeralPort returns the next local port for a dialer. The caller holds the mutex.
+func (m *Machine) ephemeralPort() uint16 {
+	m.lastPort++
+	if m.lastPort < firstEphemeralPort {
+		m.lastPort = firstEphemeralPort
 	}
-	return m.port
+	return m.lastPort
 }
 
-// parse reads an address to listen at; a port that is 0 is chosen.
+// parse parses an address to listen at. For port 0 it chooses a free one.
 func (m *Machine) parse(address string) (*net.TCPAddr, error) {
 	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
@@ -124,7 +124,7 @@
 	m.network.mutex.Lock()
 	defer m.network.mutex.Unlock()
 	for port == 0 {
-		if chosen := m.nextPort(); m.listeners[chosen] == nil && m.packets[chosen] == nil {
+		if chosen := m.ephemeralPort(); m.listeners[chosen] == nil && m.packets[chosen] == nil {
 			port = uint64(chosen)
 		}
 	}
--- a/internal/tier/network/memorynetwork/fault.go
+++ b/internal/tier/network/memorynetwork/fault.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Partition loses what one machine sends to another, until Heal. Connections stay: what is sent on them is sent again by the kernel
-// once the link carries.
-func (n *Network) Partition(from, to *Machine) { n.change(from, to, true) }
+// Partition loses what one machine sends to another, until Heal. Connections stay open: the kernel retransmits what is sent on
+// them until the link is up, or times the peer out.
+func (n *Network) Partition(from, to *Machine) { n.setPartitioned(from, to, true) }
 
 // Heal undoes Partition and Refuse.
 func (n *Network) Heal(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = false
 	n.mutex.Unlock()
-	n.change(from, to, false)
+	n.setPartitioned(from, to, false)
 }
 
-func (n *Network) change(from, to *Machine, cut bool) {
+// setPartitioned changes one direction of a link, and starts or ends the time-outs of the connections over it.
+func (n *Network) setPartitioned(from, to *Machine, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	changed := n.link(from.ip, to.ip)
-	if changed.cut == cut || from == to {
+	if changed.partitioned == partitioned || from == to {
 		return
 	}
-	changed.cut = cut
-	changed.changes++
-	n.each(between(from, to), func(e *end) {
-		if cut {
-			e.noticeSilence()
+	changed.partitioned = partitioned
+	n.forEachEndpoint(between(from, to), func(e *endpoint) {
+		if partitioned {
+			e.startKeepAliveTimer()
 		} else {
-			e.probe()
+			e.startProbe()
 		}
 	})
 }
 
-// Refuse resets the connections between two machines, and has new ones from the first to the second refused until Heal.
+// Refuse resets the connections between two machines, and refuses new ones from the first to the second until Heal.
 func (n *Network) Refuse(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = true
@@ -47,12 +47,12 @@
 func (n *Network) Reset(a, b *Machine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.each(between(a, b), func(e *end) { e.fail(syscall.ECONNRESET) })
+	n.forEachEndpoint(between(a, b), func(e *endpoint) { e.fail(syscall.ECONNRESET) })
 }
 
-// Slow adds to the delay of what one machine sends to another.
-func (n *Network) Slow(from, to *Machine, by time.Duration) {
+// SetExtraDelay sets the additional delay of what one machine sends to another.
+func (n *Network) SetExtraDelay(from, to *Machine, extra time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.link(from.ip, to.ip).slower = by
+	n.link(from.ip, to.ip).extraDelay = extra
 }
--- a/internal/tier/network/memorynetwork/listener.go
+++ b/internal/tier/network/memorynetwork/listener.go
@@ -8,15 +8,15 @@
 	"syscall"
 )
 
-// mostBacklog bounds the connections that wait to be accepted; attempts beyond are lost.
-const mostBacklog = 512
+// maxBacklog bounds the connections that wait to be accepted; SYNs beyond it are lost.
+const maxBacklog = 512
 
-// listener takes connections for a process.
+// listener accepts connections for a process.
 type listener struct {
 	process *Process
 	address *net.TCPAddr
 	changed *sync.Cond
-	backlog []*end
+	backlog []*endpoint
 	closed  bool
 }
 
@@ -29,7 +29,7 @@
 	n := p.machine.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if p.dead {
+	if p.killed {
 		return nil, &net.OpError{Op: "listen", Net: network, Addr: at, Err: net.ErrClosed}
 	}
 	if p.machine.listeners[uint16(at.Port)] != nil {
@@ -70,13 +70,13 @@
 	return nil
 }
 
-// kill closes it, with the connections that nobody has accepted. The caller holds the mutex.
+// kill closes the listener and resets the connections that were not accepted. The caller holds the mutex.
 func (l *listener) kill() {
 	l.closed = true
 	delete(l.process.machine.listeners, uint16(l.address.Port))
 	delete(l.process.sockets, l)
 	for _, waiting := range l.backlog {
-		waiting.abort = true
+		waiting.resetOnClose = true
 		waiting.close()
 	}
 	l.backlog = nil
--- a/internal/tier/network/memorynetwork/memorynetwork_test.go
+++ b/internal/tier/network/memorynetwork/memorynetwork_test.go
@@ -24,8 +24,8 @@
 	lingering = 10 * time.Second
 )
 
-// world is two machines with a connection from the first to the second.
-type world struct {
+// pair is two machines with a connection from the first to the second.
+type pair struct {
 	t           *testing.T
 	network     *memorynetwork.Network
 	here, there *memorynetwork.Machine
@@ -34,22 +34,22 @@
 	near, far   net.Conn
 }
 
-// inWorld runs a story in virtual time.
-func inWorld(t *testing.T, story func(w *world)) {
+// withPair runs a test in virtual time.
+func withPair(t *testing.T, run func(w *pair)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: memorynetwork.New(memorynetwork.Options{Delay: delay})}
+		w := &pair{t: t, network: memorynetwork.New(memorynetwork.Options{Delay: delay})}
 		w.here, w.there = w.network.Machine("10.0.0.1"), w.network.Machine("10.0.0.2")
 		w.from, w.to = w.here.Start(), w.there.Start()
 		w.listen()
 		w.near, w.far = w.connect()
-		story(w)
+		run(w)
 		w.from.Kill()
 		w.to.Kill()
 		time.Sleep(lingering)
 	})
 }
 
-func (w *world) listen() {
+func (w *pair) listen() {
 	w.t.Helper()
 	var err error
 	if w.listener, err = w.to.Listen(w.t.Context(), new(net.ListenConfig), "tcp4", address); err != nil {
@@ -57,17 +57,17 @@
 	}
 }
 
-// linkDialer notices a peer that is silent for 3 s.
+// linkDialer times a silent peer out after 3 s.
 func linkDialer() *net.Dialer {
 	return &net.Dialer{Timeout: 500 * time.Millisecond,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 }
 
-func (w *world) dial() (net.Conn, error) {
+func (w *pair) dial() (net.Conn, error) {
 	return w.from.Dial(w.t.Context(), linkDialer(), "tcp4", address)
 }
 
-func (w *world) connect() (near, far net.Conn) {
+func (w *pair) connect() (near, far net.Conn) {
 	w.t.Helper()
 	near, err := w.dial()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return near, far
 }
 
-func (w *world) write(to net.Conn, text string) {
+func (w *pair) write(to net.Conn, text string) {
 	w.t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
 		w.t.Fatal(err)
@@ -87,28 +87,28 @@
 }
 
 // expect reads exactly the text, and returns how long that took.
-func (w *world) expect(from net.Conn, text string) time.Duration {
+func (w *pair) expect(from net.Conn, text string) time.Duration {
 	w.t.Helper()
-	began := time.Now()
+	started := time.Now()
 	buffer := make([]byte, len(text))
 	if _, err := io.ReadFull(from, buffer); err != nil || string(buffer) != text {
 		w.t.Fatalf("read %q, %v; want %q", buffer, err, text)
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
 // expectEnd reads until an error, and returns how long that took.
-func (w *world) expectEnd(from net.Conn, want error) time.Duration {
+func (w *pair) expectEnd(from net.Conn, want error) time.Duration {
 	w.t.Helper()
-	began := time.Now()
+	started := time.Now()
 	if n, err := from.Read(make([]byte, 1)); n != 0 || !errors.Is(err, want) {
 		w.t.Fatalf("read %d bytes, %v; want %v", n, err, want)
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
-func TestBytesArriveInOrderAfterTheDelay(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_Bytes_ArriveInOrderAfterTheDelay(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.write(w.near, "one ")
 		w.write(w.near, "two")
 		if took := w.expect(w.far, "one two"); took != delay {
@@ -119,8 +119,8 @@
 	})
 }
 
-func TestAHalfCloseEndsOneDirection(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_HalfClose_EndsOneDirection(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.write(w.near, "last")
 		w.near.(interface{ CloseWrite() error }).CloseWrite()
 		w.expect(w.far, "last")
@@ -133,8 +133,8 @@
 	})
 }
 
-func TestACloseWithUnreadBytesResets(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_CloseWithUnreadBytes_Resets(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.write(w.near, "unread")
 		time.Sleep(2 * delay)
 		w.far.Close()
@@ -142,8 +142,8 @@
 	})
 }
 
-func TestBytesForAClosedEndAreAnsweredByAReset(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_BytesForAClosedEnd_AreReset(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.far.Close()
 		w.expectEnd(w.near, io.EOF)
 		w.write(w.near, "late")
@@ -154,22 +154,22 @@
 	})
 }
 
-func TestACutHoldsBytesUntilTheLinkCarries(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestPartition_Short_DelaysBytesUntilItHeals(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.network.Partition(w.here, w.there)
-		w.write(w.near, "held")
+		w.write(w.near, "delayed")
 		w.write(w.far, "the other way")
 		w.expect(w.near, "the other way")
 		time.Sleep(time.Second)
 		w.network.Heal(w.here, w.there)
-		if took := w.expect(w.far, "held"); took < delay || took > time.Second {
+		if took := w.expect(w.far, "delayed"); took < delay || took > time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
 }
 
-func TestALongCutEndsTheConnectionWithoutAWord(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestPartition_Long_TimesOutTheConnection(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.network.Partition(w.there, w.here)
 		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
 			t.Errorf("took %v", took)
@@ -180,12 +180,12 @@
 	})
 }
 
-func TestDialsIntoACutGetNoAnswer(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestPartition_Dial_TimesOutOrWaitsForTheHeal(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.network.Partition(w.there, w.here)
-		began := time.Now()
-		if _, err := w.dial(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) != 500*time.Millisecond {
-			t.Errorf("got %v after %v", err, time.Since(began))
+		started := time.Now()
+		if _, err := w.dial(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(started) != 500*time.Millisecond {
+			t.Errorf("got %v after %v", err, time.Since(started))
 		}
 		// The kernel tries again after a second.
 		ctx, cancel := context.WithTimeout(w.t.Context(), 5*time.Second)
@@ -197,8 +197,8 @@
 	})
 }
 
-func TestRefusalsAndResets(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestRefuse_ConnectionsAndDials_AreResetAndRefused(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.network.Refuse(w.here, w.there)
 		w.expectEnd(w.near, syscall.ECONNRESET)
 		w.expectEnd(w.far, syscall.ECONNRESET)
@@ -214,8 +214,8 @@
 	})
 }
 
-func TestAKilledProcessEndsItsConnections(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestKill_Process_ClosesItsConnections(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.to.Kill()
 		w.expectEnd(w.near, io.EOF)
 		if _, err := w.far.Write([]byte("x")); !errors.Is(err, net.ErrClosed) {
@@ -230,8 +230,8 @@
 	})
 }
 
-func TestALossOfPowerIsSilent(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestPowerOff_Peer_TimesOut(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.there.PowerOff(w.to)
 		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
 			t.Errorf("took %v", took)
@@ -239,8 +239,8 @@
 	})
 }
 
-func TestAMachineThatIsBackSoonKnowsNoConnections(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestPowerOn_WithinTheTimeout_ResetsConnections(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.there.PowerOff(w.to)
 		time.Sleep(time.Second)
 		w.there.PowerOn()
@@ -250,8 +250,8 @@
 	})
 }
 
-func TestAFrozenMachineTakesBytesAndGivesNone(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestFreeze_Machine_AcceptsBytesAndReadsThemAfterTheThaw(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.there.Freeze()
 		w.write(w.near, "while it is frozen")
 		near, err := w.dial()
@@ -268,8 +268,8 @@
 	})
 }
 
-func TestDeadlines(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_Deadlines_EndReads(t *testing.T) {
+	withPair(t, func(w *pair) {
 		w.near.SetReadDeadline(time.Now().Add(time.Second))
 		if took := w.expectEnd(w.near, os.ErrDeadlineExceeded); took != time.Second {
 			t.Errorf("took %v", took)
@@ -282,8 +282,8 @@
 	})
 }
 
-func TestAWriterWaitsForItsReader(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestConnection_FullWindow_BlocksTheWriter(t *testing.T) {
+	withPair(t, func(w *pair) {
 		sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 		w.near.SetWriteDeadline(time.Now().Add(time.Second))
 		n, err := w.near.Write(sent)
@@ -302,28 +302,28 @@
 	})
 }
 
-func TestQuiet(t *testing.T) {
-	inWorld(t, func(w *world) {
-		quiet := func() bool { return w.near.(interface{ Idle() bool }).Idle() }
-		if !quiet() {
-			t.Error("an idle connection isn't quiet")
+func TestConnection_Idle_OnlyOpenAndWithoutBytes(t *testing.T) {
+	withPair(t, func(w *pair) {
+		idle := func() bool { return w.near.(interface{ Idle() bool }).Idle() }
+		if !idle() {
+			t.Error("an open connection without bytes isn't idle")
 		}
 		w.write(w.far, "x")
 		time.Sleep(2 * delay)
-		if quiet() {
-			t.Error("quiet with a byte to read")
+		if idle() {
+			t.Error("idle with a byte to read")
 		}
 		w.expect(w.near, "x")
 		w.far.Close()
 		time.Sleep(2 * delay)
-		if quiet() {
-			t.Error("quiet after the peer's close")
+		if idle() {
+			t.Error("idle after the peer's close")
 		}
 	})
 }
 
-func TestDatagrams(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestDatagram_Partition_LosesIt(t *testing.T) {
+	withPair(t, func(w *pair) {
 		here, err := w.from.ListenPacket(&net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7})
 		if err != nil {
 			t.Fatal(err)
@@ -349,8 +349,8 @@
 	})
 }
 
-func TestTheLibrarysServerAndClient(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestHTTP_ServerAndClient_WorkOverTheNetwork(t *testing.T) {
+	withPair(t, func(w *pair) {
 		server := &http.Server{Handler: http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			io.Copy(response, request.Body)
 		})}
--- a/internal/tier/network/memorynetwork/network.go
+++ b/internal/tier/network/memorynetwork/network.go
@@ -1,11 +1,3 @@
-// Package memorynetwork is a network in memory for tests. It has machines with addresses, links with a delay in each direction,
-// and processes whose sockets end with them; it cuts, refuses, resets, freezes and loses as networks and machines do.
-//
-// All waiting is on conditions and timers, so that inside a bubble of testing/synctest a process that waits for its network is
-// durably blocked and time goes on.
-//
-// What it leaves out: congestion, bandwidth, fragments and the options of sockets, except for the probes of idle connections,
-// which stand for all ways in which a kernel notices a silent peer.
 package memorynetwork
 
 import (
@@ -16,34 +8,34 @@
 )
 
 const (
-	// loopbackDelay is the delay between processes of one machine.
+	// loopbackDelay is the one-way delay between processes of one machine.
 	loopbackDelay = 30 * time.Microsecond
-	// windowBytes may be on their way or wait to be read in one direction of a connection.
+	// windowBytes bounds the bytes in flight and unread in one direction of a connection; a writer blocks beyond it.
 	windowBytes = 256 << 10
-	// firstRetransmission is the pause until bytes that were lost are sent again; it doubles with each loss.
-	firstRetransmission = 200 * time.Millisecond
-	lastRetransmission  = 6400 * time.Millisecond
-	// firstPort is the first port that dialers are given.
-	firstPort = 32768
+	// minRetransmitTimeout is the time until lost bytes are retransmitted; it doubles with each loss to the maximum.
+	minRetransmitTimeout = 200 * time.Millisecond
+	maxRetransmitTimeout = 6400 * time.Millisecond
+	// firstEphemeralPort is the lowest local port of a dialer.
+	firstEphemeralPort = 32768
 )
 
-// Options describe a network.
+// Options configures a network. The zero value has neither delay nor loss.
 type Options struct {
-	Delay  time.Duration // from one machine to another
-	Jitter time.Duration // at most, added to each delay
-	Loss   float64       // share of datagrams that are lost
-	Seed   uint64
+	Delay  time.Duration // one way between two machines
+	Jitter time.Duration // added to each delay, uniform from 0 to this
+	Loss   float64       // fraction of datagrams that are lost, 0 to 1
+	Seed   uint64        // of all random choices
 }
 
-// Network joins machines.
+// Network connects machines.
 type Network struct {
 	options Options
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	machines map[netip.Addr]*Machine
-	links    map[route]*link
-	ends     map[*end]struct{} // that have not been closed
+	mutex     sync.Mutex // guards all state of the network
+	random    *rand.Rand
+	machines  map[netip.Addr]*Machine
+	links     map[route]*link
+	endpoints map[*endpoint]struct{} // not closed
 }
 
 // route is one direction between two machines.
@@ -51,19 +43,18 @@
 
 // link is the state of one direction.
 type link struct {
-	cut     bool // what is sent is lost
-	refuse  bool // connections are refused
-	slower  time.Duration
-	changes int // of whether it carries
+	partitioned bool // what is sent is lost
+	refuse      bool // connections are refused
+	extraDelay  time.Duration
 }
 
 // New returns a network without machines.
 func New(options Options) *Network {
 	return &Network{options: options, random: rand.New(rand.NewPCG(options.Seed, 0x6e6574)), machines: map[netip.Addr]*Machine{},
-		links: map[route]*link{}, ends: map[*end]struct{}{}}
+		links: map[route]*link{}, endpoints: map[*endpoint]struct{}{}}
 }
 
-// Machine returns the machine at an address, which is made at first use.
+// Machine returns the machine at an IP address, which is created at first use.
 func (n *Network) Machine(address string) *Machine {
 	ip := netip.MustParseAddr(address)
 	n.mutex.Lock()
@@ -71,10 +62,10 @@
 	if known := n.machines[ip]; known != nil {
 		return known
 	}
-	made := &Machine{network: n, ip: ip, powered: true, listeners: map[uint16]*listener{}, packets: map[uint16]*packetSocket{}, port: firstPort}
-	made.thawed = sync.NewCond(&n.mutex)
-	n.machines[ip] = made
-	return made
+	added := &Machine{network: n, ip: ip, powered: true, listeners: map[uint16]*listener{}, packets: map[uint16]*packetSocket{}, lastPort: firstEphemeralPort}
+	added.thawed = sync.NewCond(&n.mutex)
+	n.machines[ip] = added
+	return added
 }
 
 // link returns the state of one direction. The caller holds the mutex.
@@ -86,27 +77,27 @@
 	return n.links[r]
 }
 
-// carries tells whether what one machine sends gets to another. The caller holds the mutex.
-func (n *Network) carries(from, to *Machine) bool {
-	return from.powered && to.powered && (from == to || !n.link(from.ip, to.ip).cut)
+// reachable reports whether what one machine sends reaches another. The caller holds the mutex.
+func (n *Network) reachable(from, to *Machine) bool {
+	return from.powered && to.powered && (from == to || !n.link(from.ip, to.ip).partitioned)
 }
 
-// delay draws the time that something takes from one machine to another. The caller holds the mutex.
+// delay draws the one-way delay between two machines. The caller holds the mutex.
 func (n *Network) delay(from, to *Machine) time.Duration {
 	if from == to {
 		return loopbackDelay
 	}
-	delay := n.options.Delay + n.link(from.ip, to.ip).slower
+	delay := n.options.Delay + n.link(from.ip, to.ip).extraDelay
 	if n.options.Jitter > 0 {
 		delay += time.Duration(n.random.Int64N(int64(n.options.Jitter)))
 	}
 	return delay
 }
 
-// each calls visit for each open end that the filter lets through. The caller holds the mutex.
-func (n *Network) each(matches func(e *end) bool, visit func(e *end)) {
-	var found []*end
-	for e := range n.ends {
+// forEachEndpoint calls visit for each open endpoint that matches. The caller holds the mutex.
+func (n *Network) forEachEndpoint(matches func(e *endpoint) bool, visit func(e *endpoint)) {
+	var found []*endpoint
+	for e := range n.endpoints {
 		if matches(e) {
 			found = append(found, e)
 		}
@@ -116,9 +107,9 @@
 	}
 }
 
-// between matches the ends of connections between two machines.
-func between(a, b *Machine) func(e *end) bool {
-	return func(e *end) bool {
+// between matches the endpoints of connections between two machines.
+func between(a, b *Machine) func(e *endpoint) bool {
+	return func(e *endpoint) bool {
 		here, there := e.process.machine, e.peer.process.machine
 		return here == a && there == b || here == b && there == a
 	}
--- a/internal/tier/network/memorynetwork/packet.go
+++ b/internal/tier/network/memorynetwork/packet.go
@@ -12,21 +12,21 @@
 	"mastusher/internal/tier/network"
 )
 
-// mostDatagrams bounds those that wait to be read; more are lost.
-const mostDatagrams = 256
+// maxQueuedDatagrams bounds the unread datagrams of a socket; further ones are lost.
+const maxQueuedDatagrams = 256
 
-// datagram is one that waits to be read.
+// datagram is an unread datagram.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
 }
 
-// packetSocket takes datagrams for a process.
+// packetSocket is a datagram socket of a process.
 type packetSocket struct {
 	process *Process
 	local   netip.AddrPort
 	changed *sync.Cond
-	waiting []datagram
+	queue   []datagram
 	closed  bool
 }
 
@@ -40,7 +40,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	port := uint16(at.Port)
-	if p.dead {
+	if p.killed {
 		return nil, &net.OpError{Op: "listen", Net: "udp", Addr: at, Err: net.ErrClosed}
 	}
 	if p.machine.packets[port] != nil {
@@ -62,9 +62,9 @@
 		case s.closed:
 			return 0, netip.AddrPort{}, &net.OpError{Op: "read", Net: "udp", Err: net.ErrClosed}
 		case s.process.machine.frozen:
-		case len(s.waiting) > 0:
-			first := s.waiting[0]
-			s.waiting = s.waiting[1:]
+		case len(s.queue) > 0:
+			first := s.queue[0]
+			s.queue = s.queue[1:]
 			return copy(buffer, first.payload), first.from, nil
 		}
 		s.changed.Wait()
@@ -80,7 +80,7 @@
 	if !s.process.awaitThaw() || s.closed {
 		return 0, &net.OpError{Op: "write", Net: "udp", Err: net.ErrClosed}
 	}
-	if !n.carries(s.process.machine, there) || n.random.Float64() < n.options.Loss {
+	if !n.reachable(s.process.machine, there) || n.random.Float64() < n.options.Loss {
 		return len(payload), nil
 	}
 	sent := datagram{from: s.local, payload: append([]byte(nil), payload...)}
@@ -88,15 +88,15 @@
 	return len(payload), nil
 }
 
-// deliver hands a datagram to who listens at the port.
-func (m *Machine) deliver(port uint16, came datagram) {
+// deliver queues a datagram at the socket of a port, if there is one.
+func (m *Machine) deliver(port uint16, received datagram) {
 	m.network.mutex.Lock()
 	defer m.network.mutex.Unlock()
 	socket := m.packets[port]
-	if !m.powered || socket == nil || len(socket.waiting) >= mostDatagrams {
+	if !m.powered || socket == nil || len(socket.queue) >= maxQueuedDatagrams {
 		return
 	}
-	socket.waiting = append(socket.waiting, came)
+	socket.queue = append(socket.queue, received)
 	socket.changed.Broadcast()
 }
 
@@ -111,11 +111,11 @@
 	return nil
 }
 
-// kill closes it. The caller holds the mutex.
+// kill closes the socket. The caller holds the mutex.
 func (s *packetSocket) kill() {
 	s.closed = true
 	delete(s.process.machine.packets, s.local.Port())
 	delete(s.process.sockets, s)
-	s.waiting = nil
+	s.queue = nil
 	s.changed.Broadcast()
 }
--- /dev/null
+++ b/internal/tier/network/memorynetwork/segment.go
@@ -0,0 +1,140 @@
+package memorynetwork
+
+import (
+	"syscall"
+	"time"
+)
+
+// send transmits a segment. Segments stay in order, whatever delay is drawn. The caller holds the mutex.
+func (e *endpoint) send(sent segment) {
+	sent.arrivesAt = time.Now().Add(e.network.delay(e.process.machine, e.peer.process.machine))
+	if last := len(e.inFlight) - 1; last >= 0 && sent.arrivesAt.Before(e.inFlight[last].arrivesAt) {
+		sent.arrivesAt = e.inFlight[last].arrivesAt
+	}
+	e.inFlight = append(e.inFlight, sent)
+	e.inFlightBytes += len(sent.data)
+	if !e.delivering {
+		e.delivering = true
+		time.AfterFunc(time.Until(sent.arrivesAt), e.deliver)
+	}
+}
+
+// deliver hands the segments that are due to the peer, or retransmits while it is not reachable.
+func (e *endpoint) deliver() {
+	e.network.mutex.Lock()
+	defer e.network.mutex.Unlock()
+	e.delivering = false
+	for len(e.inFlight) > 0 {
+		if !e.network.reachable(e.process.machine, e.peer.process.machine) {
+			e.retransmit()
+			return
+		}
+		e.retransmitTimeout = 0
+		head := e.inFlight[0]
+		if wait := time.Until(head.arrivesAt); wait > 0 {
+			e.delivering = true
+			time.AfterFunc(wait, e.deliver)
+			return
+		}
+		e.inFlight = e.inFlight[1:]
+		e.inFlightBytes -= len(head.data)
+		e.peer.receive(head)
+	}
+}
+
+// retransmit delivers again after a time-out that doubles. What a closed endpoint has sent is given up at the maximum. The
+// caller holds the mutex.
+func (e *endpoint) retransmit() {
+	if e.retransmitTimeout == 0 {
+		e.retransmitTimeout = minRetransmitTimeout
+	} else {
+		e.retransmitTimeout *= 2
+	}
+	if e.retransmitTimeout > maxRetransmitTimeout {
+		e.retransmitTimeout = maxRetransmitTimeout
+		if e.closed {
+			e.inFlight, e.inFlightBytes = nil, 0
+			return
+		}
+	}
+	e.delivering = true
+	time.AfterFunc(e.retransmitTimeout, e.deliver)
+}
+
+// receive handles a segment from the peer. The caller holds the mutex.
+func (e *endpoint) receive(got segment) {
+	switch {
+	case got.reset:
+		e.fail(syscall.ECONNRESET)
+	case e.closed || e.failure != nil:
+		if len(got.data) > 0 {
+			e.replyReset()
+		}
+	case got.fin:
+		e.remoteClosed = true
+	default:
+		e.receiveBuffer = append(e.receiveBuffer, got.data...)
+	}
+	e.changed.Broadcast()
+}
+
+// replyReset resets the peer, as there is no such connection here. The caller holds the mutex.
+func (e *endpoint) replyReset() {
+	here, there := e.process.machine, e.peer.process.machine
+	if !e.network.reachable(here, there) {
+		return
+	}
+	time.AfterFunc(e.network.delay(here, there), func() {
+		e.network.mutex.Lock()
+		defer e.network.mutex.Unlock()
+		e.peer.fail(syscall.ECONNRESET)
+	})
+}
+
+// fail breaks the connection at this endpoint only. The caller holds the mutex.
+func (e *endpoint) fail(cause error) {
+	if e.closed || e.failure != nil {
+		return
+	}
+	e.failure = cause
+	e.inFlight, e.inFlightBytes = nil, 0
+	e.changed.Broadcast()
+}
+
+// isConnected reports whether both directions are up. The caller holds the mutex.
+func (e *endpoint) isConnected() bool {
+	here, there := e.process.machine, e.peer.process.machine
+	return e.network.reachable(here, there) && e.network.reachable(there, here)
+}
+
+// startKeepAliveTimer times the connection out if the peer stays unreachable for keepAliveTimeout. It replaces a timer that
+// runs. The caller holds the mutex.
+func (e *endpoint) startKeepAliveTimer() {
+	if e.keepAliveTimeout == 0 {
+		return
+	}
+	e.keepAliveTimer++
+	started := e.keepAliveTimer
+	time.AfterFunc(e.keepAliveTimeout, func() {
+		e.network.mutex.Lock()
+		defer e.network.mutex.Unlock()
+		if e.keepAliveTimer == started && !e.isConnected() {
+			e.fail(syscall.ETIMEDOUT)
+		}
+	})
+}
+
+// startProbe checks after keepAliveIdle whether the peer still has the connection. The caller holds the mutex.
+func (e *endpoint) startProbe() {
+	if e.keepAliveIdle == 0 || !e.isConnected() {
+		return
+	}
+	e.keepAliveTimer++
+	time.AfterFunc(e.keepAliveIdle, func() {
+		e.network.mutex.Lock()
+		defer e.network.mutex.Unlock()
+		if e.isConnected() && (e.peer.closed && len(e.peer.inFlight) == 0 && !e.remoteClosed || e.peer.failure != nil) {
+			e.fail(syscall.ECONNRESET)
+		}
+	})
+}
--- a/internal/tier/network/network.go
+++ b/internal/tier/network/network.go
@@ -1,5 +1,5 @@
-// Package network is the one way by which the tier's processes open sockets, so that a test can put a network in memory in
-// place of the system's.
+// Package network is how all processes of the tier open sockets, so that a test can replace the system's network by one in
+// memory or one with partitions.
 package network
 
 import (
@@ -9,24 +9,24 @@
 	"net/netip"
 )
 
-// Network opens sockets.
+// Network opens sockets. Implementations are safe for concurrent use.
 type Network interface {
-	// Listen takes connections at an address, as config's own method does.
+	// Listen accepts connections at an address, as the method of config does.
 	Listen(ctx context.Context, config *net.ListenConfig, network, address string) (net.Listener, error)
-	// ListenPacket takes datagrams at an address.
+	// ListenPacket opens a datagram socket at an address.
 	ListenPacket(address *net.UDPAddr) (PacketConn, error)
-	// Dial opens a connection, as dialer's own method does.
+	// Dial opens a connection, as the method of dialer does.
 	Dial(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error)
 }
 
-// PacketConn is a socket for datagrams.
+// PacketConn is a datagram socket, with the methods of net.UDPConn that the tier uses.
 type PacketConn interface {
 	ReadFromUDPAddrPort(buffer []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(payload []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// TCPConn is a connection with what a server needs of TCP beside reading and writing.
+// TCPConn is a connection with the methods of net.TCPConn that a server needs beside those of net.Conn.
 type TCPConn interface {
 	net.Conn
 	io.ReaderFrom
@@ -34,8 +34,9 @@
 	SetLinger(seconds int) error
 }
 
-// IdleProber is a connection that tells by itself whether it is open and nothing waits to be read: one that has no descriptor.
+// IdleProber is a connection without a descriptor that reports itself whether it is idle: open, with nothing to read.
 type IdleProber interface {
+	// Idle reports whether the connection is open and has nothing to read.
 	Idle() bool
 }
 
@@ -61,7 +62,7 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// OrSystem returns the network, and the system's where it is nil.
+// OrSystem returns the network, or the system's if it is nil.
 func OrSystem(given Network) Network {
 	if given == nil {
 		return System{}
--- a/internal/tier/network/partitionnetwork/network.go
+++ b/internal/tier/network/partitionnetwork/network.go
@@ -1,6 +1,3 @@
-// Package partitionnetwork is the system's network with cuts, for soaks of real processes on loopback addresses. The kernel drops what
-// comes from an address that is cut off, by a filter on each socket: connections stay those of the system, with its resends and
-// time-outs. A process hears of cuts by a file. Nothing that goes into service imports it.
 package partitionnetwork
 
 import (
@@ -19,65 +16,65 @@
 	"mastusher/internal/tier/network"
 )
 
-// lookPace is the pace at which the file is read.
-const lookPace = 20 * time.Millisecond
+// pollInterval is the time between reads of the file.
+const pollInterval = 20 * time.Millisecond
 
-// Network opens sockets of one machine.
+// Network opens sockets of one machine. It implements network.Network.
 type Network struct {
 	address netip.Addr
-	path    string
+	path    string // of the file with the partitioned addresses
 
-	mutex   sync.Mutex
-	text    string // of the file, as it was read last
+	mutex   sync.Mutex // guards what follows
+	content string     // of the file, as it was read last
 	filter  []unix.SockFilter
 	sockets map[syscall.RawConn]struct{}
 }
 
-// New returns the network of the machine with an IPv4 address. The file holds the addresses from which nothing is let in,
-// parted by white space.
+// New returns the network of the machine with an IPv4 address. The file lists the addresses from which nothing is accepted,
+// separated by white space; it must exist.
 func New(address, path string) (*Network, error) {
 	parsed, err := netip.ParseAddr(address)
 	if err != nil {
 		return nil, err
 	}
-	none, err := dropping(nil)
+	none, err := dropFilter(nil)
 	if err != nil {
 		return nil, err
 	}
 	n := &Network{address: parsed, path: path, filter: none, sockets: map[syscall.RawConn]struct{}{}}
-	return n, n.look()
+	return n, n.reload()
 }
 
-// Follow takes notice of changes of the file until ctx ends.
+// Follow applies changes of the file until ctx ends.
 func (n *Network) Follow(ctx context.Context) {
-	ticker := time.NewTicker(lookPace)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			_ = n.look() // a file that is being replaced is read at the next turn
+			_ = n.reload() // a file that is being replaced is read the next time
 		}
 	}
 }
 
-// look reads the file, and has all sockets follow it if it has changed.
-func (n *Network) look() error {
+// reload reads the file and, if it has changed, attaches its filter to all sockets.
+func (n *Network) reload() error {
 	content, err := os.ReadFile(n.path)
 	if err != nil {
 		return err
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if string(content) == n.text {
+	if string(content) == n.content {
 		return nil
 	}
-	filter, err := dropping(strings.Fields(string(content)))
+	filter, err := dropFilter(strings.Fields(string(content)))
 	if err != nil {
 		return err
 	}
-	n.text, n.filter = string(content), filter
+	n.content, n.filter = string(content), filter
 	for socket := range n.sockets {
 		if err := attach(socket, filter); err != nil {
 			delete(n.sockets, socket) // it has been closed
@@ -86,8 +83,8 @@
 	return nil
 }
 
-// keep has a socket follow the file from now on.
-func (n *Network) keep(connection syscall.Conn) error {
+// track attaches the filter to a socket, and every later one.
+func (n *Network) track(connection syscall.Conn) error {
 	raw, err := connection.SyscallConn()
 	if err != nil {
 		return err
@@ -110,13 +107,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := n.keep(opened.(*net.TCPListener)); err != nil {
+	if err := n.track(opened.(*net.TCPListener)); err != nil {
 		return nil, errors.Join(err, opened.Close())
 	}
 	return &listener{TCPListener: opened.(*net.TCPListener), network: n}, nil
 }
 
-// listener has the connections that it takes follow the file.
+// listener tracks the connections that it accepts.
 type listener struct {
 	*net.TCPListener
 	network *Network
@@ -128,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = l.network.keep(accepted) // one that has ended already needs no filter
+	_ = l.network.track(accepted) // one that is closed already needs no filter
 	return accepted, nil
 }
 
@@ -138,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := n.keep(socket); err != nil {
+	if err := n.track(socket); err != nil {
 		return nil, errors.Join(err, socket.Close())
 	}
 	return socket, nil
@@ -164,42 +161,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := n.keep(dialled.(*net.TCPConn)); err != nil {
+	if err := n.track(dialled.(*net.TCPConn)); err != nil {
 		return nil, errors.Join(err, dialled.Close())
 	}
 	return dialled, nil
 }
-
-// attach has a socket take a filter in place of the one before.
-func attach(socket syscall.RawConn, filter []unix.SockFilter) error {
-	var failed error
-	err := socket.Control(func(descriptor uintptr) {
-		program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-		failed = unix.SetsockoptSockFprog(int(descriptor), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
-	})
-	return errors.Join(err, failed)
-}
-
-// Parts of a filter.
-const (
-	networkHeader = -0x100000 // where a filter finds the header of the network layer
-	sourceOffset  = 12        // of the source in an IPv4 header
-	letIn         = 0xffffffff
-)
-
-// dropping returns a filter that lets nothing in from some addresses.
-func dropping(addresses []string) ([]unix.SockFilter, error) {
-	at := int32(networkHeader + sourceOffset)
-	filter := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: uint32(at)}}
-	for i, text := range addresses {
-		parsed, err := netip.ParseAddr(text)
-		if err != nil {
-			return nil, err
-		}
-		octets := parsed.As4()
-		source := uint32(octets[0])<<24 | uint32(octets[1])<<16 | uint32(octets[2])<<8 | uint32(octets[3])
-		toDrop := uint8(len(addresses) - i) // past the other addresses and the instruction that lets in
-		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: source, Jt: toDrop})
-	}
-	return append(filter, unix.SockFilter{Code: unix.BPF_RET, K: letIn}, unix.SockFilter{Code: unix.BPF_RET}), nil
-}
--- a/internal/tier/network/partitionnetwork/network_test.go
+++ b/internal/tier/network/partitionnetwork/network_test.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	here     = "127.83.7.1"
-	there    = "127.83.7.2"
-	patience = 5 * time.Second
-	quiet    = 200 * time.Millisecond // in which something comes, where it may
+	here        = "127.83.7.1"
+	there       = "127.83.7.2"
+	testTimeout = 5 * time.Second
+	dropWait    = 200 * time.Millisecond // in which something comes, where it may
 )
 
-// machine returns the network of an address, and a function that sets what it is cut off from.
-func machine(t *testing.T, address string) (*Network, func(cutOff string)) {
+// machine returns the network of an address, and a function that sets the addresses that it is partitioned from.
+func machine(t *testing.T, address string) (*Network, func(addresses string)) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cuts")
-	set := func(cutOff string) {
-		if err := os.WriteFile(path, []byte(cutOff), 0o600); err != nil {
+	set := func(addresses string) {
+		if err := os.WriteFile(path, []byte(addresses), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,9 +34,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return made, func(cutOff string) {
-		set(cutOff)
-		if err := made.look(); err != nil {
+	return made, func(addresses string) {
+		set(addresses)
+		if err := made.reload(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -54,9 +54,9 @@
 	return err
 }
 
-func TestACutDropsWhatComesAndItsEndLetsItIn(t *testing.T) {
+func TestNetwork_Partition_DropsTCPUntilItHeals(t *testing.T) {
 	near, _ := machine(t, here)
-	far, cut := machine(t, there)
+	far, partition := machine(t, there)
 	listening, err := far.Listen(t.Context(), new(net.ListenConfig), "tcp4", there+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -72,29 +72,29 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	if err := exchange(dialled, accepted, patience); err != nil {
-		t.Fatalf("before the cut: %v", err)
+	if err := exchange(dialled, accepted, testTimeout); err != nil {
+		t.Fatalf("before the partition: %v", err)
 	}
 
-	cut("127.83.7.9 " + here)
-	if err := exchange(dialled, accepted, quiet); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("during the cut: %v", err)
+	partition("127.83.7.9 " + here)
+	if err := exchange(dialled, accepted, dropWait); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("during the partition: %v", err)
 	}
-	bounded, cancel := context.WithTimeout(t.Context(), quiet)
+	bounded, cancel := context.WithTimeout(t.Context(), dropWait)
 	defer cancel()
 	if _, err := near.Dial(bounded, new(net.Dialer), "tcp4", listening.Addr().String()); err == nil {
-		t.Error("a connection opened during the cut")
+		t.Error("a connection opened during the partition")
 	}
 
-	cut("")
-	if err := exchange(dialled, accepted, patience); err != nil {
-		t.Errorf("after the cut: %v", err)
+	partition("")
+	if err := exchange(dialled, accepted, testTimeout); err != nil {
+		t.Errorf("after the partition: %v", err)
 	}
 }
 
-func TestDatagramsAreCut(t *testing.T) {
+func TestNetwork_Partition_DropsDatagrams(t *testing.T) {
 	near, _ := machine(t, here)
-	far, cut := machine(t, there)
+	far, partition := machine(t, there)
 	sender, err := near.ListenPacket(&net.UDPAddr{IP: net.ParseIP(here)})
 	if err != nil {
 		t.Fatal(err)
@@ -108,23 +108,23 @@
 	socket := receiver.(*net.UDPConn)
 	to := socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	for _, c := range []struct {
-		cutOff string
-		comes  bool
+		addresses string
+		comes     bool
 	}{{"", true}, {here, false}, {"127.83.7.9", true}} {
-		cut(c.cutOff)
+		partition(c.addresses)
 		if _, err := sender.WriteToUDPAddrPort([]byte{7}, to); err != nil {
 			t.Fatal(err)
 		}
-		if err := socket.SetReadDeadline(time.Now().Add(quiet)); err != nil {
+		if err := socket.SetReadDeadline(time.Now().Add(dropWait)); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := receiver.ReadFromUDPAddrPort(make([]byte, 1)); (err == nil) != c.comes {
-			t.Errorf("cut off from %q: %v", c.cutOff, err)
+			t.Errorf("partitioned from %q: %v", c.addresses, err)
 		}
 	}
 }
 
-func TestABadListIsRefused(t *testing.T) {
+func TestNew_InvalidAddressOrFile_Fails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cuts")
 	if _, err := New(here, path); err == nil {
 		t.Error("without a file")
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestTheDeployedBinaryCannotBeCut(t *testing.T) {
+func TestDeployedBinary_Dependencies_HaveNoFaultInjection(t *testing.T) {
 	output, err := exec.Command("go", "list", "-deps", "mastusher/cmd/mastusher-tier").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/simulation/strike.go
+++ b/internal/tier/simulation/strike.go
@@ -294,7 +294,7 @@
 	others := d.counting()
 	set := func(by time.Duration) {
 		for _, other := range others {
-			d.network.Slow(m.host, other.host, by)
+			d.network.SetExtraDelay(m.host, other.host, by)
 		}
 	}
 	set(slowLink)
