--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -39,21 +39,21 @@
 	c := &r.cfg.Capture
 	switch {
 	case c.Dir == "":
-		r.log.Warn("nothing is captured: the configuration has no capture.dir")
+		r.log.Warn("capture not started, configuration has no capture.dir")
 		return
 	case r.on != nil && r.on.Err() == nil:
-		r.log.Info("a capture is under way", "dir", c.Dir)
+		r.log.Info("capture already running", "dir", c.Dir)
 		return
 	}
 	on, err := capture.New(c.Dir, r.core.Begin(r.cfg.Name, build()), capture.Limits{Queue: r.cfg.Limits.CaptureQueue,
 		Chunk: r.cfg.Limits.CaptureChunk, Within: r.cfg.Limits.CaptureWithin, FileSize: c.FileSize, DirSize: c.DirSize}, r.log)
 	if err != nil {
-		r.log.Error("nothing is captured", "error", err)
+		r.log.Error("capture not started", "err", err)
 		return
 	}
 	r.on = on
 	r.core.Record(on)
-	r.log.Info("a capture begins", "dir", c.Dir)
+	r.log.Info("capture started", "dir", c.Dir)
 }
 
 // stop ends the capture that is under way. While the core runs it closes the recorder itself.
--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -87,7 +87,7 @@
 		}
 		again := func() (*config.Config, error) { return config.Load(o.file, os.Getenv) }
 		if err := serve(cfg, log, told, again); err != nil {
-			log.Error("the relay stops", "error", err)
+			log.Error("relay stopped", "err", err)
 			return errWork{err}
 		}
 		return nil
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -86,11 +86,11 @@
 	stop, ended, ready := make(chan os.Signal, 1), make(chan error), make(told, 9)
 	log := slog.New(slog.NewTextHandler(ready, nil))
 	go func() { ended <- serve(cfg, log, signals{end: stop}, nil) }()
-	<-ready // "the relay serves"
+	<-ready // "relay serving"
 	kept := wiretest.Dial(t, address)
 	wiretest.Play(t, kept, "testdata/up.txt")
 	stop <- syscall.SIGTERM
-	<-ready // "the relay drains"
+	<-ready // "relay draining"
 	wiretest.Play(t, kept, "testdata/draining.txt")
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -127,7 +127,7 @@
 	}
 	hup, end, ended, lines := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error), make(told, 9)
 	go func() { ended <- serve(cfg, slog.New(slog.NewTextHandler(lines, nil)), signals{end, hup}, again) }()
-	<-lines // "the relay serves"
+	<-lines // "relay serving"
 	watched(before)
 	write(`7`)
 	hup <- syscall.SIGHUP
@@ -147,7 +147,7 @@
 type told chan string
 
 func (c told) Write(b []byte) (int, error) {
-	if strings.Contains(string(b), "the relay") || strings.Contains(string(b), "configuration") {
+	if strings.Contains(string(b), "relay serving") || strings.Contains(string(b), "relay draining") || strings.Contains(string(b), "configuration") {
 		c <- string(b)
 	}
 	return len(b), nil
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -245,14 +245,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = d.Process.Kill(); _ = d.Wait() })
-	<-lines // "the relay serves"
+	<-lines // "relay serving"
 	rests, half, sends := wiretest.Dial(t, address), wiretest.Dial(t, address), wiretest.Dial(t, address)
 	for _, c := range []net.Conn{rests, half, sends} {
 		wiretest.Play(t, c, "testdata/up.txt")
 	}
 	wiretest.Play(t, half, "testdata/half-begun.txt")
 	_ = d.Process.Signal(syscall.SIGTERM)
-	<-lines                               // "the relay drains"
+	<-lines                               // "relay draining"
 	_ = d.Process.Signal(syscall.SIGTERM) // a second one changes nothing
 	wiretest.Play(t, half, "testdata/half-ended.txt")
 	wiretest.Play(t, sends, "testdata/draining.txt")
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -142,7 +142,7 @@
 	}()
 	go func() {
 		s := <-told.end
-		log.Info("the relay drains", "signal", s.String())
+		log.Info("relay draining", "signal", s.String())
 		if router != nil {
 			router.Shutdown() // the others need not wait for this process to end
 		}
@@ -163,7 +163,7 @@
 		}
 		core.Stop()
 	}()
-	log.Info("the relay serves", "name", cfg.Name, "listen", cfg.Listen)
+	log.Info("relay serving", "name", cfg.Name, "listen", cfg.Listen)
 	core.Run()
 	return jour.Close() // nothing begins from here on
 }
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -41,7 +41,7 @@
 		err = s.adopt(st)
 	}
 	if err != nil { // it has been checked; until the next word nothing is taken on
-		s.log.Error("the policy in force can't be applied", "version", st.Version, "error", err)
+		s.log.Error("policy in force not applied, nothing is accepted", "version", st.Version, "err", err)
 		return
 	}
 	s.core.Govern(engine.Mandate{Mandate: told, Until: at.At(st.Until)}, done)
@@ -71,21 +71,21 @@
 func (s *shaper) reload(front *platform.Front, again func() (*config.Config, error)) {
 	cfg, err := again()
 	if err != nil {
-		s.log.Error("the new configuration is not taken", "error", err)
+		s.log.Error("configuration reload rejected, previous one stays active", "err", err)
 		return
 	}
-	s.log.Info("the relay reloads", "discovery", cfg.Discovery)
+	s.log.Info("reloading configuration", "discovery", cfg.Discovery)
 	if front != nil {
 		front.Move(cfg.Discovery)
 	}
 	switch {
 	case s.plugins != nil:
 		if err := s.replug(cfg); err != nil {
-			s.log.Error("the new plug-ins are not taken; those that ran go on", "error", err)
+			s.log.Error("plug-in reload rejected, previous generation stays active", "err", err)
 		}
 		runtime.GOMAXPROCS(cfg.Limits.Cores + max(s.plugins.Procs(), 2))
 	case len(cfg.Plugins) > 0:
-		s.log.Warn("plug-ins can only be added to a relay that was started with plugin_host or plug-ins")
+		s.log.Warn("plug-in reload ignored, relay was started without plugin_host and plug-ins")
 	}
 }
 
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -301,7 +301,7 @@
 	}
 	head, err := f.signer.Headers("POST", u.Host, u.RequestURI(), body, f.Now())
 	if err != nil {
-		f.log.Error("activitypub", "error", err)
+		f.log.Error("activity not signed", "err", err)
 		return engine.Outcome{Result: control.NotProcessed}
 	}
 	request := httpwire.AppendRequest(nil, "POST", u.RequestURI(), u.Host, append(head, more...), body)
@@ -345,7 +345,7 @@
 		f.remember(n)
 		c := f.clients[gjson.GetBytes(n.Body, "actor").String()]
 		if c == nil { // no longer in the configuration
-			f.log.Warn("nobody to tell of an end", "id", n.ID)
+			f.log.Warn("no recipient for final notification", "id", n.ID)
 			taken[i] = true
 			continue
 		}
--- a/internal/relay/capture/recorder.go
+++ b/internal/relay/capture/recorder.go
@@ -222,7 +222,7 @@
 // stop ends the capture at an error: what stands in the file can be read.
 func (r *Recorder) stop(err error) {
 	if r.err.CompareAndSwap(nil, &err) {
-		r.log.Error("the capture has stopped", "error", err)
+		r.log.Error("capture failed, recording no more", "err", err)
 	}
 }
 
@@ -242,7 +242,7 @@
 		}
 		close(r.full)
 		<-r.done
-		r.log.Info("the capture ends", "dir", r.dir, "bytes", r.Bytes.Load(), "turns lost", r.Lost.Load(), "error", r.Err())
+		r.log.Info("capture ended", "dir", r.dir, "bytes", r.Bytes.Load(), "lost_turns", r.Lost.Load(), "err", r.Err())
 	})
 }
 
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -100,7 +100,7 @@
 	}
 	w.front.stopWatch()
 	w.front.stopWatch = nil
-	c.log.Info("the endpoint list's watch is lost", "error", w.err)
+	c.log.Info("endpoint list watch lost", "front", w.front.name, "err", w.err)
 	hadReported := w.front.listReportedBy == w.watch // it had come up: discovery may be there
 	switch {
 	case hadReported && errors.Is(w.err, ErrWatchTimeout):
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -162,7 +162,7 @@
 			if err == nil {
 				continue
 			} else if !errors.Is(err, journal.ErrFull) {
-				c.log.Error("journal", "error", err)
+				c.log.Error("journal not written", "err", err)
 			}
 			c.turnInput.Full = append(c.turnInput.Full, i)
 			m.refusal = &Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -92,7 +92,7 @@
 				c.closeIdle(d)
 			}
 		case control.Log:
-			c.log.Debug("module", "says", a.Text)
+			c.log.Debug("decision module", "says", a.Text)
 		}
 	}
 	return sends
@@ -154,7 +154,7 @@
 	err := c.journal.Flush()
 	if err != nil {
 		c.turnInput.Failed = true
-		c.log.Error("journal", "error", err)
+		c.log.Error("journal not written", "err", err)
 	}
 	c.answerArrivals(err == nil)
 	for _, attempt := range c.takeStartable(now) {
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -246,7 +246,7 @@
 	}
 	if err != nil {
 		if f.counts[err.Error()]++; err == errStranger && f.counts[err.Error()] == 1 {
-			f.log.Warn("a stranger speaks to this relay's part in its fleet; more such are only counted", "address", p.from, "calls_itself", fr.From)
+			f.log.Warn("rejected message from unknown peer", "peer", fr.From, "address", p.from, "suppressed", "later ones")
 		}
 		return events
 	}
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -113,7 +113,7 @@
 		}
 		if old[v.key()] != v {
 			fresh++
-			h.log.Info("a plug-in is ready", "name", c.Name, "order", i, "abi", v.abi, "module", fmt.Sprintf("%016x", v.hash),
+			h.log.Info("plug-in ready", "plugin", c.Name, "order", i, "abi", v.abi, "module", fmt.Sprintf("%016x", v.hash),
 				"phases", phaseNames(v.phases), "instances", c.Instances)
 		}
 		v.users++
@@ -181,7 +181,7 @@
 		for _, v := range g.chain {
 			h.letGo(v)
 		}
-		h.log.Info("a generation of plug-ins has drained", "generation", g.number)
+		h.log.Info("plug-in generation drained", "generation", g.number)
 		h.live.Done()
 	}()
 }
@@ -379,7 +379,7 @@
 			}
 		}
 		if err := s.Load(file, c.Name, time.Now()); err != nil {
-			h.log.Warn("a plug-in's store begins empty", "name", c.Name, "error", err)
+			h.log.Warn("plug-in store not loaded, beginning empty", "plugin", c.Name, "err", err)
 			_ = os.Rename(file, file+".bad")
 		}
 	}
@@ -409,7 +409,7 @@
 	}
 	for name, s := range h.stores {
 		if err := s.Save(store.File(h.storeDir, name), name, now); err != nil {
-			h.log.Warn("a plug-in's store is not saved", "name", name, "error", err)
+			h.log.Warn("plug-in store not saved", "plugin", name, "err", err)
 		}
 	}
 }
--- a/internal/relay/plugin/status.go
+++ b/internal/relay/plugin/status.go
@@ -97,6 +97,6 @@
 		err = os.Rename(file+".next", file)
 	}
 	if err != nil {
-		h.log.Warn("the status of the plug-ins is not written", "error", err)
+		h.log.Warn("plug-in status not written", "err", err)
 	}
 }
--- a/internal/relay/plugin/version.go
+++ b/internal/relay/plugin/version.go
@@ -347,14 +347,14 @@
 	warn := err != nil && v.lines.take(now, float64(v.host.lim.PluginLines))
 	v.mu.Unlock()
 	for _, text := range logs {
-		v.host.log.Info("plug-in", "name", v.cfg.Name, "says", text)
+		v.host.log.Info("plug-in log", "plugin", v.cfg.Name, "says", text)
 	}
 	if warn {
-		v.host.log.Warn("a plug-in failed", "name", v.cfg.Name, "phase", j.call.Phase.String(), "partner", j.call.Partner,
-			"id", j.call.ID, "error", err)
+		v.host.log.Warn("plug-in call failed", "plugin", v.cfg.Name, "phase", j.call.Phase.String(), "partner", j.call.Partner,
+			"id", j.call.ID, "err", err)
 	}
 	if opened {
-		v.host.log.Warn("a plug-in's circuit breaker has opened", "name", v.cfg.Name, "partner", j.call.Partner)
+		v.host.log.Warn("plug-in circuit breaker opened", "plugin", v.cfg.Name, "partner", j.call.Partner)
 	}
 }
 
@@ -392,7 +392,7 @@
 	}
 	v.workersOut.Wait()
 	if c := &v.counts; v.phases != 0 {
-		v.host.log.Info("a plug-in stops", "name", v.cfg.Name, "calls", c.Calls.Load(), "failures", c.Failures.Load(),
+		v.host.log.Info("plug-in stopped", "plugin", v.cfg.Name, "calls", c.Calls.Load(), "failures", c.Failures.Load(),
 			"skipped", c.Skipped.Load(), "rejected", c.Rejected.Load(), "refused", c.Refused.Load(),
 			"dropped", c.Dropped.Load(), "cpu", time.Duration(c.CPU.Load()))
 	}
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -81,9 +81,9 @@
 		_ = in.conn.Close()
 		in.done.Wait()
 		c := &in.Counts
-		in.log.Info("the virtual router has stopped", "vrid", in.vrid, "sent", c.Sent.Load(), "taken", c.Accepted.Load(),
+		in.log.Info("virtual router stopped", "vrid", in.vrid, "sent", c.Sent.Load(), "accepted", c.Accepted.Load(),
 			"malformed", c.Malformed.Load(), "checksum", c.Checksum.Load(), "other_router", c.OtherRouter.Load(),
-			"stranger", c.UnknownPeer.Load(), "own", c.Own.Load())
+			"unknown_peer", c.UnknownPeer.Load(), "own", c.Own.Load())
 	})
 }
 
@@ -94,7 +94,7 @@
 	was := in.m.State()
 	out := do(time.Now())
 	if now := in.m.State(); now != was {
-		in.log.Info("the virtual router changes state", "vrid", in.vrid, "from", was.String(), "to", now.String())
+		in.log.Info("virtual router changed state", "vrid", in.vrid, "from", was.String(), "to", now.String())
 		in.active.Store(now == Active)
 	}
 	for i := range out {
