--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// agentLinger is the part of the grace time for which an agent goes on feeding its proxy after SIGTERM.
+// agentLinger is the share of the grace time for which an agent continues to feed its proxy after SIGTERM.
 const agentLinger = 0.8
 
 // runAgent runs the role until stopping ends, and then for as long as its proxy may need it.
@@ -20,7 +20,7 @@
 	id := strconv.FormatUint(p.seed, 16)
 	member := p.newNode(p.member(membership.Agent, id, address), nil)
 	handlers := transport.NewHandlers()
-	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, tallies wire.VersionStatsReport) { p.forward(member, tallies) })
+	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, report wire.VersionStatsReport) { p.forwardVersionStats(member, report) })
 	transport.Handle(handlers, wire.MethodProxies, func(context.Context, string, wire.ProxiesRequest) (wire.ProxiesResponse, error) {
 		return wire.ProxiesResponse{Count: countProxies(member.Members())}, nil
 	})
@@ -30,11 +30,11 @@
 	}
 	defer leave()
 	<-stopping.Done()
-	time.Sleep(part(p.settings.Bounds.Grace(), agentLinger))
+	time.Sleep(shareOf(p.settings.Bounds.Grace(), agentLinger))
 	return nil
 }
 
-// countProxies tells how many proxies run: one beside each agent.
+// countProxies returns the number of proxies: one beside each agent that is neither dead nor has left.
 func countProxies(members []membership.Member) int {
 	count := 0
 	for _, m := range members {
@@ -45,12 +45,12 @@
 	return count
 }
 
-// forward passes a proxy's report on to every controller, so that whichever owns the configuration can judge.
-func (p *process) forward(member *node.Node, tallies wire.VersionStatsReport) {
+// forwardVersionStats passes a proxy's report on to every controller, as any may lead the configuration's group and judge.
+func (p *process) forwardVersionStats(member *node.Node, report wire.VersionStatsReport) {
 	for _, m := range member.Members() {
 		if m.Role == membership.Controller && !m.DeadOrLeft() {
-			// A report that is lost is made good by the next one.
-			_ = transport.Notify(p.pool, m.Address, wire.MethodVersionStats, tallies)
+			// A report that is lost is replaced by the next one.
+			_ = transport.Notify(p.pool, m.Address, wire.MethodVersionStats, report)
 		}
 	}
 }
--- a/internal/tier/command/check.go
+++ b/internal/tier/command/check.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// CheckSettings reads a settings file and names each key that is missing or has an impossible value.
+// CheckSettings is the subcommand that checks a settings file and names each key that is missing or invalid.
 type CheckSettings struct {
 	Output io.Writer // nil: standard output
 }
@@ -41,7 +41,7 @@
 	})
 }
 
-// CheckConfig reads a configuration as the operator sends it and names each fault by its place.
+// CheckConfig is the subcommand that checks a configuration as the operator sends it and names each fault by its path.
 type CheckConfig struct {
 	Output io.Writer // nil: standard output
 }
@@ -65,7 +65,7 @@
 	return checkFile(c.Output, flags, schema.Check)
 }
 
-// checkFile reads the one file that the arguments name and writes its faults, one a line.
+// checkFile checks the one file that the arguments name and prints its faults, one a line.
 func checkFile(output io.Writer, flags *flag.FlagSet, check func(raw []byte) error) subcommands.ExitStatus {
 	if output == nil {
 		output = os.Stdout
@@ -79,7 +79,7 @@
 		fmt.Fprintln(output, err)
 		return subcommands.ExitFailure
 	}
-	faults := asErrors(check(raw))
+	faults := listFaults(check(raw))
 	if len(faults) == 0 {
 		fmt.Fprintf(output, "%s: no faults\n", flags.Arg(0))
 		return subcommands.ExitSuccess
@@ -90,8 +90,8 @@
 	return subcommands.ExitFailure
 }
 
-// asErrors lists the faults that an error holds; an error that holds none stands for itself.
-func asErrors(err error) []error {
+// listFaults lists the faults that an error wraps, or the error itself if it wraps none.
+func listFaults(err error) []error {
 	faults := validation.FieldErrors(err)
 	if err != nil && len(faults) == 0 {
 		return []error{err}
--- a/internal/tier/command/check_test.go
+++ b/internal/tier/command/check_test.go
@@ -27,7 +27,7 @@
 "rank":0,"service":"s","tries":2}],"services":[{"name":"s","healthPath":"/health","maxConnections":9,"protocol":"h1","tls":false}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`
 
-// executed is what a command did.
+// executed is the outcome of a command.
 type executed struct {
 	status subcommands.ExitStatus
 	output string
@@ -54,7 +54,7 @@
 	return path
 }
 
-func TestCheckSettingsNamesEachFaultyKey(t *testing.T) {
+func TestCheckSettings_NamesEachFaultyKey(t *testing.T) {
 	cases := []struct {
 		name    string
 		content string
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestCheckConfigNamesEachPlace(t *testing.T) {
+func TestCheckConfig_NamesEachPlace(t *testing.T) {
 	cases := []struct {
 		name    string
 		content string
@@ -111,21 +111,21 @@
 	}
 }
 
-// expectLines compares the status, and the lines with what each is to hold.
-func expectLines(t *testing.T, got executed, status subcommands.ExitStatus, holds []string) {
+// expectLines compares the status, and checks what each line contains.
+func expectLines(t *testing.T, got executed, status subcommands.ExitStatus, contents []string) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(got.output), "\n")
-	if got.status != status || len(lines) != len(holds) {
+	if got.status != status || len(lines) != len(contents) {
 		t.Fatalf("status %d, output:\n%s", got.status, got.output)
 	}
-	for i, text := range holds {
+	for i, text := range contents {
 		if !strings.Contains(lines[i], text) {
 			t.Errorf("line %d is %q without %q", i, lines[i], text)
 		}
 	}
 }
 
-func TestChecksNeedOneFileThatCanBeRead(t *testing.T) {
+func TestChecks_NeedOneReadableFile(t *testing.T) {
 	cases := []struct {
 		name      string
 		arguments []string
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestVersionNamesTheProgram(t *testing.T) {
+func TestVersion_NamesProgram(t *testing.T) {
 	var output bytes.Buffer
 	got := execute(t, &Version{Output: &output}, &output)
 	if got.status != subcommands.ExitSuccess || !strings.HasPrefix(got.output, "mastusher-tier") || !strings.Contains(got.output, "go1.") {
--- a/internal/tier/command/controller.go
+++ b/internal/tier/command/controller.go
@@ -22,17 +22,17 @@
 		return err
 	}
 	reader, err := platformlist.NewReader(platformlist.Options{Address: p.settings.CloudAPI.Address, RatePerS: p.settings.CloudAPI.RatePerS, Seed: p.seed,
-		Network: p.around.Network})
+		Network: p.env.Network})
 	if err != nil {
 		return err
 	}
 	defer reader.Close()
 	member := p.newNode(p.member(membership.Controller, id, address), nil)
 	var running *controller.Controller
-	err = p.persist(ctx, "configuration on the disk", func() error {
-		running, err = controller.Open(controller.Options{ID: id, Address: address, Settings: p.settings, Initial: p.firstMembers(id), Disk: disk,
+	err = p.retryStart(ctx, "configuration on the disk", func() error {
+		running, err = controller.Open(controller.Options{ID: id, Address: address, Settings: p.settings, Initial: p.initialMembers(id), Disk: disk,
 			Pool: p.pool, Fleet: member, Reader: reader, Logger: p.logger, Seed: p.seed,
-			Metrics: p.metrics, Network: p.around.Network, Now: p.around.TimeOfDay})
+			Metrics: p.metrics, Network: p.env.Network, Now: p.env.Now})
 		return err
 	})
 	if err != nil {
@@ -55,8 +55,9 @@
 	return errors.Join(first, <-ended)
 }
 
-// firstMembers is the group at the first start of the whole system: the seeds, if this controller is one of them.
-func (p *process) firstMembers(id string) []replica.Member {
+// initialMembers returns the configuration group's members at the first start of the system: the seeds, if this controller is
+// one of them; nil otherwise.
+func (p *process) initialMembers(id string) []replica.Member {
 	if !p.settings.Bootstrap {
 		return nil
 	}
--- /dev/null
+++ b/internal/tier/command/membership.go
@@ -0,0 +1,66 @@
+package command
+
+import (
+	"context"
+	"net"
+
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/metrics"
+	"mastusher/internal/tier/node"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/view"
+)
+
+// member returns what the others learn of the process. The incarnation exceeds that of its earlier starts as long as the
+// machine's clock isn't set back.
+func (p *process) member(role membership.Role, id, address string) membership.Member {
+	return membership.Member{
+		Name:        p.settings.NodeName + "/" + string(role),
+		ID:          id,
+		Role:        role,
+		Zone:        p.settings.Zone,
+		Address:     address,
+		Control:     p.settings.ListenOn.Control,
+		Incarnation: uint64(max(p.env.Now().UnixMilli(), 1)),
+	}
+}
+
+// newNode returns the process's node in the membership, which doesn't run yet.
+func (p *process) newNode(self membership.Member, onUpdate func(view.Update)) *node.Node {
+	return node.New(node.Options{Self: self, Seeds: p.seeds(), Pool: p.pool, Logger: p.logger, Seed: p.seed, OnUpdate: onUpdate})
+}
+
+// join runs the node, which follows the seeds of the settings until ctx ends. The function that it returns announces that the
+// process leaves, and waits for the node's end.
+func (p *process) join(ctx context.Context, member *node.Node, server *transport.Server) (leave func()) {
+	p.metrics.SetZoneLookup(func(host string) metrics.ZoneClass { return p.zoneOf(member, host) })
+	p.onReload(ctx, func(loaded *settings.Settings) { member.SetSeeds(p.seedsOf(loaded)) })
+	joined, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		member.Run(joined, server)
+	}()
+	return func() {
+		cancel()
+		<-ended
+	}
+}
+
+// zoneOf reports whether a host is in the process's own zone, as far as the members say.
+func (p *process) zoneOf(member *node.Node, host string) metrics.ZoneClass {
+	for _, m := range member.Members() {
+		if known, _, err := net.SplitHostPort(m.Address); err == nil && known == host {
+			return p.classOf(m.Zone)
+		}
+	}
+	return metrics.UnknownZone
+}
+
+func (p *process) classOf(zone string) metrics.ZoneClass {
+	if zone == p.settings.Zone {
+		return metrics.OwnZone
+	}
+	return metrics.OtherZone
+}
--- a/internal/tier/command/mutants_test.go
+++ b/internal/tier/command/mutants_test.go
@@ -9,23 +9,23 @@
 func TestMutantsAreNoticed(t *testing.T) {
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "a proxy says late that it ends",
+			Name: "a proxy drains late",
 			Change: mutation.Change{
-				File: "proxy.go",
-				Old:  "\tcarrier.Drain()\n\ttime.Sleep(drainFor(grace))",
-				New:  "\ttime.Sleep(drainFor(grace))\n\tcarrier.Drain()",
+				File: "proxy_shutdown.go",
+				Old:  "\tpath.Drain()\n\ttime.Sleep(drainDuration(grace))",
+				New:  "\ttime.Sleep(drainDuration(grace))\n\tpath.Drain()",
 			},
-			Run: "^TestProxyEndsWithinItsGraceTime$",
+			Run: "^TestShutdownProxy_EndsWithinGraceTime$",
 		},
 		{
 			Name:   "a proxy waits until it is killed",
-			Change: mutation.Change{File: "proxy.go", Old: "stopPart  = 0.92", New: "stopPart  = 1.0"},
-			Run:    "^TestProxyEndsWithinItsGraceTime$",
+			Change: mutation.Change{File: "proxy_shutdown.go", Old: "stopShare       = 0.92", New: "stopShare       = 1.0"},
+			Run:    "^TestShutdownProxy_EndsWithinGraceTime$",
 		},
 		{
-			Name:   "a proxy keeps no time for what it says last",
-			Change: mutation.Change{File: "proxy.go", Old: "grace-proxy.ShutdownGracePeriod-exitTime)", New: "grace+proxy.ShutdownGracePeriod)"},
-			Run:    "^TestProxyEndsWithinAShortGraceTime$",
+			Name:   "a proxy leaves no time to answer abandoned requests",
+			Change: mutation.Change{File: "proxy_shutdown.go", Old: "grace-proxy.ShutdownGracePeriod-processExitTime)", New: "grace+proxy.ShutdownGracePeriod)"},
+			Run:    "^TestShutdownProxy_ShortGraceTime_EndsWithinIt$",
 		},
 	})
 }
--- a/internal/tier/command/proxies_test.go
+++ b/internal/tier/command/proxies_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/membership"
 )
 
-func TestProxiesAreCountedByTheirAgents(t *testing.T) {
+func TestCountProxies_CountsAgents(t *testing.T) {
 	members := []membership.Member{
 		{Name: "a", Role: membership.Agent},
 		{Name: "b", Role: membership.Agent, State: membership.StateDead},
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestProxyDrainsUntilThePlatformHasMissedItTwice(t *testing.T) {
+func TestDrainDuration_CoversTwoReadinessChecks(t *testing.T) {
 	cases := map[time.Duration]time.Duration{
 		8 * time.Second:  2400 * time.Millisecond,
 		30 * time.Second: 2400 * time.Millisecond,
@@ -30,16 +30,16 @@
 		0:                0,
 	}
 	for grace, want := range cases {
-		if got := drainFor(grace); got != want {
+		if got := drainDuration(grace); got != want {
 			t.Errorf("grace of %v: drains for %v, want %v", grace, got, want)
 		}
 	}
 }
 
-func TestClientsLeaveDescriptorsForEndpoints(t *testing.T) {
+func TestMaxClients_LeavesDescriptorsForEndpoints(t *testing.T) {
 	cases := map[int64]int{0: 0, 100: 64, 200: 64, 4100: 2340}
 	for openFiles, want := range cases {
-		if got := mostClients(openFiles); got != want {
+		if got := maxClients(openFiles); got != want {
 			t.Errorf("of %d descriptors: %d clients, want %d", openFiles, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/tier/command/proxy_reports.go
@@ -0,0 +1,54 @@
+package command
+
+import (
+	"context"
+	"time"
+
+	"mastusher/internal/tier/proxy"
+	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/versionstats"
+	"mastusher/internal/tier/wire"
+)
+
+// Intervals of what a proxy exchanges with its agent.
+const (
+	reportInterval  = 200 * time.Millisecond // of reports on versions that are being rolled out
+	proxiesInterval = 2 * time.Second        // of queries for the number of proxies
+)
+
+// pollProxyCount tells the balancer how many proxies share the connections that an endpoint accepts, until ctx ends.
+func (p *process) pollProxyCount(ctx context.Context, balancer *proxy.LoadBalancer) {
+	runEvery(ctx, proxiesInterval, func() {
+		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
+		defer cancel()
+		response, err := transport.Call[wire.ProxiesRequest, wire.ProxiesResponse](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
+			wire.ProxiesRequest{})
+		if err == nil && response.Count > 0 {
+			balancer.SetProxies(response.Count)
+		}
+	})
+}
+
+// reportVersionStats sends the agent the counts of versions that are being rolled out, until ctx ends.
+func (p *process) reportVersionStats(ctx context.Context, counter *versionstats.Counter) {
+	runEvery(ctx, reportInterval, func() {
+		if report, due := counter.Report(); due {
+			// A report that is lost is replaced by the next one: each has the counts since the start.
+			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodVersionStats, report)
+		}
+	})
+}
+
+// runEvery calls run at the end of each interval, until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, run func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			run()
+		}
+	}
+}
--- a/internal/tier/command/reload.go
+++ b/internal/tier/command/reload.go
@@ -11,12 +11,12 @@
 	"mastusher/internal/tier/settings"
 )
 
-// settingsInterval is how often a process looks whether its settings file has changed without a signal.
+// settingsInterval is the interval at which a process checks whether its settings file has changed.
 const settingsInterval = 3 * time.Second
 
-// onReload calls reload with the settings read anew at each SIGHUP and whenever their file has changed, until ctx ends.
+// onReload calls reload with the reloaded settings at each SIGHUP and whenever their file has changed, until ctx ends.
 func (p *process) onReload(ctx context.Context, reload func(*settings.Settings)) {
-	watched := newWatchedFile(p.around.SettingsPath, p.logger, reload)
+	watched := newWatchedFile(p.env.SettingsPath, p.logger, reload)
 	go func() {
 		ticker := time.NewTicker(settingsInterval)
 		defer ticker.Stop()
@@ -24,8 +24,8 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-p.around.Hangups:
-				watched.read()
+			case <-p.env.ReloadSignals:
+				watched.load()
 			case <-ticker.C:
 				watched.check()
 			}
@@ -33,12 +33,12 @@
 	}()
 }
 
-// watchedFile is a settings file as it was when it was last read.
+// watchedFile is a settings file as it was when it was last loaded. It belongs to one goroutine.
 type watchedFile struct {
 	path   string
 	logger log.Logger
 	reload func(*settings.Settings)
-	last   os.FileInfo
+	last   os.FileInfo // nil: load it at the next check
 }
 
 func newWatchedFile(path string, logger log.Logger, reload func(*settings.Settings)) *watchedFile {
@@ -46,18 +46,18 @@
 	return &watchedFile{path: path, logger: logger, reload: reload, last: last}
 }
 
-// check reads the file if it isn't what it was.
+// check loads the file if it has changed.
 func (w *watchedFile) check() {
 	now, err := os.Stat(w.path)
 	if err != nil || w.last != nil && os.SameFile(w.last, now) && w.last.ModTime().Equal(now.ModTime()) && w.last.Size() == now.Size() {
 		return
 	}
-	w.read()
+	w.load()
 }
 
-// read reads the file and hands it on. One that can't be read, perhaps since it is being written, is tried again at the next
+// load loads the file and passes the settings on. One that is invalid, perhaps since it is being written, is retried at the next
 // check.
-func (w *watchedFile) read() {
+func (w *watchedFile) load() {
 	now, _ := os.Stat(w.path)
 	loaded, err := settings.Load(w.path)
 	if err != nil {
--- a/internal/tier/command/reload_test.go
+++ b/internal/tier/command/reload_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/settings"
 )
 
-func TestSettingsAreReadAnewWhenTheirFileHasChanged(t *testing.T) {
-	// Given a process that has read its settings,
+func TestWatchedFile_Changes_IsReloaded(t *testing.T) {
+	// Given a process that has loaded its settings,
 	path := writeFile(t, goodSettings)
 	var zones []string
 	watched := newWatchedFile(path, log.NewNopLogger(), func(loaded *settings.Settings) { zones = append(zones, loaded.Zone) })
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 	}
-	// when the file stays, changes, is half written, and is whole again,
+	// when the file stays, changes, is half written, and is complete again,
 	watched.check()
 	write(strings.ReplaceAll(goodSettings, "zone: north", "zone: south"), time.Unix(1000, 0))
 	watched.check()
@@ -35,13 +35,13 @@
 	write(goodSettings, time.Unix(3000, 0))
 	watched.check()
 	watched.check()
-	// then each whole one is read once,
+	// then each complete one is loaded once,
 	if got := strings.Join(zones, " "); got != "south north" {
-		t.Errorf("zones read: %s", got)
+		t.Errorf("zones loaded: %s", got)
 	}
-	// and a signal has it read in any case.
-	watched.read()
+	// and a signal has it loaded in any case.
+	watched.load()
 	if got := strings.Join(zones, " "); got != "south north north" {
-		t.Errorf("zones read after a signal: %s", got)
+		t.Errorf("zones loaded after a signal: %s", got)
 	}
 }
--- a/internal/tier/command/role.go
+++ b/internal/tier/command/role.go
@@ -7,7 +7,7 @@
 	"github.com/google/subcommands"
 )
 
-// Role is the command that runs one role of the tier until the process is told to end.
+// Role is the subcommand that runs one role of the tier until the process is asked to end.
 type Role struct {
 	name     string
 	synopsis string
@@ -15,7 +15,7 @@
 	run      func(p *process, ctx context.Context) error
 }
 
-// Roles returns the commands of all roles.
+// Roles returns the subcommands of all roles.
 func Roles() []*Role {
 	return []*Role{
 		{
@@ -63,12 +63,12 @@
 func (r *Role) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	p, err := newProcess(r.name)
 	if err != nil {
-		return fail(standardLogger(r.name), err)
+		return logFailure(fallbackLogger(r.name), err)
 	}
-	stopping, stop := terminated(ctx)
+	stopping, stop := notifyTermination(ctx)
 	defer stop()
-	if err := p.tellEnd(stopping, func() error { return r.run(p, stopping) }); err != nil {
-		return fail(p.logger, err)
+	if err := p.logShutdown(stopping, func() error { return r.run(p, stopping) }); err != nil {
+		return logFailure(p.logger, err)
 	}
 	return subcommands.ExitSuccess
 }
--- a/internal/tier/command/role_test.go
+++ b/internal/tier/command/role_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func TestRolesDoNotStartWithBrokenSettings(t *testing.T) {
+func TestRole_InvalidSettings_DoesNotStart(t *testing.T) {
 	cases := []struct {
 		name    string
 		content string
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestRolesDoNotStartWithoutSettings(t *testing.T) {
+func TestRole_NoSettings_DoesNotStart(t *testing.T) {
 	got := startRole(t, "store", "/nowhere/at/all.yaml")
 	if got.status != subcommands.ExitFailure || !strings.Contains(got.output, "/nowhere/at/all.yaml") {
 		t.Errorf("got %+v", got)
--- /dev/null
+++ b/internal/tier/command/shutdown.go
@@ -0,0 +1,33 @@
+package command
+
+import (
+	"context"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/go-kit/log/level"
+)
+
+// EndMessage is the msg of the last log line of a process that was asked to end; the key "after" has the time since.
+const EndMessage = "process has ended"
+
+// notifyTermination returns a context that ends with SIGTERM or SIGINT.
+func notifyTermination(ctx context.Context) (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+}
+
+// logShutdown runs a role, and logs the request to end and the time that the end took. It logs neither if the role ends by
+// itself.
+func (p *process) logShutdown(stopping context.Context, run func() error) error {
+	requested := make(chan time.Time, 1)
+	context.AfterFunc(stopping, func() {
+		requested <- time.Now()
+		level.Info(p.logger).Log("msg", "shutdown requested", "grace", p.settings.Bounds.Grace())
+	})
+	err := run()
+	if stopping.Err() != nil { // else it ended by itself
+		level.Info(p.logger).Log("msg", EndMessage, "after", time.Since(<-requested))
+	}
+	return err
+}
--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -48,19 +48,19 @@
 }
 
 // newMachine starts a proxy beside an agent that feeds it a view.
-func newMachine(t *testing.T, pieces ...view.Update) *machine {
+func newMachine(t *testing.T, updates ...view.Update) *machine {
 	t.Helper()
-	return newMachineWith(t, proxySettings, pieces...)
+	return newMachineWith(t, proxySettings, updates...)
 }
 
 // newMachineWith is newMachine with other settings.
-func newMachineWith(t *testing.T, settings string, pieces ...view.Update) *machine {
+func newMachineWith(t *testing.T, settings string, updates ...view.Update) *machine {
 	t.Helper()
 	m := &machine{t: t, ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)), ended: make(chan error, 1)}
 	handlers := transport.NewHandlers()
 	transport.HandleStream(handlers, wire.MethodFeed, func(ctx context.Context, _ wire.FetchRequest, send func(view.Update) error) error {
-		for _, piece := range pieces {
-			if err := send(piece); err != nil {
+		for _, update := range updates {
+			if err := send(update); err != nil {
 				return err
 			}
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// readiness returns what the proxy answers to the platform's question; 0: nothing.
+// readiness returns the status of the proxy's readiness check; 0: no response.
 func (m *machine) readiness() int {
 	response, err := http.Get("http://" + m.ip + ":8141/mastusher/ready")
 	if err != nil {
@@ -103,22 +103,22 @@
 	return response.StatusCode
 }
 
-// answered is a client's answer.
-type answered struct {
+// clientResponse is what a client got.
+type clientResponse struct {
 	status int
 	body   string
 	close  bool
 	err    error
 }
 
-// ask sends a request on a connection of its own; its answer comes later.
-func (m *machine) ask(id string) <-chan answered {
+// ask sends a request on a connection of its own; its response comes later.
+func (m *machine) ask(id string) <-chan clientResponse {
 	m.t.Helper()
 	return m.send("GET", "/a/x", id)
 }
 
-// send sends a request of any kind on a connection of its own; its answer comes later.
-func (m *machine) send(method, path, id string) <-chan answered {
+// send sends a request of any kind on a connection of its own; its response comes later.
+func (m *machine) send(method, path, id string) <-chan clientResponse {
 	m.t.Helper()
 	request, err := http.NewRequest(method, "http://"+m.ip+":8149"+path, nil)
 	if err != nil {
@@ -126,17 +126,17 @@
 	}
 	request.Host = "h.example"
 	request.Header.Set("X-Attempt-Id", id)
-	got := make(chan answered, 1)
+	got := make(chan clientResponse, 1)
 	go func() {
 		client := http.Client{Transport: &http.Transport{}, Timeout: patience}
 		response, err := client.Do(request)
 		if err != nil {
-			got <- answered{err: err}
+			got <- clientResponse{err: err}
 			return
 		}
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
-		got <- answered{status: response.StatusCode, body: string(body), close: response.Close, err: err}
+		got <- clientResponse{status: response.StatusCode, body: string(body), close: response.Close, err: err}
 	}()
 	return got
 }
@@ -148,9 +148,9 @@
 	}
 }
 
-func TestSignalsCutNoRequestOfAProxy(t *testing.T) {
+func TestProxy_Signals_InterruptNoRequest(t *testing.T) {
 	t.Parallel()
-	// given a proxy that has a request under way
+	// given a proxy that has a request in flight
 	begun, release := make(chan string, 3), make(chan struct{})
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		begun <- r.Header.Get("X-Attempt-Id")
@@ -160,7 +160,7 @@
 		io.WriteString(w, "whole")
 	}))
 	defer endpoint.Close()
-	m := newMachine(t, configurationPiece(), listPiece(endpoint.Listener.Addr()))
+	m := newMachine(t, configurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()))
 	m.awaitReady()
 	awaitBegun := func() {
 		t.Helper()
@@ -173,14 +173,14 @@
 	}
 	first := m.ask("first")
 	awaitBegun()
-	// when it is told that its settings have changed, then it goes on, and takes another request
+	// when it is signalled that its settings have changed, then it goes on, and accepts another request
 	m.signal(syscall.SIGHUP)
 	second := m.ask("second")
 	awaitBegun()
 	if got := m.readiness(); got != http.StatusOK {
 		t.Errorf("readiness %d after SIGHUP", got)
 	}
-	// when it is to end, then it isn't ready any more, and still takes a request
+	// when it is asked to end, then it isn't ready any more, and still accepts a request
 	m.signal(syscall.SIGTERM)
 	for began := time.Now(); m.readiness() == http.StatusOK; {
 		if time.Since(began) > patience {
@@ -190,9 +190,9 @@
 	third := m.ask("third")
 	awaitBegun()
 	close(release)
-	// then all three are answered whole, on connections that end, and so does the process
-	for i, answer := range []<-chan answered{first, second, third} {
-		if got := <-answer; got != (answered{status: http.StatusOK, body: "whole", close: true}) {
+	// then all three get complete responses, on connections that close, and the process ends
+	for i, answer := range []<-chan clientResponse{first, second, third} {
+		if got := <-answer; got != (clientResponse{status: http.StatusOK, body: "whole", close: true}) {
 			t.Errorf("request %d: %+v", i+1, got)
 		}
 	}
@@ -201,10 +201,10 @@
 	}
 }
 
-func TestProxyThatGivesUpSaysThatItEndedWithinAShortGraceTime(t *testing.T) {
+func TestProxy_RequestsAbandoned_EndsWithinShortGraceTime(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
-	// given a proxy with a request that its endpoint doesn't answer, and a turn whose end no store takes
+	// given a proxy with a request that its endpoint doesn't answer, and a turn whose end no store accepts
 	begun, over := make(chan struct{}, 2), make(chan struct{})
 	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		begun <- struct{}{}
@@ -213,23 +213,23 @@
 	defer endpoint.Close()
 	defer close(over)
 	m := newMachineWith(t, strings.Replace(proxySettings, "graceS: 6", "graceS: 2", 1),
-		turnsConfigurationPiece(), listPiece(endpoint.Listener.Addr()), silentStoresPiece(t))
+		turnsConfigurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()), unresponsiveStoreUpdate(t))
 	m.awaitReady()
 	hangs := m.ask("hangs")
 	<-begun
 	if got := <-m.turn("turn"); got.status != http.StatusServiceUnavailable {
 		t.Fatalf("a turn without stores: %+v", got)
 	}
-	// when it is told to end
+	// when it is asked to end
 	m.signal(syscall.SIGTERM)
-	// then the client is told that its request was given up, the process ends, and by its own account in time
+	// then the client learns that its request was abandoned, and the process ends, by its own log in time
 	if got := <-hangs; got.status != http.StatusGatewayTimeout {
-		t.Errorf("what was given up: %+v", got)
+		t.Errorf("the abandoned request: %+v", got)
 	}
 	<-m.ended
 	logged := m.output.String()
 	for _, phase := range []string{
-		`msg="process is told to end" grace=2s`,
+		`msg="shutdown requested" grace=2s`,
 		`msg="proxy draining"`,
 		`msg="proxy listener closed"`,
 		`msg="abandoning pending requests"`,
@@ -241,7 +241,7 @@
 		}
 	}
 	if !strings.Contains(logged, "abandoned=1") {
-		t.Error("no settle was given up")
+		t.Error("no usage commit was abandoned")
 	}
 	account := regexp.MustCompile(`msg="process has ended" after=(\S+)`).FindStringSubmatch(logged)
 	if account == nil {
@@ -253,12 +253,12 @@
 }
 
 // turn sends the turn of a program.
-func (m *machine) turn(id string) <-chan answered {
+func (m *machine) turn(id string) <-chan clientResponse {
 	return m.send("POST", "/turns/x", id)
 }
 
-// silentStoresPiece is the section of a view that has all programs at a store that takes connections and says nothing.
-func silentStoresPiece(t *testing.T) view.Update {
+// unresponsiveStoreUpdate is the section of a view that has all programs at a store that accepts connections and never responds.
+func unresponsiveStoreUpdate(t *testing.T) view.Update {
 	t.Helper()
 	store, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -270,26 +270,26 @@
 	return view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
 }
 
-// configurationPiece is the section of a view that holds goodConfiguration, with more time and more connections.
-func configurationPiece() view.Update {
-	return configurationPieceOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"maxConnections":9`, `"maxConnections":90`))
+// configurationUpdate is the section of a view that holds goodConfiguration, with more time and more connections.
+func configurationUpdate() view.Update {
+	return configurationUpdateOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"maxConnections":9`, `"maxConnections":90`))
 }
 
-// turnsConfigurationPiece is configurationPiece with a route of turns that are kept, too.
-func turnsConfigurationPiece() view.Update {
+// turnsConfigurationUpdate is configurationUpdate with a route of remembered turns, too.
+func turnsConfigurationUpdate() view.Update {
 	const turns = `{"name":"turns","host":"h.example","startsWith":"/turns/","kind":"streaming","giveUpMs":1200,"targetMs":100,` +
 		`"rank":0,"service":"s","tries":2,"remembered":true,"keepForS":60}`
-	return configurationPieceOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"tries":2}]`, `"tries":2},`+turns+`]`))
+	return configurationUpdateOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"tries":2}]`, `"tries":2},`+turns+`]`))
 }
 
-// configurationPieceOf is the section of a view that holds goodConfiguration with changes.
-func configurationPieceOf(changes *strings.Replacer) view.Update {
+// configurationUpdateOf is the section of a view that holds goodConfiguration with changes.
+func configurationUpdateOf(changes *strings.Replacer) view.Update {
 	body := json.RawMessage(`{"raw":` + changes.Replace(goodConfiguration) + `}`)
 	return view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: body}
 }
 
-// listPiece is the section of a view that holds one endpoint.
-func listPiece(address net.Addr) view.Update {
+// endpointsUpdate is the section of a view that holds one endpoint.
+func endpointsUpdate(address net.Addr) view.Update {
 	body := fmt.Sprintf(`{"endpoints":[{"id":"e","service":"s","address":%q,"zone":"north","capacity":8,"number":"v1","state":"ready"}]}`, address)
 	return view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
 }
--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -12,45 +12,44 @@
 	"mastusher/internal/tier/transport"
 )
 
-// Patience with what a start needs of the machine: an end by itself is dearer than a wait.
+// Retries of what a start needs of the machine. Waiting costs less than ending and being started again.
 const (
-	startPatience = 30 * time.Second
-	firstPause    = 50 * time.Millisecond
-	mostPause     = time.Second
+	startTimeout   = 30 * time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// persist tries something until it succeeds, with growing pauses, as long as the start may take. A damaged disk doesn't get
-// better.
-func (p *process) persist(ctx context.Context, what string, try func() error) error {
-	bounded, cancel := context.WithTimeout(ctx, startPatience)
+// retryStart retries an operation with backoff until it succeeds, for at most startTimeout, and returns its last error. A corrupt
+// disk isn't retried.
+func (p *process) retryStart(ctx context.Context, what string, operation func() error) error {
+	bounded, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for pause := firstPause; ; pause = min(2*pause, mostPause) {
-		err := try()
-		var damage *storage.CorruptError
-		if err == nil || errors.As(err, &damage) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		err := operation()
+		var corrupt *storage.CorruptError
+		if err == nil || errors.As(err, &corrupt) {
 			return err
 		}
 		level.Warn(p.logger).Log("msg", "start waits", "for", what, "err", err)
 		select {
 		case <-bounded.Done():
 			return err
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 	}
 }
 
-// listen opens the process's link. Its address may still be taken by the process before.
+// listen opens the process's listener for other processes. The process before may still use its address.
 func (p *process) listen(ctx context.Context, address string, handlers *transport.Handlers) (server *transport.Server, err error) {
 	handlers.Measure(p.metrics)
-	err = p.persist(ctx, "address of the link", func() error {
-		server, err = transport.ListenOn(p.around.Network, address, handlers, p.logger)
+	err = p.retryStart(ctx, "address of the link", func() error {
+		server, err = transport.ListenOn(p.env.Network, address, handlers, p.logger)
 		return err
 	})
 	return server, err
 }
 
-// serve answers what other processes ask of the role and its member, and has the member run with the others, until leave is
-// called.
+// serve answers other processes by the handlers of the role and its node, and runs the node, until leave is called.
 func (p *process) serve(ctx context.Context, address string, member *node.Node, handlers *transport.Handlers) (leave func(), err error) {
 	member.Register(handlers)
 	server, err := p.listen(ctx, address, handlers)
--- a/internal/tier/command/store.go
+++ b/internal/tier/command/store.go
@@ -2,33 +2,30 @@
 
 import (
 	"context"
-	"sync"
 	"time"
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/tier/group"
 	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/storage"
 	"mastusher/internal/tier/store"
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/wire"
 )
 
-// waitingShare is the part of the memory that messages and commands may take that wait for the turns of a store's shards.
-const waitingShare = 10
+// queueBudgetDivisor bounds the messages and commands queued for a store's groups: the memory limit divided by it.
+const queueBudgetDivisor = 10
 
-// runStore runs the role until ctx ends, and then until its groups have other owners; or until one of them can't go on.
+// runStore runs the role until ctx ends, and then until its groups have other leaders; or until a group can't continue.
 func (p *process) runStore(ctx context.Context) error {
 	address := p.address(wire.StorePort)
 	disk, id, err := p.openDisk(ctx, address)
 	if err != nil {
 		return err
 	}
-	groups := newReplicas(ctx)
+	groups := newGroupRunner(ctx)
 	began := time.Now()
-	shards := store.New(ctx, store.Options{ID: id, Address: address, Disk: disk, Pool: p.pool, Logger: p.logger, Seed: p.seed, Now: p.around.TimeOfDay,
-		QueueBudgetBytes: int(p.settings.Limits.MemoryMb << 20 / waitingShare),
-		RunGroup:         groups.run, Invariants: p.checks})
+	shards := store.New(ctx, p.storeOptions(id, address, disk, groups))
 	member := p.newNode(p.member(membership.Store, id, address), shards.ApplyUpdate)
 	handlers := transport.NewHandlers()
 	shards.Register(handlers)
@@ -38,20 +35,16 @@
 		return err
 	}
 	defer server.Close()
-	// Each shard takes part as soon as it is open. The store counts as running, and is told the placement, once all are: one that
-	// can't read its disk, or ends over it again and again, is replaced.
-	if err := p.persist(ctx, "shards on the disk", shards.Recover); err != nil {
+	// Each shard takes part as soon as it is open. The store joins, and so learns the placement, once all are: one that can't
+	// read its disk, or ends over it repeatedly, must be replaced.
+	if err := p.retryStart(ctx, "shards on the disk", shards.Recover); err != nil {
 		return err
 	}
 	leave := p.join(ctx, member, server)
 	defer leave()
-	logStoreVitals := func() []any {
-		count, held := shards.Stats()
-		return []any{"shards", count, "stateKB", held.StateBytes >> 10, "snapshotKB", held.SnapshotBytes >> 10, "logKB", held.LogBytes >> 10,
-			"entries", held.Entries}
-	}
-	level.Info(p.logger).Log(append([]any{"msg", "shards recovered", "took", time.Since(began)}, logStoreVitals()...)...)
-	go logVitals(ctx, p.logger, logStoreVitals)
+	vitals := func() []any { return storeVitals(shards) }
+	level.Info(p.logger).Log(append([]any{"msg", "shards recovered", "took", time.Since(began)}, vitals()...)...)
+	go logVitals(ctx, p.logger, vitals)
 	select {
 	case err := <-groups.failed:
 		return err
@@ -61,43 +54,24 @@
 	}
 }
 
-// replicas runs the groups of a store.
-type replicas struct {
-	ctx    context.Context
-	failed chan error // holds the first error of a group that can't go on
-
-	mutex   sync.Mutex
-	closed  bool
-	running sync.WaitGroup
-}
-
-func newReplicas(ctx context.Context) *replicas {
-	return &replicas{ctx: ctx, failed: make(chan error, 1)}
-}
-
-// run drives a group in a goroutine of its own.
-func (r *replicas) run(opened *group.Group) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.closed {
-		return
+func (p *process) storeOptions(id, address string, disk storage.Disk, groups *groupRunner) store.Options {
+	return store.Options{
+		ID:               id,
+		Address:          address,
+		Disk:             disk,
+		Pool:             p.pool,
+		Logger:           p.logger,
+		Seed:             p.seed,
+		Now:              p.env.Now,
+		QueueBudgetBytes: int(p.settings.Limits.MemoryMb << 20 / queueBudgetDivisor),
+		RunGroup:         groups.run,
+		Invariants:       p.invariants,
 	}
-	r.running.Add(1)
-	go func() {
-		defer r.running.Done()
-		if err := opened.Run(r.ctx); err != nil {
-			select {
-			case r.failed <- err:
-			default:
-			}
-		}
-	}()
 }
 
-// wait returns once all groups have ended; no other begins.
-func (r *replicas) wait() {
-	r.mutex.Lock()
-	r.closed = true
-	r.mutex.Unlock()
-	r.running.Wait()
+// storeVitals returns the log fields of a store's replicas.
+func storeVitals(shards *store.Store) []any {
+	count, stats := shards.Stats()
+	return []any{"shards", count, "stateKB", stats.StateBytes >> 10, "snapshotKB", stats.SnapshotBytes >> 10, "logKB", stats.LogBytes >> 10,
+		"entries", stats.Entries}
 }
--- a/internal/tier/command/vitals.go
+++ b/internal/tier/command/vitals.go
@@ -9,31 +9,30 @@
 	"github.com/go-kit/log/level"
 )
 
-// vitalsInterval is the pace at which a process logs how it is.
+// vitalsInterval is the interval at which a process logs its use of resources.
 const vitalsInterval = 5 * time.Second
 
-// Names of the runtime's own figures.
+// Names of the runtime's metrics.
 const (
-	heapLive      = "/gc/heap/live:bytes"
-	heapObjects   = "/memory/classes/heap/objects:bytes"
-	mappedMemory  = "/memory/classes/total:bytes"
-	givenBack     = "/memory/classes/heap/released:bytes"
-	collectorTime = "/cpu/classes/gc/total:cpu-seconds"
-	allTime       = "/cpu/classes/total:cpu-seconds"
-	idleTime      = "/cpu/classes/idle:cpu-seconds"
+	heapLive       = "/gc/heap/live:bytes"
+	heapObjects    = "/memory/classes/heap/objects:bytes"
+	mappedMemory   = "/memory/classes/total:bytes"
+	releasedMemory = "/memory/classes/heap/released:bytes"
+	collectorTime  = "/cpu/classes/gc/total:cpu-seconds"
+	allTime        = "/cpu/classes/total:cpu-seconds"
+	idleTime       = "/cpu/classes/idle:cpu-seconds"
 )
 
-// logVitals logs the process's memory and the collector's part of its time at each interval, with what the role adds, until
-// ctx ends.
+// logVitals logs the process's memory and CPU time at each interval, with the fields that the role adds, until ctx ends.
 func logVitals(ctx context.Context, logger log.Logger, add func() []any) {
-	repeat(ctx, vitalsInterval, func() {
+	runEvery(ctx, vitalsInterval, func() {
 		level.Info(logger).Log(append(append([]any{"msg", "vitals"}, runtimeVitals()...), add()...)...)
 	})
 }
 
-// runtimeVitals returns the memory in KiB and the collector's time in s.
+// runtimeVitals returns fields for memory in KiB, and for the collector's and all CPU time since the start in s.
 func runtimeVitals() []any {
-	samples := []metrics.Sample{{Name: heapLive}, {Name: heapObjects}, {Name: mappedMemory}, {Name: givenBack}, {Name: collectorTime},
+	samples := []metrics.Sample{{Name: heapLive}, {Name: heapObjects}, {Name: mappedMemory}, {Name: releasedMemory}, {Name: collectorTime},
 		{Name: allTime}, {Name: idleTime}}
 	metrics.Read(samples)
 	kilobytes := func(i int) uint64 { return samples[i].Value.Uint64() >> 10 }
--- a/internal/tier/localtier/end_test.go
+++ b/internal/tier/localtier/end_test.go
@@ -15,7 +15,7 @@
 		told         bool
 	}{
 		{name: "nothing"},
-		{name: "another line", logged: "level=info msg=\"process is told to end\" grace=2s\n"},
+		{name: "another line", logged: "level=info msg=\"shutdown requested\" grace=2s\n"},
 		{name: "a line that breaks off", logged: "level=info msg=\"process has ended\""},
 		{name: "the time of another line", logged: "level=info msg=\"process has ended\"\nlevel=info msg=other after=1s\n"},
 		{name: "the last of its lines", logged: "msg=\"process has ended\" after=3s\nmsg=\"process has ended\" after=1s\n",
--- a/internal/tier/simulation/process.go
+++ b/internal/tier/simulation/process.go
@@ -31,7 +31,7 @@
 )
 
 // runs are the roles as their commands run them.
-var runs = map[role]func(ctx context.Context, around command.Surroundings) error{
+var runs = map[role]func(ctx context.Context, around command.Environment) error{
 	controllerRole: command.RunController,
 	storeRole:      command.RunStore,
 	agentRole:      command.RunAgent,
@@ -65,13 +65,13 @@
 	m.processes[r] = p
 	f.running.Add(1)
 	f.mutex.Unlock()
-	around := command.Surroundings{
-		SettingsPath: f.writeSettings(m, r),
-		Logger:       log.With(&processLogger{process: p}),
-		Network:      p.network,
-		OpenDisk:     func(string) (storage.Disk, error) { return &processDisk{process: p, memory: m.disk.memory}, nil },
-		Hangups:      p.hangups,
-		TimeOfDay:    func() time.Time { return time.Now().Add(m.clock()) },
+	around := command.Environment{
+		SettingsPath:  f.writeSettings(m, r),
+		Logger:        log.With(&processLogger{process: p}),
+		Network:       p.network,
+		OpenDisk:      func(string) (storage.Disk, error) { return &processDisk{process: p, memory: m.disk.memory}, nil },
+		ReloadSignals: p.hangups,
+		Now:           func() time.Time { return time.Now().Add(m.clock()) },
 	}
 	go func() {
 		defer f.running.Done()
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -45,7 +45,7 @@
 
 // RunRole runs a role of the tier as its binary does, in a network that can be cut, until SIGTERM.
 func RunRole(ctx context.Context, role string) error {
-	run, known := map[string]func(context.Context, command.Surroundings) error{
+	run, known := map[string]func(context.Context, command.Environment) error{
 		localtier.ControllerRole: command.RunController, localtier.StoreRole: command.RunStore,
 		localtier.AgentRole: command.RunAgent, localtier.ProxyRole: command.RunProxy,
 	}[role]
@@ -61,7 +61,7 @@
 		return err
 	}
 	go network.Follow(ctx)
-	return run(stopping, command.Surroundings{
+	return run(stopping, command.Environment{
 		SettingsPath: os.Getenv(localtier.SettingsVariable),
 		Logger:       level.NewFilter(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), level.AllowInfo()),
 		Network:      network,
@@ -72,7 +72,7 @@
 			}
 			return disk, nil
 		},
-		Hangups:   hangups,
-		TimeOfDay: time.Now,
+		ReloadSignals: hangups,
+		Now:           time.Now,
 	})
 }
