--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -31,7 +31,7 @@
 	{"generation ignored", "node/leader.go", "case p.Life == s.before || p.Gen < was.Gen:", "case p.Gen > 1<<40:", "TestFormerWord", ""},
 	{"a grant of a former life", "node/node.go", "if !ok || g.Gen != n.cfg.Gen || g.Life != n.cfg.Life {", "if !ok {", "TestFormerLife", ""},
 	{"forgotten promises", "node/node.go", "	n.probation = cfg.Gen > 1 //", "	//", "TestOldFolder", ""},
-	{"version not carried by the journal", "../journal/journal.go", "e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestNarrower", "mastusher/internal/relay/engine"},
+	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestNarrower", "mastusher/internal/relay/engine"},
 	{"a limit by hand is each relay's own", "../../../control/shared_limits.go", "rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))", "rate = route.destination.maxRate", "TestMaxRate_ManySenders_IsKeptTogether", "mastusher/control"},
 	{"lent again too early", "quota/ledger.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound", ""},
 	{"floors are lent", "quota/ledger.go", "max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])", "max(0, wholeLimit-l.leased[k]+h.bound[k])", "TestSharedBound", ""},
--- a/internal/relay/journal/memory.go
+++ b/internal/relay/journal/memory.go
@@ -1,8 +1,6 @@
 package journal
 
 import (
-	"cmp"
-	"slices"
 	"time"
 )
 
@@ -26,14 +24,9 @@
 	m.entries[e.Seq] = e
 }
 
-// Entries returns what is not over, in the order in which it was taken on.
+// Entries returns the entries in the order in which they were taken on.
 func (m *Memory) Entries() []*Entry {
-	var all []*Entry
-	for _, e := range m.entries {
-		all = append(all, e)
-	}
-	slices.SortFunc(all, func(a, b *Entry) int { return cmp.Compare(a.Seq, b.Seq) })
-	return all
+	return sorted(m.entries)
 }
 
 // Accept notes a message that is taken on, if there is room.
@@ -47,13 +40,19 @@
 
 // Begin, Schedule, EndAttempt, End, EndWithNotice, Ack and Flush are those of Log.
 func (m *Memory) Begin([]*Entry) bool { return true }
+
 func (m *Memory) Schedule(e *Entry, at time.Time, destination string) {
 	e.scheduleAttempt(at, destination)
 }
+
 func (m *Memory) EndAttempt(e *Entry, neverRan bool) { e.endAttempt(neverRan) }
-func (m *Memory) End(e *Entry)                       { delete(m.entries, e.Seq) }
-func (m *Memory) EndWithNotice(e *Entry, n Notice)   { e.NoticePending, e.Notice = true, n }
-func (m *Memory) Ack(e *Entry)                       { delete(m.entries, e.Seq) }
+
+func (m *Memory) End(e *Entry) { delete(m.entries, e.Seq) }
+
+func (m *Memory) EndWithNotice(e *Entry, n Notice) { e.NoticePending, e.Notice = true, n }
+
+func (m *Memory) Ack(e *Entry) { delete(m.entries, e.Seq) }
+
 func (m *Memory) Flush() error {
 	if m.Failed != nil {
 		return m.Failed()
--- /dev/null
+++ b/internal/relay/journal/records.go
@@ -0,0 +1,185 @@
+package journal
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"time"
+)
+
+// The codes of records, which stand in files: a code is never given to another record.
+const (
+	recordAccepted byte = iota + 1 // id, key, front, destination, class, deadline, resubmitted, body, headers, tenant, policy and attempts
+	recordBegun                    // number of the attempt, time, destination
+	recordOutcome                  // of the attempt begun last: 1 if it never ran
+	recordEnded                    // -
+	recordNotice                   // flags, milliseconds to wait: the message has ended and a notice is outstanding
+	recordAcked                    // -
+)
+
+// The bits of recordNotice's flags.
+const (
+	flagHandedBack = 1 << iota
+	flagDelivered
+)
+
+const (
+	frameHead  = 8       // length, checksum
+	maxPayload = 1 << 20 // bytes
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// apply takes one record into the state; false: it can't be read.
+func (l *Log) apply(payload []byte) bool {
+	r := &decoder{b: payload[1:]}
+	seq := r.uint()
+	e := l.entries[seq]
+	switch payload[0] {
+	case recordAccepted:
+		if e = r.accepted(seq); !r.bad {
+			l.entries[seq], l.lastSeq = e, max(l.lastSeq, seq)
+			l.liveBytes += e.cost()
+		}
+	case recordBegun:
+		if number, at, destination := r.uint(), r.time(), r.text(); e != nil && !r.bad {
+			e.Attempts, e.InFlight, e.LastAttemptAt, e.LastAttemptOn = int(number), true, at, destination
+			e.loggedAttempts = int(number)
+		}
+	case recordOutcome:
+		if neverRan := r.uint() == 1; e != nil && !r.bad {
+			e.endAttempt(neverRan)
+		}
+	case recordEnded, recordAcked:
+		if e != nil {
+			l.liveBytes -= e.cost()
+			delete(l.entries, seq)
+		}
+	case recordNotice:
+		if flags, retryAfter := r.uint(), r.uint(); e != nil && !r.bad {
+			e.NoticePending, e.Notice = true, Notice{Delivered: flags&flagDelivered != 0, HandedBack: flags&flagHandedBack != 0,
+				RetryAfter: time.Duration(retryAfter) * time.Millisecond}
+		}
+	default: // of a later version: skipped
+	}
+	return !r.bad
+}
+
+// accepted reads a message as it was taken on. Logs of older versions end before the headers, or before the tenant.
+func (r *decoder) accepted(seq uint64) *Entry {
+	e := &Entry{Seq: seq, ID: r.text(), Key: r.text(), Front: r.text(), Destination: int(r.uint()),
+		Class: int(r.uint()), Deadline: r.time(), Resubmitted: r.uint() == 1, Body: []byte(r.text())}
+	if len(r.b) > 0 {
+		for n := r.uint(); n > 0 && !r.bad; n-- {
+			e.Headers = append(e.Headers, r.text())
+		}
+	}
+	if e.Tenant = -1; len(r.b) > 0 {
+		e.Tenant = int(r.uint()) - 1
+	}
+	if len(r.b) > 0 { // only in a fleet
+		e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())
+	}
+	return e
+}
+
+func (l *Log) appendAccepted(e *Entry) {
+	l.appendRecord(recordAccepted, e.Seq, func(b []byte) []byte {
+		b = appendText(appendText(appendText(b, e.ID), e.Key), e.Front)
+		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(e.Destination)), uint64(e.Class))
+		b = binary.AppendUvarint(appendTime(b, e.Deadline), bit(e.Resubmitted))
+		b = binary.AppendUvarint(appendText(b, string(e.Body)), uint64(len(e.Headers)))
+		for _, h := range e.Headers {
+			b = appendText(b, h)
+		}
+		b = binary.AppendUvarint(b, uint64(max(e.Tenant, -1)+1))
+		if e.PolicyVersion != 0 || e.MaxAttempts != 0 {
+			b = binary.AppendUvarint(binary.AppendUvarint(b, e.PolicyVersion), uint64(e.MaxAttempts))
+		}
+		return b
+	})
+}
+
+func (l *Log) appendBegun(e *Entry, number int, at time.Time, destination string) {
+	l.appendRecord(recordBegun, e.Seq, func(b []byte) []byte {
+		return appendText(appendTime(binary.AppendUvarint(b, uint64(number)), at), destination)
+	})
+}
+
+func (l *Log) appendOutcome(e *Entry, neverRan bool) {
+	l.appendRecord(recordOutcome, e.Seq, func(b []byte) []byte { return binary.AppendUvarint(b, bit(neverRan)) })
+}
+
+func (l *Log) appendNotice(e *Entry) {
+	flags := uint64(0)
+	if e.Notice.HandedBack {
+		flags |= flagHandedBack
+	}
+	if e.Notice.Delivered {
+		flags |= flagDelivered
+	}
+	l.appendRecord(recordNotice, e.Seq, func(b []byte) []byte {
+		return binary.AppendUvarint(binary.AppendUvarint(b, flags), uint64(e.Notice.RetryAfter/time.Millisecond))
+	})
+}
+
+// appendRecord frames a record and puts it into the buffer.
+func (l *Log) appendRecord(code byte, seq uint64, fields func([]byte) []byte) {
+	at := len(l.buf)
+	l.buf = append(l.buf, make([]byte, frameHead)...)
+	l.buf = fields(binary.AppendUvarint(append(l.buf, code), seq))
+	payload := l.buf[at+frameHead:]
+	binary.LittleEndian.PutUint32(l.buf[at:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(payload, castagnoli))
+}
+
+// bit is 1 for true.
+func bit(v bool) uint64 {
+	if v {
+		return 1
+	}
+	return 0
+}
+
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
+
+func appendTime(b []byte, t time.Time) []byte { return binary.AppendVarint(b, t.UnixMicro()) }
+
+// decoder reads the fields of a payload; bad is set once one is missing.
+type decoder struct {
+	b   []byte
+	bad bool
+}
+
+func (d *decoder) uint() uint64 {
+	v, n := binary.Uvarint(d.b)
+	return v * d.skip(n)
+}
+
+// skip drops a number of n bytes; it returns 0 where there was none.
+func (d *decoder) skip(n int) uint64 {
+	if n <= 0 {
+		d.bad, d.b = true, nil
+		return 0
+	}
+	d.b = d.b[n:]
+	return 1
+}
+
+func (d *decoder) time() time.Time {
+	v, n := binary.Varint(d.b)
+	d.skip(n)
+	return time.UnixMicro(v)
+}
+
+func (d *decoder) text() string {
+	n := d.uint()
+	if n > uint64(len(d.b)) {
+		d.bad = true
+		return ""
+	}
+	s := string(d.b[:n])
+	d.b = d.b[n:]
+	return s
+}
