--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -23,15 +23,15 @@
 		},
 		{
 			Name:   "a loss is forgotten when the newcomers hold something",
-			Change: mutation.Change{File: "../placement/watch.go", Old: "lost[holder.ID], w.lost[holder.ID] = true, true", New: "lost[holder.ID] = true"},
+			Change: mutation.Change{File: "../placement/lost_hosts.go", Old: "lost[host.ID], t.lost[host.ID] = true, true", New: "lost[host.ID] = true"},
 			Run:    "^TestRepair_TwoLossesAtOnce_BothRepaired$",
 		},
 		{
 			Name: "a lost controller is waited for",
-			Change: mutation.Change{File: "../placement/watch.go",
-				Old: "\tfor _, holder := range w.replacedBySpares(now, w.spareMembers(role, holders), len(lost), missing) {",
-				New: "\tspare := w.spareMembers(role, holders)\n\tif role == membership.Controller {\n\t\tspare = nil\n\t}\n" +
-					"\tfor _, holder := range w.replacedBySpares(now, spare, len(lost), missing) {"},
+			Change: mutation.Change{File: "../placement/lost_hosts.go",
+				Old: "\tfor _, host := range t.replacedBySpares(now, t.spareMembers(role, hosts), len(lost), missing) {",
+				New: "\tspare := t.spareMembers(role, hosts)\n\tif role == membership.Controller {\n\t\tspare = nil\n\t}\n" +
+					"\tfor _, host := range t.replacedBySpares(now, spare, len(lost), missing) {"},
 			Run: "^TestRepair_SecondLossRightAfter_LosesNothing$/^controller",
 		},
 	})
--- a/internal/tier/placement/mutants_test.go
+++ b/internal/tier/placement/mutants_test.go
@@ -12,27 +12,27 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "a loss is forgotten",
-			Change: mutation.Change{File: "watch.go", Old: "lost[holder.ID], w.lost[holder.ID] = true, true", New: "lost[holder.ID] = true"},
+			Change: mutation.Change{File: "lost_hosts.go", Old: "lost[host.ID], t.lost[host.ID] = true, true", New: "lost[host.ID] = true"},
 			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
 			Name:   "a machine that is back stays lost",
-			Change: mutation.Change{File: "watch.go", Old: "		delete(w.lost, m.ID)\n", New: ""},
+			Change: mutation.Change{File: "tracker.go", Old: "		delete(t.lost, m.ID)\n", New: ""},
 			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
 			Name:   "one newcomer stands for all that are missing",
-			Change: mutation.Change{File: "watch.go", Old: "missing[:min(successors, len(missing))]", New: "missing[:min(successors*9, len(missing))]"},
+			Change: mutation.Change{File: "lost_hosts.go", Old: "missing[:min(available, len(missing))]", New: "missing[:min(available*9, len(missing))]"},
 			Run:    "^TestTracker_OneSpare_ReplacesOneMissing$",
 		},
 		{
 			Name:   "a suspicion counts without a newcomer",
-			Change: mutation.Change{File: "watch.go", Old: "now.Sub(w.firstSeen[m.ID]) < newcomerAge", New: "true || now.Sub(w.firstSeen[m.ID]) < newcomerAge"},
+			Change: mutation.Change{File: "lost_hosts.go", Old: "now.Sub(t.firstSeen[m.ID]) < newcomerAge", New: "true || now.Sub(t.firstSeen[m.ID]) < newcomerAge"},
 			Run:    "^TestTracker_LostReplicas$",
 		},
 		{
 			Name:   "a wiped machine isn't lost",
-			Change: mutation.Change{File: "watch.go", Old: "return m.Name == name || m.Address == holder.Address && !m.DeadOrLeft()", New: "return false && (m.Name == name || m.Address == holder.Address)"},
+			Change: mutation.Change{File: "lost_hosts.go", Old: "return m.Name == name || m.Address == host.Address && !m.DeadOrLeft()", New: "return false && (m.Name == name || m.Address == host.Address)"},
 			Run:    "^TestTracker_LostReplicas$",
 		},
 	})
--- a/internal/tier/placement/placement.go
+++ b/internal/tier/placement/placement.go
@@ -1,4 +1,3 @@
-// Package placement decides which store holds which shard. It is pure: the same inputs give the same placement.
 package placement
 
 import (
@@ -10,25 +9,25 @@
 	"mastusher/internal/tier/view"
 )
 
-// maxShards bounds the number of shards that a first placement makes.
+// maxShards bounds the number of shards of an initial placement.
 const maxShards = 64
 
-// Store is a machine that runs and may take replicas.
+// Store is a running machine that may get replicas.
 type Store = view.Replica
 
-// Shard returns the shard of a key, by its hash.
+// Shard returns the shard of a key, by its FNV-1a hash. It must stay as it is: stored state lies in the shard of its key.
 func Shard(key string, shards int) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
 	return int(hash.Sum64() % uint64(shards))
 }
 
-// Initial makes the first placement over the stores: as many shards as the next power of two, each with copies replicas, so
-// that all stores hold about as many and no zone holds a majority of a shard's, as far as there are zones enough. It returns
-// nil while there are too few stores.
-func Initial(stores []Store, copies int) []view.ShardPlacement {
+// Initial returns the first placement: as many shards as the next power of two of the number of stores, each with
+// replicationFactor replicas, so that all stores have about as many, and no zone has a majority of a shard's replicas as far as
+// there are zones enough. It returns nil while there are too few stores.
+func Initial(stores []Store, replicationFactor int) []view.ShardPlacement {
 	usable := sorted(stores)
-	if len(usable) < copies {
+	if len(usable) < replicationFactor {
 		return nil
 	}
 	count := 1
@@ -38,9 +37,9 @@
 	load := map[string]int{}
 	shards := make([]view.ShardPlacement, count)
 	for i := range shards {
-		shards[i].Replicas = selectStores(usable, nil, copies, copies, load, i)
+		shards[i].Replicas = selectStores(usable, nil, replicationFactor, replicationFactor, load, i)
 	}
-	for balanceOnce(shards, usable, copies, load) {
+	for balanceOnce(shards, usable, replicationFactor, load) {
 	}
 	for i := range shards {
 		shards[i].Initial = shards[i].Replicas
@@ -48,16 +47,16 @@
 	return shards
 }
 
-// balanceOnce makes one change, if there is one, by which a store holds fewer replicas than another did before. Choosing shard by
-// shard can leave such a difference where zones are of different sizes.
-func balanceOnce(shards []view.ShardPlacement, usable []Store, copies int, load map[string]int) bool {
+// balanceOnce moves one replica to a store that has at least two fewer, and returns false if there is none. Selecting shard by
+// shard can leave such a difference where zones differ in size.
+func balanceOnce(shards []view.ShardPlacement, usable []Store, replicationFactor int, load map[string]int) bool {
 	for i := range shards {
 		for at, replica := range shards[i].Replicas {
-			kept := slices.Delete(slices.Clone(shards[i].Replicas), at, at+1)
-			if chosen := selectStores(usable, kept, 1, copies, maps.Clone(load), i); load[chosen[0].ID]+1 < load[replica.ID] {
+			remaining := slices.Delete(slices.Clone(shards[i].Replicas), at, at+1)
+			if selected := selectStores(usable, remaining, 1, replicationFactor, maps.Clone(load), i); load[selected[0].ID]+1 < load[replica.ID] {
 				load[replica.ID]--
-				load[chosen[0].ID]++
-				shards[i].Replicas[at] = chosen[0]
+				load[selected[0].ID]++
+				shards[i].Replicas[at] = selected[0]
 				return true
 			}
 		}
@@ -65,22 +64,22 @@
 	return false
 }
 
-// Inputs is what the next placement follows from.
+// Inputs are what the next placement follows from.
 type Inputs struct {
-	Stores            []Store         // that run and may take replicas
-	Lost              map[string]bool // identities whose replicas are gone for good
-	Draining          map[string]bool // identities whose machines are being emptied
-	ReplicationFactor int             // replicas that a shard is to have
+	Stores            []Store         // running ones that may get replicas
+	Lost              map[string]bool // identities whose replicas are lost for good
+	Draining          map[string]bool // identities whose stores are being drained
+	ReplicationFactor int             // replicas that a shard should have
 }
 
-// Next returns what the placement should become now: replicas that are lost or retiring are replaced where a store is free
-// for it, and missing ones are added, one of each shard at a time. changed tells whether anything differs.
-func Next(shards []view.ShardPlacement, now Inputs) (next []view.ShardPlacement, changed bool) {
-	usable := sorted(now.Stores)
+// Next returns what the placement should become now: lost and draining replicas are replaced where a store is free for it, and
+// missing ones are added. It changes at most one replica of each shard at a time. changed reports whether anything differs.
+func Next(shards []view.ShardPlacement, inputs Inputs) (next []view.ShardPlacement, changed bool) {
+	usable := sorted(inputs.Stores)
 	load := loadOf(shards)
 	next = slices.Clone(shards)
 	for i := range next {
-		replicas, moved := nextReplicas(next[i].Replicas, usable, now, load, i)
+		replicas, moved := nextReplicas(next[i].Replicas, usable, inputs, load, i)
 		if moved {
 			next[i].Replicas = replicas
 			changed = true
@@ -89,7 +88,7 @@
 	return next, changed
 }
 
-// loadOf counts the replicas of each store.
+// loadOf counts the replicas of each store, by identity.
 func loadOf(shards []view.ShardPlacement) map[string]int {
 	load := map[string]int{}
 	for _, shard := range shards {
@@ -100,31 +99,32 @@
 	return load
 }
 
-// nextReplicas is the next step of one shard.
-func nextReplicas(current []view.Replica, usable []Store, now Inputs, load map[string]int, shard int) ([]view.Replica, bool) {
-	at := replicaToReplace(current, now)
-	if at < 0 && len(current) >= now.ReplicationFactor {
+// nextReplicas returns the next replicas of one shard, and whether they differ from the current ones.
+func nextReplicas(current []view.Replica, usable []Store, inputs Inputs, load map[string]int, shard int) ([]view.Replica, bool) {
+	at := replicaToReplace(current, inputs)
+	if at < 0 && len(current) >= inputs.ReplicationFactor {
 		return current, false
 	}
-	kept := slices.Clone(current)
+	remaining := slices.Clone(current)
 	if at >= 0 {
-		kept = slices.Delete(kept, at, at+1)
-		if same, ok := storeOnSameNode(current[at], usable); ok {
-			load[same.ID]++
-			return append(kept, same), true
+		remaining = slices.Delete(remaining, at, at+1)
+		if successor, ok := storeOnSameNode(current[at], usable); ok {
+			load[successor.ID]++
+			return append(remaining, successor), true
 		}
 	}
-	added := selectStores(usable, kept, 1, now.ReplicationFactor, load, shard)
+	added := selectStores(usable, remaining, 1, inputs.ReplicationFactor, load, shard)
 	if len(added) == 0 {
 		return current, false
 	}
-	return append(kept, added...), true
+	return append(remaining, added...), true
 }
 
-// replicaToReplace finds the replica that is to be replaced first: a lost one goes before one that can still be copied from.
-func replicaToReplace(replicas []view.Replica, now Inputs) int {
-	for _, gone := range []map[string]bool{now.Lost, now.Draining} {
-		at := slices.IndexFunc(replicas, func(r view.Replica) bool { return gone[r.ID] })
+// replicaToReplace finds the replica to be replaced first, or -1: a lost one goes before a draining one, which can still be
+// copied from.
+func replicaToReplace(replicas []view.Replica, inputs Inputs) int {
+	for _, leaving := range []map[string]bool{inputs.Lost, inputs.Draining} {
+		at := slices.IndexFunc(replicas, func(r view.Replica) bool { return leaving[r.ID] })
 		if at >= 0 {
 			return at
 		}
@@ -132,9 +132,9 @@
 	return -1
 }
 
-// storeOnSameNode finds the store that runs on the same machine under another identity.
-func storeOnSameNode(gone view.Replica, usable []Store) (Store, bool) {
-	at := slices.IndexFunc(usable, func(s Store) bool { return s.Node == gone.Node && s.ID != gone.ID })
+// storeOnSameNode finds the store that runs on the replica's machine under another identity: its disk was wiped.
+func storeOnSameNode(lost view.Replica, usable []Store) (Store, bool) {
+	at := slices.IndexFunc(usable, func(s Store) bool { return s.Node == lost.Node && s.ID != lost.ID })
 	if at < 0 {
 		return Store{}, false
 	}
@@ -145,49 +145,49 @@
 	return slices.SortedFunc(slices.Values(stores), func(a, b Store) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// selectStores chooses count stores besides those kept, for a shard of so many copies: those with the fewest replicas, as long as a
-// majority of the copies stays outside their zone. So no store holds more than its share of the state because its zone has
-// few stores. Of stores that hold as many, those in zones with fewer of the shard's replicas go first; the shard's number
-// breaks ties, so that owners spread.
-func selectStores(usable []Store, kept []view.Replica, count, copies int, load map[string]int, shard int) []view.Replica {
+// selectStores selects up to count stores for a shard besides its remaining replicas: those with the fewest replicas, as long as
+// a majority of the shard's replicas stays outside their zone. So no store gets more than its share because its zone has few
+// stores. Of equally loaded stores, those in zones with fewer of the shard's replicas go first; the shard's number breaks ties,
+// so that leaders spread. It adds the selected ones to load.
+func selectStores(usable []Store, remaining []view.Replica, count, replicationFactor int, load map[string]int, shard int) []view.Replica {
 	zones := map[string]int{}
-	taken := map[string]bool{}
-	for _, r := range kept {
+	used := map[string]bool{}
+	for _, r := range remaining {
 		zones[r.Zone]++
-		taken[r.Node] = true
+		used[r.Node] = true
 	}
-	bound := maxPerZone(copies)
-	var chosen []view.Replica
-	for len(chosen) < count {
+	zoneLimit := maxPerZone(replicationFactor)
+	var selected []view.Replica
+	for len(selected) < count {
 		best := -1
 		for k := range usable {
 			i := (k + shard) % len(usable)
-			if taken[usable[i].Node] {
+			if used[usable[i].Node] {
 				continue
 			}
-			if best < 0 || isBetter(usable[i], usable[best], bound, zones, load) {
+			if best < 0 || isBetter(usable[i], usable[best], zoneLimit, zones, load) {
 				best = i
 			}
 		}
 		if best < 0 {
-			return chosen
+			return selected
 		}
 		s := usable[best]
 		zones[s.Zone]++
-		taken[s.Node] = true
+		used[s.Node] = true
 		load[s.ID]++
-		chosen = append(chosen, s)
+		selected = append(selected, s)
 	}
-	return chosen
+	return selected
 }
 
-// maxPerZone is the number of a shard's replicas that one zone may hold, so that a majority is left without it.
-func maxPerZone(copies int) int { return max(1, (copies-1)/2) }
+// maxPerZone is the number of a shard's replicas that one zone may have, so that a majority remains without it.
+func maxPerZone(replicationFactor int) int { return max(1, (replicationFactor-1)/2) }
 
-// isBetter tells whether a is to be chosen rather than b: in a zone that may take another replica, then with fewer replicas,
-// then in a zone with fewer of the shard's.
-func isBetter(a, b Store, bound int, zones, load map[string]int) bool {
-	if full := zones[a.Zone] >= bound; full != (zones[b.Zone] >= bound) {
+// isBetter reports whether a is to be selected before b: a zone below its limit comes first, then fewer replicas, then a zone
+// with fewer of the shard's replicas.
+func isBetter(a, b Store, zoneLimit int, zones, load map[string]int) bool {
+	if full := zones[a.Zone] >= zoneLimit; full != (zones[b.Zone] >= zoneLimit) {
 		return !full
 	}
 	if load[a.ID] != load[b.ID] {
--- /dev/null
+++ b/internal/tier/placement/tracker.go
@@ -0,0 +1,167 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"mastusher/internal/tier/membership"
+)
+
+// Delays and time-outs of the tracker.
+const (
+	initialPlacementDelay = 1500 * time.Millisecond // from the election until the initial placement: all stores must have been seen
+	completeViewDelay     = 12 * time.Second        // from the election until members on both sides of a healed partition know each other
+	maxObservationGap     = time.Second             // between two observations; after a longer one the tracker starts over
+)
+
+// Tracker observes the members over time: since when each has been dead or missing, and since when this process has led the
+// configuration shard's group. The times passed to its methods must not go back.
+type Tracker struct {
+	members         []membership.Member  // by name
+	dead            map[string]time.Time // since when, by member name: dead or left
+	missing         map[string]time.Time // since when, by member name: suspected, dead or left
+	firstSeen       map[string]time.Time // by identity
+	lost            map[string]bool      // identities that were found lost and haven't come back
+	names           map[string]string    // last known member name, by identity
+	lastObservation time.Time
+	observingSince  time.Time // start of the observations without a gap
+	leaderSince     time.Time // zero: not the leader
+	term            uint64    // that this process leads; 0: not the leader
+}
+
+// NewTracker returns a tracker without observations.
+func NewTracker() *Tracker {
+	return &Tracker{dead: map[string]time.Time{}, missing: map[string]time.Time{}, firstSeen: map[string]time.Time{},
+		lost: map[string]bool{}, names: map[string]string{}}
+}
+
+// Observe records the members that are known now, and the term in which this process leads the group; 0 if it doesn't.
+func (t *Tracker) Observe(now time.Time, members []membership.Member, leaderTerm uint64) {
+	t.resetAfterGap(now)
+	t.members = members
+	for _, m := range members {
+		if m.Role != membership.Agent {
+			t.observe(now, m)
+		}
+	}
+	if leaderTerm != t.term {
+		t.term, t.leaderSince = leaderTerm, now
+	}
+}
+
+// resetAfterGap starts over after a gap, in which members may have come back unobserved.
+func (t *Tracker) resetAfterGap(now time.Time) {
+	if t.lastObservation.IsZero() || now.Sub(t.lastObservation) > maxObservationGap {
+		t.observingSince, t.leaderSince = now, now
+		clear(t.dead)
+		clear(t.missing)
+		clear(t.lost)
+	}
+	t.lastObservation = now
+}
+
+func (t *Tracker) observe(now time.Time, m membership.Member) {
+	t.names[m.ID] = m.Name
+	setSince(t.firstSeen, m.ID, now, true)
+	setSince(t.dead, m.Name, now, m.DeadOrLeft())
+	setSince(t.missing, m.Name, now, m.State != membership.StateAlive)
+	if m.State == membership.StateAlive {
+		delete(t.lost, m.ID)
+	}
+}
+
+// setSince records since when a condition has been true for a key, or that it is false.
+func setSince(since map[string]time.Time, key string, now time.Time, condition bool) {
+	switch _, known := since[key]; {
+	case !condition:
+		delete(since, key)
+	case !known:
+		since[key] = now
+	}
+}
+
+// ReadyForInitial reports whether this process has led the group for long enough to have heard of all stores.
+func (t *Tracker) ReadyForInitial(now time.Time) bool {
+	return t.term != 0 && now.Sub(t.leaderSince) >= initialPlacementDelay
+}
+
+// HasCompleteView reports whether this process has led the group in that term, and observed without a gap, for so long that it
+// has heard of all members that run, also of those from which it was partitioned before.
+func (t *Tracker) HasCompleteView(now time.Time, term uint64) bool {
+	return term != 0 && t.term == term && now.Sub(t.leaderSince) >= completeViewDelay
+}
+
+// MissingSince returns since when the member with an identity has been missing, as far as the observations reach back. missing is
+// false if it runs or is unknown.
+func (t *Tracker) MissingSince(id string) (since time.Time, missing bool) {
+	since, missing = t.missing[t.names[id]]
+	return since, missing
+}
+
+func (t *Tracker) find(matches func(*membership.Member) bool) *membership.Member {
+	for i := range t.members {
+		if matches(&t.members[i]) {
+			return &t.members[i]
+		}
+	}
+	return nil
+}
+
+// Running lists the members of a role that run, by name.
+func (t *Tracker) Running(role membership.Role) []membership.Member {
+	var running []membership.Member
+	for _, m := range t.members {
+		if m.Role == role && m.State == membership.StateAlive {
+			running = append(running, m)
+		}
+	}
+	slices.SortFunc(running, func(a, b membership.Member) int { return cmp.Compare(a.Name, b.Name) })
+	return running
+}
+
+// Stores lists the stores that run, by name.
+func (t *Tracker) Stores() []Store {
+	var stores []Store
+	for _, m := range t.Running(membership.Store) {
+		stores = append(stores, storeOf(&m))
+	}
+	return stores
+}
+
+// Missing lists the stores that don't run but may come back soon.
+func (t *Tracker) Missing(now time.Time) []Store {
+	var missing []Store
+	for _, m := range t.members {
+		since, dead := t.dead[m.Name]
+		if m.Role == membership.Store && m.State != membership.StateAlive && (!dead || now.Sub(since) < lostTimeout) {
+			missing = append(missing, storeOf(&m))
+		}
+	}
+	return missing
+}
+
+// Store finds a store by the name of its machine, whether it runs or not.
+func (t *Tracker) Store(node string) (Store, bool) {
+	m := t.find(func(m *membership.Member) bool { return m.Role == membership.Store && NodeOf(m.Name) == node })
+	if m == nil {
+		return Store{}, false
+	}
+	return storeOf(m), true
+}
+
+func storeOf(m *membership.Member) Store {
+	return Store{ID: m.ID, Node: NodeOf(m.Name), Address: m.Address, Zone: m.Zone}
+}
+
+// storeSuffix ends the member names of stores.
+const storeSuffix = "/" + string(membership.Store)
+
+// NodeOf returns the name of the machine on which a member runs.
+func NodeOf(member string) string {
+	node, _, _ := strings.Cut(member, "/")
+	return node
+}
+
+func storeName(node string) string { return node + storeSuffix }
