--- a/control/sender_test.go
+++ b/control/sender_test.go
@@ -45,11 +45,11 @@
 }
 
 func TestStep_SameEvents_GiveSameActions(t *testing.T) {
-	a, b := fuzzRun(t, 42, 4000), fuzzRun(t, 42, 4000)
+	a, b := playRandomEvents(t, 42, 4000), playRandomEvents(t, 42, 4000)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("the same events gave other actions")
 	}
-	if c := fuzzRun(t, 43, 4000); reflect.DeepEqual(a, c) {
+	if c := playRandomEvents(t, 43, 4000); reflect.DeepEqual(a, c) {
 		t.Error("another script gave the same actions: the script is not played")
 	}
 }
