--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -30,7 +30,7 @@
 	}
 	defer leave()
 	<-stopping.Done()
-	time.Sleep(shareOf(p.settings.Bounds.Grace(), agentLinger))
+	time.Sleep(shareOf(p.settings.Bounds.GracePeriod(), agentLinger))
 	return nil
 }
 
--- a/internal/tier/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -51,7 +51,7 @@
 		return err
 	case <-stopping.Done():
 	}
-	return shutdownProxy(running, path, p.settings.Bounds.Grace())
+	return shutdownProxy(running, path, p.settings.Bounds.GracePeriod())
 }
 
 func (p *process) proxyOptions(views *viewfeed.Feed, programs *programclient.Client, counter *versionstats.Counter) proxy.Options {
@@ -65,7 +65,7 @@
 		Logger:               p.logger,
 		Network:              p.env.Network,
 		MaxClientConnections: maxClients(p.settings.Limits.OpenFiles),
-		MaxOutage:            p.settings.Bounds.Recovery(),
+		MaxOutage:            p.settings.Bounds.RecoveryWithin(),
 		Checks:               p.invariants,
 		Metrics:              p.metrics,
 	}
--- a/internal/tier/command/shutdown.go
+++ b/internal/tier/command/shutdown.go
@@ -23,7 +23,7 @@
 	requested := make(chan time.Time, 1)
 	context.AfterFunc(stopping, func() {
 		requested <- time.Now()
-		level.Info(p.logger).Log("msg", "shutdown requested", "grace", p.settings.Bounds.Grace())
+		level.Info(p.logger).Log("msg", "shutdown requested", "grace", p.settings.Bounds.GracePeriod())
 	})
 	err := run()
 	if stopping.Err() != nil { // else it ended by itself
--- a/internal/tier/controller/api_rollouts.go
+++ b/internal/tier/controller/api_rollouts.go
@@ -69,7 +69,7 @@
 func (c *Controller) rolloutProposal(body *rolloutRequest) *rollout.Proposal {
 	proposal := rollout.Proposal{Service: body.Service, Target: body.Target, OverMs: int64(math.Round(1000 * body.OverS)),
 		AtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
-	bounds := rollout.Bounds{Share: c.options.Settings.Bounds.BadShare(), Slack: c.options.Settings.Bounds.BadSlack()}
+	bounds := rollout.Bounds{Share: c.options.Settings.Bounds.BadVersionMaxShare(), Slack: c.options.Settings.Bounds.BadVersionSlack()}
 	proposal = proposal.WithBounds(bounds, c.proxyCount())
 	return &proposal
 }
--- a/internal/tier/controller/dedup.go
+++ b/internal/tier/controller/dedup.go
@@ -12,7 +12,7 @@
 // dedupWindowLength is how long after its acceptance a duplicate of a roll-out or decommission order may arrive. An operator sends
 // an order again for as long as it waits for the acknowledgement; a copy may be in flight for longer where machines are slow.
 func dedupWindowLength(bounds settings.Bounds) time.Duration {
-	return bounds.ConfirmWithin() + bounds.Stretch()
+	return bounds.ConfirmWithin() + bounds.UnstableExtension()
 }
 
 // dedupEntries lists the accepted orders of which duplicates may arrive, by log index.
--- a/internal/tier/controller/order_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -86,7 +86,7 @@
 			Name: "the window of repeats is too short",
 			Change: mutation.Change{
 				File: "dedup.go",
-				Old:  "return bounds.ConfirmWithin() + bounds.Stretch()",
+				Old:  "return bounds.ConfirmWithin() + bounds.UnstableExtension()",
 				New:  "return bounds.ConfirmWithin() / 8",
 			},
 			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
--- a/internal/tier/model/form/check.go
+++ b/internal/tier/model/form/check.go
@@ -7,23 +7,23 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// checker reads one value and notes what is wrong with it.
+// checker consumes one value and records its errors.
 type checker func(r *reader)
 
-// fieldForm is one field of an object.
+// fieldForm is the form of one field of an object.
 type fieldForm struct {
 	name     string
 	required bool
 	check    checker
 }
 
-// object returns a check of an object. Fields beyond the listed ones may hold anything.
+// object returns a checker of an object with at most 64 listed fields. Other fields may hold anything.
 func object(fields []fieldForm) checker {
 	return func(r *reader) {
 		if !r.enter('{') {
 			return
 		}
-		var seen uint64 // a bit a field
+		var seen uint64 // a bit for each field
 		for !r.ends('}') {
 			name := r.name()
 			at := findField(fields, name)
@@ -58,7 +58,7 @@
 	return -1
 }
 
-// list returns a check of a list whose elements all have one form.
+// list returns a checker of a list whose elements all have one form.
 func list(element checker) checker {
 	return func(r *reader) {
 		if !r.enter('[') {
@@ -73,7 +73,7 @@
 	}
 }
 
-// orNull returns a check that lets null pass.
+// orNull returns a checker that accepts null too.
 func orNull(other checker) checker {
 	return func(r *reader) {
 		if r.kind() == 'n' {
@@ -84,7 +84,7 @@
 	}
 }
 
-// textWith returns a check of a text that fits a test; the reason says what it must be.
+// textWith returns a checker of a text that fits a predicate. The reason completes an error's sentence about the text.
 func textWith(fits func(text string) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('"')
@@ -101,7 +101,7 @@
 		"doesn't begin and end with a slash")
 )
 
-// oneOf returns a check of a text that is one of those listed.
+// oneOf returns a checker of a text that is one of those listed.
 func oneOf(listed ...string) checker {
 	return textWith(func(text string) bool {
 		for _, allowed := range listed {
@@ -113,7 +113,7 @@
 	}, "is none of "+strings.Join(listed, ", "))
 }
 
-// numberWith returns a check of a number that fits a test.
+// numberWith returns a checker of a number that fits a predicate.
 func numberWith(fits func(value float64) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('0')
@@ -137,7 +137,7 @@
 	nonNegative = numberWith(func(value float64) bool { return value >= 0 }, "is negative")
 )
 
-// boolean checks a value that is true or false.
+// boolean checks that a value is true or false.
 func boolean(r *reader) {
 	if kind := r.kind(); kind == 't' || kind == 'f' {
 		r.skip()
@@ -146,12 +146,12 @@
 	r.mismatch("true or false")
 }
 
-// kindNames names the kinds of value for operators.
+// kindNames are the kinds of JSON value in the words of error messages.
 var kindNames = map[jsontext.Kind]string{
 	'n': "null", 't': "true", 'f': "false", '"': "a text", '0': "a number", '{': "an object", '[': "a list",
 }
 
-// mismatch notes that a value is of another kind, and passes it over.
+// mismatch records that a value is of another kind, and skips it.
 func (r *reader) mismatch(wanted string) {
 	kind := r.kind()
 	if r.aborted {
--- a/internal/tier/model/form/configuration.go
+++ b/internal/tier/model/form/configuration.go
@@ -1,7 +1,7 @@
 package form
 
-// The form of a configuration and of its parts. Fields that aren't listed are passed over, for a configuration may gain
-// fields. What ties the parts together is checked by model.Validate.
+// The forms of a configuration's objects. Unlisted fields are skipped, so that a configuration may gain fields. What relates objects to
+// each other is checked by model.Validate. Package schema states the same in configuration.cue; both must change together.
 var (
 	routeForm = object([]fieldForm{
 		{name: "name", check: anyText},
--- a/internal/tier/model/form/form.go
+++ b/internal/tier/model/form/form.go
@@ -1,5 +1,6 @@
-// Package form reads the operator's configurations and holds them to their form: the same form that package schema states
-// in CUE, checked here in one pass over the document at a small part of the cost. Tests hold the two against each other.
+// Package form parses and validates the operator's configurations in one pass over the document, with an error for each invalid
+// field. It implements by hand what package schema states in CUE, at a small part of the cost; tests there check that the two
+// agree. Controllers parse with it what operators send. It is safe for concurrent use: a parse owns its reader.
 package form
 
 import (
@@ -15,40 +16,40 @@
 	"mastusher/internal/tier/validation"
 )
 
-// yieldAfter is the number of list elements after which a reader lets other goroutines run: a large document must not keep
-// heartbeats waiting on a machine with a small share of one core.
+// yieldAfter is the number of list elements after which a reader yields the processor: a large document must not delay heartbeats on a
+// machine with a small share of one core. A larger value delays them for longer; a smaller one costs more switches.
 const yieldAfter = 16
 
-// Parse reads one whole configuration and checks its form and its rules. The error holds every fault with its place; see
-// validation.Faults. Whether the configuration's number is higher than the current one is not judged here.
+// Parse parses one complete configuration and checks its form and its rules (model.Validate). The error holds an error for each
+// invalid field; see validation.FieldErrors. Whether the configuration's version is higher than the current one is not checked here.
 func Parse(raw []byte) (*model.Configuration, error) {
 	r := newReader(raw)
-	read := new(model.Configuration)
-	r.document(read)
+	parsed := new(model.Configuration)
+	r.document(parsed)
 	if err := r.err(); err != nil {
 		return nil, err
 	}
-	if err := model.Validate(read); err != nil {
+	if err := model.Validate(parsed); err != nil {
 		return nil, err
 	}
-	return read, nil
+	return parsed, nil
 }
 
-// reader walks over a document. After a fault in the text itself it reads no further.
+// reader walks over a document. After a syntax error it reads no further.
 type reader struct {
 	raw      []byte
 	decoder  *jsontext.Decoder
 	path     path
 	errs     []*validation.FieldError
-	aborted  bool // the text is no JSON from here on
-	elements int  // of lists, read so far
+	aborted  bool // the text is not JSON from here on
+	elements int  // of lists, so far
 }
 
 func newReader(raw []byte) *reader {
 	return &reader{raw: raw, decoder: jsontext.NewDecoder(bytes.NewBuffer(raw))}
 }
 
-// document reads the configuration and what follows it: nothing.
+// document reads the configuration and checks that nothing follows it.
 func (r *reader) document(into *model.Configuration) {
 	object([]fieldForm{
 		{name: "number", required: true, check: decoded(positive, &into.Version)},
@@ -64,21 +65,21 @@
 	}
 }
 
-// decoded returns a check that also decodes the value, if nothing is wrong with it.
+// decoded returns a checker that also decodes the value, if it is valid.
 func decoded(form checker, target any) checker {
 	return func(r *reader) {
-		known, from := r.errs, r.decoder.InputOffset()
+		before, start := r.errs, r.decoder.InputOffset()
 		form(r)
-		if r.aborted || len(r.errs) > len(known) {
+		if r.aborted || len(r.errs) > len(before) {
 			return
 		}
-		if err := model.DecodeValue(r.path.last(), r.since(from), target); err != nil {
+		if err := model.DecodeValue(r.path.last(), r.since(start), target); err != nil {
 			r.add(err.Field, err.Reason)
 		}
 	}
 }
 
-// decodedList returns a check of a list whose elements are decoded one by one.
+// decodedList returns a checker of a list whose elements are decoded one by one.
 func decodedList[Element any](form checker, target *[]Element) checker {
 	return func(r *reader) {
 		*target = []Element{}
@@ -90,30 +91,31 @@
 	}
 }
 
-// since returns the value that was read after an offset.
+// since returns the text of the value that was read after an offset.
 func (r *reader) since(offset int64) json.RawMessage {
 	return bytes.TrimLeft(r.raw[offset:r.decoder.InputOffset()], " \t\r\n,:")
 }
 
+// yield lets other goroutines run after every yieldAfter-th element.
 func (r *reader) yield() {
 	if r.elements++; r.elements%yieldAfter == 0 {
 		runtime.Gosched()
 	}
 }
 
-// fail notes a fault at the value that is being read.
+// fail records an error of the value that is being read.
 func (r *reader) fail(format string, values ...any) { r.add("", fmt.Sprintf(format, values...)) }
 
-// add notes a fault at a place below the value that is being read.
+// add records an error of a field below the value that is being read; empty: of the value itself.
 func (r *reader) add(below, reason string) {
-	place := r.path.String()
-	if below != "" && place != "" {
-		place += "."
+	field := r.path.String()
+	if below != "" && field != "" {
+		field += "."
 	}
-	r.errs = append(r.errs, &validation.FieldError{Field: place + below, Reason: reason})
+	r.errs = append(r.errs, &validation.FieldError{Field: field + below, Reason: reason})
 }
 
-// abort notes a fault of the text, which isn't read any further.
+// abort records a syntax error, after which nothing is read. Only the first one counts.
 func (r *reader) abort(reason string) {
 	if !r.aborted {
 		r.errs = append(r.errs, &validation.FieldError{Reason: "can't be read whole: " + reason})
@@ -121,11 +123,11 @@
 	r.aborted = true
 }
 
-// err returns all faults together; nil: there are none.
+// err returns all errors joined, or nil.
 func (r *reader) err() error {
 	var joined error
-	for _, fault := range r.errs {
-		multierr.AppendInto(&joined, fault)
+	for _, one := range r.errs {
+		multierr.AppendInto(&joined, one)
 	}
 	return joined
 }
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -67,7 +67,7 @@
 			t.Fatalf("the document has no %s", c.old)
 		}
 		_, err := form.Parse([]byte(strings.Replace(whole, c.old, c.changed, 1)))
-		if faults := validation.FieldErrors(err); len(faults) != 1 || !strings.HasPrefix(faults[0].Error(), c.want) {
+		if errs := validation.FieldErrors(err); len(errs) != 1 || !strings.HasPrefix(errs[0].Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.changed, err, c.want)
 		}
 	}
--- a/internal/tier/model/form/tokens.go
+++ b/internal/tier/model/form/tokens.go
@@ -8,7 +8,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// kind tells of which kind the next value is; 0 at the end of an unreadable text.
+// kind returns the kind of the next value; 0 after a syntax error.
 func (r *reader) kind() jsontext.Kind {
 	if r.aborted {
 		return 0
@@ -21,7 +21,7 @@
 	return kind
 }
 
-// enter goes into an object or a list; false: the next value is none.
+// enter consumes the opening token of an object or a list. False: the next value is none.
 func (r *reader) enter(open jsontext.Kind) bool {
 	if kind := r.kind(); kind != open {
 		r.mismatch(kindNames[open])
@@ -31,7 +31,7 @@
 	return r.readable(err)
 }
 
-// ends leaves an object or a list at its end. It is true as well where the text can't be read any further.
+// ends consumes the closing token of an object or a list, if it is next. It is true too after a syntax error.
 func (r *reader) ends(end jsontext.Kind) bool {
 	kind := r.kind()
 	if r.aborted {
@@ -45,7 +45,7 @@
 	return true
 }
 
-// name reads the name of an object's field.
+// name consumes the name of an object's field.
 func (r *reader) name() string {
 	token, err := r.decoder.ReadToken()
 	if !r.readable(err) {
@@ -54,7 +54,7 @@
 	return token.String()
 }
 
-// scalar reads a text or a number; false: the next value is none. The token is valid until the next one is read.
+// scalar consumes a text or a number. False: the next value is none. The token is valid until the next one is read.
 func (r *reader) scalar(wanted jsontext.Kind) (jsontext.Token, bool) {
 	if r.kind() != wanted {
 		r.mismatch(kindNames[wanted])
@@ -64,7 +64,7 @@
 	return token, r.readable(err)
 }
 
-// skip passes one value over.
+// skip skips one value.
 func (r *reader) skip() {
 	if !r.aborted {
 		r.readable(r.decoder.SkipValue())
@@ -87,13 +87,13 @@
 	r.abort(reason)
 }
 
-// path is the way from the document to the value that is being read: names of fields, and places in lists in brackets.
+// path is the path from the document to the value that is being read: names of fields, and indexes of lists in brackets.
 type path []string
 
 func (p *path) push(step string) { *p = append(*p, step) }
 func (p *path) pop()             { *p = (*p)[:len(*p)-1] }
 
-// last is the name of the field that is being read, or of the list in which the value stands.
+// last returns the name of the innermost field: the one that is being read, or that of the list which holds the value.
 func (p path) last() string {
 	for at := len(p) - 1; at >= 0; at-- {
 		if !strings.HasPrefix(p[at], "[") {
@@ -103,14 +103,14 @@
 	return ""
 }
 
-// String writes a path as routes[3].giveUpMs.
+// String formats a path as routes[3].giveUpMs.
 func (p path) String() string {
-	var written strings.Builder
+	var formatted strings.Builder
 	for _, step := range p {
-		if written.Len() > 0 && !strings.HasPrefix(step, "[") {
-			written.WriteByte('.')
+		if formatted.Len() > 0 && !strings.HasPrefix(step, "[") {
+			formatted.WriteByte('.')
 		}
-		written.WriteString(step)
+		formatted.WriteString(step)
 	}
-	return written.String()
+	return formatted.String()
 }
--- a/internal/tier/model/model.go
+++ b/internal/tier/model/model.go
@@ -73,7 +73,8 @@
 	Name string `json:"name"`
 }
 
-// Limits are the limits of what a client may send and how long it may take; 0: the proxy's default.
+// Limits are the limits of what a client may send and how long it may take. 0 stands for the proxy's default; of MaxBodyBytes, for no
+// limit.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -136,7 +136,7 @@
 func TestValidate_EachError_NamesItsField(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Configuration)
-		places []string
+		fields []string
 	}{
 		"number 0":                {func(c *Configuration) { c.Version = 0 }, []string{"number"}},
 		"no list of routes":       {func(c *Configuration) { c.Routes = nil }, []string{"routes"}},
@@ -166,7 +166,7 @@
 		"an unknown kind":       {func(c *Configuration) { c.Routes[0].Kind = "twice" }, []string{"routes[0].kind"}},
 		"a service twice": {func(c *Configuration) { c.Services[1].Name = "lm" },
 			[]string{"services[1].name", "routes[0].shares[1].service"}},
-		"two faults of a route": {func(c *Configuration) { c.Routes[1].TimeoutMs, c.Routes[1].Service = 0, "x" },
+		"two errors of a route": {func(c *Configuration) { c.Routes[1].TimeoutMs, c.Routes[1].Service = 0, "x" },
 			[]string{"routes[1].giveUpMs", "routes[1].service"}},
 	}
 	for name, c := range cases {
@@ -174,18 +174,18 @@
 			changed := configuration()
 			c.change(changed)
 			err := Validate(changed)
-			var places []string
-			for _, fault := range validation.FieldErrors(err) {
-				places = append(places, fault.Field)
+			var fields []string
+			for _, one := range validation.FieldErrors(err) {
+				fields = append(fields, one.Field)
 			}
-			if diff := cmp.Diff(c.places, places); diff != "" {
+			if diff := cmp.Diff(c.fields, fields); diff != "" {
 				t.Errorf("%v: %s", err, diff)
 			}
 		})
 	}
 }
 
-// Whatever comes in, Decode gives either a configuration or a fault, and the rest of the package can work with it.
+// Whatever comes in, Decode gives either a configuration or an error, and the rest of the package can work with it.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(document))
 	f.Add([]byte(`{"number":1.0,"routes":[{"giveUpMs":1.5}]}`))
@@ -198,13 +198,13 @@
 		}
 		if err != nil {
 			if len(validation.FieldErrors(err)) == 0 {
-				t.Fatalf("%v holds no fault", err)
+				t.Fatalf("%v holds no field error", err)
 			}
 			return
 		}
 		refused := Validate(read)
 		if refused != nil && len(validation.FieldErrors(refused)) == 0 {
-			t.Fatalf("%v holds no fault", refused)
+			t.Fatalf("%v holds no field error", refused)
 		}
 		useTable(t, read, refused == nil)
 	})
--- a/internal/tier/model/schema/field_errors.go
+++ b/internal/tier/model/schema/field_errors.go
@@ -10,47 +10,47 @@
 	"mastusher/internal/tier/validation"
 )
 
-// fieldErrors turns an error of the evaluator into faults with places.
+// fieldErrors converts an error of the evaluator.
 func fieldErrors(err error) error {
-	var faults error
+	var errs error
 	for _, one := range errors.Errors(err) {
 		format, args := one.Msg()
-		multierr.AppendInto(&faults, &validation.FieldError{Field: fieldPath(one.Path()), Reason: fmt.Sprintf(format, args...)})
+		multierr.AppendInto(&errs, &validation.FieldError{Field: fieldPath(one.Path()), Reason: fmt.Sprintf(format, args...)})
 	}
-	return faults
+	return errs
 }
 
-// fieldPath writes a path in the document as routes[3].giveUpMs.
+// fieldPath formats a path in the document as routes[3].giveUpMs.
 func fieldPath(path []string) string {
-	var written strings.Builder
+	var formatted strings.Builder
 	for _, step := range path {
 		switch {
 		case strings.HasPrefix(step, "#"): // the name of the schema itself
 		case isIndex(step):
-			fmt.Fprintf(&written, "[%s]", step)
+			fmt.Fprintf(&formatted, "[%s]", step)
 		default:
-			if written.Len() > 0 {
-				written.WriteByte('.')
+			if formatted.Len() > 0 {
+				formatted.WriteByte('.')
 			}
-			written.WriteString(step)
+			formatted.WriteString(step)
 		}
 	}
-	return written.String()
+	return formatted.String()
 }
 
 func isIndex(step string) bool {
 	return step != "" && strings.Trim(step, "0123456789") == ""
 }
 
-// firstOfEachField keeps the first fault of each place: the form and the rules may find the same thing.
+// firstOfEachField keeps the first error of each field, since form, schema and rules may find the same thing.
 func firstOfEachField(err error) error {
 	var kept error
 	seen := make(map[string]bool)
-	for _, fault := range validation.FieldErrors(err) {
-		if !seen[fault.Field] {
-			multierr.AppendInto(&kept, fault)
+	for _, one := range validation.FieldErrors(err) {
+		if !seen[one.Field] {
+			multierr.AppendInto(&kept, one)
 		}
-		seen[fault.Field] = true
+		seen[one.Field] = true
 	}
 	return kept
 }
--- a/internal/tier/model/schema/schema.go
+++ b/internal/tier/model/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema states the form of the operator's configurations in CUE, and checks whole documents by it. Evaluating it
-// takes a hundred times as long as package form, which controllers use; that one's tests hold the two against each other.
+// Package schema is the schema of the operator's configurations in CUE (configuration.cue), and a validator by it. The check command
+// uses it. Evaluating CUE takes a hundred times as long as package form, which controllers use; tests here check that the two agree.
 package schema
 
 import (
@@ -25,11 +25,11 @@
 	definition = "#Configuration"
 )
 
-// recompileAfter is the number of checks after which the schema is compiled anew, since an evaluator keeps the names of all
-// fields that it has ever seen.
+// recompileAfter is the number of checks after which the schema is compiled anew: an evaluator never frees the names of fields that it
+// has seen, so a larger value costs memory, a smaller one time.
 const recompileAfter = 256
 
-// evaluator holds the compiled schema. It serves one caller at a time.
+// evaluator holds the compiled schema. The lock guards all of it: CUE values are not safe for concurrent use.
 var evaluator struct {
 	sync.Mutex
 	context  *cue.Context
@@ -37,22 +37,22 @@
 	checks   int
 }
 
-// Check finds everything that makes a configuration invalid by itself, and returns all faults with their places; see
-// validation.Faults. Whether its number is higher than the current one is not judged here. It finds all that form.Read finds,
-// which controllers use, at many times the cost.
+// Check finds everything that makes a configuration invalid by itself, and returns all errors with their fields; see
+// validation.FieldErrors. Whether its version is higher than the current one is not checked here. It finds everything that form.Parse
+// finds, which controllers use, at many times the cost. It is safe for concurrent use; calls run one at a time.
 func Check(raw []byte) error {
-	_, faults := form.Parse(raw)
+	_, errs := form.Parse(raw)
 	if !json.Valid(raw) {
-		return faults
+		return errs
 	}
-	faults = multierr.Append(faults, checkSchema(raw))
+	errs = multierr.Append(errs, checkSchema(raw))
 	if decoded, err := model.Decode(raw); err == nil {
-		faults = multierr.Append(faults, model.Validate(decoded))
+		errs = multierr.Append(errs, model.Validate(decoded))
 	}
-	return firstOfEachField(faults)
+	return firstOfEachField(errs)
 }
 
-// checkSchema holds a document to the schema.
+// checkSchema validates a document by the schema alone.
 func checkSchema(raw []byte) error {
 	document, err := cuejson.Extract("", raw)
 	if err != nil {
@@ -68,12 +68,12 @@
 	return fieldErrors(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
 }
 
-// compile gives the compiled schema; the caller holds the lock.
+// compile returns the compiled schema. The caller must hold the lock.
 func compile() (cue.Value, error) {
 	if evaluator.checks%recompileAfter == 0 {
 		evaluator.context = cuecontext.New()
-		whole := evaluator.context.CompileString(source, cue.Filename(sourceName))
-		evaluator.compiled = whole.LookupPath(cue.ParsePath(definition))
+		file := evaluator.context.CompileString(source, cue.Filename(sourceName))
+		evaluator.compiled = file.LookupPath(cue.ParsePath(definition))
 	}
 	evaluator.checks++
 	return evaluator.compiled, evaluator.compiled.Err()
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -65,7 +65,7 @@
 func TestCheck_EachError_NamesItsField(t *testing.T) {
 	cases := map[string]struct {
 		raw    string
-		places []string
+		fields []string
 	}{
 		"cut short":           {document(3)[:200], []string{""}},
 		"bytes after it":      {document(3) + "x", []string{""}},
@@ -88,7 +88,7 @@
 		"no host":             {replaced(t, `"host":"play.example",`, ``), []string{"routes[0].host"}},
 		"a service twice":     {replaced(t, `{"name":"next"`, `{"name":"lm"`), []string{"services[1].name"}},
 		"text for a flag":     {replaced(t, `"remembered":true`, `"remembered":"yes"`), []string{"routes[0].remembered"}},
-		"two faults of one": {
+		"two errors of one": {
 			replaced(t, `"kind":"streaming","giveUpMs":5000`, `"kind":"x","giveUpMs":0`),
 			[]string{"routes[0].giveUpMs", "routes[0].kind"},
 		},
@@ -97,12 +97,12 @@
 		t.Run(name, func(t *testing.T) {
 			err := Check([]byte(c.raw))
 			found := make(map[string]bool)
-			for _, fault := range validation.FieldErrors(err) {
-				found[fault.Field] = true
+			for _, one := range validation.FieldErrors(err) {
+				found[one.Field] = true
 			}
-			for _, place := range c.places {
-				if !found[place] {
-					t.Errorf("no fault at %q in: %v", place, err)
+			for _, field := range c.fields {
+				if !found[field] {
+					t.Errorf("no error of field %q in: %v", field, err)
 				}
 			}
 		})
@@ -111,11 +111,11 @@
 
 func TestCheck_ValidFields_AreNotNamed(t *testing.T) {
 	raw := replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`)
-	var places []string
-	for _, fault := range validation.FieldErrors(Check([]byte(raw))) {
-		places = append(places, fault.Field)
+	var fields []string
+	for _, one := range validation.FieldErrors(Check([]byte(raw))) {
+		fields = append(fields, one.Field)
 	}
-	if diff := cmp.Diff([]string{"routes[0].giveUpMs"}, places); diff != "" {
+	if diff := cmp.Diff([]string{"routes[0].giveUpMs"}, fields); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -146,7 +146,7 @@
 			t.Fatal("taken though it can't be read")
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
-			t.Fatalf("%v holds no fault", err)
+			t.Fatalf("%v holds no field error", err)
 		}
 	})
 }
--- a/internal/tier/settings/bounds.go
+++ b/internal/tier/settings/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Bounds holds the figures of the rules in force by their keys; true counts as 1 and false as 0.
-// Its methods give each figure with its unit, or the usual one where the file gives none.
+// Bounds holds the service-level bounds by their keys in the file; true counts as 1 and false as 0. The methods return each known
+// bound with its unit, or its default where the file gives none.
 type Bounds map[string]float64
 
 // The keys of the known bounds.
@@ -29,7 +29,7 @@
 	settleKey     = "settleMs"
 )
 
-// The highest values that make sense.
+// The highest values accepted.
 const (
 	maxDuration = 365 * 24 * time.Hour
 	maxSeconds  = float64(maxDuration / time.Second)
@@ -38,14 +38,14 @@
 	maxRequests = 1e12
 )
 
-// boundSpec is the unit of a bound, its usual value and the highest value that makes sense.
+// boundSpec is the unit, default and maximum of a bound.
 type boundSpec struct {
-	unit         time.Duration // 0: a bare number
+	unit         time.Duration // 0: a number without unit
 	defaultValue float64
 	max          float64
 }
 
-// boundSpecs lists the known bounds. Others in the file are kept as they are if they are numbers.
+// boundSpecs lists the known bounds. Unknown ones in the file are kept if they are numbers.
 var boundSpecs = map[string]boundSpec{
 	seedDelayKey:  seconds(3),
 	reuseAfterKey: seconds(2),
@@ -68,71 +68,72 @@
 	settleKey:     milliseconds(1000),
 }
 
-func seconds(usual float64) boundSpec {
-	return boundSpec{unit: time.Second, defaultValue: usual, max: maxSeconds}
+func seconds(defaultValue float64) boundSpec {
+	return boundSpec{unit: time.Second, defaultValue: defaultValue, max: maxSeconds}
 }
 
-func milliseconds(usual float64) boundSpec {
-	return boundSpec{unit: time.Millisecond, defaultValue: usual, max: maxMs}
+func milliseconds(defaultValue float64) boundSpec {
+	return boundSpec{unit: time.Millisecond, defaultValue: defaultValue, max: maxMs}
 }
 
-// SeedDelay is how far the list of seeds may run behind.
-func (b Bounds) SeedDelay() time.Duration { return b.duration(seedDelayKey) }
+// SeedListDelay is how stale the list of seeds may be.
+func (b Bounds) SeedListDelay() time.Duration { return b.duration(seedDelayKey) }
 
-// ReuseAfter is how soon the address of an endpoint that has ended may go to another.
-func (b Bounds) ReuseAfter() time.Duration { return b.duration(reuseAfterKey) }
+// AddressReuseAfter is how soon the address of an endpoint that has ended may be reused by another.
+func (b Bounds) AddressReuseAfter() time.Duration { return b.duration(reuseAfterKey) }
 
-// Quiet is how long a machine must be free of trouble before the rules with a time hold for it.
-func (b Bounds) Quiet() time.Duration { return b.duration(quietKey) }
+// StabilizeWithin is how long a machine must be free of faults before rules with a time apply to it (key quietMs).
+func (b Bounds) StabilizeWithin() time.Duration { return b.duration(quietKey) }
 
 // ConfirmWithin is the time within which an order of the operator is acknowledged.
 func (b Bounds) ConfirmWithin() time.Duration { return b.duration(confirmKey) }
 
-// CatchUp is how long a machine that is back still counts as lost.
+// CatchUp is how long a machine that has returned still counts as failed.
 func (b Bounds) CatchUp() time.Duration { return b.duration(catchUpKey) }
 
 // DrainWithin is the time within which a draining endpoint must get no more requests.
 func (b Bounds) DrainWithin() time.Duration { return b.duration(drainKey) }
 
-// Grace is the time from a SIGTERM to the SIGKILL.
-func (b Bounds) Grace() time.Duration { return b.duration(graceKey) }
+// GracePeriod is the time from a SIGTERM to the SIGKILL.
+func (b Bounds) GracePeriod() time.Duration { return b.duration(graceKey) }
 
-// Slack is how soon after its last byte a request counts as read.
+// Slack is how soon after its last byte a request counts as received.
 func (b Bounds) Slack() time.Duration { return b.duration(slackKey) }
 
-// ApplyWithin is the time from the acknowledgement of a configuration until every machine follows it.
+// ApplyWithin is the time from the acknowledgement of a configuration until every machine applies it.
 func (b Bounds) ApplyWithin() time.Duration { return b.duration(applyKey) }
 
-// DowngradeWithin is how long a machine may still follow an older version after a newer one had an effect.
+// DowngradeWithin is how long a machine may still apply an older version after a newer one had an effect anywhere.
 func (b Bounds) DowngradeWithin() time.Duration { return b.duration(downgradeKey) }
 
-// Stretch is by how much an unstable core lengthens the bounds of configuration and roll-back.
-func (b Bounds) Stretch() time.Duration { return b.duration(stretchKey) }
+// UnstableExtension is by how much unstable controllers extend the bounds of configuration and roll-back (key stretchMs).
+func (b Bounds) UnstableExtension() time.Duration { return b.duration(stretchKey) }
 
-// BadShare is the share of a service's requests that a bad version may get.
-func (b Bounds) BadShare() float64 { return b.number(badShareKey) }
+// BadVersionMaxShare is the share of a service's requests that a bad version may get, 0 to 1.
+func (b Bounds) BadVersionMaxShare() float64 { return b.number(badShareKey) }
 
-// BadSlack is the number of requests that a bad version may get above its share.
-func (b Bounds) BadSlack() float64 { return b.number(badSlackKey) }
+// BadVersionSlack is the number of requests that a bad version may get above its share.
+func (b Bounds) BadVersionSlack() float64 { return b.number(badSlackKey) }
 
 // RollbackWithin is the time within which a bad version must get no more requests.
 func (b Bounds) RollbackWithin() time.Duration { return b.duration(rollbackKey) }
 
-// Recovery is the time after a final fault within which requests are served again.
-func (b Bounds) Recovery() time.Duration { return b.duration(recoveryKey) }
+// RecoveryWithin is the time after the last fault within which requests are served again.
+func (b Bounds) RecoveryWithin() time.Duration { return b.duration(recoveryKey) }
 
-// PassWithin is the time within which an event of a stream is passed on.
-func (b Bounds) PassWithin() time.Duration { return b.duration(passKey) }
+// ForwardWithin is the time within which an event of a stream is forwarded (key pass_ms).
+func (b Bounds) ForwardWithin() time.Duration { return b.duration(passKey) }
 
-// Again is the figure of the key again_s, which the operators leave unexplained.
+// Again is the value of the key again_s, which the operators leave unexplained.
 func (b Bounds) Again() time.Duration { return b.duration(againKey) }
 
-// FinishBy is how long after the end of traffic programs may still end.
-func (b Bounds) FinishBy() time.Duration { return b.duration(finishByKey) }
+// FinishWithin is how long after the end of traffic programs may still end.
+func (b Bounds) FinishWithin() time.Duration { return b.duration(finishByKey) }
 
-// Settle is the time after which turns that have ended count with what they used of a budget.
-func (b Bounds) Settle() time.Duration { return b.duration(settleKey) }
+// CommitWithin is the time after which turns that have ended count with what they used of a budget (key settleMs).
+func (b Bounds) CommitWithin() time.Duration { return b.duration(settleKey) }
 
+// number returns a bound without its unit, or its default.
 func (b Bounds) number(key string) float64 {
 	value, ok := b[key]
 	if !ok {
@@ -145,7 +146,7 @@
 	return scaled(b.number(key), boundSpecs[key].unit)
 }
 
-// scaled is a number of units as a duration.
+// scaled returns a number of units as a duration.
 func scaled(number float64, unit time.Duration) time.Duration {
 	return time.Duration(number * float64(unit))
 }
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -10,37 +10,38 @@
 	"mastusher/internal/tier/validation"
 )
 
-// The highest values that make sense.
+// The highest values accepted.
 const (
 	maxPort     = 65535
 	maxQuantity = 1 << 50 // of megabytes, descriptors
 	maxCount    = math.MaxInt32
 )
 
-// Parse reads and checks the content of a settings file. Its error holds all faults; see validation.Faults.
+// Parse parses and validates the content of a settings file. Its error holds all field errors; see validation.FieldErrors.
 func Parse(raw []byte) (*Settings, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(raw, &document); err != nil {
 		return nil, &validation.FieldError{Reason: fmt.Sprintf("is no YAML: %v", err)}
 	}
-	var faults error
-	top := section{errs: &faults}
+	var errs error
+	top := section{errs: &errs}
 	if !isEmpty(&document) {
-		top = newSection("", "", &document, &faults)
+		top = newSection("", "", &document, &errs)
 	}
 	parsed := read(top)
 	if parsed.Region == "" {
 		parsed.Region = parsed.Zones[parsed.Zone]
 	}
-	if faults != nil {
-		return nil, faults
+	if errs != nil {
+		return nil, errs
 	}
 	return parsed, nil
 }
 
+// read reads the complete file. Errors are collected in the section.
 func read(top section) *Settings {
 	serves := top.texts("serves")
-	findBy := top.text("findBy", optional)
+	discovery := top.text("findBy", optional)
 	return &Settings{
 		NodeName:        top.text("nodeName", required),
 		Role:            top.text("role", required),
@@ -57,13 +58,13 @@
 		CountsForQuorum: top.boolean("countsForQuorum"),
 		Limits:          readLimits(top.inner("limits")),
 		DataDir:         top.text("dataFolder", optional),
-		Discovery:       findBy,
-		EntryKind:       top.text("entryKind", optional),
+		Discovery:       discovery,
+		IngressKind:     top.text("entryKind", optional),
 		HeartbeatMs:     top.within("heartbeatMs", maxMs),
-		RuleParts:       top.texts("ruleParts"),
-		FaultTolerance:  readSurvive(top.inner("survive")),
+		EnabledRules:    top.texts("ruleParts"),
+		FaultTolerance:  readFaultTolerance(top.inner("survive")),
 		Bounds:          readBounds(top.inner("bounds")),
-		CloudAPI:        readCloudAPI(top.inner("cloudApi"), findBy),
+		CloudAPI:        readCloudAPI(top.inner("cloudApi"), discovery),
 	}
 }
 
@@ -72,10 +73,10 @@
 	return zones
 }
 
-// readListenOn reads the addresses; those of what the role serves are needed.
+// readListenOn reads the addresses. Those of what the role serves are required.
 func readListenOn(s section, serves []string) ListenOn {
-	edge := necessity(slices.Contains(serves, ServesEdge))
-	control := necessity(slices.Contains(serves, ServesControl))
+	edge := presence(slices.Contains(serves, ServesEdge))
+	control := presence(slices.Contains(serves, ServesControl))
 	return ListenOn{
 		FrontHTTP: s.address("frontHttp", edge),
 		Readiness: s.address("readiness", edge),
@@ -112,7 +113,7 @@
 	}
 }
 
-func readSurvive(s section) FaultTolerance {
+func readFaultTolerance(s section) FaultTolerance {
 	return FaultTolerance{
 		Machines: int(s.integer("machines", maxCount)),
 		Zones:    int(s.integer("zones", maxCount)),
@@ -120,16 +121,16 @@
 	}
 }
 
-func readCloudAPI(s section, findBy string) CloudAPI {
+func readCloudAPI(s section, discovery string) CloudAPI {
 	return CloudAPI{
-		Address:  s.address("address", findBy == findByCloudAPI),
+		Address:  s.address("address", presence(discovery == discoveryCloudAPI)),
 		RatePerS: s.number("ratePerS"),
 		Jobs:     s.texts("jobs"),
 		DelayMs:  s.within("delayMs", maxMs),
 	}
 }
 
-// readBounds reads the known bounds, with a fault for each impossible one, and of the others those that are figures.
+// readBounds reads the known bounds, with an error for each invalid one, and of the unknown ones those that are numbers.
 func readBounds(s section) Bounds {
 	bounds := Bounds{}
 	keys := make([]string, 0, len(s.fields))
@@ -138,37 +139,38 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		figure, ok := s.figure(key)
+		bound, ok := s.bound(key)
 		if ok {
-			bounds[key] = figure
+			bounds[key] = bound
 		}
 	}
 	return bounds
 }
 
-// figure reads a number, or true as 1 and false as 0.
-func (s section) figure(key string) (float64, bool) {
+// bound reads a number, or true as 1 and false as 0.
+func (s section) bound(key string) (float64, bool) {
 	node, given := s.lookup(key, optional)
 	if !given {
 		return 0, false
 	}
-	kind, known := boundSpecs[key]
-	figure, ok := decodeFigure(node)
+	spec, known := boundSpecs[key]
+	bound, ok := decodeBound(node)
 	if !known {
-		return figure, ok
+		return bound, ok
 	}
 	if !ok {
 		s.fail(key, "line %d: is no number", node.Line)
 		return 0, false
 	}
-	if !isWithin(figure, kind.max) {
-		s.fail(key, outOfRange, figure, kind.max)
+	if !isWithin(bound, spec.max) {
+		s.fail(key, outOfRange, bound, spec.max)
 		return 0, false
 	}
-	return figure, true
+	return bound, true
 }
 
-func decodeFigure(node *yaml.Node) (float64, bool) {
+// decodeBound decodes a number or a boolean.
+func decodeBound(node *yaml.Node) (float64, bool) {
 	var flag bool
 	if node.Decode(&flag) == nil {
 		if flag {
--- a/internal/tier/settings/section.go
+++ b/internal/tier/settings/section.go
@@ -11,43 +11,44 @@
 	"mastusher/internal/tier/validation"
 )
 
-// necessity says whether a key must have a value.
-type necessity bool
+// presence says whether a key must have a value.
+type presence bool
 
 const (
-	required necessity = true
-	optional necessity = false
+	required presence = true
+	optional presence = false
 )
 
 const missing = "missing"
 
-// section is one mapping of the file, with the place where its faults are gathered.
+// section is one mapping of the file. All sections of a file collect their errors in the same place.
 type section struct {
 	prefix string // path of its keys, ending in a dot; empty at the top
 	fields map[string]yaml.Node
 	errs   *error
 }
 
-// newSection reads a mapping; one that can't be read is a fault, and has no keys.
-func newSection(key, prefix string, node *yaml.Node, faults *error) section {
-	read := section{prefix: prefix, errs: faults}
-	if err := node.Decode(&read.fields); err != nil {
-		multierr.AppendInto(faults, &validation.FieldError{Field: key, Reason: fmt.Sprintf("is no mapping of keys to values: %v", err)})
+// newSection decodes a mapping. One that can't be decoded is an error, and has no keys.
+func newSection(key, prefix string, node *yaml.Node, errs *error) section {
+	decoded := section{prefix: prefix, errs: errs}
+	if err := node.Decode(&decoded.fields); err != nil {
+		multierr.AppendInto(errs, &validation.FieldError{Field: key, Reason: fmt.Sprintf("is no mapping of keys to values: %v", err)})
 	}
-	return read
+	return decoded
 }
 
+// fail records an error of a key.
 func (s section) fail(key, format string, args ...any) {
 	multierr.AppendInto(s.errs, &validation.FieldError{Field: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// lookup finds the value of a key; an empty one counts as missing.
-func (s section) lookup(key string, needed necessity) (*yaml.Node, bool) {
+// lookup returns the node of a key. An empty value counts as missing.
+func (s section) lookup(key string, wanted presence) (*yaml.Node, bool) {
 	node, ok := s.fields[key]
 	if ok && !isEmpty(&node) {
 		return &node, true
 	}
-	if needed == required {
+	if wanted == required {
 		s.fail(key, missing)
 	}
 	return nil, false
@@ -57,7 +58,7 @@
 	return node.Kind == 0 || node.ShortTag() == "!!null"
 }
 
-// inner reads a mapping below a key; an absent one has no keys.
+// inner reads a mapping below a key. An absent one has no keys.
 func (s section) inner(key string) section {
 	prefix := s.prefix + key + "."
 	node, ok := s.lookup(key, optional)
@@ -67,10 +68,10 @@
 	return newSection(s.prefix+key, prefix, node, s.errs)
 }
 
-// value reads what stands under a key, and tells whether there is such a value; kind names what it must be.
-func value[T any](s section, key string, needed necessity, kind string) (T, bool) {
+// value decodes the value of a key and reports whether there is one. Kind names what it must be, for the error.
+func value[T any](s section, key string, wanted presence, kind string) (T, bool) {
 	var read, none T
-	node, ok := s.lookup(key, needed)
+	node, ok := s.lookup(key, wanted)
 	if !ok {
 		return none, false
 	}
@@ -81,9 +82,9 @@
 	return read, true
 }
 
-func (s section) text(key string, needed necessity) string {
-	read, ok := value[string](s, key, needed, "text")
-	if ok && read == "" && needed == required {
+func (s section) text(key string, wanted presence) string {
+	read, ok := value[string](s, key, wanted, "text")
+	if ok && read == "" && wanted == required {
 		s.fail(key, missing)
 	}
 	return read
@@ -100,8 +101,8 @@
 }
 
 // ip reads an IP address.
-func (s section) ip(key string, needed necessity) string {
-	read := s.text(key, needed)
+func (s section) ip(key string, wanted presence) string {
+	read := s.text(key, wanted)
 	if read == "" {
 		return ""
 	}
@@ -112,8 +113,8 @@
 }
 
 // address reads an IP address with a port.
-func (s section) address(key string, needed necessity) string {
-	read := s.text(key, needed)
+func (s section) address(key string, wanted presence) string {
+	read := s.text(key, wanted)
 	if read != "" {
 		s.checkAddress(key, read)
 	}
@@ -135,12 +136,12 @@
 	}
 }
 
-// number reads a number of 0 or more.
+// number reads a number of at least 0.
 func (s section) number(key string) float64 {
 	return s.within(key, math.MaxFloat64)
 }
 
-// within reads a number of 0 to highest.
+// within reads a number from 0 to highest.
 func (s section) within(key string, highest float64) float64 {
 	read, _ := value[float64](s, key, optional, "number")
 	if !isWithin(read, highest) {
@@ -152,12 +153,12 @@
 
 const outOfRange = "%v is not within 0 and %v"
 
-// isWithin tells whether a number lies within 0 and highest; one that is no number doesn't.
+// isWithin reports whether a number lies from 0 to highest; NaN does not.
 func isWithin(number, highest float64) bool {
 	return number >= 0 && number <= highest
 }
 
-// integer reads a number of 0 to highest and drops its fraction.
+// integer reads a number from 0 to highest and truncates its fraction.
 func (s section) integer(key string, highest int64) int64 {
 	return int64(s.within(key, float64(highest)))
 }
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -1,5 +1,7 @@
-// Package settings reads the settings file of a process: who it is, where it listens, what it may use and the bounds
-// that hold for it. Keys that it doesn't know are ignored; every missing or impossible value is named by its key.
+// Package settings reads the settings file of a process (YAML): its identity and role, where it listens, the limits of what it may use,
+// and the service-level bounds that it is held to. Unknown keys are ignored; each missing or invalid value is an error that names
+// its key, and all errors are returned together. The keys are the operators' interface and must not change. A process reads its file
+// once, at its start; the values are read-only afterwards.
 package settings
 
 import (
@@ -10,62 +12,62 @@
 	"github.com/gravitational/trace"
 )
 
-// Names of what a role may serve to callers from outside.
+// Values of the key serves: what a role serves to callers from outside.
 const (
 	ServesEdge    = "edge"
 	ServesControl = "control"
 	ServesStorage = "storage"
 )
 
-// findByCloudAPI is the way of finding endpoints that needs the address of the platform's list.
-const findByCloudAPI = "cloud_api"
+// discoveryCloudAPI is the value of the key findBy that needs the address of the platform's list of endpoints.
+const discoveryCloudAPI = "cloud_api"
 
-// defaultHeartbeat holds where the file gives no heartbeat.
+// defaultHeartbeat is the heartbeat where the file gives none.
 const defaultHeartbeat = time.Second
 
-// minHeartbeat keeps a tiny figure from filling the process's time.
+// minHeartbeat is the shortest heartbeat: a tiny value must not consume the processor.
 const minHeartbeat = time.Millisecond
 
-// Settings is one whole settings file.
+// Settings is one settings file.
 type Settings struct {
 	NodeName        string
 	Role            string
 	MachineClass    string
-	Serves          []string
+	Serves          []string // of ServesEdge, ServesControl, ServesStorage
 	IP              string
 	Zone            string
-	Region          string
+	Region          string            // default: that of Zone in Zones
 	Zones           map[string]string // region of each zone
 	ListenOn        ListenOn
 	PortRange       PortRange
-	SeedNodes       []string
-	Bootstrap       bool // the whole system starts for the first time, with empty disks
-	CountsForQuorum bool
+	SeedNodes       []string // host:port of processes to join by
+	Bootstrap       bool     // the whole system starts for the first time, with empty disks
+	CountsForQuorum bool     // key countsForQuorum
 	Limits          Limits
-	DataDir         string // empty: the machine has no disk
-	Discovery       string
-	EntryKind       string
-	HeartbeatMs     float64
-	RuleParts       []string
+	DataDir         string   // empty: the machine has no disk
+	Discovery       string   // how endpoints are found (key findBy)
+	IngressKind     string   // key entryKind
+	HeartbeatMs     float64  // 0: the default; see Heartbeat
+	EnabledRules    []string // the operators' rules in force, key ruleParts
 	FaultTolerance  FaultTolerance
 	Bounds          Bounds
 	CloudAPI        CloudAPI
 }
 
-// ListenOn holds the addresses of what the role serves, each as host:port; an empty one isn't served.
+// ListenOn holds the addresses of what the role serves, each as IP:port; empty: not served.
 type ListenOn struct {
 	FrontHTTP string
 	Readiness string
 	Control   string
 }
 
-// PortRange is the first and the last of the ports that are free for what the processes say to each other.
+// PortRange is the range of ports for calls between processes, both ends included.
 type PortRange struct {
 	First int
 	Last  int
 }
 
-// Limits bounds what the process may use; 0 stands for a limit that the file doesn't give.
+// Limits are the limits of what the process may use; 0: none given.
 type Limits struct {
 	CPUShare    float64
 	CPUCores    float64
@@ -75,22 +77,23 @@
 	DiskMb      int64
 }
 
-// FaultTolerance says what the system may lose at once and still keep all its rules.
+// FaultTolerance is how many machines, zones and regions the system may lose at once and still keep all its rules.
 type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// CloudAPI says how to reach the platform's list of endpoints.
+// CloudAPI is the access to the platform's list of endpoints.
 type CloudAPI struct {
 	Address  string
-	RatePerS float64 // calls a second that all processes may make together
+	RatePerS float64 // rate limit of all processes together, calls a second
 	Jobs     []string
-	DelayMs  float64 // by how much the list runs behind
+	DelayMs  float64 // staleness of the list
 }
 
-// Load reads and checks the settings file at path.
+// Load reads and validates the settings file at path. The error names the file and holds all field errors; see
+// validation.FieldErrors.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +106,7 @@
 	return parsed, nil
 }
 
-// Port is the port at an offset into the free range, or 0 if the range has no such port.
+// Port returns the port at an offset into PortRange (wire.PortOffset), or 0 if the range has no such port.
 func (s *Settings) Port(offset int) int {
 	if offset < 0 || offset >= s.PortRange.Len() {
 		return 0
@@ -111,27 +114,27 @@
 	return s.PortRange.First + offset
 }
 
-// Len is the number of ports in the range.
+// Len returns the number of ports in the range.
 func (r PortRange) Len() int {
 	return r.Last - r.First + 1
 }
 
-// DoesServe tells whether callers from outside may call the role for this.
+// DoesServe reports whether the role serves this to callers from outside.
 func (s *Settings) DoesServe(what string) bool {
 	return slices.Contains(s.Serves, what)
 }
 
-// HasRulePart tells whether a part of the rules is in force.
-func (s *Settings) HasRulePart(name string) bool {
-	return slices.Contains(s.RuleParts, name)
+// HasRule reports whether a rule is in force.
+func (s *Settings) HasRule(name string) bool {
+	return slices.Contains(s.EnabledRules, name)
 }
 
-// HasDisk tells whether the machine has a folder for data.
+// HasDisk reports whether the machine has a data directory.
 func (s *Settings) HasDisk() bool {
 	return s.DataDir != ""
 }
 
-// Heartbeat is the time between two signs of life.
+// Heartbeat returns the interval of heartbeats: HeartbeatMs, at least minHeartbeat, or the default.
 func (s *Settings) Heartbeat() time.Duration {
 	if s.HeartbeatMs <= 0 {
 		return defaultHeartbeat
@@ -139,7 +142,7 @@
 	return max(scaled(s.HeartbeatMs, time.Millisecond), minHeartbeat)
 }
 
-// Delay is the time by which the platform's list runs behind.
+// Delay returns how stale the platform's list may be.
 func (c CloudAPI) Delay() time.Duration {
 	return scaled(c.DelayMs, time.Millisecond)
 }
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -89,9 +89,9 @@
 		Bootstrap:      true,
 		Limits:         Limits{CPUShare: 0.4, CPUCores: 1, MemoryMb: 284, OpenFiles: 4100, NetworkMbps: 1000},
 		Discovery:      "cloud_api",
-		EntryKind:      "shared_ip",
+		IngressKind:    "shared_ip",
 		HeartbeatMs:    1200,
-		RuleParts:      []string{"base", "drain"},
+		EnabledRules:   []string{"base", "drain"},
 		FaultTolerance: FaultTolerance{Machines: 1},
 		Bounds: Bounds{
 			"catchUpS": 4.3, "drainMs": 2500, "badShare": 0.2, "pass_ms": 110, "again_s": 0, "brandNewMs": 7,
@@ -140,7 +140,7 @@
 		"text for a bound":           {`drainMs: 2500`, `drainMs: soon`, []string{"bounds.drainMs"}},
 		"a share above the whole":    {`badShare: 0.2`, `badShare: 1.5`, []string{"bounds.badShare"}},
 		"no address of the list":     {`address: "10.200.0.100:8142"`, ``, []string{"cloudApi.address"}},
-		"two faults":                 {`role: "proxy"`, `firstBoot2: 1`, []string{"role"}},
+		"two errors":                 {`role: "proxy"`, `firstBoot2: 1`, []string{"role"}},
 		"zones as a list":            {"zones:\n  north: \"coast\"\n  south: \"coast\"", `zones: [a]`, []string{"zones"}},
 		"control without an address": {`- "edge"`, "- \"edge\"\n  - \"control\"", []string{"listenOn.control"}},
 	}
@@ -151,8 +151,8 @@
 			}
 			_, err := Parse([]byte(strings.Replace(edgeFile, c.old, c.new, 1)))
 			var keys []string
-			for _, fault := range validation.FieldErrors(err) {
-				keys = append(keys, fault.Field)
+			for _, one := range validation.FieldErrors(err) {
+				keys = append(keys, one.Field)
 			}
 			if c.keys[0] == "" {
 				keys = keys[:min(1, len(keys))]
@@ -169,8 +169,8 @@
 	for _, raw := range []string{"", "null", "{}", "---\n"} {
 		_, err := Parse([]byte(raw))
 		var keys []string
-		for _, fault := range validation.FieldErrors(err) {
-			keys = append(keys, fault.Field)
+		for _, one := range validation.FieldErrors(err) {
+			keys = append(keys, one.Field)
 		}
 		if diff := cmp.Diff(want, keys); diff != "" {
 			t.Errorf("%q: %s", raw, diff)
@@ -182,7 +182,7 @@
 	for _, raw := range []string{"a: [", "\x00", "\t- x", "a: *b"} {
 		_, err := Parse([]byte(raw))
 		if len(validation.FieldErrors(err)) == 0 {
-			t.Errorf("%q: got %v, want a fault", raw, err)
+			t.Errorf("%q: got %v, want an error", raw, err)
 		}
 	}
 }
@@ -239,13 +239,13 @@
 }
 
 func TestBounds_NotGiven_HaveDefaults(t *testing.T) {
-	usual := map[string]time.Duration{
-		"seed delay": Bounds(nil).SeedDelay(), "reuse": Bounds(nil).ReuseAfter(), "quiet": Bounds(nil).Quiet(),
+	defaults := map[string]time.Duration{
+		"seed delay": Bounds(nil).SeedListDelay(), "reuse": Bounds(nil).AddressReuseAfter(), "quiet": Bounds(nil).StabilizeWithin(),
 		"confirm": Bounds(nil).ConfirmWithin(), "catch up": Bounds(nil).CatchUp(), "drain": Bounds(nil).DrainWithin(),
-		"grace": Bounds(nil).Grace(), "slack": Bounds(nil).Slack(), "apply": Bounds(nil).ApplyWithin(),
-		"downgrade": Bounds(nil).DowngradeWithin(), "stretch": Bounds(nil).Stretch(),
-		"rollback": Bounds(nil).RollbackWithin(), "recovery": Bounds(nil).Recovery(), "pass": Bounds(nil).PassWithin(),
-		"again": Bounds(nil).Again(), "finish by": Bounds(nil).FinishBy(), "settle": Bounds(nil).Settle(),
+		"grace": Bounds(nil).GracePeriod(), "slack": Bounds(nil).Slack(), "apply": Bounds(nil).ApplyWithin(),
+		"downgrade": Bounds(nil).DowngradeWithin(), "stretch": Bounds(nil).UnstableExtension(),
+		"rollback": Bounds(nil).RollbackWithin(), "recovery": Bounds(nil).RecoveryWithin(), "pass": Bounds(nil).ForwardWithin(),
+		"again": Bounds(nil).Again(), "finish by": Bounds(nil).FinishWithin(), "settle": Bounds(nil).CommitWithin(),
 	}
 	want := map[string]time.Duration{
 		"seed delay": 3 * time.Second, "reuse": 2 * time.Second, "quiet": 3 * time.Second,
@@ -255,13 +255,13 @@
 		"rollback": 5 * time.Second, "recovery": 12 * time.Second, "pass": 120 * time.Millisecond,
 		"again": 0, "finish by": 10 * time.Second, "settle": time.Second,
 	}
-	if diff := cmp.Diff(want, usual); diff != "" {
+	if diff := cmp.Diff(want, defaults); diff != "" {
 		t.Error(diff)
 	}
-	if got := (Bounds{}).BadShare(); got != 0.1 {
+	if got := (Bounds{}).BadVersionMaxShare(); got != 0.1 {
 		t.Errorf("bad share: got %v", got)
 	}
-	if got := (Bounds{}).BadSlack(); got != 50 {
+	if got := (Bounds{}).BadVersionSlack(); got != 50 {
 		t.Errorf("bad slack: got %v", got)
 	}
 }
@@ -274,7 +274,7 @@
 	if got := bounds.CatchUp(); got != 4300*time.Millisecond {
 		t.Errorf("catch up: got %v", got)
 	}
-	if got := bounds.BadShare(); got != 0.2 {
+	if got := bounds.BadVersionMaxShare(); got != 0.2 {
 		t.Errorf("bad share: got %v", got)
 	}
 }
@@ -284,7 +284,7 @@
 		t.Errorf("given heartbeat: got %v", got)
 	}
 	if got := (&Settings{}).Heartbeat(); got != time.Second {
-		t.Errorf("usual heartbeat: got %v", got)
+		t.Errorf("default heartbeat: got %v", got)
 	}
 	if got := (CloudAPI{DelayMs: 800}).Delay(); got != 800*time.Millisecond {
 		t.Errorf("delay: got %v", got)
@@ -296,11 +296,11 @@
 	if !s.DoesServe(ServesEdge) || s.DoesServe(ServesStorage) {
 		t.Errorf("serves %v", s.Serves)
 	}
-	if !s.HasRulePart("drain") || s.HasRulePart("stream") {
-		t.Errorf("rule parts %v", s.RuleParts)
+	if !s.HasRule("drain") || s.HasRule("stream") {
+		t.Errorf("rules %v", s.EnabledRules)
 	}
 	if s.HasDisk() || !(&Settings{DataDir: "/data"}).HasDisk() {
-		t.Error("a disk is a folder for data")
+		t.Error("a disk is a data directory")
 	}
 }
 
@@ -325,7 +325,7 @@
 			t.Fatalf("got %v and %v", parsed, err)
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
-			t.Fatalf("%v holds no fault", err)
+			t.Fatalf("%v holds no field error", err)
 		}
 		if err == nil && (parsed.Port(0) == 0 || parsed.Bounds.DrainWithin() < 0 || parsed.Heartbeat() <= 0) {
 			t.Fatalf("got %+v", parsed)
