--- a/internal/tier/replica/compaction.go
+++ b/internal/tier/replica/compaction.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// compact drops entries that a saved snapshot stands for. The saved snapshot lies where the chunks of one that was being
+// compact drops entries that a saved snapshot stands for. The saved snapshot is where the chunks of one that was being
 // received were written, so that one is given up.
 func (r *Replica) compact(snapshot *Snapshot) {
 	if snapshot == nil {
@@ -37,7 +37,7 @@
 	return Snapshot{Index: r.applied, Term: term, Members: slices.Clone(r.configurations.at(r.applied).members)}
 }
 
-// withoutState returns what a member needs to remember of a snapshot: the state lies on the disk and in the state machine.
+// withoutState returns what a member needs to remember of a snapshot: the state is on disk and in the state machine.
 func withoutState(snapshot *Snapshot) *Snapshot {
 	light := *snapshot
 	light.State = nil
--- a/internal/tier/replica/confchange_test.go
+++ b/internal/tier/replica/confchange_test.go
@@ -5,11 +5,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-var anyOrder = cmpopts.SortSlices(func(a, b Member) bool { return a.ID < b.ID })
-
 func (n *node) member() Member { return Member{ID: n.id, Address: address(n.slot)} }
 
 func (n *node) learner() Member {
@@ -24,16 +21,6 @@
 	return members
 }
 
-// requireMembers waits until the committed group is the one given.
-func (s *simulation) requireMembers(t *testing.T, within time.Duration, want []Member) {
-	t.Helper()
-	s.runUntil(s.now+within, func() bool { return cmp.Equal(s.checker.members, want, anyOrder) })
-	if difference := cmp.Diff(want, s.checker.members, anyOrder); difference != "" {
-		t.Fatalf("group after %v (-want +got):\n%s", within, difference)
-	}
-	s.requireSafe(t)
-}
-
 func TestConfChange_MemberAdded_StartsAsLearnerAndIsPromoted(t *testing.T) {
 	s, first := newGroupWithLeader(t, 1, 3, 1)
 	for range 100 {
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -5,53 +5,6 @@
 	"time"
 )
 
-// newGroupWithLeader starts a group without faults and waits for its leader.
-func newGroupWithLeader(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
-	t.Helper()
-	s := newSimulation(seed, members, spares, noFaults)
-	s.startAll()
-	found := s.runUntil(s.now+time.Second, func() bool { return s.leader() != nil })
-	if !found {
-		t.Fatalf("no leader within a second")
-	}
-	return s, s.leader()
-}
-
-// requireSafe fails the test if the checker has seen a violation.
-func (s *simulation) requireSafe(t *testing.T) {
-	t.Helper()
-	if s.checker.violation != "" {
-		t.Fatal(s.checker.violation)
-	}
-}
-
-// commitsWithin proposes a command at the leader of the moment until one is acknowledged.
-func (s *simulation) commitsWithin(within time.Duration) bool {
-	end := s.now + within
-	done := s.checker.commands
-	for s.now < end && s.checker.violation == "" {
-		if n := s.leader(); n != nil {
-			s.propose(n)
-		}
-		next := min(end, s.now+testHeartbeat)
-		if s.runUntil(next, func() bool { return s.checker.commands > done }) {
-			return true
-		}
-	}
-	return false
-}
-
-// others are the living nodes but one.
-func (s *simulation) others(not *node) []*node {
-	var others []*node
-	for _, n := range s.nodes {
-		if n != not && n.alive {
-			others = append(others, n)
-		}
-	}
-	return others
-}
-
 func TestElection_AnyGroupSize_ElectsAndCommits(t *testing.T) {
 	for members := 1; members <= 5; members++ {
 		s, _ := newGroupWithLeader(t, uint64(members), members, 0)
--- /dev/null
+++ b/internal/tier/replica/follower_test.go
@@ -0,0 +1,146 @@
+package replica
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// newTestFollower makes "b" a follower with a log of those terms.
+func newTestFollower(t *testing.T, term uint64, terms ...uint64) *Replica {
+	t.Helper()
+	members := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+	options := Options{ID: "b", InitialMembers: members, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
+	r, err := New(options, diskOf(term, terms...), 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func TestFollower_AppendEntries_AppendsReplacesOrRejects(t *testing.T) {
+	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term, Kind: NoOp} }
+	cases := []struct {
+		name     string
+		log      []uint64
+		message  Message
+		want     Message
+		truncate uint64
+		append   int
+		commit   uint64
+	}{
+		{
+			name:    "entries behind the log",
+			log:     []uint64{1, 1},
+			message: Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2), entry(4, 2)}, Commit: 3},
+			want:    Message{Index: 4},
+			append:  2,
+			commit:  3,
+		},
+		{
+			name:     "entries in place of others",
+			log:      []uint64{1, 1, 1, 1},
+			message:  Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2)}},
+			want:     Message{Index: 3},
+			truncate: 3,
+			append:   1,
+		},
+		{
+			name:    "entries that it has keep what follows",
+			log:     []uint64{1, 1, 1, 1},
+			message: Message{Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 1)}, Commit: 4},
+			want:    Message{Index: 2},
+			commit:  2,
+		},
+		{
+			name:    "a gap",
+			log:     []uint64{1, 1},
+			message: Message{Term: 2, Index: 9, LogTerm: 2, Entries: []Entry{entry(10, 2)}},
+			want:    Message{Index: 9, Reject: true, RejectHint: 2, LogTerm: 1},
+		},
+		{
+			name:    "a different entry before",
+			log:     []uint64{1, 1, 2, 2, 2, 2},
+			message: Message{Term: 3, Index: 5, LogTerm: 1},
+			want:    Message{Index: 5, Reject: true, RejectHint: 2, LogTerm: 1},
+		},
+		{
+			name:    "a heartbeat",
+			log:     []uint64{1, 1},
+			message: Message{Term: 2, Index: 2, LogTerm: 1, Commit: 2, ReadContext: 7},
+			want:    Message{Index: 2, ReadContext: 7},
+			commit:  2,
+		},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			r := newTestFollower(t, 2, tc.log...)
+			tc.message.Kind, tc.message.From, tc.message.To = AppendEntries, "a", "b"
+			tc.want.Kind, tc.want.From, tc.want.To, tc.want.Term = AppendEntriesResponse, "b", "a", tc.message.Term
+			ready := r.Step(0, Input{Messages: []Message{tc.message}})
+			if difference := cmp.Diff([]Message{tc.want}, ready.MessagesAfterSync); difference != "" {
+				t.Errorf("answer (-want +got):\n%s", difference)
+			}
+			if len(ready.MessagesBeforeSync) != 0 {
+				t.Errorf("early messages %+v", ready.MessagesBeforeSync)
+			}
+			if ready.TruncateFrom != tc.truncate || len(ready.Entries) != tc.append || r.Status().Commit != tc.commit {
+				t.Errorf("truncate %d, append %d, commit %d", ready.TruncateFrom, len(ready.Entries), r.Status().Commit)
+			}
+		})
+	}
+}
+
+func TestFollower_AppendOfEarlierTerm_IsRejected(t *testing.T) {
+	r := newTestFollower(t, 5, 1)
+	message := Message{Kind: AppendEntries, From: "a", To: "b", Term: 4, Index: 1, LogTerm: 1}
+	ready := r.Step(0, Input{Messages: []Message{message}})
+	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 5, Reject: true}}
+	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" {
+		t.Errorf("answer (-want +got):\n%s", difference)
+	}
+}
+
+func TestFollower_AppendsOfOneStep_AreAcknowledgedInOneMessage(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
+	var messages []Message
+	for index := uint64(1); index <= 5; index++ {
+		messages = append(messages, Message{
+			Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: index, LogTerm: 1, ReadContext: index,
+			Entries: []Entry{{Index: index + 1, Term: 1}},
+		})
+	}
+	ready := r.Step(0, Input{Messages: messages})
+	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 6, ReadContext: 5}}
+	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" || len(ready.Entries) != 5 {
+		t.Errorf("%d entries, answers (-want +got):\n%s", len(ready.Entries), difference)
+	}
+}
+
+func TestReplica_MessageForAnotherIdentity_IsDropped(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
+	message := Message{Kind: AppendEntries, From: "a", To: "earlier", Term: 9, Index: 1, LogTerm: 1}
+	ready := r.Step(0, Input{Messages: []Message{message}})
+	if len(ready.MessagesAfterSync) != 0 || ready.HardState != nil {
+		t.Errorf("ready %+v", ready)
+	}
+}
+
+func TestRaftLog_EntriesHandedOut_AreNeverChanged(t *testing.T) {
+	r := newTestFollower(t, 1, 1)
+	first := []Entry{{Index: 2, Term: 1, Data: json.RawMessage(`"old"`)}, {Index: 3, Term: 1}}
+	ready := r.Step(0, Input{Messages: []Message{{
+		Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1, Entries: first,
+	}}})
+	handedOut := ready.Entries
+	before := slices.Clone(handedOut)
+	r.Step(0, Input{Messages: []Message{{
+		Kind: AppendEntries, From: "c", To: "b", Term: 2, Index: 1, LogTerm: 1,
+		Entries: []Entry{{Index: 2, Term: 2, Data: json.RawMessage(`"new"`)}, {Index: 3, Term: 2}},
+	}}})
+	if difference := cmp.Diff(before, handedOut); difference != "" {
+		t.Errorf("entries handed out before (-before +after):\n%s", difference)
+	}
+}
--- /dev/null
+++ b/internal/tier/replica/leader_test.go
@@ -0,0 +1,65 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestLeader_ProposalsBeyondPendingLimit_AreDropped(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
+	half := defaultLimits.maxPendingBytes/2 - 100
+	input := Input{Proposals: []Proposal{command(1, half), command(2, half), command(3, half)}}
+	ready := p.step(input)
+	if difference := cmp.Diff([]Outcome{{Token: 3, Dropped: true}}, ready.Outcomes); difference != "" {
+		t.Errorf("outcomes (-want +got):\n%s", difference)
+	}
+	p.acknowledge("b", 3)
+	if ready = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
+		t.Errorf("refused though all is committed: %+v", ready.Outcomes)
+	}
+}
+
+func TestCommit_SingleVoter_FollowsItsSync(t *testing.T) {
+	p := newManualLeader(t, "a")
+	ready := p.step(Input{Proposals: []Proposal{command(1, 10)}})
+	if len(ready.Entries) != 1 || len(ready.CommittedEntries) != 0 || ready.NextWake != p.now {
+		t.Errorf("first step: %+v", ready)
+	}
+	ready = p.step(Input{})
+	if len(ready.CommittedEntries) != 1 || len(ready.Outcomes) != 1 || ready.NextWake <= p.now {
+		t.Errorf("second step: %+v", ready)
+	}
+}
+
+func TestCommit_OtherVotersSynced_NeedsNoLocalSync(t *testing.T) {
+	p := newManualLeader(t, "a", "b", "c")
+	p.step(Input{Proposals: []Proposal{command(1, 10)}})
+	input := Input{
+		Proposals: []Proposal{command(2, 10)},
+		Messages: []Message{
+			{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 2},
+			{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 2},
+		},
+	}
+	if ready := p.step(input); len(ready.CommittedEntries) != 1 || ready.CommittedEntries[0].Index != 2 {
+		t.Errorf("committed %+v", ready.CommittedEntries)
+	}
+}
+
+func TestCommit_PowerLossEverywhere_KeepsAcknowledgedCommands(t *testing.T) {
+	s, first := newGroupWithLeader(t, 8, 3, 0)
+	for range 50 {
+		s.propose(first)
+	}
+	s.runUntil(s.now+time.Second, func() bool { return s.checker.commands > 0 })
+	for _, n := range s.nodes {
+		s.kill(n)
+	}
+	s.startAll()
+	if !s.commitsWithin(time.Second) {
+		t.Error("nothing is committed after the restart")
+	}
+	s.requireSafe(t)
+}
--- /dev/null
+++ b/internal/tier/replica/manual_leader_test.go
@@ -0,0 +1,77 @@
+package replica
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+)
+
+// manualLeader is a leader "a" whose steps a test makes one by one, while the test plays the other members.
+type manualLeader struct {
+	t   *testing.T
+	r   *Replica
+	now time.Duration
+}
+
+// newManualLeader makes "a" the leader of term 1 with its first entry committed.
+func newManualLeader(t *testing.T, initial ...string) *manualLeader {
+	t.Helper()
+	var members []Member
+	for _, id := range initial {
+		members = append(members, Member{ID: id})
+	}
+	options := Options{ID: "a", InitialMembers: members, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
+	r, err := New(options, Recovered{}, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &manualLeader{t: t, r: r}
+	p.now = p.step(Input{}).NextWake
+	p.step(Input{})
+	for _, id := range initial[1:] {
+		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1, PreVote: true}}})
+	}
+	for _, id := range initial[1:] {
+		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1}}})
+	}
+	for _, id := range initial[1:] {
+		p.acknowledge(id, 1)
+	}
+	p.step(Input{})
+	if !r.Status().IsLeader {
+		t.Fatalf("not the leader: %+v", r.Status())
+	}
+	return p
+}
+
+func (p *manualLeader) step(input Input) Ready {
+	return p.r.Step(p.now, input)
+}
+
+// acknowledge lets a follower respond that it has the log up to index.
+func (p *manualLeader) acknowledge(id string, index uint64) Ready {
+	answer := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
+	return p.step(Input{Messages: []Message{answer}})
+}
+
+func command(token uint64, size int) Proposal {
+	data, _ := json.Marshal(strings.Repeat("x", size))
+	return Proposal{Token: token, Data: data}
+}
+
+// appendsTo are the entries of each append that goes to a follower.
+func appendsTo(messages []Message, id string) [][]uint64 {
+	var appends [][]uint64
+	for _, message := range messages {
+		if message.Kind != AppendEntries || message.To != id {
+			continue
+		}
+		var indexes []uint64
+		for _, entry := range message.Entries {
+			indexes = append(indexes, entry.Index)
+		}
+		appends = append(appends, indexes)
+	}
+	return appends
+}
--- a/internal/tier/replica/message.go
+++ b/internal/tier/replica/message.go
@@ -33,7 +33,7 @@
 	Vote string `json:"vote,omitempty"` // the candidate that it voted for in Term; empty: none
 }
 
-// Snapshot stands for all entries up to Index. The state itself lies on disk, in chunks, and never in this struct but in a
+// Snapshot stands for all entries up to Index. The state itself is on disk, in chunks, and in this struct only in a
 // message.
 type Snapshot struct {
 	Index   uint64          `json:"index"`           // last entry that it includes
--- a/internal/tier/replica/options.go
+++ b/internal/tier/replica/options.go
@@ -20,7 +20,7 @@
 	// a leader for longer after a loss.
 	ElectionTimeout time.Duration
 	// InitialElectionTimeout replaces ElectionTimeout until the member has heard a leader since its start. A shorter one
-	// lets a group that starts as a whole elect sooner. 0: ElectionTimeout.
+	// lets a group whose members all start at once elect sooner. 0: ElectionTimeout.
 	InitialElectionTimeout time.Duration
 	Seed                   uint64 // of the random election timeouts; the identity is mixed in
 }
--- a/internal/tier/replica/raft.go
+++ b/internal/tier/replica/raft.go
@@ -19,10 +19,10 @@
 type role uint8
 
 const (
-	follower role = iota
-	preCandidate
-	candidate
-	leader
+	follower     role = iota
+	preCandidate      // asks whether it would be elected
+	candidate         // asks for votes in a new term
+	leader            // also while nothing of its term is committed yet
 )
 
 // Replica is one member of a group. It is driven by Step, by one goroutine at a time.
@@ -45,7 +45,7 @@
 	now              time.Duration
 	role             role
 	leader           leaderContact
-	electionTimeout  time.Duration // time without a leader after which it campaigns, drawn anew each time
+	electionTimeout  time.Duration // time without a leader after which it campaigns, drawn for each election
 	electionDeadline time.Duration
 	hasHeardLeader   bool     // since its start
 	votesGranted     []string // members that have voted for this one
@@ -76,7 +76,7 @@
 
 // New makes a member from what it found on its disk. The state machine must start from the recovered snapshot; entries
 // after it come as CommittedEntries once they are known to be committed. The first Step, with an empty Input, tells when the
-// next one is due. Options that make no sense and a disk that contradicts itself are bad parameters (trace.BadParameter).
+// next one is due. Invalid options and an inconsistent disk are errors (trace.BadParameter).
 func New(options Options, recovered Recovered, now time.Duration) (*Replica, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -119,8 +119,8 @@
 		return trace.BadParameter("the hard state of term %d is older than the log's term %d",
 			r.hardState.Term, r.log.lastTerm())
 	}
-	groups, err := configurationHistory{base}.extend(entries)
-	r.configurations = groups
+	configurations, err := configurationHistory{base}.extend(entries)
+	r.configurations = configurations
 	return err
 }
 
@@ -245,11 +245,11 @@
 // appendEntries adds entries to the log. A configuration among them is in force at once, committed or not (thesis section
 // 4.1).
 func (r *Replica) appendEntries(entries []Entry) error {
-	groups, err := r.configurations.extend(entries)
+	configurations, err := r.configurations.extend(entries)
 	if err != nil {
 		return err
 	}
-	r.configurations = groups
+	r.configurations = configurations
 	r.log.append(entries...)
 	return nil
 }
