--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -9,37 +9,37 @@
 var (
 	allRoutes  = []routeKind{onceRoute, safeRoute, streamRoute, resumeRoute}
 	withTurns  = append(allRoutes, turnRoute)
-	allEndings = []ending{finish, reset, halfOnly}
-	endings    = map[ending]string{finish: "closed", reset: "reset", halfOnly: "half-closed"}
-	framings   = map[answerKind]string{success: "usual", chunked: "in chunks", unframed: "unframed", informational: "after 1xx",
+	allEndings = []ending{orderlyClose, resetClose, halfClose}
+	endings    = map[ending]string{orderlyClose: "closed", resetClose: "reset", halfClose: "half-closed"}
+	framings   = map[responseKind]string{success: "usual", chunked: "in chunks", closeDelimited: "unframed", informational: "after 1xx",
 		failure: "failure", rejected: "rejected", notRun: "not run", misdirected: "misdirected"}
 )
 
 // newRequest is a request that goes well.
-func newRequest(route routeKind, id int, sends ...sendScript) *requestScript {
-	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sent: -1, timeIn: time.Second, sends: sends}
+func newRequest(route routeKind, id int, sends ...attemptScript) *requestScript {
+	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sendLimit: -1, timeLeft: time.Second, attempts: sends}
 }
 
-// answerLength is the length of the answer to a request's first send.
-func answerLength(request *requestScript) int {
-	return len(run{request: request, endpoint: "e0"}.answer())
+// responseLength is the length of the response to a request's first send.
+func responseLength(request *requestScript) int {
+	return len(endpointAttempt{request: request, endpoint: "e0"}.answer())
 }
 
-// playAll plays requests of one client, one after the other.
-func playAll(t *testing.T, requests []*requestScript) []got {
+// runRequests runs requests of one client, one after the other.
+func runRequests(t *testing.T, requests []*requestScript) []clientResult {
 	t.Helper()
-	results := check(t, plan{clients: [][]*requestScript{requests}}).clients[0].results
+	results := checkScenario(t, scenario{clients: [][]*requestScript{requests}}).clients[0].results
 	if len(results) != len(requests) {
 		t.Fatalf("%d results of %d requests", len(results), len(requests))
 	}
 	return results
 }
 
-// forEachFraming runs a test for some routes and each form of an answer that they have of their own.
-func forEachFraming(t *testing.T, routes []routeKind, test func(t *testing.T, route routeKind, kind answerKind)) {
+// forEachFraming runs a test for some routes and each form of a response that they have of their own.
+func forEachFraming(t *testing.T, routes []routeKind, test func(t *testing.T, route routeKind, kind responseKind)) {
 	for _, route := range routes {
 		for kind, name := range framings {
-			if !hasOwn(route, kind) {
+			if !isDistinct(route, kind) {
 				continue
 			}
 			t.Run(fmt.Sprint(route, "/", name), func(t *testing.T) { test(t, route, kind) })
@@ -47,9 +47,9 @@
 	}
 }
 
-// hasOwn tells whether a form of an answer is another one on that route than on the others: streams are in chunks as usual, what
+// isDistinct tells whether a form of a response is another one on that route than on the others: streams are in chunks as usual, what
 // is misdirected is the same for all, and turns are streams in other frames.
-func hasOwn(route routeKind, kind answerKind) bool {
+func isDistinct(route routeKind, kind responseKind) bool {
 	switch {
 	case route == turnRoute:
 		return kind == success || kind == chunked
@@ -59,23 +59,23 @@
 	return route == onceRoute || kind != misdirected
 }
 
-// TestResponse_PausesAtEachByte_IsForwarded has an endpoint pause after each byte of its answer: it is passed on whole all the same.
+// TestResponse_PausesAtEachByte_IsForwarded has an endpoint pause after each byte of its response: it is forwarded completely all the same.
 func TestResponse_PausesAtEachByte_IsForwarded(t *testing.T) {
-	forEachFraming(t, []routeKind{onceRoute, resumeRoute, turnRoute}, func(t *testing.T, route routeKind, kind answerKind) {
+	forEachFraming(t, []routeKind{onceRoute, resumeRoute, turnRoute}, func(t *testing.T, route routeKind, kind responseKind) {
 		var requests []*requestScript
-		for at := range answerLength(newRequest(route, 0, whole(kind, 2))) {
-			paused := whole(kind, 2)
+		for at := range responseLength(newRequest(route, 0, completeScript(kind, 2))) {
+			paused := completeScript(kind, 2)
 			paused.split, paused.pause = at, 5*time.Millisecond
-			requests = append(requests, newRequest(route, at, paused, whole(success, 2)))
+			requests = append(requests, newRequest(route, at, paused, completeScript(success, 2)))
 		}
 		want := 200
 		switch {
-		case kind == failure && !route.repeatable():
+		case kind == failure && !route.retryable():
 			want = 500
 		case kind == rejected:
 			want = 400
 		}
-		for at, result := range playAll(t, requests) {
+		for at, result := range runRequests(t, requests) {
 			if !result.complete() || result.status != want {
 				t.Errorf("pause after %d bytes: status %d, %v", at, result.status, result.err)
 			}
@@ -83,22 +83,22 @@
 	})
 }
 
-// TestResponse_EndsAtEachByte_LooksIncomplete has an endpoint end its connection after each byte of its answer. A request that may run again is
-// served by another one; a request that may not is sent once, and no broken answer looks complete.
+// TestResponse_EndsAtEachByte_LooksIncomplete has an endpoint end its connection after each byte of its response. A request that is retryable is
+// served by another one; a request that may not is sent once, and no broken response looks complete.
 func TestResponse_EndsAtEachByte_LooksIncomplete(t *testing.T) {
-	forEachFraming(t, withTurns, func(t *testing.T, route routeKind, kind answerKind) {
+	forEachFraming(t, withTurns, func(t *testing.T, route routeKind, kind responseKind) {
 		for _, end := range allEndings {
-			if end == halfOnly && kind != success && kind != unframed {
+			if end == halfClose && kind != success && kind != closeDelimited {
 				continue
 			}
 			var requests []*requestScript
-			for at := range answerLength(newRequest(route, 0, whole(kind, 2))) {
-				cut := whole(kind, 2)
-				cut.cut, cut.end = at, end
-				requests = append(requests, newRequest(route, at, cut, whole(success, 2)))
+			for at := range responseLength(newRequest(route, 0, completeScript(kind, 2))) {
+				cut := completeScript(kind, 2)
+				cut.breakAfter, cut.end = at, end
+				requests = append(requests, newRequest(route, at, cut, completeScript(success, 2)))
 			}
-			for at, result := range playAll(t, requests) {
-				if ended := kind == unframed && end != reset; route.repeatable() && !ended && (!result.complete() || result.status != 200) {
+			for at, result := range runRequests(t, requests) {
+				if ended := kind == closeDelimited && end != resetClose; route.retryable() && !ended && (!result.complete() || result.status != 200) {
 					t.Errorf("%s after %d bytes: status %d, %v", endings[end], at, result.status, result.err)
 				}
 			}
@@ -113,15 +113,15 @@
 			t.Run(fmt.Sprint(route, "/", endings[end]), func(t *testing.T) {
 				var requests []*requestScript
 				for at := range len(newRequest(route, 100).wire()) + 60 {
-					broken := whole(success, 2)
-					broken.takes, broken.end = at, end
-					requests = append(requests, newRequest(route, at, broken, whole(success, 2)))
+					broken := completeScript(success, 2)
+					broken.readLimit, broken.end = at, end
+					requests = append(requests, newRequest(route, at, broken, completeScript(success, 2)))
 				}
 				want := 502
-				if route.repeatable() {
+				if route.retryable() {
 					want = 200
 				}
-				for at, result := range playAll(t, requests) {
+				for at, result := range runRequests(t, requests) {
 					if !result.complete() || result.status != want {
 						t.Errorf("after %d bytes: status %d, %v", at, result.status, result.err)
 					}
@@ -131,25 +131,25 @@
 	}
 }
 
-// TestClient_PausesOrClosesAtEachByte_KeepsRules has a client pause, or leave, after each byte of its request.
+// TestClient_PausesOrClosesAtEachByte_KeepsRules has a client pause, or disconnect, after each byte of its request.
 func TestClient_PausesOrClosesAtEachByte_KeepsRules(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, chunks := range []int{0, 2} {
-			for _, leave := range append(allEndings, stay) {
+			for _, leave := range append(allEndings, keepOpen) {
 				t.Run(fmt.Sprint(route, "/", chunks, "/", leave), func(t *testing.T) {
 					var requests []*requestScript
 					for at := range len(newRequest(route, 100).wire()) + 20 {
-						request := newRequest(route, at, whole(success, 2))
-						request.chunks, request.leave = chunks, leave
-						if leave == stay {
+						request := newRequest(route, at, completeScript(success, 2))
+						request.chunks, request.disconnect = chunks, leave
+						if leave == keepOpen {
 							request.split, request.pause = at, 5*time.Millisecond
 						} else {
-							request.sent, request.waits = at, 5*time.Millisecond
+							request.sendLimit, request.disconnectDelay = at, 5*time.Millisecond
 						}
 						requests = append(requests, request)
 					}
-					for at, result := range playAll(t, requests) {
-						if leave == stay && (!result.complete() || result.status != 200) {
+					for at, result := range runRequests(t, requests) {
+						if leave == keepOpen && (!result.complete() || result.status != 200) {
 							t.Errorf("pause after %d bytes: status %d, %v", at, result.status, result.err)
 						}
 					}
@@ -159,20 +159,20 @@
 	}
 }
 
-// TestClient_ClosesWhileResponseComes_EndsWork has a client leave at each moment of a slow answer.
+// TestClient_ClosesWhileResponseComes_EndsWork has a client disconnect at each moment of a slow response.
 func TestClient_ClosesWhileResponseComes_EndsWork(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, leave := range allEndings {
 			t.Run(fmt.Sprint(route, "/", endings[leave]), func(t *testing.T) {
 				var requests []*requestScript
 				for at := range 40 {
-					slow := whole(success, 8)
+					slow := completeScript(success, 8)
 					slow.delay, slow.split, slow.pause = 10*time.Millisecond, 150, 800*time.Millisecond
 					request := newRequest(route, at, slow)
-					request.leave, request.waits = leave, time.Duration(at)*time.Millisecond
+					request.disconnect, request.disconnectDelay = leave, time.Duration(at)*time.Millisecond
 					requests = append(requests, request)
 				}
-				playAll(t, requests)
+				runRequests(t, requests)
 			})
 		}
 	}
@@ -187,19 +187,19 @@
 			t.Run(fmt.Sprint(route, "/", endings[end]), func(t *testing.T) {
 				var requests []*requestScript
 				for at := range 80 {
-					closing := whole(success, 2)
-					closing.end, closing.endWait = end, between-10*time.Millisecond+time.Duration(at)*250*time.Microsecond
-					first, second := newRequest(route, 2*at, closing), newRequest(route, 2*at+1, whole(success, 2))
-					first.id, second.id = sameEndpoint(2*at), sameEndpoint(2*at+1)
-					second.before = between
+					closing := completeScript(success, 2)
+					closing.end, closing.endDelay = end, between-10*time.Millisecond+time.Duration(at)*250*time.Microsecond
+					first, second := newRequest(route, 2*at, closing), newRequest(route, 2*at+1, completeScript(success, 2))
+					first.id, second.id = idForFirstEndpoint(2*at), idForFirstEndpoint(2*at+1)
+					second.startDelay = between
 					requests = append(requests, first, second)
 				}
-				results := playAll(t, requests)
+				results := runRequests(t, requests)
 				served := 0
 				for _, result := range results {
 					if result.complete() && result.status == 200 {
 						served++
-					} else if route.repeatable() {
+					} else if route.retryable() {
 						t.Errorf("%s: status %d, %v", result.request.id, result.status, result.err)
 					}
 				}
@@ -211,8 +211,8 @@
 	}
 }
 
-// sameEndpoint returns an id whose request goes to the first endpoint first.
-func sameEndpoint(number int) string {
+// idForFirstEndpoint returns an id whose request goes to the first endpoint first.
+func idForFirstEndpoint(number int) string {
 	for suffix := 0; ; suffix++ {
 		if id := fmt.Sprintf("r%d-%d", number, suffix); firstEndpoint(id) == 0 {
 			return id
@@ -224,21 +224,21 @@
 // another time: they never get another request's bytes where the rest of the body is due.
 func TestEarlyResponse_LongBody_LeavesNoForeignBytes(t *testing.T) {
 	for _, route := range allRoutes {
-		for _, kind := range []answerKind{notRun, success, failure} {
+		for _, kind := range []responseKind{notRun, success, failure} {
 			t.Run(fmt.Sprint(route, "/", framings[kind]), func(t *testing.T) {
 				var requests []*requestScript
 				for i, size := range []int{1, 1000, 30_000, 33_000, 66_000, 100_000, 300_000} {
 					for j, readOn := range []time.Duration{0, 2, 20, 400} {
-						early := whole(kind, 2)
-						early.early, early.readOn = true, readOn*time.Millisecond
-						first := newRequest(route, 0, early, whole(success, 2))
-						first.id, first.size = sameEndpoint(10*i+2*j), size
-						second := newRequest(route, 0, whole(success, 2))
-						second.id = sameEndpoint(10*i + 2*j + 1)
+						early := completeScript(kind, 2)
+						early.early, early.readOnDelay = true, readOn*time.Millisecond
+						first := newRequest(route, 0, early, completeScript(success, 2))
+						first.id, first.size = idForFirstEndpoint(10*i+2*j), size
+						second := newRequest(route, 0, completeScript(success, 2))
+						second.id = idForFirstEndpoint(10*i + 2*j + 1)
 						requests = append(requests, first, second)
 					}
 				}
-				mustAnswer(t, playAll(t, requests))
+				requireResponses(t, runRequests(t, requests))
 			})
 		}
 	}
@@ -247,32 +247,32 @@
 // TestSecondResponse_IsNeverForwarded has endpoints answer each request twice, the second time at each moment around the next request.
 func TestSecondResponse_IsNeverForwarded(t *testing.T) {
 	for _, route := range allRoutes {
-		for _, kind := range []answerKind{success, chunked, informational, failure, notRun} {
+		for _, kind := range []responseKind{success, chunked, informational, failure, notRun} {
 			t.Run(fmt.Sprint(route, "/", framings[kind]), func(t *testing.T) {
 				var requests []*requestScript
 				for at := range 60 {
-					twice := whole(kind, 2)
-					twice.extra, twice.late = true, time.Duration(at)*500*time.Microsecond
-					request := newRequest(route, 0, twice, whole(success, 2))
-					request.id, request.before = sameEndpoint(at), 15*time.Millisecond
+					twice := completeScript(kind, 2)
+					twice.secondResponse, twice.secondDelay = true, time.Duration(at)*500*time.Microsecond
+					request := newRequest(route, 0, twice, completeScript(success, 2))
+					request.id, request.startDelay = idForFirstEndpoint(at), 15*time.Millisecond
 					requests = append(requests, request)
 				}
-				mustAnswer(t, playAll(t, requests))
+				requireResponses(t, runRequests(t, requests))
 			})
 		}
 	}
 }
 
-// TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long answer until the proxy gives it up: what it reads then
-// doesn't look complete, also where only the end of its connection tells the end of the answer.
+// TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long response until the proxy abandons it: what it reads then
+// doesn't look complete, also where only the end of its connection tells the end of the response.
 func TestResponse_ClientReadsNothing_LooksIncomplete(t *testing.T) {
 	for _, old := range []bool{false, true} {
 		for _, route := range []routeKind{onceRoute, safeRoute} {
-			for _, kind := range []answerKind{success, chunked, unframed} {
+			for _, kind := range []responseKind{success, chunked, closeDelimited} {
 				t.Run(fmt.Sprint(route, "/", framings[kind], "/", old), func(t *testing.T) {
-					request := newRequest(route, 0, whole(kind, 200_000))
-					request.old, request.timeIn, request.stalls = old, 300*time.Millisecond, time.Second
-					if result := playAll(t, []*requestScript{request})[0]; !result.cutOff() {
+					request := newRequest(route, 0, completeScript(kind, 200_000))
+					request.http10, request.timeLeft, request.readStall = old, 300*time.Millisecond, time.Second
+					if result := runRequests(t, []*requestScript{request})[0]; !result.brokenOff() {
 						t.Errorf("%d bytes, %v", len(result.body), result.err)
 					}
 				})
@@ -281,22 +281,22 @@
 	}
 }
 
-// TestProxy_Killed_ResponseLooksIncomplete kills the proxy at each millisecond of a slow answer: the system closes its
+// TestProxy_Killed_ResponseLooksIncomplete kills the proxy at each millisecond of a slow response: the system closes its
 // connections in order then, and what the client has got doesn't look complete.
 func TestProxy_Killed_ResponseLooksIncomplete(t *testing.T) {
-	const slowest = 400 // ms: where no kill of the first 40 has cut an answer, later ones are tried until one has
+	const slowest = 400 // ms: where no kill of the first 40 has cut a response, later ones are tried until one has
 	for _, old := range []bool{false, true} {
-		for _, kind := range []answerKind{success, chunked, unframed} {
+		for _, kind := range []responseKind{success, chunked, closeDelimited} {
 			t.Run(fmt.Sprint(framings[kind], "/", old), func(t *testing.T) {
 				cut := 0
 				for at := 0; at < 40 || at < slowest && cut == 0 && kind != success; at++ {
-					slow := whole(kind, 10_000)
+					slow := completeScript(kind, 10_000)
 					slow.split, slow.pause = 9000, 20*time.Millisecond
 					request := newRequest(onceRoute, 0, slow)
-					request.old = old
-					killed := worldEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
-					w := check(t, plan{clients: [][]*requestScript{{request}}, events: []worldEvent{killed}})
-					if results := w.clients[0].results; len(results) > 0 && results[0].cutOff() {
+					request.http10 = old
+					killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
+					w := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
+					if results := w.clients[0].results; len(results) > 0 && results[0].brokenOff() {
 						cut++
 					}
 				}
@@ -308,8 +308,8 @@
 	}
 }
 
-// mustAnswer checks that every request got a whole answer of an endpoint.
-func mustAnswer(t *testing.T, results []got) {
+// requireResponses checks that every request got a complete response of an endpoint.
+func requireResponses(t *testing.T, results []clientResult) {
 	t.Helper()
 	for _, result := range results {
 		if !result.complete() || result.status != 200 && result.status != 500 {
--- a/internal/tier/exchangetest/campaign_test.go
+++ b/internal/tier/exchangetest/campaign_test.go
@@ -13,8 +13,8 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the campaign's first world")
 )
 
-// describe is a plan in words, for a report.
-func describe(p plan) string {
+// describe is a scenario in words, for a report.
+func describe(p scenario) string {
 	var text strings.Builder
 	for i, requests := range p.clients {
 		for _, request := range requests {
@@ -25,23 +25,23 @@
 	return text.String()
 }
 
-// check plays a plan and reports what was wrong. It returns the world.
-func check(t *testing.T, p plan) *world {
+// checkScenario runs a scenario and reports the faults found. It returns the environment.
+func checkScenario(t *testing.T, p scenario) *environment {
 	t.Helper()
-	w := play(t, p)
-	if faults := judge(w); len(faults) > 0 {
+	w := runScenario(t, p)
+	if faults := judgeEnvironment(w); len(faults) > 0 {
 		t.Errorf("%s\n%s", strings.Join(faults, "\n"), describe(p))
 	}
 	return w
 }
 
-// TestCampaign plays worlds drawn from seeds. A breach is reported with its seed; -args -seed N -worlds 1 plays it alone.
+// TestCampaign runs environments drawn from seeds. A breach is reported with its seed; -args -seed N -worlds 1 runs it alone.
 func TestCampaign(t *testing.T) {
-	var tally tally
+	var tally campaignStats
 	for i := range *worlds {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			tally.count(check(t, drawPlan(seeded(seed))))
+			tally.count(checkScenario(t, drawScenario(seeded(seed))))
 		})
 		if t.Failed() {
 			break
@@ -53,16 +53,16 @@
 	}
 }
 
-// tally counts what happened, so that a campaign in which a kind of outcome never comes is noticed.
-type tally struct{ Requests, Sends, Complete, CutOff, Silent, Own, Left, TakenUp int }
+// campaignStats counts what happened, so that a campaign in which a kind of outcome never comes is noticed.
+type campaignStats struct{ Requests, Sends, Complete, CutOff, Silent, Own, Left, TakenUp int }
 
-func (c *tally) count(w *world) {
+func (c *campaignStats) count(w *environment) {
 	c.Sends += len(w.runs)
 	for _, client := range w.clients {
 		for _, result := range client.results {
 			c.Requests++
 			switch sealed := result.header.Get("X-Server-Seal") != ""; {
-			case !result.left.IsZero():
+			case !result.disconnectedAt.IsZero():
 				c.Left++
 			case result.complete() && sealed:
 				c.Complete++
@@ -76,13 +76,13 @@
 		}
 	}
 	for _, r := range w.runs {
-		if r.after > 0 {
+		if r.lastEvent > 0 {
 			c.TakenUp++
 		}
 	}
 }
 
-func (c *tally) check(t *testing.T) {
+func (c *campaignStats) check(t *testing.T) {
 	for name, count := range map[string]int{"complete": c.Complete, "cut off": c.CutOff, "of the proxy's own": c.Own, "left": c.Left, "taken up": c.TakenUp} {
 		if count == 0 {
 			t.Errorf("no request was %s", name)
@@ -90,11 +90,11 @@
 	}
 }
 
-// FuzzExchange plays worlds drawn from the fuzzer's bytes.
+// FuzzExchange runs environments drawn from the fuzzer's bytes.
 func FuzzExchange(f *testing.F) {
 	f.Add([]byte(nil))
 	f.Add([]byte("0123456789abcdef0123456789abcdef"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		check(t, drawPlan(&source{data: data}))
+		checkScenario(t, drawScenario(&drawSource{data: data}))
 	})
 }
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -12,50 +12,50 @@
 // frontAddress is where the proxy takes clients.
 const frontAddress = "10.0.0.1:80"
 
-// got is what a client got for a request.
-type got struct {
-	request  *requestScript
-	began    time.Time // when its first byte was sent
-	answered bool      // a head came
-	status   int
-	header   http.Header
-	body     []byte
-	err      error     // at which the body ended; nil: it looks complete
-	left     time.Time // when the client left; zero: it didn't
-	unread   bool      // it was sent ahead, and its connection ended with the answer before
-	surplus  []byte    // bytes behind the answer
+// clientResult is what a client got for a request.
+type clientResult struct {
+	request             *requestScript
+	startedAt           time.Time // when its first byte was sent
+	answered            bool      // a head came
+	status              int
+	header              http.Header
+	body                []byte
+	err                 error     // at which the body ended; nil: it looks complete
+	disconnectedAt      time.Time // when the client left; zero: it didn't
+	unansweredPipelined bool      // it was sent ahead, and its connection ended with the response before
+	surplus             []byte    // bytes behind the response
 }
 
 // client sends requests, one after the other, on as few connections as it can.
 type client struct {
-	world    *world
+	env      *environment
 	requests []*requestScript
 	conn     *memoryConn
 	reader   *bufio.Reader
-	results  []got
+	results  []clientResult
 }
 
 func (c *client) run() {
 	for i := 0; i < len(c.requests); i++ {
 		request := c.requests[i]
-		time.Sleep(request.before)
+		time.Sleep(request.startDelay)
 		if c.conn == nil && !c.connect() {
 			continue
 		}
-		if request.ahead && i+1 < len(c.requests) {
+		if request.pipelined && i+1 < len(c.requests) {
 			i++
-			c.both(request, c.requests[i])
+			c.pipeline(request, c.requests[i])
 			continue
 		}
-		result := got{request: request, began: time.Now()}
+		result := clientResult{request: request, startedAt: time.Now()}
 		keep := c.send(request)
 		switch {
-		case request.leaves():
-			time.Sleep(request.waits)
-			c.leave(&result)
+		case request.disconnects():
+			time.Sleep(request.disconnectDelay)
+			c.disconnect(&result)
 			keep = false
 		case keep:
-			time.Sleep(request.stalls)
+			time.Sleep(request.readStall)
 			keep = c.read(&result)
 		}
 		c.results = append(c.results, result)
@@ -66,18 +66,18 @@
 	c.close()
 }
 
-// both sends two requests and then reads the answers. The second one's time begins once its turn has come: the proxy can't know
+// pipeline sends two requests and then reads the answers. The second one's time begins once its turn has come: the proxy can't know
 // how long it lay behind the first.
-func (c *client) both(first, second *requestScript) {
+func (c *client) pipeline(first, second *requestScript) {
 	began := time.Now()
-	results := []got{{request: first, began: began}, {request: second, began: began}}
+	results := []clientResult{{request: first, startedAt: began}, {request: second, startedAt: began}}
 	keep := c.send(first) && c.send(second)
 	for i := range results {
 		if !keep {
-			results[i].unread = true
+			results[i].unansweredPipelined = true
 			continue
 		}
-		results[i].began = began
+		results[i].startedAt = began
 		keep = c.read(&results[i])
 		began = time.Now()
 	}
@@ -88,7 +88,7 @@
 }
 
 func (c *client) connect() bool {
-	conn, err := c.world.network.dial(context.Background(), frontAddress)
+	conn, err := c.env.network.dial(context.Background(), frontAddress)
 	if err != nil {
 		return false
 	}
@@ -96,26 +96,26 @@
 	return true
 }
 
-// send writes a request, or the part of it after which the client leaves.
+// send writes a request, or the part of it after which the client disconnects.
 func (c *client) send(request *requestScript) bool {
 	wire := request.wire()
-	if request.sent >= 0 {
-		wire = wire[:min(request.sent, len(wire))]
+	if request.sendLimit >= 0 {
+		wire = wire[:min(request.sendLimit, len(wire))]
 	}
 	return sendSplit(c.conn, wire, request.split, request.pause)
 }
 
-// leave ends the connection without waiting for the answer. What comes to one that ended its own direction only is read.
-func (c *client) leave(result *got) {
-	result.left = time.Now()
-	result.request.leave.apply(c.conn)
-	if result.request.leave == halfOnly {
+// disconnect ends the connection without waiting for the response. What comes to one that ended its own direction only is read.
+func (c *client) disconnect(result *clientResult) {
+	result.disconnectedAt = time.Now()
+	result.request.disconnect.apply(c.conn)
+	if result.request.disconnect == halfClose {
 		c.read(result)
 	}
 }
 
-// read reads an answer. It returns false when the connection carries no further request.
-func (c *client) read(result *got) bool {
+// read reads a response. It returns false when the connection carries no further request.
+func (c *client) read(result *clientResult) bool {
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: result.request.method})
 	if err != nil {
 		result.err = err
@@ -131,7 +131,7 @@
 	if c.conn == nil {
 		return
 	}
-	if last := len(c.results) - 1; last >= 0 && c.results[last].complete() && c.results[last].left.IsZero() {
+	if last := len(c.results) - 1; last >= 0 && c.results[last].complete() && c.results[last].disconnectedAt.IsZero() {
 		c.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		surplus, _ := io.ReadAll(c.reader)
 		c.results[last].surplus = bytes.TrimSpace(surplus)
@@ -140,8 +140,8 @@
 	c.conn = nil
 }
 
-// cutOff tells whether an answer has begun and not looked complete.
-func (g *got) cutOff() bool { return g.answered && g.err != nil }
+// brokenOff tells whether a response has begun and not looked complete.
+func (g *clientResult) brokenOff() bool { return g.answered && g.err != nil }
 
-// complete tells whether an answer looked complete.
-func (g *got) complete() bool { return g.answered && g.err == nil }
+// complete tells whether a response looked complete.
+func (g *clientResult) complete() bool { return g.answered && g.err == nil }
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// endpoint plays one endpoint by the scripts of the requests that it gets.
+// endpoint runs one endpoint by the scripts of the requests that it gets.
 type endpoint struct {
 	id       string
 	address  string
-	world    *world
+	env      *environment
 	listener net.Listener
 
 	mutex sync.Mutex
@@ -33,7 +33,7 @@
 		e.mutex.Lock()
 		e.conns = append(e.conns, conn)
 		e.mutex.Unlock()
-		e.world.running.Go(func() {
+		e.env.running.Go(func() {
 			defer conn.Close()
 			for ordinal := 0; e.exchange(conn, ordinal); ordinal++ {
 			}
@@ -62,20 +62,20 @@
 		return false
 	}
 	header := headerOf(head)
-	current := e.world.begin(run{endpoint: e.id, after: eventAfter(header), conn: conn, ordinal: ordinal}, header)
+	current := e.env.attemptStarted(endpointAttempt{endpoint: e.id, lastEvent: lastEventID(header), conn: conn, ordinal: ordinal}, header)
 	if current == nil {
 		return false
 	}
-	defer e.world.end(current)
+	defer e.env.attemptEnded(current)
 	script := current.script()
 	length, _ := strconv.Atoi(header.Get("Content-Length"))
-	if script.takes >= 0 {
-		discard(conn, min(script.takes, len(head)+length))
-		leave(conn, script.end)
+	if script.readLimit >= 0 {
+		readBytes(conn, min(script.readLimit, len(head)+length))
+		disconnect(conn, script.end)
 		return false
 	}
-	discard(conn, len(head))
-	if !script.early && !discard(conn, length) {
+	readBytes(conn, len(head))
+	if !script.early && !readBytes(conn, length) {
 		return false
 	}
 	time.Sleep(script.delay)
@@ -83,42 +83,42 @@
 		return false
 	}
 	if script.early {
-		time.Sleep(script.readOn)
-		return discard(conn, length)
+		time.Sleep(script.readOnDelay)
+		return readBytes(conn, length)
 	}
 	return true
 }
 
-// answer writes a run's answer. It returns false when the connection has ended.
-func (e *endpoint) answer(conn *memoryConn, current *run) bool {
+// answer writes a run's response. It returns false when the connection has ended.
+func (e *endpoint) answer(conn *memoryConn, current *endpointAttempt) bool {
 	script, wire := current.script(), current.answer()
-	if script.kind == silence {
+	if script.kind == noResponse {
 		_, err := conn.Read(make([]byte, 1))
 		return err == nil
 	}
-	if script.cut >= 0 && script.cut < len(wire) {
-		if sendSplit(conn, wire[:script.cut], script.split, script.pause) {
-			e.world.wrote(current)
+	if script.breakAfter >= 0 && script.breakAfter < len(wire) {
+		if sendSplit(conn, wire[:script.breakAfter], script.split, script.pause) {
+			e.env.responseWritten(current)
 		}
-		leave(conn, script.end)
+		disconnect(conn, script.end)
 		return false
 	}
 	if !sendSplit(conn, wire, script.split, script.pause) {
 		return false
 	}
-	e.world.wrote(current)
-	e.world.end(current)
-	if script.extra {
-		time.Sleep(script.late)
+	e.env.responseWritten(current)
+	e.env.attemptEnded(current)
+	if script.secondResponse {
+		time.Sleep(script.secondDelay)
 		conn.Write(wire)
 	}
-	if script.kind == unframed && script.end != reset && current.request.method != "HEAD" {
+	if script.kind == closeDelimited && script.end != resetClose && current.request.method != "HEAD" {
 		return false
 	}
-	if script.end != stay {
-		time.Sleep(script.endWait)
+	if script.end != keepOpen {
+		time.Sleep(script.endDelay)
 		script.end.apply(conn)
-		return script.end == halfOnly
+		return script.end == halfClose
 	}
 	return true
 }
@@ -138,16 +138,16 @@
 	return err == nil
 }
 
-// leave ends a connection. One that ends its own direction only goes on reading, until the other side ends too.
-func leave(conn *memoryConn, how ending) {
+// disconnect ends a connection. One that ends its own direction only goes on reading, until the other side ends too.
+func disconnect(conn *memoryConn, how ending) {
 	how.apply(conn)
-	if how == halfOnly {
+	if how == halfClose {
 		io.Copy(io.Discard, struct{ io.Reader }{conn})
 	}
 }
 
-// discard reads so many bytes. It returns false if they don't come.
-func discard(conn *memoryConn, count int) bool {
+// readBytes reads so many bytes. It returns false if they don't come.
+func readBytes(conn *memoryConn, count int) bool {
 	n, _ := io.CopyN(io.Discard, struct{ io.Reader }{conn}, int64(count))
 	return int(n) == count
 }
@@ -159,8 +159,8 @@
 	return header
 }
 
-// eventAfter is the last event that the client of a request has, as the request tells.
-func eventAfter(header textproto.MIMEHeader) int {
+// lastEventID is the last event that the client of a request has, as the request tells.
+func lastEventID(header textproto.MIMEHeader) int {
 	id, _ := strconv.Atoi(strings.TrimSpace(header.Get("Last-Event-Id")))
 	return id
 }
--- a/internal/tier/exchangetest/world_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -19,17 +19,17 @@
 
 const (
 	endpointCount = 3
-	tries         = 2 // of each route
-	// settleTime is how long a world runs on after its last request: longer than any deadline.
+	maxAttempts   = 2 // of each route
+	// settleTime is how long an environment runs on after its last request: longer than any deadline.
 	settleTime = 5 * time.Second
 )
 
-// eventKind is what happens to the proxy or around it.
-type eventKind int
+// scenarioEventKind is what happens to the proxy or around it.
+type scenarioEventKind int
 
 const (
-	newConfiguration eventKind = iota // with other limits
-	endpointGone                      // from the list
+	newConfiguration scenarioEventKind = iota // with other limits
+	endpointUnlisted                          // from the list
 	endpointBack
 	drain // the first step of SIGTERM
 	shutdown
@@ -38,66 +38,66 @@
 	eventKinds
 )
 
-// worldEvent is one of these, at a time.
-type worldEvent struct {
+// scenarioEvent is one of these, at a time.
+type scenarioEvent struct {
 	at       time.Duration
-	kind     eventKind
+	kind     scenarioEventKind
 	endpoint int
 }
 
-// plan is all that a world is to do.
-type plan struct {
+// scenario is all that an environment is to do.
+type scenario struct {
 	clients        [][]*requestScript
-	events         []worldEvent
+	events         []scenarioEvent
 	maxConnections int  // to an endpoint; 0: no bound
-	untroubled     bool // neither endpoints nor clients make any trouble
+	faultFree      bool // neither endpoints nor clients cause any fault
 }
 
-// calm tells whether the proxy is not told to end.
-func (p *plan) calm() bool { return !p.has(drain) && !p.has(shutdown) && !p.has(kill) }
+// keepsRunning tells whether the proxy is not told to end.
+func (p *scenario) keepsRunning() bool { return !p.has(drain) && !p.has(shutdown) && !p.has(kill) }
 
-func (p *plan) has(kind eventKind) bool {
-	return slices.ContainsFunc(p.events, func(e worldEvent) bool { return e.kind == kind })
+func (p *scenario) has(kind scenarioEventKind) bool {
+	return slices.ContainsFunc(p.events, func(e scenarioEvent) bool { return e.kind == kind })
 }
 
-// world is a proxy that runs with its clients and endpoints.
-type world struct {
-	plan      plan
+// environment is a proxy that runs with its clients and endpoints.
+type environment struct {
+	plan      scenario
 	network   *memoryNetwork
 	proxy     *proxy.Proxy
 	routes    atomic.Pointer[proxy.Routes]
 	endpoints []*endpoint
 	clients   []*client
 	requests  map[string]*requestScript
-	stores    *stores
+	stores    *fakeStores
 	running   sync.WaitGroup
 
-	mutex sync.Mutex
-	runs  []*run
-	gone  map[int]bool // endpoints that aren't listed
+	mutex    sync.Mutex
+	runs     []*endpointAttempt
+	unlisted map[int]bool // endpoints that aren't listed
 }
 
-// play runs a plan and returns the world with all that happened in it.
-func play(t *testing.T, p plan) (w *world) {
+// runScenario runs a scenario and returns the environment with all that happened in it.
+func runScenario(t *testing.T, p scenario) (w *environment) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w = newWorld(t, p)
+		w = newEnvironment(t, p)
 		w.run(t)
 	})
 	return w
 }
 
-func newWorld(t *testing.T, p plan) *world {
-	w := &world{plan: p, network: newMemoryNetwork(), requests: make(map[string]*requestScript), gone: make(map[int]bool)}
-	w.stores = &stores{world: w, asked: make(map[string]bool), ends: make(map[string][]program.EndTurn)}
+func newEnvironment(t *testing.T, p scenario) *environment {
+	w := &environment{plan: p, network: newMemoryNetwork(), requests: make(map[string]*requestScript), unlisted: make(map[int]bool)}
+	w.stores = &fakeStores{environment: w, attempted: make(map[string]bool), committed: make(map[string][]program.EndTurn)}
 	for _, requests := range p.clients {
-		w.clients = append(w.clients, &client{world: w, requests: requests})
+		w.clients = append(w.clients, &client{env: w, requests: requests})
 		for _, request := range requests {
 			w.requests[request.id] = request
 		}
 	}
 	for i := range endpointCount {
-		e := &endpoint{id: fmt.Sprint("e", i), address: fmt.Sprintf("10.0.1.%d:80", i+1), world: w}
+		e := &endpoint{id: fmt.Sprint("e", i), address: fmt.Sprintf("10.0.1.%d:80", i+1), env: w}
 		e.listener, _ = w.network.Listen(context.Background(), nil, "tcp4", e.address)
 		w.endpoints = append(w.endpoints, e)
 		w.running.Go(e.serve)
@@ -121,7 +121,7 @@
 		Limits:   model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: int64(2000 + number)},
 	}
 	for _, kind := range []routeKind{safeRoute, onceRoute, streamRoute, resumeRoute, turnRoute} {
-		route := model.Route{Name: string(kind), Host: "a.example", PathPrefix: "/" + string(kind) + "/", Service: "service", MaxAttempts: tries,
+		route := model.Route{Name: string(kind), Host: "a.example", PathPrefix: "/" + string(kind) + "/", Service: "service", MaxAttempts: maxAttempts,
 			TimeoutMs: 3000, LatencyTargetMs: 200, Resumable: kind == resumeRoute, Stateful: kind == turnRoute, RetentionS: 60}
 		switch {
 		case kind.streaming():
@@ -137,7 +137,7 @@
 }
 
 // run lets everything happen, and then ends it.
-func (w *world) run(t *testing.T) {
+func (w *environment) run(t *testing.T) {
 	var clients sync.WaitGroup
 	for _, c := range w.clients {
 		clients.Go(c.run)
@@ -145,12 +145,12 @@
 	for _, event := range w.plan.events {
 		clients.Go(func() {
 			time.Sleep(event.at)
-			w.happen(t, event)
+			w.apply(t, event)
 		})
 	}
 	clients.Wait()
 	time.Sleep(settleTime)
-	w.shutDown(t)
+	w.shutdownProxy(t)
 	for _, e := range w.endpoints {
 		e.listener.Close()
 	}
@@ -163,18 +163,18 @@
 	w.running.Wait()
 }
 
-func (w *world) happen(t *testing.T, event worldEvent) {
+func (w *environment) apply(t *testing.T, event scenarioEvent) {
 	switch event.kind {
 	case newConfiguration:
 		w.routes.Store(proxy.NewRoutes(configuration(2 + event.endpoint)))
-	case endpointGone, endpointBack:
+	case endpointUnlisted, endpointBack:
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.gone[event.endpoint] = event.kind == endpointGone
+		w.unlisted[event.endpoint] = event.kind == endpointUnlisted
 	case drain:
 		w.proxy.Drain()
 	case shutdown:
-		w.shutDown(t)
+		w.shutdownProxy(t)
 	case crash:
 		w.endpoints[event.endpoint].crash()
 	case kill:
@@ -182,7 +182,7 @@
 	}
 }
 
-func (w *world) shutDown(t *testing.T) {
+func (w *environment) shutdownProxy(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
 	defer cancel()
 	if err := w.proxy.Shutdown(ctx); err != nil {
@@ -190,8 +190,8 @@
 	}
 }
 
-// begin notes that an endpoint has the head of a request. It returns nil for one that no client sent.
-func (w *world) begin(current run, header textproto.MIMEHeader) *run {
+// attemptStarted records that an endpoint has the head of a request. It returns nil for one that no client sent.
+func (w *environment) attemptStarted(current endpointAttempt, header textproto.MIMEHeader) *endpointAttempt {
 	current.request = w.requests[header.Get("X-Attempt-Id")]
 	if current.request == nil {
 		return nil
@@ -200,25 +200,25 @@
 	defer w.mutex.Unlock()
 	for _, other := range w.runs {
 		if other.request == current.request {
-			current.send++
+			current.index++
 		}
 	}
-	if current.script().anew {
-		current.after = 0
+	if current.script().fromFirstEvent {
+		current.lastEvent = 0
 	}
 	w.runs = append(w.runs, &current)
 	return &current
 }
 
-// wrote notes that an endpoint has written all of an answer that it was to write.
-func (w *world) wrote(current *run) {
+// responseWritten records that an endpoint has written all of a response that it was to write.
+func (w *environment) responseWritten(current *endpointAttempt) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	current.written = true
 }
 
-// end notes that an endpoint has nothing more to do for a request.
-func (w *world) end(current *run) {
+// attemptEnded records that an endpoint has nothing more to do for a request.
+func (w *environment) attemptEnded(current *endpointAttempt) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if current.done.IsZero() {
@@ -227,24 +227,24 @@
 }
 
 // Routes implements proxy.Views.
-func (w *world) Routes() *proxy.Routes { return w.routes.Load() }
+func (w *environment) Routes() *proxy.Routes { return w.routes.Load() }
 
 // Ready implements proxy.Views.
-func (w *world) Ready() bool { return true }
+func (w *environment) Ready() bool { return true }
 
 // Select implements proxy.Selector: a request goes round the endpoints that are listed, from one that its id tells.
-func (w *world) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
+func (w *environment) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for i := range endpointCount {
 		number := (firstEndpoint(facts.AttemptID) + i) % endpointCount
 		e := w.endpoints[number]
-		if w.gone[number] || slices.Contains(facts.Excluded, e.id) {
+		if w.unlisted[number] || slices.Contains(facts.Excluded, e.id) {
 			continue
 		}
 		choice := proxy.Selection{ID: e.id, Address: e.address, MaxConnections: w.plan.maxConnections}
-		if request := w.requests[facts.AttemptID]; request != nil && request.route.repeatable() {
-			choice.Timeout = request.timeout
+		if request := w.requests[facts.AttemptID]; request != nil && request.route.retryable() {
+			choice.Timeout = request.attemptTimeout
 		}
 		return choice, nil
 	}
@@ -259,7 +259,7 @@
 }
 
 // FirstEvent implements proxy.Selector.
-func (w *world) FirstEvent(proxy.Selection, string) {}
+func (w *environment) FirstEvent(proxy.Selection, string) {}
 
 // Done implements proxy.Selector.
-func (w *world) Done(proxy.Selection, proxy.Outcome) {}
+func (w *environment) Done(proxy.Selection, proxy.Outcome) {}
--- a/internal/tier/exchangetest/memory_test.go
+++ b/internal/tier/exchangetest/memory_network_test.go
@@ -1,5 +1,9 @@
-// Package exchangetest plays clients and endpoints around the real proxy, over connections in memory and in virtual time, by
-// scripts of bytes, splits, delays and ends. An oracle that sees every byte on every connection says whom it belongs to.
+// Package exchangetest runs scripted clients and endpoints around the real proxy, over connections in memory and in virtual time.
+//
+// A scenario says byte by byte what each client, endpoint and store does: splits, delays, disconnects, late and second responses.
+// After a run the oracle reads every byte on every connection and checks the invariants of package proxy: whose bytes each are,
+// how often each request was sent, and whether a response that broke off looks incomplete. Scenarios come from seeds
+// (TestCampaign), from the fuzzer, or try one thing at each byte (boundary_test.go). Everything here is test code.
 package exchangetest
 
 import (
@@ -26,11 +30,11 @@
 
 // memoryNetwork is a network in memory. Dial and the front address are the proxy's.
 type memoryNetwork struct {
-	mutex     sync.Mutex
-	listeners map[string]*memoryListener
-	fronts    []*memoryConn // the proxy's sides of its connections to clients
-	backs     []*memoryConn // and to endpoints
-	killed    bool
+	mutex         sync.Mutex
+	listeners     map[string]*memoryListener
+	clientSides   []*memoryConn // the proxy's sides of its connections to clients
+	endpointSides []*memoryConn // and to endpoints
+	killed        bool
 }
 
 func newMemoryNetwork() *memoryNetwork {
@@ -61,15 +65,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if !m.keep(&m.backs, conn) {
+	if !m.track(&m.endpointSides, conn) {
 		conn.Close()
 		return nil, syscall.ECONNABORTED
 	}
 	return conn, nil
 }
 
-// keep notes one of the proxy's sockets. It returns false if the proxy has been killed.
-func (m *memoryNetwork) keep(list *[]*memoryConn, conn *memoryConn) bool {
+// track records one of the proxy's sockets. It returns false if the proxy has been killed.
+func (m *memoryNetwork) track(list *[]*memoryConn, conn *memoryConn) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	*list = append(*list, conn)
@@ -80,7 +84,7 @@
 func (m *memoryNetwork) kill() {
 	m.mutex.Lock()
 	m.killed = true
-	conns := append(slices.Clone(m.fronts), m.backs...)
+	conns := append(slices.Clone(m.clientSides), m.endpointSides...)
 	m.mutex.Unlock()
 	for _, conn := range conns {
 		conn.Close()
@@ -102,7 +106,7 @@
 		return nil, syscall.ECONNREFUSED
 	}
 	near, far := newConnPair(l.address)
-	if address == frontAddress && !m.keep(&m.fronts, far) {
+	if address == frontAddress && !m.track(&m.clientSides, far) {
 		return nil, syscall.ECONNREFUSED
 	}
 	select {
@@ -156,25 +160,25 @@
 
 // inbound is what comes in at one side of a connection.
 type inbound struct {
-	onTheWay int    // bytes sent and not arrived
-	unread   []byte // bytes arrived and not read
-	finished bool   // the other side's orderly end has arrived
-	reset    bool   // a reset has arrived
+	inTransit int    // bytes sent and not arrived
+	unread    []byte // bytes arrived and not read
+	closed    bool   // the other side's orderly end has arrived
+	reset     bool   // a reset has arrived
 
-	tap      []byte    // every byte that ever arrived
+	received []byte    // every byte that ever arrived
 	arrivals []arrival // when its parts arrived
-	ended    time.Time // when the end or the reset arrived; zero: not yet
+	endedAt  time.Time // when the end or the reset arrived; zero: not yet
 }
 
 // memoryConn is one side of a connection. It behaves as TCP does on Linux: bytes that arrived before a reset can still be
-// read, a close with unread bytes is a reset, and so is the answer to bytes that arrive after a close.
+// read, a close with unread bytes is a reset, and so is the response to bytes that arrive after a close.
 type memoryConn struct {
-	mutex  *sync.Mutex // of both sides
-	change *sync.Cond
-	local  net.Addr
-	peer   *memoryConn
-	in     inbound
-	way    []func() // what is on the way to this side
+	mutex      *sync.Mutex // of both sides
+	change     *sync.Cond
+	local      net.Addr
+	peer       *memoryConn
+	in         inbound
+	deliveries []func() // what is on the way to this side
 
 	closed        bool
 	writeClosed   bool
@@ -192,28 +196,28 @@
 	return near, far
 }
 
-// after brings about a change at this side once the time for the way is over, in the order in which they were sent. The caller
+// schedule brings about a change at this side once the time for the way is over, in the order in which they were sent. The caller
 // holds the mutex.
-func (c *memoryConn) after(change func()) {
-	c.way = append(c.way, change)
+func (c *memoryConn) schedule(change func()) {
+	c.deliveries = append(c.deliveries, change)
 	time.AfterFunc(latency, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		first := c.way[0]
-		c.way = c.way[1:]
+		first := c.deliveries[0]
+		c.deliveries = c.deliveries[1:]
 		first()
 		c.change.Broadcast()
 	})
 }
 
-// arrive takes bytes that have come the whole way. The caller holds the mutex.
+// arrive takes bytes that have come all the way. The caller holds the mutex.
 func (c *memoryConn) arrive(data []byte) {
-	c.in.onTheWay -= len(data)
+	c.in.inTransit -= len(data)
 	if c.in.reset {
 		return
 	}
-	c.in.arrivals = append(c.in.arrivals, arrival{time.Now(), len(c.in.tap)})
-	c.in.tap = append(c.in.tap, data...)
+	c.in.arrivals = append(c.in.arrivals, arrival{time.Now(), len(c.in.received)})
+	c.in.received = append(c.in.received, data...)
 	if c.closed {
 		c.sendReset()
 		return
@@ -228,10 +232,10 @@
 
 // endLater brings about an end at this side after the time for the way. The caller holds the mutex.
 func (c *memoryConn) endLater(end func(*inbound)) {
-	c.after(func() {
+	c.schedule(func() {
 		end(&c.in)
-		if c.in.ended.IsZero() {
-			c.in.ended = time.Now()
+		if c.in.endedAt.IsZero() {
+			c.in.endedAt = time.Now()
 		}
 	})
 }
@@ -244,7 +248,7 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case expired(c.readDeadline):
+		case hasPassed(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		case len(c.in.unread) > 0:
 			n := copy(buffer, c.in.unread)
@@ -253,7 +257,7 @@
 			return n, nil
 		case c.in.reset:
 			return 0, syscall.ECONNRESET
-		case c.in.finished:
+		case c.in.closed:
 			return 0, io.EOF
 		}
 		c.change.Wait()
@@ -268,12 +272,12 @@
 		switch {
 		case c.closed || c.writeClosed:
 			return written, net.ErrClosed
-		case expired(c.writeDeadline):
+		case hasPassed(c.writeDeadline):
 			return written, os.ErrDeadlineExceeded
 		case c.in.reset:
 			return written, syscall.EPIPE
 		}
-		room := windowBytes - c.peer.in.onTheWay - len(c.peer.in.unread)
+		room := windowBytes - c.peer.in.inTransit - len(c.peer.in.unread)
 		if room <= 0 {
 			c.change.Wait()
 			continue
@@ -281,8 +285,8 @@
 		part := bytes.Clone(data[:min(room, len(data))])
 		data = data[len(part):]
 		written += len(part)
-		c.peer.in.onTheWay += len(part)
-		c.peer.after(func() { c.peer.arrive(part) })
+		c.peer.in.inTransit += len(part)
+		c.peer.schedule(func() { c.peer.arrive(part) })
 	}
 	return written, nil
 }
@@ -306,7 +310,7 @@
 		return nil
 	}
 	if !c.writeClosed {
-		c.peer.endLater(func(in *inbound) { in.finished = true })
+		c.peer.endLater(func(in *inbound) { in.closed = true })
 	}
 	return nil
 }
@@ -317,7 +321,7 @@
 	defer c.mutex.Unlock()
 	if !c.closed && !c.writeClosed {
 		c.writeClosed = true
-		c.peer.endLater(func(in *inbound) { in.finished = true })
+		c.peer.endLater(func(in *inbound) { in.closed = true })
 	}
 	return nil
 }
@@ -340,7 +344,7 @@
 func (c *memoryConn) Idle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.closed && len(c.in.unread) == 0 && !c.in.reset && !c.in.finished
+	return !c.closed && len(c.in.unread) == 0 && !c.in.reset && !c.in.closed
 }
 
 // peekUntil waits until the unread bytes hold the mark, and returns them up to its end. It returns nil if they never will.
@@ -351,15 +355,15 @@
 		if before, _, found := bytes.Cut(c.in.unread, []byte(mark)); found {
 			return bytes.Clone(c.in.unread[:len(before)+len(mark)])
 		}
-		if c.closed || c.in.reset || c.in.finished {
+		if c.closed || c.in.reset || c.in.closed {
 			return nil
 		}
 		c.change.Wait()
 	}
 }
 
-// seen is a copy of what came in at one side.
-func (c *memoryConn) seen() inbound {
+// snapshot is a copy of what came in at one side.
+func (c *memoryConn) snapshot() inbound {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.in
@@ -400,4 +404,4 @@
 	}
 }
 
-func expired(deadline time.Time) bool { return !deadline.IsZero() && time.Until(deadline) <= 0 }
+func hasPassed(deadline time.Time) bool { return !deadline.IsZero() && time.Until(deadline) <= 0 }
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -18,27 +18,27 @@
 // FuzzAnswerBytes has an endpoint answer with any bytes. A success reaches the client only with its request's id and a seal, a request
 // that runs once is sent again only after a promise, and the next request gets its own answer.
 func FuzzAnswerBytes(f *testing.F) {
-	for _, kind := range []answerKind{success, chunked, unframed, informational, failure, rejected, notRun, misdirected, withoutID, foreign, unsealed} {
-		request := newRequest(onceRoute, 0, whole(kind, 2))
-		request.id = sameEndpoint(0)
-		answer := run{request: request, endpoint: "e0"}.answer()
-		f.Add(answer, byte(stay))
-		f.Add(append(answer, answer...), byte(finish))
-		f.Add(answer[:len(answer)-1], byte(reset))
+	for _, kind := range []responseKind{success, chunked, closeDelimited, informational, failure, rejected, notRun, misdirected, withoutID, foreign, unsealed} {
+		request := newRequest(onceRoute, 0, completeScript(kind, 2))
+		request.id = idForFirstEndpoint(0)
+		answer := endpointAttempt{request: request, endpoint: "e0"}.answer()
+		f.Add(answer, byte(keepOpen))
+		f.Add(append(answer, answer...), byte(orderlyClose))
+		f.Add(answer[:len(answer)-1], byte(resetClose))
 	}
 	f.Fuzz(func(t *testing.T, answer []byte, end byte) {
 		for _, route := range []routeKind{onceRoute, safeRoute, resumeRoute} {
-			raw := whole(rawBytes, 0)
+			raw := completeScript(rawBytes, 0)
 			raw.raw, raw.end = answer, ending(end%4)
-			first, second := newRequest(route, 0, raw, whole(success, 2)), newRequest(safeRoute, 1, whole(success, 2))
-			first.id, second.id = sameEndpoint(0), sameEndpoint(1)
-			judgeRaw(t, play(t, plan{clients: [][]*requestScript{{first, second}}}), answer)
+			first, second := newRequest(route, 0, raw, completeScript(success, 2)), newRequest(safeRoute, 1, completeScript(success, 2))
+			first.id, second.id = idForFirstEndpoint(0), idForFirstEndpoint(1)
+			judgeRaw(t, runScenario(t, scenario{clients: [][]*requestScript{{first, second}}}), answer)
 		}
 	})
 }
 
-// judgeRaw judges a world whose first request was answered with any bytes.
-func judgeRaw(t *testing.T, w *world, answer []byte) {
+// judgeRaw judges an environment whose first request was answered with any bytes.
+func judgeRaw(t *testing.T, w *environment, answer []byte) {
 	t.Helper()
 	results := w.clients[0].results
 	first, second := results[0], results[1]
@@ -52,7 +52,7 @@
 			sends++
 		}
 	}
-	if !first.request.route.repeatable() && sends > 1 && !promise {
+	if !first.request.route.retryable() && sends > 1 && !promise {
 		t.Errorf("sent %d times after %q", sends, answer)
 	}
 	if !second.complete() || second.status != 200 || second.header.Get("X-Attempt-Id") != second.request.id {
@@ -77,14 +77,14 @@
 		f.Add(request.wire()[:len(request.wire())-1])
 	}
 	head := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: x\r\n"
-	f.Add([]byte(head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + string(inChunks(inner, 1))))
+	f.Add([]byte(head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + string(chunkBody(inner, 1))))
 	f.Add([]byte(head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcd" + string(inner)))
 	f.Add([]byte(head + "Connection: X-Attempt-Id, Content-Length\r\nContent-Length: 4\r\n\r\nabcd"))
 	f.Add([]byte("POST /00000 HTTP/1.1\nHost:0\nContent-Length:4\n\n0000\n0 /once/ HTTP/1.0\nHost:A.eXAmple\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var arrived [][]byte
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, plan{})
+			w := newEnvironment(t, scenario{})
 			conn, err := w.network.dial(context.Background(), frontAddress)
 			if err != nil {
 				t.Fatal(err)
@@ -96,7 +96,7 @@
 			w.run(t)
 			for _, e := range w.endpoints {
 				for _, conn := range e.connections() {
-					arrived = append(arrived, conn.seen().tap)
+					arrived = append(arrived, conn.snapshot().received)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -0,0 +1,160 @@
+package exchangetest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// drawSource is where the numbers of a scenario come from: a seed, or the bytes that a fuzzer tries.
+type drawSource struct {
+	random *rand.Rand
+	data   []byte
+}
+
+func seeded(seed uint64) *drawSource { return &drawSource{random: rand.New(rand.NewPCG(seed, 1))} }
+
+// below returns a number from 0 to limit-1; 0 once the bytes are used up.
+func (s *drawSource) below(limit int) int {
+	if s.random != nil {
+		return s.random.IntN(limit)
+	}
+	number := 0
+	for range 2 {
+		if len(s.data) > 0 && (number == 0 || limit > 256) {
+			number = number<<8 | int(s.data[0])
+			s.data = s.data[1:]
+		}
+	}
+	return number % limit
+}
+
+// one tells whether a thing happens that happens once in so many times.
+func (s *drawSource) one(in int) bool { return s.below(in) == in-1 }
+
+// upTo returns a time of full milliseconds.
+func (s *drawSource) upTo(milliseconds int) time.Duration {
+	return time.Duration(s.below(milliseconds+1)) * time.Millisecond
+}
+
+// oneOf returns one of several values.
+func oneOf[T any](s *drawSource, values ...T) T { return values[s.below(len(values))] }
+
+// drawScenario draws a complete scenario. In one of eight the endpoints and the clients cause no fault.
+func drawScenario(s *drawSource) scenario {
+	troubled := !s.one(8)
+	p := scenario{faultFree: !troubled}
+	if troubled {
+		p.maxConnections = oneOf(s, 0, 0, 2)
+	}
+	for client := range 1 + s.below(3) {
+		var requests []*requestScript
+		for number := range 1 + s.below(4) {
+			requests = append(requests, drawRequest(s, fmt.Sprintf("r%d-%d", client, number), troubled))
+		}
+		for i := range requests[1:] {
+			requests[i].pipelined = s.one(6) && !requests[i].http10 && !requests[i].disconnects() && !requests[i+1].disconnects()
+		}
+		p.clients = append(p.clients, requests)
+	}
+	for range s.below(3) {
+		event := scenarioEvent{at: s.upTo(120), kind: scenarioEventKind(s.below(int(eventKinds))), endpoint: s.below(endpointCount)}
+		if troubled || event.kind < crash {
+			p.events = append(p.events, event)
+		}
+	}
+	return p
+}
+
+func drawRequest(s *drawSource, id string, troubled bool) *requestScript {
+	r := &requestScript{
+		id:         id,
+		route:      oneOf(s, onceRoute, onceRoute, safeRoute, resumeRoute, resumeRoute, streamRoute, turnRoute),
+		method:     oneOf(s, "POST", "GET", "GET", "HEAD"),
+		startDelay: s.upTo(40),
+		sendLimit:  -1,
+		timeLeft:   time.Duration(oneOf(s, 1000, 1000, 300)) * time.Millisecond,
+	}
+	if r.method == "POST" {
+		r.size = oneOf(s, 0, 1, 20, 3000, 40_000, 200_000)
+		r.http10 = s.one(8)
+		if r.size > 0 && !r.http10 {
+			r.chunks = oneOf(s, 0, 0, 1, 3)
+		}
+	}
+	if r.route == turnRoute {
+		r.chain = oneOf(s, 0, 300, 50_000)
+	}
+	r.split, r.pause = s.below(200), s.upTo(10)
+	if !troubled {
+		r.timeLeft = time.Second
+		r.attempts = []attemptScript{drawFaultFreeAttempt(s, r)}
+		return r
+	}
+	if s.one(6) {
+		r.disconnect, r.disconnectDelay = oneOf(s, orderlyClose, resetClose, halfClose), s.upTo(60)
+		if s.one(3) {
+			r.sendLimit = s.below(len(r.wire()))
+		}
+	}
+	if s.one(2) {
+		r.beginResult, r.endResult = oneOf(s, turnAccepted, turnAccepted, turnAccepted, beginKind(s.below(int(beginKinds)))), endKind(s.below(int(endKinds)))
+	}
+	if s.one(8) {
+		r.readStall = s.upTo(1500)
+	}
+	r.attemptTimeout = time.Duration(oneOf(s, 0, 0, 20)) * time.Millisecond
+	for range 1 + s.below(3) {
+		if s.one(3) {
+			r.attempts = append(r.attempts, drawFaultFreeAttempt(s, r))
+			continue
+		}
+		r.attempts = append(r.attempts, drawAttempt(s, r))
+	}
+	return r
+}
+
+// drawFaultFreeAttempt draws an attempt that goes well.
+func drawFaultFreeAttempt(s *drawSource, r *requestScript) attemptScript {
+	script := completeScript(oneOf(s, success, success, chunked, informational, closeDelimited), 0)
+	script.size = drawSize(s, r)
+	script.delay, script.split, script.pause = s.upTo(20), s.below(300), s.upTo(10)
+	return script
+}
+
+// drawSize draws the bytes of a response, or the events of a stream.
+func drawSize(s *drawSource, r *requestScript) int {
+	if r.route.streaming() {
+		return oneOf(s, 3, 1, 8, 0)
+	}
+	return oneOf(s, 10, 0, 1, 5000, 40_000, 200_000)
+}
+
+// drawAttempt draws what becomes of an attempt.
+func drawAttempt(s *drawSource, r *requestScript) attemptScript {
+	script := drawFaultFreeAttempt(s, r)
+	if s.one(2) {
+		script.kind = responseKind(s.below(int(answerKinds)))
+	}
+	script.fromFirstEvent = s.one(8)
+	if r.size > 0 && s.one(3) {
+		script.early, script.readOnDelay = true, s.upTo(60)
+	}
+	troubles := 6
+	if r.route == resumeRoute {
+		troubles = 3 // broken off more often, so that many streams are resumed
+		script.size = 8
+	}
+	switch s.below(troubles) {
+	case 0:
+		script.readLimit, script.end = s.below(r.size+200), oneOf(s, resetClose, orderlyClose, halfClose)
+	case 1, 2:
+		length := len(endpointAttempt{request: &requestScript{id: r.id, route: r.route, method: r.method, attempts: []attemptScript{script}}}.answer())
+		script.breakAfter, script.end = s.below(length+1), oneOf(s, orderlyClose, resetClose, halfClose)
+	case 3:
+		script.end, script.endDelay = oneOf(s, orderlyClose, resetClose, halfClose), s.upTo(30)
+	case 4:
+		script.secondResponse, script.secondDelay = script.kind != closeDelimited, s.upTo(30)
+	}
+	return script
+}
--- a/internal/tier/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -18,65 +18,65 @@
 
 var errStores = errors.New("the stores can't be reached")
 
-// stores plays the stores by the scripts of the turns.
-type stores struct {
-	world *world
+// fakeStores runs the stores by the scripts of the turns.
+type fakeStores struct {
+	environment *environment
 
-	mutex  sync.Mutex
-	asked  map[string]bool              // turns whose end was told once
-	ends   map[string][]program.EndTurn // of each turn, as told and taken
-	faults []string
+	mutex     sync.Mutex
+	attempted map[string]bool              // turns whose end was sent once
+	committed map[string][]program.EndTurn // of each turn, as told and taken
+	faults    []string
 }
 
 // Begin implements proxy.Programs.
-func (s *stores) Begin(ctx context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
-	request := s.world.requests[turn.Turn]
-	if err := wait(ctx, storeDelay); err != nil {
+func (s *fakeStores) Begin(ctx context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
+	request := s.environment.requests[turn.Turn]
+	if err := sleepContext(ctx, storeDelay); err != nil {
 		return program.Result{}, err
 	}
 	if !bytes.Equal(turn.Input, request.body()) {
 		s.fault("UNASKED " + request.id + ": the stores were told another input")
 	}
-	switch request.begin {
-	case spent:
+	switch request.beginResult {
+	case budgetExhausted:
 		return program.Result{Verdict: program.BudgetExceeded}, nil
-	case noTurn:
+	case turnNotFound:
 		return program.Result{Verdict: program.TurnNotFound}, nil
-	case noStores:
+	case storesUnavailable:
 		return program.Result{}, errStores
 	}
-	return program.Result{Verdict: program.Accepted, Chain: request.passedOn()[:request.chain]}, nil
+	return program.Result{Verdict: program.Accepted, Chain: request.forwardedBody()[:request.chain]}, nil
 }
 
 // End implements proxy.Programs.
-func (s *stores) End(ctx context.Context, _ string, turn program.EndTurn) (program.Result, error) {
-	request := s.world.requests[turn.Turn]
+func (s *fakeStores) End(ctx context.Context, _ string, turn program.EndTurn) (program.Result, error) {
+	request := s.environment.requests[turn.Turn]
 	delay := storeDelay
-	if request.end == lateSafe {
+	if request.endResult == commitDelayed {
 		delay = lateDelay
 	}
-	if err := wait(ctx, delay); err != nil {
+	if err := sleepContext(ctx, delay); err != nil {
 		return program.Result{}, err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := !s.asked[turn.Turn]
-	s.asked[turn.Turn] = true
+	first := !s.attempted[turn.Turn]
+	s.attempted[turn.Turn] = true
 	switch {
-	case request.end == unsafe || request.end == failed && first:
+	case request.endResult == commitNeverArrives || request.endResult == firstCommitFails && first:
 		return program.Result{}, errStores
-	case request.end == unknown:
+	case request.endResult == commitUnknown:
 		return program.Result{Verdict: program.UnknownTurn}, nil
 	}
-	s.ends[turn.Turn] = append(s.ends[turn.Turn], turn)
-	if request.end == lostSafe && first {
+	s.committed[turn.Turn] = append(s.committed[turn.Turn], turn)
+	if request.endResult == firstCommitAckLost && first {
 		return program.Result{}, errStores
 	}
 	return program.Result{Verdict: program.Accepted}, nil
 }
 
-// wait sleeps for a time, or until the context ends.
-func wait(ctx context.Context, delay time.Duration) error {
+// sleepContext sleeps for a time, or until the context ends.
+func sleepContext(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -87,18 +87,18 @@
 	}
 }
 
-func (s *stores) fault(text string) {
+func (s *fakeStores) fault(text string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = append(s.faults, text)
 }
 
-// ended returns what the stores took first as the end of a turn.
-func (s *stores) ended(id string) (end program.EndTurn, taken bool) {
+// firstCommit returns what the stores took first as the end of a turn.
+func (s *fakeStores) firstCommit(id string) (end program.EndTurn, taken bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.ends[id]) == 0 {
+	if len(s.committed[id]) == 0 {
 		return end, false
 	}
-	return s.ends[id][0], true
+	return s.committed[id][0], true
 }
