--- a/internal/tier/platformlist/fetch.go
+++ b/internal/tier/platformlist/client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,35 +14,17 @@
 	"mastusher/internal/tier/network"
 )
 
-// StatusError is an answer of the platform other than 200.
-type StatusError struct {
-	Status     int
-	RetryAfter time.Duration // 0 if none was given
-}
-
-// Error names the status.
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("list of endpoints: the platform answered %d", e.Status)
-}
-
-// UnreachableError says that a call to the platform brought no answer in time.
-type UnreachableError struct {
-	Cause error
-}
-
-// Error names the cause.
-func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("list of endpoints: the platform isn't reached: %v", e.Cause)
-}
-
-// Unwrap returns the cause.
-func (e *UnreachableError) Unwrap() error { return e.Cause }
-
-// errPageTooLong means that a page is over its bound.
-var errPageTooLong = errors.New("list of endpoints: a page is too long")
+// Bounds of one call.
+const (
+	callTimeout    = 2 * time.Second
+	maxPageBytes   = 8 << 20
+	maxHeaderBytes = 64 << 10
+	maxDrainBytes  = 64 << 10 // of an unwanted response body, read so that its connection can be reused
+	maxRetryAfter  = 5 * time.Second
+)
 
-// connection holds one connection to the platform. http.Client isn't used, since its transport sends a request again by
-// itself when a connection that has rested turns out to be closed, and that call would escape the pace.
+// connection is one reusable connection to the platform. http.Client must not be used: its transport repeats a request by itself
+// when an idle connection turns out to be closed, and that call would escape the rate limit.
 type connection struct {
 	address   string
 	transport http.Transport
@@ -89,19 +70,12 @@
 	}
 }
 
-// fetch asks for one page.
+// fetch gets one page; an empty token stands for the first one. Its errors are UnreachableError, StatusError, ErrPageTooLarge,
+// ErrMalformedPage, or of reading the body.
 func (r *Reader) fetch(ctx context.Context, token string) (page, error) {
-	query := url.Values{}
-	if r.options.Zone != "" {
-		query.Set("zone", r.options.Zone)
-	}
-	if token != "" {
-		query.Set("pageToken", token)
-	}
-	target := url.URL{Scheme: "http", Host: r.options.Address, Path: "/servers", RawQuery: query.Encode()}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.pageURL(token), nil)
 	if err != nil {
 		return page{}, err
 	}
@@ -112,31 +86,43 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.CopyN(io.Discard, response.Body, maxDrainBytes)
-		return page{}, &StatusError{Status: response.StatusCode, RetryAfter: retryAfter(response.Header)}
+		return page{}, &StatusError{Status: response.StatusCode, RetryAfter: parseRetryAfter(response.Header)}
 	}
 	return decodePage(response.Body)
 }
 
+func (r *Reader) pageURL(token string) string {
+	query := url.Values{}
+	if r.options.Zone != "" {
+		query.Set("zone", r.options.Zone)
+	}
+	if token != "" {
+		query.Set("pageToken", token)
+	}
+	target := url.URL{Scheme: "http", Host: r.options.Address, Path: "/servers", RawQuery: query.Encode()}
+	return target.String()
+}
+
 func decodePage(body io.Reader) (page, error) {
 	text, err := io.ReadAll(io.LimitReader(body, maxPageBytes+1))
 	if err != nil {
 		return page{}, err
 	}
 	if len(text) > maxPageBytes {
-		return page{}, errPageTooLong
+		return page{}, ErrPageTooLarge
 	}
-	var answer page
-	if err := json.Unmarshal(text, &answer); err != nil {
-		return page{}, fmt.Errorf("list of endpoints: a page can't be read: %w", err)
+	var decoded page
+	if err := json.Unmarshal(text, &decoded); err != nil {
+		return page{}, fmt.Errorf("%w: %w", ErrMalformedPage, err)
 	}
-	if answer.Servers == nil {
-		return page{}, errors.New("list of endpoints: a page without servers")
+	if decoded.Servers == nil {
+		return page{}, fmt.Errorf("%w: servers: missing", ErrMalformedPage)
 	}
-	return answer, nil
+	return decoded, nil
 }
 
-// retryAfter reads seconds, fractions too, within a bound.
-func retryAfter(header http.Header) time.Duration {
+// parseRetryAfter reads seconds, fractions too, up to maxRetryAfter; 0 if there are none.
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
@@ -144,5 +130,5 @@
 	if seconds > maxRetryAfter.Seconds() {
 		return maxRetryAfter
 	}
-	return time.Duration(seconds * nanosecondsFloatS)
+	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/tier/platformlist/clock.go
+++ b/internal/tier/platformlist/clock.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Clock tells the time and waits.
+// Clock is a steady clock with a timer. Tests replace it by virtual time.
 type Clock interface {
 	Now() time.Time
-	// Sleep waits, or gives the context's error when that ends first.
-	Sleep(ctx context.Context, pause time.Duration) error
+	// Sleep waits for the delay, or returns the context's error when that ends first.
+	Sleep(ctx context.Context, delay time.Duration) error
 }
 
 // SystemClock is the machine's steady clock.
 type SystemClock struct{}
 
-// Now gives the time.
+// Now returns the time.
 func (SystemClock) Now() time.Time {
 	return time.Now()
 }
 
 // Sleep waits on a timer.
-func (SystemClock) Sleep(ctx context.Context, pause time.Duration) error {
-	timer := time.NewTimer(pause)
+func (SystemClock) Sleep(ctx context.Context, delay time.Duration) error {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/tier/platformlist/pager.go
+++ b/internal/tier/platformlist/pager.go
@@ -6,29 +6,32 @@
 	"mastusher/internal/tier/model"
 )
 
-// page is one answer of the platform.
+// maxPages bounds the pages of one read.
+const maxPages = 4096
+
+// page is one response of the platform.
 type page struct {
 	Servers   []model.Endpoint `json:"servers"`
-	NextToken *string          `json:"nextToken"`
+	NextToken *string          `json:"nextToken"` // nil or empty: the last page
 }
 
 // pager collects the pages of one read. It is pure.
 type pager struct {
-	token string // of the page to ask for; empty for the first
+	token string // of the next page; empty for the first
 	pages int
 	done  bool
-	found map[string]model.Endpoint
+	found map[string]model.Endpoint // by identifier
 }
 
 func newPager() *pager {
 	return &pager{found: map[string]model.Endpoint{}}
 }
 
-// accept takes the page that was asked for. Endpoints that move between pages may come twice: the later entry is the
-// newer one, except that one seen draining stays so.
-func (p *pager) accept(answer page) error {
+// accept adds the page of the current token. An endpoint that moves between pages may occur twice: the later entry is the newer
+// one, but an endpoint that was once draining stays so. A list without end gives ErrEndlessList.
+func (p *pager) accept(next page) error {
 	p.pages++
-	for _, endpoint := range answer.Servers {
+	for _, endpoint := range next.Servers {
 		if endpoint.ID == "" || endpoint.Address == "" {
 			continue // nothing can be sent to it
 		}
@@ -37,13 +40,13 @@
 		}
 		p.found[endpoint.ID] = endpoint
 	}
-	if answer.NextToken == nil || *answer.NextToken == "" {
+	if next.NextToken == nil || *next.NextToken == "" {
 		p.done = true
 		return nil
 	}
-	if *answer.NextToken == p.token || p.pages >= maxPages {
-		return fmt.Errorf("list of endpoints has no end: page %d leads to %q", p.pages, *answer.NextToken)
+	if *next.NextToken == p.token || p.pages >= maxPages {
+		return fmt.Errorf("%w: page %d leads to %q", ErrEndlessList, p.pages, *next.NextToken)
 	}
-	p.token = *answer.NextToken
+	p.token = *next.NextToken
 	return nil
 }
--- a/internal/tier/platformlist/reader.go
+++ b/internal/tier/platformlist/reader.go
@@ -16,17 +16,20 @@
 	"mastusher/internal/tier/network"
 )
 
-// Options says where the list is and how fast it may be read.
+// maxRestarts bounds the restarts of one read, after pages that the platform no longer knows.
+const maxRestarts = 3
+
+// Options configures a reader.
 type Options struct {
-	Address  string          // host and port of the platform
-	RatePerS float64         // this reader's part of the calls that the platform accepts in a second
-	Zone     string          // only this zone; empty for all
-	Clock    Clock           // SystemClock if nil
-	Seed     uint64          // of the jitter
-	Network  network.Network // nil: the system's
+	Address  string          // host:port of the platform
+	RatePerS float64         // this reader's part of the calls that the platform accepts a second; must be above 0
+	Zone     string          // only endpoints of this zone; default: all zones
+	Clock    Clock           // default: SystemClock
+	Seed     uint64          // of the backoff's jitter
+	Network  network.Network // default: the system's
 }
 
-// Reader reads the whole list. It is used by one goroutine at a time, and remembers nothing from one read to the next.
+// Reader reads the complete list. Reads share nothing but the connection and the rate limit. One goroutine at a time may use it.
 type Reader struct {
 	options    Options
 	connection *connection
@@ -35,10 +38,10 @@
 	random     *rand.Rand
 }
 
-// NewReader gives a reader that has no connection yet.
+// NewReader returns a reader that has no connection yet. Without a rate it fails with ErrNoRate.
 func NewReader(options Options) (*Reader, error) {
 	if !(options.RatePerS > 0) {
-		return nil, fmt.Errorf("list of endpoints: a rate of %v calls a second reads nothing", options.RatePerS)
+		return nil, fmt.Errorf("%w: %v", ErrNoRate, options.RatePerS)
 	}
 	clock := options.Clock
 	if clock == nil {
@@ -58,16 +61,16 @@
 	r.connection.close()
 }
 
-// ReadAll reads all pages and gives every endpoint on them, in the order of their ids. Pages that fail are asked for again,
-// with growing pauses, until ctx ends; then the error wraps the last failure.
+// ReadAll reads all pages and returns every endpoint on them, by identifier. Failed pages are retried with backoff until ctx ends;
+// then the error wraps both the context's error and the last failure.
 func (r *Reader) ReadAll(ctx context.Context) ([]model.Endpoint, error) {
 	pager := newPager()
 	restarts := 0
 	for !pager.done {
-		answer, err := r.page(ctx, pager.token)
+		next, err := r.readPage(ctx, pager.token)
 		switch {
 		case err == nil:
-			err = pager.accept(answer)
+			err = pager.accept(next)
 		case isUnknownPage(err, pager.token) && restarts < maxRestarts:
 			restarts++
 			pager, err = newPager(), nil
@@ -79,50 +82,51 @@
 	return sortedByID(maps.Values(pager.found)), nil
 }
 
-// sortedByID sorts endpoints by their ids.
+// sortedByID sorts endpoints by identifier.
 func sortedByID(endpoints iter.Seq[model.Endpoint]) []model.Endpoint {
 	all := slices.AppendSeq([]model.Endpoint{}, endpoints)
 	slices.SortFunc(all, func(a, b model.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-// page asks for one page until it comes, the platform refuses it for good or ctx ends.
-func (r *Reader) page(ctx context.Context, token string) (page, error) {
+// readPage reads one page, and retries until the platform no longer knows the page or ctx ends.
+func (r *Reader) readPage(ctx context.Context, token string) (page, error) {
 	if err := r.wait(ctx, r.bucket.take(r.clock.Now())); err != nil {
 		return page{}, err
 	}
 	for failures := 1; ; failures++ {
-		answer, err := r.fetch(ctx, token)
+		next, err := r.fetch(ctx, token)
 		if err == nil || isUnknownPage(err, token) {
-			return answer, err
+			return next, err
 		}
-		pause := max(r.pause(failures, err), r.bucket.take(r.clock.Now()))
-		if stopped := r.wait(ctx, pause); stopped != nil {
+		delay := max(r.retryDelay(failures, err), r.bucket.take(r.clock.Now()))
+		if stopped := r.wait(ctx, delay); stopped != nil {
 			return page{}, fmt.Errorf("%w after %w", stopped, err)
 		}
 	}
 }
 
-func (r *Reader) pause(failures int, err error) time.Duration {
-	pause := backoff(failures, r.random.Float64())
+// retryDelay is the backoff after that many failures, or the platform's Retry-After where that is longer.
+func (r *Reader) retryDelay(failures int, err error) time.Duration {
+	delay := backoff(failures, r.random.Float64())
 	var status *StatusError
 	if errors.As(err, &status) {
-		pause = max(pause, status.RetryAfter)
+		delay = max(delay, status.RetryAfter)
 	}
-	return pause
+	return delay
 }
 
-func (r *Reader) wait(ctx context.Context, pause time.Duration) error {
+func (r *Reader) wait(ctx context.Context, delay time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if pause <= 0 {
+	if delay <= 0 {
 		return nil
 	}
-	return r.clock.Sleep(ctx, pause)
+	return r.clock.Sleep(ctx, delay)
 }
 
-// isUnknownPage says whether the platform no longer knows the page, so that the read starts anew.
+// isUnknownPage reports whether the platform no longer knows the page of a token, so that the read must restart.
 func isUnknownPage(err error, token string) bool {
 	var status *StatusError
 	if token == "" || !errors.As(err, &status) {
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -58,6 +58,7 @@
 }
 
 func startPlatform(t *testing.T, pageSize int, list ...model.Endpoint) *platform {
+	t.Helper()
 	stand := &platform{list: list, pageSize: pageSize}
 	stand.Server = httptest.NewUnstartedServer(stand)
 	stand.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -93,6 +94,7 @@
 }
 
 func newTestReader(t *testing.T, stand *platform, clock *steppingClock, ratePerS float64) *Reader {
+	t.Helper()
 	clock.now = time.Unix(1_000_000, 0)
 	reader, err := NewReader(Options{Address: stand.Listener.Addr().String(), RatePerS: ratePerS, Clock: clock})
 	if err != nil {
