--- a/internal/tier/gossip/announce.go
+++ b/internal/tier/gossip/announce.go
@@ -7,29 +7,29 @@
 )
 
 // announce sends the stamps that are new in this Step to a few random members, except those that have announced them all.
-func (s *Gossiper) announce() {
-	if len(s.changedSections) == 0 {
+func (g *Gossiper) announce() {
+	if len(g.changedSections) == 0 {
 		return
 	}
-	digest := make(view.Digest, len(s.changedSections))
-	for _, section := range s.changedSections {
-		digest[section] = s.store.Stamp(section)
+	digest := make(view.Digest, len(g.changedSections))
+	for _, section := range g.changedSections {
+		digest[section] = g.store.Stamp(section)
 	}
-	for _, peer := range s.randomPeers(s.options.Fanout) {
-		s.send(peer, Message{Digest: digest})
+	for _, peer := range g.randomPeers(g.options.Fanout) {
+		g.send(peer, Message{Digest: digest})
 	}
 }
 
 // randomPeers returns up to count different random members that have not announced all changed sections.
-func (s *Gossiper) randomPeers(count int) []string {
+func (g *Gossiper) randomPeers(count int) []string {
 	const drawsPerPeer = 4
 	chosen := make([]string, 0, count)
 	for range drawsPerPeer * count {
-		if len(chosen) == count || len(s.peers) == 0 {
+		if len(chosen) == count || len(g.peers) == 0 {
 			break
 		}
-		peer := s.peers[s.random.IntN(len(s.peers))]
-		if !slices.Contains(chosen, peer) && !s.hasAnnouncedChanges(peer) {
+		peer := g.peers[g.random.IntN(len(g.peers))]
+		if !slices.Contains(chosen, peer) && !g.hasAnnouncedChanges(peer) {
 			chosen = append(chosen, peer)
 		}
 	}
@@ -37,9 +37,9 @@
 }
 
 // hasAnnouncedChanges reports whether a member has announced everything that is new in this Step.
-func (s *Gossiper) hasAnnouncedChanges(peer string) bool {
-	for _, section := range s.changedSections {
-		if !s.fetcher.hasAnnounced(section, s.store.Stamp(section), peer) {
+func (g *Gossiper) hasAnnouncedChanges(peer string) bool {
+	for _, section := range g.changedSections {
+		if !g.fetcher.hasAnnounced(section, g.store.Stamp(section), peer) {
 			return false
 		}
 	}
--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -137,16 +137,16 @@
 }
 
 // handleFetchResult applies the updates of a fetch. Sections that are still older than requested count as failed.
-func (s *Gossiper) handleFetchResult(fetched FetchResult) {
+func (g *Gossiper) handleFetchResult(fetched FetchResult) {
 	for _, update := range fetched.Updates {
-		s.apply(update)
+		g.apply(update)
 	}
-	for _, w := range s.fetcher.sections {
+	for _, w := range g.fetcher.sections {
 		if w.token != fetched.Token || w.token == 0 {
 			continue
 		}
-		if s.store.Stamp(w.section).Less(w.requested) {
-			w.noteFailure(s.now, s.options.RetryBackoff)
+		if g.store.Stamp(w.section).Less(w.requested) {
+			w.noteFailure(g.now, g.options.RetryBackoff)
 			continue
 		}
 		w.token = 0
@@ -154,53 +154,53 @@
 }
 
 // expireFetches counts fetches that exceed their time-out as failed. Updates that arrive later are still applied.
-func (s *Gossiper) expireFetches() {
-	for _, w := range s.fetcher.sections {
-		if w.token != 0 && s.now >= w.deadline {
-			w.noteFailure(s.now, s.options.RetryBackoff)
+func (g *Gossiper) expireFetches() {
+	for _, w := range g.fetcher.sections {
+		if w.token != 0 && g.now >= w.deadline {
+			w.noteFailure(g.now, g.options.RetryBackoff)
 		}
 	}
 }
 
 // startFetches fetches the sections that have a source and no pending fetch, with one fetch per source.
-func (s *Gossiper) startFetches() {
-	first := len(s.effects.Fetches)
-	for _, w := range s.fetcher.sections {
+func (g *Gossiper) startFetches() {
+	first := len(g.effects.Fetches)
+	for _, w := range g.fetcher.sections {
 		if w.token != 0 {
 			continue
 		}
-		chosen := w.bestSource(s.store.Stamp(w.section))
-		if chosen == nil || chosen.failures > 0 && s.now < w.retryAt {
+		chosen := w.bestSource(g.store.Stamp(w.section))
+		if chosen == nil || chosen.failures > 0 && g.now < w.retryAt {
 			continue
 		}
-		fetch := s.fetchOf(chosen.address, first)
+		fetch := g.fetchOf(chosen.address, first)
 		fetch.Wanted[w.section] = chosen.stamp
 		w.token = fetch.Token
 		w.source = chosen.address
 		w.requested = chosen.stamp
-		w.deadline = s.now + s.options.FetchTimeout
+		w.deadline = g.now + g.options.FetchTimeout
 	}
 }
 
 // fetchOf returns the fetch of this Step from a source; those of this Step start at index first.
-func (s *Gossiper) fetchOf(address string, first int) *Fetch {
-	for i := first; i < len(s.effects.Fetches); i++ {
-		if s.effects.Fetches[i].Address == address {
-			return &s.effects.Fetches[i]
+func (g *Gossiper) fetchOf(address string, first int) *Fetch {
+	for i := first; i < len(g.effects.Fetches); i++ {
+		if g.effects.Fetches[i].Address == address {
+			return &g.effects.Fetches[i]
 		}
 	}
-	s.fetcher.token++
-	s.effects.Fetches = append(s.effects.Fetches, Fetch{s.fetcher.token, address, view.Digest{}})
-	return &s.effects.Fetches[len(s.effects.Fetches)-1]
+	g.fetcher.token++
+	g.effects.Fetches = append(g.effects.Fetches, Fetch{g.fetcher.token, address, view.Digest{}})
+	return &g.effects.Fetches[len(g.effects.Fetches)-1]
 }
 
 // nextFetch returns when a pending fetch expires or a failed one may be retried.
-func (s *Gossiper) nextFetch() time.Duration {
+func (g *Gossiper) nextFetch() time.Duration {
 	next := never
-	for _, w := range s.fetcher.sections {
+	for _, w := range g.fetcher.sections {
 		if w.token != 0 {
 			next = min(next, w.deadline)
-		} else if w.bestSource(s.store.Stamp(w.section)) != nil {
+		} else if w.bestSource(g.store.Stamp(w.section)) != nil {
 			next = min(next, w.retryAt)
 		}
 	}
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -25,47 +25,47 @@
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			w := newCluster(size, 11)
+			fleet := newCluster(size, 11)
 			for _, section := range []view.Section{view.ConfigurationSection, view.EndpointsSection, view.RolloutsSection, view.PlacementSection} {
-				w.write(w.hosts[0], section, 1, 1)
+				fleet.write(fleet.hosts[0], section, 1, 1)
 			}
-			w.runFor(5 * time.Second)
+			fleet.runFor(5 * time.Second)
 			const calmSeconds = 10
-			messages, bytes := w.messages, w.bytes
-			w.runFor(calmSeconds * time.Second)
+			messages, bytes := fleet.messages, fleet.bytes
+			fleet.runFor(calmSeconds * time.Second)
 			perSecond := 1 / float64(size*calmSeconds)
-			calmMessages, calmBytes := float64(w.messages-messages)*perSecond, float64(w.bytes-bytes)*perSecond
+			calmMessages, calmBytes := float64(fleet.messages-messages)*perSecond, float64(fleet.bytes-bytes)*perSecond
 			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes", calmMessages, calmBytes)
 			if calmMessages > maxMessagesCalm || calmBytes > maxBytesCalm {
 				t.Error("a calm fleet costs too much")
 			}
 
 			var times []time.Duration
-			messages, fetches := w.messages, w.fetches
+			messages, fetches := fleet.messages, fleet.fetches
 			const writes = 10
 			for i := range uint64(writes) {
-				author := w.hosts[w.random.IntN(size)]
-				started := w.loop.Now()
-				w.write(author, view.EndpointsSection, 1, 2+i)
-				w.runFor(maxSpread)
-				times = append(times, w.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, started)...)
+				author := fleet.hosts[fleet.random.IntN(size)]
+				started := fleet.loop.Now()
+				fleet.write(author, view.EndpointsSection, 1, 2+i)
+				fleet.runFor(maxSpread)
+				times = append(times, fleet.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, started)...)
 			}
 			slices.Sort(times)
 			t.Logf("a new update arrives after: median %v, 99 %% %v, longest %v; each write costs a member %.2f messages and %.2f fetches",
 				times[len(times)/2], times[len(times)*99/100], times[len(times)-1],
-				float64(w.messages-messages)/float64(size*writes)-calmMessages*maxSpread.Seconds(),
-				float64(w.fetches-fetches)/float64(size*writes))
-			if w.violation != nil {
-				t.Error(w.violation)
+				float64(fleet.messages-messages)/float64(size*writes)-calmMessages*maxSpread.Seconds(),
+				float64(fleet.fetches-fetches)/float64(size*writes))
+			if fleet.violation != nil {
+				t.Error(fleet.violation)
 			}
 		})
 	}
 }
 
 // spreadTimes lists how long each host waited for a stamp of the endpoints.
-func (w *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
+func (fleet *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
 	var times []time.Duration
-	for _, h := range w.hosts {
+	for _, h := range fleet.hosts {
 		if h.reported[view.EndpointsSection] != stamp {
 			t.Errorf("%s does not hold %v after %v", h.address, stamp, maxSpread)
 			continue
--- a/internal/tier/gossip/gossiper.go
+++ b/internal/tier/gossip/gossiper.go
@@ -55,64 +55,64 @@
 
 // Step handles what has happened up to now and returns what must be done. now is a monotonic clock; the caller must call
 // Step again at NextWake at the latest, also without input.
-func (s *Gossiper) Step(now time.Duration, input Input) Effects {
-	s.now = now
-	s.effects = Effects{}
-	s.changedSections = s.changedSections[:0]
+func (g *Gossiper) Step(now time.Duration, input Input) Effects {
+	g.now = now
+	g.effects = Effects{}
+	g.changedSections = g.changedSections[:0]
 	if input.Peers != nil {
-		s.setPeers(input.Peers)
+		g.setPeers(input.Peers)
 	}
 	for _, update := range input.Updates {
-		s.apply(update)
+		g.apply(update)
 	}
 	for _, fetched := range input.Fetched {
-		s.handleFetchResult(fetched)
+		g.handleFetchResult(fetched)
 	}
 	for _, received := range input.Datagrams {
-		s.handleDigest(received)
+		g.handleDigest(received)
 	}
-	s.announce()
-	s.expireFetches()
-	s.startFetches()
-	s.sendDigest()
-	s.effects.NextWake = max(s.nextWake(), now)
-	return s.effects
+	g.announce()
+	g.expireFetches()
+	g.startFetches()
+	g.sendDigest()
+	g.effects.NextWake = max(g.nextWake(), now)
+	return g.effects
 }
 
 // setPeers replaces the members. When there were none, a complete digest is due at once.
-func (s *Gossiper) setPeers(peers []string) {
-	if len(s.peers) == 0 {
-		s.nextDigest = s.now
+func (g *Gossiper) setPeers(peers []string) {
+	if len(g.peers) == 0 {
+		g.nextDigest = g.now
 	}
-	s.peers = peers
+	g.peers = peers
 }
 
 // apply stores an update if it is newer than the one of its section.
-func (s *Gossiper) apply(update view.Update) {
-	if !s.store.Put(update) {
+func (g *Gossiper) apply(update view.Update) {
+	if !g.store.Put(update) {
 		return
 	}
-	s.effects.Updated = append(s.effects.Updated, update)
-	if !slices.Contains(s.changedSections, update.Section) {
-		s.changedSections = append(s.changedSections, update.Section)
+	g.effects.Updated = append(g.effects.Updated, update)
+	if !slices.Contains(g.changedSections, update.Section) {
+		g.changedSections = append(g.changedSections, update.Section)
 	}
 }
 
 // send queues a datagram of this Step.
-func (s *Gossiper) send(address string, message Message) {
-	s.effects.Datagrams = append(s.effects.Datagrams, Datagram{address, message})
+func (g *Gossiper) send(address string, message Message) {
+	g.effects.Datagrams = append(g.effects.Datagrams, Datagram{address, message})
 }
 
-func (s *Gossiper) nextWake() time.Duration {
-	next := s.nextFetch()
-	if s.options.DigestInterval > 0 && len(s.peers) > 0 {
-		next = min(next, s.nextDigest)
+func (g *Gossiper) nextWake() time.Duration {
+	next := g.nextFetch()
+	if g.options.DigestInterval > 0 && len(g.peers) > 0 {
+		next = min(next, g.nextDigest)
 	}
 	return next
 }
 
 // jittered returns a duration within a tenth of the one given, so that members do not synchronise.
-func (s *Gossiper) jittered(duration time.Duration) time.Duration {
+func (g *Gossiper) jittered(duration time.Duration) time.Duration {
 	const fraction = 10
-	return duration - duration/fraction + time.Duration(s.random.Int64N(int64(2*duration/fraction)+1))
+	return duration - duration/fraction + time.Duration(g.random.Int64N(int64(2*duration/fraction)+1))
 }
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -23,8 +23,8 @@
 			Name: "older updates are applied",
 			Change: mutation.Change{
 				File: "gossiper.go",
-				Old:  "\tif !s.store.Put(update) {",
-				New:  "\tdelete(s.store.updates, update.Section)\n\tif !s.store.Put(update) {",
+				Old:  "\tif !g.store.Put(update) {",
+				New:  "\tdelete(g.store.updates, update.Section)\n\tif !g.store.Put(update) {",
 			},
 			Run:    formerLeaders,
 			Always: true,
@@ -33,8 +33,8 @@
 			Name: "updates are reported twice",
 			Change: mutation.Change{
 				File: "gossiper.go",
-				Old:  "if !s.store.Put(update) {",
-				New:  "if !s.store.Put(update) && false {",
+				Old:  "if !g.store.Put(update) {",
+				New:  "if !g.store.Put(update) && false {",
 			},
 			Run: duplicates,
 		},
@@ -51,13 +51,13 @@
 			Name: "complete digests are not sent",
 			Change: mutation.Change{
 				File: "digest.go",
-				Old:  "|| s.now < s.nextDigest {",
+				Old:  "|| g.now < g.nextDigest {",
 				New:  "|| true {",
 			},
 			Also: []mutation.Change{
 				{
 					File: "gossiper.go",
-					Old:  "if s.options.DigestInterval > 0 && len(s.peers) > 0 {",
+					Old:  "if g.options.DigestInterval > 0 && len(g.peers) > 0 {",
 					New:  "if false {",
 				},
 			},
@@ -67,7 +67,7 @@
 			Name: "fetches never expire",
 			Change: mutation.Change{
 				File: "fetch.go",
-				Old:  "if w.token != 0 && s.now >= w.deadline {",
+				Old:  "if w.token != 0 && g.now >= w.deadline {",
 				New:  "if false {",
 			},
 			Run: hangingSources,
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -61,35 +61,35 @@
 	}
 })
 
-func (w *cluster) inject(happens fault) {
-	h := w.hosts[happens.Host%len(w.hosts)]
+func (fleet *cluster) inject(happens fault) {
+	h := fleet.hosts[happens.Host%len(fleet.hosts)]
 	switch happens.Kind {
 	case "write":
 		if h.gossiper != nil {
-			w.write(h, happens.Section, 1, happens.Sequence)
+			fleet.write(h, happens.Section, 1, happens.Sequence)
 		}
 	case "kill":
-		w.kill(h)
+		fleet.kill(h)
 	case "restart":
-		w.kill(h)
-		w.start(h)
+		fleet.kill(h)
+		fleet.start(h)
 	case "hang":
 		h.hangs = true
 	case "partition":
-		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		fleet.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		w.blocked = func(from, to *host) bool { return from == h }
+		fleet.blocked = func(from, to *host) bool { return from == h }
 	case "heal":
-		w.blocked = func(from, to *host) bool { return false }
+		fleet.blocked = func(from, to *host) bool { return false }
 	}
 }
 
-func (w *cluster) healAll() {
-	w.blocked = func(from, to *host) bool { return false }
-	for _, h := range w.hosts {
+func (fleet *cluster) healAll() {
+	fleet.blocked = func(from, to *host) bool { return false }
+	for _, h := range fleet.hosts {
 		h.hangs = false
 		if h.gossiper == nil {
-			w.start(h)
+			fleet.start(h)
 		}
 	}
 }
@@ -98,29 +98,29 @@
 // stamp ever went back, and no section was fetched twice at a time.
 func TestCluster_AnyFaults_AllHoldTheNewestAfterwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newCluster(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
+		fleet := newCluster(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
+		fleet.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
 		for _, happens := range rapid.SliceOfN(faults, 1, 20).Draw(t, "faults") {
-			w.inject(happens)
-			w.runFor(happens.Delay)
+			fleet.inject(happens)
+			fleet.runFor(happens.Delay)
 		}
-		w.loss = min(w.loss, 0.02)
-		w.healAll()
-		for section, stamp := range w.newest() {
-			if err := w.expectAll(view.Update{Section: section, Stamp: stamp}, 8*time.Second); err != nil {
+		fleet.loss = min(fleet.loss, 0.02)
+		fleet.healAll()
+		for section, stamp := range fleet.newest() {
+			if err := fleet.expectAll(view.Update{Section: section, Stamp: stamp}, 8*time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if w.violation != nil {
-			t.Fatal(w.violation)
+		if fleet.violation != nil {
+			t.Fatal(fleet.violation)
 		}
 	})
 }
 
 // newest returns the newest stamps that a running host has.
-func (w *cluster) newest() view.Digest {
+func (fleet *cluster) newest() view.Digest {
 	newest := view.Digest{}
-	for _, h := range w.hosts {
+	for _, h := range fleet.hosts {
 		for section, stamp := range h.gossiper.store.Digest() {
 			if newest[section].Less(stamp) {
 				newest[section] = stamp
@@ -133,13 +133,13 @@
 // Given one seed, when a run is repeated, then all figures are the same.
 func TestCluster_SameSeed_GivesTheSameRun(t *testing.T) {
 	run := func() []any {
-		w := newCluster(20, 3)
+		fleet := newCluster(20, 3)
 		for i := range uint64(20) {
-			w.write(w.hosts[i%4], view.EndpointsSection, 1, i)
-			w.runFor(150 * time.Millisecond)
+			fleet.write(fleet.hosts[i%4], view.EndpointsSection, 1, i)
+			fleet.runFor(150 * time.Millisecond)
 		}
-		figures := []any{w.messages, w.bytes, w.fetches}
-		for _, h := range w.hosts {
+		figures := []any{fleet.messages, fleet.bytes, fleet.fetches}
+		for _, h := range fleet.hosts {
 			figures = append(figures, h.at)
 		}
 		return figures
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -28,72 +28,72 @@
 }
 
 func written(seed uint64) error {
-	w := newCluster(32, seed)
-	w.runFor(2 * time.Second)
-	update := w.write(w.hosts[0], view.ConfigurationSection, 1, 1)
-	return w.expectAll(update, 4*time.Second)
+	fleet := newCluster(32, seed)
+	fleet.runFor(2 * time.Second)
+	update := fleet.write(fleet.hosts[0], view.ConfigurationSection, 1, 1)
+	return fleet.expectAll(update, 4*time.Second)
 }
 
 func manyWrites(seed uint64) error {
-	w := newCluster(32, seed)
+	fleet := newCluster(32, seed)
 	var last, endpoints view.Update
 	for i := range uint64(40) {
-		last = w.write(w.hosts[i%3], view.ConfigurationSection, 1+i/10, i)
-		endpoints = w.write(w.hosts[3], view.EndpointsSection, 1, i)
-		w.runFor(time.Duration(w.random.Int64N(int64(100 * time.Millisecond))))
+		last = fleet.write(fleet.hosts[i%3], view.ConfigurationSection, 1+i/10, i)
+		endpoints = fleet.write(fleet.hosts[3], view.EndpointsSection, 1, i)
+		fleet.runFor(time.Duration(fleet.random.Int64N(int64(100 * time.Millisecond))))
 	}
-	if err := w.expectAll(last, 4*time.Second); err != nil {
+	if err := fleet.expectAll(last, 4*time.Second); err != nil {
 		return err
 	}
-	return w.expectAll(endpoints, 4*time.Second)
+	return fleet.expectAll(endpoints, 4*time.Second)
 }
 
 func formerLeader(seed uint64) error {
-	w := newCluster(16, seed)
-	newer := w.write(w.hosts[1], view.PlacementSection, 2, 1)
-	w.runFor(20 * time.Millisecond)
-	w.write(w.hosts[0], view.PlacementSection, 1, 900)
-	w.runFor(5 * time.Second)
-	for _, h := range w.hosts {
+	fleet := newCluster(16, seed)
+	newer := fleet.write(fleet.hosts[1], view.PlacementSection, 2, 1)
+	fleet.runFor(20 * time.Millisecond)
+	fleet.write(fleet.hosts[0], view.PlacementSection, 1, 900)
+	fleet.runFor(5 * time.Second)
+	for _, h := range fleet.hosts {
 		if held := h.gossiper.store.Stamp(view.PlacementSection); held != newer.Stamp {
 			return fmt.Errorf("%s holds %v", h.address, held)
 		}
 	}
-	return w.violation
+	return fleet.violation
 }
 
 func restartsEmpty(seed uint64) error {
-	w := newCluster(16, seed)
-	configuration := w.write(w.hosts[0], view.ConfigurationSection, 1, 1)
-	endpoints := w.write(w.hosts[1], view.EndpointsSection, 1, 1)
-	w.runFor(5 * time.Second)
-	w.kill(w.hosts[5])
-	w.runFor(time.Second)
-	w.start(w.hosts[5])
-	if err := w.expectAll(configuration, 3*time.Second); err != nil {
+	fleet := newCluster(16, seed)
+	configuration := fleet.write(fleet.hosts[0], view.ConfigurationSection, 1, 1)
+	endpoints := fleet.write(fleet.hosts[1], view.EndpointsSection, 1, 1)
+	fleet.runFor(5 * time.Second)
+	fleet.kill(fleet.hosts[5])
+	fleet.runFor(time.Second)
+	fleet.start(fleet.hosts[5])
+	if err := fleet.expectAll(configuration, 3*time.Second); err != nil {
 		return err
 	}
-	return w.expectAll(endpoints, 3*time.Second)
+	return fleet.expectAll(endpoints, 3*time.Second)
 }
 
 func partitioned(seed uint64) error {
-	w := newCluster(16, seed)
-	lost := w.hosts[7]
-	w.blocked = func(from, to *host) bool { return from == lost || to == lost }
-	update := w.write(w.hosts[0], view.ConfigurationSection, 1, 1)
-	w.runFor(10 * time.Second)
-	if holding, running := w.holds(update.Section, update.Stamp); holding != running-1 {
+	fleet := newCluster(16, seed)
+	lost := fleet.hosts[7]
+	fleet.blocked = func(from, to *host) bool { return from == lost || to == lost }
+	update := fleet.write(fleet.hosts[0], view.ConfigurationSection, 1, 1)
+	fleet.runFor(10 * time.Second)
+	if holding, running := fleet.holds(update.Section, update.Stamp); holding != running-1 {
 		return fmt.Errorf("%d have it during the partition", holding)
 	}
-	w.blocked = func(from, to *host) bool { return false }
-	return w.expectAll(update, 4*time.Second)
+	fleet.blocked = func(from, to *host) bool { return false }
+	return fleet.expectAll(update, 4*time.Second)
 }
 
 // announceTo announces an update to a host from several that have it.
-func (w *cluster) announceTo(h *host, update view.Update, holders ...*host) {
+func (fleet *cluster) announceTo(h *host, update view.Update, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{update.Section: update.Stamp}}
-		w.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
+		fleet.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
 	}
 }
 
@@ -102,66 +102,66 @@
 
 // clusterWithoutDigests starts a cluster in which nobody sends complete digests.
 func clusterWithoutDigests(size int, seed uint64) *cluster {
-	w := newCluster(size, seed)
-	w.options.DigestInterval = -1
-	for _, h := range w.hosts {
-		w.start(h)
+	fleet := newCluster(size, seed)
+	fleet.options.DigestInterval = -1
+	for _, h := range fleet.hosts {
+		fleet.start(h)
 	}
-	return w
+	return fleet
 }
 
 func hangingSource(seed uint64) error {
-	w := clusterWithoutDigests(4, seed)
-	w.runFor(time.Second)
-	w.hosts[0].gossiper.store.Put(announcedUpdate)
-	w.hosts[0].hangs = true
-	w.hosts[1].gossiper.store.Put(announcedUpdate)
-	w.announceTo(w.hosts[2], announcedUpdate, w.hosts[0], w.hosts[1])
-	w.runFor(time.Second)
-	if w.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
+	fleet := clusterWithoutDigests(4, seed)
+	fleet.runFor(time.Second)
+	fleet.hosts[0].gossiper.store.Put(announcedUpdate)
+	fleet.hosts[0].hangs = true
+	fleet.hosts[1].gossiper.store.Put(announcedUpdate)
+	fleet.announceTo(fleet.hosts[2], announcedUpdate, fleet.hosts[0], fleet.hosts[1])
+	fleet.runFor(time.Second)
+	if fleet.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
 		return fmt.Errorf("the other source was not asked")
 	}
-	return w.violation
+	return fleet.violation
 }
 
 func dyingSource(seed uint64) error {
-	w := clusterWithoutDigests(4, seed)
-	w.runFor(time.Second)
-	w.hosts[1].gossiper.store.Put(announcedUpdate)
-	w.kill(w.hosts[0])
-	w.announceTo(w.hosts[2], announcedUpdate, w.hosts[0], w.hosts[1])
-	w.runFor(300 * time.Millisecond)
-	if w.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
+	fleet := clusterWithoutDigests(4, seed)
+	fleet.runFor(time.Second)
+	fleet.hosts[1].gossiper.store.Put(announcedUpdate)
+	fleet.kill(fleet.hosts[0])
+	fleet.announceTo(fleet.hosts[2], announcedUpdate, fleet.hosts[0], fleet.hosts[1])
+	fleet.runFor(300 * time.Millisecond)
+	if fleet.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
 		return fmt.Errorf("the other source was not asked")
 	}
-	return w.violation
+	return fleet.violation
 }
 
 func answersDigest(seed uint64) error {
-	w := clusterWithoutDigests(2, seed)
-	w.loss = 0
-	w.runFor(3 * time.Second)
-	w.hosts[0].gossiper.store.Put(announcedUpdate)
-	w.step(w.hosts[0], Input{Datagrams: []Datagram{{w.hosts[1].address, w.hosts[1].gossiper.CompleteDigest()}}})
-	w.runFor(100 * time.Millisecond)
-	if w.hosts[1].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
+	fleet := clusterWithoutDigests(2, seed)
+	fleet.loss = 0
+	fleet.runFor(3 * time.Second)
+	fleet.hosts[0].gossiper.store.Put(announcedUpdate)
+	fleet.step(fleet.hosts[0], Input{Datagrams: []Datagram{{fleet.hosts[1].address, fleet.hosts[1].gossiper.CompleteDigest()}}})
+	fleet.runFor(100 * time.Millisecond)
+	if fleet.hosts[1].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
 		return fmt.Errorf("the stale member was not answered")
 	}
-	return w.violation
+	return fleet.violation
 }
 
 func heavyLoss(seed uint64) error {
-	w := newCluster(24, seed)
-	w.loss = 0.6
-	update := w.write(w.hosts[0], view.RolloutsSection, 1, 1)
-	return w.expectAll(update, 15*time.Second)
+	fleet := newCluster(24, seed)
+	fleet.loss = 0.6
+	update := fleet.write(fleet.hosts[0], view.RolloutsSection, 1, 1)
+	return fleet.expectAll(update, 15*time.Second)
 }
 
 func duplicate(seed uint64) error {
-	w := newCluster(4, seed)
-	update := w.write(w.hosts[0], view.RolloutsSection, 1, 1)
-	w.step(w.hosts[0], Input{Updates: []view.Update{update, update}})
-	return w.expectAll(update, 4*time.Second)
+	fleet := newCluster(4, seed)
+	update := fleet.write(fleet.hosts[0], view.RolloutsSection, 1, 1)
+	fleet.step(fleet.hosts[0], Input{Updates: []view.Update{update, update}})
+	return fleet.expectAll(update, 4*time.Second)
 }
 
 func TestScenarios(t *testing.T) {
--- a/internal/tier/membership/detection_test.go
+++ b/internal/tier/membership/detection_test.go
@@ -50,16 +50,16 @@
 // failureOf kills a host with replicas in a calm fleet, and returns when each controller suspected it and declared it dead.
 func failureOf(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
 	t.Helper()
-	w := newCluster(size, seed+1)
-	w.startAll()
-	w.runFor(12*time.Second + time.Duration(seed)*37*time.Millisecond)
-	victim := w.hosts[int(seed)%hostsWithReplicas]
-	killedAt := w.loop.Now()
-	w.kill(victim)
-	if _, done := w.runUntil(maxDetection, w.converged); !done {
+	fleet := newCluster(size, seed+1)
+	fleet.startAll()
+	fleet.runFor(12*time.Second + time.Duration(seed)*37*time.Millisecond)
+	victim := fleet.hosts[int(seed)%hostsWithReplicas]
+	killedAt := fleet.loop.Now()
+	fleet.kill(victim)
+	if _, done := fleet.runUntil(maxDetection, fleet.converged); !done {
 		t.Fatalf("seed %d: not all members know of the death", seed)
 	}
-	for _, h := range w.running() {
+	for _, h := range fleet.running() {
 		if h.member.Role != Controller {
 			continue
 		}
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -25,43 +25,43 @@
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			w := newCluster(size, 7)
+			fleet := newCluster(size, 7)
 			const quietSeconds = 12 // until the updates of the start are no longer broadcast
-			w.measure = true
-			w.startAll()
-			w.runFor(300 * time.Millisecond)
-			met, done := w.runUntil(maxMeeting, w.converged)
+			fleet.measure = true
+			fleet.startAll()
+			fleet.runFor(300 * time.Millisecond)
+			met, done := fleet.runUntil(maxMeeting, fleet.converged)
 			if !done {
 				t.Fatalf("not all know all after %v", met)
 			}
-			start := w.totals()
+			start := fleet.totals()
 			t.Logf("all met after %v; in that time %.0f bytes a member in datagrams, %.0f in %.1f calls",
 				met, start.bytes, start.callBytes, start.calls)
 
-			w.runFor(quietSeconds * time.Second)
-			before := w.totals()
+			fleet.runFor(quietSeconds * time.Second)
+			before := fleet.totals()
 			const calmSeconds = 10
-			w.runFor(calmSeconds * time.Second)
-			calm := w.totals().since(before, calmSeconds)
+			fleet.runFor(calmSeconds * time.Second)
+			calm := fleet.totals().since(before, calmSeconds)
 			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes, %.2f steps, %.3f calls",
 				calm.messages, calm.bytes, calm.steps, calm.calls)
 			if calm.messages > maxMessagesCalm || calm.bytes > maxBytesCalm || calm.steps > maxStepsCalm || calm.calls > 0.1 {
 				t.Error("a calm fleet costs too much")
 			}
 
-			killedAt := w.loop.Now()
-			victim := w.hosts[size/2]
-			w.kill(victim)
-			if took, done := w.runUntil(maxDetection, w.converged); !done {
+			killedAt := fleet.loop.Now()
+			victim := fleet.hosts[size/2]
+			fleet.kill(victim)
+			if took, done := fleet.runUntil(maxDetection, fleet.converged); !done {
 				t.Errorf("not all see the death after %v", took)
 			}
-			took := w.deathTimes(victim, killedAt)
+			took := fleet.deathTimes(victim, killedAt)
 			t.Logf("death seen after: median %v, 99 %% %v, longest %v", took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
-			if deaths := w.died(0, victim.member.Name); len(deaths) > 0 {
+			if deaths := fleet.died(0, victim.member.Name); len(deaths) > 0 {
 				t.Errorf("%d false deaths, first: %s", len(deaths), deaths[0])
 			}
-			if w.largest > MaxDatagramBytes {
-				t.Errorf("a datagram of %d bytes", w.largest)
+			if fleet.largest > MaxDatagramBytes {
+				t.Errorf("a datagram of %d bytes", fleet.largest)
 			}
 		})
 	}
@@ -70,15 +70,15 @@
 // totals are sums over all hosts, divided by their number.
 type totals struct{ messages, bytes, steps, calls, callBytes float64 }
 
-func (w *cluster) totals() totals {
+func (fleet *cluster) totals() totals {
 	var sum totals
-	for _, h := range w.hosts {
+	for _, h := range fleet.hosts {
 		sum.messages += float64(h.sent)
 		sum.bytes += float64(h.bytes)
 		sum.steps += float64(h.steps)
 	}
-	size := float64(len(w.hosts))
-	return totals{sum.messages / size, sum.bytes / size, sum.steps / size, float64(w.calls) / size, float64(w.callBytes) / size}
+	size := float64(len(fleet.hosts))
+	return totals{sum.messages / size, sum.bytes / size, sum.steps / size, float64(fleet.calls) / size, float64(fleet.callBytes) / size}
 }
 
 func (t totals) since(before totals, seconds float64) totals {
@@ -92,9 +92,9 @@
 }
 
 // deathTimes lists, in order, how long after a kill each host reported the death.
-func (w *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
+func (fleet *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
 	var times []time.Duration
-	for _, h := range w.running() {
+	for _, h := range fleet.running() {
 		for _, change := range h.events {
 			if change.Kind == MemberDied && change.Member.Name == victim.member.Name {
 				times = append(times, (change.At - killedAt).Round(time.Millisecond))
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -29,39 +29,39 @@
 	}
 })
 
-func (w *cluster) inject(happens fault) {
-	h := w.hosts[happens.Host%len(w.hosts)]
+func (fleet *cluster) inject(happens fault) {
+	h := fleet.hosts[happens.Host%len(fleet.hosts)]
 	switch happens.Kind {
 	case "kill":
-		w.kill(h)
+		fleet.kill(h)
 	case "restart":
-		w.kill(h)
-		w.start(h)
+		fleet.kill(h)
+		fleet.start(h)
 	case "freeze":
-		w.freeze(h, happens.Duration)
+		fleet.freeze(h, happens.Duration)
 	case "lag":
 		h.lag = happens.Duration / 10
 	case "partition":
-		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		fleet.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		w.blocked = func(from, to *host) bool { return from == h }
+		fleet.blocked = func(from, to *host) bool { return from == h }
 	case "leave":
 		if h.node != nil && !h.frozen {
-			w.step(h, Input{Leave: true})
-			w.kill(h)
+			fleet.step(h, Input{Leave: true})
+			fleet.kill(h)
 		}
 	case "heal":
-		w.blocked = func(from, to *host) bool { return false }
+		fleet.blocked = func(from, to *host) bool { return false }
 	}
 }
 
 // healAll ends all faults but freezes, which end by themselves, and starts what is down.
-func (w *cluster) healAll() {
-	w.blocked = func(from, to *host) bool { return false }
-	for _, h := range w.hosts {
+func (fleet *cluster) healAll() {
+	fleet.blocked = func(from, to *host) bool { return false }
+	for _, h := range fleet.hosts {
 		h.lag = 0
 		if h.node == nil {
-			w.start(h)
+			fleet.start(h)
 		}
 	}
 }
@@ -70,22 +70,22 @@
 // gone back.
 func TestFleet_AnyFaults_ConvergesAfterwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newCluster(rapid.IntRange(2, 9).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
-		w.duplicate = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicate")
-		w.startAll()
-		w.runFor(5 * time.Second)
+		fleet := newCluster(rapid.IntRange(2, 9).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
+		fleet.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "loss")
+		fleet.duplicate = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicate")
+		fleet.startAll()
+		fleet.runFor(5 * time.Second)
 		for _, happens := range rapid.SliceOfN(faults, 0, 8).Draw(t, "faults") {
-			w.inject(happens)
-			w.runFor(happens.Delay)
+			fleet.inject(happens)
+			fleet.runFor(happens.Delay)
 		}
-		w.loss = min(w.loss, 0.02)
-		w.healAll()
-		w.runFor(12 * time.Second) // the longest freeze ends
-		if _, done := w.runUntil(40*time.Second, w.converged); !done {
-			t.Fatalf("not converged:\n%s", w.disagreements())
+		fleet.loss = min(fleet.loss, 0.02)
+		fleet.healAll()
+		fleet.runFor(12 * time.Second) // the longest freeze ends
+		if _, done := fleet.runUntil(40*time.Second, fleet.converged); !done {
+			t.Fatalf("not converged:\n%s", fleet.disagreements())
 		}
-		for _, h := range w.hosts {
+		for _, h := range fleet.hosts {
 			checkNeverBack(t, h)
 		}
 	})
@@ -107,14 +107,14 @@
 // Given one seed, when a run is repeated, then all events are the same.
 func TestNetwork_SameSeed_GivesTheSameEvents(t *testing.T) {
 	run := func() [][]timedEvent {
-		w := newCluster(12, 5)
-		w.startAll()
-		w.runFor(5 * time.Second)
-		w.kill(w.hosts[4])
-		w.freeze(w.hosts[6], 9*time.Second)
-		w.runFor(20 * time.Second)
+		fleet := newCluster(12, 5)
+		fleet.startAll()
+		fleet.runFor(5 * time.Second)
+		fleet.kill(fleet.hosts[4])
+		fleet.freeze(fleet.hosts[6], 9*time.Second)
+		fleet.runFor(20 * time.Second)
 		var changes [][]timedEvent
-		for _, h := range w.hosts {
+		for _, h := range fleet.hosts {
 			changes = append(changes, h.events)
 		}
 		return changes
--- a/internal/tier/node/feed.go
+++ b/internal/tier/node/feed.go
@@ -9,12 +9,12 @@
 )
 
 // newerThan returns the updates of which the digest has an older stamp or none.
-func (s *gossipDriver) newerThan(digest view.Digest) []view.Update {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (d *gossipDriver) newerThan(digest view.Digest) []view.Update {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var updates []view.Update
 	for _, section := range view.Sections {
-		update, found := s.store.Get(section)
+		update, found := d.store.Get(section)
 		if found && digest[section].Less(update.Stamp) {
 			updates = append(updates, update)
 		}
@@ -23,16 +23,16 @@
 }
 
 // handleFeed streams new updates to a process on this machine: first those newer than its digest, then each as it comes.
-func (s *gossipDriver) handleFeed(ctx context.Context, request wire.FetchRequest, send func(view.Update) error) error {
+func (d *gossipDriver) handleFeed(ctx context.Context, request wire.FetchRequest, send func(view.Update) error) error {
 	sent := maps.Clone(request.Digest)
 	if sent == nil {
 		sent = view.Digest{}
 	}
 	for {
-		s.mutex.Lock()
-		changed := s.changed
-		s.mutex.Unlock()
-		for _, update := range s.newerThan(sent) {
+		d.mutex.Lock()
+		changed := d.changed
+		d.mutex.Unlock()
+		for _, update := range d.newerThan(sent) {
 			if err := send(update); err != nil {
 				return err
 			}
--- a/internal/tier/node/fetch.go
+++ b/internal/tier/node/fetch.go
@@ -15,22 +15,22 @@
 const fetchTimeout = 2 * time.Second
 
 // fetch calls another member for updates and queues the result; without updates it has failed.
-func (s *gossipDriver) fetch(ctx context.Context, fetch gossip.Fetch) {
+func (d *gossipDriver) fetch(ctx context.Context, fetch gossip.Fetch) {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	request := wire.FetchRequest{Digest: fetch.Wanted}
-	answer, err := transport.Call[wire.FetchRequest, wire.FetchResponse](bounded, s.node.options.Pool, fetch.Address, wire.MethodFetch, request)
+	answer, err := transport.Call[wire.FetchRequest, wire.FetchResponse](bounded, d.node.options.Pool, fetch.Address, wire.MethodFetch, request)
 	if err != nil {
-		level.Debug(s.node.options.Logger).Log("msg", "fetching updates failed", "peer", fetch.Address, "err", err)
+		level.Debug(d.node.options.Logger).Log("msg", "fetching updates failed", "peer", fetch.Address, "err", err)
 	}
-	s.submit(func(input *gossip.Input) {
+	d.submit(func(input *gossip.Input) {
 		input.Fetched = append(input.Fetched, gossip.FetchResult{Token: fetch.Token, Updates: answer.Updates})
 	})
 }
 
 // handleFetch answers another member's fetch.
-func (s *gossipDriver) handleFetch(_ context.Context, _ string, request wire.FetchRequest) (wire.FetchResponse, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return wire.FetchResponse{Updates: s.store.AtLeast(request.Digest)}, nil
+func (d *gossipDriver) handleFetch(_ context.Context, _ string, request wire.FetchRequest) (wire.FetchResponse, error) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return wire.FetchResponse{Updates: d.store.AtLeast(request.Digest)}, nil
 }
--- a/internal/tier/node/gossip.go
+++ b/internal/tier/node/gossip.go
@@ -33,43 +33,43 @@
 	return &gossipDriver{node: n, store: store, gossiper: gossip.New(options, store), changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-func (s *gossipDriver) digest() view.Digest {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.store.Digest()
+func (d *gossipDriver) digest() view.Digest {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.store.Digest()
 }
 
 // submit changes the input of the next step and makes it happen soon.
-func (s *gossipDriver) submit(change func(input *gossip.Input)) {
-	s.mutex.Lock()
-	change(&s.input)
-	s.mutex.Unlock()
+func (d *gossipDriver) submit(change func(input *gossip.Input)) {
+	d.mutex.Lock()
+	change(&d.input)
+	d.mutex.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *gossipDriver) publish(update view.Update) {
-	s.submit(func(input *gossip.Input) { input.Updates = append(input.Updates, update) })
+func (d *gossipDriver) publish(update view.Update) {
+	d.submit(func(input *gossip.Input) { input.Updates = append(input.Updates, update) })
 }
 
-func (s *gossipDriver) receive(address string, message gossip.Message) {
-	s.submit(func(input *gossip.Input) {
+func (d *gossipDriver) receive(address string, message gossip.Message) {
+	d.submit(func(input *gossip.Input) {
 		input.Datagrams = append(input.Datagrams, gossip.Datagram{Address: address, Message: message})
 	})
 }
 
 // receivePayload queues the digest that came with a probe.
-func (s *gossipDriver) receivePayload(address string, payload json.RawMessage) {
+func (d *gossipDriver) receivePayload(address string, payload json.RawMessage) {
 	var message gossip.Message
 	if err := json.Unmarshal(payload, &message); err == nil {
-		s.receive(address, message)
+		d.receive(address, message)
 	}
 }
 
 // run drives the gossip until ctx ends.
-func (s *gossipDriver) run(ctx context.Context) {
+func (d *gossipDriver) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var controllers antiEntropy
@@ -77,67 +77,67 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-d.wake:
 		case <-timer.C:
 		}
-		next := s.step(ctx)
-		count, nextAsk := controllers.due(time.Since(s.node.start), s.lacksSections())
-		s.sendDigest(count)
+		next := d.step(ctx)
+		count, nextAsk := controllers.due(time.Since(d.node.start), d.lacksSections())
+		d.sendDigest(count)
 		timer.Reset(min(next, nextAsk))
 	}
 }
 
 // step hands the input since the last step to the gossiper, carries out its effects and returns the time until the next step
 // at the latest.
-func (s *gossipDriver) step(ctx context.Context) time.Duration {
-	peers := s.node.peers()
-	s.mutex.Lock()
-	input := s.input
-	s.input = gossip.Input{}
+func (d *gossipDriver) step(ctx context.Context) time.Duration {
+	peers := d.node.peers()
+	d.mutex.Lock()
+	input := d.input
+	d.input = gossip.Input{}
 	input.Peers = peers
-	now := time.Since(s.node.start)
-	effects := s.gossiper.Step(now, input)
+	now := time.Since(d.node.start)
+	effects := d.gossiper.Step(now, input)
 	if len(effects.Updated) > 0 {
-		close(s.changed)
-		s.changed = make(chan struct{})
+		close(d.changed)
+		d.changed = make(chan struct{})
 	}
-	s.mutex.Unlock()
+	d.mutex.Unlock()
 	for _, fetch := range effects.Fetches {
-		go s.fetch(ctx, fetch)
+		go d.fetch(ctx, fetch)
 	}
 	for _, datagram := range effects.Datagrams {
-		s.node.send(datagram.Address, envelope{Gossip: &datagram.Message})
+		d.node.send(datagram.Address, envelope{Gossip: &datagram.Message})
 	}
 	if len(effects.Updated) > 0 {
-		s.attachDigest()
+		d.attachDigest()
 	}
 	for _, update := range effects.Updated {
-		if s.node.options.OnUpdate != nil {
-			s.node.options.OnUpdate(update)
+		if d.node.options.OnUpdate != nil {
+			d.node.options.OnUpdate(update)
 		}
 	}
 	return max(0, effects.NextWake-now)
 }
 
 // attachDigest makes the complete digest the payload of membership's probes.
-func (s *gossipDriver) attachDigest() {
-	s.mutex.Lock()
-	digest := s.gossiper.CompleteDigest()
-	s.mutex.Unlock()
+func (d *gossipDriver) attachDigest() {
+	d.mutex.Lock()
+	digest := d.gossiper.CompleteDigest()
+	d.mutex.Unlock()
 	payload, err := json.Marshal(digest)
 	if err != nil {
-		level.Error(s.node.options.Logger).Log("msg", "encoding digest failed", "err", err)
+		level.Error(d.node.options.Logger).Log("msg", "encoding digest failed", "err", err)
 		return
 	}
-	s.node.setPayload(payload)
+	d.node.setPayload(payload)
 }
 
 // lacksSections reports whether a required section is missing.
-func (s *gossipDriver) lacksSections() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (d *gossipDriver) lacksSections() bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	for _, section := range requiredSections {
-		if s.store.Stamp(section) == (view.Stamp{}) {
+		if d.store.Stamp(section) == (view.Stamp{}) {
 			return true
 		}
 	}
@@ -145,11 +145,11 @@
 }
 
 // sendDigest sends the complete digest to some controllers; those that have newer sections answer with their stamps.
-func (s *gossipDriver) sendDigest(count int) {
-	s.mutex.Lock()
-	digest := s.gossiper.CompleteDigest()
-	s.mutex.Unlock()
-	for _, address := range s.node.nextControllers(count) {
-		s.node.send(address, envelope{Gossip: &digest})
+func (d *gossipDriver) sendDigest(count int) {
+	d.mutex.Lock()
+	digest := d.gossiper.CompleteDigest()
+	d.mutex.Unlock()
+	for _, address := range d.node.nextControllers(count) {
+		d.node.send(address, envelope{Gossip: &digest})
 	}
 }
--- a/internal/tier/node/mutants_test.go
+++ b/internal/tier/node/mutants_test.go
@@ -19,8 +19,8 @@
 		{
 			Name:   "older updates are applied",
 			Change: mutation.Change{File: "../gossip/store.go", Old: "if found && !current.Stamp.Less(update.Stamp) {", New: "if found && current.Stamp == update.Stamp {"},
-			Also: []mutation.Change{{File: "../gossip/digest.go", Old: "if s.store.Stamp(section).Less(stamp) {",
-				New: "if s.store.Stamp(section) != stamp {"},
+			Also: []mutation.Change{{File: "../gossip/digest.go", Old: "if g.store.Stamp(section).Less(stamp) {",
+				New: "if g.store.Stamp(section) != stamp {"},
 				{File: "../gossip/fetch.go", Old: "if !current.Less(candidate.stamp) {", New: "if current == candidate.stamp {"}},
 			Run: detecting,
 		},
--- a/internal/tier/transport/call.go
+++ b/internal/tier/transport/call.go
@@ -1,6 +1,9 @@
 package transport
 
-import "context"
+import (
+	"context"
+	"errors"
+)
 
 // Call sends a request and waits for its answer until ctx ends, or DefaultCallTimeout if ctx has no deadline. Its error is a
 // *RemoteError of the handler, or else a *CallError. When the caller stops waiting, the handler's context ends. Method must
@@ -49,7 +52,7 @@
 			return nil, err
 		}
 		err = connection.submit(pending)
-		if err == nil || err != ErrClosed || attempt > 0 {
+		if err == nil || !errors.Is(err, ErrClosed) || attempt > 0 {
 			return connection, err
 		}
 	}
--- a/internal/tier/transport/call_test.go
+++ b/internal/tier/transport/call_test.go
@@ -15,18 +15,18 @@
 )
 
 func TestCall_ManyOnOneConnection_AnsweredOutOfOrder(t *testing.T) {
-	// Given a call that is held until another on the same connection has been answered
+	// Given a call whose handler blocks until others on the same connection have been answered
 	release := make(chan struct{})
 	handlers := echoHandlers()
-	Handle(handlers, "hold", func(context.Context, string, question) (string, error) {
+	Handle(handlers, "block", func(context.Context, string, question) (string, error) {
 		<-release
-		return "held", nil
+		return "unblocked", nil
 	})
 	server, pool, ctx := startServer(t, "127.0.0.1:0", handlers), startPool(t), testContext(t)
-	held := make(chan string, 1)
+	blocked := make(chan string, 1)
 	go func() {
-		answer, _ := Call[question, string](ctx, pool, server.Address(), "hold", question{})
-		held <- answer
+		answer, _ := Call[question, string](ctx, pool, server.Address(), "block", question{})
+		blocked <- answer
 	}()
 	// When many more go out
 	var running sync.WaitGroup
@@ -41,8 +41,8 @@
 	}
 	running.Wait()
 	close(release)
-	// Then each got its own answer, the held one too, over one connection
-	if got := receive(t, held); got != "held" {
+	// Then each got its own answer, the blocked one too, over one connection
+	if got := receive(t, blocked); got != "unblocked" {
 		t.Errorf("got %q", got)
 	}
 	server.mutex.Lock()
--- a/internal/tier/transport/outbox_test.go
+++ b/internal/tier/transport/outbox_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("got %v", err)
 	}
 	if out.withdraw(first) {
-		t.Error("counted as taken")
+		t.Error("counted as dequeued")
 	}
 	if err := out.push(second); err != nil {
 		t.Errorf("after the withdrawal: %v", err)
@@ -45,7 +45,7 @@
 	var batch bytes.Buffer
 	out.nextBatch(&batch)
 	if !out.withdraw(second) || batch.String() != "2\n" {
-		t.Errorf("not counted as taken; batch %q", batch.String())
+		t.Errorf("not counted as dequeued; batch %q", batch.String())
 	}
 }
 
--- a/internal/tier/transport/pack_test.go
+++ b/internal/tier/transport/pack_test.go
@@ -99,17 +99,17 @@
 
 func TestUnpacker_DamagedLines_Fail(t *testing.T) {
 	line := noticeOf(1, 900)
-	whole := packedBy(t, line)
-	for cut := 1; cut < len(whole); cut++ {
-		if got, err := newLineReader(bytes.NewReader(whole[:cut]), MaxLineBytes).next(); err != io.ErrUnexpectedEOF {
-			t.Fatalf("cut after %d of %d bytes: %.40q, %v", cut, len(whole), got, err)
+	packed := packedBy(t, line)
+	for length := 1; length < len(packed); length++ {
+		if got, err := newLineReader(bytes.NewReader(packed[:length]), MaxLineBytes).next(); err != io.ErrUnexpectedEOF {
+			t.Fatalf("truncated to %d of %d bytes: %.40q, %v", length, len(packed), got, err)
 		}
 	}
 	open := packedBy(t, bytes.Repeat([]byte("{}"), 200))
 	for name, text := range map[string][]byte{
 		"no length": []byte("{\"packed\":}\n"), "length 0": []byte("{\"packed\":0}\n"), "a negative length": []byte("{\"packed\":-1}\n"),
 		"too long": []byte("{\"packed\":99999999}\n"), "no end": []byte("{\"packed\":7\n"), "no deflate stream": []byte("{\"packed\":3}\n\xff\xff\xff"),
-		"no line feed": open, "bytes behind": append([]byte(fmt.Sprintf("{\"packed\":%d}\n", len(whole)-bytes.IndexByte(whole, '\n'))), append(whole[bytes.IndexByte(whole, '\n')+1:], 0)...),
+		"no line feed": open, "bytes behind": append([]byte(fmt.Sprintf("{\"packed\":%d}\n", len(packed)-bytes.IndexByte(packed, '\n'))), append(packed[bytes.IndexByte(packed, '\n')+1:], 0)...),
 	} {
 		if _, err := newLineReader(bytes.NewReader(text), MaxLineBytes).next(); !errors.Is(err, ErrBadLine) {
 			t.Errorf("%s: %v", name, err)
@@ -122,8 +122,8 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	whole := packedBy(f, noticeOf(1, 90))
-	f.Add(whole[bytes.IndexByte(whole, '\n')+1:])
+	packed := packedBy(f, noticeOf(1, 90))
+	f.Add(packed[bytes.IndexByte(packed, '\n')+1:])
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		var unpacker unpacker
 		var lines bytes.Buffer
