--- a/internal/tier/program/bench_test.go
+++ b/internal/tier/program/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// line gives a machine with one line of whole turns, and the last one's name.
-func line(length, inputBytes, outputBytes int) (machine *Machine, last string) {
+// chainOf returns a machine with one chain of complete turns, and the last one's name.
+func chainOf(length, inputBytes, outputBytes int) (machine *Machine, last string) {
 	machine = New()
 	for i := range length {
 		name := fmt.Sprint("turn ", i)
@@ -27,7 +27,7 @@
 	}
 	for _, test := range tests {
 		b.Run(fmt.Sprint("after ", test.turns, " turns"), func(b *testing.B) {
-			machine, last := line(test.turns, test.input, test.output)
+			machine, last := chainOf(test.turns, test.input, test.output)
 			input := strings.Repeat("x", 1600)
 			b.ReportAllocs()
 			atS := 0.0
@@ -44,7 +44,7 @@
 }
 
 func BenchmarkMachine_Replay(b *testing.B) {
-	machine, last := line(400, 1600, 500)
+	machine, last := chainOf(400, 1600, 500)
 	input := strings.Repeat("x", 1600)
 	b.ReportAllocs()
 	atS := 0.0
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkMachine_Memory reports what a record costs beside its contents.
+// BenchmarkMachine_Memory reports the memory of a record beside its contents.
 func BenchmarkMachine_Memory(b *testing.B) {
 	const programs = 20_000
 	var before, after runtime.MemStats
--- a/internal/tier/program/budget_test.go
+++ b/internal/tier/program/budget_test.go
@@ -40,7 +40,7 @@
 	machine.Apply(left)
 	// when its bound and the margin have passed
 	passTime(machine, 0, 151)
-	// then its input is gone and its end comes too late, and what it reserved counts
+	// then its input has expired and its end comes too late, and what it reserved counts
 	if got := machine.Apply(endTurn("a", true, 1, "[out a]", 152)).Verdict; got != UnknownTurn {
 		t.Errorf("the end got %s", got)
 	}
@@ -60,13 +60,13 @@
 	machine := New()
 	machine.Apply(beginTurn("a", "p", 0, math.MaxInt64))
 	machine.Apply(beginTurn("b", "p", 0, math.MaxInt64))
-	// when it tells a budget, then nothing fits into it
+	// when it gives a budget, then nothing fits into it
 	if got := machine.Apply(beginTurn("c", "p", math.MaxInt64, 1)).Verdict; got != BudgetExceeded {
 		t.Errorf("got %s", got)
 	}
 }
 
-// passTime applies commands of no consequence, one a second, from after one second up to another.
+// passTime applies commands without effect, one a second, from after one second up to another.
 func passTime(machine *Machine, fromS, toS float64) {
 	for atS := fromS + 1; atS <= toS; atS++ {
 		machine.Apply(endTurn("nobody", false, 0, "", atS))
@@ -79,9 +79,9 @@
 		atS   float64
 		found bool
 	}{
-		{"given a whole turn when its time isn't over then it is held", 60, true},
-		{"given a whole turn when its time is over and the margin isn't then it is held", 89, true},
-		{"given a whole turn when both are over then it has gone", 91, false},
+		{"given a complete turn when its retention isn't over then it is stored", 60, true},
+		{"given a complete turn when its retention is over and the margin isn't then it is stored", 89, true},
+		{"given a complete turn when both are over then it has expired", 91, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -90,14 +90,14 @@
 			machine.Apply(endTurn("a", true, 1, "[out a]", 0))
 			passTime(machine, 0, test.atS)
 			if _, found := machine.Chain("a"); found != test.found {
-				t.Errorf("held: %v", found)
+				t.Errorf("stored: %v", found)
 			}
 		})
 	}
 }
 
 func TestAncestors_ExpireWithLastDescendant(t *testing.T) {
-	// given a line of three turns, half a minute apart, and a branch that was broken off
+	// given a chain of three turns, half a minute apart, and a branch that was broken off
 	machine := New()
 	previous := ""
 	for i := range 3 {
@@ -108,7 +108,7 @@
 	}
 	machine.Apply(beginRemembered("branch", "t0", "[in]", 60))
 	machine.Apply(endTurn("branch", false, 1, "", 60))
-	// when the time of the first two is over, then the last one's chain is whole
+	// when the retention of the first two is over, then the last one's chain is complete
 	passTime(machine, 60, 149)
 	if chain, _ := machine.Chain("t2"); string(chain) != "[in][out][in][out][in][out]" {
 		t.Errorf("chain %q", chain)
@@ -127,14 +127,14 @@
 		heard []int64
 		want  int64
 	}{
-		{"given one owner when time passes then the clock follows", []int64{start, start + 5, start + 900}, start + 900},
-		{"given two owners that differ when they take turns then the clock never goes back",
+		{"given one leader when time passes then the clock follows", []int64{start, start + 5, start + 900}, start + 900},
+		{"given two leaders that differ when they alternate then the clock never goes back",
 			[]int64{start, start + 5_000, start, start + 5_000, start + 1}, start + 5_000},
-		{"given an owner when it jumps an hour ahead then the clock moves by the bound",
+		{"given a leader when it jumps an hour ahead then the clock advances by the bound",
 			[]int64{start, start + 3_600_000}, start + maxAdvanceMs},
-		{"given an owner that was an hour ahead when it is set back then the clock goes on from there",
+		{"given a leader that was an hour ahead when it is set back then the clock goes on from there",
 			[]int64{start, start + 3_600_000, start + 10, start + 30}, start + maxAdvanceMs + 20},
-		{"given times that are nonsense when they come then they are ignored",
+		{"given invalid times when they are observed then they are ignored",
 			[]int64{0, -5, start, 0, -start, maxTimeMs + 1, start + 1}, start + 1},
 	}
 	for _, test := range tests {
--- a/internal/tier/program/chunk_writer_test.go
+++ b/internal/tier/program/chunk_writer_test.go
@@ -12,36 +12,36 @@
 	"pgregory.net/rapid"
 )
 
-// chunksOf gives copies of the parts of a machine's state.
+// chunksOf returns copies of the chunks of a machine's state.
 func chunksOf(t interface{ Fatal(...any) }, machine *Machine) [][]byte {
-	var parts [][]byte
-	err := machine.WriteChunks(func(part []byte) error {
-		parts = append(parts, bytes.Clone(part))
+	var chunks [][]byte
+	err := machine.WriteChunks(func(chunk []byte) error {
+		chunks = append(chunks, bytes.Clone(chunk))
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return parts
+	return chunks
 }
 
-// restoreChunks gives a machine that was set to parts.
-func restoreChunks(machine *Machine, parts [][]byte) error {
+// restoreChunks restores a machine from chunks.
+func restoreChunks(machine *Machine, chunks [][]byte) error {
 	restorer := machine.BeginRestore()
-	for _, part := range parts {
-		if err := restorer.Add(part); err != nil {
+	for _, chunk := range chunks {
+		if err := restorer.Add(chunk); err != nil {
 			return err
 		}
 	}
 	return restorer.Finish()
 }
 
-// maxChunkBytes is what a part may take: records are measured with some room, names in full.
+// maxChunkBytes bounds a chunk: records are estimated with some margin, names in full.
 const maxChunkBytes = chunkBytes + chunkBytes/8
 
 func TestRestorer_AnyState_SameAfterRestore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// given a machine, also with contents that are far larger than a part
+		// given a machine, also with contents that are far larger than a chunk
 		machine := New()
 		for _, step := range writeScript(drawing(t), 40, 400) {
 			machine.Apply(step.command)
@@ -53,13 +53,13 @@
 			machine.Apply(beginRemembered(name, "", strings.Repeat("i", sizes.Draw(t, "input")), 0))
 			machine.Apply(endTurn(name, true, 1, strings.Repeat("o", sizes.Draw(t, "output")), 0))
 		}
-		// when another one is set to its parts
-		parts := chunksOf(t, machine)
+		// when another one is restored from its chunks
+		chunks := chunksOf(t, machine)
 		restored := filled(2)
-		if err := restoreChunks(restored, parts); err != nil {
+		if err := restoreChunks(restored, chunks); err != nil {
 			t.Fatal(err)
 		}
-		// then it holds the same and gives the same parts
+		// then it has the same state and writes the same chunks
 		if large == 0 { // comparing large contents so takes too long
 			if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
 				t.Fatalf("(-machine +restored):\n%s", diff)
@@ -68,13 +68,13 @@
 		if got, want := restored.Stats(), machine.Stats(); got != want {
 			t.Fatalf("%+v was restored, want %+v", got, want)
 		}
-		if again := chunksOf(t, restored); !slices.EqualFunc(parts, again, bytes.Equal) {
-			t.Fatalf("%d parts became %d, or others", len(parts), len(again))
+		if rewritten := chunksOf(t, restored); !slices.EqualFunc(chunks, rewritten, bytes.Equal) {
+			t.Fatalf("%d chunks became %d, or others", len(chunks), len(rewritten))
 		}
-		// and no part is longer than the bound
-		for i, part := range parts {
-			if len(part) > maxChunkBytes {
-				t.Fatalf("part %d of %d takes %d bytes", i, len(parts), len(part))
+		// and no chunk is longer than the bound
+		for i, chunk := range chunks {
+			if len(chunk) > maxChunkBytes {
+				t.Fatalf("chunk %d of %d has %d bytes", i, len(chunks), len(chunk))
 			}
 		}
 	})
@@ -85,22 +85,22 @@
 	machine := filled(2000)
 	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 1<<20), 0))
 	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", 1<<20), 0))
-	// when its parts are taken
-	parts := chunksOf(t, machine)
+	// when its chunks are written
+	chunks := chunksOf(t, machine)
 	total := 0
-	for i, part := range parts {
-		if len(part) > maxChunkBytes {
-			t.Errorf("part %d takes %d bytes", i, len(part))
+	for i, chunk := range chunks {
+		if len(chunk) > maxChunkBytes {
+			t.Errorf("chunk %d has %d bytes", i, len(chunk))
 		}
-		total += len(part)
+		total += len(chunk)
 	}
 	// then there are not many more than needed
-	if most := total/chunkBytes*5/4 + 4; len(parts) > most {
-		t.Errorf("%d parts for %d bytes, want %d at most", len(parts), total, most)
+	if maxChunks := total/chunkBytes*5/4 + 4; len(chunks) > maxChunks {
+		t.Errorf("%d chunks for %d bytes, want at most %d", len(chunks), total, maxChunks)
 	}
-	// and another machine is set to them
+	// and another machine is restored from them
 	restored := New()
-	if err := restoreChunks(restored, parts); err != nil {
+	if err := restoreChunks(restored, chunks); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := restored.Stats(), machine.Stats(); got != want {
@@ -116,32 +116,32 @@
 	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 3*chunkBytes), 0))
 	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", chunkBytes), 0))
 	machine.Apply(beginRemembered("next", "large", "i", 0))
-	parts := chunksOf(t, machine)
+	chunks := chunksOf(t, machine)
 	machine.Apply(Command{Begin: &BeginTurn{Turn: "later", AtMs: 1_700_000_100_000}})
 	later := chunksOf(t, machine)
 	other := filled(3)
 	passTime(other, 1, 5)
 	without := func(number int) [][]byte {
-		return append(append([][]byte(nil), parts[:number]...), parts[number+1:]...)
+		return append(append([][]byte(nil), chunks[:number]...), chunks[number+1:]...)
 	}
 	tests := []struct {
-		name  string
-		parts [][]byte
+		name   string
+		chunks [][]byte
 	}{
 		{"none at all", nil},
 		{"the first one missing", without(0)},
-		{"the last one missing", parts[:len(parts)-1]},
-		{"one twice", append(append([][]byte(nil), parts[:2]...), parts[1:]...)},
-		{"one of another machine", append(append([][]byte(nil), parts...), chunksOf(t, other)...)},
-		{"those of two moments", append(append([][]byte(nil), parts[:1]...), later[1:]...)},
+		{"the last one missing", chunks[:len(chunks)-1]},
+		{"one twice", append(append([][]byte(nil), chunks[:2]...), chunks[1:]...)},
+		{"one of another machine", append(append([][]byte(nil), chunks...), chunksOf(t, other)...)},
+		{"those of two moments", append(append([][]byte(nil), chunks[:1]...), later[1:]...)},
 		{"contents without a turn", [][]byte{[]byte(`{"nowMs":0,"heardMs":0,"more":{"input":"AAAA"}}`)}},
-		{"one that is cut", append(append([][]byte(nil), parts[:1]...), parts[1][:len(parts[1])/2])},
+		{"one that is cut", append(append([][]byte(nil), chunks[:1]...), chunks[1][:len(chunks[1])/2])},
 	}
 	for _, test := range tests {
 		t.Run("given "+test.name+" when it is restored then the machine stays as it was", func(t *testing.T) {
 			machine := filled(3)
 			before := string(machine.Snapshot())
-			if err := restoreChunks(machine, test.parts); err == nil {
+			if err := restoreChunks(machine, test.chunks); err == nil {
 				t.Error("no error")
 			}
 			if diff := cmp.Diff(before, string(machine.Snapshot())); diff != "" {
@@ -154,13 +154,13 @@
 func TestWriteChunks_WriteFails_StopsAtFirstError(t *testing.T) {
 	machine := filled(400)
 	full := errors.New("the disk is full")
-	taken := 0
+	written := 0
 	err := machine.WriteChunks(func([]byte) error {
-		taken++
+		written++
 		return full
 	})
-	if err != full || taken != 1 {
-		t.Errorf("%d parts were taken, error %v", taken, err)
+	if err != full || written != 1 {
+		t.Errorf("%d chunks were written, error %v", written, err)
 	}
 }
 
@@ -169,17 +169,17 @@
 	f.Add([]byte(`{"nowMs":9,"heardMs":9,"goesOn":true,"turns":[{"turn":"a","state":1,"remembered":true,"dueMs":9,"input":"AAAA"}]}`),
 		[]byte(`{"nowMs":9,"heardMs":9,"number":1,"more":{"input":"AAAA"}}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		// given parts that a machine can be set to
+		// given chunks that a machine can be restored from
 		machine := New()
 		if restoreChunks(machine, [][]byte{first, second}) != nil {
 			return
 		}
-		// when its own parts are restored, then that is the same state
-		again := New()
-		if err := restoreChunks(again, chunksOf(t, machine)); err != nil {
+		// when its own chunks are restored, then that is the same state
+		restored := New()
+		if err := restoreChunks(restored, chunksOf(t, machine)); err != nil {
 			t.Fatal(err)
 		}
-		if want, got := string(machine.Snapshot()), string(again.Snapshot()); want != got {
+		if want, got := string(machine.Snapshot()), string(restored.Snapshot()); want != got {
 			t.Fatalf("%s became %s", want, got)
 		}
 	})
--- a/internal/tier/program/model_comparison_test.go
+++ b/internal/tier/program/model_comparison_test.go
@@ -15,8 +15,8 @@
 
 func (m *Machine) machine() *Machine { return m }
 
-// playScript applies a script and tells the first thing that differs from the reference.
-func playScript(subject subject, steps []step) error {
+// runScript applies a script and returns the first difference from the model.
+func runScript(subject subject, steps []step) error {
 	reference := newModel()
 	for i, step := range steps {
 		got := subject.Apply(step.command)
@@ -30,18 +30,18 @@
 	return nil
 }
 
-// drain applies commands over two hours without any turn that matters, and tells what is left.
+// drain applies commands over two hours without any turn that matters, and returns an error if anything is left.
 func drain(subject subject, steps []step) error {
 	atMs := steps[len(steps)-1].trueMs + 2*3_600_000
 	for i := range 2 * 3600 / 10 {
 		atMs += 10_000
 		subject.Apply(Command{Begin: &BeginTurn{Turn: fmt.Sprint("filler ", i), AtMs: atMs}})
 	}
-	held := subject.machine()
+	machine := subject.machine()
 	const fillers = (inFlightRetentionMs+clockMarginMs)/10_000 + 1
-	stats := held.Stats()
-	if stats.Turns > fillers || stats.Programs > 0 || stats.Bytes != 0 || len(held.imported) > 0 {
-		return fmt.Errorf("%+v and %d imported chains are left", stats, len(held.imported))
+	stats := machine.Stats()
+	if stats.Turns > fillers || stats.Programs > 0 || stats.Bytes != 0 || len(machine.imported) > 0 {
+		return fmt.Errorf("%+v and %d imported chains are left", stats, len(machine.imported))
 	}
 	return nil
 }
@@ -56,20 +56,20 @@
 		length  int
 		longest int
 	}{
-		{"within the time in which nothing goes", 60, 400},
+		{"within the time in which nothing expires", 60, 400},
 		{"over minutes", 80, 15_000},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				// given commands as relays and owners with differing clocks send them
+				// given commands as relays and leaders with differing clocks send them
 				steps := writeScript(drawing(t), test.length, test.longest)
-				// when a machine applies them, then it answers and holds what the reference does
+				// when a machine applies them, then its results and its state are the model's
 				machine := New()
-				if err := playScript(machine, steps); err != nil {
+				if err := runScript(machine, steps); err != nil {
 					t.Fatal(err)
 				}
-				// and when nothing more comes, then it lets all go
+				// and when nothing more comes, then everything expires
 				if err := drain(machine, steps); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/tier/program/model_mutants_test.go
+++ b/internal/tier/program/model_mutants_test.go
@@ -23,12 +23,12 @@
 	return result
 }
 
-// mutants are the mistakes that the reference is to catch.
+// mutants are the mistakes that the model must catch.
 var mutants = []struct {
 	name  string
 	build func() *mutant
 }{
-	{"a turn sent again reserves again", func() *mutant {
+	{"a retried turn reserves again", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			if command.Begin == nil {
 				return
@@ -58,14 +58,14 @@
 			}
 		}}
 	}},
-	{"a refused turn keeps its reservation", func() *mutant {
+	{"a rejected turn keeps its reservation", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, command Command, result Result) {
 			if result.Verdict == TurnNotFound && command.Begin.Program != "" {
 				m.programs.byName[command.Begin.Program].reserved += max(command.Begin.MaxTokens, 0)
 			}
 		}}
 	}},
-	{"a turn left by its relay frees its reservation", func() *mutant {
+	{"an abandoned turn releases its reservation", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, p := range m.programs.byName {
 				if p.inFlight == 0 {
@@ -74,7 +74,7 @@
 			}
 		}}
 	}},
-	{"ancestors go when their own time is over", func() *mutant {
+	{"ancestors expire when their own retention is over", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, t := range m.turns {
 				if t.queueIndex == notQueued {
@@ -84,7 +84,7 @@
 			}
 		}}
 	}},
-	{"the clock jumps as far as an owner's", func() *mutant {
+	{"the clock jumps as far as a leader's", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			atMs := int64(0)
 			if command.Begin != nil {
@@ -95,7 +95,7 @@
 			m.clock.nowMs = max(m.clock.nowMs, atMs)
 		}}
 	}},
-	{"reservations keep their programs", func() *mutant {
+	{"reservations retain their programs", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, p := range m.programs.byName {
 				if p.reserved > 0 {
@@ -107,19 +107,19 @@
 }
 
 func TestModel_MutatedMachine_IsCaught(t *testing.T) {
-	const tries = 400
+	const attempts = 400
 	for _, test := range mutants {
 		t.Run(test.name, func(t *testing.T) {
-			for seed := range uint64(tries) {
+			for seed := range uint64(attempts) {
 				random := rand.New(rand.NewPCG(seed, 1))
 				longest := []int{400, 15_000}[seed%2]
 				steps := writeScript(random.IntN, 80, longest)
 				wrong := test.build()
-				if playScript(wrong, steps) != nil || drain(wrong, steps) != nil {
+				if runScript(wrong, steps) != nil || drain(wrong, steps) != nil {
 					return
 				}
 			}
-			t.Errorf("not caught in %d scripts", tries)
+			t.Errorf("not caught in %d scripts", attempts)
 		})
 	}
 }
@@ -129,7 +129,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		steps := writeScript(random.IntN, 80, []int{400, 15_000}[seed%2])
 		machine := New()
-		if err := playScript(machine, steps); err != nil {
+		if err := runScript(machine, steps); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if err := drain(machine, steps); err != nil {
--- a/internal/tier/program/model_test.go
+++ b/internal/tier/program/model_test.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// Spans, in true milliseconds, in which a machine must answer as the reference does. Outside of them it may have let go.
+// Spans, in true milliseconds, in which a machine must answer as the model does. Outside of them its state may have expired.
 const (
 	modelInFlightMs = 2 * 60_000
 	modelEndedMs    = 30_000
 )
 
-// modelTurn is a turn with a chain of its own, copied as a whole.
+// modelTurn is a turn with a complete copy of its chain.
 type modelTurn struct {
 	program    string
-	most       int64
+	maxTokens  int64
 	remembered bool
 	keepMs     int64
 	before     []byte // the chain up to it
 	input      []byte
-	chain      []byte // with it, once it is whole
+	chain      []byte // with it, once it is complete
 	ended      bool
-	whole      bool
+	complete   bool
 	atMs       int64 // true time of its last command that changed it
 }
 
 type modelProgram struct{ limit, spent, reserved int64 }
 
-// model is the plainest machine there is: it copies every chain, forgets nothing and knows the true time.
+// model is the simplest machine: it copies every chain, nothing expires, and it knows the true time.
 type model struct {
 	turns    map[string]*modelTurn
 	imported map[string][]byte
@@ -42,7 +42,7 @@
 	}
 }
 
-// follow takes a command and a machine's answer to it, and tells what is wrong with that.
+// follow applies a command and checks a machine's result.
 func (r *model) follow(command Command, trueMs int64, got Result) error {
 	if command.Begin != nil {
 		return r.followBegin(command.Begin, trueMs, got)
@@ -64,40 +64,40 @@
 	if begin.Budget > 0 && (p.limit == 0 || begin.Budget < p.limit) {
 		p.limit = begin.Budget
 	}
-	most := max(begin.MaxTokens, 0)
-	if begin.Program != "" && p.limit > 0 && p.spent+p.reserved+most > p.limit {
+	maxTokens := max(begin.MaxTokens, 0)
+	if begin.Program != "" && p.limit > 0 && p.spent+p.reserved+maxTokens > p.limit {
 		return expect(got, Result{Verdict: BudgetExceeded})
 	}
-	t := &modelTurn{program: begin.Program, most: most, remembered: begin.Remembered, atMs: trueMs}
+	t := &modelTurn{program: begin.Program, maxTokens: maxTokens, remembered: begin.Remembered, atMs: trueMs}
 	if begin.Remembered {
 		t.keepMs = int64(begin.KeepForS * 1000)
 		t.input = begin.Input
-		if refused, err := r.findBefore(t, begin, trueMs, got); refused {
+		if refused, err := r.findPrevious(t, begin, trueMs, got); refused {
 			return err
 		}
 	}
 	r.turns[begin.Turn] = t
-	p.reserved += most
+	p.reserved += maxTokens
 	return expect(got, Result{Verdict: Accepted, Chain: t.before})
 }
 
-// findBefore sets the chain that a turn goes on from, and tells whether it is refused for want of one.
-func (r *model) findBefore(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (refused bool, err error) {
+// findPrevious sets the chain that a turn continues, and reports whether the turn is rejected since there is none.
+func (r *model) findPrevious(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (refused bool, err error) {
 	if begin.Previous == "" {
 		return false, nil
 	}
 	previous := r.turns[begin.Previous]
-	isWhole := previous != nil && previous.whole
+	isComplete := previous != nil && previous.complete
 	imported := r.imported[begin.Previous]
 	switch {
-	case isWhole && trueMs <= previous.atMs+previous.keepMs:
+	case isComplete && trueMs <= previous.atMs+previous.keepMs:
 		t.before = previous.chain
 	case got.Verdict == TurnNotFound:
 		if len(begin.Imported) > 0 {
-			return true, fmt.Errorf("an imported chain was refused")
+			return true, fmt.Errorf("an imported chain was rejected")
 		}
 		return true, nil
-	case isWhole:
+	case isComplete:
 		t.before = previous.chain
 	case imported != nil:
 		t.before = imported
@@ -116,23 +116,23 @@
 		return expect(got, Result{Verdict: UnknownTurn})
 	}
 	if t.ended {
-		if end.Complete && t.remembered && !t.whole {
+		if end.Complete && t.remembered && !t.complete {
 			return expect(got, Result{Verdict: UnknownTurn})
 		}
 		return expect(got, Result{Verdict: Accepted})
 	}
 	if got.Verdict == UnknownTurn && trueMs > t.atMs+modelInFlightMs {
-		delete(r.turns, end.Turn) // its relay left it for so long that it begins anew; what it reserved counts
+		delete(r.turns, end.Turn) // its relay abandoned it for so long that it begins anew; what it reserved counts
 		return nil
 	}
 	t.ended = true
 	t.atMs = trueMs
 	if p := r.programs[t.program]; p != nil {
-		p.reserved -= t.most
-		p.spent += min(max(end.Tokens, 0), t.most)
+		p.reserved -= t.maxTokens
+		p.spent += min(max(end.Tokens, 0), t.maxTokens)
 	}
 	if end.Complete && t.remembered {
-		t.whole = true
+		t.complete = true
 		t.chain = bytes.Join([][]byte{t.before, t.input, end.Output}, nil)
 	}
 	return expect(got, Result{Verdict: Accepted})
@@ -148,25 +148,25 @@
 	return nil
 }
 
-// check compares what a machine holds with what it must hold at a true time.
+// check compares a machine's state with what it must have at a true time.
 func (r *model) check(m *Machine, trueMs int64) error {
 	for name, p := range r.programs {
-		held := m.programs.byName[name]
-		if held == nil {
-			return fmt.Errorf("program %s is gone", name)
+		record := m.programs.byName[name]
+		if record == nil {
+			return fmt.Errorf("program %s has expired", name)
 		}
-		got := modelProgram{limit: held.limit, spent: held.spent, reserved: held.reserved}
+		got := modelProgram{limit: record.limit, spent: record.spent, reserved: record.reserved}
 		if got != *p {
 			return fmt.Errorf("program %s is %+v, want %+v", name, got, *p)
 		}
 	}
 	for name, t := range r.turns {
 		chain, found := m.Chain(name)
-		if found && (!t.whole || !bytes.Equal(chain, t.chain)) {
-			return fmt.Errorf("turn %s has chain %q, want %q (whole: %v)", name, chain, t.chain, t.whole)
+		if found && (!t.complete || !bytes.Equal(chain, t.chain)) {
+			return fmt.Errorf("turn %s has chain %q, want %q (complete: %v)", name, chain, t.chain, t.complete)
 		}
-		if !found && t.whole && trueMs <= t.atMs+t.keepMs {
-			return fmt.Errorf("turn %s is gone %d ms after its end, it is to be kept for %d", name, trueMs-t.atMs, t.keepMs)
+		if !found && t.complete && trueMs <= t.atMs+t.keepMs {
+			return fmt.Errorf("turn %s has expired %d ms after its end, its retention is %d", name, trueMs-t.atMs, t.keepMs)
 		}
 	}
 	return nil
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -8,36 +8,36 @@
 // choose gives a number from 0 to under n.
 type choose func(n int) int
 
-// step is a command at a true time; the command's own time of day is that of its owner's clock.
+// step is a command at a true time; the command's own time of day is that of its leader's clock.
 type step struct {
 	command Command
 	trueMs  int64
 }
 
-// script builds a series of commands as relays and owners with differing clocks could send them.
+// script builds a series of commands as relays and leaders with differing clocks could send them.
 type script struct {
 	choose   choose
-	longest  int // ms between two commands
+	maxGapMs int // ms between two commands
 	nowMs    int64
 	offsetMs int64
 	jumps    int // how often a clock may still jump by an hour
-	asked    []*scriptTurn
+	begun    []*scriptTurn
 	steps    []step
 }
 
 // scriptTurn is a turn as its relay knows it.
 type scriptTurn struct {
-	begin  *BeginTurn
-	end    *EndTurn
-	lastMs int64
+	begin      *BeginTurn
+	end        *EndTurn
+	lastSentMs int64
 }
 
-// Commands are sent again for so long after the first time.
-const resendMs = 25_000
+// Commands are retried for so long after the first time.
+const retryMs = 25_000
 
 // writeScript gives length steps with up to longest milliseconds between them.
 func writeScript(choose choose, length, longest int) []step {
-	s := &script{choose: choose, longest: longest, nowMs: startMs, jumps: 1}
+	s := &script{choose: choose, maxGapMs: longest, nowMs: startMs, jumps: 1}
 	for range length {
 		s.passTime()
 		s.add(s.next())
@@ -47,7 +47,7 @@
 
 // passTime moves the true time on and picks whose clock the next command carries.
 func (s *script) passTime() {
-	s.nowMs += int64(s.choose(s.longest))
+	s.nowMs += int64(s.choose(s.maxGapMs))
 	switch s.choose(8) {
 	case 0:
 		s.offsetMs = int64(s.choose(16_001)) - 8_000
@@ -78,23 +78,23 @@
 
 func (s *script) next() Command {
 	kind := s.choose(10)
-	if kind < 5 && len(s.asked) > 0 {
+	if kind < 5 && len(s.begun) > 0 {
 		if command, found := s.nextEnd(); found {
 			return command
 		}
 	}
 	if kind == 5 {
-		if command, found := s.again(); found {
+		if command, found := s.retry(); found {
 			return command
 		}
 	}
 	return s.nextBegin()
 }
 
-// nextEnd ends one of the last turns that haven't ended; now and then one whose relay forgot it for long.
+// nextEnd ends one of the last turns that haven't ended; sometimes one that its relay abandoned for long.
 func (s *script) nextEnd() (Command, bool) {
 	var open []*scriptTurn
-	for _, t := range s.asked {
+	for _, t := range s.begun {
 		if t.end == nil {
 			open = append(open, t)
 		}
@@ -113,15 +113,15 @@
 		Tokens:   int64(s.choose(40)) - 5,
 		Output:   s.bytes("out", t.begin.Turn),
 	}
-	t.lastMs = s.nowMs
+	t.lastSentMs = s.nowMs
 	return Command{End: t.end}, true
 }
 
-// again sends a begin or an end once more, or an end that says otherwise than the first.
-func (s *script) again() (Command, bool) {
+// retry repeats a begin or an end, or sends an end that differs from the first.
+func (s *script) retry() (Command, bool) {
 	var fresh []*scriptTurn
-	for _, t := range s.asked {
-		if s.nowMs-t.lastMs <= resendMs {
+	for _, t := range s.begun {
+		if s.nowMs-t.lastSentMs <= retryMs {
 			fresh = append(fresh, t)
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 func (s *script) nextBegin() Command {
-	name := fmt.Sprint("t", len(s.asked))
+	name := fmt.Sprint("t", len(s.begun))
 	begin := &BeginTurn{
 		Turn:       name,
 		MaxTokens:  int64(s.choose(32)) - 1,
@@ -152,8 +152,8 @@
 		begin.Budget = int64(s.choose(3) * (40 + 60*program))
 	}
 	switch kind := s.choose(8); {
-	case kind < 5 && len(s.asked) > 0:
-		newest := s.asked[max(0, len(s.asked)-12):]
+	case kind < 5 && len(s.begun) > 0:
+		newest := s.begun[max(0, len(s.begun)-12):]
 		begin.Previous = newest[s.choose(len(newest))].begin.Turn
 	case kind == 5:
 		begin.Previous = fmt.Sprint("elsewhere ", s.choose(3))
@@ -161,7 +161,7 @@
 			begin.Imported = []byte("{" + begin.Previous + "}")
 		}
 	}
-	s.asked = append(s.asked, &scriptTurn{begin: begin, lastMs: s.nowMs})
+	s.begun = append(s.begun, &scriptTurn{begin: begin, lastSentMs: s.nowMs})
 	return Command{Begin: begin}
 }
 
--- a/internal/tier/program/snapshot_test.go
+++ b/internal/tier/program/snapshot_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// replicaView compares all that a machine holds, apart from the numbers by which it orders turns.
+// replicaView compares a machine's state, except for the sequence numbers and indices that order turns.
 var replicaView = []cmp.Option{
 	cmp.AllowUnexported(Machine{}, clock{}, programTable{}, program{}, turn{}),
 	cmpopts.IgnoreFields(Machine{}, "sequence", "expiries"),
@@ -20,8 +20,8 @@
 	cmpopts.EquateEmpty(),
 }
 
-// overTheWire gives the command that another replica reads from its log.
-func overTheWire(t interface{ Fatal(...any) }, command Command) Command {
+// viaJSON returns the command that another replica decodes from its log.
+func viaJSON(t interface{ Fatal(...any) }, command Command) Command {
 	data, err := json.Marshal(command)
 	if err != nil {
 		t.Fatal(err)
@@ -35,56 +35,56 @@
 
 func TestReplicas_SameCommands_SameStateAndResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// given a log, an owner, and a replica that is set to the owner's snapshot somewhere on the way
+		// given a log, a leader, and a replica that installs the leader's snapshot at some point
 		longest := rapid.SampledFrom([]int{400, 15_000, 60_000}).Draw(t, "longest")
 		steps := writeScript(drawing(t), 60, longest)
 		installAt := rapid.IntRange(0, len(steps)-1).Draw(t, "snapshot before")
-		owner, follower, installed, replaying := New(), New(), New(), New()
+		leader, follower, installed, replaying := New(), New(), New(), New()
 		for i, step := range steps {
 			if i == installAt {
-				if err := installed.Restore(owner.Snapshot()); err != nil {
+				if err := installed.Restore(leader.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			// when all apply it
-			want := owner.Apply(step.command)
-			command := overTheWire(t, step.command)
+			want := leader.Apply(step.command)
+			command := viaJSON(t, step.command)
 			replicas := []*Machine{follower}
 			if i >= installAt {
 				replicas = append(replicas, installed)
 			}
-			// then they answer and hold the same
+			// then they have the same results and state
 			for _, replica := range replicas {
 				if diff := cmp.Diff(want, replica.Apply(command), cmpopts.EquateEmpty()); diff != "" {
-					t.Fatalf("results at step %d (-owner +replica):\n%s", i, diff)
+					t.Fatalf("results at step %d (-leader +replica):\n%s", i, diff)
 				}
-				compareStats(t, owner, replica)
+				compareStats(t, leader, replica)
 			}
 			// and so does one that only replays it
 			replaying.Replay(command)
-			compareStats(t, owner, replaying)
+			compareStats(t, leader, replaying)
 			if i%8 == 7 || i == len(steps)-1 {
-				compareSnapshots(t, owner, append(replicas, replaying))
+				compareSnapshots(t, leader, append(replicas, replaying))
 			}
 		}
-		if diff := cmp.Diff(owner, installed, replicaView...); diff != "" {
-			t.Fatalf("(-owner +installed):\n%s", diff)
+		if diff := cmp.Diff(leader, installed, replicaView...); diff != "" {
+			t.Fatalf("(-leader +installed):\n%s", diff)
 		}
 	})
 }
 
-func compareSnapshots(t *rapid.T, owner *Machine, replicas []*Machine) {
-	want := string(owner.Snapshot())
+func compareSnapshots(t *rapid.T, leader *Machine, replicas []*Machine) {
+	want := string(leader.Snapshot())
 	for i, replica := range replicas {
 		if got := string(replica.Snapshot()); want != got {
-			t.Fatalf("snapshots of the owner and replica %d (-owner +replica):\n%s", i, cmp.Diff(want, got))
+			t.Fatalf("snapshots of the leader and replica %d (-leader +replica):\n%s", i, cmp.Diff(want, got))
 		}
 	}
 }
 
-func compareStats(t *rapid.T, owner, replica *Machine) {
-	if want, got := owner.Stats(), replica.Stats(); want != got {
-		t.Fatalf("stats: owner %+v, replica %+v", want, got)
+func compareStats(t *rapid.T, leader, replica *Machine) {
+	if want, got := leader.Stats(), replica.Stats(); want != got {
+		t.Fatalf("stats: leader %+v, replica %+v", want, got)
 	}
 }
 
@@ -117,10 +117,10 @@
 
 func TestSnapshot_EstimatedBytes_FitTightly(t *testing.T) {
 	// given a machine with names of the usual length
-	image := filled(500).Capture()
-	// when it is written, then the memory set aside was enough and not much more
-	if data := image.JSON(); len(data) > image.estimatedBytes() || len(data) < image.estimatedBytes()*9/10 {
-		t.Errorf("%d bytes set aside and %d written", image.estimatedBytes(), len(data))
+	captured := filled(500).Capture()
+	// when it is written, then the memory allocated was enough and not much more
+	if data := captured.JSON(); len(data) > captured.estimatedBytes() || len(data) < captured.estimatedBytes()*9/10 {
+		t.Errorf("%d bytes estimated and %d written", captured.estimatedBytes(), len(data))
 	}
 }
 
@@ -139,7 +139,7 @@
 		{"half a clock", `{"nowMs":1}`, "half set"},
 		{"a program without a name", `{"programs":[{}]}`, "no name"},
 		{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "future"},
-		{"a program that owes", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
+		{"a program with a negative number", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
 		{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "duplicate name"},
 		{"programs out of order",
 			`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "out of order"},
@@ -153,14 +153,14 @@
 		{"a turn with more reserved than its program", turns(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "less reserved"},
 		{"a turn with less than nothing reserved", turns(`{"turn":"b","most":-1,"dueMs":99}`), "out of range"},
 		{"an ended turn with a reservation", turns(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a reservation"},
-		{"a turn under way with an output", turns(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
-		{"a broken turn with an input", turns(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
-		{"a turn that is kept for years", turns(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
-		{"a turn under way without a time", turns(`{"turn":"b"}`), "no expiry"},
-		{"a whole turn that nothing holds", turns(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
-		{"an imported chain that nothing holds", turns(root), "referenced by nothing"},
-		{"an imported chain with a time", turns(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
-		{"a whole turn that isn't remembered", turns(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
+		{"a turn in flight with an output", turns(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
+		{"a turn broken off with an input", turns(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
+		{"a turn that is retained for years", turns(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
+		{"a turn in flight without an expiry", turns(`{"turn":"b"}`), "no expiry"},
+		{"a complete turn that nothing references", turns(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
+		{"an imported chain that nothing references", turns(root), "referenced by nothing"},
+		{"an imported chain with an expiry", turns(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
+		{"a complete turn that isn't remembered", turns(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
 	}
 	for _, test := range tests {
 		t.Run("given "+test.name+" when it is restored then the machine stays as it was", func(t *testing.T) {
@@ -189,11 +189,11 @@
 }
 
 func TestCapture_MachineGoesOn_StaysUnchanged(t *testing.T) {
-	// given an image of a machine
+	// given a capture of a machine
 	machine := filled(20)
-	image := machine.Capture()
+	captured := machine.Capture()
 	want := string(machine.Snapshot())
-	// when the machine goes on, also until all of it has gone
+	// when the machine goes on, also until all of its state has expired
 	for i := range 20 {
 		machine.Apply(endTurn(fmt.Sprintf("%08x%08x", i, 3), true, 5, "[out]", 1))
 	}
@@ -201,8 +201,8 @@
 	if stats := machine.Stats(); stats != (Stats{}) {
 		t.Fatalf("%+v is left", stats)
 	}
-	// then the image is still the same
-	if diff := cmp.Diff(want, string(image.JSON())); diff != "" {
+	// then the capture is still the same
+	if diff := cmp.Diff(want, string(captured.JSON())); diff != "" {
 		t.Errorf("(-before +after):\n%s", diff)
 	}
 }
@@ -221,14 +221,14 @@
 		}
 		// when its own snapshot is restored, then that is the same state
 		first := machine.Snapshot()
-		again := New()
-		if err := again.Restore(first); err != nil {
+		restored := New()
+		if err := restored.Restore(first); err != nil {
 			t.Fatalf("%v: %s", err, first)
 		}
-		if second := again.Snapshot(); string(second) != string(first) {
+		if second := restored.Snapshot(); string(second) != string(first) {
 			t.Fatalf("%s became %s", first, second)
 		}
-		// and when the time of the turns and then that of the programs is over, then all goes
+		// and when the retention of the turns and then that of the programs is over, then everything expires
 		for range 2 {
 			machine.clock.nowMs += 2 * maxRetentionMs
 			for range len(data) {
@@ -241,7 +241,7 @@
 	})
 }
 
-// filled gives a machine with a number of programs of which each has ended a line of three turns and has one under way.
+// filled returns a machine with a number of programs, each with a chain of three ended turns and one in flight.
 func filled(count int) *Machine {
 	machine := New()
 	for i := range count {
--- a/internal/tier/program/source_mutants_test.go
+++ b/internal/tier/program/source_mutants_test.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// scripts is the test that compares the machine with the reference.
+// scripts is the test that compares the machine with the model.
 const scripts = "^TestModel_CorrectMachine_IsNotCaught$"
 
 func budgetChange(old, changed string) mutation.Change {
@@ -36,12 +36,12 @@
 			Run:    scripts,
 		},
 		{
-			Name:   "the last token of the budget can't be had",
+			Name:   "the last token of the budget can't be used",
 			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.usedTokens()+maxTokens < p.limit"),
 			Run:    scripts,
 		},
 		{
-			Name:   "the last budget told counts",
+			Name:   "the last budget given counts",
 			Change: budgetChange("return min(limit, budget)", "return budget"),
 			Run:    scripts,
 		},
@@ -51,37 +51,37 @@
 			Run:    scripts,
 		},
 		{
-			Name:   "less than nothing is charged",
+			Name:   "a negative amount is charged",
 			Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
 			Run:    scripts,
 		},
 		{
-			Name:   "a turn always costs its most",
+			Name:   "a turn always costs its reservation",
 			Change: budgetChange("return min(max(tokens, 0), reserved)", "return reserved"),
 			Run:    scripts,
 		},
 		{
-			Name:   "a broken turn counts",
+			Name:   "a turn broken off counts",
 			Change: turnChange("if isComplete && t.remembered {", "if true {"),
 			Run:    scripts,
 		},
 		{
-			Name:   "any turn can be gone on from",
+			Name:   "any turn can be continued",
 			Change: turnChange("return t.state == complete || t.state == imported", "return true"),
 			Run:    scripts,
 		},
 		{
-			Name:   "whole turns go early",
+			Name:   "complete turns expire early",
 			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
 			Run:    scripts,
 		},
 		{
-			Name:   "whole turns are kept without a margin",
+			Name:   "complete turns are retained without a margin",
 			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
 			Run:    scripts,
 		},
 		{
-			Name:   "nothing is ever let go",
+			Name:   "nothing ever expires",
 			Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
 			Run:    scripts,
 		},
