--- a/internal/tier/upstream/abandon_test.go
+++ b/internal/tier/upstream/abandon_test.go
@@ -14,10 +14,10 @@
 func TestDo_ContextEndsWhileWriting_ResetsConnection(t *testing.T) {
 	cases := []struct {
 		name   string
-		answer string // what has come of the answer when the caller goes
+		answer string // what has come of the response when the caller cancels
 	}{
-		{"given no answer yet", ""},
-		{"given an answer under way", "HTTP/1.1 200 OK\r\nX-Attempt-Id: id\r\nContent-Length: 10\r\n\r\n01234"},
+		{"given no response yet", ""},
+		{"given a response in progress", "HTTP/1.1 200 OK\r\nX-Attempt-Id: id\r\nContent-Length: 10\r\n\r\n01234"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -34,14 +34,14 @@
 				return false
 			})
 			pool := newPool(t, upstream.Options{})
-			// when its caller goes
-			answer, err := pool.Do(ctx, e.target("e"), newRequest("GET", "/", "id"))
+			// when its caller cancels
+			response, err := pool.Do(ctx, e.target("e"), newRequest("GET", "/", "id"))
 			if err == nil {
 				leave()
-				_, err = io.ReadAll(answer)
-				answer.Close()
+				_, err = io.ReadAll(response)
+				response.Close()
 			}
-			// then the endpoint sees a reset: what a link holds up of the request won't follow
+			// then the endpoint sees a reset: what a link delays of the request won't follow
 			var failure *upstream.Error
 			if !errors.As(err, &failure) || failure.Kind != upstream.MayHaveRun || failure.Reason != upstream.Cancelled {
 				t.Errorf("the caller got %v", err)
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -152,17 +152,17 @@
 	return request
 }
 
-// exchange sends a request and reads its whole answer.
+// exchange sends a request and reads its complete response.
 func exchange(t *testing.T, pool *upstream.Pool, to upstream.Endpoint, request *upstream.Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	answer, err := pool.Do(ctx, to, request)
+	response, err := pool.Do(ctx, to, request)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -17,7 +17,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
-func answerShortly(socket net.Conn, request received) bool {
+func respondShortly(socket net.Conn, request received) bool {
 	respond(socket, request, "body of "+request.header.Get("X-Attempt-Id"), "Keep-Alive: timeout=30")
 	return true
 }
@@ -25,7 +25,7 @@
 func TestDo_Request_IsWrittenByteForByte(t *testing.T) {
 	targets := []string{"/", "//", "//a//b", "/a%2Fb", "/a;b=c;d", "/a?", "/a?x=1&y=%20;z", "/a?b?c", "/%61/../b/./c", "/a|b\"<>",
 		"//host/path?q#f", "/%zz", "/caf\xc3\xa9"}
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{})
 	for i, target := range targets {
 		id := fmt.Sprint("id-", i)
@@ -52,7 +52,7 @@
 		{"a chain and an input", []string{"chain ", "input"}, "chain input"},
 		{"a megabyte", []string{large, "tail"}, large + "tail"},
 	}
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{})
 	for i, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 }
 
 func TestPool_Connections_AreKeptByEndpointID(t *testing.T) {
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{})
 	for i, id := range []string{"first", "first", "second", "first"} {
 		if _, err := exchange(t, pool, e.target(id), newRequest("GET", "/", fmt.Sprint(i))); err != nil {
@@ -104,7 +104,7 @@
 				"\r\nKeep-Alive: timeout=30\r\nContent-Length: 1\r\n\r\nxsurplus")
 			return true
 		}},
-		{"after an answer until the close", func(socket net.Conn, request received) bool {
+		{"after a close-delimited response", func(socket net.Conn, request received) bool {
 			io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+"\r\n\r\nx")
 			return false
 		}},
@@ -159,7 +159,7 @@
 
 func TestReaper_ExpiredConnections_AreClosed(t *testing.T) {
 	clock := newClock()
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{Now: clock.now})
 	if _, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1")); err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 	release := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		<-release
-		return answerShortly(socket, request)
+		return respondShortly(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
 	target := e.target("e")
@@ -224,7 +224,7 @@
 func TestDo_InformationalResponses_AreSkipped(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return answerShortly(socket, request)
+		return respondShortly(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
 	request := newRequest("POST", "/", "1", "body")
@@ -236,13 +236,13 @@
 }
 
 func TestDo_ForeignResponse_IsNeverReturned(t *testing.T) {
-	t.Run("the own answer follows", func(t *testing.T) {
+	t.Run("the own response follows", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, request received) bool {
 			if request.header.Get("X-Attempt-Id") == "2" {
 				late := received{header: map[string][]string{"X-Attempt-Id": {"1"}}}
 				respond(socket, late, "late", "X-Server-Seal: s")
 			}
-			return answerShortly(socket, request)
+			return respondShortly(socket, request)
 		})
 		pool := newPool(t, upstream.Options{})
 		for i, want := range []string{"body of 1", "body of 2", "body of 3"} {
@@ -267,7 +267,7 @@
 	t.Run("no id on a connection that was used before", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, request received) bool {
 			if request.header.Get("X-Attempt-Id") == "1" {
-				return answerShortly(socket, request)
+				return respondShortly(socket, request)
 			}
 			io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return false
@@ -284,7 +284,7 @@
 		if request.header.Get("X-Attempt-Id") == "2" {
 			io.WriteString(socket, "surplus")
 		}
-		return answerShortly(socket, request)
+		return respondShortly(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
 	if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "1", "body")); err != nil {
@@ -330,7 +330,7 @@
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
 		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	})
-	t.Run("bytes that are no answer", func(t *testing.T) {
+	t.Run("bytes that are no response", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
 			io.WriteString(socket, "\x00\x01 no answer\r\n\r\n")
 			return true
@@ -385,11 +385,11 @@
 	}()
 	pool := newPool(t, upstream.Options{})
 	request := newRequest("POST", "/", "1", strings.Repeat("x", 64<<20))
-	answer, err := pool.Do(t.Context(), upstream.Endpoint{ID: "e", Address: listener.Addr().String()}, request)
-	if err != nil || answer.Status != 503 {
-		t.Fatalf("%v, %v", answer, err)
+	response, err := pool.Do(t.Context(), upstream.Endpoint{ID: "e", Address: listener.Addr().String()}, request)
+	if err != nil || response.Status != 503 {
+		t.Fatalf("%v, %v", response, err)
 	}
-	answer.Close()
+	response.Close()
 	close(answered)
 	if inUse, idle := pool.Connections("e"); inUse != 0 || idle != 0 {
 		t.Errorf("%d connections in use and %d idle", inUse, idle)
@@ -397,7 +397,7 @@
 }
 
 func TestPool_ManyCallers_Share(t *testing.T) {
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{})
 	var callers sync.WaitGroup
 	for caller := range 8 {
@@ -445,16 +445,16 @@
 	c.time = c.time.Add(by)
 }
 
-// leaving is a Permit that ends a request's context as it is asked, the last thing before the request is written.
-type leaving struct{ leave context.CancelFunc }
+// cancellingPermit is a Permit that ends a request's context as it is asked, the last thing before the request is written.
+type cancellingPermit struct{ cancel context.CancelFunc }
 
-func (l leaving) Granted() bool {
-	l.leave()
+func (p cancellingPermit) Granted() bool {
+	p.cancel()
 	return true
 }
 
 func TestDo_ContextEndsWhileConnecting_SendsNothing(t *testing.T) {
-	e := newEndpoint(t, answerShortly)
+	e := newEndpoint(t, respondShortly)
 	pool := newPool(t, upstream.Options{})
 	for _, kept := range []bool{false, true} {
 		if kept {
@@ -464,7 +464,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		target := e.target("e")
-		target.Permit = leaving{cancel}
+		target.Permit = cancellingPermit{cancel}
 		_, err := pool.Do(ctx, target, newRequest("GET", "/", "left"))
 		expectError(t, err, upstream.NeverSent, upstream.Cancelled)
 		<-e.closed
@@ -475,9 +475,9 @@
 }
 
 func TestDo_LateBodyAfterHead_IsNoResponse(t *testing.T) {
-	// The late answer to a HEAD request tells a length and has no body: whoever skipped one would skip the own answer, and
-	// go on in its middle. The late answer to a GET has one: whoever reads no body after a HEAD would take it for an answer.
-	for name, methods := range map[string][2]string{"a late answer to a HEAD": {"HEAD", "GET"}, "a late answer to a GET": {"GET", "HEAD"}} {
+	// The late response to a HEAD request has a length and no body: whoever skipped one would skip the own response, and
+	// go on in its middle. The late response to a GET has one: whoever reads no body after a HEAD would take it for a response.
+	for name, methods := range map[string][2]string{"a late response to a HEAD": {"HEAD", "GET"}, "a late response to a GET": {"GET", "HEAD"}} {
 		t.Run(name, func(t *testing.T) {
 			inner := "HTTP/1.1 200 OK\r\nX-Attempt-Id: 2\r\nContent-Length: 0\r\n\r\n"
 			late := "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: " + strconv.Itoa(len(inner)) + "\r\n\r\n"
@@ -515,7 +515,7 @@
 			io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
-		return answerShortly(socket, request)
+		return respondShortly(socket, request)
 	})
 	for _, most := range []int{0, 1} {
 		pool := newPool(t, upstream.Options{})
@@ -539,7 +539,7 @@
 }
 
 func TestPool_EarlyResponseWhileWriting_ConnectionIsNotReused(t *testing.T) {
-	// given an endpoint that answers once it has the head of a long request, and reads the rest when it is told to
+	// given an endpoint that answers once it has the head of a long request, and reads the rest when it is released
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -567,7 +567,7 @@
 	pool := newPool(t, upstream.Options{})
 	target := upstream.Endpoint{ID: "e", Address: listener.Addr().String()}
 	long := newRequest("POST", "/", "1", strings.Repeat("x", 32<<20))
-	// when its answer has been taken, and another request is sent
+	// when its response has been read, and another request is sent
 	for _, request := range []*upstream.Request{long, newRequest("GET", "/", "2")} {
 		if _, err := exchange(t, pool, target, request); err != nil {
 			t.Fatal(err)
@@ -590,7 +590,7 @@
 func TestPool_HalfClosedConnection_IsNotReused(t *testing.T) {
 	halfClosed := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		answerShortly(socket, request)
+		respondShortly(socket, request)
 		if request.connection == 1 {
 			socket.(*net.TCPConn).CloseWrite()
 			close(halfClosed)
--- a/internal/tier/upstream/timeleft_test.go
+++ b/internal/tier/upstream/timeleft_test.go
@@ -18,44 +18,44 @@
 		connect time.Duration // until there is a connection
 		want    int
 	}{
-		{"given a connection at once then all of it is told", 2 * time.Second, 0, 2000},
+		{"given a connection at once then all of it is sent", 2 * time.Second, 0, 2000},
 		{"given a connection that takes its time then that is taken off", 2 * time.Second, 390 * time.Millisecond, 1610},
 		{"given next to nothing left then it is never nought", 300 * time.Microsecond, 0, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				told := make(chan string, 1)
+				timeLeft := make(chan string, 1)
 				pool := NewPool(Options{})
 				defer pool.Close()
 				pool.dial = func(context.Context, string) (net.Conn, error) {
 					time.Sleep(test.connect)
 					caller, endpoint := net.Pipe()
-					go tellTimeLeft(endpoint, told)
+					go reportTimeLeft(endpoint, timeLeft)
 					return caller, nil
 				}
 				request := &Request{Method: "GET", Target: "/", Host: "h", Deadline: time.Now().Add(test.left)}
-				answer, err := pool.Do(t.Context(), Endpoint{ID: "e"}, request)
+				response, err := pool.Do(t.Context(), Endpoint{ID: "e"}, request)
 				if err != nil {
 					t.Fatal(err)
 				}
-				answer.Close()
-				if got := <-told; got != strconv.Itoa(test.want) {
-					t.Errorf("told %q, want %d", got, test.want)
+				response.Close()
+				if got := <-timeLeft; got != strconv.Itoa(test.want) {
+					t.Errorf("sent %q, want %d", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// tellTimeLeft answers one request as an endpoint, and hands on the time left that it was told.
-func tellTimeLeft(socket net.Conn, told chan<- string) {
+// reportTimeLeft answers one request as an endpoint, and hands on the time left that it read.
+func reportTimeLeft(socket net.Conn, timeLeft chan<- string) {
 	defer socket.Close()
 	request, err := http.ReadRequest(bufio.NewReader(socket))
 	if err != nil {
-		told <- err.Error()
+		timeLeft <- err.Error()
 		return
 	}
-	told <- request.Header.Get(TimeLeftHeader)
+	timeLeft <- request.Header.Get(TimeLeftHeader)
 	socket.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
 }
