--- a/cmd/mastusher/capture_test.go
+++ b/cmd/mastusher/capture_test.go
@@ -16,9 +16,9 @@
 	"mastusher/internal/relay/standin"
 )
 
-// TestCaptured: a relay with one silent partner and one that refuses is captured from the middle of its work on, over a
+// TestServe_CapturedOverKill_ReplaysTenTimes: a relay with one silent partner and one that refuses is captured from the middle of its work on, over a
 // SIGKILL and a restart; each file replays ten times with the same decisions, and the tools tell of it.
-func TestCaptured(t *testing.T) {
+func TestServe_CapturedOverKill_ReplaysTenTimes(t *testing.T) {
 	dir := t.TempDir()
 	hang := make(chan struct{})
 	captures := filepath.Join(dir, "captures")
--- a/cmd/mastusher/fleet_test.go
+++ b/cmd/mastusher/fleet_test.go
@@ -26,8 +26,8 @@
 	return c.LocalAddr().String()
 }
 
-// TestFleetCommands: one relay founds a fleet, and what operators say to it has the answers and exit codes that scripts rely on.
-func TestFleetCommands(t *testing.T) {
+// TestFleet_Commands_AnswersAndExitCodes: one relay founds a fleet, and what operators say to it has the answers and exit codes that scripts rely on.
+func TestFleet_Commands_AnswersAndExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		name = filepath.Join(dir, name)
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -18,7 +18,7 @@
 const text = `{"listen": "127.0.0.1:1", "state": "STATE", "discovery": "127.0.0.1:1", "settings": {"peers_total": 1,
   "allowed": {"max_attempts": 6}, "family_info": {"workers": 4}, "lanes": [{"name": "match-event", "deadline": 1000000}]}}`
 
-func TestCommands(t *testing.T) {
+func TestRun_Commands_ExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.json"), filepath.Join(dir, "bad.json")
 	_ = os.WriteFile(good, []byte(text), 0o600)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestHelpNamesTheTier: who looks for the tier's roles in the relay is told which program runs them, without its being linked.
-func TestHelpNamesTheTier(t *testing.T) {
+// TestHelp_NamesTierAndLinksNoneOfIt: who looks for the tier's roles in the relay is told which program runs them, without its being linked.
+func TestHelp_NamesTierAndLinksNoneOfIt(t *testing.T) {
 	var help strings.Builder
 	if got := run([]string{"--help"}, &help, io.Discard); got != 0 {
 		t.Fatalf("exit %d", got)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestNearest: a command that does not exist is named with the one that may be meant, also where help is asked for.
-func TestNearest(t *testing.T) {
+// TestRun_UnknownCommand_NamesNearest: a command that does not exist is named with the one that may be meant, also where help is asked for.
+func TestRun_UnknownCommand_NamesNearest(t *testing.T) {
 	for _, args := range []string{"serv --help", "serv"} {
 		var errs strings.Builder
 		if got := run(strings.Fields(args), io.Discard, &errs); got != 2 || !strings.Contains(errs.String(), "serve") {
@@ -65,15 +65,15 @@
 	}
 }
 
-// TestOperatorFile: the file under deploy/ must stay one that the program takes.
-func TestOperatorFile(t *testing.T) {
+// TestLoad_OperatorFile_IsAccepted: the file under deploy/ must stay one that the program takes.
+func TestLoad_OperatorFile_IsAccepted(t *testing.T) {
 	if _, err := config.Load("../../deploy/activitypub.json", os.Getenv); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestTerm: after SIGTERM clients are still answered, and the process then ends by itself.
-func TestTerm(t *testing.T) {
+// TestServe_Terminated_AnswersWhileDraining: after SIGTERM clients are still answered, and the process then ends by itself.
+func TestServe_Terminated_AnswersWhileDraining(t *testing.T) {
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close() // the relay takes its place
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestReload: upon SIGHUP the watch moves to the discovery that the file names now, whatever the environment
+// TestServe_Hangup_WatchFollowsFile: upon SIGHUP the watch moves to the discovery that the file names now, whatever the environment
 // says, and a faulty file changes nothing but for a line that names the key.
-func TestReload(t *testing.T) {
+func TestServe_Hangup_WatchFollowsFile(t *testing.T) {
 	file, before, after := filepath.Join(t.TempDir(), "config.json"), wiretest.Listen(t), wiretest.Listen(t)
 	write := func(discovery string) {
 		s := strings.NewReplacer("STATE", t.TempDir(), `"discovery": "127.0.0.1:1"`, `"discovery": `+discovery).Replace(text)
--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -27,8 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// TestExamples builds the examples with the Go tool chain and plays their golden cases.
-func TestExamples(t *testing.T) {
+// TestPluginExamples_GoldenCases builds the examples with the Go tool chain and plays their golden cases.
+func TestPluginExamples_GoldenCases(t *testing.T) {
 	settings := map[string]string{"required-header": `{"desks": {"football": "fb-12"}, "otherwise": "sports"}`}
 	examples, _ := filepath.Glob("../../examples/plugins/*")
 	if len(examples) < 3 {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestPluginCommands(t *testing.T) {
+func TestPlugin_Commands_ExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string, b []byte) string {
 		f := filepath.Join(dir, name)
@@ -198,9 +198,9 @@
 	return s
 }
 
-// TestSameBytes: what a message was shaped to is sent again as it was, after SIGKILL and a restart with another version
+// TestServe_ShapedMessage_SameBytesAfterKillAndReload: what a message was shaped to is sent again as it was, after SIGKILL and a restart with another version
 // of the plug-in, and after a reload; new messages meet the new version.
-func TestSameBytes(t *testing.T) {
+func TestServe_ShapedMessage_SameBytesAfterKillAndReload(t *testing.T) {
 	dir := t.TempDir()
 	module := filepath.Join(dir, "p.wasm")
 	version := func(desk string) {
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -87,10 +87,10 @@
   {"name": "call", "effect": "token", "group": "all", "memory_span": 300000, "aim": 60000000, "deadline": 90000000, "worth": 1},
   {"name": "board", "effect": "pure", "aim": 60000000, "deadline": 90000000, "worth": 1}]}`
 
-// TestUntried: what a restart finds taken on and untried is still tried, whatever its class. The relay ends while its calls' connections
+// TestServe_Restarted_UntriedMessagesAreTried: what a restart finds taken on and untried is still tried, whatever its class. The relay ends while its calls' connections
 // are coming up and more messages wait for a slot, and discovery is down when it returns. A call whose first byte was never written is no
 // attempt: a message that must not run twice was given up for it, and so was a keyed one past its window.
-func TestUntried(t *testing.T) {
+func TestServe_Restarted_UntriedMessagesAreTried(t *testing.T) {
 	for _, how := range []os.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		t.Run(how.String(), func(t *testing.T) {
 			t.Parallel()
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestSignalsAtStart: SIGHUP that comes while the relay starts is no reason to die, and SIGTERM ends it as at any other time. Its
+// TestServe_SignalWhileStarting: SIGHUP that comes while the relay starts is no reason to die, and SIGTERM ends it as at any other time. Its
 // configuration is a pipe: it starts for as long as the test likes.
-func TestSignalsAtStart(t *testing.T) {
+func TestServe_SignalWhileStarting(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(s.String(), func(t *testing.T) {
 			t.Parallel()
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestEndOrders: requests that come in every order with SIGTERM. Each gets one answer, or an end with nothing of it kept, and no end is
+// TestServe_TerminatedAmidRequests_OneAnswerEach: requests that come in every order with SIGTERM. Each gets one answer, or an end with nothing of it kept, and no end is
 // a reset: not that of a connection which rests until the relay ends it, nor of one whose client goes on sending.
-func TestEndOrders(t *testing.T) {
+func TestServe_TerminatedAmidRequests_OneAnswerEach(t *testing.T) {
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close() // the relay takes its place
--- a/cmd/mastusher/shape_test.go
+++ b/cmd/mastusher/shape_test.go
@@ -15,9 +15,9 @@
 	"mastusher/internal/relay/standin"
 )
 
-// TestShapedByPolicy: a policy changes what a plug-in is handed, at one point between messages; that outlasts a reload and
+// TestServe_PolicyChangesPluginSettings: a policy changes what a plug-in is handed, at one point between messages; that outlasts a reload and
 // SIGKILL, a reload that the policy forbids is not taken, and settings that a plug-in can't run with end the change.
-func TestShapedByPolicy(t *testing.T) {
+func TestServe_PolicyChangesPluginSettings(t *testing.T) {
 	dir := t.TempDir()
 	module := filepath.Join(dir, "p.wasm")
 	write := func(b []byte) {
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -121,8 +121,8 @@
 	return fmt.Sprintf(`{"id":"%s","type":"%s","actor":"http://client.example/actor","object":"goal"}`, id, kind)
 }
 
-// TestInbox: each kind of bad input gets a status that says what is wrong, and nothing is taken on.
-func TestInbox(t *testing.T) {
+// TestInbox_BadInput_HasItsStatus: each kind of bad input gets a status that says what is wrong, and nothing is taken on.
+func TestInbox_BadInput_HasItsStatus(t *testing.T) {
 	good := activity("Create", "http://client.example/1")
 	for _, c := range []struct {
 		name, path, body string
@@ -208,9 +208,9 @@
 	return p.Status
 }
 
-// TestLate covers an inbox that accepts but answers only when the message's time is up, and one that refuses
+// TestFront_LateInbox_OneFinalAnswer covers an inbox that accepts but answers only when the message's time is up, and one that refuses
 // the signature only then: one final answer, one copy out at a time, and none again once it has been given.
-func TestLate(t *testing.T) {
+func TestFront_LateInbox_OneFinalAnswer(t *testing.T) {
 	for _, status := range []int{202, 401} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			release, answers := make(chan struct{}), make(chan string, 9)
@@ -240,9 +240,9 @@
 	}
 }
 
-// TestThousand hands in a thousand match events. The partner's inboxes refuse some, fail some after they took
+// TestFront_ThousandActivities_OneEndEach hands in a thousand match events. The partner's inboxes refuse some, fail some after they took
 // effect, and lose some; every client hears one end of each, and nothing takes effect twice outside its window.
-func TestThousand(t *testing.T) {
+func TestFront_ThousandActivities_OneEndEach(t *testing.T) {
 	const events, posters = 1000, 8
 	var mu sync.Mutex
 	calls, told, effects := 0, 0, map[string]time.Time{}
@@ -323,8 +323,8 @@
 	}
 }
 
-// TestAgain: an activity that comes again after its end.
-func TestAgain(t *testing.T) {
+// TestInbox_ActivityComesAgain: an activity that comes again after its end.
+func TestInbox_ActivityComesAgain(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name  string
@@ -363,8 +363,8 @@
 	}
 }
 
-// TestStandBy: a router that is not active takes nothing new on, and says when to come again.
-func TestStandBy(t *testing.T) {
+// TestInbox_StandbyRouter_RefusesWithRetryAfter: a router that is not active takes nothing new on, and says when to come again.
+func TestInbox_StandbyRouter_RefusesWithRetryAfter(t *testing.T) {
 	none := stand(t, nil)
 	f, at := start(t, none, none)
 	f.Open = func() bool { return false }
@@ -372,8 +372,8 @@
 	wiretest.Play(t, conn, "testdata/stand-by.txt")
 }
 
-// TestOutcome maps every answer of an inbox.
-func TestOutcome(t *testing.T) {
+// TestFront_EveryAnswer_HasItsOutcome maps every answer of an inbox.
+func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
 	got := map[int]string{}
 	for _, s := range []int{200, 202, 301, 400, 401, 403, 404, 408, 410, 429, 500, 503, 504} {
 		o := outcome(&httpwire.Response{Status: s, Header: map[string][]string{"Retry-After": {"2"}}})
@@ -387,8 +387,8 @@
 	}
 }
 
-// TestSpoilt: as on the other front, the first line of a spoilt answer tells a delivery, and nothing else.
-func TestSpoilt(t *testing.T) {
+// TestFront_MalformedAnswer_FirstLineCounts: as on the other front, the first line of a spoilt answer tells a delivery, and nothing else.
+func TestFront_MalformedAnswer_FirstLineCounts(t *testing.T) {
 	none := stand(t, nil)
 	f, _ := start(t, none, none)
 	for status, want := range map[string]control.Result{"202": control.Delivered, "503": control.Malformed} {
@@ -405,8 +405,8 @@
 	}
 }
 
-// TestKeys: a key made by make-key signs, and its public half checks that.
-func TestKeys(t *testing.T) {
+// TestMakeKey_SignsAndVerifies: a key made by make-key signs, and its public half checks that.
+func TestMakeKey_SignsAndVerifies(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	if err := MakeKey(file); err != nil {
 		t.Fatal(err)
@@ -436,8 +436,8 @@
 	}
 }
 
-// TestShaped: headers that plug-ins have set go out, and what is signed is the body as they have left it.
-func TestShaped(t *testing.T) {
+// TestFront_PluginHeaders_GoOutSigned: headers that plug-ins have set go out, and what is signed is the body as they have left it.
+func TestFront_PluginHeaders_GoOutSigned(t *testing.T) {
 	none := stand(t, nil)
 	f, _ := start(t, none, none)
 	l := wiretest.Listen(t)
@@ -478,8 +478,8 @@
 	}
 }
 
-// TestGuard: a rewritten activity stays the same activity by the same actor, in every reader's eyes.
-func TestGuard(t *testing.T) {
+// TestGuard_RewrittenActivity_StaysTheSame: a rewritten activity stays the same activity by the same actor, in every reader's eyes.
+func TestGuard_RewrittenActivity_StaysTheSame(t *testing.T) {
 	before := []byte(`{"id":"x","type":"Create","actor":"a","n":1}`)
 	for after, want := range map[string]bool{
 		`{"id":"x","type":"Create","actor":"a"}`:                                  true,
--- a/internal/relay/capture/capture_test.go
+++ b/internal/relay/capture/capture_test.go
@@ -24,9 +24,9 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// TestRestored: a sender restored at any turn, from the bytes of a snapshot, decides as the one that went on, for the
+// TestSnapshot_RestoredAtAnyTurn_DecidesTheSame: a sender restored at any turn, from the bytes of a snapshot, decides as the one that went on, for the
 // rest of the run.
-func TestRestored(t *testing.T) {
+func TestSnapshot_RestoredAtAnyTurn_DecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
 		mod, err := control.New(settings(), 5)
@@ -122,8 +122,8 @@
 	return Replay(r, o)
 }
 
-// TestTenTimes: a capture of a troubled run, from its start or from its middle, replays the same ten times.
-func TestTenTimes(t *testing.T) {
+// TestReplay_TenTimes_DecidesTheSame: a capture of a troubled run, from its start or from its middle, replays the same ten times.
+func TestReplay_TenTimes_DecidesTheSame(t *testing.T) {
 	for _, from := range []int{0, 700} {
 		dir, _ := play(t, 3, 1500, limits, from)
 		text := one(t, dir)
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestDiffers: what was recorded otherwise is found in its turn, and explained.
-func TestDiffers(t *testing.T) {
+// TestReplay_AlteredRecord_IsFoundAndExplained: what was recorded otherwise is found in its turn, and explained.
+func TestReplay_AlteredRecord_IsFoundAndExplained(t *testing.T) {
 	dir, _ := play(t, 3, 400, limits, 0)
 	text := one(t, dir)
 	r, err := NewReader(bytes.NewReader(text))
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestCut: a capture cut off at any byte is read up to its last whole chunk, and what is read replays.
-func TestCut(t *testing.T) {
+// TestReader_CutAtAnyByte_ReadsCompleteChunks: a capture cut off at any byte is read up to its last whole chunk, and what is read replays.
+func TestReader_CutAtAnyByte_ReadsCompleteChunks(t *testing.T) {
 	lim := limits
 	lim.Chunk = 1 << 10
 	dir, _ := play(t, 4, 40, lim, 0)
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestVersions(t *testing.T) {
+func TestReader_OtherVersions(t *testing.T) {
 	dir, _ := play(t, 4, 50, limits, 0)
 	text := one(t, dir)
 	later := slices.Clone(text)
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestGap: a writer that can't keep up loses turns and never makes the core wait; a replay stops there, and goes on at
+// TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks: a writer that can't keep up loses turns and never makes the core wait; a replay stops there, and goes on at
 // the next state if it is told to.
-func TestGap(t *testing.T) {
+func TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks(t *testing.T) {
 	mod, _ := control.New(settings(), 5)
 	lim := limits
 	lim.Queue, lim.Chunk = 3, 1<<10
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestRing: files follow one another, each stands for itself, and the oldest go first.
-func TestRing(t *testing.T) {
+// TestRecorder_DirSize_OldestFilesGoFirst: files follow one another, each stands for itself, and the oldest go first.
+func TestRecorder_DirSize_OldestFilesGoFirst(t *testing.T) {
 	for _, size := range []int64{16 << 10, 1 << 10} { // a file of the smaller size is over it with its first state
 		ring(t, size)
 	}
@@ -298,8 +298,8 @@
 	}
 }
 
-// TestFullDisk: when nothing can be written any more the capture ends cleanly, and whoever hands in turns goes on.
-func TestFullDisk(t *testing.T) {
+// TestRecorder_FullDisk_EndsCleanly: when nothing can be written any more the capture ends cleanly, and whoever hands in turns goes on.
+func TestRecorder_FullDisk_EndsCleanly(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{left: 20 << 10}
 	r, err := open(dir, Begin{Settings: settings()}, Limits{Queue: 1 << 12, Chunk: 1 << 10, Within: time.Hour, FileSize: 1 << 20, DirSize: 1 << 30}, quiet, disk.create)
@@ -351,8 +351,8 @@
 	return f.File.Write(b)
 }
 
-// TestWindow: a window stands for itself.
-func TestWindow(t *testing.T) {
+// TestWindow_StandsForItself: a window stands for itself.
+func TestWindow_StandsForItself(t *testing.T) {
 	dir, _ := play(t, 6, 1000, limits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	var part bytes.Buffer
@@ -366,8 +366,8 @@
 	}
 }
 
-// TestStory: one message's way is told from its arrival to its end.
-func TestStory(t *testing.T) {
+// TestStory_OneMessage: one message's way is told from its arrival to its end.
+func TestStory_OneMessage(t *testing.T) {
 	dir, _ := play(t, 6, 600, limits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	lines, err := Story(r, "m-20")
@@ -381,8 +381,8 @@
 	}
 }
 
-// TestOther: under other settings differences are counted, and do not end the replay.
-func TestOther(t *testing.T) {
+// TestReplay_OtherSettings_CountsDifferences: under other settings differences are counted, and do not end the replay.
+func TestReplay_OtherSettings_CountsDifferences(t *testing.T) {
 	dir, _ := play(t, 6, 600, limits, 0)
 	set := settings()
 	set.Slots = 2
@@ -392,8 +392,8 @@
 	}
 }
 
-// TestCorpus replays the captures of past troubles: each is a decision that must stay as it is, or be changed knowingly.
-func TestCorpus(t *testing.T) {
+// TestReplay_Corpus_DecidesTheSame replays the captures of past troubles: each is a decision that must stay as it is, or be changed knowingly.
+func TestReplay_Corpus_DecidesTheSame(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	if len(files) == 0 {
 		t.Fatal("the corpus is not there")
@@ -409,9 +409,9 @@
 	}
 }
 
-// TestOlder: captures by an older minor version are read whole, and replay where the module decides as it did then: most
+// TestReader_OlderMinorVersion_IsReadComplete: captures by an older minor version are read whole, and replay where the module decides as it did then: most
 // of the corpus was written by version 1.0.
-func TestOlder(t *testing.T) {
+func TestReader_OlderMinorVersion_IsReadComplete(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	older := 0
 	for _, file := range files {
@@ -435,9 +435,9 @@
 	}
 }
 
-// TestIndex: a message's story and a window are told from the last state before them: what stands earlier is not read,
+// TestIndex_EarlierChunksDamaged_AreNotRead: a message's story and a window are told from the last state before them: what stands earlier is not read,
 // and may be damaged.
-func TestIndex(t *testing.T) {
+func TestIndex_EarlierChunksDamaged_AreNotRead(t *testing.T) {
 	mod, _ := control.New(settings(), 5)
 	c, _ := newChunker()
 	var file bytes.Buffer
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -178,8 +178,8 @@
 	return file.Bytes(), err
 }
 
-// TestScenes: each scene decides what its capture in the corpus tells; with -corpus the captures are written anew.
-func TestScenes(t *testing.T) {
+// TestCorpus_Scenes_MatchTheirCaptures: each scene decides what its capture in the corpus tells; with -corpus the captures are written anew.
+func TestCorpus_Scenes_MatchTheirCaptures(t *testing.T) {
 	for name, sc := range scenes {
 		text, err := sc.play(name)
 		if err != nil {
--- a/internal/relay/capture/fast_test.go
+++ b/internal/relay/capture/fast_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestFast: the short way to a record's bytes ends where the library's does, whatever the record holds.
-func TestFast(t *testing.T) {
+// TestFast_AnyRecord_SameBytesAsLibrary: the short way to a record's bytes ends where the library's does, whatever the record holds.
+func TestFast_AnyRecord_SameBytesAsLibrary(t *testing.T) {
 	quick := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		for _, record := range []any{&Turn{}, &Message{}, &Input{}} {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestFastTypes: a field that is added to a frequent record must be added to its short way too.
-func TestFastTypes(t *testing.T) {
+// TestFast_FieldCounts: a field that is added to a frequent record must be added to its short way too.
+func TestFast_FieldCounts(t *testing.T) {
 	for _, c := range []struct {
 		v    any
 		want int
--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestMutants builds the module with its logic altered in small ways; the corpus must tell each from the one that made
+// TestMutants_Corpus_FindsEach builds the module with its logic altered in small ways; the corpus must tell each from the one that made
 // it, in a turn that it names, and the one unaltered not.
-func TestMutants(t *testing.T) {
+func TestMutants_Corpus_FindsEach(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	for name, c := range map[string]struct{ file, old, new string }{
 		"unaltered":    {"sender.go", "", ""},
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -21,7 +21,7 @@
 	return Parse([]byte(text), func(string) string { return "" })
 }
 
-func TestParse(t *testing.T) {
+func TestParse_EveryKey(t *testing.T) {
 	c, err := parse(good)
 	if err != nil {
 		t.Fatal(err)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestFaults: the message names the faulty key.
-func TestFaults(t *testing.T) {
+// TestParse_FaultyKey_IsNamed: the message names the faulty key.
+func TestParse_FaultyKey_IsNamed(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"state": "/run/state",`, ``, "state"},
 		{`"settings": {`, `"settings": 3, "x": {`, "settings"},
--- a/internal/relay/config/peers_test.go
+++ b/internal/relay/config/peers_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestPeers: a faulty section names its key.
-func TestPeers(t *testing.T) {
+// TestParse_FaultyPeers_KeyIsNamed: a faulty section names its key.
+func TestParse_FaultyPeers_KeyIsNamed(t *testing.T) {
 	const base = `{"listen": "127.0.0.1:1", "state": "s", "settings": {"peers_total": 1, "allowed": {"max_attempts": 6}, "family_info": {"workers": 4},
 	  "lanes": [{"name": "match-event", "deadline": 1000000}]}, "peers": PEERS}`
 	const good = `{"fleet": "f", "name": "a", "listen": "10.0.0.1:7400", "others": {"b": "10.0.0.2:7400", "c": "10.0.0.3:7400"}, "voters": ["a", "b", "c"]}`
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -111,7 +111,7 @@
 	r.turnAfter(5*time.Millisecond, <-r.core.queue)
 }
 
-func TestAnswerInTheTurn(t *testing.T) {
+func TestCore_Submission_IsAnsweredInItsTurn(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestJournalFirst guards against a kill right after the answer or the first byte of a call: the journal
+// TestCore_Killed_JournalHoldsAnswersAndBegunAttempts guards against a kill right after the answer or the first byte of a call: the journal
 // must hold both by then.
-func TestJournalFirst(t *testing.T) {
+func TestCore_Killed_JournalHoldsAnswersAndBegunAttempts(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	a, reply := r.arrival("m", 0, 7, time.Second)
 	r.turnAfter(0, a)
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestRestart: what the module is told of the time before a restart decides whether a message may go again.
-func TestRestart(t *testing.T) {
+// TestCore_Restarted_ResendsOnlyWhatMayRunAgain: what the module is told of the time before a restart decides whether a message may go again.
+func TestCore_Restarted_ResendsOnlyWhatMayRunAgain(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    int
@@ -254,9 +254,9 @@
 	}
 }
 
-// TestTenantAndWeight: whose a message is and what the list says of a destination reach the module, the first also
+// TestCore_TenantAndWeight_ReachModule: whose a message is and what the list says of a destination reach the module, the first also
 // after a restart.
-func TestTenantAndWeight(t *testing.T) {
+func TestCore_TenantAndWeight_ReachModule(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.core.settings.Weights = true
 	a, _ := r.arrival("m", 0, 7, time.Minute)
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestBulk: sends of one turn to one destination share a call, as in the simulator, and each item fares as
+// TestAttempt_SendsOfOneTurn_ShareCall: sends of one turn to one destination share a call, as in the simulator, and each item fares as
 // its own answer says.
-func TestBulk(t *testing.T) {
+func TestAttempt_SendsOfOneTurn_ShareCall(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.front.tells = true
 	var in []event
@@ -311,8 +311,8 @@
 	}
 }
 
-// TestEnds follows messages that are not delivered to their one notice, which is owed until it is taken.
-func TestEnds(t *testing.T) {
+// TestNotice_MessageNotDelivered_IsSentUntilAccepted follows messages that are not delivered to their one notice, which is owed until it is taken.
+func TestNotice_MessageNotDelivered_IsSentUntilAccepted(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	a, _ := r.arrival("m", 0, 8, 2*time.Second)
 	r.turnAfter(0, a)
@@ -337,8 +337,8 @@
 	}
 }
 
-// TestWithdrawn: a client that never heard its answer hands the message in elsewhere, so this copy must stop.
-func TestWithdrawn(t *testing.T) {
+// TestCore_ClientNeverHeardAnswer_StopsMessage: a client that never heard its answer hands the message in elsewhere, so this copy must stop.
+func TestCore_ClientNeverHeardAnswer_StopsMessage(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	a, _ := r.arrival("m", 0, 8, 2*time.Second)
 	r.turnAfter(0, a)
@@ -350,8 +350,8 @@
 	}
 }
 
-// TestPoolConfig: a whole list of one front must not take the other front's destinations away.
-func TestPoolConfig(t *testing.T) {
+// TestEndpointList_CompleteListOfOneFront_LeavesOthersAlone: a whole list of one front must not take the other front's destinations away.
+func TestEndpointList_CompleteListOfOneFront_LeavesOthersAlone(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.core.AddFront("other", r.front, EndpointList{Destinations: []Destination{{Name: "s-1", Partner: 7}}})
 	r.turnAfter(0, listChanged{r.core.frontsInOrder[1], r.core.frontsInOrder[1].listReportedBy, EndpointList{Complete: true}})
@@ -361,8 +361,8 @@
 	}
 }
 
-// TestDrain: after SIGTERM new work is refused, and what is held goes on.
-func TestDrain(t *testing.T) {
+// TestDrain_RefusesNewWorkAndFinishesOld: after SIGTERM new work is refused, and what is held goes on.
+func TestDrain_RefusesNewWorkAndFinishesOld(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	first, _ := r.arrival("m", 1, 8, 20*time.Second)
 	r.turnAfter(0, first)
@@ -398,9 +398,9 @@
 	}
 }
 
-// TestMoved guards against a reload that leaves the watch or the notices with the old discovery, which takes
+// TestWatch_DiscoveryMoves_WatchAndNoticesFollow guards against a reload that leaves the watch or the notices with the old discovery, which takes
 // no new connection, and against one that asks for what has been told already or forgets what has not.
-func TestMoved(t *testing.T) {
+func TestWatch_DiscoveryMoves_WatchAndNoticesFollow(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	if got := <-r.front.watches; got != 0 {
 		t.Errorf("the first watch goes on after %d", got)
@@ -428,9 +428,9 @@
 	}
 }
 
-// TestHeldID: a second request with the id of a message that is held owns nothing of it. When its answer is lost,
+// TestSubmit_IDOfPendingMessage_OwnsNothingOfIt: a second request with the id of a message that is held owns nothing of it. When its answer is lost,
 // the first client's message goes on.
-func TestHeldID(t *testing.T) {
+func TestSubmit_IDOfPendingMessage_OwnsNothingOfIt(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	a, first := r.arrival("m", 1, 8, 2*time.Second)
 	r.turnAfter(0, a)
@@ -446,8 +446,8 @@
 	}
 }
 
-// TestNoDestination: a message for a partner that no endpoint list names is refused, not held until its time is up.
-func TestNoDestination(t *testing.T) {
+// TestSubmit_UnknownPartner_IsRefused: a message for a partner that no endpoint list names is refused, not held until its time is up.
+func TestSubmit_UnknownPartner_IsRefused(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	a, reply := r.arrival("m", 1, 9, 2*time.Second)
 	if r.turnAfter(0, a); (<-reply).Verdict != Busy || len(r.core.messages) != 0 {
@@ -455,9 +455,9 @@
 	}
 }
 
-// TestRecall guards against a call whose connection comes up only after its destination has told to wait, or
+// TestAttempt_RecalledBeforeFirstByte_WritesNothing guards against a call whose connection comes up only after its destination has told to wait, or
 // drains: nothing of it may be written any more.
-func TestRecall(t *testing.T) {
+func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
 	for name, happens := range map[string]func(r *harness, out, on *Attempt){
 		"a wait is told": func(r *harness, out, on *Attempt) {
 			r.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
@@ -488,9 +488,9 @@
 	}
 }
 
-// TestForget guards against tables that grow for as long as the relay runs: a destination that has left the list
+// TestHousekeeping_DestinationLongRemoved_IsForgotten guards against tables that grow for as long as the relay runs: a destination that has left the list
 // is forgotten once nothing of it can be unfinished, and its number is not given to another.
-func TestForget(t *testing.T) {
+func TestHousekeeping_DestinationLongRemoved_IsForgotten(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	for i := range 50 {
 		gone := Destination{Name: fmt.Sprint("old-", i), Zone: "a", Kind: "news-groups", Partner: 7}
--- a/internal/relay/engine/govern_test.go
+++ b/internal/relay/engine/govern_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestGoverned: without a lease nothing is taken on; under one all is as ever, and calls tell their version and are bound by it.
-func TestGoverned(t *testing.T) {
+// TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts: without a lease nothing is taken on; under one all is as ever, and calls tell their version and are bound by it.
+func TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.govern(capture.Mandate{}, 0)
 	if v, _ := r.verdict("a", 0, 7); v != Busy {
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestHalted: what the module decides while the relay is halted waits, and begins once it may act; what has written nothing yet
+// TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled: what the module decides while the relay is halted waits, and begins once it may act; what has written nothing yet
 // is called back.
-func TestHalted(t *testing.T) {
+func TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.govern(capture.Mandate{Version: 1, Stamp: true}, 5*time.Second)
 	a, _ := r.arrival("a", 1, 8, 9*time.Second)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestHandedWhileHalted: a message that is handed in right before the relay stops for a change waits for that, and is taken on
+// TestSubmit_WhileHalted_WaitsForNewPolicy: a message that is handed in right before the relay stops for a change waits for that, and is taken on
 // under the new version; one that comes later too.
-func TestHandedWhileHalted(t *testing.T) {
+func TestSubmit_WhileHalted_WaitsForNewPolicy(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.govern(capture.Mandate{Version: 1}, time.Hour)
 	got := make(chan Reply)
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestStalledIsOver: what waits past its time-out never began.
-func TestStalledIsOver(t *testing.T) {
+// TestLease_AttemptWaitsPastTimeout_NeverBegan: what waits past its time-out never began.
+func TestLease_AttemptWaitsPastTimeout_NeverBegan(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.govern(capture.Mandate{Version: 1}, 50*time.Millisecond)
 	a, _ := r.arrival("a", 1, 8, 9*time.Second)
@@ -171,8 +171,8 @@
 	return func() {}
 }
 
-// TestNarrower: of the allowances under which a message was taken on and is tried the narrower counts, and outlasts a restart.
-func TestNarrower(t *testing.T) {
+// TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart: of the allowances under which a message was taken on and is tried the narrower counts, and outlasts a restart.
+func TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart(t *testing.T) {
 	for _, c := range []struct{ taken, tried, want int }{{1, 0, 1}, {0, 1, 1}, {2, 1, 1}, {1, 2, 1}} {
 		dir := t.TempDir()
 		r := newHarness(t, dir, time.Now())
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestStalledLine: what was decided for a partner that is limited by hand while the relay had no lease does not go out all at once when
+// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided for a partner that is limited by hand while the relay had no lease does not go out all at once when
 // it has one again.
-func TestStalledLine(t *testing.T) {
+func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	most := []capture.Most{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
 	r.govern(capture.Mandate{Version: 1, Most: most}, 200*time.Millisecond)
@@ -242,9 +242,9 @@
 	}
 }
 
-// TestHaltedDecidesNothing: given a partner whose limit relays share, when the relay is halted for a while and rests meanwhile, then it
+// TestQuota_Halted_ModuleDecidesNoBurst: given a partner whose limit relays share, when the relay is halted for a while and rests meanwhile, then it
 // has no more to send at once than a relay that goes on, and all that it has taken on goes out afterwards.
-func TestHaltedDecidesNothing(t *testing.T) {
+func TestQuota_Halted_ModuleDecidesNoBurst(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	endpoint := r.core.fronts["platform"].listed["s-2"]
 	part := control.SharedLimits{GuaranteedShare: 0.25, KeepsGuaranteed: true, Grants: []control.Grant{{Endpoint: endpoint, ExtraShare: 0.25, Limit: 10}}} // 5 calls/s
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -22,9 +22,9 @@
 func (i *inspector) OnAnswer(_ string, s *Attempt, outs []Outcome) { i.answered(s, outs) }
 func (i *inspector) OnEnd(_ string, e End)                         { i.ends = append(i.ends, e) }
 
-// TestRuling: a message that is held stays as it was first taken on, whatever is ruled when it is handed in again; one
+// TestInspector_MessageResubmitted_FirstRulingStands: a message that is held stays as it was first taken on, whatever is ruled when it is handed in again; one
 // that was turned down may come again.
-func TestRuling(t *testing.T) {
+func TestInspector_MessageResubmitted_FirstRulingStands(t *testing.T) {
 	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
 	for name, c := range map[string]struct {
 		rulings []Ruling
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestShapeLasts: what a message is sent as stands in the journal: after a kill nobody is asked again.
-func TestShapeLasts(t *testing.T) {
+// TestInspector_ShapedMessage_OutlastsKill: what a message is sent as stands in the journal: after a kill nobody is asked again.
+func TestInspector_ShapedMessage_OutlastsKill(t *testing.T) {
 	dir := t.TempDir()
 	r := newHarness(t, dir, time.Now())
 	a, _ := r.arrival("m", 1, 7, 20*time.Second)
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestApart: a call has one set of headers, so messages that differ in theirs do not share one.
-func TestApart(t *testing.T) {
+// TestAttempt_DifferentHeaders_ShareNoCall: a call has one set of headers, so messages that differ in theirs do not share one.
+func TestAttempt_DifferentHeaders_ShareNoCall(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	var in []event
 	for i, desk := range []string{"a", "b", "a"} {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestAnsweredFirst: the module hears of an answer what the inspector has made of it, and an end is told once.
-func TestAnsweredFirst(t *testing.T) {
+// TestInspector_Answer_SeenBeforeModule: the module hears of an answer what the inspector has made of it, and an end is told once.
+func TestInspector_Answer_SeenBeforeModule(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
 		if d := cmp.Diff(&AnswerSample{503, map[string][]string{"X-Why": {"shut"}}, []byte("maint")}, s.SampledAnswer()); d != "" {
--- a/internal/relay/engine/races_test.go
+++ b/internal/relay/engine/races_test.go
@@ -21,9 +21,9 @@
 	return w.fakeFront.Watch(ctx, after, changed)
 }
 
-// TestOverlap: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
+// TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
 // before the next one has spoken it counts, since the relay has been told.
-func TestOverlap(t *testing.T) {
+func TestWatch_SupersededWatchReportsLate_UndoesNothing(t *testing.T) {
 	list := func(index int64, whole bool, state control.State) EndpointList {
 		return EndpointList{Index: index, Complete: whole, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestWatchAnew: when a watch that has ended is opened again depends on what ended it, and on nothing that the module must be asked for
+// TestWatch_Lost_ReopenedByItsCause: when a watch that has ended is opened again depends on what ended it, and on nothing that the module must be asked for
 // where what the relay misses counts as told soon.
-func TestWatchAnew(t *testing.T) {
+func TestWatch_Lost_ReopenedByItsCause(t *testing.T) {
 	broke := errors.New("reset")
 	for _, c := range []struct {
 		name string
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestClockBack: the clock was set back while the relay was down. Times in the journal that lie in what is now the future count on the
+// TestRestore_ClockSetBack_NarrowerTimesCount: the clock was set back while the relay was down. Times in the journal that lie in what is now the future count on the
 // narrower side.
-func TestClockBack(t *testing.T) {
+func TestRestore_ClockSetBack_NarrowerTimesCount(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	jour, err := journal.Open(dir, 3<<20)
 	if err != nil {
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestEndedByNotice: an id that comes again when its message has ended with a notice is told that end, before the notice was taken and after:
+// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: an id that comes again when its message has ended with a notice is told that end, before the notice was taken and after:
 // its client may never have heard that it was taken on, and would wait for another.
-func TestEndedByNotice(t *testing.T) {
+func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
 	r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 9
 	a, first := r.arrival("m", 0, 8, 10*time.Second)
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestEndedID: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
-func TestEndedID(t *testing.T) {
+// TestSubmit_IDEndedLately_IsNoNewMessage: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
+func TestSubmit_IDEndedLately_IsNoNewMessage(t *testing.T) {
 	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
 		r := newHarness(t, t.TempDir(), time.Now())
 		r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 2
--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/rerun_test.go
@@ -227,9 +227,9 @@
 	return r.Each(do)
 }
 
-// TestRerun: a whole core that is driven by a capture does what the one did that was recorded, from its start or from the
+// TestCoreReplay_RecordedRun_DoesTheSame: a whole core that is driven by a capture does what the one did that was recorded, from its start or from the
 // middle: with calls out, notices owed and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
-func TestRerun(t *testing.T) {
+func TestCoreReplay_RecordedRun_DoesTheSame(t *testing.T) {
 	kinds := map[capture.CoreKind]int{}
 	deeds := map[capture.ActionKind]int{}
 	out, owed, rejected, failed := 0, 0, 0, 0
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestRerunDiffers: whatever is altered in a record of the core is found in its turn.
-func TestRerunDiffers(t *testing.T) {
+// TestCoreReplay_AlteredRecord_IsFoundInItsTurn: whatever is altered in a record of the core is found in its turn.
+func TestCoreReplay_AlteredRecord_IsFoundInItsTurn(t *testing.T) {
 	dir, _ := playCore(t, 10, 400, 100)
 	for name, alter := range map[string]func(in *capture.Input) bool{
 		"what was done": func(in *capture.Input) bool {
@@ -363,9 +363,9 @@
 	hour   = flag.Duration("hour", 0, "replay so long a time at 120 messages/s, and tell how long it takes")
 )
 
-// TestCoreCorpus replays whole cores' lives: a restart with messages resumed, discovery that moves, drains, a disk that
+// TestCoreReplay_Corpus_DoesTheSame replays whole cores' lives: a restart with messages resumed, discovery that moves, drains, a disk that
 // fails and fills up, plug-ins' verdicts. Windows that replay --to-test has cut can stand beside them.
-func TestCoreCorpus(t *testing.T) {
+func TestCoreReplay_Corpus_DoesTheSame(t *testing.T) {
 	for name, seed := range map[string]uint64{"resumed": 5, "moved": 12, "troubled": 21} {
 		file := filepath.Join("testdata", name+capture.Ext)
 		if *corpus {
@@ -401,8 +401,8 @@
 	}
 }
 
-// TestCoreWindow: a window begins in the middle, with the core as it stood there.
-func TestCoreWindow(t *testing.T) {
+// TestCoreReplay_Window_BeginsInTheMiddle: a window begins in the middle, with the core as it stood there.
+func TestCoreReplay_Window_BeginsInTheMiddle(t *testing.T) {
 	dir, _ := playCore(t, 8, 300, 0)
 	files, _ := capture.Files(dir)
 	f, err := os.Open(files[0])
@@ -428,8 +428,8 @@
 	}
 }
 
-// TestHour replays an hour at 120 messages a second.
-func TestHour(t *testing.T) {
+// TestCoreReplay_Hour replays an hour at 120 messages a second.
+func TestCoreReplay_Hour(t *testing.T) {
 	if *hour == 0 {
 		t.Skip("go test ./internal/relay/engine -run Hour -v -args -hour 1h")
 	}
--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -31,7 +31,7 @@
 	{"generation ignored", "node/leader.go", "case p.Life == s.before || p.Gen < was.Gen:", "case p.Gen > 1<<40:", "TestFormerWord", ""},
 	{"a grant of a former life", "node/node.go", "if !ok || g.Gen != n.cfg.Gen || g.Life != n.cfg.Life {", "if !ok {", "TestFormerLife", ""},
 	{"forgotten promises", "node/node.go", "	n.probation = cfg.Gen > 1 //", "	//", "TestOldFolder", ""},
-	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestNarrower", "mastusher/internal/relay/engine"},
+	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart", "mastusher/internal/relay/engine"},
 	{"a limit by hand is each relay's own", "../../../control/shared_limits.go", "rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))", "rate = route.destination.maxRate", "TestMaxRate_ManySenders_IsKeptTogether", "mastusher/control"},
 	{"lent again too early", "quota/ledger.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound", ""},
 	{"floors are lent", "quota/ledger.go", "max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])", "max(0, wholeLimit-l.leased[k]+h.bound[k])", "TestSharedBound", ""},
@@ -47,8 +47,8 @@
 	{"all try what is down", "../../../control/shared_limits.go", "if route.unhealthyElsewhere && !route.mayProbe &&", "if false && !route.mayProbe &&", "TestGrant_UnhealthyRoute_OneSenderProbes", "mastusher/control"},
 	{"a life that was summed up counts again", "quota/count.go", "	if t.Generation <= a.compactedUpTo {", "	if false {", "TestBook", "mastusher/internal/relay/fleet/quota"},
 	{"a tally that comes twice counts twice", "quota/count.go", "l.counters[k] = max(l.counters[k], v)", "l.counters[k] += v", "TestBook", "mastusher/internal/relay/fleet/quota"},
-	{"a call outlives its lease", "../engine/governor.go", "attempt.WriteBefore = end", "_ = end", "TestGoverned", "mastusher/internal/relay/engine"},
-	{"what waits begins whatever is in force", "../engine/lease.go", "case mayAct && !now.Before(attempt.startAfter) && !c.recheck(attempt, now):", "case false:", "TestNarrower", "mastusher/internal/relay/engine"},
+	{"a call outlives its lease", "../engine/governor.go", "attempt.WriteBefore = end", "_ = end", "TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts", "mastusher/internal/relay/engine"},
+	{"what waits begins whatever is in force", "../engine/lease.go", "case mayAct && !now.Before(attempt.startAfter) && !c.recheck(attempt, now):", "case false:", "TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart", "mastusher/internal/relay/engine"},
 }
 
 // TestMutants plays the tests with each fault in turn, laid over the source.
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -30,9 +30,9 @@
 	t.Fatal("nothing has come")
 }
 
-// TestEndOverUnread: a client's bytes come between the last byte of a request that is read and the close, every time: the handler has
+// TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every time: the handler has
 // them sent. The answer arrives whole, and after it the end, not a reset, which may take the answer along.
-func TestEndOverUnread(t *testing.T) {
+func TestServer_CloseOverUnreadBytes_AnswerArrives(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
 		before  func(*Server)
@@ -92,9 +92,9 @@
 	return c.TCPConn.Close()
 }
 
-// TestEndOverRequest: a request comes in the very moment in which its connection, which rested, is given up. Before the relay has made up
+// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its connection, which rested, is given up. Before the relay has made up
 // its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
-func TestEndOverRequest(t *testing.T) {
+func TestServer_IdleCloseRacesRequest_AnswersOrEnds(t *testing.T) {
 	for _, at := range []string{"Read", "Close"} {
 		l := wiretest.Listen(t)
 		conn := wiretest.Dial(t, l.Addr().String())
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestCrowdOfHalves: a crowd that begins its requests and never ends them has all the room there is. Whoever comes with a whole request is
+// TestServer_CrowdOfHalfRequests_CompleteRequestIsServed: a crowd that begins its requests and never ends them has all the room there is. Whoever comes with a whole request is
 // served, and the relay ends in time all the same.
-func TestCrowdOfHalves(t *testing.T) {
+func TestServer_CrowdOfHalfRequests_CompleteRequestIsServed(t *testing.T) {
 	lim := limits()
 	lim.AnswerWithin = 300 * time.Millisecond
 	l := wiretest.Listen(t)
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestEndBeforeWrite: the peer ends a kept connection, or writes half a line to it, between the relay's choice of it and the first byte,
+// TestPool_PeerEndsKeptConnection_RetriesOnNew: the peer ends a kept connection, or writes half a line to it, between the relay's choice of it and the first byte,
 // every time: the question whether it may write does that. Nothing is written, and nothing may have run.
-func TestEndBeforeWrite(t *testing.T) {
+func TestPool_PeerEndsKeptConnection_RetriesOnNew(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"ends it":       func(c net.Conn) { _ = c.Close() },
 		"resets it":     func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
@@ -216,9 +216,9 @@
 	}
 }
 
-// TestCalledOffDial: a call that is called off while its connection comes up writes nothing, is not asked for, and leaves no connection
+// TestPool_CanceledWhileDialing_WritesNothing: a call that is called off while its connection comes up writes nothing, is not asked for, and leaves no connection
 // behind, also where that comes up in the same moment.
-func TestCalledOffDial(t *testing.T) {
+func TestPool_CanceledWhileDialing_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -243,9 +243,9 @@
 	return c.TCPConn.Read(b)
 }
 
-// TestClientGone: a request is read only after its client has left, every time, as by a relay that was stopped for a while, or has little
+// TestServer_ClientGone_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped for a while, or has little
 // processor time. Its client hands it in elsewhere: it is not handled, and nothing runs twice for it.
-func TestClientGone(t *testing.T) {
+func TestServer_ClientGone_RequestIsNotHandled(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestFresh: the first answer on a connection is told apart from those that follow: only that one may turn the connection itself away.
-func TestFresh(t *testing.T) {
+// TestPool_FirstAnswerOnConnection_IsMarked: the first answer on a connection is told apart from those that follow: only that one may turn the connection itself away.
+func TestPool_FirstAnswerOnConnection_IsMarked(t *testing.T) {
 	l := wiretest.Listen(t)
 	s := NewServer(limits(), echo)
 	go func() { _ = s.Serve(l) }()
--- a/internal/relay/httpwire/half_test.go
+++ b/internal/relay/httpwire/half_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestHalfWritten: a call that was begun in time and is half written when its lease ends, as by a process that was stopped in the middle
+// TestPool_LeaseEndsHalfWritten_GoesOn: a call that was begun in time and is half written when its lease ends, as by a process that was stopped in the middle
 // of a write, goes on: its partner has it once and whole, and nothing new is begun.
-func TestHalfWritten(t *testing.T) {
+func TestPool_LeaseEndsHalfWritten_GoesOn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -24,7 +24,7 @@
 	return Answer{Status: 200, Body: []byte(q.Method + " " + q.Path + " " + string(q.Body))}
 }
 
-func TestServer(t *testing.T) {
+func TestServer_Exchanges(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestPool tells apart the ways in which a call can end: each decides whether the message may be sent again.
-func TestPool(t *testing.T) {
+// TestPool_EveryEnd_HasItsStage tells apart the ways in which a call can end: each decides whether the message may be sent again.
+func TestPool_EveryEnd_HasItsStage(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for _, c := range []struct {
 		name   string
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestWithheld guards against a call that leaves after its window, or into a wait told meanwhile, because its
+// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or into a wait told meanwhile, because its
 // connection came up late.
-func TestWithheld(t *testing.T) {
+func TestPool_LateConnection_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	p := NewPool(limits())
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestStale guards against a request on a kept connection that the other side has closed: it would be lost
+// TestPool_StaleConnection_RetriesOnNew guards against a request on a kept connection that the other side has closed: it would be lost
 // with the message, and may not be sent again without the core's knowing.
-func TestStale(t *testing.T) {
+func TestPool_StaleConnection_RetriesOnNew(t *testing.T) {
 	l := wiretest.Listen(t)
 	closed := make(chan struct{})
 	go func() {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestStream(t *testing.T) {
+func TestStream_Lines(t *testing.T) {
 	l := wiretest.Listen(t)
 	go func() {
 		conn, err := l.Accept()
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestPeers guards against a call to a new machine on a connection to the one that had its address before.
-func TestPeers(t *testing.T) {
+// TestPool_AddressReused_OldConnectionIsNotUsed guards against a call to a new machine on a connection to the one that had its address before.
+func TestPool_AddressReused_OldConnectionIsNotUsed(t *testing.T) {
 	p := NewPool(limits())
 	old, _ := net.Pipe()
 	p.keep(Peer{"s-1", "h:1"}, &clientConn{Conn: old})
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestTrust guards against machines that drop idle connections without a word: what stood idle for as long as one
+// TestPool_IdleConnectionLost_ShorterTrust guards against machines that drop idle connections without a word: what stood idle for as long as one
 // on which a call was lost is not used, for a while.
-func TestTrust(t *testing.T) {
+func TestPool_IdleConnectionLost_ShorterTrust(t *testing.T) {
 	lim := limits()
 	lim.IdleTrustMin, lim.IdleTrustDoubling = 100*time.Millisecond, time.Hour
 	p, to := NewPool(lim), Peer{"s-1", "h:1"}
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestRoom guards against a crowd that shuts out those who ask: with no room left the connections go in the order of the list,
+// TestServer_NoRoom_ClosesLeastUseful guards against a crowd that shuts out those who ask: with no room left the connections go in the order of the list,
 // and never one whose request is being answered or has just begun to come.
-func TestRoom(t *testing.T) {
+func TestServer_NoRoom_ClosesLeastUseful(t *testing.T) {
 	lim := limits()
 	lim.AnswerWithin = 300 * time.Millisecond
 	s := NewServer(lim, echo)
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestHurry guards against clients that say nothing, or begin and never end: both are closed by themselves.
-func TestHurry(t *testing.T) {
+// TestServer_SilentClients_AreClosed guards against clients that say nothing, or begin and never end: both are closed by themselves.
+func TestServer_SilentClients_AreClosed(t *testing.T) {
 	lim := limits()
 	lim.FrontIdle, lim.FrontRead = 20*time.Millisecond, 40*time.Millisecond
 	l := wiretest.Listen(t)
--- a/internal/relay/journal/journal_test.go
+++ b/internal/relay/journal/journal_test.go
@@ -65,7 +65,7 @@
 	l.Ack(acked)
 }
 
-func TestReplay(t *testing.T) {
+func TestLog_Reopened_HoldsEveryState(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	history(t, l)
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestTorn guards against a kill in the middle of a write: what stands before it counts, at any length.
-func TestTorn(t *testing.T) {
+// TestLog_TornAtAnyByte_KeepsWhatStandsBefore guards against a kill in the middle of a write: what stands before it counts, at any length.
+func TestLog_TornAtAnyByte_KeepsWhatStandsBefore(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	history(t, l)
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestDisk guards against the folder's outgrowing its limit, which counts as a crash: also while the log is
+// TestLog_FolderLimit_IsNeverExceeded guards against the folder's outgrowing its limit, which counts as a crash: also while the log is
 // compacted, when two files stand.
-func TestDisk(t *testing.T) {
+func TestLog_FolderLimit_IsNeverExceeded(t *testing.T) {
 	const disk = 512 << 10
 	dir := t.TempDir()
 	l := open(t, dir, disk)
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestRoom guards against turning away what the folder has room for: on the busiest days a relay of 3 MB holds
+// TestLog_ThousandMessages_FitIntoThreeMegabytes guards against turning away what the folder has room for: on the busiest days a relay of 3 MB holds
 // close to a thousand messages.
-func TestRoom(t *testing.T) {
+func TestLog_ThousandMessages_FitIntoThreeMegabytes(t *testing.T) {
 	l := open(t, t.TempDir(), 3<<20)
 	for i := range 1100 {
 		if err := l.Accept(&Entry{ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Front: "platform",
@@ -183,8 +183,8 @@
 	})
 }
 
-// TestTenant: whose a message is outlasts restarts and compaction. In a log of an older version nobody's is.
-func TestTenant(t *testing.T) {
+// TestLog_Tenant_OutlastsRestartAndCompaction: whose a message is outlasts restarts and compaction. In a log of an older version nobody's is.
+func TestLog_Tenant_OutlastsRestartAndCompaction(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	for _, tenant := range []int{-1, 0, 300} {
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestHeaders: headers that go out with a message outlast restarts and compaction, and count for the room it takes.
-func TestHeaders(t *testing.T) {
+// TestLog_Headers_OutlastRestartAndCompaction: headers that go out with a message outlast restarts and compaction, and count for the room it takes.
+func TestLog_Headers_OutlastRestartAndCompaction(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	e := &Entry{ID: "m", Front: "platform", Headers: []string{"X-Desk", "sports", "X-Empty", ""}}
@@ -232,7 +232,7 @@
 
 // A write is cut short and the compaction that follows fails too; later the disk works again. What Flush says is on disk
 // must be read at the next start, and what it failed to write must not stand in the way.
-func TestBehindATornRecord(t *testing.T) {
+func TestLog_WriteAndCompactionFail_NothingBehindTornRecord(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	take(t, l, "a", 9)
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestBegin: after a kill an attempt has been made if and only if its first byte may have been written, wherever the kill falls and
+// TestLog_Killed_AttemptCountsIffBegun: after a kill an attempt has been made if and only if its first byte may have been written, wherever the kill falls and
 // whether or not the log was written anew meanwhile.
-func TestBegin(t *testing.T) {
+func TestLog_Killed_AttemptCountsIffBegun(t *testing.T) {
 	ran := func(l *Log, e *Entry) {
 		l.Schedule(e, start, "a")
 		begin(t, l, e)
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestBeginRefused: nothing begins that the log can't tell of.
-func TestBeginRefused(t *testing.T) {
+// TestLog_CannotWrite_NothingBegins: nothing begins that the log can't tell of.
+func TestLog_CannotWrite_NothingBegins(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, 1<<20)
 	m, over, other := take(t, l, "m", 9), take(t, l, "over", 9), take(t, l, "other", 9)
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -58,8 +58,8 @@
 	_ = conn.Close()
 }
 
-// TestWhole plays the platform's protocol from the client to the destination and the notice.
-func TestWhole(t *testing.T) {
+// TestFront_ClientToDestinationToNotice plays the platform's protocol from the client to the destination and the notice.
+func TestFront_ClientToDestinationToNotice(t *testing.T) {
 	for _, c := range []struct {
 		client, destination, discovery string
 	}{
@@ -116,13 +116,13 @@
 	}
 }
 
-// quiet is the front without its watch, which TestWatch covers.
+// quiet is the front without its watch, which TestWatch_ReportsListAndChanges covers.
 type quiet struct{ *Front }
 
 func (quiet) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
 
-// TestOutcomes reads every answer that a destination may give: whether a message may be sent again hangs on it.
-func TestOutcomes(t *testing.T) {
+// TestFront_EveryAnswer_HasItsOutcome reads every answer that a destination may give: whether a message may be sent again hangs on it.
+func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
 	f := New(configure(t, "-", "-"), nil)
 	one := &engine.Attempt{Items: []engine.Item{{ID: "a"}}}
 	two := &engine.Attempt{Items: []engine.Item{{ID: "a"}, {ID: "b"}}}
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestSpoilt: of a spoilt answer the first line counts, and only for a call of one message.
-func TestSpoilt(t *testing.T) {
+// TestFront_MalformedAnswer_FirstLineOfSingleCallCounts: of a spoilt answer the first line counts, and only for a call of one message.
+func TestFront_MalformedAnswer_FirstLineOfSingleCallCounts(t *testing.T) {
 	one, two := []engine.Item{{ID: "a"}}, []engine.Item{{ID: "a"}, {ID: "b"}}
 	for _, c := range []struct {
 		file  string
@@ -205,10 +205,10 @@
 	}
 }
 
-// TestHalfAnswer: an endpoint's answer stops at each byte of its first line, and the connection ends, is reset, falls silent, or goes on with
+// TestFront_AnswerStopsInFirstLine_MayHaveRun: an endpoint's answer stops at each byte of its first line, and the connection ends, is reset, falls silent, or goes on with
 // another answer, as where half a line was left over. Only a whole line is an answer: half of one that begins with "HTTP/1.1 200" was
 // taken for a delivery, and the message was lost.
-func TestHalfAnswer(t *testing.T) {
+func TestFront_AnswerStopsInFirstLine_MayHaveRun(t *testing.T) {
 	const line = "HTTP/1.1 200 OK\r\n"
 	cfg := configure(t, "-", "-")
 	cfg.Limits.AnswerRead = 30 * time.Millisecond // only what falls silent waits for it
@@ -245,8 +245,8 @@
 	}
 }
 
-// TestBulk: the body of a call with several messages.
-func TestBulk(t *testing.T) {
+// TestFront_BulkCall_Body: the body of a call with several messages.
+func TestFront_BulkCall_Body(t *testing.T) {
 	f := New(configure(t, "-", "-"), nil)
 	got := string(f.request(&engine.Attempt{To: engine.Destination{Address: "h"}, Timeout: 1500 * time.Millisecond,
 		Items: []engine.Item{{ID: "a", Key: "k", Body: []byte("hello")}, {ID: `"`}}}))
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestWatch(t *testing.T) {
+func TestWatch_ReportsListAndChanges(t *testing.T) {
 	one := engine.Destination{Name: "s-1", Address: "h:1", Zone: "a", Kind: "m2", Partner: 3, State: control.Draining}
 	two := engine.Destination{Name: "s-2", State: control.Removed}
 	odd := engine.Destination{Name: `s-1 }] "{`, Address: "h:1", Zone: "a", Kind: "m2", Partner: 3}
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestSilentWatch: a watch that came up and says nothing more is told apart from one that broke, also where it stops in the middle of a
+// TestWatch_SilentOrBroken_AreToldApart: a watch that came up and says nothing more is told apart from one that broke, also where it stops in the middle of a
 // list and only empty lines follow: those are no life.
-func TestSilentWatch(t *testing.T) {
+func TestWatch_SilentOrBroken_AreToldApart(t *testing.T) {
 	for name, says := range map[string]string{"nothing": "\n", "half a line": `{"index":43,"endpo`, "half a list": "{\"index\":43,\n\n\n\n"} {
 		l := wiretest.Listen(t)
 		cfg := configure(t, l.Addr().String(), "-")
@@ -334,10 +334,10 @@
 	}
 }
 
-// TestFewConnections: an endpoint that holds as many connections as it takes, idle ones counted, turns a new one away with 503 and its
+// TestFront_EndpointRefusesConnection_IsNoLimitOnCalls: an endpoint that holds as many connections as it takes, idle ones counted, turns a new one away with 503 and its
 // end. The relay takes that for what it is, and gives back at once what it holds idle at endpoints of that kind: others wait for those.
 // Before, it slowed down as if a limit on calls were passed, and kept them.
-func TestFewConnections(t *testing.T) {
+func TestFront_EndpointRefusesConnection_IsNoLimitOnCalls(t *testing.T) {
 	cfg := configure(t, "-", "-")
 	gave := make(chan error, 1)
 	room := wiretest.Listen(t) // an endpoint with room: it keeps the connection after its answer
@@ -384,10 +384,10 @@
 	end()
 }
 
-// TestLostAnswer: the client's connection breaks after its message was taken on and before it has its answer, every time; it hands the
+// TestFront_ClientLosesAnswer_MessageRunsOnce: the client's connection breaks after its message was taken on and before it has its answer, every time; it hands the
 // message in once more under the same id, while the call is out or when that is over. What must not run twice has one call, and the
 // second request is not answered as if it could be handed in again.
-func TestLostAnswer(t *testing.T) {
+func TestFront_ClientLosesAnswer_MessageRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		class string
 		over  bool // the call has its answer before the client comes again
@@ -452,8 +452,8 @@
 	}
 }
 
-// TestHeaders: what plug-ins have set goes out with single calls and bulk ones, once, beside the protocol's own.
-func TestHeaders(t *testing.T) {
+// TestFront_PluginHeaders_GoOutOnce: what plug-ins have set goes out with single calls and bulk ones, once, beside the protocol's own.
+func TestFront_PluginHeaders_GoOutOnce(t *testing.T) {
 	f := New(configure(t, "-", "-"), nil)
 	set := []string{"X-Desk", "sports"}
 	for n := 1; n <= 2; n++ {
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -17,9 +17,9 @@
 		MostRest: 8 * time.Second, Trials: 2, Partners: 4, SharedOpen: 2}
 }
 
-// TestScripts plays testdata/*.txt: "enter PARTNER", "leave TICKET good|failed|crashed CPU" and "after TIME", with
+// TestGate_Scripts plays testdata/*.txt: "enter PARTNER", "leave TICKET good|failed|crashed CPU" and "after TIME", with
 // what is to come back behind "=>".
-func TestScripts(t *testing.T) {
+func TestGate_Scripts(t *testing.T) {
 	text, err := os.ReadFile("testdata/gate.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -69,10 +69,10 @@
 	}
 }
 
-// TestAlways: whatever comes, no more calls are out than there are instances, one partner never has them all, the
+// TestGate_AnySequence_KeepsItsBounds: whatever comes, no more calls are out than there are instances, one partner never has them all, the
 // plug-in never spends more than its share and one burst beside the calls that are out, and a breaker that is open
 // admits again in the end.
-func TestAlways(t *testing.T) {
+func TestGate_AnySequence_KeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lim := limits()
 		lim.Instances = rapid.IntRange(1, 6).Draw(t, "instances")
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -92,9 +92,9 @@
 	return &engine.Message{ID: id, Key: "k", Partner: partner, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}
 }
 
-// TestHostile: whatever a module does on arrival, the message passes as it came, the failure is counted, and the
+// TestHost_HostileModule_MessagePasses: whatever a module does on arrival, the message passes as it came, the failure is counted, and the
 // well-behaved plug-in behind it has its say.
-func TestHostile(t *testing.T) {
+func TestHost_HostileModule_MessagePasses(t *testing.T) {
 	for name, c := range map[string]struct {
 		module []byte
 		fails  bool
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestAfterwards: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
-func TestAfterwards(t *testing.T) {
+// TestHost_LoopAfterTheFact_HoldsNobodyUp: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
+func TestHost_LoopAfterTheFact_HoldsNobodyUp(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
 	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
 	step.ObserveAnswer(503, nil, nil)
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestRefusedAtLoad: what can't run is refused with a message that says why.
-func TestRefusedAtLoad(t *testing.T) {
+// TestNew_UnusableModule_SaysWhy: what can't run is refused with a message that says why.
+func TestNew_UnusableModule_SaysWhy(t *testing.T) {
 	imports := wasmtest.New(1, 1)
 	imports.Import("mastusher_v2", "send", wasmtest.None)
 	imports.Import("mastusher_v2", "log", wasmtest.None)
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestGuards: what the host refuses is counted and does not go out.
-func TestGuards(t *testing.T) {
+// TestHost_ForbiddenHeaders_AreRefusedAndCounted: what the host refuses is counted and does not go out.
+func TestHost_ForbiddenHeaders_AreRefusedAndCounted(t *testing.T) {
 	set := func(k, v string) []byte { return wasmtest.Header(k, v) }
 	for name, c := range map[string]struct {
 		front  string
@@ -251,8 +251,8 @@
 	return p.On("arrival", 0, p.Do("set_body", d), wasmtest.Drop, wasmtest.Const(0)).Bytes()
 }
 
-// TestBody: a body that the front lets be rewritten is seen by the next plug-in and taken on; one that it doesn't is not.
-func TestBody(t *testing.T) {
+// TestHost_RewrittenBody_SeenByNextPlugin: a body that the front lets be rewritten is seen by the next plug-in and taken on; one that it doesn't is not.
+func TestHost_RewrittenBody_SeenByNextPlugin(t *testing.T) {
 	for text, want := range map[string]string{"brave": "brave", "other": "body"} {
 		h := newSetup(t).with("p", rewrites(text), "").host()
 		m := message("m", 7)
@@ -263,8 +263,8 @@
 	}
 }
 
-// TestUndo: two plug-ins that undo each other run once each, in their order; the last one's word stands.
-func TestUndo(t *testing.T) {
+// TestHost_PluginsUndoEachOther_LastWins: two plug-ins that undo each other run once each, in their order; the last one's word stands.
+func TestHost_PluginsUndoEachOther_LastWins(t *testing.T) {
 	removes := func() []byte {
 		p := wasmtest.Plugin(1, 1, 1, "remove_header")
 		k := p.Data(64, "X-Desk")
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestScope: a plug-in is asked only where the configuration says so.
-func TestScope(t *testing.T) {
+// TestHost_Scope_AsksOnlyWhereConfigured: a plug-in is asked only where the configuration says so.
+func TestHost_Scope_AsksOnlyWhereConfigured(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.Header("X-Desk", "s"),
 		`"fronts": ["platform"], "partners": [7, 9], "classes": ["score-state"]`).host()
 	for _, c := range []struct {
@@ -297,8 +297,8 @@
 	}
 }
 
-// TestOnePartner: a plug-in that fails for one partner is soon not asked for that one, and goes on for the others.
-func TestOnePartner(t *testing.T) {
+// TestBreaker_FailsForOnePartner_OthersGoOn: a plug-in that fails for one partner is soon not asked for that one, and goes on for the others.
+func TestBreaker_FailsForOnePartner_OthersGoOn(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.FailsFor(7), "").host()
 	v := h.now.Load().chain[0]
 	for i := range 50 {
@@ -313,8 +313,8 @@
 	}
 }
 
-// TestThousandth: a module that works until its thousandth call is started anew, and works again.
-func TestThousandth(t *testing.T) {
+// TestHost_ModuleTraps_IsStartedAnew: a module that works until its thousandth call is started anew, and works again.
+func TestHost_ModuleTraps_IsStartedAnew(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.WorksUntil(999), `"instances": 1`).host()
 	for i := range 1500 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7))
@@ -324,8 +324,8 @@
 	}
 }
 
-// TestOnFailure: where the plug-in's say is needed, its failure is a refusal and never a final one.
-func TestOnFailure(t *testing.T) {
+// TestHost_RejectOnFailure_IsNeverFinal: where the plug-in's say is needed, its failure is a refusal and never a final one.
+func TestHost_RejectOnFailure_IsNeverFinal(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.Traps(1), `"on_failure": "reject"`).host()
 	for range 9 { // also once the breaker is open
 		if r := h.OnArrival("platform", message("m", 7)); r.Verdict != engine.Busy {
@@ -337,8 +337,8 @@
 	}
 }
 
-// TestBurst: a breaker that opens while a burst waits for an instance lets them all go at once; nobody is lost.
-func TestBurst(t *testing.T) {
+// TestBreaker_OpensDuringBurst_ReleasesAll: a breaker that opens while a burst waits for an instance lets them all go at once; nobody is lost.
+func TestBreaker_OpensDuringBurst_ReleasesAll(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.LoopsFor(7), `"timeout": "50ms"`).host()
 	var all sync.WaitGroup
 	for i := range 40 {
@@ -354,8 +354,8 @@
 	}
 }
 
-// TestShare: a plug-in that burns its share of processor time is not asked until there is some again.
-func TestShare(t *testing.T) {
+// TestHost_CPUShareUsed_IsNotAsked: a plug-in that burns its share of processor time is not asked until there is some again.
+func TestHost_CPUShareUsed_IsNotAsked(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Loops(1), `"cpu_share": 0.001, "timeout": "50ms"`)
 	cfg := s.config()
 	cfg.Limits.PluginBurst = 10 * time.Millisecond
@@ -373,8 +373,8 @@
 	}
 }
 
-// TestMemory: what all instances hold together is bounded, and given back when they end.
-func TestMemory(t *testing.T) {
+// TestHost_Memory_IsBoundedAndGivenBack: what all instances hold together is bounded, and given back when they end.
+func TestHost_Memory_IsBoundedAndGivenBack(t *testing.T) {
 	s := newSetup(t).with("a", wasmtest.Hoards(), "").with("b", wasmtest.Hoards(), "")
 	s.extra = `, "memory_mb": 3`
 	h := s.host()
@@ -391,8 +391,8 @@
 
 }
 
-// TestAnswer: an answer's phase makes the relay more careful and nothing else.
-func TestAnswer(t *testing.T) {
+// TestHost_AnswerPhase_OnlyMoreCareful: an answer's phase makes the relay more careful and nothing else.
+func TestHost_AnswerPhase_OnlyMoreCareful(t *testing.T) {
 	for name, c := range map[string]struct {
 		module    []byte
 		out, want engine.Outcome
@@ -417,8 +417,8 @@
 	}
 }
 
-// TestReload: a new version takes over between messages; a faulty one changes nothing, and the same again is kept.
-func TestReload(t *testing.T) {
+// TestReload_NewVersion_TakesOverBetweenMessages: a new version takes over between messages; a faulty one changes nothing, and the same again is kept.
+func TestReload_NewVersion_TakesOverBetweenMessages(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Header("X-Desk", "one"), "").with("q", wasmtest.Counts("n"), "")
 	h := s.host()
 	desk := func() string {
@@ -458,9 +458,9 @@
 	}
 }
 
-// TestReloadUnderLoad: ten reloads in a row while messages and answers are under way; none is lost, each is shaped
+// TestReload_UnderLoad_LosesNothing: ten reloads in a row while messages and answers are under way; none is lost, each is shaped
 // by one whole generation, and what is replaced is closed.
-func TestReloadUnderLoad(t *testing.T) {
+func TestReload_UnderLoad_LosesNothing(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Header("X-A", "0"), "").with("q", wasmtest.Header("X-B", "0"), "")
 	h := s.host()
 	stop := make(chan struct{})
@@ -504,8 +504,8 @@
 	}
 }
 
-// TestStoreLives: the store outlives versions, and with a folder the process.
-func TestStoreLives(t *testing.T) {
+// TestStore_OutlivesVersionsAndProcess: the store outlives versions, and with a folder the process.
+func TestStore_OutlivesVersionsAndProcess(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Counts("n"), "")
 	h := s.host()
 	h.OnArrival("platform", message("a", 7))
@@ -530,8 +530,8 @@
 	}
 }
 
-// TestSame: the same seed, plug-in and message give the same random numbers, on whichever instance.
-func TestSame(t *testing.T) {
+// TestHost_SameSeed_SameRandomNumbers: the same seed, plug-in and message give the same random numbers, on whichever instance.
+func TestHost_SameSeed_SameRandomNumbers(t *testing.T) {
 	p := wasmtest.Plugin(1, 1, 1, "random", "store_set")
 	k := p.Data(64, "r")
 	module := p.On("arrival", 0, wasmtest.Const(256), p.Do("random"), []byte{0x37, 0, 0},
@@ -552,8 +552,8 @@
 	}
 }
 
-// TestOne: a module of ABI 1, which writes over the same room each time, still rejects with 422 and its name.
-func TestOne(t *testing.T) {
+// TestABI1_StillRejects: a module of ABI 1, which writes over the same room each time, still rejects with 422 and its name.
+func TestABI1_StillRejects(t *testing.T) {
 	h := newSetup(t).with("old", wasmtest.One(1024, 1), "").host()
 	for range 3 {
 		if d := cmp.Diff(engine.Ruling{Verdict: engine.Rejected, Status: 422, Reason: "rejected by old"}, h.OnArrival("platform", message("m", 7))); d != "" {
@@ -562,8 +562,8 @@
 	}
 }
 
-// TestBudget: a plug-in for which none of the client's time is left counts as failed, and is not called.
-func TestBudget(t *testing.T) {
+// TestHost_NoTimeLeft_CountsAsFailed: a plug-in for which none of the client's time is left counts as failed, and is not called.
+func TestHost_NoTimeLeft_CountsAsFailed(t *testing.T) {
 	for keys, want := range map[string]engine.Verdict{`"on_failure": "pass"`: engine.Accepted, `"on_failure": "reject"`: engine.Busy} {
 		s := newSetup(t).with("p", wasmtest.Header("X-Desk", "sports"), keys)
 		cfg := s.config()
--- a/internal/relay/plugin/rules/rules_test.go
+++ b/internal/relay/plugin/rules/rules_test.go
@@ -15,7 +15,7 @@
 
 var front = Front{Name: "f", Owned: []string{"X-Request-Id", "Signature-*"}}
 
-func TestShape(t *testing.T) {
+func TestShape_Headers(t *testing.T) {
 	for _, c := range []struct {
 		name, value string
 		want        Refusal
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestNeverSmuggles: whatever is set, what goes over the wire is one line a header, and none of the protocol's.
-func TestNeverSmuggles(t *testing.T) {
+// TestShape_AnyHeader_NeverSmuggles: whatever is set, what goes over the wire is one line a header, and none of the protocol's.
+func TestShape_AnyHeader_NeverSmuggles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Shape{}
 		for range rapid.IntRange(1, 6).Draw(t, "n") {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestRewrite(t *testing.T) {
+func TestRewrite_GuardedFields(t *testing.T) {
 	locked := Front{}
 	open := Front{Body: func(a, b []byte) bool { return a[0] == b[0] }}
 	for _, c := range []struct {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestTighten: nothing that a plug-in asks makes the relay less careful.
-func TestTighten(t *testing.T) {
+// TestTighten_AnyAsk_NeverLessCareful: nothing that a plug-in asks makes the relay less careful.
+func TestTighten_AnyAsk_NeverLessCareful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := Answer{Result: control.Result(rapid.IntRange(0, int(control.Rejected)).Draw(t, "result")),
 			Wait: time.Duration(rapid.IntRange(0, 90).Draw(t, "wait")) * time.Second, Over: rapid.Bool().Draw(t, "over")}
--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -31,7 +31,7 @@
 
 var lim = Limits{Bytes: 400, Entries: 5, KeySize: 10, ValueSize: 100}
 
-func TestTx(t *testing.T) {
+func TestTx_CommitsAllOrNothing(t *testing.T) {
 	s := New(lim)
 	tx := s.Begin(t0)
 	_ = tx.Set("a", []byte("1"), 0)
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestQuota: no run of calls takes a store over its quota, and its size is that of what is in it.
-func TestQuota(t *testing.T) {
+// TestStore_AnyCalls_KeepQuota: no run of calls takes a store over its quota, and its size is that of what is in it.
+func TestStore_AnyCalls_KeepQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(lim), t0
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestSnapshot(t *testing.T) {
+func TestStore_SaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "p.store")
 	s := New(lim)
 	put(t, s, t0, "good", "1", 0)
--- a/internal/relay/plugin/wasm/rewrite_test.go
+++ b/internal/relay/plugin/wasm/rewrite_test.go
@@ -27,8 +27,8 @@
 	return i.ExportedFunction("f").Call(t.Context(), args...)
 }
 
-// TestMeaning: what a function returns is what it returned before, by whichever way it leaves.
-func TestMeaning(t *testing.T) {
+// TestBounded_Functions_ReturnTheSame: what a function returns is what it returned before, by whichever way it leaves.
+func TestBounded_Functions_ReturnTheSame(t *testing.T) {
 	two := w.Sig{Results: []byte{w.I32, w.I64}}
 	for name, c := range map[string]struct {
 		sig  w.Sig
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestDepth: recursion ends where the stack that it was given does, and what has returned is given back.
-func TestDepth(t *testing.T) {
+// TestBounded_Recursion_EndsAtStackLimit: recursion ends where the stack that it was given does, and what has returned is given back.
+func TestBounded_Recursion_EndsAtStackLimit(t *testing.T) {
 	m := w.New(1, 1)
 	self := m.Next()
 	m.Func(w.I32s(1), 0, w.Get(0), w.Eqz, w.If(w.Const(0), w.Return), w.Get(0), w.Const(1), w.Sub, w.Call(self), w.Const(1), w.Add)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestBounded_InvalidModule_IsRefused(t *testing.T) {
 	whole := w.Hoards()
 	for i := range whole { // cut anywhere: an error or a module, never a panic
 		_, _ = wasm.Bounded(whole[:i], 1000)
--- a/internal/relay/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -25,9 +25,9 @@
 	t0        = time.Unix(1_700_000_000, 0)
 )
 
-// TestMachine walks the machine through RFC 9568, section 6.4: a line is what happens, then the state, when
+// TestMachine_RFC9568Section64 walks the machine through RFC 9568, section 6.4: a line is what happens, then the state, when
 // the timer is due (ms since the start) and the priorities that are advertised.
-func TestMachine(t *testing.T) {
+func TestMachine_RFC9568Section64(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		priority uint8
@@ -118,7 +118,7 @@
 // good is an advertisement whose checksum was worked out by hand: 3107+6401+0064+0a00+0064 = 9fd0.
 var good = []byte{0x31, 7, 100, 1, 0, 100, 0x60, 0x2f, 10, 0, 0, 100}
 
-func TestPacket(t *testing.T) {
+func TestPacket_EncodeDecode(t *testing.T) {
 	p := Packet{VRID: 7, Priority: 100, Advertise: time.Second, Addresses: []netip.Addr{virtual}}
 	if b := p.Encode(low, high); !bytes.Equal(b, good) {
 		t.Errorf("encoded %x, want %x", b, good)
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestDrop: what is not an advertisement of this virtual router from a peer is dropped and counted.
-func TestDrop(t *testing.T) {
+// TestInstance_ForeignPackets_AreDroppedAndCounted: what is not an advertisement of this virtual router from a peer is dropped and counted.
+func TestInstance_ForeignPackets_AreDroppedAndCounted(t *testing.T) {
 	in, err := Listen(&config.VRRP{Listen: "127.0.0.1:0", VRID: 7, Priority: 100, Advertise: 40 * time.Second,
 		Address: net.ParseIP("127.0.0.1"), Virtual: []net.IP{net.ParseIP("10.0.0.100")}, Peers: []string{"127.0.0.2:9"}},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -57,7 +57,7 @@
 	return append(head, body...)
 }
 
-func TestGoldenBatches(t *testing.T) {
+func TestParseBatch_GoldenFrames(t *testing.T) {
 	b, err := ParseBatch(unhex(t, emptyBatch))
 	if err != nil || b.Seq != 1 || b.Clock != 0x805c5a || len(b.Records) != 0 {
 		t.Errorf("empty batch: %+v, %v", b, err)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestGoldenReplies(t *testing.T) {
+func TestReply_GoldenFrames(t *testing.T) {
 	var r Reply
 	r.Begin(1)
 	if got := r.Bytes(); !bytes.Equal(got, unhex(t, emptyReply)) {
@@ -128,7 +128,7 @@
 }
 
 // Each malformed frame is one error that names the field and where it stands.
-func TestMalformedFrames(t *testing.T) {
+func TestReadBatch_MalformedFrame_NamesField(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want []string
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestParseSettings_Keys(t *testing.T) {
 	set, err := ParseSettings([]byte(`{"unheard": 1, "allowed": {"cancel": true, "max_attempts": 8, "max_open": 228,
 		"max_retry_after": 2000000, "retry_after": true}, "family_info": {"workers": 12, "kind_apart": [true, false],
 		"per_call": [5, 1], "carriage": [0.01, 0.04], "loses_worth": "line"},
