--- /dev/null
+++ b/internal/tier/network/memorynetwork/deadline.go
@@ -0,0 +1,53 @@
+package memorynetwork
+
+import (
+	"net"
+	"time"
+)
+
+// SetDeadline implements net.Conn.
+func (e *endpoint) SetDeadline(at time.Time) error {
+	return e.setDeadlines(at, &e.readDeadline, &e.writeDeadline)
+}
+
+// SetReadDeadline implements net.Conn.
+func (e *endpoint) SetReadDeadline(at time.Time) error { return e.setDeadlines(at, &e.readDeadline) }
+
+// SetWriteDeadline implements net.Conn.
+func (e *endpoint) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeDeadline) }
+
+func (e *endpoint) setDeadlines(at time.Time, deadlines ...*deadline) error {
+	e.network.mutex.Lock()
+	defer e.network.mutex.Unlock()
+	if e.closed {
+		return e.error("set", net.ErrClosed)
+	}
+	for _, d := range deadlines {
+		d.set(at, func() { e.wake() })
+	}
+	e.changed.Broadcast()
+	return nil
+}
+
+// deadline is a time after which calls fail.
+type deadline struct {
+	at    time.Time
+	timer *time.Timer
+}
+
+func (d *deadline) set(at time.Time, passed func()) {
+	d.stop()
+	d.at = at
+	if remaining := time.Until(at); !at.IsZero() && remaining > 0 {
+		d.timer = time.AfterFunc(remaining, passed)
+	}
+}
+
+func (d *deadline) stop() {
+	if d.timer != nil {
+		d.timer.Stop()
+		d.timer = nil
+	}
+}
+
+func (d *deadline) isOver() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- a/internal/tier/network/memorynetwork/connection.go
+++ b/internal/tier/network/memorynetwork/endpoint.go
@@ -11,14 +11,6 @@
 	"mastusher/internal/tier/network"
 )
 
-// segment is what travels from one endpoint to the other at once.
-type segment struct {
-	data      []byte
-	fin       bool
-	reset     bool
-	arrivesAt time.Time
-}
-
 // endpoint is one end of a connection. The network's mutex guards all of it.
 type endpoint struct {
 	network *Network
@@ -37,14 +29,14 @@
 
 	inFlight          []segment // sent and not delivered, in order
 	inFlightBytes     int
-	delivering        bool
+	delivering        bool          // a timer of deliver runs
 	retransmitTimeout time.Duration // until the next retransmission; 0: none is needed
 
 	keepAliveIdle    time.Duration // after which the peer is probed; 0: never
 	keepAliveTimeout time.Duration // after which a silent peer is timed out; 0: never
 	readDeadline     deadline
 	writeDeadline    deadline
-	keepAliveTimer   int
+	keepAliveTimer   int // number of the keep-alive timer that counts; earlier ones are void
 }
 
 var (
@@ -204,25 +196,6 @@
 	return nil
 }
 
-// SetKeepAliveConfig sets how a silent peer is detected.
-func (e *endpoint) SetKeepAliveConfig(config net.KeepAliveConfig) error {
-	e.network.mutex.Lock()
-	defer e.network.mutex.Unlock()
-	e.setKeepAlive(config)
-	return nil
-}
-
-func (e *endpoint) setKeepAlive(config net.KeepAliveConfig) {
-	if !config.Enable {
-		return
-	}
-	e.keepAliveIdle = config.Idle
-	e.keepAliveTimeout = config.Idle + time.Duration(config.Count)*config.Interval
-	if !e.isConnected() {
-		e.startKeepAliveTimer()
-	}
-}
-
 // Idle implements network.IdleProber.
 func (e *endpoint) Idle() bool {
 	e.network.mutex.Lock()
@@ -236,30 +209,6 @@
 // RemoteAddr implements net.Conn.
 func (e *endpoint) RemoteAddr() net.Addr { return e.remote }
 
-// SetDeadline implements net.Conn.
-func (e *endpoint) SetDeadline(at time.Time) error {
-	return e.setDeadlines(at, &e.readDeadline, &e.writeDeadline)
-}
-
-// SetReadDeadline implements net.Conn.
-func (e *endpoint) SetReadDeadline(at time.Time) error { return e.setDeadlines(at, &e.readDeadline) }
-
-// SetWriteDeadline implements net.Conn.
-func (e *endpoint) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeDeadline) }
-
-func (e *endpoint) setDeadlines(at time.Time, deadlines ...*deadline) error {
-	e.network.mutex.Lock()
-	defer e.network.mutex.Unlock()
-	if e.closed {
-		return e.error("set", net.ErrClosed)
-	}
-	for _, d := range deadlines {
-		d.set(at, func() { e.wake() })
-	}
-	e.changed.Broadcast()
-	return nil
-}
-
 // wake makes blocked calls check their conditions again.
 func (e *endpoint) wake() {
 	e.network.mutex.Lock()
@@ -273,26 +222,3 @@
 	}
 	return &net.OpError{Op: operation, Net: "tcp", Source: e.local, Addr: e.remote, Err: cause}
 }
-
-// deadline is a time after which calls fail.
-type deadline struct {
-	at    time.Time
-	timer *time.Timer
-}
-
-func (d *deadline) set(at time.Time, passed func()) {
-	d.stop()
-	d.at = at
-	if remaining := time.Until(at); !at.IsZero() && remaining > 0 {
-		d.timer = time.AfterFunc(remaining, passed)
-	}
-}
-
-func (d *deadline) stop() {
-	if d.timer != nil {
-		d.timer.Stop()
-		d.timer = nil
-	}
-}
-
-func (d *deadline) isOver() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- /dev/null
+++ b/internal/tier/network/memorynetwork/fault_test.go
@@ -0,0 +1,126 @@
+package memorynetwork_test
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+)
+
+func TestPartition_Short_DelaysBytesUntilItHeals(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.network.Partition(w.here, w.there)
+		w.write(w.near, "delayed")
+		w.write(w.far, "the other way")
+		w.expect(w.near, "the other way")
+		time.Sleep(time.Second)
+		w.network.Heal(w.here, w.there)
+		if took := w.expect(w.far, "delayed"); took < delay || took > time.Second {
+			t.Errorf("took %v", took)
+		}
+	})
+}
+
+func TestPartition_Long_TimesOutTheConnection(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.network.Partition(w.there, w.here)
+		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
+			t.Errorf("took %v", took)
+		}
+		w.network.Heal(w.there, w.here)
+		w.write(w.far, "who is there")
+		w.expectEnd(w.far, syscall.ECONNRESET)
+	})
+}
+
+func TestPartition_Dial_TimesOutOrWaitsForTheHeal(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.network.Partition(w.there, w.here)
+		started := time.Now()
+		if _, err := w.dial(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(started) != 500*time.Millisecond {
+			t.Errorf("got %v after %v", err, time.Since(started))
+		}
+		// The kernel tries again after a second.
+		ctx, cancel := context.WithTimeout(w.t.Context(), 5*time.Second)
+		defer cancel()
+		time.AfterFunc(300*time.Millisecond, func() { w.network.Heal(w.there, w.here) })
+		if _, err := w.from.Dial(ctx, new(net.Dialer), "tcp4", address); err != nil {
+			t.Errorf("got %v", err)
+		}
+	})
+}
+
+func TestRefuse_ConnectionsAndDials_AreResetAndRefused(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.network.Refuse(w.here, w.there)
+		w.expectEnd(w.near, syscall.ECONNRESET)
+		w.expectEnd(w.far, syscall.ECONNRESET)
+		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("got %v", err)
+		}
+		w.network.Heal(w.here, w.there)
+		w.connect()
+		w.listener.Close()
+		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("got %v", err)
+		}
+	})
+}
+
+func TestKill_Process_ClosesItsConnections(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.to.Kill()
+		w.expectEnd(w.near, io.EOF)
+		if _, err := w.far.Write([]byte("x")); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("a process that has ended writes: %v", err)
+		}
+		if _, err := w.to.Dial(w.t.Context(), linkDialer(), "tcp4", "10.0.0.1:1"); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("a process that has ended dials: %v", err)
+		}
+		w.to = w.there.Start()
+		w.listen()
+		w.connect()
+	})
+}
+
+func TestPowerOff_Peer_TimesOut(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.there.PowerOff(w.to)
+		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
+			t.Errorf("took %v", took)
+		}
+	})
+}
+
+func TestPowerOn_WithinTheTimeout_ResetsConnections(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.there.PowerOff(w.to)
+		time.Sleep(time.Second)
+		w.there.PowerOn()
+		if took := w.expectEnd(w.near, syscall.ECONNRESET); took != time.Second {
+			t.Errorf("took %v", took)
+		}
+	})
+}
+
+func TestFreeze_Machine_AcceptsBytesAndReadsThemAfterTheThaw(t *testing.T) {
+	withPair(t, func(w *pair) {
+		w.there.Freeze()
+		w.write(w.near, "while it is frozen")
+		near, err := w.dial()
+		if err != nil {
+			t.Fatal(err)
+		}
+		time.AfterFunc(10*time.Second, w.there.Thaw)
+		if took := w.expect(w.far, "while it is frozen"); took != 10*time.Second {
+			t.Errorf("took %v", took)
+		}
+		far, _ := w.listener.Accept()
+		w.write(far, "hello")
+		w.expect(near, "hello")
+	})
+}
--- a/internal/tier/network/memorynetwork/segment.go
+++ b/internal/tier/network/memorynetwork/segment.go
@@ -5,6 +5,14 @@
 	"time"
 )
 
+// segment is what travels from one endpoint to the other at once.
+type segment struct {
+	data      []byte
+	fin       bool
+	reset     bool
+	arrivesAt time.Time
+}
+
 // send transmits a segment. Segments stay in order, whatever delay is drawn. The caller holds the mutex.
 func (e *endpoint) send(sent segment) {
 	sent.arrivesAt = time.Now().Add(e.network.delay(e.process.machine, e.peer.process.machine))
@@ -100,41 +108,3 @@
 	e.inFlight, e.inFlightBytes = nil, 0
 	e.changed.Broadcast()
 }
-
-// isConnected reports whether both directions are up. The caller holds the mutex.
-func (e *endpoint) isConnected() bool {
-	here, there := e.process.machine, e.peer.process.machine
-	return e.network.reachable(here, there) && e.network.reachable(there, here)
-}
-
-// startKeepAliveTimer times the connection out if the peer stays unreachable for keepAliveTimeout. It replaces a timer that
-// runs. The caller holds the mutex.
-func (e *endpoint) startKeepAliveTimer() {
-	if e.keepAliveTimeout == 0 {
-		return
-	}
-	e.keepAliveTimer++
-	started := e.keepAliveTimer
-	time.AfterFunc(e.keepAliveTimeout, func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		if e.keepAliveTimer == started && !e.isConnected() {
-			e.fail(syscall.ETIMEDOUT)
-		}
-	})
-}
-
-// startProbe checks after keepAliveIdle whether the peer still has the connection. The caller holds the mutex.
-func (e *endpoint) startProbe() {
-	if e.keepAliveIdle == 0 || !e.isConnected() {
-		return
-	}
-	e.keepAliveTimer++
-	time.AfterFunc(e.keepAliveIdle, func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		if e.isConnected() && (e.peer.closed && len(e.peer.inFlight) == 0 && !e.remoteClosed || e.peer.failure != nil) {
-			e.fail(syscall.ECONNRESET)
-		}
-	})
-}
