--- a/internal/relay/engine/rerun_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -31,6 +31,7 @@
 	lost func(error)
 }
 
+// dueAt is something that happens at a time.
 type dueAt struct {
 	at time.Time
 	do func()
@@ -38,6 +39,19 @@
 
 func (v *virtual) in(d time.Duration, do func()) { v.due = append(v.due, dueAt{v.now.Add(d), do}) }
 
+// runDue has happen what is due by now, in the order in which it was put there.
+func (v *virtual) runDue() {
+	due := v.due
+	v.due = nil
+	for _, d := range due {
+		if d.at.After(v.now) {
+			v.due = append(v.due, d)
+		} else {
+			d.do()
+		}
+	}
+}
+
 func (v *virtual) Call(_ Front, s *Attempt, until time.Time, done func([]Outcome)) func() {
 	outs := make([]Outcome, len(s.Items))
 	took := time.Duration(5+v.rng.IntN(400)) * time.Millisecond
@@ -88,9 +102,19 @@
 	return func() {}
 }
 
-// play has a core live through so many turns of a life that a seed draws, recorded from one of them on, and returns the
-// recorder's folder.
-func playCore(t testing.TB, seed uint64, turns, from int) (dir string, c *Core) {
+// randomRun is a core that lives through what a seed draws. The order of the draws counts: the corpus was written by it.
+type randomRun struct {
+	core         *Core
+	shell        *virtual
+	rng          *rand.Rand
+	destinations []Destination
+	turns        int
+	inFleet      bool
+	listIndex    int64
+}
+
+// newRandomRun returns a core on a journal with a few messages, before its first turn.
+func newRandomRun(t testing.TB, seed uint64, turns int, quiet *slog.Logger) *randomRun {
 	t.Helper()
 	cfg, err := config.Parse([]byte(settings), func(string) string { return "" })
 	if err != nil {
@@ -98,32 +122,105 @@
 	}
 	cfg.Settings.MaxOpen = 30
 	rng := rand.New(rand.NewPCG(seed, 1))
-	jour := &journal.Memory{Full: func(*journal.Entry) bool { return rng.IntN(30) == 0 }, Failed: func() error {
+	memory := &journal.Memory{Full: func(*journal.Entry) bool { return rng.IntN(30) == 0 }, Failed: func() error {
 		if rng.IntN(60) == 0 {
 			return errors.New("the disk fails")
 		}
 		return nil
 	}}
 	now := time.Date(2026, 12, 1, 15, 0, 0, 0, time.UTC)
-	for i := range rng.IntN(6) { // a restart: some were out, some notices are owed
+	for i := range rng.IntN(6) { // a restart: some were out, some notices are outstanding
 		e := &journal.Entry{ID: fmt.Sprint("old-", i), Front: "platform", Destination: 7 + i%2, Class: i % 2, Deadline: now.Add(6 * time.Second)}
-		jour.Restore(e)
+		memory.Restore(e)
 		switch i % 3 {
 		case 0:
-			jour.Schedule(e, now.Add(-time.Second), "s-1")
+			memory.Schedule(e, now.Add(-time.Second), "s-1")
 		case 1:
-			jour.EndWithNotice(e, journal.Notice{HandedBack: true, RetryAfter: time.Second})
+			memory.EndWithNotice(e, journal.Notice{HandedBack: true, RetryAfter: time.Second})
 		}
 	}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	if c, err = New(cfg, jour, quiet, now); err != nil {
+	core, err := New(cfg, memory, quiet, now)
+	if err != nil {
 		t.Fatal(err)
 	}
-	v := &virtual{rng: rng, now: now}
-	c.SetShell(v)
-	front := &fakeFront{tells: seed%2 == 0}
-	dests := []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}, {Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8}}
-	c.AddFront("platform", front, EndpointList{Destinations: dests})
+	run := &randomRun{core: core, shell: &virtual{rng: rng, now: now}, rng: rng, turns: turns, inFleet: seed%3 == 0, listIndex: 1}
+	core.SetShell(run.shell)
+	run.destinations = []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}, {Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8}}
+	core.AddFront("platform", &fakeFront{tells: seed%2 == 0}, EndpointList{Destinations: run.destinations})
+	return run
+}
+
+// submit hands in up to two messages.
+func (run *randomRun) submit() {
+	rng, now := run.rng, run.shell.now
+	for range rng.IntN(3) {
+		m := Message{ID: fmt.Sprint("m-", rng.IntN(4*run.turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3), Body: make([]byte, rng.IntN(900)),
+			Deadline: now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
+		a := arrival{front: "platform", msg: m, submittedAt: now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
+		switch rng.IntN(12) {
+		case 0: // a plug-in's
+			a.ruling = Ruling{Rejected, 418, "not here"}
+		case 1:
+			a.msg.ExtraHeaders = []string{"X-Desk", fmt.Sprint(rng.IntN(2))}
+		case 2:
+			a.msg.MayHaveRunAt = now.Add(-time.Second)
+		case 3:
+			a.front = "nobody"
+		}
+		run.core.queue <- a
+	}
+}
+
+// disturb withdraws a message, moves discovery, changes the list or loses the watch, now and then.
+func (run *randomRun) disturb() {
+	rng, v := run.rng, run.shell
+	switch rng.IntN(60) {
+	case 0:
+		run.core.queue <- withdrawn{uint64(rng.IntN(run.turns))}
+	case 1:
+		run.core.DiscoveryMoved([]string{"platform", "nobody"}[rng.IntN(2)])
+	case 2, 3, 4:
+		if v.tell != nil {
+			run.listIndex++
+			d := run.destinations[rng.IntN(2)]
+			d.State = control.State(rng.IntN(3))
+			if rng.IntN(3) == 0 {
+				d.Name += fmt.Sprint("-", run.listIndex)
+			}
+			v.tell(EndpointList{Index: run.listIndex - int64(rng.IntN(3)), Complete: rng.IntN(6) == 0, Destinations: []Destination{d, run.destinations[0]}})
+		}
+	case 5:
+		if v.lost != nil {
+			v.lost(errors.New("the watch is lost"))
+		}
+	}
+}
+
+// govern changes the policy of a relay in a fleet, now and then.
+func (run *randomRun) govern(turn int) {
+	rng := run.rng
+	if !run.inFleet || turn <= 2 || rng.IntN(8) != 0 {
+		return
+	}
+	mandate := Mandate{Mandate: capture.Mandate{Version: uint64(turn / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
+		Until: run.shell.now.Add(time.Duration(rng.IntN(900)-100) * time.Millisecond)}
+	switch rng.IntN(5) {
+	case 0:
+		mandate.Halted = mandate.Version + 1
+	case 1:
+		mandate.Shut = []int{8}
+	case 2:
+		mandate.Closed, mandate.Stamp = true, true
+	}
+	run.core.Govern(mandate, nil)
+}
+
+// recordRandomRun has a core live through so many turns, recorded from one of them on, and returns the recorder's folder.
+func recordRandomRun(t testing.TB, seed uint64, turns, from int) (dir string, c *Core) {
+	t.Helper()
+	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	run := newRandomRun(t, seed, turns, quiet)
+	c, v := run.core, run.shell
 	dir = t.TempDir()
 	rec, err := capture.New(dir, c.Begin("test", "-"), capture.Limits{Queue: 64, Chunk: 8 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
 	if err != nil {
@@ -132,72 +229,17 @@
 	if from == 0 {
 		c.Record(rec)
 	}
-	c.Restore(now)
-	index := int64(1)
-	for no := range turns {
-		v.now = v.now.Add(time.Duration(5+rng.IntN(60)) * time.Millisecond)
-		due := v.due
-		v.due = nil
-		for _, d := range due {
-			if d.at.After(v.now) {
-				v.due = append(v.due, d)
-			} else {
-				d.do()
-			}
-		}
-		if no+1 == from {
+	c.Restore(v.now)
+	for turn := range turns {
+		v.now = v.now.Add(time.Duration(5+run.rng.IntN(60)) * time.Millisecond)
+		v.runDue()
+		if turn+1 == from {
 			c.Record(rec)
 		}
-		for range rng.IntN(3) {
-			m := Message{ID: fmt.Sprint("m-", rng.IntN(4*turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3), Body: make([]byte, rng.IntN(900)),
-				Deadline: v.now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
-			a := arrival{front: "platform", msg: m, submittedAt: v.now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
-			switch rng.IntN(12) {
-			case 0: // a plug-in's
-				a.ruling = Ruling{Rejected, 418, "not here"}
-			case 1:
-				a.msg.ExtraHeaders = []string{"X-Desk", fmt.Sprint(rng.IntN(2))}
-			case 2:
-				a.msg.MayHaveRunAt = v.now.Add(-time.Second)
-			case 3:
-				a.front = "nobody"
-			}
-			c.queue <- a
-		}
-		switch rng.IntN(60) {
-		case 0:
-			c.queue <- withdrawn{uint64(rng.IntN(turns))}
-		case 1:
-			c.DiscoveryMoved([]string{"platform", "nobody"}[rng.IntN(2)])
-		case 2, 3, 4:
-			if v.tell != nil {
-				index++
-				d := dests[rng.IntN(2)]
-				d.State = control.State(rng.IntN(3))
-				if rng.IntN(3) == 0 {
-					d.Name += fmt.Sprint("-", index)
-				}
-				v.tell(EndpointList{Index: index - int64(rng.IntN(3)), Complete: rng.IntN(6) == 0, Destinations: []Destination{d, dests[0]}})
-			}
-		case 5:
-			if v.lost != nil {
-				v.lost(errors.New("the watch is lost"))
-			}
-		}
-		if seed%3 == 0 && no > 2 && rng.IntN(8) == 0 { // in a fleet, whose policy changes
-			s := Mandate{Mandate: capture.Mandate{Version: uint64(no / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
-				Until: v.now.Add(time.Duration(rng.IntN(900)-100) * time.Millisecond)}
-			switch rng.IntN(5) {
-			case 0:
-				s.Halted = s.Version + 1
-			case 1:
-				s.Shut = []int{8}
-			case 2:
-				s.Closed, s.Stamp = true, true
-			}
-			c.Govern(s, nil)
-		}
-		if no == turns*9/10 {
+		run.submit()
+		run.disturb()
+		run.govern(turn)
+		if turn == turns*9/10 {
 			c.Drain()
 		}
 		c.Turn(v.now, c.drainQueue(nil))
@@ -231,19 +273,19 @@
 // middle: with calls out, notices owed and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
 func TestCoreReplay_RecordedRun_DoesTheSame(t *testing.T) {
 	kinds := map[capture.CoreKind]int{}
-	deeds := map[capture.ActionKind]int{}
-	out, owed, rejected, failed := 0, 0, 0, 0
+	actions := map[capture.ActionKind]int{}
+	inFlight, outstanding, rejected, failed := 0, 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		turns := rapid.IntRange(2, 500).Draw(rt, "turns")
 		from := rapid.IntRange(0, turns).Draw(rt, "from")
-		dir, last := playCore(t, rapid.Uint64().Draw(rt, "seed"), turns, from)
+		dir, last := recordRandomRun(t, rapid.Uint64().Draw(rt, "seed"), turns, from)
 		var r CoreReplay
 		err := readCore(t, dir, func(record any) error {
 			switch v := record.(type) {
 			case *capture.Core:
-				out += len(v.Attempts)
+				inFlight += len(v.Attempts)
 				for _, f := range v.Fronts {
-					owed += len(f.Outstanding) + len(f.Sending)
+					outstanding += len(f.Outstanding) + len(f.Sending)
 				}
 			case *capture.Input:
 				for _, e := range v.Events {
@@ -257,7 +299,7 @@
 			}
 			err := r.Record(record)
 			for _, d := range r.recorded.input.Actions {
-				deeds[d.Kind]++
+				actions[d.Kind]++
 			}
 			r.recorded.input.Actions = nil
 			return err
@@ -283,18 +325,18 @@
 		}
 	}
 	for k := capture.Replied; k <= capture.MessageFinished; k++ {
-		if deeds[k] == 0 {
-			t.Errorf("no deed of kind %d was compared", k)
+		if actions[k] == 0 {
+			t.Errorf("no action of kind %d was compared", k)
 		}
 	}
-	if out == 0 || owed == 0 || rejected == 0 || failed == 0 {
-		t.Errorf("%d calls out and %d notices owed where captures begin, %d rejected, %d failures of the disk: want some of each", out, owed, rejected, failed)
+	if inFlight == 0 || outstanding == 0 || rejected == 0 || failed == 0 {
+		t.Errorf("%d calls out and %d notices outstanding where captures begin, %d rejected, %d failures of the disk: want some of each", inFlight, outstanding, rejected, failed)
 	}
 }
 
 // TestCoreReplay_AlteredRecord_IsFoundInItsTurn: whatever is altered in a record of the core is found in its turn.
 func TestCoreReplay_AlteredRecord_IsFoundInItsTurn(t *testing.T) {
-	dir, _ := playCore(t, 10, 400, 100)
+	dir, _ := recordRandomRun(t, 10, 400, 100)
 	for name, alter := range map[string]func(in *capture.Input) bool{
 		"what was done": func(in *capture.Input) bool {
 			was := in.Sum
@@ -369,7 +411,7 @@
 	for name, seed := range map[string]uint64{"resumed": 5, "moved": 12, "troubled": 21} {
 		file := filepath.Join("testdata", name+capture.Ext)
 		if *corpus {
-			dir, _ := playCore(t, seed, 240, 0)
+			dir, _ := recordRandomRun(t, seed, 240, 0)
 			files, _ := capture.Files(dir)
 			text, err := os.ReadFile(files[0])
 			if err != nil {
@@ -403,7 +445,7 @@
 
 // TestCoreReplay_Window_BeginsInTheMiddle: a window begins in the middle, with the core as it stood there.
 func TestCoreReplay_Window_BeginsInTheMiddle(t *testing.T) {
-	dir, _ := playCore(t, 8, 300, 0)
+	dir, _ := recordRandomRun(t, 8, 300, 0)
 	files, _ := capture.Files(dir)
 	f, err := os.Open(files[0])
 	if err != nil {
@@ -414,12 +456,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var part bytes.Buffer
-	turns, err := capture.Window(r, &part, 3*time.Second, 6*time.Second, &CoreReplay{})
+	var window bytes.Buffer
+	turns, err := capture.Window(r, &window, 3*time.Second, 6*time.Second, &CoreReplay{})
 	if err != nil || turns < 50 {
 		t.Fatalf("%d turns, %v", turns, err)
 	}
-	if r, err = capture.NewReader(bytes.NewReader(part.Bytes())); err != nil {
+	if r, err = capture.NewReader(bytes.NewReader(window.Bytes())); err != nil {
 		t.Fatal(err)
 	}
 	var core CoreReplay
@@ -458,15 +500,7 @@
 	next, n := now, 0
 	for v.now.Sub(now) < *hour {
 		v.now = v.now.Add(5 * time.Millisecond)
-		due := v.due
-		v.due = nil
-		for _, d := range due {
-			if d.at.After(v.now) {
-				v.due = append(v.due, d)
-			} else {
-				d.do()
-			}
-		}
+		v.runDue()
 		for !next.After(v.now) {
 			n++
 			c.queue <- arrival{front: "platform", msg: Message{ID: fmt.Sprintf("%016x", n*0x9e3779b97f4a7c1), Key: "0123456789abcdef", Class: n % 2, Partner: n % 22, Body: make([]byte, 60),
