--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -26,8 +26,7 @@
 	defer cancel()
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		err := operation()
-		var corrupt *storage.CorruptError
-		if err == nil || errors.As(err, &corrupt) {
+		if err == nil || errors.Is(err, storage.ErrCorrupt) {
 			return err
 		}
 		level.Warn(p.logger).Log("msg", "start waits", "for", what, "err", err)
--- a/internal/tier/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -17,7 +17,7 @@
 	told view.Digest
 }
 
-// feedRequest asks an agent for all pieces newer than the digest, now and from now on. Each comes as a view.Piece.
+// feedRequest asks an agent for all pieces newer than the digest, now and from now on. Each comes as a view.Update.
 type feedRequest struct{ digest view.Digest }
 
 func openAgent(p *process) (handler, error) {
--- a/internal/tier/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -45,8 +45,7 @@
 func machineIdentity(p *process) (string, error) {
 	m := p.machine
 	id, err := readOrMakeIdentity(p, m.first)
-	var damage *storage.CorruptError
-	if !errors.As(err, &damage) {
+	if !errors.Is(err, storage.ErrCorrupt) {
 		return id, err
 	}
 	m.fleet.trace("%s: damaged: %v", m.name, err)
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -36,7 +36,7 @@
 	digest     view.Digest
 }
 
-// fetchRequest asks for the pieces that are newer than the digest tells; they come as one []view.Piece.
+// fetchRequest asks for the pieces that are newer than the digest tells; they come as one []view.Update.
 type fetchRequest struct{ digest view.Digest }
 
 func newMember(p *process, id string, seeds []string, took func(view.Update)) *member {
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Open recovers the member from its disk. A damaged disk is an error (*storage.DamageError), never an empty disk.
+// Open recovers the member from its disk. A damaged disk is an error (storage.ErrCorrupt), never an empty disk.
 func Open(options Options) (*Group, error) {
 	options.setDefaults()
 	g := &Group{
--- a/internal/tier/group/run.go
+++ b/internal/tier/group/run.go
@@ -19,7 +19,7 @@
 
 // Run drives the member until ctx ends, and then, if it leads, until the group has another leader, for two election timeouts
 // at most. Where its disk fails it recovers from what the disk holds, as often as needed, so that the process need not end
-// for that. What cannot be repaired so is returned: a damaged disk (*storage.DamageError).
+// for that. What cannot be repaired so is returned: a damaged disk (storage.ErrCorrupt).
 func (g *Group) Run(ctx context.Context) error {
 	if err := g.runUntil(ctx, func() bool { return false }); err != nil {
 		return err
@@ -71,8 +71,7 @@
 			level.Info(g.options.Logger).Log("msg", "replica reopened", "group", g.options.Name)
 			return nil
 		}
-		var damage *storage.CorruptError
-		if errors.As(err, &damage) {
+		if errors.Is(err, storage.ErrCorrupt) {
 			return err
 		}
 		level.Warn(g.options.Logger).Log("msg", "reopening replica failed, retrying", "group", g.options.Name, "err", err)
--- a/internal/tier/storage/bench_test.go
+++ b/internal/tier/storage/bench_test.go
@@ -28,17 +28,17 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	effects := replica.Ready{Entries: make([]replica.Entry, entries)}
+	ready := replica.Ready{Entries: make([]replica.Entry, entries)}
 	next := uint64(1)
 	data := entryAt(1, 1, dataBytes-2).Data
 	b.SetBytes(int64(entries * dataBytes))
 	b.ReportAllocs()
 	for b.Loop() {
-		for i := range effects.Entries {
-			effects.Entries[i] = replica.Entry{Index: next, Term: 1, Data: data}
+		for i := range ready.Entries {
+			ready.Entries[i] = replica.Entry{Index: next, Term: 1, Data: data}
 			next++
 		}
-		if err := group.Save(&effects); err != nil {
+		if err := group.Save(&ready); err != nil {
 			b.Fatal(err)
 		}
 		if group.LogBytes() > maxLogBytes {
--- a/internal/tier/storage/corruption_test.go
+++ b/internal/tier/storage/corruption_test.go
@@ -14,18 +14,18 @@
 	firstSlot = groupName + ".slot-a"
 )
 
-// saves makes a member with a log of three saves.
-func saves(t *testing.T) *testMember {
+// savedMember returns a member with a log of three saves.
+func savedMember(t *testing.T) *testMember {
 	t.Helper()
 	m := newTestMember(unwrapped)
 	mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
 }
 
-// compacted makes a member with a slot and a log of the first frame and one save.
-func compacted(t *testing.T) *testMember {
+// compactedMember returns a member with a slot and a log of the first frame and one save.
+func compactedMember(t *testing.T) *testMember {
 	t.Helper()
-	m := saves(t)
+	m := savedMember(t)
 	m.disk.Kill()
 	mustApply(t, m, []step{{Compact: true, Remaining: 1, Bytes: 20}, {Entries: 1, Bytes: 20}})
 	return m
@@ -44,9 +44,9 @@
 
 // Given a synced log, when any byte before its last frame is damaged, then the disk is refused.
 func TestOpen_LogDamagedBeforeLastFrame_IsCorrupt(t *testing.T) {
-	before := saves(t).disk.Size(firstLog)
+	before := savedMember(t).disk.Size(firstLog)
 	last := func(t *testing.T) *testMember {
-		m := saves(t)
+		m := savedMember(t)
 		m.disk.Kill()
 		mustApply(t, m, []step{{Entries: 1, Bytes: 20}})
 		return m
@@ -63,23 +63,23 @@
 // Given a log, when its last frame is damaged at any byte or truncated at any length, then it counts as torn and is truncated, and
 // the next save goes where it was.
 func TestOpen_TornLastFrame_IsTruncated(t *testing.T) {
-	earlier := saves(t)
+	earlier := savedMember(t)
 	start := earlier.disk.Size(firstLog)
-	whole := func(t *testing.T) *testMember {
-		m := saves(t)
+	complete := func(t *testing.T) *testMember {
+		m := savedMember(t)
 		m.disk.Kill()
 		mustApply(t, m, []step{{TermIncrement: 1, Entries: 1, Bytes: 20}})
 		m.allowed = earlier.allowed
 		return m
 	}
-	end := whole(t).disk.Size(firstLog)
+	end := complete(t).disk.Size(firstLog)
 	spoil := map[string]func(disk *memorydisk.Disk, offset int64) error{
 		"damage":     func(disk *memorydisk.Disk, offset int64) error { return disk.Corrupt(firstLog, offset) },
-		"truncation": func(disk *memorydisk.Disk, offset int64) error { return cut(disk, firstLog, offset) },
+		"truncation": func(disk *memorydisk.Disk, offset int64) error { return truncateFile(disk, firstLog, offset) },
 	}
 	for name, spoilAt := range spoil {
 		for offset := start; offset < end; offset++ {
-			m := whole(t)
+			m := complete(t)
 			if err := spoilAt(m.disk, offset); err != nil {
 				t.Fatal(err)
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// cut sets the length of a file, so that it lasts.
-func cut(disk *memorydisk.Disk, name string, size int64) error {
+// truncateFile sets the length of a file durably.
+func truncateFile(disk *memorydisk.Disk, name string, size int64) error {
 	file, err := disk.Open(name)
 	if err != nil {
 		return err
@@ -109,9 +109,9 @@
 
 // Given a compacted group, when any byte of its slot or of its log's first frame is damaged, then the disk is refused.
 func TestOpen_SlotOrFirstFrameDamaged_IsCorrupt(t *testing.T) {
-	for name, frames := range map[string]int64{firstSlot: compacted(t).disk.Size(firstSlot), secondLog: 28} {
+	for name, frames := range map[string]int64{firstSlot: compactedMember(t).disk.Size(firstSlot), secondLog: 28} {
 		for offset := range frames {
-			m := compacted(t)
+			m := compactedMember(t)
 			if err := m.disk.Corrupt(name, offset); err != nil {
 				t.Fatal(err)
 			}
@@ -123,7 +123,7 @@
 // Given a compacted group, when one of its files is missing, then the disk is refused and not taken for empty.
 func TestOpen_FileMissing_IsCorrupt(t *testing.T) {
 	for _, name := range []string{firstSlot, secondLog} {
-		m := compacted(t)
+		m := compactedMember(t)
 		if err := m.disk.Remove(name); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -25,8 +25,8 @@
 // Given a save, when there is something to save, then it takes one write and one sync; otherwise it takes nothing.
 func TestSave_AnyReady_TakesOneWriteAndOneSync(t *testing.T) {
 	for name, test := range map[string]struct {
-		effects replica.Ready
-		want    int
+		ready replica.Ready
+		want  int
 	}{
 		"nothing":    {replica.Ready{MessagesAfterSync: []replica.Message{{}}, CommittedEntries: []replica.Entry{entryAt(1, 1, 1)}}, 0},
 		"hard state": {replica.Ready{HardState: &replica.HardState{Term: 9}}, 1},
@@ -36,7 +36,7 @@
 			m := newTestMember(unwrapped)
 			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}})
 			before, bytes := m.disk.Counts(), group.LogBytes()
-			if err := group.Save(&test.effects); err != nil {
+			if err := group.Save(&test.ready); err != nil {
 				t.Fatal(err)
 			}
 			after := m.disk.Counts()
@@ -138,8 +138,8 @@
 		m.disk.Kill()
 		m.disk.InjectFaults(failAt(failing))
 		_, err := m.open()
-		var damage *storage.CorruptError
-		if errors.As(err, &damage) {
+		var corrupt *storage.CorruptError
+		if errors.As(err, &corrupt) {
 			t.Fatalf("operation %d: got %v", failing, err)
 		}
 		if err != nil {
@@ -158,7 +158,7 @@
 
 // Given a member, when it saves what does not follow what it has saved, then it is refused before anything is written.
 func TestSave_InvalidChange_WritesNothing(t *testing.T) {
-	for name, effects := range map[string]replica.Ready{
+	for name, ready := range map[string]replica.Ready{
 		"gap":                        {Entries: []replica.Entry{entryAt(9, 2, 1)}},
 		"repeated entry":             {Entries: []replica.Entry{entryAt(3, 2, 1)}},
 		"truncation within snapshot": {TruncateFrom: 2},
@@ -173,7 +173,7 @@
 			m := newTestMember(unwrapped)
 			group := mustApply(t, m, []step{{TermIncrement: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}})
 			changes := m.disk.Counts().Changes
-			err := group.Save(&effects)
+			err := group.Save(&ready)
 			wantFailed(t, err)
 			if !errors.Is(err, storage.ErrInvalidChange) && !errors.Is(err, storage.ErrChunkOrder) {
 				t.Errorf("got %v, want an invalid change or a chunk out of order as its cause", err)
@@ -190,7 +190,7 @@
 	for name, test := range map[string]struct {
 		snapshot  *replica.Snapshot
 		remaining []replica.Entry
-		promise   replica.HardState
+		hardState replica.HardState
 	}{
 		"entries missing":  {snapshotAt(2, 2, 1), nil, replica.HardState{Term: 2, Vote: "north"}},
 		"gap":              {snapshotAt(1, 2, 1), []replica.Entry{entryAt(3, 2, 1)}, replica.HardState{Term: 2, Vote: "north"}},
@@ -201,7 +201,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := newTestMember(unwrapped)
 			group := mustApply(t, m, []step{{TermIncrement: 2, Vote: "north", Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}})
-			err := group.Compact(*test.snapshot, chunkSource(test.snapshot), test.remaining, test.promise)
+			err := group.Compact(*test.snapshot, chunkSource(test.snapshot), test.remaining, test.hardState)
 			if !errors.Is(err, storage.ErrInvalidChange) || errors.Is(err, storage.ErrFailed) {
 				t.Fatalf("got %v, want an invalid change that doesn't fail the group", err)
 			}
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -62,13 +62,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, effects := range []replica.Ready{
+	for _, ready := range []replica.Ready{
 		{HardState: &replica.HardState{Term: 3}},
 		{Entries: formatEntries[:2]},
 		{HardState: &replica.HardState{Term: 4, Vote: "0a1b"}, Entries: formatEntries[2:]},
 		{HardState: &formatHardState, TruncateFrom: 4, Entries: []replica.Entry{formatReplacement}},
 	} {
-		if err := group.Save(&effects); err != nil {
+		if err := group.Save(&ready); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -124,12 +124,12 @@
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			for number, state := range []string{`[3,`, `4]`} {
-				effects := replica.Ready{ReceivedChunks: []replica.Chunk{{Number: number, Data: json.RawMessage(state)}}}
+				ready := replica.Ready{ReceivedChunks: []replica.Chunk{{Number: number, Data: json.RawMessage(state)}}}
 				if number == 1 {
-					effects.Snapshot, effects.HardState = formatSnapshot(9, 2), &replica.HardState{Term: 6}
-					effects.Entries = []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}
+					ready.Snapshot, ready.HardState = formatSnapshot(9, 2), &replica.HardState{Term: 6}
+					ready.Entries = []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}
 				}
-				if err := group.Save(&effects); err != nil {
+				if err := group.Save(&ready); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/tier/storage/history_test.go
+++ b/internal/tier/storage/history_test.go
@@ -90,69 +90,69 @@
 	return s
 }
 
-// with returns the state once effects are saved.
-func (s savedState) with(effects *replica.Ready) savedState {
+// with returns the state once ready is saved.
+func (s savedState) with(ready *replica.Ready) savedState {
 	next := s.clone()
-	if effects.HardState != nil {
-		next.HardState = *effects.HardState
+	if ready.HardState != nil {
+		next.HardState = *ready.HardState
 	}
-	if effects.Snapshot != nil {
-		next.Snapshot, next.Entries = effects.Snapshot, nil
+	if ready.Snapshot != nil {
+		next.Snapshot, next.Entries = ready.Snapshot, nil
 	}
-	if effects.TruncateFrom > 0 && effects.TruncateFrom <= next.last() {
-		next.Entries = next.Entries[:effects.TruncateFrom-next.base()-1]
+	if ready.TruncateFrom > 0 && ready.TruncateFrom <= next.last() {
+		next.Entries = next.Entries[:ready.TruncateFrom-next.base()-1]
 	}
-	next.Entries = append(next.Entries, effects.Entries...)
+	next.Entries = append(next.Entries, ready.Entries...)
 	return next
 }
 
-// effects returns what a step saves.
-func (s savedState) effects(wanted step) *replica.Ready {
-	effects := &replica.Ready{}
-	epoch := s.HardState.Term + wanted.TermIncrement
-	if wanted.TermIncrement > 0 {
-		effects.HardState = &replica.HardState{Term: epoch, Vote: wanted.Vote}
+// readyFor returns what a step saves.
+func (s savedState) readyFor(one step) *replica.Ready {
+	ready := &replica.Ready{}
+	term := s.HardState.Term + one.TermIncrement
+	if one.TermIncrement > 0 {
+		ready.HardState = &replica.HardState{Term: term, Vote: one.Vote}
 	}
 	base, last := s.base(), s.last()
-	if wanted.Install {
-		effects.Snapshot = snapshotAt(last+3, epoch, wanted.Bytes)
-		effects.ReceivedChunks = chunksOf(effects.Snapshot)
+	if one.Install {
+		ready.Snapshot = snapshotAt(last+3, term, one.Bytes)
+		ready.ReceivedChunks = chunksOf(ready.Snapshot)
 		base, last = last+3, last+3
 	}
-	for number := 0; number < wanted.Received && !wanted.Install; number++ {
-		effects.ReceivedChunks = append(effects.ReceivedChunks, replica.Chunk{Number: number, Data: entryAt(last, epoch, wanted.Bytes+1).Data})
+	for number := 0; number < one.Received && !one.Install; number++ {
+		ready.ReceivedChunks = append(ready.ReceivedChunks, replica.Chunk{Number: number, Data: entryAt(last, term, one.Bytes+1).Data})
 	}
-	if wanted.Truncate > 0 && last > base {
-		last -= min(uint64(wanted.Truncate), last-base)
-		effects.TruncateFrom = last + 1
+	if one.Truncate > 0 && last > base {
+		last -= min(uint64(one.Truncate), last-base)
+		ready.TruncateFrom = last + 1
 	}
-	for i := 1; i <= wanted.Entries; i++ {
-		effects.Entries = append(effects.Entries, entryAt(last+uint64(i), epoch, wanted.Bytes))
+	for i := 1; i <= one.Entries; i++ {
+		ready.Entries = append(ready.Entries, entryAt(last+uint64(i), term, one.Bytes))
 	}
-	return effects
+	return ready
 }
 
 // compacted returns the state once a snapshot has replaced all entries but the last few.
-func (s savedState) compacted(wanted step) savedState {
-	index := s.last() - min(uint64(wanted.Remaining), uint64(len(s.Entries)))
+func (s savedState) compacted(one step) savedState {
+	index := s.last() - min(uint64(one.Remaining), uint64(len(s.Entries)))
 	next := s.clone()
 	next.Entries = next.Entries[index-s.base():]
-	next.Snapshot = snapshotAt(index, s.HardState.Term, wanted.Bytes)
-	next.HardState.Term += wanted.TermIncrement
+	next.Snapshot = snapshotAt(index, s.HardState.Term, one.Bytes)
+	next.HardState.Term += one.TermIncrement
 	return next
 }
 
-func entryAt(index, epoch uint64, bytes int) replica.Entry {
-	entry := replica.Entry{Index: index, Term: epoch, Kind: replica.EntryKind(index % 3)}
+func entryAt(index, term uint64, bytes int) replica.Entry {
+	entry := replica.Entry{Index: index, Term: term, Kind: replica.EntryKind(index % 3)}
 	if bytes > 0 {
-		entry.Data = []byte(`"` + strings.Repeat(string(rune('a'+(index+epoch)%26)), bytes) + `"`)
+		entry.Data = []byte(`"` + strings.Repeat(string(rune('a'+(index+term)%26)), bytes) + `"`)
 	}
 	return entry
 }
 
-func snapshotAt(index, epoch uint64, bytes int) *replica.Snapshot {
-	return &replica.Snapshot{Index: index, Term: epoch, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
-		Chunks: chunkCount(bytes), State: entryAt(index, epoch, bytes+1).Data}
+func snapshotAt(index, term uint64, bytes int) *replica.Snapshot {
+	return &replica.Snapshot{Index: index, Term: term, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
+		Chunks: chunkCount(bytes), State: entryAt(index, term, bytes+1).Data}
 }
 
 // chunkCount is the number of chunks in which a state of so many bytes comes.
@@ -160,20 +160,20 @@
 
 // chunksOf splits the state of a snapshot into its chunks.
 func chunksOf(snapshot *replica.Snapshot) []replica.Chunk {
-	var parts []replica.Chunk
+	var chunks []replica.Chunk
 	state := snapshot.State
 	for number := range snapshot.Chunks {
-		part := state[len(state)*number/snapshot.Chunks : len(state)*(number+1)/snapshot.Chunks]
-		parts = append(parts, replica.Chunk{Number: number, Data: part})
+		chunk := state[len(state)*number/snapshot.Chunks : len(state)*(number+1)/snapshot.Chunks]
+		chunks = append(chunks, replica.Chunk{Number: number, Data: chunk})
 	}
-	return parts
+	return chunks
 }
 
 // written hands the chunks of a snapshot's state over, as a state machine does.
 func chunkSource(snapshot *replica.Snapshot) storage.ChunkSource {
-	return func(write func(part json.RawMessage) error) error {
-		for _, part := range chunksOf(snapshot) {
-			if err := write(part.Data); err != nil {
+	return func(write func(chunk json.RawMessage) error) error {
+		for _, chunk := range chunksOf(snapshot) {
+			if err := write(chunk.Data); err != nil {
 				return err
 			}
 		}
@@ -186,21 +186,21 @@
 	if recovered.Snapshot == nil {
 		return recovered, nil
 	}
-	whole := *recovered.Snapshot
+	complete := *recovered.Snapshot
 	number := 0
-	err := group.ReadChunks(func(part json.RawMessage) error {
-		whole.State = append(whole.State, part...)
+	err := group.ReadChunks(func(chunk json.RawMessage) error {
+		complete.State = append(complete.State, chunk...)
 		single, err := group.ReadChunk(number)
-		if err == nil && !bytes.Equal(single, part) {
-			err = fmt.Errorf("chunk %d is %q by itself and %q in sequence", number, single, part)
+		if err == nil && !bytes.Equal(single, chunk) {
+			err = fmt.Errorf("chunk %d is %q by itself and %q in sequence", number, single, chunk)
 		}
 		number++
 		return err
 	})
-	if err == nil && number != whole.Chunks {
-		err = fmt.Errorf("%d chunks were read of %d", number, whole.Chunks)
+	if err == nil && number != complete.Chunks {
+		err = fmt.Errorf("%d chunks were read of %d", number, complete.Chunks)
 	}
-	recovered.Snapshot = &whole
+	recovered.Snapshot = &complete
 	return recovered, err
 }
 
@@ -251,15 +251,15 @@
 }
 
 // apply makes one step.
-func (m *testMember) apply(group *storage.Group, wanted step) error {
+func (m *testMember) apply(group *storage.Group, one step) error {
 	next, err := savedState{}, error(nil)
-	if wanted.Compact {
-		next = m.saved.compacted(wanted)
+	if one.Compact {
+		next = m.saved.compacted(one)
 		err = group.Compact(*next.Snapshot, chunkSource(next.Snapshot), next.Entries, next.HardState)
 	} else {
-		effects := m.saved.effects(wanted)
-		next = m.saved.with(effects)
-		err = group.Save(effects)
+		ready := m.saved.readyFor(one)
+		next = m.saved.with(ready)
+		err = group.Save(ready)
 	}
 	if err != nil {
 		m.allowed = []savedState{m.saved, next}
@@ -271,12 +271,12 @@
 }
 
 // runProcess runs one process.
-func (m *testMember) runProcess(wanted []step) error {
+func (m *testMember) runProcess(steps []step) error {
 	group, err := m.open()
 	if err != nil {
 		return err
 	}
-	for _, one := range wanted {
+	for _, one := range steps {
 		if err := m.apply(group, one); err != nil {
 			return err
 		}
--- a/internal/tier/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -63,8 +63,8 @@
 			t.Fatal(err)
 		}
 		_, created, err := storage.LoadOrCreateIdentity(disk, random(1))
-		var damage *storage.CorruptError
-		if !errors.As(err, &damage) || created {
+		var corrupt *storage.CorruptError
+		if !errors.As(err, &corrupt) || created {
 			t.Errorf("%q: got %v and %v, want a CorruptError", content, created, err)
 		}
 	}
--- a/internal/tier/storage/osdisk_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(root, firstLog)
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, append(whole, whole[28:128]...), 0o600); err != nil {
+	if err := os.WriteFile(path, append(complete, complete[28:128]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -12,20 +12,20 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Given any effects, whatever their data and numbers hold, when they are saved, then they are recovered as they were.
+// Given any Ready, whatever its data and numbers hold, when it is saved, then it is recovered unchanged.
 func TestSave_AnyReady_IsRecoveredUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "\n", "\x00\x1fG\x01", `{"record":"truncate","index":1}` + "\n"}))
-		epoch := rapid.OneOf(rapid.Uint64(), rapid.Just[uint64](math.MaxUint64))
-		effects := &replica.Ready{
-			HardState: &replica.HardState{Term: epoch.Draw(t, "promised"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
-			Snapshot: &replica.Snapshot{Index: rapid.Uint64Max(math.MaxUint32).Draw(t, "index"), Term: epoch.Draw(t, "snapshot epoch"),
+		term := rapid.OneOf(rapid.Uint64(), rapid.Just[uint64](math.MaxUint64))
+		ready := &replica.Ready{
+			HardState: &replica.HardState{Term: term.Draw(t, "promised"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
+			Snapshot: &replica.Snapshot{Index: rapid.Uint64Max(math.MaxUint32).Draw(t, "index"), Term: term.Draw(t, "snapshot term"),
 				Members: []replica.Member{{ID: strings.ToValidUTF8(text.Draw(t, "member"), "")}}, State: []byte(text.Draw(t, "state")),
-				Chunks: rapid.IntRange(1, 4).Draw(t, "parts")},
+				Chunks: rapid.IntRange(1, 4).Draw(t, "chunks")},
 		}
-		effects.ReceivedChunks = chunksOf(effects.Snapshot)
+		ready.ReceivedChunks = chunksOf(ready.Snapshot)
 		for i := range rapid.Uint64Max(5).Draw(t, "entries") {
-			effects.Entries = append(effects.Entries, replica.Entry{Index: effects.Snapshot.Index + i + 1, Term: epoch.Draw(t, "epoch"),
+			ready.Entries = append(ready.Entries, replica.Entry{Index: ready.Snapshot.Index + i + 1, Term: term.Draw(t, "epoch"),
 				Kind: replica.EntryKind(rapid.Uint8().Draw(t, "kind")), Data: []byte(text.Draw(t, "data"))})
 		}
 		disk := memorydisk.New()
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := group.Save(effects); err != nil {
+		if err := group.Save(ready); err != nil {
 			t.Fatal(err)
 		}
 		disk.LosePower(1)
@@ -44,7 +44,7 @@
 		if recovered, err = withSnapshotState(opened, recovered); err != nil {
 			t.Fatal(err)
 		}
-		want := savedState{}.with(effects).Recovered
+		want := savedState{}.with(ready).Recovered
 		if text := diff(want, recovered); text != "" {
 			t.Fatal(text)
 		}
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -16,21 +16,21 @@
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}})
 	snapshot := snapshotAt(9, 1, 3)
-	parts := chunksOf(snapshot)
-	for _, part := range parts[:3] {
+	chunks := chunksOf(snapshot)
+	for _, chunk := range chunks[:3] {
 		before := m.disk.Counts()
-		if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{part}}); err != nil {
+		if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{chunk}}); err != nil {
 			t.Fatal(err)
 		}
 		after := m.disk.Counts()
 		if after.Writes-before.Writes != 1 || after.Syncs != before.Syncs || after.DirSyncs != before.DirSyncs {
-			t.Fatalf("chunk %d: before %+v, after %+v", part.Number, before, after)
+			t.Fatalf("chunk %d: before %+v, after %+v", chunk.Number, before, after)
 		}
 		if err := m.apply(group, step{Entries: 1, Bytes: 5}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	last := &replica.Ready{ReceivedChunks: parts[3:], Snapshot: snapshot, Entries: []replica.Entry{entryAt(10, 1, 4)}}
+	last := &replica.Ready{ReceivedChunks: chunks[3:], Snapshot: snapshot, Entries: []replica.Entry{entryAt(10, 1, 4)}}
 	if err := group.Save(last); err != nil {
 		t.Fatal(err)
 	}
@@ -47,24 +47,24 @@
 	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}}
 	receive := func(group *storage.Group) error {
 		snapshot := snapshotAt(9, 1, 3)
-		for _, part := range chunksOf(snapshot) {
-			effects := &replica.Ready{ReceivedChunks: []replica.Chunk{part}}
-			if part.Number == snapshot.Chunks-1 {
-				effects.Snapshot = snapshot
+		for _, chunk := range chunksOf(snapshot) {
+			ready := &replica.Ready{ReceivedChunks: []replica.Chunk{chunk}}
+			if chunk.Number == snapshot.Chunks-1 {
+				ready.Snapshot = snapshot
 			}
-			if err := group.Save(effects); err != nil {
+			if err := group.Save(ready); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	whole := newTestMember(unwrapped)
-	group := mustApply(t, whole, prelude)
-	before := whole.disk.Counts().Changes
+	complete := newTestMember(unwrapped)
+	group := mustApply(t, complete, prelude)
+	before := complete.disk.Counts().Changes
 	if err := receive(group); err != nil {
 		t.Fatal(err)
 	}
-	for change := range whole.disk.Counts().Changes - before {
+	for change := range complete.disk.Counts().Changes - before {
 		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
 			for seed := range uint64(powerLossSeeds) {
 				m := newTestMember(unwrapped)
@@ -102,14 +102,14 @@
 			m := newTestMember(unwrapped)
 			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 2}})
 			snapshot := snapshotAt(9, 1, 3)
-			parts := chunksOf(snapshot)
-			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:3]}); err != nil {
+			chunks := chunksOf(snapshot)
+			if err := group.Save(&replica.Ready{ReceivedChunks: chunks[:3]}); err != nil {
 				t.Fatal(err)
 			}
 			if err := begin(m, group); err != nil {
 				t.Fatal(err)
 			}
-			wantFailed(t, group.Save(&replica.Ready{ReceivedChunks: parts[3:], Snapshot: snapshot}))
+			wantFailed(t, group.Save(&replica.Ready{ReceivedChunks: chunks[3:], Snapshot: snapshot}))
 			m.disk.Kill()
 			if err := m.recoverTwice(); err != nil {
 				t.Fatal(err)
@@ -122,21 +122,21 @@
 // whole, then that is refused and what was saved stays.
 func TestSave_ChunkOutOfOrder_Fails(t *testing.T) {
 	snapshot := snapshotAt(9, 1, 3)
-	parts := chunksOf(snapshot)
-	for name, effects := range map[string]replica.Ready{
-		"a gap":                   {ReceivedChunks: parts[2:3]},
-		"the same again":          {ReceivedChunks: []replica.Chunk{{Number: 1, Data: parts[1].Data}, {Number: 1, Data: parts[1].Data}}},
-		"installed early":         {ReceivedChunks: parts[1:2], Snapshot: snapshot},
-		"installed shorter":       {ReceivedChunks: parts[1:4], Snapshot: snapshotAt(9, 1, 2)},
-		"installed and truncated": {ReceivedChunks: parts[1:4], Snapshot: snapshot, TruncateFrom: 10},
+	chunks := chunksOf(snapshot)
+	for name, ready := range map[string]replica.Ready{
+		"a gap":                   {ReceivedChunks: chunks[2:3]},
+		"the same again":          {ReceivedChunks: []replica.Chunk{{Number: 1, Data: chunks[1].Data}, {Number: 1, Data: chunks[1].Data}}},
+		"installed early":         {ReceivedChunks: chunks[1:2], Snapshot: snapshot},
+		"installed shorter":       {ReceivedChunks: chunks[1:4], Snapshot: snapshotAt(9, 1, 2)},
+		"installed and truncated": {ReceivedChunks: chunks[1:4], Snapshot: snapshot, TruncateFrom: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newTestMember(unwrapped)
 			group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 2}})
-			if err := group.Save(&replica.Ready{ReceivedChunks: parts[:1]}); err != nil {
+			if err := group.Save(&replica.Ready{ReceivedChunks: chunks[:1]}); err != nil {
 				t.Fatal(err)
 			}
-			err := group.Save(&effects)
+			err := group.Save(&ready)
 			wantFailed(t, err)
 			if !errors.Is(err, storage.ErrChunkOrder) {
 				t.Errorf("got %v, want a chunk out of order as its cause", err)
@@ -157,15 +157,15 @@
 		mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
 		return m
 	}
-	whole := content(t, made().disk, firstSlot)
-	for size := range int64(len(whole)) {
+	complete := content(t, made().disk, firstSlot)
+	for size := range int64(len(complete)) {
 		m := made()
-		if err := cut(m.disk, firstSlot, size); err != nil {
+		if err := truncateFile(m.disk, firstSlot, size); err != nil {
 			t.Fatal(err)
 		}
 		wantCorrupt(t, m, "slot cut", size)
 	}
-	frames := framesOf(whole)
+	frames := framesOf(complete)
 	if len(frames) != 5 {
 		t.Fatalf("%d frames, want 4 chunks and the last one", len(frames))
 	}
@@ -222,15 +222,15 @@
 func TestReadChunks_SlotDamaged_IsCorrupt(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}})
-	partsEnd := group.SnapshotBytes() - endBytes(t, m.disk)
+	chunksEnd := group.SnapshotBytes() - endBytes(t, m.disk)
 	for offset := range group.SnapshotBytes() {
 		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
 			t.Fatal(err)
 		}
-		var damage *storage.CorruptError
+		var corrupt *storage.CorruptError
 		read := 0
 		err := group.ReadChunks(func(json.RawMessage) error { read++; return nil })
-		if isPart := offset < partsEnd; isPart != errors.As(err, &damage) {
+		if isChunk := offset < chunksEnd; isChunk != errors.As(err, &corrupt) {
 			t.Fatalf("byte %d, %d chunks read: got %v", offset, read, err)
 		}
 		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
