--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -37,10 +37,10 @@
 			if err != nil {
 				return err
 			}
-			if st.Sums == nil {
+			if st.Totals == nil {
 				return errWork{fmt.Errorf("this relay's fleet counts nothing: is peers.share set?")}
 			}
-			v, err := countsOf(cfg, st.Sums)
+			v, err := countsOf(cfg, st.Totals)
 			if err != nil {
 				return errWork{err}
 			}
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -47,7 +47,7 @@
 }
 
 // ask puts a question to this configuration's relay.
-func (t *fleetTool) ask(ctx context.Context, q node.Ask) (*node.Status, error) {
+func (t *fleetTool) ask(ctx context.Context, q node.AdminRequest) (*node.Status, error) {
 	cfg, err := t.config()
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 func (t *fleetTool) once(cmd *cobra.Command, op string) (*node.Status, error) {
 	ctx, cancel := t.context(cmd)
 	defer cancel()
-	return t.ask(ctx, node.Ask{Op: op})
+	return t.ask(ctx, node.AdminRequest{Op: op})
 }
 
 // command is a command that puts one question and shows the answer.
@@ -97,13 +97,13 @@
 // statusView is a status as JSON.
 type statusView struct {
 	*node.Status
-	Epoch   uint64          `json:"epoch"`
-	Index   uint64          `json:"index"`
-	Version uint64          `json:"version"`
-	Change  *changeView     `json:"change,omitempty"`
-	Roster  []string        `json:"roster"`
-	Past    []policy.Past   `json:"history"`
-	Policy  json.RawMessage `json:"policy,omitempty"`
+	Epoch   uint64              `json:"epoch"`
+	Index   uint64              `json:"index"`
+	Version uint64              `json:"version"`
+	Change  *changeView         `json:"change,omitempty"`
+	Roster  []string            `json:"roster"`
+	Past    []policy.PastChange `json:"history"`
+	Policy  json.RawMessage     `json:"policy,omitempty"`
 }
 
 type changeView struct {
@@ -115,7 +115,7 @@
 
 func view(st *node.Status) statusView {
 	s := st.State
-	v := statusView{Status: st, Epoch: s.Epoch, Index: s.Index, Version: s.Version, Roster: s.Roster, Past: s.Past, Policy: s.Doc}
+	v := statusView{Status: st, Epoch: s.Epoch, Index: s.Index, Version: s.Version, Roster: s.Roster, Past: s.PastChanges, Policy: s.Doc}
 	if c := s.Change; c != nil {
 		v.Change = &changeView{c.Version, c.Base, c.By, c.Phase.String()}
 	}
@@ -126,7 +126,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	row := func(k string, v ...any) { fmt.Fprintf(t, "%s\t%s\n", k, strings.TrimSpace(fmt.Sprintln(v...))) }
-	row("relay", st.Relay, "generation", st.Gen)
+	row("relay", st.Relay, "generation", st.Generation)
 	row("leader", st.Leader)
 	if st.Voter != "" {
 		row("its say", st.Voter)
@@ -134,11 +134,11 @@
 	row("voters", strings.Join(st.Voters, " "))
 	row("relays", len(st.State.Roster))
 	acts := "yes"
-	if !st.Acts {
-		acts = "no: " + st.Why
+	if !st.MayAct {
+		acts = "no: " + st.WhyNot
 	}
 	row("acts", acts)
-	row("lease left", st.Lease.Round(time.Millisecond))
+	row("lease left", st.LeaseLeft.Round(time.Millisecond))
 	showChange(row, st)
 	for _, why := range slices.Sorted(maps.Keys(st.Counts)) {
 		row("dropped, "+why, st.Counts[why])
@@ -146,19 +146,19 @@
 }
 
 func showRights(w io.Writer, st *node.Status) {
-	if st.Rights == nil {
+	if st.Quota == nil {
 		fmt.Fprintln(w, "nothing is shared, or nothing has been lent yet")
 		return
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "loan %d, %v left; floor %.4f of each limit\n", st.Rights.Loan, st.Rights.Left.Round(time.Millisecond), st.Rights.Floor)
+	fmt.Fprintf(t, "loan %d, %v left; floor %.4f of each limit\n", st.Quota.LeaseNumber, st.Quota.Left.Round(time.Millisecond), st.Quota.Minimum)
 	fmt.Fprintln(t, "of\tpart\tlimit\tthe fleet takes it for\t")
-	for _, r := range st.Rights.Parts {
+	for _, r := range st.Quota.Keys {
 		turn := ""
-		if r.Try {
+		if r.MayProbe {
 			turn = "its turn to try"
 		}
-		fmt.Fprintf(t, "%s\t%.4f\t%.4g\t%s\t%s\n", r.Name, r.Part, r.Limit, r.State, turn)
+		fmt.Fprintf(t, "%s\t%.4f\t%.4g\t%s\t%s\n", r.Name, r.Share, r.Limit, r.State, turn)
 	}
 	_ = t.Flush()
 	if len(st.Shared) == 0 {
@@ -168,8 +168,8 @@
 	for _, s := range st.Shared {
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4f\t%.4f\t%d\t%v\n", s.Name, s.Limit, s.Demand, s.Leased, s.Minimums, s.Relays, s.Zones)
 	}
-	for _, name := range slices.Sorted(maps.Keys(st.Odd)) {
-		fmt.Fprintf(t, "at odds with the others, %s\t%d\n", name, st.Odd[name])
+	for _, name := range slices.Sorted(maps.Keys(st.Contradictions)) {
+		fmt.Fprintf(t, "at odds with the others, %s\t%d\n", name, st.Contradictions[name])
 	}
 	_ = t.Flush()
 }
@@ -205,10 +205,10 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintln(t, "version\treplaces\tby\tdigest\thow it ended")
-	for _, p := range st.State.Past {
+	for _, p := range st.State.PastChanges {
 		how, version := "in force", fmt.Sprint(p.Version)
-		if p.Why != "" {
-			how = "dropped: " + p.Why
+		if p.DropReason != "" {
+			how = "dropped: " + p.DropReason
 		}
 		if len(p.Excused) > 0 {
 			how += ", without " + strings.Join(p.Excused, " ")
@@ -221,7 +221,7 @@
 }
 
 // follow waits until over tells how a change ended, and shows how far it has come.
-func (t *fleetTool) follow(cmd *cobra.Command, q node.Ask, over func(*policy.State) (done bool, err error)) error {
+func (t *fleetTool) follow(cmd *cobra.Command, q node.AdminRequest, over func(*policy.State) (done bool, err error)) error {
 	ctx, cancel := t.context(cmd)
 	defer cancel()
 	last := ""
@@ -280,7 +280,7 @@
 			if err != nil {
 				return err
 			}
-			q := node.Ask{Op: "propose", Version: st.State.Version, Doc: text, By: by, Ticket: ticket()}
+			q := node.AdminRequest{Op: "propose", Version: st.State.Version, Doc: text, By: by, Ticket: ticket()}
 			if base >= 0 {
 				q.Version = uint64(base)
 			}
@@ -288,12 +288,12 @@
 				if s.Change != nil && s.Change.Ticket == q.Ticket {
 					q.Op = "status"
 				}
-				for _, p := range s.Past {
+				for _, p := range s.PastChanges {
 					if p.Ticket != q.Ticket {
 						continue
 					}
-					if p.Why != "" {
-						return true, fmt.Errorf("dropped: %s", p.Why)
+					if p.DropReason != "" {
+						return true, fmt.Errorf("dropped: %s", p.DropReason)
 					}
 					fmt.Fprintf(cmd.OutOrStdout(), "version %d is in force\n", p.Version)
 					return true, nil
@@ -309,10 +309,10 @@
 			if _, err := fmt.Sscan(args[0], &version); err != nil {
 				return fmt.Errorf("wait: %q is no version", args[0])
 			}
-			return t.follow(cmd, node.Ask{Op: "status"}, func(s *policy.State) (bool, error) {
-				for _, p := range s.Past {
-					if p.Version == version && p.Why != "" {
-						return true, fmt.Errorf("version %d was dropped: %s", version, p.Why)
+			return t.follow(cmd, node.AdminRequest{Op: "status"}, func(s *policy.State) (bool, error) {
+				for _, p := range s.PastChanges {
+					if p.Version == version && p.DropReason != "" {
+						return true, fmt.Errorf("version %d was dropped: %s", version, p.DropReason)
 					}
 				}
 				return s.Version >= version, nil
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -35,8 +35,8 @@
 }
 
 // stand takes over what the fleet lets this relay do: plug-ins first, while nothing is taken on.
-func (s *shaper) stand(st node.Stand, at peer.Times, done func()) {
-	told, err := s.rules.Stand(st)
+func (s *shaper) stand(st node.Mandate, at peer.Times, done func()) {
+	told, err := s.rules.Mandate(st)
 	if err == nil {
 		err = s.adopt(st)
 	}
@@ -48,7 +48,7 @@
 }
 
 // adopt has the plug-ins run with the settings of a policy.
-func (s *shaper) adopt(st node.Stand) error {
+func (s *shaper) adopt(st node.Mandate) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.of == st.Version {
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// Heartbeat is how often a leader speaks up.
-	Heartbeat = 100 * time.Millisecond
-	// Patience is how long a voter hears nothing from a leader before it stands for election, and up to twice that.
-	Patience = 600 * time.Millisecond
-
-	snapshotEvery = 64        // entries
-	snapshotBytes = 128 << 10 // or their bytes
-	mostInMessage = 20 << 10  // bytes of entries; a message must fit a datagram
+	// HeartbeatInterval is how often a leader speaks up.
+	HeartbeatInterval = 100 * time.Millisecond
+	// ElectionTimeout is how long a voter hears nothing from a leader before it stands for election, and up to twice that.
+	ElectionTimeout = 600 * time.Millisecond
+
+	snapshotEntries = 64        // entries
+	snapshotBytes   = 128 << 10 // or their bytes
+	maxMessageBytes = 20 << 10  // bytes of entries; a message must fit a datagram
 )
 
 // Committed is an entry that the voters have agreed on.
@@ -34,49 +34,49 @@
 	Names   map[uint64]string
 }
 
-// Output is what follows from the inputs so far. Save must be on disk, synced, before any of Messages leaves and before
+// Ready is what follows from the inputs so far. Save must be on disk, synced, before any of Messages leaves and before
 // anything of Committed is acted on.
-type Output struct {
-	Save      *Image
-	Messages  []Sent
-	Committed []Committed
-	Snapshot  []byte // not nil: the state was replaced by this, before Committed
-	Reads     []uint64
+type Ready struct {
+	Save           *Image
+	Messages       []Message
+	Committed      []Committed
+	Snapshot       []byte // not nil: the state was replaced by this, before Committed
+	ConfirmedReads []uint64
 }
 
-// Sent is a message to another member.
-type Sent struct {
+// Message is a message to another member.
+type Message struct {
 	To   uint64
 	Data []byte
 }
 
 // Engine is one member's part. It is not safe for concurrent use.
 type Engine struct {
-	ID    uint64
-	node  *raft.RawNode
-	store *raft.MemoryStorage
-	rng   uint64
-
-	conf      *pb.ConfState
-	applied   uint64
-	pending   int // bytes of entries since the last snapshot
-	snapped   uint64
-	heard     time.Duration // when a leader, or whoever it voted for, was last heard
-	patience  time.Duration
-	beat      time.Duration
-	confirmed time.Duration // when a read was last confirmed by a majority
-	rewrite   bool
-	moved     bool // the members have changed: a start must know them before anything else
-	dead      error
+	ID     uint64
+	node   *raft.RawNode
+	store  *raft.MemoryStorage
+	random uint64
+
+	confState          *pb.ConfState
+	applied            uint64
+	bytesSinceSnapshot int // bytes of entries since the last snapshot
+	snapshotIndex      uint64
+	leaderSeenAt       time.Duration // when a leader, or whoever it voted for, was last heard
+	electionTimeout    time.Duration
+	heartbeatAt        time.Duration
+	readConfirmedAt    time.Duration // when a read was last confirmed by a majority
+	imageStale         bool
+	membersChanged     bool // the members have changed: a start must know them before anything else
+	fatal              error
 }
 
-// names is what an entry that changes the members says of them.
-type names map[uint64]string
+// memberNames is what an entry that changes the members says of them.
+type memberNames map[uint64]string
 
 // New returns a member with what lies on its disk; with an empty image it waits to be taken in.
 func New(id, seed uint64, image *Image, now time.Duration) (*Engine, error) {
-	e := &Engine{ID: id, store: raft.NewMemoryStorage(), rng: seed | 1, conf: &pb.ConfState{}}
-	if err := e.load(image); err != nil {
+	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{}}
+	if err := e.restore(image); err != nil {
 		return nil, err
 	}
 	if err := e.start(now); err != nil {
@@ -85,50 +85,50 @@
 	return e, nil
 }
 
-// Found returns the only member of a new group, whose state is data.
-func Found(id, seed uint64, name string, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
-	e := &Engine{ID: id, store: raft.NewMemoryStorage(), rng: seed | 1, conf: &pb.ConfState{Voters: []uint64{id}}}
-	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: e.conf, Index: &index, Term: &term}}
+// Bootstrap returns the only member of a new group, whose state is data.
+func Bootstrap(id, seed uint64, name string, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
+	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{Voters: []uint64{id}}}
+	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: e.confState, Index: &index, Term: &term}}
 	if err := e.store.ApplySnapshot(snap); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
 	if err := e.store.SetHardState(&pb.HardState{Term: &term, Commit: &index}); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
-	e.applied, e.snapped, e.rewrite = index, index, true
+	e.applied, e.snapshotIndex, e.imageStale = index, index, true
 	if err := e.start(now); err != nil {
 		return nil, err
 	}
-	e.patience = 0 // nobody else may lead
+	e.electionTimeout = 0 // nobody else may lead
 	return e, nil
 }
 
 func (e *Engine) start(now time.Duration) (err error) {
-	defer e.catch(&err)
+	defer e.recoverPanic(&err)
 	e.node, err = raft.NewRawNode(&raft.Config{ID: e.ID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: e.store, Applied: e.applied,
-		MaxSizePerMsg: mostInMessage, MaxCommittedSizePerReady: 1 << 20, MaxInflightMsgs: 8, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: quiet{}})
+		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: 1 << 20, MaxInflightMsgs: 8, PreVote: true,
+		ReadOnlyOption: raft.ReadOnlySafe, Logger: discardLogger{}})
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	e.heard, e.beat = now, now
-	e.patience = e.draw()
+	e.leaderSeenAt, e.heartbeatAt = now, now
+	e.electionTimeout = e.randomElectionTimeout()
 	return nil
 }
 
-// draw is a time between one and two patiences.
-func (e *Engine) draw() time.Duration {
-	e.rng ^= e.rng << 13
-	e.rng ^= e.rng >> 7
-	e.rng ^= e.rng << 17
-	return Patience + time.Duration(e.rng%uint64(Patience))
+// randomElectionTimeout is a time between one and two patiences.
+func (e *Engine) randomElectionTimeout() time.Duration {
+	e.random ^= e.random << 13
+	e.random ^= e.random >> 7
+	e.random ^= e.random << 17
+	return ElectionTimeout + time.Duration(e.random%uint64(ElectionTimeout))
 }
 
-// catch turns a panic of raft's into an error: it guards itself so against what a sound log can't hold.
-func (e *Engine) catch(err *error) {
+// recoverPanic turns a panic of raft's into an error: it guards itself so against what a sound log can't hold.
+func (e *Engine) recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("agree: %v", r)
-		e.dead = *err
+		e.fatal = *err
 	}
 }
 
@@ -141,17 +141,17 @@
 	return s.GetData()
 }
 
-// Position is how far this member's log goes.
-func (e *Engine) Position() Position {
+// LogPosition is how far this member's log goes.
+func (e *Engine) Position() LogPosition {
 	last, _ := e.store.LastIndex()
-	return Position{e.node.BasicStatus().GetTerm(), last}
+	return LogPosition{e.node.BasicStatus().GetTerm(), last}
 }
 
 // Applied is the index up to which Committed has been handed out.
 func (e *Engine) Applied() uint64 { return e.applied }
 
-// Leads tells whether this member takes itself for the leader.
-func (e *Engine) Leads() bool {
+// IsLeader tells whether this member takes itself for the leader.
+func (e *Engine) IsLeader() bool {
 	return e.node.BasicStatus().RaftState == raft.StateLeader
 }
 
@@ -159,28 +159,28 @@
 func (e *Engine) Leader() uint64 { return e.node.BasicStatus().Lead }
 
 // Voters are the members with a say, and Learners those without.
-func (e *Engine) Voters() []uint64   { return e.conf.GetVoters() }
-func (e *Engine) Learners() []uint64 { return e.conf.GetLearners() }
+func (e *Engine) Voters() []uint64   { return e.confState.GetVoters() }
+func (e *Engine) Learners() []uint64 { return e.confState.GetLearners() }
 
-// Joint tells whether a change of members is under way.
-func (e *Engine) Joint() bool { return len(e.conf.GetVotersOutgoing()) > 0 }
+// InJointConfig tells whether a change of members is under way.
+func (e *Engine) InJointConfig() bool { return len(e.confState.GetVotersOutgoing()) > 0 }
 
-// Matches tells, at the leader, up to where a member's log is known to be the same.
-func (e *Engine) Matches(id uint64) uint64 { return e.node.Status().Progress[id].Match }
+// MatchIndex tells, at the leader, up to where a member's log is known to be the same.
+func (e *Engine) MatchIndex(id uint64) uint64 { return e.node.Status().Progress[id].Match }
 
 // Tick lets time pass.
 func (e *Engine) Tick(now time.Duration) (err error) {
-	defer e.catch(&err)
-	if e.Leads() {
-		e.heard = now
-		if now-e.beat >= Heartbeat {
-			e.beat = now
+	defer e.recoverPanic(&err)
+	if e.IsLeader() {
+		e.leaderSeenAt = now
+		if now-e.heartbeatAt >= HeartbeatInterval {
+			e.heartbeatAt = now
 			e.node.Tick()
 		}
 		return nil
 	}
-	if now-e.heard >= e.patience && slices.Contains(e.conf.GetVoters(), e.ID) {
-		e.heard, e.patience = now, e.draw()
+	if now-e.leaderSeenAt >= e.electionTimeout && slices.Contains(e.confState.GetVoters(), e.ID) {
+		e.leaderSeenAt, e.electionTimeout = now, e.randomElectionTimeout()
 		return e.node.Campaign()
 	}
 	return nil
@@ -188,7 +188,7 @@
 
 // Receive takes a message from another member, and returns what that has shown to hold. What can't be read is an error and
 // changes nothing.
-func (e *Engine) Receive(now time.Duration, data []byte) (shown Position, err error) {
+func (e *Engine) Receive(now time.Duration, data []byte) (shown LogPosition, err error) {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
 		return shown, fmt.Errorf("agree: %w", err)
@@ -201,41 +201,41 @@
 		return shown, errors.New("agree: a message that members don't send each other")
 	case pb.MsgVote, pb.MsgPreVote:
 		// Whoever hears a leader, or is one that a majority hears, lets nobody else come between.
-		if e.Leads() && now-e.confirmed < Patience || !e.Leads() && e.Leader() != 0 && now-e.heard < Patience {
+		if e.IsLeader() && now-e.readConfirmedAt < ElectionTimeout || !e.IsLeader() && e.Leader() != 0 && now-e.leaderSeenAt < ElectionTimeout {
 			return shown, nil
 		}
 	case pb.MsgAppResp:
 		if !m.GetReject() {
-			shown = Position{m.GetTerm(), m.GetIndex()}
+			shown = LogPosition{m.GetTerm(), m.GetIndex()}
 		}
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if n := len(m.GetEntries()); n > 0 {
-			shown = Position{m.GetTerm(), m.GetEntries()[n-1].GetIndex()}
+			shown = LogPosition{m.GetTerm(), m.GetEntries()[n-1].GetIndex()}
 		}
 		if m.GetTerm() >= e.node.BasicStatus().GetTerm() {
-			e.heard = now
+			e.leaderSeenAt = now
 		}
 	}
-	defer e.catch(&err)
+	defer e.recoverPanic(&err)
 	vote := e.node.BasicStatus().GetVote()
 	if err := e.node.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 		return shown, fmt.Errorf("agree: %w", err)
 	}
 	if v := e.node.BasicStatus().GetVote(); v != vote && v != 0 && v != e.ID {
-		e.heard = now // it gets its time to win
+		e.leaderSeenAt = now // it gets its time to win
 	}
 	return shown, nil
 }
 
 // Propose asks for an entry; it is lost without a word where nobody leads.
 func (e *Engine) Propose(data []byte) (err error) {
-	defer e.catch(&err)
+	defer e.recoverPanic(&err)
 	return e.node.Propose(data)
 }
 
-// Read asks, at the leader, for a word from a majority that no other leads; the number comes back in Output.Reads.
-func (e *Engine) Read(no uint64) (err error) {
-	defer e.catch(&err)
+// ReadIndex asks, at the leader, for a word from a majority that no other leads; the number comes back in Ready.ConfirmedReads.
+func (e *Engine) ReadIndex(no uint64) (err error) {
+	defer e.recoverPanic(&err)
 	b, err := cbor.Marshal(no)
 	if err == nil {
 		e.node.ReadIndex(b)
@@ -243,21 +243,21 @@
 	return err
 }
 
-// Learn asks for a new member that learns, in the place of those of old; Promote gives it a say.
-func (e *Engine) Learn(id uint64, name string, old []uint64) error {
-	return e.change(names{id: name}, pb.ConfChangeAddLearnerNode, id, old)
+// AddLearner asks for a new member that learns, in the place of those of old; Promote gives it a say.
+func (e *Engine) AddLearner(id uint64, name string, old []uint64) error {
+	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddLearnerNode, id, old)
 }
 
 // Promote gives a learner a say.
 func (e *Engine) Promote(id uint64, name string) error {
-	return e.change(names{id: name}, pb.ConfChangeAddNode, id, nil)
+	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddNode, id, nil)
 }
 
 // Remove takes members' say.
-func (e *Engine) Remove(old []uint64) error { return e.change(nil, 0, 0, old) }
+func (e *Engine) Remove(old []uint64) error { return e.proposeConfChange(nil, 0, 0, old) }
 
-func (e *Engine) change(n names, how pb.ConfChangeType, id uint64, old []uint64) (err error) {
-	defer e.catch(&err)
+func (e *Engine) proposeConfChange(n memberNames, how pb.ConfChangeType, id uint64, old []uint64) (err error) {
+	defer e.recoverPanic(&err)
 	cc := &pb.ConfChangeV2{}
 	if cc.Context, err = cbor.Marshal(n); err != nil {
 		return err
@@ -272,12 +272,12 @@
 	return e.node.ProposeConfChange(cc)
 }
 
-// Output takes all that is ready. The caller carries it out in its order; state is asked for the state as of the last
+// Ready takes all that is ready. The caller carries it out in its order; state is asked for the state as of the last
 // Committed when a snapshot is due.
-func (e *Engine) Output(now time.Duration, apply func(Committed), restore func([]byte), state func() []byte) (out Output, err error) {
-	defer e.catch(&err)
-	if e.dead != nil {
-		return out, e.dead
+func (e *Engine) Ready(now time.Duration, apply func(Committed), restore func([]byte), state func() []byte) (out Ready, err error) {
+	defer e.recoverPanic(&err)
+	if e.fatal != nil {
+		return out, e.fatal
 	}
 	save := &Image{}
 	for e.node.HasReady() {
@@ -286,8 +286,8 @@
 			if err := e.store.ApplySnapshot(rd.Snapshot); err != nil {
 				return out, fmt.Errorf("agree: %w", err)
 			}
-			e.conf = rd.Snapshot.GetMetadata().GetConfState()
-			e.applied, e.snapped, e.rewrite = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), true
+			e.confState = rd.Snapshot.GetMetadata().GetConfState()
+			e.applied, e.snapshotIndex, e.imageStale = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), true
 			out.Snapshot = rd.Snapshot.GetData()
 			restore(out.Snapshot)
 		}
@@ -297,7 +297,7 @@
 				return out, fmt.Errorf("agree: %w", err)
 			}
 			save.Entries = append(save.Entries, b)
-			e.pending += len(b)
+			e.bytesSinceSnapshot += len(b)
 		}
 		if err := e.store.Append(rd.Entries); err != nil {
 			return out, fmt.Errorf("agree: %w", err)
@@ -306,7 +306,7 @@
 			if err := e.store.SetHardState(rd.HardState); err != nil {
 				return out, fmt.Errorf("agree: %w", err)
 			}
-			if save.Hard, err = proto.Marshal(rd.HardState); err != nil {
+			if save.HardState, err = proto.Marshal(rd.HardState); err != nil {
 				return out, fmt.Errorf("agree: %w", err)
 			}
 		}
@@ -315,13 +315,13 @@
 			if err != nil {
 				return out, fmt.Errorf("agree: %w", err)
 			}
-			out.Messages = append(out.Messages, Sent{m.GetTo(), b})
+			out.Messages = append(out.Messages, Message{m.GetTo(), b})
 			if m.GetType() == pb.MsgSnap { // it is lost or not like any other: raft asks again
 				defer e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
 		for _, en := range rd.CommittedEntries {
-			c, err := e.committed(en)
+			c, err := e.toCommitted(en)
 			if err != nil {
 				return out, err
 			}
@@ -332,25 +332,25 @@
 		for _, r := range rd.ReadStates {
 			var no uint64
 			if cbor.Unmarshal(r.RequestCtx, &no) == nil {
-				out.Reads = append(out.Reads, no)
-				e.confirmed = now
+				out.ConfirmedReads = append(out.ConfirmedReads, no)
+				e.readConfirmedAt = now
 			}
 		}
 		e.node.Advance(rd)
 	}
-	if e.applied-e.snapped >= snapshotEvery || e.moved || e.pending > snapshotBytes && e.applied > e.snapped {
-		e.moved, e.pending = false, 0
-		if _, err := e.store.CreateSnapshot(e.applied, e.conf, state()); err != nil {
+	if e.applied-e.snapshotIndex >= snapshotEntries || e.membersChanged || e.bytesSinceSnapshot > snapshotBytes && e.applied > e.snapshotIndex {
+		e.membersChanged, e.bytesSinceSnapshot = false, 0
+		if _, err := e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
 			return out, fmt.Errorf("agree: %w", err)
 		}
 		// Some stay, so that whoever is a little behind needs no snapshot.
-		if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEvery/4 {
-			_ = e.store.Compact(e.applied - snapshotEvery/4)
+		if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
+			_ = e.store.Compact(e.applied - snapshotEntries/4)
 		}
-		e.snapped, e.rewrite = e.applied, true
+		e.snapshotIndex, e.imageStale = e.applied, true
 	}
-	if e.rewrite {
-		e.rewrite = false
+	if e.imageStale {
+		e.imageStale = false
 		if save, err = e.Image(); err != nil {
 			return out, err
 		}
@@ -361,7 +361,7 @@
 	return out, nil
 }
 
-func (e *Engine) committed(en *pb.Entry) (c Committed, err error) {
+func (e *Engine) toCommitted(en *pb.Entry) (c Committed, err error) {
 	c = Committed{Index: en.GetIndex(), Data: en.GetData()}
 	var cc pb.ConfChangeI
 	switch en.GetType() {
@@ -379,9 +379,9 @@
 	if err != nil {
 		return c, fmt.Errorf("agree: members: %w", err)
 	}
-	e.conf, e.moved = e.node.ApplyConfChange(cc), true
-	c.Data, c.Names = nil, names{}
+	e.confState, e.membersChanged = e.node.ApplyConfChange(cc), true
+	c.Data, c.Names = nil, memberNames{}
 	_ = cbor.Unmarshal(cc.AsV2().GetContext(), &c.Names) // the end of a joint change has none
-	c.Members = slices.Concat([]uint64{}, e.conf.GetVoters(), e.conf.GetLearners(), e.conf.GetVotersOutgoing(), e.conf.GetLearnersNext())
+	c.Members = slices.Concat([]uint64{}, e.confState.GetVoters(), e.confState.GetLearners(), e.confState.GetVotersOutgoing(), e.confState.GetLearnersNext())
 	return c, nil
 }
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -11,30 +11,32 @@
 
 // Image is a log as it lies on disk.
 type Image struct {
-	Hard     []byte   `cbor:"1,keyasint,omitempty"` // as raft's protocol buffers, like the others
-	Snapshot []byte   `cbor:"2,keyasint,omitempty"`
-	Entries  [][]byte `cbor:"3,keyasint,omitempty"`
-	Whole    bool     `cbor:"4,keyasint,omitempty"` // what was there before is void
+	HardState []byte   `cbor:"1,keyasint,omitempty"` // as raft's protocol buffers, like the others
+	Snapshot  []byte   `cbor:"2,keyasint,omitempty"`
+	Entries   [][]byte `cbor:"3,keyasint,omitempty"`
+	Complete  bool     `cbor:"4,keyasint,omitempty"` // what was there before is void
 
-	// Memory is what other members have shown that they hold, term and index; for them, should they forget.
-	Memory map[uint64]Position `cbor:"5,keyasint,omitempty"`
+	// Remembered is what other members have shown that they hold, term and index; for them, should they forget.
+	Remembered map[uint64]LogPosition `cbor:"5,keyasint,omitempty"`
 }
 
-// Position is how far a member's log goes, at least.
-type Position struct {
-	Term uint64 `cbor:"1,keyasint"`
-	Last uint64 `cbor:"2,keyasint"`
+// LogPosition is how far a member's log goes, at least.
+type LogPosition struct {
+	Term      uint64 `cbor:"1,keyasint"`
+	LastIndex uint64 `cbor:"2,keyasint"`
 }
 
-// Beyond tells whether p holds more than q.
-func (p Position) Beyond(q Position) bool {
-	return p.Term > q.Term || p.Term == q.Term && p.Last > q.Last
+// After tells whether p holds more than q.
+func (p LogPosition) After(q LogPosition) bool {
+	return p.Term > q.Term || p.Term == q.Term && p.LastIndex > q.LastIndex
 }
 
 // Empty tells whether nothing stands there.
-func (i *Image) Empty() bool { return len(i.Hard) == 0 && len(i.Snapshot) == 0 && len(i.Entries) == 0 }
+func (i *Image) Empty() bool {
+	return len(i.HardState) == 0 && len(i.Snapshot) == 0 && len(i.Entries) == 0
+}
 
-func (e *Engine) load(image *Image) error {
+func (e *Engine) restore(image *Image) error {
 	if len(image.Snapshot) > 0 {
 		snap := &pb.Snapshot{}
 		if err := proto.Unmarshal(image.Snapshot, snap); err != nil {
@@ -43,9 +45,9 @@
 		if err := e.store.ApplySnapshot(snap); err != nil {
 			return fmt.Errorf("agree: snapshot: %w", err)
 		}
-		e.conf = snap.GetMetadata().GetConfState()
+		e.confState = snap.GetMetadata().GetConfState()
 		e.applied = snap.GetMetadata().GetIndex()
-		e.snapped = e.applied
+		e.snapshotIndex = e.applied
 	}
 	var entries []*pb.Entry
 	for _, b := range image.Entries {
@@ -53,14 +55,14 @@
 		if err := proto.Unmarshal(b, en); err != nil {
 			return fmt.Errorf("agree: entry: %w", err)
 		}
-		if en.GetIndex() <= e.snapped {
+		if en.GetIndex() <= e.snapshotIndex {
 			continue
 		}
 		// A later entry of the same place replaces what stood there and behind it.
 		if n := len(entries); n > 0 && en.GetIndex() <= entries[n-1].GetIndex() {
 			entries = slices.DeleteFunc(entries, func(o *pb.Entry) bool { return o.GetIndex() >= en.GetIndex() })
 		}
-		if n := len(entries); n > 0 && en.GetIndex() != entries[n-1].GetIndex()+1 || n == 0 && en.GetIndex() != e.snapped+1 {
+		if n := len(entries); n > 0 && en.GetIndex() != entries[n-1].GetIndex()+1 || n == 0 && en.GetIndex() != e.snapshotIndex+1 {
 			return fmt.Errorf("agree: entry %d stands where another should", en.GetIndex())
 		}
 		entries = append(entries, en)
@@ -68,9 +70,9 @@
 	if err := e.store.Append(entries); err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	if len(image.Hard) > 0 {
+	if len(image.HardState) > 0 {
 		hard := &pb.HardState{}
-		if err := proto.Unmarshal(image.Hard, hard); err != nil {
+		if err := proto.Unmarshal(image.HardState, hard); err != nil {
 			return fmt.Errorf("agree: term and vote: %w", err)
 		}
 		if last, _ := e.store.LastIndex(); hard.GetCommit() > last {
@@ -89,8 +91,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
-	image := &Image{Whole: true}
-	if image.Hard, err = proto.Marshal(hard); err != nil {
+	image := &Image{Complete: true}
+	if image.HardState, err = proto.Marshal(hard); err != nil {
 		return nil, fmt.Errorf("agree: %w", err)
 	}
 	snap, err := e.store.Snapshot()
@@ -124,31 +126,31 @@
 	return image, nil
 }
 
-// quiet drops what raft says of itself, but for what it can't go on after; see catch.
-type quiet struct{}
+// discardLogger drops what raft says of itself, but for what it can't go on after; see catch.
+type discardLogger struct{}
 
-func (quiet) Debug(...any) {}
+func (discardLogger) Debug(...any) {}
 
-func (quiet) Debugf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
 
-func (quiet) Info(...any) {}
+func (discardLogger) Info(...any) {}
 
-func (quiet) Infof(string, ...any) {}
+func (discardLogger) Infof(string, ...any) {}
 
-func (quiet) Warning(...any) {}
+func (discardLogger) Warning(...any) {}
 
-func (quiet) Warningf(string, ...any) {}
+func (discardLogger) Warningf(string, ...any) {}
 
-func (quiet) Error(...any) {}
+func (discardLogger) Error(...any) {}
 
-func (quiet) Errorf(string, ...any) {}
+func (discardLogger) Errorf(string, ...any) {}
 
-func (quiet) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Fatalf(f string, v ...any) {
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
 
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -13,20 +13,20 @@
 
 // Message is what relays of a fleet tell each other; one field is set. The fields' numbers are never given to another.
 type Message struct {
-	Raft    *Raft           `cbor:"1,keyasint,omitempty"`
-	Ping    *Ping           `cbor:"2,keyasint,omitempty"`
-	Grant   *Grant          `cbor:"3,keyasint,omitempty"`
-	Push    *Push           `cbor:"4,keyasint,omitempty"`
-	Recall  *Recall         `cbor:"5,keyasint,omitempty"`
-	Propose *policy.Command `cbor:"6,keyasint,omitempty"`
-	Tallies []quota.Tally   `cbor:"7,keyasint,omitempty"` // of the sender, or of others that a voter knows
-	Sums    *Sums           `cbor:"8,keyasint,omitempty"`
+	Raft          *Raft           `cbor:"1,keyasint,omitempty"`
+	LeaseRequest  *LeaseRequest   `cbor:"2,keyasint,omitempty"`
+	LeaseGrant    *LeaseGrant     `cbor:"3,keyasint,omitempty"`
+	StateUpdate   *StateUpdate    `cbor:"4,keyasint,omitempty"`
+	PositionQuery *PositionQuery  `cbor:"5,keyasint,omitempty"`
+	Propose       *policy.Command `cbor:"6,keyasint,omitempty"`
+	Tallies       []quota.Tally   `cbor:"7,keyasint,omitempty"` // of the sender, or of others that a voter knows
+	Totals        *CounterTotals  `cbor:"8,keyasint,omitempty"`
 }
 
-// Sums asks a voter what all relays have counted, or answers.
-type Sums struct {
-	No uint64        `cbor:"1,keyasint"` // of the ask
-	N  *quota.Totals `cbor:"2,keyasint,omitempty"`
+// CounterTotals asks a voter what all relays have counted, or answers.
+type CounterTotals struct {
+	RequestNumber uint64        `cbor:"1,keyasint"` // of the ask
+	Totals        *quota.Totals `cbor:"2,keyasint,omitempty"`
 }
 
 // Raft is a message of the engine's.
@@ -36,49 +36,49 @@
 	Data []byte `cbor:"3,keyasint"`
 }
 
-// Ping asks the leader for a lease, and tells it where its sender stands. A voter that does not lead passes it on.
-type Ping struct {
-	From    string   `cbor:"1,keyasint"`
-	Gen     uint64   `cbor:"2,keyasint"` // grows with each start of the relay
-	Life    uint64   `cbor:"3,keyasint"` // drawn at each start: tells two relays of one name apart
-	Seq     uint64   `cbor:"4,keyasint"`
-	Epoch   uint64   `cbor:"5,keyasint,omitempty"` // of what it knows
-	Index   uint64   `cbor:"6,keyasint,omitempty"`
-	Stopped uint64   `cbor:"7,keyasint,omitempty"` // it acts on nothing before that version is in force
-	Verdict *Verdict `cbor:"8,keyasint,omitempty"`
-	Member  uint64   `cbor:"9,keyasint,omitempty"` // of a voter, or of one that would be
-	Term    uint64   `cbor:"10,keyasint,omitempty"`
-	Last    uint64   `cbor:"11,keyasint,omitempty"`
-	Passed  bool     `cbor:"12,keyasint,omitempty"` // it was passed on once, or is only for the record
+// LeaseRequest asks the leader for a lease, and tells it where its sender stands. A voter that does not lead passes it on.
+type LeaseRequest struct {
+	From        string   `cbor:"1,keyasint"`
+	Generation  uint64   `cbor:"2,keyasint"` // grows with each start of the relay
+	Incarnation uint64   `cbor:"3,keyasint"` // drawn at each start: tells two relays of one name apart
+	Seq         uint64   `cbor:"4,keyasint"`
+	Epoch       uint64   `cbor:"5,keyasint,omitempty"` // of what it knows
+	Index       uint64   `cbor:"6,keyasint,omitempty"`
+	Stopped     uint64   `cbor:"7,keyasint,omitempty"` // it acts on nothing before that version is in force
+	Verdict     *Verdict `cbor:"8,keyasint,omitempty"`
+	Member      uint64   `cbor:"9,keyasint,omitempty"` // of a voter, or of one that would be
+	Term        uint64   `cbor:"10,keyasint,omitempty"`
+	LastIndex   uint64   `cbor:"11,keyasint,omitempty"`
+	Forwarded   bool     `cbor:"12,keyasint,omitempty"` // it was passed on once, or is only for the record
 
-	Share *quota.Request `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
+	QuotaRequest *quota.Request `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
 }
 
 // Verdict is whether a relay can apply a version.
 type Verdict struct {
 	Version uint64 `cbor:"1,keyasint"`
-	No      string `cbor:"2,keyasint,omitempty"` // why not; empty: it can
+	Reason  string `cbor:"2,keyasint,omitempty"` // why not; empty: it can
 }
 
-// Grant answers a ping.
-type Grant struct {
-	To       string        `cbor:"1,keyasint"`
-	Gen      uint64        `cbor:"2,keyasint"`
-	Life     uint64        `cbor:"3,keyasint"`
-	Seq      uint64        `cbor:"4,keyasint"` // of the ping, from whose sending on the lease counts
-	Lease    time.Duration `cbor:"5,keyasint,omitempty"`
-	Epoch    uint64        `cbor:"6,keyasint"`
-	Index    uint64        `cbor:"7,keyasint"` // the lease is for whoever knows this
-	State    *policy.State `cbor:"8,keyasint,omitempty"`
-	Refused  string        `cbor:"9,keyasint,omitempty"`
-	Newest   uint64        `cbor:"11,keyasint,omitempty"` // a later generation of the name that was heard
-	Progress *Progress     `cbor:"10,keyasint,omitempty"`
+// LeaseGrant answers a ping.
+type LeaseGrant struct {
+	To               string        `cbor:"1,keyasint"`
+	Generation       uint64        `cbor:"2,keyasint"`
+	Incarnation      uint64        `cbor:"3,keyasint"`
+	Seq              uint64        `cbor:"4,keyasint"` // of the ping, from whose sending on the lease counts
+	Lease            time.Duration `cbor:"5,keyasint,omitempty"`
+	Epoch            uint64        `cbor:"6,keyasint"`
+	Index            uint64        `cbor:"7,keyasint"` // the lease is for whoever knows this
+	State            *policy.State `cbor:"8,keyasint,omitempty"`
+	Rejected         string        `cbor:"9,keyasint,omitempty"`
+	NewestGeneration uint64        `cbor:"11,keyasint,omitempty"` // a later generation of the name that was heard
+	Progress         *Progress     `cbor:"10,keyasint,omitempty"`
 
-	Share *quota.Grant `cbor:"12,keyasint,omitempty"` // for as long as the lease
+	QuotaGrant *quota.Grant `cbor:"12,keyasint,omitempty"` // for as long as the lease
 }
 
-// Push tells what has been agreed on, unasked.
-type Push struct {
+// StateUpdate tells what has been agreed on, unasked.
+type StateUpdate struct {
 	State    *policy.State `cbor:"1,keyasint"`
 	Progress *Progress     `cbor:"2,keyasint,omitempty"`
 }
@@ -93,30 +93,30 @@
 	Within  time.Duration `cbor:"6,keyasint,omitempty" json:"within_ns,omitempty"`
 }
 
-// Recall asks, or answers, what is remembered of a member: one that has forgotten must not vote.
-type Recall struct {
-	Member uint64 `cbor:"1,keyasint"`
-	Answer bool   `cbor:"2,keyasint,omitempty"`
-	Term   uint64 `cbor:"3,keyasint,omitempty"`
-	Last   uint64 `cbor:"4,keyasint,omitempty"`
+// PositionQuery asks, or answers, what is remembered of a member: one that has forgotten must not vote.
+type PositionQuery struct {
+	Member    uint64 `cbor:"1,keyasint"`
+	Answer    bool   `cbor:"2,keyasint,omitempty"`
+	Term      uint64 `cbor:"3,keyasint,omitempty"`
+	LastIndex uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Event is something that has happened; one field is set.
 type Event struct {
-	From    string   // a relay whose message this is
-	Message *Message // not to be changed any more
-	Stopped uint64   // the core has stopped for that version, and begins nothing under the one before
-	Verdict *Verdict // a check that was asked for is done
-	Ask     *Ask
-	Broken  error                 // what was to be saved is not on disk
-	Needs   *[]quota.Demand       // of this relay, now
-	Counts  *map[quota.Key]uint64 // of this life
-	Goes    *[2]uint64            // the core goes by that loan (Spend's By and No), and by none before
-}
-
-// Ask is an operator's word, by the command line at this relay.
-type Ask struct {
-	No      uint64 `cbor:"1,keyasint"` // by which the answer is known
+	From           string   // a relay whose message this is
+	Message        *Message // not to be changed any more
+	HaltedFor      uint64   // the core has stopped for that version, and begins nothing under the one before
+	Verdict        *Verdict // a check that was asked for is done
+	AdminRequest   *AdminRequest
+	SaveFailed     error                 // what was to be saved is not on disk
+	Demands        *[]quota.Demand       // of this relay, now
+	Counters       *map[quota.Key]uint64 // of this life
+	ConfirmedLease *[2]uint64            // the core goes by that loan (LeaseLeft's By and Reason), and by none before
+}
+
+// AdminRequest is an operator's word, by the command line at this relay.
+type AdminRequest struct {
+	Number  uint64 `cbor:"1,keyasint"` // by which the answer is known
 	Op      string `cbor:"2,keyasint"` // status, propose, found, force, roster
 	Version uint64 `cbor:"3,keyasint,omitempty"`
 	Doc     []byte `cbor:"4,keyasint,omitempty"`
@@ -126,62 +126,62 @@
 
 // Action is something to be done; one field is set. Actions are carried out in their order, and none after a Save that fails.
 type Action struct {
-	Save    *consensus.Image // on disk, synced; with Member: of a new member, all before is void
-	Member  uint64
-	Gen     uint64 // to be on disk before anything else leaves: its folder had forgotten how often it was started
-	To      string // a relay that Message goes to
-	Message *Message
-	Check   *policy.Change // may this relay apply it?
-	Stand   *Stand
-	Spend   *quota.Lease // what the core may spend from now on
-	Answer  *Status
-	No      uint64 // of the ask that Answer is for
-	Log     string
-	Fields  []any
-}
-
-// Stand is what a relay may do. It may act from now on, until Until by its own clock, unless it is halted.
-type Stand struct {
+	Save          *consensus.Image // on disk, synced; with Member: of a new member, all before is void
+	Member        uint64
+	Generation    uint64 // to be on disk before anything else leaves: its folder had forgotten how often it was started
+	To            string // a relay that Message goes to
+	Message       *Message
+	Check         *policy.Change // may this relay apply it?
+	Mandate       *Mandate
+	Lease         *quota.Lease // what the core may spend from now on
+	Answer        *Status
+	RequestNumber uint64 // of the ask that Answer is for
+	Log           string
+	Fields        []any
+}
+
+// Mandate is what a relay may do. It may act from now on, until Until by its own clock, unless it is halted.
+type Mandate struct {
 	Version uint64
 	Doc     []byte
 	Until   time.Duration // 0: not at all
-	Halted  uint64        // acts on nothing, and says so: this version is about to be in force
-	Why     string        // it may not act
+	Halted  uint64        // actions on nothing, and says so: this version is about to be in force
+	WhyNot  string        // it may not act
 }
 
 // Status is what a relay knows, for operators.
 type Status struct {
-	Relay    string           `cbor:"1,keyasint" json:"relay"`
-	Error    string           `cbor:"2,keyasint,omitempty" json:"error,omitempty"`
-	Gen      uint64           `cbor:"3,keyasint" json:"generation"`
-	Leader   string           `cbor:"4,keyasint,omitempty" json:"leader,omitempty"` // as far as it knows
-	Voter    string           `cbor:"5,keyasint,omitempty" json:"voter,omitempty"`
-	Acts     bool             `cbor:"6,keyasint" json:"acts"`
-	Lease    time.Duration    `cbor:"7,keyasint,omitempty" json:"lease_left_ns"`
-	Why      string           `cbor:"8,keyasint,omitempty" json:"why_not,omitempty"`
-	State    *policy.State    `cbor:"9,keyasint,omitempty" json:"-"`
-	Progress *Progress        `cbor:"10,keyasint,omitempty" json:"progress,omitempty"`
-	Voters   []string         `cbor:"11,keyasint,omitempty" json:"voters,omitempty"`
-	Counts   map[string]int   `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
-	Rights   *Rights          `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
-	Sums     *quota.Totals    `cbor:"16,keyasint,omitempty" json:"-"`
-	Shared   []quota.KeyUsage `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the one that leads
-	Odd      map[string]int   `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // at the one that leads: relays whose word stood against all others'
-}
-
-// Rights is what a relay may spend of what the fleet shares.
-type Rights struct {
-	Loan  uint64        `cbor:"1,keyasint" json:"loan"`
-	Floor float64       `cbor:"2,keyasint" json:"floor"` // of 1, of each limit
-	Left  time.Duration `cbor:"3,keyasint" json:"left_ns"`
-	Parts []Right       `cbor:"4,keyasint,omitempty" json:"parts"`
-}
-
-// Right is one destination's or tenant's.
-type Right struct {
-	Name  string  `cbor:"1,keyasint" json:"name"`
-	Part  float64 `cbor:"2,keyasint" json:"part"` // of 1, with the floor
-	Limit float64 `cbor:"3,keyasint,omitempty" json:"limit,omitempty"`
-	State string  `cbor:"4,keyasint,omitempty" json:"state,omitempty"` // what the fleet takes it for
-	Try   bool    `cbor:"5,keyasint,omitempty" json:"try,omitempty"`   // it is this relay's turn to try
+	Relay          string           `cbor:"1,keyasint" json:"relay"`
+	Error          string           `cbor:"2,keyasint,omitempty" json:"error,omitempty"`
+	Generation     uint64           `cbor:"3,keyasint" json:"generation"`
+	Leader         string           `cbor:"4,keyasint,omitempty" json:"leader,omitempty"` // as far as it knows
+	Voter          string           `cbor:"5,keyasint,omitempty" json:"voter,omitempty"`
+	MayAct         bool             `cbor:"6,keyasint" json:"acts"`
+	LeaseLeft      time.Duration    `cbor:"7,keyasint,omitempty" json:"lease_left_ns"`
+	WhyNot         string           `cbor:"8,keyasint,omitempty" json:"why_not,omitempty"`
+	State          *policy.State    `cbor:"9,keyasint,omitempty" json:"-"`
+	Progress       *Progress        `cbor:"10,keyasint,omitempty" json:"progress,omitempty"`
+	Voters         []string         `cbor:"11,keyasint,omitempty" json:"voters,omitempty"`
+	Counts         map[string]int   `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
+	Quota          *QuotaStatus     `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
+	Totals         *quota.Totals    `cbor:"16,keyasint,omitempty" json:"-"`
+	Shared         []quota.KeyUsage `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // receivedAt the one that leads
+	Contradictions map[string]int   `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // receivedAt the one that leads: relays whose word stood against all others'
+}
+
+// Quota is what a relay may spend of what the fleet shares.
+type QuotaStatus struct {
+	LeaseNumber uint64        `cbor:"1,keyasint" json:"loan"`
+	Minimum     float64       `cbor:"2,keyasint" json:"floor"` // of 1, of each limit
+	Left        time.Duration `cbor:"3,keyasint" json:"left_ns"`
+	Keys        []KeyQuota    `cbor:"4,keyasint,omitempty" json:"parts"`
+}
+
+// KeyQuota is one destination's or tenant's.
+type KeyQuota struct {
+	Name     string  `cbor:"1,keyasint" json:"name"`
+	Share    float64 `cbor:"2,keyasint" json:"part"` // of 1, with the floor
+	Limit    float64 `cbor:"3,keyasint,omitempty" json:"limit,omitempty"`
+	State    string  `cbor:"4,keyasint,omitempty" json:"state,omitempty"` // what the fleet takes it for
+	MayProbe bool    `cbor:"5,keyasint,omitempty" json:"try,omitempty"`   // it is this relay's turn to try
 }
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -13,8 +13,8 @@
 // askAgain is how long an answer is waited for before the question is put once more: datagrams get lost.
 const askAgain = 300 * time.Millisecond
 
-// Ask puts an operator's question to the relay of this configuration, on this machine, until it answers or ctx ends.
-func Ask(ctx context.Context, cfg *config.Peers, q node.Ask) (*node.Status, error) {
+// AdminRequest puts an operator's question to the relay of this configuration, on this machine, until it answers or ctx ends.
+func Ask(ctx context.Context, cfg *config.Peers, q node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
@@ -22,10 +22,10 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })
 	defer stop()
-	buf := make([]byte, mostFrame+1)
+	buf := make([]byte, maxFrameBytes+1)
 	for ctx.Err() == nil {
-		q.No++
-		b, err := (&frame{Fleet: cfg.Fleet, Ask: &q}).pack(nil, kindAsk)
+		q.Number++
+		b, err := (&frame{Fleet: cfg.Fleet, AdminRequest: &q}).pack(nil, kindAsk)
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 				}
 				break
 			}
-			if fr, kind, err := unpack(buf[:n]); err == nil && kind == kindAnswer && fr.Answer != nil && fr.No <= q.No {
+			if fr, kind, err := unpack(buf[:n]); err == nil && kind == kindAnswer && fr.Answer != nil && fr.RequestNumber <= q.Number {
 				return fr.Answer, nil
 			}
 		}
--- a/internal/relay/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	identityName = "fleet.id"
-	logName      = "fleet.log"
-	recordHead   = 8 // length, checksum
-	mostRecord   = 1 << 20
+	identityName   = "fleet.id"
+	logName        = "fleet.log"
+	recordHead     = 8 // length, checksum
+	maxRecordBytes = 1 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // identity is who this relay is to its fleet.
 type identity struct {
-	Fleet string `cbor:"1,keyasint"`
-	Gen   uint64 `cbor:"3,keyasint"` // how often it has been started
+	Fleet      string `cbor:"1,keyasint"`
+	Generation uint64 `cbor:"3,keyasint"` // how often it has been started
 }
 
-// part is a record of the log. Whose log it is stands in it, so that both change in one step: a member that had only
+// logRecord is a record of the log. Whose log it is stands in it, so that both change in one step: a member that had only
 // forgotten its log would vote again on what it has voted on.
-type part struct {
+type logRecord struct {
 	Member uint64           `cbor:"1,keyasint,omitempty"` // 0: as before
 	Image  *consensus.Image `cbor:"2,keyasint"`
 }
@@ -41,7 +41,7 @@
 	dir    string
 	id     identity
 	member uint64
-	f      *os.File
+	file   *os.File
 	size   int64
 }
 
@@ -70,16 +70,16 @@
 		image, why = d.read()
 	}
 	d.id.Fleet = fleet
-	d.id.Gen++
-	if err := d.identify(); err != nil {
+	d.id.Generation++
+	if err := d.saveIdentity(); err != nil {
 		return nil, nil, nil, err
 	}
 	if image == nil || d.member == 0 {
 		image, d.member = &consensus.Image{}, draw()|1
-		return d, image, why, d.rewrite(&consensus.Image{Whole: true})
+		return d, image, why, d.rewrite(&consensus.Image{Complete: true})
 	}
-	if d.f, err = os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
-		err = d.f.Truncate(d.size) // a torn tail was never spoken of
+	if d.file, err = os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
+		err = d.file.Truncate(d.size) // a torn tail was never spoken of
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
@@ -102,7 +102,7 @@
 	}
 	all := &consensus.Image{}
 	for _, r := range whole {
-		p := part{Image: &consensus.Image{}}
+		p := logRecord{Image: &consensus.Image{}}
 		if err := cbor.Unmarshal(r, &p); err != nil || p.Image == nil {
 			return nil, errDamaged
 		}
@@ -110,17 +110,17 @@
 			d.member = p.Member
 		}
 		one := p.Image
-		if one.Whole {
+		if one.Complete {
 			all = &consensus.Image{}
 		}
-		if len(one.Hard) > 0 {
-			all.Hard = one.Hard
+		if len(one.HardState) > 0 {
+			all.HardState = one.HardState
 		}
 		if len(one.Snapshot) > 0 {
 			all.Snapshot = one.Snapshot
 		}
-		if one.Memory != nil {
-			all.Memory = one.Memory
+		if one.Remembered != nil {
+			all.Remembered = one.Remembered
 		}
 		all.Entries = append(all.Entries, one.Entries...)
 		d.size += recordHead + int64(len(r))
@@ -133,8 +133,8 @@
 func records(b []byte) (whole [][]byte, err error) {
 	for len(b) >= recordHead {
 		n := int(binary.LittleEndian.Uint32(b))
-		if n == 0 || n > mostRecord {
-			if len(whole) == 0 || n > mostRecord {
+		if n == 0 || n > maxRecordBytes {
+			if len(whole) == 0 || n > maxRecordBytes {
 				return whole, errDamaged
 			}
 			return whole, nil // zeros, as a file system may leave them at the end
@@ -168,21 +168,21 @@
 	if member != 0 {
 		d.member = member
 	}
-	if image.Whole {
+	if image.Complete {
 		return d.rewrite(image)
 	}
-	b, err := record(&part{Image: image})
+	b, err := record(&logRecord{Image: image})
 	if err != nil {
 		return err
 	}
 	err = fullDisk()
 	if err == nil {
 		var n int
-		n, err = d.f.Write(b)
+		n, err = d.file.Write(b)
 		d.size += int64(n)
 	}
 	if err == nil {
-		err = d.f.Sync()
+		err = d.file.Sync()
 		time.Sleep(slowDisk)
 	}
 	if err != nil {
@@ -193,24 +193,24 @@
 
 // rewrite replaces the log in one step.
 func (d *disk) rewrite(image *consensus.Image) error {
-	b, err := record(&part{d.member, image})
+	b, err := record(&logRecord{d.member, image})
 	if err != nil {
 		return err
 	}
 	if err := d.replace(logName, b); err != nil {
 		return err
 	}
-	if d.f != nil {
-		_ = d.f.Close()
+	if d.file != nil {
+		_ = d.file.Close()
 	}
-	if d.f, err = os.OpenFile(filepath.Join(d.dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
+	if d.file, err = os.OpenFile(filepath.Join(d.dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return fmt.Errorf("peer: %w", err)
 	}
 	d.size = int64(len(b))
 	return nil
 }
 
-func (d *disk) identify() error {
+func (d *disk) saveIdentity() error {
 	b, err := record(&d.id)
 	if err != nil {
 		return err
--- a/internal/relay/fleet/peer/frame.go
+++ b/internal/relay/fleet/peer/frame.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	frameMagic   = 0x4d46 // "MF"
-	frameVersion = 1
-	frameHead    = 2 + 1 + 1 + 8 // magic, version, kind, checksum
-	mostFrame    = 60 << 10      // bytes: a UDP datagram holds 65,507
+	frameMagic    = 0x4d46 // "MF"
+	frameVersion  = 1
+	frameHead     = 2 + 1 + 1 + 8 // magic, version, kind, checksum
+	maxFrameBytes = 60 << 10      // bytes: a UDP datagram holds 65,507
 )
 
 // The kinds of frames.
@@ -29,26 +29,26 @@
 
 // frame is what a datagram carries. The fields' numbers are never given to another.
 type frame struct {
-	Fleet   string        `cbor:"1,keyasint"`
-	From    string        `cbor:"2,keyasint,omitempty"`
-	To      string        `cbor:"3,keyasint,omitempty"`
-	Gen     uint64        `cbor:"4,keyasint,omitempty"` // of the sender's start
-	Message *node.Message `cbor:"5,keyasint,omitempty"`
-	Ask     *node.Ask     `cbor:"6,keyasint,omitempty"`
-	Answer  *node.Status  `cbor:"7,keyasint,omitempty"`
-	No      uint64        `cbor:"8,keyasint,omitempty"` // of the ask that Answer is for
+	Fleet         string             `cbor:"1,keyasint"`
+	From          string             `cbor:"2,keyasint,omitempty"`
+	To            string             `cbor:"3,keyasint,omitempty"`
+	Generation    uint64             `cbor:"4,keyasint,omitempty"` // of the sender's start
+	Message       *node.Message      `cbor:"5,keyasint,omitempty"`
+	AdminRequest  *node.AdminRequest `cbor:"6,keyasint,omitempty"`
+	Answer        *node.Status       `cbor:"7,keyasint,omitempty"`
+	RequestNumber uint64             `cbor:"8,keyasint,omitempty"` // of the ask that Answer is for
 }
 
 // Faults of frames: each is counted under its text.
 var (
-	errShort    = errors.New("cut short")
-	errMagic    = errors.New("not of mastusher")
-	errVersion  = errors.New("of another version")
-	errGarbled  = errors.New("garbled")
-	errFleet    = errors.New("of another fleet")
-	errStranger = errors.New("of a stranger")
-	errOld      = errors.New("of a former life")
-	errFor      = errors.New("for another relay")
+	errTruncated         = errors.New("cut short")
+	errNotAFrame         = errors.New("not of mastusher")
+	errVersion           = errors.New("of another version")
+	errChecksum          = errors.New("garbled")
+	errFleet             = errors.New("of another fleet")
+	errUnknownPeer       = errors.New("of a stranger")
+	errFormerIncarnation = errors.New("of a former life")
+	errOtherRelay        = errors.New("for another relay")
 )
 
 // decoding bounds what a frame may make its reader build.
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	if b = append(b, body...); len(b)-at > mostFrame {
-		return nil, fmt.Errorf("peer: a message of %d bytes, want %d at most", len(b)-at, mostFrame)
+	if b = append(b, body...); len(b)-at > maxFrameBytes {
+		return nil, fmt.Errorf("peer: a message of %d bytes, want %d at most", len(b)-at, maxFrameBytes)
 	}
 	binary.BigEndian.PutUint16(b[at:], frameMagic)
 	b[at+2], b[at+3] = frameVersion, kind
@@ -86,19 +86,19 @@
 func unpack(b []byte) (f *frame, kind byte, err error) {
 	switch {
 	case len(b) < frameHead:
-		return nil, 0, errShort
+		return nil, 0, errTruncated
 	case binary.BigEndian.Uint16(b) != frameMagic:
-		return nil, 0, errMagic
+		return nil, 0, errNotAFrame
 	case b[2] != frameVersion:
 		return nil, 0, errVersion
 	}
 	kind = b[3]
 	if binary.BigEndian.Uint64(b[4:]) != sum(kind, b[frameHead:]) {
-		return nil, 0, errGarbled
+		return nil, 0, errChecksum
 	}
 	f = &frame{}
 	if err := decoding.Unmarshal(b[frameHead:], f); err != nil {
-		return nil, 0, errGarbled
+		return nil, 0, errChecksum
 	}
 	return f, kind, nil
 }
--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -33,8 +33,8 @@
 	if why != nil || !image.Empty() {
 		t.Fatal(why, image)
 	}
-	for _, s := range []*consensus.Image{{Hard: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Whole: true, Snapshot: []byte("s"), Hard: []byte("h2")},
-		{Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]consensus.Position{7: {Term: 1, Last: 2}}}} {
+	for _, s := range []*consensus.Image{{HardState: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Complete: true, Snapshot: []byte("s"), HardState: []byte("h2")},
+		{Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}} {
 		if err := d.save(s, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -51,10 +51,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &consensus.Image{Snapshot: []byte("s"), Hard: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Memory: map[uint64]consensus.Position{7: {Term: 1, Last: 2}}}
+	want := &consensus.Image{Snapshot: []byte("s"), HardState: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}
 	again, image, why := openAt(t, dir)
-	if diff := cmp.Diff(want, image); diff != "" || why != nil || again.member != d.member || again.id.Gen != d.id.Gen+1 {
-		t.Fatal(diff, why, again.member, d.member, again.id.Gen)
+	if diff := cmp.Diff(want, image); diff != "" || why != nil || again.member != d.member || again.id.Generation != d.id.Generation+1 {
+		t.Fatal(diff, why, again.member, d.member, again.id.Generation)
 	}
 	records, _ := records(whole)
 	last := len(whole) - recordHead - len(records[len(records)-1])
@@ -69,10 +69,10 @@
 		case cut < last && got.member == d.member:
 			t.Fatalf("cut at %d, before what was replaced in one step: still the same member", cut)
 		}
-		if err := got.save(&consensus.Image{Hard: []byte("h3")}, 0); err != nil { // behind a torn tail
+		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // behind a torn tail
 			t.Fatal(err)
 		}
-		if _, image, why = openAt(t, dir); why != nil || string(image.Hard) != "h3" {
+		if _, image, why = openAt(t, dir); why != nil || string(image.HardState) != "h3" {
 			t.Fatalf("cut at %d: what was saved after is not there: %v %+v", cut, why, image)
 		}
 	}
@@ -92,7 +92,7 @@
 func TestReborn(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
-	if err := d.save(&consensus.Image{Whole: true}, 99); err != nil {
+	if err := d.save(&consensus.Image{Complete: true}, 99); err != nil {
 		t.Fatal(err)
 	}
 	if again, image, why := openAt(t, dir); again.member != 99 || !image.Empty() || why != nil {
@@ -110,21 +110,21 @@
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
-	_ = d.f.Close()
-	if err := d.save(&consensus.Image{Hard: []byte("h9")}, 0); err == nil {
+	_ = d.file.Close()
+	if err := d.save(&consensus.Image{HardState: []byte("h9")}, 0); err == nil {
 		t.Fatal("saved to a closed file")
 	}
-	if _, image, why := openAt(t, dir); why != nil || string(image.Hard) != "h2" {
+	if _, image, why := openAt(t, dir); why != nil || string(image.HardState) != "h2" {
 		t.Fatal(why, image)
 	}
 }
 
 func TestFrames(t *testing.T) {
-	good, err := (&frame{Fleet: "f", From: "a", To: "b", Gen: 3, Message: &node.Message{Ping: &node.Ping{From: "a", Seq: 7}}}).pack(nil, kindPeer)
+	good, err := (&frame{Fleet: "f", From: "a", To: "b", Generation: 3, Message: &node.Message{LeaseRequest: &node.LeaseRequest{From: "a", Seq: 7}}}).pack(nil, kindPeer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, kind, err := unpack(good); err != nil || kind != kindPeer || f.Message.Ping.Seq != 7 {
+	if f, kind, err := unpack(good); err != nil || kind != kindPeer || f.Message.LeaseRequest.Seq != 7 {
 		t.Fatal(f, kind, err)
 	}
 	for i := range good {
@@ -137,13 +137,13 @@
 			t.Errorf("cut at %d, and the frame is read", i)
 		}
 	}
-	if _, err := (&frame{Message: &node.Message{Raft: &node.Raft{Data: make([]byte, mostFrame)}}}).pack(nil, kindPeer); err == nil {
+	if _, err := (&frame{Message: &node.Message{Raft: &node.Raft{Data: make([]byte, maxFrameBytes)}}}).pack(nil, kindPeer); err == nil {
 		t.Error("a frame that no datagram holds is packed")
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	good, _ := (&frame{Fleet: "f", Message: &node.Message{Grant: &node.Grant{To: "a"}}}).pack(nil, kindPeer)
+	good, _ := (&frame{Fleet: "f", Message: &node.Message{LeaseGrant: &node.LeaseGrant{To: "a"}}}).pack(nil, kindPeer)
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if fr, _, err := unpack(b); err == nil && fr == nil {
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -131,8 +131,8 @@
 	return &c
 }
 
-// Stand is what the core is told: the document laid over the relay's own file.
-func (r *Rules) Stand(s node.Stand) (capture.Mandate, error) {
+// Mandate is what the core is told: the document laid over the relay's own file.
+func (r *Rules) Mandate(s node.Mandate) (capture.Mandate, error) {
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &r.cfg.Settings
 	for i := range set.Classes {
@@ -178,4 +178,4 @@
 	return out, nil
 }
 
-func wiped() *consensus.Image { return &consensus.Image{Whole: true} }
+func emptyImage() *consensus.Image { return &consensus.Image{Complete: true} }
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -18,28 +18,28 @@
 	GrantQuota(s control.SharedLimits, until time.Time, done func())
 }
 
-// sight is how a key stands at this relay.
-type sight struct {
+// observedKey is how a key stands at this relay.
+type observedKey struct {
 	name   string
 	tenant int // -1: a destination's
 	at     uint32
 }
 
-// looksEach is how often in a lease a relay's core is asked what it needs.
-const looksEach = 8
+// observationsPerLease is how often in a lease a relay's core is asked what it needs.
+const observationsPerLease = 8
 
-// look asks the core what it needs. The answer comes with an event, or not at all where this relay can't keep up.
-func (f *Fleet) look() {
+// observeCore asks the core what it needs. The answer comes with an event, or not at all where this relay can't keep up.
+func (f *Fleet) observeCore() {
 	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
-		needs, sights := needs(all)
-		f.sights.Store(&sights)
+		needs, sights := demandsOf(all)
+		f.observedKeys.Store(&sights)
 		counts := make(map[quota.Key]uint64, len(counted))
 		for _, name := range slices.Sorted(maps.Keys(counted)) {
 			if len(counts) < quota.MaxCounters { // the same ones each time
 				counts[quota.KeyOf(quota.Counter, name)] = counted[name]
 			}
 		}
-		for _, ev := range [...]node.Event{{Needs: &needs}, {Counts: &counts}} {
+		for _, ev := range [...]node.Event{{Demands: &needs}, {Counters: &counts}} {
 			select {
 			case f.events <- ev:
 			default:
@@ -48,12 +48,12 @@
 	})
 }
 
-// needs is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
-func needs(all []engine.Observation) ([]quota.Demand, map[quota.Key]sight) {
-	list, sights := make([]quota.Demand, 0, len(all)), make(map[quota.Key]sight, len(all))
+// demandsOf is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
+func demandsOf(all []engine.Observation) ([]quota.Demand, map[quota.Key]observedKey) {
+	list, sights := make([]quota.Demand, 0, len(all)), make(map[quota.Key]observedKey, len(all))
 	for _, s := range all {
 		n := quota.Demand{Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
-		at := sight{s.Name, -1, s.Endpoint}
+		at := observedKey{s.Name, -1, s.Endpoint}
 		if n.Key = quota.KeyOf(quota.Destination, s.Name); s.Endpoint == 0 {
 			n.Key, at.tenant = quota.KeyOf(quota.Tenant, s.Name), s.Tenant
 		}
@@ -72,51 +72,51 @@
 	return list, sights
 }
 
-// stands has the core stand as the fleet says. While it is halted it spends next to nothing, so that nothing is decided that would go out
+// setMandate has the core stand as the fleet says. While it is halted it spends next to nothing, so that nothing is decided that would go out
 // all at once afterwards: from the moment when it is halted, and until the last before it goes on.
-func (f *Fleet) stands(s node.Stand) {
+func (f *Fleet) setMandate(s node.Mandate) {
 	halted := s.Halted
 	if f.halted && halted == 0 {
 		f.halted = false
-		f.spend()
+		f.grantQuota()
 	}
-	f.stand(s, Times{f.begun}, func() {
+	f.applyMandate(s, Times{f.startedAt}, func() {
 		if halted != 0 {
-			f.tell(node.Event{Stopped: halted})
+			f.post(node.Event{HaltedFor: halted})
 		}
 	})
 	if !f.halted && halted != 0 {
 		f.halted = true
-		f.spend()
+		f.grantQuota()
 	}
 }
 
-// lend has the core go by what the fleet lends this relay.
-func (f *Fleet) lend(s *quota.Lease) {
-	f.lent, f.lentAt = s, f.now()
-	f.spend()
+// setLease has the core go by what the fleet lends this relay.
+func (f *Fleet) setLease(s *quota.Lease) {
+	f.lease, f.leaseAt = s, f.now()
+	f.grantQuota()
 }
 
-// spend tells the core what it may spend now of what this relay was lent last.
-func (f *Fleet) spend() {
-	s := f.lent
+// grantQuota tells the core what it may spend now of what this relay was lent last.
+func (f *Fleet) grantQuota() {
+	s := f.lease
 	if s == nil {
 		return
 	}
-	var sights map[quota.Key]sight
-	if known := f.sights.Load(); known != nil {
+	var sights map[quota.Key]observedKey
+	if known := f.observedKeys.Load(); known != nil {
 		sights = *known
 	}
-	out := shared(s, sights, f.now()-f.lentAt)
+	out := sharedLimits(s, sights, f.now()-f.leaseAt)
 	if f.halted {
 		out = engine.WithoutLease(out)
 	}
 	goes := [2]uint64{s.Term, s.Number}
-	f.core.GrantQuota(out, Times{f.begun}.At(s.Expires), func() { f.tell(node.Event{Goes: &goes}) })
+	f.core.GrantQuota(out, Times{f.startedAt}.At(s.Expires), func() { f.post(node.Event{ConfirmedLease: &goes}) })
 }
 
-// shared is what a relay was lent some time ago, as its core is told it.
-func shared(s *quota.Lease, sights map[quota.Key]sight, ago time.Duration) control.SharedLimits {
+// sharedLimits is what a relay was lent some time ago, as its core is told it.
+func sharedLimits(s *quota.Lease, sights map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
 	out := control.SharedLimits{GuaranteedShare: s.Minimum, KeepsGuaranteed: s.MinimumLasts}
 	for _, p := range s.Shares {
 		at, ok := sights[p.Key]
@@ -133,25 +133,25 @@
 	return out
 }
 
-// rights is what the core goes by, for operators.
-func (f *Fleet) rights() *node.Rights {
-	s := f.lent
+// quotaStatus is what the core goes by, for operators.
+func (f *Fleet) quotaStatus() *node.QuotaStatus {
+	s := f.lease
 	if s == nil {
 		return nil
 	}
-	r := &node.Rights{Loan: s.Number, Floor: s.Minimum, Left: max(s.Expires-f.now(), 0)}
-	sights := f.sights.Load()
+	r := &node.QuotaStatus{LeaseNumber: s.Number, Minimum: s.Minimum, Left: max(s.Expires-f.now(), 0)}
+	sights := f.observedKeys.Load()
 	for _, p := range s.Shares {
-		x := node.Right{Name: f.nameOf(sights, p.Key), Part: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), Try: p.MayProbe}
+		x := node.KeyQuota{Name: f.nameOf(sights, p.Key), Share: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), MayProbe: p.MayProbe}
 		if r.Left == 0 {
-			x.Part = s.Minimum
+			x.Share = s.Minimum
 		}
-		r.Parts = append(r.Parts, x)
+		r.Keys = append(r.Keys, x)
 	}
 	return r
 }
 
-func (f *Fleet) nameOf(sights *map[quota.Key]sight, k quota.Key) string {
+func (f *Fleet) nameOf(sights *map[quota.Key]observedKey, k quota.Key) string {
 	if sights != nil {
 		if at, ok := (*sights)[k]; ok && at.tenant >= 0 {
 			return "tenant " + at.name
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -24,7 +24,7 @@
 	done()
 }
 
-func (w *wordsToCore) stand(s node.Stand, _ Times, done func()) {
+func (w *wordsToCore) stand(s node.Mandate, _ Times, done func()) {
 	w.told = append(w.told, s)
 	done()
 }
@@ -34,10 +34,10 @@
 func TestHaltedSpends(t *testing.T) {
 	// Given
 	core := &wordsToCore{}
-	f := &Fleet{core: core, begun: time.Now(), events: make(chan node.Event, 9)}
-	f.stand = core.stand
+	f := &Fleet{core: core, startedAt: time.Now(), events: make(chan node.Event, 9)}
+	f.applyMandate = core.stand
 	key := quota.KeyOf(quota.Destination, "platform #0")
-	f.sights.Store(&map[quota.Key]sight{key: {"platform #0", -1, 7}})
+	f.observedKeys.Store(&map[quota.Key]observedKey{key: {"platform #0", -1, 7}})
 	loan := func(no uint64, extra float64) *quota.Lease {
 		return &quota.Lease{Term: 1, Number: no, Minimum: 0.1, Shares: []quota.KeyShare{{Key: key, Extra: extra}}, Expires: time.Hour}
 	}
@@ -47,16 +47,16 @@
 	resting := engine.WithoutLease(spends(0, 0, false))
 
 	// When
-	f.stands(node.Stand{Version: 1})
-	f.lend(loan(1, 0.5))
-	f.stands(node.Stand{Version: 1, Halted: 2})
-	f.lend(loan(2, 0.6))
-	f.stands(node.Stand{Version: 1, Halted: 2, Until: time.Minute})
-	f.stands(node.Stand{Version: 2})
+	f.setMandate(node.Mandate{Version: 1})
+	f.setLease(loan(1, 0.5))
+	f.setMandate(node.Mandate{Version: 1, Halted: 2})
+	f.setLease(loan(2, 0.6))
+	f.setMandate(node.Mandate{Version: 1, Halted: 2, Until: time.Minute})
+	f.setMandate(node.Mandate{Version: 2})
 
 	// Then
-	want := []any{node.Stand{Version: 1}, spends(0.1, 0.5, false), node.Stand{Version: 1, Halted: 2}, resting, resting,
-		node.Stand{Version: 1, Halted: 2, Until: time.Minute}, spends(0.1, 0.6, false), node.Stand{Version: 2}}
+	want := []any{node.Mandate{Version: 1}, spends(0.1, 0.5, false), node.Mandate{Version: 1, Halted: 2}, resting, resting,
+		node.Mandate{Version: 1, Halted: 2, Until: time.Minute}, spends(0.1, 0.6, false), node.Mandate{Version: 2}}
 	ages := cmp.FilterPath(func(p cmp.Path) bool { return p.Last().String() == ".LimitAge" || p.Last().String() == ".HealthAge" }, cmp.Ignore())
 	if d := cmp.Diff(want, core.told, ages); d != "" {
 		t.Error(d)
@@ -68,7 +68,7 @@
 	key := quota.KeyOf(quota.Destination, "platform #0")
 	lent := &quota.Lease{Minimum: 0.1, Shares: []quota.KeyShare{{Key: key, Extra: 0.5, Limit: 30, LimitAge: time.Second, State: quota.Down,
 		StateAge: 2 * time.Second, Wait: 300 * time.Millisecond, MayProbe: true}}}
-	sights := map[quota.Key]sight{key: {"platform #0", -1, 7}}
+	sights := map[quota.Key]observedKey{key: {"platform #0", -1, 7}}
 	for _, c := range []struct {
 		name             string
 		ago              time.Duration
@@ -82,7 +82,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			want := control.SharedLimits{GuaranteedShare: 0.1, Grants: []control.Grant{{Endpoint: 7, ExtraShare: 0.5, Limit: 30, LimitAge: c.told, Unhealthy: true, HealthAge: c.seen,
 				RetryAfter: c.wait, MayProbe: true}}}
-			if d := cmp.Diff(want, shared(lent, sights, c.ago)); d != "" {
+			if d := cmp.Diff(want, sharedLimits(lent, sights, c.ago)); d != "" {
 				t.Error(d)
 			}
 		})
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -27,7 +27,7 @@
 var updateFormat = flag.Bool("update-format", false, "write the golden files anew; only for a format that is meant to change")
 
 // formats are all that relays of a fleet send and store as CBOR: the golden file has a line for each.
-var formats = []any{&frame{}, &identity{}, &part{}, &node.Message{}, &node.Ask{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
+var formats = []any{&frame{}, &identity{}, &logRecord{}, &node.Message{}, &node.AdminRequest{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
 	&quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
 
 func goldenLines(t *testing.T) []string {
@@ -104,8 +104,8 @@
 // TestStoredFormat_ReadsTheFolderOfEarlierVersions starts on a copy of a folder whose log has two records.
 func TestStoredFormat_ReadsTheFolderOfEarlierVersions(t *testing.T) {
 	const folder = "testdata/folder"
-	image := &consensus.Image{Hard: []byte{8, 3, 16, 1, 24, 5}, Entries: [][]byte{{8, 0, 16, 3, 24, 5}}, Whole: true,
-		Memory: map[uint64]consensus.Position{7: {Term: 3, Last: 5}}}
+	image := &consensus.Image{HardState: []byte{8, 3, 16, 1, 24, 5}, Entries: [][]byte{{8, 0, 16, 3, 24, 5}}, Complete: true,
+		Remembered: map[uint64]consensus.LogPosition{7: {Term: 3, LastIndex: 5}}}
 	more := &consensus.Image{Entries: [][]byte{{8, 0, 16, 3, 24, 6}}}
 	if *updateFormat {
 		if err := os.RemoveAll(folder); err != nil {
@@ -121,7 +121,7 @@
 		if err := d.save(more, 0); err != nil {
 			t.Fatal(err)
 		}
-		_ = d.f.Close()
+		_ = d.file.Close()
 	}
 	dir := t.TempDir()
 	for _, name := range []string{identityName, logName} {
@@ -137,12 +137,12 @@
 	if err != nil || why != nil {
 		t.Fatal(err, why)
 	}
-	t.Cleanup(func() { _ = d.f.Close() })
-	if d.id.Fleet != "fleet one" || d.id.Gen != 2 || d.member != 41 {
+	t.Cleanup(func() { _ = d.file.Close() })
+	if d.id.Fleet != "fleet one" || d.id.Generation != 2 || d.member != 41 {
 		t.Errorf("identity %+v, member %d", d.id, d.member)
 	}
-	want := &consensus.Image{Hard: image.Hard, Entries: append(image.Entries, more.Entries...), Whole: true, Memory: image.Memory}
-	got.Whole = true
+	want := &consensus.Image{HardState: image.HardState, Entries: append(image.Entries, more.Entries...), Complete: true, Remembered: image.Remembered}
+	got.Complete = true
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/relay/fleet/policy/policy_test.go
+++ b/internal/relay/fleet/policy/policy_test.go
@@ -63,10 +63,10 @@
 		s := &State{Epoch: 1}
 		decided := map[uint64]bool{}
 		for i := range uint64(rapid.IntRange(1, 200).Draw(t, "commands")) {
-			c := &Command{Kind: Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0, s.Last+1).Draw(t, "version"),
+			c := &Command{Kind: CommandKind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0, s.LastVersion+1).Draw(t, "version"),
 				Doc: []byte{byte(i)}, Ticket: rapid.Uint64Range(0, 9).Draw(t, "ticket")}
 			if rapid.Bool().Draw(t, "drop") {
-				c.Why = "no"
+				c.DropReason = "no"
 			}
 			was := s.Clone()
 			s = s.Clone()
@@ -80,8 +80,8 @@
 			if s.Version < was.Version || s.Version != was.Version && !decided[s.Version] {
 				t.Fatalf("version %d is in force after %d, and was not decided", s.Version, was.Version)
 			}
-			if len(s.Past) > mostPast {
-				t.Fatalf("%d ends are kept", len(s.Past))
+			if len(s.PastChanges) > maxPastChanges {
+				t.Fatalf("%d ends are kept", len(s.PastChanges))
 			}
 			if again := s.Clone(); s.Change != nil && c.Kind == Propose && c.Ticket != 0 {
 				again.Apply(i+1, c)
--- a/internal/relay/fleet/policy/state.go
+++ b/internal/relay/fleet/policy/state.go
@@ -20,30 +20,30 @@
 	return [...]string{"none", "proposed", "checked", "decided"}[min(p, Decided)]
 }
 
-// Kind tells what a command does.
-type Kind uint8
+// CommandKind tells what a command does.
+type CommandKind uint8
 
 // The commands, in the order in which they make a change.
 const (
-	Found   Kind = iota + 1 // Roster: the fleet begins
-	Propose                 // Version (that it replaces), Doc, By
-	Check                   // Version, Yes, Excused: who could not act and was not asked
-	Decide                  // Version, Why: if it is not empty the change is dropped
-	Enforce                 // Version
-	Enlist                  // Roster
+	Bootstrap CommandKind = iota + 1 // Roster: the fleet begins
+	Propose                          // Version (that it replaces), Doc, By
+	Check                            // Version, Accepted, Excused: who could not act and was not asked
+	Decide                           // Version, DropReason: if it is not empty the change is dropped
+	Enforce                          // Version
+	SetRoster                        // Roster
 )
 
 // Command is one entry of the log. The fields' numbers are never given to another.
 type Command struct {
-	Kind    Kind     `cbor:"1,keyasint"`
-	Version uint64   `cbor:"2,keyasint,omitempty"`
-	Doc     []byte   `cbor:"3,keyasint,omitempty"`
-	By      string   `cbor:"4,keyasint,omitempty"`
-	Yes     []string `cbor:"5,keyasint,omitempty"`
-	Excused []string `cbor:"6,keyasint,omitempty"`
-	Why     string   `cbor:"7,keyasint,omitempty"`
-	Roster  []string `cbor:"8,keyasint,omitempty"`
-	Ticket  uint64   `cbor:"9,keyasint,omitempty"` // by which whoever proposed it finds it again
+	Kind       CommandKind `cbor:"1,keyasint"`
+	Version    uint64      `cbor:"2,keyasint,omitempty"`
+	Doc        []byte      `cbor:"3,keyasint,omitempty"`
+	By         string      `cbor:"4,keyasint,omitempty"`
+	Accepted   []string    `cbor:"5,keyasint,omitempty"`
+	Excused    []string    `cbor:"6,keyasint,omitempty"`
+	DropReason string      `cbor:"7,keyasint,omitempty"`
+	Roster     []string    `cbor:"8,keyasint,omitempty"`
+	Ticket     uint64      `cbor:"9,keyasint,omitempty"` // by which whoever proposed it finds it again
 }
 
 // Change is one that is under way.
@@ -57,39 +57,39 @@
 	Ticket  uint64   `cbor:"7,keyasint,omitempty"`
 }
 
-// Past is how a change ended.
-type Past struct {
-	Version uint64   `cbor:"1,keyasint" json:"version"` // 0: it never was one, another came first
-	Base    uint64   `cbor:"2,keyasint" json:"base"`
-	Digest  uint64   `cbor:"3,keyasint" json:"digest"`
-	By      string   `cbor:"4,keyasint,omitempty" json:"by"`
-	Why     string   `cbor:"5,keyasint,omitempty" json:"dropped_since,omitempty"` // empty: it has been in force
-	Excused []string `cbor:"6,keyasint,omitempty" json:"excused,omitempty"`
-	Ticket  uint64   `cbor:"7,keyasint,omitempty" json:"-"`
+// PastChanges is how a change ended.
+type PastChange struct {
+	Version    uint64   `cbor:"1,keyasint" json:"version"` // 0: it never was one, another came first
+	Base       uint64   `cbor:"2,keyasint" json:"base"`
+	Digest     uint64   `cbor:"3,keyasint" json:"digest"`
+	By         string   `cbor:"4,keyasint,omitempty" json:"by"`
+	DropReason string   `cbor:"5,keyasint,omitempty" json:"dropped_since,omitempty"` // empty: it has been in force
+	Excused    []string `cbor:"6,keyasint,omitempty" json:"excused,omitempty"`
+	Ticket     uint64   `cbor:"7,keyasint,omitempty" json:"-"`
 }
 
-// mostPast is how many ends of changes are kept: a thousand changes must not make the state grow.
+// maxPastChanges is how many ends of changes are kept: a thousand changes must not make the state grow.
 const (
-	mostPast = 32
-	mostLost = 8 // of them, that never were versions
+	maxPastChanges   = 32
+	maxLostProposals = 8 // of them, that never were versions
 )
 
 // State is what the fleet has agreed on. Version 0 is each relay's own file.
 type State struct {
-	Epoch   uint64            `cbor:"1,keyasint"` // grows where an operator goes on without a majority
-	Index   uint64            `cbor:"2,keyasint"` // of the last command in it
-	Version uint64            `cbor:"3,keyasint"` // in force
-	Doc     []byte            `cbor:"4,keyasint,omitempty"`
-	Last    uint64            `cbor:"5,keyasint"` // version given out last
-	Change  *Change           `cbor:"6,keyasint,omitempty"`
-	Past    []Past            `cbor:"7,keyasint,omitempty"`
-	Roster  []string          `cbor:"8,keyasint,omitempty"`
-	Former  []string          `cbor:"9,keyasint,omitempty"` // left the roster; they may still have a lease
-	Members map[uint64]string `cbor:"10,keyasint,omitempty"`
+	Epoch       uint64            `cbor:"1,keyasint"` // grows where an operator goes on without a majority
+	Index       uint64            `cbor:"2,keyasint"` // of the last command in it
+	Version     uint64            `cbor:"3,keyasint"` // in force
+	Doc         []byte            `cbor:"4,keyasint,omitempty"`
+	LastVersion uint64            `cbor:"5,keyasint"` // version given out last
+	Change      *Change           `cbor:"6,keyasint,omitempty"`
+	PastChanges []PastChange      `cbor:"7,keyasint,omitempty"`
+	Roster      []string          `cbor:"8,keyasint,omitempty"`
+	Former      []string          `cbor:"9,keyasint,omitempty"` // left the roster; they may still have a lease
+	Members     map[uint64]string `cbor:"10,keyasint,omitempty"`
 }
 
-// Newer tells whether s knows more than an epoch and index say.
-func (s *State) Newer(epoch, index uint64) bool {
+// NewerThan tells whether s knows more than an epoch and index say.
+func (s *State) NewerThan(epoch, index uint64) bool {
 	return s.Epoch > epoch || s.Epoch == epoch && s.Index > index
 }
 
@@ -102,12 +102,12 @@
 	s.Index = index
 	under := func(p Phase) bool { return s.Change != nil && s.Change.Version == c.Version && s.Change.Phase == p }
 	switch c.Kind {
-	case Found:
+	case Bootstrap:
 		if len(s.Roster) == 0 {
 			s.Roster = slices.Sorted(slices.Values(c.Roster))
 		}
 	case Propose:
-		if s.seen(c.Ticket) {
+		if s.knowsTicket(c.Ticket) {
 			return // the same, handed in once more since the answer was lost
 		}
 		if s.Change != nil || c.Version != s.Version {
@@ -115,11 +115,11 @@
 			if s.Change != nil {
 				why = fmt.Sprintf("version %d has been proposed before", s.Change.Version)
 			}
-			s.past(Past{Base: c.Version, Digest: Digest(c.Doc), By: c.By, Why: why, Ticket: c.Ticket})
+			s.recordPastChange(PastChange{Base: c.Version, Digest: Digest(c.Doc), By: c.By, DropReason: why, Ticket: c.Ticket})
 			return
 		}
-		s.Last++
-		s.Change = &Change{Version: s.Last, Base: c.Version, Doc: c.Doc, By: c.By, Phase: Proposed, Ticket: c.Ticket}
+		s.LastVersion++
+		s.Change = &Change{Version: s.LastVersion, Base: c.Version, Doc: c.Doc, By: c.By, Phase: Proposed, Ticket: c.Ticket}
 	case Check:
 		if under(Proposed) {
 			s.Change = &Change{Version: s.Change.Version, Base: s.Change.Base, Doc: s.Change.Doc, By: s.Change.By,
@@ -127,9 +127,9 @@
 		}
 	case Decide:
 		switch {
-		case c.Why != "" && (under(Proposed) || under(Checked)):
-			s.end(c.Why)
-		case c.Why == "" && under(Checked):
+		case c.DropReason != "" && (under(Proposed) || under(Checked)):
+			s.finishChange(c.DropReason)
+		case c.DropReason == "" && under(Checked):
 			ch := *s.Change
 			ch.Phase = Decided
 			s.Change = &ch
@@ -137,9 +137,9 @@
 	case Enforce:
 		if under(Decided) {
 			s.Version, s.Doc = s.Change.Version, s.Change.Doc
-			s.end("")
+			s.finishChange("")
 		}
-	case Enlist:
+	case SetRoster:
 		for _, name := range s.Roster {
 			if !slices.Contains(c.Roster, name) && !slices.Contains(s.Former, name) {
 				s.Former = append(slices.Clone(s.Former), name)
@@ -150,31 +150,31 @@
 	}
 }
 
-// seen tells whether a proposal of that ticket has been taken in. 0 is no ticket.
-func (s *State) seen(ticket uint64) bool {
+// knowsTicket tells whether a proposal of that ticket has been taken in. 0 is no ticket.
+func (s *State) knowsTicket(ticket uint64) bool {
 	return ticket != 0 && (s.Change != nil && s.Change.Ticket == ticket ||
-		slices.ContainsFunc(s.Past, func(p Past) bool { return p.Ticket == ticket }))
+		slices.ContainsFunc(s.PastChanges, func(p PastChange) bool { return p.Ticket == ticket }))
 }
 
-func (s *State) end(why string) {
+func (s *State) finishChange(why string) {
 	c := s.Change
-	s.past(Past{Version: c.Version, Base: c.Base, Digest: Digest(c.Doc), By: c.By, Why: why, Excused: c.Excused, Ticket: c.Ticket})
+	s.recordPastChange(PastChange{Version: c.Version, Base: c.Base, Digest: Digest(c.Doc), By: c.By, DropReason: why, Excused: c.Excused, Ticket: c.Ticket})
 	s.Change = nil
 }
 
-func (s *State) past(p Past) {
-	s.Past = append(slices.Clone(s.Past), p)
+func (s *State) recordPastChange(p PastChange) {
+	s.PastChanges = append(slices.Clone(s.PastChanges), p)
 	lost := 0 // those that came too late must not crowd out those that were versions
-	for i := len(s.Past) - 1; i >= 0; i-- {
-		if s.Past[i].Version != 0 {
+	for i := len(s.PastChanges) - 1; i >= 0; i-- {
+		if s.PastChanges[i].Version != 0 {
 			continue
 		}
-		if lost++; lost > mostLost {
-			s.Past = slices.Delete(s.Past, i, i+1)
+		if lost++; lost > maxLostProposals {
+			s.PastChanges = slices.Delete(s.PastChanges, i, i+1)
 		}
 	}
-	if n := len(s.Past); n > mostPast {
-		s.Past = s.Past[n-mostPast:]
+	if n := len(s.PastChanges); n > maxPastChanges {
+		s.PastChanges = s.PastChanges[n-maxPastChanges:]
 	}
 }
 
--- a/internal/relay/fleet/simulation/case_test.go
+++ b/internal/relay/fleet/simulation/case_test.go
@@ -67,9 +67,9 @@
 	last := w.Relays[4]
 	last.rate = 1 - o.Drift
 	w.Run(5 * time.Second)
-	until := last.Node.Status().Lease
+	until := last.Node.Status().LeaseLeft
 	if !w.Await(2*time.Second, func() bool {
-		l := last.Node.Status().Lease
+		l := last.Node.Status().LeaseLeft
 		renewed := l > until
 		until = l
 		return renewed
@@ -155,8 +155,8 @@
 	if !w.Await(10*o.Lease, func() bool { _, ok := w.End(ticket); return ok }) {
 		t.Fatal("the change does not end")
 	}
-	if p, _ := w.End(ticket); p.Why != "r2: key plugins.x: no plug-in of that name runs here" {
-		t.Errorf("it ended with %q", p.Why)
+	if p, _ := w.End(ticket); p.DropReason != "r2: key plugins.x: no plug-in of that name runs here" {
+		t.Errorf("it ended with %q", p.DropReason)
 	}
 	w.Run(time.Second)
 	if !w.AllUnder(0) {
@@ -212,7 +212,7 @@
 		w.Run(o.Lease / 4)
 		for _, g := range w.Relays[:3] { // an answer to a former life, as if to this one's first pings
 			for seq := range uint64(400) {
-				w.tell(r, node.Event{From: g.Name, Message: &node.Message{Grant: &node.Grant{To: r.Name, Gen: 1, Life: 7, Seq: seq,
+				w.tell(r, node.Event{From: g.Name, Message: &node.Message{LeaseGrant: &node.LeaseGrant{To: r.Name, Generation: 1, Incarnation: 7, Seq: seq,
 					Lease: 50 * o.Lease, Epoch: 1}}})
 			}
 		}
@@ -320,10 +320,10 @@
 	w.Crash(w.Relays[0])
 	w.Crash(w.Relays[1])
 	w.Run(4 * o.Lease)
-	if w.Relays[3].Node.Status().Acts {
+	if w.Relays[3].Node.Status().MayAct {
 		t.Fatal("a relay acts without a majority")
 	}
-	w.Ask(w.Relays[2], node.Ask{Op: "force"})
+	w.Ask(w.Relays[2], node.AdminRequest{Op: "force"})
 	if !w.Await(10*o.Lease, func() bool { return w.AllUnder(1) }) {
 		t.Fatal("the fleet does not go on")
 	}
@@ -358,7 +358,7 @@
 		}
 		most = max(most, size())
 	}
-	if n := len(w.Relays[3].Node.Status().State.Past); n > 32 || most > 64<<10 {
+	if n := len(w.Relays[3].Node.Status().State.PastChanges); n > 32 || most > 64<<10 {
 		t.Errorf("%d ends are kept, and the log had up to %d bytes", n, most)
 	}
 	judge(t, w)
@@ -373,12 +373,12 @@
 	w.Crash(w.Relays[0])
 	w.Start(w.Relays[0]) // with a file that names four
 	w.Run(4 * o.Lease)
-	w.Ask(w.Relays[0], node.Ask{Op: "roster"})
+	w.Ask(w.Relays[0], node.AdminRequest{Op: "roster"})
 	gone := w.Relays[4]
-	if !w.Await(10*o.Lease, func() bool { return !gone.Node.Status().Acts }) {
+	if !w.Await(10*o.Lease, func() bool { return !gone.Node.Status().MayAct }) {
 		t.Fatal("a relay acts that has left the roster")
 	}
-	if why := gone.Node.Status().Why; why != "it is not on the roster" {
+	if why := gone.Node.Status().WhyNot; why != "it is not on the roster" {
 		t.Errorf("it says %q", why)
 	}
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -81,7 +81,7 @@
 		w.Run(8 * w.Lease)
 		p, over := w.End(ticket)
 		// The proposal itself may have been lost; one that was taken must end.
-		stuck := !over && w.Relays[0].Node.Status().State.Change != nil || over && p.Why == "" && !w.AllUnder(p.Version) || !over && !w.AllUnder(0)
+		stuck := !over && w.Relays[0].Node.Status().State.Change != nil || over && p.DropReason == "" && !w.AllUnder(p.Version) || !over && !w.AllUnder(0)
 		if sum := 0.0; shares {
 			for _, r := range w.Relays {
 				sum += w.May(r, 1)
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -179,22 +179,22 @@
 			all = append(all, final)
 		}
 		p, done := w.End(final.ticket)
-		if done && p.Why != "" { // another was still under way
+		if done && p.DropReason != "" { // another was still under way
 			final.ticket = 0
 		}
-		return done && p.Why == "" && w.AllUnder(p.Version)
+		return done && p.DropReason == "" && w.AllUnder(p.Version)
 	})
 	if !ok {
 		r.Stuck = "all is well again, and no change takes hold"
 		for _, x := range w.Relays {
 			st := x.Node.Status()
-			r.Stuck += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", x.Name, st.Acts, st.Why,
+			r.Stuck += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", x.Name, st.MayAct, st.WhyNot,
 				st.Voter, st.Leader, st.State.Epoch, st.State.Index, st.State.Version, st.State.Change, st.Progress)
 		}
 	}
 	for _, p := range all {
 		e := checker.Entry{At: p.at, Until: w.Now, Kind: checker.Proposed, Base: p.base}
-		if end, done := w.End(p.ticket); done && end.Why == "" {
+		if end, done := w.End(p.ticket); done && end.DropReason == "" {
 			e.Version = end.Version
 			r.Held++
 		}
--- a/internal/relay/fleet/simulation/scale.go
+++ b/internal/relay/fleet/simulation/scale.go
@@ -52,7 +52,7 @@
 	w.sized = func(from, to *Relay, bytes int) {
 		all += 2 * int64(bytes)
 		for _, r := range [2]*Relay{from, to} {
-			if r.Node != nil && r.Node.Leads() {
+			if r.Node != nil && r.Node.IsLeader() {
 				lead += int64(bytes)
 			}
 		}
@@ -66,7 +66,7 @@
 	f.Steps = float64(w.Steps-steps) / span.Seconds() / float64(n)
 	f.StepCost = float64(cost.Microseconds()) / float64(max(w.Steps-steps, 1))
 	for _, r := range w.Relays[n-(n+9)/10:] {
-		if !r.Node.Leads() {
+		if !r.Node.IsLeader() {
 			w.Crash(r)
 		}
 	}
--- a/internal/relay/fleet/simulation/share.go
+++ b/internal/relay/fleet/simulation/share.go
@@ -19,7 +19,7 @@
 	}
 	if !r.Slow && w.Needs != nil {
 		all := w.Needs(w, r)
-		w.tell(r, node.Event{Needs: &all})
+		w.tell(r, node.Event{Demands: &all})
 	}
 	w.After(needsEvery, func() { w.needs(r, life) })
 }
--- a/internal/relay/fleet/simulation/share_test.go
+++ b/internal/relay/fleet/simulation/share_test.go
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if odd := w.leader(t).Node.Status().Odd; odd["r6"] == 0 || len(odd) != 1 {
+	if odd := w.leader(t).Node.Status().Contradictions; odd["r6"] == 0 || len(odd) != 1 {
 		t.Errorf("at odds with the others: %v", odd)
 	}
 	judge(t, w)
@@ -235,7 +235,7 @@
 			r := w.Relays[d.IntN(len(w.Relays))]
 			if d.IntN(2) == 0 {
 				for _, x := range w.Relays {
-					if x.Node != nil && x.Node.Leads() {
+					if x.Node != nil && x.Node.IsLeader() {
 						r = x
 					}
 				}
@@ -309,7 +309,7 @@
 			w.Crash(w.Relays[0])
 			w.Start(w.Relays[0]) // with another file
 			w.Run(4 * o.Lease)
-			w.Ask(w.Relays[0], node.Ask{Op: "roster"})
+			w.Ask(w.Relays[0], node.AdminRequest{Op: "roster"})
 			w.Run(5 * o.Lease)
 		}
 		enlist(w.names(5))
--- a/internal/relay/fleet/simulation/sim.go
+++ b/internal/relay/fleet/simulation/sim.go
@@ -74,7 +74,7 @@
 	No      int
 	Node    *node.Node
 	Lives   int
-	Stand   node.Stand
+	Stand   node.Mandate
 	Asked   []*node.Status
 	Slow    bool // it is stopped (SIGSTOP)
 	Members []uint64
@@ -104,15 +104,15 @@
 	if member != 0 {
 		d.member = member
 	}
-	if image.Whole {
-		d.image = consensus.Image{Hard: image.Hard, Snapshot: image.Snapshot, Entries: slices.Clone(image.Entries), Memory: image.Memory}
+	if image.Complete {
+		d.image = consensus.Image{HardState: image.HardState, Snapshot: image.Snapshot, Entries: slices.Clone(image.Entries), Remembered: image.Remembered}
 		return
 	}
-	if len(image.Hard) > 0 {
-		d.image.Hard = image.Hard
+	if len(image.HardState) > 0 {
+		d.image.HardState = image.HardState
 	}
-	if image.Memory != nil {
-		d.image.Memory = image.Memory
+	if image.Remembered != nil {
+		d.image.Remembered = image.Remembered
 	}
 	d.image.Entries = append(d.image.Entries, image.Entries...)
 }
@@ -150,7 +150,7 @@
 	for _, r := range w.Relays {
 		w.Start(r)
 	}
-	w.Ask(w.Relays[0], node.Ask{Op: "found"})
+	w.Ask(w.Relays[0], node.AdminRequest{Op: "found"})
 	return w
 }
 
@@ -197,9 +197,9 @@
 func (w *World) Start(r *Relay) {
 	r.disk.gen++
 	r.Lives++
-	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Stand{}, quota.Lease{}, nil, -1, false
-	cfg := node.Config{Name: r.Name, Gen: r.disk.gen, Life: w.rng.Uint64() | 1, Seed: w.rng.Uint64(), Member: r.disk.member, Voters: w.names(w.Voters),
-		Roster: w.names(w.Options.Relays), Lease: w.Lease, Drift: w.Drift, Serve: w.Serve, Kept: w.Kept, Zone: r.No % max(w.Zones, 1)}
+	r.Stand, r.Spend, r.waiting, r.crashIn, r.Slow = node.Mandate{}, quota.Lease{}, nil, -1, false
+	cfg := node.Config{Name: r.Name, Generation: r.disk.gen, Incarnation: w.rng.Uint64() | 1, Seed: w.rng.Uint64(), Member: r.disk.member, Voters: w.names(w.Voters),
+		Roster: w.names(w.Options.Relays), Lease: w.Lease, MaxClockDrift: w.Drift, ServeWhenPartitioned: w.Serve, GuaranteedShare: w.Kept, Zone: r.No % max(w.Zones, 1)}
 	if w.roster != nil {
 		cfg.Roster = w.roster
 	}
@@ -301,9 +301,9 @@
 }
 
 // Ask puts an operator's word to a relay.
-func (w *World) Ask(r *Relay, a node.Ask) {
+func (w *World) Ask(r *Relay, a node.AdminRequest) {
 	if r.Node != nil {
-		w.tell(r, node.Event{Ask: &a})
+		w.tell(r, node.Event{AdminRequest: &a})
 	}
 }
 
@@ -343,7 +343,7 @@
 			}
 		}
 		if r.Full && a.Save != nil {
-			w.tell(r, node.Event{Broken: errors.New("no space left")})
+			w.tell(r, node.Event{SaveFailed: errors.New("no space left")})
 			return
 		}
 		if r == w.unsaved && a.Save != nil && len(a.Save.Entries) > 0 {
@@ -371,31 +371,31 @@
 	switch {
 	case a.Save != nil:
 		r.disk.save(a.Save, a.Member)
-	case a.Gen != 0:
-		r.disk.gen = a.Gen
+	case a.Generation != 0:
+		r.disk.gen = a.Generation
 	case a.Message != nil:
 		w.send(r, w.byName[a.To], a.Message)
 	case a.Check != nil:
 		v := &node.Verdict{Version: a.Check.Version}
 		if w.Applies != nil {
 			if err := w.Applies(r.Name, r.Lives, a.Check.Doc); err != nil {
-				v.No = err.Error()
+				v.Reason = err.Error()
 			}
 		}
 		later(node.Event{Verdict: v})
-	case a.Stand != nil:
-		r.Stand = *a.Stand
-		if h := a.Stand.Halted; h != 0 {
-			later(node.Event{Stopped: h})
+	case a.Mandate != nil:
+		r.Stand = *a.Mandate
+		if h := a.Mandate.Halted; h != 0 {
+			later(node.Event{HaltedFor: h})
 		}
 		w.words(r)
-	case a.Spend != nil:
-		s := *a.Spend
+	case a.Lease != nil:
+		s := *a.Lease
 		w.After(time.Millisecond, func() { // the core's turn
 			if r.Node == life {
 				r.Spend = s
 				w.spent(r)
-				w.tell(r, node.Event{Goes: &[2]uint64{s.Term, s.Number}})
+				w.tell(r, node.Event{ConfirmedLease: &[2]uint64{s.Term, s.Number}})
 			}
 		})
 	case a.Log != "":
@@ -410,9 +410,9 @@
 
 // words notes what a relay says of the versions that are over.
 func (w *World) words(r *Relay) {
-	for _, p := range r.Node.Status().State.Past {
+	for _, p := range r.Node.Status().State.PastChanges {
 		if p.Version != 0 {
-			w.note(checker.Entry{Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
+			w.note(checker.Entry{Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
 		}
 	}
 }
@@ -440,10 +440,10 @@
 		if w.rng.Float64() < w.Twice { // long under way, behind others
 			d += time.Duration(w.rng.Int64N(int64(2 * w.Lease)))
 		}
-		if to == w.slowTo && m.Push != nil {
+		if to == w.slowTo && m.StateUpdate != nil {
 			return
 		}
-		if to == w.slowTo && m.Grant != nil {
+		if to == w.slowTo && m.LeaseGrant != nil {
 			d += w.Lease * 3 / 4
 		}
 		arrive := func() {
@@ -465,23 +465,23 @@
 // Propose hands a change in at a relay and returns its ticket.
 func (w *World) Propose(r *Relay, base uint64, doc string) uint64 {
 	t := w.rng.Uint64() | 1
-	w.Ask(r, node.Ask{Op: "propose", Version: base, Doc: []byte(doc), By: "sim", Ticket: t})
+	w.Ask(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "sim", Ticket: t})
 	return t
 }
 
 // End is how the change of a ticket ended, by what any relay knows; false: it has not.
-func (w *World) End(ticket uint64) (policy.Past, bool) {
+func (w *World) End(ticket uint64) (policy.PastChange, bool) {
 	for _, r := range w.Relays {
 		if r.Node == nil {
 			continue
 		}
-		for _, p := range r.Node.Status().State.Past {
+		for _, p := range r.Node.Status().State.PastChanges {
 			if p.Ticket == ticket {
 				return p, true
 			}
 		}
 	}
-	return policy.Past{}, false
+	return policy.PastChange{}, false
 }
 
 // AllUnder tells whether every relay that runs acts under a version.
--- a/internal/relay/fleet/simulation/sim_test.go
+++ b/internal/relay/fleet/simulation/sim_test.go
@@ -38,7 +38,7 @@
 		t.Fatal("not in force")
 	}
 	t.Log("in force after", w.Now-at)
-	if p, ok := w.End(ticket); !ok || p.Why != "" {
+	if p, ok := w.End(ticket); !ok || p.DropReason != "" {
 		t.Fatal(p, ok)
 	}
 }
--- a/internal/relay/fleet/simulation/step_test.go
+++ b/internal/relay/fleet/simulation/step_test.go
@@ -54,7 +54,7 @@
 					w.Start(r)
 				}
 				version := uint64(0)
-				if over && end.Why == "" {
+				if over && end.DropReason == "" {
 					version = end.Version
 				}
 				if !w.Await(10*o.Lease, func() bool { return w.AllUnder(version) }) {
@@ -106,13 +106,13 @@
 	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Stand.Version == 1 }) {
 		t.Fatal("the change waits for ever")
 	}
-	if !r.Node.Status().Acts || r.Stand.Version != 0 {
+	if !r.Node.Status().MayAct || r.Stand.Version != 0 {
 		t.Errorf("the one cut off: %+v", r.Stand)
 	}
 	w.Crash(r)
 	w.Start(r)
 	w.Run(3 * o.Lease)
-	if r.Node.Status().Acts {
+	if r.Node.Status().MayAct {
 		t.Error("a relay acts that has heard of no policy in this life")
 	}
 	w.Heal()
@@ -141,8 +141,8 @@
 				}
 			}
 		}
-		if st := r.Node.Status(); !strings.Contains(st.Voter, "no space left") || !st.Acts {
-			t.Errorf("leader %v: it says %q, and acts: %v", lead, st.Voter, st.Acts)
+		if st := r.Node.Status(); !strings.Contains(st.Voter, "no space left") || !st.MayAct {
+			t.Errorf("leader %v: it says %q, and acts: %v", lead, st.Voter, st.MayAct)
 		}
 		w.Crash(r)
 		r.Full = false
--- a/internal/relay/fleet/testcluster/cost.go
+++ b/internal/relay/fleet/testcluster/cost.go
@@ -52,7 +52,7 @@
 			}
 		}
 	} else {
-		if st, err := f.Ask(f.Relays[0], node.Ask{Op: "found"}, patience); err != nil || st.Error != "" {
+		if st, err := f.Ask(f.Relays[0], node.AdminRequest{Op: "found"}, patience); err != nil || st.Error != "" {
 			return nil, fmt.Errorf("the fleet can't be founded: %v %w", st, err)
 		}
 		if !f.Await(patience, func() bool { return f.Act(0) && f.voters() == plan.Voters }) {
--- a/internal/relay/fleet/testcluster/count.go
+++ b/internal/relay/fleet/testcluster/count.go
@@ -25,11 +25,11 @@
 	f.mu.Unlock()
 	exact := lives == len(f.Relays)
 	say := func(r *Relay) int {
-		st, err := f.Ask(r, node.Ask{Op: "counts"}, 2*time.Second)
-		if err != nil || st.Sums == nil {
+		st, err := f.Ask(r, node.AdminRequest{Op: "counts"}, 2*time.Second)
+		if err != nil || st.Totals == nil {
 			return -1
 		}
-		n, err := quota.DecodeCounters(st.Sums.Counters)
+		n, err := quota.DecodeCounters(st.Totals.Counters)
 		if err != nil {
 			return -1
 		}
--- a/internal/relay/fleet/testcluster/play.go
+++ b/internal/relay/fleet/testcluster/play.go
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 	}
-	if st, err := f.Ask(f.Relays[0], node.Ask{Op: "found"}, patience); err != nil || st.Error != "" {
+	if st, err := f.Ask(f.Relays[0], node.AdminRequest{Op: "found"}, patience); err != nil || st.Error != "" {
 		return nil, fmt.Errorf("the fleet can't be founded: %v %v", st, err)
 	}
 	if !f.Await(patience, func() bool { return f.Act(0) }) {
@@ -210,15 +210,15 @@
 // standing is what each relay says of itself.
 func (f *Fleet) standing() (s string) {
 	for _, r := range f.Relays {
-		st, err := f.Ask(r, node.Ask{Op: "status"}, time.Second)
+		st, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second)
 		if err != nil {
 			s += fmt.Sprintf("\n%s: %v", r.Name, err)
 			continue
 		}
-		s += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, st.Acts, st.Why,
+		s += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, st.MayAct, st.WhyNot,
 			st.Voter, st.Leader, st.State.Epoch, st.State.Index, st.State.Version, st.State.Change, st.Progress)
-		if st.Rights != nil {
-			s += fmt.Sprintf(", rights %+v, of all %+v", *st.Rights, st.Shared)
+		if st.Quota != nil {
+			s += fmt.Sprintf(", rights %+v, of all %+v", *st.Quota, st.Shared)
 		}
 	}
 	return s
@@ -274,13 +274,13 @@
 
 // least is a relay's smallest part of a partner's limit that it has a part of.
 func (f *Fleet) least(r *Relay) float64 {
-	s, err := f.Ask(r, node.Ask{Op: "status"}, time.Second)
-	if err != nil || s.Rights == nil || len(s.Rights.Parts) < partners {
+	s, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second)
+	if err != nil || s.Quota == nil || len(s.Quota.Keys) < partners {
 		return 0
 	}
 	least := 1.0
-	for _, p := range s.Rights.Parts {
-		least = min(least, p.Part)
+	for _, p := range s.Quota.Keys {
+		least = min(least, p.Share)
 	}
 	return least
 }
--- a/internal/relay/fleet/testcluster/rig.go
+++ b/internal/relay/fleet/testcluster/rig.go
@@ -361,7 +361,7 @@
 }
 
 // Ask puts a question to a relay, for a while.
-func (f *Fleet) Ask(r *Relay, q node.Ask, within time.Duration) (*node.Status, error) {
+func (f *Fleet) Ask(r *Relay, q node.AdminRequest, within time.Duration) (*node.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	st, err := peer.Ask(ctx, f.asks[r.Name], q)
@@ -376,16 +376,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.now()
-	for _, p := range st.State.Past {
+	for _, p := range st.State.PastChanges {
 		for i := range f.changes {
 			if c := &f.changes[i]; c.ticket == p.Ticket && !c.over {
-				if c.over, c.until = true, at; p.Why == "" {
+				if c.over, c.until = true, at; p.DropReason == "" {
 					c.version = p.Version
 				}
 			}
 		}
 		if p.Version != 0 {
-			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.Why != ""})
+			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
 		}
 	}
 }
@@ -408,8 +408,8 @@
 		if !r.Running() {
 			continue
 		}
-		st, err := f.Ask(r, node.Ask{Op: "status"}, time.Second)
-		if err != nil || !st.Acts || version != 0 && st.State.Version != version {
+		st, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second)
+		if err != nil || !st.MayAct || version != 0 && st.State.Version != version {
 			return false
 		}
 	}
--- a/internal/relay/fleet/testcluster/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -29,7 +29,7 @@
 		if name == "" {
 			return r
 		}
-		if st, err := f.Ask(r, node.Ask{Op: "status"}, 300*time.Millisecond); err == nil && st.Voter == "leads" {
+		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, 300*time.Millisecond); err == nil && st.Voter == "leads" {
 			return r
 		}
 	}
@@ -38,7 +38,7 @@
 
 func (f *Fleet) voters() (n int) {
 	for _, r := range f.Relays[:f.plan.Voters] {
-		if st, err := f.Ask(r, node.Ask{Op: "status"}, time.Second); err == nil && (st.Voter == "leads" || st.Voter == "votes") {
+		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second); err == nil && (st.Voter == "leads" || st.Voter == "votes") {
 			n++
 		}
 	}
@@ -51,7 +51,7 @@
 		if !r.Running() {
 			continue
 		}
-		if st, err := f.Ask(r, node.Ask{Op: "status"}, 300*time.Millisecond); err == nil && st.State.Version >= version {
+		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, 300*time.Millisecond); err == nil && st.State.Version >= version {
 			version, open = st.State.Version, st.State.Change != nil
 		}
 	}
@@ -75,7 +75,7 @@
 		if !r.Running() {
 			continue
 		}
-		_, _ = f.Ask(r, node.Ask{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: c.ticket}, 500*time.Millisecond)
+		_, _ = f.Ask(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: c.ticket}, 500*time.Millisecond)
 		if told++; told == 2 {
 			return
 		}
@@ -155,7 +155,7 @@
 				if !r.Running() {
 					continue
 				}
-				if s, err := f.Ask(r, node.Ask{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil && s.State.Change.Phase.String() >= st.Phase {
+				if s, err := f.Ask(r, node.AdminRequest{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil && s.State.Change.Phase.String() >= st.Phase {
 					return true
 				}
 			}
@@ -196,8 +196,8 @@
 		}
 	case "verdict": // it takes some partner for what is told in phase
 		if !f.Await(patience, func() bool {
-			s, err := f.Ask(r, node.Ask{Op: "status"}, time.Second)
-			return err == nil && s.Rights != nil && slices.ContainsFunc(s.Rights.Parts, func(p node.Right) bool { return p.State == st.Phase })
+			s, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second)
+			return err == nil && s.Quota != nil && slices.ContainsFunc(s.Quota.Keys, func(p node.KeyQuota) bool { return p.State == st.Phase })
 		}) {
 			return fmt.Errorf("%s takes no partner for %s", r.Name, st.Phase)
 		}
@@ -253,7 +253,7 @@
 		}
 	case "force":
 		f.fault("force", "force at "+r.Name)
-		st, err := f.Ask(r, node.Ask{Op: "force"}, patience)
+		st, err := f.Ask(r, node.AdminRequest{Op: "force"}, patience)
 		if err != nil || st.Error != "" {
 			return fmt.Errorf("%s can't go on without a majority: %v %w", r.Name, st, err)
 		}
