--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A store that is nearly full gives up what is worth least, at once, with a hold-off.
+// A store that is nearly full refuses the message of least value, at once, with the time after which to come again.
 func TestLoadShedding_FullStore_ShedsLowestValue(t *testing.T) {
 	set := settings()
 	set.MaxOpen, set.Slots = 20, 2
@@ -25,7 +25,7 @@
 	}
 }
 
-// What one tenant sends beyond its share is refused before what another sends within its own, and is sent after it.
+// What one tenant sends beyond its quota is refused before what another sends within its own, and is sent after it.
 func TestLoadShedding_BeyondQuota_IsShedFirst(t *testing.T) {
 	set := settings()
 	set.MaxOpen, set.Slots = 20, 2
@@ -55,7 +55,7 @@
 	}
 }
 
-// A share counts from when a client sent a message: what was held over a restart comes all at once, and is no flood.
+// A quota counts from when a client sent a message: what was kept over a restart comes all at once, and is no flood.
 func TestQuota_KeptMessages_CountFromSending(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -74,7 +74,7 @@
 			}
 			r.step(evs...)
 			over := 0
-			for _, m := range r.s.messages {
+			for _, m := range r.sender.messages {
 				if m.value < m.class.Value {
 					over++
 				}
@@ -86,7 +86,7 @@
 	}
 }
 
-// Messages of no tenant, or of one that the settings do not name, are worth what their class is.
+// Messages of no tenant, or of one that the settings do not name, have the value of their class.
 func TestQuota_NoTenant_KeepsValue(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Quota: 0}}
@@ -101,7 +101,7 @@
 			r.step(Event{Kind: Arrived, ID: 9, Deadline: ev.Deadline})
 			ev.ID = 9
 		}
-		if m := r.s.messages[ev.ID]; m == nil || m.value != want {
+		if m := r.sender.messages[ev.ID]; m == nil || m.value != want {
 			t.Errorf("tenant %d: %+v, want a worth of %v", tenant, m, want)
 		}
 	}
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A number out of range is no place in a fleet.
+// The own number must be one of those of the senders.
 func TestNew_IndexOutOfRange_Fails(t *testing.T) {
 	for _, me := range []int{-1, 2} {
 		set := settings()
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -32,13 +32,13 @@
 	}
 }
 
-// Where an endpoint takes few connections a failed connect is no outage: alone it does not stop a destination,
+// Where an endpoint takes few connections a failed connect is no outage: alone it does not eject a route,
 // the message goes again after a moment, and idle connections of that kind are closed at once and from then on.
 func TestFailedConnect_Alone_DoesNotEject(t *testing.T) {
 	set := settings()
 	set.ConnIdle = 15 * time.Second
 	r := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
-	r.warm(20, 100*ms) // keeps its connection to endpoint 1
+	r.deliver(20, 100*ms) // keeps its connection to endpoint 1
 	r.wait(5 * time.Second)
 	ev := r.arrive(1, 2)
 	ev.Destination = 1
@@ -47,21 +47,21 @@
 	if got := actionsOf(acts, Close); len(actionsOf(acts, Send)) != 0 || !slices.ContainsFunc(got, func(a Action) bool { return a.Endpoint == 1 }) {
 		t.Errorf("after a failed connect: %v, want the idle connection closed and a moment's rest", acts)
 	}
-	if d := r.s.destinations[1].routes[0]; d.health != healthy {
+	if d := r.sender.destinations[1].routes[0]; d.health != healthy {
 		t.Errorf("one failed connect: %s", healthText[d.health])
 	}
 	if got := actionsOf(r.wait(toDuration(1.5*initialRetryGap)), Send); len(got) != 1 {
 		t.Fatalf("after a moment: %v, want one further try", got)
 	}
-	if r.step(outcome(1, 1, 2, NoConnection)); r.s.destinations[1].routes[0].health != ejected {
+	if r.step(outcome(1, 1, 2, NoConnection)); r.sender.destinations[1].routes[0].health != ejected {
 		t.Error("two failed connects in a row did not stop it")
 	}
-	// One that got no answer at all for long is no full table: where routes are apart, each would be taken by
+	// One that got no answer at all for long is no full table: where endpoints are separate routes, each would be taken by
 	// hundreds of senders for a route that had failed but once, and pushed over at its return.
 	r = newHarness(t, set, Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1})
 	to := actionsOf(r.step(r.arrive(1, 2)), Send)[0].Endpoint
 	r.now += 1500 * ms
-	if r.step(outcome(1, 0, to, NoConnection)); r.s.endpoints[to].route.health != ejected {
+	if r.step(outcome(1, 0, to, NoConnection)); r.sender.endpoints[to].route.health != ejected {
 		t.Error("a connect that hung did not stop its route")
 	}
 }
--- a/control/endpoint_list_test.go
+++ b/control/endpoint_list_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule: drains are kept, also with messages held; a whole list that lacks an endpoint removes it.
+// An endpoint that is draining or removed gets nothing, also with messages queued; a complete list that lacks an endpoint removes it.
 func TestEndpoint_DrainingOrRemoved_GetsNothing(t *testing.T) {
 	for _, ev := range []Event{
 		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Draining}}},
@@ -13,7 +13,7 @@
 		{Kind: Listed, Complete: true},
 	} {
 		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.warm(5, 100*ms)
+		r.deliver(5, 100*ms)
 		acts := r.step(ev, r.arrive(1, 0), r.arrive(2, 2))
 		if acts = append(acts, r.wait(3*time.Second)...); len(actionsOf(acts, Send)) != 0 {
 			t.Errorf("%+v: sent %v", ev, actionsOf(acts, Send))
@@ -25,39 +25,39 @@
 func TestEndpoint_Removed_IsForgottenInTime(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
 	to := actionsOf(r.step(r.arrive(1, 2)), Send)[0].Endpoint
-	told := outcome(1, 0, to, Throttled)
-	told.RetryAfter = time.Minute
-	r.step(told)
+	throttled := outcome(1, 0, to, Throttled)
+	throttled.RetryAfter = time.Minute
+	r.step(throttled)
 	for range 3 {
 		r.step(Event{Kind: Listed, Complete: true})
-		if len(r.s.endpoints) != 2 {
-			t.Fatalf("%d endpoints are known after %v, want 2", len(r.s.endpoints), r.now)
+		if len(r.sender.endpoints) != 2 {
+			t.Fatalf("%d endpoints are known after %v, want 2", len(r.sender.endpoints), r.now)
 		}
 		r.now += 10 * time.Second
 	}
-	if r.step(Event{Kind: Listed}); len(r.s.endpoints) != 1 || len(r.s.destinationOrder) != 1 || len(r.s.destinations) != 1 {
-		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(r.s.endpoints), len(r.s.destinationOrder))
+	if r.step(Event{Kind: Listed}); len(r.sender.endpoints) != 1 || len(r.sender.destinationOrder) != 1 || len(r.sender.destinations) != 1 {
+		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(r.sender.endpoints), len(r.sender.destinationOrder))
 	}
 	r.now += time.Minute
-	if r.step(Event{Kind: Listed}); len(r.s.endpoints)+len(r.s.destinationOrder)+len(r.s.destinations)+len(r.s.idleEndpoints) != 0 {
-		t.Errorf("%d endpoints and %d destinations are still known", len(r.s.endpoints), len(r.s.destinationOrder))
+	if r.step(Event{Kind: Listed}); len(r.sender.endpoints)+len(r.sender.destinationOrder)+len(r.sender.destinations)+len(r.sender.idleEndpoints) != 0 {
+		t.Errorf("%d endpoints and %d destinations are still known", len(r.sender.endpoints), len(r.sender.destinationOrder))
 	}
 	if r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, r.arrive(2, 0)); len(actionsOf(r.out, Send)) != 1 {
 		t.Error("nothing is sent to one that is new there")
 	}
 }
 
-// A connection may come up only after a wait was told: what is on its way is called back.
+// A connection may come up only after the destination told to wait: what is on its way is recalled.
 func TestRecall_WaitOrDrain_RecallsCallsOnTheirWay(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 5})
 	elsewhere := r.arrive(3, 0)
 	elsewhere.Destination = 5
 	r.step(r.arrive(1, 0), r.arrive(2, 0), elsewhere)
-	told := outcome(1, 0, 1, Throttled)
-	if told.RetryAfter = time.Second; len(actionsOf(r.out, Send)) != 3 {
+	throttled := outcome(1, 0, 1, Throttled)
+	if throttled.RetryAfter = time.Second; len(actionsOf(r.out, Send)) != 3 {
 		t.Fatalf("sent %v", r.out)
 	}
-	if got := actionsOf(r.step(told), Recall); len(got) != 1 || got[0].ID != 2 {
+	if got := actionsOf(r.step(throttled), Recall); len(got) != 1 || got[0].ID != 2 {
 		t.Errorf("called back %v, want message 2", got)
 	}
 	if got := actionsOf(r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 2, Destination: 5, State: Draining}}}), Recall); len(got) != 1 {
@@ -65,10 +65,10 @@
 	}
 }
 
-// Eighty senders that are started again with messages held know nothing of any limit: they begin one by one, each with
+// Eighty senders that are started again with messages queued know nothing of any limit: they begin one by one, each with
 // one call, and the answer tells it the rest.
 func TestNewRoute_ManySenders_BeginOneByOne(t *testing.T) {
-	most, calls, turns := 0, 0, map[time.Duration]int{}
+	busiest, calls, turns := 0, 0, map[time.Duration]int{}
 	for i := range 80 {
 		set := settings()
 		set.Peers, set.Index = 80, i
@@ -89,9 +89,9 @@
 		}
 	}
 	for _, n := range turns {
-		most = max(most, n)
+		busiest = max(busiest, n)
 	}
-	if most > 10 || calls != 80 {
-		t.Errorf("%d of 80 senders begin in the same turn of 10 ms, want 10 at most; %d calls before any answer, want one each", most, calls)
+	if busiest > 10 || calls != 80 {
+		t.Errorf("%d of 80 senders begin in the same turn of 10 ms, want 10 at most; %d calls before any answer, want one each", busiest, calls)
 	}
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -24,12 +24,12 @@
 		}}
 }
 
-// rig drives one sender with scripted events.
+// harness drives one sender with scripted events.
 type harness struct {
-	t   *testing.T
-	s   *Sender
-	now time.Duration
-	out []Action
+	t      *testing.T
+	sender *Sender
+	now    time.Duration
+	out    []Action
 }
 
 func newHarness(t *testing.T, set Settings, eps ...Endpoint) *harness {
@@ -38,13 +38,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, s: s, now: time.Hour}
+	r := &harness{t: t, sender: s, now: time.Hour}
 	r.step(Event{Kind: Listed, Complete: true, Endpoints: eps})
 	return r
 }
 
 func (r *harness) step(evs ...Event) []Action {
-	r.out = r.s.Step(r.now, evs, nil)
+	r.out = r.sender.Step(r.now, evs, nil)
 	return r.out
 }
 
@@ -74,8 +74,8 @@
 	return Event{Kind: Resolved, ID: id, Attempt: attempt, Endpoint: ep, Result: res, Final: res == Delivered}
 }
 
-// warm delivers n safe messages, each taking d, one after the other.
-func (r *harness) warm(n int, d time.Duration) {
+// deliver delivers n safe messages, each taking d, one after the other.
+func (r *harness) deliver(n int, d time.Duration) {
 	r.t.Helper()
 	for i := range n {
 		id := uint64(1e6 + float64(r.now/ms) + float64(i))
@@ -102,7 +102,7 @@
 	return t
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func wantNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s = %v, want %v", what, got, want)
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -8,23 +8,23 @@
 	edges := []float64{1, 2, 4, 8}
 	tb := tableOf(edges, map[float64]float64{1: 6, 4: 3, 8: 1})
 	tb.observeCensored(0, edges, 1)
-	near(t, "4 s", tb.counts[2], 3.75)
-	near(t, "8 s", tb.counts[3], 1.25)
-	near(t, "all", tb.total, 11)
+	wantNear(t, "4 s", tb.counts[2], 3.75)
+	wantNear(t, "8 s", tb.counts[3], 1.25)
+	wantNear(t, "all", tb.total, 11)
 	tb.decay(tableHalfLife)
-	near(t, "after a half-life", tb.total, 5.5)
+	wantNear(t, "after a half-life", tb.total, 5.5)
 }
 
 // A message that ran before its time-out may be answered at once when it comes again: that is no call's time.
 func TestLatencyTable_AnswerToARepeat_IsNotObserved(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(5, 300*ms)
+	r.deliver(5, 300*ms)
 	r.step(r.arrive(1, 0))
 	r.now += 8 * 300 * ms
 	r.step(outcome(1, 0, 1, TimedOut))
-	before := r.s.endpoints[1].own.counts[0]
+	before := r.sender.endpoints[1].own.counts[0]
 	r.now += 2 * ms
-	if r.step(outcome(1, 1, 1, Delivered)); r.s.endpoints[1].own.counts[0] > before || before > 0 {
-		t.Errorf("%v calls of 2 ms are in the table", r.s.endpoints[1].own.counts[0])
+	if r.step(outcome(1, 1, 1, Delivered)); r.sender.endpoints[1].own.counts[0] > before || before > 0 {
+		t.Errorf("%v calls of 2 ms are in the table", r.sender.endpoints[1].own.counts[0])
 	}
 }
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -7,190 +7,208 @@
 	"time"
 )
 
-// crowd is many senders at one destination that takes a plain rate from all of them together; refused calls use it up.
-type crowd struct {
-	senders []*Sender
-	now     time.Duration
-	rng     *rand.Rand
-	limit   float64
-	told    time.Duration // the wait told with half of the refusals
-	room    float64       // calls that it would take now
-	late    []due         // answers on their way
-	hot     float64       // share of the messages that one sender gets beside its part of the rest
-	nextID  uint64
-	ok      int
-	full    int
+// senderGroup is many senders at one destination that takes a plain rate from all of them together; refused calls use it up.
+type senderGroup struct {
+	senders    []*Sender
+	now        time.Duration
+	rng        *rand.Rand
+	limit      float64       // calls a second
+	retryAfter time.Duration // told with half of the refusals
+	tokens     float64       // calls that it would take now
+	answers    []dueAnswer   // on their way
+	hotShare   float64       // share of the messages that the first sender gets beside its part of the rest
+	lastID     uint64
+	delivered  int
+	throttled  int
 }
 
-type due struct {
+type dueAnswer struct {
 	at     time.Duration
 	sender int
-	ev     Event
+	event  Event
 }
 
-func newCrowd(t *testing.T, n int, limit float64, seed uint64) *crowd {
+func newSenderGroup(t *testing.T, n int, limit float64, seed uint64) *senderGroup {
 	t.Helper()
 	set := settings()
 	set.Peers, set.MaxAttempts, set.Slots = n, 6, 6
 	set.Classes[0].Deadline = 12 * time.Second
-	c := &crowd{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, told: 600 * time.Millisecond, room: 0.3 * limit}
+	g := &senderGroup{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, retryAfter: 600 * time.Millisecond,
+		tokens: 0.3 * limit}
 	for i := range n {
 		s, err := New(set, seed+uint64(i)*977)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.senders = append(c.senders, s)
-		s.Step(c.now, []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}, nil)
+		g.senders = append(g.senders, s)
+		s.Step(g.now, []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}, nil)
 	}
-	return c
+	return g
 }
 
 // second plays a second in turns of 10 ms, in which rate messages arrive, each at a sender drawn by chance.
-func (c *crowd) second(rate float64) (ok, full int) {
-	ok, full = c.ok, c.full
+func (g *senderGroup) second(rate float64) (delivered, throttled int) {
+	delivered, throttled = g.delivered, g.throttled
 	for range 100 {
-		c.now += 10 * time.Millisecond
-		c.room = min(0.3*c.limit, c.room+0.01*c.limit)
-		evs := make([][]Event, len(c.senders))
-		for c.rng.Float64() < rate/(rate+100) { // as many a turn in the mean as come in 10 ms
-			c.nextID++
-			i := c.rng.IntN(len(c.senders))
-			if c.hot > 0 && c.rng.Float64() < c.hot {
-				i = 0
-			}
-			evs[i] = append(evs[i], Event{Kind: Arrived, ID: c.nextID, Deadline: c.now + 12*time.Second})
-		}
-		rest := c.late[:0]
-		for _, d := range c.late {
-			if d.at > c.now {
-				rest = append(rest, d)
+		g.now += 10 * time.Millisecond
+		g.tokens = min(0.3*g.limit, g.tokens+0.01*g.limit)
+		events := g.arrivals(rate)
+		rest := g.answers[:0]
+		for _, answer := range g.answers {
+			if answer.at > g.now {
+				rest = append(rest, answer)
 			} else {
-				evs[d.sender] = append(evs[d.sender], d.ev)
+				events[answer.sender] = append(events[answer.sender], answer.event)
 			}
 		}
-		c.late = rest
-		for i, s := range c.senders {
-			for _, a := range s.Step(c.now, append(evs[i], Event{Kind: Woken}), nil) {
-				if a.Kind != Send {
-					continue
+		g.answers = rest
+		for i, s := range g.senders {
+			for _, action := range s.Step(g.now, append(events[i], Event{Kind: Woken}), nil) {
+				if action.Kind == Send {
+					g.answer(i, action)
 				}
-				ev := Event{Kind: Resolved, ID: a.ID, Attempt: s.messages[a.ID].attempts - 1, Endpoint: 1, Result: Throttled,
-					Reported: true, Remaining: max(0, c.room/(0.3*c.limit)), Limit: c.limit}
-				if c.room >= 1 {
-					ev.Result, ev.Final = Delivered, true
-					c.ok++
-				} else if c.full++; c.rng.IntN(2) == 0 {
-					ev.RetryAfter = c.told
-				}
-				c.room = max(c.room-1, -0.6*c.limit)
-				c.late = append(c.late, due{c.now + 150*time.Millisecond, i, ev})
 			}
 		}
 	}
-	return c.ok - ok, c.full - full
+	return g.delivered - delivered, g.throttled - throttled
+}
+
+// arrivals draws the messages of a turn, by sender: as many in the mean as come in 10 ms.
+func (g *senderGroup) arrivals(rate float64) [][]Event {
+	events := make([][]Event, len(g.senders))
+	for g.rng.Float64() < rate/(rate+100) {
+		g.lastID++
+		i := g.rng.IntN(len(g.senders))
+		if g.hotShare > 0 && g.rng.Float64() < g.hotShare {
+			i = 0
+		}
+		events[i] = append(events[i], Event{Kind: Arrived, ID: g.lastID, Deadline: g.now + 12*time.Second})
+	}
+	return events
 }
 
-// Eighty senders hand a destination more in one second than it takes in three. Where refused calls use up the limit
-// each of them asking again as if it were alone keeps all of them out for good.
+// answer has the destination take a call, or refuse it.
+func (g *senderGroup) answer(sender int, action Action) {
+	event := Event{Kind: Resolved, ID: action.ID, Attempt: g.senders[sender].messages[action.ID].attempts - 1, Endpoint: 1,
+		Result: Throttled, Reported: true, Remaining: max(0, g.tokens/(0.3*g.limit)), Limit: g.limit}
+	if g.tokens >= 1 {
+		event.Result, event.Final = Delivered, true
+		g.delivered++
+	} else if g.throttled++; g.rng.IntN(2) == 0 {
+		event.RetryAfter = g.retryAfter
+	}
+	g.tokens = max(g.tokens-1, -0.6*g.limit)
+	g.answers = append(g.answers, dueAnswer{g.now + 150*time.Millisecond, sender, event})
+}
+
+// Eighty senders hand a destination more in one second than it takes in three. Where refused calls use up the limit, each of them asking
+// resubmitted as if it were alone keeps all of them out for good.
 func TestManySenders_Refused_AreLetInAgain(t *testing.T) {
 	for seed := range uint64(3) {
-		c := newCrowd(t, 80, 28, seed+40)
-		c.second(100)
-		ok, full := 0, 0
+		group := newSenderGroup(t, 80, 28, seed+40)
+		group.second(100)
+		delivered, throttled := 0, 0
 		for range 12 {
-			o, f := c.second(20)
-			ok, full = ok+o, full+f
+			d, r := group.second(20)
+			delivered, throttled = delivered+d, throttled+r
 		}
-		if ok < 12*20*9/10 || full > ok/5 {
+		if delivered < 12*20*9/10 || throttled > delivered/5 {
 			t.Errorf("seed %d: in 12 s after a clump %d delivered of %d that came and %d refused; want nine tenths, and a fifth of that refused",
-				seed, ok, 12*20, full)
+				seed, delivered, 12*20, throttled)
 		}
 	}
 }
 
-// Traffic is uneven: a sender that gets ten times an equal part of a limit of which a third is asked must not go on
-// at that part while the others leave theirs. Nor may it take theirs: few calls are refused.
+// Traffic is uneven: a sender that gets ten times an equal part of a limit of which a third is asked must not go on at that part while
+// the others leave theirs. Nor may it take theirs: few calls are refused.
 func TestManySenders_UnevenTraffic_UsesFreeCapacity(t *testing.T) {
 	for seed := range uint64(3) {
-		c := newCrowd(t, 80, 60, seed+60)
-		c.hot = 0.4
-		ok, full := 0, 0
+		group := newSenderGroup(t, 80, 60, seed+60)
+		group.hotShare = 0.4
+		delivered, throttled := 0, 0
 		for i := range 20 {
-			o, f := c.second(20)
+			d, r := group.second(20)
 			if i >= 14 {
-				ok, full = ok+o, full+f
+				delivered, throttled = delivered+d, throttled+r
 			}
 		}
-		if held := c.senders[0].openMessages; held > 25 || full > ok/20 {
-			t.Errorf("seed %d: after 20 s the busy sender still holds %d messages; %d delivered in the last 6 s, %d refused", seed, held, ok, full)
+		if open := group.senders[0].openMessages; open > 25 || throttled > delivered/20 {
+			t.Errorf("seed %d: after 20 s the busy sender still has %d messages; %d delivered in the last 6 s, %d refused",
+				seed, open, delivered, throttled)
 		}
 	}
 }
 
-// What operators allow a partner by hand holds over all senders together in every span, from the moment when it is told, however
-// much waits; an outage, refusals and a restart lift it for nobody, and lifting it by hand does.
+// An operator's bound holds over all senders together in every span, from the moment when it is told, however much is queued; an outage,
+// refusals and a restart lift it for nobody, and lifting it by hand does.
 func TestMaxRate_ManySenders_IsKeptTogether(t *testing.T) {
-	const peers, most = 5, 12.0
+	const peers, maxRate = 5, 12.0
 	for _, c := range []struct {
-		name  string
-		apart bool
-		res   func(n int) Result
+		name           string
+		separateRoutes bool
+		result         func(call int) Result
 	}{{"all let in", false, func(int) Result { return Delivered }}, {"two routes", true, func(int) Result { return Delivered }},
-		{"some refused", false, func(n int) Result { return []Result{Delivered, Throttled, Delivered, Errored}[n%4] }}} {
+		{"some refused", false, func(call int) Result { return []Result{Delivered, Throttled, Delivered, Errored}[call%4] }}} {
 		t.Run(c.name, func(t *testing.T) {
-			set := settings()
-			set.Peers, set.Slots, set.Cancel = peers, 100, true
-			set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: c.apart}}
-			list := func(m float64) []Endpoint { return []Endpoint{{ID: 1, MaxRate: m}, {ID: 2, MaxRate: m}} }
-			var all []*harness
-			for i := range peers {
-				set.Index = i
-				all = append(all, newHarness(t, set, list(most)...))
-			}
-			var sent []time.Duration
-			each := 1.0 // saved up by a life
-			if c.apart {
-				each = 2 // a route
-			}
-			saved, before := peers*each, 0
-			for tick := range 2400 { // a minute
-				for i, r := range all {
-					r.now += 25 * ms
-					if tick == 1200 && i == 0 { // this one is started again
-						all[i] = newHarness(t, set, list(most)...)
-						all[i].now = r.now
-						r, saved = all[i], saved+each
-					}
-					id := uint64(tick + 1)
-					evs := []Event{r.arrive(id, 0)}
-					if tick == 2000 {
-						evs = append(evs, Event{Kind: Listed, Endpoints: list(0)})
-					}
-					for _, a := range actionsOf(r.step(evs...), Send) {
-						sent = append(sent, r.now)
-						r.now += ms
-						r.step(outcome(a.ID, r.s.messages[a.ID].attempts-1, a.Endpoint, c.res(len(sent))))
-						r.now -= ms
-					}
-				}
-				if tick == 1999 {
-					before = len(sent)
-				}
+			burst := 1.0 // that one sender saves up, over all routes
+			if c.separateRoutes {
+				burst = 2
 			}
+			sent, bounded := playMaxRate(t, peers, maxRate, c.separateRoutes, c.result)
+			saved := (peers + 1) * burst // one sender is started again
 			level, last := 0.0, time.Duration(0)
-			for _, at := range sent[:before] {
-				level = max(0, level-most*(at-last).Seconds()) + 1
-				if last = at; level > saved+0.05*most+1e-6 {
-					t.Fatalf("%d calls, and %.2f saved up at %v: more than %.2f", before, level, at, saved+0.05*most)
+			for _, at := range sent[:bounded] {
+				level = max(0, level-maxRate*(at-last).Seconds()) + 1
+				if last = at; level > saved+0.05*maxRate+1e-6 {
+					t.Fatalf("%d calls, and %.2f saved up at %v: more than %.2f", bounded, level, at, saved+0.05*maxRate)
 				}
 			}
-			if got := float64(before) / 50; got < 0.7*most && c.name != "some refused" {
-				t.Errorf("%.1f calls a second of the %v that it may get", got, most)
+			if got := float64(bounded) / 50; got < 0.7*maxRate && c.name != "some refused" {
+				t.Errorf("%.1f calls a second of the %v that it may get", got, maxRate)
 			}
-			if after := float64(len(sent)-before) / 10; after < 2*most && c.name != "some refused" {
+			if after := float64(len(sent)-bounded) / 10; after < 2*maxRate && c.name != "some refused" {
 				t.Errorf("%.1f calls a second when it is lifted", after)
 			}
-			t.Log(fmt.Sprint(before), "calls in 50 s,", len(sent)-before, "in the 10 s after")
+			t.Log(fmt.Sprint(bounded), "calls in 50 s,", len(sent)-bounded, "in the 10 s after")
 		})
 	}
 }
+
+// playMaxRate plays a minute with plenty of messages at senders that share the operator's bound, and returns when they sent. The first
+// sender is started again after half of it; the bound is lifted after 50 s, until when bounded calls were sent.
+func playMaxRate(t *testing.T, peers int, maxRate float64, separateRoutes bool, result func(call int) Result) (sent []time.Duration, bounded int) {
+	t.Helper()
+	set := settings()
+	set.Peers, set.Slots, set.Cancel = peers, 100, true
+	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: separateRoutes}}
+	list := func(rate float64) []Endpoint { return []Endpoint{{ID: 1, MaxRate: rate}, {ID: 2, MaxRate: rate}} }
+	var all []*harness
+	for i := range peers {
+		set.Index = i
+		all = append(all, newHarness(t, set, list(maxRate)...))
+	}
+	for tick := range 2400 {
+		for i, h := range all {
+			h.now += 25 * ms
+			if tick == 1200 && i == 0 {
+				all[i] = newHarness(t, set, list(maxRate)...)
+				all[i].now = h.now
+				h = all[i]
+			}
+			events := []Event{h.arrive(uint64(tick+1), 0)}
+			if tick == 2000 {
+				events = append(events, Event{Kind: Listed, Endpoints: list(0)})
+			}
+			for _, action := range actionsOf(h.step(events...), Send) {
+				sent = append(sent, h.now)
+				h.now += ms
+				h.step(outcome(action.ID, h.sender.messages[action.ID].attempts-1, action.Endpoint, result(len(sent))))
+				h.now -= ms
+			}
+		}
+		if tick == 1999 {
+			bounded = len(sent)
+		}
+	}
+	return sent, bounded
+}
--- a/control/message_test.go
+++ b/control/message_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule: no message is lost, and the time-out at the deadline still gets its one answer.
+// No message is lost, and the time-out at the deadline still gets its one answer.
 func TestMessage_TimedOutAtDeadline_GetsOneAnswer(t *testing.T) {
 	for class, want := range map[int]ActionKind{0: Refuse, 2: Fail} {
 		r := newHarness(t, settings(), Endpoint{ID: 1})
@@ -24,25 +24,25 @@
 	}
 }
 
-// A client with less patience than its class allows hands in a message that is worth all of it until its deadline.
+// A client with less patience than its class allows hands in a message that keeps its value until its deadline.
 func TestMessage_ShortDeadline_KeepsItsValue(t *testing.T) {
 	set := settings()
-	for _, c := range []struct{ marks, again, late bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
-		set.MarksResubmitted = c.marks
+	for _, c := range []struct{ marksResubmitted, resubmitted, late bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
+		set.MarksResubmitted = c.marksResubmitted
 		r := newHarness(t, set)
 		ev := r.arrive(1, 2)
-		ev.Deadline, ev.Resubmitted = r.now+900*ms, c.again
+		ev.Deadline, ev.Resubmitted = r.now+900*ms, c.resubmitted
 		r.step(ev)
-		if got := r.s.messages[1].valueAt(r.now+800*ms, false); (got < 4) != c.late {
+		if got := r.sender.messages[1].valueAt(r.now+800*ms, false); (got < 4) != c.late {
 			t.Errorf("%+v: worth %.2f of 4 before its deadline", c, got)
 		}
 	}
 }
 
-// DESIGN: a message with less time left than the median call is refused unsent, at once, with a hold-off.
+// A message with less time left than the median call is refused unsent, at once, with the time after which to come again.
 func TestMessage_TooLittleTimeLeft_IsRefusedAtOnce(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(8, 900*ms)
+	r.deliver(8, 900*ms)
 	ev := r.arrive(1, 2)
 	ev.Deadline = r.now + 500*ms
 	acts := r.step(ev)
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -9,22 +9,22 @@
 // counts from half way between the two.
 func TestSlowStart_LateDelivery_CountsFromHalfWay(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(20, 300*ms)
-	d := r.s.destinationOrder[0].routes[0]
-	r.s.restrictToProbes(d, ejected)
-	failed := r.s.now
+	r.deliver(20, 300*ms)
+	d := r.sender.destinationOrder[0].routes[0]
+	r.sender.restrictToProbes(d, ejected)
+	failed := r.sender.now
 	r.now += 8 * time.Second
 	r.step(Event{Kind: Woken})
-	r.s.recordSuccess(d)
-	if ago := r.s.now - d.healthSince; d.health != recovering || ago != (r.s.now-failed)/2 {
-		t.Errorf("%s since %v of %v", healthText[d.health], ago, r.s.now-failed)
+	r.sender.recordSuccess(d)
+	if ago := r.sender.now - d.healthSince; d.health != recovering || ago != (r.sender.now-failed)/2 {
+		t.Errorf("%s since %v of %v", healthText[d.health], ago, r.sender.now-failed)
 	}
 }
 
 // An answer that can't be read says nothing against the endpoint: it is up, and took its usual time.
 func TestMalformedAnswers_InARow_DoNotEject(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(5, 100*ms)
+	r.deliver(5, 100*ms)
 	for i := range uint64(4) {
 		r.step(r.arrive(i, 0))
 		r.now += 100 * ms
@@ -42,11 +42,11 @@
 }
 
 // Connections are reset one at a time where nothing is wrong with the destination, also where it has just returned:
-// that does not stop it. An error of one that has just returned does.
+// that does not eject it. An error of one that has just returned does.
 func TestResets_FewInARow_DoNotEject(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(5, 100*ms)
-	d := r.s.endpoints[1].route
+	r.deliver(5, 100*ms)
+	d := r.sender.endpoints[1].route
 	for i, c := range []struct {
 		health health
 		res    Result
@@ -54,13 +54,13 @@
 	}{{healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Delivered, healthy},
 		{recovering, Reset, recovering}, {recovering, Errored, ejected}} {
 		if d.health != c.health {
-			r.s.setHealth(d, c.health)
+			r.sender.setHealth(d, c.health)
 		}
 		id := uint64(i)
-		m := &message{id: id, class: &r.s.settings.Classes[1], destination: d.destination, sentAt: r.now}
+		m := &message{id: id, class: &r.sender.settings.Classes[1], destination: d.destination, sentAt: r.now}
 		r.now += 50 * ms
-		r.s.now = r.now
-		if r.s.recordOutcome(m, r.s.endpoints[1], &Event{Result: c.res}); d.health != c.want {
+		r.sender.now = r.now
+		if r.sender.recordOutcome(m, r.sender.endpoints[1], &Event{Result: c.res}); d.health != c.want {
 			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, d.health, c.want)
 		}
 	}
@@ -70,16 +70,16 @@
 func TestRefusals_LimitUsedUp_DoNotEject(t *testing.T) {
 	for share, want := range map[float64]health{0: healthy, 1: ejected} {
 		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.warm(5, 100*ms)
+		r.deliver(5, 100*ms)
 		r.wait(4 * time.Second)
 		for id := uint64(1); id < 40; id++ {
 			for _, a := range actionsOf(append(r.step(r.arrive(id, 2)), r.wait(time.Second)...), Send) {
-				ev := outcome(a.ID, r.s.messages[a.ID].attempts-1, 1, Throttled)
+				ev := outcome(a.ID, r.sender.messages[a.ID].attempts-1, 1, Throttled)
 				ev.Reported, ev.Remaining, ev.Limit = true, share, 4
 				r.step(ev)
 			}
 		}
-		if got := r.s.endpoints[1].route.health; got != want {
+		if got := r.sender.endpoints[1].route.health; got != want {
 			t.Errorf("refused for 40 s with a share of %v left: %s, want %s", share, healthText[got], healthText[want])
 		}
 	}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -80,7 +80,7 @@
 	// When a plan is solved.
 	plan := p.Solve(0, tables, 3)
 
-	// Then an attempt with others behind it is cut soon, and the last one runs on.
+	// Then an attempt with others behind it is restarted soon, and the last one runs on.
 	expected, timeout, runsOn := plan.Attempt(tables[0], 3)
 	if runsOn || timeout > 500*time.Millisecond {
 		t.Errorf("with three left: time-out %v, runs on %v; want a restart before 500 ms", timeout, runsOn)
@@ -91,7 +91,7 @@
 }
 
 func TestPlan_SlowRetries_RunsOn(t *testing.T) {
-	// Given the same tail, and resent requests that took twenty times what was expected.
+	// Given the same tail, and retries that took twenty times what was expected.
 	p := NewPlanner(plannerLongest)
 	common, c := p.NewTable(), p.NewTable()
 	for _, o := range []*LatencyTable{common, c} {
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Rule: a returning destination is not pushed over, whatever has gathered meanwhile.
+// A recovering route is not pushed over, whatever is queued meanwhile.
 func TestRecoveringRoute_QueuedMessages_ArePaced(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.warm(20, 300*ms)
+	r.deliver(20, 300*ms)
 	sends := map[uint64]int{}
 	answer := func(acts []Action, res Result) (n int) {
 		for len(acts) > 0 {
@@ -26,7 +26,7 @@
 	for id := range uint64(20) { // it refuses connections for ten seconds, while two messages a second arrive
 		answer(append(r.step(r.arrive(id+1, 2)), r.wait(500*ms)...), NoConnection)
 	}
-	if d := r.s.destinationOrder[0].routes[0]; d.health != ejected {
+	if d := r.sender.destinationOrder[0].routes[0]; d.health != ejected {
 		t.Fatalf("health %v", d.health)
 	}
 	sent := 0
@@ -39,20 +39,20 @@
 	}
 }
 
-// At a destination stopped by refusals alone each refused trial halves the pace of trials: the trials of many
+// At a route ejected by refusals alone each refused probe halves the pace of probes: the probes of many
 // senders together would keep a limit used up. Failed connects don't, they use up none.
 func TestEjectedRoute_RefusedProbes_SlowDown(t *testing.T) {
 	trials := func(res Result) (early, late int) {
 		set := settings()
 		set.MaxAttempts = 1000
 		r := newHarness(t, set, Endpoint{ID: 1})
-		r.warm(20, 100*ms)
-		start, tries := r.now, map[uint64]int{}
+		r.deliver(20, 100*ms)
+		start, attempts := r.now, map[uint64]int{}
 		for id := uint64(1); r.now < start+120*time.Second; id++ {
 			for acts := append(r.step(r.arrive(id, 2)), r.wait(500*ms)...); len(acts) > 0; acts = acts[1:] {
 				if a := acts[0]; a.Kind == Send {
-					acts = append(acts, r.step(outcome(a.ID, tries[a.ID], 1, res))...)
-					tries[a.ID]++
+					acts = append(acts, r.step(outcome(a.ID, attempts[a.ID], 1, res))...)
+					attempts[a.ID]++
 					if r.now < start+40*time.Second {
 						early++
 					} else if r.now > start+80*time.Second {
@@ -72,22 +72,22 @@
 	}
 }
 
-// More may be asked of a destination than it takes when it is well: where it reports its limit, the trials and the
+// More may be asked of a destination than it takes when it is healthy: where it reports its limit, the probes and the
 // slow start of a sender go by its part of that, not by what is asked.
 func TestEjectedRoute_ReportedLimit_BoundsProbes(t *testing.T) {
 	trials := func(report bool) (n int) {
 		set := settings()
 		set.MaxAttempts = 1000
 		r := newHarness(t, set, Endpoint{ID: 1})
-		tries := map[uint64]int{}
+		attempts := map[uint64]int{}
 		for id := uint64(1); id < 400; id++ { // ten messages a second, of which it takes one
 			for acts := append(r.step(r.arrive(id, 2)), r.wait(100*ms)...); len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
 				if a.Kind != Send {
 					continue
 				}
-				ev := outcome(a.ID, tries[a.ID], 1, Throttled)
-				if tries[a.ID]++; id <= 100 && id%10 == 0 {
+				ev := outcome(a.ID, attempts[a.ID], 1, Throttled)
+				if attempts[a.ID]++; id <= 100 && id%10 == 0 {
 					ev.Result, ev.Final = Delivered, true
 				} else if id > 100 {
 					ev.Result = NoConnection
@@ -102,25 +102,25 @@
 		return n
 	}
 	set := settings()
-	most := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
-	if told, not := trials(true), trials(false); float64(told) > most || told == 0 || not < 2*told {
-		t.Errorf("%d trials in 25 s where the limit is reported, %d where not; want %.0f at most and far more", told, not, most)
+	limit := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
+	if reported, not := trials(true), trials(false); float64(reported) > limit || reported == 0 || not < 2*reported {
+		t.Errorf("%d trials in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
 	}
 }
 
-// What a call carries beside its first message weighs little: at a destination that returns, with a pace of few calls,
-// what is held goes along with them.
+// What a call carries beside its first message weighs little: at a recovering route, with a pace of few calls,
+// what is queued goes along with them.
 func TestRecoveringRoute_SeveralMessages_ShareCalls(t *testing.T) {
 	set := settings()
 	set.Peers, set.Kinds[1].PerCall = 80, 10
 	r := newHarness(t, set, Endpoint{ID: 1, Kind: 1})
-	r.s.endpoints[1].route.health, r.s.endpoints[1].route.healthSince, r.s.endpoints[1].route.reportedLimit = recovering, r.now, 40
-	r.s.endpoints[1].route.refilledAt = r.now
+	r.sender.endpoints[1].route.health, r.sender.endpoints[1].route.healthSince, r.sender.endpoints[1].route.reportedLimit = recovering, r.now, 40
+	r.sender.endpoints[1].route.refilledAt = r.now
 	var evs []Event
 	for id := uint64(1); id <= 8; id++ {
 		evs = append(evs, r.arrive(id, 0))
 	}
-	r.s.endpoints[1].route.tokens = 1
+	r.sender.endpoints[1].route.tokens = 1
 	if got := len(actionsOf(r.step(evs...), Send)); got != 8 {
 		t.Errorf("%d of 8 messages held went with the call that the pace allows", got)
 	}
@@ -148,10 +148,10 @@
 			sent := actionsOf(r.step(ev), Send)
 			sent = append(sent, actionsOf(r.wait(500*ms), Send)...)
 			for _, a := range sent {
-				r.step(outcome(a.ID, r.s.messages[a.ID].attempts-1, 1, res))
+				r.step(outcome(a.ID, r.sender.messages[a.ID].attempts-1, 1, res))
 			}
 		}
-		limit := r.s.endpoints[1].route.rateLimit
+		limit := r.sender.endpoints[1].route.rateLimit
 		if weight > 0 && (limit < weight/4 || limit > weight) {
 			t.Errorf("with a weight of %v the pace is %.2f calls/s, want half of an equal part at least", weight, limit)
 		}
@@ -169,12 +169,12 @@
 	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
 	r.step(ev)
 	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
-	if d := r.s.endpoints[1].route; d.reportedLimit != 6 || d.reportedRemaining != 0.4 {
+	if d := r.sender.endpoints[1].route; d.reportedLimit != 6 || d.reportedRemaining != 0.4 {
 		t.Errorf("limit %v and share %v, want what was reported", d.reportedLimit, d.reportedRemaining)
 	}
 }
 
-// However many senders share a destination, what all of them together send it in the time of the rule after an
+// However many senders share a destination, what all of them together send it within OverloadWindow of an
 // outage that each has seen stays under the multiple of what is back, whether it failed or refused its calls.
 func TestRecoveringRoute_ManySenders_IsNotPushedOver(t *testing.T) {
 	for _, res := range []Result{NoConnection, Throttled, Errored} {
@@ -185,10 +185,10 @@
 			var rigs []*harness
 			for i := range n {
 				r := newHarness(t, set, Endpoint{ID: 1})
-				r.s.rngState = uint64(i) * 977
+				r.sender.rngState = uint64(i) * 977
 				rigs = append(rigs, r)
 			}
-			tries, seen := map[uint64]int{}, make([]bool, n)
+			attempts, seen := map[uint64]int{}, make([]bool, n)
 			id, sent, down := uint64(0), 0, 10*time.Second
 			for at := time.Duration(0); at < 24*time.Second; at += 25 * ms {
 				arrivals := map[int][]Event{}
@@ -204,20 +204,20 @@
 					evs := append(arrivals[i], Event{Kind: Woken})
 					for acts := actionsOf(r.step(evs...), Send); len(acts) > 0; {
 						a, end := acts[0], down+12*time.Second
-						out := outcome(a.ID, tries[a.ID], 1, Delivered)
+						out := outcome(a.ID, attempts[a.ID], 1, Delivered)
 						if at > down && at < end {
 							out.Result, out.Final, seen[i] = res, false, true
 						} else if at >= end && at < end+set.OverloadWindow && seen[i] {
 							sent++
 						}
-						tries[a.ID]++
+						attempts[a.ID]++
 						acts = append(acts[1:], actionsOf(r.step(out), Send)...)
 					}
 				}
 			}
 			back := set.SlowStartShare + (1-set.SlowStartShare)*set.OverloadWindow.Seconds()/set.SlowStart.Seconds()
-			if most := set.OverloadMultiple * back * rate * set.OverloadWindow.Seconds(); float64(sent) > most || sent == 0 {
-				t.Errorf("result %d, %d senders: %d calls right after its return, %.0f at most", res, n, sent, most)
+			if limit := set.OverloadMultiple * back * rate * set.OverloadWindow.Seconds(); float64(sent) > limit || sent == 0 {
+				t.Errorf("result %d, %d senders: %d calls right after its return, %.0f at most", res, n, sent, limit)
 			}
 		}
 	}
--- a/control/restart_plan_test.go
+++ b/control/restart_plan_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// The example of the paper's section 1: 5 s at 0.6, 20 s at 0.4 gives 11, 7.4 and 5.96 s.
+// The example in section 1 of the paper on restart strategies: 5 s at 0.6, 20 s at 0.4 gives 11, 7.4 and 5.96 s.
 func TestRestartPlan_PaperExample_GivesItsTimes(t *testing.T) {
 	edges := []float64{5, 20}
 	e := &endpointState{route: &routeState{}, pooled: *tableOf(edges, map[float64]float64{5: 60, 20: 40})}
 	var p restartPlan
 	p.solve(edges, []*endpointState{e}, 3, 1, 0)
-	near(t, "E1", p.expected[1], 11)
-	near(t, "E2", p.expected[2], 3+0.4*(5+11)) // the time spent is charged
-	near(t, "E3", p.expected[3], 3+0.4*(5+9.4))
+	wantNear(t, "E1", p.expected[1], 11)
+	wantNear(t, "E2", p.expected[2], 3+0.4*(5+11)) // the time spent is charged
+	wantNear(t, "E3", p.expected[3], 3+0.4*(5+9.4))
 	// The paper's printed figures leave the time spent out; the same table gives them without the charge.
-	near(t, "printed E2", 0.6*5+0.4*p.expected[1], 7.4)
-	near(t, "printed E3", 0.6*5+0.4*7.4, 5.96)
+	wantNear(t, "printed E2", 0.6*5+0.4*p.expected[1], 7.4)
+	wantNear(t, "printed E3", 0.6*5+0.4*7.4, 5.96)
 }
 
-// Theorem 1: restarting at 1 helps if and only if c > 1 + 1/p.
+// Theorem 1 of the paper: restarting at 1 helps if and only if c > 1 + 1/p.
 func TestBestRestart_TwoTimes_RestartsWhereItHelps(t *testing.T) {
 	for _, c := range []struct {
 		slow  float64
@@ -32,7 +32,7 @@
 		if got := s == 0; got != c.helps {
 			t.Errorf("c = %v: restarts %v, want %v", c.slow, got, c.helps)
 		}
-		near(t, "cost", cost, min(ex, 0.5+0.5*(1+ex)))
+		wantNear(t, "cost", cost, min(ex, 0.5+0.5*(1+ex)))
 	}
 }
 
@@ -42,10 +42,10 @@
 	even := &endpointState{route: &routeState{}, pooled: *tableOf(edges, map[float64]float64{2: 100})}
 	var p restartPlan
 	p.solve(edges, []*endpointState{fast, even}, 2, 1, 0)
-	near(t, "E1", p.expected[1], 2)
-	near(t, "E2", p.expected[2], 2) // fast first, cut at 1: 0.5 + 0.5 (1 + 2) = 2, a tie with even
+	wantNear(t, "E1", p.expected[1], 2)
+	wantNear(t, "E2", p.expected[2], 2) // fast first, cut at 1: 0.5 + 0.5 (1 + 2) = 2, a tie with even
 	cost, s := fast.pooled.bestRestart(edges, 2)
-	near(t, "fast first", cost, 2)
+	wantNear(t, "fast first", cost, 2)
 	if s != 0 {
 		t.Errorf("s = %d, want the cut after the first bucket", s)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// A message slow of itself repeats its work: once resends have taken far longer than planned, the penalty
-// keeps the plan from cutting calls.
+// A message slow of itself repeats its work: once retries have taken far longer than planned, the penalty
+// keeps the plan from restarting calls.
 func TestRetryPenalty_SlowRetries_StopRestarts(t *testing.T) {
 	edges := []float64{1, 6}
 	e := &endpointState{own: *tableOf(edges, map[float64]float64{1: 50, 6: 50})}
@@ -96,26 +96,26 @@
 	if first.For >= time.Second || first.For < 100*ms {
 		t.Errorf("a call to an endpoint never called before may last %v, want a time-out of the plan", first.For)
 	}
-	e := r.s.endpoints[first.Endpoint]
+	e := r.sender.endpoints[first.Endpoint]
 	r.now += 100 * ms
 	r.step(outcome(1, 0, first.Endpoint, Delivered))
 	for range 40 {
-		e.own.observe(r.s.now, r.s.bounds, 1)
-		e.destination.latencies.observe(r.s.now, r.s.bounds, 1)
+		e.own.observe(r.sender.now, r.sender.bounds, 1)
+		e.destination.latencies.observe(r.sender.now, r.sender.bounds, 1)
 	}
-	r.s.poolLatencies(e.destination)
+	r.sender.poolLatencies(e.destination)
 	sum := e.pooled.failed
 	for _, v := range e.pooled.counts {
 		sum += v
 	}
-	near(t, "pooled calls", sum, e.pooled.total)
-	if m := e.pooled.quantile(r.s.bounds, 0.5); m < 0.9 || m > 1.3 {
+	wantNear(t, "pooled calls", sum, e.pooled.total)
+	if m := e.pooled.quantile(r.sender.bounds, 0.5); m < 0.9 || m > 1.3 {
 		t.Errorf("median %v after forty own calls of 1 s", m)
 	}
 }
 
-// A call is not cut for the sake of a faster endpoint that takes nothing now: the resend would go to the same one
-// again, with the same cut, and so on until all attempts are used up.
+// A call is not restarted for the sake of a faster endpoint that takes nothing now: the retry would go to the same one
+// again, with the same time-out, and so on until all attempts are used up.
 func TestRestartPlan_ShutEndpoint_IsLeftOut(t *testing.T) {
 	edges := []float64{0.1, 1, 8}
 	fast := &endpointState{route: &routeState{}, pooled: *tableOf(edges, map[float64]float64{0.1: 100})}
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule: no effect twice. An unsafe message that may have run fails; one that never ran goes again.
+// No effect twice: an unsafe message that may have run fails; one that never ran goes again.
 func TestUnsafeMessage_MayHaveRun_IsNotSentAgain(t *testing.T) {
 	for _, res := range []Result{Errored, Reset, TimedOut, Unknown, Result(77)} {
 		r := newHarness(t, settings(), Endpoint{ID: 1})
@@ -26,10 +26,10 @@
 	}
 }
 
-// Rule: a keyed message that may have run goes only to its group, inside its window.
+// A keyed message that may have run goes only to its group, inside its window.
 func TestKeyedMessage_MayHaveRun_StaysInGroupAndWindow(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
-	r.warm(20, 100*ms)
+	r.deliver(20, 100*ms)
 	first := actionsOf(r.step(r.arrive(1, 1)), Send)[0].Endpoint
 	acts := r.step(outcome(1, 0, first, Errored))
 	acts = append(acts, r.wait(6*time.Second)...)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Rule: after a restart too, also where the endpoint of the first attempt has left the list, so that nobody knows its zone any more, and
+// That holds after a restart too, also where the endpoint of the first attempt has left the list, so that nobody knows its zone any more, and
 // where it joins the list again later.
 func TestKeyedMessage_AfterRestart_StaysInGroup(t *testing.T) {
 	for _, c := range []struct {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Rule: waits are heeded, for the destination, or for the one route where they are apart.
+// Waits are heeded, for the destination, or for the one route where its endpoints are separate routes.
 func TestRoute_ToldToWait_GetsNothing(t *testing.T) {
 	for kind, want := range map[int]int{0: 0, 1: 1} {
 		r := newHarness(t, settings(), Endpoint{ID: 1, Kind: kind}, Endpoint{ID: 2, Kind: kind})
@@ -79,7 +79,7 @@
 	}
 }
 
-// Rule: order is kept, with the rest of a key after an attempt in doubt; refusals free the turn.
+// Messages of a key keep their order, and wait after an attempt that may still be running.
 func TestOrderedKey_SeveralMessages_GoOneAtATime(t *testing.T) {
 	r := newHarness(t, settings(), Endpoint{ID: 1})
 	evs := []Event{r.arrive(1, 3), r.arrive(2, 3), r.arrive(3, 3)}
@@ -114,7 +114,7 @@
 	set := settings()
 	set.Slots = 3
 	r := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
-	r.warm(8, 200*ms)
+	r.deliver(8, 200*ms)
 	to := func(id uint64, dest int) Event {
 		ev := r.arrive(id, 2)
 		ev.Destination = dest
@@ -155,51 +155,51 @@
 	}
 }
 
-// DESIGN: the plan's endpoint and time-out decide a safe message; beyond the retry budget calls run on; unsafe
-// messages have one call that lasts their time left; keyed ones are cut only where they may be resent.
+// The plan's endpoint and time-out decide a safe message; beyond the retry budget calls run on; unsafe
+// messages have one call that lasts their time left; keyed ones are restarted only where they may be sent again.
 func TestSend_PlanDecidesEndpointAndTimeout(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		class  int
-		budget float64
-		cut    bool
+		name     string
+		class    int
+		budget   float64
+		restarts bool
 	}{{"safe", 0, 5, true}, {"safe beyond the budget", 0, 0.5, false}, {"unsafe", 2, 5, false}, {"keyed", 1, 5, true}} {
 		r := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2})
-		edges := r.s.bounds
-		r.s.retryTimes = [2]float64{100, 100} // resends have taken what was expected
-		r.s.retryBudget = c.budget
+		edges := r.sender.bounds
+		r.sender.retryTimes = [2]float64{100, 100} // resends have taken what was expected
+		r.sender.retryBudget = c.budget
 		fast, slow := edges[10], edges[len(edges)-2]
-		r.s.endpoints[1].own = *tableOf(edges, map[float64]float64{slow: 100})
-		r.s.endpoints[2].own = *tableOf(edges, map[float64]float64{fast: 90, slow: 10})
-		r.s.endpoints[1].own.decayedAt, r.s.endpoints[2].own.decayedAt = r.now, r.now
+		r.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{slow: 100})
+		r.sender.endpoints[2].own = *tableOf(edges, map[float64]float64{fast: 90, slow: 10})
+		r.sender.endpoints[1].own.decayedAt, r.sender.endpoints[2].own.decayedAt = r.now, r.now
 		sent := actionsOf(r.step(r.arrive(1, c.class)), Send)
 		want := settings().Classes[c.class].Deadline
-		if c.cut {
+		if c.restarts {
 			want = toDuration(fast)
 		}
 		if len(sent) != 1 || sent[0].Endpoint != 2 || sent[0].For != want {
 			t.Errorf("%s: %v, want endpoint 2 for %v", c.name, sent, want)
 			continue
 		}
-		if c.cut {
+		if c.restarts {
 			r.now += want
-			if again := actionsOf(r.step(outcome(1, 0, 2, TimedOut)), Send); len(again) != 1 {
-				t.Errorf("%s: no resend by the plan: %v", c.name, again)
+			if retry := actionsOf(r.step(outcome(1, 0, 2, TimedOut)), Send); len(retry) != 1 {
+				t.Errorf("%s: no resend by the plan: %v", c.name, retry)
 			}
 		}
 	}
 }
 
-// A keyed message must not be cut off where its window leaves no room for the resend: it would only fail.
+// A keyed message must not be cut off where its window leaves no room for the retry: it would only fail.
 func TestKeyedMessage_EndOfWindow_RunsOn(t *testing.T) {
 	for memory, cut := range map[time.Duration]bool{4 * time.Second: true, 400 * ms: false} {
 		set := settings()
 		set.Classes[1].Memory = memory
 		r := newHarness(t, set, Endpoint{ID: 1})
-		edges := r.s.bounds
-		r.s.retryTimes = [2]float64{100, 100}
-		r.s.endpoints[1].own = *tableOf(edges, map[float64]float64{edges[15]: 90, edges[len(edges)-2]: 10})
-		r.s.endpoints[1].own.decayedAt = r.now
+		edges := r.sender.bounds
+		r.sender.retryTimes = [2]float64{100, 100}
+		r.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{edges[15]: 90, edges[len(edges)-2]: 10})
+		r.sender.endpoints[1].own.decayedAt = r.now
 		sent := actionsOf(r.step(r.arrive(1, 1)), Send)
 		if len(sent) != 1 || (sent[0].For == toDuration(edges[15])) != cut {
 			t.Errorf("window %v: %v, want it cut: %v", memory, sent, cut)
--- a/control/sender_test.go
+++ b/control/sender_test.go
@@ -14,15 +14,15 @@
 	if len(acts) != 0 {
 		t.Errorf("acts on unknown messages: %v", acts)
 	}
-	r.warm(2, 100*ms)
-	before := r.s.now
-	r.s.Step(before-time.Hour, nil, nil)
-	if r.s.now != before {
+	r.deliver(2, 100*ms)
+	before := r.sender.now
+	r.sender.Step(before-time.Hour, nil, nil)
+	if r.sender.now != before {
 		t.Error("the clock went back")
 	}
 }
 
-// A Step looks only at destinations for which something is held or out, not at all that the list names: at
+// A Step looks only at destinations for which something is queued or in flight, not at all that the list names: at
 // hundreds of endpoints its cost had a day cut off.
 func TestStep_IdleDestinations_AreNotVisited(t *testing.T) {
 	var eps []Endpoint
@@ -34,12 +34,12 @@
 	ev.Destination = 7
 	sent := actionsOf(r.step(ev), Send)
 	r.wait(100 * ms)
-	if n := len(r.s.active); n != 1 || len(sent) != 1 {
+	if n := len(r.sender.active); n != 1 || len(sent) != 1 {
 		t.Fatalf("%d destinations looked at with one call out (%v)", n, sent)
 	}
 	r.step(outcome(1, 0, sent[0].Endpoint, Delivered))
 	r.wait(100 * ms)
-	if n := len(r.s.active); n != 0 {
+	if n := len(r.sender.active); n != 0 {
 		t.Errorf("%d destinations looked at with nothing held or out", n)
 	}
 }
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// lend tells a rig what it may spend.
+// lend grants a sender what it may spend.
 func (r *harness) lend(floor float64, until time.Duration, stays bool, rights ...Grant) []Action {
 	return r.step(Event{Kind: SharedLimitsUpdated, Shared: &SharedLimits{GuaranteedShare: floor, LeaseExpiry: until, KeepsGuaranteed: stays, Grants: rights}})
 }
 
-// calls counts what a rig sends in a while with plenty held, each call let in after 10 ms; reported says of what limit.
+// calls counts what a sender sends in a while with plenty queued, each call let in after 10 ms, at which limit is reported.
 func (r *harness) calls(d time.Duration, limit float64) (n int) {
 	for end := r.now + d; r.now < end; r.now += 25 * ms {
 		id := uint64(r.now/ms) + 1e9
 		for _, a := range actionsOf(r.step(r.arrive(id, 0)), Send) {
 			n++
-			ev := outcome(a.ID, r.s.messages[a.ID].attempts-1, a.Endpoint, Delivered)
+			ev := outcome(a.ID, r.sender.messages[a.ID].attempts-1, a.Endpoint, Delivered)
 			ev.Reported, ev.Limit, ev.Remaining = limit > 0, limit, 0.9
 			r.now += 10 * ms
 			r.step(ev)
@@ -26,7 +26,7 @@
 	return n
 }
 
-// A part that was lent is what is spent, until its time is over; then the floor alone, or nothing.
+// A granted share is what is spent, until its lease expires; then the guaranteed share alone, or nothing.
 func TestLease_GrantedShare_IsSpentUntilExpiry(t *testing.T) {
 	for _, c := range []struct {
 		stays      bool
@@ -47,7 +47,7 @@
 	}
 }
 
-// What others were told of a limit counts where a sender has not been told lately itself.
+// What was reported to others of a limit counts where nothing was reported to this sender lately.
 func TestGrant_LimitReportedToOthers_CountsIfNewer(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
@@ -63,14 +63,14 @@
 	}
 }
 
-// Others' word stops a destination for one that has nothing newer of its own; it says nothing of that itself, so that no word comes
-// back as evidence. Their delivery brings it back, cold.
+// The evidence of others ejects a route at a sender that has nothing newer of its own; it reports nothing of that itself, so that none comes
+// back as its own evidence. Their delivery brings the route back, in slow start.
 func TestGrant_EvidenceOfOthers_EjectsAndReturns(t *testing.T) {
 	set := settings()
 	set.Peers = 10
 	r := newHarness(t, set, Endpoint{ID: 1})
-	r.warm(3, 50*ms)
-	d := r.s.endpoints[1].route
+	r.deliver(3, 50*ms)
+	d := r.sender.endpoints[1].route
 	far := r.now + time.Hour
 	r.lend(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 10 * time.Second})
 	if d.health != healthy {
@@ -81,7 +81,7 @@
 	if d.health != ejected {
 		t.Error("others' newer word does not count")
 	}
-	for _, s := range r.s.Observations(r.now, nil) {
+	for _, s := range r.sender.Observations(r.now, nil) {
 		if s.Unhealthy || s.Healthy {
 			t.Errorf("it tells others' word as its own: %+v", s)
 		}
@@ -97,41 +97,41 @@
 			ev = r.arrive(i+1, 0)
 		}
 		for _, a := range actionsOf(r.step(ev), Send) {
-			r.step(outcome(a.ID, r.s.messages[a.ID].attempts-1, a.Endpoint, Errored))
+			r.step(outcome(a.ID, r.sender.messages[a.ID].attempts-1, a.Endpoint, Errored))
 		}
 	}
-	if s := r.s.Observations(r.now, nil); len(s) != 1 || !s[0].Unhealthy {
+	if s := r.sender.Observations(r.now, nil); len(s) != 1 || !s[0].Unhealthy {
 		t.Errorf("its own failures are no evidence: %+v", s)
 	}
 }
 
-// Of those who take a destination for down by the fleet's word one tries it; the others hardly do, but the last way is never shut.
+// Of those who have ejected a route on the evidence of others one probes it; the others hardly do, but none stops altogether.
 func TestGrant_UnhealthyRoute_OneSenderProbes(t *testing.T) {
-	tries := func(try bool) (n int) {
+	probes := func(mayProbe bool) (n int) {
 		set := settings()
 		set.Peers, set.Slots = 10, 50
 		r := newHarness(t, set, Endpoint{ID: 1})
-		r.warm(5, 50*ms)
+		r.deliver(5, 50*ms)
 		for i := range uint64(2000) {
 			r.now += 25 * ms
-			r.lend(0.1, r.now+time.Second, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 0, MayProbe: try, Limit: 100})
+			r.lend(0.1, r.now+time.Second, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 0, MayProbe: mayProbe, Limit: 100})
 			if i%20 == 0 {
 				r.step(r.arrive(100+i, 0))
 			}
 			for _, a := range actionsOf(r.out, Send) {
 				n++
-				r.step(outcome(a.ID, r.s.messages[a.ID].attempts-1, a.Endpoint, NoConnection))
+				r.step(outcome(a.ID, r.sender.messages[a.ID].attempts-1, a.Endpoint, NoConnection))
 			}
 		}
 		return n
 	}
-	one, others := tries(true), tries(false)
+	one, others := probes(true), probes(false)
 	if others == 0 || one < 3*others {
 		t.Errorf("in 50 s the one whose turn it is tries %d times, another %d times", one, others)
 	}
 }
 
-// A told wait that another heard of binds here too, for no longer than the settings' longest.
+// A wait told to another sender binds here too, for MaxRetryAfter at most.
 func TestGrant_WaitToldToOthers_Binds(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = 2 * time.Second
@@ -145,7 +145,7 @@
 	}
 }
 
-// A limit by hand that comes while limits are shared is split as they are.
+// An operator's bound that comes while limits are shared is split as they are.
 func TestMaxRate_SharedLimits_IsSplit(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
@@ -158,8 +158,8 @@
 	}
 }
 
-// A destination that leaves the list with rights out and comes back under another id has its floor, and what it is lent anew; what was
-// lent for the one before is nobody's.
+// A destination that leaves the list with grants and comes back under another id has its guaranteed share, and what is granted anew; what was
+// granted for the one before is nobody's.
 func TestGrant_EndpointLeft_IsNobodys(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
@@ -169,7 +169,7 @@
 	r.calls(2*time.Second, 100)
 	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}, {ID: 2}}})
 	r.lend(0.05, r.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
-	d := r.s.endpoints[2].route
+	d := r.sender.endpoints[2].route
 	if d.extraShare != 0 || d.unhealthyElsewhere || d.reportedLimit != 0 {
 		t.Errorf("it begins with %+v", d)
 	}
--- a/control/slots_test.go
+++ b/control/slots_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// DESIGN: a destination holds at most three quarters of the slots, with two or three slots as well.
+// A destination holds at most three quarters of the slots, with two or three slots as well.
 func TestSlots_OneDestination_HoldsThreeQuarters(t *testing.T) {
 	for slots, want := range map[int]int{1: 1, 2: 1, 3: 2, 8: 6} {
 		set := settings()
@@ -27,7 +27,7 @@
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i})
 	}
 	r := newHarness(t, settings(), eps...)
-	r.warm(8, 100*ms)
+	r.deliver(8, 100*ms)
 	id := uint64(1)
 	for range 40 {
 		var evs []Event
@@ -58,7 +58,7 @@
 		}
 		acts = r.wait(25 * ms)
 	}
-	t.Errorf("nothing went to the healthy destination, %d of %d slots in use", r.s.slotsInUse, r.s.settings.Slots)
+	t.Errorf("nothing went to the healthy destination, %d of %d slots in use", r.sender.slotsInUse, r.sender.settings.Slots)
 }
 
 // Answers lost on the way: some calls are never answered while newer ones are. They must not keep the slots.
@@ -68,7 +68,7 @@
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i})
 	}
 	r := newHarness(t, settings(), eps...)
-	r.warm(8, 100*ms)
+	r.deliver(8, 100*ms)
 	lost, answered, sends := 0, 0, 0
 	var acts []Action
 	for id := range uint64(120) {
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -73,12 +73,12 @@
 					now += 25 * ms
 				}
 			}
-			most := 0
+			busiest := 0
 			for _, k := range asks {
-				most = max(most, k)
+				busiest = max(busiest, k)
 			}
-			if limit := max(15, n/6); most > limit || last > 16*time.Second {
-				t.Errorf("%d senders after %s: %d asked in one second, want %d at most; the last after %v", n, cause, most, limit, last)
+			if limit := max(15, n/6); busiest > limit || last > 16*time.Second {
+				t.Errorf("%d senders after %s: %d asked in one second, want %d at most; the last after %v", n, cause, busiest, limit, last)
 			}
 		}
 	}
