--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -51,8 +51,8 @@
 // Metrics holds the metrics of one process. It is safe for concurrent use.
 type Metrics struct {
 	registry     *prometheus.Registry
-	lineBytes    *prometheus.CounterVec
-	wireBytes    *prometheus.CounterVec
+	messageBytes *prometheus.CounterVec
+	sentBytes    *prometheus.CounterVec
 	orderSeconds *prometheus.HistogramVec
 	orders       *prometheus.CounterVec
 	elections    prometheus.Counter
@@ -69,9 +69,9 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "mastusher", Name: name, Help: help}, labels)
 	}
 	m := &Metrics{
-		registry:  prometheus.NewRegistry(),
-		lineBytes: counters("link_line_bytes_total", "Bytes of lines sent to other processes, before they are packed.", "kind", "zone"),
-		wireBytes: counters("link_sent_bytes_total", "Bytes sent to other processes over connections, as they go on the wire.", "zone"),
+		registry:     prometheus.NewRegistry(),
+		messageBytes: counters("link_line_bytes_total", "Bytes of lines sent to other processes, before they are packed.", "kind", "zone"),
+		sentBytes:    counters("link_sent_bytes_total", "Bytes sent to other processes over connections, as they go on the wire.", "zone"),
 		orderSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "mastusher", Name: "order_seconds",
 			Help: "Time of the steps of the operator's configurations.", Buckets: orderBuckets}, []string{"step"}),
 		orders: counters("orders_total", "Configurations that the operator has sent, by outcome.", "outcome"),
@@ -80,7 +80,7 @@
 		rejections:  counters("own_answers_total", "Requests that the proxy has answered by itself, by kind.", "kind"),
 		zoneClasses: map[string]ZoneClass{},
 	}
-	m.registry.MustRegister(m.lineBytes, m.wireBytes, m.orderSeconds, m.orders, m.elections, m.rejections)
+	m.registry.MustRegister(m.messageBytes, m.sentBytes, m.orderSeconds, m.orders, m.elections, m.rejections)
 	return m
 }
 
@@ -99,12 +99,12 @@
 
 // SentLine implements transport.Meter: bytes of one encoded message, before compression.
 func (m *Metrics) SentLine(kind, address string, bytes int) {
-	m.lineBytes.WithLabelValues(kind, string(m.zoneClass(address))).Add(float64(bytes))
+	m.messageBytes.WithLabelValues(kind, string(m.zoneClass(address))).Add(float64(bytes))
 }
 
 // Written implements transport.Meter: bytes written to a connection, after compression.
 func (m *Metrics) Written(address string, bytes int) {
-	m.wireBytes.WithLabelValues(string(m.zoneClass(address))).Add(float64(bytes))
+	m.sentBytes.WithLabelValues(string(m.zoneClass(address))).Add(float64(bytes))
 }
 
 // ObserveStep records how long a step of an order took.
--- a/internal/tier/model/form/check.go
+++ b/internal/tier/model/form/check.go
@@ -152,11 +152,11 @@
 }
 
 // mismatch records that a value is of another kind, and skips it.
-func (r *reader) mismatch(wanted string) {
+func (r *reader) mismatch(expected string) {
 	kind := r.kind()
 	if r.aborted {
 		return
 	}
-	r.fail("is %s, not %s", kindNames[kind], wanted)
+	r.fail("is %s, not %s", kindNames[kind], expected)
 	r.skip()
 }
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -62,11 +62,11 @@
 		{`"number":7`, `"number":7,"number":8`, `can't be read whole: jsontext: duplicate object member name "number"`},
 	}
 	for _, c := range cases {
-		whole := string(document(2))
-		if !strings.Contains(whole, c.old) {
+		complete := string(document(2))
+		if !strings.Contains(complete, c.old) {
 			t.Fatalf("the document has no %s", c.old)
 		}
-		_, err := form.Parse([]byte(strings.Replace(whole, c.old, c.changed, 1)))
+		_, err := form.Parse([]byte(strings.Replace(complete, c.old, c.changed, 1)))
 		if errs := validation.FieldErrors(err); len(errs) != 1 || !strings.HasPrefix(errs[0].Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.changed, err, c.want)
 		}
@@ -74,18 +74,18 @@
 }
 
 func TestParse_IncompleteDocument_IsRefused(t *testing.T) {
-	whole := document(2)
-	for end := range len(whole) {
-		if _, err := form.Parse(whole[:end]); err == nil {
+	complete := document(2)
+	for end := range len(complete) {
+		if _, err := form.Parse(complete[:end]); err == nil {
 			t.Fatalf("taken though cut after %d bytes", end)
 		}
 	}
 	for _, more := range []string{"x", "{}", "}", "\x00", ","} {
-		if _, err := form.Parse(append(whole[:len(whole):len(whole)], more...)); err == nil {
+		if _, err := form.Parse(append(complete[:len(complete):len(complete)], more...)); err == nil {
 			t.Errorf("taken with %q behind it", more)
 		}
 	}
-	if _, err := form.Parse(append(whole[:len(whole):len(whole)], " \r\n\t"...)); err != nil {
+	if _, err := form.Parse(append(complete[:len(complete):len(complete)], " \r\n\t"...)); err != nil {
 		t.Errorf("white space behind it: %v", err)
 	}
 }
--- a/internal/tier/model/form/tokens.go
+++ b/internal/tier/model/form/tokens.go
@@ -55,9 +55,9 @@
 }
 
 // scalar consumes a text or a number. False: the next value is none. The token is valid until the next one is read.
-func (r *reader) scalar(wanted jsontext.Kind) (jsontext.Token, bool) {
-	if r.kind() != wanted {
-		r.mismatch(kindNames[wanted])
+func (r *reader) scalar(expected jsontext.Kind) (jsontext.Token, bool) {
+	if r.kind() != expected {
+		r.mismatch(kindNames[expected])
 		return jsontext.Token{}, false
 	}
 	token, err := r.decoder.ReadToken()
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -28,9 +28,9 @@
 }
 
 func TestCheck_ValidConfigurations_HaveNoErrors(t *testing.T) {
-	whole := document(3)
+	complete := document(3)
 	cases := map[string]string{
-		"whole":                     whole,
+		"whole":                     complete,
 		"no routes":                 `{"number":1,"routes":[],"services":[]}`,
 		"an unknown field":          replaced(t, `{"number":7`, `{"brandNew":{"a":[null]},"number":7`),
 		"an unknown field below":    replaced(t, `"rank":1`, `"rank":1,"brandNew":"x"`),
@@ -42,7 +42,7 @@
 		"no engine":                 replaced(t, `"tls":false,"engine"`, `"tls":false,"engine":null,"brandNew"`),
 		"null for optional fields":  replaced(t, `"keepForS":60.0,"pinned":true`, `"keepForS":null,"pinned":null`),
 		"prefix of one slash alone": replaced(t, `"/p0/"`, `"/"`),
-		"space around it":           "\n " + whole + " \n",
+		"space around it":           "\n " + complete + " \n",
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -55,11 +55,11 @@
 
 func replaced(t *testing.T, old, replacement string) string {
 	t.Helper()
-	whole := document(3)
-	if !strings.Contains(whole, old) {
+	complete := document(3)
+	if !strings.Contains(complete, old) {
 		t.Fatalf("the document has no %q", old)
 	}
-	return strings.Replace(whole, old, replacement, 1)
+	return strings.Replace(complete, old, replacement, 1)
 }
 
 func TestCheck_EachError_NamesItsField(t *testing.T) {
--- a/internal/tier/settings/bounds.go
+++ b/internal/tier/settings/bounds.go
@@ -8,25 +8,25 @@
 
 // The keys of the known bounds.
 const (
-	seedDelayKey  = "seedDelayS"
-	reuseAfterKey = "reuseAfterS"
-	quietKey      = "quietMs"
-	confirmKey    = "confirmMs"
-	catchUpKey    = "catchUpS"
-	drainKey      = "drainMs"
-	graceKey      = "graceS"
-	slackKey      = "slackMs"
-	applyKey      = "applyMs"
-	downgradeKey  = "downgradeMs"
-	stretchKey    = "stretchMs"
-	badShareKey   = "badShare"
-	badSlackKey   = "badSlack"
-	rollbackKey   = "rollbackMs"
-	recoveryKey   = "recoveryS"
-	passKey       = "pass_ms"
-	againKey      = "again_s"
-	finishByKey   = "finishByS"
-	settleKey     = "settleMs"
+	seedDelayKey         = "seedDelayS"
+	reuseAfterKey        = "reuseAfterS"
+	stabilizeKey         = "quietMs"
+	confirmKey           = "confirmMs"
+	catchUpKey           = "catchUpS"
+	drainKey             = "drainMs"
+	gracePeriodKey       = "graceS"
+	slackKey             = "slackMs"
+	applyKey             = "applyMs"
+	downgradeKey         = "downgradeMs"
+	unstableExtensionKey = "stretchMs"
+	badVersionShareKey   = "badShare"
+	badVersionSlackKey   = "badSlack"
+	rollbackKey          = "rollbackMs"
+	recoveryKey          = "recoveryS"
+	forwardKey           = "pass_ms"
+	againKey             = "again_s"
+	finishKey            = "finishByS"
+	commitKey            = "settleMs"
 )
 
 // The highest values accepted.
@@ -47,25 +47,25 @@
 
 // boundSpecs lists the known bounds. Unknown ones in the file are kept if they are numbers.
 var boundSpecs = map[string]boundSpec{
-	seedDelayKey:  seconds(3),
-	reuseAfterKey: seconds(2),
-	quietKey:      milliseconds(3000),
-	confirmKey:    milliseconds(4000),
-	catchUpKey:    seconds(4),
-	drainKey:      milliseconds(3000),
-	graceKey:      seconds(8),
-	slackKey:      milliseconds(200),
-	applyKey:      milliseconds(2000),
-	downgradeKey:  milliseconds(250),
-	stretchKey:    milliseconds(5000),
-	badShareKey:   {defaultValue: 0.1, max: maxShare},
-	badSlackKey:   {defaultValue: 50, max: maxRequests},
-	rollbackKey:   milliseconds(5000),
-	recoveryKey:   seconds(12),
-	passKey:       milliseconds(120),
-	againKey:      seconds(0),
-	finishByKey:   seconds(10),
-	settleKey:     milliseconds(1000),
+	seedDelayKey:         seconds(3),
+	reuseAfterKey:        seconds(2),
+	stabilizeKey:         milliseconds(3000),
+	confirmKey:           milliseconds(4000),
+	catchUpKey:           seconds(4),
+	drainKey:             milliseconds(3000),
+	gracePeriodKey:       seconds(8),
+	slackKey:             milliseconds(200),
+	applyKey:             milliseconds(2000),
+	downgradeKey:         milliseconds(250),
+	unstableExtensionKey: milliseconds(5000),
+	badVersionShareKey:   {defaultValue: 0.1, max: maxShare},
+	badVersionSlackKey:   {defaultValue: 50, max: maxRequests},
+	rollbackKey:          milliseconds(5000),
+	recoveryKey:          seconds(12),
+	forwardKey:           milliseconds(120),
+	againKey:             seconds(0),
+	finishKey:            seconds(10),
+	commitKey:            milliseconds(1000),
 }
 
 func seconds(defaultValue float64) boundSpec {
@@ -83,7 +83,7 @@
 func (b Bounds) AddressReuseAfter() time.Duration { return b.duration(reuseAfterKey) }
 
 // StabilizeWithin is how long a machine must be free of faults before rules with a time apply to it (key quietMs).
-func (b Bounds) StabilizeWithin() time.Duration { return b.duration(quietKey) }
+func (b Bounds) StabilizeWithin() time.Duration { return b.duration(stabilizeKey) }
 
 // ConfirmWithin is the time within which an order of the operator is acknowledged.
 func (b Bounds) ConfirmWithin() time.Duration { return b.duration(confirmKey) }
@@ -95,7 +95,7 @@
 func (b Bounds) DrainWithin() time.Duration { return b.duration(drainKey) }
 
 // GracePeriod is the time from a SIGTERM to the SIGKILL.
-func (b Bounds) GracePeriod() time.Duration { return b.duration(graceKey) }
+func (b Bounds) GracePeriod() time.Duration { return b.duration(gracePeriodKey) }
 
 // Slack is how soon after its last byte a request counts as received.
 func (b Bounds) Slack() time.Duration { return b.duration(slackKey) }
@@ -107,13 +107,13 @@
 func (b Bounds) DowngradeWithin() time.Duration { return b.duration(downgradeKey) }
 
 // UnstableExtension is by how much unstable controllers extend the bounds of configuration and roll-back (key stretchMs).
-func (b Bounds) UnstableExtension() time.Duration { return b.duration(stretchKey) }
+func (b Bounds) UnstableExtension() time.Duration { return b.duration(unstableExtensionKey) }
 
 // BadVersionMaxShare is the share of a service's requests that a bad version may get, 0 to 1.
-func (b Bounds) BadVersionMaxShare() float64 { return b.number(badShareKey) }
+func (b Bounds) BadVersionMaxShare() float64 { return b.number(badVersionShareKey) }
 
 // BadVersionSlack is the number of requests that a bad version may get above its share.
-func (b Bounds) BadVersionSlack() float64 { return b.number(badSlackKey) }
+func (b Bounds) BadVersionSlack() float64 { return b.number(badVersionSlackKey) }
 
 // RollbackWithin is the time within which a bad version must get no more requests.
 func (b Bounds) RollbackWithin() time.Duration { return b.duration(rollbackKey) }
@@ -122,16 +122,16 @@
 func (b Bounds) RecoveryWithin() time.Duration { return b.duration(recoveryKey) }
 
 // ForwardWithin is the time within which an event of a stream is forwarded (key pass_ms).
-func (b Bounds) ForwardWithin() time.Duration { return b.duration(passKey) }
+func (b Bounds) ForwardWithin() time.Duration { return b.duration(forwardKey) }
 
 // Again is the value of the key again_s, which the operators leave unexplained.
 func (b Bounds) Again() time.Duration { return b.duration(againKey) }
 
 // FinishWithin is how long after the end of traffic programs may still end.
-func (b Bounds) FinishWithin() time.Duration { return b.duration(finishByKey) }
+func (b Bounds) FinishWithin() time.Duration { return b.duration(finishKey) }
 
 // CommitWithin is the time after which turns that have ended count with what they used of a budget (key settleMs).
-func (b Bounds) CommitWithin() time.Duration { return b.duration(settleKey) }
+func (b Bounds) CommitWithin() time.Duration { return b.duration(commitKey) }
 
 // number returns a bound without its unit, or its default.
 func (b Bounds) number(key string) float64 {
--- a/internal/tier/settings/section.go
+++ b/internal/tier/settings/section.go
@@ -43,12 +43,12 @@
 }
 
 // lookup returns the node of a key. An empty value counts as missing.
-func (s section) lookup(key string, wanted presence) (*yaml.Node, bool) {
+func (s section) lookup(key string, need presence) (*yaml.Node, bool) {
 	node, ok := s.fields[key]
 	if ok && !isEmpty(&node) {
 		return &node, true
 	}
-	if wanted == required {
+	if need == required {
 		s.fail(key, missing)
 	}
 	return nil, false
@@ -69,9 +69,9 @@
 }
 
 // value decodes the value of a key and reports whether there is one. Kind names what it must be, for the error.
-func value[T any](s section, key string, wanted presence, kind string) (T, bool) {
+func value[T any](s section, key string, need presence, kind string) (T, bool) {
 	var read, none T
-	node, ok := s.lookup(key, wanted)
+	node, ok := s.lookup(key, need)
 	if !ok {
 		return none, false
 	}
@@ -82,9 +82,9 @@
 	return read, true
 }
 
-func (s section) text(key string, wanted presence) string {
-	read, ok := value[string](s, key, wanted, "text")
-	if ok && read == "" && wanted == required {
+func (s section) text(key string, need presence) string {
+	read, ok := value[string](s, key, need, "text")
+	if ok && read == "" && need == required {
 		s.fail(key, missing)
 	}
 	return read
@@ -101,8 +101,8 @@
 }
 
 // ip reads an IP address.
-func (s section) ip(key string, wanted presence) string {
-	read := s.text(key, wanted)
+func (s section) ip(key string, need presence) string {
+	read := s.text(key, need)
 	if read == "" {
 		return ""
 	}
@@ -113,8 +113,8 @@
 }
 
 // address reads an IP address with a port.
-func (s section) address(key string, wanted presence) string {
-	read := s.text(key, wanted)
+func (s section) address(key string, need presence) string {
+	read := s.text(key, need)
 	if read != "" {
 		s.checkAddress(key, read)
 	}
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -212,9 +212,9 @@
 	}
 
 	writeFile(t, path, edgeFile)
-	whole, err := Load(path)
-	if diff := cmp.Diff(edgeSettings(), whole); err != nil || diff != "" {
-		t.Errorf("given a whole file: %v %s", err, diff)
+	complete, err := Load(path)
+	if diff := cmp.Diff(edgeSettings(), complete); err != nil || diff != "" {
+		t.Errorf("given a complete file: %v %s", err, diff)
 	}
 }
 
--- a/internal/tier/virtualtime/loop.go
+++ b/internal/tier/virtualtime/loop.go
@@ -54,16 +54,21 @@
 // queue is a heap.Interface with the next event first.
 type queue []event
 
+// Len implements sort.Interface.
 func (q queue) Len() int { return len(q) }
 
+// Less implements sort.Interface: by time, then in the order of scheduling.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
+// Swap implements sort.Interface.
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push implements heap.Interface.
 func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
 
+// Pop implements heap.Interface. It clears the slot, so that the callback can be freed.
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
