--- /dev/null
+++ b/internal/tier/balancer/outlier_test.go
@@ -0,0 +1,104 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSelect_EndpointRejects_BacksOffLonger(t *testing.T) {
+	s := newBalancer(endpointsOf("feeds", 1, 6))
+	now := time.Duration(0)
+	last := time.Duration(0)
+	for range 4 {
+		call(t, s, now, retryableRequest("feeds"), NotRun, time.Millisecond)
+		now += time.Millisecond
+		d := s.Select(now, retryableRequest("feeds"))
+		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
+			t.Fatalf("decision %+v right after a rejection; want Saturated and a time to come back", d)
+		}
+		wait := s.endpoints["feeds-0"].health.backoffUntil - now
+		if wait < last/2 {
+			t.Errorf("wait of %v after one of %v; want them to grow", wait, last)
+		}
+		last, now = wait, now+wait
+	}
+	if last < 200*time.Millisecond {
+		t.Errorf("the fourth wait is %v, want 200 ms or more", last)
+	}
+}
+
+func TestSetEndpoints_EndpointReturns_KeepsBackoff(t *testing.T) {
+	// Given an endpoint that has rejected a call.
+	list := endpointsOf("feeds", 1, 6)
+	s := newBalancer(list)
+	call(t, s, 0, retryableRequest("feeds"), NotRun, time.Millisecond)
+	// When a list without it comes, and then one with it again.
+	s.SetEndpoints(2*time.Millisecond, nil)
+	s.SetEndpoints(3*time.Millisecond, list)
+	// Then nothing is sent there before the wait is over.
+	if d := s.Select(4*time.Millisecond, retryableRequest("feeds")); d.Rejection.Kind != Saturated {
+		t.Errorf("decision %+v, want Saturated", d)
+	}
+}
+
+func TestSelect_EndpointEjected_GetsProbesOnly(t *testing.T) {
+	// Given a service where one endpoint's connections are reset.
+	s := newBalancer(endpointsOf("feeds", 3, 6))
+	now := trainTimes(t, s, 0, retryableRequest("feeds"), 30, 30*time.Millisecond)
+	ejected := "feeds-1"
+	others := []string{"feeds-0", "feeds-2"}
+	r := retryableRequest("feeds")
+	r.Excluded = others
+	for range maxFails {
+		call(t, s, now, r, IncompleteResponse, time.Millisecond)
+	}
+
+	// When retryable requests go on for two seconds.
+	probes := 0
+	for range 100 {
+		d := s.Select(now, retryableRequest("feeds"))
+		kind := Success
+		if d.Endpoint.ID == ejected {
+			probes++
+			kind = IncompleteResponse
+		}
+		s.Sent(now, &d.Attempt)
+		s.Done(now+10*time.Millisecond, &d.Attempt, Outcome{Kind: kind, Elapsed: 10 * time.Millisecond})
+		now += 20 * time.Millisecond
+	}
+	// Then a few of them are probes.
+	if probes < 1 || probes > 5 {
+		t.Errorf("%d of 100 requests went to the failing endpoint, want 1 to 5", probes)
+	}
+	// And a request that must not run twice is none.
+	now += 10 * time.Second
+	s.Select(now, retryableRequest("feeds"))
+	for range 5 {
+		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, time.Millisecond); got == ejected {
+			t.Error("a request that must not run twice was used as a probe")
+		}
+	}
+	// And if all others are excluded, the failing one is used.
+	if got := call(t, s, now, r, Success, time.Millisecond); got != ejected {
+		t.Errorf("went to %s, want the only one left", got)
+	}
+}
+
+func TestSelect_CallOverdue_AvoidsEndpoint(t *testing.T) {
+	// Given a service of two, one of which stops answering.
+	s := newBalancer(endpointsOf("feeds", 2, 6))
+	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 30, 30*time.Millisecond)
+	r := onceOnlyRequest("feeds")
+	r.Excluded = []string{"feeds-0"}
+	overdue := s.Select(now, r)
+	s.Sent(now, &overdue.Attempt)
+
+	// When a second has passed, then nothing else goes there.
+	now += time.Second
+	for range 20 {
+		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, 30*time.Millisecond); got != "feeds-0" {
+			t.Fatal("a request went to the endpoint that doesn't answer")
+		}
+		now += 10 * time.Millisecond
+	}
+}
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -290,13 +290,13 @@
 				return simulatePlainCalls(1, test.usage, test.outage, queues, newPolicy)
 			}
 			random := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
-			least := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			leastLoad := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
 			direct, ours := simulate(false, balancedProxyPolicy), simulate(true, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
-			t.Logf("least load: %v", least)
+			t.Logf("least load: %v", leastLoad)
 			t.Logf("balancer:   %v", direct)
 			t.Logf("with queue: %v", ours)
-			if share := ours.share(ours.onTime); share < random.share(random.onTime) || share < least.share(least.onTime) {
+			if share := ours.share(ours.onTime); share < random.share(random.onTime) || share < leastLoad.share(leastLoad.onTime) {
 				t.Error("fewer requests are in time than with a simple choice")
 			}
 		})
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -75,11 +75,11 @@
 					delete(waiting, w.ID)
 				}
 			default:
-				gone := rapid.Uint64Range(1, max(1, id)).Draw(rt, "gone")
-				if _, there := waiting[gone]; q.Remove(gone) != there {
-					rt.Fatalf("removing %d: want %v", gone, there)
+				removed := rapid.Uint64Range(1, max(1, id)).Draw(rt, "gone")
+				if _, there := waiting[removed]; q.Remove(removed) != there {
+					rt.Fatalf("removing %d: want %v", removed, there)
 				}
-				delete(waiting, gone)
+				delete(waiting, removed)
 			}
 			for w, ok := q.PopExpired(now); ok; w, ok = q.PopExpired(now) {
 				if w.ExpiresAt > now {
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("pinned %v: the target got %d of the first 24 requests", pinned, target[24])
 		}
 		for i, got := range target {
-			if most := 0.05*float64(i) + 4; float64(got) > most {
+			if maximum := 0.05*float64(i) + 4; float64(got) > maximum {
 				t.Fatalf("pinned %v: the target got %d of %d requests", pinned, got, i)
 			}
 		}
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -119,8 +119,8 @@
 	reportedLoad []float64
 }
 
-func newBaselinePolicy(list []model.Endpoint, least bool, seed uint64) *baselinePolicy {
-	return &baselinePolicy{random: rand.New(rand.NewPCG(seed, 1)), leastLoaded: least, list: list, ownInFlight: make([]int, len(list)),
+func newBaselinePolicy(list []model.Endpoint, leastLoad bool, seed uint64) *baselinePolicy {
+	return &baselinePolicy{random: rand.New(rand.NewPCG(seed, 1)), leastLoaded: leastLoad, list: list, ownInFlight: make([]int, len(list)),
 		reportedLoad: make([]float64, len(list))}
 }
 
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -41,9 +41,9 @@
 }
 
 func (g *engine) add(n *generation) {
-	kept := min(g.cachedPrefixes[n.session], n.prompt)
-	*g.rereadTokens += n.prompt - kept
-	n.promptLeft = n.prompt - kept
+	remaining := min(g.cachedPrefixes[n.session], n.prompt)
+	*g.rereadTokens += n.prompt - remaining
+	n.promptLeft = n.prompt - remaining
 	g.waiting = append(g.waiting, n)
 	if !g.busy {
 		g.busy = true
@@ -59,8 +59,8 @@
 	read := engineChunkTokens
 	for len(g.waiting) > 0 && len(g.running) < g.capacity && read > 0 {
 		n := g.waiting[0]
-		part := min(read, n.promptLeft)
-		n.promptLeft, read = n.promptLeft-part, read-part
+		fragment := min(read, n.promptLeft)
+		n.promptLeft, read = n.promptLeft-fragment, read-fragment
 		if n.promptLeft > 0 {
 			break
 		}
@@ -142,7 +142,7 @@
 	turn = func(session uint64, number int) {
 		t.turns++
 		history := 600 + 500*number
-		p, begun := policies[sim.arrivalRandom.IntN(proxies)], sim.now
+		p, startedAt := policies[sim.arrivalRandom.IntN(proxies)], sim.now
 		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
 			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 			PrefixTokens: history - 500, NewTokens: 500, OutTokens: out})
@@ -152,11 +152,11 @@
 		p.sent(sim.now, i, a)
 		n := &generation{session: session, prompt: history, outputLeft: out}
 		n.first = func(l Load) {
-			t.first = append(t.first, (sim.now - begun).Seconds())
+			t.first = append(t.first, (sim.now - startedAt).Seconds())
 			p.first(sim.now, i, a, l)
 		}
 		n.done = func(o Outcome) {
-			o.Elapsed, o.Tokens = sim.now-begun, out
+			o.Elapsed, o.Tokens = sim.now-startedAt, out
 			t.complete = append(t.complete, o.Elapsed.Seconds())
 			p.done(sim.now, i, a, o)
 			if number < turns {
@@ -178,12 +178,12 @@
 		t.Run(fmt.Sprintf("turns=%v", rate), func(t *testing.T) {
 			t.Parallel()
 			random := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
-			least := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			leastLoad := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
 			ours := simulateTurns(1, rate, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
-			t.Logf("least load: %v", least)
+			t.Logf("least load: %v", leastLoad)
 			t.Logf("balancer:   %v", ours)
-			if w := meanOf(ours.complete); w > meanOf(random.complete) || w > meanOf(least.complete) {
+			if w := meanOf(ours.complete); w > meanOf(random.complete) || w > meanOf(leastLoad.complete) {
 				t.Error("streams take longer than with a simple choice")
 			}
 		})
--- a/internal/tier/balancer/versions.go
+++ b/internal/tier/balancer/versions.go
@@ -51,11 +51,11 @@
 	if share <= 0 || share >= 1 || len(g.ready) == 0 {
 		return
 	}
-	kept := max(1, int(share*float64(len(g.ready))))
-	for _, e := range g.ready[kept:] {
+	remaining := max(1, int(share*float64(len(g.ready))))
+	for _, e := range g.ready[remaining:] {
 		e.ready = false
 	}
-	g.ready, g.hashes = g.ready[:kept], g.hashes[:kept]
+	g.ready, g.hashes = g.ready[:remaining], g.hashes[:remaining]
 	g.untriedOrder = slices.DeleteFunc(g.untriedOrder, func(e *endpoint) bool { return !e.ready })
 }
 
--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -93,9 +93,9 @@
 			}
 			var requests []*requestScript
 			for at := range responseLength(newRequest(route, 0, completeScript(kind, 2))) {
-				cut := completeScript(kind, 2)
-				cut.breakAfter, cut.end = at, end
-				requests = append(requests, newRequest(route, at, cut, completeScript(success, 2)))
+				broken := completeScript(kind, 2)
+				broken.breakAfter, broken.end = at, end
+				requests = append(requests, newRequest(route, at, broken, completeScript(success, 2)))
 			}
 			for at, result := range runRequests(t, requests) {
 				if ended := kind == closeDelimited && end != resetClose; route.retryable() && !ended && (!result.complete() || result.status != 200) {
@@ -288,8 +288,8 @@
 	for _, old := range []bool{false, true} {
 		for _, kind := range []responseKind{success, chunked, closeDelimited} {
 			t.Run(fmt.Sprint(framings[kind], "/", old), func(t *testing.T) {
-				cut := 0
-				for at := 0; at < 40 || at < slowest && cut == 0 && kind != success; at++ {
+				broken := 0
+				for at := 0; at < 40 || at < slowest && broken == 0 && kind != success; at++ {
 					slow := completeScript(kind, 10_000)
 					slow.split, slow.pause = 9000, 20*time.Millisecond
 					request := newRequest(onceRoute, 0, slow)
@@ -297,10 +297,10 @@
 					killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
 					w := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
 					if results := w.clients[0].results; len(results) > 0 && results[0].brokenOff() {
-						cut++
+						broken++
 					}
 				}
-				if cut == 0 && kind != success {
+				if broken == 0 && kind != success {
 					t.Error("no answer was cut")
 				}
 			})
--- a/internal/tier/exchangetest/memory_network_test.go
+++ b/internal/tier/exchangetest/memory_network_test.go
@@ -277,16 +277,16 @@
 		case c.in.reset:
 			return written, syscall.EPIPE
 		}
-		room := windowBytes - c.peer.in.inTransit - len(c.peer.in.unread)
-		if room <= 0 {
+		free := windowBytes - c.peer.in.inTransit - len(c.peer.in.unread)
+		if free <= 0 {
 			c.change.Wait()
 			continue
 		}
-		part := bytes.Clone(data[:min(room, len(data))])
-		data = data[len(part):]
-		written += len(part)
-		c.peer.in.inTransit += len(part)
-		c.peer.schedule(func() { c.peer.arrive(part) })
+		fragment := bytes.Clone(data[:min(free, len(data))])
+		data = data[len(fragment):]
+		written += len(fragment)
+		c.peer.in.inTransit += len(fragment)
+		c.peer.schedule(func() { c.peer.arrive(fragment) })
 	}
 	return written, nil
 }
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -278,9 +278,9 @@
 func (o *oracle) judgeResponse(g *clientResult) {
 	seal := g.header.Get("X-Server-Seal")
 	if seal == "" {
-		inPart := g.request.sendLimit >= 0 && g.status == 400
+		partial := g.request.sendLimit >= 0 && g.status == 400
 		refused := g.request.route == turnRoute && g.status == rejectionStatuses[g.request.beginResult]
-		if !inPart && !refused && !slices.Contains([]int{502, 503, 504}, g.status) {
+		if !partial && !refused && !slices.Contains([]int{502, 503, 504}, g.status) {
 			o.fault(g.request, "MIXED: %d of the proxy's own", g.status)
 		}
 		return
@@ -298,9 +298,9 @@
 		o.judgeStream(g, first)
 		return
 	}
-	body, whole := first.completeBody()
-	if g.complete() && (!whole || !bytes.Equal(body, g.body)) {
-		o.fault(g.request, "MIXED: %d bytes look complete, the endpoint's are %d, whole: %v", len(g.body), len(body), whole)
+	body, complete := first.completeBody()
+	if g.complete() && (!complete || !bytes.Equal(body, g.body)) {
+		o.fault(g.request, "MIXED: %d bytes look complete, the endpoint's are %d, whole: %v", len(g.body), len(body), complete)
 	}
 	if g.brokenOff() && !bytes.HasPrefix(first.body(), g.body) {
 		o.fault(g.request, "MIXED: other bytes than the endpoint's: %.80q", g.body)
@@ -363,8 +363,8 @@
 		if r.request != request || r.index < from.index || r != from && !request.route.retryable() {
 			continue
 		}
-		body, whole := r.completeBody()
-		if whole && r.lastEvent+bytes.Count(body, []byte("\n\n")) == last && (len(body) == 0 || bytes.HasSuffix(body, []byte("\n\n"))) {
+		body, complete := r.completeBody()
+		if complete && r.lastEvent+bytes.Count(body, []byte("\n\n")) == last && (len(body) == 0 || bytes.HasSuffix(body, []byte("\n\n"))) {
 			return true
 		}
 	}
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -45,14 +45,14 @@
 	if first.answered && first.status/100 == 2 && (first.header.Get("X-Attempt-Id") != first.request.id || first.header.Get("X-Server-Seal") == "") {
 		t.Errorf("%d with %v", first.status, first.header)
 	}
-	promise := bytes.Contains(answer, []byte(" 421 ")) || bytes.Contains(bytes.ToLower(answer), []byte("x-not-run"))
+	promisedNotRun := bytes.Contains(answer, []byte(" 421 ")) || bytes.Contains(bytes.ToLower(answer), []byte("x-not-run"))
 	sends := 0
 	for _, r := range w.runs {
 		if r.request == first.request {
 			sends++
 		}
 	}
-	if !first.request.route.retryable() && sends > 1 && !promise {
+	if !first.request.route.retryable() && sends > 1 && !promisedNotRun {
 		t.Errorf("sent %d times after %q", sends, answer)
 	}
 	if !second.complete() || second.status != 200 || second.header.Get("X-Attempt-Id") != second.request.id {
--- a/internal/tier/exchangetest/scenario_draw_test.go
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -140,12 +140,12 @@
 	if r.size > 0 && s.one(3) {
 		script.early, script.readOnDelay = true, s.upTo(60)
 	}
-	troubles := 6
+	faults := 6
 	if r.route == resumeRoute {
-		troubles = 3 // broken off more often, so that many streams are resumed
+		faults = 3 // broken off more often, so that many streams are resumed
 		script.size = 8
 	}
-	switch s.below(troubles) {
+	switch s.below(faults) {
 	case 0:
 		script.readLimit, script.end = s.below(r.size+200), oneOf(s, resetClose, orderlyClose, halfClose)
 	case 1, 2:
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -200,8 +200,8 @@
 // chunkBody frames bytes in about so many chunks.
 func chunkBody(data []byte, count int) []byte {
 	var framed []byte
-	for part := max(len(data)/max(count, 1), 1); len(data) > 0; {
-		size := min(part, len(data))
+	for fragment := max(len(data)/max(count, 1), 1); len(data) > 0; {
+		size := min(fragment, len(data))
 		framed = append(framed, oneChunk(data[:size])...)
 		data = data[size:]
 	}
@@ -271,8 +271,8 @@
 
 // breaksOff tells whether the endpoint ends the connection in the middle of the response.
 func (r endpointAttempt) breaksOff() bool {
-	cut := r.script().breakAfter
-	return cut >= 0 && cut < len(r.answer())
+	broken := r.script().breakAfter
+	return broken >= 0 && broken < len(r.answer())
 }
 
 // provedNotRun tells whether the head of the run's response came, and promises that the request was not run.
@@ -285,7 +285,7 @@
 }
 
 // completeBody returns the body that a client may take for the run's complete one, if there is any.
-func (r endpointAttempt) completeBody() (body []byte, whole bool) {
+func (r endpointAttempt) completeBody() (body []byte, complete bool) {
 	script := r.script()
 	switch {
 	case script.readLimit >= 0 || !script.kind.mayReachClient(r.request.route):
@@ -299,13 +299,13 @@
 }
 
 // truncatedBody is completeBody where the connection ended in the middle: orderly, that is the end of an close-delimited answer.
-func (r endpointAttempt) truncatedBody() (body []byte, whole bool) {
+func (r endpointAttempt) truncatedBody() (body []byte, complete bool) {
 	script := r.script()
 	if script.kind != closeDelimited || script.end == resetClose || r.request.method == "HEAD" {
 		return nil, false
 	}
-	_, body, whole = bytes.Cut(r.answer()[:script.breakAfter], []byte("\r\n\r\n"))
-	return body, whole
+	_, body, complete = bytes.Cut(r.answer()[:script.breakAfter], []byte("\r\n\r\n"))
+	return body, complete
 }
 
 // head is the head of a response up to its framing.
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -79,7 +79,7 @@
 
 func TestTurn_DidNotRun_ReleasesReservation(t *testing.T) {
 	five := stream(event(1, "a"), event(2, "b"), event(3, "c"), event(4, "d"), event(5, "e"))
-	cutAfterOne := func(socket net.Conn, request received) bool {
+	breakAfterOne := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	}
@@ -92,15 +92,15 @@
 		{"given a turn that is rejected then its whole reservation is released", respondNotRun, true},
 		{"given a turn that fails with a 4xx then its whole reservation is released", respondWith(413, "no"), true},
 		{"given a turn that is reset before its first event then its whole reservation is released", resetConnection, true},
-		{"given a turn that breaks off after an event then the rest is given back", cutAfterOne, true},
+		{"given a turn that breaks off after an event then the rest is given back", breakAfterOne, true},
 		{"given a turn that is answered completely then what it forwarded is spent", five, false},
 	}
 	for _, test := range cases {
 		for _, route := range []string{"turn", "stream"} {
 			t.Run(test.name+", "+route, func(t *testing.T) {
-				var again atomic.Bool
+				var secondAttempt atomic.Bool
 				e := newEndpoint(t, func(socket net.Conn, request received) bool {
-					if !again.Swap(true) {
+					if !secondAttempt.Swap(true) {
 						return test.script(socket, request)
 					}
 					return five(socket, request)
@@ -108,7 +108,7 @@
 				f, k := newFixtureWithBudgets(t, e)
 				all := f.selector.endpoints
 				if test.script == nil {
-					again.Store(true)
+					secondAttempt.Store(true)
 					f.selector.endpoints = nil
 				}
 				f.turn(k, route, "first")
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -13,9 +13,9 @@
 )
 
 // workUntilClose answers with a part and then works until its caller goes.
-func workUntilClose(started chan<- struct{}, part func(received) string) func(net.Conn, received) bool {
+func workUntilClose(started chan<- struct{}, fragment func(received) string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
-		io.WriteString(socket, part(request))
+		io.WriteString(socket, fragment(request))
 		started <- struct{}{}
 		socket.Read(make([]byte, 1))
 		return false
@@ -31,9 +31,9 @@
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
 	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
 	cases := []struct {
-		name  string
-		route string
-		part  func(received) string
+		name     string
+		route    string
+		fragment func(received) string
 	}{
 		{"given a request that may run again when no answer has come", "safe", nothing},
 		{"given a request that may run again when half an answer has come", "safe", half},
@@ -51,7 +51,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work, and another one that could take the request
 			started := make(chan struct{}, 1)
-			first, second := newEndpoint(t, workUntilClose(started, test.part)), newEndpoint(t, respondWith(200, "good"))
+			first, second := newEndpoint(t, workUntilClose(started, test.fragment)), newEndpoint(t, respondWith(200, "good"))
 			f := newFixture(t, first, second)
 			f.setRouteTimeout(10 * disconnectWait.Milliseconds())
 			c := f.dial()
@@ -110,9 +110,9 @@
 		t.Fatal(rejection)
 	}
 	s.Done(inFlight, Outcome{Result: Succeeded})
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	s.leaveQueue(gone, id, w)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	s.leaveQueue(cancelled, id, w)
 	// then the next one gets that capacity
 	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
 		t.Errorf("the capacity was not free: %v", err)
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -30,12 +30,12 @@
 	head := func(request received) string { return sealedHead(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
 	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
-	const cut = 0
+	const broken = 0
 	cases := []struct {
-		name   string
-		route  string
-		part   func(received) string
-		status int // cut: the answer has begun, and breaks off
+		name     string
+		route    string
+		fragment func(received) string
+		status   int // cut: the answer has begun, and breaks off
 	}{
 		{"a silent endpoint, safe", "safe", nothing, 504},
 		{"a silent endpoint, once", "once", nothing, 504},
@@ -44,26 +44,26 @@
 		{"a head without an event, stream", "stream", head, 504},
 		{"a head without an event, resumable", "resume", head, 504},
 		{"a head without an event, turn", "turn", head, 504},
-		{"a stream under way", "stream", events, cut},
-		{"a resumable stream under way", "resume", events, cut},
-		{"a turn under way", "turn", events, cut},
-		{"half a long answer, once", "once", half, cut},
+		{"a stream under way", "stream", events, broken},
+		{"a resumable stream under way", "resume", events, broken},
+		{"a turn under way", "turn", events, broken},
+		{"half a long answer, once", "once", half, broken},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			// given an endpoint that goes on for ever, and a client with all the time in the world
-			e := newEndpoint(t, workUntilClose(make(chan struct{}, 1), test.part))
+			e := newEndpoint(t, workUntilClose(make(chan struct{}, 1), test.fragment))
 			f := newFixture(t, e)
 			f.setRouteTimeout(shortTimeoutMs)
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 			// when the route's time is over, then the request ends, at the client as at the endpoint
 			got := c.read("POST")
-			if test.status == cut && got.err == nil {
+			if test.status == broken && got.err == nil {
 				t.Errorf("looks complete: %+v", got)
 			}
-			if test.status != cut && (got.status != test.status || got.err != nil) {
+			if test.status != broken && (got.status != test.status || got.err != nil) {
 				t.Errorf("got %+v", got)
 			}
 			<-e.closed
@@ -130,10 +130,10 @@
 
 func TestTimeLeft_IsAtMostClientsAndRoutes(t *testing.T) {
 	cases := []struct {
-		name   string
-		sent   string // by the client; empty: nothing
-		giveUp int64
-		most   int
+		name    string
+		sent    string // by the client; empty: nothing
+		giveUp  int64
+		maximum int
 	}{
 		{"the client has less", "20000", 50000, 20000},
 		{"the route has less", "90000", 50000, 50000},
@@ -160,8 +160,8 @@
 					t.Fatalf("got %+v", got)
 				}
 				before, after := timeLeftOf(t, <-first.requests), timeLeftOf(t, <-second.requests)
-				if before > test.most || after > before || after < test.most/2 {
-					t.Errorf("received %d, then %d, at most %d", before, after, test.most)
+				if before > test.maximum || after > before || after < test.maximum/2 {
+					t.Errorf("received %d, then %d, at most %d", before, after, test.maximum)
 				}
 			})
 		}
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -12,9 +12,9 @@
 func TestErrorResponse_Rejection_HasRetryAfter(t *testing.T) {
 	const second = float64(time.Second)
 	for _, test := range []struct {
-		kind        apierror.Kind
-		wait        time.Duration // set by whoever rejected
-		least, most time.Duration // of Retry-After
+		kind             apierror.Kind
+		wait             time.Duration // set by whoever rejected
+		minimum, maximum time.Duration // of Retry-After
 	}{
 		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
 		{apierror.StateUnavailable, 0, 450 * time.Millisecond, 585 * time.Millisecond},
@@ -29,8 +29,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := time.Duration(value * second); got < test.least || got > test.most+time.Millisecond {
-				t.Errorf("%v, set to %v: got %v, want %v to %v", test.kind, test.wait, got, test.least, test.most)
+			if got := time.Duration(value * second); got < test.minimum || got > test.maximum+time.Millisecond {
+				t.Errorf("%v, set to %v: got %v, want %v to %v", test.kind, test.wait, got, test.minimum, test.maximum)
 			}
 		}
 	}
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -135,14 +135,14 @@
 
 // admit counts a new connection and returns its server; nil if it isn't to be taken.
 func (f *frontend) admit(client *clientConn) *serverGeneration {
-	wanted := f.currentLimits()
+	desired := f.currentLimits()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.closed || f.maxConnections > 0 && len(f.clients) >= f.maxConnections {
 		return nil
 	}
-	if f.current == nil || f.current.limits != wanted {
-		f.startGeneration(wanted)
+	if f.current == nil || f.current.limits != desired {
+		f.startGeneration(desired)
 	}
 	f.current.connections++
 	f.clients[client] = struct{}{}
@@ -170,15 +170,15 @@
 }
 
 // startGeneration starts a server for other limits. The caller holds the mutex.
-func (f *frontend) startGeneration(wanted clientLimits) {
+func (f *frontend) startGeneration(desired clientLimits) {
 	f.retireGeneration()
-	g := &serverGeneration{limits: wanted, listener: newConnListener(f.listener.Addr())}
+	g := &serverGeneration{limits: desired, listener: newConnListener(f.listener.Addr())}
 	g.server = &http.Server{
 		Handler:           f.handler,
-		ReadHeaderTimeout: wanted.headerTimeout,
-		IdleTimeout:       wanted.idleTimeout,
+		ReadHeaderTimeout: desired.headerTimeout,
+		IdleTimeout:       desired.idleTimeout,
 		WriteTimeout:      defaultWriteTimeout,
-		MaxHeaderBytes:    max(wanted.headerBytes-netHTTPHeaderSlop, 1),
+		MaxHeaderBytes:    max(desired.headerBytes-netHTTPHeaderSlop, 1),
 		ErrorLog:          f.errorLog,
 		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
 		ConnContext:       withClient,
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -181,8 +181,8 @@
 			t.Errorf("%q ms: %v", value, got)
 		}
 	}
-	if prompt, most := tokenCounts("1840,135"); prompt != 1840 || most != 135 {
-		t.Errorf("token counts %d, %d", prompt, most)
+	if prompt, maximum := tokenCounts("1840,135"); prompt != 1840 || maximum != 135 {
+		t.Errorf("token counts %d, %d", prompt, maximum)
 	}
 }
 
@@ -267,7 +267,7 @@
 	addresses := []string{"127.0.0.1:1", "127.0.0.1:2"}
 	cases := []struct {
 		name       string
-		turnedAway []string
+		rejectedBy []string
 		excluded   []string
 		want       string
 	}{
@@ -279,7 +279,7 @@
 			s := NewLoadBalancer("z", 1)
 			s.SetEndpoints(endpointsOf(addresses, model.Ready, model.Ready))
 			info := newRequestInfo(0)
-			info.RejectedBy, info.Excluded = test.turnedAway, test.excluded
+			info.RejectedBy, info.Excluded = test.rejectedBy, test.excluded
 			if selection, err := s.Select(t.Context(), info); err != nil || selection.ID != test.want {
 				t.Errorf("got %q, %v", selection.ID, err)
 			}
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -18,8 +18,8 @@
 	limits := newConfiguration().Limits
 	line := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n"
 	longest := func(end string) string {
-		room := limits.MaxHeaderBytes - len(line) - len("X-Long: \r\n") - len(end)
-		return line + "X-Long: " + strings.Repeat("h", room) + "\r\n" + end
+		free := limits.MaxHeaderBytes - len(line) - len("X-Long: \r\n") - len(end)
+		return line + "X-Long: " + strings.Repeat("h", free) + "\r\n" + end
 	}
 	largest := strings.Repeat("b", int(limits.MaxBodyBytes))
 	cases := map[string]string{
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -92,7 +92,7 @@
 		io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
 		return true
 	}
-	cutShort := func(socket net.Conn, request received) bool {
+	breakOff := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
 		return false
 	}
@@ -118,8 +118,8 @@
 		{"reset, once", "once", resetConnection, 502, 0},
 		{"reset, stream", "stream", resetConnection, 502, 0},
 		{"reset, resumable", "resume", resetConnection, 200, 1},
-		{"cut short, safe", "safe", cutShort, 200, 1},
-		{"cut short, once", "once", cutShort, 502, 0},
+		{"cut short, safe", "safe", breakOff, 200, 1},
+		{"cut short, once", "once", breakOff, 502, 0},
 		{"no seal, once", "once", noSeal, 502, 0},
 		{"no seal, safe", "safe", noSeal, 200, 1},
 		{"no id, once", "once", noID, 502, 0},
@@ -151,29 +151,6 @@
 	}
 }
 
-func TestChunkedResponse_BreaksOff_IsRetried(t *testing.T) {
-	cut := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
-		return false
-	}
-	long := strings.Repeat("0123456789abcdef", 1<<14)
-	for name, body := range map[string]string{"short": "whole", "long": long} {
-		t.Run(name, func(t *testing.T) {
-			whole := func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
-				return true
-			}
-			bad, good := newEndpoint(t, cut), newEndpoint(t, whole)
-			f := newFixture(t, bad, good)
-			c := f.dial()
-			c.request("GET", "/safe/x", "id", "")
-			if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != body {
-				t.Errorf("status %d with %d bytes, %v", got.status, len(got.body), got.err)
-			}
-		})
-	}
-}
-
 func TestRequest_AllAttemptsFail_StopsAtMaxAttempts(t *testing.T) {
 	endpoints := []*endpoint{newEndpoint(t, resetConnection), newEndpoint(t, resetConnection), newEndpoint(t, resetConnection)}
 	f := newFixture(t, endpoints...)
@@ -210,24 +187,6 @@
 	}
 }
 
-func TestLateResponse_IsNeverGivenToNextRequest(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		if request.id() == "id2" {
-			late := received{header: map[string][]string{"X-Attempt-Id": {"id1"}}}
-			respondWith(200, "late")(socket, late)
-		}
-		return respondWith(200, "own "+request.id())(socket, request)
-	})
-	f := newFixture(t, e)
-	c := f.dial()
-	for _, id := range []string{"id1", "id2", "id3"} {
-		c.request("GET", "/once/x", id, "")
-		if got := c.read("GET"); got.status != 200 || got.body != "own "+id || got.header.Get("X-Attempt-Id") != id {
-			t.Errorf("%s got %+v", id, got)
-		}
-	}
-}
-
 func TestLargeBodies_AreForwarded(t *testing.T) {
 	megabyte := strings.Repeat("0123456789abcdef", 1<<16)
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
@@ -243,42 +202,6 @@
 	}
 }
 
-func TestLongResponse_BreaksOff_LooksIncomplete(t *testing.T) {
-	for name, framing := range map[string]string{"length": "Content-Length: 100000", "chunks": "Transfer-Encoding: chunked"} {
-		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealedHead(200, request, framing)+"a\r\n0123456789\r\n")
-				return false
-			})
-			f := newFixture(t, e)
-			c := f.dial()
-			c.request("GET", "/once/x", "id", "")
-			if got := c.read("GET"); got.err == nil || got.status != 200 {
-				t.Errorf("got %+v", got)
-			}
-		})
-	}
-}
-
-func TestHeadRequest_HasNoBody(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Content-Length: 4711"))
-		return true
-	})
-	f := newFixture(t, e)
-	c := f.dial()
-	for i := range 2 {
-		c.request("HEAD", "/safe/x", fmt.Sprint("id", i), "")
-		got := c.read("HEAD")
-		if got.status != 200 || got.header.Get("Content-Length") != "4711" || got.body != "" {
-			t.Errorf("got %+v", got)
-		}
-		if request := <-e.requests; request.connection != 1 {
-			t.Errorf("connection %d", request.connection)
-		}
-	}
-}
-
 func TestConnect_Hangs_EndsAtSelectionsTimeout(t *testing.T) {
 	full := newFullListener(t)
 	good := newEndpoint(t, respondWith(200, "good"))
@@ -369,103 +292,3 @@
 		}
 	}
 }
-
-func TestNotRunResponse_BodyMissing_DelaysNothing(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nContent-Length: 10\r\n\r\n")
-		_, err := socket.Read(make([]byte, 1))
-		return err == nil
-	})
-	f := newFixture(t, e, newEndpoint(t, respondWith(200, "good")))
-	c := f.dial()
-	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 3000")
-	if got := c.read("POST"); got.status != 200 || got.body != "good" {
-		t.Errorf("got %+v", got)
-	}
-}
-
-func TestNotRunResponse_ConnectionIsKept(t *testing.T) {
-	rejections := 0
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		if rejections++; rejections > 1 {
-			return respondWith(200, "good")(socket, request)
-		}
-		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nKeep-Alive: timeout=30\r\nContent-Length: 4\r\n\r\nfull")
-		return true
-	})
-	f := newFixture(t, e)
-	c := f.dial()
-	for _, want := range []int{503, 200} {
-		c.request("POST", "/once/x", "id", "body")
-		if got := c.read("POST"); got.status != want {
-			t.Errorf("got %+v", got)
-		}
-		if request := <-e.requests; request.connection != 1 {
-			t.Errorf("connection %d", request.connection)
-		}
-	}
-}
-
-func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
-	// given an endpoint that says that it didn't run a request, and breaks off
-	broken := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
-		return false
-	}
-	for route, want := range map[string]int{"safe": 200, "once": 502} {
-		t.Run(route, func(t *testing.T) {
-			second := newEndpoint(t, respondWith(200, "good"))
-			f := newFixture(t, newEndpoint(t, broken), second)
-			c := f.dial()
-			c.request("GET", "/"+route+"/x", "id", "")
-			// then the client never gets an empty success in its place
-			got := c.read("GET")
-			if got.status != want || want == 200 && got.body != "good" {
-				t.Errorf("got %+v", got)
-			}
-		})
-	}
-}
-
-func TestCloseDelimitedResponse_Reset_IsRetried(t *testing.T) {
-	bad := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"the first part")
-		return resetConnection(socket, request)
-	})
-	good := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"whole")
-		return false
-	})
-	f := newFixture(t, bad, good)
-	c := f.dial()
-	c.request("GET", "/safe/x", "id", "")
-	if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != "whole" {
-		t.Errorf("got %+v", got)
-	}
-	c.request("GET", "/safe/x", "next", "")
-	if got := c.read("GET"); got.status != 200 {
-		t.Errorf("the next answer on the client's connection: %+v", got)
-	}
-}
-
-func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
-	// given an answer whose end only its connection tells
-	end := make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"some bytes")
-		<-end
-		return false
-	})
-	f := newFixture(t, e)
-	c := f.dial()
-	c.request("GET", "/once/x", "id", "")
-	response := c.head("GET")
-	// then the client's has an end of its own, so that it can't look complete when this process ends in its middle
-	if len(response.TransferEncoding) != 1 || response.TransferEncoding[0] != "chunked" || response.Close {
-		t.Errorf("framed by %v, close %v", response.TransferEncoding, response.Close)
-	}
-	close(end)
-	if body, err := io.ReadAll(response.Body); err != nil || string(body) != "some bytes" {
-		t.Errorf("%q, %v", body, err)
-	}
-}
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -19,36 +19,36 @@
 	nothing := func(received) string { return "" }
 	head := func(request received) string { return sealedHead(200, request, streamHead) }
 	events := func(request received) string { return head(request) + chunk(event(1, "one")) }
-	const cut = 0
+	const broken = 0
 	cases := []struct {
-		name   string
-		route  string
-		part   func(received) string
-		status int // cut: the answer has begun, and breaks off
+		name     string
+		route    string
+		fragment func(received) string
+		status   int // cut: the answer has begun, and breaks off
 	}{
 		{"a request that may run again", "safe", nothing, 504},
 		{"a request that runs once", "once", nothing, 504},
 		{"a stream before its first event", "stream", head, 504},
 		{"a turn before its first event", "turn", head, 504},
-		{"a stream under way", "stream", events, cut},
+		{"a stream under way", "stream", events, broken},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work
 			started := make(chan struct{}, 1)
-			f := newFixture(t, newEndpoint(t, workUntilClose(started, test.part)))
+			f := newFixture(t, newEndpoint(t, workUntilClose(started, test.fragment)))
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body", turnFields...)
 			<-started
-			var begun *http.Response
-			if test.status == cut {
-				begun = c.head("POST")
+			var partialResponse *http.Response
+			if test.status == broken {
+				partialResponse = c.head("POST")
 			}
 			// when a shutdown comes to the end of its time
 			ended := f.shutDownOnce(f.closedToClients)
 			// then the client gets an error response, and the connection ends
-			if test.status == cut {
-				if body, err := io.ReadAll(begun.Body); err == nil {
+			if test.status == broken {
+				if body, err := io.ReadAll(partialResponse.Body); err == nil {
 					t.Errorf("looks complete: %q", body)
 				}
 			} else if got := c.read("POST"); got.status != test.status || got.err != nil || !got.close {
@@ -83,11 +83,11 @@
 }
 
 // shutDownOnce shuts the proxy down, and ends the time for that once a condition holds.
-func (f *fixture) shutDownOnce(holds func() bool) <-chan error {
+func (f *fixture) shutDownOnce(condition func() bool) <-chan error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.proxy.Shutdown(ctx) }()
-	for !holds() {
+	for !condition() {
 	}
 	cancel()
 	return ended
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -202,7 +202,7 @@
 	// given one that is in time, then nothing ends it afterwards
 	a = &attempt{selection: Selection{Timeout: time.Hour}}
 	c.applyTimeout(a)
-	if first, again := a.stopTimeout(), a.stopTimeout(); !first || !again || a.context.Err() != nil {
+	if first, second := a.stopTimeout(), a.stopTimeout(); !first || !second || a.context.Err() != nil {
 		t.Errorf("ended by %v", context.Cause(a.context))
 	}
 }
@@ -272,7 +272,7 @@
 			c := f.dial()
 			c.request("GET", "/resume/x", "id", "")
 			got := c.read("GET")
-			if cut := got.err != nil; got.body != test.want || cut == strings.HasSuffix(name, "fields") {
+			if broken := got.err != nil; got.body != test.want || broken == strings.HasSuffix(name, "fields") {
 				t.Errorf("got %q, %v", got.body, got.err)
 			}
 		})
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -91,8 +91,8 @@
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
 			response := c.head("POST")
-			whole := event(1, "one") + event(2, "two")
-			if _, err := io.ReadFull(response.Body, make([]byte, len(whole)-1)); err != nil {
+			complete := event(1, "one") + event(2, "two")
+			if _, err := io.ReadFull(response.Body, make([]byte, len(complete)-1)); err != nil {
 				t.Fatal(err)
 			}
 			<-asked
@@ -136,7 +136,7 @@
 }
 
 func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
-	cut := func(socket net.Conn, request received) bool {
+	broken := func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
 	}
@@ -147,7 +147,7 @@
 	}{
 		{"rejected", respondNotRun, 0},
 		{"reset", resetConnection, 0},
-		{"cut inside the second event", cut, 3},
+		{"cut inside the second event", broken, 3},
 		{"failed", respondWith(500, "failed"), 0},
 	}
 	for _, test := range cases {
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -41,12 +41,12 @@
 		"many proxies":     func(_ *fixture, s *LoadBalancer) { s.SetProxies(1000) },
 		"the proxy drains": func(f *fixture, _ *LoadBalancer) { f.proxy.Drain() },
 	}
-	begun := map[string]string{ // of the answer, when the change comes
+	started := map[string]string{ // of the answer, when the change comes
 		"nothing yet":        "",
 		"a part of a stream": streamHead,
 	}
 	for name, change := range changes {
-		for part, head := range begun {
+		for part, head := range started {
 			t.Run(name+", "+part, func(t *testing.T) {
 				// given a request under way
 				started, release := make(chan struct{}), make(chan struct{})
--- /dev/null
+++ b/internal/tier/upstream/exchange_test.go
@@ -0,0 +1,319 @@
+package upstream_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/tier/upstream"
+)
+
+func TestDo_Request_IsWrittenByteForByte(t *testing.T) {
+	targets := []string{"/", "//", "//a//b", "/a%2Fb", "/a;b=c;d", "/a?", "/a?x=1&y=%20;z", "/a?b?c", "/%61/../b/./c", "/a|b\"<>",
+		"//host/path?q#f", "/%zz", "/caf\xc3\xa9"}
+	e := newEndpoint(t, respondShortly)
+	pool := newPool(t, upstream.Options{})
+	for i, target := range targets {
+		id := fmt.Sprint("id-", i)
+		if _, err := exchange(t, pool, e.target("e"), newRequest("GET", target, id)); err != nil {
+			t.Fatalf("%s: %v", target, err)
+		}
+		requests, _ := e.seen()
+		want := []string{"GET " + target + " HTTP/1.1", "Host: service.example", "X-Attempt-Id: " + id}
+		if diff := cmp.Diff(want, headLines(requests[i].raw)); diff != "" {
+			t.Errorf("head of %q (-want +got):\n%s", target, diff)
+		}
+	}
+}
+
+func TestDo_Body_KeepsItsLength(t *testing.T) {
+	large := strings.Repeat("0123456789abcdef", 1<<16)
+	cases := []struct {
+		name      string
+		bodyParts []string
+		want      string
+	}{
+		{"empty", []string{""}, ""},
+		{"one part", []string{"input"}, "input"},
+		{"a chain and an input", []string{"chain ", "input"}, "chain input"},
+		{"a megabyte", []string{large, "tail"}, large + "tail"},
+	}
+	e := newEndpoint(t, respondShortly)
+	pool := newPool(t, upstream.Options{})
+	for i, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/x", fmt.Sprint(i), test.bodyParts...)); err != nil {
+				t.Fatal(err)
+			}
+			requests, _ := e.seen()
+			got := requests[len(requests)-1]
+			if got.header.Get("Content-Length") != fmt.Sprint(len(test.want)) || string(got.body) != test.want {
+				t.Errorf("got length %s and %d bytes, want %d", got.header.Get("Content-Length"), len(got.body), len(test.want))
+			}
+		})
+	}
+}
+
+func TestDo_AnyFailure_SendsRequestOnce(t *testing.T) {
+	for _, method := range []string{"GET", "POST", "PUT", "HEAD", "OPTIONS"} {
+		t.Run(method, func(t *testing.T) {
+			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+				if request.header.Get("X-Attempt-Id") == "1" {
+					io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
+					return true
+				}
+				reset(socket)
+				return false
+			})
+			pool := newPool(t, upstream.Options{})
+			if _, err := exchange(t, pool, e.target("e"), newRequest(method, "/", "1")); err != nil {
+				t.Fatal(err)
+			}
+			_, err := exchange(t, pool, e.target("e"), newRequest(method, "/", "2"))
+			expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
+			if requests, connections := e.seen(); len(requests) != 2 || connections != 1 {
+				t.Errorf("%d requests on %d connections, want 2 on the first", len(requests), connections)
+			}
+		})
+	}
+}
+
+func TestDo_InformationalResponses_AreSkipped(t *testing.T) {
+	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		io.WriteString(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+		return respondShortly(socket, request)
+	})
+	pool := newPool(t, upstream.Options{})
+	request := newRequest("POST", "/", "1", "body")
+	request.Fields = upstream.AppendField(request.Fields, "Expect", "100-continue")
+	body, err := exchange(t, pool, e.target("e"), request)
+	if requests, _ := e.seen(); err != nil || body != "body of 1" || len(requests) != 1 {
+		t.Errorf("%q, %v, %d requests", body, err, len(requests))
+	}
+}
+
+func TestDo_ForeignResponse_IsNeverReturned(t *testing.T) {
+	t.Run("the own response follows", func(t *testing.T) {
+		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			if request.header.Get("X-Attempt-Id") == "2" {
+				late := received{header: map[string][]string{"X-Attempt-Id": {"1"}}}
+				respond(socket, late, "late", "X-Server-Seal: s")
+			}
+			return respondShortly(socket, request)
+		})
+		pool := newPool(t, upstream.Options{})
+		for i, want := range []string{"body of 1", "body of 2", "body of 3"} {
+			body, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", fmt.Sprint(i+1)))
+			if err != nil || body != want {
+				t.Errorf("got %q, %v, want %q", body, err, want)
+			}
+		}
+		if requests, connections := e.seen(); len(requests) != 3 || connections != 2 {
+			t.Errorf("%d requests on %d connections", len(requests), connections)
+		}
+	})
+	t.Run("nothing follows", func(t *testing.T) {
+		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			respond(socket, received{header: map[string][]string{"X-Attempt-Id": {"other"}}}, "late", "Connection: close")
+			return false
+		})
+		pool := newPool(t, upstream.Options{})
+		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
+	})
+	t.Run("no id on a connection that was used before", func(t *testing.T) {
+		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			if request.header.Get("X-Attempt-Id") == "1" {
+				return respondShortly(socket, request)
+			}
+			io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+			return false
+		})
+		pool := newPool(t, upstream.Options{})
+		exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "2"))
+		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
+	})
+}
+
+func TestDo_Errors_TellWhetherRequestWasSent(t *testing.T) {
+	pool := newPool(t, upstream.Options{ConnectTimeout: 200 * time.Millisecond})
+	t.Run("nobody listens", func(t *testing.T) {
+		listener, _ := net.Listen("tcp4", "127.0.0.1:0")
+		address := listener.Addr().String()
+		listener.Close()
+		_, err := exchange(t, pool, upstream.Endpoint{ID: "gone", Address: address}, newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.NeverSent, upstream.ConnectFailed)
+	})
+	t.Run("the context has ended", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		_, err := pool.Do(ctx, upstream.Endpoint{ID: "x", Address: "127.0.0.1:1"}, newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.NeverSent, upstream.Cancelled)
+	})
+	t.Run("the context ends while the endpoint works", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		e := newEndpoint(t, func(net.Conn, received) bool { cancel(); return true })
+		_, err := pool.Do(ctx, e.target("e"), newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.MayHaveRun, upstream.Cancelled)
+		<-e.closed
+	})
+	t.Run("a head without end", func(t *testing.T) {
+		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
+			io.WriteString(socket, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("a", 100<<10))
+			return true
+		})
+		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
+	})
+	t.Run("bytes that are no response", func(t *testing.T) {
+		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
+			io.WriteString(socket, "\x00\x01 no answer\r\n\r\n")
+			return true
+		})
+		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
+	})
+	for _, target := range []string{"", "/a b", "/a\r\nX: y"} {
+		_, err := exchange(t, pool, upstream.Endpoint{ID: "x", Address: "127.0.0.1:1"}, newRequest("GET", target, "1"))
+		expectError(t, err, upstream.NeverSent, upstream.InvalidRequest)
+	}
+}
+
+func TestDo_EarlyResponseToLongRequest_IsReturned(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	answered := make(chan struct{})
+	go func() {
+		socket, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer socket.Close()
+		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: 1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		<-answered
+	}()
+	pool := newPool(t, upstream.Options{})
+	request := newRequest("POST", "/", "1", strings.Repeat("x", 64<<20))
+	response, err := pool.Do(t.Context(), upstream.Endpoint{ID: "e", Address: listener.Addr().String()}, request)
+	if err != nil || response.Status != 503 {
+		t.Fatalf("%v, %v", response, err)
+	}
+	response.Close()
+	close(answered)
+	if inUse, idle := pool.Connections("e"); inUse != 0 || idle != 0 {
+		t.Errorf("%d connections in use and %d idle", inUse, idle)
+	}
+}
+
+func expectError(t *testing.T, err error, kind upstream.Kind, reason upstream.Reason) {
+	t.Helper()
+	var failure *upstream.Error
+	if !errors.As(err, &failure) || failure.Kind != kind || failure.Reason != reason {
+		t.Errorf("got %v, want %s (%s)", err, reason, kind)
+	}
+}
+
+// cancellingPermit is a Permit that ends a request's context as it is asked, the last thing before the request is written.
+type cancellingPermit struct{ cancel context.CancelFunc }
+
+func (p cancellingPermit) Granted() bool {
+	p.cancel()
+	return true
+}
+
+func TestDo_ContextEndsWhileConnecting_SendsNothing(t *testing.T) {
+	e := newEndpoint(t, respondShortly)
+	pool := newPool(t, upstream.Options{})
+	for _, kept := range []bool{false, true} {
+		if kept {
+			if _, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "first")); err != nil {
+				t.Fatal(err)
+			}
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		target := e.target("e")
+		target.Permit = cancellingPermit{cancel}
+		_, err := pool.Do(ctx, target, newRequest("GET", "/", "left"))
+		expectError(t, err, upstream.NeverSent, upstream.Cancelled)
+		<-e.closed
+	}
+	if requests, _ := e.seen(); len(requests) != 1 {
+		t.Errorf("%d requests, want 1", len(requests))
+	}
+}
+
+func TestDo_LateBodyAfterHead_IsNoResponse(t *testing.T) {
+	// The late response to a HEAD request has a length and no body: whoever skipped one would skip the own response, and
+	// go on in its middle. The late response to a GET has one: whoever reads no body after a HEAD would take it for a response.
+	for name, methods := range map[string][2]string{"a late response to a HEAD": {"HEAD", "GET"}, "a late response to a GET": {"GET", "HEAD"}} {
+		t.Run(name, func(t *testing.T) {
+			inner := "HTTP/1.1 200 OK\r\nX-Attempt-Id: 2\r\nContent-Length: 0\r\n\r\n"
+			late := "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: " + strconv.Itoa(len(inner)) + "\r\n\r\n"
+			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+				if request.header.Get("X-Attempt-Id") == "2" {
+					io.WriteString(socket, late+inner+inner)
+					return true
+				}
+				io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
+				return true
+			})
+			pool := newPool(t, upstream.Options{})
+			if _, err := exchange(t, pool, e.target("e"), newRequest(methods[0], "/", "1")); err != nil {
+				t.Fatal(err)
+			}
+			_, err := exchange(t, pool, e.target("e"), newRequest(methods[1], "/", "2"))
+			expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
+		})
+	}
+}
+
+func TestDo_ResponseWithSeveralIDs_IsForeign(t *testing.T) {
+	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		respond(socket, request, "x", "X-Attempt-Id: other", "Connection: close")
+		return false
+	})
+	pool := newPool(t, upstream.Options{})
+	_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+	expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
+}
+
+func TestDo_RequestWithoutID_GetsOwnConnection(t *testing.T) {
+	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		if request.header.Get("X-Attempt-Id") == "" {
+			io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
+			return true
+		}
+		return respondShortly(socket, request)
+	})
+	for _, most := range []int{0, 1} {
+		pool := newPool(t, upstream.Options{})
+		target := e.target("e")
+		target.MaxConnections = most
+		without := &upstream.Request{Method: "GET", Target: "/", Host: "service.example"}
+		for _, request := range []*upstream.Request{newRequest("GET", "/", "1"), without, newRequest("GET", "/", "2"), without} {
+			if _, err := exchange(t, pool, target, request); err != nil {
+				t.Fatalf("at most %d connections: %v", most, err)
+			}
+		}
+	}
+	var used []int
+	requests, _ := e.seen()
+	for _, request := range requests {
+		used = append(used, request.connection)
+	}
+	if diff := cmp.Diff([]int{1, 2, 1, 3, 4, 5, 6, 7}, used); diff != "" {
+		t.Errorf("connections used (-want +got):\n%s", diff)
+	}
+}
--- a/internal/tier/upstream/reaper.go
+++ b/internal/tier/upstream/reaper.go
@@ -37,16 +37,16 @@
 
 // collectExpired moves the idle connections of an endpoint that have expired to expired. The caller holds the mutex.
 func (p *Pool) collectExpired(e *endpointConns, now time.Time, expired []*connection) []*connection {
-	kept := e.idle[:0]
+	remaining := e.idle[:0]
 	for _, c := range e.idle {
 		if now.Before(c.idleUntil) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		expired = append(expired, c)
 		p.releaseSlot(e)
 	}
-	clear(e.idle[len(kept):])
-	e.idle = kept
+	clear(e.idle[len(remaining):])
+	e.idle = remaining
 	return expired
 }
--- /dev/null
+++ b/internal/tier/upstream/response_test.go
@@ -0,0 +1,32 @@
+package upstream_test
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"mastusher/internal/tier/upstream"
+)
+
+func TestResponse_BodyBreaksOff_FailsWithMayHaveRun(t *testing.T) {
+	cases := map[string]string{
+		"within its length":     "Content-Length: 10\r\n\r\n12345",
+		"within a chunk":        "Transfer-Encoding: chunked\r\n\r\na\r\n12345",
+		"before the last chunk": "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n",
+		"with a broken chunk":   "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\nzz\r\n",
+	}
+	for name, rest := range cases {
+		t.Run(name, func(t *testing.T) {
+			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+				io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"+rest)
+				return false
+			})
+			pool := newPool(t, upstream.Options{})
+			body, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+			expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
+			if body != "12345" {
+				t.Errorf("body %q", body)
+			}
+		})
+	}
+}
