--- a/internal/tier/command/reload.go
+++ b/internal/tier/command/reload.go
@@ -61,7 +61,7 @@
 	now, _ := os.Stat(w.path)
 	loaded, err := settings.Load(w.path)
 	if err != nil {
-		level.Error(w.logger).Log("msg", "settings stay as they were", "err", err)
+		level.Error(w.logger).Log("msg", "reloading settings failed, previous settings stay active", "err", err)
 		w.last = nil
 		return
 	}
--- a/internal/tier/command/role_test.go
+++ b/internal/tier/command/role_test.go
@@ -17,8 +17,8 @@
 // roleVariable makes the test binary run the role that it names, in place of the tests.
 const roleVariable = "MASTUSHER_TEST_ROLE"
 
-// patience bounds the start of a process.
-const patience = 10 * time.Second
+// testTimeout bounds the start of a process.
+const testTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) {
 	for _, role := range Roles() {
@@ -68,7 +68,7 @@
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	watchdog := time.AfterFunc(patience, func() { _ = process.Process.Kill() })
+	watchdog := time.AfterFunc(testTimeout, func() { _ = process.Process.Kill() })
 	defer watchdog.Stop()
 	err := process.Wait()
 	var ended *exec.ExitError
--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -87,7 +87,7 @@
 func (m *machine) awaitReady() {
 	m.t.Helper()
 	for began := time.Now(); m.readiness() != http.StatusOK; time.Sleep(10 * time.Millisecond) {
-		if time.Since(began) > patience {
+		if time.Since(began) > testTimeout {
 			m.t.Fatal("not ready")
 		}
 	}
@@ -128,7 +128,7 @@
 	request.Header.Set("X-Attempt-Id", id)
 	got := make(chan clientResponse, 1)
 	go func() {
-		client := http.Client{Transport: &http.Transport{}, Timeout: patience}
+		client := http.Client{Transport: &http.Transport{}, Timeout: testTimeout}
 		response, err := client.Do(request)
 		if err != nil {
 			got <- clientResponse{err: err}
@@ -166,7 +166,7 @@
 		t.Helper()
 		select {
 		case <-begun:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			close(release)
 			t.Fatal("a request didn't come to the endpoint")
 		}
@@ -183,7 +183,7 @@
 	// when it is asked to end, then it isn't ready any more, and still accepts a request
 	m.signal(syscall.SIGTERM)
 	for began := time.Now(); m.readiness() == http.StatusOK; {
-		if time.Since(began) > patience {
+		if time.Since(began) > testTimeout {
 			t.Fatal("still ready")
 		}
 	}
--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -21,7 +21,7 @@
 
 // retryStart retries an operation with backoff until it succeeds, for at most startTimeout, and returns its last error. A corrupt
 // disk isn't retried.
-func (p *process) retryStart(ctx context.Context, what string, operation func() error) error {
+func (p *process) retryStart(ctx context.Context, step string, operation func() error) error {
 	bounded, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
@@ -29,7 +29,7 @@
 		if err == nil || errors.Is(err, storage.ErrCorrupt) {
 			return err
 		}
-		level.Warn(p.logger).Log("msg", "start waits", "for", what, "err", err)
+		level.Warn(p.logger).Log("msg", "start step failed, retrying", "step", step, "err", err)
 		select {
 		case <-bounded.Done():
 			return err
--- a/internal/tier/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -72,9 +72,9 @@
 		if got, want := restored.placement.Load(), m.placement.Load(); got != want {
 			t.Fatalf("placement %d after the restart, want %d", got, want)
 		}
-		again, err := restored.Snapshot()
-		if err != nil || !cmp.Equal(state, again) {
-			t.Fatalf("snapshot after the restart (%v):\n%s", err, cmp.Diff(string(state), string(again)))
+		rewritten, err := restored.Snapshot()
+		if err != nil || !cmp.Equal(state, rewritten) {
+			t.Fatalf("snapshot after the restart (%v):\n%s", err, cmp.Diff(string(state), string(rewritten)))
 		}
 		for _, name := range names {
 			if diff := cmp.Diff(m.Apply(99, encode(t, endTurn(name))), restored.Apply(99, encode(t, endTurn(name)))); diff != "" {
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -307,9 +307,9 @@
 	number := f.turns.Add(1)
 	shard := int(number % measuredShards)
 	name := fmt.Sprintf("%032x", number)
-	f.ask(shard, wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, MaxTokens: 100,
+	f.call(shard, wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: shard, Turn: program.BeginTurn{Turn: name, Program: name, Budget: 1000, MaxTokens: 100,
 		Remembered: true, KeepForS: 3600, Input: contents(number, f.input)}})
-	f.ask(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Complete: true, Tokens: 100, Output: contents(number, f.input/4)}})
+	f.call(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Complete: true, Tokens: 100, Output: contents(number, f.input/4)}})
 }
 
 // contents are bytes as no two turns have them.
@@ -321,11 +321,11 @@
 	return text[:size]
 }
 
-// ask calls the owner of a shard until it answers.
-func (f *fleet) ask(shard int, method string, request any) {
-	for try := 0; ; try++ {
-		address := f.processes[try%len(f.processes)].options.Address
-		if known := f.leaders[shard].Load(); known != nil && try == 0 {
+// call calls the leader of a shard until it responds.
+func (f *fleet) call(shard int, method string, request any) {
+	for attempt := 0; ; attempt++ {
+		address := f.processes[attempt%len(f.processes)].options.Address
+		if known := f.leaders[shard].Load(); known != nil && attempt == 0 {
 			address = *known
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -341,11 +341,11 @@
 
 // peaks returns the most memory that any of the processes had since the last call.
 func peaks(b *testing.B, processes ...*storeProcess) float64 {
-	most := int64(0)
+	peak := int64(0)
 	for _, p := range processes {
-		most = max(most, p.peak(b))
+		peak = max(peak, p.peak(b))
 	}
-	return float64(most) / (1 << 20)
+	return float64(peak) / (1 << 20)
 }
 
 // BenchmarkMemoryOfStores measures the most memory (RSS) that a store process takes, in MiB, for three stores of eight shards
--- a/internal/tier/store/opening_test.go
+++ b/internal/tier/store/opening_test.go
@@ -53,7 +53,7 @@
 	// then it is delivered at once.
 	select {
 	case <-delivered:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("the message waits for the disk")
 	}
 	close(disk.release)
--- a/internal/tier/store/placement.go
+++ b/internal/tier/store/placement.go
@@ -27,7 +27,7 @@
 	}
 	var placement view.Placement
 	if err := json.Unmarshal(update.Body, &placement); err != nil {
-		level.Error(s.options.Logger).Log("msg", "placement cannot be read", "err", err)
+		level.Error(s.options.Logger).Log("msg", "decoding placement failed", "err", err)
 		return
 	}
 	s.ApplyPlacement(update.Stamp.Sequence, placement)
@@ -46,7 +46,7 @@
 	for number, target := range placement.Shards {
 		if s.shouldRun(number, target) {
 			if err := s.open(number, target); err != nil {
-				level.Error(s.options.Logger).Log("msg", "shard cannot be opened", "shard", number, "err", err)
+				level.Error(s.options.Logger).Log("msg", "opening shard failed, retrying", "shard", number, "err", err)
 				failed = true
 				continue
 			}
--- a/internal/tier/store/removed.go
+++ b/internal/tier/store/removed.go
@@ -17,7 +17,7 @@
 	s.removed[number] = true
 	s.mutex.Unlock()
 	if err := s.writeRemovalMarker(number); err != nil {
-		level.Warn(s.options.Logger).Log("msg", "removed replica cannot be marked", "shard", number, "err", err)
+		level.Warn(s.options.Logger).Log("msg", "marking removed replica failed", "shard", number, "err", err)
 	}
 }
 
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -19,8 +19,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// patience bounds every wait of a test that goes as it should.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait of a test that goes as it should.
+const waitTimeout = 10 * time.Second
 
 var (
 	self  = view.Replica{ID: "self", Node: "storage-1", Address: "10.0.0.1:7002", Zone: "a"}
@@ -44,7 +44,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
--- a/internal/tier/store/surplus_concurrency_test.go
+++ b/internal/tier/store/surplus_concurrency_test.go
@@ -83,14 +83,14 @@
 // until polls the stores until the condition is true at one.
 func (f *fleet) until(what string, condition func(s *Store) bool) {
 	f.t.Helper()
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(2 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(2 * time.Millisecond) {
 		for _, s := range f.stores {
 			if condition(s) {
 				return
 			}
 		}
 	}
-	f.t.Errorf("%s: not within %v", what, patience)
+	f.t.Errorf("%s: not within %v", what, waitTimeout)
 }
 
 // runTurn begins and ends a turn.
--- a/internal/tier/versionstats/counter_test.go
+++ b/internal/tier/versionstats/counter_test.go
@@ -111,11 +111,11 @@
 	late := send()
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1"}})
 	// when it is rolled out again, and the versions are set twice,
-	again := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 9}}
-	c.SetVersions(again)
+	repeated := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 9}}
+	c.SetVersions(repeated)
 	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
 	now = now.Add(300 * time.Millisecond)
-	c.SetVersions(again)
+	c.SetVersions(repeated)
 	c.Done(send(), proxy.Outcome{Result: proxy.NotRun})
 	now = now.Add(200 * time.Millisecond)
 	// then what was counted before isn't counted for the second order.
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if err := f.apply(update); err != nil {
-		level.Error(f.logger).Log("msg", "update cannot be applied", "section", update.Section, "err", err)
+		level.Error(f.logger).Log("msg", "applying update failed", "section", update.Section, "err", err)
 		return
 	}
 	f.digest[update.Section] = update.Stamp
