--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -55,9 +55,9 @@
 }
 
 func (f *fetcher) find(section view.Section) *sectionFetch {
-	for _, w := range f.sections {
-		if w.section == section {
-			return w
+	for _, state := range f.sections {
+		if state.section == section {
+			return state
 		}
 	}
 	return nil
@@ -65,52 +65,52 @@
 
 // addSource notes that a member has announced a stamp of a section.
 func (f *fetcher) addSource(section view.Section, stamp view.Stamp, address string) {
-	w := f.find(section)
-	if w == nil {
-		w = &sectionFetch{section: section}
-		f.sections = append(f.sections, w)
+	state := f.find(section)
+	if state == nil {
+		state = &sectionFetch{section: section}
+		f.sections = append(f.sections, state)
 		slices.SortFunc(f.sections, func(a, b *sectionFetch) int { return cmp.Compare(a.section, b.section) })
 	}
-	w.addSource(stamp, address)
+	state.addSource(stamp, address)
 }
 
 func (f *fetcher) hasAnnounced(section view.Section, stamp view.Stamp, address string) bool {
-	w := f.find(section)
-	return w != nil && slices.ContainsFunc(w.sources, func(s source) bool {
+	state := f.find(section)
+	return state != nil && slices.ContainsFunc(state.sources, func(s source) bool {
 		return s.address == address && !s.stamp.Less(stamp)
 	})
 }
 
 // addSource adds a source; beyond maxSources it replaces the one with the oldest stamp, if that is older.
-func (w *sectionFetch) addSource(stamp view.Stamp, address string) {
-	position := slices.IndexFunc(w.sources, func(s source) bool { return s.address == address })
+func (f *sectionFetch) addSource(stamp view.Stamp, address string) {
+	position := slices.IndexFunc(f.sources, func(s source) bool { return s.address == address })
 	if position >= 0 {
-		if w.sources[position].stamp.Less(stamp) {
-			w.sources[position] = source{address: address, stamp: stamp}
+		if f.sources[position].stamp.Less(stamp) {
+			f.sources[position] = source{address: address, stamp: stamp}
 		}
 		return
 	}
-	if len(w.sources) < maxSources {
-		w.sources = append(w.sources, source{address: address, stamp: stamp})
+	if len(f.sources) < maxSources {
+		f.sources = append(f.sources, source{address: address, stamp: stamp})
 		return
 	}
 	oldest := 0
-	for i := range w.sources {
-		if w.sources[i].stamp.Less(w.sources[oldest].stamp) {
+	for i := range f.sources {
+		if f.sources[i].stamp.Less(f.sources[oldest].stamp) {
 			oldest = i
 		}
 	}
-	if w.sources[oldest].stamp.Less(stamp) {
-		w.sources[oldest] = source{address: address, stamp: stamp}
+	if f.sources[oldest].stamp.Less(stamp) {
+		f.sources[oldest] = source{address: address, stamp: stamp}
 	}
 }
 
 // bestSource returns the source to ask next of those with a newer stamp than current: with the fewest failures, then the
 // newest stamp, then the latest announcement. Nil: there is none.
-func (w *sectionFetch) bestSource(current view.Stamp) *source {
+func (f *sectionFetch) bestSource(current view.Stamp) *source {
 	var best *source
-	for i := range w.sources {
-		candidate := &w.sources[i]
+	for i := range f.sources {
+		candidate := &f.sources[i]
 		if !current.Less(candidate.stamp) {
 			continue
 		}
@@ -123,16 +123,16 @@
 }
 
 // noteFailure ends the pending fetch without result. The backoff grows with the failures of its source.
-func (w *sectionFetch) noteFailure(now, backoff time.Duration) {
-	w.token = 0
-	position := slices.IndexFunc(w.sources, func(s source) bool { return s.address == w.source })
+func (f *sectionFetch) noteFailure(now, backoff time.Duration) {
+	f.token = 0
+	position := slices.IndexFunc(f.sources, func(s source) bool { return s.address == f.source })
 	if position < 0 {
 		return
 	}
-	w.sources[position].failures++
-	w.retryAt = now + backoff*time.Duration(w.sources[position].failures)
-	if w.sources[position].failures >= maxSourceFailures {
-		w.sources = slices.Delete(w.sources, position, position+1)
+	f.sources[position].failures++
+	f.retryAt = now + backoff*time.Duration(f.sources[position].failures)
+	if f.sources[position].failures >= maxSourceFailures {
+		f.sources = slices.Delete(f.sources, position, position+1)
 	}
 }
 
@@ -141,23 +141,23 @@
 	for _, update := range fetched.Updates {
 		g.apply(update)
 	}
-	for _, w := range g.fetcher.sections {
-		if w.token != fetched.Token || w.token == 0 {
+	for _, state := range g.fetcher.sections {
+		if state.token != fetched.Token || state.token == 0 {
 			continue
 		}
-		if g.store.Stamp(w.section).Less(w.requested) {
-			w.noteFailure(g.now, g.options.RetryBackoff)
+		if g.store.Stamp(state.section).Less(state.requested) {
+			state.noteFailure(g.now, g.options.RetryBackoff)
 			continue
 		}
-		w.token = 0
+		state.token = 0
 	}
 }
 
 // expireFetches counts fetches that exceed their time-out as failed. Updates that arrive later are still applied.
 func (g *Gossiper) expireFetches() {
-	for _, w := range g.fetcher.sections {
-		if w.token != 0 && g.now >= w.deadline {
-			w.noteFailure(g.now, g.options.RetryBackoff)
+	for _, state := range g.fetcher.sections {
+		if state.token != 0 && g.now >= state.deadline {
+			state.noteFailure(g.now, g.options.RetryBackoff)
 		}
 	}
 }
@@ -165,20 +165,20 @@
 // startFetches fetches the sections that have a source and no pending fetch, with one fetch per source.
 func (g *Gossiper) startFetches() {
 	first := len(g.effects.Fetches)
-	for _, w := range g.fetcher.sections {
-		if w.token != 0 {
+	for _, state := range g.fetcher.sections {
+		if state.token != 0 {
 			continue
 		}
-		chosen := w.bestSource(g.store.Stamp(w.section))
-		if chosen == nil || chosen.failures > 0 && g.now < w.retryAt {
+		chosen := state.bestSource(g.store.Stamp(state.section))
+		if chosen == nil || chosen.failures > 0 && g.now < state.retryAt {
 			continue
 		}
 		fetch := g.fetchOf(chosen.address, first)
-		fetch.Wanted[w.section] = chosen.stamp
-		w.token = fetch.Token
-		w.source = chosen.address
-		w.requested = chosen.stamp
-		w.deadline = g.now + g.options.FetchTimeout
+		fetch.Wanted[state.section] = chosen.stamp
+		state.token = fetch.Token
+		state.source = chosen.address
+		state.requested = chosen.stamp
+		state.deadline = g.now + g.options.FetchTimeout
 	}
 }
 
@@ -197,11 +197,11 @@
 // nextFetch returns when a pending fetch expires or a failed one may be retried.
 func (g *Gossiper) nextFetch() time.Duration {
 	next := never
-	for _, w := range g.fetcher.sections {
-		if w.token != 0 {
-			next = min(next, w.deadline)
-		} else if w.bestSource(g.store.Stamp(w.section)) != nil {
-			next = min(next, w.retryAt)
+	for _, state := range g.fetcher.sections {
+		if state.token != 0 {
+			next = min(next, state.deadline)
+		} else if state.bestSource(g.store.Stamp(state.section)) != nil {
+			next = min(next, state.retryAt)
 		}
 	}
 	return next
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -67,7 +67,7 @@
 			Name: "fetches never expire",
 			Change: mutation.Change{
 				File: "fetch.go",
-				Old:  "if w.token != 0 && g.now >= w.deadline {",
+				Old:  "if state.token != 0 && g.now >= state.deadline {",
 				New:  "if false {",
 			},
 			Run: hangingSources,
@@ -76,7 +76,7 @@
 			Name: "a section is fetched while its fetch is pending",
 			Change: mutation.Change{
 				File: "fetch.go",
-				Old:  "if w.token != 0 {\n\t\t\tcontinue",
+				Old:  "if state.token != 0 {\n\t\t\tcontinue",
 				New:  "if false {\n\t\t\tcontinue",
 			},
 			Run: dyingSources,
