--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -31,8 +31,8 @@
 	rolloutsPath = "/mastusher/rollouts"
 )
 
-// callPatience is how long a caller waits until it moves on to another controller.
-const callPatience = time.Second
+// callTimeout is how long a caller waits until it moves on to another controller.
+const callTimeout = time.Second
 
 // document is a valid configuration.
 func document(number int) string {
@@ -43,12 +43,12 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`, number)
 }
 
-func (b *bed) put(base, body string) *httptest.ResponseRecorder {
+func (b *fixture) put(base, body string) *httptest.ResponseRecorder {
 	return b.send(http.MethodPut, settingsPath, body, "If-Match", base)
 }
 
 func TestSettingsAPI_PutThenGet_ReturnsNewest(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 
 	// Given two versions on top of each other, the second with its If-Match in quotes.
@@ -76,7 +76,7 @@
 }
 
 func TestSettingsAPI_Proposals_Counted(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	wantStatus(t, b.put("0", document(3)), http.StatusOK)
 	wantStatus(t, b.put("3", document(3)), http.StatusBadRequest)
 	wantStatus(t, b.put("3", "{}"), http.StatusBadRequest)
@@ -108,12 +108,12 @@
 func TestSettingsAPI_Restart_KeepsConfiguration(t *testing.T) {
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
-		b := startBed(t, disk)
+		b := startFixture(t, disk)
 		wantStatus(t, b.put("0", document(3)), http.StatusOK)
 		wantStatus(t, b.put("3", document(5)), http.StatusOK)
 	})
 	disk.LosePower(7)
-	b := startBed(t, disk)
+	b := startFixture(t, disk)
 	answer := b.send(http.MethodGet, settingsPath, "")
 	wantStatus(t, answer, http.StatusOK)
 	if diff := cmp.Diff(decoded(t, document(5)), decoded(t, answer.Body.String())); diff != "" {
@@ -150,19 +150,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := startBed(t, memorydisk.New())
+			b := startFixture(t, memorydisk.New())
 			answer := b.put("0", test.body)
 			wantStatus(t, answer, http.StatusBadRequest)
-			var told errorBody
-			if err := json.Unmarshal(answer.Body.Bytes(), &told); err != nil || !strings.Contains(told.Error, test.reason) {
-				t.Errorf("reason %q, want one with %q (%v)", told.Error, test.reason, err)
+			var parsed errorBody
+			if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil || !strings.Contains(parsed.Error, test.reason) {
+				t.Errorf("reason %q, want one with %q (%v)", parsed.Error, test.reason, err)
 			}
 			wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 		})
 	}
 	for _, base := range []string{"", "x", "-1", `"3`, "*"} {
 		t.Run("If-Match "+base, func(t *testing.T) {
-			b := startBed(t, memorydisk.New())
+			b := startFixture(t, memorydisk.New())
 			answer := b.put(base, document(3))
 			if base == `"3` { // a quote too few is no reason to refuse; the version is another one
 				wantStatus(t, answer, http.StatusPreconditionFailed)
@@ -198,7 +198,7 @@
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%q", test.values), func(t *testing.T) {
-			b := startBed(t, memorydisk.New())
+			b := startFixture(t, memorydisk.New())
 			wantStatus(t, b.put("0", document(7)), http.StatusOK)
 			request := httptest.NewRequest(http.MethodPut, settingsPath, strings.NewReader(document(9)))
 			request.Header["If-Match"] = test.values
@@ -210,7 +210,7 @@
 }
 
 func TestSettingsAPI_ConcurrentChanges_OneWins(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	wantStatus(t, b.put("0", document(1)), http.StatusOK)
 	const writers = 8
 	codes := make(chan int, writers)
@@ -227,7 +227,7 @@
 }
 
 // roll is the newest order of a service, as this member knows it.
-func (b *bed) roll(service string) rollout.Rollout {
+func (b *fixture) roll(service string) rollout.Rollout {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	roll, _ := b.state.rollouts.Rollout(service)
@@ -235,7 +235,7 @@
 }
 
 func TestRolloutsAPI_Statuses(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	const path = "/mastusher/rollouts"
 	wantStatus(t, b.send(http.MethodGet, path+"/lm", ""), http.StatusNotFound)
 	bad := map[string]string{
@@ -259,16 +259,16 @@
 		t.Helper()
 		answer := b.send(http.MethodGet, path+"/lm", "")
 		wantStatus(t, answer, http.StatusOK)
-		var told rolloutStatus
-		if err := json.Unmarshal(answer.Body.Bytes(), &told); err != nil {
+		var parsed rolloutStatus
+		if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(rolloutStatus{State: state, Target: "v2"}, told); diff != "" {
+		if diff := cmp.Diff(rolloutStatus{State: state, Target: "v2"}, parsed); diff != "" {
 			t.Errorf("state (-want +got):\n%s", diff)
 		}
 	}
 	wantState(rollout.InService)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	decision := &rollout.Decision{Service: "lm", Target: "v2", Order: b.roll("lm").Index, State: rollout.Finished}
 	if _, err := b.group.Propose(ctx, Command{RolloutDecision: decision}); err != nil {
@@ -280,7 +280,7 @@
 }
 
 func TestAPI_UnknownPathsAndMethods(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	tests := []struct {
 		method, path string
 		want         int
@@ -298,8 +298,8 @@
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
 			answer := b.send(test.method, test.path, "")
 			wantStatus(t, answer, test.want)
-			var told errorBody
-			if err := json.Unmarshal(answer.Body.Bytes(), &told); err != nil || told.Error == "" {
+			var parsed errorBody
+			if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil || parsed.Error == "" {
 				t.Errorf("body %s tells no error", answer.Body)
 			}
 		})
@@ -307,7 +307,7 @@
 }
 
 func TestAPI_OversizedBodies(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	wantStatus(t, b.put("0", strings.Repeat(" ", maxConfigurationBytes+1)), http.StatusRequestEntityTooLarge)
 
 	// The same without a length told beforehand.
@@ -323,7 +323,7 @@
 func TestAPI_SlowBodies_TimeOut(t *testing.T) {
 	for _, target := range []string{"PUT " + settingsPath, "POST /mastusher/retire/storage-1"} {
 		t.Run(target, func(t *testing.T) {
-			b := startBed(t, memorydisk.New())
+			b := startFixture(t, memorydisk.New())
 			b.bodyTimeout = 20 * time.Millisecond
 			server := httptest.NewServer(b.Handler())
 			defer server.Close()
@@ -332,7 +332,7 @@
 				t.Fatal(err)
 			}
 			defer connection.Close()
-			if err := connection.SetDeadline(time.Now().Add(patience)); err != nil {
+			if err := connection.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(connection, "%s HTTP/1.1\r\nHost: x\r\nIf-Match: 0\r\nContent-Length: 100\r\n\r\n{\"overS\":", target)
@@ -347,9 +347,9 @@
 	}
 }
 
-// TestAPI_NoLeader_NotReady asks a controller whose group has no owner.
+// TestAPI_NoLeader_NotReady asks a controller whose group has no leader.
 func TestAPI_NoLeader_NotReady(t *testing.T) {
-	b := newBed(t, memorydisk.New(), nil)
+	b := newFixture(t, memorydisk.New(), nil)
 	for _, request := range []struct{ method, path, body string }{
 		{http.MethodPut, settingsPath, document(3)},
 		{http.MethodGet, settingsPath, ""},
@@ -367,19 +367,19 @@
 // TestAPI_Follower_RedirectsToLeader asks each of three controllers.
 func TestAPI_Follower_RedirectsToLeader(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
-	owner := c.owner()
+	c.awaitPlacement()
+	leader := c.leader()
 	taken := mustMarshal(t, json.RawMessage(document(3)))
 	c.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
 	c.run(500 * time.Millisecond)
 	for _, m := range c.sorted() {
-		if m.controller == nil || m == owner {
+		if m.controller == nil || m == leader {
 			continue
 		}
-		b := &bed{Controller: m.controller}
+		b := &fixture{Controller: m.controller}
 		answer := b.put("3", document(8)+strings.Repeat(" ", 1<<20))
 		wantStatus(t, answer, http.StatusTemporaryRedirect)
-		if got, want := answer.Header().Get("Location"), "http://"+owner.member.Control+settingsPath; got != want {
+		if got, want := answer.Header().Get("Location"), "http://"+leader.member.Control+settingsPath; got != want {
 			t.Errorf("%s sends to %s, want %s", m.member.Name, got, want)
 		}
 		wantStatus(t, b.send(http.MethodGet, "/mastusher/retire/a?b=c", ""), http.StatusTemporaryRedirect)
@@ -388,14 +388,14 @@
 		wantStatus(t, b.put("0", document(3)), http.StatusOK)
 	}
 
-	// When the owner is dead, there is nowhere to send to.
-	owner.kill()
+	// When the leader is dead, there is nowhere to send to.
+	leader.kill()
 	c.run(deathDelay + clusterStep)
 	for _, m := range c.sorted() {
-		if m.controller != nil && m != owner && !m.controller.Group().Status().IsLeader && m.controller.Group().Status().Leader != "" {
-			b := &bed{Controller: m.controller}
-			if got := b.send(http.MethodGet, settingsPath, "").Header().Get("Location"); strings.Contains(got, owner.member.Control) {
-				t.Errorf("%s still sends to the dead owner", m.member.Name)
+		if m.controller != nil && m != leader && !m.controller.Group().Status().IsLeader && m.controller.Group().Status().Leader != "" {
+			b := &fixture{Controller: m.controller}
+			if got := b.send(http.MethodGet, settingsPath, "").Header().Get("Location"); strings.Contains(got, leader.member.Control) {
+				t.Errorf("%s still sends to the dead leader", m.member.Name)
 			}
 		}
 	}
@@ -403,7 +403,7 @@
 
 // TestAPI_NonMember_RedirectsToPeer asks a controller that isn't in the group.
 func TestAPI_NonMember_RedirectsToPeer(t *testing.T) {
-	b := newBed(t, memorydisk.New(), func(options *Options) { options.Initial = nil })
+	b := newFixture(t, memorydisk.New(), func(options *Options) { options.Initial = nil })
 	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 
 	self := b.fleet.Members()[0]
@@ -452,7 +452,7 @@
 }
 
 func TestPublish_EachChangeOnce(t *testing.T) {
-	b := startBed(t, memorydisk.New())
+	b := startFixture(t, memorydisk.New())
 	b.Publish()
 	wantStatus(t, b.put("0", document(3)), http.StatusOK)
 	b.Publish()
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -33,62 +33,62 @@
 
 // cluster is some controllers and stores in virtual time, with one goroutine for all.
 type cluster struct {
-	t        testing.TB
-	gate     sync.Mutex // held while now changes: goroutines of operators read it
-	around   surroundings
-	now      time.Duration
-	machines map[string]*machineUnderTest // by address
-	queue    []sent
-	later    []timed
-	pieces   map[view.Section]view.Update
-	starts   int
-}
-
-type sent struct {
+	t           testing.TB
+	nowMutex    sync.Mutex // guards now, which goroutines of operators read
+	environment environment
+	now         time.Duration
+	machines    map[string]*testMachine // by address
+	inFlight    []inFlightMessage
+	timers      []timer
+	updates     map[view.Section]view.Update
+	starts      int
+}
+
+type inFlightMessage struct {
 	due      time.Duration
-	from     *machineUnderTest
+	from     *testMachine
 	address  string
 	envelope group.Envelope
 }
 
-type timed struct {
+type timer struct {
 	due time.Duration
 	do  func()
 }
 
-// machineUnderTest is one machine with its disk; what runs on it is replaced at each start.
-type machineUnderTest struct {
-	cluster     *cluster
-	member      membership.Member
-	disk        *memorydisk.Disk
-	starts      int
-	running     bool
-	skew        time.Duration // of its time of day
-	frozen      bool
-	cutAt       time.Duration     // when it was cut off from all others; 0: it isn't
-	shown       membership.Member // as the others know it
-	known       bool              // to the others
-	absences    int
-	diskFree    time.Duration // when its disk has done what it was asked for
-	linkFree    time.Duration // when its link has taken what was sent
-	inboxFree   time.Duration // when its link has brought what was sent to it
-	busy        map[*group.Group]time.Duration
-	broken      map[*group.Group]bool // by their disk
-	diskTrouble diskTrouble
-	stale       *view.Update // the placement that it hears in place of the newest
-	controller  *Controller
-	placeDue    time.Duration
-	store       *store.Store
-	groups      []*group.Group
+// testMachine is one machine with its disk; what runs on it is replaced at each start.
+type testMachine struct {
+	cluster           *cluster
+	member            membership.Member
+	disk              *memorydisk.Disk
+	starts            int
+	running           bool
+	skew              time.Duration // of its time of day
+	frozen            bool
+	partitionedAt     time.Duration     // when it was partitioned from all others; 0: it isn't
+	advertised        membership.Member // as the others know it
+	known             bool              // to the others
+	membershipChanges int
+	diskFree          time.Duration // when its disk has done what it was asked for
+	linkFree          time.Duration // when its link has taken what was sent
+	inboxFree         time.Duration // when its link has brought what was sent to it
+	busy              map[*group.Group]time.Duration
+	broken            map[*group.Group]bool // by their disk
+	diskFault         diskFault
+	staleUpdate       *view.Update // the placement that it hears in place of the newest
+	controller        *Controller
+	reconcileDue      time.Duration
+	store             *store.Store
+	groups            []*group.Group
 }
 
 func newCluster(t testing.TB, stores int) *cluster {
-	return newClusterIn(t, stores, surroundings{survive: 1, death: deathDelay})
+	return newClusterIn(t, stores, environment{faultTolerance: 1, deathDelay: deathDelay})
 }
 
-func newClusterIn(t testing.TB, stores int, around surroundings) *cluster {
-	c := &cluster{t: t, around: around, machines: map[string]*machineUnderTest{}, pieces: map[view.Section]view.Update{}}
-	for number := range 2*around.survive + 1 {
+func newClusterIn(t testing.TB, stores int, around environment) *cluster {
+	c := &cluster{t: t, environment: around, machines: map[string]*testMachine{}, updates: map[view.Section]view.Update{}}
+	for number := range 2*around.faultTolerance + 1 {
 		name := fmt.Sprintf("core-%d", number+1)
 		member := controllerMember(name, name+"-id", fmt.Sprintf("10.0.0.%d:7000", number+1), fmt.Sprintf("10.0.0.%d:8144", number+1))
 		c.add(member)
@@ -103,14 +103,14 @@
 }
 
 // add makes a machine that doesn't run yet.
-func (c *cluster) add(member membership.Member) *machineUnderTest {
-	m := &machineUnderTest{cluster: c, member: member, disk: memorydisk.New()}
+func (c *cluster) add(member membership.Member) *testMachine {
+	m := &testMachine{cluster: c, member: member, disk: memorydisk.New()}
 	c.machines[member.Address] = m
 	return m
 }
 
-func (c *cluster) sorted() []*machineUnderTest {
-	var list []*machineUnderTest
+func (c *cluster) sorted() []*testMachine {
+	var list []*testMachine
 	for _, address := range slices.Sorted(maps.Keys(c.machines)) {
 		list = append(list, c.machines[address])
 	}
@@ -118,33 +118,33 @@
 }
 
 // storage returns the machine storage-NUMBER.
-func (c *cluster) storage(number int) *machineUnderTest {
+func (c *cluster) storage(number int) *testMachine {
 	return c.machines[storeMember(number).Address]
 }
 
 // time is the time of day.
 func (c *cluster) time() time.Time {
-	c.gate.Lock()
-	defer c.gate.Unlock()
+	c.nowMutex.Lock()
+	defer c.nowMutex.Unlock()
 	return time.UnixMilli(1_700_000_000_000).Add(c.now)
 }
 
-// Publish spreads a piece.
+// Publish spreads an update.
 func (c *cluster) Publish(piece view.Update) {
-	if held, ok := c.pieces[piece.Section]; ok && !held.Stamp.Less(piece.Stamp) {
+	if held, ok := c.updates[piece.Section]; ok && !held.Stamp.Less(piece.Stamp) {
 		return
 	}
-	c.pieces[piece.Section] = piece
+	c.updates[piece.Section] = piece
 	for _, m := range c.sorted() {
-		c.after(spreadDelay, func() { m.take() })
+		c.after(spreadDelay, func() { m.applyNewest() })
 	}
 }
 
-// take hands a store the newest placement.
-func (m *machineUnderTest) take() {
-	piece, known := m.cluster.pieces[view.PlacementSection]
-	if m.stale != nil {
-		piece = *m.stale
+// applyNewest hands a store the newest placement.
+func (m *testMachine) applyNewest() {
+	piece, known := m.cluster.updates[view.PlacementSection]
+	if m.staleUpdate != nil {
+		piece = *m.staleUpdate
 	}
 	if known && m.isReachable() && m.store != nil {
 		m.store.ApplyUpdate(piece)
@@ -152,11 +152,11 @@
 }
 
 func (c *cluster) after(delay time.Duration, do func()) {
-	c.later = append(c.later, timed{due: c.now + delay, do: do})
+	c.timers = append(c.timers, timer{due: c.now + delay, do: do})
 }
 
 // start starts the machine's process.
-func (m *machineUnderTest) start() {
+func (m *testMachine) start() {
 	c := m.cluster
 	c.starts++
 	m.starts++
@@ -164,7 +164,7 @@
 	m.busy, m.diskFree = map[*group.Group]time.Duration{}, 0
 	m.broken = map[*group.Group]bool{}
 	m.member.Incarnation = uint64(m.starts)
-	m.appear()
+	m.markAlive()
 	generation := m.starts
 	send := func(address string, envelope group.Envelope) {
 		if m.running && m.starts == generation {
@@ -172,19 +172,19 @@
 		}
 	}
 	clock := func() time.Duration {
-		c.gate.Lock()
-		defer c.gate.Unlock()
+		c.nowMutex.Lock()
+		defer c.nowMutex.Unlock()
 		return c.now
 	}
 	if m.member.Role == membership.Store {
 		m.store = store.New(c.t.Context(), store.Options{ID: m.member.ID, Address: m.member.Address, Disk: m.disk, Logger: log.NewNopLogger(),
 			Seed: uint64(c.starts), Now: c.time, Send: send, Clock: clock, RunGroup: func(opened *group.Group) { m.groups = append(m.groups, opened) },
-			AfterFunc: c.after, QueryMembers: m.ask})
+			AfterFunc: c.after, QueryMembers: m.queryStore})
 		if err := m.store.Recover(); err != nil {
-			m.startAgain(err)
+			m.retryStart(err)
 			return
 		}
-		c.after(spreadDelay, m.take)
+		c.after(spreadDelay, m.applyNewest)
 		return
 	}
 	var initial []replica.Member
@@ -193,20 +193,20 @@
 			initial = append(initial, replica.Member{ID: other.member.ID, Address: other.member.Address})
 		}
 	}
-	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.around.survive}},
-		Initial: initial, Disk: m.disk, Fleet: surroundingsOf{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), SendMessage: send, Clock: clock,
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.environment.faultTolerance}},
+		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), SendMessage: send, Clock: clock,
 		Now:        func() time.Time { return c.time().Add(m.skew) },
-		QueryStore: m.ask})
+		QueryStore: m.queryStore})
 	if err != nil {
-		m.startAgain(err)
+		m.retryStart(err)
 		return
 	}
-	m.controller, m.placeDue = opened, c.now
+	m.controller, m.reconcileDue = opened, c.now
 	m.groups = []*group.Group{opened.Group()}
 }
 
-// ask has a store report on the groups that it owns; one that is out of reach doesn't answer.
-func (m *machineUnderTest) ask(address string, done func(wire.ShardMembersResponse, error)) {
+// queryStore has a store report on the groups that it leads; one that is out of reach doesn't answer.
+func (m *testMachine) queryStore(address string, done func(wire.ShardMembersResponse, error)) {
 	asked := m.cluster.machines[address]
 	if asked != nil && asked.isReachable() && !asked.frozen && asked.store != nil && m.isReachable() {
 		asked.store.ReportMembers(func(answer wire.ShardMembersResponse) { done(answer, nil) })
@@ -214,14 +214,14 @@
 }
 
 // kill ends the machine's process; membership notices later.
-func (m *machineUnderTest) kill() {
+func (m *testMachine) kill() {
 	m.running, m.frozen = false, false
 	m.disk.Kill()
-	m.vanish()
+	m.markFailed()
 }
 
 // wipe kills the machine and starts it with an empty disk and a new identity.
-func (m *machineUnderTest) wipe() {
+func (m *testMachine) wipe() {
 	m.kill()
 	m.disk = memorydisk.New()
 	m.member.ID = fmt.Sprintf("%s-%d-anew", m.member.ID, m.starts)
@@ -254,14 +254,14 @@
 	c.deliver()
 	for _, m := range c.sorted() {
 		if m.running && !m.frozen {
-			m.turn()
+			m.runGroups()
 		}
 	}
 }
 
 func (c *cluster) doDue() {
-	var due []timed
-	c.later = slices.DeleteFunc(c.later, func(t timed) bool {
+	var due []timer
+	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool {
 		if t.due <= c.now {
 			due = append(due, t)
 			return true
@@ -274,11 +274,11 @@
 }
 
 func (c *cluster) deliver() {
-	waiting := c.queue
-	c.queue = nil
+	waiting := c.inFlight
+	c.inFlight = nil
 	for _, message := range waiting {
 		if message.due > c.now {
-			c.queue = append(c.queue, message)
+			c.inFlight = append(c.inFlight, message)
 			continue
 		}
 		to := c.machines[message.address]
@@ -292,39 +292,39 @@
 	}
 }
 
-func (m *machineUnderTest) turn() {
+func (m *testMachine) runGroups() {
 	for _, running := range m.groups {
-		if err := m.turnOf(running); err != nil {
+		if err := m.runGroup(running); err != nil {
 			m.cluster.t.Fatalf("%s: %v", m.member.Name, err)
 		}
 	}
-	if m.controller != nil && m.cluster.now >= m.placeDue {
-		m.placeDue = m.cluster.now + m.controller.Reconcile(m.cluster.time())
+	if m.controller != nil && m.cluster.now >= m.reconcileDue {
+		m.reconcileDue = m.cluster.now + m.controller.Reconcile(m.cluster.time())
 		m.controller.Publish()
 	}
 }
 
-// owner is the controller that owns the configuration shard, or nil.
-func (c *cluster) owner() *machineUnderTest {
-	var owner *machineUnderTest
+// leader is the controller that leads the configuration shard, or nil.
+func (c *cluster) leader() *testMachine {
+	var leader *testMachine
 	for _, m := range c.sorted() {
 		if m.isReachable() && m.controller != nil && m.controller.Group().Status().IsLeader {
-			if owner == nil || owner.controller.Group().Status().Term < m.controller.Group().Status().Term {
-				owner = m
+			if leader == nil || leader.controller.Group().Status().Term < m.controller.Group().Status().Term {
+				leader = m
 			}
 		}
 	}
-	return owner
+	return leader
 }
 
-// propose has the configuration shard agree on a command, whoever owns it.
+// propose has the configuration shard agree on a command, whoever leads it.
 func (c *cluster) propose(command Command) any {
 	c.t.Helper()
 	var result any
 	done := false
 	c.until("agreement", 10*time.Second, func() bool {
-		if owner := c.owner(); owner != nil && !done {
-			owner.controller.Group().ProposeAsync(command, func(answer any, err error) { result, done = answer, err == nil })
+		if leader := c.leader(); leader != nil && !done {
+			leader.controller.Group().ProposeAsync(command, func(answer any, err error) { result, done = answer, err == nil })
 			c.run(10 * clusterStep)
 		}
 		return done
@@ -332,63 +332,63 @@
 	return result
 }
 
-// retire asks for a machine to be emptied, as the API does.
-func (c *cluster) retire(node string) any {
+// decommission asks for a machine to be drained, as the API does.
+func (c *cluster) decommission(node string) any {
 	c.t.Helper()
-	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
-	order, err := c.owner().controller.decommissionProposal(c.time(), node)
+	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
+	order, err := c.leader().controller.decommissionProposal(c.time(), node)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return c.propose(Command{Decommission: order})
 }
 
-func (c *cluster) state(node string) decommission.State {
-	owner := c.owner()
-	if owner == nil {
+func (c *cluster) decommissionState(node string) decommission.State {
+	leader := c.leader()
+	if leader == nil {
 		return ""
 	}
-	known, _ := owner.controller.state.decommissions.Operation(node)
+	known, _ := leader.controller.state.decommissions.Operation(node)
 	return known.State
 }
 
 func (c *cluster) isFinished(node string) func() bool {
-	return func() bool { return c.state(node) == decommission.Finished }
+	return func() bool { return c.decommissionState(node) == decommission.Finished }
 }
 
-// placement is what the owner has agreed on.
+// placement is what the leader has committed.
 func (c *cluster) placement() decommission.Placement {
-	if owner := c.owner(); owner != nil {
-		return owner.controller.state.Placement()
+	if leader := c.leader(); leader != nil {
+		return leader.controller.state.Placement()
 	}
 	return decommission.Placement{}
 }
 
-// shardOwner is the running member that owns a shard's group, with its machine.
-func (c *cluster) shardOwner(shard int) (*machineUnderTest, *group.Group) {
-	var at *machineUnderTest
-	var owner *group.Group
+// shardLeader is the running member that leads a shard's group, with its machine.
+func (c *cluster) shardLeader(shard int) (*testMachine, *group.Group) {
+	var at *testMachine
+	var leader *group.Group
 	for _, m := range c.sorted() {
 		for _, g := range m.groups {
 			if m.isReachable() && g.Name() == fmt.Sprintf("shard-%d", shard) && g.Status().IsLeader {
-				if owner == nil || owner.Status().Term < g.Status().Term {
-					at, owner = m, g
+				if leader == nil || leader.Status().Term < g.Status().Term {
+					at, leader = m, g
 				}
 			}
 		}
 	}
-	return at, owner
+	return at, leader
 }
 
-// isWhole tells whether all groups have the members that are wanted, with votes and caught up.
-func (c *cluster) isWhole() bool {
+// isComplete tells whether all groups have the members that are wanted, with votes and caught up.
+func (c *cluster) isComplete() bool {
 	placed := c.placement()
 	if placed.Index == 0 {
 		return false
 	}
 	for shard, wanted := range placed.Shards {
-		_, owner := c.shardOwner(shard)
-		if owner == nil || !slices.Equal(slices.Sorted(slices.Values(idsOf(wanted.Replicas))), caughtUp(owner.Status())) {
+		_, leader := c.shardLeader(shard)
+		if leader == nil || !slices.Equal(slices.Sorted(slices.Values(idsOf(wanted.Replicas))), caughtUp(leader.Status())) {
 			return false
 		}
 	}
@@ -416,39 +416,39 @@
 	return ids
 }
 
-// settle waits for the first placement.
-func (c *cluster) settle() {
+// awaitPlacement waits for the first placement.
+func (c *cluster) awaitPlacement() {
 	c.t.Helper()
-	c.until("all groups are whole", 15*time.Second, c.isWhole)
+	c.until("all groups are complete", 15*time.Second, c.isComplete)
 }
 
-// holds tells whether any identity of a machine is a member of any group, in its owner's view.
-func (c *cluster) holds(id string) bool {
+// hosts tells whether any identity of a machine is a member of any group, in its leader's view.
+func (c *cluster) hosts(id string) bool {
 	for shard := range c.placement().Shards {
-		_, owner := c.shardOwner(shard)
-		if owner == nil || slices.ContainsFunc(owner.Status().Members, func(m replica.Member) bool { return m.ID == id }) {
+		_, leader := c.shardLeader(shard)
+		if leader == nil || slices.ContainsFunc(leader.Status().Members, func(m replica.Member) bool { return m.ID == id }) {
 			return true
 		}
 	}
 	return false
 }
 
-// begin has a turn taken by a shard and returns its name once that is acknowledged.
-func (c *cluster) begin(shard, number int) string {
+// beginTurn has a turn committed by a shard and returns its name once that is acknowledged.
+func (c *cluster) beginTurn(shard, number int) string {
 	c.t.Helper()
 	turn := program.BeginTurn{Turn: fmt.Sprintf("turn-%d-%d", shard, number), Program: "p", Budget: 1 << 40, MaxTokens: 10, AtMs: c.time().UnixMilli(),
 		Remembered: true, KeepForS: 600, Input: []byte("input")}
-	c.order(shard, program.Command{Begin: &turn}, program.Accepted)
+	c.proposeToShard(shard, program.Command{Begin: &turn}, program.Accepted)
 	return turn.Turn
 }
 
-// order has a shard's group agree on a command.
-func (c *cluster) order(shard int, command program.Command, want program.Verdict) {
+// proposeToShard has a shard's group agree on a command.
+func (c *cluster) proposeToShard(shard int, command program.Command, want program.Verdict) {
 	c.t.Helper()
 	done := false
 	c.until(fmt.Sprintf("shard %d takes a command", shard), 10*time.Second, func() bool {
-		if _, owner := c.shardOwner(shard); owner != nil && !done {
-			owner.ProposeAsync(command, func(answer any, err error) {
+		if _, leader := c.shardLeader(shard); leader != nil && !done {
+			leader.ProposeAsync(command, func(answer any, err error) {
 				if err != nil {
 					return
 				}
@@ -467,7 +467,7 @@
 func (c *cluster) wantTurns(turns map[string]int) {
 	c.t.Helper()
 	for _, turn := range slices.Sorted(maps.Keys(turns)) {
-		c.order(turns[turn], program.Command{End: &program.EndTurn{Turn: turn, Complete: true, Tokens: 1, AtMs: c.time().UnixMilli()}}, program.Accepted)
+		c.proposeToShard(turns[turn], program.Command{End: &program.EndTurn{Turn: turn, Complete: true, Tokens: 1, AtMs: c.time().UnixMilli()}}, program.Accepted)
 	}
 }
 
--- a/internal/tier/controller/decommission_api_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -15,15 +15,15 @@
 )
 
 // watchFor has the planner see the members for longer than it takes to gather them.
-func (b *bed) watchFor(now time.Time, d time.Duration) {
+func (b *fixture) watchFor(now time.Time, d time.Duration) {
 	const step = 500 * time.Millisecond
 	for passed := time.Duration(0); passed <= d; passed += step {
 		b.reconciler.Tracker().Observe(now.Add(passed-d), b.fleet.Members(), b.group.Status().Term)
 	}
 }
 
-// retireOrderFor is an order to empty a machine, of which enough others remain.
-func retireOrderFor(node string) *decommission.Proposal {
+// decommissionFor is an order to empty a machine, of which enough others remain.
+func decommissionFor(node string) *decommission.Proposal {
 	order := &decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-id"}, MinRemaining: 3}
 	for number := range 4 {
 		order.RunningStores = append(order.RunningStores, decommission.Store{Node: fmt.Sprint("other-", number), ID: fmt.Sprint("other-id-", number)})
@@ -34,7 +34,7 @@
 func TestDecommissionAPI_Statuses(t *testing.T) {
 	down := func(m membership.Member) membership.Member { m.State = membership.StateDead; return m }
 	const path = "/mastusher/retire/storage-1"
-	const sure = 13 * time.Second // as owner, with all members in sight
+	const sure = 13 * time.Second // as leader, with all members in sight
 	tests := []struct {
 		name    string
 		members []membership.Member
@@ -61,7 +61,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := startBed(t, memorydisk.New())
+			b := startFixture(t, memorydisk.New())
 			b.fleet.set(test.members...)
 			b.watchFor(time.Now(), test.watched)
 			wantStatus(t, b.send(http.MethodPost, path, test.body), test.want)
@@ -79,11 +79,11 @@
 	}
 }
 
-// TestDecommissionAPI_StoreJustDown_NotReady asks an owner that has long seen all machines run.
+// TestDecommissionAPI_StoreJustDown_NotReady asks a leader that has long seen all machines run.
 func TestDecommissionAPI_StoreJustDown_NotReady(t *testing.T) {
 	const path = "/mastusher/retire/storage-1"
 	for down, want := range map[time.Duration]int{3 * time.Second: http.StatusServiceUnavailable, 8 * time.Second: http.StatusConflict} {
-		b := startBed(t, memorydisk.New())
+		b := startFixture(t, memorydisk.New())
 		b.fleet.set(storeMembers(4)...)
 		now := time.Now()
 		b.watchFor(now.Add(-down), 13*time.Second)
@@ -95,15 +95,15 @@
 	}
 }
 
-// TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing asks an owner that has just been cut off, when it doesn't know it yet, for a
+// TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing asks a leader that has just been partitioned, when it doesn't know it yet, for a
 // machine that it doesn't know and for one too many.
 func TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing(t *testing.T) {
 	c := newCluster(t, 3)
-	c.settle()
+	c.awaitPlacement()
 	c.run(13 * time.Second)
-	owner := c.owner()
+	leader := c.leader()
 	for _, m := range c.sorted() {
-		if m.controller != nil && m != owner {
+		if m.controller != nil && m != leader {
 			m.kill()
 		}
 	}
@@ -114,14 +114,14 @@
 		{http.MethodGet, "/mastusher/rollouts/lm"},
 		{http.MethodGet, settingsPath},
 	} {
-		if !owner.controller.Group().Status().IsLeader {
-			t.Fatal("the owner knows already that it is cut off")
+		if !leader.controller.Group().Status().IsLeader {
+			t.Fatal("the leader knows already that it is partitioned")
 		}
 		// Its group has no turn while it answers, as if no message came any more.
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		request := httptest.NewRequestWithContext(ctx, asked.method, asked.path, strings.NewReader(`{"overS":10}`))
 		recorder := httptest.NewRecorder()
-		owner.controller.Handler().ServeHTTP(recorder, request)
+		leader.controller.Handler().ServeHTTP(recorder, request)
 		cancel()
 		wantStatus(t, recorder, http.StatusServiceUnavailable)
 	}
--- a/internal/tier/controller/decommission_test.go
+++ b/internal/tier/controller/decommission_test.go
@@ -13,7 +13,7 @@
 	turns := map[string]int{}
 	for shard := range c.placement().Shards {
 		for number := range 3 {
-			turns[c.begin(shard, from+number)] = shard
+			turns[c.beginTurn(shard, from+number)] = shard
 		}
 	}
 	return turns
@@ -24,19 +24,19 @@
 		t.Run(fmt.Sprintf("storage-%d", number), func(t *testing.T) {
 			// Given four stores with turns that were acknowledged.
 			c := newCluster(t, 4)
-			c.settle()
+			c.awaitPlacement()
 			turns := turnsOf(c, 0)
 
-			// When one of them is to be emptied.
+			// When one of them is to be drained.
 			leaving := c.storage(number)
-			if got := c.retire(fmt.Sprintf("storage-%d", number)); got != decommission.Accepted {
+			if got := c.decommission(fmt.Sprintf("storage-%d", number)); got != decommission.Accepted {
 				t.Fatalf("order was %v", got)
 			}
 			took := c.until("the machine is empty", 5*time.Second, c.isFinished(fmt.Sprintf("storage-%d", number)))
-			t.Logf("emptied after %v", took)
+			t.Logf("drained after %v", took)
 
-			// Then no group needs it, and all groups are whole.
-			if c.holds(leaving.member.ID) || !c.isWhole() {
+			// Then no group needs it, and all groups are complete.
+			if c.hosts(leaving.member.ID) || !c.isComplete() {
 				t.Error("finished while something depends on the machine")
 			}
 
@@ -47,7 +47,7 @@
 				if other != number {
 					c.storage(other).wipe()
 					c.run(500 * time.Millisecond)
-					c.until("groups are whole again", 4*time.Second, c.isWhole)
+					c.until("groups are complete again", 4*time.Second, c.isComplete)
 				}
 			}
 			c.wantTurns(turns)
@@ -57,19 +57,19 @@
 
 func TestDecommission_TwoMachinesAtOnce_BothDrained(t *testing.T) {
 	c := newCluster(t, 5)
-	c.settle()
+	c.awaitPlacement()
 	turns := turnsOf(c, 0)
 	for _, node := range []string{"storage-1", "storage-2"} {
-		if got := c.retire(node); got != decommission.Accepted {
+		if got := c.decommission(node); got != decommission.Accepted {
 			t.Fatalf("order about %s was %v", node, got)
 		}
 	}
-	if got := c.retire("storage-3"); got != decommission.TooFewStores {
+	if got := c.decommission("storage-3"); got != decommission.TooFewStores {
 		t.Errorf("a third order was %v, want %v", got, decommission.TooFewStores)
 	}
 	c.until("the first is empty", 5*time.Second, c.isFinished("storage-1"))
 	c.until("the second is empty", 5*time.Second, c.isFinished("storage-2"))
-	if c.holds("s-1") || c.holds("s-2") || !c.isWhole() {
+	if c.hosts("s-1") || c.hosts("s-2") || !c.isComplete() {
 		t.Error("finished while something depends on the machines")
 	}
 	c.storage(1).kill()
@@ -80,41 +80,41 @@
 func TestDecommission_AnotherStoreDown_Waits(t *testing.T) {
 	// Given four stores of which one is down, and an order to empty another.
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	down := c.storage(2)
 	down.kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != decommission.Accepted {
+	if got := c.decommission("storage-1"); got != decommission.Accepted {
 		t.Fatalf("order was %v", got)
 	}
 
 	// Then it isn't finished as long as groups have fewer than three replicas that have caught up.
 	for range 40 {
 		c.run(100 * time.Millisecond)
-		if c.state("storage-1") != decommission.InService {
-			t.Fatalf("state %v while a store is down", c.state("storage-1"))
+		if c.decommissionState("storage-1") != decommission.InService {
+			t.Fatalf("state %v while a store is down", c.decommissionState("storage-1"))
 		}
 	}
 
 	// But it is once that store is back.
 	down.start()
 	c.until("the machine is empty", 8*time.Second, c.isFinished("storage-1"))
-	if c.holds("s-1") || !c.isWhole() {
+	if c.hosts("s-1") || !c.isComplete() {
 		t.Error("finished while something depends on the machine")
 	}
 }
 
 func TestDecommission_MachineDown_Drained(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	turns := turnsOf(c, 0)
 	c.storage(1).kill()
 	c.run(100 * time.Millisecond)
-	if got := c.retire("storage-1"); got != decommission.Accepted {
+	if got := c.decommission("storage-1"); got != decommission.Accepted {
 		t.Fatalf("order was %v", got)
 	}
 	c.until("the machine is empty", 8*time.Second, c.isFinished("storage-1"))
-	if c.holds("s-1") || !c.isWhole() {
+	if c.hosts("s-1") || !c.isComplete() {
 		t.Error("finished while something depends on the machine")
 	}
 	c.wantTurns(turns)
@@ -123,12 +123,12 @@
 func TestDecommission_LeaderChanges_Completes(t *testing.T) {
 	for _, pause := range []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(pause.String(), func(t *testing.T) {
-			// Given an order whose owner is killed while it is carried out, or right after its end.
+			// Given an order whose leader is killed while it is carried out, or right after its end.
 			c := newCluster(t, 4)
-			c.settle()
-			c.retire("storage-1")
+			c.awaitPlacement()
+			c.decommission("storage-1")
 			c.run(pause)
-			c.owner().kill()
+			c.leader().kill()
 			c.until("the machine is empty", 8*time.Second, c.isFinished("storage-1"))
 
 			// When all controllers start again.
@@ -140,17 +140,17 @@
 					m.start()
 				}
 			}
-			c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
+			c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
 
 			// Then the order is still finished, and the machine gets no replicas though it still runs.
-			if got := c.state("storage-1"); got != decommission.Finished {
+			if got := c.decommissionState("storage-1"); got != decommission.Finished {
 				t.Errorf("state %v after a restart", got)
 			}
-			if got := c.retire("storage-1"); got != decommission.Accepted {
+			if got := c.decommission("storage-1"); got != decommission.Accepted {
 				t.Errorf("the same order again was %v", got)
 			}
 			c.run(6 * time.Second)
-			if c.holds("s-1") || !c.isWhole() {
+			if c.hosts("s-1") || !c.isComplete() {
 				t.Error("a retired machine holds replicas")
 			}
 		})
@@ -159,8 +159,8 @@
 
 func TestDecommission_MachineReturnsWithNewIdentity_GetsReplicas(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
-	c.retire("storage-1")
+	c.awaitPlacement()
+	c.decommission("storage-1")
 	c.until("the machine is empty", 5*time.Second, c.isFinished("storage-1"))
 
 	// Given that the machine comes back with an empty disk, and another is lost.
@@ -169,8 +169,8 @@
 
 	// Then it takes that one's replicas, under its new identity.
 	c.run(time.Second)
-	c.until("groups are whole", 8*time.Second, c.isWhole)
-	if !c.holds(c.storage(1).member.ID) {
+	c.until("groups are complete", 8*time.Second, c.isComplete)
+	if !c.hosts(c.storage(1).member.ID) {
 		t.Error("the machine's new identity holds nothing")
 	}
 }
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -21,7 +21,7 @@
 	tests := []struct {
 		name      string
 		endpoints []model.Endpoint
-		epoch     uint64
+		term      uint64
 		want      view.Stamp // zero: nothing new
 	}{
 		{"first", []model.Endpoint{endpoint("a", 900)}, 3, view.Stamp{Term: 3, Sequence: 1}},
@@ -33,7 +33,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			piece, changed, err := publisher.update(test.endpoints, test.epoch)
+			piece, changed, err := publisher.update(test.endpoints, test.term)
 			if err != nil || changed != (test.want != view.Stamp{}) {
 				t.Fatalf("changed %v, %v", changed, err)
 			}
@@ -46,26 +46,26 @@
 
 func TestEndpoints_OnlyLeaderReads(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 0)}}
-	follower := newBed(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
+	follower := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	if got := follower.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(follower.fleet.published) > 0 {
 		t.Errorf("a follower published %v and comes back after %v", follower.fleet.published, got)
 	}
-	owner := startBed(t, memorydisk.New())
-	owner.options.Reader = reader
+	leader := startFixture(t, memorydisk.New())
+	leader.options.Reader = reader
 	var publisher EndpointPublisher
 	for range 2 {
-		if got := owner.ReadEndpoints(t.Context(), &publisher); got != listReadInterval {
-			t.Errorf("the owner comes back after %v, want %v", got, listReadInterval)
+		if got := leader.ReadEndpoints(t.Context(), &publisher); got != listReadInterval {
+			t.Errorf("the leader comes back after %v, want %v", got, listReadInterval)
 		}
 	}
 	reader.err = errors.New("too many calls")
-	owner.ReadEndpoints(t.Context(), &publisher)
-	if got := len(owner.fleet.published); got != 1 {
+	leader.ReadEndpoints(t.Context(), &publisher)
+	if got := len(leader.fleet.published); got != 1 {
 		t.Errorf("%d lists were published, want 1", got)
 	}
 }
 
-// TestStateMachine_StalePlacement_Dropped has commands come that were made before something else was agreed on.
+// TestStateMachine_StalePlacement_Dropped has commands come that were made before something else was committed.
 func TestStateMachine_StalePlacement_Dropped(t *testing.T) {
 	shards := func(node string) []view.ShardPlacement {
 		return []view.ShardPlacement{{Replicas: []view.Replica{{ID: node + "-1", Node: node}}}}
--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -10,46 +10,46 @@
 	"mastusher/internal/tier/view"
 )
 
-// surroundings are what the machines, disks and links of a cluster in memory are like. Zero speeds take no time.
-type surroundings struct {
-	survive   int           // machines that may be lost at once
-	join      time.Duration // from a start, or the end of a cut or freeze, until the others know of it
-	suspicion time.Duration // from a loss until it is suspected; 0: it never is
-	death     time.Duration // from a loss until it is taken for dead
-	sync      time.Duration // of a disk
-	disk      int           // bytes a second that a disk writes
-	link      int           // bytes a second that a machine's link takes, each way
+// environment are what the machines, disks and links of a cluster in memory are like. Zero speeds take no time.
+type environment struct {
+	faultTolerance int           // machines that may be lost at once
+	joinDelay      time.Duration // from a start, or the end of a partition or freeze, until the others know of it
+	suspicionDelay time.Duration // from a loss until it is suspected; 0: it never is
+	deathDelay     time.Duration // from a loss until it is taken for dead
+	syncTime       time.Duration // of a disk
+	diskBytesPerS  int           // bytes a second that a disk writes
+	linkBytesPerS  int           // bytes a second that a machine's link takes, each way
 }
 
 // Two kinds of sites. Suspicion and death are the longest that were measured in a fleet of the size (membership's
 // TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound).
 var (
-	fastSite = surroundings{survive: 1, join: 300 * time.Millisecond, suspicion: 1850 * time.Millisecond, death: 4350 * time.Millisecond,
-		sync: 500 * time.Microsecond, disk: 120_000_000, link: 600_000_000 / 8}
-	slowSite = surroundings{survive: 1, join: 300 * time.Millisecond, suspicion: 1850 * time.Millisecond, death: 4350 * time.Millisecond,
-		sync: 5 * time.Millisecond, disk: 120_000_000, link: 150_000_000 / 8}
+	fastSite = environment{faultTolerance: 1, joinDelay: 300 * time.Millisecond, suspicionDelay: 1850 * time.Millisecond, deathDelay: 4350 * time.Millisecond,
+		syncTime: 500 * time.Microsecond, diskBytesPerS: 120_000_000, linkBytesPerS: 600_000_000 / 8}
+	slowSite = environment{faultTolerance: 1, joinDelay: 300 * time.Millisecond, suspicionDelay: 1850 * time.Millisecond, deathDelay: 4350 * time.Millisecond,
+		syncTime: 5 * time.Millisecond, diskBytesPerS: 120_000_000, linkBytesPerS: 150_000_000 / 8}
 )
 
 // large is the same site with more machines, of which two may be lost at once.
-func (s surroundings) large() surroundings {
-	s.survive, s.death = 2, 5300*time.Millisecond
+func (s environment) large() environment {
+	s.faultTolerance, s.deathDelay = 2, 5300*time.Millisecond
 	return s
 }
 
-// surroundingsOf is the fleet as one machine sees it.
-type surroundingsOf struct{ machine *machineUnderTest }
+// machineFleet is the fleet as one machine sees it.
+type machineFleet struct{ machine *testMachine }
 
 // Members implements Fleet.
-func (s surroundingsOf) Members() []membership.Member {
+func (s machineFleet) Members() []membership.Member {
 	c := s.machine.cluster
 	var members []membership.Member
 	for _, m := range c.sorted() {
 		if !m.known {
 			continue
 		}
-		seen := m.shown
-		if m != s.machine && s.machine.cutAt > 0 {
-			seen.State = c.around.stateAfter(c.now-s.machine.cutAt, seen.State)
+		seen := m.advertised
+		if m != s.machine && s.machine.partitionedAt > 0 {
+			seen.State = c.environment.stateAfter(c.now-s.machine.partitionedAt, seen.State)
 		}
 		members = append(members, seen)
 	}
@@ -57,103 +57,103 @@
 }
 
 // Publish implements Fleet.
-func (s surroundingsOf) Publish(piece view.Update) {
+func (s machineFleet) Publish(piece view.Update) {
 	if s.machine.isReachable() {
 		s.machine.cluster.Publish(piece)
 	}
 }
 
 // stateAfter is what is believed of a member that has been silent for so long.
-func (s surroundings) stateAfter(silent time.Duration, before membership.State) membership.State {
+func (s environment) stateAfter(silent time.Duration, before membership.State) membership.State {
 	switch {
-	case silent >= s.death:
+	case silent >= s.deathDelay:
 		return max(before, membership.StateDead)
-	case s.suspicion > 0 && silent >= s.suspicion:
+	case s.suspicionDelay > 0 && silent >= s.suspicionDelay:
 		return max(before, membership.StateSuspect)
 	}
 	return before
 }
 
-// isReachable tells whether the machine runs and isn't cut off.
-func (m *machineUnderTest) isReachable() bool { return m.running && m.cutAt == 0 }
+// isReachable tells whether the machine runs and isn't partitioned.
+func (m *testMachine) isReachable() bool { return m.running && m.partitionedAt == 0 }
 
-// appear has the others learn that the machine is there.
-func (m *machineUnderTest) appear() {
-	m.absences++
-	absence, c := m.absences, m.cluster
+// markAlive has the others learn that the machine is there.
+func (m *testMachine) markAlive() {
+	m.membershipChanges++
+	absence, c := m.membershipChanges, m.cluster
 	show := func() {
-		if m.absences == absence {
-			m.shown, m.known = m.member, true
-			m.shown.State = membership.StateAlive
+		if m.membershipChanges == absence {
+			m.advertised, m.known = m.member, true
+			m.advertised.State = membership.StateAlive
 		}
 	}
-	if c.around.join == 0 {
+	if c.environment.joinDelay == 0 {
 		show()
 		return
 	}
-	c.after(c.around.join, show)
+	c.after(c.environment.joinDelay, show)
 }
 
-// vanish has the others learn that the machine is silent.
-func (m *machineUnderTest) vanish() {
-	m.absences++
-	absence, c := m.absences, m.cluster
+// markFailed has the others learn that the machine is silent.
+func (m *testMachine) markFailed() {
+	m.membershipChanges++
+	absence, c := m.membershipChanges, m.cluster
 	believe := func(state membership.State) func() {
 		return func() {
-			if m.absences == absence {
-				m.shown.State = max(m.shown.State, state)
+			if m.membershipChanges == absence {
+				m.advertised.State = max(m.advertised.State, state)
 			}
 		}
 	}
-	if c.around.suspicion > 0 {
-		c.after(c.around.suspicion, believe(membership.StateSuspect))
+	if c.environment.suspicionDelay > 0 {
+		c.after(c.environment.suspicionDelay, believe(membership.StateSuspect))
 	}
-	c.after(c.around.death, believe(membership.StateDead))
+	c.after(c.environment.deathDelay, believe(membership.StateDead))
 }
 
-// cutOff parts the machine from all others.
-func (m *machineUnderTest) cutOff() {
-	m.cutAt = m.cluster.now
-	m.vanish()
+// partition parts the machine from all others.
+func (m *testMachine) partition() {
+	m.partitionedAt = m.cluster.now
+	m.markFailed()
 }
 
-// heal ends a cut.
-func (m *machineUnderTest) heal() {
-	m.cutAt = 0
-	m.appear()
-	m.cluster.after(m.cluster.around.join, m.take)
+// heal ends a partition.
+func (m *testMachine) heal() {
+	m.partitionedAt = 0
+	m.markAlive()
+	m.cluster.after(m.cluster.environment.joinDelay, m.applyNewest)
 }
 
 // freeze has the machine stand still.
-func (m *machineUnderTest) freeze() {
+func (m *testMachine) freeze() {
 	m.frozen = true
-	m.vanish()
+	m.markFailed()
 }
 
 // thaw ends that.
-func (m *machineUnderTest) thaw() {
+func (m *testMachine) thaw() {
 	m.frozen = false
-	m.appear()
+	m.markAlive()
 }
 
 // losePower ends the machine's process; of what wasn't synced, a part may last.
-func (m *machineUnderTest) losePower(seed uint64) {
+func (m *testMachine) losePower(seed uint64) {
 	m.kill()
 	m.disk.LosePower(seed)
 }
 
-// handOverTime is how long a process that is to end waits for other owners, at most.
-const handOverTime = time.Second
+// transferTimeout is how long a process that is to end waits for other leaders, at most.
+const transferTimeout = time.Second
 
 // terminate ends the process as SIGTERM does: it leaves, hands its groups over and ends.
-func (m *machineUnderTest) terminate() {
+func (m *testMachine) terminate() {
 	c, generation := m.cluster, m.starts
-	m.absences++
-	m.shown.State = membership.StateLeft
+	m.membershipChanges++
+	m.advertised.State = membership.StateLeft
 	for _, running := range m.groups {
 		running.TransferLeadership()
 	}
-	c.after(handOverTime, func() {
+	c.after(transferTimeout, func() {
 		if m.starts == generation {
 			m.running = false
 			m.disk.Kill()
@@ -176,101 +176,101 @@
 }
 
 // send puts a message on the way: over the link of the machine, then over that of the receiver.
-func (m *machineUnderTest) send(address string, envelope group.Envelope) {
+func (m *testMachine) send(address string, envelope group.Envelope) {
 	c := m.cluster
 	arrives := c.now
-	if to := c.machines[address]; to != nil && c.around.link > 0 {
-		takes := timeFor(sizeOf(&envelope.Message), c.around.link)
+	if to := c.machines[address]; to != nil && c.environment.linkBytesPerS > 0 {
+		takes := timeFor(sizeOf(&envelope.Message), c.environment.linkBytesPerS)
 		m.linkFree = max(m.linkFree, c.now) + takes
 		to.inboxFree = max(to.inboxFree, m.linkFree-takes) + takes
 		arrives = to.inboxFree
 	}
-	c.queue = append(c.queue, sent{due: arrives + clusterStep, from: m, address: address, envelope: envelope})
+	c.inFlight = append(c.inFlight, inFlightMessage{due: arrives + clusterStep, from: m, address: address, envelope: envelope})
 }
 
 func timeFor(bytes, perSecond int) time.Duration {
 	return time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second))
 }
 
-// turnOf has a group take its turn, unless it waits for the disk. What it sends leaves when the disk has done its part.
-func (m *machineUnderTest) turnOf(running *group.Group) error {
+// runGroup has a group take its turn, unless it waits for the disk. What it sends leaves when the disk has done its part.
+func (m *testMachine) runGroup(running *group.Group) error {
 	c := m.cluster
-	if c.now < m.busy[running] || m.diskTrouble == stalledDisk {
+	if c.now < m.busy[running] || m.diskFault == stalledDisk {
 		return nil
 	}
-	if err := m.recover(running); err != nil {
+	if err := m.reopen(running); err != nil {
 		return err
 	}
-	before, queued := m.disk.Counts(), len(c.queue)
+	before, queued := m.disk.Counts(), len(c.inFlight)
 	_, err := running.RunOnce()
-	if err != nil && m.diskTrouble != healthy {
+	if err != nil && m.diskFault != healthy {
 		m.broken[running] = true
-		m.busy[running] = c.now + reopenPause
+		m.busy[running] = c.now + reopenDelay
 		return nil
 	}
 	after := m.disk.Counts()
-	cost := time.Duration(after.Syncs-before.Syncs+after.DirSyncs-before.DirSyncs) * c.around.sync
-	if c.around.disk > 0 {
-		cost += timeFor(int(after.BytesWritten-before.BytesWritten), c.around.disk)
+	cost := time.Duration(after.Syncs-before.Syncs+after.DirSyncs-before.DirSyncs) * c.environment.syncTime
+	if c.environment.diskBytesPerS > 0 {
+		cost += timeFor(int(after.BytesWritten-before.BytesWritten), c.environment.diskBytesPerS)
 	}
-	if m.diskTrouble == slowDisk {
-		cost *= slowness
+	if m.diskFault == slowDisk {
+		cost *= slowDiskFactor
 	}
 	if cost == 0 {
 		return err
 	}
 	m.diskFree = max(m.diskFree, c.now) + cost
 	m.busy[running] = m.diskFree
-	for i := range c.queue[queued:] {
-		c.queue[queued+i].due += m.diskFree - c.now
+	for i := range c.inFlight[queued:] {
+		c.inFlight[queued+i].due += m.diskFree - c.now
 	}
 	return err
 }
 
 // nodeOf is the name of the machine.
-func (m *machineUnderTest) node() string { return placement.NodeOf(m.member.Name) }
+func (m *testMachine) node() string { return placement.NodeOf(m.member.Name) }
 
-// diskTrouble is what is wrong with a disk.
-type diskTrouble string
+// diskFault is what is wrong with a disk.
+type diskFault string
 
-// The troubles of disks.
+// The faults of disks.
 const (
-	healthy     diskTrouble = ""
-	slowDisk    diskTrouble = "slow disk"
-	fullDisk    diskTrouble = "full disk"
-	stalledDisk diskTrouble = "stalled disk"
+	healthy     diskFault = ""
+	slowDisk    diskFault = "slow disk"
+	fullDisk    diskFault = "full disk"
+	stalledDisk diskFault = "stalled disk"
 )
 
 const (
-	slowness    = 30                     // how many times as long a slow disk takes
-	reopenPause = 300 * time.Millisecond // from a failure of the disk until a group begins anew, as group does
+	slowDiskFactor = 30                     // how many times as long a slow disk takes
+	reopenDelay    = 300 * time.Millisecond // from a failure of the disk until a group begins anew, as group does
 )
 
-// trouble has something go wrong with the machine's disk, or ends that.
-func (m *machineUnderTest) trouble(what diskTrouble) {
-	m.diskTrouble = what
+// injectDiskFault injects a fault of the machine's disk, or ends it.
+func (m *testMachine) injectDiskFault(what diskFault) {
+	m.diskFault = what
 	m.disk.SetCapacity(0)
 	if what == fullDisk {
 		m.disk.SetCapacity(1)
 	}
 }
 
-// startAgain tries a start again that a disk in trouble has kept from going on, as the process does.
-func (m *machineUnderTest) startAgain(err error) {
-	if m.diskTrouble == healthy {
+// retryStart tries a start again that a disk with a fault has kept from going on, as the process does.
+func (m *testMachine) retryStart(err error) {
+	if m.diskFault == healthy {
 		m.cluster.t.Fatal(err)
 	}
 	m.kill()
 	generation := m.starts
-	m.cluster.after(reopenPause, func() {
+	m.cluster.after(reopenDelay, func() {
 		if m.starts == generation {
 			m.start()
 		}
 	})
 }
 
-// recover has a group begin anew that its disk has broken.
-func (m *machineUnderTest) recover(running *group.Group) error {
+// reopen has a group reopen that its disk has broken.
+func (m *testMachine) reopen(running *group.Group) error {
 	if !m.broken[running] {
 		return nil
 	}
@@ -278,8 +278,8 @@
 	switch {
 	case err == nil:
 		delete(m.broken, running)
-	case m.diskTrouble != healthy:
-		m.busy[running] = m.cluster.now + reopenPause
+	case m.diskFault != healthy:
+		m.busy[running] = m.cluster.now + reopenDelay
 		err = nil
 	}
 	return err
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -18,78 +18,78 @@
 
 // What operators do.
 const (
-	operatorPatience = time.Second // without an answer until an operator goes to another controller
-	mostRedirects    = 2
-	mostAttempts     = 8
-	shortestPause    = 20 * time.Millisecond
-	longestPause     = 300 * time.Millisecond
+	operatorTimeout = time.Second // without an answer until an operator goes to another controller
+	maxRedirects    = 2
+	maxAttempts     = 8
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = 300 * time.Millisecond
 	// callOffset keeps the calls of operators from coming in the middle of a step of the cluster.
 	callOffset = 2 * time.Millisecond
 )
 
-// troubledCluster is a cluster of controllers whose links are cut, machines frozen and answers lost, within a bubble of
+// faultyCluster is a cluster of controllers whose links are blocked, machines frozen and answers lost, within a bubble of
 // synctest: operators call the real handlers in goroutines of their own while its time passes with the cluster's.
-type troubledCluster struct {
+type faultyCluster struct {
 	*cluster
-	random   *rand.Rand
-	cuts     map[[2]string]bool // from one address to another
-	frozen   map[*machineUnderTest]bool
-	held     []sent // to frozen machines
-	lostPart float64
-	wiped    bool
+	random         *rand.Rand
+	blocked        map[[2]string]bool // from one address to another
+	frozen         map[*testMachine]bool
+	delayed        []inFlightMessage // to frozen machines
+	answerLossRate float64
+	wiped          bool
 }
 
-// newTroubledCluster starts three controllers and some stores.
-func newTroubledCluster(t testing.TB, seed uint64, stores int) *troubledCluster {
-	c := &troubledCluster{cluster: newCluster(t, stores), random: rand.New(rand.NewPCG(seed, 42)),
-		cuts: map[[2]string]bool{}, frozen: map[*machineUnderTest]bool{}}
-	c.wait("an owner", 5*time.Second, func() bool { return c.owner() != nil })
+// newFaultyCluster starts three controllers and some stores.
+func newFaultyCluster(t testing.TB, seed uint64, stores int) *faultyCluster {
+	c := &faultyCluster{cluster: newCluster(t, stores), random: rand.New(rand.NewPCG(seed, 42)),
+		blocked: map[[2]string]bool{}, frozen: map[*testMachine]bool{}}
+	c.wait("a leader", 5*time.Second, func() bool { return c.leader() != nil })
 	return c
 }
 
 // step lets a step of virtual time pass; all that operators do happens within the sleep, or while it waits.
-func (c *troubledCluster) step() {
-	c.pastGate()
+func (c *faultyCluster) step() {
+	c.afterStep()
 	time.Sleep(clusterStep)
 	synctest.Wait()
-	c.gate.Lock()
+	c.nowMutex.Lock()
 	c.now += clusterStep
-	c.gate.Unlock()
+	c.nowMutex.Unlock()
 	c.doDue()
-	c.trouble()
+	c.applyFaults()
 	c.deliver()
 	for _, m := range c.sorted() {
 		if m.running && !c.frozen[m] {
-			m.turn()
+			m.runGroups()
 			synctest.Wait()
 		}
 	}
 }
 
-// pastGate orders what an operator does after the step that has ended, which holds by time, for the race detector too.
-func (c *troubledCluster) pastGate() {
-	c.gate.Lock()
-	defer c.gate.Unlock()
+// afterStep orders what an operator does after the step that has ended, which holds by time, for the race detector too.
+func (c *faultyCluster) afterStep() {
+	c.nowMutex.Lock()
+	defer c.nowMutex.Unlock()
 }
 
-// trouble takes out of the queue what doesn't arrive, or not yet.
-func (c *troubledCluster) trouble() {
-	waiting := append(c.held, c.queue...)
-	c.held, c.queue = nil, nil
+// applyFaults takes out of the queue what doesn't arrive, or not yet.
+func (c *faultyCluster) applyFaults() {
+	waiting := append(c.delayed, c.inFlight...)
+	c.delayed, c.inFlight = nil, nil
 	for _, message := range waiting {
 		from, to := c.addressOf(message.envelope.Message), message.address
 		switch {
-		case c.cuts[[2]string{from, to}]:
+		case c.blocked[[2]string{from, to}]:
 		case c.machines[to] != nil && c.frozen[c.machines[to]]:
-			c.held = append(c.held, message)
+			c.delayed = append(c.delayed, message)
 		default:
-			c.queue = append(c.queue, message)
+			c.inFlight = append(c.inFlight, message)
 		}
 	}
 }
 
 // addressOf is where a message comes from.
-func (c *troubledCluster) addressOf(message replica.Message) string {
+func (c *faultyCluster) addressOf(message replica.Message) string {
 	for address, m := range c.machines {
 		if m.member.ID == message.From {
 			return address
@@ -99,7 +99,7 @@
 }
 
 // wait lets time pass until the condition holds.
-func (c *troubledCluster) wait(what string, most time.Duration, holds func() bool) {
+func (c *faultyCluster) wait(what string, most time.Duration, holds func() bool) {
 	c.t.Helper()
 	for end := c.now + most; !holds(); c.step() {
 		if c.now > end {
@@ -108,17 +108,17 @@
 	}
 }
 
-// cutOff cuts a machine off from the others: from it, to it, or both.
-func (c *troubledCluster) cutOff(m *machineUnderTest, from, to bool) {
+// partition cuts a machine off from the others: from it, to it, or both.
+func (c *faultyCluster) partition(m *testMachine, from, to bool) {
 	for _, other := range c.sorted() {
-		c.cuts[[2]string{m.member.Address, other.member.Address}] = from && other != m
-		c.cuts[[2]string{other.member.Address, m.member.Address}] = to && other != m
+		c.blocked[[2]string{m.member.Address, other.member.Address}] = from && other != m
+		c.blocked[[2]string{other.member.Address, m.member.Address}] = to && other != m
 	}
 }
 
-// heal ends all trouble.
-func (c *troubledCluster) heal() {
-	clear(c.cuts)
+// heal ends all faults.
+func (c *faultyCluster) heal() {
+	clear(c.blocked)
 	clear(c.frozen)
 	for _, m := range c.sorted() {
 		m.skew = 0
@@ -128,36 +128,36 @@
 	}
 }
 
-// isWhole tells whether the configuration shard has all machines as members that have caught up.
-func (c *troubledCluster) isWhole() bool {
-	owner := c.owner()
-	if owner == nil || c.frozen[owner] {
+// isComplete tells whether the configuration shard has all machines as members that have caught up.
+func (c *faultyCluster) isComplete() bool {
+	leader := c.leader()
+	if leader == nil || c.frozen[leader] {
 		return false
 	}
-	status := owner.controller.Group().Status()
+	status := leader.controller.Group().Status()
 	return len(status.Members) == len(c.controllers()) && len(caughtUp(status)) == len(status.Members)
 }
 
 // controllers lists the machines that the operators reach.
-func (c *troubledCluster) controllers() []*machineUnderTest {
-	return slices.DeleteFunc(c.sorted(), func(m *machineUnderTest) bool { return m.member.Role != membership.Controller })
+func (c *faultyCluster) controllers() []*testMachine {
+	return slices.DeleteFunc(c.sorted(), func(m *testMachine) bool { return m.member.Role != membership.Controller })
 }
 
-// disturb lets something happen by chance to a machine, often the owner. A disk is lost once at most, and only while all others
+// injectRandomFault lets something happen by chance to a machine, often the leader. A disk is lost once at most, and only while all others
 // have theirs.
-func (c *troubledCluster) disturb() {
+func (c *faultyCluster) injectRandomFault() {
 	machines := c.controllers()
 	m := machines[c.random.IntN(len(machines))]
-	if owner := c.owner(); owner != nil && c.random.IntN(2) == 0 {
-		m = owner
+	if leader := c.leader(); leader != nil && c.random.IntN(2) == 0 {
+		m = leader
 	}
 	switch c.random.IntN(9) {
 	case 0:
-		c.cutOff(m, true, true)
+		c.partition(m, true, true)
 	case 1:
-		c.cutOff(m, c.random.IntN(2) == 0, c.random.IntN(2) == 0)
+		c.partition(m, c.random.IntN(2) == 0, c.random.IntN(2) == 0)
 	case 2:
-		clear(c.cuts)
+		clear(c.blocked)
 	case 3:
 		c.frozen[m] = !c.frozen[m]
 	case 4:
@@ -173,7 +173,7 @@
 			}
 		}
 	case 8:
-		if c.isWhole() && !c.wiped && len(c.frozen)+len(c.cuts) == 0 {
+		if c.isComplete() && !c.wiped && len(c.frozen)+len(c.blocked) == 0 {
 			c.wiped = true
 			m.wipe()
 		}
@@ -181,7 +181,7 @@
 }
 
 // restart ends a machine's process, with its power or not, and starts it some time later.
-func (c *troubledCluster) restart(m *machineUnderTest, losesPower bool) {
+func (c *faultyCluster) restart(m *testMachine, losesPower bool) {
 	if !m.running {
 		return
 	}
@@ -199,21 +199,21 @@
 
 // operator calls controllers as the operators do.
 type operator struct {
-	cluster *troubledCluster
+	cluster *faultyCluster
 	number  int
 	random  *rand.Rand
 }
 
-func (c *troubledCluster) operator(number int) *operator {
+func (c *faultyCluster) operator(number int) *operator {
 	return &operator{cluster: c, number: number, random: rand.New(rand.NewPCG(c.random.Uint64(), uint64(number)))}
 }
 
-// rest waits until a time at which the cluster rests too.
-func (o *operator) rest(d time.Duration) {
+// sleep waits until a time at which the cluster rests too.
+func (o *operator) sleep(d time.Duration) {
 	now := time.Now().Add(d)
 	offset := callOffset + time.Duration(o.number)*time.Microsecond
 	time.Sleep(time.Until(now.Truncate(clusterStep).Add(clusterStep + offset)))
-	o.cluster.pastGate()
+	o.cluster.afterStep()
 }
 
 // reply is what an operator got; status 0 stands for none.
@@ -229,8 +229,8 @@
 }
 
 // callOne asks a controller, and follows redirects.
-func (o *operator) callOne(m *machineUnderTest, method, path, body string, headers ...string) reply {
-	for range mostRedirects + 1 {
+func (o *operator) callOne(m *testMachine, method, path, body string, headers ...string) reply {
+	for range maxRedirects + 1 {
 		recorder := o.exchange(m, method, path, body, headers...)
 		if recorder == nil {
 			return reply{}
@@ -241,13 +241,13 @@
 		if m = o.cluster.at(recorder.Header().Get("Location")); m == nil {
 			return reply{}
 		}
-		o.rest(0)
+		o.sleep(0)
 	}
 	return reply{}
 }
 
 // at is the machine that a redirect names.
-func (c *troubledCluster) at(location string) *machineUnderTest {
+func (c *faultyCluster) at(location string) *testMachine {
 	for _, m := range c.controllers() {
 		if strings.HasPrefix(location, "http://"+m.member.Control+"/") {
 			return m
@@ -257,12 +257,12 @@
 }
 
 // exchange sends one request to a machine. It returns nil if no answer comes.
-func (o *operator) exchange(m *machineUnderTest, method, path, body string, headers ...string) *httptest.ResponseRecorder {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorPatience)
+func (o *operator) exchange(m *testMachine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	defer o.rest(0)
+	defer o.sleep(0)
 	for o.cluster.frozen[m] { // the request waits in the machine's buffers
-		if o.rest(0); ctx.Err() != nil {
+		if o.sleep(0); ctx.Err() != nil {
 			return nil
 		}
 	}
@@ -286,32 +286,32 @@
 	case <-ctx.Done():
 		return nil
 	}
-	o.cluster.pastGate()
+	o.cluster.afterStep()
 	for o.cluster.frozen[m] && ctx.Err() == nil {
-		o.rest(0)
+		o.sleep(0)
 	}
-	isLost := o.random.Float64() < o.cluster.lostPart
+	isLost := o.random.Float64() < o.cluster.answerLossRate
 	if isLost || ctx.Err() != nil || m.starts != generation || !m.running {
 		return nil
 	}
 	return recorder
 }
 
-// persist calls until the answer is a clear one, or patience ends.
-func (o *operator) persist(attempts int, try func() (clear bool)) bool {
-	pause := shortestPause
+// retryUntilClear calls until the answer is a clear one, or time-out ends.
+func (o *operator) retryUntilClear(attempts int, try func() (clear bool)) bool {
+	pause := minBackoff
 	for range attempts {
 		if try() {
 			return true
 		}
-		o.rest(pause)
-		pause = min(2*pause, longestPause)
+		o.sleep(pause)
+		pause = min(2*pause, maxBackoff)
 	}
 	return false
 }
 
-// inBubble runs a test in virtual time and waits for the goroutines that are left.
-func inBubble(t *testing.T, name string, test func(t *testing.T)) {
+// runInVirtualTime runs a test in virtual time and waits for the goroutines that are left.
+func runInVirtualTime(t *testing.T, name string, test func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			test(t)
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -21,8 +21,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// patience bounds every wait of a test that goes as it should.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait of a test that goes as it should.
+const waitTimeout = 10 * time.Second
 
 // selfID is the identity of the controller under test, and selfAddress its link's.
 const (
@@ -81,8 +81,8 @@
 	return members
 }
 
-// bed is a controller with its surroundings.
-type bed struct {
+// fixture is a controller with its environment.
+type fixture struct {
 	*Controller
 	fleet *fleet
 	disk  *memorydisk.Disk
@@ -95,8 +95,8 @@
 		QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}}
 }
 
-// newBed opens a controller without running it.
-func newBed(t testing.TB, disk *memorydisk.Disk, change func(*Options)) *bed {
+// newFixture opens a controller without running it.
+func newFixture(t testing.TB, disk *memorydisk.Disk, change func(*Options)) *fixture {
 	t.Helper()
 	surroundings := &fleet{members: []membership.Member{controllerMember("core-1", selfID, selfAddress, "10.0.0.1:8144")}}
 	options := testOptions(disk, surroundings)
@@ -107,13 +107,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &bed{Controller: opened, fleet: surroundings, disk: disk}
+	return &fixture{Controller: opened, fleet: surroundings, disk: disk}
 }
 
-// startBed runs the group of a controller that is its only member, and waits until that owns it. Its loops don't run.
-func startBed(t testing.TB, disk *memorydisk.Disk) *bed {
+// startFixture runs the group of a controller that is its only member, and waits until that leads it. Its loops don't run.
+func startFixture(t testing.TB, disk *memorydisk.Disk) *fixture {
 	t.Helper()
-	b := newBed(t, disk, nil)
+	b := newFixture(t, disk, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- b.group.Run(ctx) }()
@@ -123,18 +123,18 @@
 			t.Error(err)
 		}
 	})
-	bounded, stop := context.WithTimeout(ctx, patience)
+	bounded, stop := context.WithTimeout(ctx, waitTimeout)
 	defer stop()
 	for b.group.Read(bounded, func() {}) != nil {
 		if bounded.Err() != nil {
-			t.Fatal("the only member doesn't become the owner")
+			t.Fatal("the only member doesn't become the leader")
 		}
 	}
 	return b
 }
 
 // send asks the API and returns the answer.
-func (b *bed) send(method, target, body string, headers ...string) *httptest.ResponseRecorder {
+func (b *fixture) send(method, target, body string, headers ...string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, target, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
--- a/internal/tier/controller/former_leader_test.go
+++ b/internal/tier/controller/former_leader_test.go
@@ -13,7 +13,7 @@
 
 // answerWhile has a controller of the cluster answer while time goes on, step by step, each time the handler waits for its
 // group. It runs in a synctest bubble.
-func (c *cluster) answerWhile(m *machineUnderTest, method, path, body, base string) *httptest.ResponseRecorder {
+func (c *cluster) answerWhile(m *testMachine, method, path, body, base string) *httptest.ResponseRecorder {
 	c.t.Helper()
 	recorder, answered := httptest.NewRecorder(), make(chan struct{})
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -34,13 +34,13 @@
 	return nil
 }
 
-// formerOwnerCall is what an owner is asked that has a successor.
-type formerOwnerCall struct{ method, path, body, base string }
+// formerLeaderCall is what a leader is asked that has a successor.
+type formerLeaderCall struct{ method, path, body, base string }
 
-// TestFormerLeader_UnawareOfSuccessor_AnswersNothing freezes an owner for less than an election time-out. Meanwhile the others
+// TestFormerLeader_UnawareOfSuccessor_AnswersNothing freezes a leader for less than an election time-out. Meanwhile the others
 // have begun anew, so that they didn't wait for it, and have taken another configuration.
 func TestFormerLeader_UnawareOfSuccessor_AnswersNothing(t *testing.T) {
-	for _, call := range []formerOwnerCall{
+	for _, call := range []formerLeaderCall{
 		{http.MethodGet, settingsPath, "", ""},
 		{http.MethodGet, rolloutsPath + "/lm", "", ""},
 		{http.MethodGet, retirePath + "storage-1", "", ""},
@@ -49,19 +49,19 @@
 		{http.MethodPut, settingsPath, document(9), "8"},
 	} {
 		t.Run(call.method+" "+call.path+" "+call.base, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { askFormerOwner(t, call) })
+			synctest.Test(t, func(t *testing.T) { askFormerLeader(t, call) })
 		})
 	}
 }
 
-// askFormerOwner asks an owner that doesn't know yet that it isn't one any more.
-func askFormerOwner(t *testing.T, call formerOwnerCall) {
-	// Given an owner that is frozen, and others that have elected another one and gone on,
+// askFormerLeader asks a leader that doesn't know yet that it isn't one any more.
+func askFormerLeader(t *testing.T, call formerLeaderCall) {
+	// Given a leader that is frozen, and others that have elected another one and gone on,
 	c := newCluster(t, 0)
-	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
+	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
 	c.propose(Command{Configuration: &configuration.Proposal{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
 	c.run(time.Second)
-	former := c.owner()
+	former := c.leader()
 	former.running = false
 	for _, m := range c.sorted() {
 		if m != former {
@@ -72,7 +72,7 @@
 	began := c.now
 	c.propose(Command{Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
 	if frozen := c.now - began; frozen >= electionTimeout || !former.controller.Group().Status().IsLeader {
-		t.Fatalf("it knows after %v that it isn't the owner", frozen)
+		t.Fatalf("it knows after %v that it isn't the leader", frozen)
 	}
 	// when it goes on, and is asked before it has heard of that,
 	former.running = true
--- a/internal/tier/controller/large_configuration_test.go
+++ b/internal/tier/controller/large_configuration_test.go
@@ -17,12 +17,12 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// leastShare is the smallest share of a core that a controller is known to run on.
-const leastShare = 0.176
+// minProcessorShare is the smallest share of a core that a controller is known to run on.
+const minProcessorShare = 0.176
 
-// mostTurn is the time that a turn may take around an order, as the processor counts it: a quarter of the election time-out at
+// maxTurn is the time that a turn may take around an order, as the processor counts it: a quarter of the election time-out at
 // that share.
-const mostTurn = time.Duration(leastShare * float64(electionTimeout) / 4)
+const maxTurn = time.Duration(minProcessorShare * float64(electionTimeout) / 4)
 
 // largeOrder is an order of a configuration with so many routes, padded to a length.
 func largeOrder(base uint64, routes, bytes int) *configuration.Proposal {
@@ -38,22 +38,22 @@
 	return &configuration.Proposal{Base: base, Number: base + 1, Raw: json.RawMessage(raw)}
 }
 
-// lines is a group of controllers' members whose messages go as text between them. Only turns and the writing of messages
+// textNetwork is a group of controllers' members whose messages go as text between them. Only turns and the writing of messages
 // are measured; a connection reads them in a goroutine of its own.
-type lines struct {
+type textNetwork struct {
 	t       testing.TB
 	members map[string]*group.Group
-	sent    []line
+	sent    []textMessage
 	now     time.Duration
 }
 
-type line struct {
+type textMessage struct {
 	address string
 	text    []byte
 }
 
-func newLines(t testing.TB, names ...string) *lines {
-	l := &lines{t: t, members: map[string]*group.Group{}}
+func newTextNetwork(t testing.TB, names ...string) *textNetwork {
+	l := &textNetwork{t: t, members: map[string]*group.Group{}}
 	var initial []replica.Member
 	for _, name := range names {
 		initial = append(initial, replica.Member{ID: name + "-id", Address: name})
@@ -70,16 +70,16 @@
 	return l
 }
 
-func (l *lines) send(address string, envelope group.Envelope) {
+func (l *textNetwork) send(address string, envelope group.Envelope) {
 	text, err := envelope.AppendJSON(nil)
 	if err != nil {
 		l.t.Error(err)
 	}
-	l.sent = append(l.sent, line{address, text})
+	l.sent = append(l.sent, textMessage{address, text})
 }
 
-// round delivers what was sent, gives each member a turn and returns the longest.
-func (l *lines) round() (longest time.Duration) {
+// step delivers what was sent, gives each member a turn and returns the longest.
+func (l *textNetwork) step() (longest time.Duration) {
 	l.now += 5 * time.Millisecond
 	sent := l.sent
 	l.sent = nil
@@ -110,30 +110,30 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-func (l *lines) owner() *group.Group {
+func (l *textNetwork) leader() *group.Group {
 	for range 1000 {
 		for _, member := range l.members {
 			if member.Status().IsLeader {
 				return member
 			}
 		}
-		l.round()
+		l.step()
 	}
-	l.t.Fatal("no owner")
+	l.t.Fatal("no leader")
 	return nil
 }
 
-// take has an order agreed on, and on all members, and returns the longest turn meanwhile.
-func (l *lines) take(order *configuration.Proposal) (longest time.Duration) {
+// take has an order committed on all members, and returns the longest turn meanwhile.
+func (l *textNetwork) take(order *configuration.Proposal) (longest time.Duration) {
 	done := false
-	l.owner().ProposeAsync(Command{Configuration: order}, func(result any, err error) {
+	l.leader().ProposeAsync(Command{Configuration: order}, func(result any, err error) {
 		if err != nil || result != configuration.Accepted {
 			l.t.Errorf("order on %d: %v, %v", order.Base, result, err)
 		}
 		done = true
 	})
 	for range 40 {
-		longest = max(longest, l.round())
+		longest = max(longest, l.step())
 	}
 	if !done {
 		l.t.Fatal("the order has no outcome")
@@ -142,25 +142,25 @@
 }
 
 // Given an order of many routes, then no member's turn around it takes a quarter of the election time-out on the smallest
-// machine, and the owner stays the same. The shortest of some tries is taken, since the collector may work in any of them.
+// machine, and the leader stays the same. The shortest of some tries is taken, since the collector may work in any of them.
 func TestLargeConfiguration_HeartbeatsNotDelayed(t *testing.T) {
 	const tries = 5
 	for _, routes := range []int{517, 2000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			l := newLines(t, "a", "b", "c", "d", "e")
-			owner := l.owner()
-			epoch := owner.Status().Term
+			l := newTextNetwork(t, "a", "b", "c", "d", "e")
+			leader := l.leader()
+			term := leader.Status().Term
 			shortest := time.Hour
 			for try := range uint64(tries) {
 				shortest = min(shortest, l.take(largeOrder(try, routes, 0)))
 			}
-			if shortest > mostTurn {
-				t.Errorf("a turn takes %v, over %v", shortest, mostTurn)
+			if shortest > maxTurn {
+				t.Errorf("a turn takes %v, over %v", shortest, maxTurn)
 			}
-			if status := owner.Status(); !status.IsLeader || status.Term != epoch {
-				t.Errorf("the owner of epoch %d is lost in epoch %d", epoch, status.Term)
+			if status := leader.Status(); !status.IsLeader || status.Term != term {
+				t.Errorf("the leader of term %d is lost in term %d", term, status.Term)
 			}
 			t.Logf("longest turn %v", shortest)
 		})
@@ -197,7 +197,7 @@
 		b.Run(fmt.Sprintf("%d routes, %d bytes at least", size.routes, size.bytes), func(b *testing.B) {
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			l := newLines(b, "a", "b", "c", "d", "e")
+			l := newTextNetwork(b, "a", "b", "c", "d", "e")
 			longest, number := time.Duration(0), uint64(0)
 			for b.Loop() {
 				longest = max(longest, l.take(largeOrder(number, size.routes, size.bytes)))
--- a/internal/tier/controller/order_duplicates_test.go
+++ b/internal/tier/controller/order_duplicates_test.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	persistence = 200 // attempts
+	maxClearAttempts = 200 // attempts
 )
 
-// losses are the ways in which an owner doesn't answer any more.
+// losses are the ways in which a leader doesn't answer any more.
 var losses = []struct {
 	name string
-	lose func(c *troubledCluster, owner *machineUnderTest)
+	lose func(c *faultyCluster, leader *testMachine)
 }{
-	{"killed", func(c *troubledCluster, owner *machineUnderTest) { c.restart(owner, false) }},
-	{"without power", func(c *troubledCluster, owner *machineUnderTest) { c.restart(owner, true) }},
-	{"all without power", func(c *troubledCluster, _ *machineUnderTest) {
+	{"killed", func(c *faultyCluster, leader *testMachine) { c.restart(leader, false) }},
+	{"without power", func(c *faultyCluster, leader *testMachine) { c.restart(leader, true) }},
+	{"all without power", func(c *faultyCluster, _ *testMachine) {
 		for _, m := range c.controllers() {
 			c.restart(m, true)
 		}
 	}},
-	{"cut off", func(c *troubledCluster, owner *machineUnderTest) { c.cutOff(owner, true, true) }},
-	{"unheard", func(c *troubledCluster, owner *machineUnderTest) { c.cutOff(owner, true, false) }},
-	{"deaf", func(c *troubledCluster, owner *machineUnderTest) { c.cutOff(owner, false, true) }},
-	{"frozen", func(c *troubledCluster, owner *machineUnderTest) { c.frozen[owner] = true }},
-	{"its disk lost", func(c *troubledCluster, owner *machineUnderTest) { owner.wipe() }},
+	{"cut off", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, true) }},
+	{"unheard", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, false) }},
+	{"deaf", func(c *faultyCluster, leader *testMachine) { c.partition(leader, false, true) }},
+	{"frozen", func(c *faultyCluster, leader *testMachine) { c.frozen[leader] = true }},
+	{"its disk lost", func(c *faultyCluster, leader *testMachine) { leader.wipe() }},
 }
 
-// mostSteps is the number of steps of the cluster within which an order is agreed on and answered.
-const mostSteps = 9
+// maxSteps is the number of steps of the cluster within which an order is committed and answered.
+const maxSteps = 9
 
-// play has operators do something at once while time passes; at each step of the cluster, event is told how many have passed.
-func (c *troubledCluster) play(event func(step int), does ...func(o *operator)) {
+// runOperators has operators do something at once while time passes; at each step of the cluster, event is told how many have passed.
+func (c *faultyCluster) runOperators(event func(step int), does ...func(o *operator)) {
 	c.t.Helper()
 	var working sync.WaitGroup
 	for number, do := range does {
@@ -50,7 +50,7 @@
 		working.Add(1)
 		go func() {
 			defer working.Done()
-			o.rest(0)
+			o.sleep(0)
 			do(o)
 		}()
 	}
@@ -60,7 +60,7 @@
 		working.Wait()
 		close(done)
 	}()
-	c.wait("operators end", mostCampaign, func() bool {
+	c.wait("operators end", maxRunTime, func() bool {
 		event(step)
 		step++
 		select {
@@ -72,10 +72,10 @@
 	})
 }
 
-// begins counts the roll-outs that have begun, by what their order names, as any member has come to know.
-type begins map[string]map[uint64]bool
+// startedRollouts counts the roll-outs that have begun, by what their order names, as any member has come to know.
+type startedRollouts map[string]map[uint64]bool
 
-func (b begins) observe(c *troubledCluster) {
+func (b startedRollouts) observe(c *faultyCluster) {
 	for _, m := range c.sorted() {
 		if !m.running {
 			continue
@@ -90,7 +90,7 @@
 	}
 }
 
-func (b begins) add(service, target string, overMs int64, index uint64) {
+func (b startedRollouts) add(service, target string, overMs int64, index uint64) {
 	name := fmt.Sprint(service, " ", target, " ", overMs)
 	if b[name] == nil {
 		b[name] = map[uint64]bool{}
@@ -98,11 +98,11 @@
 	b[name][index] = true
 }
 
-// wantClear fails unless an order ends with 200 after answers that are no clear ones.
-func wantClear(t testing.TB, o *operator, what string, try func() reply) {
+// wantAcknowledged fails unless an order ends with 200 after answers that are no clear ones.
+func wantAcknowledged(t testing.TB, o *operator, what string, try func() reply) {
 	t.Helper()
 	var refused []reply
-	taken := o.persist(persistence, func() bool {
+	taken := o.retryUntilClear(maxClearAttempts, func() bool {
 		got := try()
 		switch got.status {
 		case http.StatusOK:
@@ -118,39 +118,39 @@
 	}
 }
 
-// TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent loses the owner at each step while an order is being agreed on, in each way; the operator repeats
+// TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent loses the leader at each step while an order is being committed, in each way; the operator repeats
 // it until it is acknowledged.
 func TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent(t *testing.T) {
 	t.Parallel()
 	for _, loss := range losses {
-		inBubble(t, loss.name, func(t *testing.T) {
-			for step := range mostSteps {
-				c := newTroubledCluster(t, uint64(step), 0)
-				seen := begins{}
+		runInVirtualTime(t, loss.name, func(t *testing.T) {
+			for step := range maxSteps {
+				c := newFaultyCluster(t, uint64(step), 0)
+				seen := startedRollouts{}
 				event := func(now int) {
 					if now == step {
-						loss.lose(c, c.owner())
+						loss.lose(c, c.leader())
 					}
 					if now == step+200 {
 						c.heal()
 					}
 					seen.observe(c)
 				}
-				c.play(event, func(o *operator) {
-					wantClear(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
-					wantClear(t, o, "the next one", func() reply { return o.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
-					wantClear(t, o, "the first once more", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+				c.runOperators(event, func(o *operator) {
+					wantAcknowledged(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+					wantAcknowledged(t, o, "the next one", func() reply { return o.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
+					wantAcknowledged(t, o, "the first once more", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
 				}, func(o *operator) {
 					body := `{"service":"lm","target":"v2","overS":60}`
-					wantClear(t, o, "roll-out", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
-					wantClear(t, o, "the roll-out once more", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
+					wantAcknowledged(t, o, "roll-out", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
+					wantAcknowledged(t, o, "the roll-out once more", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
 				})
 				if got := len(seen["lm v2 60000"]); got != 1 {
 					t.Errorf("at step %d: one order began %d roll-outs", step, got)
 				}
 				c.heal()
-				c.wait("the group is whole", 30*time.Second, c.isWhole)
-				if got := c.owner().controller.state.configuration.Current().Number; got != 5 {
+				c.wait("the group is complete", 30*time.Second, c.isComplete)
+				if got := c.leader().controller.state.configuration.Current().Number; got != 5 {
 					t.Errorf("at step %d: version %d is current, want 5", step, got)
 				}
 			}
@@ -164,41 +164,41 @@
 	t.Parallel()
 	const path = "/mastusher/retire/storage-1"
 	for _, loss := range losses {
-		inBubble(t, loss.name, func(t *testing.T) {
+		runInVirtualTime(t, loss.name, func(t *testing.T) {
 			for _, step := range []int{2, 5, 8, 11} {
-				c := newTroubledCluster(t, uint64(step), 4)
-				c.wait("the stores are whole", 15*time.Second, c.cluster.isWhole)
+				c := newFaultyCluster(t, uint64(step), 4)
+				c.wait("the stores are complete", 15*time.Second, c.cluster.isComplete)
 				event := func(now int) {
 					if now == step {
-						loss.lose(c, c.owner())
+						loss.lose(c, c.leader())
 					}
 					if now == step+200 {
 						c.heal()
 					}
 				}
 				order := func(o *operator) {
-					wantClear(t, o, "retiring", func() reply { return o.call(http.MethodPost, path, `{"overS":10}`) })
+					wantAcknowledged(t, o, "retiring", func() reply { return o.call(http.MethodPost, path, `{"overS":10}`) })
 				}
-				c.play(event, order, order)
+				c.runOperators(event, order, order)
 				c.heal()
 				c.wait("the machine is empty", 20*time.Second, c.isFinished("storage-1"))
-				c.play(func(int) {}, order)
-				if c.state("storage-1") != decommission.Finished || c.holds("s-1") {
-					t.Errorf("at step %d: after a repeat the machine is %s", step, c.state("storage-1"))
+				c.runOperators(func(int) {}, order)
+				if c.decommissionState("storage-1") != decommission.Finished || c.hosts("s-1") {
+					t.Errorf("at step %d: after a duplicate the machine is %s", step, c.decommissionState("storage-1"))
 				}
 			}
 		})
 	}
 }
 
-// TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged has copies of an order arrive at the same time, at all members, while the owner can't
+// TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged has copies of an order arrive at the same time, at all members, while the leader can't
 // reach a majority for some time, or loses its power.
 func TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged(t *testing.T) {
 	t.Parallel()
 	for _, loss := range losses {
-		inBubble(t, loss.name, func(t *testing.T) {
+		runInVirtualTime(t, loss.name, func(t *testing.T) {
 			for _, heals := range []int{1, 40, 150, 400} {
-				c := newTroubledCluster(t, uint64(heals), 0)
+				c := newFaultyCluster(t, uint64(heals), 0)
 				copies := func(method, path, body string) []func(o *operator) {
 					var does []func(o *operator)
 					for range 2 * len(c.machines) {
@@ -211,11 +211,11 @@
 					}
 					return does
 				}
-				seen := begins{}
+				seen := startedRollouts{}
 				does := append(copies(http.MethodPut, settingsPath, document(3)), copies(http.MethodPost, rolloutsPath, `{"service":"lm","target":"v2","overS":60}`)...)
-				c.play(func(now int) {
+				c.runOperators(func(now int) {
 					if now == 1 {
-						loss.lose(c, c.owner())
+						loss.lose(c, c.leader())
 					}
 					if now == heals {
 						c.heal()
@@ -223,14 +223,14 @@
 					seen.observe(c)
 				}, does...)
 				c.heal()
-				c.wait("the group is whole", 30*time.Second, c.isWhole)
+				c.wait("the group is complete", 30*time.Second, c.isComplete)
 				seen.observe(c)
 				if got := len(seen["lm v2 60000"]); got > 1 {
 					t.Errorf("healed after %d: one order began %d roll-outs", heals, got)
 				}
 				// The operator hasn't had a clear answer from all; it sends the same again.
-				c.play(func(int) {}, func(o *operator) {
-					wantClear(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+				c.runOperators(func(int) {}, func(o *operator) {
+					wantAcknowledged(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
 				})
 			}
 		})
@@ -241,44 +241,44 @@
 // disk.
 func TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
-		inBubble(t, fmt.Sprint("wiped: ", wiped), func(t *testing.T) {
-			c := newTroubledCluster(t, 1, 0)
-			var lagging *machineUnderTest
+		runInVirtualTime(t, fmt.Sprint("wiped: ", wiped), func(t *testing.T) {
+			c := newFaultyCluster(t, 1, 0)
+			var lagging *testMachine
 			for _, m := range c.sorted() {
-				if m != c.owner() {
+				if m != c.leader() {
 					lagging = m
 				}
 			}
 			if wiped {
 				lagging.wipe()
 			}
-			c.cutOff(lagging, true, true)
-			c.play(func(int) {}, func(o *operator) {
+			c.partition(lagging, true, true)
+			c.runOperators(func(int) {}, func(o *operator) {
 				for base := range 5 {
 					body := document(base + 1)
-					wantClear(t, o, "a change", func() reply {
-						return o.callOne(c.owner(), http.MethodPut, settingsPath, body, "If-Match", fmt.Sprint(base))
+					wantAcknowledged(t, o, "a change", func() reply {
+						return o.callOne(c.leader(), http.MethodPut, settingsPath, body, "If-Match", fmt.Sprint(base))
 					})
 				}
-				// When each of them is sent to the member that is cut off, then it is not refused, and no stale version is told.
+				// When each of them is sent to the member that is partitioned, then it is not refused, and no stale version is told.
 				for range 40 {
 					for base := range 5 {
 						got := o.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base))
 						if got != nil && !slices.Contains([]int{http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable}, got.Code) {
-							t.Errorf("a repeat is answered by %d %s", got.Code, got.Body)
+							t.Errorf("a duplicate is answered by %d %s", got.Code, got.Body)
 						}
 					}
-					o.rest(50 * time.Millisecond)
+					o.sleep(50 * time.Millisecond)
 				}
 			})
 			// And once it has caught up, it acknowledges all of them by itself.
 			c.heal()
-			c.wait("the group is whole", 30*time.Second, c.isWhole)
-			c.play(func(int) {}, func(o *operator) {
-				o.rest(time.Second)
+			c.wait("the group is complete", 30*time.Second, c.isComplete)
+			c.runOperators(func(int) {}, func(o *operator) {
+				o.sleep(time.Second)
 				for base := range 5 {
 					if got := o.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base)); got.Code != http.StatusOK {
-						t.Errorf("after it has caught up a repeat is answered by %d", got.Code)
+						t.Errorf("after it has caught up a duplicate is answered by %d", got.Code)
 					}
 				}
 			})
@@ -307,7 +307,7 @@
 		m.disk.LosePower(7)
 		m.start()
 	}
-	c.until("an owner", 5*time.Second, func() bool { return c.owner() != nil })
+	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
 	c.sorted()[0].wipe()
 	c.run(5 * time.Second)
 	for _, order := range orders {
@@ -325,60 +325,60 @@
 // interludes lie between an order and its repeat.
 var interludes = []struct {
 	name string
-	pass func(c *troubledCluster)
+	pass func(c *faultyCluster)
 }{
-	{"nothing", func(*troubledCluster) {}},
-	{"an election", func(c *troubledCluster) {
-		owner := c.owner()
-		owner.kill()
-		c.wait("another owner", 5*time.Second, func() bool { return c.owner() != nil })
-		owner.start()
+	{"nothing", func(*faultyCluster) {}},
+	{"an election", func(c *faultyCluster) {
+		leader := c.leader()
+		leader.kill()
+		c.wait("another leader", 5*time.Second, func() bool { return c.leader() != nil })
+		leader.start()
 	}},
-	{"a restart of all", func(c *troubledCluster) { c.restartAll(0) }},
-	{"clocks that go ahead", func(c *troubledCluster) {
+	{"a restart of all", func(c *faultyCluster) { c.restartAll(0) }},
+	{"clocks that go ahead", func(c *faultyCluster) {
 		for _, m := range c.sorted() {
 			m.skew = 2 * time.Second
 		}
 	}},
-	{"clocks that go ahead, and a restart of all", func(c *troubledCluster) { c.restartAll(2 * time.Second) }},
-	{"clocks that go back, and a restart of all", func(c *troubledCluster) { c.restartAll(-2 * time.Second) }},
-	{"an owner that stands still", func(c *troubledCluster) {
-		c.frozen[c.owner()] = true
+	{"clocks that go ahead, and a restart of all", func(c *faultyCluster) { c.restartAll(2 * time.Second) }},
+	{"clocks that go back, and a restart of all", func(c *faultyCluster) { c.restartAll(-2 * time.Second) }},
+	{"a leader that is frozen", func(c *faultyCluster) {
+		c.frozen[c.leader()] = true
 		c.passBy(2 * time.Second)
 		clear(c.frozen)
 	}},
-	{"a lost disk", func(c *troubledCluster) {
-		c.owner().wipe()
-		c.wait("the group is whole", 20*time.Second, c.isWhole)
+	{"a lost disk", func(c *faultyCluster) {
+		c.leader().wipe()
+		c.wait("the group is complete", 20*time.Second, c.isComplete)
 	}},
 }
 
 // restartAll has all machines lose their power and come back with another time of day.
-func (c *troubledCluster) restartAll(skew time.Duration) {
+func (c *faultyCluster) restartAll(skew time.Duration) {
 	c.t.Helper()
 	for _, m := range c.sorted() {
 		m.skew = skew
 		c.restart(m, true)
 	}
 	c.wait("all run", 5*time.Second, func() bool {
-		return !slices.ContainsFunc(c.sorted(), func(m *machineUnderTest) bool { return !m.running })
+		return !slices.ContainsFunc(c.sorted(), func(m *testMachine) bool { return !m.running })
 	})
 }
 
-// TestRolloutOrder_LateDuplicate_StartsNoSecondRollout has v2 ordered, v3 after it, and v2 again: within confirmMs that is a repeat, long after it is an
-// order to go back. What ends in reverting is tried again.
+// TestRolloutOrder_LateDuplicate_StartsNoSecondRollout has v2 ordered, v3 after it, and v2 again: within confirmMs that is a duplicate, long after it is an
+// order to go back. What ends in reverting is attempted again.
 func TestRolloutOrder_LateDuplicate_StartsNoSecondRollout(t *testing.T) {
 	t.Parallel()
 	const window = 9 * time.Second // confirmMs and stretchMs, as they are where settings tell none
 	body := func(target string) string { return fmt.Sprintf(`{"service":"lm","target":%q,"overS":60}`, target) }
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		for _, interlude := range interludes {
-			inBubble(t, fmt.Sprint(end, ", ", interlude.name), func(t *testing.T) {
-				c := newTroubledCluster(t, 1, 0)
+			runInVirtualTime(t, fmt.Sprint(end, ", ", interlude.name), func(t *testing.T) {
+				c := newFaultyCluster(t, 1, 0)
 				order := func(target string, want int) {
 					t.Helper()
-					c.play(func(int) {}, func(o *operator) {
-						ended := o.persist(persistence, func() bool {
+					c.runOperators(func(int) {}, func(o *operator) {
+						ended := o.retryUntilClear(maxClearAttempts, func() bool {
 							got := o.call(http.MethodPost, rolloutsPath, body(target))
 							if isClear := got.status != 0 && got.status != http.StatusServiceUnavailable && got.status != http.StatusGatewayTimeout; !isClear {
 								return false
@@ -395,13 +395,13 @@
 				}
 				decide := func(state rollout.State) {
 					t.Helper()
-					roll, _ := c.owner().controller.state.rollouts.Rollout("lm")
+					roll, _ := c.leader().controller.state.rollouts.Rollout("lm")
 					c.agree(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: roll.Target, Order: roll.Index, State: state}})
 				}
 				wantRoll := func(target string, state rollout.State) {
 					t.Helper()
-					c.wait("an owner", 5*time.Second, func() bool { return c.owner() != nil })
-					if roll, _ := c.owner().controller.state.rollouts.Rollout("lm"); roll.Target != target || roll.State != state {
+					c.wait("a leader", 5*time.Second, func() bool { return c.leader() != nil })
+					if roll, _ := c.leader().controller.state.rollouts.Rollout("lm"); roll.Target != target || roll.State != state {
 						t.Errorf("the newest order is for %s and %s, want %s and %s", roll.Target, roll.State, target, state)
 					}
 				}
@@ -418,7 +418,7 @@
 				wantRoll("v3", rollout.InService)
 				order("v4", http.StatusConflict)
 
-				// When v3 has ended, then a repeat of v2 or v3 changes nothing either.
+				// When v3 has ended, then a duplicate of v2 or v3 changes nothing either.
 				decide(rollout.Finished)
 				order("v2", http.StatusOK)
 				order("v3", http.StatusOK)
@@ -440,19 +440,19 @@
 }
 
 // passBy lets time pass.
-func (c *troubledCluster) passBy(d time.Duration) {
+func (c *faultyCluster) passBy(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.step()
 	}
 }
 
-// agree has the configuration shard agree on a command, whoever owns it.
-func (c *troubledCluster) agree(command Command) {
+// agree has the configuration shard agree on a command, whoever leads it.
+func (c *faultyCluster) agree(command Command) {
 	c.t.Helper()
 	done := false
 	c.wait("agreement", 10*time.Second, func() bool {
-		if owner := c.owner(); owner != nil && !done {
-			owner.controller.Group().ProposeAsync(command, func(_ any, err error) { done = err == nil })
+		if leader := c.leader(); leader != nil && !done {
+			leader.controller.Group().ProposeAsync(command, func(_ any, err error) { done = err == nil })
 			c.passBy(10 * clusterStep)
 		}
 		return done
@@ -462,8 +462,8 @@
 // TestDecommissionOrder_DuplicateAfterEnd_Acknowledged repeats an order when the machine has gone, and when it has come back anew.
 func TestDecommissionOrder_DuplicateAfterEnd_Acknowledged(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
-	c.retire("storage-1")
+	c.awaitPlacement()
+	c.decommission("storage-1")
 	c.until("the machine is empty", 5*time.Second, c.isFinished("storage-1"))
 
 	// Given that too few machines would remain without another one, the machine has come back with an empty disk.
@@ -471,12 +471,12 @@
 	c.storage(2).kill()
 	c.run(2 * deathDelay)
 
-	// When the order comes again, to another owner, then it is acknowledged.
-	first := c.owner()
+	// When the order comes again, to another leader, then it is acknowledged.
+	first := c.leader()
 	first.kill()
-	c.until("another owner", 5*time.Second, func() bool { return c.owner() != nil && c.owner() != first })
-	if got := c.retire("storage-1"); got != decommission.Accepted {
-		t.Errorf("a repeat is %v", got)
+	c.until("another leader", 5*time.Second, func() bool { return c.leader() != nil && c.leader() != first })
+	if got := c.decommission("storage-1"); got != decommission.Accepted {
+		t.Errorf("a duplicate is %v", got)
 	}
 
 	// And when the machine has gone, and no controller that runs has ever heard of it.
@@ -488,7 +488,7 @@
 			m.start()
 		}
 	}
-	if got := c.retire("storage-1"); got != decommission.Accepted {
-		t.Errorf("a repeat about a machine that has gone is %v", got)
+	if got := c.decommission("storage-1"); got != decommission.Accepted {
+		t.Errorf("a duplicate about a machine that has gone is %v", got)
 	}
 }
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -20,12 +20,12 @@
 
 // What a campaign does.
 const (
-	operatorCount   = 3
-	ordersEach      = 12
-	disturbEvery    = 250 * time.Millisecond
-	mostCampaign    = 90 * time.Second
-	mostFinalAnswer = 100 // attempts, once all trouble has ended
-	paddedBytes     = 60 << 10
+	operatorCount    = 3
+	ordersEach       = 12
+	faultInterval    = 250 * time.Millisecond
+	maxRunTime       = 90 * time.Second
+	maxFinalAttempts = 100 // attempts, once all faults has ended
+	paddedBytes      = 60 << 10
 )
 
 // recorder keeps what operators have seen.
@@ -41,14 +41,14 @@
 	r.operations = append(r.operations, operation)
 }
 
-func (r *recorder) note(order linearizability.Order) {
+func (r *recorder) recordSent(order linearizability.Order) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sent = append(r.sent, order)
 }
 
-// old is an order that was sent before, by anyone.
-func (r *recorder) old(pick func(int) int) linearizability.Order {
+// earlierOrder is an order that was sent before, by anyone.
+func (r *recorder) earlierOrder(pick func(int) int) linearizability.Order {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.sent[pick(len(r.sent))]
@@ -90,15 +90,15 @@
 	operation := linearizability.Operation{Operator: e.number, Kind: linearizability.Get, Call: time.Now().UnixNano()}
 	got := e.call(http.MethodGet, settingsPath, "")
 	if got.status == http.StatusOK {
-		var told struct {
+		var parsed struct {
 			Number uint64 `json:"number"`
 			Note   string `json:"note"`
 		}
-		if err := json.Unmarshal([]byte(got.body), &told); err != nil {
+		if err := json.Unmarshal([]byte(got.body), &parsed); err != nil {
 			e.cluster.t.Error(err)
 		}
 		operation.Outcome = linearizability.Read
-		operation.Version = linearizability.Version{Number: told.Number, Content: strings.TrimSuffix(told.Note, e.padding)}
+		operation.Version = linearizability.Version{Number: parsed.Number, Content: strings.TrimSuffix(parsed.Note, e.padding)}
 		e.known = operation.Version
 	}
 	operation.Return = time.Now().UnixNano()
@@ -110,38 +110,38 @@
 func (e *editor) work(orders int) {
 	for range orders {
 		if e.random.IntN(3) > 0 {
-			e.persist(2, e.get)
+			e.retryUntilClear(2, e.get)
 		}
 		order := linearizability.Order{Base: e.known.Number, Number: e.known.Number + 1 + e.random.Uint64N(2), Content: fmt.Sprint(e.random.IntN(2))}
 		if e.random.IntN(5) == 0 {
 			order.Base++
 			order.Number++
 		}
-		e.recorder.note(order)
-		e.persist(mostAttempts, func() bool { return e.put(order) })
+		e.recorder.recordSent(order)
+		e.retryUntilClear(maxAttempts, func() bool { return e.put(order) })
 		if e.random.IntN(2) == 0 {
-			e.put(e.recorder.old(e.random.IntN))
+			e.put(e.recorder.earlierOrder(e.random.IntN))
 		}
-		e.rest(time.Duration(e.random.IntN(400)) * time.Millisecond)
+		e.sleep(time.Duration(e.random.IntN(400)) * time.Millisecond)
 	}
 }
 
 // finish has every order answered clearly once more, and reads back.
 func (e *editor) finish(orders []linearizability.Order) {
 	for _, order := range orders {
-		if !e.persist(mostFinalAnswer, func() bool { return e.put(order) }) {
-			e.cluster.t.Errorf("order %+v has no clear answer though all trouble has ended", order)
+		if !e.retryUntilClear(maxFinalAttempts, func() bool { return e.put(order) }) {
+			e.cluster.t.Errorf("order %+v has no clear answer though all faults has ended", order)
 		}
 	}
-	if !e.persist(mostFinalAnswer, e.get) {
-		e.cluster.t.Error("the configuration is not read back though all trouble has ended")
+	if !e.retryUntilClear(maxFinalAttempts, e.get) {
+		e.cluster.t.Error("the configuration is not read back though all faults has ended")
 	}
 }
 
-// playHistory lets operators work while machines have trouble, and returns what they saw.
-func playHistory(t testing.TB, seed uint64) []linearizability.Operation {
-	c := newTroubledCluster(t, seed, 0)
-	c.lostPart = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
+// runHistory lets operators work while machines have faults, and returns what they saw.
+func runHistory(t testing.TB, seed uint64) []linearizability.Operation {
+	c := newFaultyCluster(t, seed, 0)
+	c.answerLossRate = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
 	padding := strings.Repeat(" ", []int{0, 0, 0, 0, 0, paddedBytes}[c.random.IntN(6)])
 	seen := &recorder{}
 	var editors []*editor
@@ -152,26 +152,26 @@
 		working.Add(1)
 		go func() {
 			defer working.Done()
-			e.rest(0)
+			e.sleep(0)
 			e.work(ordersEach)
 		}()
 	}
-	c.untilDone(&working, func() { c.disturb() }, func() {})
+	c.untilDone(&working, func() { c.injectRandomFault() }, func() {})
 	c.heal()
-	c.lostPart = 0
-	c.wait("the group is whole", 30*time.Second, c.isWhole)
+	c.answerLossRate = 0
+	c.wait("the group is complete", 30*time.Second, c.isComplete)
 	working.Add(1)
 	go func() {
 		defer working.Done()
-		editors[0].rest(0)
+		editors[0].sleep(0)
 		editors[0].finish(seen.sent)
 	}()
 	c.untilDone(&working, func() {}, func() {})
 	return seen.operations
 }
 
-// untilDone lets time pass until all have ended, with some trouble now and then; each is called after each step.
-func (c *troubledCluster) untilDone(working *sync.WaitGroup, trouble, each func()) {
+// untilDone lets time pass until all have ended, with some faults now and then; each is called after each step.
+func (c *faultyCluster) untilDone(working *sync.WaitGroup, trouble, each func()) {
 	c.t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -186,25 +186,25 @@
 			return false
 		}
 	}
-	next := c.now + disturbEvery
-	c.wait("operators end", mostCampaign, func() bool {
+	next := c.now + faultInterval
+	c.wait("operators end", maxRunTime, func() bool {
 		each()
 		if c.now >= next {
-			next = c.now + time.Duration(c.random.Int64N(int64(2*disturbEvery)))
+			next = c.now + time.Duration(c.random.Int64N(int64(2*faultInterval)))
 			trouble()
 		}
 		return isDone()
 	})
 }
 
-// TestRandomOrderHistories_AreLinearizable has operators change the configuration at once while machines are cut off, frozen, restarted
+// TestRandomOrderHistories_AreLinearizable has operators change the configuration at once while machines are partitioned, frozen, restarted
 // and replaced, clocks go wrong and answers are lost.
 func TestRandomOrderHistories_AreLinearizable(t *testing.T) {
 	t.Parallel()
 	var sum tally
 	for seed := *firstSeed; seed < *firstSeed+uint64(*histories); seed++ {
-		inBubble(t, fmt.Sprint("seed ", seed), func(t *testing.T) {
-			operations := playHistory(t, seed)
+		runInVirtualTime(t, fmt.Sprint("seed ", seed), func(t *testing.T) {
+			operations := runHistory(t, seed)
 			if err := linearizability.Check(operations); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -24,15 +24,15 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Times of a core whose machines are cut off.
+// Times of a core whose machines are partitioned.
 const (
-	coreLatency  = 2 * time.Millisecond // one way, and up to as much more
-	heldByCut    = 64                   // messages on each way that a cut holds up until it ends; those before are lost
-	noticedAfter = 2 * time.Second      // until membership takes a machine that is out of reach for dead
-	reunitedIn   = 10 * time.Second     // after the end of a cut, until membership takes it for alive again
-	mostFollowed = 2                    // redirects that a caller follows
-	mostStores   = 8                    // of which two, and the one that joins, are emptied: enough remain
-	idlePoll     = 5 * time.Millisecond
+	coreLatency          = 2 * time.Millisecond // one way, and up to as much more
+	maxDelayedMessages   = 64                   // messages on each way that a partition holds up until it ends; those before are lost
+	failureDetectionTime = 2 * time.Second      // until membership takes a machine that is out of reach for dead
+	rejoinTime           = 10 * time.Second     // after the end of a partition, until membership takes it for alive again
+	maxRedirectsFollowed = 2                    // redirects that a caller follows
+	initialStores        = 8                    // of which two, and the one that joins, are drained: enough remain
+	idlePoll             = 5 * time.Millisecond
 )
 
 // core is some controllers as they run, in the virtual time of a synctest bubble: real groups, handlers and loops, over a
@@ -46,11 +46,11 @@
 	joiner   membership.Member   // a store that starts in the middle
 	joined   time.Time           // when; zero: not yet
 
-	mutex   sync.Mutex
-	blocked map[way]bool
-	held    map[way][]group.Envelope
-	unseen  map[way]time.Time // since when a machine has been out of another one's reach; for a while after it is back
-	back    map[way]time.Time
+	mutex            sync.Mutex
+	blocked          map[link]bool
+	delayed          map[link][]group.Envelope
+	unreachableSince map[link]time.Time // since when a machine has been out of another one's reach; for a while after it is back
+	reachableAt      map[link]time.Time
 }
 
 // coreKind tells how large a core is, and what it has to bear beside cuts.
@@ -63,8 +63,8 @@
 // coreKinds are played in turn, seed by seed.
 var coreKinds = []coreKind{{group: 3}, {group: 5, lost: 0.02}, {group: 3, lost: 0.05, slowDisk: 60 * time.Millisecond}}
 
-// way is one direction between two machines.
-type way struct{ from, to int }
+// link is one direction between two machines.
+type link struct{ from, to int }
 
 // coreMachine is one controller.
 type coreMachine struct {
@@ -81,8 +81,8 @@
 // newCore starts controllers: the group, and one that stands by.
 func newCore(t *testing.T, seed uint64) *core {
 	kind := coreKinds[seed%uint64(len(coreKinds))]
-	c := &core{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(mostStores), joiner: storeMember(mostStores + 1),
-		blocked: map[way]bool{}, held: map[way][]group.Envelope{}, unseen: map[way]time.Time{}, back: map[way]time.Time{}}
+	c := &core{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(initialStores), joiner: storeMember(initialStores + 1),
+		blocked: map[link]bool{}, delayed: map[link][]group.Envelope{}, unreachableSince: map[link]time.Time{}, reachableAt: map[link]time.Time{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	var initial []replica.Member
 	for number := range kind.group + 1 {
@@ -105,7 +105,7 @@
 		m.open(first, seed)
 	}
 	for _, m := range c.machines {
-		for _, loop := range []func(context.Context){m.drive, m.publishAndPlace, m.judge} {
+		for _, loop := range []func(context.Context){m.runGroup, m.runLoops, m.analyze} {
 			running.Go(func() { loop(ctx) })
 		}
 	}
@@ -137,8 +137,8 @@
 	m.controller, m.handler = opened, opened.Handler()
 }
 
-// pass waits while the machine is frozen.
-func (m *coreMachine) pass() {
+// waitWhileFrozen waits while the machine is frozen.
+func (m *coreMachine) waitWhileFrozen() {
 	for {
 		m.core.mutex.Lock()
 		thawed := m.thawed
@@ -152,11 +152,11 @@
 	}
 }
 
-// drive gives the group its turns.
-func (m *coreMachine) drive(ctx context.Context) {
+// runGroup gives the group its turns.
+func (m *coreMachine) runGroup(ctx context.Context) {
 	opened := time.Now()
 	for ctx.Err() == nil {
-		m.pass()
+		m.waitWhileFrozen()
 		next, err := m.controller.Group().RunOnce()
 		if err != nil {
 			m.core.t.Errorf("%s: %v", m.member.Name, err)
@@ -176,23 +176,23 @@
 	}
 }
 
-// publishAndPlace does what the loops of a controller do, as long as the machine runs.
-func (m *coreMachine) publishAndPlace(ctx context.Context) {
+// runLoops does what the loops of a controller do, as long as the machine runs.
+func (m *coreMachine) runLoops(ctx context.Context) {
 	var publisher EndpointPublisher
 	for ctx.Err() == nil {
-		m.pass()
+		m.waitWhileFrozen()
 		m.controller.Reconcile(time.Now())
 		m.controller.Publish()
 		m.controller.ReadEndpoints(ctx, &publisher)
-		m.poke()
+		m.wakeUp()
 		m.sleep(ctx, reconcileInterval)
 	}
 }
 
-func (m *coreMachine) judge(ctx context.Context) {
+func (m *coreMachine) analyze(ctx context.Context) {
 	trials := map[uint64]*rollout.Analysis{}
 	for ctx.Err() == nil {
-		m.pass()
+		m.waitWhileFrozen()
 		m.controller.analyzeRollouts(ctx, trials)
 		m.sleep(ctx, analysisInterval)
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (m *coreMachine) poke() {
+func (m *coreMachine) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -216,18 +216,18 @@
 func (m *coreMachine) send(address string, envelope group.Envelope) {
 	for _, to := range m.core.machines {
 		if to.member.Address == address {
-			m.core.carry(way{m.number, to.number}, envelope)
+			m.core.deliver(link{m.number, to.number}, envelope)
 		}
 	}
 }
 
-func (c *core) carry(w way, envelope group.Envelope) {
+func (c *core) deliver(w link, envelope group.Envelope) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.blocked[w] {
-		c.held[w] = append(c.held[w], envelope)
-		if len(c.held[w]) > heldByCut {
-			c.held[w] = c.held[w][1:]
+		c.delayed[w] = append(c.delayed[w], envelope)
+		if len(c.delayed[w]) > maxDelayedMessages {
+			c.delayed[w] = c.delayed[w][1:]
 		}
 		return
 	}
@@ -237,29 +237,29 @@
 	delay := coreLatency + time.Duration(c.random.Int64N(int64(coreLatency)))
 	time.AfterFunc(delay, func() {
 		to := c.machines[w.to]
-		to.pass()
+		to.waitWhileFrozen()
 		to.controller.Group().Deliver(envelope.Message)
-		to.poke()
+		to.wakeUp()
 	})
 }
 
-// set begins or ends a cut of some ways. What it has held up arrives after its end.
-func (c *core) set(blocked bool, ways ...way) {
+// setBlocked begins or ends a partition of some ways. What it has held up arrives after its end.
+func (c *core) setBlocked(blocked bool, ways ...link) {
 	for _, w := range ways {
 		c.mutex.Lock()
 		c.blocked[w] = blocked
-		held := c.held[w]
+		held := c.delayed[w]
 		if !blocked {
-			delete(c.held, w)
+			delete(c.delayed, w)
 		}
 		c.mutex.Unlock()
 		for _, envelope := range held {
 			if !blocked {
-				c.carry(w, envelope)
+				c.deliver(w, envelope)
 			}
 		}
 	}
-	c.look()
+	c.updateReachability()
 }
 
 // freeze stops a machine, and thaw lets it go on.
@@ -267,32 +267,32 @@
 	c.mutex.Lock()
 	c.machines[number].thawed = make(chan struct{})
 	c.mutex.Unlock()
-	c.look()
+	c.updateReachability()
 }
 
 func (c *core) thaw(number int) {
 	c.mutex.Lock()
 	close(c.machines[number].thawed)
 	c.mutex.Unlock()
-	c.look()
+	c.updateReachability()
 }
 
-// look notes who is in whose reach, directly or through others.
-func (c *core) look() {
+// updateReachability notes who is in whose reach, directly or through others.
+func (c *core) updateReachability() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	for from := range c.machines {
 		reached := c.reachedFrom(from)
 		for to := range c.machines {
-			w := way{from, to}
-			_, unseen := c.unseen[w]
+			w := link{from, to}
+			_, unseen := c.unreachableSince[w]
 			switch {
 			case !reached[to] && !unseen:
-				c.unseen[w] = now
-				delete(c.back, w)
-			case reached[to] && unseen && c.back[w].IsZero():
-				c.back[w] = now.Add(reunitedIn)
+				c.unreachableSince[w] = now
+				delete(c.reachableAt, w)
+			case reached[to] && unseen && c.reachableAt[w].IsZero():
+				c.reachableAt[w] = now.Add(rejoinTime)
 			}
 		}
 	}
@@ -304,7 +304,7 @@
 		again = false
 		for a := range c.machines {
 			for b := range c.machines {
-				if reached[a] && !reached[b] && !c.blocked[way{a, b}] && !c.blocked[way{b, a}] && c.runs(a) && c.runs(b) {
+				if reached[a] && !reached[b] && !c.blocked[link{a, b}] && !c.blocked[link{b, a}] && c.isRunning(a) && c.isRunning(b) {
 					reached[b], again = true, true
 				}
 			}
@@ -313,7 +313,7 @@
 	return reached
 }
 
-func (c *core) runs(number int) bool {
+func (c *core) isRunning(number int) bool {
 	select {
 	case <-c.machines[number].thawed:
 		return true
@@ -323,10 +323,10 @@
 }
 
 // isDead tells whether membership of one machine takes another for dead. The caller holds the mutex.
-func (c *core) isDead(w way) bool {
-	since, unseen := c.unseen[w]
-	back := c.back[w]
-	return unseen && time.Since(since) > noticedAfter && (back.IsZero() || time.Now().Before(back))
+func (c *core) isDead(w link) bool {
+	since, unseen := c.unreachableSince[w]
+	back := c.reachableAt[w]
+	return unseen && time.Since(since) > failureDetectionTime && (back.IsZero() || time.Now().Before(back))
 }
 
 // Members implements Fleet. A machine that is out of reach of all others takes the stores for dead too.
@@ -337,13 +337,13 @@
 	var members []membership.Member
 	alone := true
 	for _, other := range c.machines {
-		told := other.member
-		if c.isDead(way{m.number, other.number}) {
-			told.State = membership.StateDead
+		seen := other.member
+		if c.isDead(link{m.number, other.number}) {
+			seen.State = membership.StateDead
 		} else if other != m {
 			alone = false
 		}
-		members = append(members, told)
+		members = append(members, seen)
 	}
 	stores := c.stores
 	if !c.joined.IsZero() && time.Since(c.joined) > time.Second && !alone {
@@ -361,31 +361,31 @@
 // Publish implements Fleet.
 func (m *coreMachine) Publish(view.Update) {}
 
-// coreAnswer is what a caller got at the end of a call, after redirects.
-type coreAnswer struct {
+// callResult is what a caller got at the end of a call, after redirects.
+type callResult struct {
 	method, path string
 	order        *sentOrder // of a PUT
 	began, ended time.Time
 	first        int // machine that was called
 	code         int // 0: none in time
 	body         string
-	hops         []hop
+	redirects    []redirectHop
 }
 
-// hop is one redirect.
-type hop struct {
+// redirectHop is one redirect.
+type redirectHop struct {
 	at   time.Time
 	from int
 	to   string
 }
 
 // call makes a call as the operator does.
-func (c *core) call(first int, method, path, body string, base string) *coreAnswer {
-	a := &coreAnswer{method: method, path: path, began: time.Now(), first: first}
+func (c *core) call(first int, method, path, body string, base string) *callResult {
+	a := &callResult{method: method, path: path, began: time.Now(), first: first}
 	defer func() { a.ended = time.Now() }()
 	machine := c.machines[first]
-	for range mostFollowed + 1 {
-		recorder := machine.ask(method, path, body, base)
+	for range maxRedirectsFollowed + 1 {
+		recorder := machine.exchange(method, path, body, base)
 		if recorder == nil {
 			return a
 		}
@@ -394,7 +394,7 @@
 			return a
 		}
 		location := recorder.Header().Get("Location")
-		a.hops = append(a.hops, hop{at: time.Now(), from: machine.number, to: location})
+		a.redirects = append(a.redirects, redirectHop{at: time.Now(), from: machine.number, to: location})
 		for _, other := range c.machines {
 			if strings.Contains(location, other.member.Control) {
 				machine = other
@@ -404,13 +404,13 @@
 	return a
 }
 
-// ask has a machine answer; nil: not within the caller's patience.
-func (m *coreMachine) ask(method, path, body, base string) *httptest.ResponseRecorder {
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+// exchange has a machine answer; nil: not within the caller's time-out.
+func (m *coreMachine) exchange(method, path, body, base string) *httptest.ResponseRecorder {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	answered := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
-		m.pass()
+		m.waitWhileFrozen()
 		if ctx.Err() != nil && method == http.MethodPost {
 			return // its connection is closed by now. Late repeats of such orders have rules of their own
 		}
@@ -420,7 +420,7 @@
 		request.Header.Set("If-Match", base)
 		recorder := httptest.NewRecorder()
 		m.handler.ServeHTTP(recorder, request)
-		m.pass() // nothing leaves a machine that is frozen
+		m.waitWhileFrozen() // nothing leaves a machine that is frozen
 		answered <- recorder
 	}()
 	select {
@@ -435,11 +435,11 @@
 	m.core.mutex.Lock()
 	m.calls += change
 	m.core.mutex.Unlock()
-	m.poke()
+	m.wakeUp()
 }
 
-// owner is the machine that owns the group, once there is one.
-func (c *core) owner() int {
+// leader is the machine that leads the group, once there is one.
+func (c *core) leader() int {
 	c.t.Helper()
 	for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.machines {
@@ -448,7 +448,7 @@
 			}
 		}
 	}
-	c.t.Fatal("no owner")
+	c.t.Fatal("no leader")
 	return 0
 }
 
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -13,38 +13,38 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// sentOrder is what was ordered: a configuration, a version, or a machine to be emptied.
+// sentOrder is what was ordered: a configuration, a version, or a machine to be drained.
 type sentOrder struct {
 	base, number uint64
 	at           time.Time // sent first; of a machine: since when it is known
-	taken        bool      // of a configuration, as the group has it at the end
+	accepted     bool      // of a configuration, as the group has it at the end
 }
 
 // callHistory is all that callers got, and judges it when all is over.
 type callHistory struct {
-	answers []*coreAnswer
+	answers []*callResult
 	orders  []*sentOrder
 	chain   []*sentOrder // the orders that were taken, each on top of the one before
 	faults  []string
 }
 
-func (h *callHistory) fault(a *coreAnswer, format string, args ...any) {
+func (h *callHistory) fault(a *callResult, format string, args ...any) {
 	h.faults = append(h.faults, fmt.Sprintf("%s %s at core-%d from %v to %v: %d %s: %s", a.method, a.path, a.first+1,
 		a.began.Format("05.000"), a.ended.Format("05.000"), a.code, strings.TrimSpace(a.body), fmt.Sprintf(format, args...)))
 }
 
-// judge checks that all answers about the configuration are those of one register that is read and replaced as a whole, in
+// verify checks that all answers about the configuration are those of one register that is read and replaced as a whole, in
 // an order that agrees with real time, and those about other orders likewise.
-func (h *callHistory) judge(register *configuration.StateMachine) []string {
+func (h *callHistory) verify(register *configuration.StateMachine) []string {
 	for _, order := range h.orders {
-		order.taken = register.WasAccepted(order.configuration())
+		order.accepted = register.WasAccepted(order.configuration())
 	}
-	slices.SortFunc(h.answers, func(a, b *coreAnswer) int { return a.ended.Compare(b.ended) })
-	h.link()
-	h.judgeKinds()
-	h.judgeConfiguration()
-	h.judgeRollouts()
-	h.judgeRetirements()
+	slices.SortFunc(h.answers, func(a, b *callResult) int { return a.ended.Compare(b.ended) })
+	h.buildChain()
+	h.verifyStatuses()
+	h.verifyConfiguration()
+	h.verifyRollouts()
+	h.verifyDecommissions()
 	return h.faults
 }
 
@@ -54,12 +54,12 @@
 	return &configuration.Proposal{Base: o.base, Number: o.number, Raw: compact}
 }
 
-// link finds the chain of the orders taken.
-func (h *callHistory) link() {
+// buildChain finds the chain of the orders taken.
+func (h *callHistory) buildChain() {
 	next := map[uint64]*sentOrder{}
 	taken := 0
 	for _, order := range h.orders {
-		if !order.taken {
+		if !order.accepted {
 			continue
 		}
 		taken++
@@ -77,7 +77,7 @@
 }
 
 // desiredPlacement is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
-func (h *callHistory) place(number uint64) int {
+func (h *callHistory) position(number uint64) int {
 	if number == 0 {
 		return 0
 	}
@@ -89,8 +89,8 @@
 	return -1
 }
 
-// judgeKinds checks that no answer is of a kind that may not be.
-func (h *callHistory) judgeKinds() {
+// verifyStatuses checks that no answer is of a kind that may not be.
+func (h *callHistory) verifyStatuses() {
 	may := []int{0, http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable, http.StatusNotFound, http.StatusConflict,
 		http.StatusPreconditionFailed}
 	for _, a := range h.answers {
@@ -99,7 +99,7 @@
 		case !slices.Contains(may, a.code):
 			h.fault(a, "no such answer may be given")
 		}
-		for _, hop := range a.hops {
+		for _, hop := range a.redirects {
 			if strings.Contains(hop.to, fmt.Sprintf("10.0.0.%d:", hop.from+1)) {
 				h.fault(a, "core-%d sends to itself", hop.from+1)
 			}
@@ -107,37 +107,37 @@
 	}
 }
 
-// judgeConfiguration follows the lowest place in the chain that each answer allows, given all that had ended before it began.
-func (h *callHistory) judgeConfiguration() {
-	var floors floors
+// verifyConfiguration follows the lowest place in the chain that each answer allows, given all that had ended before it began.
+func (h *callHistory) verifyConfiguration() {
+	var floors lowerBounds
 	for _, a := range h.answers {
 		if a.path != settingsPath {
 			continue
 		}
-		low, high := floors.at(a.began), h.ceiling(a.ended)
+		low, high := floors.at(a.began), h.upperBound(a.ended)
 		switch {
 		case a.method == http.MethodGet && a.code == http.StatusOK:
-			var told struct{ Number uint64 }
-			if err := json.Unmarshal([]byte(a.body), &told); err != nil {
+			var parsed struct{ Number uint64 }
+			if err := json.Unmarshal([]byte(a.body), &parsed); err != nil {
 				h.fault(a, "%v", err)
 				continue
 			}
-			place := h.place(told.Number)
+			place := h.position(parsed.Number)
 			if place < low || place > high {
 				h.fault(a, "it is at place %d, and must be from %d to %d", place, low, high)
 			}
 			low = max(low, place)
 		case a.method == http.MethodPut && a.code == http.StatusOK:
-			place := h.place(a.order.number)
+			place := h.position(a.order.number)
 			if place < 1 || place > high {
 				h.fault(a, "it is at place %d, and must be from 1 to %d", place, high)
 			}
 			low = max(low, place)
 		case a.code == http.StatusPreconditionFailed:
-			if a.order.taken {
+			if a.order.accepted {
 				h.fault(a, "the order was taken")
 			}
-			if h.place(a.order.base) == low {
+			if h.position(a.order.base) == low {
 				low++
 			}
 			if low > high {
@@ -150,8 +150,8 @@
 	}
 }
 
-// ceiling is the highest place that the chain can have reached by then.
-func (h *callHistory) ceiling(at time.Time) int {
+// upperBound is the highest place that the chain can have reached by then.
+func (h *callHistory) upperBound(at time.Time) int {
 	for i, order := range h.chain {
 		if order.at.After(at) {
 			return i
@@ -160,18 +160,18 @@
 	return len(h.chain)
 }
 
-// floors holds the lowest places that are certain, by the time from which on they are.
-type floors struct {
+// lowerBounds holds the lowest places that are certain, by the time from which on they are.
+type lowerBounds struct {
 	times  []time.Time
 	places []int
 }
 
-func (f *floors) add(at time.Time, place int) {
+func (f *lowerBounds) add(at time.Time, place int) {
 	f.times, f.places = append(f.times, at), append(f.places, place)
 }
 
 // at is the lowest place that was certain before a time.
-func (f *floors) at(at time.Time) int {
+func (f *lowerBounds) at(at time.Time) int {
 	low := 0
 	for i := range f.times {
 		if f.times[i].Before(at) {
@@ -181,10 +181,10 @@
 	return low
 }
 
-// judgeRollouts checks the answers about one service, of which one caller orders version after version.
-func (h *callHistory) judgeRollouts() {
+// verifyRollouts checks the answers about one service, of which one caller orders version after version.
+func (h *callHistory) verifyRollouts() {
 	first := map[int]time.Time{} // when each version was ordered
-	var ordered, finished floors
+	var ordered, finished lowerBounds
 	for _, a := range h.answers {
 		if a.method == http.MethodPost && a.path == rolloutsPath && (first[a.version()].IsZero() || a.began.Before(first[a.version()])) {
 			first[a.version()] = a.began
@@ -204,20 +204,20 @@
 				h.fault(a, "version %d had been ordered", ordered.at(a.began))
 			}
 		case a.path == rolloutsPath+"/lm" && a.code == http.StatusOK:
-			var told rolloutStatus
-			if err := json.Unmarshal([]byte(a.body), &told); err != nil {
+			var parsed rolloutStatus
+			if err := json.Unmarshal([]byte(a.body), &parsed); err != nil {
 				h.fault(a, "%v", err)
 				continue
 			}
-			version, _ := strconv.Atoi(strings.TrimPrefix(told.Target, "v"))
+			version, _ := strconv.Atoi(strings.TrimPrefix(parsed.Target, "v"))
 			if low := ordered.at(a.began); version < low || first[version].IsZero() || first[version].After(a.ended) {
 				h.fault(a, "version %d had been ordered", low)
 			}
-			if told.State == "in_service" && finished.at(a.began) >= version {
+			if parsed.State == "in_service" && finished.at(a.began) >= version {
 				h.fault(a, "it was finished before")
 			}
 			ordered.add(a.ended, version)
-			if told.State != "in_service" {
+			if parsed.State != "in_service" {
 				finished.add(a.ended, version)
 			}
 		}
@@ -225,22 +225,22 @@
 }
 
 // version is the number of the version that an order names.
-func (a *coreAnswer) version() int {
+func (a *callResult) version() int {
 	version, _ := strconv.Atoi(strings.TrimPrefix(a.order.target(), "v"))
 	return version
 }
 
 func (o *sentOrder) target() string { return fmt.Sprintf("v%d", o.number) }
 
-// judgeRetirements checks the answers about machines of which enough always remain.
-func (h *callHistory) judgeRetirements() {
-	asked := map[string]*floors{}
+// verifyDecommissions checks the answers about machines of which enough always remain.
+func (h *callHistory) verifyDecommissions() {
+	asked := map[string]*lowerBounds{}
 	for _, a := range h.answers {
 		if !strings.HasPrefix(a.path, retirePath) {
 			continue
 		}
 		if asked[a.path] == nil {
-			asked[a.path] = &floors{}
+			asked[a.path] = &lowerBounds{}
 		}
 		switch {
 		case a.code == http.StatusConflict:
--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -6,14 +6,14 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// The tests that must notice what goes wrong at a controller that is cut off.
+// The tests that must notice what goes wrong at a controller that is partitioned.
 const (
 	cutOffTests     = "TestPartitionedController_AnswersStayLinearizable"
 	successionTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
 	listTests       = "TestEndpoints_LeaderCutOffFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
 )
 
-// TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is cut off. The stories
+// TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is partitioned. The scenarios
 // notice each with one seed.
 func TestPartitionMutantsAreNoticed(t *testing.T) {
 	const unconfirmed = "err := func(_ context.Context, view func()) error { view(); return nil }(ctx, func() {"
--- a/internal/tier/controller/partition_test.go
+++ b/internal/tier/controller/partition_test.go
@@ -14,120 +14,120 @@
 	"time"
 )
 
-var cutSeeds = flag.Int("cut-seeds", 1, "seeds of each story of a controller that is cut off")
+var partitionSeeds = flag.Int("cut-seeds", 1, "seeds of each story of a controller that is cut off")
 
-// joining is the store that is added in the middle.
-var joining = fmt.Sprintf("storage-%d", mostStores+1)
+// joiningStore is the store that is added in the middle.
+var joiningStore = fmt.Sprintf("storage-%d", initialStores+1)
 
-// Times of a story.
+// Times of a scenario.
 const (
-	cutLasts      = 8 * time.Second // and up to as much more with other seeds
-	storyAfter    = 6 * time.Second // from the end of the cut to the end of the story
-	servesIn      = 3 * time.Second // until those that aren't cut off serve again, and all of them after its end
-	joinsAfter    = 3 * time.Second // from the begin of the cut until a store is added
-	mostCallPause = 800 * time.Millisecond
+	partitionDuration = 8 * time.Second // and up to as much more with other seeds
+	afterDuration     = 6 * time.Second // from the end of the partition to the end of the scenario
+	serviceRestoredIn = 3 * time.Second // until those that aren't partitioned serve again, and all of them after its end
+	joinsAfter        = 3 * time.Second // from the begin of the partition until a store is added
+	maxCallDelay      = 800 * time.Millisecond
 )
 
-// role is what a machine is before it is cut off.
+// role is what a machine is before it is partitioned.
 type role string
 
 const (
-	owning    role = "owner"
-	formerly  role = "former owner"
-	following role = "member"
-	standing  role = "controller that stands by"
+	leaderRole       role = "leader"
+	formerLeaderRole role = "former leader"
+	followerRole     role = "follower"
+	standbyRole      role = "standby controller"
 )
 
-// cutKind is from whom a machine is cut off.
-type cutKind string
+// partitionKind is from whom a machine is partitioned.
+type partitionKind string
 
 const (
-	fromAll       cutKind = "from all"
-	fromMajority  cutKind = "from the majority"
-	fromOne       cutKind = "from one zone"
-	inward        cutKind = "so that it hears nobody"
-	outward       cutKind = "so that nobody hears it"
-	standingStill cutKind = "frozen"
-	apart         cutKind = "as all are from each other"
+	fromAll          partitionKind = "from all"
+	fromMajority     partitionKind = "from the majority"
+	fromOne          partitionKind = "from one zone"
+	inward           partitionKind = "so that it hears nobody"
+	outward          partitionKind = "so that nobody hears it"
+	frozenMachine    partitionKind = "frozen"
+	allFromEachOther partitionKind = "as all are from each other"
 )
 
-// TestPartitionedController_AnswersStayLinearizable has each kind of controller cut off in each way, while operators go on at every machine. Every
+// TestPartitionedController_AnswersStayLinearizable has each kind of controller partitioned in each way, while operators go on at every machine. Every
 // answer must be of the newest state that a majority has confirmed, or send on, or say that it can't be told.
 func TestPartitionedController_AnswersStayLinearizable(t *testing.T) {
-	for _, who := range []role{owning, formerly, following, standing} {
-		for _, how := range []cutKind{fromAll, fromMajority, fromOne, inward, outward, standingStill} {
-			t.Run(fmt.Sprintf("given the %s, when it is cut off %s", who, how), func(t *testing.T) { playCut(t, who, how) })
+	for _, who := range []role{leaderRole, formerLeaderRole, followerRole, standbyRole} {
+		for _, how := range []partitionKind{fromAll, fromMajority, fromOne, inward, outward, frozenMachine} {
+			t.Run(fmt.Sprintf("given the %s, when it is cut off %s", who, how), func(t *testing.T) { runPartition(t, who, how) })
 		}
 	}
-	t.Run("given all, when they are cut off from each other", func(t *testing.T) { playCut(t, owning, apart) })
+	t.Run("given all, when they are cut off from each other", func(t *testing.T) { runPartition(t, leaderRole, allFromEachOther) })
 }
 
-func playCut(t *testing.T, who role, how cutKind) {
+func runPartition(t *testing.T, who role, how partitionKind) {
 	t.Parallel()
-	for seed := range *cutSeeds {
+	for seed := range *partitionSeeds {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStory(t, uint64(seed))
-			victim := s.find(who)
-			s.operate()
+			s := newScenario(t, uint64(seed))
+			victim := s.machineOf(who)
+			s.startOperators()
 			time.Sleep(time.Second)
-			s.begin(victim, how)
+			s.startPartition(victim, how)
 			time.Sleep(joinsAfter)
 			s.core.join()
-			time.Sleep(cutLasts - joinsAfter + time.Duration(seed)*time.Second%cutLasts)
-			s.end(victim, how)
-			time.Sleep(storyAfter)
-			s.close()
-			s.check(victim, how)
+			time.Sleep(partitionDuration - joinsAfter + time.Duration(seed)*time.Second%partitionDuration)
+			s.endPartition(victim, how)
+			time.Sleep(afterDuration)
+			s.stop()
+			s.verify(victim, how)
 		})
 	}
 }
 
-// story is a core with its operators.
-type story struct {
-	t      *testing.T
-	seed   uint64
-	core   *core
-	owned  int       // the owner before the cut
-	peer   int       // the one from which a machine is cut off that is cut off from one zone
-	began  time.Time // the cut
-	ended  time.Time
-	over   chan struct{}
-	active sync.WaitGroup
+// scenario is a core with its operators.
+type scenario struct {
+	t            *testing.T
+	seed         uint64
+	core         *core
+	leaderBefore int       // the leader before the partition
+	peer         int       // the one from which a machine is partitioned that is partitioned from one zone
+	began        time.Time // the partition
+	ended        time.Time
+	over         chan struct{}
+	active       sync.WaitGroup
 
 	mutex   sync.Mutex
 	history callHistory
 	numbers uint64
 }
 
-func newStory(t *testing.T, seed uint64) *story {
-	s := &story{t: t, seed: seed, core: newCore(t, seed), over: make(chan struct{})}
-	s.core.owner()
-	time.Sleep(13 * time.Second) // the owner is sure of what it knows of machines
+func newScenario(t *testing.T, seed uint64) *scenario {
+	s := &scenario{t: t, seed: seed, core: newCore(t, seed), over: make(chan struct{})}
+	s.core.leader()
+	time.Sleep(13 * time.Second) // the leader is sure of what it knows of machines
 	return s
 }
 
-// find is the machine of a role.
-func (s *story) find(who role) int {
-	owner := s.core.owner()
+// machineOf is the machine of a role.
+func (s *scenario) machineOf(who role) int {
+	leader := s.core.leader()
 	switch who {
-	case formerly:
-		s.core.machines[owner].controller.Group().TransferLeadership()
-		s.core.machines[owner].poke()
+	case formerLeaderRole:
+		s.core.machines[leader].controller.Group().TransferLeadership()
+		s.core.machines[leader].wakeUp()
 		time.Sleep(time.Second)
-		if s.core.owner() == owner {
-			s.t.Fatal("the owner has not changed")
+		if s.core.leader() == leader {
+			s.t.Fatal("the leader has not changed")
 		}
-	case following:
-		return s.core.others(owner)[0]
-	case standing:
+	case followerRole:
+		return s.core.others(leader)[0]
+	case standbyRole:
 		return len(s.core.machines) - 1
 	}
-	return owner
+	return leader
 }
 
-// ways lists the ways that a cut blocks.
-func (s *story) ways(victim int, how cutKind) []way {
-	var ways []way
+// linksOf lists the ways that a partition blocks.
+func (s *scenario) linksOf(victim int, how partitionKind) []link {
+	var ways []link
 	others := s.core.others(victim)
 	members := s.members(victim)
 	switch how {
@@ -136,33 +136,33 @@
 	case fromOne:
 		others = members[:1]
 		s.peer = members[0]
-	case apart:
+	case allFromEachOther:
 		for a := range s.core.machines {
 			for _, b := range s.core.others(a) {
-				ways = append(ways, way{a, b})
+				ways = append(ways, link{a, b})
 			}
 		}
 		return ways
-	case standingStill:
+	case frozenMachine:
 		return nil
 	}
 	for _, other := range others {
 		if how != inward {
-			ways = append(ways, way{victim, other})
+			ways = append(ways, link{victim, other})
 		}
 		if how != outward {
-			ways = append(ways, way{other, victim})
+			ways = append(ways, link{other, victim})
 		}
 	}
 	return ways
 }
 
-// members lists the group's members but one, the owner first.
-func (s *story) members(victim int) []int {
-	owner := s.core.owner()
-	members := []int{owner}
+// members lists the group's members but one, the leader first.
+func (s *scenario) members(victim int) []int {
+	leader := s.core.leader()
+	members := []int{leader}
 	for number := range s.core.kind.group {
-		if number != owner {
+		if number != leader {
 			members = append(members, number)
 		}
 	}
@@ -175,23 +175,23 @@
 	return others
 }
 
-func (s *story) begin(victim int, how cutKind) {
-	s.began, s.owned = time.Now(), s.core.owner()
+func (s *scenario) startPartition(victim int, how partitionKind) {
+	s.began, s.leaderBefore = time.Now(), s.core.leader()
 	base := s.read(victim)
-	if how == standingStill {
+	if how == frozenMachine {
 		s.core.freeze(victim)
 	}
-	s.core.set(true, s.ways(victim, how)...)
+	s.core.setBlocked(true, s.linksOf(victim, how)...)
 	// An order comes in before the machine can know.
 	s.active.Go(func() { s.replace(victim, base, s.random(victim, 5)) })
 }
 
-func (s *story) end(victim int, how cutKind) {
+func (s *scenario) endPartition(victim int, how partitionKind) {
 	s.ended = time.Now()
-	if how == standingStill {
+	if how == frozenMachine {
 		s.core.thaw(victim)
 	}
-	var blocked []way
+	var blocked []link
 	s.core.mutex.Lock()
 	for w, is := range s.core.blocked {
 		if is {
@@ -199,7 +199,7 @@
 		}
 	}
 	s.core.mutex.Unlock()
-	s.core.set(false, blocked...)
+	s.core.setBlocked(false, blocked...)
 }
 
 // join adds a store.
@@ -209,18 +209,18 @@
 	c.joined = time.Now()
 }
 
-// operate starts the operators: at each machine one that replaces the configuration, one that asks for states, and one that
+// startOperators starts the operators: at each machine one that replaces the configuration, one that asks for states, and one that
 // goes from machine to machine with the other orders.
-func (s *story) operate() {
+func (s *scenario) startOperators() {
 	for _, m := range s.core.machines {
 		s.active.Go(func() { s.configure(m.number) })
-		s.active.Go(func() { s.ask(m.number) })
+		s.active.Go(func() { s.readStates(m.number) })
 	}
 	s.active.Go(s.rollOut)
-	s.active.Go(s.retire)
+	s.active.Go(s.decommission)
 }
 
-func (s *story) isOver() bool {
+func (s *scenario) isOver() bool {
 	select {
 	case <-s.over:
 		return true
@@ -229,24 +229,24 @@
 	}
 }
 
-func (s *story) close() {
+func (s *scenario) stop() {
 	close(s.over)
 	s.active.Wait()
 	time.Sleep(time.Second) // what is under way at the machines ends too
 }
 
 // random are the choices of one operator.
-func (s *story) random(machine int, operator uint64) *rand.Rand {
+func (s *scenario) random(machine int, operator uint64) *rand.Rand {
 	const streams = 8
 	return rand.New(rand.NewPCG(s.seed*streams+uint64(machine), operator))
 }
 
-// pause lets some time pass between two calls of an operator.
-func pause(random *rand.Rand) {
-	time.Sleep(time.Duration(random.Int64N(int64(mostCallPause))))
+// sleepBetweenCalls lets some time pass between two calls of an operator.
+func sleepBetweenCalls(random *rand.Rand) {
+	time.Sleep(time.Duration(random.Int64N(int64(maxCallDelay))))
 }
 
-func (s *story) call(machine int, method, path, body string, order *sentOrder) *coreAnswer {
+func (s *scenario) call(machine int, method, path, body string, order *sentOrder) *callResult {
 	base := ""
 	if order != nil {
 		base = strconv.FormatUint(order.base, 10)
@@ -260,26 +260,26 @@
 }
 
 // configure replaces the configuration again and again, on top of what a machine tells.
-func (s *story) configure(machine int) {
+func (s *scenario) configure(machine int) {
 	random := s.random(machine, 1)
-	for ; !s.isOver(); pause(random) {
+	for ; !s.isOver(); sleepBetweenCalls(random) {
 		s.replace(machine, s.read(machine), random)
 	}
 }
 
 // read returns the number of the configuration that a machine tells; 0: it tells none.
-func (s *story) read(machine int) uint64 {
-	var told struct{ Number uint64 }
+func (s *scenario) read(machine int) uint64 {
+	var parsed struct{ Number uint64 }
 	if a := s.call(machine, http.MethodGet, settingsPath, "", nil); a.code == http.StatusOK {
-		if err := json.Unmarshal([]byte(a.body), &told); err != nil {
+		if err := json.Unmarshal([]byte(a.body), &parsed); err != nil {
 			s.t.Error(err)
 		}
 	}
-	return told.Number
+	return parsed.Number
 }
 
 // replace sends a configuration to a machine, and again unchanged to any of them while the answer isn't clear.
-func (s *story) replace(machine int, base uint64, random *rand.Rand) {
+func (s *scenario) replace(machine int, base uint64, random *rand.Rand) {
 	const sends = 4
 	order := s.newOrder(base)
 	for range sends {
@@ -288,11 +288,11 @@
 			return
 		}
 		machine = random.IntN(len(s.core.machines))
-		pause(random)
+		sleepBetweenCalls(random)
 	}
 }
 
-func (s *story) newOrder(base uint64) *sentOrder {
+func (s *scenario) newOrder(base uint64) *sentOrder {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.numbers++
@@ -302,47 +302,47 @@
 	return order
 }
 
-// ask asks a machine for all states.
-func (s *story) ask(machine int) {
+// readStates asks a machine for all states.
+func (s *scenario) readStates(machine int) {
 	random := s.random(machine, 2)
-	for ; !s.isOver(); pause(random) {
-		for _, path := range []string{settingsPath, rolloutsPath + "/lm", retirePath + "storage-1", retirePath + joining} {
+	for ; !s.isOver(); sleepBetweenCalls(random) {
+		for _, path := range []string{settingsPath, rolloutsPath + "/lm", retirePath + "storage-1", retirePath + joiningStore} {
 			s.call(machine, http.MethodGet, path, "", nil)
 		}
 	}
 }
 
 // rollOut orders one version after the other, each once the one before has ended.
-func (s *story) rollOut() {
+func (s *scenario) rollOut() {
 	random := s.random(0, 3)
 	for version := uint64(1); !s.isOver(); version++ {
 		order := &sentOrder{number: version, at: time.Now()}
 		body := fmt.Sprintf(`{"service":"lm","target":%q,"overS":0.9}`, order.target())
 		for !s.isOver() && s.call(random.IntN(len(s.core.machines)), http.MethodPost, rolloutsPath, body, order).code != http.StatusOK {
-			pause(random)
+			sleepBetweenCalls(random)
 		}
 		for !s.isOver() {
 			a := s.call(random.IntN(len(s.core.machines)), http.MethodGet, rolloutsPath+"/lm", "", nil)
 			if a.code == http.StatusOK && !strings.Contains(a.body, "in_service") {
 				break
 			}
-			pause(random)
+			sleepBetweenCalls(random)
 		}
 	}
 }
 
-// retire has machines emptied, and asks for it again and again.
-func (s *story) retire() {
+// decommission has machines drained, and asks for it again and again.
+func (s *scenario) decommission() {
 	random := s.random(0, 4)
-	for ; !s.isOver(); pause(random) {
+	for ; !s.isOver(); sleepBetweenCalls(random) {
 		s.core.mutex.Lock()
 		joined := s.core.joined
 		s.core.mutex.Unlock()
 		nodes := map[string]time.Time{"storage-1": {}, "storage-2": {}}
 		if !joined.IsZero() {
-			nodes[joining] = joined.Add(time.Second)
+			nodes[joiningStore] = joined.Add(time.Second)
 		}
-		for _, node := range []string{"storage-1", "storage-2", joining} {
+		for _, node := range []string{"storage-1", "storage-2", joiningStore} {
 			if known, ok := nodes[node]; ok {
 				s.call(random.IntN(len(s.core.machines)), http.MethodPost, retirePath+node, `{"overS":10}`, &sentOrder{at: known})
 			}
@@ -350,10 +350,10 @@
 	}
 }
 
-// check judges what the callers got.
-func (s *story) check(victim int, how cutKind) {
-	owner := s.core.machines[s.core.owner()].controller
-	faults := s.history.judge(owner.state.configuration)
+// verify judges what the callers got.
+func (s *scenario) verify(victim int, how partitionKind) {
+	leader := s.core.machines[s.core.leader()].controller
+	faults := s.history.verify(leader.state.configuration)
 	const most = 5
 	for _, fault := range faults[:min(most, len(faults))] {
 		s.t.Error(fault)
@@ -369,50 +369,50 @@
 
 // checkRedirects checks that nobody is sent to a machine that is out of reach, and that such a machine sends nobody on: from
 // an election time-out on by members, which have heard nothing for so long, and by others from when membership notices.
-func (s *story) checkRedirects(victim int, how cutKind) {
-	if how != fromAll && how != standingStill {
+func (s *scenario) checkRedirects(victim int, how partitionKind) {
+	if how != fromAll && how != frozenMachine {
 		return
 	}
-	// What came in before the cut is heard in the next turn, which may have to wait for the disk.
+	// What came in before the partition is heard in the next turn, which may have to wait for the disk.
 	slack := 4*coreLatency + 2*s.core.kind.slowDisk
 	control := s.core.machines[victim].member.Control
 	for _, a := range s.history.answers {
-		for _, hop := range a.hops {
+		for _, hop := range a.redirects {
 			known := s.began.Add(electionTimeout + slack)
 			if hop.from >= s.core.kind.group {
-				known = s.began.Add(noticedAfter + slack)
+				known = s.began.Add(failureDetectionTime + slack)
 			}
 			if hop.at.Before(known) || hop.at.After(s.ended) {
 				continue
 			}
 			if strings.Contains(hop.to, control) || hop.from == victim && how == fromAll {
-				s.t.Errorf("core-%d sends to %s %v after core-%d was cut off", hop.from+1, hop.to, hop.at.Sub(s.began), victim+1)
+				s.t.Errorf("core-%d sends to %s %v after core-%d was partitioned", hop.from+1, hop.to, hop.at.Sub(s.began), victim+1)
 			}
 		}
 	}
 }
 
-// checkServes checks that those that aren't cut off tell the configuration during the cut, and all of them after it, and that
+// checkServes checks that those that aren't partitioned tell the configuration during the partition, and all of them after it, and that
 // orders are taken in both times.
-func (s *story) checkServes(victim int, how cutKind) {
-	during, after := s.served(s.began.Add(servesIn), s.ended), s.served(s.ended.Add(servesIn), time.Now())
+func (s *scenario) checkServes(victim int, how partitionKind) {
+	during, after := s.served(s.began.Add(serviceRestoredIn), s.ended), s.served(s.ended.Add(serviceRestoredIn), time.Now())
 	for _, m := range s.core.machines {
-		if m.number != victim && how != apart && !s.isCutFromOwner(m.number, victim, how) && !during.told[m.number] {
-			s.t.Errorf("core-%d told nothing while core-%d was cut off", m.number+1, victim+1)
+		if m.number != victim && how != allFromEachOther && !s.isPartitionedFromLeader(m.number, victim, how) && !during.answered[m.number] {
+			s.t.Errorf("core-%d told nothing while core-%d was partitioned", m.number+1, victim+1)
 		}
-		if !after.told[m.number] && !s.wasTakenOut(m) {
-			s.t.Errorf("core-%d told nothing after the cut", m.number+1)
+		if !after.answered[m.number] && !s.wasRemoved(m) {
+			s.t.Errorf("core-%d told nothing after the partition", m.number+1)
 		}
 	}
-	if how != apart && during.taken == 0 || after.taken == 0 {
-		s.t.Errorf("%d orders were taken during the cut, %d after it", during.taken, after.taken)
+	if how != allFromEachOther && during.accepted == 0 || after.accepted == 0 {
+		s.t.Errorf("%d orders were taken during the partition, %d after it", during.accepted, after.accepted)
 	}
 }
 
-// checkAnswered checks that callers aren't left without an answer within their patience, except by a machine that is frozen.
-func (s *story) checkAnswered(how cutKind) {
+// checkAnswered checks that callers aren't left without an answer within their time-out, except by a machine that is frozen.
+func (s *scenario) checkAnswered(how partitionKind) {
 	for _, a := range s.history.answers {
-		if a.code == 0 && how != standingStill {
+		if a.code == 0 && how != frozenMachine {
 			s.t.Errorf("%s %s at core-%d from %v: no answer", a.method, a.path, a.first+1, a.began.Sub(s.began))
 		}
 	}
@@ -420,33 +420,33 @@
 
 // service is what was served in some time.
 type service struct {
-	told  map[int]bool // whether the configuration was told, by the machine that was called
-	taken int          // configurations
+	answered map[int]bool // whether the configuration was told, by the machine that was called
+	accepted int          // configurations
 }
 
-func (s *story) served(from, to time.Time) service {
-	served := service{told: map[int]bool{}}
+func (s *scenario) served(from, to time.Time) service {
+	served := service{answered: map[int]bool{}}
 	for _, a := range s.history.answers {
 		switch {
 		case a.path != settingsPath || a.code != http.StatusOK || a.began.Before(from) || a.ended.After(to):
 		case a.method == http.MethodGet:
-			served.told[a.first] = true
+			served.answered[a.first] = true
 		default:
-			served.taken++
+			served.accepted++
 		}
 	}
 	return served
 }
 
-// isCutFromOwner tells whether a member hears nothing of an owner that all others hear: it can't be elected, and answers 503.
-func (s *story) isCutFromOwner(number, victim int, how cutKind) bool {
-	return how == fromOne && s.owned == victim && number == s.peer
+// isPartitionedFromLeader tells whether a member hears nothing of a leader that all others hear: it can't be elected, and answers 503.
+func (s *scenario) isPartitionedFromLeader(number, victim int, how partitionKind) bool {
+	return how == fromOne && s.leaderBefore == victim && number == s.peer
 }
 
-// wasTakenOut tells whether a machine was replaced in the group during the cut and can't know it: the group doesn't write to
+// wasRemoved tells whether a machine was replaced in the group during the partition and can't know it: the group doesn't write to
 // it any more. It answers 503, and callers go on to the next one.
-func (s *story) wasTakenOut(m *coreMachine) bool {
-	for _, member := range s.core.machines[s.core.owner()].controller.Group().Status().Members {
+func (s *scenario) wasRemoved(m *coreMachine) bool {
+	for _, member := range s.core.machines[s.core.leader()].controller.Group().Status().Members {
 		if member.ID == m.member.ID {
 			return false
 		}
--- a/internal/tier/controller/placement_test.go
+++ b/internal/tier/controller/placement_test.go
@@ -24,7 +24,7 @@
 
 func TestPlacement_NoFaults_Unchanged(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	first := c.placement()
 
 	// Given a new store, and one that is down for a short while.
@@ -44,7 +44,7 @@
 func TestPlacement_RestartOfAll_Unchanged(t *testing.T) {
 	// Given that everything lost power, and stores that come back later than the controllers.
 	c := newCluster(t, 5)
-	c.settle()
+	c.awaitPlacement()
 	first := c.placement()
 	turns := turnsOf(c, 0)
 	for _, m := range c.sorted() {
@@ -60,7 +60,7 @@
 	for number := range 5 {
 		c.storage(number + 1).start()
 	}
-	c.settle()
+	c.awaitPlacement()
 
 	// Then the placement is as it was, and what was acknowledged is known.
 	if diff := cmp.Diff(first, c.placement()); diff != "" {
@@ -71,13 +71,13 @@
 
 func TestLostStore_NoSpare_ReplacedAfterTimeout(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	c.storage(1).kill()
 	c.run(deathDelay + 3*time.Second)
 	if len(shardsOf(c.placement(), "s-1")) == 0 {
 		t.Error("replicas moved before their store had time to return")
 	}
-	c.until("groups are whole", 3*time.Second, c.isWhole)
+	c.until("groups are complete", 3*time.Second, c.isComplete)
 	if len(shardsOf(c.placement(), "s-1")) != 0 {
 		t.Error("a lost store still holds replicas")
 	}
@@ -85,12 +85,12 @@
 
 func TestLostStore_SpareRuns_ReplacedSoon(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	c.add(storeMember(5)).start()
 	c.storage(1).kill()
 	c.run(deathDelay)
-	took := c.until("groups are whole", 2*time.Second, c.isWhole)
-	t.Logf("groups are whole %v after the store was taken for dead", took)
+	took := c.until("groups are complete", 2*time.Second, c.isComplete)
+	t.Logf("groups are complete %v after the store was taken for dead", took)
 	if len(shardsOf(c.placement(), "s-5")) == 0 {
 		t.Error("the new store holds nothing")
 	}
@@ -98,14 +98,14 @@
 
 func TestWipedStore_ReplacedByItself(t *testing.T) {
 	c := newCluster(t, 5)
-	c.settle()
+	c.awaitPlacement()
 	turns := turnsOf(c, 0)
 	before := shardsOf(c.placement(), "s-2")
 
 	// When a store comes back with an empty disk, its new identity takes the replicas of the old one at once.
 	c.storage(2).wipe()
-	took := c.until("groups are whole", 2*time.Second, func() bool {
-		return c.isWhole() && cmp.Equal(before, shardsOf(c.placement(), c.storage(2).member.ID))
+	took := c.until("groups are complete", 2*time.Second, func() bool {
+		return c.isComplete() && cmp.Equal(before, shardsOf(c.placement(), c.storage(2).member.ID))
 	})
 	t.Logf("whole after %v", took)
 	if left := shardsOf(c.placement(), "s-2"); len(left) > 0 {
@@ -117,81 +117,81 @@
 // TestShardLeader_OlderPlacement_UndoesNothing has a store that hears no placements own the groups after a change.
 func TestShardLeader_OlderPlacement_UndoesNothing(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 
 	// Given a change, and storage-2, which starts again after it and is told only the placement before.
-	first := c.pieces[view.PlacementSection]
+	first := c.updates[view.PlacementSection]
 	c.storage(3).wipe()
-	c.until("the identity that was lost has left", 3*time.Second, func() bool { return c.isWhole() && !c.holds("s-3") })
+	c.until("the identity that was lost has left", 3*time.Second, func() bool { return c.isComplete() && !c.hosts("s-3") })
 	behind := c.storage(2)
-	behind.stale = &first
+	behind.staleUpdate = &first
 	behind.kill()
 	c.run(900 * time.Millisecond)
 	behind.start()
-	c.until("groups are whole", 3*time.Second, c.isWhole)
+	c.until("groups are complete", 3*time.Second, c.isComplete)
 	after := c.placement()
 
-	// When it owns every group that it is in, one after the other.
+	// When it leads every group that it is in, one after the other.
 	for _, shard := range shardsOf(after, "s-2") {
 		for range 20 {
-			owner, _ := c.shardOwner(shard)
-			if owner == behind {
+			leader, _ := c.shardLeader(shard)
+			if leader == behind {
 				break
 			}
-			owner.kill()
-			c.until("another owner", 5*time.Second, func() bool {
-				at, _ := c.shardOwner(shard)
-				return at != nil && at != owner
+			leader.kill()
+			c.until("another leader", 5*time.Second, func() bool {
+				at, _ := c.shardLeader(shard)
+				return at != nil && at != leader
 			})
-			owner.start()
-			c.until("groups are whole", 5*time.Second, c.isWhole)
+			leader.start()
+			c.until("groups are complete", 5*time.Second, c.isComplete)
 		}
-		if owner, _ := c.shardOwner(shard); owner != behind {
+		if leader, _ := c.shardLeader(shard); leader != behind {
 			t.Fatalf("storage-2 never owned shard %d", shard)
 		}
 		c.run(3 * time.Second)
 
 		// Then the identity that was lost stays out.
-		if c.holds("s-3") {
-			t.Fatalf("shard %d: the owner went back to an older placement", shard)
+		if c.hosts("s-3") {
+			t.Fatalf("shard %d: the leader went back to an older placement", shard)
 		}
 	}
-	if !c.isWhole() {
+	if !c.isComplete() {
 		t.Error("groups are not whole")
 	}
 }
 
 func TestWipedController_ReplacedAtOnce(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	index := c.placement().Index
 	for _, address := range []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"} {
 		m := c.machines[address]
 		m.wipe()
 		c.until("the new identity is a voter", 5*time.Second, func() bool {
-			owner := c.owner()
-			return owner != nil && slices.Contains(caughtUp(owner.controller.Group().Status()), m.member.ID)
+			leader := c.leader()
+			return leader != nil && slices.Contains(caughtUp(leader.controller.Group().Status()), m.member.ID)
 		})
 	}
 	if got := c.placement().Index; got != index {
-		t.Errorf("placement of entry %d, want %d: what was agreed on is lost", got, index)
+		t.Errorf("placement of entry %d, want %d: what was committed is lost", got, index)
 	}
-	if got := len(c.owner().controller.Group().Status().Members); got != 3 {
+	if got := len(c.leader().controller.Group().Status().Members); got != 3 {
 		t.Errorf("%d members, want 3", got)
 	}
 }
 
 func TestLostController_ReplacedAtAnotherAddress(t *testing.T) {
 	c := newCluster(t, 4)
-	c.settle()
+	c.awaitPlacement()
 	lost := c.machines["10.0.0.1:7000"]
 	lost.kill()
 	c.add(controllerMember("core-4", "core-4-anew", "10.0.0.4:7000", "10.0.0.4:8144")).start()
 	c.until("the new controller is a voter", 10*time.Second, func() bool {
-		owner := c.owner()
-		return owner != nil && slices.Contains(caughtUp(owner.controller.Group().Status()), "core-4-anew")
+		leader := c.leader()
+		return leader != nil && slices.Contains(caughtUp(leader.controller.Group().Status()), "core-4-anew")
 	})
-	if got := len(c.owner().controller.Group().Status().Members); got != 3 {
+	if got := len(c.leader().controller.Group().Status().Members); got != 3 {
 		t.Errorf("%d members, want 3", got)
 	}
 }
--- a/internal/tier/controller/race_on_test.go
+++ b/internal/tier/controller/race_on_test.go
@@ -2,10 +2,10 @@
 
 package controller
 
-// pairStride is how many pairs of troubles there are for each that is played.
+// pairStride is how many pairs of faults there are for each that is played.
 const pairStride = 21
 
-// watched tells whether each memory access is watched, which makes long stories slow.
+// watched tells whether each memory access is watched, which makes long scenarios slow.
 const watched = true
 
 // lossesOfARun is how many losses a random run has before the final fault.
--- a/internal/tier/controller/reconciler_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -30,7 +30,7 @@
 		members []membership.Member
 		passed  time.Duration // since the members are as they are
 		want    []replica.Member
-		answers map[string]bool // the group's owner, whatever membership says
+		answers map[string]bool // the group's leader, whatever membership says
 	}{
 		{"all run", []replica.Member{voter("first"), voter("second"), voter("third")},
 			[]membership.Member{first, second, third, added}, 3 * time.Second,
@@ -50,10 +50,10 @@
 		{"two are missing and one has come", []replica.Member{voter("first"), voter("second"), voter("third")},
 			[]membership.Member{first, in(membership.StateSuspect, second), in(membership.StateDead, third), added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
-		{"two are not known to membership and answer the owner", []replica.Member{voter("first"), voter("second"), voter("third")},
+		{"two are not known to membership and answer the leader", []replica.Member{voter("first"), voter("second"), voter("third")},
 			[]membership.Member{first, added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("third")}, map[string]bool{"first": true, "second": true, "third": true}},
-		{"two are taken for dead and one of them answers the owner", []replica.Member{voter("first"), voter("second"), voter("third")},
+		{"two are taken for dead and one of them answers the leader", []replica.Member{voter("first"), voter("second"), voter("third")},
 			[]membership.Member{first, in(membership.StateDead, second), in(membership.StateDead, third), added}, 9 * time.Second,
 			[]replica.Member{voter("first"), voter("second"), voter("new")}, map[string]bool{"first": true, "second": true}},
 	}
--- a/internal/tier/controller/repair_disk_test.go
+++ b/internal/tier/controller/repair_disk_test.go
@@ -7,27 +7,27 @@
 	"mastusher/internal/tier/membership"
 )
 
-// TestRepair_SuccessorWithFailingDisk_CatchesUp has the machine that takes a lost one's replicas get a disk in trouble at each step.
+// TestRepair_SuccessorWithFailingDisk_CatchesUp has the machine that takes a lost one's replicas get a disk with a fault at each step.
 func TestRepair_SuccessorWithFailingDisk_CatchesUp(t *testing.T) {
 	const lasts = 4 * time.Second
 	steps := []time.Duration{700 * time.Millisecond, 0, 1400 * time.Millisecond}
 	if watched {
 		steps = steps[:1]
 	}
-	for _, what := range []diskTrouble{slowDisk, fullDisk, stalledDisk} {
+	for _, what := range []diskFault{slowDisk, fullDisk, stalledDisk} {
 		for _, after := range steps {
 			t.Run(string(what)+" after "+after.String(), func(t *testing.T) {
 				t.Parallel()
 				r := newRepair(t, membership.Store, fastSite)
 				m := r.oldest(1)[0]
-				r.strike(diskLost, m)
+				r.inject(diskLost, m)
 				r.run(downTime + after)
-				m.trouble(what)
+				m.injectDiskFault(what)
 				r.run(lasts)
-				m.trouble(healthy)
-				r.run(r.around.catchUp())
-				if !r.allWhole() {
-					t.Error("not all groups are whole when the next loss is allowed")
+				m.injectDiskFault(healthy)
+				r.run(r.environment.catchUp())
+				if !r.allComplete() {
+					t.Error("not all groups are complete when the next loss is allowed")
 				}
 				r.finalFault()
 				r.wantAll()
--- a/internal/tier/controller/repair_leader_loss_test.go
+++ b/internal/tier/controller/repair_leader_loss_test.go
@@ -13,7 +13,7 @@
 	coordinatorStep   = 250 * time.Millisecond
 	coordinatorSteps  = 20
 	restartAfter      = 700 * time.Millisecond // from a kill until the process runs again
-	coordinatorStride = 5                      // how many stories there are for each that is played, unless all are asked for
+	coordinatorStride = 5                      // how many scenarios there are for each that is played, unless all are asked for
 )
 
 // coordinator is who leads a move, or a part of it.
@@ -21,19 +21,19 @@
 
 // The coordinators.
 const (
-	ownerOfConfiguration coordinator = "owner of the configuration"
-	ownerOfShard         coordinator = "owner of a shard"
-	everyone             coordinator = "everyone"
+	configurationLeader coordinator = "leader of the configuration"
+	shardLeaderRole     coordinator = "leader of a shard"
+	everyone            coordinator = "everyone"
 )
 
 // kill kills the processes, which start again soon.
 func (r *repair) killCoordinator(who coordinator) {
-	var victims []*machineUnderTest
+	var victims []*testMachine
 	switch who {
-	case ownerOfConfiguration:
-		victims = append(victims, r.owner())
-	case ownerOfShard:
-		at, _ := r.shardOwner(0)
+	case configurationLeader:
+		victims = append(victims, r.leader())
+	case shardLeaderRole:
+		at, _ := r.shardLeader(0)
 		victims = append(victims, at)
 	default:
 		victims = r.sorted()
@@ -51,8 +51,8 @@
 // moment that the rules allow.
 func TestRepair_LeaderLostAtEachStep_Completes(t *testing.T) {
 	number := 0
-	for _, what := range []trouble{diskLost, gone, planned} {
-		for _, who := range []coordinator{ownerOfConfiguration, ownerOfShard, everyone} {
+	for _, what := range []fault{diskLost, machineLost, planned} {
+		for _, who := range []coordinator{configurationLeader, shardLeaderRole, everyone} {
 			for step := range coordinatorSteps {
 				number++
 				if !*allPairs && number%(coordinatorStride*pairStride) != 0 {
@@ -62,10 +62,10 @@
 				t.Run(fmt.Sprintf("%s, %s killed after %v", what, who, at), func(t *testing.T) {
 					t.Parallel()
 					r := newRepair(t, membership.Store, slowSite)
-					allowed := r.strike(what, r.oldest(1)[0])
+					allowed := r.inject(what, r.oldest(1)[0])
 					r.run(at)
 					r.killCoordinator(who)
-					r.run(max(allowed, r.now+restartAfter+r.around.catchUp()) - r.now)
+					r.run(max(allowed, r.now+restartAfter+r.environment.catchUp()) - r.now)
 					r.finalFault()
 					r.wantAll()
 				})
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestRepairMutantsAreNoticed tries mistakes in what moves replicas, on the stories with real controllers and stores. Each story
+// TestRepairMutantsAreNoticed tries mistakes in what moves replicas, on the scenarios with real controllers and stores. Each scenario
 // plays one seed.
 func TestRepairMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -14,7 +14,7 @@
 // stateSizes has the times measured with much state, which takes long.
 var stateSizes = flag.Bool("states", false, "measure repairs with 1, 10 and 40 MB of state on each store")
 
-// fill brings so many bytes of state into each shard, in pieces.
+// fill brings so many bytes of state into each shard, in updates.
 func (r *repair) fill(bytesOfShard int) {
 	r.t.Helper()
 	const piece = 100_000
@@ -22,7 +22,7 @@
 		for at := 0; at < bytesOfShard; at += piece {
 			begin := program.BeginTurn{Turn: fmt.Sprintf("fill-%d-%d", shard, at), AtMs: r.time().UnixMilli(), Remembered: true, KeepForS: 3600,
 				Input: bytes.Repeat([]byte{byte(at)}, min(piece, bytesOfShard-at))}
-			r.order(shard, program.Command{Begin: &begin}, program.Accepted)
+			r.proposeToShard(shard, program.Command{Begin: &begin}, program.Accepted)
 		}
 	}
 	r.run(time.Second)
@@ -39,15 +39,15 @@
 	return most
 }
 
-// TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are whole again. The bound is
+// TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are complete again. The bound is
 // catchUpS: from then on the next loss is allowed.
 func TestRepair_CompletesInTime(t *testing.T) {
 	sites := []struct {
 		name   string
-		around surroundings
+		around environment
 	}{{"fast", fastSite}, {"slow", slowSite}, {"large and fast", fastSite.large()}, {"large and slow", slowSite.large()}}
 	states := []int{1 << 20}
-	kinds := []trouble{diskLost, gone, planned}
+	kinds := []fault{diskLost, machineLost, planned}
 	switch {
 	case *stateSizes:
 		states = []int{1 << 20, 10 << 20, 40 << 20}
@@ -67,18 +67,18 @@
 	}
 }
 
-func measureRepair(t *testing.T, around surroundings, state int, what trouble) {
+func measureRepair(t *testing.T, around environment, state int, what fault) {
 	t.Helper()
 	r := newRepair(t, membership.Store, around)
 	r.fill(state / r.held())
 	allowed := r.now
-	for _, m := range r.oldest(around.survive) {
-		allowed = r.strike(what, m)
+	for _, m := range r.oldest(around.faultTolerance) {
+		allowed = r.inject(what, m)
 	}
-	r.run(comesAfter + around.join + handOverTime) // until the groups know what they lack
-	r.until("all groups are whole", 30*time.Second, r.allWhole)
+	r.run(comesAfter + around.joinDelay + transferTimeout) // until the groups know what they lack
+	r.until("all groups are complete", 30*time.Second, r.allComplete)
 	took := r.now - allowed + around.catchUp()
-	t.Logf("whole %v after the start of the empty machine; longest pause %v", took, r.load.gap)
+	t.Logf("whole %v after the start of the empty machine; longest pause %v", took, r.load.longestOutage)
 	if took > around.catchUp() {
 		t.Errorf("whole %v after the start of the empty machine, the next loss is allowed after %v", took, around.catchUp())
 	}
--- a/internal/tier/controller/rollout_duplicates_test.go
+++ b/internal/tier/controller/rollout_duplicates_test.go
@@ -49,18 +49,18 @@
 		if answers.taken && o.random.IntN(3) > 0 {
 			return
 		}
-		o.rest(time.Duration(o.random.IntN(600)) * time.Millisecond)
+		o.sleep(time.Duration(o.random.IntN(600)) * time.Millisecond)
 	}
 }
 
 // TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce has operators order roll-outs at once, and repeat them for as long as they may, while roll-outs end,
-// machines have trouble and clocks go wrong. Each order names a time of its own.
+// machines have faults and clocks go wrong. Each order names a time of its own.
 func TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce(t *testing.T) {
 	t.Parallel()
 	calls, taken := 0, 0
 	for seed := *firstSeed; seed < *firstSeed+uint64(*histories); seed++ {
-		inBubble(t, fmt.Sprint("seed ", seed), func(t *testing.T) {
-			answers, seen := playRollouts(t, seed)
+		runInVirtualTime(t, fmt.Sprint("seed ", seed), func(t *testing.T) {
+			answers, seen := runRollouts(t, seed)
 			for name, answered := range answers {
 				calls += answered.calls
 				if answered.taken {
@@ -78,10 +78,10 @@
 	t.Logf("%d histories: %d calls, %d orders taken", *histories, calls, taken)
 }
 
-func playRollouts(t testing.TB, seed uint64) (map[string]*rolloutAnswers, begins) {
+func runRollouts(t testing.TB, seed uint64) (map[string]*rolloutAnswers, startedRollouts) {
 	const ordersEach = 8
-	c := newTroubledCluster(t, seed, 0)
-	c.lostPart = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
+	c := newFaultyCluster(t, seed, 0)
+	c.answerLossRate = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
 	known := make([]map[string]*rolloutAnswers, operatorCount)
 	var working sync.WaitGroup
 	for number := range operatorCount {
@@ -90,17 +90,17 @@
 		working.Add(1)
 		go func() {
 			defer working.Done()
-			o.rest(0)
+			o.sleep(0)
 			for order := range ordersEach {
 				service, target := fmt.Sprint("s", o.random.IntN(2)), fmt.Sprint("v", o.random.IntN(3))
 				o.order(service, target, int64(1000*(100*number+order+1)))
-				o.rest(time.Duration(o.random.IntN(300)) * time.Millisecond)
+				o.sleep(time.Duration(o.random.IntN(300)) * time.Millisecond)
 			}
 		}()
 	}
-	seen := begins{}
+	seen := startedRollouts{}
 	c.untilDone(&working, func() {
-		c.disturb()
+		c.injectRandomFault()
 		c.decideSome()
 	}, func() { seen.observe(c) })
 	all := map[string]*rolloutAnswers{}
@@ -113,14 +113,14 @@
 }
 
 // decideSome ends some of the roll-outs under way.
-func (c *troubledCluster) decideSome() {
-	owner := c.owner()
-	if owner == nil || c.frozen[owner] {
+func (c *faultyCluster) decideSome() {
+	leader := c.leader()
+	if leader == nil || c.frozen[leader] {
 		return
 	}
-	for _, roll := range owner.controller.state.rollouts.Active() {
+	for _, roll := range leader.controller.state.rollouts.Active() {
 		state := []rollout.State{rollout.Finished, rollout.Reverted}[c.random.IntN(2)]
 		decision := &rollout.Decision{Service: roll.Service, Target: roll.Target, Order: roll.Index, State: state}
-		owner.controller.Group().ProposeAsync(Command{RolloutDecision: decision}, func(any, error) {})
+		leader.controller.Group().ProposeAsync(Command{RolloutDecision: decision}, func(any, error) {})
 	}
 }
--- a/internal/tier/controller/rollout_test.go
+++ b/internal/tier/controller/rollout_test.go
@@ -12,14 +12,14 @@
 
 // clockedBed is a controller with clocks that the test sets.
 type clockedBed struct {
-	*bed
+	*fixture
 	now  time.Duration // of the steady clock
 	skew time.Duration // of the time of day
 }
 
 func newClockedBed(t testing.TB) *clockedBed {
 	b := &clockedBed{}
-	b.bed = newBed(t, memorydisk.New(), func(options *Options) {
+	b.fixture = newFixture(t, memorydisk.New(), func(options *Options) {
 		options.Clock = func() time.Duration { return b.now }
 		options.Now = func() time.Time { return dayAt(b.now + b.skew) }
 	})
@@ -29,7 +29,7 @@
 // dayAt is the time of day that a right clock shows.
 func dayAt(now time.Duration) time.Time { return time.UnixMilli(1_700_000_000_000).Add(now) }
 
-// apply lets the member see an entry that has been agreed on.
+// apply lets the member see an entry that has been committed.
 func (b *clockedBed) apply(t testing.TB, index uint64, command Command) any {
 	t.Helper()
 	return lockedStateMachine{b.Controller}.Apply(index, mustMarshal(t, command))
@@ -107,7 +107,7 @@
 	sent := func() int64 { return dayAt(b.now).UnixMilli() }
 	b.apply(t, 4, Command{Rollout: &rollout.Proposal{Service: "lm", Target: "v2", OverMs: 1, AtMs: sent()}})
 	b.now += time.Second
-	retired := retireOrderFor("storage-1")
+	retired := decommissionFor("storage-1")
 	retired.AtMs = sent()
 	b.apply(t, 6, Command{Decommission: retired})
 	// Then each is settled once its window is over, whatever the time of day.
--- a/internal/tier/controller/surplus_replicas_restart_test.go
+++ b/internal/tier/controller/surplus_replicas_restart_test.go
@@ -9,10 +9,10 @@
 func TestRestartedStore_SurplusReplicas_NotLoaded(t *testing.T) {
 	// Given a store that has stopped the replicas that others have now,
 	c := newCluster(t, 5)
-	c.settle()
+	c.awaitPlacement()
 	c.storage(1).kill()
 	c.run(deathDelay + 6*time.Second)
-	c.until("groups are whole", 5*time.Second, c.isWhole)
+	c.until("groups are complete", 5*time.Second, c.isComplete)
 	c.storage(1).start()
 	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
 
@@ -33,17 +33,17 @@
 		t.Run(away.String(), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 5)
-			c.settle()
+			c.awaitPlacement()
 			turns := turnsOf(c, 0)
 			c.storage(1).kill()
 			c.run(deathDelay + 6*time.Second)
-			c.until("groups are whole", 5*time.Second, c.isWhole)
+			c.until("groups are complete", 5*time.Second, c.isComplete)
 			c.storage(1).start()
 			c.run(away)
 			c.storage(2).kill()
 			c.run(deathDelay + 6*time.Second)
 			c.storage(2).start()
-			c.until("groups are whole again", 10*time.Second, c.isWhole)
+			c.until("groups are complete again", 10*time.Second, c.isComplete)
 			c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
 			c.wantTurns(turns)
 		})
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -21,11 +21,11 @@
 func TestReturningStore_SurplusReplicas_Removed(t *testing.T) {
 	// Given a store that was away for so long that others have its replicas,
 	c := newCluster(t, 5)
-	c.settle()
+	c.awaitPlacement()
 	turns := turnsOf(c, 0)
 	c.storage(1).kill()
 	c.run(deathDelay + 6*time.Second)
-	c.until("groups are whole", 5*time.Second, c.isWhole)
+	c.until("groups are complete", 5*time.Second, c.isComplete)
 
 	// when it comes back, then it holds only what it is to hold: what it had takes no memory.
 	c.storage(1).start()
@@ -35,7 +35,7 @@
 	// And when another one is lost, then it takes replicas again, also of shards that it once held, and nothing is lost.
 	c.storage(2).kill()
 	c.run(deathDelay + 6*time.Second)
-	c.until("groups are whole again", 5*time.Second, c.isWhole)
+	c.until("groups are complete again", 5*time.Second, c.isComplete)
 	if len(shardsOf(c.placement(), c.storage(1).member.ID)) == 0 {
 		t.Error("the store that came back holds nothing")
 	}
