--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -147,7 +147,7 @@
 			router.Shutdown() // the others need not wait for this process to end
 		}
 		for _, s := range servers {
-			s.Retire()
+			s.DisableKeepAlives()
 		}
 		linger := time.After(cfg.Limits.DrainLinger)
 		core.Drain()
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -76,7 +76,7 @@
 	}
 	s.log.Info("reloading configuration", "discovery", cfg.Discovery)
 	if front != nil {
-		front.Move(cfg.Discovery)
+		front.SetDiscovery(cfg.Discovery)
 	}
 	switch {
 	case s.plugins != nil:
--- /dev/null
+++ b/internal/relay/config/activitypub.go
@@ -0,0 +1,82 @@
+package config
+
+import (
+	"slices"
+	"time"
+
+	"mastusher/control"
+)
+
+// ActivityPub sets up the second front.
+type ActivityPub struct {
+	Listen   string // address of the inboxes
+	Actor    string // this relay's actor id, a URL
+	KeyID    string
+	KeyFile  string // PEM, PKCS #8 private key; made at first start if it is missing
+	Skew     time.Duration
+	Partners []Partner         // whom it delivers to
+	Clients  []Client          // who may post to it
+	Classes  map[string]string // name of the class, by the activity's type
+}
+
+// Partner is a partner system with inboxes.
+type Partner struct {
+	Name        string
+	Destination int
+	Kind        string
+	Zone        string
+	Inboxes     []string // URLs
+	Tenant      int      // whose its messages are, by its place in the settings; -1: nobody's
+}
+
+// Client is an actor that may hand in activities.
+type Client struct {
+	Actor   string
+	KeyID   string
+	KeyFile string // PEM, public key
+	Inbox   string // URL for its final answers
+}
+
+// activityPub reads the section activitypub.
+func (p *parser) activityPub(c *Config) {
+	a := &ActivityPub{Listen: p.required("activitypub.listen"), Actor: p.required("activitypub.actor"),
+		KeyFile: p.required("activitypub.key_file"),
+		Skew:    p.duration("activitypub.date_skew", 5*time.Minute)}
+	a.KeyID = p.text("activitypub.key_id", a.Actor+"#main-key")
+	seen := map[int]bool{}
+	p.each("activitypub.partners", func(at string) { p.partner(c, a, at, seen) })
+	p.each("activitypub.clients", func(at string) {
+		k := Client{Actor: p.required(at + ".actor"), KeyFile: p.required(at + ".key_file"), Inbox: p.url(at + ".inbox")}
+		k.KeyID = p.text(at+".key_id", k.Actor+"#main-key")
+		a.Clients = append(a.Clients, k)
+	})
+	p.require("activitypub.partners", len(a.Partners) > 0, "none")
+	p.require("activitypub.clients", len(a.Clients) > 0, "none")
+	a.Classes = map[string]string{}
+	for kind, class := range p.root.Get("activitypub.classes").Map() {
+		key := "activitypub.classes." + kind
+		a.Classes[kind] = class.String()
+		p.require(key, slices.ContainsFunc(c.Settings.Classes, func(k control.Class) bool { return k.Name == class.String() }),
+			"no class of that name in settings.lanes")
+	}
+	p.require("activitypub.classes", len(a.Classes) > 0, "missing: which type of activity is which class")
+	c.ActivityPub = a
+}
+
+// partner reads one partner; seen are the numbers of those before it.
+func (p *parser) partner(c *Config, a *ActivityPub, at string, seen map[int]bool) {
+	partner := Partner{Name: p.required(at + ".name"), Destination: int(p.number(at+".dest", -1, 0, 65535)),
+		Kind: p.text(at+".kind", ""), Zone: p.text(at+".zone", ""), Tenant: -1}
+	if name := p.text(at+".tenant", ""); name != "" {
+		partner.Tenant = slices.Index(c.Settings.TenantNames, name)
+		p.require(at+".tenant", partner.Tenant >= 0, "not a tenant of the settings")
+	}
+	p.each(at+".inboxes", func(inbox string) { partner.Inboxes = append(partner.Inboxes, p.url(inbox)) })
+	p.require(at+".inboxes", len(partner.Inboxes) > 0, "no inbox")
+	if kind := slices.Index(c.Settings.KindNames, partner.Kind); kind >= 0 && kind < len(c.Settings.Kinds) {
+		p.require(at+".kind", c.Settings.Kinds[kind].PerCall <= 1, "its calls carry several messages; an inbox takes one")
+	}
+	p.require(at+".dest", !seen[partner.Destination], "given to two partners")
+	seen[partner.Destination] = true
+	a.Partners = append(a.Partners, partner)
+}
--- /dev/null
+++ b/internal/relay/config/parser.go
@@ -0,0 +1,102 @@
+package config
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"time"
+
+	"github.com/tidwall/gjson"
+)
+
+// KeyError names the key of the configuration that is at fault.
+type KeyError struct{ Key, Reason string }
+
+func (e *KeyError) Error() string { return fmt.Sprintf("config: key %s: %s", e.Key, e.Reason) }
+
+// parser reads keys by path and keeps the first error.
+type parser struct {
+	root gjson.Result
+	err  error
+}
+
+// fail notes a fault, unless there was one before.
+func (p *parser) fail(key, why string) {
+	if p.err == nil {
+		p.err = &KeyError{key, why}
+	}
+}
+
+func (p *parser) require(key string, ok bool, why string) {
+	if !ok {
+		p.fail(key, why)
+	}
+}
+
+func (p *parser) text(key, def string) string {
+	v := p.root.Get(key)
+	if !v.Exists() {
+		return def
+	}
+	p.require(key, v.Type == gjson.String, "want a string")
+	return v.String()
+}
+
+// required is a text that must be there.
+func (p *parser) required(key string) string {
+	v := p.text(key, "")
+	p.require(key, v != "", "missing or empty")
+	return v
+}
+
+func (p *parser) url(key string) string {
+	v := p.required(key)
+	p.require(key, strings.HasPrefix(v, "http://"), "want a URL with http://")
+	return v
+}
+
+func (p *parser) ip(key string) net.IP {
+	ip := net.ParseIP(p.required(key))
+	p.require(key, ip != nil, "want an IP address")
+	return ip
+}
+
+func (p *parser) flag(key string, def bool) bool {
+	v := p.root.Get(key)
+	if !v.Exists() {
+		return def
+	}
+	p.require(key, v.IsBool(), "want true or false")
+	return v.Bool()
+}
+
+// number is a number between min and max; one that has no default that is allowed must be there.
+func (p *parser) number(key string, def, min, max float64) float64 {
+	v := p.root.Get(key)
+	if !v.Exists() {
+		p.require(key, def >= min, "missing")
+		return def
+	}
+	p.require(key, v.Type == gjson.Number && v.Num >= min && v.Num <= max,
+		fmt.Sprintf("want a number from %v to %v", min, max))
+	return v.Num
+}
+
+func (p *parser) duration(key string, def time.Duration) time.Duration {
+	v := p.root.Get(key)
+	if !v.Exists() {
+		return def
+	}
+	d, err := time.ParseDuration(v.String())
+	p.require(key, err == nil && d > 0, `want a duration such as "250ms"`)
+	return d
+}
+
+// each calls do with the key of each entry of a list.
+func (p *parser) each(key string, do func(at string)) {
+	v := p.root.Get(key)
+	p.require(key, !v.Exists() || v.IsArray(), "want a list")
+	for i := range v.Array() {
+		do(fmt.Sprintf("%s.%d", key, i))
+	}
+}
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -28,37 +28,37 @@
 	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(p.Addresses)), p.Name)))
 }
 
-// mostPeers bounds a fleet: the state that a datagram carries holds all names.
-const mostPeers = 1000
+// maxPeers bounds a fleet: the state that a datagram carries holds all names.
+const maxPeers = 1000
 
 // peers reads the section peers, where there is one.
 func (p *parser) peers(c *Config) {
 	if !p.root.Get("peers").Exists() {
 		return
 	}
-	q := &Peers{Fleet: p.must("peers.fleet"), Name: p.text("peers.name", c.Name), Listen: p.must("peers.listen"), Addresses: map[string]string{},
+	q := &Peers{Fleet: p.required("peers.fleet"), Name: p.text("peers.name", c.Name), Listen: p.required("peers.listen"), Addresses: map[string]string{},
 		State: p.text("peers.state", filepath.Join(c.State, "fleet")), Lease: p.duration("peers.lease", 2*time.Second),
 		Drift: p.number("peers.drift", 0.01, 0, 0.5)}
-	p.need("peers.name", relayName(q.Name), "want letters, digits, . - and _, 64 at most")
-	p.need("peers.lease", q.Lease >= 100*time.Millisecond && q.Lease <= time.Minute, "want 100ms to 1m")
+	p.require("peers.name", relayName(q.Name), "want letters, digits, . - and _, 64 at most")
+	p.require("peers.lease", q.Lease >= 100*time.Millisecond && q.Lease <= time.Minute, "want 100ms to 1m")
 	p.address("peers.listen", q.Listen)
 	for name, a := range p.root.Get("peers.others").Map() {
 		at := "peers.others." + name
-		p.need(at, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
-		p.need(at, name != q.Name, "this relay's own name")
+		p.require(at, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
+		p.require(at, name != q.Name, "this relay's own name")
 		p.address(at, a.String())
 		q.Addresses[name] = a.String()
 	}
-	p.need("peers.others", len(q.Addresses) < mostPeers, "too many")
+	p.require("peers.others", len(q.Addresses) < maxPeers, "too many")
 	p.each("peers.voters", func(at string) {
-		name := p.must(at)
-		p.need(at, name == q.Name || q.Addresses[name] != "", "no relay of that name")
-		p.need(at, !slices.Contains(q.Voters, name), "named twice")
+		name := p.required(at)
+		p.require(at, name == q.Name || q.Addresses[name] != "", "no relay of that name")
+		p.require(at, !slices.Contains(q.Voters, name), "named twice")
 		q.Voters = append(q.Voters, name)
 	})
-	p.need("peers.voters", len(q.Voters) >= 1 && len(q.Voters) <= 7 && len(q.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
+	p.require("peers.voters", len(q.Voters) >= 1 && len(q.Voters) <= 7 && len(q.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
 	alone := p.text("peers.alone", "refuse")
-	p.need("peers.alone", alone == "serve" || alone == "refuse", "want serve or refuse")
+	p.require("peers.alone", alone == "serve" || alone == "refuse", "want serve or refuse")
 	q.ServeWhenPartitioned = alone == "serve"
 	if p.root.Get("peers.share").Exists() {
 		q.GuaranteedShare = p.number("peers.share.kept", 0.25, 0.01, 1)
@@ -68,7 +68,7 @@
 
 func (p *parser) address(key, v string) {
 	a, err := netip.ParseAddrPort(v)
-	p.need(key, err == nil && a.Addr().Is4() && a.Port() != 0, "want an IPv4 address with a port, such as 10.0.0.7:7400")
+	p.require(key, err == nil && a.Addr().Is4() && a.Port() != 0, "want an IPv4 address with a port, such as 10.0.0.7:7400")
 }
 
 func relayName(s string) bool {
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -11,6 +11,30 @@
 	"mastusher/control"
 )
 
+// Plugin is one WebAssembly plug-in.
+type Plugin struct {
+	Key        string // where it stands in the configuration
+	Name, File string
+	Fronts     []string      // names; none: all
+	Partners   []int         // none: all
+	Classes    []int         // none: all
+	Phases     []string      // arrival, answer, end; none: all that it takes part in
+	Timeout    time.Duration // of one call
+	MemoryMB   int           // of one instance
+	Instances  int
+	Share      float64 // of one core
+	Reject     bool    // a message is turned away when the plug-in fails; otherwise it passes
+	StoreKB    int
+	Config     string // JSON, handed to the plug-in as it is
+}
+
+// PluginHost is what all plug-ins share.
+type PluginHost struct {
+	On    bool   // there are plug-ins, or may be after a reload
+	Cache string // folder for compiled modules; "": none
+	Store string // folder for the plug-ins' stores; "": they are not kept
+}
+
 // pluginName tells whether a plug-in may be called so: the name is a file's too.
 func pluginName(s string) bool {
 	return s != "" && len(s) <= 64 && !strings.ContainsFunc(s, func(r rune) bool {
@@ -24,39 +48,39 @@
 	h.Cache, h.Store = p.text("plugin_host.cache", ""), p.text("plugin_host.store", "")
 	seen := map[string]bool{}
 	one := func(at string) {
-		g := Plugin{Key: at, Name: p.text(at+".name", fmt.Sprintf("plugin-%d", len(c.Plugins))), File: p.must(at + ".file"),
+		g := Plugin{Key: at, Name: p.text(at+".name", fmt.Sprintf("plugin-%d", len(c.Plugins))), File: p.required(at + ".file"),
 			Timeout:   p.duration(at+".timeout", 10*time.Millisecond),
 			MemoryMB:  int(p.number(at+".memory_mb", 16, 1, 256)),
 			Instances: int(p.number(at+".instances", 2, 1, 16)),
 			Share:     p.number(at+".cpu_share", 0.05, 0.001, 1),
 			StoreKB:   int(p.number(at+".store_kb", 64, 0, 1<<16))}
-		p.need(at+".name", pluginName(g.Name), "want letters, digits, - and _, 64 at most")
-		p.need(at+".name", !seen[g.Name], "given to two plug-ins")
+		p.require(at+".name", pluginName(g.Name), "want letters, digits, - and _, 64 at most")
+		p.require(at+".name", !seen[g.Name], "given to two plug-ins")
 		seen[g.Name] = true
-		p.need(at+".timeout", g.Timeout <= c.Limits.PluginBudget,
+		p.require(at+".timeout", g.Timeout <= c.Limits.PluginBudget,
 			fmt.Sprintf("more than the %v that all plug-ins together may take", c.Limits.PluginBudget))
 		p.each(at+".fronts", func(in string) {
-			front := p.must(in)
-			p.need(in, front == "platform" || front == "activitypub", "want platform or activitypub")
+			front := p.required(in)
+			p.require(in, front == "platform" || front == "activitypub", "want platform or activitypub")
 			g.Fronts = append(g.Fronts, front)
 		})
 		p.each(at+".partners", func(in string) { g.Partners = append(g.Partners, int(p.number(in, -1, 0, 65535))) })
 		p.each(at+".classes", func(in string) {
-			name := p.must(in)
+			name := p.required(in)
 			n := slices.IndexFunc(c.Settings.Classes, func(k control.Class) bool { return k.Name == name })
-			p.need(in, n >= 0, "no class of that name in settings.lanes")
+			p.require(in, n >= 0, "no class of that name in settings.lanes")
 			g.Classes = append(g.Classes, n)
 		})
 		p.each(at+".phases", func(in string) {
-			phase := p.must(in)
-			p.need(in, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
+			phase := p.required(in)
+			p.require(in, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
 			g.Phases = append(g.Phases, phase)
 		})
 		fail := p.text(at+".on_failure", "pass")
-		p.need(at+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
+		p.require(at+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
 		g.Reject = fail == "reject"
 		if v := p.root.Get(at + ".config"); v.Exists() {
-			p.need(at+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
+			p.require(at+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
 			g.Config = v.Raw
 		}
 		c.Plugins = append(c.Plugins, g)
@@ -69,7 +93,7 @@
 	for _, g := range c.Plugins {
 		most += int64(g.Instances) << 16
 	}
-	p.need("plugin_host.memory_mb", most <= c.Limits.PluginMemory, "too little for the instances that are set up")
+	p.require("plugin_host.memory_mb", most <= c.Limits.PluginMemory, "too little for the instances that are set up")
 }
 
 // ForPlugin is a configuration with one plug-in and nothing else, for the tools of authors. Limits and settings are
@@ -95,7 +119,7 @@
 		c.Plugins[0].Config = settings
 	}
 	if seedText != "" {
-		c.Seed = seed(seedText)
+		c.Seed = seedOf(seedText)
 	}
 	c.PluginHost.On = true
 	return c, nil
--- /dev/null
+++ b/internal/relay/config/vrrp.go
@@ -0,0 +1,34 @@
+package config
+
+import (
+	"net"
+	"time"
+)
+
+// VRRP sets up the virtual router whose state opens or shuts the ActivityPub front.
+type VRRP struct {
+	Listen     string // UDP address
+	Peers      []string
+	VRID       uint8
+	Priority   uint8
+	Advertise  time.Duration
+	Preempt    bool
+	Address    net.IP   // this router's own, for ties
+	Virtual    []net.IP // the addresses that it stands for
+	AcceptMode bool
+}
+
+// vrrp reads the section vrrp.
+func (p *parser) vrrp(c *Config) {
+	v := &VRRP{Listen: p.required("vrrp.listen"), VRID: uint8(p.number("vrrp.vrid", -1, 1, 255)),
+		Priority:  uint8(p.number("vrrp.priority", 100, 1, 255)),
+		Advertise: p.duration("vrrp.advertise", time.Second),
+		Preempt:   p.flag("vrrp.preempt", true), Address: p.ip("vrrp.address")}
+	p.require("vrrp.advertise", v.Advertise >= 10*time.Millisecond && v.Advertise <= 40950*time.Millisecond,
+		"want 10ms to 40.95s")
+	p.each("vrrp.peers", func(at string) { v.Peers = append(v.Peers, p.required(at)) })
+	p.each("vrrp.virtual", func(at string) { v.Virtual = append(v.Virtual, p.ip(at)) })
+	p.require("vrrp", c.ActivityPub != nil, "it opens and shuts the activitypub front, which is off")
+	p.require("vrrp.virtual", len(v.Virtual) > 0 && len(v.Virtual) < 256, "want 1 to 255 addresses")
+	c.VRRP = v
+}
--- /dev/null
+++ b/internal/relay/httpwire/body.go
@@ -0,0 +1,67 @@
+package httpwire
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http/httputil"
+	"net/textproto"
+	"strconv"
+	"strings"
+)
+
+// body reads what belongs to a head. toEnd: without a length it lasts until the connection ends.
+func (r *Reader) body(h textproto.MIMEHeader, toEnd bool) ([]byte, error) {
+	r.limited.left = r.limits.BodySize + r.limits.HeadSize
+	lengths := h["Content-Length"]
+	// An encoding that is empty, named twice or beside a length may hide a second message in the body.
+	if te := h["Transfer-Encoding"]; len(te) > 0 {
+		if len(te) > 1 || !strings.EqualFold(te[0], "chunked") || len(lengths) > 0 {
+			return nil, &Error{400, "unusable transfer encoding"}
+		}
+		b, err := r.readAll(httputil.NewChunkedReader(r.buffer))
+		if err == nil {
+			_, err = r.text.ReadMIMEHeader() // trailers
+		}
+		return b, err
+	}
+	if len(lengths) == 0 {
+		if toEnd {
+			return r.readAll(r.buffer)
+		}
+		return nil, nil
+	}
+	n, err := strconv.ParseUint(lengths[0], 10, 31)
+	if err != nil || len(lengths) > 1 {
+		return nil, &Error{400, "malformed Content-Length"}
+	}
+	if int(n) > r.limits.BodySize {
+		return nil, &Error{413, fmt.Sprintf("body of %d bytes, %d at most", n, r.limits.BodySize)}
+	}
+	if int(n) <= r.buffer.Size() {
+		b, err := r.buffer.Peek(int(n))
+		if err == nil {
+			r.bodyBuffered = int(n)
+		}
+		return b, unexpectedEOF(err)
+	}
+	r.largeBody = make([]byte, n) // given up with the message: few are as long, and connections are many
+	_, err = io.ReadFull(r.buffer, r.largeBody)
+	return r.largeBody, unexpectedEOF(err)
+}
+
+func (r *Reader) readAll(from io.Reader) ([]byte, error) {
+	b, err := io.ReadAll(io.LimitReader(from, int64(r.limits.BodySize)+1))
+	if err == nil && len(b) > r.limits.BodySize {
+		err = &Error{413, "body too large"}
+	}
+	return b, unexpectedEOF(err)
+}
+
+// unexpectedEOF makes an end in the middle of a body an unexpected one.
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	for range 2000 {
 		come := false
-		s.each(func(f *serverConn) { come = !quiet(f.Conn) })
+		s.each(func(f *serverConn) { come = !isQuiet(f.Conn) })
 		if come {
 			return
 		}
@@ -39,8 +39,8 @@
 		status  string
 	}{
 		"the client asks for the end":    {"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", func(*Server) {}, "200 OK"},
-		"the relay has been told to end": {"GET / HTTP/1.1\r\n\r\n", (*Server).Retire, "200 OK"},
-		"there is little room left":      {"GET / HTTP/1.1\r\n\r\n", func(s *Server) { s.lim.ClientConnections = 1 }, "200 OK"},
+		"the relay has been told to end": {"GET / HTTP/1.1\r\n\r\n", (*Server).DisableKeepAlives, "200 OK"},
+		"there is little room left":      {"GET / HTTP/1.1\r\n\r\n", func(s *Server) { s.limits.ClientConnections = 1 }, "200 OK"},
 		"a faulty request":               {"GET / HTTP/9\r\n\r\n" + strings.Repeat("x", 9000), func(*Server) {}, "400 Bad Request"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 				unread(t, s)
 				return echo(q)
 			})
-			s.lim.FrontLinger = time.Minute
+			s.limits.FrontLinger = time.Minute
 			c.before(s)
 			go func() { _ = s.Serve(l) }()
 			_, _ = conn.Write([]byte(c.request))
@@ -107,17 +107,17 @@
 			handled++
 			return Answer{Status: 429}
 		})
-		s.Retire()
+		s.DisableKeepAlives()
 		f := s.admit(&late{raw.(*net.TCPConn), func() {
 			_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 			for range 2000 {
-				if !quiet(raw) {
+				if !isQuiet(raw) {
 					return
 				}
 				time.Sleep(time.Millisecond)
 			}
 		}, at, false})
-		s.lim.FrontLinger = time.Minute
+		s.limits.FrontLinger = time.Minute
 		go f.serve()
 		got, err := io.ReadAll(conn)
 		if at == "Read" && (err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429") || handled != 1) {
@@ -155,8 +155,8 @@
 	wiretest.Play(t, wiretest.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
 	_ = l.Close()
 	s.Close(time.Millisecond) // those that have not ended by then are cut off
-	if len(s.conns) != 0 {
-		t.Errorf("%d connections are left", len(s.conns))
+	if len(s.connections) != 0 {
+		t.Errorf("%d connections are left", len(s.connections))
 	}
 }
 
@@ -197,7 +197,7 @@
 			may := func() bool {
 				act(conn)
 				for range 2000 {
-					if !quiet(kept.Conn) {
+					if !isQuiet(kept.Conn) {
 						break
 					}
 					time.Sleep(time.Millisecond)
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -202,7 +202,7 @@
 	p, to := NewPool(lim), Peer{"s-1", "h:1"}
 	usable := func(idle time.Duration) bool {
 		conn, _ := net.Pipe()
-		p.idle[to] = []*clientConn{{Conn: conn, since: time.Now().Add(-idle)}}
+		p.idle[to] = []*clientConn{{Conn: conn, idleSince: time.Now().Add(-idle)}}
 		return p.take(to) != nil
 	}
 	before := usable(30 * time.Second)
@@ -211,17 +211,17 @@
 		_, _ = lost.Read(make([]byte, 99))
 		_ = lost.Close()
 	}()
-	p.idle[to] = []*clientConn{{Conn: conn, r: NewReader(conn, lim), lim: lim, since: time.Now().Add(-20 * time.Second)}}
+	p.idle[to] = []*clientConn{{Conn: conn, reader: NewReader(conn, lim), limits: lim, idleSince: time.Now().Add(-20 * time.Second)}}
 	if got := p.Do(context.Background(), to, []byte("POST"), nil, nil); got != Broken {
 		t.Fatalf("stage %d, want %d", got, Broken)
 	}
 	if !before || usable(20*time.Second) || !usable(10*time.Second) {
 		t.Error("want 30 s usable before the loss, and after it 10 s but not 20 s")
 	}
-	if p.doubt(time.Millisecond); !usable(50 * time.Millisecond) {
+	if p.reduceTrust(time.Millisecond); !usable(50 * time.Millisecond) {
 		t.Error("a connection used a moment ago is not trusted")
 	}
-	if p.trustAt = time.Now().Add(-3 * time.Hour); !usable(700*time.Millisecond) || usable(900*time.Millisecond) {
+	if p.idleTrustAt = time.Now().Add(-3 * time.Hour); !usable(700*time.Millisecond) || usable(900*time.Millisecond) {
 		t.Error("want 8 times as long trusted after three hours")
 	}
 }
@@ -240,11 +240,11 @@
 		f.phase, f.served, f.since = p, served, now.Add(-ago)
 		want = append(want, f)
 	}
-	add(parting, true, time.Second)
-	add(parting, true, time.Millisecond)
-	add(resting, false, time.Millisecond) // has never asked for anything
-	add(resting, true, time.Hour)
-	add(resting, true, time.Minute)
+	add(lingering, true, time.Second)
+	add(lingering, true, time.Millisecond)
+	add(idle, false, time.Millisecond) // has never asked for anything
+	add(idle, true, time.Hour)
+	add(idle, true, time.Minute)
 	add(reading, false, time.Second) // its client does not wait any longer
 	gone := len(want)
 	add(reading, true, 0)
@@ -255,13 +255,13 @@
 	for i, out := range want[:gone] {
 		conn, _ := net.Pipe()
 		f := s.admit(conn)
-		if f == nil || s.conns[out] || out.enter(resting) {
+		if f == nil || s.connections[out] || out.setPhase(idle) {
 			t.Fatalf("connection %d did not make room", i)
 		}
 		f.phase = answering
 	}
 	conn, other := net.Pipe()
-	if s.admit(conn) != nil || len(s.conns) != len(want) {
+	if s.admit(conn) != nil || len(s.connections) != len(want) {
 		t.Error("a connection is taken on for which there is no room")
 	}
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
--- /dev/null
+++ b/internal/relay/httpwire/response.go
@@ -0,0 +1,47 @@
+package httpwire
+
+import (
+	"strconv"
+	"strings"
+)
+
+// ReadResponse reads one answer, provisional or not. With an error comes what its first line said, if that
+// could be read.
+func (r *Reader) ReadResponse() (*Response, error) {
+	p, err := r.responseHead()
+	if err == nil && p.Status >= 200 && p.Status != 204 && p.Status != 304 {
+		p.Body, err = r.body(p.Header, true)
+	}
+	return p, err
+}
+
+func (r *Reader) responseHead() (*Response, error) {
+	r.next()
+	const mark = "HTTP/1."
+	if b, err := r.buffer.Peek(len(mark)); err != nil {
+		return nil, err
+	} else if string(b) != mark { // noise: its line may never end
+		return nil, &Error{502, "not an answer"}
+	}
+	// Not textproto's ReadLine: it takes for a line what the connection ended in the middle of, and half of one may say 200.
+	text, err := r.buffer.ReadSlice('\n')
+	if err != nil {
+		return nil, unexpectedEOF(err)
+	}
+	proto, rest, _ := strings.Cut(strings.TrimRight(string(text), "\r\n"), " ")
+	code, reason, _ := strings.Cut(rest, " ")
+	status, err := strconv.ParseUint(code, 10, 16)
+	// Half a line that was left over, or came without a cause, runs on into the answer's first line: its status is not the answer's.
+	if err != nil || len(code) != 3 || status < 100 || len(proto) != len("HTTP/1.1") || strings.Contains(reason, "HTTP/") {
+		return nil, &Error{502, "malformed status line"}
+	}
+	p := &Response{Status: int(status)}
+	if p.Header, err = r.header(); err != nil {
+		return p, err
+	}
+	p.Close = lastOnConnection(p.Header, proto)
+	if len(p.Header["Content-Length"]) == 0 && len(p.Header["Transfer-Encoding"]) == 0 && status >= 200 && status != 204 {
+		p.Close = true // its body ends with the connection
+	}
+	return p, nil
+}
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -174,7 +174,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := make(outs, len(c.step.Items))
-			f.read(&httpwire.Response{Status: c.status, Header: c.header, Body: []byte(c.body), Close: c.ends, FirstOnConnection: !c.again}, c.step, got)
+			f.outcomes(&httpwire.Response{Status: c.status, Header: c.header, Body: []byte(c.body), Close: c.ends, FirstOnConnection: !c.again}, c.step, got)
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
 			}
