--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -135,7 +135,7 @@
 // recordNameConflict notes that two relays go by one name: neither gets a lease for a while.
 func (n *Node) recordNameConflict(s *relayRecord, p *LeaseRequest) {
 	if s.conflictAt == 0 || n.now-s.conflictAt > n.maxLeaseDuration() {
-		n.log("two relays go by one name", "name", p.From)
+		n.log("two relays with the same name", "relay", p.From)
 	}
 	s.conflictAt = n.now
 }
@@ -171,7 +171,7 @@
 		if n.lessee != nil {
 			l.allocator = quota.NewAllocator(quota.Options{MinimumSum: n.config.GuaranteedShare, LeaseDuration: n.maxLeaseDuration(), ServeAlone: n.config.ServeWhenPartitioned}, n.engine.Position().Term, n.now)
 		}
-		n.log("this relay leads its fleet", "members", len(n.applied.Members))
+		n.log("became fleet leader", "members", len(n.applied.Members))
 	}
 	if len(l.pendingGrants) > 0 && n.now >= l.nextReadAt {
 		l.nextReadAt = n.now + readIndexInterval
@@ -216,7 +216,7 @@
 		err = n.engine.Propose(b)
 	}
 	if err != nil {
-		n.log("a command of the fleet is not taken", "error", err)
+		n.log("proposing fleet command failed", "err", err)
 	}
 }
 
@@ -319,7 +319,7 @@
 	var err error
 	defer func() {
 		if err != nil {
-			n.log("a change of members is not taken", "error", err)
+			n.log("proposing membership change failed", "err", err)
 		}
 	}()
 	if n.applied.Members[e.ID] == "" || len(n.applied.Roster) == 0 {
@@ -367,7 +367,7 @@
 			err = n.engine.Propose(b)
 		}
 		if err != nil {
-			n.log("a proposal is not taken", "error", err)
+			n.log("proposing policy change failed", "err", err)
 		}
 	case own && len(n.config.Voters) > 0:
 		n.send(n.config.Voters[n.voterIndex], &Message{Propose: c})
@@ -425,7 +425,7 @@
 	n.engine, n.probation = e, false
 	n.leadership.reset(n.now)
 	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
-	n.log("this relay has founded a group of voters", "epoch", s.Epoch, "roster", len(s.Roster))
+	n.log("bootstrapped voter group", "epoch", s.Epoch, "roster", len(s.Roster))
 	return ""
 }
 
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -201,7 +201,7 @@
 		n.memberRelays[r.From] = from
 		shown, err := n.engine.Receive(n.now, r.Data)
 		if n.rememberPosition(r.From, shown); err != nil {
-			n.log("a message of the fleet's agreement is dropped", "from", from, "error", err)
+			n.log("dropped consensus message", "peer", from, "err", err)
 		}
 	case m.LeaseRequest != nil:
 		n.handleLeaseRequest(from, m.LeaseRequest)
@@ -295,7 +295,7 @@
 		return
 	}
 	if n.mandate.WhyNot != st.WhyNot {
-		n.log("the relay's standing in its fleet", "why_not", st.WhyNot, "version", st.Version)
+		n.log("fleet mandate changed", "why_not", st.WhyNot, "version", st.Version)
 	}
 	n.mandate, n.mandateSent = st, true
 	n.emit(Action{Mandate: &st})
@@ -354,7 +354,7 @@
 func (n *Node) raiseGeneration(newest uint64) {
 	if n.generationRaises++; n.generationRaises > 2 {
 		if n.generationRaises == 3 {
-			n.log("another relay goes by this relay's name", "name", n.config.Name, "generation", newest)
+			n.log("another relay uses this relay's name", "relay", n.config.Name, "generation", newest)
 		}
 		return
 	}
--- a/internal/relay/fleet/node/voter.go
+++ b/internal/relay/fleet/node/voter.go
@@ -20,7 +20,7 @@
 	n.engine, n.votingDisabled, n.applied = nil, why, &policy.State{}
 	n.newest, n.leaseUntil, n.leaseIndex = &policy.State{}, 0, 0
 	n.leadership.reset(n.now)
-	n.log("this relay has no say in its fleet until it is started again", "error", why)
+	n.log("voting disabled until restart", "err", why)
 }
 
 // rejoinAsNewMember has this relay come back as a new member: what the old one promised, it may have forgotten.
@@ -31,7 +31,7 @@
 		n.disableVoting(err.Error())
 		return
 	}
-	n.log("this relay comes back as a new member of its fleet", "why", why)
+	n.log("rejoining fleet as new member", "err", why)
 	n.engine, n.applied, n.probation = e, &policy.State{}, false
 	n.leadership.reset(n.now)
 	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -112,12 +112,12 @@
 	}
 	f.disk = disk
 	if why != nil {
-		log.Error("this relay comes back as a new member of its fleet", "error", why)
+		log.Error("rejoining fleet as new member", "err", why)
 	}
 	f.node, err = node.New(node.Config{Name: p.Name, Generation: disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: disk.member, Voters: p.Voters,
 		Roster: p.Roster(), Lease: p.Lease, MaxClockDrift: p.Drift, ServeWhenPartitioned: p.ServeWhenPartitioned, GuaranteedShare: p.GuaranteedShare, Zone: zone}, image, f.now())
 	if err != nil { // what lies there is sound but makes no sense
-		log.Error("this relay comes back as a new member of its fleet", "error", err)
+		log.Error("rejoining fleet as new member", "err", err)
 		disk.member = randomUint64() | 1
 		if err = disk.rewrite(emptyImage()); err == nil {
 			f.node, err = node.New(node.Config{Name: p.Name, Generation: disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: disk.member,
@@ -131,7 +131,7 @@
 	f.self = f.conn.LocalAddr().(*net.UDPAddr).AddrPort().Addr().Unmap()
 	go f.read()
 	go f.run()
-	log.Info("the relay takes part in a fleet", "fleet", p.Fleet, "name", p.Name, "generation", disk.id.Generation, "peers", f.conn.LocalAddr().String())
+	log.Info("joined fleet", "fleet", p.Fleet, "relay", p.Name, "generation", disk.id.Generation, "peers", f.conn.LocalAddr().String())
 	return f, nil
 }
 
@@ -261,13 +261,13 @@
 		switch {
 		case a.Save != nil:
 			if err := f.disk.save(a.Save, a.Member); err != nil {
-				f.log.Error("the fleet's agreement can't be saved", "error", err)
+				f.log.Error("saving consensus log failed", "err", err)
 				return err
 			}
 		case a.Generation != 0:
 			f.disk.id.Generation = a.Generation
 			if err := f.disk.saveIdentity(); err != nil {
-				f.log.Error("the relay's generation can't be saved", "error", err)
+				f.log.Error("saving generation failed", "err", err)
 				return err
 			}
 		case a.Message != nil:
@@ -308,7 +308,7 @@
 	}
 	b, err := fr.pack(f.sendBuffer[:0], kind)
 	if err != nil {
-		f.log.Error("a message to a peer is not sent", "error", err)
+		f.log.Error("encoding message to peer failed", "err", err)
 		return
 	}
 	f.sendBuffer = b
--- /dev/null
+++ b/internal/relay/fleet/quota/allocation.go
@@ -0,0 +1,133 @@
+package quota
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// KeyUsage is what a key comes to over all relays, for operators.
+type KeyUsage struct {
+	Key      Key            `cbor:"1,keyasint" json:"-"`
+	Name     string         `cbor:"2,keyasint,omitempty" json:"name"`
+	Limit    float64        `cbor:"3,keyasint,omitempty" json:"limit"`
+	Demand   float64        `cbor:"4,keyasint" json:"want"`   // units a second, of all
+	Leased   float64        `cbor:"5,keyasint" json:"lent"`   // of 1, beyond the guaranteed minimums
+	Minimums float64        `cbor:"6,keyasint" json:"floors"` // of 1
+	Relays   int            `cbor:"7,keyasint" json:"relays"` // that need it
+	Zones    map[int]string `cbor:"8,keyasint,omitempty" json:"zones,omitempty"`
+}
+
+// Usage is all keys that anybody needs.
+func (l *Allocator) Usage() (all []KeyUsage) {
+	for _, k := range slices.Sorted(maps.Keys(l.keys)) {
+		p := l.keys[k]
+		w := KeyUsage{Key: k, Limit: p.limit, Leased: float64(l.leased[k]) / float64(wholeLimit), Minimums: float64(l.minimumSum) / float64(wholeLimit), Zones: map[int]string{}}
+		for _, h := range l.relays {
+			if n, ok := h.demands[k]; ok {
+				w.Demand, w.Relays = w.Demand+n.Rate, w.Relays+1
+			}
+		}
+		for z, s := range p.verdicts {
+			if s != Unseen {
+				w.Zones[z] = s.String()
+			}
+		}
+		all = append(all, w)
+	}
+	return all
+}
+
+// split says anew what each relay is to have of each key.
+func (l *Allocator) split(now time.Duration) {
+	if now-l.splitAt < splitInterval {
+		return
+	}
+	l.splitAt = now
+	by := map[Key][]*relayState{}
+	for _, name := range slices.Sorted(maps.Keys(l.relays)) {
+		h := l.relays[name]
+		if len(h.formerLeases) > 0 || len(h.leases) > 0 && h.leases[0].expires <= now {
+			l.updateBound(h, now)
+		}
+		clear(h.target)
+		if now-h.demandsAt > l.options.LeaseDuration || !slices.Contains(l.roster, name) {
+			continue
+		}
+		for k := range h.demands {
+			by[k] = append(by[k], h)
+		}
+	}
+	l.sumMinimums()
+	for _, k := range slices.Sorted(maps.Keys(by)) {
+		p := l.keys[k]
+		if p == nil {
+			p = &keyState{limitAt: -1 << 62, verdicts: map[int]State{}, evidenceAt: map[int]time.Duration{}, probers: map[int]string{}}
+			l.keys[k] = p
+		}
+		p.observe(now, k, by[k])
+		l.judge(now, k, p, by[k])
+		l.allocate(k, p, by[k])
+	}
+	for k := range l.keys {
+		if by[k] == nil {
+			delete(l.keys, k)
+		}
+	}
+}
+
+// allocate splits what is not guaranteed minimums: by need, and where that is more than there is, so that no one who gets less than it needs
+// gets less than another of the same value. What nobody needs goes to where most is wanted.
+func (l *Allocator) allocate(k Key, p *keyState, all []*relayState) {
+	pool := float64(max(0, wholeLimit-l.reservedMinimumSum)) / float64(wholeLimit)
+	own := float64(l.minimumPerRelay()) / float64(wholeLimit)
+	type asks struct {
+		h           *relayState
+		need, worth float64
+	}
+	var list []asks
+	want, sum, worth := 0.0, 0.0, 0.0
+	for _, h := range all {
+		want += h.demands[k].Rate
+		worth += h.demands[k].Rate * h.demands[k].Value
+	}
+	if want <= 0 {
+		return
+	}
+	worth /= want
+	for _, h := range all {
+		n := h.demands[k]
+		a := asks{h, n.Rate / want, 1} // nothing is known of the limit: as the others
+		if p.limit > 0 {
+			a.need = n.Rate / p.limit
+		}
+		if a.need = max(0, a.need-own); worth > 0 {
+			a.worth = max(0.25, min(4, n.Value/worth))
+		}
+		if sum += a.need; a.need > 0 {
+			list = append(list, a)
+		}
+	}
+	if sum <= pool {
+		for _, a := range list {
+			a.h.target[k] = toUnits(a.need + (pool-sum)*a.h.demands[k].Rate/want)
+		}
+		for _, h := range all { // those whose guaranteed minimum is enough get of the rest too
+			if n := h.demands[k]; h.target[k] == 0 && n.Rate > 0 {
+				h.target[k] = toUnits((pool - sum) * n.Rate / want)
+			}
+		}
+		return
+	}
+	slices.SortStableFunc(list, func(a, b asks) int { return cmp.Compare(a.need/a.worth, b.need/b.worth) })
+	left, worths := pool, 0.0
+	for _, a := range list {
+		worths += a.worth
+	}
+	for _, a := range list {
+		g := min(a.need, left*a.worth/worths)
+		a.h.target[k] = toUnits(g)
+		left, worths = left-g, worths-a.worth
+	}
+}
--- /dev/null
+++ b/internal/relay/fleet/quota/allocator.go
@@ -0,0 +1,181 @@
+package quota
+
+import (
+	"slices"
+	"time"
+)
+
+// Options are those of a fleet's sharing.
+type Options struct {
+	MinimumSum    float64       // of 1: all guaranteed minimums together
+	LeaseDuration time.Duration // from the coming of a request until what was lent upon it is surely over
+	ServeAlone    bool          // relays that are cut off go on, with their guaranteed minimums
+}
+
+// Shares are counted in whole units, so that nothing is lost or made by rounding.
+const (
+	wholeLimit = int64(1) << 40
+	minUnits   = 1 << 10 // units: smaller shares count as none
+)
+
+// toUnits turns a share of 1 into units, rounded to zero; less than minUnits is none.
+func toUnits(v float64) int64 {
+	if g := int64(v * float64(wholeLimit)); g >= minUnits {
+		return min(g, wholeLimit)
+	}
+	return 0
+}
+
+// Times and thresholds of the allocator.
+const (
+	splitInterval   = 100 * time.Millisecond // between two splits
+	resendInterval  = 500 * time.Millisecond // shares that are the same, since limits and judgements age
+	evidenceTTL     = 5 * time.Second        // evidence that is older stands for nothing
+	deliveryTTL     = 2 * time.Second        // a delivery that speaks against others' word that a destination is down
+	probeTurn       = time.Second            // a relay's turn to probe
+	growThreshold   = 0.1                    // of a share: to have less more is not worth telling
+	shrinkThreshold = 0.02                   // others may need what is less
+	maxReportedWait = 3 * time.Second        // that one relay's word has others wait
+)
+
+// Allocator is the giver's side, for as long as one relay leads. It is not safe for concurrent use.
+type Allocator struct {
+	options            Options
+	term               uint64
+	startedAt          time.Duration
+	splitAt            time.Duration // of the last split
+	roster             []string      // the roster, sorted
+	relays             map[string]*relayState
+	leased             map[Key]int64 // beyond the guaranteed minimums, by what may be held
+	minimumSum         int64         // all guaranteed minimums that may be spent
+	reservedMinimumSum int64         // the same with those that are still to be lent
+	keys               map[Key]*keyState
+	Contradictions     map[string]int // how often a relay's word stood against all others', or could not be true
+}
+
+// relayState is one relay as the allocator knows it.
+type relayState struct {
+	name             string
+	incarnation      uint64
+	reported         bool          // what it holds, in this term
+	firstIncarnation bool          // the first incarnation of its name in this term: only that may have a lease of the term before
+	verdictChanged   bool          // there is a judgement that it has not been told
+	sharesSentAt     time.Duration // when it was sent its shares last
+	confirmedLease   uint64        // the lease that it says it goes by
+	zone             int
+	demands          map[Key]Demand
+	demandsAt        time.Duration // of these
+	heardAt          time.Duration // when it spoke last
+	lastLease        uint64
+	leases           []lease // that it may go by, oldest first; the first may be confirmed
+	formerLeases     []lease // of former incarnations
+	bound            map[Key]int64
+	minimum          int64 // that it may spend
+	lastingMinimum   int64 // of leases that are over: it may still go by the guaranteed minimum alone
+	target           map[Key]int64
+}
+
+// lease is what was lent at once.
+type lease struct {
+	number  uint64
+	minimum int64
+	shares  map[Key]int64
+	expires time.Duration // it may be spent before that
+}
+
+// keyState is one key over all relays.
+type keyState struct {
+	limit         float64
+	limitAt       time.Duration
+	verdicts      map[int]State // what each zone's relays are told
+	evidenceAt    map[int]time.Duration
+	waitUntil     time.Duration
+	probers       map[int]string // whose turn it is, by zone
+	probeTurnEnds time.Duration
+	turn          int
+}
+
+// NewAllocator returns the allocator of one that begins to lead: by is its term.
+func NewAllocator(r Options, by uint64, now time.Duration) *Allocator {
+	return &Allocator{options: r, term: by, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{}, leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
+}
+
+// minimumPerRelay is the guaranteed minimum of each relay of a roster.
+func (l *Allocator) minimumPerRelay() int64 {
+	return toUnits(RoundToWire(l.options.MinimumSum / float64(max(len(l.roster), 1))))
+}
+
+// SetRoster tells who belongs to the fleet.
+func (l *Allocator) SetRoster(names []string) {
+	if !slices.Equal(names, l.roster) {
+		l.roster = slices.Clone(names)
+		l.sumMinimums()
+	}
+}
+
+// sumMinimums counts what all may spend as guaranteed minimums, also those that were not heard of: before one term is over they may have what the
+// one that led before has lent, and where relays serve on when they are cut off, for ever.
+func (l *Allocator) sumMinimums() {
+	l.minimumSum, l.reservedMinimumSum = 0, 0
+	for _, n := range l.roster {
+		h, may := l.relays[n], int64(0)
+		if h != nil {
+			may = h.minimum
+		}
+		if (h == nil || !h.reported) && (l.options.ServeAlone || !l.allReported(l.splitAt)) {
+			may = max(may, l.minimumPerRelay())
+		}
+		l.minimumSum += may
+		if h != nil && l.splitAt-h.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it has not been lent yet
+			may = max(may, l.minimumPerRelay())
+		}
+		l.reservedMinimumSum += may
+	}
+	for n, h := range l.relays {
+		if !slices.Contains(l.roster, n) {
+			l.minimumSum += h.minimum
+		}
+	}
+}
+
+// allReported tells whether all have said what they hold, or can't hold it any more.
+func (l *Allocator) allReported(now time.Duration) bool {
+	if now >= l.startedAt+l.options.LeaseDuration {
+		return true
+	}
+	return !slices.ContainsFunc(l.roster, func(n string) bool { return l.relays[n] == nil || !l.relays[n].reported })
+}
+
+// updateBound counts anew what a relay may hold.
+func (l *Allocator) updateBound(h *relayState, now time.Duration) {
+	bound, floor := map[Key]int64{}, int64(0)
+	over := func(o lease) bool { return o.expires <= now }
+	for _, o := range h.leases {
+		if over(o) {
+			h.lastingMinimum = max(h.lastingMinimum, o.minimum)
+		}
+	}
+	h.leases, h.formerLeases = slices.DeleteFunc(h.leases, over), slices.DeleteFunc(h.formerLeases, over)
+	for _, o := range slices.Concat(h.formerLeases, h.leases) {
+		floor = max(floor, o.minimum)
+		for k, g := range o.shares {
+			bound[k] = max(bound[k], g)
+		}
+	}
+	if l.options.ServeAlone { // a guaranteed minimum has no end there, unless it goes by another
+		floor = max(floor, h.lastingMinimum)
+	}
+	for k, g := range h.bound {
+		if l.leased[k] -= g; l.leased[k] == 0 {
+			delete(l.leased, k)
+		}
+	}
+	for k, g := range bound {
+		l.leased[k] += g
+	}
+	h.bound = bound
+	if h.minimum != floor {
+		h.minimum = floor
+		l.sumMinimums()
+	}
+}
--- a/internal/relay/fleet/quota/count.go
+++ b/internal/relay/fleet/quota/counters.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Tally is what one life of a relay has counted since its start. It only grows, so that of two the larger is the newer, and to take
+// Tally is what one incarnation of a relay has counted since its start. It only grows, so that of two the larger is the newer, and to take
 // one in twice changes nothing.
 type Tally struct {
 	Relay      string `cbor:"1,keyasint"`
 	Generation uint64 `cbor:"2,keyasint"`
 	Counters   []byte `cbor:"3,keyasint,omitempty"` // see EncodeCounters
-	Compacted  bool   `cbor:"4,keyasint,omitempty"` // the sum of all lives up to Generation, none of which counts any more
+	Compacted  bool   `cbor:"4,keyasint,omitempty"` // the sum of all incarnations up to Generation, none of which counts any more
 }
 
 // MaxCounters is how many counters a relay has.
 const MaxCounters = 160
 
-var ErrCounters = errors.New("share: a tally that no relay has written")
+var ErrCounters = errors.New("quota: malformed counters")
 
 // EncodeCounters is counters as they go on the wire.
 func EncodeCounters(n map[Key]uint64) []byte {
@@ -54,7 +54,7 @@
 	nextRelay int
 }
 
-// relayCounters is one relay's: its lives that may still count, and the sum of those that don't.
+// relayCounters is one relay's: its incarnations that may still count, and the sum of those that don't.
 type relayCounters struct {
 	incarnations  map[uint64]*incarnationCounters
 	compacted     map[Key]uint64
@@ -72,7 +72,7 @@
 // NewCounterTable returns an empty book.
 func NewCounterTable() *CounterTable { return &CounterTable{relays: map[string]*relayCounters{}} }
 
-// Merge takes a tally in, in whatever order they come and how often. One of a life that has been summed up is too late.
+// Merge takes a tally in, in whatever order they come and how often. One of a incarnation that has been summed up is too late.
 func (b *CounterTable) Merge(now time.Duration, t *Tally, most int) {
 	n, err := DecodeCounters(t.Counters)
 	if err != nil {
@@ -94,7 +94,7 @@
 				}
 			}
 			a.compactedUpTo, a.compacted = t.Generation, n
-		} else if t.Generation == a.compactedUpTo { // each may have missed the end of a life
+		} else if t.Generation == a.compactedUpTo { // each may have missed the end of a incarnation
 			for k, v := range n {
 				a.compacted[k] = max(a.compacted[k], v)
 			}
@@ -146,7 +146,7 @@
 	Counters     []byte        `cbor:"1,keyasint,omitempty"` // see EncodeCounters
 	Relays       int           `cbor:"2,keyasint"`           // that have ever counted
 	Incarnations int           `cbor:"3,keyasint"`           // that are known by their own word
-	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last word of the newest life that has been silent the longest
+	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last word of the newest incarnation that has been silent the longest
 	Silent       string        `cbor:"5,keyasint,omitempty"` // that one
 }
 
--- a/internal/relay/fleet/quota/count_test.go
+++ b/internal/relay/fleet/quota/counters_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBook: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts a life twice and never more than
-// was counted; when the newest of each life has come to any of the voters and they have talked, all say the same, exactly.
+// TestBook: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts a incarnation twice and never more than
+// was counted; when the newest of each incarnation has come to any of the voters and they have talked, all say the same, exactly.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/internal/relay/fleet/quota/share.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -1,79 +1,12 @@
-// Package quota splits what all relays of a fleet may spend together (calls to a destination, a tenant's quota) into parts
-// that are lent, returned and reclaimed, and judges by what several relays have seen whether a destination is down. It does no
-// I/O, reads no clock and starts no goroutine.
-//
-// A right is a part of 1 of a limit, whatever that limit is now. Each relay has a floor of its own that is never lent; what is
-// left is lent by whoever leads, for as long as a lease. See docs/design/shared-state.md for the bound and its derivation.
 package quota
 
 import (
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"math"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
-)
-
-// Key names what is shared. Two names that have one key only share their parts, which are parts of each one's own limit: the
-// bound holds all the same.
-type Key uint32
-
-// The kinds of what is shared.
-const (
-	Destination byte = 'd' // a partner, or a route that stands apart
-	Tenant      byte = 't'
-	Counter     byte = 'c' // a counter
-)
-
-// KeyOf is the key of a name.
-func KeyOf(kind byte, name string) Key {
-	h := xxhash.Sum64String(string(kind) + name)
-	return Key(h ^ h>>32)
-}
-
-func (k Key) String() string { return fmt.Sprintf("%08x", uint32(k)) }
-
-// State is what a relay has seen of a destination by its own calls. What it only heard is none of it: echoes keep nothing alive.
-type State uint8
-
-// The states.
-const (
-	Unseen  State = iota
-	Healthy       // it delivered
-	Down          // it fails what is sent, or can't be reached
 )
 
-func (s State) String() string { return [...]string{"", "well", "down"}[min(s, Down)] }
-
-// Demand is what a relay tells of one key.
-type Demand struct {
-	Key      Key
-	Rate     float64       // units a second that it could spend now
-	Value    float64       // of a unit, against others'
-	Limit    float64       // units a second for all relays, as it was told last; 0: not told
-	LimitAge time.Duration // since that
-	State    State
-	StateAge time.Duration // since the newest call that State stands on was sent
-	Wait     time.Duration // that the destination has told it to wait from now on
-}
-
-// KeyShare is what a relay is told of one key.
-type KeyShare struct {
-	Key      Key
-	Extra    float64       // beyond its floor, of 1
-	Limit    float64       // the freshest that any relay was told; 0: none
-	LimitAge time.Duration // since that
-	State    State         // what the fleet takes it for; Unseen: whatever the relay has seen itself
-	StateAge time.Duration // since the newest evidence for that
-	Wait     time.Duration // that another was told to wait, from now on
-	MayProbe bool          // it is this relay's turn to try what is down
-}
-
-// MaxKeys is how many keys a relay tells of, and is told of: those that it needs the most. A datagram stays within 1,200 bytes.
-const MaxKeys = 48
-
 const (
 	demandBytes   = 4 + 3*2 + 4
 	keyShareBytes = 4 + 2*2 + 4
@@ -82,7 +15,7 @@
 )
 
 // ErrListSize is a list of needs or parts that no relay has written.
-var ErrListSize = errors.New("share: a list of another size than its entries'")
+var ErrListSize = errors.New("quota: length is no multiple of the entry size")
 
 // toFloat16 is a number in the 16 bits that go on the wire, rounded to zero: what is lent must not grow under way.
 func toFloat16(v float64) uint16 {
--- /dev/null
+++ b/internal/relay/fleet/quota/granting.go
@@ -0,0 +1,119 @@
+package quota
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// available is how much of a key may be lent to a relay in all.
+func (l *Allocator) available(h *relayState, k Key, now time.Duration) int64 {
+	if !l.allReported(now) {
+		return h.bound[k] // others may hold the rest
+	}
+	return max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])
+}
+
+// Grant answers a relay's ping that came at a time, for as long as the lease that goes with the answer.
+func (l *Allocator) Grant(now, came time.Duration, name string) *Grant {
+	l.split(now)
+	h, until := l.relays[name], came+l.options.LeaseDuration
+	if h == nil || until <= now {
+		return nil
+	}
+	l.updateBound(h, now)
+	a := &Grant{Term: l.term}
+	if !h.reported {
+		a.ReportLeased = true
+		return a
+	}
+	last := lease{}
+	if n := len(h.leases); n > 0 {
+		last = h.leases[n-1]
+	}
+	next := l.nextLease(now, h)
+	if last.number == 0 || l.worthSending(&last, &next) {
+		h.lastLease++
+		next.number, next.expires = h.lastLease, until
+		h.leases = append(h.leases, next)
+		if len(h.leases) > maxUnconfirmedLeases { // it does not confirm any: the newest waits until these are over
+			h.leases = h.leases[:maxUnconfirmedLeases]
+			a.LeaseNumber = 0
+			return a
+		}
+		last = next
+	}
+	for i := range h.leases {
+		if o := &h.leases[i]; o.number == last.number {
+			o.expires = max(o.expires, until)
+		}
+	}
+	l.updateBound(h, now)
+	if a.LeaseNumber = last.number; h.confirmedLease != last.number || now-h.sharesSentAt >= resendInterval || h.verdictChanged {
+		h.sharesSentAt, h.verdictChanged = now, false
+		a.HasShares, a.Minimum, a.Shares = true, toFloat16(float64(last.minimum)/float64(wholeLimit)), EncodeKeyShares(l.keyShares(now, h, &last))
+	}
+	return a
+}
+
+// maxUnconfirmedLeases are lent to one relay before it has confirmed the first of them.
+const maxUnconfirmedLeases = 8
+
+// keyShares is a lease's shares with the newest verdict on all else.
+func (l *Allocator) keyShares(now time.Duration, h *relayState, o *lease) (all []KeyShare) {
+	for _, k := range slices.Sorted(maps.Keys(h.demands)) {
+		p := l.keyShare(now, h, k)
+		p.Extra = float64(o.shares[k]) / float64(wholeLimit)
+		all = append(all, p)
+	}
+	return all
+}
+
+// nextLease is what a relay would be lent now.
+func (l *Allocator) nextLease(now time.Duration, h *relayState) lease {
+	o := lease{shares: map[Key]int64{}}
+	if o.minimum = l.minimumPerRelay(); o.minimum > h.minimum { // a guaranteed minimum is lent like all else
+		room := int64(0)
+		if l.allReported(now) {
+			room = max(0, wholeLimit-l.minimumSum-l.maxLeased())
+		}
+		o.minimum = rounded(h.minimum + min(o.minimum-h.minimum, room))
+	}
+	if h.demands == nil && h.demandsAt == 0 { // it has not said: as it has it
+		maps.Copy(o.shares, h.bound)
+	}
+	for k := range h.demands {
+		o.shares[k] = rounded(min(h.target[k], max(0, l.available(h, k, now)-max(0, o.minimum-h.minimum))))
+	}
+	return o
+}
+
+// rounded is a part as the wire carries it.
+func rounded(g int64) int64 { return toUnits(RoundToWire(float64(g) / float64(wholeLimit))) }
+
+// maxLeased is the most that is lent of any key.
+func (l *Allocator) maxLeased() (most int64) {
+	for _, g := range l.leased {
+		most = max(most, g)
+	}
+	return most
+}
+
+// worthSending tells whether a lease is worth telling.
+func (l *Allocator) worthSending(was, is *lease) bool {
+	if was.minimum != is.minimum {
+		return true
+	}
+	for k, g := range is.shares {
+		w := was.shares[k]
+		if float64(g-w) > growThreshold*float64(w) || float64(w-g) > shrinkThreshold*float64(w) {
+			return true
+		}
+	}
+	for k, w := range was.shares {
+		if _, ok := is.shares[k]; !ok && w > 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/relay/fleet/quota/purse.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -4,15 +4,15 @@
 
 // Lessee is the holder's side: what a relay may spend, by its own clock. It is not safe for concurrent use.
 type Lessee struct {
-	ServeAlone bool // the relay goes on when it is cut off: its floor has no end
+	ServeAlone bool // the relay goes on when it is cut off: its guaranteed minimum has no end
 
-	newestTerm   uint64 // the newest ledger that it has heard of
-	term, number uint64 // the loan that it goes by; 0: none
+	newestTerm   uint64 // the newest allocator that it has heard of
+	term, number uint64 // the lease that it goes by; 0: none
 	minimum      float64
 	shares       []KeyShare
-	expires      time.Duration // it may spend the parts before that; the floor for as long as it acts
+	expires      time.Duration // it may spend the parts before that; the guaranteed minimum for as long as it acts
 	reportLeased bool
-	confirmed    [2]uint64 // the loan that the core has said it goes by
+	confirmed    [2]uint64 // the lease that the core has said it goes by
 	demands      []Demand
 	requests     int
 }
@@ -23,7 +23,7 @@
 	Minimum      float64
 	Shares       []KeyShare
 	Expires      time.Duration // it may be spent before that
-	MinimumLasts bool          // but for the floor, which has no end
+	MinimumLasts bool          // but for the guaranteed minimum, which has no end
 }
 
 // HandleGrant takes an allotment that came with a lease until a time, and tells what the core is to go by from now on, if that changes.
@@ -35,10 +35,10 @@
 		p.newestTerm, p.reportLeased = a.Term, true
 		return nil
 	case a.LeaseNumber == 0 || !a.HasShares && (a.Term != p.term || a.LeaseNumber != p.number):
-		return nil // a loan whose parts have not come
+		return nil // a lease whose parts have not come
 	}
 	p.newestTerm = a.Term
-	if a.Term != p.term || a.LeaseNumber != p.number { // another loan lasts as long as its own lease
+	if a.Term != p.term || a.LeaseNumber != p.number { // another lease lasts as long as its own lease
 		p.expires = 0
 	}
 	if a.HasShares {
@@ -57,7 +57,7 @@
 	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeAlone}
 }
 
-// Confirm notes that the core goes by a loan, and by none before.
+// Confirm notes that the core goes by a lease, and by none before.
 func (p *Lessee) Confirm(by, no uint64) {
 	if by == p.term && no == p.number {
 		p.confirmed = [2]uint64{by, no}
@@ -67,7 +67,7 @@
 // Demands takes what the relay needs now.
 func (p *Lessee) SetDemands(all []Demand) { p.demands = all }
 
-// Request is what a ping says.
+// Request is what a request says.
 func (p *Lessee) NextRequest(now time.Duration, zone int) *Request {
 	r := &Request{LeaseTerm: p.confirmed[0], LeaseNumber: p.confirmed[1], Zone: zone, NewestTerm: p.newestTerm}
 	if p.expires <= now { // what it was lent is over
--- /dev/null
+++ b/internal/relay/fleet/quota/quota.go
@@ -0,0 +1,78 @@
+// Package quota splits what all relays of a fleet may spend together (calls to a destination, a tenant's quota) into shares
+// that the leader leases to relays, and judges by what several relays have seen whether a destination is down.
+//
+// A share is a part of 1 of a limit, whatever that limit is now. Each relay has a guaranteed minimum that is never leased to
+// another; what is left is leased by the leader's Allocator, for as long as the relay's lease lasts. The sum of all shares that
+// any relay may go by never exceeds 1: a share is leased again only once its last lease has surely run out. A relay's Lessee
+// holds what it was leased; a CounterTable adds up what all relays have counted.
+//
+// The package does no I/O, reads no clock and starts no goroutine; its types aren't safe for concurrent use. The bound and its
+// derivation: docs/design/shared-state.md.
+package quota
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Key names what is shared. Two names that have one key only share their parts, which are parts of each one's own limit: the
+// bound holds all the same.
+type Key uint32
+
+// The kinds of what is shared.
+const (
+	Destination byte = 'd' // a partner, or a route that stands apart
+	Tenant      byte = 't'
+	Counter     byte = 'c' // a counter
+)
+
+// KeyOf is the key of a name.
+func KeyOf(kind byte, name string) Key {
+	h := xxhash.Sum64String(string(kind) + name)
+	return Key(h ^ h>>32)
+}
+
+// String is the key in hexadecimal, as logs have it.
+func (k Key) String() string { return fmt.Sprintf("%08x", uint32(k)) }
+
+// State is what a relay has seen of a destination by its own calls. What it only heard is none of it: echoes keep nothing alive.
+type State uint8
+
+// The states.
+const (
+	Unseen  State = iota
+	Healthy       // it delivered
+	Down          // it fails what is sent, or can't be reached
+)
+
+// String is the state as operators read it; empty: not seen.
+func (s State) String() string { return [...]string{"", "well", "down"}[min(s, Down)] }
+
+// Demand is what a relay tells of one key.
+type Demand struct {
+	Key      Key
+	Rate     float64       // units a second that it could spend now
+	Value    float64       // of a unit, against others'
+	Limit    float64       // units a second for all relays, as it was told last; 0: not told
+	LimitAge time.Duration // since that
+	State    State
+	StateAge time.Duration // since the newest call that State stands on was sent
+	Wait     time.Duration // that the destination has told it to wait from now on
+}
+
+// KeyShare is what a relay is told of one key.
+type KeyShare struct {
+	Key      Key
+	Extra    float64       // beyond its guaranteed minimum, of 1
+	Limit    float64       // the freshest that any relay was told; 0: none
+	LimitAge time.Duration // since that
+	State    State         // what the fleet takes it for; Unseen: whatever the relay has seen itself
+	StateAge time.Duration // since the newest evidence for that
+	Wait     time.Duration // that another was told to wait, from now on
+	MayProbe bool          // it is this relay's turn to probe what is down
+}
+
+// MaxKeys is how many keys a relay tells of, and is told of: those that it needs the most. A datagram stays within 1,200 bytes.
+const MaxKeys = 48
--- a/internal/relay/fleet/quota/share_test.go
+++ b/internal/relay/fleet/quota/quota_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestSplit: whatever relays need, no more than there is is lent, floors are nobody else's, equal needs have equal parts, and where
-// relays can't have what they need nobody has more than another of the same worth who has less than it needs.
+// TestSplit: whatever relays need, no more than there is is lent, guaranteed minimums are nobody else's, equal needs have equal parts, and where
+// relays can't have what they need nobody has more than another of the same value who has less than it needs.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 1, 0)
