--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -9,9 +9,12 @@
 	"mastusher/internal/tier/view"
 )
 
-func TestViewChange_PendingRequests_AreNotBrokenOff(t *testing.T) {
+// viewChange changes what a proxy knows while a request is pending.
+type viewChange func(*fixture, *LoadBalancer)
+
+func viewChanges() map[string]viewChange {
 	// reconfigure puts another configuration in force.
-	reconfigure := func(change func(*model.Configuration)) func(*fixture, *LoadBalancer) {
+	reconfigure := func(change func(*model.Configuration)) viewChange {
 		return func(f *fixture, _ *LoadBalancer) {
 			config := newConfiguration()
 			config.Version++
@@ -19,7 +22,7 @@
 			f.views.routes.Store(NewRoutes(config))
 		}
 	}
-	changes := map[string]func(*fixture, *LoadBalancer){
+	return map[string]viewChange{
 		"all routes removed":    reconfigure(func(c *model.Configuration) { c.Routes = nil }),
 		"all services removed":  reconfigure(func(c *model.Configuration) { c.Services = nil }),
 		"routes to other hosts": reconfigure(func(c *model.Configuration) { c.Routes[0].Host, c.Routes[2].Host = "b.example", "b.example" }),
@@ -41,52 +44,59 @@
 		"many proxies":     func(_ *fixture, s *LoadBalancer) { s.SetProxies(1000) },
 		"the proxy drains": func(f *fixture, _ *LoadBalancer) { f.proxy.Drain() },
 	}
-	started := map[string]string{ // of the answer, when the change comes
+}
+
+func TestViewChange_PendingRequests_AreNotBrokenOff(t *testing.T) {
+	progress := map[string]string{ // the head of the response that has come when the change comes
 		"nothing yet":        "",
 		"a part of a stream": streamHead,
 	}
-	for name, change := range changes {
-		for part, head := range started {
-			t.Run(name+", "+part, func(t *testing.T) {
-				// given a request under way
-				started, release := make(chan struct{}), make(chan struct{})
-				e := newEndpoint(t, func(socket net.Conn, request received) bool {
-					text := ""
-					if head != "" {
-						text = sealedHead(200, request, head) + chunk(event(1, "one"))
-					}
-					io.WriteString(socket, text)
-					close(started)
-					<-release
-					if head == "" {
-						return respondWith(200, "whole")(socket, request)
-					}
-					io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
-					return true
-				})
-				s := NewLoadBalancer("z", 1)
-				address := e.listener.Addr().String()
-				s.SetEndpoints(servers(address, address, model.Ready))
-				f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
-				c := f.dial()
-				target, want := "/safe/x", "whole"
-				if head != "" {
-					target, want = "/stream/x", event(1, "one")+event(2, "two")
-				}
-				c.request("POST", target, "id", "body")
-				<-started
-				// when what the proxy knows changes
-				change(f, s)
-				close(release)
-				// then the request is answered completely
-				if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
-					t.Errorf("got %+v", got)
-				}
-			})
+	for name, change := range viewChanges() {
+		for progressed, head := range progress {
+			t.Run(name+", "+progressed, func(t *testing.T) { checkViewChange(t, change, head) })
 		}
 	}
 }
 
+// checkViewChange applies a change while a request is pending; with a head, the first event of a stream has come.
+func checkViewChange(t *testing.T, change viewChange, head string) {
+	t.Helper()
+	// given a pending request
+	started, release := make(chan struct{}), make(chan struct{})
+	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		text := ""
+		if head != "" {
+			text = sealedHead(200, request, head) + chunk(event(1, "one"))
+		}
+		io.WriteString(socket, text)
+		close(started)
+		<-release
+		if head == "" {
+			return respondWith(200, "complete")(socket, request)
+		}
+		io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
+		return true
+	})
+	s := NewLoadBalancer("z", 1)
+	address := e.listener.Addr().String()
+	s.SetEndpoints(servers(address, address, model.Ready))
+	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
+	c := f.dial()
+	target, want := "/safe/x", "complete"
+	if head != "" {
+		target, want = "/stream/x", event(1, "one")+event(2, "two")
+	}
+	c.request("POST", target, "id", "body")
+	<-started
+	// when what the proxy knows changes
+	change(f, s)
+	close(release)
+	// then the request is answered completely
+	if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
+		t.Errorf("got %+v", got)
+	}
+}
+
 // servers returns an endpoint of each service, with the addresses given.
 func servers(plain, engine string, state model.EndpointState) []model.Endpoint {
 	return []model.Endpoint{
