--- a/internal/tier/balancer/affinity.go
+++ b/internal/tier/balancer/affinity.go
@@ -1,6 +1,6 @@
 package balancer
 
-// affinityTableSize is how many affinities the balancer remembers. A larger table finds more prefixes again and takes 24 bytes
+// affinityTableSize is how many affinities the balancer remembers. A larger table finds more prefixes again and takes 16 bytes
 // an entry.
 const affinityTableSize = 1024
 
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -143,7 +143,7 @@
 }
 
 func TestTurn_ClientClosesBeforeLastByte_IsCommitted(t *testing.T) {
-	// given a turn whose answer has come completely but for its last byte, which waits for the stores
+	// given a turn whose response has come completely but for its last byte, which waits for the stores
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	asked, release := make(chan struct{}, 2), make(chan struct{})
 	f.programs.end = func(program.EndTurn) error {
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -35,7 +35,7 @@
 		name     string
 		route    string
 		fragment func(received) string
-		status   int // cut: the answer has begun, and breaks off
+		status   int // cut: the response has begun, and breaks off
 	}{
 		{"a silent endpoint, safe", "safe", nothing, 504},
 		{"a silent endpoint, once", "once", nothing, 504},
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -9,7 +9,7 @@
 //   - request.go: Proxy.serve matches the route, reads the body and runs proxyLoop
 //   - turn.go, usage.go: a turn's budget is reserved before the first attempt and committed after the last
 //   - attempt.go: one attempt at one endpoint; retries.go: what follows an attempt that brought no response to forward
-//   - response.go, streaming.go, eventscanner.go: forwarding, in whole, as it comes, or event by event
+//   - response.go, streaming.go, eventscanner.go: forwarding: at once when complete, as it comes, or event by event
 //   - errorresponse.go, rejections.go: the proxy's own error responses, and their counts and metrics
 //   - loadbalancer.go, queue.go: the Selector that decides by package balancer
 //
@@ -23,6 +23,7 @@
 // # Concurrency
 //
 // Each request is served by one goroutine of net/http, which owns its clientRequest. Proxy and LoadBalancer are safe for
-// concurrent use. Goroutines beside the requests: one per serverGeneration, one reporting rejections, and one per turn that is
-// committed beside its request; Shutdown waits for all of these within ShutdownGracePeriod.
+// concurrent use. Goroutines beside the requests: one per serverGeneration, which ends when its listener is closed; one that
+// reports rejections, which ends with Serve; and one per turn that is committed beside its request, which Shutdown waits for
+// within ShutdownGracePeriod.
 package proxy
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -246,7 +246,7 @@
 	err    error
 }
 
-// head reads the head of an answer.
+// head reads the head of a response.
 func (c *client) head(method string) *http.Response {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// revokingSelector is a chooser that lets something happen between a selection and its send.
+// revokingSelector is a Selector that lets something happen between a selection and its send.
 type revokingSelector struct {
 	*LoadBalancer
 	before func(Selection)
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -133,7 +133,7 @@
 			f := newFixture(t, newEndpoint(t, broken), second)
 			c := f.dial()
 			c.request("GET", "/"+route+"/x", "id", "")
-			// then the client never gets an empty success in its place
+			// then the client never gets an empty success instead
 			got := c.read("GET")
 			if got.status != want || want == 200 && got.body != "good" {
 				t.Errorf("got %+v", got)
@@ -164,7 +164,7 @@
 }
 
 func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
-	// given an answer whose end only its connection tells
+	// given a response whose end only its connection tells
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		io.WriteString(socket, sealedHead(200, request)+"some bytes")
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -101,7 +101,7 @@
 	return text.String()
 }
 
-// readStatus returns the status of an answer, or 0 if the connection ends without one.
+// readStatus returns the status of a response, or 0 if the connection ends without one.
 func (c *client) readStatus() int {
 	var version, status int
 	fmt.Fscanf(c.reader, "HTTP/1.%d %d ", &version, &status)
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -180,10 +180,10 @@
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
 			<-started
-			// when the proxy begins to drain before the answer does
+			// when the proxy begins to drain before the response does
 			f.proxy.Drain()
 			close(release)
-			// then the answer ends the connection
+			// then the response ends the connection
 			if got := c.read("GET"); !got.close {
 				t.Errorf("got %+v", got)
 			}
@@ -209,7 +209,7 @@
 	// when the proxy is shut down, and the endpoint answers then
 	down := f.shutDown()
 	close(release)
-	// then the client gets the answer
+	// then the client gets the response
 	if got := c.read("GET"); got.status != 200 || got.body != "body" || got.err != nil {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -24,7 +24,7 @@
 		name     string
 		route    string
 		fragment func(received) string
-		status   int // cut: the answer has begun, and breaks off
+		status   int // cut: the response has begun, and breaks off
 	}{
 		{"a request that may run again", "safe", nothing, 504},
 		{"a request that runs once", "once", nothing, 504},
@@ -142,7 +142,7 @@
 
 func TestShutdown_Abandoning_TakesGracePeriodAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// given a client that doesn't take its answer, and a turn whose end no store takes
+		// given a client that doesn't take its response, and a turn whose commit no store takes
 		stores := &fakePrograms{ended: make(chan program.EndTurn, 1), beforeEnd: func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -195,7 +195,7 @@
 	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
 	c.applyTimeout(a)
 	<-a.context.Done()
-	// when its answer would begin to go to the client, then it is abandoned, by the timeout
+	// when its response would begin to go to the client, then it is abandoned, by the timeout
 	if a.stopTimeout() || c.incompleteResult(a) != TimedOut {
 		t.Errorf("in time, or ended by %v", c.incompleteResult(a))
 	}
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -198,7 +198,7 @@
 		}
 		return true
 	}
-	// when its answer comes completely, with much time left
+	// when its response comes completely, with much time left
 	c := f.dial()
 	asked := time.Now()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
--- a/internal/tier/proxy/wire_format_test.go
+++ b/internal/tier/proxy/wire_format_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions compares status, header and body of the answer to each kind of error.
+// TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions compares status, header and body of the response to each kind of error.
 func TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions(t *testing.T) {
 	var got bytes.Buffer
 	for _, kind := range apierror.Kinds() {
