--- a/internal/tier/group/chunks_test.go
+++ b/internal/tier/group/chunks_test.go
@@ -40,8 +40,8 @@
 }
 
 type chunkedListRestorer struct {
-	series *chunkedList
-	begun  bool
+	series  *chunkedList
+	started bool
 }
 
 // Add implements group.Restorer.
@@ -50,8 +50,8 @@
 	if err := json.Unmarshal(chunk, &command); err != nil {
 		return err
 	}
-	if !r.begun {
-		r.begun = true
+	if !r.started {
+		r.started = true
 		if command != "begin" {
 			return fmt.Errorf("the first chunk is %q", command)
 		}
@@ -63,7 +63,7 @@
 
 // Finish implements group.Restorer.
 func (r *chunkedListRestorer) Finish() error {
-	if !r.begun {
+	if !r.started {
 		return errors.New("no first chunk")
 	}
 	return nil
@@ -159,12 +159,12 @@
 			sent := c.countChunks(lost)
 			c.join("d")
 			c.runUntil("it holds all", func() bool { return c.hasAll("d") })
-			again := 0
+			resent := 0
 			for _, times := range sent {
-				again += times - 1
+				resent += times - 1
 			}
-			if again == 0 || again > 4 {
-				t.Errorf("%d chunks were sent again: %v", again, sent)
+			if resent == 0 || resent > 4 {
+				t.Errorf("%d chunks were sent again: %v", resent, sent)
 			}
 		})
 	}
--- a/internal/tier/group/deliver_test.go
+++ b/internal/tier/group/deliver_test.go
@@ -48,11 +48,11 @@
 	state := `{"Commands":["` + strings.Repeat("x", 8<<20) + `"]}`
 	install := replica.Message{Kind: replica.InstallSnapshot, From: member("b").ID, Address: member("b").Address, Term: 1,
 		Snapshot: &replica.Snapshot{Index: 9, Term: 1, Members: []replica.Member{member("a"), member("b"), member("c")}, Chunks: 1, State: []byte(state)}}
-	again := install
+	duplicate := install
 	copied := *install.Snapshot
-	again.Snapshot = &copied
+	duplicate.Snapshot = &copied
 	// when the state comes, and comes again,
-	s.run(appendEntries(1, 0, 0, 0), appendEntries(1, 0, 0, 0), install, appendEntries(1, 0, 0, 0), again)
+	s.run(appendEntries(1, 0, 0, 0), appendEntries(1, 0, 0, 0), install, appendEntries(1, 0, 0, 0), duplicate)
 	// then it is taken once.
 	if got := s.group.Status().Commit; got != 9 {
 		t.Errorf("it holds what is committed up to %d, want 9", got)
@@ -60,7 +60,7 @@
 	if len(s.machine.Commands) != 1 {
 		t.Errorf("its machine holds %d commands, want 1", len(s.machine.Commands))
 	}
-	if again.Snapshot.State == nil {
+	if duplicate.Snapshot.State == nil {
 		t.Error("the state came in twice")
 	}
 }
--- a/internal/tier/group/member_test.go
+++ b/internal/tier/group/member_test.go
@@ -12,15 +12,15 @@
 	// Given a group with a leader,
 	c := newCluster(t, "a", "b", "c")
 	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
-	// when a member that knows nobody is to take the place of one that is gone,
-	gone := c.members[0]
-	if gone.Address == c.leader() {
-		gone = c.members[1]
+	// when a member that knows nobody is to take the place of one that is lost,
+	lost := c.members[0]
+	if lost.Address == c.leader() {
+		lost = c.members[1]
 	}
-	c.isolated[gone.Address] = true
+	c.isolated[lost.Address] = true
 	c.open("d", 9, nil)
-	wanted := append(slices.DeleteFunc(slices.Clone(c.members), func(m replica.Member) bool { return m == gone }), member("d"))
-	c.setTargetMembers(wanted...)
+	target := append(slices.DeleteFunc(slices.Clone(c.members), func(m replica.Member) bool { return m == lost }), member("d"))
+	c.setTargetMembers(target...)
 	// then it gets a vote.
 	c.runUntil("the new member has a vote", func() bool { return c.isVoter(member("d")) })
 }
--- a/internal/tier/group/snapshot_limiter_test.go
+++ b/internal/tier/group/snapshot_limiter_test.go
@@ -21,7 +21,7 @@
 }
 
 // newReceivers opens members of several groups that share a limiter with one slot.
-func newReceivers(t *testing.T, count int) (turn func(number int, messages ...replica.Message), machines []*chunkedList, groups []*group.Group) {
+func newReceivers(t *testing.T, count int) (run func(number int, messages ...replica.Message), machines []*chunkedList, groups []*group.Group) {
 	t.Helper()
 	admission := group.NewSnapshotLimiter(1)
 	now := time.Duration(0)
@@ -37,7 +37,7 @@
 		}
 		machines, groups = append(machines, machine), append(groups, opened)
 	}
-	turn = func(number int, messages ...replica.Message) {
+	run = func(number int, messages ...replica.Message) {
 		t.Helper()
 		now += heartbeat
 		for _, message := range messages {
@@ -48,49 +48,49 @@
 			t.Fatal(err)
 		}
 	}
-	return turn, machines, groups
+	return run, machines, groups
 }
 
 func TestSnapshotLimiter_TwoMembers_ReceiveInTurn(t *testing.T) {
 	// Given a member that is in the middle of a snapshot,
-	turn, machines, groups := newReceivers(t, 2)
-	turn(0, chunk(1, 9, 0, 3, `"begin"`))
+	run, machines, groups := newReceivers(t, 2)
+	run(0, chunk(1, 9, 0, 3, `"begin"`))
 	// when another one of the process is sent one, again and again,
 	for range 20 {
-		turn(1, chunk(1, 5, 0, 2, `"begin"`))
-		turn(0, chunk(1, 9, 0, 3, `"begin"`))
+		run(1, chunk(1, 5, 0, 2, `"begin"`))
+		run(0, chunk(1, 9, 0, 3, `"begin"`))
 	}
 	// then that takes none of it, and knows its leader,
 	if status := groups[1].Status(); status.Leader != member("b").ID || status.LastIndex != 0 {
 		t.Errorf("the status of the one that waits is %+v", status)
 	}
-	turn(1, chunk(1, 5, 1, 2, `"x"`))
+	run(1, chunk(1, 5, 1, 2, `"x"`))
 	if len(machines[1].Commands) != 0 {
 		t.Error("it has taken a snapshot over beside the first one")
 	}
 	// until the first one has its complete snapshot.
-	turn(0, chunk(1, 9, 1, 3, `"x"`), chunk(1, 9, 2, 3, `"y"`))
+	run(0, chunk(1, 9, 1, 3, `"x"`), chunk(1, 9, 2, 3, `"y"`))
 	if got := groups[0].Status().Commit; got != 9 {
 		t.Fatalf("the first one is at entry %d", got)
 	}
-	turn(1, chunk(1, 5, 0, 2, `"begin"`))
-	turn(1, chunk(1, 5, 1, 2, `"x"`))
+	run(1, chunk(1, 5, 0, 2, `"begin"`))
+	run(1, chunk(1, 5, 1, 2, `"x"`))
 	if got := groups[1].Status().Commit; got != 5 {
 		t.Errorf("the second one is at entry %d", got)
 	}
 }
 
 func TestSnapshotLimiter_SenderLost_SlotIsReleased(t *testing.T) {
-	turn, _, groups := newReceivers(t, 2)
-	turn(0, chunk(1, 9, 0, 3, `"begin"`))
+	run, _, groups := newReceivers(t, 2)
+	run(0, chunk(1, 9, 0, 3, `"begin"`))
 	// when nothing more of it comes for a while,
 	for range 20 {
-		turn(0)
-		turn(1)
+		run(0)
+		run(1)
 	}
 	// then another member of the process may receive one.
-	turn(1, chunk(9, 5, 0, 2, `"begin"`))
-	turn(1, chunk(9, 5, 1, 2, `"x"`))
+	run(1, chunk(9, 5, 0, 2, `"begin"`))
+	run(1, chunk(9, 5, 1, 2, `"x"`))
 	if got := groups[1].Status().Commit; got != 5 {
 		t.Errorf("it is at entry %d", got)
 	}
--- a/internal/tier/group/stats.go
+++ b/internal/tier/group/stats.go
@@ -21,18 +21,18 @@
 
 // Stats returns the member's sizes at the end of its last iteration.
 func (g *Group) Stats() MemberStats {
-	if vitals := g.stats.Load(); vitals != nil {
-		return *vitals
+	if stats := g.stats.Load(); stats != nil {
+		return *stats
 	}
 	return MemberStats{}
 }
 
 func (g *Group) recordStats() {
-	vitals := MemberStats{SnapshotBytes: g.disk.SnapshotBytes(), LogBytes: g.disk.LogBytes(), Entries: len(g.entries)}
+	stats := MemberStats{SnapshotBytes: g.disk.SnapshotBytes(), LogBytes: g.disk.LogBytes(), Entries: len(g.entries)}
 	if sized, ok := g.options.StateMachine.(StateSizer); ok {
-		vitals.StateBytes = sized.StateBytes()
+		stats.StateBytes = sized.StateBytes()
 	}
-	g.stats.Store(&vitals)
+	g.stats.Store(&stats)
 }
 
 // phases measures the phases of an iteration.
--- a/internal/tier/replica/explore_confchange_world_test.go
+++ b/internal/tier/replica/explore_confchange_world_test.go
@@ -321,9 +321,9 @@
 		r := m.replica
 		b = appendReplica(b, r)
 		b = appendNumbers(b, int(r.log.offset), int(r.snapshotIndex()), len(r.configurations), int(r.configurations.latest().index), len(m.incoming),
-			r.incoming.wantedChunk, len(r.leadership.pendingReads), int(r.leadership.readContext))
+			r.incoming.expectedChunk, len(r.leadership.pendingReads), int(r.leadership.readContext))
 		for _, p := range r.leadership.followers {
-			b = appendNumbers(b, int(p.readContext), p.transfer.wantedChunk, p.transfer.nextChunk)
+			b = appendNumbers(b, int(p.readContext), p.transfer.expectedChunk, p.transfer.nextChunk)
 		}
 		b = strconv.AppendBool(b, m.reading)
 	}
--- a/internal/tier/replica/explorer_test.go
+++ b/internal/tier/replica/explorer_test.go
@@ -76,10 +76,10 @@
 	for _, p := range r.leadership.followers {
 		b = appendNumbers(b, int(p.match), int(p.next), int(p.state), len(p.inflights), int(p.lastContact))
 		b = strconv.AppendBool(b, p.probeSent)
-		b = appendNumbers(b, p.transfer.wantedChunk, p.transfer.nextChunk, int(p.transfer.retryAt))
+		b = appendNumbers(b, p.transfer.expectedChunk, p.transfer.nextChunk, int(p.transfer.retryAt))
 		b = strconv.AppendBool(b, p.transfer.rewound)
 	}
-	b = appendNumbers(b, int(r.snapshotIndex()), r.incoming.wantedChunk, int(r.incoming.term), int(r.incoming.deadline))
+	b = appendNumbers(b, int(r.snapshotIndex()), r.incoming.expectedChunk, int(r.incoming.term), int(r.incoming.deadline))
 	b = append(b, r.incoming.from...)
 	return append(b, r.leader.id...)
 }
--- a/internal/tier/replica/snapshot_mutants_test.go
+++ b/internal/tier/replica/snapshot_mutants_test.go
@@ -19,7 +19,7 @@
 	mutation.Test(t, []mutation.Mutant{
 		{
 			Name:   "a gap is taken over",
-			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if message.Chunk != incoming.wantedChunk {", New: "if message.Chunk < incoming.wantedChunk {"},
+			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if message.Chunk != incoming.expectedChunk {", New: "if message.Chunk < incoming.expectedChunk {"},
 			Run:    orderOfChunks,
 		},
 		{
@@ -30,14 +30,14 @@
 		},
 		{
 			Name:   "installed without the last chunk",
-			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if incoming.wantedChunk < incoming.snapshot.Chunks {", New: "if incoming.wantedChunk < incoming.snapshot.Chunks-1 {"},
+			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if incoming.expectedChunk < incoming.snapshot.Chunks {", New: "if incoming.expectedChunk < incoming.snapshot.Chunks-1 {"},
 			Run:    orderOfChunks,
 		},
 		{
 			Name: "an incomplete snapshot counts as a match",
 			Change: mutation.Change{
 				File: "snapshot_receiver.go",
-				Old:  "		r.requestChunk(message, incoming.wantedChunk, false)\n",
+				Old:  "		r.requestChunk(message, incoming.expectedChunk, false)\n",
 				New:  "		r.acknowledge(message, message.Snapshot.Index)\n",
 			},
 			Run: orderOfChunks,
@@ -64,7 +64,7 @@
 		},
 		{
 			Name:   "all chunks are sent at once",
-			Change: mutation.Change{File: "snapshot_sender.go", Old: "min(t.wantedChunk+window, t.snapshot.Chunks)", New: "t.snapshot.Chunks+0*window"},
+			Change: mutation.Change{File: "snapshot_sender.go", Old: "min(t.expectedChunk+window, t.snapshot.Chunks)", New: "t.snapshot.Chunks+0*window"},
 			Run:    chunksSent,
 		},
 	})
--- a/internal/tier/replica/snapshot_receiver.go
+++ b/internal/tier/replica/snapshot_receiver.go
@@ -5,11 +5,11 @@
 // incomingSnapshot is a snapshot that is being received. Nothing of it counts before it is complete: neither as a match nor
 // for a vote.
 type incomingSnapshot struct {
-	from        string // identity of the leader that sends it; empty: none is being received
-	term        uint64 // of that leader
-	snapshot    *Snapshot
-	wantedChunk int           // the chunk that is needed next
-	deadline    time.Duration // when it is given up unless another chunk has come
+	from          string // identity of the leader that sends it; empty: none is being received
+	term          uint64 // of that leader
+	snapshot      *Snapshot
+	expectedChunk int           // the chunk that is needed next
+	deadline      time.Duration // when it is given up unless another chunk has come
 }
 
 // matches tells whether a message brings a chunk of the snapshot that is being received.
@@ -70,14 +70,14 @@
 	}
 	incoming := &r.incoming
 	incoming.deadline = r.now + 2*chunkRetryElectionTimeouts*r.options.ElectionTimeout
-	if message.Chunk != incoming.wantedChunk {
-		r.requestChunk(message, incoming.wantedChunk, message.Chunk > incoming.wantedChunk)
+	if message.Chunk != incoming.expectedChunk {
+		r.requestChunk(message, incoming.expectedChunk, message.Chunk > incoming.expectedChunk)
 		return
 	}
-	r.step.receivedChunks = append(r.step.receivedChunks, Chunk{Number: incoming.wantedChunk, Data: message.Snapshot.State})
-	incoming.wantedChunk++
-	if incoming.wantedChunk < incoming.snapshot.Chunks {
-		r.requestChunk(message, incoming.wantedChunk, false)
+	r.step.receivedChunks = append(r.step.receivedChunks, Chunk{Number: incoming.expectedChunk, Data: message.Snapshot.State})
+	incoming.expectedChunk++
+	if incoming.expectedChunk < incoming.snapshot.Chunks {
+		r.requestChunk(message, incoming.expectedChunk, false)
 		return
 	}
 	r.installSnapshot(incoming.snapshot)
--- a/internal/tier/replica/snapshot_sender.go
+++ b/internal/tier/replica/snapshot_sender.go
@@ -13,11 +13,11 @@
 // snapshotTransfer is the sending of a snapshot, chunk by chunk, to one follower. After a lost chunk it goes back to that
 // one.
 type snapshotTransfer struct {
-	snapshot    *Snapshot     // nil: none has begun
-	wantedChunk int           // the chunk that the follower needs next, as far as is known
-	nextChunk   int           // the chunk to send next
-	retryAt     time.Duration // when chunks are sent again unless one is acknowledged before
-	rewound     bool          // chunks are being sent again since the last one was acknowledged
+	snapshot      *Snapshot     // nil: none has begun
+	expectedChunk int           // the chunk that the follower needs next, as far as is known
+	nextChunk     int           // the chunk to send next
+	retryAt       time.Duration // when chunks are sent again unless one is acknowledged before
+	rewound       bool          // chunks are being sent again since the last one was acknowledged
 }
 
 // becomeSnapshot turns from entries to a snapshot.
@@ -39,13 +39,13 @@
 		*t = snapshotTransfer{snapshot: r.snapshot}
 		t.retryAt = r.chunkRetryAt(t)
 	case r.now >= t.retryAt:
-		t.nextChunk, t.rewound, t.retryAt = t.wantedChunk, true, r.chunkRetryAt(t)
+		t.nextChunk, t.rewound, t.retryAt = t.expectedChunk, true, r.chunkRetryAt(t)
 	}
 	window := r.limits.maxInflightChunks
-	if t.wantedChunk == 0 {
+	if t.expectedChunk == 0 {
 		window = 1 // the follower may not be able to take it now
 	}
-	for t.nextChunk < min(t.wantedChunk+window, t.snapshot.Chunks) {
+	for t.nextChunk < min(t.expectedChunk+window, t.snapshot.Chunks) {
 		r.sendBeforeSync(p, Message{
 			Kind: InstallSnapshot, To: p.id, Term: r.hardState.Term, Snapshot: t.snapshot, Chunk: t.nextChunk,
 		})
@@ -55,7 +55,7 @@
 
 // chunkRetryAt is when chunks are sent again unless one is acknowledged before.
 func (r *Replica) chunkRetryAt(t *snapshotTransfer) time.Duration {
-	if t.wantedChunk == 0 {
+	if t.expectedChunk == 0 {
 		return r.now + firstChunkRetryHeartbeats*r.options.HeartbeatInterval
 	}
 	return r.now + chunkRetryElectionTimeouts*r.options.ElectionTimeout
@@ -67,7 +67,7 @@
 		return false
 	}
 	for _, p := range r.leadership.followers {
-		if p.state == stateSnapshot && p.transfer.wantedChunk > 0 && p.transfer.snapshot == r.snapshot && r.isActive(p) {
+		if p.state == stateSnapshot && p.transfer.expectedChunk > 0 && p.transfer.snapshot == r.snapshot && r.isActive(p) {
 			return true
 		}
 	}
@@ -89,11 +89,11 @@
 		return
 	}
 	switch {
-	case response.Chunk > t.wantedChunk:
-		t.wantedChunk, t.nextChunk = response.Chunk, max(t.nextChunk, response.Chunk)
+	case response.Chunk > t.expectedChunk:
+		t.expectedChunk, t.nextChunk = response.Chunk, max(t.nextChunk, response.Chunk)
 		t.retryAt, t.rewound = r.chunkRetryAt(t), false
-	case response.Reject && (response.Chunk < t.wantedChunk || !t.rewound):
-		t.wantedChunk, t.nextChunk = response.Chunk, response.Chunk
+	case response.Reject && (response.Chunk < t.expectedChunk || !t.rewound):
+		t.expectedChunk, t.nextChunk = response.Chunk, response.Chunk
 		t.retryAt, t.rewound = r.chunkRetryAt(t), true
 	}
 }
