--- /dev/null
+++ b/internal/tier/command/proxy_shutdown_test.go
@@ -0,0 +1,93 @@
+package command
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// fakeDataPath records when it is drained and shut down, and takes all the time that it is given.
+type fakeDataPath struct {
+	drained, shut, ended time.Time
+}
+
+func (c *fakeDataPath) Drain() { c.drained = time.Now() }
+
+func (c *fakeDataPath) Shutdown(ctx context.Context) error {
+	c.shut = time.Now()
+	<-ctx.Done()
+	c.ended = time.Now()
+	return ctx.Err()
+}
+
+// abandonTime is for the responses to abandoned requests, and for committing their turns.
+const abandonTime = 300 * time.Millisecond
+
+// minRest is the share of the grace time that must be left over.
+const minRest = 0.02
+
+func TestShutdownProxy_EndsWithinGraceTime(t *testing.T) {
+	const (
+		noticed     = 2 * time.Second // the platform checks each second, and twice
+		countsReady = 4 * time.Second // by when it must not count as ready
+	)
+	for _, grace := range []time.Duration{5 * time.Second, 8 * time.Second, 20 * time.Second} {
+		synctest.Test(t, func(t *testing.T) {
+			began := time.Now()
+			c := &fakeDataPath{}
+			// when a proxy with requests that don't end is shut down
+			if err := shutdownProxy(t.Context(), c, grace); err == nil {
+				t.Error("all requests have ended")
+			}
+			// then it isn't ready at once, accepts requests until that is noticed, and has ended before it is killed
+			if !c.drained.Equal(began) {
+				t.Errorf("grace %v: not ready after %v", grace, c.drained.Sub(began))
+			}
+			if accepting := c.shut.Sub(began); accepting < noticed || accepting >= countsReady {
+				t.Errorf("grace %v: accepts requests for %v", grace, accepting)
+			}
+			if took := c.ended.Sub(began); took < grace/2 || took+abandonTime > shareOf(grace, 1-minRest) {
+				t.Errorf("grace %v: ended after %v", grace, took)
+			}
+		})
+	}
+}
+
+func TestShutdownProxy_ShortGraceTime_EndsWithinIt(t *testing.T) {
+	const exit = 50 * time.Millisecond // until the process has gone
+	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
+		t.Run(grace.String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				began := time.Now()
+				c := &fakeDataPath{}
+				// when a proxy with requests that don't end is shut down, whose grace time is too short for the platform to notice
+				if err := shutdownProxy(t.Context(), c, grace); err == nil {
+					t.Error("all requests have ended")
+				}
+				// then it isn't ready at once, waits for the requests for half of that time at least, and has ended before it is killed
+				if !c.drained.Equal(began) {
+					t.Errorf("not ready after %v", c.drained.Sub(began))
+				}
+				if took := c.ended.Sub(began); took < grace/2 || took+abandonTime+exit > grace {
+					t.Errorf("stops waiting after %v, and has exited after %v", took, took+abandonTime+exit)
+				}
+			})
+		})
+	}
+}
+
+func TestDrainDuration_CoversTwoReadinessChecks(t *testing.T) {
+	cases := map[time.Duration]time.Duration{
+		8 * time.Second:  2400 * time.Millisecond,
+		30 * time.Second: 2400 * time.Millisecond,
+		6 * time.Second:  2400 * time.Millisecond,
+		2 * time.Second:  800 * time.Millisecond,
+		0:                0,
+	}
+	for grace, want := range cases {
+		if got := drainDuration(grace); got != want {
+			t.Errorf("grace of %v: drains for %v, want %v", grace, got, want)
+		}
+	}
+}
--- a/internal/tier/store/opening_test.go
+++ b/internal/tier/store/placement_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -59,3 +60,29 @@
 	close(disk.release)
 	<-placed
 }
+
+// TestApplyPlacement_OpenFails_IsRetried makes the disk fail while a placement is applied.
+func TestApplyPlacement_OpenFails_IsRetried(t *testing.T) {
+	disk := memorydisk.New()
+	var retries []func()
+	s := New(testContext(t), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(),
+		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(_ time.Duration, run func()) { retries = append(retries, run) }})
+	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
+	s.ApplyPlacement(4, alone(1))
+	if s.shard(0) != nil || len(retries) != 1 {
+		t.Fatalf("opened %v, %d retries", s.shard(0) != nil, len(retries))
+	}
+
+	// When the disk still fails, it is retried later.
+	retries[0]()
+	if len(retries) != 2 {
+		t.Fatalf("%d retries, want 2", len(retries))
+	}
+
+	// When it has recovered, the shard is opened.
+	disk.InjectFaults(nil)
+	retries[1]()
+	if s.shard(0) == nil || len(retries) != 2 {
+		t.Errorf("opened %v, %d retries more", s.shard(0) != nil, len(retries)-2)
+	}
+}
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"strings"
 	"testing"
 	"time"
 
@@ -67,28 +68,94 @@
 	}
 }
 
-// TestApplyPlacement_OpenFails_IsRetried makes the disk fail while a placement is applied.
-func TestApplyPlacement_OpenFails_IsRetried(t *testing.T) {
+// TestRecover_ShardOpensAfterPlacement_FollowsIt has the placement come while the store hasn't read its shards.
+func TestRecover_ShardOpensAfterPlacement_FollowsIt(t *testing.T) {
+	// Given a store on whose disk there is a shard,
 	disk := memorydisk.New()
-	var retries []func()
-	s := New(testContext(t), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(),
-		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(_ time.Duration, run func()) { retries = append(retries, run) }})
-	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
-	s.ApplyPlacement(4, alone(1))
-	if s.shard(0) != nil || len(retries) != 1 {
-		t.Fatalf("opened %v, %d retries", s.shard(0) != nil, len(retries))
+	before := []view.Replica{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}
+	newIdleStore(disk).ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{{Initial: before, Replicas: before}}})
+	disk.LosePower(7)
+
+	// when it starts and hears of a placement that wants the shard elsewhere, and only then opens it,
+	scheduled := 0
+	restarted := New(t.Context(), Options{ID: "a", Address: "a:1", Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
+		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(time.Duration, func()) { scheduled++ }})
+	after := []view.Replica{{ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}, {ID: "d", Address: "d:1"}}
+	restarted.ApplyPlacement(2, view.Placement{Shards: []view.ShardPlacement{{Initial: after, Replicas: after}}})
+	if err := restarted.Recover(); err != nil {
+		t.Fatal(err)
 	}
 
-	// When the disk still fails, it is retried later.
-	retries[0]()
-	if len(retries) != 2 {
-		t.Fatalf("%d retries, want 2", len(retries))
+	// then the replica knows which members are wanted, should it own the group, and it is looked at whether it may go.
+	opened := restarted.shard(0)
+	if opened == nil {
+		t.Fatal("the shard on its disk isn't open")
+	}
+	if opened.placementIndex != 2 || len(opened.targetMembers) != len(after) {
+		t.Errorf("the replica follows placement %d with %d members, want 2 with %d", opened.placementIndex, len(opened.targetMembers), len(after))
 	}
+	if scheduled != 1 {
+		t.Errorf("a review of surplus replicas is scheduled %d times, want once", scheduled)
+	}
+}
 
-	// When it has recovered, the shard is opened.
-	disk.InjectFaults(nil)
-	retries[1]()
-	if s.shard(0) == nil || len(retries) != 2 {
-		t.Errorf("opened %v, %d retries more", s.shard(0) != nil, len(retries)-2)
+// TestRecover_DiskIsDamaged_ReturnsError damages the files of a shard before its log was read completely.
+func TestRecover_DiskIsDamaged_ReturnsError(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		damage func(t *testing.T, disk *memorydisk.Disk, names []string)
+	}{
+		{"a log's first frame", func(t *testing.T, disk *memorydisk.Disk, names []string) {
+			for _, name := range names {
+				if !strings.Contains(name, ".log") {
+					continue
+				}
+				if err := disk.Corrupt(name, 3); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}},
+		{"the slot", func(t *testing.T, disk *memorydisk.Disk, names []string) {
+			for _, name := range names {
+				if !strings.Contains(name, ".slot") {
+					continue
+				}
+				if err := disk.Corrupt(name, 3); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}},
+		{"no log", func(t *testing.T, disk *memorydisk.Disk, names []string) {
+			for _, name := range names {
+				if strings.Contains(name, ".log") {
+					if err := disk.Remove(name); err != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			disk := memorydisk.New()
+			members := []view.Replica{{ID: "a", Address: "a:1"}}
+			first := newIdleStore(disk)
+			first.ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{{Initial: members, Replicas: members}}})
+			for range 400 {
+				if _, err := first.shard(0).group.RunOnce(); err != nil {
+					t.Fatal(err)
+				}
+				time.Sleep(time.Millisecond)
+			}
+			names, err := disk.List()
+			if err != nil {
+				t.Fatal(err)
+			}
+			c.damage(t, disk, names)
+			disk.Kill()
+			var damage *storage.CorruptError
+			if err := newIdleStore(disk).Recover(); !errors.As(err, &damage) {
+				t.Errorf("recovered with %v, want that the disk is damaged", err)
+			}
+		})
 	}
 }
