--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -63,7 +63,7 @@
 func (w *randomRun) changeVersions() {
 	w.share = rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(w.rt, "share")
 	w.target = rapid.SampledFrom([]string{"", "v2"}).Draw(w.rt, "target")
-	w.s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: w.target, Share: w.share}})
+	w.s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: w.target, TrafficShare: w.share}})
 }
 
 func (w *randomRun) request() Request {
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -15,7 +15,7 @@
 			list[i].Version = "v2"
 		}
 		s := newBalancer(list)
-		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: 0.05, InitialAllowance: 4}}
+		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: 0.05, InitialAllowance: 4}}
 		s.SetVersions(versions)
 		// when requests come, and the same versions are set again meanwhile,
 		target := [1001]int{}
--- a/internal/tier/balancer/service.go
+++ b/internal/tier/balancer/service.go
@@ -73,7 +73,7 @@
 	for i := range svc.groups {
 		svc.groups[i].sort(seed)
 	}
-	svc.groups[1].limitToShare(svc.versions.Share)
+	svc.groups[1].limitToShare(svc.versions.TrafficShare)
 	for _, plan := range svc.plans {
 		if plan != nil {
 			plan.changed = true
--- a/internal/tier/balancer/versions.go
+++ b/internal/tier/balancer/versions.go
@@ -63,7 +63,7 @@
 // counted by Sent; requests of one affinity keep to one version as far as that allows.
 func (svc *service) selectGroup(affinityKey uint64) *versionGroup {
 	current, target := &svc.groups[0], &svc.groups[1]
-	switch share := svc.versions.Share; {
+	switch share := svc.versions.TrafficShare; {
 	case len(target.ready) == 0 || share <= 0:
 		return current
 	case share >= 1:
@@ -82,7 +82,7 @@
 	switch {
 	case first == target && len(current.ready) > 0:
 		return current
-	case first == current && len(target.ready) > 0 && svc.versions.Share > 0 && svc.targetCredit >= 1:
+	case first == current && len(target.ready) > 0 && svc.versions.TrafficShare > 0 && svc.targetCredit >= 1:
 		return target
 	}
 	return nil
@@ -93,9 +93,9 @@
 	if svc.versions.Target == "" {
 		return
 	}
-	svc.targetCredit += svc.versions.Share
+	svc.targetCredit += svc.versions.TrafficShare
 	if len(svc.groups[1].ready) > 0 {
-		bonus := min(max(initialShare-svc.versions.Share, 0), svc.targetBonus, max(maxTargetCredit-svc.targetCredit, 0))
+		bonus := min(max(initialShare-svc.versions.TrafficShare, 0), svc.targetBonus, max(maxTargetCredit-svc.targetCredit, 0))
 		svc.targetBonus -= bonus
 		svc.targetCredit += bonus
 	}
--- a/internal/tier/balancer/versions_test.go
+++ b/internal/tier/balancer/versions_test.go
@@ -16,7 +16,7 @@
 	for _, share := range []float64{0, 0.05, 0.3, 1} {
 		for _, pinned := range []bool{false, true} {
 			s := newBalancer(list)
-			s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", Share: share}})
+			s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: share}})
 			target := 0
 			for i := range 1000 {
 				r := retryableRequest("feeds")
@@ -49,7 +49,7 @@
 		for seed := range uint64(4) {
 			s := New(Options{Zone: fmt.Sprintf("z%d", seed), Seed: seed})
 			s.SetEndpoints(0, list)
-			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", Share: 0.05}})
+			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", TrafficShare: 0.05}})
 			for key := range uint64(4000) {
 				now := time.Duration(key) * 10 * time.Millisecond
 				d := s.Select(now, turnRequest(mix(key+1)))
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -251,7 +251,7 @@
 	versions := func(r *rollout.StateMachine) []view.ServiceVersions { return r.Versions().Services }
 	// Given an order under way, then the target may get a part of the bounds, split among the proxies;
 	r := register(t)
-	want := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: firstOrder, Share: 0.08, InitialAllowance: 3.5}}
+	want := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: firstOrder, TrafficShare: 0.08, InitialAllowance: 3.5}}
 	if diff := cmp.Diff(want, versions(r), cmpopts.EquateApprox(1e-9, 0)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tier/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Given any steps of several processes that are killed or lose power at any change to the disk, when the next one starts,
-// then it finds all that was acknowledged, and of the step under way everything or nothing.
+// Given any steps of several processes that crash or lose power at any change to the disk, when the next one starts,
+// then it finds all that was acknowledged, and of the step in progress everything or nothing.
 func TestOpen_AfterAnyCrashes_RecoversAllThatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := runHistory(anyHistory.Draw(t, "history"), unwrapped); err != nil {
@@ -21,18 +21,18 @@
 	})
 }
 
-// powerLossSeeds is how many losses of power are tried at each change of an enumerated case.
+// powerLossSeeds is how many losses of power are tried at each change of a case.
 const powerLossSeeds = 16
 
-// enumerate stops a process at each change that the last step makes, in each way, and recovers after it. Prelude is what
+// crashAtEachChange crashes a process at each change that the last step makes, in each way, and recovers after it. Prelude is what
 // was done before.
-func enumerate(t *testing.T, prelude []step, last step) {
+func crashAtEachChange(t *testing.T, prelude []step, last step) {
 	t.Helper()
 	changes := countChanges(t, prelude, last)
 	for change := range changes {
 		for _, effect := range []memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied} {
 			for seed := range powerLossSeeds {
-				if err := crash(prelude, last, change, effect, seed); err != nil {
+				if err := crashAt(prelude, last, change, effect, seed); err != nil {
 					t.Fatalf("change %d of %d, effect %d, seed %d: %v", change, changes, effect, seed, err)
 				}
 			}
@@ -66,8 +66,8 @@
 	return group
 }
 
-// crash stops the last step at a change. Seed 0 is a kill, the others are losses of power.
-func crash(prelude []step, last step, change int, effect memorydisk.Effect, seed int) error {
+// crashAt crashes the process at a change of the last step. Seed 0 is a crash of the process alone, the others are losses of power.
+func crashAt(prelude []step, last step, change int, effect memorydisk.Effect, seed int) error {
 	m := newTestMember(unwrapped)
 	group, err := m.open()
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	m.disk.CrashAt(change, effect)
 	if err := m.apply(group, last); err == nil {
-		return fmt.Errorf("the step was not stopped")
+		return fmt.Errorf("the process has not crashed")
 	}
 	if seed == 0 {
 		m.disk.Kill()
@@ -90,7 +90,7 @@
 	return m.recoverTwice()
 }
 
-// Given each state that a group's files can be in, when a compaction is stopped at any change, then nothing is lost.
+// Given each state that a group's files can be in, when a compaction crashes at any change, then nothing is lost.
 func TestCompact_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	compact := step{Compact: true, Remaining: 2, Bytes: 400}
@@ -102,11 +102,11 @@
 		"nothing saved":          {},
 		"an installed snapshot":  {save, {Install: true, Bytes: 500}, {Truncate: 1, Entries: 2, Bytes: 9}},
 	} {
-		t.Run(name, func(t *testing.T) { enumerate(t, prelude, compact) })
+		t.Run(name, func(t *testing.T) { crashAtEachChange(t, prelude, compact) })
 	}
 }
 
-// Given a group, when a save is stopped at any change, then it is there completely or not at all.
+// Given a group, when a save crashes at any change, then it is there completely or not at all.
 func TestSave_CrashAtAnyChange_IsAtomic(t *testing.T) {
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, last := range map[string]step{
@@ -116,11 +116,11 @@
 		"snapshot":             {Install: true, Bytes: 2000},
 		"all of them together": {TermIncrement: 1, Install: true, Entries: 2, Truncate: 1, Bytes: 300},
 	} {
-		t.Run(name, func(t *testing.T) { enumerate(t, []step{save, save}, last) })
+		t.Run(name, func(t *testing.T) { crashAtEachChange(t, []step{save, save}, last) })
 	}
 }
 
-// Given a disk in any state that a stopped process leaves, when recovery itself is stopped at any change, then the next
+// Given a disk in any state that a crashed process leaves, when recovery itself crashes at any change, then the next
 // recovery loses nothing either.
 func TestOpen_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 90}, {Compact: true, Remaining: 1}, {Entries: 2, Bytes: 90}}
@@ -155,7 +155,7 @@
 	return m.recoverTwice()
 }
 
-// Given an empty disk, when its first start is stopped at any change, then the next start finds an empty group.
+// Given an empty disk, when its first start crashes at any change, then the next start finds an empty group.
 func TestOpen_FirstStartCrashesAtAnyChange_RecoversEmptyGroup(t *testing.T) {
 	for change := range 5 {
 		for seed := range uint64(powerLossSeeds) {
--- a/internal/tier/storage/doc.go
+++ b/internal/tier/storage/doc.go
@@ -1,6 +1,6 @@
 // Package storage is the durable state of one member of a replica group: its HardState (term and vote), its log entries and its
-// newest snapshot. Package group calls it from the group's one goroutine, between a step of package replica and the messages
-// that depend on that step; nothing of a step may be sent before Save has returned.
+// newest snapshot. Package group calls it from the group's one goroutine, after each step of package replica; a step's
+// MessagesAfterSync must not be sent before Save has returned.
 //
 // # Files
 //
--- a/internal/tier/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Given a first start that is stopped at any change, when the machine starts again, then it has one identity that lasts, and
+// Given a first start that crashes at any change, when the machine starts again, then it has one identity that lasts, and
 // one that was returned stays.
 func TestIdentity_CrashAtAnyChange_StaysOnceReturned(t *testing.T) {
 	for change := range 6 {
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Given a member with a slot, when a snapshot is being received and its process ends at any change, in any way, then it is
+// Given a member with a slot, when a snapshot is being received and its process crashes at any change, in any way, then it is
 // either as before or has the complete snapshot.
 func TestInstall_CrashAtAnyChange_IsAtomic(t *testing.T) {
 	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}}
@@ -71,7 +71,7 @@
 				group := mustApply(t, m, prelude)
 				m.disk.CrashAt(change, effect)
 				if err := receive(group); err == nil {
-					t.Fatal("it was not stopped")
+					t.Fatal("the process has not crashed")
 				}
 				m.allowed = []savedState{m.saved, m.saved.with(&replica.Ready{Snapshot: snapshotAt(9, 1, 3)})}
 				if seed == 0 {
--- a/internal/tier/versionstats/counter_test.go
+++ b/internal/tier/versionstats/counter_test.go
@@ -36,7 +36,7 @@
 	c := New(inner, "p")
 	c.now = func() time.Time { return now }
 	c.SetEndpoints([]model.Endpoint{{ID: "a", Service: "s", Version: "v1"}, {ID: "b", Service: "s", Version: "v2", WarmUpLeftMs: 500}})
-	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Share: 0.1}})
+	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", TrafficShare: 0.1}})
 	// when requests on two routes end, one of them after its endpoint has left the list,
 	send := func(endpoint, route string) proxy.Selection {
 		selection, err := c.Select(context.Background(), &proxy.RequestInfo{AttemptID: endpoint, Route: &model.Route{Name: route}})
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -94,8 +94,8 @@
 	Current          string  `json:"current"`          // version in service
 	Target           string  `json:"target,omitempty"` // version being rolled out; empty: none
 	Order            uint64  `json:"order,omitempty"`  // identifies the order to roll Target out: the same version may be ordered more than once
-	Share            float64 `json:"share,omitempty"`  // of the service's requests that Target may get, 0 to 1
-	InitialAllowance float64 `json:"extra,omitempty"`  // requests above Share that each proxy may send to Target at first
+	TrafficShare     float64 `json:"share,omitempty"`  // of the service's requests that Target may get, 0 to 1
+	InitialAllowance float64 `json:"extra,omitempty"`  // requests above TrafficShare that each proxy may send to Target at first
 }
 
 // Placement is the section of the shards.
