--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -58,13 +58,13 @@
 	refusedAt  time.Duration // the last refusal that counted
 
 	// Limits over all senders; see shared_limits.go.
-	reportedLimit      float64 // calls a second, as reported last; 0: none
-	reportedRemaining  float64 // share of the allowance that was left then
-	reportedAt         time.Duration
-	extraShare         float64 // of the limit beyond the guaranteed share
-	unhealthyElsewhere bool    // other senders have found it down
-	mayProbe           bool    // it is this sender's turn to probe it
-	hearsay            bool    // it is ejected on the word of others alone
+	reportedLimit     float64 // calls a second, as reported last; 0: none
+	reportedRemaining float64 // share of the allowance that was left then
+	reportedAt        time.Duration
+	extraShare        float64 // of the limit beyond the guaranteed share
+	unhealthyAtPeers  bool    // other senders have found it down
+	isProbeTurn       bool    // it is this sender's turn to probe it
+	ejectedByPeers    bool    // it is ejected on the word of others alone
 }
 
 // destinationState is a destination of messages: its endpoints, its routes and the messages that wait for them.
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -68,7 +68,7 @@
 // calls: one failure is enough where nothing delivered of late speaks against it, and two refusals in a row, since a limit refuses some
 // calls and a destination that is shut refuses all. Where the limit is reported as used up no number of refusals means an outage.
 func (s *Sender) recordFailure(route *routeState, neverRan bool) {
-	route.neverRan, route.failedAt, route.hearsay = neverRan, s.now, false
+	route.neverRan, route.failedAt, route.ejectedByPeers = neverRan, s.now, false
 	refusals := ejectionRefusals + int(ejectionNoDelivery.Seconds()*min(1, route.sends.rate(s.now)))
 	unanswered := s.now-route.newestDelivered > ejectionNoDelivery && (route.failureStreak > 0 && !neverRan ||
 		route.refusalStreak >= refusals && (route.reportedLimit == 0 || route.reportedRemaining > plentyRemaining))
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -82,7 +82,7 @@
 	if route.health != healthy {
 		rate, burst = s.outagePace(route, rate, burst)
 	}
-	if maxRate := s.maxRate(route); !math.IsInf(maxRate, 1) {
+	if maxRate := s.boundedRate(route); !math.IsInf(maxRate, 1) {
 		rate, burst = min(cmp.Or(rate, maxRate), maxRate), min(burst, 1+2*tickInterval.Seconds()*maxRate)
 	}
 	if rate == 0 { // nothing is known of a limit yet
--- a/control/restore.go
+++ b/control/restore.go
@@ -192,7 +192,7 @@
 		tokens: x.Tokens, refilledAt: x.RefilledAt, rateLimit: x.RateLimit, waitUntil: x.WaitUntil, lastWait: x.LastWait,
 		retryAt: x.RetryAt, refusedAt: x.RefusedAt,
 		reportedLimit: x.ReportedLimit, reportedRemaining: x.ReportedRemaining, reportedAt: x.ReportedAt, extraShare: x.ExtraShare,
-		unhealthyElsewhere: x.Flags&1 != 0, mayProbe: x.Flags&2 != 0, hearsay: x.Flags&4 != 0}
+		unhealthyAtPeers: x.Flags&1 != 0, isProbeTurn: x.Flags&2 != 0, ejectedByPeers: x.Flags&4 != 0}
 }
 
 func (x LatencySnapshot) restore() latencyTable {
--- a/control/shared_limits.go
+++ b/control/shared_limits.go
@@ -84,10 +84,10 @@
 	return limit * s.share(route.extraShare)
 }
 
-// maxRate is the calls a second that route must never exceed: of the operator's bound, and of its limit where senders share that. Where
+// boundedRate is the calls a second that route must never exceed: of the operator's bound, and of its limit where senders share that. Where
 // others have found it down, only the sender whose turn it is probes it; the rest do so all together once a second, since that one may
 // be dead.
-func (s *Sender) maxRate(route *routeState) float64 {
+func (s *Sender) boundedRate(route *routeState) float64 {
 	rate := math.Inf(1)
 	if route.destination.maxRate > 0 {
 		rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))
@@ -98,7 +98,7 @@
 	if route.reportedLimit > 0 {
 		rate = min(rate, max(s.fairRate(route, route.reportedLimit), minSharedRate))
 	}
-	if route.unhealthyElsewhere && !route.mayProbe && route.probesOnly() && s.now < s.lease.expiry {
+	if route.unhealthyAtPeers && !route.isProbeTurn && route.probesOnly() && s.now < s.lease.expiry {
 		rate = min(rate, 1/float64(s.settings.Peers))
 	}
 	return rate
@@ -121,7 +121,7 @@
 	s.lease = &lease{shared.GuaranteedShare, shared.LeaseExpiry, shared.KeepsGuaranteed}
 	for _, dest := range s.destinationOrder {
 		for _, route := range dest.routes {
-			route.extraShare, route.unhealthyElsewhere, route.mayProbe = 0, false, false
+			route.extraShare, route.unhealthyAtPeers, route.isProbeTurn = 0, false, false
 		}
 	}
 	for i := range s.quotas {
@@ -145,7 +145,7 @@
 
 // applyGrant takes what is granted of one route, and what others have seen of it. A sender's own newer evidence goes first.
 func (s *Sender) applyGrant(route *routeState, grant *Grant) {
-	route.extraShare, route.unhealthyElsewhere, route.mayProbe = grant.ExtraShare, grant.Unhealthy, grant.MayProbe
+	route.extraShare, route.unhealthyAtPeers, route.isProbeTurn = grant.ExtraShare, grant.Unhealthy, grant.MayProbe
 	if reportedAt := s.now - grant.LimitAge; grant.Limit > 0 && reportedAt > route.reportedAt+ownReportValidity {
 		if route.reportedLimit > 0 && route.rateLimit > 0 {
 			route.rateLimit *= min(1, grant.Limit/route.reportedLimit)
@@ -162,9 +162,9 @@
 	case grant.Unhealthy && route.newestDelivered < seenAt && !route.probesOnly() && route.failedAt < seenAt:
 		failedAt := route.failedAt
 		s.restrictToProbes(route, ejected)
-		route.failedAt, route.hearsay = max(failedAt, seenAt), true
+		route.failedAt, route.ejectedByPeers = max(failedAt, seenAt), true
 	case grant.Healthy && route.health == ejected && route.failedAt < seenAt:
-		route.failureStreak, route.resetStreak, route.refusalStreak, route.retryAt, route.hearsay = 0, 0, 0, 0, false
+		route.failureStreak, route.resetStreak, route.refusalStreak, route.retryAt, route.ejectedByPeers = 0, 0, 0, 0, false
 		route.tokens, route.refilledAt = s.random(), s.now
 		s.setHealth(route, recovering)
 		route.healthSince = seenAt
@@ -221,7 +221,7 @@
 		seen.Limit = 0
 	}
 	switch {
-	case r.health == ejected && !r.hearsay:
+	case r.health == ejected && !r.ejectedByPeers:
 		seen.Unhealthy, seen.HealthAge = true, now-r.failedAt
 	case r.newestDelivered > 0 && !r.probesOnly():
 		seen.Healthy, seen.HealthAge = true, now-r.newestDelivered
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -170,7 +170,7 @@
 	r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}, {ID: 2}}})
 	r.lend(0.05, r.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
 	d := r.sender.endpoints[2].route
-	if d.extraShare != 0 || d.unhealthyElsewhere || d.reportedLimit != 0 {
+	if d.extraShare != 0 || d.unhealthyAtPeers || d.reportedLimit != 0 {
 		t.Errorf("it begins with %+v", d)
 	}
 	r.calls(2*time.Second, 100)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -138,7 +138,7 @@
 	ReportedRemaining float64       `cbor:"24,keyasint,omitempty"`
 	LastWait          time.Duration `cbor:"25,keyasint,omitempty"`
 	ExtraShare        float64       `cbor:"26,keyasint,omitempty"`
-	Flags             uint8         `cbor:"27,keyasint,omitempty"` // unhealthyElsewhere, mayProbe, hearsay, from the lowest bit
+	Flags             uint8         `cbor:"27,keyasint,omitempty"` // unhealthyAtPeers, isProbeTurn, ejectedByPeers, from the lowest bit
 }
 
 // RemovedEndpointSnapshot is an endpoint that was forgotten, or never known, and that a message has run at.
@@ -308,7 +308,7 @@
 		Tokens: r.tokens, RateLimit: r.rateLimit, RefilledAt: r.refilledAt, NewestDelivered: r.newestDelivered,
 		RefusedAt: r.refusedAt, ReportedAt: r.reportedAt, RetryAt: r.retryAt, InFlight: r.inFlight, LateCalls: r.lateCalls,
 		ReportedLimit: r.reportedLimit, ReportedRemaining: r.reportedRemaining, LastWait: r.lastWait, ExtraShare: r.extraShare,
-		Flags: flagBit(r.unhealthyElsewhere, 0) | flagBit(r.mayProbe, 1) | flagBit(r.hearsay, 2)}
+		Flags: flagBit(r.unhealthyAtPeers, 0) | flagBit(r.isProbeTurn, 1) | flagBit(r.ejectedByPeers, 2)}
 }
 
 func (t *latencyTable) export() LatencySnapshot {
