--- a/internal/tier/group/cluster_test.go
+++ b/internal/tier/group/cluster_test.go
@@ -48,6 +48,7 @@
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
+	t.Helper()
 	c := emptyCluster(t)
 	c.begin(names...)
 	return c
@@ -55,6 +56,7 @@
 
 // emptyCluster is one without members, to be set up otherwise than usual.
 func emptyCluster(t *testing.T) *cluster {
+	t.Helper()
 	return &cluster{t: t, groups: map[string]*group.Group{}, isolated: map[string]bool{}, disks: map[string]*memorydisk.Disk{},
 		machines: map[string]group.StateMachine{}, newMachine: func() group.StateMachine { return &commandList{} }}
 }
--- a/internal/tier/group/options.go
+++ b/internal/tier/group/options.go
@@ -23,14 +23,15 @@
 	ReceiveLimiter *SnapshotLimiter
 	// QueueBudget bounds the bytes that are queued at all members that share it. Nil: one of its own, of 4 MiB.
 	QueueBudget *QueueBudget
-	// CompactionBytes is the length of the log from which on a snapshot replaces it. A larger one writes the state more
-	// seldom, and costs disk, memory and time of a restart. 0: 1 MiB.
+	// CompactionBytes is the length of the log from which on a snapshot replaces it; it is at least a quarter of the last
+	// snapshot's length, and twice as much while a snapshot is sent or received. A larger one writes the state more seldom,
+	// and costs disk, memory and time of a restart. 0: 1 MiB.
 	CompactionBytes int64
 	Logger          log.Logger
 	// Clock must be monotonic. Nil: the time since Open.
 	Clock func() time.Duration
-	// OnStatusChange is called on the member's goroutine after a change of leader, term or members. It must not block. May
-	// be nil.
+	// OnStatusChange is called after a change of leader, term or members: by Open at first, then on the member's goroutine.
+	// It must not block. May be nil.
 	OnStatusChange func(status replica.Status)
 }
 
--- a/internal/tier/group/single_test.go
+++ b/internal/tier/group/single_test.go
@@ -25,22 +25,22 @@
 }
 
 // newSingle opens member a of a group of those names.
-func newSingle(t *testing.T, compactBytes int64, names ...string) *singleMember {
+func newSingle(t *testing.T, compactionBytes int64, names ...string) *singleMember {
 	t.Helper()
 	s := &singleMember{t: t, disk: memorydisk.New(), machine: &commandList{}}
 	var members []replica.Member
 	for _, name := range names {
 		members = append(members, member(name))
 	}
-	s.open(members, compactBytes)
+	s.open(members, compactionBytes)
 	return s
 }
 
-func (s *singleMember) open(initial []replica.Member, compactBytes int64) {
+func (s *singleMember) open(initial []replica.Member, compactionBytes int64) {
 	s.t.Helper()
 	own := member("a")
 	opened, err := group.Open(group.Options{
-		Name: "g", Disk: s.disk, StateMachine: s.machine, Logger: log.NewNopLogger(), CompactionBytes: compactBytes,
+		Name: "g", Disk: s.disk, StateMachine: s.machine, Logger: log.NewNopLogger(), CompactionBytes: compactionBytes,
 		Clock:          func() time.Duration { return s.now },
 		Send:           func(_ string, envelope group.Envelope) { s.sent = append(s.sent, envelope.Message) },
 		OnStatusChange: func(status replica.Status) { s.changes = append(s.changes, status) },
