--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -17,13 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mastusher/internal/tier/apierror"
-	"mastusher/internal/tier/configuration"
 	"mastusher/internal/tier/group"
-	"mastusher/internal/tier/membership"
 	"mastusher/internal/tier/metrics"
 	"mastusher/internal/tier/rollout"
 	"mastusher/internal/tier/storage/memorydisk"
-	"mastusher/internal/tier/view"
 )
 
 const (
@@ -347,85 +344,6 @@
 	}
 }
 
-// TestAPI_NoLeader_NotReady asks a controller whose group has no leader.
-func TestAPI_NoLeader_NotReady(t *testing.T) {
-	b := newFixture(t, memorydisk.New(), nil)
-	for _, request := range []struct{ method, path, body string }{
-		{http.MethodPut, settingsPath, document(3)},
-		{http.MethodGet, settingsPath, ""},
-		{http.MethodPost, "/mastusher/rollouts", `{"service":"lm","target":"v2","overS":12}`},
-		{http.MethodGet, "/mastusher/rollouts/lm", ""},
-		{http.MethodPost, "/mastusher/retire/storage-1", `{"overS":10}`},
-		{http.MethodGet, "/mastusher/retire/storage-1", ""},
-	} {
-		t.Run(request.method+" "+request.path, func(t *testing.T) {
-			wantStatus(t, b.send(request.method, request.path, request.body, "If-Match", "0"), http.StatusServiceUnavailable)
-		})
-	}
-}
-
-// TestAPI_Follower_RedirectsToLeader asks each of three controllers.
-func TestAPI_Follower_RedirectsToLeader(t *testing.T) {
-	c := newCluster(t, 4)
-	c.awaitPlacement()
-	leader := c.leader()
-	taken := mustMarshal(t, json.RawMessage(document(3)))
-	c.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
-	c.run(500 * time.Millisecond)
-	for _, m := range c.sorted() {
-		if m.controller == nil || m == leader {
-			continue
-		}
-		b := &fixture{Controller: m.controller}
-		answer := b.put("3", document(8)+strings.Repeat(" ", 1<<20))
-		wantStatus(t, answer, http.StatusTemporaryRedirect)
-		if got, want := answer.Header().Get("Location"), "http://"+leader.member.Control+settingsPath; got != want {
-			t.Errorf("%s sends to %s, want %s", m.member.Name, got, want)
-		}
-		wantStatus(t, b.send(http.MethodGet, "/mastusher/retire/a?b=c", ""), http.StatusTemporaryRedirect)
-
-		// What it knows to have been taken it acknowledges by itself.
-		wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	}
-
-	// When the leader is dead, there is nowhere to send to.
-	leader.kill()
-	c.run(deathDelay + clusterStep)
-	for _, m := range c.sorted() {
-		if m.controller != nil && m != leader && !m.controller.Group().Status().IsLeader && m.controller.Group().Status().Leader != "" {
-			b := &fixture{Controller: m.controller}
-			if got := b.send(http.MethodGet, settingsPath, "").Header().Get("Location"); strings.Contains(got, leader.member.Control) {
-				t.Errorf("%s still sends to the dead leader", m.member.Name)
-			}
-		}
-	}
-}
-
-// TestAPI_NonMember_RedirectsToPeer asks a controller that isn't in the group.
-func TestAPI_NonMember_RedirectsToPeer(t *testing.T) {
-	b := newFixture(t, memorydisk.New(), func(options *Options) { options.Initial = nil })
-	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
-
-	self := b.fleet.Members()[0]
-	self.Incarnation = 1
-	dead := controllerMember("core-2", "dead", "10.0.0.2:7000", "10.0.0.2:8144")
-	dead.State = membership.StateDead
-	old, young := controllerMember("core-3", "old", "10.0.0.3:7000", "10.0.0.3:8144"), controllerMember("core-4", "young", "10.0.0.4:7000", "10.0.0.4:8144")
-	old.Incarnation, young.Incarnation = 5, 9
-	b.fleet.set(self, dead, young, old, storeMember(1))
-	answer := b.send(http.MethodGet, settingsPath, "")
-	wantStatus(t, answer, http.StatusTemporaryRedirect)
-	if got, want := answer.Header().Get("Location"), "http://10.0.0.3:8144"+settingsPath; got != want {
-		t.Errorf("sent to %s, want %s", got, want)
-	}
-	// The next callers are sent to the others in turn: that one may not be in the group either, and send them back here.
-	for _, want := range []string{"10.0.0.4", "10.0.0.3"} {
-		if got := b.send(http.MethodGet, settingsPath, "").Header().Get("Location"); !strings.Contains(got, want) {
-			t.Errorf("sent to %s, want %s", got, want)
-		}
-	}
-}
-
 func TestAPI_GroupErrors_KeepCause(t *testing.T) {
 	c := &Controller{}
 	cause := context.DeadlineExceeded
@@ -450,20 +368,3 @@
 		})
 	}
 }
-
-func TestPublish_EachChangeOnce(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	b.Publish()
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	b.Publish()
-	b.Publish()
-	wantStatus(t, b.send(http.MethodPost, "/mastusher/rollouts", `{"service":"lm","target":"v2","overS":12}`), http.StatusOK)
-	b.Publish()
-	var sections []view.Section
-	for _, piece := range b.fleet.published {
-		sections = append(sections, piece.Section)
-	}
-	if diff := cmp.Diff([]view.Section{view.ConfigurationSection, view.RolloutsSection}, sections); diff != "" {
-		t.Errorf("published sections (-want +got):\n%s", diff)
-	}
-}
--- /dev/null
+++ b/internal/tier/controller/cluster_machine_test.go
@@ -0,0 +1,140 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"mastusher/internal/tier/group"
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/replica"
+	"mastusher/internal/tier/settings"
+	"mastusher/internal/tier/storage/memorydisk"
+	"mastusher/internal/tier/store"
+	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wire"
+)
+
+// testMachine is one machine with its disk; what runs on it is replaced at each start.
+type testMachine struct {
+	cluster           *cluster
+	member            membership.Member
+	disk              *memorydisk.Disk
+	starts            int
+	running           bool
+	skew              time.Duration // of its time of day
+	frozen            bool
+	partitionedAt     time.Duration     // when it was partitioned from all others; 0: it isn't
+	advertised        membership.Member // as the others know it
+	known             bool              // to the others
+	membershipChanges int
+	diskFree          time.Duration // when its disk has done what it was asked for
+	linkFree          time.Duration // when its link has taken what was sent
+	inboxFree         time.Duration // when its link has brought what was sent to it
+	busy              map[*group.Group]time.Duration
+	broken            map[*group.Group]bool // by their disk
+	diskFault         diskFault
+	staleUpdate       *view.Update // the placement that it hears in place of the newest
+	controller        *Controller
+	reconcileDue      time.Duration
+	store             *store.Store
+	groups            []*group.Group
+}
+
+// applyNewest hands a store the newest placement.
+func (m *testMachine) applyNewest() {
+	update, known := m.cluster.updates[view.PlacementSection]
+	if m.staleUpdate != nil {
+		update = *m.staleUpdate
+	}
+	if known && m.isReachable() && m.store != nil {
+		m.store.ApplyUpdate(update)
+	}
+}
+
+// start starts the machine's process.
+func (m *testMachine) start() {
+	c := m.cluster
+	c.starts++
+	m.starts++
+	m.running, m.groups, m.controller, m.store = true, nil, nil, nil
+	m.busy, m.diskFree = map[*group.Group]time.Duration{}, 0
+	m.broken = map[*group.Group]bool{}
+	m.member.Incarnation = uint64(m.starts)
+	m.markAlive()
+	generation := m.starts
+	send := func(address string, envelope group.Envelope) {
+		if m.running && m.starts == generation {
+			m.send(address, envelope)
+		}
+	}
+	clock := func() time.Duration {
+		c.nowMutex.Lock()
+		defer c.nowMutex.Unlock()
+		return c.now
+	}
+	if m.member.Role == membership.Store {
+		m.store = store.New(c.t.Context(), store.Options{ID: m.member.ID, Address: m.member.Address, Disk: m.disk, Logger: log.NewNopLogger(),
+			Seed: uint64(c.starts), Now: c.time, Send: send, Clock: clock, RunGroup: func(opened *group.Group) { m.groups = append(m.groups, opened) },
+			AfterFunc: c.after, QueryMembers: m.queryStore})
+		if err := m.store.Recover(); err != nil {
+			m.retryStart(err)
+			return
+		}
+		c.after(spreadDelay, m.applyNewest)
+		return
+	}
+	var initial []replica.Member
+	for _, other := range c.sorted() {
+		if other.member.Role == membership.Controller && m.starts == 1 && !strings.HasSuffix(m.member.ID, "anew") {
+			initial = append(initial, replica.Member{ID: other.member.ID, Address: other.member.Address})
+		}
+	}
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.environment.faultTolerance}},
+		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), SendMessage: send, Clock: clock,
+		Now:        func() time.Time { return c.time().Add(m.skew) },
+		QueryStore: m.queryStore})
+	if err != nil {
+		m.retryStart(err)
+		return
+	}
+	m.controller, m.reconcileDue = opened, c.now
+	m.groups = []*group.Group{opened.Group()}
+}
+
+// queryStore has a store report on the groups that it leads; one that is out of reach doesn't answer.
+func (m *testMachine) queryStore(address string, done func(wire.ShardMembersResponse, error)) {
+	asked := m.cluster.machines[address]
+	if asked != nil && asked.isReachable() && !asked.frozen && asked.store != nil && m.isReachable() {
+		asked.store.ReportMembers(func(answer wire.ShardMembersResponse) { done(answer, nil) })
+	}
+}
+
+// kill ends the machine's process; membership notices later.
+func (m *testMachine) kill() {
+	m.running, m.frozen = false, false
+	m.disk.Kill()
+	m.markFailed()
+}
+
+// wipe kills the machine and starts it with an empty disk and a new identity.
+func (m *testMachine) wipe() {
+	m.kill()
+	m.disk = memorydisk.New()
+	m.member.ID = fmt.Sprintf("%s-%d-anew", m.member.ID, m.starts)
+	m.start()
+}
+
+func (m *testMachine) runGroups() {
+	for _, running := range m.groups {
+		if err := m.runGroup(running); err != nil {
+			m.cluster.t.Fatalf("%s: %v", m.member.Name, err)
+		}
+	}
+	if m.controller != nil && m.cluster.now >= m.reconcileDue {
+		m.reconcileDue = m.cluster.now + m.controller.Reconcile(m.cluster.time())
+		m.controller.Publish()
+	}
+}
--- a/internal/tier/controller/decommission_api_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -87,9 +87,9 @@
 		b.fleet.set(storeMembers(4)...)
 		now := time.Now()
 		b.watchFor(now.Add(-down), 13*time.Second)
-		gone := storeMember(4)
-		gone.State = membership.StateDead
-		b.fleet.set(append(storeMembers(3), gone)...)
+		removed := storeMember(4)
+		removed.State = membership.StateDead
+		b.fleet.set(append(storeMembers(3), removed)...)
 		b.watchFor(now, down)
 		wantStatus(t, b.send(http.MethodPost, path, `{"overS":10}`), want)
 	}
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -33,11 +33,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			piece, changed, err := publisher.update(test.endpoints, test.term)
+			update, changed, err := publisher.update(test.endpoints, test.term)
 			if err != nil || changed != (test.want != view.Stamp{}) {
 				t.Fatalf("changed %v, %v", changed, err)
 			}
-			if diff := cmp.Diff(test.want, piece.Stamp); diff != "" {
+			if diff := cmp.Diff(test.want, update.Stamp); diff != "" {
 				t.Errorf("stamp (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -57,9 +57,9 @@
 }
 
 // Publish implements Fleet.
-func (s machineFleet) Publish(piece view.Update) {
+func (s machineFleet) Publish(update view.Update) {
 	if s.machine.isReachable() {
-		s.machine.cluster.Publish(piece)
+		s.machine.cluster.Publish(update)
 	}
 }
 
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -99,11 +99,11 @@
 }
 
 // wait lets time pass until the condition holds.
-func (c *faultyCluster) wait(what string, most time.Duration, holds func() bool) {
+func (c *faultyCluster) wait(what string, limit time.Duration, condition func() bool) {
 	c.t.Helper()
-	for end := c.now + most; !holds(); c.step() {
+	for end := c.now + limit; !condition(); c.step() {
 		if c.now > end {
-			c.t.Fatalf("%s: not within %v", what, most)
+			c.t.Fatalf("%s: not within %v", what, limit)
 		}
 	}
 }
@@ -298,10 +298,10 @@
 }
 
 // retryUntilClear calls until the answer is a clear one, or time-out ends.
-func (o *operator) retryUntilClear(attempts int, try func() (clear bool)) bool {
+func (o *operator) retryUntilClear(attempts int, attempt func() (clear bool)) bool {
 	pause := minBackoff
 	for range attempts {
-		if try() {
+		if attempt() {
 			return true
 		}
 		o.sleep(pause)
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -43,10 +43,10 @@
 	return f.members
 }
 
-func (f *fleet) Publish(piece view.Update) {
+func (f *fleet) Publish(update view.Update) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.published = append(f.published, piece)
+	f.published = append(f.published, update)
 }
 
 func (f *fleet) set(members ...membership.Member) {
@@ -88,9 +88,9 @@
 	disk  *memorydisk.Disk
 }
 
-func testOptions(disk *memorydisk.Disk, surroundings *fleet) Options {
+func testOptions(disk *memorydisk.Disk, fleetOfTest *fleet) Options {
 	return Options{ID: selfID, Address: selfAddress, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: 1}},
-		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: surroundings, Reader: &list{},
+		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: fleetOfTest, Reader: &list{},
 		Logger: log.NewNopLogger(), Seed: 1,
 		QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}}
 }
@@ -98,8 +98,8 @@
 // newFixture opens a controller without running it.
 func newFixture(t testing.TB, disk *memorydisk.Disk, change func(*Options)) *fixture {
 	t.Helper()
-	surroundings := &fleet{members: []membership.Member{controllerMember("core-1", selfID, selfAddress, "10.0.0.1:8144")}}
-	options := testOptions(disk, surroundings)
+	fleetOfTest := &fleet{members: []membership.Member{controllerMember("core-1", selfID, selfAddress, "10.0.0.1:8144")}}
+	options := testOptions(disk, fleetOfTest)
 	if change != nil {
 		change(&options)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fixture{Controller: opened, fleet: surroundings, disk: disk}
+	return &fixture{Controller: opened, fleet: fleetOfTest, disk: disk}
 }
 
 // startFixture runs the group of a controller that is its only member, and waits until that leads it. Its loops don't run.
--- a/internal/tier/controller/large_configuration_test.go
+++ b/internal/tier/controller/large_configuration_test.go
@@ -144,7 +144,7 @@
 // Given an order of many routes, then no member's turn around it takes a quarter of the election time-out on the smallest
 // machine, and the leader stays the same. The shortest of some tries is taken, since the collector may work in any of them.
 func TestLargeConfiguration_HeartbeatsNotDelayed(t *testing.T) {
-	const tries = 5
+	const attempts = 5
 	for _, routes := range []int{517, 2000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
 			runtime.LockOSThread()
@@ -153,8 +153,8 @@
 			leader := l.leader()
 			term := leader.Status().Term
 			shortest := time.Hour
-			for try := range uint64(tries) {
-				shortest = min(shortest, l.take(largeOrder(try, routes, 0)))
+			for attempt := range uint64(attempts) {
+				shortest = min(shortest, l.take(largeOrder(attempt, routes, 0)))
 			}
 			if shortest > maxTurn {
 				t.Errorf("a turn takes %v, over %v", shortest, maxTurn)
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -108,12 +108,12 @@
 
 // published is the version of the newest list that was published.
 func (r *leaderWithPeers) published() int {
-	pieces := r.fleet.published
-	if len(pieces) == 0 {
+	updates := r.fleet.published
+	if len(updates) == 0 {
 		return 0
 	}
 	var list view.EndpointList
-	if err := json.Unmarshal(pieces[len(pieces)-1].Body, &list); err != nil {
+	if err := json.Unmarshal(updates[len(updates)-1].Body, &list); err != nil {
 		r.t.Fatal(err)
 	}
 	return len(list.Endpoints)
@@ -125,9 +125,9 @@
 	if status := r.group.Status(); !status.IsLeader || status.Term != term {
 		r.t.Errorf("the ownership moved: %+v, was term %d", status, term)
 	}
-	for i, piece := range r.fleet.published {
-		if piece.Stamp.Term != term || i > 0 && !r.fleet.published[i-1].Stamp.Less(piece.Stamp) {
-			r.t.Errorf("update %d has the stamp %v", i, piece.Stamp)
+	for i, update := range r.fleet.published {
+		if update.Stamp.Term != term || i > 0 && !r.fleet.published[i-1].Stamp.Less(update.Stamp) {
+			r.t.Errorf("update %d has the stamp %v", i, update.Stamp)
 		}
 	}
 }
@@ -201,19 +201,19 @@
 // wantRate checks that whoever reads, reads follow each other: two in any 700 ms at most, where the reader changes.
 func (r *leaderWithPeers) wantRate() {
 	r.t.Helper()
-	const most = 2
-	for i := most; i < len(r.platform.calls); i++ {
-		if i > initialReads && r.platform.calls[i].Sub(r.platform.calls[i-most]) < listReadInterval {
-			r.t.Errorf("%d reads within %v", most+1, r.platform.calls[i].Sub(r.platform.calls[i-most]))
+	const limit = 2
+	for i := limit; i < len(r.platform.calls); i++ {
+		if i > initialReads && r.platform.calls[i].Sub(r.platform.calls[i-limit]) < listReadInterval {
+			r.t.Errorf("%d reads within %v", limit+1, r.platform.calls[i].Sub(r.platform.calls[i-limit]))
 		}
 	}
 }
 
 // TestEndpoints_NewTerm_DropsEarlierReads has a controller own the group, lose it, and own it again much later.
 func TestEndpoints_NewTerm_DropsEarlierReads(t *testing.T) {
-	gone := endpoint("gone", 0)
-	gone.Address = "10.1.0.9:8080"
-	reader := &list{endpoints: []model.Endpoint{gone, endpoint("b", 0)}}
+	removed := endpoint("gone", 0)
+	removed.Address = "10.1.0.9:8080"
+	reader := &list{endpoints: []model.Endpoint{removed, endpoint("b", 0)}}
 	c := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	var publisher EndpointPublisher
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -5,8 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -63,9 +61,6 @@
 // coreKinds are played in turn, seed by seed.
 var coreKinds = []coreKind{{group: 3}, {group: 5, lost: 0.02}, {group: 3, lost: 0.05, slowDisk: 60 * time.Millisecond}}
 
-// link is one direction between two machines.
-type link struct{ from, to int }
-
 // coreMachine is one controller.
 type coreMachine struct {
 	core       *core
@@ -221,114 +216,6 @@
 	}
 }
 
-func (c *core) deliver(w link, envelope group.Envelope) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.blocked[w] {
-		c.delayed[w] = append(c.delayed[w], envelope)
-		if len(c.delayed[w]) > maxDelayedMessages {
-			c.delayed[w] = c.delayed[w][1:]
-		}
-		return
-	}
-	if c.random.Float64() < c.kind.lost {
-		return
-	}
-	delay := coreLatency + time.Duration(c.random.Int64N(int64(coreLatency)))
-	time.AfterFunc(delay, func() {
-		to := c.machines[w.to]
-		to.waitWhileFrozen()
-		to.controller.Group().Deliver(envelope.Message)
-		to.wakeUp()
-	})
-}
-
-// setBlocked begins or ends a partition of some ways. What it has held up arrives after its end.
-func (c *core) setBlocked(blocked bool, ways ...link) {
-	for _, w := range ways {
-		c.mutex.Lock()
-		c.blocked[w] = blocked
-		held := c.delayed[w]
-		if !blocked {
-			delete(c.delayed, w)
-		}
-		c.mutex.Unlock()
-		for _, envelope := range held {
-			if !blocked {
-				c.deliver(w, envelope)
-			}
-		}
-	}
-	c.updateReachability()
-}
-
-// freeze stops a machine, and thaw lets it go on.
-func (c *core) freeze(number int) {
-	c.mutex.Lock()
-	c.machines[number].thawed = make(chan struct{})
-	c.mutex.Unlock()
-	c.updateReachability()
-}
-
-func (c *core) thaw(number int) {
-	c.mutex.Lock()
-	close(c.machines[number].thawed)
-	c.mutex.Unlock()
-	c.updateReachability()
-}
-
-// updateReachability notes who is in whose reach, directly or through others.
-func (c *core) updateReachability() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	now := time.Now()
-	for from := range c.machines {
-		reached := c.reachedFrom(from)
-		for to := range c.machines {
-			w := link{from, to}
-			_, unseen := c.unreachableSince[w]
-			switch {
-			case !reached[to] && !unseen:
-				c.unreachableSince[w] = now
-				delete(c.reachableAt, w)
-			case reached[to] && unseen && c.reachableAt[w].IsZero():
-				c.reachableAt[w] = now.Add(rejoinTime)
-			}
-		}
-	}
-}
-
-func (c *core) reachedFrom(from int) map[int]bool {
-	reached := map[int]bool{from: true}
-	for again := true; again; {
-		again = false
-		for a := range c.machines {
-			for b := range c.machines {
-				if reached[a] && !reached[b] && !c.blocked[link{a, b}] && !c.blocked[link{b, a}] && c.isRunning(a) && c.isRunning(b) {
-					reached[b], again = true, true
-				}
-			}
-		}
-	}
-	return reached
-}
-
-func (c *core) isRunning(number int) bool {
-	select {
-	case <-c.machines[number].thawed:
-		return true
-	default:
-		return false
-	}
-}
-
-// isDead tells whether membership of one machine takes another for dead. The caller holds the mutex.
-func (c *core) isDead(w link) bool {
-	since, unseen := c.unreachableSince[w]
-	back := c.reachableAt[w]
-	return unseen && time.Since(since) > failureDetectionTime && (back.IsZero() || time.Now().Before(back))
-}
-
 // Members implements Fleet. A machine that is out of reach of all others takes the stores for dead too.
 func (m *coreMachine) Members() []membership.Member {
 	c := m.core
@@ -361,83 +248,6 @@
 // Publish implements Fleet.
 func (m *coreMachine) Publish(view.Update) {}
 
-// callResult is what a caller got at the end of a call, after redirects.
-type callResult struct {
-	method, path string
-	order        *sentOrder // of a PUT
-	began, ended time.Time
-	first        int // machine that was called
-	code         int // 0: none in time
-	body         string
-	redirects    []redirectHop
-}
-
-// redirectHop is one redirect.
-type redirectHop struct {
-	at   time.Time
-	from int
-	to   string
-}
-
-// call makes a call as the operator does.
-func (c *core) call(first int, method, path, body string, base string) *callResult {
-	a := &callResult{method: method, path: path, began: time.Now(), first: first}
-	defer func() { a.ended = time.Now() }()
-	machine := c.machines[first]
-	for range maxRedirectsFollowed + 1 {
-		recorder := machine.exchange(method, path, body, base)
-		if recorder == nil {
-			return a
-		}
-		a.code, a.body = recorder.Code, recorder.Body.String()
-		if a.code != http.StatusTemporaryRedirect {
-			return a
-		}
-		location := recorder.Header().Get("Location")
-		a.redirects = append(a.redirects, redirectHop{at: time.Now(), from: machine.number, to: location})
-		for _, other := range c.machines {
-			if strings.Contains(location, other.member.Control) {
-				machine = other
-			}
-		}
-	}
-	return a
-}
-
-// exchange has a machine answer; nil: not within the caller's time-out.
-func (m *coreMachine) exchange(method, path, body, base string) *httptest.ResponseRecorder {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-	defer cancel()
-	answered := make(chan *httptest.ResponseRecorder, 1)
-	go func() {
-		m.waitWhileFrozen()
-		if ctx.Err() != nil && method == http.MethodPost {
-			return // its connection is closed by now. Late repeats of such orders have rules of their own
-		}
-		m.count(1)
-		defer m.count(-1)
-		request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
-		request.Header.Set("If-Match", base)
-		recorder := httptest.NewRecorder()
-		m.handler.ServeHTTP(recorder, request)
-		m.waitWhileFrozen() // nothing leaves a machine that is frozen
-		answered <- recorder
-	}()
-	select {
-	case recorder := <-answered:
-		return recorder
-	case <-ctx.Done():
-		return nil
-	}
-}
-
-func (m *coreMachine) count(change int) {
-	m.core.mutex.Lock()
-	m.calls += change
-	m.core.mutex.Unlock()
-	m.wakeUp()
-}
-
 // leader is the machine that leads the group, once there is one.
 func (c *core) leader() int {
 	c.t.Helper()
--- a/internal/tier/controller/reconciler_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -59,14 +59,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			planner := NewReconciler(3)
+			reconciler := NewReconciler(3)
 			now := time.UnixMilli(1_700_000_000_000)
-			planner.Tracker().Observe(now, []membership.Member{first, second, third}, 1)
+			reconciler.Tracker().Observe(now, []membership.Member{first, second, third}, 1)
 			for passed := time.Duration(0); passed <= test.passed; passed += 500 * time.Millisecond {
 				now = now.Add(500 * time.Millisecond)
-				planner.Tracker().Observe(now, test.members, 1)
+				reconciler.Tracker().Observe(now, test.members, 1)
 			}
-			got := planner.desiredControllers(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.answers})
+			got := reconciler.desiredControllers(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.answers})
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("members (-want +got):\n%s", diff)
 			}
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -17,11 +17,11 @@
 // fill brings so many bytes of state into each shard, in updates.
 func (r *repair) fill(bytesOfShard int) {
 	r.t.Helper()
-	const piece = 100_000
+	const update = 100_000
 	for shard := range r.placement().Shards {
-		for at := 0; at < bytesOfShard; at += piece {
+		for at := 0; at < bytesOfShard; at += update {
 			begin := program.BeginTurn{Turn: fmt.Sprintf("fill-%d-%d", shard, at), AtMs: r.time().UnixMilli(), Remembered: true, KeepForS: 3600,
-				Input: bytes.Repeat([]byte{byte(at)}, min(piece, bytesOfShard-at))}
+				Input: bytes.Repeat([]byte{byte(at)}, min(update, bytesOfShard-at))}
 			r.proposeToShard(shard, program.Command{Begin: &begin}, program.Accepted)
 		}
 	}
@@ -30,13 +30,13 @@
 
 // held is how many bytes of state the store with the most replicas holds, for each byte in a shard.
 func (r *repair) held() int {
-	most := 0
+	limit := 0
 	for _, m := range r.sorted() {
 		if m.member.Role == membership.Store {
-			most = max(most, len(m.groups))
+			limit = max(limit, len(m.groups))
 		}
 	}
-	return most
+	return limit
 }
 
 // TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are complete again. The bound is
--- a/internal/tier/controller/surplus_replicas_restart_test.go
+++ b/internal/tier/controller/surplus_replicas_restart_test.go
@@ -14,7 +14,7 @@
 	c.run(deathDelay + 6*time.Second)
 	c.until("groups are complete", 5*time.Second, c.isComplete)
 	c.storage(1).start()
-	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
+	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
 
 	// when it starts again, then it doesn't begin with them.
 	c.storage(1).kill()
@@ -44,7 +44,7 @@
 			c.run(deathDelay + 6*time.Second)
 			c.storage(2).start()
 			c.until("groups are complete again", 10*time.Second, c.isComplete)
-			c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
+			c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
 			c.wantTurns(turns)
 		})
 	}
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// holdsMoreThanPlaced names a store that runs replicas of shards which the newest placement doesn't want there; empty: none.
-func (c *cluster) holdsMoreThanPlaced() string {
+// hasSurplusReplicas names a store that runs replicas of shards which the newest placement doesn't want there; empty: none.
+func (c *cluster) hasSurplusReplicas() string {
 	for _, m := range c.sorted() {
 		if m.store == nil || !m.running {
 			continue
@@ -29,7 +29,7 @@
 
 	// when it comes back, then it holds only what it is to hold: what it had takes no memory.
 	c.storage(1).start()
-	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
+	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
 	c.wantTurns(turns)
 
 	// And when another one is lost, then it takes replicas again, also of shards that it once held, and nothing is lost.
@@ -39,6 +39,6 @@
 	if len(shardsOf(c.placement(), c.storage(1).member.ID)) == 0 {
 		t.Error("the store that came back holds nothing")
 	}
-	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.holdsMoreThanPlaced() == "" })
+	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
 	c.wantTurns(turns)
 }
