--- a/internal/tier/apierror/apierror_test.go
+++ b/internal/tier/apierror/apierror_test.go
@@ -94,7 +94,7 @@
 		"judged anew":                     {New(NoEndpoint, "all asked: %w", refused), NoEndpoint},
 		"joined, the unsure one last":     {errors.Join(refused, unsure), MayHaveExecuted},
 		"joined, the unsure one first":    {errors.Join(unsure, refused), MayHaveExecuted},
-		"joined promises":                 {errors.Join(io.EOF, refused, NoRoute), EndpointRefused},
+		"joined, both not executed":       {errors.Join(io.EOF, refused, NoRoute), EndpointRefused},
 		"joined by multierr":              {multierr.Append(refused, unsure), MayHaveExecuted},
 		"joined by trace":                 {trace.NewAggregate(refused, unsure), MayHaveExecuted},
 		"joined errors of no kind":        {errors.Join(io.EOF, io.ErrNoProgress), Internal},
--- a/internal/tier/dedup/mutants_test.go
+++ b/internal/tier/dedup/mutants_test.go
@@ -28,7 +28,7 @@
 			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "clocks are taken to agree",
+			Name: "clocks are assumed to agree",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "clockSkew = 5 * time.Second",
--- a/internal/tier/identity/identity_test.go
+++ b/internal/tier/identity/identity_test.go
@@ -76,7 +76,7 @@
 			if err := disk.Corrupt("configuration.log-0", 20); err != nil {
 				t.Fatal(err)
 			}
-			// when the start that notices it is cut off by a loss of power,
+			// when the start that notices it is interrupted by a loss of power,
 			disk.CrashAt(change, memorydisk.Applied)
 			_, _ = identity.LoadOrCreate(disk, address, false)
 			disk.LosePower(seed)
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			if recovered.HardState.Term != 3 {
-				t.Fatalf("cut off at change %d, power lost by seed %d: the vote is forgotten under the old identity", change, seed)
+				t.Fatalf("crash at change %d, power lost by seed %d: the vote is forgotten under the old identity", change, seed)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 	// then it is another member, without any group.
 	if got == id {
-		t.Error("it is the same member, though it may have forgotten what it promised")
+		t.Error("it is the same member, though it may have forgotten its votes")
 	}
 	if names, err := storage.ListGroups(disk); err != nil || len(names) > 0 {
 		t.Errorf("it holds %v (%v)", names, err)
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -77,12 +77,12 @@
 	complete := document(2)
 	for end := range len(complete) {
 		if _, err := form.Parse(complete[:end]); err == nil {
-			t.Fatalf("taken though cut after %d bytes", end)
+			t.Fatalf("accepted though truncated after %d bytes", end)
 		}
 	}
 	for _, more := range []string{"x", "{}", "}", "\x00", ","} {
 		if _, err := form.Parse(append(complete[:len(complete):len(complete)], more...)); err == nil {
-			t.Errorf("taken with %q behind it", more)
+			t.Errorf("accepted with %q behind it", more)
 		}
 	}
 	if _, err := form.Parse(append(complete[:len(complete):len(complete)], " \r\n\t"...)); err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Given one processor, when a large document is read, then others get their turn again and again: heartbeats are among them.
+// Given one processor, when a large document is read, then other goroutines run in between: heartbeats are among them.
 func TestParse_LargeDocument_YieldsToOtherGoroutines(t *testing.T) {
 	const routes, elementsBetween = 2000, 64
 	raw := document(routes)
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -118,7 +118,7 @@
 func TestDecode_DocumentTruncatedAnywhere_IsRefused(t *testing.T) {
 	for length := range len(document) {
 		if got, err := Decode([]byte(document[:length])); err == nil {
-			t.Fatalf("cut at %d: got %v", length, got)
+			t.Fatalf("truncated at %d: got %v", length, got)
 		}
 	}
 }
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -30,7 +30,7 @@
 func TestCheck_ValidConfigurations_HaveNoErrors(t *testing.T) {
 	complete := document(3)
 	cases := map[string]string{
-		"whole":                     complete,
+		"complete":                  complete,
 		"no routes":                 `{"number":1,"routes":[],"services":[]}`,
 		"an unknown field":          replaced(t, `{"number":7`, `{"brandNew":{"a":[null]},"number":7`),
 		"an unknown field below":    replaced(t, `"rank":1`, `"rank":1,"brandNew":"x"`),
@@ -67,7 +67,7 @@
 		raw    string
 		fields []string
 	}{
-		"cut short":           {document(3)[:200], []string{""}},
+		"truncated":           {document(3)[:200], []string{""}},
 		"bytes after it":      {document(3) + "x", []string{""}},
 		"nothing":             {"", []string{""}},
 		"number 0":            {replaced(t, `"number":7`, `"number":0`), []string{"number"}},
@@ -132,7 +132,7 @@
 	group.Wait()
 }
 
-// What the plain rules refuse is refused here too, and what is taken here passes them.
+// What the rules refuse is refused here too, and what is accepted here passes them.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(document(2)))
 	f.Add([]byte(`{"number":1,"routes":[],"services":[]}`))
@@ -140,10 +140,10 @@
 		err := Check(raw)
 		decoded, unread := model.Decode(raw)
 		if unread == nil && err == nil && model.Validate(decoded) != nil {
-			t.Fatal("taken though it breaks a rule")
+			t.Fatal("accepted though it breaks a rule")
 		}
 		if (unread != nil) && err == nil {
-			t.Fatal("taken though it can't be read")
+			t.Fatal("accepted though it can't be parsed")
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no field error", err)
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads the settings file of a process (YAML): its identity and role, where it listens, the limits of what it may use,
-// and the service-level bounds that it is held to. Unknown keys are ignored; each missing or invalid value is an error that names
+// and the service-level bounds. Unknown keys are ignored; each missing or invalid value is an error that names
 // its key, and all errors are returned together. The keys are the operators' interface and must not change. A process reads its file
 // once, at its start; the values are read-only afterwards.
 package settings
--- a/internal/tier/storage/corruption_test.go
+++ b/internal/tier/storage/corruption_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Given a compacted group, when one of its files is missing, then the disk is refused and not taken for empty.
+// Given a compacted group, when one of its files is missing, then the disk is corrupt and not empty.
 func TestOpen_FileMissing_IsCorrupt(t *testing.T) {
 	for _, name := range []string{firstSlot, secondLog} {
 		m := compactedMember(t)
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -87,7 +87,7 @@
 const failures = 8
 
 // Given a disk on which any one operation of a step fails, then the group has failed and asks nothing more of the disk, a
-// failed sync least of all. What the next process recovers lasts, even though the failed sync's writes never will.
+// failed sync least of all. What the next process recovers is durable, even though the failed sync's writes never will.
 func TestGroup_DiskOperationFails_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Remaining: 2, Bytes: 90}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/storage/identity_test.go
+++ b/internal/tier/storage/identity_test.go
@@ -22,14 +22,14 @@
 	}
 	for seed := range uint64(10) {
 		disk.LosePower(seed)
-		again, created, err := storage.LoadOrCreateIdentity(disk, random(0xcd))
-		if err != nil || created || again != first {
-			t.Fatalf("got %q, %v and %v, want %q", again, created, err, first)
+		later, created, err := storage.LoadOrCreateIdentity(disk, random(0xcd))
+		if err != nil || created || later != first {
+			t.Fatalf("got %q, %v and %v, want %q", later, created, err, first)
 		}
 	}
 }
 
-// Given a first start that crashes at any change, when the machine starts again, then it has one identity that lasts, and
+// Given a first start that crashes at any change, when the machine starts again, then it has one durable identity, and
 // one that was returned stays.
 func TestIdentity_CrashAtAnyChange_StaysOnceReturned(t *testing.T) {
 	for change := range 6 {
--- a/internal/tier/storage/memorydisk/disk_test.go
+++ b/internal/tier/storage/memorydisk/disk_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Given writes and cuts since the last sync, when power is lost, then each is there, missing or torn, and what was synced
+// Given writes and truncations since the last sync, when power is lost, then each is there, missing or torn, and what was synced
 // stays.
 func TestLosePower_UnsyncedWrites_AreThereMissingOrTorn(t *testing.T) {
 	long := strings.Repeat("x", 200)
@@ -108,21 +108,21 @@
 		if !strings.HasPrefix(text, "synced") {
 			t.Fatalf("what was synced is gone: %q", text)
 		}
-		kinds["whole"] = kinds["whole"] || text == "synced"+long+"end"
+		kinds["complete"] = kinds["complete"] || text == "synced"+long+"end"
 		kinds["none"] = kinds["none"] || text == "synced"
 		kinds["first only"] = kinds["first only"] || text == "synced"+long
 		kinds["second only"] = kinds["second only"] || text == "synced"+strings.Repeat("\x00", len(long))+"end"
 		kinds["beginning"] = kinds["beginning"] || (len(text) > 6 && len(text) < 206 && strings.Trim(text[6:], "x") == "")
-		kinds["pieces"] = kinds["pieces"] || strings.Contains(text, "\x00x")
+		kinds["sectors"] = kinds["sectors"] || strings.Contains(text, "\x00x")
 	}
-	for _, kind := range []string{"whole", "none", "first only", "second only", "beginning", "pieces"} {
+	for _, kind := range []string{"complete", "none", "first only", "second only", "beginning", "sectors"} {
 		if !kinds[kind] {
 			t.Errorf("no loss of power left %s", kind)
 		}
 	}
 }
 
-// Given names that were made, renamed and removed since the folder's last sync, when power is lost, then each is as it was
+// Given names that were created, renamed and removed since the directory's last sync, when power is lost, then each is as it was
 // or as it became, by itself.
 func TestLosePower_UnsyncedNames_AreKeptOrLost(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -119,13 +119,13 @@
 }
 
 // Given a member that has received a chunk of a snapshot, when another one than the next comes, or it is to be installed before it is
-// whole, then that is refused and what was saved stays.
+// complete, then that is refused and what was saved stays.
 func TestSave_ChunkOutOfOrder_Fails(t *testing.T) {
 	snapshot := snapshotAt(9, 1, 3)
 	chunks := chunksOf(snapshot)
 	for name, ready := range map[string]replica.Ready{
 		"a gap":                   {ReceivedChunks: chunks[2:3]},
-		"the same again":          {ReceivedChunks: []replica.Chunk{{Number: 1, Data: chunks[1].Data}, {Number: 1, Data: chunks[1].Data}}},
+		"the same twice":          {ReceivedChunks: []replica.Chunk{{Number: 1, Data: chunks[1].Data}, {Number: 1, Data: chunks[1].Data}}},
 		"installed early":         {ReceivedChunks: chunks[1:2], Snapshot: snapshot},
 		"installed shorter":       {ReceivedChunks: chunks[1:4], Snapshot: snapshotAt(9, 1, 2)},
 		"installed and truncated": {ReceivedChunks: chunks[1:4], Snapshot: snapshot, TruncateFrom: 10},
@@ -163,7 +163,7 @@
 		if err := truncateFile(m.disk, firstSlot, size); err != nil {
 			t.Fatal(err)
 		}
-		wantCorrupt(t, m, "slot cut", size)
+		wantCorrupt(t, m, "slot truncated", size)
 	}
 	frames := framesOf(complete)
 	if len(frames) != 5 {
