--- a/cmd/plugin-benchmark/main.go
+++ b/cmd/plugin-benchmark/main.go
@@ -175,7 +175,7 @@
 	all.Clear(last(&all))
 	tasks, err := os.ReadDir("/proc/self/task")
 	for _, t := range tasks {
-		if id, err := strconv.Atoi(t.Name()); err == nil {
+		if id, parseErr := strconv.Atoi(t.Name()); parseErr == nil {
 			_ = unix.SchedSetaffinity(id, &all)
 		}
 	}
@@ -235,7 +235,7 @@
 		address, filepath.Join(dir, "state"), disco.Address, seed, ends.Known("club-sites", "a"),
 		strings.ReplaceAll(plugins, "CAPTURES", filepath.Join(dir, "captures")), settings)
 	file := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	if err = os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
 	relay, err := start(o.relay, file, filepath.Join(dir, "log"), last(&o.cpus))
--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -168,10 +168,10 @@
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(out, 0o700); err != nil {
+	if err = os.MkdirAll(out, 0o700); err != nil {
 		return err
 	}
-	if err := plan.Write(filepath.Join(out, "scenario.toml")); err != nil {
+	if err = plan.Write(filepath.Join(out, "scenario.toml")); err != nil {
 		return err
 	}
 	r, err := testcluster.Play(plan, relay, out, cmd.ErrOrStderr())
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -133,7 +133,7 @@
 			return fmt.Errorf("field setup: %w", err)
 		}
 		in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
-		if err := in.stop(); err != nil || l.record == "" {
+		if err = in.stop(); err != nil || l.record == "" {
 			return err
 		}
 		l.recorded++
--- a/cmd/tier-soak/main.go
+++ b/cmd/tier-soak/main.go
@@ -88,10 +88,10 @@
 		return false, err
 	}
 	folder := filepath.Join(p.folder, fmt.Sprintf("seed-%d", seed))
-	if err := os.RemoveAll(folder); err != nil {
+	if err = os.RemoveAll(folder); err != nil {
 		return false, err
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err = os.MkdirAll(folder, 0o755); err != nil {
 		return false, err
 	}
 	report, err := os.Create(filepath.Join(folder, "report.log"))
--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -42,15 +42,15 @@
 	Text    string        `json:"text,omitempty"`
 }
 
-// Breach is an invariant that a history breaks.
-type Breach struct {
+// BreachError is an invariant that a history breaks.
+type BreachError struct {
 	Rule  string
 	Entry Entry
 	Text  string
 	Index int // of the entry in the history sorted by time
 }
 
-func (b *Breach) Error() string {
+func (b *BreachError) Error() string {
 	return fmt.Sprintf("breach of %q at %v by %s: %s", b.Rule, b.Entry.At.Round(time.Microsecond), b.Entry.Relay, b.Text)
 }
 
@@ -82,7 +82,7 @@
 }
 
 // Judge returns the first breach in a history; nil: it keeps all rules.
-func Judge(history []Entry, o Options) *Breach {
+func Judge(history []Entry, o Options) *BreachError {
 	h := slices.Clone(history)
 	slices.SortStableFunc(h, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
 	type word struct {
@@ -95,8 +95,8 @@
 	acted := map[uint64]Entry{}
 	ends := map[string]string{}
 	for i, e := range h {
-		fail := func(rule, format string, args ...any) *Breach {
-			return &Breach{rule, e, fmt.Sprintf(format, args...), i}
+		fail := func(rule, format string, args ...any) *BreachError {
+			return &BreachError{rule, e, fmt.Sprintf(format, args...), i}
 		}
 		switch e.Kind {
 		case Acted:
@@ -135,17 +135,17 @@
 	if o.Ends {
 		for i, e := range h {
 			if e.Kind == Taken && ends[e.ID] == "" {
-				return &Breach{OneEnd, e, e.ID + " was taken on and has no end", i}
+				return &BreachError{OneEnd, e, e.ID + " was taken on and has no end", i}
 			}
 		}
 	}
 	for _, b := range o.Bounds {
 		if i, over := b.broken(h); over > 0 {
-			return &Breach{Limit, h[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
+			return &BreachError{Limit, h[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
 		}
 	}
 	if e, ok := register(h, o.Slack); !ok && !o.Serves {
-		return &Breach{Register, e, "the changes, their bases and the versions acted on fit no order", len(h) - 1}
+		return &BreachError{Register, e, "the changes, their bases and the versions acted on fit no order", len(h) - 1}
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 
 var model = porcupine.Model{
 	Init: func() any { return uint64(0) },
-	Step: func(state, input, output any) (bool, any) {
+	Step: func(state, input, _ any) (bool, any) {
 		o := input.(op)
 		if o.read {
 			return state.(uint64) == o.version, state
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -1,6 +1,8 @@
-// Package consensus is the engine of the fleet's agreement: raft's pure core with a log in memory, elections on a clock that is
-// handed in, and all that must be on disk handed out. It does no I/O, reads no clock and starts no goroutine; the same
-// inputs and seed give the same outputs.
+// Package consensus wraps raft's pure core (go.etcd.io/raft) for the voters of a relay fleet: the log is in memory, elections go
+// by a clock that is handed in, and all that must be on disk is handed out in Ready before anything that depends on it.
+//
+// An Engine does no I/O, reads no clock, starts no goroutine and isn't safe for concurrent use; the same inputs and seed give
+// the same outputs. Package node drives it.
 package consensus
 
 import (
@@ -85,15 +87,15 @@
 	return e, nil
 }
 
-// Bootstrap returns the only member of a new group, whose state is data.
-func Bootstrap(id, seed uint64, name string, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
+// Bootstrap returns the only member of a new group, whose log begins with a snapshot of data at index and term.
+func Bootstrap(id, seed uint64, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
 	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{Voters: []uint64{id}}}
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: e.confState, Index: &index, Term: &term}}
 	if err := e.store.ApplySnapshot(snap); err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	if err := e.store.SetHardState(&pb.HardState{Term: &term, Commit: &index}); err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	e.applied, e.snapshotIndex, e.imageStale = index, index, true
 	if err := e.start(now); err != nil {
@@ -109,7 +111,7 @@
 		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: 1 << 20, MaxInflightMsgs: 8, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, Logger: discardLogger{}})
 	if err != nil {
-		return fmt.Errorf("agree: %w", err)
+		return fmt.Errorf("consensus: %w", err)
 	}
 	e.leaderSeenAt, e.heartbeatAt = now, now
 	e.electionTimeout = e.randomElectionTimeout()
@@ -127,7 +129,7 @@
 // recoverPanic turns a panic of raft's into an error: it guards itself so against what a sound log can't hold.
 func (e *Engine) recoverPanic(err *error) {
 	if r := recover(); r != nil {
-		*err = fmt.Errorf("agree: %v", r)
+		*err = fmt.Errorf("consensus: %v", r)
 		e.fatal = *err
 	}
 }
@@ -141,7 +143,7 @@
 	return s.GetData()
 }
 
-// LogPosition is how far this member's log goes.
+// Position is how far this member's log goes.
 func (e *Engine) Position() LogPosition {
 	last, _ := e.store.LastIndex()
 	return LogPosition{e.node.BasicStatus().GetTerm(), last}
@@ -158,8 +160,10 @@
 // Leader is who leads, as far as is known; 0: nobody.
 func (e *Engine) Leader() uint64 { return e.node.BasicStatus().Lead }
 
-// Voters are the members with a say, and Learners those without.
-func (e *Engine) Voters() []uint64   { return e.confState.GetVoters() }
+// Voters are the members that count for a majority.
+func (e *Engine) Voters() []uint64 { return e.confState.GetVoters() }
+
+// Learners are the members that copy the log and don't count.
 func (e *Engine) Learners() []uint64 { return e.confState.GetLearners() }
 
 // InJointConfig tells whether a change of members is under way.
@@ -190,15 +194,15 @@
 // changes nothing.
 func (e *Engine) Receive(now time.Duration, data []byte) (shown LogPosition, err error) {
 	m := &pb.Message{}
-	if err := proto.Unmarshal(data, m); err != nil {
-		return shown, fmt.Errorf("agree: %w", err)
+	if err = proto.Unmarshal(data, m); err != nil {
+		return shown, fmt.Errorf("consensus: %w", err)
 	}
 	if m.GetTo() != e.ID {
-		return shown, errors.New("agree: a message for another member")
+		return shown, errors.New("consensus: a message for another member")
 	}
 	switch m.GetType() {
 	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgStorageAppend, pb.MsgStorageApply:
-		return shown, errors.New("agree: a message that members don't send each other")
+		return shown, errors.New("consensus: a message that members don't send each other")
 	case pb.MsgVote, pb.MsgPreVote:
 		// Whoever hears a leader, or is one that a majority hears, lets nobody else come between.
 		if e.IsLeader() && now-e.readConfirmedAt < ElectionTimeout || !e.IsLeader() && e.Leader() != 0 && now-e.leaderSeenAt < ElectionTimeout {
@@ -219,7 +223,7 @@
 	defer e.recoverPanic(&err)
 	vote := e.node.BasicStatus().GetVote()
 	if err := e.node.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
-		return shown, fmt.Errorf("agree: %w", err)
+		return shown, fmt.Errorf("consensus: %w", err)
 	}
 	if v := e.node.BasicStatus().GetVote(); v != vote && v != 0 && v != e.ID {
 		e.leaderSeenAt = now // it gets its time to win
@@ -283,8 +287,8 @@
 	for e.node.HasReady() {
 		rd := e.node.Ready()
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := e.store.ApplySnapshot(rd.Snapshot); err != nil {
-				return out, fmt.Errorf("agree: %w", err)
+			if err = e.store.ApplySnapshot(rd.Snapshot); err != nil {
+				return out, fmt.Errorf("consensus: %w", err)
 			}
 			e.confState = rd.Snapshot.GetMetadata().GetConfState()
 			e.applied, e.snapshotIndex, e.imageStale = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), true
@@ -292,38 +296,38 @@
 			restore(out.Snapshot)
 		}
 		for _, en := range rd.Entries {
-			b, err := proto.Marshal(en)
-			if err != nil {
-				return out, fmt.Errorf("agree: %w", err)
+			encoded, entryErr := proto.Marshal(en)
+			if entryErr != nil {
+				return out, fmt.Errorf("consensus: %w", entryErr)
 			}
-			save.Entries = append(save.Entries, b)
-			e.bytesSinceSnapshot += len(b)
+			save.Entries = append(save.Entries, encoded)
+			e.bytesSinceSnapshot += len(encoded)
 		}
-		if err := e.store.Append(rd.Entries); err != nil {
-			return out, fmt.Errorf("agree: %w", err)
+		if err = e.store.Append(rd.Entries); err != nil {
+			return out, fmt.Errorf("consensus: %w", err)
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			if err := e.store.SetHardState(rd.HardState); err != nil {
-				return out, fmt.Errorf("agree: %w", err)
+			if err = e.store.SetHardState(rd.HardState); err != nil {
+				return out, fmt.Errorf("consensus: %w", err)
 			}
 			if save.HardState, err = proto.Marshal(rd.HardState); err != nil {
-				return out, fmt.Errorf("agree: %w", err)
+				return out, fmt.Errorf("consensus: %w", err)
 			}
 		}
 		for _, m := range rd.Messages {
-			b, err := proto.Marshal(m)
-			if err != nil {
-				return out, fmt.Errorf("agree: %w", err)
+			encoded, messageErr := proto.Marshal(m)
+			if messageErr != nil {
+				return out, fmt.Errorf("consensus: %w", messageErr)
 			}
-			out.Messages = append(out.Messages, Message{m.GetTo(), b})
+			out.Messages = append(out.Messages, Message{m.GetTo(), encoded})
 			if m.GetType() == pb.MsgSnap { // it is lost or not like any other: raft asks again
 				defer e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
 		for _, en := range rd.CommittedEntries {
-			c, err := e.toCommitted(en)
-			if err != nil {
-				return out, err
+			c, entryErr := e.toCommitted(en)
+			if entryErr != nil {
+				return out, entryErr
 			}
 			e.applied = en.GetIndex()
 			apply(c)
@@ -340,8 +344,8 @@
 	}
 	if e.applied-e.snapshotIndex >= snapshotEntries || e.membersChanged || e.bytesSinceSnapshot > snapshotBytes && e.applied > e.snapshotIndex {
 		e.membersChanged, e.bytesSinceSnapshot = false, 0
-		if _, err := e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
-			return out, fmt.Errorf("agree: %w", err)
+		if _, err = e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
+			return out, fmt.Errorf("consensus: %w", err)
 		}
 		// Some stay, so that whoever is a little behind needs no snapshot.
 		if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
@@ -377,7 +381,7 @@
 		cc = two
 	}
 	if err != nil {
-		return c, fmt.Errorf("agree: members: %w", err)
+		return c, fmt.Errorf("consensus: members: %w", err)
 	}
 	e.confState, e.membersChanged = e.node.ApplyConfChange(cc), true
 	c.Data, c.Names = nil, memberNames{}
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -40,10 +40,10 @@
 	if len(image.Snapshot) > 0 {
 		snap := &pb.Snapshot{}
 		if err := proto.Unmarshal(image.Snapshot, snap); err != nil {
-			return fmt.Errorf("agree: snapshot: %w", err)
+			return fmt.Errorf("consensus: snapshot: %w", err)
 		}
 		if err := e.store.ApplySnapshot(snap); err != nil {
-			return fmt.Errorf("agree: snapshot: %w", err)
+			return fmt.Errorf("consensus: snapshot: %w", err)
 		}
 		e.confState = snap.GetMetadata().GetConfState()
 		e.applied = snap.GetMetadata().GetIndex()
@@ -53,7 +53,7 @@
 	for _, b := range image.Entries {
 		en := &pb.Entry{}
 		if err := proto.Unmarshal(b, en); err != nil {
-			return fmt.Errorf("agree: entry: %w", err)
+			return fmt.Errorf("consensus: entry: %w", err)
 		}
 		if en.GetIndex() <= e.snapshotIndex {
 			continue
@@ -63,23 +63,23 @@
 			entries = slices.DeleteFunc(entries, func(o *pb.Entry) bool { return o.GetIndex() >= en.GetIndex() })
 		}
 		if n := len(entries); n > 0 && en.GetIndex() != entries[n-1].GetIndex()+1 || n == 0 && en.GetIndex() != e.snapshotIndex+1 {
-			return fmt.Errorf("agree: entry %d stands where another should", en.GetIndex())
+			return fmt.Errorf("consensus: entry %d stands where another should", en.GetIndex())
 		}
 		entries = append(entries, en)
 	}
 	if err := e.store.Append(entries); err != nil {
-		return fmt.Errorf("agree: %w", err)
+		return fmt.Errorf("consensus: %w", err)
 	}
 	if len(image.HardState) > 0 {
 		hard := &pb.HardState{}
 		if err := proto.Unmarshal(image.HardState, hard); err != nil {
-			return fmt.Errorf("agree: term and vote: %w", err)
+			return fmt.Errorf("consensus: term and vote: %w", err)
 		}
 		if last, _ := e.store.LastIndex(); hard.GetCommit() > last {
-			return fmt.Errorf("agree: entries up to %d were agreed on, and the log ends at %d", hard.GetCommit(), last)
+			return fmt.Errorf("consensus: entries up to %d were agreed on, and the log ends at %d", hard.GetCommit(), last)
 		}
 		if err := e.store.SetHardState(hard); err != nil {
-			return fmt.Errorf("agree: %w", err)
+			return fmt.Errorf("consensus: %w", err)
 		}
 	}
 	return nil
@@ -89,19 +89,19 @@
 func (e *Engine) Image() (*Image, error) {
 	hard, _, err := e.store.InitialState()
 	if err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	image := &Image{Complete: true}
 	if image.HardState, err = proto.Marshal(hard); err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	snap, err := e.store.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	if !raft.IsEmptySnap(snap) {
 		if image.Snapshot, err = proto.Marshal(snap); err != nil {
-			return nil, fmt.Errorf("agree: %w", err)
+			return nil, fmt.Errorf("consensus: %w", err)
 		}
 	}
 	last, _ := e.store.LastIndex()
@@ -114,12 +114,12 @@
 	}
 	entries, err := e.store.Entries(from, last+1, 1<<30)
 	if err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	for _, en := range entries {
 		b, err := proto.Marshal(en)
 		if err != nil {
-			return nil, fmt.Errorf("agree: %w", err)
+			return nil, fmt.Errorf("consensus: %w", err)
 		}
 		image.Entries = append(image.Entries, b)
 	}
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -87,7 +87,7 @@
 	case was.Incarnation == 0:
 	case p.Incarnation == was.Incarnation:
 		if p.Seq <= was.Seq {
-			return // formerRequests or twice
+			return // late, or a duplicate
 		}
 	case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:
 		// Of a former life, which a datagram that was long under way may be; not several new ones.
@@ -418,7 +418,7 @@
 	id := n.random() | 1
 	s.Index, s.Members = index, map[uint64]string{id: n.config.Name}
 	n.applied = s
-	e, err := consensus.Bootstrap(id, n.random(), n.config.Name, index, term, n.encodeState(), n.now)
+	e, err := consensus.Bootstrap(id, n.random(), index, term, n.encodeState(), n.now)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -165,11 +165,11 @@
 	Counts         map[string]int   `cbor:"12,keyasint,omitempty" json:"counts,omitempty"`
 	Quota          *QuotaStatus     `cbor:"14,keyasint,omitempty" json:"rights,omitempty"` // nil: nothing is shared
 	Totals         *quota.Totals    `cbor:"16,keyasint,omitempty" json:"-"`
-	Shared         []quota.KeyUsage `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // receivedAt the one that leads
-	Contradictions map[string]int   `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // receivedAt the one that leads: relays whose word stood against all others'
+	Shared         []quota.KeyUsage `cbor:"15,keyasint,omitempty" json:"shared,omitempty"` // at the leader
+	Contradictions map[string]int   `cbor:"13,keyasint,omitempty" json:"odd,omitempty"`    // at the leader: relays that contradicted all others'
 }
 
-// Quota is what a relay may spend of what the fleet shares.
+// QuotaStatus is what a relay may spend of what the fleet shares.
 type QuotaStatus struct {
 	LeaseNumber uint64        `cbor:"1,keyasint" json:"loan"`
 	Minimum     float64       `cbor:"2,keyasint" json:"floor"` // of 1, of each limit
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -72,7 +72,7 @@
 	nextCountersAt   time.Duration
 
 	// As a voter.
-	probation           bool // leaseUntil others have said what they remember of it
+	probation           bool // no vote until others have said which position they remember of it
 	positionAnswers     map[string]bool
 	startedAt           time.Duration
 	nextPositionQueryAt time.Duration
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"time"
@@ -10,10 +11,10 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// askAgain is how long an answer is waited for before the question is put once more: datagrams get lost.
-const askAgain = 300 * time.Millisecond
+// answerTimeout is how long an answer is waited for before the question is put once more: datagrams get lost.
+const answerTimeout = 300 * time.Millisecond
 
-// AdminRequest puts an operator's question to the relay of this configuration, on this machine, until it answers or ctx ends.
+// Ask puts an operator's question to the relay of this configuration, on this machine, until it answers or ctx ends.
 func Ask(ctx context.Context, cfg *config.Peers, q node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
@@ -30,13 +31,13 @@
 			return nil, err
 		}
 		_, _ = conn.Write(b) // lost, or nobody listens yet: once more
-		_ = conn.SetReadDeadline(time.Now().Add(askAgain))
+		_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
 		for ctx.Err() == nil {
 			n, err := conn.Read(buf)
 			if err != nil {
-				if ne, ok := err.(net.Error); !ok || !ne.Timeout() {
+				if netErr := net.Error(nil); !errors.As(err, &netErr) || !netErr.Timeout() {
 					select { // refused: the relay is not there yet
-					case <-time.After(askAgain / 3):
+					case <-time.After(answerTimeout / 3):
 					case <-ctx.Done():
 					}
 				}
--- a/internal/relay/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -52,7 +52,7 @@
 // and the member a new one.
 func openDisk(dir, fleet string, draw func() uint64) (d *disk, image *consensus.Image, why error, err error) {
 	d = &disk{dir: dir}
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
 	}
 	b, err := os.ReadFile(filepath.Join(dir, identityName))
@@ -71,7 +71,7 @@
 	}
 	d.id.Fleet = fleet
 	d.id.Generation++
-	if err := d.saveIdentity(); err != nil {
+	if err = d.saveIdentity(); err != nil {
 		return nil, nil, nil, err
 	}
 	if image == nil || d.member == 0 {
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.replace(logName, b); err != nil {
+	if err = d.replace(logName, b); err != nil {
 		return err
 	}
 	if d.file != nil {
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -96,9 +96,9 @@
 		return nil, &config.KeyError{Key: "peers.listen", Reason: err.Error()}
 	}
 	for name, address := range p.Addresses {
-		a, err := netip.ParseAddrPort(address)
-		if err != nil {
-			return nil, &config.KeyError{Key: "peers.others." + name, Reason: err.Error()}
+		a, parseErr := netip.ParseAddrPort(address)
+		if parseErr != nil {
+			return nil, &config.KeyError{Key: "peers.others." + name, Reason: parseErr.Error()}
 		}
 		f.addresses[name] = a
 	}
@@ -245,7 +245,7 @@
 		err = errFormerIncarnation
 	}
 	if err != nil {
-		if f.droppedFrames[err.Error()]++; err == errUnknownPeer && f.droppedFrames[err.Error()] == 1 {
+		if f.droppedFrames[err.Error()]++; errors.Is(err, errUnknownPeer) && f.droppedFrames[err.Error()] == 1 {
 			f.log.Warn("rejected message from unknown peer", "peer", fr.From, "address", p.from, "suppressed", "later ones")
 		}
 		return events
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -69,7 +69,7 @@
 				t.Errorf("%T: written %x, want %x; %v", want, encoded, golden, err)
 			}
 			read := reflect.New(reflect.TypeOf(formats[i]).Elem()).Interface()
-			if err := decoding.Unmarshal(golden, read); err != nil {
+			if err = decoding.Unmarshal(golden, read); err != nil {
 				t.Fatal(err)
 			}
 			again, err := cbor.Marshal(read)
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if *updateFormat {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
+		if err = os.WriteFile(file, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/relay/fleet/policy/state.go
+++ b/internal/relay/fleet/policy/state.go
@@ -57,7 +57,7 @@
 	Ticket  uint64   `cbor:"7,keyasint,omitempty"`
 }
 
-// PastChanges is how a change ended.
+// PastChange is how a change ended.
 type PastChange struct {
 	Version    uint64   `cbor:"1,keyasint" json:"version"` // 0: it never was one, another came first
 	Base       uint64   `cbor:"2,keyasint" json:"base"`
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -66,7 +66,7 @@
 			p = &keyState{limitAt: -1 << 62, verdicts: map[int]State{}, evidenceAt: map[int]time.Duration{}, probers: map[int]string{}}
 			l.keys[k] = p
 		}
-		p.observe(now, k, by[k])
+		p.observe(k, by[k])
 		l.judge(now, k, p, by[k])
 		l.allocate(k, p, by[k])
 	}
--- a/internal/relay/fleet/quota/counters.go
+++ b/internal/relay/fleet/quota/counters.go
@@ -20,6 +20,7 @@
 // MaxCounters is how many counters a relay has.
 const MaxCounters = 160
 
+// ErrCounters is returned for bytes that EncodeCounters can't have written.
 var ErrCounters = errors.New("quota: malformed counters")
 
 // EncodeCounters is counters as they go on the wire.
--- a/internal/relay/fleet/quota/encoding.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -14,7 +14,7 @@
 	probeFlag     = 0x80
 )
 
-// ErrListSize is a list of needs or parts that no relay has written.
+// ErrListSize is returned for a list of demands or shares whose length no encoder writes.
 var ErrListSize = errors.New("quota: length is no multiple of the entry size")
 
 // toFloat16 is a number in the 16 bits that go on the wire, rounded to zero: what is lent must not grow under way.
--- a/internal/relay/fleet/quota/lessee.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -64,10 +64,11 @@
 	}
 }
 
-// Demands takes what the relay needs now.
+// SetDemands takes what the relay needs now.
 func (p *Lessee) SetDemands(all []Demand) { p.demands = all }
 
-// Request is what a request says.
+// NextRequest returns the request that goes with the next request for the relay's own lease. Demands are sent with every
+// second one: a lost one is made up for by the next.
 func (p *Lessee) NextRequest(now time.Duration, zone int) *Request {
 	r := &Request{LeaseTerm: p.confirmed[0], LeaseNumber: p.confirmed[1], Zone: zone, NewestTerm: p.newestTerm}
 	if p.expires <= now { // what it was lent is over
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -6,7 +6,7 @@
 )
 
 // observe takes the newest limits and waits that relays tell.
-func (p *keyState) observe(now time.Duration, k Key, all []*relayState) {
+func (p *keyState) observe(k Key, all []*relayState) {
 	type told struct {
 		limit float64
 		at    time.Duration
--- a/internal/relay/fleet/simulation/case_test.go
+++ b/internal/relay/fleet/simulation/case_test.go
@@ -46,11 +46,11 @@
 	}
 }
 
-func (w *World) alone(r *Relay, on bool) {
+func (w *World) isolate(r *Relay) {
 	for _, o := range w.Relays {
 		if o != r {
-			w.Cut(r, o, on)
-			w.Cut(o, r, on)
+			w.Cut(r, o, true)
+			w.Cut(o, r, true)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}) {
 		t.Fatal("no lease is renewed")
 	}
-	w.alone(last, true)
+	w.isolate(last)
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
 	at := w.Now
 	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Stand.Version == 1 }) {
@@ -172,7 +172,7 @@
 		o := calm(3, 3, 7+seed)
 		w := formedWorld(t, o)
 		l, a, b := w.three(t)
-		w.alone(b, true) // the leader and one more are the majority
+		w.isolate(b) // the leader and one more are the majority
 		w.Run(100 * ms)
 		w.unsaved = a
 		w.Propose(l, 0, `{"format":1,"stamp":true}`)
@@ -217,7 +217,7 @@
 			}
 		}
 		w.Run(5 * ms)
-		w.alone(r, true)
+		w.isolate(r)
 		w.Propose(w.Relays[1], 0, `{"format":1}`)
 		w.Run(3 * o.Lease)
 		judge(t, w)
@@ -264,7 +264,7 @@
 		w := formedWorld(t, o)
 		l, a, b := w.three(t)
 		back := w.Copy(a)
-		w.alone(b, true)
+		w.isolate(b)
 		w.Run(100 * ms)
 		ticket := w.Propose(l, 0, `{"format":1,"stamp":true}`)
 		if !w.Await(5*o.Lease, func() bool { _, ok := w.End(ticket); return ok }) {
--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -12,7 +12,7 @@
 type Explored struct {
 	Tried  int
 	Choice string // that shows the breach
-	Breach *checker.Breach
+	Breach *checker.BreachError
 	Stuck  bool // all was well again, and the change neither took hold nor was dropped
 }
 
@@ -34,7 +34,7 @@
 		o := Options{Relays: relays, Voters: relays, Seed: 9, Lease: 2 * time.Second, Drift: 0.05, Delay: 500 * time.Microsecond, Acts: 10 * time.Millisecond}
 		if shares {
 			o.Kept, o.Acts, o.Serve = 0.25, 0, serve
-			o.Needs = func(w *World, r *Relay) []quota.Demand {
+			o.Needs = func(_ *World, r *Relay) []quota.Demand {
 				n := quota.Demand{Key: 1, Rate: 2, Value: 1, Limit: 100}
 				if r.No == busy {
 					n.Rate = 90
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -12,7 +12,7 @@
 // Result is how a random world fared.
 type Result struct {
 	Seed    uint64
-	Breach  *checker.Breach
+	Breach  *checker.BreachError
 	Stuck   string // what did not come about although all was well again
 	History []checker.Entry
 	Faults  map[string]int // that struck while a change was under way
@@ -154,9 +154,8 @@
 					w.Start(x)
 					w.Run(200 * time.Millisecond)
 					continue
-				} else {
-					w.Wipe(x)
 				}
+				w.Wipe(x)
 			}
 			w.Start(x)
 		}
--- a/internal/relay/fleet/simulation/share_test.go
+++ b/internal/relay/fleet/simulation/share_test.go
@@ -13,10 +13,11 @@
 var key = quota.KeyOf(quota.Destination, "p1")
 
 // sharing is a fleet in which relays want, of a limit of 100 a second, what want says.
-func sharing(relays, voters int, seed uint64, want func(r *Relay) float64) Options {
+func sharing(relays int, seed uint64, want func(r *Relay) float64) Options {
+	const voters = 3
 	o := calm(relays, voters, seed)
 	o.Kept, o.Zones = 0.25, 2
-	o.Needs = func(w *World, r *Relay) []quota.Demand {
+	o.Needs = func(_ *World, r *Relay) []quota.Demand {
 		return []quota.Demand{{Key: key, Rate: want(r), Value: 1, Limit: 100}}
 	}
 	return o
@@ -34,7 +35,7 @@
 // more it is theirs. Most of the limit is lent, and among equal needs parts are equal.
 func TestPartsFollowNeed(t *testing.T) {
 	busy := 0
-	w := formedWorld(t, sharing(6, 3, 1, func(r *Relay) float64 {
+	w := formedWorld(t, sharing(6, 1, func(r *Relay) float64 {
 		if r.No == busy {
 			return 60
 		}
@@ -57,7 +58,7 @@
 // that; the others have the rest soon after, and it has it again when it is back.
 func TestPartsOfTheSilent(t *testing.T) {
 	for _, serve := range []bool{false, true} {
-		o := sharing(5, 3, 2, func(r *Relay) float64 {
+		o := sharing(5, 2, func(r *Relay) float64 {
 			if r.No == 4 {
 				return 90
 			}
@@ -67,7 +68,7 @@
 		w := formedWorld(t, o)
 		last := w.Relays[4]
 		had := w.May(last, key)
-		w.alone(last, true)
+		w.isolate(last)
 		w.Run(o.Lease / 2)
 		if now := w.May(last, key); now < 0.9*had {
 			t.Errorf("serve %v: half a lease after it was cut off it has %.3f of %.3f", serve, now, had)
@@ -91,7 +92,7 @@
 
 // TestPartsOutlastLeader: when the one who leads dies, the others go on with what they hold; nobody falls to its floor.
 func TestPartsOutlastLeader(t *testing.T) {
-	w := formedWorld(t, sharing(6, 3, 3, func(r *Relay) float64 { return []float64{5, 5, 5, 60, 5, 5}[r.No] }))
+	w := formedWorld(t, sharing(6, 3, func(r *Relay) float64 { return []float64{5, 5, 5, 60, 5, 5}[r.No] }))
 	before, _ := w.parts()
 	w.Crash(w.leader(t))
 	least := 1.0
@@ -110,7 +111,7 @@
 // TestLiar: a relay that claims to hold everything after the one who led has died, wants everything, or says that all is down, costs
 // the others a lease of what they had at the most, and is named.
 func TestLiar(t *testing.T) {
-	o := sharing(7, 3, 4, func(r *Relay) float64 { return 20 })
+	o := sharing(7, 4, func(_ *Relay) float64 { return 20 })
 	down := o.Needs
 	o.Needs = func(w *World, r *Relay) []quota.Demand {
 		n := down(w, r)
@@ -144,7 +145,7 @@
 // a relay's delivery tells all; and no echo keeps a verdict alive.
 func TestVerdict(t *testing.T) {
 	sees := map[int]quota.State{}
-	o := sharing(8, 3, 5, nil)
+	o := sharing(8, 5, nil)
 	var at time.Duration
 	o.Needs = func(w *World, r *Relay) []quota.Demand {
 		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.No], StateAge: w.Now - at}}
@@ -213,11 +214,11 @@
 	}
 	for _, seed := range seeds {
 		d := rand.New(rand.NewPCG(seed, 9))
-		o := sharing(3+d.IntN(7), 3, seed, nil)
+		o := sharing(3+d.IntN(7), seed, nil)
 		o.Drift, o.Serve, o.Delay = 0.05, d.IntN(3) == 0, time.Duration(200+d.IntN(3000))*time.Microsecond
 		o.Loss, o.Twice = d.Float64()*0.3, d.Float64()*0.1
 		wants := make([]float64, o.Relays)
-		o.Needs = func(w *World, r *Relay) []quota.Demand {
+		o.Needs = func(_ *World, r *Relay) []quota.Demand {
 			n := []quota.Demand{{Key: key, Rate: wants[r.No], Value: 1, Limit: 100}}
 			for k := range r.No % 3 {
 				n = append(n, quota.Demand{Key: quota.Key(k + 1), Rate: wants[r.No], Value: float64(k + 1)})
@@ -300,7 +301,7 @@
 // needs. At no moment may more be spent than there is.
 func TestSharedRoster(t *testing.T) {
 	for _, serve := range []bool{false, true} {
-		o := sharing(6, 3, 90, func(r *Relay) float64 { return 30 })
+		o := sharing(6, 90, func(_ *Relay) float64 { return 30 })
 		o.Serve = serve
 		w := formedWorld(t, o)
 		gone := w.Relays[5]
@@ -335,14 +336,14 @@
 // TestClockBeyond: a clock that runs slower than the stated bound has its relay spend its part for as much longer than it may as the
 // clock is slow, and no longer.
 func TestClockBeyond(t *testing.T) {
-	o := sharing(5, 3, 91, func(r *Relay) float64 { return 40 })
+	o := sharing(5, 91, func(_ *Relay) float64 { return 40 })
 	w := formedWorld(t, o)
 	slow := w.Relays[4]
 	now := slow.clock(w.Now)
 	slow.rate = 0.7 // the bound is 0.05 either way
 	slow.off = float64(now) - float64(w.Now)*slow.rate
 	w.Run(2 * o.Lease)
-	w.alone(slow, true)
+	w.isolate(slow)
 	cut, most := w.Now, 0.0
 	var last time.Duration
 	for w.Now < cut+4*o.Lease {
@@ -359,7 +360,7 @@
 
 // TestDeaf: with messages five seconds under way no lease can be had: nobody acts, and nothing beyond the bound is spent.
 func TestDeaf(t *testing.T) {
-	o := sharing(5, 3, 92, func(r *Relay) float64 { return 40 })
+	o := sharing(5, 92, func(_ *Relay) float64 { return 40 })
 	w := formedWorld(t, o)
 	w.Delay = 5 * time.Second
 	w.Run(8 * time.Second)
@@ -377,7 +378,7 @@
 // TestPartsSteady: needs that only jitter by a tenth leave the parts where they are: no swing, and most words are the same as before.
 func TestPartsSteady(t *testing.T) {
 	jitter := rand.New(rand.NewPCG(1, 1))
-	w := formedWorld(t, sharing(8, 3, 93, func(r *Relay) float64 {
+	w := formedWorld(t, sharing(8, 93, func(r *Relay) float64 {
 		return []float64{40, 20, 5, 5, 5, 5, 5, 5}[r.No] * (0.9 + 0.2*jitter.Float64())
 	}))
 	least, most := 1.0, 0.0
--- a/internal/relay/fleet/simulation/sim.go
+++ b/internal/relay/fleet/simulation/sim.go
@@ -487,7 +487,7 @@
 // AllUnder tells whether every relay that runs acts under a version.
 func (w *World) AllUnder(version uint64) bool {
 	for _, r := range w.Relays {
-		if r.Node != nil && !(r.Stand.Version == version && r.Stand.Halted == 0 && r.Stand.Until > r.clock(w.Now)) {
+		if r.Node != nil && (r.Stand.Version != version || r.Stand.Halted != 0 || r.Stand.Until <= r.clock(w.Now)) {
 			return false
 		}
 	}
--- a/internal/relay/fleet/simulation/step_test.go
+++ b/internal/relay/fleet/simulation/step_test.go
@@ -100,7 +100,7 @@
 	o.Serve = true
 	w := formedWorld(t, o)
 	r := w.Relays[4]
-	w.alone(r, true)
+	w.isolate(r)
 	w.Run(3 * o.Lease)
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
 	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Stand.Version == 1 }) {
--- a/internal/relay/fleet/testcluster/play.go
+++ b/internal/relay/fleet/testcluster/play.go
@@ -25,7 +25,7 @@
 type Result struct {
 	Scenario Scenario
 	Begun    time.Time
-	Breach   *checker.Breach
+	Breach   *checker.BreachError
 	Stuck    string // what did not come about although all was well again
 	History  []checker.Entry
 	Struck   map[string]int // faults that were done while a change was under way
@@ -79,8 +79,11 @@
 			return nil, err
 		}
 	}
-	if st, err := f.Ask(f.Relays[0], node.AdminRequest{Op: "found"}, patience); err != nil || st.Error != "" {
-		return nil, fmt.Errorf("the fleet can't be founded: %v %v", st, err)
+	switch status, err := f.Ask(f.Relays[0], node.AdminRequest{Op: "found"}, patience); {
+	case err != nil:
+		return nil, fmt.Errorf("bootstrapping the fleet: %w", err)
+	case status.Error != "":
+		return nil, fmt.Errorf("bootstrapping the fleet: %s answers %q", f.Relays[0].Name, status.Error)
 	}
 	if !f.Await(patience, func() bool { return f.Act(0) }) {
 		res.Stuck = "not all relays act after the fleet was founded" + f.standing()
--- a/internal/relay/simulator/experiment/experiment_test.go
+++ b/internal/relay/simulator/experiment/experiment_test.go
@@ -51,7 +51,7 @@
 		t.Error("the sweep changes nothing")
 	}
 	file := filepath.Join(t.TempDir(), "results")
-	if err := res.Save(file); err != nil {
+	if err = res.Save(file); err != nil {
 		t.Fatal(err)
 	}
 	again, err := experiment.Load(file)
--- a/internal/tools/mutation/mutation_test.go
+++ b/internal/tools/mutation/mutation_test.go
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	binary := filepath.Join(scratch, "mutant.test")
-	if err := build(t.Context(), folder, overlay, binary); err != nil {
+	if err = build(t.Context(), folder, overlay, binary); err != nil {
 		t.Fatal(err)
 	}
 	_, err = runTests(t.Context(), folder, binary, "^TestEndless$", 100*time.Millisecond)
--- a/internal/tools/packages/main.go
+++ b/internal/tools/packages/main.go
@@ -34,11 +34,11 @@
 
 // check traces the build of one deploy file and judges its list.
 func check(path string) error {
-	deploy, err := readDeploy(path)
+	declared, err := readDeploy(path)
 	if err != nil {
 		return err
 	}
-	opened, err := traceBuild(deploy.Build)
+	opened, err := traceBuild(declared.Build)
 	if err != nil {
 		return err
 	}
@@ -46,9 +46,9 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(known.judge(opened, deploy.Packages)...); err != nil {
+	if err := errors.Join(known.judge(opened, declared.Packages)...); err != nil {
 		return err
 	}
-	fmt.Printf("%s: its %d packages, and what they depend on, own the %d files that the build opens\n", path, len(deploy.Packages), len(opened))
+	fmt.Printf("%s: its %d packages, and what they depend on, own the %d files that the build opens\n", path, len(declared.Packages), len(opened))
 	return nil
 }
--- a/internal/tools/packages/trace.go
+++ b/internal/tools/packages/trace.go
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	copied := filepath.Join(folder, "compiler")
-	if err := copyProgram(own, copied); err != nil {
+	if err = copyProgram(own, copied); err != nil {
 		return nil, err
 	}
 	redirected, err := withOutput(line, filepath.Join(folder, "made")+"/")
@@ -74,8 +74,8 @@
 	}
 	build := exec.Command("sh", "-c", redirected)
 	build.Env = append(os.Environ(), "CC="+copied, traceVariable+"="+folder)
-	if output, err := build.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("the build line fails: %w\n%s", err, output)
+	if output, buildErr := build.CombinedOutput(); buildErr != nil {
+		return nil, fmt.Errorf("the build line fails: %w\n%s", buildErr, output)
 	}
 	opened, err := readTraces(folder)
 	if err != nil {
