--- a/internal/tier/group/chunks_test.go
+++ b/internal/tier/group/chunks_test.go
@@ -209,7 +209,7 @@
 	sent := c.countChunks(nil)
 	c.join("d")
 	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
-	// when the leader falls silent in the middle of it,
+	// when the leader is partitioned in the middle of it,
 	old := c.leader()
 	c.isolated[old] = true
 	// then another one leads the group and sends its snapshot.
--- a/internal/tier/group/mutants_test.go
+++ b/internal/tier/group/mutants_test.go
@@ -15,7 +15,7 @@
 			Run:    "^TestCompact_SnapshotBeingSent_Waits$",
 		},
 		{
-			Name:   "a compaction waits for a transfer for ever",
+			Name:   "a compaction waits for a transfer without bound",
 			Change: mutation.Change{File: "compaction.go", Old: "bound *= transferBoundFactor", New: "return nil"},
 			Run:    "^TestCompact_SnapshotBeingSent_Waits$",
 		},
--- a/internal/tier/group/queue_test.go
+++ b/internal/tier/group/queue_test.go
@@ -30,12 +30,12 @@
 	// Given a member that has no iteration,
 	now := time.Duration(0)
 	g := openSingle(t, "g", &emptyMachine{}, nil, &now)
-	refused := 0
+	dropped := 0
 	propose := func() {
 		g.ProposeAsync(strings.Repeat("x", 1<<20), func(_ any, err error) {
 			var not *NotLeaderError
 			if errors.As(err, &not) && not.Dropped {
-				refused++
+				dropped++
 			}
 		})
 	}
@@ -44,17 +44,17 @@
 		propose()
 	}
 	// then those beyond the bound are certainly not proposed,
-	if refused < 6 || refused > 8 {
-		t.Errorf("%d of 10 commands of 1 MB were refused", refused)
+	if dropped < 6 || dropped > 8 {
+		t.Errorf("%d of 10 commands of 1 MB were dropped", dropped)
 	}
 	// and once it has had an iteration, more are taken.
 	if _, err := g.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
-	before := refused
+	before := dropped
 	propose()
-	if refused != before {
-		t.Error("a command was refused though nothing waits")
+	if dropped != before {
+		t.Error("a command was dropped though nothing is queued")
 	}
 }
 
@@ -72,13 +72,13 @@
 		first.Deliver(message())
 	}
 	if got := len(first.input.Messages); got != 2 {
-		t.Errorf("%d messages of 1 MB wait, want 2", got)
+		t.Errorf("%d messages of 1 MB are queued, want 2", got)
 	}
-	// then the second one still has room for one message, and for no more,
+	// then the second one may still queue one message, and no more,
 	second.Deliver(message())
 	second.Deliver(message())
 	if got := len(second.input.Messages); got != 1 {
-		t.Errorf("%d messages wait at the second one, want 1", got)
+		t.Errorf("%d messages are queued at the second one, want 1", got)
 	}
 	// until the first one has had an iteration.
 	if _, err := first.RunOnce(); err != nil {
@@ -86,13 +86,13 @@
 	}
 	second.Deliver(message())
 	if got := len(second.input.Messages); got != 2 {
-		t.Errorf("%d messages wait at the second one, want 2", got)
+		t.Errorf("%d messages are queued at the second one, want 2", got)
 	}
 	if _, err := second.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
 	if used := budget.used.Load(); used != 0 {
-		t.Errorf("%d bytes of the budget are in use though nothing waits", used)
+		t.Errorf("%d bytes of the budget are in use though nothing is queued", used)
 	}
 }
 
--- a/internal/tier/group/status_test.go
+++ b/internal/tier/group/status_test.go
@@ -20,9 +20,9 @@
 func TestStatus_LeaderNotHeard_IsNotNamed(t *testing.T) {
 	// Given a member that has a leader,
 	s := newSingle(t, 1<<30, "a", "b", "c")
-	heard := appendEntries(1, 0, 0, 0)
-	heard.To = member("a").ID
-	s.run(heard)
+	message := appendEntries(1, 0, 0, 0)
+	message.To = member("a").ID
+	s.run(message)
 	if got := s.group.Status().Leader; got != member("b").ID {
 		t.Fatalf("its leader is %q", got)
 	}
@@ -37,7 +37,7 @@
 		t.Errorf("it still names %q", got)
 	}
 	// until it hears of one again.
-	s.run(heard)
+	s.run(message)
 	if got := s.group.Status().Leader; got != member("b").ID {
 		t.Errorf("its leader is %q", got)
 	}
--- a/internal/tier/group/stop_test.go
+++ b/internal/tier/group/stop_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestStop_DiskFails_Ends(t *testing.T) {
-	// Given a leader whose disk fails, also when the member is to begin anew,
+	// Given a leader whose disk fails, also when the member is reopened,
 	s := newSingle(t, 0, "a")
 	s.becomeLeader()
 	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
--- a/internal/tier/replica/campaign_faults_test.go
+++ b/internal/tier/replica/campaign_faults_test.go
@@ -177,7 +177,7 @@
 	c.change(leaving, Member{ID: spare.id, Address: address(spare.slot)})
 }
 
-// change wants one member in place of another; an identity that is no target anyhow changes nothing.
+// change wants one member in place of another; an identity that is no target member changes nothing.
 func (c *campaign) change(leaving string, joining Member) {
 	remaining := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
 	if leaving != "" && len(remaining) == len(c.targetMembers) {
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -104,7 +104,7 @@
 	c.wake(n)
 }
 
-// clients hands proposals and reads to a member that believes itself the leader, at times to somebody else.
+// clients hands proposals and reads to a member that claims to lead, at times to somebody else.
 func (c *campaign) clients() {
 	n := c.nodes[c.random.IntN(len(c.nodes))]
 	if believers := c.claimedLeaders(); len(believers) > 0 && c.random.IntN(5) > 0 {
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -171,11 +171,11 @@
 	c.pending[token] = invocation{node: n.id, observed: c.observed, read: read}
 }
 
-// outcome looks at what a member tells its clients.
+// outcome looks at what a member reports to its clients.
 func (c *checker) outcome(n *node, outcome Outcome) {
 	call, known := c.pending[outcome.Token]
 	if !known {
-		c.fail("%s tells a second outcome of %d", n.id, outcome.Token)
+		c.fail("%s reports a second outcome of %d", n.id, outcome.Token)
 		return
 	}
 	delete(c.pending, outcome.Token)
@@ -222,7 +222,7 @@
 	c.observed = max(c.observed, at)
 }
 
-// forget drops what a member that was killed will never tell.
+// forget drops what a member that was killed will never report.
 func (c *checker) forget(id string) {
 	for token, call := range c.pending {
 		if call.node == id {
--- a/internal/tier/replica/confchange_replacement_test.go
+++ b/internal/tier/replica/confchange_replacement_test.go
@@ -13,7 +13,7 @@
 	t.Run("their inactivity is found out later", func(t *testing.T) { exchangeOneOfTwo(t, 0, []int{5, 6, 5}) })
 }
 
-func exchangeOneOfTwo(t *testing.T, silent time.Duration, want []int) {
+func exchangeOneOfTwo(t *testing.T, inactive time.Duration, want []int) {
 	t.Helper()
 	s := newSimulation(21, 5, 2, noFaults)
 	s.startAll()
@@ -25,7 +25,7 @@
 		s.kill(n)
 	}
 	s.kill(spares[1])
-	s.runFor(silent)
+	s.runFor(inactive)
 
 	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is lost.
 	s.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
@@ -54,7 +54,7 @@
 }
 
 // TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is lost that a replacement is to follow: the leader
-// gives no fourth vote before it knows that the member is silent.
+// gives no fourth vote before it knows that the member is inactive.
 func TestConfChange_NewLeader_RemovesInactiveVoterFirst(t *testing.T) {
 	s := newSimulation(22, 3, 1, noFaults)
 	s.startAll()
@@ -66,7 +66,7 @@
 	s.runFor(2 * testElection)
 	s.setTargetMembers(membersOf(first, others[1], spare))
 
-	// When the remaining two elect a leader anew, right before the replacement has caught up.
+	// When the remaining two elect a new leader, right before the replacement has caught up.
 	s.kill(first)
 	s.runFor(2 * testElection)
 	s.start(first)
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -28,15 +28,15 @@
 func TestPreVote_MemberWasPartitioned_DoesNotDeposeLeader(t *testing.T) {
 	s, first := newGroupWithLeader(t, 4, 3, 0)
 	term := first.replica.Status().Term
-	lonely := s.others(first)[0]
-	s.isolate(lonely)
+	isolated := s.others(first)[0]
+	s.isolate(isolated)
 	s.runFor(2 * time.Second)
 	s.heal()
 	s.runFor(2 * time.Second)
 	if s.leader() != first || first.replica.Status().Term != term {
 		t.Errorf("the leader changed from %s in %d to %v", first.id, term, s.leader())
 	}
-	if got := lonely.replica.Status(); got.Leader != first.id || got.Term != term {
+	if got := isolated.replica.Status(); got.Leader != first.id || got.Term != term {
 		t.Errorf("the member that came back follows %q in %d", got.Leader, got.Term)
 	}
 	s.requireSafe(t)
@@ -45,9 +45,9 @@
 func TestPreVote_MemberOnlySends_DoesNotDeposeLeader(t *testing.T) {
 	s, first := newGroupWithLeader(t, 5, 3, 0)
 	term := first.replica.Status().Term
-	deaf := s.others(first)[0]
+	sender := s.others(first)[0]
 	for _, n := range s.nodes {
-		s.partitioned[[2]int{n.slot, deaf.slot}] = true
+		s.partitioned[[2]int{n.slot, sender.slot}] = true
 	}
 	s.runFor(2 * time.Second)
 	if s.leader() != first || first.replica.Status().Term != term {
@@ -71,7 +71,7 @@
 		t.Errorf("still the leader after an election timeout alone")
 	}
 	if got == nil || got.Done || got.Dropped {
-		t.Errorf("outcome %+v, want one that is unsure", got)
+		t.Errorf("outcome %+v, want one that is not known", got)
 	}
 	if !s.commitsWithin(time.Second) || s.leader() == first {
 		t.Errorf("the others have no leader")
@@ -214,9 +214,9 @@
 		if wait := ready.NextWake - first; wait < initialTimeout || wait >= 2*initialTimeout {
 			t.Errorf("seed %d: the next PreVote comes after %v", seed, wait)
 		}
-		heard := ready.NextWake
-		ready = r.Step(heard, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
-		if wait := ready.NextWake - heard; wait < testElection || wait >= 2*testElection {
+		lastContact := ready.NextWake
+		ready = r.Step(lastContact, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
+		if wait := ready.NextWake - lastContact; wait < testElection || wait >= 2*testElection {
 			t.Errorf("seed %d: with a leader it campaigns after %v", seed, wait)
 		}
 	}
--- a/internal/tier/replica/explore_confchange_world_test.go
+++ b/internal/tier/replica/explore_confchange_world_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// setTarget tells a member which members the group is to have.
+// setTarget sets the target of a member.
 func (w *changeWorld) setTarget(i int, members []Member) {
 	m := &w.members[i]
 	m.targetMembers = members
@@ -338,7 +338,7 @@
 	return appendNumbers(b, left.campaigns, left.heartbeats, left.crashes, left.proposals, left.snapshots, left.reads)
 }
 
-// setTargetEverywhere tells all members which members the group is to have.
+// setTargetEverywhere sets the target of all members.
 func (w *changeWorld) setTargetEverywhere(members []Member) {
 	for i := range w.members {
 		w.setTarget(i, members)
--- a/internal/tier/replica/leader_test.go
+++ b/internal/tier/replica/leader_test.go
@@ -17,7 +17,7 @@
 	}
 	p.acknowledge("b", 3)
 	if ready = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
-		t.Errorf("refused though all is committed: %+v", ready.Outcomes)
+		t.Errorf("dropped though all is committed: %+v", ready.Outcomes)
 	}
 }
 
--- a/internal/tier/replica/raft_test.go
+++ b/internal/tier/replica/raft_test.go
@@ -10,14 +10,14 @@
 	cases := []struct {
 		name      string
 		recovered Recovered
-		refused   bool
+		rejected  bool
 	}{
 		{name: "empty"},
 		{name: "complete", recovered: diskOf(2, 1, 2)},
-		{name: "a gap", recovered: Recovered{Entries: []Entry{{Index: 2}}}, refused: true},
-		{name: "terms go back", recovered: diskOf(2, 2, 1), refused: true},
-		{name: "hard state lost", recovered: diskOf(1, 1, 2), refused: true},
-		{name: "hard state lost beside a snapshot", recovered: Recovered{Snapshot: snapshot}, refused: true},
+		{name: "a gap", recovered: Recovered{Entries: []Entry{{Index: 2}}}, rejected: true},
+		{name: "terms go back", recovered: diskOf(2, 2, 1), rejected: true},
+		{name: "hard state lost", recovered: diskOf(1, 1, 2), rejected: true},
+		{name: "hard state lost beside a snapshot", recovered: Recovered{Snapshot: snapshot}, rejected: true},
 		{
 			name: "entries before the snapshot",
 			recovered: Recovered{
@@ -32,14 +32,14 @@
 				HardState: HardState{Term: 1},
 				Entries:   []Entry{{Index: 1, Term: 1, Kind: ConfChange, Data: json.RawMessage(`{`)}},
 			},
-			refused: true,
+			rejected: true,
 		},
 	}
 	options := Options{ID: "a", HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := New(options, tc.recovered, 0)
-			if refused := err != nil; refused != tc.refused {
+			if rejected := err != nil; rejected != tc.rejected {
 				t.Errorf("error %v", err)
 			}
 		})
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -109,12 +109,12 @@
 
 func TestReplication_FollowerInactive_IsSentNoEntries(t *testing.T) {
 	s, first := newGroupWithLeader(t, 7, 3, 0)
-	silent := s.others(first)[0]
-	s.kill(silent)
+	inactive := s.others(first)[0]
+	s.kill(inactive)
 	s.runFor(2 * testElection)
 	entries := 0
 	s.drop = func(m Message) bool {
-		if m.To == silent.id {
+		if m.To == inactive.id {
 			entries += len(m.Entries)
 		}
 		return false
@@ -126,9 +126,9 @@
 	if entries > 0 {
 		t.Errorf("%d entries were sent", entries)
 	}
-	s.start(silent)
+	s.start(inactive)
 	s.runFor(4 * testHeartbeat)
-	if got := silent.machine.Index; got < 100 {
+	if got := inactive.machine.Index; got < 100 {
 		t.Errorf("it has applied only %d entries", got)
 	}
 	s.requireSafe(t)
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// setTargetMembers tells all members which group is target.
+// setTargetMembers sets the target of all members.
 func (s *simulation) setTargetMembers(target []Member) {
 	s.targetMembers = target
 	for _, n := range s.nodes {
@@ -197,7 +197,7 @@
 	}
 	snapshot.State, _ = json.Marshal(n.machine)
 	snapshot.Chunks = snapshotChunks
-	n.chunks = nil // the new one lies in their place
+	n.chunks = nil // the new one is written in their place
 	for len(n.disk.Entries) > 0 && n.disk.Entries[0].Index <= snapshot.Index {
 		n.disk.Entries = n.disk.Entries[1:]
 	}
--- a/internal/tier/replica/snapshot_chunks_test.go
+++ b/internal/tier/replica/snapshot_chunks_test.go
@@ -98,7 +98,7 @@
 	metadata := r.SnapshotMetadata()
 	ready := r.Step(0, Input{Compact: &metadata, Messages: []Message{chunkMessage("a", 2, 9, 1)}})
 	if r.IsReceivingSnapshot() || len(ready.ReceivedChunks) > 0 {
-		t.Errorf("it goes on with a snapshot whose chunks are gone: %+v", ready.ReceivedChunks)
+		t.Errorf("it goes on with a snapshot whose chunks are overwritten: %+v", ready.ReceivedChunks)
 	}
 }
 
@@ -116,7 +116,7 @@
 	return p
 }
 
-// respondChunk tells the leader which chunk c wants, and returns the chunks that it sends.
+// respondChunk tells the leader which chunk c expects, and returns the chunks that it sends.
 func (p *manualLeader) respondChunk(chunk int, rejected bool) []int {
 	ready := p.step(Input{Messages: []Message{{Kind: InstallSnapshotResponse, From: "c", To: "a", Term: 1, Index: p.r.snapshotIndex(), Chunk: chunk, Reject: rejected}}})
 	return chunksIn(ready.MessagesBeforeSync)
@@ -153,7 +153,7 @@
 		{name: "one is missing", chunk: 3, rejected: true, sent: []int{3, 4}},
 		{name: "it is still missing, and on its way", chunk: 3, rejected: true},
 		{name: "it has arrived", chunk: 5, sent: []int{5, 6}},
-		{name: "the member begins anew", chunk: 0, rejected: true, sent: []int{0}},
+		{name: "the member starts over", chunk: 0, rejected: true, sent: []int{0}},
 		{name: "more than there are", chunk: 10},
 	} {
 		if diff := cmp.Diff(step.sent, p.respondChunk(step.chunk, step.rejected)); diff != "" {
--- a/internal/tier/replica/snapshot_retry_test.go
+++ b/internal/tier/replica/snapshot_retry_test.go
@@ -15,7 +15,7 @@
 		s.setTargetMembers(membersOf(s.nodes...))
 		s.runFor(7*testElection + time.Duration(seed)*7*time.Millisecond)
 
-		// When its process has room, it has the complete snapshot soon.
+		// When its process has a free slot, it has the complete snapshot soon.
 		busy = false
 		began := s.now
 		if !s.runUntil(s.now+time.Second, func() bool { return s.nodes[3].machine.Index > 0 }) {
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -60,8 +60,8 @@
 
 func TestSnapshot_MemberInactive_IsSentNone(t *testing.T) {
 	s, first := newGroupWithLeader(t, 3, 3, 0)
-	gone := s.others(first)[0]
-	s.kill(gone)
+	lost := s.others(first)[0]
+	s.kill(lost)
 	s.runFor(2 * testElection)
 	for range 200 {
 		s.propose(first)
@@ -72,10 +72,10 @@
 	if got := s.messages[InstallSnapshot]; got != 0 {
 		t.Errorf("%d snapshots were sent", got)
 	}
-	s.start(gone)
+	s.start(lost)
 	s.runFor(4 * testHeartbeat)
-	if gone.machine != first.machine {
-		t.Errorf("state %+v, want %+v", gone.machine, first.machine)
+	if lost.machine != first.machine {
+		t.Errorf("state %+v, want %+v", lost.machine, first.machine)
 	}
 	s.requireSafe(t)
 }
