--- a/internal/tier/configuration/state_machine_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -11,12 +11,12 @@
 	"mastusher/internal/tier/configuration"
 )
 
-func order(base, number uint64, content string) *configuration.Proposal {
+func proposal(base, number uint64, content string) *configuration.Proposal {
 	return &configuration.Proposal{Base: base, Number: number, Raw: json.RawMessage(fmt.Sprintf(`{"number":%d,"x":%q}`, number, content))}
 }
 
 func TestStateMachine_Apply(t *testing.T) {
-	first, second := order(0, 3, "first"), order(3, 7, "second")
+	first, second := proposal(0, 3, "first"), proposal(3, 7, "second")
 	tests := []struct {
 		name  string
 		given []*configuration.Proposal
@@ -28,15 +28,15 @@
 		{"on the current one", []*configuration.Proposal{first}, second, configuration.Accepted, 7},
 		{"the same again", []*configuration.Proposal{first}, first, configuration.Accepted, 3},
 		{"the same again after another", []*configuration.Proposal{first, second}, first, configuration.Accepted, 7},
-		{"the same number with other content", []*configuration.Proposal{first}, order(0, 3, "other"), configuration.Conflict, 3},
-		{"the same content on another version", []*configuration.Proposal{first}, order(3, 3, "first"), configuration.NotNewer, 3},
-		{"on an older version", []*configuration.Proposal{first, second}, order(3, 9, "late"), configuration.Conflict, 7},
-		{"on a version that never was", []*configuration.Proposal{first}, order(4, 9, "lost"), configuration.Conflict, 3},
-		{"refused before its version came", []*configuration.Proposal{order(3, 7, "early"), first}, order(3, 7, "early"), configuration.Conflict, 3},
-		{"another than the one refused before its version came", []*configuration.Proposal{order(3, 7, "early"), first}, second, configuration.Accepted, 7},
-		{"the same number on another base", []*configuration.Proposal{first, second}, order(3, 7, "other"), configuration.Conflict, 7},
-		{"with a lower number", []*configuration.Proposal{first, second}, order(7, 5, "back"), configuration.NotNewer, 7},
-		{"the first one, with number 0", nil, order(0, 0, "nothing"), configuration.NotNewer, 0},
+		{"the same number with other content", []*configuration.Proposal{first}, proposal(0, 3, "other"), configuration.Conflict, 3},
+		{"the same content on another version", []*configuration.Proposal{first}, proposal(3, 3, "first"), configuration.NotNewer, 3},
+		{"on an older version", []*configuration.Proposal{first, second}, proposal(3, 9, "late"), configuration.Conflict, 7},
+		{"on a version that never was", []*configuration.Proposal{first}, proposal(4, 9, "lost"), configuration.Conflict, 3},
+		{"rejected before its version came", []*configuration.Proposal{proposal(3, 7, "early"), first}, proposal(3, 7, "early"), configuration.Conflict, 3},
+		{"another than the one rejected before its version came", []*configuration.Proposal{proposal(3, 7, "early"), first}, second, configuration.Accepted, 7},
+		{"the same number on another base", []*configuration.Proposal{first, second}, proposal(3, 7, "other"), configuration.Conflict, 7},
+		{"with a lower number", []*configuration.Proposal{first, second}, proposal(7, 5, "back"), configuration.NotNewer, 7},
+		{"the first one, with number 0", nil, proposal(0, 0, "nothing"), configuration.NotNewer, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				r.Apply(uint64(i+1), given)
 			}
 			if got := r.Apply(10, test.order); got != test.want {
-				t.Errorf("verdict %s, want %s", got, test.want)
+				t.Errorf("result %s, want %s", got, test.want)
 			}
 			if got := r.Current().Number; got != test.now {
 				t.Errorf("current number %d, want %d", got, test.now)
@@ -56,10 +56,10 @@
 
 // reference keeps everything and compares by whole content.
 type reference struct {
-	current *configuration.Proposal
-	index   uint64
-	taken   []*configuration.Proposal
-	refused []*configuration.Proposal // on a version that had not come
+	current  *configuration.Proposal
+	index    uint64
+	accepted []*configuration.Proposal
+	rejected []*configuration.Proposal // on a version that had not come
 }
 
 func (r *reference) number() uint64 {
@@ -69,7 +69,7 @@
 	return r.current.Number
 }
 
-func (r *reference) wasTaken(o *configuration.Proposal) bool { return contains(r.taken, o) }
+func (r *reference) wasAccepted(o *configuration.Proposal) bool { return contains(r.accepted, o) }
 
 func contains(list []*configuration.Proposal, o *configuration.Proposal) bool {
 	for _, t := range list {
@@ -82,24 +82,24 @@
 
 func (r *reference) apply(index uint64, o *configuration.Proposal) configuration.Result {
 	switch {
-	case r.wasTaken(o):
+	case r.wasAccepted(o):
 		return configuration.Accepted
 	case o.Base != r.number():
 		if o.Base > r.number() {
-			r.refused = append(r.refused, o)
+			r.rejected = append(r.rejected, o)
 		}
 		return configuration.Conflict
 	case o.Number <= r.number():
 		return configuration.NotNewer
-	case contains(r.refused, o):
+	case contains(r.rejected, o):
 		return configuration.Conflict
 	}
 	r.current, r.index = o, index
-	r.taken = append(r.taken, o)
+	r.accepted = append(r.accepted, o)
 	return configuration.Accepted
 }
 
-// TestStateMachine_RandomProposals_AgreesWithReference applies any orders, resends among them, with snapshots in between: the verdicts and the
+// TestStateMachine_RandomProposals_AgreesWithReference applies any orders, duplicates among them, with snapshots in between: the results and the
 // current one are the reference's, and each version has one successor at most.
 func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -112,18 +112,18 @@
 				o = rapid.SampledFrom(sent).Draw(t, "which")
 			} else {
 				base := rapid.SampledFrom([]uint64{want.number(), rapid.Uint64Range(0, 12).Draw(t, "base")}).Draw(t, "on")
-				o = order(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
+				o = proposal(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
 				sent = append(sent, o)
 			}
 			known := r.WasAccepted(o)
-			verdict := r.Apply(index+1, o)
-			if known && verdict != configuration.Accepted {
-				t.Fatalf("an order that had been taken was %s", verdict)
+			result := r.Apply(index+1, o)
+			if known && result != configuration.Accepted {
+				t.Fatalf("an order that had been taken was %s", result)
 			}
-			if wanted := want.apply(index+1, o); verdict != wanted {
-				t.Fatalf("order %+v was %s, want %s", o, verdict, wanted)
+			if wanted := want.apply(index+1, o); result != wanted {
+				t.Fatalf("order %+v was %s, want %s", o, result, wanted)
 			}
-			if verdict == configuration.Accepted {
+			if result == configuration.Accepted {
 				if other, ok := successors[o.Base]; ok && other != string(o.Raw) {
 					t.Fatalf("two changes on version %d", o.Base)
 				}
@@ -139,7 +139,7 @@
 	})
 }
 
-// restored is the register after its snapshot has been written and read.
+// restored is the state machine after its snapshot has been written and read.
 func restored(t rapid.TB, r *configuration.StateMachine) *configuration.StateMachine {
 	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
@@ -156,7 +156,7 @@
 	return restored
 }
 
-// TestHistory_BeyondBound_TruncatesOldest checks that only the oldest orders are forgotten, that none of them is refused for it, and how much
+// TestHistory_BeyondBound_TruncatesOldest checks that only the oldest orders are truncated, that none of them is rejected for it, and how much
 // the rest takes.
 func TestHistory_BeyondBound_TruncatesOldest(t *testing.T) {
 	const (
@@ -165,18 +165,18 @@
 	)
 	r := configuration.New()
 	for number := uint64(1); number <= bound+1; number++ {
-		if got := r.Apply(number, order(number-1, number, "x")); got != configuration.Accepted {
+		if got := r.Apply(number, proposal(number-1, number, "x")); got != configuration.Accepted {
 			t.Fatalf("order %d was %s", number, got)
 		}
 	}
 	for _, known := range []*configuration.StateMachine{r, restored(t, r)} {
-		if !known.WasAccepted(order(1, 2, "x")) || known.WasAccepted(order(0, 1, "x")) {
-			t.Error("not the oldest order was forgotten")
+		if !known.WasAccepted(proposal(1, 2, "x")) || known.WasAccepted(proposal(0, 1, "x")) {
+			t.Error("not the oldest order was truncated")
 		}
-		if got := known.Apply(bound+2, order(0, 1, "x")); got != configuration.HistoryTruncated {
+		if got := known.Apply(bound+2, proposal(0, 1, "x")); got != configuration.HistoryTruncated {
 			t.Errorf("an order that may have been taken was %s", got)
 		}
-		if got := known.Apply(bound+3, order(1, 2, "y")); got != configuration.Conflict {
+		if got := known.Apply(bound+3, proposal(1, 2, "y")); got != configuration.Conflict {
 			t.Errorf("an order on a version that another one replaced was %s", got)
 		}
 	}
@@ -185,13 +185,13 @@
 	}
 }
 
-// TestStateMachine_DuplicatesAfterManyChanges_Acknowledged repeats each of 1,000 orders after all of them, in uneven steps and over snapshots.
+// TestStateMachine_DuplicatesAfterManyChanges_Acknowledged sends each of 1,000 orders again after all of them, in uneven steps and over snapshots.
 func TestStateMachine_DuplicatesAfterManyChanges_Acknowledged(t *testing.T) {
 	const changes = 1000
 	r := configuration.New()
 	var sent []*configuration.Proposal
 	for i := range uint64(changes) {
-		o := order(r.Current().Number, r.Current().Number+1+i*i%97, fmt.Sprint(i))
+		o := proposal(r.Current().Number, r.Current().Number+1+i*i%97, fmt.Sprint(i))
 		if got := r.Apply(i+1, o); got != configuration.Accepted {
 			t.Fatalf("order %d was %s", i, got)
 		}
@@ -210,7 +210,7 @@
 		}
 	}
 	if diff := cmp.Diff(now, r.Current()); diff != "" {
-		t.Errorf("repeats changed the configuration (-before +after):\n%s", diff)
+		t.Errorf("duplicates changed the configuration (-before +after):\n%s", diff)
 	}
 	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
@@ -228,26 +228,26 @@
 	const bound = 64
 	r := configuration.New()
 	for i := range uint64(3 * bound) {
-		r.Apply(i+1, order(5+i%2, 90, fmt.Sprint(i)))
+		r.Apply(i+1, proposal(5+i%2, 90, fmt.Sprint(i)))
 	}
 	if got := len(r.Snapshot().Rejected); got != bound {
-		t.Errorf("%d refusals are kept, want %d", got, bound)
+		t.Errorf("%d rejections are kept, want %d", got, bound)
 	}
-	last := order(5+(3*bound-1)%2, 90, fmt.Sprint(3*bound-1))
-	r.Apply(500, order(0, last.Base, "now"))
+	last := proposal(5+(3*bound-1)%2, 90, fmt.Sprint(3*bound-1))
+	r.Apply(500, proposal(0, last.Base, "now"))
 	if got := restored(t, r).Apply(501, last); got != configuration.Conflict {
-		t.Errorf("an order that was refused is %s", got)
+		t.Errorf("an order that was rejected is %s", got)
 	}
-	r.Apply(502, order(last.Base, 91, "next"))
+	r.Apply(502, proposal(last.Base, 91, "next"))
 	if got := r.Snapshot().Rejected; len(got) > 0 {
-		t.Errorf("%d refusals are kept of versions that have been replaced", len(got))
+		t.Errorf("%d rejections are kept of versions that have been replaced", len(got))
 	}
 }
 
-// TestRestore_TruncatedHistory_Fails checks that a history that was cut short is told.
+// TestRestore_TruncatedHistory_Fails checks that a truncated history is reported.
 func TestRestore_TruncatedHistory_Fails(t *testing.T) {
 	r := configuration.New()
-	r.Apply(1, order(0, 3, "x"))
+	r.Apply(1, proposal(0, 3, "x"))
 	state := r.Snapshot()
 	for size := 1; size < len(state.History); size++ {
 		if _, err := configuration.Restore(configuration.Snapshot{History: state.History[:size]}); err == nil {
--- a/internal/tier/decommission/drained_test.go
+++ b/internal/tier/decommission/drained_test.go
@@ -24,9 +24,9 @@
 }
 
 func TestIsDrained(t *testing.T) {
-	retirement := decommission.Operation{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
+	operation := decommission.Operation{Node: "a", IDs: []string{"a-1"}, State: decommission.InService}
 	placed := decommission.Placement{Index: 9, Shards: []view.ShardPlacement{shard("b", "c", "d"), shard("c", "d", "e")}}
-	whole := func() map[int]decommission.GroupStatus {
+	drained := func() map[int]decommission.GroupStatus {
 		return map[int]decommission.GroupStatus{
 			0: {Term: 4, PlacementIndex: 9, Members: ids("d", "c", "b"), CaughtUp: ids("b", "c", "d")},
 			1: {Term: 2, PlacementIndex: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")},
@@ -39,7 +39,7 @@
 	}{
 		{"all have moved", func(map[int]decommission.GroupStatus, *decommission.Placement) {}, true},
 		{"nothing is placed", func(_ map[int]decommission.GroupStatus, p *decommission.Placement) { p.Shards = nil }, false},
-		{"a shard's owner is silent", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) { delete(g, 1) }, false},
+		{"a shard's leader does not report", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) { delete(g, 1) }, false},
 		{"a group follows an older placement", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
 			g[1] = decommission.GroupStatus{PlacementIndex: 8, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")}
 		}, false},
@@ -69,11 +69,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			groups := whole()
+			groups := drained()
 			placement := decommission.Placement{Index: placed.Index, Shards: append([]view.ShardPlacement(nil), placed.Shards...)}
 			test.change(groups, &placement)
-			if got := decommission.IsDrained(retirement, placement, groups, 3); got != test.want {
-				t.Errorf("emptied: %v, want %v", got, test.want)
+			if got := decommission.IsDrained(operation, placement, groups, 3); got != test.want {
+				t.Errorf("drained: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/tier/decommission/state_machine_test.go
+++ b/internal/tier/decommission/state_machine_test.go
@@ -11,7 +11,7 @@
 )
 
 // running are machines a, b, ... with the identities a-1, b-1, ...
-func running(nodes ...string) []decommission.Store {
+func runningStores(nodes ...string) []decommission.Store {
 	var machines []decommission.Store
 	for _, node := range nodes {
 		machines = append(machines, decommission.Store{Node: node, ID: node + "-1"})
@@ -19,11 +19,11 @@
 	return machines
 }
 
-func order(node string, nodes ...string) decommission.Proposal {
-	return decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-1"}, RunningStores: running(nodes...), MinRemaining: 3}
+func proposal(node string, nodes ...string) decommission.Proposal {
+	return decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-1"}, RunningStores: runningStores(nodes...), MinRemaining: 3}
 }
 
-func finish(node string) decommission.Decision {
+func finished(node string) decommission.Decision {
 	return decommission.Decision{Node: node, IDs: []string{node + "-1"}}
 }
 
@@ -34,26 +34,26 @@
 		order decommission.Proposal
 		want  decommission.Result
 	}{
-		{"three remain", nil, order("a", "a", "b", "c", "d"), decommission.Accepted},
-		{"two remain", nil, order("a", "a", "b", "c"), decommission.TooFewStores},
-		{"the machine is down and three remain", nil, order("a", "b", "c", "d"), decommission.Accepted},
-		{"the machine is down and two remain", nil, order("a", "b", "c"), decommission.TooFewStores},
-		{"another is being emptied", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("b", "a", "b", "c", "d")) },
-			order("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"another was emptied and still runs", func(r *decommission.StateMachine) {
-			r.ApplyProposal(1, order("b", "a", "b", "c", "d"))
-			r.ApplyDecision(finish("b"))
+		{"three remain", nil, proposal("a", "a", "b", "c", "d"), decommission.Accepted},
+		{"two remain", nil, proposal("a", "a", "b", "c"), decommission.TooFewStores},
+		{"the machine is down and three remain", nil, proposal("a", "b", "c", "d"), decommission.Accepted},
+		{"the machine is down and two remain", nil, proposal("a", "b", "c"), decommission.TooFewStores},
+		{"another is being drained", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("b", "a", "b", "c", "d")) },
+			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
+		{"another was drained and still runs", func(r *decommission.StateMachine) {
+			r.ApplyProposal(1, proposal("b", "a", "b", "c", "d"))
+			r.ApplyDecision(finished("b"))
 		},
-			order("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"two at once and three remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("b", "a", "b", "c", "d", "e")) },
-			order("a", "a", "b", "c", "d", "e"), decommission.Accepted},
-		{"the same again, though now too few would remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, order("a", "a", "b", "c", "d")) },
-			order("a", "a", "b"), decommission.Accepted},
+			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
+		{"two at once and three remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("b", "a", "b", "c", "d", "e")) },
+			proposal("a", "a", "b", "c", "d", "e"), decommission.Accepted},
+		{"the same again, though now too few would remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("a", "a", "b", "c", "d")) },
+			proposal("a", "a", "b"), decommission.Accepted},
 		{"the same again after its end", func(r *decommission.StateMachine) {
-			r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
-			r.ApplyDecision(finish("a"))
+			r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
+			r.ApplyDecision(finished("a"))
 		},
-			order("a", "b", "c"), decommission.Accepted},
+			proposal("a", "b", "c"), decommission.Accepted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -69,23 +69,23 @@
 }
 
 func TestStateMachine_RetiredIdentities_StayExcluded(t *testing.T) {
-	// Given a machine that was emptied after its disk had been replaced on the way.
+	// Given a machine that was drained after its disk had been replaced on the way.
 	r := decommission.New()
-	r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
+	r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
 	if !r.Excludes(decommission.Store{Node: "a", ID: "a-2"}) {
-		t.Error("a machine that is being emptied may take replicas under a new identity")
+		t.Error("a machine that is being drained may get replicas under a new identity")
 	}
 	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"a-2"}})
 
-	// Then neither identity may hold replicas again, wherever it appears, but a third one may.
+	// Then neither identity may have replicas again, wherever it appears, but a third one may.
 	for id, want := range map[string]bool{"a-1": true, "a-2": true, "a-3": false} {
 		if got := r.Excludes(decommission.Store{Node: "a", ID: id}); got != want {
 			t.Errorf("identity %s is excluded: %v, want %v", id, got, want)
 		}
 	}
 
-	// And the machine can be emptied again under the third.
-	again := order("a", "a", "b", "c", "d")
+	// And the machine can be drained again under the third.
+	again := proposal("a", "a", "b", "c", "d")
 	again.ID, again.AtMs = "a-3", 70
 	if got := r.ApplyProposal(9, again); got != decommission.Accepted {
 		t.Fatalf("order about the new identity was %s", got)
@@ -93,7 +93,7 @@
 	want := decommission.Operation{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
 	got, _ := r.Operation("a")
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("retirement (-want +got):\n%s", diff)
+		t.Errorf("operation (-want +got):\n%s", diff)
 	}
 }
 
@@ -110,7 +110,7 @@
 		{"the same machine", func(*decommission.Proposal) {}, decommission.Accepted, decommission.Finished},
 		{"the same machine, long after", func(o *decommission.Proposal) { o.DedupExpiredIndex = index }, decommission.Accepted, decommission.Finished},
 		{"a machine that is away", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "", index }, decommission.Accepted, decommission.Finished},
-		{"another disk, and enough remain", func(o *decommission.Proposal) { o.ID, o.RunningStores = "a-2", running("b", "c", "d") }, decommission.Accepted, decommission.InService},
+		{"another disk, and enough remain", func(o *decommission.Proposal) { o.ID, o.RunningStores = "a-2", runningStores("b", "c", "d") }, decommission.Accepted, decommission.InService},
 		{"another disk, and too few remain", func(o *decommission.Proposal) { o.ID = "a-2" }, decommission.Accepted, decommission.Finished},
 		{"another disk, and too few remain, long after", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "a-2", index }, decommission.TooFewStores, decommission.Finished},
 		{"another machine, and too few remain", func(o *decommission.Proposal) { o.Store = decommission.Store{Node: "b", ID: "b-1"} }, decommission.TooFewStores, ""},
@@ -118,18 +118,18 @@
 	for _, test := range tests {
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
-				// Given a machine that was emptied, and of the others two that run.
+				// Given a machine that was drained, and of the others two that run.
 				r := decommission.New()
-				r.ApplyProposal(index, order("a", "a", "b", "c", "d"))
-				r.ApplyDecision(finish("a"))
+				r.ApplyProposal(index, proposal("a", "a", "b", "c", "d"))
+				r.ApplyDecision(finished("a"))
 				if snapshot {
 					r = decommission.Restore(r.Snapshot())
 				}
 				// When an order comes.
-				asked := order("a", "b", "c")
+				asked := proposal("a", "b", "c")
 				test.order(&asked)
 				got := r.ApplyProposal(index+5, asked)
-				// Then a repeat is acknowledged.
+				// Then a duplicate is acknowledged.
 				known, _ := r.Operation(asked.Node)
 				if got != test.want || known.State != test.state {
 					t.Errorf("the order is %s and the machine %q, want %s and %q", got, known.State, test.want, test.state)
@@ -141,12 +141,12 @@
 
 func TestStateMachine_RepeatedDecision_ChangesNothing(t *testing.T) {
 	r := decommission.New()
-	r.ApplyDecision(finish("a"))
+	r.ApplyDecision(finished("a"))
 	if _, asked := r.Operation("a"); asked {
 		t.Error("a decision without an order made one")
 	}
-	r.ApplyProposal(1, order("a", "a", "b", "c", "d"))
-	r.ApplyDecision(finish("a"))
+	r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
+	r.ApplyDecision(finished("a"))
 	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"late"}})
 	if r.Excludes(decommission.Store{Node: "z", ID: "late"}) {
 		t.Error("a second decision changed a finished order")
@@ -165,13 +165,13 @@
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
 				asked := decommission.Proposal{Store: machine, MinRemaining: 3,
-					RunningStores: rapid.Permutation(running("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
+					RunningStores: rapid.Permutation(runningStores("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
 				before := r.Snapshot()
-				verdict := r.ApplyProposal(1, asked)
-				if verdict == decommission.TooFewStores && !cmp.Equal(before, r.Snapshot()) {
-					t.Fatal("a refused order changed something")
+				result := r.ApplyProposal(1, asked)
+				if result == decommission.TooFewStores && !cmp.Equal(before, r.Snapshot()) {
+					t.Fatal("a rejected order changed something")
 				}
-				if verdict == decommission.Accepted && !cmp.Equal(before, r.Snapshot()) && remaining(r, asked.RunningStores) < 3 {
+				if result == decommission.Accepted && !cmp.Equal(before, r.Snapshot()) && remaining(r, asked.RunningStores) < 3 {
 					t.Fatal("an order left too few machines")
 				}
 			case 1:
@@ -187,7 +187,7 @@
 			}
 			for id := range finished {
 				if !r.Excludes(decommission.Store{Node: "other", ID: id}) {
-					t.Fatalf("retired identity %s may take replicas", id)
+					t.Fatalf("decommissioned identity %s may get replicas", id)
 				}
 			}
 		}
--- a/internal/tier/placement/tracker_test.go
+++ b/internal/tier/placement/tracker_test.go
@@ -18,25 +18,25 @@
 	return membership.Member{Name: store.Node + "/store", ID: store.ID, Role: membership.Store, Zone: store.Zone, Address: store.Address, State: state}
 }
 
-// observer hands a watch its observations in steps, as a process does.
+// observer hands a tracker its observations in steps, as a process does.
 type observer struct {
 	*placement.Tracker
-	now   time.Time
-	epoch uint64
+	now  time.Time
+	term uint64
 }
 
 func newObserver() *observer {
-	return &observer{Tracker: placement.NewTracker(), now: time.UnixMilli(1_700_000_000_000), epoch: 1}
+	return &observer{Tracker: placement.NewTracker(), now: time.UnixMilli(1_700_000_000_000), term: 1}
 }
 
 // see shows the members for a while.
-func (o *observer) see(d time.Duration, members ...membership.Member) {
+func (o *observer) observe(d time.Duration, members ...membership.Member) {
 	const step = 250 * time.Millisecond
 	for passed := time.Duration(0); passed < d; passed += step {
-		o.Observe(o.now, members, o.epoch)
+		o.Observe(o.now, members, o.term)
 		o.now = o.now.Add(step)
 	}
-	o.Observe(o.now, members, o.epoch)
+	o.Observe(o.now, members, o.term)
 }
 
 // lost tells whether a shard's replica on machine 1 is lost.
@@ -62,55 +62,58 @@
 		given func(o *observer)
 		want  bool
 	}{
-		{"it runs", func(o *observer) { o.see(9*time.Second, alive, second) }, false},
-		{"it is suspected", func(o *observer) { o.see(9*time.Second, member(1, 1, membership.StateSuspect), second) }, false},
-		{"dead for a short while", func(o *observer) { o.see(time.Second, alive, second); o.see(3*time.Second, dead, second) }, false},
-		{"dead for long", func(o *observer) { o.see(time.Second, alive, second); o.see(4500*time.Millisecond, dead, second) }, true},
-		{"left for long", func(o *observer) { o.see(4500*time.Millisecond, member(1, 1, membership.StateLeft), second) }, true},
+		{"it runs", func(o *observer) { o.observe(9*time.Second, alive, second) }, false},
+		{"it is suspected", func(o *observer) { o.observe(9*time.Second, member(1, 1, membership.StateSuspect), second) }, false},
+		{"dead for a short while", func(o *observer) { o.observe(time.Second, alive, second); o.observe(3*time.Second, dead, second) }, false},
+		{"dead for long", func(o *observer) {
+			o.observe(time.Second, alive, second)
+			o.observe(4500*time.Millisecond, dead, second)
+		}, true},
+		{"left for long", func(o *observer) { o.observe(4500*time.Millisecond, member(1, 1, membership.StateLeft), second) }, true},
 		{"dead, back and dead again", func(o *observer) {
-			o.see(3*time.Second, dead, second)
-			o.see(time.Second, alive, second)
-			o.see(3*time.Second, dead, second)
+			o.observe(3*time.Second, dead, second)
+			o.observe(time.Second, alive, second)
+			o.observe(3*time.Second, dead, second)
 		}, false},
 		{"dead while a store without replicas runs", func(o *observer) {
-			o.see(time.Second, alive, second)
-			o.see(1500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
+			o.observe(time.Second, alive, second)
+			o.observe(1500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
 		}, true},
 		{"suspected while a store without replicas has just come", func(o *observer) {
-			o.see(time.Second, alive, second)
-			o.see(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
+			o.observe(time.Second, alive, second)
+			o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, true},
 		{"suspected for a short while", func(o *observer) {
-			o.see(time.Second, alive, second)
-			o.see(750*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
+			o.observe(time.Second, alive, second)
+			o.observe(750*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, false},
 		{"suspected while a store without replicas has run for long", func(o *observer) {
-			o.see(12*time.Second, alive, second, member(3, 1, membership.StateAlive))
-			o.see(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
+			o.observe(12*time.Second, alive, second, member(3, 1, membership.StateAlive))
+			o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
 		}, false},
 		{"suspected, then dead, while a store without replicas has just come", func(o *observer) {
-			o.see(time.Second, alive, second)
-			o.see(500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
-			o.see(500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
+			o.observe(time.Second, alive, second)
+			o.observe(500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
+			o.observe(500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
 		}, true},
-		{"never seen, shortly after the start", func(o *observer) { o.see(3*time.Second, second) }, false},
+		{"never seen, shortly after the start", func(o *observer) { o.observe(3*time.Second, second) }, false},
 		{"never seen, shortly after the start, while a store without replicas runs", func(o *observer) {
-			o.see(3*time.Second, second, member(3, 1, membership.StateAlive))
+			o.observe(3*time.Second, second, member(3, 1, membership.StateAlive))
 		}, false},
-		{"never seen for long", func(o *observer) { o.see(4500*time.Millisecond, second) }, true},
-		{"wiped, at once", func(o *observer) { o.see(0, member(1, 2, membership.StateAlive), second) }, true},
-		{"wiped at another address", func(o *observer) { o.see(0, moved, second) }, true},
-		{"wiped, and down again", func(o *observer) { o.see(0, member(1, 2, membership.StateDead), second) }, true},
-		{"another machine at its address", func(o *observer) { o.see(0, other, second) }, true},
+		{"never seen for long", func(o *observer) { o.observe(4500*time.Millisecond, second) }, true},
+		{"wiped, at once", func(o *observer) { o.observe(0, member(1, 2, membership.StateAlive), second) }, true},
+		{"wiped at another address", func(o *observer) { o.observe(0, moved, second) }, true},
+		{"wiped, and down again", func(o *observer) { o.observe(0, member(1, 2, membership.StateDead), second) }, true},
+		{"another machine at its address", func(o *observer) { o.observe(0, other, second) }, true},
 		{"seen again after a pause of the process", func(o *observer) {
-			o.see(2*time.Second, dead, second)
+			o.observe(2*time.Second, dead, second)
 			o.now = o.now.Add(time.Minute)
-			o.see(3*time.Second, dead, second)
+			o.observe(3*time.Second, dead, second)
 		}, false},
 		{"never seen, and a pause of the process", func(o *observer) {
-			o.see(2*time.Second, second)
+			o.observe(2*time.Second, second)
 			o.now = o.now.Add(time.Minute)
-			o.see(3*time.Second, second)
+			o.observe(3*time.Second, second)
 		}, false},
 	}
 	for _, test := range tests {
@@ -124,17 +127,17 @@
 	}
 }
 
-// TestTracker_ControllersByFormerNames_Lost checks a group whose members are told without names.
+// TestTracker_ControllersByFormerNames_Lost checks a group that names its members by identity alone.
 func TestTracker_ControllersByFormerNames_Lost(t *testing.T) {
 	before := membership.Member{Name: "core-1/controller", ID: "old", Role: membership.Controller, Address: "10.0.0.1:7000"}
 	after := before
 	after.ID, after.Address = "new", "10.0.0.9:7000"
 	o := newObserver()
-	o.see(time.Second, before)
+	o.observe(time.Second, before)
 	if o.lostController("old", "10.0.0.1:7000") {
 		t.Error("a controller that runs is lost")
 	}
-	o.see(0, after)
+	o.observe(0, after)
 	if !o.lostController("old", "10.0.0.1:7000") {
 		t.Error("a controller that came back with another identity isn't lost")
 	}
@@ -165,8 +168,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			o := newObserver()
-			o.see(time.Second, running)
-			o.see(test.missing, test.members...)
+			o.observe(time.Second, running)
+			o.observe(test.missing, test.members...)
 			if got := o.lostController("first", "10.0.0.1:7000"); got != test.want {
 				t.Errorf("lost: %v, want %v", got, test.want)
 			}
@@ -177,30 +180,30 @@
 func TestTracker_CompleteView_OnlyLongAfterElection(t *testing.T) {
 	alive := member(1, 1, membership.StateAlive)
 	o := newObserver()
-	o.epoch = 0
-	o.see(20*time.Second, alive)
+	o.term = 0
+	o.observe(20*time.Second, alive)
 	if o.HasCompleteView(o.now, 0) || o.HasCompleteView(o.now, 4) {
 		t.Error("a member that doesn't own the group is sure")
 	}
-	// An owner is sure once the members on both sides of a cut have found each other, in the epoch that it owns.
-	o.epoch = 4
-	o.see(9*time.Second, alive)
+	// A leader is sure once the members on both sides of a partition have found each other, in the term that it leads.
+	o.term = 4
+	o.observe(9*time.Second, alive)
 	if o.HasCompleteView(o.now, 4) {
 		t.Error("it is sure 9 s after its election")
 	}
-	o.see(4*time.Second, alive)
+	o.observe(4*time.Second, alive)
 	if !o.HasCompleteView(o.now, 4) || o.HasCompleteView(o.now, 5) {
-		t.Error("it isn't sure in its own epoch alone")
+		t.Error("it isn't sure in its own term alone")
 	}
 	// One that stood still, or was elected anew, begins anew.
 	o.now = o.now.Add(3 * time.Second)
-	o.see(time.Second, alive)
+	o.observe(time.Second, alive)
 	if o.HasCompleteView(o.now, 4) {
 		t.Error("it is sure after it stood still")
 	}
-	o.see(13*time.Second, alive)
-	o.epoch = 6
-	o.see(time.Second, alive)
+	o.observe(13*time.Second, alive)
+	o.term = 6
+	o.observe(time.Second, alive)
 	if o.HasCompleteView(o.now, 6) {
 		t.Error("it is sure after another election")
 	}
@@ -208,31 +211,31 @@
 
 func TestTracker_ReadyForInitial_OnceStoresAreKnown(t *testing.T) {
 	o := newObserver()
-	o.epoch = 0
-	o.see(9*time.Second, member(1, 1, membership.StateAlive))
+	o.term = 0
+	o.observe(9*time.Second, member(1, 1, membership.StateAlive))
 	if o.ReadyForInitial(o.now) {
 		t.Error("a member that doesn't own the group may begin")
 	}
-	o.epoch = 4
-	o.see(time.Second, member(1, 1, membership.StateAlive))
+	o.term = 4
+	o.observe(time.Second, member(1, 1, membership.StateAlive))
 	if o.ReadyForInitial(o.now) {
-		t.Error("may begin a second after it became the owner")
+		t.Error("may begin a second after it became the leader")
 	}
-	o.see(750*time.Millisecond, member(1, 1, membership.StateAlive))
+	o.observe(750*time.Millisecond, member(1, 1, membership.StateAlive))
 	if !o.ReadyForInitial(o.now) {
 		t.Error("may not begin")
 	}
-	o.epoch = 6 // it was not the owner in between
-	o.see(0, member(1, 1, membership.StateAlive))
+	o.term = 6 // it was not the leader in between
+	o.observe(0, member(1, 1, membership.StateAlive))
 	if o.ReadyForInitial(o.now) {
-		t.Error("may begin at once in a later epoch")
+		t.Error("may begin at once in a later term")
 	}
 }
 
 func TestTracker_Stores(t *testing.T) {
 	agent := membership.Member{Name: "edge-1/agent", ID: "x", Role: membership.Agent}
 	o := newObserver()
-	o.see(time.Second, agent, member(3, 1, membership.StateAlive), member(1, 1, membership.StateSuspect), member(2, 1, membership.StateAlive), member(4, 1, membership.StateDead))
+	o.observe(time.Second, agent, member(3, 1, membership.StateAlive), member(1, 1, membership.StateSuspect), member(2, 1, membership.StateAlive), member(4, 1, membership.StateDead))
 	want := []placement.Store{machine(2, "zone", 1), machine(3, "zone", 1)}
 	if diff := cmp.Diff(want, o.Stores()); diff != "" {
 		t.Errorf("stores (-want +got):\n%s", diff)
@@ -240,7 +243,7 @@
 	if diff := cmp.Diff([]placement.Store{machine(1, "zone", 1), machine(4, "zone", 1)}, o.Missing(o.now)); diff != "" {
 		t.Errorf("missing stores (-want +got):\n%s", diff)
 	}
-	o.see(5*time.Second, agent, member(1, 1, membership.StateSuspect), member(4, 1, membership.StateDead))
+	o.observe(5*time.Second, agent, member(1, 1, membership.StateSuspect), member(4, 1, membership.StateDead))
 	if diff := cmp.Diff([]placement.Store{machine(1, "zone", 1)}, o.Missing(o.now)); diff != "" {
 		t.Errorf("missing stores, of which one is only suspected (-want +got):\n%s", diff)
 	}
@@ -260,16 +263,16 @@
 	first, second, third := member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(2, "zone", 1), machine(1, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
-	o.see(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), third)
-	o.see(500*time.Millisecond, first, member(2, 1, membership.StateAlive), third)
-	o.see(2*time.Second, first, second, third, member(3, 1, membership.StateAlive))
+	o.observe(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), third)
+	o.observe(500*time.Millisecond, first, member(2, 1, membership.StateAlive), third)
+	o.observe(2*time.Second, first, second, third, member(3, 1, membership.StateAlive))
 	want := map[string]bool{machine(1, "zone", 1).ID: true}
 	if diff := cmp.Diff(want, o.Lost(o.now, placed)); diff != "" {
 		t.Errorf("lost (-want +got):\n%s", diff)
 	}
 
 	// Where two have come, both are.
-	o.see(time.Second, first, second, third, member(3, 1, membership.StateAlive), member(5, 1, membership.StateAlive))
+	o.observe(time.Second, first, second, third, member(3, 1, membership.StateAlive), member(5, 1, membership.StateAlive))
 	want[machine(2, "zone", 1).ID] = true
 	if diff := cmp.Diff(want, o.Lost(o.now, placed)); diff != "" {
 		t.Errorf("lost (-want +got):\n%s", diff)
@@ -282,9 +285,9 @@
 	missing := []membership.Member{member(1, 1, membership.StateSuspect), member(2, 1, membership.StateSuspect), member(4, 1, membership.StateAlive)}
 	placed := []view.ShardPlacement{{Replicas: []view.Replica{machine(1, "zone", 1), machine(2, "zone", 1), machine(4, "zone", 1)}}}
 	o := newObserver()
-	o.see(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), missing[2])
+	o.observe(time.Second, member(1, 1, membership.StateAlive), member(2, 1, membership.StateAlive), missing[2])
 	all := append(missing, member(3, 1, membership.StateAlive), member(5, 1, membership.StateAlive))
-	o.see(1500*time.Millisecond, all...)
+	o.observe(1500*time.Millisecond, all...)
 	if lost := o.Lost(o.now, placed); len(lost) != 2 {
 		t.Fatalf("lost %v, want two", lost)
 	}
@@ -299,7 +302,7 @@
 
 	// It is lost no more when it is back.
 	all[1].State = membership.StateAlive
-	o.see(0, all...)
+	o.observe(0, all...)
 	if lost := o.Lost(o.now, placed); len(lost) != 0 {
 		t.Errorf("lost %v after its return", lost)
 	}
--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -14,69 +14,69 @@
 var bounds = rollout.Bounds{Share: 0.1, Slack: 50}
 
 const (
-	proxies  = 9
-	boost    = 0.25                   // share at first, as the proxies' schedule has it
-	round    = 150 * time.Millisecond // between judgements
-	lag      = 600 * time.Millisecond // from an answer until the proxies act on what was judged from it
-	usualMs  = 300.0
-	rollback = 5 * time.Second
+	proxies            = 9
+	initialShare       = 0.25                   // share at first, as the proxies' schedule has it
+	evaluationInterval = 150 * time.Millisecond // between judgements
+	feedbackDelay      = 600 * time.Millisecond // from an answer until the proxies act on what was evaluated from it
+	medianLatencyMs    = 300.0
+	rollbackTimeout    = 5 * time.Second
 )
 
 // kind is how a version behaves.
-type kind struct {
-	name    string
-	share   float64 // of the answers that are bad
-	slow    float64 // they are this many times as slow rather than failures
-	from    time.Duration
-	route   int // only this one's answers; -1: all
-	isGood  bool
-	usual   float64 // share of bad answers of the version in service
-	routing []float64
-	missed  float64 // share of days on which it may be missed; 0: one in a hundred
+type behavior struct {
+	name             string
+	badShare         float64 // of the answers that are bad
+	slowFactor       float64 // they are this many times as slow rather than failures
+	from             time.Duration
+	route            int // only this one's answers; -1: all
+	isGood           bool
+	baselineBadShare float64 // share of bad answers of the version in service
+	routing          []float64
+	maxMissedShare   float64 // share of runs in which it may be missed; 0: one in a hundred
 }
 
 // day is one order that is played.
-type day struct {
+type simulatedRollout struct {
 	random        *rand.Rand
-	kind          kind
+	behavior      behavior
 	perSecond     float64
-	term          time.Duration
-	total, target int // requests until the term
+	duration      time.Duration
+	total, target int // requests until the deadline
 	badAnswers    int
-	fiftieth      time.Duration
-	last          time.Duration // when the target got its last request
+	fiftiethBadAt time.Duration
+	lastRequestAt time.Duration // when the target got its last request
 	state         rollout.State
 	endedAt       time.Duration
 }
 
-// play lets requests come by chance, sends the target its part of them, and has it judged.
-func (d *day) play() {
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: d.term.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
+// run lets requests come by chance, sends the target its part of them, and has it evaluated.
+func (d *simulatedRollout) run() {
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: d.duration.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
 	target, baseline := rollout.StatsByRoute{}, rollout.StatsByRoute{}
 	for range 200 {
 		d.answer(baseline, d.route(), false, 0)
 	}
-	type told struct {
+	type report struct {
 		at               time.Duration
 		target, baseline rollout.StatsByRoute
 	}
-	var reports []told
-	judge := rollout.NewAnalysis()
+	var reports []report
+	analysis := rollout.NewAnalysis()
 	credit, extra := make([]float64, proxies), make([]float64, proxies)
 	for i := range extra {
 		extra[i] = roll.InitialAllowance
 	}
 	d.state = rollout.InService
 	next := time.Duration(0)
-	for now := time.Duration(0); now < d.term; {
+	for now := time.Duration(0); now < d.duration; {
 		now += time.Duration(d.random.ExpFloat64() / d.perSecond * float64(time.Second))
-		for ; next <= now; next += round {
-			reports = append(reports, told{next, copyOf(target), copyOf(baseline)})
-			for len(reports) > 1 && reports[1].at+lag <= next {
+		for ; next <= now; next += evaluationInterval {
+			reports = append(reports, report{next, copyOf(target), copyOf(baseline)})
+			for len(reports) > 1 && reports[1].at+feedbackDelay <= next {
 				reports = reports[1:]
 			}
-			if d.state == rollout.InService && reports[0].at+lag <= next {
-				d.state = judge.Evaluate(roll, next, reports[0].target, reports[0].baseline)
+			if d.state == rollout.InService && reports[0].at+feedbackDelay <= next {
+				d.state = analysis.Evaluate(roll, next, reports[0].target, reports[0].baseline)
 				d.endedAt = next
 			}
 		}
@@ -84,7 +84,7 @@
 		proxy, route := d.random.IntN(proxies), d.route()
 		toTarget := d.state == rollout.Finished
 		if d.state == rollout.InService {
-			more := min(max(boost-roll.Share, 0), extra[proxy])
+			more := min(max(initialShare-roll.Share, 0), extra[proxy])
 			extra[proxy] -= more
 			credit[proxy] += roll.Share + more
 			toTarget = credit[proxy] >= 1.25 || credit[proxy] >= 1 && d.random.Float64() < roll.Share
@@ -95,33 +95,33 @@
 		}
 		credit[proxy]--
 		d.target++
-		d.last = now
+		d.lastRequestAt = now
 		d.answer(target, route, true, now)
 	}
 }
 
-func (d *day) route() int {
+func (d *simulatedRollout) route() int {
 	at := d.random.Float64()
-	for i, part := range d.kind.routing {
+	for i, part := range d.behavior.routing {
 		if at -= part; at < 0 {
 			return i
 		}
 	}
-	return len(d.kind.routing) - 1
+	return len(d.behavior.routing) - 1
 }
 
 // answer counts how one request ends.
-func (d *day) answer(of rollout.StatsByRoute, route int, isTarget bool, now time.Duration) {
+func (d *simulatedRollout) answer(of rollout.StatsByRoute, route int, isTarget bool, now time.Duration) {
 	name := fmt.Sprint("route-", route)
 	t := of[name]
 	t.Sent++
-	bad := d.random.Float64() < d.kind.usual
-	took := usualMs * math.Exp(0.4*d.random.NormFloat64())
-	if isTarget && !d.kind.isGood && now >= d.kind.from && (d.kind.route < 0 || d.kind.route == route) && d.random.Float64() < d.kind.share {
-		bad = bad || d.kind.slow == 0
-		took *= max(d.kind.slow, 1)
+	bad := d.random.Float64() < d.behavior.baselineBadShare
+	took := medianLatencyMs * math.Exp(0.4*d.random.NormFloat64())
+	if isTarget && !d.behavior.isGood && now >= d.behavior.from && (d.behavior.route < 0 || d.behavior.route == route) && d.random.Float64() < d.behavior.badShare {
+		bad = bad || d.behavior.slowFactor == 0
+		took *= max(d.behavior.slowFactor, 1)
 		if d.badAnswers++; d.badAnswers == 50 {
-			d.fiftieth = now
+			d.fiftiethBadAt = now
 		}
 	}
 	if bad {
@@ -133,9 +133,9 @@
 	of[name] = t
 }
 
-func copyOf(evidence rollout.StatsByRoute) rollout.StatsByRoute {
+func copyOf(stats rollout.StatsByRoute) rollout.StatsByRoute {
 	c := rollout.StatsByRoute{}
-	for route, t := range evidence {
+	for route, t := range stats {
 		c[route] = t
 	}
 	return c
@@ -144,35 +144,35 @@
 func TestAnalysis_BadVersions_RevertedInTime(t *testing.T) {
 	const days = 100
 	even, uneven := []float64{0.5, 0.5}, []float64{0.75, 0.25}
-	kinds := []kind{
-		{name: "errors", share: 0.3, route: -1, routing: even},
-		{name: "errors, half", share: 0.5, route: -1, routing: even},
-		{name: "errors beside a service that fails now and then", share: 0.35, route: -1, usual: 0.03, routing: even},
-		{name: "slow", share: 0.35, slow: 8, route: -1, routing: even},
-		{name: "one class", share: 0.5, route: 1, routing: uneven, missed: 0.03},
-		{name: "late", share: 0.4, from: 3 * time.Second, route: -1, routing: even},
+	kinds := []behavior{
+		{name: "errors", badShare: 0.3, route: -1, routing: even},
+		{name: "errors, half", badShare: 0.5, route: -1, routing: even},
+		{name: "errors beside a service that fails now and then", badShare: 0.35, route: -1, baselineBadShare: 0.03, routing: even},
+		{name: "slow", badShare: 0.35, slowFactor: 8, route: -1, routing: even},
+		{name: "one class", badShare: 0.5, route: 1, routing: uneven, maxMissedShare: 0.03},
+		{name: "late", badShare: 0.4, from: 3 * time.Second, route: -1, routing: even},
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
 			missed := 0
 			for seed := range uint64(days) {
 				// Given an order for a bad version of a service,
-				d := &day{random: rand.New(rand.NewPCG(seed, 1)), kind: k, perSecond: 28, term: 14 * time.Second}
-				// when its requests come until the term,
-				d.play()
+				d := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 1)), behavior: k, perSecond: 28, duration: 14 * time.Second}
+				// when its requests come until the deadline,
+				d.run()
 				// then it gets no more of them than it may, whatever becomes of it,
 				if most := bounds.Share*float64(d.total) + bounds.Slack; float64(d.target) > most {
-					t.Errorf("day %d: the target got %d of %d requests, %s at %v", seed, d.target, d.total, d.state, d.endedAt)
+					t.Errorf("run %d: the target got %d of %d requests, %s at %v", seed, d.target, d.total, d.state, d.endedAt)
 				}
-				if d.fiftieth > 0 && d.last > d.fiftieth+rollback {
-					t.Errorf("day %d: the target got a request %v after its 50th bad answer", seed, d.last-d.fiftieth)
+				if d.fiftiethBadAt > 0 && d.lastRequestAt > d.fiftiethBadAt+rollbackTimeout {
+					t.Errorf("run %d: the target got a request %v after its 50th bad answer", seed, d.lastRequestAt-d.fiftiethBadAt)
 				}
 				if d.state != rollout.Reverted {
 					missed++
 				}
 			}
 			// and it is reverted.
-			if float64(missed) > days*max(k.missed, 0.01) {
+			if float64(missed) > days*max(k.maxMissedShare, 0.01) {
 				t.Errorf("%d of %d bad versions weren't reverted", missed, days)
 			}
 		})
@@ -187,10 +187,10 @@
 				missed := 0
 				for seed := range uint64(days) {
 					// Given an order for a version that is as good as the one in service,
-					d := &day{random: rand.New(rand.NewPCG(seed, 2)), kind: kind{isGood: true, usual: usual, routing: []float64{0.75, 0.25}},
-						perSecond: perSecond, term: 14 * time.Second}
-					// when its requests come until the term,
-					d.play()
+					d := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 2)), behavior: behavior{isGood: true, baselineBadShare: usual, routing: []float64{0.75, 0.25}},
+						perSecond: perSecond, duration: 14 * time.Second}
+					// when its requests come until the deadline,
+					d.run()
 					// then it is finished.
 					if d.state == rollout.Reverted || d.state == rollout.InService && perSecond > 1 {
 						missed++
@@ -207,7 +207,7 @@
 func TestAnalysis_NoRequests_FinishedByDeadline(t *testing.T) {
 	// Given an order for a service that nobody calls,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
-	// when its term is near,
+	// when its deadline is near,
 	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, rollout.StatsByRoute{}, rollout.StatsByRoute{})
 	// then it is finished.
 	if got != rollout.Finished {
@@ -216,11 +216,11 @@
 }
 
 func TestAnalysis_NoAnswers_Reverted(t *testing.T) {
-	// Given a target that has got requests and has answered none until its term is near,
+	// Given a target that has got requests and has answered none until its deadline is near,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	target := rollout.StatsByRoute{"r": {Sent: 12}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
-	// when it is judged,
+	// when it is evaluated,
 	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, target, baseline)
 	// then it is reverted.
 	if got != rollout.Reverted {
@@ -229,18 +229,18 @@
 }
 
 func TestAnalysis_OlderReport_Ignored(t *testing.T) {
-	// Given a trial that has seen two bad answers,
+	// Given an analysis that has seen two bad answers,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
 	newer, older := rollout.StatsByRoute{"r": {Sent: 4, Good: 2, Bad: 2}}, rollout.StatsByRoute{"r": {Sent: 2, Good: 1, Bad: 1}}
-	trial := rollout.NewAnalysis()
+	analysis := rollout.NewAnalysis()
 	// when what was seen before comes once more, and then what was seen last, again and again,
 	for range 5 {
-		trial.Evaluate(roll, time.Second, newer, baseline)
-		trial.Evaluate(roll, time.Second, older, baseline)
+		analysis.Evaluate(roll, time.Second, newer, baseline)
+		analysis.Evaluate(roll, time.Second, older, baseline)
 	}
 	// then the order stays open.
-	if got := trial.Evaluate(roll, time.Second, newer, baseline); got != rollout.InService {
+	if got := analysis.Evaluate(roll, time.Second, newer, baseline); got != rollout.InService {
 		t.Errorf("the order is %s", got)
 	}
 }
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -13,17 +13,17 @@
 	"mastusher/internal/tier/view"
 )
 
-// firstOrder is the index of the order that register takes.
-const firstOrder = 7
+// firstOrder is the index of the order that state machine takes.
+const firstIndex = 7
 
-// register is one that has seen a service's version and taken an order for another one.
-func register(t *testing.T) *rollout.StateMachine {
+// state machine is one that has seen a service's version and taken an order for another one.
+func machineWithProposal(t *testing.T) *rollout.StateMachine {
 	t.Helper()
 	r := rollout.New()
 	r.ApplyObservedVersion(rollout.ObservedVersion{Service: "s", Version: "v1"})
 	order := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 10)
-	if verdict := r.ApplyProposal(firstOrder, order); verdict != rollout.Accepted {
-		t.Fatalf("the order is %s", verdict)
+	if result := r.ApplyProposal(firstIndex, order); result != rollout.Accepted {
+		t.Fatalf("the order is %s", result)
 	}
 	return r
 }
@@ -31,31 +31,31 @@
 func TestStateMachine_Duplicate_StartsNoSecondRollout(t *testing.T) {
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		// Given an order that has ended,
-		r := register(t)
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: end})
+		r := machineWithProposal(t)
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: end})
 		// when it comes again, and when it is decided on again in another way,
-		verdict := r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, AtMs: 5})
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
+		result := r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, AtMs: 5})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
 		// then it stays as it ended, also after a snapshot.
 		roll, known := rollout.Restore(r.Snapshot()).Rollout("s")
-		if verdict != rollout.Accepted || !known || roll.State != end {
-			t.Errorf("the order that was %s is answered by %s, and is %s", end, verdict, roll.State)
+		if result != rollout.Accepted || !known || roll.State != end {
+			t.Errorf("the order that was %s is answered by %s, and is %s", end, result, roll.State)
 		}
 	}
 }
 
 func TestStateMachine_SecondTarget_InProgress(t *testing.T) {
-	// Given an order that is under way, when one for a third version comes, and one for the same in another time,
-	r := register(t)
-	verdicts := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
+	// Given an order that is in progress, when one for a third version comes, and one for the same in another time,
+	r := machineWithProposal(t)
+	results := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
 	// then they have to wait for the end of the first, and go on from there.
-	if diff := cmp.Diff([]rollout.Result{rollout.InProgress, rollout.InProgress}, verdicts); diff != "" {
+	if diff := cmp.Diff([]rollout.Result{rollout.InProgress, rollout.InProgress}, results); diff != "" {
 		t.Error(diff)
 	}
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
-	if verdict := r.ApplyProposal(9, rollout.Proposal{Service: "s", Target: "v3"}); verdict != rollout.Accepted {
-		t.Errorf("after the end it is answered by %s", verdict)
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
+	if result := r.ApplyProposal(9, rollout.Proposal{Service: "s", Target: "v3"}); result != rollout.Accepted {
+		t.Errorf("after the end it is answered by %s", result)
 	}
 	if roll, _ := r.Rollout("s"); roll.Baseline != "v2" {
 		t.Errorf("it goes on from %s", roll.Baseline)
@@ -71,9 +71,9 @@
 		State   rollout.State
 		From    string
 	}
-	again := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
+	duplicate := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
 	in := func(settled uint64, change func(o *rollout.Proposal)) rollout.Proposal {
-		o := again
+		o := duplicate
 		o.DedupExpiredIndex = settled
 		if change != nil {
 			change(&o)
@@ -87,21 +87,21 @@
 		order  rollout.Proposal
 		want   outcome
 	}{
-		{"finished, another under way, within its window", rollout.Finished, rollout.InService, again,
+		{"finished, another in progress, within its window", rollout.Finished, rollout.InService, duplicate,
 			outcome{rollout.Accepted, "v3", rollout.InService, "v2"}},
-		{"finished, another finished, within its window", rollout.Finished, rollout.Finished, again,
+		{"finished, another finished, within its window", rollout.Finished, rollout.Finished, duplicate,
 			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
-		{"reverted, another finished, within its window", rollout.Reverted, rollout.Finished, again,
+		{"reverted, another finished, within its window", rollout.Reverted, rollout.Finished, duplicate,
 			outcome{rollout.Accepted, "v3", rollout.Finished, "v1"}},
 		{"another time, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.OverMs = 8000 }),
 			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 		{"another service, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.Service = "other" }),
 			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
-		{"finished, another under way, after its window", rollout.Finished, rollout.InService, in(firstOrder, nil),
+		{"finished, another in progress, after its window", rollout.Finished, rollout.InService, in(firstIndex, nil),
 			outcome{rollout.InProgress, "v3", rollout.InService, "v2"}},
-		{"finished, another finished, after its window: back", rollout.Finished, rollout.Finished, in(firstOrder, nil),
+		{"finished, another finished, after its window: back", rollout.Finished, rollout.Finished, in(firstIndex, nil),
 			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
-		{"reverted, another finished, after its window: another try", rollout.Reverted, rollout.Finished, in(second, nil),
+		{"reverted, another finished, after its window: another attempt", rollout.Reverted, rollout.Finished, in(second, nil),
 			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 		{"finished, another reverted, after its window: it is in service", rollout.Finished, rollout.Reverted, in(second, nil),
 			outcome{rollout.Accepted, "v2", rollout.Finished, "v2"}},
@@ -110,10 +110,10 @@
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
 				// Given an order for v2 that has ended, and one for v3 after it,
-				r := register(t)
-				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: test.first})
-				if verdict := r.ApplyProposal(second, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); verdict != rollout.Accepted {
-					t.Fatalf("the second order is %s", verdict)
+				r := machineWithProposal(t)
+				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: test.first})
+				if result := r.ApplyProposal(second, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); result != rollout.Accepted {
+					t.Fatalf("the second order is %s", result)
 				}
 				if test.second != rollout.InService {
 					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", Order: second, State: test.second})
@@ -122,10 +122,10 @@
 					r = restored(t, r)
 				}
 				// when an order like the first comes,
-				verdict := r.ApplyProposal(second+1, test.order)
-				// then it is a repeat of the first, or a new one, by what it says and when it comes.
+				result := r.ApplyProposal(second+1, test.order)
+				// then it is a duplicate of the first, or a new one, by what it says and when it comes.
 				roll, _ := r.Rollout("s")
-				if diff := cmp.Diff(test.want, outcome{verdict, roll.Target, roll.State, roll.Baseline}); diff != "" {
+				if diff := cmp.Diff(test.want, outcome{result, roll.Target, roll.State, roll.Baseline}); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
 			})
@@ -135,26 +135,26 @@
 
 func TestStateMachine_RevertedTarget_MayBeProposedAgain(t *testing.T) {
 	// Given an order that was reverted,
-	r := register(t)
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
-	// when it comes after its window, and a late decision on the first try,
-	verdict := r.ApplyProposal(12, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: firstOrder})
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Reverted})
-	// then it is a new try, on which the late one has no effect.
+	r := machineWithProposal(t)
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
+	// when it comes after its window, and a late decision on the first attempt,
+	result := r.ApplyProposal(12, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: firstIndex})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
+	// then it is a new attempt, on which the late one has no effect.
 	roll, _ := r.Rollout("s")
-	if verdict != rollout.Accepted || roll.State != rollout.InService || roll.Index != 12 {
-		t.Errorf("the order is answered by %s, and is %s, of entry %d", verdict, roll.State, roll.Index)
+	if result != rollout.Accepted || roll.State != rollout.InService || roll.Index != 12 {
+		t.Errorf("the order is answered by %s, and is %s, of entry %d", result, roll.State, roll.Index)
 	}
-	// And its repeat is that order's.
-	if verdict := r.ApplyProposal(13, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: 12}); verdict != rollout.Accepted {
-		t.Errorf("its repeat is answered by %s", verdict)
+	// And its duplicate is that order's.
+	if result := r.ApplyProposal(13, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: 12}); result != rollout.Accepted {
+		t.Errorf("its duplicate is answered by %s", result)
 	}
 	if roll, _ := r.Rollout("s"); roll.Index != 12 {
-		t.Errorf("its repeat began roll-out %d", roll.Index)
+		t.Errorf("its duplicate began roll-out %d", roll.Index)
 	}
 }
 
-// restored is the register after its snapshot has been written and read.
+// restored is the state machine after its snapshot has been written and read.
 func restored(t rapid.TB, r *rollout.StateMachine) *rollout.StateMachine {
 	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
@@ -167,8 +167,8 @@
 	return rollout.Restore(saved)
 }
 
-// taken is an order that was taken, as the reference keeps it: all of them, for ever.
-type taken struct {
+// taken is an order that was accepted, as the reference keeps it: all of them, for ever.
+type acceptedProposal struct {
 	index uint64
 	order rollout.Proposal
 	state rollout.State
@@ -176,24 +176,24 @@
 
 // reference judges orders by the whole history.
 type reference struct {
-	history []taken // of one service
-	settled uint64
-	current string
+	history     []acceptedProposal // of one service
+	expiredUpTo uint64
+	current     string
 }
 
-func (m *reference) newest() *taken {
+func (m *reference) newest() *acceptedProposal {
 	if len(m.history) == 0 {
-		return &taken{state: rollout.Finished}
+		return &acceptedProposal{state: rollout.Finished}
 	}
 	return &m.history[len(m.history)-1]
 }
 
-func (m *reference) take(index uint64, o rollout.Proposal) rollout.Result {
-	m.settled = max(m.settled, o.DedupExpiredIndex)
+func (m *reference) applyProposal(index uint64, o rollout.Proposal) rollout.Result {
+	m.expiredUpTo = max(m.expiredUpTo, o.DedupExpiredIndex)
 	for i := range m.history {
 		t := &m.history[i]
 		isSame := t.order.Target == o.Target && t.order.OverMs == o.OverMs
-		if isSame && (t.index > m.settled || t.state == rollout.InService) {
+		if isSame && (t.index > m.expiredUpTo || t.state == rollout.InService) {
 			return rollout.Accepted
 		}
 	}
@@ -204,11 +204,11 @@
 	if o.Target == m.current {
 		state = rollout.Finished
 	}
-	m.history = append(m.history, taken{index: index, order: o, state: state})
+	m.history = append(m.history, acceptedProposal{index: index, order: o, state: state})
 	return rollout.Accepted
 }
 
-func (m *reference) decide(d rollout.Decision) {
+func (m *reference) applyDecision(d rollout.Decision) {
 	if newest := m.newest(); newest.state == rollout.InService && newest.index == d.Order {
 		newest.state = d.State
 		if d.State == rollout.Finished {
@@ -217,7 +217,7 @@
 	}
 }
 
-// TestStateMachine_RandomProposals_AgreesWithReference applies any orders and decisions, repeats among them, with snapshots in between.
+// TestStateMachine_RandomProposals_AgreesWithReference applies any orders and decisions, duplicates among them, with snapshots in between.
 func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, want := rollout.New(), &reference{current: "v1"}
@@ -228,14 +228,14 @@
 			case 0, 1, 2:
 				o := rollout.Proposal{Service: "s", Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
 					OverMs: rapid.Int64Range(1, 2).Draw(t, "over"), DedupExpiredIndex: rapid.Uint64Range(0, index-1).Draw(t, "settled")}
-				if got, wanted := r.ApplyProposal(index, o), want.take(index, o); got != wanted {
+				if got, wanted := r.ApplyProposal(index, o), want.applyProposal(index, o); got != wanted {
 					t.Fatalf("order %+v was %s, want %s", o, got, wanted)
 				}
 			case 3:
 				d := rollout.Decision{Service: "s", Order: rapid.Uint64Range(want.newest().index, index).Draw(t, "order"),
 					State: rapid.SampledFrom([]rollout.State{rollout.Finished, rollout.Reverted}).Draw(t, "end")}
 				r.ApplyDecision(d)
-				want.decide(d)
+				want.applyDecision(d)
 			case 4:
 				r = restored(t, r)
 			}
@@ -249,14 +249,14 @@
 
 func TestStateMachine_Versions_CarryTargetShare(t *testing.T) {
 	versions := func(r *rollout.StateMachine) []view.ServiceVersions { return r.Versions().Services }
-	// Given an order under way, then the target may get a part of the bounds, split among the proxies;
-	r := register(t)
-	want := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: firstOrder, TrafficShare: 0.08, InitialAllowance: 3.5}}
+	// Given an order in progress, then the target may get a part of the bounds, split among the proxies;
+	r := machineWithProposal(t)
+	want := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: firstIndex, TrafficShare: 0.08, InitialAllowance: 3.5}}
 	if diff := cmp.Diff(want, versions(r), cmpopts.EquateApprox(1e-9, 0)); diff != "" {
 		t.Error(diff)
 	}
 	// when the order ends, then there is one version.
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstOrder, State: rollout.Finished})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
 	if diff := cmp.Diff([]view.ServiceVersions{{Service: "s", Current: "v2"}}, versions(r)); diff != "" {
 		t.Error(diff)
 	}
@@ -271,7 +271,7 @@
 }
 
 func TestProposal_FewKnownProxies_KeepsBounds(t *testing.T) {
-	// Given an owner that has started just now and knows none of 9 proxies, then what they may send at first is within the slack.
+	// Given an leader that has started just now and knows none of 9 proxies, then what they may send at first is within the slack.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 0)
 	if sum := 9 * order.InitialAllowance; sum > 50 {
 		t.Errorf("they may send %v", sum)
