--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -73,32 +73,16 @@
 // options are the flags that all commands know.
 type options struct{ file, level, format string }
 
+// commands are all commands of the program; without one it serves.
 func commands() *cobra.Command {
 	o := &options{}
-	serving := func(cmd *cobra.Command, _ []string) error {
-		told := catch()
-		log, err := o.logger(cmd.ErrOrStderr())
-		if err != nil {
-			return err
-		}
-		cfg, err := config.Load(o.file, os.Getenv)
-		if err != nil {
-			return errWork{err}
-		}
-		again := func() (*config.Config, error) { return config.Load(o.file, os.Getenv) }
-		if err := serve(cfg, log, told, again); err != nil {
-			log.Error("relay stopped", "err", err)
-			return errWork{err}
-		}
-		return nil
-	}
 	const long = "mastusher relays messages to partner systems.\n\nWithout a command it serves.\n\n" +
 		"The serving tier is a program of its own: mastusher-tier runs its roles (proxy, agent, controller, store),\n" +
 		"each named by a command, and checks its files (check-settings, check-config)."
 	root := &cobra.Command{Use: "mastusher", Short: "mastusher relays messages to partner systems",
 		Args: func(cmd *cobra.Command, _ []string) error { return noCommand(cmd) },
 		Long: long,
-		RunE: serving, SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2}
+		RunE: o.serve, SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2}
 	flags := root.PersistentFlags()
 	flags.StringVar(&o.file, "config", "", "configuration file (default: the one that RELAY_CONFIG names)")
 	flags.StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
@@ -106,29 +90,10 @@
 	_ = root.RegisterFlagCompletionFunc("log-level", cobra.FixedCompletions([]string{"debug", "info", "warn", "error"}, cobra.ShellCompDirectiveNoFileComp))
 	_ = root.RegisterFlagCompletionFunc("log-format", cobra.FixedCompletions([]string{"text", "json"}, cobra.ShellCompDirectiveNoFileComp))
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "run the relay (the default)", Args: cobra.NoArgs, RunE: serving},
-		&cobra.Command{Use: "check-config", Short: "read the configuration and name the first faulty key", Args: cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				if _, err := config.Load(o.file, os.Getenv); err != nil {
-					return errWork{err}
-				}
-				cmd.Println("the configuration is good")
-				return nil
-			}},
-		&cobra.Command{Use: "make-key FILE", Short: "write a new key for the ActivityPub front to FILE and FILE.pub", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error {
-				if err := activitypub.MakeKey(args[0]); err != nil {
-					return errWork{fmt.Errorf("make-key: %w", err)}
-				}
-				return nil
-			}},
-		&cobra.Command{Use: "version", Short: "print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-			v := version
-			if info, ok := debug.ReadBuildInfo(); ok && v == "devel" && info.Main.Version != "" {
-				v = info.Main.Version
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), "mastusher", v, runtime.Version())
-		}},
+		&cobra.Command{Use: "serve", Short: "run the relay (the default)", Args: cobra.NoArgs, RunE: o.serve},
+		&cobra.Command{Use: "check-config", Short: "read the configuration and name the first faulty key", Args: cobra.NoArgs, RunE: o.checkConfig},
+		&cobra.Command{Use: "make-key FILE", Short: "write a new key for the ActivityPub front to FILE and FILE.pub", Args: cobra.ExactArgs(1), RunE: makeKey},
+		&cobra.Command{Use: "version", Short: "print the version", Args: cobra.NoArgs, Run: printVersion},
 		pluginCommand(o),
 		captureCommand(o),
 		replayCommand(o),
@@ -137,6 +102,48 @@
 	return root
 }
 
+// serve is the command that runs the relay.
+func (o *options) serve(cmd *cobra.Command, _ []string) error {
+	got := catch()
+	log, err := o.logger(cmd.ErrOrStderr())
+	if err != nil {
+		return err
+	}
+	load := func() (*config.Config, error) { return config.Load(o.file, os.Getenv) }
+	cfg, err := load()
+	if err != nil {
+		return errWork{err}
+	}
+	if err := serve(cfg, log, got, load); err != nil {
+		log.Error("relay stopped", "err", err)
+		return errWork{err}
+	}
+	return nil
+}
+
+func (o *options) checkConfig(cmd *cobra.Command, _ []string) error {
+	if _, err := config.Load(o.file, os.Getenv); err != nil {
+		return errWork{err}
+	}
+	cmd.Println("the configuration is good")
+	return nil
+}
+
+func makeKey(_ *cobra.Command, args []string) error {
+	if err := activitypub.MakeKey(args[0]); err != nil {
+		return errWork{fmt.Errorf("make-key: %w", err)}
+	}
+	return nil
+}
+
+func printVersion(cmd *cobra.Command, _ []string) {
+	v := version
+	if info, ok := debug.ReadBuildInfo(); ok && v == "devel" && info.Main.Version != "" {
+		v = info.Main.Version
+	}
+	fmt.Fprintln(cmd.OutOrStdout(), "mastusher", v, runtime.Version())
+}
+
 // logger is the log of a command, as the flags say.
 func (o *options) logger(w io.Writer) (*slog.Logger, error) {
 	var lv slog.Level
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -8,6 +8,7 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
+	"slices"
 	"syscall"
 	"time"
 
@@ -36,136 +37,193 @@
 }
 
 // serve runs the relay until a signal says to end it and what it holds is finished or safe in the journal.
-// Upon SIGHUP it reads its configuration again and moves to the discovery that is named there, also while it drains. A second
+// Upon SIGHUP it reads its configuration again (by load) and moves to the discovery that is named there, also while it drains. A second
 // signal to end it changes nothing.
-func serve(cfg *config.Config, log *slog.Logger, told signals, again func() (*config.Config, error)) error {
+func serve(cfg *config.Config, log *slog.Logger, got signals, load func() (*config.Config, error)) error {
+	limitRuntime(cfg)
+	entries, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
+	if err != nil {
+		return err
+	}
+	r := &relay{cfg: cfg, log: log}
+	defer r.close()
+	if r.core, err = engine.New(cfg, entries, log, time.Now()); err != nil {
+		return err
+	}
+	if err := r.start(); err != nil {
+		return err
+	}
+	go r.handleSignals(got.other, load)
+	go r.drain(got.end)
+	log.Info("relay serving", "name", cfg.Name, "listen", cfg.Listen)
+	r.core.Run()
+	return entries.Close() // nothing begins from here on
+}
+
+// limitRuntime has the Go runtime keep to what the configuration grants.
+func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(cfg.Limits.Cores)
 	debug.SetMemoryLimit(cfg.Limits.MemoryBytes * 3 / 4)
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(50) // what lives is small: the heap need not grow to 4 MB before it is looked through
 	}
-	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
+}
+
+// relay is a relay in service with all that stands around its core.
+type relay struct {
+	cfg       *config.Config
+	log       *slog.Logger
+	core      *engine.Core
+	front     *platform.Front // nil: off
+	router    *vrrp.Instance  // nil: off
+	servers   []*httpwire.Server
+	listeners []net.Listener
+	captures  *recorder
+	shape     *shaper
+	closers   []func() // called the last first
+}
+
+// close closes what start has opened, but for the servers: drain ends those.
+func (r *relay) close() {
+	for _, closer := range slices.Backward(r.closers) {
+		closer()
+	}
+}
+
+// start sets up plug-ins, fronts, captures and the fleet, and restores the journal: in this order, since a message may come as soon as a
+// front listens, and the core's first turn is to be in the capture.
+func (r *relay) start() error {
+	plugins, err := loadPlugins(r.cfg, r.log)
 	if err != nil {
 		return err
 	}
-	core, err := engine.New(cfg, jour, log, time.Now())
-	if err != nil {
+	if plugins != nil {
+		r.closers = append(r.closers, plugins.Close)
+		r.core.SetInspector(plugins)
+	}
+	if err := r.startPlatform(); err != nil {
 		return err
 	}
-	plugins, err := loadPlugins(cfg, log)
-	if err != nil {
+	if err := r.startActivityPub(); err != nil {
 		return err
 	}
-	if plugins != nil {
-		defer plugins.Close()
-		core.SetInspector(plugins)
-	}
-	var servers []*httpwire.Server
-	var router *vrrp.Instance // nil: off
-	var listeners []net.Listener
-	listen := func(name, address string, handle httpwire.Handler) error {
-		l, err := net.Listen("tcp", address)
-		if err != nil {
-			return fmt.Errorf("the %s front: %w", name, err)
-		}
-		s := httpwire.NewServer(&cfg.Limits, handle)
-		servers, listeners = append(servers, s), append(listeners, l)
-		go func() { _ = s.Serve(l) }()
+	r.captures = &recorder{cfg: r.cfg, core: r.core, log: r.log}
+	r.closers = append(r.closers, r.captures.close)
+	if r.cfg.Capture.On {
+		r.captures.start()
+	}
+	r.shape = &shaper{plugins: plugins, core: r.core, log: r.log}
+	return r.joinFleet()
+}
+
+// listen serves a front.
+func (r *relay) listen(name, address string, handle httpwire.Handler) error {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("the %s front: %w", name, err)
+	}
+	server := httpwire.NewServer(&r.cfg.Limits, handle)
+	r.servers, r.listeners = append(r.servers, server), append(r.listeners, l)
+	go func() { _ = server.Serve(l) }()
+	return nil
+}
+
+func (r *relay) startPlatform() error {
+	if r.cfg.Listen == "" {
 		return nil
 	}
-	var front *platform.Front // nil: off
-	if cfg.Listen != "" {
-		front = platform.New(cfg, core)
-		core.AddFront(platform.Name, front, platform.ParseEndpointList(cfg.Known))
-		if err := listen(platform.Name, cfg.Listen, front.Handle); err != nil {
-			return err
-		}
+	r.front = platform.New(r.cfg, r.core)
+	r.core.AddFront(platform.Name, r.front, platform.ParseEndpointList(r.cfg.Known))
+	return r.listen(platform.Name, r.cfg.Listen, r.front.Handle)
+}
+
+func (r *relay) startActivityPub() error {
+	if r.cfg.ActivityPub == nil {
+		return nil
 	}
-	if cfg.ActivityPub != nil {
-		front, pool, err := activitypub.New(cfg, core, log)
-		if err != nil {
-			return err
-		}
-		core.AddFront(activitypub.Name, front, pool)
-		if cfg.VRRP != nil {
-			if router, err = vrrp.Listen(cfg.VRRP, log); err != nil {
-				return err
-			}
-			defer router.Shutdown()
-			front.Open = router.Active
-		}
-		if err := listen(activitypub.Name, cfg.ActivityPub.Listen, front.Handle); err != nil {
+	front, partners, err := activitypub.New(r.cfg, r.core, r.log)
+	if err != nil {
+		return err
+	}
+	r.core.AddFront(activitypub.Name, front, partners)
+	if r.cfg.VRRP != nil {
+		if r.router, err = vrrp.Listen(r.cfg.VRRP, r.log); err != nil {
 			return err
 		}
+		r.closers = append(r.closers, r.router.Shutdown)
+		front.Open = r.router.Active
 	}
-	rec := &recorder{cfg: cfg, core: core, log: log}
-	defer rec.close()
-	if cfg.Capture.On {
-		rec.start()
+	return r.listen(activitypub.Name, r.cfg.ActivityPub.Listen, front.Handle)
+}
+
+// joinFleet restores the journal and, where the relay belongs to a fleet, takes part in that: until the fleet says more, nothing is taken
+// on and nothing sent.
+func (r *relay) joinFleet() error {
+	if r.cfg.Peers == nil {
+		r.core.Restore(time.Now())
+		return nil
 	}
-	shape := &shaper{plugins: plugins, core: core, log: log}
-	if cfg.Peers != nil {
-		if shape.rules, err = peer.NewRules(cfg); err != nil {
-			return err
-		}
-		shape.rules.Try = shape.prepare
-		core.Govern(engine.Mandate{}, nil) // until the fleet says more, nothing is taken on and nothing sent
+	var err error
+	if r.shape.rules, err = peer.NewRules(r.cfg); err != nil {
+		return err
 	}
-	core.Restore(time.Now())
-	if cfg.Peers != nil {
-		fleet, err := peer.Open(cfg, shape.rules, log, core, shape.stand)
-		if err != nil {
-			return err
-		}
-		defer fleet.Close()
+	r.shape.rules.Try = r.shape.prepare
+	r.core.Govern(engine.Mandate{}, nil)
+	r.core.Restore(time.Now())
+	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.stand)
+	if err != nil {
+		return err
 	}
+	r.closers = append(r.closers, fleet.Close)
+	return nil
+}
+
+// handleSignals does what SIGHUP, SIGUSR1 and SIGUSR2 ask for, until the process ends.
+func (r *relay) handleSignals(got <-chan os.Signal, load func() (*config.Config, error)) {
 	reloads := make(chan struct{}, 1) // one more is enough for any number that come while one is under way
 	go func() {
 		for range reloads {
-			shape.reload(front, again)
+			r.shape.reload(r.front, load)
 		}
 	}()
-	go func() {
-		for s := range told.other {
-			switch s {
-			case syscall.SIGHUP: // not here: to compile plug-ins takes time, and others must not wait
-				select {
-				case reloads <- struct{}{}:
-				default:
-				}
-			case syscall.SIGUSR1:
-				rec.start()
-			case syscall.SIGUSR2:
-				rec.stop()
+	for s := range got {
+		switch s {
+		case syscall.SIGHUP: // not here: to compile plug-ins takes time, and others must not wait
+			select {
+			case reloads <- struct{}{}:
+			default:
 			}
+		case syscall.SIGUSR1:
+			r.captures.start()
+		case syscall.SIGUSR2:
+			r.captures.stop()
 		}
-	}()
-	go func() {
-		s := <-told.end
-		log.Info("relay draining", "signal", s.String())
-		if router != nil {
-			router.Shutdown() // the others need not wait for this process to end
-		}
-		for _, s := range servers {
-			s.DisableKeepAlives()
-		}
-		linger := time.After(cfg.Limits.DrainLinger)
-		core.Drain()
-		// Clients still come for a moment after the signal: they are refused, not cut off. The core answers until the last of them
-		// is gone; then its last turn writes down what calls have come to meanwhile.
-		<-core.Drained()
-		<-linger
-		for _, l := range listeners {
-			_ = l.Close()
-		}
-		for _, s := range servers {
-			s.Close(cfg.Limits.DrainClose)
-		}
-		core.Stop()
-	}()
-	log.Info("relay serving", "name", cfg.Name, "listen", cfg.Listen)
-	core.Run()
-	return jour.Close() // nothing begins from here on
+	}
+}
+
+// drain waits for the signal that ends the process, and then has the core end once all is finished or safe. Clients still come for a
+// moment after the signal: they are refused, not cut off. The core answers until the last of them is gone; then its last turn writes down
+// what calls have come to meanwhile.
+func (r *relay) drain(end <-chan os.Signal) {
+	s := <-end
+	r.log.Info("relay draining", "signal", s.String())
+	if r.router != nil {
+		r.router.Shutdown() // the others need not wait for this process to end
+	}
+	for _, server := range r.servers {
+		server.DisableKeepAlives()
+	}
+	lingered := time.After(r.cfg.Limits.DrainLinger)
+	r.core.Drain()
+	<-r.core.Drained()
+	<-lingered
+	for _, l := range r.listeners {
+		_ = l.Close()
+	}
+	for _, server := range r.servers {
+		server.Close(r.cfg.Limits.DrainClose)
+	}
+	r.core.Stop()
 }
 
 // loadPlugins starts the plug-ins, or returns nil where the configuration sets up no host for them: then nothing of
@@ -174,12 +232,12 @@
 	if !cfg.PluginHost.On {
 		return nil, nil
 	}
-	h, err := plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, log)
+	host, err := plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, log)
 	if err != nil {
 		return nil, err
 	}
 	// A thread that runs a plug-in holds one of the runtime's processors: those are to be in excess. Which threads
 	// get the machine's is the scheduler's to say, and plug-ins have the lowest class there.
-	runtime.GOMAXPROCS(cfg.Limits.Cores + max(h.Procs(), 2))
-	return h, nil
+	runtime.GOMAXPROCS(cfg.Limits.Cores + max(host.Procs(), 2))
+	return host, nil
 }
