--- a/internal/tier/configuration/mutants_test.go
+++ b/internal/tier/configuration/mutants_test.go
@@ -10,7 +10,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "no order is recognised again",
+			Name: "no duplicate is recognized",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\tcase found:\n\t\treturn Accepted\n\tcase truncated",
@@ -29,7 +29,7 @@
 			Run: "^TestStateMachine_Apply$",
 		},
 		{
-			Name: "the version is looked at before repeats",
+			Name: "the base version is compared before duplicates are looked up",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\tdigest := fingerprintOf(proposal)\n\tswitch",
@@ -38,7 +38,7 @@
 			Run: "^TestStateMachine_Apply$",
 		},
 		{
-			Name: "the same content on another version is the same order",
+			Name: "the same content on another version is a duplicate",
 			Change: mutation.Change{
 				File: "proposal.go",
 				Old:  "	hash.Write([]byte(strconv.FormatUint(proposal.Base, 10)))\n",
@@ -61,7 +61,7 @@
 			Run: "^TestStateMachine_RandomProposals_AgreesWithReference|^TestStateMachine_DuplicatesAfterManyChanges_Acknowledged",
 		},
 		{
-			Name: "what is forgotten is refused",
+			Name: "a truncated history rejects",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\t\treturn HistoryTruncated\n",
@@ -70,7 +70,7 @@
 			Run: "^TestHistory_BeyondBound_TruncatesOldest$",
 		},
 		{
-			Name: "a snapshot loses what is forgotten",
+			Name: "a snapshot loses the base of its history",
 			Change: mutation.Change{
 				File: "snapshot.go",
 				Old:  "HistoryBase: s.history.base, ",
@@ -79,7 +79,7 @@
 			Run: "^TestHistory_BeyondBound_TruncatesOldest$",
 		},
 		{
-			Name: "what was refused is taken later",
+			Name: "a rejected proposal is accepted later",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\t\ts.rememberRejection(proposal.Base, digest)\n",
@@ -88,7 +88,7 @@
 			Run: "^TestStateMachine_Apply$|^TestRejections_BeyondBound_DropsOldest",
 		},
 		{
-			Name: "a snapshot loses what was refused",
+			Name: "a snapshot loses the rejections",
 			Change: mutation.Change{
 				File: "snapshot.go",
 				Old:  "\t\ts.rejected = append(s.rejected, restored)\n",
--- a/internal/tier/controller/order_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -11,7 +11,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "no order is recognised again",
+			Name: "no duplicate is recognized",
 			Change: mutation.Change{
 				File: "../configuration/state_machine.go",
 				Old:  "\tcase found:\n\t\treturn Accepted\n\tcase truncated",
@@ -29,7 +29,7 @@
 			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
-			Name: "the version is looked at before repeats",
+			Name: "the base version is compared before duplicates are looked up",
 			Change: mutation.Change{
 				File: "../configuration/state_machine.go",
 				Old:  "\tdigest := fingerprintOf(proposal)\n\tswitch",
@@ -47,7 +47,7 @@
 			Run: "^TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged",
 		},
 		{
-			Name: "what was refused is taken later",
+			Name: "a rejected proposal is accepted later",
 			Change: mutation.Change{
 				File: "../configuration/state_machine.go",
 				Old:  "\t\ts.rememberRejection(proposal.Base, digest)\n",
@@ -65,7 +65,7 @@
 			Run: "^TestRandomOrderHistories_AreLinearizable$",
 		},
 		{
-			Name: "what isn't agreed on is acknowledged",
+			Name: "an uncommitted order is acknowledged",
 			Change: mutation.Change{
 				File: "api_settings.go",
 				Old:  "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}\n",
@@ -74,7 +74,7 @@
 			Run: "^TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent",
 		},
 		{
-			Name: "only the newest roll-out is remembered",
+			Name: "only the newest roll-out is recognized as a duplicate",
 			Change: mutation.Change{
 				File: "../rollout/state_machine.go",
 				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
@@ -83,7 +83,7 @@
 			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
 		},
 		{
-			Name: "the window of repeats is too short",
+			Name: "the dedup window is too short",
 			Change: mutation.Change{
 				File: "dedup.go",
 				Old:  "return bounds.ConfirmWithin() + bounds.UnstableExtension()",
@@ -92,7 +92,7 @@
 			Run: "^TestRolloutOrders_DuplicatesInAnyHistory_BeginOnce$",
 		},
 		{
-			Name: "the window of repeats has no end",
+			Name: "the dedup window has no end",
 			Change: mutation.Change{
 				File: "dedup.go",
 				Old:  "\treturn c.dedupWindow.ExpiredUpTo(c.options.Clock(), c.options.Now(), c.state.dedupEntries())\n",
@@ -101,7 +101,7 @@
 			Run: "^TestRolloutOrder_LateDuplicate_StartsNoSecondRollout",
 		},
 		{
-			Name: "the time of day alone tells what is a repeat",
+			Name: "the time of day alone decides what is a duplicate",
 			Change: mutation.Change{
 				File: "../dedup/window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
@@ -110,7 +110,7 @@
 			Run: "^TestRolloutOrder_LateDuplicate_StartsNoSecondRollout",
 		},
 		{
-			Name: "a machine that has gone is not known",
+			Name: "an absent store is unknown",
 			Change: mutation.Change{
 				File: "api_decommission.go",
 				Old:  "\t\tstore, known = c.absentStore(node)\n",
--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -8,9 +8,9 @@
 
 // The tests that must notice what goes wrong at a controller that is partitioned.
 const (
-	cutOffTests     = "TestPartitionedController_AnswersStayLinearizable"
-	successionTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
-	listTests       = "TestEndpoints_LeaderCutOffFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
+	partitionTests    = "TestPartitionedController_AnswersStayLinearizable"
+	formerLeaderTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
+	listTests         = "TestEndpoints_LeaderCutOffFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
 )
 
 // TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is partitioned. The scenarios
@@ -20,50 +20,50 @@
 	const confirmed = "err := c.group.Read(ctx, func() {"
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "members tell the configuration that they hold",
+			Name: "followers return the configuration that they have applied",
 			Change: mutation.Change{File: "api_settings.go",
 				Old: "func (c *Controller) getSettings(e echo.Context) error {\n\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}",
 				New: "func (c *Controller) getSettings(e echo.Context) error {"},
 			Also: []mutation.Change{{File: "api_settings.go", Old: confirmed, New: unconfirmed}},
-			Run:  cutOffTests,
+			Run:  partitionTests,
 		},
 		{
-			Name: "members tell the state of roll-outs that they hold",
+			Name: "followers return the roll-outs that they have applied",
 			Change: mutation.Change{File: "api_rollouts.go",
 				Old: "func (c *Controller) getRollout(e echo.Context) error {\n\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}",
 				New: "func (c *Controller) getRollout(e echo.Context) error {"},
 			Also: []mutation.Change{{File: "api_rollouts.go", Old: confirmed, New: unconfirmed}},
-			Run:  cutOffTests,
+			Run:  partitionTests,
 		},
 		{
-			Name:   "the owner tells the configuration without asking the others",
+			Name:   "the leader returns the configuration without a confirmed read",
 			Change: mutation.Change{File: "api_settings.go", Old: confirmed, New: unconfirmed},
-			Run:    successionTests, Always: true,
+			Run:    formerLeaderTests, Always: true,
 		},
 		{
-			Name:   "any answer to a round of heartbeats confirms a read",
+			Name:   "a read is confirmed by less than a majority",
 			Change: mutation.Change{File: "../replica/read_only.go", Old: "confirmed := r.quorumValue(r.leadership.readContext, readContextOf)", New: "confirmed := r.leadership.readContext"},
-			Run:    successionTests,
+			Run:    formerLeaderTests,
 		},
 		{
-			Name: "an order is refused for the version that a member holds",
+			Name: "an order is rejected for the version that a member has applied",
 			Change: mutation.Change{File: "api_settings.go", Old: "\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {",
 				New: "\tc.mutex.Lock()\n\tother := err == nil && c.state.configuration.Current().Number != proposal.Base\n\tc.mutex.Unlock()\n" +
 					"\tif other {\n\t\treturn apierror.New(apierror.VersionConflict, \"another version is current\")\n\t}\n" +
 					"\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {"},
-			Run: cutOffTests,
+			Run: partitionTests,
 		},
 		{
-			Name: "an order is acknowledged though nothing is known of it",
+			Name: "an order is acknowledged without a result",
 			Change: mutation.Change{File: "api_settings.go", Old: "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn c.proposalError(err)\n\t}",
 				New: "\tresult, err := c.propose(e.Request().Context(), proposal)\n\tif err != nil {\n\t\treturn e.NoContent(http.StatusOK)\n\t}"},
-			Run: cutOffTests,
+			Run: partitionTests,
 		},
 		{
-			Name: "one vote or copy less than a majority is enough",
+			Name: "one vote or replica less than a majority is enough",
 			Change: mutation.Change{File: "../replica/election.go", Old: "return r.configurations.latest().quorumSize()",
 				New: "return max(1, r.configurations.latest().quorumSize()-1)"},
-			Run: cutOffTests,
+			Run: partitionTests,
 		},
 		{
 			Name: "a machine is unknown without a confirmed read",
@@ -72,37 +72,37 @@
 			Run: "TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing",
 		},
 		{
-			Name:   "a new owner is sure of the machines that it sees",
+			Name:   "a new leader takes its view of machines for complete",
 			Change: mutation.Change{File: "api_decommission.go", Old: "return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)", New: "return true"},
-			Run:    cutOffTests,
+			Run:    partitionTests,
 		},
 		{
-			Name:   "an owner stays one without a majority",
+			Name:   "a leader stays one without a majority",
 			Change: mutation.Change{File: "../replica/leader.go", Old: "if r.now-lastContact < r.options.ElectionTimeout {", New: "if r.now-lastContact < 1000*r.options.ElectionTimeout {"},
-			Run:    cutOffTests,
+			Run:    partitionTests,
 		},
 		{
-			Name:   "callers are sent to an owner of which nothing is heard",
+			Name:   "callers are redirected to a leader of which nothing is heard",
 			Change: mutation.Change{File: "../group/status.go", Old: "status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout", New: "false"},
-			Run:    cutOffTests,
+			Run:    partitionTests,
 		},
 		{
-			Name:   "callers are sent only to owners that membership takes to run",
+			Name:   "callers are redirected only to leaders that membership takes for alive",
 			Change: mutation.Change{File: "api_redirect.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.DeadOrLeft() {"},
-			Run:    cutOffTests,
+			Run:    partitionTests,
 		},
 		{
-			Name:   "a former owner publishes what it has read",
+			Name:   "a former leader publishes what it has read",
 			Change: mutation.Change{File: "endpoints.go", Old: "!now.IsLeader || now.Term != status.Term", New: "now.Term == 0"},
 			Run:    listTests,
 		},
 		{
-			Name:   "a new owner goes on from what it read long ago",
+			Name:   "a new leader merges what it read in an earlier term",
 			Change: mutation.Change{File: "endpoints.go", Old: "if publisher.term != term {", New: "if publisher.term == 0 {"},
 			Run:    listTests,
 		},
 		{
-			Name:   "the owner reads alone",
+			Name:   "no peer reads for the leader",
 			Change: mutation.Change{File: "list_reader.go", Old: "&& !r.delegateWorks && len(peers) > 0:", New: "&& !r.delegateWorks && len(peers) > 9:"},
 			Run:    listTests, Always: true,
 		},
@@ -112,12 +112,12 @@
 			Run:    listTests,
 		},
 		{
-			Name:   "the owner never tries again to read",
+			Name:   "the leader never retries to read itself",
 			Change: mutation.Change{File: "list_reader.go", Old: "case !now.Before(r.localRetryAt):", New: "case false:"},
 			Run:    listTests,
 		},
 		{
-			Name:   "others are asked where the platform refuses",
+			Name:   "peers are asked where the platform refuses",
 			Change: mutation.Change{File: "list_reader.go", Old: "case errors.As(err, &unreachable) && !r.delegateWorks && len(peers) > 0:", New: "case err != nil && !r.delegateWorks && len(peers) > 0:"},
 			Run:    listTests,
 		},
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "an owner follows an older placement",
+			Name:   "a leader follows an older placement",
 			Change: mutation.Change{File: "../store/shard.go", Old: "case s.placementIndex == followed && !slices.Equal(s.lastTarget, s.targetMembers):", New: "case s.placementIndex > 0 && !slices.Equal(s.lastTarget, s.targetMembers):"},
 			Run:    "^TestShardLeader_OlderPlacement_UndoesNothing$",
 		},
@@ -22,7 +22,7 @@
 			Run:    "^TestGroupReport_DeposedLeader_NotConfirmed$",
 		},
 		{
-			Name:   "a loss is forgotten when the newcomers hold something",
+			Name:   "a loss is forgotten when the spares have replicas",
 			Change: mutation.Change{File: "../placement/lost_hosts.go", Old: "lost[host.ID], t.lost[host.ID] = true, true", New: "lost[host.ID] = true"},
 			Run:    "^TestRepair_TwoLossesAtOnce_BothRepaired$",
 		},
--- a/internal/tier/decommission/duplicate_mutants_test.go
+++ b/internal/tier/decommission/duplicate_mutants_test.go
@@ -10,7 +10,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "a repeat is refused when too few would remain",
+			Name: "a duplicate is rejected when too few would remain",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "exists && operation.Index > proposal.DedupExpiredIndex",
@@ -19,7 +19,7 @@
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
-			Name: "an order is acknowledged whenever the machine was emptied before",
+			Name: "an order is acknowledged whenever the machine was drained before",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "exists && operation.Index > proposal.DedupExpiredIndex",
@@ -28,7 +28,7 @@
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
-			Name: "what has ended is asked for anew",
+			Name: "an ended operation begins again",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  `operation.State == InService || proposal.ID == "" || operation.has(proposal.ID)`,
--- a/internal/tier/decommission/mutants_test.go
+++ b/internal/tier/decommission/mutants_test.go
@@ -17,20 +17,20 @@
 			Run:    judgement,
 		},
 		{
-			Name: "members that lag count",
+			Name: "lagging members count as caught up",
 			Change: mutation.Change{File: "drained.go", Old: " || len(group.CaughtUp) != len(target) {",
 				New: " {"},
 			Also: []mutation.Change{{File: "drained.go", Old: " || !slices.Contains(group.CaughtUp, replica.ID) {", New: " {"}},
 			Run:  judgement,
 		},
 		{
-			Name:   "the machine may still be wanted",
+			Name:   "the machine may still host target replicas",
 			Change: mutation.Change{File: "drained.go", Old: " || hosts(operation, shard.Replicas) {", New: " {"},
 			Also:   []mutation.Change{{File: "drained.go", Old: "func hosts(", New: "var _ = hosts\n\nfunc hosts("}},
 			Run:    judgement,
 		},
 		{
-			Name:   "groups with too few replicas are whole",
+			Name:   "groups with too few replicas are complete",
 			Change: mutation.Change{File: "drained.go", Old: "if len(target) < replicationFactor || ", New: "if "},
 			Run:    judgement,
 		},
--- a/internal/tier/placement/mutants_test.go
+++ b/internal/tier/placement/mutants_test.go
@@ -16,17 +16,17 @@
 			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
-			Name:   "a machine that is back stays lost",
+			Name:   "a host that is back stays lost",
 			Change: mutation.Change{File: "tracker.go", Old: "		delete(t.lost, m.ID)\n", New: ""},
 			Run:    "^TestTracker_Lost_StaysLostUntilBack$",
 		},
 		{
-			Name:   "one newcomer stands for all that are missing",
+			Name:   "one spare replaces all missing hosts",
 			Change: mutation.Change{File: "lost_hosts.go", Old: "missing[:min(available, len(missing))]", New: "missing[:min(available*9, len(missing))]"},
 			Run:    "^TestTracker_OneSpare_ReplacesOneMissing$",
 		},
 		{
-			Name:   "a suspicion counts without a newcomer",
+			Name:   "a suspicion suffices without a newcomer",
 			Change: mutation.Change{File: "lost_hosts.go", Old: "now.Sub(t.firstSeen[m.ID]) < newcomerAge", New: "true || now.Sub(t.firstSeen[m.ID]) < newcomerAge"},
 			Run:    "^TestTracker_LostReplicas$",
 		},
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -10,7 +10,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "only the newest order is remembered",
+			Name: "only the newest proposal is recognized as a duplicate",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
@@ -20,7 +20,7 @@
 			Always: true,
 		},
 		{
-			Name: "what has ended is never a repeat",
+			Name: "duplicates of ended roll-outs are not recognized",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
@@ -29,7 +29,7 @@
 			Run: "^TestStateMachine_Duplicate_StartsNoSecondRollout",
 		},
 		{
-			Name: "repeats have no end",
+			Name: "the dedup window has no end",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
@@ -38,7 +38,7 @@
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
-			Name: "a snapshot loses the recent orders",
+			Name: "a snapshot loses the recent proposals",
 			Change: mutation.Change{
 				File: "snapshot.go",
 				Old:  "\ts.recent = slices.Clone(snapshot.Recent)\n",
@@ -47,7 +47,7 @@
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
-			Name: "the target alone names an order",
+			Name: "the target alone identifies a proposal",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
@@ -56,7 +56,7 @@
 			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 		},
 		{
-			Name: "a repeat of what is under way is refused after its window",
+			Name: "a duplicate of a roll-out in progress is rejected after its window",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
