--- a/internal/tier/demo/example.go
+++ b/internal/tier/demo/example.go
@@ -107,18 +107,18 @@
 	}
 	r.tell("all proxies are ready")
 	fronts := r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)
-	before := r.play(ctx, standin.ProgramOptions{Name: "before", Address: fronts[0], Turns: 4, Tools: 2, SubAgents: 2, SubTurns: 2}, standin.Finished)
+	before := r.play(ctx, standin.ProgramOptions{Name: "before", Address: fronts[0], Turns: 4, Tools: 2, Subagents: 2, SubagentTurns: 2}, standin.Finished)
 	r.spend(ctx, "spender", fronts[1])
 	if err := r.lose(ctx); err != nil {
 		return err
 	}
-	r.play(ctx, standin.ProgramOptions{Name: "after", Address: fronts[1], Turns: 4, Tools: 2, SubAgents: 1, SubTurns: 2,
-		GoOnFrom: lastFinished(before)}, standin.Finished)
+	r.play(ctx, standin.ProgramOptions{Name: "after", Address: fronts[1], Turns: 4, Tools: 2, Subagents: 1, SubagentTurns: 2,
+		ContinueFrom: lastFinished(before)}, standin.Finished)
 	if err := r.reconfigure(ctx); err != nil {
 		return err
 	}
 	r.spend(ctx, "late-spender", fronts[0])
-	for _, attempt := range r.around.Ledger.Twice() {
+	for _, attempt := range r.around.Ledger.Duplicates() {
 		r.breach("attempt " + attempt + " ran twice")
 	}
 	return nil
@@ -127,11 +127,11 @@
 // play runs one program that remembers its turns, and checks its end and all that it saw.
 func (r *run) play(ctx context.Context, program standin.ProgramOptions, want standin.State) standin.Outcome {
 	program.Host, program.TurnPath, program.ToolPath, program.Model = localtier.Host, localtier.TurnPath, localtier.ToolPath, localtier.ModelName
-	program.MostTokens = mostTokens
-	program.Finish, program.TimeLeft = programPatience, localtier.RequestPatience
-	program.Remembered = true
-	program.Pause = func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }
-	outcome := standin.NewProgram(program).Play(ctx)
+	program.MaxTokens = mostTokens
+	program.Timeout, program.RequestTimeout = programPatience, localtier.RequestPatience
+	program.Stateful = true
+	program.Backoff = func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }
+	outcome := standin.NewProgram(program).Run(ctx)
 	r.breach(outcome.Check(r.around.Ledger)...)
 	if outcome.State != want {
 		r.breach(fmt.Sprintf("program %s ended as %s, not as %s: statuses %v", program.Name, outcome.State, want, statuses(outcome)))
@@ -198,7 +198,7 @@
 // lastFinished gives the last turn whose whole answer came.
 func lastFinished(outcome standin.Outcome) standin.Turn {
 	for _, turn := range slices.Backward(outcome.Turns) {
-		if turn.Status == http.StatusOK && turn.Whole {
+		if turn.Status == http.StatusOK && turn.Complete {
 			return turn
 		}
 	}
--- a/internal/tier/demo/example_test.go
+++ b/internal/tier/demo/example_test.go
@@ -93,16 +93,16 @@
 }
 
 func TestLastFinished(t *testing.T) {
-	whole := standin.Turn{Attempt: "a", Status: 200, Whole: true}
+	whole := standin.Turn{Attempt: "a", Status: 200, Complete: true}
 	cases := []struct {
 		name  string
 		turns []standin.Turn
 		want  standin.Turn
 	}{
 		{name: "none"},
-		{name: "the last", turns: []standin.Turn{{Attempt: "0", Status: 200, Whole: true}, whole}, want: whole},
+		{name: "the last", turns: []standin.Turn{{Attempt: "0", Status: 200, Complete: true}, whole}, want: whole},
 		{name: "one that broke off after it", turns: []standin.Turn{whole, {Attempt: "b", Status: 200}}, want: whole},
-		{name: "a refusal after it", turns: []standin.Turn{whole, {Attempt: "b", Status: 503, Whole: true}}, want: whole},
+		{name: "a refusal after it", turns: []standin.Turn{whole, {Attempt: "b", Status: 503, Complete: true}}, want: whole},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tier/localtier/surroundings.go
+++ b/internal/tier/localtier/surroundings.go
@@ -36,7 +36,7 @@
 // Surroundings is what is around a tier: the platform's list and the endpoints on it.
 type Surroundings struct {
 	Platform *standin.Platform
-	Ledger   *standin.Ledger
+	Ledger   *standin.RunLog
 	closers  []func()
 }
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	around := &Surroundings{Platform: platform, Ledger: standin.NewLedger(), closers: []func(){platform.Close}}
+	around := &Surroundings{Platform: platform, Ledger: standin.NewRunLog(), closers: []func(){platform.Close}}
 	for number := range modelServers {
 		if err := around.addEngine(fmt.Sprintf("engine-%d", number+1)); err != nil {
 			around.Close()
@@ -63,13 +63,13 @@
 }
 
 func (s *Surroundings) options(id, service string, capacity int) standin.EndpointOptions {
-	return standin.EndpointOptions{ID: id, Service: service, Zone: zone, Number: version, Capacity: capacity, Queue: capacity,
-		TellLoad: true, Ledger: s.Ledger}
+	return standin.EndpointOptions{ID: id, Service: service, Zone: zone, Version: version, Capacity: capacity, Queue: capacity,
+		ReportLoad: true, RunLog: s.Ledger}
 }
 
 func (s *Surroundings) addEngine(id string) error {
 	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: s.options(id, modelService, batch),
-		Models: []string{ModelName}, Weights: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, Gap: eventGap})
+		Models: []string{ModelName}, WeightsVersion: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, EventInterval: eventGap})
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 }
 
 func (s *Surroundings) addTool(id string) error {
-	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: s.options(id, toolService, toolCapacity), Work: toolWork})
+	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: s.options(id, toolService, toolCapacity), ServiceTime: toolWork})
 	if err != nil {
 		return err
 	}
--- a/internal/tier/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -68,7 +68,7 @@
 
 func TestTheChecksOfTurns(t *testing.T) {
 	began := time.Unix(1000, 0)
-	whole := standin.Turn{Attempt: "a", Status: statusOK, Whole: true, Sent: began, Ended: began.Add(time.Second)}
+	whole := standin.Turn{Attempt: "a", Status: statusOK, Complete: true, Sent: began, Ended: began.Add(time.Second)}
 	turn := func(previous string, status int, after time.Duration) standin.Turn {
 		return standin.Turn{Attempt: "b", Previous: previous, Status: status, Sent: whole.Ended, Ended: whole.Ended.Add(after)}
 	}
@@ -89,9 +89,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := &history{programs: []standin.Played{{Name: "p", Budget: c.budget, Outcome: standin.Outcome{Turns: []standin.Turn{whole, c.last}}}}}
+			h := &history{programs: []standin.ProgramResult{{Name: "p", Budget: c.budget, Outcome: standin.Outcome{Turns: []standin.Turn{whole, c.last}}}}}
 			var broken []string
-			for _, violation := range checkTurns(h, standin.NewLedger()) {
+			for _, violation := range checkTurns(h, standin.NewRunLog()) {
 				if rule, _, _ := strings.Cut(violation, ":"); rule != "TURN" { // the ledger is empty
 					broken = append(broken, rule)
 				}
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -88,11 +88,11 @@
 	name := fmt.Sprintf("p%d", c.programs)
 	c.fleet.mutex.Unlock()
 	options := standin.ProgramOptions{Name: name, Address: net.JoinHostPort(clientAddress, "80"), Host: host, TurnPath: turnPath, ToolPath: toolPath,
-		Model: modelName, Turns: turns, Tools: 1, MostTokens: mostTokens, Budget: budget, Finish: programPatience, TimeLeft: requestTime, Remembered: true,
-		GoOnFrom: from, Dial: c.dial, Pause: pause}
-	outcome := standin.NewProgram(options).Play(context.Background())
+		Model: modelName, Turns: turns, Tools: 1, MaxTokens: mostTokens, Budget: budget, Timeout: programPatience, RequestTimeout: requestTime, Stateful: true,
+		ContinueFrom: from, Dial: c.dial, Backoff: pause}
+	outcome := standin.NewProgram(options).Run(context.Background())
 	c.fleet.trace("program %s: %s after %d turns", name, outcome.State, len(outcome.Turns))
-	c.fleet.history.program(standin.Played{Name: name, Budget: budget, Outcome: outcome})
+	c.fleet.history.program(standin.ProgramResult{Name: name, Budget: budget, Outcome: outcome})
 	return outcome
 }
 
--- a/internal/tier/simulation/doubler_test.go
+++ b/internal/tier/simulation/doubler_test.go
@@ -72,7 +72,7 @@
 			d.ran[attempt]++
 			d.mutex.Unlock()
 		}
-		body := standin.PlainAnswer(doublerID, attempt, 0)
+		body := standin.PlainBody(doublerID, attempt, 0)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\nX-Server-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
 			attempt, standin.Seal(doublerID, attempt), doublerID, len(body), body)
 		if _, err := socket.Write([]byte(text + text)); err != nil {
--- a/internal/tier/simulation/history.go
+++ b/internal/tier/simulation/history.go
@@ -38,7 +38,7 @@
 	mutex    sync.Mutex
 	sent     []sent
 	versions []versionSeen
-	programs []standin.Played
+	programs []standin.ProgramResult
 }
 
 func (h *history) call(s sent) {
@@ -53,7 +53,7 @@
 	h.versions = append(h.versions, seen)
 }
 
-func (h *history) program(p standin.Played) {
+func (h *history) program(p standin.ProgramResult) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.programs = append(h.programs, p)
@@ -66,7 +66,7 @@
 	var turns []standin.Turn
 	for _, p := range h.programs {
 		for _, turn := range p.Outcome.Turns {
-			if turn.Whole && turn.Status == statusOK {
+			if turn.Complete && turn.Status == statusOK {
 				turns = append(turns, turn)
 			}
 		}
--- a/internal/tier/simulation/stories_test.go
+++ b/internal/tier/simulation/stories_test.go
@@ -277,7 +277,7 @@
 // once only, then none runs twice, and each answer belongs to its request.
 func TestOnceOnlyCallsRunOnceWhateverEndpointsDo(t *testing.T) {
 	t.Parallel()
-	for _, fault := range []standin.Fault{standin.NoFault, standin.LoseAnswer, standin.CutAnswer, standin.DropUnread, standin.RefuseFull} {
+	for _, fault := range []standin.Fault{standin.NoFault, standin.LoseResponse, standin.TruncateResponse, standin.DropRequest, standin.RejectFull} {
 		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
 			var twice *doubler
 			story(t, Options{Seed: 16}, func(t *testing.T, d *day) {
--- a/internal/tier/simulation/strike.go
+++ b/internal/tier/simulation/strike.go
@@ -123,15 +123,15 @@
 			d.network.Reset(edge.host, target.host)
 		}
 	case AnswerLostFault:
-		d.trouble(fault.For, standin.LoseAnswer)
+		d.trouble(fault.For, standin.LoseResponse)
 	case AnswerCutFault:
-		d.trouble(fault.For, standin.CutAnswer)
+		d.trouble(fault.For, standin.TruncateResponse)
 	case EndpointErrorFault:
-		d.trouble(fault.For, standin.FailAnswer)
+		d.trouble(fault.For, standin.FailResponse)
 	case EndpointFullFault:
-		d.trouble(fault.For, standin.RefuseFull)
+		d.trouble(fault.For, standin.RejectFull)
 	case UnreadFault:
-		d.trouble(fault.For, standin.DropUnread)
+		d.trouble(fault.For, standin.DropRequest)
 	case PlatformFault:
 		d.around.platform.SetDown(true)
 		d.after(fault.For, func() { d.around.platform.SetDown(false) })
--- a/internal/tier/simulation/surroundings.go
+++ b/internal/tier/simulation/surroundings.go
@@ -35,7 +35,7 @@
 
 // surroundings are those whom the tier talks to: the platform's list, the endpoints, the operator and the clients.
 type surroundings struct {
-	ledger    *standin.Ledger
+	ledger    *standin.RunLog
 	platform  *standin.Platform
 	endpoints []*endpoint
 	operator  *memorynetwork.Process
@@ -51,7 +51,7 @@
 }
 
 func (f *Fleet) surround() (*surroundings, error) {
-	around := &surroundings{ledger: standin.NewLedger()}
+	around := &surroundings{ledger: standin.NewRunLog()}
 	around.operator = f.network.Machine(operatorAddress).Start()
 	around.client = f.network.Machine(clientAddress).Start()
 	around.processes = append(around.processes, around.operator, around.client)
@@ -81,19 +81,19 @@
 // addEndpoint starts a model server or a plain endpoint.
 func (s *surroundings) addEndpoint(f *Fleet, number int) error {
 	host := f.network.Machine(fmt.Sprintf("10.8.0.%d", number+1))
-	options := standin.EndpointOptions{ID: fmt.Sprintf("e-%d", number), Service: toolService, Zone: zoneName(number % f.options.Zones), Number: "v1",
-		Capacity: batch, Queue: batch, MaxConnections: maxConnections, Ledger: s.ledger, Listen: s.listen(host, endpointPort), Fault: f.endpointFault}
+	options := standin.EndpointOptions{ID: fmt.Sprintf("e-%d", number), Service: toolService, Zone: zoneName(number % f.options.Zones), Version: "v1",
+		Capacity: batch, Queue: batch, MaxConnections: maxConnections, RunLog: s.ledger, Listen: s.listen(host, endpointPort), Fault: f.endpointFault}
 	if number%2 == 0 {
 		options.Service = modelService
 		engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: options, Models: []string{modelName}, CacheTokens: cacheTokens,
-			TokensPerEvent: tokensPerEvent, Prefill: prefill, Gap: eventGap})
+			TokensPerEvent: tokensPerEvent, Prefill: prefill, EventInterval: eventGap})
 		if err != nil {
 			return err
 		}
 		s.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
 		s.ends = append(s.ends, engine.Close)
 	} else {
-		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, Work: toolWork})
+		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolWork})
 		if err != nil {
 			return err
 		}
--- a/internal/tier/soak/recover.go
+++ b/internal/tier/soak/recover.go
@@ -87,7 +87,7 @@
 	sent, served, tries := 0, 0, 0
 	var last standin.Outcome
 	for time.Since(back) < RecoveryBound+servedTime {
-		outcome := r.clients.play(ctx, standin.ProgramOptions{Address: front, Turns: 1, Tools: 1, Pause: func(context.Context) error { return errOnce }})
+		outcome := r.clients.play(ctx, standin.ProgramOptions{Address: front, Turns: 1, Tools: 1, Backoff: func(context.Context) error { return errOnce }})
 		isServed := outcome.State == standin.Finished
 		tries++
 		if isServed && since.IsZero() {
@@ -126,10 +126,10 @@
 func describe(outcome standin.Outcome) string {
 	var answers []string
 	for _, turn := range outcome.Turns {
-		answers = append(answers, fmt.Sprintf("turn %s: %d whole=%t %s", turn.Attempt, turn.Status, turn.Whole, turn.Problem))
+		answers = append(answers, fmt.Sprintf("turn %s: %d whole=%t %s", turn.Attempt, turn.Status, turn.Complete, turn.Problem))
 	}
 	for _, tool := range outcome.Tools {
-		answers = append(answers, fmt.Sprintf("call %s: %d whole=%t %s", tool.Attempt, tool.Status, tool.Whole, tool.Problem))
+		answers = append(answers, fmt.Sprintf("call %s: %d whole=%t %s", tool.Attempt, tool.Status, tool.Complete, tool.Problem))
 	}
 	return strings.Join(answers, "; ")
 }
@@ -165,12 +165,12 @@
 			}
 		}
 	}
-	terms := standin.Terms{MostTokens: mostTokens, TokensPerEvent: localtier.TokensPerEvent, KeepFor: keepFor}
-	for _, violation := range standin.CheckPlayed(played, r.around.Ledger, terms) {
+	terms := standin.Guarantees{MaxTokens: mostTokens, TokensPerEvent: localtier.TokensPerEvent, Retention: keepFor}
+	for _, violation := range standin.CheckPrograms(played, r.around.Ledger, terms) {
 		kind, text, _ := strings.Cut(violation, ": ")
 		r.violate(kind, "%s", text)
 	}
-	for _, attempt := range r.around.Ledger.Twice() {
+	for _, attempt := range r.around.Ledger.Duplicates() {
 		r.violate("TWICE", "attempt %s ran twice", attempt)
 	}
 	r.tell("checked: %v", r.result.Text())
@@ -180,8 +180,8 @@
 func (r *run) continueTurn(ctx context.Context, from standin.Turn) {
 	var last standin.Outcome
 	for range continueTries {
-		last = r.clients.play(ctx, standin.ProgramOptions{Address: r.clients.fronts[r.intN(len(r.clients.fronts))], Turns: 1, GoOnFrom: from,
-			Pause: func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }})
+		last = r.clients.play(ctx, standin.ProgramOptions{Address: r.clients.fronts[r.intN(len(r.clients.fronts))], Turns: 1, ContinueFrom: from,
+			Backoff: func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }})
 		if last.State == standin.Finished {
 			return
 		}
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -46,7 +46,7 @@
 	losing atomic.Int32 // troubles that have answers lost
 
 	mutex  sync.Mutex
-	played []standin.Played
+	played []standin.ProgramResult
 	next   int
 }
 
@@ -58,12 +58,12 @@
 func (c *clients) work(ctx context.Context) {
 	for localtier.Pause(ctx, programPause) == nil {
 		program := standin.ProgramOptions{Address: c.fronts[c.run.intN(len(c.fronts))], Turns: 1 + c.run.intN(mostTurns), Tools: 1,
-			Dial: c.run.dialLosing(&c.losing), Pause: func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }}
+			Dial: c.run.dialLosing(&c.losing), Backoff: func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }}
 		if c.run.intN(2) == 0 {
 			program.Budget = int64(mostTokens * (1 + c.run.intN(2*mostTurns)))
 		}
 		if turns := c.wholeTurns(); len(turns) > 0 && c.run.intN(4) == 0 {
-			program.GoOnFrom = turns[c.run.intN(len(turns))]
+			program.ContinueFrom = turns[c.run.intN(len(turns))]
 		}
 		c.play(context.WithoutCancel(ctx), program)
 	}
@@ -76,11 +76,11 @@
 	program.Name = fmt.Sprintf("p%d", c.next)
 	c.mutex.Unlock()
 	program.Host, program.TurnPath, program.ToolPath, program.Model = localtier.Host, localtier.TurnPath, localtier.ToolPath, localtier.ModelName
-	program.MostTokens, program.Finish, program.TimeLeft, program.Remembered = mostTokens, programPatience, localtier.RequestPatience, true
-	outcome := standin.NewProgram(program).Play(ctx)
+	program.MaxTokens, program.Timeout, program.RequestTimeout, program.Stateful = mostTokens, programPatience, localtier.RequestPatience, true
+	outcome := standin.NewProgram(program).Run(ctx)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.played = append(c.played, standin.Played{Name: program.Name, Budget: program.Budget, Outcome: outcome})
+	c.played = append(c.played, standin.ProgramResult{Name: program.Name, Budget: program.Budget, Outcome: outcome})
 	return outcome
 }
 
@@ -91,7 +91,7 @@
 	var turns []standin.Turn
 	for _, p := range c.played {
 		for _, turn := range p.Outcome.Turns {
-			if turn.Whole && turn.Status == http.StatusOK {
+			if turn.Complete && turn.Status == http.StatusOK {
 				turns = append(turns, turn)
 			}
 		}
--- a/internal/tier/standin/played.go
+++ b/internal/tier/standin/check.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Played is a program that has ended.
-type Played struct {
+// ProgramResult is a program that has ended.
+type ProgramResult struct {
 	Name    string
 	Budget  int64 // 0: none
 	Outcome Outcome
 }
 
-// Terms are what the tier owes to programs.
-type Terms struct {
-	MostTokens     int64         // of one turn, as programs ask for them
+// Guarantees are what the tier owes to programs.
+type Guarantees struct {
+	MaxTokens      int64         // of one turn, as programs ask for them
 	TokensPerEvent int64         // as endpoints generate them
-	KeepFor        time.Duration // that a turn is kept after its end
+	Retention      time.Duration // that a turn is kept after its end
 }
 
-// CheckPlayed reports what must not have happened to programs. All of them have ended, and so have the endpoints' runs.
-func CheckPlayed(programs []Played, ledger *Ledger, terms Terms) (violations []string) {
+// CheckPrograms reports what must not have happened to programs. All of them have ended, and so have the endpoints' runs.
+func CheckPrograms(programs []ProgramResult, ledger *RunLog, terms Guarantees) (violations []string) {
 	note := func(format string, values ...any) { violations = append(violations, fmt.Sprintf(format, values...)) }
 	ended := map[string]Turn{}
 	for _, p := range programs {
@@ -56,26 +56,26 @@
 }
 
 // checkAbsent reports a 404 to a turn that goes on from none, or from one that is kept.
-func (t Terms) checkAbsent(turn Turn, ended map[string]Turn, note func(format string, values ...any)) {
+func (t Guarantees) checkAbsent(turn Turn, ended map[string]Turn, note func(format string, values ...any)) {
 	if turn.Previous == "" {
 		note("DENIED: turn %s, which goes on from none, was answered 404", turn.Attempt)
 		return
 	}
 	previous := ended[turn.Previous]
-	if previous.Whole && previous.Status == http.StatusOK && turn.Ended.Sub(previous.Ended) < t.KeepFor {
+	if previous.Complete && previous.Status == http.StatusOK && turn.Ended.Sub(previous.Ended) < t.Retention {
 		note("LOST: turn %s was answered 404 %v after the end of %s, which it goes on from", turn.Attempt, turn.Ended.Sub(previous.Ended), turn.Previous)
 	}
 }
 
 // checkSpent reports a 402 where the budget holds one more turn even if all turns sent before cost their most.
-func (t Terms) checkSpent(p Played, refused Turn, note func(format string, values ...any)) {
-	most := t.MostTokens
+func (t Guarantees) checkSpent(p ProgramResult, refused Turn, note func(format string, values ...any)) {
+	most := t.MaxTokens
 	for _, turn := range p.Outcome.Turns {
 		if turn.Attempt != refused.Attempt && turn.Sent.Before(refused.Ended) {
-			most += t.MostTokens
+			most += t.MaxTokens
 		}
 	}
 	if p.Budget == 0 || most <= p.Budget {
-		note("REFUSED: turn %s was answered 402 with at most %d of %d spent", refused.Attempt, most-t.MostTokens, p.Budget)
+		note("REFUSED: turn %s was answered 402 with at most %d of %d spent", refused.Attempt, most-t.MaxTokens, p.Budget)
 	}
 }
--- a/internal/tier/standin/doc.go
+++ b/internal/tier/standin/doc.go
@@ -1,6 +1,6 @@
 // Package standin plays what is around the tier, for examples and tests, on loopback: the platform's list of endpoints,
 // plain endpoints, model servers and the programs that call them. What ran, where, how often and with which body stands
-// in a Ledger, which several endpoints may share.
+// in a RunLog, which several endpoints may share.
 package standin
 
 import "time"
@@ -10,7 +10,7 @@
 	maxHeaderBytes     = 64 << 10
 	headerTimeout      = 10 * time.Second
 	defaultIdleTimeout = time.Minute
-	maxRuns            = 1 << 20 // that a ledger keeps
+	maxRecordedRuns    = 1 << 20 // that a ledger keeps
 	maxEvents          = 100_000 // of one answer
 	defaultPageSize    = 50
 	defaultPriority    = 5
@@ -34,7 +34,7 @@
 	headerPriority    = "Priority"
 	headerProgram     = "Program"
 	headerSession     = "Session"
-	headerFinish      = "Finish-Ms"
+	headerDeadline    = "Finish-Ms"
 	headerBudget      = "Budget"
 	headerPrevious    = "Previous"
 )
--- a/internal/tier/standin/endpoint.go
+++ b/internal/tier/standin/endpoint.go
@@ -20,14 +20,14 @@
 	ID             string
 	Service        string
 	Zone           string
-	Number         string // version of its software
+	Version        string // version of its software
 	Capacity       int    // requests at the same time
 	Queue          int    // requests that wait for a slot
 	MaxConnections int    // more are reset; 0: no bound
 	KeepAlive      time.Duration
-	TellLoad       bool
+	ReportLoad     bool
 	HealthPath     string // "/health" if empty
-	Ledger         *Ledger
+	RunLog         *RunLog
 	Listen         func() (net.Listener, error) // nil: at a loopback address
 	// Fault says what goes wrong with a request; nil: nothing. It may be called from several goroutines.
 	Fault func(request *http.Request) Fault
@@ -37,15 +37,15 @@
 type endpoint struct {
 	options  EndpointOptions
 	slots    slots
-	ledger   *Ledger
+	runLog   *RunLog
 	server   *http.Server
 	listener net.Listener
 	served   sync.WaitGroup
 
-	open     atomic.Int64 // connections now
-	opened   atomic.Int64 // connections ever
-	draining atomic.Bool
-	sick     atomic.Bool
+	open      atomic.Int64 // connections now
+	opened    atomic.Int64 // connections ever
+	draining  atomic.Bool
+	unhealthy atomic.Bool
 
 	gateMutex sync.Mutex
 	gate      chan struct{} // runs wait until it closes; nil: they don't
@@ -55,8 +55,8 @@
 	if options.HealthPath == "" {
 		options.HealthPath = "/health"
 	}
-	if options.Ledger == nil {
-		options.Ledger = NewLedger()
+	if options.RunLog == nil {
+		options.RunLog = NewRunLog()
 	}
 	if options.Capacity <= 0 {
 		return fmt.Errorf("endpoint %q has no slots", options.ID)
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	e.options, e.ledger, e.listener = options, options.Ledger, listener
+	e.options, e.runLog, e.listener = options, options.RunLog, listener
 	e.slots.capacity, e.slots.queue = options.Capacity, options.Queue
 	e.server = &http.Server{
 		Handler:           handler,
@@ -120,9 +120,9 @@
 	return e.listener.Addr().String()
 }
 
-// Ledger gives the record of what ran.
-func (e *endpoint) Ledger() *Ledger {
-	return e.ledger
+// RunLog gives the record of what ran.
+func (e *endpoint) RunLog() *RunLog {
+	return e.runLog
 }
 
 // Entry gives the endpoint as the platform lists it.
@@ -132,7 +132,7 @@
 		Service:  e.options.Service,
 		Address:  e.Address(),
 		Zone:     e.options.Zone,
-		Version:  e.options.Number,
+		Version:  e.options.Version,
 		Capacity: e.options.Capacity,
 		State:    model.Ready,
 	}
@@ -149,7 +149,7 @@
 
 // SetHealthy says what its health answers are.
 func (e *endpoint) SetHealthy(healthy bool) {
-	e.sick.Store(!healthy)
+	e.unhealthy.Store(!healthy)
 }
 
 // Connections gives the connections that are open and all that ever were.
@@ -157,9 +157,9 @@
 	return e.open.Load(), e.opened.Load()
 }
 
-// Hold makes admitted requests wait until release is called: a plain endpoint's once they run, a model server's before
+// Pause makes admitted requests wait until release is called: a plain endpoint's once they run, a model server's before
 // their first event.
-func (e *endpoint) Hold() (release func()) {
+func (e *endpoint) Pause() (release func()) {
 	gate := make(chan struct{})
 	e.gateMutex.Lock()
 	e.gate = gate
@@ -174,8 +174,8 @@
 	})
 }
 
-// pass waits at the gate.
-func (e *endpoint) pass(ctx context.Context) error {
+// waitResumed waits at the gate.
+func (e *endpoint) waitResumed(ctx context.Context) error {
 	e.gateMutex.Lock()
 	gate := e.gate
 	e.gateMutex.Unlock()
@@ -192,7 +192,7 @@
 
 // work waits at the gate and then for the time given.
 func (e *endpoint) work(ctx context.Context, duration time.Duration) error {
-	if err := e.pass(ctx); err != nil {
+	if err := e.waitResumed(ctx); err != nil {
 		return err
 	}
 	if duration <= 0 {
@@ -217,47 +217,47 @@
 	return context.WithTimeout(request.Context(), time.Duration(left)*time.Millisecond)
 }
 
-// admitted is a request that has a slot.
-type admitted struct {
+// admission is a request that has a slot.
+type admission struct {
 	ctx     context.Context
 	attempt string
 	body    []byte
 	fault   Fault
-	leave   func()
+	release func()
 }
 
 // admit checks a request and finds it a slot, or answers it. A request that is admitted has to leave.
-func (e *endpoint) admit(response http.ResponseWriter, request *http.Request) (admitted, bool) {
+func (e *endpoint) admit(response http.ResponseWriter, request *http.Request) (admission, bool) {
 	attempt := request.Header.Get(headerAttempt)
 	if attempt == "" {
-		e.refuse(response, request, http.StatusBadRequest)
-		return admitted{}, false
+		e.reject(response, request, http.StatusBadRequest)
+		return admission{}, false
 	}
 	if expected := request.Header.Get(headerExpected); expected != "" && expected != e.options.ID {
 		response.Header().Set(headerServer, e.options.ID)
-		e.refuse(response, request, http.StatusMisdirectedRequest)
-		return admitted{}, false
+		e.reject(response, request, http.StatusMisdirectedRequest)
+		return admission{}, false
 	}
 	fault := e.fault(request)
-	if fault == RefuseFull {
-		e.refuse(response, request, http.StatusServiceUnavailable)
-		return admitted{}, false
+	if fault == RejectFull {
+		e.reject(response, request, http.StatusServiceUnavailable)
+		return admission{}, false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(response, request.Body, maxBodyBytes))
-	if err != nil || fault == DropUnread {
+	if err != nil || fault == DropRequest {
 		panic(http.ErrAbortHandler)
 	}
 	ctx, cancel := deadline(request)
 	if err := e.slots.acquire(ctx, priority(request)); err != nil {
 		cancel()
-		e.refuse(response, request, http.StatusServiceUnavailable)
-		return admitted{}, false
+		e.reject(response, request, http.StatusServiceUnavailable)
+		return admission{}, false
 	}
 	leave := func() {
 		cancel()
 		e.slots.release()
 	}
-	return admitted{ctx: ctx, attempt: attempt, body: body, fault: fault, leave: leave}, true
+	return admission{ctx: ctx, attempt: attempt, body: body, fault: fault, release: leave}, true
 }
 
 func (e *endpoint) fault(request *http.Request) Fault {
@@ -275,21 +275,21 @@
 	return told
 }
 
-// refuse answers a request that hasn't run and never will here.
-func (e *endpoint) refuse(response http.ResponseWriter, request *http.Request, status int) {
-	e.ledger.refuse(request.Header.Get(headerAttempt))
-	e.head(response, request)
+// reject answers a request that hasn't run and never will here.
+func (e *endpoint) reject(response http.ResponseWriter, request *http.Request, status int) {
+	e.runLog.reject(request.Header.Get(headerAttempt))
+	e.setHeaders(response, request)
 	response.Header().Set(headerNotRun, "1")
 	response.WriteHeader(status)
 }
 
-// head sets what all answers carry.
-func (e *endpoint) head(response http.ResponseWriter, request *http.Request) {
+// setHeaders sets what all answers carry.
+func (e *endpoint) setHeaders(response http.ResponseWriter, request *http.Request) {
 	header := response.Header()
 	if attempt := request.Header.Get(headerAttempt); attempt != "" {
 		header.Set(headerAttempt, attempt)
 	}
-	if e.options.TellLoad {
+	if e.options.ReportLoad {
 		header.Set(headerLoad, e.slots.load())
 	}
 	switch {
@@ -302,7 +302,7 @@
 
 // seal stamps an answer of a request that has run.
 func (e *endpoint) seal(response http.ResponseWriter, request *http.Request) {
-	e.head(response, request)
+	e.setHeaders(response, request)
 	response.Header().Set(headerSeal, Seal(e.options.ID, request.Header.Get(headerAttempt)))
 }
 
@@ -313,7 +313,7 @@
 
 // run notes the beginning of a run and gives its place in the ledger.
 func (e *endpoint) run(request *http.Request, body []byte) int {
-	return e.ledger.begin(Run{
+	return e.runLog.start(Run{
 		Attempt:  request.Header.Get(headerAttempt),
 		Endpoint: e.options.ID,
 		Method:   request.Method,
@@ -329,19 +329,19 @@
 	ctx, cancel := deadline(request)
 	defer cancel()
 	if err := e.slots.acquire(ctx, priority(request)); err != nil {
-		e.refuse(response, request, http.StatusServiceUnavailable)
+		e.reject(response, request, http.StatusServiceUnavailable)
 		return
 	}
 	defer e.slots.release()
-	e.head(response, request)
+	e.setHeaders(response, request)
 	response.Header().Set(headerServer, e.options.ID)
-	if e.draining.Load() || e.sick.Load() {
+	if e.draining.Load() || e.unhealthy.Load() {
 		response.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// ended answers a run that reached its deadline; a client that went gets nothing.
-func (e *endpoint) ended(response http.ResponseWriter, request *http.Request, cause error) {
+// respondEnded answers a run that reached its deadline; a client that went gets nothing.
+func (e *endpoint) respondEnded(response http.ResponseWriter, request *http.Request, cause error) {
 	if !errors.Is(cause, context.DeadlineExceeded) {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/tier/standin/endpoint_test.go
+++ b/internal/tier/standin/endpoint_test.go
@@ -81,11 +81,11 @@
 
 func TestAPlainEndpointAnswersAndRecords(t *testing.T) {
 	stand := startPlain(t, PlainOptions{
-		EndpointOptions: EndpointOptions{Capacity: 6, TellLoad: true, KeepAlive: 15 * time.Second},
-		AnswerBytes:     800,
+		EndpointOptions: EndpointOptions{Capacity: 6, ReportLoad: true, KeepAlive: 15 * time.Second},
+		ResponseBytes:   800,
 	})
 	got := ask(testContext(t), "POST", stand.Address(), "/a/b?c=d", "body", "X-Attempt-Id", "7", "X-Expected-Server", "i-1")
-	if got.Status != 200 || !got.Whole || got.Body != PlainAnswer("i-1", "7", 800) || len(got.Body) != 800 {
+	if got.Status != 200 || !got.Whole || got.Body != PlainBody("i-1", "7", 800) || len(got.Body) != 800 {
 		t.Fatalf("got %+v", got)
 	}
 	for name, want := range map[string]string{
@@ -95,13 +95,13 @@
 			t.Errorf("%s is %q, want %q", name, got.Header.Get(name), want)
 		}
 	}
-	runs := stand.Ledger().Runs("7")
+	runs := stand.RunLog().Runs("7")
 	if len(runs) != 1 {
 		t.Fatalf("%d runs", len(runs))
 	}
 	run := runs[0]
 	run.Header = nil
-	want := Run{Attempt: "7", Endpoint: "i-1", Method: "POST", Target: "/a/b?c=d", Host: stand.Address(), Body: []byte("body"), Whole: true}
+	want := Run{Attempt: "7", Endpoint: "i-1", Method: "POST", Target: "/a/b?c=d", Host: stand.Address(), Body: []byte("body"), Complete: true}
 	if diff := cmp.Diff(want, run); diff != "" {
 		t.Error(diff)
 	}
@@ -109,7 +109,7 @@
 
 func TestWhatAnEndpointRefusesDoesNotRun(t *testing.T) {
 	plain := startPlain(t, PlainOptions{})
-	engine := startEngine(t, EngineOptions{Weights: 3, CacheTokens: 100})
+	engine := startEngine(t, EngineOptions{WeightsVersion: 3, CacheTokens: 100})
 	cases := []struct {
 		name    string
 		address string
@@ -132,16 +132,16 @@
 			}
 		})
 	}
-	if runs := append(plain.Ledger().All(), engine.Ledger().All()...); len(runs) != 0 {
+	if runs := append(plain.RunLog().All(), engine.RunLog().All()...); len(runs) != 0 {
 		t.Errorf("ran: %v", runs)
 	}
-	if count := plain.Ledger().Refusals("1"); count != 1 {
+	if count := plain.RunLog().Rejections("1"); count != 1 {
 		t.Errorf("%d refusals noted", count)
 	}
 }
 
 // waitFor waits until the ledger shows what is wanted.
-func waitFor(t *testing.T, ledger *Ledger, shown func() bool) {
+func waitFor(t *testing.T, ledger *RunLog, shown func() bool) {
 	t.Helper()
 	ctx := testContext(t)
 	for {
@@ -160,11 +160,11 @@
 func TestAFullEndpoint(t *testing.T) {
 	// Given an endpoint with one slot, taken, and no queue
 	stand := startPlain(t, PlainOptions{})
-	release := stand.Hold()
+	release := stand.Pause()
 	defer release()
 	first := make(chan seen, 1)
 	go func() { first <- ask(testContext(t), "GET", stand.Address(), "/", "", "X-Attempt-Id", "1") }()
-	waitFor(t, stand.Ledger(), func() bool { return len(stand.Ledger().Runs("1")) == 1 })
+	waitFor(t, stand.RunLog(), func() bool { return len(stand.RunLog().Runs("1")) == 1 })
 	// When others come, then they and health checks are refused
 	for _, path := range []string{"/", "/health"} {
 		got := ask(testContext(t), "GET", stand.Address(), path, "", "X-Attempt-Id", "2")
@@ -177,7 +177,7 @@
 	if got := <-first; got.Status != 200 {
 		t.Errorf("got %+v", got)
 	}
-	if runs := stand.Ledger().Runs("2"); len(runs) != 0 {
+	if runs := stand.RunLog().Runs("2"); len(runs) != 0 {
 		t.Errorf("ran: %v", runs)
 	}
 }
@@ -185,19 +185,19 @@
 func TestADeadline(t *testing.T) {
 	// Given an endpoint whose slot is taken
 	stand := startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{Queue: 1}})
-	release := stand.Hold()
+	release := stand.Pause()
 	first := make(chan seen, 1)
 	go func() { first <- ask(testContext(t), "GET", stand.Address(), "/", "", "X-Attempt-Id", "1") }()
-	waitFor(t, stand.Ledger(), func() bool { return len(stand.Ledger().Runs("1")) == 1 })
+	waitFor(t, stand.RunLog(), func() bool { return len(stand.RunLog().Runs("1")) == 1 })
 	// A deadline in the queue is a refusal
 	got := ask(testContext(t), "GET", stand.Address(), "/", "", "X-Attempt-Id", "2", "X-Time-Left-Ms", "1")
-	if got.Status != 503 || got.Header.Get("X-Not-Run") == "" || len(stand.Ledger().Runs("2")) != 0 {
+	if got.Status != 503 || got.Header.Get("X-Not-Run") == "" || len(stand.RunLog().Runs("2")) != 0 {
 		t.Errorf("got %+v", got)
 	}
 	release()
 	<-first
 	// A deadline at work counts as run
-	defer stand.Hold()()
+	defer stand.Pause()()
 	got = ask(testContext(t), "GET", stand.Address(), "/", "", "X-Attempt-Id", "3", "X-Time-Left-Ms", "1")
 	if got.Status != 504 || got.Header.Get("X-Not-Run") != "" || got.Header.Get("X-Server-Seal") == "" {
 		t.Errorf("got %+v", got)
@@ -213,11 +213,11 @@
 		runs   int
 	}{
 		{name: "none", fault: NoFault, status: 200, whole: true, runs: 1},
-		{name: "lost", fault: LoseAnswer, runs: 1},
-		{name: "cut", fault: CutAnswer, status: 200, runs: 1},
-		{name: "failed", fault: FailAnswer, status: 500, whole: true, runs: 1},
-		{name: "refused", fault: RefuseFull, status: 503, whole: true},
-		{name: "dropped", fault: DropUnread},
+		{name: "lost", fault: LoseResponse, runs: 1},
+		{name: "cut", fault: TruncateResponse, status: 200, runs: 1},
+		{name: "failed", fault: FailResponse, status: 500, whole: true, runs: 1},
+		{name: "refused", fault: RejectFull, status: 503, whole: true},
+		{name: "dropped", fault: DropRequest},
 	}
 	for _, c := range cases {
 		options := EndpointOptions{ID: "i-5", Capacity: 1, Fault: func(*http.Request) Fault { return c.fault }}
@@ -225,19 +225,19 @@
 		engine := startEngine(t, EngineOptions{EndpointOptions: options, Events: 4})
 		for name, stand := range map[string]interface {
 			Address() string
-			Ledger() *Ledger
+			RunLog() *RunLog
 		}{"plain": plain, "engine": engine} {
 			t.Run(name+" "+c.name, func(t *testing.T) {
 				got := ask(testContext(t), "POST", stand.Address(), "/", "x", "X-Attempt-Id", "1")
 				if got.Status != c.status || got.Whole != c.whole {
 					t.Errorf("got %+v", got)
 				}
-				runs := stand.Ledger().Runs("1")
+				runs := stand.RunLog().Runs("1")
 				if len(runs) != c.runs {
 					t.Fatalf("%d runs", len(runs))
 				}
-				if c.runs == 1 && runs[0].Whole != (c.fault == NoFault) {
-					t.Errorf("whole: %v", runs[0].Whole)
+				if c.runs == 1 && runs[0].Complete != (c.fault == NoFault) {
+					t.Errorf("whole: %v", runs[0].Complete)
 				}
 			})
 		}
@@ -245,7 +245,7 @@
 }
 
 func TestHealthAndDraining(t *testing.T) {
-	stand := startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{TellLoad: true, Service: "s", Zone: "z", Number: "v1"}})
+	stand := startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{ReportLoad: true, Service: "s", Zone: "z", Version: "v1"}})
 	health := func() seen { return ask(testContext(t), "GET", stand.Address(), "/health", "") }
 	if got := health(); got.Status != 200 || got.Header.Get("X-Server-Id") != "i-1" || got.Header.Get("X-Server-Load") == "" {
 		t.Errorf("got %+v", got)
@@ -279,14 +279,14 @@
 	if resumed.Body != event(3) {
 		t.Errorf("got %+v", resumed)
 	}
-	if runs := stand.Ledger().All(); len(runs) != 2 || runs[0].Tokens != 9 || runs[1].Tokens != 3 {
+	if runs := stand.RunLog().All(); len(runs) != 2 || runs[0].Tokens != 9 || runs[1].Tokens != 3 {
 		t.Errorf("got %v", runs)
 	}
 }
 
 func TestAClientThatGoesBeforeTheFirstEventHasNotRun(t *testing.T) {
 	stand := startEngine(t, EngineOptions{})
-	release := stand.Hold()
+	release := stand.Pause()
 	ctx, cancel := context.WithCancel(testContext(t))
 	gone := make(chan seen, 1)
 	go func() { gone <- ask(ctx, "POST", stand.Address(), "/", "x", "X-Attempt-Id", "1") }()
@@ -296,7 +296,7 @@
 	// The slot is free again once the endpoint has noticed
 	askUntil(t, stand.Address(), "/health", func(got seen) bool { return got.Status == 200 })
 	release()
-	if runs := stand.Ledger().All(); len(runs) != 0 {
+	if runs := stand.RunLog().All(); len(runs) != 0 {
 		t.Errorf("ran: %v", runs)
 	}
 }
--- a/internal/tier/standin/engine.go
+++ b/internal/tier/standin/engine.go
@@ -13,12 +13,12 @@
 type EngineOptions struct {
 	EndpointOptions
 	Models         []string
-	Weights        int   // version of the weights; 0: it tells none
+	WeightsVersion int   // version of the weights; 0: it tells none
 	CacheTokens    int64 // larger requests are refused; 0: no bound
 	TokensPerEvent int64 // 1 if 0
 	Events         int   // of an answer without X-Token-Counts; 1 if 0
 	Prefill        time.Duration
-	Gap            time.Duration // between two events
+	EventInterval  time.Duration // between two events
 }
 
 // Engine is a model server: it answers with events whose ids rise.
@@ -83,45 +83,45 @@
 		CacheTotal: e.engine.CacheTokens,
 	}
 	for _, name := range e.engine.Models {
-		report.Models = append(report.Models, ReportModel{Name: name, Number: max(1, e.engine.Weights), Adapters: []string{}})
+		report.Models = append(report.Models, ReportModel{Name: name, Number: max(1, e.engine.WeightsVersion), Adapters: []string{}})
 	}
 	response.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(response).Encode(report)
 }
 
-// size is what a request's X-Token-Counts says.
-type size struct {
-	prompt int64
-	most   int64 // 0: nothing told
+// requestTokens is what a request's X-Token-Counts says.
+type requestTokens struct {
+	prompt    int64
+	maxOutput int64 // 0: nothing told
 }
 
-func sizeOf(request *http.Request) size {
+func requestTokensOf(request *http.Request) requestTokens {
 	prompt, most, _ := strings.Cut(request.Header.Get(headerTokenCounts), ",")
-	var told size
+	var told requestTokens
 	told.prompt, _ = strconv.ParseInt(strings.TrimSpace(prompt), 10, 64)
-	told.most, _ = strconv.ParseInt(strings.TrimSpace(most), 10, 64)
+	told.maxOutput, _ = strconv.ParseInt(strings.TrimSpace(most), 10, 64)
 	return told
 }
 
 // events gives how many events an answer has.
-func (e *Engine) events(told size) int {
-	if told.most <= 0 {
+func (e *Engine) events(told requestTokens) int {
+	if told.maxOutput <= 0 {
 		return e.engine.Events
 	}
-	count := told.most / e.engine.TokensPerEvent
+	count := told.maxOutput / e.engine.TokensPerEvent
 	return int(min(max(1, count), maxEvents))
 }
 
 // fits says whether weights and memory allow a request.
 func (e *Engine) fits(response http.ResponseWriter, request *http.Request) bool {
 	expected := request.Header.Get(headerVersion)
-	if expected != "" && expected != strconv.Itoa(e.engine.Weights) {
-		e.refuse(response, request, http.StatusMisdirectedRequest)
+	if expected != "" && expected != strconv.Itoa(e.engine.WeightsVersion) {
+		e.reject(response, request, http.StatusMisdirectedRequest)
 		return false
 	}
-	told := sizeOf(request)
-	if e.engine.CacheTokens > 0 && told.prompt+told.most > e.engine.CacheTokens {
-		e.refuse(response, request, http.StatusServiceUnavailable)
+	told := requestTokensOf(request)
+	if e.engine.CacheTokens > 0 && told.prompt+told.maxOutput > e.engine.CacheTokens {
+		e.reject(response, request, http.StatusServiceUnavailable)
 		return false
 	}
 	return true
--- a/internal/tier/standin/fault.go
+++ b/internal/tier/standin/fault.go
@@ -5,10 +5,10 @@
 
 // The faults.
 const (
-	NoFault    Fault = iota
-	LoseAnswer       // it runs, and the connection closes without an answer
-	CutAnswer        // it runs, and the connection closes in the middle of its answer
-	FailAnswer       // it runs, and the answer is a 500
-	RefuseFull       // it doesn't run: 503, as if no slot were free
-	DropUnread       // the connection closes and it doesn't run
+	NoFault          Fault = iota
+	LoseResponse           // it runs, and the connection closes without an answer
+	TruncateResponse       // it runs, and the connection closes in the middle of its answer
+	FailResponse           // it runs, and the answer is a 500
+	RejectFull             // it doesn't run: 503, as if no slot were free
+	DropRequest            // the connection closes and it doesn't run
 )
--- a/internal/tier/standin/plain.go
+++ b/internal/tier/standin/plain.go
@@ -10,8 +10,8 @@
 // PlainOptions describes a plain endpoint.
 type PlainOptions struct {
 	EndpointOptions
-	Work        time.Duration // that a request takes
-	AnswerBytes int           // size of an answer; a short one if 0
+	ServiceTime   time.Duration // that a request takes
+	ResponseBytes int           // size of an answer; a short one if 0
 }
 
 // Plain is an endpoint that answers each request with one body.
@@ -39,21 +39,21 @@
 	if !ok {
 		return
 	}
-	defer admitted.leave()
+	defer admitted.release()
 	place := p.run(request, admitted.body)
-	if err := p.work(admitted.ctx, p.plain.Work); err != nil {
-		p.ended(response, request, err)
+	if err := p.work(admitted.ctx, p.plain.ServiceTime); err != nil {
+		p.respondEnded(response, request, err)
 		return
 	}
 	p.answer(response, request, admitted, place)
 }
 
-func (p *Plain) answer(response http.ResponseWriter, request *http.Request, admitted admitted, place int) {
-	body := PlainAnswer(p.options.ID, admitted.attempt, p.plain.AnswerBytes)
+func (p *Plain) answer(response http.ResponseWriter, request *http.Request, admitted admission, place int) {
+	body := PlainBody(p.options.ID, admitted.attempt, p.plain.ResponseBytes)
 	switch admitted.fault {
-	case LoseAnswer:
+	case LoseResponse:
 		panic(http.ErrAbortHandler)
-	case FailAnswer:
+	case FailResponse:
 		p.seal(response, request)
 		http.Error(response, "failed", http.StatusInternalServerError)
 		return
@@ -61,18 +61,18 @@
 	p.seal(response, request)
 	response.Header().Set("Content-Type", "text/plain")
 	response.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	if admitted.fault == CutAnswer {
+	if admitted.fault == TruncateResponse {
 		_, _ = response.Write([]byte(body[:len(body)/2]))
 		_ = http.NewResponseController(response).Flush()
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := response.Write([]byte(body)); err == nil {
-		p.ledger.progress(place, 0, true)
+		p.runLog.progress(place, 0, true)
 	}
 }
 
-// PlainAnswer gives the body of an answer.
-func PlainAnswer(endpoint, attempt string, size int) string {
+// PlainBody gives the body of an answer.
+func PlainBody(endpoint, attempt string, size int) string {
 	text := fmt.Sprintf("%s ran %s\n", endpoint, attempt)
 	if size <= len(text) {
 		return text
--- a/internal/tier/standin/platform.go
+++ b/internal/tier/standin/platform.go
@@ -138,9 +138,9 @@
 }
 
 var (
-	errDown     = errors.New("down")
-	errOverRate = errors.New("over the rate")
-	errToken    = errors.New("unknown page")
+	errDown        = errors.New("down")
+	errOverRate    = errors.New("over the rate")
+	errUnknownPage = errors.New("unknown page")
 )
 
 type listAnswer struct {
@@ -154,7 +154,7 @@
 	switch {
 	case errors.Is(err, errOverRate):
 		http.Error(response, err.Error(), http.StatusTooManyRequests)
-	case errors.Is(err, errToken):
+	case errors.Is(err, errUnknownPage):
 		http.Error(response, err.Error(), http.StatusBadRequest)
 	case err != nil:
 		http.Error(response, err.Error(), http.StatusServiceUnavailable)
@@ -215,7 +215,7 @@
 	text, ok := strings.CutPrefix(token, "p-")
 	first, err := strconv.Atoi(text)
 	if !ok || err != nil || first < 0 {
-		return 0, errToken
+		return 0, errUnknownPage
 	}
 	return first, nil
 }
--- a/internal/tier/standin/program.go
+++ b/internal/tier/standin/program.go
@@ -11,36 +11,36 @@
 
 // ProgramOptions describes a program: lines of turns with calls of tools between them.
 type ProgramOptions struct {
-	Name       string
-	Address    string // of the proxy
-	Host       string
-	TurnPath   string
-	ToolPath   string
-	Model      string
-	Turns      int // of the main line; a program without end: as many as it gets
-	Tools      int // calls after each turn, all at once
-	SubAgents  int // lines that begin after the first turn
-	SubTurns   int // turns of each of them
-	MostTokens int64
-	Budget     int64 // 0: none
-	Finish     time.Duration
-	TimeLeft   time.Duration // that a request waits
-	// Remembered: a turn brings its new input and the name of the turn before; otherwise it brings everything.
-	Remembered bool
-	Endless    bool
-	// GoOnFrom is a turn of an earlier program that the first one goes on from; without an Attempt: none.
-	GoOnFrom Turn
+	Name           string
+	Address        string // of the proxy
+	Host           string
+	TurnPath       string
+	ToolPath       string
+	Model          string
+	Turns          int // of the main line; a program without end: as many as it gets
+	Tools          int // calls after each turn, all at once
+	Subagents      int // lines that begin after the first turn
+	SubagentTurns  int // turns of each of them
+	MaxTokens      int64
+	Budget         int64 // 0: none
+	Timeout        time.Duration
+	RequestTimeout time.Duration // that a request waits
+	// Stateful: a turn brings its new input and the name of the turn before; otherwise it brings everything.
+	Stateful  bool
+	Unbounded bool
+	// ContinueFrom is a turn of an earlier program that the first one goes on from; without an Attempt: none.
+	ContinueFrom Turn
 	// Dial opens a program's connections; nil: those of the system, to Address.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Pause waits before a failed turn is sent again; nil: it doesn't wait.
-	Pause func(ctx context.Context) error
+	// Backoff waits before a failed turn is sent again; nil: it doesn't wait.
+	Backoff func(ctx context.Context) error
 }
 
 // resends of a failed turn.
-const maxResends = 2
+const maxRetries = 2
 
-// maxEndlessTurns bounds a program without end that nobody stops.
-const maxEndlessTurns = 10_000
+// maxUnboundedTurns bounds a program without end that nobody stops.
+const maxUnboundedTurns = 10_000
 
 // State is how a program or a request ended.
 type State string
@@ -49,7 +49,7 @@
 const (
 	Finished    State = "finished"
 	BudgetSpent State = "budget_spent" // a 402
-	NotKnown    State = "not_known"    // a 404
+	UnknownTurn State = "not_known"    // a 404
 	Failed      State = "failed"
 )
 
@@ -62,7 +62,7 @@
 	Prompt   string // that an endpoint is to get
 	Output   string // data of the events that came, each with a line feed behind
 	Events   int
-	Whole    bool
+	Complete bool
 	Problem  string // what is wrong with the answer itself
 	Sent     time.Time
 	Ended    time.Time
@@ -70,10 +70,10 @@
 
 // Tool is one call of a tool.
 type Tool struct {
-	Attempt string
-	Status  int
-	Whole   bool
-	Problem string
+	Attempt  string
+	Status   int
+	Complete bool
+	Problem  string
 }
 
 // Outcome is what became of a program.
@@ -115,18 +115,18 @@
 	}
 }
 
-// Play runs the program to its end.
-func (p *Program) Play(ctx context.Context) Outcome {
-	if p.options.Finish > 0 {
-		bounded, cancel := context.WithTimeout(ctx, p.options.Finish)
+// Run runs the program to its end.
+func (p *Program) Run(ctx context.Context) Outcome {
+	if p.options.Timeout > 0 {
+		bounded, cancel := context.WithTimeout(ctx, p.options.Timeout)
 		defer cancel()
 		ctx = bounded
 	}
-	from := p.options.GoOnFrom
-	state := p.line(ctx, lineStart{
+	from := p.options.ContinueFrom
+	state := p.runSession(ctx, sessionStart{
 		session:   "0",
 		turns:     p.options.Turns,
-		subAgents: p.options.SubAgents,
+		subagents: p.options.Subagents,
 		previous:  from.Attempt,
 		history:   from.Prompt + from.Output,
 	})
@@ -136,28 +136,28 @@
 	return p.outcome
 }
 
-// attempt gives a new X-Attempt-Id.
-func (p *Program) attempt() string {
+// nextAttempt gives a new X-Attempt-Id.
+func (p *Program) nextAttempt() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.next++
 	return fmt.Sprintf("%s-%d", p.options.Name, p.next)
 }
 
-func (p *Program) noteTurn(turn Turn) {
+func (p *Program) recordTurn(turn Turn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outcome.Turns = append(p.outcome.Turns, turn)
 }
 
-func (p *Program) noteTool(tool Tool) {
+func (p *Program) recordTool(tool Tool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outcome.Tools = append(p.outcome.Tools, tool)
 }
 
 // Check compares what a program saw with what ran, and gives a sentence for each thing that breaks a rule.
-func (o Outcome) Check(ledger *Ledger) []string {
+func (o Outcome) Check(ledger *RunLog) []string {
 	var problems []string
 	note := func(format string, values ...any) { problems = append(problems, fmt.Sprintf(format, values...)) }
 	for _, turn := range o.Turns {
@@ -168,10 +168,10 @@
 		if len(runs) > 1 {
 			note("turn %s ran %d times", turn.Attempt, len(runs))
 		}
-		if turn.Whole && turn.Status == http.StatusOK && len(runs) == 0 {
+		if turn.Complete && turn.Status == http.StatusOK && len(runs) == 0 {
 			note("turn %s was answered and did not run", turn.Attempt)
 		}
-		if promise(turn.Status) && len(runs) > 0 {
+		if guaranteesNotRun(turn.Status) && len(runs) > 0 {
 			note("turn %s got %d and ran", turn.Attempt, turn.Status)
 		}
 		for _, run := range runs {
@@ -184,15 +184,15 @@
 		if tool.Problem != "" {
 			note("tool %s: %s", tool.Attempt, tool.Problem)
 		}
-		if runs := ledger.Runs(tool.Attempt); len(runs) > 1 || promise(tool.Status) && len(runs) > 0 {
+		if runs := ledger.Runs(tool.Attempt); len(runs) > 1 || guaranteesNotRun(tool.Status) && len(runs) > 0 {
 			note("tool %s got %d and ran %d times", tool.Attempt, tool.Status, len(runs))
 		}
 	}
 	return problems
 }
 
-// promise says whether a status promises that the request has not run and never will.
-func promise(status int) bool {
+// guaranteesNotRun says whether a status promises that the request has not run and never will.
+func guaranteesNotRun(status int) bool {
 	switch status {
 	case http.StatusPaymentRequired, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/tier/standin/programcall.go
+++ b/internal/tier/standin/program_request.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// request gives a request with what all requests of a program carry.
-func (p *Program) request(ctx context.Context, method, path, attempt, session string, body io.Reader) (*http.Request, error) {
+// newRequest gives a request with what all requests of a program carry.
+func (p *Program) newRequest(ctx context.Context, method, path, attempt, session string, body io.Reader) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.options.Address+path, body)
 	if err != nil {
 		return nil, err
@@ -23,10 +23,10 @@
 	header.Set(headerProgram, p.options.Name)
 	header.Set(headerSession, session)
 	if finish, bounded := ctx.Deadline(); bounded {
-		header.Set(headerFinish, milliseconds(time.Until(finish)))
+		header.Set(headerDeadline, milliseconds(time.Until(finish)))
 	}
-	if p.options.TimeLeft > 0 {
-		header.Set(headerTimeLeft, milliseconds(p.options.TimeLeft))
+	if p.options.RequestTimeout > 0 {
+		header.Set(headerTimeLeft, milliseconds(p.options.RequestTimeout))
 	}
 	return request, nil
 }
@@ -36,25 +36,25 @@
 }
 
 func (p *Program) sendTurn(ctx context.Context, turn *Turn, input string) {
-	ctx, cancel := p.bound(ctx)
+	ctx, cancel := p.withRequestTimeout(ctx)
 	defer cancel()
 	body := turn.Prompt
-	if p.options.Remembered {
+	if p.options.Stateful {
 		body = input
 	}
-	request, err := p.request(ctx, http.MethodPost, p.options.TurnPath, turn.Attempt, turn.Session, strings.NewReader(body))
+	request, err := p.newRequest(ctx, http.MethodPost, p.options.TurnPath, turn.Attempt, turn.Session, strings.NewReader(body))
 	if err != nil {
 		return
 	}
 	header := request.Header
-	header.Set(headerTokenCounts, fmt.Sprintf("%d,%d", len(turn.Prompt), p.options.MostTokens))
+	header.Set(headerTokenCounts, fmt.Sprintf("%d,%d", len(turn.Prompt), p.options.MaxTokens))
 	if p.options.Model != "" {
 		header.Set(headerModel, p.options.Model)
 	}
 	if p.options.Budget > 0 {
 		header.Set(headerBudget, strconv.FormatInt(p.options.Budget, 10))
 	}
-	if p.options.Remembered && turn.Previous != "" {
+	if p.options.Stateful && turn.Previous != "" {
 		header.Set(headerPrevious, turn.Previous)
 	}
 	response, err := p.client.Do(request)
@@ -69,14 +69,14 @@
 		return
 	}
 	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxBodyBytes))
-	turn.Whole = err == nil
+	turn.Complete = err == nil
 }
 
-func (p *Program) bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	if p.options.TimeLeft <= 0 {
+func (p *Program) withRequestTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	if p.options.RequestTimeout <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, p.options.TimeLeft)
+	return context.WithTimeout(ctx, p.options.RequestTimeout)
 }
 
 // read takes the events of an answer.
@@ -103,8 +103,8 @@
 			open = false
 		}
 	}
-	t.Whole = lines.Err() == nil
-	if t.Whole && open {
+	t.Complete = lines.Err() == nil
+	if t.Complete && open {
 		t.Problem = "the answer ends inside an event and looks whole"
 	}
 }
@@ -121,9 +121,9 @@
 }
 
 func (p *Program) sendTool(ctx context.Context, tool *Tool, session string) {
-	ctx, cancel := p.bound(ctx)
+	ctx, cancel := p.withRequestTimeout(ctx)
 	defer cancel()
-	request, err := p.request(ctx, http.MethodGet, p.options.ToolPath, tool.Attempt, session, nil)
+	request, err := p.newRequest(ctx, http.MethodGet, p.options.ToolPath, tool.Attempt, session, nil)
 	if err != nil {
 		return
 	}
@@ -135,8 +135,8 @@
 	tool.Status = response.StatusCode
 	tool.Problem = sealProblem(response, tool.Attempt)
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
-	tool.Whole = err == nil
-	if tool.Whole && tool.Status == http.StatusOK && !strings.Contains(string(body), " ran "+tool.Attempt+"\n") {
+	tool.Complete = err == nil
+	if tool.Complete && tool.Status == http.StatusOK && !strings.Contains(string(body), " ran "+tool.Attempt+"\n") {
 		tool.Problem = fmt.Sprintf("the body is another's: %.80q", body)
 	}
 }
--- a/internal/tier/standin/program_test.go
+++ b/internal/tier/standin/program_test.go
@@ -95,36 +95,36 @@
 
 type played struct {
 	outcome Outcome
-	ledger  *Ledger
+	ledger  *RunLog
 }
 
 func play(t *testing.T, stand *front, engineFault, toolFault func(*http.Request) Fault, options ProgramOptions) played {
 	t.Helper()
-	ledger := NewLedger()
+	ledger := NewRunLog()
 	stand.chains = map[string]string{}
 	stand.engine = startEngine(t, EngineOptions{
-		EndpointOptions: EndpointOptions{Capacity: 8, Ledger: ledger, Fault: engineFault},
+		EndpointOptions: EndpointOptions{Capacity: 8, RunLog: ledger, Fault: engineFault},
 		TokensPerEvent:  3,
 	})
-	stand.tool = startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{Capacity: 8, Ledger: ledger, Fault: toolFault}})
+	stand.tool = startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{Capacity: 8, RunLog: ledger, Fault: toolFault}})
 	server := httptest.NewServer(stand)
 	t.Cleanup(server.Close)
 	options.Name, options.Address = "p", server.Listener.Addr().String()
 	options.Host, options.TurnPath, options.ToolPath = "h.example", "/turn/1", "/tool/1"
-	options.MostTokens = 12
-	return played{outcome: NewProgram(options).Play(testContext(t)), ledger: ledger}
+	options.MaxTokens = 12
+	return played{outcome: NewProgram(options).Run(testContext(t)), ledger: ledger}
 }
 
 func TestAProgramThatGoesWell(t *testing.T) {
 	for _, remembered := range []bool{false, true} {
-		got := play(t, &front{}, nil, nil, ProgramOptions{Turns: 3, Tools: 2, SubAgents: 2, SubTurns: 2, Remembered: remembered})
+		got := play(t, &front{}, nil, nil, ProgramOptions{Turns: 3, Tools: 2, Subagents: 2, SubagentTurns: 2, Stateful: remembered})
 		if got.outcome.State != Finished || len(got.outcome.Turns) != 7 || len(got.outcome.Tools) != 14 || got.outcome.Events() != 28 {
 			t.Errorf("remembered %v: got %+v", remembered, got.outcome)
 		}
 		if problems := got.outcome.Check(got.ledger); len(problems) != 0 {
 			t.Errorf("remembered %v: %v", remembered, problems)
 		}
-		if twice := got.ledger.Twice(); len(twice) != 0 || got.ledger.Tokens("p") != 84 {
+		if twice := got.ledger.Duplicates(); len(twice) != 0 || got.ledger.Tokens("p") != 84 {
 			t.Errorf("twice %v, %d tokens", twice, got.ledger.Tokens("p"))
 		}
 	}
@@ -142,16 +142,16 @@
 		turns       int
 		tools       int
 	}{
-		{name: "a cut turn is sent again", engineFault: faultOnce(CutAnswer), options: ProgramOptions{Turns: 2},
+		{name: "a cut turn is sent again", engineFault: faultOnce(TruncateResponse), options: ProgramOptions{Turns: 2},
 			state: Finished, turns: 3},
-		{name: "a turn fails three times", engineFault: always(FailAnswer), options: ProgramOptions{Turns: 2},
+		{name: "a turn fails three times", engineFault: always(FailResponse), options: ProgramOptions{Turns: 2},
 			state: Failed, turns: 3},
-		{name: "a tool that has not run is called again", toolFault: faultOnce(RefuseFull), options: ProgramOptions{Turns: 1, Tools: 1},
+		{name: "a tool that has not run is called again", toolFault: faultOnce(RejectFull), options: ProgramOptions{Turns: 1, Tools: 1},
 			state: Finished, turns: 1, tools: 2},
-		{name: "a tool whose answer is lost ends the program", toolFault: faultOnce(LoseAnswer),
+		{name: "a tool whose answer is lost ends the program", toolFault: faultOnce(LoseResponse),
 			options: ProgramOptions{Turns: 2, Tools: 1}, state: Failed, turns: 1, tools: 1},
 		{name: "the budget is spent", budget: 2, options: ProgramOptions{Turns: 5}, state: BudgetSpent, turns: 3},
-		{name: "without end, until the budget stops it", budget: 20, options: ProgramOptions{Endless: true},
+		{name: "without end, until the budget stops it", budget: 20, options: ProgramOptions{Unbounded: true},
 			state: BudgetSpent, turns: 23},
 	}
 	for _, c := range cases {
@@ -173,14 +173,14 @@
 	server := httptest.NewServer(stand.engine)
 	defer server.Close()
 	program := NewProgram(ProgramOptions{Name: "p", Address: server.Listener.Addr().String(), TurnPath: "/", Turns: 3})
-	if got := program.Play(testContext(t)); got.State != NotKnown || len(got.Turns) != 1 {
+	if got := program.Run(testContext(t)); got.State != UnknownTurn || len(got.Turns) != 1 {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestCheckFindsWhatIsWrong(t *testing.T) {
 	t.Run("a chain that was forgotten", func(t *testing.T) {
-		got := play(t, &front{forget: true}, nil, nil, ProgramOptions{Turns: 2, Remembered: true})
+		got := play(t, &front{forget: true}, nil, nil, ProgramOptions{Turns: 2, Stateful: true})
 		problems := strings.Join(got.outcome.Check(got.ledger), "; ")
 		if !strings.Contains(problems, "ran with") {
 			t.Errorf("got %q", problems)
@@ -196,16 +196,16 @@
 			want: "turn 1 ran 2 times"},
 		{name: "a promise broken", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 402}}}, runs: []Run{{Attempt: "1"}},
 			want: "turn 1 got 402 and ran"},
-		{name: "an answer from nowhere", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 200, Whole: true}}},
+		{name: "an answer from nowhere", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 200, Complete: true}}},
 			want: "turn 1 was answered and did not run"},
 		{name: "a tool twice", outcome: Outcome{Tools: []Tool{{Attempt: "1", Status: 200}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
 			want: "tool 1 got 200 and ran 2 times"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ledger := NewLedger()
+			ledger := NewRunLog()
 			for _, run := range c.runs {
-				ledger.begin(run)
+				ledger.start(run)
 			}
 			if diff := cmp.Diff([]string{c.want}, c.outcome.Check(ledger)); diff != "" {
 				t.Error(diff)
--- a/internal/tier/standin/ledger.go
+++ b/internal/tier/standin/run_log.go
@@ -16,93 +16,93 @@
 	Header   http.Header
 	Body     []byte
 	Tokens   int64 // generated, by a model server
-	Whole    bool  // the endpoint handed out its whole answer
+	Complete bool  // the endpoint handed out its whole answer
 }
 
-// Ledger records what ran. Several endpoints may share one.
-type Ledger struct {
-	mutex    sync.Mutex
-	runs     []Run
-	places   map[string][]int // of the runs, by attempt
-	refusals map[string]int
-	came     chan struct{} // closed at the next change
+// RunLog records what ran. Several endpoints may share one.
+type RunLog struct {
+	mutex      sync.Mutex
+	runs       []Run
+	indices    map[string][]int // of the runs, by attempt
+	rejections map[string]int
+	changed    chan struct{} // closed at the next change
 }
 
-// NewLedger gives an empty one.
-func NewLedger() *Ledger {
-	return &Ledger{places: map[string][]int{}, refusals: map[string]int{}, came: make(chan struct{})}
+// NewRunLog gives an empty one.
+func NewRunLog() *RunLog {
+	return &RunLog{indices: map[string][]int{}, rejections: map[string]int{}, changed: make(chan struct{})}
 }
 
-// begin notes a run and gives its place.
-func (l *Ledger) begin(run Run) int {
+// start notes a run and gives its place.
+func (l *RunLog) start(run Run) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.changedLocked()
-	if len(l.runs) >= maxRuns {
-		return maxRuns
+	l.notifyLocked()
+	if len(l.runs) >= maxRecordedRuns {
+		return maxRecordedRuns
 	}
-	l.places[run.Attempt] = append(l.places[run.Attempt], len(l.runs))
+	l.indices[run.Attempt] = append(l.indices[run.Attempt], len(l.runs))
 	l.runs = append(l.runs, run)
 	return len(l.runs) - 1
 }
 
 // progress notes what a run has generated and whether its answer is whole.
-func (l *Ledger) progress(place int, tokens int64, whole bool) {
+func (l *RunLog) progress(place int, tokens int64, whole bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if place < len(l.runs) {
 		l.runs[place].Tokens += tokens
-		l.runs[place].Whole = l.runs[place].Whole || whole
+		l.runs[place].Complete = l.runs[place].Complete || whole
 	}
-	l.changedLocked()
+	l.notifyLocked()
 }
 
-func (l *Ledger) refuse(attempt string) {
+func (l *RunLog) reject(attempt string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.refusals[attempt]++
-	l.changedLocked()
+	l.rejections[attempt]++
+	l.notifyLocked()
 }
 
-func (l *Ledger) changedLocked() {
-	close(l.came)
-	l.came = make(chan struct{})
+func (l *RunLog) notifyLocked() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // Changed gives a channel that closes at the next change. Take it before looking.
-func (l *Ledger) Changed() <-chan struct{} {
+func (l *RunLog) Changed() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.came
+	return l.changed
 }
 
 // All gives all runs in the order of their beginning.
-func (l *Ledger) All() []Run {
+func (l *RunLog) All() []Run {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.runs)
 }
 
 // Runs gives the runs of one attempt.
-func (l *Ledger) Runs(attempt string) []Run {
+func (l *RunLog) Runs(attempt string) []Run {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []Run
-	for _, place := range l.places[attempt] {
+	for _, place := range l.indices[attempt] {
 		found = append(found, l.runs[place])
 	}
 	return found
 }
 
-// Refusals gives how often an attempt was turned away without a run.
-func (l *Ledger) Refusals(attempt string) int {
+// Rejections gives how often an attempt was turned away without a run.
+func (l *RunLog) Rejections(attempt string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.refusals[attempt]
+	return l.rejections[attempt]
 }
 
-// Twice gives the attempts that ran more than once, in the order of their first run.
-func (l *Ledger) Twice() []string {
+// Duplicates gives the attempts that ran more than once, in the order of their first run.
+func (l *RunLog) Duplicates() []string {
 	counts := map[string]int{}
 	var twice []string
 	for _, run := range l.All() {
@@ -115,7 +115,7 @@
 }
 
 // Tokens gives what all runs that carry a Program header generated.
-func (l *Ledger) Tokens(program string) int64 {
+func (l *RunLog) Tokens(program string) int64 {
 	var sum int64
 	for _, run := range l.All() {
 		if run.Header.Get(headerProgram) == program {
--- a/internal/tier/standin/slots.go
+++ b/internal/tier/standin/slots.go
@@ -23,29 +23,29 @@
 
 type waiter struct {
 	priority int
-	admitted chan bool // false: displaced
+	granted  chan bool // false: displaced
 }
 
 // acquire takes a slot or waits for one.
 func (s *slots) acquire(ctx context.Context, priority int) error {
-	waiting, err := s.enter(priority)
+	waiting, err := s.enqueue(priority)
 	if err != nil || waiting == nil {
 		return err
 	}
 	select {
-	case admitted := <-waiting.admitted:
+	case admitted := <-waiting.granted:
 		if !admitted {
 			return errFull
 		}
 		return nil
 	case <-ctx.Done():
-		s.leave(waiting)
+		s.abandon(waiting)
 		return ctx.Err()
 	}
 }
 
-// enter takes a free slot, or gives a place in the queue.
-func (s *slots) enter(priority int) (*waiter, error) {
+// enqueue takes a free slot, or gives a place in the queue.
+func (s *slots) enqueue(priority int) (*waiter, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.running < s.capacity {
@@ -55,7 +55,7 @@
 	if len(s.waiting) >= s.queue && !s.displaceLocked(priority) {
 		return nil, errFull
 	}
-	entered := &waiter{priority: priority, admitted: make(chan bool, 1)}
+	entered := &waiter{priority: priority, granted: make(chan bool, 1)}
 	at := 0
 	for at < len(s.waiting) && s.waiting[at].priority <= priority {
 		at++
@@ -70,20 +70,20 @@
 	if last < 0 || s.waiting[last].priority <= priority {
 		return false
 	}
-	s.waiting[last].admitted <- false
+	s.waiting[last].granted <- false
 	s.waiting = s.waiting[:last]
 	return true
 }
 
-// leave gives up a place in the queue, or the slot that was given meanwhile.
-func (s *slots) leave(gone *waiter) {
+// abandon gives up a place in the queue, or the slot that was given meanwhile.
+func (s *slots) abandon(gone *waiter) {
 	s.mutex.Lock()
 	at := slices.Index(s.waiting, gone)
 	if at >= 0 {
 		s.waiting = slices.Delete(s.waiting, at, at+1)
 	}
 	s.mutex.Unlock()
-	if at < 0 && <-gone.admitted {
+	if at < 0 && <-gone.granted {
 		s.release()
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	first := s.waiting[0]
 	s.waiting = slices.Delete(s.waiting, 0, 1)
-	first.admitted <- true
+	first.granted <- true
 }
 
 func (s *slots) counts() (running, waiting int) {
--- a/internal/tier/standin/slots_test.go
+++ b/internal/tier/standin/slots_test.go
@@ -11,32 +11,32 @@
 func TestSlotsAreGivenByPriorityThenByArrival(t *testing.T) {
 	// Given a full endpoint with a queue of three
 	places := slots{capacity: 1, queue: 3}
-	places.enter(5)
+	places.enqueue(5)
 	var queued []*waiter
 	for _, priority := range []int{5, 7, 5} {
-		waiting, err := places.enter(priority)
+		waiting, err := places.enqueue(priority)
 		if err != nil {
 			t.Fatal(err)
 		}
 		queued = append(queued, waiting)
 	}
 	// When another as urgent as the least urgent comes, then it is turned away
-	if _, err := places.enter(7); !errors.Is(err, errFull) {
+	if _, err := places.enqueue(7); !errors.Is(err, errFull) {
 		t.Errorf("got %v", err)
 	}
 	// When a more urgent one comes, then it displaces the least urgent
-	urgent, err := places.enter(0)
+	urgent, err := places.enqueue(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if <-queued[1].admitted {
+	if <-queued[1].granted {
 		t.Error("the least urgent was admitted")
 	}
 	// And slots go to the most urgent, then to the first
 	for i, next := range []*waiter{urgent, queued[0], queued[2]} {
 		places.release()
 		select {
-		case <-next.admitted:
+		case <-next.granted:
 		default:
 			t.Fatalf("release %d went to another", i)
 		}
@@ -67,7 +67,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				entered, err := places.enter(rapid.IntRange(0, 9).Draw(t, "priority"))
+				entered, err := places.enqueue(rapid.IntRange(0, 9).Draw(t, "priority"))
 				if err == nil && entered == nil {
 					held++
 				}
@@ -81,14 +81,14 @@
 				}
 			case 2:
 				if len(waiting) > 0 {
-					places.leave(waiting[0])
+					places.abandon(waiting[0])
 					waiting = waiting[1:]
 				}
 			}
 			var still []*waiter
 			for _, one := range waiting {
 				select {
-				case admitted := <-one.admitted:
+				case admitted := <-one.granted:
 					if admitted {
 						held++
 					}
--- a/internal/tier/standin/stream.go
+++ b/internal/tier/standin/stream.go
@@ -16,20 +16,20 @@
 	if !ok {
 		return
 	}
-	defer admitted.leave()
-	told := sizeOf(request)
-	e.cacheUsed.Add(told.prompt + told.most)
-	defer e.cacheUsed.Add(-told.prompt - told.most)
+	defer admitted.release()
+	told := requestTokensOf(request)
+	e.cacheUsed.Add(told.prompt + told.maxOutput)
+	defer e.cacheUsed.Add(-told.prompt - told.maxOutput)
 	if err := e.work(admitted.ctx, e.engine.Prefill); err != nil {
-		e.unstarted(response, request)
+		e.rejectUnstarted(response, request)
 		return
 	}
 	place := e.run(request, admitted.body)
 	switch admitted.fault {
-	case LoseAnswer:
-		e.ledger.progress(place, e.engine.TokensPerEvent, false)
+	case LoseResponse:
+		e.runLog.progress(place, e.engine.TokensPerEvent, false)
 		panic(http.ErrAbortHandler)
-	case FailAnswer:
+	case FailResponse:
 		e.seal(response, request)
 		http.Error(response, "failed", http.StatusInternalServerError)
 		return
@@ -37,35 +37,35 @@
 	e.stream(response, request, admitted, place)
 }
 
-// unstarted answers a request whose time ended before its first token.
-func (e *Engine) unstarted(response http.ResponseWriter, request *http.Request) {
+// rejectUnstarted answers a request whose time ended before its first token.
+func (e *Engine) rejectUnstarted(response http.ResponseWriter, request *http.Request) {
 	if request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
-	e.refuse(response, request, http.StatusServiceUnavailable)
+	e.reject(response, request, http.StatusServiceUnavailable)
 }
 
-func (e *Engine) stream(response http.ResponseWriter, request *http.Request, admitted admitted, place int) {
+func (e *Engine) stream(response http.ResponseWriter, request *http.Request, admitted admission, place int) {
 	e.seal(response, request)
 	response.Header().Set("Content-Type", "text/event-stream")
-	if e.engine.Weights > 0 {
-		response.Header().Set(headerVersions, strconv.Itoa(e.engine.Weights))
+	if e.engine.WeightsVersion > 0 {
+		response.Header().Set(headerVersions, strconv.Itoa(e.engine.WeightsVersion))
 	}
 	first, _ := strconv.Atoi(request.Header.Get(headerLastEvent))
-	last := e.events(sizeOf(request))
+	last := e.events(requestTokensOf(request))
 	for id := first + 1; id <= last; id++ {
-		if id > first+1 && e.work(admitted.ctx, e.engine.Gap) != nil {
+		if id > first+1 && e.work(admitted.ctx, e.engine.EventInterval) != nil {
 			panic(http.ErrAbortHandler)
 		}
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", id, EventData(admitted.body, id))
-		cut := admitted.fault == CutAnswer && (id > last/2 || id == last)
+		cut := admitted.fault == TruncateResponse && (id > last/2 || id == last)
 		if cut {
 			text = text[:len(text)/2]
 		}
 		if !e.send(response, text) {
 			panic(http.ErrAbortHandler)
 		}
-		e.ledger.progress(place, e.engine.TokensPerEvent, id == last && !cut)
+		e.runLog.progress(place, e.engine.TokensPerEvent, id == last && !cut)
 		if cut {
 			panic(http.ErrAbortHandler)
 		}
