--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -116,19 +116,19 @@
 
 // Cell is one run of an experiment.
 type Cell struct {
-	Value  float64 // of the sweep's key
-	Policy string
-	Seed   uint64
-	Result *simulator.Result
+	Value  float64           `cbor:"Value"` // of the sweep's key
+	Policy string            `cbor:"Policy"`
+	Seed   uint64            `cbor:"Seed"`
+	Result *simulator.Result `cbor:"Result"`
 }
 
 // Results are what an experiment has come to. The file is CBOR: a version, and then this.
 type Results struct {
-	Version int
-	Name    string
-	Key     string
-	World   string // as TOML
-	Cells   []Cell
+	Version int    `cbor:"Version"`
+	Name    string `cbor:"Name"`
+	Key     string `cbor:"Key"`
+	World   string `cbor:"World"` // as TOML
+	Cells   []Cell `cbor:"Cells"`
 }
 
 // Version changes when older readers can't read a file.
--- /dev/null
+++ b/internal/relay/simulator/experiment/stored_test.go
@@ -0,0 +1,51 @@
+package experiment_test
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/experiment"
+)
+
+// storedResults is what testdata/results.cbor holds: each field differs from its zero value and from its neighbours.
+func storedResults() *experiment.Results {
+	return &experiment.Results{Version: experiment.Version, Name: "load", Key: "rate", World: "seed = 3\n", Cells: []experiment.Cell{{
+		Value: 20.5, Policy: "module", Seed: 7, Result: &simulator.Result{
+			World: "small", Policy: "single", Seed: 8, Hash: "00ff", Messages: 11, Delivered: 12, GivenUp: 13, Late: 14, Worth: 0.15, Refused: 16,
+			Again: 17, Calls: 18, Turned: 19, Failed: 20, Turns: 21, Endpoints: 22, Relays: 23,
+			Fleet: simulator.Fleet{InStep: 0.24, Over: 0.25, Wasted: 0.26, Regain: 27, Shared: 28, Unequal: 0.29},
+			Latencies: []simulator.Latency{{Class: "event", P50: 30, P90: 31, P99: 32, Max: 33,
+				Buckets: []simulator.Bar{{To: 34, Count: 35}}}},
+			Broken: map[string]int{"waits": 36}, Breaches: []string{"a breach"}, Bucket: 37 * time.Millisecond,
+			Lines: map[string]simulator.Line{"came": {38, 39}}, Took: 40 * time.Second, Memory: 41,
+		}}}}
+}
+
+// A file of results that an earlier version wrote is read with every value, and is written in the same bytes.
+func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
+	golden := filepath.Join("testdata", "results.cbor")
+	read, err := experiment.Load(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(storedResults(), read); d != "" {
+		t.Errorf("values read from the golden file (-want +got):\n%s", d)
+	}
+	written := filepath.Join(t.TempDir(), "results.cbor")
+	if err = storedResults().Save(written); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, readErr := os.ReadFile(written); readErr != nil || !bytes.Equal(got, want) {
+		t.Errorf("encoded bytes differ from the golden file: %v\n got %x\nwant %x", readErr, got, want)
+	}
+}
--- a/internal/relay/simulator/fleet.go
+++ b/internal/relay/simulator/fleet.go
@@ -10,12 +10,12 @@
 
 // Fleet is what all relays did together, beside what the endpoints allowed.
 type Fleet struct {
-	InStep  float64 // largest share of the relays that sent in the same turn
-	Over    float64 // most calls that came to an endpoint in a second, over what it allowed then; cold ones allow less
-	Wasted  float64 // calls turned away a message
-	Regain  float64 // s from a trouble's end until deliveries reach 90 % of what comes, the longest; -1: never
-	Shared  float64 // bytes a second that a relay which does not lead sends and gets to share limits
-	Unequal float64 // 1 less Jain's index over the relays' shares delivered; 0: all alike
+	InStep  float64 `cbor:"InStep"`  // largest share of the relays that sent in the same turn
+	Over    float64 `cbor:"Over"`    // most calls that came to an endpoint in a second, over what it allowed then; cold ones allow less
+	Wasted  float64 `cbor:"Wasted"`  // calls turned away a message
+	Regain  float64 `cbor:"Regain"`  // s from a trouble's end until deliveries reach 90 % of what comes, the longest; -1: never
+	Shared  float64 `cbor:"Shared"`  // bytes a second that a relay which does not lead sends and gets to share limits
+	Unequal float64 `cbor:"Unequal"` // 1 less Jain's index over the relays' shares delivered; 0: all alike
 }
 
 // fleet counts for that while a world is played.
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -119,44 +119,47 @@
 
 // Latency is of one class, in milliseconds.
 type Latency struct {
-	Class              string
-	P50, P90, P99, Max float64
-	Buckets            []Bar `cbor:",omitempty"`
+	Class   string  `cbor:"Class"`
+	P50     float64 `cbor:"P50"`
+	P90     float64 `cbor:"P90"`
+	P99     float64 `cbor:"P99"`
+	Max     float64 `cbor:"Max"`
+	Buckets []Bar   `cbor:"Buckets,omitempty"`
 }
 
 // Bar is how many took up to so many milliseconds.
 type Bar struct {
-	To    float64
-	Count int64
+	To    float64 `cbor:"To"`
+	Count int64   `cbor:"Count"`
 }
 
 // Result is what a run has come to. Its fields' names are those of its files.
 type Result struct {
-	World     string
-	Policy    string
-	Seed      uint64
-	Hash      string // of all decisions
-	Messages  int
-	Delivered int
-	GivenUp   int
-	Late      int
-	Worth     float64 // share of all that could be earned
-	Refused   int
-	Again     int
-	Calls     int
-	Turned    int // calls turned away as full
-	Failed    int
-	Turns     uint64
-	Endpoints int
-	Relays    int
-	Fleet     Fleet // what the relays do together
-	Latencies []Latency
-	Broken    map[string]int `cbor:",omitempty"`
-	Breaches  []string       `cbor:",omitempty"`
-	Bucket    time.Duration
-	Lines     map[string]Line
-	Took      time.Duration // on the clock of the machine; no part of what is compared
-	Memory    uint64        // bytes that the run held at its end, where that was measured
+	World     string          `cbor:"World"`
+	Policy    string          `cbor:"Policy"`
+	Seed      uint64          `cbor:"Seed"`
+	Hash      string          `cbor:"Hash"` // of all decisions
+	Messages  int             `cbor:"Messages"`
+	Delivered int             `cbor:"Delivered"`
+	GivenUp   int             `cbor:"GivenUp"`
+	Late      int             `cbor:"Late"`
+	Worth     float64         `cbor:"Worth"` // share of all that could be earned
+	Refused   int             `cbor:"Refused"`
+	Again     int             `cbor:"Again"`
+	Calls     int             `cbor:"Calls"`
+	Turned    int             `cbor:"Turned"` // calls turned away as full
+	Failed    int             `cbor:"Failed"`
+	Turns     uint64          `cbor:"Turns"`
+	Endpoints int             `cbor:"Endpoints"`
+	Relays    int             `cbor:"Relays"`
+	Fleet     Fleet           `cbor:"Fleet"` // what the relays do together
+	Latencies []Latency       `cbor:"Latencies"`
+	Broken    map[string]int  `cbor:"Broken,omitempty"`
+	Breaches  []string        `cbor:"Breaches,omitempty"`
+	Bucket    time.Duration   `cbor:"Bucket"`
+	Lines     map[string]Line `cbor:"Lines"`
+	Took      time.Duration   `cbor:"Took"`   // on the clock of the machine; no part of what is compared
+	Memory    uint64          `cbor:"Memory"` // bytes that the run held at its end, where that was measured
 }
 
 func (r *Run) result() *Result {
