--- a/internal/tier/model/model.go
+++ b/internal/tier/model/model.go
@@ -32,7 +32,7 @@
 	TimeoutMs        int64             `json:"giveUpMs"`          // total time of a request, retries included; above 0
 	LatencyTargetMs  int64             `json:"targetMs"`          // latency target: a later response is of less value
 	Priority         int               `json:"rank"`              // 0 is the highest
-	Service          string            `json:"service,omitempty"` // empty where WeightedServices are given
+	Service          string            `json:"service,omitempty"` // may be empty where WeightedServices are given
 	WeightedServices []WeightedService `json:"shares,omitempty"`
 	MaxAttempts      int               `json:"tries"`                // number of endpoints that one request may be sent to
 	Stateful         bool              `json:"remembered,omitempty"` // turns build on earlier ones, whose chains the shards store
