--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -111,7 +111,7 @@
 	c.after(c.environment.deathDelay, believe(membership.StateDead))
 }
 
-// partition parts the machine from all others.
+// partition isolates the machine from all others.
 func (m *testMachine) partition() {
 	m.partitionedAt = m.cluster.now
 	m.markFailed()
@@ -227,7 +227,7 @@
 	return err
 }
 
-// nodeOf is the name of the machine.
+// node is the name of the machine.
 func (m *testMachine) node() string { return placement.NodeOf(m.member.Name) }
 
 // diskFault is what is wrong with a disk.
@@ -255,7 +255,7 @@
 	}
 }
 
-// retryStart tries a start again that a disk with a fault has kept from going on, as the process does.
+// retryStart retries a start that a disk fault has made fail, as the process does.
 func (m *testMachine) retryStart(err error) {
 	if m.diskFault == healthy {
 		m.cluster.t.Fatal(err)
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// partition cuts a machine off from the others: from it, to it, or both.
+// partition isolates a machine from the others: from it, to it, or both.
 func (c *faultyCluster) partition(m *testMachine, from, to bool) {
 	for _, other := range c.sorted() {
 		c.blocked[[2]string{m.member.Address, other.member.Address}] = from && other != m
@@ -297,7 +297,7 @@
 	return recorder
 }
 
-// retryUntilClear calls until the answer is a clear one, or time-out ends.
+// retryUntilClear calls until the answer is a clear one, or its attempts are used up.
 func (o *operator) retryUntilClear(attempts int, attempt func() (clear bool)) bool {
 	pause := minBackoff
 	for range attempts {
--- a/internal/tier/controller/large_configuration_test.go
+++ b/internal/tier/controller/large_configuration_test.go
@@ -142,7 +142,7 @@
 }
 
 // Given an order of many routes, then no member's turn around it takes a quarter of the election time-out on the smallest
-// machine, and the leader stays the same. The shortest of some tries is taken, since the collector may work in any of them.
+// machine, and the leader stays the same. The shortest of some attempts counts, since the collector may work in any of them.
 func TestLargeConfiguration_HeartbeatsNotDelayed(t *testing.T) {
 	const attempts = 5
 	for _, routes := range []int{517, 2000} {
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -219,7 +219,7 @@
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
 		t.Fatalf("read %v, %v", got, err)
 	}
-	// Within an term an endpoint that one read misses stays, since it may have moved between pages.
+	// Within a term an endpoint that one read misses stays, since it may have moved between pages.
 	reader.endpoints = reader.endpoints[1:]
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
 		t.Errorf("read %v, %v", got, err)
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -24,7 +24,7 @@
 	ordersEach       = 12
 	faultInterval    = 250 * time.Millisecond
 	maxRunTime       = 90 * time.Second
-	maxFinalAttempts = 100 // attempts, once all faults has ended
+	maxFinalAttempts = 100 // attempts, once all faults have ended
 	paddedBytes      = 60 << 10
 )
 
@@ -130,11 +130,11 @@
 func (e *editor) finish(orders []linearizability.Order) {
 	for _, order := range orders {
 		if !e.retryUntilClear(maxFinalAttempts, func() bool { return e.put(order) }) {
-			e.cluster.t.Errorf("order %+v has no clear answer though all faults has ended", order)
+			e.cluster.t.Errorf("order %+v has no clear answer though all faults have ended", order)
 		}
 	}
 	if !e.retryUntilClear(maxFinalAttempts, e.get) {
-		e.cluster.t.Error("the configuration is not read back though all faults has ended")
+		e.cluster.t.Error("the configuration is not read back though all faults have ended")
 	}
 }
 
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -25,7 +25,7 @@
 // Times of a core whose machines are partitioned.
 const (
 	coreLatency          = 2 * time.Millisecond // one way, and up to as much more
-	maxDelayedMessages   = 64                   // messages on each way that a partition holds up until it ends; those before are lost
+	maxDelayedMessages   = 64                   // messages on each link that a partition delays until it ends; those before are lost
 	failureDetectionTime = 2 * time.Second      // until membership takes a machine that is out of reach for dead
 	rejoinTime           = 10 * time.Second     // after the end of a partition, until membership takes it for alive again
 	maxRedirectsFollowed = 2                    // redirects that a caller follows
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// desiredPlacement is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
+// position is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
 func (h *callHistory) position(number uint64) int {
 	if number == 0 {
 		return 0
--- a/internal/tier/controller/partition_links_test.go
+++ b/internal/tier/controller/partition_links_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// setBlocked begins or ends a partition of some ways. What it has held up arrives after its end.
+// setBlocked blocks or unblocks links. What a block has delayed arrives after its end.
 func (c *core) setBlocked(blocked bool, ways ...link) {
 	for _, w := range ways {
 		c.mutex.Lock()
--- a/internal/tier/controller/partition_test.go
+++ b/internal/tier/controller/partition_test.go
@@ -19,7 +19,7 @@
 	partitionDuration = 8 * time.Second // and up to as much more with other seeds
 	afterDuration     = 6 * time.Second // from the end of the partition to the end of the scenario
 	serviceRestoredIn = 3 * time.Second // until those that aren't partitioned serve again, and all of them after its end
-	joinsAfter        = 3 * time.Second // from the begin of the partition until a store is added
+	joinsAfter        = 3 * time.Second // from the start of the partition until a store is added
 	maxCallDelay      = 800 * time.Millisecond
 )
 
@@ -120,7 +120,7 @@
 	return leader
 }
 
-// linksOf lists the ways that a partition blocks.
+// linksOf lists the links that a partition blocks.
 func (s *scenario) linksOf(victim int, how partitionKind) []link {
 	var ways []link
 	others := s.core.others(victim)
--- a/internal/tier/controller/race_off_test.go
+++ b/internal/tier/controller/race_off_test.go
@@ -2,7 +2,7 @@
 
 package controller
 
-// pairStride is how many pairs of faults there are for each that is played.
+// pairStride is how many pairs of faults there are for each that is run.
 const pairStride = 1
 
 // watched tells whether each memory access is watched, which makes long scenarios slow.
--- a/internal/tier/controller/repair_leader_loss_test.go
+++ b/internal/tier/controller/repair_leader_loss_test.go
@@ -13,7 +13,7 @@
 	coordinatorStep   = 250 * time.Millisecond
 	coordinatorSteps  = 20
 	restartAfter      = 700 * time.Millisecond // from a kill until the process runs again
-	coordinatorStride = 5                      // how many scenarios there are for each that is played, unless all are asked for
+	coordinatorStride = 5                      // how many scenarios there are for each that is run, unless all are asked for
 )
 
 // coordinator is who leads a move, or a part of it.
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestRepair_LeaderLostAtEachStep_Completes plays repairs of which a coordinator is killed at each step, and a final fault at the first
+// TestRepair_LeaderLostAtEachStep_Completes runs repairs of which a coordinator is killed at each step, and a final fault at the first
 // moment that the rules allow.
 func TestRepair_LeaderLostAtEachStep_Completes(t *testing.T) {
 	number := 0
--- a/internal/tier/controller/repair_random_test.go
+++ b/internal/tier/controller/repair_random_test.go
@@ -13,10 +13,10 @@
 // repairWorlds is how many random runs of repairs and losses are played.
 var repairWorlds = flag.Int("repair-worlds", 6, "play so many random runs of repairs and losses")
 
-// maxFaultTime is how long a disk is with a fault at most, and the longest time from a loss until all processes are killed.
+// maxFaultTime is how long a disk fault lasts at most, and the longest time from a loss until all processes are killed.
 const maxFaultTime = 3 * time.Second
 
-// TestRandomRepairs_LoseNothing plays random faults, each at the first moment that the rules allow or a little later, with kills of all
+// TestRandomRepairs_LoseNothing injects random faults, each at the first moment that the rules allow or a little later, with kills of all
 // processes at any moment and faults of the disks of those that catch up.
 func TestRandomRepairs_LoseNothing(t *testing.T) {
 	for seed := range uint64(max(1, *repairWorlds/pairStride)) {
@@ -41,7 +41,7 @@
 	random *rand.Rand
 }
 
-// lose brings one faults about, with what may come beside it, and waits until the next loss is allowed.
+// lose injects one fault, with what may come beside it, and waits until the next loss is allowed.
 func (r *randomRepairs) lose() {
 	r.role = membership.Store
 	if r.random.IntN(3) == 0 {
@@ -77,7 +77,7 @@
 	return r.role == membership.Store && stores > 2*r.environment.faultTolerance+1
 }
 
-// victims are as many machines as a faults may hit at once: the oldest ones, or any.
+// victims are as many machines as a fault may hit at once: the oldest ones, or any.
 func (r *randomRepairs) victims(what fault) []*testMachine {
 	count := 1
 	if what != retired && what != added {
@@ -90,7 +90,7 @@
 	return all[:min(count, len(all))]
 }
 
-// spoilDisk has the disk of a machine that lost the one before get into faults once it runs again. Returned is when the machine no
+// spoilDisk has the disk of a machine that lost the one before fail once it runs again. Returned is when the machine no
 // longer counts as lost.
 func (r *randomRepairs) spoilDisk(m *testMachine) time.Duration {
 	what := []diskFault{slowDisk, fullDisk, stalledDisk}[r.random.IntN(3)]
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -20,7 +20,7 @@
 // allPairs has every pair of a repair and a next loss played on all sites, instead of on one of them each.
 var allPairs = flag.Bool("pairs", false, "play every pair of a repair and a next loss on all sites")
 
-// Times of the bench's faults.
+// Times of the faults.
 const (
 	downTime      = 2 * time.Second // from a loss of power until the machine starts again
 	comesAfter    = time.Second     // from a loss for good until an empty machine starts; of a planned one, until the old one is told to end
@@ -31,7 +31,7 @@
 	recoveryTime  = 12 * time.Second // until all is complete again after the last loss
 )
 
-// catchUpS is how long a machine stays lost after its start.
+// catchUp is how long a machine stays lost after its start.
 func (s environment) catchUp() time.Duration {
 	if s.faultTolerance > 1 {
 		return 6 * time.Second
@@ -55,7 +55,7 @@
 
 var faults = []fault{diskLost, machineLost, planned, retired, added, partitioned, frozen}
 
-// repair is a scenario of a repair, a next loss at the first moment that the rules allow, and a final fault likewise.
+// repair is a run of a repair, a next loss at the first moment that the rules allow, and a final fault likewise.
 type repair struct {
 	*cluster
 	role          membership.Role
@@ -191,7 +191,7 @@
 	r.diskFrom[member.Address] = r.now
 }
 
-// inject brings a faults about, and returns when the machine no longer counts as lost.
+// inject injects a fault, and returns when the machine no longer counts as lost.
 func (r *repair) inject(what fault, m *testMachine) time.Duration {
 	switch what {
 	case diskLost:
@@ -238,7 +238,7 @@
 	r.after(downTime, m.wipe)
 }
 
-// injectAtOldest brings a faults about at as many machines as may be lost at once, and waits until the next loss is allowed.
+// injectAtOldest injects a fault at as many machines as may be lost at once, and waits until the next loss is allowed.
 func (r *repair) injectAtOldest(what fault) {
 	count := r.environment.faultTolerance
 	if what == retired || what == added {
@@ -311,7 +311,7 @@
 	}
 }
 
-// TestRepair_SecondLossRightAfter_LosesNothing plays every pair of faults, the second one at the first moment that the rules allow, and a
+// TestRepair_SecondLossRightAfter_LosesNothing runs every pair of faults, the second one at the first moment that the rules allow, and a
 // final fault likewise.
 func TestRepair_SecondLossRightAfter_LosesNothing(t *testing.T) {
 	sites := []struct {
