--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -78,7 +78,7 @@
 		settings, err := wire.ParseSettings([]byte(raw.Raw))
 		var keyError *wire.KeyError
 		if errors.As(err, &keyError) {
-			p.fail("settings."+keyError.Key, keyError.Why)
+			p.fail("settings."+keyError.Key, keyError.Reason)
 		} else if err != nil {
 			p.fail("settings", err.Error())
 		}
--- a/internal/relay/wire/settings.go
+++ b/internal/relay/wire/settings.go
@@ -102,12 +102,12 @@
 }
 
 // KeyError names the key of the settings that is at fault.
-type KeyError struct{ Key, Why string }
+type KeyError struct{ Key, Reason string }
 
-func (e *KeyError) Error() string { return "field setup: key " + e.Key + ": " + e.Why }
+func (e *KeyError) Error() string { return "field setup: key " + e.Key + ": " + e.Reason }
 
-// words are the values that a key may have. A key that is not there has the narrowest meaning; a word that nobody knows has none.
-func (in *setup) words() error {
+// checkWords checks the values that have a meaning each. A key that is not there has the narrowest meaning; a word that nobody knows has none.
+func (in *setup) checkWords() error {
 	type word struct {
 		key, value string
 		known      []string
@@ -131,73 +131,89 @@
 	return nil
 }
 
-// ParseSettings reads the JSON text of the settings.
+// ParseSettings reads the JSON text of the settings. Its error names the key at fault, as a *KeyError where a value has no meaning.
 func ParseSettings(text []byte) (Settings, error) {
 	var in setup
 	if err := json.Unmarshal(text, &in); err != nil {
-		var at *json.UnmarshalTypeError
-		var syntax *json.SyntaxError
-		switch {
-		case errors.As(err, &at):
-			err = fmt.Errorf("field setup: key %s at offset %d: %w", at.Field, at.Offset, err)
-		case errors.As(err, &syntax):
-			err = fmt.Errorf("field setup at offset %d: %w", syntax.Offset, err)
-		default:
-			err = fmt.Errorf("field setup: %w", err)
-		}
-		return Settings{}, err
+		return Settings{}, decodeError(err)
 	}
-	if err := in.words(); err != nil {
+	if err := in.checkWords(); err != nil {
 		return Settings{}, err
 	}
-	us := func(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
-	s := control.Settings{
-		Peers: in.PeersTotal, Index: in.Me, Zone: in.Zone,
-		Slots: in.FamilyInfo.Workers, MaxOpen: in.Allowed.MaxOpen, MaxAttempts: in.Allowed.MaxAttempts,
-		Cancel: in.Allowed.Cancel, ConnIdle: us(in.Allowed.ConnIdle), OverQuotaValue: in.OverShareWorth,
-		ValueHalves: in.FamilyInfo.LosesWorth == "halves", MarksResubmitted: in.Clients.MarksRetry,
-		MustSubscribe: in.RegistryMode == "subscribe", SubscribeWithin: us(in.Rules.AskWithin),
-		DrainGrace: us(in.Rules.DrainGrace), SlowStartShare: in.Rules.StartCapacity, SlowStart: us(in.Rules.Cold),
-		OverloadWindow: us(in.Rules.Fall), OverloadMultiple: in.Rules.OverloadFactor, InDoubtDelay: us(in.Rules.SettleAfterDoubt),
-		CrossZonePrice: in.Prices.CrossZone, ZoneFee: in.FamilyInfo.Carriage,
-	}
-	if in.Allowed.RetryAfter {
-		s.MaxRetryAfter = us(in.Allowed.MaxRetryAfter)
-	}
-	for _, l := range in.Lanes {
-		c := control.Class{Name: l.Name, LatencyTarget: us(l.Aim), Deadline: us(l.Deadline), Value: l.Worth,
-			LateValue: l.LateWorth, Memory: us(l.MemorySpan), InOrder: l.Sequential}
-		switch l.Effect {
-		case "pure":
-			c.Effect = control.Safe
-		case "token":
-			c.Effect = control.Keyed
-		}
-		switch l.Group {
-		case "all":
-			c.Group = control.GroupAll
-		case "zone":
-			c.Group = control.GroupZone
-		}
-		s.Classes = append(s.Classes, c)
+	settings := in.module()
+	for i := range in.Lanes {
+		settings.Classes = append(settings.Classes, in.Lanes[i].class())
 	}
 	for i := range max(len(in.MachineTypes), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
-		k := control.Kind{PerCall: 1}
+		kind := control.Kind{PerCall: 1}
 		if i < len(in.FamilyInfo.KindApart) {
-			k.SeparateRoutes = in.FamilyInfo.KindApart[i]
+			kind.SeparateRoutes = in.FamilyInfo.KindApart[i]
 		}
 		if i < len(in.FamilyInfo.PerCall) {
-			k.PerCall = in.FamilyInfo.PerCall[i]
+			kind.PerCall = in.FamilyInfo.PerCall[i]
 		}
-		s.Kinds = append(s.Kinds, k)
+		settings.Kinds = append(settings.Kinds, kind)
 	}
 	var tenants []string
-	for _, o := range in.Orgs {
-		s.Tenants, tenants = append(s.Tenants, control.Tenant{Quota: o.Quota}), append(tenants, o.Name)
+	for _, org := range in.Orgs {
+		settings.Tenants, tenants = append(settings.Tenants, control.Tenant{Quota: org.Quota}), append(tenants, org.Name)
 	}
-	return Settings{Settings: s, Round: us(in.Round), ConnectTimeout: us(in.Allowed.ConnTimeout),
+	return Settings{Settings: settings, Round: microseconds(in.Round), ConnectTimeout: microseconds(in.Allowed.ConnTimeout),
 		Zones: in.Localities, KindNames: in.MachineTypes, TenantNames: tenants,
 		Weights: in.WeightSource == "nominal" || in.WeightSource == "rough",
 		Reports: Reports{Share: slices.Index(in.Report.Fields, "x0"), Limit: slices.Index(in.Report.Fields, "x1")},
 	}, nil
 }
+
+// decodeError says where a text of settings is no JSON, or which key has a value of another type.
+func decodeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	var syntax *json.SyntaxError
+	switch {
+	case errors.As(err, &typeError):
+		return fmt.Errorf("field setup: key %s at offset %d: %w", typeError.Field, typeError.Offset, err)
+	case errors.As(err, &syntax):
+		return fmt.Errorf("field setup at offset %d: %w", syntax.Offset, err)
+	}
+	return fmt.Errorf("field setup: %w", err)
+}
+
+// microseconds is a time as the settings give it.
+func microseconds(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
+
+// module is what the decision module is told, but for classes, kinds and tenants.
+func (in *setup) module() control.Settings {
+	settings := control.Settings{
+		Peers: in.PeersTotal, Index: in.Me, Zone: in.Zone,
+		Slots: in.FamilyInfo.Workers, MaxOpen: in.Allowed.MaxOpen, MaxAttempts: in.Allowed.MaxAttempts,
+		Cancel: in.Allowed.Cancel, ConnIdle: microseconds(in.Allowed.ConnIdle), OverQuotaValue: in.OverShareWorth,
+		ValueHalves: in.FamilyInfo.LosesWorth == "halves", MarksResubmitted: in.Clients.MarksRetry,
+		MustSubscribe: in.RegistryMode == "subscribe", SubscribeWithin: microseconds(in.Rules.AskWithin),
+		DrainGrace: microseconds(in.Rules.DrainGrace), SlowStartShare: in.Rules.StartCapacity, SlowStart: microseconds(in.Rules.Cold),
+		OverloadWindow: microseconds(in.Rules.Fall), OverloadMultiple: in.Rules.OverloadFactor, InDoubtDelay: microseconds(in.Rules.SettleAfterDoubt),
+		CrossZonePrice: in.Prices.CrossZone, ZoneFee: in.FamilyInfo.Carriage,
+	}
+	if in.Allowed.RetryAfter {
+		settings.MaxRetryAfter = microseconds(in.Allowed.MaxRetryAfter)
+	}
+	return settings
+}
+
+// class is a lane as the decision module is told of it. What the text leaves out has the narrowest meaning.
+func (l *lane) class() control.Class {
+	class := control.Class{Name: l.Name, LatencyTarget: microseconds(l.Aim), Deadline: microseconds(l.Deadline), Value: l.Worth,
+		LateValue: l.LateWorth, Memory: microseconds(l.MemorySpan), InOrder: l.Sequential}
+	switch l.Effect {
+	case "pure":
+		class.Effect = control.Safe
+	case "token":
+		class.Effect = control.Keyed
+	}
+	switch l.Group {
+	case "all":
+		class.Group = control.GroupAll
+	case "zone":
+		class.Group = control.GroupZone
+	}
+	return class
+}
