--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -59,7 +59,7 @@
 // Front speaks ActivityPub.
 type Front struct {
 	cfg    *config.ActivityPub
-	lim    *config.Limits
+	limits *config.Limits
 	core   Submitter
 	log    *slog.Logger
 	pool   *httpwire.Pool
@@ -94,7 +94,7 @@
 // New returns the front of core, and its destinations; it still has to be added to it.
 func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	a := cfg.ActivityPub
-	f := &Front{cfg: a, lim: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
+	f := &Front{cfg: a, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
 		keys: keyring{}, owners: map[string]*config.Client{}, clients: map[string]*config.Client{},
 		inboxes: map[string]*url.URL{}, partners: map[string]config.Partner{}, classes: map[string]int{},
 		set: cfg.Settings.Classes, Now: time.Now, ended: map[string]end{}}
@@ -194,7 +194,7 @@
 		return say(404, "no such inbox")
 	}
 	if f.Open != nil && !f.Open() {
-		return httpwire.Answer{Status: 503, Header: []string{"Retry-After", seconds(f.lim.BusyRetry)},
+		return httpwire.Answer{Status: 503, Header: []string{"Retry-After", seconds(f.limits.BusyRetry)},
 			Body: []byte("this router stands by\n")}
 	}
 	m, again, err := f.message(q)
@@ -338,7 +338,7 @@
 // has had it.
 func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
 	taken := make([]bool, len(notices))
-	room := make(chan struct{}, f.lim.ParallelNotices)
+	room := make(chan struct{}, f.limits.ParallelNotices)
 	var all sync.WaitGroup
 	for i := range notices {
 		n := &notices[i]
@@ -400,7 +400,7 @@
 		f.line = append(f.line, n.ID)
 	}
 	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.MayHaveRunAt}
-	for len(f.line) > f.lim.MaxRemembered {
+	for len(f.line) > f.limits.MaxRemembered {
 		delete(f.ended, f.line[0])
 		f.line = f.line[1:]
 	}
--- a/internal/relay/capture/batch.go
+++ b/internal/relay/capture/batch.go
@@ -21,35 +21,35 @@
 	cores    []*Core
 	gaps     []Gap
 
-	events  []control.Event
-	actions []control.Action
-	told    []CoreEvent
-	handed  []Arrival
+	events     []control.Event
+	actions    []control.Action
+	coreEvents []CoreEvent
+	arrivals   []Arrival
 
-	weight int       // about the bytes it will take before it is compressed
-	file   bool      // a file begins with it
-	since  time.Time // when its first turn ended
+	weight     int       // about the bytes it will take before it is compressed
+	beginsFile bool      // a file begins with it
+	since      time.Time // when its first turn ended
 }
 
 // What records weigh, as measured.
 const (
-	weighsTurn, weighsEvent, weighsAction = 14, 24, 22
-	weighsTold, weighsName                = 36, 30
+	turnWeight, eventWeight, actionWeight = 14, 24, 22
+	coreEventWeight, nameWeight           = 36, 30
 )
 
 func (b *batch) turn(no uint64, now time.Duration, events []control.Event, actions []control.Action) {
-	b.turns = append(b.turns, Turn{no, now, into(&b.events, events), into(&b.actions, actions)})
+	b.turns = append(b.turns, Turn{no, now, appendCopy(&b.events, events), appendCopy(&b.actions, actions)})
 	b.order = append(b.order, TypeTurn)
-	b.weight += weighsTurn + weighsEvent*len(events) + weighsAction*len(actions)
+	b.weight += turnWeight + eventWeight*len(events) + actionWeight*len(actions)
 }
 
 func (b *batch) input(in *Input) {
 	own := *in
-	own.Events, own.Actions = into(&b.told, in.Events), nil
+	own.Events, own.Actions = appendCopy(&b.coreEvents, in.Events), nil
 	for i := range own.Events {
 		if a := own.Events[i].Arrival; a != nil {
-			b.handed = append(b.handed, *a)
-			own.Events[i].Arrival = &b.handed[len(b.handed)-1]
+			b.arrivals = append(b.arrivals, *a)
+			own.Events[i].Arrival = &b.arrivals[len(b.arrivals)-1]
 		}
 	}
 	if len(in.Full) > 0 {
@@ -59,17 +59,17 @@
 	}
 	b.inputs = append(b.inputs, own)
 	b.order = append(b.order, TypeInput)
-	b.weight += weighsTurn + weighsTold*len(in.Events)
+	b.weight += turnWeight + coreEventWeight*len(in.Events)
 }
 
 func (b *batch) name(n Name) {
 	b.names, b.order = append(b.names, n), append(b.order, TypeName)
-	b.weight += weighsName
+	b.weight += nameWeight
 }
 
 func (b *batch) message(m Message) {
 	b.messages, b.order = append(b.messages, m), append(b.order, TypeMessage)
-	b.weight += weighsName
+	b.weight += nameWeight
 }
 
 func (b *batch) note(n Note) { b.notes, b.order = append(b.notes, n), append(b.order, TypeNote) }
@@ -82,8 +82,8 @@
 	}
 }
 
-// into copies a list to the end of another and returns the copy: nil if it is empty.
-func into[T any](all *[]T, list []T) []T {
+// appendCopy copies a list to the end of another and returns the copy: nil if it is empty.
+func appendCopy[T any](all *[]T, list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
@@ -135,9 +135,9 @@
 	clear(b.cores)
 	clear(b.events)
 	clear(b.actions)
-	clear(b.told)
-	clear(b.handed)
+	clear(b.coreEvents)
+	clear(b.arrivals)
 	*b = batch{order: b.order[:0], turns: b.turns[:0], inputs: b.inputs[:0], names: b.names[:0], messages: b.messages[:0],
 		notes: b.notes[:0], states: b.states[:0], cores: b.cores[:0], gaps: b.gaps[:0], events: b.events[:0], actions: b.actions[:0],
-		told: b.told[:0], handed: b.handed[:0]}
+		coreEvents: b.coreEvents[:0], arrivals: b.arrivals[:0]}
 }
--- a/internal/relay/capture/capture_test.go
+++ b/internal/relay/capture/capture_test.go
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	var altered bytes.Buffer
-	altered.Write(headOfFile())
+	altered.Write(fileHeader())
 	c, _ := newChunker()
 	want := uint64(0)
 	err = r.Each(func(record any) error {
@@ -232,12 +232,12 @@
 		t.Fatal(err)
 	}
 	drain := func() {
-		for len(r.full) > 0 {
-			b := <-r.full
-			if err := w.take(b); err != nil {
+		for len(r.batches) > 0 {
+			b := <-r.batches
+			if err := w.writeBatch(b); err != nil {
 				t.Fatal(err)
 			}
-			r.back(b)
+			r.giveBack(b)
 		}
 	}
 	world := newWorld(3)
@@ -254,7 +254,7 @@
 		r.Tick(time.Now())
 		world.did(out)
 	}
-	r.hand()
+	r.send()
 	drain()
 	text := one(t, r.dir)
 	lost := int(r.Lost.Load())
@@ -441,7 +441,7 @@
 	mod, _ := control.New(settings(), 5)
 	c, _ := newChunker()
 	var file bytes.Buffer
-	file.Write(headOfFile())
+	file.Write(fileHeader())
 	put := func(kind Type, record any) {
 		if err := c.add(kind, record); err != nil {
 			t.Fatal(err)
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	var file bytes.Buffer
-	file.Write(headOfFile())
+	file.Write(fileHeader())
 	put := func(t Type, record any) {
 		if err == nil {
 			err = c.add(t, record)
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -154,8 +154,8 @@
 	return f.b
 }
 
-// usual tells whether appendTurn knows all of a turn: what others share comes a few times a second.
-func (t *Turn) usual() bool {
+// hasFastPath tells whether appendTurn knows all of a turn: what others share comes a few times a second.
+func (t *Turn) hasFastPath() bool {
 	for i := range t.Events {
 		if t.Events[i].Shared != nil {
 			return false
@@ -185,8 +185,8 @@
 	return f.b
 }
 
-// usual tells whether appendInput knows all of an input.
-func (in *Input) usual() bool {
+// hasFastPath tells whether appendInput knows all of an input.
+func (in *Input) hasFastPath() bool {
 	for i := range in.Events {
 		if e := &in.Events[i]; e.List != nil || e.Mandate != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Accepted) > 0 {
 			return false
@@ -232,17 +232,17 @@
 	return f.b
 }
 
-// fast encodes a record that is frequent and usual; false: it is neither.
-func fast(b []byte, record any) ([]byte, bool) {
+// appendFast encodes a record that is frequent and usual; false: it is neither.
+func appendFast(b []byte, record any) ([]byte, bool) {
 	switch r := record.(type) {
 	case *Turn:
-		if r.usual() {
+		if r.hasFastPath() {
 			return appendTurn(b, r), true
 		}
 	case *Message:
 		return appendMessage(b, r), true
 	case *Input:
-		if r.usual() {
+		if r.hasFastPath() {
 			return appendInput(b, r), true
 		}
 	}
--- a/internal/relay/capture/fast_test.go
+++ b/internal/relay/capture/fast_test.go
@@ -52,7 +52,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		for _, record := range []any{&Turn{}, &Message{}, &Input{}} {
 			fill(t, reflect.ValueOf(record).Elem())
-			got, ok := fast([]byte("x"), record)
+			got, ok := appendFast([]byte("x"), record)
 			if !ok {
 				if turn, is := record.(*Turn); is {
 					for i := range turn.Events {
@@ -66,7 +66,7 @@
 						in.Events[i].Shared = nil
 					}
 				}
-				if got, ok = fast([]byte("x"), record); !ok {
+				if got, ok = appendFast([]byte("x"), record); !ok {
 					t.Fatalf("%+v is not usual", record)
 				}
 			}
--- a/internal/relay/capture/format.go
+++ b/internal/relay/capture/format.go
@@ -35,7 +35,7 @@
 	chunkMagic = "CHNK"
 	fileHead   = 8
 	chunkHead  = 4 + 4 + 4 + 8
-	mostChunk  = 16 << 20 // bytes of a body, compressed or not
+	maxChunk   = 16 << 20 // bytes of a body, compressed or not
 )
 
 // Head is what a chunk says of itself.
@@ -150,8 +150,8 @@
 	head Head
 }
 
-// inPlace encodes records right into a block's buffer.
-var inPlace = func() cbor.UserBufferEncMode {
+// bufferEncoder encodes records right into a block's buffer.
+var bufferEncoder = func() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{}.UserBufferEncMode()
 	if err != nil {
 		panic(err) // the options are constant
@@ -162,9 +162,9 @@
 // add appends a record.
 func (b *block) add(t Type, record any) error {
 	b.body.Write([]byte{0x82, byte(t)}) // an array of two; types stay under 24
-	if text, ok := fast(b.body.AvailableBuffer(), record); ok {
+	if text, ok := appendFast(b.body.AvailableBuffer(), record); ok {
 		b.body.Write(text)
-	} else if err := inPlace.MarshalToBuffer(record, &b.body); err != nil {
+	} else if err := bufferEncoder.MarshalToBuffer(record, &b.body); err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
 	switch r := record.(type) {
@@ -206,8 +206,8 @@
 
 // packer makes chunks of blocks.
 type packer struct {
-	enc *zstd.Encoder
-	out []byte
+	encoder *zstd.Encoder
+	buffer  []byte
 }
 
 func newPacker() (*packer, error) {
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return &packer{enc: enc}, nil
+	return &packer{encoder: enc}, nil
 }
 
 // pack returns the chunk of a block, good until the next call; nil: the block is empty.
@@ -232,14 +232,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	p.out = append(p.out[:0], make([]byte, chunkHead)...)
-	p.out = append(p.out, head...)
-	p.out = p.enc.EncodeAll(b.body.Bytes(), p.out)
-	copy(p.out, chunkMagic)
-	binary.LittleEndian.PutUint32(p.out[4:], uint32(len(head)))
-	binary.LittleEndian.PutUint32(p.out[8:], uint32(len(p.out)-chunkHead-len(head)))
-	binary.LittleEndian.PutUint64(p.out[12:], xxhash.Sum64(p.out[chunkHead:]))
-	return p.out, nil
+	p.buffer = append(p.buffer[:0], make([]byte, chunkHead)...)
+	p.buffer = append(p.buffer, head...)
+	p.buffer = p.encoder.EncodeAll(b.body.Bytes(), p.buffer)
+	copy(p.buffer, chunkMagic)
+	binary.LittleEndian.PutUint32(p.buffer[4:], uint32(len(head)))
+	binary.LittleEndian.PutUint32(p.buffer[8:], uint32(len(p.buffer)-chunkHead-len(head)))
+	binary.LittleEndian.PutUint64(p.buffer[12:], xxhash.Sum64(p.buffer[chunkHead:]))
+	return p.buffer, nil
 }
 
 // chunker gathers records and writes chunks of them, for tools that nothing waits for.
@@ -262,6 +262,6 @@
 	return err
 }
 
-func headOfFile() []byte {
+func fileHeader() []byte {
 	return []byte{fileMagic[0], fileMagic[1], fileMagic[2], fileMagic[3], Major, Minor, 0, 0}
 }
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -14,12 +14,12 @@
 
 // Reader reads a capture, up to the last whole chunk.
 type Reader struct {
-	r     io.ReadSeeker
-	dec   *zstd.Decoder
-	at    int64
-	done  int64 // by Each
-	size  int64
-	Minor byte
+	source   io.ReadSeeker
+	decoder  *zstd.Decoder
+	offset   int64
+	replayed int64 // by Each
+	size     int64
+	Minor    byte
 	// Torn is why reading ended before the end of the file; nil: it did not.
 	Torn error
 	// Skipped counts records of types that this program does not know.
@@ -42,11 +42,11 @@
 	if head[4] != Major {
 		return nil, fmt.Errorf("%w: the file is of major version %d, this program reads %d", ErrVersion, head[4], Major)
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostChunk))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunk))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return &Reader{r: r, dec: dec, at: fileHead, size: size, Minor: head[5]}, nil
+	return &Reader{source: r, decoder: dec, offset: fileHead, size: size, Minor: head[5]}, nil
 }
 
 // Chunk is one chunk as it stands in a file.
@@ -57,49 +57,49 @@
 }
 
 // Progress is the share of the file whose records Each has handed on.
-func (r *Reader) Progress() float64 { return float64(r.done) / float64(max(r.size, 1)) }
+func (r *Reader) Progress() float64 { return float64(r.replayed) / float64(max(r.size, 1)) }
 
 // Next returns the next chunk; io.EOF after the last whole one.
 func (r *Reader) Next() (*Chunk, error) {
-	if r.Torn != nil || r.at >= r.size {
+	if r.Torn != nil || r.offset >= r.size {
 		return nil, io.EOF
 	}
 	torn := func(why string) (*Chunk, error) {
-		r.Torn = fmt.Errorf("capture: at byte %d of %d: %s", r.at, r.size, why)
+		r.Torn = fmt.Errorf("capture: at byte %d of %d: %s", r.offset, r.size, why)
 		return nil, io.EOF
 	}
 	var h [chunkHead]byte
-	if _, err := r.r.Seek(r.at, io.SeekStart); err != nil {
+	if _, err := r.source.Seek(r.offset, io.SeekStart); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	if _, err := io.ReadFull(r.r, h[:]); err != nil {
+	if _, err := io.ReadFull(r.source, h[:]); err != nil {
 		return torn("the head of a chunk is cut short")
 	}
 	head, body := int64(binary.LittleEndian.Uint32(h[4:])), int64(binary.LittleEndian.Uint32(h[8:]))
-	if string(h[:4]) != chunkMagic || head > mostChunk || body > mostChunk {
+	if string(h[:4]) != chunkMagic || head > maxChunk || body > maxChunk {
 		return torn("no chunk begins here")
 	}
-	if r.at+chunkHead+head+body > r.size {
+	if r.offset+chunkHead+head+body > r.size {
 		return torn("a chunk is cut short")
 	}
 	all := make([]byte, head+body)
-	if _, err := io.ReadFull(r.r, all); err != nil {
+	if _, err := io.ReadFull(r.source, all); err != nil {
 		return torn("a chunk is cut short")
 	}
 	if xxhash.Sum64(all) != binary.LittleEndian.Uint64(h[12:]) {
 		return torn("a chunk is damaged")
 	}
-	c := &Chunk{At: r.at, body: all[head:]}
+	c := &Chunk{At: r.offset, body: all[head:]}
 	if err := cbor.Unmarshal(all[:head], &c.Head); err != nil {
 		return torn("the head of a chunk can't be read: " + err.Error())
 	}
-	r.at += chunkHead + head + body
+	r.offset += chunkHead + head + body
 	return c, nil
 }
 
 // Records hands the records of a chunk to do, as pointers to their types, until it returns an error.
 func (r *Reader) Records(c *Chunk, do func(record any) error) error {
-	text, err := r.dec.DecodeAll(c.body, make([]byte, 0, min(c.Size, mostChunk)))
+	text, err := r.decoder.DecodeAll(c.body, make([]byte, 0, min(c.Size, maxChunk)))
 	if err != nil {
 		return fmt.Errorf("capture: the chunk at byte %d: %w", c.At, err)
 	}
@@ -148,20 +148,20 @@
 // that arrive in it. It leaves the reader where it was.
 func (r *Reader) Index() ([]Chunk, error) {
 	var all []Chunk
-	for at := r.at; at+chunkHead <= r.size; {
+	for at := r.offset; at+chunkHead <= r.size; {
 		var h [chunkHead]byte
-		if _, err := r.r.Seek(at, io.SeekStart); err != nil {
+		if _, err := r.source.Seek(at, io.SeekStart); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
-		if _, err := io.ReadFull(r.r, h[:]); err != nil {
+		if _, err := io.ReadFull(r.source, h[:]); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 		head, body := int64(binary.LittleEndian.Uint32(h[4:])), int64(binary.LittleEndian.Uint32(h[8:]))
-		if string(h[:4]) != chunkMagic || head > mostChunk || body > mostChunk || at+chunkHead+head+body > r.size {
+		if string(h[:4]) != chunkMagic || head > maxChunk || body > maxChunk || at+chunkHead+head+body > r.size {
 			break
 		}
 		text := make([]byte, head)
-		if _, err := io.ReadFull(r.r, text); err != nil {
+		if _, err := io.ReadFull(r.source, text); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 		c := Chunk{At: at}
@@ -185,7 +185,7 @@
 }
 
 // SeekTo has reading go on at a chunk of the index.
-func (r *Reader) SeekTo(c *Chunk) { r.at = c.At }
+func (r *Reader) SeekTo(c *Chunk) { r.offset = c.At }
 
 // Each hands all records from here on to do, in order, until it returns an error. Chunks are decoded ahead on another
 // goroutine, which has ended when Each returns; where the reader stands then is not said.
@@ -227,7 +227,7 @@
 		}
 	}()
 	for p := range pieces {
-		r.done = p.at
+		r.replayed = p.at
 		for _, record := range p.records { // also those before an error
 			if err := do(record); err != nil {
 				return err
@@ -237,6 +237,6 @@
 			return p.err
 		}
 	}
-	r.done = r.size
+	r.replayed = r.size
 	return nil
 }
--- a/internal/relay/capture/recorder.go
+++ b/internal/relay/capture/recorder.go
@@ -27,25 +27,25 @@
 // Recorder takes turns from the core's goroutine, which never waits for it, and gathers them in batches. Those are encoded,
 // compressed and written on a goroutine of its own.
 type Recorder struct {
-	dir   string
-	begin Begin
-	lim   Limits
-	log   *slog.Logger
+	dir    string
+	begin  Begin
+	limits Limits
+	log    *slog.Logger
 
-	full   chan *batch // to the writer
-	mu     sync.Mutex
-	free   []*batch // the one used last comes first: as long as the writer keeps up two are all that grow
-	done   chan struct{}
-	create func(name string) (file, error)
+	batches chan *batch // to the writer
+	mu      sync.Mutex
+	free    []*batch // the one used last comes first: as long as the writer keeps up two are all that grow
+	done    chan struct{}
+	create  func(name string) (file, error)
 
 	// Of the core's goroutine:
-	cur  *batch // nil: none was free
-	turn uint64
-	lost uint64 // turns since the last that was taken
-	gap  bool   // something was
-	ok   bool   // a state has been taken, and nothing has been lost since
-	why  string
-	want atomic.Bool // the writer has a file that is long enough: a state is to come, and another begins with it
+	current   *batch // nil: none was free
+	turn      uint64
+	lostInGap uint64 // turns since the last that was taken
+	hasGap    bool   // something was
+	hasState  bool   // a state has been taken, and nothing has been lost since
+	gapReason string
+	wantsFile atomic.Bool // the writer has a file that is long enough: a state is to come, and another begins with it
 
 	Lost  atomic.Uint64 // turns that are in no file
 	Bytes atomic.Int64  // that were written
@@ -85,7 +85,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
 	}
-	r := &Recorder{dir: dir, begin: begin, lim: lim, log: log, full: make(chan *batch, lim.Queue+1),
+	r := &Recorder{dir: dir, begin: begin, limits: lim, log: log, batches: make(chan *batch, lim.Queue+1),
 		done: make(chan struct{}), create: create}
 	for range lim.Queue + 1 {
 		r.free = append(r.free, &batch{})
@@ -96,7 +96,7 @@
 
 // WantsState tells whether the next turn is to come with the module's state before it, since a file begins there or
 // turns have been lost.
-func (r *Recorder) WantsState() bool { return !r.ok || r.want.Load() }
+func (r *Recorder) WantsState() bool { return !r.hasState || r.wantsFile.Load() }
 
 // State is handed the module's state, the core's (nil: it is not recorded), the names of destinations and the ids of
 // messages, right before a turn.
@@ -104,34 +104,34 @@
 	if r.Err() != nil {
 		return
 	}
-	if r.cur != nil && len(r.cur.order) > 0 {
-		r.hand()
+	if r.current != nil && len(r.current.order) > 0 {
+		r.send()
 	}
-	if r.cur == nil && !r.take() {
+	if r.current == nil && !r.takeFree() {
 		return // behind as it is
 	}
-	r.cur.file = r.want.Swap(false)
-	r.ok = true
-	if r.gap {
-		r.cur.gap(Gap{r.lost, r.why})
+	r.current.beginsFile = r.wantsFile.Swap(false)
+	r.hasState = true
+	if r.hasGap {
+		r.current.gap(Gap{r.lostInGap, r.gapReason})
 	}
-	r.lost, r.gap = 0, false
+	r.lostInGap, r.hasGap = 0, false
 	for i := range names {
-		r.cur.name(names[i])
+		r.current.name(names[i])
 	}
 	for i := range messages {
-		r.cur.message(messages[i])
+		r.current.message(messages[i])
 	}
-	r.cur.state(x, core)
+	r.current.state(x, core)
 }
 
 // Turn is handed each turn of the module. Nothing of events and actions is kept.
 func (r *Recorder) Turn(now time.Duration, events []control.Event, actions []control.Action) {
 	r.turn++
-	if r.room() {
-		r.cur.turn(r.turn, now, events, actions)
+	if r.canTake() {
+		r.current.turn(r.turn, now, events, actions)
 	} else {
-		r.lost++
+		r.lostInGap++
 		r.Lost.Add(1)
 	}
 }
@@ -141,40 +141,40 @@
 
 // Input is handed each turn of the core, behind the module's. Nothing of it is kept but texts and lists in its events.
 func (r *Recorder) Input(in *Input) {
-	if r.room() {
-		r.cur.input(in)
+	if r.canTake() {
+		r.current.input(in)
 	}
 }
 
 // Name is handed each destination that becomes known.
 func (r *Recorder) Name(n Name) {
-	if r.room() {
-		r.cur.name(n)
+	if r.canTake() {
+		r.current.name(n)
 	}
 }
 
 // Message is handed each message that is taken up.
 func (r *Recorder) Message(m Message) {
-	if r.room() {
-		r.cur.message(m)
+	if r.canTake() {
+		r.current.message(m)
 	}
 }
 
 // Note is handed what happens to the relay itself.
 func (r *Recorder) Note(n Note) {
-	if r.room() {
-		r.cur.note(n)
+	if r.canTake() {
+		r.current.note(n)
 	}
 }
 
-// room tells whether a record can be taken. What can't leaves a gap: a replay could not go on past it.
-func (r *Recorder) room() bool {
-	if !r.ok || r.Err() != nil {
+// canTake tells whether a record can be taken. What can't leaves a gap: a replay could not go on past it.
+func (r *Recorder) canTake() bool {
+	if !r.hasState || r.Err() != nil {
 		return false
 	}
-	if r.cur == nil && !r.take() {
-		r.ok, r.why = false, "the writer could not keep up"
-		r.gap = true
+	if r.current == nil && !r.takeFree() {
+		r.hasState, r.gapReason = false, "the writer could not keep up"
+		r.hasGap = true
 		return false
 	}
 	return true
@@ -182,45 +182,45 @@
 
 // Tick ends a turn: what has stood long enough, or is long enough, goes to the writer.
 func (r *Recorder) Tick(now time.Time) {
-	if r.cur == nil || len(r.cur.order) == 0 {
+	if r.current == nil || len(r.current.order) == 0 {
 		return
 	}
-	if r.cur.since.IsZero() {
-		r.cur.since = now
+	if r.current.since.IsZero() {
+		r.current.since = now
 	}
-	if r.cur.weight >= r.lim.Chunk || now.Sub(r.cur.since) >= r.lim.Within {
-		r.hand()
+	if r.current.weight >= r.limits.Chunk || now.Sub(r.current.since) >= r.limits.Within {
+		r.send()
 	}
 }
 
-// take finds a batch to fill.
-func (r *Recorder) take() bool {
+// takeFree finds a batch to fill.
+func (r *Recorder) takeFree() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.free) - 1
 	if n < 0 {
 		return false
 	}
-	r.cur, r.free = r.free[n], r.free[:n]
+	r.current, r.free = r.free[n], r.free[:n]
 	return true
 }
 
-// back takes an empty batch.
-func (r *Recorder) back(b *batch) {
+// giveBack takes an empty batch.
+func (r *Recorder) giveBack(b *batch) {
 	b.reset()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.free = append(r.free, b)
 }
 
-// hand gives the batch to the writer: there are no more than it has room for.
-func (r *Recorder) hand() {
-	r.full <- r.cur
-	r.cur = nil
+// send gives the batch to the writer: there are no more than it has room for.
+func (r *Recorder) send() {
+	r.batches <- r.current
+	r.current = nil
 }
 
-// stop ends the capture at an error: what stands in the file can be read.
-func (r *Recorder) stop(err error) {
+// fail ends the capture at an error: what stands in the file can be read.
+func (r *Recorder) fail(err error) {
 	if r.err.CompareAndSwap(nil, &err) {
 		r.log.Error("capture failed, recording no more", "err", err)
 	}
@@ -237,10 +237,10 @@
 // Close ends the capture; what was handed over is written. It must not be called beside the others.
 func (r *Recorder) Close() {
 	r.once.Do(func() {
-		if r.cur != nil {
-			r.hand()
+		if r.current != nil {
+			r.send()
 		}
-		close(r.full)
+		close(r.batches)
 		<-r.done
 		r.log.Info("capture ended", "dir", r.dir, "bytes", r.Bytes.Load(), "lost_turns", r.Lost.Load(), "err", r.Err())
 	})
@@ -248,12 +248,12 @@
 
 // writer is the goroutine that writes.
 type writer struct {
-	r    *Recorder
-	p    *packer
-	b    block
-	f    file
-	no   int
-	size int64
+	recorder *Recorder
+	packer   *packer
+	block    block
+	file     file
+	number   int
+	size     int64
 }
 
 func newWriter(r *Recorder) (*writer, error) {
@@ -261,16 +261,16 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &writer{r: r, p: p}
+	w := &writer{recorder: r, packer: p}
 	files, err := Files(r.dir)
 	if err != nil {
 		return nil, err
 	}
 	if len(files) > 0 {
 		base := strings.TrimSuffix(filepath.Base(files[len(files)-1]), Ext)
-		_, _ = fmt.Sscanf(base, "capture-%d", &w.no)
+		_, _ = fmt.Sscanf(base, "capture-%d", &w.number)
 	}
-	return w, w.next()
+	return w, w.nextFile()
 }
 
 // Files are the captures in a folder, the oldest first.
@@ -280,89 +280,89 @@
 	return files, err
 }
 
-// next begins another file.
-func (w *writer) next() error {
-	if w.f != nil {
-		_ = w.f.Close()
+// nextFile begins another file.
+func (w *writer) nextFile() error {
+	if w.file != nil {
+		_ = w.file.Close()
 	}
-	w.no++
-	f, err := w.r.create(filepath.Join(w.r.dir, fmt.Sprintf("capture-%08d%s", w.no, Ext)))
+	w.number++
+	f, err := w.recorder.create(filepath.Join(w.recorder.dir, fmt.Sprintf("capture-%08d%s", w.number, Ext)))
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	w.f, w.size = f, 0
-	w.trim()
-	if err := w.write(headOfFile()); err != nil {
+	w.file, w.size = f, 0
+	w.removeOldest()
+	if err := w.write(fileHeader()); err != nil {
 		return err
 	}
-	if err := w.b.add(TypeBegin, &w.r.begin); err != nil {
+	if err := w.block.add(TypeBegin, &w.recorder.begin); err != nil {
 		return err
 	}
-	return w.chunk()
+	return w.writeChunk()
 }
 
-// chunk writes what has been gathered.
-func (w *writer) chunk() error {
-	text, err := w.p.pack(&w.b)
+// writeChunk writes what has been gathered.
+func (w *writer) writeChunk() error {
+	text, err := w.packer.pack(&w.block)
 	if err == nil && text != nil {
 		err = w.write(text)
 	}
-	w.b.reset(w.r.lim.Chunk)
+	w.block.reset(w.recorder.limits.Chunk)
 	return err
 }
 
-// trim removes the oldest files until there is room for what the newest still lacks of its size.
-func (w *writer) trim() {
-	files, _ := Files(w.r.dir)
-	total := max(w.r.lim.FileSize-w.size, 0)
+// removeOldest removes the oldest files until there is room for what the newest still lacks of its size.
+func (w *writer) removeOldest() {
+	files, _ := Files(w.recorder.dir)
+	total := max(w.recorder.limits.FileSize-w.size, 0)
 	for i := len(files) - 1; i >= 0; i-- {
 		info, err := os.Stat(files[i])
 		if err == nil {
 			total += info.Size()
 		}
-		if total > w.r.lim.DirSize && i < len(files)-1 {
+		if total > w.recorder.limits.DirSize && i < len(files)-1 {
 			_ = os.Remove(files[i])
 		}
 	}
 }
 
 func (w *writer) write(b []byte) error {
-	n, err := w.f.Write(b)
+	n, err := w.file.Write(b)
 	w.size += int64(n)
-	w.r.Bytes.Add(int64(n))
+	w.recorder.Bytes.Add(int64(n))
 	if err != nil { // what was written of it would hide all that follows
-		_ = w.f.Truncate(w.size - int64(n))
+		_ = w.file.Truncate(w.size - int64(n))
 		return fmt.Errorf("capture: %w", err)
 	}
 	return nil
 }
 
 func (w *writer) run() {
-	defer close(w.r.done)
-	for b := range w.r.full {
-		if w.r.Err() == nil {
-			if err := w.take(b); err != nil { // a disk that is full ends the capture and nothing else
-				w.r.stop(err)
+	defer close(w.recorder.done)
+	for b := range w.recorder.batches {
+		if w.recorder.Err() == nil {
+			if err := w.writeBatch(b); err != nil { // a disk that is full ends the capture and nothing else
+				w.recorder.fail(err)
 			}
 		}
-		w.r.back(b)
+		w.recorder.giveBack(b)
 	}
-	_ = w.f.Close()
+	_ = w.file.Close()
 }
 
-func (w *writer) take(b *batch) error {
-	if b.file {
-		if err := w.next(); err != nil {
+func (w *writer) writeBatch(b *batch) error {
+	if b.beginsFile {
+		if err := w.nextFile(); err != nil {
 			return err
 		}
 	}
-	if err := b.encode(&w.b); err != nil {
+	if err := b.encode(&w.block); err != nil {
 		return err
 	}
-	err := w.chunk()
-	if w.size >= w.r.lim.FileSize {
-		w.trim()             // it grows until the core is asked and brings the next
-		w.r.want.Store(true) // the core brings the state for the next file
+	err := w.writeChunk()
+	if w.size >= w.recorder.limits.FileSize {
+		w.removeOldest()                 // it grows until the core is asked and brings the next
+		w.recorder.wantsFile.Store(true) // the core brings the state for the next file
 	}
 	return err
 }
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -30,7 +30,7 @@
 	PastGap bool          // go on at the state behind a gap
 	// Settings, if not nil, takes the place of the capture's: then differences are counted and do not end the replay.
 	Settings *control.Settings
-	// Core, if not nil, is handed each record: see relay.Rerun. Where the capture is of a whole core, the module that it
+	// Core, if not nil, is handed each record: see engine.CoreReplay. Where the capture is of a whole core, the module that it
 	// drives is the one that is compared, and none is replayed beside it. Its error ends the replay.
 	Core func(record any) error
 	// Progress, if not nil, is told the share of the file that has been replayed.
@@ -58,7 +58,7 @@
 // that differs, ErrGap where turns are missing, and otherwise nil at the end of what can be read.
 func Replay(r *Reader, o Options) (*Result, error) {
 	p := newPlayer()
-	p.o = o
+	p.options = o
 	err := r.Each(func(record any) error {
 		if o.Progress != nil {
 			o.Progress(r.Progress())
@@ -68,61 +68,61 @@
 		}
 		return o.Core(record)
 	})
-	if errors.Is(err, errUntil) {
+	if errors.Is(err, errStop) {
 		err = nil
 	}
-	p.res.Torn = r.Torn
-	if err == nil && p.res.Turns == 0 {
+	p.result.Torn = r.Torn
+	if err == nil && p.result.Turns == 0 {
 		err = errors.New("capture: no turn can be replayed")
 	}
-	return p.res, err
+	return p.result, err
 }
 
-var errUntil = errors.New("capture: as far as was asked")
+var errStop = errors.New("capture: as far as was asked")
 
 type player struct {
-	o   Options
-	res *Result
-	mod *control.Sender
-	out []control.Action
-	gap bool
+	options Options
+	result  *Result
+	module  *control.Sender
+	actions []control.Action
+	inGap   bool
 
 	before, after func(t *Turn) // a turn is played, if they are not nil
 }
 
 func newPlayer() *player {
-	return &player{res: &Result{Names: map[uint32]Name{}, Messages: map[uint64]Message{}, Outcomes: map[string]int{}}}
+	return &player{result: &Result{Names: map[uint32]Name{}, Messages: map[uint64]Message{}, Outcomes: map[string]int{}}}
 }
 
 func (p *player) record(record any) (err error) {
 	switch r := record.(type) {
 	case *Begin:
-		p.res.Begin = *r
+		p.result.Begin = *r
 	case *Name:
-		p.res.Names[r.Number] = *r
+		p.result.Names[r.Number] = *r
 	case *Message:
-		p.res.Messages[r.Ref] = *r
+		p.result.Messages[r.Ref] = *r
 	case *Note:
-		p.res.Notes = append(p.res.Notes, *r)
+		p.result.Notes = append(p.result.Notes, *r)
 	case *Gap:
-		p.res.Gaps++
-		if p.gap = true; !p.o.PastGap {
-			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, r.Turns, p.res.Turns, r.Reason)
+		p.result.Gaps++
+		if p.inGap = true; !p.options.PastGap {
+			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, r.Turns, p.result.Turns, r.Reason)
 		}
 	case *State:
 		// Under other settings the sender goes on with what it has made of the past.
-		if p.mod != nil && p.o.Settings != nil && !p.gap {
+		if p.module != nil && p.options.Settings != nil && !p.inGap {
 			return nil
 		}
-		p.gap = false
-		set := p.res.Begin.Settings
-		if p.o.Settings != nil {
-			set = *p.o.Settings
+		p.inGap = false
+		set := p.result.Begin.Settings
+		if p.options.Settings != nil {
+			set = *p.options.Settings
 		}
 		if r.Snapshot == nil {
-			p.mod, err = control.New(set, p.res.Begin.Seed)
+			p.module, err = control.New(set, p.result.Begin.Seed)
 		} else {
-			p.mod, err = control.Restore(set, r.Snapshot)
+			p.module, err = control.Restore(set, r.Snapshot)
 		}
 		return err
 	case *Turn:
@@ -132,40 +132,40 @@
 }
 
 func (p *player) turn(t *Turn) error {
-	if p.mod == nil || p.gap {
+	if p.module == nil || p.inGap {
 		return nil
 	}
-	if p.o.Until > 0 && t.Now > p.o.Until {
-		return errUntil
+	if p.options.Until > 0 && t.Now > p.options.Until {
+		return errStop
 	}
 	if p.before != nil {
 		p.before(t)
 	}
-	driven := p.o.Core != nil && p.res.Begin.Core != nil
+	driven := p.options.Core != nil && p.result.Begin.Core != nil
 	if driven {
-		p.out = append(p.out[:0], t.Actions...)
+		p.actions = append(p.actions[:0], t.Actions...)
 	} else {
-		p.out = p.mod.Step(t.Now, t.Events, p.out[:0])
+		p.actions = p.module.Step(t.Now, t.Events, p.actions[:0])
 	}
-	if p.res.Turns == 0 {
-		p.res.First = t.Now
+	if p.result.Turns == 0 {
+		p.result.First = t.Now
 	}
-	p.res.Turns++
-	p.res.Last = t.Now
-	p.res.Events += len(t.Events)
-	p.res.Actions += len(p.out)
+	p.result.Turns++
+	p.result.Last = t.Now
+	p.result.Events += len(t.Events)
+	p.result.Actions += len(p.actions)
 	p.count(t)
 	if p.after != nil {
 		p.after(t)
 	}
-	if driven || slices.Equal(t.Actions, p.out) {
+	if driven || slices.Equal(t.Actions, p.actions) {
 		return nil
 	}
-	if p.o.Settings != nil {
-		p.res.Differ++
+	if p.options.Settings != nil {
+		p.result.Differ++
 		return nil
 	}
-	return &Difference{Turn: t, Got: slices.Clone(p.out), State: Explain(p.mod.Snapshot(), p.res, Concerned(t, p.out))}
+	return &Difference{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, Concerned(t, p.actions))}
 }
 
 // count notes how messages end in the replay: what the destinations answered stands as recorded.
@@ -173,21 +173,21 @@
 	for _, e := range t.Events {
 		switch {
 		case e.Kind == control.Arrived:
-			p.res.Outcomes["arrived"]++
+			p.result.Outcomes["arrived"]++
 		case e.Kind == control.Resolved && e.Result == control.Delivered:
-			p.res.Outcomes["delivered"]++
+			p.result.Outcomes["delivered"]++
 		case e.Kind == control.Withdrawn:
-			p.res.Outcomes["withdrawn"]++
+			p.result.Outcomes["withdrawn"]++
 		}
 	}
-	for _, a := range p.out {
+	for _, a := range p.actions {
 		switch a.Kind {
 		case control.Send:
-			p.res.Outcomes["sent"]++
+			p.result.Outcomes["sent"]++
 		case control.Refuse:
-			p.res.Outcomes["handed back"]++
+			p.result.Outcomes["handed back"]++
 		case control.Fail:
-			p.res.Outcomes["given up"]++
+			p.result.Outcomes["given up"]++
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	return all
 }
 
-var healths = [...]string{"steady", "overrunning", "stopped", "returning"}
+var healthWords = [...]string{"steady", "overrunning", "stopped", "returning"}
 
 // Explain tells, a line each, how the destinations of some endpoints stand: tables, plan, health, waits.
 func Explain(x *control.Snapshot, res *Result, endpoints map[uint32]bool) (lines []string) {
@@ -220,8 +220,8 @@
 			}
 			d := n.Routes[e.Route]
 			health := "?"
-			if int(d.Health) < len(healths) {
-				health = healths[d.Health]
+			if int(d.Health) < len(healthWords) {
+				health = healthWords[d.Health]
 			}
 			line := fmt.Sprintf("%s of destination %d: %s, list says %s; table of %.1f calls, %.1f lost; %d out, %d held",
 				res.name(e.ID), n.ID, health, [...]string{"ready", "draining", "gone"}[min(int(e.State), 2)], e.Own.Total, e.Own.Failed, len(e.InFlight), len(n.Queued))
--- a/internal/relay/capture/stored_format_test.go
+++ b/internal/relay/capture/stored_format_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	body = bytes.Clone(c.body.Bytes())
-	w := bytes.NewBuffer(headOfFile())
+	w := bytes.NewBuffer(fileHeader())
 	if err := c.flushTo(w); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Errorf("records (-want +got)\n%s", d)
 	}
-	body, err := r.dec.DecodeAll(c.body, nil)
+	body, err := r.decoder.DecodeAll(c.body, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/capture/story.go
+++ b/internal/relay/capture/story.go
@@ -16,12 +16,12 @@
 // Story tells a message's way through a capture, attempt by attempt. It replays from the last state before the message
 // comes, and no further than it must: the index says where that is.
 func Story(r *Reader, id string) ([]string, error) {
-	t := &teller{p: newPlayer(), id: id, open: map[uint64]bool{}}
+	t := &storyTeller{player: newPlayer(), id: id, openRefs: map[uint64]bool{}}
 	last, err := r.seekMessage(id, t)
 	if err != nil {
 		return nil, err
 	}
-	t.p.before, t.p.after = t.before, t.after
+	t.player.before, t.player.after = t.snapshotBefore, t.tellTurn
 	for {
 		c, err := r.Next()
 		if err != nil {
@@ -30,7 +30,7 @@
 		if err := r.Records(c, t.record); err != nil {
 			return t.lines, err
 		}
-		if c.At >= last && len(t.open) == 0 {
+		if c.At >= last && len(t.openRefs) == 0 {
 			break
 		}
 	}
@@ -42,7 +42,7 @@
 
 // seekMessage goes to where a replay must begin to see all of a message, and tells where the last chunk stands in which
 // it comes.
-func (r *Reader) seekMessage(id string, t *teller) (last int64, err error) {
+func (r *Reader) seekMessage(id string, t *storyTeller) (last int64, err error) {
 	index, err := r.Index()
 	if err != nil {
 		return 0, err
@@ -62,7 +62,7 @@
 		return 0, fmt.Errorf("%w: %q", ErrNoMessage, id)
 	}
 	t.start = firstTurn(index)
-	return last, t.p.jump(r, index, from)
+	return last, t.player.seekTo(r, index, from)
 }
 
 // firstTurn is when the first turn of a file was.
@@ -75,8 +75,8 @@
 	return 0
 }
 
-// jump has reading go on at a chunk that begins with a state; what the file itself begins with is taken before.
-func (p *player) jump(r *Reader, index []Chunk, to int) error {
+// seekTo has reading go on at a chunk that begins with a state; what the file itself begins with is taken before.
+func (p *player) seekTo(r *Reader, index []Chunk, to int) error {
 	if to == 0 {
 		return nil
 	}
@@ -87,72 +87,72 @@
 	}
 	err = r.Records(c, func(record any) error {
 		if _, ok := record.(*Begin); !ok {
-			return errUntil
+			return errStop
 		}
 		return p.record(record)
 	})
 	r.SeekTo(&index[to])
-	if errors.Is(err, errUntil) {
+	if errors.Is(err, errStop) {
 		err = nil
 	}
 	return err
 }
 
-// teller writes down what concerns one message.
-type teller struct {
-	p     *player
-	id    string
-	found bool
-	start time.Duration
-	open  map[uint64]bool // its numbers, as long as it is not over
-	was   *control.Snapshot
-	lines []string
+// storyTeller writes down what concerns one message.
+type storyTeller struct {
+	player   *player
+	id       string
+	found    bool
+	start    time.Duration
+	openRefs map[uint64]bool // its numbers, as long as it is not over
+	before   *control.Snapshot
+	lines    []string
 }
 
-func (t *teller) record(record any) error {
+func (t *storyTeller) record(record any) error {
 	if m, ok := record.(*Message); ok && m.ID == t.id {
-		t.found, t.open[m.Ref] = true, true
+		t.found, t.openRefs[m.Ref] = true, true
 	}
-	err := t.p.record(record)
+	err := t.player.record(record)
 	if errors.Is(err, ErrGap) {
 		t.lines = append(t.lines, err.Error())
-		t.p.o.PastGap = true
+		t.player.options.PastGap = true
 		err = nil
 	}
 	return err
 }
 
-func (t *teller) before(*Turn) {
-	if t.was = nil; len(t.open) > 0 {
-		t.was = t.p.mod.Snapshot()
+func (t *storyTeller) snapshotBefore(*Turn) {
+	if t.before = nil; len(t.openRefs) > 0 {
+		t.before = t.player.module.Snapshot()
 	}
 }
 
-func (t *teller) after(turn *Turn) {
-	if t.was == nil {
+func (t *storyTeller) tellTurn(turn *Turn) {
+	if t.before == nil {
 		return
 	}
-	res := t.p.res
+	res := t.player.result
 	at := func(s string) {
 		t.lines = append(t.lines, fmt.Sprintf("%12v turn %d: %s", turn.Now-t.start, turn.No, s))
 	}
 	var over []uint64
 	for _, e := range turn.Events {
-		if (e.Kind == control.Arrived || e.Kind == control.Resolved || e.Kind == control.Withdrawn) && t.open[e.ID] {
+		if (e.Kind == control.Arrived || e.Kind == control.Resolved || e.Kind == control.Withdrawn) && t.openRefs[e.ID] {
 			at(res.Event(e))
 			if e.Kind == control.Withdrawn || e.Kind == control.Resolved && (e.Result == control.Delivered || e.Final) {
 				over = append(over, e.ID)
 			}
 		}
 	}
-	for _, a := range t.p.out {
-		if a.Kind == control.Log || a.Kind == control.Wake || a.Kind == control.Subscribe || a.Kind == control.Close || !t.open[a.ID] {
+	for _, a := range t.player.actions {
+		if a.Kind == control.Log || a.Kind == control.Wake || a.Kind == control.Subscribe || a.Kind == control.Close || !t.openRefs[a.ID] {
 			continue
 		}
 		at(res.Action(a))
 		switch a.Kind {
 		case control.Send:
-			for _, why := range Explain(t.was, res, others(t.was, a.Endpoint)) {
+			for _, why := range Explain(t.before, res, alternatives(t.before, a.Endpoint)) {
 				t.lines = append(t.lines, strings.Repeat(" ", 14)+why)
 			}
 		case control.Refuse, control.Fail:
@@ -160,12 +160,12 @@
 		}
 	}
 	for _, ref := range over {
-		delete(t.open, ref)
+		delete(t.openRefs, ref)
 	}
 }
 
-// others are an endpoint and those that its messages might have gone to as well.
-func others(x *control.Snapshot, endpoint uint32) map[uint32]bool {
+// alternatives are an endpoint and those that its messages might have gone to as well.
+func alternatives(x *control.Snapshot, endpoint uint32) map[uint32]bool {
 	all := map[uint32]bool{}
 	for _, n := range x.Destinations {
 		if slices.ContainsFunc(n.Endpoints, func(e control.EndpointSnapshot) bool { return e.ID == endpoint }) {
--- a/internal/relay/capture/window.go
+++ b/internal/relay/capture/window.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Driver is a replay of the whole core beside that of the module; see relay.Rerun.
+// Driver is a replay of the whole core beside that of the module; see engine.CoreReplay.
 type Driver interface {
 	Record(record any) error
 	State() *Core // nil: it has none
@@ -26,25 +26,25 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := w.Write(headOfFile()); err != nil {
+	if _, err := w.Write(fileHeader()); err != nil {
 		return 0, err
 	}
-	cut := &cutter{c: c, w: w, p: newPlayer(), core: core, from: from, to: to, start: firstTurn(index)}
+	cut := &windowWriter{chunker: c, out: w, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
 	begin := 0 // the last state before the window
 	for i := range index {
-		if index[i].State && index[i].First <= cut.start+from {
+		if index[i].State && index[i].First <= cut.captureStart+from {
 			begin = i
 		}
 	}
-	if err := cut.p.jump(r, index, begin); err != nil {
+	if err := cut.player.seekTo(r, index, begin); err != nil {
 		return 0, err
 	}
 	if begin > 0 && core != nil {
-		if err := core.Record(&cut.p.res.Begin); err != nil {
+		if err := core.Record(&cut.player.result.Begin); err != nil {
 			return 0, err
 		}
 	}
-	if err := r.Each(cut.record); err != nil && !errors.Is(err, errUntil) {
+	if err := r.Each(cut.record); err != nil && !errors.Is(err, errStop) {
 		return cut.turns, err
 	}
 	if cut.turns == 0 {
@@ -53,58 +53,58 @@
 	return cut.turns, c.flushTo(w)
 }
 
-// cutter writes the records of a window.
-type cutter struct {
-	c               *chunker
-	w               io.Writer
-	p               *player
-	core            Driver
-	from, to, start time.Duration
-	begun           bool
-	turns           int
-	err             error
+// windowWriter writes the records of a window.
+type windowWriter struct {
+	chunker                *chunker
+	out                    io.Writer
+	player                 *player
+	core                   Driver
+	from, to, captureStart time.Duration
+	started                bool
+	turns                  int
+	err                    error
 }
 
-func (k *cutter) put(record any) {
+func (k *windowWriter) write(record any) {
 	t, known := typeOf(record)
 	if k.err != nil || !known {
 		return
 	}
-	if k.err = k.c.add(t, record); k.err == nil && k.c.body.Len() > 64<<10 {
-		k.err = k.c.flushTo(k.w)
+	if k.err = k.chunker.add(t, record); k.err == nil && k.chunker.body.Len() > 64<<10 {
+		k.err = k.chunker.flushTo(k.out)
 	}
 }
 
-func (k *cutter) record(record any) error {
+func (k *windowWriter) record(record any) error {
 	switch v := record.(type) {
 	case *Turn:
-		if k.p.mod == nil || k.p.gap {
+		if k.player.module == nil || k.player.inGap {
 			break
 		}
-		if v.Now-k.start > k.to {
-			return errUntil
+		if v.Now-k.captureStart > k.to {
+			return errStop
 		}
-		if v.Now-k.start >= k.from && !k.begun {
-			k.begin()
+		if v.Now-k.captureStart >= k.from && !k.started {
+			k.start()
 		}
-		if k.begun {
+		if k.started {
 			k.turns++
-			k.put(v)
+			k.write(v)
 		}
 	case *Name, *Message, *Note:
-		if k.begun {
-			k.put(v)
+		if k.started {
+			k.write(v)
 		}
 	case *Input:
-		if k.begun && k.core != nil {
-			k.put(v)
+		if k.started && k.core != nil {
+			k.write(v)
 		}
 	}
 	if k.err != nil {
 		return k.err
 	}
 	// What differs may be what the test is for: the window is of what was recorded, and goes on.
-	if err := k.p.record(record); err != nil && !errors.As(err, new(*Difference)) {
+	if err := k.player.record(record); err != nil && !errors.As(err, new(*Difference)) {
 		return err
 	}
 	if k.core != nil {
@@ -114,10 +114,10 @@
 }
 
 // begin writes what the window begins with.
-func (k *cutter) begin() {
-	k.begun = true
-	x := k.p.mod.Snapshot()
-	k.put(&k.p.res.Begin)
+func (k *windowWriter) start() {
+	k.started = true
+	x := k.player.module.Snapshot()
+	k.write(&k.player.result.Begin)
 	var core *Core
 	if k.core != nil {
 		core = k.core.State()
@@ -131,17 +131,17 @@
 			held[m.Ref] = true
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(k.p.res.Names)) {
-		name := k.p.res.Names[n]
-		k.put(&name)
+	for _, n := range slices.Sorted(maps.Keys(k.player.result.Names)) {
+		name := k.player.result.Names[n]
+		k.write(&name)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(held)) {
-		if known, ok := k.p.res.Messages[ref]; ok {
-			k.put(&known)
+		if known, ok := k.player.result.Messages[ref]; ok {
+			k.write(&known)
 		}
 	}
-	k.put(&State{x})
+	k.write(&State{x})
 	if core != nil {
-		k.put(core)
+		k.write(core)
 	}
 }
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -21,13 +21,13 @@
 	return fmt.Sprintf("message %d", ref)
 }
 
-var kinds = [...]string{"?", "send", "refuse", "fail", "cancel", "wake", "subscribe", "close", "recall", "log"}
+var actionWords = [...]string{"?", "send", "refuse", "fail", "cancel", "wake", "subscribe", "close", "recall", "log"}
 
 // Action is an action in words.
 func (res *Result) Action(a control.Action) string {
-	kind := kinds[0]
-	if int(a.Kind) < len(kinds) {
-		kind = kinds[a.Kind]
+	kind := actionWords[0]
+	if int(a.Kind) < len(actionWords) {
+		kind = actionWords[a.Kind]
 	}
 	switch a.Kind {
 	case control.Send:
@@ -46,7 +46,7 @@
 	return kind + " " + res.message(a.ID)
 }
 
-var results = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
+var resultWords = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
 
 // Event is an event in words.
 func (res *Result) Event(e control.Event) string {
@@ -63,8 +63,8 @@
 		return s
 	case control.Resolved:
 		what := "unknown"
-		if int(e.Result) < len(results) {
-			what = results[e.Result]
+		if int(e.Result) < len(resultWords) {
+			what = resultWords[e.Result]
 		}
 		s := fmt.Sprintf("attempt %d of %s at %s: %s", e.Attempt, res.message(e.ID), res.name(e.Endpoint), what)
 		if e.RetryAfter > 0 {
@@ -112,8 +112,8 @@
 		var ends []string
 		for _, o := range e.Outcomes {
 			what := "unknown"
-			if int(o.Result) < len(results) {
-				what = results[o.Result]
+			if int(o.Result) < len(resultWords) {
+				what = resultWords[o.Result]
 			}
 			ends = append(ends, what)
 		}
@@ -134,15 +134,15 @@
 	return fmt.Sprintf("event of kind %d", e.Kind)
 }
 
-var verdicts = [...]string{"taken on", "busy", "given up", "rejected"}
+var verdictWords = [...]string{"taken on", "busy", "given up", "rejected"}
 
 // Action is what the core did in words.
 func (res *Result) CoreAction(d Action) string {
 	switch d.Kind {
 	case Replied:
 		what := "?"
-		if int(d.Verdict) < len(verdicts) {
-			what = verdicts[d.Verdict]
+		if int(d.Verdict) < len(verdictWords) {
+			what = verdictWords[d.Verdict]
 		}
 		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.Number, what, d.Wait)
 	case AttemptBegan:
--- a/internal/relay/capture/writer.go
+++ b/internal/relay/capture/writer.go
@@ -11,10 +11,10 @@
 
 // Writer records a module that nothing waits for, such as the simulator's: each turn is taken, however long that lasts.
 type Writer struct {
-	f    *os.File
-	c    *chunker
-	turn uint64
-	most int
+	file      *os.File
+	chunker   *chunker
+	turn      uint64
+	chunkSize int
 }
 
 // Create begins a capture of a module that has just been made.
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	w := &Writer{f: f, c: c, most: 64 << 10}
-	if _, err := f.Write(headOfFile()); err != nil {
+	w := &Writer{file: f, chunker: c, chunkSize: 64 << 10}
+	if _, err := f.Write(fileHeader()); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	return w, errors.Join(c.add(TypeBegin, &begin), c.add(TypeState, &State{}))
@@ -37,14 +37,14 @@
 // Turn records one turn.
 func (w *Writer) Turn(now time.Duration, events []control.Event, actions []control.Action) error {
 	w.turn++
-	if err := w.c.add(TypeTurn, &Turn{w.turn, now, events, actions}); err != nil {
+	if err := w.chunker.add(TypeTurn, &Turn{w.turn, now, events, actions}); err != nil {
 		return err
 	}
-	if w.c.body.Len() < w.most {
+	if w.chunker.body.Len() < w.chunkSize {
 		return nil
 	}
-	return w.c.flushTo(w.f)
+	return w.chunker.flushTo(w.file)
 }
 
 // Close ends the capture.
-func (w *Writer) Close() error { return errors.Join(w.c.flushTo(w.f), w.f.Close()) }
+func (w *Writer) Close() error { return errors.Join(w.chunker.flushTo(w.file), w.file.Close()) }
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -201,7 +201,7 @@
 // it has one again.
 func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	r := newHarness(t, t.TempDir(), time.Now())
-	most := []capture.Most{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
+	most := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
 	r.govern(capture.Mandate{Version: 1, Most: most}, 200*time.Millisecond)
 	out, items := 0, 0
 	drain := func() {
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -170,11 +170,11 @@
 			out.Shut = append(out.Shut, n)
 		}
 		if p.Limit > 0 {
-			out.Most = append(out.Most, capture.Most{Partner: n, Limit: p.Limit})
+			out.Most = append(out.Most, capture.PartnerRateLimit{Partner: n, Limit: p.Limit})
 		}
 	}
 	slices.Sort(out.Shut)
-	slices.SortFunc(out.Most, func(a, b capture.Most) int { return cmp.Compare(a.Partner, b.Partner) })
+	slices.SortFunc(out.Most, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
 	return out, nil
 }
 
--- a/internal/relay/plugin/abi1.go
+++ b/internal/relay/plugin/abi1.go
@@ -16,13 +16,13 @@
 
 const moduleOne = "mastusher"
 
-// exportOne makes the imports of ABI 1 known to a runtime.
-func exportOne(ctx context.Context, r wazero.Runtime) error {
+// exportABI1 makes the imports of ABI 1 known to a runtime.
+func exportABI1(ctx context.Context, r wazero.Runtime) error {
 	text := func(do func(w *worker, s string)) api.GoModuleFunc {
 		return func(ctx context.Context, m api.Module, s []uint64) {
 			// More than is kept is not read: this ABI never trapped on it.
 			if w := workerOf(ctx); w.call != nil && m.Memory() != nil {
-				if b, ok := m.Memory().Read(uint32(s[0]), min(uint32(s[1]), uint32(w.v.host.lim.PluginReason))); ok {
+				if b, ok := m.Memory().Read(uint32(s[0]), min(uint32(s[1]), uint32(w.version.host.limits.PluginReason))); ok {
 					do(w, string(b))
 				}
 			}
@@ -31,7 +31,7 @@
 	b := r.NewHostModuleBuilder(moduleOne)
 	pair := []api.ValueType{i32, i32}
 	b.NewFunctionBuilder().WithGoModuleFunction(text(func(w *worker, s string) {
-		w.out.Reason = cut(s, w.v.host.lim.PluginReason)
+		w.outcome.Reason = cut(s, w.version.host.limits.PluginReason)
 	}), pair, nil).Export("reason")
 	b.NewFunctionBuilder().WithGoModuleFunction(text((*worker).say), pair, nil).Export("log")
 	_, err := b.Instantiate(ctx)
@@ -53,9 +53,9 @@
 		return err
 	}
 	if w.call.Phase == Arrival && len(out) == 1 && uint32(out[0]) != 0 {
-		w.out.Reject, w.out.Status = true, 422
-		if w.out.Reason == "" {
-			w.out.Reason = "rejected by " + w.v.cfg.Name
+		w.outcome.Reject, w.outcome.Status = true, 422
+		if w.outcome.Reason == "" {
+			w.outcome.Reason = "rejected by " + w.version.cfg.Name
 		}
 	}
 	return nil
--- a/internal/relay/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -43,7 +43,7 @@
 	numPhase = iota
 	numPartner
 	numLeft // ms
-	numAgain
+	numResubmitted
 	numStatus
 	numWait // ms that the destination has told
 	numResult
@@ -69,8 +69,8 @@
 	{"get", []api.ValueType{i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
 		if uint32(s[0]) == fieldBody {
 			b, ok := w.call.Body, w.call.Phase != End
-			if w.out.Body != nil {
-				b = w.out.Body
+			if w.outcome.Body != nil {
+				b = w.outcome.Body
 			}
 			s[0] = give(m, b, ok, s[1], s[2])
 			return
@@ -93,7 +93,7 @@
 	}},
 	// out_header(name, size, at, room) -> size: as it will go out, as far as it has been set.
 	{"out_header", []api.ValueType{i32, i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		v, ok := w.out.Shape.Get(w.str(m, s[0], s[1]))
+		v, ok := w.outcome.Shape.Get(w.str(m, s[0], s[1]))
 		s[0] = give(m, v, ok, s[2], s[3])
 	}},
 	// set_header(name, size, value, size) -> refusal
@@ -101,7 +101,7 @@
 		name, value := w.str(m, s[0], s[1]), w.str(m, s[2], s[3])
 		why := rules.Phase
 		if w.call.Phase == Arrival {
-			w.out.Shape, why = w.out.Shape.Set(w.call.guard, &w.v.host.rules, name, value)
+			w.outcome.Shape, why = w.outcome.Shape.Set(w.call.guard, &w.version.host.rules, name, value)
 		}
 		s[0] = w.refuse("header "+name, why)
 	}},
@@ -109,16 +109,16 @@
 	{"remove_header", []api.ValueType{i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
 		why := rules.Phase
 		if w.call.Phase == Arrival {
-			w.out.Shape, why = w.out.Shape.Remove(w.str(m, s[0], s[1]))
+			w.outcome.Shape, why = w.outcome.Shape.Remove(w.str(m, s[0], s[1]))
 		}
 		s[0] = api.EncodeI32(int32(why)) // to remove what is not there is no offence
 	}},
 	// set_body(at, size) -> refusal
 	{"set_body", []api.ValueType{i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		b, why := w.part(m, s[0], s[1], w.v.host.rules.BodySize+1), rules.Phase
+		b, why := w.part(m, s[0], s[1], w.version.host.rules.BodySize+1), rules.Phase
 		if w.call.Phase == Arrival {
-			if why = rules.Rewrite(w.call.guard, &w.v.host.rules, w.call.Body, b); why == rules.None {
-				w.out.Body = append([]byte{}, b...)
+			if why = rules.Rewrite(w.call.guard, &w.version.host.rules, w.call.Body, b); why == rules.None {
+				w.outcome.Body = append([]byte{}, b...)
 			}
 		}
 		s[0] = w.refuse("body", why)
@@ -132,7 +132,7 @@
 		case status < 400 || status > 499 || status == 429 || status == 408:
 			why = rules.Looser // a refusal is the module's to give
 		default:
-			w.out.Reject, w.out.Status, w.out.Reason = true, int(status), cut(reason, w.v.host.lim.PluginReason)
+			w.outcome.Reject, w.outcome.Status, w.outcome.Reason = true, int(status), cut(reason, w.version.host.limits.PluginReason)
 		}
 		s[0] = w.refuse("reject", why)
 	}},
@@ -163,8 +163,8 @@
 	{"store_delete", []api.ValueType{i32, i32}, nil, func(w *worker, m api.Memory, s []uint64) { w.tx.Delete(w.str(m, s[0], s[1])) }},
 }
 
-// exportTwo makes the imports of ABI 2 known to a runtime.
-func exportTwo(ctx context.Context, r wazero.Runtime) error {
+// exportABI2 makes the imports of ABI 2 known to a runtime.
+func exportABI2(ctx context.Context, r wazero.Runtime) error {
 	b := r.NewHostModuleBuilder(moduleTwo)
 	for _, f := range hostFunctions {
 		b.NewFunctionBuilder().WithGoModuleFunction(api.GoModuleFunc(func(ctx context.Context, m api.Module, s []uint64) {
@@ -202,7 +202,7 @@
 func (w *worker) part(m api.Memory, at, size uint64, most int) []byte {
 	b := bytesAt(m, at, size)
 	b = b[:min(len(b), most)]
-	if w.copied += len(b) + 64; w.copied > w.v.host.lim.PluginCopyBytes {
+	if w.copied += len(b) + 64; w.copied > w.version.host.limits.PluginCopyBytes {
 		panic(ErrCopyLimit)
 	}
 	return b
@@ -236,9 +236,9 @@
 	case fieldHow:
 		return c.Result, c.Phase == End
 	case fieldConfig:
-		return w.v.cfg.Config, w.v.cfg.Config != ""
+		return w.version.cfg.Config, w.version.cfg.Config != ""
 	case fieldName:
-		return w.v.cfg.Name, true
+		return w.version.cfg.Name, true
 	}
 	return "", false
 }
@@ -252,7 +252,7 @@
 		return int64(c.Partner)
 	case numLeft:
 		return c.TimeLeft.Milliseconds()
-	case numAgain:
+	case numResubmitted:
 		if c.Resubmitted {
 			return 1
 		}
@@ -271,8 +271,8 @@
 
 // refuse notes what was not done, and returns the module's number for it.
 func (w *worker) refuse(what string, why rules.Refusal) uint64 {
-	if why != rules.None && len(w.out.Refused) < 16 {
-		w.out.Refused = append(w.out.Refused, Refused{cut(what, 80), why})
+	if why != rules.None && len(w.outcome.Refused) < 16 {
+		w.outcome.Refused = append(w.outcome.Refused, Refused{cut(what, 80), why})
 	}
 	return api.EncodeI32(int32(why))
 }
@@ -282,17 +282,17 @@
 	if w.call.Phase != Answer {
 		return w.refuse(what, rules.Phase)
 	}
-	ask := rules.Ask{Wait: max(w.out.Ask.Wait, more.Wait), Refuse: w.out.Ask.Refuse || more.Refuse}
-	_, why := rules.Tighten(w.call.Answer, ask, &w.v.host.rules)
+	ask := rules.Ask{Wait: max(w.outcome.Ask.Wait, more.Wait), Refuse: w.outcome.Ask.Refuse || more.Refuse}
+	_, why := rules.Tighten(w.call.Answer, ask, &w.version.host.rules)
 	if why == rules.None {
-		w.out.Ask = ask
+		w.outcome.Ask = ask
 	}
 	return w.refuse(what, why)
 }
 
 func (w *worker) say(text string) {
-	if len(w.out.Logs) < w.v.host.lim.PluginLines {
-		w.out.Logs = append(w.out.Logs, cut(text, w.v.host.lim.PluginReason))
+	if len(w.outcome.Logs) < w.version.host.limits.PluginLines {
+		w.outcome.Logs = append(w.outcome.Logs, cut(text, w.version.host.limits.PluginReason))
 	}
 }
 
--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -49,7 +49,7 @@
 			if err != nil && (len(out.Shape) > 0 || out.Body != nil || out.Reject) {
 				t.Fatalf("failed, and yet %+v", out)
 			}
-			if out.Reject && (p != Arrival || out.Status < 400 || out.Status > 499 || len(out.Reason) > 4*h.lim.PluginReason) {
+			if out.Reject && (p != Arrival || out.Status < 400 || out.Status > 499 || len(out.Reason) > 4*h.limits.PluginReason) {
 				t.Fatalf("%+v", out)
 			}
 			if out.Body != nil || p != Arrival && len(out.Shape) > 0 {
--- a/internal/relay/plugin/gate/gate.go
+++ b/internal/relay/plugin/gate/gate.go
@@ -15,7 +15,7 @@
 	Strikes    float64       // failures that open a breaker; each good call takes Pardon off
 	Pardon     float64
 	Rest       time.Duration // how long a breaker stays open at first; doubles with each trial that fails
-	MostRest   time.Duration
+	MaxOpen    time.Duration
 	Trials     int // good calls in a row that close it
 	Partners   int // breakers kept, the least recently used goes first
 	SharedOpen int // open breakers of partners that open the plug-in's own
@@ -54,7 +54,7 @@
 
 // Gate decides for one plug-in.
 type Gate struct {
-	lim      Limits
+	limits   Limits
 	busy     int
 	own      breaker
 	partners map[int]*partner
@@ -71,7 +71,7 @@
 
 // New returns a gate that lets calls in.
 func New(lim Limits) *Gate {
-	return &Gate{lim: lim, partners: map[int]*partner{}, left: lim.Burst}
+	return &Gate{limits: lim, partners: map[int]*partner{}, left: lim.Burst}
 }
 
 // PerPartner is how many calls at once may be for one partner: while there are several instances, one partner
@@ -87,7 +87,7 @@
 		return Ticket{}, Open
 	case g.left <= 0:
 		return Ticket{}, Dry
-	case g.busy >= g.lim.Instances || p.busy >= g.lim.PerPartner():
+	case g.busy >= g.limits.Instances || p.busy >= g.limits.PerPartner():
 		return Ticket{}, Crowded
 	}
 	t := Ticket{partner: no, trial: p.begin(), shared: g.own.begin()}
@@ -107,7 +107,7 @@
 	if r == Crashed {
 		blame = Good // of the partner; its trial proves nothing, and is over
 	}
-	p.done(now, &g.lim, t.trial, blame)
+	p.done(now, &g.limits, t.trial, blame)
 	open := 0
 	for _, q := range g.partners {
 		if q.state != closed {
@@ -117,9 +117,9 @@
 	// One partner's messages that it can't bear are that partner's trouble; several such are the plug-in's.
 	switch failed := r == Failed || r == Overran; {
 	case r == Good:
-		g.own.done(now, &g.lim, t.shared, Good)
-	case !failed || open >= g.lim.SharedOpen:
-		g.own.done(now, &g.lim, t.shared, Failed)
+		g.own.done(now, &g.limits, t.shared, Good)
+	case !failed || open >= g.limits.SharedOpen:
+		g.own.done(now, &g.limits, t.shared, Failed)
 	default:
 		g.own.abandon(t.shared)
 	}
@@ -153,7 +153,7 @@
 
 func (g *Gate) refill(now time.Time) {
 	if !g.at.IsZero() && now.After(g.at) {
-		g.left = min(g.lim.Burst, g.left+time.Duration(float64(now.Sub(g.at))*g.lim.Share))
+		g.left = min(g.limits.Burst, g.left+time.Duration(float64(now.Sub(g.at))*g.limits.Share))
 	}
 	if now.After(g.at) {
 		g.at = now
@@ -164,7 +164,7 @@
 	g.useNo++
 	p := g.partners[no]
 	if p == nil {
-		if len(g.partners) >= g.lim.Partners {
+		if len(g.partners) >= g.limits.Partners {
 			g.evict()
 		}
 		p = &partner{}
@@ -245,7 +245,7 @@
 	case b.state == open: // a call from before it opened
 	case b.state == halfOpen && !trial:
 	case failed && b.state == halfOpen:
-		b.open(now, min(2*b.rest, lim.MostRest))
+		b.open(now, min(2*b.rest, lim.MaxOpen))
 	case failed:
 		if b.strikes++; r == Overran {
 			b.strikes += overran
@@ -253,7 +253,7 @@
 		if b.strikes >= lim.Strikes {
 			rest := lim.Rest
 			if now.Sub(b.calm) < 10*b.rest {
-				rest = min(2*b.rest, lim.MostRest)
+				rest = min(2*b.rest, lim.MaxOpen)
 			}
 			b.open(now, rest)
 		}
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -14,7 +14,7 @@
 
 func limits() Limits {
 	return Limits{Instances: 2, Share: 0.1, Burst: 100 * time.Millisecond, Strikes: 3, Pardon: 0.05, Rest: time.Second,
-		MostRest: 8 * time.Second, Trials: 2, Partners: 4, SharedOpen: 2}
+		MaxOpen: 8 * time.Second, Trials: 2, Partners: 4, SharedOpen: 2}
 }
 
 // TestGate_Scripts plays testdata/*.txt: "enter PARTNER", "leave TICKET good|failed|crashed CPU" and "after TIME", with
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -24,7 +24,7 @@
 
 // Host runs all plug-ins. Its methods are safe for concurrent use.
 type Host struct {
-	lim      *config.Limits
+	limits   *config.Limits
 	log      *slog.Logger
 	seed     uint64
 	classes  []string
@@ -35,17 +35,17 @@
 	cacheDir string
 	storeDir string // "": stores are not kept
 
-	now atomic.Pointer[generation] // what messages meet
+	current atomic.Pointer[generation] // what messages meet
 
-	mu     sync.Mutex // of reloads and of what follows
-	number int
-	ready  []*version // loaded for a reload that is to come
-	stores map[string]*store.Store
-	owners map[string]config.Plugin // of stores
-	serves bool                     // the first load is done: from now on loading gives way to the relay
-	stop   chan struct{}
-	saved  sync.WaitGroup
-	live   sync.WaitGroup // generations that are in use
+	mu              sync.Mutex // of reloads and of what follows
+	number          int
+	prepared        []*version // loaded for a reload that is to come
+	stores          map[string]*store.Store
+	owners          map[string]config.Plugin // of stores
+	serving         bool                     // the first load is done: from now on loading gives way to the relay
+	stop            chan struct{}
+	saving          sync.WaitGroup
+	liveGenerations sync.WaitGroup // generations that are in use
 }
 
 // generation is a list of plug-ins as one reload has made it. A message meets one generation for its whole arrival.
@@ -59,11 +59,11 @@
 // change.
 func New(cfg *config.Config, fronts []rules.Front, log *slog.Logger) (*Host, error) {
 	l := &cfg.Limits
-	h := &Host{lim: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
+	h := &Host{limits: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
 		owners: map[string]config.Plugin{}, stop: make(chan struct{}), storeDir: cfg.PluginHost.Store,
 		rules: rules.Limits{Headers: l.PluginHeaders, NameSize: 64, ValueSize: l.PluginValue,
-			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MostWait: l.PluginRetryAfterMax}}
-	h.memories.most = l.PluginMemory
+			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MaxRetryAfter: l.PluginRetryAfterMax}}
+	h.memories.maxBytes = l.PluginMemory
 	for i := range cfg.Settings.Classes {
 		h.classes = append(h.classes, cfg.Settings.Classes[i].Name)
 	}
@@ -85,8 +85,8 @@
 	if err := h.Reload(cfg); err != nil {
 		return nil, err
 	}
-	h.serves = true
-	h.saved.Add(1)
+	h.serving = true
+	h.saving.Add(1)
 	go h.save()
 	return h, nil
 }
@@ -105,7 +105,7 @@
 		v, err := h.take(c, old)
 		if err != nil {
 			for _, v := range next.chain {
-				h.letGo(v)
+				h.releaseVersion(v)
 			}
 			err = &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
 			h.status(cfg, err)
@@ -119,10 +119,10 @@
 		v.users++
 		next.chain = append(next.chain, v)
 	}
-	h.live.Add(1)
-	before := h.now.Swap(next)
+	h.liveGenerations.Add(1)
+	before := h.current.Swap(next)
 	h.release(before)
-	h.prepared(nil)
+	h.setPrepared(nil)
 	if h.cacheDir != "" && fresh > 0 {
 		h.trimCache()
 	}
@@ -149,7 +149,7 @@
 	}
 	done := make(chan loaded)
 	go func() {
-		if h.serves && h.lim.PluginYields {
+		if h.serving && h.limits.PluginYields {
 			runtime.LockOSThread()
 			yieldToOthers()
 		}
@@ -160,8 +160,8 @@
 	return l.v, l.err
 }
 
-// letGo drops a version that no generation has come to use. The lock is held.
-func (h *Host) letGo(v *version) {
+// releaseVersion drops a version that no generation has come to use. The lock is held.
+func (h *Host) releaseVersion(v *version) {
 	if v.users > 0 {
 		v.users--
 	}
@@ -179,17 +179,17 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for _, v := range g.chain {
-			h.letGo(v)
+			h.releaseVersion(v)
 		}
 		h.log.Info("plug-in generation drained", "generation", g.number)
-		h.live.Done()
+		h.liveGenerations.Done()
 	}()
 }
 
 // use returns the newest generation, which stays loaded until it is released.
 func (h *Host) use() *generation {
 	for {
-		g := h.now.Load()
+		g := h.current.Load()
 		if g == nil {
 			return nil
 		}
@@ -209,13 +209,13 @@
 	default:
 		close(h.stop)
 	}
-	h.saved.Wait()
+	h.saving.Wait()
 	h.mu.Lock()
-	g := h.now.Swap(nil)
-	h.prepared(nil)
+	g := h.current.Swap(nil)
+	h.setPrepared(nil)
 	h.mu.Unlock()
 	h.release(g)
-	h.live.Wait() // calls under way end within their deadlines
+	h.liveGenerations.Wait() // calls under way end within their deadlines
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.saveStores(time.Now())
@@ -225,18 +225,18 @@
 // plug-in holds one that the relay would use.
 func (h *Host) Procs() int {
 	n := 0
-	if g := h.now.Load(); g != nil {
+	if g := h.current.Load(); g != nil {
 		for _, v := range g.chain {
 			n += v.cfg.Instances
 		}
 	}
-	return min(n, h.lim.PluginThreads)
+	return min(n, h.limits.PluginThreads)
 }
 
 func (h *Host) gateLimits(c *config.Plugin) gate.Limits {
-	return gate.Limits{Instances: c.Instances, Share: c.Share, Burst: h.lim.PluginBurst, Strikes: h.lim.PluginBreakerThreshold,
-		Pardon: 0.05, Rest: h.lim.PluginBreakerOpen, MostRest: h.lim.PluginBreakerOpenMax, Trials: h.lim.PluginBreakerTrials,
-		Partners: h.lim.PluginBreakers, SharedOpen: 4}
+	return gate.Limits{Instances: c.Instances, Share: c.Share, Burst: h.limits.PluginBurst, Strikes: h.limits.PluginBreakerThreshold,
+		Pardon: 0.05, Rest: h.limits.PluginBreakerOpen, MaxOpen: h.limits.PluginBreakerOpenMax, Trials: h.limits.PluginBreakerTrials,
+		Partners: h.limits.PluginBreakers, SharedOpen: 4}
 }
 
 func (h *Host) class(n int) string {
@@ -261,14 +261,14 @@
 		}
 		now := time.Now()
 		if c == nil {
-			by = now.Add(h.lim.PluginBudget)
+			by = now.Add(h.limits.PluginBudget)
 			c = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
 				ClassName: h.class(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
 		}
 		// A call of its own for each: one that was left to itself may still read the last.
 		mine := *c
 		mine.Now, mine.TimeLeft = now, m.Deadline.Sub(now)
-		out, err := v.try(&mine, by)
+		out, err := v.attempt(&mine, by)
 		switch {
 		case err != nil && v.cfg.Reject:
 			v.counts.Rejected.Add(1)
@@ -300,13 +300,13 @@
 
 // SampleBytes is how many bytes of an answer's body some plug-in wants to see; below 0: none wants to see the answer.
 func (h *Host) SampleBytes(front string, partner, class int) int {
-	g := h.now.Load()
+	g := h.current.Load()
 	if g == nil {
 		return -1
 	}
 	for _, v := range g.chain {
 		if v.applies(Answer, front, partner, class) {
-			return h.lim.PluginSample
+			return h.limits.PluginSample
 		}
 	}
 	return -1
@@ -320,7 +320,7 @@
 		return
 	}
 	defer h.release(g)
-	by := time.Now().Add(h.lim.PluginBudget)
+	by := time.Now().Add(h.limits.PluginBudget)
 	for i := range outs {
 		h.answered(g, front, &step.To, &step.Items[i], step.SampledAnswer(), &outs[i], by)
 	}
@@ -341,7 +341,7 @@
 			v.later(c)
 			continue
 		}
-		out, err := v.try(c, by)
+		out, err := v.attempt(c, by)
 		if err != nil {
 			continue // an answer is never worse for a plug-in that fails
 		}
@@ -388,8 +388,8 @@
 }
 
 func (h *Host) save() {
-	defer h.saved.Done()
-	tick := time.NewTicker(h.lim.PluginSave)
+	defer h.saving.Done()
+	tick := time.NewTicker(h.limits.PluginSave)
 	defer tick.Stop()
 	for {
 		select {
@@ -434,7 +434,7 @@
 	})
 	slices.SortFunc(all, func(a, b file) int { return a.at.Compare(b.at) })
 	for _, f := range all {
-		if total <= h.lim.PluginCache {
+		if total <= h.limits.PluginCache {
 			return
 		}
 		if os.Remove(f.path) == nil {
@@ -453,7 +453,7 @@
 	for _, v := range g.chain {
 		if v.cfg.Name == name {
 			c.guard = h.guard(c.Front)
-			return v.tryBy(&c, time.Now().Add(v.cfg.Timeout))
+			return v.attemptBy(&c, time.Now().Add(v.cfg.Timeout))
 		}
 	}
 	return Outcome{}, fmt.Errorf("plugin: none is called %s", name)
@@ -465,7 +465,7 @@
 // Status tells what runs.
 func (h *Host) Status() Status {
 	s := Status{At: time.Now()}
-	if g := h.now.Load(); g != nil {
+	if g := h.current.Load(); g != nil {
 		s.Generation = g.number
 		for _, v := range g.chain {
 			s.Plugins = append(s.Plugins, PluginStatus{v.cfg.Name, v.cfg.File, fmt.Sprintf("%016x", v.hash), v.abi,
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -124,7 +124,7 @@
 			m := message("m", 7)
 			r := h.OnArrival("platform", m)
 			if name == "floods" {
-				if r.Verdict != engine.Rejected || len(r.Reason) > h.lim.PluginReason {
+				if r.Verdict != engine.Rejected || len(r.Reason) > h.limits.PluginReason {
 					t.Errorf("got %+v", r)
 				}
 				return
@@ -142,7 +142,7 @@
 			if c.fails {
 				want = 1
 			}
-			if got := h.now.Load().chain[0].counts.Failures.Load(); got != want {
+			if got := h.current.Load().chain[0].counts.Failures.Load(); got != want {
 				t.Errorf("%d failures, want %d", got, want)
 			}
 			if r := h.OnArrival("platform", message("n", 8)); r.Verdict != engine.Accepted { // on a new instance
@@ -162,10 +162,10 @@
 	if d := cmp.Diff([]engine.Outcome{{Result: control.Throttled, RetryAfter: time.Second}}, outs); d != "" {
 		t.Error(d)
 	}
-	for i := range 3 * h.lim.PluginEndQueue {
+	for i := range 3 * h.limits.PluginEndQueue {
 		h.OnEnd("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, Result: "delivered"})
 	}
-	if v := h.now.Load().chain[0]; v.counts.Dropped.Load() == 0 {
+	if v := h.current.Load().chain[0]; v.counts.Dropped.Load() == 0 {
 		t.Error("ends pile up without bound")
 	}
 }
@@ -238,7 +238,7 @@
 			if d := cmp.Diff(c.out, m.ExtraHeaders); d != "" {
 				t.Error(d)
 			}
-			if got := h.now.Load().chain[0].counts.Refused.Load(); (got == 1) != (c.out == nil) {
+			if got := h.current.Load().chain[0].counts.Refused.Load(); (got == 1) != (c.out == nil) {
 				t.Errorf("%d refusals", got)
 			}
 		})
@@ -300,7 +300,7 @@
 // TestBreaker_FailsForOnePartner_OthersGoOn: a plug-in that fails for one partner is soon not asked for that one, and goes on for the others.
 func TestBreaker_FailsForOnePartner_OthersGoOn(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.FailsFor(7), "").host()
-	v := h.now.Load().chain[0]
+	v := h.current.Load().chain[0]
 	for i := range 50 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7+i%5))
 	}
@@ -319,7 +319,7 @@
 	for i := range 1500 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7))
 	}
-	if c := &h.now.Load().chain[0].counts; c.Failures.Load() != 1 || c.Calls.Load() != 1500 {
+	if c := &h.current.Load().chain[0].counts; c.Failures.Load() != 1 || c.Calls.Load() != 1500 {
 		t.Errorf("%d calls, %d failures", c.Calls.Load(), c.Failures.Load())
 	}
 }
@@ -332,7 +332,7 @@
 			t.Errorf("got %+v", r)
 		}
 	}
-	if n := h.now.Load().chain[0].counts.Failures.Load(); n != 3 {
+	if n := h.current.Load().chain[0].counts.Failures.Load(); n != 3 {
 		t.Errorf("%d calls to a plug-in that always fails", n)
 	}
 }
@@ -345,7 +345,7 @@
 		all.Go(func() { h.OnArrival("platform", message(fmt.Sprint(i), 7+i%2)) })
 	}
 	all.Wait()
-	v := h.now.Load().chain[0]
+	v := h.current.Load().chain[0]
 	if n := v.counts.Calls.Load() + v.counts.Skipped.Load(); n != 40 || v.counts.Failures.Load() > 3 {
 		t.Errorf("%d of 40 accounted for, %d failures", n, v.counts.Failures.Load())
 	}
@@ -368,7 +368,7 @@
 	for i := range 20 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7))
 	}
-	if c := &h.now.Load().chain[0].counts; c.Calls.Load() > 5 || c.Skipped.Load() < 15 {
+	if c := &h.current.Load().chain[0].counts; c.Calls.Load() > 5 || c.Skipped.Load() < 15 {
 		t.Errorf("%d calls, %d skipped", c.Calls.Load(), c.Skipped.Load())
 	}
 }
@@ -426,7 +426,7 @@
 		h.OnArrival("platform", m)
 		return strings.Join(m.ExtraHeaders, ":")
 	}
-	kept := h.now.Load().chain[1]
+	kept := h.current.Load().chain[1]
 	for _, c := range []struct {
 		module []byte
 		key    string // in the error
@@ -453,7 +453,7 @@
 			t.Errorf("status %+v, %v", st, err)
 		}
 	}
-	if h.now.Load().chain[1] != kept {
+	if h.current.Load().chain[1] != kept {
 		t.Error("a plug-in that has not changed was loaded anew")
 	}
 }
@@ -576,7 +576,7 @@
 		if r := h.OnArrival("platform", m); r.Verdict != want || len(m.ExtraHeaders) > 0 {
 			t.Errorf("%s: %+v, headers %v", keys, r, m.ExtraHeaders)
 		}
-		if c := &h.now.Load().chain[0].counts; c.Skipped.Load() != 1 || c.Calls.Load() != 0 {
+		if c := &h.current.Load().chain[0].counts; c.Skipped.Load() != 1 || c.Calls.Load() != 0 {
 			t.Errorf("%s: %d skipped, %d calls", keys, c.Skipped.Load(), c.Calls.Load())
 		}
 		h.Close()
--- a/internal/relay/plugin/memory.go
+++ b/internal/relay/plugin/memory.go
@@ -8,8 +8,8 @@
 // memories hands plug-ins their memory, from the system and not from the collected heap: what one has hoarded is
 // given back the moment its instance is closed, and the heap's target does not grow with it.
 type memories struct {
-	most int64        // bytes that all instances may take together
-	used atomic.Int64 // what they have asked for
+	maxBytes int64        // bytes that all instances may take together
+	used     atomic.Int64 // what they have asked for
 }
 
 // Allocate reserves addresses for the most that an instance may ever take; pages come as they are touched.
@@ -34,7 +34,7 @@
 		return nil
 	}
 	more := int64(size) - m.size
-	if m.all.used.Add(more) > m.all.most {
+	if m.all.used.Add(more) > m.all.maxBytes {
 		m.all.used.Add(-more)
 		return nil
 	}
--- a/internal/relay/plugin/prepare.go
+++ b/internal/relay/plugin/prepare.go
@@ -16,32 +16,32 @@
 		v, err := h.take(c, old)
 		if err != nil {
 			for _, v := range next {
-				h.letGo(v)
+				h.releaseVersion(v)
 			}
 			return &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
 		}
 		v.users++
 		next = append(next, v)
 	}
-	h.prepared(next)
+	h.setPrepared(next)
 	return nil
 }
 
-// prepared puts what waits for a reload in the place of what did before. The lock is held.
-func (h *Host) prepared(next []*version) {
-	for _, v := range h.ready {
-		h.letGo(v)
+// setPrepared puts what waits for a reload in the place of what did before. The lock is held.
+func (h *Host) setPrepared(next []*version) {
+	for _, v := range h.prepared {
+		h.releaseVersion(v)
 	}
-	h.ready = next
+	h.prepared = next
 }
 
 // loaded is what runs or waits for a reload, by its key. The lock is held.
 func (h *Host) loaded() map[string]*version {
 	all := map[string]*version{}
-	for _, v := range h.ready {
+	for _, v := range h.prepared {
 		all[v.key()] = v
 	}
-	if g := h.now.Load(); g != nil {
+	if g := h.current.Load(); g != nil {
 		for _, v := range g.chain {
 			all[v.key()] = v
 		}
--- a/internal/relay/plugin/rules/rules.go
+++ b/internal/relay/plugin/rules/rules.go
@@ -13,12 +13,12 @@
 
 // Limits bounds what a plug-in may ask for.
 type Limits struct {
-	Headers    int // that go out with one message
-	NameSize   int // bytes of a header's name
-	ValueSize  int // bytes of its value
-	HeaderSize int // bytes of all of them together, as they stand on the wire
-	BodySize   int
-	MostWait   time.Duration // that an answer's phase may ask for
+	Headers       int // that go out with one message
+	NameSize      int // bytes of a header's name
+	ValueSize     int // bytes of its value
+	HeaderSize    int // bytes of all of them together, as they stand on the wire
+	BodySize      int
+	MaxRetryAfter time.Duration // that an answer's phase may ask for
 }
 
 // Front is what a front lets plug-ins change.
@@ -189,6 +189,6 @@
 	if ask.Wait < a.Wait {
 		return a, Looser
 	}
-	a.Wait = max(a.Wait, min(ask.Wait, lim.MostWait))
+	a.Wait = max(a.Wait, min(ask.Wait, lim.MaxRetryAfter))
 	return a, None
 }
--- a/internal/relay/plugin/rules/rules_test.go
+++ b/internal/relay/plugin/rules/rules_test.go
@@ -11,7 +11,7 @@
 	"mastusher/control"
 )
 
-var lim = Limits{Headers: 3, NameSize: 20, ValueSize: 30, HeaderSize: 70, BodySize: 10, MostWait: time.Minute}
+var lim = Limits{Headers: 3, NameSize: 20, ValueSize: 30, HeaderSize: 70, BodySize: 10, MaxRetryAfter: time.Minute}
 
 var front = Front{Name: "f", Owned: []string{"X-Request-Id", "Signature-*"}}
 
--- a/internal/relay/plugin/store/store.go
+++ b/internal/relay/plugin/store/store.go
@@ -23,7 +23,7 @@
 	ValueSize int
 }
 
-const overhead = 32
+const entryOverhead = 32
 
 // Why a key was not set.
 var (
@@ -33,43 +33,43 @@
 )
 
 type entry struct {
-	value []byte
-	until time.Time // zero: for good
+	value     []byte
+	expiresAt time.Time // zero: for good
 }
 
-func (e entry) gone(now time.Time) bool { return !e.until.IsZero() && !now.Before(e.until) }
+func (e entry) expired(now time.Time) bool { return !e.expiresAt.IsZero() && !now.Before(e.expiresAt) }
 
 // Store is safe for concurrent use.
 type Store struct {
-	lim   Limits
-	mu    sync.Mutex
-	m     map[string]entry
-	size  int
-	dirty bool
+	limits  Limits
+	mu      sync.Mutex
+	entries map[string]entry
+	size    int
+	dirty   bool
 }
 
 // New returns an empty store.
-func New(lim Limits) *Store { return &Store{lim: lim, m: map[string]entry{}} }
+func New(lim Limits) *Store { return &Store{limits: lim, entries: map[string]entry{}} }
 
 // Tx is what one call reads and writes; nothing of it stays unless it is committed.
 type Tx struct {
-	s   *Store
-	now time.Time
-	set map[string]entry // nil value: deleted
+	store   *Store
+	now     time.Time
+	changes map[string]entry // nil value: deleted
 }
 
 // Begin returns a transaction at a time.
-func (s *Store) Begin(now time.Time) *Tx { return &Tx{s: s, now: now} }
+func (s *Store) Begin(now time.Time) *Tx { return &Tx{store: s, now: now} }
 
 // Get returns a value; false: there is none. It must not be written to.
 func (t *Tx) Get(key string) ([]byte, bool) {
-	if e, ok := t.set[key]; ok {
+	if e, ok := t.changes[key]; ok {
 		return e.value, e.value != nil
 	}
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
-	e, ok := t.s.m[key]
-	if !ok || e.gone(t.now) {
+	t.store.mu.Lock()
+	defer t.store.mu.Unlock()
+	e, ok := t.store.entries[key]
+	if !ok || e.expired(t.now) {
 		return nil, false
 	}
 	return e.value, true
@@ -79,29 +79,29 @@
 // write meanwhile.
 func (t *Tx) Set(key string, value []byte, ttl time.Duration) error {
 	switch {
-	case key == "" || len(key) > t.s.lim.KeySize:
+	case key == "" || len(key) > t.store.limits.KeySize:
 		return ErrKey
-	case len(value) > t.s.lim.ValueSize:
+	case len(value) > t.store.limits.ValueSize:
 		return ErrValue
 	}
-	before, had := t.set[key]
+	before, had := t.changes[key]
 	e := entry{value: append([]byte{}, value...)}
 	if ttl > 0 {
-		e.until = t.now.Add(ttl)
+		e.expiresAt = t.now.Add(ttl)
 	}
-	if t.set == nil {
-		t.set = map[string]entry{}
+	if t.changes == nil {
+		t.changes = map[string]entry{}
 	}
-	t.set[key] = e
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
-	if size, n := t.after(); size > t.s.lim.Bytes || n > t.s.lim.Entries {
-		if t.s.sweep(t.now); true {
+	t.changes[key] = e
+	t.store.mu.Lock()
+	defer t.store.mu.Unlock()
+	if size, n := t.after(); size > t.store.limits.Bytes || n > t.store.limits.Entries {
+		if t.store.sweep(t.now); true {
 			size, n = t.after()
 		}
-		if size > t.s.lim.Bytes || n > t.s.lim.Entries {
-			if delete(t.set, key); had {
-				t.set[key] = before
+		if size > t.store.limits.Bytes || n > t.store.limits.Entries {
+			if delete(t.changes, key); had {
+				t.changes[key] = before
 			}
 			return ErrFull
 		}
@@ -111,17 +111,17 @@
 
 // Delete drops a key.
 func (t *Tx) Delete(key string) {
-	if t.set == nil {
-		t.set = map[string]entry{}
+	if t.changes == nil {
+		t.changes = map[string]entry{}
 	}
-	t.set[key] = entry{}
+	t.changes[key] = entry{}
 }
 
 // after is what the store would come to. The store is locked.
 func (t *Tx) after() (size, n int) {
-	size, n = t.s.size, len(t.s.m)
-	for k, e := range t.set {
-		if old, ok := t.s.m[k]; ok {
+	size, n = t.store.size, len(t.store.entries)
+	for k, e := range t.changes {
+		if old, ok := t.store.entries[k]; ok {
 			size -= cost(k, old)
 			n--
 		}
@@ -135,34 +135,34 @@
 
 // Commit makes what was noted the store's; where others have filled it meanwhile, nothing is.
 func (t *Tx) Commit() error {
-	if len(t.set) == 0 {
+	if len(t.changes) == 0 {
 		return nil
 	}
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
+	t.store.mu.Lock()
+	defer t.store.mu.Unlock()
 	size, n := t.after()
-	if size > t.s.lim.Bytes || n > t.s.lim.Entries {
+	if size > t.store.limits.Bytes || n > t.store.limits.Entries {
 		return ErrFull
 	}
-	for k, e := range t.set {
+	for k, e := range t.changes {
 		if e.value == nil {
-			delete(t.s.m, k)
+			delete(t.store.entries, k)
 		} else {
-			t.s.m[k] = e
+			t.store.entries[k] = e
 		}
 	}
-	t.s.size, t.s.dirty, t.set = size, true, nil
+	t.store.size, t.store.dirty, t.changes = size, true, nil
 	return nil
 }
 
-func cost(k string, e entry) int { return len(k) + len(e.value) + overhead }
+func cost(k string, e entry) int { return len(k) + len(e.value) + entryOverhead }
 
 // sweep drops what is out of date. The store is locked.
 func (s *Store) sweep(now time.Time) {
-	for k, e := range s.m {
-		if e.gone(now) {
+	for k, e := range s.entries {
+		if e.expired(now) {
 			s.size -= cost(k, e)
-			delete(s.m, k)
+			delete(s.entries, k)
 			s.dirty = true
 		}
 	}
@@ -172,7 +172,7 @@
 func (s *Store) Len() (n, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.m), s.size
+	return len(s.entries), s.size
 }
 
 // The snapshot: magic with the version, a checksum of the rest, and one CBOR value.
@@ -197,10 +197,10 @@
 	}
 	s.sweep(now)
 	snap := snapshot{Plugin: plugin, SavedAt: now.UnixMilli(), Values: map[string][]byte{}, Left: map[string]int64{}}
-	for k, e := range s.m {
+	for k, e := range s.entries {
 		snap.Values[k] = e.value
-		if !e.until.IsZero() {
-			snap.Left[k] = e.until.Sub(now).Milliseconds()
+		if !e.expiresAt.IsZero() {
+			snap.Left[k] = e.expiresAt.Sub(now).Milliseconds()
 		}
 	}
 	s.dirty = false
@@ -265,15 +265,15 @@
 			e.value = []byte{}
 		}
 		if ms, ok := snap.Left[k]; ok {
-			e.until = now.Add(time.Duration(ms)*time.Millisecond - age)
-			if age < 0 || e.gone(now) {
+			e.expiresAt = now.Add(time.Duration(ms)*time.Millisecond - age)
+			if age < 0 || e.expired(now) {
 				continue
 			}
 		}
-		if s.size+cost(k, e) > s.lim.Bytes || len(s.m) >= s.lim.Entries {
+		if s.size+cost(k, e) > s.limits.Bytes || len(s.entries) >= s.limits.Entries {
 			continue // the quota is smaller now
 		}
-		s.m[k] = e
+		s.entries[k] = e
 		s.size += cost(k, e)
 	}
 	return nil
--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -66,7 +66,7 @@
 	if one.Commit() != nil || two.Commit() != ErrFull {
 		t.Error("want the second refused")
 	}
-	if n, size := s.Len(); n != 5 || size != 5*(2+overhead) {
+	if n, size := s.Len(); n != 5 || size != 5*(2+entryOverhead) {
 		t.Errorf("%d entries of %d bytes", n, size)
 	}
 }
@@ -91,7 +91,7 @@
 			}
 			n, size := s.Len()
 			real := 0
-			for k, e := range s.m {
+			for k, e := range s.entries {
 				real += cost(k, e)
 			}
 			if n > lim.Entries || size > lim.Bytes || size != real {
--- a/internal/relay/plugin/store/stored_format_test.go
+++ b/internal/relay/plugin/store/stored_format_test.go
@@ -16,9 +16,9 @@
 
 // storedEntries are the entries of testdata/*.store, saved at t0 by the plug-in "demo".
 var storedEntries = map[string]map[string]entry{
-	"one.store": {"expires": {value: []byte("after a minute"), until: t0.Add(time.Minute)}},
+	"one.store": {"expires": {value: []byte("after a minute"), expiresAt: t0.Add(time.Minute)}},
 	"several.store": {
-		"expires": {value: []byte("after a minute"), until: t0.Add(time.Minute)},
+		"expires": {value: []byte("after a minute"), expiresAt: t0.Add(time.Minute)},
 		"stays":   {value: []byte{0, 1, 255}},
 		"empty":   {value: []byte{}},
 	},
@@ -30,8 +30,8 @@
 	s := New(storedLimits)
 	for key, e := range entries {
 		ttl := time.Duration(0)
-		if !e.until.IsZero() {
-			ttl = e.until.Sub(t0)
+		if !e.expiresAt.IsZero() {
+			ttl = e.expiresAt.Sub(t0)
 		}
 		put(t, s, t0, key, string(e.value), ttl)
 	}
@@ -57,12 +57,12 @@
 				t.Fatal(err)
 			}
 			got := map[string]string{}
-			for key, e := range s.m {
-				got[key] = string(e.value) + " until " + e.until.String()
+			for key, e := range s.entries {
+				got[key] = string(e.value) + " until " + e.expiresAt.String()
 			}
 			want := map[string]string{}
 			for key, e := range entries {
-				want[key] = string(e.value) + " until " + e.until.String()
+				want[key] = string(e.value) + " until " + e.expiresAt.String()
 			}
 			if d := cmp.Diff(want, got); d != "" {
 				t.Errorf("entries (-want +got)\n%s", d)
--- a/internal/relay/plugin/version.go
+++ b/internal/relay/plugin/version.go
@@ -29,22 +29,22 @@
 	abi    int
 	phases Phase
 
-	runtime wazero.Runtime
-	code    wazero.CompiledModule
-	store   *store.Store
-	idle    chan *worker
-	workers []*worker
-	line    chan *Call // what is told after the fact
-	told    sync.WaitGroup
+	runtime        wazero.Runtime
+	code           wazero.CompiledModule
+	store          *store.Store
+	idle           chan *worker
+	workers        []*worker
+	afterwards     chan *Call // what is told after the fact
+	afterwardsDone sync.WaitGroup
 
-	workersOut sync.WaitGroup
-	users      int         // generations that use it; the host's lock
-	closing    atomic.Bool // what is in the line is dropped
+	workersDone sync.WaitGroup
+	users       int         // generations that use it; the host's lock
+	closing     atomic.Bool // what is in the line is dropped
 
-	mu      sync.Mutex // of the gate
-	gate    *gate.Gate
-	changed chan struct{} // closed when a call has left while others wait
-	lines   lineBucket
+	mu       sync.Mutex // of the gate
+	gate     *gate.Gate
+	changed  chan struct{} // closed when a call has left while others wait
+	logLines logBucket
 
 	counts counts
 }
@@ -55,14 +55,14 @@
 	CPU                                                  atomic.Int64 // ns
 }
 
-// lineBucket lets so many log lines through a second.
-type lineBucket struct {
+// logBucket lets so many log lines through a second.
+type logBucket struct {
 	left float64
 	at   time.Time
 	lost uint64
 }
 
-func (l *lineBucket) take(now time.Time, rate float64) bool {
+func (l *logBucket) take(now time.Time, rate float64) bool {
 	l.left = min(2*rate, l.left+now.Sub(l.at).Seconds()*rate)
 	l.at = now
 	if l.left < 1 {
@@ -84,7 +84,7 @@
 // load reads, checks, compiles and warms up a module. It takes processor time, on a thread that gives way.
 func (h *Host) load(cfg config.Plugin, text []byte) (v *version, err error) {
 	v = &version{host: h, cfg: cfg, hash: hashOf(text), changed: make(chan struct{}),
-		idle: make(chan *worker, cfg.Instances), line: make(chan *Call, h.lim.PluginEndQueue)}
+		idle: make(chan *worker, cfg.Instances), afterwards: make(chan *Call, h.limits.PluginEndQueue)}
 	v.gate = gate.New(h.gateLimits(&cfg))
 	if v.store, err = h.storeOf(&cfg); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	}
 	for range cfg.Instances {
 		w := newWorker(v)
-		v.workersOut.Add(1)
+		v.workersDone.Add(1)
 		v.workers = append(v.workers, w)
 		v.idle <- w
 	}
@@ -103,13 +103,13 @@
 		v.close()
 		return nil, err
 	}
-	v.told.Add(1)
-	go v.tell()
+	v.afterwardsDone.Add(1)
+	go v.runAfterwards()
 	return v, nil
 }
 
 func (v *version) compile(text []byte) error {
-	bounded, err := wasm.Bounded(text, uint32(v.host.lim.PluginStack))
+	bounded, err := wasm.Bounded(text, uint32(v.host.limits.PluginStack))
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	}
 	v.runtime = wazero.NewRuntimeWithConfig(ctx, cfg)
 	if v.code, err = v.runtime.CompileModule(ctx, bounded); err != nil {
-		return plain(err)
+		return firstLine(err)
 	}
 	if v.abi, err = check(v.code, &v.cfg); err != nil {
 		return err
@@ -130,9 +130,9 @@
 		return err
 	}
 	if v.abi == 1 {
-		return exportOne(ctx, v.runtime)
+		return exportABI1(ctx, v.runtime)
 	}
-	return exportTwo(ctx, v.runtime)
+	return exportABI2(ctx, v.runtime)
 }
 
 // check names all imports, exports and limits at fault, and tells which ABI a module speaks.
@@ -226,7 +226,7 @@
 // warm starts each instance and asks it for its phases: what can't run is found before it is let in.
 func (v *version) warm() error {
 	for _, w := range v.workers {
-		j := &job{call: &Call{Now: time.Now()}, deadline: time.Now().Add(v.host.lim.PluginStart), done: make(chan jobDone, 1)}
+		j := &job{call: &Call{Now: time.Now()}, deadline: time.Now().Add(v.host.limits.PluginStart), done: make(chan jobDone, 1)}
 		w.jobs <- j
 		if d := <-j.done; d.err != nil {
 			return d.err
@@ -254,17 +254,17 @@
 		(len(c.Classes) == 0 || slices.Contains(c.Classes, class))
 }
 
-// try makes one call, by the deadline at the latest. Nothing else waits for it than whoever asked: instances, the
+// attempt makes one call, by the deadline at the latest. Nothing else waits for it than whoever asked: instances, the
 // part of them that one partner may have, and breakers are the gate's to give out.
-func (v *version) try(c *Call, by time.Time) (Outcome, error) {
+func (v *version) attempt(c *Call, by time.Time) (Outcome, error) {
 	now := time.Now()
 	if most := now.Add(v.cfg.Timeout); by.After(most) {
 		by = most
 	}
-	return v.tryBy(c, by)
+	return v.attemptBy(c, by)
 }
 
-func (v *version) tryBy(c *Call, by time.Time) (Outcome, error) {
+func (v *version) attemptBy(c *Call, by time.Time) (Outcome, error) {
 	timer := time.NewTimer(time.Until(by))
 	defer timer.Stop()
 	for {
@@ -302,7 +302,7 @@
 func (v *version) send(w *worker, c *Call, by time.Time, ticket gate.Ticket) (Outcome, error) {
 	j := &job{call: c, deadline: by, ticket: ticket, done: make(chan jobDone, 1)}
 	w.jobs <- j
-	late := time.NewTimer(time.Until(by) + v.host.lim.PluginGrace)
+	late := time.NewTimer(time.Until(by) + v.host.limits.PluginGrace)
 	defer late.Stop()
 	select {
 	case d := <-j.done:
@@ -340,11 +340,11 @@
 	v.changed = make(chan struct{})
 	var logs []string
 	for _, text := range out.Logs {
-		if v.lines.take(now, float64(v.host.lim.PluginLines)) {
+		if v.logLines.take(now, float64(v.host.limits.PluginLines)) {
 			logs = append(logs, text)
 		}
 	}
-	warn := err != nil && v.lines.take(now, float64(v.host.lim.PluginLines))
+	warn := err != nil && v.logLines.take(now, float64(v.host.limits.PluginLines))
 	v.mu.Unlock()
 	for _, text := range logs {
 		v.host.log.Info("plug-in log", "plugin", v.cfg.Name, "says", text)
@@ -358,16 +358,16 @@
 	}
 }
 
-// tell calls the plug-in for what is over, one after another. What can't be told in time is dropped and counted.
-func (v *version) tell() {
-	defer v.told.Done()
-	for c := range v.line {
+// runAfterwards calls the plug-in for what is over, one after another. What can't be told in time is dropped and counted.
+func (v *version) runAfterwards() {
+	defer v.afterwardsDone.Done()
+	for c := range v.afterwards {
 		if v.closing.Load() { // nobody waits for seconds until a slow plug-in has heard everything
 			v.counts.Dropped.Add(1)
 			continue
 		}
 		c.Now = time.Now()
-		if _, err := v.try(c, c.Now.Add(v.cfg.Timeout)); err != nil {
+		if _, err := v.attempt(c, c.Now.Add(v.cfg.Timeout)); err != nil {
 			v.counts.Dropped.Add(1)
 		}
 	}
@@ -376,7 +376,7 @@
 // later puts a call in the line, if there is room.
 func (v *version) later(c *Call) {
 	select {
-	case v.line <- c:
+	case v.afterwards <- c:
 	default:
 		v.counts.Dropped.Add(1)
 	}
@@ -385,12 +385,12 @@
 // close ends the version. No call may be made or put in the line any more.
 func (v *version) close() {
 	v.closing.Store(true)
-	close(v.line)
-	v.told.Wait()
+	close(v.afterwards)
+	v.afterwardsDone.Wait()
 	for range v.workers {
 		close((<-v.idle).jobs)
 	}
-	v.workersOut.Wait()
+	v.workersDone.Wait()
 	if c := &v.counts; v.phases != 0 {
 		v.host.log.Info("plug-in stopped", "plugin", v.cfg.Name, "calls", c.Calls.Load(), "failures", c.Failures.Load(),
 			"skipped", c.Skipped.Load(), "rejected", c.Rejected.Load(), "refused", c.Refused.Load(),
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -21,22 +21,22 @@
 // worker runs one instance, on a thread of its own that gives way to the relay's. A call that fails ends the
 // instance: nothing that it has left behind is seen by the next.
 type worker struct {
-	v    *version
-	jobs chan *job
+	version *version
+	jobs    chan *job
 
 	// Of the worker's goroutine:
-	module api.Module
-	mem    *memory
-	fns    map[Phase]api.Function
-	alloc  api.Function
-	stack  [2]uint64
-	ctx    context.Context // hands the host functions their worker
-	rng    *rand.Rand
-	now    time.Time
-	call   *Call
-	out    Outcome
-	tx     *store.Tx
-	copied int // bytes on the relay's heap
+	module    api.Module
+	memory    *memory
+	functions map[Phase]api.Function
+	alloc     api.Function
+	stack     [2]uint64
+	ctx       context.Context // hands the host functions their worker
+	rng       *rand.Rand
+	now       time.Time
+	call      *Call
+	outcome   Outcome
+	tx        *store.Tx
+	copied    int // bytes on the relay's heap
 }
 
 // job is one call on its way through a worker.
@@ -55,11 +55,11 @@
 type workerKey struct{}
 
 func newWorker(v *version) *worker {
-	w := &worker{v: v, jobs: make(chan *job)}
+	w := &worker{version: v, jobs: make(chan *job)}
 	w.ctx = experimental.WithMemoryAllocator(context.WithValue(context.Background(), workerKey{}, w),
 		experimental.MemoryAllocatorFunc(func(_, most uint64) experimental.LinearMemory {
-			w.mem = v.host.memories.Allocate(min(most, uint64(v.cfg.MemoryMB)<<20))
-			return w.mem
+			w.memory = v.host.memories.Allocate(min(most, uint64(v.cfg.MemoryMB)<<20))
+			return w.memory
 		}))
 	go w.run()
 	return w
@@ -70,24 +70,24 @@
 // run serves jobs until there are no more to come. The thread is not used for anything else afterwards.
 func (w *worker) run() {
 	runtime.LockOSThread()
-	if w.v.host.lim.PluginYields {
+	if w.version.host.limits.PluginYields {
 		yieldToOthers()
 	}
 	for j := range w.jobs {
 		from := threadTime()
 		err := w.do(j)
-		w.out.CPU = threadTime() - from
-		out := w.out
+		w.outcome.CPU = threadTime() - from
+		out := w.outcome
 		if err != nil {
-			out = Outcome{CPU: w.out.CPU, Logs: w.out.Logs}
+			out = Outcome{CPU: w.outcome.CPU, Logs: w.outcome.Logs}
 			w.drop()
 		}
-		w.call, w.tx, w.out = nil, nil, Outcome{}
-		w.v.left(w, j, out, err)
+		w.call, w.tx, w.outcome = nil, nil, Outcome{}
+		w.version.left(w, j, out, err)
 		j.done <- jobDone{out, err}
 	}
 	w.drop()
-	w.v.workersOut.Done()
+	w.version.workersDone.Done()
 }
 
 // errStart marks a failure to start an instance.
@@ -96,7 +96,7 @@
 func (e errStart) Unwrap() error { return e.error }
 
 func (w *worker) do(j *job) error {
-	w.call, w.out, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
+	w.call, w.outcome, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
 	if w.module != nil && w.module.IsClosed() { // its last call ended just as its time did
 		w.drop()
 	}
@@ -109,15 +109,15 @@
 	if j.call.Phase == 0 {
 		return w.learn(j.deadline)
 	}
-	fn := w.fns[j.call.Phase]
+	fn := w.functions[j.call.Phase]
 	if fn == nil {
 		return nil
 	}
-	w.tx = w.v.store.Begin(w.now)
+	w.tx = w.version.store.Begin(w.now)
 	ctx, cancel := context.WithDeadline(w.ctx, j.deadline)
 	defer cancel()
 	var err error
-	if w.v.abi == 1 {
+	if w.version.abi == 1 {
 		err = w.callOne(ctx, fn)
 	} else {
 		if err = fn.CallWithStack(ctx, w.stack[:]); err == nil && uint32(w.stack[0]) != 0 {
@@ -125,7 +125,7 @@
 		}
 	}
 	if err != nil {
-		return plain(err)
+		return firstLine(err)
 	}
 	if err := w.tx.Commit(); err != nil {
 		w.refuse("store", refusal(err))
@@ -135,10 +135,10 @@
 
 // learn finds which phases the module takes part in; it is called while the version is warmed up.
 func (w *worker) learn(by time.Time) error {
-	if w.v.abi == 1 {
-		for phase, fn := range w.fns {
+	if w.version.abi == 1 {
+		for phase, fn := range w.functions {
 			if fn != nil {
-				w.v.phases |= phase
+				w.version.phases |= phase
 			}
 		}
 		return nil
@@ -146,25 +146,25 @@
 	ctx, cancel := context.WithDeadline(w.ctx, by)
 	defer cancel()
 	if err := w.module.ExportedFunction(markTwo).CallWithStack(ctx, w.stack[:]); err != nil {
-		return fmt.Errorf("%s: %w", markTwo, plain(err))
+		return fmt.Errorf("%s: %w", markTwo, firstLine(err))
 	}
 	mask := Phase(w.stack[0])
 	if mask&^(Arrival|Answer|End) != 0 {
 		return fmt.Errorf("%s: the mask %#x has phases that this relay does not know", markTwo, uint32(w.stack[0]))
 	}
 	for phase, name := range exportsTwo {
-		if mask&phase != 0 && w.fns[phase] == nil {
+		if mask&phase != 0 && w.functions[phase] == nil {
 			return fmt.Errorf("%s: the mask names a phase without its export %s", markTwo, name)
 		}
 	}
-	w.v.phases = mask
+	w.version.phases = mask
 	return nil
 }
 
 // seed makes all that is random in a call depend on the relay's seed, the plug-in, the phase and the message, so
 // that a run can be repeated exactly on whichever instance; a start has no message, and phase 0.
 func (w *worker) seed(id string, phase Phase) {
-	w.rng = rand.New(rand.NewPCG(w.v.host.seed^xxhash.Sum64String(w.v.cfg.Name), xxhash.Sum64String(id)^uint64(phase)))
+	w.rng = rand.New(rand.NewPCG(w.version.host.seed^xxhash.Sum64String(w.version.cfg.Name), xxhash.Sum64String(id)^uint64(phase)))
 }
 
 // Read is the source of random bytes that WASI hands out.
@@ -177,25 +177,25 @@
 
 // start makes an instance, within the time for that.
 func (w *worker) start() error {
-	ctx, cancel := context.WithTimeout(w.ctx, w.v.host.lim.PluginStart)
+	ctx, cancel := context.WithTimeout(w.ctx, w.version.host.limits.PluginStart)
 	defer cancel()
 	w.seed("", 0)
-	m, err := w.v.runtime.InstantiateModule(ctx, w.v.code, wazero.NewModuleConfig().WithName("").
+	m, err := w.version.runtime.InstantiateModule(ctx, w.version.code, wazero.NewModuleConfig().WithName("").
 		WithStartFunctions("_initialize").WithRandSource(w).
 		WithWalltime(func() (int64, int32) { return w.now.Unix(), int32(w.now.Nanosecond()) }, wasys.ClockResolution(1)).
 		WithNanotime(func() int64 { return w.now.UnixNano() }, wasys.ClockResolution(1)))
 	if err != nil {
 		w.drop()
-		return fmt.Errorf("start: %w", plain(err))
+		return fmt.Errorf("start: %w", firstLine(err))
 	}
-	w.module, w.fns = m, map[Phase]api.Function{}
-	if w.v.abi == 1 {
+	w.module, w.functions = m, map[Phase]api.Function{}
+	if w.version.abi == 1 {
 		w.alloc = m.ExportedFunction("alloc")
-		w.fns[Arrival], w.fns[End] = m.ExportedFunction("inspect"), m.ExportedFunction("ended")
+		w.functions[Arrival], w.functions[End] = m.ExportedFunction("inspect"), m.ExportedFunction("ended")
 		return nil
 	}
 	for phase, name := range exportsTwo {
-		w.fns[phase] = m.ExportedFunction(name)
+		w.functions[phase] = m.ExportedFunction(name)
 	}
 	return nil
 }
@@ -205,14 +205,14 @@
 	if w.module != nil {
 		_ = w.module.Close(context.Background())
 	}
-	if w.mem != nil {
-		w.mem.Free()
+	if w.memory != nil {
+		w.memory.Free()
 	}
-	w.module, w.mem, w.fns, w.alloc = nil, nil, nil, nil
+	w.module, w.memory, w.functions, w.alloc = nil, nil, nil, nil
 }
 
-// plain cuts the engine's stack trace off an error and names a time-out.
-func plain(err error) error {
+// firstLine cuts the engine's stack trace off an error and names a time-out.
+func firstLine(err error) error {
 	var exit *wasys.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == wasys.ExitCodeDeadlineExceeded {
 		return ErrTimeout
--- a/internal/relay/vrrp/packet.go
+++ b/internal/relay/vrrp/packet.go
@@ -27,19 +27,19 @@
 )
 
 const (
-	header    = 8
-	version   = 3
-	advert    = 1
-	centi     = 10 * time.Millisecond
-	mostCenti = 0xfff
-	protocol  = 112
+	header          = 8
+	version         = 3
+	advert          = 1
+	centi           = 10 * time.Millisecond
+	maxCentiseconds = 0xfff
+	protocol        = 112
 )
 
 // Encode returns the packet as it goes from one address to another. As RFC 9568 has it, the checksum of
 // IPv4 covers the message alone, that of IPv6 a pseudo-header too.
 func (p *Packet) Encode(from, to netip.Addr) []byte {
 	b := []byte{version<<4 | advert, p.VRID, p.Priority, byte(len(p.Addresses)), 0, 0, 0, 0}
-	binary.BigEndian.PutUint16(b[4:], uint16(min(max(p.Advertise/centi, 1), mostCenti)))
+	binary.BigEndian.PutUint16(b[4:], uint16(min(max(p.Advertise/centi, 1), maxCentiseconds)))
 	for _, a := range p.Addresses {
 		b = append(b, a.AsSlice()...)
 	}
@@ -69,7 +69,7 @@
 	if checksum(b, from, to) != 0 {
 		return Packet{}, ErrChecksum
 	}
-	p := Packet{VRID: b[1], Priority: b[2], Advertise: time.Duration(binary.BigEndian.Uint16(b[4:])&mostCenti) * centi}
+	p := Packet{VRID: b[1], Priority: b[2], Advertise: time.Duration(binary.BigEndian.Uint16(b[4:])&maxCentiseconds) * centi}
 	if p.Advertise == 0 {
 		return Packet{}, ErrInterval
 	}
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -22,18 +22,18 @@
 type Instance struct {
 	Counts Counters
 
-	mu     sync.Mutex
-	m      *Machine
-	conn   *net.UDPConn
-	own    netip.Addr
-	vrid   uint8
-	peers  map[netip.Addr]netip.AddrPort
-	log    *slog.Logger
-	active atomic.Bool
-	kick   chan struct{} // the timer has to be looked at again
-	stop   chan struct{}
-	once   sync.Once
-	done   sync.WaitGroup
+	mu      sync.Mutex
+	machine *Machine
+	conn    *net.UDPConn
+	own     netip.Addr
+	vrid    uint8
+	peers   map[netip.Addr]netip.AddrPort
+	log     *slog.Logger
+	active  atomic.Bool
+	kick    chan struct{} // the timer has to be looked at again
+	stop    chan struct{}
+	once    sync.Once
+	done    sync.WaitGroup
 }
 
 // Listen starts a router on its UDP address.
@@ -51,7 +51,7 @@
 		}
 		r.Virtual = append(r.Virtual, a)
 	}
-	in := &Instance{m: NewMachine(r), own: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
+	in := &Instance{machine: NewMachine(r), own: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
 		log: log, kick: make(chan struct{}, 1), stop: make(chan struct{})}
 	for _, p := range cfg.Peers {
 		ap, err := netip.ParseAddrPort(p)
@@ -63,7 +63,7 @@
 	if in.conn, err = net.ListenUDP("udp", at); err != nil {
 		return nil, err
 	}
-	in.act(func(now time.Time) []Packet { return in.m.Startup(now) })
+	in.act(func(now time.Time) []Packet { return in.machine.Startup(now) })
 	in.done.Add(2)
 	go in.read()
 	go in.time()
@@ -76,7 +76,7 @@
 // Shutdown gives up this router's part and stops it; once is enough.
 func (in *Instance) Shutdown() {
 	in.once.Do(func() {
-		in.act(func(time.Time) []Packet { return in.m.Shutdown() })
+		in.act(func(time.Time) []Packet { return in.machine.Shutdown() })
 		close(in.stop)
 		_ = in.conn.Close()
 		in.done.Wait()
@@ -91,9 +91,9 @@
 func (in *Instance) act(do func(now time.Time) []Packet) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	was := in.m.State()
+	was := in.machine.State()
 	out := do(time.Now())
-	if now := in.m.State(); now != was {
+	if now := in.machine.State(); now != was {
 		in.log.Info("virtual router changed state", "vrid", in.vrid, "from", was.String(), "to", now.String())
 		in.active.Store(now == Active)
 	}
@@ -140,7 +140,7 @@
 		in.Counts.OtherRouter.Add(1)
 	default:
 		in.Counts.Accepted.Add(1)
-		in.act(func(now time.Time) []Packet { return in.m.Receive(now, p, from) })
+		in.act(func(now time.Time) []Packet { return in.machine.Receive(now, p, from) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	defer in.done.Done()
 	for {
 		in.mu.Lock()
-		due := in.m.Due()
+		due := in.machine.Due()
 		in.mu.Unlock()
 		var fire <-chan time.Time
 		if !due.IsZero() {
@@ -159,7 +159,7 @@
 			return
 		case <-in.kick:
 		case <-fire:
-			in.act(func(now time.Time) []Packet { return in.m.Tick(now) })
+			in.act(func(now time.Time) []Packet { return in.machine.Tick(now) })
 		}
 	}
 }
