--- a/internal/tier/group/cluster_test.go
+++ b/internal/tier/group/cluster_test.go
@@ -61,7 +61,7 @@
 		machines: map[string]group.StateMachine{}, newMachine: func() group.StateMachine { return &commandList{} }}
 }
 
-// writeInitialSnapshot starts the first members.
+// begin starts the first members.
 func (c *cluster) begin(names ...string) {
 	for _, name := range names {
 		c.members = append(c.members, member(name))
--- a/internal/tier/replica/configuration.go
+++ b/internal/tier/replica/configuration.go
@@ -24,28 +24,28 @@
 }
 
 // find is the member of that identity, or nil.
-func (g *configuration) find(id string) *Member {
-	for i := range g.members {
-		if g.members[i].ID == id {
-			return &g.members[i]
+func (c *configuration) find(id string) *Member {
+	for i := range c.members {
+		if c.members[i].ID == id {
+			return &c.members[i]
 		}
 	}
 	return nil
 }
 
 // isVoter tells whether the member of that identity has a vote.
-func (g *configuration) isVoter(id string) bool {
-	member := g.find(id)
+func (c *configuration) isVoter(id string) bool {
+	member := c.find(id)
 	return member != nil && !member.Learner
 }
 
 // quorumSize is the number of voters that decide.
-func (g *configuration) quorumSize() int {
-	return g.voters/2 + 1
+func (c *configuration) quorumSize() int {
+	return c.voters/2 + 1
 }
 
 // configurationHistory holds the configuration of the last committed entry and those of later entries, in order. It is
-// dropped empty.
+// never empty.
 type configurationHistory []configuration
 
 // latest is the configuration in force: one is from the moment that its entry is in the log.
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -22,13 +22,13 @@
 }
 
 var mutants = []sourceMutant{
-	{"a minority decides", "../replica/members.go", "return g.voters/2 + 1", "return max(1, g.voters/2)", "TestAControlMachine"},
+	{"a minority decides", "../replica/configuration.go", "return c.voters/2 + 1", "return max(1, c.voters/2)", "TestAControlMachine"},
 	{"few repeats are known", "../configuration/history.go", "const maxHistory = 32768", "const maxHistory = 16", "TestAnOrderThatIs"},
 	{"two orders win on one version", "../configuration/state_machine.go", "if proposal.Base != s.current.Number {", "if proposal.Base > s.current.Number {",
 		"TestOneOfTwo|TestTheFirstMachine"},
 	{"entries are acknowledged before they last", "../storage/group.go", "if err := g.log.Sync(); err != nil {", "if err := error(nil); err != nil {",
 		"TestTheFirstMachine|TestRandomDays"},
-	{"a new member's snapshot isn't taken over", "../group/turn.go", "if err := g.options.Machine.Restore(effects.Install.State); err != nil {",
+	{"a new member's snapshot isn't taken over", "../group/iteration.go", "if err := g.restore(g.disk, true); err != nil {",
 		"if err := error(nil); err != nil {", "TestTheFirstMachine"},
 	{"there are too few copies", "../controller/controller.go", "return 2*c.options.Settings.FaultTolerance.Machines + 1",
 		"return c.options.Settings.FaultTolerance.Machines + 1", "TestASecondLoss"},
