--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -30,7 +30,7 @@
 
 	best, bestUnhealthy, probeCandidate *endpoint
 	bestCost, bestUnhealthyCost         float64
-	hasHealthy                          bool          // an endpoint is healthy, available or not; a request that isn't retryable waits for it
+	hasHealthy                          bool          // available or not; a request that isn't retryable waits for it
 	available                           int           // healthy endpoints that would take the request
 	earliestBackoffEnd                  time.Duration // 0: no endpoint is in backoff
 	saturated                           bool          // an endpoint that may take the request is at capacity or in backoff
@@ -61,7 +61,8 @@
 		return sel.rejectAll()
 	}
 	decision := sel.decide(svc, e)
-	decision.Attempt.route, decision.Attempt.promptTokens, decision.Attempt.outputTokens = route, float64(r.NewTokens), float64(r.OutTokens)
+	decision.Attempt.route = route
+	decision.Attempt.promptTokens, decision.Attempt.outputTokens = float64(r.NewTokens), float64(r.OutTokens)
 	return decision
 }
 
@@ -164,7 +165,10 @@
 	if cost < sel.bestUnhealthyCost {
 		sel.bestUnhealthy, sel.bestUnhealthyCost = e, cost
 	}
-	if e.health.probeDue(sel.now, sel.retryable) && (sel.probeCandidate == nil || e.health.nextProbeAt < sel.probeCandidate.health.nextProbeAt) {
+	if !e.health.probeDue(sel.now, sel.retryable) {
+		return
+	}
+	if sel.probeCandidate == nil || e.health.nextProbeAt < sel.probeCandidate.health.nextProbeAt {
 		sel.probeCandidate = e
 	}
 }
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -91,7 +91,12 @@
 }
 
 func upstreamEndpoint(selection Selection) upstream.Endpoint {
-	return upstream.Endpoint{ID: selection.ID, Address: selection.Address, MaxConnections: selection.MaxConnections, Permit: selection.Permit}
+	return upstream.Endpoint{
+		ID:             selection.ID,
+		Address:        selection.Address,
+		MaxConnections: selection.MaxConnections,
+		Permit:         selection.Permit,
+	}
 }
 
 // attemptRequest returns the request with the header fields of this attempt.
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -85,10 +85,7 @@
 		data = data[:len(data)+n]
 		*buffer = data
 		if err == io.EOF {
-			c.recordComplete(a)
-			c.writeHeader(a)
-			c.finishAttempt(a)
-			c.write(a, data)
+			c.forwardComplete(a, data)
 			return false
 		}
 		if err != nil {
