--- a/internal/tier/standin/doc.go
+++ b/internal/tier/standin/doc.go
@@ -1,40 +1,12 @@
-// Package standin plays what is around the tier, for examples and tests, on loopback: the platform's list of endpoints,
-// plain endpoints, model servers and the programs that call them. What ran, where, how often and with which body stands
-// in a RunLog, which several endpoints may share.
+// Package standin simulates the environment of the tier on loopback, for the demo, the soak and tests: the platform's list of
+// endpoints (Platform), endpoints that answer with one body (Plain), model servers that stream events (Engine), and the client
+// programs that send them turns and tool calls through a proxy (Program).
+//
+// Endpoints record each request that they execute in a RunLog, which several may share. Outcome.Check and CheckPrograms
+// compare that log with what the programs saw, and return a sentence for each broken guarantee: a duplicate execution, a
+// request that ran though its status says that it did not, a wrong prompt, a lost turn, an exceeded budget.
+//
+// Platform, Plain and Engine each own a listener and the goroutine of its HTTP server, both of which end in Close. Their
+// methods may be called from several goroutines. Listeners, clocks and dialers are options, so that a simulation may run all
+// of it on an in-memory network.
 package standin
-
-import "time"
-
-const (
-	maxBodyBytes       = 16 << 20
-	maxHeaderBytes     = 64 << 10
-	headerTimeout      = 10 * time.Second
-	defaultIdleTimeout = time.Minute
-	maxRecordedRuns    = 1 << 20 // that a ledger keeps
-	maxEvents          = 100_000 // of one answer
-	defaultPageSize    = 50
-	defaultPriority    = 5
-	lowestPriority     = 9
-)
-
-// Names of headers.
-const (
-	headerAttempt     = "X-Attempt-Id"
-	headerSeal        = "X-Server-Seal"
-	headerLoad        = "X-Server-Load"
-	headerServer      = "X-Server-Id"
-	headerExpected    = "X-Expected-Server"
-	headerNotRun      = "X-Not-Run"
-	headerTimeLeft    = "X-Time-Left-Ms"
-	headerTokenCounts = "X-Token-Counts"
-	headerModel       = "X-Model"
-	headerLastEvent   = "Last-Event-Id"
-	headerVersion     = "Expect-Version"
-	headerVersions    = "Versions"
-	headerPriority    = "Priority"
-	headerProgram     = "Program"
-	headerSession     = "Session"
-	headerDeadline    = "Finish-Ms"
-	headerBudget      = "Budget"
-	headerPrevious    = "Previous"
-)
--- a/internal/tier/standin/engine.go
+++ b/internal/tier/standin/engine.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// EngineOptions describes a model server. Its EndpointOptions.Capacity is the size of a batch.
+// EngineOptions are the options of a model server. EndpointOptions.Capacity is its batch size.
 type EngineOptions struct {
 	EndpointOptions
 	Models         []string
-	WeightsVersion int   // version of the weights; 0: it tells none
-	CacheTokens    int64 // larger requests are refused; 0: no bound
-	TokensPerEvent int64 // 1 if 0
-	Events         int   // of an answer without X-Token-Counts; 1 if 0
-	Prefill        time.Duration
+	WeightsVersion int           // default 0: responses carry no Versions header
+	CacheTokens    int64         // requests with more tokens are rejected; default 0: no bound
+	TokensPerEvent int64         // default 1
+	Events         int           // of a response to a request without X-Token-Counts; default 1
+	Prefill        time.Duration // until the first event
 	EventInterval  time.Duration // between two events
 }
 
-// Engine is a model server: it answers with events whose ids rise.
+// Engine is a model server: it answers with a stream of events whose ids rise from 1.
 type Engine struct {
 	endpoint
 	engine    EngineOptions
 	cacheUsed atomic.Int64
 }
 
-// NewEngine starts one.
+// NewEngine starts a model server, which runs until Close. Its errors are a *CapacityError and those of Listen.
 func NewEngine(options EngineOptions) (*Engine, error) {
 	options.TokensPerEvent = max(1, options.TokensPerEvent)
 	options.Events = max(1, options.Events)
@@ -52,7 +52,7 @@
 	e.turn(response, request)
 }
 
-// Report is the answer to GET /mastusher/report.
+// Report is the response to GET /mastusher/report.
 type Report struct {
 	Phase       string        `json:"phase"`
 	Models      []ReportModel `json:"models"`
@@ -89,38 +89,38 @@
 	_ = json.NewEncoder(response).Encode(report)
 }
 
-// requestTokens is what a request's X-Token-Counts says.
+// requestTokens is a request's X-Token-Counts.
 type requestTokens struct {
 	prompt    int64
-	maxOutput int64 // 0: nothing told
+	maxOutput int64 // 0: not stated
 }
 
 func requestTokensOf(request *http.Request) requestTokens {
-	prompt, most, _ := strings.Cut(request.Header.Get(headerTokenCounts), ",")
-	var told requestTokens
-	told.prompt, _ = strconv.ParseInt(strings.TrimSpace(prompt), 10, 64)
-	told.maxOutput, _ = strconv.ParseInt(strings.TrimSpace(most), 10, 64)
-	return told
+	prompt, maxOutput, _ := strings.Cut(request.Header.Get(headerTokenCounts), ",")
+	var tokens requestTokens
+	tokens.prompt, _ = strconv.ParseInt(strings.TrimSpace(prompt), 10, 64)
+	tokens.maxOutput, _ = strconv.ParseInt(strings.TrimSpace(maxOutput), 10, 64)
+	return tokens
 }
 
-// events gives how many events an answer has.
-func (e *Engine) events(told requestTokens) int {
-	if told.maxOutput <= 0 {
+// events returns the number of events of a response.
+func (e *Engine) events(tokens requestTokens) int {
+	if tokens.maxOutput <= 0 {
 		return e.engine.Events
 	}
-	count := told.maxOutput / e.engine.TokensPerEvent
+	count := tokens.maxOutput / e.engine.TokensPerEvent
 	return int(min(max(1, count), maxEvents))
 }
 
-// fits says whether weights and memory allow a request.
+// fits reports whether the engine has the weights and the memory that a request needs; else it rejects the request.
 func (e *Engine) fits(response http.ResponseWriter, request *http.Request) bool {
 	expected := request.Header.Get(headerVersion)
 	if expected != "" && expected != strconv.Itoa(e.engine.WeightsVersion) {
 		e.reject(response, request, http.StatusMisdirectedRequest)
 		return false
 	}
-	told := requestTokensOf(request)
-	if e.engine.CacheTokens > 0 && told.prompt+told.maxOutput > e.engine.CacheTokens {
+	tokens := requestTokensOf(request)
+	if e.engine.CacheTokens > 0 && tokens.prompt+tokens.maxOutput > e.engine.CacheTokens {
 		e.reject(response, request, http.StatusServiceUnavailable)
 		return false
 	}
--- a/internal/tier/standin/plain.go
+++ b/internal/tier/standin/plain.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// PlainOptions describes a plain endpoint.
+// PlainOptions are the options of a plain endpoint.
 type PlainOptions struct {
 	EndpointOptions
-	ServiceTime   time.Duration // that a request takes
-	ResponseBytes int           // size of an answer; a short one if 0
+	ServiceTime   time.Duration // of each request; default 0: none
+	ResponseBytes int           // size of a response body; default 0: the shortest, one line of text
 }
 
-// Plain is an endpoint that answers each request with one body.
+// Plain is an endpoint that answers each request with one text body.
 type Plain struct {
 	endpoint
 	plain PlainOptions
 }
 
-// NewPlain starts one.
+// NewPlain starts a plain endpoint, which runs until Close. Its errors are a *CapacityError and those of Listen.
 func NewPlain(options PlainOptions) (*Plain, error) {
 	started := &Plain{plain: options}
 	if err := started.start(options.EndpointOptions, started); err != nil {
@@ -40,15 +40,16 @@
 		return
 	}
 	defer admitted.release()
-	place := p.run(request, admitted.body)
+	index := p.startRun(request, admitted.body)
 	if err := p.work(admitted.ctx, p.plain.ServiceTime); err != nil {
-		p.respondEnded(response, request, err)
+		p.respondTimeout(response, request, err)
 		return
 	}
-	p.answer(response, request, admitted, place)
+	p.respond(response, request, admitted, index)
 }
 
-func (p *Plain) answer(response http.ResponseWriter, request *http.Request, admitted admission, place int) {
+// respond answers a request that has run, with its fault.
+func (p *Plain) respond(response http.ResponseWriter, request *http.Request, admitted admission, index int) {
 	body := PlainBody(p.options.ID, admitted.attempt, p.plain.ResponseBytes)
 	switch admitted.fault {
 	case LoseResponse:
@@ -67,11 +68,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := response.Write([]byte(body)); err == nil {
-		p.runLog.progress(place, 0, true)
+		p.runLog.progress(index, 0, true)
 	}
 }
 
-// PlainBody gives the body of an answer.
+// PlainBody returns the response body of an attempt: a line that names both, filled up with dots to size bytes.
 func PlainBody(endpoint, attempt string, size int) string {
 	text := fmt.Sprintf("%s ran %s\n", endpoint, attempt)
 	if size <= len(text) {
--- a/internal/tier/standin/platform.go
+++ b/internal/tier/standin/platform.go
@@ -15,37 +15,37 @@
 	"mastusher/internal/tier/model"
 )
 
-// PlatformOptions describes the platform's list.
+// PlatformOptions are the options of a Platform.
 type PlatformOptions struct {
-	PageSize int                          // 50 if 0
-	RatePerS float64                      // calls in any second; 0: no bound
-	Now      func() time.Time             // time.Now if nil
-	Listen   func() (net.Listener, error) // nil: at a loopback address
+	PageSize int                          // entries per page; default 50
+	RatePerS float64                      // calls within any second, more get 429; default 0: unlimited
+	Now      func() time.Time             // default time.Now
+	Listen   func() (net.Listener, error) // default nil: a free port of 127.0.0.1
 }
 
-// Entry is one endpoint on the list.
+// Entry is one endpoint on the list, as GET /servers returns it.
 type Entry struct {
 	model.Endpoint
 	Phase  string        `json:"phase,omitempty"`
 	Models []ReportModel `json:"models,omitempty"`
 }
 
-// Platform serves the list of endpoints.
+// Platform serves the list of endpoints at GET /servers, in pages.
 type Platform struct {
 	options  PlatformOptions
 	server   *http.Server
 	listener net.Listener
 	served   sync.WaitGroup
 
-	mutex   sync.Mutex
-	entries []Entry
-	down    bool
-	calls   int
-	refused int
-	recent  []time.Time // calls taken within the last second
+	mutex       sync.Mutex // guards all fields below
+	entries     []Entry
+	down        bool
+	calls       int
+	rateLimited int
+	recent      []time.Time // of the calls accepted within the last second
 }
 
-// NewPlatform starts one with an empty list.
+// NewPlatform starts a platform with an empty list, which runs until Close. Its errors are those of Listen.
 func NewPlatform(options PlatformOptions) (*Platform, error) {
 	if options.PageSize <= 0 {
 		options.PageSize = defaultPageSize
@@ -70,23 +70,23 @@
 	return started, nil
 }
 
-// Close stops it.
+// Close stops the platform and waits for its server's end.
 func (p *Platform) Close() {
 	p.server.Close()
 	p.served.Wait()
 }
 
-// Address gives host and port.
+// Address returns host and port.
 func (p *Platform) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Put adds an endpoint, or replaces the one with its id.
+// Put adds an endpoint, or replaces the one with its ID.
 func (p *Platform) Put(endpoint model.Endpoint) {
 	p.PutEntry(Entry{Endpoint: endpoint})
 }
 
-// PutEntry is Put for an entry that tells more.
+// PutEntry is Put for an entry with a model server's phase and models.
 func (p *Platform) PutEntry(entry Entry) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -98,7 +98,7 @@
 	p.entries[at] = entry
 }
 
-// SetState changes the state of an endpoint; false means that there is none of that id.
+// SetState changes the state of an endpoint; false means that the list has none with that ID.
 func (p *Platform) SetState(id string, state model.EndpointState) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// Remove takes an endpoint off the list.
+// Remove removes an endpoint from the list, if it is there.
 func (p *Platform) Remove(id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -119,18 +119,18 @@
 	}
 }
 
-// SetDown makes all calls fail with 503, or ends that.
+// SetDown sets whether all calls fail with 503.
 func (p *Platform) SetDown(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.down = down
 }
 
-// Calls gives the calls so far and those of them that were over the rate.
-func (p *Platform) Calls() (all, overRate int) {
+// Calls returns the number of calls so far, and of those among them that exceeded the rate limit.
+func (p *Platform) Calls() (all, rateLimited int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.calls, p.refused
+	return p.calls, p.rateLimited
 }
 
 func (p *Platform) indexLocked(id string) int {
@@ -139,20 +139,21 @@
 
 var (
 	errDown        = errors.New("down")
-	errOverRate    = errors.New("over the rate")
+	errRateLimited = errors.New("over the rate")
 	errUnknownPage = errors.New("unknown page")
 )
 
-type listAnswer struct {
+// listResponse is the response to GET /servers.
+type listResponse struct {
 	Servers   []Entry `json:"servers"`
 	NextToken *string `json:"nextToken"`
 }
 
 func (p *Platform) list(response http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
-	answer, err := p.page(query.Get("zone"), query.Get("pageToken"))
+	page, err := p.page(query.Get("zone"), query.Get("pageToken"))
 	switch {
-	case errors.Is(err, errOverRate):
+	case errors.Is(err, errRateLimited):
 		http.Error(response, err.Error(), http.StatusTooManyRequests)
 	case errors.Is(err, errUnknownPage):
 		http.Error(response, err.Error(), http.StatusBadRequest)
@@ -160,24 +161,26 @@
 		http.Error(response, err.Error(), http.StatusServiceUnavailable)
 	default:
 		response.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(response).Encode(answer)
+		_ = json.NewEncoder(response).Encode(page)
 	}
 }
 
-func (p *Platform) page(zone, token string) (listAnswer, error) {
+// page returns a page of the endpoints in a zone, or of all if it is empty. Its errors are errDown, errRateLimited and
+// errUnknownPage.
+func (p *Platform) page(zone, token string) (listResponse, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls++
 	if p.down {
-		return listAnswer{}, errDown
+		return listResponse{}, errDown
 	}
 	if !p.withinRateLocked() {
-		p.refused++
-		return listAnswer{}, errOverRate
+		p.rateLimited++
+		return listResponse{}, errRateLimited
 	}
 	first, err := offset(token)
 	if err != nil {
-		return listAnswer{}, err
+		return listResponse{}, err
 	}
 	matching := []Entry{}
 	for _, entry := range p.entries {
@@ -187,14 +190,15 @@
 	}
 	first = min(first, len(matching))
 	last := min(first+p.options.PageSize, len(matching))
-	answer := listAnswer{Servers: matching[first:last]}
+	response := listResponse{Servers: matching[first:last]}
 	if last < len(matching) {
 		next := fmt.Sprintf("p-%d", last)
-		answer.NextToken = &next
+		response.NextToken = &next
 	}
-	return answer, nil
+	return response, nil
 }
 
+// withinRateLocked counts a call if the rate limit allows it.
 func (p *Platform) withinRateLocked() bool {
 	if p.options.RatePerS <= 0 {
 		return true
@@ -208,6 +212,7 @@
 	return true
 }
 
+// offset returns the index of the first entry of a page.
 func offset(token string) (int, error) {
 	if token == "" {
 		return 0, nil
--- a/internal/tier/standin/program.go
+++ b/internal/tier/standin/program.go
@@ -9,40 +9,41 @@
 	"time"
 )
 
-// ProgramOptions describes a program: lines of turns with calls of tools between them.
+// ProgramOptions are the options of a program: a session of turns with tool calls between them, and sessions of subagents.
 type ProgramOptions struct {
-	Name           string
+	Name           string // prefix of all its attempts' IDs, must be unique
 	Address        string // of the proxy
-	Host           string
+	Host           string // of its requests
 	TurnPath       string
 	ToolPath       string
-	Model          string
-	Turns          int // of the main line; a program without end: as many as it gets
-	Tools          int // calls after each turn, all at once
-	Subagents      int // lines that begin after the first turn
-	SubagentTurns  int // turns of each of them
-	MaxTokens      int64
-	Budget         int64 // 0: none
-	Timeout        time.Duration
-	RequestTimeout time.Duration // that a request waits
-	// Stateful: a turn brings its new input and the name of the turn before; otherwise it brings everything.
-	Stateful  bool
+	Model          string        // default "": no X-Model header
+	Turns          int           // of the main session
+	Tools          int           // concurrent calls after each turn
+	Subagents      int           // sessions that continue the first turn, concurrently
+	SubagentTurns  int           // turns of each of them
+	MaxTokens      int64         // that a turn may generate
+	Budget         int64         // in tokens, of all turns; default 0: none
+	Timeout        time.Duration // of the program, sent as Finish-Ms; default 0: none
+	RequestTimeout time.Duration // of each request, sent as X-Time-Left-Ms; default 0: none
+	// Stateful: a turn sends its new input and the attempt of the turn before it. Otherwise it sends the complete prompt.
+	Stateful bool
+	// Unbounded: sessions have maxUnboundedTurns turns, and a 402 is retried like other failures.
 	Unbounded bool
-	// ContinueFrom is a turn of an earlier program that the first one goes on from; without an Attempt: none.
+	// ContinueFrom is a turn of an earlier program that the first one continues; without an Attempt: none.
 	ContinueFrom Turn
-	// Dial opens a program's connections; nil: those of the system, to Address.
+	// Dial opens connections; default nil: net.Dialer, to Address.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Backoff waits before a failed turn is sent again; nil: it doesn't wait.
+	// Backoff waits before each retry; an error ends the retries. Default nil: no wait.
 	Backoff func(ctx context.Context) error
 }
 
-// resends of a failed turn.
+// maxRetries bounds the retries of a failed turn or tool call.
 const maxRetries = 2
 
-// maxUnboundedTurns bounds a program without end that nobody stops.
+// maxUnboundedTurns bounds the sessions of an unbounded program that nothing stops.
 const maxUnboundedTurns = 10_000
 
-// State is how a program or a request ended.
+// State is how a program, a session or a request ended.
 type State string
 
 // The states.
@@ -53,22 +54,22 @@
 	Failed      State = "failed"
 )
 
-// Turn is one try of a turn.
+// Turn is one attempt at a turn.
 type Turn struct {
 	Session  string
-	Attempt  string
-	Previous string // the turn that it goes on from
-	Status   int    // 0: no answer
-	Prompt   string // that an endpoint is to get
-	Output   string // data of the events that came, each with a line feed behind
-	Events   int
+	Attempt  string // X-Attempt-Id
+	Previous string // attempt of the turn that it continues
+	Status   int    // 0: no response
+	Prompt   string // that the endpoint must get
+	Output   string // data of the events received, each followed by a line feed
+	Events   int    // received
 	Complete bool
-	Problem  string // what is wrong with the answer itself
+	Problem  string // what is wrong with the response by itself; empty: nothing
 	Sent     time.Time
 	Ended    time.Time
 }
 
-// Tool is one call of a tool.
+// Tool is one attempt at a tool call. Its fields are as those of Turn.
 type Tool struct {
 	Attempt  string
 	Status   int
@@ -76,14 +77,14 @@
 	Problem  string
 }
 
-// Outcome is what became of a program.
+// Outcome is how a program ended, with all its attempts.
 type Outcome struct {
 	State State
-	Turns []Turn // in the order of their ends
-	Tools []Tool
+	Turns []Turn // in the order in which they ended
+	Tools []Tool // likewise
 }
 
-// Events gives the events that came, also of answers that broke off.
+// Events returns the number of events received, those of incomplete responses included.
 func (o Outcome) Events() int {
 	sum := 0
 	for _, turn := range o.Turns {
@@ -92,30 +93,30 @@
 	return sum
 }
 
-// Program plays one program against a proxy.
+// Program is an agent program that runs against a proxy, once.
 type Program struct {
 	options ProgramOptions
 	client  *http.Client
 
-	mutex   sync.Mutex
-	next    int // number of the next attempt
-	outcome Outcome
+	mutex       sync.Mutex // guards all fields below
+	lastAttempt int        // number of the newest attempt
+	outcome     Outcome
 }
 
-// NewProgram gives one that has not begun.
+// NewProgram returns a program that has not started.
 func NewProgram(options ProgramOptions) *Program {
 	return &Program{
 		options: options,
 		client: &http.Client{
-			// A connection serves one request: a transport sends some requests again by itself when a connection that
-			// has rested turns out to be closed, and each attempt is to be sent once.
+			// A connection serves one request: http.Transport itself retries some requests when a connection that was
+			// idle turns out to be closed, but each attempt must be sent at most once.
 			Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: options.Dial},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// Run runs the program to its end.
+// Run runs the program until it ends by itself, by its Timeout or by ctx.
 func (p *Program) Run(ctx context.Context) Outcome {
 	if p.options.Timeout > 0 {
 		bounded, cancel := context.WithTimeout(ctx, p.options.Timeout)
@@ -136,12 +137,12 @@
 	return p.outcome
 }
 
-// nextAttempt gives a new X-Attempt-Id.
+// nextAttempt returns a new X-Attempt-Id.
 func (p *Program) nextAttempt() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.next++
-	return fmt.Sprintf("%s-%d", p.options.Name, p.next)
+	p.lastAttempt++
+	return fmt.Sprintf("%s-%d", p.options.Name, p.lastAttempt)
 }
 
 func (p *Program) recordTurn(turn Turn) {
@@ -155,49 +156,3 @@
 	defer p.mutex.Unlock()
 	p.outcome.Tools = append(p.outcome.Tools, tool)
 }
-
-// Check compares what a program saw with what ran, and gives a sentence for each thing that breaks a rule.
-func (o Outcome) Check(ledger *RunLog) []string {
-	var problems []string
-	note := func(format string, values ...any) { problems = append(problems, fmt.Sprintf(format, values...)) }
-	for _, turn := range o.Turns {
-		runs := ledger.Runs(turn.Attempt)
-		if turn.Problem != "" {
-			note("turn %s: %s", turn.Attempt, turn.Problem)
-		}
-		if len(runs) > 1 {
-			note("turn %s ran %d times", turn.Attempt, len(runs))
-		}
-		if turn.Complete && turn.Status == http.StatusOK && len(runs) == 0 {
-			note("turn %s was answered and did not run", turn.Attempt)
-		}
-		if guaranteesNotRun(turn.Status) && len(runs) > 0 {
-			note("turn %s got %d and ran", turn.Attempt, turn.Status)
-		}
-		for _, run := range runs {
-			if string(run.Body) != turn.Prompt {
-				note("turn %s ran with %q, not with %q", turn.Attempt, run.Body, turn.Prompt)
-			}
-		}
-	}
-	for _, tool := range o.Tools {
-		if tool.Problem != "" {
-			note("tool %s: %s", tool.Attempt, tool.Problem)
-		}
-		if runs := ledger.Runs(tool.Attempt); len(runs) > 1 || guaranteesNotRun(tool.Status) && len(runs) > 0 {
-			note("tool %s got %d and ran %d times", tool.Attempt, tool.Status, len(runs))
-		}
-	}
-	return problems
-}
-
-// guaranteesNotRun says whether a status promises that the request has not run and never will.
-func guaranteesNotRun(status int) bool {
-	switch status {
-	case http.StatusPaymentRequired, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
-		http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return true
-	default:
-		return false
-	}
-}
--- a/internal/tier/standin/program_request.go
+++ b/internal/tier/standin/program_request.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newRequest gives a request with what all requests of a program carry.
+// newRequest returns a request with the headers of all requests of a program.
 func (p *Program) newRequest(ctx context.Context, method, path, attempt, session string, body io.Reader) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.options.Address+path, body)
 	if err != nil {
@@ -35,6 +35,7 @@
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
+// sendTurn sends a turn once and enters the response into it. Without a response its status stays 0.
 func (p *Program) sendTurn(ctx context.Context, turn *Turn, input string) {
 	ctx, cancel := p.withRequestTimeout(ctx)
 	defer cancel()
@@ -72,6 +73,7 @@
 	turn.Complete = err == nil
 }
 
+// withRequestTimeout bounds a request by the RequestTimeout.
 func (p *Program) withRequestTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if p.options.RequestTimeout <= 0 {
 		return context.WithCancel(ctx)
@@ -79,37 +81,38 @@
 	return context.WithTimeout(ctx, p.options.RequestTimeout)
 }
 
-// read takes the events of an answer.
+// read parses the events of a response (server-sent events, of which only id and data occur) and checks each.
 func (t *Turn) read(body io.Reader) {
 	lines := bufio.NewScanner(io.LimitReader(body, maxBodyBytes))
 	lines.Buffer(nil, maxBodyBytes)
 	var id int
 	var data string
-	open := false // inside an event
+	inEvent := false
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch name {
 		case "id":
 			id, _ = strconv.Atoi(value)
-			open = true
+			inEvent = true
 		case "data":
 			data = value
-			open = true
+			inEvent = true
 		case "":
-			if open {
-				t.takeEvent(id, data)
+			if inEvent {
+				t.addEvent(id, data)
 			}
-			open = false
+			inEvent = false
 		}
 	}
 	t.Complete = lines.Err() == nil
-	if t.Complete && open {
+	if t.Complete && inEvent {
 		t.Problem = "the answer ends inside an event and looks whole"
 	}
 }
 
-func (t *Turn) takeEvent(id int, data string) {
+// addEvent adds an event to the output and checks its id and data.
+func (t *Turn) addEvent(id int, data string) {
 	t.Events++
 	t.Output += data + "\n"
 	switch {
@@ -120,6 +123,7 @@
 	}
 }
 
+// sendTool sends a tool call once and enters the response into it. Without a response its status stays 0.
 func (p *Program) sendTool(ctx context.Context, tool *Tool, session string) {
 	ctx, cancel := p.withRequestTimeout(ctx)
 	defer cancel()
@@ -141,7 +145,7 @@
 	}
 }
 
-// sealProblem checks that a success is stamped by an endpoint, for this attempt.
+// sealProblem returns what is wrong with the seal of a success, which must be an endpoint's for this attempt.
 func sealProblem(response *http.Response, attempt string) string {
 	if response.StatusCode != http.StatusOK {
 		return ""
--- a/internal/tier/standin/program_session.go
+++ b/internal/tier/standin/program_session.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// sessionStart is what a line of turns begins with.
+// sessionStart is what a session, a sequence of turns, starts with.
 type sessionStart struct {
 	session   string
 	turns     int
 	subagents int
 	previous  string // turn that the first one continues
-	history   string // everything up to there
+	history   string // prompt and output of that turn
 }
 
-// runSession plays one line of turns.
+// runSession runs a session until its last turn, or the first failure.
 func (p *Program) runSession(ctx context.Context, start sessionStart) State {
 	previous, history := start.previous, start.history
 	turns := start.turns
@@ -31,11 +31,11 @@
 			return state
 		}
 		previous, history = turn.Attempt, turn.Prompt+turn.Output
-		if state := p.callTools(ctx, start.session); state != Finished {
+		if state = p.callTools(ctx, start.session); state != Finished {
 			return state
 		}
 		if number == 0 {
-			if state := p.runSubagents(ctx, start, previous, history); state != Finished {
+			if state = p.runSubagents(ctx, start, previous, history); state != Finished {
 				return state
 			}
 		}
@@ -43,7 +43,7 @@
 	return Finished
 }
 
-// runSubagents plays lines that go on from the same turn, alongside one another.
+// runSubagents runs sessions that all continue the same turn, concurrently.
 func (p *Program) runSubagents(ctx context.Context, start sessionStart, previous, history string) State {
 	return runConcurrently(start.subagents, func(i int) State {
 		return p.runSession(ctx, sessionStart{
@@ -55,21 +55,21 @@
 	})
 }
 
-// callTools calls the tools of one turn, all at once.
+// callTools makes the tool calls that follow a turn, concurrently.
 func (p *Program) callTools(ctx context.Context, session string) State {
 	return runConcurrently(p.options.Tools, func(int) State {
 		return p.callTool(ctx, session)
 	})
 }
 
-// runConcurrently gives the first state, by number, that is not Finished.
-func runConcurrently(count int, play func(i int) State) State {
+// runConcurrently waits for all and returns the first state, by number, that is not Finished.
+func runConcurrently(count int, run func(i int) State) State {
 	states := make([]State, count)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range count {
-		playing.Go(func() { states[i] = play(i) })
+		running.Go(func() { states[i] = run(i) })
 	}
-	playing.Wait()
+	running.Wait()
 	for _, state := range states {
 		if state != Finished {
 			return state
@@ -78,16 +78,16 @@
 	return Finished
 }
 
-// takeTurn sends a turn until it succeeds, as often as a program does.
+// takeTurn sends a turn, with retries, and returns its last attempt.
 func (p *Program) takeTurn(ctx context.Context, session, previous, history, input string) (Turn, State) {
-	for resends := 0; ; resends++ {
+	for retries := 0; ; retries++ {
 		turn := Turn{Session: session, Attempt: p.nextAttempt(), Previous: previous, Prompt: history + input}
 		turn.Sent = time.Now()
 		p.sendTurn(ctx, &turn, input)
 		turn.Ended = time.Now()
 		p.recordTurn(turn)
 		state := stateOf(turn.Status, turn.Complete)
-		if !p.shouldRetry(turn.Status, state) || resends == maxRetries || ctx.Err() != nil {
+		if !p.shouldRetry(turn.Status, state) || retries == maxRetries || ctx.Err() != nil {
 			return turn, state
 		}
 		if p.options.Backoff != nil && p.options.Backoff(ctx) != nil {
@@ -96,7 +96,8 @@
 	}
 }
 
-// shouldRetry says whether a program sends a turn again after such an end.
+// shouldRetry reports whether a program retries a turn that ended so, under a new attempt ID. It retries also a turn that may
+// have run.
 func (p *Program) shouldRetry(status int, state State) bool {
 	switch status {
 	case http.StatusPaymentRequired:
@@ -109,9 +110,10 @@
 	}
 }
 
-func stateOf(status int, whole bool) State {
+// stateOf returns the state in which a response leaves its request.
+func stateOf(status int, complete bool) State {
 	switch {
-	case status == http.StatusOK && whole:
+	case status == http.StatusOK && complete:
 		return Finished
 	case status == http.StatusPaymentRequired:
 		return BudgetSpent
@@ -122,13 +124,13 @@
 	}
 }
 
-// callTool calls a tool; a call that surely did not run is made again.
+// callTool calls a tool. Calls must run at most once: only a call whose status guarantees that it has not run is retried.
 func (p *Program) callTool(ctx context.Context, session string) State {
-	for resends := 0; ; resends++ {
+	for retries := 0; ; retries++ {
 		tool := Tool{Attempt: p.nextAttempt()}
 		p.sendTool(ctx, &tool, session)
 		p.recordTool(tool)
-		if !guaranteesNotRun(tool.Status) || resends == maxRetries || ctx.Err() != nil {
+		if !guaranteesNotRun(tool.Status) || retries == maxRetries || ctx.Err() != nil {
 			return stateOf(tool.Status, tool.Complete)
 		}
 		if p.options.Backoff != nil && p.options.Backoff(ctx) != nil {
--- a/internal/tier/standin/program_test.go
+++ b/internal/tier/standin/program_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// front stands where the proxy stands: it keeps chains and a budget, and hands requests to one engine and one tool.
-type front struct {
+// stubProxy is a proxy that keeps chains and a budget, and forwards requests to one engine and one tool.
+type stubProxy struct {
 	engine, tool http.Handler
 	budget       int // turns; then 402
 	forget       bool
@@ -23,59 +23,59 @@
 	turns  int
 }
 
-func (f *front) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+func (p *stubProxy) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	if strings.HasPrefix(request.URL.Path, "/tool/") {
-		f.tool.ServeHTTP(response, request)
+		p.tool.ServeHTTP(response, request)
 		return
 	}
 	input, _ := io.ReadAll(request.Body)
-	chain, status := f.begin(request.Header.Get("Previous"))
+	chain, status := p.begin(request.Header.Get("Previous"))
 	if status != 0 {
 		response.WriteHeader(status)
 		return
 	}
 	prompt := chain + string(input)
 	request.Body = io.NopCloser(strings.NewReader(prompt))
-	copied := &copying{ResponseWriter: response}
-	f.engine.ServeHTTP(copied, request)
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.chains[request.Header.Get("X-Attempt-Id")] = prompt + copied.data()
+	recorder := &recordingWriter{ResponseWriter: response}
+	p.engine.ServeHTTP(recorder, request)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.chains[request.Header.Get("X-Attempt-Id")] = prompt + recorder.data()
 }
 
-func (f *front) begin(previous string) (chain string, status int) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.turns++
-	if f.budget > 0 && f.turns > f.budget {
+func (p *stubProxy) begin(previous string) (chain string, status int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.turns++
+	if p.budget > 0 && p.turns > p.budget {
 		return "", http.StatusPaymentRequired
 	}
-	if previous == "" || f.forget {
+	if previous == "" || p.forget {
 		return "", 0
 	}
-	chain, known := f.chains[previous]
+	chain, known := p.chains[previous]
 	if !known {
 		return "", http.StatusNotFound
 	}
 	return chain, 0
 }
 
-// copying keeps what an answer holds.
-type copying struct {
+// recordingWriter records the body that it writes.
+type recordingWriter struct {
 	http.ResponseWriter
-	held bytes.Buffer
+	body bytes.Buffer
 }
 
-func (c *copying) Write(text []byte) (int, error) {
-	c.held.Write(text)
-	return c.ResponseWriter.Write(text)
+func (w *recordingWriter) Write(text []byte) (int, error) {
+	w.body.Write(text)
+	return w.ResponseWriter.Write(text)
 }
 
-func (c *copying) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+func (w *recordingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (c *copying) data() string {
+func (w *recordingWriter) data() string {
 	var data strings.Builder
-	for text := range strings.Lines(c.held.String()) {
+	for text := range strings.Lines(w.body.String()) {
 		if after, found := strings.CutPrefix(text, "data: "); found {
 			data.WriteString(after)
 		}
@@ -93,44 +93,44 @@
 	}
 }
 
-type played struct {
+type programRun struct {
 	outcome Outcome
-	ledger  *RunLog
+	log     *RunLog
 }
 
-func play(t *testing.T, stand *front, engineFault, toolFault func(*http.Request) Fault, options ProgramOptions) played {
+func runProgram(t *testing.T, proxy *stubProxy, engineFault, toolFault func(*http.Request) Fault, options ProgramOptions) programRun {
 	t.Helper()
-	ledger := NewRunLog()
-	stand.chains = map[string]string{}
-	stand.engine = startEngine(t, EngineOptions{
-		EndpointOptions: EndpointOptions{Capacity: 8, RunLog: ledger, Fault: engineFault},
+	log := NewRunLog()
+	proxy.chains = map[string]string{}
+	proxy.engine = startEngine(t, EngineOptions{
+		EndpointOptions: EndpointOptions{Capacity: 8, RunLog: log, Fault: engineFault},
 		TokensPerEvent:  3,
 	})
-	stand.tool = startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{Capacity: 8, RunLog: ledger, Fault: toolFault}})
-	server := httptest.NewServer(stand)
+	proxy.tool = startPlain(t, PlainOptions{EndpointOptions: EndpointOptions{Capacity: 8, RunLog: log, Fault: toolFault}})
+	server := httptest.NewServer(proxy)
 	t.Cleanup(server.Close)
 	options.Name, options.Address = "p", server.Listener.Addr().String()
 	options.Host, options.TurnPath, options.ToolPath = "h.example", "/turn/1", "/tool/1"
 	options.MaxTokens = 12
-	return played{outcome: NewProgram(options).Run(testContext(t)), ledger: ledger}
+	return programRun{outcome: NewProgram(options).Run(testContext(t)), log: log}
 }
 
-func TestAProgramThatGoesWell(t *testing.T) {
-	for _, remembered := range []bool{false, true} {
-		got := play(t, &front{}, nil, nil, ProgramOptions{Turns: 3, Tools: 2, Subagents: 2, SubagentTurns: 2, Stateful: remembered})
+func TestProgram_NoFaults_FinishesWithoutProblems(t *testing.T) {
+	for _, stateful := range []bool{false, true} {
+		got := runProgram(t, &stubProxy{}, nil, nil, ProgramOptions{Turns: 3, Tools: 2, Subagents: 2, SubagentTurns: 2, Stateful: stateful})
 		if got.outcome.State != Finished || len(got.outcome.Turns) != 7 || len(got.outcome.Tools) != 14 || got.outcome.Events() != 28 {
-			t.Errorf("remembered %v: got %+v", remembered, got.outcome)
+			t.Errorf("stateful %v: got %+v", stateful, got.outcome)
 		}
-		if problems := got.outcome.Check(got.ledger); len(problems) != 0 {
-			t.Errorf("remembered %v: %v", remembered, problems)
+		if problems := got.outcome.Check(got.log); len(problems) != 0 {
+			t.Errorf("stateful %v: %v", stateful, problems)
 		}
-		if twice := got.ledger.Duplicates(); len(twice) != 0 || got.ledger.Tokens("p") != 84 {
-			t.Errorf("twice %v, %d tokens", twice, got.ledger.Tokens("p"))
+		if twice := got.log.Duplicates(); len(twice) != 0 || got.log.Tokens("p") != 84 {
+			t.Errorf("twice %v, %d tokens", twice, got.log.Tokens("p"))
 		}
 	}
 }
 
-func TestWhatBecomesOfAProgram(t *testing.T) {
+func TestProgram_Faults_EndsInExpectedState(t *testing.T) {
 	always := func(fault Fault) func(*http.Request) Fault { return func(*http.Request) Fault { return fault } }
 	cases := []struct {
 		name        string
@@ -156,21 +156,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := play(t, &front{budget: c.budget}, c.engineFault, c.toolFault, c.options)
+			got := runProgram(t, &stubProxy{budget: c.budget}, c.engineFault, c.toolFault, c.options)
 			if got.outcome.State != c.state || len(got.outcome.Turns) != c.turns || len(got.outcome.Tools) != c.tools {
 				t.Errorf("got %+v", got.outcome)
 			}
-			if problems := got.outcome.Check(got.ledger); len(problems) != 0 {
+			if problems := got.outcome.Check(got.log); len(problems) != 0 {
 				t.Error(problems)
 			}
 		})
 	}
 }
 
-func TestATurnThatIsNotKnownEndsTheProgram(t *testing.T) {
-	stand := &front{}
-	stand.engine = http.NotFoundHandler()
-	server := httptest.NewServer(stand.engine)
+func TestProgram_UnknownTurn_EndsProgram(t *testing.T) {
+	proxy := &stubProxy{}
+	proxy.engine = http.NotFoundHandler()
+	server := httptest.NewServer(proxy.engine)
 	defer server.Close()
 	program := NewProgram(ProgramOptions{Name: "p", Address: server.Listener.Addr().String(), TurnPath: "/", Turns: 3})
 	if got := program.Run(testContext(t)); got.State != UnknownTurn || len(got.Turns) != 1 {
@@ -178,10 +178,10 @@
 	}
 }
 
-func TestCheckFindsWhatIsWrong(t *testing.T) {
+func TestOutcomeCheck_BrokenGuarantee_IsReported(t *testing.T) {
 	t.Run("a chain that was forgotten", func(t *testing.T) {
-		got := play(t, &front{forget: true}, nil, nil, ProgramOptions{Turns: 2, Stateful: true})
-		problems := strings.Join(got.outcome.Check(got.ledger), "; ")
+		got := runProgram(t, &stubProxy{forget: true}, nil, nil, ProgramOptions{Turns: 2, Stateful: true})
+		problems := strings.Join(got.outcome.Check(got.log), "; ")
 		if !strings.Contains(problems, "ran with") {
 			t.Errorf("got %q", problems)
 		}
@@ -194,7 +194,7 @@
 	}{
 		{name: "twice", outcome: Outcome{Turns: []Turn{{Attempt: "1"}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
 			want: "turn 1 ran 2 times"},
-		{name: "a promise broken", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 402}}}, runs: []Run{{Attempt: "1"}},
+		{name: "a status that is not true", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 402}}}, runs: []Run{{Attempt: "1"}},
 			want: "turn 1 got 402 and ran"},
 		{name: "an answer from nowhere", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 200, Complete: true}}},
 			want: "turn 1 was answered and did not run"},
@@ -203,18 +203,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ledger := NewRunLog()
+			log := NewRunLog()
 			for _, run := range c.runs {
-				ledger.start(run)
+				log.start(run)
 			}
-			if diff := cmp.Diff([]string{c.want}, c.outcome.Check(ledger)); diff != "" {
+			if diff := cmp.Diff([]string{c.want}, c.outcome.Check(log)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestEventsOutOfPlaceAreFound(t *testing.T) {
+func TestTurnRead_EventsOutOfOrder_AreReported(t *testing.T) {
 	event := func(id, data int) string {
 		return "id: " + string(rune('0'+id)) + "\ndata: " + EventData(nil, data) + "\n\n"
 	}
--- a/internal/tier/standin/slots.go
+++ b/internal/tier/standin/slots.go
@@ -8,25 +8,26 @@
 	"sync"
 )
 
-// errFull means that all slots are taken and the queue is full, or that a more urgent request took the place in it.
+// errFull means that all slots are taken and the queue is full, or that a more urgent request displaced this one from it.
 var errFull = errors.New("full")
 
-// slots are an endpoint's places, with a queue in front of them that is served by priority, then by arrival.
+// slots bound an endpoint's concurrent requests. Others wait in a queue, ordered by priority, then by arrival.
 type slots struct {
-	capacity int
-	queue    int
+	capacity int // slots
+	queue    int // capacity of the queue
 
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards all fields below
 	running int
 	waiting []*waiter
 }
 
+// waiter is a request in the queue.
 type waiter struct {
-	priority int
+	priority int       // 0 is the most urgent
 	granted  chan bool // false: displaced
 }
 
-// acquire takes a slot or waits for one.
+// acquire takes a slot, or waits in the queue for one. Its errors are errFull and that of ctx.
 func (s *slots) acquire(ctx context.Context, priority int) error {
 	waiting, err := s.enqueue(priority)
 	if err != nil || waiting == nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// enqueue takes a free slot, or gives a place in the queue.
+// enqueue takes a free slot, or enters the queue; a nil waiter means that it took a slot.
 func (s *slots) enqueue(priority int) (*waiter, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,15 +57,15 @@
 		return nil, errFull
 	}
 	entered := &waiter{priority: priority, granted: make(chan bool, 1)}
-	at := 0
-	for at < len(s.waiting) && s.waiting[at].priority <= priority {
-		at++
+	index := 0
+	for index < len(s.waiting) && s.waiting[index].priority <= priority {
+		index++
 	}
-	s.waiting = slices.Insert(s.waiting, at, entered)
+	s.waiting = slices.Insert(s.waiting, index, entered)
 	return entered, nil
 }
 
-// displaceLocked turns the least urgent out of the queue for a more urgent one.
+// displaceLocked rejects the least urgent waiter for a more urgent request; false means that none is less urgent.
 func (s *slots) displaceLocked(priority int) bool {
 	last := len(s.waiting) - 1
 	if last < 0 || s.waiting[last].priority <= priority {
@@ -75,20 +76,20 @@
 	return true
 }
 
-// abandon gives up a place in the queue, or the slot that was given meanwhile.
-func (s *slots) abandon(gone *waiter) {
+// abandon removes a waiter from the queue, or releases the slot that it was granted meanwhile.
+func (s *slots) abandon(abandoned *waiter) {
 	s.mutex.Lock()
-	at := slices.Index(s.waiting, gone)
-	if at >= 0 {
-		s.waiting = slices.Delete(s.waiting, at, at+1)
+	index := slices.Index(s.waiting, abandoned)
+	if index >= 0 {
+		s.waiting = slices.Delete(s.waiting, index, index+1)
 	}
 	s.mutex.Unlock()
-	if at < 0 && <-gone.granted {
+	if index < 0 && <-abandoned.granted {
 		s.release()
 	}
 }
 
-// release hands a slot to the first in the queue.
+// release frees a slot, or grants it to the first waiter.
 func (s *slots) release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/standin/stream.go
+++ b/internal/tier/standin/stream.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// turn answers with a series of events. The request runs from its first event on.
+// turn answers a request with a stream of events. Its run starts with its first event.
 func (e *Engine) turn(response http.ResponseWriter, request *http.Request) {
 	if !e.fits(response, request) {
 		return
@@ -17,27 +17,27 @@
 		return
 	}
 	defer admitted.release()
-	told := requestTokensOf(request)
-	e.cacheUsed.Add(told.prompt + told.maxOutput)
-	defer e.cacheUsed.Add(-told.prompt - told.maxOutput)
+	tokens := requestTokensOf(request)
+	e.cacheUsed.Add(tokens.prompt + tokens.maxOutput)
+	defer e.cacheUsed.Add(-tokens.prompt - tokens.maxOutput)
 	if err := e.work(admitted.ctx, e.engine.Prefill); err != nil {
 		e.rejectUnstarted(response, request)
 		return
 	}
-	place := e.run(request, admitted.body)
+	index := e.startRun(request, admitted.body)
 	switch admitted.fault {
 	case LoseResponse:
-		e.runLog.progress(place, e.engine.TokensPerEvent, false)
+		e.runLog.progress(index, e.engine.TokensPerEvent, false)
 		panic(http.ErrAbortHandler)
 	case FailResponse:
 		e.seal(response, request)
 		http.Error(response, "failed", http.StatusInternalServerError)
 		return
 	}
-	e.stream(response, request, admitted, place)
+	e.stream(response, request, admitted, index)
 }
 
-// rejectUnstarted answers a request whose time ended before its first token.
+// rejectUnstarted rejects a request whose deadline passed before its first event.
 func (e *Engine) rejectUnstarted(response http.ResponseWriter, request *http.Request) {
 	if request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
@@ -45,7 +45,8 @@
 	e.reject(response, request, http.StatusServiceUnavailable)
 }
 
-func (e *Engine) stream(response http.ResponseWriter, request *http.Request, admitted admission, place int) {
+// stream writes the events after Last-Event-Id, with the request's fault.
+func (e *Engine) stream(response http.ResponseWriter, request *http.Request, admitted admission, index int) {
 	e.seal(response, request)
 	response.Header().Set("Content-Type", "text/event-stream")
 	if e.engine.WeightsVersion > 0 {
@@ -58,20 +59,21 @@
 			panic(http.ErrAbortHandler)
 		}
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", id, EventData(admitted.body, id))
-		cut := admitted.fault == TruncateResponse && (id > last/2 || id == last)
-		if cut {
+		truncate := admitted.fault == TruncateResponse && (id > last/2 || id == last)
+		if truncate {
 			text = text[:len(text)/2]
 		}
 		if !e.send(response, text) {
 			panic(http.ErrAbortHandler)
 		}
-		e.runLog.progress(place, e.engine.TokensPerEvent, id == last && !cut)
-		if cut {
+		e.runLog.progress(index, e.engine.TokensPerEvent, id == last && !truncate)
+		if truncate {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
+// send writes and flushes one event; false means that the connection is lost.
 func (e *Engine) send(response http.ResponseWriter, text string) bool {
 	if _, err := response.Write([]byte(text)); err != nil {
 		return false
@@ -79,7 +81,7 @@
 	return http.NewResponseController(response).Flush() == nil
 }
 
-// EventData gives the data of an event. It depends on the prompt alone, so that every engine answers alike.
+// EventData returns the data of an event. It depends on the prompt and the id alone, so that all engines answer alike.
 func EventData(prompt []byte, id int) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write(prompt)
