--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -18,8 +18,8 @@
 	"mastusher/internal/relay/fleet/testcluster"
 )
 
-// errBreach ends a command whose fleet broke a rule.
-var errBreach = errors.New("a rule was broken, or something did not come about")
+// errFleetViolation ends a command whose fleet broke a rule.
+var errFleetViolation = errors.New("a rule was broken, or something did not come about")
 
 func fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "fleets of real processes with faults between them, and of thousands in virtual time"}
@@ -41,7 +41,7 @@
 			if seed != 0 {
 				plan.Seed = seed
 			}
-			return playFleet(cmd, plan, relay, out)
+			return runFleet(cmd, plan, relay, out)
 		}}
 	run.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
 	run.Flags().StringVar(&out, "out", "", "folder for history, logs and page (default: one that is removed where all is well)")
@@ -74,7 +74,7 @@
 			}
 			if b := checker.Judge(h, checker.Options{Slack: slack}); b != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
-				return errBreach
+				return errFleetViolation
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d entries, no breach\n", len(h))
 			return nil
@@ -154,8 +154,8 @@
 	return fleet
 }
 
-// playFleet plays one scenario and keeps what is needed to look into it.
-func playFleet(cmd *cobra.Command, plan testcluster.Scenario, relay, out string) error {
+// runFleet plays one scenario and keeps what is needed to look into it.
+func runFleet(cmd *cobra.Command, plan testcluster.Scenario, relay, out string) error {
 	keep := out != ""
 	if !keep {
 		dir, err := os.MkdirTemp("", "fleet")
@@ -190,7 +190,7 @@
 		return err
 	}
 	if r.Bad() {
-		return errBreach
+		return errFleetViolation
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 	fmt.Fprintf(cmd.OutOrStdout(), "%d scenarios in %v, %d bad; %d of %d changes in force, %d messages taken on; faults during a change: %v\n", count,
 		time.Since(begun).Round(time.Second), len(bad), held, changes, taken, struck)
 	if len(bad) > 0 {
-		return errBreach
+		return errFleetViolation
 	}
 	return nil
 }
--- a/cmd/relay-simulator/stage.go
+++ b/cmd/relay-simulator/loadtest.go
@@ -13,35 +13,35 @@
 )
 
 // demoScript is a minute in a relay's life.
-func demoScript(quick float64) []loadtest.Scene {
+func demoScript(quick float64) []loadtest.Step {
 	at := func(seconds float64) time.Duration { return time.Duration(seconds / quick * float64(time.Second)) }
-	set := func(n int, change func(*loadtest.Manners)) func(*loadtest.Stage) {
-		return func(s *loadtest.Stage) {
-			m := s.Was(n)
+	set := func(n int, change func(*loadtest.Behavior)) func(*loadtest.LoadTest) {
+		return func(s *loadtest.LoadTest) {
+			m := s.Behavior(n)
 			change(&m)
-			s.Set(n, m)
+			s.SetBehavior(n, m)
 		}
 	}
-	kill := func(s *loadtest.Stage) {
+	kill := func(s *loadtest.LoadTest) {
 		s.Kill()
 		if err := s.Start(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
-	return []loadtest.Scene{
-		{At: at(6), Text: "partner 1 hangs", Do: set(1, func(m *loadtest.Manners) { m.Hangs = true })},
-		{At: at(12), Text: "partner 1 answers again", Do: set(1, func(m *loadtest.Manners) { m.Hangs = false })},
-		{At: at(16), Text: "partner 2 refuses all, with a wait of 0.8 s", Do: set(2, func(m *loadtest.Manners) { m.Refuse = 800 * time.Millisecond })},
-		{At: at(21), Text: "partner 2 takes calls again", Do: set(2, func(m *loadtest.Manners) { m.Refuse = 0 })},
-		{At: at(26), Text: "the endpoint of partner 3 drains, another takes its place", Do: func(s *loadtest.Stage) {
+	return []loadtest.Step{
+		{At: at(6), Text: "partner 1 hangs", Do: set(1, func(m *loadtest.Behavior) { m.Hangs = true })},
+		{At: at(12), Text: "partner 1 answers again", Do: set(1, func(m *loadtest.Behavior) { m.Hangs = false })},
+		{At: at(16), Text: "partner 2 refuses all, with a wait of 0.8 s", Do: set(2, func(m *loadtest.Behavior) { m.RetryAfter = 800 * time.Millisecond })},
+		{At: at(21), Text: "partner 2 takes calls again", Do: set(2, func(m *loadtest.Behavior) { m.RetryAfter = 0 })},
+		{At: at(26), Text: "the endpoint of partner 3 drains, another takes its place", Do: func(s *loadtest.LoadTest) {
 			s.List(demoPartners, 3, "ready")
 			s.List(3, 3, "draining")
 		}},
-		{At: at(28), Text: "the old endpoint of partner 3 is gone", Do: func(s *loadtest.Stage) { s.List(3, 3, "gone") }},
+		{At: at(28), Text: "the old endpoint of partner 3 is gone", Do: func(s *loadtest.LoadTest) { s.List(3, 3, "gone") }},
 		{At: at(36), Text: "the relay is killed (SIGKILL) and started again", Do: kill},
-		{At: at(43), Text: "partner 4 hangs", Do: set(4, func(m *loadtest.Manners) { m.Hangs = true })},
+		{At: at(43), Text: "partner 4 hangs", Do: set(4, func(m *loadtest.Behavior) { m.Hangs = true })},
 		{At: at(45), Text: "the relay is killed while calls hang, and started again", Do: kill},
-		{At: at(49), Text: "partner 4 answers again", Do: set(4, func(m *loadtest.Manners) { m.Hangs = false })},
+		{At: at(49), Text: "partner 4 answers again", Do: set(4, func(m *loadtest.Behavior) { m.Hangs = false })},
 	}
 }
 
@@ -55,9 +55,9 @@
 			if quick < 1 || quick > 20 {
 				return fmt.Errorf("--quick: want 1 to 20")
 			}
-			plan := loadtest.Plan{Partners: demoPartners, Rate: 25, Length: time.Duration(55 / quick * float64(time.Second)), Most: 5000, Seed: 1, Class: "match-event",
-				Timeout: 16 * time.Second, Manners: loadtest.Manners{Took: 60 * time.Millisecond}, Script: demoScript(quick)}
-			return perform(cmd.OutOrStdout(), progress, plan, relay, page, "A minute of a relay")
+			plan := loadtest.Plan{Partners: demoPartners, Rate: 25, Length: time.Duration(55 / quick * float64(time.Second)), MaxMessages: 5000, Seed: 1, Class: "match-event",
+				Timeout: 16 * time.Second, Behavior: loadtest.Behavior{ServiceTime: 60 * time.Millisecond}, Steps: demoScript(quick)}
+			return runLoadTest(cmd.OutOrStdout(), progress, plan, relay, page, "A minute of a relay")
 		}}
 	cmd.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
 	cmd.Flags().StringVar(&page, "html", "demo.html", "write the page there")
@@ -77,25 +77,25 @@
 				return fmt.Errorf("--for: want a time above 0, up to an hour")
 			case plan.Partners < 1 || plan.Partners > 200:
 				return fmt.Errorf("--partners: want 1 to 200")
-			case plan.Most < 1 || plan.Most > 1_000_000:
+			case plan.MaxMessages < 1 || plan.MaxMessages > 1_000_000:
 				return fmt.Errorf("--most: want 1 to 1,000,000")
 			}
-			return perform(cmd.OutOrStdout(), progress, plan, relay, page, "A load on a relay")
+			return runLoadTest(cmd.OutOrStdout(), progress, plan, relay, page, "A load on a relay")
 		}}
 	f := cmd.Flags()
 	f.StringVar(&relay, "relay", "bin/mastusher", "the relay's program, which is started with a configuration of its own")
 	f.StringVar(&page, "html", "", "write a page there, with each message")
 	f.Float64Var(&plan.Rate, "rate", 100, "messages a second")
 	f.DurationVar(&plan.Length, "for", 20*time.Second, "how long")
-	f.IntVar(&plan.Most, "most", 100_000, "messages in all")
+	f.IntVar(&plan.MaxMessages, "most", 100_000, "messages in all")
 	f.IntVar(&plan.Partners, "partners", 20, "stand-in partners")
-	f.DurationVar(&plan.Manners.Took, "takes", 60*time.Millisecond, "time that a partner takes for a call")
+	f.DurationVar(&plan.Behavior.ServiceTime, "takes", 60*time.Millisecond, "time that a partner takes for a call")
 	f.Uint64Var(&plan.Seed, "seed", 1, "of arrivals")
 	return cmd
 }
 
-// perform plays a plan on a relay and tells what came of it.
-func perform(w, progress io.Writer, plan loadtest.Plan, relay, page, title string) error {
+// runLoadTest plays a plan on a relay and tells what came of it.
+func runLoadTest(w, progress io.Writer, plan loadtest.Plan, relay, page, title string) error {
 	dir, err := os.MkdirTemp("", "relay-simulator")
 	if err != nil {
 		return err
@@ -112,9 +112,9 @@
 	fmt.Fprintln(progress)
 	ends := map[string]int{}
 	for _, t := range tracks {
-		ends[t.End]++
+		ends[t.Outcome]++
 	}
-	for _, e := range s.Told {
+	for _, e := range s.Timeline {
 		fmt.Fprintf(w, "%8.3f s  %s\n", e.At.Seconds(), e.What)
 	}
 	fmt.Fprintf(w, "%d messages:", len(tracks))
@@ -125,21 +125,21 @@
 	for how, n := range ends { // there should be none
 		fmt.Fprintf(w, " %d %s,", n, how)
 	}
-	fmt.Fprintf(w, " taken on within p50 %.1f ms, p99 %.1f ms of when they were due\n", float64(s.Lat.ValueAtPercentile(50))/1e6, float64(s.Lat.ValueAtPercentile(99))/1e6)
+	fmt.Fprintf(w, " taken on within p50 %.1f ms, p99 %.1f ms of when they were due\n", float64(s.AcceptLatency.ValueAtPercentile(50))/1e6, float64(s.AcceptLatency.ValueAtPercentile(99))/1e6)
 	if page != "" {
 		f, err := os.Create(page)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if err := report.Load(f, title, plan.Length, s.Told, tracks); err != nil {
+		if err := report.WriteLoadTest(f, title, plan.Length, s.Timeline, tracks); err != nil {
 			return err
 		}
 		fmt.Fprintln(w, "what happened to each message:", page)
 	}
 	for _, t := range tracks {
-		if t.End == "lost" || t.End == "delivered twice" {
-			return fmt.Errorf("message %s: %s", t.ID, t.End)
+		if t.Outcome == "lost" || t.Outcome == "delivered twice" {
+			return fmt.Errorf("message %s: %s", t.ID, t.Outcome)
 		}
 	}
 	return nil
--- a/cmd/relay-simulator/main.go
+++ b/cmd/relay-simulator/main.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// errRules is returned where a policy has broken a rule.
-var errRules = errors.New("rules were broken")
+// errRulesViolated is returned where a policy has broken a rule.
+var errRulesViolated = errors.New("rules were broken")
 
 func command(out, progress io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "relay-simulator", Short: "try routing, limits and retries in an emulator, in virtual time", SilenceUsage: true}
@@ -38,7 +38,7 @@
 	return root
 }
 
-func world(file string, seed uint64) (*simulator.World, error) {
+func loadWorld(file string, seed uint64) (*simulator.World, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	var name, page string
 	var seed uint64
 	cmd := &cobra.Command{Use: "run WORLD", Short: "play a world under one policy", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		w, err := world(args[0], seed)
+		w, err := loadWorld(args[0], seed)
 		if err != nil {
 			return err
 		}
@@ -65,15 +65,15 @@
 		if err != nil {
 			return err
 		}
-		tell(cmd.OutOrStdout(), res)
+		printResult(cmd.OutOrStdout(), res)
 		if page != "" {
-			if err := writePage(page, &experiment.Results{Version: experiment.Version, Name: w.Name, World: encode(w),
+			if err := writePage(page, &experiment.Results{Version: experiment.Version, Name: w.Name, World: encodeWorld(w),
 				Cells: []experiment.Cell{{Policy: name, Seed: w.Seed, Result: res}}}); err != nil {
 				return err
 			}
 		}
-		if len(res.Broken) > 0 {
-			return errRules
+		if len(res.ViolationCounts) > 0 {
+			return errRulesViolated
 		}
 		return nil
 	}}
@@ -83,28 +83,28 @@
 	return cmd
 }
 
-func encode(w *simulator.World) string {
+func encodeWorld(w *simulator.World) string {
 	var b strings.Builder
 	_ = toml.NewEncoder(&b).Encode(w)
 	return b.String()
 }
 
-func tell(w io.Writer, r *simulator.Result) {
-	fmt.Fprintf(w, "%s, seed %d, under %s: worth %.3f; %d messages, %d delivered, %d given up, %d late\n", r.World, r.Seed, r.Policy, r.Worth, r.Messages,
-		r.Delivered, r.GivenUp, r.Late)
-	fmt.Fprintf(w, "  %d busy replies, %d handed in again; %d calls, %d turned away, %d failed; %d turns; decisions %s\n", r.Refused, r.Again, r.Calls,
-		r.Turned, r.Failed, r.Turns, r.Hash)
+func printResult(w io.Writer, r *simulator.Result) {
+	fmt.Fprintf(w, "%s, seed %d, under %s: worth %.3f; %d messages, %d delivered, %d given up, %d late\n", r.World, r.Seed, r.Policy, r.Value, r.Messages,
+		r.Delivered, r.Abandoned, r.Expired)
+	fmt.Fprintf(w, "  %d busy replies, %d handed in again; %d calls, %d turned away, %d failed; %d turns; decisions %s\n", r.Refused, r.Resubmitted, r.Calls,
+		r.Throttled, r.Failed, r.Turns, r.Hash)
 	for _, l := range r.Latencies {
 		fmt.Fprintf(w, "  %-10s p50 %8.1f ms  p90 %8.1f  p99 %8.1f  most %8.1f\n", l.Class, l.P50, l.P90, l.P99, l.Max)
 	}
-	fmt.Fprintf(w, "  took %v, %.1f µs a message\n", r.Took.Round(time.Millisecond), float64(r.Took.Nanoseconds())/1000/float64(max(r.Messages, 1)))
+	fmt.Fprintf(w, "  took %v, %.1f µs a message\n", r.WallTime.Round(time.Millisecond), float64(r.WallTime.Nanoseconds())/1000/float64(max(r.Messages, 1)))
 	fmt.Fprintf(w, "  the fleet: %s\n", fleetText(r))
-	rules := make([]string, 0, len(r.Broken))
-	for rule, n := range r.Broken {
+	rules := make([]string, 0, len(r.ViolationCounts))
+	for rule, n := range r.ViolationCounts {
 		rules = append(rules, fmt.Sprintf("  broken: %s, %d times", rule, n))
 	}
 	slices.Sort(rules)
-	for _, line := range append(rules, r.Breaches[:min(len(r.Breaches), 5)]...) {
+	for _, line := range append(rules, r.ViolationSamples[:min(len(r.ViolationSamples), 5)]...) {
 		fmt.Fprintln(w, line)
 	}
 }
@@ -112,12 +112,12 @@
 // fleetText is what the relays did together.
 func fleetText(r *simulator.Result) string {
 	f := r.Fleet
-	s := fmt.Sprintf("in step %.3f, over %.2f, wasted %.3f, regain %.0f s, unequal %.3f", f.InStep, f.Over, f.Wasted, f.Regain, f.Unequal)
-	if n := r.Broken["cold returns"]; n > 0 {
+	s := fmt.Sprintf("in step %.3f, over %.2f, wasted %.3f, regain %.0f s, unequal %.3f", f.PeakSenderShare, f.PeakOverload, f.ThrottledPerMessage, f.RecoverySeconds, f.Unfairness)
+	if n := r.ViolationCounts["cold returns"]; n > 0 {
 		s += fmt.Sprintf(", %d pushed over", n)
 	}
-	if f.Shared > 0 {
-		s += fmt.Sprintf(", %.0f bytes/s a relay to share", f.Shared)
+	if f.SharingBytesPerSecond > 0 {
+		s += fmt.Sprintf(", %.0f bytes/s a relay to share", f.SharingBytesPerSecond)
 	}
 	return s
 }
@@ -134,7 +134,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
-		return play(cmd.OutOrStdout(), progress, x, cores, file, page)
+		return runExperiment(cmd.OutOrStdout(), progress, x, cores, file, page)
 	}}
 	cmd.Flags().StringVarP(&file, "out", "o", "", "write the results there, for plot")
 	cmd.Flags().StringVar(&page, "html", "", "write a page with plots there")
@@ -142,7 +142,7 @@
 	return cmd
 }
 
-func play(w, progress io.Writer, x *experiment.Experiment, cores int, file, page string) error {
+func runExperiment(w, progress io.Writer, x *experiment.Experiment, cores int, file, page string) error {
 	from := time.Now()
 	res, err := x.Run(cores, func(done, of int) {
 		left := time.Duration(float64(time.Since(from)) / float64(done) * float64(of-done))
@@ -156,15 +156,15 @@
 	fmt.Fprintf(w, "%12s %-12s %6s %7s %9s %9s %9s %9s %10s %s\n", x.Sweep.Key, "policy", "seed", "worth", "messages", "refused", "calls", "µs/msg", "turns", "decisions")
 	for _, c := range res.Cells {
 		r := c.Result
-		fmt.Fprintf(w, "%12g %-12s %6d %7.3f %9d %9d %9d %9.1f %10d %s", c.Value, c.Policy, c.Seed, r.Worth, r.Messages, r.Refused, r.Calls,
-			float64(r.Took.Nanoseconds())/1000/float64(max(r.Messages, 1)), r.Turns, r.Hash)
-		if r.Memory > 0 {
-			fmt.Fprintf(w, " %8.1f MB", float64(r.Memory)/1e6)
+		fmt.Fprintf(w, "%12g %-12s %6d %7.3f %9d %9d %9d %9.1f %10d %s", c.SweepValue, c.Policy, c.Seed, r.Value, r.Messages, r.Refused, r.Calls,
+			float64(r.WallTime.Nanoseconds())/1000/float64(max(r.Messages, 1)), r.Turns, r.Hash)
+		if r.HeapBytes > 0 {
+			fmt.Fprintf(w, " %8.1f MB", float64(r.HeapBytes)/1e6)
 		}
 		if x.Sweep.Key == "relays" {
 			fmt.Fprintf(w, " %s", fleetText(r))
 		}
-		for rule, n := range r.Broken {
+		for rule, n := range r.ViolationCounts {
 			fmt.Fprintf(w, " BROKEN %s ×%d", rule, n)
 			broken = true
 		}
@@ -177,7 +177,7 @@
 		err = errors.Join(err, writePage(page, res))
 	}
 	if err == nil && broken {
-		err = errRules
+		err = errRulesViolated
 	}
 	return err
 }
@@ -187,7 +187,7 @@
 	var seeds int
 	var page string
 	cmd := &cobra.Command{Use: "compare WORLD", Short: "play a world under several policies", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		w, err := world(args[0], 0)
+		w, err := loadWorld(args[0], 0)
 		if err != nil {
 			return err
 		}
@@ -196,11 +196,11 @@
 			x.Seeds = append(x.Seeds, w.Seed+uint64(s))
 		}
 		for _, p := range policies {
-			if policy.Named[p] == nil {
+			if policy.ByName[p] == nil {
 				return fmt.Errorf("--policies: %q is none of %s", p, strings.Join(experiment.Policies(), ", "))
 			}
 		}
-		return play(cmd.OutOrStdout(), progress, x, runtime.GOMAXPROCS(0), "", page)
+		return runExperiment(cmd.OutOrStdout(), progress, x, runtime.GOMAXPROCS(0), "", page)
 	}}
 	cmd.Flags().StringSliceVar(&policies, "policies", experiment.Policies(), "their names")
 	cmd.Flags().IntVar(&seeds, "seeds", 3, "how many, from the world's on")
@@ -226,29 +226,29 @@
 	return errors.Join(report.Write(f, res), f.Close())
 }
 
-// breaks tells whether a policy breaks a rule in a world; "": any.
-func breaks(w *simulator.World, name, rule string) bool {
+// violatesRule tells whether a policy breaks a rule in a world; "": any.
+func violatesRule(w *simulator.World, name, rule string) bool {
 	res, err := experiment.Play(w, name)
-	return err == nil && (rule == "" && len(res.Broken) > 0 || res.Broken[rule] > 0)
+	return err == nil && (rule == "" && len(res.ViolationCounts) > 0 || res.ViolationCounts[rule] > 0)
 }
 
 func shrinkCommand() *cobra.Command {
 	var name, rule string
 	var runs int
 	cmd := &cobra.Command{Use: "shrink WORLD", Short: "find the smallest world in which a policy still breaks a rule", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		w, err := world(args[0], 0)
+		w, err := loadWorld(args[0], 0)
 		if err != nil {
 			return err
 		}
-		fails := func(w *simulator.World) bool { return breaks(w, name, rule) }
+		fails := func(w *simulator.World) bool { return violatesRule(w, name, rule) }
 		if !fails(w) {
 			return errors.New("no such rule is broken in this world")
 		}
 		small := simulator.Shrink(w, runs, fails)
-		fmt.Fprint(cmd.OutOrStdout(), encode(small))
+		fmt.Fprint(cmd.OutOrStdout(), encodeWorld(small))
 		res, err := experiment.Play(small, name)
 		if err == nil {
-			tell(cmd.ErrOrStderr(), res)
+			printResult(cmd.ErrOrStderr(), res)
 		}
 		return err
 	}}
@@ -267,14 +267,14 @@
 		played := 0
 		for seed := from; time.Now().Before(until); seed++ {
 			w := simulator.Random(seed)
-			if played++; breaks(w, name, rule) {
-				small := simulator.Shrink(w, 300, func(w *simulator.World) bool { return breaks(w, name, rule) })
-				fmt.Fprintf(cmd.OutOrStdout(), "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encode(small))
+			if played++; violatesRule(w, name, rule) {
+				small := simulator.Shrink(w, 300, func(w *simulator.World) bool { return violatesRule(w, name, rule) })
+				fmt.Fprintf(cmd.OutOrStdout(), "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encodeWorld(small))
 				res, err := experiment.Play(small, name)
 				if err == nil {
-					tell(cmd.OutOrStdout(), res)
+					printResult(cmd.OutOrStdout(), res)
 				}
-				return errors.Join(errRules, err)
+				return errors.Join(errRulesViolated, err)
 			}
 			if time.Since(shown) > time.Second {
 				shown = time.Now()
@@ -296,12 +296,12 @@
 	return &cobra.Command{Use: "list", Short: "tell the policies, rules, troubles and keys to sweep that there are", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		w := cmd.OutOrStdout()
 		fmt.Fprintln(w, "policies:", strings.Join(experiment.Policies(), ", "))
-		fmt.Fprintln(w, "troubles:", strings.Join(simulator.Troubles(), ", "))
+		fmt.Fprintln(w, "troubles:", strings.Join(simulator.FaultKinds(), ", "))
 		var rules []string
 		for _, r := range simulator.Rules {
 			rules = append(rules, string(r))
 		}
 		fmt.Fprintln(w, "rules:", strings.Join(rules, ", "))
-		fmt.Fprintln(w, "keys to sweep:", strings.Join(experiment.Keys(), ", "))
+		fmt.Fprintln(w, "keys to sweep:", strings.Join(experiment.SweepKeys(), ", "))
 	}}
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -34,28 +34,28 @@
 	weight  func(float64) float64 // calls a second that a weight of the list tells
 	events  []control.Event
 	touched bool
-	rec     *capture.Writer // nil: it is not recorded
+	capture *capture.Writer // nil: it is not recorded
 }
 
-// link holds the instances and lists of one process.
-type link struct {
-	instances map[uint16]*instance
-	lists     map[uint8][]wire.Member
-	turn      []*instance // those with events in this batch, in order of appearance
-	reply     wire.Reply
-	actions   []control.Action
-	now       time.Duration
-	record    string // folder; "": none
-	recorded  int
+// adapter holds the instances and lists of one process.
+type adapter struct {
+	instances  map[uint16]*instance
+	lists      map[uint8][]wire.Member
+	touched    []*instance // those with events in this batch, in order of appearance
+	reply      wire.Reply
+	actions    []control.Action
+	now        time.Duration
+	captureDir string // folder; "": none
+	captures   int
 }
 
 // run serves a simulator until its input ends.
 func run(in io.Reader, out io.Writer, record string) (err error) {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	l := &link{instances: map[uint16]*instance{}, lists: map[uint8][]wire.Member{}, record: record}
+	l := &adapter{instances: map[uint16]*instance{}, lists: map[uint8][]wire.Member{}, captureDir: record}
 	defer func() {
 		for _, i := range l.instances {
-			err = errors.Join(err, i.stop())
+			err = errors.Join(err, i.closeCapture())
 		}
 	}()
 	var buf []byte
@@ -67,7 +67,7 @@
 		} else if err != nil {
 			return err
 		}
-		if err := l.batch(&b); err != nil {
+		if err := l.handleBatch(&b); err != nil {
 			return fmt.Errorf("batch %d: %w", b.Seq, err)
 		}
 		if _, err := w.Write(l.reply.Bytes()); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// batch hands each instance its events, in order, and writes down what they decide.
-func (l *link) batch(b *wire.Batch) error {
+// handleBatch hands each instance its events, in order, and writes down what they decide.
+func (l *adapter) handleBatch(b *wire.Batch) error {
 	l.now = time.Duration(b.Clock) * time.Microsecond
 	l.reply.Begin(b.Seq)
 	var cur *instance
@@ -100,28 +100,28 @@
 		if cur == nil {
 			return fmt.Errorf("record %d (code %d): no Context names its instance", i, rec.Code)
 		}
-		if err := l.event(cur, rec); err != nil {
+		if err := l.handleRecord(cur, rec); err != nil {
 			return fmt.Errorf("record %d (code %d): %w", i, rec.Code, err)
 		}
 	}
-	for _, in := range l.turn {
+	for _, in := range l.touched {
 		in.touched = false
 		if in.sender != nil && len(in.events) > 0 {
 			l.actions = in.sender.Step(l.now, in.events, l.actions[:0])
-			if in.rec != nil {
-				if err := in.rec.Turn(l.now, in.events, l.actions); err != nil {
+			if in.capture != nil {
+				if err := in.capture.Turn(l.now, in.events, l.actions); err != nil {
 					return err
 				}
 			}
-			l.write(in.id, l.actions)
+			l.writeActions(in.id, l.actions)
 		}
 		in.events = in.events[:0]
 	}
-	l.turn = l.turn[:0]
+	l.touched = l.touched[:0]
 	return nil
 }
 
-func (l *link) event(in *instance, rec *wire.Record) error {
+func (l *adapter) handleRecord(in *instance, rec *wire.Record) error {
 	switch rec.Code {
 	case wire.EvHello:
 		settings, err := wire.ParseSettings(rec.Setup)
@@ -133,16 +133,16 @@
 			return fmt.Errorf("field setup: %w", err)
 		}
 		in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
-		if err = in.stop(); err != nil || l.record == "" {
+		if err = in.closeCapture(); err != nil || l.captureDir == "" {
 			return err
 		}
-		l.recorded++
-		in.rec, err = capture.Create(filepath.Join(l.record, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), l.recorded, in.id, capture.Ext)),
+		l.captures++
+		in.capture, err = capture.Create(filepath.Join(l.captureDir, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), l.captures, in.id, capture.Ext)),
 			capture.Begin{Relay: fmt.Sprint("instance ", in.id), Clock: l.now, Seed: rec.Seed, Settings: settings.Settings})
 		return err
 	case wire.EvKilled:
 		in.sender, in.events = nil, in.events[:0]
-		return in.stop()
+		return in.closeCapture()
 	}
 	ev := control.Event{ID: rec.Ticket}
 	switch rec.Code {
@@ -175,7 +175,7 @@
 		ev.Resubmitted = rec.Flags&(wire.FlagRetry|wire.FlagTakenOver) != 0
 	case wire.EvResolved:
 		ev.Kind, ev.Attempt, ev.Endpoint = control.Resolved, int(rec.Try), rec.Target
-		ev.Result, ev.Final = result(rec.Status), rec.Settled != 0
+		ev.Result, ev.Final = callResult(rec.Status), rec.Settled != 0
 		ev.Elapsed = time.Duration(rec.WaitTime) * time.Microsecond
 		if ev.Result == control.Throttled {
 			ev.RetryAfter = time.Duration(rec.Detail) * time.Millisecond
@@ -192,22 +192,22 @@
 	}
 	if in.events = append(in.events, ev); !in.touched {
 		in.touched = true
-		l.turn = append(l.turn, in)
+		l.touched = append(l.touched, in)
 	}
 	return nil
 }
 
-// stop ends what is recorded of an instance.
-func (in *instance) stop() error {
-	if in.rec == nil {
+// closeCapture ends what is recorded of an instance.
+func (in *instance) closeCapture() error {
+	if in.capture == nil {
 		return nil
 	}
-	rec := in.rec
-	in.rec = nil
+	rec := in.capture
+	in.capture = nil
 	return rec.Close()
 }
 
-func result(status uint16) control.Result {
+func callResult(status uint16) control.Result {
 	switch status {
 	case 0:
 		return control.Delivered
@@ -229,7 +229,7 @@
 	return control.Unknown
 }
 
-func (l *link) write(id uint16, actions []control.Action) {
+func (l *adapter) writeActions(id uint16, actions []control.Action) {
 	if len(actions) == 0 {
 		return
 	}
--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -21,12 +21,12 @@
 
 // Experiment is what is to be played: every policy, with every seed, at every value of the sweep.
 type Experiment struct {
-	Name     string          `toml:"name"`
-	Policies []string        `toml:"policies"`
-	Seeds    []uint64        `toml:"seeds"`
-	Memory   bool            `toml:"memory"` // measure what runs hold; then they are played one by one
-	Sweep    Sweep           `toml:"sweep"`
-	World    simulator.World `toml:"world"`
+	Name        string          `toml:"name"`
+	Policies    []string        `toml:"policies"`
+	Seeds       []uint64        `toml:"seeds"`
+	MeasureHeap bool            `toml:"memory"` // measure what runs hold; then they are played one by one
+	Sweep       Sweep           `toml:"sweep"`
+	World       simulator.World `toml:"world"`
 }
 
 // Sweep is a key of the world that takes several values.
@@ -35,40 +35,44 @@
 	Values []float64 `toml:"values"`
 }
 
-// keys are those that a sweep can set.
-var keys = map[string]func(*simulator.World, float64){
+// sweepKeys are those that a sweep can set.
+var sweepKeys = map[string]func(*simulator.World, float64){
 	"rate":          func(w *simulator.World, v float64) { w.Rate = v },
 	"relays":        func(w *simulator.World, v float64) { w.Relays = int(v) },
-	"uneven":        func(w *simulator.World, v float64) { w.Uneven = v },
+	"uneven":        func(w *simulator.World, v float64) { w.Skew = v },
 	"slots":         func(w *simulator.World, v float64) { w.Slots = int(v) },
-	"clients.tries": func(w *simulator.World, v float64) { w.Clients.Tries = int(v) },
-	"list_delay":    func(w *simulator.World, v float64) { w.ListDelay = simulator.Span(v * float64(time.Second)) },
-	"partner.count": func(w *simulator.World, v float64) { each(w, func(p *simulator.Partner) { p.Count = int(v) }) },
+	"clients.tries": func(w *simulator.World, v float64) { w.Clients.MaxAttempts = int(v) },
+	"list_delay":    func(w *simulator.World, v float64) { w.ListDelay = simulator.Duration(v * float64(time.Second)) },
+	"partner.count": func(w *simulator.World, v float64) {
+		forEachPartner(w, func(p *simulator.Partner) { p.Count = int(v) })
+	},
 	"partner.endpoints": func(w *simulator.World, v float64) {
-		each(w, func(p *simulator.Partner) { p.Endpoints = int(v) })
+		forEachPartner(w, func(p *simulator.Partner) { p.Endpoints = int(v) })
+	},
+	"partner.queue": func(w *simulator.World, v float64) {
+		forEachPartner(w, func(p *simulator.Partner) { p.QueueCapacity = int(v) })
 	},
-	"partner.queue": func(w *simulator.World, v float64) { each(w, func(p *simulator.Partner) { p.Queue = int(v) }) },
 	"trouble.share": func(w *simulator.World, v float64) {
-		for i := range w.Troubles {
-			w.Troubles[i].Share = v
+		for i := range w.Faults {
+			w.Faults[i].Share = v
 		}
 	},
 	"trouble.factor": func(w *simulator.World, v float64) {
-		for i := range w.Troubles {
-			w.Troubles[i].Factor = v
+		for i := range w.Faults {
+			w.Faults[i].Factor = v
 		}
 	},
 }
 
-func each(w *simulator.World, do func(*simulator.Partner)) {
+func forEachPartner(w *simulator.World, do func(*simulator.Partner)) {
 	for i := range w.Partners {
 		do(&w.Partners[i])
 	}
 }
 
-// Keys are those that a sweep can set, sorted.
-func Keys() (all []string) {
-	for k := range keys {
+// SweepKeys are those that a sweep can set, sorted.
+func SweepKeys() (all []string) {
+	for k := range sweepKeys {
 		all = append(all, k)
 	}
 	slices.Sort(all)
@@ -77,7 +81,7 @@
 
 // Policies are the names of all policies, sorted.
 func Policies() (all []string) {
-	for k := range policy.Named {
+	for k := range policy.ByName {
 		all = append(all, k)
 	}
 	slices.Sort(all)
@@ -90,25 +94,25 @@
 	if err := simulator.Decode(text, &x); err != nil {
 		return nil, err
 	}
-	return &x, x.check()
+	return &x, x.validate()
 }
 
-func (x *Experiment) check() error {
+func (x *Experiment) validate() error {
 	for _, p := range x.Policies {
-		if policy.Named[p] == nil {
+		if policy.ByName[p] == nil {
 			return fmt.Errorf("key policies: %q is none of %s", p, strings.Join(Policies(), ", "))
 		}
 	}
 	if len(x.Policies) == 0 || len(x.Seeds) == 0 {
 		return errors.New("keys policies and seeds: want one of each at least")
 	}
-	if x.Sweep.Key != "" && keys[x.Sweep.Key] == nil {
-		return fmt.Errorf("key sweep.key: %q is none of %s", x.Sweep.Key, strings.Join(Keys(), ", "))
+	if x.Sweep.Key != "" && sweepKeys[x.Sweep.Key] == nil {
+		return fmt.Errorf("key sweep.key: %q is none of %s", x.Sweep.Key, strings.Join(SweepKeys(), ", "))
 	}
 	if (x.Sweep.Key == "") != (len(x.Sweep.Values) == 0) {
 		return errors.New("keys sweep.key and sweep.values: want both or neither")
 	}
-	if err := x.World.Check(); err != nil {
+	if err := x.World.Validate(); err != nil {
 		return fmt.Errorf("world: %w", err)
 	}
 	return nil
@@ -116,19 +120,19 @@
 
 // Cell is one run of an experiment.
 type Cell struct {
-	Value  float64           `cbor:"Value"` // of the sweep's key
-	Policy string            `cbor:"Policy"`
-	Seed   uint64            `cbor:"Seed"`
-	Result *simulator.Result `cbor:"Result"`
+	SweepValue float64           `cbor:"Value"` // of the sweep's key
+	Policy     string            `cbor:"Policy"`
+	Seed       uint64            `cbor:"Seed"`
+	Result     *simulator.Result `cbor:"Result"`
 }
 
 // Results are what an experiment has come to. The file is CBOR: a version, and then this.
 type Results struct {
-	Version int    `cbor:"Version"`
-	Name    string `cbor:"Name"`
-	Key     string `cbor:"Key"`
-	World   string `cbor:"World"` // as TOML
-	Cells   []Cell `cbor:"Cells"`
+	Version  int    `cbor:"Version"`
+	Name     string `cbor:"Name"`
+	SweepKey string `cbor:"Key"`
+	World    string `cbor:"World"` // as TOML
+	Cells    []Cell `cbor:"Cells"`
 }
 
 // Version changes when older readers can't read a file.
@@ -145,11 +149,11 @@
 	if err := toml.NewEncoder(&text).Encode(x.World); err != nil {
 		return nil, err
 	}
-	res := &Results{Version: Version, Name: x.Name, Key: x.Sweep.Key, World: text.String()}
+	res := &Results{Version: Version, Name: x.Name, SweepKey: x.Sweep.Key, World: text.String()}
 	for _, v := range values {
 		for _, p := range x.Policies {
 			for _, s := range x.Seeds {
-				res.Cells = append(res.Cells, Cell{Value: v, Policy: p, Seed: s})
+				res.Cells = append(res.Cells, Cell{SweepValue: v, Policy: p, Seed: s})
 			}
 		}
 	}
@@ -157,7 +161,7 @@
 	var all sync.WaitGroup
 	next, done := 0, 0
 	var failed error
-	if x.Memory {
+	if x.MeasureHeap {
 		cores = 1
 	}
 	for range max(min(cores, len(res.Cells)), 1) {
@@ -189,22 +193,22 @@
 
 func (x *Experiment) play(c *Cell) error {
 	w := x.World
-	w.Partners, w.Classes, w.Troubles = slices.Clone(w.Partners), slices.Clone(w.Classes), slices.Clone(w.Troubles)
+	w.Partners, w.Classes, w.Faults = slices.Clone(w.Partners), slices.Clone(w.Classes), slices.Clone(w.Faults)
 	if w.Seed = c.Seed; x.Sweep.Key != "" {
-		keys[x.Sweep.Key](&w, c.Value)
+		sweepKeys[x.Sweep.Key](&w, c.SweepValue)
 	}
-	if err := w.Check(); err != nil {
-		return fmt.Errorf("with %s = %v: %w", x.Sweep.Key, c.Value, err)
+	if err := w.Validate(); err != nil {
+		return fmt.Errorf("with %s = %v: %w", x.Sweep.Key, c.SweepValue, err)
 	}
 	before := uint64(0)
-	if x.Memory {
-		before = held()
+	if x.MeasureHeap {
+		before = heapInUse()
 	}
 	res, r, err := play(&w, c.Policy)
-	if c.Result = res; err == nil && x.Memory {
-		after := held()
+	if c.Result = res; err == nil && x.MeasureHeap {
+		after := heapInUse()
 		runtime.KeepAlive(r)
-		res.Memory = after - min(before, after)
+		res.HeapBytes = after - min(before, after)
 	}
 	return err
 }
@@ -216,7 +220,7 @@
 }
 
 func play(w *simulator.World, name string) (*simulator.Result, *simulator.Run, error) {
-	maker := policy.Named[name]
+	maker := policy.ByName[name]
 	if maker == nil {
 		return nil, nil, fmt.Errorf("there is no policy %q", name)
 	}
@@ -224,17 +228,17 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if policy.Shares(name) {
-		r.Share(simulator.DefaultSharing())
+	if policy.SharesLimits(name) {
+		r.EnableSharing(simulator.DefaultSharing())
 	}
 	from := time.Now()
 	res := r.Play()
-	res.Policy, res.Took = name, time.Since(from)
+	res.Policy, res.WallTime = name, time.Since(from)
 	return res, r, nil
 }
 
-// held is what the process holds now, after a collection.
-func held() uint64 {
+// heapInUse is what the process holds now, after a collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/relay/simulator/experiment/stored_test.go
+++ b/internal/relay/simulator/experiment/stored_test.go
@@ -15,15 +15,15 @@
 
 // storedResults is what testdata/results.cbor holds: each field differs from its zero value and from its neighbours.
 func storedResults() *experiment.Results {
-	return &experiment.Results{Version: experiment.Version, Name: "load", Key: "rate", World: "seed = 3\n", Cells: []experiment.Cell{{
-		Value: 20.5, Policy: "module", Seed: 7, Result: &simulator.Result{
-			World: "small", Policy: "single", Seed: 8, Hash: "00ff", Messages: 11, Delivered: 12, GivenUp: 13, Late: 14, Worth: 0.15, Refused: 16,
-			Again: 17, Calls: 18, Turned: 19, Failed: 20, Turns: 21, Endpoints: 22, Relays: 23,
-			Fleet: simulator.Fleet{InStep: 0.24, Over: 0.25, Wasted: 0.26, Regain: 27, Shared: 28, Unequal: 0.29},
+	return &experiment.Results{Version: experiment.Version, Name: "load", SweepKey: "rate", World: "seed = 3\n", Cells: []experiment.Cell{{
+		SweepValue: 20.5, Policy: "module", Seed: 7, Result: &simulator.Result{
+			World: "small", Policy: "single", Seed: 8, Hash: "00ff", Messages: 11, Delivered: 12, Abandoned: 13, Expired: 14, Value: 0.15, Refused: 16,
+			Resubmitted: 17, Calls: 18, Throttled: 19, Failed: 20, Turns: 21, Endpoints: 22, Relays: 23,
+			Fleet: simulator.FleetStats{PeakSenderShare: 0.24, PeakOverload: 0.25, ThrottledPerMessage: 0.26, RecoverySeconds: 27, SharingBytesPerSecond: 28, Unfairness: 0.29},
 			Latencies: []simulator.Latency{{Class: "event", P50: 30, P90: 31, P99: 32, Max: 33,
-				Buckets: []simulator.Bar{{To: 34, Count: 35}}}},
-			Broken: map[string]int{"waits": 36}, Breaches: []string{"a breach"}, Bucket: 37 * time.Millisecond,
-			Lines: map[string]simulator.Line{"came": {38, 39}}, Took: 40 * time.Second, Memory: 41,
+				Buckets: []simulator.HistogramBin{{UpperBound: 34, Count: 35}}}},
+			ViolationCounts: map[string]int{"waits": 36}, ViolationSamples: []string{"a breach"}, Bucket: 37 * time.Millisecond,
+			Series: map[string]simulator.Series{"came": {38, 39}}, WallTime: 40 * time.Second, HeapBytes: 41,
 		}}}}
 }
 
--- a/internal/relay/simulator/loadtest/stage.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -23,31 +23,31 @@
 	"mastusher/internal/relay/standin"
 )
 
-// Manners are how a stand-in endpoint takes calls.
-type Manners struct {
-	Took   time.Duration // for a call
-	Hangs  bool          // nothing is answered as long as it lasts
-	Refuse time.Duration // calls are turned away with this wait; 0: they are not
+// Behavior are how a stand-in endpoint takes calls.
+type Behavior struct {
+	ServiceTime time.Duration // for a call
+	Hangs       bool          // nothing is answered as long as it lasts
+	RetryAfter  time.Duration // calls are turned away with this wait; 0: they are not
 }
 
 // Plan is a load and what happens meanwhile.
 type Plan struct {
-	Partners int
-	Rate     float64 // messages a second
-	Length   time.Duration
-	Most     int // messages in all
-	Seed     uint64
-	Class    string
-	Timeout  time.Duration
-	Manners  Manners // to begin with
-	Script   []Scene
+	Partners    int
+	Rate        float64 // messages a second
+	Length      time.Duration
+	MaxMessages int // messages in all
+	Seed        uint64
+	Class       string
+	Timeout     time.Duration
+	Behavior    Behavior // to begin with
+	Steps       []Step
 }
 
-// Scene is something that happens at a time.
-type Scene struct {
+// Step is something that happens at a time.
+type Step struct {
 	At   time.Duration
 	Text string
-	Do   func(*Stage)
+	Do   func(*LoadTest)
 }
 
 // Event is something that befell a message.
@@ -56,55 +56,55 @@
 	What string
 }
 
-// Track is all that is known of a message.
-type Track struct {
-	ID      string
-	Partner int
-	Events  []Event
-	Status  int // of the relay's answer; 0: there was none
-	Runs    int // calls that took effect: a partner drops a key that it has had within the window
-	first   time.Time
-	Calls   int
-	Notice  string // told to its client; "": none
-	End     string
-	Odd     bool // worth a look
+// MessageTrace is all that is known of a message.
+type MessageTrace struct {
+	ID            string
+	Partner       int
+	Events        []Event
+	Status        int // of the relay's answer; 0: there was none
+	Executions    int // calls that took effect: a partner drops a key that it has had within the window
+	firstExecuted time.Time
+	Calls         int
+	Notice        string // told to its client; "": none
+	Outcome       string
+	Unusual       bool // worth a look
 }
 
-// Stage is a load that runs.
-type Stage struct {
-	plan  Plan
-	dir   string
-	relay string
-	file  string
-	addr  string
-	cmd   *exec.Cmd
-	start time.Time
-	ends  *standin.Endpoints
-	disco *standin.Discovery
-	state []atomic.Pointer[Manners]
+// LoadTest is a load that runs.
+type LoadTest struct {
+	plan       Plan
+	dir        string
+	relay      string
+	configFile string
+	addr       string
+	cmd        *exec.Cmd
+	start      time.Time
+	endpoints  *standin.Endpoints
+	discovery  *standin.Discovery
+	behaviors  []atomic.Pointer[Behavior]
 
-	mu     sync.Mutex
-	tracks map[string]*Track
-	order  []string
-	Told   []Event // scenes and what became of them
-	Lat    *hdrhistogram.Histogram
-	done   chan struct{}
+	mu            sync.Mutex
+	traces        map[string]*MessageTrace
+	order         []string
+	Timeline      []Event // scenes and what became of them
+	AcceptLatency *hdrhistogram.Histogram
+	done          chan struct{}
 }
 
 // New sets a stage: the relay's program is started with stand-ins around it, in a folder of its own.
-func New(plan Plan, relay, dir string) (*Stage, error) {
-	s := &Stage{plan: plan, dir: dir, relay: relay, tracks: map[string]*Track{}, Lat: hdrhistogram.New(1000, 120e9, 3), done: make(chan struct{}),
-		state: make([]atomic.Pointer[Manners], plan.Partners+8)}
-	for i := range s.state {
-		m := plan.Manners
-		s.state[i].Store(&m)
+func New(plan Plan, relay, dir string) (*LoadTest, error) {
+	s := &LoadTest{plan: plan, dir: dir, relay: relay, traces: map[string]*MessageTrace{}, AcceptLatency: hdrhistogram.New(1000, 120e9, 3), done: make(chan struct{}),
+		behaviors: make([]atomic.Pointer[Behavior], plan.Partners+8)}
+	for i := range s.behaviors {
+		m := plan.Behavior
+		s.behaviors[i].Store(&m)
 	}
 	var err error
-	if s.ends, err = standin.NewEndpoints(plan.Partners+8, s.answer); err != nil { // some more, to replace others
+	if s.endpoints, err = standin.NewEndpoints(plan.Partners+8, s.answer); err != nil { // some more, to replace others
 		return nil, err
 	}
-	list := s.ends.List(plan.Partners, "news-groups", "a")
-	if s.disco, err = standin.NewDiscovery(list); err != nil {
+	list := s.endpoints.List(plan.Partners, "news-groups", "a")
+	if s.discovery, err = standin.NewDiscovery(list); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -112,17 +112,17 @@
 		s.Close()
 		return nil, err
 	}
-	s.file = filepath.Join(dir, "relay.json")
+	s.configFile = filepath.Join(dir, "relay.json")
 	text := fmt.Sprintf(`{"name": "demo", "listen": %q, "state": %q, "discovery": %q, "seed": "%016x", "known": %s, %s}`, s.addr, filepath.Join(dir, "state"),
-		s.disco.Address, plan.Seed, list, settings)
-	if err := cmp.Or(os.MkdirAll(filepath.Join(dir, "state"), 0o700), os.WriteFile(s.file, []byte(text), 0o600), s.Start()); err != nil {
+		s.discovery.Address, plan.Seed, list, settings)
+	if err := cmp.Or(os.MkdirAll(filepath.Join(dir, "state"), 0o700), os.WriteFile(s.configFile, []byte(text), 0o600), s.Start()); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-const window = 4 * time.Second // as in the settings
+const dedupWindow = 4 * time.Second // as in the settings
 
 const settings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "localities": ["a"], "machine_types": ["news-groups"],
   "allowed": {"cancel": true, "max_attempts": 6, "max_open": 2000, "max_retry_after": 3000000, "retry_after": true, "conn_idle": 15000000,
@@ -132,13 +132,13 @@
   "rules": {"cold": 14000000, "drain_grace": 250000, "fall": 2000000, "overload_factor": 2, "start_capacity": 0.21}}`
 
 // Start starts the relay, and waits until it serves.
-func (s *Stage) Start() error {
+func (s *LoadTest) Start() error {
 	log, err := os.OpenFile(filepath.Join(s.dir, "relay.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	s.cmd = exec.Command(s.relay, "serve", "--config", s.file)
+	s.cmd = exec.Command(s.relay, "serve", "--config", s.configFile)
 	s.cmd.Stdout, s.cmd.Stderr = log, log
 	if err := s.cmd.Start(); err != nil {
 		return fmt.Errorf("the relay's program: %w", err)
@@ -151,30 +151,30 @@
 }
 
 // Kill ends the relay at once, as a crash would.
-func (s *Stage) Kill() {
+func (s *LoadTest) Kill() {
 	_ = s.cmd.Process.Kill()
 	_ = s.cmd.Wait()
 }
 
-// Set gives an endpoint other manners.
-func (s *Stage) Set(endpoint int, m Manners) { s.state[endpoint].Store(&m) }
+// SetBehavior gives an endpoint other manners.
+func (s *LoadTest) SetBehavior(endpoint int, m Behavior) { s.behaviors[endpoint].Store(&m) }
 
-// Was are an endpoint's manners.
-func (s *Stage) Was(endpoint int) Manners { return *s.state[endpoint].Load() }
+// Behavior are an endpoint's manners.
+func (s *LoadTest) Behavior(endpoint int) Behavior { return *s.behaviors[endpoint].Load() }
 
 // List tells discovery's watchers that an endpoint has another status, for a partner.
-func (s *Stage) List(endpoint, partner int, status string) {
-	s.disco.Tell(s.ends.Entry(endpoint, partner, "news-groups", "a", status))
+func (s *LoadTest) List(endpoint, partner int, status string) {
+	s.discovery.Tell(s.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
 }
 
 // answer is what a stand-in endpoint says to a call.
-func (s *Stage) answer(a standin.Arrival) httpwire.Answer {
-	m := s.Was(a.Endpoint)
+func (s *LoadTest) answer(a standin.Arrival) httpwire.Answer {
+	m := s.Behavior(a.Endpoint)
 	name := "s-" + strconv.Itoa(a.Endpoint)
 	switch {
 	case m.Hangs:
-		s.note(a.ID, "call to "+name+", which hangs", func(t *Track) { t.Calls++ })
-		for s.Was(a.Endpoint).Hangs {
+		s.record(a.ID, "call to "+name+", which hangs", func(t *MessageTrace) { t.Calls++ })
+		for s.Behavior(a.Endpoint).Hangs {
 			select {
 			case <-s.done:
 				return httpwire.Answer{Status: 503}
@@ -182,29 +182,29 @@
 			}
 		}
 		return httpwire.Answer{Status: 503}
-	case m.Refuse > 0:
-		s.note(a.ID, fmt.Sprintf("call to %s, refused for %v", name, m.Refuse), func(t *Track) { t.Calls++ })
-		return httpwire.Answer{Status: 429, Header: []string{"Retry-After", strconv.FormatFloat(m.Refuse.Seconds(), 'f', 3, 64)}}
+	case m.RetryAfter > 0:
+		s.record(a.ID, fmt.Sprintf("call to %s, refused for %v", name, m.RetryAfter), func(t *MessageTrace) { t.Calls++ })
+		return httpwire.Answer{Status: 429, Header: []string{"Retry-After", strconv.FormatFloat(m.RetryAfter.Seconds(), 'f', 3, 64)}}
 	}
 	s.mu.Lock()
 	what := "delivered to " + name
-	if t := s.tracks[a.ID]; t != nil {
-		if t.Calls++; t.Runs > 0 && time.Since(t.first) <= window {
+	if t := s.traces[a.ID]; t != nil {
+		if t.Calls++; t.Executions > 0 && time.Since(t.firstExecuted) <= dedupWindow {
 			what = "again to " + name + ", dropped by its key"
-		} else if t.Runs++; t.Runs == 1 {
-			t.first = time.Now()
+		} else if t.Executions++; t.Executions == 1 {
+			t.firstExecuted = time.Now()
 		}
 		t.Events = append(t.Events, Event{time.Since(s.start), what})
 	}
 	s.mu.Unlock()
-	time.Sleep(m.Took)
+	time.Sleep(m.ServiceTime)
 	return httpwire.Answer{Status: 200}
 }
 
-func (s *Stage) note(id, what string, do func(*Track)) {
+func (s *LoadTest) record(id, what string, do func(*MessageTrace)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.tracks[id]
+	t := s.traces[id]
 	if t == nil {
 		return
 	}
@@ -214,24 +214,24 @@
 
 // Play hands in messages at times drawn beforehand, whatever the relay does: what it delays counts in full, from the time
 // at which the message was due. Progress is told once a second.
-func (s *Stage) Play(progress func(at time.Duration, sent, answered int)) []*Track {
+func (s *LoadTest) Play(progress func(at time.Duration, sent, answered int)) []*MessageTrace {
 	client := standin.NewClient(s.addr)
 	defer client.Close()
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 5))
 	s.start = time.Now().Add(20 * time.Millisecond)
 	var all, scenes sync.WaitGroup
 	scenes.Go(func() {
-		for _, sc := range s.plan.Script {
+		for _, sc := range s.plan.Steps {
 			time.Sleep(time.Until(s.start.Add(sc.At)))
 			s.mu.Lock()
-			s.Told = append(s.Told, Event{time.Since(s.start), sc.Text})
+			s.Timeline = append(s.Timeline, Event{time.Since(s.start), sc.Text})
 			s.mu.Unlock()
 			sc.Do(s)
 		}
 	})
 	answered := atomic.Int64{}
 	shown, due := s.start, time.Duration(0)
-	for n := 0; n < s.plan.Most; n++ {
+	for n := 0; n < s.plan.MaxMessages; n++ {
 		if due += time.Duration(rng.ExpFloat64() * float64(time.Second) / s.plan.Rate); due > s.plan.Length {
 			break
 		}
@@ -240,11 +240,11 @@
 		at := s.start.Add(due)
 		time.Sleep(time.Until(at))
 		s.mu.Lock()
-		s.tracks[m.ID] = &Track{ID: m.ID, Partner: m.Partner}
+		s.traces[m.ID] = &MessageTrace{ID: m.ID, Partner: m.Partner}
 		s.order = append(s.order, m.ID)
 		s.mu.Unlock()
 		all.Go(func() {
-			s.hand(client, m, at)
+			s.submit(client, m, at)
 			answered.Add(1)
 		})
 		if progress != nil && time.Since(shown) > time.Second {
@@ -254,26 +254,26 @@
 	}
 	all.Wait()
 	scenes.Wait()
-	s.settle()
-	return s.judge()
+	s.awaitOutcomes()
+	return s.classify()
 }
 
-// hand hands a message in, and again where it was refused or nobody answered, as long as it has time.
-func (s *Stage) hand(client *standin.Client, m *standin.Message, at time.Time) {
+// submit hands a message in, and again where it was refused or nobody answered, as long as it has time.
+func (s *LoadTest) submit(client *standin.Client, m *standin.Message, at time.Time) {
 	until := at.Add(m.Timeout)
 	for try := 0; ; try++ {
 		if m.Timeout = time.Until(until); m.Timeout < 100*time.Millisecond || try > 20 {
-			s.note(m.ID, "its client gives up", func(*Track) {})
+			s.record(m.ID, "its client gives up", func(*MessageTrace) {})
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		status, _ := client.Send(ctx, m)
 		cancel()
-		s.note(m.ID, fmt.Sprintf("handed in: %s", answers[status]), func(t *Track) { t.Status = status })
+		s.record(m.ID, fmt.Sprintf("handed in: %s", answers[status]), func(t *MessageTrace) { t.Status = status })
 		if status != 503 && status != 0 {
 			if status == 202 {
 				s.mu.Lock()
-				_ = s.Lat.RecordValue(time.Since(at).Nanoseconds())
+				_ = s.AcceptLatency.RecordValue(time.Since(at).Nanoseconds())
 				s.mu.Unlock()
 			}
 			return
@@ -284,15 +284,15 @@
 
 var answers = map[int]string{0: "no answer", 202: "taken on", 503: "busy", 410: "given up"}
 
-// settle waits until each message that was taken on has its end, or its time is up.
-func (s *Stage) settle() {
+// awaitOutcomes waits until each message that was taken on has its end, or its time is up.
+func (s *LoadTest) awaitOutcomes() {
 	until := time.Now().Add(s.plan.Timeout + 2*time.Second)
 	for time.Now().Before(until) {
-		notices, _ := s.disco.Notices()
+		notices, _ := s.discovery.Notices()
 		open := false
 		s.mu.Lock()
-		for id, t := range s.tracks {
-			open = open || t.Status == 202 && t.Runs == 0 && notices[id] == ""
+		for id, t := range s.traces {
+			open = open || t.Status == 202 && t.Executions == 0 && notices[id] == ""
 		}
 		s.mu.Unlock()
 		if !open {
@@ -302,28 +302,28 @@
 	}
 }
 
-// judge gives each message its end.
-func (s *Stage) judge() (all []*Track) {
-	notices, _ := s.disco.Notices()
+// classify gives each message its end.
+func (s *LoadTest) classify() (all []*MessageTrace) {
+	notices, _ := s.discovery.Notices()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range s.order {
-		t := s.tracks[id]
+		t := s.traces[id]
 		t.Notice = notices[id]
 		switch {
-		case t.Runs > 0:
-			t.End = "delivered"
+		case t.Executions > 0:
+			t.Outcome = "delivered"
 		case t.Notice != "":
-			t.End = t.Notice
+			t.Outcome = t.Notice
 		case t.Status == 202:
-			t.End = "lost"
+			t.Outcome = "lost"
 		default:
-			t.End = "never taken on"
+			t.Outcome = "never taken on"
 		}
-		if t.Runs > 1 {
-			t.End = "delivered twice"
+		if t.Executions > 1 {
+			t.Outcome = "delivered twice"
 		}
-		t.Odd = t.End != "delivered" || t.Calls > 1
+		t.Unusual = t.Outcome != "delivered" || t.Calls > 1
 		slices.SortStableFunc(t.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 		all = append(all, t)
 	}
@@ -331,7 +331,7 @@
 }
 
 // Close ends the relay, with time to drain, and the stand-ins.
-func (s *Stage) Close() {
+func (s *LoadTest) Close() {
 	select {
 	case <-s.done:
 	default:
@@ -343,10 +343,10 @@
 		_ = s.cmd.Wait()
 		late.Stop()
 	}
-	if s.disco != nil {
-		s.disco.Close()
+	if s.discovery != nil {
+		s.discovery.Close()
 	}
-	if s.ends != nil {
-		s.ends.Close()
+	if s.endpoints != nil {
+		s.endpoints.Close()
 	}
 }
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -14,96 +14,96 @@
 	"mastusher/internal/relay/simulator/fullrelay"
 )
 
-// Pick is how a policy chooses among a destination's endpoints.
-type Pick uint8
+// Selection is how a policy chooses among a destination's endpoints.
+type Selection uint8
 
 // The ways to choose.
 const (
-	RoundRobin Pick = iota
-	LeastOut        // the one with the fewest of its own calls out
-	TwoChoices      // the better of two by chance
-	Oracle          // the one with the most room, as it truly is
+	RoundRobin    Selection = iota
+	LeastInFlight           // the one with the fewest of its own calls out
+	TwoChoices              // the better of two by chance
+	Oracle                  // the one with the most room, as it truly is
 )
 
 // Options make up a policy.
 type Options struct {
-	Pick    Pick
-	Timeout time.Duration // of a call
-	Tries   int           // 1: no retries
-	Backoff time.Duration // before the first, doubled with each, with full jitter
-	Budget  float64       // retries for each message that comes; 0: without bound
-	Breaker int           // failures in a row that keep an endpoint out for a while; 0: none
+	Selection       Selection
+	Timeout         time.Duration // of a call
+	MaxAttempts     int           // 1: no retries
+	Backoff         time.Duration // before the first, doubled with each, with full jitter
+	RetryBudget     float64       // retries for each message that comes; 0: without bound
+	BreakerFailures int           // failures in a row that keep an endpoint out for a while; 0: none
 }
 
-// Named are the policies by name.
-var Named = map[string]simulator.Maker{
-	"core":        fullrelay.Make,
+// ByName are the policies by name.
+var ByName = map[string]simulator.PolicyFactory{
+	"core":        fullrelay.New,
 	"module":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) },
-	"shared":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) }, // see Shares
-	"single":      simple(Options{Timeout: 10 * time.Second, Tries: 1}),
-	"round-robin": simple(Options{Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond}),
-	"least-out":   simple(Options{Pick: LeastOut, Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond}),
-	"two-choices": simple(Options{Pick: TwoChoices, Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond}),
-	"budget":      simple(Options{Pick: TwoChoices, Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond, Budget: 0.2}),
-	"breaker":     simple(Options{Pick: TwoChoices, Timeout: 2 * time.Second, Tries: 4, Backoff: 100 * time.Millisecond, Budget: 0.2, Breaker: 5}),
-	"oracle":      simple(Options{Pick: Oracle, Timeout: 4 * time.Second, Tries: 5, Backoff: 50 * time.Millisecond}),
+	"shared":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) }, // see SharesLimits
+	"single":      factory(Options{Timeout: 10 * time.Second, MaxAttempts: 1}),
+	"round-robin": factory(Options{Timeout: 2 * time.Second, MaxAttempts: 4, Backoff: 100 * time.Millisecond}),
+	"least-out":   factory(Options{Selection: LeastInFlight, Timeout: 2 * time.Second, MaxAttempts: 4, Backoff: 100 * time.Millisecond}),
+	"two-choices": factory(Options{Selection: TwoChoices, Timeout: 2 * time.Second, MaxAttempts: 4, Backoff: 100 * time.Millisecond}),
+	"budget":      factory(Options{Selection: TwoChoices, Timeout: 2 * time.Second, MaxAttempts: 4, Backoff: 100 * time.Millisecond, RetryBudget: 0.2}),
+	"breaker":     factory(Options{Selection: TwoChoices, Timeout: 2 * time.Second, MaxAttempts: 4, Backoff: 100 * time.Millisecond, RetryBudget: 0.2, BreakerFailures: 5}),
+	"oracle":      factory(Options{Selection: Oracle, Timeout: 4 * time.Second, MaxAttempts: 5, Backoff: 50 * time.Millisecond}),
 }
 
-// Shares tells whether the relays under a policy share limits.
-func Shares(name string) bool { return name == "shared" }
+// SharesLimits tells whether the relays under a policy share limits.
+func SharesLimits(name string) bool { return name == "shared" }
 
-func simple(o Options) simulator.Maker {
+func factory(o Options) simulator.PolicyFactory {
 	return func(s control.Settings, seed uint64) (simulator.Policy, error) { return New(o, s, seed) }
 }
 
 // Simple is such a policy.
 type Simple struct {
-	o     Options
-	set   control.Settings
-	rng   *rand.Rand
-	now   time.Duration
-	held  map[uint64]*held
-	line  []*held // those that are not out, by when they may go
-	ends  map[uint32]*end
-	of    map[int][]*end // by destination, by id
-	turn  map[int]int
-	out   int
-	purse float64 // retries that may be made
-	truth func(uint32) (int, bool)
+	options       Options
+	settings      control.Settings
+	rng           *rand.Rand
+	now           time.Duration
+	pending       map[uint64]*pendingMessage
+	queue         []*pendingMessage // those that are not out, by when they may go
+	endpoints     map[uint32]*endpoint
+	byDestination map[int][]*endpoint // by destination, by id
+	nextIndex     map[int]int
+	inFlight      int
+	retryTokens   float64 // retries that may be made
+	truth         func(uint32) (int, bool)
 }
 
-type held struct {
-	id       uint64
-	dest     int
-	class    int
-	deadline time.Duration
-	tries    int
-	out      *end // nil: it waits
-	ran      bool
-	ranAt    time.Duration
-	from     time.Duration // not sent before
+type pendingMessage struct {
+	id           uint64
+	destination  int
+	class        int
+	deadline     time.Duration
+	attempts     int
+	sentTo       *endpoint // nil: it waits
+	mayHaveRun   bool
+	mayHaveRunAt time.Duration
+	notBefore    time.Duration // not sent before
 }
 
-type end struct {
-	id     uint32
-	state  control.State
-	out    int
-	until  time.Duration // not before: a wait, or a breaker
-	failed int           // in a row
+type endpoint struct {
+	id                  uint32
+	state               control.State
+	inFlight            int
+	blockedUntil        time.Duration // not before: a wait, or a breaker
+	consecutiveFailures int           // in a row
 }
 
 // New returns a policy.
 func New(o Options, set control.Settings, seed uint64) (*Simple, error) {
-	if o.Timeout <= 0 || o.Tries < 1 {
-		return nil, fmt.Errorf("policy: time-out %v and %d tries make none", o.Timeout, o.Tries)
+	if o.Timeout <= 0 || o.MaxAttempts < 1 {
+		return nil, fmt.Errorf("policy: time-out %v and %d tries make none", o.Timeout, o.MaxAttempts)
 	}
-	return &Simple{o: o, set: set, rng: rand.New(rand.NewPCG(seed, 3)), held: map[uint64]*held{}, ends: map[uint32]*end{},
-		of: map[int][]*end{}, turn: map[int]int{}, purse: 10}, nil
+	return &Simple{options: o, settings: set, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
+		byDestination: map[int][]*endpoint{}, nextIndex: map[int]int{}, retryTokens: 10}, nil
 }
 
-// See shows an oracle the true state.
-func (p *Simple) See(truth func(uint32) (int, bool)) {
-	if p.o.Pick == Oracle {
+// ObserveTruth shows an oracle the true state.
+func (p *Simple) ObserveTruth(truth func(uint32) (int, bool)) {
+	if p.options.Selection == Oracle {
 		p.truth = truth
 	}
 }
@@ -112,86 +112,86 @@
 func (p *Simple) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
 	p.now = now
 	for i := range events {
-		out = p.event(&events[i], out)
+		out = p.handleEvent(&events[i], out)
 	}
 	return p.dispatch(out)
 }
 
-func (p *Simple) event(e *control.Event, out []control.Action) []control.Action {
+func (p *Simple) handleEvent(e *control.Event, out []control.Action) []control.Action {
 	switch e.Kind {
 	case control.Listed:
-		p.listed(e)
+		p.handleList(e)
 	case control.Arrived:
-		p.purse = min(p.purse+p.o.Budget, 100)
-		m := &held{id: e.ID, dest: e.Destination, class: e.Class, deadline: e.Deadline, tries: e.Attempt, ran: e.MayHaveRun, ranAt: e.RanAt}
-		p.held[m.id] = m
-		if p.set.MaxOpen > 0 && len(p.held) > p.set.MaxOpen || !p.may(m) {
+		p.retryTokens = min(p.retryTokens+p.options.RetryBudget, 100)
+		m := &pendingMessage{id: e.ID, destination: e.Destination, class: e.Class, deadline: e.Deadline, attempts: e.Attempt, mayHaveRun: e.MayHaveRun, mayHaveRunAt: e.RanAt}
+		p.pending[m.id] = m
+		if p.settings.MaxOpen > 0 && len(p.pending) > p.settings.MaxOpen || !p.mayBeSent(m) {
 			return p.refuse(m, out)
 		}
-		p.line = append(p.line, m)
+		p.queue = append(p.queue, m)
 	case control.Resolved:
-		m := p.held[e.ID]
-		if m == nil || m.out == nil {
+		m := p.pending[e.ID]
+		if m == nil || m.sentTo == nil {
 			return out
 		}
-		at := m.out
-		m.out = nil
-		p.out--
-		at.out--
+		at := m.sentTo
+		m.sentTo = nil
+		p.inFlight--
+		at.inFlight--
 		if e.Result == control.Delivered {
-			at.failed = 0
-			delete(p.held, m.id)
+			at.consecutiveFailures = 0
+			delete(p.pending, m.id)
 			return out
 		}
 		if e.RetryAfter > 0 {
-			at.until = max(at.until, p.now+e.RetryAfter)
+			at.blockedUntil = max(at.blockedUntil, p.now+e.RetryAfter)
 		}
-		if at.failed++; p.o.Breaker > 0 && at.failed >= p.o.Breaker {
-			at.until, at.failed = max(at.until, p.now+time.Second), 0
+		if at.consecutiveFailures++; p.options.BreakerFailures > 0 && at.consecutiveFailures >= p.options.BreakerFailures {
+			at.blockedUntil, at.consecutiveFailures = max(at.blockedUntil, p.now+time.Second), 0
 		}
-		if !e.Result.NeverRan() && !m.ran {
-			m.ran, m.ranAt = true, p.now-e.Elapsed
+		if !e.Result.NeverRan() && !m.mayHaveRun {
+			m.mayHaveRun, m.mayHaveRunAt = true, p.now-e.Elapsed
 		}
-		if m.tries >= min(p.o.Tries, p.set.MaxAttempts) || !p.may(m) || p.o.Budget > 0 && p.purse < 1 {
+		if m.attempts >= min(p.options.MaxAttempts, p.settings.MaxAttempts) || !p.mayBeSent(m) || p.options.RetryBudget > 0 && p.retryTokens < 1 {
 			return p.refuse(m, out)
 		}
-		if p.o.Budget > 0 {
-			p.purse--
+		if p.options.RetryBudget > 0 {
+			p.retryTokens--
 		}
-		wait := time.Duration(p.rng.Int64N(int64(p.o.Backoff<<min(m.tries-1, 8)) + 1))
-		m.from = p.now + wait
-		p.line = append(p.line, m)
+		wait := time.Duration(p.rng.Int64N(int64(p.options.Backoff<<min(m.attempts-1, 8)) + 1))
+		m.notBefore = p.now + wait
+		p.queue = append(p.queue, m)
 	}
 	return out
 }
 
-// may tells whether a message may still be sent.
-func (p *Simple) may(m *held) bool {
-	c := &p.set.Classes[m.class]
-	return p.now < m.deadline && (!m.ran || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.ranAt+c.Memory)
+// mayBeSent tells whether a message may still be sent.
+func (p *Simple) mayBeSent(m *pendingMessage) bool {
+	c := &p.settings.Classes[m.class]
+	return p.now < m.deadline && (!m.mayHaveRun || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.mayHaveRunAt+c.Memory)
 }
 
-func (p *Simple) refuse(m *held, out []control.Action) []control.Action {
-	delete(p.held, m.id)
-	if m.ran && p.set.Classes[m.class].Effect == control.Unsafe {
+func (p *Simple) refuse(m *pendingMessage, out []control.Action) []control.Action {
+	delete(p.pending, m.id)
+	if m.mayHaveRun && p.settings.Classes[m.class].Effect == control.Unsafe {
 		return append(out, control.Action{Kind: control.Fail, ID: m.id})
 	}
 	return append(out, control.Action{Kind: control.Refuse, ID: m.id, For: time.Second})
 }
 
-func (p *Simple) listed(e *control.Event) {
+func (p *Simple) handleList(e *control.Event) {
 	if e.Complete {
-		for _, at := range p.ends {
+		for _, at := range p.endpoints {
 			at.state = control.Removed
 		}
 	}
 	for _, l := range e.Endpoints {
-		at := p.ends[l.ID]
+		at := p.endpoints[l.ID]
 		if at == nil {
-			at = &end{id: l.ID}
-			p.ends[l.ID] = at
-			p.of[l.Destination] = append(p.of[l.Destination], at)
-			slices.SortFunc(p.of[l.Destination], func(a, b *end) int { return cmp.Compare(a.id, b.id) })
+			at = &endpoint{id: l.ID}
+			p.endpoints[l.ID] = at
+			p.byDestination[l.Destination] = append(p.byDestination[l.Destination], at)
+			slices.SortFunc(p.byDestination[l.Destination], func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 		}
 		at.state = l.State
 	}
@@ -205,68 +205,68 @@
 			wake = at
 		}
 	}
-	keep := p.line[:0]
-	for _, m := range p.line {
-		if !p.may(m) {
+	keep := p.queue[:0]
+	for _, m := range p.queue {
+		if !p.mayBeSent(m) {
 			out = p.refuse(m, out)
 			continue
 		}
-		at := (*end)(nil)
-		if m.from <= p.now && p.out < p.set.Slots {
-			at = p.choose(m.dest)
+		at := (*endpoint)(nil)
+		if m.notBefore <= p.now && p.inFlight < p.settings.Slots {
+			at = p.selectEndpoint(m.destination)
 		}
 		if at == nil {
 			keep = append(keep, m)
-			by(m.from)
+			by(m.notBefore)
 			by(m.deadline)
-			for _, e := range p.of[m.dest] {
-				by(e.until)
+			for _, e := range p.byDestination[m.destination] {
+				by(e.blockedUntil)
 			}
 			if p.truth != nil {
 				by(p.now + 20*time.Millisecond)
 			}
 			continue
 		}
-		m.out = at
-		m.tries++
-		p.out++
-		at.out++
-		within := min(p.o.Timeout, m.deadline-p.now)
+		m.sentTo = at
+		m.attempts++
+		p.inFlight++
+		at.inFlight++
+		within := min(p.options.Timeout, m.deadline-p.now)
 		out = append(out, control.Action{Kind: control.Send, ID: m.id, Endpoint: at.id, For: within})
 	}
-	p.line = keep
+	p.queue = keep
 	if wake != 0 {
 		out = append(out, control.Action{Kind: control.Wake, At: wake})
 	}
 	return out
 }
 
-// choose picks an endpoint that may be sent to; nil: there is none.
-func (p *Simple) choose(dest int) *end {
-	var open []*end
-	for _, e := range p.of[dest] {
-		if e.state == control.Ready && e.until <= p.now {
+// selectEndpoint picks an endpoint that may be sent to; nil: there is none.
+func (p *Simple) selectEndpoint(dest int) *endpoint {
+	var open []*endpoint
+	for _, e := range p.byDestination[dest] {
+		if e.state == control.Ready && e.blockedUntil <= p.now {
 			open = append(open, e)
 		}
 	}
 	if len(open) == 0 {
 		return nil
 	}
-	least := func(a, b *end) int { return cmp.Compare(a.out, b.out) }
-	switch p.o.Pick {
-	case LeastOut:
+	least := func(a, b *endpoint) int { return cmp.Compare(a.inFlight, b.inFlight) }
+	switch p.options.Selection {
+	case LeastInFlight:
 		return slices.MinFunc(open, least)
 	case TwoChoices:
-		return slices.MinFunc([]*end{open[p.rng.IntN(len(open))], open[p.rng.IntN(len(open))]}, least)
+		return slices.MinFunc([]*endpoint{open[p.rng.IntN(len(open))], open[p.rng.IntN(len(open))]}, least)
 	case Oracle:
-		best, room := (*end)(nil), 0
+		best, room := (*endpoint)(nil), 0
 		for _, e := range open {
-			if free, up := p.truth(e.id); up && free-e.out > room {
-				best, room = e, free-e.out
+			if free, up := p.truth(e.id); up && free-e.inFlight > room {
+				best, room = e, free-e.inFlight
 			}
 		}
 		return best
 	}
-	p.turn[dest]++
-	return open[p.turn[dest]%len(open)]
+	p.nextIndex[dest]++
+	return open[p.nextIndex[dest]%len(open)]
 }
--- a/internal/relay/simulator/random.go
+++ b/internal/relay/simulator/random.go
@@ -9,40 +9,40 @@
 // Random is a small world that a seed draws, with up to three troubles: for runs that look for breaches.
 func Random(seed uint64) *World {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	span := func(least, most time.Duration) Span {
-		return Span(least + time.Duration(rng.Int64N(int64(most-least))))
+	span := func(least, most time.Duration) Duration {
+		return Duration(least + time.Duration(rng.Int64N(int64(most-least))))
 	}
 	w := Default()
 	w.Name, w.Seed, w.Length, w.Relays = "random", seed, span(6*time.Second, 15*time.Second), 1+rng.IntN(3)
-	w.Rate, w.Slots, w.Clients.Tries = 20+rng.Float64()*150, 4+rng.IntN(40), 1+rng.IntN(4)
+	w.Rate, w.Slots, w.Clients.MaxAttempts = 20+rng.Float64()*150, 4+rng.IntN(40), 1+rng.IntN(4)
 	w.ListDelay = span(10*time.Millisecond, 4*time.Second)
-	w.Classes = []Class{{Name: "event", Effect: "keyed", Share: 2, Aim: Span(time.Second), Deadline: span(2*time.Second, 9*time.Second), Window: span(time.Second, 5*time.Second), Worth: 1},
-		{Name: "state", Effect: "safe", Share: 1, Aim: Span(time.Second), Deadline: span(2*time.Second, 9*time.Second), Worth: 2},
-		{Name: "order", Effect: "unsafe", Share: 1, Aim: Span(time.Second), Deadline: span(2*time.Second, 9*time.Second), Worth: 1}}
+	w.Classes = []Class{{Name: "event", Effect: "keyed", Weight: 2, LatencyTarget: Duration(time.Second), Deadline: span(2*time.Second, 9*time.Second), DedupWindow: span(time.Second, 5*time.Second), Value: 1},
+		{Name: "state", Effect: "safe", Weight: 1, LatencyTarget: Duration(time.Second), Deadline: span(2*time.Second, 9*time.Second), Value: 2},
+		{Name: "order", Effect: "unsafe", Weight: 1, LatencyTarget: Duration(time.Second), Deadline: span(2*time.Second, 9*time.Second), Value: 1}}
 	for i := range 1 + rng.IntN(3) {
-		p := Partner{Name: string(rune('a' + i)), Count: 1 + rng.IntN(5), Endpoints: 1 + rng.IntN(3), Workers: 1 + rng.IntN(6), Queue: rng.IntN(8),
-			Median: span(10*time.Millisecond, 300*time.Millisecond), Spread: rng.Float64(), Tells: rng.IntN(2) == 0, Cold: span(time.Second, 14*time.Second)}
+		p := Partner{Name: string(rune('a' + i)), Count: 1 + rng.IntN(5), Endpoints: 1 + rng.IntN(3), Workers: 1 + rng.IntN(6), QueueCapacity: rng.IntN(8),
+			Median: span(10*time.Millisecond, 300*time.Millisecond), Spread: rng.Float64(), SendsRetryAfter: rng.IntN(2) == 0, WarmUp: span(time.Second, 14*time.Second)}
 		if rng.IntN(3) == 0 {
-			p.Limit = 2 + rng.Float64()*20
+			p.RateLimit = 2 + rng.Float64()*20
 		}
 		if rng.IntN(3) == 0 {
-			p.Tail = 0.05
+			p.TailShare = 0.05
 		}
 		w.Partners = append(w.Partners, p)
 	}
 	for range rng.IntN(4) {
 		// Lower and what comes after it are left out: with it a world of seed 28 breaks a rule, see docs/ROADMAP.md.
-		t := Trouble{Kind: kindsOfTrouble[rng.IntN(slices.Index(kindsOfTrouble, Lower))], Share: 0.2 + 0.8*rng.Float64(), At: span(0, 8*time.Second), For: span(200*time.Millisecond, 6*time.Second),
-			Wait: span(0, 2*time.Second), Factor: 2 + 4*rng.Float64()}
-		if rng.IntN(4) == 0 && t.Kind != Drain && t.Kind != Vanish {
-			t.Every = span(300*time.Millisecond, 2*time.Second)
+		t := Fault{Kind: faultKinds[rng.IntN(slices.Index(faultKinds, FaultLowerLimit))], Share: 0.2 + 0.8*rng.Float64(), At: span(0, 8*time.Second), Length: span(200*time.Millisecond, 6*time.Second),
+			RetryAfter: span(0, 2*time.Second), Factor: 2 + 4*rng.Float64()}
+		if rng.IntN(4) == 0 && t.Kind != FaultDrain && t.Kind != FaultVanish {
+			t.FlapPeriod = span(300*time.Millisecond, 2*time.Second)
 		}
-		if t.Kind == Slow || t.Kind == Partition || t.Kind == CrashHere {
+		if t.Kind == FaultSlow || t.Kind == FaultPartition || t.Kind == FaultRelayCrash {
 			t.Relays = rng.IntN(w.Relays + 1)
 		}
-		w.Troubles = append(w.Troubles, t)
+		w.Faults = append(w.Faults, t)
 	}
-	if err := w.Check(); err != nil {
+	if err := w.Validate(); err != nil {
 		panic(err) // what is drawn is always possible
 	}
 	return &w
@@ -58,7 +58,7 @@
 		}
 		next := best.clone()
 		change(next)
-		if next.Check() != nil {
+		if next.Validate() != nil {
 			return false
 		}
 		most--
@@ -70,8 +70,8 @@
 	}
 	for again := true; again; {
 		again = false
-		for i := len(best.Troubles) - 1; i >= 0; i-- {
-			again = try(func(w *World) { w.Troubles = slices.Delete(w.Troubles, i, i+1) }) || again
+		for i := len(best.Faults) - 1; i >= 0; i-- {
+			again = try(func(w *World) { w.Faults = slices.Delete(w.Faults, i, i+1) }) || again
 		}
 		for i := len(best.Classes) - 1; i >= 0 && len(best.Classes) > 1; i-- {
 			again = try(func(w *World) { w.Classes = slices.Delete(w.Classes, i, i+1) }) || again
@@ -90,14 +90,14 @@
 		if best.Relays > 1 {
 			again = try(func(w *World) { w.Relays-- }) || again
 		}
-		if best.Length > Span(500*time.Millisecond) {
+		if best.Length > Duration(500*time.Millisecond) {
 			again = try(func(w *World) { w.Length = w.Length * 3 / 4 }) || again
 		}
 		if best.Rate > 2 {
 			again = try(func(w *World) { w.Rate *= 0.7 }) || again
 		}
-		if best.Clients.Tries > 1 {
-			again = try(func(w *World) { w.Clients.Tries-- }) || again
+		if best.Clients.MaxAttempts > 1 {
+			again = try(func(w *World) { w.Clients.MaxAttempts-- }) || again
 		}
 	}
 	return best
@@ -105,6 +105,6 @@
 
 func (w *World) clone() *World {
 	n := *w
-	n.Classes, n.Partners, n.Troubles = slices.Clone(w.Classes), slices.Clone(w.Partners), slices.Clone(w.Troubles)
+	n.Classes, n.Partners, n.Faults = slices.Clone(w.Classes), slices.Clone(w.Partners), slices.Clone(w.Faults)
 	return &n
 }
--- a/internal/relay/simulator/report/report.go
+++ b/internal/relay/simulator/report/report.go
@@ -26,9 +26,9 @@
 
 // series is one line of a chart.
 type series struct {
-	name string
-	xy   plotter.XYs
-	dots bool
+	name   string
+	points plotter.XYs
+	dots   bool
 }
 
 // chart draws lines as SVG.
@@ -38,7 +38,7 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, s := range all {
-		line, dots, err := plotter.NewLinePoints(s.xy)
+		line, dots, err := plotter.NewLinePoints(s.points)
 		if err != nil {
 			return "", fmt.Errorf("%s: %s: %w", title, s.name, err)
 		}
@@ -77,7 +77,7 @@
 
 // Write writes the page.
 func Write(w io.Writer, res *experiment.Results) error {
-	p := page{Name: res.Name, World: res.World, Key: res.Key}
+	p := page{Name: res.Name, World: res.World, Key: res.SweepKey}
 	for _, c := range res.Cells {
 		if c.Result != nil {
 			p.Rows = append(p.Rows, row{c, c.Result})
@@ -87,22 +87,24 @@
 		p.Charts = append(p.Charts, svg)
 		return err
 	}
-	if res.Key != "" {
+	if res.SweepKey != "" {
 		for _, y := range []struct {
 			name  string
 			grows bool
 			of    func(*simulator.Result) float64
-		}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Worth }},
-			{"µs a message, on this machine", true, func(r *simulator.Result) float64 { return float64(r.Took.Microseconds()) / float64(max(r.Messages, 1)) }},
+		}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Value }},
+			{"µs a message, on this machine", true, func(r *simulator.Result) float64 {
+				return float64(r.WallTime.Microseconds()) / float64(max(r.Messages, 1))
+			}},
 			{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
-			{"MB held", true, func(r *simulator.Result) float64 { return float64(r.Memory) / 1e6 }}} {
-			lines := sweep(res, y.of)
+			{"MB held", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
+			lines := sweepSeries(res, y.of)
 			for i := range lines {
-				if g, ok := exponent(lines[i].xy); ok && y.grows {
+				if g, ok := growthExponent(lines[i].points); ok && y.grows {
 					lines[i].name += fmt.Sprintf(", grows by the power %.2f", g)
 				}
 			}
-			if err := add(chart(y.name+" against "+res.Key, res.Key, y.name, lines)); err != nil {
+			if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, lines)); err != nil {
 				return err
 			}
 		}
@@ -114,19 +116,19 @@
 		}
 		seen[r.Policy] = true
 		for _, set := range [][]string{{"came", "delivered", "lost"}, {"refused", "handed in again"}, {"calls", "calls turned away", "calls failed"}, {"open"}} {
-			if err := add(chart(fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), "s", "a second", lines(r.R, set))); err != nil {
+			if err := add(chart(fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), "s", "a second", timeSeries(r.R, set))); err != nil {
 				return err
 			}
 		}
-		if err := add(chart(r.Policy+": time to delivery", "ms", "messages", latencies(r.R))); err != nil {
+		if err := add(chart(r.Policy+": time to delivery", "ms", "messages", latencySeries(r.R))); err != nil {
 			return err
 		}
 	}
-	return sheet.Execute(w, p)
+	return experimentTemplate.Execute(w, p)
 }
 
-// exponent is the power by which a line grows, by least squares of logarithms; false: it has no such thing.
-func exponent(xy plotter.XYs) (float64, bool) {
+// growthExponent is the power by which a line grows, by least squares of logarithms; false: it has no such thing.
+func growthExponent(xy plotter.XYs) (float64, bool) {
 	n, sx, sy, sxx, sxy := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, p := range xy {
 		if p.X <= 0 || p.Y <= 0 {
@@ -139,33 +141,33 @@
 	return (n*sxy - sx*sy) / d, n >= 3 && d > 0
 }
 
-func lines(r *simulator.Result, names []string) (all []series) {
+func timeSeries(r *simulator.Result, names []string) (all []series) {
 	for _, n := range names {
 		s := series{name: n}
-		for i, v := range r.Lines[n] {
+		for i, v := range r.Series[n] {
 			if n != "open" {
 				v /= r.Bucket.Seconds()
 			}
-			s.xy = append(s.xy, plotter.XY{X: (time.Duration(i) * r.Bucket).Seconds(), Y: v})
+			s.points = append(s.points, plotter.XY{X: (time.Duration(i) * r.Bucket).Seconds(), Y: v})
 		}
 		all = append(all, s)
 	}
 	return all
 }
 
-func latencies(r *simulator.Result) (all []series) {
+func latencySeries(r *simulator.Result) (all []series) {
 	for _, l := range r.Latencies {
-		s := series{name: l.Class, xy: plotter.XYs{{}}}
+		s := series{name: l.Class, points: plotter.XYs{{}}}
 		for _, b := range l.Buckets {
-			s.xy = append(s.xy, plotter.XY{X: b.To, Y: float64(b.Count)})
+			s.points = append(s.points, plotter.XY{X: b.UpperBound, Y: float64(b.Count)})
 		}
 		all = append(all, s)
 	}
 	return all
 }
 
-// sweep is a line for each policy: the mean over seeds at each value.
-func sweep(res *experiment.Results, of func(*simulator.Result) float64) (all []series) {
+// sweepSeries is a line for each policy: the mean over seeds at each value.
+func sweepSeries(res *experiment.Results, of func(*simulator.Result) float64) (all []series) {
 	for _, c := range res.Cells {
 		if c.Result == nil {
 			continue
@@ -174,26 +176,26 @@
 		if i < 0 {
 			i, all = len(all), append(all, series{name: c.Policy, dots: true})
 		}
-		k := slices.IndexFunc(all[i].xy, func(p plotter.XY) bool { return p.X == c.Value })
+		k := slices.IndexFunc(all[i].points, func(p plotter.XY) bool { return p.X == c.SweepValue })
 		if k < 0 {
 			n, sum := 0, 0.0
 			for _, o := range res.Cells {
-				if o.Result != nil && o.Policy == c.Policy && o.Value == c.Value {
+				if o.Result != nil && o.Policy == c.Policy && o.SweepValue == c.SweepValue {
 					n, sum = n+1, sum+of(o.Result)
 				}
 			}
-			all[i].xy = append(all[i].xy, plotter.XY{X: c.Value, Y: sum / float64(n)})
+			all[i].points = append(all[i].points, plotter.XY{X: c.SweepValue, Y: sum / float64(n)})
 		}
 	}
 	return all
 }
 
-var sheet = template.Must(template.New("page").Parse(`<!doctype html>
+var experimentTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:14px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{padding:2px 8px;text-align:right;border-bottom:1px solid #ddd}pre{background:#f4f4f4;padding:1em}.bad{color:#b00}</style>
 <h1>{{.Name}}</h1>
 <table><tr><th>{{.Key}}</th><th>policy</th><th>seed</th><th>worth</th><th>messages</th><th>delivered</th><th>given up</th><th>late</th><th>refused</th><th>calls</th><th>turned away</th><th>failed</th><th>decisions</th><th>rules</th></tr>
-{{range .Rows}}<tr><td>{{.Value}}</td><td>{{.Policy}}</td><td>{{.Seed}}</td><td>{{printf "%.3f" .R.Worth}}</td><td>{{.R.Messages}}</td><td>{{.R.Delivered}}</td><td>{{.R.GivenUp}}</td><td>{{.R.Late}}</td><td>{{.R.Refused}}</td><td>{{.R.Calls}}</td><td>{{.R.Turned}}</td><td>{{.R.Failed}}</td><td>{{.R.Hash}}</td><td class="bad">{{range $rule, $n := .R.Broken}}{{$rule}} ×{{$n}} {{end}}</td></tr>
+{{range .Rows}}<tr><td>{{.SweepValue}}</td><td>{{.Policy}}</td><td>{{.Seed}}</td><td>{{printf "%.3f" .R.Value}}</td><td>{{.R.Messages}}</td><td>{{.R.Delivered}}</td><td>{{.R.Abandoned}}</td><td>{{.R.Expired}}</td><td>{{.R.Refused}}</td><td>{{.R.Calls}}</td><td>{{.R.Throttled}}</td><td>{{.R.Failed}}</td><td>{{.R.Hash}}</td><td class="bad">{{range $rule, $n := .R.ViolationCounts}}{{$rule}} ×{{$n}} {{end}}</td></tr>
 {{end}}</table>
 {{range .Charts}}<p>{{.}}</p>{{end}}
 <h2>The world</h2><pre>{{.World}}</pre>
--- a/internal/relay/simulator/lab_test.go
+++ b/internal/relay/simulator/simulator_test.go
@@ -68,7 +68,7 @@
 func TestSame(t *testing.T) {
 	t.Parallel()
 	x := &experiment.Experiment{Policies: []string{"module", "core", "breaker"}, Seeds: []uint64{1, 2}, World: *parsed(t, troubled)}
-	x.World.Length = simulator.Span(5 * time.Second)
+	x.World.Length = simulator.Duration(5 * time.Second)
 	var first *experiment.Results
 	for n := range 10 {
 		res, err := x.Run(1+3*(n%2), nil)
@@ -99,13 +99,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for rule, n := range res.Broken {
+			for rule, n := range res.ViolationCounts {
 				if rule != "cold returns" { // what pushes a cold endpoint over is no single call
-					t.Errorf("seed %d, %s: rule %q broken %d times, first %s", seed, name, rule, n, res.Breaches[0])
+					t.Errorf("seed %d, %s: rule %q broken %d times, first %s", seed, name, rule, n, res.ViolationSamples[0])
 				}
 			}
-			if res.Delivered+res.GivenUp+res.Late != res.Messages {
-				t.Errorf("seed %d, %s: %d messages, %d delivered, %d given up, %d late", seed, name, res.Messages, res.Delivered, res.GivenUp, res.Late)
+			if res.Delivered+res.Abandoned+res.Expired != res.Messages {
+				t.Errorf("seed %d, %s: %d messages, %d delivered, %d given up, %d late", seed, name, res.Messages, res.Delivered, res.Abandoned, res.Expired)
 			}
 		}
 	}
@@ -198,19 +198,19 @@
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	w := parsed(t, troubled)
-	w.Classes = []simulator.Class{{Name: "event", Effect: "keyed", Share: 2, Aim: simulator.Span(time.Second), Deadline: simulator.Span(8 * time.Second), Window: simulator.Span(900 * time.Millisecond)},
-		{Name: "order", Effect: "unsafe", Share: 2, Aim: simulator.Span(time.Second), Deadline: simulator.Span(8 * time.Second)}}
+	w.Classes = []simulator.Class{{Name: "event", Effect: "keyed", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second), DedupWindow: simulator.Duration(900 * time.Millisecond)},
+		{Name: "order", Effect: "unsafe", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second)}}
 	w.MaxAttempts = 3
-	if err := w.Check(); err != nil {
+	if err := w.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	all := mutants()
 	for rule, alter := range all {
-		base := policy.Named["two-choices"]
+		base := policy.ByName["two-choices"]
 		if rule == "attempts" { // one that makes as many as it likes
 			base = func(s control.Settings, seed uint64) (simulator.Policy, error) {
 				s.MaxAttempts = 9
-				return policy.New(policy.Options{Timeout: time.Second, Tries: 9, Backoff: 10 * time.Millisecond}, s, seed)
+				return policy.New(policy.Options{Timeout: time.Second, MaxAttempts: 9, Backoff: 10 * time.Millisecond}, s, seed)
 			}
 		}
 		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
@@ -220,19 +220,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res := r.Play(); res.Broken[string(rule)] == 0 {
-			t.Errorf("rule %q: a policy that breaks it is not caught: %v", rule, res.Broken)
+		if res := r.Play(); res.ViolationCounts[string(rule)] == 0 {
+			t.Errorf("rule %q: a policy that breaks it is not caught: %v", rule, res.ViolationCounts)
 		}
 	}
 	flood := *w // retries without end push over what comes back cold
-	flood.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, Queue: 60, Median: simulator.Span(100 * time.Millisecond), Cold: simulator.Span(14 * time.Second)}}
+	flood.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, QueueCapacity: 60, Median: simulator.Duration(100 * time.Millisecond), WarmUp: simulator.Duration(14 * time.Second)}}
 	flood.Rate, flood.Slots = 190, 400
-	flood.Troubles = []simulator.Trouble{{Kind: simulator.Down, At: simulator.Span(2 * time.Second), For: simulator.Span(2 * time.Second)}}
-	if err := flood.Check(); err != nil {
+	flood.Faults = []simulator.Fault{{Kind: simulator.FaultDown, At: simulator.Duration(2 * time.Second), Length: simulator.Duration(2 * time.Second)}}
+	if err := flood.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if res, err := experiment.Play(&flood, "round-robin"); err != nil || res.Broken["cold returns"] == 0 {
-		t.Errorf("a cold endpoint is not pushed over: %v, %v", res.Broken, err)
+	if res, err := experiment.Play(&flood, "round-robin"); err != nil || res.ViolationCounts["cold returns"] == 0 {
+		t.Errorf("a cold endpoint is not pushed over: %v, %v", res.ViolationCounts, err)
 	}
 	if len(all)+1 != len(simulator.Rules) {
 		t.Errorf("%d rules have a mutant, of %d", len(all)+1, len(simulator.Rules))
@@ -266,17 +266,17 @@
 	t.Parallel()
 	fails := func(w *simulator.World) bool {
 		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
-			p, err := policy.Named["two-choices"](s, seed)
+			p, err := policy.ByName["two-choices"](s, seed)
 			return mutants()["waits"](p), err
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Play().Broken["waits"] > 0
+		return r.Play().ViolationCounts["waits"] > 0
 	}
 	w := parsed(t, troubled)
 	small := simulator.Shrink(w, 200, fails)
-	if len(small.Troubles) > 1 || small.Rate >= w.Rate || small.Relays != 1 || !fails(small) {
+	if len(small.Faults) > 1 || small.Rate >= w.Rate || small.Relays != 1 || !fails(small) {
 		t.Errorf("%+v", small)
 	}
 }
@@ -297,7 +297,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sum += res.Worth
+		sum += res.Value
 	}
 	if sum/3 < 0.96 {
 		t.Errorf("%.3f of the worth is earned", sum/3)
