--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -123,7 +123,7 @@
 func (r *leaderWithPeers) wantOneLeader(term uint64) {
 	r.t.Helper()
 	if status := r.group.Status(); !status.IsLeader || status.Term != term {
-		r.t.Errorf("the ownership moved: %+v, was term %d", status, term)
+		r.t.Errorf("the leadership moved: %+v, was term %d", status, term)
 	}
 	for i, update := range r.fleet.published {
 		if update.Stamp.Term != term || i > 0 && !r.fleet.published[i-1].Stamp.Less(update.Stamp) {
@@ -132,65 +132,57 @@
 	}
 }
 
+// Times of the faults on the way to the platform.
+const (
+	calmTime   = 10 * time.Second // before and after a fault
+	faultTime  = 40 * time.Second
+	calmMaxLag = 2 * time.Second // of the published list without a fault: a read each 700 ms, versions of a second
+)
+
+// readFault is a fault on the way to the platform, and what it may cause.
+type readFault struct {
+	name          string
+	inject        func(r *leaderWithPeers)
+	maxLag        time.Duration // of the published list, once a delegate was found
+	delegateAfter time.Duration // until a delegate is found, at most
+	noDelegate    bool          // no peer may be asked
+}
+
 func TestEndpoints_LeaderCutOffFromPlatform_PeerReads(t *testing.T) {
-	const (
-		calm  = 10 * time.Second
-		cut   = 40 * time.Second
-		usual = 2 * time.Second // lag while all is well: a read each 700 ms, versions of a second
-	)
-	for _, story := range []struct {
-		name  string
-		begin func(r *leaderWithPeers)
-		lag   time.Duration // at most, after the first time-out
-		found time.Duration // until another reader is found, at most
-		same  bool          // nobody else is asked
-	}{
-		{"the leader is partitioned from the platform", func(r *leaderWithPeers) { r.platform.unreachable[selfAddress] = true }, 3 * time.Second, 5 * time.Second, false},
-		{"and one of the others", func(r *leaderWithPeers) {
+	for _, fault := range []readFault{
+		{name: "the leader is partitioned from the platform", inject: func(r *leaderWithPeers) { r.platform.unreachable[selfAddress] = true },
+			maxLag: 3 * time.Second, delegateAfter: 5 * time.Second},
+		{name: "and one of the others", inject: func(r *leaderWithPeers) {
 			r.platform.unreachable[selfAddress], r.platform.unreachable[coreTwo] = true, true
-		},
-			3 * time.Second, 10 * time.Second, false},
-		{"and from one of the others", func(r *leaderWithPeers) {
+		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
+		{name: "and from one of the others", inject: func(r *leaderWithPeers) {
 			r.platform.unreachable[selfAddress], r.unreachablePeers[coreTwo] = true, true
-		},
-			3 * time.Second, 10 * time.Second, false},
-		{"and from one of the others, and the other from the platform", func(r *leaderWithPeers) {
+		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
+		{name: "and from one of the others, and the other from the platform", inject: func(r *leaderWithPeers) {
 			r.platform.unreachable[selfAddress], r.platform.unreachable[coreThree], r.unreachablePeers[coreTwo] = true, true, true
-		}, cut + calm, 0, false},
-		{"the platform is down", func(r *leaderWithPeers) { r.platform.unreachable[""] = true }, cut + calm, 0, false},
-		{"the platform refuses all", func(r *leaderWithPeers) { r.platform.failStatus = http.StatusServiceUnavailable }, cut + calm, 0, true},
-		{"the platform is slow", func(r *leaderWithPeers) { r.platform.delay = 2 * time.Second }, 5 * time.Second, 5 * time.Second, true},
-		{"the platform is slower than a read may take", func(r *leaderWithPeers) { r.platform.delay = 4 * time.Second }, cut + calm, 0, false},
+		}, maxLag: faultTime + calmTime},
+		{name: "the platform is down", inject: func(r *leaderWithPeers) { r.platform.unreachable[""] = true }, maxLag: faultTime + calmTime},
+		{name: "the platform refuses all", inject: func(r *leaderWithPeers) { r.platform.failStatus = http.StatusServiceUnavailable },
+			maxLag: faultTime + calmTime, noDelegate: true},
+		{name: "the platform is slow", inject: func(r *leaderWithPeers) { r.platform.delay = 2 * time.Second },
+			maxLag: 5 * time.Second, delegateAfter: 5 * time.Second, noDelegate: true},
+		{name: "the platform is slower than a read may take", inject: func(r *leaderWithPeers) { r.platform.delay = 4 * time.Second },
+			maxLag: faultTime + calmTime},
 	} {
-		t.Run(story.name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				// Given a leader that reads the list,
 				r := newLeaderWithPeers(t)
-				if lag := r.run(calm); lag > usual {
+				if lag := r.run(calmTime); lag > calmMaxLag {
 					t.Errorf("the list lagged by %v before", lag)
 				}
 				term := r.group.Status().Term
-				// when it, or others, or all don't reach the platform any more,
-				story.begin(r)
-				r.run(story.found)
-				lag := r.run(cut - story.found)
-				t.Logf("the list lagged by %v at most, others were asked %v, the platform was called %d times", lag, r.asked, len(r.platform.calls))
-				// then the list is read by one that does, if there is one, and the ownership stays where it is;
-				if lag > story.lag {
-					t.Errorf("the list lagged by %v, want %v at most", lag, story.lag)
-				}
-				if asked := r.asked[coreTwo] + r.asked[coreThree]; story.same && asked > 0 {
-					t.Errorf("others were asked %d times", asked)
-				}
+				// when it, or others, or all don't reach the platform any more, then the list is read by one that does, if there
+				// is one, and the leadership stays where it is;
+				r.wantReadsDuring(fault)
 				r.wantOneLeader(term)
 				// and when the platform is back, then the leader reads itself again.
-				*r.platform = platform{began: r.platform.began, unreachable: map[string]bool{}, calls: r.platform.calls}
-				clear(r.unreachablePeers)
-				r.run(localRetryInterval + 2*listReadTimeout)
-				clear(r.asked)
-				if lag := r.run(calm); lag > usual || len(r.asked) > 0 {
-					t.Errorf("after the partition the list lagged by %v, others were asked %v", lag, r.asked)
-				}
+				r.wantLeaderReadsAfterFault()
 				r.wantOneLeader(term)
 				r.wantRate()
 			})
@@ -198,6 +190,33 @@
 	}
 }
 
+// wantReadsDuring injects a fault, and checks how far the published list lags behind and who reads it.
+func (r *leaderWithPeers) wantReadsDuring(fault readFault) {
+	r.t.Helper()
+	fault.inject(r)
+	r.run(fault.delegateAfter)
+	lag := r.run(faultTime - fault.delegateAfter)
+	r.t.Logf("the list lagged by %v at most, others were asked %v, the platform was called %d times", lag, r.asked, len(r.platform.calls))
+	if lag > fault.maxLag {
+		r.t.Errorf("the list lagged by %v, want %v at most", lag, fault.maxLag)
+	}
+	if asked := r.asked[coreTwo] + r.asked[coreThree]; fault.noDelegate && asked > 0 {
+		r.t.Errorf("others were asked %d times", asked)
+	}
+}
+
+// wantLeaderReadsAfterFault ends all faults, and checks that the leader reads without delegates again.
+func (r *leaderWithPeers) wantLeaderReadsAfterFault() {
+	r.t.Helper()
+	*r.platform = platform{began: r.platform.began, unreachable: map[string]bool{}, calls: r.platform.calls}
+	clear(r.unreachablePeers)
+	r.run(localRetryInterval + 2*listReadTimeout)
+	clear(r.asked)
+	if lag := r.run(calmTime); lag > calmMaxLag || len(r.asked) > 0 {
+		r.t.Errorf("after the fault the list lagged by %v, others were asked %v", lag, r.asked)
+	}
+}
+
 // wantRate checks that whoever reads, reads follow each other: two in any 700 ms at most, where the reader changes.
 func (r *leaderWithPeers) wantRate() {
 	r.t.Helper()
