--- a/internal/tier/simulation/campaign_test.go
+++ b/internal/tier/simulation/campaign_test.go
@@ -20,12 +20,12 @@
 
 const (
 	shrinkDays = 30
-	// stuckAfter is the real time after which a day is taken for stuck: some goroutine waits for a mutex whose holder sleeps.
+	// stuckAfter is the real time after which a day counts as stuck: some goroutine waits for a mutex whose owner sleeps.
 	stuckAfter = 2 * time.Minute
 )
 
-// playDay plays a plan and judges it.
-func playDay(t *testing.T, plan Plan) (violations []string, played *Fleet) {
+// runAndCheckDay runs a plan and returns the rules that were broken in it.
+func runAndCheckDay(t *testing.T, plan Plan) (violations []string, fleet *Fleet) {
 	t.Helper()
 	watchdog := time.AfterFunc(stuckAfter, func() {
 		debug.SetTraceback("all")
@@ -36,8 +36,8 @@
 	defer func() {
 		if leak := recover(); leak != nil {
 			violations = append(violations, fmt.Sprintf("LEAK: %v\n%s", leak, leakedStacks()))
-			if played != nil {
-				violations = append(violations, played.Violations()...)
+			if fleet != nil {
+				violations = append(violations, fleet.Violations()...)
 			}
 		}
 	}()
@@ -48,15 +48,15 @@
 	}
 	var done atomic.Pointer[Fleet]
 	synctest.Test(t, func(t *testing.T) {
-		f, err := play(plan, folder, trace)
+		f, err := runDay(plan, folder, trace)
 		if err != nil {
 			t.Fatal(err)
 		}
 		done.Store(f)
 	})
-	played = done.Load()
-	violations = append(played.Violations(), checkConfiguration(played.history)...)
-	return append(violations, checkTurns(played.history, played.around.ledger)...), played
+	fleet = done.Load()
+	violations = append(fleet.Violations(), checkConfiguration(fleet.history)...)
+	return append(violations, checkTurns(fleet.history, fleet.environment.ledger)...), fleet
 }
 
 // leakedStacks gives the stacks of the goroutines that are left in a bubble.
@@ -77,12 +77,12 @@
 	breached := uint64(0)
 	for seed := *firstFlag; seed < *firstFlag+*daysFlag; seed++ {
 		plan := RandomPlan(seed)
-		violations, played := playDay(t, plan)
-		if played != nil {
-			orders += len(played.history.orders())
-			programs += len(played.history.programs)
-			turns += len(played.history.wholeTurns())
-			runs += len(played.around.ledger.All())
+		violations, fleet := runAndCheckDay(t, plan)
+		if fleet != nil {
+			orders += len(fleet.history.orders())
+			programs += len(fleet.history.programs)
+			turns += len(fleet.history.completeTurns())
+			runs += len(fleet.environment.ledger.All())
 		}
 		if len(violations) == 0 {
 			continue
@@ -90,12 +90,12 @@
 		breached++
 		t.Errorf("seed %d: %s\n%s", seed, plan.Text(), strings.Join(violations[:min(5, len(violations))], "\n"))
 		if breached == 1 {
-			shrunk := Shrink(plan, shrinkDays, func(p Plan) bool { found, _ := playDay(t, p); return len(found) > 0 })
-			found, _ := playDay(t, shrunk)
+			shrunk := Shrink(plan, shrinkDays, func(p Plan) bool { found, _ := runAndCheckDay(t, p); return len(found) > 0 })
+			found, _ := runAndCheckDay(t, shrunk)
 			t.Errorf("smallest plan: %s\n%s", shrunk.Text(), strings.Join(found, "\n"))
 		}
 	}
-	t.Logf("%d days, %d with a breach: %d orders sent, %d programs, %d turns whole, %d runs at endpoints", *daysFlag, breached, orders, programs, turns, runs)
+	t.Logf("%d days, %d with a breach: %d orders sent, %d programs, %d complete turns, %d runs at endpoints", *daysFlag, breached, orders, programs, turns, runs)
 	if turns < 20*int(*daysFlag) || orders < 5*int(*daysFlag) {
 		t.Error("the days test too little")
 	}
--- a/internal/tier/simulation/checkconfiguration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -10,16 +10,16 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizePatience bounds the search for an order of all calls, in real time.
-const linearizePatience = 20 * time.Second
+// linearizabilityTimeout bounds the search for an order of all calls, in real time.
+const linearizabilityTimeout = 20 * time.Second
 
-// register is the configuration as a register with compare-and-set: the contents that were in force, one after the other.
+// registerModel is the configuration as a register with compare-and-set: the contents that were in force, one after the other.
 // An order whose content was taken is acknowledged whenever it is repeated.
-var register = (&porcupine.NondeterministicModel{
+var registerModel = (&porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{[]content(nil)} },
 	Equal: func(a, b any) bool { return slices.Equal(a.([]content), b.([]content)) },
 	Step: func(state, input, _ any) []any {
-		chain, call := state.([]content), input.(sent)
+		chain, call := state.([]content), input.(operation)
 		if call.IsRead {
 			return readStep(chain, call)
 		}
@@ -28,7 +28,7 @@
 	DescribeState: func(state any) string { return fmt.Sprint(state) },
 }).ToModel()
 
-func readStep(chain []content, call sent) []any {
+func readStep(chain []content, call operation) []any {
 	if len(chain) > 0 && chain[len(chain)-1] == call.Content {
 		return []any{chain}
 	}
@@ -36,7 +36,7 @@
 }
 
 // orderStep returns the states that an order may leave, by its answer.
-func orderStep(chain []content, call sent) []any {
+func orderStep(chain []content, call operation) []any {
 	taken := slices.Contains(chain, call.Content)
 	current := content{}
 	if len(chain) > 0 {
@@ -61,7 +61,7 @@
 	return []any{chain}
 }
 
-// isRefusal tells whether a status ends an order for good.
+// isRefusal reports whether a status rejects an order for good.
 func isRefusal(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
@@ -69,7 +69,7 @@
 // checkConfiguration reports what can't have happened to a register, and proxies that went back.
 func checkConfiguration(h *history) (violations []string) {
 	var operations []porcupine.Operation
-	for i, call := range h.sent {
+	for i, call := range h.operations {
 		if call.IsRead && call.Status != http.StatusOK {
 			if call.Status == http.StatusNotFound {
 				violations = append(violations, fmt.Sprintf("CONFIG: a read at %v was answered 404", call.Ended))
@@ -82,7 +82,7 @@
 		}
 		operations = append(operations, porcupine.Operation{ClientId: i, Input: call, Call: int64(call.Started), Return: returned})
 	}
-	if porcupine.CheckOperationsTimeout(register, operations, linearizePatience) == porcupine.Illegal {
+	if porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) == porcupine.Illegal {
 		violations = append(violations, fmt.Sprintf("CONFIG: no order of all calls explains their answers; the shortest beginning that has none: %s", describeCalls(operations)))
 	}
 	return append(violations, checkProxies(h)...)
@@ -95,14 +95,14 @@
 	for count := range operations {
 		beginning := slices.Clone(operations[:count+1])
 		for _, other := range operations[count+1:] { // what had begun by then may have had its effect
-			if other.Call < operations[count].Return && !other.Input.(sent).IsRead {
-				input := other.Input.(sent)
+			if other.Call < operations[count].Return && !other.Input.(operation).IsRead {
+				input := other.Input.(operation)
 				input.Status = 0
 				other.Input, other.Return = input, math.MaxInt64
 				beginning = append(beginning, other)
 			}
 		}
-		if porcupine.CheckOperationsTimeout(register, beginning, linearizePatience) == porcupine.Illegal {
+		if porcupine.CheckOperationsTimeout(registerModel, beginning, linearizabilityTimeout) == porcupine.Illegal {
 			text := ""
 			for _, operation := range operations[max(0, count+1-shown) : count+1] {
 				text += fmt.Sprintf("%+v; ", operation.Input)
--- a/internal/tier/simulation/checkturns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -4,5 +4,5 @@
 
 // checkTurns reports what must not have happened to programs.
 func checkTurns(h *history, ledger *standin.RunLog) []string {
-	return standin.CheckPrograms(h.programs, ledger, standin.Guarantees{MaxTokens: mostTokens, TokensPerEvent: tokensPerEvent, Retention: keepFor})
+	return standin.CheckPrograms(h.programs, ledger, standin.Guarantees{MaxTokens: maxTokens, TokensPerEvent: tokensPerEvent, Retention: retention})
 }
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -10,13 +10,13 @@
 	"mastusher/internal/tier/standin"
 )
 
-// What clients do.
+// How clients behave.
 const (
-	ingressPace     = time.Second
-	mostMisses      = 2
-	programPatience = 30 * time.Second
-	mostTokens      = 12 // of one turn, which generates all of them
-	resendPause     = 200 * time.Millisecond
+	readinessInterval = time.Second
+	maxMisses         = 2
+	programTimeout    = 30 * time.Second
+	maxTokens         = 12 // of one turn, which generates all of them
+	resendBackoff     = 200 * time.Millisecond
 )
 
 // clients send programs through the proxies that the platform's ingress takes for ready.
@@ -28,22 +28,22 @@
 }
 
 func newClients(f *Fleet) *clients {
-	transport := &http.Transport{DisableKeepAlives: true, DialContext: dialFrom(f.around.client)}
-	return &clients{fleet: f, client: &http.Client{Timeout: callPatience, Transport: transport}, misses: map[*machine]int{}}
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: dialFrom(f.environment.client)}
+	return &clients{fleet: f, client: &http.Client{Timeout: callTimeout, Transport: transport}, misses: map[*machine]int{}}
 }
 
-// follow asks each proxy each second whether it is ready, until the fleet is over.
-func (c *clients) follow() {
-	for !c.fleet.isOver() {
-		for _, m := range c.fleet.of(edgeClass) {
-			c.fleet.running.Go(func() { c.ask(m) })
+// pollReadiness asks each proxy each second whether it is ready, until the fleet closes.
+func (c *clients) pollReadiness() {
+	for !c.fleet.isClosed() {
+		for _, m := range c.fleet.machinesOf(edgeClass) {
+			c.fleet.running.Go(func() { c.checkReadiness(m) })
 		}
-		time.Sleep(ingressPace)
+		time.Sleep(readinessInterval)
 	}
 }
 
-// ask asks one proxy.
-func (c *clients) ask(m *machine) {
+// checkReadiness asks one proxy once and counts its misses.
+func (c *clients) checkReadiness(m *machine) {
 	ready := c.isReady(m)
 	c.fleet.mutex.Lock()
 	defer c.fleet.mutex.Unlock()
@@ -65,11 +65,11 @@
 
 // dial opens a connection to a proxy as the ingress does: one of those that are in, or any where none is.
 func (c *clients) dial(ctx context.Context, network, _ string) (net.Conn, error) {
-	edges := c.fleet.of(edgeClass)
+	edges := c.fleet.machinesOf(edgeClass)
 	c.fleet.mutex.Lock()
 	var in []*machine
 	for _, m := range edges {
-		if c.misses[m] < mostMisses {
+		if c.misses[m] < maxMisses {
 			in = append(in, m)
 		}
 	}
@@ -78,27 +78,27 @@
 	}
 	chosen := in[c.fleet.random.IntN(len(in))]
 	c.fleet.mutex.Unlock()
-	return c.fleet.around.client.Dial(ctx, new(net.Dialer), network, chosen.address(frontPort))
+	return c.fleet.environment.client.Dial(ctx, new(net.Dialer), network, chosen.address(frontPort))
 }
 
-// play plays one program to its end.
-func (c *clients) play(turns int, budget int64, from standin.Turn) standin.Outcome {
+// runProgram runs one program to its end.
+func (c *clients) runProgram(turns int, budget int64, from standin.Turn) standin.Outcome {
 	c.fleet.mutex.Lock()
 	c.programs++
 	name := fmt.Sprintf("p%d", c.programs)
 	c.fleet.mutex.Unlock()
 	options := standin.ProgramOptions{Name: name, Address: net.JoinHostPort(clientAddress, "80"), Host: host, TurnPath: turnPath, ToolPath: toolPath,
-		Model: modelName, Turns: turns, Tools: 1, MaxTokens: mostTokens, Budget: budget, Timeout: programPatience, RequestTimeout: requestTime, Stateful: true,
-		ContinueFrom: from, Dial: c.dial, Backoff: pause}
+		Model: modelName, Turns: turns, Tools: 1, MaxTokens: maxTokens, Budget: budget, Timeout: programTimeout, RequestTimeout: requestTimeout, Stateful: true,
+		ContinueFrom: from, Dial: c.dial, Backoff: waitResendBackoff}
 	outcome := standin.NewProgram(options).Run(context.Background())
 	c.fleet.trace("program %s: %s after %d turns", name, outcome.State, len(outcome.Turns))
-	c.fleet.history.program(standin.ProgramResult{Name: name, Budget: budget, Outcome: outcome})
+	c.fleet.history.addProgram(standin.ProgramResult{Name: name, Budget: budget, Outcome: outcome})
 	return outcome
 }
 
-// pause waits before a turn is sent again.
-func pause(ctx context.Context) error {
-	timer := time.NewTimer(resendPause)
+// waitResendBackoff waits before a turn is sent again; its error is the context's.
+func waitResendBackoff(ctx context.Context) error {
+	timer := time.NewTimer(resendBackoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -116,7 +116,7 @@
 	}
 	request.Host = host
 	request.Header.Set("X-Attempt-Id", attempt)
-	request.Header.Set("X-Time-Left-Ms", fmt.Sprint(callPatience.Milliseconds()))
+	request.Header.Set("X-Time-Left-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	response, err := c.client.Do(request)
 	if err != nil {
 		return 0
--- a/internal/tier/simulation/damage_test.go
+++ b/internal/tier/simulation/damage_test.go
@@ -9,21 +9,21 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Given a store that was killed and of whose shards the snapshots are damaged, when it starts, then all shards are whole within 15 s:
-// it doesn't pass for the member that it was.
-func TestAStoreWithDamagedSnapshotsIsReplaced(t *testing.T) {
+// Given a store that was killed and of whose shards the snapshots are damaged, when it starts, then all shards have all their
+// replicas within 15 s: it doesn't pass for the member that it was.
+func TestStore_DamagedSnapshots_IsReplaced(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f, orders, users := newFleet(t, Options{Seed: 21})
-		d := &day{Fleet: f, first: orders, second: newOperator(f, "b"), users: users}
-		f.onAnswer = d.answered
-		d.learn(1)
-		users.play(3, 0, standin.Turn{})
-		shards := f.wholeShards()
+		fleet, orders, users := newFleet(t, Options{Seed: 21})
+		d := &day{Fleet: fleet, first: orders, second: newOperator(fleet, "b"), clients: users}
+		fleet.onAcknowledgement = d.onAcknowledgement
+		d.recordVersion(1)
+		users.runProgram(3, 0, standin.Turn{})
+		shards := fleet.completeShards()
 		if shards == 0 {
-			t.Fatal("no shard is whole")
+			t.Fatal("no shard is complete")
 		}
-		m := d.of(storageClass)[0]
+		m := d.machinesOf(storageClass)[0]
 		m.kill()
 		names, err := m.disk.memory.List()
 		if err != nil {
@@ -40,9 +40,9 @@
 		}
 		m.startAll()
 		time.Sleep(15 * time.Second)
-		if got := f.wholeShards(); got != shards {
-			t.Errorf("%d of %d shards are whole 15 s after a disk was found to be damaged", got, shards)
+		if got := fleet.completeShards(); got != shards {
+			t.Errorf("%d of %d shards are complete 15 s after a disk was found to be damaged", got, shards)
 		}
-		f.Close()
+		fleet.Close()
 	})
 }
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -7,8 +7,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// stallPoll is the pace at which an operation looks whether its disk answers again.
-const stallPoll = 10 * time.Millisecond
+// stallPollInterval is how often a waiting operation checks whether its disk answers again.
+const stallPollInterval = 10 * time.Millisecond
 
 // disk is the disk of a machine. The fleet's mutex guards its fields.
 type disk struct {
@@ -21,19 +21,19 @@
 // or the disk stands still or once the process has ended.
 type processDisk struct {
 	process *process
-	memory  *memorydisk.Disk
+	files   *memorydisk.Disk
 }
 
 var _ storage.Disk = (*processDisk)(nil)
 
-// enter waits until an operation may be done. All waiting is outside of the disk's own lock.
-func (d *processDisk) enter(sync bool) error {
+// await waits until an operation may be done. All waiting is outside of the disk's own lock.
+func (d *processDisk) await(sync bool) error {
 	p := d.process
 	if sync {
 		time.Sleep(p.machine.syncTime())
 	}
 	for p.machine.diskStalls() && !p.isDead() {
-		time.Sleep(stallPoll)
+		time.Sleep(stallPollInterval)
 	}
 	if err := p.network.AwaitThaw(); err != nil {
 		return memorydisk.ErrCrashed
@@ -43,18 +43,18 @@
 
 // Open implements storage.Disk.
 func (d *processDisk) Open(name string) (storage.File, error) {
-	if err := d.enter(false); err != nil {
+	if err := d.await(false); err != nil {
 		return nil, err
 	}
-	return d.wrap(d.memory.Open(name))
+	return d.wrap(d.files.Open(name))
 }
 
 // Create implements storage.Disk.
 func (d *processDisk) Create(name string) (storage.File, error) {
-	if err := d.enter(false); err != nil {
+	if err := d.await(false); err != nil {
 		return nil, err
 	}
-	return d.wrap(d.memory.Create(name))
+	return d.wrap(d.files.Create(name))
 }
 
 func (d *processDisk) wrap(opened storage.File, err error) (storage.File, error) {
@@ -66,34 +66,34 @@
 
 // Rename implements storage.Disk.
 func (d *processDisk) Rename(from, to string) error {
-	if err := d.enter(false); err != nil {
+	if err := d.await(false); err != nil {
 		return err
 	}
-	return d.memory.Rename(from, to)
+	return d.files.Rename(from, to)
 }
 
 // Remove implements storage.Disk.
 func (d *processDisk) Remove(name string) error {
-	if err := d.enter(false); err != nil {
+	if err := d.await(false); err != nil {
 		return err
 	}
-	return d.memory.Remove(name)
+	return d.files.Remove(name)
 }
 
 // List implements storage.Disk.
 func (d *processDisk) List() ([]string, error) {
-	if err := d.enter(false); err != nil {
+	if err := d.await(false); err != nil {
 		return nil, err
 	}
-	return d.memory.List()
+	return d.files.List()
 }
 
 // SyncDir implements storage.Disk.
 func (d *processDisk) SyncDir() error {
-	if err := d.enter(true); err != nil {
+	if err := d.await(true); err != nil {
 		return err
 	}
-	return d.memory.SyncDir()
+	return d.files.SyncDir()
 }
 
 // processFile is an open file of a process.
@@ -104,7 +104,7 @@
 
 // ReadAll implements storage.File.
 func (f *processFile) ReadAll() ([]byte, error) {
-	if err := f.disk.enter(false); err != nil {
+	if err := f.disk.await(false); err != nil {
 		return nil, err
 	}
 	return f.File.ReadAll()
@@ -112,7 +112,7 @@
 
 // Write implements storage.File.
 func (f *processFile) Write(data []byte) (int, error) {
-	if err := f.disk.enter(false); err != nil {
+	if err := f.disk.await(false); err != nil {
 		return 0, err
 	}
 	return f.File.Write(data)
@@ -120,7 +120,7 @@
 
 // Truncate implements storage.File.
 func (f *processFile) Truncate(size int64) error {
-	if err := f.disk.enter(false); err != nil {
+	if err := f.disk.await(false); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
@@ -128,7 +128,7 @@
 
 // Sync implements storage.File.
 func (f *processFile) Sync() error {
-	if err := f.disk.enter(true); err != nil {
+	if err := f.disk.await(true); err != nil {
 		return err
 	}
 	return f.File.Sync()
--- a/internal/tier/simulation/doc.go
+++ b/internal/tier/simulation/doc.go
@@ -1,10 +1,20 @@
-// Package simulation runs the tier's real roles (controllers, stores, agents and proxies, as their commands run them) over a
-// network and disks in memory and in virtual time, with an operator, programs and endpoints around them, and checks what these
-// have seen. It is for tests, and everything in it must run inside a bubble of testing/synctest.
+// Package simulation runs the tier's real roles in virtual time: controllers, stores, agents and proxies by the functions that
+// their commands run (command.RunController and its like), over a network and disks in memory (memorynetwork, memorydisk), with
+// an operator, clients and endpoints outside of the tier. It is test support: no command imports it, and everything in it must
+// run inside a bubble of testing/synctest.
 //
-// A day is 40 s of traffic, as in the operators' days, during which the faults of a plan strike; then all faults end, the fleet
-// must become whole again, and all processes get SIGTERM and must end.
+// It shows that the code that ships, with its goroutines, timers, sockets' deadlines and settings files, keeps its guarantees
+// under faults: the configuration is a linearizable register, turns are neither lost nor run twice, no process ends by itself,
+// no goroutine is left behind, and the tier serves again once the faults are over. Package fleettest models the same system with
+// adapters in place of the roles: it covers the state machines' logic only, but in one goroutine, so that it is faster and a
+// seed gives the same run event by event.
 //
-// A seed gives a plan, the delays of the network and the programs. It doesn't give the order in which the runtime runs
-// goroutines that are ready at the same instant: a day that is played again may differ in that.
+// A day is the run of one Plan: 40 s of traffic, as in the operators' days, during which the plan's faults are injected; then all
+// faults end, the fleet must recover, and all processes get SIGTERM and must end.
+//
+// A seed determines the plan, the delays of the network and the programs. It doesn't determine the order in which the runtime
+// runs goroutines that are ready at the same instant: a day that is run again may differ in that.
+//
+// Concurrency: each process runs its own goroutines. Fleet.mutex guards the state of machines, disks, processes and the day, and
+// must not be held while waiting; history has a mutex of its own.
 package simulation
--- a/internal/tier/simulation/doubler_test.go
+++ b/internal/tier/simulation/doubler_test.go
@@ -31,7 +31,7 @@
 func startDoubler(t *testing.T, f *Fleet) *doubler {
 	t.Helper()
 	host := f.network.Machine(doublerAddress)
-	listener, err := f.around.listen(host, endpointPort)()
+	listener, err := f.environment.listen(host, endpointPort)()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,10 +39,10 @@
 	go d.serve()
 	for number := range 2 * endpointsEach {
 		if number%2 == 1 {
-			f.around.platform.Remove(fmt.Sprintf("e-%d", number))
+			f.environment.platform.Remove(fmt.Sprintf("e-%d", number))
 		}
 	}
-	f.around.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
+	f.environment.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
 		Capacity: batch, State: model.Ready})
 	return d
 }
--- a/internal/tier/simulation/surroundings.go
+++ b/internal/tier/simulation/environment.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Addresses of those around the tier.
+// Addresses of those outside the tier.
 const (
 	platformAddress = "10.9.0.1"
 	operatorAddress = "10.9.0.2"
@@ -33,44 +33,44 @@
 	pageSize       = 4
 )
 
-// surroundings are those whom the tier talks to: the platform's list, the endpoints, the operator and the clients.
-type surroundings struct {
+// environment holds those whom the tier talks to: the platform's list, the endpoints, the operator and the clients.
+type environment struct {
 	ledger    *standin.RunLog
 	platform  *standin.Platform
 	endpoints []*endpoint
 	operator  *memorynetwork.Process
 	client    *memorynetwork.Process
 	processes []*memorynetwork.Process
-	ends      []func()
+	closers   []func()
 }
 
-// endpoint is a stand-in for one, with the machine that it runs on.
+// endpoint is a simulated endpoint with the machine that it runs on.
 type endpoint struct {
 	id   string
 	host *memorynetwork.Machine
 }
 
-func (f *Fleet) surround() (*surroundings, error) {
-	around := &surroundings{ledger: standin.NewRunLog()}
-	around.operator = f.network.Machine(operatorAddress).Start()
-	around.client = f.network.Machine(clientAddress).Start()
-	around.processes = append(around.processes, around.operator, around.client)
-	platform, err := standin.NewPlatform(standin.PlatformOptions{PageSize: pageSize, RatePerS: listRate, Listen: around.listen(f.network.Machine(platformAddress), platformPort)})
+func (f *Fleet) newEnvironment() (*environment, error) {
+	environment := &environment{ledger: standin.NewRunLog()}
+	environment.operator = f.network.Machine(operatorAddress).Start()
+	environment.client = f.network.Machine(clientAddress).Start()
+	environment.processes = append(environment.processes, environment.operator, environment.client)
+	platform, err := standin.NewPlatform(standin.PlatformOptions{PageSize: pageSize, RatePerS: listRate, Listen: environment.listen(f.network.Machine(platformAddress), platformPort)})
 	if err != nil {
 		return nil, err
 	}
-	around.platform = platform
-	around.ends = append(around.ends, platform.Close)
+	environment.platform = platform
+	environment.closers = append(environment.closers, platform.Close)
 	for number := range 2 * endpointsEach {
-		if err := around.addEndpoint(f, number); err != nil {
+		if err := environment.addEndpoint(f, number); err != nil {
 			return nil, err
 		}
 	}
-	return around, nil
+	return environment, nil
 }
 
 // listen returns what opens a port on a machine.
-func (s *surroundings) listen(host *memorynetwork.Machine, port int) func() (net.Listener, error) {
+func (s *environment) listen(host *memorynetwork.Machine, port int) func() (net.Listener, error) {
 	process := host.Start()
 	s.processes = append(s.processes, process)
 	return func() (net.Listener, error) {
@@ -79,10 +79,10 @@
 }
 
 // addEndpoint starts a model server or a plain endpoint.
-func (s *surroundings) addEndpoint(f *Fleet, number int) error {
+func (s *environment) addEndpoint(f *Fleet, number int) error {
 	host := f.network.Machine(fmt.Sprintf("10.8.0.%d", number+1))
 	options := standin.EndpointOptions{ID: fmt.Sprintf("e-%d", number), Service: toolService, Zone: zoneName(number % f.options.Zones), Version: "v1",
-		Capacity: batch, Queue: batch, MaxConnections: maxConnections, RunLog: s.ledger, Listen: s.listen(host, endpointPort), Fault: f.endpointFault}
+		Capacity: batch, Queue: batch, MaxConnections: maxConnections, RunLog: s.ledger, Listen: s.listen(host, endpointPort), Fault: f.drawEndpointFault}
 	if number%2 == 0 {
 		options.Service = modelService
 		engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: options, Models: []string{modelName}, CacheTokens: cacheTokens,
@@ -91,22 +91,22 @@
 			return err
 		}
 		s.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
-		s.ends = append(s.ends, engine.Close)
+		s.closers = append(s.closers, engine.Close)
 	} else {
 		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolWork})
 		if err != nil {
 			return err
 		}
 		s.platform.Put(plain.Entry())
-		s.ends = append(s.ends, plain.Close)
+		s.closers = append(s.closers, plain.Close)
 	}
 	s.endpoints = append(s.endpoints, &endpoint{id: options.ID, host: host})
 	return nil
 }
 
-// close ends all of them.
-func (s *surroundings) close() {
-	for _, end := range s.ends {
+// close ends them all.
+func (s *environment) close() {
+	for _, end := range s.closers {
 		end()
 	}
 	for _, process := range s.processes {
--- /dev/null
+++ b/internal/tier/simulation/faultinjection.go
@@ -0,0 +1,150 @@
+package simulation
+
+import (
+	"time"
+
+	"mastusher/internal/tier/standin"
+)
+
+// Sizes and times of the faults.
+const (
+	ackTimeout          = 3 * time.Second // for which a fault waits for an acknowledgement
+	maxAckFaultDelay    = 4 * time.Millisecond
+	slowSyncTime        = 120 * time.Millisecond
+	slowLinkDelay       = 60 * time.Millisecond
+	freeBytes           = 200
+	clockStepBack       = 3 * time.Second
+	faultyRequestRate   = 0.2
+	injectedAckLossRate = 0.7
+)
+
+// inject injects a fault into machines and processes, or passes it on by its kind.
+func (d *day) inject(fault Fault) {
+	d.trace("FAULT %+v", fault)
+	machines := d.quorumMachines()
+	target := machines[fault.Target%len(machines)]
+	edges := d.machinesOf(edgeClass)
+	edge := edges[fault.Target%len(edges)]
+	seed := d.options.Seed + uint64(fault.At)
+	switch fault.Kind {
+	case KillFault:
+		target.kill()
+		d.startLater(fault.For, target)
+	case PowerLossFault:
+		target.losePower(seed)
+		d.startLater(fault.For, target)
+	case KillAllFault:
+		d.endAll(fault, (*machine).kill)
+	case PowerLossAllFault:
+		d.endAll(fault, func(m *machine) { m.losePower(seed) })
+	case TermFault:
+		d.restartMachine(target)
+	case HangUpFault:
+		for _, p := range target.currentProcesses() {
+			p.hangUp()
+		}
+	case FreezeFault:
+		target.host.Freeze()
+		d.after(fault.For, target.host.Thaw)
+	case DiskLossFault:
+		target.loseDisk(seed)
+		d.startLater(fault.For, target)
+	case AckKillFault:
+		d.afterAcknowledgement(fault, func(acting *machine) { acting.kill() })
+	case AckPowerLossFault:
+		d.afterAcknowledgement(fault, func(acting *machine) { acting.losePower(seed) })
+	case AckDiskLossFault:
+		d.afterAcknowledgement(fault, func(acting *machine) { acting.loseDisk(seed) })
+	case AckPowerLossAllFault:
+		d.afterAcknowledgement(fault, func(*machine) { d.endAll(fault, func(m *machine) { m.losePower(seed) }) })
+	case ReplaceFault, PlannedReplaceFault:
+		d.replaceMachine(target, fault)
+	case ClockStepFault:
+		target.stepClock(fault.For - clockStepBack)
+	case ProxyKillFault, AgentKillFault:
+		d.killProcess(edge, fault)
+	case EdgeTermFault:
+		d.restartMachine(edge)
+	default:
+		d.injectMachineFault(fault, target, edge)
+	}
+}
+
+// injectMachineFault injects a fault of a link or a disk, or passes it on.
+func (d *day) injectMachineFault(fault Fault, target, edge *machine) {
+	everyone := d.machinesOf(coreClass, storageClass, edgeClass)
+	switch fault.Kind {
+	case PartitionFault:
+		d.partition(fault.For, []*machine{target}, everyone, true, true)
+	case PartitionQuorumFault:
+		d.partition(fault.For, []*machine{target}, d.quorumMachines(), true, true)
+	case PartitionOutboundFault:
+		d.partition(fault.For, []*machine{target}, everyone, true, false)
+	case PartitionInboundFault:
+		d.partition(fault.For, []*machine{target}, everyone, false, true)
+	case PartitionZoneFault:
+		near, far := d.splitByZone(target)
+		d.partition(fault.For, near, far, true, true)
+	case EdgePartitionFault:
+		d.partition(fault.For, []*machine{edge}, d.quorumMachines(), true, true)
+	case RefuseFault:
+		d.refuseConnections(fault.For, target)
+	case ResetFault:
+		machines := d.quorumMachines()
+		d.network.Reset(target.host, machines[fault.Other%len(machines)].host)
+	case SlowLinkFault:
+		d.slowLinks(fault.For, target)
+	case SlowDiskFault:
+		target.setDisk(func(d *disk) { d.syncTime = slowSyncTime })
+		d.after(fault.For, func() { target.setDisk(func(d *disk) { d.syncTime = defaultSyncTime }) })
+	case StalledDiskFault:
+		target.setDisk(func(d *disk) { d.stalled = true })
+		d.after(fault.For, func() { target.setDisk(func(d *disk) { d.stalled = false }) })
+	case FullDiskFault:
+		d.fillDisk(fault.For, target)
+	default:
+		d.injectExternalFault(fault)
+	}
+}
+
+// injectExternalFault injects a fault of the endpoints, the platform or the operators.
+func (d *day) injectExternalFault(fault Fault) {
+	endpoints := d.environment.endpoints
+	target := endpoints[fault.Target%len(endpoints)]
+	switch fault.Kind {
+	case EndpointPartitionFault:
+		for _, edge := range d.machinesOf(edgeClass) {
+			d.network.Partition(edge.host, target.host)
+			d.network.Partition(target.host, edge.host)
+		}
+		d.after(fault.For, func() { d.healEndpoint(target) })
+	case EndpointResetFault:
+		for _, edge := range d.machinesOf(edgeClass) {
+			d.network.Reset(edge.host, target.host)
+		}
+	case ResponseLossFault:
+		d.failRequests(fault.For, standin.LoseResponse)
+	case ResponseTruncatedFault:
+		d.failRequests(fault.For, standin.TruncateResponse)
+	case EndpointErrorFault:
+		d.failRequests(fault.For, standin.FailResponse)
+	case EndpointOverloadFault:
+		d.failRequests(fault.For, standin.RejectFull)
+	case EndpointUnreadFault:
+		d.failRequests(fault.For, standin.DropRequest)
+	case PlatformDownFault:
+		d.environment.platform.SetDown(true)
+		d.after(fault.For, func() { d.environment.platform.SetDown(false) })
+	case AckLossFault:
+		d.setAckLossRate(injectedAckLossRate)
+		d.after(fault.For, func() { d.setAckLossRate(0) })
+	case OrderRaceFault:
+		d.raceOrders(fault)
+	case InvalidOrderFault:
+		d.sendInvalidOrders()
+	case DuplicateOrderFault:
+		d.resendEarlierOrder(fault)
+	default:
+		d.report("HARNESS", "no fault of the kind %q", fault.Kind)
+	}
+}
--- a/internal/tier/simulation/fleet.go
+++ b/internal/tier/simulation/fleet.go
@@ -35,45 +35,45 @@
 
 // Conditions of the network and the disks.
 const (
-	usualDelay  = 300 * time.Microsecond
-	usualJitter = 400 * time.Microsecond
-	usualSync   = 2 * time.Millisecond
+	defaultDelay    = 300 * time.Microsecond
+	defaultJitter   = 400 * time.Microsecond
+	defaultSyncTime = 2 * time.Millisecond
 )
 
-// Fleet is a whole system with those who use it.
+// Fleet is a complete system with those who use it.
 type Fleet struct {
-	options Options
-	began   time.Time
-	network *memorynetwork.Network
-	around  *surroundings
-	history *history
-	running sync.WaitGroup // processes and what has been put off
-
-	mutex         sync.Mutex
-	random        *rand.Rand
-	machines      []*machine
-	hosts         int // that were ever added
-	seedAddresses []string
-	over          bool
-	violations    []string
-	endpoints     endpointTrouble
-	lostAcks      float64              // share of the answers to operators that are lost
-	onAnswer      func(address string) // told of each acknowledgement; set before any
+	options     Options
+	started     time.Time
+	network     *memorynetwork.Network
+	environment *environment
+	history     *history
+	running     sync.WaitGroup // processes and what has been put off
+
+	mutex             sync.Mutex
+	random            *rand.Rand
+	machines          []*machine
+	hosts             int // that were ever added
+	seedAddresses     []string
+	closed            bool
+	violations        []string
+	endpointFaults    endpointFaults
+	ackLossRate       float64              // rate of the answers to operators that are lost
+	onAcknowledgement func(address string) // called at each acknowledgement; set before any
 }
 
 // New returns a fleet whose machines are down.
 func New(options Options) (*Fleet, error) {
 	options = options.withDefaults()
-	f := &Fleet{options: options, began: time.Now(), history: &history{}, random: rand.New(rand.NewPCG(options.Seed, 0x666c6565)),
-		network: memorynetwork.New(memorynetwork.Options{Delay: usualDelay, Jitter: usualJitter, Seed: options.Seed})}
+	f := &Fleet{options: options, started: time.Now(), history: &history{}, random: rand.New(rand.NewPCG(options.Seed, 0x666c6565)),
+		network: memorynetwork.New(memorynetwork.Options{Delay: defaultDelay, Jitter: defaultJitter, Seed: options.Seed})}
 	for class, count := range map[class]int{coreClass: options.Controllers, storageClass: options.Stores, edgeClass: options.Edges} {
 		for range count {
 			f.add(class).initial = true
 		}
 	}
 	f.seedAddresses = f.controlAddresses()
-	around, err := f.surround()
-	f.around = around
+	var err error
+	f.environment, err = f.newEnvironment()
 	return f, err
 }
 
@@ -84,13 +84,13 @@
 	f.hosts++
 	m := &machine{fleet: f, name: fmt.Sprintf("%s-%d", class, f.hosts), class: class, zone: zoneName(f.hosts % f.options.Zones), roles: rolesOf[class],
 		host: f.network.Machine(fmt.Sprintf("10.1.0.%d", f.hosts)), processes: map[role]*process{}, down: true,
-		disk: &disk{memory: memorydisk.New(), syncTime: usualSync}}
+		disk: &disk{memory: memorydisk.New(), syncTime: defaultSyncTime}}
 	f.machines = append(f.machines, m)
 	return m
 }
 
 // of lists the machines of a class that haven't been removed.
-func (f *Fleet) of(classes ...class) []*machine {
+func (f *Fleet) machinesOf(classes ...class) []*machine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var found []*machine
@@ -102,12 +102,12 @@
 	return found
 }
 
-// counting lists the machines whose loss is counted.
-func (f *Fleet) counting() []*machine { return f.of(coreClass, storageClass) }
+// quorumMachines lists the machines that count for a quorum.
+func (f *Fleet) quorumMachines() []*machine { return f.machinesOf(coreClass, storageClass) }
 
 func (f *Fleet) controlAddresses() []string {
 	var addresses []string
-	for _, m := range f.of(coreClass) {
+	for _, m := range f.machinesOf(coreClass) {
 		addresses = append(addresses, m.address(controlPort))
 	}
 	return addresses
@@ -115,7 +115,7 @@
 
 // StartAll starts all machines that are down.
 func (f *Fleet) StartAll() {
-	for _, m := range f.of(coreClass, storageClass, edgeClass) {
+	for _, m := range f.machinesOf(coreClass, storageClass, edgeClass) {
 		m.startAll()
 	}
 }
@@ -123,22 +123,22 @@
 // Close ends all processes with SIGTERM, and those who use them. What still runs then is a leak, which the bubble finds.
 func (f *Fleet) Close() {
 	f.mutex.Lock()
-	f.over = true
+	f.closed = true
 	f.mutex.Unlock()
 	var ending sync.WaitGroup
-	for _, m := range f.of(coreClass, storageClass, edgeClass) {
+	for _, m := range f.machinesOf(coreClass, storageClass, edgeClass) {
 		ending.Go(m.terminateAll)
 	}
 	ending.Wait()
-	f.around.close()
+	f.environment.close()
 	f.running.Wait()
-	time.Sleep(lingering)
+	time.Sleep(lingerTime)
 }
 
-// lingering is how long goroutines of the library may outlive the end of their processes.
-const lingering = time.Minute
+// lingerTime is how long goroutines of the library may outlive the end of their processes.
+const lingerTime = time.Minute
 
-func (f *Fleet) now() time.Duration { return time.Since(f.began) }
+func (f *Fleet) now() time.Duration { return time.Since(f.started) }
 
 func (f *Fleet) trace(format string, arguments ...any) {
 	if f.options.Trace != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-// report notes a breach of a rule.
+// report records a breach of a rule.
 func (f *Fleet) report(rule, format string, arguments ...any) {
 	f.trace("BREACH "+rule+" "+format, arguments...)
 	f.mutex.Lock()
@@ -154,10 +154,10 @@
 	f.violations = append(f.violations, fmt.Sprintf("%s at %.3f s: %s", rule, f.now().Seconds(), fmt.Sprintf(format, arguments...)))
 }
 
-// after does something later, in a goroutine of its own that Close waits for.
-func (f *Fleet) after(pause time.Duration, run func()) {
+// after calls run after a delay, in a goroutine of its own that Close waits for.
+func (f *Fleet) after(delay time.Duration, run func()) {
 	f.running.Go(func() {
-		time.Sleep(pause)
+		time.Sleep(delay)
 		run()
 	})
 }
@@ -169,21 +169,21 @@
 	return f.random.IntN(n)
 }
 
-// until waits until something holds; false means that it doesn't within the time.
-func (f *Fleet) until(patience time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(patience); ; {
-		if holds() {
+// waitUntil waits until a condition holds; false means that it didn't within the timeout.
+func (f *Fleet) waitUntil(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); ; {
+		if condition() {
 			return true
 		}
 		if time.Now().After(end) {
 			return false
 		}
-		time.Sleep(pollPace)
+		time.Sleep(pollInterval)
 	}
 }
 
-// pollPace is the pace at which until looks.
-const pollPace = 50 * time.Millisecond
+// pollInterval is how often waitUntil checks its condition.
+const pollInterval = 50 * time.Millisecond
 
 // dialFrom opens connections for a process that is no part of the tier.
 func dialFrom(from *memorynetwork.Process) func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -192,10 +192,10 @@
 	}
 }
 
-func (f *Fleet) isOver() bool {
+func (f *Fleet) isClosed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.over
+	return f.closed
 }
 
 // Violations lists the breaches so far.
@@ -205,9 +205,9 @@
 	return slices.Clone(f.violations)
 }
 
-// allReady tells whether all proxies say that they are ready.
+// allReady reports whether all proxies answer that they are ready.
 func (f *Fleet) allReady(users *clients) bool {
-	for _, m := range f.of(edgeClass) {
+	for _, m := range f.machinesOf(edgeClass) {
 		if !users.isReady(m) {
 			return false
 		}
--- a/internal/tier/simulation/fleet_test.go
+++ b/internal/tier/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"mastusher/internal/tier/standin"
 )
 
-// startPatience bounds the start of a fleet.
-const startPatience = 20 * time.Second
+// startTimeout bounds the start of a fleet.
+const startTimeout = 20 * time.Second
 
 // newFleet starts a fleet that has its first configuration and whose proxies are ready.
 func newFleet(t *testing.T, options Options) (*Fleet, *operator, *clients) {
@@ -27,17 +27,17 @@
 	if status := first.order(0, first.next(1)); status != statusOK {
 		t.Fatalf("the first configuration was answered %d", status)
 	}
-	if !f.until(startPatience, func() bool { return f.allReady(users) }) {
+	if !f.waitUntil(startTimeout, func() bool { return f.allReady(users) }) {
 		t.Fatal("the proxies aren't ready")
 	}
-	f.running.Go(users.follow)
+	f.running.Go(users.pollReadiness)
 	return f, first, users
 }
 
-func TestAFleetStartsTakesAConfigurationAndServes(t *testing.T) {
+func TestFleet_Started_TakesConfigurationsAndServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, orders, users := newFleet(t, Options{Seed: 1})
-		if outcome := users.play(4, 0, standin.Turn{}); outcome.State != standin.Finished {
+		if outcome := users.runProgram(4, 0, standin.Turn{}); outcome.State != standin.Finished {
 			t.Errorf("the program ended as %s: %+v", outcome.State, outcome)
 		}
 		if status := orders.order(1, orders.next(3)); status != statusOK {
--- a/internal/tier/simulation/history.go
+++ b/internal/tier/simulation/history.go
@@ -7,14 +7,14 @@
 	"mastusher/internal/tier/standin"
 )
 
-// content names a configuration: two with one number differ in their marks.
+// content names a configuration: two with one number differ in their labels.
 type content struct {
 	Number uint64
-	Mark   string
+	Label  string
 }
 
-// sent is one sending of an order or of a question for the configuration.
-type sent struct {
+// operation is one attempt of an order or of a read of the configuration, as its operator saw it.
+type operation struct {
 	IsRead   bool
 	Base     uint64
 	Content  content // ordered, or read
@@ -33,34 +33,34 @@
 	At          time.Duration
 }
 
-// history is what operators and clients have seen.
+// history records what operators and clients have seen. Its mutex guards all fields while a day runs.
 type history struct {
-	mutex    sync.Mutex
-	sent     []sent
-	versions []versionSeen
-	programs []standin.ProgramResult
+	mutex      sync.Mutex
+	operations []operation
+	versions   []versionSeen
+	programs   []standin.ProgramResult
 }
 
-func (h *history) call(s sent) {
+func (h *history) addOperation(s operation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.sent = append(h.sent, s)
+	h.operations = append(h.operations, s)
 }
 
-func (h *history) inForce(seen versionSeen) {
+func (h *history) addVersion(seen versionSeen) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.versions = append(h.versions, seen)
 }
 
-func (h *history) program(p standin.ProgramResult) {
+func (h *history) addProgram(p standin.ProgramResult) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.programs = append(h.programs, p)
 }
 
-// wholeTurns lists the turns that their clients got whole.
-func (h *history) wholeTurns() []standin.Turn {
+// completeTurns lists the turns whose answers their clients got complete.
+func (h *history) completeTurns() []standin.Turn {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var turns []standin.Turn
@@ -75,11 +75,11 @@
 }
 
 // orders lists what was ordered so far, each sending by itself.
-func (h *history) orders() []sent {
+func (h *history) orders() []operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	var orders []sent
-	for _, s := range h.sent {
+	var orders []operation
+	for _, s := range h.operations {
 		if !s.IsRead {
 			orders = append(orders, s)
 		}
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -39,28 +39,28 @@
 	starts    int
 	processes map[role]*process
 	disk      *disk
-	stepped   time.Duration // of its clock
+	clockStep time.Duration // of its clock
 	removed   bool
 	down      bool // its processes aren't to run
 }
 
-// counts tells whether the machine's loss is counted.
-func (m *machine) counts() bool { return m.class != edgeClass }
+// countsForQuorum reports whether the machine has replicas, so that its loss counts towards a quorum.
+func (m *machine) countsForQuorum() bool { return m.class != edgeClass }
 
 func (m *machine) address(port int) string {
 	return net.JoinHostPort(m.host.Address(), strconv.Itoa(port))
 }
 
-func (m *machine) clock() time.Duration {
+func (m *machine) clockOffset() time.Duration {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
-	return m.stepped
+	return m.clockStep
 }
 
 func (m *machine) stepClock(by time.Duration) {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
-	m.stepped += by
+	m.clockStep += by
 }
 
 func (m *machine) syncTime() time.Duration {
@@ -82,8 +82,8 @@
 	change(m.disk)
 }
 
-// current lists the machine's processes that have been started last.
-func (m *machine) current() []*process {
+// currentProcesses lists the machine's processes that have been started last.
+func (m *machine) currentProcesses() []*process {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
 	var current []*process
@@ -98,10 +98,10 @@
 // startAll starts all roles of a machine that is down.
 func (m *machine) startAll() {
 	m.fleet.mutex.Lock()
-	may := m.down && !m.removed
+	allowed := m.down && !m.removed
 	m.down = false
 	m.fleet.mutex.Unlock()
-	if !may {
+	if !allowed {
 		return
 	}
 	m.host.PowerOn()
@@ -110,17 +110,17 @@
 	}
 }
 
-// startAgain starts the role of a process that has ended, unless another start of it has begun.
-func (m *machine) startAgain(ended *process) {
+// restart starts the role of a process that has ended, unless another start of it has begun.
+func (m *machine) restart(ended *process) {
 	m.fleet.mutex.Lock()
-	may := !m.down && !m.removed && !m.fleet.over && m.processes[ended.role] == ended
+	allowed := !m.down && !m.removed && !m.fleet.closed && m.processes[ended.role] == ended
 	m.fleet.mutex.Unlock()
-	if may {
+	if allowed {
 		m.start(ended.role)
 	}
 }
 
-// setDown notes that the machine's processes aren't to run; false means that it was down.
+// setDown records that the machine's processes must not run; false means that it was down.
 func (m *machine) setDown() bool {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
@@ -134,20 +134,20 @@
 	if !m.setDown() {
 		return
 	}
-	for _, p := range m.current() {
+	for _, p := range m.currentProcesses() {
 		p.kill()
 	}
 }
 
-// losePower ends all processes without a word, and what was not synced may be gone.
+// losePower ends all processes without resets or shutdown, and loses what was not synced.
 func (m *machine) losePower(seed uint64) {
 	if !m.setDown() {
 		return
 	}
-	current := m.current()
+	current := m.currentProcesses()
 	hosts := make([]*memorynetwork.Process, len(current))
 	for i, p := range current {
-		p.markDead()
+		p.setDead()
 		hosts[i] = p.network
 	}
 	m.host.PowerOff(hosts...)
@@ -168,14 +168,14 @@
 	if !m.setDown() {
 		return
 	}
-	for _, p := range m.current() {
+	for _, p := range m.currentProcesses() {
 		m.fleet.running.Add(1)
 		go func() {
 			defer m.fleet.running.Done()
 			p.stop()
 		}()
 	}
-	for _, p := range m.current() {
+	for _, p := range m.currentProcesses() {
 		<-p.ended
 	}
 }
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-var mutantsFlag = flag.Bool("mutants", false, "try whether the stories catch deliberate mistakes in the code")
+var mutantsFlag = flag.Bool("mutants", false, "check that the scenarios catch deliberate mistakes in the code")
 
 // sourceMutant is a deliberate mistake: a source file's text that is replaced, and the tests of which one must fail then.
 type sourceMutant struct {
@@ -22,28 +22,28 @@
 }
 
 var mutants = []sourceMutant{
-	{"a minority decides", "../replica/configuration.go", "return c.voters/2 + 1", "return max(1, c.voters/2)", "TestAControlMachine"},
-	{"few repeats are known", "../configuration/history.go", "const maxHistory = 32768", "const maxHistory = 16", "TestAnOrderThatIs"},
+	{"a minority decides", "../replica/configuration.go", "return c.voters/2 + 1", "return max(1, c.voters/2)", "TestLeader_Partitioned"},
+	{"few duplicates are known", "../configuration/history.go", "const maxHistory = 32768", "const maxHistory = 16", "TestOrder_SentAgain"},
 	{"two orders win on one version", "../configuration/state_machine.go", "if proposal.Base != s.current.Number {", "if proposal.Base > s.current.Number {",
-		"TestOneOfTwo|TestTheFirstMachine"},
+		"TestOrders_TwoOfOneNumber|TestLaggingController"},
 	{"entries are acknowledged before they last", "../storage/group.go", "if err := g.log.Sync(); err != nil {", "if err := error(nil); err != nil {",
-		"TestTheFirstMachine|TestRandomDays"},
+		"TestLaggingController|TestRandomDays"},
 	{"a new member's snapshot isn't taken over", "../group/iteration.go", "if err := g.restore(g.disk, true); err != nil {",
-		"if err := error(nil); err != nil {", "TestTheFirstMachine"},
+		"if err := error(nil); err != nil {", "TestLaggingController"},
 	{"there are too few copies", "../controller/controller.go", "return 2*c.options.Settings.FaultTolerance.Machines + 1",
-		"return c.options.Settings.FaultTolerance.Machines + 1", "TestASecondLoss"},
-	{"all requests may be repeated", "../proxy/retries.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable",
-		"return true", "TestOnceOnly"},
+		"return c.options.Settings.FaultTolerance.Machines + 1", "TestReplacement_NextLoss"},
+	{"all requests may be retried", "../proxy/retries.go", "return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable",
+		"return true", "TestAtMostOnceRequests"},
 }
 
-// TestMutants runs the stories on each mistake, which one of them must catch.
+// TestMutants runs the scenarios on each mistake, which one of them must catch.
 func TestMutants(t *testing.T) {
 	if !*mutantsFlag {
 		return // some minutes: on demand only
 	}
 	for _, mutant := range mutants {
 		t.Run(mutant.name, func(t *testing.T) {
-			output, err := mutant.try(t)
+			output, err := mutant.test(t)
 			if err == nil || !strings.Contains(output, "FAIL") {
 				t.Errorf("not caught: %v\n%s", err, output)
 			}
@@ -60,8 +60,8 @@
 	}
 }
 
-// try runs the tests on a copy of the source that holds the mistake.
-func (m sourceMutant) try(t *testing.T) (output string, err error) {
+// test runs the tests on a copy of the source that holds the mistake.
+func (m sourceMutant) test(t *testing.T) (output string, err error) {
 	t.Helper()
 	path, err := filepath.Abs(m.file)
 	if err != nil {
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	statusOK      = http.StatusOK
-	host          = "h.example"
-	turnPath      = "/turns/"
-	toolPath      = "/tools/"
-	markPrefix    = "mark-"
-	callPatience  = time.Second // of the operator with one controller
-	orderPatience = 20 * time.Second
-	firstPause    = 50 * time.Millisecond
-	mostPause     = 800 * time.Millisecond
-	requestTime   = 4 * time.Second
-	keepFor       = 60 * time.Second
-	mostReadBack  = 1 << 20
+	statusOK         = http.StatusOK
+	host             = "h.example"
+	turnPath         = "/turns/"
+	toolPath         = "/tools/"
+	labelPrefix      = "mark-"
+	callTimeout      = time.Second // of the operator with one controller
+	orderTimeout     = 20 * time.Second
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff       = 800 * time.Millisecond
+	requestTimeout   = 4 * time.Second
+	retention        = 60 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
 // operator gives orders over a connection for each call.
 type operator struct {
-	fleet  *Fleet
-	name   string
-	client *http.Client
-	orders int
-	bytes  int // by which each configuration is made longer
+	fleet        *Fleet
+	name         string
+	client       *http.Client
+	orders       int
+	paddingBytes int // by which each configuration is made longer
 }
 
 func newOperator(f *Fleet, name string) *operator {
-	transport := &http.Transport{DisableKeepAlives: true, DialContext: dialFrom(f.around.operator)}
-	return &operator{fleet: f, name: name, client: &http.Client{Timeout: callPatience, Transport: transport}}
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: dialFrom(f.environment.operator)}
+	return &operator{fleet: f, name: name, client: &http.Client{Timeout: callTimeout, Transport: transport}}
 }
 
 // next names a configuration that nobody has sent.
 func (o *operator) next(number uint64) content {
 	o.orders++
-	return content{Number: number, Mark: fmt.Sprintf("%s-%d", o.name, o.orders)}
+	return content{Number: number, Label: fmt.Sprintf("%s-%d", o.name, o.orders)}
 }
 
 // order sends a configuration until it is answered clearly, and returns the status; 0: it never was.
 func (o *operator) order(base uint64, ordered content) int {
-	end := o.fleet.now() + orderPatience
-	for pause := firstPause; o.fleet.now() < end; pause = min(2*pause, mostPause) {
+	end := o.fleet.now() + orderTimeout
+	for backoff := initialBackoff; o.fleet.now() < end; backoff = min(2*backoff, maxBackoff) {
 		status := o.put(o.someController(), base, ordered)
 		if status == http.StatusOK || status == http.StatusPreconditionFailed || status == http.StatusBadRequest || status == http.StatusConflict {
 			return status
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 	return 0
 }
@@ -71,53 +71,53 @@
 
 // put sends a configuration once.
 func (o *operator) put(controller string, base uint64, ordered content) int {
-	body, err := json.Marshal(configuration(ordered, o.bytes))
+	body, err := json.Marshal(configuration(ordered, o.paddingBytes))
 	if err != nil {
 		o.fleet.report("HARNESS", "%v", err)
 		return 0
 	}
-	call := sent{Base: base, Content: ordered, Valid: true, Started: o.fleet.now()}
+	call := operation{Base: base, Content: ordered, Valid: true, Started: o.fleet.now()}
 	call.Status, call.Answered, _ = o.call(http.MethodPut, controller, "/mastusher/settings", body, base)
 	call.Ended = o.fleet.now()
-	if call.Status == http.StatusOK && o.fleet.onAnswer != nil {
-		o.fleet.onAnswer(call.Answered)
+	if call.Status == http.StatusOK && o.fleet.onAcknowledgement != nil {
+		o.fleet.onAcknowledgement(call.Answered)
 	}
-	if o.fleet.losesAnswer() {
+	if o.fleet.losesAck() {
 		call.Status = 0
 	}
 	o.fleet.trace("%s: PUT %v on %d at %s: %d", o.name, ordered, base, controller, call.Status)
-	o.fleet.history.call(call)
+	o.fleet.history.addOperation(call)
 	return call.Status
 }
 
-// losesAnswer draws whether an answer to an operator is lost.
-func (f *Fleet) losesAnswer() bool {
+// losesAck draws whether an answer to an operator is lost.
+func (f *Fleet) losesAck() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.random.Float64() < f.lostAcks
+	return f.random.Float64() < f.ackLossRate
 }
 
 // read asks for the configuration once; false means that there was no clear answer.
 func (o *operator) read(controller string) (content, bool) {
-	call := sent{IsRead: true, Started: o.fleet.now()}
+	call := operation{IsRead: true, Started: o.fleet.now()}
 	status, answered, body := o.call(http.MethodGet, controller, "/mastusher/settings", nil, 0)
 	call.Status, call.Answered, call.Ended = status, answered, o.fleet.now()
 	if status == http.StatusOK {
 		call.Content = contentOf(body)
 	}
 	o.fleet.trace("%s: GET at %s: %d %v", o.name, controller, status, call.Content)
-	o.fleet.history.call(call)
+	o.fleet.history.addOperation(call)
 	return call.Content, status == http.StatusOK
 }
 
-// readBack asks again and again.
+// readBack retries read until there is a clear answer; false means that there was none within orderTimeout.
 func (o *operator) readBack() (content, bool) {
-	end := o.fleet.now() + orderPatience
+	end := o.fleet.now() + orderTimeout
 	for o.fleet.now() < end {
 		if got, ok := o.read(o.someController()); ok {
 			return got, true
 		}
-		time.Sleep(firstPause)
+		time.Sleep(initialBackoff)
 	}
 	return content{}, false
 }
@@ -135,22 +135,22 @@
 		return 0, "", nil
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, mostReadBack))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return 0, "", nil
 	}
 	return response.StatusCode, response.Request.URL.Host, answer
 }
 
-// configuration is what is sent for a content: its mark is the name of a route. A service that no route names makes it longer.
+// configuration is what is sent for a content: its label is the name of a route. A service that no route names pads it.
 func configuration(c content, longer int) model.Configuration {
 	return model.Configuration{
 		Version: c.Number,
 		Routes: []model.Route{
-			{Name: "turns", Host: host, PathPrefix: turnPath, Kind: model.Streaming, TimeoutMs: requestTime.Milliseconds(), LatencyTargetMs: 500,
-				Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: keepFor.Seconds(), Affinity: true, EventGapTargetMs: 250},
+			{Name: "turns", Host: host, PathPrefix: turnPath, Kind: model.Streaming, TimeoutMs: requestTimeout.Milliseconds(), LatencyTargetMs: 500,
+				Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: retention.Seconds(), Affinity: true, EventGapTargetMs: 250},
 			toolRoute("tools", toolPath),
-			toolRoute(markPrefix+c.Mark, markPath(c)),
+			toolRoute(labelPrefix+c.Label, labelPath(c)),
 		},
 		Services: []model.Service{
 			{Name: modelService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1",
@@ -162,12 +162,12 @@
 	}
 }
 
-// markPath is the prefix of a route that only this content has.
-func markPath(c content) string { return "/" + markPrefix + c.Mark + "/" }
+// labelPath is the prefix of a route that only this content has.
+func labelPath(c content) string { return "/" + labelPrefix + c.Label + "/" }
 
 // toolRoute is a route whose requests run at most once.
 func toolRoute(name, prefix string) model.Route {
-	return model.Route{Name: name, Host: host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: requestTime.Milliseconds(), LatencyTargetMs: 300,
+	return model.Route{Name: name, Host: host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: requestTimeout.Milliseconds(), LatencyTargetMs: 300,
 		Service: toolService, MaxAttempts: 2}
 }
 
@@ -179,8 +179,8 @@
 	}
 	named := content{Number: read.Version}
 	for _, route := range read.Routes {
-		if mark, ok := strings.CutPrefix(route.Name, markPrefix); ok {
-			named.Mark = mark
+		if label, ok := strings.CutPrefix(route.Name, labelPrefix); ok {
+			named.Label = label
 		}
 	}
 	return named
--- a/internal/tier/simulation/settings.go
+++ b/internal/tier/simulation/settings.go
@@ -25,15 +25,15 @@
 
 // What the settings say of the system.
 const (
-	grace       = 8 * time.Second
-	survive     = 1 // machines
-	copies      = 2*survive + 1
-	catchUp     = 4300 * time.Millisecond
-	seedDelay   = 3 * time.Second
-	listRate    = 20.0
-	memoryMb    = 256
-	openFiles   = 4096
-	settingMode = 0o644
+	grace             = 8 * time.Second
+	toleratedMachines = 1 // machines
+	replicasPerShard  = 2*toleratedMachines + 1
+	catchUp           = 4300 * time.Millisecond
+	seedDelay         = 3 * time.Second
+	listRate          = 20.0
+	memoryMb          = 256
+	openFiles         = 4096
+	settingMode       = 0o644
 )
 
 // writeSettings writes the settings file of a process, as the platform does, and returns its path.
@@ -49,7 +49,7 @@
 	return path
 }
 
-// settingsOf gives the content of a settings file. The whole system starts for the first time once only.
+// settingsOf gives the content of a settings file. The system starts for the first time once only.
 func (f *Fleet) settingsOf(m *machine, r role) map[string]any {
 	listenOn, serves := map[string]any{}, []string{}
 	switch r {
@@ -82,14 +82,14 @@
 		"portRange":       []int{firstPort, lastPort},
 		"seedNodes":       seeds,
 		"firstBoot":       firstBoot,
-		"countsForQuorum": m.counts(),
+		"countsForQuorum": m.countsForQuorum(),
 		"limits":          map[string]any{"memoryMb": memoryMb, "openFiles": openFiles},
 		"findBy":          "cloud_api",
-		"survive":         map[string]any{"machines": survive, "zones": 0, "regions": 0},
+		"survive":         map[string]any{"machines": toleratedMachines, "zones": 0, "regions": 0},
 		"bounds":          map[string]any{"graceS": grace.Seconds(), "catchUpS": catchUp.Seconds()},
 		"cloudApi":        map[string]any{"address": net.JoinHostPort(platformAddress, strconv.Itoa(platformPort)), "ratePerS": listRate},
 	}
-	if m.counts() {
+	if m.countsForQuorum() {
 		file["dataFolder"] = "/disk"
 	}
 	return file
--- a/internal/tier/simulation/shards.go
+++ b/internal/tier/simulation/shards.go
@@ -8,12 +8,12 @@
 	"mastusher/internal/tier/wire"
 )
 
-// wholeShards counts the shards whose owner tells that all their replicas have caught up.
-func (f *Fleet) wholeShards() int {
-	pool := transport.NewPoolOn(f.around.client)
+// completeShards counts the shards whose leader reports that all their replicas have caught up.
+func (f *Fleet) completeShards() int {
+	pool := transport.NewPoolOn(f.environment.client)
 	defer pool.Close()
-	whole := map[int]bool{}
-	for _, m := range f.of(storageClass) {
+	complete := map[int]bool{}
+	for _, m := range f.machinesOf(storageClass) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, m.address(firstPort+wire.StorePort),
 			wire.MethodShardMembers, wire.ShardMembersRequest{})
@@ -21,11 +21,11 @@
 		if err != nil {
 			continue
 		}
-		for _, told := range answer.Shards {
-			if len(told.IDs) == copies && len(told.CaughtUp) == copies {
-				whole[told.Shard] = true
+		for _, shard := range answer.Shards {
+			if len(shard.IDs) == replicasPerShard && len(shard.CaughtUp) == replicasPerShard {
+				complete[shard.Shard] = true
 			}
 		}
 	}
-	return len(whole)
+	return len(complete)
 }
