--- a/internal/relay/capture/batch.go
+++ b/internal/relay/capture/batch.go
@@ -73,7 +73,8 @@
 }
 
 func (b *batch) note(n Note) { b.notes, b.order = append(b.notes, n), append(b.order, TypeNote) }
-func (b *batch) gap(g Gap)   { b.gaps, b.order = append(b.gaps, g), append(b.order, TypeGap) }
+
+func (b *batch) gap(g Gap) { b.gaps, b.order = append(b.gaps, g), append(b.order, TypeGap) }
 
 func (b *batch) state(x *control.Snapshot, core *Core) {
 	b.states, b.order = append(b.states, State{x}), append(b.order, TypeState)
--- /dev/null
+++ b/internal/relay/capture/chunk.go
@@ -0,0 +1,153 @@
+package capture
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+// Head is what a chunk says of itself.
+type Head struct {
+	First    time.Duration `cbor:"1,keyasint"` // the module's clock in its first turn and its last
+	Last     time.Duration `cbor:"2,keyasint"`
+	Turn     uint64        `cbor:"3,keyasint"` // number of its first turn
+	Turns    int           `cbor:"4,keyasint"`
+	Size     int           `cbor:"5,keyasint"`           // of its body before it was compressed
+	State    bool          `cbor:"6,keyasint,omitempty"` // it begins with the whole state: a replay can begin here
+	Messages []uint32      `cbor:"7,keyasint,omitempty"` // low halves of xxhash64 of the ids of messages that arrive in it, sorted
+}
+
+// block gathers records that will make a chunk.
+type block struct {
+	body bytes.Buffer
+	head Head
+}
+
+// bufferEncoder encodes records right into a block's buffer.
+var bufferEncoder = func() cbor.UserBufferEncMode {
+	mode, err := cbor.EncOptions{}.UserBufferEncMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}()
+
+// add appends a record.
+func (b *block) add(t Type, record any) error {
+	b.body.Write([]byte{0x82, byte(t)}) // an array of two; types stay under 24
+	if text, ok := appendFast(b.body.AvailableBuffer(), record); ok {
+		b.body.Write(text)
+	} else if err := bufferEncoder.MarshalToBuffer(record, &b.body); err != nil {
+		return fmt.Errorf("capture: %w", err)
+	}
+	switch r := record.(type) {
+	case *Turn:
+		if b.head.Turns == 0 {
+			b.head.Turn = r.No
+		}
+		b.at(r.Now)
+		b.head.Turns++
+	case *Input:
+		b.at(r.Now)
+	case *Message:
+		b.head.Messages = append(b.head.Messages, idHash(r.ID))
+	case *State:
+		b.head.State = true
+	}
+	return nil
+}
+
+func (b *block) at(now time.Duration) {
+	if b.head.First == 0 {
+		b.head.First = now
+	}
+	b.head.Last = now
+}
+
+// reset empties a block for other records. A buffer that a large state has grown is let go.
+func (b *block) reset(keep int) {
+	messages := b.head.Messages[:0]
+	if b.head = (Head{}); cap(messages) <= 1<<12 {
+		b.head.Messages = messages
+	}
+	if b.body.Reset(); b.body.Cap() > 4*keep {
+		b.body = bytes.Buffer{}
+	}
+}
+
+func idHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+
+// packer makes chunks of blocks.
+type packer struct {
+	encoder *zstd.Encoder
+	buffer  []byte
+}
+
+func newPacker() (*packer, error) {
+	// The window is no larger than a chunk, and one goroutine does it all: a capture may cost the relay 2 MB.
+	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
+		zstd.WithWindowSize(128<<10), zstd.WithLowerEncoderMem(true))
+	if err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	return &packer{encoder: enc}, nil
+}
+
+// pack returns the chunk of a block, good until the next call; nil: the block is empty.
+func (p *packer) pack(b *block) ([]byte, error) {
+	if b.body.Len() == 0 {
+		return nil, nil
+	}
+	b.head.Size = b.body.Len()
+	slices.Sort(b.head.Messages)
+	b.head.Messages = slices.Compact(b.head.Messages)
+	head, err := cbor.Marshal(b.head)
+	if err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	p.buffer = append(p.buffer[:0], make([]byte, chunkHead)...)
+	p.buffer = append(p.buffer, head...)
+	p.buffer = p.encoder.EncodeAll(b.body.Bytes(), p.buffer)
+	copy(p.buffer, chunkMagic)
+	binary.LittleEndian.PutUint32(p.buffer[4:], uint32(len(head)))
+	binary.LittleEndian.PutUint32(p.buffer[8:], uint32(len(p.buffer)-chunkHead-len(head)))
+	binary.LittleEndian.PutUint64(p.buffer[12:], xxhash.Sum64(p.buffer[chunkHead:]))
+	return p.buffer, nil
+}
+
+// chunker gathers records and writes chunks of them, for tools that nothing waits for.
+type chunker struct {
+	block
+	*packer
+}
+
+func newChunker() (*chunker, error) {
+	p, err := newPacker()
+	return &chunker{packer: p}, err
+}
+
+func (c *chunker) flushTo(w io.Writer) error {
+	b, err := c.pack(&c.block)
+	if err == nil && b != nil {
+		_, err = w.Write(b)
+	}
+	c.reset(64 << 10)
+	return err
+}
+
+// Holds tells whether a message arrives in a chunk, or is held where it begins. It may rarely be wrong about one that
+// does not.
+func (h *Head) Holds(id string) bool {
+	_, ok := slices.BinarySearch(h.Messages, idHash(id))
+	if !ok { // heads of minor version 0 are not sorted
+		ok = slices.Contains(h.Messages, idHash(id))
+	}
+	return ok
+}
--- /dev/null
+++ b/internal/relay/capture/core_events.go
@@ -0,0 +1,78 @@
+package capture
+
+import (
+	"time"
+
+	"mastusher/control"
+)
+
+// CoreKind tells what a CoreEvent is.
+type CoreKind uint8
+
+// The core's events.
+const (
+	Submitted    CoreKind = iota + 1 // Front, Arrival
+	Withdrawn                        // Ref
+	Moved                            // Front
+	DrainStarted                     // -
+	AttemptEnded                     // Number, Items, Outcomes
+	ListReported                     // Front, Number: of the watch, List
+	WatchEnded                       // Front, Number: of the watch, Text
+	Notified                         // Front, Accepted
+	Governed                         // Mandate
+	QuotaGranted                     // Shared
+)
+
+// CoreEvent is one thing that came by the core's queue.
+type CoreEvent struct {
+	Kind     CoreKind      `cbor:"1,keyasint"`
+	Front    int           `cbor:"2,keyasint,omitempty"` // below 0: there is no such front
+	Ref      uint64        `cbor:"3,keyasint,omitempty"`
+	Number   uint64        `cbor:"4,keyasint,omitempty"`
+	Arrival  *Arrival      `cbor:"5,keyasint,omitempty"`
+	Outcomes []Outcome     `cbor:"6,keyasint,omitempty"` // nil: as the module is told in the same turn
+	List     *EndpointList `cbor:"7,keyasint,omitempty"`
+	Accepted []bool        `cbor:"8,keyasint,omitempty"`
+	Text     string        `cbor:"9,keyasint,omitempty"`
+	Items    int           `cbor:"10,keyasint,omitempty"`
+	Mandate  *Mandate      `cbor:"11,keyasint,omitempty"`
+
+	Shared *control.SharedLimits `cbor:"12,keyasint,omitempty"`
+}
+
+// Arrival is a message handed in, with what an inspector (a plug-in) ruled.
+type Arrival struct {
+	ID              string        `cbor:"1,keyasint"`
+	KeySize         int           `cbor:"2,keyasint,omitempty"`
+	Partner         int           `cbor:"3,keyasint,omitempty"`
+	Class           int           `cbor:"4,keyasint,omitempty"`
+	Deadline        time.Duration `cbor:"5,keyasint"`
+	Resubmitted     bool          `cbor:"6,keyasint,omitempty"`
+	Size            int           `cbor:"7,keyasint,omitempty"`
+	Headers         uint64        `cbor:"8,keyasint,omitempty"`
+	MayHaveRun      bool          `cbor:"9,keyasint,omitempty"`
+	MayHaveRunAt    time.Duration `cbor:"10,keyasint,omitempty"`
+	QueuedFor       time.Duration `cbor:"11,keyasint,omitempty"` // since it was handed in
+	Verdict         uint8         `cbor:"12,keyasint,omitempty"` // of the inspector
+	Status          int           `cbor:"13,keyasint,omitempty"`
+	Reason          string        `cbor:"14,keyasint,omitempty"`
+	Tenant          int           `cbor:"15,keyasint,omitempty"`
+	SeenUnderPolicy uint64        `cbor:"16,keyasint,omitempty"` // one more than the version of the policy under which the inspector saw it
+}
+
+// Outcome is how an attempt ended for one of its messages.
+type Outcome struct {
+	Result     control.Result `cbor:"1,keyasint,omitempty"`
+	RetryAfter time.Duration  `cbor:"2,keyasint,omitempty"`
+	Final      bool           `cbor:"3,keyasint,omitempty"`
+	Reported   bool           `cbor:"4,keyasint,omitempty"`
+	Share      float64        `cbor:"5,keyasint,omitempty"`
+	Limit      float64        `cbor:"6,keyasint,omitempty"`
+}
+
+// List is an endpoint list, or what has changed in it.
+type EndpointList struct {
+	Index        int64              `cbor:"1,keyasint,omitempty"`
+	Complete     bool               `cbor:"2,keyasint,omitempty"`
+	Destinations []DestinationState `cbor:"3,keyasint,omitempty"` // without numbers
+}
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"slices"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
@@ -174,16 +173,6 @@
 	return all, nil
 }
 
-// Holds tells whether a message arrives in a chunk, or is held where it begins. It may rarely be wrong about one that
-// does not.
-func (h *Head) Holds(id string) bool {
-	_, ok := slices.BinarySearch(h.Messages, idHash(id))
-	if !ok { // heads of minor version 0 are not sorted
-		ok = slices.Contains(h.Messages, idHash(id))
-	}
-	return ok
-}
-
 // SeekTo has reading go on at a chunk of the index.
 func (r *Reader) SeekTo(c *Chunk) { r.offset = c.At }
 
--- a/internal/relay/plugin/call.go
+++ b/internal/relay/plugin/call.go
@@ -1,11 +1,6 @@
-// Package plugin runs partner behaviour that operators add in WebAssembly: it shapes messages on arrival, makes the
-// relay more careful upon answers, and hears of ends. A plug-in that loops, traps or hoards costs nobody else
-// anything: each call has a deadline, a share of processor time, a thread that gives way to the relay's own, and
-// memory outside the heap. docs/plugins.md is the page for operators, docs/design/plugins.md the design.
 package plugin
 
 import (
-	"errors"
 	"fmt"
 	"net/textproto"
 	"time"
@@ -84,16 +79,3 @@
 	What string
 	Why  rules.Refusal
 }
-
-// Why a call did not do its work.
-var (
-	ErrBreakerOpen    = errors.New("plugin: its circuit breaker is open")
-	ErrCPUShareUsed   = errors.New("plugin: its share of processor time is used up")
-	ErrNoInstanceFree = errors.New("plugin: no instance was free in time")
-	ErrBudget         = errors.New("plugin: no time is left for it")
-	ErrOutOfBounds    = errors.New("plugin: a pointer or length lies outside its memory")
-	ErrCopyLimit      = errors.New("plugin: it has had the relay copy more than one call may")
-	ErrTimeout        = errors.New("plugin: it ran over its time")
-	ErrPluginFailure  = errors.New("plugin: it returned a failure of its own")
-	ErrNotStopped     = errors.New("plugin: it did not end in time, and could not be stopped at once")
-)
--- a/internal/relay/vrrp/packet.go
+++ b/internal/relay/vrrp/packet.go
@@ -1,4 +1,3 @@
-// Package vrrp is the state machine and packet of VRRP version 3 (RFC 9568), carried over UDP.
 package vrrp
 
 import (
