--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # The tasks of the project; `make check` is what CI runs.
-.PHONY: build test lint policy deploy check run sites plugins fuzz fleet tier bench-plugins bench-capture bench-replay soak demo mutants packages race tier-soak
+.PHONY: build test lint docs policy deploy check run sites plugins fuzz fleet tier bench-plugins bench-capture bench-replay soak demo mutants packages race tier-soak
 
 # All files that decide, as listed under `policy` in deploy/balancer.toml too. The other files of control decide nothing: they hold types,
 # or lend the tables and the recursion to the tier (planner.go). A new file of control belongs in one of the two lists.
@@ -20,7 +20,11 @@
 lint:
 	@files=$$(gofmt -l .); test -z "$$files" || { echo "gofmt: $$files" >&2; exit 1; }
 	go vet ./...
-	go tool staticcheck ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
+
+# That the paths, links, targets and symbols which pages name exist.
+docs:
+	go run ./internal/tools/docscheck README.md CONTRIBUTING.md DEVELOPERS.md docs
 
 # That deploy/balancer.toml names the files that decide, and that each file of control is known to decide or not to.
 policy:
@@ -36,7 +40,7 @@
 	.ci/deploy.sh
 	.ci/system.sh
 
-check: lint build policy deploy test
+check: lint docs build policy deploy test
 
 # Needs RELAY_CONFIG; see the README.
 run: build
