--- a/control/admission.go
+++ b/control/admission.go
@@ -22,7 +22,7 @@
 // allow counts a message that was sent at that time, and tells whether it is within the quota.
 func (q *tenantQuota) allow(at time.Duration) bool {
 	at = max(at, q.refilledAt)
-	q.demand.add(at, 1)
+	q.demand.add(at)
 	q.tokens, q.refilledAt = min(max(1, q.rate), q.tokens+q.rate*(at-q.refilledAt).Seconds()), at
 	if q.tokens < 1 {
 		return false
@@ -49,7 +49,7 @@
 		queue.messages = append(queue.messages, msg)
 	}
 	dest.queue = append(dest.queue, msg)
-	dest.demand.add(s.now, 1)
+	dest.demand.add(s.now)
 	if !dest.active {
 		dest.active, s.active = true, append(s.active, dest)
 	}
--- a/control/encoding_test.go
+++ b/control/encoding_test.go
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			if *updateGolden {
-				if err := os.WriteFile(file, encoded, 0o600); err != nil {
+				if err = os.WriteFile(file, encoded, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -100,7 +100,7 @@
 		s.allLatencies.observe(s.now, s.bounds, took)
 	}
 	route.newestDelivered = max(route.newestDelivered, msg.sentAt)
-	route.deliveries.add(s.now, 1)
+	route.deliveries.add(s.now)
 	s.earnRetry()
 	s.recordSuccess(route)
 }
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -12,9 +12,9 @@
 const plannerLongest = 8 * time.Second
 
 // teachTable adds each of the times once.
-func teachTable(c *LatencyTable, now time.Duration, times ...time.Duration) {
+func teachTable(c *LatencyTable, times ...time.Duration) {
 	for _, t := range times {
-		c.Add(now, t)
+		c.Add(0, t)
 	}
 }
 
@@ -36,8 +36,8 @@
 		t.Fatal("tables without a call are known")
 	}
 	times := repeated(100*time.Millisecond, 4)
-	teachTable(called, 0, times...)
-	teachTable(common, 0, times...)
+	teachTable(called, times...)
+	teachTable(common, times...)
 
 	// When they are pooled.
 	p.Pool(0, common, tables)
@@ -57,7 +57,7 @@
 func TestPlanner_Calls_Decay(t *testing.T) {
 	p := NewPlanner(plannerLongest)
 	c := p.NewTable()
-	teachTable(c, 0, repeated(100*time.Millisecond, 8)...)
+	teachTable(c, repeated(100*time.Millisecond, 8)...)
 	if got := c.Count(tableHalfLife); math.Abs(got-4) > 1e-9 {
 		t.Errorf("calls after one half-life: %v, want 4", got)
 	}
@@ -69,8 +69,8 @@
 	common := p.NewTable()
 	tables := []*LatencyTable{p.NewTable(), p.NewTable()}
 	for _, c := range append(tables, common) {
-		teachTable(c, 0, repeated(100*time.Millisecond, 30)...)
-		teachTable(c, 0, repeated(5*time.Second, 10)...)
+		teachTable(c, repeated(100*time.Millisecond, 30)...)
+		teachTable(c, repeated(5*time.Second, 10)...)
 	}
 	for range 200 { // resent requests take what was expected
 		p.ObserveRetry(time.Second, time.Second)
@@ -95,8 +95,8 @@
 	p := NewPlanner(plannerLongest)
 	common, c := p.NewTable(), p.NewTable()
 	for _, o := range []*LatencyTable{common, c} {
-		teachTable(o, 0, repeated(100*time.Millisecond, 30)...)
-		teachTable(o, 0, repeated(time.Second, 10)...)
+		teachTable(o, repeated(100*time.Millisecond, 30)...)
+		teachTable(o, repeated(time.Second, 10)...)
 	}
 	for range 200 {
 		p.ObserveRetry(20*time.Second, time.Second)
@@ -170,8 +170,8 @@
 	var tables []*LatencyTable
 	for i := range 28 {
 		c := p.NewTable()
-		teachTable(c, 0, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
-		teachTable(common, 0, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
+		teachTable(c, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
+		teachTable(common, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
 		tables = append(tables, c)
 	}
 	b.ReportAllocs()
--- a/control/rate_meter.go
+++ b/control/rate_meter.go
@@ -15,8 +15,8 @@
 	startedAt time.Duration // counts are missing before that, and the rate is corrected for it
 }
 
-func (m *rateMeter) add(now time.Duration, n float64) {
-	m.count = m.count*math.Exp(-float64(now-m.updatedAt)/float64(rateWindow)) + n
+func (m *rateMeter) add(now time.Duration) {
+	m.count = m.count*math.Exp(-float64(now-m.updatedAt)/float64(rateWindow)) + 1
 	m.updatedAt = now
 }
 
--- a/control/selection.go
+++ b/control/selection.go
@@ -175,7 +175,7 @@
 	msg.attempts++
 	endpoint.inFlight = append(endpoint.inFlight, msg)
 	route.inFlight++
-	route.sends.add(s.now, 1)
+	route.sends.add(s.now)
 	s.emit(Action{Kind: Send, ID: msg.id, Endpoint: endpoint.id, For: timeout})
 }
 
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -6,8 +6,8 @@
 )
 
 // lend grants a sender what it may spend.
-func (r *harness) lend(floor float64, until time.Duration, stays bool, rights ...Grant) []Action {
-	return r.step(Event{Kind: SharedLimitsUpdated, Shared: &SharedLimits{GuaranteedShare: floor, LeaseExpiry: until, KeepsGuaranteed: stays, Grants: rights}})
+func (r *harness) lend(floor float64, until time.Duration, stays bool, rights ...Grant) {
+	r.step(Event{Kind: SharedLimitsUpdated, Shared: &SharedLimits{GuaranteedShare: floor, LeaseExpiry: until, KeepsGuaranteed: stays, Grants: rights}})
 }
 
 // calls counts what a sender sends in a while with plenty queued, each call let in after 10 ms, at which limit is reported.
--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -46,7 +46,7 @@
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		byName:  map[string]*host{},
 		loss:    0.02,
-		blocked: func(from, to *host) bool { return false },
+		blocked: func(_, _ *host) bool { return false },
 	}
 	for i := range size {
 		added := &host{address: fmt.Sprintf("10.0.%d.%d:7380", i/250, i%250)}
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -61,35 +61,35 @@
 	}
 })
 
-func (fleet *cluster) inject(happens fault) {
-	h := fleet.hosts[happens.Host%len(fleet.hosts)]
+func (w *cluster) inject(happens fault) {
+	h := w.hosts[happens.Host%len(w.hosts)]
 	switch happens.Kind {
 	case "write":
 		if h.gossiper != nil {
-			fleet.write(h, happens.Section, 1, happens.Sequence)
+			w.write(h, happens.Section, 1, happens.Sequence)
 		}
 	case "kill":
-		fleet.kill(h)
+		w.kill(h)
 	case "restart":
-		fleet.kill(h)
-		fleet.start(h)
+		w.kill(h)
+		w.start(h)
 	case "hang":
 		h.hangs = true
 	case "partition":
-		fleet.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		fleet.blocked = func(from, to *host) bool { return from == h }
+		w.blocked = func(from, _ *host) bool { return from == h }
 	case "heal":
-		fleet.blocked = func(from, to *host) bool { return false }
+		w.blocked = func(_, _ *host) bool { return false }
 	}
 }
 
-func (fleet *cluster) healAll() {
-	fleet.blocked = func(from, to *host) bool { return false }
-	for _, h := range fleet.hosts {
+func (w *cluster) healAll() {
+	w.blocked = func(_, _ *host) bool { return false }
+	for _, h := range w.hosts {
 		h.hangs = false
 		if h.gossiper == nil {
-			fleet.start(h)
+			w.start(h)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 }
 
 // newest returns the newest stamps that a running host has.
-func (fleet *cluster) newest() view.Digest {
+func (w *cluster) newest() view.Digest {
 	newest := view.Digest{}
-	for _, h := range fleet.hosts {
+	for _, h := range w.hosts {
 		for section, stamp := range h.gossiper.store.Digest() {
 			if newest[section].Less(stamp) {
 				newest[section] = stamp
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -85,15 +85,15 @@
 	if holding, running := fleet.holds(update.Section, update.Stamp); holding != running-1 {
 		return fmt.Errorf("%d have it during the partition", holding)
 	}
-	fleet.blocked = func(from, to *host) bool { return false }
+	fleet.blocked = func(_, _ *host) bool { return false }
 	return fleet.expectAll(update, 4*time.Second)
 }
 
 // announceTo announces an update to a host from several that have it.
-func (fleet *cluster) announceTo(h *host, update view.Update, holders ...*host) {
+func (w *cluster) announceTo(h *host, update view.Update, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{update.Section: update.Stamp}}
-		fleet.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
+		w.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
 	}
 }
 
--- a/internal/tier/identity/identity.go
+++ b/internal/tier/identity/identity.go
@@ -40,7 +40,7 @@
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return id, err
 	}
-	if err := erase(disk); err != nil {
+	if err = erase(disk); err != nil {
 		return "", err
 	}
 	id, _, err = storage.LoadOrCreateIdentity(disk, rand.Reader)
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -37,7 +37,7 @@
 		loss:      0.02,
 		shortest:  500 * time.Microsecond,
 		longest:   5 * time.Millisecond,
-		blocked:   func(from, to *host) bool { return false },
+		blocked:   func(_, _ *host) bool { return false },
 	}
 	for i := range size {
 		w.addHost(i)
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -29,39 +29,39 @@
 	}
 })
 
-func (fleet *cluster) inject(happens fault) {
-	h := fleet.hosts[happens.Host%len(fleet.hosts)]
+func (w *cluster) inject(happens fault) {
+	h := w.hosts[happens.Host%len(w.hosts)]
 	switch happens.Kind {
 	case "kill":
-		fleet.kill(h)
+		w.kill(h)
 	case "restart":
-		fleet.kill(h)
-		fleet.start(h)
+		w.kill(h)
+		w.start(h)
 	case "freeze":
-		fleet.freeze(h, happens.Duration)
+		w.freeze(h, happens.Duration)
 	case "lag":
 		h.lag = happens.Duration / 10
 	case "partition":
-		fleet.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		fleet.blocked = func(from, to *host) bool { return from == h }
+		w.blocked = func(from, _ *host) bool { return from == h }
 	case "leave":
 		if h.node != nil && !h.frozen {
-			fleet.step(h, Input{Leave: true})
-			fleet.kill(h)
+			w.step(h, Input{Leave: true})
+			w.kill(h)
 		}
 	case "heal":
-		fleet.blocked = func(from, to *host) bool { return false }
+		w.blocked = func(_, _ *host) bool { return false }
 	}
 }
 
 // healAll ends all faults but freezes, which end by themselves, and starts what is down.
-func (fleet *cluster) healAll() {
-	fleet.blocked = func(from, to *host) bool { return false }
-	for _, h := range fleet.hosts {
+func (w *cluster) healAll() {
+	w.blocked = func(_, _ *host) bool { return false }
+	for _, h := range w.hosts {
 		h.lag = 0
 		if h.node == nil {
-			fleet.start(h)
+			w.start(h)
 		}
 	}
 }
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -211,7 +211,7 @@
 	victim := fleet.hosts[fleet.random.IntN(len(fleet.hosts))]
 	fleet.blocked = func(from, to *host) bool { return from == victim || to == victim }
 	fleet.runFor(time.Duration(30+fleet.random.IntN(15)) * time.Second)
-	fleet.blocked = func(from, to *host) bool { return false }
+	fleet.blocked = func(_, _ *host) bool { return false }
 	healed := fleet.loop.Now()
 	if err := expectConverged(fleet, 20*time.Second); err != nil {
 		return err
@@ -246,7 +246,7 @@
 			return fmt.Errorf("%s has %d live members during the partition", h.member.Name, len(h.live()))
 		}
 	}
-	fleet.blocked = func(from, to *host) bool { return false }
+	fleet.blocked = func(_, _ *host) bool { return false }
 	if err := expectConverged(fleet, 20*time.Second); err != nil {
 		return err
 	}
@@ -260,7 +260,7 @@
 	fleet.blocked = func(from, to *host) bool { return (from == fleet.hosts[0]) != (to == fleet.hosts[0]) }
 	fleet.startAll()
 	fleet.runFor(60 * time.Second)
-	fleet.blocked = func(from, to *host) bool { return false }
+	fleet.blocked = func(_, _ *host) bool { return false }
 	return expectConverged(fleet, 30*time.Second)
 }
 
--- a/internal/tier/network/memorynetwork/connection_test.go
+++ b/internal/tier/network/memorynetwork/connection_test.go
@@ -25,7 +25,7 @@
 func TestConnection_HalfClose_EndsOneDirection(t *testing.T) {
 	withPair(t, func(w *pair) {
 		w.write(w.near, "last")
-		w.near.(interface{ CloseWrite() error }).CloseWrite()
+		_ = w.near.(interface{ CloseWrite() error }).CloseWrite()
 		w.expect(w.far, "last")
 		w.expectEnd(w.far, io.EOF)
 		w.write(w.far, "answer")
@@ -59,12 +59,12 @@
 
 func TestConnection_Deadlines_EndReads(t *testing.T) {
 	withPair(t, func(w *pair) {
-		w.near.SetReadDeadline(time.Now().Add(time.Second))
+		_ = w.near.SetReadDeadline(time.Now().Add(time.Second))
 		if took := w.expectEnd(w.near, os.ErrDeadlineExceeded); took != time.Second {
 			t.Errorf("took %v", took)
 		}
-		w.near.SetReadDeadline(time.Time{})
-		time.AfterFunc(time.Second, func() { w.near.SetDeadline(time.Unix(1, 0)) })
+		_ = w.near.SetReadDeadline(time.Time{})
+		_ = time.AfterFunc(time.Second, func() { _ = w.near.SetDeadline(time.Unix(1, 0)) })
 		if took := w.expectEnd(w.near, os.ErrDeadlineExceeded); took != time.Second {
 			t.Errorf("took %v", took)
 		}
@@ -74,14 +74,14 @@
 func TestConnection_FullWindow_BlocksTheWriter(t *testing.T) {
 	withPair(t, func(w *pair) {
 		sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
-		w.near.SetWriteDeadline(time.Now().Add(time.Second))
+		_ = w.near.SetWriteDeadline(time.Now().Add(time.Second))
 		n, err := w.near.Write(sent)
 		if !errors.Is(err, os.ErrDeadlineExceeded) || n >= len(sent) {
 			t.Fatalf("wrote %d bytes, %v", n, err)
 		}
-		w.near.SetWriteDeadline(time.Time{})
+		_ = w.near.SetWriteDeadline(time.Time{})
 		go func() {
-			w.near.Write(sent[n:])
+			_, _ = w.near.Write(sent[n:])
 			w.near.Close()
 		}()
 		got, err := io.ReadAll(w.far)
--- a/internal/tier/network/memorynetwork/endpoint.go
+++ b/internal/tier/network/memorynetwork/endpoint.go
@@ -1,6 +1,7 @@
 package memorynetwork
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -217,7 +218,7 @@
 }
 
 func (e *endpoint) error(operation string, cause error) error {
-	if _, isNumber := cause.(syscall.Errno); isNumber {
+	if number := syscall.Errno(0); errors.As(cause, &number) {
 		cause = os.NewSyscallError(operation, cause)
 	}
 	return &net.OpError{Op: operation, Net: "tcp", Source: e.local, Addr: e.remote, Err: cause}
--- a/internal/tier/network/memorynetwork/http_test.go
+++ b/internal/tier/network/memorynetwork/http_test.go
@@ -12,11 +12,11 @@
 func TestHTTP_ServerAndClient_WorkOverTheNetwork(t *testing.T) {
 	withPair(t, func(w *pair) {
 		server := &http.Server{Handler: http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
-			io.Copy(response, request.Body)
+			_, _ = io.Copy(response, request.Body)
 		})}
 		w.near.Close()
 		w.far.Close()
-		go server.Serve(w.listener)
+		go func() { _ = server.Serve(w.listener) }()
 		transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return w.from.Dial(ctx, new(net.Dialer), network, address)
 		}}
--- a/internal/tier/network/memorynetwork/packet_test.go
+++ b/internal/tier/network/memorynetwork/packet_test.go
@@ -20,9 +20,9 @@
 		}
 		target := netip.MustParseAddrPort("10.0.0.2:7")
 		w.network.Partition(w.here, w.there)
-		here.WriteToUDPAddrPort([]byte("lost"), target)
+		_, _ = here.WriteToUDPAddrPort([]byte("lost"), target)
 		w.network.Heal(w.here, w.there)
-		here.WriteToUDPAddrPort([]byte("found"), target)
+		_, _ = here.WriteToUDPAddrPort([]byte("found"), target)
 		buffer := make([]byte, 10)
 		n, from, err := there.ReadFromUDPAddrPort(buffer)
 		if err != nil || string(buffer[:n]) != "found" || from != netip.MustParseAddrPort("10.0.0.1:7") {
--- a/internal/tier/transport/call_test.go
+++ b/internal/tier/transport/call_test.go
@@ -162,7 +162,7 @@
 
 func TestCall_MalformedAnswer_Fails(t *testing.T) {
 	address := startRaw(t, func(socket net.Conn) {
-		bufio.NewReader(socket).ReadString('\n')
+		_, _ = bufio.NewReader(socket).ReadString('\n')
 		fmt.Fprint(socket, "HTTP/1.1 400 Bad Request\n")
 	})
 	_, err := Call[question, reply](testContext(t), startPool(t), address, "echo", question{})
@@ -176,7 +176,7 @@
 	address := startRaw(t, func(socket net.Conn) {
 		reader := bufio.NewReader(socket)
 		for range calls {
-			reader.ReadString('\n')
+			_, _ = reader.ReadString('\n')
 		}
 	})
 	pool, ctx := startPool(t), testContext(t)
--- a/internal/tier/transport/outbox_test.go
+++ b/internal/tier/transport/outbox_test.go
@@ -52,9 +52,9 @@
 func TestOutbox_SeveralLines_GoIntoOneWrite(t *testing.T) {
 	out := outbox{limits: defaultLimits()}
 	long := strings.Repeat("x", maxBatchBytes+1)
-	out.push(queuedFrame("1\n"))
-	out.push(queuedFrame("2\n"))
-	out.push(queuedFrame(long))
+	_ = out.push(queuedFrame("1\n"))
+	_ = out.push(queuedFrame("2\n"))
+	_ = out.push(queuedFrame(long))
 	out.pushNotice(queuedFrame("n\n"))
 	var got []int
 	for {
--- a/internal/tier/transport/pack_test.go
+++ b/internal/tier/transport/pack_test.go
@@ -18,7 +18,7 @@
 func noticeOf(number, bytes int) []byte {
 	content := make([]byte, bytes)
 	random := rand.NewChaCha8([32]byte{byte(number), byte(number >> 8)})
-	random.Read(content)
+	_, _ = random.Read(content)
 	return fmt.Appendf(nil, `{"notice":0,"method":"replica","body":{"index":%d,"input":"%s"}}`+"\n", number, base64.StdEncoding.EncodeToString(content))
 }
 
@@ -26,7 +26,7 @@
 // arrive.
 func TestPacker_AnyBatches_ReaderGivesEveryLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var packer packer
+		var p packer
 		var wire bytes.Buffer
 		var want [][]byte
 		for range rapid.IntRange(1, 8).Draw(t, "batches") {
@@ -36,7 +36,7 @@
 				batch = append(batch, line...)
 				want = append(want, line[:len(line)-1])
 			}
-			if err := packer.pack(&wire, batch); err != nil {
+			if err := p.pack(&wire, batch); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -62,13 +62,13 @@
 		bytes, lines int
 		most         float64 // of what it was
 	}{{0, 4, 0.3}, {300, 1, 0.85}, {900, 1, 0.8}, {9000, 1, 0.8}, {20000, 1, 0.8}, {90000, 1, 0.8}} {
-		var packer packer
+		var p packer
 		var wire bytes.Buffer
 		plain := 0
 		for number := range 50 {
 			line := bytes.Repeat(noticeOf(number, c.bytes), c.lines)
 			plain += len(line)
-			if err := packer.pack(&wire, line); err != nil {
+			if err := p.pack(&wire, line); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -80,18 +80,18 @@
 
 func TestPacker_LongLines_AreNotPacked(t *testing.T) {
 	line := append(bytes.Repeat([]byte("x"), maxPackBytes), '\n')
-	var packer packer
+	var p packer
 	var wire bytes.Buffer
-	if err := packer.pack(&wire, line); err != nil || !bytes.Equal(wire.Bytes(), line) {
+	if err := p.pack(&wire, line); err != nil || !bytes.Equal(wire.Bytes(), line) {
 		t.Errorf("%d bytes became %d, %v", len(line), wire.Len(), err)
 	}
 }
 
 // packedBy returns lines as a packer of its own packs them.
 func packedBy(t testing.TB, lines []byte) []byte {
-	var packer packer
+	var p packer
 	var wire bytes.Buffer
-	if err := packer.pack(&wire, lines); err != nil {
+	if err := p.pack(&wire, lines); err != nil {
 		t.Fatal(err)
 	}
 	return wire.Bytes()
@@ -125,9 +125,9 @@
 	packed := packedBy(f, noticeOf(1, 90))
 	f.Add(packed[bytes.IndexByte(packed, '\n')+1:])
 	f.Fuzz(func(t *testing.T, packed []byte) {
-		var unpacker unpacker
+		var u unpacker
 		var lines bytes.Buffer
-		if err := unpacker.unpack(&lines, packed, 1<<16); err == nil && !bytes.HasSuffix(lines.Bytes(), []byte("\n")) {
+		if err := u.unpack(&lines, packed, 1<<16); err == nil && !bytes.HasSuffix(lines.Bytes(), []byte("\n")) {
 			t.Errorf("%q is no line", lines.Bytes())
 		}
 	})
@@ -167,13 +167,13 @@
 func BenchmarkPack(b *testing.B) {
 	for _, size := range []int{0, 900, 9000} {
 		b.Run(fmt.Sprintf("%d bytes", size), func(b *testing.B) {
-			var packer packer
+			var p packer
 			var wire bytes.Buffer
 			line := noticeOf(1, size)
 			b.SetBytes(int64(len(line)))
 			for b.Loop() {
 				wire.Reset()
-				if err := packer.pack(&wire, line); err != nil {
+				if err := p.pack(&wire, line); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/tier/transport/reader.go
+++ b/internal/tier/transport/reader.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 )
 
@@ -63,7 +64,7 @@
 
 // unexpectedEOF returns the error of a connection that ends inside a line.
 func unexpectedEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/tier/transport/server_test.go
+++ b/internal/tier/transport/server_test.go
@@ -26,7 +26,7 @@
 				t.Fatal(err)
 			}
 			defer socket.Close()
-			socket.SetDeadline(time.Now().Add(testTimeout))
+			_ = socket.SetDeadline(time.Now().Add(testTimeout))
 			fmt.Fprint(socket, text)
 			if got, err := bufio.NewReader(socket).ReadString('\n'); err == nil || errors.Is(err, context.DeadlineExceeded) {
 				t.Errorf("got %q, %v", got, err)
--- a/internal/tier/transport/stream.go
+++ b/internal/tier/transport/stream.go
@@ -54,7 +54,7 @@
 	defer socket.Close()
 	stop := context.AfterFunc(ctx, func() { socket.Close() })
 	defer stop()
-	if _, err := socket.Write(encoded.Bytes()); err != nil {
+	if _, err = socket.Write(encoded.Bytes()); err != nil {
 		return failed(true, err)
 	}
 	broken, err := p.receive(socket, id, decodeItem)
--- a/internal/tier/transport/stream_test.go
+++ b/internal/tier/transport/stream_test.go
@@ -37,11 +37,11 @@
 	stopped := errors.New("enough")
 	handlers := NewHandlers()
 	HandleStream(handlers, "fail", func(_ context.Context, _ int, send func(int) error) error {
-		send(1)
+		_ = send(1)
 		return &RemoteError{Kind: "fenced", Message: "epoch"}
 	})
 	ended := make(chan error, 1)
-	HandleStream(handlers, "endless", func(ctx context.Context, _ int, send func(int) error) error {
+	HandleStream(handlers, "endless", func(_ context.Context, _ int, send func(int) error) error {
 		for i := 0; ; i++ {
 			if err := send(i); err != nil {
 				ended <- err
@@ -71,7 +71,7 @@
 		if err != stopped {
 			t.Errorf("got %v", err)
 		}
-		receive(t, ended)
+		_ = receive(t, ended)
 	})
 	t.Run("the context ends", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(testContext(t))
@@ -79,16 +79,16 @@
 		if !errors.Is(err, context.Canceled) || !MayHaveArrived(err) {
 			t.Errorf("got %v", err)
 		}
-		receive(t, ended)
+		_ = receive(t, ended)
 	})
 	t.Run("the pool is closed", func(t *testing.T) {
-		pool := startPool(t)
-		err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { pool.Close(); return nil })
+		closing := startPool(t)
+		err := Stream(testContext(t), closing, server.Address(), "endless", 1, func(int) error { closing.Close(); return nil })
 		if !errors.Is(err, ErrClosed) {
 			t.Errorf("got %v", err)
 		}
-		receive(t, ended)
-		err = Stream(testContext(t), pool, server.Address(), "endless", 1, take)
+		_ = receive(t, ended)
+		err = Stream(testContext(t), closing, server.Address(), "endless", 1, take)
 		if !errors.Is(err, ErrClosed) || MayHaveArrived(err) {
 			t.Errorf("after it: %v", err)
 		}
@@ -109,7 +109,7 @@
 		if err != stopped {
 			t.Errorf("got %v", err)
 		}
-		receive(t, ended)
+		_ = receive(t, ended)
 	})
 	t.Run("the server goes", func(t *testing.T) {
 		err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(item int) error {
