--- /dev/null
+++ b/internal/relay/simulator/call.go
@@ -0,0 +1,182 @@
+package simulator
+
+import (
+	"time"
+
+	"mastusher/control"
+)
+
+// call is one attempt in flight. Slots of Run.calls are reused; queued events carry the generation of the call that they are for.
+type call struct {
+	generation   int32 // counts the calls that have used this slot
+	message      int32
+	submissionID uint64
+	relay        int32
+	endpoint     int32
+	attempt      int32
+	state        uint8
+	result       control.Result
+	retryAfter   time.Duration
+	sentAt       time.Duration
+}
+
+// The states of a call.
+const (
+	callFree uint8 = iota // the slot is on Run.freeCalls
+	callInFlight
+	callAbandoned  // its relay no longer waits for it; it may still run
+	callUnanswered // no response will come: only its relay ends it
+)
+
+// networkDelay is the one-way delay between a relay and an endpoint; with jitter where it is drawn.
+func (r *Run) networkDelay(relay, e int32, drawn bool) time.Duration {
+	d := time.Duration(r.World.Net.Cross)
+	if int(relay)%r.World.Net.Zones == int(r.endpoints[e].zone) {
+		d = time.Duration(r.World.Net.Same)
+	}
+	if drawn {
+		d = time.Duration(float64(d) * (1 + r.World.Net.Jitter*r.rng.Float64()))
+	}
+	return d
+}
+
+// send sends the call that relay i orders, and starts its timeout.
+func (r *Run) send(i int32, a *control.Action) {
+	if a.ID == 0 || a.ID > uint64(len(r.submissions)) || a.Endpoint == 0 || int(a.Endpoint) > len(r.endpoints) {
+		r.Checker.report(ruleOrder, i, -1, "sends a message or to an endpoint that it was never told of")
+		return
+	}
+	t, e := &r.submissions[a.ID-1], int32(a.Endpoint-1)
+	msg := &r.messages[t.message]
+	r.Checker.checkSend(i, a, t, msg)
+	n := int32(len(r.calls))
+	if k := len(r.freeCalls); k > 0 {
+		n, r.freeCalls = r.freeCalls[k-1], r.freeCalls[:k-1]
+	} else {
+		r.calls = append(r.calls, call{})
+	}
+	c := &r.calls[n]
+	*c = call{generation: c.generation + 1, message: t.message, submissionID: a.ID, relay: i, endpoint: e, attempt: t.attempts, state: callInFlight, sentAt: r.now}
+	t.attempts++
+	msg.inFlight++
+	r.relays[i].inFlight[a.ID] = n
+	r.Stats.recordCall()
+	r.queue.push(r.now+r.networkDelay(i, e, true), eventCallArrival, n, 0)
+	r.queue.push(r.now+a.For, eventCallTimeout, n, c.generation)
+}
+
+// respond sends the response to call n back to its relay, which has it one network delay later.
+func (r *Run) respond(n int32, result control.Result, wait time.Duration) {
+	c := &r.calls[n]
+	if c.state != callInFlight { // nobody waits for it
+		r.release(n)
+		return
+	}
+	c.result, c.retryAfter = result, wait
+	r.queue.push(r.now+r.networkDelay(c.relay, c.endpoint, true), eventResponse, n, 0)
+}
+
+func (r *Run) release(n int32) {
+	r.calls[n].state = callFree
+	r.freeCalls = append(r.freeCalls, n)
+}
+
+// arriveAtEndpoint has an endpoint throttle, fail, hang, serve or queue a call, by its faults and its capacity.
+func (r *Run) arriveAtEndpoint(n int32) {
+	c := &r.calls[n]
+	e := &r.endpoints[c.endpoint]
+	p := &r.World.Partners[e.group]
+	r.fleet.recordCall(r, e)
+	switch {
+	case c.state != callInFlight: // its connection is closed
+		r.release(n)
+	case e.removed || e.down > 0 || int(c.relay) < e.partitionedRelays:
+		r.respond(n, control.NoConnection, 0)
+	case e.throttling > 0:
+		r.respond(n, control.Throttled, time.Duration(e.retryAfter))
+	case e.failing > 0:
+		r.respond(n, control.Errored, 0)
+	case e.hanging > 0:
+		if r.rng.IntN(2) == 0 { // some of these take effect
+			r.execute(n)
+		}
+		c.state = callUnanswered
+	case p.RateLimit > 0 && !r.takeToken(e, p):
+		wait := time.Duration(0)
+		if p.SendsRetryAfter {
+			wait = time.Duration((1 - e.tokens) / r.limit(e) * float64(time.Second))
+		}
+		r.respond(n, control.Throttled, wait)
+	case len(e.serving) < r.capacity(e):
+		r.execute(n)
+		r.serve(n)
+	case len(e.queued) < p.QueueCapacity:
+		r.execute(n) // a window counts between arrivals
+		e.queued = append(e.queued, n)
+		r.noteOverload(c.endpoint)
+	default:
+		wait := time.Duration(0)
+		if p.SendsRetryAfter {
+			wait = time.Duration(float64(p.Median) * float64(1+len(e.queued)/max(r.capacity(e), 1)))
+		}
+		r.respond(n, control.Throttled, wait)
+		r.noteOverload(c.endpoint)
+	}
+}
+
+// execute has a message take effect, unless its key took effect within the deduplication window.
+func (r *Run) execute(n int32) {
+	c := &r.calls[n]
+	msg := &r.messages[c.message]
+	class := &r.World.Classes[msg.class]
+	if msg.firstExecutedAt != 0 && class.Effect == "keyed" && r.now-msg.firstExecutedAt <= time.Duration(class.DedupWindow) {
+		return
+	}
+	if msg.executions++; msg.executions == 1 {
+		msg.firstExecutedAt = r.now
+	} else if class.Effect != "safe" {
+		r.Checker.report(ruleEffects, c.relay, c.message, "takes effect twice")
+	}
+}
+
+// handleResponse has a response reach its relay; the response to an abandoned call is dropped.
+func (r *Run) handleResponse(n int32) {
+	c := &r.calls[n]
+	if c.state != callInFlight {
+		r.release(n)
+		return
+	}
+	result, wait := c.result, c.retryAfter
+	c.state = callUnanswered // resolve releases it
+	r.resolve(n, result, wait)
+}
+
+// resolve notifies a relay of a call's result; the call is no longer in flight there.
+func (r *Run) resolve(n int32, result control.Result, wait time.Duration) {
+	c := &r.calls[n]
+	msg := &r.messages[c.message]
+	re := &r.relays[c.relay]
+	delete(re.inFlight, c.submissionID)
+	msg.inFlight--
+	if !result.NeverRan() && !msg.mayHaveRun {
+		msg.mayHaveRun, msg.mayHaveRunAt = true, c.sentAt
+	}
+	r.Stats.recordResult(result)
+	ev := control.Event{Kind: control.Resolved, ID: c.submissionID, Attempt: int(c.attempt), Endpoint: uint32(c.endpoint + 1), Result: result, RetryAfter: wait,
+		Elapsed: r.now - c.sentAt}
+	if p := &r.World.Partners[r.endpoints[c.endpoint].group]; p.RateLimit > 0 && (result == control.Delivered || result == control.Throttled) {
+		e := &r.endpoints[c.endpoint]
+		ev.Reported, ev.Limit = true, r.limit(e)
+		ev.Remaining = max(0, min(1, e.tokens/r.bucketSize(e)))
+	}
+	if result == control.Delivered {
+		r.Checker.checkDelivered(&r.submissions[c.submissionID-1])
+		r.finishMessage(c.message, outcomeDelivered)
+	}
+	if c.state == callUnanswered {
+		r.release(n)
+	} else {
+		c.state = callAbandoned
+	}
+	r.notify(c.relay, ev)
+}
--- /dev/null
+++ b/internal/relay/simulator/mutant_test.go
@@ -0,0 +1,139 @@
+package simulator_test
+
+import (
+	"testing"
+	"time"
+
+	"mastusher/control"
+	"mastusher/internal/relay/simulator"
+	"mastusher/internal/relay/simulator/experiment"
+	"mastusher/internal/relay/simulator/policy"
+)
+
+// mutant breaks one rule: it alters what a policy is told or orders.
+type mutant struct {
+	simulator.Policy
+	events  func(now time.Duration, events []control.Event) []control.Event
+	actions func(now time.Duration, events []control.Event, out []control.Action) []control.Action
+}
+
+func (m *mutant) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
+	told := append([]control.Event(nil), events...)
+	if m.events != nil {
+		told = m.events(now, told)
+	}
+	out = m.Policy.Step(now, told, out)
+	if m.actions != nil {
+		out = m.actions(now, events, out)
+	}
+	return out
+}
+
+// mutants are the ways to break each rule.
+func mutants() map[simulator.Rule]func(simulator.Policy) simulator.Policy {
+	every := func(do func(e *control.Event)) func(simulator.Policy) simulator.Policy {
+		return func(p simulator.Policy) simulator.Policy {
+			return &mutant{Policy: p, events: func(_ time.Duration, events []control.Event) []control.Event {
+				for i := range events {
+					do(&events[i])
+				}
+				return events
+			}}
+		}
+	}
+	after := func(do func(a control.Action) []control.Action) func(simulator.Policy) simulator.Policy {
+		return func(p simulator.Policy) simulator.Policy {
+			return &mutant{Policy: p, actions: func(_ time.Duration, _ []control.Event, out []control.Action) []control.Action {
+				var all []control.Action
+				for _, a := range out {
+					all = append(all, do(a)...)
+				}
+				return all
+			}}
+		}
+	}
+	return map[simulator.Rule]func(simulator.Policy) simulator.Policy{
+		"waits": every(func(e *control.Event) { e.RetryAfter = 0 }),
+		"drains": every(func(e *control.Event) {
+			for i := range e.Endpoints {
+				e.Endpoints[i].State = control.Ready
+			}
+		}),
+		"repeats": every(func(e *control.Event) {
+			if e.Kind == control.Resolved && e.Result != control.Delivered {
+				e.Result = control.NoConnection
+			}
+			e.MayHaveRun = false
+		}),
+		"effects": every(func(e *control.Event) {
+			if e.Kind == control.Resolved && e.Result != control.Delivered {
+				e.Result = control.NoConnection
+			}
+			e.MayHaveRun = false
+		}),
+		"attempts": every(func(e *control.Event) { e.Attempt = 0 }),
+		"one end": after(func(a control.Action) []control.Action {
+			if a.Kind == control.Refuse {
+				return []control.Action{a, a}
+			}
+			return []control.Action{a}
+		}),
+		"one copy": after(func(a control.Action) []control.Action {
+			if a.Kind == control.Send {
+				return []control.Action{a, a}
+			}
+			return []control.Action{a}
+		}),
+		"orders": after(func(a control.Action) []control.Action {
+			if a.Kind == control.Send && a.ID%50 == 0 {
+				a.Endpoint += 100000
+			}
+			return []control.Action{a}
+		}),
+	}
+}
+
+// TestMutants checks the checker: a policy that breaks a rule is caught at that rule.
+func TestMutants(t *testing.T) {
+	t.Parallel()
+	w := parsed(t, troubled)
+	w.Classes = []simulator.Class{{Name: "event", Effect: "keyed", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second), DedupWindow: simulator.Duration(900 * time.Millisecond)},
+		{Name: "order", Effect: "unsafe", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second)}}
+	w.MaxAttempts = 3
+	if err := w.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	all := mutants()
+	for rule, alter := range all {
+		base := policy.ByName["two-choices"]
+		if rule == "attempts" { // one that makes as many as it likes
+			base = func(s control.Settings, seed uint64) (simulator.Policy, error) {
+				s.MaxAttempts = 9
+				return policy.New(policy.Options{Timeout: time.Second, MaxAttempts: 9, Backoff: 10 * time.Millisecond}, s, seed)
+			}
+		}
+		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
+			p, err := base(s, seed)
+			return alter(p), err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if res := r.Play(); res.ViolationCounts[string(rule)] == 0 {
+			t.Errorf("rule %q: a policy that breaks it is not caught: %v", rule, res.ViolationCounts)
+		}
+	}
+	flood := *w // retries without end push over what comes back cold
+	flood.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, QueueCapacity: 60, Median: simulator.Duration(100 * time.Millisecond), WarmUp: simulator.Duration(14 * time.Second)}}
+	flood.Rate, flood.Slots = 190, 400
+	flood.Faults = []simulator.Fault{{Kind: simulator.FaultDown, At: simulator.Duration(2 * time.Second), Length: simulator.Duration(2 * time.Second)}}
+	if err := flood.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	if res, err := experiment.Play(&flood, "round-robin"); err != nil || res.ViolationCounts["cold returns"] == 0 {
+		t.Errorf("a cold endpoint is not pushed over: %v, %v", res.ViolationCounts, err)
+	}
+	if len(all)+1 != len(simulator.Rules) {
+		t.Errorf("%d rules have a mutant, of %d", len(all)+1, len(simulator.Rules))
+	}
+}
--- /dev/null
+++ b/internal/relay/simulator/overload.go
@@ -0,0 +1,46 @@
+package simulator
+
+import (
+	"slices"
+
+	"mastusher/control"
+)
+
+// noteOverload notes that a cold endpoint has more than it can bear: if that lasts it falls over.
+func (r *Run) noteOverload(n int32) {
+	e := &r.endpoints[n]
+	capacity := r.capacity(e)
+	if e.coldSince == 0 || e.overloadedSince != 0 || float64(len(e.serving)+len(e.queued)) <= overloadMultiple*float64(capacity) {
+		return
+	}
+	e.overloadedSince = r.now
+	r.queue.push(r.now+overloadWindow, eventOverloadCheck, n, 0)
+}
+
+func (r *Run) checkOverload(n int32) {
+	e := &r.endpoints[n]
+	if e.overloadedSince == 0 || r.now-e.overloadedSince < overloadWindow || e.coldSince == 0 || e.down > 0 {
+		return
+	}
+	r.Checker.report(ruleColdReturn, -1, -1, "a cold endpoint is pushed over")
+	r.takeDown(n)
+	r.queue.push(r.now+overloadRecovery, eventOverloadEnd, n, 0)
+}
+
+// takeDown ends what an endpoint serves.
+func (r *Run) takeDown(n int32) {
+	e := &r.endpoints[n]
+	e.down++
+	lost := append(slices.Clone(e.serving), e.queued...)
+	e.serving, e.queued, e.overloadedSince = e.serving[:0], e.queued[:0], 0
+	for _, c := range lost {
+		r.respond(c, control.Reset, 0)
+	}
+}
+
+func (r *Run) bringUp(n int32) {
+	e := &r.endpoints[n]
+	if e.down--; e.down == 0 {
+		e.coldSince, e.overloadedSince = r.now, 0
+	}
+}
--- /dev/null
+++ b/internal/relay/simulator/relay.go
@@ -0,0 +1,182 @@
+package simulator
+
+import (
+	"encoding/binary"
+	"time"
+
+	"mastusher/control"
+)
+
+// relay is one relay with its policy.
+type relay struct {
+	policy   Policy
+	events   []control.Event
+	nextTurn time.Duration // 0: none is due
+	wakeAt   time.Duration
+	down     bool
+	seed     uint64
+	inFlight map[uint64]int32 // out, by ticket
+}
+
+func (r *Run) startRelay(i int32) error {
+	re := &r.relays[i]
+	p, err := r.factory(r.World.Settings(int(i)), re.seed)
+	if err != nil {
+		return err
+	}
+	if s, ok := p.(TruthObserver); ok {
+		s.ObserveTruth(r.truth)
+	}
+	*re = relay{policy: p, seed: re.seed + 1, inFlight: map[uint64]int32{}}
+	whole := control.Event{Kind: control.Listed, Complete: true}
+	for e := range r.endpoints {
+		if s := r.endpoints[e].listed; s != control.Removed {
+			whole.Endpoints = append(whole.Endpoints, r.listedEndpoint(int32(e), s))
+		}
+	}
+	r.notify(i, whole)
+	return nil
+}
+
+// notify hands a relay an event for its next turn, on the grid of turns.
+func (r *Run) notify(i int32, ev control.Event) {
+	re := &r.relays[i]
+	if re.down {
+		return
+	}
+	re.events = append(re.events, ev)
+	r.scheduleTurn(i, r.now)
+}
+
+// scheduleTurn has a relay take a turn on the first point of the grid from a time on.
+func (r *Run) scheduleTurn(i int32, at time.Duration) {
+	re, grid := &r.relays[i], time.Duration(r.World.TurnInterval)
+	at = (max(at, r.now) + grid) / grid * grid
+	if re.nextTurn == 0 || at < re.nextTurn {
+		re.nextTurn = at
+		r.queue.push(at, eventTurn, i, 0)
+	}
+}
+
+func (r *Run) turn(i int32) {
+	re := &r.relays[i]
+	if re.nextTurn != r.now || re.down {
+		return
+	}
+	re.nextTurn = 0
+	if re.wakeAt != 0 && re.wakeAt <= r.now {
+		re.wakeAt = 0
+		re.events = append(re.events, control.Event{Kind: control.Woken})
+	}
+	if len(re.events) == 0 {
+		return
+	}
+	r.turns++
+	for k := range re.events {
+		r.Checker.observeEvent(i, &re.events[k])
+	}
+	r.actions = re.policy.Step(r.now, re.events, r.actions[:0])
+	re.events = re.events[:0]
+	r.fleet.recordTurn(r, r.actions)
+	for k := range r.actions {
+		r.apply(i, &r.actions[k])
+	}
+	if re.wakeAt != 0 {
+		r.scheduleTurn(i, re.wakeAt)
+	}
+}
+
+// apply does what a relay has decided, and takes it into the hash of all decisions.
+func (r *Run) apply(i int32, a *control.Action) {
+	b := r.hashBuffer[:]
+	binary.LittleEndian.PutUint64(b, uint64(r.now))
+	binary.LittleEndian.PutUint64(b[8:], uint64(i)<<8|uint64(a.Kind))
+	binary.LittleEndian.PutUint64(b[16:], a.ID)
+	binary.LittleEndian.PutUint64(b[24:], uint64(a.Endpoint)<<32|uint64(uint32(a.Attempt)))
+	binary.LittleEndian.PutUint64(b[32:], uint64(a.For))
+	binary.LittleEndian.PutUint64(b[40:], uint64(a.At))
+	_, _ = r.hash.Write(b)
+	re := &r.relays[i]
+	switch a.Kind {
+	case control.Send:
+		r.send(i, a)
+	case control.Refuse, control.Fail:
+		r.finishSubmission(i, a)
+	case control.Cancel:
+		if c, ok := re.inFlight[a.ID]; ok {
+			r.resolve(c, control.Cancelled, 0)
+		}
+	case control.Recall:
+		if c, ok := re.inFlight[a.ID]; ok && r.calls[c].sentAt+r.networkDelay(i, r.calls[c].endpoint, false) > r.now {
+			r.resolve(c, control.NotProcessed, 0) // nothing of it has been written
+		}
+	case control.Wake:
+		if at := max(a.At, r.now+1); re.wakeAt == 0 || at < re.wakeAt {
+			re.wakeAt = at
+		}
+	}
+}
+
+// crashRelay ends a relay at once: its calls stay at their endpoints, but nobody waits for them.
+func (r *Run) crashRelay(i int32) {
+	re := &r.relays[i]
+	if re.down {
+		return
+	}
+	re.down, re.nextTurn, re.wakeAt, re.events = true, 0, 0, re.events[:0]
+	for n := range r.calls {
+		c := &r.calls[n]
+		if c.relay != i || c.state != callInFlight && c.state != callUnanswered {
+			continue
+		}
+		msg := &r.messages[c.message]
+		if msg.inFlight--; !msg.mayHaveRun {
+			msg.mayHaveRun, msg.mayHaveRunAt = true, c.sentAt
+		}
+		if c.state == callUnanswered {
+			r.release(int32(n))
+		} else {
+			c.state = callAbandoned
+		}
+	}
+}
+
+// restartRelay starts a crashed relay with what its journal holds: a DurablePolicy recovers its own messages, to any other the
+// simulator submits again what had not finished there.
+func (r *Run) restartRelay(i int32) {
+	re := &r.relays[i]
+	if !re.down {
+		return
+	}
+	re.down = false
+	r.sharing.resetRelay(i)
+	durable, isDurable := re.policy.(DurablePolicy)
+	factory := r.factory
+	if isDurable {
+		r.factory = durable.Successor()
+	}
+	err := r.startRelay(i)
+	if r.factory = factory; err != nil {
+		panic(err) // the same settings have been accepted before
+	}
+	for id := range r.submissions {
+		t := &r.submissions[id]
+		msg := &r.messages[t.message]
+		if t.relay != i || t.finished || msg.finished {
+			continue
+		}
+		if isDurable {
+			if !durable.Pending(uint64(id + 1)) { // its client never had an answer
+				t.finished = true
+				r.resubmit(t.message, i, 0)
+			}
+			continue
+		}
+		ev := control.Event{Kind: control.Arrived, ID: uint64(id + 1), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline,
+			Resubmitted: true, Attempt: int(t.attempts)}
+		if msg.mayHaveRun {
+			ev.MayHaveRun, ev.RanAt = true, msg.mayHaveRunAt
+		}
+		r.notify(i, ev)
+	}
+}
--- /dev/null
+++ b/internal/relay/simulator/result.go
@@ -0,0 +1,96 @@
+package simulator
+
+import (
+	"time"
+)
+
+// Latency is of one class, in milliseconds.
+type Latency struct {
+	Class   string         `cbor:"Class"`
+	P50     float64        `cbor:"P50"`
+	P90     float64        `cbor:"P90"`
+	P99     float64        `cbor:"P99"`
+	Max     float64        `cbor:"Max"`
+	Buckets []HistogramBin `cbor:"Buckets,omitempty"`
+}
+
+// HistogramBin is how many took up to so many milliseconds.
+type HistogramBin struct {
+	UpperBound float64 `cbor:"To"`
+	Count      int64   `cbor:"Count"`
+}
+
+// Result is what a run has come to. Its fields' names are those of its files.
+type Result struct {
+	World            string            `cbor:"World"`
+	Policy           string            `cbor:"Policy"`
+	Seed             uint64            `cbor:"Seed"`
+	Hash             string            `cbor:"Hash"` // of all decisions
+	Messages         int               `cbor:"Messages"`
+	Delivered        int               `cbor:"Delivered"`
+	Abandoned        int               `cbor:"GivenUp"`
+	Expired          int               `cbor:"Late"`
+	Value            float64           `cbor:"Worth"` // share of all that could be earned
+	Refused          int               `cbor:"Refused"`
+	Resubmitted      int               `cbor:"Again"`
+	Calls            int               `cbor:"Calls"`
+	Throttled        int               `cbor:"Turned"` // calls turned away as full
+	Failed           int               `cbor:"Failed"`
+	Turns            uint64            `cbor:"Turns"`
+	Endpoints        int               `cbor:"Endpoints"`
+	Relays           int               `cbor:"Relays"`
+	Fleet            FleetStats        `cbor:"Fleet"` // what the relays do together
+	Latencies        []Latency         `cbor:"Latencies"`
+	ViolationCounts  map[string]int    `cbor:"Broken,omitempty"`
+	ViolationSamples []string          `cbor:"Breaches,omitempty"`
+	Bucket           time.Duration     `cbor:"Bucket"`
+	Series           map[string]Series `cbor:"Lines"`
+	WallTime         time.Duration     `cbor:"Took"`   // on the clock of the machine; no part of what is compared
+	HeapBytes        uint64            `cbor:"Memory"` // bytes that the run held at its end, where that was measured
+}
+
+func (r *Run) result() *Result {
+	s := r.Stats
+	s.advanceTo(time.Duration(1<<62 - 1))
+	res := &Result{World: r.World.Name, Seed: r.World.Seed, Hash: r.Hash(), Messages: len(r.messages), Delivered: s.outcomes[outcomeDelivered], Abandoned: s.outcomes[outcomeAbandoned],
+		Expired: s.outcomes[outcomeExpired], Turns: r.turns, Endpoints: len(r.endpoints), Relays: len(r.relays), Bucket: s.Bucket, Series: map[string]Series{}}
+	if s.valuePossible > 0 {
+		res.Value = s.valueEarned / s.valuePossible
+	}
+	sum := func(l Series) (n int) {
+		for _, v := range l {
+			n += int(v)
+		}
+		return n
+	}
+	res.Refused, res.Resubmitted, res.Calls, res.Throttled, res.Failed = sum(s.Refused), sum(s.Resubmitted), sum(s.Calls), sum(s.Throttled), sum(s.Failed)
+	res.Fleet = r.fleet.result(r, res.Throttled)
+	for _, l := range s.series() {
+		res.Series[l.Name] = *l.Line
+	}
+	for i, h := range s.latencies {
+		ms := func(q float64) float64 { return float64(h.ValueAtPercentile(q)) / 1000 }
+		l := Latency{Class: r.World.Classes[i].Name, P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
+		bars := h.Distribution()
+		for to, from := int64(1000), int64(0); from < h.Max(); from, to = to, to*3/2 { // bars that grow by half
+			n := int64(0)
+			for _, bar := range bars {
+				if bar.From >= from && bar.From < to {
+					n += bar.Count
+				}
+			}
+			l.Buckets = append(l.Buckets, HistogramBin{float64(to) / 1000, n})
+		}
+		res.Latencies = append(res.Latencies, l)
+	}
+	for rule, n := range r.Checker.Counts {
+		if res.ViolationCounts == nil {
+			res.ViolationCounts = map[string]int{}
+		}
+		res.ViolationCounts[string(rule)] = n
+	}
+	for _, b := range r.Checker.Samples {
+		res.ViolationSamples = append(res.ViolationSamples, b.String())
+	}
+	return res
+}
