--- a/internal/relay/activitypub/delivery.go
+++ b/internal/relay/activitypub/delivery.go
@@ -11,17 +11,17 @@
 )
 
 // Call delivers activities to an inbox, one a request.
-func (f *Front) Call(ctx context.Context, step *engine.Attempt) []engine.Outcome {
-	outs := make([]engine.Outcome, len(step.Items))
-	for i := range step.Items {
-		it := &step.Items[i]
-		outs[i] = f.post(ctx, f.inboxes[step.To.Name], it.Body, it.Headers, step)
+func (f *Front) Call(ctx context.Context, attempt *engine.Attempt) []engine.Outcome {
+	outs := make([]engine.Outcome, len(attempt.Items))
+	for i := range attempt.Items {
+		item := &attempt.Items[i]
+		outs[i] = f.post(ctx, f.inboxes[attempt.To.Name], item.Body, item.Headers, attempt)
 	}
 	return outs
 }
 
 // post signs a body and posts it, for a step or, where that is nil, as an answer to a client.
-func (f *Front) post(ctx context.Context, u *url.URL, body []byte, more []string, step *engine.Attempt) (o engine.Outcome) {
+func (f *Front) post(ctx context.Context, u *url.URL, body []byte, more []string, attempt *engine.Attempt) (o engine.Outcome) {
 	if u == nil {
 		return engine.Outcome{Result: control.Rejected}
 	}
@@ -32,12 +32,12 @@
 	}
 	request := httpwire.AppendRequest(nil, "POST", u.RequestURI(), u.Host, append(head, more...), body)
 	var mayWrite func() bool
-	if step != nil {
-		mayWrite = step.MayWrite
+	if attempt != nil {
+		mayWrite = attempt.MayWrite
 	}
 	stage := f.pool.Do(ctx, httpwire.Peer{Address: address(u)}, request, mayWrite, func(p *httpwire.Response) {
-		if o = outcome(p); step != nil {
-			step.ObserveAnswer(p.Status, p.Header, p.Body)
+		if o = outcome(p); attempt != nil {
+			attempt.ObserveAnswer(p.Status, p.Header, p.Body)
 		}
 	})
 	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Malformed || o.Result != control.Delivered) {
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -49,85 +49,103 @@
 
 // Front speaks ActivityPub.
 type Front struct {
-	cfg    *config.ActivityPub
-	limits *config.Limits
-	core   Submitter
-	log    *slog.Logger
-	pool   *httpwire.Pool
-	signer Signer
-	doc    []byte // the actor document
-	path   string // where it stands
-
-	keys     keyring
-	owners   map[string]*config.Client // by key id
-	clients  map[string]*config.Client // by actor
-	inboxes  map[string]*url.URL       // by destination's name
-	partners map[string]config.Partner // by name
-	classes  map[string]int            // by type of activity
-	set      []control.Class
+	cfg      *config.ActivityPub
+	limits   *config.Limits
+	core     Submitter
+	log      *slog.Logger
+	pool     *httpwire.Pool
+	signer   Signer
+	actorDoc []byte // the actor document
+	path     string // where it stands
+
+	keys           keyring
+	owners         map[string]*config.Client // by key id
+	clients        map[string]*config.Client // by actor
+	inboxes        map[string]*url.URL       // by destination's name
+	partners       map[string]config.Partner // by name
+	classes        map[string]int            // by type of activity
+	messageClasses []control.Class
 
 	// Open tells whether new messages are taken on at this router; see VRRP. nil: always.
 	Open func() bool
 	// Now is the clock for dates and deadlines.
 	Now func() time.Time
 
-	mu    sync.Mutex
-	ended map[string]end // messages that have ended, by id
-	line  []string       // their ids, the oldest first
+	mu         sync.Mutex
+	ended      map[string]end // messages that have ended, by id
+	endedOrder []string       // their ids, the oldest first
 }
 
-// New returns the front of core, and its destinations; it still has to be added to it.
+// New returns the front of core, and its destinations; it still has to be added to it. Its error is a *config.KeyError.
 func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
-	a := cfg.ActivityPub
-	f := &Front{cfg: a, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
+	section := cfg.ActivityPub
+	f := &Front{cfg: section, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
 		keys: keyring{}, owners: map[string]*config.Client{}, clients: map[string]*config.Client{},
 		inboxes: map[string]*url.URL{}, partners: map[string]config.Partner{}, classes: map[string]int{},
-		set: cfg.Settings.Classes, Now: time.Now, ended: map[string]end{}}
-	none := engine.EndpointList{}
-	key, err := ReadKey(a.KeyFile)
-	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
-	}
-	f.signer = Signer{KeyID: a.KeyID, Key: key}
-	u, err := url.Parse(a.Actor)
-	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.actor", Reason: err.Error()}
-	}
-	public, err := publicPEM(key)
-	if err != nil {
-		return nil, none, &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
+		messageClasses: cfg.Settings.Classes, Now: time.Now, ended: map[string]end{}}
+	if err := f.setActor(); err != nil {
+		return nil, engine.EndpointList{}, err
 	}
-	f.path, f.doc = u.Path, actorDocument(a, u, string(public))
-	for i := range a.Clients {
-		c := &a.Clients[i]
-		if f.keys[c.KeyID], err = ReadPublicKey(c.KeyFile); err != nil {
-			return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.clients.%d.key_file", i), Reason: err.Error()}
+	for i := range section.Clients {
+		client := &section.Clients[i]
+		key, err := ReadPublicKey(client.KeyFile)
+		if err != nil {
+			return nil, engine.EndpointList{}, &config.KeyError{Key: fmt.Sprintf("activitypub.clients.%d.key_file", i), Reason: err.Error()}
 		}
-		f.owners[c.KeyID], f.clients[c.Actor] = c, c
+		f.keys[client.KeyID] = key
+		f.owners[client.KeyID], f.clients[client.Actor] = client, client
 	}
-	for kind, class := range a.Classes {
-		for i := range f.set {
-			if f.set[i].Name == class {
+	for kind, name := range section.Classes {
+		for i := range f.messageClasses {
+			if f.messageClasses[i].Name == name {
 				f.classes[kind] = i
 			}
 		}
 	}
-	pool := engine.EndpointList{Complete: true}
-	for i, p := range a.Partners {
-		f.partners[p.Name] = p
-		for k, inbox := range p.Inboxes {
+	destinations, err := f.setPartners()
+	if err != nil {
+		return nil, engine.EndpointList{}, err
+	}
+	return f, engine.EndpointList{Complete: true, Destinations: destinations}, nil
+}
+
+// setActor reads this relay's key and makes its actor document.
+func (f *Front) setActor() error {
+	key, err := ReadKey(f.cfg.KeyFile)
+	if err != nil {
+		return &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
+	}
+	f.signer = Signer{KeyID: f.cfg.KeyID, Key: key}
+	actor, err := url.Parse(f.cfg.Actor)
+	if err != nil {
+		return &config.KeyError{Key: "activitypub.actor", Reason: err.Error()}
+	}
+	public, err := publicPEM(key)
+	if err != nil {
+		return &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
+	}
+	f.path, f.actorDoc = actor.Path, actorDocument(f.cfg, actor, string(public))
+	return nil
+}
+
+// setPartners makes the partners known, and returns their inboxes as destinations.
+func (f *Front) setPartners() (destinations []engine.Destination, err error) {
+	for i, partner := range f.cfg.Partners {
+		f.partners[partner.Name] = partner
+		for k, inbox := range partner.Inboxes {
 			u, err := url.Parse(inbox)
 			if err != nil || u.Host == "" {
-				return nil, none, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Reason: "not a URL"}
+				return nil, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Reason: "not a URL"}
 			}
 			f.inboxes[inbox] = u
-			pool.Destinations = append(pool.Destinations, engine.Destination{Name: inbox, Address: address(u),
-				Zone: p.Zone, Kind: p.Kind, Partner: p.Destination})
+			destinations = append(destinations, engine.Destination{Name: inbox, Address: address(u),
+				Zone: partner.Zone, Kind: partner.Kind, Partner: partner.Destination})
 		}
 	}
-	return f, pool, nil
+	return destinations, nil
 }
 
+// address is where a URL's host listens.
 func address(u *url.URL) string {
 	if u.Port() == "" {
 		return u.Host + ":80"
--- a/internal/relay/activitypub/inbox.go
+++ b/internal/relay/activitypub/inbox.go
@@ -25,7 +25,7 @@
 		}
 		return httpwire.Answer{Status: 503}
 	case q.Method == "GET" && path == f.path:
-		return httpwire.Answer{Status: 200, Header: []string{"Content-Type", contentType}, Body: f.doc}
+		return httpwire.Answer{Status: 200, Header: []string{"Content-Type", contentType}, Body: f.actorDoc}
 	case q.Method != "POST":
 		return say(405, "want POST")
 	}
@@ -38,12 +38,12 @@
 		return httpwire.Answer{Status: 503, Header: []string{"Retry-After", seconds(f.limits.BusyRetry)},
 			Body: []byte("this router stands by\n")}
 	}
-	m, again, err := f.message(q)
-	var no *RequestError
-	if errors.As(err, &no) {
-		return say(no.Status, no.Reason)
+	m, delivered, err := f.message(q)
+	var rejected *RequestError
+	if errors.As(err, &rejected) {
+		return say(rejected.Status, rejected.Reason)
 	}
-	if again {
+	if delivered {
 		return say(200, "delivered before")
 	}
 	m.Partner, m.Tenant = partner.Destination, partner.Tenant
@@ -67,8 +67,8 @@
 
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// message checks an activity and makes a message of it; again: it has been delivered already.
-func (f *Front) message(q *httpwire.Request) (m engine.Message, again bool, err error) {
+// message checks an activity and makes a message of it; delivered: it has been delivered already. Its error is a *RequestError.
+func (f *Front) message(q *httpwire.Request) (m engine.Message, delivered bool, err error) {
 	kind, _, _ := strings.Cut(q.Header.Get("Content-Type"), ";")
 	if kind = strings.TrimSpace(kind); kind != contentType && kind != "application/ld+json" {
 		return m, false, &RequestError{415, "want " + contentType}
@@ -81,46 +81,59 @@
 	if !gjson.ValidBytes(q.Body) {
 		return m, false, &RequestError{400, "the body is not JSON"}
 	}
-	act := gjson.ParseBytes(q.Body)
-	id, actor := act.Get("id").String(), act.Get("actor").String()
-	class, known := f.classes[act.Get("type").String()]
+	activity := gjson.ParseBytes(q.Body)
+	id, actor := activity.Get("id").String(), activity.Get("actor").String()
+	class, known := f.classes[activity.Get("type").String()]
 	switch {
-	case !act.IsObject() || id == "" || len(id) > 2048:
+	case !activity.IsObject() || id == "" || len(id) > 2048:
 		return m, false, &RequestError{400, "the activity has no usable id"}
 	case f.owners[keyID].Actor != actor:
 		return m, false, &RequestError{403, "the activity's actor does not own the key"}
 	case !known:
 		return m, false, &RequestError{422, "no class for this type of activity"}
 	}
-	m = engine.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.set[class].Deadline), Body: q.Body,
+	m = engine.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.messageClasses[class].Deadline), Body: q.Body,
 		Header: q.Header}
-	if v := act.Get("endTime"); v.Exists() {
-		t, err := time.Parse(time.RFC3339, v.String())
-		if err != nil {
-			return m, false, &RequestError{400, "endTime can't be read"}
-		}
-		if !t.After(now) {
-			return m, false, &RequestError{422, "endTime has passed"}
-		}
-		if t.Before(m.Deadline) {
-			m.Deadline = t
+	if v := activity.Get("endTime"); v.Exists() {
+		if err := limitDeadline(&m, v.String(), now); err != nil {
+			return m, false, err
 		}
 	}
-	// An id that has ended before: one that was delivered is not delivered again, and one that may have
-	// taken effect and is keyed comes again only within its window.
+	delivered, err = f.resubmitted(&m, now)
+	return m, delivered, err
+}
+
+// limitDeadline takes an activity's endTime for its deadline if that is earlier.
+func limitDeadline(m *engine.Message, endTime string, now time.Time) error {
+	t, err := time.Parse(time.RFC3339, endTime)
+	if err != nil {
+		return &RequestError{400, "endTime can't be read"}
+	}
+	if !t.After(now) {
+		return &RequestError{422, "endTime has passed"}
+	}
+	if t.Before(m.Deadline) {
+		m.Deadline = t
+	}
+	return nil
+}
+
+// resubmitted marks a message whose id has ended before. One that was delivered is not delivered again, and one that may have taken effect
+// and is keyed comes again only within its window.
+func (f *Front) resubmitted(m *engine.Message, now time.Time) (delivered bool, err error) {
 	f.mu.Lock()
-	before, ok := f.ended[id]
+	before, ok := f.ended[m.ID]
 	f.mu.Unlock()
 	if m.Resubmitted = ok; !ok || before.ranAt.IsZero() && !before.delivered {
-		return m, false, nil
+		return false, nil
 	}
 	if before.delivered {
-		return m, true, nil
+		return true, nil
 	}
-	c := &f.set[class]
-	if c.Effect == control.Unsafe || c.Effect == control.Keyed && now.Sub(before.ranAt) >= c.Memory {
-		return m, false, &RequestError{409, "it may have taken effect, and can't be repeated any more"}
+	class := &f.messageClasses[m.Class]
+	if class.Effect == control.Unsafe || class.Effect == control.Keyed && now.Sub(before.ranAt) >= class.Memory {
+		return false, &RequestError{409, "it may have taken effect, and can't be repeated any more"}
 	}
 	m.MayHaveRunAt = before.ranAt
-	return m, false, nil
+	return false, nil
 }
--- a/internal/relay/activitypub/notices.go
+++ b/internal/relay/activitypub/notices.go
@@ -56,7 +56,7 @@
 // answer is an Accept for a delivery and a Reject for all else. Its id is the same each time it is sent.
 func (f *Front) answer(n *engine.Notice) []byte {
 	kind, how := "Reject", "given_up"
-	c := &f.set[n.Class]
+	c := &f.messageClasses[n.Class]
 	once := !n.MayHaveRunAt.IsZero() && c.Effect == control.Keyed // it may have taken effect: only the window allows more
 	back := n.HandedBack && (!once || f.Now().Before(n.MayHaveRunAt.Add(c.Memory)))
 	if n.Delivered {
@@ -84,11 +84,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.ended[n.ID]; !ok {
-		f.line = append(f.line, n.ID)
+		f.endedOrder = append(f.endedOrder, n.ID)
 	}
 	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.MayHaveRunAt}
-	for len(f.line) > f.limits.MaxRemembered {
-		delete(f.ended, f.line[0])
-		f.line = f.line[1:]
+	for len(f.endedOrder) > f.limits.MaxRemembered {
+		delete(f.ended, f.endedOrder[0])
+		f.endedOrder = f.endedOrder[1:]
 	}
 }
--- a/internal/relay/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -139,7 +139,7 @@
 	// wait(ms) -> refusal: nothing goes to this destination's partner for at least so long.
 	{"wait", []api.ValueType{i64}, []api.ValueType{i32}, func(w *worker, _ api.Memory, s []uint64) {
 		ms := int64(s[0])
-		s[0] = w.ask("wait", rules.Ask{Wait: time.Duration(min(max(ms, 0), 1<<40)) * time.Millisecond})
+		s[0] = w.ask("wait", rules.Ask{RetryAfter: time.Duration(min(max(ms, 0), 1<<40)) * time.Millisecond})
 	}},
 	// refuse() -> refusal: the message is given up for good.
 	{"refuse", nil, []api.ValueType{i32}, func(w *worker, _ api.Memory, s []uint64) {
@@ -260,7 +260,7 @@
 	case numStatus:
 		return int64(c.Status)
 	case numWait:
-		return c.Answer.Wait.Milliseconds()
+		return c.Answer.RetryAfter.Milliseconds()
 	case numResult:
 		return int64(c.Answer.Result)
 	case numNow:
@@ -282,7 +282,7 @@
 	if w.call.Phase != Answer {
 		return w.refuse(what, rules.Phase)
 	}
-	ask := rules.Ask{Wait: max(w.outcome.Ask.Wait, more.Wait), Refuse: w.outcome.Ask.Refuse || more.Refuse}
+	ask := rules.Ask{RetryAfter: max(w.outcome.Ask.RetryAfter, more.RetryAfter), Refuse: w.outcome.Ask.Refuse || more.Refuse}
 	_, why := rules.Tighten(w.call.Answer, ask, &w.version.host.rules)
 	if why == rules.None {
 		w.outcome.Ask = ask
--- a/internal/relay/plugin/attempt.go
+++ b/internal/relay/plugin/attempt.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// later puts a call in the line, if there is room.
-func (v *version) later(c *Call) {
+// enqueueAfterwards puts a call in the line, if there is room.
+func (v *version) enqueueAfterwards(c *Call) {
 	select {
 	case v.afterwards <- c:
 	default:
--- a/internal/relay/plugin/compile.go
+++ b/internal/relay/plugin/compile.go
@@ -78,77 +78,106 @@
 
 // check names all imports, exports and limits at fault, and tells which ABI a module speaks.
 func check(code wazero.CompiledModule, cfg *config.Plugin) (abi int, err error) {
-	var f Fault
-	later := false
-	exports := code.ExportedFunctions()
-	for name := range exports {
+	c := &moduleCheck{code: code, exports: code.ExportedFunctions()}
+	later := c.laterABI()
+	used := c.imports()
+	c.memory(cfg.MemoryMB)
+	switch {
+	case c.exports[markTwo] != nil:
+		abi = 2
+		c.export(markTwo, "() -> i32", true)
+		for _, name := range exportsTwo {
+			c.export(name, "() -> i32", false)
+		}
+		if used[moduleOne] {
+			c.fail("import mastusher: a module of ABI 2 imports from mastusher_v2")
+		}
+	case used[moduleTwo]:
+		c.fail("export %s: missing, though the module imports from %s", markTwo, moduleTwo)
+	case !later:
+		abi = 1
+		c.export("alloc", "(i32) -> i32", true)
+		c.export("inspect", "(i32, i32) -> i32", false)
+		c.export("ended", "(i32, i32)", false)
+	}
+	if len(c.faults) > 0 {
+		slices.Sort(c.faults) // maps have been walked
+		return abi, c.faults
+	}
+	return abi, nil
+}
+
+// moduleCheck gathers what keeps a module from being loaded.
+type moduleCheck struct {
+	code    wazero.CompiledModule
+	exports map[string]api.FunctionDefinition
+	faults  Fault
+}
+
+func (c *moduleCheck) fail(format string, args ...any) {
+	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+}
+
+// laterABI tells whether the module speaks an ABI that this relay does not know, which is a fault.
+func (c *moduleCheck) laterABI() (later bool) {
+	for name := range c.exports {
 		if v, ok := strings.CutPrefix(name, "mastusher_abi_"); ok && v != "2" {
 			later = true
-			f = append(f, fmt.Sprintf("export %s: the module speaks ABI %s; this relay speaks 1 and 2", name, v))
+			c.fail("export %s: the module speaks ABI %s; this relay speaks 1 and 2", name, v)
 		}
 	}
+	return later
+}
+
+// imports checks what the module imports and returns the modules that it imports from.
+func (c *moduleCheck) imports() map[string]bool {
 	known := map[string]map[string]string{"wasi_snapshot_preview1": nil, moduleOne: {"reason": "(i32, i32)", "log": "(i32, i32)"},
 		moduleTwo: {}}
 	for _, h := range hostFunctions {
 		known[moduleTwo][h.name] = signature(h.params, h.results)
 	}
 	used := map[string]bool{}
-	for _, d := range code.ImportedFunctions() {
+	for _, d := range c.code.ImportedFunctions() {
 		module, name, _ := d.Import()
 		used[module] = true
 		functions, ok := known[module]
 		want, has := functions[name]
 		switch got := signature(d.ParamTypes(), d.ResultTypes()); {
 		case !ok:
-			f = append(f, fmt.Sprintf("import %s.%s: this relay has no module of that name", module, name))
+			c.fail("import %s.%s: this relay has no module of that name", module, name)
 		case functions != nil && !has:
-			f = append(f, fmt.Sprintf("import %s.%s: there is no such function", module, name))
+			c.fail("import %s.%s: there is no such function", module, name)
 		case functions != nil && got != want:
-			f = append(f, fmt.Sprintf("import %s.%s: it is %s here, the module wants %s", module, name, want, got))
+			c.fail("import %s.%s: it is %s here, the module wants %s", module, name, want, got)
 		}
 	}
-	for _, d := range code.ImportedMemories() {
+	for _, d := range c.code.ImportedMemories() {
 		module, name, _ := d.Import()
-		f = append(f, fmt.Sprintf("import %s.%s: a memory; the module must have its own", module, name))
+		c.fail("import %s.%s: a memory; the module must have its own", module, name)
 	}
-	memory := code.ExportedMemories()["memory"]
+	return used
+}
+
+// memory checks the module's own memory against what the configuration allows.
+func (c *moduleCheck) memory(allowedMB int) {
+	memory := c.code.ExportedMemories()["memory"]
 	if memory == nil {
-		f = append(f, "export memory: missing")
-	} else if pages := memory.Min(); int(pages) > cfg.MemoryMB*16 {
-		f = append(f, fmt.Sprintf("memory: it begins with %.1f MB, memory_mb allows %d", float64(pages)/16, cfg.MemoryMB))
-	}
-	want := func(name, sig string, must bool) {
-		if d := exports[name]; d == nil && must {
-			f = append(f, fmt.Sprintf("export %s: missing", name))
-		} else if d != nil && signature(d.ParamTypes(), d.ResultTypes()) != sig {
-			f = append(f, fmt.Sprintf("export %s: want %s, not %s", name, sig, signature(d.ParamTypes(), d.ResultTypes())))
-		}
-	}
-	switch {
-	case exports[markTwo] != nil:
-		abi = 2
-		want(markTwo, "() -> i32", true)
-		for _, name := range exportsTwo {
-			want(name, "() -> i32", false)
-		}
-		if used[moduleOne] {
-			f = append(f, "import mastusher: a module of ABI 2 imports from mastusher_v2")
-		}
-	case used[moduleTwo]:
-		f = append(f, fmt.Sprintf("export %s: missing, though the module imports from %s", markTwo, moduleTwo))
-	case !later:
-		abi = 1
-		want("alloc", "(i32) -> i32", true)
-		want("inspect", "(i32, i32) -> i32", false)
-		want("ended", "(i32, i32)", false)
+		c.fail("export memory: missing")
+	} else if pages := memory.Min(); int(pages) > allowedMB*16 {
+		c.fail("memory: it begins with %.1f MB, memory_mb allows %d", float64(pages)/16, allowedMB)
 	}
-	if len(f) > 0 {
-		slices.Sort(f)
-		return abi, f
+}
+
+// export checks a function that the module exports, or must.
+func (c *moduleCheck) export(name, want string, required bool) {
+	if d := c.exports[name]; d == nil && required {
+		c.fail("export %s: missing", name)
+	} else if d != nil && signature(d.ParamTypes(), d.ResultTypes()) != want {
+		c.fail("export %s: want %s, not %s", name, want, signature(d.ParamTypes(), d.ResultTypes()))
 	}
-	return abi, nil
 }
 
+// signature is a function's type as messages write it.
 func signature(params, results []api.ValueType) string {
 	names := func(all []api.ValueType) string {
 		var s []string
--- a/internal/relay/plugin/inspect.go
+++ b/internal/relay/plugin/inspect.go
@@ -53,6 +53,7 @@
 	return engine.Ruling{}
 }
 
+// guard is what plug-ins may change at a front.
 func (h *Host) guard(front string) *rules.Front {
 	if f := h.fronts[front]; f != nil {
 		return f
@@ -74,9 +75,9 @@
 	return -1
 }
 
-// OnAnswer shows the plug-ins an answer and makes of its outcomes what they may. Of those that nothing may be made
-// of they hear later.
-func (h *Host) OnAnswer(front string, step *engine.Attempt, outs []engine.Outcome) {
+// OnAnswer shows the plug-ins an answer and makes of its outcomes what they may. Answers of which nothing
+// may be made they are shown later.
+func (h *Host) OnAnswer(front string, attempt *engine.Attempt, outs []engine.Outcome) {
 	g := h.use()
 	if g == nil {
 		return
@@ -84,10 +85,11 @@
 	defer h.release(g)
 	by := time.Now().Add(h.limits.PluginBudget)
 	for i := range outs {
-		h.answered(g, front, &step.To, &step.Items[i], step.SampledAnswer(), &outs[i], by)
+		h.answered(g, front, &attempt.To, &attempt.Items[i], attempt.SampledAnswer(), &outs[i], by)
 	}
 }
 
+// answered shows the plug-ins the answer for one message, and makes its outcome more careful where they ask for that.
 func (h *Host) answered(g *generation, front string, to *engine.Destination, it *engine.Item, seen *engine.AnswerSample,
 	o *engine.Outcome, by time.Time) {
 	for _, v := range g.chain {
@@ -95,12 +97,12 @@
 			continue
 		}
 		now := time.Now()
-		a := rules.Answer{Result: o.Result, Wait: o.RetryAfter, Over: o.Final}
+		a := rules.Answer{Result: o.Result, RetryAfter: o.RetryAfter, Final: o.Final}
 		c := &Call{Phase: Answer, Front: front, ID: it.ID, Key: it.Key, Partner: to.Partner, Class: it.Class,
 			ClassName: h.class(it.Class), In: seen.Header, Body: seen.Body, Destination: to.Name, Status: seen.Status, Answer: a, Now: now}
 		// The least that could be asked for: where that is refused there is nothing to wait for.
-		if _, why := rules.Tighten(a, rules.Ask{Wait: a.Wait + 1}, &h.rules); why != rules.None {
-			v.later(c)
+		if _, why := rules.Tighten(a, rules.Ask{RetryAfter: a.RetryAfter + 1}, &h.rules); why != rules.None {
+			v.enqueueAfterwards(c)
 			continue
 		}
 		out, err := v.attempt(c, by)
@@ -108,11 +110,11 @@
 			continue // an answer is never worse for a plug-in that fails
 		}
 		a, _ = rules.Tighten(a, out.Ask, &h.rules)
-		o.Result, o.RetryAfter = a.Result, a.Wait
+		o.Result, o.RetryAfter = a.Result, a.RetryAfter
 	}
 }
 
-// OnEnd tells the plug-ins, later, that a message is over.
+// OnEnd tells the plug-ins, later, that a message has ended.
 func (h *Host) OnEnd(front string, e engine.End) {
 	g := h.use()
 	if g == nil {
@@ -121,7 +123,7 @@
 	defer h.release(g)
 	for _, v := range g.chain {
 		if v.applies(End, front, e.Partner, e.Class) {
-			v.later(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
+			v.enqueueAfterwards(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
 				ClassName: h.class(e.Class), Result: e.Result})
 		}
 	}
--- a/internal/relay/plugin/rules/rules.go
+++ b/internal/relay/plugin/rules/rules.go
@@ -152,15 +152,15 @@
 
 // Answer is what the relay makes of a destination's answer for one message.
 type Answer struct {
-	Result control.Result
-	Wait   time.Duration
-	Over   bool
+	Result     control.Result
+	RetryAfter time.Duration
+	Final      bool
 }
 
 // Ask is what a plug-in wants made of it.
 type Ask struct {
-	Wait   time.Duration // at least so long
-	Refuse bool          // for good
+	RetryAfter time.Duration // at least so long
+	Refuse     bool          // for good
 }
 
 // Tighten does what a plug-in asks as far as it makes the relay more careful.
@@ -176,19 +176,19 @@
 	if ask == (Ask{}) {
 		return a, None
 	}
-	if a.Over || a.Result != control.Throttled {
+	if a.Final || a.Result != control.Throttled {
 		return a, Looser
 	}
 	if ask.Refuse {
-		if a.Wait > 0 || ask.Wait > 0 {
+		if a.RetryAfter > 0 || ask.RetryAfter > 0 {
 			return a, Looser
 		}
 		a.Result = control.Rejected
 		return a, None
 	}
-	if ask.Wait < a.Wait {
+	if ask.RetryAfter < a.RetryAfter {
 		return a, Looser
 	}
-	a.Wait = max(a.Wait, min(ask.Wait, lim.MaxRetryAfter))
+	a.RetryAfter = max(a.RetryAfter, min(ask.RetryAfter, lim.MaxRetryAfter))
 	return a, None
 }
--- a/internal/relay/plugin/rules/rules_test.go
+++ b/internal/relay/plugin/rules/rules_test.go
@@ -97,23 +97,23 @@
 func TestTighten_AnyAsk_NeverLessCareful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := Answer{Result: control.Result(rapid.IntRange(0, int(control.Rejected)).Draw(t, "result")),
-			Wait: time.Duration(rapid.IntRange(0, 90).Draw(t, "wait")) * time.Second, Over: rapid.Bool().Draw(t, "over")}
-		ask := Ask{Wait: time.Duration(rapid.IntRange(-5, 90).Draw(t, "ask")) * time.Second, Refuse: rapid.Bool().Draw(t, "refuse")}
+			RetryAfter: time.Duration(rapid.IntRange(0, 90).Draw(t, "wait")) * time.Second, Final: rapid.Bool().Draw(t, "over")}
+		ask := Ask{RetryAfter: time.Duration(rapid.IntRange(-5, 90).Draw(t, "ask")) * time.Second, Refuse: rapid.Bool().Draw(t, "refuse")}
 		after, why := Tighten(before, ask, &lim)
 		if why != None && after != before {
 			t.Fatalf("refused, and yet %+v", after)
 		}
-		if after.Over != before.Over || after.Wait < before.Wait {
+		if after.Final != before.Final || after.RetryAfter < before.RetryAfter {
 			t.Fatalf("%+v becomes %+v", before, after)
 		}
-		if after.Result != before.Result && !(before.Result == control.Throttled && after.Result == control.Rejected && before.Wait == 0) {
+		if after.Result != before.Result && !(before.Result == control.Throttled && after.Result == control.Rejected && before.RetryAfter == 0) {
 			t.Fatalf("%+v becomes %+v", before, after)
 		}
 		if !before.Result.NeverRan() && after.Result.NeverRan() {
 			t.Fatalf("%+v may have run, %+v claims that it did not", before, after)
 		}
 	})
-	if got, _ := Tighten(Answer{Result: control.Throttled, Wait: time.Second}, Ask{Wait: time.Hour}, &lim); got.Wait != time.Minute {
-		t.Errorf("a wait of an hour is cut to %v", got.Wait)
+	if got, _ := Tighten(Answer{Result: control.Throttled, RetryAfter: time.Second}, Ask{RetryAfter: time.Hour}, &lim); got.RetryAfter != time.Minute {
+		t.Errorf("a wait of an hour is cut to %v", got.RetryAfter)
 	}
 }
--- a/internal/relay/plugin/trial/trial.go
+++ b/internal/relay/plugin/trial/trial.go
@@ -97,7 +97,7 @@
 			k.Answer.Result = control.Delivered
 		}
 	case "told":
-		span(&k.Answer.Wait)
+		span(&k.Answer.RetryAfter)
 	case "to":
 		k.Destination = value
 	case "how":
@@ -167,8 +167,8 @@
 		switch a, _ := rules.Tighten(c.Answer, out.Ask, lim); {
 		case a.Result != c.Answer.Result:
 			lines = append(lines, "refuse")
-		case a.Wait != c.Answer.Wait:
-			lines = append(lines, "wait "+a.Wait.String())
+		case a.RetryAfter != c.Answer.RetryAfter:
+			lines = append(lines, "wait "+a.RetryAfter.String())
 		}
 	}
 	for _, r := range out.Refused {
