--- a/cmd/tier-soak/main.go
+++ b/cmd/tier-soak/main.go
@@ -101,11 +101,11 @@
 	defer report.Close()
 	plan := soak.RandomPlan(seed, p.length)
 	began := time.Now()
-	result, err := soak.Play(ctx, soak.Options{Plan: plan, Binary: p.binary, Cutting: []string{self, "role"}, Folder: folder, Report: report})
+	result, err := soak.Run(ctx, soak.Options{Plan: plan, Binary: p.binary, PartitionCommand: []string{self, "role"}, Folder: folder, Report: report})
 	if err != nil {
 		return false, err
 	}
-	fmt.Printf("seed=%d large=%t cuts=%t closing=%s tookS=%.1f %s\n", seed, plan.Large, plan.Cuts, plan.Closing.Kind, time.Since(began).Seconds(), result.Text())
+	fmt.Printf("seed=%d large=%t cuts=%t closing=%s tookS=%.1f %s\n", seed, plan.Large, plan.Partitions, plan.Closing.Kind, time.Since(began).Seconds(), result.Text())
 	if len(result.Violations) == 0 {
 		if p.keep {
 			return false, nil
--- a/internal/tier/demo/example_test.go
+++ b/internal/tier/demo/demo_test.go
@@ -81,10 +81,10 @@
 	cancel()
 
 	// Then each is named, and nothing waits for any of them
-	if got := localtier.Unexpected(started.Processes); len(got) != len(started.Processes) || !strings.Contains(got[0], "core-1/controller ended by itself") {
+	if got := localtier.UnexpectedExits(started.Processes); len(got) != len(started.Processes) || !strings.Contains(got[0], "core-1/controller ended by itself") {
 		t.Errorf("got %q", got)
 	}
-	if got := localtier.Stop(started.Processes, localtier.StopPatience); len(got) != 0 {
+	if got := localtier.Stop(started.Processes, localtier.StopTimeout); len(got) != 0 {
 		t.Errorf("got %q", got)
 	}
 	if err := started.WaitReady(ctx); err == nil {
@@ -106,7 +106,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, lastFinished(standin.Outcome{Turns: c.turns})); diff != "" {
+			if diff := cmp.Diff(c.want, lastCompleteTurn(standin.Outcome{Turns: c.turns})); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/tier/demo/doc.go
+++ b/internal/tier/demo/doc.go
@@ -14,8 +14,8 @@
 
 // Bounds of every wait.
 const (
-	wholePatience   = 50 * time.Second
-	programPatience = 12 * time.Second
-	resendPause     = 300 * time.Millisecond
-	keepFor         = time.Minute
+	runTimeout     = 50 * time.Second
+	programTimeout = 12 * time.Second
+	retryBackoff   = 300 * time.Millisecond
+	retention      = time.Minute
 )
--- a/internal/tier/localtier/doc.go
+++ b/internal/tier/localtier/doc.go
@@ -15,14 +15,14 @@
 
 // Bounds of waits.
 const (
-	RequestPatience  = 4 * time.Second  // of a client with a request
-	startPatience    = 15 * time.Second // from the start of the processes until all proxies are ready
-	spreadPatience   = 10 * time.Second // from an acknowledgement until all proxies follow
-	orderPatience    = 10 * time.Second // for one order of the operator
-	callPatience     = time.Second
-	listenPatience   = 300 * time.Millisecond
-	StopPatience     = 3 * time.Second // after SIGTERM
+	RequestTimeout   = 4 * time.Second  // of a client with a request
+	readyTimeout     = 15 * time.Second // from the start of the processes until all proxies are ready
+	routeTimeout     = 10 * time.Second // from an acknowledgement until all proxies follow
+	operatorTimeout  = 10 * time.Second // for one order of the operator
+	callTimeout      = time.Second
+	listenTimeout    = 300 * time.Millisecond
+	StopTimeout      = 3 * time.Second // after SIGTERM
 	pollInterval     = 50 * time.Millisecond
-	processGrace     = 2.0 // seconds that a process is told it has after SIGTERM
+	graceSeconds     = 2.0 // seconds that a process is told it has after SIGTERM
 	maxReadBackBytes = 1 << 20
 )
--- a/internal/tier/localtier/surroundings.go
+++ b/internal/tier/localtier/environment.go
@@ -33,20 +33,20 @@
 	maxConnections = 200
 )
 
-// Surroundings is what is around a tier: the platform's list and the endpoints on it.
-type Surroundings struct {
+// Environment is what surrounds a tier: the platform's list and the endpoints on it.
+type Environment struct {
 	Platform *standin.Platform
-	Ledger   *standin.RunLog
+	RunLog   *standin.RunLog
 	closers  []func()
 }
 
-// Surround starts the stand-ins.
-func Surround() (*Surroundings, error) {
+// StartEnvironment starts the stand-ins.
+func StartEnvironment() (*Environment, error) {
 	platform, err := standin.NewPlatform(standin.PlatformOptions{})
 	if err != nil {
 		return nil, err
 	}
-	around := &Surroundings{Platform: platform, Ledger: standin.NewRunLog(), closers: []func(){platform.Close}}
+	around := &Environment{Platform: platform, RunLog: standin.NewRunLog(), closers: []func(){platform.Close}}
 	for number := range modelServers {
 		if err := around.addEngine(fmt.Sprintf("engine-%d", number+1)); err != nil {
 			around.Close()
@@ -62,12 +62,12 @@
 	return around, nil
 }
 
-func (s *Surroundings) options(id, service string, capacity int) standin.EndpointOptions {
+func (s *Environment) options(id, service string, capacity int) standin.EndpointOptions {
 	return standin.EndpointOptions{ID: id, Service: service, Zone: zone, Version: version, Capacity: capacity, Queue: capacity,
-		ReportLoad: true, RunLog: s.Ledger}
+		ReportLoad: true, RunLog: s.RunLog}
 }
 
-func (s *Surroundings) addEngine(id string) error {
+func (s *Environment) addEngine(id string) error {
 	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: s.options(id, modelService, batch),
 		Models: []string{ModelName}, WeightsVersion: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, EventInterval: eventGap})
 	if err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (s *Surroundings) addTool(id string) error {
+func (s *Environment) addTool(id string) error {
 	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: s.options(id, toolService, toolCapacity), ServiceTime: toolWork})
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 }
 
 // Close ends the stand-ins.
-func (s *Surroundings) Close() {
+func (s *Environment) Close() {
 	for _, closeOne := range s.closers {
 		closeOne()
 	}
@@ -99,7 +99,7 @@
 // Configuration gives a version of the operator's configuration, whose turns are kept for a time. It may have more routes.
 func Configuration(number uint64, keepFor time.Duration, more ...model.Route) model.Configuration {
 	routes := append([]model.Route{
-		{Name: "turns", Host: Host, PathPrefix: "/turns/", Kind: model.Streaming, TimeoutMs: RequestPatience.Milliseconds(), LatencyTargetMs: 500,
+		{Name: "turns", Host: Host, PathPrefix: "/turns/", Kind: model.Streaming, TimeoutMs: RequestTimeout.Milliseconds(), LatencyTargetMs: 500,
 			Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: keepFor.Seconds(), Affinity: true, EventGapTargetMs: 250},
 		ToolRoute("tools", "/tools/"),
 	}, more...)
@@ -117,6 +117,6 @@
 
 // ToolRoute is a route whose requests run at most once.
 func ToolRoute(name, prefix string) model.Route {
-	return model.Route{Name: name, Host: Host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: RequestPatience.Milliseconds(), LatencyTargetMs: 300,
+	return model.Route{Name: name, Host: Host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: RequestTimeout.Milliseconds(), LatencyTargetMs: 300,
 		Service: toolService, MaxAttempts: 2}
 }
--- a/internal/tier/localtier/log.go
+++ b/internal/tier/localtier/log.go
@@ -12,12 +12,12 @@
 type logFile struct {
 	file *os.File
 
-	mutex sync.Mutex
-	begun []byte // a line whose end hasn't come
+	mutex   sync.Mutex
+	partial []byte // a line whose end hasn't come
 }
 
-// timeForm is that of the times in logs.
-const timeForm = "15:04:05.000"
+// timeFormat is that of the times in logs.
+const timeFormat = "15:04:05.000"
 
 // openLog opens a file to go on at its end.
 func openLog(path string) (*logFile, error) {
@@ -32,13 +32,13 @@
 func (l *logFile) Write(data []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.begun = append(l.begun, data...)
-	end := bytes.LastIndexByte(l.begun, '\n') + 1
+	l.partial = append(l.partial, data...)
+	end := bytes.LastIndexByte(l.partial, '\n') + 1
 	var stamped []byte
-	for line := range bytes.Lines(l.begun[:end]) {
-		stamped = append(time.Now().AppendFormat(stamped, timeForm+" "), line...)
+	for line := range bytes.Lines(l.partial[:end]) {
+		stamped = append(time.Now().AppendFormat(stamped, timeFormat+" "), line...)
 	}
-	l.begun = append([]byte(nil), l.begun[end:]...)
+	l.partial = append([]byte(nil), l.partial[end:]...)
 	if _, err := l.file.Write(stamped); err != nil {
 		return 0, err
 	}
@@ -50,7 +50,7 @@
 
 // Close writes what was begun, and closes the file.
 func (l *logFile) Close() error {
-	if len(l.begun) > 0 {
+	if len(l.partial) > 0 {
 		l.note("the last line isn't whole")
 	}
 	return l.file.Close()
--- a/internal/tier/localtier/operator.go
+++ b/internal/tier/localtier/operator.go
@@ -25,7 +25,7 @@
 func NewOperator(controllers []string, dial DialFunc) *Operator {
 	return &Operator{
 		controllers: controllers,
-		client:      &http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}},
+		client:      &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}},
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // Configure sends a configuration until it is acknowledged, and gives the address of the controller that did so.
 func (o *Operator) Configure(ctx context.Context, wanted model.Configuration, over uint64) (owner string, err error) {
-	err = o.untilOne(ctx, func(controller string) error {
+	err = o.untilOneAccepts(ctx, func(controller string) error {
 		owner, err = o.ConfigureAt(ctx, controller, wanted, over)
 		return err
 	})
@@ -68,7 +68,7 @@
 
 // ReadBack gives the newest configuration.
 func (o *Operator) ReadBack(ctx context.Context) (read model.Configuration, err error) {
-	err = o.untilOne(ctx, func(controller string) error {
+	err = o.untilOneAccepts(ctx, func(controller string) error {
 		read, err = o.ReadAt(ctx, controller)
 		return err
 	})
@@ -88,9 +88,9 @@
 	return read, json.Unmarshal(body, &read)
 }
 
-// untilOne calls the controllers in turn until one order succeeds.
-func (o *Operator) untilOne(ctx context.Context, order func(controller string) error) error {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+// untilOneAccepts calls the controllers in turn until one order succeeds.
+func (o *Operator) untilOneAccepts(ctx context.Context, order func(controller string) error) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	return Poll(ctx, func(try int) error { return order(o.controllers[try%len(o.controllers)]) })
 }
@@ -115,8 +115,8 @@
 // DialFunc opens connections, as net.Dialer does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Same tells whether two configurations say the same.
-func Same(a, b model.Configuration) bool { return reflect.DeepEqual(a, b) }
+// SameConfiguration tells whether two configurations say the same.
+func SameConfiguration(a, b model.Configuration) bool { return reflect.DeepEqual(a, b) }
 
 // Poll tries until a try succeeds or ctx ends; its error is then that of the last try.
 func Poll(ctx context.Context, try func(number int) error) error {
--- a/internal/tier/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -22,17 +22,17 @@
 	Machine Machine
 	Role    string
 
-	tier    *Tier
-	starts  int
-	command *exec.Cmd
-	ended   chan struct{} // closed once the process has ended; nil: it has never run
-	err     error         // of its end; read after ended
-	ending  bool          // it is to end: by a signal from here
+	tier         *Tier
+	startCount   int
+	command      *exec.Cmd
+	ended        chan struct{} // closed once the process has ended; nil: it has never run
+	exitErr      error         // of its end; read after ended
+	endRequested bool          // it is to end: by a signal from here
 }
 
 // Start starts the process, with the settings of a first start of the whole system if it is its first.
 func (p *Process) Start() error {
-	if err := p.tier.writeSettings(p.Machine, p.Role, p.starts == 0); err != nil {
+	if err := p.tier.writeSettings(p.Machine, p.Role, p.startCount == 0); err != nil {
 		return err
 	}
 	log, err := openLog(p.LogPath())
@@ -41,8 +41,8 @@
 	}
 	command := exec.Command(p.tier.options.Command[0], append(p.tier.options.Command[1:], p.Role)...)
 	command.Env = []string{SettingsVariable + "=" + p.tier.settingsPath(p.Machine, p.Role)}
-	if p.tier.options.Environment != nil {
-		command.Env = append(command.Env, p.tier.options.Environment(p.Machine)...)
+	if p.tier.options.ProcessEnv != nil {
+		command.Env = append(command.Env, p.tier.options.ProcessEnv(p.Machine)...)
 	}
 	command.Stdout, command.Stderr = log, log
 	// The process goes with the one that started it, also if that is killed.
@@ -50,12 +50,12 @@
 	if err := command.Start(); err != nil {
 		return errors.Join(err, log.Close())
 	}
-	p.starts++
-	log.note("start %d, process %d", p.starts, command.Process.Pid)
+	p.startCount++
+	log.note("start %d, process %d", p.startCount, command.Process.Pid)
 	ended := make(chan struct{})
-	p.command, p.ended, p.ending, p.err = command, ended, false, nil
+	p.command, p.ended, p.endRequested, p.exitErr = command, ended, false, nil
 	go func() {
-		p.err = command.Wait()
+		p.exitErr = command.Wait()
 		log.note("end of process %d: %v", command.Process.Pid, command.ProcessState)
 		_ = log.Close()
 		close(ended)
@@ -78,7 +78,7 @@
 func (p *Process) Listens() bool {
 	port := map[string]int{ControllerRole: FirstPort + wire.ControllerPort, StoreRole: FirstPort + wire.StorePort,
 		AgentRole: FirstPort + wire.AgentPort, ProxyRole: ReadinessPort}[p.Role]
-	opened, err := net.DialTimeout("tcp4", p.Machine.Address(port), listenPatience)
+	opened, err := net.DialTimeout("tcp4", p.Machine.Address(port), listenTimeout)
 	if err != nil {
 		return false
 	}
@@ -102,7 +102,7 @@
 // Signal sends a signal; SIGKILL and SIGTERM mean that the process is to end.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if p.Running() && (signal == syscall.SIGKILL || signal == syscall.SIGTERM) {
-		p.ending = true
+		p.endRequested = true
 	}
 	return p.command.Process.Signal(signal)
 }
@@ -125,21 +125,21 @@
 	}
 }
 
-// Fault tells what is wrong with the end of a process: that it came by itself, or not with status 0 after SIGTERM. A process
+// ExitError tells what is wrong with the end of a process: that it came by itself, or not with status 0 after SIGTERM. A process
 // that runs or was killed has none.
-func (p *Process) Fault() error {
+func (p *Process) ExitError() error {
 	if p.ended == nil || p.Running() {
 		return nil
 	}
-	if !p.ending {
-		return fmt.Errorf("%v ended by itself: %v", p, p.err)
+	if !p.endRequested {
+		return fmt.Errorf("%v ended by itself: %v", p, p.exitErr)
 	}
 	var exit *exec.ExitError
-	if errors.As(p.err, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL {
+	if errors.As(p.exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL {
 		return nil
 	}
-	if p.err != nil {
-		return fmt.Errorf("%v ended with %w", p, p.err)
+	if p.exitErr != nil {
+		return fmt.Errorf("%v ended with %w", p, p.exitErr)
 	}
 	return nil
 }
@@ -147,8 +147,8 @@
 // LoseDisk empties the data folder of the process's machine, on which nothing may run.
 func (p *Process) LoseDisk() error { return os.RemoveAll(p.tier.diskOf(p.Machine)) }
 
-// EndedByItself tells whether the process has ended without a signal from here.
-func (p *Process) EndedByItself() bool { return p.ended != nil && !p.ending && !p.Running() }
+// ExitedUnexpectedly tells whether the process has ended without a signal from here.
+func (p *Process) ExitedUnexpectedly() bool { return p.ended != nil && !p.endRequested && !p.Running() }
 
 // Stop ends all processes: with SIGTERM, and after some patience with SIGKILL those that go on. It gives a sentence for each that did
 // not end in order, and for each that by its own account took longer than its grace time.
@@ -168,28 +168,28 @@
 			_ = p.Signal(syscall.SIGKILL)
 			<-p.ended
 			problems = append(problems, fmt.Sprintf("%v did not end within %v of SIGTERM", p, patience))
-		} else if err := p.Fault(); err != nil {
+		} else if err := p.ExitError(); err != nil {
 			problems = append(problems, err.Error())
 		} else {
-			problems = append(problems, p.checkEnd()...)
+			problems = append(problems, p.checkShutdown()...)
 		}
 	}
 	return problems
 }
 
-// Unexpected gives a sentence for each process that has ended by itself.
-func Unexpected(processes []*Process) []string {
+// UnexpectedExits gives a sentence for each process that has ended by itself.
+func UnexpectedExits(processes []*Process) []string {
 	var problems []string
 	for _, p := range processes {
-		if p.EndedByItself() {
-			problems = append(problems, p.Fault().Error())
+		if p.ExitedUnexpectedly() {
+			problems = append(problems, p.ExitError().Error())
 		}
 	}
 	return problems
 }
 
-// Pause waits before something is tried again.
-func Pause(ctx context.Context, pause time.Duration) error {
+// Sleep waits before something is tried again.
+func Sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- /dev/null
+++ b/internal/tier/localtier/settings.go
@@ -0,0 +1,74 @@
+package localtier
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"gopkg.in/yaml.v3"
+
+	"mastusher/internal/tier/settings"
+)
+
+// writeSettings writes the settings file of one process, as an operator would. The whole system starts for the first time once
+// only.
+func (t *Tier) writeSettings(m Machine, role string, firstBoot bool) error {
+	file := settingsFile(m, role, t.Addresses(CoreClass, ControlPort), t.options.Platform, firstBoot)
+	if m.Class != EdgeClass {
+		disk := t.diskOf(m)
+		if err := os.MkdirAll(disk, 0o755); err != nil {
+			return err
+		}
+		file["dataFolder"] = disk
+	}
+	raw, err := yaml.Marshal(file)
+	if err != nil {
+		return err
+	}
+	if _, err := settings.Parse(raw); err != nil {
+		return fmt.Errorf("settings of %s/%s: %w", m.Name, role, err)
+	}
+	return os.WriteFile(t.settingsPath(m, role), raw, 0o644)
+}
+
+func (t *Tier) settingsPath(m Machine, role string) string {
+	return filepath.Join(t.options.Folder, m.Name+"-"+role+".yaml")
+}
+
+func (t *Tier) diskOf(m Machine) string { return filepath.Join(t.options.Folder, "disk", m.Name) }
+
+// settingsFile gives the content of a settings file.
+func settingsFile(m Machine, role string, seeds []string, platform string, firstBoot bool) map[string]any {
+	listenOn := map[string]any{}
+	serves := []string{}
+	switch role {
+	case ProxyRole:
+		serves = append(serves, settings.ServesEdge)
+		listenOn["frontHttp"] = m.Address(FrontPort)
+		listenOn["readiness"] = m.Address(ReadinessPort)
+	case ControllerRole:
+		serves = append(serves, settings.ServesControl)
+		listenOn["control"] = m.Address(ControlPort)
+	case StoreRole:
+		serves = append(serves, settings.ServesStorage)
+	}
+	return map[string]any{
+		"nodeName":        m.Name,
+		"role":            role,
+		"machineClass":    m.Class,
+		"serves":          serves,
+		"ip":              m.IP,
+		"zone":            zone,
+		"zones":           map[string]any{zone: "region"},
+		"listenOn":        listenOn,
+		"portRange":       []int{FirstPort, lastPort},
+		"seedNodes":       seeds,
+		"firstBoot":       firstBoot,
+		"countsForQuorum": m.Class != EdgeClass,
+		"limits":          map[string]any{"memoryMb": 256, "openFiles": 4096},
+		"findBy":          "cloud_api",
+		"survive":         map[string]any{"machines": 1, "zones": 0, "regions": 0},
+		"bounds":          map[string]any{"graceS": graceSeconds},
+		"cloudApi":        map[string]any{"address": platform, "ratePerS": 20.0},
+	}
+}
--- a/internal/tier/localtier/end.go
+++ b/internal/tier/localtier/shutdown.go
@@ -10,16 +10,16 @@
 	"mastusher/internal/tier/command"
 )
 
-// checkEnd gives a sentence if the process doesn't say that it has ended within its grace time.
-func (p *Process) checkEnd() []string { return checkEndIn(p.String(), p.LogPath()) }
+// checkShutdown gives a sentence if the process doesn't say that it has ended within its grace time.
+func (p *Process) checkShutdown() []string { return checkShutdownIn(p.String(), p.LogPath()) }
 
-func checkEndIn(name, path string) []string {
+func checkShutdownIn(name, path string) []string {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return []string{fmt.Sprintf("%s: %v", name, err)}
 	}
-	took, told := endedAfter(string(content))
-	switch grace := time.Duration(processGrace * float64(time.Second)); {
+	took, told := shutdownTime(string(content))
+	switch grace := time.Duration(graceSeconds * float64(time.Second)); {
 	case !told:
 		return []string{fmt.Sprintf("%s doesn't say how long its end took", name)}
 	case took > grace:
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// endedAfter reads from what a process has logged how long after its last SIGTERM it had ended.
-func endedAfter(logged string) (took time.Duration, told bool) {
+// shutdownTime reads from what a process has logged how long after its last SIGTERM it had ended.
+func shutdownTime(logged string) (took time.Duration, told bool) {
 	message := strconv.Quote(command.EndMessage)
 	at := strings.LastIndex(logged, message)
 	if at < 0 {
--- a/internal/tier/localtier/end_test.go
+++ b/internal/tier/localtier/shutdown_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if took, told := endedAfter(c.logged); took != c.took || told != c.told {
+			if took, told := shutdownTime(c.logged); took != c.took || told != c.told {
 				t.Errorf("got %v, %v", took, told)
 			}
 		})
@@ -43,7 +43,7 @@
 		if err := os.WriteFile(path, []byte(logged), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := strings.Join(checkEndIn("edge-1/proxy", path), "\n"); !strings.HasSuffix(got, want) || (got == "") != (want == "") {
+		if got := strings.Join(checkShutdownIn("edge-1/proxy", path), "\n"); !strings.HasSuffix(got, want) || (got == "") != (want == "") {
 			t.Errorf("logged %q: got %q", logged, got)
 		}
 	}
--- a/internal/tier/localtier/tier.go
+++ b/internal/tier/localtier/tier.go
@@ -16,8 +16,8 @@
 	Folder   string   // for settings, disks and logs
 	Platform string   // the address of its list
 	Counts   Counts
-	// Environment returns what a machine's processes have in their environment beside the settings; nil: nothing.
-	Environment func(m Machine) []string
+	// ProcessEnv returns what a machine's processes have in their environment beside the settings; nil: nothing.
+	ProcessEnv func(m Machine) []string
 }
 
 // Tier is the processes of all machines.
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	laid := &Tier{Machines: machines, options: options,
-		client: &http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true}}}
+		client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for _, m := range machines {
 		for _, role := range m.Roles {
 			laid.Processes = append(laid.Processes, &Process{Machine: m, Role: role, tier: laid})
@@ -52,7 +52,7 @@
 	}
 	for _, p := range started.Processes {
 		if err := p.Start(); err != nil {
-			Stop(started.Processes, StopPatience)
+			Stop(started.Processes, StopTimeout)
 			return nil, err
 		}
 	}
@@ -72,7 +72,7 @@
 
 // WaitReady waits until every proxy says that it is ready.
 func (t *Tier) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, address := range t.Addresses(EdgeClass, ReadinessPort) {
 		err := Poll(ctx, func(int) error { return t.Expect(ctx, address, "/mastusher/ready", "", http.StatusOK) })
@@ -85,7 +85,7 @@
 
 // WaitRoute waits until every proxy answers on the route of a path.
 func (t *Tier) WaitRoute(ctx context.Context, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, spreadPatience)
+	ctx, cancel := context.WithTimeout(ctx, routeTimeout)
 	defer cancel()
 	for _, address := range t.Addresses(EdgeClass, FrontPort) {
 		err := Poll(ctx, func(try int) error {
@@ -107,7 +107,7 @@
 	request.Host = Host
 	if attempt != "" {
 		request.Header.Set("X-Attempt-Id", attempt)
-		request.Header.Set("X-Time-Left-Ms", fmt.Sprint(callPatience.Milliseconds()))
+		request.Header.Set("X-Time-Left-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	}
 	response, err := t.client.Do(request)
 	if err != nil {
@@ -138,7 +138,7 @@
 		if p.Role != StoreRole {
 			continue
 		}
-		shards, err := OwnedShards(ctx, pool, p.Machine)
+		shards, err := ShardsLedBy(ctx, pool, p.Machine)
 		if err != nil {
 			return nil, 0, 0, fmt.Errorf("%v doesn't tell its shards: %w", p, err)
 		}
@@ -150,8 +150,8 @@
 	return busiest, owned, all, nil
 }
 
-// OwnedShards asks the store of a machine for the groups that it owns.
-func OwnedShards(ctx context.Context, pool *transport.Pool, store Machine) ([]wire.ShardMembers, error) {
+// ShardsLedBy asks the store of a machine for the groups that it owns.
+func ShardsLedBy(ctx context.Context, pool *transport.Pool, store Machine) ([]wire.ShardMembers, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	address := store.Address(FirstPort + wire.StorePort)
--- a/internal/tier/soak/doc.go
+++ b/internal/tier/soak/doc.go
@@ -1,55 +1,15 @@
-// Package soak plays troubles that overlap in time on a tier of real processes and real sockets on one machine, by seed: kills of one
-// process, of many and of all, pauses, lost disks, restarts, cuts and lost answers. Programs and an operator are at work all the
-// time. It ends with a closing trouble, after which everything must be served again in time, and counts what broke a rule.
+// Package soak injects random faults, drawn from a seed, into a tier of real processes and real sockets on one machine, and
+// counts violations of what the tier guarantees. Faults overlap in time: kills of one process, of several and of all, pauses,
+// restarts, lost disks, network partitions and lost responses. Client programs, an operator and a reader are active all the
+// time. A run ends with a closing fault that kills everything, after which everything must be served again in time.
 //
-// The processes run the roles of the command package. Where a plan has cuts, they do so in the soak's own binary, whose network can be cut;
-// else they are those of the binary that is deployed.
+// RandomPlan draws a plan from a seed; Run executes it and returns a Result with the violations. cmd/tier-soak calls both for a
+// range of seeds, and tests execute two short plans. A plan follows from its seed alone, but the times at which processes
+// react do not, so that a run cannot be replayed exactly.
+//
+// The processes run the roles of package command. Where a plan has network partitions, they run in the soak's own binary, over
+// package partitionnetwork (RunRole); else they are those of the binary that is deployed.
+//
+// Concurrency: Run owns all its goroutines and processes, and all have ended when it returns. A service's mutex guards the
+// state of its process, run.mutex the result and the random numbers.
 package soak
-
-import "time"
-
-// Sizes of tiers, and what they survive.
-const (
-	survive = 1 // machines
-	copies  = 2*survive + 1
-)
-
-// What the tier owes, with generous bounds for a busy machine.
-const (
-	RecoveryBound = 15 * time.Second // from the start of the last process until nearly all is served
-	wholeBound    = 35 * time.Second // until all replicas have caught up
-	beginBound    = 30 * time.Second
-	termBound     = 8 * time.Second // from SIGTERM until the end
-	keepFor       = 10 * time.Minute
-	catchUp       = 4 * time.Second // that a machine which is back still counts as lost
-)
-
-// What counts as nearly all, over some time without a break.
-const (
-	servedShare = 0.95
-	servedTime  = 3 * time.Second
-)
-
-// Paces and sizes of traffic.
-const (
-	programLanes    = 5
-	programPause    = 150 * time.Millisecond
-	programPatience = 12 * time.Second
-	mostTurns       = 4
-	mostTokens      = 12
-	resendPause     = 300 * time.Millisecond
-	orderPause      = 400 * time.Millisecond
-	orderPatience   = time.Second
-	readPause       = 250 * time.Millisecond
-	probePause      = 100 * time.Millisecond
-	pollPause       = 100 * time.Millisecond
-	lossShare       = 0.4 // of the connections that are lost while answers are lost
-	lossDelay       = 120 * time.Millisecond
-)
-
-// What is continued at the end, and how often it is tried.
-const (
-	mostContinued = 250
-	continueLanes = 6
-	continueTries = 5
-)
--- a/internal/tier/soak/groups.go
+++ b/internal/tier/soak/groups.go
@@ -11,110 +11,114 @@
 	"mastusher/internal/tier/localtier"
 )
 
-// groupsSeen is what the stores tell of the shards' groups.
-type groupsSeen struct {
-	all   int
-	owned int // groups with an owner that a majority confirms
-	whole int // of these, groups all of whose members have caught up
+// groupCounts is what the stores report about the shards' groups.
+type groupCounts struct {
+	all      int
+	led      int // with a leader that a majority confirms
+	caughtUp int // of these, those whose members have all caught up
 }
 
-// String tells the counts.
-func (g groupsSeen) String() string {
-	return fmt.Sprintf("of %d groups %d have an owner and %d are whole", g.all, g.owned, g.whole)
+// String returns the counts as text.
+func (g groupCounts) String() string {
+	return fmt.Sprintf("of %d groups %d have a leader and %d have all replicas caught up", g.all, g.led, g.caughtUp)
 }
 
-// groups asks all stores.
-func (r *run) groups(ctx context.Context) groupsSeen {
-	owned, whole := map[int]bool{}, map[int]bool{}
+// queryGroups asks all stores. A store that does not answer counts as leading none.
+func (r *run) queryGroups(ctx context.Context) groupCounts {
+	led, caughtUp := map[int]bool{}, map[int]bool{} // by shard
 	for _, m := range r.tier.Machines {
 		if m.Class != localtier.StorageClass {
 			continue
 		}
-		shards, err := localtier.OwnedShards(ctx, r.pool, m)
+		shards, err := localtier.ShardsLedBy(ctx, r.pool, m)
 		if err != nil {
 			continue
 		}
-		for _, told := range shards {
-			owned[told.Shard] = true
-			whole[told.Shard] = whole[told.Shard] || len(told.IDs) == copies && len(told.CaughtUp) == copies
+		for _, members := range shards {
+			led[members.Shard] = true
+			caughtUp[members.Shard] = caughtUp[members.Shard] || len(members.IDs) == replicas && len(members.CaughtUp) == replicas
 		}
 	}
-	seen := groupsSeen{all: r.shards, owned: len(owned)}
-	for _, isWhole := range whole {
-		if isWhole {
-			seen.whole++
+	counts := groupCounts{all: r.shards, led: len(led)}
+	for _, complete := range caughtUp {
+		if complete {
+			counts.caughtUp++
 		}
 	}
-	return seen
+	return counts
 }
 
-// placed is the line that the owner of the configuration logs at the first placement, which fixes the number of shards.
-var placed = regexp.MustCompile(`msg="shards placed" base=0 shards=(\d+)`)
+// shardsPlacedLine matches the line that the configuration's leader logs at the first placement, which fixes the number of
+// shards.
+var shardsPlacedLine = regexp.MustCompile(`msg="shards placed" base=0 shards=(\d+)`)
 
-// learnShards looks for the first placement in the controllers' logs; false means that there is none yet.
+// learnShards reads the number of shards from the controllers' logs; false means that none is placed yet.
 func (r *run) learnShards() bool {
 	for _, s := range r.services {
 		content, err := os.ReadFile(s.LogPath())
-		if line := placed.FindStringSubmatch(string(content)); err == nil && line != nil {
+		if line := shardsPlacedLine.FindStringSubmatch(string(content)); err == nil && line != nil {
 			r.shards, _ = strconv.Atoi(line[1])
 		}
 	}
 	return r.shards > 0
 }
 
-// changed is the line that a controller logs at each change of the group that holds the configuration.
-var changed = regexp.MustCompile(`msg="group changed" group=\S+ leader=(\S*) isLeader=\S+ term=(\d+) members=(\d+)`)
+// groupChangedLine matches the line that a controller logs at each change of the configuration's group.
+var groupChangedLine = regexp.MustCompile(`msg="group changed" group=\S+ leader=(\S*) isLeader=\S+ term=(\d+) members=(\d+)`)
 
-// controllersAgree tells whether as many controllers as the group has members, and no fewer than there are to be copies, say the same of it
-// in what they have logged last: one owner in the newest epoch. There is no call that asks for it. Other controllers stand by.
+// controllersAgree reports whether at least as many controllers as the configuration's group has members, and at least
+// replicas, have logged the same state of it last: one leader in the newest term. Controllers outside the group are standby.
+// It reads logs because no call returns this.
 func (r *run) controllersAgree() bool {
-	newest, agreeing := 0, map[[2]string]int{} // by owner and number of members
+	newest, agreeing := 0, map[[2]string]int{} // controllers, by leader and number of members
 	for _, s := range r.services {
 		if s.Role != localtier.ControllerRole {
 			continue
 		}
 		content, err := os.ReadFile(s.LogPath())
-		lines := changed.FindAllStringSubmatch(string(content), -1)
+		lines := groupChangedLine.FindAllStringSubmatch(string(content), -1)
 		if err != nil || len(lines) == 0 {
 			continue
 		}
 		last := lines[len(lines)-1]
-		epoch, _ := strconv.Atoi(last[2])
-		if epoch > newest {
-			newest = epoch
+		term, _ := strconv.Atoi(last[2])
+		if term > newest {
+			newest = term
 			clear(agreeing)
 		}
-		if epoch == newest && last[1] != "" {
+		if term == newest && last[1] != "" {
 			agreeing[[2]string{last[1], last[3]}]++
 		}
 	}
-	for said, count := range agreeing {
-		if members, _ := strconv.Atoi(said[1]); count >= members && members >= copies {
+	for state, count := range agreeing {
+		if members, _ := strconv.Atoi(state[1]); count >= members && members >= replicas {
 			return true
 		}
 	}
 	return false
 }
 
+// controllers returns the addresses of all controllers for the operator.
 func (r *run) controllers() []string {
 	return r.tier.Addresses(localtier.CoreClass, localtier.ControlPort)
 }
 
-// isUp tells whether the process runs and isn't held, and has done so for long enough to count as back.
+// isUp reports whether the process runs and is not paused, and has done so for longer than lostGrace.
 func (s *service) isUp() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.held == 0 && s.stopped == 0 && s.Running() && time.Since(s.started) > catchUp
+	return s.downHolds == 0 && s.pauseHolds == 0 && s.Running() && time.Since(s.started) > lostGrace
 }
 
-// awaitWhole waits until all groups are whole and every process with a disk has been back for the time that it counts as lost.
-func (r *run) awaitWhole(ctx context.Context, patience time.Duration) bool {
-	return r.until(ctx, patience, func() bool {
-		for _, s := range r.counting() {
+// awaitCaughtUp waits until every process with a disk is up, all replicas have caught up and the controllers agree; false means
+// that this does not hold within the timeout.
+func (r *run) awaitCaughtUp(ctx context.Context, timeout time.Duration) bool {
+	return r.waitUntil(ctx, timeout, func() bool {
+		for _, s := range r.diskServices() {
 			if !s.isUp() {
 				return false
 			}
 		}
-		return r.groups(ctx).whole == r.shards && r.controllersAgree()
+		return r.queryGroups(ctx).caughtUp == r.shards && r.controllersAgree()
 	})
 }
--- a/internal/tier/soak/plan.go
+++ b/internal/tier/soak/plan.go
@@ -7,56 +7,58 @@
 	"time"
 )
 
-// Kind names a kind of trouble.
-type Kind string
+// FaultKind is a kind of fault. Its text is that of printed plans.
+type FaultKind string
 
-// The kinds. A trouble that lasts ends after its For. Target and Other are numbers of machines or processes, modulo how many there are.
+// The kinds. A fault that lasts ends after its For. Target is the number of a process or, for partitions, of a machine, modulo
+// how many there are.
 const (
-	KillOne         Kind = "kill"             // a process
-	KillSome        Kind = "kill_some"        // two to four
-	KillStores      Kind = "kill_stores"      // all
-	KillControllers Kind = "kill_controllers" // all
-	KillAll         Kind = "kill_all"
-	PauseOne        Kind = "pause"      // SIGSTOP, then SIGCONT
-	PauseSome       Kind = "pause_some" // two to four
-	Terminate       Kind = "term"       // SIGTERM, and a start after the end
-	LoseDisk        Kind = "disk_lost"  // of a store or controller, which is back with an empty disk
-	CutMachine      Kind = "cut"        // a machine from all others
-	CutPair         Kind = "cut_pair"   // two machines from each other
-	CutOut          Kind = "cut_out"    // what a machine sends is lost
-	CutHalves       Kind = "cut_halves" // each second machine from the others
-	LoseAcks        Kind = "acks_lost"  // operators' answers
-	LoseAnswers     Kind = "answers_lost"
+	KillOne         FaultKind = "kill"             // a process
+	KillSome        FaultKind = "kill_some"        // two to four
+	KillStores      FaultKind = "kill_stores"      // all
+	KillControllers FaultKind = "kill_controllers" // all
+	KillAll         FaultKind = "kill_all"
+	PauseOne        FaultKind = "pause"      // SIGSTOP, then SIGCONT
+	PauseSome       FaultKind = "pause_some" // two to four
+	Terminate       FaultKind = "term"       // SIGTERM, and a start after the end
+	LoseDisk        FaultKind = "disk_lost"  // of a store or controller, which is back with an empty disk
+	IsolateMachine  FaultKind = "cut"        // a machine from all others
+	PartitionPair   FaultKind = "cut_pair"   // two machines from each other
+	DropOutbound    FaultKind = "cut_out"    // what a machine sends is lost
+	PartitionHalves FaultKind = "cut_halves" // each second machine from the others
+	DropAcks        FaultKind = "acks_lost"  // responses to the operator
+	DropResponses   FaultKind = "answers_lost"
 )
 
-// kinds are those that plans draw from; those named twice come twice as often.
-var kinds = []Kind{KillOne, KillOne, KillSome, KillSome, KillStores, KillControllers, KillAll, PauseOne, PauseOne, PauseSome, Terminate, Terminate, LoseDisk,
-	LoseDisk, LoseAcks, LoseAnswers}
+// faultKinds are the kinds that plans draw from; a kind listed twice is drawn twice as often. The order must not change: plans
+// follow from it.
+var faultKinds = []FaultKind{KillOne, KillOne, KillSome, KillSome, KillStores, KillControllers, KillAll, PauseOne, PauseOne, PauseSome, Terminate, Terminate, LoseDisk,
+	LoseDisk, DropAcks, DropResponses}
 
-// cutKinds are more of them, for a network that can be cut.
-var cutKinds = []Kind{CutMachine, CutMachine, CutPair, CutOut, CutHalves}
+// partitionKinds are the further kinds of plans with network partitions. Their order must not change either.
+var partitionKinds = []FaultKind{IsolateMachine, IsolateMachine, PartitionPair, DropOutbound, PartitionHalves}
 
-// Trouble is one trouble of a plan.
-type Trouble struct {
+// Fault is one fault of a plan. Count is how many processes it affects, or the distance to a partition's second machine.
+type Fault struct {
 	At     time.Duration `json:"at"`
-	Kind   Kind          `json:"kind"`
+	Kind   FaultKind     `json:"kind"`
 	Target int           `json:"target"`
 	Count  int           `json:"count,omitempty"`
 	For    time.Duration `json:"for"`
 }
 
-// Plan is one run: its troubles, which overlap, and the closing one.
+// Plan describes one run: its faults, which overlap, and the closing one.
 type Plan struct {
-	Seed     uint64        `json:"seed"`
-	Large    bool          `json:"large,omitempty"` // five controllers, six stores and three edges, in place of three, four and two
-	Cuts     bool          `json:"cuts,omitempty"`  // the network can be cut
-	Length   time.Duration `json:"length"`
-	Troubles []Trouble     `json:"troubles"`
-	Closing  Trouble       `json:"closing"` // KillAll, or LoseDisk: the same with a lost disk
-	Spread   time.Duration `json:"spread"`  // within which the processes come back from it; 0: all at once
+	Seed       uint64        `json:"seed"`
+	Large      bool          `json:"large,omitempty"` // five controllers, six stores and three edges, in place of three, four and two
+	Partitions bool          `json:"cuts,omitempty"`  // the network can be partitioned
+	Length     time.Duration `json:"length"`
+	Faults     []Fault       `json:"troubles"`
+	Closing    Fault         `json:"closing"` // KillAll, or LoseDisk: the same, with a lost disk
+	Spread     time.Duration `json:"spread"`  // within which the processes come back from it; 0: all at once
 }
 
-// Text is the plan as it is kept.
+// Text returns the plan as JSON.
 func (p Plan) Text() string {
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -65,39 +67,40 @@
 	return string(text)
 }
 
-// What random plans are like.
+// Parameters of random plans.
 const (
-	clusterPace   = 4 * time.Second // troubles come in clusters of two or three
-	clusterSpread = 1500 * time.Millisecond
-	shortest      = 200 * time.Millisecond
-	longest       = 4500 * time.Millisecond
-	mostSpread    = 2 * time.Second
-	planStream    = 0x736f616b // tells the plan's random numbers from the others of a seed
+	clusterInterval  = 4 * time.Second // faults come in clusters of two or three
+	clusterSpread    = 1500 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 4500 * time.Millisecond
+	maxSpread        = 2 * time.Second
+	planStream       = 0x736f616b // separates the plan's random numbers from others of the same seed
 )
 
-// RandomPlan draws a plan.
+// RandomPlan draws a plan from a seed. Faults start within length. The order of its draws must not change, so that a seed
+// keeps its plan.
 func RandomPlan(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, planStream))
-	plan := Plan{Seed: seed, Length: length, Large: random.IntN(4) == 0, Cuts: random.IntN(2) == 0}
-	drawn := kinds
-	if plan.Cuts {
-		drawn = append(slices.Clone(kinds), cutKinds...)
+	plan := Plan{Seed: seed, Length: length, Large: random.IntN(4) == 0, Partitions: random.IntN(2) == 0}
+	drawn := faultKinds
+	if plan.Partitions {
+		drawn = append(slices.Clone(faultKinds), partitionKinds...)
 	}
-	between := func(least, most time.Duration) time.Duration {
-		return (least + time.Duration(random.Int64N(int64(most-least)))).Round(time.Millisecond)
+	between := func(low, high time.Duration) time.Duration {
+		return (low + time.Duration(random.Int64N(int64(high-low)))).Round(time.Millisecond)
 	}
-	draw := func(at time.Duration, kind Kind) Trouble {
-		return Trouble{At: at, Kind: kind, Target: random.IntN(1 << 10), Count: 2 + random.IntN(3), For: between(shortest, longest)}
+	draw := func(at time.Duration, kind FaultKind) Fault {
+		return Fault{At: at, Kind: kind, Target: random.IntN(1 << 10), Count: 2 + random.IntN(3), For: between(minFaultDuration, maxFaultDuration)}
 	}
-	for at := time.Second; at < length; at += clusterPace {
+	for at := time.Second; at < length; at += clusterInterval {
 		for range 2 + random.IntN(2) {
-			plan.Troubles = append(plan.Troubles, draw(at+between(0, clusterSpread), drawn[random.IntN(len(drawn))]))
+			plan.Faults = append(plan.Faults, draw(at+between(0, clusterSpread), drawn[random.IntN(len(drawn))]))
 		}
 	}
-	slices.SortStableFunc(plan.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
-	plan.Closing = draw(length, []Kind{KillAll, LoseDisk}[random.IntN(2)])
+	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	plan.Closing = draw(length, []FaultKind{KillAll, LoseDisk}[random.IntN(2)])
 	if random.IntN(2) == 0 {
-		plan.Spread = between(0, mostSpread)
+		plan.Spread = between(0, maxSpread)
 	}
 	return plan
 }
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -18,32 +18,34 @@
 	"mastusher/internal/tier/storage"
 )
 
-// The environment of a role in a network that can be cut.
+// Environment variables of a role on a network that can be partitioned.
 const (
 	addressVariable = "SOAK_ADDRESS"
 	cutsVariable    = "SOAK_CUTS_FILE"
 )
 
-// What the deployed binary sets for its runtime, and a role that a test runs doesn't.
+// Settings of the Go runtime that the deployed binary makes by itself, and the soak's binary does not.
 const (
 	collectPercent = 25
 	heapMb         = 192 // three quarters of the limit in the settings
 )
 
-func cuttingEnvironment(m localtier.Machine, cutsPath string) []string {
+// partitionEnv returns the environment of a machine's roles on a network that can be partitioned.
+func partitionEnv(m localtier.Machine, cutsPath string) []string {
 	return []string{addressVariable + "=" + m.IP, cutsVariable + "=" + cutsPath, "GOGC=" + strconv.Itoa(collectPercent),
 		fmt.Sprintf("GOMEMLIMIT=%dMiB", heapMb)}
 }
 
-// UnknownRoleError names a role that the tier doesn't have.
+// UnknownRoleError reports a role that the tier does not have.
 type UnknownRoleError struct {
 	Role string
 }
 
-// Error tells the name.
-func (e *UnknownRoleError) Error() string { return fmt.Sprintf("there is no role %q", e.Role) }
+// Error names the role.
+func (e *UnknownRoleError) Error() string { return fmt.Sprintf("unknown role %q", e.Role) }
 
-// RunRole runs a role of the tier as its binary does, in a network that can be cut, until SIGTERM.
+// RunRole runs a role of the tier as its binary does, but on a network that can be partitioned, until SIGTERM or SIGINT. Its
+// errors are an *UnknownRoleError, those of partitionnetwork.New and those of the role.
 func RunRole(ctx context.Context, role string) error {
 	run, known := map[string]func(context.Context, command.Environment) error{
 		localtier.ControllerRole: command.RunController, localtier.StoreRole: command.RunStore,
--- /dev/null
+++ b/internal/tier/soak/service.go
@@ -0,0 +1,140 @@
+package soak
+
+import (
+	"context"
+	"sync"
+	"syscall"
+	"time"
+
+	"mastusher/internal/tier/localtier"
+)
+
+// service is a process of the tier that several faults may hold down or paused at the same time. It is started once none holds
+// it down, and resumed once none holds it paused.
+type service struct {
+	*localtier.Process
+	number int // its index among the services
+
+	// mutex guards the fields below and the Process. terminate releases it while it waits for the end after SIGTERM.
+	mutex           sync.Mutex
+	downHolds       int // faults that hold it down
+	pauseHolds      int // faults that hold it paused
+	pauses          int // so far
+	started         time.Time
+	recordViolation func(kind, format string, values ...any)
+}
+
+// killAndHold kills services at the same time, and holds them down until each is released. They must be in the order of their
+// numbers, in which all faults lock them: another order could deadlock.
+func killAndHold(services []*service) {
+	for _, s := range services {
+		s.mutex.Lock()
+		defer s.mutex.Unlock() // once all have ended
+		s.downHolds++
+		s.checkExit()
+		if s.Running() {
+			_ = s.Signal(syscall.SIGKILL)
+		}
+	}
+	for _, s := range services {
+		if s.Running() {
+			_ = s.Wait(context.Background()) // SIGKILL always ends it
+		}
+	}
+}
+
+// release ends one hold of killAndHold or terminate.
+func (s *service) release() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.downHolds--
+	s.startLocked()
+}
+
+// startLocked starts the process unless it runs or is held down.
+func (s *service) startLocked() {
+	if s.downHolds > 0 || s.Running() {
+		return
+	}
+	if err := s.Start(); err != nil {
+		s.recordViolation("HARNESS", "start of %v: %v", s, err)
+		return
+	}
+	s.started = time.Now()
+}
+
+// checkExit records a violation if the process has ended by itself or wrongly, once for each start. The mutex must be held.
+func (s *service) checkExit() {
+	if err := s.ExitError(); err != nil && !s.started.IsZero() {
+		kind := "TERM"
+		if s.ExitedUnexpectedly() {
+			kind = "ENDED"
+		}
+		s.recordViolation(kind, "%v, %v after its start", err, time.Since(s.started).Round(time.Millisecond))
+		s.started = time.Time{}
+	}
+}
+
+// restartIfExited restarts the process if it has ended by itself, as the platform does.
+func (s *service) restartIfExited() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.downHolds == 0 && !s.Running() {
+		s.checkExit()
+		s.startLocked()
+	}
+}
+
+// pause stops the process with SIGSTOP until resume.
+func (s *service) pause() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.pauseHolds++
+	s.pauses++
+	if s.Running() {
+		_ = s.Signal(syscall.SIGSTOP)
+	}
+}
+
+// resume ends one pause.
+func (s *service) resume() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.pauseHolds--
+	if s.pauseHolds == 0 && s.Running() {
+		_ = s.Signal(syscall.SIGCONT)
+	}
+}
+
+// terminate sends SIGTERM, and holds the process down until release. A process that does not end within shutdownBound is
+// killed, which is a violation unless it was paused meanwhile. One that does not listen yet may not handle SIGTERM yet, and is
+// killed at once, as is one that is paused.
+func (s *service) terminate() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.checkExit()
+	s.downHolds++
+	if !s.Running() {
+		return
+	}
+	if s.pauseHolds > 0 || !s.Listens() {
+		_ = s.Signal(syscall.SIGKILL)
+		_ = s.Wait(context.Background())
+		return
+	}
+	_ = s.Signal(syscall.SIGTERM)
+	pauses := s.pauses
+	s.mutex.Unlock() // other faults may kill or pause it meanwhile, but it is not started
+	bounded, cancel := context.WithTimeout(context.Background(), shutdownBound)
+	defer cancel()
+	late := s.Wait(bounded) != nil
+	s.mutex.Lock()
+	if late && s.Running() {
+		if pauses == s.pauses {
+			s.recordViolation("TERM", "%v did not end within %v of SIGTERM", s, shutdownBound)
+		}
+		_ = s.Signal(syscall.SIGKILL)
+		_ = s.Wait(context.Background())
+	}
+	s.checkExit()
+}
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -2,44 +2,47 @@
 
 import (
 	"bytes"
+	"io"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/localtier/localtiertest"
 )
 
-// TestSoakOfRealProcesses plays two short plans at the same time. All bounds are those of the long runs.
+// TestSoakOfRealProcesses runs two short plans at the same time. All bounds are those of the long runs.
 func TestSoakOfRealProcesses(t *testing.T) {
 	tier := localtiertest.Build(t, "mastusher/cmd/mastusher-tier")
 	soak := localtiertest.Build(t, "mastusher/cmd/tier-soak")
 	const second = time.Second
 	plans := map[string]Plan{
-		"kills, pauses and lost answers, then a kill of everything": {Seed: 1, Length: 4 * second,
-			Troubles: []Trouble{
+		"kills, pauses and lost responses, then a kill of everything": {Seed: 1, Length: 4 * second,
+			Faults: []Fault{
 				{At: second / 2, Kind: KillStores, For: second},
 				{At: second, Kind: PauseOne, Target: 1, For: 2 * second},
-				{At: second, Kind: LoseAcks, For: 2 * second},
+				{At: second, Kind: DropAcks, For: 2 * second},
 				{At: 2 * second, Kind: KillSome, Count: 3, For: second},
 			},
-			Closing: Trouble{Kind: KillAll, For: second}},
-		"cuts and SIGTERM, then a kill of everything and a lost disk": {Seed: 2, Length: 3 * second, Cuts: true,
-			Troubles: []Trouble{
-				{At: second / 2, Kind: CutMachine, Target: 3, For: 2 * second},
-				{At: second, Kind: CutOut, Target: 0, For: second},
-				{At: second, Kind: LoseAnswers, For: second},
+			Closing: Fault{Kind: KillAll, For: second}},
+		"partitions and SIGTERM, then a kill of everything and a lost disk": {Seed: 2, Length: 3 * second, Partitions: true,
+			Faults: []Fault{
+				{At: second / 2, Kind: IsolateMachine, Target: 3, For: 2 * second},
+				{At: second, Kind: DropOutbound, Target: 0, For: second},
+				{At: second, Kind: DropResponses, For: second},
 				{At: 3 * second / 2, Kind: Terminate, Target: 5},
 			},
-			Closing: Trouble{Kind: LoseDisk, Target: 4, For: second}},
+			Closing: Fault{Kind: LoseDisk, Target: 4, For: second}},
 	}
 	for name, plan := range plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var report bytes.Buffer
 			folder := t.TempDir()
-			result, err := Play(t.Context(), Options{Plan: plan, Binary: tier, Cutting: []string{soak, "role"}, Folder: folder, Report: &report})
+			result, err := Run(t.Context(), Options{Plan: plan, Binary: tier, PartitionCommand: []string{soak, "role"}, Folder: folder, Report: &report})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,10 +51,10 @@
 				t.Errorf("%v\n%s\n%s", result.Violations, &report, logsIn(t, folder))
 			}
 			if result.Served < 20 || result.Continued < 20 || result.Orders < 3 || result.Reads < 3 || len(result.FirstServed) != 2 {
-				t.Errorf("too little was played: %s", result.Text())
+				t.Errorf("too little traffic: %s", result.Text())
 			}
-			if plan.Closing.Kind == LoseDisk && result.Disks != 1 {
-				t.Errorf("%d disks were lost", result.Disks)
+			if plan.Closing.Kind == LoseDisk && result.DisksLost != 1 {
+				t.Errorf("%d disks were lost", result.DisksLost)
 			}
 		})
 	}
@@ -75,3 +78,37 @@
 	}
 	return logs.String()
 }
+
+// runOf returns a run whose processes are those of a command, none of which has begun.
+func runOf(t *testing.T, command string, arguments ...string) *run {
+	t.Helper()
+	path, err := exec.LookPath(command)
+	if err != nil {
+		t.Fatal(err)
+	}
+	tier, err := localtier.New(localtier.Options{Command: append([]string{path}, arguments...), Folder: t.TempDir(), Platform: "127.0.0.1:1",
+		Counts: localtier.Counts{Core: 1, Storage: 1, Edge: 1}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &run{options: Options{Report: io.Discard}, started: time.Now(), tier: tier}
+	for number, p := range tier.Processes {
+		r.services = append(r.services, &service{Process: p, number: number, recordViolation: r.recordViolation})
+	}
+	return r
+}
+
+func (r *run) kinds() map[string]int { return r.result.Kinds() }
+
+func TestReadLogs_ForbiddenWord_IsAViolation(t *testing.T) {
+	r := runOf(t, "true")
+	for at, text := range []string{"all is well\n", "panic: no\n", "WARNING: DATA RACE\n", ""} {
+		if err := os.WriteFile(r.services[at].LogPath(), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r.readLogs()
+	if got := r.kinds(); got["LOG"] != 2 || len(got) != 1 {
+		t.Errorf("%v", r.result.Violations)
+	}
+}
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -11,85 +10,84 @@
 	"time"
 
 	"mastusher/internal/tier/localtier"
-	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/standin"
 )
 
-// losingConnection loses its answer: it ends once something was sent on it.
-type losingConnection struct {
+// droppingConnection loses its response: it closes instead of reading, after a delay.
+type droppingConnection struct {
 	net.Conn
 	delay time.Duration
 }
 
 // Read implements net.Conn.
-func (c *losingConnection) Read([]byte) (int, error) {
+func (c *droppingConnection) Read([]byte) (int, error) {
 	time.Sleep(c.delay)
 	_ = c.Close()
 	return 0, net.ErrClosed
 }
 
-// dialLosing opens connections, some of which lose their answers while losing isn't 0.
-func (r *run) dialLosing(losing *atomic.Int32) localtier.DialFunc {
+// dialDropping returns a dialer whose connections lose their responses with dropProbability while dropping is positive.
+func (r *run) dialDropping(dropping *atomic.Int32) localtier.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		opened, err := new(net.Dialer).DialContext(ctx, network, address)
-		if err != nil || losing.Load() == 0 || r.intN(100) >= 100*lossShare {
+		if err != nil || dropping.Load() == 0 || r.intN(100) >= 100*dropProbability {
 			return opened, err
 		}
-		return &losingConnection{Conn: opened, delay: time.Duration(r.intN(int(lossDelay)))}, nil
+		return &droppingConnection{Conn: opened, delay: time.Duration(r.intN(int(maxDropDelay)))}, nil
 	}
 }
 
-// clients send programs.
+// clients run programs against the proxies.
 type clients struct {
-	run    *run
-	fronts []string
-	losing atomic.Int32 // troubles that have answers lost
+	run      *run
+	proxies  []string
+	dropping atomic.Int32 // faults that drop responses now
 
-	mutex  sync.Mutex
-	played []standin.ProgramResult
-	next   int
+	mutex       sync.Mutex // guards the fields below
+	results     []standin.ProgramResult
+	lastProgram int // number of the newest program
 }
 
 func newClients(r *run) *clients {
-	return &clients{run: r, fronts: r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)}
+	return &clients{run: r, proxies: r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)}
 }
 
-// work plays programs of all kinds one after the other until ctx ends.
-func (c *clients) work(ctx context.Context) {
-	for localtier.Pause(ctx, programPause) == nil {
-		program := standin.ProgramOptions{Address: c.fronts[c.run.intN(len(c.fronts))], Turns: 1 + c.run.intN(mostTurns), Tools: 1,
-			Dial: c.run.dialLosing(&c.losing), Backoff: func(ctx context.Context) error { return localtier.Pause(ctx, resendPause) }}
+// programLoop runs random programs one after the other until ctx ends.
+func (c *clients) programLoop(ctx context.Context) {
+	for localtier.Sleep(ctx, programInterval) == nil {
+		program := standin.ProgramOptions{Address: c.proxies[c.run.intN(len(c.proxies))], Turns: 1 + c.run.intN(maxTurns), Tools: 1,
+			Dial: c.run.dialDropping(&c.dropping), Backoff: func(ctx context.Context) error { return localtier.Sleep(ctx, retryBackoff) }}
 		if c.run.intN(2) == 0 {
-			program.Budget = int64(mostTokens * (1 + c.run.intN(2*mostTurns)))
+			program.Budget = int64(maxTokens * (1 + c.run.intN(2*maxTurns)))
 		}
-		if turns := c.wholeTurns(); len(turns) > 0 && c.run.intN(4) == 0 {
+		if turns := c.completeTurns(); len(turns) > 0 && c.run.intN(4) == 0 {
 			program.ContinueFrom = turns[c.run.intN(len(turns))]
 		}
-		c.play(context.WithoutCancel(ctx), program)
+		c.runProgram(context.WithoutCancel(ctx), program)
 	}
 }
 
-// play plays one program to its end and keeps what it saw.
-func (c *clients) play(ctx context.Context, program standin.ProgramOptions) standin.Outcome {
+// runProgram runs one program to its end and records its outcome.
+func (c *clients) runProgram(ctx context.Context, program standin.ProgramOptions) standin.Outcome {
 	c.mutex.Lock()
-	c.next++
-	program.Name = fmt.Sprintf("p%d", c.next)
+	c.lastProgram++
+	program.Name = fmt.Sprintf("p%d", c.lastProgram)
 	c.mutex.Unlock()
 	program.Host, program.TurnPath, program.ToolPath, program.Model = localtier.Host, localtier.TurnPath, localtier.ToolPath, localtier.ModelName
-	program.MaxTokens, program.Timeout, program.RequestTimeout, program.Stateful = mostTokens, programPatience, localtier.RequestPatience, true
+	program.MaxTokens, program.Timeout, program.RequestTimeout, program.Stateful = maxTokens, programTimeout, localtier.RequestTimeout, true
 	outcome := standin.NewProgram(program).Run(ctx)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.played = append(c.played, standin.ProgramResult{Name: program.Name, Budget: program.Budget, Outcome: outcome})
+	c.results = append(c.results, standin.ProgramResult{Name: program.Name, Budget: program.Budget, Outcome: outcome})
 	return outcome
 }
 
-// wholeTurns lists the turns that were answered whole.
-func (c *clients) wholeTurns() []standin.Turn {
+// completeTurns returns the turns so far whose complete response was received.
+func (c *clients) completeTurns() []standin.Turn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var turns []standin.Turn
-	for _, p := range c.played {
+	for _, p := range c.results {
 		for _, turn := range p.Outcome.Turns {
 			if turn.Complete && turn.Status == http.StatusOK {
 				turns = append(turns, turn)
@@ -98,93 +96,3 @@
 	}
 	return turns
 }
-
-// operator orders one configuration after the other, and reads it back.
-type operator struct {
-	run    *run
-	orders *localtier.Operator
-	reader *localtier.Operator
-	losing atomic.Int32
-
-	mutex sync.Mutex
-	acked uint64 // number of the newest configuration that was acknowledged
-	sent  uint64 // number of the newest one that was sent
-}
-
-func newOperator(r *run) *operator {
-	o := &operator{run: r, reader: localtier.NewOperator(r.controllers(), nil)}
-	o.orders = localtier.NewOperator(r.controllers(), r.dialLosing(&o.losing))
-	return o
-}
-
-// configuration is the one of a number: it has a route that no other one has.
-func configuration(number uint64) model.Configuration {
-	return localtier.Configuration(number, keepFor, localtier.ToolRoute("mark", markPrefix(number)))
-}
-
-func markPrefix(number uint64) string { return fmt.Sprintf("/mark-%d/", number) }
-
-// work orders until ctx ends.
-func (o *operator) work(ctx context.Context) {
-	for localtier.Pause(ctx, orderPause) == nil {
-		o.order(ctx)
-	}
-}
-
-// order sends the next configuration once, or the one before again if that wasn't acknowledged; true means that it is now.
-func (o *operator) order(ctx context.Context) bool {
-	o.mutex.Lock()
-	over := o.acked
-	o.sent = max(o.sent, over+1)
-	o.mutex.Unlock()
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderPatience)
-	defer cancel()
-	controllers := o.run.controllers()
-	at := controllers[o.run.intN(len(controllers))]
-	_, err := o.orders.ConfigureAt(bounded, at, configuration(over+1), over)
-	var answer *localtier.StatusError
-	if errors.As(err, &answer) && answer.Status/100 == 4 && answer.Status != http.StatusRequestTimeout && answer.Status != http.StatusTooManyRequests {
-		o.run.violate("REFUSED", "order %d on %d, which nobody else contends for, at %s: %v", over+1, over, at, answer)
-	}
-	if err != nil {
-		return false
-	}
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.acked = max(o.acked, over+1)
-	return true
-}
-
-// readWork reads at one controller after the other until ctx ends.
-func (o *operator) readWork(ctx context.Context) {
-	controllers := o.run.controllers()
-	for number := 0; localtier.Pause(ctx, readPause) == nil; number++ {
-		o.read(ctx, controllers[number%len(controllers)])
-	}
-}
-
-// read reads at a controller, and checks that what it tells is neither older than what was acknowledged before nor something that wasn't
-// sent; true means that it was answered.
-func (o *operator) read(ctx context.Context, controller string) bool {
-	o.mutex.Lock()
-	least := o.acked
-	o.mutex.Unlock()
-	read, err := o.reader.ReadAt(context.WithoutCancel(ctx), controller)
-	o.mutex.Lock()
-	most := o.sent
-	o.mutex.Unlock()
-	var answer *localtier.StatusError
-	if errors.As(err, &answer) && answer.Status == http.StatusNotFound {
-		o.run.violate("CONFIG", "%s says that there is no configuration, and %d was acknowledged", controller, least)
-	}
-	if err != nil {
-		return false
-	}
-	if read.Version < least || read.Version > most || !localtier.Same(read, configuration(read.Version)) {
-		o.run.violate("CONFIG", "%s tells configuration %d; acknowledged before: %d, sent: %d", controller, read.Version, least, most)
-	}
-	o.run.mutex.Lock()
-	defer o.run.mutex.Unlock()
-	o.run.result.Reads++
-	return true
-}
