--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -84,10 +84,10 @@
 		proxy, route := d.random.IntN(proxies), d.route()
 		toTarget := d.state == rollout.Finished
 		if d.state == rollout.InService {
-			more := min(max(initialShare-roll.Share, 0), extra[proxy])
+			more := min(max(initialShare-roll.TrafficShare, 0), extra[proxy])
 			extra[proxy] -= more
-			credit[proxy] += roll.Share + more
-			toTarget = credit[proxy] >= 1.25 || credit[proxy] >= 1 && d.random.Float64() < roll.Share
+			credit[proxy] += roll.TrafficShare + more
+			toTarget = credit[proxy] >= 1.25 || credit[proxy] >= 1 && d.random.Float64() < roll.TrafficShare
 		}
 		if !toTarget {
 			d.answer(baseline, route, false, now)
--- a/internal/tier/rollout/proposal.go
+++ b/internal/tier/rollout/proposal.go
@@ -21,7 +21,7 @@
 	// DedupExpiredIndex is the log index up to which no duplicates of accepted proposals arrive any more, by the leader's clocks.
 	DedupExpiredIndex uint64 `json:"settled,omitempty"`
 
-	Share            float64 `json:"share"` // of the service's requests that the target gets while it is in service, 0 to 1
+	TrafficShare     float64 `json:"share"` // of the service's requests that the target gets while it is in service, 0 to 1
 	InitialAllowance float64 `json:"extra"` // beyond that share, which each proxy may send at first, so that evidence comes soon
 }
 
@@ -44,9 +44,9 @@
 
 // WithBounds returns the proposal with the share and the extra requests that keep to the bounds with that many proxies.
 func (p Proposal) WithBounds(bounds Bounds, proxies int) Proposal {
-	p.Share = usedShare * bounds.Share
+	p.TrafficShare = usedShare * bounds.Share
 	if bounds.Share <= 0 {
-		p.Share = defaultShare
+		p.TrafficShare = defaultShare
 	}
 	p.InitialAllowance = usedSlack * bounds.Slack / float64(max(proxies, minProxies))
 	return p
--- a/internal/tier/rollout/state_machine.go
+++ b/internal/tier/rollout/state_machine.go
@@ -127,7 +127,7 @@
 	for _, service := range slices.Sorted(maps.Keys(s.current)) {
 		versions := view.ServiceVersions{Service: service, Current: s.current[service]}
 		if newest, known := s.rollouts[service]; known && newest.State == InService && newest.Target != versions.Current {
-			versions.Target, versions.Order, versions.TrafficShare, versions.InitialAllowance = newest.Target, newest.Index, newest.Share, newest.InitialAllowance
+			versions.Target, versions.Order, versions.TrafficShare, versions.InitialAllowance = newest.Target, newest.Index, newest.TrafficShare, newest.InitialAllowance
 		}
 		list.Services = append(list.Services, versions)
 	}
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -265,7 +265,7 @@
 func TestProposal_WithoutBounds_GetsDefaultShare(t *testing.T) {
 	// Given an order where the settings tell no bounds, then its target gets a small share.
 	order := rollout.Proposal{}.WithBounds(rollout.Bounds{}, 0)
-	if order.Share <= 0 || order.Share > 0.1 || order.InitialAllowance != 0 {
+	if order.TrafficShare <= 0 || order.TrafficShare > 0.1 || order.InitialAllowance != 0 {
 		t.Errorf("it is %+v", order)
 	}
 }
