--- a/internal/tier/configuration/state_machine_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"testing"
 
@@ -250,8 +251,8 @@
 	r.Apply(1, proposal(0, 3, "x"))
 	state := r.Snapshot()
 	for size := 1; size < len(state.History); size++ {
-		if _, err := configuration.Restore(configuration.Snapshot{History: state.History[:size]}); err == nil {
-			t.Errorf("a history cut after %d bytes is read", size)
+		if _, err := configuration.Restore(configuration.Snapshot{History: state.History[:size]}); !errors.Is(err, configuration.ErrCorruptHistory) {
+			t.Errorf("a history cut after %d bytes: error %v, want %v", size, err, configuration.ErrCorruptHistory)
 		}
 	}
 }
--- a/internal/tier/controller/order_runs_test.go
+++ b/internal/tier/controller/order_runs_test.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-const (
-	maxClearAttempts = 200 // attempts
-)
+// maxClearAttempts is how often an operator sends an order until its answer is a clear one.
+const maxClearAttempts = 200
 
 // losses are the ways in which a leader doesn't answer any more.
 var losses = []struct {
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -180,7 +180,7 @@
 			clock := &steppingClock{}
 			// When the list is read
 			got, err := newTestReader(t, stand, clock, 47).ReadAll(t.Context())
-			// Then it is whole, after a pause, and the first page was read once
+			// Then it is complete, after a backoff, and the first page was read once
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -274,7 +274,7 @@
 }
 
 func TestNewReader_NoRate_Fails(t *testing.T) {
-	if _, err := NewReader(Options{Address: "127.0.0.1:1"}); err == nil {
-		t.Error("no error")
+	if _, err := NewReader(Options{Address: "127.0.0.1:1"}); !errors.Is(err, ErrNoRate) {
+		t.Errorf("error %v, want %v", err, ErrNoRate)
 	}
 }
