--- a/internal/relay/capture/capture_test.go
+++ b/internal/relay/capture/capture_test.go
@@ -20,7 +20,7 @@
 	"mastusher/control"
 )
 
-var limits = Limits{Queue: 1 << 12, Chunk: 4 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 32}
+var testLimits = Limits{Queue: 1 << 12, Chunk: 4 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 32}
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -125,7 +125,7 @@
 // TestReplay_TenTimes_DecidesTheSame: a capture of a troubled run, from its start or from its middle, replays the same ten times.
 func TestReplay_TenTimes_DecidesTheSame(t *testing.T) {
 	for _, from := range []int{0, 700} {
-		dir, _ := play(t, 3, 1500, limits, from)
+		dir, _ := play(t, 3, 1500, testLimits, from)
 		text := one(t, dir)
 		for range 10 {
 			res, err := replayed(text, Options{})
@@ -138,7 +138,7 @@
 
 // TestReplay_AlteredRecord_IsFoundAndExplained: what was recorded otherwise is found in its turn, and explained.
 func TestReplay_AlteredRecord_IsFoundAndExplained(t *testing.T) {
-	dir, _ := play(t, 3, 400, limits, 0)
+	dir, _ := play(t, 3, 400, testLimits, 0)
 	text := one(t, dir)
 	r, err := NewReader(bytes.NewReader(text))
 	if err != nil {
@@ -171,7 +171,7 @@
 
 // TestReader_CutAtAnyByte_ReadsCompleteChunks: a capture cut off at any byte is read up to its last whole chunk, and what is read replays.
 func TestReader_CutAtAnyByte_ReadsCompleteChunks(t *testing.T) {
-	lim := limits
+	lim := testLimits
 	lim.Chunk = 1 << 10
 	dir, _ := play(t, 4, 40, lim, 0)
 	text := one(t, dir)
@@ -199,7 +199,7 @@
 }
 
 func TestReader_OtherVersions(t *testing.T) {
-	dir, _ := play(t, 4, 50, limits, 0)
+	dir, _ := play(t, 4, 50, testLimits, 0)
 	text := one(t, dir)
 	later := slices.Clone(text)
 	later[4] = Major + 1
@@ -225,7 +225,7 @@
 // the next state if it is told to.
 func TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks(t *testing.T) {
 	mod, _ := control.New(settings(), 5)
-	lim := limits
+	lim := testLimits
 	lim.Queue, lim.Chunk = 3, 1<<10
 	r, w, err := build(t.TempDir(), Begin{Seed: 5, Settings: settings()}, lim, quiet, create)
 	if err != nil {
@@ -278,7 +278,7 @@
 
 func ring(t *testing.T, size int64) {
 	t.Helper()
-	lim := limits
+	lim := testLimits
 	lim.FileSize, lim.DirSize = size, 80<<10
 	dir, r := play(t, 5, 6000, lim, 0)
 	files, _ := Files(dir)
@@ -353,7 +353,7 @@
 
 // TestWindow_StandsForItself: a window stands for itself.
 func TestWindow_StandsForItself(t *testing.T) {
-	dir, _ := play(t, 6, 1000, limits, 0)
+	dir, _ := play(t, 6, 1000, testLimits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	var part bytes.Buffer
 	turns, err := Window(r, &part, 5*time.Second, 9*time.Second, nil)
@@ -368,7 +368,7 @@
 
 // TestStory_OneMessage: one message's way is told from its arrival to its end.
 func TestStory_OneMessage(t *testing.T) {
-	dir, _ := play(t, 6, 600, limits, 0)
+	dir, _ := play(t, 6, 600, testLimits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	lines, err := Story(r, "m-20")
 	text := strings.Join(lines, "\n")
@@ -383,7 +383,7 @@
 
 // TestReplay_OtherSettings_CountsDifferences: under other settings differences are counted, and do not end the replay.
 func TestReplay_OtherSettings_CountsDifferences(t *testing.T) {
-	dir, _ := play(t, 6, 600, limits, 0)
+	dir, _ := play(t, 6, 600, testLimits, 0)
 	set := settings()
 	set.Slots = 2
 	res, err := replayed(one(t, dir), Options{Settings: &set})
--- a/internal/relay/capture/explain.go
+++ b/internal/relay/capture/explain.go
@@ -26,8 +26,8 @@
 var healthWords = [...]string{"steady", "overrunning", "stopped", "returning"}
 
 // Explain tells, a line each, how the destinations of some endpoints stand: tables, plan, health, waits.
-func Explain(x *control.Snapshot, res *Result, endpoints map[uint32]bool) (lines []string) {
-	lines = append(lines, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", x.SlotsInUse, x.OpenMessages, x.CallsToUnhealthy, x.Budget))
+func Explain(x *control.Snapshot, res *Result, endpoints map[uint32]bool) (explanation []string) {
+	explanation = append(explanation, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", x.SlotsInUse, x.OpenMessages, x.CallsToUnhealthy, x.Budget))
 	for _, n := range x.Destinations {
 		for _, e := range n.Endpoints {
 			if !endpoints[e.ID] {
@@ -52,8 +52,8 @@
 			if len(n.ExpectedTimes) > 1 {
 				line += fmt.Sprintf("; the plan expects %.0f ms", n.ExpectedTimes[1]*1000)
 			}
-			lines = append(lines, line)
+			explanation = append(explanation, line)
 		}
 	}
-	return lines
+	return explanation
 }
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -179,20 +179,20 @@
 // Each hands all records from here on to do, in order, until it returns an error. Chunks are decoded ahead on another
 // goroutine, which has ended when Each returns; where the reader stands then is not said.
 func (r *Reader) Each(do func(record any) error) error {
-	type piece struct {
+	type decoded struct {
 		records []any
 		at      int64
 		err     error
 	}
-	pieces, stop := make(chan piece, 4), make(chan struct{})
+	chunks, stop := make(chan decoded, 4), make(chan struct{})
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			c, err := r.Next()
 			if errors.Is(err, io.EOF) {
 				return
 			}
-			p := piece{err: err}
+			p := decoded{err: err}
 			if err == nil {
 				p.at = c.At
 				p.err = r.Records(c, func(record any) error {
@@ -201,7 +201,7 @@
 				})
 			}
 			select {
-			case pieces <- p:
+			case chunks <- p:
 			case <-stop:
 				return
 			}
@@ -212,10 +212,10 @@
 	}()
 	defer func() {
 		close(stop)
-		for range pieces { // until it has ended
+		for range chunks { // until it has ended
 		}
 	}()
-	for p := range pieces {
+	for p := range chunks {
 		r.replayed = p.at
 		for _, record := range p.records { // also those before an error
 			if err := do(record); err != nil {
--- a/internal/relay/capture/window.go
+++ b/internal/relay/capture/window.go
@@ -18,7 +18,7 @@
 // begins with the module's state as a replay has it then, and with the core's if there is a driver (nil: without). It
 // returns how many turns that is.
 func Window(r *Reader, w io.Writer, from, to time.Duration, core Driver) (turns int, err error) {
-	c, err := newChunker()
+	chunks, err := newChunker()
 	if err != nil {
 		return 0, err
 	}
@@ -29,28 +29,28 @@
 	if _, err := w.Write(fileHeader()); err != nil {
 		return 0, err
 	}
-	cut := &windowWriter{chunker: c, out: w, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
+	window := &windowWriter{chunker: chunks, out: w, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
 	begin := 0 // the last state before the window
 	for i := range index {
-		if index[i].State && index[i].First <= cut.captureStart+from {
+		if index[i].State && index[i].First <= window.captureStart+from {
 			begin = i
 		}
 	}
-	if err := cut.player.seekTo(r, index, begin); err != nil {
+	if err := window.player.seekTo(r, index, begin); err != nil {
 		return 0, err
 	}
 	if begin > 0 && core != nil {
-		if err := core.Record(&cut.player.result.Begin); err != nil {
+		if err := core.Record(&window.player.result.Begin); err != nil {
 			return 0, err
 		}
 	}
-	if err := r.Each(cut.record); err != nil && !errors.Is(err, errStop) {
-		return cut.turns, err
+	if err := r.Each(window.record); err != nil && !errors.Is(err, errStop) {
+		return window.turns, err
 	}
-	if cut.turns == 0 {
+	if window.turns == 0 {
 		return 0, errors.New("capture: there is no turn in that window")
 	}
-	return cut.turns, c.flushTo(w)
+	return window.turns, chunks.flushTo(w)
 }
 
 // windowWriter writes the records of a window.
@@ -122,20 +122,20 @@
 	if k.core != nil {
 		core = k.core.State()
 	}
-	held := map[uint64]bool{} // the others are over
+	unfinished := map[uint64]bool{} // the others are over
 	for _, m := range x.Messages {
-		held[m.ID] = true
+		unfinished[m.ID] = true
 	}
 	if core != nil {
 		for _, m := range core.Messages {
-			held[m.Ref] = true
+			unfinished[m.Ref] = true
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(k.player.result.Names)) {
 		name := k.player.result.Names[n]
 		k.write(&name)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(held)) {
+	for _, ref := range slices.Sorted(maps.Keys(unfinished)) {
 		if known, ok := k.player.result.Messages[ref]; ok {
 			k.write(&known)
 		}
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -49,37 +49,37 @@
 var resultWords = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
 
 // Event is an event in words.
-func (res *Result) Event(e control.Event) string {
-	switch e.Kind {
+func (res *Result) Event(event control.Event) string {
+	switch event.Kind {
 	case control.Listed:
-		return fmt.Sprintf("list: %d endpoints, whole %t", len(e.Endpoints), e.Complete)
+		return fmt.Sprintf("list: %d endpoints, whole %t", len(event.Endpoints), event.Complete)
 	case control.ListFailed:
 		return "the list could not be had"
 	case control.Arrived:
-		s := fmt.Sprintf("%s arrives for destination %d, class %d", res.message(e.ID), e.Destination, e.Class)
-		if e.Attempt > 0 {
-			s += fmt.Sprintf(", after %d attempts", e.Attempt)
+		s := fmt.Sprintf("%s arrives for destination %d, class %d", res.message(event.ID), event.Destination, event.Class)
+		if event.Attempt > 0 {
+			s += fmt.Sprintf(", after %d attempts", event.Attempt)
 		}
 		return s
 	case control.Resolved:
 		what := "unknown"
-		if int(e.Result) < len(resultWords) {
-			what = resultWords[e.Result]
+		if int(event.Result) < len(resultWords) {
+			what = resultWords[event.Result]
 		}
-		s := fmt.Sprintf("attempt %d of %s at %s: %s", e.Attempt, res.message(e.ID), res.name(e.Endpoint), what)
-		if e.RetryAfter > 0 {
-			s += fmt.Sprintf(", wait %v", e.RetryAfter)
+		s := fmt.Sprintf("attempt %d of %s at %s: %s", event.Attempt, res.message(event.ID), res.name(event.Endpoint), what)
+		if event.RetryAfter > 0 {
+			s += fmt.Sprintf(", wait %v", event.RetryAfter)
 		}
-		if e.Reported {
-			s += fmt.Sprintf(", %.0f %% of %.1f/s left", 100*e.Remaining, e.Limit)
+		if event.Reported {
+			s += fmt.Sprintf(", %.0f %% of %.1f/s left", 100*event.Remaining, event.Limit)
 		}
 		return s
 	case control.Withdrawn:
-		return res.message(e.ID) + " is withdrawn"
+		return res.message(event.ID) + " is withdrawn"
 	case control.Woken:
 		return "woken"
 	}
-	return fmt.Sprintf("event of kind %d", e.Kind)
+	return fmt.Sprintf("event of kind %d", event.Kind)
 }
 
 func (res *Result) messages(refs []uint64) string {
@@ -91,47 +91,47 @@
 }
 
 // CoreEvent is an event of the core in words.
-func (res *Result) CoreEvent(e *CoreEvent) string {
-	switch e.Kind {
+func (res *Result) CoreEvent(event *CoreEvent) string {
+	switch event.Kind {
 	case Submitted:
-		s := fmt.Sprintf("%s is handed in to front %d for partner %d, class %d", e.Arrival.ID, e.Front, e.Arrival.Partner, e.Arrival.Class)
-		if e.Arrival.Verdict != 0 {
-			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", e.Arrival.Verdict, e.Arrival.Status, e.Arrival.Reason)
+		s := fmt.Sprintf("%s is handed in to front %d for partner %d, class %d", event.Arrival.ID, event.Front, event.Arrival.Partner, event.Arrival.Class)
+		if event.Arrival.Verdict != 0 {
+			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", event.Arrival.Verdict, event.Arrival.Status, event.Arrival.Reason)
 		}
 		return s
 	case Withdrawn:
-		return res.message(e.Ref) + " is withdrawn: its client never heard the answer"
+		return res.message(event.Ref) + " is withdrawn: its client never heard the answer"
 	case Moved:
-		return fmt.Sprintf("the discovery of front %d has moved", e.Front)
+		return fmt.Sprintf("the discovery of front %d has moved", event.Front)
 	case DrainStarted:
 		return "the relay is told to drain"
 	case AttemptEnded:
-		if e.Outcomes == nil {
-			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", e.Number, e.Items)
+		if event.Outcomes == nil {
+			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", event.Number, event.Items)
 		}
 		var ends []string
-		for _, o := range e.Outcomes {
+		for _, o := range event.Outcomes {
 			what := "unknown"
 			if int(o.Result) < len(resultWords) {
 				what = resultWords[o.Result]
 			}
 			ends = append(ends, what)
 		}
-		return fmt.Sprintf("route step %d ends: %s", e.Number, strings.Join(ends, ", "))
+		return fmt.Sprintf("route step %d ends: %s", event.Number, strings.Join(ends, ", "))
 	case ListReported:
-		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", e.List.Index, e.Front, len(e.List.Destinations), e.List.Complete)
+		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", event.List.Index, event.Front, len(event.List.Destinations), event.List.Complete)
 	case WatchEnded:
-		return fmt.Sprintf("watch %d of front %d is lost: %s", e.Number, e.Front, e.Text)
+		return fmt.Sprintf("watch %d of front %d is lost: %s", event.Number, event.Front, event.Text)
 	case Notified:
 		taken := 0
-		for _, ok := range e.Accepted {
+		for _, ok := range event.Accepted {
 			if ok {
 				taken++
 			}
 		}
-		return fmt.Sprintf("%d of %d notices are taken from front %d", taken, len(e.Accepted), e.Front)
+		return fmt.Sprintf("%d of %d notices are taken from front %d", taken, len(event.Accepted), event.Front)
 	}
-	return fmt.Sprintf("event of kind %d", e.Kind)
+	return fmt.Sprintf("event of kind %d", event.Kind)
 }
 
 var verdictWords = [...]string{"taken on", "busy", "given up", "rejected"}
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -72,11 +72,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	jour, err := journal.Open(dir, 3<<20)
+	log, err := journal.Open(dir, 3<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), now)
+	c, err := New(cfg, log, slog.New(slog.NewTextHandler(io.Discard, nil)), now)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -10,15 +10,15 @@
 )
 
 // govern tells the core its standing, with so much of its lease left, and takes the turn.
-func (r *harness) govern(s capture.Mandate, left time.Duration) (told *bool) {
-	told = new(bool)
+func (r *harness) govern(s capture.Mandate, left time.Duration) (done *bool) {
+	done = new(bool)
 	until := time.Time{}
 	if left != 0 {
 		until = r.now.Add(left)
 	}
-	r.core.Govern(Mandate{s, until}, func() { *told = true })
+	r.core.Govern(Mandate{s, until}, func() { *done = true })
 	r.turnAfter(0, <-r.core.queue)
-	return told
+	return done
 }
 
 func (r *harness) verdict(id string, class, partner int) (Verdict, bool) {
@@ -86,8 +86,8 @@
 	a, _ := r.arrival("a", 1, 8, 9*time.Second)
 	r.turnAfter(5*time.Millisecond, a)
 	first := <-r.front.steps // connecting, nothing is written
-	told := r.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
-	if !*told {
+	stopped := r.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
+	if !*stopped {
 		t.Error("it does not say that it has stopped")
 	}
 	if first.MayWriteAt(r.now) {
@@ -98,9 +98,9 @@
 	r.turnAfter(20 * time.Millisecond)
 	r.noStep("halted")
 	r.govern(capture.Mandate{Version: 2, Stamp: true}, 5*time.Second)
-	again := <-r.front.steps
-	if again.PolicyVersion != 2 || again.Items[0].ID != "a" || !again.MayWriteAt(r.now) {
-		t.Errorf("it goes on with %+v", again)
+	next := <-r.front.steps
+	if next.PolicyVersion != 2 || next.Items[0].ID != "a" || !next.MayWriteAt(r.now) {
+		t.Errorf("it goes on with %+v", next)
 	}
 }
 
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -24,8 +24,8 @@
 // TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
 // before the next one has spoken it counts, since the relay has been told.
 func TestWatch_SupersededWatchReportsLate_UndoesNothing(t *testing.T) {
-	list := func(index int64, whole bool, state control.State) EndpointList {
-		return EndpointList{Index: index, Complete: whole, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
+	list := func(index int64, complete bool, state control.State) EndpointList {
+		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
 	}
 	for _, c := range []struct {
 		name          string
--- a/internal/relay/plugin/abi1.go
+++ b/internal/relay/plugin/abi1.go
@@ -14,7 +14,7 @@
 // ABI 1: the host asks the module for room, writes one JSON object there and hands it to inspect or ended. It is kept
 // for the modules that there are; what they may do is reject and log.
 
-const moduleOne = "mastusher"
+const moduleABI1 = "mastusher"
 
 // exportABI1 makes the imports of ABI 1 known to a runtime.
 func exportABI1(ctx context.Context, r wazero.Runtime) error {
@@ -28,18 +28,18 @@
 			}
 		}
 	}
-	b := r.NewHostModuleBuilder(moduleOne)
+	b := r.NewHostModuleBuilder(moduleABI1)
 	pair := []api.ValueType{i32, i32}
 	b.NewFunctionBuilder().WithGoModuleFunction(text(func(w *worker, s string) {
-		w.outcome.Reason = cut(s, w.version.host.limits.PluginReason)
+		w.outcome.Reason = truncate(s, w.version.host.limits.PluginReason)
 	}), pair, nil).Export("reason")
-	b.NewFunctionBuilder().WithGoModuleFunction(text((*worker).say), pair, nil).Export("log")
+	b.NewFunctionBuilder().WithGoModuleFunction(text((*worker).log), pair, nil).Export("log")
 	_, err := b.Instantiate(ctx)
 	return err
 }
 
-// callOne makes a call of ABI 1.
-func (w *worker) callOne(ctx context.Context, fn api.Function) error {
+// callABI1 makes a call of ABI 1.
+func (w *worker) callABI1(ctx context.Context, fn api.Function) error {
 	text := describe(w.call)
 	got, err := w.alloc.Call(ctx, uint64(len(text)))
 	if err != nil {
--- a/internal/relay/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -17,13 +17,13 @@
 // ABI 2: the host calls a function without arguments for each phase, and the module asks for what it needs. The host
 // never allocates in the module and writes only into room that the module offers in that very call.
 
-// moduleTwo is the name that a module of ABI 2 imports from.
-const moduleTwo = "mastusher_v2"
+// moduleABI2 is the name that a module of ABI 2 imports from.
+const moduleABI2 = "mastusher_v2"
 
-// markTwo is exported by each module of ABI 2: () -> i32, the mask of phases that it takes part in.
-const markTwo = "mastusher_abi_2"
+// markerABI2 is exported by each module of ABI 2: () -> i32, the mask of phases that it takes part in.
+const markerABI2 = "mastusher_abi_2"
 
-var exportsTwo = map[Phase]string{Arrival: "on_arrival", Answer: "on_answer", End: "on_end"}
+var exportsABI2 = map[Phase]string{Arrival: "on_arrival", Answer: "on_answer", End: "on_end"}
 
 // Fields of a call, by their numbers in the interface.
 const (
@@ -72,11 +72,11 @@
 			if w.outcome.Body != nil {
 				b = w.outcome.Body
 			}
-			s[0] = give(m, b, ok, s[1], s[2])
+			s[0] = writeResult(m, b, ok, s[1], s[2])
 			return
 		}
 		v, ok := w.field(uint32(s[0]))
-		s[0] = give(m, v, ok, s[1], s[2])
+		s[0] = writeResult(m, v, ok, s[1], s[2])
 	}},
 	// number(which) -> value
 	{"number", []api.ValueType{i32}, []api.ValueType{i64}, func(w *worker, _ api.Memory, s []uint64) {
@@ -84,21 +84,21 @@
 	}},
 	// get_header(name, size, at, room) -> size: of the client's request on arrival, of the answer afterwards.
 	{"get_header", []api.ValueType{i32, i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		v, ok := w.call.In[textproto.CanonicalMIMEHeaderKey(w.str(m, s[0], s[1]))]
+		v, ok := w.call.In[textproto.CanonicalMIMEHeaderKey(w.text(m, s[0], s[1]))]
 		text := ""
 		if ok = ok && len(v) > 0; ok {
 			text = v[0]
 		}
-		s[0] = give(m, text, ok, s[2], s[3])
+		s[0] = writeResult(m, text, ok, s[2], s[3])
 	}},
 	// out_header(name, size, at, room) -> size: as it will go out, as far as it has been set.
 	{"out_header", []api.ValueType{i32, i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		v, ok := w.outcome.Shape.Get(w.str(m, s[0], s[1]))
-		s[0] = give(m, v, ok, s[2], s[3])
+		v, ok := w.outcome.Shape.Get(w.text(m, s[0], s[1]))
+		s[0] = writeResult(m, v, ok, s[2], s[3])
 	}},
 	// set_header(name, size, value, size) -> refusal
 	{"set_header", []api.ValueType{i32, i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		name, value := w.str(m, s[0], s[1]), w.str(m, s[2], s[3])
+		name, value := w.text(m, s[0], s[1]), w.text(m, s[2], s[3])
 		why := rules.Phase
 		if w.call.Phase == Arrival {
 			w.outcome.Shape, why = w.outcome.Shape.Set(w.call.guard, &w.version.host.rules, name, value)
@@ -109,13 +109,13 @@
 	{"remove_header", []api.ValueType{i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
 		why := rules.Phase
 		if w.call.Phase == Arrival {
-			w.outcome.Shape, why = w.outcome.Shape.Remove(w.str(m, s[0], s[1]))
+			w.outcome.Shape, why = w.outcome.Shape.Remove(w.text(m, s[0], s[1]))
 		}
 		s[0] = api.EncodeI32(int32(why)) // to remove what is not there is no offence
 	}},
 	// set_body(at, size) -> refusal
 	{"set_body", []api.ValueType{i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		b, why := w.part(m, s[0], s[1], w.version.host.rules.BodySize+1), rules.Phase
+		b, why := w.boundedBytes(m, s[0], s[1], w.version.host.rules.BodySize+1), rules.Phase
 		if w.call.Phase == Arrival {
 			if why = rules.Rewrite(w.call.guard, &w.version.host.rules, w.call.Body, b); why == rules.None {
 				w.outcome.Body = append([]byte{}, b...)
@@ -125,14 +125,14 @@
 	}},
 	// reject(status, reason, size) -> refusal: the message is not taken on, and its client told so.
 	{"reject", []api.ValueType{i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		reason, why := w.str(m, s[1], s[2]), rules.None
+		reason, why := w.text(m, s[1], s[2]), rules.None
 		switch status := api.DecodeI32(s[0]); {
 		case w.call.Phase != Arrival:
 			why = rules.Phase
 		case status < 400 || status > 499 || status == 429 || status == 408:
 			why = rules.Looser // a refusal is the module's to give
 		default:
-			w.outcome.Reject, w.outcome.Status, w.outcome.Reason = true, int(status), cut(reason, w.version.host.limits.PluginReason)
+			w.outcome.Reject, w.outcome.Status, w.outcome.Reason = true, int(status), truncate(reason, w.version.host.limits.PluginReason)
 		}
 		s[0] = w.refuse("reject", why)
 	}},
@@ -146,26 +146,26 @@
 		s[0] = w.ask("refuse", rules.Ask{Refuse: true})
 	}},
 	// log(at, size)
-	{"log", []api.ValueType{i32, i32}, nil, func(w *worker, m api.Memory, s []uint64) { w.say(w.str(m, s[0], s[1])) }},
+	{"log", []api.ValueType{i32, i32}, nil, func(w *worker, m api.Memory, s []uint64) { w.log(w.text(m, s[0], s[1])) }},
 	// random() -> number, the same for the same seed, plug-in and message
 	{"random", nil, []api.ValueType{i64}, func(w *worker, _ api.Memory, s []uint64) { s[0] = w.rng.Uint64() }},
 	// store_get(key, size, at, room) -> size
 	{"store_get", []api.ValueType{i32, i32, i32, i32}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
-		v, ok := w.tx.Get(w.str(m, s[0], s[1]))
-		s[0] = give(m, v, ok, s[2], s[3])
+		v, ok := w.tx.Get(w.text(m, s[0], s[1]))
+		s[0] = writeResult(m, v, ok, s[2], s[3])
 	}},
 	// store_set(key, size, value, size, ms) -> refusal: for so long, or with 0 for good
 	{"store_set", []api.ValueType{i32, i32, i32, i32, i64}, []api.ValueType{i32}, func(w *worker, m api.Memory, s []uint64) {
 		ttl := time.Duration(min(max(int64(s[4]), 0), 1<<40)) * time.Millisecond
-		s[0] = w.refuse("store", refusal(w.tx.Set(w.str(m, s[0], s[1]), w.part(m, s[2], s[3], 8<<10), ttl)))
+		s[0] = w.refuse("store", refusal(w.tx.Set(w.text(m, s[0], s[1]), w.boundedBytes(m, s[2], s[3], 8<<10), ttl)))
 	}},
 	// store_delete(key, size)
-	{"store_delete", []api.ValueType{i32, i32}, nil, func(w *worker, m api.Memory, s []uint64) { w.tx.Delete(w.str(m, s[0], s[1])) }},
+	{"store_delete", []api.ValueType{i32, i32}, nil, func(w *worker, m api.Memory, s []uint64) { w.tx.Delete(w.text(m, s[0], s[1])) }},
 }
 
 // exportABI2 makes the imports of ABI 2 known to a runtime.
 func exportABI2(ctx context.Context, r wazero.Runtime) error {
-	b := r.NewHostModuleBuilder(moduleTwo)
+	b := r.NewHostModuleBuilder(moduleABI2)
 	for _, f := range hostFunctions {
 		b.NewFunctionBuilder().WithGoModuleFunction(api.GoModuleFunc(func(ctx context.Context, m api.Module, s []uint64) {
 			w := workerOf(ctx)
@@ -191,15 +191,15 @@
 	return b
 }
 
-// str is a text that a module hands over, or nearly: of one that is longer than anything it can be good for only
+// text is a text that a module hands over, or nearly: of one that is longer than anything it can be good for only
 // enough is copied to see that.
-func (w *worker) str(m api.Memory, at, size uint64) string {
-	return string(w.part(m, at, size, textMost))
+func (w *worker) text(m api.Memory, at, size uint64) string {
+	return string(w.boundedBytes(m, at, size, maxText))
 }
 
-// part is the beginning of a part of memory that will be copied, which a call may only have so much of: the heap that
+// boundedBytes is the beginning of a part of memory that will be copied, which a call may only have so much of: the heap that
 // it is copied to is the relay's.
-func (w *worker) part(m api.Memory, at, size uint64, most int) []byte {
+func (w *worker) boundedBytes(m api.Memory, at, size uint64, most int) []byte {
 	b := bytesAt(m, at, size)
 	b = b[:min(len(b), most)]
 	if w.copied += len(b) + 64; w.copied > w.version.host.limits.PluginCopyBytes {
@@ -208,11 +208,11 @@
 	return b
 }
 
-// textMost is more than any name, value or reason may have.
-const textMost = 2 << 10
+// maxText is more than any name, value or reason may have.
+const maxText = 2 << 10
 
-// give writes what there is room for and returns the whole size, or that there is none.
-func give[T string | []byte](m api.Memory, v T, ok bool, at, room uint64) uint64 {
+// writeResult writes what there is room for and returns the whole size, or that there is none.
+func writeResult[T string | []byte](m api.Memory, v T, ok bool, at, room uint64) uint64 {
 	if !ok {
 		return api.EncodeI32(int32(rules.Absent))
 	}
@@ -272,7 +272,7 @@
 // refuse notes what was not done, and returns the module's number for it.
 func (w *worker) refuse(what string, why rules.Refusal) uint64 {
 	if why != rules.None && len(w.outcome.Refused) < 16 {
-		w.outcome.Refused = append(w.outcome.Refused, Refused{cut(what, 80), why})
+		w.outcome.Refused = append(w.outcome.Refused, Refused{truncate(what, 80), why})
 	}
 	return api.EncodeI32(int32(why))
 }
@@ -290,14 +290,14 @@
 	return w.refuse(what, why)
 }
 
-func (w *worker) say(text string) {
+func (w *worker) log(text string) {
 	if len(w.outcome.Logs) < w.version.host.limits.PluginLines {
-		w.outcome.Logs = append(w.outcome.Logs, cut(text, w.version.host.limits.PluginReason))
+		w.outcome.Logs = append(w.outcome.Logs, truncate(text, w.version.host.limits.PluginReason))
 	}
 }
 
-// cut shortens text and replaces what a log or a header line can't hold.
-func cut(s string, most int) string {
+// truncate shortens text and replaces what a log or a header line can't hold.
+func truncate(s string, most int) string {
 	if len(s) > most {
 		s = s[:most]
 	}
--- a/internal/relay/plugin/attempt.go
+++ b/internal/relay/plugin/attempt.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// left is called by a worker that has ended a call: it counts, and makes room for the next.
-func (v *version) left(w *worker, j *job, out Outcome, err error) {
+// finish is called by a worker that has ended a call: it counts, and makes room for the next.
+func (v *version) finish(w *worker, j *job, out Outcome, err error) {
 	if j.call.Phase == 0 {
 		return
 	}
--- a/internal/relay/plugin/compile.go
+++ b/internal/relay/plugin/compile.go
@@ -40,7 +40,7 @@
 		v.workers = append(v.workers, w)
 		v.idle <- w
 	}
-	if err := v.warm(); err != nil {
+	if err := v.startInstances(); err != nil {
 		v.close()
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	}
 	v.runtime = wazero.NewRuntimeWithConfig(ctx, cfg)
 	if v.code, err = v.runtime.CompileModule(ctx, bounded); err != nil {
-		return firstLine(err)
+		return withoutTrace(err)
 	}
 	if v.abi, err = check(v.code, &v.cfg); err != nil {
 		return err
@@ -83,17 +83,17 @@
 	used := c.imports()
 	c.memory(cfg.MemoryMB)
 	switch {
-	case c.exports[markTwo] != nil:
+	case c.exports[markerABI2] != nil:
 		abi = 2
-		c.export(markTwo, "() -> i32", true)
-		for _, name := range exportsTwo {
+		c.export(markerABI2, "() -> i32", true)
+		for _, name := range exportsABI2 {
 			c.export(name, "() -> i32", false)
 		}
-		if used[moduleOne] {
+		if used[moduleABI1] {
 			c.fail("import mastusher: a module of ABI 2 imports from mastusher_v2")
 		}
-	case used[moduleTwo]:
-		c.fail("export %s: missing, though the module imports from %s", markTwo, moduleTwo)
+	case used[moduleABI2]:
+		c.fail("export %s: missing, though the module imports from %s", markerABI2, moduleABI2)
 	case !later:
 		abi = 1
 		c.export("alloc", "(i32) -> i32", true)
@@ -131,10 +131,10 @@
 
 // imports checks what the module imports and returns the modules that it imports from.
 func (c *moduleCheck) imports() map[string]bool {
-	known := map[string]map[string]string{"wasi_snapshot_preview1": nil, moduleOne: {"reason": "(i32, i32)", "log": "(i32, i32)"},
-		moduleTwo: {}}
+	known := map[string]map[string]string{"wasi_snapshot_preview1": nil, moduleABI1: {"reason": "(i32, i32)", "log": "(i32, i32)"},
+		moduleABI2: {}}
 	for _, h := range hostFunctions {
-		known[moduleTwo][h.name] = signature(h.params, h.results)
+		known[moduleABI2][h.name] = signature(h.params, h.results)
 	}
 	used := map[string]bool{}
 	for _, d := range c.code.ImportedFunctions() {
@@ -193,8 +193,8 @@
 	return s
 }
 
-// warm starts each instance and asks it for its phases: what can't run is found before it is let in.
-func (v *version) warm() error {
+// startInstances starts each instance and asks it for its phases: what can't run is found before it is let in.
+func (v *version) startInstances() error {
 	for _, w := range v.workers {
 		j := &job{call: &Call{Now: time.Now()}, deadline: time.Now().Add(v.host.limits.PluginStart), done: make(chan jobDone, 1)}
 		w.jobs <- j
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func limits() Limits {
+func testLimits() Limits {
 	return Limits{Instances: 2, Share: 0.1, Burst: 100 * time.Millisecond, Strikes: 3, Pardon: 0.05, Rest: time.Second,
 		MaxOpen: 8 * time.Second, Trials: 2, Partners: 4, SharedOpen: 2}
 }
@@ -27,7 +27,7 @@
 	for _, script := range strings.Split(string(text), "\n\n") {
 		lines := strings.Split(strings.TrimSpace(script), "\n")
 		t.Run(strings.TrimPrefix(lines[0], "# "), func(t *testing.T) {
-			g, now, tickets := New(limits()), time.Unix(1000, 0), []Ticket{}
+			g, now, tickets := New(testLimits()), time.Unix(1000, 0), []Ticket{}
 			var got, want []string
 			for _, line := range lines[1:] {
 				do, expect, _ := strings.Cut(line, " => ")
@@ -74,7 +74,7 @@
 // admits again in the end.
 func TestGate_AnySequence_KeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := limits()
+		lim := testLimits()
 		lim.Instances = rapid.IntRange(1, 6).Draw(t, "instances")
 		g, start := New(lim), time.Unix(1000, 0)
 		now, spent := start, time.Duration(0)
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -46,36 +46,36 @@
 // change.
 func New(cfg *config.Config, fronts []rules.Front, log *slog.Logger) (*Host, error) {
 	l := &cfg.Limits
-	h := &Host{limits: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
+	host := &Host{limits: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
 		owners: map[string]config.Plugin{}, stop: make(chan struct{}), storeDir: cfg.PluginHost.Store,
 		rules: rules.Limits{Headers: l.PluginHeaders, NameSize: 64, ValueSize: l.PluginValue,
 			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MaxRetryAfter: l.PluginRetryAfterMax}}
-	h.memories.maxBytes = l.PluginMemory
+	host.memories.maxBytes = l.PluginMemory
 	for i := range cfg.Settings.Classes {
-		h.classes = append(h.classes, cfg.Settings.Classes[i].Name)
+		host.classes = append(host.classes, cfg.Settings.Classes[i].Name)
 	}
 	for i := range fronts {
-		h.fronts[fronts[i].Name] = &fronts[i]
+		host.fronts[fronts[i].Name] = &fronts[i]
 	}
 	if dir := cfg.PluginHost.Cache; dir != "" {
 		cache, err := wazero.NewCompilationCacheWithDir(dir)
 		if err != nil {
 			return nil, &config.KeyError{Key: "plugin_host.cache", Reason: err.Error()}
 		}
-		h.cache, h.cacheDir = cache, dir
+		host.cache, host.cacheDir = cache, dir
 	}
-	if h.storeDir != "" {
-		if err := os.MkdirAll(h.storeDir, 0o700); err != nil {
+	if host.storeDir != "" {
+		if err := os.MkdirAll(host.storeDir, 0o700); err != nil {
 			return nil, &config.KeyError{Key: "plugin_host.store", Reason: err.Error()}
 		}
 	}
-	if err := h.Reload(cfg); err != nil {
+	if err := host.Reload(cfg); err != nil {
 		return nil, err
 	}
-	h.serving = true
-	h.saving.Add(1)
-	go h.save()
-	return h, nil
+	host.serving = true
+	host.saving.Add(1)
+	go host.save()
+	return host, nil
 }
 
 // Close ends all plug-ins and saves their stores. It is not for concurrent use.
--- a/internal/relay/plugin/inspect.go
+++ b/internal/relay/plugin/inspect.go
@@ -15,20 +15,20 @@
 		return engine.Ruling{}
 	}
 	defer h.release(g)
-	var c *Call
+	var call *Call
 	by := time.Time{}
 	for _, v := range g.chain {
 		if !v.applies(Arrival, front, m.Partner, m.Class) {
 			continue
 		}
 		now := time.Now()
-		if c == nil {
+		if call == nil {
 			by = now.Add(h.limits.PluginBudget)
-			c = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
+			call = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
 				ClassName: h.class(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
 		}
 		// A call of its own for each: one that was left to itself may still read the last.
-		mine := *c
+		mine := *call
 		mine.Now, mine.TimeLeft = now, m.Deadline.Sub(now)
 		out, err := v.attempt(&mine, by)
 		switch {
@@ -41,14 +41,14 @@
 			v.counts.Rejected.Add(1)
 			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Reason: out.Reason}
 		}
-		c.Shape = out.Shape
+		call.Shape = out.Shape
 		if out.Body != nil {
-			c.Body = out.Body
+			call.Body = out.Body
 			m.Body = out.Body
 		}
 	}
-	if c != nil {
-		m.ExtraHeaders = c.Shape
+	if call != nil {
+		m.ExtraHeaders = call.Shape
 	}
 	return engine.Ruling{}
 }
--- a/internal/relay/plugin/wasm/rewrite.go
+++ b/internal/relay/plugin/wasm/rewrite.go
@@ -110,7 +110,7 @@
 	}
 	w := &rewriter{stack: stack}
 	for _, s := range all {
-		if err := w.learn(s); err != nil {
+		if err := w.readSection(s); err != nil {
 			return nil, err
 		}
 	}
@@ -168,7 +168,7 @@
 	rawGlob  []byte
 }
 
-func (w *rewriter) learn(s section) error {
+func (w *rewriter) readSection(s section) error {
 	r := &reader{b: s.body}
 	switch s.id {
 	case secType:
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -80,13 +80,13 @@
 		out := w.outcome
 		if err != nil {
 			out = Outcome{CPU: w.outcome.CPU, Logs: w.outcome.Logs}
-			w.drop()
+			w.dropInstance()
 		}
 		w.call, w.tx, w.outcome = nil, nil, Outcome{}
-		w.version.left(w, j, out, err)
+		w.version.finish(w, j, out, err)
 		j.done <- jobDone{out, err}
 	}
-	w.drop()
+	w.dropInstance()
 	w.version.workersDone.Done()
 }
 
@@ -98,7 +98,7 @@
 func (w *worker) do(j *job) error {
 	w.call, w.outcome, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
 	if w.module != nil && w.module.IsClosed() { // its last call ended just as its time did
-		w.drop()
+		w.dropInstance()
 	}
 	if w.module == nil {
 		if err := w.start(); err != nil {
@@ -107,7 +107,7 @@
 	}
 	w.seed(j.call.ID, j.call.Phase)
 	if j.call.Phase == 0 {
-		return w.learn(j.deadline)
+		return w.readPhases(j.deadline)
 	}
 	fn := w.functions[j.call.Phase]
 	if fn == nil {
@@ -118,14 +118,14 @@
 	defer cancel()
 	var err error
 	if w.version.abi == 1 {
-		err = w.callOne(ctx, fn)
+		err = w.callABI1(ctx, fn)
 	} else {
 		if err = fn.CallWithStack(ctx, w.stack[:]); err == nil && uint32(w.stack[0]) != 0 {
 			err = fmt.Errorf("%w: %d", ErrPluginFailure, int32(w.stack[0]))
 		}
 	}
 	if err != nil {
-		return firstLine(err)
+		return withoutTrace(err)
 	}
 	if err := w.tx.Commit(); err != nil {
 		w.refuse("store", refusal(err))
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// learn finds which phases the module takes part in; it is called while the version is warmed up.
-func (w *worker) learn(by time.Time) error {
+// readPhases finds which phases the module takes part in; it is called while the version is warmed up.
+func (w *worker) readPhases(by time.Time) error {
 	if w.version.abi == 1 {
 		for phase, fn := range w.functions {
 			if fn != nil {
@@ -145,16 +145,16 @@
 	}
 	ctx, cancel := context.WithDeadline(w.ctx, by)
 	defer cancel()
-	if err := w.module.ExportedFunction(markTwo).CallWithStack(ctx, w.stack[:]); err != nil {
-		return fmt.Errorf("%s: %w", markTwo, firstLine(err))
+	if err := w.module.ExportedFunction(markerABI2).CallWithStack(ctx, w.stack[:]); err != nil {
+		return fmt.Errorf("%s: %w", markerABI2, withoutTrace(err))
 	}
 	mask := Phase(w.stack[0])
 	if mask&^(Arrival|Answer|End) != 0 {
-		return fmt.Errorf("%s: the mask %#x has phases that this relay does not know", markTwo, uint32(w.stack[0]))
+		return fmt.Errorf("%s: the mask %#x has phases that this relay does not know", markerABI2, uint32(w.stack[0]))
 	}
-	for phase, name := range exportsTwo {
+	for phase, name := range exportsABI2 {
 		if mask&phase != 0 && w.functions[phase] == nil {
-			return fmt.Errorf("%s: the mask names a phase without its export %s", markTwo, name)
+			return fmt.Errorf("%s: the mask names a phase without its export %s", markerABI2, name)
 		}
 	}
 	w.version.phases = mask
@@ -185,8 +185,8 @@
 		WithWalltime(func() (int64, int32) { return w.now.Unix(), int32(w.now.Nanosecond()) }, wasys.ClockResolution(1)).
 		WithNanotime(func() int64 { return w.now.UnixNano() }, wasys.ClockResolution(1)))
 	if err != nil {
-		w.drop()
-		return fmt.Errorf("start: %w", firstLine(err))
+		w.dropInstance()
+		return fmt.Errorf("start: %w", withoutTrace(err))
 	}
 	w.module, w.functions = m, map[Phase]api.Function{}
 	if w.version.abi == 1 {
@@ -194,14 +194,14 @@
 		w.functions[Arrival], w.functions[End] = m.ExportedFunction("inspect"), m.ExportedFunction("ended")
 		return nil
 	}
-	for phase, name := range exportsTwo {
+	for phase, name := range exportsABI2 {
 		w.functions[phase] = m.ExportedFunction(name)
 	}
 	return nil
 }
 
-// drop ends the instance and gives its memory back, also where the engine has left that to a call that never came.
-func (w *worker) drop() {
+// dropInstance ends the instance and gives its memory back, also where the engine has left that to a call that never came.
+func (w *worker) dropInstance() {
 	if w.module != nil {
 		_ = w.module.Close(context.Background())
 	}
@@ -211,8 +211,8 @@
 	w.module, w.memory, w.functions, w.alloc = nil, nil, nil, nil
 }
 
-// firstLine cuts the engine's stack trace off an error and names a time-out.
-func firstLine(err error) error {
+// withoutTrace cuts the engine's stack trace off an error and names a time-out.
+func withoutTrace(err error) error {
 	var exit *wasys.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == wasys.ExitCodeDeadlineExceeded {
 		return ErrTimeout
--- a/internal/relay/vrrp/machine.go
+++ b/internal/relay/vrrp/machine.go
@@ -30,15 +30,15 @@
 // Machine is the state machine. It reads no clock: each call says what time it is, and returns the
 // advertisements to send.
 type Machine struct {
-	r      Router
-	state  State
-	heard  time.Duration // Active_Adver_Interval: what the active router advertises
-	down   time.Time     // Active_Down_Timer, in Backup
-	advert time.Time     // Adver_Timer, in Active
+	router              Router
+	state               State
+	activeAdverInterval time.Duration // Active_Adver_Interval: what the active router advertises
+	activeDownTimer     time.Time     // Active_Down_Timer, in Backup
+	adverTimer          time.Time     // Adver_Timer, in Active
 }
 
 // NewMachine returns a machine in Initialize.
-func NewMachine(r Router) *Machine { return &Machine{r: r, heard: r.Advertise} }
+func NewMachine(r Router) *Machine { return &Machine{router: r, activeAdverInterval: r.Advertise} }
 
 // State returns the state.
 func (m *Machine) State() State { return m.state }
@@ -47,25 +47,27 @@
 func (m *Machine) Due() time.Time {
 	switch m.state {
 	case Backup:
-		return m.down
+		return m.activeDownTimer
 	case Active:
-		return m.advert
+		return m.adverTimer
 	}
 	return time.Time{}
 }
 
-// skew makes the routers of higher priority take over first.
-func (m *Machine) skew() time.Duration { return time.Duration(256-int(m.r.Priority)) * m.heard / 256 }
+// skewTime makes the routers of higher priority take over first.
+func (m *Machine) skewTime() time.Duration {
+	return time.Duration(256-int(m.router.Priority)) * m.activeAdverInterval / 256
+}
 
-func (m *Machine) downInterval() time.Duration { return 3*m.heard + m.skew() }
+func (m *Machine) activeDownInterval() time.Duration { return 3*m.activeAdverInterval + m.skewTime() }
 
 func (m *Machine) packet(priority uint8) Packet {
-	return Packet{VRID: m.r.VRID, Priority: priority, Advertise: m.r.Advertise, Addresses: m.r.Virtual}
+	return Packet{VRID: m.router.VRID, Priority: priority, Advertise: m.router.Advertise, Addresses: m.router.Virtual}
 }
 
 func (m *Machine) activate(now time.Time) []Packet {
-	m.state, m.advert = Active, now.Add(m.r.Advertise)
-	return []Packet{m.packet(m.r.Priority)}
+	m.state, m.adverTimer = Active, now.Add(m.router.Advertise)
+	return []Packet{m.packet(m.router.Priority)}
 }
 
 // Startup leaves Initialize: the owner of the addresses is active at once.
@@ -73,11 +75,11 @@
 	if m.state != Initialize {
 		return nil
 	}
-	if m.r.Priority == 255 {
+	if m.router.Priority == 255 {
 		return m.activate(now)
 	}
-	m.state, m.heard = Backup, m.r.Advertise
-	m.down = now.Add(m.downInterval())
+	m.state, m.activeAdverInterval = Backup, m.router.Advertise
+	m.activeDownTimer = now.Add(m.activeDownInterval())
 	return nil
 }
 
@@ -104,20 +106,20 @@
 	case Backup:
 		switch {
 		case p.Priority == 0:
-			m.down = now.Add(m.skew())
-		case !m.r.Preempt || p.Priority >= m.r.Priority:
-			m.heard = p.Advertise
-			m.down = now.Add(m.downInterval())
+			m.activeDownTimer = now.Add(m.skewTime())
+		case !m.router.Preempt || p.Priority >= m.router.Priority:
+			m.activeAdverInterval = p.Advertise
+			m.activeDownTimer = now.Add(m.activeDownInterval())
 		}
 	case Active:
 		switch {
 		case p.Priority == 0:
 			return m.activate(now)
-		case p.Priority > m.r.Priority || p.Priority == m.r.Priority && m.r.Address.Less(from):
-			m.state, m.heard = Backup, p.Advertise
-			m.down = now.Add(m.downInterval())
+		case p.Priority > m.router.Priority || p.Priority == m.router.Priority && m.router.Address.Less(from):
+			m.state, m.activeAdverInterval = Backup, p.Advertise
+			m.activeDownTimer = now.Add(m.activeDownInterval())
 		default: // assert this router's part to the one that took it for absent
-			return []Packet{m.packet(m.r.Priority)}
+			return []Packet{m.packet(m.router.Priority)}
 		}
 	}
 	return nil
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -22,18 +22,18 @@
 type Instance struct {
 	Counts Counters
 
-	mu      sync.Mutex
-	machine *Machine
-	conn    *net.UDPConn
-	own     netip.Addr
-	vrid    uint8
-	peers   map[netip.Addr]netip.AddrPort
-	log     *slog.Logger
-	active  atomic.Bool
-	kick    chan struct{} // the timer has to be looked at again
-	stop    chan struct{}
-	once    sync.Once
-	done    sync.WaitGroup
+	mu           sync.Mutex
+	machine      *Machine
+	conn         *net.UDPConn
+	address      netip.Addr
+	vrid         uint8
+	peers        map[netip.Addr]netip.AddrPort
+	log          *slog.Logger
+	active       atomic.Bool
+	timerChanged chan struct{} // the timer has to be looked at again
+	stop         chan struct{}
+	once         sync.Once
+	done         sync.WaitGroup
 }
 
 // Listen starts a router on its UDP address.
@@ -51,8 +51,8 @@
 		}
 		r.Virtual = append(r.Virtual, a)
 	}
-	in := &Instance{machine: NewMachine(r), own: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
-		log: log, kick: make(chan struct{}, 1), stop: make(chan struct{})}
+	in := &Instance{machine: NewMachine(r), address: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
+		log: log, timerChanged: make(chan struct{}, 1), stop: make(chan struct{})}
 	for _, p := range cfg.Peers {
 		ap, err := netip.ParseAddrPort(p)
 		if err != nil {
@@ -63,10 +63,10 @@
 	if in.conn, err = net.ListenUDP("udp", at); err != nil {
 		return nil, err
 	}
-	in.act(func(now time.Time) []Packet { return in.machine.Startup(now) })
+	in.step(func(now time.Time) []Packet { return in.machine.Startup(now) })
 	in.done.Add(2)
 	go in.read()
-	go in.time()
+	go in.runTimer()
 	return in, nil
 }
 
@@ -76,7 +76,7 @@
 // Shutdown gives up this router's part and stops it; once is enough.
 func (in *Instance) Shutdown() {
 	in.once.Do(func() {
-		in.act(func(time.Time) []Packet { return in.machine.Shutdown() })
+		in.step(func(time.Time) []Packet { return in.machine.Shutdown() })
 		close(in.stop)
 		_ = in.conn.Close()
 		in.done.Wait()
@@ -87,8 +87,8 @@
 	})
 }
 
-// act lets the machine do something, and sends what it says.
-func (in *Instance) act(do func(now time.Time) []Packet) {
+// step lets the machine do something, and sends what it says.
+func (in *Instance) step(do func(now time.Time) []Packet) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	was := in.machine.State()
@@ -99,13 +99,13 @@
 	}
 	for i := range out {
 		for to, ap := range in.peers {
-			if _, err := in.conn.WriteToUDPAddrPort(out[i].Encode(in.own, to), ap); err == nil {
+			if _, err := in.conn.WriteToUDPAddrPort(out[i].Encode(in.address, to), ap); err == nil {
 				in.Counts.Sent.Add(1)
 			}
 		}
 	}
 	select {
-	case in.kick <- struct{}{}:
+	case in.timerChanged <- struct{}{}:
 	default:
 	}
 }
@@ -120,15 +120,15 @@
 		} else if err != nil {
 			continue
 		}
-		in.take(buf[:n], ap.Addr().Unmap())
+		in.receive(buf[:n], ap.Addr().Unmap())
 	}
 }
 
-// take drops and counts what is not for this router; the machine gets the rest.
-func (in *Instance) take(b []byte, from netip.Addr) {
-	p, err := Decode(b, from, in.own)
+// receive drops and counts what is not for this router; the machine gets the rest.
+func (in *Instance) receive(b []byte, from netip.Addr) {
+	p, err := Decode(b, from, in.address)
 	switch _, known := in.peers[from]; {
-	case from == in.own:
+	case from == in.address:
 		in.Counts.Own.Add(1)
 	case !known:
 		in.Counts.UnknownPeer.Add(1)
@@ -140,11 +140,11 @@
 		in.Counts.OtherRouter.Add(1)
 	default:
 		in.Counts.Accepted.Add(1)
-		in.act(func(now time.Time) []Packet { return in.machine.Receive(now, p, from) })
+		in.step(func(now time.Time) []Packet { return in.machine.Receive(now, p, from) })
 	}
 }
 
-func (in *Instance) time() {
+func (in *Instance) runTimer() {
 	defer in.done.Done()
 	for {
 		in.mu.Lock()
@@ -157,9 +157,9 @@
 		select {
 		case <-in.stop:
 			return
-		case <-in.kick:
+		case <-in.timerChanged:
 		case <-fire:
-			in.act(func(now time.Time) []Packet { return in.machine.Tick(now) })
+			in.step(func(now time.Time) []Packet { return in.machine.Tick(now) })
 		}
 	}
 }
--- a/internal/relay/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -172,13 +172,13 @@
 	peer := netip.MustParseAddr("127.0.0.2")
 	bad := bytes.Clone(good)
 	bad[2] = 1
-	other := (&Packet{VRID: 8, Advertise: time.Second, Addresses: []netip.Addr{virtual}}).Encode(peer, in.own)
-	in.take(good, peer)
-	in.take(good, in.own)
-	in.take(good, high)
-	in.take(bad, peer)
-	in.take(nil, peer)
-	in.take(other, peer)
+	other := (&Packet{VRID: 8, Advertise: time.Second, Addresses: []netip.Addr{virtual}}).Encode(peer, in.address)
+	in.receive(good, peer)
+	in.receive(good, in.address)
+	in.receive(good, high)
+	in.receive(bad, peer)
+	in.receive(nil, peer)
+	in.receive(other, peer)
 	c := &in.Counts
 	got := []uint64{c.Accepted.Load(), c.Own.Load(), c.UnknownPeer.Load(), c.Checksum.Load(), c.Malformed.Load(), c.OtherRouter.Load()}
 	if d := cmp.Diff([]uint64{1, 1, 1, 1, 1, 1}, got); d != "" || in.Active() {
