--- a/internal/relay/simulator/checker.go
+++ b/internal/relay/simulator/checker.go
@@ -7,26 +7,26 @@
 	"mastusher/control"
 )
 
-// Rule is one that no policy may break.
+// Rule is an invariant that no policy may violate. Its text is printed and stored.
 type Rule string
 
 // The rules.
 const (
-	ruleOneEnd     Rule = "one end"      // each message that a relay takes ends there once
-	ruleOneCopy    Rule = "one copy"     // never are two copies of a message out
-	ruleRepeat     Rule = "repeats"      // only what may be repeated is, and within its window
-	ruleEffects    Rule = "effects"      // nothing takes effect twice that must not
-	ruleDrain      Rule = "drains"       // nothing goes to what drains or is gone, past the grace
-	ruleWait       Rule = "waits"        // a wait told is heeded
-	ruleColdReturn Rule = "cold returns" // what has come back is not pushed over
-	ruleAttempts   Rule = "attempts"     // no message has more than are allowed
-	ruleOrder      Rule = "orders"       // what a relay orders makes sense
+	ruleOneEnd     Rule = "one end"      // each submission ends exactly once at its relay
+	ruleOneCopy    Rule = "one copy"     // a message has at most one call in flight
+	ruleRepeat     Rule = "repeats"      // only idempotent messages are retried, within their window
+	ruleEffects    Rule = "effects"      // nothing but safe messages takes effect twice
+	ruleDrain      Rule = "drains"       // no call to a draining or removed endpoint past the grace
+	ruleWait       Rule = "waits"        // Retry-After is obeyed
+	ruleColdReturn Rule = "cold returns" // no cold endpoint collapses under load
+	ruleAttempts   Rule = "attempts"     // no submission has more than World.MaxAttempts calls
+	ruleOrder      Rule = "orders"       // actions name known messages and endpoints
 )
 
-// Rules are all of them.
+// Rules are all rules.
 var Rules = []Rule{ruleOneEnd, ruleOneCopy, ruleRepeat, ruleEffects, ruleDrain, ruleWait, ruleColdReturn, ruleAttempts, ruleOrder}
 
-// Violation is where a rule was broken.
+// Violation is one case in which a rule was violated.
 type Violation struct {
 	Rule    Rule
 	At      time.Duration // since the start
@@ -39,14 +39,14 @@
 	return fmt.Sprintf("%v: rule %q: relay %d, message %d %s", b.At, b.Rule, b.Relay, b.Message, b.Text)
 }
 
-// Checker holds a policy to the rules, from what it orders and what it was told: it shares nothing with any policy.
+// Checker reports violations, from what policies order and what they were notified of. It shares no state or code with any policy.
 type Checker struct {
 	Counts  map[Rule]int
-	Samples []Violation // the first ones
+	Samples []Violation // the first 50
 
 	run             *Run
-	retryAfterUntil map[[2]int32]time.Duration // waits told, by relay and endpoint
-	drainingSince   map[[2]int32]time.Duration // when a relay heard that an endpoint drains or is gone
+	retryAfterUntil map[[2]int32]time.Duration // end of Retry-After, by relay and endpoint
+	drainingSince   map[[2]int32]time.Duration // when a relay was notified that an endpoint drains or is removed, by relay and endpoint
 }
 
 func (k *Checker) report(rule Rule, relay, msg int32, text string) {
@@ -58,10 +58,7 @@
 	}
 }
 
-// Broken tells whether any rule was.
-func (k *Checker) Broken() bool { return len(k.Samples) > 0 }
-
-// observeEvent is what a relay is told, in the turn in which it is.
+// observeEvent records what a relay is notified of, in the turn in which it is.
 func (k *Checker) observeEvent(relay int32, ev *control.Event) {
 	switch {
 	case ev.Kind == control.Resolved && ev.Result == control.Throttled && ev.RetryAfter > 0:
@@ -107,7 +104,7 @@
 	}
 }
 
-// checkFinish is a relay's end of a message; false: it was none.
+// checkFinish checks that a submission may finish now, and marks it as finished; false: it may not.
 func (k *Checker) checkFinish(relay int32, a *control.Action, t *submission) bool {
 	if t.finished || t.relay != relay {
 		k.report(ruleOneEnd, relay, t.message, "has a second end")
@@ -127,7 +124,7 @@
 	t.finished = true
 }
 
-// checkAllFinished looks for messages without an end, where all should be over.
+// checkAllFinished reports submissions that never finished, once the run is over.
 func (k *Checker) checkAllFinished() {
 	for i := range k.run.submissions {
 		t := &k.run.submissions[i]
--- a/internal/relay/simulator/client.go
+++ b/internal/relay/simulator/client.go
@@ -6,7 +6,7 @@
 	"mastusher/control"
 )
 
-// submit has a client hand a message in at a relay, or at the next one that is up.
+// submit submits message m to relay at, or to the next one that is up.
 func (r *Run) submit(m, at int32) {
 	msg := &r.messages[m]
 	if msg.finished {
@@ -35,7 +35,7 @@
 	r.notify(at, ev)
 }
 
-// resubmit has the client come again, or give up.
+// resubmit schedules the next submission after relay at refused with a Retry-After of told, or abandons the message.
 func (r *Run) resubmit(m, at int32, told time.Duration) {
 	msg, c := &r.messages[m], &r.World.Clients
 	if int(msg.submissions) >= c.MaxAttempts {
@@ -54,7 +54,7 @@
 	r.queue.push(r.now+max(wait, time.Millisecond), eventSubmission, m, (at+1)%int32(len(r.relays)))
 }
 
-// finishSubmission is a relay's end of a message that it did not deliver.
+// finishSubmission handles a relay's Refuse or Fail: the client resubmits what was refused.
 func (r *Run) finishSubmission(i int32, a *control.Action) {
 	if a.ID == 0 || a.ID > uint64(len(r.submissions)) {
 		return
@@ -71,7 +71,7 @@
 	r.resubmit(t.message, i, a.For)
 }
 
-// finishMessage is the end of a message, as its client sees it.
+// finishMessage records how message m ended for its client; only the first outcome counts.
 func (r *Run) finishMessage(m int32, how outcome) {
 	msg := &r.messages[m]
 	if msg.finished {
--- a/internal/relay/simulator/endpoint.go
+++ b/internal/relay/simulator/endpoint.go
@@ -8,7 +8,7 @@
 	"mastusher/control"
 )
 
-// endpoint is one endpoint as it truly is.
+// endpoint is the true state of an endpoint, which policies see only by their calls and the list.
 type endpoint struct {
 	partner, group int32
 	zone           int8
@@ -37,7 +37,7 @@
 	return n
 }
 
-// capacity is how many calls an endpoint serves at once: less while it is cold.
+// capacity is how many calls an endpoint serves at once: less during its slow start.
 func (r *Run) capacity(e *endpoint) int {
 	p := &r.World.Partners[e.group]
 	if e.coldSince == 0 || p.WarmUp == 0 {
@@ -51,7 +51,7 @@
 	return max(int(math.Round(float64(p.Workers)*(slowStartShare+(1-slowStartShare)*t))), 1)
 }
 
-// truth is what a TruthObserver is shown.
+// truth is the function that a TruthObserver gets: how many more calls an endpoint takes now, and whether it works.
 func (r *Run) truth(id uint32) (free int, up bool) {
 	if id == 0 || int(id) > len(r.endpoints) {
 		return 0, false
@@ -76,7 +76,7 @@
 	return let
 }
 
-// limit is how many calls a second an endpoint lets in now; 0: any number.
+// limit is the rate limit of an endpoint now, in calls a second; 0: unlimited.
 func (r *Run) limit(e *endpoint) float64 {
 	limit := r.World.Partners[e.group].RateLimit
 	if e.limitFactor > 0 {
@@ -85,7 +85,7 @@
 	return limit
 }
 
-// bucketSize is how many calls an endpoint lets in at once when none has come for a while.
+// bucketSize is the size of an endpoint's token bucket, one call at least.
 func (r *Run) bucketSize(e *endpoint) float64 {
 	return max(r.limit(e)*time.Duration(r.World.Partners[e.group].Burst).Seconds(), 1)
 }
--- a/internal/relay/simulator/event_queue.go
+++ b/internal/relay/simulator/event_queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scheduledEvent is something due at a time. What is due at one time comes in the order in which it was put.
+// scheduledEvent is something due at a virtual time. Events of one time are processed in the order in which they were pushed.
 type scheduledEvent struct {
 	at   time.Duration
 	seq  uint64
@@ -13,24 +13,24 @@
 type eventKind uint8
 
 const (
-	eventArrival       eventKind = iota // message a comes from a client, at relay b
-	eventSubmission                     // message a is handed in at relay b again
-	eventTurn                           // relay a takes its turn
+	eventArrival       eventKind = iota // client submits message a to relay b
+	eventSubmission                     // client resubmits message a to relay b
+	eventTurn                           // relay a takes a turn
 	eventCallArrival                    // call a reaches its endpoint
-	eventServiceDone                    // call a has been served; b: its number in that place
+	eventServiceDone                    // endpoint completes call a of generation b
 	eventResponse                       // the answer to call a reaches its relay
-	eventCallTimeout                    // call a has lasted as long as it may; b: its number in that place
-	eventFault                          // trouble a begins (b 1) or ends (b 0)
-	eventListUpdate                     // relay b hears of change a of the list
-	eventOverloadCheck                  // endpoint a is looked at, whether it falls
+	eventCallTimeout                    // call a of generation b times out
+	eventFault                          // fault a begins (b 1) or ends (b 0)
+	eventListUpdate                     // relay b is notified of change a of the endpoint list
+	eventOverloadCheck                  // overload window of endpoint a has passed
 	eventNextMessage                    // the next message is drawn
-	eventOverloadEnd                    // endpoint a comes back after a fall
-	eventQuotaPing                      // relay a says what it needs
-	eventQuotaRequest                   // post a comes to whoever leads
-	eventQuotaGrant                     // post a, an answer, comes to its relay
+	eventOverloadEnd                    // endpoint a comes back after a collapse
+	eventQuotaPing                      // relay a sends its demands to the leader
+	eventQuotaRequest                   // envelope a reaches the leader
+	eventQuotaGrant                     // envelope a, a grant, reaches its relay
 )
 
-// queue is a heap of four children a node, which is flatter than one of two.
+// queue is a 4-ary min-heap, which is shallower than a binary one.
 type queue struct {
 	items []scheduledEvent
 	seq   uint64
--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment plays worlds under several policies, seeds and values of a parameter, on all cores, and keeps what
-// comes of it in versioned files.
+// Package experiment runs worlds of package simulator under several policies, seeds and values of a swept key, several runs at once,
+// and stores the results in versioned CBOR files. cmd/relay-simulator calls it. Run owns its worker goroutines and returns after
+// they have ended; nothing else in the package is concurrent.
 package experiment
 
 import (
@@ -19,23 +20,23 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// Experiment is what is to be played: every policy, with every seed, at every value of the sweep.
+// Experiment is a set of runs: every policy, with every seed, at every value of the sweep.
 type Experiment struct {
 	Name        string          `toml:"name"`
 	Policies    []string        `toml:"policies"`
 	Seeds       []uint64        `toml:"seeds"`
-	MeasureHeap bool            `toml:"memory"` // measure what runs hold; then they are played one by one
+	MeasureHeap bool            `toml:"memory"` // measure the heap that each run holds; the runs then go one by one
 	Sweep       Sweep           `toml:"sweep"`
 	World       simulator.World `toml:"world"`
 }
 
-// Sweep is a key of the world that takes several values.
+// Sweep names a key of the world and the values that it takes in turn.
 type Sweep struct {
 	Key    string    `toml:"key"`
 	Values []float64 `toml:"values"`
 }
 
-// sweepKeys are those that a sweep can set.
+// sweepKeys set the keys that a sweep may name.
 var sweepKeys = map[string]func(*simulator.World, float64){
 	"rate":          func(w *simulator.World, v float64) { w.Rate = v },
 	"relays":        func(w *simulator.World, v float64) { w.Relays = int(v) },
@@ -70,7 +71,7 @@
 	}
 }
 
-// SweepKeys are those that a sweep can set, sorted.
+// SweepKeys returns the keys that a sweep may name, sorted.
 func SweepKeys() (all []string) {
 	for k := range sweepKeys {
 		all = append(all, k)
@@ -79,7 +80,7 @@
 	return all
 }
 
-// Policies are the names of all policies, sorted.
+// Policies returns the names of all policies, sorted.
 func Policies() (all []string) {
 	for k := range policy.ByName {
 		all = append(all, k)
@@ -88,7 +89,7 @@
 	return all
 }
 
-// Parse reads an experiment's file. Every error names its key.
+// Parse parses and validates an experiment's file. Each error names its key.
 func Parse(text string) (*Experiment, error) {
 	x := Experiment{Name: "experiment", Policies: []string{"module"}, Seeds: []uint64{1}, World: simulator.Default()}
 	if err := simulator.Decode(text, &x); err != nil {
@@ -126,7 +127,7 @@
 	Result     *simulator.Result `cbor:"Result"`
 }
 
-// Results are what an experiment has come to. The file is CBOR: a version, and then this.
+// Results are the results of an experiment. Their file is CBOR under the keys of the tags, which must stay as they are.
 type Results struct {
 	Version  int    `cbor:"Version"`
 	Name     string `cbor:"Name"`
@@ -135,37 +136,25 @@
 	Cells    []Cell `cbor:"Cells"`
 }
 
-// Version changes when older readers can't read a file.
+// Version is that of the files that this program writes and reads. It must change when older readers can't read a file.
 const Version = 1
 
-// Run plays all of it on so many cores, and tells after each run how many are done, of how many. The results stand in the
-// same order whatever the number of cores.
+// Run plays all runs, cores of them at once, and calls progress (which may be nil) after each one, never concurrently. The cells have
+// the same order and contents whatever cores is. After an error it starts no further run.
 func (x *Experiment) Run(cores int, progress func(done, of int)) (*Results, error) {
-	values := x.Sweep.Values
-	if len(values) == 0 {
-		values = []float64{0}
-	}
-	var text strings.Builder
-	if err := toml.NewEncoder(&text).Encode(x.World); err != nil {
+	res, err := x.newResults()
+	if err != nil {
 		return nil, err
 	}
-	res := &Results{Version: Version, Name: x.Name, SweepKey: x.Sweep.Key, World: text.String()}
-	for _, v := range values {
-		for _, p := range x.Policies {
-			for _, s := range x.Seeds {
-				res.Cells = append(res.Cells, Cell{SweepValue: v, Policy: p, Seed: s})
-			}
-		}
-	}
-	var mu sync.Mutex
-	var all sync.WaitGroup
+	var mu sync.Mutex // guards next, done and failed, and serializes progress
+	var workers sync.WaitGroup
 	next, done := 0, 0
 	var failed error
 	if x.MeasureHeap {
 		cores = 1
 	}
 	for range max(min(cores, len(res.Cells)), 1) {
-		all.Go(func() {
+		workers.Go(func() {
 			for {
 				mu.Lock()
 				i := next
@@ -175,10 +164,10 @@
 				if stop {
 					return
 				}
-				err := x.play(&res.Cells[i])
+				runErr := x.runCell(&res.Cells[i])
 				mu.Lock()
-				if err != nil && failed == nil {
-					failed = err
+				if runErr != nil && failed == nil {
+					failed = runErr
 				}
 				if done++; progress != nil {
 					progress(done, len(res.Cells))
@@ -187,11 +176,33 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	return res, failed
 }
 
-func (x *Experiment) play(c *Cell) error {
+// newResults returns results with a cell for each run, not yet filled in.
+func (x *Experiment) newResults() (*Results, error) {
+	values := x.Sweep.Values
+	if len(values) == 0 {
+		values = []float64{0}
+	}
+	var text strings.Builder
+	if err := toml.NewEncoder(&text).Encode(x.World); err != nil {
+		return nil, err
+	}
+	res := &Results{Version: Version, Name: x.Name, SweepKey: x.Sweep.Key, World: text.String()}
+	for _, v := range values {
+		for _, p := range x.Policies {
+			for _, s := range x.Seeds {
+				res.Cells = append(res.Cells, Cell{SweepValue: v, Policy: p, Seed: s})
+			}
+		}
+	}
+	return res, nil
+}
+
+// runCell plays the run of a cell and fills in its result.
+func (x *Experiment) runCell(c *Cell) error {
 	w := x.World
 	w.Partners, w.Classes, w.Faults = slices.Clone(w.Partners), slices.Clone(w.Classes), slices.Clone(w.Faults)
 	if w.Seed = c.Seed; x.Sweep.Key != "" {
@@ -213,7 +224,7 @@
 	return err
 }
 
-// Play plays one world under a policy.
+// Play runs one world under the policy of a name; an unknown name is an error.
 func Play(w *simulator.World, name string) (*simulator.Result, error) {
 	res, _, err := play(w, name)
 	return res, err
@@ -237,7 +248,7 @@
 	return res, r, nil
 }
 
-// heapInUse is what the process holds now, after a collection.
+// heapInUse is the bytes of live heap objects, after a collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -245,7 +256,7 @@
 	return m.HeapAlloc
 }
 
-// Save writes results to a file.
+// Save writes the results to a file, which Load reads.
 func (r *Results) Save(file string) error {
 	b, err := cbor.Marshal(r)
 	if err != nil {
@@ -254,7 +265,7 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-// Load reads results from a file.
+// Load reads a file that Save wrote; a file of another Version is an error.
 func Load(file string) (*Results, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/relay/simulator/experiment/experiment_test.go
+++ b/internal/relay/simulator/experiment/experiment_test.go
@@ -32,8 +32,8 @@
 for = "1s"
 `
 
-// TestResults: an experiment's results come back from their file as they were, and make a page with all its plots.
-func TestResults(t *testing.T) {
+// An experiment's results come back from their file as they were, and make a page with all its plots.
+func TestResults_SavedAndLoaded_AreEqualAndMakePage(t *testing.T) {
 	x, err := experiment.Parse(text)
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestKeys: an error names its key.
-func TestKeys(t *testing.T) {
+// An error names its key.
+func TestParse_BadValue_ErrorNamesKey(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{`"single"`, `"lucky"`}:          "key policies",
 		{`key = "rate"`, `key = "luck"`}: "key sweep.key",
--- a/internal/relay/simulator/fleet_stats.go
+++ b/internal/relay/simulator/fleet_stats.go
@@ -8,17 +8,17 @@
 	"mastusher/control"
 )
 
-// FleetStats is what all relays did together, beside what the endpoints allowed.
+// FleetStats measures what all relays did together against what the endpoints allowed.
 type FleetStats struct {
 	PeakSenderShare       float64 `cbor:"InStep"`  // largest share of the relays that sent in the same turn
 	PeakOverload          float64 `cbor:"Over"`    // most calls that came to an endpoint in a second, over what it allowed then; cold ones allow less
 	ThrottledPerMessage   float64 `cbor:"Wasted"`  // calls turned away a message
-	RecoverySeconds       float64 `cbor:"Regain"`  // s from a trouble's end until deliveries reach 90 % of what comes, the longest; -1: never
+	RecoverySeconds       float64 `cbor:"Regain"`  // s from a fault's end until deliveries reach 90 % of what comes, the longest; -1: never
 	SharingBytesPerSecond float64 `cbor:"Shared"`  // bytes a second that a relay which does not lead sends and gets to share limits
 	Unfairness            float64 `cbor:"Unequal"` // 1 less Jain's index over the relays' shares delivered; 0: all alike
 }
 
-// fleetCounter counts for that while a world is played.
+// fleetCounter counts for FleetStats during a run.
 type fleetCounter struct {
 	turn                              time.Duration
 	senders, maxSenders               int       // relays that sent in the turn, and in the fullest
@@ -26,7 +26,7 @@
 	messagesByRelay, deliveredByRelay []float64 // by relay
 }
 
-// recordTurn takes a relay's turn.
+// recordTurn counts relays that send in the same turn.
 func (f *fleetCounter) recordTurn(r *Run, acts []control.Action) {
 	if f.turn != r.now {
 		f.turn, f.senders = r.now, 0
@@ -37,7 +37,7 @@
 	}
 }
 
-// grow lengthens list to hold place i.
+// grow extends list with zero values so that it has index i.
 func grow[T any](list []T, i int) []T {
 	for len(list) <= i {
 		var zero T
@@ -46,7 +46,7 @@
 	return list
 }
 
-// recordCall counts a call that has come to an endpoint.
+// recordCall counts a call that reached an endpoint, beside what the endpoint allowed in that second.
 func (f *fleetCounter) recordCall(r *Run, e *endpoint) {
 	limit := r.limit(e)
 	if limit == 0 {
@@ -61,7 +61,7 @@
 	e.allowedBySecond[sec] = max(e.allowedBySecond[sec], limit)
 }
 
-// recordOutcome counts a message's end.
+// recordOutcome counts an outcome by second and by first relay.
 func (f *fleetCounter) recordOutcome(r *Run, m *message, how outcome) {
 	n := len(r.relays)
 	f.messagesByRelay, f.deliveredByRelay = grow(f.messagesByRelay, n-1), grow(f.deliveredByRelay, n-1)
@@ -74,7 +74,7 @@
 	}
 }
 
-// result is what has been counted, with the calls turned away in all.
+// result sums up, given how many calls were throttled in all.
 func (f *fleetCounter) result(r *Run, turned int) FleetStats {
 	res := FleetStats{PeakSenderShare: float64(f.maxSenders) / float64(len(r.relays)), ThrottledPerMessage: float64(turned) / float64(max(len(r.messages), 1))}
 	for i := range r.endpoints {
--- a/internal/relay/simulator/fleet_stats_test.go
+++ b/internal/relay/simulator/fleet_stats_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// greedy takes the whole of a reported limit for its own part.
+// greedy takes a reported limit, which is for all relays, for its own share.
 type greedy struct{ simulator.Policy }
 
 func (g greedy) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
@@ -37,11 +37,11 @@
 	return &w
 }
 
-// TestFleet: what eighty relays do together stays near what the endpoints allow, no rule is broken but, twice at
+// What eighty relays do together stays near what the endpoints allow, no rule is broken but, twice at
 // most, that on cold returns, and the fleet uses what it may again soon. Relays that take the whole limit for their own, or that all draw the same chances, are told apart.
-func TestFleet(t *testing.T) {
+func TestFleetStats_EightyRelays_StayNearWhatEndpointsAllow(t *testing.T) {
 	t.Parallel()
-	for name, most := range map[string]simulator.FleetStats{
+	for name, bound := range map[string]simulator.FleetStats{
 		"release": {PeakSenderShare: 0.3, PeakOverload: 3, ThrottledPerMessage: 0.12, RecoverySeconds: 3, Unfairness: 0.02},
 		"zone":    {PeakSenderShare: 0.2, PeakOverload: 4, ThrottledPerMessage: 0.15, RecoverySeconds: 3, Unfairness: 0.02},
 		"lowered": {PeakSenderShare: 0.2, PeakOverload: 4, ThrottledPerMessage: 0.12, RecoverySeconds: 3, Unfairness: 0.02},
@@ -64,15 +64,15 @@
 					t.Errorf("rule %q broken %d times: %v", rule, n, res.ViolationSamples)
 				}
 			}
-			if f.PeakSenderShare > most.PeakSenderShare || f.PeakOverload > most.PeakOverload || f.ThrottledPerMessage > most.ThrottledPerMessage || f.RecoverySeconds < 0 || f.RecoverySeconds > most.RecoverySeconds || f.Unfairness > most.Unfairness {
-				t.Errorf("worth %.3f, %+v; want %+v at most", res.Value, f, most)
+			if f.PeakSenderShare > bound.PeakSenderShare || f.PeakOverload > bound.PeakOverload || f.ThrottledPerMessage > bound.ThrottledPerMessage || f.RecoverySeconds < 0 || f.RecoverySeconds > bound.RecoverySeconds || f.Unfairness > bound.Unfairness {
+				t.Errorf("worth %.3f, %+v; want %+v at most", res.Value, f, bound)
 			}
-			whole := play(func(set control.Settings, seed uint64) (simulator.Policy, error) {
+			unshared := play(func(set control.Settings, seed uint64) (simulator.Policy, error) {
 				p, err := policy.ByName["module"](set, seed)
 				return greedy{p}, err
 			}).Fleet
-			if whole.ThrottledPerMessage < 1.3*f.ThrottledPerMessage {
-				t.Errorf("relays that take the whole limit for their own waste %.3f calls a message, others %.3f: not told apart", whole.ThrottledPerMessage, f.ThrottledPerMessage)
+			if unshared.ThrottledPerMessage < 1.3*f.ThrottledPerMessage {
+				t.Errorf("relays that take the whole limit for their own waste %.3f calls a message, others %.3f: not told apart", unshared.ThrottledPerMessage, f.ThrottledPerMessage)
 			}
 			alike := play(func(set control.Settings, _ uint64) (simulator.Policy, error) { return policy.ByName["module"](set, 1) }).Fleet
 			if name == "release" && alike.PeakSenderShare < 2*f.PeakSenderShare {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestShared: with uneven traffic relays that share limits deliver what equal parts refuse, stay within the limits, and cost nothing at
+// With uneven traffic relays that share limits deliver what equal parts refuse, stay within the limits, and cost nothing at
 // three; also while half of them hear nothing, and when most are killed.
-func TestShared(t *testing.T) {
+func TestSharing_UnevenTraffic_DeliversMoreWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
--- a/internal/relay/simulator/fullrelay/fullrelay.go
+++ b/internal/relay/simulator/fullrelay/fullrelay.go
@@ -1,5 +1,6 @@
-// Package fullrelay puts a whole relay core into the lab: the core that serve runs, in virtual time, with a journal in memory
-// that outlasts a crash. Only sockets, fronts and the disk are the lab's.
+// Package fullrelay runs a complete relay core as a policy of package simulator: the engine.Core that `mastusher serve` runs, in virtual
+// time, with a journal in memory that outlasts a crash. Only sockets, front and disk are the simulator's: Core is the engine's Shell and
+// turns its calls and notices into actions. A Core is used by one simulator's goroutine.
 package fullrelay
 
 import (
@@ -18,19 +19,19 @@
 	"mastusher/internal/relay/wire"
 )
 
-// New makes a relay's core.
+// New returns a relay's core with an empty journal; it never fails.
 func New(set control.Settings, seed uint64) (simulator.Policy, error) {
 	return &Core{settings: set, seed: seed, journal: &journal.Memory{}, notified: map[uint64]bool{}}, nil
 }
 
-// Core is a relay's core as a policy of the lab.
+// Core is a relay's core as a simulator.Policy.
 type Core struct {
 	settings control.Settings
 	seed     uint64
 	journal  *journal.Memory
-	notified map[uint64]bool // ends that clients were told; they outlast a crash, as the clients do
+	notified map[uint64]bool // submissions whose end clients were notified of; outlasts a crash, as the clients do
 
-	core           *engine.Core // nil: it has not begun
+	core           *engine.Core // nil: not started yet
 	now            time.Duration
 	actions        []control.Action
 	calls          map[uint64]func([]engine.Outcome)
@@ -50,7 +51,7 @@
 	}
 }
 
-// Pending tells whether the journal holds a message that was handed in as a ticket.
+// Pending reports whether the journal holds the message of a submission.
 func (p *Core) Pending(ticket uint64) bool {
 	id := strconv.FormatUint(ticket, 10)
 	for _, e := range p.journal.Entries() {
@@ -61,7 +62,7 @@
 	return false
 }
 
-// startCore starts the core: it takes up again what the journal holds.
+// startCore starts the core, which recovers what the journal holds.
 func (p *Core) startCore() {
 	cfg := &config.Config{Seed: p.seed, Settings: wire.Settings{Settings: p.settings}}
 	for i := range 64 {
@@ -75,7 +76,7 @@
 		NoticeRetryMax: 4 * time.Second, WatchRetry: 500 * time.Millisecond, Round: turnInterval}
 	core, err := engine.New(cfg, p.journal, slog.New(slog.NewTextHandler(io.Discard, nil)), p.wallTime(p.now))
 	if err != nil {
-		panic(err) // the lab's settings have passed its own checks
+		panic(err) // the simulator's settings have been validated
 	}
 	p.core, p.calls = core, map[uint64]func([]engine.Outcome){}
 	core.SetShell(p)
@@ -90,7 +91,7 @@
 
 func (p *Core) wallTime(t time.Duration) time.Time { return epoch.Add(t) }
 
-// Step hands the core what has happened, lets it take its turn, and returns what it did.
+// Step passes the events to the core, lets it take its turn, and returns its calls and answers as actions.
 func (p *Core) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
 	p.now, p.actions = now, out
 	if p.core == nil {
@@ -132,7 +133,7 @@
 				p.actions = append(p.actions, control.Action{Kind: control.Fail, ID: h.id})
 			}
 		default:
-			panic("lab: the core has not answered in the turn of an arrival")
+			panic("simulator: the core has not answered in the turn of an arrival")
 		}
 	}
 	wake := p.core.IdleFor(p.wallTime(now))
@@ -155,7 +156,7 @@
 	p.listChanged(pool)
 }
 
-// Call has the lab make a call.
+// Call appends a Send; done is called when the simulator resolves it, and the function returned cancels it.
 func (p *Core) Call(_ engine.Front, s *engine.Attempt, until time.Time, done func([]engine.Outcome)) func() {
 	id, _ := strconv.ParseUint(s.Items[0].ID, 10, 64)
 	endpoint, _ := strconv.ParseUint(s.To.Name[1:], 10, 32)
@@ -169,7 +170,7 @@
 	}
 }
 
-// Notify tells the lab's clients how messages have ended. What they were told before a crash they take without a word.
+// Notify appends how messages ended. A duplicate notice, after a crash, is acknowledged and dropped.
 func (p *Core) Notify(_ engine.Front, notices []engine.Notice, _ time.Time, done func([]bool)) func() {
 	taken := make([]bool, len(notices))
 	for i, n := range notices {
@@ -190,13 +191,13 @@
 	return func() {}
 }
 
-// Watch has the lab tell of its list.
+// Watch has later Listed events passed to changed.
 func (p *Core) Watch(_ engine.Front, _ int64, changed func(engine.EndpointList), _ func(error)) func() {
 	p.listChanged = changed
 	return func() {}
 }
 
-// noopFront is a front without sockets: the shell does all of its work.
+// noopFront is a front without sockets: Core does all of its work.
 type noopFront struct{}
 
 func (noopFront) Call(context.Context, *engine.Attempt) []engine.Outcome        { return nil }
--- a/internal/relay/simulator/list.go
+++ b/internal/relay/simulator/list.go
@@ -6,7 +6,7 @@
 	"mastusher/control"
 )
 
-// addReplacement puts another endpoint beside one that goes.
+// addReplacement lists a new, cold endpoint of the same partner beside one that leaves.
 func (r *Run) addReplacement(n int32) {
 	old := r.endpoints[n]
 	e := r.newEndpoint(old.partner, old.group)
@@ -14,7 +14,7 @@
 	r.updateList(e, control.Ready)
 }
 
-// updateList changes the list, of which relays hear later.
+// updateList changes the endpoint list; each relay is notified after a delay of its own.
 func (r *Run) updateList(n int32, s control.State) {
 	r.endpoints[n].listed = s
 	r.listUpdates = append(r.listUpdates, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{r.listedEndpoint(n, s)}})
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -1,5 +1,8 @@
-// Package loadtest plays loads on a relay over loopback: stand-in partners whose manners change while it runs, discovery,
-// clients, and the relay as a process that can be killed. All of it is bounded in time and count.
+// Package loadtest drives a real relay process over loopback, open loop: stand-in partners whose behavior changes during the run,
+// discovery, clients, and the relay as a process that can be killed and restarted. cmd/relay-simulator's load and demo call it.
+//
+// A LoadTest owns the relay process and the stand-ins from New until Close, which must be called. Play owns its goroutines, and
+// returns after they have ended; steps run on one of them.
 package loadtest
 
 import (
@@ -23,54 +26,54 @@
 	"mastusher/internal/relay/standin"
 )
 
-// Behavior are how a stand-in endpoint takes calls.
+// Behavior is how a stand-in endpoint answers calls.
 type Behavior struct {
-	ServiceTime time.Duration // for a call
-	Hangs       bool          // nothing is answered as long as it lasts
-	RetryAfter  time.Duration // calls are turned away with this wait; 0: they are not
+	ServiceTime time.Duration // of a call
+	Hangs       bool          // calls are not answered while this is set
+	RetryAfter  time.Duration // calls are throttled with this Retry-After; 0: they are not
 }
 
-// Plan is a load and what happens meanwhile.
+// Plan configures a load test: the load, and the steps meanwhile.
 type Plan struct {
 	Partners    int
 	Rate        float64 // messages a second
 	Length      time.Duration
-	MaxMessages int // messages in all
+	MaxMessages int // bound on all messages
 	Seed        uint64
 	Class       string
 	Timeout     time.Duration
-	Behavior    Behavior // to begin with
+	Behavior    Behavior // of all endpoints at first
 	Steps       []Step
 }
 
-// Step is something that happens at a time.
+// Step is a change of the environment at a time.
 type Step struct {
 	At   time.Duration
 	Text string
 	Do   func(*LoadTest)
 }
 
-// Event is something that befell a message.
+// Event is something that happened, at a time since the start.
 type Event struct {
 	At   time.Duration
 	What string
 }
 
-// MessageTrace is all that is known of a message.
+// MessageTrace is everything that is known of a message.
 type MessageTrace struct {
 	ID            string
 	Partner       int
 	Events        []Event
-	Status        int // of the relay's answer; 0: there was none
-	Executions    int // calls that took effect: a partner drops a key that it has had within the window
+	Status        int // of the relay's last answer; 0: none
+	Executions    int // calls that took effect: a partner drops a duplicate key within the window
 	firstExecuted time.Time
 	Calls         int
-	Notice        string // told to its client; "": none
+	Notice        string // that its client got; "": none
 	Outcome       string
-	Unusual       bool // worth a look
+	Unusual       bool // not delivered by a single call
 }
 
-// LoadTest is a load that runs.
+// LoadTest is a running load test.
 type LoadTest struct {
 	plan       Plan
 	dir        string
@@ -86,12 +89,12 @@
 	mu            sync.Mutex
 	traces        map[string]*MessageTrace
 	order         []string
-	Timeline      []Event // scenes and what became of them
+	Timeline      []Event // steps, when they were run
 	AcceptLatency *hdrhistogram.Histogram
 	done          chan struct{}
 }
 
-// New sets a stage: the relay's program is started with stand-ins around it, in a folder of its own.
+// New starts the stand-ins and the relay's program, with its state, configuration and log in dir. On an error nothing is left running.
 func New(plan Plan, relay, dir string) (*LoadTest, error) {
 	s := &LoadTest{plan: plan, dir: dir, relay: relay, traces: map[string]*MessageTrace{}, AcceptLatency: hdrhistogram.New(1000, 120e9, 3), done: make(chan struct{}),
 		behaviors: make([]atomic.Pointer[Behavior], plan.Partners+8)}
@@ -122,6 +125,8 @@
 	return s, nil
 }
 
+const relayLog = "relay.log" // in the folder of the load test
+
 const dedupWindow = 4 * time.Second // as in the settings
 
 const settings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "localities": ["a"], "machine_types": ["news-groups"],
@@ -131,9 +136,9 @@
     {"name": "score-state", "effect": "pure", "aim": 2000000, "deadline": 24000000, "worth": 3}],
   "rules": {"cold": 14000000, "drain_grace": 250000, "fall": 2000000, "overload_factor": 2, "start_capacity": 0.21}}`
 
-// Start starts the relay, and waits until it serves.
+// Start starts the relay and waits until it serves; an error holds its log.
 func (s *LoadTest) Start() error {
-	log, err := os.OpenFile(filepath.Join(s.dir, "relay.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(s.dir, relayLog), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -146,28 +151,28 @@
 	if standin.Up(context.Background(), s.addr) {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(s.dir, "relay.log"))
+	text, _ := os.ReadFile(filepath.Join(s.dir, relayLog))
 	return fmt.Errorf("the relay does not come up; its log: %s", text)
 }
 
-// Kill ends the relay at once, as a crash would.
+// Kill kills the relay (SIGKILL) and waits for its end.
 func (s *LoadTest) Kill() {
 	_ = s.cmd.Process.Kill()
 	_ = s.cmd.Wait()
 }
 
-// SetBehavior gives an endpoint other manners.
+// SetBehavior changes how an endpoint answers from now on.
 func (s *LoadTest) SetBehavior(endpoint int, m Behavior) { s.behaviors[endpoint].Store(&m) }
 
-// Behavior are an endpoint's manners.
+// Behavior returns how an endpoint answers now.
 func (s *LoadTest) Behavior(endpoint int) Behavior { return *s.behaviors[endpoint].Load() }
 
-// List tells discovery's watchers that an endpoint has another status, for a partner.
+// List has discovery announce a status of an endpoint, for a partner.
 func (s *LoadTest) List(endpoint, partner int, status string) {
 	s.discovery.Tell(s.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
 }
 
-// answer is what a stand-in endpoint says to a call.
+// answer is how a stand-in endpoint answers a call.
 func (s *LoadTest) answer(a standin.Arrival) httpwire.Answer {
 	m := s.Behavior(a.Endpoint)
 	name := "s-" + strconv.Itoa(a.Endpoint)
@@ -212,15 +217,15 @@
 	do(t)
 }
 
-// Play hands in messages at times drawn beforehand, whatever the relay does: what it delays counts in full, from the time
-// at which the message was due. Progress is told once a second.
+// Play submits messages at random times whatever the relay does (open loop), so that a delay of the relay counts in full from the time at
+// which the message was due. It calls progress, which may be nil, once a second, and returns a trace for each message in order.
 func (s *LoadTest) Play(progress func(at time.Duration, sent, answered int)) []*MessageTrace {
 	client := standin.NewClient(s.addr)
 	defer client.Close()
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 5))
 	s.start = time.Now().Add(20 * time.Millisecond)
-	var all, scenes sync.WaitGroup
-	scenes.Go(func() {
+	var submissions, steps sync.WaitGroup
+	steps.Go(func() {
 		for _, sc := range s.plan.Steps {
 			time.Sleep(time.Until(s.start.Add(sc.At)))
 			s.mu.Lock()
@@ -243,7 +248,7 @@
 		s.traces[m.ID] = &MessageTrace{ID: m.ID, Partner: m.Partner}
 		s.order = append(s.order, m.ID)
 		s.mu.Unlock()
-		all.Go(func() {
+		submissions.Go(func() {
 			s.submit(client, m, at)
 			answered.Add(1)
 		})
@@ -252,17 +257,17 @@
 			progress(time.Since(s.start), n+1, int(answered.Load()))
 		}
 	}
-	all.Wait()
-	scenes.Wait()
+	submissions.Wait()
+	steps.Wait()
 	s.awaitOutcomes()
 	return s.classify()
 }
 
-// submit hands a message in, and again where it was refused or nobody answered, as long as it has time.
+// submit submits a message, and resubmits it when it is refused or not answered, until its deadline.
 func (s *LoadTest) submit(client *standin.Client, m *standin.Message, at time.Time) {
 	until := at.Add(m.Timeout)
-	for try := 0; ; try++ {
-		if m.Timeout = time.Until(until); m.Timeout < 100*time.Millisecond || try > 20 {
+	for attempt := 0; ; attempt++ {
+		if m.Timeout = time.Until(until); m.Timeout < 100*time.Millisecond || attempt > 20 {
 			s.record(m.ID, "its client gives up", func(*MessageTrace) {})
 			return
 		}
@@ -282,9 +287,10 @@
 	}
 }
 
+// answers names the relay's answers in traces, by status; 0: none.
 var answers = map[int]string{0: "no answer", 202: "taken on", 503: "busy", 410: "given up"}
 
-// awaitOutcomes waits until each message that was taken on has its end, or its time is up.
+// awaitOutcomes waits until each accepted message has an outcome or is past its deadline.
 func (s *LoadTest) awaitOutcomes() {
 	until := time.Now().Add(s.plan.Timeout + 2*time.Second)
 	for time.Now().Before(until) {
@@ -302,7 +308,7 @@
 	}
 }
 
-// classify gives each message its end.
+// classify sets the outcome of each message.
 func (s *LoadTest) classify() (all []*MessageTrace) {
 	notices, _ := s.discovery.Notices()
 	s.mu.Lock()
@@ -330,7 +336,7 @@
 	return all
 }
 
-// Close ends the relay, with time to drain, and the stand-ins.
+// Close terminates the relay (SIGTERM, SIGKILL after 20 s) and closes the stand-ins.
 func (s *LoadTest) Close() {
 	select {
 	case <-s.done:
--- a/internal/relay/simulator/mutant_test.go
+++ b/internal/relay/simulator/mutant_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// mutant breaks one rule: it alters what a policy is told or orders.
+// mutant breaks one rule: it alters what a policy is seen or orders.
 type mutant struct {
 	simulator.Policy
 	events  func(now time.Duration, events []control.Event) []control.Event
@@ -18,11 +18,11 @@
 }
 
 func (m *mutant) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
-	told := append([]control.Event(nil), events...)
+	seen := append([]control.Event(nil), events...)
 	if m.events != nil {
-		told = m.events(now, told)
+		seen = m.events(now, seen)
 	}
-	out = m.Policy.Step(now, told, out)
+	out = m.Policy.Step(now, seen, out)
 	if m.actions != nil {
 		out = m.actions(now, events, out)
 	}
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestMutants checks the checker: a policy that breaks a rule is caught at that rule.
-func TestMutants(t *testing.T) {
+// A policy that breaks a rule is caught at that rule.
+func TestChecker_PolicyThatBreaksRule_IsReported(t *testing.T) {
 	t.Parallel()
-	w := parsed(t, troubled)
+	w := parseWorld(t, faultyWorld)
 	w.Classes = []simulator.Class{{Name: "event", Effect: "keyed", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second), DedupWindow: simulator.Duration(900 * time.Millisecond)},
 		{Name: "order", Effect: "unsafe", Weight: 2, LatencyTarget: simulator.Duration(time.Second), Deadline: simulator.Duration(8 * time.Second)}}
 	w.MaxAttempts = 3
--- a/internal/relay/simulator/overload.go
+++ b/internal/relay/simulator/overload.go
@@ -6,7 +6,7 @@
 	"mastusher/control"
 )
 
-// noteOverload notes that a cold endpoint has more than it can bear: if that lasts it falls over.
+// noteOverload starts the overload window of a cold endpoint that has more calls than overloadMultiple times its capacity.
 func (r *Run) noteOverload(n int32) {
 	e := &r.endpoints[n]
 	capacity := r.capacity(e)
@@ -17,6 +17,7 @@
 	r.queue.push(r.now+overloadWindow, eventOverloadCheck, n, 0)
 }
 
+// checkOverload collapses a cold endpoint that was overloaded for the whole window; it comes back after overloadRecovery.
 func (r *Run) checkOverload(n int32) {
 	e := &r.endpoints[n]
 	if e.overloadedSince == 0 || r.now-e.overloadedSince < overloadWindow || e.coldSince == 0 || e.down > 0 {
@@ -27,7 +28,7 @@
 	r.queue.push(r.now+overloadRecovery, eventOverloadEnd, n, 0)
 }
 
-// takeDown ends what an endpoint serves.
+// takeDown takes an endpoint down: all calls that it serves or has queued are reset.
 func (r *Run) takeDown(n int32) {
 	e := &r.endpoints[n]
 	e.down++
@@ -38,6 +39,7 @@
 	}
 }
 
+// bringUp brings an endpoint back, cold, once no fault keeps it down any longer.
 func (r *Run) bringUp(n int32) {
 	e := &r.endpoints[n]
 	if e.down--; e.down == 0 {
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -1,5 +1,7 @@
-// Package policy holds simple policies to compare the relay's module with. They keep the rules that bind every relay
-// (repeats, waits, drains, attempts), and choose endpoints, time-outs and retries as is usual elsewhere.
+// Package policy holds the policies that package simulator runs, by name: the relay's decision module, the full relay, and simple
+// ones to compare them with. The simple ones keep the rules that bind every relay (idempotency, Retry-After, drains, attempts) and use
+// common techniques otherwise: round robin, least in flight, power of two choices, full-jitter backoff, retry budgets, circuit breakers.
+// Package experiment looks them up. A policy is used by one simulator's goroutine.
 package policy
 
 import (
@@ -14,28 +16,28 @@
 	"mastusher/internal/relay/simulator/fullrelay"
 )
 
-// Selection is how a policy chooses among a destination's endpoints.
+// Selection is how a policy selects among a destination's endpoints.
 type Selection uint8
 
-// The ways to choose.
+// The selections.
 const (
 	RoundRobin    Selection = iota
-	LeastInFlight           // the one with the fewest of its own calls out
-	TwoChoices              // the better of two by chance
-	Oracle                  // the one with the most room, as it truly is
+	LeastInFlight           // the endpoint with the fewest of this relay's calls in flight
+	TwoChoices              // the less loaded of two drawn at random (power of two choices)
+	Oracle                  // the endpoint with the most free capacity, by its true state
 )
 
-// Options make up a policy.
+// Options configure a simple policy.
 type Options struct {
 	Selection       Selection
 	Timeout         time.Duration // of a call
-	MaxAttempts     int           // 1: no retries
-	Backoff         time.Duration // before the first, doubled with each, with full jitter
-	RetryBudget     float64       // retries for each message that comes; 0: without bound
-	BreakerFailures int           // failures in a row that keep an endpoint out for a while; 0: none
+	MaxAttempts     int           // calls for one message, 1 or more; 1: no retries
+	Backoff         time.Duration // bound before the first retry, doubled with each, with full jitter
+	RetryBudget     float64       // retries earned by each message that arrives; 0: unlimited
+	BreakerFailures int           // consecutive failures that block an endpoint for a second; 0: never
 }
 
-// ByName are the policies by name.
+// ByName maps the names of policies to their factories.
 var ByName = map[string]simulator.PolicyFactory{
 	"core":        fullrelay.New,
 	"module":      func(s control.Settings, seed uint64) (simulator.Policy, error) { return control.New(s, seed) },
@@ -49,26 +51,26 @@
 	"oracle":      factory(Options{Selection: Oracle, Timeout: 4 * time.Second, MaxAttempts: 5, Backoff: 50 * time.Millisecond}),
 }
 
-// SharesLimits tells whether the relays under a policy share limits.
+// SharesLimits reports whether the relays under a policy share limits.
 func SharesLimits(name string) bool { return name == "shared" }
 
 func factory(o Options) simulator.PolicyFactory {
 	return func(s control.Settings, seed uint64) (simulator.Policy, error) { return New(o, s, seed) }
 }
 
-// Simple is such a policy.
+// Simple is a policy configured by Options.
 type Simple struct {
 	options       Options
 	settings      control.Settings
 	rng           *rand.Rand
 	now           time.Duration
 	pending       map[uint64]*pendingMessage
-	queue         []*pendingMessage // those that are not out, by when they may go
+	queue         []*pendingMessage // messages that are not in flight, in order of arrival or failure
 	endpoints     map[uint32]*endpoint
 	byDestination map[int][]*endpoint // by destination, by id
 	nextIndex     map[int]int
 	inFlight      int
-	retryTokens   float64 // retries that may be made
+	retryTokens   float64 // of the retry budget
 	truth         func(uint32) (int, bool)
 }
 
@@ -78,24 +80,24 @@
 	class        int
 	deadline     time.Duration
 	attempts     int
-	sentTo       *endpoint // nil: it waits
+	sentTo       *endpoint // nil: not in flight
 	mayHaveRun   bool
 	mayHaveRunAt time.Duration
-	notBefore    time.Duration // not sent before
+	notBefore    time.Duration // end of its backoff
 }
 
 type endpoint struct {
 	id                  uint32
 	state               control.State
 	inFlight            int
-	blockedUntil        time.Duration // not before: a wait, or a breaker
-	consecutiveFailures int           // in a row
+	blockedUntil        time.Duration // by Retry-After, or by the breaker
+	consecutiveFailures int
 }
 
-// New returns a policy.
+// New returns a simple policy; options without a timeout or an attempt are an error.
 func New(o Options, set control.Settings, seed uint64) (*Simple, error) {
 	if o.Timeout <= 0 || o.MaxAttempts < 1 {
-		return nil, fmt.Errorf("policy: time-out %v and %d tries make none", o.Timeout, o.MaxAttempts)
+		return nil, fmt.Errorf("policy: timeout %v and %d attempts make none", o.Timeout, o.MaxAttempts)
 	}
 	return &Simple{options: o, settings: set, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
 		byDestination: map[int][]*endpoint{}, nextIndex: map[int]int{}, retryTokens: 10}, nil
@@ -108,7 +110,7 @@
 	}
 }
 
-// Step decides.
+// Step handles the events in order and sends what may be sent.
 func (p *Simple) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
 	p.now = now
 	for i := range events {
@@ -165,7 +167,7 @@
 	return out
 }
 
-// mayBeSent tells whether a message may still be sent.
+// mayBeSent reports whether a message may still be sent: before its deadline, and again only where that is idempotent.
 func (p *Simple) mayBeSent(m *pendingMessage) bool {
 	c := &p.settings.Classes[m.class]
 	return p.now < m.deadline && (!m.mayHaveRun || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.mayHaveRunAt+c.Memory)
@@ -197,15 +199,15 @@
 	}
 }
 
-// dispatch sends what may go, and asks to be woken for the rest.
+// dispatch sends what may be sent now, and asks to be woken for the rest.
 func (p *Simple) dispatch(out []control.Action) []control.Action {
 	wake := time.Duration(0)
-	by := func(at time.Duration) {
+	wakeBy := func(at time.Duration) {
 		if at > p.now && (wake == 0 || at < wake) {
 			wake = at
 		}
 	}
-	keep := p.queue[:0]
+	queued := p.queue[:0]
 	for _, m := range p.queue {
 		if !p.mayBeSent(m) {
 			out = p.refuse(m, out)
@@ -216,14 +218,14 @@
 			at = p.selectEndpoint(m.destination)
 		}
 		if at == nil {
-			keep = append(keep, m)
-			by(m.notBefore)
-			by(m.deadline)
+			queued = append(queued, m)
+			wakeBy(m.notBefore)
+			wakeBy(m.deadline)
 			for _, e := range p.byDestination[m.destination] {
-				by(e.blockedUntil)
+				wakeBy(e.blockedUntil)
 			}
 			if p.truth != nil {
-				by(p.now + 20*time.Millisecond)
+				wakeBy(p.now + 20*time.Millisecond)
 			}
 			continue
 		}
@@ -234,14 +236,14 @@
 		within := min(p.options.Timeout, m.deadline-p.now)
 		out = append(out, control.Action{Kind: control.Send, ID: m.id, Endpoint: at.id, For: within})
 	}
-	p.queue = keep
+	p.queue = queued
 	if wake != 0 {
 		out = append(out, control.Action{Kind: control.Wake, At: wake})
 	}
 	return out
 }
 
-// selectEndpoint picks an endpoint that may be sent to; nil: there is none.
+// selectEndpoint returns an endpoint that may be sent to; nil: there is none.
 func (p *Simple) selectEndpoint(dest int) *endpoint {
 	var open []*endpoint
 	for _, e := range p.byDestination[dest] {
--- a/internal/relay/simulator/random.go
+++ b/internal/relay/simulator/random.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Random is a small world that a seed draws, with up to three troubles: for runs that look for breaches.
+// Random returns a small world drawn from a seed, with up to three faults, for runs that look for violations.
 func Random(seed uint64) *World {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	span := func(least, most time.Duration) Duration {
--- a/internal/relay/simulator/relay.go
+++ b/internal/relay/simulator/relay.go
@@ -7,7 +7,7 @@
 	"mastusher/control"
 )
 
-// relay is one relay with its policy.
+// relay is one relay with its policy and the events of its next turn.
 type relay struct {
 	policy   Policy
 	events   []control.Event
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// notify hands a relay an event for its next turn, on the grid of turns.
+// notify queues an event for a relay's next turn; a relay that is down misses it.
 func (r *Run) notify(i int32, ev control.Event) {
 	re := &r.relays[i]
 	if re.down {
@@ -48,7 +48,7 @@
 	r.scheduleTurn(i, r.now)
 }
 
-// scheduleTurn has a relay take a turn on the first point of the grid from a time on.
+// scheduleTurn schedules a relay's turn at the first point of the grid after a time.
 func (r *Run) scheduleTurn(i int32, at time.Duration) {
 	re, grid := &r.relays[i], time.Duration(r.World.TurnInterval)
 	at = (max(at, r.now) + grid) / grid * grid
@@ -86,7 +86,7 @@
 	}
 }
 
-// apply does what a relay has decided, and takes it into the hash of all decisions.
+// apply executes an action of relay i, and adds it to the hash of all decisions.
 func (r *Run) apply(i int32, a *control.Action) {
 	b := r.hashBuffer[:]
 	binary.LittleEndian.PutUint64(b, uint64(r.now))
--- a/internal/relay/simulator/report/report.go
+++ b/internal/relay/simulator/report/report.go
@@ -1,4 +1,5 @@
-// Package report draws what experiments have come to, as one page that can be read without a network.
+// Package report draws the results of experiments and load tests as one HTML page each, with SVG charts and no external resources.
+// cmd/relay-simulator calls it. Its functions are safe for concurrent use.
 package report
 
 import (
@@ -24,14 +25,14 @@
 var colors = []color.RGBA{{0x1f, 0x77, 0xb4, 255}, {0xd6, 0x27, 0x28, 255}, {0x2c, 0xa0, 0x2c, 255}, {0xff, 0x7f, 0x0e, 255},
 	{0x94, 0x67, 0xbd, 255}, {0x8c, 0x56, 0x4b, 255}, {0x17, 0xbe, 0xcf, 255}, {0x7f, 0x7f, 0x7f, 255}}
 
-// series is one line of a chart.
+// series is one named line of a chart.
 type series struct {
 	name   string
 	points plotter.XYs
 	dots   bool
 }
 
-// chart draws lines as SVG.
+// chart draws series as SVG.
 func chart(title, x, y string, all []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -75,7 +76,7 @@
 	Charts           []template.HTML
 }
 
-// Write writes the page.
+// Write writes the page of an experiment: a table of its runs, charts against the swept key, and time series of each policy's first run.
 func Write(w io.Writer, res *experiment.Results) error {
 	p := page{Name: res.Name, World: res.World, Key: res.SweepKey}
 	for _, c := range res.Cells {
@@ -87,27 +88,8 @@
 		p.Charts = append(p.Charts, svg)
 		return err
 	}
-	if res.SweepKey != "" {
-		for _, y := range []struct {
-			name  string
-			grows bool
-			of    func(*simulator.Result) float64
-		}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Value }},
-			{"µs a message, on this machine", true, func(r *simulator.Result) float64 {
-				return float64(r.WallTime.Microseconds()) / float64(max(r.Messages, 1))
-			}},
-			{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
-			{"MB held", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
-			lines := sweepSeries(res, y.of)
-			for i := range lines {
-				if g, ok := growthExponent(lines[i].points); ok && y.grows {
-					lines[i].name += fmt.Sprintf(", grows by the power %.2f", g)
-				}
-			}
-			if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, lines)); err != nil {
-				return err
-			}
-		}
+	if err := addSweepCharts(res, add); err != nil {
+		return err
 	}
 	seen := map[string]bool{}
 	for _, r := range p.Rows { // time lines of the first run of each policy
@@ -127,6 +109,34 @@
 	return experimentTemplate.Execute(w, p)
 }
 
+// addSweepCharts adds a chart of each measure against the swept key, if there is one.
+func addSweepCharts(res *experiment.Results, add func(template.HTML, error) error) error {
+	if res.SweepKey == "" {
+		return nil
+	}
+	for _, y := range []struct {
+		name  string
+		grows bool // its growth is shown as an exponent
+		of    func(*simulator.Result) float64
+	}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Value }},
+		{"µs a message, on this machine", true, func(r *simulator.Result) float64 {
+			return float64(r.WallTime.Microseconds()) / float64(max(r.Messages, 1))
+		}},
+		{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
+		{"MB held", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
+		lines := sweepSeries(res, y.of)
+		for i := range lines {
+			if g, ok := growthExponent(lines[i].points); ok && y.grows {
+				lines[i].name += fmt.Sprintf(", grows by the power %.2f", g)
+			}
+		}
+		if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, lines)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // growthExponent is the power by which a line grows, by least squares of logarithms; false: it has no such thing.
 func growthExponent(xy plotter.XYs) (float64, bool) {
 	n, sx, sy, sxx, sxy := 0.0, 0.0, 0.0, 0.0, 0.0
--- a/internal/relay/simulator/result.go
+++ b/internal/relay/simulator/result.go
@@ -2,9 +2,11 @@
 
 import (
 	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is of one class, in milliseconds.
+// Latency is the time from submission to delivery of one class, in milliseconds.
 type Latency struct {
 	Class   string         `cbor:"Class"`
 	P50     float64        `cbor:"P50"`
@@ -14,13 +16,13 @@
 	Buckets []HistogramBin `cbor:"Buckets,omitempty"`
 }
 
-// HistogramBin is how many took up to so many milliseconds.
+// HistogramBin counts latencies from the bin before up to UpperBound, in milliseconds.
 type HistogramBin struct {
 	UpperBound float64 `cbor:"To"`
 	Count      int64   `cbor:"Count"`
 }
 
-// Result is what a run has come to. Its fields' names are those of its files.
+// Result is what a run measured. It is stored as CBOR under the keys of the tags, which must stay as they are.
 type Result struct {
 	World            string            `cbor:"World"`
 	Policy           string            `cbor:"Policy"`
@@ -30,25 +32,26 @@
 	Delivered        int               `cbor:"Delivered"`
 	Abandoned        int               `cbor:"GivenUp"`
 	Expired          int               `cbor:"Late"`
-	Value            float64           `cbor:"Worth"` // share of all that could be earned
+	Value            float64           `cbor:"Worth"` // earned, as a share of what could be earned
 	Refused          int               `cbor:"Refused"`
 	Resubmitted      int               `cbor:"Again"`
 	Calls            int               `cbor:"Calls"`
-	Throttled        int               `cbor:"Turned"` // calls turned away as full
+	Throttled        int               `cbor:"Turned"` // calls
 	Failed           int               `cbor:"Failed"`
 	Turns            uint64            `cbor:"Turns"`
 	Endpoints        int               `cbor:"Endpoints"`
 	Relays           int               `cbor:"Relays"`
-	Fleet            FleetStats        `cbor:"Fleet"` // what the relays do together
+	Fleet            FleetStats        `cbor:"Fleet"` // of all relays together
 	Latencies        []Latency         `cbor:"Latencies"`
 	ViolationCounts  map[string]int    `cbor:"Broken,omitempty"`
 	ViolationSamples []string          `cbor:"Breaches,omitempty"`
 	Bucket           time.Duration     `cbor:"Bucket"`
 	Series           map[string]Series `cbor:"Lines"`
-	WallTime         time.Duration     `cbor:"Took"`   // on the clock of the machine; no part of what is compared
+	WallTime         time.Duration     `cbor:"Took"`   // by the clock of the machine; differs between runs
 	HeapBytes        uint64            `cbor:"Memory"` // bytes that the run held at its end, where that was measured
 }
 
+// result sums up a run that is over.
 func (r *Run) result() *Result {
 	s := r.Stats
 	s.advanceTo(time.Duration(1<<62 - 1))
@@ -69,19 +72,7 @@
 		res.Series[l.Name] = *l.Line
 	}
 	for i, h := range s.latencies {
-		ms := func(q float64) float64 { return float64(h.ValueAtPercentile(q)) / 1000 }
-		l := Latency{Class: r.World.Classes[i].Name, P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
-		bars := h.Distribution()
-		for to, from := int64(1000), int64(0); from < h.Max(); from, to = to, to*3/2 { // bars that grow by half
-			n := int64(0)
-			for _, bar := range bars {
-				if bar.From >= from && bar.From < to {
-					n += bar.Count
-				}
-			}
-			l.Buckets = append(l.Buckets, HistogramBin{float64(to) / 1000, n})
-		}
-		res.Latencies = append(res.Latencies, l)
+		res.Latencies = append(res.Latencies, newLatency(r.World.Classes[i].Name, h))
 	}
 	for rule, n := range r.Checker.Counts {
 		if res.ViolationCounts == nil {
@@ -94,3 +85,20 @@
 	}
 	return res
 }
+
+// newLatency summarizes a class's histogram of microseconds; each bin is half as wide again as the one before.
+func newLatency(class string, h *hdrhistogram.Histogram) Latency {
+	ms := func(q float64) float64 { return float64(h.ValueAtPercentile(q)) / 1000 }
+	l := Latency{Class: class, P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
+	bars := h.Distribution()
+	for to, from := int64(1000), int64(0); from < h.Max(); from, to = to, to*3/2 {
+		n := int64(0)
+		for _, bar := range bars {
+			if bar.From >= from && bar.From < to {
+				n += bar.Count
+			}
+		}
+		l.Buckets = append(l.Buckets, HistogramBin{float64(to) / 1000, n})
+	}
+	return l
+}
--- a/internal/relay/simulator/run.go
+++ b/internal/relay/simulator/run.go
@@ -10,17 +10,17 @@
 	"mastusher/control"
 )
 
-// What every world has in common, as the relay's rules have it.
+// What all worlds have in common, as the relay's rules have it.
 const (
-	clockStart       = 24 * time.Hour // where the clock stands: late enough for all that came before
-	slowStartShare   = 0.21           // of its capacity that a cold endpoint has
-	overloadWindow   = 2 * time.Second
-	overloadMultiple = 2.0
-	overloadRecovery = 4 * time.Second
-	dedupMargin      = 250 * time.Millisecond
+	clockStart       = 24 * time.Hour         // virtual time at the beginning, large enough that no time computed back from it is negative
+	slowStartShare   = 0.21                   // of its capacity that an endpoint has when its slow start begins
+	overloadWindow   = 2 * time.Second        // overload of a cold endpoint that lasts so long makes it collapse
+	overloadMultiple = 2.0                    // of its capacity at which a cold endpoint is overloaded
+	overloadRecovery = 4 * time.Second        // after a collapse
+	dedupMargin      = 250 * time.Millisecond // by which policies are told a shorter window than partners keep
 )
 
-// Run is a world as it is played.
+// Run is one run of a world. Everything that refers to an endpoint, message, submission or call does so by index, as the slices grow.
 type Run struct {
 	World   *World
 	Stats   *Stats
@@ -36,18 +36,18 @@
 	calls          []call
 	freeCalls      []int32
 	actions        []control.Action
-	workload       *rand.Rand // draws what comes, whatever is decided
-	partnerWeights []float64  // weights of partners, summed up
+	workload       *rand.Rand // draws messages, whatever policies decide
+	partnerWeights []float64  // cumulative
 	surgeFactor    float64
 	hash           *xxhash.Digest
 	hashBuffer     [48]byte
 	factory        PolicyFactory
-	listUpdates    []control.Event // changes that are on their way to relays
-	faultTargets   [][]int32       // endpoints by trouble
+	listUpdates    []control.Event // changes of the endpoint list, which relays are notified of with a delay
+	faultTargets   [][]int32       // endpoints by fault
 	turns          uint64
 	fleet          fleetCounter
 	sharing        limitSharing
-	isolatedRelays int // so many relays hear nothing of the others
+	isolatedRelays int // the first so many are partitioned from the others
 }
 
 // New prepares a run of a world under a policy.
@@ -79,7 +79,7 @@
 	return r, nil
 }
 
-// Play plays the whole world: until all that came is over, or its time is long past.
+// Play runs the world until every message has ended or its deadline is past, and returns the result. It must be called once.
 func (r *Run) Play() *Result {
 	last := clockStart + time.Duration(r.World.Length)
 	for _, c := range r.World.Classes {
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -7,28 +7,29 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Sharing is how the relays of a world share limits: by the ledger and the purses that the daemon runs, over a network that is
-// slow and loses.
+// Sharing configures how relays share rate limits: with the daemon's own quota.Allocator and quota.Lessee, over a network that delays
+// and loses messages.
 type Sharing struct {
-	GuaranteedShare float64 // of each limit, that is relays' own
+	GuaranteedShare float64 // of each limit, guaranteed to the relays without a lease; 0 to 1
 	Lease           Duration
 	ClockDrift      float64
-	Delay           Duration // of a message, up to twice that
+	Delay           Duration // of a message: this up to twice this
 	Loss            float64  // share of messages
-	ServeAlone      bool     // relays that hear nothing go on with their floors; otherwise they send nothing
+	ServeAlone      bool     // partitioned relays continue with their guaranteed share; otherwise they stop sending
 }
 
-// DefaultSharing is what a fleet on one site has.
+// DefaultSharing is the configuration of a fleet on one site.
 func DefaultSharing() Sharing {
 	return Sharing{GuaranteedShare: 0.25, Lease: Duration(2 * time.Second), ClockDrift: 0.01, Delay: Duration(2 * time.Millisecond), Loss: 0.01, ServeAlone: true}
 }
 
-// SharingPolicy is a policy that takes part in sharing.
+// SharingPolicy is a policy that reports what it observes of its routes, from which demands are made.
 type SharingPolicy interface {
 	Observations(now time.Duration, out []control.Observation) []control.Observation
 }
 
-// limitSharing is the fleet's side while a world is played. One relay leads; when it is down another does, after a while.
+// limitSharing is the state of all relays' sharing. One relay leads; when it is down or partitioned, the next request finds another
+// leader, which grants nothing before electionDuration has passed.
 type limitSharing struct {
 	Sharing
 	enabled         bool
@@ -45,11 +46,11 @@
 	bytes           int64
 }
 
-// envelope is a message between relays that is under way.
+// envelope is a message in transit between relays; slots are reused.
 type envelope struct {
 	relay       int32
 	incarnation uint64
-	sentAt      time.Duration // of the ping
+	sentAt      time.Duration // of the request, from which the lease is counted
 	request     *quota.Request
 	grant       *quota.Grant
 }
@@ -60,7 +61,8 @@
 	messageOverheadBytes = 28 + 12 + 60 // of a ping or its answer, without what is shared
 )
 
-// EnableSharing has the relays share limits from the start on. It must be called before Play, and the policy be a SharingPolicy.
+// EnableSharing has the relays share limits from the beginning. It must be called before Play; policies that are no SharingPolicy take
+// no part.
 func (r *Run) EnableSharing(s Sharing) {
 	x := &r.sharing
 	x.Sharing, x.enabled, x.term, x.leadershipStart = s, true, 1, r.now
@@ -71,7 +73,7 @@
 	}
 }
 
-// resetRelay has a relay that is started again forget what it was lent.
+// resetRelay has a restarted relay forget its lease, under a new incarnation.
 func (x *limitSharing) resetRelay(i int32) {
 	if x.enabled {
 		x.lessees[i] = &quota.Lessee{ServeAlone: x.ServeAlone}
@@ -101,10 +103,10 @@
 	return p
 }
 
-// isolated tells whether a relay hears nothing of the others now.
+// isolated reports whether a relay is partitioned from the others now.
 func (r *Run) isolated(i int32) bool { return int(i) < r.isolatedRelays }
 
-// sendQuotaRequest has a relay say what it needs, and asks for more time.
+// sendQuotaRequest sends a relay's demands to the leader and asks it to renew the lease.
 func (r *Run) sendQuotaRequest(i int32) {
 	x := &r.sharing
 	r.queue.push(r.now+time.Duration(x.Lease)/requestsPerLease, eventQuotaPing, i, 0)
@@ -140,7 +142,7 @@
 	x.send(r, envelope{relay: i, incarnation: x.incarnations[i], sentAt: r.now, request: report}, eventQuotaRequest)
 }
 
-// handleQuotaRequest is where a ping comes to whoever leads, who answers it.
+// handleQuotaRequest has the leader take a request and answer it with a grant.
 func (r *Run) handleQuotaRequest(n int32) {
 	x := &r.sharing
 	p := x.take(n)
@@ -171,7 +173,7 @@
 	x.send(r, envelope{relay: p.relay, incarnation: p.incarnation, sentAt: p.sentAt, grant: a}, eventQuotaGrant)
 }
 
-// handleQuotaGrant is where an answer comes to its relay.
+// handleQuotaGrant has a relay take a grant.
 func (r *Run) handleQuotaGrant(n int32) {
 	x := &r.sharing
 	p := x.take(n)
--- a/internal/relay/simulator/simulator_test.go
+++ b/internal/relay/simulator/simulator_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-const troubled = `
+const faultyWorld = `
 name = "troubled"
 rate = 150.0
 length = "10s"
@@ -55,7 +55,7 @@
 for = "2s"
 `
 
-func parsed(t testing.TB, text string) *simulator.World {
+func parseWorld(t testing.TB, text string) *simulator.World {
 	t.Helper()
 	w, err := simulator.Parse(text)
 	if err != nil {
@@ -64,10 +64,10 @@
 	return w
 }
 
-// TestSame: one seed gives the same decisions each time, on one core and on four; another seed gives others.
-func TestSame(t *testing.T) {
+// one seed gives the same decisions each time, on one core and on four; another seed gives others.
+func TestPlay_SameSeed_SameDecisions(t *testing.T) {
 	t.Parallel()
-	x := &experiment.Experiment{Policies: []string{"module", "core", "breaker"}, Seeds: []uint64{1, 2}, World: *parsed(t, troubled)}
+	x := &experiment.Experiment{Policies: []string{"module", "core", "breaker"}, Seeds: []uint64{1, 2}, World: *parseWorld(t, faultyWorld)}
 	x.World.Length = simulator.Duration(5 * time.Second)
 	var first *experiment.Results
 	for n := range 10 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestRulesKept: in worlds that seeds draw no policy breaks a rule that it can keep, and each message has its end.
-func TestRulesKept(t *testing.T) {
+// In worlds that seeds draw no policy breaks a rule that it can keep, and each message has its end.
+func TestPlay_RandomWorlds_NoPolicyViolatesRules(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 30; seed++ {
 		w := simulator.Random(seed)
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestKeys: an error names its key.
-func TestKeys(t *testing.T) {
+// An error names its key.
+func TestParse_BadValue_ErrorNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"rates = 3": "key rates",
 		"rate = \"much\"\n[[partner]]\nname = \"a\"": "key rate",
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestShrink finds the one trouble that a breach needs.
-func TestShrink(t *testing.T) {
+// Shrink finds the one fault that a violation needs.
+func TestShrink_FailingWorld_KeepsOnlyItsFault(t *testing.T) {
 	t.Parallel()
 	fails := func(w *simulator.World) bool {
 		r, err := simulator.New(w, func(s control.Settings, seed uint64) (simulator.Policy, error) {
@@ -146,16 +146,16 @@
 		}
 		return r.Play().ViolationCounts["waits"] > 0
 	}
-	w := parsed(t, troubled)
+	w := parseWorld(t, faultyWorld)
 	small := simulator.Shrink(w, 200, fails)
 	if len(small.Faults) > 1 || small.Rate >= w.Rate || small.Relays != 1 || !fails(small) {
 		t.Errorf("%+v", small)
 	}
 }
 
-// TestHangs guards against calls that hang until their deadlines at a partner that has come back: safe messages in them
-// were lost (0.948 of the worth in these three runs), and no trial went while such calls held half of the slots.
-func TestHangs(t *testing.T) {
+// Guards against calls that hang until their deadlines at a partner that has come back: safe messages in them
+// were lost (0.948 of the value in these three runs), and no probe went while such calls held half of the slots.
+func TestPlay_OutageWithHangingCalls_EarnsValue(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("../../../deploy/lab/outage.toml")
 	if err != nil {
@@ -163,7 +163,7 @@
 	}
 	sum := 0.0
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := parsed(t, string(text))
+		w := parseWorld(t, string(text))
 		w.Seed = seed
 		res, err := experiment.Play(w, "module")
 		if err != nil {
@@ -172,6 +172,6 @@
 		sum += res.Value
 	}
 	if sum/3 < 0.96 {
-		t.Errorf("%.3f of the worth is earned", sum/3)
+		t.Errorf("%.3f of the value is earned", sum/3)
 	}
 }
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -8,19 +8,19 @@
 	"mastusher/control"
 )
 
-// outcome is how a message was over for its client.
+// outcome is how a message ended for its client.
 type outcome uint8
 
 const (
 	outcomeDelivered outcome = iota
-	outcomeAbandoned         // by a relay, or by its client after its tries
-	outcomeExpired           // its time was up
+	outcomeAbandoned         // failed by a relay, or refused MaxAttempts times
+	outcomeExpired           // past its deadline
 )
 
-// Series is a count over time, in the run's buckets.
+// Series is a count over time, one value a bucket.
 type Series []float64
 
-// Stats is what is counted while a world is played.
+// Stats counts during a run, in buckets of equal length.
 type Stats struct {
 	Bucket      time.Duration
 	Arrived     Series // messages
@@ -59,7 +59,7 @@
 	return s
 }
 
-// namedSeries is a line with its name.
+// namedSeries is a series with the name under which files store it.
 type namedSeries struct {
 	Name string
 	Line *Series
@@ -70,7 +70,7 @@
 		{"calls", &s.Calls}, {"calls turned away", &s.Throttled}, {"calls failed", &s.Failed}, {"open", &s.Pending}}
 }
 
-// advanceTo moves on to a time since the start.
+// advanceTo moves on to the bucket of a time since the start.
 func (s *Stats) advanceTo(t time.Duration) {
 	for b := min(int(t/s.Bucket), bucketCount+1); s.bucket < b; s.bucket++ {
 		s.Pending[s.bucket] = float64(s.pending)
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordOutcome counts an end: past its aim a message's worth falls evenly, to half at its deadline.
+// recordOutcome records how a message ended: past its latency target its value falls evenly, to half at its deadline.
 func (s *Stats) recordOutcome(c *Class, m *message, now time.Duration, how outcome) {
 	s.pending--
 	s.outcomes[how]++
--- a/internal/relay/simulator/workload.go
+++ b/internal/relay/simulator/workload.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// message is one that clients hand in until it is over.
+// message is one message of a client, from its first submission until it is delivered, abandoned or expired.
 type message struct {
 	createdAt, deadline time.Duration // absolute
 	partner             int32
 	class               int16
-	firstRelay          int32 // the relay that it was handed to first
-	submissions         int16 // at relays
-	inFlight            int16 // copies out now
-	executions          int16 // times that it took effect
+	firstRelay          int32 // the relay that it was first submitted to
+	submissions         int16 // to relays, so far
+	inFlight            int16 // calls at endpoints now
+	executions          int16 // times that it took effect at endpoints
 	finished            bool
 	mayHaveRun          bool // an attempt may have run, the first at mayHaveRunAt
 	mayHaveRunAt        time.Duration
 	firstExecutedAt     time.Duration // when it took effect first; 0: it has not
 }
 
-// submission is a message as one relay holds it.
+// submission is a message as one relay has it: its index plus one is the ID that the policy knows.
 type submission struct {
 	message  int32
 	relay    int32
@@ -27,7 +27,8 @@
 	finished bool
 }
 
-// generateMessage draws a message, and when the one after it comes.
+// generateMessage draws a message and the time of the next one. Its draws come from a generator of their own, so that all policies get
+// the same messages.
 func (r *Run) generateMessage() {
 	if r.now-clockStart >= time.Duration(r.World.Length) {
 		return
@@ -58,7 +59,7 @@
 	r.submit(m, r.messages[m].firstRelay)
 }
 
-// drawRelay draws the relay that a message is handed to first. Where traffic is uneven a tenth of the relays, and at least one, gets
+// drawRelay draws the relay that a message is first submitted to. Where traffic is uneven a tenth of the relays, and at least one, gets
 // so many times what each of the others gets; each span of SkewRotation it is the next tenth.
 func (r *Run) drawRelay() int32 {
 	n := len(r.relays)
--- a/internal/relay/simulator/world.go
+++ b/internal/relay/simulator/world.go
@@ -7,22 +7,23 @@
 	"mastusher/control"
 )
 
-// World is what is played. Its TOML form names the keys.
+// World describes an environment and its faults. The tags name the keys of its TOML file; Default says what a file leaves out, and
+// Validate what is accepted.
 type World struct {
 	Name          string    `toml:"name"`
 	Seed          uint64    `toml:"seed"`
-	Length        Duration  `toml:"length"` // for which messages come
+	Length        Duration  `toml:"length"` // during which clients submit messages; what is open then runs on until its deadline
 	Relays        int       `toml:"relays"`
-	Rate          float64   `toml:"rate"` // messages a second, over all relays
-	TurnInterval  Duration  `toml:"round"`
-	Slots         int       `toml:"slots"` // of each relay
-	MaxOpen       int       `toml:"max_open"`
-	MaxAttempts   int       `toml:"max_attempts"`
-	MaxRetryAfter Duration  `toml:"max_hold_off"`
-	DrainGrace    Duration  `toml:"drain_grace"`
-	ListDelay     Duration  `toml:"list_delay"` // until a relay hears of a change
-	Skew          float64   `toml:"uneven"`     // a tenth of the relays get so many times what each of the others gets; 0: all alike
-	SkewRotation  Duration  `toml:"shift"`      // after which it is the next tenth; 0: never
+	Rate          float64   `toml:"rate"`         // messages a second, over all relays
+	TurnInterval  Duration  `toml:"round"`        // grid on which relays take their turns; a larger one batches more events and adds latency
+	Slots         int       `toml:"slots"`        // calls that a relay may have in flight
+	MaxOpen       int       `toml:"max_open"`     // messages that a relay may hold
+	MaxAttempts   int       `toml:"max_attempts"` // calls for one message at one relay
+	MaxRetryAfter Duration  `toml:"max_hold_off"` // a longer Retry-After of an endpoint is cut to this
+	DrainGrace    Duration  `toml:"drain_grace"`  // during which calls to an endpoint that was listed as draining are no violation
+	ListDelay     Duration  `toml:"list_delay"`   // mean time until a relay is notified of a change of the endpoint list
+	Skew          float64   `toml:"uneven"`       // factor of traffic that each of a tenth of the relays gets over the others; 0 or 1: none
+	SkewRotation  Duration  `toml:"shift"`        // after which the next tenth gets it; 0: never
 	Net           Net       `toml:"net"`
 	Clients       Clients   `toml:"clients"`
 	Classes       []Class   `toml:"class"`
@@ -30,30 +31,30 @@
 	Faults        []Fault   `toml:"trouble"`
 }
 
-// Net is how long a way takes in one direction.
+// Net is the network: one-way delays.
 type Net struct {
 	Same   Duration `toml:"same"`   // within a zone
 	Cross  Duration `toml:"cross"`  // between zones
-	Jitter float64  `toml:"jitter"` // share of that, evenly
-	Zones  int      `toml:"zones"`  // relays and endpoints stand in them in turn
+	Jitter float64  `toml:"jitter"` // uniformly drawn share of a delay that is added to it; 0 up to below 1
+	Zones  int      `toml:"zones"`  // relays and endpoints are spread over them in turn
 }
 
-// Clients hand a message in again when a relay refuses it, each time at the next relay.
+// Clients resubmit a message that a relay refuses, each time to the next relay.
 type Clients struct {
-	MaxAttempts          int      `toml:"tries"` // in all
-	Backoff              Duration `toml:"backoff"`
-	Exponential          bool     `toml:"double"` // each back-off is twice the one before
-	RetryAfterCompliance float64  `toml:"heed"`   // share of clients that wait as long as they are told
+	MaxAttempts          int      `toml:"tries"`   // submissions of one message in all
+	Backoff              Duration `toml:"backoff"` // before the first resubmission, with jitter of half of it either way
+	Exponential          bool     `toml:"double"`  // each backoff is twice the one before
+	RetryAfterCompliance float64  `toml:"heed"`    // share of resubmissions that wait as long as Retry-After says; 0 to 1
 }
 
-// Class is a class of messages.
+// Class is a class of messages. Value is earned in full by a delivery within LatencyTarget and falls evenly to half at Deadline.
 type Class struct {
 	Name          string   `toml:"name"`
 	Effect        string   `toml:"effect"` // safe, keyed or unsafe
-	Weight        float64  `toml:"share"`  // of all messages, as a weight
+	Weight        float64  `toml:"share"`  // of its messages among all; default 1
 	LatencyTarget Duration `toml:"aim"`
 	Deadline      Duration `toml:"deadline"`
-	DedupWindow   Duration `toml:"window"` // in which a repeated key does nothing
+	DedupWindow   Duration `toml:"window"` // in which partners drop a duplicate of a key; for keyed classes
 	Value         float64  `toml:"worth"`
 }
 
@@ -64,20 +65,20 @@
 	Endpoints        int      `toml:"endpoints"` // of each
 	Weight           float64  `toml:"weight"`    // of each, among messages
 	Workers          int      `toml:"workers"`   // calls that an endpoint serves at once
-	QueueCapacity    int      `toml:"queue"`     // calls that may stand before them: more are refused
-	Median           Duration `toml:"median"`    // of a call's time
-	Spread           float64  `toml:"spread"`    // sigma of its logarithm
+	QueueCapacity    int      `toml:"queue"`     // calls that may wait for a worker; more are throttled
+	Median           Duration `toml:"median"`    // service time of a call; default 80 ms
+	Spread           float64  `toml:"spread"`    // sigma of the service time's logarithm; 0 up to below 4
 	TailShare        float64  `toml:"tail"`      // share of calls that take ten times as long
-	RateLimit        float64  `toml:"limit"`     // calls a second, more are refused; 0: none
-	SendsRetryAfter  bool     `toml:"tells"`     // a refusal says how long to wait
-	Burst            Duration `toml:"burst"`     // of calls at the limit that may come at once
-	ChargesThrottled bool     `toml:"counts"`    // refused calls use the limit up
-	MaxDebt          Duration `toml:"debt"`      // of calls at the limit, at most, that they use up in advance
-	WarmUp           Duration `toml:"cold"`      // until an endpoint that has come back is warm
-	SeparateRoutes   bool     `toml:"apart"`     // calls have routes of their own kind
+	RateLimit        float64  `toml:"limit"`     // calls a second of each endpoint, more are throttled; 0: unlimited
+	SendsRetryAfter  bool     `toml:"tells"`     // a throttled call is told Retry-After
+	Burst            Duration `toml:"burst"`     // depth of the token bucket, as time at RateLimit; default 1 s
+	ChargesThrottled bool     `toml:"counts"`    // throttled calls take a token, too
+	MaxDebt          Duration `toml:"debt"`      // how far throttled calls may overdraw the bucket, as time at RateLimit
+	WarmUp           Duration `toml:"cold"`      // slow start of an endpoint that has come back, until it has its full capacity; 0: none
+	SeparateRoutes   bool     `toml:"apart"`     // each endpoint is a route with a limit of its own
 }
 
-// Fault is something that befalls a share of some partners' endpoints for a time.
+// Fault is a fault injected into a share of some partners' endpoints, or into relays, for a time.
 type Fault struct {
 	Kind       string   `toml:"kind"`
 	Partners   string   `toml:"partners"` // name of the group; "": all
@@ -85,31 +86,31 @@
 	Zone       int      `toml:"zone"`     // only endpoints there; 0: any, 1: the first
 	At         Duration `toml:"at"`
 	Length     Duration `toml:"for"`
-	FlapPeriod Duration `toml:"every"`  // flapping: half of this time bad, half good
-	RetryAfter Duration `toml:"wait"`   // told by what refuses
-	Factor     float64  `toml:"factor"` // by which calls are slower, or more messages come
+	FlapPeriod Duration `toml:"every"`  // flapping: on for half of this period, off for the other; 0: on throughout
+	RetryAfter Duration `toml:"wait"`   // sent by FaultThrottle
+	Factor     float64  `toml:"factor"` // of FaultSlow, FaultTrafficSurge and FaultLowerLimit
 	Relays     int      `toml:"relays"` // only for the first so many relays; 0: for all
 }
 
-// The kinds of troubles.
+// The kinds of faults, as a world's file names them.
 const (
-	FaultThrottle      = "refuse"    // calls are turned away, with a wait if one is set
-	FaultHang          = "silent"    // calls are taken and never answered
+	FaultThrottle      = "refuse"    // calls are throttled, with Retry-After if one is set
+	FaultHang          = "silent"    // calls are accepted and never answered
 	FaultError         = "fail"      // calls are answered with an error, at once
 	FaultSlow          = "slow"      // calls take longer by a factor
 	FaultDown          = "down"      // no connection
-	FaultDrain         = "drain"     // listed as draining, gone at the end, with a replacement from the beginning
-	FaultVanish        = "vanish"    // no connection, and off the list only at the end
+	FaultDrain         = "drain"     // listed as draining, removed at the end, with a replacement from the beginning
+	FaultVanish        = "vanish"    // no connection, and removed from the list only at the end
 	FaultTrafficSurge  = "surge"     // more messages come by a factor
-	FaultRelayCrash    = "crash"     // the relays end, and start again at the end
+	FaultRelayCrash    = "crash"     // the relays crash, and are restarted at the end
 	FaultPartition     = "partition" // no connection from some relays
-	FaultLowerLimit    = "lower"     // limits fall to a factor of what they are
-	FaultIsolateRelays = "mute"      // the first so many relays hear nothing of the others, nor these of them
+	FaultLowerLimit    = "lower"     // rate limits are multiplied by Factor
+	FaultIsolateRelays = "mute"      // the first so many relays are partitioned from the others
 )
 
 var faultKinds = []string{FaultThrottle, FaultHang, FaultError, FaultSlow, FaultDown, FaultDrain, FaultVanish, FaultTrafficSurge, FaultRelayCrash, FaultPartition, FaultLowerLimit, FaultIsolateRelays}
 
-// Default is a world to start from: what a file leaves out is as here.
+// Default returns the world whose values hold for what a file leaves out.
 func Default() World {
 	return World{Name: "world", Seed: 1, Length: Duration(30 * time.Second), Relays: 2, Rate: 200, TurnInterval: Duration(5 * time.Millisecond), Slots: 64,
 		MaxOpen: 4000, MaxAttempts: 6, MaxRetryAfter: Duration(3 * time.Second), DrainGrace: Duration(250 * time.Millisecond),
@@ -117,7 +118,7 @@
 		Clients: Clients{MaxAttempts: 3, Backoff: Duration(500 * time.Millisecond), Exponential: true, RetryAfterCompliance: 0.8}}
 }
 
-// Settings are what a module is told of the world.
+// Settings returns the settings that the policy of a relay starts with.
 func (w *World) Settings(relay int) control.Settings {
 	s := control.Settings{Peers: w.Relays, Index: relay, Zone: relay % w.Net.Zones, Slots: w.Slots, MaxOpen: w.MaxOpen, MaxAttempts: w.MaxAttempts, Cancel: true,
 		MaxRetryAfter: time.Duration(w.MaxRetryAfter), DrainGrace: time.Duration(w.DrainGrace), SlowStartShare: slowStartShare, SlowStart: 14 * time.Second,
@@ -140,5 +141,5 @@
 	return s
 }
 
-// FaultKinds are the kinds of troubles.
+// FaultKinds returns the kinds of faults.
 func FaultKinds() []string { return slices.Clone(faultKinds) }
--- a/internal/relay/simulator/world_file.go
+++ b/internal/relay/simulator/world_file.go
@@ -8,17 +8,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Duration is a time in an experiment's file, such as "250ms".
+// Duration is a time that files write as in "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads a time.
+// UnmarshalText parses a time as time.ParseDuration does.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	*s = Duration(d)
 	return err
 }
 
-// MarshalText writes it.
+// MarshalText formats the time as time.Duration does.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Parse reads a world's file. FlapPeriod error names its key.
@@ -32,7 +32,7 @@
 
 var lastKey = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)`)
 
-// Decode reads TOML. Errors name line and key; a key that is not known is one.
+// Decode decodes TOML. Errors name line and key; an unknown key is an error.
 func Decode(text string, into any) error {
 	meta, err := toml.Decode(text, into)
 	if err != nil {
