--- a/internal/tier/controller/reconciler_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -10,6 +10,15 @@
 	"mastusher/internal/tier/replica"
 )
 
+// voters are members with a vote.
+func voters(names ...string) []replica.Member {
+	var members []replica.Member
+	for _, name := range names {
+		members = append(members, replica.Member{ID: name, Address: name + ":7000"})
+	}
+	return members
+}
+
 // TestReconciler_DesiredControllers checks which members the configuration shard's group is to have, step by step of a replacement.
 func TestReconciler_DesiredControllers(t *testing.T) {
 	running := func(name string) membership.Member {
@@ -19,43 +28,36 @@
 		m.State = state
 		return m
 	}
-	voter := func(name string) replica.Member { return replica.Member{ID: name, Address: name + ":7000"} }
-	learner := voter("new")
-	learner.Learner = true
+	learner := replica.Member{ID: "new", Address: "new:7000", Learner: true}
 	first, second, third, added := running("first"), running("second"), running("third"), running("new")
 	missing := in(membership.StateSuspect, third)
 	tests := []struct {
-		name    string
-		group   []replica.Member
-		members []membership.Member
-		passed  time.Duration // since the members are as they are
-		want    []replica.Member
-		answers map[string]bool // the group's leader, whatever membership says
+		name     string
+		group    []replica.Member
+		caughtUp map[string]bool // members that answer the group's leader, whatever membership says
+		members  []membership.Member
+		passed   time.Duration // since the members are as they are
+		want     []replica.Member
 	}{
-		{"all run", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, second, third, added}, 3 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("third")}, nil},
-		{"one is missing and another has come", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, second, missing, added}, 2 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
-		{"its successor has been taken in", []replica.Member{voter("first"), voter("second"), voter("third"), learner},
-			[]membership.Member{first, second, missing, added}, 2 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
-		{"its successor votes already", []replica.Member{voter("first"), voter("second"), voter("third"), voter("new")},
-			[]membership.Member{first, second, missing, added}, 2 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
-		{"it is back before its successor votes", []replica.Member{voter("first"), voter("second"), voter("third"), learner},
-			[]membership.Member{first, second, third, added}, 2 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("third")}, nil},
-		{"two are missing and one has come", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, in(membership.StateSuspect, second), in(membership.StateDead, third), added}, 9 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("new")}, nil},
-		{"two are not known to membership and answer the leader", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, added}, 9 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("third")}, map[string]bool{"first": true, "second": true, "third": true}},
-		{"two are taken for dead and one of them answers the leader", []replica.Member{voter("first"), voter("second"), voter("third")},
-			[]membership.Member{first, in(membership.StateDead, second), in(membership.StateDead, third), added}, 9 * time.Second,
-			[]replica.Member{voter("first"), voter("second"), voter("new")}, map[string]bool{"first": true, "second": true}},
+		{name: "all run", group: voters("first", "second", "third"), members: []membership.Member{first, second, third, added}, passed: 3 * time.Second, want: voters("first", "second", "third")},
+		{name: "one is missing and another has come", group: voters("first", "second", "third"), members: []membership.Member{first, second, missing, added},
+			passed: 2 * time.Second, want: voters("first", "second", "new")},
+		{name: "its successor has been taken in", group: append(voters("first", "second", "third"), learner),
+			members: []membership.Member{first, second, missing, added}, passed: 2 * time.Second, want: voters("first", "second", "new")},
+		{name: "its successor votes already", group: voters("first", "second", "third", "new"),
+			members: []membership.Member{first, second, missing, added}, passed: 2 * time.Second, want: voters("first", "second", "new")},
+		{name: "it is back before its successor votes", group: append(voters("first", "second", "third"), learner),
+			members: []membership.Member{first, second, third, added}, passed: 2 * time.Second, want: voters("first", "second", "third")},
+		{name: "two are missing and one has come", group: voters("first", "second", "third"),
+			members: []membership.Member{first, in(membership.StateSuspect, second), in(membership.StateDead, third), added},
+			passed:  9 * time.Second, want: voters("first", "second", "new")},
+		{name: "two are not known to membership and answer the leader", group: voters("first", "second", "third"),
+			caughtUp: map[string]bool{"first": true, "second": true, "third": true},
+			members:  []membership.Member{first, added}, passed: 9 * time.Second, want: voters("first", "second", "third")},
+		{name: "two are taken for dead and one of them answers the leader", group: voters("first", "second", "third"),
+			caughtUp: map[string]bool{"first": true, "second": true},
+			members:  []membership.Member{first, in(membership.StateDead, second), in(membership.StateDead, third), added},
+			passed:   9 * time.Second, want: voters("first", "second", "new")},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -66,7 +68,7 @@
 				now = now.Add(500 * time.Millisecond)
 				reconciler.Tracker().Observe(now, test.members, 1)
 			}
-			got := reconciler.desiredControllers(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.answers})
+			got := reconciler.desiredControllers(now, replica.Status{ID: "first", Members: test.group, CaughtUp: test.caughtUp})
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Errorf("members (-want +got):\n%s", diff)
 			}
