--- a/internal/tier/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -6,18 +6,18 @@
 
 // agent is the process beside a proxy that is a member and holds the newest view.
 type agent struct {
-	process *process
-	member  *member
-	feeds   []*feedOut
+	process     *process
+	member      *member
+	subscribers []*feedSubscriber
 }
 
-// feedOut is a proxy that is fed, and what it has been sent.
-type feedOut struct {
+// feedSubscriber is a proxy that is fed, and what it has been sent.
+type feedSubscriber struct {
 	call *exchange
-	told view.Digest
+	sent view.Digest
 }
 
-// feedRequest asks an agent for all pieces newer than the digest, now and from now on. Each comes as a view.Update.
+// feedRequest asks an agent for all updates newer than the digest, now and from now on. Each comes as a view.Update.
 type feedRequest struct{ digest view.Digest }
 
 func openAgent(p *process) (handler, error) {
@@ -27,34 +27,34 @@
 	return a, nil
 }
 
-func (a *agent) begin() { a.member.wake() }
+func (a *agent) begin() { a.member.schedule() }
 
-func (a *agent) notice(string, any) {}
+func (a *agent) handleMessage(string, any) {}
 
-func (a *agent) datagram(from string, message any) { a.member.datagram(from, message) }
+func (a *agent) handleDatagram(from string, message any) { a.member.handleDatagram(from, message) }
 
 func (a *agent) serve(call *exchange, request any) {
 	if a.member.serve(call, request) {
 		return
 	}
 	if asked, ok := request.(feedRequest); ok {
-		a.feeds = append(a.feeds, &feedOut{call: call, told: asked.digest})
+		a.subscribers = append(a.subscribers, &feedSubscriber{call: call, sent: asked.digest})
 		a.feed()
 	}
 }
 
 // feed sends each proxy what it has not been sent.
 func (a *agent) feed() {
-	open := a.feeds[:0]
-	for _, out := range a.feeds {
-		if out.call.over {
+	open := a.subscribers[:0]
+	for _, out := range a.subscribers {
+		if out.call.closed {
 			continue
 		}
 		open = append(open, out)
-		for _, piece := range a.member.newer(out.told) {
-			out.told[piece.Section] = piece.Stamp
-			out.call.send(piece)
+		for _, update := range a.member.newerThan(out.sent) {
+			out.sent[update.Section] = update.Stamp
+			out.call.send(update)
 		}
 	}
-	a.feeds = open
+	a.subscribers = open
 }
--- a/internal/tier/fleettest/corestate.go
+++ b/internal/tier/fleettest/agreed_view.go
@@ -11,10 +11,10 @@
 
 // agreedView is what is read of the agreed state for operators.
 type agreedView struct {
-	Raw         json.RawMessage        `json:"raw"` // the register's configuration
-	Register    configuration.Snapshot `json:"register"`
-	Rollouts    rollout.Snapshot       `json:"rollouts"`
-	Retirements json.RawMessage        `json:"retirements"`
+	Raw           json.RawMessage        `json:"raw"` // the register's configuration
+	Register      configuration.Snapshot `json:"register"`
+	Rollouts      rollout.Snapshot       `json:"rollouts"`
+	Decommissions json.RawMessage        `json:"retirements"`
 }
 
 // viewOf reads the agreed state.
@@ -28,10 +28,10 @@
 	return read, err
 }
 
-// retirementOf reads what has become of the order to empty a machine.
-func (v *agreedView) retirementOf(node string) (decommission.Operation, bool) {
+// decommissionOf reads what has become of the order to empty a machine.
+func (v *agreedView) decommissionOf(node string) (decommission.Operation, bool) {
 	var saved decommission.Snapshot
-	if err := json.Unmarshal(v.Retirements, &saved); err != nil {
+	if err := json.Unmarshal(v.Decommissions, &saved); err != nil {
 		return decommission.Operation{}, false
 	}
 	return decommission.Restore(saved).Operation(node)
--- a/internal/tier/fleettest/campaign_test.go
+++ b/internal/tier/fleettest/campaign_test.go
@@ -15,7 +15,7 @@
 	firstEnv    = "FLEET_FIRST" // seed of its first day
 	shrinkDays  = 200
 	dayWorkers  = 2
-	keptPattern = "testdata/plans/*.json"
+	planPattern = "testdata/plans/*.json"
 )
 
 func number(t *testing.T, name string, standard uint64) uint64 {
@@ -38,7 +38,7 @@
 	for worker := range uint64(dayWorkers) {
 		group.Go(func() {
 			for i := worker; i < days; i += dayWorkers {
-				results[i] = Play(RandomPlan(first+i), Options{})
+				results[i] = Run(RandomPlan(first+i), Options{})
 			}
 		})
 	}
@@ -46,26 +46,26 @@
 	var sum Result
 	failed := 0
 	for i, result := range results {
-		sum.Orders, sum.Reads, sum.Runs, sum.Whole, sum.Programs = sum.Orders+result.Orders, sum.Reads+result.Reads, sum.Runs+result.Runs, sum.Whole+result.Whole, sum.Programs+result.Programs
+		sum.Orders, sum.Reads, sum.Runs, sum.Complete, sum.Programs = sum.Orders+result.Orders, sum.Reads+result.Reads, sum.Runs+result.Runs, sum.Complete+result.Complete, sum.Programs+result.Programs
 		if len(result.Violations) == 0 {
 			continue
 		}
 		failed++
 		t.Errorf("seed %d: %q", first+uint64(i), result.Violations[:min(3, len(result.Violations))])
 		if failed == 1 {
-			shrunk := Shrink(RandomPlan(first+uint64(i)), shrinkDays, func(p Plan) bool { return len(Play(p, Options{}).Violations) > 0 })
-			t.Errorf("smallest plan: %s: %q", shrunk.Text(), Play(shrunk, Options{}).Violations)
+			shrunk := Shrink(RandomPlan(first+uint64(i)), shrinkDays, func(p Plan) bool { return len(Run(p, Options{}).Violations) > 0 })
+			t.Errorf("smallest plan: %s: %q", shrunk.Text(), Run(shrunk, Options{}).Violations)
 		}
 	}
-	t.Logf("%d days: %d orders, %d reads, %d runs, %d answers, %d programs", days, sum.Orders, sum.Reads, sum.Runs, sum.Whole, sum.Programs)
+	t.Logf("%d days: %d orders, %d reads, %d runs, %d answers, %d programs", days, sum.Orders, sum.Reads, sum.Runs, sum.Complete, sum.Programs)
 	if sum.Orders < int(days) || sum.Programs < int(days) {
 		t.Error("the days test too little")
 	}
 }
 
-// TestKeptPlans plays the plans that have once failed.
-func TestKeptPlans(t *testing.T) {
-	names, err := filepath.Glob(keptPattern)
+// TestRun_RecordedPlans_BreakNoRule runs the plans that have once failed.
+func TestRun_RecordedPlans_BreakNoRule(t *testing.T) {
+	names, err := filepath.Glob(planPattern)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,19 +79,19 @@
 			if err := json.Unmarshal(text, &plan); err != nil {
 				t.Fatal(err)
 			}
-			for _, violation := range Play(plan, Options{}).Violations {
+			for _, violation := range Run(plan, Options{}).Violations {
 				t.Error(violation)
 			}
 		})
 	}
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+func TestRun_SameSeed_SameTrace(t *testing.T) {
 	skipWhereWatched(t)
-	// Given a plan, when it is played twice, then both days are the same, event by event.
+	// Given a plan, when it is run twice, then both days are the same, event by event.
 	var traces [2][]string
 	for i := range traces {
-		Play(RandomPlan(5), Options{Trace: func(format string, arguments ...any) {
+		Run(RandomPlan(5), Options{Trace: func(format string, arguments ...any) {
 			traces[i] = append(traces[i], fmt.Sprintf(format, arguments...))
 		}})
 	}
--- a/internal/tier/fleettest/checkconfiguration.go
+++ b/internal/tier/fleettest/check_configuration.go
@@ -24,7 +24,7 @@
 type contentOrders struct {
 	base      uint64
 	started   time.Duration // first sending
-	seen      time.Duration // first end of an acknowledgement or read; never: none
+	firstSeen time.Duration // first end of an acknowledgement or read; never: none
 	acks      []span
 	conflicts []span
 }
@@ -35,8 +35,8 @@
 // checkConfiguration reports everything about the configuration that can't have happened to a single register.
 func checkConfiguration(h *history, report func(rule, format string, arguments ...any)) {
 	c := &registerCheck{report: report, orders: map[Content]*contentOrders{}, inForce: map[Content]bool{}, rank: map[Content]int{}}
-	c.gather(h)
-	if !c.order() {
+	c.collect(h)
+	if !c.sortChain() {
 		return
 	}
 	c.checkTimes(h)
@@ -44,18 +44,18 @@
 	c.checkProxies(h)
 }
 
-func (c *registerCheck) gather(h *history) {
+func (c *registerCheck) collect(h *history) {
 	for _, o := range h.orders {
 		known := c.orders[o.Content]
 		if known == nil {
-			known = &contentOrders{base: o.Base, started: o.Started, seen: never}
+			known = &contentOrders{base: o.Base, started: o.Started, firstSeen: never}
 			c.orders[o.Content] = known
 		}
 		switch {
 		case o.Ended == 0:
 		case o.Status == http.StatusOK:
 			known.acks = append(known.acks, span{o.Started, o.Ended})
-			c.see(o.Content, o.Ended)
+			c.observe(o.Content, o.Ended)
 		case o.Status == http.StatusPreconditionFailed:
 			known.conflicts = append(known.conflicts, span{o.Started, o.Ended})
 		default:
@@ -63,32 +63,32 @@
 		}
 	}
 	for _, read := range h.reads {
-		c.see(read.Content, read.Ended)
+		c.observe(read.Content, read.Ended)
 	}
 	for _, seen := range h.versions {
-		c.see(seen.Content, seen.Ended)
+		c.observe(seen.Content, seen.Ended)
 	}
 }
 
-// see notes that a configuration was in force.
-func (c *registerCheck) see(content Content, at time.Duration) {
+// observe notes that a configuration was in force.
+func (c *registerCheck) observe(content Content, at time.Duration) {
 	known := c.orders[content]
 	if known == nil {
 		c.report("CONFIG", "%v is in force, and nobody sent it", content)
 		return
 	}
 	c.inForce[content] = true
-	known.seen = min(known.seen, at)
+	known.firstSeen = min(known.firstSeen, at)
 }
 
-// order puts the configurations that were in force one after the other.
-func (c *registerCheck) order() bool {
+// sortChain puts the configurations that were in force one after the other.
+func (c *registerCheck) sortChain() bool {
 	c.addImplied()
 	for content := range c.inForce {
 		c.chain = append(c.chain, content)
 	}
 	slices.SortFunc(c.chain, func(a, b Content) int {
-		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Mark, b.Mark))
+		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Label, b.Label))
 	})
 	base := uint64(0)
 	for i, content := range c.chain {
@@ -121,7 +121,7 @@
 				c.report("CONFIG", "%v builds on %d, which nobody sent", content, base)
 				return
 			}
-			slices.SortFunc(candidates, func(a, b Content) int { return cmp.Compare(a.Mark, b.Mark) })
+			slices.SortFunc(candidates, func(a, b Content) int { return cmp.Compare(a.Label, b.Label) })
 			c.inForce[candidates[0]] = true
 			changed = true
 			break
@@ -150,7 +150,7 @@
 	var seen []observation
 	for content := range c.inForce {
 		known := c.orders[content]
-		if known.seen < known.started {
+		if known.firstSeen < known.started {
 			c.report("CONFIG", "%v was seen before it was sent", content)
 		}
 		for _, ack := range known.acks {
@@ -180,7 +180,7 @@
 				c.report("CONFIG", "%v was refused at %v, and it is in force", content, conflict.ended)
 				continue
 			}
-			if c.baseHeld(known.base, conflict) {
+			if c.baseInForce(known.base, conflict) {
 				c.report("CONFIG", "%v on %d was refused at %v-%v, and %d was in force all the while", content, known.base,
 					conflict.started, conflict.ended, known.base)
 			}
@@ -188,18 +188,18 @@
 	}
 }
 
-// baseHeld tells whether a version was certainly in force during a whole call.
-func (c *registerCheck) baseHeld(base uint64, during span) bool {
-	held := base == 0
+// baseInForce reports whether a version was certainly in force during an entire call.
+func (c *registerCheck) baseInForce(base uint64, during span) bool {
+	inForce := base == 0
 	for i, content := range c.chain {
 		if content.Number == base {
-			held = c.orders[content].seen < during.started
+			inForce = c.orders[content].firstSeen < during.started
 		}
 		if c.orders[content].base == base {
-			return held && c.orders[c.chain[i]].started > during.ended
+			return inForce && c.orders[c.chain[i]].started > during.ended
 		}
 	}
-	return held
+	return inForce
 }
 
 // checkProxies reports proxies that went back in one incarnation.
@@ -217,8 +217,8 @@
 				break
 			}
 		}
-		if kept := last[key]; len(kept) == 0 || c.rank[kept[len(kept)-1].Content] < c.rank[seen.Content] {
-			last[key] = append(kept, seen)
+		if newest := last[key]; len(newest) == 0 || c.rank[newest[len(newest)-1].Content] < c.rank[seen.Content] {
+			last[key] = append(newest, seen)
 		}
 	}
 }
--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -8,24 +8,24 @@
 
 // What clients ask for.
 const (
-	modelService = "model"
-	toolService  = "tool"
-	keepFor      = 60 * time.Second
-	turnResends  = 2
-	turnMost     = 24 // tokens
+	modelService   = "model"
+	toolService    = "tool"
+	retention      = 60 * time.Second
+	maxTurnRetries = 2
+	maxTurnTokens  = 24 // tokens
 )
 
 // clientRequest is a request as a proxy reads it.
 type clientRequest struct {
-	ID       string
-	Service  string
-	IsTurn   bool
-	Program  string
-	Session  string
-	Previous string
-	Budget   int64
-	Most     int64
-	Input    []byte
+	ID        string
+	Service   string
+	IsTurn    bool
+	Program   string
+	Session   string
+	Previous  string
+	Budget    int64
+	MaxTokens int64
+	Input     []byte
 }
 
 // What proxies are asked and answer besides.
@@ -48,25 +48,25 @@
 type clients struct {
 	process  *process
 	programs int
-	tries    int
+	attempts int
 	ended    int // programs that ended, in whatever way
-	complete int // programs that ended whole
+	complete int // programs that ended complete
 }
 
-func (*clients) notice(string, any)   {}
-func (*clients) datagram(string, any) {}
-func (*clients) serve(*exchange, any) {}
+func (*clients) handleMessage(string, any)  {}
+func (*clients) handleDatagram(string, any) {}
+func (*clients) serve(*exchange, any)       {}
 
 func (c *clients) fleet() *Fleet { return c.process.machine.fleet }
 
-// send sends one try to a proxy, and tells done when it has ended.
+// send sends one attempt to a proxy, and calls done when it has ended.
 func (c *clients) send(proxy string, sent clientRequest, done func(*request)) *request {
 	f := c.fleet()
-	c.tries++
-	sent.ID = fmt.Sprintf("t-%d", c.tries)
-	r := f.history.send(sent, proxy, f.loop.now)
+	c.attempts++
+	sent.ID = fmt.Sprintf("t-%d", c.attempts)
+	r := f.history.addRequest(sent, proxy, f.loop.now)
 	ended := func(outcome outcome, status int) {
-		if r.Outcome != underWay {
+		if r.Outcome != outcomePending {
 			return
 		}
 		r.Outcome, r.Status, r.Ended = outcome, status, f.loop.now
@@ -76,26 +76,26 @@
 		}
 	}
 	var e *exchange
-	e = f.network.call(c.process, proxy, sent, func(piece any) {
-		if r.Outcome != underWay {
+	e = f.network.call(c.process, proxy, sent, func(response any) {
+		if r.Outcome != outcomePending {
 			return
 		}
-		switch answered := piece.(type) {
+		switch answered := response.(type) {
 		case answerHead:
 			e.close()
-			ended(refused, answered.Status)
+			ended(outcomeRejected, answered.Status)
 		case clientEvent:
 			r.Events, r.Runs = append(r.Events, answered.Data), append(r.Runs, answered.Run)
 			if answered.Last {
 				e.close()
-				ended(whole, http.StatusOK)
+				ended(outcomeComplete, http.StatusOK)
 			}
 		}
-	}, func(error) { ended(broken, 0) })
-	c.process.after(requestTime, func() {
-		if r.Outcome == underWay {
-			e.abandon()
-			ended(broken, 0)
+	}, func(error) { ended(outcomeAborted, 0) })
+	c.process.after(requestTimeout, func() {
+		if r.Outcome == outcomePending {
+			e.cancel()
+			ended(outcomeAborted, 0)
 		}
 	})
 	return r
@@ -110,39 +110,39 @@
 	return ready[c.fleet().loop.random.IntN(len(ready))]
 }
 
-// line is one line of turns of a program.
-type line struct {
-	clients  *clients
-	program  string
-	session  string
-	budget   int64
-	turns    int // that are still to come
-	previous string
-	sub      bool
-	helpers  bool // a sub-agent is started on the way
-	done     func(last *request)
+// conversation is one line of turns of a program.
+type conversation struct {
+	clients        *clients
+	program        string
+	session        string
+	budget         int64
+	turns          int // that are still to come
+	previous       string
+	isSubagent     bool
+	startsSubagent bool // a sub-agent is started on the way
+	done           func(last *request)
 }
 
-// play plays a program of some turns, with sub-agents, and tells done with its last turn.
-func (c *clients) play(turns int, budget int64, helpers bool, done func(last *request)) {
-	l := c.newLine(turns, budget, done)
-	l.helpers = helpers
-	l.next()
+// runProgram runs a program of some turns, with sub-agents, and calls done with its last turn.
+func (c *clients) runProgram(turns int, budget int64, helpers bool, done func(last *request)) {
+	l := c.newConversation(turns, budget, done)
+	l.startsSubagent = helpers
+	l.nextTurn()
 }
 
-// goOn plays a program that goes on from a turn of another.
-func (c *clients) goOn(turns int, budget int64, previous string) {
-	l := c.newLine(turns, budget, nil)
+// continueProgram runs a program that continues a turn of another.
+func (c *clients) continueProgram(turns int, budget int64, previous string) {
+	l := c.newConversation(turns, budget, nil)
 	l.previous = previous
-	l.next()
+	l.nextTurn()
 }
 
-func (c *clients) newLine(turns int, budget int64, done func(last *request)) *line {
+func (c *clients) newConversation(turns int, budget int64, done func(last *request)) *conversation {
 	c.programs++
-	l := &line{clients: c, program: fmt.Sprintf("p-%d", c.programs), session: fmt.Sprintf("s-%d", c.programs), budget: budget, turns: turns}
+	l := &conversation{clients: c, program: fmt.Sprintf("p-%d", c.programs), session: fmt.Sprintf("s-%d", c.programs), budget: budget, turns: turns}
 	l.done = func(last *request) {
 		c.ended++
-		if last.Outcome == whole {
+		if last.Outcome == outcomeComplete {
 			c.complete++
 		}
 		if done != nil {
@@ -152,31 +152,31 @@
 	return l
 }
 
-// next takes the line's next turn.
-func (l *line) next() {
-	l.try(0)
+// nextTurn takes the line's next turn.
+func (l *conversation) nextTurn() {
+	l.sendTurn(0)
 }
 
-// try sends the turn; a failed one is sent again from its start, as a new try.
-func (l *line) try(resends int) {
+// sendTurn sends the turn; a failed one is sent again from its start, as a new attempt.
+func (l *conversation) sendTurn(resends int) {
 	c := l.clients
 	input := fmt.Appendf(nil, "[%s %d] ", l.session, l.turns)
 	sent := clientRequest{Service: modelService, IsTurn: true, Program: l.program, Session: l.session, Previous: l.previous,
-		Budget: l.budget, Most: turnMost, Input: input}
+		Budget: l.budget, MaxTokens: maxTurnTokens, Input: input}
 	c.send(c.readyProxy(), sent, func(r *request) {
 		switch {
-		case r.Outcome == whole:
-			l.taken(r)
-		case r.Outcome == refused && (r.Status == http.StatusPaymentRequired || r.Status == http.StatusNotFound), resends == turnResends:
+		case r.Outcome == outcomeComplete:
+			l.turnCompleted(r)
+		case r.Outcome == outcomeRejected && (r.Status == http.StatusPaymentRequired || r.Status == http.StatusNotFound), resends == maxTurnRetries:
 			l.done(r)
 		default:
-			c.process.after(c.fleet().loop.between(100*time.Millisecond, 400*time.Millisecond), func() { l.try(resends + 1) })
+			c.process.after(c.fleet().loop.between(100*time.Millisecond, 400*time.Millisecond), func() { l.sendTurn(resends + 1) })
 		}
 	})
 }
 
-// taken goes on after a whole turn: a tool is called or a sub-agent started, and then comes the next turn.
-func (l *line) taken(r *request) {
+// turnCompleted goes on after a complete turn: a tool is called or a sub-agent started, and then comes the next turn.
+func (l *conversation) turnCompleted(r *request) {
 	c := l.clients
 	l.previous = r.ID
 	l.turns--
@@ -184,24 +184,24 @@
 		l.done(r)
 		return
 	}
-	if l.helpers && !l.sub {
-		l.helpers = false
-		sub := &line{clients: c, program: l.program, session: l.session + "-sub", budget: l.budget, turns: 2, previous: r.ID, sub: true,
+	if l.startsSubagent && !l.isSubagent {
+		l.startsSubagent = false
+		sub := &conversation{clients: c, program: l.program, session: l.session + "-sub", budget: l.budget, turns: 2, previous: r.ID, isSubagent: true,
 			done: func(*request) {}}
-		sub.next()
+		sub.nextTurn()
 	}
-	c.send(c.readyProxy(), clientRequest{Service: toolService, Program: l.program, Session: l.session, Most: 2 * tokensPerEvent, Input: []byte("tool")}, func(*request) {
-		c.process.after(c.fleet().loop.between(10*time.Millisecond, 60*time.Millisecond), l.next)
+	c.send(c.readyProxy(), clientRequest{Service: toolService, Program: l.program, Session: l.session, MaxTokens: 2 * tokensPerEvent, Input: []byte("tool")}, func(*request) {
+		c.process.after(c.fleet().loop.between(10*time.Millisecond, 60*time.Millisecond), l.nextTurn)
 	})
 }
 
-// lookAtVersions asks each proxy which configuration is in force.
-func (c *clients) lookAtVersions() {
+// pollVersions asks each proxy which configuration is in force.
+func (c *clients) pollVersions() {
 	f := c.fleet()
 	for _, proxy := range f.proxyAddresses() {
 		started := f.loop.now
-		f.network.ask(c.process, proxy, versionRequest{}, operatorPatience, func(piece any, err error) {
-			answer, _ := piece.(versionAnswer)
+		f.network.ask(c.process, proxy, versionRequest{}, operatorTimeout, func(response any, err error) {
+			answer, _ := response.(versionAnswer)
 			if err != nil || answer.Content.Number == 0 {
 				return
 			}
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -20,37 +20,37 @@
 	"mastusher/internal/tier/wire"
 )
 
-// copies is the number of replicas of a group: one loss is borne.
-const copies = 3
+// replicasPerGroup is the number of replicas of a group: one loss is borne.
+const replicasPerGroup = 3
 
 // Times of a controller.
 const (
-	coreHeartbeat   = 120 * time.Millisecond
-	coreElection    = 500 * time.Millisecond
-	agreeTimeout    = 2500 * time.Millisecond
-	readBackTimeout = 900 * time.Millisecond
-	readInterval    = 700 * time.Millisecond
-	readTimeout     = 2500 * time.Millisecond
-	ownerCheck      = 100 * time.Millisecond
-	placeInterval   = 250 * time.Millisecond
-	placeTimeout    = 2 * time.Second
-	askTimeout      = 700 * time.Millisecond
-	decideInterval  = 150 * time.Millisecond
+	coreHeartbeat       = 120 * time.Millisecond
+	coreElectionTimeout = 500 * time.Millisecond
+	proposeTimeout      = 2500 * time.Millisecond
+	readBackTimeout     = 900 * time.Millisecond
+	readInterval        = 700 * time.Millisecond
+	readTimeout         = 2500 * time.Millisecond
+	leaderCheckInterval = 100 * time.Millisecond
+	reconcileInterval   = 250 * time.Millisecond
+	reconcileTimeout    = 2 * time.Second
+	queryTimeout        = 700 * time.Millisecond
+	rolloutInterval     = 150 * time.Millisecond
 )
 
 // controller is a running member of the configuration shard.
 type controller struct {
-	process  *process
-	id       string
-	state    *core.StateMachine
-	planner  *core.Reconciler
-	replica  *replicaRunner
-	member   *member
-	dirty    bool
-	placing  bool
-	told     view.Digest
-	listed   view.Stamp
-	lastList []byte
+	process          *process
+	id               string
+	state            *core.StateMachine
+	planner          *core.Reconciler
+	replica          *replicaRunner
+	member           *member
+	publishScheduled bool
+	proposing        bool
+	published        view.Digest
+	listed           view.Stamp
+	lastList         []byte
 }
 
 // openController starts a controller's process.
@@ -60,10 +60,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &controller{process: p, id: id, planner: core.NewReconciler(copies), told: view.Digest{}}
-	c.state = core.NewStateMachine(c.markDirty)
+	c := &controller{process: p, id: id, planner: core.NewReconciler(replicasPerGroup), published: view.Digest{}}
+	c.state = core.NewStateMachine(c.schedulePublish)
 	options := replicaOptions{name: core.GroupName, machine: c.state, compact: f.options.CompactBytes,
-		replica: replica.Options{ID: id, Address: p.address, InitialMembers: firstMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElection}}
+		replica: replica.Options{ID: id, Address: p.address, InitialMembers: firstMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElectionTimeout}}
 	c.replica, err = openReplica(p, options)
 	if err != nil {
 		return nil, err
@@ -72,14 +72,14 @@
 	return c, nil
 }
 
-// firstMembers is the group at the first start of the whole system.
+// firstMembers is the group at the first start of the system.
 func firstMembers(p *process, id string) []replica.Member {
-	if !p.machine.first {
+	if !p.machine.firstBoot {
 		return nil
 	}
 	var members []replica.Member
 	own := false
-	for _, seed := range p.machine.fleet.firstSeeds {
+	for _, seed := range p.machine.fleet.initialSeeds {
 		members = append(members, replica.Member{ID: identity.BootstrapID(seed), Address: seed})
 		own = own || identity.BootstrapID(seed) == id
 	}
@@ -91,45 +91,45 @@
 
 // begin starts its loops.
 func (c *controller) begin() {
-	c.member.wake()
-	c.replica.wake()
-	c.markDirty()
-	c.process.after(ownerCheck, c.readList)
-	c.process.after(placeInterval, c.place)
-	c.process.after(decideInterval, c.decide)
+	c.member.schedule()
+	c.replica.schedule()
+	c.schedulePublish()
+	c.process.after(leaderCheckInterval, c.readList)
+	c.process.after(reconcileInterval, c.reconcile)
+	c.process.after(rolloutInterval, c.finishRollouts)
 }
 
-// markDirty has the agreed state published once what it depends on is on disk.
-func (c *controller) markDirty() {
-	if c.dirty || c.replica == nil {
+// schedulePublish has the agreed state published once what it depends on is on disk.
+func (c *controller) schedulePublish() {
+	if c.publishScheduled || c.replica == nil {
 		return
 	}
-	c.dirty = true
+	c.publishScheduled = true
 	c.replica.output(c.publish)
 }
 
 func (c *controller) publish() {
-	c.dirty = false
-	pieces, err := c.state.UnpublishedSections(c.told)
+	c.publishScheduled = false
+	updates, err := c.state.UnpublishedSections(c.published)
 	if err != nil {
 		c.process.machine.fleet.report("HARNESS", "agreed state cannot be published: %v", err)
 		return
 	}
-	for _, piece := range pieces {
-		c.told[piece.Section] = piece.Stamp
+	for _, update := range updates {
+		c.published[update.Section] = update.Stamp
 	}
-	c.member.publish(pieces...)
+	c.member.publish(updates...)
 }
 
-// notice implements handler.
-func (c *controller) notice(_ string, message any) {
+// handleMessage implements handler.
+func (c *controller) handleMessage(_ string, message any) {
 	if envelope, ok := message.(group.Envelope); ok && envelope.Group == core.GroupName {
 		c.replica.deliver(envelope.Message)
 	}
 }
 
-// datagram implements handler.
-func (c *controller) datagram(from string, message any) { c.member.datagram(from, message) }
+// handleDatagram implements handler.
+func (c *controller) handleDatagram(from string, message any) { c.member.handleDatagram(from, message) }
 
 // serve implements handler.
 func (c *controller) serve(call *exchange, request any) {
@@ -150,14 +150,14 @@
 		c.orderRollout(call, asked)
 	case getRollout:
 		c.getRollout(call, asked)
-	case retireOrder:
-		c.orderRetirement(call, asked)
-	case getRetirement:
-		c.getRetirement(call, asked)
+	case decommissionOrder:
+		c.orderDecommission(call, asked)
+	case getDecommission:
+		c.getDecommission(call, asked)
 	}
 }
 
-// redirect sends the caller to the owner, if it is known.
+// redirect sends the caller to the leader, if it is known.
 func (c *controller) redirect(status replica.Status) operatorAnswer {
 	if status.Leader != "" && status.Leader != c.id {
 		for _, m := range c.member.members() {
@@ -169,15 +169,15 @@
 	return operatorAnswer{Status: http.StatusServiceUnavailable}
 }
 
-// put takes a whole configuration.
+// put takes a complete configuration.
 func (c *controller) put(call *exchange, asked putOrder) {
 	order := &configuration.Proposal{Base: asked.Base, Number: asked.Number, Raw: asked.Raw}
-	c.agree(call, core.Command{Configuration: order})
+	c.propose(call, core.Command{Configuration: order})
 }
 
-// agree has an order agreed on and answers it.
-func (c *controller) agree(call *exchange, command core.Command) {
-	c.replica.propose(command, agreeTimeout, func(result any, err error) {
+// propose has an order agreed on and answers it.
+func (c *controller) propose(call *exchange, command core.Command) {
+	c.replica.propose(command, proposeTimeout, func(result any, err error) {
 		call.finish(operatorAnswer{Status: orderStatus(result, err)})
 	})
 }
@@ -209,7 +209,7 @@
 	c.read(call, readAnswer)
 }
 
-// read answers from the agreed state once it is certain that this member owns the group.
+// read answers from the agreed state once it is certain that this member leads the group.
 func (c *controller) read(call *exchange, answer func(agreedView) operatorAnswer) {
 	var read operatorAnswer
 	c.replica.read(func() { read = answer(c.view()) }, readBackTimeout, func(err error) {
@@ -237,7 +237,7 @@
 
 func (c *controller) orderRollout(call *exchange, asked rolloutOrder) {
 	order := &rollout.Proposal{Service: asked.Service, Target: asked.Target, OverMs: asked.OverMs, AtMs: c.process.machine.nowMs()}
-	c.agree(call, core.Command{Rollout: order})
+	c.propose(call, core.Command{Rollout: order})
 }
 
 func (c *controller) getRollout(call *exchange, asked getRollout) {
@@ -250,21 +250,21 @@
 	})
 }
 
-// orderRetirement takes an order to empty a storage machine.
-func (c *controller) orderRetirement(call *exchange, asked retireOrder) {
-	order := &decommission.Proposal{Store: decommission.Store{Node: asked.Node}, MinRemaining: copies}
+// orderDecommission takes an order to empty a storage machine.
+func (c *controller) orderDecommission(call *exchange, asked decommissionOrder) {
+	order := &decommission.Proposal{Store: decommission.Store{Node: asked.Node}, MinRemaining: replicasPerGroup}
 	if store, known := c.planner.Tracker().Store(asked.Node); known {
 		order.ID = store.ID
 	}
 	for _, store := range c.planner.Tracker().Stores() {
 		order.RunningStores = append(order.RunningStores, decommission.Store{Node: store.Node, ID: store.ID})
 	}
-	c.agree(call, core.Command{Decommission: order})
+	c.propose(call, core.Command{Decommission: order})
 }
 
-func (c *controller) getRetirement(call *exchange, asked getRetirement) {
+func (c *controller) getDecommission(call *exchange, asked getDecommission) {
 	c.read(call, func(read agreedView) operatorAnswer {
-		retirement, known := read.retirementOf(asked.Node)
+		retirement, known := read.decommissionOf(asked.Node)
 		if !known {
 			return operatorAnswer{Status: http.StatusNotFound}
 		}
@@ -272,9 +272,9 @@
 	})
 }
 
-// decide finishes roll-outs whose time is over while this member owns the group.
-func (c *controller) decide() {
-	c.process.after(decideInterval, c.decide)
+// finishRollouts finishes roll-outs whose time is over while this member leads the group.
+func (c *controller) finishRollouts() {
+	c.process.after(rolloutInterval, c.finishRollouts)
 	if !c.replica.group.Status().IsLeader {
 		return
 	}
@@ -285,56 +285,56 @@
 			continue
 		}
 		decision := &rollout.Decision{Service: service, Target: roll.Target, Order: roll.Index, State: rollout.Finished}
-		c.replica.propose(core.Command{RolloutDecision: decision}, placeTimeout, func(any, error) {})
+		c.replica.propose(core.Command{RolloutDecision: decision}, reconcileTimeout, func(any, error) {})
 	}
 }
 
-// place keeps the members of all groups right while this member owns the configuration shard.
-func (c *controller) place() {
-	c.process.after(placeInterval, c.place)
+// reconcile keeps the members of all groups right while this member leads the configuration's group.
+func (c *controller) reconcile() {
+	c.process.after(reconcileInterval, c.reconcile)
 	now := time.UnixMilli(dayStart).Add(c.process.machine.fleet.loop.now)
-	plan := c.planner.Reconcile(now, coreFacts(c))
+	plan := c.planner.Reconcile(now, observedState(c))
 	if plan.GroupMembers != nil {
-		c.replica.change(plan.GroupMembers)
+		c.replica.setMembers(plan.GroupMembers)
 	}
-	if len(plan.Commands) > 0 && !c.placing {
-		c.placing = true
-		c.agreeOn(plan.Commands)
+	if len(plan.Commands) > 0 && !c.proposing {
+		c.proposing = true
+		c.proposeAll(plan.Commands)
 	}
 	for _, address := range plan.StoresToQuery {
 		c.askStore(now, address)
 	}
 }
 
-// agreeOn proposes commands one after the other.
-func (c *controller) agreeOn(commands []core.Command) {
+// proposeAll proposes commands one after the other.
+func (c *controller) proposeAll(commands []core.Command) {
 	if len(commands) == 0 {
-		c.placing = false
+		c.proposing = false
 		return
 	}
-	c.replica.propose(commands[0], placeTimeout, func(_ any, err error) {
+	c.replica.propose(commands[0], reconcileTimeout, func(_ any, err error) {
 		if err != nil {
-			c.placing = false
+			c.proposing = false
 			return
 		}
-		c.agreeOn(commands[1:])
+		c.proposeAll(commands[1:])
 	})
 }
 
-// askStore has a store report on the groups that it owns.
+// askStore has a store report on the groups that it leads.
 func (c *controller) askStore(now time.Time, address string) {
-	c.process.machine.fleet.network.ask(c.process, address, wire.ShardMembersRequest{}, askTimeout, func(answer any, err error) {
+	c.process.machine.fleet.network.ask(c.process, address, wire.ShardMembersRequest{}, queryTimeout, func(answer any, err error) {
 		if err == nil {
 			c.planner.RecordGroups(now, answer.(wire.ShardMembersResponse))
 		}
 	})
 }
 
-// readList reads the platform's list while this member owns the group, and publishes each change.
+// readList reads the platform's list while this member leads the group, and publishes each change.
 func (c *controller) readList() {
 	status := c.replica.group.Status()
 	if !status.IsLeader {
-		c.process.after(ownerCheck, c.readList)
+		c.process.after(leaderCheckInterval, c.readList)
 		return
 	}
 	f := c.process.machine.fleet
@@ -346,24 +346,24 @@
 	})
 }
 
-func (c *controller) publishList(epoch uint64, endpoints []model.Endpoint) {
+func (c *controller) publishList(term uint64, endpoints []model.Endpoint) {
 	body, err := json.Marshal(view.EndpointList{Endpoints: endpoints})
 	if err != nil {
 		c.process.machine.fleet.report("HARNESS", "list cannot be encoded: %v", err)
 		return
 	}
-	if c.listed.Term == epoch && string(body) == string(c.lastList) {
+	if c.listed.Term == term && string(body) == string(c.lastList) {
 		return
 	}
-	if c.listed.Term != epoch {
-		c.listed = view.Stamp{Term: epoch}
+	if c.listed.Term != term {
+		c.listed = view.Stamp{Term: term}
 	}
 	c.listed.Sequence++
 	c.lastList = body
 	c.member.publish(view.Update{Section: view.EndpointsSection, Stamp: c.listed, Body: body})
 }
 
-// coreFacts is what the controller's plan is made from.
-func coreFacts(c *controller) core.ObservedState {
+// observedState is what the controller's plan is made from.
+func observedState(c *controller) core.ObservedState {
 	return core.ObservedState{Group: c.replica.group.Status(), Members: c.member.members(), Committed: c.state}
 }
--- a/internal/tier/fleettest/day.go
+++ b/internal/tier/fleettest/day.go
@@ -9,27 +9,27 @@
 
 // Paces of those who use the tier during a day.
 const (
-	programPace = 350 * time.Millisecond
-	orderPace   = 1200 * time.Millisecond
-	readPace    = 1700 * time.Millisecond
-	lookPace    = 150 * time.Millisecond
-	ackWait     = 3 * time.Second
-	programSize = 4 // turns
-	afterDay    = 6 * time.Second
-	comeBack    = 25 * time.Second // within which all must serve again once the troubles are over
-	slowSync    = 120 * time.Millisecond
-	fullBytes   = 200
-	slowestSync = 4    // times the usual
-	followOn    = 0.15 // share of programs that go on from a turn of another
+	programInterval      = 350 * time.Millisecond
+	orderInterval        = 1200 * time.Millisecond
+	operatorReadInterval = 1700 * time.Millisecond
+	versionPollInterval  = 150 * time.Millisecond
+	ackTimeout           = 3 * time.Second
+	maxTurns             = 4 // turns
+	settlingTime         = 6 * time.Second
+	recoveryTimeout      = 25 * time.Second // within which all must serve again once the faults are over
+	slowSyncTime         = 120 * time.Millisecond
+	freeBytes            = 200
+	maxSyncFactor        = 4    // times the usual
+	continuedShare       = 0.15 // share of programs that go on from a turn of another
 )
 
-// day plays one plan.
+// day is the run of one plan.
 type day struct {
 	*Fleet
-	plan    Plan
-	newest  uint64 // number of the newest version that an operator knows of
-	sending bool
-	over    bool
+	plan          Plan
+	newestVersion uint64 // number of the newest version that an operator knows of
+	sending       bool
+	over          bool
 }
 
 // Result is what came of a day.
@@ -38,12 +38,12 @@
 	Orders     int // acknowledged
 	Reads      int
 	Runs       int
-	Whole      int // turns and calls answered whole
-	Programs   int // that ended whole
+	Complete   int // turns and calls answered completely
+	Programs   int // that ended complete
 }
 
-// Play plays a plan and judges it.
-func Play(plan Plan, options Options) Result {
+// Run runs a plan and returns what it showed.
+func Run(plan Plan, options Options) Result {
 	options.Seed = plan.Seed
 	if options.Conditions == (Conditions{}) && plan.Seed%3 == 0 {
 		options.Conditions = Conditions{Delay: time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.05}
@@ -52,54 +52,54 @@
 		options.CompactBytes = 3 << 10
 	}
 	d := &day{Fleet: New(options), plan: plan}
-	for _, m := range d.counting() {
-		m.syncTime = d.loop.between(d.options.SyncTime/2, slowestSync*d.options.SyncTime)
+	for _, m := range d.quorumMachines() {
+		m.syncTime = d.loop.between(d.options.SyncTime/2, maxSyncFactor*d.options.SyncTime)
 	}
 	d.Boot()
-	d.use()
+	d.startTraffic()
 	for _, fault := range plan.Faults {
-		d.loop.after(fault.At, func() { d.strike(fault) })
+		d.loop.after(fault.At, func() { d.inject(fault) })
 	}
-	d.RunFor(plan.Span + afterDay)
-	d.recover()
-	d.finish()
+	d.RunFor(plan.Span + settlingTime)
+	d.endFaults()
+	d.checkRecovery()
 	return d.result()
 }
 
-// use has operators, clients and lookers at work for the day.
-func (d *day) use() {
-	d.every(orderPace, d.order)
-	d.every(readPace, func() { d.operators[1].get() })
-	d.every(lookPace, d.clients.lookAtVersions)
-	d.every(programPace, func() {
+// startTraffic has operators, clients and lookers at work for the day.
+func (d *day) startTraffic() {
+	d.every(orderInterval, d.order)
+	d.every(operatorReadInterval, func() { d.operators[1].get() })
+	d.every(versionPollInterval, d.clients.pollVersions)
+	d.every(programInterval, func() {
 		budget := int64(0)
-		if d.loop.chance(0.5) {
-			budget = int64(turnMost * (1 + d.loop.random.IntN(2*programSize)))
+		if d.loop.withProbability(0.5) {
+			budget = int64(maxTurnTokens * (1 + d.loop.random.IntN(2*maxTurns)))
 		}
-		if d.loop.chance(followOn) {
-			d.clients.goOn(1+d.loop.random.IntN(programSize), budget, d.wholeTurn())
+		if d.loop.withProbability(continuedShare) {
+			d.clients.continueProgram(1+d.loop.random.IntN(maxTurns), budget, d.completeTurn())
 			return
 		}
-		d.clients.play(1+d.loop.random.IntN(programSize), budget, d.loop.chance(0.3), nil)
+		d.clients.runProgram(1+d.loop.random.IntN(maxTurns), budget, d.loop.withProbability(0.3), nil)
 	})
 }
 
-// wholeTurn picks a turn that was answered whole lately; empty: there is none.
-func (d *day) wholeTurn() string {
+// completeTurn picks a turn that was answered completely lately; empty: there is none.
+func (d *day) completeTurn() string {
 	sent := d.history.requests
 	for range 20 {
 		if len(sent) == 0 {
 			break
 		}
 		r := sent[len(sent)-1-d.loop.random.IntN(min(len(sent), 200))]
-		if r.IsTurn && r.Outcome == whole && d.Now()-r.Ended < keepFor/2 {
+		if r.IsTurn && r.Outcome == outcomeComplete && d.Now()-r.Ended < retention/2 {
 			return r.ID
 		}
 	}
 	return ""
 }
 
-// every does something again and again until the day is over.
+// every calls run at random intervals until the day is over.
 func (d *day) every(pace time.Duration, run func()) {
 	d.loop.after(d.loop.between(pace/2, 3*pace/2), func() {
 		if d.over {
@@ -120,24 +120,24 @@
 }
 
 func (d *day) send(o *operator, done func()) {
-	base := d.newest
+	base := d.newestVersion
 	sent := o.put(base, base+1+uint64(d.loop.random.IntN(2)))
 	d.whenAnswered(sent, func() {
 		done()
 		if sent.Status == http.StatusOK {
-			d.newest = max(d.newest, sent.Content.Number)
+			d.newestVersion = max(d.newestVersion, sent.Content.Number)
 			return
 		}
-		d.learn(o)
+		d.refreshVersion(o)
 	})
 }
 
-// learn has an operator read which version is in force, after a refusal.
-func (d *day) learn(o *operator) {
+// refreshVersion has an operator read which version is in force, after a refusal.
+func (d *day) refreshVersion(o *operator) {
 	read := o.get()
 	d.loop.after(500*time.Millisecond, func() {
 		if read.Ended != 0 {
-			d.newest = max(d.newest, read.Content.Number)
+			d.newestVersion = max(d.newestVersion, read.Content.Number)
 		}
 	})
 }
@@ -154,26 +154,26 @@
 	})
 }
 
-// recover ends all troubles.
-func (d *day) recover() {
+// endFaults ends all faults.
+func (d *day) endFaults() {
 	d.onAcknowledged = nil
 	d.Heal()
 	for _, m := range d.machines {
 		if m.removed {
 			continue
 		}
-		d.wake(m)
+		d.endMachineFaults(m)
 		m.start()
 	}
 	for _, o := range d.operators {
-		o.loseAnswer = 0
+		o.ackLossRate = 0
 	}
 }
 
-// wake ends what troubles a machine without ending it.
-func (d *day) wake(m *Machine) {
+// endMachineFaults ends what injects a fault into a machine without ending it.
+func (d *day) endMachineFaults(m *Machine) {
 	m.thaw()
-	m.wakeDisk()
+	m.resumeDisk()
 	m.syncTime, m.syncFails = d.options.SyncTime, false
 	if m.disk != nil {
 		m.disk.SetCapacity(0)
@@ -185,35 +185,35 @@
 	}
 }
 
-// finish sees whether all serve again once the troubles are over.
-func (d *day) finish() {
+// checkRecovery checks that all serve again once the faults are over.
+func (d *day) checkRecovery() {
 	d.over = true
 	read := d.operators[0].get()
-	if !d.Until(comeBack, func() bool { return read.Ended != 0 }) {
+	if !d.Until(recoveryTimeout, func() bool { return read.Ended != 0 }) {
 		d.report("RECOVER", "the configuration is not read back")
 		return
 	}
 	last := d.operators[0].put(read.Content.Number, read.Content.Number+3)
-	d.Until(comeBack, func() bool { return last.Ended != 0 })
+	d.Until(recoveryTimeout, func() bool { return last.Ended != 0 })
 	if last.Ended == 0 {
 		d.report("RECOVER", "an order is not answered")
 	}
-	if !d.Until(comeBack, func() bool { return d.allServe(last) }) {
+	if !d.Until(recoveryTimeout, func() bool { return d.allServe(last) }) {
 		d.report("RECOVER", "%d of %d proxies are ready with the newest configuration", len(d.readyProxies()), len(d.edges))
 	}
 	for program := range 3 {
-		d.finishProgram(program)
+		d.checkProgramRuns(program)
 	}
-	d.clients.lookAtVersions()
+	d.clients.pollVersions()
 	d.RunFor(time.Second)
 }
 
-func (d *day) finishProgram(program int) {
+func (d *day) checkProgramRuns(program int) {
 	var ended *request
 	for range 3 {
 		ended = nil
-		d.clients.play(2, 0, false, func(r *request) { ended = r })
-		if d.Until(comeBack, func() bool { return ended != nil }) && ended.Outcome == whole {
+		d.clients.runProgram(2, 0, false, func(r *request) { ended = r })
+		if d.Until(recoveryTimeout, func() bool { return ended != nil }) && ended.Outcome == outcomeComplete {
 			return
 		}
 	}
@@ -227,7 +227,7 @@
 	return fmt.Sprintf("outcome %d, status %d", r.Outcome, r.Status)
 }
 
-// allServe tells whether all proxies have a version in force that is at least as new.
+// allServe reports whether all proxies have a version in force that is at least as new.
 func (d *day) allServe(last *order) bool {
 	for _, m := range d.edges {
 		serving, ok := m.processes[1].handler.(*proxy)
@@ -246,8 +246,8 @@
 		}
 	}
 	for _, r := range d.history.requests {
-		if r.Outcome == whole {
-			result.Whole++
+		if r.Outcome == outcomeComplete {
+			result.Complete++
 		}
 	}
 	return result
--- a/internal/tier/fleettest/disk.go
+++ b/internal/tier/fleettest/disk.go
@@ -20,8 +20,8 @@
 	pending func() error // a sync that is under way; nil: none
 }
 
-// settle completes the sync that is under way.
-func (d *timedDisk) settle() error {
+// completeSync completes the sync that is under way.
+func (d *timedDisk) completeSync() error {
 	pending := d.pending
 	d.pending = nil
 	if pending == nil {
@@ -32,7 +32,7 @@
 
 // sync begins a sync.
 func (d *timedDisk) sync(run func() error) error {
-	if err := d.settle(); err != nil {
+	if err := d.completeSync(); err != nil {
 		return err
 	}
 	d.took += d.machine.syncTime
@@ -45,7 +45,7 @@
 
 // Open implements storage.Disk.
 func (d *timedDisk) Open(name string) (storage.File, error) {
-	if err := d.settle(); err != nil {
+	if err := d.completeSync(); err != nil {
 		return nil, err
 	}
 	file, err := d.Disk.Open(name)
@@ -54,7 +54,7 @@
 
 // Create implements storage.Disk.
 func (d *timedDisk) Create(name string) (storage.File, error) {
-	if err := d.settle(); err != nil {
+	if err := d.completeSync(); err != nil {
 		return nil, err
 	}
 	file, err := d.Disk.Create(name)
@@ -63,7 +63,7 @@
 
 // Rename implements storage.Disk.
 func (d *timedDisk) Rename(from, to string) error {
-	if err := d.settle(); err != nil {
+	if err := d.completeSync(); err != nil {
 		return err
 	}
 	return d.Disk.Rename(from, to)
@@ -71,7 +71,7 @@
 
 // Remove implements storage.Disk.
 func (d *timedDisk) Remove(name string) error {
-	if err := d.settle(); err != nil {
+	if err := d.completeSync(); err != nil {
 		return err
 	}
 	return d.Disk.Remove(name)
@@ -88,7 +88,7 @@
 
 // Write implements storage.File.
 func (f *timedFile) Write(data []byte) (int, error) {
-	if err := f.disk.settle(); err != nil {
+	if err := f.disk.completeSync(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(data)
@@ -96,7 +96,7 @@
 
 // Truncate implements storage.File.
 func (f *timedFile) Truncate(size int64) error {
-	if err := f.disk.settle(); err != nil {
+	if err := f.disk.completeSync(); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
@@ -107,7 +107,7 @@
 
 // Close implements storage.File.
 func (f *timedFile) Close() error {
-	if err := f.disk.settle(); err != nil {
+	if err := f.disk.completeSync(); err != nil {
 		return err
 	}
 	return f.File.Close()
--- a/internal/tier/fleettest/doc.go
+++ b/internal/tier/fleettest/doc.go
@@ -1,6 +1,14 @@
-// Package fleettest is the serving tier in memory and in virtual time. It drives the state machines that the daemons run
-// (replica groups over their disks, membership, placement, configuration, programs' state) through adapters that stand for
-// the daemons' sockets, timers and files, and lets machines be killed, lose power, freeze, lose their disks, move, and be
-// cut off from one another. Operators, clients and endpoints stand at its edge, and checkers judge a run by nothing but
-// what those have seen. The same plan and seed give the same run.
+// Package fleettest models the serving tier in memory and in virtual time. It drives the state machines that the daemons run
+// (replica groups over their disks, membership, placement, configuration, programs' state) through adapters that stand in for
+// the daemons' sockets, timers, files and goroutines. Machines can be killed, lose power, freeze, lose their disks, be replaced
+// and be partitioned from one another. Operators, clients and endpoints stand outside of the tier, and checkers judge a run by
+// nothing but what those have seen. It is test support: only its own tests use it.
+//
+// It shows that the state machines and the protocols between them keep the tier's guarantees: acknowledged configurations
+// survive and are never read stale, a turn runs at most once and with its complete chain, a budget holds, and the tier serves
+// again once the faults are over. Package simulation shows the same of the roles as they ship, goroutines and sockets included;
+// this package does not run them, but it is faster, and its scenarios choose their faults to the millisecond.
+//
+// All events of a run happen in one goroutine, in the order of their times in a loop: the same plan and seed give the same run,
+// event by event. A function that draws random numbers must draw them in the same order whatever is traced.
 package fleettest
--- a/internal/tier/fleettest/endpoint.go
+++ b/internal/tier/fleettest/endpoint.go
@@ -5,30 +5,28 @@
 	"hash/fnv"
 	"net/http"
 	"time"
-
-	"mastusher/internal/tier/model"
 )
 
 // What endpoints do.
 const (
 	tokensPerEvent  = 3
-	eventPace       = 12 * time.Millisecond
+	eventInterval   = 12 * time.Millisecond
 	platformAddress = "platform:80"
 	listDelay       = 800 * time.Millisecond // that the platform's list runs behind
 )
 
 // endpointRequest is a request as it reaches an endpoint.
 type endpointRequest struct {
-	ID       string
-	Expected string
-	Body     []byte
-	Most     int64
+	ID        string
+	Expected  string
+	Body      []byte
+	MaxTokens int64
 }
 
-// endpointHead is an answer that promises that the request has not run.
-type endpointHead struct{ Status int }
+// endpointRejection is an answer that promises that the request has not run.
+type endpointRejection struct{ Status int }
 
-// endpointEvent is a piece of an answer.
+// endpointEvent is one event of an answer.
 type endpointEvent struct {
 	Data []byte
 	Run  int // names the run that made it
@@ -54,9 +52,9 @@
 	}
 }
 
-func (e *endpoint) notice(string, any) {}
+func (e *endpoint) handleMessage(string, any) {}
 
-func (e *endpoint) datagram(string, any) {}
+func (e *endpoint) handleDatagram(string, any) {}
 
 // serve implements handler.
 func (e *endpoint) serve(call *exchange, request any) {
@@ -65,69 +63,41 @@
 		return
 	}
 	if asked.Expected != "" && asked.Expected != e.id {
-		call.finish(endpointHead{Status: http.StatusMisdirectedRequest})
+		call.finish(endpointRejection{Status: http.StatusMisdirectedRequest})
 		return
 	}
 	f := e.process.machine.fleet
-	number := f.history.run(run{ID: asked.ID, Endpoint: e.id, Service: e.service, Body: asked.Body, At: f.loop.now})
+	number := f.history.addRun(run{ID: asked.ID, Endpoint: e.id, Service: e.service, Body: asked.Body, At: f.loop.now})
 	if e.stuck {
 		return
 	}
-	gone := false
-	call.onCallerGone = func() { gone = true }
-	events := eventsOf(asked.ID, asked.Most)
-	e.next(call, asked.ID, number, 1, events, &gone)
+	canceled := false
+	call.onCallerCanceled = func() { canceled = true }
+	events := eventsOf(asked.ID, asked.MaxTokens)
+	e.next(call, asked.ID, number, 1, events, &canceled)
 }
 
 // next makes one event after the other.
-func (e *endpoint) next(call *exchange, id string, number, event, events int, gone *bool) {
-	e.process.after(eventPace, func() {
-		if *gone {
+func (e *endpoint) next(call *exchange, id string, number, event, events int, canceled *bool) {
+	e.process.after(eventInterval, func() {
+		if *canceled {
 			return
 		}
-		piece := endpointEvent{Data: eventData(id, event), Run: number, Last: event == events}
-		if piece.Last {
-			call.finish(piece)
+		answer := endpointEvent{Data: eventData(id, event), Run: number, Last: event == events}
+		if answer.Last {
+			call.finish(answer)
 			return
 		}
-		call.send(piece)
-		e.next(call, id, number, event+1, events, gone)
+		call.send(answer)
+		e.next(call, id, number, event+1, events, canceled)
 	})
 }
 
 // eventsOf is the number of events of a request's answer.
-func eventsOf(id string, most int64) int {
+func eventsOf(id string, maxTokens int64) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
-	return 1 + int(hash.Sum32()%uint32(max(1, most/tokensPerEvent)))
-}
-
-// listRequest asks the platform for its list, a []model.Endpoint.
-type listRequest struct{}
-
-// platform answers with the list as it was some time ago.
-type platform struct{ process *process }
-
-func (*platform) notice(string, any)   {}
-func (*platform) datagram(string, any) {}
-func (p *platform) serve(call *exchange, request any) {
-	if _, ok := request.(listRequest); ok {
-		call.finish(p.process.machine.fleet.listed)
-	}
-}
-
-// listLater puts an incarnation on the list in place of the one that had its address before.
-func (f *Fleet) listLater(e *endpoint) {
-	entry := model.Endpoint{ID: e.id, Service: e.service, Address: e.process.address, Zone: e.process.machine.zone, Capacity: 64, State: model.Ready}
-	f.loop.after(listDelay, func() {
-		var list []model.Endpoint
-		for _, listed := range f.listed {
-			if listed.Address != entry.Address {
-				list = append(list, listed)
-			}
-		}
-		f.listed = append(list, entry)
-	})
+	return 1 + int(hash.Sum32()%uint32(max(1, maxTokens/tokensPerEvent)))
 }
 
 // eventData is what one event of a request's answer holds.
--- a/internal/tier/fleettest/exchange.go
+++ b/internal/tier/fleettest/exchange.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// exchange is a call and its answer, which comes in pieces. It is over once either side ends it or its connection is lost.
+// exchange is a call and its answer, which comes as one or several responses. It is over once either side ends it or its connection is lost.
 type exchange struct {
-	network      *network
-	caller       *process
-	server       *process
-	callerLife   int
-	serverLife   int
-	over         bool
-	onPiece      func(piece any) // at the caller
-	onBreak      func(err error) // at the caller, once, unless it ended the exchange itself
-	onCallerGone func()          // at the server, once, unless the exchange was over; may be nil
+	network           *network
+	caller            *process
+	server            *process
+	callerIncarnation int
+	serverIncarnation int
+	closed            bool
+	onResponse        func(response any) // at the caller
+	onError           func(err error)    // at the caller, once, unless it ended the exchange itself
+	onCallerCanceled  func()             // at the server, once, unless the exchange was over; may be nil
 }
 
-// call sends a request to whoever has the address when it arrives. The caller is told pieces, and of a break.
-func (n *network) call(from *process, address string, request any, onPiece func(any), onBreak func(error)) *exchange {
-	e := &exchange{network: n, caller: from, callerLife: from.life, onPiece: onPiece, onBreak: onBreak}
+// call sends a request to whoever has the address when it arrives. onResponse is called for each response, and onError if the call breaks.
+func (n *network) call(from *process, address string, request any, onResponse func(any), onError func(error)) *exchange {
+	e := &exchange{network: n, caller: from, callerIncarnation: from.incarnation, onResponse: onResponse, onError: onError}
 	to := n.byAddress[address]
 	if to == nil {
 		return e // an address that nobody has says nothing
 	}
 	e.server = to
 	from.exchanges = append(from.exchanges, e)
-	n.stream(from, to, func() { e.arrive(request) }, func() { e.broken(errTimeout) })
+	n.stream(from, to, func() { e.deliver(request) }, func() { e.fail(errTimeout) })
 	return e
 }
 
-// ask makes a call that is answered by one piece within a time.
+// ask makes a call that is answered by one response within a timeout.
 func (n *network) ask(from *process, address string, request any, timeout time.Duration, done func(answer any, err error)) {
 	ended := false
 	finish := func(answer any, err error) {
@@ -42,127 +42,127 @@
 		done(answer, err)
 	}
 	var e *exchange
-	e = n.call(from, address, request, func(piece any) {
+	e = n.call(from, address, request, func(response any) {
 		e.close()
-		finish(piece, nil)
+		finish(response, nil)
 	}, func(err error) { finish(nil, err) })
 	from.after(timeout, func() {
 		if !ended {
-			e.abandon()
+			e.cancel()
 			finish(nil, errTimeout)
 		}
 	})
 }
 
-// arrive hands the request to the process at the address.
-func (e *exchange) arrive(request any) {
-	if e.over {
+// deliver hands the request to the process at the address.
+func (e *exchange) deliver(request any) {
+	if e.closed {
 		return
 	}
-	if !e.server.up() {
-		if e.server.machine.answersFor() {
-			e.network.stream(e.server, e.caller, func() { e.broken(errReset) }, nil)
+	if !e.server.isRunning() {
+		if e.server.machine.sendsResets() {
+			e.network.stream(e.server, e.caller, func() { e.fail(errReset) }, nil)
 		}
 		return
 	}
-	e.serverLife = e.server.life
+	e.serverIncarnation = e.server.incarnation
 	e.server.exchanges = append(e.server.exchanges, e)
-	e.server.enter(e.serverLife, func() { e.server.handler.serve(e, request) })
+	e.server.execute(e.serverIncarnation, func() { e.server.handler.serve(e, request) })
 }
 
-// answersFor tells whether the machine is there to reset connections to a process that has ended.
-func (m *Machine) answersFor() bool { return !m.removed && !m.powerless }
+// sendsResets reports whether the machine is there to reset connections to a process that has ended.
+func (m *Machine) sendsResets() bool { return !m.removed && !m.powerless }
 
-// send sends a piece of the answer.
-func (e *exchange) send(piece any) {
-	if e.over {
+// send sends a response.
+func (e *exchange) send(response any) {
+	if e.closed {
 		return
 	}
 	e.network.stream(e.server, e.caller, func() {
-		e.caller.enter(e.callerLife, func() {
-			if !e.over {
-				e.onPiece(piece)
+		e.caller.execute(e.callerIncarnation, func() {
+			if !e.closed {
+				e.onResponse(response)
 			}
 		})
-	}, func() { e.broken(errTimeout) })
+	}, func() { e.fail(errTimeout) })
 }
 
-// finish sends the last piece.
-func (e *exchange) finish(piece any) {
-	e.send(piece)
+// finish sends the last response.
+func (e *exchange) finish(response any) {
+	e.send(response)
 	e.server.dropExchange(e)
 }
 
-// breakOff ends the answer before its end, as the server.
-func (e *exchange) breakOff() {
-	if e.over {
+// abort ends the answer before its end, as the server.
+func (e *exchange) abort() {
+	if e.closed {
 		return
 	}
-	e.network.stream(e.server, e.caller, func() { e.broken(errReset) }, nil)
+	e.network.stream(e.server, e.caller, func() { e.fail(errReset) }, nil)
 }
 
-// abandon ends the exchange as the caller.
-func (e *exchange) abandon() {
-	if e.over {
+// cancel ends the exchange as the caller.
+func (e *exchange) cancel() {
+	if e.closed {
 		return
 	}
 	e.close()
-	e.tellServer()
+	e.notifyServer()
 }
 
-// tellServer tells the server that its caller has gone.
-func (e *exchange) tellServer() {
-	gone, life := e.onCallerGone, e.serverLife
-	if gone == nil || e.server == nil {
+// notifyServer tells the server that its caller has canceled.
+func (e *exchange) notifyServer() {
+	canceled, incarnation := e.onCallerCanceled, e.serverIncarnation
+	if canceled == nil || e.server == nil {
 		return
 	}
-	e.network.stream(e.caller, e.server, func() { e.server.enter(life, gone) }, nil)
+	e.network.stream(e.caller, e.server, func() { e.server.execute(incarnation, canceled) }, nil)
 }
 
-// broken tells the caller that nothing more will come.
-func (e *exchange) broken(err error) {
-	if e.over {
+// fail tells the caller that nothing more will come.
+func (e *exchange) fail(err error) {
+	if e.closed {
 		return
 	}
 	e.close()
-	e.caller.enter(e.callerLife, func() { e.onBreak(err) })
+	e.caller.execute(e.callerIncarnation, func() { e.onError(err) })
 }
 
 // reset breaks the exchange at both sides at once.
 func (e *exchange) reset() {
-	if e.over {
+	if e.closed {
 		return
 	}
-	gone, life := e.onCallerGone, e.serverLife
-	e.broken(errReset)
-	if gone != nil {
-		e.server.enter(life, gone)
+	canceled, incarnation := e.onCallerCanceled, e.serverIncarnation
+	e.fail(errReset)
+	if canceled != nil {
+		e.server.execute(incarnation, canceled)
 	}
 }
 
 // close ends the exchange without telling anyone.
 func (e *exchange) close() {
-	e.over = true
+	e.closed = true
 	e.caller.dropExchange(e)
 	if e.server != nil {
 		e.server.dropExchange(e)
 	}
 }
 
-// processEnded deals with the end of a process at one side.
+// processEnded handles the end of a process at one side.
 func (e *exchange) processEnded(p *process, reset bool) {
-	if e.over {
+	if e.closed {
 		return
 	}
 	if p == e.caller {
 		e.close()
 		if reset {
-			e.tellServer()
+			e.notifyServer()
 		}
 		return
 	}
 	if reset {
-		e.network.stream(e.server, e.caller, func() { e.broken(errReset) }, nil)
+		e.network.stream(e.server, e.caller, func() { e.fail(errReset) }, nil)
 	}
 }
 
--- /dev/null
+++ b/internal/tier/fleettest/faultinjection.go
@@ -0,0 +1,152 @@
+package fleettest
+
+import "time"
+
+// quorumMachines lists the machines with a disk.
+func (f *Fleet) quorumMachines() []*Machine {
+	return append(append([]*Machine{}, f.cores...), f.stores...)
+}
+
+// inject injects a fault.
+func (d *day) inject(fault Fault) {
+	counting := d.quorumMachines()
+	m, other := counting[fault.Target%len(counting)], counting[fault.Other%len(counting)]
+	edge, engine := d.edges[fault.Target%len(d.edges)], d.engines[fault.Target%len(d.engines)]
+	switch fault.Kind {
+	case KillFault:
+		d.Kill(m)
+		d.StartLater(fault.For, m)
+	case PowerLossFault:
+		d.LosePower(m)
+		d.StartLater(fault.For, m)
+	case KillAllFault:
+		d.Kill(d.tier()...)
+		d.startEach(fault.For)
+	case PowerLossAllFault:
+		d.LosePower(d.tier()...)
+		d.startEach(fault.For)
+	case AckKillFault:
+		d.afterAcknowledgement(func(leader *Machine) { d.endLeader(leader, fault.For, d.Kill) })
+	case AckPowerLossFault:
+		d.afterAcknowledgement(func(leader *Machine) { d.endLeader(leader, fault.For, d.LosePower) })
+	case AckDiskLossPowerLossAllFault:
+		d.afterAcknowledgement(func(*Machine) { d.loseDiskAndAllPower(m, fault.For) })
+	case DiskLossFault:
+		d.LoseDisk(m)
+		d.StartLater(fault.For, m)
+	case DiskLossPowerLossAllFault:
+		d.loseDiskAndAllPower(m, fault.For)
+	case ReplaceFault:
+		d.replace(m)
+	default:
+		d.injectMachineFault(fault, m, other)
+		d.injectEdgeFault(fault, edge, engine)
+	}
+}
+
+// startEach starts all machines of the tier again, each within a span.
+func (d *day) startEach(within time.Duration) {
+	for _, m := range d.tier() {
+		d.StartLater(d.loop.between(0, within), m)
+	}
+}
+
+// loseDiskAndAllPower takes one disk away and the power of all other machines with one.
+func (d *day) loseDiskAndAllPower(m *Machine, within time.Duration) {
+	if m.removed {
+		return
+	}
+	d.LosePower(d.quorumMachines()...)
+	d.LoseDisk(m)
+	d.startEach(within)
+}
+
+// afterAcknowledgement does something to the leader of the configuration right after the next acknowledgement.
+func (d *day) afterAcknowledgement(run func(leader *Machine)) {
+	until := d.Now() + ackTimeout
+	d.onAcknowledged = func(*order) {
+		d.onAcknowledged = nil
+		if leader := d.CoreLeader(); leader != nil && d.Now() <= until {
+			run(leader)
+		}
+	}
+}
+
+// endLeader ends a machine within 4 ms.
+func (d *day) endLeader(leader *Machine, pause time.Duration, end func(...*Machine)) {
+	d.loop.after(d.loop.between(0, 4*time.Millisecond), func() {
+		end(leader)
+		d.StartLater(pause, leader)
+	})
+}
+
+func (d *day) replace(m *Machine) {
+	for _, core := range d.cores {
+		if core == m {
+			d.ReplaceCore(m)
+			return
+		}
+	}
+	d.ReplaceStore(m)
+}
+
+// injectMachineFault injects a fault into a machine with a disk without ending it.
+func (d *day) injectMachineFault(fault Fault, m, other *Machine) {
+	switch fault.Kind {
+	case FreezeFault:
+		d.Freeze(m)
+		d.loop.after(fault.For, func() { d.Thaw(m) })
+	case PartitionFault:
+		peers := append(d.quorumMachines(), d.edges...)
+		if fault.Other%2 == 0 {
+			peers = d.quorumMachines()
+		}
+		d.Partition([]*Machine{m}, peers)
+		d.loop.after(fault.For, func() { d.HealLinks([]*Machine{m}, peers) })
+	case PartitionOneWayFault:
+		if m != other {
+			d.PartitionOneWay(m, other)
+			d.loop.after(fault.For, func() { d.HealLinks([]*Machine{m}, []*Machine{other}) })
+		}
+	case ResetFault:
+		d.Reset(m, other)
+	case ClockStepFault:
+		d.StepClock(m, fault.For)
+	case SlowDiskFault:
+		d.SlowDisk(m, slowSyncTime)
+		d.loop.after(fault.For, func() { d.SlowDisk(m, d.options.SyncTime) })
+	case StalledDiskFault:
+		d.StallDisk(m)
+		d.loop.after(fault.For, func() { d.ResumeDisk(m) })
+	case FullDiskFault:
+		d.FillDisk(m, freeBytes)
+		d.loop.after(fault.For, func() { d.FillDisk(m, -1) })
+	}
+}
+
+// injectEdgeFault injects faults into those beside the machines with a disk.
+func (d *day) injectEdgeFault(fault Fault, edge, engine *Machine) {
+	switch fault.Kind {
+	case ProxyKillFault:
+		d.KillProcess(edge.processes[1])
+	case AgentKillFault:
+		d.KillProcess(edge.processes[0])
+	case EndpointReplaceFault:
+		service := engine.processes[0].handler.(*endpoint).service
+		swapped := toolService
+		if service == toolService {
+			swapped = modelService
+		}
+		d.ReplaceEndpoint(engine, swapped)
+		d.loop.after(fault.For, func() { d.ReplaceEndpoint(engine, service) })
+	case ResponseLossFault:
+		engine.processes[0].handler.(*endpoint).stuck = true
+		d.recordFault()
+		d.loop.after(fault.For, func() { engine.processes[0].handler.(*endpoint).stuck = false })
+	case AckLossFault:
+		d.operators[0].ackLossRate = 0.7
+		d.loop.after(fault.For, func() { d.operators[0].ackLossRate = 0 })
+	case OrderRaceFault:
+		d.send(d.operators[1], func() {})
+	}
+}
--- a/internal/tier/fleettest/troubles.go
+++ b/internal/tier/fleettest/faults.go
@@ -7,7 +7,7 @@
 
 // Kill ends all processes of machines at once.
 func (f *Fleet) Kill(machines ...*Machine) {
-	f.mark()
+	f.recordFault()
 	for _, m := range machines {
 		f.trace("kill %s", m.name)
 		m.kill()
@@ -16,7 +16,7 @@
 
 // LosePower takes the power from machines at once: what they had not synced may be gone.
 func (f *Fleet) LosePower(machines ...*Machine) {
-	f.mark()
+	f.recordFault()
 	for _, m := range machines {
 		f.trace("%s loses power", m.name)
 		m.losePower()
@@ -25,7 +25,7 @@
 
 // LoseDisk ends a machine's processes and empties its disk.
 func (f *Fleet) LoseDisk(m *Machine) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s loses its disk", m.name)
 	m.losePower()
 	m.wipe()
@@ -33,7 +33,7 @@
 
 // Start starts machines that are down.
 func (f *Fleet) Start(machines ...*Machine) {
-	f.mark()
+	f.recordFault()
 	for _, m := range machines {
 		m.start()
 	}
@@ -46,94 +46,94 @@
 
 // Freeze stops a machine without ending anything.
 func (f *Fleet) Freeze(m *Machine) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s freezes", m.name)
 	m.frozen = true
 }
 
 // Thaw lets a frozen machine go on.
 func (f *Fleet) Thaw(m *Machine) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s thaws", m.name)
 	m.thaw()
 }
 
-// Cut cuts machines off from others, in both directions.
-func (f *Fleet) Cut(some, others []*Machine) {
-	f.mark()
+// Partition cuts machines off from others, in both directions.
+func (f *Fleet) Partition(some, others []*Machine) {
+	f.recordFault()
 	for _, a := range some {
 		for _, b := range others {
 			if a != b {
-				f.trace("cut %s | %s", a.name, b.name)
-				f.network.setCut(a, b, true)
-				f.network.setCut(b, a, true)
+				f.trace("partition %s | %s", a.name, b.name)
+				f.network.setPartitioned(a, b, true)
+				f.network.setPartitioned(b, a, true)
 			}
 		}
 	}
 }
 
-// CutOneWay loses what one machine sends to another.
-func (f *Fleet) CutOneWay(from, to *Machine) {
-	f.mark()
-	f.trace("cut %s > %s", from.name, to.name)
-	f.network.setCut(from, to, true)
+// PartitionOneWay loses what one machine sends to another.
+func (f *Fleet) PartitionOneWay(from, to *Machine) {
+	f.recordFault()
+	f.trace("partition %s > %s", from.name, to.name)
+	f.network.setPartitioned(from, to, true)
 }
 
-// Join joins machines with others again.
-func (f *Fleet) Join(some, others []*Machine) {
-	f.mark()
+// HealLinks heals the links between machines and others.
+func (f *Fleet) HealLinks(some, others []*Machine) {
+	f.recordFault()
 	for _, a := range some {
 		for _, b := range others {
-			f.network.setCut(a, b, false)
-			f.network.setCut(b, a, false)
+			f.network.setPartitioned(a, b, false)
+			f.network.setPartitioned(b, a, false)
 		}
 	}
 }
 
-// Heal joins all links.
+// Heal heals all links.
 func (f *Fleet) Heal() {
-	f.mark()
-	f.trace("all links are joined")
+	f.recordFault()
+	f.trace("all links are healed")
 	f.network.heal()
 }
 
 // Reset resets all connections between two machines.
 func (f *Fleet) Reset(a, b *Machine) {
-	f.mark()
+	f.recordFault()
 	f.trace("reset %s %s", a.name, b.name)
 	f.network.reset(a, b)
 }
 
 // StepClock sets a machine's time of day.
 func (f *Fleet) StepClock(m *Machine, by time.Duration) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s: clock steps by %v", m.name, by)
 	m.clockOffset += by
 }
 
-// Silence keeps a machine's disk from answering; Speak ends that.
-func (f *Fleet) Silence(m *Machine) {
-	f.mark()
-	f.trace("%s: disk is silent", m.name)
-	m.diskSilent = true
+// StallDisk keeps a machine's disk from answering; ResumeDisk ends that.
+func (f *Fleet) StallDisk(m *Machine) {
+	f.recordFault()
+	f.trace("%s: disk is stalled", m.name)
+	m.diskStalled = true
 }
 
-// Speak lets a silent disk go on.
-func (f *Fleet) Speak(m *Machine) {
-	f.mark()
-	m.wakeDisk()
+// ResumeDisk lets a stalled disk go on.
+func (f *Fleet) ResumeDisk(m *Machine) {
+	f.recordFault()
+	m.resumeDisk()
 }
 
 // SlowDisk sets how long a machine's syncs take.
 func (f *Fleet) SlowDisk(m *Machine, sync time.Duration) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s: syncs take %v", m.name, sync)
 	m.syncTime = sync
 }
 
 // FillDisk leaves so many bytes free on a machine's disk; a negative number leaves all.
 func (f *Fleet) FillDisk(m *Machine, free int64) {
-	f.mark()
+	f.recordFault()
 	f.trace("%s: %d bytes free", m.name, free)
 	if free < 0 {
 		m.disk.SetCapacity(0)
@@ -153,7 +153,7 @@
 
 // ReplaceCore takes a controller's machine away for good and starts an empty one at another address.
 func (f *Fleet) ReplaceCore(old *Machine) *Machine {
-	next := f.addCore(fmt.Sprintf("core-%d", f.hosts+1), len(f.cores))
+	next := f.addCore(fmt.Sprintf("core-%d", f.hostCount+1), len(f.cores))
 	f.cores = f.replace(f.cores, old, next)
 	cores := f.currentCores()
 	f.loop.after(seedDelay, func() { f.coreList = cores })
@@ -162,17 +162,17 @@
 
 // ReplaceStore takes a store's machine away for good and starts an empty one at another address.
 func (f *Fleet) ReplaceStore(old *Machine) *Machine {
-	next := f.addStore(fmt.Sprintf("store-%d", f.hosts+1), len(f.stores))
+	next := f.addStore(fmt.Sprintf("store-%d", f.hostCount+1), len(f.stores))
 	f.stores = f.replace(f.stores, old, next)
 	return next
 }
 
 func (f *Fleet) replace(machines []*Machine, old, next *Machine) []*Machine {
-	f.mark()
+	f.recordFault()
 	f.trace("%s is replaced by %s", old.name, next.name)
 	old.losePower()
 	old.removed = true
-	next.first = false
+	next.firstBoot = false
 	next.zone = old.zone
 	kept := []*Machine{}
 	for _, m := range machines {
@@ -186,20 +186,20 @@
 
 // ReplaceEndpoint ends an endpoint and starts another one, of any service, at its address.
 func (f *Fleet) ReplaceEndpoint(m *Machine, service string) {
-	f.mark()
+	f.recordFault()
 	p := m.processes[0]
 	p.end(true)
-	p.starts = openEndpoint(&service)
+	p.open = openEndpoint(&service)
 	p.start()
 }
 
 // KillProcess ends one process of an edge machine; it is started again after a pause.
 func (f *Fleet) KillProcess(p *process) {
-	if !p.up() {
+	if !p.isRunning() {
 		return
 	}
-	f.mark()
+	f.recordFault()
 	f.trace("kill %s", p.name)
 	p.end(true)
-	p.startLater(restartPause)
+	p.startLater(restartDelay)
 }
--- a/internal/tier/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -9,26 +9,26 @@
 	"mastusher/internal/tier/placement"
 )
 
-// story is a fleet in a test, with words for what happens to it.
-type story struct {
+// scenario is a fleet in a test, with its assertions.
+type scenario struct {
 	*Fleet
 	t        *testing.T
 	operator *operator
 	rival    *operator
 }
 
-// newStory lays a fleet out that has not been started.
-func newStory(t *testing.T, seed uint64) *story {
-	return newStoryWith(t, Options{Seed: seed})
+// newScenario lays a fleet out that has not been started.
+func newScenario(t *testing.T, seed uint64) *scenario {
+	return newScenarioWith(t, Options{Seed: seed})
 }
 
-func newStoryWith(t *testing.T, options Options) *story {
+func newScenarioWith(t *testing.T, options Options) *scenario {
 	t.Helper()
 	if os.Getenv("FLEET_TRACE") != "" {
 		options.Trace = t.Logf
 	}
 	f := New(options)
-	s := &story{Fleet: f, t: t, operator: f.operators[0], rival: f.operators[1]}
+	s := &scenario{Fleet: f, t: t, operator: f.operators[0], rival: f.operators[1]}
 	t.Cleanup(func() {
 		for _, violation := range f.Violations() {
 			t.Error(violation)
@@ -38,14 +38,14 @@
 }
 
 // serving gives a fleet in which configuration 1 is in force and all proxies are ready.
-func serving(t *testing.T, seed uint64) *story {
+func serving(t *testing.T, seed uint64) *scenario {
 	t.Helper()
-	s := newStory(t, seed)
+	s := newScenario(t, seed)
 	s.startServing()
 	return s
 }
 
-func (s *story) startServing() {
+func (s *scenario) startServing() {
 	s.t.Helper()
 	s.Boot()
 	s.acknowledged(s.operator.put(0, 1))
@@ -53,18 +53,18 @@
 }
 
 // within fails the test unless the condition holds in time.
-func (s *story) within(most time.Duration, what string, holds func() bool) {
+func (s *scenario) within(timeout time.Duration, what string, condition func() bool) {
 	s.t.Helper()
-	if !s.Until(most, holds) {
-		s.t.Fatalf("after %v it does not hold that %s", most, what)
+	if !s.Until(timeout, condition) {
+		s.t.Fatalf("after %v the condition does not hold: %s", timeout, what)
 	}
 }
 
 // confirmTime is how long an order may take in a core that is stable.
 const confirmTime = 10 * time.Second
 
-// acknowledged plays until an order is acknowledged.
-func (s *story) acknowledged(o *order) {
+// acknowledged runs until an order is acknowledged.
+func (s *scenario) acknowledged(o *order) {
 	s.t.Helper()
 	s.answered(o)
 	if o.Status != http.StatusOK {
@@ -72,14 +72,14 @@
 	}
 }
 
-// answered plays until an order has a clear answer.
-func (s *story) answered(o *order) {
+// answered runs until an order has a clear answer.
+func (s *scenario) answered(o *order) {
 	s.t.Helper()
 	s.within(confirmTime, "the order is answered", func() bool { return o.Ended != 0 })
 }
 
-// readsBack plays until the configuration is read back, and compares it.
-func (s *story) readsBack(want Content) {
+// readsBack runs until the configuration is read back, and compares it.
+func (s *scenario) readsBack(want Content) {
 	s.t.Helper()
 	read := s.operator.get()
 	s.within(confirmTime, "the configuration is read back", func() bool { return read.Ended != 0 })
@@ -88,8 +88,8 @@
 	}
 }
 
-// inForceEverywhere plays until every proxy has a configuration in force.
-func (s *story) inForceEverywhere(want Content) {
+// inForceEverywhere runs until every proxy has a configuration in force.
+func (s *scenario) inForceEverywhere(want Content) {
 	s.t.Helper()
 	s.within(5*time.Second, "all proxies have it in force", func() bool {
 		for _, m := range s.edges {
@@ -102,16 +102,16 @@
 	})
 }
 
-// owner plays until the configuration has an owner, and gives it.
-func (s *story) owner() *Machine {
+// coreLeader runs until the configuration has a leader, and gives it.
+func (s *scenario) coreLeader() *Machine {
 	s.t.Helper()
-	s.within(confirmTime, "the core has an owner", func() bool { return s.CoreOwner() != nil })
-	return s.CoreOwner()
+	s.within(confirmTime, "the core has a leader", func() bool { return s.CoreLeader() != nil })
+	return s.CoreLeader()
 }
 
 // others lists machines without some.
 func others(machines []*Machine, without ...*Machine) []*Machine {
-	var kept []*Machine
+	var remaining []*Machine
 next:
 	for _, m := range machines {
 		for _, w := range without {
@@ -119,12 +119,12 @@
 				continue next
 			}
 		}
-		kept = append(kept, m)
+		remaining = append(remaining, m)
 	}
-	return kept
+	return remaining
 }
 
-// seeds runs a story with several seeds.
+// seeds runs a scenario with several seeds.
 func seeds(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := range max(1, count/seedShare) {
@@ -135,31 +135,31 @@
 	}
 }
 
-// playsWhole plays a program to its end.
-func (s *story) playsWhole(turns int) {
+// completesProgram runs a program to its end.
+func (s *scenario) completesProgram(turns int) {
 	s.t.Helper()
 	var last *request
 	s.within(10*time.Second, "a proxy is ready", func() bool { return len(s.readyProxies()) > 0 })
-	s.clients.play(turns, 0, true, func(r *request) { last = r })
+	s.clients.runProgram(turns, 0, true, func(r *request) { last = r })
 	s.within(30*time.Second, "a program has ended", func() bool { return last != nil })
-	if last.Outcome != whole {
+	if last.Outcome != outcomeComplete {
 		s.t.Errorf("the program's last turn ended with outcome %d, status %d", last.Outcome, last.Status)
 	}
 }
 
-// turn sends a turn to a proxy and plays until it has ended.
-func (s *story) turn(proxy *Machine, sent clientRequest) *request {
+// turn sends a turn to a proxy and runs until it has ended.
+func (s *scenario) turn(proxy *Machine, sent clientRequest) *request {
 	s.t.Helper()
 	r := s.begin(proxy, sent)
-	s.within(2*requestTime, "the turn has ended", func() bool { return r.Outcome != underWay })
+	s.within(2*requestTimeout, "the turn has ended", func() bool { return r.Outcome != outcomePending })
 	return r
 }
 
 // begin sends a turn to a proxy.
-func (s *story) begin(proxy *Machine, sent clientRequest) *request {
+func (s *scenario) begin(proxy *Machine, sent clientRequest) *request {
 	sent.IsTurn, sent.Service = true, modelService
-	if sent.Most == 0 {
-		sent.Most = turnMost
+	if sent.MaxTokens == 0 {
+		sent.MaxTokens = maxTurnTokens
 	}
 	if sent.Input == nil {
 		sent.Input = []byte("input ")
@@ -167,30 +167,33 @@
 	return s.clients.send(proxy.processes[1].address, sent, nil)
 }
 
-// wholeTurn sends a turn until one is answered whole.
-func (s *story) wholeTurn(proxy *Machine, sent clientRequest) *request {
+// completeTurn sends a turn until one is answered completely.
+func (s *scenario) completeTurn(proxy *Machine, sent clientRequest) *request {
 	s.t.Helper()
 	for range 10 {
 		r := s.turn(proxy, sent)
-		if r.Outcome == whole {
+		if r.Outcome == outcomeComplete {
 			return r
 		}
 		s.RunFor(300 * time.Millisecond)
 	}
-	s.t.Fatalf("no turn of %s is answered whole", sent.Program)
+	s.t.Fatalf("no turn of %s is answered completely", sent.Program)
 	return nil
 }
 
-// ownerOf gives the store that owns a program's shard.
-func (s *story) ownerOf(program string) *Machine {
+// testProgram is the program whose turns the scenarios send.
+const testProgram = "p"
+
+// shardLeader waits until the shard of testProgram has a leader, and returns its store.
+func (s *scenario) shardLeader() *Machine {
 	s.t.Helper()
-	shard := s.shardOf(program)
-	s.within(10*time.Second, "the shard has an owner", func() bool { return s.ShardOwner(shard) != nil })
-	return s.ShardOwner(shard)
+	shard := s.shardOf(testProgram)
+	s.within(10*time.Second, "the shard has a leader", func() bool { return s.ShardLeader(shard) != nil })
+	return s.ShardLeader(shard)
 }
 
 // shardOf gives a program's shard.
-func (s *story) shardOf(program string) int {
+func (s *scenario) shardOf(program string) int {
 	s.t.Helper()
 	for _, m := range s.edges {
 		if serving, ok := m.processes[1].handler.(*proxy); ok && serving.programs.isPlaced() {
@@ -201,10 +204,10 @@
 	return 0
 }
 
-// skipWhereWatched skips a long test where each memory access is watched: a day is played by one goroutine.
+// skipWhereWatched skips a long test where each memory access is watched: a day is run by one goroutine.
 func skipWhereWatched(t *testing.T) {
 	t.Helper()
 	if seedShare > 1 {
-		t.Skip("it takes long where each memory access is watched, and a day is played by one goroutine")
+		t.Skip("it takes long where each memory access is watched, and a day is run by one goroutine")
 	}
 }
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -52,16 +52,16 @@
 	stores       []*Machine
 	edges        []*Machine
 	engines      []*Machine // endpoints of all services
-	firstSeeds   []string
-	coreList     []string // control addresses as the operator's list tells them
+	initialSeeds []string
+	coreList     []string // control addresses as the operator's list has them
 	operators    []*operator
 	clients      *clients
 	listed       []model.Endpoint
 	incarnations int
-	hosts        int
+	hostCount    int
 	history      *history
 	violations   []string
-	marks        []time.Duration // when troubles began and ended
+	faultTimes   []time.Duration // when faults began and ended
 
 	onAcknowledged func(*order)
 }
@@ -80,7 +80,7 @@
 		f.cores = append(f.cores, f.addCore(fmt.Sprintf("core-%d", i+1), i))
 	}
 	f.coreList = f.currentCores()
-	f.firstSeeds = f.coreList[:min(3, len(f.coreList))]
+	f.initialSeeds = f.coreList[:min(3, len(f.coreList))]
 	for i := range options.Stores {
 		f.stores = append(f.stores, f.addStore(fmt.Sprintf("store-%d", i+1), i))
 	}
@@ -90,21 +90,21 @@
 	for i := range options.Endpoints {
 		f.engines = append(f.engines, f.addEndpoint(fmt.Sprintf("model-%d", i+1), modelService), f.addEndpoint(fmt.Sprintf("tool-%d", i+1), toolService))
 	}
-	f.addOutside()
+	f.addExternals()
 	return f
 }
 
 // addMachine adds a machine without processes.
 func (f *Fleet) addMachine(name string, role membership.Role, zone int) *Machine {
-	f.hosts++
-	m := &Machine{fleet: f, name: name, ip: fmt.Sprintf("10.0.0.%d", f.hosts), zone: fmt.Sprintf("zone-%d", zone), role: role,
-		syncTime: f.options.SyncTime, first: true}
+	f.hostCount++
+	m := &Machine{fleet: f, name: name, ip: fmt.Sprintf("10.0.0.%d", f.hostCount), zone: fmt.Sprintf("zone-%d", zone), role: role,
+		syncTime: f.options.SyncTime, firstBoot: true}
 	f.machines = append(f.machines, m)
 	return m
 }
 
 func (m *Machine) addProcess(name, address string, starts func(*process) (handler, error)) *process {
-	p := &process{machine: m, name: name, address: address, starts: starts}
+	p := &process{machine: m, name: name, address: address, open: starts}
 	m.processes = append(m.processes, p)
 	m.fleet.network.byAddress[address] = p
 	return p
@@ -137,16 +137,15 @@
 	return m
 }
 
-// addOutside adds the platform, two operators and the clients.
-func (f *Fleet) addOutside() {
+// addExternals adds the platform, two operators and the clients.
+func (f *Fleet) addExternals() {
 	m := f.addMachine("platform", "", 0)
 	p := m.addProcess("platform", platformAddress, nil)
 	p.handler = &platform{process: p}
 	for i := range 2 {
 		name := fmt.Sprintf("operator-%d", i+1)
-		p := f.addMachine(name, "", 0).addProcess(name, name, nil)
-		o := &operator{process: p}
-		p.handler = o
+		o := &operator{process: f.addMachine(name, "", 0).addProcess(name, name, nil)}
+		o.process.handler = o
 		f.operators = append(f.operators, o)
 	}
 	p = f.addMachine("clients", "", 0).addProcess("clients", "clients", nil)
@@ -167,12 +166,12 @@
 	}
 }
 
-// RunFor plays a span.
+// RunFor runs a span.
 func (f *Fleet) RunFor(span time.Duration) { f.loop.runUntil(f.loop.now+span, nil) }
 
-// Until plays until the condition holds, at most for a span, and tells whether it holds.
-func (f *Fleet) Until(most time.Duration, holds func() bool) bool {
-	return f.loop.runUntil(f.loop.now+most, holds)
+// Until runs until the condition holds, at most for a span, and reports whether it holds.
+func (f *Fleet) Until(timeout time.Duration, condition func() bool) bool {
+	return f.loop.runUntil(f.loop.now+timeout, condition)
 }
 
 // Now is the virtual time since the beginning.
@@ -196,17 +195,17 @@
 		found = append(found, rule+": "+fmt.Sprintf(format, arguments...))
 	}
 	checkConfiguration(f.history, report)
-	checkRequests(f.history, f.calm, report)
+	checkRequests(f.history, f.withoutFaults, report)
 	slices.Sort(found)
 	return found
 }
 
-// mark notes that a trouble begins or ends now.
-func (f *Fleet) mark() { f.marks = append(f.marks, f.loop.now) }
+// recordFault records that a fault begins or ends now.
+func (f *Fleet) recordFault() { f.faultTimes = append(f.faultTimes, f.loop.now) }
 
-// calm tells whether no trouble began or ended in a span.
-func (f *Fleet) calm(from, to time.Duration) bool {
-	return !slices.ContainsFunc(f.marks, func(at time.Duration) bool { return at >= from && at <= to })
+// withoutFaults reports whether no fault began or ended in a span.
+func (f *Fleet) withoutFaults(from, to time.Duration) bool {
+	return !slices.ContainsFunc(f.faultTimes, func(at time.Duration) bool { return at >= from && at <= to })
 }
 
 func (f *Fleet) currentCores() []string {
@@ -242,34 +241,34 @@
 	return addresses
 }
 
-// CoreOwner is the controller that believes that it owns the configuration, in the highest epoch; nil: none.
-func (f *Fleet) CoreOwner() *Machine {
-	var owner *Machine
-	var epoch uint64
+// CoreLeader is the controller that believes that it leads the configuration's group, in the highest term; nil: none.
+func (f *Fleet) CoreLeader() *Machine {
+	var leader *Machine
+	var term uint64
 	for _, m := range f.cores {
 		running, ok := m.processes[0].handler.(*controller)
 		if !ok {
 			continue
 		}
-		if status := running.replica.group.Status(); status.IsLeader && status.Term >= epoch {
-			owner, epoch = m, status.Term
+		if status := running.replica.group.Status(); status.IsLeader && status.Term >= term {
+			leader, term = m, status.Term
 		}
 	}
-	return owner
+	return leader
 }
 
-// ShardOwner is the store that believes that it owns a shard, in the highest epoch; nil: none.
-func (f *Fleet) ShardOwner(shard int) *Machine {
-	var owner *Machine
-	var epoch uint64
+// ShardLeader is the store that believes that it leads a shard's group, in the highest term; nil: none.
+func (f *Fleet) ShardLeader(shard int) *Machine {
+	var leader *Machine
+	var term uint64
 	for _, m := range f.stores {
 		running, ok := m.processes[0].handler.(*store)
 		if !ok || running.shards[shard] == nil {
 			continue
 		}
-		if status := running.shards[shard].replica.group.Status(); status.IsLeader && status.Term >= epoch {
-			owner, epoch = m, status.Term
+		if status := running.shards[shard].replica.group.Status(); status.IsLeader && status.Term >= term {
+			leader, term = m, status.Term
 		}
 	}
-	return owner
+	return leader
 }
--- a/internal/tier/fleettest/history.go
+++ b/internal/tier/fleettest/history.go
@@ -23,8 +23,8 @@
 	At       time.Duration
 }
 
-// run notes a run and returns its number.
-func (h *history) run(r run) int {
+// addRun records a run and returns its number.
+func (h *history) addRun(r run) int {
 	h.runs = append(h.runs, r)
 	return len(h.runs) - 1
 }
@@ -42,13 +42,13 @@
 type outcome uint8
 
 const (
-	underWay outcome = iota
-	whole            // the answer came whole
-	refused          // a status that is not a success
-	broken           // a connection that ended, or silence
+	outcomePending  outcome = iota
+	outcomeComplete         // the answer came complete
+	outcomeRejected         // a status that is not a success
+	outcomeAborted          // a connection that ended, or a timeout
 )
 
-// request is one try of a client.
+// request is one attempt of a client.
 type request struct {
 	clientRequest
 	Proxy   string
@@ -60,10 +60,10 @@
 	Runs    []int // that its events came from
 }
 
-// tokens is what the client was handed.
+// tokens is what the client received.
 func (r *request) tokens() int64 { return int64(len(r.Events) * tokensPerEvent) }
 
-// output is what a whole turn adds to its chain.
+// output is what a complete turn adds to its chain.
 func (r *request) output() []byte {
 	var output []byte
 	for _, event := range r.Events {
@@ -72,7 +72,7 @@
 	return output
 }
 
-func (h *history) send(sent clientRequest, proxy string, at time.Duration) *request {
+func (h *history) addRequest(sent clientRequest, proxy string, at time.Duration) *request {
 	r := &request{clientRequest: sent, Proxy: proxy, Sent: at}
 	h.requests = append(h.requests, r)
 	h.byID[sent.ID] = r
--- a/internal/tier/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -44,7 +44,7 @@
 // machineIdentity returns the identity on a machine's disk, and makes one if there is none. A damaged disk counts as empty.
 func machineIdentity(p *process) (string, error) {
 	m := p.machine
-	id, err := readOrMakeIdentity(p, m.first)
+	id, err := readOrMakeIdentity(p, m.firstBoot)
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return id, err
 	}
--- a/internal/tier/fleettest/loop.go
+++ b/internal/tier/fleettest/loop.go
@@ -34,10 +34,10 @@
 	heap.Push(&l.queue, event{at: l.now + max(0, delay), sequence: l.sequence, run: run})
 }
 
-// runUntil plays events until the condition holds or the time is over, and tells whether it holds.
-func (l *loop) runUntil(end time.Duration, holds func() bool) bool {
+// runUntil runs events until the condition holds or the time is over, and reports whether it holds.
+func (l *loop) runUntil(end time.Duration, condition func() bool) bool {
 	for {
-		if holds != nil && holds() {
+		if condition != nil && condition() {
 			return true
 		}
 		if len(l.queue) == 0 || l.queue[0].at > end {
@@ -51,15 +51,15 @@
 }
 
 // between draws a duration.
-func (l *loop) between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (l *loop) between(low, high time.Duration) time.Duration {
+	if high <= low {
+		return low
 	}
-	return least + time.Duration(l.random.Int64N(int64(most-least)))
+	return low + time.Duration(l.random.Int64N(int64(high-low)))
 }
 
-// chance is true in the given share of cases.
-func (l *loop) chance(share float64) bool { return share > 0 && l.random.Float64() < share }
+// withProbability is true in the given share of cases.
+func (l *loop) withProbability(share float64) bool { return share > 0 && l.random.Float64() < share }
 
 type eventQueue []event
 
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -17,81 +17,81 @@
 
 	disk        *memorydisk.Disk // nil: none
 	syncTime    time.Duration
-	diskSilent  bool     // nothing that waits for the disk goes on
+	diskStalled bool     // nothing that waits for the disk goes on
 	diskWaiting []func() // what goes on once the disk answers again
 	syncFails   bool
 
 	frozen      bool
 	waiting     []func() // what goes on once the machine is thawed
 	clockOffset time.Duration
-	first       bool // first start of the whole system
+	firstBoot   bool // first start of the system
 	removed     bool
 	powerless   bool // between a loss of power and the next start
 	processes   []*process
 }
 
-// now is the machine's time of day in ms.
+// nowMs is the machine's time of day in ms.
 func (m *Machine) nowMs() int64 {
 	return dayStart + (m.fleet.loop.now + m.clockOffset).Milliseconds()
 }
 
-// process is one process of a machine. Its life is raised with each start and each end, so that what was begun in an
-// earlier life is dropped.
+// process is one process of a machine. Its incarnation is raised with each start and each end, so that what was begun in an
+// earlier incarnation is dropped.
 type process struct {
-	machine   *Machine
-	name      string
-	address   string
-	starts    func(p *process) (handler, error)
-	handler   handler // nil: it doesn't run
-	life      int
-	exchanges []*exchange
+	machine     *Machine
+	name        string
+	address     string
+	open        func(p *process) (handler, error)
+	handler     handler // nil: it doesn't run
+	incarnation int
+	exchanges   []*exchange
 }
 
 // handler is what a running process does with what reaches it.
 type handler interface {
-	// notice takes in a message that is not answered.
-	notice(from string, message any)
-	// datagram takes in a datagram.
-	datagram(from string, message any)
-	// serve answers a call by pieces on its exchange.
+	// handleMessage takes in a message that is not answered.
+	handleMessage(from string, message any)
+	// handleDatagram takes in a datagram.
+	handleDatagram(from string, message any)
+	// serve answers a call by responses on its exchange.
 	serve(call *exchange, request any)
 }
 
-// up tells whether the process runs; it may be frozen.
-func (p *process) up() bool { return p.handler != nil }
+// isRunning reports whether the process runs; it may be frozen.
+func (p *process) isRunning() bool { return p.handler != nil }
 
-// enter does something in the process, unless it has ended, and not before it is thawed.
-func (p *process) enter(life int, run func()) {
-	if p.life != life || p.handler == nil {
+// execute does something in the process, unless it has ended, and not before it is thawed.
+func (p *process) execute(incarnation int, run func()) {
+	if p.incarnation != incarnation || p.handler == nil {
 		return
 	}
 	if p.machine.frozen {
-		p.machine.waiting = append(p.machine.waiting, func() { p.enter(life, run) })
+		p.machine.waiting = append(p.machine.waiting, func() { p.execute(incarnation, run) })
 		return
 	}
 	run()
 }
 
-// after has run called in this life of the process once the delay is over.
+// after has run called in this incarnation of the process once the delay is over.
 func (p *process) after(delay time.Duration, run func()) {
-	life := p.life
-	p.machine.fleet.loop.after(delay, func() { p.enter(life, run) })
+	incarnation := p.incarnation
+	p.machine.fleet.loop.after(delay, func() { p.execute(incarnation, run) })
 }
 
-// restartPause is the time after which a process that has ended is started again.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the time after which a process that has ended is started again.
+const restartDelay = 300 * time.Millisecond
 
 // start starts the process, if it is wanted and doesn't run.
 func (p *process) start() {
 	if p.handler != nil || p.machine.removed || p.machine.powerless {
 		return
 	}
-	p.life++
-	started, err := p.starts(p)
+	p.incarnation++
+	started, err := p.open(p)
 	if err != nil {
 		p.machine.fleet.trace("%s does not start: %v", p.name, err)
-		p.life++
-		p.startLater(restartPause)
+		p.incarnation++
+		p.startLater(restartDelay)
 		return
 	}
 	p.handler = started
@@ -101,10 +101,10 @@
 	}
 }
 
-func (p *process) startLater(pause time.Duration) {
-	life := p.life
-	p.machine.fleet.loop.after(pause, func() {
-		if p.life == life {
+func (p *process) startLater(delay time.Duration) {
+	incarnation := p.incarnation
+	p.machine.fleet.loop.after(delay, func() {
+		if p.incarnation == incarnation {
 			p.start()
 		}
 	})
@@ -116,7 +116,7 @@
 		return
 	}
 	p.handler = nil
-	p.life++
+	p.incarnation++
 	p.machine.fleet.trace("%s ends", p.name)
 	open := p.exchanges
 	p.exchanges = nil
@@ -125,12 +125,12 @@
 	}
 }
 
-// failed ends the process because its disk failed; it is started again after a pause.
-func (p *process) failed(err error) {
+// fail ends the process because its disk failed; it is started again after a pause.
+func (p *process) fail(err error) {
 	p.machine.fleet.trace("%s fails: %v", p.name, err)
 	p.end(true)
 	p.machine.disk.Kill()
-	p.startLater(restartPause)
+	p.startLater(restartDelay)
 }
 
 // kill ends all processes of the machine at once. What was written to its disk stays.
@@ -138,7 +138,7 @@
 	for _, p := range m.processes {
 		p.end(true)
 	}
-	m.forget()
+	m.dropWaiting()
 	if m.disk != nil {
 		m.disk.Kill()
 	}
@@ -149,15 +149,15 @@
 	for _, p := range m.processes {
 		p.end(false)
 	}
-	m.forget()
+	m.dropWaiting()
 	m.powerless = true
 	if m.disk != nil {
 		m.disk.LosePower(m.fleet.loop.random.Uint64())
 	}
 }
 
-// forget drops what waited for the processes that have ended.
-func (m *Machine) forget() {
+// dropWaiting drops what waited for the processes that have ended.
+func (m *Machine) dropWaiting() {
 	m.frozen = false
 	m.waiting = nil
 	m.diskWaiting = nil
@@ -166,7 +166,7 @@
 // wipe takes the disk's content away.
 func (m *Machine) wipe() {
 	m.disk = memorydisk.New()
-	m.first = false
+	m.firstBoot = false
 }
 
 // start starts all processes that are wanted.
@@ -190,9 +190,9 @@
 	}
 }
 
-// wakeDisk lets a silent disk answer again.
-func (m *Machine) wakeDisk() {
-	m.diskSilent = false
+// resumeDisk lets a stalled disk answer again.
+func (m *Machine) resumeDisk() {
+	m.diskStalled = false
 	waiting := m.diskWaiting
 	m.diskWaiting = nil
 	for _, run := range waiting {
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -17,30 +17,30 @@
 
 // member is a process's part in membership and in the spread of views.
 type member struct {
-	process  *process
-	swim     *membership.Node
-	input    membership.Input
-	wakeAt   time.Duration
-	waking   bool
-	token    uint64
-	arrivals map[uint64]*exchange
-	pieces   map[view.Section]view.Update
-	told     view.Digest
-	took     func(piece view.Update)
-	fetching bool
+	process   *process
+	swim      *membership.Node
+	input     membership.Input
+	wakeAt    time.Duration
+	scheduled bool
+	token     uint64
+	incoming  map[uint64]*exchange
+	updates   map[view.Section]view.Update
+	announced view.Digest
+	onUpdate  func(update view.Update)
+	fetching  bool
 }
 
-// spreadDatagram is one datagram; one field is set.
-type spreadDatagram struct {
+// gossipDatagram is one datagram; one field is set.
+type gossipDatagram struct {
 	membership *membership.Message
 	digest     view.Digest
 }
 
-// fetchRequest asks for the pieces that are newer than the digest tells; they come as one []view.Update.
+// fetchRequest asks for the updates that are newer than in the digest; they come as one []view.Update.
 type fetchRequest struct{ digest view.Digest }
 
 func newMember(p *process, id string, seeds []string, took func(view.Update)) *member {
-	m := &member{process: p, arrivals: map[uint64]*exchange{}, pieces: map[view.Section]view.Update{}, told: view.Digest{}, took: took}
+	m := &member{process: p, incoming: map[uint64]*exchange{}, updates: map[view.Section]view.Update{}, announced: view.Digest{}, onUpdate: took}
 	self := membership.Member{Name: p.name, ID: id, Role: p.machine.role, Zone: p.machine.zone, Address: p.address,
 		Incarnation: uint64(p.machine.nowMs())}
 	m.swim = membership.New(membership.Options{Self: self, Seeds: seeds, Seed: p.machine.fleet.loop.random.Uint64()})
@@ -50,14 +50,14 @@
 // members lists all members that are known, by name.
 func (m *member) members() []membership.Member { return m.swim.Members() }
 
-// wake has the membership's next step happen now.
-func (m *member) wake() {
-	if m.waking {
+// schedule has the membership's next step happen now.
+func (m *member) schedule() {
+	if m.scheduled {
 		return
 	}
-	m.waking = true
+	m.scheduled = true
 	m.process.after(0, func() {
-		m.waking = false
+		m.scheduled = false
 		m.step()
 	})
 }
@@ -68,16 +68,16 @@
 	m.input = membership.Input{}
 	effects := m.swim.Step(f.loop.now, input)
 	for i := range effects.Datagrams {
-		f.network.datagram(m.process, effects.Datagrams[i].Address, spreadDatagram{membership: &effects.Datagrams[i].Message})
+		f.network.sendDatagram(m.process, effects.Datagrams[i].Address, gossipDatagram{membership: &effects.Datagrams[i].Message})
 	}
 	for _, reply := range effects.Replies {
-		if arrival := m.arrivals[reply.Token]; arrival != nil {
-			delete(m.arrivals, reply.Token)
+		if arrival := m.incoming[reply.Token]; arrival != nil {
+			delete(m.incoming, reply.Token)
 			arrival.finish(reply.Message)
 		}
 	}
 	for _, call := range effects.Calls {
-		m.reconcile(call)
+		m.pushPull(call)
 	}
 	for _, change := range effects.Events {
 		f.trace("%s: member %s %s", m.process.name, change.Member.Name, change.Kind)
@@ -85,7 +85,7 @@
 	for _, received := range effects.Payloads {
 		var digest view.Digest
 		if err := json.Unmarshal(received.Body, &digest); err == nil {
-			m.heardDigest(received.Address, digest)
+			m.handleDigest(received.Address, digest)
 		}
 	}
 	m.setTimer(effects.NextWake)
@@ -94,48 +94,48 @@
 func (m *member) setTimer(at time.Duration) {
 	m.wakeAt = at
 	m.process.after(at-m.process.machine.fleet.loop.now, func() {
-		if m.wakeAt == at && !m.waking {
+		if m.wakeAt == at && !m.scheduled {
 			m.step()
 		}
 	})
 }
 
-func (m *member) reconcile(call membership.PushPullCall) {
+func (m *member) pushPull(call membership.PushPullCall) {
 	m.process.machine.fleet.network.ask(m.process, call.Address, call.Message, syncTimeout, func(answer any, err error) {
 		outcome := membership.PushPullResult{Token: call.Token, Failed: err != nil}
 		if err == nil {
 			outcome.Response = answer.(membership.PushPullMessage)
 		}
 		m.input.Results = append(m.input.Results, outcome)
-		m.wake()
+		m.schedule()
 	})
 }
 
-// datagram takes in a datagram.
-func (m *member) datagram(from string, message any) {
-	received, ok := message.(spreadDatagram)
+// handleDatagram takes in a datagram.
+func (m *member) handleDatagram(from string, message any) {
+	received, ok := message.(gossipDatagram)
 	if !ok {
 		return
 	}
 	if received.digest != nil {
-		m.heardDigest(from, received.digest)
+		m.handleDigest(from, received.digest)
 	}
 	if received.membership != nil {
 		m.input.Datagrams = append(m.input.Datagrams, membership.Datagram{Address: from, Message: *received.membership})
-		m.wake()
+		m.schedule()
 	}
 }
 
-// serve answers calls that concern membership and spread, and tells whether it was one.
+// serve answers calls that concern membership and spread, and reports whether it was one.
 func (m *member) serve(call *exchange, request any) bool {
 	switch asked := request.(type) {
 	case membership.PushPullMessage:
 		m.token++
-		m.arrivals[m.token] = call
+		m.incoming[m.token] = call
 		m.input.Arrivals = append(m.input.Arrivals, membership.PushPullArrival{Token: m.token, Message: asked})
-		m.wake()
+		m.schedule()
 	case fetchRequest:
-		call.finish(m.newer(asked.digest))
+		call.finish(m.newerThan(asked.digest))
 	default:
 		return false
 	}
@@ -143,40 +143,40 @@
 }
 
 func (m *member) digest() view.Digest {
-	digest := make(view.Digest, len(m.pieces))
-	for section, piece := range m.pieces {
-		digest[section] = piece.Stamp
+	digest := make(view.Digest, len(m.updates))
+	for section, update := range m.updates {
+		digest[section] = update.Stamp
 	}
 	return digest
 }
 
-// newer returns the pieces of which the digest tells an older stamp, or none.
-func (m *member) newer(digest view.Digest) []view.Update {
-	var pieces []view.Update
+// newerThan returns the updates of which the digest has an older stamp, or none.
+func (m *member) newerThan(digest view.Digest) []view.Update {
+	var updates []view.Update
 	for _, section := range view.Sections {
-		piece, held := m.pieces[section]
+		update, ok := m.updates[section]
 		theirs, known := digest[section]
-		if held && (!known || theirs.Less(piece.Stamp)) {
-			pieces = append(pieces, piece)
+		if ok && (!known || theirs.Less(update.Stamp)) {
+			updates = append(updates, update)
 		}
 	}
-	return pieces
+	return updates
 }
 
-// publish takes pieces over that are newer, and announces them.
-func (m *member) publish(pieces ...view.Update) {
-	for _, piece := range pieces {
-		if held, ok := m.pieces[piece.Section]; !ok || held.Stamp.Less(piece.Stamp) {
-			m.pieces[piece.Section] = piece
+// publish takes over updates that are newer, and announces them.
+func (m *member) publish(updates ...view.Update) {
+	for _, update := range updates {
+		if held, ok := m.updates[update.Section]; !ok || held.Stamp.Less(update.Stamp) {
+			m.updates[update.Section] = update
 		}
 	}
-	fresh := m.newer(m.told)
-	for _, piece := range fresh {
-		m.told[piece.Section] = piece.Stamp
-		m.took(piece)
+	fresh := m.newerThan(m.announced)
+	for _, update := range fresh {
+		m.announced[update.Section] = update.Stamp
+		m.onUpdate(update)
 	}
 	if len(fresh) > 0 {
-		m.announce(maps.Clone(m.told))
+		m.announce(maps.Clone(m.announced))
 	}
 }
 
@@ -187,29 +187,29 @@
 		return
 	}
 	m.input.Payload = payload
-	m.wake()
+	m.schedule()
 	for _, other := range m.members() {
 		if !other.DeadOrLeft() && other.Name != m.process.name {
-			m.process.machine.fleet.network.datagram(m.process, other.Address, spreadDatagram{digest: digest})
+			m.process.machine.fleet.network.sendDatagram(m.process, other.Address, gossipDatagram{digest: digest})
 		}
 	}
 }
 
-// heardDigest fetches what the sender has newer, and tells the sender when it is behind.
-func (m *member) heardDigest(address string, digest view.Digest) {
+// handleDigest fetches what the sender has newer, and sends its own digest when the sender is behind.
+func (m *member) handleDigest(address string, digest view.Digest) {
 	own := m.digest()
 	behind, ahead := false, false
 	for _, section := range view.Sections {
-		ours, held := own[section]
+		ours, ok := own[section]
 		theirs, known := digest[section]
-		behind = behind || known && (!held || ours.Less(theirs))
-		ahead = ahead || held && (!known || theirs.Less(ours))
+		behind = behind || known && (!ok || ours.Less(theirs))
+		ahead = ahead || ok && (!known || theirs.Less(ours))
 	}
 	switch {
 	case behind:
 		m.fetch(address, own)
 	case ahead:
-		m.process.machine.fleet.network.datagram(m.process, address, spreadDatagram{digest: own})
+		m.process.machine.fleet.network.sendDatagram(m.process, address, gossipDatagram{digest: own})
 	}
 }
 
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -8,133 +8,136 @@
 
 // Days on which the mutants are noticed.
 const (
-	randomDays      = "^TestDaysShowNoMistake$/^random$"
-	endpointDays    = "^TestDaysShowNoMistake$/^endpoints$"
-	proxyDays       = "^TestDaysShowNoMistake$/^proxies$"
-	cutDays         = "^TestDaysShowNoMistake$/^cuts$"
-	daysOfLostDisks = "^TestDaysShowNoMistake$/^lost_disks$"
-	daysOfOldPieces = "^TestDaysShowNoMistake$/^older_pieces$"
+	randomDays    = "^TestRun_DaysOfMutants_BreakNoRule$/^random$"
+	endpointDays  = "^TestRun_DaysOfMutants_BreakNoRule$/^endpoints$"
+	proxyDays     = "^TestRun_DaysOfMutants_BreakNoRule$/^proxies$"
+	partitionDays = "^TestRun_DaysOfMutants_BreakNoRule$/^partitions$"
+	lostDiskDays  = "^TestRun_DaysOfMutants_BreakNoRule$/^lost_disks$"
+	oldUpdateDays = "^TestRun_DaysOfMutants_BreakNoRule$/^older_updates$"
 )
 
-// TestMutantsAreNoticed puts one mistake at a time into the adapters, and one into the register of orders.
-func TestMutantsAreNoticed(t *testing.T) {
+// TestMutants puts one mistake at a time into the adapters, and one into the register of orders.
+func TestMutants(t *testing.T) {
 	t.Parallel()
-	mutation.Test(t, []mutation.Mutant{
-		{
-			Name:   "disks don't sync",
-			Change: mutation.Change{File: "disk.go", Old: "d.pending = run\n", New: "_ = run\n"},
-			Run:    randomDays,
-		},
-		{
-			Name: "orders are acknowledged before they are agreed on",
-			Change: mutation.Change{
-				File: "controller.go",
-				Old:  "\tc.agree(call, core.Command{Configuration: order})\n",
-				New: "\tcall.finish(operatorAnswer{Status: http.StatusOK})\n" +
-					"\tc.replica.propose(core.Command{Configuration: order}, agreeTimeout, func(any, error) {})\n",
-			},
-			Run: cutDays,
-		},
-		{
-			Name: "any member answers reads alone",
-			Change: mutation.Change{
-				File: "controller.go",
-				Old:  "\tif !status.IsLeader {\n\t\tcall.finish(c.redirect(status))",
-				New:  "\tif _, reads := request.(getOrder); !status.IsOwner && !reads {\n\t\tcall.finish(c.redirect(status))",
-			},
-			Also: []mutation.Change{{
-				File: "controller.go",
-				Old:  "\tc.read(call, readAnswer)\n",
-				New:  "\tcall.finish(readAnswer(c.view()))\n",
-			}},
-			Run: randomDays,
-		},
-		{
-			Name: "empty disks keep the identity",
-			Change: mutation.Change{
-				File: "identities.go",
-				Old:  "readOrMakeIdentity(p, m.first)",
-				New:  "readOrMakeIdentity(p, true)",
-			},
-			Run: daysOfLostDisks,
-		},
-		{
-			Name:   "repeated orders are judged anew",
-			Change: mutation.Change{File: "../configuration/state_machine.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
-			Run:    randomDays,
+	mutation.Test(t, mutants)
+}
+
+// mutants are the mistakes, each with the days that must show it.
+var mutants = []mutation.Mutant{
+	{
+		Name:   "disks don't sync",
+		Change: mutation.Change{File: "disk.go", Old: "d.pending = run\n", New: "_ = run\n"},
+		Run:    randomDays,
+	},
+	{
+		Name: "orders are acknowledged before they are committed",
+		Change: mutation.Change{
+			File: "controller.go",
+			Old:  "\tc.propose(call, core.Command{Configuration: order})\n",
+			New: "\tcall.finish(operatorAnswer{Status: http.StatusOK})\n" +
+				"\tc.replica.propose(core.Command{Configuration: order}, proposeTimeout, func(any, error) {})\n",
 		},
-		{
-			Name: "proxies take older pieces over",
-			Change: mutation.Change{
-				File: "proxy.go",
-				Old:  "known && !held.Less(piece.Stamp) {",
-				New:  "known && !held.Less(piece.Stamp) && false {",
-			},
-			Also: []mutation.Change{{
-				File: "proxy.go",
-				Old:  "feedRequest{maps.Clone(p.digest)}",
-				New:  "feedRequest{maps.Clone(view.Digest{})}",
-			}},
-			Run:    daysOfOldPieces,
-			Always: true,
+		Run: partitionDays,
+	},
+	{
+		Name: "any member answers reads alone",
+		Change: mutation.Change{
+			File: "controller.go",
+			Old:  "\tif !status.IsLeader {\n\t\tcall.finish(c.redirect(status))",
+			New:  "\tif _, reads := request.(getOrder); !status.IsLeader && !reads {\n\t\tcall.finish(c.redirect(status))",
 		},
-		{
-			Name: "turns are sent before they are taken",
-			Change: mutation.Change{
-				File: "proxyrequest.go",
-				Old:  "\tr.proxy.programs.begin(r.asked.Program, turn, requestTime/beginPart, r.taken)\n",
-				New: "\tr.body = r.asked.Input\n\tr.send()\n" +
-					"\tr.proxy.programs.begin(r.asked.Program, turn, requestTime/beginPart, func(program.Result, error) {})\n",
-			},
-			Run: randomDays,
+		Also: []mutation.Change{{
+			File: "controller.go",
+			Old:  "\tc.read(call, readAnswer)\n",
+			New:  "\tcall.finish(readAnswer(c.view()))\n",
+		}},
+		Run: randomDays,
+	},
+	{
+		Name: "empty disks keep the identity",
+		Change: mutation.Change{
+			File: "identities.go",
+			Old:  "readOrMakeIdentity(p, m.firstBoot)",
+			New:  "readOrMakeIdentity(p, true)",
 		},
-		{
-			Name: "the last event doesn't wait for the stores",
-			Change: mutation.Change{
-				File: "proxyrequest.go",
-				Old:  "\tr.offerEnd(r.endOf(true), r.deadline, func(err error) {",
-				New:  "\twhole()\n\tr.offerEnd(r.endOf(true), r.deadline, func(err error) {",
-			},
-			Run: proxyDays,
+		Run: lostDiskDays,
+	},
+	{
+		Name:   "duplicate orders are judged anew",
+		Change: mutation.Change{File: "../configuration/state_machine.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
+		Run:    randomDays,
+	},
+	{
+		Name: "proxies apply older updates",
+		Change: mutation.Change{
+			File: "proxy.go",
+			Old:  "known && !current.Less(update.Stamp) {",
+			New:  "known && !current.Less(update.Stamp) && false {",
 		},
-		{
-			Name: "what may have run is sent again",
-			Change: mutation.Change{
-				File: "proxyrequest.go",
-				Old:  "\tr.mayHaveRun = true\n",
-				New: "\tr.mayHaveRun = true\n" +
-					"\tif r.events == 0 && !r.turnedAway[\"again\"] { r.turnedAway[\"again\"] = true; r.send(); return }\n",
-			},
-			Run: endpointDays,
+		Also: []mutation.Change{{
+			File: "proxy.go",
+			Old:  "feedRequest{maps.Clone(p.digest)}",
+			New:  "feedRequest{maps.Clone(view.Digest{})}",
+		}},
+		Run:    oldUpdateDays,
+		Always: true,
+	},
+	{
+		Name: "turns are sent before they are begun",
+		Change: mutation.Change{
+			File: "proxyrequest.go",
+			Old:  "\tr.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)\n",
+			New: "\tr.body = r.asked.Input\n\tr.send()\n" +
+				"\tr.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, func(program.Result, error) {})\n",
 		},
-		{
-			Name: "what may have run is refused",
-			Change: mutation.Change{
-				File: "proxyrequest.go",
-				Old:  "\tr.mayHaveRun = true\n",
-				New:  "\tr.mayHaveRun = true\n\tif r.events == 0 { r.settle(false); r.refuse(); return }\n",
-			},
-			Run: endpointDays,
+		Run: randomDays,
+	},
+	{
+		Name: "the last event doesn't wait for the stores",
+		Change: mutation.Change{
+			File: "proxyrequest.go",
+			Old:  "\tr.commitUntil(r.endTurn(true), r.deadline, func(err error) {",
+			New:  "\tfinish()\n\tr.commitUntil(r.endTurn(true), r.deadline, func(err error) {",
 		},
-		{
-			Name:   "requests don't name their endpoint",
-			Change: mutation.Change{File: "proxyrequest.go", Old: "Expected: endpoint.ID, ", New: ""},
-			Run:    endpointDays,
+		Run: proxyDays,
+	},
+	{
+		Name: "what may have run is sent again",
+		Change: mutation.Change{
+			File: "proxyrequest.go",
+			Old:  "\tr.mayHaveRun = true\n",
+			New: "\tr.mayHaveRun = true\n" +
+				"\tif r.events == 0 && !r.rejectedBy[\"again\"] { r.rejectedBy[\"again\"] = true; r.send(); return }\n",
 		},
-		{
-			Name:   "no other shard is asked for a turn",
-			Change: mutation.Change{File: "programs.go", Old: "result.Verdict != program.TurnNotFound {\n\t\t\tdone", New: "true {\n\t\t\tdone"},
-			Run:    randomDays,
+		Run: endpointDays,
+	},
+	{
+		Name: "what may have run is rejected",
+		Change: mutation.Change{
+			File: "proxyrequest.go",
+			Old:  "\tr.mayHaveRun = true\n",
+			New:  "\tr.mayHaveRun = true\n\tif r.events == 0 { r.commitIncomplete(); r.reject(); return }\n",
 		},
-		{
-			Name: "a turn that can't be looked up is absent",
-			Change: mutation.Change{
-				File: "proxyrequest.go",
-				Old:  "\tcase err != nil:\n\t\tr.settle(false)\n\t\tr.refuse()\n",
-				New: "\tcase err != nil:\n\t\tif r.asked.Previous != \"\" { r.answer(http.StatusNotFound) }\n" +
-					"\t\tr.settle(false)\n\t\tr.refuse()\n",
-			},
-			Run: randomDays,
+		Run: endpointDays,
+	},
+	{
+		Name:   "requests don't name their endpoint",
+		Change: mutation.Change{File: "proxyrequest.go", Old: "Expected: endpoint.ID, ", New: ""},
+		Run:    endpointDays,
+	},
+	{
+		Name:   "no other shard is asked for a turn",
+		Change: mutation.Change{File: "programs.go", Old: "result.Verdict != program.TurnNotFound {\n\t\t\tdone", New: "true {\n\t\t\tdone"},
+		Run:    randomDays,
+	},
+	{
+		Name: "a turn that can't be looked up is absent",
+		Change: mutation.Change{
+			File: "proxyrequest.go",
+			Old:  "\tcase err != nil:\n\t\tr.commitIncomplete()\n\t\tr.reject()\n",
+			New: "\tcase err != nil:\n\t\tif r.asked.Previous != \"\" { r.answer(http.StatusNotFound) }\n" +
+				"\t\tr.commitIncomplete()\n\t\tr.reject()\n",
 		},
-	})
+		Run: randomDays,
+	},
 }
--- a/internal/tier/fleettest/network.go
+++ b/internal/tier/fleettest/network.go
@@ -14,8 +14,8 @@
 }
 
 const (
-	loopbackDelay = 50 * time.Microsecond
-	heldFor       = 1500 * time.Millisecond // after which a connection over a cut link is given up
+	loopbackDelay     = 50 * time.Microsecond
+	connectionTimeout = 1500 * time.Millisecond // after which a connection over a partitioned link is given up
 )
 
 // Errors of a call, as its caller sees them.
@@ -32,14 +32,14 @@
 	loop        *loop
 	conditions  Conditions
 	byAddress   map[string]*process
-	cut         map[pair]bool
+	partitioned map[pair]bool
 	generation  map[pair]int // raised when the connections between two machines are reset
 	lastArrival map[[2]*process]time.Duration
-	held        []heldMessage
+	queued      []queuedMessage
 }
 
-// heldMessage waits on a cut link.
-type heldMessage struct {
+// queuedMessage waits on a partitioned link.
+type queuedMessage struct {
 	way   pair
 	since time.Duration
 	carry func()
@@ -47,7 +47,7 @@
 }
 
 func newNetwork(l *loop, conditions Conditions) *network {
-	return &network{loop: l, conditions: conditions, byAddress: map[string]*process{}, cut: map[pair]bool{},
+	return &network{loop: l, conditions: conditions, byAddress: map[string]*process{}, partitioned: map[pair]bool{},
 		generation: map[pair]int{}, lastArrival: map[[2]*process]time.Duration{}}
 }
 
@@ -59,31 +59,31 @@
 	return n.conditions.Delay + n.loop.between(0, n.conditions.Jitter)
 }
 
-// setCut cuts one direction or joins it again; what waited goes on, unless it has waited for too long.
-func (n *network) setCut(from, to *Machine, cut bool) {
+// setPartitioned partitions one direction or heals it; what waited goes on, unless it has waited for too long.
+func (n *network) setPartitioned(from, to *Machine, partitioned bool) {
 	way := pair{from, to}
-	if cut {
-		n.cut[way] = true
+	if partitioned {
+		n.partitioned[way] = true
 		return
 	}
-	delete(n.cut, way)
-	held := n.held
-	n.held = nil
-	for _, message := range held {
+	delete(n.partitioned, way)
+	queued := n.queued
+	n.queued = nil
+	for _, message := range queued {
 		if message.way != way {
-			n.held = append(n.held, message)
+			n.queued = append(n.queued, message)
 			continue
 		}
 		message.carry()
 	}
 }
 
-// heal joins all links again.
+// heal heals all links.
 func (n *network) heal() {
-	clear(n.cut)
-	held := n.held
-	n.held = nil
-	for _, message := range held {
+	clear(n.partitioned)
+	queued := n.queued
+	n.queued = nil
+	for _, message := range queued {
 		message.carry()
 	}
 }
@@ -101,17 +101,17 @@
 	}
 }
 
-// stream carries something over a connection, in order. It is lost when the connection is; lost, which may be nil, is told.
+// stream carries something over a connection, in order. It is lost when the connection is; lost, which may be nil, is called.
 func (n *network) stream(from, to *process, arrive, lost func()) {
 	way := pair{from.machine, to.machine}
-	if n.cut[way] {
-		n.hold(way, from, func() { n.stream(from, to, arrive, lost) }, lost)
+	if n.partitioned[way] {
+		n.enqueue(way, from, func() { n.stream(from, to, arrive, lost) }, lost)
 		return
 	}
 	generation := n.generation[way]
-	line := [2]*process{from, to}
-	at := max(n.loop.now+n.delay(from.machine, to.machine), n.lastArrival[line])
-	n.lastArrival[line] = at
+	connection := [2]*process{from, to}
+	at := max(n.loop.now+n.delay(from.machine, to.machine), n.lastArrival[connection])
+	n.lastArrival[connection] = at
 	n.loop.after(at-n.loop.now, func() {
 		if n.generation[way] != generation {
 			if lost != nil {
@@ -123,61 +123,61 @@
 	})
 }
 
-// hold keeps a message on a cut link for as long as its connection lasts.
-func (n *network) hold(way pair, from *process, carry, lost func()) {
-	life, since := from.life, n.loop.now
-	gone := func() {
+// enqueue keeps a message on a partitioned link for as long as its connection lasts.
+func (n *network) enqueue(way pair, from *process, carry, lost func()) {
+	incarnation, since := from.incarnation, n.loop.now
+	fail := func() {
 		if lost != nil {
 			lost()
 		}
 	}
-	n.held = append(n.held, heldMessage{way: way, since: since, lost: gone, carry: func() {
-		if from.life != life || n.loop.now-since > heldFor {
-			gone()
+	n.queued = append(n.queued, queuedMessage{way: way, since: since, lost: fail, carry: func() {
+		if from.incarnation != incarnation || n.loop.now-since > connectionTimeout {
+			fail()
 			return
 		}
 		carry()
 	}})
-	n.loop.after(heldFor, func() { n.dropHeld() })
+	n.loop.after(connectionTimeout, func() { n.expireQueued() })
 }
 
-// dropHeld gives up what has waited for too long.
-func (n *network) dropHeld() {
-	kept := n.held[:0]
-	var dropped []heldMessage
-	for _, message := range n.held {
-		if n.loop.now-message.since >= heldFor {
+// expireQueued gives up what has waited for too long.
+func (n *network) expireQueued() {
+	remaining := n.queued[:0]
+	var dropped []queuedMessage
+	for _, message := range n.queued {
+		if n.loop.now-message.since >= connectionTimeout {
 			dropped = append(dropped, message)
 			continue
 		}
-		kept = append(kept, message)
+		remaining = append(remaining, message)
 	}
-	n.held = kept
+	n.queued = remaining
 	for _, message := range dropped {
 		message.lost()
 	}
 }
 
-// notify sends a message that is not answered to whoever has the address when it arrives.
-func (n *network) notify(from *process, address string, message any) {
+// sendMessage sends a message that is not answered to whoever has the address when it arrives.
+func (n *network) sendMessage(from *process, address string, message any) {
 	to := n.byAddress[address]
 	if to == nil {
 		return
 	}
 	sender := from.address
 	n.stream(from, to, func() {
-		to.enter(to.life, func() { to.handler.notice(sender, message) })
+		to.execute(to.incarnation, func() { to.handler.handleMessage(sender, message) })
 	}, nil)
 }
 
-// datagram sends a message that may be lost.
-func (n *network) datagram(from *process, address string, message any) {
+// sendDatagram sends a message that may be lost.
+func (n *network) sendDatagram(from *process, address string, message any) {
 	to := n.byAddress[address]
-	if to == nil || n.cut[pair{from.machine, to.machine}] || n.loop.chance(n.conditions.Loss) {
+	if to == nil || n.partitioned[pair{from.machine, to.machine}] || n.loop.withProbability(n.conditions.Loss) {
 		return
 	}
 	sender := from.address
 	n.loop.after(n.delay(from.machine, to.machine), func() {
-		to.enter(to.life, func() { to.handler.datagram(sender, message) })
+		to.execute(to.incarnation, func() { to.handler.handleDatagram(sender, message) })
 	})
 }
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -12,20 +12,20 @@
 // Content names one configuration by its number and by what only it holds.
 type Content struct {
 	Number uint64
-	Mark   string
+	Label  string
 }
 
 func contentOf(config *model.Configuration) Content {
 	content := Content{Number: config.Version}
 	if len(config.Routes) > 0 {
-		content.Mark = config.Routes[0].Name
+		content.Label = config.Routes[0].Name
 	}
 	return content
 }
 
 // raw is the configuration as the operator sends it.
 func (c Content) raw() json.RawMessage {
-	config := model.Configuration{Version: c.Number, Routes: []model.Route{{Name: c.Mark, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}}}
+	config := model.Configuration{Version: c.Number, Routes: []model.Route{{Name: c.Label, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}}}
 	raw, err := json.Marshal(config)
 	if err != nil {
 		panic(err) // there is nothing in it that can't be encoded
@@ -44,10 +44,10 @@
 		Service, Target string
 		OverMs          int64
 	}
-	getRollout     struct{ Service string }
-	retireOrder    struct{ Node string }
-	getRetirement  struct{ Node string }
-	operatorAnswer struct {
+	getRollout        struct{ Service string }
+	decommissionOrder struct{ Node string }
+	getDecommission   struct{ Node string }
+	operatorAnswer    struct {
 		Status   int
 		Location string
 		Raw      json.RawMessage
@@ -58,36 +58,36 @@
 
 // Times of operators.
 const (
-	operatorPatience   = time.Second
-	operatorFirstPause = 100 * time.Millisecond
-	operatorMostPause  = time.Second
-	operatorRedirects  = 2
+	operatorTimeout        = time.Second
+	operatorInitialBackoff = 100 * time.Millisecond
+	operatorMaxBackoff     = time.Second
+	operatorRedirects      = 2
 )
 
 // operator calls the controllers.
 type operator struct {
-	process    *process
-	loseAnswer float64 // share of answers that get lost on their way
-	only       []string
-	marks      int
+	process         *process
+	ackLossRate     float64 // share of answers that get lost on their way
+	onlyControllers []string
+	labels          int
 }
 
-func (*operator) notice(string, any)     {}
-func (*operator) datagram(string, any)   {}
-func (*operator) serve(*exchange, any)   {}
-func (o *operator) fleet() *Fleet        { return o.process.machine.fleet }
-func (o *operator) now() time.Duration   { return o.fleet().loop.now }
-func (o *operator) between(most int) int { return o.fleet().loop.random.IntN(most) }
+func (*operator) handleMessage(string, any)  {}
+func (*operator) handleDatagram(string, any) {}
+func (*operator) serve(*exchange, any)       {}
+func (o *operator) fleet() *Fleet            { return o.process.machine.fleet }
+func (o *operator) now() time.Duration       { return o.fleet().loop.now }
+func (o *operator) intN(limit int) int       { return o.fleet().loop.random.IntN(limit) }
 
 // addresses are the controllers that this operator may call.
 func (o *operator) addresses() []string {
-	if o.only != nil {
-		return o.only
+	if o.onlyControllers != nil {
+		return o.onlyControllers
 	}
 	return o.fleet().controlList()
 }
 
-// order is a whole configuration that was sent, with what came of it.
+// order is a complete configuration that was sent, with what came of it.
 type order struct {
 	Operator string
 	Base     uint64
@@ -99,17 +99,17 @@
 
 // put sends a configuration until there is a clear answer, as long as the operator is there.
 func (o *operator) put(base, number uint64) *order {
-	o.marks++
-	return o.putContent(base, Content{Number: number, Mark: fmt.Sprintf("%s-%d", o.process.name, o.marks)})
+	o.labels++
+	return o.putContent(base, Content{Number: number, Label: fmt.Sprintf("%s-%d", o.process.name, o.labels)})
 }
 
 // putContent sends exactly this configuration.
 func (o *operator) putContent(base uint64, content Content) *order {
 	sent := &order{Operator: o.process.name, Base: base, Content: content, Started: o.now()}
 	o.fleet().history.orders = append(o.fleet().history.orders, sent)
-	o.insist(putOrder{Base: base, Number: content.Number, Raw: content.raw()}, func(answer operatorAnswer) {
+	o.callUntilAnswered(putOrder{Base: base, Number: content.Number, Raw: content.raw()}, func(answer operatorAnswer) {
 		sent.Ended, sent.Status = o.now(), answer.Status
-		o.fleet().trace("%s: PUT %d on %d (%s): %d", o.process.name, content.Number, base, content.Mark, answer.Status)
+		o.fleet().trace("%s: PUT %d on %d (%s): %d", o.process.name, content.Number, base, content.Label, answer.Status)
 		if sent.Status == http.StatusOK && o.fleet().onAcknowledged != nil {
 			o.fleet().onAcknowledged(sent)
 		}
@@ -127,7 +127,7 @@
 // get asks for the configuration in force until it is answered.
 func (o *operator) get() *readBack {
 	read := &readBack{Started: o.now()}
-	o.insist(getOrder{}, func(answer operatorAnswer) {
+	o.callUntilAnswered(getOrder{}, func(answer operatorAnswer) {
 		if answer.Status != http.StatusOK {
 			return
 		}
@@ -142,70 +142,72 @@
 	return read
 }
 
-// roll is an order of a roll-out.
-type roll struct {
+// sentRollout is an order of a roll-out.
+type sentRollout struct {
 	Service, Target string
 	Ended           time.Duration
 	Status          int
 }
 
-func (o *operator) rollOut(service, target string, over time.Duration) *roll {
-	sent := &roll{Service: service, Target: target}
-	o.insist(rolloutOrder{service, target, over.Milliseconds()}, func(answer operatorAnswer) {
+func (o *operator) rollOut(service, target string, over time.Duration) *sentRollout {
+	sent := &sentRollout{Service: service, Target: target}
+	o.callUntilAnswered(rolloutOrder{service, target, over.Milliseconds()}, func(answer operatorAnswer) {
 		sent.Ended, sent.Status = o.now(), answer.Status
 	})
 	return sent
 }
 
-// rollState asks for the newest order of a service until it is answered.
-func (o *operator) rollState(service string, done func(operatorAnswer)) {
-	o.insist(getRollout{service}, done)
+// rolloutState asks for the newest order of a service until it is answered.
+func (o *operator) rolloutState(service string, done func(operatorAnswer)) {
+	o.callUntilAnswered(getRollout{service}, done)
 }
 
-// retire orders a storage machine to be emptied, and tells done the answer.
-func (o *operator) retire(node string, done func(operatorAnswer)) { o.insist(retireOrder{node}, done) }
+// decommission orders a storage machine to be emptied, and passes the answer to done.
+func (o *operator) decommission(node string, done func(operatorAnswer)) {
+	o.callUntilAnswered(decommissionOrder{node}, done)
+}
 
-// retirement asks how far the order about a storage machine is.
-func (o *operator) retirement(node string, done func(operatorAnswer)) {
-	o.insist(getRetirement{node}, done)
+// decommissionState asks how far the order about a storage machine is.
+func (o *operator) decommissionState(node string, done func(operatorAnswer)) {
+	o.callUntilAnswered(getDecommission{node}, done)
 }
 
-// insist calls one controller after the other, with a growing pause, until there is a clear answer.
-func (o *operator) insist(request any, done func(operatorAnswer)) {
-	pause := operatorFirstPause
-	var try func()
-	try = func() {
+// callUntilAnswered calls one controller after the other, with a growing pause, until there is a clear answer.
+func (o *operator) callUntilAnswered(request any, done func(operatorAnswer)) {
+	backoff := operatorInitialBackoff
+	var attempt func()
+	attempt = func() {
 		addresses := o.addresses()
 		if len(addresses) == 0 {
-			o.process.after(pause, try)
+			o.process.after(backoff, attempt)
 			return
 		}
-		o.ask(addresses[o.between(len(addresses))], request, operatorRedirects, func(answer operatorAnswer, err error) {
-			if err == nil && isClear(answer.Status) {
+		o.ask(addresses[o.intN(len(addresses))], request, operatorRedirects, func(answer operatorAnswer, err error) {
+			if err == nil && isFinal(answer.Status) {
 				done(answer)
 				return
 			}
-			o.process.after(pause, try)
-			pause = min(2*pause, operatorMostPause)
+			o.process.after(backoff, attempt)
+			backoff = min(2*backoff, operatorMaxBackoff)
 		})
 	}
-	try()
+	attempt()
 }
 
-// isClear tells whether an answer ends a call.
-func isClear(status int) bool {
+// isFinal reports whether an answer ends a call.
+func isFinal(status int) bool {
 	return status == http.StatusOK || status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
 // ask calls one controller and follows it to others.
 func (o *operator) ask(address string, request any, redirects int, done func(operatorAnswer, error)) {
-	o.fleet().network.ask(o.process, address, request, operatorPatience, func(piece any, err error) {
-		answer, _ := piece.(operatorAnswer)
+	o.fleet().network.ask(o.process, address, request, operatorTimeout, func(response any, err error) {
+		answer, _ := response.(operatorAnswer)
 		switch {
 		case err == nil && answer.Status == http.StatusTemporaryRedirect && redirects > 0:
 			o.ask(answer.Location, request, redirects-1, done)
-		case err == nil && o.fleet().loop.chance(o.loseAnswer):
-			o.process.after(operatorPatience, func() { done(operatorAnswer{}, errTimeout) })
+		case err == nil && o.fleet().loop.withProbability(o.ackLossRate):
+			o.process.after(operatorTimeout, func() { done(operatorAnswer{}, errTimeout) })
 		default:
 			done(answer, err)
 		}
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// FaultKind names a kind of trouble in a plan.
+// FaultKind names a kind of fault in a plan.
 type FaultKind string
 
 // The kinds of fault. Those that last end after Fault.For.
 const (
-	KillFault        FaultKind = "kill"       // comes back after For
-	PowerFault       FaultKind = "power"      // the same, without what was not synced
-	KillAllFault     FaultKind = "kill_all"   // of the tier; each comes back within For
-	PowerAllFault    FaultKind = "power_all"  // the same
-	AckKillFault     FaultKind = "ack_kill"   // the owner of the configuration ends right after its next acknowledgement
-	AckPowerFault    FaultKind = "ack_power"  // the same without power
-	DiskFault        FaultKind = "disk"       // comes back empty after For
-	FinalFault       FaultKind = "final"      // loses its disk while all others that count lose power
-	AckFinalFault    FaultKind = "ack_final"  // the same right after the next acknowledgement
-	FreezeFault      FaultKind = "freeze"     // for For
-	CutFault         FaultKind = "cut"        // from all machines of its role and all edges, for For
-	CutOneWayFault   FaultKind = "cut_oneway" // what it sends to Other, for For
-	ResetFault       FaultKind = "reset"      // its connections with Other
-	ClockFault       FaultKind = "clock"      // its time of day steps by For
-	SlowDiskFault    FaultKind = "slow_disk"  // for For
-	SilentDiskFault  FaultKind = "silent_disk"
-	FullDiskFault    FaultKind = "full_disk"
-	ReplaceFault     FaultKind = "replace"     // by an empty machine at another address
-	ProxyFault       FaultKind = "proxy"       // its proxy is killed
-	AgentFault       FaultKind = "agent"       // its agent is killed
-	EndpointFault    FaultKind = "endpoint"    // is replaced at its address, by one of the other service and back after For
-	AckLostFault     FaultKind = "ack_lost"    // answers to operators are lost for For
-	ResendElseFault  FaultKind = "config_race" // both operators send on the newest version
-	StuckEngineFault FaultKind = "answer_lost" // an endpoint runs and says nothing for For
+	KillFault                    FaultKind = "kill"       // comes back after For
+	PowerLossFault               FaultKind = "power"      // the same, without what was not synced
+	KillAllFault                 FaultKind = "kill_all"   // of the tier; each comes back within For
+	PowerLossAllFault            FaultKind = "power_all"  // the same
+	AckKillFault                 FaultKind = "ack_kill"   // the leader of the configuration ends right after its next acknowledgement
+	AckPowerLossFault            FaultKind = "ack_power"  // the same without power
+	DiskLossFault                FaultKind = "disk"       // comes back empty after For
+	DiskLossPowerLossAllFault    FaultKind = "final"      // loses its disk while all others that count lose power
+	AckDiskLossPowerLossAllFault FaultKind = "ack_final"  // the same right after the next acknowledgement
+	FreezeFault                  FaultKind = "freeze"     // for For
+	PartitionFault               FaultKind = "cut"        // from all machines of its role and all edges, for For
+	PartitionOneWayFault         FaultKind = "cut_oneway" // what it sends to Other, for For
+	ResetFault                   FaultKind = "reset"      // its connections with Other
+	ClockStepFault               FaultKind = "clock"      // its time of day steps by For
+	SlowDiskFault                FaultKind = "slow_disk"  // for For
+	StalledDiskFault             FaultKind = "silent_disk"
+	FullDiskFault                FaultKind = "full_disk"
+	ReplaceFault                 FaultKind = "replace"     // by an empty machine at another address
+	ProxyKillFault               FaultKind = "proxy"       // its proxy is killed
+	AgentKillFault               FaultKind = "agent"       // its agent is killed
+	EndpointReplaceFault         FaultKind = "endpoint"    // is replaced at its address, by one of the other service and back after For
+	AckLossFault                 FaultKind = "ack_lost"    // answers to operators are lost for For
+	OrderRaceFault               FaultKind = "config_race" // both operators send on the newest version
+	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs and says nothing for For
 )
 
-// Fault is one trouble of a plan. Machines are numbered among the counting ones (cores, then stores), edges or endpoints.
+// Fault is one fault of a plan. Machines are numbered among the quorum machines (cores, then stores), edges or endpoints.
 type Fault struct {
 	At     time.Duration `json:"at"`
 	Kind   FaultKind     `json:"kind"`
@@ -47,14 +47,14 @@
 	For    time.Duration `json:"for,omitempty"`
 }
 
-// Plan is one day: its seed and its troubles, in order.
+// Plan is one day: its seed and its faults, in order.
 type Plan struct {
 	Seed   uint64        `json:"seed"`
-	Span   time.Duration `json:"span"` // of the troubles; the day goes on until all has come back
+	Span   time.Duration `json:"span"` // of the faults; the day goes on until all has come back
 	Faults []Fault       `json:"faults"`
 }
 
-// Text is the plan as it is kept.
+// Text is the plan as JSON, to run it again.
 func (p Plan) Text() string {
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -63,38 +63,38 @@
 	return string(text)
 }
 
-// What a random plan holds.
+// Bounds of a random plan.
 const (
-	countingMachines = 7
-	edgeMachines     = 3
-	engineMachines   = 6
-	planSpan         = 40 * time.Second
-	catchUp          = 4300 * time.Millisecond // for which a machine that is back still counts as lost
-	firstFault       = 8 * time.Second         // so that the first start is over
+	quorumMachineCount = 7
+	edgeMachineCount   = 3
+	engineMachineCount = 6
+	planSpan           = 40 * time.Second
+	catchUp            = 4300 * time.Millisecond // for which a machine that is back still counts as lost
+	firstFaultAt       = 8 * time.Second         // so that the first start is over
 )
 
-// faultChoices are the kinds of fault of a random plan; those named twice come twice as often.
-var faultChoices = []FaultKind{KillFault, KillFault, PowerFault, PowerFault, KillAllFault, PowerAllFault, AckKillFault, AckPowerFault,
-	DiskFault, DiskFault, FinalFault, AckFinalFault, FreezeFault, FreezeFault, CutFault, CutFault, CutOneWayFault, CutOneWayFault, ResetFault, ClockFault,
-	SlowDiskFault, SilentDiskFault, FullDiskFault, ReplaceFault, ProxyFault, ProxyFault, AgentFault, EndpointFault, AckLostFault,
-	ResendElseFault, ResendElseFault, StuckEngineFault}
+// randomFaultKinds are the kinds of fault of a random plan; those named twice come twice as often.
+var randomFaultKinds = []FaultKind{KillFault, KillFault, PowerLossFault, PowerLossFault, KillAllFault, PowerLossAllFault, AckKillFault, AckPowerLossFault,
+	DiskLossFault, DiskLossFault, DiskLossPowerLossAllFault, AckDiskLossPowerLossAllFault, FreezeFault, FreezeFault, PartitionFault, PartitionFault, PartitionOneWayFault, PartitionOneWayFault, ResetFault, ClockStepFault,
+	SlowDiskFault, StalledDiskFault, FullDiskFault, ReplaceFault, ProxyKillFault, ProxyKillFault, AgentKillFault, EndpointReplaceFault, AckLossFault,
+	OrderRaceFault, OrderRaceFault, ResponseLossFault}
 
-// RandomPlan draws a plan. Disks are lost one at a time only, and not before all machines have made up for what came before.
+// RandomPlan draws a plan. Disks are lost one at a time only, and not before all machines have recovered from what came before.
 func RandomPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0x706c616e))
 	plan := Plan{Seed: seed, Span: planSpan}
-	pause := time.Duration(300+random.IntN(4000)) * time.Millisecond // some days are dense, some are not
-	var wholeAt time.Duration                                        // when all counting machines have made up for all troubles
-	for at := firstFault; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * pause))) {
-		fault := Fault{At: at, Kind: faultChoices[random.IntN(len(faultChoices))], For: time.Duration(random.Int64N(int64(6 * time.Second)))}
-		fault.Target, fault.Other = random.IntN(countingMachines), random.IntN(countingMachines)
+	maxGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // some days are dense, some are not
+	var wholeAt time.Duration                                         // when all quorum machines have recovered from all faults
+	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * maxGap))) {
+		fault := Fault{At: at, Kind: randomFaultKinds[random.IntN(len(randomFaultKinds))], For: time.Duration(random.Int64N(int64(6 * time.Second)))}
+		fault.Target, fault.Other = random.IntN(quorumMachineCount), random.IntN(quorumMachineCount)
 		if fault.Kind.losesDisk() && at < wholeAt {
 			continue
 		}
-		if fault.Kind == ClockFault {
+		if fault.Kind == ClockStepFault {
 			fault.For -= 3 * time.Second
 		}
-		if until := at + fault.lostFor(); fault.Kind.concernsCounting() {
+		if until := at + fault.unavailableFor(); fault.Kind.affectsQuorumMachines() {
 			wholeAt = max(wholeAt, until)
 		}
 		plan.Faults = append(plan.Faults, fault)
@@ -102,26 +102,26 @@
 	return plan
 }
 
-// replacementTime is how long it takes at most until groups have moved away from a machine that is gone for good.
+// replacementTime is how long it takes at most until groups have moved away from a machine that is lost for good.
 const replacementTime = 14 * time.Second
 
-// lostFor is how long a machine counts as lost from the beginning of a fault on.
-func (f Fault) lostFor() time.Duration {
+// unavailableFor is how long a machine counts as lost from the beginning of a fault on.
+func (f Fault) unavailableFor() time.Duration {
 	switch f.Kind {
 	case ReplaceFault:
 		return replacementTime
-	case AckKillFault, AckPowerFault, AckFinalFault: // they wait for an acknowledgement
-		return f.For + ackWait + catchUp
+	case AckKillFault, AckPowerLossFault, AckDiskLossPowerLossAllFault: // they wait for an acknowledgement
+		return f.For + ackTimeout + catchUp
 	}
 	return max(f.For, time.Second) + catchUp
 }
 
-// losesDisk tells whether a fault takes a disk away for good.
+// losesDisk reports whether a fault takes a disk away for good.
 func (k FaultKind) losesDisk() bool {
-	return slices.Contains([]FaultKind{DiskFault, FinalFault, AckFinalFault, ReplaceFault}, k)
+	return slices.Contains([]FaultKind{DiskLossFault, DiskLossPowerLossAllFault, AckDiskLossPowerLossAllFault, ReplaceFault}, k)
 }
 
-// concernsCounting tells whether a fault concerns machines with a disk.
-func (k FaultKind) concernsCounting() bool {
-	return !slices.Contains([]FaultKind{ProxyFault, AgentFault, EndpointFault, AckLostFault, ResendElseFault, StuckEngineFault}, k)
+// affectsQuorumMachines reports whether a fault affects machines with a disk.
+func (k FaultKind) affectsQuorumMachines() bool {
+	return !slices.Contains([]FaultKind{ProxyKillFault, AgentKillFault, EndpointReplaceFault, AckLossFault, OrderRaceFault, ResponseLossFault}, k)
 }
--- /dev/null
+++ b/internal/tier/fleettest/platform.go
@@ -0,0 +1,33 @@
+package fleettest
+
+import (
+	"mastusher/internal/tier/model"
+)
+
+// listRequest asks the platform for its list, a []model.Endpoint.
+type listRequest struct{}
+
+// platform answers with the list as it was some time ago.
+type platform struct{ process *process }
+
+func (*platform) handleMessage(string, any)  {}
+func (*platform) handleDatagram(string, any) {}
+func (p *platform) serve(call *exchange, request any) {
+	if _, ok := request.(listRequest); ok {
+		call.finish(p.process.machine.fleet.listed)
+	}
+}
+
+// listLater puts an incarnation on the list in place of the one that had its address before.
+func (f *Fleet) listLater(e *endpoint) {
+	entry := model.Endpoint{ID: e.id, Service: e.service, Address: e.process.address, Zone: e.process.machine.zone, Capacity: 64, State: model.Ready}
+	f.loop.after(listDelay, func() {
+		var list []model.Endpoint
+		for _, listed := range f.listed {
+			if listed.Address != entry.Address {
+				list = append(list, listed)
+			}
+		}
+		f.listed = append(list, entry)
+	})
+}
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -10,34 +10,34 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Bounds of one call to the owners of shards.
+// Bounds of one call to the leaders of shards.
 const (
 	attemptTimeout = 700 * time.Millisecond
-	firstPause     = 15 * time.Millisecond
-	mostPause      = 120 * time.Millisecond
+	initialBackoff = 15 * time.Millisecond
+	maxBackoff     = 120 * time.Millisecond
 )
 
 // Errors of the program client.
 var (
-	errNoPlacement = errors.New("placement of shards is not known")
-	errNoOwner     = errors.New("no store answered as the owner in time")
-	errUnsettled   = errors.New("the turn could not be settled")
+	errNoPlacement  = errors.New("placement of shards is not known")
+	errNoLeader     = errors.New("no store answered as the leader in time")
+	errNotCommitted = errors.New("the turn could not be committed")
 )
 
-// programClient finds the owner of a program's shard and has turns begun and settled there.
+// programClient finds the leader of a program's shard and has turns begun and committed there.
 type programClient struct {
 	process *process
 	placed  *view.Placement
-	owners  map[int]string // address that answered last, by shard
+	leaders map[int]string // address that answered last, by shard
 }
 
 func newProgramClient(p *process) *programClient {
-	return &programClient{process: p, owners: map[int]string{}}
+	return &programClient{process: p, leaders: map[int]string{}}
 }
 
 func (c *programClient) isPlaced() bool { return c.placed != nil && len(c.placed.Shards) > 0 }
 
-// begin has a turn taken by the owner of key's shard within a time. An error means that the outcome is not known.
+// begin has a turn begun by the leader of key's shard within a time. An error means that the outcome is not known.
 func (c *programClient) begin(key string, turn program.BeginTurn, within time.Duration, done func(program.Result, error)) {
 	if !c.isPlaced() {
 		done(program.Result{}, errNoPlacement)
@@ -68,7 +68,7 @@
 
 func (c *programClient) now() time.Duration { return c.process.machine.fleet.loop.now }
 
-// end settles a turn at the owner of key's shard.
+// end commits a turn at the leader of key's shard.
 func (c *programClient) end(key string, turn program.EndTurn, within time.Duration, done func(error)) {
 	if !c.isPlaced() {
 		done(errNoPlacement)
@@ -77,13 +77,13 @@
 	shard := placement.Shard(key, len(c.placed.Shards))
 	c.call(shard, wire.EndTurnRequest{Shard: shard, Turn: turn}, c.now()+within, func(answer any, err error) {
 		if result, _ := answer.(program.Result); err == nil && result.Verdict != program.Accepted {
-			err = errUnsettled
+			err = errNotCommitted
 		}
 		done(err)
 	})
 }
 
-// find asks the owners of all other shards for a turn's chain. Only if each of them is certain is there none.
+// find asks the leaders of all other shards for a turn's chain. Only if each of them is certain is there none.
 func (c *programClient) find(except int, turn string, deadline time.Duration, done func(chain []byte, found bool, err error)) {
 	open, ended := len(c.placed.Shards)-1, false
 	var failed error
@@ -116,27 +116,27 @@
 	}
 }
 
-// call asks the shard's stores in turn until its owner answers or the time is over.
+// call asks the shard's stores in turn until its leader answers or the time is over.
 func (c *programClient) call(shard int, request any, deadline time.Duration, done func(answer any, err error)) {
-	address, pause, round := c.owner(shard), firstPause, 0
+	address, pause, round := c.leader(shard), initialBackoff, 0
 	var ask func()
 	ask = func() {
 		left := deadline - c.now()
 		if left <= 0 {
-			done(nil, errNoOwner)
+			done(nil, errNoLeader)
 			return
 		}
 		c.process.machine.fleet.network.ask(c.process, address, request, min(attemptTimeout, left), func(answer any, err error) {
-			elsewhere, refused := answer.(notOwner)
+			elsewhere, refused := answer.(notLeader)
 			if err == nil && !refused {
-				c.owners[shard] = address
+				c.leaders[shard] = address
 				done(answer, nil)
 				return
 			}
-			if refused && elsewhere.owner != "" && elsewhere.owner != address {
-				address = elsewhere.owner
+			if refused && elsewhere.leader != "" && elsewhere.leader != address {
+				address = elsewhere.leader
 			} else {
-				address = c.other(shard, address)
+				address = c.nextReplica(shard, address)
 			}
 			round++
 			if round%max(1, len(c.replicas(shard))) != 0 {
@@ -144,7 +144,7 @@
 				return
 			}
 			c.process.after(pause, ask)
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxBackoff)
 		})
 	}
 	ask()
@@ -157,11 +157,11 @@
 	return c.placed.Shards[shard].Replicas
 }
 
-// owner is the store that answered last, or the first replica.
-func (c *programClient) owner(shard int) string {
+// leader is the store that answered last, or the first replica.
+func (c *programClient) leader(shard int) string {
 	replicas := c.replicas(shard)
 	for _, r := range replicas {
-		if r.Address == c.owners[shard] {
+		if r.Address == c.leaders[shard] {
 			return r.Address
 		}
 	}
@@ -171,13 +171,13 @@
 	return replicas[0].Address
 }
 
-// other is the replica after the one at address.
-func (c *programClient) other(shard int, address string) string {
+// nextReplica is the replica after the one at address.
+func (c *programClient) nextReplica(shard int, address string) string {
 	replicas := c.replicas(shard)
 	for i, r := range replicas {
 		if r.Address == address {
 			return replicas[(i+1)%len(replicas)].Address
 		}
 	}
-	return c.owner(shard)
+	return c.leader(shard)
 }
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -10,91 +10,91 @@
 	"mastusher/internal/tier/view"
 )
 
-// Pauses between tries to reach the agent, and bounds of a request.
+// Backoff of connections to the agent, and bounds of a request.
 const (
-	feedFirstPause = 20 * time.Millisecond
-	feedMostPause  = 250 * time.Millisecond
-	requestTime    = 4 * time.Second // that a client waits
-	beginPart      = 4
-	mostTries      = 4 // endpoints that may turn a request away
-	settleTry      = 2 * time.Second
-	settleFor      = 30 * time.Second
-	settlePause    = 50 * time.Millisecond
+	feedInitialBackoff   = 20 * time.Millisecond
+	feedMaxBackoff       = 250 * time.Millisecond
+	requestTimeout       = 4 * time.Second // that a client waits
+	beginTimeoutDivisor  = 4
+	maxAttempts          = 4 // endpoints that may turn a request away
+	commitAttemptTimeout = 2 * time.Second
+	commitTimeout        = 30 * time.Second
+	commitBackoff        = 50 * time.Millisecond
 )
 
 // proxy is the data path of an edge machine: its view, and the requests under way.
 type proxy struct {
-	process   *process
-	agent     string // address
-	digest    view.Digest
-	config    *model.Configuration
-	listed    bool
-	endpoints []model.Endpoint
-	programs  *programClient
-	pause     time.Duration
-	turn      int // for choosing endpoints in turn
+	process      *process
+	agent        string // address
+	digest       view.Digest
+	config       *model.Configuration
+	listed       bool
+	endpoints    []model.Endpoint
+	programs     *programClient
+	backoff      time.Duration
+	lastEndpoint int // for choosing endpoints in turn
 }
 
 func openProxy(agent string) func(p *process) (handler, error) {
 	return func(p *process) (handler, error) {
-		return &proxy{process: p, agent: agent, digest: view.Digest{}, programs: newProgramClient(p), pause: feedFirstPause}, nil
+		return &proxy{process: p, agent: agent, digest: view.Digest{}, programs: newProgramClient(p), backoff: feedInitialBackoff}, nil
 	}
 }
 
 func (p *proxy) begin() { p.connect() }
 
-func (p *proxy) notice(string, any) {}
+func (p *proxy) handleMessage(string, any) {}
 
-func (p *proxy) datagram(string, any) {}
+func (p *proxy) handleDatagram(string, any) {}
 
 // connect has the agent feed this proxy; it goes on with what it has while that fails.
 func (p *proxy) connect() {
-	p.network().call(p.process, p.agent, feedRequest{maps.Clone(p.digest)}, func(piece any) {
-		p.pause = feedFirstPause
-		p.take(piece.(view.Update))
+	p.network().call(p.process, p.agent, feedRequest{maps.Clone(p.digest)}, func(response any) {
+		p.backoff = feedInitialBackoff
+		p.receive(response.(view.Update))
 	}, func(error) {
-		p.process.after(p.pause, p.connect)
-		p.pause = min(2*p.pause, feedMostPause)
+		p.process.after(p.backoff, p.connect)
+		p.backoff = min(2*p.backoff, feedMaxBackoff)
 	})
 }
 
 func (p *proxy) network() *network { return p.process.machine.fleet.network }
 
-// take takes a piece over, unless it is older than the one held.
-func (p *proxy) take(piece view.Update) {
-	if held, known := p.digest[piece.Section]; known && !held.Less(piece.Stamp) {
+// receive applies an update, unless it is not newer than the current one.
+func (p *proxy) receive(update view.Update) {
+	if current, known := p.digest[update.Section]; known && !current.Less(update.Stamp) {
 		return
 	}
-	p.digest[piece.Section] = piece.Stamp
-	if err := p.apply(piece); err != nil {
-		p.process.machine.fleet.report("HARNESS", "piece cannot be read: %v", err)
+	p.digest[update.Section] = update.Stamp
+	if err := p.apply(update); err != nil {
+		p.process.machine.fleet.report("HARNESS", "update cannot be read: %v", err)
 	}
 }
 
-func (p *proxy) apply(piece view.Update) error {
-	switch piece.Section {
+func (p *proxy) apply(update view.Update) error {
+	switch update.Section {
 	case view.ConfigurationSection:
 		var config view.Config
-		if err := json.Unmarshal(piece.Body, &config); err != nil {
+		if err := json.Unmarshal(update.Body, &config); err != nil {
 			return err
 		}
 		p.config = &model.Configuration{}
 		return json.Unmarshal(config.Raw, p.config)
 	case view.EndpointsSection:
 		var list view.EndpointList
-		err := json.Unmarshal(piece.Body, &list)
+		err := json.Unmarshal(update.Body, &list)
 		p.endpoints, p.listed = list.Endpoints, true
 		return err
 	case view.PlacementSection:
 		var placed view.Placement
-		err := json.Unmarshal(piece.Body, &placed)
+		err := json.Unmarshal(update.Body, &placed)
 		p.programs.placed = &placed
 		return err
 	}
 	return nil
 }
 
-// ready tells whether the proxy has all that it needs.
+// ready reports whether the proxy has all that it needs.
 func (p *proxy) ready() bool { return p.config != nil && p.listed && p.programs.isPlaced() }
 
 // serve implements handler.
@@ -103,26 +103,26 @@
 	case readyRequest:
 		call.finish(p.ready())
 	case versionRequest:
-		p.version(call)
+		p.answerVersion(call)
 	case clientRequest:
-		p.request(call, asked)
+		p.handleRequest(call, asked)
 	}
 }
 
-// version answers a request by which a client sees which configuration is in force here.
-func (p *proxy) version(call *exchange) {
+// answerVersion answers a request by which a client sees which configuration is in force here.
+func (p *proxy) answerVersion(call *exchange) {
 	if p.config == nil {
 		call.finish(versionAnswer{})
 		return
 	}
-	call.finish(versionAnswer{Incarnation: p.process.life, Content: contentOf(p.config)})
+	call.finish(versionAnswer{Incarnation: p.process.incarnation, Content: contentOf(p.config)})
 }
 
-// choose picks the next ready endpoint of a service that has not been asked yet.
-func (p *proxy) choose(service string, asked map[string]bool) (model.Endpoint, bool) {
+// selectEndpoint picks the next ready endpoint of a service that has not been asked yet.
+func (p *proxy) selectEndpoint(service string, asked map[string]bool) (model.Endpoint, bool) {
 	for range p.endpoints {
-		p.turn++
-		e := p.endpoints[p.turn%len(p.endpoints)]
+		p.lastEndpoint++
+		e := p.endpoints[p.lastEndpoint%len(p.endpoints)]
 		if e.Service == service && e.State == model.Ready && !asked[e.ID] {
 			return e, true
 		}
@@ -130,12 +130,12 @@
 	return model.Endpoint{}, false
 }
 
-// request takes a client's request.
-func (p *proxy) request(call *exchange, asked clientRequest) {
-	r := &proxyRequest{proxy: p, client: call, asked: asked, deadline: p.process.machine.fleet.loop.now + requestTime, turnedAway: map[string]bool{}}
-	call.onCallerGone = r.clientGone
+// handleRequest takes a client's request.
+func (p *proxy) handleRequest(call *exchange, asked clientRequest) {
+	r := &proxyRequest{proxy: p, client: call, asked: asked, deadline: p.process.machine.fleet.loop.now + requestTimeout, rejectedBy: map[string]bool{}}
+	call.onCallerCanceled = r.clientCanceled
 	if !p.ready() {
-		r.refuse()
+		r.reject()
 		return
 	}
 	if !asked.IsTurn {
@@ -145,5 +145,5 @@
 	r.beginTurn()
 }
 
-// refuse says that the request has not run and never will.
-func (r *proxyRequest) refuse() { r.answer(http.StatusServiceUnavailable) }
+// reject says that the request has not run and never will.
+func (r *proxyRequest) reject() { r.answer(http.StatusServiceUnavailable) }
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -15,12 +15,12 @@
 	asked      clientRequest
 	deadline   time.Duration
 	body       []byte
-	begun      bool // the stores may hold a reservation
-	settled    bool
+	reserved   bool // the stores may hold a reservation
+	committed  bool
 	mayHaveRun bool
-	over       bool
+	ended      bool
 	answering  bool
-	turnedAway map[string]bool // endpoints that promised not to run it
+	rejectedBy map[string]bool // endpoints that promised not to run it
 	endpoint   *exchange
 	output     []byte
 	events     int
@@ -28,103 +28,103 @@
 
 // answer ends the request with a status of the proxy's own.
 func (r *proxyRequest) answer(status int) {
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
+	r.ended = true
 	r.client.finish(answerHead{Status: status})
 }
 
 // abort breaks the client's answer off.
 func (r *proxyRequest) abort() {
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
-	r.client.breakOff()
+	r.ended = true
+	r.client.abort()
 }
 
-// clientGone ends a request that nobody waits for.
-func (r *proxyRequest) clientGone() {
-	r.over = true
+// clientCanceled ends a request that nobody waits for.
+func (r *proxyRequest) clientCanceled() {
+	r.ended = true
 	if r.endpoint != nil {
-		r.endpoint.abandon()
+		r.endpoint.cancel()
 	}
-	r.settle(false)
+	r.commitIncomplete()
 }
 
 func (r *proxyRequest) now() time.Duration { return r.proxy.process.machine.fleet.loop.now }
 
 // beginTurn has the stores take the turn.
 func (r *proxyRequest) beginTurn() {
-	r.begun = true
-	turn := program.BeginTurn{Turn: r.asked.ID, Program: r.asked.Program, Budget: r.asked.Budget, MaxTokens: r.asked.Most,
-		Remembered: true, Previous: r.asked.Previous, KeepForS: keepFor.Seconds(), Input: r.asked.Input}
-	r.proxy.programs.begin(r.asked.Program, turn, requestTime/beginPart, r.taken)
+	r.reserved = true
+	turn := program.BeginTurn{Turn: r.asked.ID, Program: r.asked.Program, Budget: r.asked.Budget, MaxTokens: r.asked.MaxTokens,
+		Remembered: true, Previous: r.asked.Previous, KeepForS: retention.Seconds(), Input: r.asked.Input}
+	r.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)
 }
 
-// taken deals with the stores' answer.
-func (r *proxyRequest) taken(result program.Result, err error) {
+// turnBegun handles the stores' answer.
+func (r *proxyRequest) turnBegun(result program.Result, err error) {
 	switch {
 	case err != nil:
-		r.settle(false)
-		r.refuse()
-	case r.over:
-		r.settle(false)
+		r.commitIncomplete()
+		r.reject()
+	case r.ended:
+		r.commitIncomplete()
 	case result.Verdict == program.Accepted:
 		r.body = append(bytes.Clone(result.Chain), r.asked.Input...)
 		r.send()
 	case result.Verdict == program.BudgetExceeded:
-		r.begun = false
+		r.reserved = false
 		r.answer(http.StatusPaymentRequired)
 	case result.Verdict == program.TurnNotFound:
-		r.begun = false
+		r.reserved = false
 		r.answer(http.StatusNotFound)
 	default:
-		r.refuse()
+		r.reject()
 	}
 }
 
 // send sends the request to an endpoint.
 func (r *proxyRequest) send() {
-	if r.over {
+	if r.ended {
 		return
 	}
 	if !r.asked.IsTurn {
 		r.body = r.asked.Input
 	}
-	endpoint, found := r.proxy.choose(r.asked.Service, r.turnedAway)
-	if !found || len(r.turnedAway) >= mostTries {
-		r.settle(false)
-		r.refuse()
+	endpoint, found := r.proxy.selectEndpoint(r.asked.Service, r.rejectedBy)
+	if !found || len(r.rejectedBy) >= maxAttempts {
+		r.commitIncomplete()
+		r.reject()
 		return
 	}
-	request := endpointRequest{ID: r.asked.ID, Expected: endpoint.ID, Body: r.body, Most: r.asked.Most}
-	r.endpoint = r.proxy.network().call(r.proxy.process, endpoint.Address, request, func(piece any) { r.piece(endpoint.ID, piece) }, r.endpointBroke)
+	request := endpointRequest{ID: r.asked.ID, Expected: endpoint.ID, Body: r.body, MaxTokens: r.asked.MaxTokens}
+	r.endpoint = r.proxy.network().call(r.proxy.process, endpoint.Address, request, func(response any) { r.handleResponse(endpoint.ID, response) }, r.endpointFailed)
 	sent := r.endpoint
 	r.proxy.process.after(r.deadline-r.now(), func() {
-		if !sent.over && r.endpoint == sent && !r.answering {
-			sent.abandon()
-			r.endpointBroke(errTimeout)
+		if !sent.closed && r.endpoint == sent && !r.answering {
+			sent.cancel()
+			r.endpointFailed(errTimeout)
 		}
 	})
 }
 
-// piece takes in a piece of the endpoint's answer.
-func (r *proxyRequest) piece(endpoint string, piece any) {
-	switch answered := piece.(type) {
-	case endpointHead:
+// handleResponse handles a response of the endpoint's answer.
+func (r *proxyRequest) handleResponse(endpoint string, response any) {
+	switch answered := response.(type) {
+	case endpointRejection:
 		r.endpoint.close()
-		r.turnedAway[endpoint] = true
+		r.rejectedBy[endpoint] = true
 		r.send()
 	case endpointEvent:
-		r.event(answered)
+		r.handleEvent(answered)
 	}
 }
 
-// event passes an event on. The last one waits until the stores have the end of the turn.
-func (r *proxyRequest) event(event endpointEvent) {
-	if r.over {
+// handleEvent passes an event on. The last one waits until the stores have the end of the turn.
+func (r *proxyRequest) handleEvent(event endpointEvent) {
+	if r.ended {
 		return
 	}
 	r.events++
@@ -135,34 +135,34 @@
 	}
 	r.answering = true
 	r.endpoint.close()
-	whole := func() {
-		if !r.over {
-			r.over = true
+	finish := func() {
+		if !r.ended {
+			r.ended = true
 			r.client.finish(clientEvent{Data: event.Data, Run: event.Run, Last: true})
 		}
 	}
 	if !r.asked.IsTurn {
-		whole()
+		finish()
 		return
 	}
-	r.settled = true
-	r.offerEnd(r.endOf(true), r.deadline, func(err error) {
+	r.committed = true
+	r.commitUntil(r.endTurn(true), r.deadline, func(err error) {
 		if err != nil {
-			r.offerEnd(r.endOf(true), r.now()+settleFor, func(error) {})
+			r.commitUntil(r.endTurn(true), r.now()+commitTimeout, func(error) {})
 			r.abort()
 			return
 		}
-		whole()
+		finish()
 	})
 }
 
-// endpointBroke deals with an endpoint whose answer ended early, or never came.
-func (r *proxyRequest) endpointBroke(error) {
-	if r.over {
+// endpointFailed handles an endpoint whose answer ended early, or never came.
+func (r *proxyRequest) endpointFailed(error) {
+	if r.ended {
 		return
 	}
 	r.mayHaveRun = true
-	r.settle(false)
+	r.commitIncomplete()
 	if r.events > 0 {
 		r.abort()
 		return
@@ -170,35 +170,35 @@
 	r.answer(http.StatusBadGateway)
 }
 
-// settle tells the stores, beside the request, how a turn ended that has not been settled yet.
-func (r *proxyRequest) settle(whole bool) {
-	if !r.begun || r.settled {
+// commitIncomplete commits a turn without its output, beside the request, unless its end has been sent.
+func (r *proxyRequest) commitIncomplete() {
+	if !r.reserved || r.committed {
 		return
 	}
-	r.settled = true
-	r.offerEnd(r.endOf(whole), r.now()+settleFor, func(error) {})
+	r.committed = true
+	r.commitUntil(r.endTurn(false), r.now()+commitTimeout, func(error) {})
 }
 
-func (r *proxyRequest) endOf(whole bool) program.EndTurn {
-	end := program.EndTurn{Turn: r.asked.ID, Complete: whole, Tokens: int64(r.events * tokensPerEvent)}
-	if whole {
+func (r *proxyRequest) endTurn(complete bool) program.EndTurn {
+	end := program.EndTurn{Turn: r.asked.ID, Complete: complete, Tokens: int64(r.events * tokensPerEvent)}
+	if complete {
 		end.Output = r.output
 	}
 	return end
 }
 
-// offerEnd offers the end of a turn until it is acknowledged or the time is over.
-func (r *proxyRequest) offerEnd(end program.EndTurn, deadline time.Duration, done func(error)) {
+// commitUntil offers the end of a turn until it is acknowledged or the time is over.
+func (r *proxyRequest) commitUntil(end program.EndTurn, deadline time.Duration, done func(error)) {
 	left := deadline - r.now()
 	if left <= 0 {
-		done(errNoOwner)
+		done(errNoLeader)
 		return
 	}
-	r.proxy.programs.end(r.asked.Program, end, min(settleTry, left), func(err error) {
+	r.proxy.programs.end(r.asked.Program, end, min(commitAttemptTimeout, left), func(err error) {
 		if err == nil {
 			done(nil)
 			return
 		}
-		r.proxy.process.after(settlePause, func() { r.offerEnd(end, deadline, done) })
+		r.proxy.process.after(commitBackoff, func() { r.commitUntil(end, deadline, done) })
 	})
 }
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -11,14 +11,14 @@
 
 // replicaRunner drives one member of a replica group: what a daemon's goroutine, disk and links do for it.
 type replicaRunner struct {
-	process *process
-	group   *group.Group
-	disk    *timedDisk
-	busy    bool // its disk is at work: what follows from the last turn has not happened yet
-	outputs []func()
-	wakeAt  time.Duration // of the timer that counts; others are stale
-	waking  bool          // a turn is due at this moment
-	turning bool
+	process   *process
+	group     *group.Group
+	disk      *timedDisk
+	syncing   bool // its disk is at work: what follows from the last turn has not happened yet
+	outputs   []func()
+	wakeAt    time.Duration // of the timer that counts; others are stale
+	scheduled bool          // a turn is due at this moment
+	iterating bool
 }
 
 // replicaOptions sets a runner up.
@@ -35,15 +35,15 @@
 	f := p.machine.fleet
 	r := &replicaRunner{process: p, disk: &timedDisk{Disk: p.machine.disk, machine: p.machine}}
 	options.replica.Seed = f.loop.random.Uint64()
-	r.turning = true
+	r.iterating = true
 	opened, err := group.Open(group.Options{Name: options.name, Replica: options.replica, Disk: r.disk, StateMachine: options.machine,
 		Send: r.send, CompactionBytes: options.compact, Logger: log.NewNopLogger(), Clock: func() time.Duration { return f.loop.now },
 		OnStatusChange: options.changed})
-	r.turning = false
+	r.iterating = false
 	if err != nil {
 		return nil, err
 	}
-	if err := r.disk.settle(); err != nil {
+	if err := r.disk.completeSync(); err != nil {
 		return nil, err
 	}
 	r.group = opened
@@ -52,78 +52,78 @@
 
 // send hands a message of the group over, once what it depends on is on disk.
 func (r *replicaRunner) send(address string, envelope group.Envelope) {
-	r.output(func() { r.process.machine.fleet.network.notify(r.process, address, envelope) })
+	r.output(func() { r.process.machine.fleet.network.sendMessage(r.process, address, envelope) })
 }
 
 // output does something that follows from the turn so far: at once, or when the disk has done its part of it.
 func (r *replicaRunner) output(run func()) {
-	if r.turning && r.disk.took > 0 {
+	if r.iterating && r.disk.took > 0 {
 		r.outputs = append(r.outputs, run)
 		return
 	}
 	run()
 }
 
-// wake has the member's next turn happen now.
-func (r *replicaRunner) wake() {
-	if r.waking || r.busy {
+// schedule has the member's next turn happen now.
+func (r *replicaRunner) schedule() {
+	if r.scheduled || r.syncing {
 		return
 	}
-	r.waking = true
+	r.scheduled = true
 	r.process.after(0, func() {
-		r.waking = false
-		r.turn()
+		r.scheduled = false
+		r.iterate()
 	})
 }
 
-// turn lets the member do what is due.
-func (r *replicaRunner) turn() {
-	if r.busy {
+// iterate lets the member do what is due.
+func (r *replicaRunner) iterate() {
+	if r.syncing {
 		return
 	}
-	r.disk.took, r.turning = 0, true
+	r.disk.took, r.iterating = 0, true
 	next, err := r.group.RunOnce()
-	r.turning = false
+	r.iterating = false
 	if err != nil {
-		r.process.failed(err)
+		r.process.fail(err)
 		return
 	}
 	if r.disk.took > 0 {
-		r.busy = true
-		r.process.after(r.disk.took, r.complete)
+		r.syncing = true
+		r.process.after(r.disk.took, r.finishSync)
 	}
 	r.setTimer(next)
 }
 
-// complete does what waited for the disk.
-func (r *replicaRunner) complete() {
-	if m := r.process.machine; m.diskSilent {
-		life := r.process.life
-		m.diskWaiting = append(m.diskWaiting, func() { r.process.enter(life, r.complete) })
+// finishSync does what waited for the disk.
+func (r *replicaRunner) finishSync() {
+	if m := r.process.machine; m.diskStalled {
+		life := r.process.incarnation
+		m.diskWaiting = append(m.diskWaiting, func() { r.process.execute(life, r.finishSync) })
 		return
 	}
-	if err := r.disk.settle(); err != nil {
-		r.process.failed(err)
+	if err := r.disk.completeSync(); err != nil {
+		r.process.fail(err)
 		return
 	}
 	outputs := r.outputs
-	r.busy, r.outputs = false, nil
-	life := r.process.life
+	r.syncing, r.outputs = false, nil
+	life := r.process.incarnation
 	for _, run := range outputs {
-		if r.process.life != life {
+		if r.process.incarnation != life {
 			return
 		}
 		run()
 	}
-	r.wake()
+	r.schedule()
 }
 
 func (r *replicaRunner) setTimer(at time.Duration) {
 	r.wakeAt = at
 	now := r.process.machine.fleet.loop.now
 	r.process.after(at-now, func() {
-		if r.wakeAt == at && !r.waking {
-			r.turn()
+		if r.wakeAt == at && !r.scheduled {
+			r.iterate()
 		}
 	})
 }
@@ -131,26 +131,26 @@
 // deliver hands a message in.
 func (r *replicaRunner) deliver(message replica.Message) {
 	r.group.Deliver(message)
-	r.wake()
+	r.schedule()
 }
 
-// change tells which members the group is to have.
-func (r *replicaRunner) change(members []replica.Member) {
+// setMembers sets the target members of the group.
+func (r *replicaRunner) setMembers(members []replica.Member) {
 	r.group.SetTargetMembers(members)
-	r.wake()
+	r.schedule()
 }
 
-// propose has a command agreed on within a time. The callback is told once.
+// propose has a command agreed on within a time. The callback is called once.
 func (r *replicaRunner) propose(command any, timeout time.Duration, done func(result any, err error)) {
-	r.wait(timeout, done, func(ended func(any, error)) uint64 { return r.group.ProposeAsync(command, ended) })
+	r.await(timeout, done, func(ended func(any, error)) uint64 { return r.group.ProposeAsync(command, ended) })
 }
 
-// read runs view once it is certain that this member owned the group after the call.
+// read runs view once it is certain that this member led the group after the call.
 func (r *replicaRunner) read(view func(), timeout time.Duration, done func(err error)) {
-	r.wait(timeout, func(_ any, err error) { done(err) }, func(ended func(any, error)) uint64 { return r.group.ReadAsync(view, ended) })
+	r.await(timeout, func(_ any, err error) { done(err) }, func(ended func(any, error)) uint64 { return r.group.ReadAsync(view, ended) })
 }
 
-func (r *replicaRunner) wait(timeout time.Duration, done func(any, error), start func(ended func(any, error)) uint64) {
+func (r *replicaRunner) await(timeout time.Duration, done func(any, error), start func(ended func(any, error)) uint64) {
 	over := false
 	finish := func(result any, err error) {
 		if !over {
@@ -162,14 +162,14 @@
 	r.process.after(timeout, func() {
 		if !over {
 			r.group.Cancel(token)
-			finish(nil, &group.NotLeaderError{Group: r.group.Name(), Leader: r.ownerAddress(), Cause: errTimeout})
+			finish(nil, &group.NotLeaderError{Group: r.group.Name(), Leader: r.leaderAddress(), Cause: errTimeout})
 		}
 	})
-	r.wake()
+	r.schedule()
 }
 
-// ownerAddress is where the owner was last known to be.
-func (r *replicaRunner) ownerAddress() string {
+// leaderAddress is where the leader was last known to be.
+func (r *replicaRunner) leaderAddress() string {
 	status := r.group.Status()
 	for _, member := range status.Members {
 		if member.ID == status.Leader {
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	shardPrefix = "shard-"
-	recordPause = 200 * time.Millisecond // after which a group's log is told of a placement again
+	shardPrefix   = "shard-"
+	recordBackoff = 200 * time.Millisecond // after which a group's log records a placement again
 )
 
 // shardCommand is one entry of a shard's log: one about a program, or a note of the placement that the group follows.
@@ -26,13 +26,13 @@
 
 // shard is one replica and its state. It implements group.ChunkedStateMachine.
 type shard struct {
-	replica   *replicaRunner
-	programs  *program.Machine
-	followed  uint64           // newest placement that the group has begun to follow
-	index     uint64           // newest placement that this store knows
-	wanted    []replica.Member // by that placement
-	told      []replica.Member // what the group was last told as its owner here
-	recording bool
+	replica           *replicaRunner
+	programs          *program.Machine
+	followedPlacement uint64           // newest placement that the group has begun to follow
+	placementIndex    uint64           // newest placement that this store knows
+	targetMembers     []replica.Member // by that placement
+	appliedMembers    []replica.Member // members that this replica, as leader, last set for the group
+	recording         bool
 }
 
 // savedShard is a shard's state as a snapshot holds it.
@@ -43,7 +43,7 @@
 
 func openShard(s *store, number int, placed view.ShardPlacement) (*shard, error) {
 	opening := &shard{programs: program.New()}
-	options := replica.Options{ID: s.id, Address: s.process.address, HeartbeatInterval: storeHeartbeat, ElectionTimeout: storeElection}
+	options := replica.Options{ID: s.id, Address: s.process.address, HeartbeatInterval: storeHeartbeat, ElectionTimeout: storeElectionTimeout}
 	if containsReplica(placed.Initial, s.id) {
 		options.InitialMembers = membersOf(placed.Initial)
 	}
@@ -60,7 +60,7 @@
 		return program.Result{Verdict: program.UnknownTurn}
 	}
 	if command.Placement > 0 {
-		s.followed = max(s.followed, command.Placement)
+		s.followedPlacement = max(s.followedPlacement, command.Placement)
 		return program.Result{Verdict: program.Accepted}
 	}
 	return s.programs.Apply(command.Command)
@@ -68,7 +68,7 @@
 
 // Snapshot implements group.StateMachine.
 func (s *shard) Snapshot() (json.RawMessage, error) {
-	return json.Marshal(savedShard{Programs: s.programs.Snapshot(), Placement: s.followed})
+	return json.Marshal(savedShard{Programs: s.programs.Snapshot(), Placement: s.followedPlacement})
 }
 
 // Restore implements group.StateMachine.
@@ -77,13 +77,13 @@
 	if err := json.Unmarshal(state, &from); err != nil {
 		return err
 	}
-	s.followed = from.Placement
+	s.followedPlacement = from.Placement
 	return s.programs.Restore(from.Programs)
 }
 
 // WriteChunks implements group.ChunkedStateMachine.
 func (s *shard) WriteChunks(write func(part json.RawMessage) error) error {
-	if err := write(strconv.AppendUint(nil, s.followed, 10)); err != nil {
+	if err := write(strconv.AppendUint(nil, s.followedPlacement, 10)); err != nil {
 		return err
 	}
 	return s.programs.WriteChunks(func(part []byte) error { return write(part) })
@@ -97,32 +97,32 @@
 // shardRestorer sets a shard to the state that comes in parts.
 type shardRestorer struct {
 	shard    *shard
-	begun    bool
+	started  bool
 	followed uint64
 	programs *program.Restorer
 }
 
 // Add implements group.Restorer.
 func (r *shardRestorer) Add(part json.RawMessage) error {
-	if r.begun {
+	if r.started {
 		return r.programs.Add(part)
 	}
-	r.begun = true
+	r.started = true
 	return json.Unmarshal(part, &r.followed)
 }
 
 // Finish implements group.Restorer.
 func (r *shardRestorer) Finish() error {
-	r.shard.followed = r.followed
+	r.shard.followedPlacement = r.followed
 	return r.programs.Finish()
 }
 
-// place takes over what a placement wants of the group.
-func (s *shard) place(index uint64, wanted []replica.Member) {
-	if index >= s.index {
-		s.index, s.wanted = index, wanted
+// setPlacement takes over what a placement wants of the group.
+func (s *shard) setPlacement(index uint64, wanted []replica.Member) {
+	if index >= s.placementIndex {
+		s.placementIndex, s.targetMembers = index, wanted
 	}
-	s.steer()
+	s.reconcile()
 }
 
 // changed takes notice of a change in the group.
@@ -131,50 +131,50 @@
 		return
 	}
 	if status.IsLeader {
-		s.steer()
+		s.reconcile()
 		return
 	}
-	s.told = nil
-	s.replica.change(status.Members)
+	s.appliedMembers = nil
+	s.replica.setMembers(status.Members)
 }
 
-// steer moves the group to the wanted members, if this replica owns it. The group's log is first told of a placement that is
-// new to it; with an older one than the log holds, this store has nothing to say.
-func (s *shard) steer() {
-	if s.index == 0 || !s.replica.group.Status().IsLeader {
+// reconcile moves the group to the target members, if this replica leads it. The group's log first records a placement that is
+// new to it; with an older one than the log holds, this store changes nothing.
+func (s *shard) reconcile() {
+	if s.placementIndex == 0 || !s.replica.group.Status().IsLeader {
 		return
 	}
 	switch {
-	case s.index == s.followed && !slices.Equal(s.told, s.wanted):
-		s.told = s.wanted
-		s.replica.change(s.wanted)
-	case s.index > s.followed && !s.recording:
+	case s.placementIndex == s.followedPlacement && !slices.Equal(s.appliedMembers, s.targetMembers):
+		s.appliedMembers = s.targetMembers
+		s.replica.setMembers(s.targetMembers)
+	case s.placementIndex > s.followedPlacement && !s.recording:
 		s.recording = true
-		s.replica.propose(shardCommand{Placement: s.index}, placeTimeout, s.recorded)
+		s.replica.propose(shardCommand{Placement: s.placementIndex}, reconcileTimeout, s.recorded)
 	}
 }
 
 func (s *shard) recorded(_ any, err error) {
 	s.recording = false
 	if err != nil {
-		s.replica.process.after(recordPause, s.steer)
+		s.replica.process.after(recordBackoff, s.reconcile)
 		return
 	}
-	s.steer()
+	s.reconcile()
 }
 
-// report tells the members of the group, if a majority confirms that this replica owns it and has committed them.
-func (s *shard) report(number int, done func(told wire.ShardMembers, confirmed bool)) {
+// reportMembers reports the members of the group, if a majority confirms that this replica leads it and has committed them.
+func (s *shard) reportMembers(number int, done func(told wire.ShardMembers, confirmed bool)) {
 	before := s.replica.group.Status()
 	if !before.IsLeader {
 		done(wire.ShardMembers{}, false)
 		return
 	}
 	var after replica.Status
-	s.replica.read(func() { after = s.replica.group.Status() }, askTimeout, func(err error) {
+	s.replica.read(func() { after = s.replica.group.Status() }, queryTimeout, func(err error) {
 		confirmed := err == nil && after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex &&
 			slices.Equal(before.Members, after.Members)
-		told := wire.ShardMembers{Shard: number, Term: after.Term, Placement: s.followed}
+		told := wire.ShardMembers{Shard: number, Term: after.Term, Placement: s.followedPlacement}
 		for _, member := range after.Members {
 			told.IDs = append(told.IDs, member.ID)
 			if !member.Learner && after.CaughtUp[member.ID] {
@@ -185,8 +185,8 @@
 	})
 }
 
-// report tells the members of all groups that this store owns.
-func (s *store) report(call *exchange) {
+// reportShards reports the members of all groups that this store leads.
+func (s *store) reportShards(call *exchange) {
 	var answer wire.ShardMembersResponse
 	open := len(s.shards)
 	if open == 0 {
@@ -194,7 +194,7 @@
 		return
 	}
 	for _, number := range s.numbers() {
-		s.shards[number].report(number, func(told wire.ShardMembers, confirmed bool) {
+		s.shards[number].reportMembers(number, func(told wire.ShardMembers, confirmed bool) {
 			if confirmed {
 				answer.Shards = append(answer.Shards, told)
 			}
--- a/internal/tier/fleettest/shrink.go
+++ b/internal/tier/fleettest/shrink.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It plays at most so many days.
+// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most so many days.
 func Shrink(plan Plan, days int, fails func(Plan) bool) Plan {
 	try := func(smaller Plan) bool {
 		if days == 0 {
--- a/internal/tier/fleettest/store.go
+++ b/internal/tier/fleettest/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -15,9 +16,9 @@
 
 // Times of a shard's group, and how long a store works on one call.
 const (
-	storeHeartbeat  = 150 * time.Millisecond
-	storeElection   = 600 * time.Millisecond
-	storeCallBounds = 700 * time.Millisecond
+	storeHeartbeat       = 150 * time.Millisecond
+	storeElectionTimeout = 600 * time.Millisecond
+	storeCallTimeout     = 700 * time.Millisecond
 )
 
 // store holds the replicas of one storage machine.
@@ -35,39 +36,39 @@
 		return nil, err
 	}
 	s := &store{process: p, id: id, shards: map[int]*shard{}}
-	s.member = newMember(p, id, p.machine.fleet.seeds(), s.take)
+	s.member = newMember(p, id, p.machine.fleet.seeds(), s.receive)
 	return s, nil
 }
 
-func (s *store) begin() { s.member.wake() }
+func (s *store) begin() { s.member.schedule() }
 
-// take takes over a placement: shards that are this store's open, and every owner moves its group to its members.
-func (s *store) take(piece view.Update) {
-	if piece.Section != view.PlacementSection {
+// receive takes over a placement: shards that are this store's open, and every leader moves its group to its members.
+func (s *store) receive(update view.Update) {
+	if update.Section != view.PlacementSection {
 		return
 	}
 	var placed view.Placement
-	if err := json.Unmarshal(piece.Body, &placed); err != nil {
+	if err := json.Unmarshal(update.Body, &placed); err != nil {
 		s.process.machine.fleet.report("HARNESS", "placement cannot be read: %v", err)
 		return
 	}
 	for number, wanted := range placed.Shards {
-		if s.holds(wanted) && s.shards[number] == nil {
+		if s.isReplica(wanted) && s.shards[number] == nil {
 			opened, err := openShard(s, number, wanted)
 			if err != nil {
-				s.process.failed(err)
+				s.process.fail(err)
 				return
 			}
 			s.shards[number] = opened
-			opened.replica.wake()
+			opened.replica.schedule()
 		}
 		if running := s.shards[number]; running != nil {
-			running.place(piece.Stamp.Sequence, membersOf(wanted.Replicas))
+			running.setPlacement(update.Stamp.Sequence, membersOf(wanted.Replicas))
 		}
 	}
 }
 
-func (s *store) holds(placed view.ShardPlacement) bool {
+func (s *store) isReplica(placed view.ShardPlacement) bool {
 	return containsReplica(placed.Replicas, s.id) || containsReplica(placed.Initial, s.id)
 }
 
@@ -88,8 +89,8 @@
 	return members
 }
 
-// notice implements handler.
-func (s *store) notice(_ string, message any) {
+// handleMessage implements handler.
+func (s *store) handleMessage(_ string, message any) {
 	envelope, ok := message.(group.Envelope)
 	if !ok {
 		return
@@ -103,11 +104,11 @@
 	}
 }
 
-// datagram implements handler.
-func (s *store) datagram(from string, message any) { s.member.datagram(from, message) }
+// handleDatagram implements handler.
+func (s *store) handleDatagram(from string, message any) { s.member.handleDatagram(from, message) }
 
-// notOwner answers a call for a shard that another store owns.
-type notOwner struct{ owner string }
+// notLeader answers a call for a shard that another store leads.
+type notLeader struct{ leader string }
 
 // serve implements handler.
 func (s *store) serve(call *exchange, request any) {
@@ -124,44 +125,44 @@
 	case wire.ChainRequest:
 		s.chain(call, asked)
 	case wire.ShardMembersRequest:
-		s.report(call)
+		s.reportShards(call)
 	}
 }
 
 func (s *store) propose(call *exchange, number int, command program.Command) {
 	running := s.shards[number]
 	if running == nil {
-		call.finish(notOwner{})
+		call.finish(notLeader{})
 		return
 	}
-	running.replica.propose(command, storeCallBounds, func(result any, err error) {
+	running.replica.propose(command, storeCallTimeout, func(result any, err error) {
 		if err != nil {
-			call.finish(s.elsewhere(err))
+			call.finish(s.leaderFrom(err))
 			return
 		}
 		call.finish(result.(program.Result))
 	})
 }
 
-// elsewhere names the owner to the caller, where the error does.
-func (s *store) elsewhere(err error) notOwner {
-	not, ok := err.(*group.NotLeaderError)
-	if !ok || not.Leader == s.process.address {
-		return notOwner{}
+// leaderFrom names the leader to the caller, where the error does.
+func (s *store) leaderFrom(err error) notLeader {
+	var not *group.NotLeaderError
+	if !errors.As(err, &not) || not.Leader == s.process.address {
+		return notLeader{}
 	}
-	return notOwner{owner: not.Leader}
+	return notLeader{leader: not.Leader}
 }
 
 func (s *store) chain(call *exchange, asked wire.ChainRequest) {
 	running := s.shards[asked.Shard]
 	if running == nil {
-		call.finish(notOwner{})
+		call.finish(notLeader{})
 		return
 	}
 	var answer wire.ChainResponse
-	running.replica.read(func() { answer.Chain, answer.Found = running.programs.Chain(asked.Turn) }, storeCallBounds, func(err error) {
+	running.replica.read(func() { answer.Chain, answer.Found = running.programs.Chain(asked.Turn) }, storeCallTimeout, func(err error) {
 		if err != nil {
-			call.finish(s.elsewhere(err))
+			call.finish(s.leaderFrom(err))
 			return
 		}
 		call.finish(answer)
