--- a/internal/tier/fleettest/turns_test.go
+++ b/internal/tier/fleettest/turns_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-func TestChainAndBudgetAcrossAKilledStore(t *testing.T) {
+func TestProgram_StoreEnds_KeepsChainAndBudget(t *testing.T) {
 	for _, ending := range []struct {
 		name string
 		end  func(*Fleet, ...*Machine)
 	}{{"killed", (*Fleet).Kill}, {"without power", (*Fleet).LosePower}} {
 		t.Run(ending.name, func(t *testing.T) {
 			seeds(t, 6, func(t *testing.T, seed uint64) {
-				// Given a program with two turns behind it, when the store that owns its shard ends,
+				// Given a program with two turns behind it, when the store that leads its shard ends,
 				s := serving(t, seed)
-				const budget = 3 * turnMost
-				one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: budget})
-				two := s.wholeTurn(s.edges[1], clientRequest{Program: "p", Budget: budget, Previous: one.ID})
-				owner := s.ownerOf("p")
-				ending.end(s.Fleet, owner)
-				s.StartLater(2*time.Second, owner)
-				// then the next turn goes on from them,
-				three := s.wholeTurn(s.edges[2], clientRequest{Program: "p", Budget: budget, Previous: two.ID})
-				// and turns are refused once the budget holds no more.
+				const budget = 3 * maxTurnTokens
+				one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: budget})
+				two := s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: budget, Previous: one.ID})
+				leader := s.shardLeader()
+				ending.end(s.Fleet, leader)
+				s.StartLater(2*time.Second, leader)
+				// then the next turn continues them,
+				three := s.completeTurn(s.edges[2], clientRequest{Program: testProgram, Budget: budget, Previous: two.ID})
+				// and turns are rejected once the budget holds no more.
 				spent := one.tokens() + two.tokens() + three.tokens()
 				previous := three.ID
-				for spent+turnMost <= budget {
-					next := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: budget, Previous: previous})
+				for spent+maxTurnTokens <= budget {
+					next := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: budget, Previous: previous})
 					spent, previous = spent+next.tokens(), next.ID
 				}
-				last := s.turn(s.edges[1], clientRequest{Program: "p", Budget: budget, Previous: previous})
+				last := s.turn(s.edges[1], clientRequest{Program: testProgram, Budget: budget, Previous: previous})
 				if last.Status != http.StatusPaymentRequired {
 					t.Errorf("with %d of %d spent, a turn ended with outcome %d, status %d", spent, budget, last.Outcome, last.Status)
 				}
@@ -39,13 +39,13 @@
 	}
 }
 
-func TestWipedStoreThatIsTheFirstToReturn(t *testing.T) {
+func TestStore_EmptyDiskReturnsFirst_LosesNoTurn(t *testing.T) {
 	seeds(t, 6, func(t *testing.T, seed uint64) {
 		// Given a program's turn, when a store loses its disk, all others lose power, and the empty one returns first,
 		s := serving(t, seed)
 		s.RunFor(5 * time.Second)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400})
-		wiped := s.ownerOf("p")
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
+		wiped := s.shardLeader()
 		if seed%2 == 0 {
 			wiped = others(s.stores, wiped)[seed%3]
 		}
@@ -53,17 +53,17 @@
 		s.LoseDisk(wiped)
 		s.StartLater(100*time.Millisecond, wiped)
 		s.StartLater(3*time.Second, others(s.stores, wiped)...)
-		// then the turn is never said to be absent, and the next one goes on from it.
-		s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400, Previous: one.ID})
+		// then the turn is never said to be absent, and the next one continues it.
+		s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400, Previous: one.ID})
 	})
 }
 
-func TestAllPowerLostRightAfterATurn(t *testing.T) {
+func TestTurn_DiskLostAndAllPowerLost_IsDurable(t *testing.T) {
 	seeds(t, 10, func(t *testing.T, seed uint64) {
 		// Given a turn whose end has come to the client less than 400 ms ago, when one disk is lost and all power goes,
 		s := serving(t, seed)
 		s.RunFor(5 * time.Second)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
 		s.RunFor(time.Duration(seed) * 39 * time.Millisecond)
 		counting := append(append([]*Machine{}, s.cores...), s.stores...)
 		wiped := counting[int(seed)%len(counting)]
@@ -73,44 +73,46 @@
 			s.StartLater(s.loop.between(100*time.Millisecond, time.Second), m)
 		}
 		s.RunFor(2 * time.Second)
-		// then the next turn goes on from it.
+		// then the next turn continues it.
 		s.within(12*time.Second, "a proxy is ready", func() bool { return len(s.readyProxies()) == len(s.edges) })
-		s.wholeTurn(s.edges[1], clientRequest{Program: "p", Budget: 400, Previous: one.ID})
+		s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: 400, Previous: one.ID})
 	})
 }
 
-func TestProxyThatDies(t *testing.T) {
+func TestProxy_KilledDuringTurn_TurnIsRetriedElsewhere(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		when func(s *story, r *request) bool
+		when func(s *scenario, r *request) bool
 	}{
-		{"before the stores have taken the turn", func(s *story, r *request) bool { return s.Now() > r.Sent+1500*time.Microsecond }},
-		{"after the turn was sent", func(s *story, r *request) bool { return s.ran(r) }},
-		{"after the first event", func(s *story, r *request) bool { return len(r.Events) > 0 }},
-		{"before the last event", func(s *story, r *request) bool { return len(r.Events) == eventsOf(r.ID, r.Most)-1 && s.ran(r) }},
+		{"before the stores have taken the turn", func(s *scenario, r *request) bool { return s.Now() > r.Sent+1500*time.Microsecond }},
+		{"after the turn was sent", func(s *scenario, r *request) bool { return s.hasRun(r) }},
+		{"after the first event", func(_ *scenario, r *request) bool { return len(r.Events) > 0 }},
+		{"before the last event", func(s *scenario, r *request) bool {
+			return len(r.Events) == eventsOf(r.ID, r.MaxTokens)-1 && s.hasRun(r)
+		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			seeds(t, 6, func(t *testing.T, seed uint64) {
 				// Given a turn at a proxy, when the proxy dies at that moment,
 				s := serving(t, seed)
-				one := s.wholeTurn(s.edges[1], clientRequest{Program: "p", Budget: 4 * turnMost})
-				r := s.begin(s.edges[0], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: one.ID})
-				s.within(requestTime, "the moment comes", func() bool { return r.Outcome != underWay || test.when(s, r) })
+				one := s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens})
+				r := s.begin(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
+				s.within(requestTimeout, "the moment comes", func() bool { return r.Outcome != outcomePending || test.when(s, r) })
 				s.RunFor(time.Duration(seed) * time.Millisecond)
 				s.KillProcess(s.edges[0].processes[1])
-				s.within(requestTime, "the client has an end", func() bool { return r.Outcome != underWay })
+				s.within(requestTimeout, "the client has an end", func() bool { return r.Outcome != outcomePending })
 				// then the client takes the turn anew at another one, and the checkers find nothing: what it may have cost is spent.
-				s.wholeTurn(s.edges[2], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: one.ID})
+				s.completeTurn(s.edges[2], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
 				for range 4 {
-					s.turn(s.edges[2], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: one.ID})
+					s.turn(s.edges[2], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
 				}
 			})
 		})
 	}
 }
 
-// ran tells whether an endpoint has begun to work on a request.
-func (s *story) ran(r *request) bool {
+// hasRun reports whether an endpoint has begun to work on a request.
+func (s *scenario) hasRun(r *request) bool {
 	for i := range s.history.runs {
 		if s.history.runs[i].ID == r.ID {
 			return true
@@ -119,36 +121,36 @@
 	return false
 }
 
-func TestOneTurnSentToTwoProxies(t *testing.T) {
+func TestTurn_SentToTwoProxies_RunsWithinBudget(t *testing.T) {
 	seeds(t, 6, func(t *testing.T, seed uint64) {
 		// Given a client that gives a turn up whose answer gets lost, when it sends it anew through another proxy,
 		s := serving(t, seed)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 3 * turnMost})
-		first := s.begin(s.edges[0], clientRequest{Program: "p", Budget: 3 * turnMost, Previous: one.ID})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 3 * maxTurnTokens})
+		first := s.begin(s.edges[0], clientRequest{Program: testProgram, Budget: 3 * maxTurnTokens, Previous: one.ID})
 		s.RunFor(time.Duration(seed) * 2 * time.Millisecond)
-		second := s.begin(s.edges[1], clientRequest{Program: "p", Budget: 3 * turnMost, Previous: one.ID})
-		s.within(2*requestTime, "both have ended", func() bool { return first.Outcome != underWay && second.Outcome != underWay })
-		// then both have the same chain, each ran once, and one more is refused if it doesn't fit.
-		s.turn(s.edges[2], clientRequest{Program: "p", Budget: 3 * turnMost, Previous: second.ID})
+		second := s.begin(s.edges[1], clientRequest{Program: testProgram, Budget: 3 * maxTurnTokens, Previous: one.ID})
+		s.within(2*requestTimeout, "both have ended", func() bool { return first.Outcome != outcomePending && second.Outcome != outcomePending })
+		// then both have the same chain, each ran once, and one more is rejected if it doesn't fit.
+		s.turn(s.edges[2], clientRequest{Program: testProgram, Budget: 3 * maxTurnTokens, Previous: second.ID})
 	})
 }
 
-func TestEndpointReplacedAtTheSameAddress(t *testing.T) {
+func TestEndpoint_ReplacedAtSameAddress_RunsNoForeignTurn(t *testing.T) {
 	seeds(t, 6, func(t *testing.T, seed uint64) {
 		// Given proxies that believe an address to be a model's, when a tool starts there,
 		s := serving(t, seed)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 4000})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4000})
 		s.ReplaceEndpoint(s.engines[0], toolService)
-		// then turns that are sent there don't run there, and are served elsewhere, before and after the list tells it.
+		// then turns that are sent there don't run there, and are served elsewhere, before and after the list has it.
 		previous := one.ID
 		for range 12 {
-			previous = s.wholeTurn(s.edges[seed%3], clientRequest{Program: "p", Budget: 4000, Previous: previous}).ID
+			previous = s.completeTurn(s.edges[seed%3], clientRequest{Program: testProgram, Budget: 4000, Previous: previous}).ID
 			s.RunFor(100 * time.Millisecond)
 		}
 	})
 }
 
-func TestEndpointThatRunsAndSaysNothing(t *testing.T) {
+func TestEndpoint_NeverAnswers_NoRequestRunsTwice(t *testing.T) {
 	seeds(t, 3, func(t *testing.T, seed uint64) {
 		// Given endpoints of which one runs requests and never answers, when turns and calls are sent,
 		s := serving(t, seed)
@@ -156,53 +158,53 @@
 		s.engines[1].processes[0].handler.(*endpoint).stuck = true
 		// then none runs twice, and none that ran is said not to have run.
 		for range 6 {
-			s.clients.send(s.edges[0].processes[1].address, clientRequest{Service: toolService, Most: 6, Input: []byte("tool")}, nil)
-			s.turn(s.edges[0], clientRequest{Program: "p", Budget: 4000})
+			s.clients.send(s.edges[0].processes[1].address, clientRequest{Service: toolService, MaxTokens: 6, Input: []byte("tool")}, nil)
+			s.turn(s.edges[0], clientRequest{Program: testProgram, Budget: 4000})
 		}
 	})
 }
 
-func TestTurnThatGoesOnFromNone(t *testing.T) {
+func TestTurn_UnknownPrevious_IsNotFound(t *testing.T) {
 	// Given a serving tier, when a turn names one that never was, then it is answered 404.
 	s := serving(t, 1)
 	s.RunFor(3 * time.Second)
-	r := s.turn(s.edges[0], clientRequest{Program: "p", Budget: 400, Previous: "t-none"})
+	r := s.turn(s.edges[0], clientRequest{Program: testProgram, Budget: 400, Previous: "t-none"})
 	if r.Status != http.StatusNotFound {
 		t.Errorf("outcome %d, status %d", r.Outcome, r.Status)
 	}
-	// And when the owner of a shard can't be reached, then it is not.
-	s.Cut(s.stores, s.stores)
-	r = s.turn(s.edges[0], clientRequest{Program: "p", Budget: 400, Previous: "t-none"})
+	// And when the leader of a shard can't be reached, then it is not.
+	s.Partition(s.stores, s.stores)
+	r = s.turn(s.edges[0], clientRequest{Program: testProgram, Budget: 400, Previous: "t-none"})
 	if r.Status == http.StatusNotFound {
-		t.Error("404 though no owner can be certain")
+		t.Error("404 though no leader can be certain")
 	}
 }
 
-func TestTurnThatGoesOnFromAnotherProgram(t *testing.T) {
+func TestTurn_ContinuesAnotherProgram_GetsItsChain(t *testing.T) {
 	seeds(t, 4, func(t *testing.T, seed uint64) {
 		// Given a turn of one program, when turns of others go on from it, then they get its chain from its shard.
 		s := serving(t, seed)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
 		for _, program := range []string{"q", "r", "s", "t", "u"} {
-			two := s.wholeTurn(s.edges[1], clientRequest{Program: program, Budget: 400, Previous: one.ID})
-			s.wholeTurn(s.edges[2], clientRequest{Program: program, Budget: 400, Previous: two.ID})
+			two := s.completeTurn(s.edges[1], clientRequest{Program: program, Budget: 400, Previous: one.ID})
+			s.completeTurn(s.edges[2], clientRequest{Program: program, Budget: 400, Previous: two.ID})
 		}
 	})
 }
 
-func TestStoreIsRetiredAndTakenAway(t *testing.T) {
+func TestStore_Decommissioned_LosesNothing(t *testing.T) {
 	seeds(t, 4, func(t *testing.T, seed uint64) {
 		// Given a program, when a store is emptied and taken away with its disk,
 		s := serving(t, seed)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
 		leaving := s.stores[seed%4]
 		status := 0
-		s.operator.retire(leaving.name, func(answer operatorAnswer) { status = answer.Status })
+		s.operator.decommission(leaving.name, func(answer operatorAnswer) { status = answer.Status })
 		s.within(confirmTime, "the order is answered", func() bool { return status != 0 })
 		if status != http.StatusOK {
 			t.Fatalf("the order was answered %d", status)
 		}
-		s.untilRetired(leaving.name)
+		s.untilDecommissioned(leaving.name)
 		s.LoseDisk(leaving)
 		leaving.removed = true
 		s.stores = others(s.stores, leaving)
@@ -211,17 +213,17 @@
 		s.LosePower(s.stores[1:]...)
 		s.LoseDisk(s.stores[0])
 		s.StartLater(500*time.Millisecond, s.stores...)
-		s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 400, Previous: one.ID})
+		s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400, Previous: one.ID})
 	})
 }
 
-// untilRetired plays until a store's order is finished.
-func (s *story) untilRetired(node string) {
+// untilDecommissioned runs until a store's order is finished.
+func (s *scenario) untilDecommissioned(node string) {
 	s.t.Helper()
 	state := ""
 	var ask func()
 	ask = func() {
-		s.operator.retirement(node, func(answer operatorAnswer) {
+		s.operator.decommissionState(node, func(answer operatorAnswer) {
 			state = answer.State
 			if state != "finished" {
 				s.operator.process.after(200*time.Millisecond, ask)
@@ -232,36 +234,36 @@
 	s.within(30*time.Second, "the store is emptied", func() bool { return state == "finished" })
 }
 
-func TestStoreReplacedElsewhere(t *testing.T) {
+func TestStores_ReplacedOneByOne_KeepChains(t *testing.T) {
 	seeds(t, 4, func(t *testing.T, seed uint64) {
 		// Given a program, when stores are replaced by empty ones elsewhere, one after the other,
 		s := serving(t, seed)
-		previous := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 4000}).ID
+		previous := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4000}).ID
 		for range 3 {
 			s.ReplaceStore(s.stores[0])
 			s.RunFor(15 * time.Second)
-			// then the next turn goes on from the one before.
-			previous = s.wholeTurn(s.edges[1], clientRequest{Program: "p", Budget: 4000, Previous: previous}).ID
+			// then the next turn continues the one before.
+			previous = s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: 4000, Previous: previous}).ID
 		}
 	})
 }
 
-func TestFrozenStore(t *testing.T) {
+func TestStore_ThawsAfterElection_ChainAndBudgetHold(t *testing.T) {
 	seeds(t, 4, func(t *testing.T, seed uint64) {
-		// Given turns at the owner of a shard that freezes, when another has taken over and it thaws,
+		// Given turns at the leader of a shard that freezes, when another has taken over and it thaws,
 		s := serving(t, seed)
-		one := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 4 * turnMost})
-		owner := s.ownerOf("p")
-		held := s.begin(s.edges[1], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: one.ID})
+		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens})
+		leader := s.shardLeader()
+		held := s.begin(s.edges[1], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
 		s.RunFor(time.Duration(seed) * time.Millisecond)
-		s.Freeze(owner)
+		s.Freeze(leader)
 		s.RunFor(3 * time.Second)
-		two := s.wholeTurn(s.edges[0], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: one.ID})
-		s.Thaw(owner)
+		two := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
+		s.Thaw(leader)
 		// then turns go on from the newest, and the budget holds.
-		s.within(2*requestTime, "the first has ended", func() bool { return held.Outcome != underWay })
+		s.within(2*requestTimeout, "the first has ended", func() bool { return held.Outcome != outcomePending })
 		for range 4 {
-			s.turn(s.edges[2], clientRequest{Program: "p", Budget: 4 * turnMost, Previous: two.ID})
+			s.turn(s.edges[2], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: two.ID})
 		}
 	})
 }
