--- a/internal/relay/capture/core_state.go
+++ b/internal/relay/capture/core_state.go
@@ -57,7 +57,7 @@
 // FrontState is what the core keeps for a front.
 type FrontState struct {
 	Name               string        `cbor:"1,keyasint"`
-	NotifiesDeliveries bool          `cbor:"2,keyasint,omitempty"` // its clients are owed a notice of a delivery too
+	NotifiesDeliveries bool          `cbor:"2,keyasint,omitempty"` // its clients are sent a notice of a delivery too
 	List               []uint32      `cbor:"3,keyasint,omitempty"`
 	Index              int64         `cbor:"4,keyasint,omitempty"`
 	LastWatch          int           `cbor:"5,keyasint,omitempty"`
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -89,11 +89,11 @@
 	p.each("plugins", one)
 	h.On = len(c.Plugins) > 0 || p.root.Get("plugin_host").Exists()
 	// An instance that could not have its first page would only be found out under load.
-	most := int64(0)
-	for _, g := range c.Plugins {
-		most += int64(g.Instances) << 16
+	needed := int64(0) // bytes
+	for _, plugin := range c.Plugins {
+		needed += int64(plugin.Instances) << 16
 	}
-	p.require("plugin_host.memory_mb", most <= c.Limits.PluginMemory, "too little for the instances that are set up")
+	p.require("plugin_host.memory_mb", needed <= c.Limits.PluginMemory, "too little for the instances that are set up")
 }
 
 // ForPlugin is a configuration with one plug-in and nothing else, for the tools of authors. Limits and settings are
--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -74,7 +74,7 @@
 type Outcome struct {
 	Result     control.Result
 	RetryAfter time.Duration // told with Full
-	Final      bool          // the message is over: nothing more is owed
+	Final      bool          // the message is over: no notice is outstanding
 	Reported   bool          // Share and Limit were reported
 	Share      float64
 	Limit      float64
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -214,23 +214,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir, now := t.TempDir(), time.Now()
-			jour, err := journal.Open(dir, 3<<20)
+			log, err := journal.Open(dir, 3<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
 			e := &journal.Entry{ID: "m", Front: "platform", Destination: 7, Class: c.class, Deadline: now.Add(16 * time.Second)}
-			_ = jour.Accept(e)
-			_ = jour.Flush()
+			_ = log.Accept(e)
+			_ = log.Flush()
 			for range c.attempts {
-				jour.Schedule(e, now, "s-1")
-				if !jour.Begin([]*journal.Entry{e}) {
+				log.Schedule(e, now, "s-1")
+				if !log.Begin([]*journal.Entry{e}) {
 					t.Fatal("an attempt may not begin")
 				}
 				if !c.ran {
-					jour.EndAttempt(e, true)
+					log.EndAttempt(e, true)
 				}
 			}
-			_ = jour.Flush()
+			_ = log.Flush()
 			r := newHarness(t, dir, now.Add(c.gap))
 			if c.sent {
 				step := <-r.front.steps
--- a/internal/relay/engine/front.go
+++ b/internal/relay/engine/front.go
@@ -20,7 +20,7 @@
 	// Watch reports what has changed in the endpoint list since the index after, until it is lost or ctx ends; a
 	// front without one returns nil.
 	Watch(ctx context.Context, after int64, changed func(EndpointList)) error
-	// NotifiesDeliveries is true if its clients are owed a notice of a delivery too.
+	// NotifiesDeliveries is true if its clients are sent a notice of a delivery too.
 	NotifiesDeliveries() bool
 }
 
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -270,7 +270,7 @@
 }
 
 // TestCoreReplay_RecordedRun_DoesTheSame: a whole core that is driven by a capture does what the one did that was recorded, from its start or from the
-// middle: with calls out, notices owed and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
+// middle: with calls out, notices outstanding and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
 func TestCoreReplay_RecordedRun_DoesTheSame(t *testing.T) {
 	kinds := map[capture.CoreKind]int{}
 	actions := map[capture.ActionKind]int{}
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -109,21 +109,21 @@
 // narrower side.
 func TestRestore_ClockSetBack_NarrowerTimesCount(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	jour, err := journal.Open(dir, 3<<20)
+	log, err := journal.Open(dir, 3<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, id := range []string{"keyed", "safe", "of a class that is gone"} {
 		e := &journal.Entry{ID: id, Front: "platform", Destination: 7 + i%2, Class: i + i/2*7, Deadline: now.Add(16 * time.Second)}
-		_ = jour.Accept(e)
-		_ = jour.Flush()
+		_ = log.Accept(e)
+		_ = log.Flush()
 		if id == "keyed" {
-			jour.Schedule(e, now, "s-1")
-			jour.Begin([]*journal.Entry{e})
-			jour.EndAttempt(e, false)
+			log.Schedule(e, now, "s-1")
+			log.Begin([]*journal.Entry{e})
+			log.EndAttempt(e, false)
 		}
 	}
-	_ = jour.Close()
+	_ = log.Close()
 	r := newHarness(t, dir, now.Add(-time.Hour))
 	// The keyed one may be handed back: its partner's endpoints all know its key, whatever the time is.
 	if n := <-r.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
--- a/internal/relay/journal/journal_test.go
+++ b/internal/relay/journal/journal_test.go
@@ -43,8 +43,8 @@
 
 // history fills a log with messages in every state.
 func history(t testing.TB, l *Log) {
-	out, refused, ran, owed, over, acked := take(t, l, "out", 9), take(t, l, "refused", 9), take(t, l, "ran", 9),
-		take(t, l, "owed", 9), take(t, l, "over", 9), take(t, l, "acked", 9)
+	out, refused, ran, notified, over, acked := take(t, l, "out", 9), take(t, l, "refused", 9), take(t, l, "ran", 9),
+		take(t, l, "notified", 9), take(t, l, "over", 9), take(t, l, "acked", 9)
 	if err := l.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	_ = l.Flush()
 	l.Schedule(ran, start.Add(time.Second), "b")
 	begin(t, l, ran)
-	l.EndWithNotice(owed, Notice{HandedBack: true, RetryAfter: 500 * time.Millisecond})
+	l.EndWithNotice(notified, Notice{HandedBack: true, RetryAfter: 500 * time.Millisecond})
 	l.End(over)
 	l.EndWithNotice(acked, Notice{})
 	l.Ack(acked)
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -75,11 +75,11 @@
 				cfg.Settings.TenantNames, cfg.Settings.Tenants = []string{"north", "acme"}, make([]control.Tenant, 2)
 			}
 			cfg.Settings.MustSubscribe = true // and the module asks once: the watch below fails, and is let be
-			jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
+			log, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			core, err := engine.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
+			core, err := engine.New(cfg, log, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -109,7 +109,7 @@
 			<-ended
 			_ = clients.Close()
 			s.Close(time.Minute)
-			if left := jour.Entries(); len(left) != 0 {
+			if left := log.Entries(); len(left) != 0 {
 				t.Errorf("%d messages are left without an end", len(left))
 			}
 		})
@@ -312,11 +312,11 @@
 }
 
 // begin has a core and its front at work on a configuration, without a watch, until end.
-func begin(t *testing.T, cfg *config.Config) (core *engine.Core, f *Front, jour *journal.Log, end func()) {
+func begin(t *testing.T, cfg *config.Config) (core *engine.Core, f *Front, log *journal.Log, end func()) {
 	t.Helper()
-	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
+	log, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 	if err == nil {
-		core, err = engine.New(cfg, jour, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
+		core, err = engine.New(cfg, log, slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -326,7 +326,7 @@
 	core.Restore(time.Now())
 	ended := make(chan bool)
 	go func() { core.Run(); ended <- true }()
-	return core, f, jour, func() {
+	return core, f, log, func() {
 		core.Drain()
 		<-core.Drained()
 		core.Stop()
@@ -367,14 +367,14 @@
 		{"name":"s-2","address":%q,"zone":"a","type":"m2","group":8,"status":"ready"}]}`, room.Addr(), full.Addr())
 	cfg.Known = gjson.Parse(known)
 	cfg.Settings.MustSubscribe, cfg.Settings.ConnIdle, cfg.Limits.IdleSocket = true, time.Hour, time.Hour
-	_, f, jour, end := begin(t, cfg)
+	_, f, log, end := begin(t, cfg)
 	for i, dest := range []string{"dest=7", "dest=8"} {
 		q := &httpwire.Request{Method: "POST", Path: "/score-state", Header: map[string][]string{"X-Request-Id": {dest}, "X-Timeout": {"20000m"},
 			"X-Envelope": {dest}}}
 		if a := f.Handle(q); a.Status != 202 {
 			t.Fatalf("%s: status %d", dest, a.Status)
 		}
-		for i == 0 && len(jour.Entries()) > 0 { // until it is delivered, and its connection rests
+		for i == 0 && len(log.Entries()) > 0 { // until it is delivered, and its connection rests
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -404,7 +404,7 @@
 		cfg := configure(t, "-", endpoint.Addr().String())
 		cfg.Settings.MustSubscribe = true
 		cfg.Settings.Classes = append(cfg.Settings.Classes, control.Class{Name: "order", LatencyTarget: time.Second, Deadline: time.Minute, Value: 1})
-		_, f, jour, end := begin(t, cfg)
+		_, f, log, end := begin(t, cfg)
 		clients := wiretest.Listen(t)
 		broken, lost, tries := make(chan struct{}), make(chan struct{}), 0
 		s := httpwire.NewServer(&cfg.Limits, func(q *httpwire.Request) httpwire.Answer {
@@ -416,7 +416,7 @@
 				close(broken)
 				if c.over {
 					close(answer)
-					for len(jour.Entries()) > 0 { // until the core has heard of it
+					for len(log.Entries()) > 0 { // until the core has heard of it
 						time.Sleep(time.Millisecond)
 					}
 				}
--- a/internal/relay/platform/submit.go
+++ b/internal/relay/platform/submit.go
@@ -42,26 +42,26 @@
 	}
 }
 
-// message reads the message that q hands in; a status other than 0 is the answer to one that can't be read.
-func (f *Front) message(q *httpwire.Request, path string, now time.Time) (m engine.Message, status int, why string) {
-	class, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+// message reads the message that a request hands in; a status other than 0 is the answer to one that can't be read.
+func (f *Front) message(q *httpwire.Request, path string, now time.Time) (m engine.Message, status int, reason string) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	m.Class = -1
 	for i := range f.settings.Classes {
-		if f.settings.Classes[i].Name == class {
+		if f.settings.Classes[i].Name == name {
 			m.Class = i
 		}
 	}
 	if m.Class < 0 {
 		return m, 404, "no such class"
 	}
+	class := &f.settings.Classes[m.Class]
 	m.ID, m.Key, m.Body = q.Header.Get("X-Request-ID"), q.Header.Get("Idempotency-Key"), q.Body
-	k := &f.settings.Classes[m.Class]
 	switch {
 	case m.ID == "":
 		return m, 400, "X-Request-ID is missing"
 	case !f.printable(m.ID): // both go out again as they are, in a header
 		return m, 400, "X-Request-ID can't be used"
-	case m.Key == "" && k.Effect == control.Keyed:
+	case m.Key == "" && class.Effect == control.Keyed:
 		return m, 400, "Idempotency-Key is missing"
 	case !f.printable(m.Key):
 		return m, 400, "Idempotency-Key can't be used"
@@ -71,26 +71,30 @@
 			return m, 400, "X-Tenant-Id names no tenant of the settings"
 		}
 	}
-	left, ok := ParseTimeout(q.Header.Get("X-Timeout"))
+	timeout, ok := ParseTimeout(q.Header.Get("X-Timeout"))
 	if !ok {
 		return m, 400, "X-Timeout can't be read"
 	}
-	m.Deadline = now.Add(min(left, k.Deadline))
-	m.Partner = -1
-	for _, part := range strings.FieldsFunc(q.Header.Get("X-Envelope"), func(r rune) bool { return r == ',' || r == ';' }) {
-		if name, v, _ := strings.Cut(strings.TrimSpace(part), "="); name == "dest" {
-			if n, err := strconv.ParseUint(strings.TrimSpace(v), 10, 16); err == nil {
-				m.Partner = int(n)
-			}
-		}
-	}
-	if m.Partner < 0 {
+	m.Deadline = now.Add(min(timeout, class.Deadline))
+	if m.Partner, ok = parseEnvelope(q.Header.Get("X-Envelope")); !ok {
 		return m, 400, "X-Envelope names no dest"
 	}
 	m.Resubmitted, m.Header = q.Header.Get("X-Retried") != "", q.Header
 	return m, 0, ""
 }
 
+// parseEnvelope reads the partner out of "name=value" fields, which commas or semicolons part; the last dest counts.
+func parseEnvelope(v string) (partner int, ok bool) {
+	for _, field := range strings.FieldsFunc(v, func(r rune) bool { return r == ',' || r == ';' }) {
+		if name, value, _ := strings.Cut(strings.TrimSpace(field), "="); name == "dest" {
+			if n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 16); err == nil {
+				partner, ok = int(n), true
+			}
+		}
+	}
+	return partner, ok
+}
+
 // printable tells whether s is short and of printable ASCII.
 func (f *Front) printable(s string) bool {
 	return len(s) <= f.limits.NameSize && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
