--- a/cmd/tier-demo/main.go
+++ b/cmd/tier-demo/main.go
@@ -1,5 +1,5 @@
-// Command tier-demo starts a whole serving tier on loopback, plays programs on it, kills two of its processes and
-// reports whether it kept its word. Its status is 1 if it didn't.
+// Command tier-demo starts a complete serving tier on loopback, runs programs against it, kills two of its processes and
+// reports whether a guarantee was violated. Its status is 1 if one was, or if the demo could not run.
 package main
 
 import (
@@ -19,25 +19,26 @@
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := play(ctx, *binary, *folder); err != nil {
+	if err := run(ctx, *binary, *folder); err != nil {
 		fmt.Fprintln(os.Stderr, "tier-demo:", err)
 		os.Exit(1)
 	}
 }
 
-func play(ctx context.Context, binary, folder string) error {
+// run runs the demo in a folder; an empty one stands for a temporary folder that is removed after a success.
+func run(ctx context.Context, binary, folder string) error {
 	temporary := folder == ""
 	if temporary {
-		made, err := os.MkdirTemp("", "mastusher-tier-")
+		created, err := os.MkdirTemp("", "mastusher-tier-")
 		if err != nil {
 			return err
 		}
-		folder = made
+		folder = created
 	}
 	if err := demo.Run(ctx, demo.Options{Binary: binary, Folder: folder, Report: os.Stdout}); err != nil {
 		return fmt.Errorf("%w\nsettings and logs are in %s", err, folder)
 	}
-	fmt.Println("The tier kept its word: no rule broken.")
+	fmt.Println("No violations.")
 	if temporary {
 		return os.RemoveAll(folder)
 	}
--- a/cmd/tier-soak/main.go
+++ b/cmd/tier-soak/main.go
@@ -1,5 +1,5 @@
-// Command tier-soak plays random troubles on tiers of real processes on loopback, and counts what broke a rule. Its status is 1 if
-// something did.
+// Command tier-soak injects random faults, drawn from seeds, into tiers of real processes on loopback, and counts violations of
+// their guarantees. Its status is 1 if there are any.
 package main
 
 import (
@@ -19,14 +19,14 @@
 
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
-	subcommands.Register(&play{}, "")
-	subcommands.Register(&role{}, "")
+	subcommands.Register(&playCommand{}, "")
+	subcommands.Register(&roleCommand{}, "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// play is the command that plays seeds.
-type play struct {
+// playCommand runs the plans of a range of seeds.
+type playCommand struct {
 	binary string
 	folder string
 	seeds  int
@@ -36,53 +36,53 @@
 }
 
 // Name implements subcommands.Command.
-func (*play) Name() string { return "play" }
+func (*playCommand) Name() string { return "play" }
 
 // Synopsis implements subcommands.Command.
-func (*play) Synopsis() string { return "play seeds of troubles" }
+func (*playCommand) Synopsis() string { return "run fault injection for a range of seeds" }
 
 // Usage implements subcommands.Command.
-func (*play) Usage() string {
-	return "play [flags]\n\tPlay seeds one after the other. The folders of those that broke a rule are kept.\n"
+func (*playCommand) Usage() string {
+	return "play [flags]\n\tRun the seeds one after the other. The folders of those with violations are kept.\n"
 }
 
 // SetFlags implements subcommands.Command.
-func (p *play) SetFlags(flags *flag.FlagSet) {
+func (p *playCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&p.binary, "binary", "target/mastusher-tier", "the tier's binary")
 	flags.StringVar(&p.folder, "folder", filepath.Join(os.TempDir(), "mastusher-soak"), "folder for settings, disks and logs")
-	flags.IntVar(&p.seeds, "seeds", 10, "how many seeds are played")
+	flags.IntVar(&p.seeds, "seeds", 10, "number of seeds")
 	flags.Uint64Var(&p.first, "first", 1, "the first seed")
 	flags.BoolVar(&p.keep, "keep", false, "keep the folders of all seeds")
-	flags.DurationVar(&p.length, "length", 20*time.Second, "how long troubles come in each")
+	flags.DurationVar(&p.length, "length", 20*time.Second, "for how long each injects faults")
 }
 
 // Execute implements subcommands.Command.
-func (p *play) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (p *playCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	failed := 0
+	failed := 0 // seeds with violations
 	for number := range p.seeds {
 		if ctx.Err() != nil {
 			break
 		}
-		broken, err := p.playOne(ctx, p.first+uint64(number))
+		violated, err := p.runSeed(ctx, p.first+uint64(number))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "tier-soak:", err)
 			return subcommands.ExitFailure
 		}
-		if broken {
+		if violated {
 			failed++
 		}
 	}
-	fmt.Printf("%d of %d seeds broke a rule\n", failed, p.seeds)
+	fmt.Printf("%d of %d seeds have violations\n", failed, p.seeds)
 	if failed > 0 {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// playOne plays a seed in a folder of its own, and keeps that if a rule was broken.
-func (p *play) playOne(ctx context.Context, seed uint64) (broken bool, err error) {
+// runSeed runs a seed's plan in a folder of its own, and keeps that if there are violations.
+func (p *playCommand) runSeed(ctx context.Context, seed uint64) (violated bool, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return false, err
@@ -119,23 +119,25 @@
 	return true, nil
 }
 
-// role is the command that runs a role of a tier whose network can be cut.
-type role struct{}
+// roleCommand runs a role of a tier whose network can be partitioned.
+type roleCommand struct{}
 
 // Name implements subcommands.Command.
-func (*role) Name() string { return "role" }
+func (*roleCommand) Name() string { return "role" }
 
 // Synopsis implements subcommands.Command.
-func (*role) Synopsis() string { return "run a role in a network that can be cut (for play)" }
+func (*roleCommand) Synopsis() string {
+	return "run a role on a network that can be partitioned (for play)"
+}
 
 // Usage implements subcommands.Command.
-func (*role) Usage() string { return "role NAME\n\tRun a role of the tier, as play tells it to.\n" }
+func (*roleCommand) Usage() string { return "role NAME\n\tRun a role of the tier. Called by play.\n" }
 
 // SetFlags implements subcommands.Command.
-func (*role) SetFlags(*flag.FlagSet) {}
+func (*roleCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute implements subcommands.Command.
-func (*role) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (*roleCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := soak.RunRole(ctx, flags.Arg(0)); err != nil {
 		fmt.Fprintln(os.Stderr, "tier-soak: process ends:", err)
 		return subcommands.ExitFailure
--- a/internal/tier/demo/demo.go
+++ b/internal/tier/demo/demo.go
@@ -16,20 +16,20 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Options of a run.
+// Options are the options of a run. All are required.
 type Options struct {
-	Binary string    // mastusher-tier
+	Binary string    // path of mastusher-tier
 	Folder string    // for settings, disks and logs
-	Report io.Writer // takes one line for each step
+	Report io.Writer // gets a line for each step
 }
 
-// ViolationError tells what went against the rules.
+// ViolationError lists violations of the tier's guarantees.
 type ViolationError struct {
-	Problems []string
+	Violations []string
 }
 
-// Error lists the problems, one a line.
-func (e *ViolationError) Error() string { return strings.Join(e.Problems, "\n") }
+// Error returns the violations, one per line.
+func (e *ViolationError) Error() string { return strings.Join(e.Violations, "\n") }
 
 // run is the state of one run.
 type run struct {
@@ -41,8 +41,8 @@
 	violations  []string
 }
 
-// Run plays the whole example. Its error is a *ViolationError if something went against the rules. All processes have
-// ended when it returns.
+// Run starts the tier, runs the scenario and stops the tier. Its error wraps a *ViolationError if a guarantee was violated, and
+// the error that ended the scenario early, if any. All processes have ended when it returns.
 func Run(ctx context.Context, options Options) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
@@ -59,18 +59,18 @@
 	r.violations = append(r.violations, localtier.Stop(r.tier.Processes, localtier.StopTimeout)...)
 	r.report("all processes have ended")
 	if len(r.violations) > 0 {
-		failed = multierr.Append(failed, &ViolationError{Problems: r.violations})
+		failed = multierr.Append(failed, &ViolationError{Violations: r.violations})
 	}
 	return failed
 }
 
-// startTier starts the example's processes.
+// startTier starts the demo's processes.
 func startTier(binary, folder, platform string) (*localtier.Tier, error) {
 	return localtier.Start(localtier.Options{Command: []string{binary}, Folder: folder, Platform: platform,
 		Counts: localtier.Counts{Core: coreMachines, Storage: storageMachines, Edge: edgeMachines}})
 }
 
-// configuration gives a version of the operator's configuration; from the second on there is one more route.
+// configuration returns a version of the operator's configuration, which has one more route from version 2 on.
 func configuration(number uint64) model.Configuration {
 	if number > 1 {
 		return localtier.Configuration(number, retention, localtier.ToolRoute("later-tools", "/later-tools/"))
@@ -78,7 +78,7 @@
 	return localtier.Configuration(number, retention)
 }
 
-// laterToolPath is on the route that comes with the second configuration.
+// laterToolPath is on the route that version 2 adds.
 const laterToolPath = "/later-tools/a"
 
 // report writes one line of the report.
@@ -86,15 +86,16 @@
 	fmt.Fprintf(r.options.Report, "%6.2f s  %s\n", time.Since(r.started).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// recordViolations notes what went against the rules.
-func (r *run) recordViolations(problems ...string) {
-	for _, problem := range problems {
-		r.report("BROKEN: %s", problem)
+// recordViolations records and reports violations.
+func (r *run) recordViolations(violations ...string) {
+	for _, violation := range violations {
+		r.report("VIOLATION: %s", violation)
 	}
-	r.violations = append(r.violations, problems...)
+	r.violations = append(r.violations, violations...)
 }
 
-// scenario plays the steps. It goes on after a breach, and ends with what can't be gone on from.
+// scenario runs the steps. It continues after violations, and returns the error of a step without which the next ones make no
+// sense.
 func (r *run) scenario(ctx context.Context) error {
 	r.report("%d processes on %d machines", len(r.tier.Processes), len(r.tier.Machines))
 	r.operator = localtier.NewOperator(r.tier.Addresses(localtier.CoreClass, localtier.ControlPort), nil)
@@ -106,25 +107,25 @@
 		return err
 	}
 	r.report("all proxies are ready")
-	fronts := r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)
-	before := r.runProgram(ctx, standin.ProgramOptions{Name: "before", Address: fronts[0], Turns: 4, Tools: 2, Subagents: 2, SubagentTurns: 2}, standin.Finished)
-	r.exceedBudget(ctx, "spender", fronts[1])
+	proxies := r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)
+	before := r.runProgram(ctx, standin.ProgramOptions{Name: "before", Address: proxies[0], Turns: 4, Tools: 2, Subagents: 2, SubagentTurns: 2}, standin.Finished)
+	r.exceedBudget(ctx, "spender", proxies[1])
 	if err := r.killLeaders(ctx); err != nil {
 		return err
 	}
-	r.runProgram(ctx, standin.ProgramOptions{Name: "after", Address: fronts[1], Turns: 4, Tools: 2, Subagents: 1, SubagentTurns: 2,
+	r.runProgram(ctx, standin.ProgramOptions{Name: "after", Address: proxies[1], Turns: 4, Tools: 2, Subagents: 1, SubagentTurns: 2,
 		ContinueFrom: lastCompleteTurn(before)}, standin.Finished)
 	if err := r.reconfigure(ctx); err != nil {
 		return err
 	}
-	r.exceedBudget(ctx, "late-spender", fronts[0])
+	r.exceedBudget(ctx, "late-spender", proxies[0])
 	for _, attempt := range r.environment.RunLog.Duplicates() {
 		r.recordViolations("attempt " + attempt + " ran twice")
 	}
 	return nil
 }
 
-// runProgram runs one program that remembers its turns, and checks its end and all that it saw.
+// runProgram runs one stateful program, and checks its final state and all that it saw.
 func (r *run) runProgram(ctx context.Context, program standin.ProgramOptions, want standin.State) standin.Outcome {
 	program.Host, program.TurnPath, program.ToolPath, program.Model = localtier.Host, localtier.TurnPath, localtier.ToolPath, localtier.ModelName
 	program.MaxTokens = maxTokens
@@ -136,18 +137,15 @@
 	if outcome.State != want {
 		r.recordViolations(fmt.Sprintf("program %s ended as %s, not as %s: statuses %v", program.Name, outcome.State, want, statuses(outcome)))
 	}
-	r.report("program %s: %s, %d turns, %d tool calls, %d events; chains, bodies and seals checked",
+	r.report("program %s: %s, %d turns, %d tool calls, %d events; prompts, responses and seals checked",
 		program.Name, outcome.State, len(outcome.Turns), len(outcome.Tools), outcome.Events())
 	return outcome
 }
 
-// maxTokens is the most that one turn generates; it generates all of them.
-const maxTokens = 30
-
-// exceedBudget runs a program that wants more tokens than it may generate.
-func (r *run) exceedBudget(ctx context.Context, name, front string) {
+// exceedBudget runs a program whose turns would exceed its budget of tokens.
+func (r *run) exceedBudget(ctx context.Context, name, proxy string) {
 	const budget = 2*maxTokens + maxTokens/2
-	r.runProgram(ctx, standin.ProgramOptions{Name: name, Address: front, Turns: 6, Tools: 1, Budget: budget}, standin.BudgetSpent)
+	r.runProgram(ctx, standin.ProgramOptions{Name: name, Address: proxy, Turns: 6, Tools: 1, Budget: budget}, standin.BudgetSpent)
 	generated := r.environment.RunLog.Tokens(name)
 	if generated > budget {
 		r.recordViolations(fmt.Sprintf("program %s generated %d tokens with a budget of %d", name, generated, budget))
@@ -155,7 +153,7 @@
 	r.report("program %s: %d tokens of its budget of %d generated", name, generated, budget)
 }
 
-// killLeaders kills the controller that owns the configuration and the store that owns the most shards, at the same time.
+// killLeaders kills the controller that leads the configuration's group and the store that leads the most shards.
 func (r *run) killLeaders(ctx context.Context) error {
 	address, err := r.operator.Configure(ctx, configuration(1), 0)
 	if err != nil {
@@ -165,25 +163,25 @@
 	if err != nil {
 		return err
 	}
-	store, owned, all, err := r.tier.BusiestStore(ctx)
+	store, led, all, err := r.tier.BusiestStore(ctx)
 	if err != nil {
 		return err
 	}
 	if err := multierr.Append(controller.Kill(ctx), store.Kill(ctx)); err != nil {
 		return err
 	}
-	r.report("killed: %v, which owned the configuration, and %v, which owned %d of %d shards", controller, store, owned, all)
+	r.report("killed: %v, which led the configuration's group, and %v, which led %d of %d shards", controller, store, led, all)
 	return nil
 }
 
-// reconfigure reads the first configuration back from those left, and takes the second one into force.
+// reconfigure reads version 1 of the configuration from the remaining controllers, and activates version 2.
 func (r *run) reconfigure(ctx context.Context) error {
 	read, err := r.operator.ReadBack(ctx)
 	if err != nil {
 		return fmt.Errorf("reading the configuration back: %w", err)
 	}
 	if !localtier.SameConfiguration(read, configuration(1)) {
-		r.recordViolations(fmt.Sprintf("the acknowledged configuration is gone: read back %+v", read))
+		r.recordViolations(fmt.Sprintf("the acknowledged configuration is lost: read back %+v", read))
 	}
 	if _, err := r.operator.Configure(ctx, configuration(2), 1); err != nil {
 		return fmt.Errorf("the second configuration: %w", err)
@@ -191,11 +189,11 @@
 	if err := r.tier.WaitRoute(ctx, laterToolPath); err != nil {
 		return err
 	}
-	r.report("configuration 1 was read back; 2 is acknowledged and in force on all proxies")
+	r.report("configuration 1 was read back; 2 is acknowledged and active on all proxies")
 	return nil
 }
 
-// lastCompleteTurn gives the last turn whose whole answer came.
+// lastCompleteTurn returns the last turn whose complete response was received.
 func lastCompleteTurn(outcome standin.Outcome) standin.Turn {
 	for _, turn := range slices.Backward(outcome.Turns) {
 		if turn.Status == http.StatusOK && turn.Complete {
@@ -205,7 +203,7 @@
 	return standin.Turn{}
 }
 
-// statuses lists the answers that a program got to its turns and calls, each once.
+// statuses returns the distinct statuses of a program's turns and tool calls, sorted.
 func statuses(outcome standin.Outcome) []int {
 	var all []int
 	for _, turn := range outcome.Turns {
--- a/internal/tier/demo/demo_test.go
+++ b/internal/tier/demo/demo_test.go
@@ -17,7 +17,7 @@
 	"mastusher/internal/tier/standin"
 )
 
-// logsOf gives what the processes have written.
+// logsOf returns the contents of all processes' logs.
 func logsOf(t *testing.T, folder string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
@@ -35,15 +35,15 @@
 	return logs.String()
 }
 
-func TestATierOfRealProcessesKeepsItsWord(t *testing.T) {
+func TestRun_LossOfStoreAndController_NoViolations(t *testing.T) {
 	// Given the binary that the deployment runs
 	binary, folder := localtiertest.Build(t, "mastusher/cmd/mastusher-tier"), t.TempDir()
 	var report bytes.Buffer
 
-	// When the example plays on it, with the loss of a store and of the configuration's owner
+	// When the demo runs it, with the loss of a store and of the configuration's leader
 	err := Run(t.Context(), Options{Binary: binary, Folder: folder, Report: &report})
 
-	// Then no rule is broken, and no process has found a race
+	// Then no guarantee is violated, and no process has found a race
 	t.Logf("report:\n%s", &report)
 	logs := logsOf(t, folder)
 	if err != nil {
@@ -52,14 +52,14 @@
 	if strings.Contains(logs, "DATA RACE") || strings.Contains(logs, "panic:") {
 		t.Fatal(logs)
 	}
-	for _, step := range []string{"all proxies are ready", "killed: core-", "program after: finished", "in force on all proxies"} {
+	for _, step := range []string{"all proxies are ready", "killed: core-", "program after: finished", "active on all proxies"} {
 		if !strings.Contains(report.String(), step) {
 			t.Errorf("the report doesn't say %q", step)
 		}
 	}
 }
 
-func TestAProcessThatEndsByItselfIsReported(t *testing.T) {
+func TestUnexpectedExits_ProcessEndsByItself_IsReported(t *testing.T) {
 	// Given a binary that ends at once
 	binary, err := exec.LookPath("false")
 	if err != nil {
@@ -92,17 +92,17 @@
 	}
 }
 
-func TestLastFinished(t *testing.T) {
-	whole := standin.Turn{Attempt: "a", Status: 200, Complete: true}
+func TestLastCompleteTurn(t *testing.T) {
+	complete := standin.Turn{Attempt: "a", Status: 200, Complete: true}
 	cases := []struct {
 		name  string
 		turns []standin.Turn
 		want  standin.Turn
 	}{
 		{name: "none"},
-		{name: "the last", turns: []standin.Turn{{Attempt: "0", Status: 200, Complete: true}, whole}, want: whole},
-		{name: "one that broke off after it", turns: []standin.Turn{whole, {Attempt: "b", Status: 200}}, want: whole},
-		{name: "a refusal after it", turns: []standin.Turn{whole, {Attempt: "b", Status: 503, Complete: true}}, want: whole},
+		{name: "the last", turns: []standin.Turn{{Attempt: "0", Status: 200, Complete: true}, complete}, want: complete},
+		{name: "one that broke off after it", turns: []standin.Turn{complete, {Attempt: "b", Status: 200}}, want: complete},
+		{name: "a rejection after it", turns: []standin.Turn{complete, {Attempt: "b", Status: 503, Complete: true}}, want: complete},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestStatusesAreListedOnce(t *testing.T) {
+func TestStatuses_Duplicates_AreListedOnce(t *testing.T) {
 	outcome := standin.Outcome{Turns: []standin.Turn{{Status: 503}, {Status: 200}}, Tools: []standin.Tool{{Status: 200}}}
 	if got := statuses(outcome); !slices.Equal(got, []int{200, 503}) {
 		t.Errorf("got %v", got)
--- a/internal/tier/localtier/doc.go
+++ b/internal/tier/localtier/doc.go
@@ -1,28 +1,8 @@
-// Package localtier starts tiers of real processes on loopback addresses of one machine, with stand-ins around them and an
-// operator, for the example and the soak.
+// Package localtier runs a tier of real processes on loopback addresses of one machine, for the demo and the soak: New lays out
+// machines and writes settings, Process starts, signals and awaits one role, Environment simulates the platform, the model
+// servers and the tools around the tier, and Operator configures it as an operator would.
+//
+// Each machine has an address of its own in a random network of 127.0.0.0/8, so that several tiers may run at the same time.
+// Processes end with the one that started them, also if that is killed. The methods of one Process must not be called
+// concurrently; a Tier and an Operator may be used by several goroutines.
 package localtier
-
-import "time"
-
-// The ports of all machines, below those that the system hands out for connections.
-const (
-	FrontPort     = 8149
-	ReadinessPort = 8141
-	ControlPort   = 8144
-	FirstPort     = 7380 // of those free for what the processes say to each other
-	lastPort      = 7395
-)
-
-// Bounds of waits.
-const (
-	RequestTimeout   = 4 * time.Second  // of a client with a request
-	readyTimeout     = 15 * time.Second // from the start of the processes until all proxies are ready
-	routeTimeout     = 10 * time.Second // from an acknowledgement until all proxies follow
-	operatorTimeout  = 10 * time.Second // for one order of the operator
-	callTimeout      = time.Second
-	listenTimeout    = 300 * time.Millisecond
-	StopTimeout      = 3 * time.Second // after SIGTERM
-	pollInterval     = 50 * time.Millisecond
-	graceSeconds     = 2.0 // seconds that a process is told it has after SIGTERM
-	maxReadBackBytes = 1 << 20
-)
--- a/internal/tier/localtier/environment.go
+++ b/internal/tier/localtier/environment.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Names of the configuration.
+// Names in the operator's configuration.
 const (
 	Host      = "tier.example"
 	TurnPath  = "/turns/a"
@@ -20,7 +20,7 @@
 	version      = "v1"
 )
 
-// Sizes of the stand-ins.
+// Numbers and sizes of the endpoints.
 const (
 	modelServers   = 2
 	toolServers    = 2
@@ -33,74 +33,75 @@
 	maxConnections = 200
 )
 
-// Environment is what surrounds a tier: the platform's list and the endpoints on it.
+// Environment simulates what surrounds a tier: the platform's list, and the endpoints on it, which share a run log.
 type Environment struct {
 	Platform *standin.Platform
 	RunLog   *standin.RunLog
 	closers  []func()
 }
 
-// StartEnvironment starts the stand-ins.
+// StartEnvironment starts the platform, the model servers and the tool servers, which run until Close.
 func StartEnvironment() (*Environment, error) {
 	platform, err := standin.NewPlatform(standin.PlatformOptions{})
 	if err != nil {
 		return nil, err
 	}
-	around := &Environment{Platform: platform, RunLog: standin.NewRunLog(), closers: []func(){platform.Close}}
+	env := &Environment{Platform: platform, RunLog: standin.NewRunLog(), closers: []func(){platform.Close}}
 	for number := range modelServers {
-		if err := around.addEngine(fmt.Sprintf("engine-%d", number+1)); err != nil {
-			around.Close()
+		if err := env.addEngine(fmt.Sprintf("engine-%d", number+1)); err != nil {
+			env.Close()
 			return nil, err
 		}
 	}
 	for number := range toolServers {
-		if err := around.addTool(fmt.Sprintf("tool-%d", number+1)); err != nil {
-			around.Close()
+		if err := env.addTool(fmt.Sprintf("tool-%d", number+1)); err != nil {
+			env.Close()
 			return nil, err
 		}
 	}
-	return around, nil
+	return env, nil
 }
 
-func (s *Environment) options(id, service string, capacity int) standin.EndpointOptions {
+func (e *Environment) options(id, service string, capacity int) standin.EndpointOptions {
 	return standin.EndpointOptions{ID: id, Service: service, Zone: zone, Version: version, Capacity: capacity, Queue: capacity,
-		ReportLoad: true, RunLog: s.RunLog}
+		ReportLoad: true, RunLog: e.RunLog}
 }
 
-func (s *Environment) addEngine(id string) error {
-	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: s.options(id, modelService, batch),
+func (e *Environment) addEngine(id string) error {
+	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: e.options(id, modelService, batch),
 		Models: []string{ModelName}, WeightsVersion: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, EventInterval: eventGap})
 	if err != nil {
 		return err
 	}
-	s.closers = append(s.closers, engine.Close)
-	s.Platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both",
+	e.closers = append(e.closers, engine.Close)
+	e.Platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both",
 		Models: []standin.ReportModel{{Name: ModelName, Number: 1, Adapters: []string{}}}})
 	return nil
 }
 
-func (s *Environment) addTool(id string) error {
-	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: s.options(id, toolService, toolCapacity), ServiceTime: toolWork})
+func (e *Environment) addTool(id string) error {
+	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: e.options(id, toolService, toolCapacity), ServiceTime: toolWork})
 	if err != nil {
 		return err
 	}
-	s.closers = append(s.closers, tool.Close)
-	s.Platform.Put(tool.Entry())
+	e.closers = append(e.closers, tool.Close)
+	e.Platform.Put(tool.Entry())
 	return nil
 }
 
-// Close ends the stand-ins.
-func (s *Environment) Close() {
-	for _, closeOne := range s.closers {
+// Close stops the platform and the endpoints and waits for their servers' ends. It may be called more than once.
+func (e *Environment) Close() {
+	for _, closeOne := range e.closers {
 		closeOne()
 	}
 }
 
-// Configuration gives a version of the operator's configuration, whose turns are kept for a time. It may have more routes.
-func Configuration(number uint64, keepFor time.Duration, more ...model.Route) model.Configuration {
+// Configuration returns a version of the operator's configuration: a route for turns, which can be continued within the
+// retention time, a route for tools, and more routes if given.
+func Configuration(number uint64, retention time.Duration, more ...model.Route) model.Configuration {
 	routes := append([]model.Route{
 		{Name: "turns", Host: Host, PathPrefix: "/turns/", Kind: model.Streaming, TimeoutMs: RequestTimeout.Milliseconds(), LatencyTargetMs: 500,
-			Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: keepFor.Seconds(), Affinity: true, EventGapTargetMs: 250},
+			Service: modelService, MaxAttempts: 2, Stateful: true, RetentionS: retention.Seconds(), Affinity: true, EventGapTargetMs: 250},
 		ToolRoute("tools", "/tools/"),
 	}, more...)
 	return model.Configuration{
@@ -115,7 +116,7 @@
 	}
 }
 
-// ToolRoute is a route whose requests run at most once.
+// ToolRoute returns a route to the tools, whose requests run at most once.
 func ToolRoute(name, prefix string) model.Route {
 	return model.Route{Name: name, Host: Host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: RequestTimeout.Milliseconds(), LatencyTargetMs: 300,
 		Service: toolService, MaxAttempts: 2}
--- a/internal/tier/localtier/log.go
+++ b/internal/tier/localtier/log.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// logFile is a file that takes what processes write, with the time of day before each line, as the platform keeps it.
+// logFile is a process's log, with the time of day before each line, as the platform stores it.
 type logFile struct {
 	file *os.File
 
-	mutex   sync.Mutex
-	partial []byte // a line whose end hasn't come
+	mutex   sync.Mutex // guards partial and the order of writes
+	partial []byte     // the start of a line that is not complete yet
 }
 
-// timeFormat is that of the times in logs.
+// timeFormat is the format of the times in logs.
 const timeFormat = "15:04:05.000"
 
-// openLog opens a file to go on at its end.
+// openLog opens a log to append to it.
 func openLog(path string) (*logFile, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -45,13 +45,13 @@
 	return len(data), nil
 }
 
-// note writes a line of the one who starts the processes.
+// note writes a line that is not from the process.
 func (l *logFile) note(format string, values ...any) { fmt.Fprintf(l, "--- "+format+"\n", values...) }
 
-// Close writes what was begun, and closes the file.
+// Close writes the incomplete last line, if any, with a note, and closes the file. Nothing may write concurrently.
 func (l *logFile) Close() error {
 	if len(l.partial) > 0 {
-		l.note("the last line isn't whole")
+		l.note("the last line is incomplete")
 	}
 	return l.file.Close()
 }
--- a/internal/tier/localtier/machine.go
+++ b/internal/tier/localtier/machine.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Classes of machines, and the roles that run there.
+// Classes of machines, and roles of processes.
 const (
 	CoreClass    = "core"
 	StorageClass = "storage"
@@ -19,7 +19,7 @@
 	AgentRole      = "agent"
 )
 
-// zone is the only one.
+// zone is the zone of all machines and endpoints.
 const zone = "hall"
 
 // Machine is one machine of a tier: an address of its own within 127.0.0.0/8.
@@ -33,14 +33,14 @@
 // Address returns host and port.
 func (m Machine) Address(port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
 
-// Counts says how many machines of each class there are.
+// Counts are the numbers of machines of each class.
 type Counts struct {
 	Core    int
 	Storage int
 	Edge    int
 }
 
-// layOut names the machines and gives them addresses that nothing listens on.
+// layOut returns machines with names, roles and addresses in a free loopback network.
 func layOut(counts Counts) ([]Machine, error) {
 	network, err := freeNetwork()
 	if err != nil {
@@ -59,14 +59,15 @@
 	return machines, nil
 }
 
-// Loopback networks are drawn at random, so that several tiers may run at the same time.
+// Loopback networks are chosen at random, so that several tiers may run at the same time.
 const (
 	networkAttempts = 20
 	lowestOctet     = 2
 	highestOctet    = 250
 )
 
-// freeNetwork finds three octets of loopback addresses on which the first machine's port is free.
+// freeNetwork returns the first three octets of a loopback network on whose first address the ControlPort is free. Another
+// process may still take it before the tier starts.
 func freeNetwork() (string, error) {
 	var last error
 	for range networkAttempts {
--- a/internal/tier/localtier/operator.go
+++ b/internal/tier/localtier/operator.go
@@ -15,13 +15,13 @@
 	"mastusher/internal/tier/model"
 )
 
-// Operator gives orders to whichever controller answers.
+// Operator configures a tier through whichever controller answers.
 type Operator struct {
-	controllers []string // their addresses for callers from outside
+	controllers []string // addresses of their ControlPort
 	client      *http.Client
 }
 
-// NewOperator returns one that has a connection for each call. Dial opens them; nil: the system.
+// NewOperator returns an operator that opens a connection for each call, with dial; nil: net.Dialer.
 func NewOperator(controllers []string, dial DialFunc) *Operator {
 	return &Operator{
 		controllers: controllers,
@@ -29,7 +29,7 @@
 	}
 }
 
-// StatusError is an answer other than 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status  int
 	Request string
@@ -41,17 +41,19 @@
 	return fmt.Sprintf("%s: %d: %.200s", e.Request, e.Status, e.Body)
 }
 
-// Configure sends a configuration until it is acknowledged, and gives the address of the controller that did so.
-func (o *Operator) Configure(ctx context.Context, wanted model.Configuration, over uint64) (owner string, err error) {
+// Configure sends a configuration, to replace the current version, until it is acknowledged. It returns the address of the
+// controller that did so: the leader's. Its error after operatorTimeout wraps that of the last attempt.
+func (o *Operator) Configure(ctx context.Context, wanted model.Configuration, current uint64) (leader string, err error) {
 	err = o.untilOneAccepts(ctx, func(controller string) error {
-		owner, err = o.ConfigureAt(ctx, controller, wanted, over)
+		leader, err = o.ConfigureAt(ctx, controller, wanted, current)
 		return err
 	})
-	return owner, err
+	return leader, err
 }
 
-// ConfigureAt sends a configuration to one controller once, and follows it to another.
-func (o *Operator) ConfigureAt(ctx context.Context, controller string, wanted model.Configuration, over uint64) (owner string, err error) {
+// ConfigureAt sends a configuration once to one controller, and follows a redirect to the leader. An answer other than 200 is a
+// *StatusError.
+func (o *Operator) ConfigureAt(ctx context.Context, controller string, wanted model.Configuration, current uint64) (leader string, err error) {
 	body, err := json.Marshal(wanted)
 	if err != nil {
 		return "", err
@@ -61,12 +63,12 @@
 		return "", err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("If-Match", strconv.FormatUint(over, 10))
-	owner, _, err = o.send(request)
-	return owner, err
+	request.Header.Set("If-Match", strconv.FormatUint(current, 10))
+	leader, _, err = o.send(request)
+	return leader, err
 }
 
-// ReadBack gives the newest configuration.
+// ReadBack returns the newest configuration, from any controller. Its errors are as those of Configure.
 func (o *Operator) ReadBack(ctx context.Context) (read model.Configuration, err error) {
 	err = o.untilOneAccepts(ctx, func(controller string) error {
 		read, err = o.ReadAt(ctx, controller)
@@ -75,7 +77,8 @@
 	return read, err
 }
 
-// ReadAt asks one controller once, and follows it to another.
+// ReadAt reads the newest configuration once from one controller, and follows a redirect to another. Its errors are as those
+// of ConfigureAt.
 func (o *Operator) ReadAt(ctx context.Context, controller string) (read model.Configuration, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+controller+"/mastusher/settings", nil)
 	if err != nil {
@@ -88,14 +91,14 @@
 	return read, json.Unmarshal(body, &read)
 }
 
-// untilOneAccepts calls the controllers in turn until one order succeeds.
-func (o *Operator) untilOneAccepts(ctx context.Context, order func(controller string) error) error {
+// untilOneAccepts makes a call to one controller after the other until one succeeds.
+func (o *Operator) untilOneAccepts(ctx context.Context, call func(controller string) error) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	return Poll(ctx, func(try int) error { return order(o.controllers[try%len(o.controllers)]) })
+	return Poll(ctx, func(attempt int) error { return call(o.controllers[attempt%len(o.controllers)]) })
 }
 
-// send gives the address that answered with 200, and its body.
+// send returns the address that answered with 200, after redirects, and the body.
 func (o *Operator) send(request *http.Request) (string, []byte, error) {
 	response, err := o.client.Do(request)
 	if err != nil {
@@ -115,15 +118,16 @@
 // DialFunc opens connections, as net.Dialer does.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// SameConfiguration tells whether two configurations say the same.
+// SameConfiguration reports whether two configurations are equal.
 func SameConfiguration(a, b model.Configuration) bool { return reflect.DeepEqual(a, b) }
 
-// Poll tries until a try succeeds or ctx ends; its error is then that of the last try.
-func Poll(ctx context.Context, try func(number int) error) error {
+// Poll repeats an attempt, numbered from 0, until one succeeds or ctx ends. Its error then wraps those of ctx and of the last
+// attempt.
+func Poll(ctx context.Context, attempt func(number int) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for number := 0; ; number++ {
-		err := try(number)
+		err := attempt(number)
 		if err == nil {
 			return nil
 		}
--- a/internal/tier/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -17,7 +17,7 @@
 // SettingsVariable names the environment variable that holds the path of a process's settings file.
 const SettingsVariable = "MASTUSHER_NODE_FILE"
 
-// Process is a role on a machine, which runs or not. Its methods must not be called at the same time.
+// Process is a role on a machine, which may be started again after each end. Its methods must not be called concurrently.
 type Process struct {
 	Machine Machine
 	Role    string
@@ -25,12 +25,12 @@
 	tier         *Tier
 	startCount   int
 	command      *exec.Cmd
-	ended        chan struct{} // closed once the process has ended; nil: it has never run
-	exitErr      error         // of its end; read after ended
-	endRequested bool          // it is to end: by a signal from here
+	ended        chan struct{} // closed once the process has ended; nil: it has never been started
+	exitErr      error         // of the last end; must be read only after ended is closed
+	endRequested bool          // SIGTERM or SIGKILL was sent to it
 }
 
-// Start starts the process, with the settings of a first start of the whole system if it is its first.
+// Start starts the process; at its first start, its settings are those of a system that starts for the first time.
 func (p *Process) Start() error {
 	if err := p.tier.writeSettings(p.Machine, p.Role, p.startCount == 0); err != nil {
 		return err
@@ -45,9 +45,9 @@
 		command.Env = append(command.Env, p.tier.options.ProcessEnv(p.Machine)...)
 	}
 	command.Stdout, command.Stderr = log, log
-	// The process goes with the one that started it, also if that is killed.
+	// The kernel kills the process when the one that started it ends, also if that is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := command.Start(); err != nil {
+	if err = command.Start(); err != nil {
 		return errors.Join(err, log.Close())
 	}
 	p.startCount++
@@ -63,18 +63,18 @@
 	return nil
 }
 
-// LogPath is the file that takes the output of all runs of the process.
+// LogPath returns the file with the output of all runs of the process.
 func (p *Process) LogPath() string {
 	return filepath.Join(p.tier.options.Folder, p.Machine.Name+"-"+p.Role+".log")
 }
 
-// String names the machine and the role.
+// String returns machine and role.
 func (p *Process) String() string { return p.Machine.Name + "/" + p.Role }
 
-// Pid is the number of the process, which has begun.
+// Pid returns the process ID. The process must have been started.
 func (p *Process) Pid() int { return p.command.Process.Pid }
 
-// Listens tells whether the process, which runs, takes connections yet.
+// Listens reports whether the process, which must be running, accepts connections yet.
 func (p *Process) Listens() bool {
 	port := map[string]int{ControllerRole: FirstPort + wire.ControllerPort, StoreRole: FirstPort + wire.StorePort,
 		AgentRole: FirstPort + wire.AgentPort, ProxyRole: ReadinessPort}[p.Role]
@@ -86,7 +86,7 @@
 	return true
 }
 
-// Running tells whether the process has begun and not ended yet.
+// Running reports whether the process has been started and has not ended.
 func (p *Process) Running() bool {
 	if p.ended == nil {
 		return false
@@ -99,7 +99,7 @@
 	}
 }
 
-// Signal sends a signal; SIGKILL and SIGTERM mean that the process is to end.
+// Signal sends a signal. After SIGKILL or SIGTERM, the end of the process is expected.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if p.Running() && (signal == syscall.SIGKILL || signal == syscall.SIGTERM) {
 		p.endRequested = true
@@ -107,7 +107,7 @@
 	return p.command.Process.Signal(signal)
 }
 
-// Kill ends the process as a crash would, and waits for its end.
+// Kill ends the process with SIGKILL, as a crash would, and waits for its end.
 func (p *Process) Kill(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return fmt.Errorf("%v: %w", p, err)
@@ -115,7 +115,7 @@
 	return p.Wait(ctx)
 }
 
-// Wait waits for the end of the process.
+// Wait waits for the end of the process, which must have been started. Its error is that of ctx.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.ended:
@@ -125,21 +125,38 @@
 	}
 }
 
-// ExitError tells what is wrong with the end of a process: that it came by itself, or not with status 0 after SIGTERM. A process
-// that runs or was killed has none.
-func (p *Process) ExitError() error {
+// ExitError reports a process that ended by itself, or with a status other than 0 after SIGTERM.
+type ExitError struct {
+	Process   string
+	Requested bool  // SIGTERM was sent to it
+	Err       error // of exec.Cmd.Wait; nil: status 0
+}
+
+// Error names the process and how it ended.
+func (e *ExitError) Error() string {
+	if !e.Requested {
+		return fmt.Sprintf("%s ended by itself: %v", e.Process, e.Err)
+	}
+	return fmt.Sprintf("%s ended with %v", e.Process, e.Err)
+}
+
+// Unwrap returns the error of exec.Cmd.Wait.
+func (e *ExitError) Unwrap() error { return e.Err }
+
+// ExitErr returns an *ExitError if the process has ended wrongly. A process that runs or was killed has none.
+func (p *Process) ExitErr() error {
 	if p.ended == nil || p.Running() {
 		return nil
 	}
 	if !p.endRequested {
-		return fmt.Errorf("%v ended by itself: %v", p, p.exitErr)
+		return &ExitError{Process: p.String(), Err: p.exitErr}
 	}
 	var exit *exec.ExitError
 	if errors.As(p.exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL {
 		return nil
 	}
 	if p.exitErr != nil {
-		return fmt.Errorf("%v ended with %w", p, p.exitErr)
+		return &ExitError{Process: p.String(), Requested: true, Err: p.exitErr}
 	}
 	return nil
 }
@@ -147,12 +164,12 @@
 // LoseDisk empties the data folder of the process's machine, on which nothing may run.
 func (p *Process) LoseDisk() error { return os.RemoveAll(p.tier.diskOf(p.Machine)) }
 
-// ExitedUnexpectedly tells whether the process has ended without a signal from here.
+// ExitedUnexpectedly reports whether the process has ended without SIGTERM or SIGKILL from Signal.
 func (p *Process) ExitedUnexpectedly() bool { return p.ended != nil && !p.endRequested && !p.Running() }
 
-// Stop ends all processes: with SIGTERM, and after some patience with SIGKILL those that go on. It gives a sentence for each that did
-// not end in order, and for each that by its own account took longer than its grace time.
-func Stop(processes []*Process, patience time.Duration) []string {
+// Stop ends all processes with SIGTERM, and those that still run after the timeout with SIGKILL. It returns a sentence for each
+// that did not end with status 0 in time, and for each whose log does not say that it ended within its grace time.
+func Stop(processes []*Process, timeout time.Duration) []string {
 	var running []*Process
 	for _, p := range processes {
 		if p.Running() {
@@ -160,15 +177,15 @@
 			_ = p.Signal(syscall.SIGTERM)
 		}
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), patience)
+	bounded, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var problems []string
 	for _, p := range running {
 		if p.Wait(bounded) != nil && p.Running() {
 			_ = p.Signal(syscall.SIGKILL)
 			<-p.ended
-			problems = append(problems, fmt.Sprintf("%v did not end within %v of SIGTERM", p, patience))
-		} else if err := p.ExitError(); err != nil {
+			problems = append(problems, fmt.Sprintf("%v did not end within %v of SIGTERM", p, timeout))
+		} else if err := p.ExitErr(); err != nil {
 			problems = append(problems, err.Error())
 		} else {
 			problems = append(problems, p.checkShutdown()...)
@@ -177,20 +194,20 @@
 	return problems
 }
 
-// UnexpectedExits gives a sentence for each process that has ended by itself.
+// UnexpectedExits returns a sentence for each process that has ended by itself.
 func UnexpectedExits(processes []*Process) []string {
 	var problems []string
 	for _, p := range processes {
 		if p.ExitedUnexpectedly() {
-			problems = append(problems, p.ExitError().Error())
+			problems = append(problems, p.ExitErr().Error())
 		}
 	}
 	return problems
 }
 
-// Sleep waits before something is tried again.
-func Sleep(ctx context.Context, pause time.Duration) error {
-	timer := time.NewTimer(pause)
+// Sleep waits for a duration. It returns the error of ctx if that ends before.
+func Sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/tier/localtier/settings.go
+++ b/internal/tier/localtier/settings.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/settings"
 )
 
-// writeSettings writes the settings file of one process, as an operator would. The whole system starts for the first time once
-// only.
+// writeSettings writes the settings file of one process, as an operator would. firstBoot must be true only when the complete
+// system starts for the first time.
 func (t *Tier) writeSettings(m Machine, role string, firstBoot bool) error {
 	file := settingsFile(m, role, t.Addresses(CoreClass, ControlPort), t.options.Platform, firstBoot)
 	if m.Class != EdgeClass {
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := settings.Parse(raw); err != nil {
+	if _, err = settings.Parse(raw); err != nil {
 		return fmt.Errorf("settings of %s/%s: %w", m.Name, role, err)
 	}
 	return os.WriteFile(t.settingsPath(m, role), raw, 0o644)
@@ -35,9 +35,10 @@
 	return filepath.Join(t.options.Folder, m.Name+"-"+role+".yaml")
 }
 
+// diskOf returns the data folder of a machine.
 func (t *Tier) diskOf(m Machine) string { return filepath.Join(t.options.Folder, "disk", m.Name) }
 
-// settingsFile gives the content of a settings file.
+// settingsFile returns the content of a settings file.
 func settingsFile(m Machine, role string, seeds []string, platform string, firstBoot bool) map[string]any {
 	listenOn := map[string]any{}
 	serves := []string{}
--- a/internal/tier/localtier/shutdown.go
+++ b/internal/tier/localtier/shutdown.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/command"
 )
 
-// checkShutdown gives a sentence if the process doesn't say that it has ended within its grace time.
+// checkShutdown returns a sentence if the process has not logged that it ended within its grace time.
 func (p *Process) checkShutdown() []string { return checkShutdownIn(p.String(), p.LogPath()) }
 
 func checkShutdownIn(name, path string) []string {
@@ -18,9 +18,9 @@
 	if err != nil {
 		return []string{fmt.Sprintf("%s: %v", name, err)}
 	}
-	took, told := shutdownTime(string(content))
+	took, logged := shutdownTime(string(content))
 	switch grace := time.Duration(graceSeconds * float64(time.Second)); {
-	case !told:
+	case !logged:
 		return []string{fmt.Sprintf("%s doesn't say how long its end took", name)}
 	case took > grace:
 		return []string{fmt.Sprintf("%s took %v for its end, with a grace time of %v", name, took, grace)}
@@ -28,14 +28,14 @@
 	return nil
 }
 
-// shutdownTime reads from what a process has logged how long after its last SIGTERM it had ended.
-func shutdownTime(logged string) (took time.Duration, told bool) {
+// shutdownTime finds in a process's log how long after its last SIGTERM it ended; false means that the log does not say.
+func shutdownTime(content string) (took time.Duration, logged bool) {
 	message := strconv.Quote(command.EndMessage)
-	at := strings.LastIndex(logged, message)
-	if at < 0 {
+	index := strings.LastIndex(content, message)
+	if index < 0 {
 		return 0, false
 	}
-	line, _, _ := strings.Cut(logged[at+len(message):], "\n")
+	line, _, _ := strings.Cut(content[index+len(message):], "\n")
 	_, value, _ := strings.Cut(line, " after=")
 	value, _, _ = strings.Cut(value, " ")
 	took, err := time.ParseDuration(value)
--- a/internal/tier/localtier/tier.go
+++ b/internal/tier/localtier/tier.go
@@ -4,23 +4,22 @@
 	"context"
 	"fmt"
 	"net/http"
-	"time"
 
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/wire"
 )
 
-// Options of a tier.
+// Options are the options of a tier. All but ProcessEnv are required.
 type Options struct {
-	Command  []string // what starts a process; its role follows
+	Command  []string // that runs a role, whose name is appended
 	Folder   string   // for settings, disks and logs
-	Platform string   // the address of its list
+	Platform string   // address of the platform's list
 	Counts   Counts
-	// ProcessEnv returns what a machine's processes have in their environment beside the settings; nil: nothing.
+	// ProcessEnv returns environment variables (NAME=value) of a machine's processes beside SettingsVariable; default nil: none.
 	ProcessEnv func(m Machine) []string
 }
 
-// Tier is the processes of all machines.
+// Tier is all machines and their processes.
 type Tier struct {
 	Machines  []Machine
 	Processes []*Process
@@ -28,23 +27,23 @@
 	client    *http.Client
 }
 
-// New lays out a tier with one process of each role on each machine. None runs yet.
+// New lays out a tier, with one process for each role of each machine. None is started.
 func New(options Options) (*Tier, error) {
 	machines, err := layOut(options.Counts)
 	if err != nil {
 		return nil, err
 	}
-	laid := &Tier{Machines: machines, options: options,
+	created := &Tier{Machines: machines, options: options,
 		client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for _, m := range machines {
 		for _, role := range m.Roles {
-			laid.Processes = append(laid.Processes, &Process{Machine: m, Role: role, tier: laid})
+			created.Processes = append(created.Processes, &Process{Machine: m, Role: role, tier: created})
 		}
 	}
-	return laid, nil
+	return created, nil
 }
 
-// Start starts all processes for the first time.
+// Start lays out a tier and starts all its processes. After an error none runs.
 func Start(options Options) (*Tier, error) {
 	started, err := New(options)
 	if err != nil {
@@ -59,7 +58,7 @@
 	return started, nil
 }
 
-// Addresses gives a port of all machines of a class.
+// Addresses returns the addresses of a port on all machines of a class.
 func (t *Tier) Addresses(class string, port int) []string {
 	var addresses []string
 	for _, m := range t.Machines {
@@ -70,7 +69,7 @@
 	return addresses
 }
 
-// WaitReady waits until every proxy says that it is ready.
+// WaitReady waits until every proxy reports that it is ready, for up to readyTimeout.
 func (t *Tier) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -83,13 +82,13 @@
 	return nil
 }
 
-// WaitRoute waits until every proxy answers on the route of a path.
+// WaitRoute waits until every proxy answers 200 on a path, for up to routeTimeout.
 func (t *Tier) WaitRoute(ctx context.Context, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, routeTimeout)
 	defer cancel()
 	for _, address := range t.Addresses(EdgeClass, FrontPort) {
-		err := Poll(ctx, func(try int) error {
-			return t.Expect(ctx, address, path, fmt.Sprintf("look-%s-%d", address, try), http.StatusOK)
+		err := Poll(ctx, func(attempt int) error {
+			return t.Expect(ctx, address, path, fmt.Sprintf("look-%s-%d", address, attempt), http.StatusOK)
 		})
 		if err != nil {
 			return fmt.Errorf("the proxy at %s has no route for %s: %w", address, path, err)
@@ -98,7 +97,7 @@
 	return nil
 }
 
-// Expect asks for a path and compares the status.
+// Expect sends a GET and returns an error unless the response has the status. An empty attempt sends no X-Attempt-Id.
 func (t *Tier) Expect(ctx context.Context, address, path, attempt string, status int) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -115,23 +114,23 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != status {
-		return fmt.Errorf("%s%s answers %s", address, path, response.Status)
+		return fmt.Errorf("%s%s answers %s, not %d", address, path, response.Status, status)
 	}
 	return nil
 }
 
-// ControllerAt finds the controller that takes orders at an address.
+// ControllerAt returns the controller whose ControlPort has an address.
 func (t *Tier) ControllerAt(address string) (*Process, error) {
 	for _, p := range t.Processes {
 		if p.Role == ControllerRole && p.Machine.Address(ControlPort) == address {
 			return p, nil
 		}
 	}
-	return nil, fmt.Errorf("no controller takes orders at %s", address)
+	return nil, fmt.Errorf("no controller at %s", address)
 }
 
-// BusiestStore finds the store that owns the most shards, and how many there are in all.
-func (t *Tier) BusiestStore(ctx context.Context) (busiest *Process, owned, all int, err error) {
+// BusiestStore returns the store that leads the most shards, their number, and the number of shards that any store leads.
+func (t *Tier) BusiestStore(ctx context.Context) (busiest *Process, led, all int, err error) {
 	pool := transport.NewPool()
 	defer pool.Close()
 	for _, p := range t.Processes {
@@ -140,19 +139,19 @@
 		}
 		shards, err := ShardsLedBy(ctx, pool, p.Machine)
 		if err != nil {
-			return nil, 0, 0, fmt.Errorf("%v doesn't tell its shards: %w", p, err)
+			return nil, 0, 0, fmt.Errorf("shards of %v: %w", p, err)
 		}
 		all += len(shards)
-		if busiest == nil || len(shards) > owned {
-			busiest, owned = p, len(shards)
+		if busiest == nil || len(shards) > led {
+			busiest, led = p, len(shards)
 		}
 	}
-	return busiest, owned, all, nil
+	return busiest, led, all, nil
 }
 
-// ShardsLedBy asks the store of a machine for the groups that it owns.
+// ShardsLedBy asks the store of a machine for the shards whose groups it leads.
 func ShardsLedBy(ctx context.Context, pool *transport.Pool, store Machine) ([]wire.ShardMembers, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, shardsTimeout)
 	defer cancel()
 	address := store.Address(FirstPort + wire.StorePort)
 	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{})
--- a/internal/tier/soak/service.go
+++ b/internal/tier/soak/service.go
@@ -65,7 +65,7 @@
 
 // checkExit records a violation if the process has ended by itself or wrongly, once for each start. The mutex must be held.
 func (s *service) checkExit() {
-	if err := s.ExitError(); err != nil && !s.started.IsZero() {
+	if err := s.ExitErr(); err != nil && !s.started.IsZero() {
 		kind := "TERM"
 		if s.ExitedUnexpectedly() {
 			kind = "ENDED"
