--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,20 +19,29 @@
 	"mastusher/internal/relay/fleet/testcluster"
 )
 
-// errFleetViolation ends a command whose fleet broke a rule.
+// errFleetViolation is returned where a fleet broke a rule, or what had to come about did not.
 var errFleetViolation = errors.New("a rule was broken, or something did not come about")
 
 func fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "fleets of real processes with faults between them, and of thousands in virtual time"}
+	fleet.AddCommand(fleetRunCommand(), fleetListCommand(), fleetCheckCommand(), fleetSoakCommand(), fleetScaleCommand(), fleetCostCommand())
+	return fleet
+}
+
+func relayFlag(cmd *cobra.Command, relay *string) {
+	cmd.Flags().StringVar(relay, "relay", "bin/mastusher", "the relay's program")
+}
+
+func fleetRunCommand() *cobra.Command {
 	var relay, out string
 	var random, seed uint64
-	var most int
-	run := &cobra.Command{Use: "run [SCENARIO.toml]", Short: "play a scenario, or one drawn from a seed, with real processes", Args: cobra.MaximumNArgs(1),
+	var maxRelays int
+	cmd := &cobra.Command{Use: "run [SCENARIO.toml]", Short: "play a scenario, or one drawn from a seed, with real processes", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if (len(args) == 0) == (random == 0) {
 				return errors.New("run: want a scenario's file, or --random SEED")
 			}
-			plan := testcluster.Random(random, most)
+			plan := testcluster.Random(random, maxRelays)
 			if len(args) == 1 {
 				var err error
 				if plan, err = testcluster.Load(args[0]); err != nil {
@@ -43,13 +53,16 @@
 			}
 			return runFleet(cmd, plan, relay, out)
 		}}
-	run.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
-	run.Flags().StringVar(&out, "out", "", "folder for history, logs and page (default: one that is removed where all is well)")
-	run.Flags().Uint64Var(&random, "random", 0, "draw the scenario from this seed")
-	run.Flags().Uint64Var(&seed, "seed", 0, "another seed for the links")
-	run.Flags().IntVar(&most, "relays", 9, "relays at most, of a drawn one")
+	relayFlag(cmd, &relay)
+	cmd.Flags().StringVar(&out, "out", "", "folder for history, logs and page (default: one that is removed where all is well)")
+	cmd.Flags().Uint64Var(&random, "random", 0, "draw the scenario from this seed")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "another seed for the links")
+	cmd.Flags().IntVar(&maxRelays, "relays", 9, "relays at most, of a drawn one")
+	return cmd
+}
 
-	list := &cobra.Command{Use: "list [DIR]", Short: "list the scenarios of a folder", Args: cobra.MaximumNArgs(1),
+func fleetListCommand() *cobra.Command {
+	return &cobra.Command{Use: "list [DIR]", Short: "list the scenarios of a folder", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			all, err := testcluster.List(append(args, filepath.Join("deploy", "fleet"))[0])
 			if err != nil {
@@ -61,38 +74,47 @@
 			}
 			return t.Flush()
 		}}
+}
+
+func fleetCheckCommand() *cobra.Command {
 	var slack time.Duration
-	judge := &cobra.Command{Use: "check HISTORY.json", Short: "judge a history again", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "check HISTORY.json", Short: "judge a history again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			var h []checker.Entry
-			if err := json.Unmarshal(text, &h); err != nil {
+			var history []checker.Entry
+			if err := json.Unmarshal(text, &history); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if b := checker.Judge(h, checker.Options{Slack: slack}); b != nil {
+			if b := checker.Judge(history, checker.Options{Slack: slack}); b != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
 				return errFleetViolation
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d entries, no breach\n", len(h))
+			fmt.Fprintf(cmd.OutOrStdout(), "%d entries, no breach\n", len(history))
 			return nil
 		}}
-	judge.Flags().DurationVar(&slack, "slack", 400*time.Millisecond, "by which a call may be seen after it was begun")
-
-	var count, side int
-	var first uint64
-	soak := &cobra.Command{Use: "soak", Short: "play scenarios drawn from seeds, several side by side", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return soakFleets(cmd, relay, first, count, side, most) }}
-	soak.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
-	soak.Flags().IntVar(&count, "count", 200, "scenarios")
-	soak.Flags().IntVar(&side, "side", 4, "side by side")
-	soak.Flags().IntVar(&most, "relays", 9, "relays at most")
-	soak.Flags().Uint64Var(&first, "first", 1, "seed of the first")
+	cmd.Flags().DurationVar(&slack, "slack", 400*time.Millisecond, "by which a call may be seen after it was begun")
+	return cmd
+}
+
+func fleetSoakCommand() *cobra.Command {
+	var relay string
+	var soak fleetSoak
+	cmd := &cobra.Command{Use: "soak", Short: "play scenarios drawn from seeds, several side by side", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return soak.run(cmd, relay) }}
+	relayFlag(cmd, &relay)
+	cmd.Flags().IntVar(&soak.count, "count", 200, "scenarios")
+	cmd.Flags().IntVar(&soak.parallel, "side", 4, "side by side")
+	cmd.Flags().IntVar(&soak.maxRelays, "relays", 9, "relays at most")
+	cmd.Flags().Uint64Var(&soak.firstSeed, "first", 1, "seed of the first")
+	return cmd
+}
 
+func fleetScaleCommand() *cobra.Command {
 	var sizes []int
-	scale := &cobra.Command{Use: "scale", Short: "what a change takes and an idle fleet costs in virtual time, by the number of relays", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "scale", Short: "what a change takes and an idle fleet costs in virtual time, by the number of relays", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "relays\tform\tchange, median of 9\tmost\tchange, a tenth down\tidle: bytes/s a relay\tat the leader\tsteps/s a relay\tµs a step")
@@ -104,57 +126,69 @@
 			}
 			return nil
 		}}
-	scale.Flags().IntSliceVar(&sizes, "sizes", []int{5, 30, 300, 1000}, "numbers of relays")
-	var relays, changes int
-	var rate float64
-	var length time.Duration
-	var idle bool
-	cost := &cobra.Command{Use: "cost", Short: "what relays take alone, as an idle fleet, and while its policy changes", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			program, err := filepath.Abs(relay)
-			if err != nil {
-				return err
-			}
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(t, "\tmessages/s\tchanges\ttaken on\trefused\tanswers p50\tp99\tp99.9\t% of a core\tMB\tbytes/s a relay")
-			for _, c := range []struct {
-				name    string
-				bare    bool
-				changes int
-				rate    float64
-			}{{"alone, idle", true, 0, 0.001}, {"fleet, idle", false, 0, 0.001}, {"alone", true, 0, rate}, {"fleet", false, 0, rate}, {"fleet, policy changes", false, changes, rate}} {
-				if idle && c.rate == rate {
-					continue
-				}
-				dir, err := os.MkdirTemp("", "fleet")
-				if err != nil {
-					return err
-				}
-				plan := testcluster.Scenario{Name: c.name, Relays: relays, Voters: min(3, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, Rate: c.rate}
-				r, err := testcluster.Cost(plan, program, dir, c.bare, c.changes, length)
-				if err != nil {
-					return err
-				}
-				ms := func(q float64) float64 { return float64(r.Answers.ValueAtQuantile(q)) / 1000 }
-				fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.2f\t%.1f\t%.0f\n", c.name, c.rate*float64(relays), r.Changes,
-					r.Answers.TotalCount(), r.Refused, ms(50), ms(99), ms(99.9), 100*r.CPU, r.Memory, r.Bytes)
-				if err := errors.Join(t.Flush(), os.RemoveAll(dir)); err != nil {
-					return err
-				}
-			}
-			return nil
-		}}
-	cost.Flags().StringVar(&relay, "relay", "bin/mastusher", "the relay's program")
-	cost.Flags().IntVar(&relays, "relays", 5, "relays")
-	cost.Flags().IntVar(&changes, "changes", 10, "changes of policy")
-	cost.Flags().Float64Var(&rate, "rate", 60, "messages/s at each relay")
-	cost.Flags().BoolVar(&idle, "idle", false, "only the idle runs: for fleets larger than the machine could load")
-	cost.Flags().DurationVar(&length, "for", 20*time.Second, "of each of the five runs")
-	fleet.AddCommand(run, list, judge, soak, scale, cost)
-	return fleet
+	cmd.Flags().IntSliceVar(&sizes, "sizes", []int{5, 30, 300, 1000}, "numbers of relays")
+	return cmd
 }
 
-// runFleet plays one scenario and keeps what is needed to look into it.
+// fleetCost configures a measurement of what relays take.
+type fleetCost struct {
+	relays, changes int
+	rate            float64 // messages/s at each relay, of the runs that are not idle
+	length          time.Duration
+	idleOnly        bool
+}
+
+func fleetCostCommand() *cobra.Command {
+	var relay string
+	var cost fleetCost
+	cmd := &cobra.Command{Use: "cost", Short: "what relays take alone, as an idle fleet, and while its policy changes", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return cost.run(cmd.OutOrStdout(), relay) }}
+	relayFlag(cmd, &relay)
+	cmd.Flags().IntVar(&cost.relays, "relays", 5, "relays")
+	cmd.Flags().IntVar(&cost.changes, "changes", 10, "changes of policy")
+	cmd.Flags().Float64Var(&cost.rate, "rate", 60, "messages/s at each relay")
+	cmd.Flags().BoolVar(&cost.idleOnly, "idle", false, "only the idle runs: for fleets larger than the machine could load")
+	cmd.Flags().DurationVar(&cost.length, "for", 20*time.Second, "of each of the five runs")
+	return cmd
+}
+
+// run measures one run after the other, and prints a line for each.
+func (c *fleetCost) run(w io.Writer, relay string) error {
+	program, err := filepath.Abs(relay)
+	if err != nil {
+		return err
+	}
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "\tmessages/s\tchanges\ttaken on\trefused\tanswers p50\tp99\tp99.9\t% of a core\tMB\tbytes/s a relay")
+	for _, row := range []struct {
+		name    string
+		bare    bool
+		changes int
+		rate    float64
+	}{{"alone, idle", true, 0, 0.001}, {"fleet, idle", false, 0, 0.001}, {"alone", true, 0, c.rate}, {"fleet", false, 0, c.rate}, {"fleet, policy changes", false, c.changes, c.rate}} {
+		if c.idleOnly && row.rate == c.rate {
+			continue
+		}
+		dir, err := os.MkdirTemp("", "fleet")
+		if err != nil {
+			return err
+		}
+		plan := testcluster.Scenario{Name: row.name, Relays: c.relays, Voters: min(3, c.relays-1+c.relays%2), Seed: 1, Lease: 2 * time.Second, Rate: row.rate}
+		r, err := testcluster.Cost(plan, program, dir, row.bare, row.changes, c.length)
+		if err != nil {
+			return err
+		}
+		ms := func(q float64) float64 { return float64(r.Answers.ValueAtQuantile(q)) / 1000 }
+		fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.2f\t%.1f\t%.0f\n", row.name, row.rate*float64(c.relays), r.Changes,
+			r.Answers.TotalCount(), r.Refused, ms(50), ms(99), ms(99.9), 100*r.CPU, r.Memory, r.Bytes)
+		if err := errors.Join(t.Flush(), os.RemoveAll(dir)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runFleet plays one scenario; history, logs and page stay where out names a folder or something went wrong.
 func runFleet(cmd *cobra.Command, plan testcluster.Scenario, relay, out string) error {
 	keep := out != ""
 	if !keep {
@@ -195,60 +229,77 @@
 	return nil
 }
 
-// soakFleets plays scenarios of successive seeds.
-func soakFleets(cmd *cobra.Command, relay string, first uint64, count, side, most int) error {
+// fleetSoak configures a soak: count scenarios of successive seeds, several at once.
+type fleetSoak struct {
+	count, parallel, maxRelays int
+	firstSeed                  uint64
+}
+
+// soakResult sums up the scenarios of a soak. Its lock guards all of it.
+type soakResult struct {
+	sync.Mutex
+	faults                  map[string]int // by kind, that were injected during a change
+	changes, held, accepted int
+	bad                     []string
+}
+
+// add adds a scenario's result; the folder of one that is all right is removed.
+func (s *soakResult) add(seed uint64, r *testcluster.Result, err error, dir string) {
+	s.Lock()
+	defer s.Unlock()
+	switch {
+	case err != nil:
+		s.bad = append(s.bad, fmt.Sprintf("seed %d: %v", seed, err))
+		return
+	case r.Bad():
+		s.bad = append(s.bad, r.String()+"; see "+dir)
+		_ = r.Save(dir)
+	default:
+		_ = os.RemoveAll(dir)
+	}
+	for k, n := range r.Struck {
+		s.faults[k] += n
+	}
+	s.changes, s.held, s.accepted = s.changes+r.Changes, s.held+r.Held, s.accepted+r.Taken
+}
+
+// run plays the scenarios and prints those that went wrong.
+func (c *fleetSoak) run(cmd *cobra.Command, relay string) error {
 	relay, err := filepath.Abs(relay)
 	if err != nil {
 		return err
 	}
-	var all sync.WaitGroup
-	var mu sync.Mutex
-	struck, changes, held, bad, taken := map[string]int{}, 0, 0, []string{}, 0
+	var workers sync.WaitGroup
+	sum := soakResult{faults: map[string]int{}}
 	seeds := make(chan uint64)
-	begun := time.Now()
-	for range side {
-		all.Go(func() {
+	started := time.Now()
+	for range c.parallel {
+		workers.Go(func() {
 			for seed := range seeds {
 				dir, err := os.MkdirTemp("", "fleet")
 				if err != nil {
 					continue
 				}
-				r, err := testcluster.Play(testcluster.Random(seed, most), relay, dir, nil)
-				mu.Lock()
-				switch {
-				case err != nil:
-					bad = append(bad, fmt.Sprintf("seed %d: %v", seed, err))
-				case r.Bad():
-					bad = append(bad, r.String()+"; see "+dir)
-					_ = r.Save(dir)
-				default:
-					_ = os.RemoveAll(dir)
-				}
-				if err == nil {
-					for k, n := range r.Struck {
-						struck[k] += n
-					}
-					changes, held, taken = changes+r.Changes, held+r.Held, taken+r.Taken
-				}
-				mu.Unlock()
+				r, err := testcluster.Play(testcluster.Random(seed, c.maxRelays), relay, dir, nil)
+				sum.add(seed, r, err, dir)
 			}
 		})
 	}
-	for i := range count {
-		seeds <- first + uint64(i)
+	for i := range c.count {
+		seeds <- c.firstSeed + uint64(i)
 		if n := i + 1; n%20 == 0 {
-			fmt.Fprintf(cmd.ErrOrStderr(), "%d of %d begun, %v\n", n, count, time.Since(begun).Round(time.Second))
+			fmt.Fprintf(cmd.ErrOrStderr(), "%d of %d begun, %v\n", n, c.count, time.Since(started).Round(time.Second))
 		}
 	}
 	close(seeds)
-	all.Wait()
-	slices.Sort(bad)
-	for _, b := range bad {
+	workers.Wait()
+	slices.Sort(sum.bad)
+	for _, b := range sum.bad {
 		fmt.Fprintln(cmd.OutOrStdout(), b)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d scenarios in %v, %d bad; %d of %d changes in force, %d messages taken on; faults during a change: %v\n", count,
-		time.Since(begun).Round(time.Second), len(bad), held, changes, taken, struck)
-	if len(bad) > 0 {
+	fmt.Fprintf(cmd.OutOrStdout(), "%d scenarios in %v, %d bad; %d of %d changes in force, %d messages taken on; faults during a change: %v\n", c.count,
+		time.Since(started).Round(time.Second), len(sum.bad), sum.held, sum.changes, sum.accepted, sum.faults)
+	if len(sum.bad) > 0 {
 		return errFleetViolation
 	}
 	return nil
--- a/cmd/relay-simulator/loadtest.go
+++ b/cmd/relay-simulator/loadtest.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/simulator/report"
 )
 
-// demoScript is a minute in a relay's life.
+// demoScript returns the steps of the demo, quick times as fast.
 func demoScript(quick float64) []loadtest.Step {
 	at := func(seconds float64) time.Duration { return time.Duration(seconds / quick * float64(time.Second)) }
 	set := func(n int, change func(*loadtest.Behavior)) func(*loadtest.LoadTest) {
@@ -94,7 +94,8 @@
 	return cmd
 }
 
-// runLoadTest plays a plan on a relay and tells what came of it.
+// runLoadTest runs a load test on a relay, prints what happened and writes the page, if one is named. A message that is lost or
+// delivered twice is an error.
 func runLoadTest(w, progress io.Writer, plan loadtest.Plan, relay, page, title string) error {
 	dir, err := os.MkdirTemp("", "relay-simulator")
 	if err != nil {
--- a/cmd/relay-simulator/main.go
+++ b/cmd/relay-simulator/main.go
@@ -1,5 +1,5 @@
-// Command relay-simulator plays worlds of the lab: an emulator, in virtual time, of what the relay balances. The daemon links
-// none of it.
+// Command relay-simulator runs worlds of package simulator in virtual time, load tests on a real relay process, and fleets of relays
+// with faults injected. The daemon links none of it.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	}
 }
 
-// errRulesViolated is returned where a policy has broken a rule.
+// errRulesViolated is returned where a policy violated a rule.
 var errRulesViolated = errors.New("rules were broken")
 
 func command(out, progress io.Writer) *cobra.Command {
@@ -109,7 +109,7 @@
 	}
 }
 
-// fleetText is what the relays did together.
+// fleetText formats what the relays did together.
 func fleetText(r *simulator.Result) string {
 	f := r.Fleet
 	s := fmt.Sprintf("in step %.3f, over %.2f, wasted %.3f, regain %.0f s, unequal %.3f", f.PeakSenderShare, f.PeakOverload, f.ThrottledPerMessage, f.RecoverySeconds, f.Unfairness)
@@ -226,7 +226,7 @@
 	return errors.Join(report.Write(f, res), f.Close())
 }
 
-// violatesRule tells whether a policy breaks a rule in a world; "": any.
+// violatesRule reports whether a policy violates a rule in a world; "": any rule.
 func violatesRule(w *simulator.World, name, rule string) bool {
 	res, err := experiment.Play(w, name)
 	return err == nil && (rule == "" && len(res.ViolationCounts) > 0 || res.ViolationCounts[rule] > 0)
--- a/cmd/relay-simulator/main_test.go
+++ b/cmd/relay-simulator/main_test.go
@@ -38,8 +38,8 @@
 name = "a"
 `
 
-// TestCommands plays each command, and has each refuse what is wrong by naming it.
-func TestCommands(t *testing.T) {
+// Plays each command, and has each refuse what is wrong by naming it.
+func TestCommand_EachSubcommand_RunsOrNamesWhatIsWrong(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		f := filepath.Join(dir, name)
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestDemo plays the demonstration: over an outage, a drain and two kills each message has one end, and the page tells it.
-func TestDemo(t *testing.T) {
+// Plays the demonstration: over an outage, a drain and two kills each message has one end, and the page tells it.
+func TestDemo_OutageDrainAndKills_EachMessageEndsOnce(t *testing.T) {
 	dir := t.TempDir()
 	relay, page := filepath.Join(dir, "mastusher"), filepath.Join(dir, "demo.html")
 	if out, err := exec.Command("go", "build", "-o", relay, "../mastusher").CombinedOutput(); err != nil {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,6 @@
-// Command simulator-adapter lets the simulator run the decision module: it translates, and decides nothing.
+// Command simulator-adapter runs the decision module (package control) for an external simulator: it reads batches of records on
+// standard input (package wire), translates them to events, and writes the actions to standard output. It decides nothing itself and
+// is single-threaded: a batch is answered before the next one is read.
 package main
 
 import (
@@ -26,18 +28,18 @@
 	}
 }
 
-// instance is one sender and what came for it in the batch at hand.
+// instance is one sender with its events of the current batch.
 type instance struct {
 	id      uint16
 	sender  *control.Sender
 	reports wire.Reports
-	weight  func(float64) float64 // calls a second that a weight of the list tells
+	weight  func(float64) float64 // calls a second that a weight of the list stands for
 	events  []control.Event
 	touched bool
-	capture *capture.Writer // nil: it is not recorded
+	capture *capture.Writer // nil: none is written
 }
 
-// adapter holds the instances and lists of one process.
+// adapter holds the instances and endpoint lists of one process.
 type adapter struct {
 	instances  map[uint16]*instance
 	lists      map[uint8][]wire.Member
@@ -79,7 +81,7 @@
 	}
 }
 
-// handleBatch hands each instance its events, in order, and writes down what they decide.
+// handleBatch steps each instance with its events, in order of appearance, and writes their actions to the reply.
 func (l *adapter) handleBatch(b *wire.Batch) error {
 	l.now = time.Duration(b.Clock) * time.Microsecond
 	l.reply.Begin(b.Seq)
@@ -121,29 +123,48 @@
 	return nil
 }
 
+// handleRecord starts or ends an instance, or appends the event that a record stands for.
 func (l *adapter) handleRecord(in *instance, rec *wire.Record) error {
 	switch rec.Code {
 	case wire.EvHello:
-		settings, err := wire.ParseSettings(rec.Setup)
-		if err != nil {
-			return err
-		}
-		sender, err := control.New(settings.Settings, rec.Seed)
-		if err != nil {
-			return fmt.Errorf("field setup: %w", err)
-		}
-		in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
-		if err = in.closeCapture(); err != nil || l.captureDir == "" {
-			return err
-		}
-		l.captures++
-		in.capture, err = capture.Create(filepath.Join(l.captureDir, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), l.captures, in.id, capture.Ext)),
-			capture.Begin{Relay: fmt.Sprint("instance ", in.id), Clock: l.now, Seed: rec.Seed, Settings: settings.Settings})
-		return err
+		return l.startInstance(in, rec)
 	case wire.EvKilled:
 		in.sender, in.events = nil, in.events[:0]
 		return in.closeCapture()
 	}
+	ev, known, err := l.toEvent(in, rec)
+	if err != nil || !known {
+		return err
+	}
+	if in.events = append(in.events, ev); !in.touched {
+		in.touched = true
+		l.touched = append(l.touched, in)
+	}
+	return nil
+}
+
+// startInstance starts an instance with the settings of a Hello, anew if it ran, and its capture if captures are written.
+func (l *adapter) startInstance(in *instance, rec *wire.Record) error {
+	settings, err := wire.ParseSettings(rec.Setup)
+	if err != nil {
+		return err
+	}
+	sender, err := control.New(settings.Settings, rec.Seed)
+	if err != nil {
+		return fmt.Errorf("field setup: %w", err)
+	}
+	in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
+	if err = in.closeCapture(); err != nil || l.captureDir == "" {
+		return err
+	}
+	l.captures++
+	in.capture, err = capture.Create(filepath.Join(l.captureDir, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), l.captures, in.id, capture.Ext)),
+		capture.Begin{Relay: fmt.Sprint("instance ", in.id), Clock: l.now, Seed: rec.Seed, Settings: settings.Settings})
+	return err
+}
+
+// toEvent translates a record; false: it is of a kind that the decision module has no event for.
+func (l *adapter) toEvent(in *instance, rec *wire.Record) (control.Event, bool, error) {
 	ev := control.Event{ID: rec.Ticket}
 	switch rec.Code {
 	case wire.EvFleet:
@@ -154,19 +175,10 @@
 		ev.Kind, ev.Complete = control.Listed, rec.Mode != wire.ModeDelta
 		members, ok := l.lists[rec.Roster]
 		if !ok {
-			return fmt.Errorf("field roster_id at offset 1: no list %d", rec.Roster)
+			return ev, false, fmt.Errorf("field roster_id at offset 1: no list %d", rec.Roster)
 		}
 		for _, m := range members {
-			e := control.Endpoint{ID: m.Target, Zone: int(m.Site), Kind: int(m.Kind), Destination: int(m.Destination),
-				Weight: in.weight(float64(m.Units))}
-			switch m.Condition {
-			case 0:
-			case 3:
-				e.State = control.Removed
-			default:
-				e.State = control.Draining
-			}
-			ev.Endpoints = append(ev.Endpoints, e)
+			ev.Endpoints = append(ev.Endpoints, toEndpoint(m, in.weight))
 		}
 	case wire.EvQuery:
 		ev.Kind, ev.Destination, ev.Class = control.Arrived, int(rec.Node), int(rec.Category)
@@ -180,24 +192,33 @@
 		if ev.Result == control.Throttled {
 			ev.RetryAfter = time.Duration(rec.Detail) * time.Millisecond
 		}
-		if s, m := in.reports.Share, in.reports.Limit; s >= 0 && m >= 0 && max(s, m) < len(rec.Gauge) {
-			ev.Reported, ev.Remaining, ev.Limit = true, float64(rec.Gauge[s]), float64(rec.Gauge[m])
+		if share, limit := in.reports.Share, in.reports.Limit; share >= 0 && limit >= 0 && max(share, limit) < len(rec.Gauge) {
+			ev.Reported, ev.Remaining, ev.Limit = true, float64(rec.Gauge[share]), float64(rec.Gauge[limit])
 		}
 	case wire.EvAbandoned:
 		ev.Kind = control.Withdrawn
 	case wire.EvWake:
 		ev.Kind = control.Woken
 	default:
-		return nil
+		return ev, false, nil
 	}
-	if in.events = append(in.events, ev); !in.touched {
-		in.touched = true
-		l.touched = append(l.touched, in)
+	return ev, true, nil
+}
+
+// toEndpoint translates a member of a list.
+func toEndpoint(m wire.Member, weight func(float64) float64) control.Endpoint {
+	e := control.Endpoint{ID: m.Target, Zone: int(m.Site), Kind: int(m.Kind), Destination: int(m.Destination), Weight: weight(float64(m.Units))}
+	switch m.Condition {
+	case 0:
+	case 3:
+		e.State = control.Removed
+	default:
+		e.State = control.Draining
 	}
-	return nil
+	return e
 }
 
-// closeCapture ends what is recorded of an instance.
+// closeCapture completes the capture of an instance, if there is one.
 func (in *instance) closeCapture() error {
 	if in.capture == nil {
 		return nil
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -53,7 +53,7 @@
 
 // A list number used again within a batch means the newer list to those who come after it, and an instance
 // that is killed and started again in one batch begins anew.
-func TestReusedListsAndRestart(t *testing.T) {
+func TestRun_ReusedListAndRestartInBatch_NewerHolds(t *testing.T) {
 	var in bytes.Buffer
 	in.Write(new(frame).bytes(0, 1))
 	in.Write(new(frame).context(1).hello(0xa1).query(1).context(2).hello(0xa2).query(2).bytes(1, 1000000))
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestMalformedInputIsAnError(t *testing.T) {
+func TestRun_MalformedInput_ErrorNamesRecord(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -98,7 +98,7 @@
 }
 
 // Instances share nothing: each acts alike whatever the order in which they come in a batch.
-func TestOrderOfInstances(t *testing.T) {
+func TestRun_InstancesInOtherOrder_ActAlike(t *testing.T) {
 	replies := func(order ...uint16) map[uint16]string {
 		var in, out bytes.Buffer
 		first := new(frame)
