--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -1,4 +1,5 @@
-// Package checker judges what the relays of a fleet did, by a history alone: it knows no code of the subsystem.
+// Package checker judges what the relays of a fleet did, by a history alone: it knows no code of the subsystem. Packages simulation
+// and testcluster call it on histories that they recorded. It keeps no state and may be called from any goroutine.
 package checker
 
 import (
@@ -18,10 +19,10 @@
 	Acted    Kind = "acted"    // Relay took on, or first tried, something under Version
 	Said     Kind = "said"     // Relay tells how Version ended: Dropped, or in force with Digest
 	Proposed Kind = "proposed" // a change of Base was handed in from At to Until; Version: in force; 0: Dropped or not known
-	Started  Kind = "started"  // a life of Relay begins
+	Started  Kind = "started"  // an incarnation of Relay begins
 	Fault    Kind = "fault"    // Text: what was done to the fleet
-	Taken    Kind = "taken"    // a client was told that message ID is taken on
-	Refused  Kind = "refused"  // a client was told to come again, or nothing
+	Taken    Kind = "taken"    // message ID was accepted, and the client got that answer
+	Refused  Kind = "refused"  // a client was asked to come again, or got no answer
 	Ended    Kind = "ended"    // message ID had its end: Text
 	Log      Kind = "log"      // Text: what Relay logged; for whoever reads the history
 	Broke    Kind = "broke"    // something that is a breach by itself: Text
@@ -65,10 +66,10 @@
 	NothingIs = "nothing else breaks"
 )
 
-// Options are what a judge must know of how the history was made.
+// Options are what Judge must know of how the history was made.
 type Options struct {
 	Slack  time.Duration // by which an act may be seen later than it was begun
-	Serves bool          // relays that are cut off act on: old may go on at these
+	Serves bool          // partitioned relays go on with the version that they know
 	Ends   bool          // all messages that were taken must have their end
 	Bounds []Bound
 }
@@ -166,8 +167,8 @@
 	return at, most
 }
 
-// Stale counts the acts under a version after another relay had acted under a newer one, and tells for how long they went on:
-// what relays that are cut off and go on cost.
+// Stale counts the acts under a version after another relay had acted under a newer one, and returns for how long they went on:
+// the cost of letting partitioned relays go on.
 func Stale(history []Entry) (n int, most time.Duration) {
 	h := slices.Clone(history)
 	slices.SortStableFunc(h, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// HeartbeatInterval is how often a leader speaks up.
+	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval = 100 * time.Millisecond
-	// ElectionTimeout is how long a voter hears nothing from a leader before it stands for election, and up to twice that.
+	// ElectionTimeout is the time without a leader's message after which a voter campaigns, drawn from one to two times it.
 	ElectionTimeout = 600 * time.Millisecond
 
-	snapshotEntries = 64        // entries
-	snapshotBytes   = 128 << 10 // or their bytes
+	snapshotEntries = 64        // after so many entries a snapshot is due
+	snapshotBytes   = 128 << 10 // or after so many bytes of them
 	maxMessageBytes = 20 << 10  // bytes of entries; a message must fit a datagram
 )
 
-// Committed is an entry that the voters have agreed on.
+// Committed is a committed entry.
 type Committed struct {
 	Index   uint64
-	Data    []byte   // nil: of the engine's own
-	Members []uint64 // not nil: these take part from here on
+	Data    []byte   // nil: an entry of the engine's own
+	Members []uint64 // not nil: voters and learners from this entry on
 	Names   map[uint64]string
 }
 
@@ -52,7 +52,7 @@
 	Data []byte
 }
 
-// Engine is one member's part. It is not safe for concurrent use.
+// Engine is one member of the voters' group. It is not safe for concurrent use.
 type Engine struct {
 	ID     uint64
 	node   *raft.RawNode
@@ -68,14 +68,14 @@
 	heartbeatAt        time.Duration
 	readConfirmedAt    time.Duration // when a read was last confirmed by a majority
 	imageStale         bool
-	membersChanged     bool // the members have changed: a start must know them before anything else
+	membersChanged     bool // since the last snapshot, which a restart must read the members from
 	fatal              error
 }
 
-// memberNames is what an entry that changes the members says of them.
+// memberNames are the relays' names by member, in the context of a configuration change.
 type memberNames map[uint64]string
 
-// New returns a member with what lies on its disk; with an empty image it waits to be taken in.
+// New returns a member recovered from its disk; with an empty image it waits until a leader adds it.
 func New(id, seed uint64, image *Image, now time.Duration) (*Engine, error) {
 	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{}}
 	if err := e.restore(image); err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// randomElectionTimeout is a time between one and two patiences.
+// randomElectionTimeout draws from one to two times ElectionTimeout.
 func (e *Engine) randomElectionTimeout() time.Duration {
 	e.random ^= e.random << 13
 	e.random ^= e.random >> 7
@@ -126,7 +126,7 @@
 	return ElectionTimeout + time.Duration(e.random%uint64(ElectionTimeout))
 }
 
-// recoverPanic turns a panic of raft's into an error: it guards itself so against what a sound log can't hold.
+// recoverPanic turns a panic of raft's into an error: raft panics on what an intact log can't hold.
 func (e *Engine) recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("consensus: %v", r)
@@ -134,7 +134,7 @@
 	}
 }
 
-// Snapshot is the state that the log on disk begins with, and Rest what has been agreed on behind it; for a start.
+// Snapshot is the state that the log on disk begins with; nil: none. Entries behind it come with the first Ready.
 func (e *Engine) Snapshot() []byte {
 	s, err := e.store.Snapshot()
 	if err != nil || raft.IsEmptySnap(s) {
@@ -157,13 +157,13 @@
 	return e.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Leader is who leads, as far as is known; 0: nobody.
+// Leader is the leader's id, as far as is known; 0: none.
 func (e *Engine) Leader() uint64 { return e.node.BasicStatus().Lead }
 
-// Voters are the members that count for a majority.
+// Voters are the members whose votes count for a majority.
 func (e *Engine) Voters() []uint64 { return e.confState.GetVoters() }
 
-// Learners are the members that copy the log and don't count.
+// Learners are the members that replicate the log without a vote.
 func (e *Engine) Learners() []uint64 { return e.confState.GetLearners() }
 
 // InJointConfig tells whether a change of members is under way.
@@ -172,7 +172,7 @@
 // MatchIndex tells, at the leader, up to where a member's log is known to be the same.
 func (e *Engine) MatchIndex(id uint64) uint64 { return e.node.Status().Progress[id].Match }
 
-// Tick lets time pass.
+// Tick sends the heartbeats of a leader and starts elections, as far as they are due.
 func (e *Engine) Tick(now time.Duration) (err error) {
 	defer e.recoverPanic(&err)
 	if e.IsLeader() {
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// Receive takes a message from another member, and returns what that has shown to hold. What can't be read is an error and
-// changes nothing.
+// Receive steps a message from another member, and returns the log position that it shows the sender to have. A message that
+// can't be decoded is an error and changes nothing.
 func (e *Engine) Receive(now time.Duration, data []byte) (shown LogPosition, err error) {
 	m := &pb.Message{}
 	if err = proto.Unmarshal(data, m); err != nil {
@@ -204,7 +204,7 @@
 	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgStorageAppend, pb.MsgStorageApply:
 		return shown, errors.New("consensus: a message that members don't send each other")
 	case pb.MsgVote, pb.MsgPreVote:
-		// Whoever hears a leader, or is one that a majority hears, lets nobody else come between.
+		// A member that hears a leader, or leads with a majority, ignores candidates (check quorum).
 		if e.IsLeader() && now-e.readConfirmedAt < ElectionTimeout || !e.IsLeader() && e.Leader() != 0 && now-e.leaderSeenAt < ElectionTimeout {
 			return shown, nil
 		}
@@ -226,18 +226,18 @@
 		return shown, fmt.Errorf("consensus: %w", err)
 	}
 	if v := e.node.BasicStatus().GetVote(); v != vote && v != 0 && v != e.ID {
-		e.leaderSeenAt = now // it gets its time to win
+		e.leaderSeenAt = now // the candidate gets its time to win
 	}
 	return shown, nil
 }
 
-// Propose asks for an entry; it is lost without a word where nobody leads.
+// Propose proposes an entry. Without a leader it is dropped or an error.
 func (e *Engine) Propose(data []byte) (err error) {
 	defer e.recoverPanic(&err)
 	return e.node.Propose(data)
 }
 
-// ReadIndex asks, at the leader, for a word from a majority that no other leads; the number comes back in Ready.ConfirmedReads.
+// ReadIndex confirms with a majority that this member still leads; the number comes back in Ready.ConfirmedReads.
 func (e *Engine) ReadIndex(no uint64) (err error) {
 	defer e.recoverPanic(&err)
 	b, err := cbor.Marshal(no)
@@ -247,17 +247,17 @@
 	return err
 }
 
-// AddLearner asks for a new member that learns, in the place of those of old; Promote gives it a say.
+// AddLearner proposes a learner in place of the members in old.
 func (e *Engine) AddLearner(id uint64, name string, old []uint64) error {
 	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddLearnerNode, id, old)
 }
 
-// Promote gives a learner a say.
+// Promote proposes to make a learner a voter.
 func (e *Engine) Promote(id uint64, name string) error {
 	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddNode, id, nil)
 }
 
-// Remove takes members' say.
+// Remove proposes to remove members.
 func (e *Engine) Remove(old []uint64) error { return e.proposeConfChange(nil, 0, 0, old) }
 
 func (e *Engine) proposeConfChange(n memberNames, how pb.ConfChangeType, id uint64, old []uint64) (err error) {
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -31,7 +31,7 @@
 	return p.Term > q.Term || p.Term == q.Term && p.LastIndex > q.LastIndex
 }
 
-// Empty tells whether nothing stands there.
+// Empty tells whether the image has nothing to save. Remembered alone is not saved.
 func (i *Image) Empty() bool {
 	return len(i.HardState) == 0 && len(i.Snapshot) == 0 && len(i.Entries) == 0
 }
@@ -58,7 +58,7 @@
 		if en.GetIndex() <= e.snapshotIndex {
 			continue
 		}
-		// A later entry of the same place replaces what stood there and behind it.
+		// A later entry of the same index replaces it and all behind it.
 		if n := len(entries); n > 0 && en.GetIndex() <= entries[n-1].GetIndex() {
 			entries = slices.DeleteFunc(entries, func(o *pb.Entry) bool { return o.GetIndex() >= en.GetIndex() })
 		}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Image is the whole log as it should lie on disk.
+// Image returns the complete log as it should lie on disk.
 func (e *Engine) Image() (*Image, error) {
 	hard, _, err := e.store.InitialState()
 	if err != nil {
@@ -126,7 +126,7 @@
 	return image, nil
 }
 
-// discardLogger drops what raft says of itself, but for what it can't go on after; see catch.
+// discardLogger drops raft's log lines; after a fatal one it panics, see recoverPanic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/relay/fleet/node/count.go
+++ b/internal/relay/fleet/node/count.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	countersInterval = 2 * time.Second // a relay tells the voters what it has counted
-	talliesInterval  = time.Second     // a voter tells the others what it knows of a few relays
+	countersInterval = 2 * time.Second // between a relay's tallies to the voters
+	talliesInterval  = time.Second     // between a voter's tallies of talliesAtOnce relays to the others
 	talliesAtOnce    = 4
 )
 
-// sendCounters tells the voters what this relay has counted, and as a voter the others what it knows: any of them can be asked, and what one
-// of them has missed, or lost with its process, the others have.
+// sendCounters sends this relay's tally to the voters, and as a voter some other relays' tallies to the other voters. So any voter
+// can be asked, and what one has missed, or lost with its process, the others have.
 func (n *Node) sendCounters() {
 	if n.counters != nil && n.now >= n.nextCountersAt {
 		n.nextCountersAt = n.now + countersInterval
@@ -34,7 +34,7 @@
 	}
 }
 
-// mergeTallies takes in what relays have counted.
+// mergeTallies merges relays' tallies into a voter's table.
 func (n *Node) mergeTallies(all []quota.Tally) {
 	for i := range all {
 		if n.counterTable != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleTotals answers what all have counted, or takes the answer that an operator waits for.
+// handleTotals answers a request for totals, or hands the answer to the operator who waits for it.
 func (n *Node) handleTotals(from string, s *CounterTotals) {
 	switch {
 	case s.Totals == nil && n.counterTable != nil:
@@ -55,7 +55,7 @@
 	}
 }
 
-// requestTotals answers an operator, or has a voter do so.
+// requestTotals answers an operator's request for totals, or asks a voter to.
 func (n *Node) requestTotals(no uint64) {
 	if n.counterTable != nil {
 		n.handleTotals(n.config.Name, &CounterTotals{RequestNumber: no, Totals: n.counterTable.Totals(n.now)})
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -12,10 +12,10 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// leadership is what a voter keeps while it leads. Nothing of it outlasts its leading: it is told again by pings, and what it
-// can't know of those before it, it waits out.
+// leadership is what a leader keeps for its term. A new leader starts with none of it: lease requests tell it again, and the
+// leases of former leaders it waits out.
 type leadership struct {
-	since           time.Duration // leading, or at most a start ago
+	since           time.Duration // of the leadership; a former leader may have granted leases until then
 	leading         bool
 	relays          map[string]*relayRecord
 	pendingGrants   []pendingGrant // grants that a majority has not confirmed yet
@@ -29,15 +29,15 @@
 	allocator       *quota.Allocator // nil: nothing is shared
 }
 
-// relays is a relay as its pings tell.
+// relayRecord is a relay as its lease requests report it.
 type relayRecord struct {
 	request           LeaseRequest
 	receivedAt        time.Duration
-	leaseOverAt       time.Duration // from then on it surely has no lease from this leader
-	formerIncarnation uint64        // the life before this one, what it sent last, and how often since
+	leaseOverAt       time.Duration // from then on it surely has no lease
+	formerIncarnation uint64        // the incarnation before this one, its newest Seq, and how many it sent since
 	formerSeq         uint64
 	formerRequests    int
-	conflictAt        time.Duration // two relays of one name were seen
+	conflictAt        time.Duration // when two relays of one name were seen last
 }
 
 type pendingGrant struct {
@@ -51,12 +51,13 @@
 	*l = leadership{since: now, relays: map[string]*relayRecord{}, proposedAt: map[string]time.Duration{}}
 }
 
-// maxLeaseDuration is how long a lease that is given now may last on any clock that keeps to the bound.
+// maxLeaseDuration is how long a lease granted now may last by any clock within MaxClockDrift.
 func (n *Node) maxLeaseDuration() time.Duration {
 	return time.Duration(float64(n.config.Lease)*(1+n.config.MaxClockDrift)) + time.Millisecond
 }
 
-// handleLeaseRequest takes a ping. One that leads answers it once a majority has confirmed that it does; others pass it on.
+// handleLeaseRequest takes a lease request. The leader grants it once a majority has confirmed that it still leads; another
+// voter forwards it.
 func (n *Node) handleLeaseRequest(from string, p *LeaseRequest) {
 	if p.Member != 0 {
 		n.rememberPosition(p.Member, consensus.LogPosition{Term: p.Term, LastIndex: p.LastIndex})
@@ -90,7 +91,7 @@
 			return // late, or a duplicate
 		}
 	case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:
-		// Of a former life, which a datagram that was long under way may be; not several new ones.
+		// One of a former incarnation may be a delayed datagram; several with growing Seq show that it still runs.
 		if s.formerIncarnation = p.Incarnation; p.Seq > s.formerSeq {
 			s.formerSeq = p.Seq
 			s.formerRequests++
@@ -118,7 +119,7 @@
 		return
 	}
 	if n.applied.Halted() && p.Stopped < n.applied.Change.Version {
-		// It may still act on the version before: it is told so, and gets no longer lease.
+		// It may still act on the version before: it gets the new state, and its lease is not extended.
 		n.sendGrant(from, p, 0, "", 0)
 		return
 	}
@@ -132,7 +133,7 @@
 
 const sameName = "another relay goes by the same name"
 
-// recordNameConflict notes that two relays go by one name: neither gets a lease for a while.
+// recordNameConflict notes that two relays use one name: neither gets a lease for two lease durations.
 func (n *Node) recordNameConflict(s *relayRecord, p *LeaseRequest) {
 	if s.conflictAt == 0 || n.now-s.conflictAt > n.maxLeaseDuration() {
 		n.log("two relays with the same name", "relay", p.From)
@@ -140,12 +141,13 @@
 	s.conflictAt = n.now
 }
 
-// rejectFormerIncarnation tells a relay that a later life of its name has been heard.
+// rejectFormerIncarnation answers a relay of whose name a later incarnation is known.
 func (n *Node) rejectFormerIncarnation(via string, p *LeaseRequest, newest uint64) {
 	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: p.From, Generation: p.Generation, Incarnation: p.Incarnation, Seq: p.Seq, Rejected: sameName, NewestGeneration: newest}})
 }
 
-// sendGrant tells a relay what has been agreed on, and lends it a lease upon a ping that came at a time, and what it may spend with it.
+// sendGrant answers a lease request that arrived at came: with the lease, 0 for none, the state if it is newer than the relay's,
+// and the relay's quota shares.
 func (n *Node) sendGrant(via string, p *LeaseRequest, lease time.Duration, refused string, came time.Duration) {
 	g := &LeaseGrant{To: p.From, Generation: p.Generation, Incarnation: p.Incarnation, Seq: p.Seq, Lease: lease, Epoch: n.applied.Epoch, Index: n.applied.Index,
 		Rejected: refused, Progress: n.progress}
@@ -162,7 +164,7 @@
 	n.send(via, &Message{LeaseGrant: g})
 }
 
-// stepLeader does a leader's work.
+// stepLeader does a leader's work in a Step.
 func (n *Node) stepLeader() {
 	l := &n.leadership
 	if !l.leading {
@@ -177,7 +179,7 @@
 		l.nextReadAt = n.now + readIndexInterval
 		l.readRequests++
 		_ = n.engine.ReadIndex(l.readRequests)
-		if n.processReady() != nil { // a leader that is alone has its own word at once
+		if n.processReady() != nil { // a single voter confirms its leadership at once
 			return
 		}
 	}
@@ -202,7 +204,7 @@
 	}
 }
 
-// proposeOnce puts a command to the log, and again if it does not come back.
+// proposeOnce proposes a command, and again only if it was not committed within reproposeInterval. The key names the command.
 func (n *Node) proposeOnce(key string, c *policy.Command) {
 	if at, ok := n.leadership.proposedAt[key]; ok && n.now-at < reproposeInterval {
 		return
@@ -220,7 +222,7 @@
 	}
 }
 
-// advanceChange brings the change under way to its next step, once every relay has said what that asks for, or can't act any more.
+// advanceChange moves the change under way to its next phase, once every relay has answered for this one or its lease is over.
 func (n *Node) advanceChange() {
 	ch := n.applied.Change
 	if ch == nil {
@@ -285,7 +287,7 @@
 	}
 }
 
-// broadcastState tells all relays of news, and while a change is under way those again that may not have heard.
+// broadcastState sends a new state to all relays, and during a change again to those that have not reported it.
 func (n *Node) broadcastState() {
 	s := n.applied
 	if len(s.Roster) == 0 {
@@ -310,7 +312,7 @@
 	}
 }
 
-// reconcileMembers brings those who have a say in line with the configuration, one change at a time.
+// reconcileMembers moves the voters towards those of the configuration, one change at a time.
 func (n *Node) reconcileMembers() {
 	e := n.engine
 	if e.InJointConfig() {
@@ -358,7 +360,8 @@
 	}
 }
 
-// propose puts a change to the log: at the leader, or by a voter to it.
+// propose proposes a command by this relay's engine. Without one, or without a leader, it asks a voter to, if the command is
+// its own.
 func (n *Node) propose(c *policy.Command, own bool) {
 	switch {
 	case n.engine != nil && !n.probation && n.engine.Leader() != 0:
@@ -374,7 +377,7 @@
 	}
 }
 
-// handleAdminRequest answers an operator.
+// handleAdminRequest carries out and answers an operator's request.
 func (n *Node) handleAdminRequest(a *AdminRequest) {
 	no := ""
 	switch a.Op {
@@ -413,7 +416,7 @@
 	n.emit(Action{Answer: st, RequestNumber: a.Number})
 }
 
-// bootstrap begins a group of members anew, with this relay as the only one.
+// bootstrap begins a new voters' group, with this relay as its only member. It returns why it can't; empty: it has.
 func (n *Node) bootstrap(s *policy.State, index, term uint64) string {
 	id := n.random() | 1
 	s.Index, s.Members = index, map[uint64]string{id: n.config.Name}
@@ -429,7 +432,7 @@
 	return ""
 }
 
-// Status is what this relay knows.
+// Status returns what this relay knows.
 func (n *Node) Status() *Status {
 	st := &Status{Relay: n.config.Name, Generation: n.config.Generation, Leader: n.leader, State: n.newest, Progress: n.progress,
 		MayAct: n.mandate.Until > n.now && n.mandate.Halted == 0, LeaseLeft: max(n.leaseUntil-n.now, 0), WhyNot: n.mandate.WhyNot}
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -1,6 +1,11 @@
-// Package node is one relay's part in its fleet: agreement, policy, leases and who may act, in one Step that is handed the
-// time and what has happened and returns what is to be done. It does no I/O, reads no clock and starts no goroutine; the
-// daemon, the lab and the explorer drive the same code.
+// Package node is one relay's member of its fleet: consensus, policy, leases and the mandate to act, in one Step that is handed
+// the time and events and returns actions. It does no I/O, reads no clock and starts no goroutine. Package peer drives it in the
+// daemon, package simulation in tests; both must carry out the actions in their order.
+//
+// A Node owns its consensus.Engine, if it is a voter, and what it knows of the fleet's state. It must be driven by one goroutine
+// at a time. Design: docs/design/fleet-policy.md and docs/design/shared-state.md.
+//
+// Files: node.go is what every relay does, voter.go what a voter does, leader.go what the leader does, count.go the counters.
 package node
 
 import (
@@ -11,7 +16,7 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Message is what relays of a fleet tell each other; one field is set. The fields' numbers are never given to another.
+// Message is a message between relays of a fleet; one field is set. A field's number is never reused.
 type Message struct {
 	Raft          *Raft           `cbor:"1,keyasint,omitempty"`
 	LeaseRequest  *LeaseRequest   `cbor:"2,keyasint,omitempty"`
@@ -25,31 +30,31 @@
 
 // CounterTotals asks a voter what all relays have counted, or answers.
 type CounterTotals struct {
-	RequestNumber uint64        `cbor:"1,keyasint"` // of the ask
+	RequestNumber uint64        `cbor:"1,keyasint"` // of the operator's request
 	Totals        *quota.Totals `cbor:"2,keyasint,omitempty"`
 }
 
-// Raft is a message of the engine's.
+// Raft is a message between the engines of two voters.
 type Raft struct {
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
 	Data []byte `cbor:"3,keyasint"`
 }
 
-// LeaseRequest asks the leader for a lease, and tells it where its sender stands. A voter that does not lead passes it on.
+// LeaseRequest asks the leader for a lease, and reports how far its sender is. Another voter forwards it to the leader.
 type LeaseRequest struct {
 	From        string   `cbor:"1,keyasint"`
 	Generation  uint64   `cbor:"2,keyasint"` // grows with each start of the relay
 	Incarnation uint64   `cbor:"3,keyasint"` // drawn at each start: tells two relays of one name apart
 	Seq         uint64   `cbor:"4,keyasint"`
-	Epoch       uint64   `cbor:"5,keyasint,omitempty"` // of what it knows
+	Epoch       uint64   `cbor:"5,keyasint,omitempty"` // of the newest state that it knows
 	Index       uint64   `cbor:"6,keyasint,omitempty"`
-	Stopped     uint64   `cbor:"7,keyasint,omitempty"` // it acts on nothing before that version is in force
+	Stopped     uint64   `cbor:"7,keyasint,omitempty"` // it has halted until that version is in force
 	Verdict     *Verdict `cbor:"8,keyasint,omitempty"`
-	Member      uint64   `cbor:"9,keyasint,omitempty"` // of a voter, or of one that would be
+	Member      uint64   `cbor:"9,keyasint,omitempty"` // id of a voter, or of a relay that is to become one
 	Term        uint64   `cbor:"10,keyasint,omitempty"`
 	LastIndex   uint64   `cbor:"11,keyasint,omitempty"`
-	Forwarded   bool     `cbor:"12,keyasint,omitempty"` // it was passed on once, or is only for the record
+	Forwarded   bool     `cbor:"12,keyasint,omitempty"` // by a voter; from the sender itself: only its log position is to be remembered
 
 	QuotaRequest *quota.Request `cbor:"13,keyasint,omitempty"` // nil: it shares nothing
 }
@@ -60,24 +65,24 @@
 	Reason  string `cbor:"2,keyasint,omitempty"` // why not; empty: it can
 }
 
-// LeaseGrant answers a ping.
+// LeaseGrant answers a LeaseRequest.
 type LeaseGrant struct {
 	To               string        `cbor:"1,keyasint"`
 	Generation       uint64        `cbor:"2,keyasint"`
 	Incarnation      uint64        `cbor:"3,keyasint"`
-	Seq              uint64        `cbor:"4,keyasint"` // of the ping, from whose sending on the lease counts
+	Seq              uint64        `cbor:"4,keyasint"` // of the request; the lease counts from when that was sent
 	Lease            time.Duration `cbor:"5,keyasint,omitempty"`
 	Epoch            uint64        `cbor:"6,keyasint"`
-	Index            uint64        `cbor:"7,keyasint"` // the lease is for whoever knows this
+	Index            uint64        `cbor:"7,keyasint"` // the lease counts only with a state at least as new
 	State            *policy.State `cbor:"8,keyasint,omitempty"`
 	Rejected         string        `cbor:"9,keyasint,omitempty"`
-	NewestGeneration uint64        `cbor:"11,keyasint,omitempty"` // a later generation of the name that was heard
+	NewestGeneration uint64        `cbor:"11,keyasint,omitempty"` // of the relay's name, where it is higher than the requester's
 	Progress         *Progress     `cbor:"10,keyasint,omitempty"`
 
 	QuotaGrant *quota.Grant `cbor:"12,keyasint,omitempty"` // for as long as the lease
 }
 
-// StateUpdate tells what has been agreed on, unasked.
+// StateUpdate is the leader's broadcast of the committed state.
 type StateUpdate struct {
 	State    *policy.State `cbor:"1,keyasint"`
 	Progress *Progress     `cbor:"2,keyasint,omitempty"`
@@ -93,7 +98,7 @@
 	Within  time.Duration `cbor:"6,keyasint,omitempty" json:"within_ns,omitempty"`
 }
 
-// PositionQuery asks, or answers, what is remembered of a member: one that has forgotten must not vote.
+// PositionQuery asks, or answers, which log position is remembered of a member: one that has lost entries must not vote.
 type PositionQuery struct {
 	Member    uint64 `cbor:"1,keyasint"`
 	Answer    bool   `cbor:"2,keyasint,omitempty"`
@@ -105,16 +110,16 @@
 type Event struct {
 	From           string   // a relay whose message this is
 	Message        *Message // not to be changed any more
-	HaltedFor      uint64   // the core has stopped for that version, and begins nothing under the one before
+	HaltedFor      uint64   // the core has halted for that version, and begins nothing under the one before
 	Verdict        *Verdict // a check that was asked for is done
 	AdminRequest   *AdminRequest
 	SaveFailed     error                 // what was to be saved is not on disk
 	Demands        *[]quota.Demand       // of this relay, now
-	Counters       *map[quota.Key]uint64 // of this life
-	ConfirmedLease *[2]uint64            // the core goes by that loan (LeaseLeft's By and Reason), and by none before
+	Counters       *map[quota.Key]uint64 // of this incarnation
+	ConfirmedLease *[2]uint64            // the core goes by that quota.Lease (its Term and Number), and by none before
 }
 
-// AdminRequest is an operator's word, by the command line at this relay.
+// AdminRequest is an operator's request, by the command line at this relay.
 type AdminRequest struct {
 	Number  uint64 `cbor:"1,keyasint"` // by which the answer is known
 	Op      string `cbor:"2,keyasint"` // status, propose, found, force, roster
@@ -126,16 +131,16 @@
 
 // Action is something to be done; one field is set. Actions are carried out in their order, and none after a Save that fails.
 type Action struct {
-	Save          *consensus.Image // on disk, synced; with Member: of a new member, all before is void
+	Save          *consensus.Image // to be on disk, synced; with Member: of a new member, all before is void
 	Member        uint64
-	Generation    uint64 // to be on disk before anything else leaves: its folder had forgotten how often it was started
+	Generation    uint64 // to be on disk before any message leaves, see raiseGeneration
 	To            string // a relay that Message goes to
 	Message       *Message
 	Check         *policy.Change // may this relay apply it?
 	Mandate       *Mandate
 	Lease         *quota.Lease // what the core may spend from now on
 	Answer        *Status
-	RequestNumber uint64 // of the ask that Answer is for
+	RequestNumber uint64 // of the operator's request that Answer is for
 	Log           string
 	Fields        []any
 }
@@ -145,8 +150,8 @@
 	Version uint64
 	Doc     []byte
 	Until   time.Duration // 0: not at all
-	Halted  uint64        // actions on nothing, and says so: this version is about to be in force
-	WhyNot  string        // it may not act
+	Halted  uint64        // not 0: it must not act, as this version is about to be in force
+	WhyNot  string        // why it must not act; empty: it may
 }
 
 // Status is what a relay knows, for operators.
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -9,53 +9,53 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Config is what a relay is told of its fleet at its start.
+// Config is a relay's configuration of its fleet, fixed from its start on.
 type Config struct {
 	Name                 string
 	Generation           uint64 // grows with each start
 	Incarnation          uint64 // drawn at each start
 	Seed                 uint64
-	Member               uint64   // of the image; drawn with each new folder
-	Voters               []string // relays that should have a say
-	Roster               []string // all relays of the fleet; for its founding, and when an operator says so
+	Member               uint64   // id in the voters' group; drawn with each new folder
+	Voters               []string // relays that are to be voters
+	Roster               []string // all relays of the fleet; used when it is bootstrapped, and on an operator's request
 	Lease                time.Duration
 	MaxClockDrift        float64 // how much faster or slower than another's a relay's clock may run, as a share
-	ServeWhenPartitioned bool    // a relay that is cut off goes on acting on what it knows
-	GuaranteedShare      float64 // of each right, that is all relays' own and never lent; 0: nothing is shared
-	Zone                 int     // where it stands, for what relays tell each other of destinations
+	ServeWhenPartitioned bool    // a partitioned relay goes on acting on what it knows
+	GuaranteedShare      float64 // of each limit, that is split evenly and never leased to others; 0: no limits are shared
+	Zone                 int     // for verdicts on destinations, which count by zone
 }
 
 const (
-	requestsPerLease    = 8                      // pings in a lease
+	requestsPerLease    = 8                      // lease requests in a lease
 	rebroadcastInterval = 50 * time.Millisecond  // while a change is under way, to those that may not have heard
 	retryInterval       = 100 * time.Millisecond // for a lease, by one that has none, and for what others remember
-	readIndexInterval   = 20 * time.Millisecond  // a majority's word for leases
+	readIndexInterval   = 20 * time.Millisecond  // between confirmations of the leadership by a majority
 	reproposeInterval   = 500 * time.Millisecond // a command that did not come back from the log
-	maxMissingNames     = 8                      // names in a progress
-	recallLeases        = 3                      // for which a voter that starts waits for what all others remember of it
+	maxMissingNames     = 8                      // in a Progress
+	recallLeases        = 3                      // for which a starting voter waits for all others' PositionQuery answers
 	maxRemembered       = 32                     // members
 	checkLeases         = 10                     // leases that a relay may take to check a change
 )
 
-// Node is one relay's part. It is not safe for concurrent use.
+// Node is one relay's member of the fleet. It is not safe for concurrent use.
 type Node struct {
 	config         Config
 	now            time.Duration
 	actions        []Action
 	random64       uint64
-	engine         *consensus.Engine // nil: it has no say, and learns from those who have
-	votingDisabled string            // why it will have none in this life
+	engine         *consensus.Engine // nil: it is no voter, and learns the state from the voters
+	votingDisabled string            // not empty: why it is no voter until its next start
 
 	applied *policy.State // what the engine has applied
 	newest  *policy.State // the newest that is known, from the engine or from others
 
-	// As one that acts.
+	// As every relay.
 	requestSeq       uint64
-	pendingRequests  map[uint64]time.Duration // when pings were sent that are not answered
+	pendingRequests  map[uint64]time.Duration // when unanswered lease requests were sent, by Seq
 	nextRequestAt    time.Duration
-	grantedAt        time.Duration // when a ping was last answered
+	grantedAt        time.Duration // when a lease request was last answered
 	voterIndex       int           // the voter that is asked
-	leaseUntil       time.Duration // of the lease; 0: none in this life
+	leaseUntil       time.Duration // of the lease; 0: none in this incarnation
 	leaseIndex       uint64        // that the lease asks for
 	rejected         string
 	generationRaises int // how often its generation was found to be an old one
@@ -63,7 +63,7 @@
 	progress         *Progress
 	verdict          *Verdict // on the change under way
 	current          *Verdict // on what is in force
-	haltedFor        uint64   // the core has stopped for that version
+	haltedFor        uint64   // the core has halted for that version
 	checksStarted    [2]uint64
 	mandate          Mandate
 	mandateSent      bool
@@ -72,19 +72,19 @@
 	nextCountersAt   time.Duration
 
 	// As a voter.
-	probation           bool // no vote until others have said which position they remember of it
+	probation           bool // no vote until others have answered which log position they remember of it
 	positionAnswers     map[string]bool
 	startedAt           time.Duration
 	nextPositionQueryAt time.Duration
-	remembered          map[uint64]consensus.LogPosition // what others' members have shown
-	memberRelays        map[uint64]string                // where members were heard from that the state does not name yet
+	remembered          map[uint64]consensus.LogPosition // newest log position that each other member has shown
+	memberRelays        map[uint64]string                // the relay of each member that was heard from, also where the state does not name it yet
 	counterTable        *quota.CounterTable
 	nextTalliesAt       time.Duration
 
 	leadership leadership
 }
 
-// New returns a relay's part with what lies on its disk.
+// New returns a relay's node, recovered from what lies on its disk.
 func New(cfg Config, image *consensus.Image, now time.Duration) (*Node, error) {
 	n := &Node{config: cfg, now: now, random64: cfg.Seed | 1, applied: &policy.State{}, newest: &policy.State{}, pendingRequests: map[uint64]time.Duration{},
 		positionAnswers: map[string]bool{}, remembered: map[uint64]consensus.LogPosition{}, memberRelays: map[uint64]string{}, startedAt: now}
@@ -140,7 +140,7 @@
 	}
 	n.stepRelay()
 	if n.engine != nil && n.engine.IsLeader() {
-		n.stepVoter() // what it has told itself
+		n.stepVoter() // its lease request to itself
 	}
 	return n.actions
 }
@@ -180,7 +180,7 @@
 		n.counters = *ev.Counters
 	case ev.ConfirmedLease != nil && n.lessee != nil:
 		n.lessee.Confirm(ev.ConfirmedLease[0], ev.ConfirmedLease[1])
-		n.nextRequestAt = min(n.nextRequestAt, n.now+rebroadcastInterval) // what it holds no more is others' then
+		n.nextRequestAt = min(n.nextRequestAt, n.now+rebroadcastInterval) // what it no longer goes by is free for others then
 	case ev.SaveFailed != nil:
 		n.disableVoting(ev.SaveFailed.Error())
 	case ev.AdminRequest != nil:
@@ -225,7 +225,7 @@
 	}
 }
 
-// adoptState takes what has been agreed on, if it is news.
+// adoptState takes over a committed state if it is newer.
 func (n *Node) adoptState(s *policy.State) {
 	if s.NewerThan(n.newest.Epoch, n.newest.Index) {
 		if n.newest.Epoch != 0 && s.Epoch > n.newest.Epoch && n.engine != nil && s.Members[n.engine.ID] == "" {
@@ -235,7 +235,7 @@
 	}
 }
 
-// stepRelay does what every relay does: it asks for leases, checks what is proposed, and tells the core where it stands.
+// stepRelay does what every relay does: it requests leases, checks proposed changes, and updates the core's mandate.
 func (n *Node) stepRelay() {
 	s := n.newest
 	if ch := s.Change; ch == nil {
@@ -263,7 +263,7 @@
 	}
 }
 
-// updateMandate tells the core what it may do, where that has changed.
+// updateMandate hands the core a new mandate where it has changed.
 func (n *Node) updateMandate() {
 	s := n.newest
 	st := Mandate{Version: s.Version, Doc: s.Doc, Until: n.leaseUntil}
@@ -280,13 +280,13 @@
 	case s.Version != 0 && n.current.Reason != "":
 		st.Until, st.WhyNot = 0, "it can't apply the policy in force: "+n.current.Reason
 	case n.rejected != "" && !n.config.ServeWhenPartitioned:
-		st.WhyNot = n.rejected // the lease it has runs out
+		st.WhyNot = n.rejected // the current lease still runs out
 	}
 	if s.Halted() {
 		st.Halted = s.Change.Version
 	}
 	if st.Until != 0 && n.config.ServeWhenPartitioned && n.rejected == "" {
-		st.Until = n.now + 24*time.Hour // cut off, it goes on
+		st.Until = n.now + 24*time.Hour // partitioned, it goes on
 		if n.mandateSent && n.mandate.Until-n.now > 12*time.Hour {
 			st.Until = n.mandate.Until
 		}
@@ -301,7 +301,7 @@
 	n.emit(Action{Mandate: &st})
 }
 
-// requestLease asks for a lease.
+// requestLease sends a lease request to the leader, or to a voter that forwards it.
 func (n *Node) requestLease() {
 	gap := n.config.Lease / requestsPerLease
 	if n.now-n.grantedAt > 2*gap && n.requestSeq > 0 && len(n.config.Voters) > 0 {
@@ -332,7 +332,7 @@
 		p.Term, p.LastIndex = at.Term, at.LastIndex
 		record := p
 		record.Forwarded, record.QuotaRequest = true, nil
-		for _, name := range n.config.Voters { // what it has shown must be remembered by more than one
+		for _, name := range n.config.Voters { // its log position must be remembered by more than the leader
 			n.send(name, &Message{LeaseRequest: &record})
 		}
 		if n.engine.IsLeader() && !n.probation {
@@ -349,8 +349,9 @@
 	}
 }
 
-// raiseGeneration begins this life anew above a later one of its name: a folder that was lost, or restored, does not know how often
-// the relay was started. Two relays of one name would outdo each other for ever: they stay refused.
+// raiseGeneration begins a new incarnation with a generation above newest, which was heard of this relay's name: a folder that was
+// lost, or restored, does not know how often the relay was started. Two relays of one name would outbid each other for ever, so
+// that it does so twice at most.
 func (n *Node) raiseGeneration(newest uint64) {
 	if n.generationRaises++; n.generationRaises > 2 {
 		if n.generationRaises == 3 {
@@ -364,11 +365,12 @@
 	n.emit(Action{Generation: n.config.Generation})
 }
 
-// handleLeaseGrant takes a lease: it counts from when its ping was sent, and ends a little sooner than its giver thinks.
+// handleLeaseGrant takes a lease. It counts from when its request was sent, and is shortened by the clocks' drift, so that it
+// always ends before the leader takes it for over.
 func (n *Node) handleLeaseGrant(from string, g *LeaseGrant) {
 	at, ok := n.pendingRequests[g.Seq]
 	if !ok || g.Generation != n.config.Generation || g.Incarnation != n.config.Incarnation {
-		return // of a former life, or answered
+		return // of a former incarnation, or answered
 	}
 	n.grantedAt, n.leader, n.progress = n.now, from, g.Progress
 	if g.State != nil {
--- a/internal/relay/fleet/node/voter.go
+++ b/internal/relay/fleet/node/voter.go
@@ -11,19 +11,19 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// disableVoting ends this relay's say for this life: what it promised is not on disk.
+// disableVoting makes this relay no voter until its next start: what its engine must remember is not on disk.
 func (n *Node) disableVoting(why string) {
 	if n.engine == nil {
 		return
 	}
-	// What only the engine knew may not have been agreed on: it is learned anew.
+	// What only the engine knew may not be committed: it is learned anew.
 	n.engine, n.votingDisabled, n.applied = nil, why, &policy.State{}
 	n.newest, n.leaseUntil, n.leaseIndex = &policy.State{}, 0, 0
 	n.leadership.reset(n.now)
 	n.log("voting disabled until restart", "err", why)
 }
 
-// rejoinAsNewMember has this relay come back as a new member: what the old one promised, it may have forgotten.
+// rejoinAsNewMember makes this relay a new member of the voters' group, as the old one may have forgotten votes and entries.
 func (n *Node) rejoinAsNewMember(why string) {
 	id := n.random() | 1
 	e, err := consensus.New(id, n.random(), &consensus.Image{}, n.now)
@@ -37,7 +37,7 @@
 	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
 }
 
-// stepVoter does a voter's work: it keeps the engine going, and the fleet too where it leads.
+// stepVoter does a voter's work in a Step: it drives the engine, and leads the fleet where it is the leader.
 func (n *Node) stepVoter() {
 	if n.probation {
 		n.queryPositions()
@@ -63,7 +63,7 @@
 	n.adoptState(n.applied)
 }
 
-// processReady takes what the engine has ready.
+// processReady turns the engine's Ready into actions.
 func (n *Node) processReady() error {
 	out, err := n.engine.Ready(n.now, n.apply, n.restoreState, n.encodeState)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// rememberPosition keeps what a member has shown to hold, on disk with the next save.
+// rememberPosition keeps the newest log position that a member has shown; it is on disk with the next save.
 func (n *Node) rememberPosition(member uint64, p consensus.LogPosition) {
 	if !p.After(n.remembered[member]) {
 		return
@@ -152,7 +152,8 @@
 	}
 }
 
-// queryPositions asks the other voters what they remember of this one, before it has a say: its folder may be an older copy.
+// queryPositions asks the other voters which log position they remember of this one before it votes: its folder may be an older
+// copy.
 func (n *Node) queryPositions() {
 	others := 0
 	for _, name := range n.config.Voters {
@@ -166,7 +167,7 @@
 	if n.now >= n.nextPositionQueryAt {
 		n.nextPositionQueryAt = n.now + retryInterval
 	}
-	// Half of the others, and itself, are a majority; all are asked for, but nobody waits for ever for the silent.
+	// Half of the others and itself are a majority. It waits for all others' answers, but only for recallLeases leases.
 	if got := len(n.positionAnswers); got >= others || got >= (others+1)/2 && n.now-n.startedAt > recallLeases*n.config.Lease {
 		n.probation = false
 	}
@@ -188,7 +189,7 @@
 	n.positionAnswers[from] = true
 }
 
-// Voters is how many members have a say, as far as this relay's engine knows.
+// Voters is the number of voters, as far as this relay's engine knows.
 func (n *Node) Voters() int {
 	if n.engine == nil {
 		return 0
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -11,10 +11,10 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// answerTimeout is how long an answer is waited for before the question is put once more: datagrams get lost.
+// answerTimeout is how long an answer is waited for before the request is repeated: datagrams get lost.
 const answerTimeout = 300 * time.Millisecond
 
-// Ask puts an operator's question to the relay of this configuration, on this machine, until it answers or ctx ends.
+// Ask sends an operator's request to the relay of this configuration, on this machine, until it answers or ctx ends.
 func Ask(ctx context.Context, cfg *config.Peers, q node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
--- a/internal/relay/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -36,7 +36,7 @@
 	Image  *consensus.Image `cbor:"2,keyasint"`
 }
 
-// disk is the folder of a relay's part in its fleet: all of it is synced before it is spoken of.
+// disk is the folder of a relay's member of the fleet. Every write is synced before anything that depends on it leaves.
 type disk struct {
 	dir    string
 	id     identity
@@ -79,7 +79,7 @@
 		return d, image, why, d.rewrite(&consensus.Image{Complete: true})
 	}
 	if d.file, err = os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
-		err = d.file.Truncate(d.size) // a torn tail was never spoken of
+		err = d.file.Truncate(d.size) // nothing that left depended on a torn tail
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -18,7 +18,7 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Fleet is this relay's part in its fleet while the process runs. One goroutine owns the node.
+// Fleet is this relay's member of its fleet while the process runs. One goroutine owns the node.
 type Fleet struct {
 	config       *config.Peers
 	rules        *Rules
@@ -31,7 +31,7 @@
 	applyMandate func(node.Mandate, Times, func())
 	core         Core // nil: nothing is shared
 
-	addresses   map[string]netip.AddrPort // of peers
+	addresses   map[string]netip.AddrPort // of peers, by name
 	generations map[string]uint64         // the newest that was heard of each
 	events      chan node.Event
 	packets     chan packet
@@ -39,15 +39,15 @@
 	ended       chan struct{}
 	done        chan struct{}
 
-	adminClients  map[uint64]adminClient // by the number of their ask here
+	adminClients  map[uint64]adminClient // by the number that their request has here
 	lastRequest   uint64
-	droppedFrames map[string]int // of frames dropped, by fault
+	droppedFrames map[string]int // by error text
 	sendBuffer    []byte
 
 	observedKeys  atomic.Pointer[map[quota.Key]observedKey]
-	lease         *quota.Lease // by the fleet last; nil: nothing yet
+	lease         *quota.Lease // the newest; nil: none yet
 	leaseAt       time.Duration
-	halted        bool // the core was told last that it is
+	halted        bool // as the core was notified last
 	nextObserveAt time.Duration
 }
 
@@ -76,14 +76,14 @@
 }
 
 const (
-	maxPackets      = 256 // that wait to be read, and events beside them
+	maxPackets      = 256 // queue length of packets, and of events; also the maximum a Step takes
 	maxAdminClients = 64
 )
 
-// Open takes the relay's place in its fleet; stand is told what it may do, and calls back once that holds.
-func Open(cfg *config.Config, rules *Rules, log *slog.Logger, core Core, stand func(node.Mandate, Times, func())) (*Fleet, error) {
+// Open joins the relay to its fleet. applyMandate is called with each new mandate, and calls back once the core acts by it.
+func Open(cfg *config.Config, rules *Rules, log *slog.Logger, core Core, applyMandate func(node.Mandate, Times, func())) (*Fleet, error) {
 	p := cfg.Peers
-	f := &Fleet{config: p, rules: rules, log: log, applyMandate: stand, addresses: map[string]netip.AddrPort{}, generations: map[string]uint64{},
+	f := &Fleet{config: p, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{}, generations: map[string]uint64{},
 		events: make(chan node.Event, maxPackets), packets: make(chan packet, maxPackets), ended: make(chan struct{}),
 		done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{}, startedAt: time.Now()}
 	zone := max(0, cfg.Settings.Zone)
@@ -116,7 +116,7 @@
 	}
 	f.node, err = node.New(node.Config{Name: p.Name, Generation: disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: disk.member, Voters: p.Voters,
 		Roster: p.Roster(), Lease: p.Lease, MaxClockDrift: p.Drift, ServeWhenPartitioned: p.ServeWhenPartitioned, GuaranteedShare: p.GuaranteedShare, Zone: zone}, image, f.now())
-	if err != nil { // what lies there is sound but makes no sense
+	if err != nil { // the records are intact but contradict each other
 		log.Error("rejoining fleet as new member", "err", err)
 		disk.member = randomUint64() | 1
 		if err = disk.rewrite(emptyImage()); err == nil {
@@ -146,7 +146,7 @@
 	return time.Duration(float64(time.Since(f.startedAt))*clockRate) + time.Millisecond
 }
 
-// Close ends the relay's part: its lease runs out by itself.
+// Close leaves the fleet; the lease expires by itself.
 func (f *Fleet) Close() {
 	close(f.ended)
 	_ = f.conn.Close()
@@ -172,7 +172,7 @@
 	}
 }
 
-// post hands an event to the node's goroutine, from others.
+// post hands an event from another goroutine to the node's.
 func (f *Fleet) post(ev node.Event) {
 	select {
 	case f.events <- ev:
@@ -221,7 +221,7 @@
 	}
 }
 
-// receive reads a datagram. Whatever is not a peer's word of today is counted and dropped.
+// receive decodes a datagram and appends its event. One that is no message of a peer's current incarnation is counted and dropped.
 func (f *Fleet) receive(p packet, events []node.Event) []node.Event {
 	fr, kind, err := unpack((*p.buffer)[:p.size])
 	f.buffers.Put(p.buffer)
@@ -241,7 +241,7 @@
 		err = errUnknownPeer
 	case fr.To != f.config.Name:
 		err = errOtherRelay
-	case fr.Generation < f.generations[fr.From] && fr.Message.LeaseRequest == nil: // of pings the leader tells two relays of one name apart
+	case fr.Generation < f.generations[fr.From] && fr.Message.LeaseRequest == nil: // by lease requests the leader tells two relays of one name apart
 		err = errFormerIncarnation
 	}
 	if err != nil {
@@ -254,7 +254,7 @@
 	return append(events, node.Event{From: fr.From, Message: fr.Message})
 }
 
-// execute carries out a step's actions in their order. After a save that failed nothing more is: it returns why.
+// execute carries out a Step's actions in their order, up to a save that fails, whose error it returns.
 func (f *Fleet) execute(actions []node.Action) error {
 	for i := range actions {
 		a := &actions[i]
--- a/internal/relay/fleet/peer/frame.go
+++ b/internal/relay/fleet/peer/frame.go
@@ -1,5 +1,8 @@
-// Package peer joins a relay's part in its fleet to the world: datagrams to its peers, its folder, its clock, the core and
-// operators' commands. It is the only part of the daemon's fleet that has I/O, a clock and goroutines.
+// Package peer runs a relay's node.Node in the daemon: datagrams to its peers, its folder, its clock, the relay's core and operators'
+// commands. It is the only package of the fleet in the daemon that has I/O, a clock and goroutines; cmd/mastusher calls it.
+//
+// One goroutine, Fleet.run, owns the node, the folder and all maps of a Fleet; another reads datagrams and hands them over by a
+// channel. Checks of a policy run on goroutines of their own and post their verdicts.
 package peer
 
 import (
@@ -27,7 +30,7 @@
 	kindAnswer = 3
 )
 
-// frame is what a datagram carries. The fields' numbers are never given to another.
+// frame is the content of a datagram. A field's number is never reused.
 type frame struct {
 	Fleet         string             `cbor:"1,keyasint"`
 	From          string             `cbor:"2,keyasint,omitempty"`
@@ -36,7 +39,7 @@
 	Message       *node.Message      `cbor:"5,keyasint,omitempty"`
 	AdminRequest  *node.AdminRequest `cbor:"6,keyasint,omitempty"`
 	Answer        *node.Status       `cbor:"7,keyasint,omitempty"`
-	RequestNumber uint64             `cbor:"8,keyasint,omitempty"` // of the ask that Answer is for
+	RequestNumber uint64             `cbor:"8,keyasint,omitempty"` // of the request that Answer is for
 }
 
 // Faults of frames: each is counted under its text.
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -131,7 +131,7 @@
 	return &c
 }
 
-// Mandate is what the core is told: the document laid over the relay's own file.
+// Mandate is the core's mandate: the document laid over the relay's own file.
 func (r *Rules) Mandate(s node.Mandate) (capture.Mandate, error) {
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &r.cfg.Settings
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -12,23 +12,23 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Core is what a fleet's part has to do with its relay's core, where the fleet shares limits.
+// Core is the relay's core as the fleet uses it where limits are shared.
 type Core interface {
 	Observe(tell func([]engine.Observation, map[string]uint64))
 	GrantQuota(s control.SharedLimits, until time.Time, done func())
 }
 
-// observedKey is how a key stands at this relay.
+// observedKey names what a key stands for at this relay.
 type observedKey struct {
 	name   string
 	tenant int // -1: a destination's
 	at     uint32
 }
 
-// observationsPerLease is how often in a lease a relay's core is asked what it needs.
+// observationsPerLease is how often in a lease the core's demands are observed.
 const observationsPerLease = 8
 
-// observeCore asks the core what it needs. The answer comes with an event, or not at all where this relay can't keep up.
+// observeCore asks the core for its demands. They come with an event, or not at all where this relay can't keep up.
 func (f *Fleet) observeCore() {
 	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
 		needs, sights := demandsOf(all)
@@ -91,13 +91,13 @@
 	}
 }
 
-// setLease has the core go by what the fleet lends this relay.
+// setLease makes the core go by a new quota lease.
 func (f *Fleet) setLease(s *quota.Lease) {
 	f.lease, f.leaseAt = s, f.now()
 	f.grantQuota()
 }
 
-// grantQuota tells the core what it may spend now of what this relay was lent last.
+// grantQuota hands the core what it may spend now by the newest lease.
 func (f *Fleet) grantQuota() {
 	s := f.lease
 	if s == nil {
@@ -115,7 +115,7 @@
 	f.core.GrantQuota(out, Times{f.startedAt}.At(s.Expires), func() { f.post(node.Event{ConfirmedLease: &goes}) })
 }
 
-// sharedLimits is what a relay was lent some time ago, as its core is told it.
+// sharedLimits converts a lease of some time ago for the core; ages and waits are as of now.
 func sharedLimits(s *quota.Lease, sights map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
 	out := control.SharedLimits{GuaranteedShare: s.Minimum, KeepsGuaranteed: s.MinimumLasts}
 	for _, p := range s.Shares {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// quotaStatus is what the core goes by, for operators.
+// quotaStatus is the lease that the core goes by, for operators.
 func (f *Fleet) quotaStatus() *node.QuotaStatus {
 	s := f.lease
 	if s == nil {
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestHaltedSpends: given a relay that was lent parts, when it is halted, then its core spends next to nothing from right after that until
-// right before it goes on; a loan that comes meanwhile counts from then on only.
+// right before it goes on; a lease that comes meanwhile counts from then on only.
 func TestHaltedSpends(t *testing.T) {
 	// Given
 	core := &wordsToCore{}
--- a/internal/relay/fleet/policy/document.go
+++ b/internal/relay/fleet/policy/document.go
@@ -18,7 +18,7 @@
 const (
 	// Format is the newest format of documents that is understood.
 	Format = 1
-	// MostBytes is how long a document may be: with all else a datagram carries it whole.
+	// MostBytes bounds the length of a document: a datagram must carry it with all else.
 	MostBytes = 16 << 10
 
 	leastLimit = 0.01 // calls a second: one in 100 s
@@ -65,7 +65,7 @@
 	}
 	type plain Plugin
 	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.DisallowUnknownFields() // the outer decoder's word does not reach in here
+	dec.DisallowUnknownFields() // the outer decoder's option does not apply here
 	return dec.Decode((*plain)(p))
 }
 
@@ -83,7 +83,7 @@
 
 func (e *KeyError) Error() string { return fmt.Sprintf("policy: key %s: %s", e.Key, e.Why) }
 
-// Parse reads a document and checks all that can be told without knowing a relay's terms.
+// Parse decodes a document and checks all that does not depend on a relay's terms.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MostBytes {
 		return nil, &KeyError{"(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MostBytes)}
--- a/internal/relay/fleet/policy/state.go
+++ b/internal/relay/fleet/policy/state.go
@@ -8,12 +8,12 @@
 // Phase is how far a change has come.
 type Phase uint8
 
-// The phases. A change that has been decided is never undone: it is in force as soon as nobody can act on the one before.
+// The phases. A decided change is never undone: it is in force as soon as nobody can act on the version before.
 const (
 	None     Phase = iota
 	Proposed       // relays check whether they can apply it; all act on the version before
 	Checked        // all have said yes, or can't act
-	Decided        // whoever knows of it acts on nothing: old stops before new starts
+	Decided        // relays that know of it halt: the old version stops before the new one starts
 )
 
 func (p Phase) String() string {
@@ -33,7 +33,7 @@
 	SetRoster                        // Roster
 )
 
-// Command is one entry of the log. The fields' numbers are never given to another.
+// Command is one entry of the log. A field's number is never reused.
 type Command struct {
 	Kind       CommandKind `cbor:"1,keyasint"`
 	Version    uint64      `cbor:"2,keyasint,omitempty"`
@@ -46,7 +46,7 @@
 	Ticket     uint64      `cbor:"9,keyasint,omitempty"` // by which whoever proposed it finds it again
 }
 
-// Change is one that is under way.
+// Change is a change of the policy that is under way.
 type Change struct {
 	Version uint64   `cbor:"1,keyasint"`
 	Base    uint64   `cbor:"2,keyasint"`
@@ -59,7 +59,7 @@
 
 // PastChange is how a change ended.
 type PastChange struct {
-	Version    uint64   `cbor:"1,keyasint" json:"version"` // 0: it never was one, another came first
+	Version    uint64   `cbor:"1,keyasint" json:"version"` // 0: it got no version, another change came first
 	Base       uint64   `cbor:"2,keyasint" json:"base"`
 	Digest     uint64   `cbor:"3,keyasint" json:"digest"`
 	By         string   `cbor:"4,keyasint,omitempty" json:"by"`
@@ -68,10 +68,10 @@
 	Ticket     uint64   `cbor:"7,keyasint,omitempty" json:"-"`
 }
 
-// maxPastChanges is how many ends of changes are kept: a thousand changes must not make the state grow.
+// The past changes that are kept, the newest ones: a thousand changes must not make the state grow.
 const (
 	maxPastChanges   = 32
-	maxLostProposals = 8 // of them, that never were versions
+	maxLostProposals = 8 // of them, those without a version
 )
 
 // State is what the fleet has agreed on. Version 0 is each relay's own file.
@@ -88,15 +88,16 @@
 	Members     map[uint64]string `cbor:"10,keyasint,omitempty"`
 }
 
-// NewerThan tells whether s knows more than an epoch and index say.
+// NewerThan tells whether s is newer than the state of an epoch and index. The epoch is the group's, not a raft term: it grows
+// only when an operator bootstraps the group anew.
 func (s *State) NewerThan(epoch, index uint64) bool {
 	return s.Epoch > epoch || s.Epoch == epoch && s.Index > index
 }
 
-// Halted tells whether nobody who knows s may act.
+// Halted tells whether a relay that knows s must not act.
 func (s *State) Halted() bool { return s.Change != nil && s.Change.Phase == Decided }
 
-// Apply takes a committed command in. One that does not fit what came before changes nothing but the index: all relays
+// Apply applies a committed command. One that does not fit what came before changes nothing but the index: all relays
 // apply the same commands in the same order, so all see it the same way.
 func (s *State) Apply(index uint64, c *Command) {
 	s.Index = index
@@ -108,7 +109,7 @@
 		}
 	case Propose:
 		if s.knowsTicket(c.Ticket) {
-			return // the same, handed in once more since the answer was lost
+			return // a duplicate, resubmitted since the answer was lost
 		}
 		if s.Change != nil || c.Version != s.Version {
 			why := fmt.Sprintf("it replaces version %d, and version %d is in force", c.Version, s.Version)
@@ -150,7 +151,7 @@
 	}
 }
 
-// knowsTicket tells whether a proposal of that ticket has been taken in. 0 is no ticket.
+// knowsTicket tells whether a proposal of that ticket was applied. 0 is no ticket.
 func (s *State) knowsTicket(ticket uint64) bool {
 	return ticket != 0 && (s.Change != nil && s.Change.Ticket == ticket ||
 		slices.ContainsFunc(s.PastChanges, func(p PastChange) bool { return p.Ticket == ticket }))
@@ -178,7 +179,7 @@
 	}
 }
 
-// Clone is a copy that later commands to s leave alone: what they change they replace.
+// Clone returns a shallow copy: Apply replaces what it changes, so that it never changes the original's contents.
 func (s *State) Clone() *State {
 	c := *s
 	return &c
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// KeyUsage is what a key comes to over all relays, for operators.
+// KeyUsage is one key over all relays, for operators.
 type KeyUsage struct {
 	Key      Key            `cbor:"1,keyasint" json:"-"`
 	Name     string         `cbor:"2,keyasint,omitempty" json:"name"`
@@ -15,11 +15,11 @@
 	Demand   float64        `cbor:"4,keyasint" json:"want"`   // units a second, of all
 	Leased   float64        `cbor:"5,keyasint" json:"lent"`   // of 1, beyond the guaranteed minimums
 	Minimums float64        `cbor:"6,keyasint" json:"floors"` // of 1
-	Relays   int            `cbor:"7,keyasint" json:"relays"` // that need it
+	Relays   int            `cbor:"7,keyasint" json:"relays"` // with a demand
 	Zones    map[int]string `cbor:"8,keyasint,omitempty" json:"zones,omitempty"`
 }
 
-// Usage is all keys that anybody needs.
+// Usage returns the keys for which any relay has a demand.
 func (l *Allocator) Usage() (all []KeyUsage) {
 	for _, k := range slices.Sorted(maps.Keys(l.keys)) {
 		p := l.keys[k]
@@ -39,7 +39,7 @@
 	return all
 }
 
-// split says anew what each relay is to have of each key.
+// split recomputes each relay's target share of each key.
 func (l *Allocator) split(now time.Duration) {
 	if now-l.splitAt < splitInterval {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// allocate splits what is not guaranteed minimums: by need, and where that is more than there is, so that no one who gets less than it needs
-// gets less than another of the same value. What nobody needs goes to where most is wanted.
+// allocate splits what the guaranteed minimums leave, by demand. Where the demands exceed it, a relay that gets less than its
+// demand never gets less than another of the same value. What nobody demands goes to where the demand is largest.
 func (l *Allocator) allocate(k Key, p *keyState, all []*relayState) {
 	pool := float64(max(0, wholeLimit-l.reservedMinimumSum)) / float64(wholeLimit)
 	own := float64(l.minimumPerRelay()) / float64(wholeLimit)
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Options are those of a fleet's sharing.
+// Options are the Allocator's.
 type Options struct {
 	MinimumSum    float64       // of 1: all guaranteed minimums together
-	LeaseDuration time.Duration // from the coming of a request until what was lent upon it is surely over
-	ServeAlone    bool          // relays that are cut off go on, with their guaranteed minimums
+	LeaseDuration time.Duration // from the arrival of a request until a lease granted upon it has surely expired
+	ServeAlone    bool          // partitioned relays go on, with their guaranteed minimums
 }
 
 // Shares are counted in whole units, so that nothing is lost or made by rounding.
@@ -31,14 +31,14 @@
 	splitInterval   = 100 * time.Millisecond // between two splits
 	resendInterval  = 500 * time.Millisecond // shares that are the same, since limits and judgements age
 	evidenceTTL     = 5 * time.Second        // evidence that is older stands for nothing
-	deliveryTTL     = 2 * time.Second        // a delivery that speaks against others' word that a destination is down
+	deliveryTTL     = 2 * time.Second        // a delivery that contradicts others' evidence that a destination is down
 	probeTurn       = time.Second            // a relay's turn to probe
-	growThreshold   = 0.1                    // of a share: to have less more is not worth telling
-	shrinkThreshold = 0.02                   // others may need what is less
-	maxReportedWait = 3 * time.Second        // that one relay's word has others wait
+	growThreshold   = 0.1                    // of a share: smaller growth is not sent
+	shrinkThreshold = 0.02                   // of a share: smaller shrinkage is not sent; others may need the rest
+	maxReportedWait = 3 * time.Second        // that one relay's report makes others wait
 )
 
-// Allocator is the giver's side, for as long as one relay leads. It is not safe for concurrent use.
+// Allocator is the leader's side of the leases, for one term. It is not safe for concurrent use.
 type Allocator struct {
 	options            Options
 	term               uint64
@@ -46,11 +46,11 @@
 	splitAt            time.Duration // of the last split
 	roster             []string      // the roster, sorted
 	relays             map[string]*relayState
-	leased             map[Key]int64 // beyond the guaranteed minimums, by what may be held
+	leased             map[Key]int64 // sum of what relays may go by, beyond the guaranteed minimums
 	minimumSum         int64         // all guaranteed minimums that may be spent
-	reservedMinimumSum int64         // the same with those that are still to be lent
+	reservedMinimumSum int64         // the same with those that are still to be leased
 	keys               map[Key]*keyState
-	Contradictions     map[string]int // how often a relay's word stood against all others', or could not be true
+	Contradictions     map[string]int // by relay: reports that contradicted all others', or could not be true
 }
 
 // relayState is one relay as the allocator knows it.
@@ -59,13 +59,13 @@
 	incarnation      uint64
 	reported         bool          // what it holds, in this term
 	firstIncarnation bool          // the first incarnation of its name in this term: only that may have a lease of the term before
-	verdictChanged   bool          // there is a judgement that it has not been told
+	verdictChanged   bool          // there is a verdict that it was not sent yet
 	sharesSentAt     time.Duration // when it was sent its shares last
 	confirmedLease   uint64        // the lease that it says it goes by
 	zone             int
 	demands          map[Key]Demand
 	demandsAt        time.Duration // of these
-	heardAt          time.Duration // when it spoke last
+	heardAt          time.Duration // of its last request
 	lastLease        uint64
 	leases           []lease // that it may go by, oldest first; the first may be confirmed
 	formerLeases     []lease // of former incarnations
@@ -75,7 +75,7 @@
 	target           map[Key]int64
 }
 
-// lease is what was lent at once.
+// lease is the shares of all keys that one grant gave a relay, in units.
 type lease struct {
 	number  uint64
 	minimum int64
@@ -87,7 +87,7 @@
 type keyState struct {
 	limit         float64
 	limitAt       time.Duration
-	verdicts      map[int]State // what each zone's relays are told
+	verdicts      map[int]State // by zone
 	evidenceAt    map[int]time.Duration
 	waitUntil     time.Duration
 	probers       map[int]string // whose turn it is, by zone
@@ -95,9 +95,9 @@
 	turn          int
 }
 
-// NewAllocator returns the allocator of one that begins to lead: by is its term.
-func NewAllocator(r Options, by uint64, now time.Duration) *Allocator {
-	return &Allocator{options: r, term: by, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{}, leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
+// NewAllocator returns the allocator of a relay that begins to lead in term.
+func NewAllocator(options Options, term uint64, now time.Duration) *Allocator {
+	return &Allocator{options: options, term: term, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{}, leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
 }
 
 // minimumPerRelay is the guaranteed minimum of each relay of a roster.
@@ -105,7 +105,7 @@
 	return toUnits(RoundToWire(l.options.MinimumSum / float64(max(len(l.roster), 1))))
 }
 
-// SetRoster tells who belongs to the fleet.
+// SetRoster sets the relays that belong to the fleet.
 func (l *Allocator) SetRoster(names []string) {
 	if !slices.Equal(names, l.roster) {
 		l.roster = slices.Clone(names)
@@ -113,8 +113,8 @@
 	}
 }
 
-// sumMinimums counts what all may spend as guaranteed minimums, also those that were not heard of: before one term is over they may have what the
-// one that led before has lent, and where relays serve on when they are cut off, for ever.
+// sumMinimums sums what all relays may spend as guaranteed minimums, also those not heard from: until LeaseDuration after the
+// start they may have what a former leader granted, and with ServeAlone for ever.
 func (l *Allocator) sumMinimums() {
 	l.minimumSum, l.reservedMinimumSum = 0, 0
 	for _, n := range l.roster {
@@ -126,7 +126,7 @@
 			may = max(may, l.minimumPerRelay())
 		}
 		l.minimumSum += may
-		if h != nil && l.splitAt-h.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it has not been lent yet
+		if h != nil && l.splitAt-h.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it was not leased yet
 			may = max(may, l.minimumPerRelay())
 		}
 		l.reservedMinimumSum += may
@@ -138,7 +138,7 @@
 	}
 }
 
-// allReported tells whether all have said what they hold, or can't hold it any more.
+// allReported tells whether all relays have reported their former leases, or those have expired.
 func (l *Allocator) allReported(now time.Duration) bool {
 	if now >= l.startedAt+l.options.LeaseDuration {
 		return true
@@ -146,9 +146,9 @@
 	return !slices.ContainsFunc(l.roster, func(n string) bool { return l.relays[n] == nil || !l.relays[n].reported })
 }
 
-// updateBound counts anew what a relay may hold.
+// updateBound recomputes what a relay may go by, and drops its expired leases.
 func (l *Allocator) updateBound(h *relayState, now time.Duration) {
-	bound, floor := map[Key]int64{}, int64(0)
+	bound, minimum := map[Key]int64{}, int64(0)
 	over := func(o lease) bool { return o.expires <= now }
 	for _, o := range h.leases {
 		if over(o) {
@@ -157,13 +157,13 @@
 	}
 	h.leases, h.formerLeases = slices.DeleteFunc(h.leases, over), slices.DeleteFunc(h.formerLeases, over)
 	for _, o := range slices.Concat(h.formerLeases, h.leases) {
-		floor = max(floor, o.minimum)
+		minimum = max(minimum, o.minimum)
 		for k, g := range o.shares {
 			bound[k] = max(bound[k], g)
 		}
 	}
-	if l.options.ServeAlone { // a guaranteed minimum has no end there, unless it goes by another
-		floor = max(floor, h.lastingMinimum)
+	if l.options.ServeAlone { // a guaranteed minimum never expires then, unless another replaces it
+		minimum = max(minimum, h.lastingMinimum)
 	}
 	for k, g := range h.bound {
 		if l.leased[k] -= g; l.leased[k] == 0 {
@@ -174,8 +174,8 @@
 		l.leased[k] += g
 	}
 	h.bound = bound
-	if h.minimum != floor {
-		h.minimum = floor
+	if h.minimum != minimum {
+		h.minimum = minimum
 		l.sumMinimums()
 	}
 }
--- a/internal/relay/fleet/quota/counters.go
+++ b/internal/relay/fleet/quota/counters.go
@@ -55,7 +55,7 @@
 	nextRelay int
 }
 
-// relayCounters is one relay's: its incarnations that may still count, and the sum of those that don't.
+// relayCounters are one relay's: of each incarnation that may still count, and the sum of those that don't.
 type relayCounters struct {
 	incarnations  map[uint64]*incarnationCounters
 	compacted     map[Key]uint64
@@ -70,10 +70,10 @@
 // maxIncarnations are kept apart for a relay; older ones are summed up.
 const maxIncarnations = 3
 
-// NewCounterTable returns an empty book.
+// NewCounterTable returns an empty table.
 func NewCounterTable() *CounterTable { return &CounterTable{relays: map[string]*relayCounters{}} }
 
-// Merge takes a tally in, in whatever order they come and how often. One of a incarnation that has been summed up is too late.
+// Merge takes in a tally; order and repetition don't matter. A tally of an incarnation that is compacted already is ignored.
 func (b *CounterTable) Merge(now time.Duration, t *Tally, most int) {
 	n, err := DecodeCounters(t.Counters)
 	if err != nil {
@@ -95,7 +95,7 @@
 				}
 			}
 			a.compactedUpTo, a.compacted = t.Generation, n
-		} else if t.Generation == a.compactedUpTo { // each may have missed the end of a incarnation
+		} else if t.Generation == a.compactedUpTo { // each may have missed the end of an incarnation
 			for k, v := range n {
 				a.compacted[k] = max(a.compacted[k], v)
 			}
@@ -125,7 +125,7 @@
 	}
 }
 
-// NextTallies is what one voter tells another this time: a few relays' accounts, in turn.
+// NextTallies is what one voter tells another this time: a few relays' tallies, in turn.
 func (b *CounterTable) NextTallies(most int) (all []Tally) {
 	names := slices.Sorted(maps.Keys(b.relays))
 	for range min(most, len(names)) {
@@ -146,12 +146,12 @@
 type Totals struct {
 	Counters     []byte        `cbor:"1,keyasint,omitempty"` // see EncodeCounters
 	Relays       int           `cbor:"2,keyasint"`           // that have ever counted
-	Incarnations int           `cbor:"3,keyasint"`           // that are known by their own word
-	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last word of the newest incarnation that has been silent the longest
-	Silent       string        `cbor:"5,keyasint,omitempty"` // that one
+	Incarnations int           `cbor:"3,keyasint"`           // not compacted yet
+	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last tally of the relay not heard from for the longest
+	Silent       string        `cbor:"5,keyasint,omitempty"` // the name of that relay
 }
 
-// Totals adds all up.
+// Totals adds up what all relays have counted.
 func (b *CounterTable) Totals(now time.Duration) *Totals {
 	s, sum := &Totals{Relays: len(b.relays)}, map[Key]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(b.relays)) {
--- a/internal/relay/fleet/quota/counters_test.go
+++ b/internal/relay/fleet/quota/counters_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestBook: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts a incarnation twice and never more than
+// TestBook: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts an incarnation twice and never more than
 // was counted; when the newest of each incarnation has come to any of the voters and they have talked, all say the same, exactly.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/relay/fleet/quota/encoding.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -17,7 +17,7 @@
 // ErrListSize is returned for a list of demands or shares whose length no encoder writes.
 var ErrListSize = errors.New("quota: length is no multiple of the entry size")
 
-// toFloat16 is a number in the 16 bits that go on the wire, rounded to zero: what is lent must not grow under way.
+// toFloat16 encodes a number in 16 bits, rounded towards zero: a leased share must never grow by its encoding.
 func toFloat16(v float64) uint16 {
 	if !(v > 0) {
 		return 0
@@ -31,13 +31,13 @@
 
 func fromFloat16(b uint16) float64 { return float64(math.Float32frombits(uint32(b) << 16)) }
 
-// RoundToWire is a part as the wire carries it.
+// RoundToWire returns a share as it arrives after it was encoded.
 func RoundToWire(v float64) float64 { return fromFloat16(toFloat16(v)) }
 
-// encodeAge is a time in a byte, rounded up: what is told is never fresher than it is.
+// encodeAge encodes an age in one byte, rounded up: evidence must never seem fresher than it is.
 func encodeAge(d time.Duration) byte { return byte(min((max(d, 0)+ageUnit-1)/ageUnit, 255)) }
 
-// EncodeDemands is needs as they go on the wire.
+// EncodeDemands encodes demands for the wire.
 func EncodeDemands(all []Demand) []byte {
 	b := make([]byte, 0, demandBytes*len(all))
 	for i := range all {
@@ -51,7 +51,7 @@
 	return b
 }
 
-// DecodeDemands reads them.
+// DecodeDemands decodes what EncodeDemands wrote.
 func DecodeDemands(b []byte) ([]Demand, error) {
 	if len(b)%demandBytes != 0 || len(b) > demandBytes*MaxKeys {
 		return nil, ErrListSize
@@ -66,7 +66,7 @@
 	return all, nil
 }
 
-// EncodeKeyShares is parts as they go on the wire.
+// EncodeKeyShares encodes shares for the wire.
 func EncodeKeyShares(all []KeyShare) []byte {
 	b := make([]byte, 0, keyShareBytes*len(all))
 	for i := range all {
@@ -83,7 +83,7 @@
 	return b
 }
 
-// DecodeKeyShares reads them.
+// DecodeKeyShares decodes what EncodeKeyShares wrote.
 func DecodeKeyShares(b []byte) ([]KeyShare, error) {
 	if len(b)%keyShareBytes != 0 || len(b) > keyShareBytes*MaxKeys {
 		return nil, ErrListSize
@@ -98,7 +98,7 @@
 	return all, nil
 }
 
-// finiteOrZero takes what is no sound number for none.
+// finiteOrZero returns 0 for what is no finite number.
 func finiteOrZero(v float64) float64 {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return 0
--- a/internal/relay/fleet/quota/granting.go
+++ b/internal/relay/fleet/quota/granting.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// available is how much of a key may be lent to a relay in all.
+// available is how much of a key may be leased to a relay in all.
 func (l *Allocator) available(h *relayState, k Key, now time.Duration) int64 {
 	if !l.allReported(now) {
 		return h.bound[k] // others may hold the rest
@@ -14,7 +14,8 @@
 	return max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])
 }
 
-// Grant answers a relay's ping that came at a time, for as long as the lease that goes with the answer.
+// Grant answers a relay's request that arrived at came. It holds for as long as the relay's lease that the answer renews; nil:
+// that would be over already.
 func (l *Allocator) Grant(now, came time.Duration, name string) *Grant {
 	l.split(now)
 	h, until := l.relays[name], came+l.options.LeaseDuration
@@ -36,7 +37,7 @@
 		h.lastLease++
 		next.number, next.expires = h.lastLease, until
 		h.leases = append(h.leases, next)
-		if len(h.leases) > maxUnconfirmedLeases { // it does not confirm any: the newest waits until these are over
+		if len(h.leases) > maxUnconfirmedLeases { // it confirms none: a new one waits until these have expired
 			h.leases = h.leases[:maxUnconfirmedLeases]
 			a.LeaseNumber = 0
 			return a
@@ -56,7 +57,7 @@
 	return a
 }
 
-// maxUnconfirmedLeases are lent to one relay before it has confirmed the first of them.
+// maxUnconfirmedLeases bounds the leases of one relay that it has not confirmed.
 const maxUnconfirmedLeases = 8
 
 // keyShares is a lease's shares with the newest verdict on all else.
@@ -69,17 +70,17 @@
 	return all
 }
 
-// nextLease is what a relay would be lent now.
+// nextLease is what would be leased to a relay now.
 func (l *Allocator) nextLease(now time.Duration, h *relayState) lease {
 	o := lease{shares: map[Key]int64{}}
-	if o.minimum = l.minimumPerRelay(); o.minimum > h.minimum { // a guaranteed minimum is lent like all else
+	if o.minimum = l.minimumPerRelay(); o.minimum > h.minimum { // a guaranteed minimum is leased like all else
 		room := int64(0)
 		if l.allReported(now) {
 			room = max(0, wholeLimit-l.minimumSum-l.maxLeased())
 		}
 		o.minimum = rounded(h.minimum + min(o.minimum-h.minimum, room))
 	}
-	if h.demands == nil && h.demandsAt == 0 { // it has not said: as it has it
+	if h.demands == nil && h.demandsAt == 0 { // its demands are not known yet: it keeps what it has
 		maps.Copy(o.shares, h.bound)
 	}
 	for k := range h.demands {
@@ -88,10 +89,10 @@
 	return o
 }
 
-// rounded is a part as the wire carries it.
+// rounded is a share as the wire carries it, in units.
 func rounded(g int64) int64 { return toUnits(RoundToWire(float64(g) / float64(wholeLimit))) }
 
-// maxLeased is the most that is lent of any key.
+// maxLeased is the largest sum of leased shares of any key, in units.
 func (l *Allocator) maxLeased() (most int64) {
 	for _, g := range l.leased {
 		most = max(most, g)
@@ -99,7 +100,7 @@
 	return most
 }
 
-// worthSending tells whether a lease is worth telling.
+// worthSending tells whether a lease differs enough from the last one to be sent.
 func (l *Allocator) worthSending(was, is *lease) bool {
 	if was.minimum != is.minimum {
 		return true
--- a/internal/relay/fleet/quota/messages.go
+++ b/internal/relay/fleet/quota/messages.go
@@ -1,10 +1,10 @@
 package quota
 
-// Request is what a relay says with a request.
+// Request is what a relay reports with each request for its lease: the quota lease that it goes by, and its demands.
 type Request struct {
 	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // whose lease it goes by
 	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // of that; 0: none
-	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: as told before
+	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: unchanged
 	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // the lease's shares, where that was asked for
 	Minimum      uint16 `cbor:"5,keyasint,omitempty"` // with LeasedShares; where relays serve on alone, always
 	Zone         int    `cbor:"6,keyasint,omitempty"`
@@ -12,12 +12,12 @@
 	NewestTerm   uint64 `cbor:"8,keyasint,omitempty"` // the newest allocator that it has heard of: it takes nothing from older ones any more
 }
 
-// Grant is what whoever leads answers.
+// Grant is the leader's answer to a Request.
 type Grant struct {
-	Term         uint64 `cbor:"1,keyasint"`           // grows with each that leads
-	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // the lease that lasts as long as the lease that comes with this; 0: none
+	Term         uint64 `cbor:"1,keyasint"`           // the leader's
+	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // of the quota lease, which lasts as long as the relay's lease that comes with it; 0: none
 	Minimum      uint16 `cbor:"3,keyasint,omitempty"` // of the relay's own in each key, with Shares
-	Shares       []byte `cbor:"4,keyasint,omitempty"` // see EncodeKeyShares; nil: as told with that number before
+	Shares       []byte `cbor:"4,keyasint,omitempty"` // see EncodeKeyShares; nil: those sent with that number before
 	HasShares    bool   `cbor:"5,keyasint,omitempty"` // Minimum and Shares count, also where there are none
-	ReportLeased bool   `cbor:"6,keyasint,omitempty"` // it is to say what it holds
+	ReportLeased bool   `cbor:"6,keyasint,omitempty"` // the relay is to report what it was leased before
 }
--- a/internal/relay/fleet/quota/quota.go
+++ b/internal/relay/fleet/quota/quota.go
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names what is shared. Two names that have one key only share their parts, which are parts of each one's own limit: the
+// Key names what is shared. Two names that have one key only share their shares, which are fractions of each one's own limit: the
 // bound holds all the same.
 type Key uint32
 
@@ -47,32 +47,32 @@
 	Down          // it fails what is sent, or can't be reached
 )
 
-// String is the state as operators read it; empty: not seen.
+// String is the state as operators read it; empty: Unseen.
 func (s State) String() string { return [...]string{"", "well", "down"}[min(s, Down)] }
 
-// Demand is what a relay tells of one key.
+// Demand is what a relay reports of one key.
 type Demand struct {
 	Key      Key
 	Rate     float64       // units a second that it could spend now
 	Value    float64       // of a unit, against others'
-	Limit    float64       // units a second for all relays, as it was told last; 0: not told
+	Limit    float64       // units a second for all relays, as the destination reported last; 0: not reported
 	LimitAge time.Duration // since that
 	State    State
 	StateAge time.Duration // since the newest call that State stands on was sent
-	Wait     time.Duration // that the destination has told it to wait from now on
+	Wait     time.Duration // that the destination asked for, from now on
 }
 
-// KeyShare is what a relay is told of one key.
+// KeyShare is a relay's share of one key, and what the fleet knows of that key.
 type KeyShare struct {
 	Key      Key
 	Extra    float64       // beyond its guaranteed minimum, of 1
-	Limit    float64       // the freshest that any relay was told; 0: none
+	Limit    float64       // the freshest that any relay reported; 0: none
 	LimitAge time.Duration // since that
-	State    State         // what the fleet takes it for; Unseen: whatever the relay has seen itself
+	State    State         // the leader's verdict; Unseen: the relay goes by its own calls
 	StateAge time.Duration // since the newest evidence for that
-	Wait     time.Duration // that another was told to wait, from now on
+	Wait     time.Duration // that the destination asked another relay for, from now on
 	MayProbe bool          // it is this relay's turn to probe what is down
 }
 
-// MaxKeys is how many keys a relay tells of, and is told of: those that it needs the most. A datagram stays within 1,200 bytes.
+// MaxKeys bounds the keys in a Request and in a Grant: those with the largest demand are sent. A datagram stays within 1,200 bytes.
 const MaxKeys = 48
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// HandleRequest takes what a relay says. The caller has seen to it that it is not late, and of the newest incarnation.
-func (l *Allocator) HandleRequest(now time.Duration, name string, life uint64, r *Request) {
+// HandleRequest takes a relay's request. The caller has checked that it is not late, and of the relay's newest incarnation.
+func (l *Allocator) HandleRequest(now time.Duration, name string, incarnation uint64, r *Request) {
 	h := l.relays[name]
 	if h == nil {
 		if len(l.relays) > 4*len(l.roster)+64 {
 			return
 		}
-		h = &relayState{name: name, incarnation: life, firstIncarnation: true, target: map[Key]int64{}, bound: map[Key]int64{}}
+		h = &relayState{name: name, incarnation: incarnation, firstIncarnation: true, target: map[Key]int64{}, bound: map[Key]int64{}}
 		l.relays[name] = h
 	}
-	if h.incarnation != life { // what a former incarnation may hold, if it still runs somewhere, ends by its clock
-		h.formerLeases, h.leases, h.incarnation, h.reported, h.firstIncarnation, h.lastLease = append(h.formerLeases, h.leases...), nil, life, false, false, h.lastLease+1
+	if h.incarnation != incarnation { // leases of a former incarnation that may still run expire by its own clock
+		h.formerLeases, h.leases, h.incarnation, h.reported, h.firstIncarnation, h.lastLease = append(h.formerLeases, h.leases...), nil, incarnation, false, false, h.lastLease+1
 	}
 	h.heardAt = now
 	if h.zone = r.Zone; r.NoDemand {
@@ -27,12 +27,12 @@
 			h.demands[n.Key] = n
 		}
 	}
-	mine := r.NewestTerm == l.term                                         // otherwise what one that led before has lent it may still be under way
-	if l.options.ServeAlone && !h.reported && h.firstIncarnation && mine { // it has that for ever
+	mine := r.NewestTerm == l.term                                         // otherwise a grant of a former leader may still be under way
+	if l.options.ServeAlone && !h.reported && h.firstIncarnation && mine { // its minimum never expires
 		h.lastingMinimum = max(h.lastingMinimum, toUnits(fromFloat16(r.Minimum)))
 	}
 	switch {
-	case r.LeaseTerm == l.term && r.LeaseNumber != 0: // it goes by that one, and by none before
+	case r.LeaseTerm == l.term && r.LeaseNumber != 0: // it goes by that lease, and by none before
 		h.leases = slices.DeleteFunc(h.leases, func(o lease) bool { return o.number < r.LeaseNumber })
 		if h.reported, h.confirmedLease = true, r.LeaseNumber; slices.ContainsFunc(h.leases, func(o lease) bool { return o.number == r.LeaseNumber }) {
 			h.lastingMinimum = 0
@@ -40,7 +40,7 @@
 	case !mine:
 	case r.LeaseNumber == 0: // it goes by none
 		h.reported = true
-	case !h.reported && now >= l.startedAt+l.options.LeaseDuration: // what it was lent before is over
+	case !h.reported && now >= l.startedAt+l.options.LeaseDuration: // its former leases have expired
 		h.reported = true
 	case !h.reported && r.LeasedShares != nil && h.firstIncarnation:
 		h.reported = true
@@ -49,8 +49,8 @@
 	l.updateBound(h, now)
 }
 
-// adoptFormerLease takes what a relay says that it was lent by whoever led before. All that is held was lent within 1, so what can't be
-// is not true: then nothing of that key is taken over from anybody, and all fall back to their guaranteed minimums when their leases end.
+// adoptFormerLease takes over the lease that a relay reports from a former leader, until it has surely expired. All leases were
+// granted within 1 in all; a report beyond that can't be true and is counted as a contradiction of the relay's.
 func (l *Allocator) adoptFormerLease(now time.Duration, h *relayState, r *Request) {
 	parts, err := DecodeKeyShares(r.LeasedShares)
 	if err != nil {
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// observe takes the newest limits and waits that relays tell.
+// observe takes over the newest limits and waits that relays report.
 func (p *keyState) observe(k Key, all []*relayState) {
-	type told struct {
+	type report struct {
 		limit float64
 		at    time.Duration
 	}
-	var list []told
+	var list []report
 	well := -time.Hour // when the newest call that was delivered had been sent, to anyone
 	for _, h := range all {
 		n := h.demands[k]
 		if n.Limit > 0 && n.LimitAge < 254*ageUnit {
-			list = append(list, told{n.Limit, h.demandsAt - n.LimitAge})
+			list = append(list, report{n.Limit, h.demandsAt - n.LimitAge})
 		}
 		if n.State == Healthy {
 			well = max(well, h.demandsAt-n.StateAge)
 		}
 	}
-	// KeyOf the three that are the freshest the middle one: no single relay's word has all others send more, or less.
-	slices.SortStableFunc(list, func(a, b told) int { return int(min(max(b.at-a.at, -1), 1)) })
+	// The median of the three freshest limits counts: no single relay can make all others send more, or less.
+	slices.SortStableFunc(list, func(a, b report) int { return int(min(max(b.at-a.at, -1), 1)) })
 	if len(list) > 0 {
 		if fresh := list[0].at; fresh >= p.limitAt {
 			three := slices.Clone(list[:min(len(list), 3)])
-			slices.SortStableFunc(three, func(a, b told) int {
+			slices.SortStableFunc(three, func(a, b report) int {
 				switch {
 				case a.limit < b.limit:
 					return -1
@@ -50,7 +50,7 @@
 	}
 }
 
-// judge says what each zone's relays are to take a destination for. What one relay sees may be its own link, and what one zone
+// judge decides for each zone's relays whether a destination is down. What one relay sees may be its own link, and what one zone
 // sees may be that zone's: a verdict takes two witnesses in the zone that it is for, or witnesses in two zones and none there who
 // says otherwise. Evidence ages out; a relay's own goes before all this.
 func (l *Allocator) judge(now time.Duration, k Key, p *keyState, all []*relayState) {
@@ -110,7 +110,8 @@
 	l.assignProbes(now, k, p, all)
 }
 
-// assignProbes says whose turn it is to try what is down, one relay a zone: it goes round, so that one that is dead costs a turn.
+// assignProbes decides which relay probes a destination that is down, one a zone. The turn rotates, so that a dead relay costs
+// one turn.
 func (l *Allocator) assignProbes(now time.Duration, k Key, p *keyState, all []*relayState) {
 	if now < p.probeTurnEnds {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// keyShare is what a relay is told of a key beside its part.
+// keyShare is what a relay learns of a key beside its share.
 func (l *Allocator) keyShare(now time.Duration, h *relayState, k Key) KeyShare {
 	t := KeyShare{Key: k}
 	p := l.keys[k]
