--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -35,9 +35,9 @@
 		t.Errorf("%d and %d of %d descriptors leave none", l.ClientConnections, l.IdleEndpoints, l.Sockets)
 	}
 	// Idle connections must leave descriptors for as many calls as may be out.
-	if c, err := parse(strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`, `"workers": 4`, `"workers": 32`).Replace(good)); err != nil ||
-		c.Limits.ClientConnections != 64 || c.Limits.IdleEndpoints != 16 {
-		t.Errorf("error %v, limits %+v", err, c)
+	if narrow, narrowErr := parse(strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`, `"workers": 4`, `"workers": 32`).Replace(good)); narrowErr != nil ||
+		narrow.Limits.ClientConnections != 64 || narrow.Limits.IdleEndpoints != 16 {
+		t.Errorf("error %v, limits %+v", narrowErr, narrow)
 	}
 	c, err = Parse([]byte(good), func(k string) string { return map[string]string{"RELAY_LISTEN": "127.0.0.2:1"}[k] })
 	if err != nil || c.Listen != "127.0.0.2:1" {
--- a/internal/relay/config/parser.go
+++ b/internal/relay/config/parser.go
@@ -70,15 +70,15 @@
 	return v.Bool()
 }
 
-// number is a number between min and max; one that has no default that is allowed must be there.
-func (p *parser) number(key string, def, min, max float64) float64 {
+// number is a number between lowest and highest; one that has no default that is allowed must be there.
+func (p *parser) number(key string, def, lowest, highest float64) float64 {
 	v := p.root.Get(key)
 	if !v.Exists() {
-		p.require(key, def >= min, "missing")
+		p.require(key, def >= lowest, "missing")
 		return def
 	}
-	p.require(key, v.Type == gjson.Number && v.Num >= min && v.Num <= max,
-		fmt.Sprintf("want a number from %v to %v", min, max))
+	p.require(key, v.Type == gjson.Number && v.Num >= lowest && v.Num <= highest,
+		fmt.Sprintf("want a number from %v to %v", lowest, highest))
 	return v.Num
 }
 
--- a/internal/relay/config/peers_test.go
+++ b/internal/relay/config/peers_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -23,7 +24,7 @@
 		{`"fleet"`, `"alone": "maybe", "fleet"`, "peers.alone"},
 	} {
 		_, err := Parse([]byte(strings.Replace(base, "PEERS", strings.Replace(good, x.old, x.new, 1), 1)), none)
-		if k, ok := err.(*KeyError); !ok || k.Key != x.key {
+		if k := (*KeyError)(nil); !errors.As(err, &k) || k.Key != x.key {
 			t.Errorf("%s instead of %s: %v, want key %s named", x.new, x.old, err, x.key)
 		}
 	}
--- a/internal/relay/httpwire/body.go
+++ b/internal/relay/httpwire/body.go
@@ -39,11 +39,11 @@
 		return nil, &Error{413, fmt.Sprintf("body of %d bytes, %d at most", n, r.limits.BodySize)}
 	}
 	if int(n) <= r.buffer.Size() {
-		b, err := r.buffer.Peek(int(n))
-		if err == nil {
+		body, peekErr := r.buffer.Peek(int(n))
+		if peekErr == nil {
 			r.bodyBuffered = int(n)
 		}
-		return b, unexpectedEOF(err)
+		return body, unexpectedEOF(peekErr)
 	}
 	r.largeBody = make([]byte, n) // given up with the message: few are as long, and connections are many
 	_, err = io.ReadFull(r.buffer, r.largeBody)
--- a/internal/relay/httpwire/connection.go
+++ b/internal/relay/httpwire/connection.go
@@ -87,8 +87,8 @@
 	}
 	_ = c.SetReadDeadline(by)
 	request, err := c.reader.ReadRequest(func() error {
-		_, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-		return err
+		_, writeErr := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		return writeErr
 	})
 	var answer Answer
 	var malformed *Error
--- a/internal/relay/httpwire/peek.go
+++ b/internal/relay/httpwire/peek.go
@@ -1,6 +1,7 @@
 package httpwire
 
 import (
+	"errors"
 	"net"
 	"syscall"
 )
@@ -8,13 +9,13 @@
 // isQuiet tells whether an idle connection is still open and has nothing to read.
 func isQuiet(c net.Conn) bool {
 	_, err := peek(c)
-	return err == syscall.EAGAIN
+	return errors.Is(err, syscall.EAGAIN)
 }
 
 // peerClosed tells whether the peer has ended the connection, or its sending, and nothing is left to read before that.
 func peerClosed(c net.Conn) bool {
 	n, err := peek(c)
-	return n == 0 && err != syscall.EAGAIN
+	return n == 0 && !errors.Is(err, syscall.EAGAIN)
 }
 
 // peek looks at what stands in a connection's buffer, and waits for nothing, not even for a goroutine that reads it. EAGAIN: there is
--- a/internal/relay/httpwire/request.go
+++ b/internal/relay/httpwire/request.go
@@ -19,7 +19,7 @@
 	}
 	q := &Request{Method: method, Path: path, Header: h, Close: lastOnConnection(h, proto)}
 	if goOn != nil && strings.EqualFold(h.Get("Expect"), "100-continue") {
-		if err := goOn(); err != nil {
+		if err = goOn(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/relay/journal/memory.go
+++ b/internal/relay/journal/memory.go
@@ -38,21 +38,27 @@
 	return nil
 }
 
-// Begin, Schedule, EndAttempt, End, EndWithNotice, Ack and Flush are those of Log.
+// Begin permits every attempt; see Log.Begin.
 func (m *Memory) Begin([]*Entry) bool { return true }
 
+// Schedule notes an attempt that is to begin; see Log.Schedule.
 func (m *Memory) Schedule(e *Entry, at time.Time, destination string) {
 	e.scheduleAttempt(at, destination)
 }
 
+// EndAttempt notes the end of an attempt; see Log.EndAttempt.
 func (m *Memory) EndAttempt(e *Entry, neverRan bool) { e.endAttempt(neverRan) }
 
+// End forgets a message that has its end; see Log.End.
 func (m *Memory) End(e *Entry) { delete(m.entries, e.Seq) }
 
+// EndWithNotice keeps the notice of a message's end until Ack; see Log.EndWithNotice.
 func (m *Memory) EndWithNotice(e *Entry, n Notice) { e.NoticePending, e.Notice = true, n }
 
+// Ack forgets a message whose notice has arrived; see Log.Ack.
 func (m *Memory) Ack(e *Entry) { delete(m.entries, e.Seq) }
 
+// Flush fails as Failed says, where that is set.
 func (m *Memory) Flush() error {
 	if m.Failed != nil {
 		return m.Failed()
--- a/internal/relay/journal/records.go
+++ b/internal/relay/journal/records.go
@@ -65,19 +65,19 @@
 }
 
 // accepted reads a message as it was taken on. Logs of older versions end before the headers, or before the tenant.
-func (r *decoder) accepted(seq uint64) *Entry {
-	e := &Entry{Seq: seq, ID: r.text(), Key: r.text(), Front: r.text(), Destination: int(r.uint()),
-		Class: int(r.uint()), Deadline: r.time(), Resubmitted: r.uint() == 1, Body: []byte(r.text())}
-	if len(r.b) > 0 {
-		for n := r.uint(); n > 0 && !r.bad; n-- {
-			e.Headers = append(e.Headers, r.text())
+func (d *decoder) accepted(seq uint64) *Entry {
+	e := &Entry{Seq: seq, ID: d.text(), Key: d.text(), Front: d.text(), Destination: int(d.uint()),
+		Class: int(d.uint()), Deadline: d.time(), Resubmitted: d.uint() == 1, Body: []byte(d.text())}
+	if len(d.b) > 0 {
+		for n := d.uint(); n > 0 && !d.bad; n-- {
+			e.Headers = append(e.Headers, d.text())
 		}
 	}
-	if e.Tenant = -1; len(r.b) > 0 {
-		e.Tenant = int(r.uint()) - 1
+	if e.Tenant = -1; len(d.b) > 0 {
+		e.Tenant = int(d.uint()) - 1
 	}
-	if len(r.b) > 0 { // only in a fleet
-		e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())
+	if len(d.b) > 0 { // only in a fleet
+		e.PolicyVersion, e.MaxAttempts = d.uint(), int(d.uint())
 	}
 	return e
 }
--- a/internal/relay/journal/stored_format_test.go
+++ b/internal/relay/journal/stored_format_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.compact(); err != nil {
+	if err = l.compact(); err != nil {
 		t.Fatal(err)
 	}
 	compacted, err := os.ReadFile(filepath.Join(dir, logName))
--- a/internal/relay/plugin/rules/rules.go
+++ b/internal/relay/plugin/rules/rules.go
@@ -127,8 +127,8 @@
 
 func owns(list []string, name string) bool {
 	return slices.ContainsFunc(list, func(o string) bool {
-		head, any := strings.CutSuffix(o, "*")
-		return any && strings.HasPrefix(name, head) || o == name
+		head, isPrefix := strings.CutSuffix(o, "*")
+		return isPrefix && strings.HasPrefix(name, head) || o == name
 	})
 }
 
--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -90,12 +90,12 @@
 				_ = tx.Commit()
 			}
 			n, size := s.Len()
-			real := 0
+			counted := 0
 			for k, e := range s.entries {
-				real += cost(k, e)
+				counted += cost(k, e)
 			}
-			if n > lim.Entries || size > lim.Bytes || size != real {
-				t.Fatalf("%d entries, %d bytes, in truth %d", n, size, real)
+			if n > lim.Entries || size > lim.Bytes || size != counted {
+				t.Fatalf("%d entries, %d bytes, in truth %d", n, size, counted)
 			}
 		}
 	})
--- a/internal/relay/plugin/wasmtest/asm.go
+++ b/internal/relay/plugin/wasmtest/asm.go
@@ -158,10 +158,16 @@
 // Call calls a function.
 func Call(fn uint32) []byte { return binary.AppendUvarint([]byte{0x10}, uint64(fn)) }
 
-// Get and Set are of a local, GetGlobal and SetGlobal of a global.
-func Get(n uint32) []byte       { return binary.AppendUvarint([]byte{0x20}, uint64(n)) }
-func Set(n uint32) []byte       { return binary.AppendUvarint([]byte{0x21}, uint64(n)) }
+// Get pushes local n.
+func Get(n uint32) []byte { return binary.AppendUvarint([]byte{0x20}, uint64(n)) }
+
+// Set pops local n.
+func Set(n uint32) []byte { return binary.AppendUvarint([]byte{0x21}, uint64(n)) }
+
+// GetGlobal pushes global n.
 func GetGlobal(n uint32) []byte { return binary.AppendUvarint([]byte{0x23}, uint64(n)) }
+
+// SetGlobal pops global n.
 func SetGlobal(n uint32) []byte { return binary.AppendUvarint([]byte{0x24}, uint64(n)) }
 
 // Single instructions.
--- a/internal/relay/plugin/wasmtest/plugins.go
+++ b/internal/relay/plugin/wasmtest/plugins.go
@@ -94,7 +94,7 @@
 	return h.On("arrival", 0, every(h, n, Unreachable), Const(0)).Bytes()
 }
 
-// Works until call n, and traps from then on.
+// WorksUntil is a plug-in that works until call n, and traps from then on.
 func WorksUntil(n int32) []byte {
 	h := Plugin(Arrival, 1, 1)
 	g := h.Global()
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -54,9 +54,9 @@
 	in := &Instance{machine: NewMachine(r), address: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
 		log: log, timerChanged: make(chan struct{}, 1), stop: make(chan struct{})}
 	for _, p := range cfg.Peers {
-		ap, err := netip.ParseAddrPort(p)
-		if err != nil {
-			return nil, &config.KeyError{Key: "vrrp.peers", Reason: err.Error()}
+		ap, parseErr := netip.ParseAddrPort(p)
+		if parseErr != nil {
+			return nil, &config.KeyError{Key: "vrrp.peers", Reason: parseErr.Error()}
 		}
 		in.peers[ap.Addr().Unmap()] = ap
 	}
--- a/internal/tier/apierror/error.go
+++ b/internal/tier/apierror/error.go
@@ -61,7 +61,7 @@
 
 // kindIn returns the kind in an error, or None.
 func kindIn(err error) Kind {
-	switch err := err.(type) {
+	switch err := err.(type) { //nolint:errorlint // it walks the tree of wrapped errors itself, as joined ones need judgement
 	case Kind:
 		return err
 	case *Error:
--- a/internal/tier/configuration/state_machine_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	var state configuration.Snapshot
-	if err := json.Unmarshal(raw, &state); err != nil {
+	if err = json.Unmarshal(raw, &state); err != nil {
 		t.Fatal(err)
 	}
 	restored, err := configuration.Restore(state)
--- a/internal/tier/group/compaction_lock_test.go
+++ b/internal/tier/group/compaction_lock_test.go
@@ -52,6 +52,6 @@
 // emptyMachine holds nothing.
 type emptyMachine struct{}
 
-func (*emptyMachine) Apply(uint64, json.RawMessage) any   { return nil }
-func (*emptyMachine) Snapshot() (json.RawMessage, error)  { return json.RawMessage(`{}`), nil }
-func (*emptyMachine) Restore(state json.RawMessage) error { return nil }
+func (*emptyMachine) Apply(uint64, json.RawMessage) any  { return nil }
+func (*emptyMachine) Snapshot() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
+func (*emptyMachine) Restore(_ json.RawMessage) error    { return nil }
--- a/internal/tier/group/member_test.go
+++ b/internal/tier/group/member_test.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 	"testing"
-	"time"
 
 	"mastusher/internal/tier/replica"
 )
@@ -64,6 +63,6 @@
 	// then another one leads the group before an election timeout is over.
 	c.runUntil("there is another leader", func() bool { return c.leader() != "" && c.leader() != old })
 	if took := c.now - began; took >= election {
-		t.Errorf("it took %v, as long as the timeout of %v", took, time.Duration(election))
+		t.Errorf("it took %v, as long as the timeout of %v", took, election)
 	}
 }
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return err
 	}
-	if err := g.writeInitialSnapshot(disk, &recovered); err != nil {
+	if err = g.writeInitialSnapshot(disk, &recovered); err != nil {
 		_ = disk.Close()
 		return err
 	}
-	if err := g.restore(disk, used); err != nil {
+	if err = g.restore(disk, used); err != nil {
 		_ = disk.Close()
 		return err
 	}
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -90,7 +90,7 @@
 		token := fmt.Sprint("p-", last)
 		answer.NextToken = &token
 	}
-	json.NewEncoder(response).Encode(answer)
+	_ = json.NewEncoder(response).Encode(answer)
 }
 
 func newTestReader(t *testing.T, stand *platform, clock *steppingClock, ratePerS float64) *Reader {
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -61,7 +61,7 @@
 	s.isolate(first)
 	token := s.propose(first)
 	var got *Outcome
-	s.onOutcome = func(n *node, outcome Outcome) {
+	s.onOutcome = func(_ *node, outcome Outcome) {
 		if outcome.Token == token {
 			got = &outcome
 		}
--- a/internal/tier/replica/follower.go
+++ b/internal/tier/replica/follower.go
@@ -53,7 +53,7 @@
 		r.rejectAppend(message)
 		return
 	}
-	if !r.mergeEntries(previous, entries) {
+	if !r.mergeEntries(entries) {
 		return
 	}
 	matched := previous + uint64(len(entries))
@@ -64,9 +64,9 @@
 	}
 }
 
-// mergeEntries appends the entries after previous that are not in the log yet, in place of those that conflict. Entries
+// mergeEntries appends the entries that are not in the log yet, in place of those that conflict. Entries
 // that agree must stay: a delayed message may bring fewer than the log holds. False: an entry cannot be read.
-func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {
+func (r *Replica) mergeEntries(entries []Entry) bool {
 	for len(entries) > 0 && r.log.matchTerm(entries[0].Index, entries[0].Term) {
 		entries = entries[1:]
 	}
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -105,9 +105,9 @@
 				},
 				{
 					File: "follower.go",
-					Old:  "func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {\n",
-					New: "func (r *Replica) mergeEntries(previous uint64, entries []Entry) bool {\n" +
-						"if previous < r.log.lastIndex() && previous >= r.log.offset { r.truncate(previous + 1) }\n",
+					Old:  "if !r.mergeEntries(entries) {\n",
+					New: "if previous < r.log.lastIndex() && previous >= r.log.offset { r.truncate(previous + 1) }\n" +
+						"if !r.mergeEntries(entries) {\n",
 				},
 			},
 			Run: campaigns,
--- a/internal/tier/replica/read_only_test.go
+++ b/internal/tier/replica/read_only_test.go
@@ -87,7 +87,7 @@
 	s.isolate(first)
 	token := s.read(first)
 	var got []Outcome
-	s.onOutcome = func(n *node, outcome Outcome) { got = append(got, outcome) }
+	s.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
 	s.runFor(testElection + 2*testHeartbeat)
 	if difference := cmp.Diff([]Outcome{{Token: token}}, got); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
--- a/internal/tier/storage/check.go
+++ b/internal/tier/storage/check.go
@@ -11,7 +11,7 @@
 func (g *Group) checkReady(ready *replica.Ready) (snapshotIndex, lastIndex uint64, err error) {
 	snapshotIndex, lastIndex = g.snapshotIndex, g.lastIndex
 	if ready.HardState != nil {
-		if err := checkHardState(g.hardState, *ready.HardState); err != nil {
+		if err = checkHardState(g.hardState, *ready.HardState); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -120,7 +120,7 @@
 
 // failAt lets one operation that changes the disk fail.
 func failAt(operation int) func(memorydisk.Operation, string) error {
-	return func(kind memorydisk.Operation, _ string) error {
+	return func(_ memorydisk.Operation, _ string) error {
 		operation--
 		if operation == -1 {
 			return syscall.EIO
--- a/internal/tier/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return trace.Wrap(g.fail("check of what is to be saved", err))
 	}
-	if err := g.receive(ready.ReceivedChunks); err != nil {
+	if err = g.receive(ready.ReceivedChunks); err != nil {
 		return trace.Wrap(err)
 	}
 	if ready.HardState == nil && ready.Snapshot == nil && ready.TruncateFrom == 0 && len(ready.Entries) == 0 {
--- a/internal/tier/storage/has_snapshot.go
+++ b/internal/tier/storage/has_snapshot.go
@@ -11,9 +11,9 @@
 		return false, trace.Wrap(err)
 	}
 	if logs := findGroupFiles(names, group).logs; len(logs) > 0 && logs[0] > 0 {
-		found, err := hasFirstFrame(disk, fileName(group, logSuffix(logs[0])), logs[0])
-		if err != nil || found {
-			return found, trace.Wrap(err)
+		found, frameErr := hasFirstFrame(disk, fileName(group, logSuffix(logs[0])), logs[0])
+		if frameErr != nil || found {
+			return found, trace.Wrap(frameErr)
 		}
 	}
 	opened, recovered, err := Open(disk, group)
--- a/internal/tier/storage/history_test.go
+++ b/internal/tier/storage/history_test.go
@@ -235,7 +235,7 @@
 		return nil, err
 	}
 	if hasErr != nil || hasSnapshot != (recovered.Snapshot != nil) {
-		return nil, fmt.Errorf("HasSnapshot gives %v and %v", hasSnapshot, hasErr)
+		return nil, fmt.Errorf("HasSnapshot gives %v, error %w", hasSnapshot, hasErr)
 	}
 	if recovered, err = withSnapshotState(group, recovered); err != nil {
 		return nil, err
--- a/internal/tier/storage/memorydisk/file.go
+++ b/internal/tier/storage/memorydisk/file.go
@@ -1,6 +1,7 @@
 package memorydisk
 
 import (
+	"errors"
 	"io"
 	"syscall"
 
@@ -111,7 +112,7 @@
 		f.node.sync()
 		return err
 	}
-	if err != ErrCrashed {
+	if !errors.Is(err, ErrCrashed) {
 		f.node.markLost()
 	}
 	return err
--- a/internal/tier/storage/osdisk_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -78,14 +78,14 @@
 		t.Fatal(err)
 	}
 	for _, act := range []func() error{
-		func() error { _, err := file.Write([]byte("hello world")); return err },
+		func() error { _, writeErr := file.Write([]byte("hello world")); return writeErr },
 		func() error { return file.Truncate(6) },
-		func() error { _, err := file.Write([]byte("there")); return err },
+		func() error { _, writeErr := file.Write([]byte("there")); return writeErr },
 		file.Sync, file.Close,
 		func() error { return disk.Rename("draft", "final") },
 		disk.SyncDir,
 	} {
-		if err := act(); err != nil {
+		if err = act(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -96,7 +96,7 @@
 	if size, _ := file.Size(); err != nil || string(data) != "hello there" || size != 11 {
 		t.Fatalf("got %q of %d bytes and %v", data, size, err)
 	}
-	if _, err := file.Write([]byte("!")); err != nil {
+	if _, err = file.Write([]byte("!")); err != nil {
 		t.Fatal(err)
 	}
 	if data, err = file.ReadAll(); err != nil || string(data) != "hello there!" {
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := group.Save(ready); err != nil {
+		if err = group.Save(ready); err != nil {
 			t.Fatal(err)
 		}
 		disk.LosePower(1)
