--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -44,50 +44,13 @@
 
 // plugins reads the plug-ins, and as plug-ins the hooks of earlier configurations.
 func (p *parser) plugins(c *Config) {
-	h := &c.PluginHost
-	h.Cache, h.Store = p.text("plugin_host.cache", ""), p.text("plugin_host.store", "")
+	host := &c.PluginHost
+	host.Cache, host.Store = p.text("plugin_host.cache", ""), p.text("plugin_host.store", "")
 	seen := map[string]bool{}
-	one := func(at string) {
-		g := Plugin{Key: at, Name: p.text(at+".name", fmt.Sprintf("plugin-%d", len(c.Plugins))), File: p.required(at + ".file"),
-			Timeout:   p.duration(at+".timeout", 10*time.Millisecond),
-			MemoryMB:  int(p.number(at+".memory_mb", 16, 1, 256)),
-			Instances: int(p.number(at+".instances", 2, 1, 16)),
-			Share:     p.number(at+".cpu_share", 0.05, 0.001, 1),
-			StoreKB:   int(p.number(at+".store_kb", 64, 0, 1<<16))}
-		p.require(at+".name", pluginName(g.Name), "want letters, digits, - and _, 64 at most")
-		p.require(at+".name", !seen[g.Name], "given to two plug-ins")
-		seen[g.Name] = true
-		p.require(at+".timeout", g.Timeout <= c.Limits.PluginBudget,
-			fmt.Sprintf("more than the %v that all plug-ins together may take", c.Limits.PluginBudget))
-		p.each(at+".fronts", func(in string) {
-			front := p.required(in)
-			p.require(in, front == "platform" || front == "activitypub", "want platform or activitypub")
-			g.Fronts = append(g.Fronts, front)
-		})
-		p.each(at+".partners", func(in string) { g.Partners = append(g.Partners, int(p.number(in, -1, 0, 65535))) })
-		p.each(at+".classes", func(in string) {
-			name := p.required(in)
-			n := slices.IndexFunc(c.Settings.Classes, func(k control.Class) bool { return k.Name == name })
-			p.require(in, n >= 0, "no class of that name in settings.lanes")
-			g.Classes = append(g.Classes, n)
-		})
-		p.each(at+".phases", func(in string) {
-			phase := p.required(in)
-			p.require(in, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
-			g.Phases = append(g.Phases, phase)
-		})
-		fail := p.text(at+".on_failure", "pass")
-		p.require(at+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
-		g.Reject = fail == "reject"
-		if v := p.root.Get(at + ".config"); v.Exists() {
-			p.require(at+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
-			g.Config = v.Raw
-		}
-		c.Plugins = append(c.Plugins, g)
-	}
+	one := func(at string) { p.plugin(c, at, seen) }
 	p.each("hooks", one)
 	p.each("plugins", one)
-	h.On = len(c.Plugins) > 0 || p.root.Get("plugin_host").Exists()
+	host.On = len(c.Plugins) > 0 || p.root.Get("plugin_host").Exists()
 	// An instance that could not have its first page would only be found out under load.
 	needed := int64(0) // bytes
 	for _, plugin := range c.Plugins {
@@ -96,6 +59,46 @@
 	p.require("plugin_host.memory_mb", needed <= c.Limits.PluginMemory, "too little for the instances that are set up")
 }
 
+// plugin reads one plug-in; seen are the names of those before it.
+func (p *parser) plugin(c *Config, at string, seen map[string]bool) {
+	plugin := Plugin{Key: at, Name: p.text(at+".name", fmt.Sprintf("plugin-%d", len(c.Plugins))), File: p.required(at + ".file"),
+		Timeout:   p.duration(at+".timeout", 10*time.Millisecond),
+		MemoryMB:  int(p.number(at+".memory_mb", 16, 1, 256)),
+		Instances: int(p.number(at+".instances", 2, 1, 16)),
+		Share:     p.number(at+".cpu_share", 0.05, 0.001, 1),
+		StoreKB:   int(p.number(at+".store_kb", 64, 0, 1<<16))}
+	p.require(at+".name", pluginName(plugin.Name), "want letters, digits, - and _, 64 at most")
+	p.require(at+".name", !seen[plugin.Name], "given to two plug-ins")
+	seen[plugin.Name] = true
+	p.require(at+".timeout", plugin.Timeout <= c.Limits.PluginBudget,
+		fmt.Sprintf("more than the %v that all plug-ins together may take", c.Limits.PluginBudget))
+	p.each(at+".fronts", func(in string) {
+		front := p.required(in)
+		p.require(in, front == "platform" || front == "activitypub", "want platform or activitypub")
+		plugin.Fronts = append(plugin.Fronts, front)
+	})
+	p.each(at+".partners", func(in string) { plugin.Partners = append(plugin.Partners, int(p.number(in, -1, 0, 65535))) })
+	p.each(at+".classes", func(in string) {
+		name := p.required(in)
+		n := slices.IndexFunc(c.Settings.Classes, func(class control.Class) bool { return class.Name == name })
+		p.require(in, n >= 0, "no class of that name in settings.lanes")
+		plugin.Classes = append(plugin.Classes, n)
+	})
+	p.each(at+".phases", func(in string) {
+		phase := p.required(in)
+		p.require(in, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
+		plugin.Phases = append(plugin.Phases, phase)
+	})
+	fail := p.text(at+".on_failure", "pass")
+	p.require(at+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
+	plugin.Reject = fail == "reject"
+	if v := p.root.Get(at + ".config"); v.Exists() {
+		p.require(at+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
+		plugin.Config = v.Raw
+	}
+	c.Plugins = append(c.Plugins, plugin)
+}
+
 // ForPlugin is a configuration with one plug-in and nothing else, for the tools of authors. Limits and settings are
 // those of the plug-in of a name in from, or the defaults where from is nil.
 func ForPlugin(file string, from *Config, name, seedText, settings string) (*Config, error) {
