--- a/internal/relay/capture/capture_test.go
+++ b/internal/relay/capture/capture_test.go
@@ -57,7 +57,7 @@
 					t.Fatalf("turn %d, restored at %d (-went on +restored)\n%s", no, at, d)
 				}
 			}
-			w.did(got)
+			w.apply(got)
 		}
 		if d := cmp.Diff(mod.Snapshot(), twin.Snapshot()); d != "" {
 			t.Fatalf("the states differ in the end: %s", d)
@@ -66,7 +66,7 @@
 }
 
 // play records a run of a world and returns the recorder's folder.
-func play(t testing.TB, seed uint64, turns int, lim Limits, from int) (dir string, r *Recorder) {
+func recordWorld(t testing.TB, seed uint64, turns int, lim Limits, from int) (dir string, r *Recorder) {
 	t.Helper()
 	dir = t.TempDir()
 	mod, err := control.New(settings(), 5)
@@ -92,7 +92,7 @@
 			r.Turn(now, in, out)
 			r.Tick(time.Now())
 		}
-		w.did(out)
+		w.apply(out)
 	}
 	r.Close()
 	if err := r.Err(); err != nil {
@@ -125,7 +125,7 @@
 // TestReplay_TenTimes_DecidesTheSame: a capture of a troubled run, from its start or from its middle, replays the same ten times.
 func TestReplay_TenTimes_DecidesTheSame(t *testing.T) {
 	for _, from := range []int{0, 700} {
-		dir, _ := play(t, 3, 1500, testLimits, from)
+		dir, _ := recordWorld(t, 3, 1500, testLimits, from)
 		text := one(t, dir)
 		for range 10 {
 			res, err := replayed(text, Options{})
@@ -138,7 +138,7 @@
 
 // TestReplay_AlteredRecord_IsFoundAndExplained: what was recorded otherwise is found in its turn, and explained.
 func TestReplay_AlteredRecord_IsFoundAndExplained(t *testing.T) {
-	dir, _ := play(t, 3, 400, testLimits, 0)
+	dir, _ := recordWorld(t, 3, 400, testLimits, 0)
 	text := one(t, dir)
 	r, err := NewReader(bytes.NewReader(text))
 	if err != nil {
@@ -173,7 +173,7 @@
 func TestReader_CutAtAnyByte_ReadsCompleteChunks(t *testing.T) {
 	lim := testLimits
 	lim.Chunk = 1 << 10
-	dir, _ := play(t, 4, 40, lim, 0)
+	dir, _ := recordWorld(t, 4, 40, lim, 0)
 	text := one(t, dir)
 	last := 0
 	for n := range text {
@@ -199,7 +199,7 @@
 }
 
 func TestReader_OtherVersions(t *testing.T) {
-	dir, _ := play(t, 4, 50, testLimits, 0)
+	dir, _ := recordWorld(t, 4, 50, testLimits, 0)
 	text := one(t, dir)
 	later := slices.Clone(text)
 	later[4] = Major + 1
@@ -252,7 +252,7 @@
 		out := mod.Step(now, in, nil)
 		r.Turn(now, in, out)
 		r.Tick(time.Now())
-		world.did(out)
+		world.apply(out)
 	}
 	r.send()
 	drain()
@@ -280,7 +280,7 @@
 	t.Helper()
 	lim := testLimits
 	lim.FileSize, lim.DirSize = size, 80<<10
-	dir, r := play(t, 5, 6000, lim, 0)
+	dir, r := recordWorld(t, 5, 6000, lim, 0)
 	files, _ := Files(dir)
 	total := int64(0)
 	for _, file := range files {
@@ -317,7 +317,7 @@
 		out := mod.Step(now, in, nil)
 		r.Turn(now, in, out)
 		r.Tick(time.Now())
-		world.did(out)
+		world.apply(out)
 	}
 	r.Close()
 	if !full() {
@@ -353,7 +353,7 @@
 
 // TestWindow_StandsForItself: a window stands for itself.
 func TestWindow_StandsForItself(t *testing.T) {
-	dir, _ := play(t, 6, 1000, testLimits, 0)
+	dir, _ := recordWorld(t, 6, 1000, testLimits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	var part bytes.Buffer
 	turns, err := Window(r, &part, 5*time.Second, 9*time.Second, nil)
@@ -368,7 +368,7 @@
 
 // TestStory_OneMessage: one message's way is told from its arrival to its end.
 func TestStory_OneMessage(t *testing.T) {
-	dir, _ := play(t, 6, 600, testLimits, 0)
+	dir, _ := recordWorld(t, 6, 600, testLimits, 0)
 	r, _ := NewReader(bytes.NewReader(one(t, dir)))
 	lines, err := Story(r, "m-20")
 	text := strings.Join(lines, "\n")
@@ -383,7 +383,7 @@
 
 // TestReplay_OtherSettings_CountsDifferences: under other settings differences are counted, and do not end the replay.
 func TestReplay_OtherSettings_CountsDifferences(t *testing.T) {
-	dir, _ := play(t, 6, 600, testLimits, 0)
+	dir, _ := recordWorld(t, 6, 600, testLimits, 0)
 	set := settings()
 	set.Slots = 2
 	res, err := replayed(one(t, dir), Options{Settings: &set})
@@ -472,7 +472,7 @@
 		}
 		out := mod.Step(now, in, nil)
 		put(TypeTurn, &Turn{uint64(no + 1), now, in, out})
-		w.did(out)
+		w.apply(out)
 	}
 	_ = c.flushTo(&file)
 	text := file.Bytes()
@@ -487,7 +487,7 @@
 	if index, err := reader().Index(); err != nil || len(index) != 3 || !index[2].State || index[1].Turns != 200 {
 		t.Fatalf("%+v, %v", index, err)
 	}
-	late := fmt.Sprint("m-", w.ref-20)
+	late := fmt.Sprint("m-", w.lastRef-20)
 	if lines, err := Story(reader(), late); err != nil || !strings.Contains(strings.Join(lines, "\n"), late+" arrives") {
 		t.Errorf("%v\n%s", err, strings.Join(lines, "\n"))
 	}
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -95,8 +95,8 @@
 
 const start = 24 * time.Hour
 
-// play plays a scene for twelve seconds and writes its capture.
-func (sc *scene) play(name string) ([]byte, error) {
+// run plays a scene for twelve seconds and writes its capture.
+func (sc *scene) run(name string) ([]byte, error) {
 	mod, err := control.New(settings(), 11)
 	if err != nil {
 		return nil, err
@@ -181,7 +181,7 @@
 // TestCorpus_Scenes_MatchTheirCaptures: each scene decides what its capture in the corpus tells; with -corpus the captures are written anew.
 func TestCorpus_Scenes_MatchTheirCaptures(t *testing.T) {
 	for name, sc := range scenes {
-		text, err := sc.play(name)
+		text, err := sc.run(name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -10,15 +10,15 @@
 // world drives a module with partners whose troubles a seed draws: what comes of attempts, lists that are late, drains,
 // waits, resets, arrivals. It is no model of partners; it is there to have the module decide all that it can.
 type world struct {
-	rng   *rand.Rand
-	now   time.Duration
-	ref   uint64
-	out   map[uint64]attempt // by message
-	tries map[uint64]int
-	late  []timed
-	eps   []control.Endpoint
-	bad   map[uint32]control.Result // endpoints in trouble
-	wait  map[uint32]time.Duration  // told with a refusal
+	rng        *rand.Rand
+	now        time.Duration
+	lastRef    uint64
+	inFlight   map[uint64]attempt // by message
+	attempts   map[uint64]int
+	lateEvents []timed
+	endpoints  []control.Endpoint
+	faults     map[uint32]control.Result // endpoints in trouble
+	waits      map[uint32]time.Duration  // told with a refusal
 }
 
 type attempt struct {
@@ -44,10 +44,10 @@
 }
 
 func newWorld(seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), now: 24 * time.Hour, out: map[uint64]attempt{}, tries: map[uint64]int{},
-		bad: map[uint32]control.Result{}, wait: map[uint32]time.Duration{}}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), now: 24 * time.Hour, inFlight: map[uint64]attempt{}, attempts: map[uint64]int{},
+		faults: map[uint32]control.Result{}, waits: map[uint32]time.Duration{}}
 	for i := range 10 {
-		w.eps = append(w.eps, control.Endpoint{ID: uint32(i + 1), Zone: i % 2, Kind: i % 2, Destination: i / 2})
+		w.endpoints = append(w.endpoints, control.Endpoint{ID: uint32(i + 1), Zone: i % 2, Kind: i % 2, Destination: i / 2})
 	}
 	return w
 }
@@ -57,81 +57,109 @@
 	w.now += time.Duration(5+w.rng.IntN(40)) * time.Millisecond
 	var in []control.Event
 	if no == 0 {
-		in = append(in, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.eps...), Complete: true})
+		in = append(in, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.endpoints...), Complete: true})
 	}
+	w.changeFaults()
+	w.changeList()
+	in = append(in, w.takeLate()...)
+	in = append(in, w.resolved()...)
+	in = append(in, w.arrivals()...)
+	if w.rng.IntN(50) == 0 && w.lastRef > 0 {
+		in = append(in, control.Event{Kind: control.Withdrawn, ID: 1 + w.rng.Uint64N(w.lastRef)})
+	}
+	now := w.now
+	if w.rng.IntN(100) == 0 { // a clock that steps back
+		now -= 50 * time.Millisecond
+	}
+	return now, append(in, control.Event{Kind: control.Woken})
+}
+
+// changeFaults has an endpoint fail, or recover, now and then.
+func (w *world) changeFaults() {
 	if w.rng.IntN(40) == 0 { // trouble comes or goes
-		e := w.eps[w.rng.IntN(len(w.eps))].ID
-		if _, ok := w.bad[e]; ok {
-			delete(w.bad, e)
+		e := w.endpoints[w.rng.IntN(len(w.endpoints))].ID
+		if _, ok := w.faults[e]; ok {
+			delete(w.faults, e)
 		} else {
-			w.bad[e] = []control.Result{control.Errored, control.Throttled, control.TimedOut, control.NoConnection, control.Reset, control.Malformed}[w.rng.IntN(6)]
-			if w.wait[e] = 0; w.rng.IntN(2) == 0 {
-				w.wait[e] = time.Duration(w.rng.IntN(2000)) * time.Millisecond
+			w.faults[e] = []control.Result{control.Errored, control.Throttled, control.TimedOut, control.NoConnection, control.Reset, control.Malformed}[w.rng.IntN(6)]
+			if w.waits[e] = 0; w.rng.IntN(2) == 0 {
+				w.waits[e] = time.Duration(w.rng.IntN(2000)) * time.Millisecond
 			}
 		}
 	}
+}
+
+// changeList has an endpoint drain, leave or come back now and then; word of it comes late.
+func (w *world) changeList() {
 	if w.rng.IntN(60) == 0 { // the list changes, and word of it comes late
-		i := w.rng.IntN(len(w.eps))
-		w.eps[i].State = control.State(w.rng.IntN(3))
-		w.late = append(w.late, timed{w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{w.eps[i]}}})
-		if w.eps[i].State == control.Removed {
-			w.eps[i].ID += 100
-			w.eps[i].State = control.Ready
-			w.late = append(w.late, timed{w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{w.eps[i]}}})
+		i := w.rng.IntN(len(w.endpoints))
+		w.endpoints[i].State = control.State(w.rng.IntN(3))
+		w.lateEvents = append(w.lateEvents, timed{w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{w.endpoints[i]}}})
+		if w.endpoints[i].State == control.Removed {
+			w.endpoints[i].ID += 100
+			w.endpoints[i].State = control.Ready
+			w.lateEvents = append(w.lateEvents, timed{w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{w.endpoints[i]}}})
 		}
 	}
-	keep := w.late[:0]
-	for _, l := range w.late {
+}
+
+// takeLate are the late events that are due.
+func (w *world) takeLate() (in []control.Event) {
+	keep := w.lateEvents[:0]
+	for _, l := range w.lateEvents {
 		if l.at <= w.now {
 			in = append(in, l.ev)
 		} else {
 			keep = append(keep, l)
 		}
 	}
-	w.late = keep
-	for ref := uint64(1); ref <= w.ref; ref++ {
-		a, ok := w.out[ref]
+	w.lateEvents = keep
+	return in
+}
+
+// resolved are the outcomes that are due, in the order of their messages.
+func (w *world) resolved() (in []control.Event) {
+	for ref := uint64(1); ref <= w.lastRef; ref++ {
+		a, ok := w.inFlight[ref]
 		if !ok || a.due > w.now {
 			continue
 		}
-		delete(w.out, ref)
+		delete(w.inFlight, ref)
 		ev := control.Event{Kind: control.Resolved, ID: ref, Attempt: a.no, Endpoint: a.endpoint, Result: a.result}
 		if a.result == control.Throttled {
-			ev.RetryAfter = w.wait[a.endpoint]
+			ev.RetryAfter = w.waits[a.endpoint]
 		}
 		if w.rng.IntN(3) == 0 {
 			ev.Reported, ev.Remaining, ev.Limit = true, w.rng.Float64(), 5+10*w.rng.Float64()
 		}
 		in = append(in, ev)
 	}
+	return in
+}
+
+// arrivals are up to two new messages.
+func (w *world) arrivals() (in []control.Event) {
 	for range w.rng.IntN(3) {
-		w.ref++
+		w.lastRef++
 		class := w.rng.IntN(3)
 		left := []time.Duration{16, 24, 9}[class] * time.Second
-		ev := control.Event{Kind: control.Arrived, ID: w.ref, Destination: w.rng.IntN(5), Class: class, Deadline: w.now + time.Duration(w.rng.Int64N(int64(left))),
+		ev := control.Event{Kind: control.Arrived, ID: w.lastRef, Destination: w.rng.IntN(5), Class: class, Deadline: w.now + time.Duration(w.rng.Int64N(int64(left))),
 			Key: uint64(w.rng.IntN(8)), Resubmitted: w.rng.IntN(9) == 0}
 		if w.rng.IntN(20) == 0 { // taken up after a restart
 			ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1+w.rng.IntN(3), true, w.now-time.Duration(w.rng.IntN(3000))*time.Millisecond, uint32(w.rng.IntN(300))
-			w.tries[w.ref] = ev.Attempt
+			w.attempts[w.lastRef] = ev.Attempt
 		}
 		in = append(in, ev)
 	}
-	if w.rng.IntN(50) == 0 && w.ref > 0 {
-		in = append(in, control.Event{Kind: control.Withdrawn, ID: 1 + w.rng.Uint64N(w.ref)})
-	}
-	now := w.now
-	if w.rng.IntN(100) == 0 { // a clock that steps back
-		now -= 50 * time.Millisecond
-	}
-	return now, append(in, control.Event{Kind: control.Woken})
+	return in
 }
 
-// did takes what the module has decided.
-func (w *world) did(actions []control.Action) {
+// apply takes what the module has decided.
+func (w *world) apply(actions []control.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case control.Send:
-			result, ok := w.bad[a.Endpoint]
+			result, ok := w.faults[a.Endpoint]
 			took := time.Duration(20+w.rng.ExpFloat64()*150) * time.Millisecond
 			if !ok {
 				result = control.Delivered
@@ -139,12 +167,12 @@
 			if took > a.For || result == control.TimedOut {
 				result, took = control.TimedOut, a.For
 			}
-			w.out[a.ID] = attempt{a.Endpoint, w.tries[a.ID], w.now + took, result}
-			w.tries[a.ID]++
+			w.inFlight[a.ID] = attempt{a.Endpoint, w.attempts[a.ID], w.now + took, result}
+			w.attempts[a.ID]++
 		case control.Cancel:
-			if o, ok := w.out[a.ID]; ok {
+			if o, ok := w.inFlight[a.ID]; ok {
 				o.due, o.result = w.now, control.Cancelled
-				w.out[a.ID] = o
+				w.inFlight[a.ID] = o
 			}
 		}
 	}
