--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -157,7 +157,7 @@
 		<-release
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Server-Seal", "seal")
-		io.WriteString(w, "whole")
+		_, _ = io.WriteString(w, "whole") // the test reads what arrives
 	}))
 	defer endpoint.Close()
 	m := newMachine(t, configurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()))
@@ -226,7 +226,7 @@
 	if got := <-hangs; got.status != http.StatusGatewayTimeout {
 		t.Errorf("the abandoned request: %+v", got)
 	}
-	<-m.ended
+	t.Logf("the process ended with %v", <-m.ended)
 	logged := m.output.String()
 	for _, phase := range []string{
 		`msg="shutdown requested" grace=2s`,
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -29,11 +29,11 @@
 	chain   func(request wire.ChainRequest) (wire.ChainResponse, error)
 }
 
-// notLeader is the error of a store that doesn't lead a shard.
-type notLeader struct{ leader string }
+// notLeaderError is the error of a store that doesn't lead a shard.
+type notLeaderError struct{ leader string }
 
-func (e *notLeader) Error() string     { return e.leader }
-func (e *notLeader) ErrorKind() string { return wire.KindNotLeader }
+func (e *notLeaderError) Error() string     { return e.leader }
+func (e *notLeaderError) ErrorKind() string { return wire.KindNotLeader }
 
 func newStore(t *testing.T) *store {
 	t.Helper()
@@ -104,7 +104,7 @@
 func TestClient_FollowerHints_FindsLeader(t *testing.T) {
 	first, leader := newStore(t), newStore(t)
 	first.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{}, &notLeader{leader.address}
+		return program.Result{}, &notLeaderError{leader.address}
 	}
 	leader.begin = func(_ context.Context, request wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Accepted, Chain: []byte(request.Turn.Turn)}, nil
@@ -129,7 +129,7 @@
 		return program.Result{}, ctx.Err()
 	}
 	follower.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
-		return program.Result{}, &notLeader{unresponsive.address}
+		return program.Result{}, &notLeaderError{unresponsive.address}
 	}
 	leader.begin = func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
 		return program.Result{Verdict: program.Accepted}, nil
@@ -161,14 +161,14 @@
 		{"given a shard without a leader then the outcome is unknown",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainResponse{}, &notLeader{}
+					return wire.ChainResponse{}, &notLeaderError{}
 				}
 				return wire.ChainResponse{}, nil
 			}, program.Result{}, false},
 		{"given a shard without a leader and one that has it then its chain is imported",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
-					return wire.ChainResponse{}, &notLeader{}
+					return wire.ChainResponse{}, &notLeaderError{}
 				}
 				return wire.ChainResponse{Found: true, Chain: []byte("old")}, nil
 			}, program.Result{Verdict: program.Accepted, Chain: []byte("old")}, true},
--- a/internal/tier/programclient/wire_format_test.go
+++ b/internal/tier/programclient/wire_format_test.go
@@ -50,7 +50,7 @@
 			}
 			want := bytes.TrimSuffix(data, []byte("\n"))
 			read := test.empty()
-			if err := json.Unmarshal(want, read); err != nil {
+			if err = json.Unmarshal(want, read); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(test.value, read); diff != "" {
--- a/internal/tier/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("snapshot %s: %v", state, err)
 		}
 		restored := newMachine()
-		if err := restored.Restore(state); err != nil {
+		if err = restored.Restore(state); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := restored.placement.Load(), m.placement.Load(); got != want {
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -81,7 +81,7 @@
 	}
 	running := store.New(ctx, store.Options{ID: options.ID, Address: options.Address, Disk: disk, Pool: transport.NewPool(),
 		Logger: log.NewNopLogger(), Seed: uint64(os.Getpid()), Now: time.Now})
-	if err := running.Recover(); err != nil {
+	if err = running.Recover(); err != nil {
 		return err
 	}
 	handlers := transport.NewHandlers()
@@ -284,9 +284,8 @@
 }
 
 // fill runs complete turns until so many more bytes of contents are stored.
-func (f *fleet) fill(bytes int) time.Duration {
+func (f *fleet) fill(bytes int) {
 	f.b.Helper()
-	began := time.Now()
 	each := f.input + f.input/4
 	turns := (bytes + each - 1) / each
 	var waiting sync.WaitGroup
@@ -299,7 +298,6 @@
 		})
 	}
 	waiting.Wait()
-	return time.Since(began)
 }
 
 // turn begins and ends one turn, whoever owns its shard.
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -81,7 +81,8 @@
 	if err != nil || began.Verdict != program.Accepted {
 		t.Fatalf("begun: %v, %v", began, err)
 	}
-	if ended, err := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End}); err != nil || ended.Verdict != program.Accepted {
+	ended, err := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End})
+	if err != nil || ended.Verdict != program.Accepted {
 		t.Fatalf("ended: %v, %v", ended, err)
 	}
 
