--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -96,7 +96,7 @@
 
 // Publish spreads an update.
 func (c *cluster) Publish(update view.Update) {
-	if held, ok := c.updates[update.Section]; ok && !held.Stamp.Less(update.Stamp) {
+	if known, ok := c.updates[update.Section]; ok && !known.Stamp.Less(update.Stamp) {
 		return
 	}
 	c.updates[update.Section] = update
--- a/internal/tier/controller/decommission_test.go
+++ b/internal/tier/controller/decommission_test.go
@@ -151,7 +151,7 @@
 			}
 			c.run(6 * time.Second)
 			if c.hosts("s-1") || !c.isComplete() {
-				t.Error("a retired machine holds replicas")
+				t.Error("a decommissioned machine has replicas")
 			}
 		})
 	}
@@ -171,6 +171,6 @@
 	c.run(time.Second)
 	c.until("groups are complete", 8*time.Second, c.isComplete)
 	if !c.hosts(c.storage(1).member.ID) {
-		t.Error("the machine's new identity holds nothing")
+		t.Error("the new identity of the machine has no replicas")
 	}
 }
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -12,8 +12,8 @@
 	"mastusher/internal/tier/view"
 )
 
-func endpoint(id string, coldLeftMs int64) model.Endpoint {
-	return model.Endpoint{ID: id, Service: "lm", Address: "10.1.0.1:8080", Version: "v1", State: model.Ready, WarmUpLeftMs: coldLeftMs}
+func endpoint(id string, warmUpLeftMs int64) model.Endpoint {
+	return model.Endpoint{ID: id, Service: "lm", Address: "10.1.0.1:8080", Version: "v1", State: model.Ready, WarmUpLeftMs: warmUpLeftMs}
 }
 
 func TestEndpoints_PublishedOnChange(t *testing.T) {
@@ -103,11 +103,11 @@
 	if err := restored.Restore(state); err != nil {
 		t.Fatal(err)
 	}
-	again, err := restored.Snapshot()
+	retry, err := restored.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(state), string(again)); diff != "" {
+	if diff := cmp.Diff(string(state), string(retry)); diff != "" {
 		t.Errorf("snapshot (-before +after):\n%s", diff)
 	}
 }
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -299,13 +299,13 @@
 
 // retryUntilClear calls until the answer is a clear one, or its attempts are used up.
 func (o *operator) retryUntilClear(attempts int, attempt func() (clear bool)) bool {
-	pause := minBackoff
+	backoff := minBackoff
 	for range attempts {
 		if attempt() {
 			return true
 		}
-		o.sleep(pause)
-		pause = min(2*pause, maxBackoff)
+		o.sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return false
 }
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -148,7 +148,7 @@
 	noDelegate    bool          // no peer may be asked
 }
 
-func TestEndpoints_LeaderCutOffFromPlatform_PeerReads(t *testing.T) {
+func TestEndpoints_LeaderPartitionedFromPlatform_PeerReads(t *testing.T) {
 	for _, fault := range []readFault{
 		{name: "the leader is partitioned from the platform", inject: func(r *leaderWithPeers) { r.platform.unreachable[selfAddress] = true },
 			maxLag: 3 * time.Second, delegateAfter: 5 * time.Second},
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -171,7 +171,7 @@
 }
 
 // untilDone lets time pass until all have ended, with some faults now and then; each is called after each step.
-func (c *faultyCluster) untilDone(working *sync.WaitGroup, trouble, each func()) {
+func (c *faultyCluster) untilDone(working *sync.WaitGroup, injectFault, each func()) {
 	c.t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -191,7 +191,7 @@
 		each()
 		if c.now >= next {
 			next = c.now + time.Duration(c.random.Int64N(int64(2*faultInterval)))
-			trouble()
+			injectFault()
 		}
 		return isDone()
 	})
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -265,10 +265,10 @@
 	for _, a := range h.answers {
 		counts[fmt.Sprintf("%s %s %d", a.method, strings.Split(strings.TrimPrefix(a.path, "/mastusher/"), "/")[0], a.code)]++
 	}
-	var lines []string
+	var counted []string
 	for kind, count := range counts {
-		lines = append(lines, fmt.Sprintf("%s x%d", kind, count))
+		counted = append(counted, fmt.Sprintf("%s x%d", kind, count))
 	}
-	slices.SortFunc(lines, cmp.Compare)
-	return strings.Join(lines, ", ")
+	slices.SortFunc(counted, cmp.Compare)
+	return strings.Join(counted, ", ")
 }
--- a/internal/tier/controller/partition_links_test.go
+++ b/internal/tier/controller/partition_links_test.go
@@ -36,12 +36,12 @@
 	for _, w := range ways {
 		c.mutex.Lock()
 		c.blocked[w] = blocked
-		held := c.delayed[w]
+		delayed := c.delayed[w]
 		if !blocked {
 			delete(c.delayed, w)
 		}
 		c.mutex.Unlock()
-		for _, envelope := range held {
+		for _, envelope := range delayed {
 			if !blocked {
 				c.deliver(w, envelope)
 			}
@@ -88,12 +88,12 @@
 
 func (c *core) reachedFrom(from int) map[int]bool {
 	reached := map[int]bool{from: true}
-	for again := true; again; {
-		again = false
+	for grown := true; grown; {
+		grown = false
 		for a := range c.machines {
 			for b := range c.machines {
 				if reached[a] && !reached[b] && !c.blocked[link{a, b}] && !c.blocked[link{b, a}] && c.isRunning(a) && c.isRunning(b) {
-					reached[b], again = true, true
+					reached[b], grown = true, true
 				}
 			}
 		}
--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -10,7 +10,7 @@
 const (
 	partitionTests    = "TestPartitionedController_AnswersStayLinearizable"
 	formerLeaderTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
-	listTests         = "TestEndpoints_LeaderCutOffFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
+	listTests         = "TestEndpoints_LeaderPartitionedFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
 )
 
 // TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is partitioned. The scenarios
--- a/internal/tier/controller/placement_test.go
+++ b/internal/tier/controller/placement_test.go
@@ -79,7 +79,7 @@
 	}
 	c.until("groups are complete", 3*time.Second, c.isComplete)
 	if len(shardsOf(c.placement(), "s-1")) != 0 {
-		t.Error("a lost store still holds replicas")
+		t.Error("a lost store still has replicas")
 	}
 }
 
@@ -92,7 +92,7 @@
 	took := c.until("groups are complete", 2*time.Second, c.isComplete)
 	t.Logf("groups are complete %v after the store was taken for dead", took)
 	if len(shardsOf(c.placement(), "s-5")) == 0 {
-		t.Error("the new store holds nothing")
+		t.Error("the new store has no replicas")
 	}
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	if !c.isComplete() {
-		t.Error("groups are not whole")
+		t.Error("groups are not complete")
 	}
 }
 
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -28,8 +28,8 @@
 	r.run(time.Second)
 }
 
-// held is how many bytes of state the store with the most replicas holds, for each byte in a shard.
-func (r *repair) held() int {
+// maxStateCopies is how many bytes of state the store with the most replicas holds, for each byte in a shard.
+func (r *repair) maxStateCopies() int {
 	limit := 0
 	for _, m := range r.sorted() {
 		if m.member.Role == membership.Store {
@@ -70,7 +70,7 @@
 func measureRepair(t *testing.T, around environment, state int, what fault) {
 	t.Helper()
 	r := newRepair(t, membership.Store, around)
-	r.fill(state / r.held())
+	r.fill(state / r.maxStateCopies())
 	allowed := r.now
 	for _, m := range r.oldest(around.faultTolerance) {
 		allowed = r.inject(what, m)
--- a/internal/tier/controller/surplus_replicas_restart_test.go
+++ b/internal/tier/controller/surplus_replicas_restart_test.go
@@ -20,9 +20,9 @@
 	c.storage(1).kill()
 	c.run(clusterStep)
 	c.storage(1).start()
-	held, _ := c.storage(1).store.Stats()
-	if wanted := len(shardsOf(c.placement(), c.storage(1).member.ID)); held > wanted {
-		t.Errorf("the store reads %d replicas at its start, and is to hold %d", held, wanted)
+	loaded, _ := c.storage(1).store.Stats()
+	if target := len(shardsOf(c.placement(), c.storage(1).member.ID)); loaded > target {
+		t.Errorf("the store reads %d replicas at its start, and should read %d", loaded, target)
 	}
 }
 
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -37,7 +37,7 @@
 	c.run(deathDelay + 6*time.Second)
 	c.until("groups are complete again", 5*time.Second, c.isComplete)
 	if len(shardsOf(c.placement(), c.storage(1).member.ID)) == 0 {
-		t.Error("the store that came back holds nothing")
+		t.Error("the store that came back has no replicas")
 	}
 	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
 	c.wantTurns(turns)
