--- a/internal/tier/fleettest/check_configuration.go
+++ b/internal/tier/fleettest/check_configuration.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// observe notes that a configuration was in force.
+// observe records that a configuration was in force.
 func (c *registerCheck) observe(content Content, at time.Duration) {
 	known := c.orders[content]
 	if known == nil {
--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -64,20 +64,20 @@
 	f := c.fleet()
 	c.attempts++
 	sent.ID = fmt.Sprintf("t-%d", c.attempts)
-	r := f.history.addRequest(sent, proxy, f.loop.now)
+	record := f.history.addRequest(sent, proxy, f.loop.now)
 	ended := func(outcome outcome, status int) {
-		if r.Outcome != outcomePending {
+		if record.Outcome != outcomePending {
 			return
 		}
-		r.Outcome, r.Status, r.Ended = outcome, status, f.loop.now
-		f.trace("client: %s at %s previous %q: outcome %d status %d", r.ID, proxy, r.Previous, outcome, status)
+		record.Outcome, record.Status, record.Ended = outcome, status, f.loop.now
+		f.trace("client: %s at %s previous %q: outcome %d status %d", record.ID, proxy, record.Previous, outcome, status)
 		if done != nil {
-			done(r)
+			done(record)
 		}
 	}
 	var e *exchange
 	e = f.network.call(c.process, proxy, sent, func(response any) {
-		if r.Outcome != outcomePending {
+		if record.Outcome != outcomePending {
 			return
 		}
 		switch answered := response.(type) {
@@ -85,7 +85,7 @@
 			e.close()
 			ended(outcomeRejected, answered.Status)
 		case clientEvent:
-			r.Events, r.Runs = append(r.Events, answered.Data), append(r.Runs, answered.Run)
+			record.Events, record.Runs = append(record.Events, answered.Data), append(record.Runs, answered.Run)
 			if answered.Last {
 				e.close()
 				ended(outcomeComplete, http.StatusOK)
@@ -93,12 +93,12 @@
 		}
 	}, func(error) { ended(outcomeAborted, 0) })
 	c.process.after(requestTimeout, func() {
-		if r.Outcome == outcomePending {
+		if record.Outcome == outcomePending {
 			e.cancel()
 			ended(outcomeAborted, 0)
 		}
 	})
-	return r
+	return record
 }
 
 // readyProxy picks a proxy that calls itself ready, as the platform's ingress sees it.
@@ -110,7 +110,7 @@
 	return ready[c.fleet().loop.random.IntN(len(ready))]
 }
 
-// conversation is one line of turns of a program.
+// conversation is a sequence of turns of a program, each continuing the one before.
 type conversation struct {
 	clients        *clients
 	program        string
@@ -152,7 +152,7 @@
 	return l
 }
 
-// nextTurn takes the line's next turn.
+// nextTurn sends the next turn of the conversation.
 func (l *conversation) nextTurn() {
 	l.sendTurn(0)
 }
--- a/internal/tier/fleettest/configuration_test.go
+++ b/internal/tier/fleettest/configuration_test.go
@@ -133,7 +133,7 @@
 		s.operator.ackLossRate = 1
 		order := s.operator.put(1, 2)
 		s.RunFor(1500 * time.Millisecond)
-		// when another continues that version, the leader ends, and the first hears again,
+		// when another builds on that version, the leader ends, and the first hears again,
 		next := s.rival.put(2, 3)
 		s.acknowledged(next)
 		leader := s.coreLeader()
@@ -195,7 +195,7 @@
 			t.Fatal("the leader that was partitioned has acknowledged an order")
 		}
 		if read.Ended != 0 && read.Ended > joined.Ended && read.Content != joined.Content {
-			t.Errorf("the leader that was partitioned told %v", read.Content)
+			t.Errorf("the leader that was partitioned answered %v", read.Content)
 		}
 		// and when they are healed, the other order is rejected.
 		s.Heal()
@@ -270,7 +270,7 @@
 	})
 }
 
-// isCoreVoter reports whether a controller's own group names it with a vote.
+// isCoreVoter reports whether a controller's own group has it as a voter.
 func (s *scenario) isCoreVoter(m *Machine) bool {
 	running, ok := m.processes[0].handler.(*controller)
 	if !ok {
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -20,7 +20,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// replicasPerGroup is the number of replicas of a group: one loss is borne.
+// replicasPerGroup is the number of replicas of a group: it tolerates one loss.
 const replicasPerGroup = 3
 
 // Times of a controller.
--- a/internal/tier/fleettest/day.go
+++ b/internal/tier/fleettest/day.go
@@ -20,10 +20,10 @@
 	slowSyncTime         = 120 * time.Millisecond
 	freeBytes            = 200
 	maxSyncFactor        = 4    // times the usual
-	continuedShare       = 0.15 // share of programs that go on from a turn of another
+	continuedShare       = 0.15 // share of programs that continue a turn of another
 )
 
-// day is the run of one plan.
+// day is the run of one plan: its fleet and the state of its traffic.
 type day struct {
 	*Fleet
 	plan          Plan
@@ -66,7 +66,7 @@
 	return d.result()
 }
 
-// startTraffic has operators, clients and lookers at work for the day.
+// startTraffic starts the operators' and clients' traffic for the day.
 func (d *day) startTraffic() {
 	d.every(orderInterval, d.order)
 	d.every(operatorReadInterval, func() { d.operators[1].get() })
@@ -170,7 +170,7 @@
 	}
 }
 
-// endMachineFaults ends what injects a fault into a machine without ending it.
+// endMachineFaults ends the faults of a machine that runs.
 func (d *day) endMachineFaults(m *Machine) {
 	m.thaw()
 	m.resumeDisk()
--- a/internal/tier/fleettest/days_test.go
+++ b/internal/tier/fleettest/days_test.go
@@ -13,7 +13,7 @@
 	return Run(RandomPlan(seed), Options{}).Violations
 }
 
-// repeated gives a day on which one kind of fault comes repeatedly.
+// repeated returns a day on which one kind of fault comes repeatedly.
 func repeated(kind FaultKind, interval, length time.Duration) func(seed uint64) []string {
 	return func(seed uint64) []string {
 		plan := Plan{Seed: seed, Span: 30 * time.Second}
--- a/internal/tier/fleettest/doc.go
+++ b/internal/tier/fleettest/doc.go
@@ -5,7 +5,7 @@
 // nothing but what those have seen. It is test support: only its own tests use it.
 //
 // It shows that the state machines and the protocols between them keep the tier's guarantees: acknowledged configurations
-// survive and are never read stale, a turn runs at most once and with its complete chain, a budget holds, and the tier serves
+// survive and are never read stale, a request runs at most once, a turn with its complete chain, a budget holds, and the tier serves
 // again once the faults are over. Package simulation shows the same of the roles as they ship, goroutines and sockets included;
 // this package does not run them, but it is faster, and its scenarios choose their faults to the millisecond.
 //
--- a/internal/tier/fleettest/endpoint.go
+++ b/internal/tier/fleettest/endpoint.go
@@ -23,7 +23,7 @@
 	MaxTokens int64
 }
 
-// endpointRejection is an answer that promises that the request has not run.
+// endpointRejection is an answer which says that the request has not run.
 type endpointRejection struct{ Status int }
 
 // endpointEvent is one event of an answer.
--- a/internal/tier/fleettest/faultinjection.go
+++ b/internal/tier/fleettest/faultinjection.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// quorumMachines lists the machines with a disk.
+// quorumMachines lists the machines that count for a quorum: those with a disk.
 func (f *Fleet) quorumMachines() []*Machine {
 	return append(append([]*Machine{}, f.cores...), f.stores...)
 }
 
-// inject injects a fault.
+// inject injects a fault, and has it end after its time.
 func (d *day) inject(fault Fault) {
 	counting := d.quorumMachines()
-	m, other := counting[fault.Target%len(counting)], counting[fault.Other%len(counting)]
+	target, other := counting[fault.Target%len(counting)], counting[fault.Other%len(counting)]
 	edge, engine := d.edges[fault.Target%len(d.edges)], d.engines[fault.Target%len(d.engines)]
 	switch fault.Kind {
 	case KillFault:
-		d.Kill(m)
-		d.StartLater(fault.For, m)
+		d.Kill(target)
+		d.StartLater(fault.For, target)
 	case PowerLossFault:
-		d.LosePower(m)
-		d.StartLater(fault.For, m)
+		d.LosePower(target)
+		d.StartLater(fault.For, target)
 	case KillAllFault:
 		d.Kill(d.tier()...)
 		d.startEach(fault.For)
@@ -30,16 +30,16 @@
 	case AckPowerLossFault:
 		d.afterAcknowledgement(func(leader *Machine) { d.endLeader(leader, fault.For, d.LosePower) })
 	case AckDiskLossPowerLossAllFault:
-		d.afterAcknowledgement(func(*Machine) { d.loseDiskAndAllPower(m, fault.For) })
+		d.afterAcknowledgement(func(*Machine) { d.loseDiskAndAllPower(target, fault.For) })
 	case DiskLossFault:
-		d.LoseDisk(m)
-		d.StartLater(fault.For, m)
+		d.LoseDisk(target)
+		d.StartLater(fault.For, target)
 	case DiskLossPowerLossAllFault:
-		d.loseDiskAndAllPower(m, fault.For)
+		d.loseDiskAndAllPower(target, fault.For)
 	case ReplaceFault:
-		d.replace(m)
+		d.replace(target)
 	default:
-		d.injectMachineFault(fault, m, other)
+		d.injectMachineFault(fault, target, other)
 		d.injectEdgeFault(fault, edge, engine)
 	}
 }
@@ -61,7 +61,7 @@
 	d.startEach(within)
 }
 
-// afterAcknowledgement does something to the leader of the configuration right after the next acknowledgement.
+// afterAcknowledgement calls run with the leader of the configuration's group right after the next acknowledgement.
 func (d *day) afterAcknowledgement(run func(leader *Machine)) {
 	until := d.Now() + ackTimeout
 	d.onAcknowledged = func(*order) {
@@ -73,10 +73,10 @@
 }
 
 // endLeader ends a machine within 4 ms.
-func (d *day) endLeader(leader *Machine, pause time.Duration, end func(...*Machine)) {
+func (d *day) endLeader(leader *Machine, delay time.Duration, end func(...*Machine)) {
 	d.loop.after(d.loop.between(0, 4*time.Millisecond), func() {
 		end(leader)
-		d.StartLater(pause, leader)
+		d.StartLater(delay, leader)
 	})
 }
 
@@ -90,41 +90,41 @@
 	d.ReplaceStore(m)
 }
 
-// injectMachineFault injects a fault into a machine with a disk without ending it.
-func (d *day) injectMachineFault(fault Fault, m, other *Machine) {
+// injectMachineFault injects a fault into a quorum machine or its links, which goes on running.
+func (d *day) injectMachineFault(fault Fault, target, other *Machine) {
 	switch fault.Kind {
 	case FreezeFault:
-		d.Freeze(m)
-		d.loop.after(fault.For, func() { d.Thaw(m) })
+		d.Freeze(target)
+		d.loop.after(fault.For, func() { d.Thaw(target) })
 	case PartitionFault:
 		peers := append(d.quorumMachines(), d.edges...)
 		if fault.Other%2 == 0 {
 			peers = d.quorumMachines()
 		}
-		d.Partition([]*Machine{m}, peers)
-		d.loop.after(fault.For, func() { d.HealLinks([]*Machine{m}, peers) })
+		d.Partition([]*Machine{target}, peers)
+		d.loop.after(fault.For, func() { d.HealLinks([]*Machine{target}, peers) })
 	case PartitionOneWayFault:
-		if m != other {
-			d.PartitionOneWay(m, other)
-			d.loop.after(fault.For, func() { d.HealLinks([]*Machine{m}, []*Machine{other}) })
+		if target != other {
+			d.PartitionOneWay(target, other)
+			d.loop.after(fault.For, func() { d.HealLinks([]*Machine{target}, []*Machine{other}) })
 		}
 	case ResetFault:
-		d.Reset(m, other)
+		d.Reset(target, other)
 	case ClockStepFault:
-		d.StepClock(m, fault.For)
+		d.StepClock(target, fault.For)
 	case SlowDiskFault:
-		d.SlowDisk(m, slowSyncTime)
-		d.loop.after(fault.For, func() { d.SlowDisk(m, d.options.SyncTime) })
+		d.SlowDisk(target, slowSyncTime)
+		d.loop.after(fault.For, func() { d.SlowDisk(target, d.options.SyncTime) })
 	case StalledDiskFault:
-		d.StallDisk(m)
-		d.loop.after(fault.For, func() { d.ResumeDisk(m) })
+		d.StallDisk(target)
+		d.loop.after(fault.For, func() { d.ResumeDisk(target) })
 	case FullDiskFault:
-		d.FillDisk(m, freeBytes)
-		d.loop.after(fault.For, func() { d.FillDisk(m, -1) })
+		d.FillDisk(target, freeBytes)
+		d.loop.after(fault.For, func() { d.FillDisk(target, -1) })
 	}
 }
 
-// injectEdgeFault injects faults into those beside the machines with a disk.
+// injectEdgeFault injects a fault into an edge machine, an endpoint or the operators.
 func (d *day) injectEdgeFault(fault Fault, edge, engine *Machine) {
 	switch fault.Kind {
 	case ProxyKillFault:
--- a/internal/tier/fleettest/faults.go
+++ b/internal/tier/fleettest/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kill ends all processes of machines at once.
+// Kill ends all processes of machines at once; their disks keep what was written.
 func (f *Fleet) Kill(machines ...*Machine) {
 	f.recordFault()
 	for _, m := range machines {
@@ -40,8 +40,8 @@
 }
 
 // StartLater starts machines after a pause.
-func (f *Fleet) StartLater(pause time.Duration, machines ...*Machine) {
-	f.loop.after(pause, func() { f.Start(machines...) })
+func (f *Fleet) StartLater(delay time.Duration, machines ...*Machine) {
+	f.loop.after(delay, func() { f.Start(machines...) })
 }
 
 // Freeze stops a machine without ending anything.
@@ -58,7 +58,7 @@
 	m.thaw()
 }
 
-// Partition cuts machines off from others, in both directions.
+// Partition partitions machines from others, in both directions.
 func (f *Fleet) Partition(some, others []*Machine) {
 	f.recordFault()
 	for _, a := range some {
@@ -174,14 +174,14 @@
 	old.removed = true
 	next.firstBoot = false
 	next.zone = old.zone
-	kept := []*Machine{}
+	remaining := []*Machine{}
 	for _, m := range machines {
 		if m != old {
-			kept = append(kept, m)
+			remaining = append(remaining, m)
 		}
 	}
 	f.loop.after(f.loop.between(0, restartPeriod), next.start)
-	return append(kept, next)
+	return append(remaining, next)
 }
 
 // ReplaceEndpoint ends an endpoint and starts another one, of any service, at its address.
--- a/internal/tier/fleettest/faults_test.go
+++ b/internal/tier/fleettest/faults_test.go
@@ -20,7 +20,7 @@
 				state = "asked"
 				s.operator.rolloutState(modelService, func(answer operatorAnswer) {
 					if answer.Target != "v2" {
-						t.Errorf("the roll-out to %q is called", answer.Target)
+						t.Errorf("the roll-out's target is %q", answer.Target)
 					}
 					state = answer.State
 					if state != "finished" {
@@ -59,7 +59,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			seeds(t, 3, func(t *testing.T, seed uint64) {
-				// Given a leader of the configuration whose disk is in fault,
+				// Given a leader of the configuration whose disk is faulty,
 				s := serving(t, seed)
 				leader := s.coreLeader()
 				test.inject(s, leader)
--- a/internal/tier/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -37,7 +37,7 @@
 	return s
 }
 
-// serving gives a fleet in which configuration 1 is in force and all proxies are ready.
+// serving returns a fleet in which configuration 1 is in force and all proxies are ready.
 func serving(t *testing.T, seed uint64) *scenario {
 	t.Helper()
 	s := newScenario(t, seed)
@@ -102,7 +102,7 @@
 	})
 }
 
-// coreLeader runs until the configuration has a leader, and gives it.
+// coreLeader runs until the configuration's group has a leader, and returns it.
 func (s *scenario) coreLeader() *Machine {
 	s.t.Helper()
 	s.within(confirmTime, "the core has a leader", func() bool { return s.CoreLeader() != nil })
@@ -192,7 +192,7 @@
 	return s.ShardLeader(shard)
 }
 
-// shardOf gives a program's shard.
+// shardOf returns a program's shard.
 func (s *scenario) shardOf(program string) int {
 	s.t.Helper()
 	for _, m := range s.edges {
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -166,10 +166,10 @@
 	}
 }
 
-// RunFor runs a span.
+// RunFor runs the events of a span of virtual time.
 func (f *Fleet) RunFor(span time.Duration) { f.loop.runUntil(f.loop.now+span, nil) }
 
-// Until runs until the condition holds, at most for a span, and reports whether it holds.
+// Until runs events until a condition holds or the timeout is over, and reports whether it holds.
 func (f *Fleet) Until(timeout time.Duration, condition func() bool) bool {
 	return f.loop.runUntil(f.loop.now+timeout, condition)
 }
@@ -241,7 +241,7 @@
 	return addresses
 }
 
-// CoreLeader is the controller that believes that it leads the configuration's group, in the highest term; nil: none.
+// CoreLeader returns the controller that believes that it leads the configuration's group, in the highest term; nil: none.
 func (f *Fleet) CoreLeader() *Machine {
 	var leader *Machine
 	var term uint64
@@ -257,7 +257,7 @@
 	return leader
 }
 
-// ShardLeader is the store that believes that it leads a shard's group, in the highest term; nil: none.
+// ShardLeader returns the store that believes that it leads a shard's group, in the highest term; nil: none.
 func (f *Fleet) ShardLeader(shard int) *Machine {
 	var leader *Machine
 	var term uint64
--- a/internal/tier/fleettest/loop.go
+++ b/internal/tier/fleettest/loop.go
@@ -61,14 +61,24 @@
 // withProbability is true in the given share of cases.
 func (l *loop) withProbability(share float64) bool { return share > 0 && l.random.Float64() < share }
 
+// eventQueue is a heap of events, the earliest first. It implements heap.Interface.
 type eventQueue []event
 
+// Len implements sort.Interface.
 func (q eventQueue) Len() int { return len(q) }
+
+// Less implements sort.Interface; events of one moment come in the order of their sequence numbers.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
+
+// Swap implements sort.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -60,7 +60,7 @@
 // isRunning reports whether the process runs; it may be frozen.
 func (p *process) isRunning() bool { return p.handler != nil }
 
-// execute does something in the process, unless it has ended, and not before it is thawed.
+// execute calls run in an incarnation of the process, unless that has ended, and not before the machine is thawed.
 func (p *process) execute(incarnation int, run func()) {
 	if p.incarnation != incarnation || p.handler == nil {
 		return
@@ -190,7 +190,7 @@
 	}
 }
 
-// resumeDisk lets a stalled disk answer again.
+// resumeDisk lets a stalled disk answer, and runs what waited for it.
 func (m *Machine) resumeDisk() {
 	m.diskStalled = false
 	waiting := m.diskWaiting
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -15,7 +15,7 @@
 	syncTimeout  = 2 * time.Second
 )
 
-// member is a process's part in membership and in the spread of views.
+// member is a process's member of the gossip: membership and the views that it spreads.
 type member struct {
 	process   *process
 	swim      *membership.Node
@@ -50,7 +50,7 @@
 // members lists all members that are known, by name.
 func (m *member) members() []membership.Member { return m.swim.Members() }
 
-// schedule has the membership's next step happen now.
+// schedule has the next step of the membership run now.
 func (m *member) schedule() {
 	if m.scheduled {
 		return
@@ -166,7 +166,7 @@
 // publish takes over updates that are newer, and announces them.
 func (m *member) publish(updates ...view.Update) {
 	for _, update := range updates {
-		if held, ok := m.updates[update.Section]; !ok || held.Stamp.Less(update.Stamp) {
+		if current, ok := m.updates[update.Section]; !ok || current.Stamp.Less(update.Stamp) {
 			m.updates[update.Section] = update
 		}
 	}
--- a/internal/tier/fleettest/network.go
+++ b/internal/tier/fleettest/network.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// stream carries something over a connection, in order. It is lost when the connection is; lost, which may be nil, is called.
+// stream carries something over a connection, in order. It is lost when the connection is; then lost is called, which may be nil.
 func (n *network) stream(from, to *process, arrive, lost func()) {
 	way := pair{from.machine, to.machine}
 	if n.partitioned[way] {
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -172,7 +172,7 @@
 	o.callUntilAnswered(getDecommission{node}, done)
 }
 
-// callUntilAnswered calls one controller after the other, with a growing pause, until there is a clear answer.
+// callUntilAnswered calls one controller after the other, with exponential backoff, until there is a clear answer.
 func (o *operator) callUntilAnswered(request any, done func(operatorAnswer)) {
 	backoff := operatorInitialBackoff
 	var attempt func()
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -10,7 +10,7 @@
 // FaultKind names a kind of fault in a plan.
 type FaultKind string
 
-// The kinds of fault. Those that last end after Fault.For.
+// The kinds of fault; their values stand in printed plans. Those that last end after Fault.For.
 const (
 	KillFault                    FaultKind = "kill"       // comes back after For
 	PowerLossFault               FaultKind = "power"      // the same, without what was not synced
@@ -35,7 +35,7 @@
 	EndpointReplaceFault         FaultKind = "endpoint"    // is replaced at its address, by one of the other service and back after For
 	AckLossFault                 FaultKind = "ack_lost"    // answers to operators are lost for For
 	OrderRaceFault               FaultKind = "config_race" // both operators send on the newest version
-	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs and says nothing for For
+	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs requests and answers none for For
 )
 
 // Fault is one fault of a plan. Machines are numbered among the quorum machines (cores, then stores), edges or endpoints.
@@ -47,7 +47,7 @@
 	For    time.Duration `json:"for,omitempty"`
 }
 
-// Plan is one day: its seed and its faults, in order.
+// Plan is one day: its seed and its faults, by time.
 type Plan struct {
 	Seed   uint64        `json:"seed"`
 	Span   time.Duration `json:"span"` // of the faults; the day goes on until all has come back
@@ -84,18 +84,18 @@
 	random := rand.New(rand.NewPCG(seed, 0x706c616e))
 	plan := Plan{Seed: seed, Span: planSpan}
 	maxGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // some days are dense, some are not
-	var wholeAt time.Duration                                         // when all quorum machines have recovered from all faults
+	var recoveredAt time.Duration                                     // when all quorum machines have recovered from all faults
 	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * maxGap))) {
 		fault := Fault{At: at, Kind: randomFaultKinds[random.IntN(len(randomFaultKinds))], For: time.Duration(random.Int64N(int64(6 * time.Second)))}
 		fault.Target, fault.Other = random.IntN(quorumMachineCount), random.IntN(quorumMachineCount)
-		if fault.Kind.losesDisk() && at < wholeAt {
+		if fault.Kind.losesDisk() && at < recoveredAt {
 			continue
 		}
 		if fault.Kind == ClockStepFault {
 			fault.For -= 3 * time.Second
 		}
 		if until := at + fault.unavailableFor(); fault.Kind.affectsQuorumMachines() {
-			wholeAt = max(wholeAt, until)
+			recoveredAt = max(recoveredAt, until)
 		}
 		plan.Faults = append(plan.Faults, fault)
 	}
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -118,7 +118,7 @@
 
 // call asks the shard's stores in turn until its leader answers or the time is over.
 func (c *programClient) call(shard int, request any, deadline time.Duration, done func(answer any, err error)) {
-	address, pause, round := c.leader(shard), initialBackoff, 0
+	address, backoff, attempts := c.leader(shard), initialBackoff, 0
 	var ask func()
 	ask = func() {
 		left := deadline - c.now()
@@ -127,24 +127,24 @@
 			return
 		}
 		c.process.machine.fleet.network.ask(c.process, address, request, min(attemptTimeout, left), func(answer any, err error) {
-			elsewhere, refused := answer.(notLeader)
-			if err == nil && !refused {
+			redirect, redirected := answer.(notLeader)
+			if err == nil && !redirected {
 				c.leaders[shard] = address
 				done(answer, nil)
 				return
 			}
-			if refused && elsewhere.leader != "" && elsewhere.leader != address {
-				address = elsewhere.leader
+			if redirected && redirect.leader != "" && redirect.leader != address {
+				address = redirect.leader
 			} else {
 				address = c.nextReplica(shard, address)
 			}
-			round++
-			if round%max(1, len(c.replicas(shard))) != 0 {
+			attempts++
+			if attempts%max(1, len(c.replicas(shard))) != 0 {
 				c.process.after(0, ask)
 				return
 			}
-			c.process.after(pause, ask)
-			pause = min(2*pause, maxBackoff)
+			c.process.after(backoff, ask)
+			backoff = min(2*backoff, maxBackoff)
 		})
 	}
 	ask()
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -16,7 +16,7 @@
 	feedMaxBackoff       = 250 * time.Millisecond
 	requestTimeout       = 4 * time.Second // that a client waits
 	beginTimeoutDivisor  = 4
-	maxAttempts          = 4 // endpoints that may turn a request away
+	maxAttempts          = 4 // endpoints that may reject a request
 	commitAttemptTimeout = 2 * time.Second
 	commitTimeout        = 30 * time.Second
 	commitBackoff        = 50 * time.Millisecond
@@ -32,7 +32,7 @@
 	endpoints    []model.Endpoint
 	programs     *programClient
 	backoff      time.Duration
-	lastEndpoint int // for choosing endpoints in turn
+	lastEndpoint int // index of the endpoint chosen last, for round robin
 }
 
 func openProxy(agent string) func(p *process) (handler, error) {
@@ -145,5 +145,5 @@
 	r.beginTurn()
 }
 
-// reject says that the request has not run and never will.
+// reject answers 503: the request has not run and never will.
 func (r *proxyRequest) reject() { r.answer(http.StatusServiceUnavailable) }
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -20,7 +20,7 @@
 	mayHaveRun bool
 	ended      bool
 	answering  bool
-	rejectedBy map[string]bool // endpoints that promised not to run it
+	rejectedBy map[string]bool // endpoints that have rejected the request: it has not run there
 	endpoint   *exchange
 	output     []byte
 	events     int
@@ -110,7 +110,7 @@
 	})
 }
 
-// handleResponse handles a response of the endpoint's answer.
+// handleResponse handles a response of the endpoint.
 func (r *proxyRequest) handleResponse(endpoint string, response any) {
 	switch answered := response.(type) {
 	case endpointRejection:
@@ -170,7 +170,7 @@
 	r.answer(http.StatusBadGateway)
 }
 
-// commitIncomplete commits a turn without its output, beside the request, unless its end has been sent.
+// commitIncomplete commits the end of a turn that was not answered, beside the request, unless its end is being committed.
 func (r *proxyRequest) commitIncomplete() {
 	if !r.reserved || r.committed {
 		return
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -14,10 +14,10 @@
 	process   *process
 	group     *group.Group
 	disk      *timedDisk
-	syncing   bool // its disk is at work: what follows from the last turn has not happened yet
+	syncing   bool // its disk is at work: the outputs of the last iteration wait for it
 	outputs   []func()
 	wakeAt    time.Duration // of the timer that counts; others are stale
-	scheduled bool          // a turn is due at this moment
+	scheduled bool          // an iteration is due now
 	iterating bool
 }
 
@@ -64,7 +64,7 @@
 	run()
 }
 
-// schedule has the member's next turn happen now.
+// schedule has the member's next iteration run now.
 func (r *replicaRunner) schedule() {
 	if r.scheduled || r.syncing {
 		return
@@ -76,7 +76,7 @@
 	})
 }
 
-// iterate lets the member do what is due.
+// iterate runs the member once: group.RunOnce with its input so far.
 func (r *replicaRunner) iterate() {
 	if r.syncing {
 		return
@@ -98,8 +98,8 @@
 // finishSync does what waited for the disk.
 func (r *replicaRunner) finishSync() {
 	if m := r.process.machine; m.diskStalled {
-		life := r.process.incarnation
-		m.diskWaiting = append(m.diskWaiting, func() { r.process.execute(life, r.finishSync) })
+		incarnation := r.process.incarnation
+		m.diskWaiting = append(m.diskWaiting, func() { r.process.execute(incarnation, r.finishSync) })
 		return
 	}
 	if err := r.disk.completeSync(); err != nil {
@@ -108,9 +108,9 @@
 	}
 	outputs := r.outputs
 	r.syncing, r.outputs = false, nil
-	life := r.process.incarnation
+	incarnation := r.process.incarnation
 	for _, run := range outputs {
-		if r.process.incarnation != life {
+		if r.process.incarnation != incarnation {
 			return
 		}
 		run()
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -82,11 +82,11 @@
 }
 
 // WriteChunks implements group.ChunkedStateMachine.
-func (s *shard) WriteChunks(write func(part json.RawMessage) error) error {
+func (s *shard) WriteChunks(write func(chunk json.RawMessage) error) error {
 	if err := write(strconv.AppendUint(nil, s.followedPlacement, 10)); err != nil {
 		return err
 	}
-	return s.programs.WriteChunks(func(part []byte) error { return write(part) })
+	return s.programs.WriteChunks(func(chunk []byte) error { return write(chunk) })
 }
 
 // BeginRestore implements group.ChunkedStateMachine.
@@ -103,12 +103,12 @@
 }
 
 // Add implements group.Restorer.
-func (r *shardRestorer) Add(part json.RawMessage) error {
+func (r *shardRestorer) Add(chunk json.RawMessage) error {
 	if r.started {
-		return r.programs.Add(part)
+		return r.programs.Add(chunk)
 	}
 	r.started = true
-	return json.Unmarshal(part, &r.followed)
+	return json.Unmarshal(chunk, &r.followed)
 }
 
 // Finish implements group.Restorer.
@@ -118,9 +118,9 @@
 }
 
 // setPlacement takes over what a placement wants of the group.
-func (s *shard) setPlacement(index uint64, wanted []replica.Member) {
+func (s *shard) setPlacement(index uint64, members []replica.Member) {
 	if index >= s.placementIndex {
-		s.placementIndex, s.targetMembers = index, wanted
+		s.placementIndex, s.targetMembers = index, members
 	}
 	s.reconcile()
 }
@@ -164,7 +164,7 @@
 }
 
 // reportMembers reports the members of the group, if a majority confirms that this replica leads it and has committed them.
-func (s *shard) reportMembers(number int, done func(told wire.ShardMembers, confirmed bool)) {
+func (s *shard) reportMembers(number int, done func(members wire.ShardMembers, confirmed bool)) {
 	before := s.replica.group.Status()
 	if !before.IsLeader {
 		done(wire.ShardMembers{}, false)
@@ -174,14 +174,14 @@
 	s.replica.read(func() { after = s.replica.group.Status() }, queryTimeout, func(err error) {
 		confirmed := err == nil && after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex &&
 			slices.Equal(before.Members, after.Members)
-		told := wire.ShardMembers{Shard: number, Term: after.Term, Placement: s.followedPlacement}
+		members := wire.ShardMembers{Shard: number, Term: after.Term, Placement: s.followedPlacement}
 		for _, member := range after.Members {
-			told.IDs = append(told.IDs, member.ID)
+			members.IDs = append(members.IDs, member.ID)
 			if !member.Learner && after.CaughtUp[member.ID] {
-				told.CaughtUp = append(told.CaughtUp, member.ID)
+				members.CaughtUp = append(members.CaughtUp, member.ID)
 			}
 		}
-		done(told, confirmed)
+		done(members, confirmed)
 	})
 }
 
@@ -194,9 +194,9 @@
 		return
 	}
 	for _, number := range s.numbers() {
-		s.shards[number].reportMembers(number, func(told wire.ShardMembers, confirmed bool) {
+		s.shards[number].reportMembers(number, func(members wire.ShardMembers, confirmed bool) {
 			if confirmed {
-				answer.Shards = append(answer.Shards, told)
+				answer.Shards = append(answer.Shards, members)
 			}
 			if open--; open == 0 {
 				call.finish(answer)
--- a/internal/tier/fleettest/shrink.go
+++ b/internal/tier/fleettest/shrink.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most so many days.
-func Shrink(plan Plan, days int, fails func(Plan) bool) Plan {
-	try := func(smaller Plan) bool {
-		if days == 0 {
+// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
+func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
+	attempt := func(smaller Plan) bool {
+		if maxRuns == 0 {
 			return false
 		}
-		days--
+		maxRuns--
 		if !fails(smaller) {
 			return false
 		}
 		plan = smaller
 		return true
 	}
-	for size := len(plan.Faults); size > 0 && days > 0; size /= 2 {
+	for size := len(plan.Faults); size > 0 && maxRuns > 0; size /= 2 {
 		for start := 0; start+size <= len(plan.Faults); {
-			if !try(without(plan, start, size)) {
+			if !attempt(without(plan, start, size)) {
 				start += size
 			}
 		}
 	}
 	for i := range plan.Faults {
-		try(shorter(plan, i))
+		attempt(shorter(plan, i))
 	}
 	return plan
 }
 
 // without leaves some faults out.
 func without(plan Plan, start, count int) Plan {
-	kept := append([]Fault{}, plan.Faults[:start]...)
-	plan.Faults = append(kept, plan.Faults[start+count:]...)
+	remaining := append([]Fault{}, plan.Faults[:start]...)
+	plan.Faults = append(remaining, plan.Faults[start+count:]...)
 	return plan
 }
 
--- a/internal/tier/fleettest/turns_test.go
+++ b/internal/tier/fleettest/turns_test.go
@@ -254,14 +254,14 @@
 		s := serving(t, seed)
 		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens})
 		leader := s.shardLeader()
-		held := s.begin(s.edges[1], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
+		first := s.begin(s.edges[1], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
 		s.RunFor(time.Duration(seed) * time.Millisecond)
 		s.Freeze(leader)
 		s.RunFor(3 * time.Second)
 		two := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
 		s.Thaw(leader)
 		// then turns go on from the newest, and the budget holds.
-		s.within(2*requestTimeout, "the first has ended", func() bool { return held.Outcome != outcomePending })
+		s.within(2*requestTimeout, "the first has ended", func() bool { return first.Outcome != outcomePending })
 		for range 4 {
 			s.turn(s.edges[2], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: two.ID})
 		}
