--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -86,56 +86,15 @@
 func Judge(history []Entry, o Options) *BreachError {
 	h := slices.Clone(history)
 	slices.SortStableFunc(h, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
-	type word struct {
-		dropped bool
-		digest  uint64
-		by      string
-	}
-	words := map[uint64]word{}
-	newest, newestAt, newestBy := uint64(0), time.Duration(0), ""
-	acted := map[uint64]Entry{}
-	ends := map[string]string{}
+	j := judge{options: o, statements: map[uint64]Entry{}, acted: map[uint64]Entry{}, ends: map[string]string{}}
 	for i, e := range h {
-		fail := func(rule, format string, args ...any) *BreachError {
-			return &BreachError{rule, e, fmt.Sprintf(format, args...), i}
-		}
-		switch e.Kind {
-		case Acted:
-			if e.Version < newest && !o.Serves && e.At-newestAt > o.Slack {
-				return fail(OldStops, "acts under version %d, and %s has acted under %d since %v", e.Version, newestBy, newest,
-					newestAt.Round(time.Microsecond))
-			}
-			if e.Version > newest {
-				newest, newestAt, newestBy = e.Version, e.At, e.Relay
-			}
-			if _, ok := acted[e.Version]; !ok {
-				acted[e.Version] = e
-			}
-			if w, ok := words[e.Version]; ok && w.dropped {
-				return fail(Dropped, "acts under version %d, which was dropped", e.Version)
-			}
-		case Said:
-			w, ok := words[e.Version]
-			if ok && (w.dropped != e.Dropped || w.digest != e.Digest) {
-				return fail(SameWord, "says that version %d was dropped: %v, digest %x; %s: %v, %x", e.Version, e.Dropped, e.Digest, w.by, w.dropped, w.digest)
-			}
-			if words[e.Version] = (word{e.Dropped, e.Digest, e.Relay}); e.Dropped {
-				if a, ok := acted[e.Version]; ok {
-					return fail(Dropped, "version %d was dropped, and %s acted under it at %v", e.Version, a.Relay, a.At)
-				}
-			}
-		case Ended:
-			if was, ok := ends[e.ID]; ok && was != e.Text {
-				return fail(OneEnd, "%s had two ends: %s and %s", e.ID, was, e.Text)
-			}
-			ends[e.ID] = e.Text
-		case Broke:
-			return fail(NothingIs, "%s", e.Text)
+		if rule, text := j.add(e); rule != "" {
+			return &BreachError{rule, e, text, i}
 		}
 	}
 	if o.Ends {
 		for i, e := range h {
-			if e.Kind == Taken && ends[e.ID] == "" {
+			if e.Kind == Taken && j.ends[e.ID] == "" {
 				return &BreachError{OneEnd, e, e.ID + " was taken on and has no end", i}
 			}
 		}
@@ -151,6 +110,64 @@
 	return nil
 }
 
+// judge is what the rules need to know of the entries before the current one.
+type judge struct {
+	options    Options
+	newest     Entry            // the first act under the newest version that was acted under
+	statements map[uint64]Entry // by version: the last Said
+	acted      map[uint64]Entry // by version: the first Acted
+	ends       map[string]string
+}
+
+// add takes in the next entry, and returns the rule that it breaks, and how; an empty rule: none.
+func (j *judge) add(e Entry) (rule, text string) {
+	switch e.Kind {
+	case Acted:
+		return j.addAct(e)
+	case Said:
+		return j.addStatement(e)
+	case Ended:
+		if was, ok := j.ends[e.ID]; ok && was != e.Text {
+			return OneEnd, fmt.Sprintf("%s had two ends: %s and %s", e.ID, was, e.Text)
+		}
+		j.ends[e.ID] = e.Text
+	case Broke:
+		return NothingIs, e.Text
+	}
+	return "", ""
+}
+
+// addAct checks that no older version is acted under after a newer one, and none that was dropped.
+func (j *judge) addAct(e Entry) (rule, text string) {
+	if e.Version < j.newest.Version && !j.options.Serves && e.At-j.newest.At > j.options.Slack {
+		return OldStops, fmt.Sprintf("acts under version %d, and %s has acted under %d since %v", e.Version, j.newest.Relay, j.newest.Version,
+			j.newest.At.Round(time.Microsecond))
+	}
+	if e.Version > j.newest.Version {
+		j.newest = e
+	}
+	if _, ok := j.acted[e.Version]; !ok {
+		j.acted[e.Version] = e
+	}
+	if said, ok := j.statements[e.Version]; ok && said.Dropped {
+		return Dropped, fmt.Sprintf("acts under version %d, which was dropped", e.Version)
+	}
+	return "", ""
+}
+
+// addStatement checks that all relays say the same of a version, and that a dropped one was not acted under.
+func (j *judge) addStatement(e Entry) (rule, text string) {
+	said, ok := j.statements[e.Version]
+	if ok && (said.Dropped != e.Dropped || said.Digest != e.Digest) {
+		return SameWord, fmt.Sprintf("says that version %d was dropped: %v, digest %x; %s: %v, %x", e.Version, e.Dropped, e.Digest, said.Relay, said.Dropped, said.Digest)
+	}
+	j.statements[e.Version] = e
+	if act, acted := j.acted[e.Version]; e.Dropped && acted {
+		return Dropped, fmt.Sprintf("version %d was dropped, and %s acted under it at %v", e.Version, act.Relay, act.At)
+	}
+	return "", ""
+}
+
 // broken returns where a history goes beyond the bound the most, and by how much; 0: it does not. A bucket that is filled evenly
 // and holds Burst takes exactly the histories that keep it.
 func (b *Bound) broken(h []Entry) (at int, most float64) {
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -286,33 +286,11 @@
 	save := &Image{}
 	for e.node.HasReady() {
 		rd := e.node.Ready()
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err = e.store.ApplySnapshot(rd.Snapshot); err != nil {
-				return out, fmt.Errorf("consensus: %w", err)
-			}
-			e.confState = rd.Snapshot.GetMetadata().GetConfState()
-			e.applied, e.snapshotIndex, e.imageStale = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), true
-			out.Snapshot = rd.Snapshot.GetData()
-			restore(out.Snapshot)
-		}
-		for _, en := range rd.Entries {
-			encoded, entryErr := proto.Marshal(en)
-			if entryErr != nil {
-				return out, fmt.Errorf("consensus: %w", entryErr)
-			}
-			save.Entries = append(save.Entries, encoded)
-			e.bytesSinceSnapshot += len(encoded)
-		}
-		if err = e.store.Append(rd.Entries); err != nil {
-			return out, fmt.Errorf("consensus: %w", err)
+		if err = e.applySnapshot(rd.Snapshot, &out, restore); err != nil {
+			return out, err
 		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			if err = e.store.SetHardState(rd.HardState); err != nil {
-				return out, fmt.Errorf("consensus: %w", err)
-			}
-			if save.HardState, err = proto.Marshal(rd.HardState); err != nil {
-				return out, fmt.Errorf("consensus: %w", err)
-			}
+		if err = e.saveEntries(&rd, save); err != nil {
+			return out, err
 		}
 		for _, m := range rd.Messages {
 			encoded, messageErr := proto.Marshal(m)
@@ -324,34 +302,14 @@
 				defer e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
-		for _, en := range rd.CommittedEntries {
-			c, entryErr := e.toCommitted(en)
-			if entryErr != nil {
-				return out, entryErr
-			}
-			e.applied = en.GetIndex()
-			apply(c)
-			out.Committed = append(out.Committed, c)
-		}
-		for _, r := range rd.ReadStates {
-			var no uint64
-			if cbor.Unmarshal(r.RequestCtx, &no) == nil {
-				out.ConfirmedReads = append(out.ConfirmedReads, no)
-				e.readConfirmedAt = now
-			}
+		if err = e.applyCommitted(rd.CommittedEntries, &out, apply); err != nil {
+			return out, err
 		}
+		e.confirmReads(now, rd.ReadStates, &out)
 		e.node.Advance(rd)
 	}
-	if e.applied-e.snapshotIndex >= snapshotEntries || e.membersChanged || e.bytesSinceSnapshot > snapshotBytes && e.applied > e.snapshotIndex {
-		e.membersChanged, e.bytesSinceSnapshot = false, 0
-		if _, err = e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
-			return out, fmt.Errorf("consensus: %w", err)
-		}
-		// Some stay, so that whoever is a little behind needs no snapshot.
-		if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
-			_ = e.store.Compact(e.applied - snapshotEntries/4)
-		}
-		e.snapshotIndex, e.imageStale = e.applied, true
+	if err = e.maybeSnapshot(state); err != nil {
+		return out, err
 	}
 	if e.imageStale {
 		e.imageStale = false
@@ -365,6 +323,89 @@
 	return out, nil
 }
 
+// applySnapshot replaces the state by a snapshot that the leader has sent, if there is one.
+func (e *Engine) applySnapshot(snapshot *pb.Snapshot, out *Ready, restore func([]byte)) error {
+	if raft.IsEmptySnap(snapshot) {
+		return nil
+	}
+	if err := e.store.ApplySnapshot(snapshot); err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	e.confState = snapshot.GetMetadata().GetConfState()
+	e.applied, e.snapshotIndex, e.imageStale = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetIndex(), true
+	out.Snapshot = snapshot.GetData()
+	restore(out.Snapshot)
+	return nil
+}
+
+// saveEntries adds new entries and a new HardState to the log in memory, and to what is to be saved.
+func (e *Engine) saveEntries(rd *raft.Ready, save *Image) error {
+	for _, entry := range rd.Entries {
+		encoded, err := proto.Marshal(entry)
+		if err != nil {
+			return fmt.Errorf("consensus: %w", err)
+		}
+		save.Entries = append(save.Entries, encoded)
+		e.bytesSinceSnapshot += len(encoded)
+	}
+	err := e.store.Append(rd.Entries)
+	if err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	if raft.IsEmptyHardState(rd.HardState) {
+		return nil
+	}
+	if err = e.store.SetHardState(rd.HardState); err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	if save.HardState, err = proto.Marshal(rd.HardState); err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	return nil
+}
+
+// applyCommitted hands out committed entries in their order.
+func (e *Engine) applyCommitted(entries []*pb.Entry, out *Ready, apply func(Committed)) error {
+	for _, entry := range entries {
+		committed, err := e.toCommitted(entry)
+		if err != nil {
+			return err
+		}
+		e.applied = entry.GetIndex()
+		apply(committed)
+		out.Committed = append(out.Committed, committed)
+	}
+	return nil
+}
+
+// confirmReads hands out the numbers of reads that a majority has confirmed.
+func (e *Engine) confirmReads(now time.Duration, reads []raft.ReadState, out *Ready) {
+	for _, read := range reads {
+		var number uint64
+		if cbor.Unmarshal(read.RequestCtx, &number) == nil {
+			out.ConfirmedReads = append(out.ConfirmedReads, number)
+			e.readConfirmedAt = now
+		}
+	}
+}
+
+// maybeSnapshot compacts the log behind a snapshot of the state, if one is due.
+func (e *Engine) maybeSnapshot(state func() []byte) error {
+	if e.applied-e.snapshotIndex < snapshotEntries && !e.membersChanged && (e.bytesSinceSnapshot <= snapshotBytes || e.applied <= e.snapshotIndex) {
+		return nil
+	}
+	e.membersChanged, e.bytesSinceSnapshot = false, 0
+	if _, err := e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	// Some stay, so that whoever is a little behind needs no snapshot.
+	if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
+		_ = e.store.Compact(e.applied - snapshotEntries/4)
+	}
+	e.snapshotIndex, e.imageStale = e.applied, true
+	return nil
+}
+
 func (e *Engine) toCommitted(en *pb.Entry) (c Committed, err error) {
 	c = Committed{Index: en.GetIndex(), Data: en.GetData()}
 	var cc pb.ConfChangeI
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -84,12 +84,34 @@
 		s = &relayRecord{leaseOverAt: n.leadership.since + n.maxLeaseDuration()}
 		n.leadership.relays[p.From] = s
 	}
+	if !n.isNewestRequest(from, s, p) {
+		return
+	}
+	s.request, s.receivedAt = *p, n.now
+	if reason := n.rejectionReason(s, p); reason != "" {
+		n.sendGrant(from, p, 0, reason, 0)
+		return
+	}
+	if n.applied.Halted() && p.Stopped < n.applied.Change.Version {
+		// It may still act on the version before: it gets the new state, and its lease is not extended.
+		n.sendGrant(from, p, 0, "", 0)
+		return
+	}
+	s.leaseOverAt = n.now + n.maxLeaseDuration()
+	if n.leadership.allocator != nil && p.QuotaRequest != nil {
+		n.leadership.allocator.SetRoster(n.applied.Roster)
+		n.leadership.allocator.HandleRequest(n.now, p.From, p.Incarnation, p.QuotaRequest)
+	}
+	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *p, n.now})
+}
+
+// isNewestRequest tells whether a request is newer than the last one of its relay's name. One of a former incarnation is
+// answered with a rejection; of two incarnations of one generation the conflict is noted.
+func (n *Node) isNewestRequest(from string, s *relayRecord, p *LeaseRequest) bool {
 	switch was := &s.request; {
 	case was.Incarnation == 0:
 	case p.Incarnation == was.Incarnation:
-		if p.Seq <= was.Seq {
-			return // late, or a duplicate
-		}
+		return p.Seq > was.Seq // otherwise it is late, or a duplicate
 	case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:
 		// One of a former incarnation may be a delayed datagram; several with growing Seq show that it still runs.
 		if s.formerIncarnation = p.Incarnation; p.Seq > s.formerSeq {
@@ -100,35 +122,24 @@
 			n.recordNameConflict(s, p)
 		}
 		n.rejectFormerIncarnation(from, p, was.Generation)
-		return
+		return false
 	case p.Generation == was.Generation:
 		n.recordNameConflict(s, p)
 	default:
 		s.formerIncarnation, s.formerSeq, s.formerRequests = was.Incarnation, was.Seq, 0
 	}
-	s.request, s.receivedAt = *p, n.now
-	reason := ""
+	return true
+}
+
+// rejectionReason is why a relay gets no lease at all; empty: it may get one.
+func (n *Node) rejectionReason(s *relayRecord, p *LeaseRequest) string {
 	switch {
 	case !slices.Contains(n.applied.Roster, p.From):
-		reason = "it is not on the roster"
+		return "it is not on the roster"
 	case s.conflictAt != 0 && n.now-s.conflictAt < 2*n.maxLeaseDuration():
-		reason = sameName
-	}
-	if reason != "" {
-		n.sendGrant(from, p, 0, reason, 0)
-		return
+		return sameName
 	}
-	if n.applied.Halted() && p.Stopped < n.applied.Change.Version {
-		// It may still act on the version before: it gets the new state, and its lease is not extended.
-		n.sendGrant(from, p, 0, "", 0)
-		return
-	}
-	s.leaseOverAt = n.now + n.maxLeaseDuration()
-	if n.leadership.allocator != nil && p.QuotaRequest != nil {
-		n.leadership.allocator.SetRoster(n.applied.Roster)
-		n.leadership.allocator.HandleRequest(n.now, p.From, p.Incarnation, p.QuotaRequest)
-	}
-	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *p, n.now})
+	return ""
 }
 
 const sameName = "another relay goes by the same name"
@@ -228,11 +239,38 @@
 	if ch == nil {
 		return
 	}
-	p := &Progress{Version: ch.Version, Phase: ch.Phase.String()}
-	var excused []string
-	no := ""
-	all := slices.Concat(n.applied.Roster, n.applied.Former)
-	for _, name := range all {
+	p, excused, dropReason := n.measureProgress(ch)
+	n.progress = p
+	key := fmt.Sprintf("%d %d", ch.Version, ch.Phase)
+	at, begun := n.leadership.proposedAt["begun "+key]
+	if !begun {
+		n.leadership.proposedAt["begun "+key] = n.now
+		at = n.now
+	}
+	switch {
+	case ch.Phase < policy.Decided && dropReason != "":
+		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version, DropReason: dropReason})
+	case ch.Phase == policy.Proposed && p.Done == p.Of:
+		if len(excused) > maxMissingNames {
+			excused = append(excused[:maxMissingNames:maxMissingNames], fmt.Sprintf("and %d more", len(excused)-maxMissingNames))
+		}
+		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: ch.Version, Excused: excused})
+		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
+	case ch.Phase == policy.Proposed && n.now-at > checkLeases*n.config.Lease:
+		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version,
+			DropReason: fmt.Sprintf("%v did not say whether they can apply it", p.Missing)})
+	case ch.Phase == policy.Checked:
+		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
+	case ch.Phase == policy.Decided && p.Done == p.Of:
+		n.proposeOnce(key, &policy.Command{Kind: policy.Enforce, Version: ch.Version})
+	}
+}
+
+// measureProgress counts the relays that have answered for the change's phase. Excused are those that did not and whose lease
+// is over; dropReason is why a relay can't apply the change, empty if none said so.
+func (n *Node) measureProgress(ch *policy.Change) (p *Progress, excused []string, dropReason string) {
+	p = &Progress{Version: ch.Version, Phase: ch.Phase.String()}
+	for _, name := range slices.Concat(n.applied.Roster, n.applied.Former) {
 		s := n.leadership.relays[name]
 		over := n.leadership.since + n.maxLeaseDuration()
 		if s != nil {
@@ -245,7 +283,7 @@
 			done = s.request.Stopped >= ch.Version
 		case s.request.Verdict != nil && s.request.Verdict.Version == ch.Version:
 			if done = true; s.request.Verdict.Reason != "" {
-				no = fmt.Sprintf("%s: %s", name, s.request.Verdict.Reason)
+				dropReason = fmt.Sprintf("%s: %s", name, s.request.Verdict.Reason)
 			}
 		}
 		if !done && n.now >= over {
@@ -261,30 +299,7 @@
 			p.Missing = append(p.Missing, name)
 		}
 	}
-	n.progress = p
-	key := fmt.Sprintf("%d %d", ch.Version, ch.Phase)
-	at, begun := n.leadership.proposedAt["begun "+key]
-	if !begun {
-		n.leadership.proposedAt["begun "+key] = n.now
-		at = n.now
-	}
-	switch {
-	case ch.Phase < policy.Decided && no != "":
-		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version, DropReason: no})
-	case ch.Phase == policy.Proposed && p.Done == p.Of:
-		if len(excused) > maxMissingNames {
-			excused = append(excused[:maxMissingNames:maxMissingNames], fmt.Sprintf("and %d more", len(excused)-maxMissingNames))
-		}
-		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: ch.Version, Excused: excused})
-		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
-	case ch.Phase == policy.Proposed && n.now-at > checkLeases*n.config.Lease:
-		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version,
-			DropReason: fmt.Sprintf("%v did not say whether they can apply it", p.Missing)})
-	case ch.Phase == policy.Checked:
-		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
-	case ch.Phase == policy.Decided && p.Done == p.Of:
-		n.proposeOnce(key, &policy.Command{Kind: policy.Enforce, Version: ch.Version})
-	}
+	return p, excused, dropReason
 }
 
 // broadcastState sends a new state to all relays, and during a change again to those that have not reported it.
