--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -31,7 +31,7 @@
 	{"generation ignored", "node/leader.go", "case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:", "case p.Generation > 1<<40:", "TestFormerWord", ""},
 	{"a grant of a former life", "node/node.go", "if !ok || g.Generation != n.config.Generation || g.Incarnation != n.config.Incarnation {", "if !ok {", "TestFormerLife", ""},
 	{"forgotten promises", "node/node.go", "	n.probation = cfg.Generation > 1 //", "	//", "TestOldFolder", ""},
-	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = r.uint(), int(r.uint())", "_, _ = r.uint(), r.uint()", "TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart", "mastusher/internal/relay/engine"},
+	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = d.uint(), int(d.uint())", "_, _ = d.uint(), d.uint()", "TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart", "mastusher/internal/relay/engine"},
 	{"a limit by hand is each relay's own", "../../../control/shared_limits.go", "rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))", "rate = route.destination.maxRate", "TestMaxRate_ManySenders_IsKeptTogether", "mastusher/control"},
 	{"lent again too early", "quota/granting.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound", ""},
 	{"floors are lent", "quota/granting.go", "max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])", "max(0, wholeLimit-l.leased[k]+h.bound[k])", "TestSharedBound", ""},
