--- a/internal/tier/demo/demo.go
+++ b/internal/tier/demo/demo.go
@@ -100,7 +100,7 @@
 	r.report("%d processes on %d machines", len(r.tier.Processes), len(r.tier.Machines))
 	r.operator = localtier.NewOperator(r.tier.Addresses(localtier.CoreClass, localtier.ControlPort), nil)
 	if _, err := r.operator.Configure(ctx, configuration(1), 0); err != nil {
-		return fmt.Errorf("the first configuration: %w", err)
+		return fmt.Errorf("sending the first configuration: %w", err)
 	}
 	r.report("configuration 1 is acknowledged")
 	if err := r.tier.WaitReady(ctx); err != nil {
@@ -157,7 +157,7 @@
 func (r *run) killLeaders(ctx context.Context) error {
 	address, err := r.operator.Configure(ctx, configuration(1), 0)
 	if err != nil {
-		return fmt.Errorf("the first configuration, sent again: %w", err)
+		return fmt.Errorf("resending the first configuration: %w", err)
 	}
 	controller, err := r.tier.ControllerAt(address)
 	if err != nil {
@@ -184,7 +184,7 @@
 		r.recordViolations(fmt.Sprintf("the acknowledged configuration is lost: read back %+v", read))
 	}
 	if _, err := r.operator.Configure(ctx, configuration(2), 1); err != nil {
-		return fmt.Errorf("the second configuration: %w", err)
+		return fmt.Errorf("sending the second configuration: %w", err)
 	}
 	if err := r.tier.WaitRoute(ctx, laterToolPath); err != nil {
 		return err
--- a/internal/tier/soak/doc.go
+++ b/internal/tier/soak/doc.go
@@ -1,7 +1,7 @@
 // Package soak injects random faults, drawn from a seed, into a tier of real processes and real sockets on one machine, and
 // counts violations of what the tier guarantees. Faults overlap in time: kills of one process, of several and of all, pauses,
 // restarts, lost disks, network partitions and lost responses. Client programs, an operator and a reader are active all the
-// time. A run ends with a closing fault that kills everything, after which everything must be served again in time.
+// time. A run ends with a closing fault that kills everything, after which the tier must recover within bounds.
 //
 // RandomPlan draws a plan from a seed; Run executes it and returns a Result with the violations. cmd/tier-soak calls both for a
 // range of seeds, and tests execute two short plans. A plan follows from its seed alone, but the times at which processes
--- a/internal/tier/soak/recovery.go
+++ b/internal/tier/soak/recovery.go
@@ -18,7 +18,7 @@
 // errNoRetry is returned by a Backoff to end a program at its first failure.
 var errNoRetry = errors.New("no retry")
 
-// measureRecovery measures how long the tier takes to serve everything again, from the start of the last process on. It
+// measureRecovery measures how long the tier takes to recover, from the start of the last process on. It
 // records a violation for each bound that is exceeded.
 func (r *run) measureRecovery(ctx context.Context, restarted time.Time) {
 	waited := cpuWait()
--- a/internal/tier/soak/service_test.go
+++ b/internal/tier/soak/service_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// stateOf returns the letter by which the system names the state of a process, once it is stopped or some time has gone by.
+// stateOf returns the state letter of a process in /proc, once it is stopped (T) or after testTimeout.
 func stateOf(t *testing.T, s *service) byte {
 	t.Helper()
 	var state byte
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -14,8 +14,8 @@
 	"mastusher/internal/tier/localtier/localtiertest"
 )
 
-// TestSoakOfRealProcesses runs two short plans at the same time. All bounds are those of the long runs.
-func TestSoakOfRealProcesses(t *testing.T) {
+// TestRun_ShortPlans_NoViolations runs two short plans at the same time. All bounds are those of the long runs.
+func TestRun_ShortPlans_NoViolations(t *testing.T) {
 	tier := localtiertest.Build(t, "mastusher/cmd/mastusher-tier")
 	soak := localtiertest.Build(t, "mastusher/cmd/tier-soak")
 	const second = time.Second
@@ -79,7 +79,7 @@
 	return logs.String()
 }
 
-// runOf returns a run whose processes are those of a command, none of which has begun.
+// runOf returns a run whose processes are those of a command, none of which is started.
 func runOf(t *testing.T, command string, arguments ...string) *run {
 	t.Helper()
 	path, err := exec.LookPath(command)
--- a/internal/tier/standin/check.go
+++ b/internal/tier/standin/check.go
@@ -120,12 +120,12 @@
 // checkNotFound reports a 404 to a turn that continues no other, or continues one within its retention time.
 func (g Guarantees) checkNotFound(turn Turn, ended map[string]Turn, found *problems) {
 	if turn.Previous == "" {
-		found.addf("DENIED: turn %s, which goes on from none, was answered 404", turn.Attempt)
+		found.addf("DENIED: turn %s, which continues no other, was answered 404", turn.Attempt)
 		return
 	}
 	previous := ended[turn.Previous]
 	if previous.Complete && previous.Status == http.StatusOK && turn.Ended.Sub(previous.Ended) < g.Retention {
-		found.addf("LOST: turn %s was answered 404 %v after the end of %s, which it goes on from", turn.Attempt, turn.Ended.Sub(previous.Ended), turn.Previous)
+		found.addf("LOST: turn %s was answered 404 %v after the end of %s, which it continues", turn.Attempt, turn.Ended.Sub(previous.Ended), turn.Previous)
 	}
 }
 
--- a/internal/tier/standin/endpoint_test.go
+++ b/internal/tier/standin/endpoint_test.go
@@ -13,8 +13,8 @@
 	"mastusher/internal/tier/model"
 )
 
-// patience bounds every wait of a test that goes as it should.
-const patience = 10 * time.Second
+// testTimeout bounds every wait of a test.
+const testTimeout = 10 * time.Second
 
 // clientResponse is what a client got.
 type clientResponse struct {
@@ -44,7 +44,7 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -138,19 +138,19 @@
 	}
 }
 
-// waitFor waits until the ledger shows what is wanted.
-func waitFor(t *testing.T, ledger *RunLog, shown func() bool) {
+// waitFor waits until a condition on the run log holds.
+func waitFor(t *testing.T, log *RunLog, condition func() bool) {
 	t.Helper()
 	ctx := testContext(t)
 	for {
-		changed := ledger.Changed()
-		if shown() {
+		changed := log.Changed()
+		if condition() {
 			return
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			t.Fatal("it never came")
+			t.Fatal("the condition never held")
 		}
 	}
 }
@@ -170,7 +170,7 @@
 			t.Errorf("%s: got %+v", path, got)
 		}
 	}
-	// And when the slot is free again, the first is answered
+	// And when the slot is released, the first is answered
 	resume()
 	if got := <-first; got.Status != 200 {
 		t.Errorf("got %+v", got)
--- a/internal/tier/standin/engine_test.go
+++ b/internal/tier/standin/engine_test.go
@@ -35,7 +35,7 @@
 	askUntil(t, server.Address(), "/mastusher/report", func(got clientResponse) bool { return strings.Contains(got.Body, `"active":1`) })
 	cancel()
 	<-disconnected
-	// The slot is free again once the endpoint has noticed
+	// The slot is released once the endpoint notices the disconnect
 	askUntil(t, server.Address(), "/health", func(got clientResponse) bool { return got.Status == 200 })
 	resume()
 	if runs := server.RunLog().All(); len(runs) != 0 {
@@ -43,13 +43,13 @@
 	}
 }
 
-// askUntil repeats a request until a response is as wanted.
-func askUntil(t *testing.T, address, path string, wanted func(clientResponse) bool) {
+// askUntil repeats a request until a response fulfils a condition.
+func askUntil(t *testing.T, address, path string, condition func(clientResponse) bool) {
 	t.Helper()
 	ctx := testContext(t)
-	for !wanted(ask(ctx, "GET", address, path, "")) {
+	for !condition(ask(ctx, "GET", address, path, "")) {
 		if ctx.Err() != nil {
-			t.Fatal("it never came")
+			t.Fatal("the condition never held")
 		}
 	}
 }
--- a/internal/tier/standin/program_request.go
+++ b/internal/tier/standin/program_request.go
@@ -107,7 +107,7 @@
 	}
 	t.Complete = lines.Err() == nil
 	if t.Complete && inEvent {
-		t.Problem = "the answer ends inside an event and looks whole"
+		t.Problem = "the response ends inside an event and looks complete"
 	}
 }
 
--- a/internal/tier/standin/program_test.go
+++ b/internal/tier/standin/program_test.go
@@ -83,7 +83,7 @@
 	return data.String()
 }
 
-// faultOnce gives a fault to the first request only.
+// faultOnce returns a fault for the first request only.
 func faultOnce(fault Fault) func(*http.Request) Fault {
 	var once sync.Once
 	return func(*http.Request) Fault {
@@ -142,11 +142,11 @@
 		turns       int
 		tools       int
 	}{
-		{name: "a cut turn is sent again", engineFault: faultOnce(TruncateResponse), options: ProgramOptions{Turns: 2},
+		{name: "a truncated turn is retried", engineFault: faultOnce(TruncateResponse), options: ProgramOptions{Turns: 2},
 			state: Finished, turns: 3},
 		{name: "a turn fails three times", engineFault: always(FailResponse), options: ProgramOptions{Turns: 2},
 			state: Failed, turns: 3},
-		{name: "a tool that has not run is called again", toolFault: faultOnce(RejectFull), options: ProgramOptions{Turns: 1, Tools: 1},
+		{name: "a tool call that has not run is retried", toolFault: faultOnce(RejectFull), options: ProgramOptions{Turns: 1, Tools: 1},
 			state: Finished, turns: 1, tools: 2},
 		{name: "a tool whose answer is lost ends the program", toolFault: faultOnce(LoseResponse),
 			options: ProgramOptions{Turns: 2, Tools: 1}, state: Failed, turns: 1, tools: 1},
@@ -223,11 +223,11 @@
 		body string
 		want string
 	}{
-		{name: "as it should be", body: event(1, 1) + event(2, 2)},
+		{name: "in order", body: event(1, 1) + event(2, 2)},
 		{name: "one missing", body: event(1, 1) + event(3, 3), want: "event 3 came in the place of event 2"},
 		{name: "one twice", body: event(1, 1) + event(1, 1), want: "event 1 came in the place of event 2"},
 		{name: "another's data", body: event(1, 2), want: `event 1 has the data "` + EventData(nil, 2) + `"`},
-		{name: "half an event", body: event(1, 1) + "id: 2\ndata: x", want: "the answer ends inside an event and looks whole"},
+		{name: "an incomplete event", body: event(1, 1) + "id: 2\ndata: x", want: "the response ends inside an event and looks complete"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
