--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -114,7 +114,7 @@
 // regroupServices groups each service's endpoints anew, and drops the services that have been empty long enough.
 func (b *Balancer) regroupServices() {
 	for name, svc := range b.services {
-		svc.regroup(b.options.Seed)
+		svc.regroup()
 		if len(svc.endpoints) > 0 {
 			svc.lastNonEmptyAt = b.now
 		} else if b.now-svc.lastNonEmptyAt > serviceRetention {
@@ -154,6 +154,6 @@
 	}
 	for name, svc := range b.services {
 		svc.setVersions(b.versions[name])
-		svc.regroup(b.options.Seed)
+		svc.regroup()
 	}
 }
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -29,8 +29,8 @@
 		TimeLeft: 2 * time.Second}
 }
 
-func onceOnlyRequest(service string) Request {
-	r := retryableRequest(service)
+func onceOnlyRequest() Request {
+	r := retryableRequest("feeds")
 	r.Route.Kind, r.Retryable = model.AtMostOnce, false
 	return r
 }
@@ -137,7 +137,7 @@
 		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
-	if d := s.Select(now, onceOnlyRequest("feeds")); !d.UntilDeadline || d.Timeout != 2*time.Second {
+	if d := s.Select(now, onceOnlyRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
--- a/internal/tier/balancer/load_test.go
+++ b/internal/tier/balancer/load_test.go
@@ -24,8 +24,8 @@
 
 func TestDone_Cancelled_CountsAsInFlightForAWhile(t *testing.T) {
 	s := newBalancer(endpointsOf("feeds", 1, 6))
-	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 8, 200*time.Millisecond)
-	d := s.Select(now, onceOnlyRequest("feeds"))
+	now := trainTimes(t, s, 0, onceOnlyRequest(), 8, 200*time.Millisecond)
+	d := s.Select(now, onceOnlyRequest())
 	s.Sent(now, &d.Attempt)
 	s.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
 	e := s.endpoints["feeds-0"]
@@ -43,7 +43,7 @@
 	s.SetEndpoints(0, list)
 	attempts := make([]Attempt, 0, 20)
 	for {
-		d := s.Select(0, onceOnlyRequest("feeds"))
+		d := s.Select(0, onceOnlyRequest())
 		if d.Endpoint == nil {
 			break
 		}
@@ -54,7 +54,7 @@
 		t.Errorf("one endpoint took %d of 16 in flight, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
-	s.Select(5*time.Second, onceOnlyRequest("feeds"))
+	s.Select(5*time.Second, onceOnlyRequest())
 	if got := s.maxInFlightTo(s.endpoints["feeds-0"]); got != 8 {
 		t.Errorf("cap while calls overrun: %d, want 8", got)
 	}
--- a/internal/tier/balancer/outlier_test.go
+++ b/internal/tier/balancer/outlier_test.go
@@ -74,7 +74,7 @@
 	now += 10 * time.Second
 	s.Select(now, retryableRequest("feeds"))
 	for range 5 {
-		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, time.Millisecond); got == ejected {
+		if got := call(t, s, now, onceOnlyRequest(), Success, time.Millisecond); got == ejected {
 			t.Error("a request that must not run twice was used as a probe")
 		}
 	}
@@ -87,8 +87,8 @@
 func TestSelect_CallOverdue_AvoidsEndpoint(t *testing.T) {
 	// Given a service of two, one of which stops answering.
 	s := newBalancer(endpointsOf("feeds", 2, 6))
-	now := trainTimes(t, s, 0, onceOnlyRequest("feeds"), 30, 30*time.Millisecond)
-	r := onceOnlyRequest("feeds")
+	now := trainTimes(t, s, 0, onceOnlyRequest(), 30, 30*time.Millisecond)
+	r := onceOnlyRequest()
 	r.Excluded = []string{"feeds-0"}
 	overdue := s.Select(now, r)
 	s.Sent(now, &overdue.Attempt)
@@ -96,7 +96,7 @@
 	// When a second has passed, then nothing else goes there.
 	now += time.Second
 	for range 20 {
-		if got := call(t, s, now, onceOnlyRequest("feeds"), Success, 30*time.Millisecond); got != "feeds-0" {
+		if got := call(t, s, now, onceOnlyRequest(), Success, 30*time.Millisecond); got != "feeds-0" {
 			t.Fatal("a request went to the endpoint that doesn't answer")
 		}
 		now += 10 * time.Millisecond
--- a/internal/tier/balancer/service.go
+++ b/internal/tier/balancer/service.go
@@ -47,7 +47,7 @@
 
 // regroup sorts the listed endpoints into the groups of versions that take requests. As long as the versions in service are
 // unknown, all endpoints take requests if they are of one version; otherwise none does.
-func (svc *service) regroup(seed uint64) {
+func (svc *service) regroup() {
 	current, single := svc.versions.Current, true
 	if current == "" && len(svc.endpoints) > 0 {
 		current = svc.endpoints[0].model.Version
@@ -71,7 +71,7 @@
 		}
 	}
 	for i := range svc.groups {
-		svc.groups[i].sort(seed)
+		svc.groups[i].sort()
 	}
 	svc.groups[1].limitToShare(svc.versions.TrafficShare)
 	for _, plan := range svc.plans {
--- a/internal/tier/balancer/versions.go
+++ b/internal/tier/balancer/versions.go
@@ -26,7 +26,7 @@
 }
 
 // sort brings the group into an order that doesn't depend on that of the list.
-func (g *versionGroup) sort(seed uint64) {
+func (g *versionGroup) sort() {
 	byHash := func(a, b *endpoint) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.model.ID, b.model.ID))
 	}
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -132,7 +132,7 @@
 		return
 	}
 	if last := len(c.results) - 1; last >= 0 && c.results[last].complete() && c.results[last].disconnectedAt.IsZero() {
-		c.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+		_ = c.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		surplus, _ := io.ReadAll(c.reader)
 		c.results[last].surplus = bytes.TrimSpace(surplus)
 	}
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -110,7 +110,7 @@
 	e.env.attemptEnded(current)
 	if script.secondResponse {
 		time.Sleep(script.secondDelay)
-		conn.Write(wire)
+		_, _ = conn.Write(wire)
 	}
 	if script.kind == closeDelimited && script.end != resetClose && current.request.method != "HEAD" {
 		return false
@@ -142,7 +142,7 @@
 func disconnect(conn *memoryConn, how ending) {
 	how.apply(conn)
 	if how == halfClose {
-		io.Copy(io.Discard, struct{ io.Reader }{conn})
+		_, _ = io.Copy(io.Discard, struct{ io.Reader }{conn})
 	}
 }
 
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -20,8 +20,8 @@
 const (
 	endpointCount = 3
 	maxAttempts   = 2 // of each route
-	// settleTime is how long an environment runs on after its last request: longer than any deadline.
-	settleTime = 5 * time.Second
+	// lingerTime is how long an environment runs on after its last request: longer than any deadline.
+	lingerTime = 5 * time.Second
 )
 
 // scenarioEventKind is what happens to the proxy or around it.
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.running.Go(func() { w.proxy.Serve() })
+	w.running.Go(func() { _ = w.proxy.Serve() })
 	return w
 }
 
@@ -149,7 +149,7 @@
 		})
 	}
 	clients.Wait()
-	time.Sleep(settleTime)
+	time.Sleep(lingerTime)
 	w.shutdownProxy(t)
 	for _, e := range w.endpoints {
 		e.listener.Close()
@@ -183,7 +183,7 @@
 }
 
 func (w *environment) shutdownProxy(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), lingerTime)
 	defer cancel()
 	if err := w.proxy.Shutdown(ctx); err != nil {
 		t.Errorf("shutdown: %v", err)
@@ -248,7 +248,7 @@
 		}
 		return choice, nil
 	}
-	return proxy.Selection{}, &proxy.Rejection{RetryAfter: 100 * time.Millisecond}
+	return proxy.Selection{}, &proxy.RejectionError{RetryAfter: 100 * time.Millisecond}
 }
 
 // firstEndpoint is the number of the endpoint that a request goes to first.
--- a/internal/tier/exchangetest/memory_network_test.go
+++ b/internal/tier/exchangetest/memory_network_test.go
@@ -336,7 +336,7 @@
 
 // Reset closes the connection by a reset.
 func (c *memoryConn) Reset() {
-	c.SetLinger(0)
+	_ = c.SetLinger(0)
 	c.Close()
 }
 
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -94,7 +94,7 @@
 	if request == nil {
 		return 0, fmt.Errorf("no client sent %q", head)
 	}
-	if err := checkHead(request, e, string(head)); err != nil {
+	if err = checkHead(request, e, string(head)); err != nil {
 		return 0, err
 	}
 	want := request.forwardedBody()
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -89,9 +89,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			conn.Write(data)
-			conn.SetReadDeadline(time.Now().Add(settleTime))
-			io.Copy(io.Discard, struct{ io.Reader }{conn})
+			_, _ = conn.Write(data)
+			_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
+			_, _ = io.Copy(io.Discard, struct{ io.Reader }{conn})
 			conn.Close()
 			w.run(t)
 			for _, e := range w.endpoints {
@@ -132,7 +132,7 @@
 		if err != nil || next[0] != '\r' && next[0] != '\n' {
 			return
 		}
-		reader.Discard(1)
+		_, _ = reader.Discard(1)
 	}
 }
 
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -42,7 +42,7 @@
 	case resetClose:
 		conn.Reset()
 	case halfClose:
-		conn.CloseWrite()
+		_ = conn.CloseWrite()
 	}
 }
 
--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -61,19 +61,19 @@
 	Ticket         any             // the Selector's own
 }
 
-// Rejection is Select's error when the request isn't to be sent.
-type Rejection struct {
+// RejectionError is Select's error when the request isn't to be sent.
+type RejectionError struct {
 	Kind       apierror.Kind // one that promises that the request hasn't run; None: NoEndpoint
 	RetryAfter time.Duration // 0: unknown
 }
 
 // Error describes the rejection.
-func (*Rejection) Error() string { return "no endpoint takes the request now" }
+func (*RejectionError) Error() string { return "no endpoint takes the request now" }
 
 // Selector selects the endpoint of each attempt. Each selection is followed by one call of Done. Its methods are called by many
 // goroutines.
 type Selector interface {
-	// Select may wait for capacity. Its error is a *Rejection, or the context's.
+	// Select may wait for capacity. Its error is a *RejectionError, or the context's.
 	Select(ctx context.Context, info *RequestInfo) (Selection, error)
 	// FirstEvent reports that the first event of a stream has come, with its X-Server-Load.
 	FirstEvent(selection Selection, load string)
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -175,6 +175,6 @@
 		return
 	}
 	if response.ContentLength >= 0 && response.ContentLength <= int64(response.Buffered()) {
-		io.Copy(io.Discard, response)
+		_, _ = io.Copy(io.Discard, response)
 	}
 }
--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -57,23 +57,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go p.Serve()
-	defer p.Shutdown(b.Context())
+	go func() { _ = p.Serve() }()
+	defer func() { _ = p.Shutdown(b.Context()) }()
 	socket, err := net.Dial("tcp4", p.FrontAddress().String())
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(time.Minute))
+	_ = socket.SetDeadline(time.Now().Add(time.Minute))
 	reader := bufio.NewReader(socket)
 	b.ReportAllocs()
 	for b.Loop() {
-		io.WriteString(socket, request)
+		_, _ = io.WriteString(socket, request)
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil || response.StatusCode != 200 {
 			b.Fatal(fmt.Sprint(response, err))
 		}
-		io.Copy(io.Discard, response.Body)
+		_, _ = io.Copy(io.Discard, response.Body)
 	}
 }
 
@@ -92,8 +92,8 @@
 				if err != nil {
 					return
 				}
-				io.Copy(io.Discard, request.Body)
-				socket.Write(answer)
+				_, _ = io.Copy(io.Discard, request.Body)
+				_, _ = socket.Write(answer)
 			}
 		}()
 	}
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -80,7 +80,7 @@
 func TestTurn_DidNotRun_ReleasesReservation(t *testing.T) {
 	five := stream(event(1, "a"), event(2, "b"), event(3, "c"), event(4, "d"), event(5, "e"))
 	breakAfterOne := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	}
 	cases := []struct {
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -15,9 +15,9 @@
 // workUntilClose answers with a part and then works until its caller goes.
 func workUntilClose(started chan<- struct{}, fragment func(received) string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
-		io.WriteString(socket, fragment(request))
+		_, _ = io.WriteString(socket, fragment(request))
 		started <- struct{}{}
-		socket.Read(make([]byte, 1))
+		_, _ = socket.Read(make([]byte, 1))
 		return false
 	}
 }
@@ -112,7 +112,7 @@
 	s.Done(inFlight, Outcome{Result: Succeeded})
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.leaveQueue(cancelled, id, w)
+	_ = s.leaveQueue(cancelled, id, w)
 	// then the next one gets that capacity
 	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
 		t.Errorf("the capacity was not free: %v", err)
--- a/internal/tier/proxy/clientconn.go
+++ b/internal/tier/proxy/clientconn.go
@@ -40,7 +40,7 @@
 	if on {
 		seconds = 0
 	}
-	c.TCPConn.SetLinger(seconds)
+	_ = c.TCPConn.SetLinger(seconds)
 }
 
 // responseSent records that a response has gone out and the next request may come.
--- a/internal/tier/proxy/clientconn_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -29,7 +29,7 @@
 
 func TestClientConn_Closing_ReadsNoNewRequest(t *testing.T) {
 	near, far := newPair(t)
-	io.WriteString(far, "GET")
+	_, _ = io.WriteString(far, "GET")
 	near.closing = true // as if the close came between the bytes' arrival and their reading
 	if n, err := near.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
@@ -41,7 +41,7 @@
 
 func TestClientConn_Closing_ServesStartedRequest(t *testing.T) {
 	near, far := newPair(t)
-	io.WriteString(far, "GET")
+	_, _ = io.WriteString(far, "GET")
 	if n, err := near.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatalf("read %d bytes, %v", n, err)
 	}
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -46,7 +46,7 @@
 		header[headerRetryAfter] = []string{apierror.FormatRetryAfter(retryAfter)}
 	}
 	w.WriteHeader(response.Status)
-	io.WriteString(w, text)
+	_, _ = io.WriteString(w, text)
 }
 
 // writeError ends the request with an error response, and counts it.
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -96,7 +96,7 @@
 			return selection, nil
 		}
 	}
-	return Selection{}, &Rejection{RetryAfter: 250 * time.Millisecond}
+	return Selection{}, &RejectionError{RetryAfter: 250 * time.Millisecond}
 }
 
 func (c *fakeSelector) FirstEvent(Selection, string) {
@@ -166,7 +166,7 @@
 func (f *fixture) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	f.proxy.Shutdown(ctx)
+	_ = f.proxy.Shutdown(ctx)
 }
 
 // newConfiguration has a route of each kind.
@@ -212,7 +212,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	socket.SetDeadline(time.Now().Add(10 * time.Second))
+	_ = socket.SetDeadline(time.Now().Add(10 * time.Second))
 	f.t.Cleanup(func() { socket.Close() })
 	return &client{t: f.t, socket: socket, reader: bufio.NewReader(socket)}
 }
@@ -355,20 +355,20 @@
 // respondWith gives a complete response with a Content-Length.
 func respondWith(status int, body string, fields ...string) func(net.Conn, received) bool {
 	return func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(status, request, append(fields, withLength(body))...)+body)
+		_, _ = io.WriteString(socket, sealedHead(status, request, append(fields, withLength(body))...)+body)
 		return true
 	}
 }
 
 // respondNotRun says that the request was not run.
 func respondNotRun(socket net.Conn, request received) bool {
-	io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
 // resetConnection breaks the connection after the request was read.
 func resetConnection(socket net.Conn, _ received) bool {
-	socket.(*net.TCPConn).SetLinger(0)
+	_ = socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
 	return false
 }
@@ -395,7 +395,7 @@
 		for _, one := range events {
 			text += chunk(one)
 		}
-		io.WriteString(socket, text+lastChunk)
+		_, _ = io.WriteString(socket, text+lastChunk)
 		return true
 	}
 }
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -188,7 +188,7 @@
 		DisableGeneralOptionsHandler: true,
 	}
 	f.current = g
-	go g.server.Serve(g.listener)
+	go func() { _ = g.server.Serve(g.listener) }()
 }
 
 // retireGeneration makes the current server an old one, and forgets the old ones that have no connection left. The caller holds the
@@ -218,7 +218,7 @@
 		logPhase("abandoning pending requests")
 		bounded, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
 		defer cancel()
-		f.awaitEmpty(bounded)
+		_ = f.awaitEmpty(bounded)
 	}
 	for _, g := range generations {
 		g.listener.Close()
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -154,7 +154,7 @@
 }
 
 // rejectionOf converts a rejection of the balancer to the kind of error that the client gets.
-func rejectionOf(rejection balancer.Rejection) *Rejection {
+func rejectionOf(rejection balancer.Rejection) *RejectionError {
 	kind := apierror.Overloaded
 	switch rejection.Kind {
 	case balancer.NoEndpoint:
@@ -162,7 +162,7 @@
 	case balancer.DeadlineTooShort:
 		kind = apierror.DeadlineTooShort
 	}
-	return &Rejection{Kind: kind, RetryAfter: rejection.RetryAfter}
+	return &RejectionError{Kind: kind, RetryAfter: rejection.RetryAfter}
 }
 
 // maxConnectionsTo returns this proxy's share of the connections that an endpoint of a service takes; 0: no bound.
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -43,10 +43,10 @@
 }
 
 // queued returns how many requests wait.
-func (s *LoadBalancer) queued() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return len(s.waiting)
+func (b *LoadBalancer) queued() int {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return len(b.waiting)
 }
 
 func awaitQueued(s *LoadBalancer, count int) {
@@ -58,7 +58,7 @@
 func TestLoadBalancer_NoEndpoint_Rejects(t *testing.T) {
 	s := NewLoadBalancer("z", 1)
 	_, err := s.Select(t.Context(), newRequestInfo(0))
-	var rejection *Rejection
+	var rejection *RejectionError
 	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
@@ -92,7 +92,7 @@
 	info := newRequestInfo(0)
 	info.Route.LatencyTargetMs = 80
 	_, err := s.Select(t.Context(), info)
-	var rejection *Rejection
+	var rejection *RejectionError
 	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
 	}
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -34,7 +34,7 @@
 	request := <-e.requests
 	left := request.header.Get("X-Time-Left-Ms")
 	var milliseconds int
-	if fmt.Sscan(left, &milliseconds); milliseconds <= 0 || milliseconds > 2000 {
+	if _, _ = fmt.Sscan(left, &milliseconds); milliseconds <= 0 || milliseconds > 2000 {
 		t.Errorf("time left %q", left)
 	}
 	delete(request.header, "X-Time-Left-Ms")
@@ -85,23 +85,23 @@
 func TestEndpointFaults_EachKindOfRoute_RetryOrError(t *testing.T) {
 	good := respondWith(200, "good")
 	noSeal := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
+		_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
 		return true
 	}
 	noID := func(socket net.Conn, _ received) bool {
-		io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
+		_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
 		return true
 	}
 	breakOff := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
+		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
 		return false
 	}
-	misdirected := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
+	misdirected := func(socket net.Conn, _ received) bool {
+		_, _ = io.WriteString(socket, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	garbage := func(socket net.Conn, _ received) bool {
-		io.WriteString(socket, "\x16\x03\x01 garbage\r\n\r\n")
+		_, _ = io.WriteString(socket, "\x16\x03\x01 garbage\r\n\r\n")
 		return false
 	}
 	cases := []struct {
@@ -225,10 +225,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { unix.Close(descriptor) })
-	if err := unix.Bind(descriptor, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+	if err = unix.Bind(descriptor, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Listen(descriptor, 0); err != nil {
+	if err = unix.Listen(descriptor, 0); err != nil {
 		t.Fatal(err)
 	}
 	name, err := unix.Getsockname(descriptor)
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -105,22 +105,22 @@
 }
 
 // requestOnce plays one request, and tells whether it was answered within its aim.
-func (s *LoadBalancer) requestOnce(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
+func (b *LoadBalancer) requestOnce(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
 	info := newRequestInfo(priority)
 	info.Route.LatencyTargetMs = targetMs
 	for range maxNotRun {
-		selection, err := s.Select(t.Context(), info)
+		selection, err := b.Select(t.Context(), info)
 		if err != nil {
 			return false
 		}
 		info.Excluded = append(info.Excluded, selection.ID)
 		sent := time.Now()
 		if endpoint.run(priority, work) {
-			s.Done(selection, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
+			b.Done(selection, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
 			return time.Since(info.ArrivedAt) <= time.Duration(targetMs)*time.Millisecond
 		}
 		info.RejectedBy = append(info.RejectedBy, selection.ID)
-		s.Done(selection, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
+		b.Done(selection, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
 	}
 	return false
 }
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -30,7 +30,7 @@
 
 // enqueue puts a request into its service's queue. A request that has waited long enough already is rejected. The caller holds
 // the mutex.
-func (b *LoadBalancer) enqueue(info *RequestInfo) (uint64, *queuedWaiter, *Rejection) {
+func (b *LoadBalancer) enqueue(info *RequestInfo) (uint64, *queuedWaiter, *RejectionError) {
 	now := b.now()
 	arrivedAt := now - time.Since(info.ArrivedAt)
 	latencyTarget := time.Duration(info.Route.LatencyTargetMs) * time.Millisecond
@@ -59,7 +59,7 @@
 }
 
 // rejectionFor returns the rejection of a request for which there is no capacity, with the balancer's Retry-After.
-func (b *LoadBalancer) rejectionFor(info *RequestInfo) *Rejection {
+func (b *LoadBalancer) rejectionFor(info *RequestInfo) *RejectionError {
 	return rejectionOf(b.balancer.Select(b.now(), requestFor(info)).Rejection)
 }
 
--- a/internal/tier/proxy/queue_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -17,7 +17,7 @@
 			// when a request waits for it
 			_, err := s.Select(t.Context(), info)
 			// then it is rejected after a quarter of its target time, neither sooner nor later
-			var rejection *Rejection
+			var rejection *RejectionError
 			if !errors.As(err, &rejection) {
 				t.Errorf("got %v", err)
 			}
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -145,7 +145,7 @@
 // could not be read.
 func (c *clientRequest) readBody(limit int64) bool {
 	if connection, ok := c.writer.(deadlineSetter); ok {
-		connection.SetWriteDeadline(c.info.Deadline.Add(writeGracePeriod))
+		_ = connection.SetWriteDeadline(c.info.Deadline.Add(writeGracePeriod))
 	}
 	setReadDeadline(c.writer, c.request, c.info.Deadline)
 	err := readBody(c.request, c.body, limit)
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -38,7 +38,7 @@
 // The library sets the time anew for the connection's next request.
 func setReadDeadline(w http.ResponseWriter, r *http.Request, deadline time.Time) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
-		connection.SetReadDeadline(deadline)
+		_ = connection.SetReadDeadline(deadline)
 	}
 }
 
@@ -46,7 +46,7 @@
 // closes its connection.
 func clearReadDeadline(w http.ResponseWriter, r *http.Request) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
-		connection.SetReadDeadline(time.Time{})
+		_ = connection.SetReadDeadline(time.Time{})
 	}
 }
 
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -58,7 +59,7 @@
 func (a *attempt) readEOF() {
 	if !a.response.Complete() {
 		var beyond [1]byte
-		a.response.Read(beyond[:])
+		_, _ = a.response.Read(beyond[:])
 	}
 }
 
@@ -84,7 +85,7 @@
 		n, err := a.response.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
 		*buffer = data
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			c.forwardComplete(a, data)
 			return false
 		}
@@ -113,7 +114,7 @@
 			c.writeHeader(a)
 			c.write(a, buffer[:n])
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			c.recordComplete(a)
 			c.writeHeader(a)
 			return false
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -10,14 +10,14 @@
 
 func TestChunkedResponse_BreaksOff_IsRetried(t *testing.T) {
 	broken := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
 		return false
 	}
 	long := strings.Repeat("0123456789abcdef", 1<<14)
 	for name, body := range map[string]string{"short": "whole", "long": long} {
 		t.Run(name, func(t *testing.T) {
 			complete := func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
+				_, _ = io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
 				return true
 			}
 			bad, good := newEndpoint(t, broken), newEndpoint(t, complete)
@@ -53,7 +53,7 @@
 	for name, framing := range map[string]string{"length": "Content-Length: 100000", "chunks": "Transfer-Encoding: chunked"} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealedHead(200, request, framing)+"a\r\n0123456789\r\n")
+				_, _ = io.WriteString(socket, sealedHead(200, request, framing)+"a\r\n0123456789\r\n")
 				return false
 			})
 			f := newFixture(t, e)
@@ -68,7 +68,7 @@
 
 func TestHeadRequest_HasNoBody(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Content-Length: 4711"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Length: 4711"))
 		return true
 	})
 	f := newFixture(t, e)
@@ -87,7 +87,7 @@
 
 func TestNotRunResponse_BodyMissing_DelaysNothing(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nContent-Length: 10\r\n\r\n")
+		_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nContent-Length: 10\r\n\r\n")
 		_, err := socket.Read(make([]byte, 1))
 		return err == nil
 	})
@@ -105,7 +105,7 @@
 		if rejections++; rejections > 1 {
 			return respondWith(200, "good")(socket, request)
 		}
-		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nKeep-Alive: timeout=30\r\nContent-Length: 4\r\n\r\nfull")
+		_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nKeep-Alive: timeout=30\r\nContent-Length: 4\r\n\r\nfull")
 		return true
 	})
 	f := newFixture(t, e)
@@ -124,7 +124,7 @@
 func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
 	// given an endpoint that says that it didn't run a request, and breaks off
 	broken := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
+		_, _ = io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
 		return false
 	}
 	for route, want := range map[string]int{"safe": 200, "once": 502} {
@@ -144,11 +144,11 @@
 
 func TestCloseDelimitedResponse_Reset_IsRetried(t *testing.T) {
 	bad := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"the first part")
+		_, _ = io.WriteString(socket, sealedHead(200, request)+"the first part")
 		return resetConnection(socket, request)
 	})
 	good := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"whole")
+		_, _ = io.WriteString(socket, sealedHead(200, request)+"whole")
 		return false
 	})
 	f := newFixture(t, bad, good)
@@ -167,7 +167,7 @@
 	// given a response whose end only its connection tells
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request)+"some bytes")
+		_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
 		<-end
 		return false
 	})
--- a/internal/tier/proxy/retries.go
+++ b/internal/tier/proxy/retries.go
@@ -140,7 +140,7 @@
 
 // handleRejection ends a request for which the selector has no endpoint.
 func (c *clientRequest) handleRejection(err error) {
-	var rejection *Rejection
+	var rejection *RejectionError
 	if errors.As(err, &rejection) {
 		c.retryAfter = rejection.RetryAfter
 		if rejection.Kind != apierror.None {
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -19,7 +19,7 @@
 func behaviours() []behaviour {
 	say := func(text func(received) string, keep bool) func(net.Conn, received) bool {
 		return func(socket net.Conn, request received) bool {
-			io.WriteString(socket, text(request))
+			_, _ = io.WriteString(socket, text(request))
 			return keep
 		}
 	}
@@ -104,7 +104,7 @@
 // readStatus returns the status of a response, or 0 if the connection ends without one.
 func (c *client) readStatus() int {
 	var version, status int
-	fmt.Fscanf(c.reader, "HTTP/1.%d %d ", &version, &status)
+	_, _ = fmt.Fscanf(c.reader, "HTTP/1.%d %d ", &version, &status)
 	return status
 }
 
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -78,8 +78,8 @@
 		socket.Close()
 	}
 	select {
-	case <-down:
-		t.Fatal("shut down with a request under way")
+	case err := <-down:
+		t.Fatalf("shut down with a pending request: %v", err)
 	default:
 	}
 	close(release)
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -79,7 +79,9 @@
 	if got := c.read("POST"); got.status != 503 || !got.close {
 		t.Errorf("got %+v", got)
 	}
-	<-ended
+	if err := <-ended; err == nil {
+		t.Error("the shutdown abandoned nothing")
+	}
 }
 
 // shutDownOnce shuts the proxy down, and ends the time for that once a condition holds.
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -14,7 +14,7 @@
 		if n > 0 && !c.scanEvents(a, buffer[:n]) {
 			return c.handleStreamInterrupted(a)
 		}
-		if err == io.EOF && c.finishAtEOF(a) {
+		if errors.Is(err, io.EOF) && c.finishAtEOF(a) {
 			return false
 		}
 		if err != nil {
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -13,12 +13,12 @@
 func TestStream_Event_IsForwardedBeforeNextExists(t *testing.T) {
 	next := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead))
 		for i := range 3 {
-			io.WriteString(socket, chunk(event(i, "data")))
+			_, _ = io.WriteString(socket, chunk(event(i, "data")))
 			<-next
 		}
-		io.WriteString(socket, lastChunk)
+		_, _ = io.WriteString(socket, lastChunk)
 		return true
 	})
 	f := newFixture(t, e)
@@ -39,7 +39,7 @@
 
 func TestStream_BreaksOff_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
 		return false
 	})
 	other := newEndpoint(t, stream(event(1, "one")))
@@ -56,7 +56,7 @@
 
 func TestStream_BreaksOff_ResumesAtAnotherEndpoint(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
 		return false
 	})
 	second := newEndpoint(t, stream(event(3, "three"), event(4, "four")))
@@ -78,7 +78,7 @@
 
 func TestStream_BreaksOffBeforeFirstEvent_IsRetried(t *testing.T) {
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk("id: 1\nda"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk("id: 1\nda"))
 		return false
 	})
 	second := newEndpoint(t, stream(event(1, "one")))
@@ -96,7 +96,7 @@
 func TestStream_ClientCloses_ResetsEndpoint(t *testing.T) {
 	started := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		close(started)
 		_, err := socket.Read(make([]byte, 1))
 		return err == nil
@@ -139,7 +139,7 @@
 func TestStream_Resumed_HasNoDuplicateEvent(t *testing.T) {
 	// given a stream that broke off, and another endpoint that begins it anew
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
 		return false
 	})
 	second := newEndpoint(t, stream(event(9, "nine"), event(10, "ten"), event(11, "eleven")))
@@ -155,7 +155,7 @@
 
 func TestStream_ClosedInsideEvent_LooksIncomplete(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
+		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
 		return false
 	})
 	f := newFixture(t, e)
@@ -171,7 +171,7 @@
 
 func TestStream_EndlessEvent_IsNotBuffered(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		for {
 			if _, err := io.WriteString(socket, chunk(strings.Repeat("x", 64<<10))); err != nil {
 				return false
@@ -224,7 +224,7 @@
 func TestStream_CloseDelimitedReset_Resumes(t *testing.T) {
 	read := make(chan struct{})
 	first := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
+		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
 		<-read
 		return resetConnection(socket, request)
 	})
@@ -234,7 +234,7 @@
 	c.request("GET", "/resume/x", "id", "")
 	response := c.head("GET")
 	got := make([]byte, len(event(1, "one")))
-	io.ReadFull(response.Body, got)
+	_, _ = io.ReadFull(response.Body, got)
 	close(read)
 	rest, err := io.ReadAll(response.Body)
 	if body := string(got) + string(rest); err != nil || body != event(1, "one")+event(2, "two") || response.Header.Get("X-First") != "1" {
@@ -265,7 +265,7 @@
 				for _, one := range test.first {
 					text += chunk(one)
 				}
-				io.WriteString(socket, text)
+				_, _ = io.WriteString(socket, text)
 				return false
 			})
 			f := newFixture(t, first, newEndpoint(t, stream(test.second...)))
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -102,8 +102,8 @@
 				ended <- err
 			}()
 			select {
-			case <-ended:
-				t.Fatal("the answer ended before the end was safe")
+			case err := <-ended:
+				t.Fatalf("the response ended before the turn was committed: %v", err)
 			default:
 			}
 			close(release)
@@ -137,7 +137,7 @@
 
 func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
 	broken := func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
 	}
 	cases := []struct {
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -55,7 +55,7 @@
 		defer func() { <-u.slots }()
 		ctx, cancel := context.WithTimeout(u.context, commitDeadline)
 		defer cancel()
-		commitTurn(ctx, u.programs, key, turn)
+		_ = commitTurn(ctx, u.programs, key, turn)
 	}()
 }
 
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -68,13 +68,13 @@
 		if head != "" {
 			text = sealedHead(200, request, head) + chunk(event(1, "one"))
 		}
-		io.WriteString(socket, text)
+		_, _ = io.WriteString(socket, text)
 		close(started)
 		<-release
 		if head == "" {
 			return respondWith(200, "complete")(socket, request)
 		}
-		io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
+		_, _ = io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
 		return true
 	})
 	s := NewLoadBalancer("z", 1)
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -64,7 +64,7 @@
 	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	c.reader.ReadString('\n')
+	_, _ = c.reader.ReadString('\n')
 	c.send("body")
 	if got := c.read("POST"); got.status != 200 || got.body != "body" {
 		t.Errorf("got %+v", got)
@@ -97,7 +97,7 @@
 			f := newFixture(t, e)
 			c := f.dial()
 			c.send("POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\nConnection: close\r\n" + test.head + "\r\n" + test.body)
-			io.Copy(io.Discard, c.reader)
+			_, _ = io.Copy(io.Discard, c.reader)
 			var runs []string
 			for range e.count.Load() {
 				request := <-e.requests
@@ -117,7 +117,7 @@
 
 func TestHTTP10Client_ResponseBreaksOff_SeesReset(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	})
 	f := newFixture(t, e)
@@ -131,12 +131,12 @@
 func TestCloseDelimitedResponse_EndsWithConnection(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed": func(net.Conn) {},
-		"reset":  func(socket net.Conn) { socket.(*net.TCPConn).SetLinger(0) },
+		"reset":  func(socket net.Conn) { _ = socket.(*net.TCPConn).SetLinger(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, sealedHead(200, request)+"some bytes")
+				_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
 				<-read
 				end(socket)
 				return false
@@ -145,7 +145,7 @@
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
 			response := c.head("GET")
-			io.ReadFull(response.Body, make([]byte, len("some bytes")))
+			_, _ = io.ReadFull(response.Body, make([]byte, len("some bytes")))
 			close(read)
 			_, err := io.ReadAll(response.Body)
 			if (err == nil) != (name == "closed") {
@@ -166,7 +166,7 @@
 			f := newFixture(t, e)
 			c := f.dial()
 			c.send("POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n" + part)
-			c.socket.(*net.TCPConn).CloseWrite()
+			_ = c.socket.(*net.TCPConn).CloseWrite()
 			if !c.closedSilently() || e.count.Load() != 0 {
 				t.Error("an incomplete request was answered or sent")
 			}
@@ -243,7 +243,7 @@
 
 func TestClient_ReadsNothing_DoesNotOccupyEndpoint(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, sealedHead(200, request, streamHead))
+		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead))
 		for {
 			if _, err := io.WriteString(socket, chunk(event(1, strings.Repeat("x", 64<<10)))); err != nil {
 				return false
--- a/internal/tier/upstream/abandon_test.go
+++ b/internal/tier/upstream/abandon_test.go
@@ -25,7 +25,7 @@
 			ctx, leave := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			e := newEndpoint(t, func(socket net.Conn, _ received) bool {
-				io.WriteString(socket, test.answer)
+				_, _ = io.WriteString(socket, test.answer)
 				if test.answer == "" {
 					leave()
 				}
--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -73,7 +73,7 @@
 func (c *connection) abortOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		c.resetOnClose()
-		c.socket.SetDeadline(time.Unix(1, 0))
+		_ = c.socket.SetDeadline(time.Unix(1, 0))
 	})
 }
 
@@ -81,6 +81,6 @@
 // delays them, are then dropped. After an orderly close they would still be sent, for a caller that has gone.
 func (c *connection) resetOnClose() {
 	if socket, ok := c.socket.(interface{ SetLinger(seconds int) error }); ok {
-		socket.SetLinger(0)
+		_ = socket.SetLinger(0)
 	}
 }
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -126,12 +126,12 @@
 	for _, field := range fields {
 		head += field + "\r\n"
 	}
-	io.WriteString(socket, head+"\r\n"+body)
+	_, _ = io.WriteString(socket, head+"\r\n"+body)
 }
 
 // reset closes a connection so that its peer sees a reset.
 func reset(socket net.Conn) {
-	socket.(*net.TCPConn).SetLinger(0)
+	_ = socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
 }
 
--- a/internal/tier/upstream/exchange_test.go
+++ b/internal/tier/upstream/exchange_test.go
@@ -67,7 +67,7 @@
 		t.Run(method, func(t *testing.T) {
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
 				if request.header.Get("X-Attempt-Id") == "1" {
-					io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
+					_, _ = io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
 					return true
 				}
 				reset(socket)
@@ -88,7 +88,7 @@
 
 func TestDo_InformationalResponses_AreSkipped(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		io.WriteString(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+		_, _ = io.WriteString(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
 		return respondShortly(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
@@ -121,7 +121,7 @@
 		}
 	})
 	t.Run("nothing follows", func(t *testing.T) {
-		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
 			respond(socket, received{header: map[string][]string{"X-Attempt-Id": {"other"}}}, "late", "Connection: close")
 			return false
 		})
@@ -134,11 +134,11 @@
 			if request.header.Get("X-Attempt-Id") == "1" {
 				return respondShortly(socket, request)
 			}
-			io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+			_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return false
 		})
 		pool := newPool(t, upstream.Options{})
-		exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		_, _ = exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "2"))
 		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 	})
@@ -168,7 +168,7 @@
 	})
 	t.Run("a head without end", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
-			io.WriteString(socket, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("a", 100<<10))
+			_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("a", 100<<10))
 			return true
 		})
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
@@ -176,7 +176,7 @@
 	})
 	t.Run("bytes that are no response", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
-			io.WriteString(socket, "\x00\x01 no answer\r\n\r\n")
+			_, _ = io.WriteString(socket, "\x00\x01 no answer\r\n\r\n")
 			return true
 		})
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
@@ -196,12 +196,12 @@
 	defer listener.Close()
 	answered := make(chan struct{})
 	go func() {
-		socket, err := listener.Accept()
-		if err != nil {
+		socket, acceptErr := listener.Accept()
+		if acceptErr != nil {
 			return
 		}
 		defer socket.Close()
-		io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: 1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: 1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		<-answered
 	}()
 	pool := newPool(t, upstream.Options{})
@@ -263,10 +263,10 @@
 			late := "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nContent-Length: " + strconv.Itoa(len(inner)) + "\r\n\r\n"
 			e := newEndpoint(t, func(socket net.Conn, request received) bool {
 				if request.header.Get("X-Attempt-Id") == "2" {
-					io.WriteString(socket, late+inner+inner)
+					_, _ = io.WriteString(socket, late+inner+inner)
 					return true
 				}
-				io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
+				_, _ = io.WriteString(socket, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: 1\r\nKeep-Alive: timeout=30\r\n\r\n")
 				return true
 			})
 			pool := newPool(t, upstream.Options{})
@@ -292,7 +292,7 @@
 func TestDo_RequestWithoutID_GetsOwnConnection(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.header.Get("X-Attempt-Id") == "" {
-			io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
 		return respondShortly(socket, request)
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -51,12 +51,12 @@
 			return true
 		}},
 		{"after surplus bytes", func(socket net.Conn, request received) bool {
-			io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+
+			_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+
 				"\r\nKeep-Alive: timeout=30\r\nContent-Length: 1\r\n\r\nxsurplus")
 			return true
 		}},
 		{"after a close-delimited response", func(socket net.Conn, request received) bool {
-			io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+"\r\n\r\nx")
+			_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+"\r\n\r\nx")
 			return false
 		}},
 		{"when the endpoint closed it", func(socket net.Conn, request received) bool {
@@ -151,7 +151,7 @@
 func TestPool_LateSurplusBytes_AreNoResponse(t *testing.T) {
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if request.header.Get("X-Attempt-Id") == "2" {
-			io.WriteString(socket, "surplus")
+			_, _ = io.WriteString(socket, "surplus")
 		}
 		return respondShortly(socket, request)
 	})
@@ -227,8 +227,8 @@
 			go func() {
 				defer socket.Close()
 				head := make([]byte, 4)
-				io.ReadFull(socket, head)
-				io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+map[string]string{"POST": "1", "GET ": "2"}[string(head)]+
+				_, _ = io.ReadFull(socket, head)
+				_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+map[string]string{"POST": "1", "GET ": "2"}[string(head)]+
 					"\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
 				<-readOn
 				rest, _ := io.ReadAll(socket)
@@ -264,7 +264,7 @@
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		respondShortly(socket, request)
 		if request.connection == 1 {
-			socket.(*net.TCPConn).CloseWrite()
+			_ = socket.(*net.TCPConn).CloseWrite()
 			close(halfClosed)
 		}
 		return true
--- a/internal/tier/upstream/response_test.go
+++ b/internal/tier/upstream/response_test.go
@@ -17,8 +17,8 @@
 	}
 	for name, rest := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(socket net.Conn, request received) bool {
-				io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"+rest)
+			e := newEndpoint(t, func(socket net.Conn, _ received) bool {
+				_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\n"+rest)
 				return false
 			})
 			pool := newPool(t, upstream.Options{})
--- a/internal/tier/upstream/timeleft_test.go
+++ b/internal/tier/upstream/timeleft_test.go
@@ -57,5 +57,5 @@
 		return
 	}
 	timeLeft <- request.Header.Get(TimeLeftHeader)
-	socket.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
+	_, _ = socket.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
 }
