--- a/internal/tier/wire/format_test.go
+++ b/internal/tier/wire/format_test.go
@@ -15,6 +15,7 @@
 	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/view"
 	"mastusher/internal/tier/wire"
+	"mastusher/internal/tools/filler"
 )
 
 const formatFile = "testdata/bodies.jsonl"
@@ -30,67 +31,6 @@
 	&model.Configuration{},
 }
 
-// filler sets each field of a value, so that none is zero and no two are alike. It goes by the order of the fields and not by
-// their names: the bytes must not follow the names.
-type filler struct{ count int }
-
-func (f *filler) fill(value reflect.Value) {
-	f.count++
-	switch value.Kind() {
-	case reflect.Pointer:
-		value.Set(reflect.New(value.Type().Elem()))
-		f.fill(value.Elem())
-	case reflect.Struct:
-		for i := range value.NumField() {
-			f.fill(value.Field(i))
-		}
-	case reflect.Array:
-		for i := range value.Len() {
-			f.fill(value.Index(i))
-		}
-	case reflect.Slice:
-		f.fillSlice(value)
-	case reflect.Map:
-		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		f.fill(key)
-		f.fill(element)
-		value.Set(reflect.MakeMap(value.Type()))
-		value.SetMapIndex(key, element)
-	case reflect.Bool:
-		value.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		value.SetInt(int64(f.count))
-	case reflect.Uint8, reflect.Uint64:
-		value.SetUint(uint64(f.count))
-	case reflect.Float64:
-		value.SetFloat(float64(f.count) + 0.5)
-	case reflect.String:
-		value.SetString(fmt.Sprintf("text %d <\"\n>", f.count))
-	default:
-		panic(fmt.Sprintf("no value for a %v", value.Type()))
-	}
-}
-
-func (f *filler) fillSlice(value reflect.Value) {
-	switch {
-	case value.Type() == reflect.TypeFor[json.RawMessage]():
-		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.count))
-	case value.Type().Elem().Kind() == reflect.Uint8:
-		value.SetBytes([]byte{byte(f.count), 0xff, 0, '\n'})
-	default:
-		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
-		f.fill(value.Index(0))
-		f.fill(value.Index(1))
-	}
-}
-
-// filled returns a new body of the type, each field of which is set.
-func filled(body any) any {
-	made := reflect.New(reflect.TypeOf(body).Elem())
-	new(filler).fill(made.Elem())
-	return made.Interface()
-}
-
 // storedBodies returns the lines of the stored file.
 func storedBodies(t *testing.T) [][]byte {
 	t.Helper()
@@ -113,7 +53,7 @@
 	if *updateFormat {
 		var stored []byte
 		for _, body := range formatBodies {
-			stored = append(append(stored, encode(t, filled(body))...), '\n')
+			stored = append(append(stored, encode(t, filler.New(body))...), '\n')
 		}
 		if err := os.WriteFile(formatFile, stored, 0o644); err != nil {
 			t.Fatal(err)
@@ -121,7 +61,7 @@
 	}
 	for i, stored := range storedBodies(t) {
 		t.Run(fmt.Sprintf("%T", formatBodies[i]), func(t *testing.T) {
-			body := filled(formatBodies[i])
+			body := filler.New(formatBodies[i])
 			if text := cmp.Diff(string(stored), string(encode(t, body))); text != "" {
 				t.Error(text)
 			}
@@ -159,7 +99,7 @@
 			if err := json.Unmarshal(stored, read); err != nil {
 				t.Fatal(err)
 			}
-			if text := cmp.Diff(filled(formatBodies[i]), read); text != "" {
+			if text := cmp.Diff(filler.New(formatBodies[i]), read); text != "" {
 				t.Error(text)
 			}
 		})
