--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -24,13 +24,13 @@
 	return s
 }
 
-func retryableRequest(service string) Request {
-	return Request{Service: service, Route: Route{Name: "r", Kind: model.Retryable, MaxAttempts: 3}, Retryable: true,
+func retryableRequest() Request {
+	return Request{Service: "feeds", Route: Route{Name: "r", Kind: model.Retryable, MaxAttempts: 3}, Retryable: true,
 		TimeLeft: 2 * time.Second}
 }
 
 func onceOnlyRequest() Request {
-	r := retryableRequest("feeds")
+	r := retryableRequest()
 	r.Route.Kind, r.Retryable = model.AtMostOnce, false
 	return r
 }
@@ -59,7 +59,7 @@
 
 func TestSelect_NoCallTimes_LastsUntilDeadline(t *testing.T) {
 	s := newBalancer(endpointsOf("feeds", 3, 6))
-	d := s.Select(0, retryableRequest("feeds"))
+	d := s.Select(0, retryableRequest())
 	if d.Endpoint == nil || !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("decision %+v; want a call that runs on for the time left", d)
 	}
@@ -91,7 +91,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := newBalancer(test.list)
-			r := retryableRequest("feeds")
+			r := retryableRequest()
 			if test.change != nil {
 				test.change(&r)
 			}
@@ -105,10 +105,10 @@
 func TestSelect_LessTimeThanMedian_RejectsAsDeadlineTooShort(t *testing.T) {
 	// Given endpoints whose calls take 300 ms.
 	s := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, s, 0, retryableRequest("feeds"), 12, 300*time.Millisecond)
+	now := trainTimes(t, s, 0, retryableRequest(), 12, 300*time.Millisecond)
 
 	// When a request comes with 100 ms left, then it is rejected; with 500 ms left it is sent.
-	r := retryableRequest("feeds")
+	r := retryableRequest()
 	if r.TimeLeft = 100 * time.Millisecond; s.Select(now, r).Rejection.Kind != DeadlineTooShort {
 		t.Error("a request with a third of the median left was not rejected as DeadlineTooShort")
 	}
@@ -126,13 +126,13 @@
 		if i%5 == 4 {
 			elapsed = 2 * time.Second
 		}
-		call(t, s, now, retryableRequest("feeds"), Success, elapsed)
+		call(t, s, now, retryableRequest(), Success, elapsed)
 		now += solveInterval
 	}
 	now += 2 * time.Second
 
 	// When a retryable request comes, then it is cut long before its time is over.
-	d := s.Select(now, retryableRequest("feeds"))
+	d := s.Select(now, retryableRequest())
 	if d.UntilDeadline || d.Timeout > time.Second {
 		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
@@ -141,7 +141,7 @@
 		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
-	r := retryableRequest("feeds")
+	r := retryableRequest()
 	if r.AffordableAttempts = 1; !s.Select(now, r).UntilDeadline {
 		t.Error("the only attempt that the budget pays for is cut")
 	}
@@ -158,7 +158,7 @@
 	s := newBalancer(endpointsOf("feeds", 2, 6))
 	now, counts := time.Duration(0), map[string]int{}
 	for range 200 {
-		d := s.Select(now, retryableRequest("feeds"))
+		d := s.Select(now, retryableRequest())
 		elapsed := 50 * time.Millisecond
 		if d.Endpoint.ID == "feeds-0" {
 			elapsed = 200 * time.Millisecond
--- a/internal/tier/balancer/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -15,7 +15,7 @@
 			b.Run(fmt.Sprintf("endpoints=%d/pinned=%v", n, pinned), func(b *testing.B) {
 				s := newBalancer(endpointsOf("feeds", n, 6))
 				attempts := make([]Attempt, 20)
-				r := retryableRequest("feeds")
+				r := retryableRequest()
 				r.Route.UsesAffinity = pinned
 				b.ReportAllocs()
 				now, i := time.Duration(0), 0
--- a/internal/tier/balancer/load_test.go
+++ b/internal/tier/balancer/load_test.go
@@ -9,15 +9,15 @@
 	// Given two endpoints of two slots that report that they are full and their queues too.
 	s := newBalancer(endpointsOf("feeds", 2, 2))
 	for range 2 {
-		d := s.Select(0, retryableRequest("feeds"))
+		d := s.Select(0, retryableRequest())
 		s.Sent(0, &d.Attempt)
 		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
 	// When a request comes, then it is rejected with a time to come back; some time later it is tried.
-	if d := s.Select(0, retryableRequest("feeds")); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
+	if d := s.Select(0, retryableRequest()); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 		t.Errorf("decision %+v, want Saturated", d)
 	}
-	if d := s.Select(5*time.Second, retryableRequest("feeds")); d.Endpoint == nil {
+	if d := s.Select(5*time.Second, retryableRequest()); d.Endpoint == nil {
 		t.Errorf("rejected (%v) by a report of 5 s ago", d.Rejection.Kind)
 	}
 }
--- a/internal/tier/balancer/outlier_test.go
+++ b/internal/tier/balancer/outlier_test.go
@@ -10,9 +10,9 @@
 	now := time.Duration(0)
 	last := time.Duration(0)
 	for range 4 {
-		call(t, s, now, retryableRequest("feeds"), NotRun, time.Millisecond)
+		call(t, s, now, retryableRequest(), NotRun, time.Millisecond)
 		now += time.Millisecond
-		d := s.Select(now, retryableRequest("feeds"))
+		d := s.Select(now, retryableRequest())
 		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 			t.Fatalf("decision %+v right after a rejection; want Saturated and a time to come back", d)
 		}
@@ -31,12 +31,12 @@
 	// Given an endpoint that has rejected a call.
 	list := endpointsOf("feeds", 1, 6)
 	s := newBalancer(list)
-	call(t, s, 0, retryableRequest("feeds"), NotRun, time.Millisecond)
+	call(t, s, 0, retryableRequest(), NotRun, time.Millisecond)
 	// When a list without it comes, and then one with it again.
 	s.SetEndpoints(2*time.Millisecond, nil)
 	s.SetEndpoints(3*time.Millisecond, list)
 	// Then nothing is sent there before the wait is over.
-	if d := s.Select(4*time.Millisecond, retryableRequest("feeds")); d.Rejection.Kind != Saturated {
+	if d := s.Select(4*time.Millisecond, retryableRequest()); d.Rejection.Kind != Saturated {
 		t.Errorf("decision %+v, want Saturated", d)
 	}
 }
@@ -44,10 +44,10 @@
 func TestSelect_EndpointEjected_GetsProbesOnly(t *testing.T) {
 	// Given a service where one endpoint's connections are reset.
 	s := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, s, 0, retryableRequest("feeds"), 30, 30*time.Millisecond)
+	now := trainTimes(t, s, 0, retryableRequest(), 30, 30*time.Millisecond)
 	ejected := "feeds-1"
 	others := []string{"feeds-0", "feeds-2"}
-	r := retryableRequest("feeds")
+	r := retryableRequest()
 	r.Excluded = others
 	for range maxFails {
 		call(t, s, now, r, IncompleteResponse, time.Millisecond)
@@ -56,7 +56,7 @@
 	// When retryable requests go on for two seconds.
 	probes := 0
 	for range 100 {
-		d := s.Select(now, retryableRequest("feeds"))
+		d := s.Select(now, retryableRequest())
 		kind := Success
 		if d.Endpoint.ID == ejected {
 			probes++
@@ -72,7 +72,7 @@
 	}
 	// And a request that must not run twice is none.
 	now += 10 * time.Second
-	s.Select(now, retryableRequest("feeds"))
+	s.Select(now, retryableRequest())
 	for range 5 {
 		if got := call(t, s, now, onceOnlyRequest(), Success, time.Millisecond); got == ejected {
 			t.Error("a request that must not run twice was used as a probe")
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -214,7 +214,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms")) * time.Millisecond
-			r := retryableRequest("feeds")
+			r := retryableRequest()
 			r.AffinityKey = rapid.Uint64Range(0, 5).Draw(rt, "affinity")
 			r.Route.UsesAffinity = r.AffinityKey > 0
 			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(rt, "outcome")),
--- a/internal/tier/balancer/retries_test.go
+++ b/internal/tier/balancer/retries_test.go
@@ -7,7 +7,7 @@
 
 func TestRetryBudget_Successes_EarnRetries(t *testing.T) {
 	s := newBalancer(endpointsOf("feeds", 4, 6))
-	r := retryableRequest("feeds")
+	r := retryableRequest()
 	r.AttemptsUsed, r.MayHaveRun = 1, true
 	sent := 0
 	for s.Select(0, r).Endpoint != nil {
@@ -17,7 +17,7 @@
 	if sent != int(maxRetryBudget/2) {
 		t.Errorf("%d retries without a success, want %d", sent, int(maxRetryBudget/2))
 	}
-	now := trainTimes(t, s, 10*time.Second, retryableRequest("feeds"), 5, 10*time.Millisecond)
+	now := trainTimes(t, s, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
 	if s.Select(now, r).Endpoint == nil {
 		t.Error("five successes earned no retry")
 	}
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -20,7 +20,7 @@
 		// when requests come, and the same versions are set again meanwhile,
 		target := [1001]int{}
 		for i := range 1000 {
-			r := retryableRequest("feeds")
+			r := retryableRequest()
 			if pinned {
 				r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 			}
--- a/internal/tier/balancer/versions_test.go
+++ b/internal/tier/balancer/versions_test.go
@@ -19,7 +19,7 @@
 			s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: share}})
 			target := 0
 			for i := range 1000 {
-				r := retryableRequest("feeds")
+				r := retryableRequest()
 				if pinned {
 					r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
 				}
