--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -120,8 +120,8 @@
 			fmt.Fprintln(t, "relays\tform\tchange, median of 9\tmost\tchange, a tenth down\tidle: bytes/s a relay\tat the leader\tsteps/s a relay\tµs a step")
 			for _, n := range sizes {
 				f := simulation.Scale(n)
-				fmt.Fprintf(t, "%d\t%v\t%v\t%v\t%v\t%.0f\t%.0f\t%.1f\t%.1f\n", n, f.Form.Round(time.Millisecond), f.Median.Round(100*time.Microsecond),
-					f.Most.Round(100*time.Microsecond), f.TenthDown.Round(time.Millisecond), f.Bytes, f.LeaderBytes, f.Steps, f.StepCost)
+				fmt.Fprintf(t, "%d\t%v\t%v\t%v\t%v\t%.0f\t%.0f\t%.1f\t%.1f\n", n, f.Formation.Round(time.Millisecond), f.Median.Round(100*time.Microsecond),
+					f.Max.Round(100*time.Microsecond), f.TenthDown.Round(time.Millisecond), f.Bytes, f.LeaderBytes, f.Steps, f.StepCost)
 				_ = t.Flush()
 			}
 			return nil
--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -14,34 +14,34 @@
 // mutants are faults put into the code under test: the checker must find each, or nothing that it passes proves anything.
 var mutants = []struct {
 	name, file, old, new string
-	test                 string // that must fail; "": TestRandom
+	test                 string // that must fail; "": TestRandom_SeededFaults_NoBreach
 	pkg                  string // that it is in; "": this one
 }{
 	{"no lease", "node/node.go", "n.leaseUntil = max(n.leaseUntil, until)", "n.leaseUntil = at + 1000*g.Lease", "", ""},
-	{"lease not shortened", "node/node.go", "float64(g.Lease)*(1-n.config.MaxClockDrift)", "float64(g.Lease)*(1+n.config.MaxClockDrift)", "TestCutOff", ""},
-	{"lease from the answer on", "node/node.go", "until := at + ", "until := at - at + n.now + ", "TestLateGrant", ""},
+	{"lease not shortened", "node/node.go", "float64(g.Lease)*(1-n.config.MaxClockDrift)", "float64(g.Lease)*(1+n.config.MaxClockDrift)", "TestLease_SlowClockPartitioned_EndsBeforeChange", ""},
+	{"lease from the answer on", "node/node.go", "until := at + ", "until := at - at + n.now + ", "TestLease_LateGrant_CountsFromItsRequest", ""},
 	{"lease ends early at its giver", "node/leader.go", "s.leaseOverAt = n.now + n.maxLeaseDuration()", "s.leaseOverAt = n.now", "", ""},
 	{"a new leader waits for nobody", "node/leader.go", "over := n.leadership.since + n.maxLeaseDuration()", "over := n.leadership.since", "", ""},
-	{"no word of a majority for a lease", "node/leader.go", "case w.read <= l.confirmedRead:", "case true:", "TestDeposed", ""},
+	{"no word of a majority for a lease", "node/leader.go", "case w.read <= l.confirmedRead:", "case true:", "TestLease_DeposedLeader_GrantsNothing", ""},
 	{"ready before caught up", "node/node.go", "st.WhyNot = \"no lease yet\"\n", "st.Until, st.WhyNot = 1<<60, \"no lease yet\"\n", "", ""},
 	{"in force before all have stopped", "node/leader.go", "done = s.request.Stopped >= ch.Version", "done = true", "", ""},
-	{"decided by one's own word", "node/leader.go", "case ch.Phase == policy.Proposed && p.Done == p.Of:", "case ch.Phase == policy.Proposed:", "TestRefused", ""},
-	{"check skipped for one relay", "node/leader.go", "done = true; s.request.Verdict.Reason != \"\" {", "done = true; s.request.Verdict.Reason != \"\" && name != \"r2\" {", "TestRefused", ""},
-	{"vote without sync", "node/voter.go", "		n.emit(Action{Save: out.Save})\n", "		defer n.emit(Action{Save: out.Save})\n", "TestUnsynced", ""},
-	{"generation ignored", "node/leader.go", "case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:", "case p.Generation > 1<<40:", "TestFormerWord", ""},
-	{"a grant of a former life", "node/node.go", "if !ok || g.Generation != n.config.Generation || g.Incarnation != n.config.Incarnation {", "if !ok {", "TestFormerLife", ""},
-	{"forgotten promises", "node/node.go", "	n.probation = cfg.Generation > 1 //", "	//", "TestOldFolder", ""},
+	{"decided by one's own word", "node/leader.go", "case ch.Phase == policy.Proposed && p.Done == p.Of:", "case ch.Phase == policy.Proposed:", "TestChange_RefusedByOneRelay_IsDropped", ""},
+	{"check skipped for one relay", "node/leader.go", "done = true; s.request.Verdict.Reason != \"\" {", "done = true; s.request.Verdict.Reason != \"\" && name != \"r2\" {", "TestChange_RefusedByOneRelay_IsDropped", ""},
+	{"vote without sync", "node/voter.go", "		n.emit(Action{Save: out.Save})\n", "		defer n.emit(Action{Save: out.Save})\n", "TestVoter_CrashesBeforeSave_CommittedChangeStays", ""},
+	{"generation ignored", "node/leader.go", "case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:", "case p.Generation > 1<<40:", "TestChange_VerdictOfFormerIncarnation_IsIgnored", ""},
+	{"a grant of a former life", "node/node.go", "if !ok || g.Generation != n.config.Generation || g.Incarnation != n.config.Incarnation {", "if !ok {", "TestRelay_Restarted_FormerIncarnationSpeaksForNothing", ""},
+	{"forgotten promises", "node/node.go", "	n.probation = cfg.Generation > 1 //", "	//", "TestVoter_RestoredFromOlderDisk_DoesNotVoteAgain", ""},
 	{"version not carried by the journal", "../journal/records.go", "e.PolicyVersion, e.MaxAttempts = d.uint(), int(d.uint())", "_, _ = d.uint(), d.uint()", "TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart", "mastusher/internal/relay/engine"},
 	{"a limit by hand is each relay's own", "../../../control/shared_limits.go", "rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))", "rate = route.destination.maxRate", "TestMaxRate_ManySenders_IsKeptTogether", "mastusher/control"},
-	{"lent again too early", "quota/granting.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound", ""},
-	{"floors are lent", "quota/granting.go", "max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])", "max(0, wholeLimit-l.leased[k]+h.bound[k])", "TestSharedBound", ""},
-	{"a new ledger lends at once", "quota/allocator.go", "	if now >= l.startedAt+l.options.LeaseDuration {", "	if true {", "TestSharedBound", ""},
-	{"what is not confirmed counts as taken", "quota/allocator.go", "			bound[k] = max(bound[k], g)", "			bound[k] = g", "TestSharedBound", ""},
+	{"lent again too early", "quota/granting.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
+	{"floors are lent", "quota/granting.go", "max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])", "max(0, wholeLimit-l.leased[k]+h.bound[k])", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
+	{"a new ledger lends at once", "quota/allocator.go", "	if now >= l.startedAt+l.options.LeaseDuration {", "	if true {", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
+	{"what is not confirmed counts as taken", "quota/allocator.go", "			bound[k] = max(bound[k], g)", "			bound[k] = g", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
 	{"a late loan of one that led before", "quota/lessee.go", "case a == nil || a.Term < p.newestTerm || ", "case a == nil || ", "TestLateLoan", "mastusher/internal/relay/fleet/quota"},
 	{"what one holds is not asked", "quota/requests.go", "	mine := r.NewestTerm == l.term", "	mine := r.NewestTerm == l.term || true", "TestLateLoan", "mastusher/internal/relay/fleet/quota"},
 	{"parts outlast their time", "../../../control/shared_limits.go", "case s.now < l.expiry:", "case true:", "TestLease_GrantedShare_IsSpentUntilExpiry", "mastusher/control"},
-	{"one witness suffices", "quota/verdict.go", "case z.down >= 2 && z.down > 2*z.well", "case z.down >= 1 && z.down > 2*z.well", "TestVerdict", ""},
-	{"evidence never ages", "quota/verdict.go", "n.State == Down && now-at <= evidenceTTL", "n.State == Down", "TestVerdict", ""},
+	{"one witness suffices", "quota/verdict.go", "case z.down >= 2 && z.down > 2*z.well", "case z.down >= 1 && z.down > 2*z.well", "TestVerdict_EvidenceOfBothZones_HoldsWhileItLasts", ""},
+	{"evidence never ages", "quota/verdict.go", "n.State == Down && now-at <= evidenceTTL", "n.State == Down", "TestVerdict_EvidenceOfBothZones_HoldsWhileItLasts", ""},
 	{"echoes are evidence", "../../../control/shared_limits.go", "case r.health == ejected && !r.ejectedByPeers:", "case r.health == ejected:", "TestGrant_EvidenceOfOthers_EjectsAndReturns", "mastusher/control"},
 	{"own evidence does not count", "../../../control/shared_limits.go", "case grant.Unhealthy && route.newestDelivered < seenAt &&", "case grant.Unhealthy &&", "TestGrant_EvidenceOfOthers_EjectsAndReturns", "mastusher/control"},
 	{"all try what is down", "../../../control/shared_limits.go", "if route.unhealthyAtPeers && !route.isProbeTurn &&", "if false && !route.isProbeTurn &&", "TestGrant_UnhealthyRoute_OneSenderProbes", "mastusher/control"},
@@ -77,7 +77,7 @@
 			_ = os.WriteFile(overlay, b, 0o600)
 			test := m.test
 			if test == "" {
-				test = "TestRandom"
+				test = "TestRandom_SeededFaults_NoBreach"
 			}
 			cmd := exec.Command("go", "test", "-count=1", "-timeout", "40s", "-overlay", overlay, "-run", "^"+test+"$", cmp.Or(m.pkg, "."))
 			if m.pkg == "" {
--- /dev/null
+++ b/internal/relay/fleet/simulation/network.go
@@ -0,0 +1,64 @@
+package simulation
+
+import (
+	"time"
+
+	"mastusher/internal/relay/fleet/node"
+)
+
+// SetPartition drops all messages from one relay to another, or delivers them again.
+func (w *World) SetPartition(from, to *Relay, on bool) {
+	if on {
+		w.injectedFault("cut " + from.Name + ">" + to.Name)
+	}
+	w.partitioned[[2]int{from.Index, to.Index}] = on
+}
+
+// Heal ends all partitions.
+func (w *World) Heal() { clear(w.partitioned) }
+
+// send puts a message in transit, by the faults of the network.
+func (w *World) send(from, to *Relay, m *node.Message) {
+	if to == nil {
+		w.reportViolation(from, "a message to nobody")
+		return
+	}
+	w.Datagrams++
+	if w.measure != nil {
+		n := w.measure(m)
+		w.Bytes += int64(n)
+		w.onMeasured(from, to, n)
+	}
+	if w.partitioned[[2]int{from.Index, to.Index}] || w.rng.Float64() < w.Loss {
+		return
+	}
+	copies := 1
+	if w.rng.Float64() < w.Duplication {
+		copies = 2
+	}
+	for range copies {
+		d := w.Delay + time.Duration(w.rng.Int64N(2*int64(w.Delay)+1))
+		if w.rng.Float64() < w.Duplication { // delayed by up to two leases, so that it is overtaken
+			d += time.Duration(w.rng.Int64N(int64(2 * w.Lease)))
+		}
+		if to == w.delayLeasesTo && m.StateUpdate != nil {
+			return
+		}
+		if to == w.delayLeasesTo && m.LeaseGrant != nil {
+			d += w.Lease * 3 / 4
+		}
+		arrive := func() {
+			if to.Node != nil {
+				w.notify(to, node.Event{From: from.Name, Message: m})
+			}
+		}
+		if w.inTransit != nil {
+			w.inTransit[to.Index] = append(w.inTransit[to.Index], arrive)
+			continue
+		}
+		if from == w.recordFrom {
+			w.recorded = append(w.recorded, arrive)
+		}
+		w.After(d, arrive)
+	}
+}
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -9,18 +10,18 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// Result is how a random world fared.
+// Result is the outcome of a random world.
 type Result struct {
 	Seed    uint64
 	Breach  *checker.BreachError
-	Stuck   string // what did not come about although all was well again
+	Stuck   string // what did not come about although everything was healed; "": nothing
 	History []checker.Entry
-	Faults  map[string]int // that struck while a change was under way
-	Changes int            // handed in
-	Held    int            // of them in force
+	Faults  map[string]int // by kind, that were injected while a change was in progress
+	Changes int            // proposed
+	InForce int            // that took effect
 }
 
-// Bad tells whether something is wrong.
+// Bad reports whether there was a breach or the fleet was stuck.
 func (r *Result) Bad() bool { return r.Breach != nil || r.Stuck != "" }
 
 func (r *Result) String() string {
@@ -30,184 +31,247 @@
 	case r.Stuck != "":
 		return fmt.Sprintf("seed %d: %s", r.Seed, r.Stuck)
 	}
-	return fmt.Sprintf("seed %d: good, %d of %d changes in force", r.Seed, r.Held, r.Changes)
+	return fmt.Sprintf("seed %d: good, %d of %d changes in force", r.Seed, r.InForce, r.Changes)
 }
 
-// Random plays a world drawn from a seed: changes, and faults that gather around their steps.
+// proposal is one change that was proposed.
+type proposal struct {
+	ticket uint64
+	base   uint64 // version that it is to replace
+	at     time.Duration
+}
+
+// randomRun is a world drawn from a seed, as it runs. The order of draws from rng and of calls of the world must stay as it is, or
+// seeds that found faults mean other worlds.
+type randomRun struct {
+	*World
+	rng       *rand.Rand
+	proposals []proposal
+	restores  map[*Relay]func() // of older disks
+	diskLost  bool              // one voter has lost what it had saved
+}
+
+// Random runs a world drawn from a seed: changes, and faults that gather around their steps. Then it heals everything, and judges
+// whether a change takes effect and what the history shows.
 func Random(seed uint64) *Result {
-	d := rand.New(rand.NewPCG(seed, 2))
-	o := Options{Relays: 3 + d.IntN(7), Seed: seed, Lease: 2 * time.Second, Drift: 0.05, Delay: time.Duration(200+d.IntN(3000)) * time.Microsecond,
-		Acts: 7 * time.Millisecond}
-	if o.Voters = 3; o.Relays >= 5 && d.IntN(2) == 0 {
+	rng := rand.New(rand.NewPCG(seed, 2))
+	run := &randomRun{World: New(randomOptions(seed, rng)), rng: rng, restores: map[*Relay]func(){}}
+	res := &Result{Seed: seed, Faults: run.Faults}
+	run.Run(3 * time.Second)
+	for round := range 3 + rng.IntN(4) {
+		run.proposeChanges(round)
+		for range rng.IntN(5) {
+			run.injectFault()
+		}
+		run.Run(time.Duration(rng.Int64N(int64(2 * run.Lease))))
+		run.restartRelays()
+	}
+	run.recoverAll()
+	res.Stuck = run.awaitChange()
+	run.finish(res)
+	return res
+}
+
+// randomOptions draws the options of a world.
+func randomOptions(seed uint64, rng *rand.Rand) Options {
+	o := Options{Relays: 3 + rng.IntN(7), Seed: seed, Lease: 2 * time.Second, MaxClockDrift: 0.05, Delay: time.Duration(200+rng.IntN(3000)) * time.Microsecond,
+		ActInterval: 7 * time.Millisecond}
+	if o.Voters = 3; o.Relays >= 5 && rng.IntN(2) == 0 {
 		o.Voters = 5
 	}
-	if d.IntN(2) == 0 {
-		o.Loss, o.Twice = d.Float64()*0.35, d.Float64()*0.1
+	if rng.IntN(2) == 0 {
+		o.Loss, o.Duplication = rng.Float64()*0.35, rng.Float64()*0.1
 	}
-	if d.IntN(3) == 0 { // one that is restarted with a program that can't apply what it said it could
-		odd := fmt.Sprintf("r%d", d.IntN(o.Relays))
-		o.Applies = func(relay string, life int, doc []byte) error {
-			if relay == odd && life%2 == 0 && policy.Digest(doc)%3 == 0 {
-				return fmt.Errorf("can't")
+	if rng.IntN(3) == 0 { // one that is restarted with a program that can't apply what it said it could
+		odd := fmt.Sprintf("r%d", rng.IntN(o.Relays))
+		o.CanApply = func(relay string, incarnation int, doc []byte) error {
+			if relay == odd && incarnation%2 == 0 && policy.Digest(doc)%3 == 0 {
+				return errors.New("can't")
 			}
 			return nil
 		}
 	}
 	if seed%4 == 0 {
-		o.Apart = 3 * time.Hour
-	}
-	w := New(o)
-	r := &Result{Seed: seed, Faults: w.Faults}
-	w.Run(3 * time.Second)
-	pick := func() *Relay { return w.Relays[d.IntN(len(w.Relays))] }
-	version := func() uint64 {
-		v := uint64(0)
-		for _, x := range w.Relays {
-			if x.Node != nil {
-				v = max(v, x.Node.Status().State.Version)
-			}
+		o.ClockOffset = 3 * time.Hour
+	}
+	return o
+}
+
+func (run *randomRun) drawRelay() *Relay { return run.Relays[run.rng.IntN(len(run.Relays))] }
+
+// version is the newest version that any relay knows.
+func (run *randomRun) version() uint64 {
+	v := uint64(0)
+	for _, r := range run.Relays {
+		if r.Node != nil {
+			v = max(v, r.Node.Status().State.Version)
 		}
-		return v
-	}
-	type proposal struct {
-		ticket uint64
-		base   uint64
-		at     time.Duration
-	}
-	var all []proposal
-	copies := map[*Relay]func(){}
-	wiped := 0
-	for round := range 3 + d.IntN(4) {
-		p := proposal{base: version(), at: w.Now}
-		p.ticket = w.Propose(pick(), p.base, fmt.Sprintf(`{"format":1,"partners":{"%d":{"shut":true}}}`, round))
-		all = append(all, p)
-		if d.IntN(4) == 0 { // another at once, at another relay
-			q := proposal{base: p.base, at: w.Now}
-			q.ticket = w.Propose(pick(), q.base, `{"format":1,"stamp":true}`)
-			all = append(all, q)
-		}
-		if d.IntN(3) == 0 {
-			x := pick()
-			copies[x] = w.Copy(x)
-		}
-		for range d.IntN(5) {
-			// Most within milliseconds of a step, some within a lease.
-			span := int64(30 * time.Millisecond)
-			if d.IntN(3) == 0 {
-				span = int64(o.Lease)
-			}
-			w.Run(time.Duration(d.Int64N(span)))
-			x := pick()
-			if d.IntN(2) == 0 { // one that leads, if any does
-				for _, y := range w.Relays {
-					if y.Node != nil && y.Node.Status().Voter == "leads" {
-						x = y
-					}
-				}
+	}
+	return v
+}
+
+// propose proposes a change at a relay and keeps it for the judgement.
+func (run *randomRun) propose(r *Relay, base uint64, doc string) proposal {
+	p := proposal{base: base, at: run.Now}
+	p.ticket = run.Propose(r, base, doc)
+	run.proposals = append(run.proposals, p)
+	return p
+}
+
+// proposeChanges proposes a change, sometimes two at once, and sometimes copies a relay's disk for later.
+func (run *randomRun) proposeChanges(round int) {
+	base := run.version()
+	run.propose(run.drawRelay(), base, fmt.Sprintf(`{"format":1,"partners":{"%d":{"shut":true}}}`, round))
+	if run.rng.IntN(4) == 0 { // another at once, at another relay
+		run.propose(run.drawRelay(), base, `{"format":1,"stamp":true}`)
+	}
+	if run.rng.IntN(3) == 0 {
+		r := run.drawRelay()
+		run.restores[r] = run.CopyDisk(r)
+	}
+}
+
+// injectFault lets a short time pass and injects a fault, at the leader half of the times.
+func (run *randomRun) injectFault() {
+	// Most within milliseconds of a step, some within a lease.
+	span := int64(30 * time.Millisecond)
+	if run.rng.IntN(3) == 0 {
+		span = int64(run.Lease)
+	}
+	run.Run(time.Duration(run.rng.Int64N(span)))
+	x := run.drawRelay()
+	if run.rng.IntN(2) == 0 { // one that leads, if any does
+		for _, r := range run.Relays {
+			if r.Node != nil && r.Node.Status().Voter == "leads" {
+				x = r
 			}
-			switch d.IntN(9) {
-			case 0, 1:
-				w.CrashIn(x, d.IntN(12))
-			case 2:
-				w.Crash(x)
-			case 3, 4:
-				w.Stop(x, time.Duration(d.Int64N(int64(3*o.Lease))))
-			case 5:
-				for _, y := range w.Relays { // alone, in one direction or both
-					if y != x {
-						way := d.IntN(3)
-						if way != 0 {
-							w.Cut(x, y, true)
-						}
-						if way != 1 {
-							w.Cut(y, x, true)
-						}
-					}
-				}
-			case 6:
-				for i := range w.Relays { // two parts
-					for j := range w.Relays {
-						if (i < len(w.Relays)/2) != (j < len(w.Relays)/2) {
-							w.Cut(w.Relays[i], w.Relays[j], true)
-						}
-					}
-				}
-			case 7:
-				w.Heal()
-			case 8:
-				y := pick()
-				w.Cut(x, y, true)
+		}
+	}
+	switch run.rng.IntN(9) {
+	case 0, 1:
+		run.CrashAfterActions(x, run.rng.IntN(12))
+	case 2:
+		run.Crash(x)
+	case 3, 4:
+		run.Stop(x, time.Duration(run.rng.Int64N(int64(3*run.Lease))))
+	case 5:
+		run.isolateDrawn(x)
+	case 6:
+		run.splitInHalves()
+	case 7:
+		run.Heal()
+	case 8:
+		run.SetPartition(x, run.drawRelay(), true)
+	}
+}
+
+// isolateDrawn partitions a relay from each of the others, in one direction or both.
+func (run *randomRun) isolateDrawn(x *Relay) {
+	for _, y := range run.Relays {
+		if y == x {
+			continue
+		}
+		direction := run.rng.IntN(3)
+		if direction != 0 {
+			run.SetPartition(x, y, true)
+		}
+		if direction != 1 {
+			run.SetPartition(y, x, true)
+		}
+	}
+}
+
+// splitInHalves partitions the first half of the relays from the others.
+func (run *randomRun) splitInHalves() {
+	half := len(run.Relays) / 2
+	for i := range run.Relays {
+		for j := range run.Relays {
+			if (i < half) != (j < half) {
+				run.SetPartition(run.Relays[i], run.Relays[j], true)
 			}
 		}
-		w.Run(time.Duration(d.Int64N(int64(2 * o.Lease))))
-		for _, x := range w.Relays {
-			if x.Node != nil || d.IntN(3) == 0 {
+	}
+}
+
+// restartRelays restarts some of the relays that are down. At most one voter loses what it had saved, in one way or the other: more
+// would be the loss of a majority.
+func (run *randomRun) restartRelays() {
+	for _, r := range run.Relays {
+		if r.Node != nil || run.rng.IntN(3) == 0 {
+			continue
+		}
+		if !run.diskLost && run.rng.IntN(3) == 0 && run.formed() {
+			run.diskLost = true
+			if restore := run.restores[r]; restore != nil && run.runningVoters() == run.Voters-1 {
+				// An older disk is found out where the others are there to tell: see the design note.
+				run.Heal()
+				restore()
+				run.Start(r)
+				run.Run(200 * time.Millisecond)
 				continue
 			}
-			// At most one voter loses what it promised, in one way or the other: more would be a majority's loss.
-			if wiped == 0 && d.IntN(3) == 0 && w.formed() {
-				wiped++
-				if back := copies[x]; back != nil && w.voters() == w.Voters-1 {
-					// An older folder is found out where the others are there to tell: see the design note.
-					w.Heal()
-					back()
-					w.Start(x)
-					w.Run(200 * time.Millisecond)
-					continue
-				}
-				w.Wipe(x)
-			}
-			w.Start(x)
+			run.WipeDisk(r)
 		}
+		run.Start(r)
 	}
-	// All is well again: now everybody must come round, and a change must take hold.
-	w.Heal()
-	w.Loss, w.Twice = 0, 0
-	w.Applies = nil
-	for _, x := range w.Relays {
-		if x.crashIn = -1; x.Node == nil {
-			w.Start(x)
+}
+
+// recoverAll heals the network and starts all relays.
+func (run *randomRun) recoverAll() {
+	run.Heal()
+	run.Loss, run.Duplication = 0, 0
+	run.CanApply = nil
+	for _, r := range run.Relays {
+		if r.actionsUntilCrash = -1; r.Node == nil {
+			run.Start(r)
 		}
 	}
-	w.Run(o.Lease)
-	final := proposal{at: w.Now - o.Lease}
-	ok := w.Await(60*o.Lease, func() bool {
-		if final.ticket == 0 && w.Now-final.at > 200*time.Millisecond || w.Now-final.at > 10*o.Lease {
-			final = proposal{base: version(), at: w.Now}
-			final.ticket = w.Propose(w.Relays[0], final.base, `{"format":1}`)
-			all = append(all, final)
+	run.Run(run.Lease)
+}
+
+// awaitChange proposes changes until one takes effect everywhere; otherwise it says how all relays stand.
+func (run *randomRun) awaitChange() string {
+	last := proposal{at: run.Now - run.Lease}
+	ok := run.Await(60*run.Lease, func() bool {
+		if last.ticket == 0 && run.Now-last.at > 200*time.Millisecond || run.Now-last.at > 10*run.Lease {
+			last = run.propose(run.Relays[0], run.version(), `{"format":1}`)
 		}
-		p, done := w.End(final.ticket)
-		if done && p.DropReason != "" { // another was still under way
-			final.ticket = 0
+		p, done := run.Outcome(last.ticket)
+		if done && p.DropReason != "" { // another was still in progress
+			last.ticket = 0
 		}
-		return done && p.DropReason == "" && w.AllUnder(p.Version)
+		return done && p.DropReason == "" && run.AllActOn(p.Version)
 	})
-	if !ok {
-		r.Stuck = "all is well again, and no change takes hold"
-		for _, x := range w.Relays {
-			st := x.Node.Status()
-			r.Stuck += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", x.Name, st.MayAct, st.WhyNot,
-				st.Voter, st.Leader, st.State.Epoch, st.State.Index, st.State.Version, st.State.Change, st.Progress)
-		}
+	if ok {
+		return ""
 	}
-	for _, p := range all {
-		e := checker.Entry{At: p.at, Until: w.Now, Kind: checker.Proposed, Base: p.base}
-		if end, done := w.End(p.ticket); done && end.DropReason == "" {
+	stuck := "all is well again, and no change takes hold"
+	for _, r := range run.Relays {
+		st := r.Node.Status()
+		stuck += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, st.MayAct, st.WhyNot,
+			st.Voter, st.Leader, st.State.Epoch, st.State.Index, st.State.Version, st.State.Change, st.Progress)
+	}
+	return stuck
+}
+
+// finish records how the proposals ended, and judges the history.
+func (run *randomRun) finish(res *Result) {
+	for _, p := range run.proposals {
+		e := checker.Entry{At: p.at, Until: run.Now, Kind: checker.Proposed, Base: p.base}
+		if end, done := run.Outcome(p.ticket); done && end.DropReason == "" {
 			e.Version = end.Version
-			r.Held++
+			res.InForce++
 		}
-		w.History = append(w.History, e)
+		run.History = append(run.History, e)
 	}
-	r.Changes, r.History = len(all), w.History
-	r.Breach = checker.Judge(w.History, checker.Options{})
-	return r
+	res.Changes, res.History = len(run.proposals), run.History
+	res.Breach = checker.Judge(run.History, checker.Options{})
 }
 
-// voters is how many voters run.
-func (w *World) voters() (n int) {
+// runningVoters counts the voters that run and are not paused.
+func (w *World) runningVoters() (n int) {
 	for _, r := range w.Relays[:w.Voters] {
-		if r.Node != nil && !r.Slow {
+		if r.Node != nil && !r.Stopped {
 			n++
 		}
 	}
--- /dev/null
+++ b/internal/relay/fleet/simulation/relay.go
@@ -0,0 +1,219 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/quota"
+)
+
+// Relay is one simulated process with its clock and disk.
+type Relay struct {
+	Name         string
+	Index        int
+	Node         *node.Node
+	Incarnations int
+	Mandate      node.Mandate
+	Stopped      bool // paused, as by SIGSTOP
+
+	clockRate, clockOffset float64 // its clock
+	disk                   disk
+	wakeEvent              uint64 // id of the step that is scheduled; earlier ones do nothing
+	DiskFull               bool   // saves fail
+	actionsUntilCrash      int    // below 0: it does not crash
+	events                 []node.Event
+	Lease                  quota.Lease // that its core spends by
+}
+
+// clock is a time by the relay's own clock.
+func (r *Relay) clock(now time.Duration) time.Duration {
+	return time.Duration(r.clockOffset) + time.Duration(float64(now)*r.clockRate)
+}
+
+// Start starts a relay, as a new incarnation, from its disk.
+func (w *World) Start(r *Relay) {
+	r.disk.generation++
+	r.Incarnations++
+	r.Mandate, r.Lease, r.events, r.actionsUntilCrash, r.Stopped = node.Mandate{}, quota.Lease{}, nil, -1, false
+	cfg := node.Config{Name: r.Name, Generation: r.disk.generation, Incarnation: w.rng.Uint64() | 1, Seed: w.rng.Uint64(), Member: r.disk.member, Voters: w.relayNames(w.Voters),
+		Roster: w.relayNames(w.Options.Relays), Lease: w.Lease, MaxClockDrift: w.MaxClockDrift, ServeWhenPartitioned: w.ServeWhenPartitioned, GuaranteedShare: w.GuaranteedShare, Zone: r.Index % max(w.Zones, 1)}
+	if w.roster != nil {
+		cfg.Roster = w.roster
+	}
+	image := r.disk.clone().image
+	n, err := node.New(cfg, &image, r.clock(w.Now))
+	if err != nil {
+		w.reportViolation(r, err.Error())
+		return
+	}
+	r.Node = n
+	w.record(checker.Entry{Kind: checker.Started, Relay: r.Name})
+	w.scheduleStep(r, 0)
+	if w.GuaranteedShare > 0 {
+		w.After(time.Duration(w.rng.Int64N(int64(demandInterval))), func() { w.sendDemands(r, r.Node) })
+	}
+	if w.ActInterval > 0 {
+		w.After(time.Duration(w.rng.Int64N(int64(w.ActInterval))), func() { w.tryToAct(r, r.Node) })
+	}
+}
+
+// Crash ends a relay at once. What it saved stays on its disk.
+func (w *World) Crash(r *Relay) {
+	if r.Node != nil {
+		w.injectedFault("crash " + r.Name)
+	}
+	r.Node = nil
+}
+
+// CopyDisk copies a relay's disk; the function returned restores the copy.
+func (w *World) CopyDisk(r *Relay) func() {
+	d := r.disk.clone()
+	return func() {
+		w.injectedFault("older folder of " + r.Name)
+		r.disk = d.clone()
+	}
+}
+
+// WipeDisk replaces a relay's disk with an empty one, under a new member id.
+func (w *World) WipeDisk(r *Relay) {
+	w.injectedFault("no folder of " + r.Name)
+	r.disk = disk{member: w.rng.Uint64() | 1}
+}
+
+// Stop pauses a relay for a time, as SIGSTOP does; its clock runs on.
+func (w *World) Stop(r *Relay, d time.Duration) {
+	w.injectedFault("stop " + r.Name)
+	r.Stopped = true
+	n := r.Node
+	w.After(d, func() {
+		if r.Node == n {
+			r.Stopped = false
+			w.scheduleStep(r, 0)
+		}
+	})
+}
+
+// tryToAct records an act of a relay that may act now, and schedules the next try.
+func (w *World) tryToAct(r *Relay, life *node.Node) {
+	if r.Node != life || life == nil {
+		return
+	}
+	if !r.Stopped && r.Mandate.Halted == 0 && r.Mandate.Until > r.clock(w.Now) {
+		w.record(checker.Entry{Kind: checker.Acted, Relay: r.Name, Version: r.Mandate.Version})
+	}
+	w.After(w.ActInterval, func() { w.tryToAct(r, life) })
+}
+
+// Admin sends an operator's request to a relay.
+func (w *World) Admin(r *Relay, a node.AdminRequest) {
+	if r.Node != nil {
+		w.notify(r, node.Event{AdminRequest: &a})
+	}
+}
+
+// notify queues an event for a relay, which steps at once.
+func (w *World) notify(r *Relay, ev node.Event) {
+	r.events = append(r.events, ev)
+	w.scheduleStep(r, 0)
+}
+
+// scheduleStep has a relay step after d, in place of the step that was scheduled before.
+func (w *World) scheduleStep(r *Relay, d time.Duration) {
+	life := r.Node
+	var no uint64
+	no = w.After(d, func() {
+		if r.Node == life && life != nil && !r.Stopped && r.wakeEvent == no {
+			w.step(r)
+		}
+	})
+	r.wakeEvent = no
+}
+
+// step has a node handle its events, and performs its actions in order; a crash or a full disk loses those after it.
+func (w *World) step(r *Relay) {
+	now := r.clock(w.Now)
+	evs := r.events
+	r.events = nil
+	if w.Steps++; w.Steps%stormSteps == 0 {
+		if w.Now-w.stormAt < time.Duration(stormSteps/len(w.Relays))*stormGap { // they answer each other for ever
+			w.reportViolation(r, "a storm of messages")
+			w.queue = nil
+			return
+		}
+		w.stormAt = w.Now
+	}
+	for _, a := range r.Node.Step(now, evs) {
+		if r.actionsUntilCrash >= 0 {
+			if r.actionsUntilCrash--; r.actionsUntilCrash < 0 {
+				w.Crash(r)
+				return
+			}
+		}
+		if r.DiskFull && a.Save != nil {
+			w.notify(r, node.Event{SaveFailed: errors.New("no space left")})
+			return
+		}
+		if r == w.crashBeforeSave && a.Save != nil && len(a.Save.Entries) > 0 {
+			w.Crash(r)
+			return
+		}
+		w.perform(r, a)
+	}
+	// Next is by its own clock, which is near enough to virtual time.
+	w.scheduleStep(r, r.Node.Next(now))
+}
+
+// CrashAfterActions has a relay crash after n more actions: between a save and the message that relies on it, for example.
+func (w *World) CrashAfterActions(r *Relay, n int) { r.actionsUntilCrash = n }
+
+// perform executes one action of a node. Answers to operators are dropped.
+func (w *World) perform(r *Relay, a node.Action) {
+	life := r.Node
+	later := func(ev node.Event) {
+		w.After(time.Millisecond, func() {
+			if r.Node == life {
+				w.notify(r, ev)
+			}
+		})
+	}
+	switch {
+	case a.Save != nil:
+		r.disk.save(a.Save, a.Member)
+	case a.Generation != 0:
+		r.disk.generation = a.Generation
+	case a.Message != nil:
+		w.send(r, w.byName[a.To], a.Message)
+	case a.Check != nil:
+		v := &node.Verdict{Version: a.Check.Version}
+		if w.CanApply != nil {
+			if err := w.CanApply(r.Name, r.Incarnations, a.Check.Doc); err != nil {
+				v.Reason = err.Error()
+			}
+		}
+		later(node.Event{Verdict: v})
+	case a.Mandate != nil:
+		r.Mandate = *a.Mandate
+		if h := a.Mandate.Halted; h != 0 {
+			later(node.Event{HaltedFor: h})
+		}
+		w.recordPastChanges(r)
+	case a.Lease != nil:
+		s := *a.Lease
+		w.After(time.Millisecond, func() { // the core's turn
+			if r.Node == life {
+				r.Lease = s
+				w.checkSpending(r)
+				w.notify(r, node.Event{ConfirmedLease: &[2]uint64{s.Term, s.Number}})
+			}
+		})
+	case a.Log != "":
+		if strings.HasPrefix(a.Log, "this relay has no say") && !r.DiskFull {
+			w.reportViolation(r, fmt.Sprint(a.Fields...)) // no disk fails here
+		}
+		w.record(checker.Entry{Kind: checker.Log, Relay: r.Name, Text: a.Log + " " + fmt.Sprint(a.Fields...)})
+	}
+}
--- a/internal/relay/fleet/simulation/case_test.go
+++ b/internal/relay/fleet/simulation/scenario_test.go
@@ -14,7 +14,7 @@
 func formedWorld(t *testing.T, o Options) *World {
 	t.Helper()
 	w := New(o)
-	if !w.Await(20*time.Second, func() bool { return w.AllUnder(0) && w.formed() }) {
+	if !w.Await(20*time.Second, func() bool { return w.AllActOn(0) && w.formed() }) {
 		t.Fatal("the fleet does not come about")
 	}
 	w.Run(3 * time.Second)
@@ -36,7 +36,7 @@
 func (w *World) three(t *testing.T) (l, a, b *Relay) {
 	t.Helper()
 	l = w.leader(t)
-	return l, w.Relays[(l.No+1)%3], w.Relays[(l.No+2)%3]
+	return l, w.Relays[(l.Index+1)%3], w.Relays[(l.Index+2)%3]
 }
 
 func judge(t *testing.T, w *World) {
@@ -49,23 +49,23 @@
 func (w *World) isolate(r *Relay) {
 	for _, o := range w.Relays {
 		if o != r {
-			w.Cut(r, o, true)
-			w.Cut(o, r, true)
+			w.SetPartition(r, o, true)
+			w.SetPartition(o, r, true)
 		}
 	}
 }
 
-// TestCutOff: a relay whose clock is slow is cut off right after it got a lease; others' clocks are fast. It must stop before a
+// A relay whose clock is slow is cut off right after it got a lease; others' clocks are fast. It must stop before a
 // change that goes on without it takes hold.
-func TestCutOff(t *testing.T) {
+func TestLease_SlowClockPartitioned_EndsBeforeChange(t *testing.T) {
 	o := calm(5, 3, 3)
-	o.Acts, o.Delay = ms, 10*time.Microsecond
+	o.ActInterval, o.Delay = ms, 10*time.Microsecond
 	w := New(o)
 	for _, r := range w.Relays {
-		r.rate = 1 + o.Drift
+		r.clockRate = 1 + o.MaxClockDrift
 	}
 	last := w.Relays[4]
-	last.rate = 1 - o.Drift
+	last.clockRate = 1 - o.MaxClockDrift
 	w.Run(5 * time.Second)
 	until := last.Node.Status().LeaseLeft
 	if !w.Await(2*time.Second, func() bool {
@@ -79,7 +79,7 @@
 	w.isolate(last)
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
 	at := w.Now
-	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Stand.Version == 1 }) {
+	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Mandate.Version == 1 }) {
 		t.Fatal("the change waits for ever for one that is cut off")
 	}
 	if took := w.Now - at; took < o.Lease/2 || took > 2*o.Lease {
@@ -89,24 +89,24 @@
 	judge(t, w)
 }
 
-// TestLateGrant: an answer that was long under way lends no more than its ping's time.
-func TestLateGrant(t *testing.T) {
+// An answer that was long under way lends no more than its ping's time.
+func TestLease_LateGrant_CountsFromItsRequest(t *testing.T) {
 	o := calm(5, 3, 4)
 	w := formedWorld(t, o)
 	last := w.Relays[4]
-	w.slowTo = last // grants to it take most of a lease
+	w.delayLeasesTo = last // grants to it take most of a lease
 	w.Run(o.Lease)
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
 	w.Run(20 * ms)
 	for _, r := range w.Relays[:4] {
-		w.Cut(last, r, true) // its acknowledgement is lost, late grants still come
+		w.SetPartition(last, r, true) // its acknowledgement is lost, late grants still come
 	}
 	w.Run(3 * o.Lease)
 	judge(t, w)
 }
 
-// TestDeposed: a leader that is cut off with some relays lends them nothing more once another may lead.
-func TestDeposed(t *testing.T) {
+// A leader that is cut off with some relays lends them nothing more once another may lead.
+func TestLease_DeposedLeader_GrantsNothing(t *testing.T) {
 	o := calm(6, 3, 5)
 	w := formedWorld(t, o)
 	l := w.leader(t)
@@ -119,8 +119,8 @@
 			continue
 		}
 		for _, x := range []*Relay{l, with} {
-			w.Cut(r, x, true)
-			w.Cut(x, r, true)
+			w.SetPartition(r, x, true)
+			w.SetPartition(x, r, true)
 		}
 	}
 	w.Run(o.Lease)
@@ -129,22 +129,22 @@
 			w.Propose(r, 0, `{"format":1}`)
 		}
 	}
-	if !w.Await(5*o.Lease, func() bool { return w.Relays[3].Stand.Version == 1 }) {
+	if !w.Await(5*o.Lease, func() bool { return w.Relays[3].Mandate.Version == 1 }) {
 		t.Fatal("the majority does not go on")
 	}
 	w.Run(o.Lease)
 	judge(t, w)
 	w.Heal()
-	if !w.Await(10*o.Lease, func() bool { return w.AllUnder(1) }) {
+	if !w.Await(10*o.Lease, func() bool { return w.AllActOn(1) }) {
 		t.Fatal("those that were cut off don't come round")
 	}
 	judge(t, w)
 }
 
-// TestRefused: one "no" ends a change, and says who and why; two of three voters would have taken it.
-func TestRefused(t *testing.T) {
+// One "no" ends a change, and says who and why; two of three voters would have taken it.
+func TestChange_RefusedByOneRelay_IsDropped(t *testing.T) {
 	o := calm(5, 3, 6)
-	o.Applies = func(relay string, _ int, doc []byte) error {
+	o.CanApply = func(relay string, _ int, doc []byte) error {
 		if relay == "r2" && len(doc) > 20 {
 			return errors.New("key plugins.x: no plug-in of that name runs here")
 		}
@@ -152,34 +152,34 @@
 	}
 	w := formedWorld(t, o)
 	ticket := w.Propose(w.Relays[3], 0, `{"format":1,"stamp":true}`)
-	if !w.Await(10*o.Lease, func() bool { _, ok := w.End(ticket); return ok }) {
+	if !w.Await(10*o.Lease, func() bool { _, ok := w.Outcome(ticket); return ok }) {
 		t.Fatal("the change does not end")
 	}
-	if p, _ := w.End(ticket); p.DropReason != "r2: key plugins.x: no plug-in of that name runs here" {
+	if p, _ := w.Outcome(ticket); p.DropReason != "r2: key plugins.x: no plug-in of that name runs here" {
 		t.Errorf("it ended with %q", p.DropReason)
 	}
 	w.Run(time.Second)
-	if !w.AllUnder(0) {
+	if !w.AllActOn(0) {
 		t.Error("a dropped change has stopped somebody")
 	}
 	judge(t, w)
 }
 
-// TestUnsynced: a voter crashes right before it saves an entry, and the leader dies before it comes back. What the leader took
+// A voter crashes right before it saves an entry, and the leader dies before it comes back. What the leader took
 // for agreed on is still so.
-func TestUnsynced(t *testing.T) {
+func TestVoter_CrashesBeforeSave_CommittedChangeStays(t *testing.T) {
 	for seed := range uint64(4) {
 		o := calm(3, 3, 7+seed)
 		w := formedWorld(t, o)
 		l, a, b := w.three(t)
 		w.isolate(b) // the leader and one more are the majority
 		w.Run(100 * ms)
-		w.unsaved = a
+		w.crashBeforeSave = a
 		w.Propose(l, 0, `{"format":1,"stamp":true}`)
 		if !w.Await(o.Lease, func() bool { return a.Node == nil }) {
 			t.Fatal("the entry does not come")
 		}
-		w.unsaved = nil
+		w.crashBeforeSave = nil
 		w.Run(50 * ms)
 		w.Crash(l)
 		w.Heal()
@@ -193,16 +193,16 @@
 	}
 }
 
-// TestFormerLife: what a relay said before it was killed speaks for nothing that it does after.
-func TestFormerLife(t *testing.T) {
+// What a relay said before it was killed speaks for nothing that it does after.
+func TestRelay_Restarted_FormerIncarnationSpeaksForNothing(t *testing.T) {
 	for seed := range uint64(8) {
 		o := calm(5, 3, 20+seed)
 		w := formedWorld(t, o)
 		r := w.Relays[4]
-		w.hold = r // what it sends is kept for later, too
+		w.recordFrom = r // what it sends is kept for later, too
 		w.Run(o.Lease / 2)
-		kept := w.held
-		w.hold, w.held = nil, nil
+		kept := w.recorded
+		w.recordFrom, w.recorded = nil, nil
 		w.Crash(r)
 		w.Start(r)
 		w.Run(o.Lease)
@@ -212,7 +212,7 @@
 		w.Run(o.Lease / 4)
 		for _, g := range w.Relays[:3] { // an answer to a former life, as if to this one's first pings
 			for seq := range uint64(400) {
-				w.tell(r, node.Event{From: g.Name, Message: &node.Message{LeaseGrant: &node.LeaseGrant{To: r.Name, Generation: 1, Incarnation: 7, Seq: seq,
+				w.notify(r, node.Event{From: g.Name, Message: &node.Message{LeaseGrant: &node.LeaseGrant{To: r.Name, Generation: 1, Incarnation: 7, Seq: seq,
 					Lease: 50 * o.Lease, Epoch: 1}}})
 			}
 		}
@@ -222,52 +222,52 @@
 		w.Run(3 * o.Lease)
 		judge(t, w)
 		w.Heal()
-		if !w.Await(10*o.Lease, func() bool { return w.AllUnder(1) }) {
+		if !w.Await(10*o.Lease, func() bool { return w.AllActOn(1) }) {
 			t.Fatalf("not all come round: %+v", r.Node.Status())
 		}
 	}
 }
 
-// TestFormerWord: the "yes" of a life that is over is not the next one's, however late it comes.
-func TestFormerWord(t *testing.T) {
+// The "yes" of a life that is over is not the next one's, however late it comes.
+func TestChange_VerdictOfFormerIncarnation_IsIgnored(t *testing.T) {
 	o := calm(5, 3, 30)
 	w := formedWorld(t, o)
 	l, r, slow := w.leader(t), w.Relays[4], w.Relays[3]
 	w.Stop(slow, o.Lease/2) // keeps the change open
-	w.hold = r
+	w.recordFrom = r
 	ticket := w.Propose(l, 0, `{"format":1}`)
 	w.Run(40 * ms)
-	kept := w.held
-	w.hold, w.held = nil, nil
+	kept := w.recorded
+	w.recordFrom, w.recorded = nil, nil
 	w.Crash(r)
 	w.Start(r)
 	w.Run(3 * ms) // its first ping arrives, and nothing else
 	for _, v := range w.Relays {
-		w.Cut(r, v, true)
+		w.SetPartition(r, v, true)
 	}
 	for _, again := range kept {
 		w.After(ms, again)
 	}
-	if !w.Await(6*o.Lease, func() bool { _, ok := w.End(ticket); return ok }) {
+	if !w.Await(6*o.Lease, func() bool { _, ok := w.Outcome(ticket); return ok }) {
 		t.Fatal("the change does not end")
 	}
-	if p, _ := w.End(ticket); !slices.Contains(p.Excused, r.Name) {
+	if p, _ := w.Outcome(ticket); !slices.Contains(p.Excused, r.Name) {
 		t.Errorf("it ended without %v: %s never said in this life that it can apply it", p.Excused, r.Name)
 	}
 	judge(t, w)
 }
 
-// TestOldFolder: a voter that comes back with an older folder has forgotten what it promised: it does not vote again.
-func TestOldFolder(t *testing.T) {
+// A voter that comes back with an older folder has forgotten what it promised: it does not vote again.
+func TestVoter_RestoredFromOlderDisk_DoesNotVoteAgain(t *testing.T) {
 	for seed := range uint64(6) {
 		o := calm(3, 3, 40+seed)
 		w := formedWorld(t, o)
 		l, a, b := w.three(t)
-		back := w.Copy(a)
+		back := w.CopyDisk(a)
 		w.isolate(b)
 		w.Run(100 * ms)
 		ticket := w.Propose(l, 0, `{"format":1,"stamp":true}`)
-		if !w.Await(5*o.Lease, func() bool { _, ok := w.End(ticket); return ok }) {
+		if !w.Await(5*o.Lease, func() bool { _, ok := w.Outcome(ticket); return ok }) {
 			t.Fatal("the change does not end")
 		}
 		w.Crash(a)
@@ -282,19 +282,19 @@
 		w.Start(l)
 		w.Run(10 * o.Lease)
 		judge(t, w)
-		if !w.AllUnder(1) {
+		if !w.AllActOn(1) {
 			t.Errorf("not all act under version 1: %+v", a.Node.Status())
 		}
 	}
 }
 
-// TestEmptyOldFolder: the older folder is from before the voter was taken in, and has no log at all (world 10908).
-func TestEmptyOldFolder(t *testing.T) {
+// The older folder is from before the voter was taken in, and has no log at all (world 10908).
+func TestVoter_RestoredFromEmptyDisk_Rejoins(t *testing.T) {
 	for seed := range uint64(6) {
 		w := New(calm(3, 3, 500+seed))
 		a := w.Relays[2]
-		back := w.Copy(a) // right after its start
-		if !w.Await(20*time.Second, func() bool { return w.AllUnder(0) && w.formed() }) {
+		back := w.CopyDisk(a) // right after its start
+		if !w.Await(20*time.Second, func() bool { return w.AllActOn(0) && w.formed() }) {
 			t.Fatal("the fleet does not come about")
 		}
 		w.Run(time.Duration(seed) * 100 * ms)
@@ -303,19 +303,19 @@
 		w.Start(a)
 		w.Run(5 * w.Lease)
 		ticket := w.Propose(w.Relays[1], 0, `{"format":1}`)
-		if !w.Await(10*w.Lease, func() bool { _, ok := w.End(ticket); return ok && w.AllUnder(1) && w.formed() }) {
+		if !w.Await(10*w.Lease, func() bool { _, ok := w.Outcome(ticket); return ok && w.AllActOn(1) && w.formed() }) {
 			t.Fatalf("it does not come round: %+v", a.Node.Status())
 		}
 		judge(t, w)
 	}
 }
 
-// TestForce: most voters are lost for good; an operator goes on with the one that is left, and those that come back are void.
-func TestForce(t *testing.T) {
+// Most voters are lost for good; an operator goes on with the one that is left, and those that come back are void.
+func TestForce_MajorityLost_LastVoterContinues(t *testing.T) {
 	o := calm(5, 3, 60)
 	w := formedWorld(t, o)
 	ticket := w.Propose(w.Relays[0], 0, `{"format":1}`)
-	w.Await(o.Lease, func() bool { _, ok := w.End(ticket); return ok })
+	w.Await(o.Lease, func() bool { _, ok := w.Outcome(ticket); return ok })
 	w.Run(o.Lease)
 	w.Crash(w.Relays[0])
 	w.Crash(w.Relays[1])
@@ -323,26 +323,26 @@
 	if w.Relays[3].Node.Status().MayAct {
 		t.Fatal("a relay acts without a majority")
 	}
-	w.Ask(w.Relays[2], node.AdminRequest{Op: "force"})
-	if !w.Await(10*o.Lease, func() bool { return w.AllUnder(1) }) {
+	w.Admin(w.Relays[2], node.AdminRequest{Op: "force"})
+	if !w.Await(10*o.Lease, func() bool { return w.AllActOn(1) }) {
 		t.Fatal("the fleet does not go on")
 	}
 	w.Propose(w.Relays[3], 1, `{"format":1,"stamp":true}`)
-	if !w.Await(10*o.Lease, func() bool { return w.AllUnder(2) }) {
+	if !w.Await(10*o.Lease, func() bool { return w.AllActOn(2) }) {
 		t.Fatal("no change takes hold")
 	}
 	w.Start(w.Relays[0])
 	w.Start(w.Relays[1])
-	if !w.Await(20*o.Lease, func() bool { return w.AllUnder(2) && w.formed() }) {
+	if !w.Await(20*o.Lease, func() bool { return w.AllActOn(2) && w.formed() }) {
 		t.Fatal("those that come back are not taken in")
 	}
 	judge(t, w)
 }
 
-// TestThousand: a thousand changes in a row leave state, log and messages as small as ten do.
-func TestThousand(t *testing.T) {
+// A thousand changes in a row leave state, log and messages as small as ten do.
+func TestChange_ThousandInARow_StateStaysSmall(t *testing.T) {
 	o := calm(4, 3, 70)
-	o.Acts = 0
+	o.ActInterval = 0
 	w := formedWorld(t, o)
 	size := func() (n int) {
 		for _, e := range w.Relays[1].disk.image.Entries {
@@ -353,7 +353,7 @@
 	most := 0
 	for v := range uint64(1000) {
 		w.Propose(w.Relays[v%4], v, `{"format":1,"classes":{"match-event":{"attempts":2}}}`)
-		if !w.Await(4*o.Lease, func() bool { return w.AllUnder(v + 1) }) {
+		if !w.Await(4*o.Lease, func() bool { return w.AllActOn(v + 1) }) {
 			t.Fatalf("change %d does not take hold", v+1)
 		}
 		most = max(most, size())
@@ -364,16 +364,16 @@
 	judge(t, w)
 }
 
-// TestRoster: a relay that left the roster gets no lease; one that joins gets one.
-func TestRoster(t *testing.T) {
+// A relay that left the roster gets no lease; one that joins gets one.
+func TestRoster_RelayLeaves_GetsNoLease(t *testing.T) {
 	o := calm(5, 3, 80)
 	w := formedWorld(t, o)
-	short := w.names(4)
+	short := w.relayNames(4)
 	w.roster = short
 	w.Crash(w.Relays[0])
 	w.Start(w.Relays[0]) // with a file that names four
 	w.Run(4 * o.Lease)
-	w.Ask(w.Relays[0], node.AdminRequest{Op: "roster"})
+	w.Admin(w.Relays[0], node.AdminRequest{Op: "roster"})
 	gone := w.Relays[4]
 	if !w.Await(10*o.Lease, func() bool { return !gone.Node.Status().MayAct }) {
 		t.Fatal("a relay acts that has left the roster")
@@ -382,7 +382,7 @@
 		t.Errorf("it says %q", why)
 	}
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
-	if !w.Await(10*o.Lease, func() bool { return w.Relays[1].Stand.Version == 1 && w.Relays[1].Stand.Halted == 0 }) {
+	if !w.Await(10*o.Lease, func() bool { return w.Relays[1].Mandate.Version == 1 && w.Relays[1].Mandate.Halted == 0 }) {
 		t.Fatal("no change takes hold")
 	}
 	judge(t, w)
--- a/internal/relay/fleet/simulation/share_test.go
+++ b/internal/relay/fleet/simulation/sharing_test.go
@@ -16,8 +16,8 @@
 func sharing(relays int, seed uint64, want func(r *Relay) float64) Options {
 	const voters = 3
 	o := calm(relays, voters, seed)
-	o.Kept, o.Zones = 0.25, 2
-	o.Needs = func(_ *World, r *Relay) []quota.Demand {
+	o.GuaranteedShare, o.Zones = 0.25, 2
+	o.Demands = func(_ *World, r *Relay) []quota.Demand {
 		return []quota.Demand{{Key: key, Rate: want(r), Value: 1, Limit: 100}}
 	}
 	return o
@@ -25,18 +25,18 @@
 
 func (w *World) parts() (all []float64, sum float64) {
 	for _, r := range w.Relays {
-		all = append(all, w.May(r, key))
-		sum += w.May(r, key)
+		all = append(all, w.SpendableShare(r, key))
+		sum += w.SpendableShare(r, key)
 	}
 	return all, sum
 }
 
-// TestPartsFollowNeed: who needs more than an equal part gets it within a lease, from those who need less; when another needs
-// more it is theirs. Most of the limit is lent, and among equal needs parts are equal.
-func TestPartsFollowNeed(t *testing.T) {
+// Who needs more than an equal part gets it within a lease, from those who need less; when another needs
+// more it is theirs. Max of the limit is lent, and among equal needs parts are equal.
+func TestShares_DemandMoves_ShareFollows(t *testing.T) {
 	busy := 0
 	w := formedWorld(t, sharing(6, 1, func(r *Relay) float64 {
-		if r.No == busy {
+		if r.Index == busy {
 			return 60
 		}
 		return 2
@@ -54,23 +54,23 @@
 	judge(t, w)
 }
 
-// TestPartsOfTheSilent: a relay that is cut off keeps its part until its own clock says that it is over, with serve its floor after
+// A relay that is cut off keeps its part until its own clock says that it is over, with serve its floor after
 // that; the others have the rest soon after, and it has it again when it is back.
-func TestPartsOfTheSilent(t *testing.T) {
+func TestShares_RelayPartitioned_KeepsShareUntilExpiry(t *testing.T) {
 	for _, serve := range []bool{false, true} {
 		o := sharing(5, 2, func(r *Relay) float64 {
-			if r.No == 4 {
+			if r.Index == 4 {
 				return 90
 			}
 			return 30
 		})
-		o.Serve = serve
+		o.ServeWhenPartitioned = serve
 		w := formedWorld(t, o)
 		last := w.Relays[4]
-		had := w.May(last, key)
+		had := w.SpendableShare(last, key)
 		w.isolate(last)
 		w.Run(o.Lease / 2)
-		if now := w.May(last, key); now < 0.9*had {
+		if now := w.SpendableShare(last, key); now < 0.9*had {
 			t.Errorf("serve %v: half a lease after it was cut off it has %.3f of %.3f", serve, now, had)
 		}
 		w.Run(2 * o.Lease)
@@ -90,16 +90,16 @@
 	}
 }
 
-// TestPartsOutlastLeader: when the one who leads dies, the others go on with what they hold; nobody falls to its floor.
-func TestPartsOutlastLeader(t *testing.T) {
-	w := formedWorld(t, sharing(6, 3, func(r *Relay) float64 { return []float64{5, 5, 5, 60, 5, 5}[r.No] }))
+// When the one who leads dies, the others go on with what they hold; nobody falls to its floor.
+func TestShares_LeaderCrashes_OthersKeepTheirs(t *testing.T) {
+	w := formedWorld(t, sharing(6, 3, func(r *Relay) float64 { return []float64{5, 5, 5, 60, 5, 5}[r.Index] }))
 	before, _ := w.parts()
 	w.Crash(w.leader(t))
 	least := 1.0
 	for range 400 {
 		w.Run(10 * time.Millisecond)
-		if w.Relays[3].Stand.Until > w.Relays[3].clock(w.Now) {
-			least = min(least, w.May(w.Relays[3], key))
+		if w.Relays[3].Mandate.Until > w.Relays[3].clock(w.Now) {
+			least = min(least, w.SpendableShare(w.Relays[3], key))
 		}
 	}
 	if least < 0.8*before[3] {
@@ -108,15 +108,15 @@
 	judge(t, w)
 }
 
-// TestLiar: a relay that claims to hold everything after the one who led has died, wants everything, or says that all is down, costs
+// A relay that claims to hold everything after the one who led has died, wants everything, or says that all is down, costs
 // the others a lease of what they had at the most, and is named.
-func TestLiar(t *testing.T) {
+func TestShares_OneRelayLies_CostsOthersOneLease(t *testing.T) {
 	o := sharing(7, 4, func(_ *Relay) float64 { return 20 })
-	down := o.Needs
-	o.Needs = func(w *World, r *Relay) []quota.Demand {
+	down := o.Demands
+	o.Demands = func(w *World, r *Relay) []quota.Demand {
 		n := down(w, r)
 		n[0].State = quota.Healthy
-		if r.No == 6 {
+		if r.Index == 6 {
 			n[0].Rate, n[0].Limit, n[0].State = 1e9, 1, quota.Down
 		}
 		return n
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, r := range w.Relays[:6] {
-		for _, p := range r.Spend.Shares {
+		for _, p := range r.Lease.Shares {
 			if p.State == quota.Down || p.Limit < 90 {
 				t.Errorf("%s is told %+v by the word of one", r.Name, p)
 			}
@@ -141,18 +141,18 @@
 	judge(t, w)
 }
 
-// TestVerdict: what relays of both zones find down all take for down; what one zone can't reach only that zone does; when it is back
+// What relays of both zones find down all take for down; what one zone can't reach only that zone does; when it is back
 // a relay's delivery tells all; and no echo keeps a verdict alive.
-func TestVerdict(t *testing.T) {
+func TestVerdict_EvidenceOfBothZones_HoldsWhileItLasts(t *testing.T) {
 	sees := map[int]quota.State{}
 	o := sharing(8, 5, nil)
 	var at time.Duration
-	o.Needs = func(w *World, r *Relay) []quota.Demand {
-		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.No], StateAge: w.Now - at}}
+	o.Demands = func(w *World, r *Relay) []quota.Demand {
+		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.Index], StateAge: w.Now - at}}
 	}
 	w := formedWorld(t, o)
 	told := func(r int) quota.KeyShare {
-		for _, p := range w.Relays[r].Spend.Shares {
+		for _, p := range w.Relays[r].Lease.Shares {
 			return p
 		}
 		return quota.KeyShare{}
@@ -204,9 +204,9 @@
 	judge(t, w)
 }
 
-// TestSharedBound: whatever is lost, late, doubled, cut, stopped, killed and restored, with clocks at both ends of the drift, all
+// Whatever is lost, late, doubled, cut, stopped, killed and restored, with clocks at both ends of the drift, all
 // together never may spend more than there is; and when all is well again nearly all of it is lent.
-func TestSharedBound(t *testing.T) {
+func TestSharedBound_SeededFaults_SpendNoMoreThanLimit(t *testing.T) {
 	most := 0.0
 	seeds := []uint64{10, 37, 1007, 1071, 1265} // found faults while this was built
 	for i := range uint64(max(*worlds/4, 1)) {  // each has more to do than a world of policies
@@ -215,13 +215,13 @@
 	for _, seed := range seeds {
 		d := rand.New(rand.NewPCG(seed, 9))
 		o := sharing(3+d.IntN(7), seed, nil)
-		o.Drift, o.Serve, o.Delay = 0.05, d.IntN(3) == 0, time.Duration(200+d.IntN(3000))*time.Microsecond
-		o.Loss, o.Twice = d.Float64()*0.3, d.Float64()*0.1
+		o.MaxClockDrift, o.ServeWhenPartitioned, o.Delay = 0.05, d.IntN(3) == 0, time.Duration(200+d.IntN(3000))*time.Microsecond
+		o.Loss, o.Duplication = d.Float64()*0.3, d.Float64()*0.1
 		wants := make([]float64, o.Relays)
-		o.Needs = func(_ *World, r *Relay) []quota.Demand {
-			n := []quota.Demand{{Key: key, Rate: wants[r.No], Value: 1, Limit: 100}}
-			for k := range r.No % 3 {
-				n = append(n, quota.Demand{Key: quota.Key(k + 1), Rate: wants[r.No], Value: float64(k + 1)})
+		o.Demands = func(_ *World, r *Relay) []quota.Demand {
+			n := []quota.Demand{{Key: key, Rate: wants[r.Index], Value: 1, Limit: 100}}
+			for k := range r.Index % 3 {
+				n = append(n, quota.Demand{Key: quota.Key(k + 1), Rate: wants[r.Index], Value: float64(k + 1)})
 			}
 			return n
 		}
@@ -243,7 +243,7 @@
 			}
 			switch d.IntN(7) {
 			case 0:
-				w.CrashIn(r, d.IntN(12))
+				w.CrashAfterActions(r, d.IntN(12))
 			case 1:
 				w.Crash(r)
 			case 2, 3:
@@ -252,17 +252,17 @@
 				way := d.IntN(3)
 				for _, x := range w.Relays {
 					if x != r && way != 0 {
-						w.Cut(r, x, true)
+						w.SetPartition(r, x, true)
 					}
 					if x != r && way != 1 {
-						w.Cut(x, r, true)
+						w.SetPartition(x, r, true)
 					}
 				}
 			case 5:
 				for i, x := range w.Relays {
 					for j, y := range w.Relays {
 						if i%2 != j%2 {
-							w.Cut(x, y, true)
+							w.SetPartition(x, y, true)
 						}
 					}
 				}
@@ -277,16 +277,16 @@
 			}
 		}
 		w.Heal()
-		w.Loss, w.Twice = 0, 0
+		w.Loss, w.Duplication = 0, 0
 		for _, x := range w.Relays {
-			if x.crashIn = -1; x.Node == nil {
+			if x.actionsUntilCrash = -1; x.Node == nil {
 				w.Start(x)
 			}
-			wants[x.No] = 40
+			wants[x.Index] = 40
 		}
 		w.Run(12 * o.Lease)
-		if b := checker.Judge(w.History, checker.Options{Serves: o.Serve}); b != nil {
-			t.Fatalf("seed %d (serve %v): %v", seed, o.Serve, b)
+		if b := checker.Judge(w.History, checker.Options{Serves: o.ServeWhenPartitioned}); b != nil {
+			t.Fatalf("seed %d (serve %v): %v", seed, o.ServeWhenPartitioned, b)
 		}
 		if _, sum := w.parts(); sum < 0.9 {
 			t.Fatalf("seed %d: all is well again, and only %.3f may be spent", seed, sum)
@@ -297,12 +297,12 @@
 	t.Logf("%.4f at the most when all is well", most)
 }
 
-// TestSharedRoster: under load a relay leaves the roster and its part becomes others'; it joins again and has its floor and what it
+// Under load a relay leaves the roster and its part becomes others'; it joins again and has its floor and what it
 // needs. At no moment may more be spent than there is.
-func TestSharedRoster(t *testing.T) {
+func TestShares_RosterChangesUnderLoad_StayWithinLimit(t *testing.T) {
 	for _, serve := range []bool{false, true} {
 		o := sharing(6, 90, func(_ *Relay) float64 { return 30 })
-		o.Serve = serve
+		o.ServeWhenPartitioned = serve
 		w := formedWorld(t, o)
 		gone := w.Relays[5]
 		enlist := func(names []string) {
@@ -310,10 +310,10 @@
 			w.Crash(w.Relays[0])
 			w.Start(w.Relays[0]) // with another file
 			w.Run(4 * o.Lease)
-			w.Ask(w.Relays[0], node.AdminRequest{Op: "roster"})
+			w.Admin(w.Relays[0], node.AdminRequest{Op: "roster"})
 			w.Run(5 * o.Lease)
 		}
-		enlist(w.names(5))
+		enlist(w.relayNames(5))
 		if all, sum := w.parts(); !serve && (all[5] != 0 || sum < 0.93) {
 			t.Errorf("one has left the roster, and the parts are %.3f", all)
 		}
@@ -333,15 +333,15 @@
 	}
 }
 
-// TestClockBeyond: a clock that runs slower than the stated bound has its relay spend its part for as much longer than it may as the
+// A clock that runs slower than the stated bound has its relay spend its part for as much longer than it may as the
 // clock is slow, and no longer.
-func TestClockBeyond(t *testing.T) {
+func TestShares_ClockBeyondBound_OverspendsNoLongerThanSlow(t *testing.T) {
 	o := sharing(5, 91, func(_ *Relay) float64 { return 40 })
 	w := formedWorld(t, o)
 	slow := w.Relays[4]
 	now := slow.clock(w.Now)
-	slow.rate = 0.7 // the bound is 0.05 either way
-	slow.off = float64(now) - float64(w.Now)*slow.rate
+	slow.clockRate = 0.7 // the bound is 0.05 either way
+	slow.clockOffset = float64(now) - float64(w.Now)*slow.clockRate
 	w.Run(2 * o.Lease)
 	w.isolate(slow)
 	cut, most := w.Now, 0.0
@@ -358,8 +358,8 @@
 	t.Logf("%.3f at the most, the last %v after the cut", most, last)
 }
 
-// TestDeaf: with messages five seconds under way no lease can be had: nobody acts, and nothing beyond the bound is spent.
-func TestDeaf(t *testing.T) {
+// With messages five seconds under way no lease can be had: nobody acts, and nothing beyond the bound is spent.
+func TestShares_MessagesLaterThanLease_SpendNothing(t *testing.T) {
 	o := sharing(5, 92, func(_ *Relay) float64 { return 40 })
 	w := formedWorld(t, o)
 	w.Delay = 5 * time.Second
@@ -375,16 +375,16 @@
 	judge(t, w)
 }
 
-// TestPartsSteady: needs that only jitter by a tenth leave the parts where they are: no swing, and most words are the same as before.
-func TestPartsSteady(t *testing.T) {
+// Needs that only jitter by a tenth leave the parts where they are: no swing, and most words are the same as before.
+func TestShares_DemandJitters_StaySteady(t *testing.T) {
 	jitter := rand.New(rand.NewPCG(1, 1))
 	w := formedWorld(t, sharing(8, 93, func(r *Relay) float64 {
-		return []float64{40, 20, 5, 5, 5, 5, 5, 5}[r.No] * (0.9 + 0.2*jitter.Float64())
+		return []float64{40, 20, 5, 5, 5, 5, 5, 5}[r.Index] * (0.9 + 0.2*jitter.Float64())
 	}))
 	least, most := 1.0, 0.0
 	for range 2000 {
 		w.Run(10 * time.Millisecond)
-		p := w.May(w.Relays[0], key)
+		p := w.SpendableShare(w.Relays[0], key)
 		least, most = min(least, p), max(most, p)
 	}
 	t.Logf("a need of 0.4 has %.3f to %.3f in 20 s", least, most)
--- /dev/null
+++ b/internal/relay/fleet/simulation/world.go
@@ -0,0 +1,182 @@
+package simulation
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+	"mastusher/internal/relay/fleet/policy"
+	"mastusher/internal/relay/fleet/quota"
+)
+
+// Options configure a world. Shares and probabilities are of 1.
+type Options struct {
+	Relays, Voters       int
+	Seed                 uint64
+	Lease                time.Duration
+	MaxClockDrift        float64
+	ServeWhenPartitioned bool
+	Delay                time.Duration // one-way, of a datagram: this up to three times this; above 0
+	Loss, Duplication    float64
+	ActInterval          time.Duration // between two tries of a relay to act; smaller ones find shorter breaches and cost steps; 0: never
+	CanApply             func(relay string, life int, doc []byte) error
+	ClockOffset          time.Duration                           // between the clocks of successive relays
+	GuaranteedShare      float64                                 // of each limit, guaranteed to the relays without a lease; 0: limits are not shared
+	Zones                int                                     // that relays are spread over in turn; 0: one
+	Demands              func(w *World, r *Relay) []quota.Demand // of a relay now; nil: none
+}
+
+// World is a fleet in virtual time. It must be used by one goroutine.
+type World struct {
+	Options
+	Now       time.Duration
+	Relays    []*Relay
+	History   []checker.Entry
+	Datagrams int // sent, lost ones included
+	Bytes     int64
+	Steps     int
+	Faults    map[string]int // by kind, that were injected while a change was in progress
+
+	rng             *rand.Rand
+	byName          map[string]*Relay
+	queue           eventQueue
+	lastEventID     uint64
+	partitioned     map[[2]int]bool // by sender and receiver
+	measure         func(*node.Message) int
+	onMeasured      func(from, to *Relay, bytes int)
+	roster          []string // that configuration files name; nil: all
+	delayLeasesTo   *Relay   // lease grants to it take most of a lease, and it gets no state updates
+	crashBeforeSave *Relay   // crashes right before it would save its next entry
+	recordFrom      *Relay   // what it sends is recorded, beside being sent
+	recorded        []func()
+	inTransit       [][]func() // deliveries by receiver, held back until Explore chooses; nil: messages arrive by themselves
+	stormAt         time.Duration
+}
+
+// A fleet whose relays step more often than every stormGap, over stormSteps steps of all, is in a storm.
+const (
+	stormSteps = 100_000
+	stormGap   = 250 * time.Microsecond
+)
+
+// New returns a world whose relays have been started, with relay 0 asked to found the fleet.
+func New(o Options) *World {
+	w := &World{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), byName: map[string]*Relay{}, partitioned: map[[2]int]bool{}, Faults: map[string]int{}}
+	for i := range o.Relays {
+		r := &Relay{Name: fmt.Sprintf("r%d", i), Index: i, clockRate: 1 + o.MaxClockDrift*float64(w.rng.IntN(3)-1), clockOffset: float64(w.rng.IntN(1e6)), actionsUntilCrash: -1}
+		r.clockOffset += float64(i) * float64(o.ClockOffset)
+		r.disk.member = w.rng.Uint64() | 1
+		w.Relays, w.byName[r.Name] = append(w.Relays, r), r
+	}
+	for _, r := range w.Relays {
+		w.Start(r)
+	}
+	w.Admin(w.Relays[0], node.AdminRequest{Op: "found"})
+	return w
+}
+
+// After schedules do, and returns the id of the event.
+func (w *World) After(d time.Duration, do func()) uint64 {
+	w.lastEventID++
+	heap.Push(&w.queue, event{w.Now + d, w.lastEventID, do})
+	return w.lastEventID
+}
+
+// Run processes the events of the next d.
+func (w *World) Run(d time.Duration) {
+	until := w.Now + d
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		e := heap.Pop(&w.queue).(event)
+		w.Now = max(w.Now, e.at)
+		e.run()
+	}
+	w.Now = until
+}
+
+// Await runs until a condition holds; false: it did not within d.
+func (w *World) Await(d time.Duration, holds func() bool) bool {
+	for end := w.Now + d; !holds(); w.Run(2 * time.Millisecond) {
+		if w.Now >= end {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *World) relayNames(n int) (all []string) {
+	for _, r := range w.Relays[:n] {
+		all = append(all, r.Name)
+	}
+	return all
+}
+
+// injectedFault records a fault, and counts it by kind (its first word) if a change is in progress.
+func (w *World) injectedFault(text string) {
+	w.record(checker.Entry{Kind: checker.Fault, Text: text})
+	for _, r := range w.Relays {
+		if r.Node != nil && r.Node.Status().State.Change != nil {
+			kind := text
+			if i := slices.Index([]byte(text), ' '); i > 0 {
+				kind = text[:i]
+			}
+			w.Faults[kind]++
+			return
+		}
+	}
+}
+
+// reportViolation records that a relay did what it must never do.
+func (w *World) reportViolation(r *Relay, text string) {
+	w.record(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: text})
+}
+
+// record appends an entry to the history.
+func (w *World) record(e checker.Entry) {
+	e.At = w.Now
+	w.History = append(w.History, e)
+}
+
+// recordPastChanges notes what a relay says of the versions that are over.
+func (w *World) recordPastChanges(r *Relay) {
+	for _, p := range r.Node.Status().State.PastChanges {
+		if p.Version != 0 {
+			w.record(checker.Entry{Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
+		}
+	}
+}
+
+// Propose hands a change in at a relay and returns its ticket.
+func (w *World) Propose(r *Relay, base uint64, doc string) uint64 {
+	t := w.rng.Uint64() | 1
+	w.Admin(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "sim", Ticket: t})
+	return t
+}
+
+// Outcome is how the change of a ticket ended, by what any relay knows; false: it has not.
+func (w *World) Outcome(ticket uint64) (policy.PastChange, bool) {
+	for _, r := range w.Relays {
+		if r.Node == nil {
+			continue
+		}
+		for _, p := range r.Node.Status().State.PastChanges {
+			if p.Ticket == ticket {
+				return p, true
+			}
+		}
+	}
+	return policy.PastChange{}, false
+}
+
+// AllActOn reports whether every running relay may act now and does so on a version.
+func (w *World) AllActOn(version uint64) bool {
+	for _, r := range w.Relays {
+		if r.Node != nil && (r.Mandate.Version != version || r.Mandate.Halted != 0 || r.Mandate.Until <= r.clock(w.Now)) {
+			return false
+		}
+	}
+	return true
+}
