--- a/internal/tier/fleettest/campaign_test.go
+++ b/internal/tier/fleettest/campaign_test.go
@@ -87,7 +87,7 @@
 }
 
 func TestRun_SameSeed_SameTrace(t *testing.T) {
-	skipWhereWatched(t)
+	skipUnderRace(t)
 	// Given a plan, when it is run twice, then both days are the same, event by event.
 	var traces [2][]string
 	for i := range traces {
--- a/internal/tier/fleettest/check_configuration.go
+++ b/internal/tier/fleettest/check_configuration.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkConflicts reports refusals of orders that were taken, and of orders whose base was in force all the while.
+// checkConflicts reports rejections of orders that were accepted, and of orders whose base was in force throughout the call.
 func (c *registerCheck) checkConflicts() {
 	for content, known := range c.orders {
 		for _, conflict := range known.conflicts {
--- a/internal/tier/fleettest/check_turns.go
+++ b/internal/tier/fleettest/check_turns.go
@@ -78,10 +78,10 @@
 		}
 	}
 	if sent.Status == http.StatusNotFound {
-		c.checkAbsent(sent)
+		c.checkNotFound(sent)
 	}
 	if sent.Status == http.StatusPaymentRequired {
-		c.checkSpent(sent)
+		c.checkBudgetExceeded(sent)
 	}
 }
 
@@ -102,16 +102,16 @@
 	}
 }
 
-// checkAbsent reports a 404 to a turn that continues one that is retained.
-func (c *turnCheck) checkAbsent(sent *request) {
+// checkNotFound reports a 404 to a turn that continues one that is retained.
+func (c *turnCheck) checkNotFound(sent *request) {
 	previous := c.history.byID[sent.Previous]
 	if sent.Previous == "" || previous != nil && previous.Outcome == outcomeComplete && sent.Ended-previous.Ended < retention {
 		c.report("LOST", "%s, which continues %q, was answered 404", sent.ID, sent.Previous)
 	}
 }
 
-// checkSpent reports a 402 where the budget holds one more turn.
-func (c *turnCheck) checkSpent(sent *request) {
+// checkBudgetExceeded reports a 402 where the budget holds one more turn.
+func (c *turnCheck) checkBudgetExceeded(sent *request) {
 	if !c.withoutFaults(sent.Sent-commitTimeout, sent.Ended) {
 		return
 	}
--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -28,7 +28,7 @@
 	Input     []byte
 }
 
-// What proxies are asked and answer besides.
+// Other requests to proxies, and their answers.
 type (
 	readyRequest   struct{}
 	versionRequest struct{}
@@ -175,7 +175,7 @@
 	})
 }
 
-// turnCompleted goes on after a complete turn: a tool is called or a sub-agent started, and then comes the next turn.
+// turnCompleted continues after a complete turn: it calls a tool, may start a sub-agent, and then sends the next turn.
 func (l *conversation) turnCompleted(r *request) {
 	c := l.clients
 	l.previous = r.ID
--- a/internal/tier/fleettest/configuration_test.go
+++ b/internal/tier/fleettest/configuration_test.go
@@ -186,24 +186,24 @@
 		s.Partition([]*Machine{leader}, rest)
 		s.operator.onlyControllers = []string{leader.processes[0].address}
 		s.rival.onlyControllers = []string{rest[0].processes[0].address, rest[1].processes[0].address}
-		lonely, joined := s.operator.put(1, 2), s.rival.put(1, 3)
+		minority, majority := s.operator.put(1, 2), s.rival.put(1, 3)
 		read := s.operator.get()
 		// then only the larger side takes an order,
-		s.acknowledged(joined)
+		s.acknowledged(majority)
 		s.RunFor(3 * time.Second)
-		if lonely.Status == http.StatusOK {
+		if minority.Status == http.StatusOK {
 			t.Fatal("the leader that was partitioned has acknowledged an order")
 		}
-		if read.Ended != 0 && read.Ended > joined.Ended && read.Content != joined.Content {
+		if read.Ended != 0 && read.Ended > majority.Ended && read.Content != majority.Content {
 			t.Errorf("the leader that was partitioned answered %v", read.Content)
 		}
 		// and when they are healed, the other order is rejected.
 		s.Heal()
-		s.answered(lonely)
-		if lonely.Status != http.StatusPreconditionFailed {
-			t.Errorf("the order of the smaller side was answered %d", lonely.Status)
+		s.answered(minority)
+		if minority.Status != http.StatusPreconditionFailed {
+			t.Errorf("the order of the smaller side was answered %d", minority.Status)
 		}
-		s.readsBack(joined.Content)
+		s.readsBack(majority.Content)
 	})
 }
 
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -63,7 +63,7 @@
 	c := &controller{process: p, id: id, planner: core.NewReconciler(replicasPerGroup), published: view.Digest{}}
 	c.state = core.NewStateMachine(c.schedulePublish)
 	options := replicaOptions{name: core.GroupName, machine: c.state, compact: f.options.CompactBytes,
-		replica: replica.Options{ID: id, Address: p.address, InitialMembers: firstMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElectionTimeout}}
+		replica: replica.Options{ID: id, Address: p.address, InitialMembers: initialMembers(p, id), HeartbeatInterval: coreHeartbeat, ElectionTimeout: coreElectionTimeout}}
 	c.replica, err = openReplica(p, options)
 	if err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 	return c, nil
 }
 
-// firstMembers is the group at the first start of the system.
-func firstMembers(p *process, id string) []replica.Member {
+// initialMembers is the group at the first start of the system.
+func initialMembers(p *process, id string) []replica.Member {
 	if !p.machine.firstBoot {
 		return nil
 	}
@@ -89,7 +89,7 @@
 	return members
 }
 
-// begin starts its loops.
+// begin starts the periodic work of the controller.
 func (c *controller) begin() {
 	c.member.schedule()
 	c.replica.schedule()
--- a/internal/tier/fleettest/days_test.go
+++ b/internal/tier/fleettest/days_test.go
@@ -43,7 +43,7 @@
 
 // TestRun_DaysOfMutants_BreakNoRule runs the days on which the mutants are found; random days are TestRandomDays's too.
 func TestRun_DaysOfMutants_BreakNoRule(t *testing.T) {
-	skipWhereWatched(t)
+	skipUnderRace(t)
 	for _, days := range []struct {
 		name string
 		run  func(seed uint64) []string
--- a/internal/tier/fleettest/disk.go
+++ b/internal/tier/fleettest/disk.go
@@ -10,8 +10,8 @@
 // errSync is what a failing disk answers to a sync.
 var errSync = errors.New("input/output error")
 
-// timedDisk is a machine's disk as one group uses it. Calls return at once; what they would have taken is counted, and
-// what depends on them is to wait for so long. The last sync covers its writes only once that time is over, so a loss of
+// timedDisk is a machine's disk as one group uses it. Calls return at once; took counts the time of their syncs,
+// and what depends on them must wait for that long. The last sync covers its writes only once that time is over, so a loss of
 // power before that takes them away.
 type timedDisk struct {
 	storage.Disk
--- a/internal/tier/fleettest/exchange.go
+++ b/internal/tier/fleettest/exchange.go
@@ -23,7 +23,7 @@
 	e := &exchange{network: n, caller: from, callerIncarnation: from.incarnation, onResponse: onResponse, onError: onError}
 	to := n.byAddress[address]
 	if to == nil {
-		return e // an address that nobody has says nothing
+		return e // nobody has the address: there is no answer, and no reset
 	}
 	e.server = to
 	from.exchanges = append(from.exchanges, e)
@@ -54,7 +54,7 @@
 	})
 }
 
-// deliver hands the request to the process at the address.
+// deliver passes the request to the process at the address.
 func (e *exchange) deliver(request any) {
 	if e.closed {
 		return
@@ -71,7 +71,7 @@
 }
 
 // sendsResets reports whether the machine is there to reset connections to a process that has ended.
-func (m *Machine) sendsResets() bool { return !m.removed && !m.powerless }
+func (m *Machine) sendsResets() bool { return !m.removed && !m.poweredOff }
 
 // send sends a response.
 func (e *exchange) send(response any) {
--- a/internal/tier/fleettest/faultinjection.go
+++ b/internal/tier/fleettest/faultinjection.go
@@ -9,8 +9,8 @@
 
 // inject injects a fault, and has it end after its time.
 func (d *day) inject(fault Fault) {
-	counting := d.quorumMachines()
-	target, other := counting[fault.Target%len(counting)], counting[fault.Other%len(counting)]
+	machines := d.quorumMachines()
+	target, other := machines[fault.Target%len(machines)], machines[fault.Other%len(machines)]
 	edge, engine := d.edges[fault.Target%len(d.edges)], d.engines[fault.Target%len(d.engines)]
 	switch fault.Kind {
 	case KillFault:
--- a/internal/tier/fleettest/faults.go
+++ b/internal/tier/fleettest/faults.go
@@ -51,7 +51,7 @@
 	m.frozen = true
 }
 
-// Thaw lets a frozen machine go on.
+// Thaw resumes a frozen machine.
 func (f *Fleet) Thaw(m *Machine) {
 	f.recordFault()
 	f.trace("%s thaws", m.name)
@@ -118,7 +118,7 @@
 	m.diskStalled = true
 }
 
-// ResumeDisk lets a stalled disk go on.
+// ResumeDisk ends StallDisk.
 func (f *Fleet) ResumeDisk(m *Machine) {
 	f.recordFault()
 	m.resumeDisk()
@@ -180,7 +180,7 @@
 			remaining = append(remaining, m)
 		}
 	}
-	f.loop.after(f.loop.between(0, restartPeriod), next.start)
+	f.loop.after(f.loop.between(0, startWindow), next.start)
 	return append(remaining, next)
 }
 
--- a/internal/tier/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -155,7 +155,7 @@
 	return r
 }
 
-// begin sends a turn to a proxy.
+// begin sends a turn to a proxy, without waiting for its end.
 func (s *scenario) begin(proxy *Machine, sent clientRequest) *request {
 	sent.IsTurn, sent.Service = true, modelService
 	if sent.MaxTokens == 0 {
@@ -204,10 +204,10 @@
 	return 0
 }
 
-// skipWhereWatched skips a long test where each memory access is watched: a day is run by one goroutine.
-func skipWhereWatched(t *testing.T) {
+// skipUnderRace skips a long test under the race detector: a day is run by one goroutine.
+func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if seedShare > 1 {
-		t.Skip("it takes long where each memory access is watched, and a day is run by one goroutine")
+		t.Skip("it takes long under the race detector, and a day is run by one goroutine")
 	}
 }
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -67,11 +67,11 @@
 }
 
 const (
-	restartPeriod = 300 * time.Millisecond // in which all machines start
-	seedDelay     = 3 * time.Second        // that the operator's list runs behind
+	startWindow = 300 * time.Millisecond // in which all machines start
+	seedDelay   = 3 * time.Second        // that the operator's list runs behind
 )
 
-// New lays a fleet out; nothing runs yet.
+// New returns a fleet with all its machines; nothing runs before Boot.
 func New(options Options) *Fleet {
 	options = options.withDefaults()
 	f := &Fleet{options: options, loop: newLoop(options.Seed), history: newHistory()}
@@ -162,7 +162,7 @@
 		m.start()
 	}
 	for _, m := range f.tier() {
-		f.loop.after(f.loop.between(0, restartPeriod), m.start)
+		f.loop.after(f.loop.between(0, startWindow), m.start)
 	}
 }
 
--- a/internal/tier/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -11,7 +11,7 @@
 
 const identityBytes = 16
 
-// seededReader gives random bytes of the run.
+// seededReader reads random bytes from the run's generator.
 type seededReader struct{ loop *loop }
 
 // Read implements io.Reader.
@@ -28,11 +28,11 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// firstReader gives the identity that follows from the address.
-type firstReader struct{ rest []byte }
+// bootstrapReader reads the identity that follows from the address.
+type bootstrapReader struct{ rest []byte }
 
 // Read implements io.Reader.
-func (r *firstReader) Read(buffer []byte) (int, error) {
+func (r *bootstrapReader) Read(buffer []byte) (int, error) {
 	if len(r.rest) == 0 {
 		return 0, io.EOF
 	}
@@ -62,7 +62,7 @@
 		if err != nil {
 			return "", err
 		}
-		random = &firstReader{bytes}
+		random = &bootstrapReader{bytes}
 	}
 	id, _, err := storage.LoadOrCreateIdentity(m.disk, random)
 	if err != nil {
--- a/internal/tier/fleettest/loop.go
+++ b/internal/tier/fleettest/loop.go
@@ -21,14 +21,14 @@
 	return &loop{random: rand.New(rand.NewPCG(seed, 0x666c656574))}
 }
 
-// event is something that is due. Events of one moment happen in the order in which they were asked for.
+// event is a function that is due at a time. Events of one time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// after has run called once the delay is over.
+// after schedules run after a delay.
 func (l *loop) after(delay time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.queue, event{at: l.now + max(0, delay), sequence: l.sequence, run: run})
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -15,18 +15,18 @@
 	zone  string
 	role  membership.Role // of its first process; empty for those outside the tier
 
-	disk        *memorydisk.Disk // nil: none
-	syncTime    time.Duration
-	diskStalled bool     // nothing that waits for the disk goes on
-	diskWaiting []func() // what goes on once the disk answers again
-	syncFails   bool
+	disk          *memorydisk.Disk // nil: none
+	syncTime      time.Duration
+	diskStalled   bool     // what waits for the disk is put off until it is resumed
+	onDiskResumed []func() // put off until the disk answers
+	syncFails     bool
 
 	frozen      bool
-	waiting     []func() // what goes on once the machine is thawed
+	onThawed    []func() // put off until the machine is thawed
 	clockOffset time.Duration
 	firstBoot   bool // first start of the system
 	removed     bool
-	powerless   bool // between a loss of power and the next start
+	poweredOff  bool // between a loss of power and the next start
 	processes   []*process
 }
 
@@ -35,7 +35,7 @@
 	return dayStart + (m.fleet.loop.now + m.clockOffset).Milliseconds()
 }
 
-// process is one process of a machine. Its incarnation is raised with each start and each end, so that what was begun in an
+// process is one process of a machine. Its incarnation is raised with each start and each end, so that what was scheduled in an
 // earlier incarnation is dropped.
 type process struct {
 	machine     *Machine
@@ -66,13 +66,13 @@
 		return
 	}
 	if p.machine.frozen {
-		p.machine.waiting = append(p.machine.waiting, func() { p.execute(incarnation, run) })
+		p.machine.onThawed = append(p.machine.onThawed, func() { p.execute(incarnation, run) })
 		return
 	}
 	run()
 }
 
-// after has run called in this incarnation of the process once the delay is over.
+// after schedules run after a delay, in this incarnation of the process.
 func (p *process) after(delay time.Duration, run func()) {
 	incarnation := p.incarnation
 	p.machine.fleet.loop.after(delay, func() { p.execute(incarnation, run) })
@@ -81,9 +81,9 @@
 // restartDelay is the time after which a process that has ended is started again.
 const restartDelay = 300 * time.Millisecond
 
-// start starts the process, if it is wanted and doesn't run.
+// start starts the process, unless it runs or its machine is off or removed.
 func (p *process) start() {
-	if p.handler != nil || p.machine.removed || p.machine.powerless {
+	if p.handler != nil || p.machine.removed || p.machine.poweredOff {
 		return
 	}
 	p.incarnation++
@@ -110,7 +110,7 @@
 	})
 }
 
-// end ends the process. With reset its machine is still there to tell its peers.
+// end ends the process. With reset its machine still runs, and resets the connections of its peers.
 func (p *process) end(reset bool) {
 	if p.handler == nil {
 		return
@@ -144,13 +144,13 @@
 	}
 }
 
-// losePower ends all processes and takes away what was not synced.
+// losePower ends all processes, and loses what was not synced.
 func (m *Machine) losePower() {
 	for _, p := range m.processes {
 		p.end(false)
 	}
 	m.dropWaiting()
-	m.powerless = true
+	m.poweredOff = true
 	if m.disk != nil {
 		m.disk.LosePower(m.fleet.loop.random.Uint64())
 	}
@@ -159,32 +159,32 @@
 // dropWaiting drops what waited for the processes that have ended.
 func (m *Machine) dropWaiting() {
 	m.frozen = false
-	m.waiting = nil
-	m.diskWaiting = nil
+	m.onThawed = nil
+	m.onDiskResumed = nil
 }
 
-// wipe takes the disk's content away.
+// wipe replaces the disk by an empty one.
 func (m *Machine) wipe() {
 	m.disk = memorydisk.New()
 	m.firstBoot = false
 }
 
-// start starts all processes that are wanted.
+// start powers the machine on and starts its processes.
 func (m *Machine) start() {
-	m.powerless = false
+	m.poweredOff = false
 	for _, p := range m.processes {
 		p.start()
 	}
 }
 
-// thaw lets a frozen machine go on.
+// thaw resumes a frozen machine, and runs what reached it meanwhile.
 func (m *Machine) thaw() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	waiting := m.waiting
-	m.waiting = nil
+	waiting := m.onThawed
+	m.onThawed = nil
 	for _, run := range waiting {
 		run()
 	}
@@ -193,8 +193,8 @@
 // resumeDisk lets a stalled disk answer, and runs what waited for it.
 func (m *Machine) resumeDisk() {
 	m.diskStalled = false
-	waiting := m.diskWaiting
-	m.diskWaiting = nil
+	waiting := m.onDiskResumed
+	m.onDiskResumed = nil
 	for _, run := range waiting {
 		run()
 	}
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -11,8 +11,8 @@
 
 // Times of the spread.
 const (
-	fetchTimeout = 2 * time.Second
-	syncTimeout  = 2 * time.Second
+	pullTimeout     = 2 * time.Second
+	pushPullTimeout = 2 * time.Second
 )
 
 // member is a process's member of the gossip: membership and the views that it spreads.
@@ -27,7 +27,7 @@
 	updates   map[view.Section]view.Update
 	announced view.Digest
 	onUpdate  func(update view.Update)
-	fetching  bool
+	pulling   bool
 }
 
 // gossipDatagram is one datagram; one field is set.
@@ -36,8 +36,8 @@
 	digest     view.Digest
 }
 
-// fetchRequest asks for the updates that are newer than in the digest; they come as one []view.Update.
-type fetchRequest struct{ digest view.Digest }
+// pullRequest asks for the updates that are newer than in the digest; they come as one []view.Update.
+type pullRequest struct{ digest view.Digest }
 
 func newMember(p *process, id string, seeds []string, took func(view.Update)) *member {
 	m := &member{process: p, incoming: map[uint64]*exchange{}, updates: map[view.Section]view.Update{}, announced: view.Digest{}, onUpdate: took}
@@ -101,7 +101,7 @@
 }
 
 func (m *member) pushPull(call membership.PushPullCall) {
-	m.process.machine.fleet.network.ask(m.process, call.Address, call.Message, syncTimeout, func(answer any, err error) {
+	m.process.machine.fleet.network.ask(m.process, call.Address, call.Message, pushPullTimeout, func(answer any, err error) {
 		outcome := membership.PushPullResult{Token: call.Token, Failed: err != nil}
 		if err == nil {
 			outcome.Response = answer.(membership.PushPullMessage)
@@ -134,7 +134,7 @@
 		m.incoming[m.token] = call
 		m.input.Arrivals = append(m.input.Arrivals, membership.PushPullArrival{Token: m.token, Message: asked})
 		m.schedule()
-	case fetchRequest:
+	case pullRequest:
 		call.finish(m.newerThan(asked.digest))
 	default:
 		return false
@@ -163,7 +163,7 @@
 	return updates
 }
 
-// publish takes over updates that are newer, and announces them.
+// publish applies updates that are newer, and announces them.
 func (m *member) publish(updates ...view.Update) {
 	for _, update := range updates {
 		if current, ok := m.updates[update.Section]; !ok || current.Stamp.Less(update.Stamp) {
@@ -207,19 +207,19 @@
 	}
 	switch {
 	case behind:
-		m.fetch(address, own)
+		m.pull(address, own)
 	case ahead:
 		m.process.machine.fleet.network.sendDatagram(m.process, address, gossipDatagram{digest: own})
 	}
 }
 
-func (m *member) fetch(address string, own view.Digest) {
-	if m.fetching {
+func (m *member) pull(address string, own view.Digest) {
+	if m.pulling {
 		return
 	}
-	m.fetching = true
-	m.process.machine.fleet.network.ask(m.process, address, fetchRequest{own}, fetchTimeout, func(answer any, err error) {
-		m.fetching = false
+	m.pulling = true
+	m.process.machine.fleet.network.ask(m.process, address, pullRequest{own}, pullTimeout, func(answer any, err error) {
+		m.pulling = false
 		if err == nil {
 			m.publish(answer.([]view.Update)...)
 		}
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -86,9 +86,9 @@
 		Name: "turns are sent before they are begun",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
-			Old:  "\tr.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)\n",
-			New: "\tr.body = r.asked.Input\n\tr.send()\n" +
-				"\tr.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, func(program.Result, error) {})\n",
+			Old:  "\tr.proxy.programs.beginTurn(r.request.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)\n",
+			New: "\tr.body = r.request.Input\n\tr.send()\n" +
+				"\tr.proxy.programs.beginTurn(r.request.Program, turn, requestTimeout/beginTimeoutDivisor, func(program.Result, error) {})\n",
 		},
 		Run: randomDays,
 	},
@@ -135,7 +135,7 @@
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tcase err != nil:\n\t\tr.commitIncomplete()\n\t\tr.reject()\n",
-			New: "\tcase err != nil:\n\t\tif r.asked.Previous != \"\" { r.answer(http.StatusNotFound) }\n" +
+			New: "\tcase err != nil:\n\t\tif r.request.Previous != \"\" { r.answer(http.StatusNotFound) }\n" +
 				"\t\tr.commitIncomplete()\n\t\tr.reject()\n",
 		},
 		Run: randomDays,
--- a/internal/tier/fleettest/network.go
+++ b/internal/tier/fleettest/network.go
@@ -59,7 +59,7 @@
 	return n.conditions.Delay + n.loop.between(0, n.conditions.Jitter)
 }
 
-// setPartitioned partitions one direction or heals it; what waited goes on, unless it has waited for too long.
+// setPartitioned partitions one direction or heals it; queued messages are sent on, unless they have waited for too long.
 func (n *network) setPartitioned(from, to *Machine, partitioned bool) {
 	way := pair{from, to}
 	if partitioned {
@@ -141,7 +141,7 @@
 	n.loop.after(connectionTimeout, func() { n.expireQueued() })
 }
 
-// expireQueued gives up what has waited for too long.
+// expireQueued drops messages that have waited for connectionTimeout.
 func (n *network) expireQueued() {
 	remaining := n.queued[:0]
 	var dropped []queuedMessage
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -50,7 +50,7 @@
 // Plan is one day: its seed and its faults, by time.
 type Plan struct {
 	Seed   uint64        `json:"seed"`
-	Span   time.Duration `json:"span"` // of the faults; the day goes on until all has come back
+	Span   time.Duration `json:"span"` // of the faults; the day lasts until the checks after them
 	Faults []Fault       `json:"faults"`
 }
 
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -24,7 +24,7 @@
 	errNotCommitted = errors.New("the turn could not be committed")
 )
 
-// programClient finds the leader of a program's shard and has turns begun and committed there.
+// programClient finds the leader of a program's shard and begins and commits turns there.
 type programClient struct {
 	process *process
 	placed  *view.Placement
@@ -37,8 +37,8 @@
 
 func (c *programClient) isPlaced() bool { return c.placed != nil && len(c.placed.Shards) > 0 }
 
-// begin has a turn begun by the leader of key's shard within a time. An error means that the outcome is not known.
-func (c *programClient) begin(key string, turn program.BeginTurn, within time.Duration, done func(program.Result, error)) {
+// beginTurn begins a turn at the leader of key's shard within a time. An error means that the outcome is not known.
+func (c *programClient) beginTurn(key string, turn program.BeginTurn, within time.Duration, done func(program.Result, error)) {
 	if !c.isPlaced() {
 		done(program.Result{}, errNoPlacement)
 		return
@@ -52,7 +52,7 @@
 			done(result, err)
 			return
 		}
-		c.find(shard, turn.Previous, deadline, func(chain []byte, found bool, err error) {
+		c.findChain(shard, turn.Previous, deadline, func(chain []byte, found bool, err error) {
 			if err != nil || !found {
 				done(result, err)
 				return
@@ -68,8 +68,8 @@
 
 func (c *programClient) now() time.Duration { return c.process.machine.fleet.loop.now }
 
-// end commits a turn at the leader of key's shard.
-func (c *programClient) end(key string, turn program.EndTurn, within time.Duration, done func(error)) {
+// endTurn commits a turn at the leader of key's shard.
+func (c *programClient) endTurn(key string, turn program.EndTurn, within time.Duration, done func(error)) {
 	if !c.isPlaced() {
 		done(errNoPlacement)
 		return
@@ -83,8 +83,8 @@
 	})
 }
 
-// find asks the leaders of all other shards for a turn's chain. Only if each of them is certain is there none.
-func (c *programClient) find(except int, turn string, deadline time.Duration, done func(chain []byte, found bool, err error)) {
+// findChain asks the leaders of all other shards for a turn's chain. Only if each of them is certain is there none.
+func (c *programClient) findChain(except int, turn string, deadline time.Duration, done func(chain []byte, found bool, err error)) {
 	open, ended := len(c.placed.Shards)-1, false
 	var failed error
 	finish := func(chain []byte, found bool, err error) {
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -47,7 +47,7 @@
 
 func (p *proxy) handleDatagram(string, any) {}
 
-// connect has the agent feed this proxy; it goes on with what it has while that fails.
+// connect has the agent feed this proxy; it keeps its view while that fails.
 func (p *proxy) connect() {
 	p.network().call(p.process, p.agent, feedRequest{maps.Clone(p.digest)}, func(response any) {
 		p.backoff = feedInitialBackoff
@@ -118,7 +118,7 @@
 	call.finish(versionAnswer{Incarnation: p.process.incarnation, Content: contentOf(p.config)})
 }
 
-// selectEndpoint picks the next ready endpoint of a service that has not been asked yet.
+// selectEndpoint picks the next ready endpoint of a service that has not rejected the request yet.
 func (p *proxy) selectEndpoint(service string, asked map[string]bool) (model.Endpoint, bool) {
 	for range p.endpoints {
 		p.lastEndpoint++
@@ -132,7 +132,7 @@
 
 // handleRequest takes a client's request.
 func (p *proxy) handleRequest(call *exchange, asked clientRequest) {
-	r := &proxyRequest{proxy: p, client: call, asked: asked, deadline: p.process.machine.fleet.loop.now + requestTimeout, rejectedBy: map[string]bool{}}
+	r := &proxyRequest{proxy: p, client: call, request: asked, deadline: p.process.machine.fleet.loop.now + requestTimeout, rejectedBy: map[string]bool{}}
 	call.onCallerCanceled = r.clientCanceled
 	if !p.ready() {
 		r.reject()
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -12,14 +12,14 @@
 type proxyRequest struct {
 	proxy      *proxy
 	client     *exchange
-	asked      clientRequest
+	request    clientRequest
 	deadline   time.Duration
 	body       []byte
 	reserved   bool // the stores may hold a reservation
 	committed  bool
 	mayHaveRun bool
 	ended      bool
-	answering  bool
+	committing bool
 	rejectedBy map[string]bool // endpoints that have rejected the request: it has not run there
 	endpoint   *exchange
 	output     []byte
@@ -58,9 +58,9 @@
 // beginTurn has the stores take the turn.
 func (r *proxyRequest) beginTurn() {
 	r.reserved = true
-	turn := program.BeginTurn{Turn: r.asked.ID, Program: r.asked.Program, Budget: r.asked.Budget, MaxTokens: r.asked.MaxTokens,
-		Remembered: true, Previous: r.asked.Previous, KeepForS: retention.Seconds(), Input: r.asked.Input}
-	r.proxy.programs.begin(r.asked.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)
+	turn := program.BeginTurn{Turn: r.request.ID, Program: r.request.Program, Budget: r.request.Budget, MaxTokens: r.request.MaxTokens,
+		Remembered: true, Previous: r.request.Previous, KeepForS: retention.Seconds(), Input: r.request.Input}
+	r.proxy.programs.beginTurn(r.request.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)
 }
 
 // turnBegun handles the stores' answer.
@@ -72,7 +72,7 @@
 	case r.ended:
 		r.commitIncomplete()
 	case result.Verdict == program.Accepted:
-		r.body = append(bytes.Clone(result.Chain), r.asked.Input...)
+		r.body = append(bytes.Clone(result.Chain), r.request.Input...)
 		r.send()
 	case result.Verdict == program.BudgetExceeded:
 		r.reserved = false
@@ -90,20 +90,20 @@
 	if r.ended {
 		return
 	}
-	if !r.asked.IsTurn {
-		r.body = r.asked.Input
+	if !r.request.IsTurn {
+		r.body = r.request.Input
 	}
-	endpoint, found := r.proxy.selectEndpoint(r.asked.Service, r.rejectedBy)
+	endpoint, found := r.proxy.selectEndpoint(r.request.Service, r.rejectedBy)
 	if !found || len(r.rejectedBy) >= maxAttempts {
 		r.commitIncomplete()
 		r.reject()
 		return
 	}
-	request := endpointRequest{ID: r.asked.ID, Expected: endpoint.ID, Body: r.body, MaxTokens: r.asked.MaxTokens}
+	request := endpointRequest{ID: r.request.ID, Expected: endpoint.ID, Body: r.body, MaxTokens: r.request.MaxTokens}
 	r.endpoint = r.proxy.network().call(r.proxy.process, endpoint.Address, request, func(response any) { r.handleResponse(endpoint.ID, response) }, r.endpointFailed)
 	sent := r.endpoint
 	r.proxy.process.after(r.deadline-r.now(), func() {
-		if !sent.closed && r.endpoint == sent && !r.answering {
+		if !sent.closed && r.endpoint == sent && !r.committing {
 			sent.cancel()
 			r.endpointFailed(errTimeout)
 		}
@@ -133,7 +133,7 @@
 		r.client.send(clientEvent{Data: event.Data, Run: event.Run})
 		return
 	}
-	r.answering = true
+	r.committing = true
 	r.endpoint.close()
 	finish := func() {
 		if !r.ended {
@@ -141,7 +141,7 @@
 			r.client.finish(clientEvent{Data: event.Data, Run: event.Run, Last: true})
 		}
 	}
-	if !r.asked.IsTurn {
+	if !r.request.IsTurn {
 		finish()
 		return
 	}
@@ -180,21 +180,21 @@
 }
 
 func (r *proxyRequest) endTurn(complete bool) program.EndTurn {
-	end := program.EndTurn{Turn: r.asked.ID, Complete: complete, Tokens: int64(r.events * tokensPerEvent)}
+	end := program.EndTurn{Turn: r.request.ID, Complete: complete, Tokens: int64(r.events * tokensPerEvent)}
 	if complete {
 		end.Output = r.output
 	}
 	return end
 }
 
-// commitUntil offers the end of a turn until it is acknowledged or the time is over.
+// commitUntil sends the end of a turn until it is acknowledged or the deadline is over.
 func (r *proxyRequest) commitUntil(end program.EndTurn, deadline time.Duration, done func(error)) {
 	left := deadline - r.now()
 	if left <= 0 {
 		done(errNoLeader)
 		return
 	}
-	r.proxy.programs.end(r.asked.Program, end, min(commitAttemptTimeout, left), func(err error) {
+	r.proxy.programs.endTurn(r.request.Program, end, min(commitAttemptTimeout, left), func(err error) {
 		if err == nil {
 			done(nil)
 			return
--- a/internal/tier/fleettest/race_on_test.go
+++ b/internal/tier/fleettest/race_on_test.go
@@ -2,7 +2,7 @@
 
 package fleettest
 
-// usualDays is the number of days of an ordinary run of the tests; fewer where each memory access is watched.
+// usualDays is the number of days of an ordinary run of the tests; fewer under the race detector.
 const usualDays = 2
 
 // seedShare divides the seeds of stories.
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -50,7 +50,7 @@
 	return r, nil
 }
 
-// send hands a message of the group over, once what it depends on is on disk.
+// send sends a message of the group, once what it depends on is on disk.
 func (r *replicaRunner) send(address string, envelope group.Envelope) {
 	r.output(func() { r.process.machine.fleet.network.sendMessage(r.process, address, envelope) })
 }
@@ -99,7 +99,7 @@
 func (r *replicaRunner) finishSync() {
 	if m := r.process.machine; m.diskStalled {
 		incarnation := r.process.incarnation
-		m.diskWaiting = append(m.diskWaiting, func() { r.process.execute(incarnation, r.finishSync) })
+		m.onDiskResumed = append(m.onDiskResumed, func() { r.process.execute(incarnation, r.finishSync) })
 		return
 	}
 	if err := r.disk.completeSync(); err != nil {
@@ -128,7 +128,7 @@
 	})
 }
 
-// deliver hands a message in.
+// deliver passes a message to the group.
 func (r *replicaRunner) deliver(message replica.Message) {
 	r.group.Deliver(message)
 	r.schedule()
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -117,7 +117,7 @@
 	return r.programs.Finish()
 }
 
-// setPlacement takes over what a placement wants of the group.
+// setPlacement sets the target members to those of a placement, unless a newer one is known.
 func (s *shard) setPlacement(index uint64, members []replica.Member) {
 	if index >= s.placementIndex {
 		s.placementIndex, s.targetMembers = index, members
--- a/internal/tier/fleettest/store.go
+++ b/internal/tier/fleettest/store.go
@@ -42,7 +42,7 @@
 
 func (s *store) begin() { s.member.schedule() }
 
-// receive takes over a placement: shards that are this store's open, and every leader moves its group to its members.
+// receive applies a placement: it opens the shards of this store, and each leader moves its group to its members.
 func (s *store) receive(update view.Update) {
 	if update.Section != view.PlacementSection {
 		return
--- a/internal/tier/fleettest/turns_test.go
+++ b/internal/tier/fleettest/turns_test.go
@@ -65,8 +65,8 @@
 		s.RunFor(5 * time.Second)
 		one := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
 		s.RunFor(time.Duration(seed) * 39 * time.Millisecond)
-		counting := append(append([]*Machine{}, s.cores...), s.stores...)
-		wiped := counting[int(seed)%len(counting)]
+		machines := append(append([]*Machine{}, s.cores...), s.stores...)
+		wiped := machines[int(seed)%len(machines)]
 		s.LosePower(others(s.tier(), wiped)...)
 		s.LoseDisk(wiped)
 		for _, m := range s.tier() {
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -14,7 +14,7 @@
 const linearizabilityTimeout = 20 * time.Second
 
 // registerModel is the configuration as a register with compare-and-set: the contents that were in force, one after the other.
-// An order whose content was taken is acknowledged whenever it is repeated.
+// An order whose content was accepted is acknowledged whenever it is sent again.
 var registerModel = (&porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{[]content(nil)} },
 	Equal: func(a, b any) bool { return slices.Equal(a.([]content), b.([]content)) },
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -36,7 +36,7 @@
 func (c *clients) pollReadiness() {
 	for !c.fleet.isClosed() {
 		for _, m := range c.fleet.machinesOf(edgeClass) {
-			c.fleet.running.Go(func() { c.checkReadiness(m) })
+			c.fleet.goroutines.Go(func() { c.checkReadiness(m) })
 		}
 		time.Sleep(readinessInterval)
 	}
--- a/internal/tier/simulation/day.go
+++ b/internal/tier/simulation/day.go
@@ -67,7 +67,7 @@
 	if !d.waitUntil(recoveryTimeout, func() bool { return d.allReady(d.clients) }) {
 		d.report("BEGIN", "the proxies aren't ready")
 	}
-	d.running.Go(d.clients.pollReadiness)
+	d.goroutines.Go(d.clients.pollReadiness)
 	for d.shards = 1; d.shards < d.options.Stores; d.shards *= 2 {
 	}
 	if !d.waitUntil(recoveryTimeout, func() bool { return d.completeShards() == d.shards }) {
@@ -105,7 +105,7 @@
 	return interval/2 + time.Duration(d.intN(int(interval)))
 }
 
-// program runs a program; some go on from a turn of another, and some have a budget.
+// program runs a program; some continue a turn of another, and some have a budget.
 func (d *day) program() {
 	budget, from := int64(0), standin.Turn{}
 	if d.intN(2) == 0 {
@@ -137,7 +137,7 @@
 	}
 	for _, m := range d.machinesOf(coreClass) {
 		if m.address(controlPort) == address {
-			d.running.Go(func() { inject(m) })
+			d.goroutines.Go(func() { inject(m) })
 		}
 	}
 }
--- a/internal/tier/simulation/faults_machine.go
+++ b/internal/tier/simulation/faults_machine.go
@@ -17,7 +17,7 @@
 
 // restartMachine stops a machine's processes with SIGTERM and starts them again.
 func (d *day) restartMachine(m *machine) {
-	d.running.Go(func() {
+	d.goroutines.Go(func() {
 		m.terminateAll()
 		m.startAll()
 	})
@@ -53,7 +53,7 @@
 	}
 }
 
-// replaceMachine takes a machine away for good and starts an empty one at another address.
+// replaceMachine removes a machine and starts an empty one at another address.
 func (d *day) replaceMachine(old *machine, fault Fault) {
 	next := d.add(old.class)
 	next.zone = old.zone
@@ -76,7 +76,7 @@
 	d.startLater(fault.For, next)
 }
 
-// renewSeeds has the operators and the settings files name the controllers that there are.
+// renewSeeds has the operators and the settings files name the current controllers.
 func (d *day) renewSeeds() {
 	addresses := d.controlAddresses()
 	d.mutex.Lock()
--- a/internal/tier/simulation/fleet.go
+++ b/internal/tier/simulation/fleet.go
@@ -47,7 +47,7 @@
 	network     *memorynetwork.Network
 	environment *environment
 	history     *history
-	running     sync.WaitGroup // processes and what has been put off
+	goroutines  sync.WaitGroup // processes, and calls of after
 
 	mutex             sync.Mutex
 	random            *rand.Rand
@@ -89,7 +89,7 @@
 	return m
 }
 
-// of lists the machines of a class that haven't been removed.
+// machinesOf lists the machines of some classes that haven't been removed.
 func (f *Fleet) machinesOf(classes ...class) []*machine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -131,7 +131,7 @@
 	}
 	ending.Wait()
 	f.environment.close()
-	f.running.Wait()
+	f.goroutines.Wait()
 	time.Sleep(lingerTime)
 }
 
@@ -156,7 +156,7 @@
 
 // after calls run after a delay, in a goroutine of its own that Close waits for.
 func (f *Fleet) after(delay time.Duration, run func()) {
-	f.running.Go(func() {
+	f.goroutines.Go(func() {
 		time.Sleep(delay)
 		run()
 	})
--- a/internal/tier/simulation/fleet_test.go
+++ b/internal/tier/simulation/fleet_test.go
@@ -30,7 +30,7 @@
 	if !f.waitUntil(startTimeout, func() bool { return f.allReady(users) }) {
 		t.Fatal("the proxies aren't ready")
 	}
-	f.running.Go(users.pollReadiness)
+	f.goroutines.Go(users.pollReadiness)
 	return f, first, users
 }
 
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -169,9 +169,9 @@
 		return
 	}
 	for _, p := range m.currentProcesses() {
-		m.fleet.running.Add(1)
+		m.fleet.goroutines.Add(1)
 		go func() {
-			defer m.fleet.running.Done()
+			defer m.fleet.goroutines.Done()
 			p.stop()
 		}()
 	}
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -29,7 +29,7 @@
 	maxResponseBytes = 1 << 20
 )
 
-// operator gives orders over a connection for each call.
+// operator sends orders and reads, over a connection for each call.
 type operator struct {
 	fleet        *Fleet
 	name         string
--- a/internal/tier/simulation/plan.go
+++ b/internal/tier/simulation/plan.go
@@ -136,7 +136,7 @@
 	return max(f.For, time.Second) + catchUp
 }
 
-// losesDisk reports whether a fault takes a disk away for good.
+// losesDisk reports whether a fault loses a disk.
 func (k FaultKind) losesDisk() bool {
 	return slices.Contains([]FaultKind{DiskLossFault, AckDiskLossFault, ReplaceFault, PlannedReplaceFault}, k)
 }
--- a/internal/tier/simulation/process.go
+++ b/internal/tier/simulation/process.go
@@ -59,7 +59,7 @@
 	p := &process{machine: m, role: r, incarnation: m.starts, network: m.host.Start(), hangups: make(chan os.Signal, 1),
 		terminate: cancel, ended: make(chan struct{})}
 	m.processes[r] = p
-	f.running.Add(1)
+	f.goroutines.Add(1)
 	f.mutex.Unlock()
 	environment := command.Environment{
 		SettingsPath:  f.writeSettings(m, r),
@@ -70,7 +70,7 @@
 		Now:           func() time.Time { return time.Now().Add(m.clockOffset()) },
 	}
 	go func() {
-		defer f.running.Done()
+		defer f.goroutines.Done()
 		err := roleRunners[r](ctx, environment)
 		p.network.Kill()
 		cancel()
--- a/internal/tier/simulation/settings.go
+++ b/internal/tier/simulation/settings.go
@@ -23,7 +23,7 @@
 	platformPort  = 8000
 )
 
-// What the settings say of the system.
+// Values of the settings files.
 const (
 	grace             = 8 * time.Second
 	toleratedMachines = 1 // machines
@@ -49,7 +49,7 @@
 	return path
 }
 
-// settingsOf gives the content of a settings file. The system starts for the first time once only.
+// settingsOf returns the content of a settings file. Only the first start of an initial machine is a first boot.
 func (f *Fleet) settingsOf(m *machine, r role) map[string]any {
 	listenOn, serves := map[string]any{}, []string{}
 	switch r {
