--- a/internal/tier/controller/api_settings.go
+++ b/internal/tier/controller/api_settings.go
@@ -29,13 +29,13 @@
 	if err == nil && c.wasAccepted(proposal) {
 		return e.NoContent(http.StatusOK)
 	}
-	if redirected, err := c.redirect(e); redirected {
-		return err
+	if redirected, redirectErr := c.redirect(e); redirected {
+		return redirectErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := c.validate(e.Request().Context(), proposal); err != nil {
+	if err = c.validate(e.Request().Context(), proposal); err != nil {
 		c.options.Metrics.CountOrder(metrics.Rejected)
 		return err
 	}
@@ -138,8 +138,8 @@
 
 // getSettings returns the newest configuration. It must never return an older one, so a majority confirms the read.
 func (c *Controller) getSettings(e echo.Context) error {
-	if redirected, err := c.redirect(e); redirected {
-		return err
+	if redirected, redirectErr := c.redirect(e); redirected {
+		return redirectErr
 	}
 	ctx, cancel := context.WithTimeout(e.Request().Context(), readTimeout)
 	defer cancel()
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -329,7 +329,7 @@
 				t.Fatal(err)
 			}
 			defer connection.Close()
-			if err := connection.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
+			if err = connection.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(connection, "%s HTTP/1.1\r\nHost: x\r\nIf-Match: 0\r\nContent-Length: 100\r\n\r\n{\"overS\":", target)
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	restored := NewStateMachine(func() {})
-	if err := restored.Restore(state); err != nil {
+	if err = restored.Restore(state); err != nil {
 		t.Fatal(err)
 	}
 	retry, err := restored.Snapshot()
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -298,7 +298,7 @@
 }
 
 // retryUntilClear calls until the answer is a clear one, or its attempts are used up.
-func (o *operator) retryUntilClear(attempts int, attempt func() (clear bool)) bool {
+func (o *operator) retryUntilClear(attempts int, attempt func() (isClear bool)) bool {
 	backoff := minBackoff
 	for range attempts {
 		if attempt() {
--- a/internal/tier/controller/order_runs_test.go
+++ b/internal/tier/controller/order_runs_test.go
@@ -28,7 +28,7 @@
 	{"unheard", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, false) }},
 	{"deaf", func(c *faultyCluster, leader *testMachine) { c.partition(leader, false, true) }},
 	{"frozen", func(c *faultyCluster, leader *testMachine) { c.frozen[leader] = true }},
-	{"its disk lost", func(c *faultyCluster, leader *testMachine) { leader.wipe() }},
+	{"its disk lost", func(_ *faultyCluster, leader *testMachine) { leader.wipe() }},
 }
 
 // maxSteps is the number of steps of the cluster within which an order is committed and answered.
