--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -91,13 +91,13 @@
 		cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := config.Load(o.file, os.Getenv)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
-				return errWork{&config.KeyError{Key: "capture.dir", Reason: "missing: where captures go"}}
+				return workError{&config.KeyError{Key: "capture.dir", Reason: "missing: where captures go"}}
 			}
 			if err := syscall.Kill(pid, sig); err != nil {
-				return errWork{fmt.Errorf("--pid %d: %w", pid, err)}
+				return workError{fmt.Errorf("--pid %d: %w", pid, err)}
 			}
 			return nil
 		}}
@@ -111,7 +111,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				for _, file := range args {
 					if err := captureInfo(cmd.OutOrStdout(), file); err != nil {
-						return errWork{fmt.Errorf("%s: %w", file, err)}
+						return workError{fmt.Errorf("%s: %w", file, err)}
 					}
 				}
 				return nil
--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -38,11 +38,11 @@
 				return err
 			}
 			if st.Totals == nil {
-				return errWork{fmt.Errorf("this relay's fleet counts nothing: is peers.share set?")}
+				return workError{fmt.Errorf("this relay's fleet counts nothing: is peers.share set?")}
 			}
 			v, err := countsOf(cfg, st.Totals)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			w := cmd.OutOrStdout()
 			if t.json {
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -24,8 +24,8 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// errNotYet is a change that is not over when nobody waits any longer: exit code 3.
-type errNotYet struct{ error }
+// notYetError is a change that is not over when nobody waits any longer: exit code 3.
+type notYetError struct{ error }
 
 // fleetTool is what the commands of a fleet share.
 type fleetTool struct {
@@ -41,7 +41,7 @@
 		err = &config.KeyError{Key: "peers", Reason: "missing: this relay belongs to no fleet"}
 	}
 	if err != nil {
-		return nil, errWork{err}
+		return nil, workError{err}
 	}
 	return cfg, nil
 }
@@ -57,7 +57,7 @@
 		err = errors.New(st.Error)
 	}
 	if err != nil {
-		return st, errWork{err}
+		return st, workError{err}
 	}
 	return st, nil
 }
@@ -206,7 +206,7 @@
 	defer t.Flush()
 	fmt.Fprintln(t, "version\treplaces\tby\tdigest\thow it ended")
 	for _, p := range st.State.PastChanges {
-		how, version := "in force", fmt.Sprint(p.Version)
+		how, number := "in force", fmt.Sprint(p.Version)
 		if p.DropReason != "" {
 			how = "dropped: " + p.DropReason
 		}
@@ -214,9 +214,9 @@
 			how += ", without " + strings.Join(p.Excused, " ")
 		}
 		if p.Version == 0 {
-			version = "-"
+			number = "-"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%016x\t%s\n", version, p.Base, p.By, p.Digest, how)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%016x\t%s\n", number, p.Base, p.By, p.Digest, how)
 	}
 }
 
@@ -230,7 +230,7 @@
 		if err == nil {
 			if done, err := over(st.State); done {
 				if err != nil {
-					return errWork{err}
+					return workError{err}
 				}
 				return nil
 			}
@@ -244,7 +244,7 @@
 		select {
 		case <-time.After(t.pollGap):
 		case <-ctx.Done():
-			return errNotYet{fmt.Errorf("the change is not over: %w", context.Cause(ctx))}
+			return notYetError{fmt.Errorf("the change is not over: %w", context.Cause(ctx))}
 		}
 	}
 }
--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -23,10 +23,10 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// errWork is a fault of the work and not of the command line: exit code 1, where that is 2.
-type errWork struct{ error }
+// workError is a fault of the work and not of the command line: exit code 1, where that is 2.
+type workError struct{ error }
 
-func (e errWork) Unwrap() error { return e.error }
+func (e workError) Unwrap() error { return e.error }
 
 func run(args []string, out, errs io.Writer) int {
 	root := commands()
@@ -47,10 +47,10 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "mastusher:", err)
-	if errors.As(err, new(errWork)) {
+	if errors.As(err, new(workError)) {
 		return 1
 	}
-	if errors.As(err, new(errNotYet)) {
+	if errors.As(err, new(notYetError)) {
 		return 3
 	}
 	fmt.Fprintln(errs, `"mastusher --help" tells more`)
@@ -96,7 +96,7 @@
 		&cobra.Command{Use: "version", Short: "print the version", Args: cobra.NoArgs, Run: printVersion},
 		pluginCommand(o),
 		captureCommand(o),
-		replayCommand(o),
+		replayCommand(),
 	)
 	root.AddCommand(fleetCommands(o)...)
 	return root
@@ -112,18 +112,18 @@
 	load := func() (*config.Config, error) { return config.Load(o.file, os.Getenv) }
 	cfg, err := load()
 	if err != nil {
-		return errWork{err}
+		return workError{err}
 	}
 	if err := serve(cfg, log, got, load); err != nil {
 		log.Error("relay stopped", "err", err)
-		return errWork{err}
+		return workError{err}
 	}
 	return nil
 }
 
 func (o *options) checkConfig(cmd *cobra.Command, _ []string) error {
 	if _, err := config.Load(o.file, os.Getenv); err != nil {
-		return errWork{err}
+		return workError{err}
 	}
 	cmd.Println("the configuration is good")
 	return nil
@@ -131,7 +131,7 @@
 
 func makeKey(_ *cobra.Command, args []string) error {
 	if err := activitypub.MakeKey(args[0]); err != nil {
-		return errWork{fmt.Errorf("make-key: %w", err)}
+		return workError{fmt.Errorf("make-key: %w", err)}
 	}
 	return nil
 }
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -47,12 +47,12 @@
 	if b.name != "" {
 		var err error
 		if from, err = config.Load(b.o.file, os.Getenv); err != nil {
-			return nil, nil, errWork{err}
+			return nil, nil, workError{err}
 		}
 	}
 	cfg, err := config.ForPlugin(file, from, b.name, b.seed, b.json)
 	if err != nil {
-		return nil, nil, errWork{err}
+		return nil, nil, workError{err}
 	}
 	if b.keep != "" {
 		cfg.PluginHost.Cache = b.keep
@@ -83,14 +83,14 @@
 			defer p.Close()
 			st, err := p.Status()
 			if err != nil {
-				var faults plugin.Fault
+				var faults plugin.ModuleError
 				if errors.As(err, &faults) {
 					for _, f := range faults {
 						cmd.PrintErrln(f)
 					}
-					return errWork{fmt.Errorf("%s: %d faults", args[0], len(faults))}
+					return workError{fmt.Errorf("%s: %d faults", args[0], len(faults))}
 				}
-				return errWork{err}
+				return workError{err}
 			}
 			s, c := st.Plugins[0], cfg.Plugins[0]
 			fmt.Fprintf(cmd.OutOrStdout(), "%s is good: ABI %d, phases %s, module %s; %d instances of %d MB at most, %v a call, %g of a core\n",
@@ -113,18 +113,18 @@
 			}
 			defer p.Close()
 			c := trial.New("run")
-			if err := c.Set("status", "503"); err != nil {
+			if err = c.Set("status", "503"); err != nil {
 				return err
 			}
 			for _, kv := range keys {
 				k, v, _ := strings.Cut(kv, "=")
-				if err := c.Set(k, v); err != nil {
+				if err = c.Set(k, v); err != nil {
 					return fmt.Errorf("--set %w", err)
 				}
 			}
 			st, err := p.Status()
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			for _, phase := range []plugin.Phase{plugin.Arrival, plugin.Answer, plugin.End} {
 				if !strings.Contains(st.Plugins[0].Phases, phase.String()) {
@@ -133,7 +133,7 @@
 				c.Call.Phase = phase
 				got, out, err := p.Play(&c)
 				if err != nil {
-					return errWork{err}
+					return workError{err}
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s (%v of processor time)\n", phase, out.CPU.Round(time.Microsecond))
 				for _, line := range got {
@@ -160,19 +160,19 @@
 			defer p.Close()
 			f, err := os.Open(args[1])
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			defer f.Close()
 			cases, err := trial.Parse(f)
 			if err != nil {
-				return errWork{fmt.Errorf("%s: %w", args[1], err)}
+				return workError{fmt.Errorf("%s: %w", args[1], err)}
 			}
 			failed := 0
 			for i := range cases {
 				c := &cases[i]
 				got, _, err := p.Play(c)
 				if err != nil {
-					return errWork{err}
+					return workError{err}
 				}
 				if slices.Equal(got, c.Want) {
 					continue
@@ -183,7 +183,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d passed, %d failed\n", len(cases)-failed, failed)
 			if failed > 0 || len(cases) == 0 {
-				return errWork{errors.New("the module does not do as its cases say")}
+				return workError{errors.New("the module does not do as its cases say")}
 			}
 			return nil
 		}})
@@ -213,7 +213,7 @@
 				from := time.Now()
 				got, out, err := p.Play(&c)
 				if err != nil {
-					return errWork{err}
+					return workError{err}
 				}
 				if strings.HasPrefix(got[0], "failed") {
 					failed, last = failed+1, got
@@ -233,7 +233,7 @@
 				}
 			}
 			if failed > 0 {
-				return errWork{fmt.Errorf("%d calls failed, the last: %s", failed, last[0])}
+				return workError{fmt.Errorf("%d calls failed, the last: %s", failed, last[0])}
 			}
 			return nil
 		}})
@@ -263,30 +263,30 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := config.Load(o.file, os.Getenv)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			if cfg.PluginHost.Store == "" {
-				return errWork{&config.KeyError{Key: "plugin_host.store", Reason: "missing: the relay's word is read there"}}
+				return workError{&config.KeyError{Key: "plugin_host.store", Reason: "missing: the relay's word is read there"}}
 			}
-			if err := tryPlugins(cfg); err != nil {
-				return errWork{fmt.Errorf("the relay is not told: %w", err)}
+			if err = tryPlugins(cfg); err != nil {
+				return workError{fmt.Errorf("the relay is not told: %w", err)}
 			}
 			before, err := plugin.ReadStatus(cfg)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			if err := syscall.Kill(pid, syscall.SIGHUP); err != nil {
-				return errWork{fmt.Errorf("--pid %d: %w", pid, err)}
+				return workError{fmt.Errorf("--pid %d: %w", pid, err)}
 			}
 			for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 				if now, err := plugin.ReadStatus(cfg); err == nil && now.Generation != before.Generation {
 					if now.Error != "" {
-						return errWork{errors.New("the relay says: " + now.Error)}
+						return workError{errors.New("the relay says: " + now.Error)}
 					}
 					return printStatus(cmd, now)
 				}
 			}
-			return errWork{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
+			return workError{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
 		}}
 	cmd.Flags().IntVar(&pid, "pid", 0, "process of the relay")
 	cmd.Flags().DurationVar(&within, "within", 30*time.Second, "how long to wait for its word")
@@ -299,11 +299,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := config.Load(o.file, os.Getenv)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			st, err := plugin.ReadStatus(cfg)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			return printStatus(cmd, st)
 		}}
--- a/cmd/mastusher/policy.go
+++ b/cmd/mastusher/policy.go
@@ -22,7 +22,7 @@
 				_, err = policy.Parse(text)
 			}
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			st, err := t.once(cmd, "status")
 			if err != nil {
@@ -89,7 +89,7 @@
 				err = rules.Check(text)
 			}
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "this relay can apply it")
 			return nil
@@ -101,7 +101,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			st, err := t.once(cmd, "status")
 			if err != nil {
@@ -109,7 +109,7 @@
 			}
 			lines, err := policy.Diff(st.State.Doc, text)
 			if err != nil {
-				return errWork{err}
+				return workError{err}
 			}
 			for _, l := range lines {
 				fmt.Fprintln(cmd.OutOrStdout(), l)
--- a/cmd/mastusher/replay.go
+++ b/cmd/mastusher/replay.go
@@ -20,7 +20,7 @@
 	"mastusher/internal/relay/engine"
 )
 
-func replayCommand(o *options) *cobra.Command {
+func replayCommand() *cobra.Command {
 	var until, from, length time.Duration
 	var explain, against, test string
 	cmd := &cobra.Command{Use: "replay FILE...", Short: "reproduce the decisions of captures, or say where they differ", Args: cobra.MinimumNArgs(1),
@@ -51,11 +51,11 @@
 					return replay(w, cmd.ErrOrStderr(), r, file, until, against)
 				})
 				if err != nil {
-					return errWork{fmt.Errorf("%s: %w", file, err)}
+					return workError{fmt.Errorf("%s: %w", file, err)}
 				}
 			}
 			if explain != "" && !found {
-				return errWork{fmt.Errorf("%w: %q", capture.ErrNoMessage, explain)}
+				return workError{fmt.Errorf("%w: %q", capture.ErrNoMessage, explain)}
 			}
 			return nil
 		}}
@@ -81,11 +81,11 @@
 	}
 	began := time.Now()
 	res, err := capture.Replay(r, o)
-	var coreDifference *engine.CoreDifference
+	var coreDifference *engine.CoreDifferenceError
 	if errors.As(err, &coreDifference) {
 		coreDiffers(w, res, coreDifference)
 	}
-	var difference *capture.Difference
+	var difference *capture.DifferenceError
 	if errors.As(err, &difference) {
 		moduleDiffers(w, res, difference)
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-func moduleDiffers(w io.Writer, res *capture.Result, d *capture.Difference) {
+func moduleDiffers(w io.Writer, res *capture.Result, d *capture.DifferenceError) {
 	fmt.Fprintf(w, "turn %d, %v after the start, differs after %d turns that are the same\n", d.Turn.No, d.Turn.Now-res.First, res.Turns-1)
 	list(w, "events", d.Turn.Events, res.Event)
 	list(w, "recorded", d.Turn.Actions, res.Action)
@@ -161,9 +161,9 @@
 	}
 }
 
-func coreDiffers(w io.Writer, res *capture.Result, d *engine.CoreDifference) {
+func coreDiffers(w io.Writer, res *capture.Result, d *engine.CoreDifferenceError) {
 	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
-		moduleDiffers(w, res, &capture.Difference{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
+		moduleDiffers(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
 	}
 	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Reason)
 	list(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
@@ -180,12 +180,12 @@
 func firstTurn(file string) (at time.Duration, err error) {
 	err = reading(file, func(r *capture.Reader) error {
 		for {
-			c, err := r.Next()
-			if err != nil {
-				return err
+			chunk, nextErr := r.Next()
+			if nextErr != nil {
+				return nextErr
 			}
-			if c.Turns > 0 {
-				at = c.First
+			if chunk.Turns > 0 {
+				at = chunk.First
 				return nil
 			}
 		}
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -107,10 +107,10 @@
 			state, file := filepath.Join(dir, "state"), filepath.Join(dir, "config.json")
 			text := fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": {"index": 1, "snapshot": true, "endpoints": [
 				{"name": "s-0", "address": %q, "zone": "a", "type": "club-sites", "group": 0, "status": "ready"}]}, %s}`, front, nowhere, state, endpoint, orders)
-			if err := os.Mkdir(state, 0o700); err != nil {
+			if err = os.Mkdir(state, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			if err = os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			const each = 10
@@ -118,7 +118,7 @@
 			d := &daemon{address: front}
 			d.Cmd = exec.Command(os.Args[0], "serve", "--config", file, "--log-level", "debug")
 			d.Env, d.Stderr = append(os.Environ(), "MASTUSHER_TEST_RUN=1"), began
-			if err := d.Start(); err != nil {
+			if err = d.Start(); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = d.Process.Kill(); _ = d.Wait() })
@@ -185,7 +185,7 @@
 				t.Fatal(err)
 			}
 			file := filepath.Join(dir, "config.json")
-			if err := syscall.Mkfifo(file, 0o600); err != nil {
+			if err = syscall.Mkfifo(file, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			d := &daemon{address: front}
@@ -209,7 +209,7 @@
 			}
 			_ = pipe.Close()
 			if s == syscall.SIGTERM {
-				if err := d.Wait(); err != nil {
+				if err = d.Wait(); err != nil {
 					t.Errorf("it ends with %v", err)
 				}
 				return
--- a/cmd/mastusher/stored_format_test.go
+++ b/cmd/mastusher/stored_format_test.go
@@ -36,10 +36,10 @@
 			}
 			dir := t.TempDir()
 			state, file := filepath.Join(dir, "state"), filepath.Join(dir, "config.json")
-			if err := os.Mkdir(state, 0o700); err != nil {
+			if err = os.Mkdir(state, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(state, "journal.log"), stored, 0o600); err != nil {
+			if err = os.WriteFile(filepath.Join(state, "journal.log"), stored, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			endpoints, err := standin.NewEndpoints(1, func(standin.Arrival) httpwire.Answer { return httpwire.Answer{Status: 200} })
@@ -57,7 +57,7 @@
 				t.Fatal(err)
 			}
 			text := fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s}`, address, discovery.Address, state, list, storedLanes)
-			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			if err = os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			d := &daemon{address: address, discovery: discovery.Address, known: list}
@@ -86,7 +86,7 @@
 				t.Errorf("notices (-want +got)\n%s", diff)
 			}
 			_ = d.Process.Signal(syscall.SIGTERM)
-			if err := d.Wait(); err != nil {
+			if err = d.Wait(); err != nil {
 				t.Errorf("the relay ends with %v", err)
 			}
 			l, err := journal.Open(state, 3<<20)
--- a/internal/relay/activitypub/inbox.go
+++ b/internal/relay/activitypub/inbox.go
@@ -95,7 +95,7 @@
 	m = engine.Message{ID: id, Key: id, Class: class, Deadline: now.Add(f.messageClasses[class].Deadline), Body: q.Body,
 		Header: q.Header}
 	if v := activity.Get("endTime"); v.Exists() {
-		if err := limitDeadline(&m, v.String(), now); err != nil {
+		if err = limitDeadline(&m, v.String(), now); err != nil {
 			return m, false, err
 		}
 	}
--- a/internal/relay/activitypub/keys.go
+++ b/internal/relay/activitypub/keys.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if k, err := x509.ParsePKCS1PrivateKey(block); err == nil {
+	if k, pkcs1Err := x509.ParsePKCS1PrivateKey(block); pkcs1Err == nil {
 		return k, nil
 	}
 	k, err := x509.ParsePKCS8PrivateKey(block)
--- a/internal/relay/capture/capture_test.go
+++ b/internal/relay/capture/capture_test.go
@@ -43,7 +43,7 @@
 					t.Fatal(err)
 				}
 				var x control.Snapshot
-				if err := cbor.Unmarshal(text, &x); err != nil {
+				if err = cbor.Unmarshal(text, &x); err != nil {
 					t.Fatal(err)
 				}
 				if twin, err = control.Restore(settings(), &x); err != nil {
@@ -163,7 +163,7 @@
 		t.Fatal(err, want)
 	}
 	_, err = replayed(altered.Bytes(), Options{})
-	var d *Difference
+	var d *DifferenceError
 	if !errors.As(err, &d) || d.Turn.No != want || len(d.State) < 2 {
 		t.Errorf("%v, want a difference in turn %d that is explained: %+v", err, want, d)
 	}
--- a/internal/relay/capture/core_events.go
+++ b/internal/relay/capture/core_events.go
@@ -70,7 +70,7 @@
 	Limit      float64        `cbor:"6,keyasint,omitempty"`
 }
 
-// List is an endpoint list, or what has changed in it.
+// EndpointList is an endpoint list, or what has changed in it.
 type EndpointList struct {
 	Index        int64              `cbor:"1,keyasint,omitempty"`
 	Complete     bool               `cbor:"2,keyasint,omitempty"`
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -187,7 +187,7 @@
 		}
 		file := filepath.Join("testdata", name+Ext)
 		if *corpus {
-			if err := os.WriteFile(file, text, 0o644); err != nil {
+			if err = os.WriteFile(file, text, 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -42,8 +42,8 @@
 			_ = os.WriteFile(mutant, []byte(strings.Replace(string(source), c.old, c.new, 1)), 0o600)
 			text, _ := json.Marshal(map[string]any{"Replace": map[string]string{policy: mutant}})
 			_ = os.WriteFile(overlay, text, 0o600)
-			if out, err := exec.Command("go", "build", "-overlay", overlay, "-o", program, "./testdata/replayer").CombinedOutput(); err != nil {
-				t.Fatalf("%v\n%s", err, out)
+			if out, buildErr := exec.Command("go", "build", "-overlay", overlay, "-o", program, "./testdata/replayer").CombinedOutput(); buildErr != nil {
+				t.Fatalf("%v\n%s", buildErr, out)
 			}
 			out, err := exec.Command(program, files...).CombinedOutput()
 			if err != nil {
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	var head [fileHead]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil || string(head[:4]) != fileMagic {
+	if _, err = io.ReadFull(r, head[:]); err != nil || string(head[:4]) != fileMagic {
 		return nil, errors.New("capture: this is no capture")
 	}
 	if head[4] != Major {
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -9,15 +9,15 @@
 	"mastusher/control"
 )
 
-// Difference is the first turn in which a replay decides otherwise than the capture tells.
-type Difference struct {
+// DifferenceError is the first turn in which a replay decides otherwise than the capture tells.
+type DifferenceError struct {
 	Turn *Turn
 	Got  []control.Action
 	// State is what explains it: the destinations concerned, as the replay has them after the turn.
 	State []string
 }
 
-func (d *Difference) Error() string {
+func (d *DifferenceError) Error() string {
 	return fmt.Sprintf("capture: turn %d differs", d.Turn.No)
 }
 
@@ -54,7 +54,7 @@
 	Torn     error
 }
 
-// Replay feeds a capture's events to a module and compares what it decides. It returns a *Difference at the first turn
+// Replay feeds a capture's events to a module and compares what it decides. It returns a *DifferenceError at the first turn
 // that differs, ErrGap where turns are missing, and otherwise nil at the end of what can be read.
 func Replay(r *Reader, o Options) (*Result, error) {
 	p := newPlayer()
@@ -165,7 +165,7 @@
 		p.result.Differ++
 		return nil
 	}
-	return &Difference{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, Concerned(t, p.actions))}
+	return &DifferenceError{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, Concerned(t, p.actions))}
 }
 
 // count notes how messages end in the replay: what the destinations answered stands as recorded.
--- a/internal/relay/capture/stored_format_test.go
+++ b/internal/relay/capture/stored_format_test.go
@@ -143,7 +143,7 @@
 		t.Errorf("the chunk's head (-want +got)\n%s", d)
 	}
 	var got []any
-	if err := r.Records(c, func(record any) error { got = append(got, record); return nil }); err != nil {
+	if err = r.Records(c, func(record any) error { got = append(got, record); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(want, got); d != "" {
--- a/internal/relay/capture/window.go
+++ b/internal/relay/capture/window.go
@@ -104,7 +104,7 @@
 		return k.err
 	}
 	// What differs may be what the test is for: the window is of what was recorded, and goes on.
-	if err := k.player.record(record); err != nil && !errors.As(err, new(*Difference)) {
+	if err := k.player.record(record); err != nil && !errors.As(err, new(*DifferenceError)) {
 		return err
 	}
 	if k.core != nil {
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/words.go
@@ -136,7 +136,7 @@
 
 var verdictWords = [...]string{"taken on", "busy", "given up", "rejected"}
 
-// Action is what the core did in words.
+// CoreAction is what the core did in words.
 func (res *Result) CoreAction(d Action) string {
 	switch d.Kind {
 	case Replied:
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -385,8 +385,8 @@
 	r.front.answers <- []Outcome{{Result: control.Delivered}}
 	<-r.core.Drained()
 	for range 2 { // whoever passed Submit's check before Drain is answered until Stop, and in the very last turn
-		late, reply := r.arrival("o", 1, 8, time.Second)
-		if r.core.queue <- late; (<-reply).Verdict != Busy {
+		late, lateReply := r.arrival("o", 1, 8, time.Second)
+		if r.core.queue <- late; (<-lateReply).Verdict != Busy {
 			t.Error("a message that came after the relay had drained is not refused")
 		}
 	}
@@ -459,10 +459,10 @@
 // drains: nothing of it may be written any more.
 func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
 	for name, happens := range map[string]func(r *harness, out, on *Attempt){
-		"a wait is told": func(r *harness, out, on *Attempt) {
+		"a wait is told": func(r *harness, out, _ *Attempt) {
 			r.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
-		"it drains": func(r *harness, _, on *Attempt) {
+		"it drains": func(r *harness, _, _ *Attempt) {
 			r.turnAfter(0, listChanged{r.core.frontsInOrder[0], r.core.frontsInOrder[0].listReportedBy, EndpointList{Destinations: []Destination{
 				{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
 		},
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -32,8 +32,8 @@
 	recorded   singleTurn
 }
 
-// CoreDifference is the first turn in which the core does otherwise than was recorded.
-type CoreDifference struct {
+// CoreDifferenceError is the first turn in which the core does otherwise than was recorded.
+type CoreDifferenceError struct {
 	Input         *capture.Input
 	Turn          *capture.Turn // the module's in it; nil: none
 	Got           capture.Input
@@ -43,7 +43,7 @@
 	Reason        string
 }
 
-func (d *CoreDifference) Error() string {
+func (d *CoreDifferenceError) Error() string {
 	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Reason)
 }
 
@@ -81,7 +81,7 @@
 
 func (t *singleTurn) Close() {}
 
-// Record takes the next record; it returns a *CoreDifference at the first turn that differs.
+// Record takes the next record; it returns a *CoreDifferenceError at the first turn that differs.
 func (r *CoreReplay) Record(record any) error {
 	switch v := record.(type) {
 	case *capture.Begin:
@@ -171,7 +171,7 @@
 func (r *CoreReplay) input(in *capture.Input, turn *capture.Turn) error {
 	core := r.core
 	r.noRoomFor, r.accepts, r.flushFails, r.recorded = in.Full, 0, in.Failed, singleTurn{}
-	difference := &CoreDifference{Input: in, Turn: turn}
+	difference := &CoreDifferenceError{Input: in, Turn: turn}
 	now := core.timeOf(in.Now)
 	var events []event
 	moduleOutcomes := outcomes(turn, len(core.moduleEvents))
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -304,7 +304,7 @@
 			r.recorded.input.Actions = nil
 			return err
 		})
-		var d *CoreDifference
+		var d *CoreDifferenceError
 		if errors.As(err, &d) {
 			rt.Fatalf("%v\nrecorded %+v\ndid      %+v\nmodule told %+v\nreplay      %+v", d, d.Input.Actions, d.Got.Actions, d.Turn, d.ModuleEvents)
 		}
@@ -392,7 +392,7 @@
 				}
 				return r.Record(record)
 			})
-			var d *CoreDifference
+			var d *CoreDifferenceError
 			if !errors.As(err, &d) || d.Input.Now != altered || d.Reason == "" {
 				t.Errorf("altered at %v: %v", altered, err)
 			}
--- a/internal/relay/plugin/attempt.go
+++ b/internal/relay/plugin/attempt.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		v.counts.Failures.Add(1)
 		switch result = gate.Failed; {
-		case errors.As(err, new(errStart)):
+		case errors.As(err, new(startError)):
 			result = gate.Crashed
 		case errors.Is(err, ErrTimeout):
 			result = gate.Overran
--- a/internal/relay/plugin/compile.go
+++ b/internal/relay/plugin/compile.go
@@ -17,10 +17,10 @@
 	"mastusher/internal/relay/plugin/wasm"
 )
 
-// Fault is what keeps a module from being loaded, a line each.
-type Fault []string
+// ModuleError is what keeps a module from being loaded, a line each.
+type ModuleError []string
 
-func (f Fault) Error() string { return strings.Join(f, "; ") }
+func (f ModuleError) Error() string { return strings.Join(f, "; ") }
 
 // load reads, checks, compiles and warms up a module. It takes processor time, on a thread that gives way.
 func (h *Host) load(cfg config.Plugin, text []byte) (v *version, err error) {
@@ -111,7 +111,7 @@
 type moduleCheck struct {
 	code    wazero.CompiledModule
 	exports map[string]api.FunctionDefinition
-	faults  Fault
+	faults  ModuleError
 }
 
 func (c *moduleCheck) fail(format string, args ...any) {
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -148,7 +148,7 @@
 	if g := h.current.Load(); g != nil {
 		s.Generation = g.number
 		for _, v := range g.chain {
-			s.Plugins = append(s.Plugins, PluginStatus{v.cfg.Name, v.cfg.File, fmt.Sprintf("%016x", v.hash), v.abi,
+			s.Plugins = append(s.Plugins, StatusEntry{v.cfg.Name, v.cfg.File, fmt.Sprintf("%016x", v.hash), v.abi,
 				phaseNames(v.phases)})
 		}
 	}
--- a/internal/relay/plugin/status.go
+++ b/internal/relay/plugin/status.go
@@ -30,11 +30,11 @@
 	Generation int
 	At         time.Time
 	Error      string // of the last load; what ran before goes on
-	Plugins    []PluginStatus
+	Plugins    []StatusEntry
 }
 
-// PluginStatus is one plug-in that runs.
-type PluginStatus struct {
+// StatusEntry is one plug-in that runs.
+type StatusEntry struct {
 	Name   string
 	File   string
 	Module string // xxhash of its bytes
@@ -69,7 +69,7 @@
 	r := gjson.ParseBytes(text)
 	s = Status{Generation: int(r.Get("generation").Int()), At: r.Get("at").Time(), Error: r.Get("error").String()}
 	r.Get("plugins").ForEach(func(_, p gjson.Result) bool {
-		s.Plugins = append(s.Plugins, PluginStatus{p.Get("name").String(), p.Get("file").String(), p.Get("module").String(),
+		s.Plugins = append(s.Plugins, StatusEntry{p.Get("name").String(), p.Get("file").String(), p.Get("module").String(),
 			int(p.Get("abi").Int()), p.Get("phases").String()})
 		return true
 	})
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -90,10 +90,10 @@
 	w.version.workersDone.Done()
 }
 
-// errStart marks a failure to start an instance.
-type errStart struct{ error }
+// startError marks a failure to start an instance.
+type startError struct{ error }
 
-func (e errStart) Unwrap() error { return e.error }
+func (e startError) Unwrap() error { return e.error }
 
 func (w *worker) do(j *job) error {
 	w.call, w.outcome, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
@@ -102,7 +102,7 @@
 	}
 	if w.module == nil {
 		if err := w.start(); err != nil {
-			return errStart{err}
+			return startError{err}
 		}
 	}
 	w.seed(j.call.ID, j.call.Phase)
