--- a/internal/tools/knownred/events.go
+++ b/internal/tools/knownred/events.go
@@ -8,77 +8,78 @@
 	"strings"
 )
 
-// event is one line of `go test -json`.
+// event is one line of `go test -json` (go doc test2json). The fields have the names of the JSON keys.
 type event struct {
 	Action      string
 	Package     string
-	ImportPath  string // of what was built, in place of Package
+	ImportPath  string // of what was built: build events have no Package
 	Test        string
 	Output      string
 	FailedBuild string
 }
 
-// maxLine bounds one line of events.
-const maxLine = 8 << 20
+// maxEventBytes bounds one line of events.
+const maxEventBytes = 8 << 20
 
-// results is what the tests of several packages came to.
+// results collects the outcome of the tests of several packages. It must be used by one goroutine.
 type results struct {
-	passed   map[test]bool
-	failed   map[test]bool
-	ended    map[string]bool // packages, and whether each passed
-	crashed  map[string]bool // packages that broke off or could not be built: other tests may not have run
-	progress io.Writer       // takes a line for each package and the output of what failed
+	passed        map[testID]bool
+	failed        map[testID]bool
+	packagePassed map[string]bool // by package, of those that have ended
+	crashed       map[string]bool // packages that crashed or were not built: other tests of them may not have run
+	progress      io.Writer       // gets a line for each package, and the output of what failed
 
-	output map[test]*strings.Builder // not yet written; an empty Name: of the package itself
-	builds map[string]*strings.Builder
+	pendingOutput map[testID]*strings.Builder // not yet written; that of the package itself has an empty Name
+	buildOutput   map[string]*strings.Builder
 }
 
 func newResults(progress io.Writer) *results {
-	return &results{passed: map[test]bool{}, failed: map[test]bool{}, ended: map[string]bool{}, crashed: map[string]bool{},
-		progress: progress, output: map[test]*strings.Builder{}, builds: map[string]*strings.Builder{}}
+	return &results{passed: map[testID]bool{}, failed: map[testID]bool{}, packagePassed: map[string]bool{}, crashed: map[string]bool{},
+		progress: progress, pendingOutput: map[testID]*strings.Builder{}, buildOutput: map[string]*strings.Builder{}}
 }
 
-// read takes all events.
+// read applies all events up to the end of the input. It fails with an eventError at a line that is no event.
 func (r *results) read(from io.Reader) error {
 	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		var one event
-		if err := json.Unmarshal(lines.Bytes(), &one); err != nil {
-			return fmt.Errorf("%q is no event of go test -json: %w", lines.Text(), err)
+		var next event
+		if err := json.Unmarshal(lines.Bytes(), &next); err != nil {
+			return &eventError{Line: lines.Text(), Cause: err}
 		}
-		r.take(one)
+		r.apply(next)
 	}
 	return lines.Err()
 }
 
-func (r *results) take(one event) {
-	function, _, _ := strings.Cut(one.Test, "/")
-	of := test{Package: one.Package, Name: function}
-	switch one.Action {
+// apply adds one event. The outcome of a subtest is that of its test function, whose own event follows.
+func (r *results) apply(e event) {
+	function, _, _ := strings.Cut(e.Test, "/")
+	id := testID{Package: e.Package, Name: function}
+	switch e.Action {
 	case "output":
-		r.note(of, one.Output)
+		r.bufferOutput(id, e.Output)
 	case "build-output":
-		builderOf(r.builds, one.ImportPath).WriteString(one.Output)
+		builderOf(r.buildOutput, e.ImportPath).WriteString(e.Output)
 	case "pass", "skip", "fail":
 		if function == "" {
-			r.endPackage(one)
-		} else if one.Test == function {
-			r.endTest(of, one.Action)
+			r.endPackage(e)
+		} else if e.Test == function {
+			r.endTest(id, e.Action)
 		}
 	}
 }
 
-// note keeps output until it is known whether it is to be shown.
-func (r *results) note(of test, text string) {
-	if breaksOff(text) {
-		r.crashed[of.Package] = true
+// bufferOutput keeps output until it is known whether it is to be shown.
+func (r *results) bufferOutput(id testID, text string) {
+	if isCrash(text) {
+		r.crashed[id.Package] = true
 	}
-	builderOf(r.output, of).WriteString(text)
+	builderOf(r.pendingOutput, id).WriteString(text)
 }
 
-// breaksOff tells whether a line shows that the package's process ended before all tests had.
-func breaksOff(line string) bool {
+// isCrash reports whether a line shows that the package's process ended before all tests had.
+func isCrash(line string) bool {
 	for _, start := range []string{"panic: ", "fatal error: ", "signal: "} {
 		if strings.HasPrefix(line, start) {
 			return true
@@ -87,48 +88,52 @@
 	return false
 }
 
-func (r *results) endTest(of test, action string) {
+// endTest records the outcome of a test function, and shows the output of one that failed.
+func (r *results) endTest(id testID, action string) {
 	switch action {
 	case "pass":
-		r.passed[of] = true
+		r.passed[id] = true
 	case "fail":
-		r.failed[of] = true
-		r.show(of)
+		r.failed[id] = true
+		r.show(id)
 	}
-	delete(r.output, of)
+	delete(r.pendingOutput, id)
 }
 
-func (r *results) endPackage(one event) {
-	whole := test{Package: one.Package}
-	passed := one.Action != "fail"
-	r.ended[one.Package] = passed
-	if one.FailedBuild != "" {
-		r.crashed[one.Package] = true
-		fmt.Fprint(r.progress, builderOf(r.builds, one.FailedBuild).String())
+// endPackage records the outcome of a package. A test of it that has output left has never ended: the package crashed.
+func (r *results) endPackage(e event) {
+	packageID := testID{Package: e.Package}
+	passed := e.Action != "fail"
+	r.packagePassed[e.Package] = passed
+	if e.FailedBuild != "" {
+		r.crashed[e.Package] = true
+		fmt.Fprint(r.progress, builderOf(r.buildOutput, e.FailedBuild).String())
 	}
-	for of := range r.output {
-		if of.Package == one.Package && of.Name != "" { // a test that never ended
-			r.crashed[one.Package] = true
-			r.show(of)
-			delete(r.output, of)
+	for id := range r.pendingOutput {
+		if id.Package == e.Package && id.Name != "" {
+			r.crashed[e.Package] = true
+			r.show(id)
+			delete(r.pendingOutput, id)
 		}
 	}
 	if passed {
-		r.showLast(whole)
+		r.showLast(packageID)
 	} else {
-		r.show(whole)
+		r.show(packageID)
 	}
-	delete(r.output, whole)
+	delete(r.pendingOutput, packageID)
 }
 
-func (r *results) show(of test) { fmt.Fprint(r.progress, builderOf(r.output, of).String()) }
+// show writes the output of a test or a package.
+func (r *results) show(id testID) { fmt.Fprint(r.progress, builderOf(r.pendingOutput, id).String()) }
 
-// showLast writes the last line, which sums a package up.
-func (r *results) showLast(of test) {
-	text := strings.TrimRight(builderOf(r.output, of).String(), "\n")
+// showLast writes the last line of the output, which is the summary of a package.
+func (r *results) showLast(id testID) {
+	text := strings.TrimRight(builderOf(r.pendingOutput, id).String(), "\n")
 	fmt.Fprintln(r.progress, text[strings.LastIndex(text, "\n")+1:])
 }
 
+// builderOf returns the builder of the key, made at its first use.
 func builderOf[K comparable](all map[K]*strings.Builder, key K) *strings.Builder {
 	if all[key] == nil {
 		all[key] = &strings.Builder{}
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -39,7 +39,7 @@
 	listsBad = "TestBad p loses a race #7\n"
 )
 
-func TestOnlyListedFailuresArePassedOver(t *testing.T) {
+func TestRun_OnlyListedFailures_Pass(t *testing.T) {
 	cases := []struct {
 		name   string
 		list   string
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestReadList(t *testing.T) {
+func TestReadList_EachKindOfLine(t *testing.T) {
 	cases := []struct {
 		name  string
 		text  string
@@ -107,7 +107,7 @@
 		{
 			name: "a cause of several words",
 			text: "TestA mastusher/p the clock goes back #12\n",
-			want: []entry{{test: test{Package: "mastusher/p", Name: "TestA"}, Cause: "the clock goes back", Issue: "#12"}},
+			want: []entry{{testID: testID{Package: "mastusher/p", Name: "TestA"}, Cause: "the clock goes back", Issue: "#12"}},
 		},
 		{name: "no issue", text: "TestA p cause\n", fault: "line 1"},
 		{name: "a part of a test", text: "\nTestA/b p cause #1\n", fault: "line 2"},
@@ -128,7 +128,7 @@
 }
 
 // The project's own list must be one that can be read.
-func TestTheProjectsList(t *testing.T) {
+func TestReadList_ProjectList_IsValid(t *testing.T) {
 	file, err := os.Open("../../../KNOWN-RED.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -2,62 +2,63 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"strings"
 )
 
-// test names one test function of one package.
-type test struct {
+// testID names one test function of one package.
+type testID struct {
 	Package string
 	Name    string
 }
 
 // entry is one line of the list: a test that is known to fail, why, and where that is being worked on.
 type entry struct {
-	test
+	testID
 	Cause string
 	Issue string
 }
 
-// fewestFields of a line: name, package, cause, issue.
-const fewestFields = 4
+// minFields of a line: name, package, cause, issue.
+const minFields = 4
 
-// readList reads the list. Only whole test functions may stand there, each once.
+// readList reads the list; blank lines are skipped. It fails with a lineError at a line that is no entry, that names anything but
+// a test function, or that names a test a second time.
 func readList(from io.Reader) ([]entry, error) {
 	var list []entry
-	seen := map[test]bool{}
+	seen := map[testID]bool{}
 	lines := bufio.NewScanner(from)
 	for number := 1; lines.Scan(); number++ {
-		if strings.TrimSpace(lines.Text()) == "" {
+		text := lines.Text()
+		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		read, err := readEntry(lines.Text())
-		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", number, err)
+		parsed, err := parseEntry(text)
+		if err == nil && seen[parsed.testID] {
+			err = errDuplicate
 		}
-		if seen[read.test] {
-			return nil, fmt.Errorf("line %d: %s of %s stands there twice", number, read.Name, read.Package)
+		if err != nil {
+			return nil, &lineError{Number: number, Text: text, Cause: err}
 		}
-		seen[read.test] = true
-		list = append(list, read)
+		seen[parsed.testID] = true
+		list = append(list, parsed)
 	}
 	return list, lines.Err()
 }
 
-// readEntry reads one line: the cause may have several words.
-func readEntry(line string) (entry, error) {
+// parseEntry parses one line; the cause may have several words. Errors: errTooFewFields, errNoTest.
+func parseEntry(line string) (entry, error) {
 	fields := strings.Fields(line)
-	if len(fields) < fewestFields {
-		return entry{}, fmt.Errorf("not TestName package cause issue: %q", line)
+	if len(fields) < minFields {
+		return entry{}, errTooFewFields
 	}
 	name, last := fields[0], len(fields)-1
 	if !strings.HasPrefix(name, "Test") || strings.Contains(name, "/") {
-		return entry{}, fmt.Errorf("%q is no test function", name)
+		return entry{}, errNoTest
 	}
 	return entry{
-		test:  test{Package: fields[1], Name: name},
-		Cause: strings.Join(fields[2:last], " "),
-		Issue: fields[last],
+		testID: testID{Package: fields[1], Name: name},
+		Cause:  strings.Join(fields[2:last], " "),
+		Issue:  fields[last],
 	}, nil
 }
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,5 +1,3 @@
-// Command knownred reads the events of `go test -json`, shows what failed, and passes over just the tests that a list
-// names as known to fail. It is a tool of `make check`.
 package main
 
 import (
@@ -8,41 +6,48 @@
 	"os"
 )
 
+// Exit statuses.
+const (
+	statusPassed = 0
+	statusFailed = 1
+	statusUsage  = 2 // also of a list or events that can't be read
+)
+
 func main() {
 	if len(os.Args) < 3 {
 		fmt.Fprintln(os.Stderr, "usage: go test -json PACKAGE... | knownred LIST PACKAGE...")
-		os.Exit(2)
+		os.Exit(statusUsage)
 	}
 	os.Exit(run(os.Args[1], os.Args[2:], os.Stdin, os.Stdout))
 }
 
-// run gives the status: 0 if nothing failed but what the list names.
-func run(path string, wanted []string, events io.Reader, output io.Writer) int {
-	file, err := os.Open(path)
+// run judges the events of the packages by the list in the file at listPath, and returns the exit status.
+func run(listPath string, packages []string, events io.Reader, output io.Writer) int {
+	file, err := os.Open(listPath)
 	if err != nil {
 		fmt.Fprintln(output, "knownred:", err)
-		return 2
+		return statusUsage
 	}
 	defer file.Close()
 	list, err := readList(file)
 	if err != nil {
-		fmt.Fprintf(output, "knownred: %s: %v\n", path, err)
-		return 2
+		fmt.Fprintf(output, "knownred: %s: %v\n", listPath, err)
+		return statusUsage
 	}
 	got := newResults(output)
 	if err := got.read(events); err != nil {
 		fmt.Fprintln(output, "knownred:", err)
-		return 2
+		return statusUsage
 	}
-	told := judge(list, got, wanted)
-	for _, notice := range told.Notices {
+	outcome := judge(list, got, packages)
+	for _, notice := range outcome.Notices {
 		fmt.Fprintln(output, "NOTE:", notice)
 	}
-	for _, fault := range told.Faults {
-		fmt.Fprintln(output, "FAILED:", fault)
+	for _, failure := range outcome.Failures {
+		fmt.Fprintln(output, "FAILED:", failure)
 	}
-	if len(told.Faults) > 0 {
-		return 1
+	if len(outcome.Failures) > 0 {
+		return statusFailed
 	}
-	return 0
+	return statusPassed
 }
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -7,57 +7,78 @@
 	"slices"
 )
 
-// verdict says whether the tests may pass, with a sentence for each thing to be told.
+// verdict says whether the check passes, with one sentence for each finding.
 type verdict struct {
-	Faults  []string // what makes the check fail
-	Notices []string
+	Failures []string // the check fails if there is any
+	Notices  []string
 }
 
-// judge holds the results of the wanted packages to the list.
-func judge(list []entry, got *results, wanted []string) verdict {
+// judge compares the results of the packages with the list. Findings come in this order: failed tests, packages, listed tests
+// that passed or did not run.
+func judge(list []entry, got *results, packages []string) verdict {
 	var v verdict
-	listed := map[test]entry{}
-	for _, one := range list {
-		listed[one.test] = one
+	excused := v.judgeFailedTests(list, got)
+	v.judgePackages(got, packages, excused)
+	v.judgeUnfailedEntries(list, got)
+	return v
+}
+
+// judgeFailedTests judges each test that failed, and returns the packages in which a listed one did.
+func (v *verdict) judgeFailedTests(list []entry, got *results) (excused map[string]bool) {
+	listed := map[testID]entry{}
+	for _, known := range list {
+		listed[known.testID] = known
 	}
-	excused := map[string]bool{} // packages with a listed test that failed
+	excused = map[string]bool{}
 	for _, failed := range sorted(got.failed) {
-		one, known := listed[failed]
-		if !known {
-			v.Faults = append(v.Faults, fmt.Sprintf("%s of %s failed", failed.Name, failed.Package))
+		known, isListed := listed[failed]
+		if !isListed {
+			v.fail("%s of %s failed", failed.Name, failed.Package)
 			continue
 		}
 		excused[failed.Package] = true
-		v.Notices = append(v.Notices, fmt.Sprintf("known to fail: %s of %s, %s, %s", one.Name, one.Package, one.Cause, one.Issue))
-	}
-	v.packages(got, wanted, excused)
-	for _, one := range list {
-		switch {
-		case got.passed[one.test]:
-			v.Notices = append(v.Notices, fmt.Sprintf("passes, though listed as known to fail: %s of %s, %s", one.Name, one.Package, one.Issue))
-		case !got.failed[one.test]:
-			v.Faults = append(v.Faults, fmt.Sprintf("%s of %s is listed and did not run", one.Name, one.Package))
-		}
+		v.notice("known to fail: %s of %s, %s, %s", known.Name, known.Package, known.Cause, known.Issue)
 	}
-	return v
+	return excused
 }
 
-// packages judges each package as a whole.
-func (v *verdict) packages(got *results, wanted []string, excused map[string]bool) {
-	for _, name := range wanted {
-		passed, ended := got.ended[name]
+// judgePackages judges the outcome of each package. One that failed must have a failed test, or it failed by itself.
+func (v *verdict) judgePackages(got *results, packages []string, excused map[string]bool) {
+	for _, name := range packages {
+		passed, ended := got.packagePassed[name]
 		switch {
 		case !ended:
-			v.Faults = append(v.Faults, fmt.Sprintf("the tests of %s have no end", name))
+			v.fail("the tests of %s have no end", name)
 		case passed:
 		case got.crashed[name]:
-			v.Faults = append(v.Faults, fmt.Sprintf("the tests of %s broke off or were not built", name))
+			v.fail("the tests of %s broke off or were not built", name)
 		case !excused[name] && !hasFailure(got, name):
-			v.Faults = append(v.Faults, fmt.Sprintf("%s failed with no failed test", name))
+			v.fail("%s failed with no failed test", name)
+		}
+	}
+}
+
+// judgeUnfailedEntries judges the listed tests that did not fail: a pass is a notice, but each must have run.
+func (v *verdict) judgeUnfailedEntries(list []entry, got *results) {
+	for _, known := range list {
+		switch {
+		case got.passed[known.testID]:
+			v.notice("passes, though listed as known to fail: %s of %s, %s", known.Name, known.Package, known.Issue)
+		case !got.failed[known.testID]:
+			v.fail("%s of %s is listed and did not run", known.Name, known.Package)
 		}
 	}
 }
 
+func (v *verdict) fail(format string, values ...any) {
+	v.Failures = append(v.Failures, fmt.Sprintf(format, values...))
+}
+
+func (v *verdict) notice(format string, values ...any) {
+	v.Notices = append(v.Notices, fmt.Sprintf(format, values...))
+}
+
+// hasFailure reports whether a test of the package failed.
 func hasFailure(got *results, name string) bool {
 	for failed := range got.failed {
 		if failed.Package == name {
@@ -67,8 +88,9 @@
 	return false
 }
 
-func sorted(tests map[test]bool) []test {
-	return slices.SortedFunc(maps.Keys(tests), func(a, b test) int {
+// sorted returns the tests by package and name.
+func sorted(tests map[testID]bool) []testID {
+	return slices.SortedFunc(maps.Keys(tests), func(a, b testID) int {
 		return cmp.Or(cmp.Compare(a.Package, b.Package), cmp.Compare(a.Name, b.Name))
 	})
 }
--- /dev/null
+++ b/internal/tools/mutation/doc.go
@@ -0,0 +1,18 @@
+// Package mutation runs mutation tests: it shows that a package's tests notice deliberate faults in its source. A mutant is a
+// small change of the source. The package is built with the changed file laid over the original (`go test -overlay`), so that
+// no mutant is ever written into the repository, and its tests must fail. A package lists its mutants in a test:
+//
+//	func TestMutantsAreCaught(t *testing.T) {
+//		mutation.Test(t, []mutation.Mutant{{
+//			Name:   "messages of older terms are accepted",
+//			Change: mutation.Change{File: "follower.go", Old: "if message.Term < r.hardState.Term {", New: "if false {"},
+//			Run:    "TestCampaigns_RandomFaults_StaySafeAndRecover",
+//		}})
+//	}
+//
+// A trial builds one mutant and runs its tests up to the first failure. Its verdict is nil for a mutant that a test killed, or
+// one of OutdatedError, BuildError, SurvivorError and UndecidedError. Trials of a package run in parallel, each in a scratch
+// folder of its own.
+//
+// Only tests import this package.
+package mutation
--- a/internal/tools/mutation/errors.go
+++ b/internal/tools/mutation/errors.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// OutdatedError says that a change doesn't fit the source: its old text isn't there once, or is the new one.
+// OutdatedError is returned for a change that doesn't fit the source: its old text doesn't occur exactly once, or equals the
+// new text.
 type OutdatedError struct {
 	Change Change
 	Count  int // how often the old text occurs
@@ -18,7 +19,7 @@
 	return fmt.Sprintf("%s holds the old text %d times and not once: %q", e.Change.File, e.Count, e.Change.Old)
 }
 
-// BuildError says that a mutant doesn't compile.
+// BuildError is returned for a mutant that doesn't compile.
 type BuildError struct {
 	Output string // of the compiler
 	Cause  error
@@ -30,26 +31,26 @@
 
 func (e *BuildError) Unwrap() error { return e.Cause }
 
-// SurvivorError says that the tests pass with a mutant.
+// SurvivorError is returned for a mutant with which the tests pass.
 type SurvivorError struct {
 	Run    string // pattern of the tests
-	Output string // the end of what they wrote
+	Output string // the last bytes of what they wrote, at most maxErrorOutput
 }
 
 func (e *SurvivorError) Error() string {
 	return fmt.Sprintf("the tests %q do not notice the mutant:\n%s", e.Run, e.Output)
 }
 
-// UndecidedError says that a trial ended without a verdict: the tests took too long, or could not be run.
+// UndecidedError is returned for a trial without a verdict: the tests timed out, could not be started, or none ran.
 type UndecidedError struct {
-	Run    string
-	After  time.Duration
-	Output string
-	Cause  error
+	Run     string        // pattern of the tests
+	Elapsed time.Duration // since the tests were started
+	Output  string        // the last bytes of what the tests wrote, at most maxErrorOutput
+	Cause   error
 }
 
 func (e *UndecidedError) Error() string {
-	return fmt.Sprintf("the tests %q give no verdict in %v: %v\n%s", e.Run, e.After.Round(time.Millisecond), e.Cause, e.Output)
+	return fmt.Sprintf("the tests %q give no verdict in %v: %v\n%s", e.Run, e.Elapsed.Round(time.Millisecond), e.Cause, e.Output)
 }
 
 func (e *UndecidedError) Unwrap() error { return e.Cause }
--- a/internal/tools/mutation/mutation_test.go
+++ b/internal/tools/mutation/mutation_test.go
@@ -52,7 +52,7 @@
 }
 `
 
-func givenSample(t *testing.T) string {
+func writeSamplePackage(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	files := map[string]string{"go.mod": "module sample\n\ngo 1.26\n", "sample.go": sampleSource, "sample_test.go": sampleTests}
@@ -68,8 +68,8 @@
 	return Change{File: "sample.go", Old: old, New: changed}
 }
 
-func TestTrial(t *testing.T) {
-	folder := givenSample(t)
+func TestRunTrial_EachKindOfMutant_GivesItsVerdict(t *testing.T) {
+	folder := writeSamplePackage(t)
 	neverFirst := sampleChange("a > b", "a > b && false")
 	var (
 		outdated  *OutdatedError
@@ -95,22 +95,22 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			noticed, err := try(t.Context(), folder, t.TempDir(), Mutant{Name: tc.name, Change: tc.change, Run: tc.run})
+			killedBy, err := runTrial(t.Context(), folder, t.TempDir(), Mutant{Name: tc.name, Change: tc.change, Run: tc.run})
 			if tc.fails != nil {
 				if !errors.As(err, tc.fails) {
 					t.Errorf("the error is %v, and not a %T", err, tc.fails)
 				}
 				return
 			}
-			if err != nil || !strings.HasPrefix(noticed, tc.noticed) {
-				t.Errorf("noticed by %q, error %v, and not by %q", noticed, err, tc.noticed)
+			if err != nil || !strings.HasPrefix(killedBy, tc.noticed) {
+				t.Errorf("noticed by %q, error %v, and not by %q", killedBy, err, tc.noticed)
 			}
 		})
 	}
 }
 
-func TestTrialThatTakesTooLongHasNoVerdict(t *testing.T) {
-	folder, scratch := givenSample(t), t.TempDir()
+func TestRunTests_Timeout_IsUndecided(t *testing.T) {
+	folder, scratch := writeSamplePackage(t), t.TempDir()
 	changed, err := mutate(folder, []Change{sampleChange("a > b", "a > b && false")})
 	if err != nil {
 		t.Fatal(err)
@@ -130,8 +130,8 @@
 	}
 }
 
-func TestChangesOfAFileAddUp(t *testing.T) {
-	folder := givenSample(t)
+func TestMutate_SeveralChangesOfOneFile_AddUp(t *testing.T) {
+	folder := writeSamplePackage(t)
 	changed, err := mutate(folder, []Change{sampleChange("a > b", "a < b"), sampleChange("a < b", "a == b")})
 	if err != nil {
 		t.Fatal(err)
@@ -146,9 +146,9 @@
 	}
 }
 
-func TestOriginalStaysAsItIs(t *testing.T) {
-	folder := givenSample(t)
-	if _, err := try(t.Context(), folder, t.TempDir(), Mutant{Change: sampleChange("a > b", "false"), Run: "^TestLarger$"}); err != nil {
+func TestRunTrial_LeavesTheSourceUnchanged(t *testing.T) {
+	folder := writeSamplePackage(t)
+	if _, err := runTrial(t.Context(), folder, t.TempDir(), Mutant{Change: sampleChange("a > b", "false"), Run: "^TestLarger$"}); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(filepath.Join(folder, "sample.go"))
--- a/internal/tools/mutation/trial.go
+++ b/internal/tools/mutation/trial.go
@@ -14,26 +14,27 @@
 	"time"
 )
 
-// What a test binary writes in the form that tells of each test, subtests too, as soon as it ends: the name of a test that fails comes after its mark, a panic or a fatal error ends the binary.
+// Prefixes of the lines that a test binary writes under verboseFlag. It reports each test and subtest as soon as that ends, the
+// name of a failed one after failPrefix; a panic or a fatal error ends the binary.
 const (
-	eventForm   = "-test.v=test2json"
-	eventMark   = "\x16"
-	runMark     = "=== RUN"
-	failMark    = "--- FAIL: "
-	panicMark   = "panic: "
-	fatalMark   = "fatal error: "
-	timeoutMark = "panic: test timed out"
+	verboseFlag   = "-test.v=test2json"
+	eventPrefix   = "\x16"
+	runPrefix     = "=== RUN"
+	failPrefix    = "--- FAIL: "
+	panicPrefix   = "panic: "
+	fatalPrefix   = "fatal error: "
+	timeoutPrefix = "panic: test timed out"
 )
 
-// waitDelay is how long a binary that was ended may hold its output open.
+// waitDelay is how long the output of a killed binary may stay open.
 const waitDelay = 5 * time.Second
 
-// outputKept bounds what an error tells of the tests' output, in bytes.
-const outputKept = 2000
+// maxErrorOutput bounds the tests' output in an error, in bytes; the last ones are kept.
+const maxErrorOutput = 2000
 
-// try builds the package in folder with the mutant and runs its tests until one fails. It returns the test that noticed the
-// mutant. Errors: OutdatedError, BuildError, SurvivorError, UndecidedError.
-func try(ctx context.Context, folder, scratch string, mutant Mutant) (string, error) {
+// runTrial builds the package in folder with the mutant and runs its tests until one fails. It returns the name of the
+// test that killed the mutant. Errors: OutdatedError, BuildError, SurvivorError, UndecidedError.
+func runTrial(ctx context.Context, folder, scratch string, mutant Mutant) (string, error) {
 	changed, err := mutate(folder, mutant.changes())
 	if err != nil {
 		return "", err
@@ -49,7 +50,7 @@
 	return runTests(ctx, folder, binary, mutant.Run, testTimeout)
 }
 
-// build makes the test binary of the package in folder.
+// build compiles the test binary of the package in folder with the overlay. Errors: BuildError.
 func build(ctx context.Context, folder, overlay, binary string) error {
 	ctx, cancel := context.WithTimeout(ctx, buildTimeout)
 	defer cancel()
@@ -61,83 +62,84 @@
 	return nil
 }
 
-// runTests runs a test binary until the first failure, and returns the name of the test that failed.
+// runTests runs a test binary until the first failure, and returns the name of the test that failed. The binary has ended when
+// it returns. Errors: SurvivorError, UndecidedError.
 func runTests(ctx context.Context, folder, binary, pattern string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	command := exec.CommandContext(ctx, binary, "-test.run", pattern, "-test.timeout", timeout.String(), "-test.failfast", eventForm)
+	command := exec.CommandContext(ctx, binary, "-test.run", pattern, "-test.timeout", timeout.String(), "-test.failfast", verboseFlag)
 	command.Dir = folder
 	command.Env = append(os.Environ(), trialVariable+"=1", "TMPDIR="+filepath.Dir(binary))
 	command.WaitDelay = waitDelay
 	output, writer := io.Pipe()
 	command.Stdout, command.Stderr = writer, writer
-	began := time.Now()
+	start := time.Now()
 	if err := command.Start(); err != nil {
 		return "", &UndecidedError{Run: pattern, Cause: err}
 	}
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	go func() {
-		ended <- command.Wait()
+		exited <- command.Wait()
 		writer.Close()
 	}()
-	read := readUntilFailure(output)
-	if read.failed != "" {
+	seen := readUntilFailure(output)
+	if seen.failedTest != "" {
 		cancel()
 	}
 	_, _ = io.Copy(io.Discard, output)
-	return verdict(pattern, time.Since(began), read, <-ended)
+	return verdict(pattern, time.Since(start), seen, <-exited)
 }
 
-// transcript is what was read of the tests' output.
+// transcript is what the output of the tests shows so far.
 type transcript struct {
-	failed   string // the first test that failed
-	panicked bool
-	timedOut bool
-	ran      bool // at least one test ran
-	tail     []byte
+	failedTest string // the first test that failed
+	panicked   bool
+	timedOut   bool
+	ran        bool // at least one test ran
+	outputTail []byte
 }
 
 // readUntilFailure reads the output up to its end or the first test that failed.
 func readUntilFailure(output io.Reader) transcript {
-	var read transcript
+	var seen transcript
 	lines := bufio.NewReader(output)
 	for {
 		line, err := lines.ReadString('\n')
-		read.tail = append(read.tail, line...)
-		read.tail = read.tail[max(0, len(read.tail)-outputKept):]
-		switch text := strings.TrimSpace(strings.TrimPrefix(line, eventMark)); {
-		case strings.HasPrefix(text, failMark):
-			read.failed = strings.TrimPrefix(text, failMark)
-			return read
-		case strings.HasPrefix(text, timeoutMark):
-			read.timedOut = true
-		case strings.HasPrefix(text, panicMark), strings.HasPrefix(text, fatalMark):
-			read.panicked = true
-		case strings.HasPrefix(text, runMark):
-			read.ran = true
+		seen.outputTail = append(seen.outputTail, line...)
+		seen.outputTail = seen.outputTail[max(0, len(seen.outputTail)-maxErrorOutput):]
+		switch text := strings.TrimSpace(strings.TrimPrefix(line, eventPrefix)); {
+		case strings.HasPrefix(text, failPrefix):
+			seen.failedTest = strings.TrimPrefix(text, failPrefix)
+			return seen
+		case strings.HasPrefix(text, timeoutPrefix):
+			seen.timedOut = true
+		case strings.HasPrefix(text, panicPrefix), strings.HasPrefix(text, fatalPrefix):
+			seen.panicked = true
+		case strings.HasPrefix(text, runPrefix):
+			seen.ran = true
 		}
 		if err != nil {
-			return read
+			return seen
 		}
 	}
 }
 
-// errNoTests says that the pattern names no test.
+// errNoTests is the cause of an UndecidedError whose pattern matches no test.
 var errNoTests = errors.New("no test ran")
 
-// verdict judges a run that has ended.
-func verdict(pattern string, took time.Duration, read transcript, ended error) (string, error) {
-	tail := string(bytes.TrimSpace(read.tail))
+// verdict returns the test that killed the mutant, or the error of a run that has ended with exitErr.
+func verdict(pattern string, took time.Duration, output transcript, exitErr error) (string, error) {
+	tail := string(bytes.TrimSpace(output.outputTail))
 	switch {
-	case read.failed != "":
-		return read.failed, nil
-	case !read.ran:
-		return "", &UndecidedError{Run: pattern, After: took, Output: tail, Cause: errors.Join(errNoTests, ended)}
-	case ended == nil:
+	case output.failedTest != "":
+		return output.failedTest, nil
+	case !output.ran:
+		return "", &UndecidedError{Run: pattern, Elapsed: took, Output: tail, Cause: errors.Join(errNoTests, exitErr)}
+	case exitErr == nil:
 		return "", &SurvivorError{Run: pattern, Output: tail}
-	case read.panicked && !read.timedOut:
-		return fmt.Sprintf("a panic (%v)", ended), nil
+	case output.panicked && !output.timedOut:
+		return fmt.Sprintf("a panic (%v)", exitErr), nil
 	default:
-		return "", &UndecidedError{Run: pattern, After: took, Output: tail, Cause: ended}
+		return "", &UndecidedError{Run: pattern, Elapsed: took, Output: tail, Cause: exitErr}
 	}
 }
--- a/internal/tools/packages/dpkg.go
+++ b/internal/tools/packages/dpkg.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// dpkg is what the package manager knows of this machine.
-type dpkg struct {
-	owners  map[string][]string // packages by the path of a file
-	depends map[string][]string // by the name of an installed package; all alternatives
+// packageDatabase is what the package manager knows of this machine.
+type packageDatabase struct {
+	owners       map[string][]string // packages by the path of a file
+	dependencies map[string][]string // by the name of an installed package; all alternatives
 }
 
-// askDpkg asks for the owners of files and for all dependencies.
-func askDpkg(files []string) (dpkg, error) {
+// queryDpkg asks for the owners of files and for all dependencies.
+func queryDpkg(files []string) (packageDatabase, error) {
 	var asked []string
 	for _, file := range files {
-		asked = append(asked, namesOf(file)...)
+		asked = append(asked, aliasesOf(file)...)
 	}
 	owned, err := exec.Command("dpkg-query", append([]string{"--search"}, asked...)...).Output()
 	if len(owned) == 0 { // its status also tells of names that nobody owns
-		return dpkg{}, fmt.Errorf("asking for the owners of files: %w", err)
+		return packageDatabase{}, fmt.Errorf("asking for the owners of files: %w", err)
 	}
 	installed, err := exec.Command("dpkg-query", "--show", "--showformat", `${Package}\t${Pre-Depends}, ${Depends}\n`).Output()
 	if err != nil {
-		return dpkg{}, fmt.Errorf("asking for the installed packages: %w", err)
+		return packageDatabase{}, fmt.Errorf("asking for the installed packages: %w", err)
 	}
-	return dpkg{owners: parseOwners(string(owned)), depends: parseDepends(string(installed))}, nil
+	return packageDatabase{owners: parseOwners(string(owned)), dependencies: parseDepends(string(installed))}, nil
 }
 
-// namesOf gives the names under which dpkg may know a file: /bin and /lib have become links to folders of /usr.
-func namesOf(file string) []string {
+// aliasesOf gives the names under which dpkg may know a file: /bin and /lib have become links to folders of /usr.
+func aliasesOf(file string) []string {
 	if rest, merged := strings.CutPrefix(file, "/usr"); merged {
 		return []string{file, rest}
 	}
@@ -47,7 +47,7 @@
 			continue
 		}
 		for _, name := range strings.Split(packages, ", ") {
-			owners[path] = append(owners[path], nameOf(name))
+			owners[path] = append(owners[path], packageName(name))
 		}
 	}
 	return owners
@@ -60,7 +60,7 @@
 		name, list, _ := strings.Cut(strings.TrimSpace(line), "\t")
 		names := []string{}
 		for _, wanted := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == '|' }) {
-			if wanted = nameOf(strings.TrimSpace(wanted)); wanted != "" {
+			if wanted = packageName(strings.TrimSpace(wanted)); wanted != "" {
 				names = append(names, wanted)
 			}
 		}
@@ -69,19 +69,19 @@
 	return depends
 }
 
-// nameOf strips version and architecture.
-func nameOf(text string) string {
+// packageName strips version and architecture.
+func packageName(text string) string {
 	name, _, _ := strings.Cut(text, " ")
 	name, _, _ = strings.Cut(name, ":")
 	return name
 }
 
-// judge returns what is wrong with a list: a file that none of its packages and none that these depend on owns, or a package
+// check returns what is wrong with a list: a file that none of its packages and none that these depend on owns, or a package
 // that isn't installed here, of which the build proves nothing.
-func (d dpkg) judge(files, listed []string) []error {
+func (d packageDatabase) check(files, listed []string) []error {
 	var faults []error
 	for _, name := range listed {
-		if _, installed := d.depends[name]; !installed {
+		if _, installed := d.dependencies[name]; !installed {
 			faults = append(faults, fmt.Errorf("%s is listed and not installed here", name))
 		}
 	}
@@ -95,8 +95,8 @@
 	return faults
 }
 
-func (d dpkg) ownersOf(file string) []string {
-	for _, name := range namesOf(file) {
+func (d packageDatabase) ownersOf(file string) []string {
+	for _, name := range aliasesOf(file) {
 		if owners := d.owners[name]; owners != nil {
 			return owners
 		}
@@ -105,7 +105,7 @@
 }
 
 // closure returns the packages and all that they depend on.
-func (d dpkg) closure(names []string) map[string]bool {
+func (d packageDatabase) closure(names []string) map[string]bool {
 	brought := map[string]bool{}
 	open := slices.Clone(names)
 	for len(open) > 0 {
@@ -113,7 +113,7 @@
 		open = open[:len(open)-1]
 		if !brought[name] {
 			brought[name] = true
-			open = append(open, d.depends[name]...)
+			open = append(open, d.dependencies[name]...)
 		}
 	}
 	return brought
--- a/internal/tools/packages/main.go
+++ b/internal/tools/packages/main.go
@@ -34,7 +34,7 @@
 
 // check traces the build of one deploy file and judges its list.
 func check(path string) error {
-	declared, err := readDeploy(path)
+	declared, err := readDeployFile(path)
 	if err != nil {
 		return err
 	}
@@ -42,11 +42,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := askDpkg(opened)
+	known, err := queryDpkg(opened)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(known.judge(opened, declared.Packages)...); err != nil {
+	if err := errors.Join(known.check(opened, declared.Packages)...); err != nil {
 		return err
 	}
 	fmt.Printf("%s: its %d packages, and what they depend on, own the %d files that the build opens\n", path, len(declared.Packages), len(opened))
--- a/internal/tools/packages/packages_test.go
+++ b/internal/tools/packages/packages_test.go
@@ -23,11 +23,11 @@
 	"linux-libc-dev\t, \n" +
 	"dash\tlibc6 (>= 2.36), debianutils (>= 5.6-0.1)\n"
 
-func sampleDpkg() dpkg {
-	return dpkg{owners: parseOwners(sampleOwners), depends: parseDepends(sampleInstalled)}
+func sampleDpkg() packageDatabase {
+	return packageDatabase{owners: parseOwners(sampleOwners), dependencies: parseDepends(sampleInstalled)}
 }
 
-func TestParsing(t *testing.T) {
+func TestParse_DpkgOutput(t *testing.T) {
 	known := sampleDpkg()
 	wantOwners := map[string][]string{
 		"/usr/bin/gcc":               {"gcc"},
@@ -45,12 +45,12 @@
 		"linux-libc-dev": {},
 		"dash":           {"libc6", "debianutils"},
 	}
-	if difference := cmp.Diff(wantDepends, known.depends); difference != "" {
+	if difference := cmp.Diff(wantDepends, known.dependencies); difference != "" {
 		t.Error(difference)
 	}
 }
 
-func TestJudgement(t *testing.T) {
+func TestCheck_EachKindOfList(t *testing.T) {
 	opened := []string{"/usr/bin/gcc", "/usr/bin/sh", "/usr/include/stdio.h", "/usr/include/linux/errno.h"}
 	cases := []struct {
 		name   string
@@ -71,7 +71,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			faults := sampleDpkg().judge(tc.opened, tc.listed)
+			faults := sampleDpkg().check(tc.opened, tc.listed)
 			if len(faults) != len(tc.faults) {
 				t.Fatalf("found %v, and not %v", faults, tc.faults)
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestReadingOfDeployFiles(t *testing.T) {
+func TestReadDeployFile_BuildAndPackagesAreRequired(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deploy.toml")
 	given := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -92,11 +92,11 @@
 		}
 	}
 	given("build = \"mkdir -p target && CGO_ENABLED=1 go build -o target/ ./cmd\"\npackages = [\"gcc\", \"dash\"]\n[roles.a]\n")
-	got, err := readDeploy(path)
+	got, err := readDeployFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := deploy{Build: "mkdir -p target && CGO_ENABLED=1 go build -o target/ ./cmd", Packages: []string{"gcc", "dash"}}
+	want := deployFile{Build: "mkdir -p target && CGO_ENABLED=1 go build -o target/ ./cmd", Packages: []string{"gcc", "dash"}}
 	if difference := cmp.Diff(want, got); difference != "" {
 		t.Error(difference)
 	}
@@ -104,12 +104,12 @@
 		t.Error(difference)
 	}
 	given("build = \"go build\"\n")
-	if _, err := readDeploy(path); err == nil {
+	if _, err := readDeployFile(path); err == nil {
 		t.Error("a file without packages is taken")
 	}
 }
 
-func TestPathsOfATrace(t *testing.T) {
+func TestPathsIn_Trace_GivesCleanAbsolutePaths(t *testing.T) {
 	trace := " /usr/lib/gcc/cc1 -quiet -I ./ x.c\n.. /usr/include/stdio.h\n... /usr/lib/gcc/include/../stddef.h\nCOLLECT_LTO_WRAPPER=/usr/lib/gcc/lto-wrapper\n"
 	want := []string{"/usr/lib/gcc/cc1", "/usr/include/stdio.h", "/usr/lib/gcc/stddef.h"}
 	if difference := cmp.Diff(want, pathsIn(trace)); difference != "" {
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestProgramsGoElsewhere(t *testing.T) {
+func TestWithOutput_ReplacesTheOutputFolder(t *testing.T) {
 	got, err := withOutput("mkdir -p bin && go build -o bin/ ./cmd", "/tmp/x/")
 	if want := "mkdir -p bin && go build -o /tmp/x/ ./cmd"; err != nil || got != want {
 		t.Errorf("got %q, error %v, and not %q", got, err, want)
--- a/internal/tools/packages/trace.go
+++ b/internal/tools/packages/trace.go
@@ -117,7 +117,7 @@
 	if len(traces) == 0 {
 		return nil, fmt.Errorf("the build ran no compiler")
 	}
-	outside, err := ownFolders()
+	outside, err := excludedFolders()
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	var opened []string
 	for path := range named {
 		info, err := os.Stat(path)
-		if err == nil && info.Mode().IsRegular() && !liesIn(path, outside) {
+		if err == nil && info.Mode().IsRegular() && !isUnder(path, outside) {
 			opened = append(opened, path)
 		}
 	}
@@ -152,8 +152,8 @@
 	return paths
 }
 
-// ownFolders are those of Go, of the build and of the checkout, whose files no package has to own.
-func ownFolders() ([]string, error) {
+// excludedFolders are those of Go, of the build and of the checkout, whose files no package has to own.
+func excludedFolders() ([]string, error) {
 	raw, err := exec.Command("go", "env", "GOROOT", "GOCACHE", "GOMODCACHE", "GOTMPDIR").Output()
 	if err != nil {
 		return nil, fmt.Errorf("asking go for its folders: %w", err)
@@ -165,7 +165,7 @@
 	return append(strings.Fields(string(raw)), checkout, os.TempDir()), nil
 }
 
-func liesIn(path string, folders []string) bool {
+func isUnder(path string, folders []string) bool {
 	return slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path, filepath.Clean(folder)+"/") })
 }
 
