--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -70,7 +70,7 @@
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, s := range all {
-				fmt.Fprintf(t, "%s\t%d relays\t%d voters\t%s\n", s.Name, s.Relays, s.Voters, s.About)
+				fmt.Fprintf(t, "%s\t%d relays\t%d voters\t%s\n", s.Name, s.Relays, s.Voters, s.Description)
 			}
 			return t.Flush()
 		}}
@@ -174,7 +174,7 @@
 			return err
 		}
 		plan := testcluster.Scenario{Name: row.name, Relays: c.relays, Voters: min(3, c.relays-1+c.relays%2), Seed: 1, Lease: 2 * time.Second, Rate: row.rate}
-		r, err := testcluster.Cost(plan, program, dir, row.bare, row.changes, c.length)
+		r, err := testcluster.MeasureCost(plan, program, dir, row.bare, row.changes, c.length)
 		if err != nil {
 			return err
 		}
@@ -213,8 +213,8 @@
 		return err
 	}
 	fmt.Fprintln(cmd.OutOrStdout(), r)
-	fmt.Fprintf(cmd.OutOrStdout(), "formed in %v; changes took %v; answers p50 %.1f ms, p99 %.1f ms; faults during a change: %v\n", r.Formed.Round(time.Millisecond),
-		r.Took, float64(r.Answers.ValueAtQuantile(50))/1000, float64(r.Answers.ValueAtQuantile(99))/1000, r.Struck)
+	fmt.Fprintf(cmd.OutOrStdout(), "formed in %v; changes took %v; answers p50 %.1f ms, p99 %.1f ms; faults during a change: %v\n", r.FormationTime.Round(time.Millisecond),
+		r.ChangeTimes, float64(r.Answers.ValueAtQuantile(50))/1000, float64(r.Answers.ValueAtQuantile(99))/1000, r.FaultsDuringChange)
 	if keep || r.Bad() {
 		if err := r.Save(out); err != nil {
 			return err
@@ -257,10 +257,10 @@
 	default:
 		_ = os.RemoveAll(dir)
 	}
-	for k, n := range r.Struck {
+	for k, n := range r.FaultsDuringChange {
 		s.faults[k] += n
 	}
-	s.changes, s.held, s.accepted = s.changes+r.Changes, s.held+r.Held, s.accepted+r.Taken
+	s.changes, s.held, s.accepted = s.changes+r.Changes, s.held+r.InForce, s.accepted+r.Accepted
 }
 
 // run plays the scenarios and prints those that went wrong.
--- /dev/null
+++ b/internal/relay/fleet/testcluster/change.go
@@ -0,0 +1,51 @@
+package testcluster
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"mastusher/internal/relay/fleet/node"
+)
+
+// propose proposes a change at two relays under one ticket, as either may be partitioned; "" stands for stampedPolicy.
+func (f *Fleet) propose(doc string) {
+	base, _ := f.newestVersion()
+	if doc == "" {
+		doc = stampedPolicy
+	}
+	c := change{ticket: rand.Uint64() | 1, base: base, proposedAt: f.now(), doc: doc}
+	f.mu.Lock()
+	f.changes = append(f.changes, c)
+	from := len(f.changes)
+	f.mu.Unlock()
+	told := 0
+	for i := range f.Relays {
+		r := f.Relays[(i+from)%len(f.Relays)]
+		if !r.Running() {
+			continue
+		}
+		_, _ = f.Admin(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: c.ticket}, 500*time.Millisecond)
+		if told++; told == 2 {
+			return
+		}
+	}
+}
+
+// awaitChange waits until the last change has an outcome, four leases at most: it may need the faults to end first.
+func (f *Fleet) awaitChange() {
+	f.Await(4*f.plan.Lease, func() bool {
+		f.newestVersion()
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.changes) == 0 || f.changes[len(f.changes)-1].finished
+	})
+}
+
+// change is one proposed change.
+type change struct {
+	ticket, base           uint64
+	proposedAt, finishedAt time.Duration // finishedAt: when its outcome was first seen
+	version                uint64        // 0: dropped or unknown
+	finished               bool
+	doc                    string
+}
--- /dev/null
+++ b/internal/relay/fleet/testcluster/config.go
@@ -0,0 +1,78 @@
+package testcluster
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"sync/atomic"
+
+	"mastusher/internal/relay/config"
+)
+
+// lastPort is the last port given out. Ports stay below the system's ephemeral ones, which an outgoing connection could take while a relay is
+// down.
+var lastPort atomic.Int32
+
+// spareAddress returns an address on loopback that is free for TCP and UDP.
+func spareAddress() (string, error) {
+	lastPort.CompareAndSwap(0, int32(10000+os.Getpid()*61%15000))
+	for range 20000 {
+		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(10000+int(lastPort.Add(1))%20000))
+		l, err := net.Listen("tcp4", address)
+		if err != nil {
+			continue
+		}
+		c, err := net.ListenPacket("udp4", address)
+		_ = l.Close()
+		if err != nil {
+			continue
+		}
+		return address, c.Close()
+	}
+	return "", errors.New("no port is free")
+}
+
+const settings = `{"peers_total": %d, "me": %d, "round": 5000, "localities": ["a"], "machine_types": ["news-groups"],
+  "allowed": {"cancel": true, "max_attempts": 6, "max_open": 2000, "max_retry_after": 3000000, "retry_after": true, "conn_idle": 15000000,
+    "connect_timeout": 1500000}, "report": {"fields": ["x0", "x1"], "how": "TEXT"}, "family_info": {"workers": 32, "per_call": [1], "kind_apart": [true]}, "lanes": [
+    {"name": "match-event", "effect": "token", "group": "all", "memory_span": 4000000, "aim": 3000000, "deadline": 16000000, "worth": 1},
+    {"name": "transfer", "effect": "side_effect", "aim": 3000000, "deadline": 16000000, "worth": 2}],
+  "rules": {"cold": 14000000, "drain_grace": 250000, "fall": 2000000, "overload_factor": 2, "start_capacity": 0.21}}`
+
+// writeConfig writes the configuration file of a relay.
+func (f *Fleet) writeConfig(r *Relay, list string) error {
+	others, voters := map[string]string{}, []string{}
+	for _, o := range f.Relays {
+		if o.Index < f.plan.Voters {
+			voters = append(voters, o.Name)
+		}
+		if l, i := f.linkBetween(r, o); l != nil {
+			others[o.Name] = l.address(i)
+		} else if o != r {
+			others[o.Name] = o.peerAddress
+		}
+	}
+	v := map[string]any{"name": r.Name, "listen": r.ClientAddress, "state": r.stateDir, "discovery": f.discovery.Address, "seed": fmt.Sprintf("%016x", r.Index+1),
+		"known": json.RawMessage(list), "limits": map[string]any{"disk_mb": 3},
+		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Relays), r.Index)),
+		"peers": map[string]any{"fleet": fleetID, "name": r.Name, "listen": r.peerAddress, "others": others, "voters": voters,
+			"lease": f.plan.Lease.String(), "alone": f.plan.WhenPartitioned, "drift": f.plan.MaxClockDrift}}
+	if f.plan.GuaranteedShare > 0 {
+		v["peers"].(map[string]any)["share"] = map[string]any{"kept": f.plan.GuaranteedShare}
+	}
+	if f.plan.withoutPeers {
+		delete(v, "peers")
+	}
+	b, err := json.MarshalIndent(v, "", " ")
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(r.stateDir, 0o700); err != nil {
+		return err
+	}
+	f.adminPeers[r.Name] = &config.Peers{Fleet: fleetID, Listen: r.peerAddress}
+	return os.WriteFile(r.configFile, b, 0o600)
+}
--- a/internal/relay/fleet/testcluster/cost.go
+++ b/internal/relay/fleet/testcluster/cost.go
@@ -18,76 +18,88 @@
 	"mastusher/internal/relay/standin"
 )
 
-// CostResult is what relays take.
+// CostResult is the cost of relays.
 type CostResult struct {
-	Answers *hdrhistogram.Histogram // times of answers to clients that are told 202, in µs
-	Refused int64                   // messages that were told anything else
-	CPU     float64                 // shares of a core, the mean of all relays
-	Memory  float64                 // MB at most, the mean of all relays
-	Bytes   float64                 // a second that a relay sends and gets, the mean of all relays
+	Answers *hdrhistogram.Histogram // response times of accepted messages, in µs
+	Refused int64                   // messages not accepted
+	CPU     float64                 // of one core, mean of all relays
+	Memory  float64                 // peak in MB, mean of all relays
+	Bytes   float64                 // sent and received a second, mean of all relays
 	Changes int
 }
 
-// Cost measures a plan's relays for a while: alone (bare, with no peers in their files), or as a fleet in which a change of
-// policy comes that many times.
-func Cost(plan Scenario, binary, dir string, bare bool, changes int, d time.Duration) (*CostResult, error) {
-	if err := plan.check(); err != nil {
+// MeasureCost measures the relays of a plan for a time d: alone (withoutPeers, with no peers in their files), or as a fleet whose policy
+// changes so many times meanwhile, evenly spread.
+func MeasureCost(plan Scenario, binary, dir string, withoutPeers bool, changes int, d time.Duration) (*CostResult, error) {
+	if err := plan.validate(); err != nil {
 		return nil, err
 	}
-	plan.bare = bare
+	plan.withoutPeers = withoutPeers
 	f, err := New(plan, binary, dir)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	for _, r := range f.Relays {
-		if err := f.Start(r); err != nil {
-			return nil, err
-		}
-	}
-	if bare {
-		for _, r := range f.Relays {
-			if !standin.Up(context.Background(), r.Front) {
-				return nil, fmt.Errorf("%s does not come up", r.Name)
-			}
-		}
-	} else {
-		if st, err := f.Ask(f.Relays[0], node.AdminRequest{Op: "found"}, patience); err != nil || st.Error != "" {
-			return nil, fmt.Errorf("the fleet can't be founded: %v %w", st, err)
-		}
-		if !f.Await(patience, func() bool { return f.Act(0) && f.voters() == plan.Voters }) {
-			return nil, errors.New("the fleet does not come about")
-		}
+	if err := f.startForCost(); err != nil {
+		return nil, err
 	}
-	time.Sleep(2 * time.Second) // what the start took is not counted
+	time.Sleep(2 * time.Second) // so that the cost of the start is not measured
 	out, stop := &CostResult{Answers: hdrhistogram.New(1, 60e6, 3)}, make(chan struct{})
 	var clients sync.WaitGroup
-	taken := atomic.Int64{}
+	accepted := atomic.Int64{}
 	res := &Result{Answers: out.Answers}
-	var before []float64
+	var cpuBefore []float64
 	for _, r := range f.Relays {
 		cpu, _ := r.usage()
-		before = append(before, cpu)
-		clients.Go(func() { f.client(r, stop, &taken, res) })
+		cpuBefore = append(cpuBefore, cpu)
+		clients.Go(func() { f.runClient(r, stop, &accepted, res) })
 	}
-	bytes := f.bytes()
-	begun := time.Now()
+	bytesBefore := f.linkBytes()
+	startedAt := time.Now()
 	for range changes {
 		time.Sleep(d / time.Duration(changes+1))
-		f.begin("")
-		f.settle()
+		f.propose("")
+		f.awaitChange()
 	}
-	time.Sleep(time.Until(begun.Add(d)))
-	took := time.Since(begun).Seconds()
+	time.Sleep(time.Until(startedAt.Add(d)))
+	took := time.Since(startedAt).Seconds()
 	n := float64(len(f.Relays))
 	for i, r := range f.Relays {
 		cpu, memory := r.usage()
-		out.CPU += (cpu - before[i]) / took / n
+		out.CPU += (cpu - cpuBefore[i]) / took / n
 		out.Memory += memory / n
 	}
-	out.Bytes = 2 * float64(f.bytes()-bytes) / took / n
+	out.Bytes = 2 * float64(f.linkBytes()-bytesBefore) / took / n
 	close(stop)
 	clients.Wait()
+	f.countForCost(out)
+	return out, nil
+}
+
+// startForCost starts all relays and waits until they serve: each alone, or all as a fleet.
+func (f *Fleet) startForCost() error {
+	if err := f.startAll(); err != nil {
+		return err
+	}
+	if f.plan.withoutPeers {
+		for _, r := range f.Relays {
+			if !standin.Up(context.Background(), r.ClientAddress) {
+				return fmt.Errorf("%s does not come up", r.Name)
+			}
+		}
+		return nil
+	}
+	if st, err := f.Admin(f.Relays[0], node.AdminRequest{Op: "found"}, eventTimeout); err != nil || st.Error != "" {
+		return fmt.Errorf("the fleet can't be founded: %v %w", st, err)
+	}
+	if !f.Await(eventTimeout, func() bool { return f.AllAct(0) && f.activeVoters() == f.plan.Voters }) {
+		return errors.New("the fleet does not come about")
+	}
+	return nil
+}
+
+// countForCost counts the changes that took effect and the messages that were refused.
+func (f *Fleet) countForCost(out *CostResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.changes {
@@ -100,17 +112,17 @@
 			out.Refused++
 		}
 	}
-	return out, nil
 }
 
-func (f *Fleet) bytes() (n int64) {
+// linkBytes is what all links have carried so far.
+func (f *Fleet) linkBytes() (n int64) {
 	for _, l := range f.links {
 		n += l.bytes[0].Load() + l.bytes[1].Load()
 	}
 	return n
 }
 
-// usage is the processor time, in s, and the most memory, in MB, that a relay's process has taken; 0 where it can't be told.
+// usage is the processor time in s and the peak memory in MB of a relay's process; 0 where the system does not say.
 func (r *Relay) usage() (cpu, memory float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/fleet/testcluster/count_test.go
+++ b/internal/relay/fleet/testcluster/counters_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFits: what a fleet says that it has taken on is held to what clients were told, with the same room whatever was done to its relays.
-func TestFits(t *testing.T) {
+// What a fleet says that it has taken on is held to what clients were told, with the same room whatever was done to its relays.
+func TestCountsMatch_AcceptedAndAcknowledged_AgreeWithinWithdrawn(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		taken, told int
@@ -19,7 +19,7 @@
 		{"given no answer, then it does not fit", -1, 0, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := fits(c.taken, c.told, c.exact); got != c.fits {
+			if got := countsMatch(c.taken, c.told, c.exact); got != c.fits {
 				t.Errorf("%d taken on, %d told, exact %v: %v, want %v", c.taken, c.told, c.exact, got, c.fits)
 			}
 		})
--- a/internal/relay/fleet/testcluster/link.go
+++ b/internal/relay/fleet/testcluster/link.go
@@ -1,6 +1,3 @@
-// Package testcluster runs a fleet of real processes with a link between every two of them that loses, delays, doubles, garbles and
-// cuts, stops and kills them, and keeps one history of what their clients, partners and operators saw. It is never linked
-// into the daemon.
 package testcluster
 
 import (
@@ -13,59 +10,59 @@
 	"time"
 )
 
-// Faults are those of one direction of a link. Shares are of 1.
-type Faults struct {
+// LinkFaults are the faults of one direction of a link. Loss, Twice and Garbled are probabilities. Their names are printed in histories.
+type LinkFaults struct {
 	Cut     bool          `toml:"cut,omitempty"`
 	Loss    float64       `toml:"loss,omitempty"`
 	Twice   float64       `toml:"twice,omitempty"`
 	Garbled float64       `toml:"garbled,omitempty"`
-	Delay   time.Duration `toml:"delay,omitempty"` // and up to twice that: datagrams overtake each other
+	Delay   time.Duration `toml:"delay,omitempty"` // this up to twice this, so that datagrams overtake each other
 }
 
-// link stands between two relays: each sees one of its sockets as the other's address.
+// link is a UDP proxy between two relays: each has one of its sockets as the other's address. It owns two goroutines, which close ends.
 type link struct {
-	ends  [2]*net.UDPConn
-	to    [2]netip.AddrPort // the relays' own addresses
-	ways  [2]atomic.Pointer[Faults]
-	mu    sync.Mutex
-	rng   *rand.Rand
-	sent  [2]atomic.Int64
-	bytes [2]atomic.Int64
+	sockets   [2]*net.UDPConn
+	addresses [2]netip.AddrPort // of the relays
+	faults    [2]atomic.Pointer[LinkFaults]
+	mu        sync.Mutex
+	rng       *rand.Rand
+	sent      [2]atomic.Int64
+	bytes     [2]atomic.Int64
 }
 
 func newLink(a, b netip.AddrPort, seed uint64) (*link, error) {
-	l := &link{to: [2]netip.AddrPort{a, b}, rng: rand.New(rand.NewPCG(seed, 3))}
-	for i := range l.ends {
+	l := &link{addresses: [2]netip.AddrPort{a, b}, rng: rand.New(rand.NewPCG(seed, 3))}
+	for i := range l.sockets {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			l.close()
 			return nil, err
 		}
-		l.ends[i] = conn
-		l.ways[i].Store(&Faults{})
+		l.sockets[i] = conn
+		l.faults[i].Store(&LinkFaults{})
 	}
-	go l.carry(0)
-	go l.carry(1)
+	go l.forward(0)
+	go l.forward(1)
 	return l, nil
 }
 
-// address is where relay i of the two finds the other.
-func (l *link) address(i int) string { return l.ends[i].LocalAddr().String() }
+// address is the address at which relay i of the two reaches the other.
+func (l *link) address(i int) string { return l.sockets[i].LocalAddr().String() }
 
-// carry passes on what relay i sends to the other.
-func (l *link) carry(i int) {
+// forward forwards datagrams from relay i to the other, with the faults of that direction, until the link is closed.
+func (l *link) forward(i int) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := l.ends[i].ReadFromUDPAddrPort(buf)
+		n, from, err := l.sockets[i].ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != l.to[i] {
-			continue // a port that nobody listens at, or a stranger
+		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != l.addresses[i] {
+			continue // the peer's port is closed, or the sender is unknown
 		}
 		l.sent[i].Add(1)
 		l.bytes[i].Add(int64(n))
-		f := l.ways[i].Load()
+		f := l.faults[i].Load()
 		l.mu.Lock()
 		lost, twice, garbled := l.rng.Float64() < f.Loss, l.rng.Float64() < f.Twice, l.rng.Float64() < f.Garbled
 		waits := [2]time.Duration{}
@@ -88,19 +85,28 @@
 		}
 		for k := range copies {
 			if waits[k] == 0 {
-				l.pass(i, buf[:n])
+				l.deliver(i, buf[:n])
 				continue
 			}
 			b := append([]byte{}, buf[:n]...)
-			time.AfterFunc(waits[k], func() { l.pass(i, b) })
+			time.AfterFunc(waits[k], func() { l.deliver(i, b) })
 		}
 	}
 }
 
-func (l *link) pass(i int, b []byte) { _, _ = l.ends[1-i].WriteToUDPAddrPort(b, l.to[1-i]) }
+func (l *link) deliver(i int, b []byte) {
+	_, _ = l.sockets[1-i].WriteToUDPAddrPort(b, l.addresses[1-i])
+}
+
+// setFaults sets the faults of both directions.
+func (l *link) setFaults(faults *LinkFaults) {
+	l.faults[0].Store(faults)
+	l.faults[1].Store(faults)
+}
 
+// close closes both sockets, which ends the goroutines that forward.
 func (l *link) close() {
-	for _, c := range l.ends {
+	for _, c := range l.sockets {
 		if c != nil {
 			_ = c.Close()
 		}
--- a/internal/relay/fleet/testcluster/page.go
+++ b/internal/relay/fleet/testcluster/page.go
@@ -14,8 +14,8 @@
 	"mastusher/internal/relay/fleet/checker"
 )
 
-// Save writes a result's history and its page into a folder, where the logs lie already; of a breach also the shortest
-// beginning of the history that shows it.
+// Save writes a result's history and its page into a folder, that of the run with its logs; of a breach also the shortest prefix of the
+// history that shows it, and the logs around it.
 func (r *Result) Save(dir string) error {
 	write := func(name string, h []checker.Entry) error {
 		b, err := json.MarshalIndent(h, "", " ")
@@ -35,7 +35,7 @@
 		}
 	}
 	if r.Breach != nil {
-		if err := r.around(dir); err != nil {
+		if err := r.writeLogsAround(dir); err != nil {
 			return err
 		}
 	}
@@ -50,9 +50,9 @@
 	return f.Close()
 }
 
-// around gathers what all relays logged within a lease of a breach, in the order of their clocks, into around.log.
-func (r *Result) around(dir string) error {
-	from, to := r.Begun.Add(r.Breach.Entry.At-r.Scenario.Lease), r.Begun.Add(r.Breach.Entry.At+r.Scenario.Lease)
+// writeLogsAround writes what all relays logged within a lease of the breach, by time, to around.log.
+func (r *Result) writeLogsAround(dir string) error {
+	from, to := r.StartedAt.Add(r.Breach.Entry.At-r.Scenario.Lease), r.StartedAt.Add(r.Breach.Entry.At+r.Scenario.Lease)
 	var lines []string
 	for i := range r.Scenario.Relays {
 		name := fmt.Sprintf("r%d", i)
@@ -71,19 +71,19 @@
 	return os.WriteFile(filepath.Join(dir, "around.log"), []byte(strings.Join(lines, "")), 0o600)
 }
 
-type row struct {
+type pageRow struct {
 	Name string
 	Y    int
-	Bars []bar
+	Bars []pageBar
 }
 
-type bar struct {
+type pageBar struct {
 	X, W  float64
 	Color string
 	Text  string
 }
 
-type mark struct {
+type pageMark struct {
 	X    float64
 	Text string
 	Y    int
@@ -93,12 +93,12 @@
 	Title, Verdict string
 	Bad            bool
 	Width, Height  int
-	Rows           []row
-	Marks          []mark
-	Ticks          []mark
+	Rows           []pageRow
+	Marks          []pageMark
+	Ticks          []pageMark
 }
 
-// view lays a history out: a row a relay, colored by the version that it acted on, with lives and faults.
+// view lays out a history: a row for each relay, with its calls colored by version, its starts, and the faults.
 func (r *Result) view() pageView {
 	const width, left, tall = 1200.0, 60.0, 26
 	v := pageView{Title: r.Scenario.Name, Verdict: r.String(), Bad: r.Bad(), Width: int(width + left + 20)}
@@ -110,9 +110,9 @@
 	}
 	x := func(d time.Duration) float64 { return left + width*float64(d)/float64(end) }
 	colors := []string{"#9aa5b1", "#2f6fde", "#e0862f", "#3a9d5d", "#a24bc4", "#c9433c", "#2aa5a5", "#8a7a2f"}
-	rows := map[string]*row{}
+	rows := map[string]*pageRow{}
 	for i := range r.Scenario.Relays {
-		v.Rows = append(v.Rows, row{Name: fmt.Sprintf("r%d", i), Y: 30 + tall*i})
+		v.Rows = append(v.Rows, pageRow{Name: fmt.Sprintf("r%d", i), Y: 30 + tall*i})
 	}
 	for i := range v.Rows {
 		rows[v.Rows[i].Name] = &v.Rows[i]
@@ -122,18 +122,18 @@
 		switch e.Kind {
 		case checker.Acted:
 			if q := rows[e.Relay]; q != nil {
-				q.Bars = append(q.Bars, bar{x(e.At), 1.5, colors[e.Version%uint64(len(colors))], fmt.Sprintf("%v: %s under version %d", e.At, e.ID, e.Version)})
+				q.Bars = append(q.Bars, pageBar{x(e.At), 1.5, colors[e.Version%uint64(len(colors))], fmt.Sprintf("%v: %s under version %d", e.At, e.ID, e.Version)})
 			}
 		case checker.Started:
 			if q := rows[e.Relay]; q != nil {
-				q.Bars = append(q.Bars, bar{x(e.At), 3, "#111", fmt.Sprintf("%v: %s is started", e.At, e.Relay)})
+				q.Bars = append(q.Bars, pageBar{x(e.At), 3, "#111", fmt.Sprintf("%v: %s is started", e.At, e.Relay)})
 			}
 		case checker.Fault, checker.Broke:
-			v.Marks = append(v.Marks, mark{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Text)), v.Height})
+			v.Marks = append(v.Marks, pageMark{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Text)), v.Height})
 		}
 	}
 	for s := time.Duration(0); s <= end; s += max(time.Second, end/20).Round(time.Second) {
-		v.Ticks = append(v.Ticks, mark{x(s), s.String(), v.Height})
+		v.Ticks = append(v.Ticks, pageMark{x(s), s.String(), v.Height})
 	}
 	return v
 }
--- /dev/null
+++ b/internal/relay/fleet/testcluster/process.go
@@ -0,0 +1,110 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
+
+	"mastusher/internal/relay/fleet/checker"
+)
+
+// Relay is one relay, whose process may run or not.
+type Relay struct {
+	Name          string
+	Index         int
+	ClientAddress string // for clients
+	peerAddress   string
+	stateDir      string
+	configFile    string
+	clockRate     float64 // of its clock, in builds with the tag fleetrig
+	diskDelay     string  // added to each sync
+
+	mu      sync.Mutex
+	cmd     *exec.Cmd // nil: it is not running
+	stopped bool
+	exited  chan struct{} // closed once the previous process has ended; nil: there was none
+}
+
+// Start starts a relay from its state as it is, after the previous process has ended; a relay that runs is left alone.
+func (f *Fleet) Start(r *Relay) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cmd != nil {
+		return nil
+	}
+	if r.exited != nil { // it drains, and has folder and ports until that is over
+		<-r.exited
+	}
+	log, err := os.OpenFile(filepath.Join(f.dir, r.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	defer log.Close()
+	cmd := exec.Command(f.binary, "serve", "--config", r.configFile, "--log-format", "json")
+	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG=", "MASTUSHER_CLOCK_RATE="+strconv.FormatFloat(r.clockRate, 'f', -1, 64), "MASTUSHER_SLOW_DISK="+r.diskDelay, "MASTUSHER_FULL_DISK="+r.diskFullFile())
+	if err := cmd.Start(); err != nil {
+		return fmt.Errorf("the relay's program: %w", err)
+	}
+	r.cmd, r.stopped = cmd, false
+	f.record(checker.Entry{Kind: checker.Started, Relay: r.Name})
+	return nil
+}
+
+// diskFullFile is the file whose presence has a relay's disk refuse writes to its fleet folder (tag fleetrig).
+func (r *Relay) diskFullFile() string { return r.stateDir + ".full" }
+
+// signal sends a signal to a relay; false: it is not running.
+func (r *Relay) signal(s syscall.Signal) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cmd == nil {
+		return false
+	}
+	switch s {
+	case syscall.SIGSTOP:
+		r.stopped = true
+	case syscall.SIGCONT:
+		r.stopped = false
+	}
+	return r.cmd.Process.Signal(s) == nil
+}
+
+// stop ends a relay's process by a signal and waits for its end; after 20 s it is killed.
+func (f *Fleet) stop(r *Relay, s syscall.Signal) {
+	r.mu.Lock()
+	cmd, stopped := r.cmd, r.stopped
+	if cmd == nil {
+		r.mu.Unlock()
+		return
+	}
+	r.cmd = nil
+	ending := make(chan struct{})
+	r.exited = ending
+	r.mu.Unlock()
+	defer close(ending)
+	_ = cmd.Process.Signal(s)
+	if stopped {
+		_ = cmd.Process.Signal(syscall.SIGCONT)
+	}
+	late := time.AfterFunc(20*time.Second, func() {
+		if s != syscall.SIGKILL {
+			f.record(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: "it does not end after SIGTERM"})
+		}
+		_ = cmd.Process.Kill()
+	})
+	_ = cmd.Wait()
+	late.Stop()
+}
+
+// Running reports whether a relay runs and is not paused.
+func (r *Relay) Running() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.cmd != nil && !r.stopped
+}
--- /dev/null
+++ b/internal/relay/fleet/testcluster/run.go
@@ -0,0 +1,152 @@
+package testcluster
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mastusher/internal/relay/fleet/checker"
+	"mastusher/internal/relay/fleet/node"
+)
+
+// stampedPolicy is a policy that has calls carry its version.
+const stampedPolicy = `{"format":1,"stamp":true}`
+
+// eventTimeout bounds each wait for what must come about. It is generous, as a busy machine is slow: all that is judged by it is that
+// something never comes about.
+const eventTimeout = 60 * time.Second
+
+// Play runs a scenario with the relay's program binary, in the folder dir, and judges what was seen. Progress, which may be nil, gets a
+// line a step. An error means that the run could not be made; a breach, or a fleet that is stuck, stands in the result.
+func Play(plan Scenario, binary, dir string, progress io.Writer) (*Result, error) {
+	f, err := New(plan, binary, dir)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	res := &Result{Scenario: plan, StartedAt: f.started, FaultsDuringChange: f.FaultsDuringChange, Answers: hdrhistogram.New(1, 60e6, 3)}
+	if err = f.form(res); err != nil {
+		return nil, err
+	}
+	if res.Stuck != "" {
+		return res, nil
+	}
+	f.propose(stampedPolicy)      // so that all calls carry their version from here on
+	if plan.GuaranteedShare > 0 { // until then no relay knows of a limit
+		f.limitKnownFrom = f.now() + 2*plan.Lease
+	}
+	stop := make(chan struct{})
+	var clients sync.WaitGroup
+	accepted := atomic.Int64{}
+	for _, r := range f.Relays {
+		clients.Go(func() { f.runClient(r, stop, &accepted, res) })
+	}
+	f.awaitChange()
+	if err = f.runSteps(progress); err == nil {
+		res.Stuck = f.recoverAll()
+		time.Sleep(100 * time.Millisecond)
+	}
+	close(stop)
+	clients.Wait()
+	if err != nil {
+		return nil, err
+	}
+	if res.Stuck == "" && !f.Await(eventTimeout, f.allMessagesEnded) {
+		res.Stuck = "messages that were taken on have no end"
+	}
+	res.Accepted = int(accepted.Load())
+	if res.Stuck == "" && plan.GuaranteedShare > 0 {
+		res.Stuck = f.checkCounters(res)
+	}
+	f.judge(res)
+	return res, nil
+}
+
+// form starts all relays, has relay 0 found the fleet, and waits until all relays act and all voters vote. What does not come about stands
+// in res.Stuck.
+func (f *Fleet) form(res *Result) error {
+	startedAt := time.Now()
+	if err := f.startAll(); err != nil {
+		return err
+	}
+	switch status, err := f.Admin(f.Relays[0], node.AdminRequest{Op: "found"}, eventTimeout); {
+	case err != nil:
+		return fmt.Errorf("bootstrapping the fleet: %w", err)
+	case status.Error != "":
+		return fmt.Errorf("bootstrapping the fleet: %s answers %q", f.Relays[0].Name, status.Error)
+	}
+	if !f.Await(eventTimeout, func() bool { return f.AllAct(0) }) {
+		res.Stuck = "not all relays act after the fleet was founded" + f.describeRelays()
+		return nil
+	}
+	res.FormationTime = time.Since(startedAt)
+	if !f.Await(eventTimeout, func() bool { return f.activeVoters() == f.plan.Voters }) {
+		res.Stuck = "not all voters have a say" + f.describeRelays()
+	}
+	return nil
+}
+
+// runSteps carries out the scenario's steps one after the other.
+func (f *Fleet) runSteps(progress io.Writer) error {
+	for i := range f.plan.Steps {
+		st := &f.plan.Steps[i]
+		time.Sleep(st.After)
+		if progress != nil {
+			fmt.Fprintf(progress, "%8v  %s %s %s\n", f.now().Round(time.Millisecond), st.Action, st.Relay, st.Phase)
+		}
+		if err := f.runStep(st); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// recoverAll ends all faults, restarts all relays and proposes changes until one takes effect. It returns what does not come about; "":
+// nothing.
+func (f *Fleet) recoverAll() string {
+	f.record(checker.Entry{Kind: checker.Fault, Text: "all is well again"})
+	f.heal()
+	for _, r := range f.Relays {
+		if os.Remove(r.diskFullFile()) == nil {
+			f.stop(r, syscall.SIGKILL) // one whose disk was full has no say before it is started again
+		}
+		r.signal(syscall.SIGCONT)
+		if err := f.Start(r); err != nil {
+			return err.Error()
+		}
+	}
+	last := uint64(0)
+	tried := time.Time{}
+	ok := f.Await(eventTimeout, func() bool {
+		version, open := f.newestVersion()
+		f.mu.Lock()
+		for _, c := range f.changes {
+			if c.ticket == last && c.finished && c.version == 0 {
+				last = 0 // another was under way
+			}
+		}
+		f.mu.Unlock()
+		if !open && (last == 0 && time.Since(tried) > time.Second || time.Since(tried) > 3*time.Second) { // not taken, or lost
+			tried = time.Now()
+			f.propose(stampedPolicy)
+			f.mu.Lock()
+			last = f.changes[len(f.changes)-1].ticket
+			f.mu.Unlock()
+			return false
+		}
+		f.mu.Lock()
+		c := f.changes[len(f.changes)-1]
+		f.mu.Unlock()
+		return last != 0 && c.ticket == last && c.finished && c.version == version && f.AllAct(version)
+	})
+	if ok {
+		return ""
+	}
+	return "all is well again, and no change takes hold" + f.describeRelays()
+}
--- a/internal/relay/fleet/testcluster/rig_test.go
+++ b/internal/relay/fleet/testcluster/scenario_test.go
@@ -28,8 +28,8 @@
 	os.Exit(code)
 }
 
-// TestScenarios plays what stands in deploy/fleet with real processes.
-func TestScenarios(t *testing.T) {
+// Each scenario of deploy/fleet runs with real processes, without a breach, and the fleet recovers.
+func TestPlay_ScenariosOfDeploy_NoBreach(t *testing.T) {
 	all, err := List("../../../../deploy/fleet")
 	if err != nil || len(all) == 0 {
 		t.Fatal(err, len(all))
@@ -44,7 +44,7 @@
 			if r.Bad() {
 				t.Fatal(r)
 			}
-			t.Log(r, r.Struck, r.Took)
+			t.Log(r, r.FaultsDuringChange, r.ChangeTimes)
 		})
 	}
 }
--- a/internal/relay/fleet/testcluster/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,8 +14,8 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// pick is the relay that a step names; nil: there is none such now.
-func (f *Fleet) pick(name string) *Relay {
+// selectRelay returns the relay that a step names: by its name, the first that runs for "", otherwise the leader; nil: there is none now.
+func (f *Fleet) selectRelay(name string) *Relay {
 	for _, r := range f.Relays {
 		if r.Name == name {
 			return r
@@ -29,241 +28,217 @@
 		if name == "" {
 			return r
 		}
-		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, 300*time.Millisecond); err == nil && st.Voter == "leads" {
+		if st, err := f.Admin(r, node.AdminRequest{Op: "status"}, 300*time.Millisecond); err == nil && st.Voter == "leads" {
 			return r
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) voters() (n int) {
-	for _, r := range f.Relays[:f.plan.Voters] {
-		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second); err == nil && (st.Voter == "leads" || st.Voter == "votes") {
-			n++
-		}
+func (f *Fleet) recordFault(kind, text string) {
+	f.record(checker.Entry{Kind: checker.Fault, Text: text})
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if n := len(f.changes); n > 0 && !f.changes[n-1].finished {
+		f.FaultsDuringChange[kind]++
 	}
-	return n
 }
 
-// newest is the newest version in force that any relay knows, and whether a change is under way.
-func (f *Fleet) newest() (version uint64, open bool) {
-	for _, r := range f.Relays {
-		if !r.Running() {
-			continue
-		}
-		if st, err := f.Ask(r, node.AdminRequest{Op: "status"}, 300*time.Millisecond); err == nil && st.State.Version >= version {
-			version, open = st.State.Version, st.State.Change != nil
-		}
+// runStep carries out a step. A step for a relay that is not there now is skipped.
+func (f *Fleet) runStep(st *Step) error {
+	if st.Action == "start" && st.Relay == "" {
+		return f.startAll()
 	}
-	return version, open
-}
-
-// begin hands a change in, at two relays with one ticket: either may be cut off.
-func (f *Fleet) begin(doc string) {
-	base, _ := f.newest()
-	if doc == "" {
-		doc = stamped
+	if f.runFleetStep(st) {
+		return nil
 	}
-	c := change{ticket: rand.Uint64() | 1, base: base, at: f.now(), doc: doc}
-	f.mu.Lock()
-	f.changes = append(f.changes, c)
-	from := len(f.changes)
-	f.mu.Unlock()
-	told := 0
-	for i := range f.Relays {
-		r := f.Relays[(i+from)%len(f.Relays)]
-		if !r.Running() {
-			continue
-		}
-		_, _ = f.Ask(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: c.ticket}, 500*time.Millisecond)
-		if told++; told == 2 {
-			return
+	r := f.selectRelay(st.Relay)
+	if r == nil {
+		return nil
+	}
+	switch st.Action {
+	case "part", "served", "verdict":
+		return f.awaitRelay(r, st)
+	case "copy", "fill", "free", "start-old", "start-none":
+		return f.runDiskStep(r, st)
+	case "start":
+		return f.Start(r)
+	case "force":
+		f.recordFault("force", "force at "+r.Name)
+		status, err := f.Admin(r, node.AdminRequest{Op: "force"}, eventTimeout)
+		if err != nil || status.Error != "" {
+			return fmt.Errorf("%s can't go on without a majority: %v %w", r.Name, status, err)
 		}
+		return nil
 	}
+	f.runRelayStep(r, st)
+	return nil
 }
 
-// settle waits until the last change is over, or can't come to its end before all is well again.
-func (f *Fleet) settle() {
-	f.Await(4*f.plan.Lease, func() bool {
-		f.newest()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.changes) == 0 || f.changes[len(f.changes)-1].over
-	})
-}
-
-func (f *Fleet) fault(kind, text string) {
-	f.note(checker.Entry{Kind: checker.Fault, Text: text})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.changes); n > 0 && !f.changes[n-1].over {
-		f.Struck[kind]++
+func (f *Fleet) startAll() error {
+	for _, r := range f.Relays {
+		if err := f.Start(r); err != nil {
+			return err
+		}
 	}
+	return nil
 }
 
-// do carries out a step. One that names a relay that is not there is passed over.
-func (f *Fleet) do(st *Step) error {
-	switch st.Do {
+// runFleetStep carries out a step that concerns no single relay; false: it is none.
+func (f *Fleet) runFleetStep(st *Step) bool {
+	switch st.Action {
 	case "propose":
-		f.begin(st.Doc)
-		return nil
+		f.propose(st.Doc)
 	case "twice":
-		go f.begin(stamped)
-		f.begin(`{"format":1,"stamp":true,"classes":{"transfer":{"worth":3}}}`)
-		return nil
+		go f.propose(stampedPolicy)
+		f.propose(`{"format":1,"stamp":true,"classes":{"transfer":{"worth":3}}}`)
 	case "heal":
 		f.heal()
-		return nil
 	case "split":
-		f.fault("split", "split")
+		f.recordFault("split", "split")
 		for ij, l := range f.links {
 			if (ij[0]%2 == 0) != (ij[1]%2 == 0) {
-				l.ways[0].Store(&Faults{Cut: true})
-				l.ways[1].Store(&Faults{Cut: true})
+				l.setFaults(&LinkFaults{Cut: true})
 			}
 		}
-		return nil
 	case "links":
-		f.fault("links", fmt.Sprintf("links %+v", st.Links))
+		f.recordFault("links", fmt.Sprintf("links %+v", st.Links))
 		for _, l := range f.links {
-			l.ways[0].Store(&st.Links)
-			l.ways[1].Store(&st.Links)
+			l.setFaults(&st.Links)
 		}
-		return nil
 	case "settle":
-		f.settle()
-		return nil
+		f.awaitChange()
 	case "rest":
-		time.Sleep(st.For)
-		return nil
+		time.Sleep(st.Length)
 	case "limit":
-		f.fault("limit", fmt.Sprintf("partners take %g calls/s", st.Value))
+		f.recordFault("limit", fmt.Sprintf("partners take %g calls/s", st.Value))
 		f.mu.Lock()
 		f.closeBounds()
-		f.limit = st.Value
+		f.partnerLimit = st.Value
 		f.mu.Unlock()
-		return nil
 	case "down", "up":
-		f.fault(st.Do, fmt.Sprintf("partner %g is %s", st.Value, st.Do))
+		f.recordFault(st.Action, fmt.Sprintf("partner %g is %s", st.Value, st.Action))
 		f.mu.Lock()
-		f.broken[int(st.Value)%partners] = st.Do == "down"
+		f.partnersDown[int(st.Value)%partners] = st.Action == "down"
 		f.mu.Unlock()
-		return nil
 	case "phase":
-		f.Await(4*f.plan.Lease, func() bool {
-			for _, r := range f.Relays[:f.plan.Voters] {
-				if !r.Running() {
-					continue
-				}
-				if s, err := f.Ask(r, node.AdminRequest{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil && s.State.Change.Phase.String() >= st.Phase {
-					return true
-				}
+		f.awaitPhase(st.Phase)
+	default:
+		return false
+	}
+	return true
+}
+
+// awaitPhase waits until a voter knows a change in a phase or a later one, or four leases long.
+func (f *Fleet) awaitPhase(phase string) {
+	f.Await(4*f.plan.Lease, func() bool {
+		for _, r := range f.Relays[:f.plan.Voters] {
+			if !r.Running() {
+				continue
 			}
-			return false
-		})
-		return nil
-	case "start":
-		if st.Relay == "" {
-			for _, r := range f.Relays {
-				if err := f.Start(r); err != nil {
-					return err
-				}
+			if s, err := f.Admin(r, node.AdminRequest{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil && s.State.Change.Phase.String() >= phase {
+				return true
 			}
-			return nil
 		}
-	}
-	r := f.pick(st.Relay)
-	if r == nil {
-		return nil
-	}
-	switch st.Do {
-	case "rate":
-		f.rates[r.No].Store(math.Float64bits(st.Value))
+		return false
+	})
+}
+
+// awaitRelay waits until a relay has a share of the limits, has made so many calls more, or judges some partner as the step says. That it
+// never comes about is an error.
+func (f *Fleet) awaitRelay(r *Relay, st *Step) error {
+	switch st.Action {
 	case "part": // of each partner's limit
-		if !f.Await(patience, func() bool { return f.least(r) >= st.Value }) {
-			return fmt.Errorf("%s has not come to have %g of the limits: %s", r.Name, st.Value, f.standing())
+		if !f.Await(eventTimeout, func() bool { return f.minShare(r) >= st.Value }) {
+			return fmt.Errorf("%s has not come to have %g of the limits: %s", r.Name, st.Value, f.describeRelays())
 		}
 	case "served": // so many calls more
-		f.mu.Lock()
-		had := f.served[r.Name]
-		f.mu.Unlock()
-		if !f.Await(patience, func() bool {
+		calls := func() int {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return f.served[r.Name] >= had+int(st.Value)
-		}) {
+			return f.callsByRelay[r.Name]
+		}
+		before := calls()
+		if !f.Await(eventTimeout, func() bool { return calls() >= before+int(st.Value) }) {
 			return fmt.Errorf("%s has not had %g calls let in", r.Name, st.Value)
 		}
-	case "verdict": // it takes some partner for what is told in phase
-		if !f.Await(patience, func() bool {
-			s, err := f.Ask(r, node.AdminRequest{Op: "status"}, time.Second)
+	case "verdict": // Phase is the state that it must take some partner for
+		if !f.Await(eventTimeout, func() bool {
+			s, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
 			return err == nil && s.Quota != nil && slices.ContainsFunc(s.Quota.Keys, func(p node.KeyQuota) bool { return p.State == st.Phase })
 		}) {
 			return fmt.Errorf("%s takes no partner for %s", r.Name, st.Phase)
 		}
-	case "kill":
-		f.fault("kill", "kill "+r.Name)
-		f.end(r, syscall.SIGKILL)
-	case "term":
-		f.fault("term", "term "+r.Name)
-		go f.end(r, syscall.SIGTERM)
-	case "start":
-		return f.Start(r)
+	}
+	return nil
+}
+
+// runDiskStep copies, fills or frees a relay's fleet folder, or restarts the relay from an older copy or from none.
+func (f *Fleet) runDiskStep(r *Relay, st *Step) error {
+	switch st.Action {
 	case "copy":
-		f.copies[r.Name] = filepath.Join(f.dir, r.Name+".old")
-		return os.CopyFS(f.copies[r.Name], os.DirFS(filepath.Join(r.dir, "fleet")))
+		f.diskCopies[r.Name] = filepath.Join(f.dir, r.Name+".old")
+		return os.CopyFS(f.diskCopies[r.Name], os.DirFS(filepath.Join(r.stateDir, "fleet")))
 	case "fill":
-		f.fault("fill", "the disk of "+r.Name+" is full")
-		return os.WriteFile(r.full(), nil, 0o600)
+		f.recordFault("fill", "the disk of "+r.Name+" is full")
+		return os.WriteFile(r.diskFullFile(), nil, 0o600)
 	case "free":
-		if err := os.Remove(r.full()); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := os.Remove(r.diskFullFile()); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
 	case "start-old", "start-none":
-		f.end(r, syscall.SIGKILL)
-		f.fault(st.Do, st.Do+" "+r.Name)
-		dir := filepath.Join(r.dir, "fleet") // not the journal: messages that are gone with it have no end
+		f.stop(r, syscall.SIGKILL)
+		f.recordFault(st.Action, st.Action+" "+r.Name)
+		dir := filepath.Join(r.stateDir, "fleet") // not the journal: messages that are gone with it have no end
 		if err := os.RemoveAll(dir); err != nil {
 			return err
 		}
-		if old := f.copies[r.Name]; old != "" && st.Do == "start-old" {
+		if old := f.diskCopies[r.Name]; old != "" && st.Action == "start-old" {
 			if err := os.CopyFS(dir, os.DirFS(old)); err != nil {
 				return err
 			}
 		}
 		return f.Start(r)
+	}
+	return nil
+}
+
+// runRelayStep changes a relay's load, process or links.
+func (f *Fleet) runRelayStep(r *Relay, st *Step) {
+	switch st.Action {
+	case "rate":
+		f.clientRates[r.Index].Store(math.Float64bits(st.Value))
+	case "kill":
+		f.recordFault("kill", "kill "+r.Name)
+		f.stop(r, syscall.SIGKILL)
+	case "term":
+		f.recordFault("term", "term "+r.Name)
+		go f.stop(r, syscall.SIGTERM)
 	case "stop":
 		if r.signal(syscall.SIGSTOP) {
-			f.fault("stop", fmt.Sprintf("stop %s for %v", r.Name, st.For))
-			time.AfterFunc(st.For, func() { r.signal(syscall.SIGCONT) })
+			f.recordFault("stop", fmt.Sprintf("stop %s for %v", r.Name, st.Length))
+			time.AfterFunc(st.Length, func() { r.signal(syscall.SIGCONT) })
 		}
 	case "cut", "cut-in", "cut-out":
-		f.fault(st.Do, st.Do+" "+r.Name)
+		f.recordFault(st.Action, st.Action+" "+r.Name)
 		for _, o := range f.Relays {
-			l, i := f.between(r, o)
-			if l == nil || len(st.Others) > 0 && !slices.Contains(st.Others, o.Name) {
+			l, i := f.linkBetween(r, o)
+			if l == nil || len(st.Peers) > 0 && !slices.Contains(st.Peers, o.Name) {
 				continue
 			}
-			if st.Do != "cut-in" {
-				l.ways[i].Store(&Faults{Cut: true})
+			if st.Action != "cut-in" {
+				l.faults[i].Store(&LinkFaults{Cut: true})
 			}
-			if st.Do != "cut-out" {
-				l.ways[1-i].Store(&Faults{Cut: true})
+			if st.Action != "cut-out" {
+				l.faults[1-i].Store(&LinkFaults{Cut: true})
 			}
 		}
-	case "force":
-		f.fault("force", "force at "+r.Name)
-		st, err := f.Ask(r, node.AdminRequest{Op: "force"}, patience)
-		if err != nil || st.Error != "" {
-			return fmt.Errorf("%s can't go on without a majority: %v %w", r.Name, st, err)
-		}
 	}
-	return nil
 }
 
+// heal ends the faults of all links.
 func (f *Fleet) heal() {
 	for _, l := range f.links {
-		l.ways[0].Store(&Faults{})
-		l.ways[1].Store(&Faults{})
+		l.setFaults(&LinkFaults{})
 	}
 }
