--- a/internal/tier/soak/plan_test.go
+++ b/internal/tier/soak/plan_test.go
@@ -1,6 +1,9 @@
 package soak
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -53,6 +56,18 @@
 	}
 }
 
+// TestRandomPlan_FirstSeeds_KeepTheirPlans keeps the seeds in records of earlier runs meaningful.
+func TestRandomPlan_FirstSeeds_KeepTheirPlans(t *testing.T) {
+	const want = "55f1c3773b7cf32b736e6e99cb800ca63e5ba9ca37f2de5215c90863aed8dd6a"
+	hash := sha256.New()
+	for seed := range uint64(300) {
+		fmt.Fprintln(hash, RandomPlan(seed, 20*time.Second).Text())
+	}
+	if got := hex.EncodeToString(hash.Sum(nil)); got != want {
+		t.Errorf("the plans' SHA-256 is %s, was %s: the order of draws, a kind or a JSON key has changed", got, want)
+	}
+}
+
 func TestRandomPlan_SameSeed_IsTheSame(t *testing.T) {
 	const length = 8 * time.Second
 	if a, b := RandomPlan(7, length).Text(), RandomPlan(7, length).Text(); a != b {
