--- a/.ci/deploy.sh
+++ b/.ci/deploy.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks what deploy/balancer.toml promises: the relay is linked dynamically against the C library, and `node` names
+# Checks the statements of deploy/balancer.toml: the relay is linked dynamically against the C library, and `node` names
 # every package of the project that it links.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -9,17 +9,17 @@
 needed=$(go run ./internal/tools/sharedlibs "$binary")
 grep -q '^libc\.so' <<<"$needed" || { echo "$binary: not linked dynamically against the C library" >&2; exit 1; }
 
-node=$(sed -n 's/^node = \[\(.*\)\]$/\1/p' "$file" | tr -d '" ' | tr ',' '\n')
+listed=$(sed -n 's/^node = \[\(.*\)\]$/\1/p' "$file" | tr -d '" ' | tr ',' '\n')
 linked=$(go list -deps ./cmd/mastusher | sed -n 's|^mastusher/||p')
 status=0
-for pkg in $linked; do
-	found=
-	for n in $node; do
-		case $pkg/ in "$n"/*) found=1 ;; esac
+for package in $linked; do
+	covered=
+	for path in $listed; do
+		case $package/ in "$path"/*) covered=1 ;; esac
 	done
-	test -n "$found" || { echo "$file: node leaves out $pkg" >&2; status=1; }
+	test -n "$covered" || { echo "$file: node leaves out $package" >&2; status=1; }
 done
-for n in $node; do
-	test -e "$n" || { echo "$file: node names $n, which is not there" >&2; status=1; }
+for path in $listed; do
+	test -e "$path" || { echo "$file: node names $path, which is not there" >&2; status=1; }
 done
 exit $status
--- a/.ci/system.sh
+++ b/.ci/system.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks what deploy/system.toml promises of the tier: its build line makes the binary, linked dynamically against the C
-# library, out of what `packages` lists, and each role's line names one of its commands.
+# Checks the statements of deploy/system.toml about the tier: its build line builds the binary, linked dynamically against the C
+# library, with the Debian packages that `packages` lists, and each role's line names a command of the binary.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 file=deploy/system.toml
@@ -12,7 +12,7 @@
 	test -z "$rest" || { echo "$file: '$binary $role $rest' has more than a role" >&2; status=1; }
 	needed=$(go run ./internal/tools/sharedlibs "$binary")
 	grep -q '^libc\.so' <<<"$needed" || { echo "$binary: not linked dynamically against the C library" >&2; status=1; }
-	# Read whole first: in a pipe, grep -q ends at its line, and what `help` still writes would fail the pipe by SIGPIPE.
+	# Read completely first: in a pipe, grep -q exits at the first match, and `help`, still writing, would fail the pipe by SIGPIPE.
 	help=$("$binary" help 2>&1)
 	grep -qE "^[[:space:]]+$role[[:space:]]" <<<"$help" || { echo "$file: $binary knows no role $role" >&2; status=1; }
 done < <(sed -n 's/^run = "\(.*\)"$/\1/p' "$file")
--- a/internal/tools/packages/deploy.go
+++ b/internal/tools/packages/deploy.go
@@ -1,28 +1,26 @@
 package main
 
 import (
-	"fmt"
-
 	"github.com/BurntSushi/toml"
 )
 
-// deployFile is what a deploy file says of its build.
+// deployFile is the part of a deploy file that describes its build. The fields have the names of the keys.
 type deployFile struct {
 	Build    string   // for a shell at the root of the repository
 	Packages []string // names of Debian packages
 }
 
-// readDeployFile reads a deploy file. It is an error if build or packages is missing; a list may be empty.
+// readDeployFile reads a deploy file. It fails with a missingKeyError without build or packages; the list may be empty.
 func readDeployFile(path string) (deployFile, error) {
-	var read deployFile
-	known, err := toml.DecodeFile(path, &read)
+	var decoded deployFile
+	keys, err := toml.DecodeFile(path, &decoded)
 	if err != nil {
 		return deployFile{}, err
 	}
 	for _, key := range []string{"build", "packages"} {
-		if !known.IsDefined(key) {
-			return deployFile{}, fmt.Errorf("%s is missing", key)
+		if !keys.IsDefined(key) {
+			return deployFile{}, &missingKeyError{Key: key}
 		}
 	}
-	return read, nil
+	return decoded, nil
 }
--- a/internal/tools/packages/dpkg.go
+++ b/internal/tools/packages/dpkg.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// packageDatabase is what the package manager knows of this machine.
+// packageDatabase is the answer of dpkg for this machine.
 type packageDatabase struct {
-	owners       map[string][]string // packages by the path of a file
-	dependencies map[string][]string // by the name of an installed package; all alternatives
+	owners       map[string][]string // names of packages, by the path of a file
+	dependencies map[string][]string // names of packages, by the name of an installed one; with all alternatives
 }
 
-// queryDpkg asks for the owners of files and for all dependencies.
+// queryDpkg asks dpkg for the owners of the files and for the dependencies of all installed packages.
 func queryDpkg(files []string) (packageDatabase, error) {
-	var asked []string
+	var paths []string
 	for _, file := range files {
-		asked = append(asked, aliasesOf(file)...)
+		paths = append(paths, aliasesOf(file)...)
 	}
-	owned, err := exec.Command("dpkg-query", append([]string{"--search"}, asked...)...).Output()
-	if len(owned) == 0 { // its status also tells of names that nobody owns
+	owned, err := exec.Command("dpkg-query", append([]string{"--search"}, paths...)...).Output()
+	if len(owned) == 0 { // the status alone says nothing: it is 1 if any path has no owner
 		return packageDatabase{}, fmt.Errorf("asking for the owners of files: %w", err)
 	}
 	installed, err := exec.Command("dpkg-query", "--show", "--showformat", `${Package}\t${Pre-Depends}, ${Depends}\n`).Output()
@@ -30,7 +30,7 @@
 	return packageDatabase{owners: parseOwners(string(owned)), dependencies: parseDepends(string(installed))}, nil
 }
 
-// aliasesOf gives the names under which dpkg may know a file: /bin and /lib have become links to folders of /usr.
+// aliasesOf returns the paths under which dpkg may know a file: /bin and /lib are links to folders of /usr.
 func aliasesOf(file string) []string {
 	if rest, merged := strings.CutPrefix(file, "/usr"); merged {
 		return []string{file, rest}
@@ -38,7 +38,7 @@
 	return []string{file, "/usr" + file}
 }
 
-// parseOwners reads lines such as "libc6:amd64, libc6-dev: /usr/lib/x". Lines about diversions tell of no owner.
+// parseOwners parses lines such as "libc6:amd64, libc6-dev: /usr/lib/x". Lines about diversions name no owner.
 func parseOwners(text string) map[string][]string {
 	owners := map[string][]string{}
 	for line := range strings.Lines(text) {
@@ -53,7 +53,7 @@
 	return owners
 }
 
-// parseDepends reads lines such as "gcc<tab>, cpp (= 4:12.2.0-3), gcc-12 (>= 12.2.0-1~)".
+// parseDepends parses lines such as "gcc<tab>, cpp (= 4:12.2.0-3), gcc-12 (>= 12.2.0-1~)".
 func parseDepends(text string) map[string][]string {
 	depends := map[string][]string{}
 	for line := range strings.Lines(text) {
@@ -69,32 +69,33 @@
 	return depends
 }
 
-// packageName strips version and architecture.
+// packageName returns the name without version and architecture.
 func packageName(text string) string {
 	name, _, _ := strings.Cut(text, " ")
 	name, _, _ = strings.Cut(name, ":")
 	return name
 }
 
-// check returns what is wrong with a list: a file that none of its packages and none that these depend on owns, or a package
-// that isn't installed here, of which the build proves nothing.
+// check returns what is wrong with a list: a notInstalledError for each listed package that isn't installed, and an unlistedError
+// for each file that is owned neither by a listed package nor by one on which they depend.
 func (d packageDatabase) check(files, listed []string) []error {
-	var faults []error
+	var failures []error
 	for _, name := range listed {
 		if _, installed := d.dependencies[name]; !installed {
-			faults = append(faults, fmt.Errorf("%s is listed and not installed here", name))
+			failures = append(failures, &notInstalledError{Package: name})
 		}
 	}
-	brought := d.closure(listed)
+	provided := d.closure(listed)
 	for _, file := range files {
 		owners := d.ownersOf(file)
-		if !slices.ContainsFunc(owners, func(owner string) bool { return brought[owner] }) {
-			faults = append(faults, fmt.Errorf("the build opens %s of %v, which isn't listed", file, owners))
+		if !slices.ContainsFunc(owners, func(owner string) bool { return provided[owner] }) {
+			failures = append(failures, &unlistedError{File: file, Owners: owners})
 		}
 	}
-	return faults
+	return failures
 }
 
+// ownersOf returns the packages that own the file under any of its paths.
 func (d packageDatabase) ownersOf(file string) []string {
 	for _, name := range aliasesOf(file) {
 		if owners := d.owners[name]; owners != nil {
@@ -104,17 +105,17 @@
 	return nil
 }
 
-// closure returns the packages and all that they depend on.
+// closure returns the packages and all that they depend on, directly or not.
 func (d packageDatabase) closure(names []string) map[string]bool {
-	brought := map[string]bool{}
-	open := slices.Clone(names)
-	for len(open) > 0 {
-		name := open[len(open)-1]
-		open = open[:len(open)-1]
-		if !brought[name] {
-			brought[name] = true
-			open = append(open, d.dependencies[name]...)
+	reached := map[string]bool{}
+	pending := slices.Clone(names)
+	for len(pending) > 0 {
+		name := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if !reached[name] {
+			reached[name] = true
+			pending = append(pending, d.dependencies[name]...)
 		}
 	}
-	return brought
+	return reached
 }
--- a/internal/tools/packages/main.go
+++ b/internal/tools/packages/main.go
@@ -1,6 +1,3 @@
-// Command packages checks that a deploy file lists the Debian packages that its build needs. It runs the build line with a
-// compiler that names every program, header, object and library that it opens, and asks dpkg who owns them. It is the tool of
-// `make packages`.
 package main
 
 import (
@@ -32,7 +29,8 @@
 	os.Exit(status)
 }
 
-// check traces the build of one deploy file and judges its list.
+// check traces the build of one deploy file and checks its list of packages. All that is wrong with the list is in the error: see
+// notInstalledError and unlistedError.
 func check(path string) error {
 	declared, err := readDeployFile(path)
 	if err != nil {
@@ -42,11 +40,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := queryDpkg(opened)
+	database, err := queryDpkg(opened)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(known.check(opened, declared.Packages)...); err != nil {
+	if err := errors.Join(database.check(opened, declared.Packages)...); err != nil {
 		return err
 	}
 	fmt.Printf("%s: its %d packages, and what they depend on, own the %d files that the build opens\n", path, len(declared.Packages), len(opened))
--- a/internal/tools/packages/packages_test.go
+++ b/internal/tools/packages/packages_test.go
@@ -53,31 +53,31 @@
 func TestCheck_EachKindOfList(t *testing.T) {
 	opened := []string{"/usr/bin/gcc", "/usr/bin/sh", "/usr/include/stdio.h", "/usr/include/linux/errno.h"}
 	cases := []struct {
-		name   string
-		opened []string
-		listed []string
-		faults []string
+		name     string
+		opened   []string
+		listed   []string
+		failures []string
 	}{
 		{name: "all listed", opened: opened, listed: []string{"dash", "gcc", "libc6-dev", "linux-libc-dev"}},
 		{name: "one comes as a dependency", opened: opened, listed: []string{"dash", "gcc", "libc6-dev"}},
 		{
-			name:   "one is left out",
-			opened: opened,
-			listed: []string{"dash", "gcc"},
-			faults: []string{"stdio.h of [libc6-dev libc6-dev-other]", "errno.h of [linux-libc-dev]"},
+			name:     "one is left out",
+			opened:   opened,
+			listed:   []string{"dash", "gcc"},
+			failures: []string{"stdio.h of [libc6-dev libc6-dev-other]", "errno.h of [linux-libc-dev]"},
 		},
-		{name: "nobody owns a file", opened: []string{"/opt/cc1"}, listed: []string{"gcc"}, faults: []string{"/opt/cc1 of []"}},
-		{name: "a package that isn't there", listed: []string{"gcc", "clang"}, faults: []string{"clang is listed"}},
+		{name: "nobody owns a file", opened: []string{"/opt/cc1"}, listed: []string{"gcc"}, failures: []string{"/opt/cc1 of []"}},
+		{name: "a package that isn't there", listed: []string{"gcc", "clang"}, failures: []string{"clang is listed"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			faults := sampleDpkg().check(tc.opened, tc.listed)
-			if len(faults) != len(tc.faults) {
-				t.Fatalf("found %v, and not %v", faults, tc.faults)
+			failures := sampleDpkg().check(tc.opened, tc.listed)
+			if len(failures) != len(tc.failures) {
+				t.Fatalf("found %v, and not %v", failures, tc.failures)
 			}
-			for i, want := range tc.faults {
-				if !strings.Contains(faults[i].Error(), want) {
-					t.Errorf("found %v, and not %s", faults[i], want)
+			for i, want := range tc.failures {
+				if !strings.Contains(failures[i].Error(), want) {
+					t.Errorf("found %v, and not %s", failures[i], want)
 				}
 			}
 		})
--- a/internal/tools/packages/trace.go
+++ b/internal/tools/packages/trace.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
-	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,71 +10,18 @@
 	"strings"
 )
 
-// traceVariable names the folder for the traces, in the environment of a build. This program then is the build's compiler.
-const traceVariable = "PACKAGES_TRACE_FOLDER"
-
-const compiler = "gcc"
-
-// traceFlags make the compiler name the programs that it runs, the headers that it reads, and what the linker opens.
-var traceFlags = []string{"-v", "-H", "-Wl,--trace"}
-
-// compile is the build's compiler: it runs the true one twice, first for the trace. It returns the status of the second run.
-func compile(folder string, arguments []string) int {
-	input, err := readInput(arguments)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "packages:", err)
-		return 1
-	}
-	trace, err := os.CreateTemp(folder, "trace-")
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "packages:", err)
-		return 1
-	}
-	defer trace.Close()
-	traced := exec.Command(compiler, slices.Concat(traceFlags, arguments)...)
-	traced.Stdin, traced.Stdout, traced.Stderr = bytes.NewReader(input), trace, trace
-	_ = traced.Run() // the second run tells
-	plain := exec.Command(compiler, arguments...)
-	plain.Stdin, plain.Stdout, plain.Stderr = bytes.NewReader(input), os.Stdout, os.Stderr
-	if err := plain.Run(); err != nil {
-		return max(plain.ProcessState.ExitCode(), 1)
-	}
-	return 0
-}
-
-// readInput reads the source that comes by standard input, if any does.
-func readInput(arguments []string) ([]byte, error) {
-	if !slices.Contains(arguments, "-") {
-		return nil, nil
-	}
-	return io.ReadAll(os.Stdin)
-}
-
-// traceBuild runs a build line and returns the files of the machine that it opened. The compiler is another one for the build
-// cache at each run, and the programs go to an empty folder, so that everything with C in it is compiled and linked anew.
+// traceBuild runs a build line and returns the files of the machine that it opened, sorted. The compiler has a new path at each
+// run, which Go's build cache takes for another compiler, and the programs go to an empty folder: so everything with C in it is
+// compiled and linked anew.
 func traceBuild(line string) ([]string, error) {
 	folder, err := os.MkdirTemp("", "packages-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	own, err := os.Executable()
-	if err != nil {
-		return nil, err
-	}
-	copied := filepath.Join(folder, "compiler")
-	if err = copyProgram(own, copied); err != nil {
-		return nil, err
-	}
-	redirected, err := withOutput(line, filepath.Join(folder, "made")+"/")
-	if err != nil {
+	if err = runBuild(line, folder); err != nil {
 		return nil, err
 	}
-	build := exec.Command("sh", "-c", redirected)
-	build.Env = append(os.Environ(), "CC="+copied, traceVariable+"="+folder)
-	if output, buildErr := build.CombinedOutput(); buildErr != nil {
-		return nil, fmt.Errorf("the build line fails: %w\n%s", buildErr, output)
-	}
 	opened, err := readTraces(folder)
 	if err != nil {
 		return nil, err
@@ -90,16 +35,39 @@
 	return slices.Compact(opened), nil
 }
 
+// runBuild runs a build line with a copy of this program as its compiler. Traces and programs go to folder.
+func runBuild(line, folder string) error {
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	wrapper := filepath.Join(folder, "compiler")
+	if err = copyProgram(self, wrapper); err != nil {
+		return err
+	}
+	redirected, err := withOutput(line, filepath.Join(folder, "made")+"/")
+	if err != nil {
+		return err
+	}
+	build := exec.Command("sh", "-c", redirected)
+	build.Env = append(os.Environ(), "CC="+wrapper, traceVariable+"="+folder)
+	if output, err := build.CombinedOutput(); err != nil {
+		return fmt.Errorf("the build line fails: %w\n%s", err, output)
+	}
+	return nil
+}
+
 var outputFlag = regexp.MustCompile(` -o \S+`)
 
-// withOutput makes a build line put its programs elsewhere.
+// withOutput returns the build line with folder as the target of its -o. It fails with an outputFlagError unless there is just one.
 func withOutput(line, folder string) (string, error) {
 	if len(outputFlag.FindAllString(line, -1)) != 1 {
-		return "", fmt.Errorf("the build line has no -o, or several: %s", line)
+		return "", &outputFlagError{Line: line}
 	}
 	return outputFlag.ReplaceAllLiteralString(line, " -o "+folder), nil
 }
 
+// copyProgram copies an executable file.
 func copyProgram(from, to string) error {
 	raw, err := os.ReadFile(from)
 	if err != nil {
@@ -108,24 +76,25 @@
 	return os.WriteFile(to, raw, 0o700)
 }
 
-// readTraces returns the files of the machine that the traces name.
+// readTraces returns the regular files that the traces name, but for those in excludedFolders, in no order. It fails with
+// errNoCompiler without a trace.
 func readTraces(folder string) ([]string, error) {
 	traces, err := filepath.Glob(filepath.Join(folder, "trace-*"))
 	if err != nil {
 		return nil, err
 	}
 	if len(traces) == 0 {
-		return nil, fmt.Errorf("the build ran no compiler")
+		return nil, errNoCompiler
 	}
-	outside, err := excludedFolders()
+	excluded, err := excludedFolders()
 	if err != nil {
 		return nil, err
 	}
 	named := map[string]bool{}
 	for _, trace := range traces {
-		raw, err := os.ReadFile(trace)
-		if err != nil {
-			return nil, err
+		raw, readErr := os.ReadFile(trace)
+		if readErr != nil {
+			return nil, readErr
 		}
 		for _, path := range pathsIn(string(raw)) {
 			named[path] = true
@@ -134,7 +103,7 @@
 	var opened []string
 	for path := range named {
 		info, err := os.Stat(path)
-		if err == nil && info.Mode().IsRegular() && !isUnder(path, outside) {
+		if err == nil && info.Mode().IsRegular() && !isUnder(path, excluded) {
 			opened = append(opened, path)
 		}
 	}
@@ -165,6 +134,7 @@
 	return append(strings.Fields(string(raw)), checkout, os.TempDir()), nil
 }
 
+// isUnder reports whether the path lies in one of the folders.
 func isUnder(path string, folders []string) bool {
 	return slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path, filepath.Clean(folder)+"/") })
 }
--- a/internal/tools/sharedlibs/main.go
+++ b/internal/tools/sharedlibs/main.go
@@ -1,4 +1,6 @@
-// Command needed prints the shared libraries that an ELF binary asks for, one a line. It is a tool of `make check`.
+// Command sharedlibs prints the shared libraries that an ELF binary needs (its DT_NEEDED entries), one a line in the order of the
+// file. The scripts in .ci check with it that a binary is linked dynamically against the C library. The exit status is 1 for a
+// file that can't be read, and 2 without exactly one argument.
 package main
 
 import (
@@ -9,21 +11,29 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "usage: needed BINARY")
+		fmt.Fprintln(os.Stderr, "usage: sharedlibs BINARY")
 		os.Exit(2)
 	}
-	f, err := elf.Open(os.Args[1])
+	libraries, err := neededLibraries(os.Args[1])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "needed:", err)
+		fmt.Fprintln(os.Stderr, "sharedlibs:", err)
 		os.Exit(1)
 	}
-	defer f.Close()
-	libs, err := f.ImportedLibraries()
+	for _, library := range libraries {
+		fmt.Println(library)
+	}
+}
+
+// neededLibraries returns the names of the shared libraries that the binary at path needs; none if it is linked statically.
+func neededLibraries(path string) ([]string, error) {
+	binary, err := elf.Open(path)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "needed:", err)
-		os.Exit(1)
+		return nil, fmt.Errorf("reading %s: %w", path, err)
 	}
-	for _, l := range libs {
-		fmt.Println(l)
+	defer binary.Close()
+	libraries, err := binary.ImportedLibraries()
+	if err != nil {
+		return nil, fmt.Errorf("reading the libraries of %s: %w", path, err)
 	}
+	return libraries, nil
 }
