--- a/internal/tier/fleettest/faults.go
+++ b/internal/tier/fleettest/faults.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// StartLater starts machines after a pause.
+// StartLater starts machines after a delay.
 func (f *Fleet) StartLater(delay time.Duration, machines ...*Machine) {
 	f.loop.after(delay, func() { f.Start(machines...) })
 }
@@ -193,7 +193,7 @@
 	p.start()
 }
 
-// KillProcess ends one process of an edge machine; it is started again after a pause.
+// KillProcess ends one process of an edge machine; it is started again after a delay.
 func (f *Fleet) KillProcess(p *process) {
 	if !p.isRunning() {
 		return
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -12,15 +12,15 @@
 
 // Options set a fleet up. Zero counts and times stand for the defaults.
 type Options struct {
-	Seed         uint64
-	Cores        int // 3
-	Stores       int // 4
-	Edges        int // 3
-	Endpoints    int // of the model's service, 3; as many of the tools'
-	Conditions   Conditions
-	SyncTime     time.Duration // 2 ms
-	CompactBytes int64         // length of a log that is replaced by a snapshot, 16 kB
-	Trace        func(format string, arguments ...any)
+	Seed         uint64                                // of all draws of a run
+	Cores        int                                   // machines with a controller; default 3
+	Stores       int                                   // machines with a store; default 4
+	Edges        int                                   // machines with an agent and a proxy; default 3
+	Endpoints    int                                   // of the model's service, and as many of the tools'; default 3
+	Conditions   Conditions                            // of the network; default 0.7 ms delay, 0.3 ms jitter, 0.2 % loss
+	SyncTime     time.Duration                         // of a disk's sync; default 2 ms
+	CompactBytes int64                                 // length of a log that is replaced by a snapshot; default 16 kB
+	Trace        func(format string, arguments ...any) // called for each event; nil: no trace
 }
 
 func (o Options) withDefaults() Options {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Fleet is the tier with those who use it.
+// Fleet is the tier with its operators, clients and endpoints. Its methods must be called from one goroutine.
 type Fleet struct {
 	options      Options
 	loop         *loop
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// fail ends the process because its disk failed; it is started again after a pause.
+// fail ends the process because its disk failed; it is started again after restartDelay.
 func (p *process) fail(err error) {
 	p.machine.fleet.trace("%s fails: %v", p.name, err)
 	p.end(true)
--- a/internal/tier/simulation/campaign_test.go
+++ b/internal/tier/simulation/campaign_test.go
@@ -56,7 +56,7 @@
 	})
 	fleet = done.Load()
 	violations = append(fleet.Violations(), checkConfiguration(fleet.history)...)
-	return append(violations, checkTurns(fleet.history, fleet.environment.ledger)...), fleet
+	return append(violations, checkTurns(fleet.history, fleet.environment.runLog)...), fleet
 }
 
 // leakedStacks gives the stacks of the goroutines that are left in a bubble.
@@ -82,7 +82,7 @@
 			orders += len(fleet.history.orders())
 			programs += len(fleet.history.programs)
 			turns += len(fleet.history.completeTurns())
-			runs += len(fleet.environment.ledger.All())
+			runs += len(fleet.environment.runLog.All())
 		}
 		if len(violations) == 0 {
 			continue
--- a/internal/tier/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -92,7 +92,7 @@
 			h := &history{programs: []standin.ProgramResult{{Name: "p", Budget: c.budget, Outcome: standin.Outcome{Turns: []standin.Turn{complete, c.last}}}}}
 			var broken []string
 			for _, violation := range checkTurns(h, standin.NewRunLog()) {
-				if rule, _, _ := strings.Cut(violation, ":"); rule != "TURN" { // the ledger is empty
+				if rule, _, _ := strings.Cut(violation, ":"); rule != "TURN" { // the run log is empty
 					broken = append(broken, rule)
 				}
 			}
--- a/internal/tier/simulation/doubler_test.go
+++ b/internal/tier/simulation/doubler_test.go
@@ -37,13 +37,13 @@
 	}
 	d := &doubler{host: host, listener: listener, ran: map[string]int{}}
 	go d.serve()
-	for number := range 2 * endpointsEach {
+	for number := range 2 * endpointsPerService {
 		if number%2 == 1 {
 			f.environment.platform.Remove(fmt.Sprintf("e-%d", number))
 		}
 	}
 	f.environment.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
-		Capacity: batch, State: model.Ready})
+		Capacity: endpointCapacity, State: model.Ready})
 	return d
 }
 
--- a/internal/tier/simulation/environment.go
+++ b/internal/tier/simulation/environment.go
@@ -17,25 +17,25 @@
 	clientAddress   = "10.9.0.3"
 )
 
-// What endpoints there are.
+// Values of the endpoints and of the platform's list.
 const (
-	modelService   = "lm"
-	toolService    = "tools"
-	modelName      = "m"
-	endpointsEach  = 3 // of a service
-	batch          = 32
-	tokensPerEvent = 3
-	cacheTokens    = 200_000
-	prefill        = 30 * time.Millisecond
-	eventGap       = 15 * time.Millisecond
-	toolWork       = 20 * time.Millisecond
-	maxConnections = 200
-	pageSize       = 4
+	modelService        = "lm"
+	toolService         = "tools"
+	modelName           = "m"
+	endpointsPerService = 3 // of a service
+	endpointCapacity    = 32
+	tokensPerEvent      = 3
+	cacheTokens         = 200_000
+	prefillTime         = 30 * time.Millisecond
+	eventInterval       = 15 * time.Millisecond
+	toolServiceTime     = 20 * time.Millisecond
+	maxConnections      = 200
+	pageSize            = 4
 )
 
 // environment holds those whom the tier talks to: the platform's list, the endpoints, the operator and the clients.
 type environment struct {
-	ledger    *standin.RunLog
+	runLog    *standin.RunLog
 	platform  *standin.Platform
 	endpoints []*endpoint
 	operator  *memorynetwork.Process
@@ -51,17 +51,17 @@
 }
 
 func (f *Fleet) newEnvironment() (*environment, error) {
-	environment := &environment{ledger: standin.NewRunLog()}
+	environment := &environment{runLog: standin.NewRunLog()}
 	environment.operator = f.network.Machine(operatorAddress).Start()
 	environment.client = f.network.Machine(clientAddress).Start()
 	environment.processes = append(environment.processes, environment.operator, environment.client)
-	platform, err := standin.NewPlatform(standin.PlatformOptions{PageSize: pageSize, RatePerS: listRate, Listen: environment.listen(f.network.Machine(platformAddress), platformPort)})
+	platform, err := standin.NewPlatform(standin.PlatformOptions{PageSize: pageSize, RatePerS: listRatePerS, Listen: environment.listen(f.network.Machine(platformAddress), platformPort)})
 	if err != nil {
 		return nil, err
 	}
 	environment.platform = platform
 	environment.closers = append(environment.closers, platform.Close)
-	for number := range 2 * endpointsEach {
+	for number := range 2 * endpointsPerService {
 		if err := environment.addEndpoint(f, number); err != nil {
 			return nil, err
 		}
@@ -82,18 +82,18 @@
 func (s *environment) addEndpoint(f *Fleet, number int) error {
 	host := f.network.Machine(fmt.Sprintf("10.8.0.%d", number+1))
 	options := standin.EndpointOptions{ID: fmt.Sprintf("e-%d", number), Service: toolService, Zone: zoneName(number % f.options.Zones), Version: "v1",
-		Capacity: batch, Queue: batch, MaxConnections: maxConnections, RunLog: s.ledger, Listen: s.listen(host, endpointPort), Fault: f.drawEndpointFault}
+		Capacity: endpointCapacity, Queue: endpointCapacity, MaxConnections: maxConnections, RunLog: s.runLog, Listen: s.listen(host, endpointPort), Fault: f.drawEndpointFault}
 	if number%2 == 0 {
 		options.Service = modelService
 		engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: options, Models: []string{modelName}, CacheTokens: cacheTokens,
-			TokensPerEvent: tokensPerEvent, Prefill: prefill, EventInterval: eventGap})
+			TokensPerEvent: tokensPerEvent, Prefill: prefillTime, EventInterval: eventInterval})
 		if err != nil {
 			return err
 		}
 		s.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
 		s.closers = append(s.closers, engine.Close)
 	} else {
-		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolWork})
+		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolServiceTime})
 		if err != nil {
 			return err
 		}
--- a/internal/tier/simulation/faults_machine.go
+++ b/internal/tier/simulation/faults_machine.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// startLater starts a machine after a pause.
+// startLater starts a machine after a delay.
 func (d *day) startLater(delay time.Duration, m *machine) { d.after(delay, m.startAll) }
 
 // endAll ends all quorum machines at once; each starts again within the fault's time.
--- a/internal/tier/simulation/fleet.go
+++ b/internal/tier/simulation/fleet.go
@@ -15,13 +15,13 @@
 
 // Options describe a fleet. A zero field takes its default.
 type Options struct {
-	Seed        uint64
-	Controllers int    // 3
-	Stores      int    // 4
-	Edges       int    // 2
-	Zones       int    // 3
-	Folder      string // for settings files
-	Trace       func(format string, arguments ...any)
+	Seed        uint64                                // of the network's delays and of all draws of the fleet
+	Controllers int                                   // machines with a controller; default 3
+	Stores      int                                   // machines with a store; default 4
+	Edges       int                                   // machines with an agent and a proxy; default 2
+	Zones       int                                   // over which the machines are spread; default 3
+	Folder      string                                // where the settings files are written; must exist
+	Trace       func(format string, arguments ...any) // called for each event, from many goroutines; nil: no trace
 }
 
 func (o Options) withDefaults() Options {
@@ -132,11 +132,11 @@
 	ending.Wait()
 	f.environment.close()
 	f.goroutines.Wait()
-	time.Sleep(lingerTime)
+	time.Sleep(shutdownGrace)
 }
 
-// lingerTime is how long goroutines of the library may outlive the end of their processes.
-const lingerTime = time.Minute
+// shutdownGrace is how long goroutines of the library may outlive the end of their processes.
+const shutdownGrace = time.Minute
 
 func (f *Fleet) now() time.Duration { return time.Since(f.started) }
 
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -154,7 +154,7 @@
 		},
 		Services: []model.Service{
 			{Name: modelService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1",
-				Engine: &model.Engine{Capacity: batch, CacheTokens: cacheTokens, TokensPerEvent: tokensPerEvent, Models: []model.Model{{Name: modelName}}}},
+				Engine: &model.Engine{Capacity: endpointCapacity, CacheTokens: cacheTokens, TokensPerEvent: tokensPerEvent, Models: []model.Model{{Name: modelName}}}},
 			{Name: toolService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1"},
 			{Name: "unused", HealthPath: "/" + strings.Repeat("x", longer), MaxConnections: maxConnections, Protocol: "h1"},
 		},
--- a/internal/tier/simulation/scenarios_test.go
+++ b/internal/tier/simulation/scenarios_test.go
@@ -24,7 +24,7 @@
 		f.Close()
 	})
 	violations := append(d.Violations(), checkConfiguration(d.history)...)
-	for _, violation := range append(violations, checkTurns(d.history, d.environment.ledger)...) {
+	for _, violation := range append(violations, checkTurns(d.history, d.environment.runLog)...) {
 		t.Error(violation)
 	}
 }
--- a/internal/tier/simulation/settings.go
+++ b/internal/tier/simulation/settings.go
@@ -30,7 +30,7 @@
 	replicasPerShard  = 2*toleratedMachines + 1
 	catchUp           = 4300 * time.Millisecond
 	seedDelay         = 3 * time.Second
-	listRate          = 20.0
+	listRatePerS      = 20.0
 	memoryMb          = 256
 	openFiles         = 4096
 	settingMode       = 0o644
@@ -87,7 +87,7 @@
 		"findBy":          "cloud_api",
 		"survive":         map[string]any{"machines": toleratedMachines, "zones": 0, "regions": 0},
 		"bounds":          map[string]any{"graceS": grace.Seconds(), "catchUpS": catchUp.Seconds()},
-		"cloudApi":        map[string]any{"address": net.JoinHostPort(platformAddress, strconv.Itoa(platformPort)), "ratePerS": listRate},
+		"cloudApi":        map[string]any{"address": net.JoinHostPort(platformAddress, strconv.Itoa(platformPort)), "ratePerS": listRatePerS},
 	}
 	if m.countsForQuorum() {
 		file["dataFolder"] = "/disk"
