--- a/internal/tier/controller/api_settings.go
+++ b/internal/tier/controller/api_settings.go
@@ -138,8 +138,8 @@
 
 // getSettings returns the newest configuration. It must never return an older one, so a majority confirms the read.
 func (c *Controller) getSettings(e echo.Context) error {
-	if redirected, redirectErr := c.redirect(e); redirected {
-		return redirectErr
+	if redirected, err := c.redirect(e); redirected {
+		return err
 	}
 	ctx, cancel := context.WithTimeout(e.Request().Context(), readTimeout)
 	defer cancel()
--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -47,10 +47,10 @@
 		},
 		{
 			Name: "an order is rejected for the version that a member has applied",
-			Change: mutation.Change{File: "api_settings.go", Old: "\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {",
+			Change: mutation.Change{File: "api_settings.go", Old: "\tif redirected, redirectErr := c.redirect(e); redirected {\n\t\treturn redirectErr\n\t}\n\tif err != nil {",
 				New: "\tc.mutex.Lock()\n\tother := err == nil && c.state.configuration.Current().Number != proposal.Base\n\tc.mutex.Unlock()\n" +
 					"\tif other {\n\t\treturn apierror.New(apierror.VersionConflict, \"another version is current\")\n\t}\n" +
-					"\tif redirected, err := c.redirect(e); redirected {\n\t\treturn err\n\t}\n\tif err != nil {"},
+					"\tif redirected, redirectErr := c.redirect(e); redirected {\n\t\treturn redirectErr\n\t}\n\tif err != nil {"},
 			Run: partitionTests,
 		},
 		{
