--- a/control/doc.go
+++ b/control/doc.go
@@ -22,7 +22,7 @@
 //   - Each message gets exactly one final answer, and none is sent at or after its deadline.
 //   - An Unsafe message that may have run is never sent again; a Keyed one only within its group of endpoints and its Memory.
 //   - Messages of one key in an ordered class go one at a time, in the order of arrival.
-//   - Nothing is sent to an endpoint that drains or was removed, nor to a route before the end of a wait that it was told.
+//   - Nothing is sent to an endpoint that drains or was removed, nor to a route before the end of a wait that the route asked for.
 //   - A route that recovers from an outage is not pushed over: see slowStartMargin.
 //
 // # Mechanisms, by file
--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -52,8 +52,8 @@
 	tokens     float64
 	refilledAt time.Duration // of tokens; may lie ahead
 	rateLimit  float64       // calls a second that this sender allows itself; 0: none is known
-	waitUntil  time.Duration // nothing may be sent before, as the destination told
-	lastWait   time.Duration // the wait told last
+	waitUntil  time.Duration // nothing may be sent before, as the destination asked for
+	lastWait   time.Duration // the wait that it asked for last
 	retryAt    time.Duration // no attempt before, after a refusal
 	refusedAt  time.Duration // the last refusal that counted
 
--- a/control/events.go
+++ b/control/events.go
@@ -81,7 +81,7 @@
 	Result      Result        `cbor:"13,keyasint,omitempty"`
 	Elapsed     time.Duration `cbor:"14,keyasint,omitempty"` // recorded, and not used to decide
 	Final       bool          `cbor:"15,keyasint,omitempty"` // the message has its final answer
-	RetryAfter  time.Duration `cbor:"16,keyasint,omitempty"` // told with Throttled
+	RetryAfter  time.Duration `cbor:"16,keyasint,omitempty"` // the wait that a Throttled call was answered with
 	Reported    bool          `cbor:"17,keyasint,omitempty"` // Remaining and Limit were reported
 	Remaining   float64       `cbor:"18,keyasint,omitempty"` // share of the allowance that is left, 0 to 1
 	Limit       float64       `cbor:"19,keyasint,omitempty"` // calls a second, over all senders; 0: none
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -40,7 +40,7 @@
 // decreaseLimit takes a refusal as the sign of a limit that is shared with other senders: what this sender lately got accepted is its
 // part, and it stays a little under that and probes upwards slowly. Where refused calls use up the limit, asking more gets less: of a
 // reported limit all fall back to equal parts, then to what even a recovering route takes, each from a moment of its own after the wait,
-// whether that was told to it or to others.
+// whether that wait was asked of it or of others.
 func (s *Sender) decreaseLimit(route *routeState, kind *kindState) {
 	if !s.backOff(route, kind) {
 		return
--- a/control/shared_limits.go
+++ b/control/shared_limits.go
@@ -27,7 +27,7 @@
 	Unhealthy  bool          `cbor:"6,keyasint,omitempty"`  // others have found it down
 	Healthy    bool          `cbor:"7,keyasint,omitempty"`  // it has delivered to another
 	HealthAge  time.Duration `cbor:"8,keyasint,omitempty"`  // since the newest evidence of either
-	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"`  // from now on, as told to another
+	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"`  // from now on, as the route asked another sender for
 	MayProbe   bool          `cbor:"10,keyasint,omitempty"` // it is this sender's turn to probe it
 }
 
@@ -43,12 +43,12 @@
 	LimitAge      time.Duration // since that report
 	Unhealthy     bool          // ejected by its own calls, and not on the word of others
 	Healthy       bool          // it has delivered
-	HealthAge     time.Duration // since the newest call which that stands on
-	RetryAfter    time.Duration // from now on, as told to this sender
+	HealthAge     time.Duration // since the newest call that Healthy or Unhealthy rests on
+	RetryAfter    time.Duration // from now on, as the route asked this sender for
 }
 
 const (
-	// ownReportValidity is how much older what a sender was told itself must be before the report to another counts more.
+	// ownReportValidity is how much older a limit reported to this sender must be than one reported to another for that one to count.
 	ownReportValidity = 2 * time.Second
 	// minSharedRate is the calls a second that a share of a reported limit allows at least: a rate of 0 would mean that none is known.
 	minSharedRate = 1e-9
@@ -56,7 +56,7 @@
 	idleDemand = 0.01
 )
 
-// lease is what a sender was told last of what it may spend.
+// lease is the share of a limit that this sender was granted last.
 type lease struct {
 	guaranteedShare float64
 	expiry          time.Duration
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -58,85 +58,85 @@
 
 // handleLeaseRequest takes a lease request. The leader grants it once a majority has confirmed that it still leads; another
 // voter forwards it.
-func (n *Node) handleLeaseRequest(from string, p *LeaseRequest) {
-	if p.Member != 0 {
-		n.rememberPosition(p.Member, consensus.LogPosition{Term: p.Term, LastIndex: p.LastIndex})
+func (n *Node) handleLeaseRequest(from string, request *LeaseRequest) {
+	if request.Member != 0 {
+		n.rememberPosition(request.Member, consensus.LogPosition{Term: request.Term, LastIndex: request.LastIndex})
 	}
 	if n.engine == nil || n.probation {
 		return
 	}
 	if !n.engine.IsLeader() {
-		if to := n.applied.Members[n.engine.Leader()]; !p.Forwarded && to != "" && to != from {
-			q := *p
-			q.Forwarded = true
-			n.send(to, &Message{LeaseRequest: &q})
+		if to := n.applied.Members[n.engine.Leader()]; !request.Forwarded && to != "" && to != from {
+			forwarded := *request
+			forwarded.Forwarded = true
+			n.send(to, &Message{LeaseRequest: &forwarded})
 		}
 		return
 	}
-	if p.Forwarded && p.From == from && from != n.config.Name {
+	if request.Forwarded && request.From == from && from != n.config.Name {
 		return // for the record only
 	}
-	s := n.leadership.relays[p.From]
-	if s == nil {
+	relay := n.leadership.relays[request.From]
+	if relay == nil {
 		if len(n.leadership.relays) > 4*len(n.applied.Roster)+64 {
 			return
 		}
-		s = &relayRecord{leaseOverAt: n.leadership.since + n.maxLeaseDuration()}
-		n.leadership.relays[p.From] = s
+		relay = &relayRecord{leaseOverAt: n.leadership.since + n.maxLeaseDuration()}
+		n.leadership.relays[request.From] = relay
 	}
-	if !n.isNewestRequest(from, s, p) {
+	if !n.isNewestRequest(from, relay, request) {
 		return
 	}
-	s.request, s.receivedAt = *p, n.now
-	if reason := n.rejectionReason(s, p); reason != "" {
-		n.sendGrant(from, p, 0, reason, 0)
+	relay.request, relay.receivedAt = *request, n.now
+	if reason := n.rejectionReason(relay, request); reason != "" {
+		n.sendGrant(from, request, 0, reason, 0)
 		return
 	}
-	if n.applied.Halted() && p.Stopped < n.applied.Change.Version {
+	if n.applied.Halted() && request.Stopped < n.applied.Change.Version {
 		// It may still act on the version before: it gets the new state, and its lease is not extended.
-		n.sendGrant(from, p, 0, "", 0)
+		n.sendGrant(from, request, 0, "", 0)
 		return
 	}
-	s.leaseOverAt = n.now + n.maxLeaseDuration()
-	if n.leadership.allocator != nil && p.QuotaRequest != nil {
+	relay.leaseOverAt = n.now + n.maxLeaseDuration()
+	if n.leadership.allocator != nil && request.QuotaRequest != nil {
 		n.leadership.allocator.SetRoster(n.applied.Roster)
-		n.leadership.allocator.HandleRequest(n.now, p.From, p.Incarnation, p.QuotaRequest)
+		n.leadership.allocator.HandleRequest(n.now, request.From, request.Incarnation, request.QuotaRequest)
 	}
-	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *p, n.now})
+	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *request, n.now})
 }
 
 // isNewestRequest tells whether a request is newer than the last one of its relay's name. One of a former incarnation is
 // answered with a rejection; of two incarnations of one generation the conflict is noted.
-func (n *Node) isNewestRequest(from string, s *relayRecord, p *LeaseRequest) bool {
-	switch was := &s.request; {
+func (n *Node) isNewestRequest(from string, relay *relayRecord, request *LeaseRequest) bool {
+	switch was := &relay.request; {
 	case was.Incarnation == 0:
-	case p.Incarnation == was.Incarnation:
-		return p.Seq > was.Seq // otherwise it is late, or a duplicate
-	case p.Incarnation == s.formerIncarnation || p.Generation < was.Generation:
+	case request.Incarnation == was.Incarnation:
+		return request.Seq > was.Seq // otherwise it is late, or a duplicate
+	case request.Incarnation == relay.formerIncarnation || request.Generation < was.Generation:
 		// One of a former incarnation may be a delayed datagram; several with growing Seq show that it still runs.
-		if s.formerIncarnation = p.Incarnation; p.Seq > s.formerSeq {
-			s.formerSeq = p.Seq
-			s.formerRequests++
+		if relay.formerIncarnation = request.Incarnation; request.Seq > relay.formerSeq {
+			relay.formerSeq = request.Seq
+			relay.formerRequests++
 		}
-		if s.formerRequests > 3 {
-			n.recordNameConflict(s, p)
+		if relay.formerRequests > 3 {
+			n.recordNameConflict(relay, request)
 		}
-		n.rejectFormerIncarnation(from, p, was.Generation)
+		n.rejectFormerIncarnation(from, request, was.Generation)
 		return false
-	case p.Generation == was.Generation:
-		n.recordNameConflict(s, p)
+	case request.Generation == was.Generation:
+		n.recordNameConflict(relay, request)
 	default:
-		s.formerIncarnation, s.formerSeq, s.formerRequests = was.Incarnation, was.Seq, 0
+		relay.formerIncarnation, relay.formerSeq, relay.formerRequests = was.Incarnation, was.Seq, 0
 	}
 	return true
 }
 
 // rejectionReason is why a relay gets no lease at all; empty: it may get one.
-func (n *Node) rejectionReason(s *relayRecord, p *LeaseRequest) string {
+func (n *Node) rejectionReason(relay *relayRecord, request *LeaseRequest) string {
 	switch {
-	case !slices.Contains(n.applied.Roster, p.From):
+	case !slices.Contains(n.applied.Roster, request.From):
 		return "it is not on the roster"
-	case s.conflictAt != 0 && n.now-s.conflictAt < 2*n.maxLeaseDuration():
+	case relay.conflictAt != 0 && n.now-relay.conflictAt < 2*n.maxLeaseDuration():
 		return sameName
 	}
 	return ""
@@ -145,34 +145,34 @@
 const sameName = "another relay goes by the same name"
 
 // recordNameConflict notes that two relays use one name: neither gets a lease for two lease durations.
-func (n *Node) recordNameConflict(s *relayRecord, p *LeaseRequest) {
-	if s.conflictAt == 0 || n.now-s.conflictAt > n.maxLeaseDuration() {
-		n.log("two relays with the same name", "relay", p.From)
+func (n *Node) recordNameConflict(relay *relayRecord, request *LeaseRequest) {
+	if relay.conflictAt == 0 || n.now-relay.conflictAt > n.maxLeaseDuration() {
+		n.log("two relays with the same name", "relay", request.From)
 	}
-	s.conflictAt = n.now
+	relay.conflictAt = n.now
 }
 
 // rejectFormerIncarnation answers a relay of whose name a later incarnation is known.
-func (n *Node) rejectFormerIncarnation(via string, p *LeaseRequest, newest uint64) {
-	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: p.From, Generation: p.Generation, Incarnation: p.Incarnation, Seq: p.Seq, Rejected: sameName, NewestGeneration: newest}})
+func (n *Node) rejectFormerIncarnation(via string, request *LeaseRequest, newest uint64) {
+	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Rejected: sameName, NewestGeneration: newest}})
 }
 
 // sendGrant answers a lease request that arrived at came: with the lease, 0 for none, the state if it is newer than the relay's,
 // and the relay's quota shares.
-func (n *Node) sendGrant(via string, p *LeaseRequest, lease time.Duration, refused string, came time.Duration) {
-	g := &LeaseGrant{To: p.From, Generation: p.Generation, Incarnation: p.Incarnation, Seq: p.Seq, Lease: lease, Epoch: n.applied.Epoch, Index: n.applied.Index,
-		Rejected: refused, Progress: n.progress}
-	if n.applied.NewerThan(p.Epoch, p.Index) {
-		g.State = n.applied
+func (n *Node) sendGrant(via string, request *LeaseRequest, lease time.Duration, rejected string, came time.Duration) {
+	grant := &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Lease: lease, Epoch: n.applied.Epoch, Index: n.applied.Index,
+		Rejected: rejected, Progress: n.progress}
+	if n.applied.NewerThan(request.Epoch, request.Index) {
+		grant.State = n.applied
 	}
-	if n.leadership.allocator != nil && p.QuotaRequest != nil && lease > 0 {
-		g.QuotaGrant = n.leadership.allocator.Grant(n.now, came, p.From)
+	if n.leadership.allocator != nil && request.QuotaRequest != nil && lease > 0 {
+		grant.QuotaGrant = n.leadership.allocator.Grant(n.now, came, request.From)
 	}
-	if p.From == n.config.Name {
-		n.handleLeaseGrant(n.config.Name, g)
+	if request.From == n.config.Name {
+		n.handleLeaseGrant(n.config.Name, grant)
 		return
 	}
-	n.send(via, &Message{LeaseGrant: g})
+	n.send(via, &Message{LeaseGrant: grant})
 }
 
 // stepLeader does a leader's work in a Step.
@@ -235,71 +235,71 @@
 
 // advanceChange moves the change under way to its next phase, once every relay has answered for this one or its lease is over.
 func (n *Node) advanceChange() {
-	ch := n.applied.Change
-	if ch == nil {
+	change := n.applied.Change
+	if change == nil {
 		return
 	}
-	p, excused, dropReason := n.measureProgress(ch)
-	n.progress = p
-	key := fmt.Sprintf("%d %d", ch.Version, ch.Phase)
-	at, begun := n.leadership.proposedAt["begun "+key]
+	progress, excused, dropReason := n.measureProgress(change)
+	n.progress = progress
+	key := fmt.Sprintf("%d %d", change.Version, change.Phase)
+	begunAt, begun := n.leadership.proposedAt["begun "+key]
 	if !begun {
 		n.leadership.proposedAt["begun "+key] = n.now
-		at = n.now
+		begunAt = n.now
 	}
 	switch {
-	case ch.Phase < policy.Decided && dropReason != "":
-		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version, DropReason: dropReason})
-	case ch.Phase == policy.Proposed && p.Done == p.Of:
+	case change.Phase < policy.Decided && dropReason != "":
+		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: change.Version, DropReason: dropReason})
+	case change.Phase == policy.Proposed && progress.Done == progress.Of:
 		if len(excused) > maxMissingNames {
 			excused = append(excused[:maxMissingNames:maxMissingNames], fmt.Sprintf("and %d more", len(excused)-maxMissingNames))
 		}
-		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: ch.Version, Excused: excused})
-		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
-	case ch.Phase == policy.Proposed && n.now-at > checkLeases*n.config.Lease:
-		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version,
-			DropReason: fmt.Sprintf("%v did not say whether they can apply it", p.Missing)})
-	case ch.Phase == policy.Checked:
-		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: ch.Version})
-	case ch.Phase == policy.Decided && p.Done == p.Of:
-		n.proposeOnce(key, &policy.Command{Kind: policy.Enforce, Version: ch.Version})
+		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: change.Version, Excused: excused})
+		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: change.Version})
+	case change.Phase == policy.Proposed && n.now-begunAt > checkLeases*n.config.Lease:
+		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: change.Version,
+			DropReason: fmt.Sprintf("%v did not say whether they can apply it", progress.Missing)})
+	case change.Phase == policy.Checked:
+		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: change.Version})
+	case change.Phase == policy.Decided && progress.Done == progress.Of:
+		n.proposeOnce(key, &policy.Command{Kind: policy.Enforce, Version: change.Version})
 	}
 }
 
 // measureProgress counts the relays that have answered for the change's phase. Excused are those that did not and whose lease
 // is over; dropReason is why a relay can't apply the change, empty if none said so.
-func (n *Node) measureProgress(ch *policy.Change) (p *Progress, excused []string, dropReason string) {
-	p = &Progress{Version: ch.Version, Phase: ch.Phase.String()}
+func (n *Node) measureProgress(change *policy.Change) (progress *Progress, excused []string, dropReason string) {
+	progress = &Progress{Version: change.Version, Phase: change.Phase.String()}
 	for _, name := range slices.Concat(n.applied.Roster, n.applied.Former) {
-		s := n.leadership.relays[name]
-		over := n.leadership.since + n.maxLeaseDuration()
-		if s != nil {
-			over = s.leaseOverAt
+		relay := n.leadership.relays[name]
+		leaseOverAt := n.leadership.since + n.maxLeaseDuration()
+		if relay != nil {
+			leaseOverAt = relay.leaseOverAt
 		}
 		done := false
 		switch {
-		case s == nil:
-		case ch.Phase == policy.Decided:
-			done = s.request.Stopped >= ch.Version
-		case s.request.Verdict != nil && s.request.Verdict.Version == ch.Version:
-			if done = true; s.request.Verdict.Reason != "" {
-				dropReason = fmt.Sprintf("%s: %s", name, s.request.Verdict.Reason)
+		case relay == nil:
+		case change.Phase == policy.Decided:
+			done = relay.request.Stopped >= change.Version
+		case relay.request.Verdict != nil && relay.request.Verdict.Version == change.Version:
+			if done = true; relay.request.Verdict.Reason != "" {
+				dropReason = fmt.Sprintf("%s: %s", name, relay.request.Verdict.Reason)
 			}
 		}
-		if !done && n.now >= over {
+		if !done && n.now >= leaseOverAt {
 			done = true
 			excused = append(excused, name)
 		}
-		if p.Of++; done {
-			p.Done++
+		if progress.Of++; done {
+			progress.Done++
 			continue
 		}
-		p.Within = max(p.Within, over-n.now)
-		if len(p.Missing) < maxMissingNames {
-			p.Missing = append(p.Missing, name)
+		progress.Within = max(progress.Within, leaseOverAt-n.now)
+		if len(progress.Missing) < maxMissingNames {
+			progress.Missing = append(progress.Missing, name)
 		}
 	}
-	return p, excused, dropReason
+	return progress, excused, dropReason
 }
 
 // broadcastState sends a new state to all relays, and during a change again to those that have not reported it.
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -24,8 +24,8 @@
 	for _, k := range slices.Sorted(maps.Keys(l.keys)) {
 		p := l.keys[k]
 		w := KeyUsage{Key: k, Limit: p.limit, Leased: float64(l.leased[k]) / float64(wholeLimit), Minimums: float64(l.minimumSum) / float64(wholeLimit), Zones: map[int]string{}}
-		for _, h := range l.relays {
-			if n, ok := h.demands[k]; ok {
+		for _, relay := range l.relays {
+			if n, ok := relay.demands[k]; ok {
 				w.Demand, w.Relays = w.Demand+n.Rate, w.Relays+1
 			}
 		}
@@ -47,16 +47,16 @@
 	l.splitAt = now
 	by := map[Key][]*relayState{}
 	for _, name := range slices.Sorted(maps.Keys(l.relays)) {
-		h := l.relays[name]
-		if len(h.formerLeases) > 0 || len(h.leases) > 0 && h.leases[0].expires <= now {
-			l.updateBound(h, now)
+		relay := l.relays[name]
+		if len(relay.formerLeases) > 0 || len(relay.leases) > 0 && relay.leases[0].expires <= now {
+			l.updateBound(relay, now)
 		}
-		clear(h.target)
-		if now-h.demandsAt > l.options.LeaseDuration || !slices.Contains(l.roster, name) {
+		clear(relay.target)
+		if now-relay.demandsAt > l.options.LeaseDuration || !slices.Contains(l.roster, name) {
 			continue
 		}
-		for k := range h.demands {
-			by[k] = append(by[k], h)
+		for k := range relay.demands {
+			by[k] = append(by[k], relay)
 		}
 	}
 	l.sumMinimums()
@@ -82,28 +82,28 @@
 func (l *Allocator) allocate(k Key, p *keyState, all []*relayState) {
 	pool := float64(max(0, wholeLimit-l.reservedMinimumSum)) / float64(wholeLimit)
 	own := float64(l.minimumPerRelay()) / float64(wholeLimit)
-	type asks struct {
-		h           *relayState
-		need, worth float64
+	type claim struct {
+		relay        *relayState
+		need, weight float64
 	}
-	var list []asks
-	want, sum, worth := 0.0, 0.0, 0.0
-	for _, h := range all {
-		want += h.demands[k].Rate
-		worth += h.demands[k].Rate * h.demands[k].Value
+	var list []claim
+	want, sum, meanValue := 0.0, 0.0, 0.0
+	for _, relay := range all {
+		want += relay.demands[k].Rate
+		meanValue += relay.demands[k].Rate * relay.demands[k].Value
 	}
 	if want <= 0 {
 		return
 	}
-	worth /= want
-	for _, h := range all {
-		n := h.demands[k]
-		a := asks{h, n.Rate / want, 1} // nothing is known of the limit: as the others
+	meanValue /= want
+	for _, relay := range all {
+		n := relay.demands[k]
+		a := claim{relay, n.Rate / want, 1} // nothing is known of the limit: as the others
 		if p.limit > 0 {
 			a.need = n.Rate / p.limit
 		}
-		if a.need = max(0, a.need-own); worth > 0 {
-			a.worth = max(0.25, min(4, n.Value/worth))
+		if a.need = max(0, a.need-own); meanValue > 0 {
+			a.weight = max(0.25, min(4, n.Value/meanValue))
 		}
 		if sum += a.need; a.need > 0 {
 			list = append(list, a)
@@ -111,23 +111,23 @@
 	}
 	if sum <= pool {
 		for _, a := range list {
-			a.h.target[k] = toUnits(a.need + (pool-sum)*a.h.demands[k].Rate/want)
+			a.relay.target[k] = toUnits(a.need + (pool-sum)*a.relay.demands[k].Rate/want)
 		}
-		for _, h := range all { // those whose guaranteed minimum is enough get of the rest too
-			if n := h.demands[k]; h.target[k] == 0 && n.Rate > 0 {
-				h.target[k] = toUnits((pool - sum) * n.Rate / want)
+		for _, relay := range all { // those whose guaranteed minimum is enough get of the rest too
+			if n := relay.demands[k]; relay.target[k] == 0 && n.Rate > 0 {
+				relay.target[k] = toUnits((pool - sum) * n.Rate / want)
 			}
 		}
 		return
 	}
-	slices.SortStableFunc(list, func(a, b asks) int { return cmp.Compare(a.need/a.worth, b.need/b.worth) })
-	left, worths := pool, 0.0
+	slices.SortStableFunc(list, func(a, b claim) int { return cmp.Compare(a.need/a.weight, b.need/b.weight) })
+	left, totalWeight := pool, 0.0
 	for _, a := range list {
-		worths += a.worth
+		totalWeight += a.weight
 	}
 	for _, a := range list {
-		g := min(a.need, left*a.worth/worths)
-		a.h.target[k] = toUnits(g)
-		left, worths = left-g, worths-a.worth
+		g := min(a.need, left*a.weight/totalWeight)
+		a.relay.target[k] = toUnits(g)
+		left, totalWeight = left-g, totalWeight-a.weight
 	}
 }
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -118,22 +118,22 @@
 func (l *Allocator) sumMinimums() {
 	l.minimumSum, l.reservedMinimumSum = 0, 0
 	for _, n := range l.roster {
-		h, may := l.relays[n], int64(0)
-		if h != nil {
-			may = h.minimum
+		relay, may := l.relays[n], int64(0)
+		if relay != nil {
+			may = relay.minimum
 		}
-		if (h == nil || !h.reported) && (l.options.ServeAlone || !l.allReported(l.splitAt)) {
+		if (relay == nil || !relay.reported) && (l.options.ServeAlone || !l.allReported(l.splitAt)) {
 			may = max(may, l.minimumPerRelay())
 		}
 		l.minimumSum += may
-		if h != nil && l.splitAt-h.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it was not leased yet
+		if relay != nil && l.splitAt-relay.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it was not leased yet
 			may = max(may, l.minimumPerRelay())
 		}
 		l.reservedMinimumSum += may
 	}
-	for n, h := range l.relays {
+	for n, relay := range l.relays {
 		if !slices.Contains(l.roster, n) {
-			l.minimumSum += h.minimum
+			l.minimumSum += relay.minimum
 		}
 	}
 }
@@ -147,25 +147,25 @@
 }
 
 // updateBound recomputes what a relay may go by, and drops its expired leases.
-func (l *Allocator) updateBound(h *relayState, now time.Duration) {
+func (l *Allocator) updateBound(relay *relayState, now time.Duration) {
 	bound, minimum := map[Key]int64{}, int64(0)
 	over := func(o lease) bool { return o.expires <= now }
-	for _, o := range h.leases {
+	for _, o := range relay.leases {
 		if over(o) {
-			h.lastingMinimum = max(h.lastingMinimum, o.minimum)
+			relay.lastingMinimum = max(relay.lastingMinimum, o.minimum)
 		}
 	}
-	h.leases, h.formerLeases = slices.DeleteFunc(h.leases, over), slices.DeleteFunc(h.formerLeases, over)
-	for _, o := range slices.Concat(h.formerLeases, h.leases) {
+	relay.leases, relay.formerLeases = slices.DeleteFunc(relay.leases, over), slices.DeleteFunc(relay.formerLeases, over)
+	for _, o := range slices.Concat(relay.formerLeases, relay.leases) {
 		minimum = max(minimum, o.minimum)
 		for k, g := range o.shares {
 			bound[k] = max(bound[k], g)
 		}
 	}
 	if l.options.ServeAlone { // a guaranteed minimum never expires then, unless another replaces it
-		minimum = max(minimum, h.lastingMinimum)
+		minimum = max(minimum, relay.lastingMinimum)
 	}
-	for k, g := range h.bound {
+	for k, g := range relay.bound {
 		if l.leased[k] -= g; l.leased[k] == 0 {
 			delete(l.leased, k)
 		}
@@ -173,9 +173,9 @@
 	for k, g := range bound {
 		l.leased[k] += g
 	}
-	h.bound = bound
-	if h.minimum != minimum {
-		h.minimum = minimum
+	relay.bound = bound
+	if relay.minimum != minimum {
+		relay.minimum = minimum
 		l.sumMinimums()
 	}
 }
--- a/internal/relay/fleet/quota/granting.go
+++ b/internal/relay/fleet/quota/granting.go
@@ -7,52 +7,52 @@
 )
 
 // available is how much of a key may be leased to a relay in all.
-func (l *Allocator) available(h *relayState, k Key, now time.Duration) int64 {
+func (l *Allocator) available(relay *relayState, k Key, now time.Duration) int64 {
 	if !l.allReported(now) {
-		return h.bound[k] // others may hold the rest
+		return relay.bound[k] // others may hold the rest
 	}
-	return max(0, wholeLimit-l.minimumSum-l.leased[k]+h.bound[k])
+	return max(0, wholeLimit-l.minimumSum-l.leased[k]+relay.bound[k])
 }
 
 // Grant answers a relay's request that arrived at came. It holds for as long as the relay's lease that the answer renews; nil:
 // that would be over already.
 func (l *Allocator) Grant(now, came time.Duration, name string) *Grant {
 	l.split(now)
-	h, until := l.relays[name], came+l.options.LeaseDuration
-	if h == nil || until <= now {
+	relay, until := l.relays[name], came+l.options.LeaseDuration
+	if relay == nil || until <= now {
 		return nil
 	}
-	l.updateBound(h, now)
+	l.updateBound(relay, now)
 	a := &Grant{Term: l.term}
-	if !h.reported {
+	if !relay.reported {
 		a.ReportLeased = true
 		return a
 	}
 	last := lease{}
-	if n := len(h.leases); n > 0 {
-		last = h.leases[n-1]
+	if n := len(relay.leases); n > 0 {
+		last = relay.leases[n-1]
 	}
-	next := l.nextLease(now, h)
+	next := l.nextLease(now, relay)
 	if last.number == 0 || l.worthSending(&last, &next) {
-		h.lastLease++
-		next.number, next.expires = h.lastLease, until
-		h.leases = append(h.leases, next)
-		if len(h.leases) > maxUnconfirmedLeases { // it confirms none: a new one waits until these have expired
-			h.leases = h.leases[:maxUnconfirmedLeases]
+		relay.lastLease++
+		next.number, next.expires = relay.lastLease, until
+		relay.leases = append(relay.leases, next)
+		if len(relay.leases) > maxUnconfirmedLeases { // it confirms none: a new one waits until these have expired
+			relay.leases = relay.leases[:maxUnconfirmedLeases]
 			a.LeaseNumber = 0
 			return a
 		}
 		last = next
 	}
-	for i := range h.leases {
-		if o := &h.leases[i]; o.number == last.number {
+	for i := range relay.leases {
+		if o := &relay.leases[i]; o.number == last.number {
 			o.expires = max(o.expires, until)
 		}
 	}
-	l.updateBound(h, now)
-	if a.LeaseNumber = last.number; h.confirmedLease != last.number || now-h.sharesSentAt >= resendInterval || h.verdictChanged {
-		h.sharesSentAt, h.verdictChanged = now, false
-		a.HasShares, a.Minimum, a.Shares = true, toFloat16(float64(last.minimum)/float64(wholeLimit)), EncodeKeyShares(l.keyShares(now, h, &last))
+	l.updateBound(relay, now)
+	if a.LeaseNumber = last.number; relay.confirmedLease != last.number || now-relay.sharesSentAt >= resendInterval || relay.verdictChanged {
+		relay.sharesSentAt, relay.verdictChanged = now, false
+		a.HasShares, a.Minimum, a.Shares = true, toFloat16(float64(last.minimum)/float64(wholeLimit)), EncodeKeyShares(l.keyShares(now, relay, &last))
 	}
 	return a
 }
@@ -61,9 +61,9 @@
 const maxUnconfirmedLeases = 8
 
 // keyShares is a lease's shares with the newest verdict on all else.
-func (l *Allocator) keyShares(now time.Duration, h *relayState, o *lease) (all []KeyShare) {
-	for _, k := range slices.Sorted(maps.Keys(h.demands)) {
-		p := l.keyShare(now, h, k)
+func (l *Allocator) keyShares(now time.Duration, relay *relayState, o *lease) (all []KeyShare) {
+	for _, k := range slices.Sorted(maps.Keys(relay.demands)) {
+		p := l.keyShare(now, relay, k)
 		p.Extra = float64(o.shares[k]) / float64(wholeLimit)
 		all = append(all, p)
 	}
@@ -71,20 +71,20 @@
 }
 
 // nextLease is what would be leased to a relay now.
-func (l *Allocator) nextLease(now time.Duration, h *relayState) lease {
+func (l *Allocator) nextLease(now time.Duration, relay *relayState) lease {
 	o := lease{shares: map[Key]int64{}}
-	if o.minimum = l.minimumPerRelay(); o.minimum > h.minimum { // a guaranteed minimum is leased like all else
+	if o.minimum = l.minimumPerRelay(); o.minimum > relay.minimum { // a guaranteed minimum is leased like all else
 		room := int64(0)
 		if l.allReported(now) {
 			room = max(0, wholeLimit-l.minimumSum-l.maxLeased())
 		}
-		o.minimum = rounded(h.minimum + min(o.minimum-h.minimum, room))
+		o.minimum = rounded(relay.minimum + min(o.minimum-relay.minimum, room))
 	}
-	if h.demands == nil && h.demandsAt == 0 { // its demands are not known yet: it keeps what it has
-		maps.Copy(o.shares, h.bound)
+	if relay.demands == nil && relay.demandsAt == 0 { // its demands are not known yet: it keeps what it has
+		maps.Copy(o.shares, relay.bound)
 	}
-	for k := range h.demands {
-		o.shares[k] = rounded(min(h.target[k], max(0, l.available(h, k, now)-max(0, o.minimum-h.minimum))))
+	for k := range relay.demands {
+		o.shares[k] = rounded(min(relay.target[k], max(0, l.available(relay, k, now)-max(0, o.minimum-relay.minimum))))
 	}
 	return o
 }
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -13,13 +13,13 @@
 	}
 	var list []report
 	well := -time.Hour // when the newest call that was delivered had been sent, to anyone
-	for _, h := range all {
-		n := h.demands[k]
+	for _, relay := range all {
+		n := relay.demands[k]
 		if n.Limit > 0 && n.LimitAge < 254*ageUnit {
-			list = append(list, report{n.Limit, h.demandsAt - n.LimitAge})
+			list = append(list, report{n.Limit, relay.demandsAt - n.LimitAge})
 		}
 		if n.State == Healthy {
-			well = max(well, h.demandsAt-n.StateAge)
+			well = max(well, relay.demandsAt-n.StateAge)
 		}
 	}
 	// The median of the three freshest limits counts: no single relay can make all others send more, or less.
@@ -43,9 +43,9 @@
 		}
 	}
 	p.waitUntil = 0
-	for _, h := range all {
-		if n := h.demands[k]; n.Wait > 0 && well < h.demandsAt { // nothing that was sent since speaks against it
-			p.waitUntil = max(p.waitUntil, h.demandsAt+min(n.Wait, maxReportedWait))
+	for _, relay := range all {
+		if n := relay.demands[k]; n.Wait > 0 && well < relay.demandsAt { // nothing that was sent since speaks against it
+			p.waitUntil = max(p.waitUntil, relay.demandsAt+min(n.Wait, maxReportedWait))
 		}
 	}
 }
@@ -61,18 +61,18 @@
 	}
 	zones := map[int]*seen{}
 	var down, well, in int
-	for _, h := range all {
-		n, z := h.demands[k], zones[h.zone]
+	for _, relay := range all {
+		n, z := relay.demands[k], zones[relay.zone]
 		if z == nil {
 			z = &seen{at: -1 << 62, wellAt: -1 << 62}
-			zones[h.zone] = z
+			zones[relay.zone] = z
 		}
-		switch at := h.demandsAt - n.StateAge; {
+		switch at := relay.demandsAt - n.StateAge; {
 		case n.State == Down && now-at <= evidenceTTL:
 			if z.down == 0 {
 				in++
 			}
-			down, z.down, z.at, z.alone = down+1, z.down+1, max(z.at, at), h
+			down, z.down, z.at, z.alone = down+1, z.down+1, max(z.at, at), relay
 		case n.State == Healthy && now-at <= deliveryTTL:
 			well, z.well, z.wellAt = well+1, z.well+1, max(z.wellAt, at)
 		}
@@ -95,8 +95,8 @@
 			l.Contradictions[z.alone.name]++
 		}
 		if p.verdicts[no], p.evidenceAt[no] = is, at; is != was {
-			for _, h := range all {
-				h.verdictChanged = h.verdictChanged || h.zone == no
+			for _, relay := range all {
+				relay.verdictChanged = relay.verdictChanged || relay.zone == no
 			}
 		}
 	}
@@ -119,28 +119,28 @@
 	p.probeTurnEnds = now + probeTurn
 	p.turn++
 	for no, s := range p.verdicts {
-		for _, h := range all {
-			h.verdictChanged = h.verdictChanged || h.name == p.probers[no]
+		for _, relay := range all {
+			relay.verdictChanged = relay.verdictChanged || relay.name == p.probers[no]
 		}
 		delete(p.probers, no)
 		if s != Down {
 			continue
 		}
 		var can []*relayState
-		for _, h := range all {
-			if h.zone == no && h.demands[k].Rate > 0 {
-				can = append(can, h)
+		for _, relay := range all {
+			if relay.zone == no && relay.demands[k].Rate > 0 {
+				can = append(can, relay)
 			}
 		}
 		if len(can) > 0 {
-			h := can[p.turn%len(can)]
-			p.probers[no], h.verdictChanged = h.name, true
+			relay := can[p.turn%len(can)]
+			p.probers[no], relay.verdictChanged = relay.name, true
 		}
 	}
 }
 
 // keyShare is what a relay learns of a key beside its share.
-func (l *Allocator) keyShare(now time.Duration, h *relayState, k Key) KeyShare {
+func (l *Allocator) keyShare(now time.Duration, relay *relayState, k Key) KeyShare {
 	t := KeyShare{Key: k}
 	p := l.keys[k]
 	if p == nil {
@@ -149,10 +149,10 @@
 	if p.limit > 0 {
 		t.Limit, t.LimitAge = p.limit, now-p.limitAt
 	}
-	if s := p.verdicts[h.zone]; s != Unseen {
-		t.State, t.StateAge = s, now-p.evidenceAt[h.zone]
+	if s := p.verdicts[relay.zone]; s != Unseen {
+		t.State, t.StateAge = s, now-p.evidenceAt[relay.zone]
 	}
 	t.Wait = max(0, p.waitUntil-now)
-	t.MayProbe = p.probers[h.zone] == h.name
+	t.MayProbe = p.probers[relay.zone] == relay.name
 	return t
 }
--- a/internal/tier/membership/state.go
+++ b/internal/tier/membership/state.go
@@ -51,7 +51,7 @@
 }
 
 // renewMember takes over a newer incarnation of a known member, which ends any suspicion. The end of a suspicion is urgent
-// news, as others may still be counting down.
+// and broadcast first, as others may still be counting down.
 func (n *Node) renewMember(known *entry, member Member) {
 	if member.Address == "" {
 		return
