--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -42,9 +42,9 @@
 	return d
 }
 
-// TestDisk: what was saved is there again, cut anywhere in its last record it is there but for that, and what no crash leaves
+// TestDisk_CutOrDamagedLog_RecoversOrBecomesNewMember: what was saved is there again, cut anywhere in its last record it is there but for that, and what no crash leaves
 // behind makes a new member.
-func TestDisk(t *testing.T) {
+func TestDisk_CutOrDamagedLog_RecoversOrBecomesNewMember(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
 	whole, err := os.ReadFile(filepath.Join(dir, logName))
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestReborn: a new member and its log are there together, or the old ones.
-func TestReborn(t *testing.T) {
+// TestDisk_NewMember_ReplacesLogAndMemberAtOnce: a new member and its log are there together, or the old ones.
+func TestDisk_NewMember_ReplacesLogAndMemberAtOnce(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
 	if err := d.save(&consensus.Image{Complete: true}, 99); err != nil {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestFullDisk: what can't be saved is said to be so, and nothing later pretends otherwise.
-func TestFullDisk(t *testing.T) {
+// TestDisk_WriteFails_ErrorAndOldStateStays: what can't be saved is said to be so, and nothing later pretends otherwise.
+func TestDisk_WriteFails_ErrorAndOldStateStays(t *testing.T) {
 	dir := t.TempDir()
 	d := filled(t, dir)
 	_ = d.file.Close()
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestFrames(t *testing.T) {
+func TestUnpack_DamagedFrame_IsRejected(t *testing.T) {
 	good, err := (&frame{Fleet: "f", From: "a", To: "b", Generation: 3, Message: &node.Message{LeaseRequest: &node.LeaseRequest{From: "a", Seq: 7}}}).pack(nil, kindPeer)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/fleet/quota/counters_test.go
+++ b/internal/relay/fleet/quota/counters_test.go
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-// TestBook: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts an incarnation twice and never more than
+// TestCounterTable_TalliesInAnyOrder_NeverCountTwice: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts an incarnation twice and never more than
 // was counted; when the newest of each incarnation has come to any of the voters and they have talked, all say the same, exactly.
-func TestBook(t *testing.T) {
+func TestCounterTable_TalliesInAnyOrder_NeverCountTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		books := []*CounterTable{NewCounterTable(), NewCounterTable(), NewCounterTable()}
-		type life struct {
+		tables := []*CounterTable{NewCounterTable(), NewCounterTable(), NewCounterTable()}
+		type incarnation struct {
 			relay string
 			gen   uint64
 		}
-		truth := map[life]uint64{}
+		truth := map[incarnation]uint64{}
 		gens := map[string]uint64{"a": 1, "b": 1}
 		var way []Tally // sent, perhaps lost or late
 		names := []string{"a", "b"}
@@ -30,10 +30,10 @@
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			name := names[d.IntN(2)]
-			l := life{name, gens[name]}
+			l := incarnation{name, gens[name]}
 			switch d.IntN(8) {
-			case 0: // started again; its last word has come to somebody
-				books[d.IntN(3)].Merge(0, &Tally{l.relay, l.gen, EncodeCounters(map[Key]uint64{1: truth[l]}), false}, 10)
+			case 0: // started again; its last tally has reached some voter
+				tables[d.IntN(3)].Merge(0, &Tally{l.relay, l.gen, EncodeCounters(map[Key]uint64{1: truth[l]}), false}, 10)
 				gens[name]++
 			case 1, 2, 3:
 				truth[l] += uint64(d.IntN(5))
@@ -41,15 +41,15 @@
 			case 4, 5:
 				if len(way) > 0 {
 					t := way[d.IntN(len(way))]
-					books[d.IntN(3)].Merge(time.Second, &t, 10)
+					tables[d.IntN(3)].Merge(time.Second, &t, 10)
 				}
 			default: // two voters talk
-				to := books[d.IntN(3)]
-				for _, x := range books[d.IntN(3)].NextTallies(10) {
+				to := tables[d.IntN(3)]
+				for _, x := range tables[d.IntN(3)].NextTallies(10) {
 					to.Merge(time.Second, &x, 10)
 				}
 			}
-			for i, b := range books {
+			for i, b := range tables {
 				n, err := DecodeCounters(b.Totals(0).Counters)
 				if err != nil || n[1] > total() {
 					t.Fatalf("voter %d says %d of %d: %v", i, n[1], total(), err)
@@ -59,9 +59,9 @@
 	})
 }
 
-// TestBookAgrees: voters that have heard different parts say the same once they have talked, and a relay that was replaced many times
-// keeps its past in little room.
-func TestBookAgrees(t *testing.T) {
+// TestCounterTable_VotersExchangeTallies_Agree: voters that have merged different tallies agree once they have exchanged them, and a relay that was restarted many times
+// takes little memory.
+func TestCounterTable_VotersExchangeTallies_Agree(t *testing.T) {
 	a, b := NewCounterTable(), NewCounterTable()
 	want := uint64(0)
 	for gen := uint64(1); gen <= 40; gen++ {
@@ -82,8 +82,8 @@
 			}
 		}
 	}
-	for _, book := range []*CounterTable{a, b} {
-		s := book.Totals(3 * time.Second)
+	for _, table := range []*CounterTable{a, b} {
+		s := table.Totals(3 * time.Second)
 		n, err := DecodeCounters(s.Counters)
 		if err != nil || n[7] != want || s.Incarnations > maxIncarnations || s.SilentFor != 2*time.Second || s.Silent != "r" {
 			t.Errorf("%d of %d, %+v, %v", n[7], want, s, err)
--- a/internal/relay/fleet/quota/quota_test.go
+++ b/internal/relay/fleet/quota/quota_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPacked: what goes over the wire and back is never more, and never fresher, than it was; a list of any other size is refused.
-func TestPacked(t *testing.T) {
+// TestWireEncoding_RoundTrip_IsNeverMoreNorFresher: what goes over the wire and back is never more, and never fresher, than it was; a list of any other size is refused.
+func TestWireEncoding_RoundTrip_IsNeverMoreNorFresher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(11*time.Second)).Draw(t, name))
@@ -36,9 +36,9 @@
 	})
 }
 
-// TestSplit: whatever relays need, no more than there is is lent, guaranteed minimums are nobody else's, equal needs have equal parts, and where
-// relays can't have what they need nobody has more than another of the same value who has less than it needs.
-func TestSplit(t *testing.T) {
+// TestAllocator_AnyDemands_SplitsFairlyWithinLimit: whatever relays demand, never more than the limit is leased, guaranteed minimums are never leased to others, equal demands get
+// equal shares, and where demands exceed the limit no relay has more than another of the same value that has less than its demand.
+func TestAllocator_AnyDemands_SplitsFairlyWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 1, 0)
 		n := rapid.IntRange(1, 12).Draw(t, "relays")
@@ -46,20 +46,20 @@
 		l.SetRoster(names)
 		wants := rapid.SliceOfN(rapid.Float64Range(0, 200), n, n).Draw(t, "wants")
 		limit := rapid.SampledFrom([]float64{0, 1, 100, 1e5}).Draw(t, "limit")
-		loans := make([]uint64, n)
+		leases := make([]uint64, n)
 		parts := make([]float64, n)
 		for round := range 12 {
 			now := time.Duration(round) * 200 * time.Millisecond
 			sum := 0.0
 			for i, name := range names {
-				l.HandleRequest(now, name, 1, &Request{LeaseTerm: 1, NewestTerm: 1, LeaseNumber: loans[i], Demands: EncodeDemands([]Demand{{Key: 7, Rate: wants[i], Value: 1, Limit: limit}})})
+				l.HandleRequest(now, name, 1, &Request{LeaseTerm: 1, NewestTerm: 1, LeaseNumber: leases[i], Demands: EncodeDemands([]Demand{{Key: 7, Rate: wants[i], Value: 1, Limit: limit}})})
 			}
 			for i, name := range names {
 				a := l.Grant(now, now, name)
 				if a == nil || a.ReportLeased {
 					t.Fatalf("%s is told %+v", name, a)
 				}
-				if loans[i] = a.LeaseNumber; a.HasShares {
+				if leases[i] = a.LeaseNumber; a.HasShares {
 					p, err := DecodeKeyShares(a.Shares)
 					if err != nil || len(p) != 1 {
 						t.Fatal(p, err)
@@ -90,17 +90,17 @@
 	})
 }
 
-// TestLateLoan: one that has heard of a newer leader takes nothing any more from the one before, and the newer one lends nothing that
-// the other may still lend until it has that word.
-func TestLateLoan(t *testing.T) {
+// TestLease_NewLeader_FormerGrantsCountNoMore: a relay that has heard of a newer leader takes no grant of a former one any more, and the newer one leases nothing until
+// the relay has reported that it has heard of it.
+func TestLease_NewLeader_FormerGrantsCountNoMore(t *testing.T) {
 	p := &Lessee{}
-	loan := func(by uint64) *Grant {
-		return &Grant{Term: by, LeaseNumber: 1, HasShares: true, Minimum: toFloat16(0.1), Shares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: 0.5}})}
+	grant := func(term uint64) *Grant {
+		return &Grant{Term: term, LeaseNumber: 1, HasShares: true, Minimum: toFloat16(0.1), Shares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: 0.5}})}
 	}
-	if p.HandleGrant(time.Second, &Grant{Term: 5, ReportLeased: true}) != nil || p.HandleGrant(time.Second, loan(4)) != nil {
-		t.Error("it takes a loan of one that led before another of which it has heard")
+	if p.HandleGrant(time.Second, &Grant{Term: 5, ReportLeased: true}) != nil || p.HandleGrant(time.Second, grant(4)) != nil {
+		t.Error("it takes a grant of a leader before one that it has heard of")
 	}
-	if s := p.HandleGrant(time.Second, loan(5)); s == nil || len(s.Shares) != 1 || s.Shares[0].Extra != 0.5 {
+	if s := p.HandleGrant(time.Second, grant(5)); s == nil || len(s.Shares) != 1 || s.Shares[0].Extra != 0.5 {
 		t.Errorf("it does not take one of the newest: %+v", s)
 	}
 	l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second, ServeAlone: true}, 5, 0)
@@ -108,7 +108,7 @@
 	needs := EncodeDemands([]Demand{{Key: 7, Rate: 1, Value: 1}})
 	l.HandleRequest(time.Millisecond, "a", 1, &Request{NewestTerm: 4, Demands: needs})
 	if a := l.Grant(time.Millisecond, time.Millisecond, "a"); !a.ReportLeased || a.HasShares {
-		t.Errorf("it lends to one that may yet take a loan of another: %+v", a)
+		t.Errorf("it leases to a relay that may yet take a grant of a former leader: %+v", a)
 	}
 	l.HandleRequest(time.Second, "a", 1, &Request{NewestTerm: 5, Demands: needs})
 	if a := l.Grant(time.Second, time.Second, "a"); a.ReportLeased || !a.HasShares {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestClaims: one that claims to hold what it can't is named, takes nothing from what others truly hold beyond one lease, and gains
-// nothing by it.
-func TestClaims(t *testing.T) {
+// TestAllocator_FalseClaim_IsCountedAndGainsNothing: a relay that claims a lease that it can't have is counted as a contradiction, takes nothing from what others truly have
+// beyond one lease, and gains nothing by it.
+func TestAllocator_FalseClaim_IsCountedAndGainsNothing(t *testing.T) {
 	l := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 9, 0)
 	names := []string{"a", "b", "liar"}
 	l.SetRoster(names)
@@ -127,17 +127,17 @@
 	for _, n := range names {
 		l.HandleRequest(0, n, 1, &Request{LeaseTerm: 8, LeaseNumber: 3, NewestTerm: 9, Demands: needs, Minimum: toFloat16(0.08), LeasedShares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: holds[n]}})})
 	}
-	loans, parts := map[string]uint64{}, map[string]float64{}
+	leases, parts := map[string]uint64{}, map[string]float64{}
 	for now := 100 * time.Millisecond; now < 6*time.Second; now += 200 * time.Millisecond {
 		sum := 0.0
 		for _, n := range names {
-			l.HandleRequest(now, n, 1, &Request{LeaseTerm: 9, LeaseNumber: loans[n], NewestTerm: 9, Demands: needs})
+			l.HandleRequest(now, n, 1, &Request{LeaseTerm: 9, LeaseNumber: leases[n], NewestTerm: 9, Demands: needs})
 			if a := l.Grant(now, now, n); a != nil && a.HasShares {
 				p, err := DecodeKeyShares(a.Shares)
 				if err != nil || len(p) != 1 {
 					t.Fatal(p, err)
 				}
-				loans[n], parts[n] = a.LeaseNumber, fromFloat16(a.Minimum)+p[0].Extra
+				leases[n], parts[n] = a.LeaseNumber, fromFloat16(a.Minimum)+p[0].Extra
 			}
 			sum += parts[n]
 		}
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -50,7 +50,8 @@
 }
 
 // adoptFormerLease takes over the lease that a relay reports from a former leader, until it has surely expired. All leases were
-// granted within 1 in all; a report beyond that can't be true and is counted as a contradiction of the relay's.
+// granted within 1 in all; a report beyond that can't be true and is counted as a contradiction of the relay's. Then nothing of that
+// key is available (see available), and all relays fall back to their guaranteed minimums of it until those leases expire.
 func (l *Allocator) adoptFormerLease(now time.Duration, relay *relayState, r *Request) {
 	parts, err := DecodeKeyShares(r.LeasedShares)
 	if err != nil {
