--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -88,10 +88,10 @@
 	go func() { ended <- serve(cfg, log, signals{end: stop}, nil) }()
 	<-ready // "relay serving"
 	kept := wiretest.Dial(t, address)
-	wiretest.Play(t, kept, "testdata/up.txt")
+	wiretest.Run(t, kept, "testdata/up.txt")
 	stop <- syscall.SIGTERM
 	<-ready // "relay draining"
-	wiretest.Play(t, kept, "testdata/draining.txt")
+	wiretest.Run(t, kept, "testdata/draining.txt")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = conn.Close() })
-		wiretest.Play(t, conn, "testdata/watch.txt")
+		wiretest.Run(t, conn, "testdata/watch.txt")
 	}
 	write(`"` + before.Addr().String() + `"`)
 	cfg, err := again()
--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -124,7 +124,7 @@
 func (d *daemon) start(t *testing.T, file string) {
 	t.Helper()
 	d.launch(t, file)
-	if !standin.Up(t.Context(), d.address) {
+	if !standin.WaitUntilServing(t.Context(), d.address) {
 		t.Fatal("the relay does not come up")
 	}
 }
@@ -156,18 +156,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	disco, err := standin.NewDiscovery(ends.Known("club-sites", "a"))
+	disco, err := standin.NewDiscovery(ends.Snapshot("club-sites", "a"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { disco.Close(); ends.Close() })
-	address, err := standin.Spare()
+	address, err := standin.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = &daemon{address: address, discovery: disco.Address, known: ends.Known("club-sites", "a")}
+	d = &daemon{address: address, discovery: disco.Address, known: ends.Snapshot("club-sites", "a")}
 	text = fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s, %s}`, d.address, disco.Address,
-		filepath.Join(dir, "state"), ends.Known("club-sites", "a"), more, lanes)
+		filepath.Join(dir, "state"), ends.Snapshot("club-sites", "a"), more, lanes)
 	file = filepath.Join(dir, "config.json")
 	_ = os.Mkdir(filepath.Join(dir, "state"), 0o700)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -96,11 +96,11 @@
 			t.Parallel()
 			dir := t.TempDir()
 			endpoint, open := deaf(t)
-			front, err := standin.Spare()
+			front, err := standin.FreeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
-			nowhere, err := standin.Spare()
+			nowhere, err := standin.FreeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = d.Process.Kill(); _ = d.Wait() })
-			if !standin.Up(t.Context(), front) {
+			if !standin.WaitUntilServing(t.Context(), front) {
 				t.Fatal("the relay does not come up")
 			}
 			var want []string
@@ -180,7 +180,7 @@
 		t.Run(s.String(), func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			front, err := standin.Spare()
+			front, err := standin.FreeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -214,7 +214,7 @@
 				}
 				return
 			}
-			if !standin.Up(t.Context(), front) {
+			if !standin.WaitUntilServing(t.Context(), front) {
 				t.Fatal("it does not serve")
 			}
 			again, err := os.OpenFile(file, os.O_WRONLY, 0) // returns once it reads its configuration once more
@@ -248,16 +248,16 @@
 	<-lines // "relay serving"
 	rests, half, sends := wiretest.Dial(t, address), wiretest.Dial(t, address), wiretest.Dial(t, address)
 	for _, c := range []net.Conn{rests, half, sends} {
-		wiretest.Play(t, c, "testdata/up.txt")
+		wiretest.Run(t, c, "testdata/up.txt")
 	}
-	wiretest.Play(t, half, "testdata/half-begun.txt")
+	wiretest.Run(t, half, "testdata/half-begun.txt")
 	_ = d.Process.Signal(syscall.SIGTERM)
 	<-lines                               // "relay draining"
 	_ = d.Process.Signal(syscall.SIGTERM) // a second one changes nothing
-	wiretest.Play(t, half, "testdata/half-ended.txt")
-	wiretest.Play(t, sends, "testdata/draining.txt")
-	wiretest.Play(t, wiretest.Dial(t, address), "testdata/draining.txt")
-	wiretest.Play(t, rests, "testdata/ended.txt")
+	wiretest.Run(t, half, "testdata/half-ended.txt")
+	wiretest.Run(t, sends, "testdata/draining.txt")
+	wiretest.Run(t, wiretest.Dial(t, address), "testdata/draining.txt")
+	wiretest.Run(t, rests, "testdata/ended.txt")
 	if err := d.Wait(); err != nil {
 		t.Errorf("the relay ends with %v", err)
 	}
--- a/cmd/mastusher/stored_format_test.go
+++ b/cmd/mastusher/stored_format_test.go
@@ -52,7 +52,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { discovery.Close(); endpoints.Close() })
-			address, err := standin.Spare()
+			address, err := standin.FreeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,7 +64,7 @@
 			d.start(t, file)
 
 			var got []string
-			for _, a := range endpoints.Await(5, 20*time.Second) {
+			for _, a := range endpoints.AwaitArrivals(5, 20*time.Second) {
 				got = append(got, fmt.Sprintf("%s key=%s body=%s desk=%q empty=%q", a.ID, a.Key, a.Body, a.Header["X-Desk"], a.Header["X-Empty"]))
 			}
 			slices.Sort(got)
--- a/cmd/plugin-benchmark/main.go
+++ b/cmd/plugin-benchmark/main.go
@@ -222,17 +222,17 @@
 		return nil, err
 	}
 	defer ends.Close()
-	disco, err := standin.NewDiscovery(ends.Known("club-sites", "a"))
+	disco, err := standin.NewDiscovery(ends.Snapshot("club-sites", "a"))
 	if err != nil {
 		return nil, err
 	}
 	defer disco.Close()
-	address, err := standin.Spare()
+	address, err := standin.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
 	text := fmt.Sprintf(`{"name": "b", "listen": %q, "state": %q, "discovery": %q, "seed": "%016x", "known": %s, %s%s}`,
-		address, filepath.Join(dir, "state"), disco.Address, seed, ends.Known("club-sites", "a"),
+		address, filepath.Join(dir, "state"), disco.Address, seed, ends.Snapshot("club-sites", "a"),
 		strings.ReplaceAll(plugins, "CAPTURES", filepath.Join(dir, "captures")), settings)
 	file := filepath.Join(dir, "config.json")
 	if err = os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -243,7 +243,7 @@
 		return nil, err
 	}
 	defer func() { _ = relay.Process.Kill() }()
-	if !standin.Up(context.Background(), address) {
+	if !standin.WaitUntilServing(context.Background(), address) {
 		text, _ := os.ReadFile(filepath.Join(dir, "log"))
 		return nil, fmt.Errorf("the relay does not come up; its log: %s", text)
 	}
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -171,7 +171,7 @@
 			for i := 0; i < len(h); i += 2 {
 				lines = append(lines, "> "+h[i]+": "+h[i+1])
 			}
-			wiretest.Play(t, wiretest.Dial(t, at), "testdata/inbox.txt", "{method}", method, "{path}", path,
+			wiretest.Run(t, wiretest.Dial(t, at), "testdata/inbox.txt", "{method}", method, "{path}", path,
 				"{headers}", strings.Join(lines, "\n"), "{length}", strconv.Itoa(len(c.body)), "{body}", c.body,
 				"{status}", c.status, "{why}", c.why)
 			if len(f.ended) != 0 {
@@ -369,7 +369,7 @@
 	f, at := start(t, none, none)
 	f.Open = func() bool { return false }
 	conn := wiretest.Dial(t, at)
-	wiretest.Play(t, conn, "testdata/stand-by.txt")
+	wiretest.Run(t, conn, "testdata/stand-by.txt")
 }
 
 // TestFront_EveryAnswer_HasItsOutcome maps every answer of an inbox.
@@ -395,7 +395,7 @@
 		l := wiretest.Listen(t)
 		go func() {
 			if conn, err := l.Accept(); err == nil {
-				wiretest.Play(t, conn, "testdata/spoilt.txt", "{status}", status)
+				wiretest.Run(t, conn, "testdata/spoilt.txt", "{status}", status)
 			}
 		}()
 		u := &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
--- a/internal/relay/fleet/testcluster/cost.go
+++ b/internal/relay/fleet/testcluster/cost.go
@@ -83,7 +83,7 @@
 	}
 	if f.plan.withoutPeers {
 		for _, r := range f.Relays {
-			if !standin.Up(context.Background(), r.ClientAddress) {
+			if !standin.WaitUntilServing(context.Background(), r.ClientAddress) {
 				return fmt.Errorf("%s does not come up", r.Name)
 			}
 		}
--- a/internal/relay/fleet/testcluster/fleet.go
+++ b/internal/relay/fleet/testcluster/fleet.go
@@ -67,7 +67,7 @@
 			f.Close()
 		}
 	}()
-	list := f.endpoints.List(partners, "news-groups", "a")
+	list := f.endpoints.SnapshotOf(partners, "news-groups", "a")
 	if f.discovery, err = standin.NewDiscovery(list); err != nil {
 		return nil, err
 	}
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -152,7 +152,7 @@
 			}
 		})
 	}
-	wiretest.Play(t, wiretest.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
+	wiretest.Run(t, wiretest.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
 	_ = l.Close()
 	s.Close(time.Millisecond) // those that have not ended by then are cut off
 	if len(s.connections) != 0 {
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -32,7 +32,7 @@
 			s := NewServer(limits(), echo)
 			go func() { _ = s.Serve(l) }()
 			conn := wiretest.Dial(t, l.Addr().String())
-			wiretest.Play(t, conn, file)
+			wiretest.Run(t, conn, file)
 			_ = conn.Close()
 			_ = l.Close()
 			s.Close(time.Minute) // waits for every connection: none may be left behind
@@ -277,7 +277,7 @@
 	s := NewServer(lim, echo)
 	go func() { _ = s.Serve(l) }()
 	for _, file := range []string{"testdata/hurry/silent.txt", "testdata/hurry/half.txt"} {
-		wiretest.Play(t, wiretest.Dial(t, l.Addr().String()), file)
+		wiretest.Run(t, wiretest.Dial(t, l.Addr().String()), file)
 	}
 }
 
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -54,7 +54,7 @@
 		t.Error(err)
 		return
 	}
-	wiretest.Play(t, conn, file, "{address}", l.Addr().String())
+	wiretest.Run(t, conn, file, "{address}", l.Addr().String())
 	_ = conn.Close()
 }
 
@@ -97,7 +97,7 @@
 			if c.discovery != "" {
 				go play(t, discovery, c.discovery, done)
 			}
-			wiretest.Play(t, wiretest.Dial(t, clients.Addr().String()), c.client)
+			wiretest.Run(t, wiretest.Dial(t, clients.Addr().String()), c.client)
 			for _, file := range []string{c.destination, c.discovery} {
 				if file != "" {
 					<-done
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -106,12 +106,12 @@
 	if s.endpoints, err = standin.NewEndpoints(plan.Partners+8, s.answer); err != nil { // some more, to replace others
 		return nil, err
 	}
-	list := s.endpoints.List(plan.Partners, "news-groups", "a")
+	list := s.endpoints.SnapshotOf(plan.Partners, "news-groups", "a")
 	if s.discovery, err = standin.NewDiscovery(list); err != nil {
 		s.Close()
 		return nil, err
 	}
-	if s.addr, err = standin.Spare(); err != nil {
+	if s.addr, err = standin.FreeAddress(); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	if err := s.cmd.Start(); err != nil {
 		return fmt.Errorf("the relay's program: %w", err)
 	}
-	if standin.Up(context.Background(), s.addr) {
+	if standin.WaitUntilServing(context.Background(), s.addr) {
 		return nil
 	}
 	text, _ := os.ReadFile(filepath.Join(s.dir, relayLog))
@@ -169,7 +169,7 @@
 
 // List has discovery announce a status of an endpoint, for a partner.
 func (s *LoadTest) List(endpoint, partner int, status string) {
-	s.discovery.Tell(s.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
+	s.discovery.PublishUpdate(s.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
 }
 
 // answer is how a stand-in endpoint answers a call.
--- a/internal/relay/standin/client.go
+++ b/internal/relay/standin/client.go
@@ -11,118 +11,135 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// Message is one that a client hands in.
+// Message is one that a client submits.
 type Message struct {
-	ID, Key, Class string
-	Partner        int
-	Timeout        time.Duration
+	ID, Key, Class string        // an empty Key: without an idempotency key
+	Partner        int           // its number
+	Timeout        time.Duration // sent to the millisecond
 	Body           string
 	Header         []string // further headers, names and values in turn
 }
 
-// Client hands messages to a relay over as many connections as it needs.
+// Client submits messages to a relay, over as many connections as it needs at once. It keeps idle ones for later messages.
 type Client struct {
-	Address string
+	Address string // host and port of the relay
 
-	mu   sync.Mutex
-	idle []*conn
-	lim  *config.Limits
+	mu     sync.Mutex
+	idle   []*clientConn
+	limits *config.Limits
 }
 
-type conn struct {
+type clientConn struct {
 	net.Conn
-	r *httpwire.Reader
+	reader *httpwire.Reader
 }
 
 // NewClient returns a client of the relay at address.
-func NewClient(address string) *Client { return &Client{Address: address, lim: Limits()} }
+func NewClient(address string) *Client { return &Client{Address: address, limits: Limits()} }
 
-// Send hands in one message and returns the answer's status; 0: there was none.
+// Send submits a message and returns status and body of the response; a status of 0 means that there was none. It retries once on
+// a new connection if an idle one fails, since the relay may have closed that between two requests.
 func (c *Client) Send(ctx context.Context, m *Message) (status int, body string) {
-	head := append([]string{"X-Request-ID", m.ID, "X-Timeout", fmt.Sprintf("%dm", m.Timeout.Milliseconds()),
-		"X-Envelope", fmt.Sprintf("dest=%d", m.Partner)}, m.Header...)
-	if m.Key != "" {
-		head = append(head, "Idempotency-Key", m.Key)
-	}
-	request := httpwire.AppendRequest(nil, "POST", "/"+m.Class, c.Address, head, []byte(m.Body))
-	for try := range 2 { // a connection may have been closed between two requests: once more on a new one
-		k, used, err := c.take(ctx, try > 0)
+	request := c.encode(m)
+	for attempt := range 2 {
+		conn, reused, err := c.connection(ctx, attempt > 0)
 		if err != nil {
 			return 0, ""
 		}
-		if t, ok := ctx.Deadline(); ok {
-			_ = k.SetDeadline(t)
+		if status, body, err = c.exchange(ctx, conn, request); err == nil {
+			return status, body
 		}
-		_, err = k.Write(request)
-		if err == nil {
-			var p *httpwire.Response
-			if p, err = k.r.ReadResponse(); err == nil {
-				status, body = p.Status, string(p.Body)
-				if p.Close {
-					_ = k.Close()
-				} else {
-					c.mu.Lock()
-					c.idle = append(c.idle, k)
-					c.mu.Unlock()
-				}
-				return status, body
-			}
-		}
-		_ = k.Close()
-		if !used {
+		if !reused {
 			return 0, ""
 		}
 	}
 	return 0, ""
 }
 
-func (c *Client) take(ctx context.Context, fresh bool) (k *conn, used bool, err error) {
+func (c *Client) encode(m *Message) []byte {
+	header := append([]string{"X-Request-ID", m.ID, "X-Timeout", fmt.Sprintf("%dm", m.Timeout.Milliseconds()),
+		"X-Envelope", fmt.Sprintf("dest=%d", m.Partner)}, m.Header...)
+	if m.Key != "" {
+		header = append(header, "Idempotency-Key", m.Key)
+	}
+	return httpwire.AppendRequest(nil, "POST", "/"+m.Class, c.Address, header, []byte(m.Body))
+}
+
+// exchange sends a request and reads the response, up to the deadline of ctx. The connection is idle afterwards, or closed. The body
+// must be copied before the connection is idle: it lies in the reader's buffer.
+func (c *Client) exchange(ctx context.Context, conn *clientConn, request []byte) (status int, body string, err error) {
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = conn.SetDeadline(deadline)
+	}
+	if _, err = conn.Write(request); err != nil {
+		_ = conn.Close()
+		return 0, "", err
+	}
+	response, err := conn.reader.ReadResponse()
+	if err != nil {
+		_ = conn.Close()
+		return 0, "", err
+	}
+	status, body = response.Status, string(response.Body)
+	if response.Close {
+		_ = conn.Close()
+		return status, body, nil
+	}
+	c.mu.Lock()
+	c.idle = append(c.idle, conn)
+	c.mu.Unlock()
+	return status, body, nil
+}
+
+// connection returns the connection that became idle last, or a new one: always a new one if fresh.
+func (c *Client) connection(ctx context.Context, fresh bool) (conn *clientConn, reused bool, err error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
-		k = c.idle[n-1]
+		conn = c.idle[n-1]
 		c.idle = c.idle[:n-1]
 	}
 	c.mu.Unlock()
-	if k != nil {
-		return k, true, nil
+	if conn != nil {
+		return conn, true, nil
 	}
-	var d net.Dialer
-	raw, err := d.DialContext(ctx, "tcp", c.Address)
+	var dialer net.Dialer
+	raw, err := dialer.DialContext(ctx, "tcp", c.Address)
 	if err != nil {
 		return nil, false, err
 	}
-	return &conn{raw, httpwire.NewReader(raw, c.lim)}, false, nil
+	return &clientConn{raw, httpwire.NewReader(raw, c.limits)}, false, nil
 }
 
-// Close ends the connections that are idle.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		_ = k.Close()
+	for _, conn := range c.idle {
+		_ = conn.Close()
 	}
 	c.idle = nil
 }
 
-// Spare is an address on loopback that nobody listens at now.
-func Spare() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// FreeAddress returns an address on loopback on which nothing listens now. Another process may take it at any time.
+func FreeAddress() (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	return l.Addr().String(), l.Close()
+	return listener.Addr().String(), listener.Close()
 }
 
-// Up waits until a relay serves at an address; false: it does not within ten seconds or so.
-func Up(ctx context.Context, address string) bool {
+// WaitUntilServing waits until the relay at address answers GET /up with 200, and reports whether it did within 400 attempts, which
+// take ten seconds where each is refused at once.
+func WaitUntilServing(ctx context.Context, address string) bool {
 	pool := httpwire.NewPool(Limits())
 	request := httpwire.AppendRequest(nil, "GET", "/up", address, nil, nil)
 	for range 400 {
-		ok := false
-		within, cancel := context.WithTimeout(ctx, time.Second)
-		pool.Do(within, httpwire.Peer{Address: address}, request, nil, func(p *httpwire.Response) { ok = p.Status == 200 })
+		up := false
+		attempt, cancel := context.WithTimeout(ctx, time.Second)
+		pool.Do(attempt, httpwire.Peer{Address: address}, request, nil, func(p *httpwire.Response) { up = p.Status == 200 })
 		cancel()
-		if ok {
+		if up {
 			return true
 		}
 		time.Sleep(25 * time.Millisecond)
--- a/internal/relay/wiretest/exchange.go
+++ b/internal/relay/wiretest/exchange.go
@@ -1,10 +1,3 @@
-// Package wiretest plays recorded byte exchanges against a connection. It is the one helper of the tests of
-// all wires.
-//
-// A recording is a text file. A line after "> " is sent, one after "< " has to come back, each with CR LF at
-// its end, or with nothing if it ends with a backslash. "< EOF" wants the other side to close. {name} stands
-// for a value that the test gives, and {*} at the end of a line that has to come back for whatever comes there.
-// Other lines are comments.
 package wiretest
 
 import (
@@ -19,80 +12,98 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// patience only bounds a test that would hang; no verdict rests on it.
-const patience = 20 * time.Second
+// timeout bounds a run whose peer hangs. No result of a test may depend on it.
+const timeout = 20 * time.Second
 
-// Play plays the recording in file over conn and reports where the two differ.
-func Play(t testing.TB, conn net.Conn, file string, vars ...string) {
+// Run runs the recording in file over conn and reports as errors of the test where the peer differs from it. vars are names with
+// their braces and values in turn, as for strings.NewReplacer.
+func Run(t testing.TB, conn net.Conn, file string, vars ...string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	in := bufio.NewReader(conn)
-	var want, got []string
-	// What is said in one go is written in one: the other side may close as soon as it has seen enough of it.
-	var said []byte
-	say := func() (err error) {
-		if len(said) > 0 {
-			_, err = conn.Write(said)
-			said = said[:0]
-		}
-		return err
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	e := &exchange{conn: conn, reader: bufio.NewReader(conn)}
+	if line, err := e.run(strings.Split(strings.NewReplacer(vars...).Replace(string(text)), "\n")); err != nil {
+		t.Errorf("%s: at %q: %v", file, line, err)
 	}
-	for _, line := range strings.Split(strings.NewReplacer(vars...).Replace(string(text)), "\n") {
-		mark, rest, _ := strings.Cut(line, " ")
-		body, open := strings.CutSuffix(rest, `\`)
-		switch {
-		case mark == ">" && open:
-			said = append(said, body...)
-			continue
-		case mark == ">":
-			said = append(append(said, rest...), "\r\n"...)
-			continue
-		case mark != "<":
-			continue
-		}
-		if err = say(); err != nil {
-			t.Errorf("%s: before %q: %v", file, line, err)
-			break
-		}
-		switch {
-		case rest == "EOF":
-			want = append(want, rest)
-			if _, e := in.ReadByte(); e == io.EOF {
-				got = append(got, rest)
+	if diff := cmp.Diff(e.want, e.got); diff != "" {
+		t.Errorf("%s: (-want +got)\n%s", file, diff)
+	}
+}
+
+// exchange is the run of one recording.
+type exchange struct {
+	conn   net.Conn
+	reader *bufio.Reader
+	// unsent collects consecutive lines, which must go out in one write: the peer may close as soon as it has seen enough of them.
+	unsent    []byte
+	want, got []string
+}
+
+// run runs the lines up to the first error of the connection, and returns the line at which that came; empty: at the end.
+func (e *exchange) run(lines []string) (line string, err error) {
+	for _, line := range lines {
+		direction, text, _ := strings.Cut(line, " ")
+		switch direction {
+		case ">":
+			e.queue(text)
+		case "<":
+			if err := e.flush(); err != nil {
+				return line, err
 			}
-		case open:
-			b := make([]byte, len(body))
-			_, err = io.ReadFull(in, b)
-			want, got = append(want, body), append(got, string(b))
-		default:
-			var s string
-			s, err = in.ReadString('\n')
-			s = strings.TrimRight(s, "\r\n")
-			if head, ok := strings.CutSuffix(rest, "{*}"); ok && strings.HasPrefix(s, head) {
-				s = rest
+			if err := e.expect(text); err != nil {
+				return line, err
 			}
-			want, got = append(want, rest), append(got, s)
-		}
-		if err != nil {
-			t.Errorf("%s: at %q: %v", file, line, err)
-			break
 		}
 	}
-	if err == nil {
-		if err = say(); err != nil {
-			t.Errorf("%s: at its end: %v", file, err)
+	return "", e.flush()
+}
+
+// queue adds a line to what is sent next.
+func (e *exchange) queue(text string) {
+	if unterminated, ok := strings.CutSuffix(text, `\`); ok {
+		e.unsent = append(e.unsent, unterminated...)
+		return
+	}
+	e.unsent = append(append(e.unsent, text...), "\r\n"...)
+}
+
+// flush writes what is queued.
+func (e *exchange) flush() (err error) {
+	if len(e.unsent) > 0 {
+		_, err = e.conn.Write(e.unsent)
+		e.unsent = e.unsent[:0]
+	}
+	return err
+}
+
+// expect reads what should match text, and adds both to want and got.
+func (e *exchange) expect(text string) (err error) {
+	if text == "EOF" {
+		e.want = append(e.want, text)
+		if _, readErr := e.reader.ReadByte(); readErr == io.EOF {
+			e.got = append(e.got, text)
 		}
+		return nil
+	}
+	if unterminated, ok := strings.CutSuffix(text, `\`); ok {
+		received := make([]byte, len(unterminated))
+		_, err = io.ReadFull(e.reader, received)
+		e.want, e.got = append(e.want, unterminated), append(e.got, string(received))
+		return err
 	}
-	if d := cmp.Diff(want, got); d != "" {
-		t.Errorf("%s: (-want +got)\n%s", file, d)
+	received, err := e.reader.ReadString('\n')
+	received = strings.TrimRight(received, "\r\n")
+	if prefix, ok := strings.CutSuffix(text, "{*}"); ok && strings.HasPrefix(received, prefix) {
+		received = text
 	}
+	e.want, e.got = append(e.want, text), append(e.got, received)
+	return err
 }
 
-// Dial connects to address for the time of the test.
+// Dial connects to address; the connection is closed at the end of the test.
 func Dial(t testing.TB, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -103,13 +114,13 @@
 	return conn
 }
 
-// Listen opens a listener on loopback for the time of the test.
+// Listen opens a listener on loopback, which is closed at the end of the test.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	return l
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
