--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -56,7 +56,7 @@
 	wakeAt           time.Time
 	watchAt          time.Time
 	drainAt          time.Time // when Drain took hold; zero: it did not
-	lastHousekeeping time.Time // when keepHouse last did its work
+	lastHousekeeping time.Time // when housekeep last did its work
 	turnInput        capture.Input
 	recordedArrivals []capture.Arrival // that its events point to
 	actionRefs       []uint64          // for the action at hand
--- a/internal/relay/engine/housekeeping.go
+++ b/internal/relay/engine/housekeeping.go
@@ -5,8 +5,8 @@
 // housekeepingInterval is the least time between two rounds of housekeeping.
 const housekeepingInterval = time.Second
 
-// keepHouse closes idle connections that have grown old and forgets destinations that have long left the list, once a second at most.
-func (c *Core) keepHouse(now time.Time) {
+// housekeep closes idle connections that have grown old and forgets destinations that have long left the list, once a second at most.
+func (c *Core) housekeep(now time.Time) {
 	if now.Sub(c.lastHousekeeping) <= housekeepingInterval {
 		return
 	}
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -23,7 +23,7 @@
 		notify()
 	}
 	c.notifications = c.notifications[:0]
-	c.keepHouse(now)
+	c.housekeep(now)
 	c.recordAfter(now)
 }
 
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -60,27 +60,41 @@
 	}
 }
 
-// test runs the tests on a copy of the source that holds the mistake.
-func (m sourceMutant) test(t *testing.T) (output string, err error) {
+// TestMutants_OldTexts_StandOnceInTheSource keeps a rename from leaving a mistake behind that only the long run would miss.
+func TestMutants_OldTexts_StandOnceInTheSource(t *testing.T) {
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) { mutant.read(t) })
+	}
+}
+
+// read returns the file that the mistake changes, which must hold the old text once.
+func (m sourceMutant) read(t *testing.T) (path, source string) {
 	t.Helper()
 	path, err := filepath.Abs(m.file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	source, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if strings.Count(string(source), m.old) != 1 {
+	if strings.Count(string(data), m.old) != 1 {
 		t.Fatalf("%s doesn't hold the text once", m.file)
 	}
+	return path, string(data)
+}
+
+// test runs the tests on a copy of the source that holds the mistake.
+func (m sourceMutant) test(t *testing.T) (output string, err error) {
+	t.Helper()
+	path, source := m.read(t)
 	changed := filepath.Join(t.TempDir(), "changed.go")
 	overlay := filepath.Join(t.TempDir(), "overlay.json")
 	replaced, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, changed, strings.Replace(string(source), m.old, m.new, 1))
+	write(t, changed, strings.Replace(source, m.old, m.new, 1))
 	write(t, overlay, string(replaced))
 	text, err := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-timeout=300s", "-overlay="+overlay, "-run="+m.run, ".",
 		"-args", "-days", "10").CombinedOutput()
