--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -17,15 +17,15 @@
 // The kinds of entries.
 const (
 	Acted    Kind = "acted"    // Relay took on, or first tried, something under Version
-	Said     Kind = "said"     // Relay tells how Version ended: Dropped, or in force with Digest
+	Reported Kind = "said"     // Relay tells how Version ended: Dropped, or in force with Digest
 	Proposed Kind = "proposed" // a change of Base was handed in from At to Until; Version: in force; 0: Dropped or not known
 	Started  Kind = "started"  // an incarnation of Relay begins
 	Fault    Kind = "fault"    // Text: what was done to the fleet
-	Taken    Kind = "taken"    // message ID was accepted, and the client got that answer
+	Accepted Kind = "taken"    // message ID was accepted, and the client got that answer
 	Refused  Kind = "refused"  // a client was asked to come again, or got no answer
 	Ended    Kind = "ended"    // message ID had its end: Text
 	Log      Kind = "log"      // Text: what Relay logged; for whoever reads the history
-	Broke    Kind = "broke"    // something that is a breach by itself: Text
+	Breached Kind = "broke"    // something that is a breach by itself: Text
 )
 
 // Entry is one thing that happened, on one clock for all.
@@ -57,21 +57,21 @@
 
 // The rules.
 const (
-	OldStops  = "old stops before new starts"
-	SameWord  = "all say the same of a version"
-	Dropped   = "a dropped version touches nothing"
-	Register  = "the policy in force is one register"
-	OneEnd    = "one end for each message"
-	Limit     = "no more than a partner may get"
-	NothingIs = "nothing else breaks"
+	OldStops      = "old stops before new starts"
+	SameReport    = "all say the same of a version"
+	Dropped       = "a dropped version touches nothing"
+	Register      = "the policy in force is one register"
+	OneEnd        = "one end for each message"
+	Limit         = "no more than a partner may get"
+	NoOtherBreach = "nothing else breaks"
 )
 
 // Options are what Judge must know of how the history was made.
 type Options struct {
-	Slack  time.Duration // by which an act may be seen later than it was begun
-	Serves bool          // partitioned relays go on with the version that they know
-	Ends   bool          // all messages that were taken must have their end
-	Bounds []Bound
+	Slack            time.Duration // by which an act may be seen later than it was begun
+	ServePartitioned bool          // partitioned relays go on with the version that they know
+	AllMustEnd       bool          // all messages that were taken must have their end
+	Bounds           []Bound
 }
 
 // Bound is what a partner may get under a version, or for a time whatever is in force: in any span Rate times its length and Burst more.
@@ -92,9 +92,9 @@
 			return &BreachError{rule, e, text, i}
 		}
 	}
-	if o.Ends {
+	if o.AllMustEnd {
 		for i, e := range h {
-			if e.Kind == Taken && j.ends[e.ID] == "" {
+			if e.Kind == Accepted && j.ends[e.ID] == "" {
 				return &BreachError{OneEnd, e, e.ID + " was taken on and has no end", i}
 			}
 		}
@@ -104,7 +104,7 @@
 			return &BreachError{Limit, h[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
 		}
 	}
-	if e, ok := register(h, o.Slack); !ok && !o.Serves {
+	if e, ok := register(h, o.Slack); !ok && !o.ServePartitioned {
 		return &BreachError{Register, e, "the changes, their bases and the versions acted on fit no order", len(h) - 1}
 	}
 	return nil
@@ -114,7 +114,7 @@
 type judge struct {
 	options    Options
 	newest     Entry            // the first act under the newest version that was acted under
-	statements map[uint64]Entry // by version: the last Said
+	statements map[uint64]Entry // by version: the last Reported
 	acted      map[uint64]Entry // by version: the first Acted
 	ends       map[string]string
 }
@@ -124,22 +124,22 @@
 	switch e.Kind {
 	case Acted:
 		return j.addAct(e)
-	case Said:
+	case Reported:
 		return j.addStatement(e)
 	case Ended:
 		if was, ok := j.ends[e.ID]; ok && was != e.Text {
 			return OneEnd, fmt.Sprintf("%s had two ends: %s and %s", e.ID, was, e.Text)
 		}
 		j.ends[e.ID] = e.Text
-	case Broke:
-		return NothingIs, e.Text
+	case Breached:
+		return NoOtherBreach, e.Text
 	}
 	return "", ""
 }
 
 // addAct checks that no older version is acted under after a newer one, and none that was dropped.
 func (j *judge) addAct(e Entry) (rule, text string) {
-	if e.Version < j.newest.Version && !j.options.Serves && e.At-j.newest.At > j.options.Slack {
+	if e.Version < j.newest.Version && !j.options.ServePartitioned && e.At-j.newest.At > j.options.Slack {
 		return OldStops, fmt.Sprintf("acts under version %d, and %s has acted under %d since %v", e.Version, j.newest.Relay, j.newest.Version,
 			j.newest.At.Round(time.Microsecond))
 	}
@@ -159,7 +159,7 @@
 func (j *judge) addStatement(e Entry) (rule, text string) {
 	said, ok := j.statements[e.Version]
 	if ok && (said.Dropped != e.Dropped || said.Digest != e.Digest) {
-		return SameWord, fmt.Sprintf("says that version %d was dropped: %v, digest %x; %s: %v, %x", e.Version, e.Dropped, e.Digest, said.Relay, said.Dropped, said.Digest)
+		return SameReport, fmt.Sprintf("says that version %d was dropped: %v, digest %x; %s: %v, %x", e.Version, e.Dropped, e.Digest, said.Relay, said.Dropped, said.Digest)
 	}
 	j.statements[e.Version] = e
 	if act, acted := j.acted[e.Version]; e.Dropped && acted {
--- a/internal/relay/fleet/checker/check_test.go
+++ b/internal/relay/fleet/checker/check_test.go
@@ -15,7 +15,7 @@
 		return Entry{At: time.Duration(at) * ms, Until: time.Duration(until) * ms, Kind: Proposed, Base: base, Version: version}
 	}
 	said := func(at int, version, digest uint64, dropped bool) Entry {
-		return Entry{At: time.Duration(at) * ms, Kind: Said, Relay: "c", Version: version, Digest: digest, Dropped: dropped}
+		return Entry{At: time.Duration(at) * ms, Kind: Reported, Relay: "c", Version: version, Digest: digest, Dropped: dropped}
 	}
 	call := func(at int, version uint64) Entry {
 		e := act(at, "a", version)
@@ -23,30 +23,30 @@
 		return e
 	}
 	good := []Entry{act(1, "a", 0), act(2, "b", 0), change(3, 9, 0, 1), act(7, "a", 1), act(8, "b", 1), said(9, 1, 5, false), said(9, 2, 6, true),
-		change(10, 30, 1, 3), act(20, "a", 3), {At: 21 * ms, Kind: Taken, ID: "x"}, {At: 22 * ms, Kind: Ended, ID: "x", Text: "called"}}
+		change(10, 30, 1, 3), act(20, "a", 3), {At: 21 * ms, Kind: Accepted, ID: "x"}, {At: 22 * ms, Kind: Ended, ID: "x", Text: "called"}}
 	for _, c := range []struct {
 		name string
 		more []Entry
 		o    Options
 		want string
 	}{
-		{"good", nil, Options{Ends: true}, ""},
+		{"good", nil, Options{AllMustEnd: true}, ""},
 		{"old after new", []Entry{act(25, "b", 1)}, Options{}, OldStops},
 		{"old after new, seen late", []Entry{act(25, "b", 1)}, Options{Slack: 10 * ms}, ""},
-		{"old after new, where it may", []Entry{act(25, "b", 1)}, Options{Serves: true}, ""},
-		{"two words", []Entry{said(30, 1, 7, false)}, Options{}, SameWord},
-		{"two ends of a version", []Entry{said(30, 2, 6, false)}, Options{}, SameWord},
-		{"a dropped one acted on", []Entry{act(30, "a", 2)}, Options{Serves: true}, Dropped},
+		{"old after new, where it may", []Entry{act(25, "b", 1)}, Options{ServePartitioned: true}, ""},
+		{"two words", []Entry{said(30, 1, 7, false)}, Options{}, SameReport},
+		{"two ends of a version", []Entry{said(30, 2, 6, false)}, Options{}, SameReport},
+		{"a dropped one acted on", []Entry{act(30, "a", 2)}, Options{ServePartitioned: true}, Dropped},
 		{"acted on before its change", []Entry{change(40, 50, 3, 4), act(35, "a", 4)}, Options{}, Register},
 		{"two changes of one base", []Entry{change(31, 40, 1, 5), act(45, "a", 5)}, Options{}, Register},
-		{"no end", []Entry{{At: 50 * ms, Kind: Taken, ID: "y"}}, Options{Ends: true}, OneEnd},
+		{"no end", []Entry{{At: 50 * ms, Kind: Accepted, ID: "y"}}, Options{AllMustEnd: true}, OneEnd},
 		{"two ends", []Entry{{At: 50 * ms, Kind: Ended, ID: "x", Text: "given_up"}}, Options{}, OneEnd},
 		{"too much in a second", []Entry{call(100, 3), call(200, 3), call(300, 3)}, Options{Bounds: []Bound{{3, "p", 2, 2, 0, 0}}}, Limit},
 		{"as much as it may", []Entry{call(100, 3), call(700, 3), call(1300, 3)}, Options{Bounds: []Bound{{3, "p", 2, 2, 0, 0}}}, ""},
 		{"under another version", []Entry{call(100, 3), call(200, 3), call(300, 3)}, Options{Bounds: []Bound{{4, "p", 2, 2, 0, 0}}}, ""},
 		{"at another time", []Entry{call(100, 3), call(200, 3), call(300, 3)}, Options{Bounds: []Bound{{0, "p", 2, 2, 150 * ms, time.Second}}}, ""},
 		{"too much at that time", []Entry{call(100, 3), call(200, 3), call(300, 3)}, Options{Bounds: []Bound{{0, "p", 2, 2, 50 * ms, time.Second}}}, Limit},
-		{"broken otherwise", []Entry{{At: 50 * ms, Kind: Broke, Text: "sent twice"}}, Options{}, NothingIs},
+		{"broken otherwise", []Entry{{At: 50 * ms, Kind: Breached, Text: "sent twice"}}, Options{}, NoOtherBreach},
 	} {
 		got := ""
 		if b := Judge(append(append([]Entry{}, good...), c.more...), c.o); b != nil {
--- a/internal/relay/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -59,11 +59,11 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
 	}
-	whole, bad := records(b)
+	complete, bad := records(b)
 	switch {
 	case len(b) == 0:
 		image = &consensus.Image{}
-	case len(whole) != 1 || bad != nil || cbor.Unmarshal(whole[0], &d.id) != nil || d.id.Fleet != fleet:
+	case len(complete) != 1 || bad != nil || cbor.Unmarshal(complete[0], &d.id) != nil || d.id.Fleet != fleet:
 		why = fmt.Errorf("%s can't be read, or is of another fleet", identityName)
 		d.id = identity{}
 	default:
@@ -96,12 +96,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	whole, bad := records(b)
+	complete, bad := records(b)
 	if bad != nil {
 		return nil, bad
 	}
 	all := &consensus.Image{}
-	for _, r := range whole {
+	for _, r := range complete {
 		p := logRecord{Image: &consensus.Image{}}
 		if err := cbor.Unmarshal(r, &p); err != nil || p.Image == nil {
 			return nil, errDamaged
@@ -130,28 +130,28 @@
 
 // records splits a file. What is cut short at its end, or whose checksum is wrong there, is a torn tail; a wrong checksum
 // with more behind it is damage.
-func records(b []byte) (whole [][]byte, err error) {
+func records(b []byte) (complete [][]byte, err error) {
 	for len(b) >= recordHead {
 		n := int(binary.LittleEndian.Uint32(b))
 		if n == 0 || n > maxRecordBytes {
-			if len(whole) == 0 || n > maxRecordBytes {
-				return whole, errDamaged
+			if len(complete) == 0 || n > maxRecordBytes {
+				return complete, errDamaged
 			}
-			return whole, nil // zeros, as a file system may leave them at the end
+			return complete, nil // zeros, as a file system may leave them at the end
 		}
 		if len(b)-recordHead < n {
-			return whole, nil
+			return complete, nil
 		}
 		r := b[recordHead : recordHead+n]
 		if crc32.Checksum(r, castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
 			if len(b)-recordHead > n {
-				return whole, errDamaged
+				return complete, errDamaged
 			}
-			return whole, nil
+			return complete, nil
 		}
-		whole, b = append(whole, r), b[recordHead+n:]
+		complete, b = append(complete, r), b[recordHead+n:]
 	}
-	return whole, nil
+	return complete, nil
 }
 
 func record(v any) ([]byte, error) {
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -152,8 +152,8 @@
 	out.Attempts = make([]int, len(set.Classes))
 	for i := range set.Classes {
 		c := d.Classes[set.Classes[i].Name]
-		if out.Attempts[i] = c.Attempts; c.Worth != nil {
-			out.Worth[i] = *c.Worth
+		if out.Attempts[i] = c.Attempts; c.Value != nil {
+			out.Worth[i] = *c.Value
 		}
 	}
 	for i, name := range set.TenantNames {
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -31,15 +31,15 @@
 // observeCore asks the core for its demands. They come with an event, or not at all where this relay can't keep up.
 func (f *Fleet) observeCore() {
 	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
-		needs, sights := demandsOf(all)
-		f.observedKeys.Store(&sights)
+		demands, keys := demandsOf(all)
+		f.observedKeys.Store(&keys)
 		counts := make(map[quota.Key]uint64, len(counted))
 		for _, name := range slices.Sorted(maps.Keys(counted)) {
 			if len(counts) < quota.MaxCounters { // the same ones each time
 				counts[quota.KeyOf(quota.Counter, name)] = counted[name]
 			}
 		}
-		for _, ev := range [...]node.Event{{Demands: &needs}, {Counters: &counts}} {
+		for _, ev := range [...]node.Event{{Demands: &demands}, {Counters: &counts}} {
 			select {
 			case f.events <- ev:
 			default:
@@ -48,9 +48,9 @@
 	})
 }
 
-// demandsOf is what a core has seen as the fleet tells it: of what it needs the most, if that is too much.
+// demandsOf converts a core's observations to demands, MaxKeys of them at most: those of the largest value.
 func demandsOf(all []engine.Observation) ([]quota.Demand, map[quota.Key]observedKey) {
-	list, sights := make([]quota.Demand, 0, len(all)), make(map[quota.Key]observedKey, len(all))
+	list, keys := make([]quota.Demand, 0, len(all)), make(map[quota.Key]observedKey, len(all))
 	for _, s := range all {
 		n := quota.Demand{Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
 		at := observedKey{s.Name, -1, s.Endpoint}
@@ -63,16 +63,16 @@
 		case s.Healthy:
 			n.State = quota.Healthy
 		}
-		list, sights[n.Key] = append(list, n), at
+		list, keys[n.Key] = append(list, n), at
 	}
 	if len(list) > quota.MaxKeys {
 		slices.SortStableFunc(list, func(a, b quota.Demand) int { return cmp.Compare(b.Rate*b.Value, a.Rate*a.Value) })
 		list = list[:quota.MaxKeys]
 	}
-	return list, sights
+	return list, keys
 }
 
-// setMandate has the core stand as the fleet says. While it is halted it spends next to nothing, so that nothing is decided that would go out
+// setMandate hands the core a new mandate. While it is halted it spends next to nothing, so that nothing is decided that would go out
 // all at once afterwards: from the moment when it is halted, and until the last before it goes on.
 func (f *Fleet) setMandate(s node.Mandate) {
 	halted := s.Halted
@@ -103,11 +103,11 @@
 	if s == nil {
 		return
 	}
-	var sights map[quota.Key]observedKey
+	var keys map[quota.Key]observedKey
 	if known := f.observedKeys.Load(); known != nil {
-		sights = *known
+		keys = *known
 	}
-	out := sharedLimits(s, sights, f.now()-f.leaseAt)
+	out := sharedLimits(s, keys, f.now()-f.leaseAt)
 	if f.halted {
 		out = engine.WithoutLease(out)
 	}
@@ -116,10 +116,10 @@
 }
 
 // sharedLimits converts a lease of some time ago for the core; ages and waits are as of now.
-func sharedLimits(s *quota.Lease, sights map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
+func sharedLimits(s *quota.Lease, keys map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
 	out := control.SharedLimits{GuaranteedShare: s.Minimum, KeepsGuaranteed: s.MinimumLasts}
 	for _, p := range s.Shares {
-		at, ok := sights[p.Key]
+		at, ok := keys[p.Key]
 		if !ok {
 			continue
 		}
@@ -140,9 +140,9 @@
 		return nil
 	}
 	r := &node.QuotaStatus{LeaseNumber: s.Number, Minimum: s.Minimum, Left: max(s.Expires-f.now(), 0)}
-	sights := f.observedKeys.Load()
+	keys := f.observedKeys.Load()
 	for _, p := range s.Shares {
-		x := node.KeyQuota{Name: f.nameOf(sights, p.Key), Share: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), MayProbe: p.MayProbe}
+		x := node.KeyQuota{Name: f.nameOf(keys, p.Key), Share: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), MayProbe: p.MayProbe}
 		if r.Left == 0 {
 			x.Share = s.Minimum
 		}
@@ -151,9 +151,9 @@
 	return r
 }
 
-func (f *Fleet) nameOf(sights *map[quota.Key]observedKey, k quota.Key) string {
-	if sights != nil {
-		if at, ok := (*sights)[k]; ok && at.tenant >= 0 {
+func (f *Fleet) nameOf(keys *map[quota.Key]observedKey, k quota.Key) string {
+	if keys != nil {
+		if at, ok := (*keys)[k]; ok && at.tenant >= 0 {
 			return "tenant " + at.name
 		} else if ok {
 			return at.name
--- a/internal/relay/fleet/policy/document.go
+++ b/internal/relay/fleet/policy/document.go
@@ -18,10 +18,10 @@
 const (
 	// Format is the newest format of documents that is understood.
 	Format = 1
-	// MostBytes bounds the length of a document: a datagram must carry it with all else.
-	MostBytes = 16 << 10
+	// MaxDocumentBytes bounds the length of a document: a datagram must carry it with all else.
+	MaxDocumentBytes = 16 << 10
 
-	leastLimit = 0.01 // calls a second: one in 100 s
+	minLimit = 0.01 // calls a second: one in 100 s
 )
 
 // Document is what operators change on a fleet in service. What it does not name stays as each relay's file has it.
@@ -37,7 +37,7 @@
 
 // Class is what changes of a class of messages.
 type Class struct {
-	Worth    *float64 `json:"worth,omitempty"`
+	Value    *float64 `json:"worth,omitempty"`
 	Attempts int      `json:"attempts,omitempty"` // attempts that a message may have; 0: what the settings allow
 }
 
@@ -79,14 +79,14 @@
 }
 
 // KeyError names the key of a document that is at fault.
-type KeyError struct{ Key, Why string }
+type KeyError struct{ Key, Reason string }
 
-func (e *KeyError) Error() string { return fmt.Sprintf("policy: key %s: %s", e.Key, e.Why) }
+func (e *KeyError) Error() string { return fmt.Sprintf("policy: key %s: %s", e.Key, e.Reason) }
 
 // Parse decodes a document and checks all that does not depend on a relay's terms.
 func Parse(text []byte) (*Document, error) {
-	if len(text) > MostBytes {
-		return nil, &KeyError{"(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MostBytes)}
+	if len(text) > MaxDocumentBytes {
+		return nil, &KeyError{"(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MaxDocumentBytes)}
 	}
 	var head struct {
 		Format *int `json:"format"`
@@ -117,7 +117,7 @@
 func (d *Document) check() error {
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		c, at := d.Classes[name], "classes."+name
-		if c.Worth != nil && !(*c.Worth >= 0 && *c.Worth <= 1e9) {
+		if c.Value != nil && !(*c.Value >= 0 && *c.Value <= 1e9) {
 			return &KeyError{at + ".worth", "want a number from 0 to 1e9"}
 		}
 		if c.Attempts < 0 || c.Attempts > 1000 {
@@ -133,8 +133,8 @@
 		if n, err := strconv.ParseUint(name, 10, 16); err != nil || strconv.FormatUint(n, 10) != name {
 			return &KeyError{"partners." + name, "want a partner's number"}
 		}
-		if l := d.Partners[name].Limit; l != 0 && !(l >= leastLimit && l <= 1e6) {
-			return &KeyError{"partners." + name + ".limit_per_s", fmt.Sprintf("want %g to 1e6; shut takes all", leastLimit)}
+		if l := d.Partners[name].Limit; l != 0 && !(l >= minLimit && l <= 1e6) {
+			return &KeyError{"partners." + name + ".limit_per_s", fmt.Sprintf("want %g to 1e6; shut takes all", minLimit)}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Plugins)) {
--- a/internal/relay/fleet/policy/policy_test.go
+++ b/internal/relay/fleet/policy/policy_test.go
@@ -34,7 +34,7 @@
 		{`{"format":1,"plugins":{"x":"12"}}`, "plugins.x: want a SHA-256"},
 		{`{"format":1,"plugins":{"x":"` + strings.Repeat("cd", 32) + `"}}`, "plugins.x: another module"},
 		{`{"format":1,"plugins":{"y":"` + strings.Repeat("cd", 32) + `"}}`, "plugins.y: no plug-in"},
-		{`{"format":1,"accept":["` + strings.Repeat("a", MostBytes) + `"]}`, "bytes, want"},
+		{`{"format":1,"accept":["` + strings.Repeat("a", MaxDocumentBytes) + `"]}`, "bytes, want"},
 	} {
 		d, err := Parse([]byte(c.text))
 		if err == nil {
--- a/internal/relay/fleet/simulation/sharing_test.go
+++ b/internal/relay/fleet/simulation/sharing_test.go
@@ -285,7 +285,7 @@
 			wants[x.Index] = 40
 		}
 		w.Run(12 * o.Lease)
-		if b := checker.Judge(w.History, checker.Options{Serves: o.ServeWhenPartitioned}); b != nil {
+		if b := checker.Judge(w.History, checker.Options{ServePartitioned: o.ServeWhenPartitioned}); b != nil {
 			t.Fatalf("seed %d (serve %v): %v", seed, o.ServeWhenPartitioned, b)
 		}
 		if _, sum := w.parts(); sum < 0.9 {
@@ -326,7 +326,7 @@
 			t.Errorf("serve %v: it has joined again, and the parts are %.3f", serve, all)
 		}
 		for _, e := range w.History {
-			if e.Kind == checker.Broke {
+			if e.Kind == checker.Breached {
 				t.Errorf("serve %v: at %v: %s", serve, e.At, e.Text)
 			}
 		}
--- a/internal/relay/fleet/simulation/world.go
+++ b/internal/relay/fleet/simulation/world.go
@@ -131,7 +131,7 @@
 
 // reportViolation records that a relay did what it must never do.
 func (w *World) reportViolation(r *Relay, text string) {
-	w.record(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: text})
+	w.record(checker.Entry{Kind: checker.Breached, Relay: r.Name, Text: text})
 }
 
 // record appends an entry to the history.
@@ -144,7 +144,7 @@
 func (w *World) recordPastChanges(r *Relay) {
 	for _, p := range r.Node.Status().State.PastChanges {
 		if p.Version != 0 {
-			w.record(checker.Entry{Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
+			w.record(checker.Entry{Kind: checker.Reported, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
 		}
 	}
 }
--- a/internal/relay/fleet/testcluster/admin.go
+++ b/internal/relay/fleet/testcluster/admin.go
@@ -35,7 +35,7 @@
 			}
 		}
 		if p.Version != 0 {
-			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Said, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
+			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Reported, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
 		}
 	}
 }
--- a/internal/relay/fleet/testcluster/client.go
+++ b/internal/relay/fleet/testcluster/client.go
@@ -39,7 +39,7 @@
 				f.record(checker.Entry{Kind: checker.Refused, Relay: r.Name, ID: m.ID, Text: fmt.Sprint(status)})
 				return
 			}
-			f.record(checker.Entry{Kind: checker.Taken, Relay: r.Name, ID: m.ID})
+			f.record(checker.Entry{Kind: checker.Accepted, Relay: r.Name, ID: m.ID})
 			taken.Add(1)
 			f.mu.Lock()
 			_ = res.Answers.RecordValue(max(time.Since(at).Microseconds(), 1))
--- a/internal/relay/fleet/testcluster/counters.go
+++ b/internal/relay/fleet/testcluster/counters.go
@@ -18,7 +18,7 @@
 		switch e.Kind {
 		case checker.Started:
 			starts++
-		case checker.Taken:
+		case checker.Accepted:
 			acknowledged++
 		}
 	}
--- a/internal/relay/fleet/testcluster/judge.go
+++ b/internal/relay/fleet/testcluster/judge.go
@@ -15,7 +15,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.history {
-		if e.Kind == checker.Taken && f.callsByMessage[e.ID] == 0 && notices[e.ID] == "" {
+		if e.Kind == checker.Accepted && f.callsByMessage[e.ID] == 0 && notices[e.ID] == "" {
 			return false
 		}
 	}
@@ -37,7 +37,7 @@
 		}
 	}
 	if twice > 0 {
-		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Broke, Text: fmt.Sprintf("%d messages were told two different ends", twice)})
+		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Breached, Text: fmt.Sprintf("%d messages were told two different ends", twice)})
 	}
 	for _, c := range f.changes {
 		e := checker.Entry{At: c.proposedAt, Until: c.finishedAt, Kind: checker.Proposed, Base: c.base, Version: c.version}
@@ -54,7 +54,7 @@
 	res.StaleActs, res.MaxStaleness = checker.Stale(f.history)
 	// A call may be seen a little after it was begun, on a machine that is busy; what a relay does that should not act goes on
 	// for as long as it runs.
-	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, Serves: f.plan.WhenPartitioned == "serve", Ends: res.Stuck == "", Bounds: f.allBounds()})
+	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve", AllMustEnd: res.Stuck == "", Bounds: f.allBounds()})
 }
 
 // closeBounds ends the time during which the partners had their current limit; the caller must hold f.mu. Calls are judged by a new limit only
--- a/internal/relay/fleet/testcluster/page.go
+++ b/internal/relay/fleet/testcluster/page.go
@@ -128,7 +128,7 @@
 			if q := rows[e.Relay]; q != nil {
 				q.Bars = append(q.Bars, pageBar{x(e.At), 3, "#111", fmt.Sprintf("%v: %s is started", e.At, e.Relay)})
 			}
-		case checker.Fault, checker.Broke:
+		case checker.Fault, checker.Breached:
 			v.Marks = append(v.Marks, pageMark{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Text)), v.Height})
 		}
 	}
--- a/internal/relay/fleet/testcluster/partner.go
+++ b/internal/relay/fleet/testcluster/partner.go
@@ -40,7 +40,7 @@
 	n := f.callsByMessage[a.ID]
 	f.mu.Unlock()
 	if n > 1 && a.Key == "" { // messages without a key are not idempotent
-		f.record(checker.Entry{Kind: checker.Broke, Relay: e.Relay, ID: a.ID, Text: a.ID + " was sent twice"})
+		f.record(checker.Entry{Kind: checker.Breached, Relay: e.Relay, ID: a.ID, Text: a.ID + " was sent twice"})
 	}
 	return answer
 }
--- a/internal/relay/fleet/testcluster/process.go
+++ b/internal/relay/fleet/testcluster/process.go
@@ -94,7 +94,7 @@
 	}
 	late := time.AfterFunc(20*time.Second, func() {
 		if s != syscall.SIGKILL {
-			f.record(checker.Entry{Kind: checker.Broke, Relay: r.Name, Text: "it does not end after SIGTERM"})
+			f.record(checker.Entry{Kind: checker.Breached, Relay: r.Name, Text: "it does not end after SIGTERM"})
 		}
 		_ = cmd.Process.Kill()
 	})
