--- a/internal/tier/identity/mutants_test.go
+++ b/internal/tier/identity/mutants_test.go
@@ -17,7 +17,7 @@
 		},
 		{
 			Name:   "a damaged disk keeps its identity",
-			Change: mutation.Change{File: "identity.go", Old: "if err := erase(disk); err != nil {\n		return \"\", err\n	}\n	id, _, err", New: "if err != nil {\n		return id, nil\n	}\n	id, _, err"},
+			Change: mutation.Change{File: "identity.go", Old: "if err = erase(disk); err != nil {\n		return \"\", err\n	}\n	id, _, err", New: "if err != nil {\n		return id, nil\n	}\n	id, _, err"},
 			Run:    "Test",
 		},
 	})
