--- a/internal/tier/controller/repair_leader_loss_test.go
+++ b/internal/tier/controller/repair_leader_loss_test.go
@@ -26,7 +26,7 @@
 	everyone            coordinator = "everyone"
 )
 
-// kill kills the processes, which start again soon.
+// killCoordinator kills the processes, which start again soon.
 func (r *repair) killCoordinator(who coordinator) {
 	var victims []*testMachine
 	switch who {
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -165,7 +165,7 @@
 	return Command{Begin: begin}
 }
 
-// contentBytes gives a turn's input or output; some are empty.
+// bytes gives a turn's input or output; some are empty.
 func (s *script) bytes(kind, turn string) []byte {
 	if s.choose(8) == 0 {
 		return nil
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// firstOrder is the index of the order that state machine takes.
+// firstIndex is the index of the order that state machine takes.
 const firstIndex = 7
 
 // state machine is one that has seen a service's version and taken an order for another one.
