--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -13,18 +13,16 @@
 var (
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 	link     = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
-	// treePath matches what can only be a path of this tree: it begins with one of its top folders.
+	// treePath matches what can only be a path of this tree: it begins with one of its top folders. What a build leaves in bin and target
+	// is none of it.
 	treePath = regexp.MustCompile(`^(?:\./)?((?:cmd|control|deploy|docs|examples|internal|pluginsdk|tools|\.ci)/[\w./*-]*\w[\w/*]*|[A-Z]\w+\.md)$`)
-	makeCall = regexp.MustCompile(`^(?:    )?make ([a-z][a-z-]*)`)
+	makeCall = regexp.MustCompile(`^make ([a-z][a-z-]*)`)
 	// symbol matches package.Name, package.Type.member and package.type.member. A lower-case name right behind a package could as well be
 	// the key of a settings file.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?|[a-z]\w*\.[A-Za-z]\w*)(?:\(.*\))?$`)
 	target = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
 )
 
-// built are files that a build leaves behind; pages may name them.
-var built = regexp.MustCompile(`^(?:\./)?(?:bin|target)/`)
-
 // finding is one name in a page that the tree doesn't have.
 type finding struct {
 	page   string
@@ -119,7 +117,7 @@
 	}
 	for word := range strings.FieldsSeq(code) {
 		word = strings.TrimSuffix(strings.Trim(word, `"',;:()`), "/...")
-		if m := treePath.FindStringSubmatch(word); m != nil && !built.MatchString(word) {
+		if m := treePath.FindStringSubmatch(word); m != nil {
 			found, err := filepath.Glob(filepath.Join(c.root, m[1]))
 			if err != nil || len(found) == 0 {
 				reasons = append(reasons, m[1]+" is not there")
