--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -27,54 +27,97 @@
 	os.Exit(m.Run())
 }
 
-// TestPluginExamples_GoldenCases builds the examples with the Go tool chain and plays their golden cases.
+// exampleSettings are the JSON settings that an example needs to behave as its golden cases say.
+var exampleSettings = map[string]string{"required-header": `{"desks": {"football": "fb-12"}, "otherwise": "sports"}`}
+
+// maxExampleCPU is how much processor time a call of an example may take: the default limit of a call, which the relay
+// measures by the clock.
+const maxExampleCPU = 10 * time.Millisecond
+
+// TestPluginExamples_GoldenCases builds the examples with the Go tool chain and plays their golden cases. The limit by the clock
+// is long, since a machine that runs many tests may well not schedule a thread for 10 ms; what a call costs is checked by
+// its processor time instead.
 func TestPluginExamples_GoldenCases(t *testing.T) {
-	settings := map[string]string{"required-header": `{"desks": {"football": "fb-12"}, "otherwise": "sports"}`}
 	examples, _ := filepath.Glob("../../examples/plugins/*")
 	if len(examples) < 3 {
 		t.Fatal("the examples are not there")
 	}
-	// As a program of its own, without the race detector, under which to compile a module takes ten times as long.
-	program := filepath.Join(t.TempDir(), "mastusher")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	play := func(args ...string) (int, string) {
-		cmd := exec.Command(program, append([]string{"plugin"}, args...)...)
-		out, err := cmd.CombinedOutput()
-		if cmd.ProcessState == nil {
-			t.Fatal(err)
-		}
-		return cmd.ProcessState.ExitCode(), string(out)
-	}
+	program := buildProgram(t)
 	for _, dir := range examples {
 		name := filepath.Base(dir)
 		t.Run(name, func(t *testing.T) {
-			module, cache := filepath.Join(t.TempDir(), name+".wasm"), t.TempDir() // compiled once
-			build := exec.Command("go", "build", "-buildmode=c-shared", "-ldflags=-s", "-o", module, dir)
-			build.Env = append(os.Environ(), "GOOS=wasip1", "GOARCH=wasm", "CGO_ENABLED=0")
-			if out, err := build.CombinedOutput(); err != nil {
-				t.Fatalf("%v\n%s", err, out)
+			module, cache := buildPlugin(t, dir), t.TempDir() // compiled once
+			wrong := filepath.Join(t.TempDir(), "wrong.txt")
+			if err := os.WriteFile(wrong, []byte("case wrong\n  phase arrival\nwant\n  body other\n"), 0o600); err != nil {
+				t.Fatal(err)
 			}
-			cases, wrong := filepath.Join(dir, "cases.txt"), filepath.Join(t.TempDir(), "wrong.txt")
-			_ = os.WriteFile(wrong, []byte("case wrong\n  phase arrival\nwant\n  body other\n"), 0o600)
 			for _, c := range []struct {
-				args []string
-				want int
+				args     []string
+				wantCode int
+				wantText string
 			}{
-				{[]string{"check", module}, 0},
-				{[]string{"test", module, cases, "--settings", settings[name]}, 0},
-				{[]string{"test", module, wrong}, 1}, // a case that must not pass
-				{[]string{"run", module, "--set", "id=7"}, 0},
+				{[]string{"check", module}, 0, "is good: ABI 2"},
+				{[]string{"test", module, filepath.Join(dir, "cases.txt"), "--settings", exampleSettings[name]}, 0, " passed, 0 failed"},
+				{[]string{"test", module, wrong}, 1, "0 passed, 1 failed"},
+				{[]string{"run", module, "--set", "id=7"}, 0, " of processor time)"},
 			} {
-				if code, out := play(append(c.args, "--cache", cache)...); code != c.want {
-					t.Errorf("plugin %v: exit %d, want %d\n%s", c.args, code, c.want, out)
+				code, out := runPluginCommand(t, program, append(c.args, "--cache", cache, "--time-limit", "1m")...)
+				if code != c.wantCode || !strings.Contains(out, c.wantText) {
+					t.Errorf("plugin %v: exit %d, want %d with %q\n%s", c.args, code, c.wantCode, c.wantText, out)
 				}
+				checkExampleCPU(t, out)
 			}
 		})
 	}
 }
 
+// buildProgram builds the relay as a program of its own, without the race detector, under which to compile a module takes
+// ten times as long.
+func buildProgram(t *testing.T) string {
+	t.Helper()
+	program := filepath.Join(t.TempDir(), "mastusher")
+	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	return program
+}
+
+// buildPlugin builds the plug-in of a folder and returns the module's file.
+func buildPlugin(t *testing.T, dir string) string {
+	t.Helper()
+	module := filepath.Join(t.TempDir(), filepath.Base(dir)+".wasm")
+	build := exec.Command("go", "build", "-buildmode=c-shared", "-ldflags=-s", "-o", module, dir)
+	build.Env = append(os.Environ(), "GOOS=wasip1", "GOARCH=wasm", "CGO_ENABLED=0")
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	return module
+}
+
+// runPluginCommand runs a subcommand of `mastusher plugin` and returns its exit code and all that it printed.
+func runPluginCommand(t *testing.T, program string, args ...string) (int, string) {
+	t.Helper()
+	cmd := exec.Command(program, append([]string{"plugin"}, args...)...)
+	out, err := cmd.CombinedOutput()
+	if cmd.ProcessState == nil {
+		t.Fatal(err)
+	}
+	return cmd.ProcessState.ExitCode(), string(out)
+}
+
+var processorTime = regexp.MustCompile(`\((\S+) of processor time\)`)
+
+// checkExampleCPU checks the processor time of every call that `plugin run` has printed.
+func checkExampleCPU(t *testing.T, out string) {
+	t.Helper()
+	for _, found := range processorTime.FindAllStringSubmatch(out, -1) {
+		took, err := time.ParseDuration(found[1])
+		if err != nil || took <= 0 || took > maxExampleCPU {
+			t.Errorf("a call took %s of processor time (%v), want at most %v", found[1], err, maxExampleCPU)
+		}
+	}
+}
+
 func TestPlugin_Commands_ExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string, b []byte) string {
