--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -43,7 +43,7 @@
 	return connection
 }
 
-// run dials and reads until the connection breaks.
+// run dials and reads until the connection breaks, or fail closes its socket or ends its dial. Nothing waits for its end.
 func (c *clientConnection) run() {
 	socket, err := c.peer.pool.network.Dial(c.dialCtx, newDialer(), "tcp4", c.peer.address)
 	if err != nil {
--- a/internal/tier/transport/datagram.go
+++ b/internal/tier/transport/datagram.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// readDatagrams hands datagrams to the handler until the server closes.
+// readDatagrams hands datagrams to the handler until Close closes their socket; Close waits for it.
 func (s *Server) readDatagrams() {
 	defer s.running.Done()
 	buffer := make([]byte, MaxDatagramBytes+1) // one more byte shows a payload over the bound
--- a/internal/tier/transport/doc.go
+++ b/internal/tier/transport/doc.go
@@ -18,5 +18,6 @@
 // notice.
 //
 // Pool and Server are safe for concurrent use. A connection has one goroutine that reads, and one that writes while lines are
-// queued; a handler of a call or stream runs in a goroutine of its own, which ends before Server.Close returns.
+// queued; a handler of a call or stream runs in a goroutine of its own. Server.Close waits for its readers and handlers, but neither
+// it nor Pool.Close for a writer, or Pool.Close for a reader: these end soon after, as their sockets are closed.
 package transport
--- a/internal/tier/transport/line.go
+++ b/internal/tier/transport/line.go
@@ -37,11 +37,11 @@
 	if !ok {
 		return line{}, ErrBadLine
 	}
-	kind, rest := cutKind(rest)
+	kind, rest := parseKind(rest)
 	if kind == "" {
 		return line{}, ErrBadLine
 	}
-	id, rest, ok := cutNumber(rest)
+	id, rest, ok := parseNumber(rest)
 	if !ok {
 		return line{}, ErrBadLine
 	}
@@ -62,7 +62,8 @@
 	return parsed, nil
 }
 
-func cutKind(rest []byte) (lineKind, []byte) {
+// parseKind returns the kind that the text begins with, and the text behind its colon. An empty kind means that it begins with none.
+func parseKind(rest []byte) (lineKind, []byte) {
 	end := bytes.IndexByte(rest, '"')
 	if end < 0 || end+1 >= len(rest) || rest[end+1] != ':' {
 		return "", rest
@@ -78,7 +79,9 @@
 // maxNumberDigits bounds a number so that it can't overflow.
 const maxNumberDigits = 18
 
-func cutNumber(rest []byte) (uint64, []byte, bool) {
+// parseNumber returns the number that the text begins with, and the text behind it. false: it begins with none, or with one of more
+// than maxNumberDigits.
+func parseNumber(rest []byte) (uint64, []byte, bool) {
 	var number uint64
 	digits := 0
 	for digits < len(rest) && rest[digits] >= '0' && rest[digits] <= '9' {
--- a/internal/tier/transport/pack_test.go
+++ b/internal/tier/transport/pack_test.go
@@ -60,7 +60,7 @@
 func TestPacker_UsualLines_AreShorter(t *testing.T) {
 	for _, c := range []struct {
 		bytes, lines int
-		most         float64 // of what it was
+		maxShare     float64 // of what it was
 	}{{0, 4, 0.3}, {300, 1, 0.85}, {900, 1, 0.8}, {9000, 1, 0.8}, {20000, 1, 0.8}, {90000, 1, 0.8}} {
 		var p packer
 		var wire bytes.Buffer
@@ -72,8 +72,8 @@
 				t.Fatal(err)
 			}
 		}
-		if share := float64(wire.Len()) / float64(plain); share > c.most {
-			t.Errorf("%d bytes: %.2f of the plain lines, over %.2f", c.bytes, share, c.most)
+		if share := float64(wire.Len()) / float64(plain); share > c.maxShare {
+			t.Errorf("%d bytes: %.2f of the plain lines, over %.2f", c.bytes, share, c.maxShare)
 		}
 	}
 }
--- a/internal/tier/transport/peer.go
+++ b/internal/tier/transport/peer.go
@@ -36,7 +36,7 @@
 	return p.connection, nil
 }
 
-// connectionLost notes the end of a connection. One that was never useful starts or doubles the backoff.
+// connectionLost records the end of a connection. One that was never useful starts or doubles the backoff.
 func (p *peer) connectionLost(connection *clientConnection, useful bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -52,6 +52,7 @@
 	p.retryAt = time.Now().Add(backoff(p.failures, rand.Float64()))
 }
 
+// close breaks the connection. currentConnection then fails with ErrClosed.
 func (p *peer) close() {
 	p.mutex.Lock()
 	p.closed = true
--- a/internal/tier/transport/pool.go
+++ b/internal/tier/transport/pool.go
@@ -44,7 +44,8 @@
 	return pool
 }
 
-// Close closes all connections; pending calls and streams fail with ErrClosed.
+// Close closes all connections; pending calls and streams fail with ErrClosed. It does not wait for the goroutines that read and write
+// them: these end as their sockets are closed.
 func (p *Pool) Close() {
 	p.end()
 	p.mutex.Lock()
--- a/internal/tier/transport/pool_test.go
+++ b/internal/tier/transport/pool_test.go
@@ -50,7 +50,7 @@
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
 	if peer.failures == 0 {
-		t.Fatal("no failure noted")
+		t.Fatal("no failure recorded")
 	}
 	peer.retryAt = time.Now().Add(after)
 }
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -70,13 +70,14 @@
 // maxPortAttempts bounds the search for a port that is free for both TCP and UDP.
 const maxPortAttempts = 16
 
+// listenBoth opens one port for TCP and UDP. Port 0 is drawn by the system for TCP, and drawn again while it isn't free for UDP.
 func listenBoth(on network.Network, address string) (net.Listener, network.PacketConn, error) {
-	wanted, err := net.ResolveTCPAddr("tcp4", address)
+	requested, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, err
 	}
 	for attempt := 1; ; attempt++ {
-		listener, err := on.Listen(context.Background(), plainTCP(), "tcp4", wanted.String())
+		listener, err := on.Listen(context.Background(), plainTCP(), "tcp4", requested.String())
 		if err != nil {
 			return nil, nil, err
 		}
@@ -86,7 +87,7 @@
 			return listener, packets, nil
 		}
 		listener.Close()
-		if wanted.Port != 0 || attempt == maxPortAttempts {
+		if requested.Port != 0 || attempt == maxPortAttempts {
 			return nil, nil, fmt.Errorf("listen at %s for datagrams: %w", chosen, err)
 		}
 	}
@@ -122,6 +123,7 @@
 	return err
 }
 
+// accept admits connections until Close closes the listener; Close waits for it.
 func (s *Server) accept() {
 	defer s.running.Done()
 	for {
@@ -142,6 +144,7 @@
 	}
 }
 
+// admit starts the reader of a new connection, or closes it where maxConnections are open.
 func (s *Server) admit(socket net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -156,13 +159,16 @@
 	go connection.read()
 }
 
+// keepAliveSetter is a connection whose keep-alive probes can be configured, such as net.TCPConn.
+type keepAliveSetter interface {
+	SetKeepAliveConfig(config net.KeepAliveConfig) error
+}
+
 // setSocketOptions sets the time-outs after which the kernel breaks the connection to a silent peer. Without them it works on.
 func (s *Server) setSocketOptions(socket net.Conn) {
 	var err error
-	if keptAlive, ok := socket.(interface {
-		SetKeepAliveConfig(config net.KeepAliveConfig) error
-	}); ok {
-		err = keptAlive.SetKeepAliveConfig(keepAlive)
+	if configurable, ok := socket.(keepAliveSetter); ok {
+		err = configurable.SetKeepAliveConfig(keepAlive)
 	}
 	if system, ok := socket.(syscall.Conn); ok {
 		raw, rawErr := system.SyscallConn()
--- a/internal/tier/transport/serverconnection.go
+++ b/internal/tier/transport/serverconnection.go
@@ -45,6 +45,7 @@
 	c.socket.Close()
 }
 
+// read handles the lines of the connection until it breaks or Close closes it; Close waits for it.
 func (c *serverConnection) read() {
 	defer c.server.running.Done()
 	defer c.server.remove(c)
@@ -133,6 +134,8 @@
 	return nil
 }
 
+// runCall runs a call's handler and sends its answer. Its context ends with the connection or the call's cancellation; Server.Close
+// waits for it.
 func (c *serverConnection) runCall(ctx context.Context, id uint64, method string, run callFunc) {
 	defer c.finishHandler(id)
 	answer, err := run(ctx)
@@ -162,6 +165,7 @@
 	return nil
 }
 
+// runStream runs a stream's handler and sends its items and its end. Its context ends with the connection; Server.Close waits for it.
 func (c *serverConnection) runStream(ctx context.Context, id uint64, method string, run streamFunc) {
 	defer c.finishHandler(id)
 	err := run(ctx, func(item any) error {
@@ -194,6 +198,7 @@
 	return ctx, nil
 }
 
+// finishHandler ends a handler's context and takes it out of the count that Server.Close waits for.
 func (c *serverConnection) finishHandler(id uint64) {
 	c.cancelCall(id)
 	c.mutex.Lock()
--- a/internal/tier/transport/stream_test.go
+++ b/internal/tier/transport/stream_test.go
@@ -33,8 +33,12 @@
 	}
 }
 
-func TestStream_Failures_ReturnTheirErrors(t *testing.T) {
-	stopped := errors.New("enough")
+// errEnough is the error of a receiver that wants no further item.
+var errEnough = errors.New("enough")
+
+// failureHandlers has a stream that fails after an item, and one without end. The returned channel gets the error at which each run
+// of the second one ended.
+func failureHandlers() (*Handlers, <-chan error) {
 	handlers := NewHandlers()
 	HandleStream(handlers, "fail", func(_ context.Context, _ int, send func(int) error) error {
 		_ = send(1)
@@ -49,79 +53,96 @@
 			}
 		}
 	})
-	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
-	take := func(int) error { return nil }
+	return handlers, ended
+}
 
-	t.Run("the handler fails", func(t *testing.T) {
-		var remote *RemoteError
-		err := Stream(testContext(t), pool, server.Address(), "fail", 1, take)
-		if !errors.As(err, &remote) || remote.Kind != "fenced" {
-			t.Errorf("got %v", err)
-		}
-	})
-	t.Run("the method is unknown", func(t *testing.T) {
-		var remote *RemoteError
-		err := Stream(testContext(t), pool, server.Address(), "unknown", 1, take)
-		if !errors.As(err, &remote) || remote.Kind != KindUnknownMethod {
-			t.Errorf("got %v", err)
-		}
-	})
-	t.Run("the receiver has enough", func(t *testing.T) {
-		err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { return stopped })
-		if err != stopped {
-			t.Errorf("got %v", err)
-		}
-		_ = receive(t, ended)
-	})
-	t.Run("the context ends", func(t *testing.T) {
-		ctx, cancel := context.WithCancel(testContext(t))
-		err := Stream(ctx, pool, server.Address(), "endless", 1, func(int) error { cancel(); return nil })
-		if !errors.Is(err, context.Canceled) || !MayHaveArrived(err) {
-			t.Errorf("got %v", err)
-		}
-		_ = receive(t, ended)
-	})
-	t.Run("the pool is closed", func(t *testing.T) {
-		closing := startPool(t)
-		err := Stream(testContext(t), closing, server.Address(), "endless", 1, func(int) error { closing.Close(); return nil })
-		if !errors.Is(err, ErrClosed) {
-			t.Errorf("got %v", err)
-		}
-		_ = receive(t, ended)
-		err = Stream(testContext(t), closing, server.Address(), "endless", 1, take)
-		if !errors.Is(err, ErrClosed) || MayHaveArrived(err) {
-			t.Errorf("after it: %v", err)
-		}
-	})
-	t.Run("the receiver is slow", func(t *testing.T) {
-		// A receiver that stops reading holds the handler up, and nothing is lost.
-		want := 0
-		err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(item int) error {
-			if item != want {
-				t.Errorf("got %d, want %d", item, want)
-			}
-			want++
-			if want == 20_000 {
-				return stopped
+func ignoreItem(int) error { return nil }
+
+func TestStream_HandlerFailsOrIsUnknown_ReturnsRemoteError(t *testing.T) {
+	handlers, _ := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	for _, c := range []struct{ name, method, kind string }{
+		{name: "the handler fails", method: "fail", kind: "fenced"},
+		{name: "the method is unknown", method: "unknown", kind: KindUnknownMethod},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var remote *RemoteError
+			err := Stream(testContext(t), pool, server.Address(), c.method, 1, ignoreItem)
+			if !errors.As(err, &remote) || remote.Kind != c.kind {
+				t.Errorf("got %v", err)
 			}
-			return nil
 		})
-		if err != stopped {
-			t.Errorf("got %v", err)
+	}
+}
+
+func TestStream_ReceiverHasEnough_EndsTheHandler(t *testing.T) {
+	handlers, ended := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { return errEnough })
+	if err != errEnough {
+		t.Errorf("got %v", err)
+	}
+	_ = receive(t, ended)
+}
+
+func TestStream_ContextEnds_EndsTheHandler(t *testing.T) {
+	handlers, ended := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	ctx, cancel := context.WithCancel(testContext(t))
+	err := Stream(ctx, pool, server.Address(), "endless", 1, func(int) error { cancel(); return nil })
+	if !errors.Is(err, context.Canceled) || !MayHaveArrived(err) {
+		t.Errorf("got %v", err)
+	}
+	_ = receive(t, ended)
+}
+
+func TestStream_PoolCloses_EndsTheHandlerAndLaterStreamsFail(t *testing.T) {
+	handlers, ended := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { pool.Close(); return nil })
+	if !errors.Is(err, ErrClosed) {
+		t.Errorf("got %v", err)
+	}
+	_ = receive(t, ended)
+	err = Stream(testContext(t), pool, server.Address(), "endless", 1, ignoreItem)
+	if !errors.Is(err, ErrClosed) || MayHaveArrived(err) {
+		t.Errorf("after it: %v", err)
+	}
+}
+
+// Given a receiver that reads more slowly than the handler sends, then the handler is held up and nothing is lost.
+func TestStream_SlowReceiver_GetsEveryItem(t *testing.T) {
+	handlers, ended := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	want := 0
+	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(item int) error {
+		if item != want {
+			t.Errorf("got %d, want %d", item, want)
+		}
+		want++
+		if want == 20_000 {
+			return errEnough
 		}
-		_ = receive(t, ended)
+		return nil
 	})
-	t.Run("the server goes", func(t *testing.T) {
-		err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(item int) error {
-			if item == 10 {
-				go server.Close()
-			}
-			return nil
-		})
-		if !MayHaveArrived(err) {
-			t.Errorf("got %v", err)
+	if err != errEnough {
+		t.Errorf("got %v", err)
+	}
+	_ = receive(t, ended)
+}
+
+func TestStream_ServerCloses_MayHaveArrived(t *testing.T) {
+	handlers, _ := failureHandlers()
+	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
+	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(item int) error {
+		if item == 10 {
+			go server.Close()
 		}
+		return nil
 	})
+	if !MayHaveArrived(err) {
+		t.Errorf("got %v", err)
+	}
 }
 
 // Given a pool that is closed, then no stream begins there, however soon the end of its contexts comes.
--- a/internal/tier/transport/writer.go
+++ b/internal/tier/transport/writer.go
@@ -21,7 +21,8 @@
 	go o.writeLoop()
 }
 
-// writeLoop writes until nothing is queued, or a write fails.
+// writeLoop writes until nothing is queued, or a write fails, as it does once the connection has closed its socket. Nothing waits for
+// its end.
 func (o *outbox) writeLoop() {
 	batch := batches.Get().(*bytes.Buffer)
 	defer batches.Put(batch)
