--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -138,7 +138,7 @@
 
 // checkFetch checks that there is one fetch of a section at a time, unless the last one exceeded its time-out.
 func (w *cluster) checkFetch(h *host, fetch Fetch) {
-	for section := range fetch.Wanted {
+	for section := range fetch.Requested {
 		since, found := h.fetching[section]
 		if found && w.loop.Now()-since < h.gossiper.options.FetchTimeout {
 			w.violate("%s fetches %s twice", h.address, section)
@@ -184,7 +184,7 @@
 			if from.gossiper == nil || from.starts != starts {
 				return
 			}
-			for section := range fetch.Wanted {
+			for section := range fetch.Requested {
 				delete(from.fetching, section)
 			}
 			w.step(from, Input{Fetched: []FetchResult{{Token: fetch.Token, Updates: updates}}})
@@ -199,7 +199,7 @@
 		case to.gossiper == nil:
 			finish(w.delay(), nil)
 		default:
-			finish(w.delay(), to.gossiper.store.AtLeast(fetch.Wanted))
+			finish(w.delay(), to.gossiper.store.AtLeast(fetch.Requested))
 		}
 	})
 }
@@ -215,30 +215,30 @@
 	return update
 }
 
-// holds counts the running hosts that have a stamp of a section or a newer one, and all running ones.
-func (w *cluster) holds(section view.Section, stamp view.Stamp) (holding, running int) {
+// countReached counts the running hosts that have a stamp of a section or a newer one, and all running ones.
+func (w *cluster) countReached(section view.Section, stamp view.Stamp) (reached, running int) {
 	for _, h := range w.hosts {
 		if h.gossiper == nil {
 			continue
 		}
 		running++
-		if held, found := h.gossiper.store.Get(section); found && !held.Stamp.Less(stamp) {
-			holding++
+		if current, found := h.gossiper.store.Get(section); found && !current.Stamp.Less(stamp) {
+			reached++
 		}
 	}
-	return holding, running
+	return reached, running
 }
 
 // expectAll runs until all running hosts have an update.
 func (w *cluster) expectAll(update view.Update, limit time.Duration) error {
 	end := w.loop.Now() + limit
 	for {
-		holding, running := w.holds(update.Section, update.Stamp)
-		if holding == running {
+		reached, running := w.countReached(update.Section, update.Stamp)
+		if reached == running {
 			return w.violation
 		}
 		if w.loop.Now() >= end {
-			return fmt.Errorf("%d of %d hold %s %v after %v", holding, running, update.Section, update.Stamp, limit)
+			return fmt.Errorf("%d of %d hold %s %v after %v", reached, running, update.Section, update.Stamp, limit)
 		}
 		w.runFor(20 * time.Millisecond)
 	}
--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -8,12 +8,12 @@
 	"mastusher/internal/tier/view"
 )
 
-// Fetch asks a member for the sections of Wanted, with those stamps or newer ones, over a reliable connection. The caller
+// Fetch asks a member for the sections of Requested, with those stamps or newer ones, over a reliable connection. The caller
 // of Step must return its outcome as a FetchResult with the same token.
 type Fetch struct {
-	Token   uint64
-	Address string
-	Wanted  view.Digest
+	Token     uint64
+	Address   string
+	Requested view.Digest
 }
 
 // FetchResult is the outcome of a Fetch. Without updates it has failed.
@@ -54,6 +54,7 @@
 	failures int
 }
 
+// find returns the state of a section; nil: no newer update of it was announced yet.
 func (f *fetcher) find(section view.Section) *sectionFetch {
 	for _, state := range f.sections {
 		if state.section == section {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// addSource notes that a member has announced a stamp of a section.
+// addSource records that a member has announced a stamp of a section.
 func (f *fetcher) addSource(section view.Section, stamp view.Stamp, address string) {
 	state := f.find(section)
 	if state == nil {
@@ -74,6 +75,7 @@
 	state.addSource(stamp, address)
 }
 
+// hasAnnounced reports whether a member has announced that stamp of a section or a newer one.
 func (f *fetcher) hasAnnounced(section view.Section, stamp view.Stamp, address string) bool {
 	state := f.find(section)
 	return state != nil && slices.ContainsFunc(state.sources, func(s source) bool {
@@ -122,8 +124,8 @@
 	return best
 }
 
-// noteFailure ends the pending fetch without result. The backoff grows with the failures of its source.
-func (f *sectionFetch) noteFailure(now, backoff time.Duration) {
+// recordFailure ends the pending fetch without result. The backoff grows with the failures of its source.
+func (f *sectionFetch) recordFailure(now, backoff time.Duration) {
 	f.token = 0
 	position := slices.IndexFunc(f.sources, func(s source) bool { return s.address == f.source })
 	if position < 0 {
@@ -146,7 +148,7 @@
 			continue
 		}
 		if g.store.Stamp(state.section).Less(state.requested) {
-			state.noteFailure(g.now, g.options.RetryBackoff)
+			state.recordFailure(g.now, g.options.RetryBackoff)
 			continue
 		}
 		state.token = 0
@@ -157,7 +159,7 @@
 func (g *Gossiper) expireFetches() {
 	for _, state := range g.fetcher.sections {
 		if state.token != 0 && g.now >= state.deadline {
-			state.noteFailure(g.now, g.options.RetryBackoff)
+			state.recordFailure(g.now, g.options.RetryBackoff)
 		}
 	}
 }
@@ -174,7 +176,7 @@
 			continue
 		}
 		fetch := g.fetchOf(chosen.address, first)
-		fetch.Wanted[state.section] = chosen.stamp
+		fetch.Requested[state.section] = chosen.stamp
 		state.token = fetch.Token
 		state.source = chosen.address
 		state.requested = chosen.stamp
--- a/internal/tier/gossip/gossiper.go
+++ b/internal/tier/gossip/gossiper.go
@@ -103,6 +103,7 @@
 	g.effects.Datagrams = append(g.effects.Datagrams, Datagram{address, message})
 }
 
+// nextWake returns when a fetch or the next complete digest is due; never: neither is.
 func (g *Gossiper) nextWake() time.Duration {
 	next := g.nextFetch()
 	if g.options.DigestInterval > 0 && len(g.peers) > 0 {
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"slices"
 	"testing"
 
 	"mastusher/internal/tools/mutation"
@@ -16,70 +17,77 @@
 	dyingSources   = "^TestScenarios$/given_a_source_that_dies"
 )
 
-func TestMutants_AreDetected(t *testing.T) {
-	t.Parallel()
-	mutation.Test(t, []mutation.Mutant{
-		{
-			Name: "older updates are applied",
-			Change: mutation.Change{
-				File: "gossiper.go",
-				Old:  "\tif !g.store.Put(update) {",
-				New:  "\tdelete(g.store.updates, update.Section)\n\tif !g.store.Put(update) {",
-			},
-			Run:    formerLeaders,
-			Always: true,
+// storeMutants break which updates a store takes and what it answers.
+var storeMutants = []mutation.Mutant{
+	{
+		Name: "older updates are applied",
+		Change: mutation.Change{
+			File: "gossiper.go",
+			Old:  "\tif !g.store.Put(update) {",
+			New:  "\tdelete(g.store.updates, update.Section)\n\tif !g.store.Put(update) {",
 		},
-		{
-			Name: "updates are reported twice",
-			Change: mutation.Change{
-				File: "gossiper.go",
-				Old:  "if !g.store.Put(update) {",
-				New:  "if !g.store.Put(update) && false {",
-			},
-			Run: duplicates,
+		Run:    formerLeaders,
+		Always: true,
+	},
+	{
+		Name: "updates are reported twice",
+		Change: mutation.Change{
+			File: "gossiper.go",
+			Old:  "if !g.store.Put(update) {",
+			New:  "if !g.store.Put(update) && false {",
 		},
-		{
-			Name: "stale members are not answered",
-			Change: mutation.Change{
-				File: "digest.go",
-				Old:  "; newer != nil {",
-				New:  "; newer != nil && false {",
-			},
-			Run: staleMembers,
+		Run: duplicates,
+	},
+	{
+		Name: "stale members are not answered",
+		Change: mutation.Change{
+			File: "digest.go",
+			Old:  "; newer != nil {",
+			New:  "; newer != nil && false {",
 		},
-		{
-			Name: "complete digests are not sent",
-			Change: mutation.Change{
-				File: "digest.go",
-				Old:  "|| g.now < g.nextDigest {",
-				New:  "|| true {",
-			},
-			Also: []mutation.Change{
-				{
-					File: "gossiper.go",
-					Old:  "if g.options.DigestInterval > 0 && len(g.peers) > 0 {",
-					New:  "if false {",
-				},
-			},
-			Run: partitions,
+		Run: staleMembers,
+	},
+	{
+		Name: "complete digests are not sent",
+		Change: mutation.Change{
+			File: "digest.go",
+			Old:  "|| g.now < g.nextDigest {",
+			New:  "|| true {",
 		},
-		{
-			Name: "fetches never expire",
-			Change: mutation.Change{
-				File: "fetch.go",
-				Old:  "if state.token != 0 && g.now >= state.deadline {",
+		Also: []mutation.Change{
+			{
+				File: "gossiper.go",
+				Old:  "if g.options.DigestInterval > 0 && len(g.peers) > 0 {",
 				New:  "if false {",
 			},
-			Run: hangingSources,
 		},
-		{
-			Name: "a section is fetched while its fetch is pending",
-			Change: mutation.Change{
-				File: "fetch.go",
-				Old:  "if state.token != 0 {\n\t\t\tcontinue",
-				New:  "if false {\n\t\t\tcontinue",
-			},
-			Run: dyingSources,
+		Run: partitions,
+	},
+}
+
+// fetchMutants break when a section is fetched again.
+var fetchMutants = []mutation.Mutant{
+	{
+		Name: "fetches never expire",
+		Change: mutation.Change{
+			File: "fetch.go",
+			Old:  "if state.token != 0 && g.now >= state.deadline {",
+			New:  "if false {",
+		},
+		Run: hangingSources,
+	},
+	{
+		Name: "a section is fetched while its fetch is pending",
+		Change: mutation.Change{
+			File: "fetch.go",
+			Old:  "if state.token != 0 {\n\t\t\tcontinue",
+			New:  "if false {\n\t\t\tcontinue",
 		},
-	})
+		Run: dyingSources,
+	},
+}
+
+func TestMutants_AreDetected(t *testing.T) {
+	t.Parallel()
+	mutation.Test(t, slices.Concat(storeMutants, fetchMutants))
 }
--- a/internal/tier/gossip/options.go
+++ b/internal/tier/gossip/options.go
@@ -33,6 +33,7 @@
 	Seed uint64
 }
 
+// withDefaults replaces zero values by their defaults.
 func withDefaults(options Options) Options {
 	if options.Fanout == 0 {
 		options.Fanout = DefaultFanout
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -21,16 +21,16 @@
 
 // Given any updates in any order, when they are put into a store, then it has the newest of each section, and Put
 // reported only those that were newer.
-func TestStore_AnyUpdates_HoldsTheNewest(t *testing.T) {
+func TestStore_AnyUpdates_KeepsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore()
 		newest := view.Digest{}
 		for range rapid.IntRange(0, 30).Draw(t, "updates") {
 			update := view.Update{Section: sections.Draw(t, "section"), Stamp: stamps.Draw(t, "stamp")}
-			held, found := newest[update.Section]
-			newer := !found || held.Less(update.Stamp)
+			current, found := newest[update.Section]
+			newer := !found || current.Less(update.Stamp)
 			if store.Put(update) != newer {
-				t.Fatalf("put %v over %v", update.Stamp, held)
+				t.Fatalf("put %v over %v", update.Stamp, current)
 			}
 			if newer {
 				newest[update.Section] = update.Stamp
@@ -96,7 +96,7 @@
 
 // Given any writes and faults, when they are over, then all members have the newest update that a running one has, no
 // stamp ever went back, and no section was fetched twice at a time.
-func TestCluster_AnyFaults_AllHoldTheNewestAfterwards(t *testing.T) {
+func TestCluster_AnyFaults_ConvergesOnTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newCluster(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		fleet.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -55,8 +55,8 @@
 	fleet.write(fleet.hosts[0], view.PlacementSection, 1, 900)
 	fleet.runFor(5 * time.Second)
 	for _, h := range fleet.hosts {
-		if held := h.gossiper.store.Stamp(view.PlacementSection); held != newer.Stamp {
-			return fmt.Errorf("%s holds %v", h.address, held)
+		if stamp := h.gossiper.store.Stamp(view.PlacementSection); stamp != newer.Stamp {
+			return fmt.Errorf("%s holds %v", h.address, stamp)
 		}
 	}
 	return fleet.violation
@@ -82,8 +82,8 @@
 	fleet.blocked = func(from, to *host) bool { return from == lost || to == lost }
 	update := fleet.write(fleet.hosts[0], view.ConfigurationSection, 1, 1)
 	fleet.runFor(10 * time.Second)
-	if holding, running := fleet.holds(update.Section, update.Stamp); holding != running-1 {
-		return fmt.Errorf("%d have it during the partition", holding)
+	if reached, running := fleet.countReached(update.Section, update.Stamp); reached != running-1 {
+		return fmt.Errorf("%d have it during the partition", reached)
 	}
 	fleet.blocked = func(_, _ *host) bool { return false }
 	return fleet.expectAll(update, 4*time.Second)
--- a/internal/tier/gossip/store.go
+++ b/internal/tier/gossip/store.go
@@ -48,12 +48,12 @@
 	return digest
 }
 
-// AtLeast returns the updates that answer a fetch: those of the wanted sections with that stamp or a newer one.
-func (s *Store) AtLeast(wanted view.Digest) []view.Update {
+// AtLeast returns the updates that answer a fetch: those of the requested sections with that stamp or a newer one.
+func (s *Store) AtLeast(requested view.Digest) []view.Update {
 	var updates []view.Update
 	for _, section := range s.sections {
-		stamp, requested := wanted[section]
-		if requested && !s.updates[section].Stamp.Less(stamp) {
+		stamp, found := requested[section]
+		if found && !s.updates[section].Stamp.Less(stamp) {
 			updates = append(updates, s.updates[section])
 		}
 	}
--- a/internal/tier/gossip/wire_test.go
+++ b/internal/tier/gossip/wire_test.go
@@ -17,7 +17,7 @@
 		view.ConfigurationSection: {Term: 1, Sequence: 2},
 		view.PlacementSection:     {Term: 3, Sequence: 4},
 	}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name    string
 		message Message
 		encoded string
@@ -31,19 +31,19 @@
 			`{"d":{"configuration":{"epoch":1,"sequence":2},"placement":{"epoch":3,"sequence":4}}}`,
 		},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var read Message
-			if err := json.Unmarshal([]byte(tc.encoded), &read); err != nil {
+			if err := json.Unmarshal([]byte(test.encoded), &read); err != nil {
 				t.Fatal(err)
 			}
-			if difference := cmp.Diff(tc.message, read); difference != "" {
+			if difference := cmp.Diff(test.message, read); difference != "" {
 				t.Error("read:", difference)
 			}
-			written, err := json.Marshal(tc.message)
+			written, err := json.Marshal(test.message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if difference := cmp.Diff(tc.encoded, string(written)); difference != "" {
+			if difference := cmp.Diff(test.encoded, string(written)); difference != "" {
 				t.Error("written:", difference)
 			}
 		})
--- a/internal/tier/membership/awareness.go
+++ b/internal/tier/membership/awareness.go
@@ -32,5 +32,5 @@
 		suspected.suspicion.postpone(late)
 	}
 	n.prober.nextProbe = n.now + n.options.ProbeInterval
-	n.pushPull.afterPause = true
+	n.pushPull.resumed = true
 }
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -71,6 +71,7 @@
 	return added
 }
 
+// epochMs is the time of day at the start of virtual time, in ms since 1970.
 const epochMs = 1_764_651_362_000
 
 // start starts the process of a host, with an incarnation by the time of day.
--- a/internal/tier/membership/clusterhost_test.go
+++ b/internal/tier/membership/clusterhost_test.go
@@ -39,8 +39,8 @@
 	incarnation uint64
 }
 
-// noteSuspicions records whom a host suspects itself. Suspicions that it only forwards are not its own.
-func (h *host) noteSuspicions(at time.Duration, updates []Update) {
+// recordSuspicions records whom a host suspects itself. Suspicions that it only forwards are not its own.
+func (h *host) recordSuspicions(at time.Duration, updates []Update) {
 	for _, update := range updates {
 		if update.State != StateSuspect || update.From != h.member.Name {
 			continue
--- a/internal/tier/membership/clusterlinks_test.go
+++ b/internal/tier/membership/clusterlinks_test.go
@@ -11,7 +11,7 @@
 
 func (w *cluster) sendDatagram(from *host, datagram Datagram) {
 	from.sent++
-	from.noteSuspicions(w.loop.Now(), datagram.Message.Updates)
+	from.recordSuspicions(w.loop.Now(), datagram.Message.Updates)
 	if w.measure {
 		encoded, err := json.Marshal(datagram.Message)
 		if err != nil {
--- a/internal/tier/membership/event.go
+++ b/internal/tier/membership/event.go
@@ -19,6 +19,7 @@
 	Member   Member // as it is now
 }
 
+// emit adds an event to the effects of this Step.
 func (n *Node) emit(kind EventKind, previous, current Member) {
 	n.effects.Events = append(n.effects.Events, Event{kind, previous, current})
 }
--- a/internal/tier/membership/gossip.go
+++ b/internal/tier/membership/gossip.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// gossipInterval is the shortest time between two rounds of gossip messages.
 func (n *Node) gossipInterval() time.Duration {
 	return n.options.ProbeInterval / gossipsPerProbeInterval
 }
@@ -64,6 +65,7 @@
 	return chosen
 }
 
+// appendAlive appends a candidate that is in StateAlive, not excluded and not chosen yet.
 func appendAlive(chosen []*entry, candidate *entry, excluded string) []*entry {
 	if candidate.State != StateAlive || candidate.Name == excluded || slices.Contains(chosen, candidate) {
 		return chosen
--- a/internal/tier/membership/hash.go
+++ b/internal/tier/membership/hash.go
@@ -22,6 +22,7 @@
 	fnvPrime  = 1099511628211
 )
 
+// hashString continues an FNV-1a hash with a text and a byte that occurs in none, so that the end of each text counts.
 func hashString(hash uint64, text string) uint64 {
 	for i := range len(text) {
 		hash = (hash ^ uint64(text[i])) * fnvPrime
@@ -29,6 +30,7 @@
 	return (hash ^ 0xff) * fnvPrime
 }
 
+// hashUint64 continues an FNV-1a hash with a number, its lowest byte first.
 func hashUint64(hash, number uint64) uint64 {
 	for range hashBytes {
 		hash = (hash ^ number&0xff) * fnvPrime
--- a/internal/tier/membership/indirect.go
+++ b/internal/tier/membership/indirect.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// nackProbe notes that a helper is reachable and got no answer from the target either (Lifeguard's nack).
+// nackProbe records that a helper is reachable and got no answer from the target either (Lifeguard's nack).
 func (n *Node) nackProbe(sequence uint64, helper string) {
 	for i := range n.prober.pending {
 		if pending := &n.prober.pending[i]; pending.sequence == sequence {
@@ -71,6 +71,7 @@
 	})
 }
 
+// nextIndirectExpiry returns when the next nack is due; never: no probe for another member is pending.
 func (n *Node) nextIndirectExpiry() time.Duration {
 	next := never
 	for i := range n.indirect {
--- a/internal/tier/membership/join.go
+++ b/internal/tier/membership/join.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// joinBackoff draws the time until the next attempt to join.
 func (n *Node) joinBackoff() time.Duration {
 	const maxDoublings = 5
 	backoff := min(minJoinBackoff<<min(n.joiner.attempts, maxDoublings), maxJoinBackoff)
--- a/internal/tier/membership/member.go
+++ b/internal/tier/membership/member.go
@@ -21,6 +21,7 @@
 	StateLeft          // announced its end
 )
 
+// stateNames has the names that log lines and the operators' API show.
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // String returns the state's name, or "unknown".
--- a/internal/tier/membership/node.go
+++ b/internal/tier/membership/node.go
@@ -153,6 +153,7 @@
 // never is a deadline that does not pass.
 const never = time.Duration(math.MaxInt64)
 
+// nextWake returns the earliest time at which a timer of runTimers is due.
 func (n *Node) nextWake() time.Duration {
 	next := n.nextIndirectExpiry()
 	if n.self.State == StateLeft {
--- a/internal/tier/membership/options.go
+++ b/internal/tier/membership/options.go
@@ -55,6 +55,7 @@
 	Seed uint64
 }
 
+// withDefaults replaces zero values by their defaults.
 func withDefaults(options Options) Options {
 	orDefault(&options.ProbeInterval, DefaultProbeInterval)
 	orDefault(&options.ProbeTimeout, DefaultProbeTimeout)
@@ -65,6 +66,7 @@
 	return options
 }
 
+// orDefault sets a zero value to its default.
 func orDefault[T int | time.Duration](value *T, standard T) {
 	if *value == 0 {
 		*value = standard
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -82,10 +82,12 @@
 	n.send(target.Address, ping)
 }
 
+// isProbing reports whether a probe of that member is pending.
 func (n *Node) isProbing(target *entry) bool {
 	return slices.ContainsFunc(n.prober.pending, func(p probe) bool { return p.target == target })
 }
 
+// nextSequence returns a number that no earlier ping of this node has.
 func (n *Node) nextSequence() uint64 {
 	n.prober.sequence++
 	return n.prober.sequence
@@ -137,12 +139,15 @@
 	return false
 }
 
+// cancelProbes drops all pending probes: none of their targets is suspected for it.
 func (n *Node) cancelProbes() { n.prober.pending = n.prober.pending[:0] }
 
+// cancelProbe drops the pending probes of a member.
 func (n *Node) cancelProbe(name string) {
 	n.prober.pending = slices.DeleteFunc(n.prober.pending, func(p probe) bool { return p.target.Name == name })
 }
 
+// nextProbeExpiry returns when expireProbes has something to do; never: no probe is pending.
 func (n *Node) nextProbeExpiry() time.Duration {
 	next := never
 	for i := range n.prober.pending {
--- a/internal/tier/membership/pushpull.go
+++ b/internal/tier/membership/pushpull.go
@@ -21,7 +21,7 @@
 	divergedUnchanged time.Duration // since when hashes differ with no change of this table; zero: they do not
 	divergedSince     time.Duration // since when hashes differ; zero: they do not
 	agreements        int           // pings with the same hash since the table last changed
-	afterPause        bool          // the process was frozen and must reconcile at once
+	resumed           bool          // the process was frozen and must reconcile at once
 }
 
 // pendingPushPull is a PushPullCall whose result is awaited.
@@ -43,7 +43,7 @@
 	if message.Hash == n.table.hash {
 		state.divergedUnchanged = 0
 		state.divergedSince = 0
-		n.noteAgreement(message.Kind)
+		n.recordAgreement(message.Kind)
 		return
 	}
 	if state.divergedUnchanged == 0 {
@@ -59,9 +59,9 @@
 	}
 }
 
-// noteAgreement drops the queued joins, deaths and leaves once pings of enough members have shown the same table: most
+// recordAgreement drops the queued joins, deaths and leaves once pings of enough members have shown the same table: most
 // members then know them, and push-pull reaches the others.
-func (n *Node) noteAgreement(kind MessageKind) {
+func (n *Node) recordAgreement(kind MessageKind) {
 	if kind != MsgPing {
 		return
 	}
@@ -94,9 +94,9 @@
 // runPushPull makes the calls and probes of seeds that are due.
 func (n *Node) runPushPull() {
 	state := &n.pushPull
-	if state.afterPause {
-		state.afterPause = false
-		n.pushPullAfterPause()
+	if state.resumed {
+		state.resumed = false
+		n.pushPullAfterFreeze()
 	}
 	if !n.joiner.joined && n.now >= n.joiner.nextAttempt {
 		n.join()
@@ -110,6 +110,7 @@
 	}
 }
 
+// nextPushPull returns when runPushPull has something to do.
 func (n *Node) nextPushPull() time.Duration {
 	state := &n.pushPull
 	next := n.joiner.nextSeedProbe
@@ -122,8 +123,8 @@
 	return next
 }
 
-// pushPullAfterPause reconciles with a random live member, or with a seed when there is none.
-func (n *Node) pushPullAfterPause() {
+// pushPullAfterFreeze reconciles with a random live member, or with a seed when there is none.
+func (n *Node) pushPullAfterFreeze() {
 	if chosen := n.randomAlive(1, ""); len(chosen) > 0 {
 		n.startPushPull(chosen[0].Address)
 		return
@@ -244,6 +245,7 @@
 	return unknown
 }
 
+// sortedHashes decodes a digest, see table.digest. Bytes behind the last complete hash are ignored.
 func sortedHashes(digest []byte) []uint64 {
 	hashes := make([]uint64, 0, len(digest)/hashBytes)
 	for ; len(digest) >= hashBytes; digest = digest[hashBytes:] {
--- a/internal/tier/membership/queue.go
+++ b/internal/tier/membership/queue.go
@@ -33,6 +33,7 @@
 	transmits int // before this one
 }
 
+// newTransmitLimitedQueue returns an empty queue.
 func newTransmitLimitedQueue() *transmitLimitedQueue {
 	return &transmitLimitedQueue{byName: map[string]*broadcast{}}
 }
@@ -53,6 +54,7 @@
 	}
 }
 
+// push adds a broadcast to the tier of those sent so many times.
 func (q *transmitLimitedQueue) push(transmits int, item *broadcast) {
 	for len(q.tiers) <= transmits {
 		q.tiers = append(q.tiers, nil)
@@ -76,7 +78,7 @@
 	updates = slices.Grow(updates, len(q.selected))
 	for _, chosen := range q.selected {
 		updates = append(updates, chosen.item.update)
-		q.noteTransmit(chosen, limit)
+		q.recordTransmit(chosen, limit)
 	}
 	return updates, budget
 }
@@ -104,7 +106,8 @@
 	return budget
 }
 
-func (q *transmitLimitedQueue) noteTransmit(chosen selection, limit int) {
+// recordTransmit moves a broadcast to the next tier, or drops it when it has reached the limit.
+func (q *transmitLimitedQueue) recordTransmit(chosen selection, limit int) {
 	if chosen.transmits+1 >= limit {
 		delete(q.byName, chosen.item.update.Name)
 		return
--- a/internal/tier/membership/receive.go
+++ b/internal/tier/membership/receive.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// deliverPayload hands the payload of a message to the application.
 func (n *Node) deliverPayload(address string, message *Message) {
 	if len(message.Payload) > 0 {
 		n.effects.Payloads = append(n.effects.Payloads, Payload{message.From, address, message.Payload})
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -50,7 +50,7 @@
 	{"given two partitions that have forgotten each other, when they heal, then they meet", forgottenPartitions},
 	{"given a healthy member, when it is suspected, then it refutes", suspected},
 	{"given a new process, when a stale update arrives, then the record stays", staleUpdate},
-	{"given a calm network, when a member leaves, then all know and nobody declares it dead", leaves},
+	{"given a calm network, when a member leaves, then all know and nobody declares it dead", gracefulLeave},
 	{"given stale seeds, when one is right or is replaced, then the member joins", staleSeeds},
 	{"given seeds that are down, when they start, then all meet", seedsDown},
 	{"given a hundred members, when they start at once, then datagrams stay small", manyJoin},
@@ -304,7 +304,7 @@
 	return nil
 }
 
-func leaves(seed uint64) error {
+func gracefulLeave(seed uint64) error {
 	fleet, err := startedCluster(16, seed)
 	if err != nil {
 		return err
--- a/internal/tier/membership/state.go
+++ b/internal/tier/membership/state.go
@@ -151,7 +151,7 @@
 	n.emit(kind, previous, member)
 }
 
-// tableChanged notes that this node's table is new: the others need convergenceTime before a difference means anything.
+// tableChanged records that this node's table is new: the others need convergenceTime before a difference means anything.
 func (n *Node) tableChanged() {
 	n.pushPull.divergedUnchanged = 0
 	n.pushPull.agreements = 0
--- a/internal/tier/membership/suspicion.go
+++ b/internal/tier/membership/suspicion.go
@@ -88,6 +88,7 @@
 	n.broadcastSuspicion(suspected, update.From)
 }
 
+// broadcastSuspicion queues the update that a member suspects another one, ahead of joins and deaths.
 func (n *Node) broadcastSuspicion(suspected *entry, from string) {
 	n.broadcast(n.priority, Update{Member: suspected.Member, From: from, Confirmed: suspected.suspicion.isConfirmed()})
 }
@@ -112,6 +113,7 @@
 	}
 }
 
+// clearSuspicion ends the suspicion of a member, if there is one.
 func (n *Node) clearSuspicion(cleared *entry) {
 	if cleared.suspicion == nil {
 		return
--- a/internal/tier/membership/table.go
+++ b/internal/tier/membership/table.go
@@ -25,8 +25,10 @@
 	members   []Member // cache of Node.Members; nil: invalid
 }
 
+// newTable returns a table without members.
 func newTable() *table { return &table{entries: map[string]*entry{}} }
 
+// add adds a member that is not in the table.
 func (t *table) add(member Member, now time.Duration) *entry {
 	added := &entry{Member: member, hash: recordHash(member), stateChange: now}
 	t.entries[member.Name] = added
@@ -36,6 +38,7 @@
 	return added
 }
 
+// remove drops a member that is in the table.
 func (t *table) remove(name string) {
 	removed := t.entries[name]
 	t.account(removed, -1)
@@ -64,6 +67,7 @@
 	t.hash ^= counted.hash
 }
 
+// compareEntry orders entries by name, for binary searches in sorted.
 func compareEntry(e *entry, name string) int { return cmp.Compare(e.Name, name) }
 
 // hashBytes is the size of a record's hash in a digest.
--- a/internal/tier/node/antientropy.go
+++ b/internal/tier/node/antientropy.go
@@ -4,10 +4,10 @@
 
 // The times of anti-entropy with controllers.
 const (
-	missingInterval       = 100 * time.Millisecond // while a required section is missing
-	normalInterval        = 700 * time.Millisecond // repairs lost messages well within the bound for changes
-	pausedAfter           = time.Second            // a step that is so late means that the process was frozen
-	controllersAfterPause = 3                      // asked after that and at the start: some may be partitioned and have old sections
+	missingInterval        = 100 * time.Millisecond // while a required section is missing
+	normalInterval         = 700 * time.Millisecond // repairs lost messages well within the bound for changes
+	frozenAfter            = time.Second            // a step that is so late means that the process was frozen
+	controllersAfterFreeze = 3                      // asked after that and at the start: some may be partitioned and have old sections
 )
 
 // antiEntropy decides when a process sends its digest to controllers, so that they answer with what is newer. Members that
@@ -27,10 +27,10 @@
 	if lacks {
 		next = missingInterval
 	}
-	isFresh := !a.started || late > pausedAfter
+	isFresh := !a.started || late > frozenAfter
 	a.started, a.nextAt = true, now+next
 	if isFresh {
-		return controllersAfterPause, next
+		return controllersAfterFreeze, next
 	}
 	return 1, next
 }
--- a/internal/tier/node/antientropy_test.go
+++ b/internal/tier/node/antientropy_test.go
@@ -17,20 +17,20 @@
 		steps []step
 	}{
 		{"a process asks several at its start, and then one now and then, whatever wakes it", []step{
-			{at: 0, count: controllersAfterPause, next: normalInterval},
+			{at: 0, count: controllersAfterFreeze, next: normalInterval},
 			{at: normalInterval / 2, count: 0, next: normalInterval / 2},
 			{at: normalInterval, count: 1, next: normalInterval},
 		}},
 		{"one that lacks a section asks often, and at once when it notices", []step{
-			{at: 0, lacks: true, count: controllersAfterPause, next: missingInterval},
+			{at: 0, lacks: true, count: controllersAfterFreeze, next: missingInterval},
 			{at: missingInterval / 2, lacks: true, count: 0, next: missingInterval / 2},
 			{at: missingInterval, lacks: true, count: 1, next: missingInterval},
 			{at: 2 * missingInterval, count: 1, next: normalInterval},
 			{at: 3 * missingInterval, lacks: true, count: 1, next: missingInterval},
 		}},
 		{"one that was frozen asks several", []step{
-			{at: 0, count: controllersAfterPause, next: normalInterval},
-			{at: normalInterval + 2*pausedAfter, count: controllersAfterPause, next: normalInterval},
+			{at: 0, count: controllersAfterFreeze, next: normalInterval},
+			{at: normalInterval + 2*frozenAfter, count: controllersAfterFreeze, next: normalInterval},
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tier/node/fetch.go
+++ b/internal/tier/node/fetch.go
@@ -14,11 +14,12 @@
 // fetchTimeout bounds one call for updates. It exceeds gossip.DefaultFetchTimeout, as late updates are still applied.
 const fetchTimeout = 2 * time.Second
 
-// fetch calls another member for updates and queues the result; without updates it has failed.
+// fetch calls another member for updates and queues the result; without updates it has failed. It ends by ctx or fetchTimeout;
+// nothing waits for it.
 func (d *gossipDriver) fetch(ctx context.Context, fetch gossip.Fetch) {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	request := wire.FetchRequest{Digest: fetch.Wanted}
+	request := wire.FetchRequest{Digest: fetch.Requested}
 	answer, err := transport.Call[wire.FetchRequest, wire.FetchResponse](bounded, d.node.options.Pool, fetch.Address, wire.MethodFetch, request)
 	if err != nil {
 		level.Debug(d.node.options.Logger).Log("msg", "fetching updates failed", "peer", fetch.Address, "err", err)
--- a/internal/tier/node/gossip.go
+++ b/internal/tier/node/gossip.go
@@ -27,12 +27,14 @@
 	changed  chan struct{} // closed and replaced when an update is new
 }
 
+// newGossipDriver returns the driver of a node's gossip; run drives it.
 func newGossipDriver(n *Node, seed uint64) *gossipDriver {
 	store := gossip.NewStore()
 	options := gossip.Options{DigestInterval: -1, Seed: seed} // digests are the payload of membership's probes
 	return &gossipDriver{node: n, store: store, gossiper: gossip.New(options, store), changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
+// digest returns the stamps of the sections that this process has. The caller owns the result.
 func (d *gossipDriver) digest() view.Digest {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -50,10 +52,12 @@
 	}
 }
 
+// publish queues an update of this process for the next step.
 func (d *gossipDriver) publish(update view.Update) {
 	d.submit(func(input *gossip.Input) { input.Updates = append(input.Updates, update) })
 }
 
+// receive queues another member's message for the next step.
 func (d *gossipDriver) receive(address string, message gossip.Message) {
 	d.submit(func(input *gossip.Input) {
 		input.Datagrams = append(input.Datagrams, gossip.Datagram{Address: address, Message: message})
@@ -68,7 +72,7 @@
 	}
 }
 
-// run drives the gossip until ctx ends.
+// run drives the gossip until ctx ends. Nothing waits for its end: OnUpdate may still be running when Node.Run has returned.
 func (d *gossipDriver) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/tier/node/mutants_test.go
+++ b/internal/tier/node/mutants_test.go
@@ -26,7 +26,7 @@
 		},
 		{
 			Name:   "one controller is asked at the start and after a freeze",
-			Change: mutation.Change{File: "antientropy.go", Old: "controllersAfterPause = 3", New: "controllersAfterPause = 1"},
+			Change: mutation.Change{File: "antientropy.go", Old: "controllersAfterFreeze = 3", New: "controllersAfterFreeze = 1"},
 			Run:    detecting,
 		},
 	})
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -81,13 +81,15 @@
 	n.signal()
 }
 
+// currentSeeds returns the seeds that were set last. The slice must not be changed.
 func (n *Node) currentSeeds() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.seeds
 }
 
-// Run drives the node over the server until ctx ends; then it announces to the others that it leaves.
+// Run drives the node over the server until ctx ends; then it announces to the others that it leaves. It does not wait for the
+// goroutines of the gossip and of calls, which end by ctx soon after.
 func (n *Node) Run(ctx context.Context, server *transport.Server) {
 	n.server = server
 	go n.gossip.run(ctx)
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -29,34 +29,34 @@
 // start runs a node; the first one has no seeds.
 func start(t *testing.T, name string, role membership.Role, seeds ...string) *testNode {
 	t.Helper()
-	r := &testNode{updates: make(chan view.Update, 64), seen: view.Digest{}}
+	started := &testNode{updates: make(chan view.Update, 64), seen: view.Digest{}}
 	handlers := transport.NewHandlers()
 	// The address must be known before the node is made, so the handlers go through the variable.
 	probe, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.address = probe.Address()
+	started.address = probe.Address()
 	probe.Close()
 	pool := transport.NewPool()
-	r.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: r.address, Incarnation: 1}, Seeds: seeds,
-		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(update view.Update) { r.updates <- update }})
-	r.node.Register(handlers)
-	server, err := transport.Listen(r.address, handlers, log.NewNopLogger())
+	started.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: started.address, Incarnation: 1}, Seeds: seeds,
+		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(update view.Update) { started.updates <- update }})
+	started.node.Register(handlers)
+	server, err := transport.Listen(started.address, handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); r.node.Run(ctx, server) }()
-	r.stop = func() {
+	go func() { defer close(ended); started.node.Run(ctx, server) }()
+	started.stop = func() {
 		cancel()
 		<-ended
 		server.Close()
 		pool.Close()
 	}
-	t.Cleanup(r.stop)
-	return r
+	t.Cleanup(started.stop)
+	return started
 }
 
 // waitFor returns once the node has handed a section with the stamp to its process.
@@ -92,7 +92,7 @@
 	late.waitFor(t, view.EndpointsSection, view.Stamp{Sequence: 3})
 }
 
-func TestFeed_PublishedUpdates_SendsTheHeldAndThenTheNewer(t *testing.T) {
+func TestFeed_PublishedUpdates_SendsTheStoredAndThenTheNewer(t *testing.T) {
 	agent := start(t, "edge-1/agent", membership.Agent)
 	agent.node.Publish(update(view.ConfigurationSection, 7))
 	agent.waitFor(t, view.ConfigurationSection, view.Stamp{Sequence: 7})
--- a/internal/tier/node/pushpull.go
+++ b/internal/tier/node/pushpull.go
@@ -12,7 +12,7 @@
 // pushPullTimeout bounds one call to another member.
 const pushPullTimeout = 2 * time.Second
 
-// pushPull calls another member and queues the result.
+// pushPull calls another member and queues the result. It ends by ctx or pushPullTimeout; nothing waits for it.
 func (n *Node) pushPull(ctx context.Context, call membership.PushPullCall) {
 	bounded, cancel := context.WithTimeout(ctx, pushPullTimeout)
 	defer cancel()
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -108,7 +108,7 @@
 func (a *simulatedAgent) fetch(fetch gossip.Fetch) {
 	for number, asked := range a.controllers {
 		if a.address(number) == fetch.Address && !asked.isPartitioned {
-			a.input.Fetched = append(a.input.Fetched, gossip.FetchResult{Token: fetch.Token, Updates: asked.store.AtLeast(fetch.Wanted)})
+			a.input.Fetched = append(a.input.Fetched, gossip.FetchResult{Token: fetch.Token, Updates: asked.store.AtLeast(fetch.Requested)})
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-func (a *simulatedAgent) holds(stamps map[view.Section]view.Stamp) bool {
+func (a *simulatedAgent) hasAll(stamps map[view.Section]view.Stamp) bool {
 	for section, stamp := range stamps {
 		if a.store.Stamp(section) != stamp {
 			return false
@@ -128,11 +128,11 @@
 	return true
 }
 
-// untilNew returns how long it takes until the agent holds all that is new.
+// untilNew returns how long it takes until the agent hasAll all that is new.
 func (a *simulatedAgent) untilNew() time.Duration {
 	a.t.Helper()
 	began := a.now
-	for !a.holds(newStamps) {
+	for !a.hasAll(newStamps) {
 		if a.now-began > time.Minute {
 			a.t.Fatalf("it has %v", a.store.Digest())
 		}
@@ -158,50 +158,50 @@
 	for _, core := range []struct{ controllers, stale int }{{3, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d of %d controllers", core.stale, core.controllers), func(t *testing.T) {
 			// Given an agent that starts on the side of the partitioned controllers,
-			a := newSimulatedAgent(t, core.controllers, core.stale)
-			for _, other := range a.controllers[core.stale:] {
+			agent := newSimulatedAgent(t, core.controllers, core.stale)
+			for _, other := range agent.controllers[core.stale:] {
 				other.isPartitioned = true
 			}
-			a.run(20 * time.Second)
+			agent.run(20 * time.Second)
 			// then it has what these have: its machine isn't in touch, and what is old is better than nothing;
-			if !a.holds(oldStamps) {
-				t.Fatalf("it has %v", a.store.Digest())
+			if !agent.hasAll(oldStamps) {
+				t.Fatalf("it has %v", agent.store.Digest())
 			}
 			// and when the partition heals, then it has what is new before its machine is in touch,
-			for _, other := range a.controllers {
+			for _, other := range agent.controllers {
 				other.isPartitioned = false
 			}
-			a.nextController = 0 // those that were partitioned are asked first
-			took := a.untilNew()
+			agent.nextController = 0 // those that were partitioned are asked first
+			took := agent.untilNew()
 			if took > maxStaleness {
 				t.Errorf("it took %v", took)
 			}
 			// and nothing that it is offered after that brings it back.
-			a.run(20 * time.Second)
-			a.wantForward()
+			agent.run(20 * time.Second)
+			agent.wantForward()
 
 			// When it is frozen meanwhile and thaws, or restarts, beside controllers that haven't noticed yet, then it
 			// asks several, and has what is new at once.
-			a.now += 20 * time.Second
+			agent.now += 20 * time.Second
 			for section, stamp := range newStamps {
 				stamp.Sequence += 100
 				newer := view.Update{Section: section, Stamp: stamp, Body: json.RawMessage(`{}`)}
-				for _, other := range a.controllers[core.stale:] {
+				for _, other := range agent.controllers[core.stale:] {
 					other.store.Put(newer)
 				}
 			}
-			a.nextController = 0
-			a.run(atOnce)
-			if a.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its thaw it has %v", atOnce, a.store.Digest())
+			agent.nextController = 0
+			agent.run(atOnce)
+			if agent.store.Stamp(view.ConfigurationSection).Sequence < 100 {
+				t.Errorf("%v after its thaw it has %v", atOnce, agent.store.Digest())
 			}
-			a.wantForward()
-			a.start()
-			a.run(atOnce)
-			if a.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its start it has %v", atOnce, a.store.Digest())
+			agent.wantForward()
+			agent.start()
+			agent.run(atOnce)
+			if agent.store.Stamp(view.ConfigurationSection).Sequence < 100 {
+				t.Errorf("%v after its start it has %v", atOnce, agent.store.Digest())
 			}
-			a.wantForward()
+			agent.wantForward()
 			t.Logf("after the partition it had what is new in %v", took)
 		})
 	}
--- a/internal/tier/node/wire_test.go
+++ b/internal/tier/node/wire_test.go
@@ -15,7 +15,7 @@
 // wrote: members of both versions run side by side during an upgrade.
 func TestWireFormat_EnvelopesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name     string
 		envelope envelope
 		encoded  string
@@ -29,19 +29,19 @@
 			`{"g":{"d":{"placement":{"epoch":1,"sequence":2}},"w":true}}`,
 		},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var read envelope
-			if err := json.Unmarshal([]byte(tc.encoded), &read); err != nil {
+			if err := json.Unmarshal([]byte(test.encoded), &read); err != nil {
 				t.Fatal(err)
 			}
-			if difference := cmp.Diff(tc.envelope, read); difference != "" {
+			if difference := cmp.Diff(test.envelope, read); difference != "" {
 				t.Error("read:", difference)
 			}
-			written, err := json.Marshal(tc.envelope)
+			written, err := json.Marshal(test.envelope)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if difference := cmp.Diff(tc.encoded, string(written)); difference != "" {
+			if difference := cmp.Diff(test.encoded, string(written)); difference != "" {
 				t.Error("written:", difference)
 			}
 		})
