--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -94,7 +94,7 @@
 				return workError{err}
 			}
 			if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
-				return workError{&config.KeyError{Key: "capture.dir", Reason: "missing: where captures go"}}
+				return workError{config.NewKeyError("capture.dir", "missing: where captures go")}
 			}
 			if err := syscall.Kill(pid, sig); err != nil {
 				return workError{fmt.Errorf("--pid %d: %w", pid, err)}
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -38,7 +38,7 @@
 func (t *fleetTool) config() (*config.Config, error) {
 	cfg, err := config.Load(t.o.file, os.Getenv)
 	if err == nil && cfg.Peers == nil {
-		err = &config.KeyError{Key: "peers", Reason: "missing: this relay belongs to no fleet"}
+		err = config.NewKeyError("peers", "missing: this relay belongs to no fleet")
 	}
 	if err != nil {
 		return nil, workError{err}
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -266,7 +266,7 @@
 				return workError{err}
 			}
 			if cfg.PluginHost.Store == "" {
-				return workError{&config.KeyError{Key: "plugin_host.store", Reason: "missing: the relay's word is read there"}}
+				return workError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
 			}
 			if err = tryPlugins(cfg); err != nil {
 				return workError{fmt.Errorf("the relay is not told: %w", err)}
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -76,7 +76,7 @@
 	endedOrder []string       // their ids, the oldest first
 }
 
-// New returns the front of core, and its destinations; it still has to be added to it. Its error is a *config.KeyError.
+// New returns the front of core, and its destinations; it still has to be added to it. Its error is a *policy.KeyError.
 func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	section := cfg.ActivityPub
 	f := &Front{cfg: section, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
@@ -90,7 +90,7 @@
 		client := &section.Clients[i]
 		key, err := ReadPublicKey(client.KeyFile)
 		if err != nil {
-			return nil, engine.EndpointList{}, &config.KeyError{Key: fmt.Sprintf("activitypub.clients.%d.key_file", i), Reason: err.Error()}
+			return nil, engine.EndpointList{}, config.NewKeyError(fmt.Sprintf("activitypub.clients.%d.key_file", i), err.Error())
 		}
 		f.keys[client.KeyID] = key
 		f.owners[client.KeyID], f.clients[client.Actor] = client, client
@@ -113,16 +113,16 @@
 func (f *Front) setActor() error {
 	key, err := ReadKey(f.cfg.KeyFile)
 	if err != nil {
-		return &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
+		return config.NewKeyError("activitypub.key_file", err.Error())
 	}
 	f.signer = Signer{KeyID: f.cfg.KeyID, Key: key}
 	actor, err := url.Parse(f.cfg.Actor)
 	if err != nil {
-		return &config.KeyError{Key: "activitypub.actor", Reason: err.Error()}
+		return config.NewKeyError("activitypub.actor", err.Error())
 	}
 	public, err := publicPEM(key)
 	if err != nil {
-		return &config.KeyError{Key: "activitypub.key_file", Reason: err.Error()}
+		return config.NewKeyError("activitypub.key_file", err.Error())
 	}
 	f.path, f.actorDoc = actor.Path, actorDocument(f.cfg, actor, string(public))
 	return nil
@@ -135,7 +135,7 @@
 		for k, inbox := range partner.Inboxes {
 			u, err := url.Parse(inbox)
 			if err != nil || u.Host == "" {
-				return nil, &config.KeyError{Key: fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), Reason: "not a URL"}
+				return nil, config.NewKeyError(fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), "not a URL")
 			}
 			f.inboxes[inbox] = u
 			destinations = append(destinations, engine.Destination{Name: inbox, Address: address(u),
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -35,19 +35,19 @@
 		file = env("RELAY_CONFIG")
 	}
 	if file == "" {
-		return nil, &KeyError{"RELAY_CONFIG", "not set, and no --config given"}
+		return nil, NewKeyError("RELAY_CONFIG", "not set, and no --config given")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &KeyError{"RELAY_CONFIG", err.Error()}
+		return nil, NewKeyError("RELAY_CONFIG", err.Error())
 	}
 	return Parse(text, env)
 }
 
-// Parse checks the text of a configuration and fills in the defaults. Its error is a *KeyError: the first key that is at fault.
+// Parse checks the text of a configuration and fills in the defaults. Its error is a *policy.KeyError: the first key that is at fault.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	if !gjson.ValidBytes(text) {
-		return nil, &KeyError{"(whole file)", "not valid JSON"}
+		return nil, NewKeyError("(whole file)", "not valid JSON")
 	}
 	p := &parser{root: gjson.ParseBytes(text)}
 	or := func(name, key string) string {
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"mastusher/internal/relay/fleet/policy"
 )
 
 const good = `{"listen": "127.0.0.1:8000", "state": "/run/state", "seed": "8c1f30d27a5be964",
@@ -75,8 +77,8 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		_, err := parse(text)
-		var key *KeyError
-		if !errors.As(err, &key) || key.Key != c.key {
+		var key *policy.KeyError
+		if !errors.As(err, &key) || key.Source != "config" || key.Key != c.key {
 			t.Errorf("%s for %s: error %v, want one that names %s", c.new, c.old, err, c.key)
 		}
 	}
--- a/internal/relay/config/parser.go
+++ b/internal/relay/config/parser.go
@@ -7,12 +7,14 @@
 	"time"
 
 	"github.com/tidwall/gjson"
-)
 
-// KeyError names the key of the configuration that is at fault.
-type KeyError struct{ Key, Reason string }
+	"mastusher/internal/relay/fleet/policy"
+)
 
-func (e *KeyError) Error() string { return fmt.Sprintf("config: key %s: %s", e.Key, e.Reason) }
+// NewKeyError returns a *policy.KeyError that names the key of the configuration that is at fault.
+func NewKeyError(key, reason string) error {
+	return &policy.KeyError{Source: "config", Key: key, Reason: reason}
+}
 
 // parser reads keys by path and keeps the first error.
 type parser struct {
@@ -23,7 +25,7 @@
 // fail notes a fault, unless there was one before.
 func (p *parser) fail(key, why string) {
 	if p.err == nil {
-		p.err = &KeyError{key, why}
+		p.err = NewKeyError(key, why)
 	}
 }
 
--- a/internal/relay/config/peers_test.go
+++ b/internal/relay/config/peers_test.go
@@ -4,6 +4,8 @@
 	"errors"
 	"strings"
 	"testing"
+
+	"mastusher/internal/relay/fleet/policy"
 )
 
 // TestParse_FaultyPeers_KeyIsNamed: a faulty section names its key.
@@ -24,7 +26,8 @@
 		{`"fleet"`, `"alone": "maybe", "fleet"`, "peers.alone"},
 	} {
 		_, err := Parse([]byte(strings.Replace(base, "PEERS", strings.Replace(good, x.old, x.new, 1), 1)), none)
-		if k := (*KeyError)(nil); !errors.As(err, &k) || k.Key != x.key {
+		var key *policy.KeyError
+		if !errors.As(err, &key) || key.Source != "config" || key.Key != x.key {
 			t.Errorf("%s instead of %s: %v, want key %s named", x.new, x.old, err, x.key)
 		}
 	}
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -110,14 +110,14 @@
 	if from != nil {
 		i := slices.IndexFunc(from.Plugins, func(g Plugin) bool { return g.Name == name })
 		if i < 0 {
-			return nil, &KeyError{"plugins", fmt.Sprintf("none is called %q", name)}
+			return nil, NewKeyError("plugins", fmt.Sprintf("none is called %q", name))
 		}
 		c.Plugins[0], c.Limits, c.Settings, c.Seed = from.Plugins[i], from.Limits, from.Settings, from.Seed
 		c.PluginHost.Cache = from.PluginHost.Cache
 	}
 	if c.Plugins[0].File = file; settings != "" {
 		if !gjson.Valid(settings) {
-			return nil, &KeyError{"plugins.0.config", "not valid JSON"}
+			return nil, NewKeyError("plugins.0.config", "not valid JSON")
 		}
 		c.Plugins[0].Config = settings
 	}
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -93,12 +93,12 @@
 	f.buffers.New = func() any { b := make([]byte, maxFrameBytes+1); return &b }
 	listen, err := net.ResolveUDPAddr("udp4", p.Listen)
 	if err != nil {
-		return nil, &config.KeyError{Key: "peers.listen", Reason: err.Error()}
+		return nil, config.NewKeyError("peers.listen", err.Error())
 	}
 	for name, address := range p.Addresses {
 		a, parseErr := netip.ParseAddrPort(address)
 		if parseErr != nil {
-			return nil, &config.KeyError{Key: "peers.others." + name, Reason: parseErr.Error()}
+			return nil, config.NewKeyError("peers.others."+name, parseErr.Error())
 		}
 		f.addresses[name] = a
 	}
--- a/internal/relay/fleet/policy/document.go
+++ b/internal/relay/fleet/policy/document.go
@@ -78,27 +78,37 @@
 	Plugins     map[string]string // SHA-256 of each that runs, by name
 }
 
-// KeyError names the key of a document that is at fault.
-type KeyError struct{ Key, Reason string }
+// KeyError names the key that is at fault, of a document or of the relay's configuration (package config).
+type KeyError struct {
+	Source string // what the key belongs to, by its package: "policy" or "config"
+	Key    string // the path, such as classes.match-event.attempts, or "(whole file)"
+	Reason string
+}
+
+// Error returns source, key and reason, as in "policy: key format: missing".
+func (e *KeyError) Error() string { return fmt.Sprintf("%s: key %s: %s", e.Source, e.Key, e.Reason) }
 
-func (e *KeyError) Error() string { return fmt.Sprintf("policy: key %s: %s", e.Key, e.Reason) }
+// keyError returns the error of a document's key.
+func keyError(key, reason string) error {
+	return &KeyError{Source: "policy", Key: key, Reason: reason}
+}
 
 // Parse decodes a document and checks all that does not depend on a relay's terms.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, &KeyError{"(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MaxDocumentBytes)}
+		return nil, keyError("(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MaxDocumentBytes))
 	}
 	var head struct {
 		Format *int `json:"format"`
 	}
 	if err := json.Unmarshal(text, &head); err != nil {
-		return nil, &KeyError{"(whole file)", err.Error()}
+		return nil, keyError("(whole file)", err.Error())
 	}
 	if head.Format == nil {
-		return nil, &KeyError{"format", "missing"}
+		return nil, keyError("format", "missing")
 	}
 	if *head.Format < 1 || *head.Format > Format {
-		return nil, &KeyError{"format", fmt.Sprintf("%d is not known here, want 1 to %d", *head.Format, Format)}
+		return nil, keyError("format", fmt.Sprintf("%d is not known here, want 1 to %d", *head.Format, Format))
 	}
 	d := &Document{}
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -106,9 +116,9 @@
 	if err := dec.Decode(d); err != nil {
 		var at *json.UnmarshalTypeError
 		if errors.As(err, &at) {
-			return nil, &KeyError{at.Field, "want " + at.Type.String() + ", not a " + at.Value}
+			return nil, keyError(at.Field, "want "+at.Type.String()+", not a "+at.Value)
 		}
-		return nil, &KeyError{"(whole file)", err.Error()}
+		return nil, keyError("(whole file)", err.Error())
 	}
 	return d, d.check()
 }
@@ -118,32 +128,32 @@
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		c, at := d.Classes[name], "classes."+name
 		if c.Value != nil && !(*c.Value >= 0 && *c.Value <= 1e9) {
-			return &KeyError{at + ".worth", "want a number from 0 to 1e9"}
+			return keyError(at+".worth", "want a number from 0 to 1e9")
 		}
 		if c.Attempts < 0 || c.Attempts > 1000 {
-			return &KeyError{at + ".attempts", "want 1 to 1000"}
+			return keyError(at+".attempts", "want 1 to 1000")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
 		if q := d.Tenants[name].Quota; !(q >= 0 && q <= 1e9) {
-			return &KeyError{"tenants." + name + ".quota_per_s", "want a number from 0 to 1e9"}
+			return keyError("tenants."+name+".quota_per_s", "want a number from 0 to 1e9")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Partners)) {
 		if n, err := strconv.ParseUint(name, 10, 16); err != nil || strconv.FormatUint(n, 10) != name {
-			return &KeyError{"partners." + name, "want a partner's number"}
+			return keyError("partners."+name, "want a partner's number")
 		}
 		if l := d.Partners[name].Limit; l != 0 && !(l >= minLimit && l <= 1e6) {
-			return &KeyError{"partners." + name + ".limit_per_s", fmt.Sprintf("want %g to 1e6; shut takes all", minLimit)}
+			return keyError("partners."+name+".limit_per_s", fmt.Sprintf("want %g to 1e6; shut takes all", minLimit))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Plugins)) {
 		p := d.Plugins[name]
 		if b, err := hex.DecodeString(p.Module); p.Module != "" && (err != nil || len(b) != 32) {
-			return &KeyError{"plugins." + name, "want a SHA-256 in hex"}
+			return keyError("plugins."+name, "want a SHA-256 in hex")
 		}
 		if p.Module == "" && len(p.Settings) == 0 {
-			return &KeyError{"plugins." + name, "want sha256, settings or both"}
+			return keyError("plugins."+name, "want sha256, settings or both")
 		}
 	}
 	return nil
@@ -153,28 +163,28 @@
 func (d *Document) Applies(t *Terms) error {
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		if !slices.Contains(t.Classes, name) {
-			return &KeyError{"classes." + name, "no class of that name"}
+			return keyError("classes."+name, "no class of that name")
 		}
 		if n := d.Classes[name].Attempts; n > t.MaxAttempts {
-			return &KeyError{"classes." + name + ".attempts", fmt.Sprintf("%d, and the settings allow %d", n, t.MaxAttempts)}
+			return keyError("classes."+name+".attempts", fmt.Sprintf("%d, and the settings allow %d", n, t.MaxAttempts))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
 		if !slices.Contains(t.Tenants, name) {
-			return &KeyError{"tenants." + name, "no tenant of that name"}
+			return keyError("tenants."+name, "no tenant of that name")
 		}
 	}
 	for i, name := range d.Accept {
 		if !slices.Contains(t.Relays, name) {
-			return &KeyError{fmt.Sprintf("accept.%d", i), fmt.Sprintf("no relay is called %q", name)}
+			return keyError(fmt.Sprintf("accept.%d", i), fmt.Sprintf("no relay is called %q", name))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Plugins)) {
 		switch has, ok := t.Plugins[name]; {
 		case !ok:
-			return &KeyError{"plugins." + name, "no plug-in of that name runs here"}
+			return keyError("plugins."+name, "no plug-in of that name runs here")
 		case d.Plugins[name].Module != "" && has != d.Plugins[name].Module:
-			return &KeyError{"plugins." + name, "another module runs here, " + has}
+			return keyError("plugins."+name, "another module runs here, "+has)
 		}
 	}
 	return nil
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -60,13 +60,13 @@
 	if dir := cfg.PluginHost.Cache; dir != "" {
 		cache, err := wazero.NewCompilationCacheWithDir(dir)
 		if err != nil {
-			return nil, &config.KeyError{Key: "plugin_host.cache", Reason: err.Error()}
+			return nil, config.NewKeyError("plugin_host.cache", err.Error())
 		}
 		host.cache, host.cacheDir = cache, dir
 	}
 	if host.storeDir != "" {
 		if err := os.MkdirAll(host.storeDir, 0o700); err != nil {
-			return nil, &config.KeyError{Key: "plugin_host.store", Reason: err.Error()}
+			return nil, config.NewKeyError("plugin_host.store", err.Error())
 		}
 	}
 	if err := host.Reload(cfg); err != nil {
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -17,6 +17,7 @@
 	"mastusher/control"
 	"mastusher/internal/relay/config"
 	"mastusher/internal/relay/engine"
+	"mastusher/internal/relay/fleet/policy"
 	"mastusher/internal/relay/plugin/rules"
 	"mastusher/internal/relay/plugin/wasmtest"
 )
@@ -200,8 +201,8 @@
 			cfg := s.config()
 			cfg.Limits.PluginStart = 100 * time.Millisecond
 			_, err := New(cfg, fronts, slog.New(slog.NewTextHandler(io.Discard, nil)))
-			var key *config.KeyError
-			if !errors.As(err, &key) || key.Key != "plugins.0" {
+			var key *policy.KeyError
+			if !errors.As(err, &key) || key.Source != "config" || key.Key != "plugins.0" {
 				t.Fatalf("error %v, want one that names the key", err)
 			}
 			for _, want := range c.want {
@@ -442,8 +443,8 @@
 			t.Fatal(err)
 		}
 		err := h.Reload(s.config())
-		var key *config.KeyError
-		if errors.As(err, &key); (key == nil) != (c.key == "") || key != nil && key.Key != c.key {
+		var key *policy.KeyError
+		if errors.As(err, &key); (key == nil) != (c.key == "") || key != nil && (key.Source != "config" || key.Key != c.key) {
 			t.Errorf("error %v, want one that names %q", err, c.key)
 		}
 		if got := desk(); got != c.want {
--- a/internal/relay/plugin/prepare.go
+++ b/internal/relay/plugin/prepare.go
@@ -18,7 +18,7 @@
 			for _, v := range next {
 				h.releaseVersion(v)
 			}
-			return &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
+			return config.NewKeyError(c.Key, fmt.Sprintf("plug-in %s: %v", c.Name, err))
 		}
 		v.users++
 		next = append(next, v)
--- a/internal/relay/plugin/reload.go
+++ b/internal/relay/plugin/reload.go
@@ -33,7 +33,7 @@
 			for _, v := range next.chain {
 				h.releaseVersion(v)
 			}
-			err = &config.KeyError{Key: c.Key, Reason: fmt.Sprintf("plug-in %s: %v", c.Name, err)}
+			err = config.NewKeyError(c.Key, fmt.Sprintf("plug-in %s: %v", c.Name, err))
 			h.status(cfg, err)
 			return err
 		}
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -40,14 +40,14 @@
 func Listen(cfg *config.VRRP, log *slog.Logger) (*Instance, error) {
 	at, err := net.ResolveUDPAddr("udp", cfg.Listen)
 	if err != nil {
-		return nil, &config.KeyError{Key: "vrrp.listen", Reason: err.Error()}
+		return nil, config.NewKeyError("vrrp.listen", err.Error())
 	}
 	own, _ := netip.AddrFromSlice(cfg.Address)
 	r := Router{VRID: cfg.VRID, Priority: cfg.Priority, Advertise: cfg.Advertise, Preempt: cfg.Preempt, Address: own.Unmap()}
 	for _, ip := range cfg.Virtual {
 		a, _ := netip.AddrFromSlice(ip)
 		if a = a.Unmap(); a.Is4() != r.Address.Is4() {
-			return nil, &config.KeyError{Key: "vrrp.virtual", Reason: "not of the family of vrrp.address"}
+			return nil, config.NewKeyError("vrrp.virtual", "not of the family of vrrp.address")
 		}
 		r.Virtual = append(r.Virtual, a)
 	}
@@ -56,7 +56,7 @@
 	for _, p := range cfg.Peers {
 		ap, parseErr := netip.ParseAddrPort(p)
 		if parseErr != nil {
-			return nil, &config.KeyError{Key: "vrrp.peers", Reason: parseErr.Error()}
+			return nil, config.NewKeyError("vrrp.peers", parseErr.Error())
 		}
 		in.peers[ap.Addr().Unmap()] = ap
 	}
