--- a/control/config.go
+++ b/control/config.go
@@ -43,7 +43,7 @@
 // Kind is one kind of destination.
 type Kind struct {
 	SeparateRoutes bool `cbor:"Apart"`   // each endpoint is a route of its own, with its own limit, wait and health
-	PerCall        int  `cbor:"PerCall"` // messages that one call carries at most
+	PerCall        int  `cbor:"PerCall"` // messages that one call carries at most; below 1 counts as 1
 }
 
 // Tenant is one of those who share the service.
@@ -52,7 +52,8 @@
 }
 
 // Settings configure a sender; they do not change but for [Sender.Reconfigure]. Durations and figures must not be negative. A zero is
-// legal unless it is said otherwise, and switches the mechanism off where there is one.
+// legal unless it is said otherwise, and switches the mechanism off where there is one. No field has a default here: the caller's
+// configuration sets each.
 type Settings struct {
 	// Peers is the number of senders in all, this one included; at least 1. Limits that are reported for all senders are divided by it.
 	Peers int `cbor:"Peers"`
@@ -68,46 +69,67 @@
 	Tenants []Tenant `cbor:"Tenants"`
 	// Slots is the number of calls out at once, at least 1. More slots ride out more slow destinations, and cost connections.
 	Slots int `cbor:"Slots"`
-	// MaxOpen is the number of messages without a final answer at which the least valuable ones are shed. 0: no bound.
+	// MaxOpen is the number of messages without a final answer at which the least valuable ones are shed. 0: no bound. A larger one keeps
+	// more through an outage, and costs memory and longer waits.
 	MaxOpen int `cbor:"MaxOpen"`
-	// MaxAttempts is how often one message is sent at most, at least 1.
+	// MaxAttempts is how often one message is sent at most, at least 1. More get messages past failures and slow calls; they cost the
+	// destinations calls, and each Step the time to plan for them.
 	MaxAttempts int `cbor:"MaxAttempts"`
 	// Cancel allows calling off an attempt that is out.
 	Cancel bool `cbor:"Cancel"`
-	// ConnIdle is after how long an idle connection closes by itself. 0: connections are not managed.
+	// ConnIdle is after how long an idle connection closes by itself. 0: connections are not managed. After a failed connect connections
+	// are closed at once for twice as long: a larger one costs more handshakes then.
 	ConnIdle time.Duration `cbor:"ConnIdle"`
-	// OverQuotaValue is the share of its value that a message beyond its tenant's quota keeps, 0 to 1.
+	// OverQuotaValue is the share of its value that a message beyond its tenant's quota keeps, 0 to 1. A larger one protects the other
+	// tenants less.
 	OverQuotaValue float64 `cbor:"OverWorth"`
 	// ValueHalves has the value of a late message fall by half with each further LatencyTarget, down to LateValue; else it falls
 	// evenly until the deadline.
 	ValueHalves bool `cbor:"WorthHalves"`
-	// MaxRetryAfter bounds the time after which a refused message is asked to come again, and waits learnt from other senders.
+	// MaxRetryAfter bounds the time after which a refused message is asked to come again, and waits learnt from other senders. A larger
+	// one keeps more load off a destination that is busy or shut, and notices later that it takes calls again.
 	MaxRetryAfter time.Duration `cbor:"MaxHoldOff"`
 	// MarksResubmitted says that messages handed in a second time are marked so (Event.Resubmitted).
 	MarksResubmitted bool `cbor:"MarksAgain"`
 	// MustSubscribe says that the list of endpoints comes only when it is asked for.
 	MustSubscribe bool `cbor:"Ask"`
-	// SubscribeWithin bounds the backoff between such requests, to three quarters of it.
+	// SubscribeWithin bounds the backoff between such requests, to three quarters of it or a second, whichever is longer. A larger one
+	// spares the service that answers them, and leaves a sender longer without the list.
 	SubscribeWithin time.Duration `cbor:"AskWithin"`
 	// DrainGrace is for how long a draining endpoint still answers; the caller goes by it, not this package.
 	DrainGrace time.Duration `cbor:"DrainGrace"`
-	// SlowStartShare is the share of its capacity that a destination has at once when it returns from an outage, 0 to 1.
+	// SlowStartShare is the share of its capacity that a destination has at once when it returns from an outage, 0 to 1. One that is
+	// larger than the truth sends more than it takes, and pushes it over again.
 	SlowStartShare float64 `cbor:"StartShare"`
-	// SlowStart is after what time from its return a destination has all of its capacity again. 0: at once.
+	// SlowStart is after what time from its return a destination has all of its capacity again. 0: at once. A longer one is gentler, and
+	// leaves messages waiting.
 	SlowStart time.Duration `cbor:"Cold"`
-	// OverloadWindow is the time over which calls are counted for OverloadMultiple.
+	// OverloadWindow is the time over which calls are counted for OverloadMultiple. It is the destinations' own, for whoever checks them;
+	// no decision uses it.
 	OverloadWindow time.Duration `cbor:"Fall"`
-	// OverloadMultiple is the multiple of its current capacity that pushes a returning destination over again.
+	// OverloadMultiple is the multiple of its current capacity that pushes a returning destination over again. See slowStartMargin. A
+	// larger one sends more during slow start.
 	OverloadMultiple float64 `cbor:"FallMultiple"`
-	// InDoubtDelay is how long the next message of a key waits after an attempt that may still be running.
+	// InDoubtDelay is how long the next message of a key waits after an attempt that may still be running. A longer one keeps the order
+	// also where such an attempt runs on for long, and delays the key's messages.
 	InDoubtDelay time.Duration `cbor:"Settle"`
-	// CrossZonePrice is the price of an attempt that leaves the zone, in the unit of Class.Value.
+	// CrossZonePrice is the price of an attempt that leaves the zone, in the unit of Class.Value. A larger one accepts more delay, up to a
+	// second an attempt, to stay in the zone.
 	CrossZonePrice float64 `cbor:"CrossPrice"`
 	// ZoneFee is the price of a message that a separate route takes on, by the zone of the route, in the unit of Class.Value.
 	ZoneFee []float64 `cbor:"ZoneFee"`
 }
 
-// check returns an error that names the first field with an impossible figure, by its stored name.
+// SettingError reports a setting with an impossible figure.
+type SettingError struct {
+	Field   string // the key under which captures store it, with its place in a list: "Classes[0].Aim"
+	Problem string // the figure, and what is wanted instead
+}
+
+// Error names the setting and what is wanted of it.
+func (e *SettingError) Error() string { return "control: settings: " + e.Field + " is " + e.Problem }
+
+// check returns a [SettingError] for the first field with an impossible figure.
 func (set *Settings) check() error {
 	type field struct {
 		name  string
@@ -134,11 +156,11 @@
 			field{prefix + "LateWorth", class.LateValue, 0})
 	}
 	if set.Index >= set.Peers && set.Peers > 0 {
-		return fmt.Errorf("control: settings: Me is %d, want a number below Peers, %d", set.Index, set.Peers)
+		return &SettingError{Field: "Me", Problem: fmt.Sprintf("%d, want a number below Peers, %d", set.Index, set.Peers)}
 	}
 	for _, f := range fields {
 		if math.IsNaN(f.value) || math.IsInf(f.value, 0) || f.value < f.min {
-			return fmt.Errorf("control: settings: %s is %v, want a number of %v at least", f.name, f.value, f.min)
+			return &SettingError{Field: f.name, Problem: fmt.Sprintf("%v, want a number of %v at least", f.value, f.min)}
 		}
 	}
 	return nil
--- a/control/sender.go
+++ b/control/sender.go
@@ -45,7 +45,7 @@
 }
 
 // New returns a sender that knows nothing but its settings. Senders of one service must have different seeds: what they do at random
-// must not coincide. An error names the first setting with an impossible figure.
+// must not coincide. An error is a [SettingError] for the first setting with an impossible figure.
 func New(set Settings, seed uint64) (*Sender, error) {
 	if err := set.check(); err != nil {
 		return nil, err
