--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -9,12 +9,12 @@
 func TestLoadShedding_FullStore_ShedsLowestValue(t *testing.T) {
 	set := settings()
 	set.MaxOpen, set.Slots = 20, 2
-	r := newHarness(t, set, Endpoint{ID: 1})
+	harness := newHarness(t, set, Endpoint{ID: 1})
 	var evs []Event
 	for i := range uint64(40) {
-		evs = append(evs, r.arrive(i+1, int(i%2)*2))
+		evs = append(evs, harness.arrive(i+1, int(i%2)*2))
 	}
-	refused := actionsOf(r.step(evs...), Refuse)
+	refused := actionsOf(harness.step(evs...), Refuse)
 	if len(refused) != 40-(set.MaxOpen-1) {
 		t.Errorf("%d refused, want the store kept one short of full", len(refused))
 	}
@@ -30,17 +30,17 @@
 	set := settings()
 	set.MaxOpen, set.Slots = 20, 2
 	set.Tenants = []Tenant{{Quota: 8}, {Quota: 8}} // four a second here: of two senders each has a half
-	r := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
+	harness := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
 	var evs []Event
 	for i := range uint64(30) {
-		ev := r.arrive(i+1, 0)
+		ev := harness.arrive(i+1, 0)
 		if i >= 20 { // the other tenant's come last, when the store is full
 			ev.Tenant, ev.Destination = 1, 1
 		}
 		evs = append(evs, ev)
 	}
 	over, within := 0, 0
-	for _, a := range actionsOf(r.step(evs...), Refuse) {
+	for _, a := range actionsOf(harness.step(evs...), Refuse) {
 		switch {
 		case a.ID <= 4 || a.ID > 20 && a.ID <= 24:
 			t.Errorf("message %d was within its tenant's share, and was refused", a.ID)
@@ -56,7 +56,7 @@
 }
 
 // A quota counts from when a client sent a message: what was kept over a restart comes all at once, and is no flood.
-func TestQuota_KeptMessages_CountFromSending(t *testing.T) {
+func TestQuota_RestoredMessages_CountFromSending(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gap  time.Duration // from one message's sending to the next
@@ -65,16 +65,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
 			set.Tenants, set.Slots = []Tenant{{Quota: 8}}, 1
-			r := newHarness(t, set, Endpoint{ID: 1})
+			harness := newHarness(t, set, Endpoint{ID: 1})
 			var evs []Event
 			for i := range uint64(10) {
-				ev := r.arrive(i+1, 0)
+				ev := harness.arrive(i+1, 0)
 				ev.Deadline -= time.Duration(10-i) * c.gap
 				evs = append(evs, ev)
 			}
-			r.step(evs...)
+			harness.step(evs...)
 			over := 0
-			for _, m := range r.sender.messages {
+			for _, m := range harness.sender.messages {
 				if m.value < m.class.Value {
 					over++
 				}
@@ -90,18 +90,18 @@
 func TestQuota_NoTenant_KeepsValue(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Quota: 0}}
-	r := newHarness(t, set, Endpoint{ID: 1})
+	harness := newHarness(t, set, Endpoint{ID: 1})
 	for i, tenant := range []int{-1, 1, 1 << 40, 0} {
-		ev := r.arrive(uint64(i+1), 0)
+		ev := harness.arrive(uint64(i+1), 0)
 		ev.Tenant = tenant
-		r.step(ev)
+		harness.step(ev)
 		want := 1.0
 		if tenant == 0 {
 			want = set.OverQuotaValue // a share of nothing, but for the first of a second
-			r.step(Event{Kind: Arrived, ID: 9, Deadline: ev.Deadline})
+			harness.step(Event{Kind: Arrived, ID: 9, Deadline: ev.Deadline})
 			ev.ID = 9
 		}
-		if m := r.sender.messages[ev.ID]; m == nil || m.value != want {
+		if m := harness.sender.messages[ev.ID]; m == nil || m.value != want {
 			t.Errorf("tenant %d: %+v, want a worth of %v", tenant, m, want)
 		}
 	}
--- a/control/connections.go
+++ b/control/connections.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// noteConnectionShortage takes a failed connect: what is idle at endpoints of the same kind is closed at once, and all such connections
+// recordConnectionShortage takes a failed connect: what is idle at endpoints of the same kind is closed at once, and all such connections
 // for two idle times from now on. By then what was idle has closed by itself.
-func (s *Sender) noteConnectionShortage(endpoint *endpointState) {
+func (s *Sender) recordConnectionShortage(endpoint *endpointState) {
 	s.kinds[endpoint.kindIndex].connectionsShortUntil = s.now + 2*s.settings.ConnIdle
 	s.idleEndpoints = slices.DeleteFunc(s.idleEndpoints, func(idle *endpointState) bool {
 		if idle.idleConnection && idle.kindIndex == endpoint.kindIndex {
--- a/control/encoding_test.go
+++ b/control/encoding_test.go
@@ -20,7 +20,7 @@
 // field, and encodes the same values to the same bytes. The fields are filled in the order in which they are declared: the names in Go
 // may change, the order and the tags may not.
 func TestStoredFormat_ReadsCapturesOfEarlierVersions(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		empty any // a pointer
 	}{
@@ -29,9 +29,9 @@
 		{"action", &Action{}},
 		{"snapshot", &Snapshot{}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			file := filepath.Join("testdata", c.name+".cbor")
-			want := reflect.New(reflect.TypeOf(c.empty).Elem())
+		t.Run(test.name, func(t *testing.T) {
+			file := filepath.Join("testdata", test.name+".cbor")
+			want := reflect.New(reflect.TypeOf(test.empty).Elem())
 			var filled int
 			fillFields(t, want.Elem(), &filled)
 			encoded, err := cbor.Marshal(want.Interface())
@@ -50,10 +50,10 @@
 			if !bytes.Equal(encoded, golden) {
 				t.Errorf("%d values encode to %d bytes that differ from the %d of %s", filled, len(encoded), len(golden), file)
 			}
-			if err := cbor.Unmarshal(golden, c.empty); err != nil {
+			if err := cbor.Unmarshal(golden, test.empty); err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(want.Interface(), c.empty); diff != "" {
+			if diff := cmp.Diff(want.Interface(), test.empty); diff != "" {
 				t.Errorf("read from %s (-want +got):\n%s", file, diff)
 			}
 		})
@@ -61,39 +61,39 @@
 }
 
 // fillFields gives every field under v another value, none of them zero; lists get two elements. count is how many have one.
-func fillFields(t *testing.T, v reflect.Value, count *int) {
+func fillFields(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	*count++
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			fillFields(t, v.Field(i), count)
+		for i := range value.NumField() {
+			fillFields(t, value.Field(i), count)
 		}
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for i := range v.Len() {
-			fillFields(t, v.Index(i), count)
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		for i := range value.Len() {
+			fillFields(t, value.Index(i), count)
 		}
 	case reflect.Array:
-		for i := range v.Len() {
-			fillFields(t, v.Index(i), count)
+		for i := range value.Len() {
+			fillFields(t, value.Index(i), count)
 		}
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fillFields(t, v.Elem(), count)
+		value.Set(reflect.New(value.Type().Elem()))
+		fillFields(t, value.Elem(), count)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text %d", *count))
+		value.SetString(fmt.Sprintf("text %d", *count))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Float64:
-		v.SetFloat(float64(*count) + 0.25)
+		value.SetFloat(float64(*count) + 0.25)
 	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(time.Duration(*count) * 1_000_003))
+		value.SetInt(int64(time.Duration(*count) * 1_000_003))
 	case reflect.Uint8:
-		v.SetUint(uint64(1 + *count%200))
+		value.SetUint(uint64(1 + *count%200))
 	case reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*count) * 1_003)
+		value.SetUint(uint64(*count) * 1_003)
 	default:
-		t.Fatalf("a field of kind %v is not filled", v.Kind())
+		t.Fatalf("a field of kind %v is not filled", value.Kind())
 	}
 }
--- a/control/endpoint_list_test.go
+++ b/control/endpoint_list_test.go
@@ -12,10 +12,10 @@
 		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
 		{Kind: Listed, Complete: true},
 	} {
-		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.deliver(5, 100*ms)
-		acts := r.step(ev, r.arrive(1, 0), r.arrive(2, 2))
-		if acts = append(acts, r.wait(3*time.Second)...); len(actionsOf(acts, Send)) != 0 {
+		harness := newHarness(t, settings(), Endpoint{ID: 1})
+		harness.deliver(5, 100*ms)
+		acts := harness.step(ev, harness.arrive(1, 0), harness.arrive(2, 2))
+		if acts = append(acts, harness.wait(3*time.Second)...); len(actionsOf(acts, Send)) != 0 {
 			t.Errorf("%+v: sent %v", ev, actionsOf(acts, Send))
 		}
 	}
@@ -23,44 +23,44 @@
 
 // What has left the list is forgotten once nothing of it can be unfinished, but not a wait that still binds.
 func TestEndpoint_Removed_IsForgottenInTime(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
-	to := actionsOf(r.step(r.arrive(1, 2)), Send)[0].Endpoint
+	harness := newHarness(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
+	to := actionsOf(harness.step(harness.arrive(1, 2)), Send)[0].Endpoint
 	throttled := outcome(1, 0, to, Throttled)
 	throttled.RetryAfter = time.Minute
-	r.step(throttled)
+	harness.step(throttled)
 	for range 3 {
-		r.step(Event{Kind: Listed, Complete: true})
-		if len(r.sender.endpoints) != 2 {
-			t.Fatalf("%d endpoints are known after %v, want 2", len(r.sender.endpoints), r.now)
+		harness.step(Event{Kind: Listed, Complete: true})
+		if len(harness.sender.endpoints) != 2 {
+			t.Fatalf("%d endpoints are known after %v, want 2", len(harness.sender.endpoints), harness.now)
 		}
-		r.now += 10 * time.Second
+		harness.now += 10 * time.Second
 	}
-	if r.step(Event{Kind: Listed}); len(r.sender.endpoints) != 1 || len(r.sender.destinationOrder) != 1 || len(r.sender.destinations) != 1 {
-		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(r.sender.endpoints), len(r.sender.destinationOrder))
+	if harness.step(Event{Kind: Listed}); len(harness.sender.endpoints) != 1 || len(harness.sender.destinationOrder) != 1 || len(harness.sender.destinations) != 1 {
+		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
 	}
-	r.now += time.Minute
-	if r.step(Event{Kind: Listed}); len(r.sender.endpoints)+len(r.sender.destinationOrder)+len(r.sender.destinations)+len(r.sender.idleEndpoints) != 0 {
-		t.Errorf("%d endpoints and %d destinations are still known", len(r.sender.endpoints), len(r.sender.destinationOrder))
+	harness.now += time.Minute
+	if harness.step(Event{Kind: Listed}); len(harness.sender.endpoints)+len(harness.sender.destinationOrder)+len(harness.sender.destinations)+len(harness.sender.idleEndpoints) != 0 {
+		t.Errorf("%d endpoints and %d destinations are still known", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
 	}
-	if r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, r.arrive(2, 0)); len(actionsOf(r.out, Send)) != 1 {
+	if harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, harness.arrive(2, 0)); len(actionsOf(harness.out, Send)) != 1 {
 		t.Error("nothing is sent to one that is new there")
 	}
 }
 
 // A connection may come up only after the destination told to wait: what is on its way is recalled.
 func TestRecall_WaitOrDrain_RecallsCallsOnTheirWay(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 5})
-	elsewhere := r.arrive(3, 0)
+	harness := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 5})
+	elsewhere := harness.arrive(3, 0)
 	elsewhere.Destination = 5
-	r.step(r.arrive(1, 0), r.arrive(2, 0), elsewhere)
+	harness.step(harness.arrive(1, 0), harness.arrive(2, 0), elsewhere)
 	throttled := outcome(1, 0, 1, Throttled)
-	if throttled.RetryAfter = time.Second; len(actionsOf(r.out, Send)) != 3 {
-		t.Fatalf("sent %v", r.out)
+	if throttled.RetryAfter = time.Second; len(actionsOf(harness.out, Send)) != 3 {
+		t.Fatalf("sent %v", harness.out)
 	}
-	if got := actionsOf(r.step(throttled), Recall); len(got) != 1 || got[0].ID != 2 {
+	if got := actionsOf(harness.step(throttled), Recall); len(got) != 1 || got[0].ID != 2 {
 		t.Errorf("called back %v, want message 2", got)
 	}
-	if got := actionsOf(r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 2, Destination: 5, State: Draining}}}), Recall); len(got) != 1 {
+	if got := actionsOf(harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 2, Destination: 5, State: Draining}}}), Recall); len(got) != 1 {
 		t.Errorf("called back %v, want message 3", got)
 	}
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -38,27 +38,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, sender: s, now: time.Hour}
-	r.step(Event{Kind: Listed, Complete: true, Endpoints: eps})
-	return r
+	h := &harness{t: t, sender: s, now: time.Hour}
+	h.step(Event{Kind: Listed, Complete: true, Endpoints: eps})
+	return h
 }
 
-func (r *harness) step(evs ...Event) []Action {
-	r.out = r.sender.Step(r.now, evs, nil)
-	return r.out
+func (h *harness) step(evs ...Event) []Action {
+	h.out = h.sender.Step(h.now, evs, nil)
+	return h.out
 }
 
 // wait steps through d in ticks and returns all actions.
-func (r *harness) wait(d time.Duration) (all []Action) {
-	for end := r.now + d; r.now < end; {
-		r.now += 25 * ms
-		all = append(all, r.step(Event{Kind: Woken})...)
+func (h *harness) wait(d time.Duration) (all []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now += 25 * ms
+		all = append(all, h.step(Event{Kind: Woken})...)
 	}
 	return all
 }
 
-func (r *harness) arrive(id uint64, class int) Event {
-	return Event{Kind: Arrived, ID: id, Class: class, Deadline: r.now + settings().Classes[class].Deadline}
+func (h *harness) arrive(id uint64, class int) Event {
+	return Event{Kind: Arrived, ID: id, Class: class, Deadline: h.now + settings().Classes[class].Deadline}
 }
 
 func actionsOf(acts []Action, k ActionKind) (got []Action) {
@@ -75,17 +75,17 @@
 }
 
 // deliver delivers n safe messages, each taking d, one after the other.
-func (r *harness) deliver(n int, d time.Duration) {
-	r.t.Helper()
+func (h *harness) deliver(n int, d time.Duration) {
+	h.t.Helper()
 	for i := range n {
-		id := uint64(1e6 + float64(r.now/ms) + float64(i))
-		sent := actionsOf(r.step(r.arrive(id, 0)), Send)
+		id := uint64(1e6 + float64(h.now/ms) + float64(i))
+		sent := actionsOf(h.step(h.arrive(id, 0)), Send)
 		if len(sent) != 1 {
-			r.t.Fatalf("warming call %d: sent %v", i, sent)
+			h.t.Fatalf("warming call %d: sent %v", i, sent)
 		}
-		r.now += d
-		r.step(outcome(id, 0, sent[0].Endpoint, Delivered))
-		r.now += 200 * ms
+		h.now += d
+		h.step(outcome(id, 0, sent[0].Endpoint, Delivered))
+		h.now += 200 * ms
 	}
 }
 
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// playRandomEvents feeds a sender random legal events, every result included, has an oracle check each action, and returns all of them.
-func playRandomEvents(t *testing.T, seed int64, steps int) []Action {
+// runRandomEvents feeds a sender random legal events, every result included, has an oracle check each action, and returns all of them.
+func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
 	t.Helper()
 	const tick = 10 * time.Millisecond
 	rng := rand.New(rand.NewSource(seed))
 	set := randomSettings(rng)
-	o := newOracle(t, seed, set)
-	s, err := New(set, uint64(seed))
+	oracle := newOracle(t, seed, set)
+	sender, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	for i := range 12 {
 		endpoint := Endpoint{ID: uint32(i + 1), Zone: i % 2, Destination: i / 3, Kind: i / 3 % 2}
 		list = append(list, endpoint)
-		o.endpoints[endpoint.ID] = endpoint
+		oracle.endpoints[endpoint.ID] = endpoint
 	}
 	events := []Event{{Kind: Listed, Complete: true, Endpoints: list}}
 	var all, out []Action
@@ -35,31 +35,31 @@
 		fault := rng.Intn(100)
 		if step < lastArrival && rng.Intn(3) == 0 {
 			lastID++
-			events = append(events, o.randomArrival(now, rng, lastID))
+			events = append(events, oracle.randomArrival(now, rng, lastID))
 		}
 		if fault == 0 {
 			endpoint := list[rng.Intn(len(list))]
 			endpoint.State = State(rng.Intn(3))
-			o.endpoints[endpoint.ID] = endpoint
+			oracle.endpoints[endpoint.ID] = endpoint
 			events = append(events, Event{Kind: Listed, Endpoints: []Endpoint{endpoint}})
 		}
 		if fault == 1 && lastID > 0 {
-			if msg := o.messages[1+uint64(rng.Intn(int(lastID)))]; !msg.closed {
+			if msg := oracle.messages[1+uint64(rng.Intn(int(lastID)))]; !msg.closed {
 				msg.closed, msg.withdrawnAt = true, now
 				events = append(events, Event{Kind: Withdrawn, ID: msg.arrival.ID})
 			}
 		}
-		events = append(append(events, o.resolveDue(now, rng)...), Event{Kind: Woken})
-		out = s.Step(now, events, out[:0])
+		events = append(append(events, oracle.resolveDue(now, rng)...), Event{Kind: Woken})
+		out = sender.Step(now, events, out[:0])
 		events = events[:0]
 		for _, action := range out {
-			o.check(now, rng, action)
+			oracle.check(now, rng, action)
 		}
 		all = append(all, out...)
-		o.checkAnswered(now, lastID)
+		oracle.checkAnswered(now, lastID)
 	}
-	if n := len(s.messages); n != len(o.calls) {
-		t.Errorf("seed %d: %d messages are kept at the end, %d calls in flight", seed, n, len(o.calls))
+	if n := len(sender.messages); n != len(oracle.calls) {
+		t.Errorf("seed %d: %d messages are kept at the end, %d calls in flight", seed, n, len(oracle.calls))
 	}
 	return all
 }
@@ -87,7 +87,7 @@
 func TestInvariants_RandomEvents(t *testing.T) {
 	sends := 0
 	for seed := range int64(60) {
-		sends += len(actionsOf(playRandomEvents(t, seed, 5000), Send))
+		sends += len(actionsOf(runRandomEvents(t, seed, 5000), Send))
 	}
 	if sends < 10000 {
 		t.Errorf("only %d sends: the oracle saw too little", sends)
@@ -97,7 +97,7 @@
 func FuzzInvariants(f *testing.F) {
 	f.Add(int64(1))
 	f.Add(int64(1000))
-	f.Fuzz(func(t *testing.T, seed int64) { playRandomEvents(t, seed, 4000) })
+	f.Fuzz(func(t *testing.T, seed int64) { runRandomEvents(t, seed, 4000) })
 }
 
 // Whatever the seed, the number of senders and slots, the tenants with shares or without, and the weights, true or not: nothing brings a
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -17,14 +17,14 @@
 
 // A message that ran before its time-out may be answered at once when it comes again: that is no call's time.
 func TestLatencyTable_AnswerToARepeat_IsNotObserved(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.deliver(5, 300*ms)
-	r.step(r.arrive(1, 0))
-	r.now += 8 * 300 * ms
-	r.step(outcome(1, 0, 1, TimedOut))
-	before := r.sender.endpoints[1].own.counts[0]
-	r.now += 2 * ms
-	if r.step(outcome(1, 1, 1, Delivered)); r.sender.endpoints[1].own.counts[0] > before || before > 0 {
-		t.Errorf("%v calls of 2 ms are in the table", r.sender.endpoints[1].own.counts[0])
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	harness.deliver(5, 300*ms)
+	harness.step(harness.arrive(1, 0))
+	harness.now += 8 * 300 * ms
+	harness.step(outcome(1, 0, 1, TimedOut))
+	before := harness.sender.endpoints[1].own.counts[0]
+	harness.now += 2 * ms
+	if harness.step(outcome(1, 1, 1, Delivered)); harness.sender.endpoints[1].own.counts[0] > before || before > 0 {
+		t.Errorf("%v calls of 2 ms are in the table", harness.sender.endpoints[1].own.counts[0])
 	}
 }
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -103,7 +103,7 @@
 
 // Eighty senders hand a destination more in one second than it takes in three. Where refused calls use up the limit, each of them asking
 // resubmitted as if it were alone keeps all of them out for good.
-func TestManySenders_Refused_AreLetInAgain(t *testing.T) {
+func TestManySenders_Throttled_AreServedAfterBackoff(t *testing.T) {
 	for seed := range uint64(3) {
 		group := newSenderGroup(t, 80, 28, seed+40)
 		group.second(100)
@@ -141,7 +141,7 @@
 
 // An operator's bound holds over all senders together in every span, from the moment when it is told, however much is queued; an outage,
 // refusals and a restart lift it for nobody, and lifting it by hand does.
-func TestMaxRate_ManySenders_IsKeptTogether(t *testing.T) {
+func TestMaxRate_ManySenders_IsNeverExceededTogether(t *testing.T) {
 	const peers, maxRate = 5, 12.0
 	for _, c := range []struct {
 		name           string
@@ -154,7 +154,7 @@
 			if c.separateRoutes {
 				burst = 2
 			}
-			sent, bounded := playMaxRate(t, peers, maxRate, c.separateRoutes, c.result)
+			sent, bounded := runMaxRate(t, peers, maxRate, c.separateRoutes, c.result)
 			saved := (peers + 1) * burst // one sender is started again
 			level, last := 0.0, time.Duration(0)
 			for _, at := range sent[:bounded] {
@@ -174,9 +174,9 @@
 	}
 }
 
-// playMaxRate plays a minute with plenty of messages at senders that share the operator's bound, and returns when they sent. The first
+// runMaxRate runs a minute with plenty of messages at senders that share the operator's bound, and returns when they sent. The first
 // sender is started again after half of it; the bound is lifted after 50 s, until when bounded calls were sent.
-func playMaxRate(t *testing.T, peers int, maxRate float64, separateRoutes bool, result func(call int) Result) (sent []time.Duration, bounded int) {
+func runMaxRate(t *testing.T, peers int, maxRate float64, separateRoutes bool, result func(call int) Result) (sent []time.Duration, bounded int) {
 	t.Helper()
 	set := settings()
 	set.Peers, set.Slots, set.Cancel = peers, 100, true
--- a/control/message_test.go
+++ b/control/message_test.go
@@ -8,17 +8,17 @@
 // No message is lost, and the time-out at the deadline still gets its one answer.
 func TestMessage_TimedOutAtDeadline_GetsOneAnswer(t *testing.T) {
 	for class, want := range map[int]ActionKind{0: Refuse, 2: Fail} {
-		r := newHarness(t, settings(), Endpoint{ID: 1})
-		sent := actionsOf(r.step(r.arrive(1, class)), Send)
+		harness := newHarness(t, settings(), Endpoint{ID: 1})
+		sent := actionsOf(harness.step(harness.arrive(1, class)), Send)
 		if len(sent) != 1 || sent[0].For != settings().Classes[class].Deadline {
 			t.Fatalf("without a table one call lasts the time left: %v", sent)
 		}
-		r.wait(settings().Classes[class].Deadline)
-		acts := r.step(outcome(1, 0, 1, TimedOut))
+		harness.wait(settings().Classes[class].Deadline)
+		acts := harness.step(outcome(1, 0, 1, TimedOut))
 		if len(actionsOf(acts, want)) != 1 || len(actionsOf(acts, Send)) != 0 {
 			t.Errorf("class %d: %v, want one final answer of kind %d", class, acts, want)
 		}
-		if acts := r.wait(time.Second); len(actionsOf(acts, Refuse))+len(actionsOf(acts, Fail)) != 0 {
+		if acts := harness.wait(time.Second); len(actionsOf(acts, Refuse))+len(actionsOf(acts, Fail)) != 0 {
 			t.Errorf("class %d: answered twice: %v", class, acts)
 		}
 	}
@@ -29,11 +29,11 @@
 	set := settings()
 	for _, c := range []struct{ marksResubmitted, resubmitted, late bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
 		set.MarksResubmitted = c.marksResubmitted
-		r := newHarness(t, set)
-		ev := r.arrive(1, 2)
-		ev.Deadline, ev.Resubmitted = r.now+900*ms, c.resubmitted
-		r.step(ev)
-		if got := r.sender.messages[1].valueAt(r.now+800*ms, false); (got < 4) != c.late {
+		harness := newHarness(t, set)
+		ev := harness.arrive(1, 2)
+		ev.Deadline, ev.Resubmitted = harness.now+900*ms, c.resubmitted
+		harness.step(ev)
+		if got := harness.sender.messages[1].valueAt(harness.now+800*ms, false); (got < 4) != c.late {
 			t.Errorf("%+v: worth %.2f of 4 before its deadline", c, got)
 		}
 	}
@@ -41,11 +41,11 @@
 
 // A message with less time left than the median call is refused unsent, at once, with the time after which to come again.
 func TestMessage_TooLittleTimeLeft_IsRefusedAtOnce(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.deliver(8, 900*ms)
-	ev := r.arrive(1, 2)
-	ev.Deadline = r.now + 500*ms
-	acts := r.step(ev)
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	harness.deliver(8, 900*ms)
+	ev := harness.arrive(1, 2)
+	ev.Deadline = harness.now + 500*ms
+	acts := harness.step(ev)
 	if got := actionsOf(acts, Refuse); len(got) != 1 || got[0].For <= 0 || len(actionsOf(acts, Send)) != 0 {
 		t.Errorf("%v", acts)
 	}
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -124,7 +124,7 @@
 	route, atOnce := endpoint.route, took < minLateAge
 	endpoint.own.observeFailure(s.now)
 	if route.failureStreak++; atOnce {
-		s.noteConnectionShortage(endpoint)
+		s.recordConnectionShortage(endpoint)
 		s.backOff(route, &s.kinds[endpoint.kindIndex])
 	}
 	s.recordFailure(route, atOnce)
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -159,7 +159,7 @@
 	if route.inFlight > route.lateCalls {
 		return false
 	}
-	repeatable := func(m *message) bool { return m.class.Effect != Unsafe }
-	return repeatable(msg) ||
-		!slices.ContainsFunc(msg.destination.queue, repeatable) && (route.neverRan || route.tokens >= unsafeProbeTokens)
+	idempotent := func(m *message) bool { return m.class.Effect != Unsafe }
+	return idempotent(msg) ||
+		!slices.ContainsFunc(msg.destination.queue, idempotent) && (route.neverRan || route.tokens >= unsafeProbeTokens)
 }
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -8,35 +8,35 @@
 // A delivery long after the last failure says that the destination has been back for a while: the slow start
 // counts from half way between the two.
 func TestSlowStart_LateDelivery_CountsFromHalfWay(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.deliver(20, 300*ms)
-	d := r.sender.destinationOrder[0].routes[0]
-	r.sender.restrictToProbes(d, ejected)
-	failed := r.sender.now
-	r.now += 8 * time.Second
-	r.step(Event{Kind: Woken})
-	r.sender.recordSuccess(d)
-	if ago := r.sender.now - d.healthSince; d.health != recovering || ago != (r.sender.now-failed)/2 {
-		t.Errorf("%s since %v of %v", healthText[d.health], ago, r.sender.now-failed)
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	harness.deliver(20, 300*ms)
+	d := harness.sender.destinationOrder[0].routes[0]
+	harness.sender.restrictToProbes(d, ejected)
+	failed := harness.sender.now
+	harness.now += 8 * time.Second
+	harness.step(Event{Kind: Woken})
+	harness.sender.recordSuccess(d)
+	if ago := harness.sender.now - d.healthSince; d.health != recovering || ago != (harness.sender.now-failed)/2 {
+		t.Errorf("%s since %v of %v", healthText[d.health], ago, harness.sender.now-failed)
 	}
 }
 
 // An answer that can't be read says nothing against the endpoint: it is up, and took its usual time.
 func TestMalformedAnswers_InARow_DoNotEject(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.deliver(5, 100*ms)
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	harness.deliver(5, 100*ms)
 	for i := range uint64(4) {
-		r.step(r.arrive(i, 0))
-		r.now += 100 * ms
-		acts := r.step(outcome(i, 0, 1, Malformed))
+		harness.step(harness.arrive(i, 0))
+		harness.now += 100 * ms
+		acts := harness.step(outcome(i, 0, 1, Malformed))
 		if got := actionsOf(acts, Send); len(got) != 1 || got[0].ID != i {
 			t.Fatalf("after %d spoilt answers: sent %v, want the message again", i+1, got)
 		}
-		r.now += 100 * ms
-		r.step(outcome(i, 1, 1, Delivered))
+		harness.now += 100 * ms
+		harness.step(outcome(i, 1, 1, Delivered))
 	}
-	r.step(r.arrive(9, 2))
-	if r.step(outcome(9, 0, 1, Malformed)); len(actionsOf(r.out, Fail)) != 1 {
+	harness.step(harness.arrive(9, 2))
+	if harness.step(outcome(9, 0, 1, Malformed)); len(actionsOf(harness.out, Fail)) != 1 {
 		t.Error("it proves that the message ran: one that must not run twice has failed")
 	}
 }
@@ -44,9 +44,9 @@
 // Connections are reset one at a time where nothing is wrong with the destination, also where it has just returned:
 // that does not eject it. An error of one that has just returned does.
 func TestResets_FewInARow_DoNotEject(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	r.deliver(5, 100*ms)
-	d := r.sender.endpoints[1].route
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	harness.deliver(5, 100*ms)
+	d := harness.sender.endpoints[1].route
 	for i, c := range []struct {
 		health health
 		res    Result
@@ -54,13 +54,13 @@
 	}{{healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Delivered, healthy},
 		{recovering, Reset, recovering}, {recovering, Errored, ejected}} {
 		if d.health != c.health {
-			r.sender.setHealth(d, c.health)
+			harness.sender.setHealth(d, c.health)
 		}
 		id := uint64(i)
-		m := &message{id: id, class: &r.sender.settings.Classes[1], destination: d.destination, sentAt: r.now}
-		r.now += 50 * ms
-		r.sender.now = r.now
-		if r.sender.recordOutcome(m, r.sender.endpoints[1], &Event{Result: c.res}); d.health != c.want {
+		m := &message{id: id, class: &harness.sender.settings.Classes[1], destination: d.destination, sentAt: harness.now}
+		harness.now += 50 * ms
+		harness.sender.now = harness.now
+		if harness.sender.recordOutcome(m, harness.sender.endpoints[1], &Event{Result: c.res}); d.health != c.want {
 			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, d.health, c.want)
 		}
 	}
@@ -69,17 +69,17 @@
 // A limit that is used up refuses calls in a row, which is no outage: an outage would be followed by a slow start.
 func TestRefusals_LimitUsedUp_DoNotEject(t *testing.T) {
 	for share, want := range map[float64]health{0: healthy, 1: ejected} {
-		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.deliver(5, 100*ms)
-		r.wait(4 * time.Second)
+		harness := newHarness(t, settings(), Endpoint{ID: 1})
+		harness.deliver(5, 100*ms)
+		harness.wait(4 * time.Second)
 		for id := uint64(1); id < 40; id++ {
-			for _, a := range actionsOf(append(r.step(r.arrive(id, 2)), r.wait(time.Second)...), Send) {
-				ev := outcome(a.ID, r.sender.messages[a.ID].attempts-1, 1, Throttled)
+			for _, a := range actionsOf(append(harness.step(harness.arrive(id, 2)), harness.wait(time.Second)...), Send) {
+				ev := outcome(a.ID, harness.sender.messages[a.ID].attempts-1, 1, Throttled)
 				ev.Reported, ev.Remaining, ev.Limit = true, share, 4
-				r.step(ev)
+				harness.step(ev)
 			}
 		}
-		if got := r.sender.endpoints[1].route.health; got != want {
+		if got := harness.sender.endpoints[1].route.health; got != want {
 			t.Errorf("refused for 40 s with a share of %v left: %s, want %s", share, healthText[got], healthText[want])
 		}
 	}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -105,60 +105,60 @@
 
 	// When, then: a restart gains nothing.
 	if _, _, runsOn := p.Solve(0, []*LatencyTable{c}, 3).Attempt(c, 3); !runsOn {
-		t.Error("the attempt is cut although resent requests take far longer")
+		t.Error("the plan restarts an attempt although retries take far longer")
 	}
 }
 
 func TestPlanner_SameCalls_AgreesWithSender(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
+	rapid.Check(t, func(rapidT *rapid.T) {
 		// Given tables with the same calls in a planner and in a sender's own types.
-		p := NewPlanner(plannerLongest)
-		edges, common := p.sender.bounds, p.NewTable()
+		planner := NewPlanner(plannerLongest)
+		edges, common := planner.sender.bounds, planner.NewTable()
 		var tables []*LatencyTable
 		own := destinationState{latencies: latencyTable{counts: make([]float64, len(edges))}}
 		sender := Sender{bounds: edges, allLatencies: latencyTable{counts: make([]float64, len(edges))}}
-		for range rapid.IntRange(1, 5).Draw(rt, "endpoints") {
-			c, e := p.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(edges))}}
-			for range rapid.IntRange(0, 12).Draw(rt, "calls") {
-				elapsed := time.Duration(rapid.IntRange(1, 9000).Draw(rt, "ms")) * time.Millisecond
+		for range rapid.IntRange(1, 5).Draw(rapidT, "endpoints") {
+			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(edges))}}
+			for range rapid.IntRange(0, 12).Draw(rapidT, "calls") {
+				elapsed := time.Duration(rapid.IntRange(1, 9000).Draw(rapidT, "ms")) * time.Millisecond
 				x := elapsed.Seconds()
-				switch rapid.IntRange(0, 3).Draw(rt, "outcome") {
+				switch rapid.IntRange(0, 3).Draw(rapidT, "outcome") {
 				case 0:
-					c.AddFailed(0)
+					table.AddFailed(0)
 					common.AddFailed(0)
-					e.own.observeFailure(0)
+					endpoint.own.observeFailure(0)
 					own.latencies.observeFailure(0)
 				case 1:
-					c.AddCensored(0, elapsed)
+					table.AddCensored(0, elapsed)
 					common.AddCensored(0, elapsed)
-					e.own.observeCensored(0, edges, x)
+					endpoint.own.observeCensored(0, edges, x)
 					own.latencies.observeCensored(0, edges, x)
 				default:
-					c.Add(0, elapsed)
+					table.Add(0, elapsed)
 					common.Add(0, elapsed)
-					e.own.observe(0, edges, x)
+					endpoint.own.observe(0, edges, x)
 					own.latencies.observe(0, edges, x)
 				}
 			}
-			tables, own.endpoints = append(tables, c), append(own.endpoints, e)
+			tables, own.endpoints = append(tables, table), append(own.endpoints, endpoint)
 		}
-		now := time.Duration(rapid.IntRange(0, 60).Draw(rt, "age")) * time.Second
+		now := time.Duration(rapid.IntRange(0, 60).Draw(rapidT, "age")) * time.Second
 		sender.now = now
 
 		// When both are pooled and solved.
-		p.Pool(now, common, tables)
-		solved := p.Solve(now, tables, 4)
+		planner.Pool(now, common, tables)
+		solved := planner.Solve(now, tables, 4)
 		sender.poolLatencies(&own)
 		var want restartPlan
 		want.solve(edges, own.endpoints, 4, sender.retryPenalty(), now)
 
 		// Then every figure is the same.
 		if diff := cmp.Diff(want.expected, solved.plan.expected); diff != "" {
-			rt.Fatalf("expected times (-sender +planner):\n%s", diff)
+			rapidT.Fatalf("expected times (-sender +planner):\n%s", diff)
 		}
 		for i, c := range tables {
 			if diff := cmp.Diff(own.endpoints[i].pooled.counts, c.endpoint.pooled.counts); diff != "" {
-				rt.Fatalf("table %d (-sender +planner):\n%s", i, diff)
+				rapidT.Fatalf("table %d (-sender +planner):\n%s", i, diff)
 			}
 		}
 	})
--- a/control/restart_plan_test.go
+++ b/control/restart_plan_test.go
@@ -78,38 +78,38 @@
 	for i := range 62 {
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i / 2})
 	}
-	r := newHarness(t, settings(), eps...)
+	harness := newHarness(t, settings(), eps...)
 	for d := range 30 { // one call to each of thirty destinations, every tenth one slow
-		ev := r.arrive(uint64(100+d), 0)
+		ev := harness.arrive(uint64(100+d), 0)
 		ev.Destination = d
-		sent := actionsOf(r.step(ev), Send)[0]
+		sent := actionsOf(harness.step(ev), Send)[0]
 		took := 100 * ms
 		if d%10 == 0 {
 			took = 3 * time.Second
 		}
-		r.now += took
-		r.step(outcome(ev.ID, 0, sent.Endpoint, Delivered))
+		harness.now += took
+		harness.step(outcome(ev.ID, 0, sent.Endpoint, Delivered))
 	}
-	ev := r.arrive(1, 0)
+	ev := harness.arrive(1, 0)
 	ev.Destination = 30
-	first := actionsOf(r.step(ev), Send)[0]
+	first := actionsOf(harness.step(ev), Send)[0]
 	if first.For >= time.Second || first.For < 100*ms {
 		t.Errorf("a call to an endpoint never called before may last %v, want a time-out of the plan", first.For)
 	}
-	e := r.sender.endpoints[first.Endpoint]
-	r.now += 100 * ms
-	r.step(outcome(1, 0, first.Endpoint, Delivered))
+	e := harness.sender.endpoints[first.Endpoint]
+	harness.now += 100 * ms
+	harness.step(outcome(1, 0, first.Endpoint, Delivered))
 	for range 40 {
-		e.own.observe(r.sender.now, r.sender.bounds, 1)
-		e.destination.latencies.observe(r.sender.now, r.sender.bounds, 1)
+		e.own.observe(harness.sender.now, harness.sender.bounds, 1)
+		e.destination.latencies.observe(harness.sender.now, harness.sender.bounds, 1)
 	}
-	r.sender.poolLatencies(e.destination)
+	harness.sender.poolLatencies(e.destination)
 	sum := e.pooled.failed
 	for _, v := range e.pooled.counts {
 		sum += v
 	}
 	wantNear(t, "pooled calls", sum, e.pooled.total)
-	if m := e.pooled.quantile(r.sender.bounds, 0.5); m < 0.9 || m > 1.3 {
+	if m := e.pooled.quantile(harness.sender.bounds, 0.5); m < 0.9 || m > 1.3 {
 		t.Errorf("median %v after forty own calls of 1 s", m)
 	}
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -6,20 +6,20 @@
 )
 
 // No effect twice: an unsafe message that may have run fails; one that never ran goes again.
-func TestUnsafeMessage_MayHaveRun_IsNotSentAgain(t *testing.T) {
+func TestUnsafeMessage_MayHaveRun_IsNotRetried(t *testing.T) {
 	for _, res := range []Result{Errored, Reset, TimedOut, Unknown, Result(77)} {
-		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.step(r.arrive(1, 2))
-		acts := append(r.step(outcome(1, 0, 1, res)), r.wait(3*time.Second)...)
+		harness := newHarness(t, settings(), Endpoint{ID: 1})
+		harness.step(harness.arrive(1, 2))
+		acts := append(harness.step(outcome(1, 0, 1, res)), harness.wait(3*time.Second)...)
 		if len(actionsOf(acts, Fail)) != 1 || len(actionsOf(acts, Send))+len(actionsOf(acts, Refuse)) != 0 {
 			t.Errorf("result %d: %v", res, acts)
 		}
 	}
 	for _, res := range []Result{Throttled, NoConnection, NotProcessed} {
-		r := newHarness(t, settings(), Endpoint{ID: 1})
-		r.step(r.arrive(1, 2))
-		r.now += time.Second
-		acts := append(r.step(outcome(1, 0, 1, res)), r.wait(12*time.Second)...)
+		harness := newHarness(t, settings(), Endpoint{ID: 1})
+		harness.step(harness.arrive(1, 2))
+		harness.now += time.Second
+		acts := append(harness.step(outcome(1, 0, 1, res)), harness.wait(12*time.Second)...)
 		if len(actionsOf(acts, Send)) != 1 || len(actionsOf(acts, Fail)) != 0 {
 			t.Errorf("result %d: %v", res, acts)
 		}
@@ -28,11 +28,11 @@
 
 // A keyed message that may have run goes only to its group, inside its window.
 func TestKeyedMessage_MayHaveRun_StaysInGroupAndWindow(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
-	r.deliver(20, 100*ms)
-	first := actionsOf(r.step(r.arrive(1, 1)), Send)[0].Endpoint
-	acts := r.step(outcome(1, 0, first, Errored))
-	acts = append(acts, r.wait(6*time.Second)...)
+	harness := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
+	harness.deliver(20, 100*ms)
+	first := actionsOf(harness.step(harness.arrive(1, 1)), Send)[0].Endpoint
+	acts := harness.step(outcome(1, 0, first, Errored))
+	acts = append(acts, harness.wait(6*time.Second)...)
 	sends := actionsOf(acts, Send)
 	for _, a := range sends {
 		if a.Endpoint != first {
@@ -42,7 +42,7 @@
 	if len(sends) != 1 {
 		t.Fatalf("resends: %v", sends)
 	}
-	acts = append(r.step(outcome(1, 1, first, Errored)), r.wait(6*time.Second)...)
+	acts = append(harness.step(outcome(1, 1, first, Errored)), harness.wait(6*time.Second)...)
 	if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, Fail)) != 1 || len(actionsOf(acts, Refuse)) != 0 {
 		t.Errorf("after its window: %v", acts)
 	}
@@ -55,24 +55,24 @@
 		class int
 		sends int
 	}{{0, 1}, {1, 0}, {2, 0}, {3, 1}} {
-		r := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
-		ev := r.arrive(1, c.class)
-		ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1, true, r.now-100*ms, 9
-		acts := append(r.step(ev), r.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 9, Zone: 0}}})...)
-		if acts = append(acts, r.wait(500*ms)...); len(actionsOf(acts, Send)) != c.sends {
+		harness := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
+		ev := harness.arrive(1, c.class)
+		ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1, true, harness.now-100*ms, 9
+		acts := append(harness.step(ev), harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 9, Zone: 0}}})...)
+		if acts = append(acts, harness.wait(500*ms)...); len(actionsOf(acts, Send)) != c.sends {
 			t.Errorf("class %d: %v, want %d calls", c.class, actionsOf(acts, Send), c.sends)
 		}
 	}
 }
 
 // Waits are heeded, for the destination, or for the one route where its endpoints are separate routes.
-func TestRoute_ToldToWait_GetsNothing(t *testing.T) {
+func TestRoute_RetryAfter_GetsNothing(t *testing.T) {
 	for kind, want := range map[int]int{0: 0, 1: 1} {
-		r := newHarness(t, settings(), Endpoint{ID: 1, Kind: kind}, Endpoint{ID: 2, Kind: kind})
-		to := actionsOf(r.step(r.arrive(1, 2)), Send)[0].Endpoint
+		harness := newHarness(t, settings(), Endpoint{ID: 1, Kind: kind}, Endpoint{ID: 2, Kind: kind})
+		to := actionsOf(harness.step(harness.arrive(1, 2)), Send)[0].Endpoint
 		ev := outcome(1, 0, to, Throttled)
 		ev.RetryAfter = time.Second
-		acts := append(r.step(ev), r.wait(975*ms)...)
+		acts := append(harness.step(ev), harness.wait(975*ms)...)
 		if got := actionsOf(acts, Send); len(got) != want || want == 1 && got[0].Endpoint == to {
 			t.Errorf("kind %d: sent during the wait: %v", kind, got)
 		}
@@ -81,29 +81,29 @@
 
 // Messages of a key keep their order, and wait after an attempt that may still be running.
 func TestOrderedKey_SeveralMessages_GoOneAtATime(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	evs := []Event{r.arrive(1, 3), r.arrive(2, 3), r.arrive(3, 3)}
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	evs := []Event{harness.arrive(1, 3), harness.arrive(2, 3), harness.arrive(3, 3)}
 	for i := range evs {
 		evs[i].Key = 9
 	}
-	if got := actionsOf(r.step(evs...), Send); len(got) != 1 || got[0].ID != 1 {
+	if got := actionsOf(harness.step(evs...), Send); len(got) != 1 || got[0].ID != 1 {
 		t.Fatalf("first turn: %v", got)
 	}
-	r.now += 100 * ms
-	if got := actionsOf(r.step(outcome(1, 0, 1, Delivered)), Send); len(got) != 1 || got[0].ID != 2 {
+	harness.now += 100 * ms
+	if got := actionsOf(harness.step(outcome(1, 0, 1, Delivered)), Send); len(got) != 1 || got[0].ID != 2 {
 		t.Fatalf("second turn: %v", got)
 	}
-	r.now += 100 * ms
-	acts := r.step(Event{Kind: Withdrawn, ID: 2})
+	harness.now += 100 * ms
+	acts := harness.step(Event{Kind: Withdrawn, ID: 2})
 	if len(actionsOf(acts, Cancel)) != 1 || len(actionsOf(acts, Send)) != 0 {
 		t.Fatalf("withdrawn with an attempt out: %v", acts)
 	}
-	acts = r.step(outcome(2, 0, 1, Cancelled))
-	acts = append(acts, r.wait(975*ms)...)
+	acts = harness.step(outcome(2, 0, 1, Cancelled))
+	acts = append(acts, harness.wait(975*ms)...)
 	if len(actionsOf(acts, Send)) != 0 {
 		t.Errorf("the key did not rest: %v", acts)
 	}
-	if acts = r.wait(100 * ms); len(actionsOf(acts, Send)) != 1 {
+	if acts = harness.wait(100 * ms); len(actionsOf(acts, Send)) != 1 {
 		t.Errorf("after the rest: %v", acts)
 	}
 }
@@ -113,26 +113,26 @@
 func TestDispatch_ShortOfSlots_PrefersValueForSlotTime(t *testing.T) {
 	set := settings()
 	set.Slots = 3
-	r := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
-	r.deliver(8, 200*ms)
+	harness := newHarness(t, set, Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 1})
+	harness.deliver(8, 200*ms)
 	to := func(id uint64, dest int) Event {
-		ev := r.arrive(id, 2)
+		ev := harness.arrive(id, 2)
 		ev.Destination = dest
 		return ev
 	}
 	for id := range uint64(8) {
-		sent := actionsOf(r.step(to(100+id, 1)), Send)
-		r.now += 200 * ms
-		r.step(outcome(sent[0].ID, 0, 2, Delivered))
-		r.now += 200 * ms
-	}
-	r.step(to(1, 0), to(2, 1))
-	r.now += ms
-	r.step(to(5, 1)) // all slots are taken
-	r.now += 100 * ms
-	r.step(to(3, 0), to(4, 1))
-	r.wait(700 * ms)
-	sent := actionsOf(r.step(outcome(5, 0, 2, Delivered)), Send)
+		sent := actionsOf(harness.step(to(100+id, 1)), Send)
+		harness.now += 200 * ms
+		harness.step(outcome(sent[0].ID, 0, 2, Delivered))
+		harness.now += 200 * ms
+	}
+	harness.step(to(1, 0), to(2, 1))
+	harness.now += ms
+	harness.step(to(5, 1)) // all slots are taken
+	harness.now += 100 * ms
+	harness.step(to(3, 0), to(4, 1))
+	harness.wait(700 * ms)
+	sent := actionsOf(harness.step(outcome(5, 0, 2, Delivered)), Send)
 	if len(sent) != 1 || sent[0].ID != 4 {
 		t.Errorf("the free slot went to %v, want message 4: the call to the other destination is far older than usual", sent)
 	}
@@ -158,33 +158,33 @@
 // The plan's endpoint and time-out decide a safe message; beyond the retry budget calls run on; unsafe
 // messages have one call that lasts their time left; keyed ones are restarted only where they may be sent again.
 func TestSend_PlanDecidesEndpointAndTimeout(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		class    int
 		budget   float64
 		restarts bool
 	}{{"safe", 0, 5, true}, {"safe beyond the budget", 0, 0.5, false}, {"unsafe", 2, 5, false}, {"keyed", 1, 5, true}} {
-		r := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2})
-		edges := r.sender.bounds
-		r.sender.retryTimes = [2]float64{100, 100} // resends have taken what was expected
-		r.sender.retryBudget = c.budget
+		harness := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2})
+		edges := harness.sender.bounds
+		harness.sender.retryTimes = [2]float64{100, 100} // resends have taken what was expected
+		harness.sender.retryBudget = test.budget
 		fast, slow := edges[10], edges[len(edges)-2]
-		r.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{slow: 100})
-		r.sender.endpoints[2].own = *tableOf(edges, map[float64]float64{fast: 90, slow: 10})
-		r.sender.endpoints[1].own.decayedAt, r.sender.endpoints[2].own.decayedAt = r.now, r.now
-		sent := actionsOf(r.step(r.arrive(1, c.class)), Send)
-		want := settings().Classes[c.class].Deadline
-		if c.restarts {
+		harness.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{slow: 100})
+		harness.sender.endpoints[2].own = *tableOf(edges, map[float64]float64{fast: 90, slow: 10})
+		harness.sender.endpoints[1].own.decayedAt, harness.sender.endpoints[2].own.decayedAt = harness.now, harness.now
+		sent := actionsOf(harness.step(harness.arrive(1, test.class)), Send)
+		want := settings().Classes[test.class].Deadline
+		if test.restarts {
 			want = toDuration(fast)
 		}
 		if len(sent) != 1 || sent[0].Endpoint != 2 || sent[0].For != want {
-			t.Errorf("%s: %v, want endpoint 2 for %v", c.name, sent, want)
+			t.Errorf("%s: %v, want endpoint 2 for %v", test.name, sent, want)
 			continue
 		}
-		if c.restarts {
-			r.now += want
-			if retry := actionsOf(r.step(outcome(1, 0, 2, TimedOut)), Send); len(retry) != 1 {
-				t.Errorf("%s: no resend by the plan: %v", c.name, retry)
+		if test.restarts {
+			harness.now += want
+			if retry := actionsOf(harness.step(outcome(1, 0, 2, TimedOut)), Send); len(retry) != 1 {
+				t.Errorf("%s: no resend by the plan: %v", test.name, retry)
 			}
 		}
 	}
@@ -195,12 +195,12 @@
 	for memory, cut := range map[time.Duration]bool{4 * time.Second: true, 400 * ms: false} {
 		set := settings()
 		set.Classes[1].Memory = memory
-		r := newHarness(t, set, Endpoint{ID: 1})
-		edges := r.sender.bounds
-		r.sender.retryTimes = [2]float64{100, 100}
-		r.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{edges[15]: 90, edges[len(edges)-2]: 10})
-		r.sender.endpoints[1].own.decayedAt = r.now
-		sent := actionsOf(r.step(r.arrive(1, 1)), Send)
+		harness := newHarness(t, set, Endpoint{ID: 1})
+		edges := harness.sender.bounds
+		harness.sender.retryTimes = [2]float64{100, 100}
+		harness.sender.endpoints[1].own = *tableOf(edges, map[float64]float64{edges[15]: 90, edges[len(edges)-2]: 10})
+		harness.sender.endpoints[1].own.decayedAt = harness.now
+		sent := actionsOf(harness.step(harness.arrive(1, 1)), Send)
 		if len(sent) != 1 || (sent[0].For == toDuration(edges[15])) != cut {
 			t.Errorf("window %v: %v, want it cut: %v", memory, sent, cut)
 		}
--- a/control/sender_test.go
+++ b/control/sender_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestStep_UnknownEvents_AreIgnored(t *testing.T) {
-	r := newHarness(t, settings(), Endpoint{ID: 1})
-	acts := r.step(outcome(99, 0, 1, Errored), Event{Kind: Withdrawn, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
+	harness := newHarness(t, settings(), Endpoint{ID: 1})
+	acts := harness.step(outcome(99, 0, 1, Errored), Event{Kind: Withdrawn, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
 		Event{Kind: EventKind(200)})
 	if len(acts) != 0 {
 		t.Errorf("acts on unknown messages: %v", acts)
 	}
-	r.deliver(2, 100*ms)
-	before := r.sender.now
-	r.sender.Step(before-time.Hour, nil, nil)
-	if r.sender.now != before {
+	harness.deliver(2, 100*ms)
+	before := harness.sender.now
+	harness.sender.Step(before-time.Hour, nil, nil)
+	if harness.sender.now != before {
 		t.Error("the clock went back")
 	}
 }
@@ -29,28 +29,28 @@
 	for i := range 800 {
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i / 2})
 	}
-	r := newHarness(t, settings(), eps...)
-	ev := r.arrive(1, 2)
+	harness := newHarness(t, settings(), eps...)
+	ev := harness.arrive(1, 2)
 	ev.Destination = 7
-	sent := actionsOf(r.step(ev), Send)
-	r.wait(100 * ms)
-	if n := len(r.sender.active); n != 1 || len(sent) != 1 {
+	sent := actionsOf(harness.step(ev), Send)
+	harness.wait(100 * ms)
+	if n := len(harness.sender.active); n != 1 || len(sent) != 1 {
 		t.Fatalf("%d destinations looked at with one call out (%v)", n, sent)
 	}
-	r.step(outcome(1, 0, sent[0].Endpoint, Delivered))
-	r.wait(100 * ms)
-	if n := len(r.sender.active); n != 0 {
+	harness.step(outcome(1, 0, sent[0].Endpoint, Delivered))
+	harness.wait(100 * ms)
+	if n := len(harness.sender.active); n != 0 {
 		t.Errorf("%d destinations looked at with nothing held or out", n)
 	}
 }
 
 func TestStep_SameEvents_GiveSameActions(t *testing.T) {
-	a, b := playRandomEvents(t, 42, 4000), playRandomEvents(t, 42, 4000)
+	a, b := runRandomEvents(t, 42, 4000), runRandomEvents(t, 42, 4000)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("the same events gave other actions")
 	}
-	if c := playRandomEvents(t, 43, 4000); reflect.DeepEqual(a, c) {
-		t.Error("another script gave the same actions: the script is not played")
+	if c := runRandomEvents(t, 43, 4000); reflect.DeepEqual(a, c) {
+		t.Error("other events gave the same actions: events are not applied")
 	}
 }
 
--- a/control/slots_test.go
+++ b/control/slots_test.go
@@ -5,16 +5,16 @@
 )
 
 // A destination holds at most three quarters of the slots, with two or three slots as well.
-func TestSlots_OneDestination_HoldsThreeQuarters(t *testing.T) {
+func TestSlots_OneDestination_TakesThreeQuartersAtMost(t *testing.T) {
 	for slots, want := range map[int]int{1: 1, 2: 1, 3: 2, 8: 6} {
 		set := settings()
 		set.Slots = slots
-		r := newHarness(t, set, Endpoint{ID: 1})
+		harness := newHarness(t, set, Endpoint{ID: 1})
 		var evs []Event
 		for i := range 20 {
-			evs = append(evs, r.arrive(uint64(i+1), 2))
+			evs = append(evs, harness.arrive(uint64(i+1), 2))
 		}
-		if got := len(actionsOf(r.step(evs...), Send)); got != want {
+		if got := len(actionsOf(harness.step(evs...), Send)); got != want {
 			t.Errorf("%d slots: %d calls, want %d", slots, got, want)
 		}
 	}
@@ -26,39 +26,39 @@
 	for i := range 4 {
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i})
 	}
-	r := newHarness(t, settings(), eps...)
-	r.deliver(8, 100*ms)
+	harness := newHarness(t, settings(), eps...)
+	harness.deliver(8, 100*ms)
 	id := uint64(1)
 	for range 40 {
 		var evs []Event
 		for d := 1; d < 4; d++ { // these three hang; calls to destination 0 take no time
-			ev := r.arrive(id, 2)
+			ev := harness.arrive(id, 2)
 			ev.Destination = d
 			evs = append(evs, ev)
 			id++
 		}
-		for _, a := range append(r.step(evs...), r.wait(500*ms)...) {
+		for _, a := range append(harness.step(evs...), harness.wait(500*ms)...) {
 			switch {
 			case a.Kind == Cancel:
-				r.step(outcome(a.ID, a.Attempt, 0, Cancelled))
+				harness.step(outcome(a.ID, a.Attempt, 0, Cancelled))
 			case a.Kind == Send && a.Endpoint == 1:
-				r.step(outcome(a.ID, 0, 1, Delivered))
+				harness.step(outcome(a.ID, 0, 1, Delivered))
 			}
 		}
 	}
-	acts := r.step(r.arrive(9999, 2)) // a notice would be shed: the store is full of payments
+	acts := harness.step(harness.arrive(9999, 2)) // a notice would be shed: the store is full of payments
 	for range 10 {
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i]; {
 			case a.Kind == Cancel:
-				acts = append(acts, r.step(outcome(a.ID, a.Attempt, 0, Cancelled))...)
+				acts = append(acts, harness.step(outcome(a.ID, a.Attempt, 0, Cancelled))...)
 			case a.Kind == Send && a.Endpoint == 1:
 				return
 			}
 		}
-		acts = r.wait(25 * ms)
+		acts = harness.wait(25 * ms)
 	}
-	t.Errorf("nothing went to the healthy destination, %d of %d slots in use", r.sender.slotsInUse, r.sender.settings.Slots)
+	t.Errorf("nothing went to the healthy destination, %d of %d slots in use", harness.sender.slotsInUse, harness.sender.settings.Slots)
 }
 
 // Answers lost on the way: some calls are never answered while newer ones are. They must not keep the slots.
@@ -67,28 +67,28 @@
 	for i := range 3 {
 		eps = append(eps, Endpoint{ID: uint32(i + 1), Destination: i})
 	}
-	r := newHarness(t, settings(), eps...)
-	r.deliver(8, 100*ms)
+	harness := newHarness(t, settings(), eps...)
+	harness.deliver(8, 100*ms)
 	lost, answered, sends := 0, 0, 0
 	var acts []Action
 	for id := range uint64(120) {
-		ev := r.arrive(id+1, 2)
+		ev := harness.arrive(id+1, 2)
 		ev.Destination = int(id % 3)
-		acts = append(acts, r.step(ev)...)
+		acts = append(acts, harness.step(ev)...)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i]; a.Kind {
 			case Cancel:
-				acts = append(acts, r.step(outcome(a.ID, a.Attempt, 0, Cancelled))...)
+				acts = append(acts, harness.step(outcome(a.ID, a.Attempt, 0, Cancelled))...)
 			case Send:
 				if sends++; sends%4 == 0 {
 					lost++ // its answer never comes
 				} else {
 					answered++
-					acts = append(acts, r.step(outcome(a.ID, 0, a.Endpoint, Delivered))...)
+					acts = append(acts, harness.step(outcome(a.ID, 0, a.Endpoint, Delivered))...)
 				}
 			}
 		}
-		acts = r.wait(150 * ms)
+		acts = harness.wait(150 * ms)
 	}
 	if lost < 8 || answered < 70 {
 		t.Errorf("%d calls answered, %d lost: the lost ones keep the slots", answered, lost)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -184,33 +184,33 @@
 
 // Snapshot returns the sender's state, which shares nothing with it. It must not be called during a Step.
 func (s *Sender) Snapshot() *Snapshot {
-	x := &exporter{sender: s, calls: map[*call]int{}, removed: map[*endpointState]int64{}, snap: &Snapshot{Version: SnapshotVersion,
+	export := &exporter{sender: s, calls: map[*call]int{}, removed: map[*endpointState]int64{}, snap: &Snapshot{Version: SnapshotVersion,
 		RandomState: s.rngState, Now: s.now, Steps: s.steps, Seq: s.lastSeq,
 		SlotsInUse: s.slotsInUse, OpenMessages: s.openMessages, CallsToUnhealthy: s.callsToUnhealthy, SlotStarved: s.slotStarved,
 		Budget: s.retryBudget, RetryTimes: s.retryTimes, AllLatencies: s.allLatencies.export(),
 		WakeAt: s.wakeAt, SubscribeAt: s.subscribeAt, SubscribeBackoff: s.subscribeBackoff}}
 	for _, kind := range s.kinds {
-		x.snap.Kinds = append(x.snap.Kinds, KindSnapshot{ConnectionsShortUntil: kind.connectionsShortUntil, RetryGap: kind.retryGap})
+		export.snap.Kinds = append(export.snap.Kinds, KindSnapshot{ConnectionsShortUntil: kind.connectionsShortUntil, RetryGap: kind.retryGap})
 	}
 	for _, quota := range s.quotas {
-		x.snap.Quotas = append(x.snap.Quotas, QuotaSnapshot{Tokens: quota.tokens, RefilledAt: quota.refilledAt,
+		export.snap.Quotas = append(export.snap.Quotas, QuotaSnapshot{Tokens: quota.tokens, RefilledAt: quota.refilledAt,
 			ExtraShare: quota.extraShare, Demand: quota.demand.export(), Rate: quota.rate, Total: quota.total})
 	}
 	if l := s.lease; l != nil {
-		x.snap.Lease = &LeaseSnapshot{GuaranteedShare: l.guaranteedShare, Expiry: l.expiry, KeepsGuaranteed: l.keepsGuaranteed}
+		export.snap.Lease = &LeaseSnapshot{GuaranteedShare: l.guaranteedShare, Expiry: l.expiry, KeepsGuaranteed: l.keepsGuaranteed}
 	}
 	for _, dest := range s.destinationOrder {
-		x.snap.Destinations = append(x.snap.Destinations, x.destination(dest))
+		export.snap.Destinations = append(export.snap.Destinations, export.destination(dest))
 	}
 	for _, dest := range s.active {
-		x.snap.Active = append(x.snap.Active, dest.id)
+		export.snap.Active = append(export.snap.Active, dest.id)
 	}
 	for _, endpoint := range s.idleEndpoints {
-		x.snap.IdleEndpoints = append(x.snap.IdleEndpoints, endpoint.id)
+		export.snap.IdleEndpoints = append(export.snap.IdleEndpoints, endpoint.id)
 	}
-	x.messages()
-	x.keyQueues()
-	return x.snap
+	export.messages()
+	export.keyQueues()
+	return export.snap
 }
 
 // exporter writes a sender down as plain data. Pointers become numbers: endpoints and messages go by their ids, calls and endpoints that
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -6,7 +6,7 @@
 )
 
 // The list must be asked for where it does not come by itself, and again after a failure.
-func TestSubscribe_Failures_AskAgain(t *testing.T) {
+func TestSubscribe_Failures_Retries(t *testing.T) {
 	set := settings()
 	set.MustSubscribe, set.SubscribeWithin = true, 10*time.Second
 	s, err := New(set, 1)
@@ -37,12 +37,12 @@
 // One service answers all who ask for the list, one after another: what makes eighty ask at once must not have them
 // ask in the same second, and one that asked in vain lets all others ask first.
 func TestSubscribe_ManySenders_TakeTurns(t *testing.T) {
-	for _, n := range []int{1, 3, 80, 300} {
+	for _, peers := range []int{1, 3, 80, 300} {
 		set := settings()
-		set.Peers, set.MustSubscribe, set.SubscribeWithin = n, true, 10*time.Second
+		set.Peers, set.MustSubscribe, set.SubscribeWithin = peers, true, 10*time.Second
 		for _, cause := range []string{"start", "loss", "refused"} {
 			asks, last := map[time.Duration]int{}, time.Duration(0)
-			for me := range n {
+			for me := range peers {
 				set.Index = me
 				s, err := New(set, uint64(me))
 				if err != nil {
@@ -77,8 +77,8 @@
 			for _, k := range asks {
 				busiest = max(busiest, k)
 			}
-			if limit := max(15, n/6); busiest > limit || last > 16*time.Second {
-				t.Errorf("%d senders after %s: %d asked in one second, want %d at most; the last after %v", n, cause, busiest, limit, last)
+			if limit := max(15, peers/6); busiest > limit || last > 16*time.Second {
+				t.Errorf("%d senders after %s: %d asked in one second, want %d at most; the last after %v", peers, cause, busiest, limit, last)
 			}
 		}
 	}
