--- /dev/null
+++ b/internal/relay/engine/attempt_test.go
@@ -0,0 +1,97 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/control"
+	"mastusher/internal/relay/journal"
+)
+
+// TestAttempt_SendsOfOneTurn_ShareCall: sends of one turn to one destination share a call, as in the simulator, and each item fares as
+// its own answer says.
+func TestAttempt_SendsOfOneTurn_ShareCall(t *testing.T) {
+	relay := newHarness(t, t.TempDir(), time.Now())
+	relay.front.notifiesDeliveries = true
+	var in []event
+	for _, id := range []string{"a", "b", "c", "d"} {
+		a, _ := relay.arrival(id, 1, 7, 20*time.Second)
+		in = append(in, a)
+	}
+	relay.turnAfter(0, in...)
+	step := <-relay.front.attempts
+	if len(step.Items) != 3 {
+		t.Fatalf("%d messages in the call, want the 3 that its kind carries", len(step.Items))
+	}
+	if relay.core.joins(&Attempt{To: step.To}, &message{entry: &journal.Entry{Body: make([]byte, 60<<10)}}) {
+		t.Error("a message joins a call that in Base64 would outgrow a body")
+	}
+	relay.front.accepts <- true
+	relay.answer(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
+		Outcome{Result: control.Throttled, RetryAfter: 10 * time.Second})
+	if got := <-relay.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
+		t.Errorf("notices %+v, want one of the delivery", got)
+	}
+	if relay.core.messagesByID["platform "+step.Items[1].ID] != nil || relay.core.messagesByID["platform "+step.Items[2].ID] == nil {
+		t.Error("want the finished message forgotten and the throttled one pending")
+	}
+}
+
+// TestAttempt_RecalledBeforeFirstByte_WritesNothing guards against a call whose connection comes up only after its destination has told to wait, or
+// drains: nothing of it may be written any more.
+func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
+	for name, happens := range map[string]func(relay *harness, out, on *Attempt){
+		"it is throttled": func(relay *harness, out, _ *Attempt) {
+			relay.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
+		},
+		"it drains": func(relay *harness, _, _ *Attempt) {
+			relay.turnAfter(0, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Destinations: []Destination{
+				{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			relay := newHarness(t, t.TempDir(), time.Now())
+			var steps []*Attempt
+			for _, id := range []string{"a", "b"} {
+				a, _ := relay.arrival(id, 1, 7, 20*time.Second)
+				relay.turnAfter(5*time.Millisecond, a)
+				steps = append(steps, <-relay.front.attempts)
+			}
+			if !steps[0].MayWrite() {
+				t.Fatal("the first call may not be written")
+			}
+			if happens(relay, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptBegun {
+				t.Error("want the second call alone recalled")
+			}
+		})
+	}
+	if late := (&Attempt{WriteBefore: time.Now()}); late.MayWrite() {
+		t.Error("a call may be written after its window")
+	}
+}
+
+// TestAttempt_DifferentHeaders_ShareNoCall: a call has one set of headers, so messages that differ in theirs do not share one.
+func TestAttempt_DifferentHeaders_ShareNoCall(t *testing.T) {
+	relay := newHarness(t, t.TempDir(), time.Now())
+	var in []event
+	for i, desk := range []string{"a", "b", "a"} {
+		a, _ := relay.arrival(string(rune('x'+i)), 1, 7, 20*time.Second)
+		a.msg.ExtraHeaders = []string{"X-Desk", desk}
+		in = append(in, a)
+	}
+	relay.turnAfter(0, in...)
+	for n := len(relay.core.inFlight); n > 0; n-- {
+		select {
+		case s := <-relay.front.attempts:
+			for _, it := range s.Items {
+				if d := cmp.Diff(s.Items[0].Headers, it.Headers); d != "" {
+					t.Errorf("in one call: %s", d)
+				}
+			}
+		case <-time.After(20 * time.Second):
+			t.Fatal("a call is missing")
+		}
+	}
+}
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -26,10 +26,10 @@
 // that was turned down may come again.
 func TestInspector_MessageResubmitted_FirstRulingStands(t *testing.T) {
 	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		rulings []Ruling
 		want    []Verdict
-		held    int
+		pending int
 	}{
 		"taken, then rejected":     {[]Ruling{{}, no}, []Verdict{Accepted, Accepted}, 1},
 		"taken, then out of order": {[]Ruling{{}, busy}, []Verdict{Accepted, Accepted}, 1},
@@ -39,31 +39,31 @@
 	} {
 		for _, apart := range []time.Duration{0, 5 * time.Millisecond} { // in one turn, and in two
 			t.Run(name, func(t *testing.T) {
-				r := newHarness(t, t.TempDir(), time.Now())
+				relay := newHarness(t, t.TempDir(), time.Now())
 				var replies []chan Reply
 				var both []event
-				for i, ruling := range c.rulings {
-					a, reply := r.arrival("m", 1, 7, 20*time.Second)
+				for i, ruling := range test.rulings {
+					a, reply := relay.arrival("m", 1, 7, 20*time.Second)
 					a.ruling, a.msg.ExtraHeaders = ruling, []string{"X-Turn", string(rune('0' + i))}
 					replies = append(replies, reply)
 					if both = append(both, a); apart > 0 {
-						r.turnAfter(apart, a)
+						relay.turnAfter(apart, a)
 					}
 				}
 				if apart == 0 {
-					r.turnAfter(0, both...)
+					relay.turnAfter(0, both...)
 				}
 				for i, reply := range replies {
 					got := <-reply
-					if got.Verdict != c.want[i] || got.Verdict == Rejected && (got.Status != 451 || got.Reason != "no") {
-						t.Errorf("hand-in %d: %+v, want %v", i, got, c.want[i])
+					if got.Verdict != test.want[i] || got.Verdict == Rejected && (got.Status != 451 || got.Reason != "no") {
+						t.Errorf("submission %d: %+v, want %v", i, got, test.want[i])
 					}
 				}
-				if len(r.core.messages) != c.held {
-					t.Errorf("%d messages are held", len(r.core.messages))
+				if len(relay.core.messages) != test.pending {
+					t.Errorf("%d messages are pending", len(relay.core.messages))
 				}
-				if c.held > 0 && c.rulings[0].Verdict == Accepted {
-					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-r.front.steps).Items[0].Headers); d != "" {
+				if test.pending > 0 && test.rulings[0].Verdict == Accepted {
+					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-relay.front.attempts).Items[0].Headers); d != "" {
 						t.Errorf("it is not sent as it was shaped first: %s", d)
 					}
 				}
@@ -75,14 +75,14 @@
 // TestInspector_ShapedMessage_OutlastsKill: what a message is sent as stands in the journal: after a kill nobody is asked again.
 func TestInspector_ShapedMessage_OutlastsKill(t *testing.T) {
 	dir := t.TempDir()
-	r := newHarness(t, dir, time.Now())
-	a, _ := r.arrival("m", 1, 7, 20*time.Second)
+	relay := newHarness(t, dir, time.Now())
+	a, _ := relay.arrival("m", 1, 7, 20*time.Second)
 	a.msg.ExtraHeaders, a.msg.Body = []string{"X-Desk", "sports", "X-Empty", ""}, []byte("rewritten")
-	r.turnAfter(0, a)
-	first := (<-r.front.steps).Items[0]
-	again := newHarness(t, dir, r.now.Add(time.Second))
-	again.core.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("asked again"); return Ruling{} }, sample: -1})
-	second := (<-again.front.steps).Items[0]
+	relay.turnAfter(0, a)
+	first := (<-relay.front.attempts).Items[0]
+	restarted := newHarness(t, dir, relay.now.Add(time.Second))
+	restarted.core.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("asked a second time"); return Ruling{} }, sample: -1})
+	second := (<-restarted.front.attempts).Items[0]
 	if d := cmp.Diff([]any{first.Headers, string(first.Body), first.Key}, []any{second.Headers, string(second.Body), second.Key}); d != "" {
 		t.Errorf("(-before +after the restart)\n%s", d)
 	}
@@ -91,48 +91,24 @@
 	}
 }
 
-// TestAttempt_DifferentHeaders_ShareNoCall: a call has one set of headers, so messages that differ in theirs do not share one.
-func TestAttempt_DifferentHeaders_ShareNoCall(t *testing.T) {
-	r := newHarness(t, t.TempDir(), time.Now())
-	var in []event
-	for i, desk := range []string{"a", "b", "a"} {
-		a, _ := r.arrival(string(rune('x'+i)), 1, 7, 20*time.Second)
-		a.msg.ExtraHeaders = []string{"X-Desk", desk}
-		in = append(in, a)
-	}
-	r.turnAfter(0, in...)
-	for n := len(r.core.inFlight); n > 0; n-- {
-		select {
-		case s := <-r.front.steps:
-			for _, it := range s.Items {
-				if d := cmp.Diff(s.Items[0].Headers, it.Headers); d != "" {
-					t.Errorf("in one call: %s", d)
-				}
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatal("a call is missing")
-		}
-	}
-}
-
 // TestInspector_Answer_SeenBeforeModule: the module hears of an answer what the inspector has made of it, and an end is told once.
 func TestInspector_Answer_SeenBeforeModule(t *testing.T) {
-	r := newHarness(t, t.TempDir(), time.Now())
+	relay := newHarness(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
 		if d := cmp.Diff(&AnswerSample{503, map[string][]string{"X-Why": {"shut"}}, []byte("maint")}, s.SampledAnswer()); d != "" {
 			t.Error(d)
 		}
 		outs[0].Result = control.Rejected
 	}}
-	r.core.SetInspector(i)
-	r.front.at = func(s *Attempt) []Outcome {
+	relay.core.SetInspector(i)
+	relay.front.respond = func(s *Attempt) []Outcome {
 		s.ObserveAnswer(503, map[string][]string{"X-Why": {"shut"}}, []byte("maintenance"))
 		return []Outcome{{Result: control.Throttled}}
 	}
-	a, _ := r.arrival("m", 1, 8, 20*time.Second)
-	r.turnAfter(0, a)
-	r.turnAfter(5*time.Millisecond, <-r.core.queue)
-	if n := <-r.front.notices; len(n) != 1 || n[0].HandedBack {
+	a, _ := relay.arrival("m", 1, 8, 20*time.Second)
+	relay.turnAfter(0, a)
+	relay.turnAfter(5*time.Millisecond, <-relay.core.queue)
+	if n := <-relay.front.notices; len(n) != 1 || n[0].HandedBack {
 		t.Errorf("notices %+v, want that it was given up", n)
 	}
 	if d := cmp.Diff([]End{{"m", "k", 8, 1, "given_up"}}, i.ends); d != "" {
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -10,14 +10,14 @@
 	"mastusher/internal/relay/journal"
 )
 
-// watched is a front whose watches the test speaks for, each for itself.
-type watched struct {
+// watchedFront is a front whose watches the test reports for, each for itself.
+type watchedFront struct {
 	*fakeFront
-	told chan func(EndpointList)
+	changes chan func(EndpointList) // the callback of each watch that was started
 }
 
-func (w watched) Watch(ctx context.Context, after int64, changed func(EndpointList)) error {
-	w.told <- changed
+func (w watchedFront) Watch(ctx context.Context, after int64, changed func(EndpointList)) error {
+	w.changes <- changed
 	return w.fakeFront.Watch(ctx, after, changed)
 }
 
@@ -27,43 +27,43 @@
 	list := func(index int64, complete bool, state control.State) EndpointList {
 		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		before, after []EndpointList // what the old watch says before the new one speaks, and after that
 		want          control.State
 	}{
-		{"an older whole list", nil, []EndpointList{list(42, true, control.Ready)}, control.Draining},
+		{"an older complete list", nil, []EndpointList{list(42, true, control.Ready)}, control.Draining},
 		{"an older change", nil, []EndpointList{list(42, false, control.Ready)}, control.Draining},
 		{"a later one, of a discovery that was left", nil, []EndpointList{list(99, false, control.Ready)}, control.Draining},
 		{"a change before the new watch speaks", []EndpointList{list(44, false, control.Ready), list(45, false, control.Draining)}, nil, control.Draining},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			front := watched{nil, make(chan func(EndpointList), 9)}
-			r := newHarness(t, t.TempDir(), time.Now(), func(core *Core) {
+		t.Run(test.name, func(t *testing.T) {
+			front := watchedFront{nil, make(chan func(EndpointList), 9)}
+			relay := newHarness(t, t.TempDir(), time.Now(), func(core *Core) {
 				f := core.frontsInOrder[0]
 				front.fakeFront = f.Front.(*fakeFront)
 				f.Front = front
 			})
-			old := <-front.told
-			r.turnAfter(0, moved{"platform"})
-			next := <-front.told
-			say := func(to func(EndpointList), all []EndpointList) {
+			old := <-front.changes
+			relay.turnAfter(0, moved{"platform"})
+			next := <-front.changes
+			report := func(to func(EndpointList), all []EndpointList) {
 				for _, p := range all {
 					to(p)
-					r.turnAfter(0, r.core.drainQueue(nil)...)
+					relay.turnAfter(0, relay.core.drainQueue(nil)...)
 				}
 			}
-			say(old, c.before)
-			if len(c.after) > 0 {
-				say(next, []EndpointList{list(43, false, control.Draining)})
+			report(old, test.before)
+			if len(test.after) > 0 {
+				report(next, []EndpointList{list(43, false, control.Draining)})
 			}
-			say(old, c.after)
-			f := r.core.frontsInOrder[0]
-			if got := r.core.destinations[f.listed["s-2"]].State; got != c.want {
-				t.Errorf("s-2 is in state %v, want %v", got, c.want)
+			report(old, test.after)
+			f := relay.core.frontsInOrder[0]
+			if got := relay.core.destinations[f.listed["s-2"]].State; got != test.want {
+				t.Errorf("s-2 is in state %v, want %v", got, test.want)
 			}
-			if say(next, []EndpointList{list(46, false, control.Removed)}); r.core.destinations[f.listed["s-2"]].State != control.Removed {
-				t.Error("what the new watch tells is not heard any more")
+			if report(next, []EndpointList{list(46, false, control.Removed)}); relay.core.destinations[f.listed["s-2"]].State != control.Removed {
+				t.Error("reports of the new watch are ignored")
 			}
 		})
 	}
@@ -73,12 +73,12 @@
 // where what the relay misses counts as told soon.
 func TestWatch_Lost_ReopenedByItsCause(t *testing.T) {
 	broke := errors.New("reset")
-	for _, c := range []struct {
-		name string
-		ask  bool
-		told bool // it had told a list
-		err  error
-		want time.Duration // below 0: the module is asked
+	for _, test := range []struct {
+		name          string
+		mustSubscribe bool
+		up            bool // it had reported a list
+		err           error
+		want          time.Duration // below 0: the module is asked
 	}{
 		{"asked for, silent", true, true, ErrWatchTimeout, 200 * time.Millisecond},
 		{"pushed, silent", false, true, ErrWatchTimeout, 200 * time.Millisecond},
@@ -87,18 +87,18 @@
 		{"pushed, broken", false, true, broke, 0},
 		{"pushed, never up", false, false, broke, 50 * time.Millisecond},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newHarness(t, t.TempDir(), time.Now())
-			<-r.front.watches
-			r.core.settings.MustSubscribe, r.core.settings.Peers, r.core.settings.Index = c.ask, 4, 1
-			r.core.limits.WatchSpread, r.core.limits.WatchRetry = 800*time.Millisecond, 50*time.Millisecond
-			f := r.core.frontsInOrder[0]
-			if c.told {
-				r.turnAfter(0, listChanged{f, f.lastWatch, EndpointList{Index: 43}})
+		t.Run(test.name, func(t *testing.T) {
+			relay := newHarness(t, t.TempDir(), time.Now())
+			<-relay.front.watches
+			relay.core.settings.MustSubscribe, relay.core.settings.Peers, relay.core.settings.Index = test.mustSubscribe, 4, 1
+			relay.core.limits.WatchSpread, relay.core.limits.WatchRetry = 800*time.Millisecond, 50*time.Millisecond
+			f := relay.core.frontsInOrder[0]
+			if test.up {
+				relay.turnAfter(0, listChanged{f, f.lastWatch, EndpointList{Index: 43}})
 			}
-			watchEnded{f, f.lastWatch, c.err}.apply(r.core, r.now)
-			asked := len(r.core.moduleEvents) == 1 && r.core.moduleEvents[0].Kind == control.ListFailed
-			if got := r.core.watchAt.Sub(r.now); asked != (c.want < 0) || !asked && got != c.want {
+			watchEnded{f, f.lastWatch, test.err}.apply(relay.core, relay.now)
+			asked := len(relay.core.moduleEvents) == 1 && relay.core.moduleEvents[0].Kind == control.ListFailed
+			if got := relay.core.watchAt.Sub(relay.now); asked != (test.want < 0) || !asked && got != test.want {
 				t.Errorf("opened again after %v, the module is asked %v", got, asked)
 			}
 		})
@@ -124,17 +124,17 @@
 		}
 	}
 	_ = log.Close()
-	r := newHarness(t, dir, now.Add(-time.Hour))
+	relay := newHarness(t, dir, now.Add(-time.Hour))
 	// The keyed one may be handed back: its partner's endpoints all know its key, whatever the time is.
-	if n := <-r.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
+	if n := <-relay.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
 		t.Errorf("notices %+v", n)
 	}
-	step := <-r.front.steps
-	if step.Items[0].ID != "safe" || len(r.front.steps) != 0 {
-		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(r.front.steps))
+	step := <-relay.front.attempts
+	if step.Items[0].ID != "safe" || len(relay.front.attempts) != 0 {
+		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(relay.front.attempts))
 	}
-	for _, m := range r.core.messages {
-		if k := &r.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(r.now.Add(k.Deadline)) && !m.entry.NoticePending {
+	for _, m := range relay.core.messages {
+		if k := &relay.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(relay.now.Add(k.Deadline)) && !m.entry.NoticePending {
 			t.Errorf("%s has time until %v, more than its class gives", m.entry.ID, m.entry.Deadline)
 		}
 	}
@@ -143,21 +143,21 @@
 // TestSubmit_IDEndedWithNotice_RepeatsThatEnd: an id that comes again when its message has ended with a notice is told that end, before the notice was taken and after:
 // its client may never have heard that it was taken on, and would wait for another.
 func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
-	r := newHarness(t, t.TempDir(), time.Now())
-	r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 9
-	a, first := r.arrival("m", 0, 8, 10*time.Second)
-	r.turnAfter(0, a)
+	relay := newHarness(t, t.TempDir(), time.Now())
+	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
+	a, first := relay.arrival("m", 0, 8, 10*time.Second)
+	relay.turnAfter(0, a)
 	<-first
-	<-r.front.steps
-	r.answer(Outcome{Result: control.Rejected})
+	<-relay.front.attempts
+	relay.answer(Outcome{Result: control.Rejected})
 	for _, taken := range []bool{false, true} {
 		if taken {
-			r.front.taken <- true
-			r.turnAfter(5*time.Millisecond, <-r.core.queue)
+			relay.front.accepts <- true
+			relay.turnAfter(5*time.Millisecond, <-relay.core.queue)
 		}
-		b, second := r.arrival("m", 0, 8, 10*time.Second)
-		r.turnAfter(5*time.Millisecond, b)
-		if got := <-second; got.Verdict != Failed || len(r.front.steps) != 0 {
+		b, second := relay.arrival("m", 0, 8, 10*time.Second)
+		relay.turnAfter(5*time.Millisecond, b)
+		if got := <-second; got.Verdict != Failed || len(relay.front.attempts) != 0 {
 			t.Errorf("given up, notice taken %v: the same id is answered %+v", taken, got)
 		}
 	}
@@ -166,28 +166,28 @@
 // TestSubmit_IDEndedLately_IsNoNewMessage: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
 func TestSubmit_IDEndedLately_IsNoNewMessage(t *testing.T) {
 	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
-		r := newHarness(t, t.TempDir(), time.Now())
-		r.core.limits.EndedRetention, r.core.limits.MaxEnded = 5*time.Second, 2
-		a, first := r.arrival("m", 0, 8, 10*time.Second)
-		r.turnAfter(0, a)
+		relay := newHarness(t, t.TempDir(), time.Now())
+		relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 2
+		a, first := relay.arrival("m", 0, 8, 10*time.Second)
+		relay.turnAfter(0, a)
 		<-first
-		<-r.front.steps
-		r.answer(outcome)
-		again := func(after time.Duration) bool {
-			b, second := r.arrival("m", 0, 8, 10*time.Second)
-			b.submittedAt = r.now.Add(after)
-			r.turnAfter(after, b)
-			return (<-second).Verdict == Accepted && len(r.core.messages) == 0
+		<-relay.front.attempts
+		relay.answer(outcome)
+		resubmit := func(after time.Duration) bool {
+			b, second := relay.arrival("m", 0, 8, 10*time.Second)
+			b.submittedAt = relay.now.Add(after)
+			relay.turnAfter(after, b)
+			return (<-second).Verdict == Accepted && len(relay.core.messages) == 0
 		}
-		if !again(time.Second) || len(r.front.steps) != 0 {
+		if !resubmit(time.Second) || len(relay.front.attempts) != 0 {
 			t.Errorf("after %v the same id is a new message", outcome)
 		}
-		r.core.remember(&message{front: r.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, r.now.Add(6*time.Second))
-		if again(time.Second) {
-			t.Error("ids are kept for good")
+		relay.core.remember(&message{front: relay.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, relay.now.Add(6*time.Second))
+		if resubmit(time.Second) {
+			t.Error("ids are remembered forever")
 		}
-		if n := len(r.core.endings.oldestFirst); n != 1 || len(r.core.endings.verdicts) != 1 {
-			t.Errorf("%d ids are kept", n)
+		if n := len(relay.core.endings.oldestFirst); n != 1 || len(relay.core.endings.verdicts) != 1 {
+			t.Errorf("%d ids are remembered", n)
 		}
 	}
 }
