--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -14,37 +14,38 @@
 // Item is one message of an attempt.
 type Item struct {
 	ID, Key string
-	Class   int
-	Body    []byte
-	Headers []string // that go out with it, fixed when it was taken on
+	Class   int      // index into the settings' classes
+	Body    []byte   // must not be changed
+	Headers []string // that go out with it, names and values alternating, fixed when it was accepted
 
 	ref     uint64
-	attempt int
+	attempt int // number of the message's attempt, from 0
 }
 
-// Attempt is a call to an endpoint that carries one message or several.
+// Attempt is a call to an endpoint that carries one message or several. The core builds it and doesn't change its exported fields once the
+// shell's Call has it.
 type Attempt struct {
 	To            Destination
 	Items         []Item
-	Timeout       time.Duration // how long the relay waits for it in all
+	Timeout       time.Duration // how long the relay waits for it in all, from the decision on
 	WriteBefore   time.Time     // nothing of it may be written from then on; zero: no bound
-	PolicyVersion uint64        // version of the policy that it tells its destination; 0: it tells none
+	PolicyVersion uint64        // version of the policy that the call tells its destination; 0: it tells none
 
 	number      uint64
 	scheduledAt time.Time     // when it was decided
 	startAfter  time.Time     // it waits until then, since others to its partner go first; zero: it does not
 	sampleBytes int           // bytes of the answer that an inspector wants to see; below 0: it wants none of it
-	sampled     *AnswerSample // what it is shown
+	sampled     *AnswerSample // what it is shown; nil: nothing. Belongs to the attempt's goroutine
 
-	cancel   func()
-	begin    func() bool  // writes to the journal that it begins; false: it must not
-	progress atomic.Int32 // attemptPending, attemptBegun or attemptRecalled; the front's goroutine and the core's race for it
+	cancel   func()       // of the shell's Call
+	begin    func() bool  // writes to the journal that it begins; false: it must not. Called by the attempt's goroutine
+	progress atomic.Int32 // attemptPending, attemptStarted or attemptRecalled; the front's goroutine and the core's race for it
 }
 
 // The values of Attempt.progress. It leaves attemptPending once only.
 const (
 	attemptPending  int32 = iota // nothing of it has been written
-	attemptBegun                 // its first byte may have been written
+	attemptStarted               // its first byte may have been written
 	attemptRecalled              // it was called back before that
 )
 
@@ -53,17 +54,18 @@
 	return &Attempt{To: to, Items: items, sampleBytes: sample}
 }
 
-// MayWrite is asked right before the attempt's first byte goes out, and promises that it does unless it is false.
+// MayWrite is asked by the attempt's goroutine right before the first byte goes out. True allows that byte, once, and has the journal
+// hold by then that the attempt began; false, because the attempt was recalled or its time is over, forbids to write anything.
 func (a *Attempt) MayWrite() bool { return a.MayWriteAt(time.Now()) }
 
-// MayWriteAt is MayWrite on a clock of one's own. An attempt is in the journal from here on and not before: what a kill finds
-// waiting for its connection is tried again after the restart, whatever its class.
+// MayWriteAt is MayWrite at the time now, for callers with a clock of their own. An attempt is in the journal from here on and not before:
+// what a kill finds waiting for its connection is retried after the restart, whatever its class.
 func (a *Attempt) MayWriteAt(now time.Time) bool {
 	inTime := a.WriteBefore.IsZero() || now.Before(a.WriteBefore)
-	return inTime && a.progress.CompareAndSwap(attemptPending, attemptBegun) && (a.begin == nil || a.begin())
+	return inTime && a.progress.CompareAndSwap(attemptPending, attemptStarted) && (a.begin == nil || a.begin())
 }
 
-// recall ends the attempt if nothing of it has been written.
+// recall ends the attempt if nothing of it has been written; otherwise it does nothing.
 func (a *Attempt) recall() {
 	if a.progress.CompareAndSwap(attemptPending, attemptRecalled) {
 		a.cancel()
@@ -73,15 +75,15 @@
 // Outcome is how an attempt ended for one of its items.
 type Outcome struct {
 	Result     control.Result
-	RetryAfter time.Duration // told with Full
-	Final      bool          // the message is over: no notice is outstanding
-	Reported   bool          // Share and Limit were reported
-	Share      float64
-	Limit      float64
+	RetryAfter time.Duration // with control.Throttled: before which the destination takes nothing
+	Final      bool          // the message has ended, without a notice
+	Reported   bool          // the destination has reported Share and Limit
+	Share      float64       // of Limit that is unused, 0 to 1
+	Limit      float64       // the destination's rate limit
 }
 
-// joins tells whether m fits into the call that attempt already is: as in the module, sends of one turn to one
-// destination share one. A call must also fit into one body, in Base64.
+// joins reports whether m fits into the call of attempt: as in the module, sends of one turn to one destination share a call. A call must
+// also fit into one body, in Base64, and has one set of headers.
 func (c *Core) joins(attempt *Attempt, m *message) bool {
 	perCall := 1
 	if kind := slices.Index(c.settings.KindNames, attempt.To.Kind); kind >= 0 && kind < len(c.settings.Kinds) {
@@ -91,11 +93,10 @@
 	for _, item := range append(attempt.Items, Item{ID: m.entry.ID, Key: m.entry.Key, Body: m.entry.Body}) {
 		size += 64 + 6*(len(item.ID)+len(item.Key)) + len(item.Body)*4/3
 	}
-	// One call has one set of headers.
 	return len(attempt.Items) < perCall && size <= c.limits.BodySize && slices.Equal(attempt.Items[0].Headers, m.entry.Headers)
 }
 
-// call lets an attempt go out. Its outcomes come back by the queue.
+// call has the shell make an attempt. Its outcomes come back by the queue.
 func (c *Core) call(attempt *Attempt) {
 	c.bindToMandate(attempt)
 	front := attempt.To.front
@@ -126,50 +127,50 @@
 	c.recordAction(capture.Action{Kind: capture.IdleClosed, Target: d.number})
 }
 
-// attemptEnded is handed in by the shell: an attempt with an outcome for each of its items.
+// attemptEnded is what the shell reports of an attempt: an outcome for each of its items.
 type attemptEnded struct {
 	attempt  *Attempt
 	outcomes []Outcome
 }
 
-func (e attemptEnded) apply(c *Core, now time.Time) {
+func (e attemptEnded) apply(core *Core, now time.Time) {
 	attempt := e.attempt
 	attempt.cancel()
-	delete(c.inFlight, attempt.number)
+	delete(core.inFlight, attempt.number)
 	for i, item := range attempt.Items {
 		o := e.outcomes[i]
-		m := c.messages[item.ref]
-		c.log.Debug("route step ended", "id", item.ID, "attempt", item.attempt, "destination", attempt.To.Name,
+		m := core.messages[item.ref]
+		core.log.Debug("route step ended", "id", item.ID, "attempt", item.attempt, "destination", attempt.To.Name,
 			"result", o.Result, "wait", o.RetryAfter, "over", o.Final,
 			"share", o.Share, "limit", o.Limit)
 		if m != nil && m.attempt == attempt {
 			m.attempt = nil
 		}
-		c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: item.ref, Attempt: item.attempt,
+		core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.Resolved, ID: item.ref, Attempt: item.attempt,
 			Endpoint: attempt.To.number, Result: o.Result, Final: o.Final, RetryAfter: o.RetryAfter,
 			Reported: o.Reported, Remaining: o.Share, Limit: o.Limit})
-		c.takeOutcome(m, o, now)
+		core.takeOutcome(m, o, now)
 	}
 }
 
-// takeOutcome writes down what became of a message's attempt; m is nil where the message has ended meanwhile.
+// takeOutcome journals the outcome of a message's attempt; m is nil where the message has ended meanwhile.
 func (c *Core) takeOutcome(m *message, o Outcome, now time.Time) {
 	switch {
 	case m == nil || m.entry.NoticePending: // ended before
 	case o.Result == control.Delivered && m.front.Front.NotifiesDeliveries():
 		c.addOutstanding(m, journal.Notice{Delivered: true})
 		c.journal.EndWithNotice(m.entry, m.entry.Notice)
-		c.notifyEnd(m, "delivered")
+		c.notifyEnd(m, endDelivered)
 	case o.Result == control.Delivered || o.Final:
 		c.journal.End(m.entry)
 		c.remember(m, Accepted, now)
-		c.finish(m, "delivered")
+		c.finish(m, endDelivered)
 	default:
 		c.journal.EndAttempt(m.entry, o.Result.NeverRan())
 	}
 }
 
-// inFlightNumbers are the numbers of the attempts that are out, in order.
+// inFlightNumbers are the numbers of the attempts in flight, in ascending order.
 func (c *Core) inFlightNumbers() []uint64 {
 	return slices.Sorted(maps.Keys(c.inFlight))
 }
--- a/internal/relay/engine/attempt_test.go
+++ b/internal/relay/engine/attempt_test.go
@@ -62,7 +62,7 @@
 			if !steps[0].MayWrite() {
 				t.Fatal("the first call may not be written")
 			}
-			if happens(relay, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptBegun {
+			if happens(relay, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptStarted {
 				t.Error("want the second call alone recalled")
 			}
 		})
--- a/internal/relay/engine/counters.go
+++ b/internal/relay/engine/counters.go
@@ -6,19 +6,28 @@
 // what was taken on before a restart was counted then, its end is counted where it comes about.
 type counters map[string]uint64
 
-// MaxCountedPartners bounds the partners that are counted apart, by number; those beyond count together.
+// MaxCountedPartners bounds the partners that are counted by number: those from it on are counted together, as "others".
 const MaxCountedPartners = 10
 
-// The things that are counted. An end is what tell names it.
+// What is counted beside ends, by its name in counters.
 const (
 	countTaken   = "taken"
 	countRefused = "refused"
 	countRepeats = "repeats"
 )
 
-// CounterNames are all of them.
-var CounterNames = []string{countTaken, countRefused, countRepeats, "delivered", "handed_back", "given_up", "withdrawn"}
+// The ends of a message, by their names in counters and in End.Result.
+const (
+	endDelivered  = "delivered"
+	endHandedBack = "handed_back"
+	endGivenUp    = "given_up"
+	endWithdrawn  = "withdrawn"
+)
+
+// CounterNames are the names of all that is counted.
+var CounterNames = []string{countTaken, countRefused, countRepeats, endDelivered, endHandedBack, endGivenUp, endWithdrawn}
 
+// count counts one message for its class, tenant and partner; an index that the settings don't have is not counted.
 func (c *Core) count(class, tenant, partner int, what string) {
 	if c.counters == nil {
 		return
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/capture"
 )
 
-// watch begins a watch for each front that has none.
+// watch starts a watch for each front that has none.
 func (c *Core) watch() {
 	c.watchAt = time.Time{}
 	for _, f := range c.frontsInOrder {
@@ -32,30 +32,30 @@
 	EndpointList
 }
 
-func (l listChanged) apply(c *Core, now time.Time) {
-	// What a watch reports after one that was begun later has spoken is older, also where it is a complete list; until then it counts:
-	// the relay has been told. A change of an older version adds nothing to what is known.
+func (l listChanged) apply(core *Core, now time.Time) {
+	// What a watch reports after a later watch has reported is older, also where it is a complete list; until then it counts, since the
+	// relay must follow what it has heard. A change of an older version adds nothing to what is known.
 	if l.watch < l.front.listReportedBy || !l.Complete && l.Index < l.front.listIndex {
 		return
 	}
 	l.front.listIndex, l.front.listReportedBy = l.Index, l.watch
 	listed := control.Event{Kind: control.Listed, Complete: l.Complete}
 	if l.Complete {
-		c.forgetList(l.front, now)
-		for _, f := range c.frontsInOrder { // a complete list is one front's; the others' stand
+		core.forgetList(l.front, now)
+		for _, f := range core.frontsInOrder { // a complete list is one front's; the others' stand
 			for _, number := range slices.Sorted(maps.Values(f.listed)) { // the module learns them in this order
-				listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(number, c.destinations[number]))
+				listed.Endpoints = append(listed.Endpoints, core.moduleEndpoint(number, core.destinations[number]))
 			}
 		}
 	}
 	for _, d := range l.Destinations {
-		c.listDestination(l.front, &d, now)
-		listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(d.number, &d))
+		core.listDestination(l.front, &d, now)
+		listed.Endpoints = append(listed.Endpoints, core.moduleEndpoint(d.number, &d))
 	}
-	c.moduleEvents = append(c.moduleEvents, listed)
+	core.moduleEvents = append(core.moduleEvents, listed)
 }
 
-// forgetList takes all of a front's destinations off its list; those that a new one names come back.
+// forgetList removes all of a front's destinations from its list; the caller adds those of the new list again.
 func (c *Core) forgetList(f *frontState, now time.Time) {
 	for _, number := range f.listed {
 		if d := c.destinations[number]; d.removedAt.IsZero() {
@@ -65,19 +65,19 @@
 	f.listed = map[string]uint32{}
 }
 
-// listDestination puts a destination on a front's list, or notes that it is leaving it.
+// listDestination adds a destination to a front's list, or marks it as removed, and gives it its number.
 func (c *Core) listDestination(f *frontState, d *Destination, now time.Time) {
 	d.front, d.number = f, c.destinationNumber(f, d.Name)
 	if d.State == control.Removed {
 		d.removedAt = now
 	}
-	if d.State != control.Ready { // it gets nothing new, and another may come to stand at its address
+	if d.State != control.Ready { // it gets nothing new, and another endpoint may take over its address
 		c.closeIdle(d)
 	}
 	c.destinations[d.number], f.listed[d.Name] = d, d.number
 }
 
-// moduleEndpoint is a destination as the module is told of it.
+// moduleEndpoint is a destination as the module has it.
 func (c *Core) moduleEndpoint(number uint32, d *Destination) control.Endpoint {
 	state := d.State
 	if state == control.Ready && c.isShut(d.Partner) {
@@ -94,32 +94,33 @@
 	err   error
 }
 
-func (w watchEnded) apply(c *Core, now time.Time) {
+func (w watchEnded) apply(core *Core, now time.Time) {
 	if w.watch != w.front.lastWatch || w.front.stopWatch == nil {
-		return // it was ended here, for another
+		return // the core ended it itself, for another one
 	}
 	w.front.stopWatch()
 	w.front.stopWatch = nil
-	c.log.Info("endpoint list watch lost", "front", w.front.name, "err", w.err)
+	core.log.Info("endpoint list watch lost", "front", w.front.name, "err", w.err)
 	hadReported := w.front.listReportedBy == w.watch // it had come up: discovery may be there
 	switch {
 	case hadReported && errors.Is(w.err, ErrWatchTimeout):
-		// Discovery is there and all watches have fallen silent together: what they miss counts as told soon, so each opens its
-		// own anew by itself, in a moment of its own.
-		c.watchAt = now.Add(c.limits.WatchSpread * time.Duration(c.settings.Index) / time.Duration(max(c.settings.Peers, 1)))
-	case c.settings.MustSubscribe:
-		c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed}) // the module says when to ask again
+		// Discovery is reachable and all relays' watches have fallen silent together: what they miss soon counts as known, so each relay
+		// reopens its own by itself, spread over WatchSpread.
+		core.watchAt = now.Add(core.limits.WatchSpread * time.Duration(core.settings.Index) / time.Duration(max(core.settings.Peers, 1)))
+	case core.settings.MustSubscribe:
+		core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.ListFailed}) // the module says when to retry
 	case hadReported:
-		c.watchAt = now // what the agent has counts as told at once
+		core.watchAt = now // what discovery has counts as known at once
 	default:
-		c.watchAt = now.Add(c.limits.WatchRetry)
+		core.watchAt = now.Add(core.limits.WatchRetry)
 	}
 }
 
-// DiscoveryMoved tells that a front's discovery stands somewhere else now: its watch and its notices go there at once.
+// DiscoveryMoved reports that a front's discovery has another address now: its watch and its notices go there at once. It may be called from
+// any goroutine; an unknown front is ignored.
 func (c *Core) DiscoveryMoved(front string) { c.queue <- moved{front} }
 
-// moved is a front whose discovery stands somewhere else now.
+// moved is a front whose discovery has another address now.
 type moved struct{ front string }
 
 func (v moved) apply(c *Core, now time.Time) {
@@ -129,18 +130,18 @@
 	}
 	if f.stopWatch != nil {
 		f.stopWatch()
-		f.stopWatch = nil // what it still reports of its end is out of date
+		f.stopWatch = nil // watchEnded ignores its end
 	}
 	c.watchAt = now
 	c.recordNote(now, "discovery of "+v.front+" has moved")
 	if f.cancelNotify != nil {
-		f.cancelNotify() // comes back as not taken
+		f.cancelNotify() // its notices come back as not accepted
 		f.movedMeanwhile = true
 	}
 	f.retryAt, f.backoff = now, 0
 }
 
-// destinationNumber is the module's id of a destination.
+// destinationNumber returns the module's id of a destination, a new one if it has none.
 func (c *Core) destinationNumber(f *frontState, name string) uint32 {
 	key := f.name + " " + name
 	number, ok := c.destinationNumbers[key]
@@ -155,7 +156,7 @@
 	return number
 }
 
-// serves tells whether the endpoint list names a destination of that partner, or did so until lately.
+// serves reports whether the front's endpoint list has a destination of that partner, or had one less than forgetAfter ago.
 func (c *Core) serves(f *frontState, partner int) bool {
 	for _, d := range c.destinations {
 		if d.front == f && d.Partner == partner {
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -10,14 +10,14 @@
 	"mastusher/internal/relay/journal"
 )
 
-// haltTimeout is how long a message that is handed in while a change of policy takes hold waits for that: old stops before new
-// starts, which takes some milliseconds where all relays are there.
+// haltTimeout is how long a message that is submitted while a change of policy takes hold waits for that: all relays stop under the old one
+// before any starts under the new one, which takes some milliseconds where all of them answer.
 const haltTimeout = 100 * time.Millisecond
 
 // Mandate is what the fleet lets this relay do; see capture.Mandate.
 type Mandate struct {
 	capture.Mandate
-	Until time.Time // it may act before that only
+	Until time.Time // end of the lease: the relay may act only before it; zero: it has no lease
 }
 
 // frontMandate is a Mandate as the fronts' goroutines see it.
@@ -25,11 +25,12 @@
 	until   time.Time
 	version uint64
 	halted  bool
-	changed chan struct{} // closed when another takes its place
+	changed chan struct{} // closed when another replaces it
 }
 
-// Govern has the core act as the fleet lets it from the next turn on; until the first one it acts on nothing. done is called
-// after that turn: nothing that the mandate forbids is begun from then on.
+// Govern puts a mandate in force from the next turn on. done, unless nil, is called by the core's goroutine after that turn and must not
+// block: nothing that the mandate forbids is started from then on. A relay of a fleet calls it before Restore with an empty mandate, since
+// a core without one acts freely. Calls must not overlap.
 func (c *Core) Govern(mandate Mandate, done func()) {
 	next := &frontMandate{until: mandate.Until, version: mandate.Version, halted: mandate.Halted != 0, changed: make(chan struct{})}
 	if before := c.mandate.Swap(next); before != nil {
@@ -38,43 +39,43 @@
 	c.queue <- governed{mandate, done}
 }
 
-// governed is a mandate that takes hold; done is called once it does.
+// governed is a mandate that takes hold; done is called after the turn in which it does.
 type governed struct {
 	Mandate
 	done func()
 }
 
-func (g governed) apply(c *Core, now time.Time) {
-	before := c.governor
+func (g governed) apply(core *Core, now time.Time) {
+	before := core.governor
 	if before == nil {
 		before = &capture.Mandate{}
 	}
 	mandate := g.Mandate.Mandate
 	mandate.Until = 0
 	if !g.Mandate.Until.IsZero() {
-		mandate.Until = c.clock(g.Mandate.Until)
+		mandate.Until = core.clock(g.Mandate.Until)
 	}
-	c.governor = &mandate
+	core.governor = &mandate
 	if mandate.Version != before.Version {
-		c.recordNote(now, "another policy is in force")
+		core.recordNote(now, "another policy is in force")
 	}
 	if len(mandate.Worth) > 0 || len(mandate.Quotas) > 0 {
-		c.policy.Reconfigure(mandate.Worth, mandate.Quotas)
+		core.policy.Reconfigure(mandate.Worth, mandate.Quotas)
 	}
 	if !slices.Equal(mandate.Shut, before.Shut) || !slices.Equal(mandate.Most, before.Most) {
-		c.reportLimited(before)
+		core.reportLimited(before)
 	}
 	if mandate.Halted != 0 && mandate.Halted != before.Halted {
-		for _, number := range c.inFlightNumbers() { // what has written nothing begins nothing under the policy before
-			c.inFlight[number].recall()
+		for _, number := range core.inFlightNumbers() { // what has written nothing begins nothing under the policy before
+			core.inFlight[number].recall()
 		}
 	}
 	if g.done != nil {
-		c.notifications = append(c.notifications, g.done)
+		core.notifications = append(core.notifications, g.done)
 	}
 }
 
-// reportLimited tells the module of the destinations of partners that were shut or limited by hand, or are no longer.
+// reportLimited reports to the module the destinations of partners that an operator has shut or limited, or does so no longer.
 func (c *Core) reportLimited(before *capture.Mandate) {
 	listed := control.Event{Kind: control.Listed}
 	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
@@ -95,10 +96,10 @@
 	}
 }
 
-// isShut tells whether operators have shut a partner.
+// isShut reports whether operators have shut a partner.
 func (c *Core) isShut(partner int) bool { return c.governor.Shuts(partner) }
 
-// mayAct tells whether the relay may take messages on and begin attempts.
+// mayAct reports whether the relay may accept messages and start attempts.
 func (c *Core) mayAct(now time.Time) bool {
 	return c.governor == nil || c.governor.Halted == 0 && c.governor.Until != 0 && c.clock(now) < c.governor.Until
 }
@@ -115,7 +116,7 @@
 	return limit
 }
 
-// stampPolicy notes in a message that is taken on under which policy it is.
+// stampPolicy writes into the entry of an accepted message under which policy it was accepted.
 func (c *Core) stampPolicy(e *journal.Entry) {
 	if c.governor != nil {
 		e.PolicyVersion = c.governor.Version
@@ -123,7 +124,7 @@
 	}
 }
 
-// rejectExhausted tells the module of a send that the policy does not allow: no other attempt would fare better.
+// rejectExhausted reports to the module that a send is rejected where the policy allows the message no more attempts: false, it may be sent.
 func (c *Core) rejectExhausted(m *message, a control.Action) bool {
 	if limit := c.maxAttempts(m.entry); limit == 0 || m.entry.Attempts < limit {
 		return false
@@ -132,7 +133,7 @@
 	return true
 }
 
-// bindToMandate has an attempt tell its version, and write nothing once the lease is over.
+// bindToMandate gives an attempt the version that it tells its destination, and has it write nothing once the lease is over.
 func (c *Core) bindToMandate(attempt *Attempt) {
 	if c.governor == nil {
 		return
@@ -145,8 +146,8 @@
 	}
 }
 
-// admitted tells, on a front's goroutine, whether the fleet lets this relay take a message on. While a change takes hold it
-// waits a little for that.
+// admitted reports, on a front's goroutine, whether the fleet lets this relay accept a message. While a change of policy takes hold it
+// waits for that, for haltTimeout at most.
 func (c *Core) admitted() bool {
 	mandate := c.mandate.Load()
 	if mandate == nil {
@@ -167,8 +168,8 @@
 	return time.Now().Before(mandate.until)
 }
 
-// leased tells whether this relay belongs to no fleet, or has a lease: a change that is about to take hold is no reason to send
-// clients elsewhere.
+// leased reports whether this relay belongs to no fleet, or has a lease: a change that is about to take hold is no reason to send
+// clients elsewhere. It may be called from any goroutine.
 func (c *Core) leased() bool {
 	mandate := c.mandate.Load()
 	return mandate == nil || time.Now().Before(mandate.until)
--- a/internal/relay/engine/housekeeping.go
+++ b/internal/relay/engine/housekeeping.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// housekeepingInterval is the least time between two rounds of housekeeping.
+// housekeepingInterval is the minimum time between two runs of housekeep.
 const housekeepingInterval = time.Second
 
 // housekeep closes idle connections that have grown old and forgets destinations that have long left the list, once a second at most.
@@ -17,8 +17,8 @@
 	c.forgetRemoved(now)
 }
 
-// forgetRemoved drops the destinations that left the list so long ago that no message can still be out there. The order in which it
-// walks the maps counts for nothing.
+// forgetRemoved drops the destinations that left the list so long ago that no message can still be in flight there. The order in which it
+// walks the maps does not matter.
 func (c *Core) forgetRemoved(now time.Time) {
 	for number, d := range c.destinations {
 		if !d.removedAt.IsZero() && now.Sub(d.removedAt) > c.forgetAfter {
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	for name, number := range c.destinationNumbers { // some stand only in the journal
+	for name, number := range c.destinationNumbers { // some are only in the journal
 		if c.destinations[number] == nil {
 			delete(c.destinationNumbers, name)
 		}
--- a/internal/relay/engine/inspector.go
+++ b/internal/relay/engine/inspector.go
@@ -5,16 +5,17 @@
 	"net/textproto"
 )
 
-// Inspector shapes messages on arrival, sees answers and is told of ends. Nothing of it runs between a decision and
-// its first byte.
+// Inspector shapes messages on arrival, sees answers and is told of ends. None of its methods runs between a decision and its first byte;
+// they are called from several goroutines at once.
 type Inspector interface {
 	// OnArrival rules on a message that is not taken on yet, and may set its ExtraHeaders and replace its Body. It runs on the
 	// front's goroutine and must not block for long.
 	OnArrival(front string, m *Message) Ruling
-	// SampleBytes is how many bytes of the answers to such messages OnAnswer wants to see; below 0: it need not be called.
+	// SampleBytes is how many bytes of the body of the answers to such messages OnAnswer wants to see; below 0: it need not be called. The
+	// core's goroutine calls it, and it must not block.
 	SampleBytes(front string, partner, class int) int
-	// OnAnswer sees the answer to an attempt and may make its outcomes more careful. It runs on the attempt's goroutine.
-	OnAnswer(front string, attempt *Attempt, outs []Outcome)
+	// OnAnswer sees the answer to an attempt and may make its outcomes more careful, in place. It runs on the attempt's goroutine.
+	OnAnswer(front string, attempt *Attempt, outcomes []Outcome)
 	// OnEnd is told of an end by the core's goroutine, and must not block.
 	OnEnd(front string, e End)
 }
@@ -22,11 +23,11 @@
 // Ruling is what an inspector decides on a message: with Verdict Accepted, that it may be taken on.
 type Ruling struct {
 	Verdict Verdict
-	Status  int // with Rejected: what the client is told, 4xx; 0: 422
-	Reason  string
+	Status  int    // with Rejected: the HTTP status that the client gets, 4xx; 0: 422
+	Reason  string // with Rejected: the text that the client gets
 }
 
-// End is how a message ended that was taken on.
+// End is how an accepted message ended.
 type End struct {
 	ID, Key        string
 	Partner, Class int
@@ -37,15 +38,16 @@
 type AnswerSample struct {
 	Status int
 	Header textproto.MIMEHeader
-	Body   []byte // the first bytes
+	Body   []byte // its first bytes, Inspector.SampleBytes at most
 }
 
-// ObserveAnswer is told of each answer by the front that makes the call; it keeps what an inspector wants of it.
+// ObserveAnswer is called by the front with each complete answer, on the attempt's goroutine before Call returns; it keeps a copy of what an
+// inspector wants of it.
 func (a *Attempt) ObserveAnswer(status int, header textproto.MIMEHeader, body []byte) {
 	if a.sampleBytes >= 0 {
 		a.sampled = &AnswerSample{status, header, bytes.Clone(body[:min(len(body), a.sampleBytes)])}
 	}
 }
 
-// SampledAnswer is the sampled answer to the attempt; nil: there was none, or nobody wants to see it.
+// SampledAnswer returns the sampled answer to the attempt; nil: there was none, or no inspector wants to see it.
 func (a *Attempt) SampledAnswer() *AnswerSample { return a.sampled }
--- a/internal/relay/engine/lease.go
+++ b/internal/relay/engine/lease.go
@@ -7,14 +7,14 @@
 	"mastusher/control"
 )
 
-// awaitLease has an attempt wait until the relay may act, for as long as its time-out.
+// awaitLease has an attempt wait until the relay may act, for its time-out at most.
 func (c *Core) awaitLease(attempt *Attempt) {
 	attempt.cancel = func() { attempt.progress.CompareAndSwap(attemptPending, attemptRecalled) }
 	c.awaitingLease = append(c.awaitingLease, attempt)
 }
 
-// takeStartable returns the attempts that have waited for a lease and may begin now; those that were called off, or whose time is over,
-// never began.
+// takeStartable returns the attempts that have waited for a lease and may start now; those that were recalled or have timed out end as not
+// started.
 func (c *Core) takeStartable(now time.Time) (startable []*Attempt) {
 	if len(c.awaitingLease) == 0 {
 		return nil
@@ -38,8 +38,8 @@
 	return startable
 }
 
-// paceAwaiting has the attempts that have waited for a lease go out one by one to partners that are limited by hand: the module has
-// decided them at that pace, and all at once they would be more than it.
+// paceAwaiting sets from when on each waiting attempt may start, at the rate of partners that an operator has limited: the module has decided
+// them at that rate, and all at once they would exceed it.
 func (c *Core) paceAwaiting(now time.Time, mayAct bool) {
 	next := map[int]time.Time{}
 	for _, attempt := range c.awaitingLease {
@@ -58,7 +58,7 @@
 	}
 }
 
-// recheck tells whether an attempt that has waited may begin under the policy that is in force now; otherwise it has ended.
+// recheck reports whether an attempt that has waited may start under the policy that is in force now; if not, it ends it.
 func (c *Core) recheck(attempt *Attempt, now time.Time) bool {
 	outcomes := notProcessed(attempt)
 	ok := !c.isShut(attempt.To.Partner)
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -9,48 +9,49 @@
 	"mastusher/internal/relay/journal"
 )
 
-// Message is what a front hands in. Body need only hold until Submit returns.
+// Message is what a front submits. The core copies Body: it belongs to the caller again once Submit returns.
 type Message struct {
-	ID, Key      string
-	Class        int
-	Partner      int // number of the partner system that it is for
-	Tenant       int // whose it is, by its place in the settings; below 0: nobody's
+	ID           string // unique in its front; a second message under it is a duplicate while the first is pending or has just ended
+	Key          string // by which the partner recognizes a repeat
+	Class        int    // index into the settings' classes
+	Partner      int    // number of the partner system that it is for
+	Tenant       int    // index into the settings' tenants; below 0: it belongs to none
 	Deadline     time.Time
-	Resubmitted  bool // handed in before
+	Resubmitted  bool // the client has submitted it before
 	Body         []byte
 	Header       textproto.MIMEHeader // the client's; only for an inspector
-	ExtraHeaders []string             // headers to go out with it, names and values in turn: an inspector sets them
-	MayHaveRunAt time.Time            // when an attempt began that may have run, before it was handed back; zero: none
+	ExtraHeaders []string             // headers to go out with it, names and values alternating: an inspector sets them
+	MayHaveRunAt time.Time            // when an attempt began that may have run, before the message was handed back; zero: none
 }
 
-// Verdict is the immediate answer to a message handed in.
+// Verdict is the immediate answer to a submitted message.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accepted Verdict = iota // the relay owes the message its end
-	Busy                    // a refusal: handing it in again is harmless, after RetryAfter
+	Accepted Verdict = iota // the message is in the journal: it comes to exactly one end, whatever happens to the process
+	Busy                    // refused: it may be submitted again, after RetryAfter
 	Failed                  // given up for good
-	Rejected                // an inspector turned it down; see Reason
+	Rejected                // by an inspector; see Reason
 )
 
-// Reply is the answer to a message handed in.
+// Reply is the answer to a submitted message.
 type Reply struct {
 	Verdict    Verdict
-	RetryAfter time.Duration
-	Status     int // with Rejected
-	Reason     string
+	RetryAfter time.Duration // with Busy
+	Status     int           // with Rejected; see Ruling.Status
+	Reason     string        // with Rejected
 
-	ref    uint64 // of the message that was taken on with this answer; 0: with an earlier one
-	halted bool   // a change of policy is about to take hold
+	ref    uint64 // of the message that was accepted with this answer; 0: with an earlier one
+	halted bool   // refused only because a change of policy is about to take hold
 }
 
-// Notice tells a front's clients how a message that was taken on has ended.
+// Notice tells a front's client how a message that was accepted has ended.
 type Notice struct {
 	ID           string
-	Delivered    bool // only for fronts that are told of deliveries
-	HandedBack   bool // may be handed in again, after RetryAfter; otherwise it was given up
-	RetryAfter   time.Duration
+	Delivered    bool          // only where Front.NotifiesDeliveries
+	HandedBack   bool          // it may be submitted again, after RetryAfter; if neither Delivered nor HandedBack it was given up
+	RetryAfter   time.Duration // with HandedBack
 	Class        int
 	Deadline     time.Time
 	Body         []byte
@@ -59,15 +60,15 @@
 	ref uint64
 }
 
-// message is one that the relay has taken on and that has not ended, or whose notice is outstanding.
+// message is one that the relay has accepted and that has not ended, or whose notice is outstanding.
 type message struct {
-	ref        uint64
-	submission uint64 // its number among those handed in; 0: it was there at the start
+	ref        uint64 // its number in this process; never given to another
+	submission uint64 // its number among those submitted; 0: it was there at the start
 	front      *frontState
-	entry      *journal.Entry
-	reply      chan Reply // nil once it is answered
-	refusal    *Reply     // the answer, if the module ended it in the turn of its arrival
-	attempt    *Attempt   // out now
+	entry      *journal.Entry // owned by the core and the journal together; see Journal
+	reply      chan Reply     // nil once it is answered
+	refusal    *Reply         // the answer, if the module ended it in the turn of its arrival
+	attempt    *Attempt       // in flight, or waiting for a lease; nil: none
 }
 
 // notice is the notice of a message that has ended.
@@ -109,14 +110,14 @@
 	return ev
 }
 
-// finish forgets a message that has ended and owes no notice.
+// finish forgets a message that has ended without a notice.
 func (c *Core) finish(m *message, result string) {
 	c.recordFinish(m)
 	c.drop(m)
 	c.notifyEnd(m, result)
 }
 
-// end gives a message its one final answer.
+// end gives a message the one end that the module has decided: a refusal hands it back, a failure gives it up.
 func (c *Core) end(m *message, a control.Action) {
 	if m.reply != nil { // in the turn of its arrival: a plain answer will do, and nothing is taken on
 		if m.refusal = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
@@ -128,8 +129,8 @@
 	c.addOutstanding(m, n)
 	c.journal.EndWithNotice(m.entry, n)
 	if n.HandedBack {
-		c.notifyEnd(m, "handed_back")
+		c.notifyEnd(m, endHandedBack)
 	} else {
-		c.notifyEnd(m, "given_up")
+		c.notifyEnd(m, endGivenUp)
 	}
 }
--- a/internal/relay/engine/notices.go
+++ b/internal/relay/engine/notices.go
@@ -7,14 +7,14 @@
 	"mastusher/internal/relay/journal"
 )
 
-// addOutstanding notes that a message has ended and that its client must be notified.
+// addOutstanding adds the notice of a message that has ended to those to be sent.
 func (c *Core) addOutstanding(m *message, n journal.Notice) {
 	c.outstanding++
 	m.entry.NoticePending, m.entry.Notice = true, n
 	m.front.outstanding = append(m.front.outstanding, m.notice())
 }
 
-// notify sends the notices outstanding, one call a front at a time.
+// notify sends outstanding notices, Limits.NoticesPerCall at most in a call, one call a front at a time.
 func (c *Core) notify(now time.Time) {
 	for _, f := range c.frontsInOrder {
 		if f.cancelNotify != nil || len(f.outstanding) == 0 || now.Before(f.retryAt) {
@@ -29,32 +29,32 @@
 	}
 }
 
-// notified is the end of a call with notices, with those that were accepted.
+// notified is the end of a call with notices: whether each of those sent was accepted.
 type notified struct {
 	front    *frontState
 	accepted []bool
 }
 
-func (n notified) apply(c *Core, now time.Time) {
+func (n notified) apply(core *Core, now time.Time) {
 	f := n.front
-	sent, moved := f.sending, f.movedMeanwhile // then the next goes elsewhere, and at once
+	sent, moved := f.sending, f.movedMeanwhile
 	f.cancelNotify()
 	f.cancelNotify, f.sending, f.movedMeanwhile = nil, nil, false
-	if moved || !slices.Contains(n.accepted, false) {
+	if moved || !slices.Contains(n.accepted, false) { // moved: the next call goes elsewhere, and at once
 		f.backoff = 0
 	} else { // twice as long each time in a row
-		f.backoff = min(max(2*f.backoff, c.limits.NoticeRetry), c.limits.NoticeRetryMax)
+		f.backoff = min(max(2*f.backoff, core.limits.NoticeRetry), core.limits.NoticeRetryMax)
 		f.retryAt = now.Add(f.backoff)
 	}
 	for i, notice := range sent {
-		if m := c.messages[notice.ref]; !n.accepted[i] {
+		if m := core.messages[notice.ref]; !n.accepted[i] {
 			f.outstanding = append(f.outstanding, notice)
 		} else if m != nil {
-			c.outstanding--
-			c.journal.Ack(m.entry)
-			c.remember(m, verdictOf(m.entry.Notice), now)
-			c.drop(m)
-			c.recordFinish(m)
+			core.outstanding--
+			core.journal.Ack(m.entry)
+			core.remember(m, verdictOf(m.entry.Notice), now)
+			core.drop(m)
+			core.recordFinish(m)
 		}
 	}
 }
--- a/internal/relay/engine/quota.go
+++ b/internal/relay/engine/quota.go
@@ -8,28 +8,31 @@
 	"mastusher/control"
 )
 
-// Observation is what the module has seen and needs of a destination or a tenant, with a name that is the same at all relays.
+// Observation is what the module has seen and needs of a destination or a tenant.
 type Observation struct {
 	control.Observation
-	Name string
+	Name string // the same at all relays: a tenant's, or front and destination, or front and "#" with the partner's number
 }
 
-// Observe has tell called with what the module has seen and needs, and what the core has counted, from the core's own goroutine: it must
-// not wait, nor keep the counts. The core counts from the first look on.
-func (c *Core) Observe(tell func([]Observation, map[string]uint64)) { c.queue <- observe{tell} }
+// Observe has report called, in the next turn, with what the module has seen and needs, and with what the core has counted. The core's
+// goroutine calls it: it must not block, and must not keep or change the counts, which are the core's own. Counting starts with the first
+// call of Observe. It may be called from any goroutine.
+func (c *Core) Observe(report func(observations []Observation, counts map[string]uint64)) {
+	c.queue <- observe{report}
+}
 
 // observe is a request for what the module has seen.
 type observe struct {
-	tell func([]Observation, map[string]uint64)
+	report func([]Observation, map[string]uint64)
 }
 
-func (o observe) apply(c *Core, now time.Time) {
+func (o observe) apply(core *Core, now time.Time) {
 	var all []Observation
-	for _, s := range c.policy.Observations(c.clock(now), nil) {
-		switch d := c.destinations[s.Endpoint]; {
+	for _, s := range core.policy.Observations(core.clock(now), nil) {
+		switch d := core.destinations[s.Endpoint]; {
 		case s.Endpoint == 0:
-			if s.Tenant < len(c.settings.TenantNames) {
-				all = append(all, Observation{s, c.settings.TenantNames[s.Tenant]})
+			if s.Tenant < len(core.settings.TenantNames) {
+				all = append(all, Observation{s, core.settings.TenantNames[s.Tenant]})
 			}
 		case d == nil: // it has left the list
 		case s.SeparateRoute:
@@ -38,15 +41,16 @@
 			all = append(all, Observation{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
 		}
 	}
-	if c.counters == nil {
-		c.counters = counters{}
+	if core.counters == nil {
+		core.counters = counters{}
 	}
-	o.tell(all, c.counters)
+	o.report(all, core.counters)
 }
 
-// GrantQuota has the module spend what the fleet has leased to it from the next turn on, until a time; done is called after that turn.
-func (c *Core) GrantQuota(s control.SharedLimits, until time.Time, done func()) {
-	c.queue <- quotaGranted{s, until, done}
+// GrantQuota has the module spend from the next turn on what the fleet has leased to this relay, until the lease ends. done, unless nil, is
+// called by the core's goroutine after that turn and must not block. The LeaseExpiry of limits is ignored: until takes its place.
+func (c *Core) GrantQuota(limits control.SharedLimits, until time.Time, done func()) {
+	c.queue <- quotaGranted{limits, until, done}
 }
 
 // quotaGranted is what the fleet leases to this relay.
@@ -56,30 +60,32 @@
 	done  func()
 }
 
-// on is the grant on the module's clock.
+// on returns the grant with its expiry on the module's clock.
 func (g quotaGranted) on(c *Core) *control.SharedLimits {
 	limits := g.SharedLimits
 	limits.LeaseExpiry = c.clock(g.until)
 	return &limits
 }
 
-func (g quotaGranted) apply(c *Core, _ time.Time) {
-	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.SharedLimitsUpdated, Shared: g.on(c)})
+func (g quotaGranted) apply(core *Core, _ time.Time) {
+	core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.SharedLimitsUpdated, Shared: g.on(core)})
 	if g.done != nil {
-		c.notifications = append(c.notifications, g.done)
+		core.notifications = append(core.notifications, g.done)
 	}
 }
 
-// floorWithoutLease is what a relay spends of each limit while it may not act, of 1: none would read as a limit that nobody knows.
-const floorWithoutLease = 1e-9
+// shareWithoutLease is the share of each limit, of 1, that the module may spend while the relay may not act: 0 would mean a limit that nobody
+// knows.
+const shareWithoutLease = 1e-9
 
-// WithoutLease is what the module is granted instead of s while the relay may not act: next to nothing of each limit. What it decided meanwhile
-// would wait, and all of it go out at once when the relay may act again, beyond the relay's share. What others have seen it is told as ever.
-func WithoutLease(s control.SharedLimits) control.SharedLimits {
-	s.GuaranteedShare, s.KeepsGuaranteed = floorWithoutLease, true
-	s.Grants = slices.Clone(s.Grants)
-	for i := range s.Grants {
-		s.Grants[i].ExtraShare = 0
+// WithoutLease returns what the module is granted in place of limits while the relay may not act: next to nothing of each limit. What the
+// module decided meanwhile would wait, and be sent all at once when the relay may act again, beyond its share. The evidence of other relays
+// stays in it.
+func WithoutLease(limits control.SharedLimits) control.SharedLimits {
+	limits.GuaranteedShare, limits.KeepsGuaranteed = shareWithoutLease, true
+	limits.Grants = slices.Clone(limits.Grants)
+	for i := range limits.Grants {
+		limits.Grants[i].ExtraShare = 0
 	}
-	return s
+	return limits
 }
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -11,41 +11,48 @@
 	"mastusher/internal/relay/capture"
 )
 
-// Begin is what a capture of this core begins with.
+// Begin returns the first record of a capture of this core, with the relay's name and the build that runs. It may be called from any
+// goroutine.
 func (c *Core) Begin(relay, build string) capture.Begin {
-	b := capture.Begin{Relay: relay, At: c.startedAt.UnixMicro(), Clock: clockStart, Seed: c.seed, Build: build, Settings: c.moduleSettings}
+	begin := capture.Begin{Relay: relay, At: c.startedAt.UnixMicro(), Clock: clockStart, Seed: c.seed, Build: build, Settings: c.moduleSettings}
 	for i := range c.settings.Classes {
-		b.Classes = append(b.Classes, c.settings.Classes[i].Name)
+		begin.Classes = append(begin.Classes, c.settings.Classes[i].Name)
 	}
 	l := c.limits
-	b.Core = &capture.CoreSettings{Kinds: c.settings.KindNames, Zones: c.settings.Zones, WindowMargin: l.WindowMargin, BusyRetry: l.BusyRetry,
+	begin.Core = &capture.CoreSettings{Kinds: c.settings.KindNames, Zones: c.settings.Zones, WindowMargin: l.WindowMargin, BusyRetry: l.BusyRetry,
 		AnswerWithin: l.AnswerWithin, BodySize: l.BodySize, DrainSends: l.DrainSends, DrainExit: l.DrainExit,
 		NoticesPerCall: l.NoticesPerCall, NoticeTimeout: l.NoticeTimeout, NoticeRetry: l.NoticeRetry,
 		NoticeRetryMax: l.NoticeRetryMax, WatchRetry: l.WatchRetry, Weights: c.settings.Weights, WatchSpread: l.WatchSpread,
 		EndedRetention: l.EndedRetention, MaxEnded: l.MaxEnded}
-	return b
+	return begin
 }
 
-// Record has all turns from the next on recorded; nil: none. The recorder before is closed.
+// Record has all turns from the next one on recorded; nil ends that. The former recorder is closed on a goroutine of its own. It may be
+// called from any goroutine; the recorder then belongs to the core.
 func (c *Core) Record(r *capture.Recorder) { c.queue <- recording{r} }
 
-type recording struct{ r *capture.Recorder }
+// recording is a change of the recorder; nil: to none.
+type recording struct{ recorder *capture.Recorder }
 
-func (recording) apply(*Core, time.Time) {} // see recordBefore
+// apply does nothing: recordBefore switches over before any event of the turn is applied.
+func (recording) apply(*Core, time.Time) {}
 
-func (v recording) switchOver(c *Core) {
+// switchOver replaces the recorder.
+func (r recording) switchOver(c *Core) {
 	if c.recorder != nil {
 		go c.recorder.Close() // it writes what it has; nobody waits for that
 	}
-	if c.recorder = nil; v.r != nil { // no interface around a nil pointer
-		c.recorder = v.r
+	c.recorder = nil
+	if r.recorder != nil { // no interface around a nil pointer
+		c.recorder = r.recorder
 	}
 }
 
-// recorder is what a core's turns are recorded on; see capture.Recorder.
+// recorder is what a core's turns are recorded on: a capture.Recorder, or a CoreReplay's singleTurn. The core's goroutine alone calls it,
+// and reuses the slices that it hands over.
 type recorder interface {
 	WantsState() bool
-	State(x *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
+	State(module *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
 	Turn(now time.Duration, events []control.Event, actions []control.Action)
 	Turns() uint64
 	Input(in *capture.Input)
@@ -78,7 +85,7 @@
 	}
 }
 
-// recordAfter ends the record of a turn, also of one in which nothing was told: time alone may have changed something.
+// recordAfter ends the record of a turn, also of one without events: time alone may have changed something.
 func (c *Core) recordAfter(now time.Time) {
 	if c.recorder == nil {
 		return
@@ -97,18 +104,19 @@
 	c.recorder.State(c.policy.Snapshot(), state, state.Numbers, messages)
 }
 
-// recordAction takes one thing that the core does into the turn's sum; a replay keeps it in full too.
-func (c *Core) recordAction(d capture.Action) {
+// recordAction adds one action of the core to the turn's checksum; a replay also keeps it in full.
+func (c *Core) recordAction(action capture.Action) {
 	if c.recorder == nil {
 		return
 	}
-	c.turnInput.Add(&d)
+	c.turnInput.Add(&action)
 	if c.keepActions {
-		d.Refs = slices.Clone(d.Refs)
-		c.turnInput.Actions = append(c.turnInput.Actions, d)
+		action.Refs = slices.Clone(action.Refs)
+		c.turnInput.Actions = append(c.turnInput.Actions, action)
 	}
 }
 
+// recordBegin records that an attempt is handed to the shell.
 func (c *Core) recordBegin(attempt *Attempt) {
 	if c.recorder == nil {
 		return
@@ -124,16 +132,19 @@
 	c.recordAction(began)
 }
 
+// recordNotices records that the notices in f.sending are handed to the shell.
 func (c *Core) recordNotices(f *frontState) {
 	if c.recorder != nil {
 		c.recordAction(capture.Action{Kind: capture.NoticesSent, Number: uint64(f.number), Refs: refs(f.sending)})
 	}
 }
 
+// recordFinish records that a message has ended and is forgotten.
 func (c *Core) recordFinish(m *message) {
 	c.recordAction(capture.Action{Kind: capture.MessageFinished, Number: m.ref})
 }
 
+// refs are the numbers of the messages that notices are of.
 func refs(notices []Notice) (all []uint64) {
 	for i := range notices {
 		all = append(all, notices[i].ref)
@@ -141,48 +152,49 @@
 	return all
 }
 
+// recordNote records a remark for whoever reads the capture; a replay passes over it.
 func (c *Core) recordNote(now time.Time, text string) {
 	if c.recorder != nil {
 		c.recorder.Note(capture.Note{Now: c.clock(now), Text: text})
 	}
 }
 
-// eventOf is an event as a capture tells it; false: a replay has no need of it. eventFrom is its reverse.
-func (c *Core) eventOf(ev event, now time.Time) (e capture.CoreEvent, ok bool) {
-	switch v := ev.(type) {
+// eventOf is an event as a capture has it; false: a replay does not need it. eventFrom is its reverse.
+func (c *Core) eventOf(ev event, now time.Time) (recorded capture.CoreEvent, ok bool) {
+	switch posted := ev.(type) {
 	case arrival:
-		e = c.recordedArrival(&v, now)
+		recorded = c.recordedArrival(&posted, now)
 	case withdrawn:
-		e = capture.CoreEvent{Kind: capture.Withdrawn, Ref: v.ref}
+		recorded = capture.CoreEvent{Kind: capture.Withdrawn, Ref: posted.ref}
 	case moved:
-		e = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(v.front)}
+		recorded = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(posted.front)}
 	case drain:
-		e.Kind = capture.DrainStarted
+		recorded.Kind = capture.DrainStarted
 	case governed:
-		mandate := v.Mandate.Mandate
-		if mandate.Until = 0; !v.Mandate.Until.IsZero() {
-			mandate.Until = c.clock(v.Mandate.Until)
+		mandate := posted.Mandate.Mandate
+		if mandate.Until = 0; !posted.Mandate.Until.IsZero() {
+			mandate.Until = c.clock(posted.Mandate.Until)
 		}
-		e = capture.CoreEvent{Kind: capture.Governed, Mandate: &mandate}
+		recorded = capture.CoreEvent{Kind: capture.Governed, Mandate: &mandate}
 	case quotaGranted:
-		e = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: v.on(c)}
+		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.on(c)}
 	case attemptEnded:
-		e = capture.CoreEvent{Kind: capture.AttemptEnded, Number: v.attempt.number, Items: len(v.outcomes)} // the module is told the outcomes
+		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number, Items: len(posted.outcomes)} // the module is told the outcomes
 	case listChanged:
-		list := &capture.EndpointList{Index: v.Index, Complete: v.Complete}
-		for _, d := range v.Destinations {
+		list := &capture.EndpointList{Index: posted.Index, Complete: posted.Complete}
+		for _, d := range posted.Destinations {
 			list.Destinations = append(list.Destinations, capture.DestinationState{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Partner: d.Partner,
 				State: d.State, Weight: d.Weight})
 		}
-		e = capture.CoreEvent{Kind: capture.ListReported, Front: v.front.number, Number: uint64(v.watch), List: list}
+		recorded = capture.CoreEvent{Kind: capture.ListReported, Front: posted.front.number, Number: uint64(posted.watch), List: list}
 	case watchEnded:
-		e = capture.CoreEvent{Kind: capture.WatchEnded, Front: v.front.number, Number: uint64(v.watch), Text: v.err.Error()}
+		recorded = capture.CoreEvent{Kind: capture.WatchEnded, Front: posted.front.number, Number: uint64(posted.watch), Text: posted.err.Error()}
 	case notified:
-		e = capture.CoreEvent{Kind: capture.Notified, Front: v.front.number, Accepted: v.accepted}
+		recorded = capture.CoreEvent{Kind: capture.Notified, Front: posted.front.number, Accepted: posted.accepted}
 	default:
-		return e, false
+		return recorded, false
 	}
-	return e, true
+	return recorded, true
 }
 
 // recordedArrival is a message handed in, without its body and key, of which only the lengths are recorded.
@@ -207,7 +219,7 @@
 	return -1
 }
 
-// hashHeaders stands in a capture for headers: the same for the same.
+// hashHeaders is what a capture has in place of headers: the same for the same headers, 0 for none.
 func hashHeaders(headers []string) (h uint64) {
 	if len(headers) == 1 { // out of a recording
 		if _, err := fmt.Sscanf(headers[0], hashedHeader, &h); err == nil {
@@ -220,9 +232,10 @@
 	return h
 }
 
-const hashedHeader = "\x00%016x" // no header is called that
+// hashedHeader is the format of a name that stands for a hash of headers: no header is called that.
+const hashedHeader = "\x00%016x"
 
-// headersOfHash stands for headers of which only the hash is known: the same for the same.
+// headersOfHash is the reverse of hashHeaders: one header whose hash is h.
 func headersOfHash(h uint64) []string {
 	if h == 0 {
 		return nil
@@ -230,5 +243,5 @@
 	return []string{fmt.Sprintf(hashedHeader, h)}
 }
 
-// blankText stands for a text of which only the length is known.
+// blankText is a text of n zero bytes, in place of one of which only the length is known.
 func blankText(n int) string { return string(make([]byte, max(n, 0))) }
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -17,37 +17,39 @@
 	"mastusher/internal/relay/wire"
 )
 
-// CoreReplay drives a whole core with a capture in the place of its clock, fronts and journal, and compares all that it does
-// with what was recorded. It is handed a capture's records in order.
+// CoreReplay drives a complete core with a capture in place of its clock, fronts and journal, and compares all that it does
+// with what was recorded. It is handed a capture's records in order, by one goroutine; its zero value is ready for use.
 type CoreReplay struct {
-	Turns int // of the core, that were the same
-
-	begin      capture.Begin
-	snapshot   *control.Snapshot
-	turn       *capture.Turn // the module's, until the core's turn comes
-	core       *Core
-	noRoomFor  []int // of the turn at hand: the messages that there is no room for
-	accepts    int
-	flushFails bool
-	recorded   singleTurn
+	Turns int // turns of the core that did the same as was recorded
+
+	begin          capture.Begin
+	snapshot       *control.Snapshot // the module's state at the last capture.State; nil: none has come yet
+	turn           *capture.Turn     // the module's, until the core's turn comes
+	core           *Core             // nil: none runs, until the next recorded state
+	journalFullFor []int             // the messages of the current turn, by the order of their arrival, that the journal has no room for
+	accepts        int               // messages of the current turn that were offered to the journal
+	flushFails     bool              // the journal can't be written in the current turn
+	recorded       singleTurn
 }
 
-// CoreDifferenceError is the first turn in which the core does otherwise than was recorded.
+// CoreDifferenceError is the first turn in which the core does otherwise than was recorded. Got, ModuleEvents, ModuleActions and State are
+// empty where the turn could not be replayed at all.
 type CoreDifferenceError struct {
-	Input         *capture.Input
-	Turn          *capture.Turn // the module's in it; nil: none
-	Got           capture.Input
-	ModuleEvents  []control.Event  // what the core told the module
-	ModuleActions []control.Action // what that decided
-	State         *control.Snapshot
-	Reason        string
+	Input         *capture.Input    // the recorded turn
+	Turn          *capture.Turn     // the module's recorded turn in it; nil: none
+	Got           capture.Input     // what the replayed core did
+	ModuleEvents  []control.Event   // what the replayed core told the module
+	ModuleActions []control.Action  // what the replayed module decided
+	State         *control.Snapshot // of the replayed module, after the turn
+	Reason        string            // which part differs first
 }
 
+// Error names the turn by its time on the module's clock, and the reason.
 func (d *CoreDifferenceError) Error() string {
 	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Reason)
 }
 
-// singleTurn holds a single turn.
+// singleTurn is a recorder that holds the last turn of a replayed core, for its comparison.
 type singleTurn struct {
 	hasTurn bool
 	events  []control.Event
@@ -55,33 +57,44 @@
 	input   capture.Input
 }
 
+// WantsState is false: a replay compares turns, not states.
 func (t *singleTurn) WantsState() bool { return false }
 
+// State implements recorder; it is never called, see WantsState.
 func (t *singleTurn) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
 }
 
+// Turn keeps copies of what the module was told and decided: the core reuses its slices.
 func (t *singleTurn) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
 	t.hasTurn, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
 
+// Turns is the number that the core gives the module's turn; only whether there is one is compared.
 func (t *singleTurn) Turns() uint64 { return 1 }
 
+// Input keeps a copy of what the core did.
 func (t *singleTurn) Input(in *capture.Input) {
 	t.input = *in
 	t.input.Actions = slices.Clone(in.Actions)
 }
 
+// Name implements recorder; names are not compared.
 func (t *singleTurn) Name(capture.Name) {}
 
+// Message implements recorder; names of messages are not compared.
 func (t *singleTurn) Message(capture.Message) {}
 
+// Note implements recorder; notes are not compared.
 func (t *singleTurn) Note(capture.Note) {}
 
+// Tick implements recorder; nothing is written that could be due.
 func (t *singleTurn) Tick(time.Time) {}
 
+// Close implements recorder.
 func (t *singleTurn) Close() {}
 
-// Record takes the next record; it returns a *CoreDifferenceError at the first turn that differs.
+// Record takes the next record. It returns a *CoreDifferenceError at the first turn that differs, and an error where the recorded state of
+// a core can't be restored; after a difference it passes over all records up to the next state.
 func (r *CoreReplay) Record(record any) error {
 	switch v := record.(type) {
 	case *capture.Begin:
@@ -104,7 +117,7 @@
 	return nil
 }
 
-// State is the core's state as it stands; nil: no core runs.
+// State returns a copy of the core's state after the last turn; nil: no core runs.
 func (r *CoreReplay) State() *capture.Core {
 	if r.core == nil {
 		return nil
@@ -119,7 +132,7 @@
 	}
 	memory := &journal.Memory{Full: func(*journal.Entry) bool {
 		r.accepts++
-		return slices.Contains(r.noRoomFor, r.accepts-1)
+		return slices.Contains(r.journalFullFor, r.accepts-1)
 	}, Failed: func() error {
 		if r.flushFails {
 			return errAsRecorded
@@ -164,19 +177,19 @@
 
 var (
 	errNoCoreSettings = errors.New("capture: the core's state stands there without its settings, or without the module's")
-	errAsRecorded     = errors.New("as recorded")
+	errAsRecorded     = errors.New("as recorded") // what the journal of a replayed core fails with
 )
 
 // input replays one turn and compares what the core tells the module, what that decides and what the core does.
-func (r *CoreReplay) input(in *capture.Input, turn *capture.Turn) error {
+func (r *CoreReplay) input(recorded *capture.Input, turn *capture.Turn) error {
 	core := r.core
-	r.noRoomFor, r.accepts, r.flushFails, r.recorded = in.Full, 0, in.Failed, singleTurn{}
-	difference := &CoreDifferenceError{Input: in, Turn: turn}
-	now := core.timeOf(in.Now)
+	r.journalFullFor, r.accepts, r.flushFails, r.recorded = recorded.Full, 0, recorded.Failed, singleTurn{}
+	difference := &CoreDifferenceError{Input: recorded, Turn: turn}
+	now := core.timeOf(recorded.Now)
 	var events []event
 	moduleOutcomes := outcomes(turn, len(core.moduleEvents))
-	for i := range in.Events {
-		ev, err := core.eventFrom(&in.Events[i], now, &moduleOutcomes)
+	for i := range recorded.Events {
+		ev, err := core.eventFrom(&recorded.Events[i], now, &moduleOutcomes)
 		if err != nil {
 			difference.Reason = err.Error()
 			r.core = nil // it can't go on without that
@@ -186,17 +199,17 @@
 	}
 	core.Turn(now, events)
 	var expected capture.Turn
-	if turn != nil && in.No != 0 {
+	if turn != nil && recorded.No != 0 {
 		expected = *turn
 	}
 	switch {
-	case r.recorded.hasTurn != (in.No != 0):
+	case r.recorded.hasTurn != (recorded.No != 0):
 		difference.Reason = "the module has a turn in one of them only"
 	case !reflect.DeepEqual(empty(expected.Events), empty(r.recorded.events)):
 		difference.Reason = "the module is told something else"
 	case !slices.Equal(expected.Actions, r.recorded.actions):
 		difference.Reason = "the module decides otherwise"
-	case in.Sum != r.recorded.input.Sum:
+	case recorded.Sum != r.recorded.input.Sum:
 		difference.Reason = "the core does something else"
 	default:
 		r.Turns++
@@ -216,12 +229,12 @@
 	return all
 }
 
-// outcomes are those that the module is told in a turn, without those left from the turn before.
-func outcomes(turn *capture.Turn, left int) (outs []Outcome) {
+// outcomes are those that the module is told in a turn, without those of the events that were pending from the turn before.
+func outcomes(turn *capture.Turn, pending int) (outs []Outcome) {
 	if turn == nil {
 		return nil
 	}
-	for _, e := range turn.Events[min(left, len(turn.Events)):] {
+	for _, e := range turn.Events[min(pending, len(turn.Events)):] {
 		if e.Kind == control.Resolved {
 			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.RetryAfter, Final: e.Final, Reported: e.Reported, Share: e.Remaining, Limit: e.Limit})
 		}
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -2,64 +2,65 @@
 
 import (
 	"errors"
-	"fmt"
 	"time"
 
 	"mastusher/internal/relay/capture"
 )
 
-// eventFrom is a recorded event as it came by the queue. Outcomes that the recording does not repeat are taken from those that the module
-// was told of in the same turn.
-func (c *Core) eventFrom(e *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
-	if e.Front >= len(c.frontsInOrder) || e.Front < 0 && e.Kind != capture.Submitted && e.Kind != capture.Moved {
-		return nil, fmt.Errorf("there is no front %d", e.Front)
+// eventFrom is a recorded event as it came by the queue. Outcomes that the recording does not repeat are taken from the front of
+// moduleOutcomes, those that the module was told of in the same turn. It returns one of the errors of replay_errors.go where the event does
+// not fit the core's state.
+func (c *Core) eventFrom(recorded *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
+	if recorded.Front >= len(c.frontsInOrder) || recorded.Front < 0 && recorded.Kind != capture.Submitted && recorded.Kind != capture.Moved {
+		return nil, unknownFrontError(recorded.Front)
 	}
 	name := "?"
-	if e.Front >= 0 {
-		name = c.frontsInOrder[e.Front].name
+	if recorded.Front >= 0 {
+		name = c.frontsInOrder[recorded.Front].name
 	}
-	switch e.Kind {
+	switch recorded.Kind {
 	case capture.Submitted:
-		return c.arrivalFrom(e.Arrival, name, now)
+		return c.arrivalFrom(recorded.Arrival, name, now)
 	case capture.Withdrawn:
-		return withdrawn{e.Ref}, nil
+		return withdrawn{recorded.Ref}, nil
 	case capture.Moved:
 		return moved{name}, nil
 	case capture.DrainStarted:
 		return drain{}, nil
 	case capture.Governed:
-		if e.Mandate == nil {
-			return nil, errors.New("what the fleet lets the relay do is missing")
+		if recorded.Mandate == nil {
+			return nil, errMandateMissing
 		}
-		return governed{Mandate{*e.Mandate, c.timeOf(e.Mandate.Until)}, nil}, nil
+		return governed{Mandate{*recorded.Mandate, c.timeOf(recorded.Mandate.Until)}, nil}, nil
 	case capture.QuotaGranted:
-		if e.Shared == nil {
-			return nil, errors.New("what the relay may spend is missing")
+		if recorded.Shared == nil {
+			return nil, errSharedLimitsMissing
 		}
-		return quotaGranted{SharedLimits: *e.Shared, until: c.timeOf(e.Shared.LeaseExpiry)}, nil
+		return quotaGranted{SharedLimits: *recorded.Shared, until: c.timeOf(recorded.Shared.LeaseExpiry)}, nil
 	case capture.AttemptEnded:
-		return c.attemptEndedFrom(e, moduleOutcomes)
+		return c.attemptEndedFrom(recorded, moduleOutcomes)
 	case capture.ListReported:
-		return c.listChangedFrom(e), nil
+		return c.listChangedFrom(recorded), nil
 	case capture.WatchEnded:
-		err := errors.New(e.Text)
-		if e.Text == ErrWatchTimeout.Error() {
+		err := errors.New(recorded.Text)
+		if recorded.Text == ErrWatchTimeout.Error() {
 			err = ErrWatchTimeout
 		}
-		return watchEnded{c.frontsInOrder[e.Front], int(e.Number), err}, nil
+		return watchEnded{c.frontsInOrder[recorded.Front], int(recorded.Number), err}, nil
 	case capture.Notified:
-		f := c.frontsInOrder[e.Front]
-		if f.cancelNotify == nil || len(f.sending) != len(e.Accepted) {
-			return nil, errors.New("no call with so many notices is out")
+		f := c.frontsInOrder[recorded.Front]
+		if f.cancelNotify == nil || len(f.sending) != len(recorded.Accepted) {
+			return nil, errNoticesNotInFlight
 		}
-		return notified{f, e.Accepted}, nil
+		return notified{f, recorded.Accepted}, nil
 	}
-	return nil, fmt.Errorf("an event of kind %d is not known", e.Kind)
+	return nil, unknownEventKindError(recorded.Kind)
 }
 
+// arrivalFrom is a recorded submission; body and key, of which only lengths are recorded, are blank.
 func (c *Core) arrivalFrom(a *capture.Arrival, front string, now time.Time) (event, error) {
 	if a == nil {
-		return nil, errors.New("a message handed in is missing")
+		return nil, errArrivalMissing
 	}
 	m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant,
 		Deadline: c.startedAt.Add(a.Deadline - clockStart), Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
@@ -70,6 +71,7 @@
 		ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
 }
 
+// attemptEndedFrom is the recorded end of an attempt, with its outcomes: the recorded ones, else the next ones of moduleOutcomes.
 func (c *Core) attemptEndedFrom(e *capture.CoreEvent, moduleOutcomes *[]Outcome) (event, error) {
 	attempt := c.inFlight[e.Number]
 	var outcomes []Outcome
@@ -80,11 +82,12 @@
 		outcomes, *moduleOutcomes = (*moduleOutcomes)[:n], (*moduleOutcomes)[n:]
 	}
 	if attempt == nil || len(attempt.Items) != len(outcomes) {
-		return nil, fmt.Errorf("route step %d is not out, or carries something else", e.Number)
+		return nil, attemptMismatchError(e.Number)
 	}
 	return attemptEnded{attempt, outcomes}, nil
 }
 
+// listChangedFrom is a recorded report of an endpoint list; addresses are not recorded.
 func (c *Core) listChangedFrom(e *capture.CoreEvent) event {
 	change := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
 	if e.List == nil {
--- a/internal/relay/engine/run.go
+++ b/internal/relay/engine/run.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Run is the one goroutine that owns the module. It takes turns of Limits.Round, on a fixed grid, so that
-// what comes within one turn is decided together. It returns after Stop, and until then answers whatever comes.
+// Run makes the calling goroutine the core's owner until Stop. It takes turns on a fixed grid of Limits.Round, so that what comes within one
+// turn is decided together, and sleeps while nothing is due. Until it returns it answers whatever is submitted.
 func (c *Core) Run() {
 	timer := time.NewTimer(0)
 	var events []event
@@ -31,10 +31,10 @@
 	}
 }
 
-// Step takes a turn with what stands in the queue, for those who have a clock of their own in the place of Run.
+// Step takes one turn with the events that are queued, for callers with a clock of their own in place of Run.
 func (c *Core) Step(now time.Time) { c.Turn(now, c.drainQueue(nil)) }
 
-// drainQueue takes what stands in the queue.
+// drainQueue appends the events that are queued.
 func (c *Core) drainQueue(events []event) []event {
 	for {
 		select {
@@ -46,7 +46,7 @@
 	}
 }
 
-// IdleFor is how long nothing needs to be done unless something happens.
+// IdleFor is how long no turn is due unless an event comes: a second at most, 0 where one is due. It belongs to the core's goroutine.
 func (c *Core) IdleFor(now time.Time) time.Duration {
 	idle := time.Second
 	until := func(t time.Time) {
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -5,35 +5,41 @@
 	"time"
 )
 
-// Shell makes what the core decides happen, and hands back what comes of it: the live one by goroutines and sockets, a
-// replay from a recording, a simulation in its own time. The core takes what it is handed in its next turn.
+// Shell carries out what the core decides, and hands back the results: the live one by goroutines and sockets, a replay from a
+// recording, a simulation in its own time. The core takes what it is handed in its next turn.
+//
+// Its methods are called by the core's goroutine and must not block. The callbacks may be called from any goroutine, and block while
+// the core's queue is full: none may be called before the method has returned.
 type Shell interface {
-	// Call makes an attempt that ends at until at the latest, and hands done its outcomes once, however it ends; not
-	// before it has returned. What it returns calls the attempt off, and may be called more than once.
-	Call(f Front, s *Attempt, until time.Time, done func([]Outcome)) (cancel func())
-	// Notify passes on notices, under the same terms.
-	Notify(f Front, notices []Notice, until time.Time, done func(taken []bool)) (cancel func())
-	// Watch has changes of a front's endpoint list since the index after told until it is lost.
+	// Call makes an attempt that ends at until at the latest, and calls done once, however it ends, with an outcome for each of its items.
+	// cancel ends the attempt early, and may be called more than once and after its end.
+	Call(f Front, attempt *Attempt, until time.Time, done func([]Outcome)) (cancel func())
+	// Notify sends notices, under the same terms; accepted tells for each of them whether the front's client has it.
+	Notify(f Front, notices []Notice, until time.Time, done func(accepted []bool)) (cancel func())
+	// Watch reports changes of a front's endpoint list since the index after, until it is cancelled or lost; lost is called once at most.
 	Watch(f Front, after int64, changed func(EndpointList), lost func(error)) (cancel func())
 }
 
-// goroutineShell is the shell of a relay that serves.
+// goroutineShell is the Shell of a relay that serves: each call has a goroutine of its own, which ends when the front's method returns.
 type goroutineShell struct{ ctx context.Context }
 
-func (l goroutineShell) Call(f Front, s *Attempt, until time.Time, done func([]Outcome)) func() {
-	ctx, cancel := context.WithDeadline(l.ctx, until)
-	go func() { done(f.Call(ctx, s)) }()
+// Call implements Shell.
+func (shell goroutineShell) Call(f Front, attempt *Attempt, until time.Time, done func([]Outcome)) func() {
+	ctx, cancel := context.WithDeadline(shell.ctx, until)
+	go func() { done(f.Call(ctx, attempt)) }()
 	return cancel
 }
 
-func (l goroutineShell) Notify(f Front, notices []Notice, until time.Time, done func([]bool)) func() {
-	ctx, cancel := context.WithDeadline(l.ctx, until)
+// Notify implements Shell.
+func (shell goroutineShell) Notify(f Front, notices []Notice, until time.Time, done func([]bool)) func() {
+	ctx, cancel := context.WithDeadline(shell.ctx, until)
 	go func() { done(f.Notify(ctx, notices)) }()
 	return cancel
 }
 
-func (l goroutineShell) Watch(f Front, after int64, changed func(EndpointList), lost func(error)) func() {
-	ctx, cancel := context.WithCancel(l.ctx)
+// Watch implements Shell; a front whose Watch returns nil has no endpoint list to watch, and is not reported as lost.
+func (shell goroutineShell) Watch(f Front, after int64, changed func(EndpointList), lost func(error)) func() {
+	ctx, cancel := context.WithCancel(shell.ctx)
 	go func() {
 		if err := f.Watch(ctx, after, changed); err != nil {
 			lost(err)
--- a/internal/relay/engine/shutdown.go
+++ b/internal/relay/engine/shutdown.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Drain refuses new messages from now on; see Drained.
+// Drain refuses new messages from now on; see Drained. It may be called from any goroutine, and more than once.
 func (c *Core) Drain() {
 	c.ready.Store(false)
 	c.queue <- drain{}
 }
 
-// Drained is closed when all messages in the relay at Drain have ended, or at the limit.
+// Drained is closed by Run when all messages in the relay at Drain have ended, or Limits.DrainExit after it.
 func (c *Core) Drained() <-chan struct{} { return c.drained }
 
-// Stop has Run return after one more turn. Whoever might still hand something in must have ended: nobody would answer.
+// Stop has Run return after one more turn. Whoever might still submit something must have ended: nobody would answer.
 func (c *Core) Stop() { c.queue <- stop{} }
 
-// drain begins the end of the process: nothing new is taken on.
+// drain is the request to accept nothing new.
 type drain struct{}
 
-func (drain) apply(c *Core, now time.Time) {
-	if !c.drainAt.IsZero() {
+func (drain) apply(core *Core, now time.Time) {
+	if !core.drainAt.IsZero() {
 		return
 	}
-	c.drainAt = now
-	c.recordNote(now, "the relay drains")
+	core.drainAt = now
+	core.recordNote(now, "the relay drains")
 }
 
-// stop ends Run.
+// stop is the request to end Run.
 type stop struct{}
 
-func (stop) apply(c *Core, _ time.Time) { c.stopped = true }
+func (stop) apply(core *Core, _ time.Time) { core.stopped = true }
 
-// Done tells whether the core was told to drain and has done so, as far as it may.
+// Done reports whether Drain took hold and all messages have ended, or Limits.DrainExit has passed since. It belongs to the core's goroutine.
 func (c *Core) Done(now time.Time) bool {
 	return !c.drainAt.IsZero() && (now.Sub(c.drainAt) > c.limits.DrainExit || len(c.messages) == 0 && len(c.inFlight) == 0)
 }
--- a/internal/relay/engine/snapshot.go
+++ b/internal/relay/engine/snapshot.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/relay/journal"
 )
 
-// state is the core's state as plain data, between two turns. Lists stand in the order of their numbers: two cores in the same state
-// must come to the same bytes.
+// state returns the core's state between two turns as plain data. Lists are in the order of their numbers: two cores in the same state must
+// encode to the same bytes.
 func (c *Core) state() *capture.Core {
 	state := &capture.Core{Events: slices.Clone(c.moduleEvents), LastDestination: c.lastDestination, LastRef: c.lastRef, LastAttempt: c.lastAttempt,
 		Submitted: c.submitted, WakeAt: c.stamp(c.wakeAt), WatchAt: c.stamp(c.watchAt), DrainAt: c.stamp(c.drainAt),
@@ -42,6 +42,7 @@
 	return state
 }
 
+// frontSnapshot returns a front's state; restoreFronts is its reverse.
 func (c *Core) frontSnapshot(f *frontState) capture.FrontState {
 	return capture.FrontState{Name: f.name, NotifiesDeliveries: f.Front.NotifiesDeliveries(), List: slices.Sorted(maps.Values(f.listed)),
 		Index: f.listIndex, LastWatch: f.lastWatch, ListReportedBy: f.listReportedBy, Watching: f.stopWatch != nil,
@@ -49,6 +50,7 @@
 		RetryAt: c.stamp(f.retryAt), Backoff: f.backoff}
 }
 
+// messageSnapshot returns a message's state, without its key and body, of which only lengths are kept; restoreMessage is its reverse.
 func (c *Core) messageSnapshot(m *message) capture.MessageState {
 	e := m.entry
 	state := capture.MessageState{Ref: m.ref, Front: m.front.number, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
@@ -63,6 +65,7 @@
 	return state
 }
 
+// attemptSnapshot returns the state of an attempt in flight or waiting for a lease; restoreAttempts is its reverse.
 func (c *Core) attemptSnapshot(attempt *Attempt) capture.AttemptState {
 	state := capture.AttemptState{Number: attempt.number, To: attempt.To.number}
 	if position := slices.Index(c.awaitingLease, attempt); position >= 0 {
@@ -76,7 +79,7 @@
 	return state
 }
 
-// stamp is a time on the module's clock, which never stands at 0; the zero time is 0.
+// stamp returns a time on the module's clock, which never reads 0; the zero time is 0.
 func (c *Core) stamp(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -87,7 +90,7 @@
 	return 1
 }
 
-// timeOf is the time of a stamp.
+// timeOf is the reverse of stamp.
 func (c *Core) timeOf(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
@@ -95,8 +98,8 @@
 	return c.startedAt.Add(d - clockStart)
 }
 
-// restoreState puts a new core into a state. Fronts are made by their names; the calls that are out are the shell's to know. What refers
-// to something else comes after it: destinations after fronts, attempts after destinations, messages after attempts, notices last.
+// restoreState puts a new core into a state, with the fronts that front makes. The shell is not told of the calls in flight. What refers to
+// something else is restored after it: destinations after fronts, attempts after destinations, messages after attempts, notices last.
 func (c *Core) restoreState(state *capture.Core, front func(capture.FrontState) Front) {
 	c.moduleEvents = slices.Clone(state.Events)
 	c.lastDestination, c.lastRef, c.lastAttempt, c.submitted = state.LastDestination, state.LastRef, state.LastAttempt, state.Submitted
@@ -125,6 +128,7 @@
 	c.ready.Store(c.drainAt.IsZero())
 }
 
+// restoreFronts adds the fronts of a state; their notices follow once messages are restored.
 func (c *Core) restoreFronts(states []capture.FrontState, front func(capture.FrontState) Front) {
 	for _, s := range states {
 		f := &frontState{name: s.Name, number: len(c.frontsInOrder), Front: front(s), listed: map[string]uint32{}, listIndex: s.Index,
@@ -140,6 +144,7 @@
 	}
 }
 
+// restoreDestinations adds the destinations of a state, their numbers and the fronts' lists.
 func (c *Core) restoreDestinations(state *capture.Core) {
 	for _, n := range state.Numbers {
 		c.destinationNumbers[n.Front+" "+n.Name] = n.Number
@@ -155,6 +160,7 @@
 	}
 }
 
+// restoreAttempts adds the attempts in flight, and queues those that wait for a lease in their order.
 func (c *Core) restoreAttempts(states []capture.AttemptState) {
 	var waiting []capture.AttemptState // until the relay may act
 	for _, s := range states {
@@ -183,6 +189,7 @@
 	}
 }
 
+// restoreMessage adds a message, with blank key and body.
 func (c *Core) restoreMessage(s *capture.MessageState) {
 	front := c.frontsInOrder[s.Front]
 	e := &journal.Entry{ID: s.ID, Key: blankText(s.KeySize), Front: front.name, Destination: s.Partner, Class: s.Class, Tenant: s.Tenant,
@@ -195,7 +202,7 @@
 	c.messages[m.ref], c.messagesByID[front.name+" "+e.ID] = m, m
 }
 
-// notice is the notice of a message that stands in a state; of one that has left since only its number is known.
+// notice returns the notice of a message of a restored state; of one that has been forgotten since only the number is known.
 func (c *Core) notice(ref uint64) Notice {
 	if m := c.messages[ref]; m != nil {
 		return m.notice()
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -10,7 +10,8 @@
 	"mastusher/internal/relay/journal"
 )
 
-// Submit hands in a message and waits for the answer, which comes within the turn.
+// Submit submits a message and returns the answer, which comes within one turn (Limits.Round), or up to haltTimeout later while a change
+// of policy takes hold. It may be called from any goroutine until Stop. With Accepted the message is in the journal.
 func (c *Core) Submit(front string, m Message) Reply {
 	if !c.ready.Load() || !c.admitted() {
 		return Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
@@ -36,72 +37,72 @@
 	}
 }
 
-// SubmitAt is Submit for those who have a clock of their own (see Step): the answer comes in the next Step.
+// SubmitAt is Submit for callers with a clock of their own (see Step): the answer comes in the next Step. No inspector sees the message.
 func (c *Core) SubmitAt(front string, m Message, at time.Time) <-chan Reply {
 	a := arrival{front: front, msg: m, submittedAt: at, reply: make(chan Reply, 1)}
 	c.queue <- a
 	return a.reply
 }
 
-// Withdraw tells that a client never heard the answer r: what was taken on with it is over. Where the message
-// had been taken on before, whoever handed it in first still counts on it.
+// Withdraw reports that a client never got the answer r: the message that was accepted with it ends without a notice. It does nothing where
+// the message had been accepted before, since whoever submitted it first still relies on it. It may be called from any goroutine.
 func (c *Core) Withdraw(r Reply) {
 	if r.ref != 0 {
 		c.queue <- withdrawn{r.ref}
 	}
 }
 
-// arrival is a message that a front hands in.
+// arrival is a message that a front submits.
 type arrival struct {
-	front           string
+	front           string // its name
 	msg             Message
 	submittedAt     time.Time
-	reply           chan Reply
-	ruling          Ruling
-	seenUnderPolicy uint64 // one more than the version of the policy under which plug-ins have seen it; 0: none has
+	reply           chan Reply // with room for the one answer
+	ruling          Ruling     // the inspector's
+	seenUnderPolicy uint64     // one more than the version of the policy under which plug-ins have seen it; 0: none has
 }
 
-// stale tells whether plug-ins have seen a message under another policy than is in force now: it is theirs to see again.
+// stale reports whether plug-ins have seen a message under another policy than is in force now: they must see it again.
 func (a *arrival) stale(c *Core) bool {
 	return a.seenUnderPolicy != 0 && c.governor != nil && a.seenUnderPolicy != c.governor.Version+1
 }
 
-func (a arrival) apply(c *Core, now time.Time) {
-	c.submitted++
+func (a arrival) apply(core *Core, now time.Time) {
+	core.submitted++
 	// It is in the relay already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
-	if verdict, known := c.earlierVerdict(a.front, a.msg.ID); known {
-		c.replyTo(a.reply, c.submitted, Reply{Verdict: verdict, RetryAfter: c.limits.BusyRetry})
+	if verdict, known := core.earlierVerdict(a.front, a.msg.ID); known {
+		core.replyTo(a.reply, core.submitted, Reply{Verdict: verdict, RetryAfter: core.limits.BusyRetry})
 		return
 	}
-	if c.closedTo(&a, now) {
-		c.refuse(&a)
+	if core.closedTo(&a, now) {
+		core.refuse(&a)
 		return
 	}
 	if a.ruling.Verdict != Accepted {
-		c.replyTo(a.reply, c.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: c.limits.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
+		core.replyTo(a.reply, core.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: core.limits.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
 		return
 	}
-	if c.fullFor(&a) {
-		c.refuse(&a)
+	if core.fullFor(&a) {
+		core.refuse(&a)
 		return
 	}
-	c.take(&a)
+	core.take(&a)
 }
 
-// closedTo tells whether nothing is taken on now, whatever the message.
+// closedTo reports whether nothing is accepted now, whatever the message.
 func (c *Core) closedTo(a *arrival, now time.Time) bool {
 	return c.fronts[a.front] == nil || !c.drainAt.IsZero() ||
 		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client is about to leave, and would hand it in again beside this one
 		!c.mayAct(now) || c.governor != nil && c.governor.Closed || a.stale(c)
 }
 
-// fullFor tells whether there is no room for the message, or no way to its partner.
+// fullFor reports whether the relay has no capacity for the message, or no destination of its partner.
 func (c *Core) fullFor(a *arrival) bool {
 	return c.settings.MaxOpen > 0 && len(c.messages)-c.outstanding >= c.settings.MaxOpen ||
 		!c.serves(c.fronts[a.front], a.msg.Partner) || c.isShut(a.msg.Partner)
 }
 
-// refuse answers that the message may be handed in again.
+// refuse answers that the message may be submitted again.
 func (c *Core) refuse(a *arrival) {
 	halted := c.governor != nil && c.governor.Halted != 0 || a.stale(c)
 	c.count(a.msg.Class, a.msg.Tenant, a.msg.Partner, countRefused)
@@ -123,15 +124,15 @@
 // withdrawn is a message whose client never heard that it was taken on.
 type withdrawn struct{ ref uint64 }
 
-func (w withdrawn) apply(c *Core, now time.Time) {
-	m := c.messages[w.ref]
+func (w withdrawn) apply(core *Core, now time.Time) {
+	m := core.messages[w.ref]
 	if m == nil || m.entry.NoticePending {
 		return
 	}
-	if v, ok := c.afterWithdrawal(m.entry); ok {
-		c.remember(m, v, now)
+	if v, ok := core.afterWithdrawal(m.entry); ok {
+		core.remember(m, v, now)
 	}
-	c.withdraw(m)
+	core.withdraw(m)
 }
 
 // withdraw forgets a message whose client does not count on it, and calls off what is out.
@@ -144,10 +145,10 @@
 		}
 		c.recordAction(capture.Action{Kind: capture.AttemptCanceled, Number: attempt.number})
 	}
-	c.finish(m, "withdrawn")
+	c.finish(m, endWithdrawn)
 }
 
-// replyTo answers whoever handed in a message; submission is its number among those handed in.
+// replyTo answers a submission; submission is its number among them.
 func (c *Core) replyTo(to chan<- Reply, submission uint64, r Reply) {
 	to <- r
 	c.recordAction(capture.Action{Kind: capture.Replied, Number: submission, Wait: r.RetryAfter, Verdict: uint8(r.Verdict)})
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -7,8 +7,11 @@
 	"mastusher/internal/relay/capture"
 )
 
-// Turn takes in what has happened, lets the module decide, writes that down, and then acts on it. Its order is what a replay rests on:
-// events as they came, the module's one Step, the journal, answers and attempts, and only then watches, notices and notifications.
+// Turn applies the events, lets the module decide, journals that, and then acts on it. now must not be before that of the last turn. It belongs
+// to the core's goroutine.
+//
+// Its order is what a replay relies on: events as they came, the module's one Step, the journal, answers and attempts, and only then watches,
+// notices and notifications.
 func (c *Core) Turn(now time.Time, events []event) {
 	c.recordBefore(now, events)
 	for _, ev := range events {
@@ -27,8 +30,8 @@
 	c.recordAfter(now)
 }
 
-// decide has the module take its step, if there is anything for it, and carries out what it decides; it returns the attempts that are to
-// begin once the journal is written.
+// decide has the module take its step, if there is an event for it, and carries out what it decides; it returns the attempts that are to
+// start once the journal is written.
 func (c *Core) decide(now time.Time) []*Attempt {
 	woken := !c.wakeAt.IsZero() && !now.Before(c.wakeAt)
 	if woken {
@@ -57,18 +60,19 @@
 	action  control.Action
 }
 
-// carryOut carries out the module's actions but for the sends, which it returns: those must wait for the journal.
+// carryOut carries out the module's actions but for the sends, which it returns: those must wait for the journal. Actions on messages and
+// destinations that are no longer known do nothing.
 func (c *Core) carryOut() (sends []send) {
-	for _, a := range c.moduleActions {
-		m := c.messages[a.ID]
-		switch a.Kind {
+	for _, action := range c.moduleActions {
+		m := c.messages[action.ID]
+		switch action.Kind {
 		case control.Send:
 			if m != nil {
-				sends = append(sends, send{m, a})
+				sends = append(sends, send{m, action})
 			}
 		case control.Refuse, control.Fail:
 			if m != nil {
-				c.end(m, a)
+				c.end(m, action)
 			}
 		case control.Cancel:
 			if m != nil && m.attempt != nil {
@@ -81,24 +85,25 @@
 				c.recordAction(capture.Action{Kind: capture.AttemptRecalled, Number: m.attempt.number})
 			}
 		case control.Wake:
-			at := c.startedAt.Add(a.At - clockStart)
+			at := c.startedAt.Add(action.At - clockStart)
 			if c.wakeAt.IsZero() || at.Before(c.wakeAt) {
 				c.wakeAt = at
 			}
 		case control.Subscribe:
 			c.watch()
 		case control.Close:
-			if d := c.destinations[a.Endpoint]; d != nil {
+			if d := c.destinations[action.Endpoint]; d != nil {
 				c.closeIdle(d)
 			}
 		case control.Log:
-			c.log.Debug("decision module", "says", a.Text)
+			c.log.Debug("decision module", "says", action.Text)
 		}
 	}
 	return sends
 }
 
-// assemble makes attempts of the module's sends: those of one turn to one destination share a call as far as they fit into it.
+// assemble makes attempts of the module's sends: those of one turn to one destination share a call as far as they fit into it. What must
+// not be sent any more is reported to the module instead.
 func (c *Core) assemble(now time.Time, sends []send) (attempts []*Attempt) {
 	var open map[uint32]*Attempt
 	for _, s := range sends {
@@ -129,7 +134,7 @@
 	return attempts
 }
 
-// schedule puts a message into an attempt. The log line "route step" is what tests and operators follow a message by.
+// schedule adds a message to an attempt. Tests and operators follow a message by the log line "route step".
 func (c *Core) schedule(now time.Time, s send, attempt *Attempt) {
 	entry := s.message.entry
 	c.journal.Schedule(entry, now, attempt.To.Name)
@@ -149,7 +154,8 @@
 	s.message.attempt = attempt
 }
 
-// flushAndBegin writes the journal, and only then answers clients and lets calls go out.
+// flushAndBegin writes the journal, and only then answers clients and starts calls. Where the journal can't be written, messages that came in
+// this turn are refused and its attempts never started.
 func (c *Core) flushAndBegin(now time.Time, attempts []*Attempt) {
 	err := c.journal.Flush()
 	if err != nil {
@@ -173,7 +179,7 @@
 	}
 }
 
-// answerArrivals answers whoever handed in a message in this turn; what the journal could not write down was not taken on.
+// answerArrivals answers the messages that were submitted in this turn; what the journal could not write is not accepted.
 func (c *Core) answerArrivals(journalled bool) {
 	for _, m := range c.arrivals {
 		what := countRefused
