--- a/internal/tier/apierror/apierror_test.go
+++ b/internal/tier/apierror/apierror_test.go
@@ -5,7 +5,10 @@
 	"fmt"
 	"io"
 	"net/http"
+	"os"
+	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -36,6 +39,33 @@
 	goldie.New(t).Assert(t, "answers", []byte(table.String()))
 }
 
+// docRow matches a row of the tables of kinds on the operators' page: kind, status, not executed, Retry-After, closes.
+var docRow = regexp.MustCompile("(?m)^\\| `([a-z ]+)` \\| (\\d+|none) \\| (yes|no) \\| (yes|no) \\| (yes|no) \\|")
+
+func TestOperatorsPage_EachKind_StandsThereOnceAsInTheTable(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/operations/errors.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	described := make(map[string]Response)
+	for _, row := range docRow.FindAllStringSubmatch(string(page), -1) {
+		if _, twice := described[row[1]]; twice {
+			t.Errorf("%q stands there twice", row[1])
+		}
+		status, _ := strconv.Atoi(row[2]) // none: 0
+		described[row[1]] = Response{Status: status, NotExecuted: row[3] == "yes", RetryAfter: row[4] == "yes", Close: row[5] == "yes"}
+	}
+	for _, kind := range Kinds() {
+		got, ok := described[kind.String()]
+		if want := kind.Response(); !ok || got != want {
+			t.Errorf("%q: the page has %+v (there: %t), want %+v", kind, got, ok, want)
+		}
+	}
+	if len(described) != len(Kinds()) {
+		t.Errorf("the page has %d kinds, want %d", len(described), len(Kinds()))
+	}
+}
+
 func TestKinds_Each_HasANameAndAResponse(t *testing.T) {
 	seen := make(map[string]Kind)
 	for _, kind := range Kinds() {
--- a/internal/tools/docscheck/docscheck_test.go
+++ b/internal/tools/docscheck/docscheck_test.go
@@ -4,23 +4,55 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 )
 
-func TestCheckPages_NamesThatTheTreeLacks_AreFound(t *testing.T) {
-	root := t.TempDir()
-	write := func(name, text string) {
-		t.Helper()
-		path := filepath.Join(root, name)
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+// tree is a tree of files under a folder of the test.
+type tree struct {
+	t    *testing.T
+	root string
+}
+
+func newTree(t *testing.T) tree {
+	t.Helper()
+	files := tree{t, t.TempDir()}
+	files.write("Makefile", "check: test\ntest:\n\ttrue\n")
+	return files
+}
+
+func (f tree) write(name, text string) {
+	f.t.Helper()
+	path := filepath.Join(f.root, name)
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		f.t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// findings checks the tree's pages and returns what is found, with the pages' names without folders.
+func (f tree) findings() []string {
+	f.t.Helper()
+	found, err := checkPages(f.root, []string{"docs"})
+	if err != nil {
+		f.t.Fatal(err)
 	}
-	write("Makefile", "check: test\ntest:\n\ttrue\n")
+	var texts []string
+	for _, one := range found {
+		one.page = filepath.Base(one.page)
+		texts = append(texts, one.String())
+	}
+	return texts
+}
+
+func TestCheckPages_NamesThatTheTreeLacks_AreFound(t *testing.T) {
+	files := newTree(t)
+	write := files.write
 	write("internal/log/log.go", "package log\n\ntype Log[T any] struct{ Term uint64 }\n\nfunc (l *Log[T]) Append() {}\n\ntype entry struct{ size int }\n\nconst Max = 1\n")
+	write("internal/log/log_test.go", "package log\n\nfunc TestLog_Empty_HasNoLast() {}\n")
+	write("internal/metrics/metrics.go", "package metrics\n\nimport _ \"github.com/prometheus/client_golang/prometheus\"\n\nvar name = \"orders_total\"\n")
 	write("docs/other.md", "nothing\n")
 
 	for name, c := range map[string]struct {
@@ -41,18 +73,18 @@
 		"a target that is gone":        {"`make nothing`", []string{"page.md:1: make nothing: no such target"}},
 		"what a build leaves":          {"`bin/tool` and `target/tool`", nil},
 		"prose with a slash and a dot": {"and/or e.g. this", nil},
+		"a test, with a subtest too":   {"`TestLog_Empty_HasNoLast`, `TestLog_Empty_HasNoLast/one`", nil},
+		"a test that is gone":          {"`TestBook`", []string{"page.md:1: no package declares TestBook"}},
+		"a metric and its series":      {"`mastusher_orders_total`, `mastusher_orders_total_count`, `mastusher_orders_total{kind=\"x\"}`", nil},
+		"a metric that is gone":        {"`mastusher_changes_total`", []string{"page.md:1: there is no metric mastusher_changes_total"}},
+		"packages in a table": {
+			"| package | job |\n| --- | --- |\n| `log`, `internal` | `ledger` |\n\n`ledger`", nil},
+		"a package that is gone": {
+			"| package (`internal`) |\n| --- |\n| `log`, `ledger` |", []string{"page.md:3: there is no package ledger"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			write("docs/page.md", c.page)
-			found, err := checkPages(root, []string{"docs/page.md"})
-			if err != nil {
-				t.Fatal(err)
-			}
-			var got []string
-			for _, f := range found {
-				f.page = filepath.Base(f.page)
-				got = append(got, f.String())
-			}
+			got := files.findings()
 			if !slices.Equal(got, c.want) {
 				t.Errorf("found %q, want %q", got, c.want)
 			}
@@ -65,3 +97,49 @@
 		t.Error("no error")
 	}
 }
+
+func TestCheckPages_LogLines_StandOnThePageAndInTheCode(t *testing.T) {
+	files := newTree(t)
+	files.write("internal/tier/store/store.go", `package store
+
+import "mastusher/internal/tier/invariant"
+
+const ended = "replica ended"
+
+func run(logger Logger, state string) {
+	logger.Log("msg", "shards placed", "base", 1)
+	logger.Log(append([]any{"msg", ended}, more()...)...)
+	logger.Log("msg", invariant.Message)
+	logger.Log("msg", "member "+state)
+	logger.Log("peer", "msg")
+}
+`)
+	files.write("internal/tier/invariant/invariant.go", "package invariant\n\nconst Message = \"invariant broken\"\n")
+	files.write("internal/tier/store/store_test.go", "package store\n\nfunc test(logger Logger) { logger.Log(\"msg\", \"only in a test\") }\n")
+	files.write("internal/tier/soak/soak.go", "package soak\n\nfunc run(logger Logger) { logger.Log(\"msg\", \"only in a harness\") }\n")
+	files.write("internal/relay/engine/core.go", `package engine
+
+func (c *Core) run() {
+	c.log.Warn("journal not written", "err", c.err)
+	c.count.Info("not a log line")
+	c.logPhase("draining")
+}
+`)
+	all := "| event | meaning |\n| --- | --- |\n| `shards placed`, `replica ended` | `not an event` |\n| `invariant broken` | |\n" +
+		"| `member joined`, `member died` | |\n| `journal not written` | |\n| `draining` | |\n"
+
+	files.write(logPage, all)
+	if got := files.findings(); len(got) != 0 {
+		t.Errorf("all are there: found %q", got)
+	}
+	files.write(logPage, strings.ReplaceAll(all, "`shards placed`, ", "`shards moved`, "))
+	want := []string{`logs.md:3: nothing logs "shards moved"`, `logs.md:0: the log line "shards placed" isn't described`}
+	if got := files.findings(); !slices.Equal(got, want) {
+		t.Errorf("one has another name: found %q, want %q", got, want)
+	}
+	files.write(logPage, strings.ReplaceAll(all, "| `member joined`, `member died` | |\n", ""))
+	want = []string{`logs.md:0: the log line "member " isn't described`}
+	if got := files.findings(); !slices.Equal(got, want) {
+		t.Errorf("one that is completed at run time is missing: found %q, want %q", got, want)
+	}
+}
--- a/internal/tools/docscheck/main.go
+++ b/internal/tools/docscheck/main.go
@@ -1,5 +1,6 @@
 // Command docscheck holds what the pages name against the tree: files and folders, links between pages, targets of the Makefile,
-// and Go symbols written as package.Name. It is part of `make check`, so that a rename cannot leave the pages behind.
+// Go symbols written as package.Name, tests, metrics, packages in tables of packages, and log lines, all of which must stand on their
+// page. It is part of `make check`, so that a rename cannot leave the pages behind.
 //
 //	go run ./internal/tools/docscheck README.md docs
 package main
--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -21,8 +21,18 @@
 	// the key of a settings file.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?|[a-z]\w*\.[A-Za-z]\w*)(?:\(.*\))?$`)
 	target = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
+	// testName matches a test, benchmark or fuzz target, with the name of a subtest behind it or without.
+	testName = regexp.MustCompile(`^((?:Test|Benchmark|Fuzz)[A-Z]\w*)(?:/.*)?$`)
+	// metric matches the name of a metric; of a histogram's series the name is followed by a suffix.
+	metric = regexp.MustCompile(`^(` + metricPrefix + `[a-z_]+?)(?:_bucket|_sum|_count)?(?:\{.*\})?$`)
+	// packageTable matches the head of a table whose first column names packages.
+	packageTable = regexp.MustCompile(`^\| package\b`)
+	packageName  = regexp.MustCompile(`^[a-z][a-z0-9/]*$`)
 )
 
+// metricPrefix begins the names of all metrics.
+const metricPrefix = "mastusher_"
+
 // finding is one name in a page that the tree doesn't have.
 type finding struct {
 	page   string
@@ -35,13 +45,13 @@
 // checker holds the tree that pages are checked against.
 type checker struct {
 	root    string
-	known   symbols
+	known   *source
 	targets map[string]bool
 }
 
 // checkPages checks the named pages, and all pages in the named folders, against the tree under root.
 func checkPages(root string, pages []string) ([]finding, error) {
-	known, err := readSymbols(root)
+	known, err := readSource(root)
 	if err != nil {
 		return nil, err
 	}
@@ -55,19 +65,27 @@
 	}
 	var findings []finding
 	for _, start := range pages {
-		err := filepath.WalkDir(filepath.Join(root, start), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".md") {
-				return err
-			}
-			found, err := c.page(path)
-			findings = append(findings, found...)
-			return err
-		})
-		if err != nil {
-			return nil, err
+		found, walkErr := c.pagesBelow(filepath.Join(root, start))
+		if walkErr != nil {
+			return nil, walkErr
 		}
+		findings = append(findings, found...)
 	}
-	return findings, nil
+	logs, err := c.logPages()
+	return append(findings, logs...), err
+}
+
+// pagesBelow checks one page, or all pages in a folder.
+func (c *checker) pagesBelow(start string) (findings []finding, err error) {
+	err = filepath.WalkDir(start, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".md") {
+			return err
+		}
+		found, err := c.page(path)
+		findings = append(findings, found...)
+		return err
+	})
+	return findings, err
 }
 
 // page checks one page, line by line.
@@ -80,8 +98,15 @@
 	var findings []finding
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, 1<<20)
+	packages := false // whether this is a row of a table of packages
 	for number := 1; lines.Scan(); number++ {
-		for _, reason := range c.line(filepath.Dir(path), lines.Text()) {
+		text := lines.Text()
+		reasons := c.line(filepath.Dir(path), text)
+		if packages = packages && strings.HasPrefix(text, "|"); packages {
+			reasons = append(reasons, c.packageRow(text)...)
+		}
+		packages = packages || packageTable.MatchString(text)
+		for _, reason := range reasons {
 			findings = append(findings, finding{path, number, reason})
 		}
 	}
@@ -105,16 +130,33 @@
 	return reasons
 }
 
-// span checks one piece of code: a call of make, a symbol, and each word that is a path of the tree.
+// packageRow checks the names in the first cell of a row of a table of packages.
+func (c *checker) packageRow(text string) (reasons []string) {
+	cell, _, _ := strings.Cut(strings.TrimPrefix(text, "|"), "|")
+	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
+		if packageName.MatchString(m[1]) && !c.known.hasPackage(m[1]) {
+			reasons = append(reasons, "there is no package "+m[1])
+		}
+	}
+	return reasons
+}
+
+// span checks one piece of code: a call of make, a symbol, a test, a metric, and each word that is a path of the tree.
 func (c *checker) span(code string) (reasons []string) {
 	if m := makeCall.FindStringSubmatch(code); m != nil && !c.targets[m[1]] {
 		reasons = append(reasons, "make "+m[1]+": no such target")
 	}
 	if m := symbol.FindStringSubmatch(code); m != nil {
-		if declared := c.known[m[1]]; declared != nil && !declared[m[2]] {
+		if declared := c.known.symbols[m[1]]; declared != nil && !declared[m[2]] {
 			reasons = append(reasons, "package "+m[1]+" declares no "+m[2])
 		}
 	}
+	if m := testName.FindStringSubmatch(code); m != nil && !c.known.declaresTest(m[1]) {
+		reasons = append(reasons, "no package declares "+m[1])
+	}
+	if m := metric.FindStringSubmatch(code); m != nil && !c.known.metrics[m[1]] {
+		reasons = append(reasons, "there is no metric "+m[1])
+	}
 	for word := range strings.FieldsSeq(code) {
 		word = strings.TrimSuffix(strings.Trim(word, `"',;:()`), "/...")
 		if m := treePath.FindStringSubmatch(word); m != nil {
--- a/internal/tools/docscheck/symbols.go
+++ b/internal/tools/docscheck/symbols.go
@@ -6,17 +6,54 @@
 	"go/token"
 	"io/fs"
 	"path/filepath"
+	"regexp"
+	"slices"
 	"strings"
 )
 
+// prometheusPackage is the import of files that register metrics, quoted as there.
+const prometheusPackage = `"github.com/prometheus/client_golang/prometheus"`
+
+var metricName = regexp.MustCompile(`^[a-z][a-z_]*$`)
+
 // symbols holds what the Go packages of a tree declare: by package name, the names of its package-level objects, and of
 // methods and fields as Type.Name. Packages that share a name share one set.
 type symbols map[string]map[string]bool
 
-// readSymbols parses all Go files under root, tests too. Folders named testdata and those with a leading dot are left out.
-func readSymbols(root string) (symbols, error) {
-	known := symbols{}
+// source is what the checks know of the Go files of a tree.
+type source struct {
+	symbols  symbols
+	packages map[string]bool // import paths without the module's
+	metrics  map[string]bool // names of metrics
+	events   []event         // log lines
+}
+
+// declaresTest reports whether some package declares a test, benchmark or fuzz target of this name.
+func (s *source) declaresTest(name string) bool {
+	for _, declared := range s.symbols {
+		if declared[name] {
+			return true
+		}
+	}
+	return false
+}
+
+// hasPackage reports whether a package, or a folder that holds some, has the path, whole or without its leading folders.
+func (s *source) hasPackage(path string) bool {
+	for known := range s.packages {
+		if strings.Contains("/"+known+"/", "/"+path+"/") {
+			return true
+		}
+	}
+	return false
+}
+
+// readSource parses all Go files under root, tests too. Folders named testdata and those with a leading dot are left out.
+func readSource(root string) (*source, error) {
+	known := &source{symbols: symbols{}, packages: map[string]bool{}, metrics: map[string]bool{}}
 	files := token.NewFileSet()
+	var logging []*ast.File
+	var folders []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -30,12 +67,38 @@
 		if err != nil {
 			return err
 		}
-		known.add(file)
+		folder, err := filepath.Rel(root, filepath.Dir(path))
+		if err != nil {
+			return err
+		}
+		known.symbols.add(file)
+		known.packages[filepath.ToSlash(folder)] = true
+		known.addMetrics(file)
+		if !strings.HasSuffix(path, "_test.go") {
+			logging, folders = append(logging, file), append(folders, filepath.ToSlash(folder))
+		}
 		return nil
 	})
+	constants := stringConstants(logging)
+	for i, file := range logging {
+		known.events = append(known.events, eventsOf(file, folders[i], constants)...)
+	}
 	return known, err
 }
 
+// addMetrics adds the names of metrics in a file that registers some: strings that may be a name, behind the common prefix.
+func (s *source) addMetrics(file *ast.File) {
+	if !slices.ContainsFunc(file.Imports, func(i *ast.ImportSpec) bool { return i.Path.Value == prometheusPackage }) {
+		return
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if text, ok := stringLiteral(n); ok && metricName.MatchString(text) {
+			s.metrics[metricPrefix+text] = true
+		}
+		return true
+	})
+}
+
 func (s symbols) add(file *ast.File) {
 	name := strings.TrimSuffix(file.Name.Name, "_test")
 	if s[name] == nil {
