--- a/internal/tier/balancer/affinity.go
+++ b/internal/tier/balancer/affinity.go
@@ -8,6 +8,7 @@
 // same slot.
 type affinityTable []affinityEntry
 
+// affinityEntry is an affinity and the endpoint that got it last. Key 0: the slot is empty.
 type affinityEntry struct {
 	key      uint64
 	endpoint *endpoint
@@ -24,6 +25,7 @@
 	return nil
 }
 
+// store remembers the endpoint of an affinity; key 0 is none.
 func (t *affinityTable) store(key uint64, e *endpoint) {
 	if key == 0 {
 		return
--- a/internal/tier/balancer/affinity_test.go
+++ b/internal/tier/balancer/affinity_test.go
@@ -20,18 +20,18 @@
 		zone     string
 		endpoint []model.Endpoint // that may be chosen
 	}{{"z0", []model.Endpoint{list[0], list[4], list[8]}}, {"z9", list}} {
-		a, b := New(Options{Zone: test.zone, Seed: 7}), New(Options{Zone: test.zone, Seed: 99})
-		a.SetEndpoints(0, list)
-		b.SetEndpoints(0, list)
+		first, second := New(Options{Zone: test.zone, Seed: 7}), New(Options{Zone: test.zone, Seed: 99})
+		first.SetEndpoints(0, list)
+		second.SetEndpoints(0, list)
 		places, counts := map[uint64]string{}, map[string]int{}
 		for key := uint64(1); key <= 300; key++ {
-			at, bt := a.Select(0, turnRequest(mix(key))).Endpoint, b.Select(0, turnRequest(mix(key))).Endpoint
+			byFirst, bySecond := first.Select(0, turnRequest(mix(key))).Endpoint, second.Select(0, turnRequest(mix(key))).Endpoint
 			// Then they agree.
-			if at.ID != bt.ID {
-				t.Fatalf("zone %s, key %d: %s and %s", test.zone, key, at.ID, bt.ID)
+			if byFirst.ID != bySecond.ID {
+				t.Fatalf("zone %s, key %d: %s and %s", test.zone, key, byFirst.ID, bySecond.ID)
 			}
-			places[key] = at.ID
-			counts[at.ID]++
+			places[key] = byFirst.ID
+			counts[byFirst.ID]++
 		}
 		// And all endpoints that may be chosen share them, and no others.
 		if len(counts) != len(test.endpoint) {
@@ -44,9 +44,9 @@
 			}
 		}
 		// And when one endpoint leaves, only its affinities move.
-		a.SetEndpoints(0, list[1:])
+		first.SetEndpoints(0, list[1:])
 		for key := uint64(1); key <= 300; key++ {
-			moved := a.Select(0, turnRequest(mix(key))).Endpoint.ID != places[key]
+			moved := first.Select(0, turnRequest(mix(key))).Endpoint.ID != places[key]
 			if moved != (places[key] == list[0].ID) {
 				t.Fatalf("zone %s, key %d of %s: moved %v", test.zone, key, places[key], moved)
 			}
@@ -55,14 +55,14 @@
 }
 
 func TestSelect_PreferredEndpointCongested_GoesElsewhere(t *testing.T) {
-	s := newBalancer(endpointsOf("models", 9, 8))
+	balancer := newBalancer(endpointsOf("models", 9, 8))
 	r := Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
 		TimeLeft: 4 * time.Second, PrefixTokens: 500, NewTokens: 300, OutTokens: 24, AffinityKey: 12345}
-	preferred, elsewhere := s.Select(0, r).Endpoint.ID, false
+	preferred, elsewhere := balancer.Select(0, r).Endpoint.ID, false
 	for range 12 {
-		d := s.Select(0, r)
+		d := balancer.Select(0, r)
 		attempt := d.Attempt
-		s.Sent(0, &attempt)
+		balancer.Sent(0, &attempt)
 		elsewhere = elsewhere || d.Endpoint.ID != preferred
 	}
 	if !elsewhere {
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -19,9 +19,9 @@
 }
 
 func newBalancer(list []model.Endpoint) *Balancer {
-	s := New(Options{Zone: "z0", Seed: 7})
-	s.SetEndpoints(0, list)
-	return s
+	balancer := New(Options{Zone: "z0", Seed: 7})
+	balancer.SetEndpoints(0, list)
+	return balancer
 }
 
 func retryableRequest() Request {
@@ -58,8 +58,8 @@
 }
 
 func TestSelect_NoCallTimes_LastsUntilDeadline(t *testing.T) {
-	s := newBalancer(endpointsOf("feeds", 3, 6))
-	d := s.Select(0, retryableRequest())
+	balancer := newBalancer(endpointsOf("feeds", 3, 6))
+	d := balancer.Select(0, retryableRequest())
 	if d.Endpoint == nil || !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("decision %+v; want a call that runs on for the time left", d)
 	}
@@ -90,12 +90,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newBalancer(test.list)
+			balancer := newBalancer(test.list)
 			r := retryableRequest()
 			if test.change != nil {
 				test.change(&r)
 			}
-			if d := s.Select(0, r); d.Endpoint != nil || d.Rejection.Kind != test.want {
+			if d := balancer.Select(0, r); d.Endpoint != nil || d.Rejection.Kind != test.want {
 				t.Errorf("endpoint %v, rejection %v; want %v", d.Endpoint, d.Rejection.Kind, test.want)
 			}
 		})
@@ -104,67 +104,67 @@
 
 func TestSelect_LessTimeThanMedian_RejectsAsDeadlineTooShort(t *testing.T) {
 	// Given endpoints whose calls take 300 ms.
-	s := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, s, 0, retryableRequest(), 12, 300*time.Millisecond)
+	balancer := newBalancer(endpointsOf("feeds", 3, 6))
+	now := trainTimes(t, balancer, 0, retryableRequest(), 12, 300*time.Millisecond)
 
 	// When a request comes with 100 ms left, then it is rejected; with 500 ms left it is sent.
 	r := retryableRequest()
-	if r.TimeLeft = 100 * time.Millisecond; s.Select(now, r).Rejection.Kind != DeadlineTooShort {
+	if r.TimeLeft = 100 * time.Millisecond; balancer.Select(now, r).Rejection.Kind != DeadlineTooShort {
 		t.Error("a request with a third of the median left was not rejected as DeadlineTooShort")
 	}
-	if r.TimeLeft = 500 * time.Millisecond; s.Select(now, r).Endpoint == nil {
+	if r.TimeLeft = 500 * time.Millisecond; balancer.Select(now, r).Endpoint == nil {
 		t.Error("a request with more than the median left was rejected")
 	}
 }
 
 func TestSelect_SlowOutlierCalls_PlansTimeoutForRetryableOnly(t *testing.T) {
 	// Given endpoints that take 50 ms, but 2 s one time in five, whatever the request.
-	s := newBalancer(endpointsOf("feeds", 3, 6))
+	balancer := newBalancer(endpointsOf("feeds", 3, 6))
 	now := time.Duration(0)
 	for i := range 150 {
 		elapsed := 50 * time.Millisecond
 		if i%5 == 4 {
 			elapsed = 2 * time.Second
 		}
-		call(t, s, now, retryableRequest(), Success, elapsed)
+		call(t, balancer, now, retryableRequest(), Success, elapsed)
 		now += solveInterval
 	}
 	now += 2 * time.Second
 
 	// When a retryable request comes, then it is cut long before its time is over.
-	d := s.Select(now, retryableRequest())
+	d := balancer.Select(now, retryableRequest())
 	if d.UntilDeadline || d.Timeout > time.Second {
 		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
-	if d := s.Select(now, onceOnlyRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
+	if d := balancer.Select(now, onceOnlyRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
 	r := retryableRequest()
-	if r.AffordableAttempts = 1; !s.Select(now, r).UntilDeadline {
+	if r.AffordableAttempts = 1; !balancer.Select(now, r).UntilDeadline {
 		t.Error("the only attempt that the budget pays for is cut")
 	}
 	// And so does one for which no other endpoint is left.
 	r.AffordableAttempts = 0
 	r.Excluded = []string{"feeds-0", "feeds-1"}
-	if d := s.Select(now, r); !d.UntilDeadline {
+	if d := balancer.Select(now, r); !d.UntilDeadline {
 		t.Errorf("the last endpoint's call is cut after %v", d.Timeout)
 	}
 }
 
 func TestSelect_OneEndpointFaster_PrefersIt(t *testing.T) {
 	// Given two endpoints, one of which takes four times as long.
-	s := newBalancer(endpointsOf("feeds", 2, 6))
+	balancer := newBalancer(endpointsOf("feeds", 2, 6))
 	now, counts := time.Duration(0), map[string]int{}
 	for range 200 {
-		d := s.Select(now, retryableRequest())
+		d := balancer.Select(now, retryableRequest())
 		elapsed := 50 * time.Millisecond
 		if d.Endpoint.ID == "feeds-0" {
 			elapsed = 200 * time.Millisecond
 		}
-		s.Sent(now, &d.Attempt)
-		s.Done(now+elapsed, &d.Attempt, Outcome{Elapsed: elapsed})
+		balancer.Sent(now, &d.Attempt)
+		balancer.Done(now+elapsed, &d.Attempt, Outcome{Elapsed: elapsed})
 		counts[d.Endpoint.ID]++
 		now += elapsed + 10*time.Millisecond
 	}
--- a/internal/tier/balancer/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -13,7 +13,7 @@
 	for _, n := range []int{9, 28, 4500} {
 		for _, pinned := range []bool{false, true} {
 			b.Run(fmt.Sprintf("endpoints=%d/pinned=%v", n, pinned), func(b *testing.B) {
-				s := newBalancer(endpointsOf("feeds", n, 6))
+				balancer := newBalancer(endpointsOf("feeds", n, 6))
 				attempts := make([]Attempt, 20)
 				r := retryableRequest()
 				r.Route.UsesAffinity = pinned
@@ -23,14 +23,14 @@
 					now += 5 * time.Millisecond
 					a := &attempts[i%len(attempts)]
 					if a.sent {
-						s.Done(now, a, Outcome{Elapsed: now - a.sentAt, Load: Load{Running: 2, Capacity: 6}})
+						balancer.Done(now, a, Outcome{Elapsed: now - a.sentAt, Load: Load{Running: 2, Capacity: 6}})
 					}
 					if pinned {
 						r.AffinityKey = mix(uint64(i%500 + 1))
 					}
-					if d := s.Select(now, r); d.Endpoint != nil {
+					if d := balancer.Select(now, r); d.Endpoint != nil {
 						*a = d.Attempt
-						s.Sent(now, a)
+						balancer.Sent(now, a)
 					}
 					i++
 				}
--- a/internal/tier/balancer/endpoint.go
+++ b/internal/tier/balancer/endpoint.go
@@ -26,10 +26,10 @@
 	pace          tokenPace
 }
 
-// accepting tells whether new attempts may go there: it is ready and not in backoff.
+// accepting reports whether new attempts may go there: it is ready and not in backoff.
 func (e *endpoint) accepting(now time.Duration) bool {
 	return e.ready && now >= e.health.backoffUntil
 }
 
-// unhealthy tells whether only probes should go there: it is ejected, or its calls are overdue.
+// unhealthy reports whether only probes should go there: it is ejected, or its calls are overdue.
 func (e *endpoint) unhealthy() bool { return e.health.ejected || e.health.overdue != [callKinds]bool{} }
--- a/internal/tier/balancer/healthchecks.go
+++ b/internal/tier/balancer/healthchecks.go
@@ -23,7 +23,7 @@
 	h.probeInterval = min(2*h.probeInterval, maxProbeInterval)
 }
 
-// probeDue tells whether a request may be sent as a probe. One that isn't retryable waits longer, unless the last failure proved
+// probeDue reports whether a request may be sent as a probe. One that isn't retryable waits longer, unless the last failure proved
 // that the endpoint doesn't run what fails.
 func (h *health) probeDue(now time.Duration, retryable bool) bool {
 	at := h.nextProbeAt
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -92,7 +92,7 @@
 	return congestionPenalty*inFlight/capacity + max(0, inFlight+1-capacity)/capacity
 }
 
-// atCapacity tells whether the endpoint would reject a call with so many in flight there.
+// atCapacity reports whether the endpoint would reject a call with so many in flight there.
 func (e *endpoint) atCapacity(inFlight float64) bool {
 	capacity := e.capacity()
 	if capacity <= 0 {
--- a/internal/tier/balancer/load_test.go
+++ b/internal/tier/balancer/load_test.go
@@ -7,28 +7,28 @@
 
 func TestSelect_AllEndpointsAtCapacity_RejectsAsSaturated(t *testing.T) {
 	// Given two endpoints of two slots that report that they are full and their queues too.
-	s := newBalancer(endpointsOf("feeds", 2, 2))
+	balancer := newBalancer(endpointsOf("feeds", 2, 2))
 	for range 2 {
-		d := s.Select(0, retryableRequest())
-		s.Sent(0, &d.Attempt)
-		s.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
+		d := balancer.Select(0, retryableRequest())
+		balancer.Sent(0, &d.Attempt)
+		balancer.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
 	// When a request comes, then it is rejected with a time to come back; some time later it is tried.
-	if d := s.Select(0, retryableRequest()); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
+	if d := balancer.Select(0, retryableRequest()); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 		t.Errorf("decision %+v, want Saturated", d)
 	}
-	if d := s.Select(5*time.Second, retryableRequest()); d.Endpoint == nil {
+	if d := balancer.Select(5*time.Second, retryableRequest()); d.Endpoint == nil {
 		t.Errorf("rejected (%v) by a report of 5 s ago", d.Rejection.Kind)
 	}
 }
 
 func TestDone_Cancelled_CountsAsInFlightForAWhile(t *testing.T) {
-	s := newBalancer(endpointsOf("feeds", 1, 6))
-	now := trainTimes(t, s, 0, onceOnlyRequest(), 8, 200*time.Millisecond)
-	d := s.Select(now, onceOnlyRequest())
-	s.Sent(now, &d.Attempt)
-	s.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
-	e := s.endpoints["feeds-0"]
+	balancer := newBalancer(endpointsOf("feeds", 1, 6))
+	now := trainTimes(t, balancer, 0, onceOnlyRequest(), 8, 200*time.Millisecond)
+	d := balancer.Select(now, onceOnlyRequest())
+	balancer.Sent(now, &d.Attempt)
+	balancer.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
+	e := balancer.endpoints["feeds-0"]
 	if got := e.estimatedInFlight(now+60*time.Millisecond, 0); got < 1 {
 		t.Errorf("running right after a cancel: %v, want 1", got)
 	}
@@ -38,24 +38,24 @@
 }
 
 func TestSelect_OneEndpoint_TakesAtMostItsShareOfInFlight(t *testing.T) {
-	s := New(Options{Seed: 1, MaxInFlight: 16})
+	balancer := New(Options{Seed: 1, MaxInFlight: 16})
 	list := endpointsOf("feeds", 1, 1000)
-	s.SetEndpoints(0, list)
+	balancer.SetEndpoints(0, list)
 	attempts := make([]Attempt, 0, 20)
 	for {
-		d := s.Select(0, onceOnlyRequest())
+		d := balancer.Select(0, onceOnlyRequest())
 		if d.Endpoint == nil {
 			break
 		}
 		attempts = append(attempts, d.Attempt)
-		s.Sent(0, &attempts[len(attempts)-1])
+		balancer.Sent(0, &attempts[len(attempts)-1])
 	}
 	if len(attempts) != 12 {
 		t.Errorf("one endpoint took %d of 16 in flight, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
-	s.Select(5*time.Second, onceOnlyRequest())
-	if got := s.maxInFlightTo(s.endpoints["feeds-0"]); got != 8 {
+	balancer.Select(5*time.Second, onceOnlyRequest())
+	if got := balancer.maxInFlightTo(balancer.endpoints["feeds-0"]); got != 8 {
 		t.Errorf("cap while calls overrun: %d, want 8", got)
 	}
 }
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Eligible tells whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
+// Eligible reports whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
 // requests.
 func (b *Balancer) Eligible(a *Attempt) bool {
 	return a.endpoint != nil && a.endpoint.listed && a.endpoint.ready
--- a/internal/tier/balancer/outlier.go
+++ b/internal/tier/balancer/outlier.go
@@ -64,7 +64,7 @@
 	h.ejected = true
 }
 
-// recordAnswer takes an answered call, which readmits the endpoint. It tells whether that was ejected.
+// recordAnswer takes an answered call, which readmits the endpoint. It reports whether that was ejected.
 func (h *health) recordAnswer(sentAt time.Duration) (readmitted bool) {
 	readmitted = h.ejected
 	h.consecutiveFailures, h.ejected, h.overdue = 0, false, [callKinds]bool{}
--- a/internal/tier/balancer/outlier_test.go
+++ b/internal/tier/balancer/outlier_test.go
@@ -6,17 +6,17 @@
 )
 
 func TestSelect_EndpointRejects_BacksOffLonger(t *testing.T) {
-	s := newBalancer(endpointsOf("feeds", 1, 6))
+	balancer := newBalancer(endpointsOf("feeds", 1, 6))
 	now := time.Duration(0)
 	last := time.Duration(0)
 	for range 4 {
-		call(t, s, now, retryableRequest(), NotRun, time.Millisecond)
+		call(t, balancer, now, retryableRequest(), NotRun, time.Millisecond)
 		now += time.Millisecond
-		d := s.Select(now, retryableRequest())
+		d := balancer.Select(now, retryableRequest())
 		if d.Endpoint != nil || d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
 			t.Fatalf("decision %+v right after a rejection; want Saturated and a time to come back", d)
 		}
-		wait := s.endpoints["feeds-0"].health.backoffUntil - now
+		wait := balancer.endpoints["feeds-0"].health.backoffUntil - now
 		if wait < last/2 {
 			t.Errorf("wait of %v after one of %v; want them to grow", wait, last)
 		}
@@ -30,40 +30,40 @@
 func TestSetEndpoints_EndpointReturns_KeepsBackoff(t *testing.T) {
 	// Given an endpoint that has rejected a call.
 	list := endpointsOf("feeds", 1, 6)
-	s := newBalancer(list)
-	call(t, s, 0, retryableRequest(), NotRun, time.Millisecond)
+	balancer := newBalancer(list)
+	call(t, balancer, 0, retryableRequest(), NotRun, time.Millisecond)
 	// When a list without it comes, and then one with it again.
-	s.SetEndpoints(2*time.Millisecond, nil)
-	s.SetEndpoints(3*time.Millisecond, list)
+	balancer.SetEndpoints(2*time.Millisecond, nil)
+	balancer.SetEndpoints(3*time.Millisecond, list)
 	// Then nothing is sent there before the wait is over.
-	if d := s.Select(4*time.Millisecond, retryableRequest()); d.Rejection.Kind != Saturated {
+	if d := balancer.Select(4*time.Millisecond, retryableRequest()); d.Rejection.Kind != Saturated {
 		t.Errorf("decision %+v, want Saturated", d)
 	}
 }
 
 func TestSelect_EndpointEjected_GetsProbesOnly(t *testing.T) {
 	// Given a service where one endpoint's connections are reset.
-	s := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, s, 0, retryableRequest(), 30, 30*time.Millisecond)
+	balancer := newBalancer(endpointsOf("feeds", 3, 6))
+	now := trainTimes(t, balancer, 0, retryableRequest(), 30, 30*time.Millisecond)
 	ejected := "feeds-1"
 	others := []string{"feeds-0", "feeds-2"}
-	r := retryableRequest()
-	r.Excluded = others
+	toEjected := retryableRequest()
+	toEjected.Excluded = others
 	for range maxFails {
-		call(t, s, now, r, IncompleteResponse, time.Millisecond)
+		call(t, balancer, now, toEjected, IncompleteResponse, time.Millisecond)
 	}
 
 	// When retryable requests go on for two seconds.
 	probes := 0
 	for range 100 {
-		d := s.Select(now, retryableRequest())
+		d := balancer.Select(now, retryableRequest())
 		kind := Success
 		if d.Endpoint.ID == ejected {
 			probes++
 			kind = IncompleteResponse
 		}
-		s.Sent(now, &d.Attempt)
-		s.Done(now+10*time.Millisecond, &d.Attempt, Outcome{Kind: kind, Elapsed: 10 * time.Millisecond})
+		balancer.Sent(now, &d.Attempt)
+		balancer.Done(now+10*time.Millisecond, &d.Attempt, Outcome{Kind: kind, Elapsed: 10 * time.Millisecond})
 		now += 20 * time.Millisecond
 	}
 	// Then a few of them are probes.
@@ -72,31 +72,31 @@
 	}
 	// And a request that must not run twice is none.
 	now += 10 * time.Second
-	s.Select(now, retryableRequest())
+	balancer.Select(now, retryableRequest())
 	for range 5 {
-		if got := call(t, s, now, onceOnlyRequest(), Success, time.Millisecond); got == ejected {
+		if got := call(t, balancer, now, onceOnlyRequest(), Success, time.Millisecond); got == ejected {
 			t.Error("a request that must not run twice was used as a probe")
 		}
 	}
 	// And if all others are excluded, the failing one is used.
-	if got := call(t, s, now, r, Success, time.Millisecond); got != ejected {
+	if got := call(t, balancer, now, toEjected, Success, time.Millisecond); got != ejected {
 		t.Errorf("went to %s, want the only one left", got)
 	}
 }
 
 func TestSelect_CallOverdue_AvoidsEndpoint(t *testing.T) {
 	// Given a service of two, one of which stops answering.
-	s := newBalancer(endpointsOf("feeds", 2, 6))
-	now := trainTimes(t, s, 0, onceOnlyRequest(), 30, 30*time.Millisecond)
+	balancer := newBalancer(endpointsOf("feeds", 2, 6))
+	now := trainTimes(t, balancer, 0, onceOnlyRequest(), 30, 30*time.Millisecond)
 	r := onceOnlyRequest()
 	r.Excluded = []string{"feeds-0"}
-	overdue := s.Select(now, r)
-	s.Sent(now, &overdue.Attempt)
+	overdue := balancer.Select(now, r)
+	balancer.Sent(now, &overdue.Attempt)
 
 	// When a second has passed, then nothing else goes there.
 	now += time.Second
 	for range 20 {
-		if got := call(t, s, now, onceOnlyRequest(), Success, 30*time.Millisecond); got != "feeds-0" {
+		if got := call(t, balancer, now, onceOnlyRequest(), Success, 30*time.Millisecond); got != "feeds-0" {
 			t.Fatal("a request went to the endpoint that doesn't answer")
 		}
 		now += 10 * time.Millisecond
--- a/internal/tier/balancer/plan.go
+++ b/internal/tier/balancer/plan.go
@@ -14,7 +14,7 @@
 	solveInterval       = 50 * time.Millisecond
 	solveIntervalTables = 64 // tables above which the interval grows in proportion
 	maxPlanAge          = time.Second
-	minCallsKept        = 0.02 // decayed calls of a table, below which it is dropped
+	minTableCalls       = 0.02 // decayed calls of a table, below which it is dropped
 	overdueFactor       = 2.5  // times the 90th percentile, after which a call is overdue
 )
 
@@ -40,8 +40,8 @@
 	kind            callKind
 	planner         *control.Planner
 	serviceTimes    *control.LatencyTable // all calls of the service
-	untried         endpointStats         // stands for the endpoints without a table
-	tried           []*endpointStats
+	unsampled       endpointStats         // stands for the endpoints without a table
+	sampled         []*endpointStats
 	poolTables      []*control.LatencyTable // of the last refresh; kept for their memory
 	solveTables     []*control.LatencyTable
 	maxAttemptsLeft int  // the most attempts that a request has had left
@@ -50,19 +50,20 @@
 	solvedAt        time.Duration
 }
 
+// newCallPlan returns a plan without any call, which the first refresh solves.
 func newCallPlan(kind callKind) *callPlan {
 	planner := control.NewPlanner(maxCallTime)
 	p := &callPlan{kind: kind, planner: planner, serviceTimes: planner.NewTable()}
-	p.untried.times = planner.NewTable()
+	p.unsampled.times = planner.NewTable()
 	return p
 }
 
 // statsFor returns the endpoint's table, which it creates if necessary.
 func (p *callPlan) statsFor(e *endpoint) *endpointStats {
 	if e.stats[p.kind] == nil {
-		stats := &endpointStats{endpoint: e, times: p.planner.NewTable(), estimates: p.untried.estimates}
+		stats := &endpointStats{endpoint: e, times: p.planner.NewTable(), estimates: p.unsampled.estimates}
 		e.stats[p.kind] = stats
-		p.tried = append(p.tried, stats)
+		p.sampled = append(p.sampled, stats)
 	}
 	return e.stats[p.kind]
 }
@@ -72,16 +73,16 @@
 	if stats := e.stats[p.kind]; stats != nil {
 		return &stats.estimates
 	}
-	return &p.untried.estimates
+	return &p.unsampled.estimates
 }
 
-// needsSolve tells whether the plan is to be solved again, for requests with so many attempts left.
+// needsSolve reports whether the plan is to be solved again, for requests with so many attempts left.
 func (p *callPlan) needsSolve(now time.Duration, attemptsLeft int) bool {
 	if attemptsLeft > p.maxAttemptsLeft {
 		p.maxAttemptsLeft, p.changed = attemptsLeft, true
 	}
 	age, interval := now-p.solvedAt, solveInterval
-	if n := len(p.tried); n > solveIntervalTables {
+	if n := len(p.sampled); n > solveIntervalTables {
 		interval = solveInterval * time.Duration(n) / solveIntervalTables
 	}
 	return p.changed || p.stale && age >= interval || age >= max(maxPlanAge, interval)
@@ -94,9 +95,9 @@
 	}
 	p.stale, p.changed, p.solvedAt = false, false, now
 	p.evict(now)
-	p.poolTables = append(p.poolTables[:0], p.untried.times)
-	p.solveTables = append(p.solveTables[:0], p.untried.times)
-	for _, stats := range p.tried {
+	p.poolTables = append(p.poolTables[:0], p.unsampled.times)
+	p.solveTables = append(p.solveTables[:0], p.unsampled.times)
+	for _, stats := range p.sampled {
 		stats.endpoint.detectOverdue(now, p.kind, &stats.estimates)
 		p.poolTables = append(p.poolTables, stats.times)
 		if stats.endpoint.accepting(now) && !stats.endpoint.unhealthy() {
@@ -105,16 +106,16 @@
 	}
 	p.planner.Pool(now, p.serviceTimes, p.poolTables)
 	solution := p.planner.Solve(now, p.solveTables, p.maxAttemptsLeft)
-	p.untried.estimates.update(solution, p.untried.times, p.maxAttemptsLeft)
-	for _, stats := range p.tried {
+	p.unsampled.estimates.update(solution, p.unsampled.times, p.maxAttemptsLeft)
+	for _, stats := range p.sampled {
 		stats.estimates.update(solution, stats.times, p.maxAttemptsLeft)
 	}
 }
 
 // evict drops the tables of endpoints that have left the list, and those whose calls have decayed to next to nothing.
 func (p *callPlan) evict(now time.Duration) {
-	p.tried = slices.DeleteFunc(p.tried, func(stats *endpointStats) bool {
-		drop := len(stats.endpoint.inFlight) == 0 && (!stats.endpoint.listed || stats.times.Count(now) < minCallsKept)
+	p.sampled = slices.DeleteFunc(p.sampled, func(stats *endpointStats) bool {
+		drop := len(stats.endpoint.inFlight) == 0 && (!stats.endpoint.listed || stats.times.Count(now) < minTableCalls)
 		if drop && stats.endpoint.stats[p.kind] == stats {
 			stats.endpoint.stats[p.kind] = nil
 		}
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -183,42 +183,42 @@
 }
 
 func TestDone_AllAttemptsEnded_LeavesNothingInFlight(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		w := newRandomRun(rt, 1)
-		w.run(rapid.IntRange(1, 60).Draw(rt, "steps"))
+	rapid.Check(t, func(t *rapid.T) {
+		w := newRandomRun(t, 1)
+		w.run(rapid.IntRange(1, 60).Draw(t, "steps"))
 		for len(w.inFlight) > 0 {
 			w.endAttempt()
 		}
 		if w.s.inFlight != 0 {
-			rt.Fatalf("%d calls in flight", w.s.inFlight)
+			t.Fatalf("%d calls in flight", w.s.inFlight)
 		}
 		for _, e := range w.s.endpoints {
 			if len(e.inFlight) != 0 || e.health.probesInFlight != 0 {
-				rt.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.inFlight), e.health.probesInFlight)
+				t.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.inFlight), e.health.probesInFlight)
 			}
 		}
 	})
 }
 
 func TestSelect_SameSeedAndCalls_SameDecisions(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
+	rapid.Check(t, func(t *rapid.T) {
 		// Given two balancers with the same seed, and the endpoints listed in another order.
 		list := endpointsOf("feeds", 20, 2)
 		reversed := slices.Clone(list)
 		slices.Reverse(reversed)
-		seed := rapid.Uint64().Draw(rt, "seed")
+		seed := rapid.Uint64().Draw(t, "seed")
 		a, b := New(Options{Zone: "z0", Seed: seed}), New(Options{Zone: "z0", Seed: seed})
 		a.SetEndpoints(0, list)
 		b.SetEndpoints(0, reversed)
 		var traces [2][]decisionRecord
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 60).Draw(rt, "calls") {
-			now += time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms")) * time.Millisecond
+		for range rapid.IntRange(1, 60).Draw(t, "calls") {
+			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond
 			r := retryableRequest()
-			r.AffinityKey = rapid.Uint64Range(0, 5).Draw(rt, "affinity")
+			r.AffinityKey = rapid.Uint64Range(0, 5).Draw(t, "affinity")
 			r.Route.UsesAffinity = r.AffinityKey > 0
-			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(rt, "outcome")),
-				Elapsed: time.Duration(rapid.IntRange(1, 800).Draw(rt, "elapsed")) * time.Millisecond}
+			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")),
+				Elapsed: time.Duration(rapid.IntRange(1, 800).Draw(t, "elapsed")) * time.Millisecond}
 			// When both get the same calls.
 			for i, s := range []*Balancer{a, b} {
 				d := s.Select(now, r)
@@ -233,7 +233,7 @@
 		}
 		// Then they decide the same.
 		if diff := cmp.Diff(traces[0], traces[1]); diff != "" {
-			rt.Fatal(diff)
+			t.Fatal(diff)
 		}
 	})
 }
--- a/internal/tier/balancer/queue.go
+++ b/internal/tier/balancer/queue.go
@@ -24,12 +24,12 @@
 		ExpiresAt: now + min(latencyTarget/queueTimeDivisor, timeLeft)}
 }
 
-// before tells whether w leaves the queue before o.
+// before reports whether w leaves the queue before o.
 func (w *QueuedRequest) before(o *QueuedRequest) bool {
 	return cmp.Or(cmp.Compare(w.Priority, o.Priority), cmp.Compare(w.Deadline, o.Deadline), cmp.Compare(w.ID, o.ID)) < 0
 }
 
-// expiresBefore tells whether w is to be rejected before o.
+// expiresBefore reports whether w is to be rejected before o.
 func (w *QueuedRequest) expiresBefore(o *QueuedRequest) bool {
 	return w.ExpiresAt < o.ExpiresAt || w.ExpiresAt == o.ExpiresAt && w.ID < o.ID
 }
@@ -122,7 +122,7 @@
 	return w.ExpiresAt, ok
 }
 
-// Remove takes out a request whose client has gone, and tells whether it was queued.
+// Remove takes out a request whose client has gone, and reports whether it was queued.
 func (q *Queue) Remove(id uint64) bool {
 	e := q.entries[id]
 	if e == nil {
@@ -141,6 +141,7 @@
 	before    func(a, b *QueuedRequest) bool
 }
 
+// peek returns the request on top; false: the heap is empty.
 func (h *requestHeap) peek() (QueuedRequest, bool) {
 	if len(h.entries) == 0 {
 		return QueuedRequest{}, false
@@ -148,10 +149,15 @@
 	return h.entries[0].QueuedRequest, true
 }
 
+// Len implements heap.Interface.
 func (h *requestHeap) Len() int { return len(h.entries) }
+
+// Less implements heap.Interface.
 func (h *requestHeap) Less(i, j int) bool {
 	return h.before(&h.entries[i].QueuedRequest, &h.entries[j].QueuedRequest)
 }
+
+// Swap implements heap.Interface.
 func (h *requestHeap) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
 	h.entries[i].heapIndexes[h.indexSlot], h.entries[j].heapIndexes[h.indexSlot] = i, j
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestQueue_Pop_MostUrgentFirst(t *testing.T) {
-	// Given waiters of two ranks.
+	// Given requests of two priorities.
 	q := NewQueue(10)
 	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 2, Priority: 0, Deadline: 300, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 3, Priority: 0, Deadline: 200, ExpiresAt: 50})
-	// When they leave, then by rank, and by deadline within it.
+	// When they leave, then by priority, and by deadline within it.
 	var got []uint64
 	for w, ok := q.Pop(); ok; w, ok = q.Pop() {
 		got = append(got, w.ID)
@@ -46,52 +46,52 @@
 }
 
 func TestQueue_RandomOperations_KeepInvariants(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		limit := rapid.IntRange(1, 8).Draw(rt, "limit")
-		q, waiting, now, id := NewQueue(limit), map[uint64]QueuedRequest{}, time.Duration(0), uint64(0)
-		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			now += time.Duration(rapid.IntRange(0, 20).Draw(rt, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 3).Draw(rt, "what") {
+	rapid.Check(t, func(t *rapid.T) {
+		limit := rapid.IntRange(1, 8).Draw(t, "limit")
+		queue, waiting, now, id := NewQueue(limit), map[uint64]QueuedRequest{}, time.Duration(0), uint64(0)
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * time.Millisecond
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				id++
-				left := time.Duration(rapid.IntRange(1, 500).Draw(rt, "left")) * time.Millisecond
-				w := NewQueuedRequest(id, rapid.IntRange(0, 2).Draw(rt, "rank"), now, 400*time.Millisecond, left)
-				waiting[id] = w
-				if rejected, full := q.Push(w); full {
+				left := time.Duration(rapid.IntRange(1, 500).Draw(t, "left")) * time.Millisecond
+				request := NewQueuedRequest(id, rapid.IntRange(0, 2).Draw(t, "rank"), now, 400*time.Millisecond, left)
+				waiting[id] = request
+				if rejected, full := queue.Push(request); full {
 					for _, other := range waiting {
 						if rejected.before(&other) {
-							rt.Fatalf("rejected %+v while %+v is less urgent", rejected, other)
+							t.Fatalf("rejected %+v while %+v is less urgent", rejected, other)
 						}
 					}
 					delete(waiting, rejected.ID)
 				}
 			case 2:
-				if w, ok := q.Pop(); ok {
+				if request, ok := queue.Pop(); ok {
 					for _, other := range waiting {
-						if other.before(&w) {
-							rt.Fatalf("%+v left before %+v", w, other)
+						if other.before(&request) {
+							t.Fatalf("%+v left before %+v", request, other)
 						}
 					}
-					delete(waiting, w.ID)
+					delete(waiting, request.ID)
 				}
 			default:
-				removed := rapid.Uint64Range(1, max(1, id)).Draw(rt, "gone")
-				if _, there := waiting[removed]; q.Remove(removed) != there {
-					rt.Fatalf("removing %d: want %v", removed, there)
+				removed := rapid.Uint64Range(1, max(1, id)).Draw(t, "gone")
+				if _, there := waiting[removed]; queue.Remove(removed) != there {
+					t.Fatalf("removing %d: want %v", removed, there)
 				}
 				delete(waiting, removed)
 			}
-			for w, ok := q.PopExpired(now); ok; w, ok = q.PopExpired(now) {
-				if w.ExpiresAt > now {
-					rt.Fatalf("%+v rejected at %v", w, now)
+			for request, ok := queue.PopExpired(now); ok; request, ok = queue.PopExpired(now) {
+				if request.ExpiresAt > now {
+					t.Fatalf("%+v rejected at %v", request, now)
 				}
-				delete(waiting, w.ID)
+				delete(waiting, request.ID)
 			}
-			if next, ok := q.NextExpiry(); ok && next <= now {
-				rt.Fatalf("one still waits past its bound")
+			if next, ok := queue.NextExpiry(); ok && next <= now {
+				t.Fatalf("one still waits past its bound")
 			}
-			if q.Len() != len(waiting) || q.Len() > limit {
-				rt.Fatalf("%d wait, want %d, at most %d", q.Len(), len(waiting), limit)
+			if queue.Len() != len(waiting) || queue.Len() > limit {
+				t.Fatalf("%d wait, want %d, at most %d", queue.Len(), len(waiting), limit)
 			}
 		}
 	})
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -60,6 +60,7 @@
 	AttemptsExhausted               // its attempts, its program's budget or the retry budget are used up
 )
 
+// rejectionText has the text of each kind, as logs and tests show it.
 var rejectionText = [...]string{"not rejected", "deadline too short", "no endpoint", "saturated", "attempts exhausted"}
 
 // String names the kind.
@@ -129,6 +130,7 @@
 	callKinds
 )
 
+// kindOf returns the kind of a route's calls.
 func kindOf(k model.RouteKind) callKind {
 	if k == model.Streaming {
 		return streamCall
--- a/internal/tier/balancer/retries.go
+++ b/internal/tier/balancer/retries.go
@@ -9,8 +9,10 @@
 // retryBudget is the retries that successes have earned and that were not spent.
 type retryBudget struct{ retries float64 }
 
+// newRetryBudget returns half a budget: a new service may retry before its first success.
 func newRetryBudget() retryBudget { return retryBudget{retries: maxRetryBudget / 2} }
 
+// earn, spend and allows are called for a success, for a retry that is sent, and to ask whether one may be.
 func (b *retryBudget) earn()        { b.retries = min(maxRetryBudget, b.retries+retriesPerSuccess) }
 func (b *retryBudget) spend()       { b.retries = max(0, b.retries-1) }
 func (b *retryBudget) allows() bool { return b.retries >= 1 }
--- a/internal/tier/balancer/rollout_test.go
+++ b/internal/tier/balancer/rollout_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"mastusher/internal/tier/view"
 )
@@ -14,25 +13,17 @@
 		for i := range 4 {
 			list[i].Version = "v2"
 		}
-		s := newBalancer(list)
+		balancer := newBalancer(list)
 		versions := []view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: 0.05, InitialAllowance: 4}}
-		s.SetVersions(versions)
+		balancer.SetVersions(versions)
 		// when requests come, and the same versions are set again meanwhile,
 		target := [1001]int{}
 		for i := range 1000 {
-			r := retryableRequest()
-			if pinned {
-				r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
-			}
-			now := time.Duration(i) * 10 * time.Millisecond
-			d := s.Select(now, r)
-			s.Sent(now, &d.Attempt)
-			s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 			target[i+1] = target[i]
-			if d.Endpoint.Version == "v2" {
+			if serveNumbered(balancer, i, pinned).Version == "v2" {
 				target[i+1]++
 			}
-			s.SetVersions(versions)
+			balancer.SetVersions(versions)
 		}
 		// then it gets most of them within the first requests, and in all no more than its share and them.
 		if target[24] < 4 {
--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -127,36 +127,36 @@
 }
 
 // consider compares one endpoint with the best so far.
-func (b *Balancer) consider(sel *selection, e *endpoint) {
-	if !e.ready {
+func (b *Balancer) consider(sel *selection, candidate *endpoint) {
+	if !candidate.ready {
 		return
 	}
-	unhealthy := e.unhealthy()
-	if len(sel.request.Excluded) > 0 && slices.Contains(sel.request.Excluded, e.model.ID) {
+	unhealthy := candidate.unhealthy()
+	if len(sel.request.Excluded) > 0 && slices.Contains(sel.request.Excluded, candidate.model.ID) {
 		sel.hasHealthy = sel.hasHealthy || !unhealthy && !sel.retryable
 		return
 	}
 	sel.hasHealthy = sel.hasHealthy || !unhealthy
-	if backoff := e.health.backoffUntil; backoff > sel.now {
+	if backoff := candidate.health.backoffUntil; backoff > sel.now {
 		if sel.earliestBackoffEnd == 0 || backoff < sel.earliestBackoffEnd {
 			sel.earliestBackoffEnd = backoff
 		}
 		sel.saturated = true
 		return
 	}
-	inFlight := e.estimatedInFlight(sel.now, sel.othersShare)
-	if len(e.inFlight) >= b.maxInFlightTo(e) || e.atCapacity(inFlight) {
+	inFlight := candidate.estimatedInFlight(sel.now, sel.othersShare)
+	if len(candidate.inFlight) >= b.maxInFlightTo(candidate) || candidate.atCapacity(inFlight) {
 		sel.saturated = true
 		return
 	}
-	cost := sel.cost(e, inFlight)
+	cost := sel.cost(candidate, inFlight)
 	if unhealthy {
-		sel.considerUnhealthy(e, cost)
+		sel.considerUnhealthy(candidate, cost)
 		return
 	}
 	sel.available++
 	if cost < sel.bestCost {
-		sel.best, sel.bestCost = e, cost
+		sel.best, sel.bestCost = candidate, cost
 	}
 }
 
@@ -193,7 +193,7 @@
 	return sel.best
 }
 
-// mayProbe tells whether the request may be risked as a probe: it can be retried, or no request comes that could be.
+// mayProbe reports whether the request may be risked as a probe: it can be retried, or no request comes that could be.
 func (sel *selection) mayProbe(svc *service) bool {
 	switch {
 	case sel.request.AttemptsUsed > 0:
@@ -204,6 +204,7 @@
 	return sel.probeCandidate.health.lastFailureNotRun || !svc.sawRetryable || sel.now-svc.lastRetryableAt > retryableAbsence
 }
 
+// reject returns the decision not to send a request.
 func reject(kind RejectionKind, after time.Duration) Decision {
 	return Decision{Rejection: Rejection{Kind: kind, RetryAfter: after}}
 }
@@ -222,7 +223,7 @@
 
 // retryAfter is about how long it takes until an endpoint has capacity again.
 func (sel *selection) retryAfter() time.Duration {
-	return max(minRetryAfter, seconds(sel.workScale*sel.plan.untried.estimates.expected[1]/2))
+	return max(minRetryAfter, seconds(sel.workScale*sel.plan.unsampled.estimates.expected[1]/2))
 }
 
 // decide sets the timeout of the attempt by the plan.
@@ -235,7 +236,7 @@
 	decision := Decision{Endpoint: e.model, Timeout: left, UntilDeadline: true}
 	if sel.hasRetryFor(svc, e) {
 		timeout, untilDeadline := sel.plannedTimeout(e, estimates)
-		if !untilDeadline && timeout+sel.scaled(sel.plan.untried.estimates.median) < left {
+		if !untilDeadline && timeout+sel.scaled(sel.plan.unsampled.estimates.median) < left {
 			decision.Timeout, decision.UntilDeadline = timeout, false
 		}
 	}
@@ -245,7 +246,7 @@
 	return decision
 }
 
-// hasRetryFor tells whether a timeout would leave the request a retry: one that the budget allows, at another endpoint.
+// hasRetryFor reports whether a timeout would leave the request a retry: one that the budget allows, at another endpoint.
 func (sel *selection) hasRetryFor(svc *service, e *endpoint) bool {
 	others := sel.available
 	if !e.unhealthy() {
@@ -258,7 +259,7 @@
 // follows the other endpoints' median, as the endpoint's own calls say little of what to expect of it.
 func (sel *selection) plannedTimeout(e *endpoint, own *estimates) (timeout time.Duration, untilDeadline bool) {
 	if e.unhealthy() {
-		pooled := &sel.plan.untried.estimates
+		pooled := &sel.plan.unsampled.estimates
 		return seconds(probeTimeoutFactor * sel.workScale * pooled.median.Seconds()), !pooled.known
 	}
 	return sel.scaled(own.timeout[sel.attemptsLeft]), own.untilDeadline[sel.attemptsLeft]
--- a/internal/tier/balancer/service.go
+++ b/internal/tier/balancer/service.go
@@ -25,6 +25,7 @@
 	lastNonEmptyAt  time.Duration // when the list last named an endpoint of it
 }
 
+// newService returns the state of a service without endpoints.
 func newService(name string) *service {
 	return &service{name: name, budget: newRetryBudget(), work: newWorkEstimator()}
 }
--- a/internal/tier/balancer/versions.go
+++ b/internal/tier/balancer/versions.go
@@ -18,11 +18,11 @@
 
 // versionGroup is the ready endpoints of one version that takes requests.
 type versionGroup struct {
-	ready         []*endpoint // by hash
-	hashes        []uint64    // of those, in the same order
-	untriedOrder  []*endpoint // the order in which this proxy tries endpoints that it hasn't called; empty in a small group
-	shortlist     []*endpoint
-	shortlistedAt time.Duration // solvedAt of the plan that it was made from
+	ready          []*endpoint // by hash
+	hashes         []uint64    // of those, in the same order
+	unsampledOrder []*endpoint // the order in which this proxy tries endpoints that it hasn't called; empty in a small group
+	shortlist      []*endpoint
+	shortlistedAt  time.Duration // solvedAt of the plan that it was made from
 }
 
 // sort brings the group into an order that doesn't depend on that of the list.
@@ -35,12 +35,12 @@
 	for _, e := range g.ready {
 		g.hashes = append(g.hashes, e.hash)
 	}
-	g.untriedOrder, g.shortlist = g.untriedOrder[:0], g.shortlist[:0]
+	g.unsampledOrder, g.shortlist = g.unsampledOrder[:0], g.shortlist[:0]
 	if len(g.ready) < shortlistThreshold {
 		return
 	}
-	g.untriedOrder = append(g.untriedOrder, g.ready...)
-	slices.SortFunc(g.untriedOrder, func(a, b *endpoint) int {
+	g.unsampledOrder = append(g.unsampledOrder, g.ready...)
+	slices.SortFunc(g.unsampledOrder, func(a, b *endpoint) int {
 		return cmp.Or(cmp.Compare(a.zonePenalty, b.zonePenalty), cmp.Compare(a.tieBreak, b.tieBreak), byHash(a, b))
 	})
 }
@@ -56,7 +56,7 @@
 		e.ready = false
 	}
 	g.ready, g.hashes = g.ready[:remaining], g.hashes[:remaining]
-	g.untriedOrder = slices.DeleteFunc(g.untriedOrder, func(e *endpoint) bool { return !e.ready })
+	g.unsampledOrder = slices.DeleteFunc(g.unsampledOrder, func(e *endpoint) bool { return !e.ready })
 }
 
 // selectGroup returns the group that takes the request. The target gets at most its share of all attempts at the service,
--- a/internal/tier/balancer/versions_test.go
+++ b/internal/tier/balancer/versions_test.go
@@ -5,9 +5,24 @@
 	"testing"
 	"time"
 
+	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/view"
 )
 
+// serveNumbered has the request with a number, of a series that come 10 ms apart, answered at once. It returns the endpoint that served
+// it. A pinned request has an affinity of its own.
+func serveNumbered(balancer *Balancer, number int, pinned bool) *model.Endpoint {
+	r := retryableRequest()
+	if pinned {
+		r.AffinityKey, r.Route.UsesAffinity = uint64(number+1)*0x9e3779b97f4a7c15, true
+	}
+	now := time.Duration(number) * 10 * time.Millisecond
+	d := balancer.Select(now, r)
+	balancer.Sent(now, &d.Attempt)
+	balancer.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
+	return d.Endpoint
+}
+
 func TestSelect_TargetVersion_GetsItsShare(t *testing.T) {
 	list := endpointsOf("feeds", 8, 6)
 	for i := range 4 {
@@ -15,19 +30,11 @@
 	}
 	for _, share := range []float64{0, 0.05, 0.3, 1} {
 		for _, pinned := range []bool{false, true} {
-			s := newBalancer(list)
-			s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: share}})
+			balancer := newBalancer(list)
+			balancer.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: share}})
 			target := 0
 			for i := range 1000 {
-				r := retryableRequest()
-				if pinned {
-					r.AffinityKey, r.Route.UsesAffinity = uint64(i+1)*0x9e3779b97f4a7c15, true
-				}
-				now := time.Duration(i) * 10 * time.Millisecond
-				d := s.Select(now, r)
-				s.Sent(now, &d.Attempt)
-				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
-				if d.Endpoint.Version == "v2" {
+				if serveNumbered(balancer, i, pinned).Version == "v2" {
 					target++
 				}
 			}
@@ -47,23 +54,23 @@
 		}
 		chosen := map[string]bool{}
 		for seed := range uint64(4) {
-			s := New(Options{Zone: fmt.Sprintf("z%d", seed), Seed: seed})
-			s.SetEndpoints(0, list)
-			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", TrafficShare: 0.05}})
+			balancer := New(Options{Zone: fmt.Sprintf("z%d", seed), Seed: seed})
+			balancer.SetEndpoints(0, list)
+			balancer.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v1", Target: "v2", TrafficShare: 0.05}})
 			for key := range uint64(4000) {
 				now := time.Duration(key) * 10 * time.Millisecond
-				d := s.Select(now, turnRequest(mix(key+1)))
-				s.Sent(now, &d.Attempt)
-				s.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
+				d := balancer.Select(now, turnRequest(mix(key+1)))
+				balancer.Sent(now, &d.Attempt)
+				balancer.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 				if d.Endpoint.Version == "v2" {
 					chosen[d.Endpoint.ID] = true
 				}
 			}
 			// And when the target has won, all of its endpoints take requests.
-			s.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
+			balancer.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
 			after := map[string]bool{}
 			for key := range uint64(4000) {
-				after[s.Select(time.Minute, turnRequest(mix(key+1))).Endpoint.ID] = true
+				after[balancer.Select(time.Minute, turnRequest(mix(key+1))).Endpoint.ID] = true
 			}
 			if zone := test.endpoints / 4; len(after) < zone {
 				t.Errorf("%d endpoints, after the trial: %d are chosen, want the %d of the zone at least", test.endpoints, len(after), zone)
--- a/internal/tier/balancer/workestimate.go
+++ b/internal/tier/balancer/workestimate.go
@@ -35,6 +35,7 @@
 	updatedAt      time.Duration
 }
 
+// add enters a call that took so many seconds.
 func (r *routeWork) add(now time.Duration, took float64) {
 	f := decay(now-r.updatedAt, workHalfLife)
 	r.seconds, r.calls, r.updatedAt = r.seconds*f+took, r.calls*f+1, now
@@ -48,6 +49,7 @@
 	pace      tokenPace
 }
 
+// newWorkEstimator returns an estimator that knows only the priors.
 func newWorkEstimator() workEstimator {
 	return workEstimator{routes: map[string]*routeWork{}}
 }
@@ -92,6 +94,7 @@
 	updatedAt                       time.Duration
 }
 
+// add enters a call with x tokens that took y seconds.
 func (l *linearFit) add(now time.Duration, x, y float64) {
 	f := decay(now-l.updatedAt, workHalfLife)
 	l.count, l.sumX, l.sumY, l.sumXX, l.sumXY = l.count*f+1, l.sumX*f+x, l.sumY*f+y, l.sumXX*f+x*x, l.sumXY*f+x*y
@@ -116,6 +119,7 @@
 	updatedAt       time.Duration
 }
 
+// add enters tokens that took so many seconds in all.
 func (p *tokenPace) add(now time.Duration, seconds, tokens float64) {
 	f := decay(now-p.updatedAt, workHalfLife)
 	p.seconds, p.tokens, p.updatedAt = p.seconds*f+seconds, p.tokens*f+tokens, now
--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -17,6 +17,7 @@
 // unlimited is the read limit while a body is read.
 const unlimited = int64(1) << 62
 
+// errHeadTooLarge is the read error of a response whose head exceeds Options.MaxHeaderBytes.
 var errHeadTooLarge = errors.New("response head too large")
 
 // connection is one connection to an endpoint. It carries one request at a time.
@@ -32,6 +33,7 @@
 	carriedHead bool // one of those was a HEAD, whose response has no body whatever its head says
 }
 
+// newConnection returns a connection in the slot that the endpoint has reserved for it.
 func newConnection(endpoint *endpointConns, socket net.Conn) *connection {
 	c := &connection{endpoint: endpoint, socket: socket, readLeft: unlimited}
 	if system, ok := socket.(syscall.Conn); ok {
@@ -44,6 +46,7 @@
 // limitedSocket reads from a connection's socket within its read limit.
 type limitedSocket struct{ c *connection }
 
+// Read reads from the socket. It fails with errHeadTooLarge once the limit is reached.
 func (s limitedSocket) Read(buffer []byte) (int, error) {
 	if s.c.readLeft <= 0 {
 		return 0, errHeadTooLarge
@@ -56,7 +59,7 @@
 	return n, err
 }
 
-// reusable tells whether an idle connection can take a request: it isn't due to close, and its peer neither closed it
+// reusable reports whether an idle connection can take a request: it isn't due to close, and its peer neither closed it
 // nor sent bytes that no request asked for.
 func (c *connection) reusable(now time.Time) bool {
 	if !now.Before(c.idleUntil) || c.reader.Buffered() > 0 {
--- a/internal/tier/upstream/dial.go
+++ b/internal/tier/upstream/dial.go
@@ -43,7 +43,7 @@
 	return failure
 }
 
-// isQuiet tells whether a connection that should be idle is: open, and without bytes to be read.
+// isQuiet reports whether a connection that should be idle is: open, and without bytes to be read.
 func isQuiet(raw syscall.RawConn) bool {
 	idle := false
 	err := raw.Control(func(descriptor uintptr) {
--- a/internal/tier/upstream/doc.go
+++ b/internal/tier/upstream/doc.go
@@ -2,7 +2,7 @@
 // for each Proxy.
 //
 // A connection belongs to one endpoint by its ID, never by its address, and carries one request at a time. A request is written
-// at most once: nothing here retries it, and an Error tells whether any of its bytes were sent (NeverSent) or whether it may have
+// at most once: nothing here retries it, and an Error reports whether any of its bytes were sent (NeverSent) or whether it may have
 // run (MayHaveRun). Responses are parsed by net/http; its Transport, which pools by address and retries requests by itself, is
 // not used.
 //
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -27,11 +27,13 @@
 // TimeLeftHeader holds how many milliseconds the caller of a request will wait.
 const TimeLeftHeader = "X-Time-Left-Ms"
 
+// Errors of readHead. readError gives errForeign a Reason of its own.
 var (
 	errForeign       = errors.New("response has another request's id")
 	errInformational = errors.New("too many informational responses")
 )
 
+// headBuffers pools the buffers in which heads of requests are formatted.
 var headBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
 // Do sends a request to an endpoint, once, and returns its response when the head has come. The caller must close the response.
@@ -82,11 +84,14 @@
 	notReusable bool             // the connection must not be used again
 }
 
+// writeResult is how the writing of a request ended: how many bytes were written, and why no more.
 type writeResult struct {
 	count int64
 	err   error
 }
 
+// run writes the request and reads the head of its response. A long request is written by a goroutine of its own, which ends with
+// its write: awaitWrite, or the response's Close, waits for it.
 func (e *exchange) run() (*Response, *Error) {
 	e.stop = e.connection.abortOnDone(e.ctx)
 	e.connection.requests++
@@ -168,7 +173,7 @@
 }
 
 // readHead reads the head of this request's response, past informational ones and past late responses to other requests. Where
-// one of those may belong to a HEAD request, nothing tells whether a body follows it, and so where the next response begins.
+// one of those may belong to a HEAD request, nothing reports whether a body follows it, and so where the next response begins.
 func (e *exchange) readHead() (*http.Response, error) {
 	c := e.connection
 	libraryRequest := &http.Request{Method: e.request.Method}
@@ -197,7 +202,7 @@
 	}
 }
 
-// matches tells whether a response is this request's. One without an id is, if the connection has carried no other request. One
+// matches reports whether a response is this request's. One without an id is, if the connection has carried no other request. One
 // with several ids is nobody's.
 func (e *exchange) matches(response *http.Response) bool {
 	ids := response.Header[AttemptIDHeader]
--- a/internal/tier/upstream/options.go
+++ b/internal/tier/upstream/options.go
@@ -6,10 +6,12 @@
 	"mastusher/internal/tier/network"
 )
 
-// Options are the settings of a Pool. A zero field takes its default.
+// Options are the settings of a Pool. A zero field takes its default; no value is bounded here.
 //
-// Smaller timeouts detect a dead endpoint earlier and give up on slow networks earlier. A larger IdleTimeout or a smaller
-// IdleTimeoutMargin reuses more connections, and sends more requests on connections that the endpoint is about to close.
+// Larger timeouts, and more or rarer keep-alive probes, bear slower networks and detect a dead endpoint later: its requests fail that
+// much closer to their deadlines, and its connections count against the endpoint's maximum for as long. A larger IdleTimeout or a
+// smaller IdleTimeoutMargin reuses more connections, and sends more requests on connections that the endpoint is about to close. A
+// larger MaxHeaderBytes takes longer heads, and as much memory for one that never ends.
 type Options struct {
 	ConnectTimeout    time.Duration    // for a connection to be made; default 400 ms
 	UserTimeout       time.Duration    // for sent bytes to be acknowledged (TCP_USER_TIMEOUT, RFC 5482); default 2.5 s
@@ -38,6 +40,7 @@
 // reapInterval is the time between two checks for idle connections that have expired.
 const reapInterval = 250 * time.Millisecond
 
+// withDefaults replaces zero values by their defaults.
 func (o Options) withDefaults() Options {
 	setDuration(&o.ConnectTimeout, DefaultConnectTimeout)
 	setDuration(&o.UserTimeout, DefaultUserTimeout)
@@ -58,6 +61,7 @@
 	return o
 }
 
+// setDuration sets a zero duration to a value.
 func setDuration(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -17,7 +17,7 @@
 // Permit is checked once there is a connection, right before a request is written to it: the endpoint may have been withdrawn while
 // the connection was made.
 type Permit interface {
-	// Granted tells whether the endpoint may still get the request.
+	// Granted reports whether the endpoint may still get the request.
 	Granted() bool
 }
 
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -39,6 +39,7 @@
 	return append(buffer, "\r\n"...)
 }
 
+// errControlBytes is the cause of an Error with InvalidRequest.
 var errControlBytes = errors.New("space or control byte in method, target, host or header field")
 
 // check rejects what would end up as other bytes, or as a second request, on the wire.
@@ -54,6 +55,7 @@
 	return nil
 }
 
+// hasSpaceOrControl reports whether a text has bytes that would end it on the wire.
 func hasSpaceOrControl(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] == 0x7f {
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -23,6 +23,7 @@
 	closed   bool
 }
 
+// newResponse returns a response whose body is yet to be read.
 func newResponse(e *exchange, response *http.Response) *Response {
 	chunked := len(response.TransferEncoding) > 0
 	return &Response{
@@ -66,7 +67,7 @@
 	return r.exchange.connection.reader.Buffered()
 }
 
-// Complete tells whether the body has been read to its end.
+// Complete reports whether the body has been read to its end.
 func (r *Response) Complete() bool { return r.complete }
 
 // Close ends the exchange. The connection is kept if it can carry another request, and closed otherwise; an endpoint takes a
@@ -87,7 +88,7 @@
 	e.awaitWrite()
 }
 
-// reusable tells whether nothing of this exchange is left on the connection.
+// reusable reports whether nothing of this exchange is left on the connection.
 func (r *Response) reusable() bool {
 	e := r.exchange
 	if !r.complete || e.notReusable || r.response.Close || r.CloseDelimited || e.request.AttemptID == "" {
