--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// isDistinct tells whether a form of a response is another one on that route than on the others: streams are in chunks as usual, what
+// isDistinct reports whether a form of a response is another one on that route than on the others: streams are in chunks as usual, what
 // is misdirected is the same for all, and turns are streams in other frames.
 func isDistinct(route routeKind, kind responseKind) bool {
 	switch {
@@ -65,7 +65,7 @@
 		var requests []*requestScript
 		for at := range responseLength(newRequest(route, 0, completeScript(kind, 2))) {
 			paused := completeScript(kind, 2)
-			paused.split, paused.pause = at, 5*time.Millisecond
+			paused.split, paused.splitDelay = at, 5*time.Millisecond
 			requests = append(requests, newRequest(route, at, paused, completeScript(success, 2)))
 		}
 		want := 200
@@ -142,7 +142,7 @@
 						request := newRequest(route, at, completeScript(success, 2))
 						request.chunks, request.disconnect = chunks, leave
 						if leave == keepOpen {
-							request.split, request.pause = at, 5*time.Millisecond
+							request.split, request.splitDelay = at, 5*time.Millisecond
 						} else {
 							request.sendLimit, request.disconnectDelay = at, 5*time.Millisecond
 						}
@@ -167,7 +167,7 @@
 				var requests []*requestScript
 				for at := range 40 {
 					slow := completeScript(success, 8)
-					slow.delay, slow.split, slow.pause = 10*time.Millisecond, 150, 800*time.Millisecond
+					slow.delay, slow.split, slow.splitDelay = 10*time.Millisecond, 150, 800*time.Millisecond
 					request := newRequest(route, at, slow)
 					request.disconnect, request.disconnectDelay = leave, time.Duration(at)*time.Millisecond
 					requests = append(requests, request)
@@ -296,7 +296,7 @@
 					broken := 0
 					for at := range 40 {
 						slow := completeScript(kind, size)
-						slow.split, slow.pause = size*9/10, 20*time.Millisecond
+						slow.split, slow.splitDelay = size*9/10, 20*time.Millisecond
 						request := newRequest(onceRoute, 0, slow)
 						request.http10 = old
 						killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -102,7 +102,7 @@
 	if request.sendLimit >= 0 {
 		wire = wire[:min(request.sendLimit, len(wire))]
 	}
-	return sendSplit(c.conn, wire, request.split, request.pause)
+	return sendSplit(c.conn, wire, request.split, request.splitDelay)
 }
 
 // disconnect ends the connection without waiting for the response. What comes to one that ended its own direction only is read.
@@ -140,8 +140,8 @@
 	c.conn = nil
 }
 
-// brokenOff tells whether a response has begun and not looked complete.
+// brokenOff reports whether a response has begun and not looked complete.
 func (g *clientResult) brokenOff() bool { return g.answered && g.err != nil }
 
-// complete tells whether a response looked complete.
+// complete reports whether a response looked complete.
 func (g *clientResult) complete() bool { return g.answered && g.err == nil }
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -97,13 +97,13 @@
 		return err == nil
 	}
 	if script.breakAfter >= 0 && script.breakAfter < len(wire) {
-		if sendSplit(conn, wire[:script.breakAfter], script.split, script.pause) {
+		if sendSplit(conn, wire[:script.breakAfter], script.split, script.splitDelay) {
 			e.env.responseWritten(current)
 		}
 		disconnect(conn, script.end)
 		return false
 	}
-	if !sendSplit(conn, wire, script.split, script.pause) {
+	if !sendSplit(conn, wire, script.split, script.splitDelay) {
 		return false
 	}
 	e.env.responseWritten(current)
@@ -124,7 +124,7 @@
 }
 
 // sendSplit writes data in two parts with a pause between them.
-func sendSplit(conn *memoryConn, data []byte, split int, pause time.Duration) bool {
+func sendSplit(conn *memoryConn, data []byte, split int, splitDelay time.Duration) bool {
 	if split >= len(data) {
 		split = 0
 	}
@@ -132,7 +132,7 @@
 		if _, err := conn.Write(data[:split]); err != nil {
 			return false
 		}
-		time.Sleep(pause)
+		time.Sleep(splitDelay)
 	}
 	_, err := conn.Write(data[split:])
 	return err == nil
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -20,8 +20,8 @@
 const (
 	endpointCount = 3
 	maxAttempts   = 2 // of each route
-	// lingerTime is how long an environment runs on after its last request: longer than any deadline.
-	lingerTime = 5 * time.Second
+	// cooldown is how long an environment runs on after its last request: longer than any deadline.
+	cooldown = 5 * time.Second
 )
 
 // scenarioEventKind is what happens to the proxy or around it.
@@ -53,7 +53,7 @@
 	faultFree      bool // neither endpoints nor clients cause any fault
 }
 
-// keepsRunning tells whether the proxy is not told to end.
+// keepsRunning reports whether the proxy is not told to end.
 func (p *scenario) keepsRunning() bool { return !p.has(drain) && !p.has(shutdown) && !p.has(kill) }
 
 func (p *scenario) has(kind scenarioEventKind) bool {
@@ -149,7 +149,7 @@
 		})
 	}
 	clients.Wait()
-	time.Sleep(lingerTime)
+	time.Sleep(cooldown)
 	w.shutdownProxy(t)
 	for _, e := range w.endpoints {
 		e.listener.Close()
@@ -183,7 +183,7 @@
 }
 
 func (w *environment) shutdownProxy(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), lingerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), cooldown)
 	defer cancel()
 	if err := w.proxy.Shutdown(ctx); err != nil {
 		t.Errorf("shutdown: %v", err)
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -24,7 +24,7 @@
 	conn     *memoryConn
 }
 
-// provedNotRun tells whether the endpoint promised that it didn't run it and won't.
+// provedNotRun reports whether the endpoint promised that it didn't run it and won't.
 func (s receivedRequest) provedNotRun() bool { return s.attempt != nil && s.attempt.provedNotRun() }
 
 // oracle judges an environment by every byte that went over its connections.
@@ -191,7 +191,7 @@
 	}
 }
 
-// mayBreakOff tells whether an endpoint may have broken off the response to a request, its client not taken it, or the stores not its end. What of it the proxy
+// mayBreakOff reports whether an endpoint may have broken off the response to a request, its client not taken it, or the stores not its end. What of it the proxy
 // had not forwarded yet is dropped then, and the client may see a close alone.
 func (o *oracle) mayBreakOff(request *requestScript) bool {
 	notSafe := request.route == turnRoute && request.endResult != commitAccepted
@@ -225,7 +225,7 @@
 	}
 }
 
-// impliesNotRun tells whether a client takes a status for a promise that its request has not run and won't.
+// impliesNotRun reports whether a client takes a status for a promise that its request has not run and won't.
 func impliesNotRun(status int) bool { return slices.Contains([]int{402, 408, 421, 429, 503}, status) }
 
 // rejectionStatuses are the responses to turns that the stores reject.
@@ -275,35 +275,35 @@
 }
 
 // judgeResponse judges a response that has begun, and whether it may look as complete as it does.
-func (o *oracle) judgeResponse(g *clientResult) {
-	seal := g.header.Get("X-Server-Seal")
+func (o *oracle) judgeResponse(result *clientResult) {
+	seal := result.header.Get("X-Server-Seal")
 	if seal == "" {
-		partial := g.request.sendLimit >= 0 && g.status == 400
-		refused := g.request.route == turnRoute && g.status == rejectionStatuses[g.request.beginResult]
-		if !partial && !refused && !slices.Contains([]int{502, 503, 504}, g.status) {
-			o.fault(g.request, "MIXED: %d of the proxy's own", g.status)
+		partial := result.request.sendLimit >= 0 && result.status == 400
+		refused := result.request.route == turnRoute && result.status == rejectionStatuses[result.request.beginResult]
+		if !partial && !refused && !slices.Contains([]int{502, 503, 504}, result.status) {
+			o.fault(result.request, "MIXED: %d of the proxy's own", result.status)
 		}
 		return
 	}
-	first := o.attemptWithSeal(g.request, seal)
+	first := o.attemptWithSeal(result.request, seal)
 	if first == nil {
-		o.fault(g.request, "MIXED: the answer of another request, %q", seal)
+		o.fault(result.request, "MIXED: the answer of another request, %q", seal)
 		return
 	}
-	if g.status != first.status() || g.status/100 == 2 && g.header.Get("X-Attempt-Id") != g.request.id {
-		o.fault(g.request, "MIXED: %d, and the endpoint said %d", g.status, first.status())
+	if result.status != first.status() || result.status/100 == 2 && result.header.Get("X-Attempt-Id") != result.request.id {
+		o.fault(result.request, "MIXED: %d, and the endpoint said %d", result.status, first.status())
 		return
 	}
-	if g.request.route.streaming() && g.status == 200 && g.request.method != "HEAD" {
-		o.judgeStream(g, first)
+	if result.request.route.streaming() && result.status == 200 && result.request.method != "HEAD" {
+		o.judgeStream(result, first)
 		return
 	}
 	body, complete := first.completeBody()
-	if g.complete() && (!complete || !bytes.Equal(body, g.body)) {
-		o.fault(g.request, "MIXED: %d bytes look complete, the endpoint's are %d, whole: %v", len(g.body), len(body), complete)
+	if result.complete() && (!complete || !bytes.Equal(body, result.body)) {
+		o.fault(result.request, "MIXED: %d bytes look complete, the endpoint's are %d, whole: %v", len(result.body), len(body), complete)
 	}
-	if g.brokenOff() && !bytes.HasPrefix(first.body(), g.body) {
-		o.fault(g.request, "MIXED: other bytes than the endpoint's: %.80q", g.body)
+	if result.brokenOff() && !bytes.HasPrefix(first.body(), result.body) {
+		o.fault(result.request, "MIXED: other bytes than the endpoint's: %.80q", result.body)
 	}
 }
 
@@ -342,7 +342,7 @@
 	}
 }
 
-// lacksLastByte tells whether the last event of a turn's cut response lacks its last byte alone, which waits until its end is committed.
+// lacksLastByte reports whether the last event of a turn's cut response lacks its last byte alone, which waits until its end is committed.
 func lacksLastByte(g *clientResult, event []byte, by *endpointAttempt, number int) bool {
 	return g.brokenOff() && g.request.route == turnRoute && string(event)+"\n" == string(by.event(number))
 }
@@ -357,7 +357,7 @@
 	return nil
 }
 
-// mayEnd tells whether a run, or one that resumed the stream after it, ends after that event.
+// mayEnd reports whether a run, or one that resumed the stream after it, ends after that event.
 func (o *oracle) mayEnd(request *requestScript, from *endpointAttempt, last int) bool {
 	for _, r := range o.env.runs {
 		if r.request != request || r.index < from.index || r != from && !request.route.retryable() {
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			_, _ = conn.Write(data)
-			_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
+			_ = conn.SetReadDeadline(time.Now().Add(cooldown))
 			_, _ = io.Copy(io.Discard, struct{ io.Reader }{conn})
 			conn.Close()
 			w.run(t)
--- a/internal/tier/exchangetest/scenario_draw_test.go
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -29,7 +29,7 @@
 	return number % limit
 }
 
-// one tells whether a thing happens that happens once in so many times.
+// one reports whether a thing happens that happens once in so many times.
 func (s *drawSource) one(in int) bool { return s.below(in) == in-1 }
 
 // upTo returns a time of full milliseconds.
@@ -42,15 +42,15 @@
 
 // drawScenario draws a complete scenario. In one of eight the endpoints and the clients cause no fault.
 func drawScenario(s *drawSource) scenario {
-	troubled := !s.one(8)
-	p := scenario{faultFree: !troubled}
-	if troubled {
+	faulty := !s.one(8)
+	p := scenario{faultFree: !faulty}
+	if faulty {
 		p.maxConnections = oneOf(s, 0, 0, 2)
 	}
 	for client := range 1 + s.below(3) {
 		var requests []*requestScript
 		for number := range 1 + s.below(4) {
-			requests = append(requests, drawRequest(s, fmt.Sprintf("r%d-%d", client, number), troubled))
+			requests = append(requests, drawRequest(s, fmt.Sprintf("r%d-%d", client, number), faulty))
 		}
 		for i := range requests[1:] {
 			requests[i].pipelined = s.one(6) && !requests[i].http10 && !requests[i].disconnects() && !requests[i+1].disconnects()
@@ -59,66 +59,66 @@
 	}
 	for range s.below(3) {
 		event := scenarioEvent{at: s.upTo(120), kind: scenarioEventKind(s.below(int(eventKinds))), endpoint: s.below(endpointCount)}
-		if troubled || event.kind < crash {
+		if faulty || event.kind < crash {
 			p.events = append(p.events, event)
 		}
 	}
 	return p
 }
 
-func drawRequest(s *drawSource, id string, troubled bool) *requestScript {
-	r := &requestScript{
+func drawRequest(source *drawSource, id string, faulty bool) *requestScript {
+	request := &requestScript{
 		id:         id,
-		route:      oneOf(s, onceRoute, onceRoute, safeRoute, resumeRoute, resumeRoute, streamRoute, turnRoute),
-		method:     oneOf(s, "POST", "GET", "GET", "HEAD"),
-		startDelay: s.upTo(40),
+		route:      oneOf(source, onceRoute, onceRoute, safeRoute, resumeRoute, resumeRoute, streamRoute, turnRoute),
+		method:     oneOf(source, "POST", "GET", "GET", "HEAD"),
+		startDelay: source.upTo(40),
 		sendLimit:  -1,
-		timeLeft:   time.Duration(oneOf(s, 1000, 1000, 300)) * time.Millisecond,
+		timeLeft:   time.Duration(oneOf(source, 1000, 1000, 300)) * time.Millisecond,
 	}
-	if r.method == "POST" {
-		r.size = oneOf(s, 0, 1, 20, 3000, 40_000, 200_000)
-		r.http10 = s.one(8)
-		if r.size > 0 && !r.http10 {
-			r.chunks = oneOf(s, 0, 0, 1, 3)
+	if request.method == "POST" {
+		request.size = oneOf(source, 0, 1, 20, 3000, 40_000, 200_000)
+		request.http10 = source.one(8)
+		if request.size > 0 && !request.http10 {
+			request.chunks = oneOf(source, 0, 0, 1, 3)
 		}
 	}
-	if r.route == turnRoute {
-		r.chain = oneOf(s, 0, 300, 50_000)
+	if request.route == turnRoute {
+		request.chain = oneOf(source, 0, 300, 50_000)
 	}
-	r.split, r.pause = s.below(200), s.upTo(10)
-	if !troubled {
-		r.timeLeft = time.Second
-		r.attempts = []attemptScript{drawFaultFreeAttempt(s, r)}
-		return r
+	request.split, request.splitDelay = source.below(200), source.upTo(10)
+	if !faulty {
+		request.timeLeft = time.Second
+		request.attempts = []attemptScript{drawFaultFreeAttempt(source, request)}
+		return request
 	}
-	if s.one(6) {
-		r.disconnect, r.disconnectDelay = oneOf(s, orderlyClose, resetClose, halfClose), s.upTo(60)
-		if s.one(3) {
-			r.sendLimit = s.below(len(r.wire()))
+	if source.one(6) {
+		request.disconnect, request.disconnectDelay = oneOf(source, orderlyClose, resetClose, halfClose), source.upTo(60)
+		if source.one(3) {
+			request.sendLimit = source.below(len(request.wire()))
 		}
 	}
-	if s.one(2) {
-		r.beginResult, r.endResult = oneOf(s, turnAccepted, turnAccepted, turnAccepted, beginKind(s.below(int(beginKinds)))), endKind(s.below(int(endKinds)))
+	if source.one(2) {
+		request.beginResult, request.endResult = oneOf(source, turnAccepted, turnAccepted, turnAccepted, beginKind(source.below(int(beginKinds)))), endKind(source.below(int(endKinds)))
 	}
-	if s.one(8) {
-		r.readStall = s.upTo(1500)
+	if source.one(8) {
+		request.readStall = source.upTo(1500)
 	}
-	r.attemptTimeout = time.Duration(oneOf(s, 0, 0, 20)) * time.Millisecond
-	for range 1 + s.below(3) {
-		if s.one(3) {
-			r.attempts = append(r.attempts, drawFaultFreeAttempt(s, r))
+	request.attemptTimeout = time.Duration(oneOf(source, 0, 0, 20)) * time.Millisecond
+	for range 1 + source.below(3) {
+		if source.one(3) {
+			request.attempts = append(request.attempts, drawFaultFreeAttempt(source, request))
 			continue
 		}
-		r.attempts = append(r.attempts, drawAttempt(s, r))
+		request.attempts = append(request.attempts, drawAttempt(source, request))
 	}
-	return r
+	return request
 }
 
 // drawFaultFreeAttempt draws an attempt that goes well.
 func drawFaultFreeAttempt(s *drawSource, r *requestScript) attemptScript {
 	script := completeScript(oneOf(s, success, success, chunked, informational, closeDelimited), 0)
 	script.size = drawSize(s, r)
-	script.delay, script.split, script.pause = s.upTo(20), s.below(300), s.upTo(10)
+	script.delay, script.split, script.splitDelay = s.upTo(20), s.below(300), s.upTo(10)
 	return script
 }
 
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -19,10 +19,10 @@
 	turnRoute   routeKind = "turn" // a stream that the stores remember
 )
 
-// retryable tells whether a request may run more than once.
+// retryable reports whether a request may run more than once.
 func (r routeKind) retryable() bool { return r == safeRoute || r == resumeRoute }
 
-// streaming tells whether a success is a stream of events.
+// streaming reports whether a success is a stream of events.
 func (r routeKind) streaming() bool { return r == streamRoute || r == resumeRoute || r == turnRoute }
 
 // ending is how a side ends a connection.
@@ -69,10 +69,10 @@
 	rawBytes // those of the script
 )
 
-// provesNotRun tells whether a response says that the request was not run and won't be.
+// provesNotRun reports whether a response says that the request was not run and won't be.
 func (k responseKind) provesNotRun() bool { return k == notRun || k == misdirected || k == rejected }
 
-// mayReachClient tells whether a response may go to a client as its request's own, where it comes completely. A 503 that doesn't promise
+// mayReachClient reports whether a response may go to a client as its request's own, where it comes completely. A 503 that doesn't promise
 // anything may where the request may run more than once anyway.
 func (k responseKind) mayReachClient(route routeKind) bool {
 	return k <= rejected || k == unavailable && route.retryable()
@@ -87,7 +87,7 @@
 	readLimit      int           // it reads so many bytes of the request and then ends the connection; -1: all
 	delay          time.Duration // before the response
 	split          int           // bytes of the response that come first
-	pause          time.Duration // after those
+	splitDelay     time.Duration // after those
 	breakAfter     int           // bytes of the response after which the connection ends; -1: all are sent
 	end            ending        // after the response
 	endDelay       time.Duration // before that end
@@ -112,7 +112,7 @@
 	chunks          int             // the body comes in so many chunks; 0: with a length
 	startDelay      time.Duration   // before it is sent
 	split           int             // bytes that are sent first
-	pause           time.Duration   // after those
+	splitDelay      time.Duration   // after those
 	sendLimit       int             // bytes after which the client disconnects; -1: it sends all
 	disconnect      ending          // how it disconnects
 	pipelined       bool            // the next request follows at once, before this one's response
@@ -151,7 +151,7 @@
 	endKinds
 )
 
-// disconnects tells whether the client disconnects before its response.
+// disconnects reports whether the client disconnects before its response.
 func (r *requestScript) disconnects() bool { return r.sendLimit >= 0 || r.disconnect != keepOpen }
 
 // script returns what becomes of an attempt, counted from 0.
@@ -269,13 +269,13 @@
 	return []byte(text)
 }
 
-// breaksOff tells whether the endpoint ends the connection in the middle of the response.
+// breaksOff reports whether the endpoint ends the connection in the middle of the response.
 func (r endpointAttempt) breaksOff() bool {
 	broken := r.script().breakAfter
 	return broken >= 0 && broken < len(r.answer())
 }
 
-// provedNotRun tells whether the head of the run's response came, and promises that the request was not run.
+// provedNotRun reports whether the head of the run's response came, and promises that the request was not run.
 func (r endpointAttempt) provedNotRun() bool {
 	script := r.script()
 	if !script.kind.provesNotRun() || script.readLimit >= 0 || !r.written {
