--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -14,7 +14,7 @@
 type Views interface {
 	// Routes returns the routes of the newest configuration; nil until one is known.
 	Routes() *Routes
-	// Ready tells whether the proxy can serve: it has a configuration, endpoints and a connection to the leaders of programs.
+	// Ready reports whether the proxy can serve: it has a configuration, endpoints and a connection to the leaders of programs.
 	Ready() bool
 }
 
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -10,6 +10,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
+// errAttemptTimeout is the cause of the end of an attempt that its selection's timeout abandoned.
 var errAttemptTimeout = errors.New("attempt timed out")
 
 // attempt is one send of a request to one endpoint.
@@ -90,6 +91,7 @@
 	return false
 }
 
+// upstreamEndpoint returns a selection in the form that the pool takes.
 func upstreamEndpoint(selection Selection) upstream.Endpoint {
 	return upstream.Endpoint{
 		ID:             selection.ID,
@@ -141,13 +143,13 @@
 	return c.forwardResponse(a)
 }
 
-// provesNotRun tells whether a response says that the endpoint did not run the request and never will.
+// provesNotRun reports whether a response says that the endpoint did not run the request and never will.
 func provesNotRun(response *upstream.Response) bool {
 	_, notRun := response.Header[headerNotRun]
 	return notRun || response.Status == http.StatusMisdirectedRequest
 }
 
-// mayForward tells whether a response may go to the client as it is.
+// mayForward reports whether a response may go to the client as it is.
 func (c *clientRequest) mayForward(response *upstream.Response) bool {
 	if first(response.Header, headerSeal) == "" || response.Status == http.StatusSwitchingProtocols {
 		return false
@@ -158,7 +160,7 @@
 	return retryable(c.info.Route) || !impliesNotRun(response.Status)
 }
 
-// impliesNotRun tells whether clients read a status as a promise that the request has not run.
+// impliesNotRun reports whether clients read a status as a promise that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -80,10 +80,7 @@
 	// given an endpoint at capacity, and a request that waits for it
 	s, inFlight := newSaturatedBalancer(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
-	config := newConfiguration()
-	for i := range config.Routes {
-		config.Routes[i].LatencyTargetMs = 100_000
-	}
+	config := configurationWithLatencyTarget(100_000)
 	f.views.routes.Store(NewRoutes(config))
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
--- a/internal/tier/proxy/connlistener.go
+++ b/internal/tier/proxy/connlistener.go
@@ -13,6 +13,7 @@
 	once    sync.Once
 }
 
+// newConnListener returns a listener with the address of the frontend's.
 func newConnListener(address net.Addr) *connListener {
 	return &connListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -26,28 +26,25 @@
 
 func TestRequest_RouteTimeout_EndsInEveryState(t *testing.T) {
 	t.Parallel()
-	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealedHead(200, request, streamHead) }
-	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
+	events := func(request received) string { return eventFragment(request) + chunk("id: 2\nda") }
 	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
-	const broken = 0
 	cases := []struct {
 		name     string
 		route    string
 		fragment func(received) string
-		status   int // cut: the response has begun, and breaks off
+		status   int // or brokenOff
 	}{
-		{"a silent endpoint, safe", "safe", nothing, 504},
-		{"a silent endpoint, once", "once", nothing, 504},
-		{"a silent endpoint, stream", "stream", nothing, 504},
-		{"a silent endpoint, turn", "turn", nothing, 504},
-		{"a head without an event, stream", "stream", head, 504},
-		{"a head without an event, resumable", "resume", head, 504},
-		{"a head without an event, turn", "turn", head, 504},
-		{"a stream under way", "stream", events, broken},
-		{"a resumable stream under way", "resume", events, broken},
-		{"a turn under way", "turn", events, broken},
-		{"half a long answer, once", "once", half, broken},
+		{"a silent endpoint, safe", "safe", noFragment, 504},
+		{"a silent endpoint, once", "once", noFragment, 504},
+		{"a silent endpoint, stream", "stream", noFragment, 504},
+		{"a silent endpoint, turn", "turn", noFragment, 504},
+		{"a head without an event, stream", "stream", headFragment, 504},
+		{"a head without an event, resumable", "resume", headFragment, 504},
+		{"a head without an event, turn", "turn", headFragment, 504},
+		{"a stream under way", "stream", events, brokenOff},
+		{"a resumable stream under way", "resume", events, brokenOff},
+		{"a turn under way", "turn", events, brokenOff},
+		{"half a long answer, once", "once", half, brokenOff},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -60,10 +57,10 @@
 			c.request("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 			// when the route's time is over, then the request ends, at the client as at the endpoint
 			got := c.read("POST")
-			if test.status == broken && got.err == nil {
+			if test.status == brokenOff && got.err == nil {
 				t.Errorf("looks complete: %+v", got)
 			}
-			if test.status != broken && (got.status != test.status || got.err != nil) {
+			if test.status != brokenOff && (got.status != test.status || got.err != nil) {
 				t.Errorf("got %+v", got)
 			}
 			<-e.closed
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -23,7 +23,7 @@
 // # Concurrency
 //
 // Each request is served by one goroutine of net/http, which owns its clientRequest. Proxy and LoadBalancer are safe for
-// concurrent use. Goroutines beside the requests: one per serverGeneration, which ends when its listener is closed; one that
-// reports rejections, which ends with Serve; and one per turn that is committed beside its request, which Shutdown waits for
-// within ShutdownGracePeriod.
+// concurrent use. Goroutines beside the requests: one per serverGeneration and one for readiness, which end when their listeners are
+// closed; one that reports rejections, which Serve ends as it returns; and one per turn that is committed beside its request, which
+// Shutdown waits for within ShutdownGracePeriod. Nothing waits for the others.
 package proxy
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -48,7 +48,7 @@
 		s.scannedBytes += feed + 1
 		line = bytes.TrimSuffix(line, []byte{'\r'})
 		if len(line) > 0 {
-			s.line(line)
+			s.processLine(line)
 			continue
 		}
 		if s.isDuplicate() {
@@ -77,7 +77,7 @@
 	s.pending = append(make([]byte, 0, len(rest)+256), rest...)
 }
 
-// isDuplicate tells whether the event that has just been read may be one that the client got before the stream was resumed.
+// isDuplicate reports whether the event that has just been read may be one that the client got before the stream was resumed.
 func (s *eventScanner) isDuplicate() bool {
 	if !s.resumed || !s.hasID && !s.hasData {
 		return false
@@ -85,7 +85,7 @@
 	return !s.hasID || !higher(s.id, s.lastID)
 }
 
-// higher tells whether an id is above another one. Of ids that aren't both numbers it is known only that equal ones aren't.
+// higher reports whether an id is above another one. Of ids that aren't both numbers it is known only that equal ones aren't.
 func higher(id, than string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -95,13 +95,14 @@
 	return err != nil || a > b
 }
 
+// The fields of an event that matter here; see the WHATWG's HTML standard, section 9.2 (server-sent events).
 var (
 	dataField = []byte("data")
 	idField   = []byte("id")
 )
 
-// line takes one line of an event.
-func (s *eventScanner) line(line []byte) {
+// processLine takes one line of an event: a field, or a comment, which has no name.
+func (s *eventScanner) processLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch {
@@ -131,7 +132,7 @@
 	s.dataStart = len(s.output)
 }
 
-// insideEvent tells whether an event has begun and not ended.
+// insideEvent reports whether an event has begun and not ended.
 func (s *eventScanner) insideEvent() bool { return len(s.pending) > 0 || s.hasData || s.hasID }
 
 // finish takes the end of a complete stream: an event that no blank line ends is complete too. It returns the pending bytes; none
@@ -142,7 +143,7 @@
 	}
 	rest := s.pending
 	if line := bytes.TrimSuffix(rest[s.scannedBytes:], []byte{'\r'}); len(line) > 0 {
-		s.line(line)
+		s.processLine(line)
 	}
 	if s.isDuplicate() {
 		s.unforwardable = true
@@ -161,8 +162,9 @@
 	dataStart     int
 }
 
+// progress returns what rewind takes the scanner back to.
 func (s *eventScanner) progress() streamProgress {
-	return streamProgress{s.count, s.lastID, s.lastWithoutID, s.dataStart}
+	return streamProgress{count: s.count, lastID: s.lastID, lastWithoutID: s.lastWithoutID, dataStart: s.dataStart}
 }
 
 // rewind forgets the events since then, which were not forwarded, and the one being read.
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -75,7 +75,8 @@
 	allClosed chan struct{} // closed once closed is set and no connection is left
 }
 
-// serverGeneration is a server for one set of limits.
+// serverGeneration is a server for one set of limits. Its goroutine accepts from listener until that is closed: by the next generation,
+// or by shutdown, which waits for the connections but not for this goroutine.
 type serverGeneration struct {
 	limits      clientLimits
 	server      *http.Server
@@ -83,6 +84,7 @@
 	connections int
 }
 
+// newFrontend returns a frontend that takes no connections until serve is called. current gives the limits of each new connection.
 func newFrontend(listener net.Listener, handler http.Handler, current func() clientLimits, options Options) *frontend {
 	f := &frontend{
 		listener:       listener,
@@ -115,6 +117,7 @@
 	}
 }
 
+// isResourceExhausted reports whether an accept failed for what may be over in a moment.
 func isResourceExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -31,7 +31,7 @@
 	subjectCookie     = "X-Subject"
 )
 
-// isHopByHop tells whether a field concerns only one connection (RFC 9110 section 7.6.1). Content-Length and Host are framed
+// isHopByHop reports whether a field concerns only one connection (RFC 9110 section 7.6.1). Content-Length and Host are framed
 // anew; Expect has been answered by the time a body is forwarded.
 func isHopByHop(name string) bool {
 	switch name {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// isPerAttempt tells whether each attempt sets the field anew.
+// isPerAttempt reports whether each attempt sets the field anew.
 func isPerAttempt(name string) bool {
 	return name == headerTimeLeft || name == headerExpected || name == headerPriority || name == headerLastEventID
 }
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -61,6 +61,7 @@
 	return newLoadBalancer(zone, seed, func() time.Duration { return time.Since(start) })
 }
 
+// newLoadBalancer is NewLoadBalancer with a clock of the caller's.
 func newLoadBalancer(zone string, seed uint64, now func() time.Duration) *LoadBalancer {
 	return &LoadBalancer{
 		now:      now,
@@ -100,7 +101,7 @@
 	b.mutex.Lock()
 	queue := b.queues[info.Service.Name]
 	if queue == nil || queue.Len() == 0 {
-		result, saturated := b.trySelect(info)
+		result, saturated := b.selectNow(info)
 		if !saturated || info.MayHaveRun {
 			b.mutex.Unlock()
 			return result.selection, result.err
@@ -114,9 +115,9 @@
 	return b.await(ctx, id, waiter)
 }
 
-// trySelect asks for a decision, and counts the attempt as sent. Endpoints that rejected the request before get it only where no
+// selectNow asks for a decision without waiting, and counts the attempt as sent. Endpoints that rejected the request before get it only where no
 // other one takes it. The caller holds the mutex.
-func (b *LoadBalancer) trySelect(info *RequestInfo) (result selectResult, saturated bool) {
+func (b *LoadBalancer) selectNow(info *RequestInfo) (result selectResult, saturated bool) {
 	now := b.now()
 	request := requestFor(info)
 	decision := b.balancer.Select(now, request)
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -244,10 +244,7 @@
 	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
-	config := newConfiguration()
-	for i := range config.Routes {
-		config.Routes[i].LatencyTargetMs = 4000
-	}
+	config := configurationWithLatencyTarget(4000)
 	f.views.routes.Store(NewRoutes(config))
 	// when the request comes, and another one behind it
 	first, second := f.dial(), f.dial()
@@ -298,10 +295,7 @@
 	s := NewLoadBalancer("z", 1)
 	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
 	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
-	config := newConfiguration()
-	for i := range config.Routes {
-		config.Routes[i].LatencyTargetMs = 8000
-	}
+	config := configurationWithLatencyTarget(8000)
 	for i := range config.Services {
 		config.Services[i].MaxConnections = minConnections
 	}
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -9,17 +9,17 @@
 	"mastusher/internal/tier/program"
 )
 
-// isDenial tells whether a status of the proxy's own denies a request, and doesn't merely put it off.
+// isDenial reports whether a status of the proxy's own denies a request, and doesn't merely put it off.
 func isDenial(status int) bool {
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
 
 func TestProperRequest_AnyCondition_IsNotDenied(t *testing.T) {
 	limits := newConfiguration().Limits
-	line := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n"
+	head := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n"
 	longest := func(end string) string {
-		free := limits.MaxHeaderBytes - len(line) - len("X-Long: \r\n") - len(end)
-		return line + "X-Long: " + strings.Repeat("h", free) + "\r\n" + end
+		free := limits.MaxHeaderBytes - len(head) - len("X-Long: \r\n") - len(end)
+		return head + "X-Long: " + strings.Repeat("h", free) + "\r\n" + end
 	}
 	largest := strings.Repeat("b", int(limits.MaxBodyBytes))
 	cases := map[string]string{
@@ -30,11 +30,11 @@
 		"an older client":                    "GET /once/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"the shortest path of the route":     "GET /once/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"a path that could be cleaned":       "GET /once//../x/. HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
-		"no body, with a length":             line + "Content-Length: 0\r\n\r\n",
-		"a body that is announced":           line + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
-		"a body in chunks":                   line + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
-		"the largest body":                   line + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(largest)) + largest,
-		"the largest body in chunks":         line + "Transfer-Encoding: chunked\r\n\r\n" + chunk(largest) + lastChunk,
+		"no body, with a length":             head + "Content-Length: 0\r\n\r\n",
+		"a body that is announced":           head + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
+		"a body in chunks":                   head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+		"the largest body":                   head + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(largest)) + largest,
+		"the largest body in chunks":         head + "Transfer-Encoding: chunked\r\n\r\n" + chunk(largest) + lastChunk,
 		"the longest head":                   longest("\r\n"),
 		"the longest head with a body":       longest("Content-Length: 2\r\n\r\n") + "ab",
 		"the longest head with a large body": longest(fmt.Sprintf("Content-Length: %d\r\n\r\n", len(largest))) + largest,
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -18,15 +18,16 @@
 	Views            Views
 	Programs         Programs
 	Selector         Selector
-	Upstream         upstream.Options
-	Network          network.Network // nil: the system's
+	Upstream         upstream.Options // of the connections to endpoints; its Network is replaced by the one below
+	Network          network.Network  // nil: the system's
 
 	// MaxClientConnections bounds the connections of clients; 0: no bound. A connection over it is closed unread. A larger value
 	// serves more clients and takes more memory and descriptors.
 	MaxClientConnections int
-	// MaxOutage is the time after which an outage counts as a broken invariant in Checks; 0: never.
+	// MaxOutage is the time after which an outage counts as a broken invariant in Checks; 0: never. A larger value reports fewer
+	// short outages, and long ones later. Above it requests are rejected as before: only the count and a log line come.
 	MaxOutage time.Duration
-	Checks    *invariant.Counter
+	Checks    *invariant.Counter // nil: outages are counted nowhere
 
 	Metrics *metrics.Metrics // served beside readiness; nil: the proxy's own
 	Logger  log.Logger       // of faults in the library or a handler, and of the phases of a shutdown; nil: none
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -14,12 +13,12 @@
 
 func TestPlainRequest_IsForwardedUnchanged(t *testing.T) {
 	e := newEndpoint(t, respondWith(200, "the body", "Content-Type: a/b", "Content-Encoding: zz", "X-Other: 1", "Connection: X-Hop", "X-Hop: 2"))
-	f := newFixture(t, e)
-	c := f.dial()
+	fixture := newFixture(t, e)
+	c := fixture.dial()
 	target := "//safe/../safe/%2F;a=b//?x=%20&y;z??"
-	config := *f.config
+	config := *fixture.config
 	config.Routes[0].PathPrefix = "/"
-	f.views.routes.Store(NewRoutes(&config))
+	fixture.views.routes.Store(NewRoutes(&config))
 	c.request("POST", target, "id1", "input", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "Te: trailers",
 		"X-Time-Left-Ms: 2000", "Priority: 9", "X-Expected-Server: other", "X-Subject: s", "Cookie: a=b; X-Subject=s1", "Accept: */*")
 	got := c.read("POST")
@@ -43,11 +42,11 @@
 	if diff := cmp.Diff(wantRequest, map[string][]string(request.header)); diff != "" {
 		t.Errorf("header to the endpoint (-want +got):\n%s", diff)
 	}
-	if request.line != "POST "+target+" HTTP/1.1" || request.body != "input" {
-		t.Errorf("got %q with %q", request.line, request.body)
+	if request.requestLine != "POST "+target+" HTTP/1.1" || request.body != "input" {
+		t.Errorf("got %q with %q", request.requestLine, request.body)
 	}
-	if outcome := <-f.selector.outcomes; outcome.Result != Succeeded || f.selector.infos[0].Subject != "s1" {
-		t.Errorf("outcome %+v, info %+v", outcome, f.selector.infos[0])
+	if outcome := <-fixture.selector.outcomes; outcome.Result != Succeeded || fixture.selector.infos[0].Subject != "s1" {
+		t.Errorf("outcome %+v, info %+v", outcome, fixture.selector.infos[0])
 	}
 }
 
@@ -84,26 +83,6 @@
 
 func TestEndpointFaults_EachKindOfRoute_RetryOrError(t *testing.T) {
 	good := respondWith(200, "good")
-	noSeal := func(socket net.Conn, request received) bool {
-		_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
-		return true
-	}
-	noID := func(socket net.Conn, _ received) bool {
-		_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
-		return true
-	}
-	breakOff := func(socket net.Conn, request received) bool {
-		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
-		return false
-	}
-	misdirected := func(socket net.Conn, _ received) bool {
-		_, _ = io.WriteString(socket, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
-		return true
-	}
-	garbage := func(socket net.Conn, _ received) bool {
-		_, _ = io.WriteString(socket, "\x16\x03\x01 garbage\r\n\r\n")
-		return false
-	}
 	cases := []struct {
 		name   string
 		route  string
@@ -113,17 +92,17 @@
 	}{
 		{"full, safe", "safe", respondNotRun, 200, 1},
 		{"full, once", "once", respondNotRun, 200, 1},
-		{"misdirected, once", "once", misdirected, 200, 1},
+		{"misdirected, once", "once", respondMisdirected, 200, 1},
 		{"reset, safe", "safe", resetConnection, 200, 1},
 		{"reset, once", "once", resetConnection, 502, 0},
 		{"reset, stream", "stream", resetConnection, 502, 0},
 		{"reset, resumable", "resume", resetConnection, 200, 1},
-		{"broken off, safe", "safe", breakOff, 200, 1},
-		{"broken off, once", "once", breakOff, 502, 0},
-		{"no seal, once", "once", noSeal, 502, 0},
-		{"no seal, safe", "safe", noSeal, 200, 1},
-		{"no id, once", "once", noID, 502, 0},
-		{"garbage, once", "once", garbage, 502, 0},
+		{"broken off, safe", "safe", breakOffResponse, 200, 1},
+		{"broken off, once", "once", breakOffResponse, 502, 0},
+		{"no seal, once", "once", respondWithoutSeal, 502, 0},
+		{"no seal, safe", "safe", respondWithoutSeal, 200, 1},
+		{"no id, once", "once", respondWithoutID, 502, 0},
+		{"garbage, once", "once", respondGarbage, 502, 0},
 		{"own failure, once", "once", respondWith(500, "failed"), 500, 0},
 		{"own failure, safe", "safe", respondWith(500, "failed"), 200, 1},
 		{"own deadline, once", "once", respondWith(504, "late"), 504, 0},
@@ -270,8 +249,8 @@
 			if got := c.read(method); got.status != 200 {
 				t.Errorf("%s %s: %+v", method, target, got)
 			}
-			if request := <-e.requests; request.line != method+" "+target+" HTTP/1.1" {
-				t.Errorf("%s %s went on as %q", method, target, request.line)
+			if request := <-e.requests; request.requestLine != method+" "+target+" HTTP/1.1" {
+				t.Errorf("%s %s went on as %q", method, target, request.requestLine)
 			}
 			<-f.selector.outcomes
 		}
@@ -287,8 +266,8 @@
 		if got := c.read("GET"); got.status != 200 {
 			t.Errorf("%s: %+v", target, got)
 		}
-		if request := <-e.requests; request.line != "GET "+target+" HTTP/1.1" {
-			t.Errorf("%s went on as %q", target, request.line)
+		if request := <-e.requests; request.requestLine != "GET "+target+" HTTP/1.1" {
+			t.Errorf("%s went on as %q", target, request.requestLine)
 		}
 	}
 }
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -104,7 +104,7 @@
 	return served
 }
 
-// requestOnce plays one request, and tells whether it was answered within its aim.
+// requestOnce plays one request, and reports whether it was answered within its aim.
 func (b *LoadBalancer) requestOnce(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
 	info := newRequestInfo(priority)
 	info.Route.LatencyTargetMs = targetMs
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -136,7 +136,7 @@
 		if !queued {
 			return
 		}
-		result, saturated := b.trySelect(b.waiting[entry.ID].info)
+		result, saturated := b.selectNow(b.waiting[entry.ID].info)
 		if saturated {
 			break
 		}
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -31,6 +31,7 @@
 	outage outage // used by the reporting goroutine only
 }
 
+// newRejectionCounter returns a counter without counts; run reports them.
 func newRejectionCounter(options *Options) *rejectionCounter {
 	return &rejectionCounter{
 		counts:  map[apierror.Kind]int{},
@@ -70,7 +71,7 @@
 	return counts, served, cause
 }
 
-// run reports at each interval until ctx ends.
+// run reports at each interval until ctx ends. Proxy.Serve ends it as it returns, and doesn't wait for it.
 func (r *rejectionCounter) run(ctx context.Context, logger log.Logger) {
 	ticker := time.NewTicker(rejectionsInterval)
 	defer ticker.Stop()
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("%q is not in %q", want, &logged)
 		}
 	}
-	if lines := strings.Count(logged.String(), "\n"); lines != 1 {
-		t.Errorf("%d lines", lines)
+	if count := strings.Count(logged.String(), "\n"); count != 1 {
+		t.Errorf("%d lines", count)
 	}
 }
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -177,6 +177,7 @@
 	c.info.BodyBytes = len(*c.body)
 }
 
+// releaseBuffers gives the buffers back. No attempt may still be writing from them.
 func (c *clientRequest) releaseBuffers() {
 	putBuffer(c.body)
 	putBuffer(c.headerFields)
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -15,12 +15,16 @@
 	maxPooledBytes = 64 << 10
 )
 
+// errBodyTooLarge is readBody's error for a body over its limit; the client then gets an error response, and no close.
 var errBodyTooLarge = errors.New("request body larger than the configured limit")
 
+// buffers pools the buffers of bodies, header lines and forwarded bytes.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
+// getBuffer returns an empty buffer, for which the caller must call putBuffer once.
 func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
+// putBuffer gives a buffer back. It must not be used after it.
 func putBuffer(buffer *[]byte) {
 	if cap(*buffer) <= maxPooledBytes {
 		*buffer = (*buffer)[:0]
@@ -64,6 +68,7 @@
 	return readUntilEOF(r.Body, buffer, limit)
 }
 
+// readExactly reads a body of known length, and on to its end, so that the library sees it as read.
 func readExactly(body io.Reader, buffer *[]byte, length int64) error {
 	data := (*buffer)[:0]
 	if int64(cap(data)) < length {
@@ -82,6 +87,7 @@
 	return nil
 }
 
+// readUntilEOF reads a body of unknown length, up to limit bytes; 0: any.
 func readUntilEOF(body io.Reader, buffer *[]byte, limit int64) error {
 	data := (*buffer)[:0]
 	if cap(data) == 0 {
--- a/internal/tier/proxy/retries.go
+++ b/internal/tier/proxy/retries.go
@@ -17,7 +17,7 @@
 	maxNeverSent = 4
 )
 
-// retryable tells whether a request of the route may run more than once.
+// retryable reports whether a request of the route may run more than once.
 func retryable(route *model.Route) bool {
 	return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable
 }
@@ -31,12 +31,12 @@
 	c.info.AfterTimeout = result == TimedOut
 }
 
-// mayRetry tells whether the request may go to another endpoint after a send that may have run.
+// mayRetry reports whether the request may go to another endpoint after a send that may have run.
 func (c *clientRequest) mayRetry() bool {
 	return retryable(c.info.Route) && c.mayHaveRunAttempts < c.info.Route.MaxAttempts && c.context.Err() == nil
 }
 
-// retriesErrorStatus tells whether a response that came with a status is withheld from the client for another attempt. Where
+// retriesErrorStatus reports whether a response that came with a status is withheld from the client for another attempt. Where
 // this one is the last, the client gets the response.
 func (c *clientRequest) retriesErrorStatus(status int) bool {
 	return status >= http.StatusInternalServerError && !c.headerWritten && retryable(c.info.Route) &&
@@ -81,7 +81,7 @@
 	return NeverSent
 }
 
-// ended tells whether the deadline has passed or the client has closed its connection.
+// ended reports whether the deadline has passed or the client has closed its connection.
 func (c *clientRequest) ended() bool {
 	return c.context.Err() != nil || !c.proxy.options.Now().Before(c.info.Deadline)
 }
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -95,7 +95,7 @@
 	for i, e := range list {
 		for len(e.requests) > 0 {
 			request := <-e.requests
-			fmt.Fprintf(&text, "\n  e%d: %s %v, connection %d", i+1, request.line, request.header, request.connection)
+			fmt.Fprintf(&text, "\n  e%d: %s %v, connection %d", i+1, request.requestLine, request.header, request.connection)
 		}
 	}
 	return text.String()
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -77,13 +77,12 @@
 // ReadinessAddress returns where readiness and metrics are served.
 func (p *Proxy) ReadinessAddress() net.Addr { return p.readinessListener.Addr() }
 
-// Serve takes requests until Shutdown, then returns nil. Any other error is that of a listener.
+// Serve takes requests until Shutdown, then returns nil. Any other error is that of a listener. It returns with the first of its two
+// servers that ends; the other one's goroutine ends as Shutdown closes its listener, and nothing waits for it.
 func (p *Proxy) Serve() error {
-	if p.options.Logger != nil {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		go p.rejections.run(ctx, p.options.Logger)
-	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go p.rejections.run(ctx, p.options.Logger)
 	failed := make(chan error, 2)
 	go func() { failed <- p.readinessServer.Serve(p.readinessListener) }()
 	go func() { failed <- p.frontend.serve() }()
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -64,19 +64,7 @@
 			t.Errorf("%s connection while draining: %+v", name, got)
 		}
 	}
-	down := make(chan error, 1)
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		defer cancel()
-		down <- f.proxy.Shutdown(ctx)
-	}()
-	for {
-		socket, err := net.Dial("tcp4", f.proxy.FrontAddress().String())
-		if err != nil {
-			break
-		}
-		socket.Close()
-	}
+	down := f.shutDown()
 	select {
 	case err := <-down:
 		t.Fatalf("shut down with a pending request: %v", err)
@@ -116,7 +104,7 @@
 	}
 }
 
-// isIdle tells whether no request has begun on the proxy's only connection.
+// isIdle reports whether no request has begun on the proxy's only connection.
 func (f *fixture) isIdle() bool {
 	f.proxy.frontend.mutex.Lock()
 	defer f.proxy.frontend.mutex.Unlock()
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -16,21 +16,17 @@
 )
 
 func TestShutdown_AbandonedRequests_GetErrorResponses(t *testing.T) {
-	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealedHead(200, request, streamHead) }
-	events := func(request received) string { return head(request) + chunk(event(1, "one")) }
-	const broken = 0
 	cases := []struct {
 		name     string
 		route    string
 		fragment func(received) string
-		status   int // cut: the response has begun, and breaks off
+		status   int // or brokenOff
 	}{
-		{"a request that may run again", "safe", nothing, 504},
-		{"a request that runs once", "once", nothing, 504},
-		{"a stream before its first event", "stream", head, 504},
-		{"a turn before its first event", "turn", head, 504},
-		{"a stream under way", "stream", events, broken},
+		{"a request that may run again", "safe", noFragment, 504},
+		{"a request that runs once", "once", noFragment, 504},
+		{"a stream before its first event", "stream", headFragment, 504},
+		{"a turn before its first event", "turn", headFragment, 504},
+		{"a stream under way", "stream", eventFragment, brokenOff},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -41,13 +37,13 @@
 			c.request("POST", "/"+test.route+"/x", "id", "body", turnFields...)
 			<-started
 			var partialResponse *http.Response
-			if test.status == broken {
+			if test.status == brokenOff {
 				partialResponse = c.head("POST")
 			}
 			// when a shutdown comes to the end of its time
 			ended := f.shutDownOnce(f.closedToClients)
 			// then the client gets an error response, and the connection ends
-			if test.status == broken {
+			if test.status == brokenOff {
 				if body, err := io.ReadAll(partialResponse.Body); err == nil {
 					t.Errorf("looks complete: %q", body)
 				}
@@ -95,7 +91,7 @@
 	return ended
 }
 
-// closedToClients tells whether the proxy takes no more connections.
+// closedToClients reports whether the proxy takes no more connections.
 func (f *fixture) closedToClients() bool {
 	socket, err := net.Dial("tcp4", f.proxy.FrontAddress().String())
 	if err != nil {
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// closedInsideEvent tells whether a close-delimited stream was closed inside an event.
+// closedInsideEvent reports whether a close-delimited stream was closed inside an event.
 func (c *clientRequest) closedInsideEvent(a *attempt) bool {
 	return a.response.CloseDelimited && c.scanner.insideEvent()
 }
@@ -75,7 +75,7 @@
 	c.flush(a)
 }
 
-// withholdsLastByte tells whether the last byte of the response waits for the turn's commit. In a response of unknown length that
+// withholdsLastByte reports whether the last byte of the response waits for the turn's commit. In a response of unknown length that
 // is the byte that ends it, which goes out when the request returns.
 func (c *clientRequest) withholdsLastByte(a *attempt) bool {
 	return c.turn != nil && c.turn.stateful && a.response.ContentLength > 0
@@ -133,7 +133,7 @@
 	return true
 }
 
-// resumable tells whether another endpoint can go on where a response broke off: each event has an id, and the client has no
+// resumable reports whether another endpoint can go on where a response broke off: each event has an id, and the client has no
 // length.
 func (c *clientRequest) resumable(response *upstream.Response) bool {
 	return c.info.Route.Resumable && c.scanner.lastID != "" && !c.scanner.lastWithoutID && response.ContentLength < 0
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -26,7 +26,8 @@
 	maxConcurrentCommits = 4096
 )
 
-// usageCommitter commits the usage of turns beside their requests, a goroutine each. drain ends these.
+// usageCommitter commits the usage of turns beside their requests, a goroutine each. drain waits for these, and ends them by their
+// context.
 type usageCommitter struct {
 	programs Programs
 	slots    chan struct{}
@@ -35,6 +36,7 @@
 	cancel   context.CancelFunc
 }
 
+// newUsageCommitter returns a committer that calls programs until drain.
 func newUsageCommitter(programs Programs) *usageCommitter {
 	u := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits)}
 	u.context, u.cancel = context.WithCancel(context.Background())
@@ -72,7 +74,7 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		waitAtMost(done, finalCommitsTimeout)
+		waitWithTimeout(done, finalCommitsTimeout)
 	}
 	abandoned = u.pending()
 	u.cancel()
@@ -80,8 +82,8 @@
 	return abandoned
 }
 
-// waitAtMost returns when done is closed, or after the timeout.
-func waitAtMost(done <-chan struct{}, timeout time.Duration) {
+// waitWithTimeout returns when done is closed, or after the timeout.
+func waitWithTimeout(done <-chan struct{}, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -121,6 +123,7 @@
 	}
 }
 
+// attemptCommit makes one attempt to commit a turn, within commitTimeout.
 func attemptCommit(ctx context.Context, programs Programs, key string, turn program.EndTurn) (program.Result, error) {
 	bounded, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -60,9 +60,9 @@
 	f := newFixture(t, e)
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "", "Expect: 100-continue", "Content-Length: 4")
-	line, err := c.reader.ReadString('\n')
-	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("%q, %v", line, err)
+	statusLine, err := c.reader.ReadString('\n')
+	if err != nil || statusLine != "HTTP/1.1 100 Continue\r\n" {
+		t.Fatalf("%q, %v", statusLine, err)
 	}
 	_, _ = c.reader.ReadString('\n')
 	c.send("body")
@@ -101,7 +101,7 @@
 			var runs []string
 			for range e.count.Load() {
 				request := <-e.requests
-				if strings.Contains(request.line, "smuggled") {
+				if strings.Contains(request.requestLine, "smuggled") {
 					t.Error("a request inside the body was run")
 				}
 				runs = append(runs, request.body)
@@ -184,11 +184,11 @@
 }
 
 func TestClientLimits_FollowConfiguration(t *testing.T) {
-	f := newFixture(t, newEndpoint(t, echoBody))
+	fixture := newFixture(t, newEndpoint(t, echoBody))
 	setLimits := func(limits model.Limits) {
-		config := *f.config
+		config := *fixture.config
 		config.Limits = limits
-		f.views.routes.Store(NewRoutes(&config))
+		fixture.views.routes.Store(NewRoutes(&config))
 	}
 	status := func(c *client, headerBytes, bodyBytes int) int {
 		c.request("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
@@ -197,18 +197,18 @@
 	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
 	narrow := model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
 	setLimits(wide)
-	old := f.dial()
+	old := fixture.dial()
 	if got := status(old, 30<<10, 2000); got != 200 {
 		t.Errorf("within wide limits: %d", got)
 	}
 	setLimits(narrow)
-	if got := status(f.dial(), 9<<10, 10); got != 431 {
+	if got := status(fixture.dial(), 9<<10, 10); got != 431 {
 		t.Errorf("header over the narrow limit: %d", got)
 	}
-	if got := status(f.dial(), 7<<10, 10); got != 200 {
+	if got := status(fixture.dial(), 7<<10, 10); got != 200 {
 		t.Errorf("header within the narrow limit: %d", got)
 	}
-	if got := status(f.dial(), 10, 1001); got != 413 {
+	if got := status(fixture.dial(), 10, 1001); got != 413 {
 		t.Errorf("body over the narrow limit: %d", got)
 	}
 	if got := status(old, 30<<10, 1000); got != 200 {
@@ -216,7 +216,7 @@
 	}
 	old.socket.Close()
 	setLimits(wide)
-	if got := status(f.dial(), 30<<10, 2000); got != 200 {
+	if got := status(fixture.dial(), 30<<10, 2000); got != 200 {
 		t.Errorf("within wide limits again: %d", got)
 	}
 }
