--- a/Makefile
+++ b/Makefile
@@ -109,7 +109,7 @@
 	go build -o target/tier-soak ./cmd/tier-soak
 	target/tier-soak play --seeds $(or $(SEEDS),10) --first $(or $(FIRST),1) --length $(or $(LENGTH),20s)
 
-# Random worlds in the lab, with the rule checker, for as long as asked.
+# Random worlds in the relay simulator, with the rule checker, for as long as asked.
 soak: build
 	bin/relay-simulator soak --for $(or $(FOR),10m)
 
--- a/internal/relay/simulator/fleet_stats_test.go
+++ b/internal/relay/simulator/fleet_stats_test.go
@@ -24,7 +24,7 @@
 // fleetWorld is one of the operators' three worlds, in its short form: eighty relays and another seed than those of the file.
 func fleetWorld(t *testing.T, name string) *simulator.World {
 	t.Helper()
-	text, err := os.ReadFile("../../../deploy/lab/fleet-" + name + ".toml")
+	text, err := os.ReadFile("../../../deploy/worlds/fleet-" + name + ".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/simulator/simulator_test.go
+++ b/internal/relay/simulator/simulator_test.go
@@ -157,7 +157,7 @@
 // were lost (0.948 of the value in these three runs), and no probe went while such calls held half of the slots.
 func TestExecute_OutageWithHangingCalls_EarnsValue(t *testing.T) {
 	t.Parallel()
-	text, err := os.ReadFile("../../../deploy/lab/outage.toml")
+	text, err := os.ReadFile("../../../deploy/worlds/outage.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
