--- a/internal/tier/program/chunk_mutants_test.go
+++ b/internal/tier/program/chunk_mutants_test.go
@@ -17,10 +17,10 @@
 		{
 			Name:   "a missing last chunk is not noticed",
 			Change: mutation.Change{File: "restore.go", Old: "if r.expectsMore {", New: "if false {"},
-			Run:    "^TestRestorer_IncompleteSeries_LeavesMachine$",
+			Run:    "^TestRestorer_IncompleteSeries_KeepsState$",
 		},
 		{
-			Name:   "pieces of an input are lost",
+			Name:   "fragments of an input are lost",
 			Change: mutation.Change{File: "restore.go", Old: "record.Input = joinContent(record.Input, r.pending.moreInput)", New: ""},
 			Run:    "^TestWriteChunks_LargeState_BoundedAndFull$",
 		},
@@ -31,7 +31,7 @@
 				Old:  "if (r.restored.clock != clock{nowMs: chunk.NowMs, lastCommandMs: chunk.LastCommandMs}) {",
 				New:  "if false {",
 			},
-			Run: "^TestRestorer_IncompleteSeries_LeavesMachine$",
+			Run: "^TestRestorer_IncompleteSeries_KeepsState$",
 		},
 	})
 }
--- a/internal/tier/program/chunk_writer.go
+++ b/internal/tier/program/chunk_writer.go
@@ -6,7 +6,7 @@
 // chunks.
 const chunkBytes = 128 << 10
 
-// contentChunkBytes is the length of the pieces of such a content; a multiple of 3, so that its base64 has no padding.
+// contentChunkBytes is the length of the fragments of such a content; a multiple of 3, so that its base64 has no padding.
 const contentChunkBytes = chunkBytes / 4 * 3
 
 // WriteChunks writes the whole state in chunks of bounded size, in the order in which Restorer.Add takes them. A chunk is
@@ -37,7 +37,7 @@
 }
 
 func (w *chunkWriter) addProgram(record programRecord) error {
-	if err := w.makeRoom(programRecordBytes + len(record.Name)); err != nil {
+	if err := w.reserve(programRecordBytes + len(record.Name)); err != nil {
 		return err
 	}
 	w.chunk.Programs = append(w.chunk.Programs, record)
@@ -53,7 +53,7 @@
 	} else {
 		size += content.encodedBytes()
 	}
-	if err := w.makeRoom(size); err != nil {
+	if err := w.reserve(size); err != nil {
 		return err
 	}
 	w.chunk.Turns = append(w.chunk.Turns, record)
@@ -63,17 +63,17 @@
 	return w.addContent(content)
 }
 
-// addContent writes the content of the last turn in pieces, each in a chunk of its own. Later turns may share the last
-// piece's chunk.
+// addContent writes the content of the last turn in fragments, each in a chunk of its own. Later turns may share the last
+// fragment's chunk.
 func (w *chunkWriter) addContent(content contentRecord) error {
 	for len(content.Input)+len(content.Output) > 0 {
 		if err := w.flush(); err != nil {
 			return err
 		}
-		piece := contentRecord{Input: takePrefix(&content.Input, contentChunkBytes)}
-		piece.Output = takePrefix(&content.Output, contentChunkBytes-len(piece.Input))
-		w.chunk.Continuation = &piece
-		w.estimatedBytes = piece.encodedBytes()
+		fragment := contentRecord{Input: takePrefix(&content.Input, contentChunkBytes)}
+		fragment.Output = takePrefix(&content.Output, contentChunkBytes-len(fragment.Input))
+		w.chunk.Continuation = &fragment
+		w.estimatedBytes = fragment.encodedBytes()
 	}
 	return nil
 }
@@ -86,8 +86,8 @@
 	return prefix
 }
 
-// makeRoom starts another chunk if a record of that size doesn't fit into this one.
-func (w *chunkWriter) makeRoom(size int) error {
+// reserve starts another chunk if a record of that size doesn't fit into this one.
+func (w *chunkWriter) reserve(size int) error {
 	if w.estimatedBytes > 0 && w.estimatedBytes+size > chunkBytes {
 		if err := w.flush(); err != nil {
 			return err
--- a/internal/tier/program/chunk_writer_test.go
+++ b/internal/tier/program/chunk_writer_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestRestorer_IncompleteSeries_LeavesMachine(t *testing.T) {
+func TestRestorer_IncompleteSeries_KeepsState(t *testing.T) {
 	machine := filled(400)
 	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 3*chunkBytes), 0))
 	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", chunkBytes), 0))
--- a/internal/tier/program/restore.go
+++ b/internal/tier/program/restore.go
@@ -41,7 +41,7 @@
 // pendingTurn is a turn whose content may continue in the next chunk.
 type pendingTurn struct {
 	record                turnRecord
-	moreInput, moreOutput [][]byte // pieces to append
+	moreInput, moreOutput [][]byte // fragments to append
 }
 
 // BeginRestore starts to replace the machine's state by a snapshot.
@@ -113,16 +113,16 @@
 	return nil
 }
 
-// continuePending appends a piece to the content of the last turn.
-func (r *Restorer) continuePending(piece *contentRecord) error {
-	if piece == nil {
+// continuePending appends a fragment to the content of the last turn.
+func (r *Restorer) continuePending(fragment *contentRecord) error {
+	if fragment == nil {
 		return nil
 	}
 	if r.pending == nil {
 		return corrupt("content without a turn before it")
 	}
-	r.pending.moreInput = append(r.pending.moreInput, piece.Input)
-	r.pending.moreOutput = append(r.pending.moreOutput, piece.Output)
+	r.pending.moreInput = append(r.pending.moreInput, fragment.Input)
+	r.pending.moreOutput = append(r.pending.moreOutput, fragment.Output)
 	return nil
 }
 
@@ -147,10 +147,10 @@
 	return nil
 }
 
-// joinContent appends pieces to the first one.
-func joinContent(first []byte, pieces [][]byte) []byte {
-	if len(pieces) == 0 {
+// joinContent appends fragments to the first one.
+func joinContent(first []byte, fragments [][]byte) []byte {
+	if len(fragments) == 0 {
 		return first
 	}
-	return bytes.Join(append([][]byte{first}, pieces...), nil)
+	return bytes.Join(append([][]byte{first}, fragments...), nil)
 }
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -21,7 +21,7 @@
 	nowMs    int64
 	offsetMs int64
 	jumps    int // how often a clock may still jump by an hour
-	begun    []*scriptTurn
+	turns    []*scriptTurn
 	steps    []step
 }
 
@@ -78,7 +78,7 @@
 
 func (s *script) next() Command {
 	kind := s.choose(10)
-	if kind < 5 && len(s.begun) > 0 {
+	if kind < 5 && len(s.turns) > 0 {
 		if command, found := s.nextEnd(); found {
 			return command
 		}
@@ -94,7 +94,7 @@
 // nextEnd ends one of the last turns that haven't ended; sometimes one that its relay abandoned for long.
 func (s *script) nextEnd() (Command, bool) {
 	var open []*scriptTurn
-	for _, t := range s.begun {
+	for _, t := range s.turns {
 		if t.end == nil {
 			open = append(open, t)
 		}
@@ -120,7 +120,7 @@
 // retry repeats a begin or an end, or sends an end that differs from the first.
 func (s *script) retry() (Command, bool) {
 	var fresh []*scriptTurn
-	for _, t := range s.begun {
+	for _, t := range s.turns {
 		if s.nowMs-t.lastSentMs <= retryMs {
 			fresh = append(fresh, t)
 		}
@@ -139,7 +139,7 @@
 }
 
 func (s *script) nextBegin() Command {
-	name := fmt.Sprint("t", len(s.begun))
+	name := fmt.Sprint("t", len(s.turns))
 	begin := &BeginTurn{
 		Turn:       name,
 		MaxTokens:  int64(s.choose(32)) - 1,
@@ -152,8 +152,8 @@
 		begin.Budget = int64(s.choose(3) * (40 + 60*program))
 	}
 	switch kind := s.choose(8); {
-	case kind < 5 && len(s.begun) > 0:
-		newest := s.begun[max(0, len(s.begun)-12):]
+	case kind < 5 && len(s.turns) > 0:
+		newest := s.turns[max(0, len(s.turns)-12):]
 		begin.Previous = newest[s.choose(len(newest))].begin.Turn
 	case kind == 5:
 		begin.Previous = fmt.Sprint("elsewhere ", s.choose(3))
@@ -161,7 +161,7 @@
 			begin.Imported = []byte("{" + begin.Previous + "}")
 		}
 	}
-	s.begun = append(s.begun, &scriptTurn{begin: begin, lastSentMs: s.nowMs})
+	s.turns = append(s.turns, &scriptTurn{begin: begin, lastSentMs: s.nowMs})
 	return Command{Begin: begin}
 }
 
--- a/internal/tier/program/snapshot_test.go
+++ b/internal/tier/program/snapshot_test.go
@@ -124,45 +124,50 @@
 	}
 }
 
-func TestRestore_CorruptSnapshot_LeavesMachine(t *testing.T) {
-	const head, tail = `{"nowMs":90,"heardMs":90,"programs":[{"name":"p","reserved":5,"usedMs":80}],"turns":[`, `]}`
-	turns := func(list ...string) string { return head + strings.Join(list, ",") + tail }
-	const (
-		first = `{"turn":"a","state":1,"remembered":true,"dueMs":99,"input":"AAAA"}`
-		root  = `{"turn":"r","state":3,"input":"AAAA"}`
-	)
-	tests := []struct{ name, data, want string }{
-		{"nothing", ``, "JSON"},
-		{"an open end", head, "JSON"},
-		{"another form", `{"nowMs":"90"}`, "JSON"},
-		{"a clock before its start", `{"nowMs":-1,"heardMs":1}`, "out of range"},
-		{"half a clock", `{"nowMs":1}`, "half set"},
-		{"a program without a name", `{"programs":[{}]}`, "no name"},
-		{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "future"},
-		{"a program with a negative number", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
-		{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "duplicate name"},
-		{"programs out of order",
-			`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "out of order"},
-		{"two turns of one name", turns(first, first), "duplicate name"},
-		{"a turn without a name", turns(`{"dueMs":99}`), "no name"},
-		{"a turn in no state", turns(`{"turn":"b","state":9,"dueMs":99}`), "unknown state"},
-		{"a turn before its parent", turns(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, first), "precede it"},
-		{"a parent that doesn't count",
-			turns(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "isn't complete"},
-		{"a turn of a program that isn't there", turns(`{"turn":"b","program":"q","dueMs":99}`), "unknown program"},
-		{"a turn with more reserved than its program", turns(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "less reserved"},
-		{"a turn with less than nothing reserved", turns(`{"turn":"b","most":-1,"dueMs":99}`), "out of range"},
-		{"an ended turn with a reservation", turns(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a reservation"},
-		{"a turn in flight with an output", turns(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
-		{"a turn broken off with an input", turns(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
-		{"a turn that is retained for years", turns(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
-		{"a turn in flight without an expiry", turns(`{"turn":"b"}`), "no expiry"},
-		{"a complete turn that nothing references", turns(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
-		{"an imported chain that nothing references", turns(root), "referenced by nothing"},
-		{"an imported chain with an expiry", turns(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
-		{"a complete turn that isn't remembered", turns(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
-	}
-	for _, test := range tests {
+// The text around a list of turns, and turns of it.
+const (
+	turnsHead = `{"nowMs":90,"heardMs":90,"programs":[{"name":"p","reserved":5,"usedMs":80}],"turns":[`
+	turnsTail = `]}`
+	firstTurn = `{"turn":"a","state":1,"remembered":true,"dueMs":99,"input":"AAAA"}`
+	rootTurn  = `{"turn":"r","state":3,"input":"AAAA"}`
+)
+
+func turnsJSON(list ...string) string { return turnsHead + strings.Join(list, ",") + turnsTail }
+
+var corruptSnapshots = []struct{ name, data, want string }{
+	{"nothing", ``, "JSON"},
+	{"an open end", turnsHead, "JSON"},
+	{"another form", `{"nowMs":"90"}`, "JSON"},
+	{"a clock before its start", `{"nowMs":-1,"heardMs":1}`, "out of range"},
+	{"half a clock", `{"nowMs":1}`, "half set"},
+	{"a program without a name", `{"programs":[{}]}`, "no name"},
+	{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "future"},
+	{"a program with a negative number", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
+	{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "duplicate name"},
+	{"programs out of order",
+		`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "out of order"},
+	{"two turns of one name", turnsJSON(firstTurn, firstTurn), "duplicate name"},
+	{"a turn without a name", turnsJSON(`{"dueMs":99}`), "no name"},
+	{"a turn in no state", turnsJSON(`{"turn":"b","state":9,"dueMs":99}`), "unknown state"},
+	{"a turn before its parent", turnsJSON(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, firstTurn), "precede it"},
+	{"a parent that doesn't count",
+		turnsJSON(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "isn't complete"},
+	{"a turn of a program that isn't there", turnsJSON(`{"turn":"b","program":"q","dueMs":99}`), "unknown program"},
+	{"a turn with more reserved than its program", turnsJSON(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "less reserved"},
+	{"a turn with less than nothing reserved", turnsJSON(`{"turn":"b","most":-1,"dueMs":99}`), "out of range"},
+	{"an ended turn with a reservation", turnsJSON(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a reservation"},
+	{"a turn in flight with an output", turnsJSON(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
+	{"a turn broken off with an input", turnsJSON(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
+	{"a turn that is retained for years", turnsJSON(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
+	{"a turn in flight without an expiry", turnsJSON(`{"turn":"b"}`), "no expiry"},
+	{"a complete turn that nothing references", turnsJSON(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
+	{"an imported chain that nothing references", turnsJSON(rootTurn), "referenced by nothing"},
+	{"an imported chain with an expiry", turnsJSON(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
+	{"a complete turn that isn't remembered", turnsJSON(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
+}
+
+func TestRestore_CorruptSnapshot_KeepsState(t *testing.T) {
+	for _, test := range corruptSnapshots {
 		t.Run("given "+test.name+" when it is restored then the machine stays as it was", func(t *testing.T) {
 			machine := filled(3)
 			before := string(machine.Snapshot())
@@ -177,7 +182,7 @@
 	}
 	t.Run("given proper turns when they are restored then they are there", func(t *testing.T) {
 		machine := New()
-		err := machine.Restore([]byte(turns(first, root,
+		err := machine.Restore([]byte(turnsJSON(firstTurn, rootTurn,
 			`{"turn":"b","remembered":true,"program":"p","most":5,"parent":2,"dueMs":99,"input":"AAAA"}`)))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/tier/program/source_mutants_test.go
+++ b/internal/tier/program/source_mutants_test.go
@@ -1,6 +1,7 @@
 package program
 
 import (
+	"slices"
 	"testing"
 
 	"mastusher/internal/tools/mutation"
@@ -21,69 +22,80 @@
 	return mutation.Change{File: "retention.go", Old: old, New: changed}
 }
 
+// budgetMutants reserve or charge other amounts than they should.
+var budgetMutants = []mutation.Mutant{
+	{
+		Name:   "the budget leaves reservations out",
+		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.spent+maxTokens <= p.limit"),
+		Run:    scripts,
+		Always: true,
+	},
+	{
+		Name:   "the budget leaves what was spent out",
+		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.reserved+maxTokens <= p.limit"),
+		Run:    scripts,
+	},
+	{
+		Name:   "the last token of the budget can't be used",
+		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.usedTokens()+maxTokens < p.limit"),
+		Run:    scripts,
+	},
+	{
+		Name:   "the last budget given counts",
+		Change: budgetChange("return min(limit, budget)", "return budget"),
+		Run:    scripts,
+	},
+	{
+		Name:   "more is charged than was reserved",
+		Change: budgetChange("return min(max(tokens, 0), reserved)", "return max(tokens, 0)"),
+		Run:    scripts,
+	},
+	{
+		Name:   "a negative amount is charged",
+		Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
+		Run:    scripts,
+	},
+	{
+		Name:   "a turn always costs its reservation",
+		Change: budgetChange("return min(max(tokens, 0), reserved)", "return reserved"),
+		Run:    scripts,
+	},
+}
+
+// turnMutants continue or count turns that they should not.
+var turnMutants = []mutation.Mutant{
+	{
+		Name:   "a turn broken off counts",
+		Change: turnChange("if isComplete && t.remembered {", "if true {"),
+		Run:    scripts,
+	},
+	{
+		Name:   "any turn can be continued",
+		Change: turnChange("return t.state == complete || t.state == imported", "return true"),
+		Run:    scripts,
+	},
+}
+
+// retentionMutants forget turns early, late or never.
+var retentionMutants = []mutation.Mutant{
+	{
+		Name:   "complete turns expire early",
+		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
+		Run:    scripts,
+	},
+	{
+		Name:   "complete turns are retained without a margin",
+		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
+		Run:    scripts,
+	},
+	{
+		Name:   "nothing ever expires",
+		Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
+		Run:    scripts,
+	},
+}
+
 func TestMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
-	mutation.Test(t, []mutation.Mutant{
-		{
-			Name:   "the budget leaves reservations out",
-			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.spent+maxTokens <= p.limit"),
-			Run:    scripts,
-			Always: true,
-		},
-		{
-			Name:   "the budget leaves what was spent out",
-			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.reserved+maxTokens <= p.limit"),
-			Run:    scripts,
-		},
-		{
-			Name:   "the last token of the budget can't be used",
-			Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.usedTokens()+maxTokens < p.limit"),
-			Run:    scripts,
-		},
-		{
-			Name:   "the last budget given counts",
-			Change: budgetChange("return min(limit, budget)", "return budget"),
-			Run:    scripts,
-		},
-		{
-			Name:   "more is charged than was reserved",
-			Change: budgetChange("return min(max(tokens, 0), reserved)", "return max(tokens, 0)"),
-			Run:    scripts,
-		},
-		{
-			Name:   "a negative amount is charged",
-			Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
-			Run:    scripts,
-		},
-		{
-			Name:   "a turn always costs its reservation",
-			Change: budgetChange("return min(max(tokens, 0), reserved)", "return reserved"),
-			Run:    scripts,
-		},
-		{
-			Name:   "a turn broken off counts",
-			Change: turnChange("if isComplete && t.remembered {", "if true {"),
-			Run:    scripts,
-		},
-		{
-			Name:   "any turn can be continued",
-			Change: turnChange("return t.state == complete || t.state == imported", "return true"),
-			Run:    scripts,
-		},
-		{
-			Name:   "complete turns expire early",
-			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
-			Run:    scripts,
-		},
-		{
-			Name:   "complete turns are retained without a margin",
-			Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
-			Run:    scripts,
-		},
-		{
-			Name:   "nothing ever expires",
-			Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
-			Run:    scripts,
-		},
-	})
+	mutation.Test(t, slices.Concat(budgetMutants, turnMutants, retentionMutants))
 }
--- a/internal/tier/storage/entry_record.go
+++ b/internal/tier/storage/entry_record.go
@@ -14,7 +14,7 @@
 	entryTermKey  = `,"epoch":`
 	entryKindKey  = `,"kind":`
 	entrySizeKey  = `,"size":`
-	entryLineEnd  = "}"
+	entryEnd      = "}"
 )
 
 // appendEntries appends the records of entries, each with its data behind it.
@@ -29,7 +29,7 @@
 		buffer = strconv.AppendUint(buffer, uint64(entry.Kind), 10)
 		buffer = append(buffer, entrySizeKey...)
 		buffer = strconv.AppendInt(buffer, int64(len(entry.Data)), 10)
-		buffer = append(buffer, entryLineEnd...)
+		buffer = append(buffer, entryEnd...)
 		buffer = append(buffer, '\n')
 		buffer = append(buffer, entry.Data...)
 		buffer = append(buffer, '\n')
@@ -39,22 +39,22 @@
 
 // parseRecord parses a line.
 func parseRecord(text []byte) (record, error) {
-	if line, ok := parseEntryRecord(text); ok {
-		return line, nil
+	if rec, ok := parseEntryRecord(text); ok {
+		return rec, nil
 	}
-	var line record
-	err := json.Unmarshal(text, &line)
-	return line, err
+	var rec record
+	err := json.Unmarshal(text, &rec)
+	return rec, err
 }
 
 // parseEntryRecord parses a line that appendEntries has written. It leaves any other line to the JSON decoder.
 func parseEntryRecord(text []byte) (record, bool) {
-	line := entryParser{text: text}
-	index := line.number(entryIndexKey)
-	term := line.number(entryTermKey)
-	kind := line.number(entryKindKey)
-	size := line.number(entrySizeKey)
-	if line.failed || string(line.text) != entryLineEnd || kind > maxEntryKind || size > maxPayloadBytes {
+	parser := entryParser{text: text}
+	index := parser.number(entryIndexKey)
+	term := parser.number(entryTermKey)
+	kind := parser.number(entryKindKey)
+	size := parser.number(entrySizeKey)
+	if parser.failed || string(parser.text) != entryEnd || kind > maxEntryKind || size > maxPayloadBytes {
 		return record{}, false
 	}
 	return record{Kind: entryRecord, Index: index, Term: term, EntryKind: replica.EntryKind(kind), Size: int(size)}, true
--- a/internal/tier/storage/osdisk_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -124,7 +124,7 @@
 }
 
 // Given a directory, when a machine starts twice, then it keeps its identity.
-func TestOSDisk_Identity_IsKept(t *testing.T) {
+func TestOSDisk_Identity_IsTheSameAfterRestart(t *testing.T) {
 	disk := openDir(t, t.TempDir())
 	first, created, err := storage.LoadOrCreateIdentity(disk, random(7))
 	if err != nil || !created {
--- a/internal/tier/storage/record.go
+++ b/internal/tier/storage/record.go
@@ -32,8 +32,8 @@
 }
 
 // appendRecord appends a record's line.
-func appendRecord(buffer []byte, line *record) ([]byte, error) {
-	text, err := json.Marshal(line)
+func appendRecord(buffer []byte, rec *record) ([]byte, error) {
+	text, err := json.Marshal(rec)
 	if err != nil {
 		return buffer, err
 	}
@@ -48,9 +48,9 @@
 
 // appendSnapshot appends the record of a snapshot's metadata.
 func appendSnapshot(buffer []byte, snapshot *replica.Snapshot) ([]byte, error) {
-	line := record{Kind: snapshotRecord, Index: snapshot.Index, Term: snapshot.Term,
+	rec := record{Kind: snapshotRecord, Index: snapshot.Index, Term: snapshot.Term,
 		Members: snapshot.Members, Chunks: snapshot.Chunks}
-	return appendRecord(buffer, &line)
+	return appendRecord(buffer, &rec)
 }
 
 // appendTruncate appends the record that voids all entries from an index on.
--- a/internal/tier/storage/replay.go
+++ b/internal/tier/storage/replay.go
@@ -32,15 +32,15 @@
 		if end < 0 {
 			return fmt.Errorf("%w: no line break behind it", errBadRecord)
 		}
-		line, err := parseRecord(payload[:end])
+		rec, err := parseRecord(payload[:end])
 		if err != nil {
 			return fmt.Errorf("%w: %w", errBadRecord, err)
 		}
-		data, rest, err := splitData(&line, payload[end+1:])
+		data, rest, err := splitData(&rec, payload[end+1:])
 		if err != nil {
 			return err
 		}
-		if err := r.apply(&line, data); err != nil {
+		if err := r.apply(&rec, data); err != nil {
 			return err
 		}
 		payload = rest
@@ -49,44 +49,44 @@
 }
 
 // splitData returns the data that belongs to a record, and what follows it in the payload.
-func splitData(line *record, payload []byte) (data json.RawMessage, rest []byte, err error) {
-	if line.Kind != entryRecord {
+func splitData(rec *record, payload []byte) (data json.RawMessage, rest []byte, err error) {
+	if rec.Kind != entryRecord {
 		return nil, payload, nil
 	}
-	if line.Size < 0 || line.Size > len(payload) {
-		return nil, nil, fmt.Errorf("%w: %d bytes of data, %d are left", errBadRecord, line.Size, len(payload))
+	if rec.Size < 0 || rec.Size > len(payload) {
+		return nil, nil, fmt.Errorf("%w: %d bytes of data, %d are left", errBadRecord, rec.Size, len(payload))
 	}
-	if line.Size > 0 {
-		data = payload[:line.Size:line.Size]
+	if rec.Size > 0 {
+		data = payload[:rec.Size:rec.Size]
 	}
-	rest = payload[line.Size:]
+	rest = payload[rec.Size:]
 	if len(rest) == 0 {
 		return data, nil, nil
 	}
 	if rest[0] != '\n' {
-		return nil, nil, fmt.Errorf("%w: no line break behind %d bytes of data", errBadRecord, line.Size)
+		return nil, nil, fmt.Errorf("%w: no line break behind %d bytes of data", errBadRecord, rec.Size)
 	}
 	return data, rest[1:], nil
 }
 
 // apply applies one record.
-func (r *replayed) apply(line *record, data json.RawMessage) error {
-	switch line.Kind {
+func (r *replayed) apply(rec *record, data json.RawMessage) error {
+	switch rec.Kind {
 	case hardStateRecord:
-		r.HardState = replica.HardState{Term: line.Term, Vote: line.Vote}
+		r.HardState = replica.HardState{Term: rec.Term, Vote: rec.Vote}
 	case snapshotRecord:
-		r.Snapshot = &replica.Snapshot{Index: line.Index, Term: line.Term, Members: line.Members, Chunks: line.Chunks}
+		r.Snapshot = &replica.Snapshot{Index: rec.Index, Term: rec.Term, Members: rec.Members, Chunks: rec.Chunks}
 		r.Entries = nil
 	case truncateRecord:
-		return r.truncate(line.Index)
+		return r.truncate(rec.Index)
 	case entryRecord:
-		if line.Index != r.lastIndex()+1 {
-			return fmt.Errorf("%w: entry %d follows entry %d", errBadRecord, line.Index, r.lastIndex())
+		if rec.Index != r.lastIndex()+1 {
+			return fmt.Errorf("%w: entry %d follows entry %d", errBadRecord, rec.Index, r.lastIndex())
 		}
-		entry := replica.Entry{Index: line.Index, Term: line.Term, Kind: line.EntryKind, Data: data}
+		entry := replica.Entry{Index: rec.Index, Term: rec.Term, Kind: rec.EntryKind, Data: data}
 		r.Entries = append(r.Entries, entry)
 	default:
-		return fmt.Errorf("%w: unknown kind %q", errBadRecord, line.Kind)
+		return fmt.Errorf("%w: unknown kind %q", errBadRecord, rec.Kind)
 	}
 	return nil
 }
--- a/internal/tier/storage/slot.go
+++ b/internal/tier/storage/slot.go
@@ -72,33 +72,33 @@
 // finish writes the last frame and returns once the slot is durable. It closes the file in any case.
 func (w *slotWriter) finish(snapshot *replica.Snapshot, state replica.HardState) error {
 	defer w.file.Close()
-	g, layout := w.group, &w.layout
+	group, layout := w.group, &w.layout
 	if len(layout.offsets) == 0 {
-		return g.fail("write of a snapshot", ErrNoChunks)
+		return group.fail("write of a snapshot", ErrNoChunks)
 	}
 	metadata := *snapshot
 	metadata.Chunks = len(layout.offsets)
-	buffer := beginFrame(g.buffer[:0], layout.generation, lastFrame|uint64(len(layout.offsets)))
+	buffer := beginFrame(group.buffer[:0], layout.generation, lastFrame|uint64(len(layout.offsets)))
 	buffer, err := appendHardState(buffer, state)
 	if err != nil {
-		return g.fail("encoding", err)
+		return group.fail("encoding", err)
 	}
 	if buffer, err = appendSnapshot(buffer, &metadata); err != nil {
-		return g.fail("encoding", err)
+		return group.fail("encoding", err)
 	}
 	if err := w.writeFrame(buffer); err != nil {
 		return err
 	}
 	if err := w.file.Sync(); err != nil {
-		return g.fail("sync of a slot", err)
+		return group.fail("sync of a slot", err)
 	}
-	if g.slotNamed[layout.slot] {
+	if group.slotNamed[layout.slot] {
 		return nil
 	}
-	if err := g.disk.SyncDir(); err != nil {
-		return g.fail("sync of the directory", err)
+	if err := group.disk.SyncDir(); err != nil {
+		return group.fail("sync of the directory", err)
 	}
-	g.slotNamed[layout.slot] = true
+	group.slotNamed[layout.slot] = true
 	return nil
 }
 
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -153,17 +153,17 @@
 // generation, then the disk is refused.
 func TestOpen_IncompleteSlot_IsCorrupt(t *testing.T) {
 	made := func() *testMember {
-		m := newTestMember(unwrapped)
-		mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
-		return m
+		member := newTestMember(unwrapped)
+		mustApply(t, member, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
+		return member
 	}
 	complete := content(t, made().disk, firstSlot)
 	for size := range int64(len(complete)) {
-		m := made()
-		if err := truncateFile(m.disk, firstSlot, size); err != nil {
+		member := made()
+		if err := truncateFile(member.disk, firstSlot, size); err != nil {
 			t.Fatal(err)
 		}
-		wantCorrupt(t, m, "slot truncated", size)
+		wantCorrupt(t, member, "slot truncated", size)
 	}
 	frames := framesOf(complete)
 	if len(frames) != 5 {
@@ -185,11 +185,11 @@
 		"end in the middle":   join(0, 1, 4, 2, 3),
 		"more behind it":      append(join(0, 1, 2, 3, 4), 0),
 	} {
-		m := made()
-		if err := write(m.disk, firstSlot, spoilt); err != nil {
+		member := made()
+		if err := write(member.disk, firstSlot, spoilt); err != nil {
 			t.Fatal(err)
 		}
-		wantCorrupt(t, m, name, 0)
+		wantCorrupt(t, member, name, 0)
 	}
 }
 
