--- a/internal/tier/group/cluster_test.go
+++ b/internal/tier/group/cluster_test.go
@@ -109,10 +109,10 @@
 }
 
 // runUntil plays until the condition holds.
-func (c *cluster) runUntil(what string, holds func() bool) {
+func (c *cluster) runUntil(what string, condition func() bool) {
 	c.t.Helper()
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		c.now += step
--- a/internal/tier/group/recovery_test.go
+++ b/internal/tier/group/recovery_test.go
@@ -60,37 +60,37 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			// Given a leader that has acknowledged a command,
-			s := newSingle(t, 0, "a")
-			s.becomeLeader()
-			if err := s.propose("x"); err != nil {
+			single := newSingle(t, 0, "a")
+			single.becomeLeader()
+			if err := single.propose("x"); err != nil {
 				t.Fatal(err)
 			}
 			// when its disk fails for a while, during which it is tried again,
-			s.disk.InjectFaults(fault)
-			if err := s.propose("y"); err == nil {
+			single.disk.InjectFaults(fault)
+			if err := single.propose("y"); err == nil {
 				t.Fatal("a command was acknowledged without having been saved")
 			}
-			if status := s.group.Status(); status.IsLeader || s.changes[len(s.changes)-1].IsLeader {
+			if status := single.group.Status(); status.IsLeader || single.changes[len(single.changes)-1].IsLeader {
 				t.Fatal("a failed member says that it leads the group")
 			}
-			failed := s.group.Reopen()
-			if _, err := s.group.RunOnce(); err == nil && failed != nil {
+			failed := single.group.Reopen()
+			if _, err := single.group.RunOnce(); err == nil && failed != nil {
 				t.Fatalf("the member was not reopened (%v), and goes on", failed)
 			}
 			var not *group.NotLeaderError
-			if err := s.propose("z"); !errors.As(err, &not) {
+			if err := single.propose("z"); !errors.As(err, &not) {
 				t.Fatalf("a command while the disk fails gives %v", err)
 			}
 			// then, once the disk works again, the member has what it acknowledged and takes more.
-			s.disk.InjectFaults(nil)
-			if err := s.group.Reopen(); err != nil {
+			single.disk.InjectFaults(nil)
+			if err := single.group.Reopen(); err != nil {
 				t.Fatal(err)
 			}
-			s.becomeLeader()
-			if err := s.propose("w"); err != nil {
+			single.becomeLeader()
+			if err := single.propose("w"); err != nil {
 				t.Fatal(err)
 			}
-			if got := s.machine.Commands; !slices.Equal(got, []string{`"x"`, `"w"`}) {
+			if got := single.machine.Commands; !slices.Equal(got, []string{`"x"`, `"w"`}) {
 				t.Fatalf("the state holds %v", got)
 			}
 		})
@@ -99,14 +99,14 @@
 
 func TestPropose_MemberFailed_IsDropped(t *testing.T) {
 	// Given a member whose disk has failed,
-	s := newSingle(t, 0, "a")
-	s.becomeLeader()
-	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
-	if err := s.propose("x"); err == nil {
+	single := newSingle(t, 0, "a")
+	single.becomeLeader()
+	single.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
+	if err := single.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
 	// when a command comes,
-	_, err := s.group.Propose(context.Background(), "y")
+	_, err := single.group.Propose(context.Background(), "y")
 	// then its caller learns that it certainly isn't committed.
 	var not *group.NotLeaderError
 	if !errors.As(err, &not) || !not.Dropped {
@@ -116,32 +116,32 @@
 
 func TestReopen_DiskDamaged_Fails(t *testing.T) {
 	// Given a leader that has saved something,
-	s := newSingle(t, 0, "a")
-	s.becomeLeader()
-	if err := s.propose("x"); err != nil {
+	single := newSingle(t, 0, "a")
+	single.becomeLeader()
+	if err := single.propose("x"); err != nil {
 		t.Fatal(err)
 	}
 	// when its disk fails, and what had been saved turns out to be damaged,
-	s.disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
+	single.disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
 		if kind == memorydisk.Write {
 			return syscall.EIO
 		}
 		return nil
 	})
-	if err := s.propose("y"); err == nil {
+	if err := single.propose("y"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
-	names, err := s.disk.List()
+	names, err := single.disk.List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if err := s.disk.Corrupt(name, 24); err != nil {
+		if err := single.disk.Corrupt(name, 24); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// then the member doesn't go on.
-	if err := s.group.Reopen(); err == nil {
+	if err := single.group.Reopen(); err == nil {
 		t.Fatal("the member goes on with a damaged disk")
 	}
 }
--- a/internal/tier/group/snapshot_limiter.go
+++ b/internal/tier/group/snapshot_limiter.go
@@ -16,20 +16,20 @@
 // NewSnapshotLimiter returns a limiter with so many slots.
 func NewSnapshotLimiter(members int) *SnapshotLimiter { return &SnapshotLimiter{free: members} }
 
-func (a *SnapshotLimiter) tryAcquire() bool {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.free == 0 {
+func (l *SnapshotLimiter) tryAcquire() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.free == 0 {
 		return false
 	}
-	a.free--
+	l.free--
 	return true
 }
 
-func (a *SnapshotLimiter) release() {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.free++
+func (l *SnapshotLimiter) release() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.free++
 }
 
 // limitIncomingSnapshots removes the snapshots from messages that bring chunks of them, unless this member has or gets a
--- a/internal/tier/group/stop_test.go
+++ b/internal/tier/group/stop_test.go
@@ -9,20 +9,20 @@
 
 func TestStop_DiskFails_Ends(t *testing.T) {
 	// Given a leader whose disk fails, also when the member is reopened,
-	s := newSingle(t, 0, "a")
-	s.becomeLeader()
-	s.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
-	if err := s.propose("x"); err == nil {
+	single := newSingle(t, 0, "a")
+	single.becomeLeader()
+	single.disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
+	if err := single.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
-	if err := s.group.Reopen(); err == nil {
+	if err := single.group.Reopen(); err == nil {
 		t.Fatal("the member was reopened on a disk that fails")
 	}
 	// when it is stopped, then it ends, and says so once.
 	ends := 0
-	s.group.Stop(func() { ends++ })
+	single.group.Stop(func() { ends++ })
 	for range 2 {
-		if _, err := s.group.RunOnce(); err != nil {
+		if _, err := single.group.RunOnce(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -33,18 +33,18 @@
 
 func TestStop_CallsPending_EndWithoutResult(t *testing.T) {
 	// Given a leader with a command and a read under way,
-	s := newSingle(t, 0, "a")
-	s.becomeLeader()
+	single := newSingle(t, 0, "a")
+	single.becomeLeader()
 	var outcomes []error
-	note := func(_ any, err error) { outcomes = append(outcomes, err) }
-	s.group.ProposeAsync("x", note)
-	s.group.ReadAsync(func() { t.Error("a read was run after the end") }, note)
+	record := func(_ any, err error) { outcomes = append(outcomes, err) }
+	single.group.ProposeAsync("x", record)
+	single.group.ReadAsync(func() { t.Error("a read was run after the end") }, record)
 	// when it is stopped, then both end without a result, and so does what comes later.
-	s.group.Stop(func() {})
-	if _, err := s.group.RunOnce(); err != nil {
+	single.group.Stop(func() {})
+	if _, err := single.group.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
-	s.group.ProposeAsync("y", note)
+	single.group.ProposeAsync("y", record)
 	if len(outcomes) != 3 {
 		t.Fatalf("%d calls have ended, want 3", len(outcomes))
 	}
@@ -53,7 +53,7 @@
 			t.Errorf("call %d of a stopped member has a result", i)
 		}
 	}
-	if s.group.Status().IsLeader {
+	if single.group.Status().IsLeader {
 		t.Error("a stopped member says that it leads its group")
 	}
 }
--- a/internal/tier/replica/campaign_faults_test.go
+++ b/internal/tier/replica/campaign_faults_test.go
@@ -7,30 +7,30 @@
 
 // injectFault injects one random fault, or another disturbance.
 func (c *campaign) injectFault() {
-	n := c.pickNode()
+	target := c.pickNode()
 	switch c.random.IntN(18) {
 	case 0, 1:
-		c.kill(n)
-		c.startLater(n)
+		c.kill(target)
+		c.startLater(target)
 	case 2, 3:
-		c.killDuringSync(n)
+		c.killDuringSync(target)
 	case 4:
 		c.killAfterAcknowledgement()
 	case 5:
 		c.killAll()
 	case 6:
-		c.wipeIfSafe(n)
+		c.wipeIfSafe(target)
 	case 7:
-		c.freeze(n)
-		c.after(c.randomPause(), func() { c.thaw(n) })
+		c.freeze(target)
+		c.after(c.randomDelay(), func() { c.thaw(target) })
 	case 8, 9:
-		c.isolate(n)
-		c.after(c.randomPause(), c.heal)
+		c.isolate(target)
+		c.after(c.randomDelay(), c.heal)
 	case 10, 11:
 		c.partitionOneWay()
-		c.after(c.randomPause(), c.heal)
+		c.after(c.randomDelay(), c.heal)
 	case 12:
-		c.compactNode(n)
+		c.compactNode(target)
 	case 13:
 		c.replaceMember()
 	case 14:
@@ -38,15 +38,15 @@
 			c.compactNode(other)
 		}
 	case 15, 16:
-		c.setRate(n, 0.1)
-		c.isolate(n)
-		c.after(c.randomPause(), func() {
-			c.setRate(n, 1)
+		c.setRate(target, 0.1)
+		c.isolate(target)
+		c.after(c.randomDelay(), func() {
+			c.setRate(target, 1)
 			c.heal()
 		})
 	case 17:
-		n.inbox.TransferLeadership = n.alive
-		c.wake(n)
+		target.inbox.TransferLeadership = target.alive
+		c.wake(target)
 	}
 }
 
@@ -60,7 +60,7 @@
 	switch c.random.IntN(6) {
 	case 0:
 		c.kill(n)
-		c.after(c.randomPause()/2, func() {
+		c.after(c.randomDelay()/2, func() {
 			if !n.alive {
 				c.start(n)
 			}
@@ -69,13 +69,13 @@
 		c.killDuringSync(n)
 	case 2:
 		c.isolate(n)
-		c.after(c.randomPause(), c.heal)
+		c.after(c.randomDelay(), c.heal)
 	case 3:
 		c.isolate(n)
 		friend := c.nodes[c.random.IntN(len(c.nodes))]
 		delete(c.partitioned, [2]int{n.slot, friend.slot})
 		delete(c.partitioned, [2]int{friend.slot, n.slot})
-		c.after(c.randomPause(), c.heal)
+		c.after(c.randomDelay(), c.heal)
 	case 4:
 		n.inbox.TransferLeadership = true
 		c.wake(n)
@@ -90,13 +90,13 @@
 	return c.nodes[c.random.IntN(len(c.nodes))]
 }
 
-func (c *campaign) randomPause() time.Duration {
+func (c *campaign) randomDelay() time.Duration {
 	return time.Duration(c.random.Int64N(int64(3 * testElection)))
 }
 
 func (c *campaign) startLater(n *node) {
 	incarnation := n.incarnation
-	c.after(c.randomPause(), func() {
+	c.after(c.randomDelay(), func() {
 		if n.incarnation == incarnation && !n.alive {
 			c.start(n)
 		}
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -26,11 +26,11 @@
 }
 
 func newCampaign(seed uint64) *campaign {
-	s := newSimulation(seed, 3, 2, conditions{})
+	sim := newSimulation(seed, 3, 2, conditions{})
 	if seed%4 == 3 {
-		s = newSimulation(seed, 5, 1, conditions{})
+		sim = newSimulation(seed, 5, 1, conditions{})
 	}
-	c := &campaign{simulation: s, churn: seed%3 == 2, storm: seed%8 >= 5}
+	c := &campaign{simulation: sim, churn: seed%3 == 2, storm: seed%8 >= 5}
 	if seed%2 == 0 {
 		c.limits = &limits{maxMessageBytes: 150, maxInflightBytes: 400, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, maxInflightChunks: 2}
 	}
--- a/internal/tier/replica/confchange_replacement_test.go
+++ b/internal/tier/replica/confchange_replacement_test.go
@@ -15,24 +15,24 @@
 
 func exchangeOneOfTwo(t *testing.T, inactive time.Duration, want []int) {
 	t.Helper()
-	s := newSimulation(21, 5, 2, noFaults)
-	s.startAll()
-	s.runUntil(time.Second, func() bool { return s.leader() != nil })
-	first := s.leader()
-	others := s.others(first)
+	sim := newSimulation(21, 5, 2, noFaults)
+	sim.startAll()
+	sim.runUntil(time.Second, func() bool { return sim.leader() != nil })
+	first := sim.leader()
+	others := sim.others(first)
 	lost, staying, spares := others[:2], append([]*node{first}, others[2:4]...), others[4:]
 	for _, n := range lost {
-		s.kill(n)
+		sim.kill(n)
 	}
-	s.kill(spares[1])
-	s.runFor(inactive)
+	sim.kill(spares[1])
+	sim.runFor(inactive)
 
 	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is lost.
-	s.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
+	sim.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
 	var voters []int
 	for range 1000 {
-		s.runFor(time.Millisecond)
-		if now := newConfiguration(0, s.checker.members).voters; len(voters) == 0 || voters[len(voters)-1] != now {
+		sim.runFor(time.Millisecond)
+		if now := newConfiguration(0, sim.checker.members).voters; len(voters) == 0 || voters[len(voters)-1] != now {
 			voters = append(voters, now)
 		}
 	}
@@ -41,43 +41,43 @@
 	}
 
 	// Then it bears that one more of those that are left is lost.
-	s.kill(staying[1])
-	if !s.commitsWithin(2 * time.Second) {
+	sim.kill(staying[1])
+	if !sim.commitsWithin(2 * time.Second) {
 		t.Error("nothing is committed any more")
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 
 	// And it becomes complete once the other replacement is reachable.
-	s.start(staying[1])
-	s.start(spares[1])
-	s.requireMembers(t, 2*time.Second, append(membersOf(staying...), membersOf(spares...)...))
+	sim.start(staying[1])
+	sim.start(spares[1])
+	sim.requireMembers(t, 2*time.Second, append(membersOf(staying...), membersOf(spares...)...))
 }
 
 // TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is lost that a replacement is to follow: the leader
 // gives no fourth vote before it knows that the member is inactive.
 func TestConfChange_NewLeader_RemovesInactiveVoterFirst(t *testing.T) {
-	s := newSimulation(22, 3, 1, noFaults)
-	s.startAll()
-	s.runUntil(time.Second, func() bool { return s.leader() != nil })
-	first := s.leader()
-	others := s.others(first)
+	sim := newSimulation(22, 3, 1, noFaults)
+	sim.startAll()
+	sim.runUntil(time.Second, func() bool { return sim.leader() != nil })
+	first := sim.leader()
+	others := sim.others(first)
 	lost, staying, spare := others[0], []*node{first, others[1]}, others[2]
-	s.kill(lost)
-	s.runFor(2 * testElection)
-	s.setTargetMembers(membersOf(first, others[1], spare))
+	sim.kill(lost)
+	sim.runFor(2 * testElection)
+	sim.setTargetMembers(membersOf(first, others[1], spare))
 
 	// When the remaining two elect a new leader, right before the replacement has caught up.
-	s.kill(first)
-	s.runFor(2 * testElection)
-	s.start(first)
+	sim.kill(first)
+	sim.runFor(2 * testElection)
+	sim.start(first)
 	maxVoters := 0
-	s.runUntil(s.now+5*time.Second, func() bool {
-		agreed := newConfiguration(0, s.checker.members)
+	sim.runUntil(sim.now+5*time.Second, func() bool {
+		agreed := newConfiguration(0, sim.checker.members)
 		maxVoters = max(maxVoters, agreed.voters)
 		return agreed.isVoter(spare.id)
 	})
 	if maxVoters != 3 {
 		t.Errorf("the group had %d voters, want 3 at most", maxVoters)
 	}
-	s.requireMembers(t, time.Second, append(membersOf(staying...), membersOf(spare)...))
+	sim.requireMembers(t, time.Second, append(membersOf(staying...), membersOf(spare)...))
 }
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -7,98 +7,98 @@
 
 func TestElection_AnyGroupSize_ElectsAndCommits(t *testing.T) {
 	for members := 1; members <= 5; members++ {
-		s, _ := newGroupWithLeader(t, uint64(members), members, 0)
-		if !s.commitsWithin(time.Second) {
+		sim, _ := newGroupWithLeader(t, uint64(members), members, 0)
+		if !sim.commitsWithin(time.Second) {
 			t.Errorf("%d members: nothing was committed", members)
 		}
-		s.requireSafe(t)
+		sim.requireSafe(t)
 	}
 }
 
 func TestLeader_NoFaults_Stays(t *testing.T) {
-	s, first := newGroupWithLeader(t, 3, 3, 0)
+	sim, first := newGroupWithLeader(t, 3, 3, 0)
 	term := first.replica.Status().Term
-	s.runFor(10 * time.Second)
-	if s.leader() != first || first.replica.Status().Term != term {
-		t.Errorf("leader %v in term %d, want %s in %d", s.leader(), first.replica.Status().Term, first.id, term)
+	sim.runFor(10 * time.Second)
+	if sim.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("leader %v in term %d, want %s in %d", sim.leader(), first.replica.Status().Term, first.id, term)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestPreVote_MemberWasPartitioned_DoesNotDeposeLeader(t *testing.T) {
-	s, first := newGroupWithLeader(t, 4, 3, 0)
+	sim, first := newGroupWithLeader(t, 4, 3, 0)
 	term := first.replica.Status().Term
-	isolated := s.others(first)[0]
-	s.isolate(isolated)
-	s.runFor(2 * time.Second)
-	s.heal()
-	s.runFor(2 * time.Second)
-	if s.leader() != first || first.replica.Status().Term != term {
-		t.Errorf("the leader changed from %s in %d to %v", first.id, term, s.leader())
+	isolated := sim.others(first)[0]
+	sim.isolate(isolated)
+	sim.runFor(2 * time.Second)
+	sim.heal()
+	sim.runFor(2 * time.Second)
+	if sim.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("the leader changed from %s in %d to %v", first.id, term, sim.leader())
 	}
 	if got := isolated.replica.Status(); got.Leader != first.id || got.Term != term {
 		t.Errorf("the member that came back follows %q in %d", got.Leader, got.Term)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestPreVote_MemberOnlySends_DoesNotDeposeLeader(t *testing.T) {
-	s, first := newGroupWithLeader(t, 5, 3, 0)
+	sim, first := newGroupWithLeader(t, 5, 3, 0)
 	term := first.replica.Status().Term
-	sender := s.others(first)[0]
-	for _, n := range s.nodes {
-		s.partitioned[[2]int{n.slot, sender.slot}] = true
+	sender := sim.others(first)[0]
+	for _, n := range sim.nodes {
+		sim.partitioned[[2]int{n.slot, sender.slot}] = true
 	}
-	s.runFor(2 * time.Second)
-	if s.leader() != first || first.replica.Status().Term != term {
-		t.Errorf("the leader changed from %s in %d to %v", first.id, term, s.leader())
+	sim.runFor(2 * time.Second)
+	if sim.leader() != first || first.replica.Status().Term != term {
+		t.Errorf("the leader changed from %s in %d to %v", first.id, term, sim.leader())
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestLeader_LosesQuorum_StepsDown(t *testing.T) {
-	s, first := newGroupWithLeader(t, 6, 3, 0)
-	s.isolate(first)
-	token := s.propose(first)
+	sim, first := newGroupWithLeader(t, 6, 3, 0)
+	sim.isolate(first)
+	token := sim.propose(first)
 	var got *Outcome
-	s.onOutcome = func(_ *node, outcome Outcome) {
+	sim.onOutcome = func(_ *node, outcome Outcome) {
 		if outcome.Token == token {
 			got = &outcome
 		}
 	}
-	s.runFor(testElection + 2*testHeartbeat)
+	sim.runFor(testElection + 2*testHeartbeat)
 	if first.replica.Status().IsLeader {
 		t.Errorf("still the leader after an election timeout alone")
 	}
 	if got == nil || got.Done || got.Dropped {
 		t.Errorf("outcome %+v, want one that is not known", got)
 	}
-	if !s.commitsWithin(time.Second) || s.leader() == first {
+	if !sim.commitsWithin(time.Second) || sim.leader() == first {
 		t.Errorf("the others have no leader")
 	}
-	s.heal()
-	s.runFor(time.Second)
-	s.requireSafe(t)
+	sim.heal()
+	sim.runFor(time.Second)
+	sim.requireSafe(t)
 }
 
 func TestLeader_HearsNobody_IsReplaced(t *testing.T) {
-	s, first := newGroupWithLeader(t, 7, 3, 0)
-	for _, n := range s.nodes {
-		s.partitioned[[2]int{n.slot, first.slot}] = true
+	sim, first := newGroupWithLeader(t, 7, 3, 0)
+	for _, n := range sim.nodes {
+		sim.partitioned[[2]int{n.slot, first.slot}] = true
 	}
-	if !s.commitsWithin(2*time.Second) || s.leader() == first {
+	if !sim.commitsWithin(2*time.Second) || sim.leader() == first {
 		t.Errorf("a leader that hears nobody still blocks the group")
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestFollower_Proposal_IsDropped(t *testing.T) {
-	s, first := newGroupWithLeader(t, 8, 3, 0)
-	other := s.others(first)[0]
-	token := s.propose(other)
+	sim, first := newGroupWithLeader(t, 8, 3, 0)
+	other := sim.others(first)[0]
+	token := sim.propose(other)
 	var got []Outcome
-	s.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
-	s.runFor(testHeartbeat)
+	sim.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
+	sim.runFor(testHeartbeat)
 	if len(got) != 1 || got[0] != (Outcome{Token: token, Dropped: true}) {
 		t.Errorf("outcomes %+v", got)
 	}
@@ -175,23 +175,23 @@
 }
 
 func TestLeadershipTransfer_Requested_NeedsNoElectionTimeout(t *testing.T) {
-	s, first := newGroupWithLeader(t, 9, 3, 0)
+	sim, first := newGroupWithLeader(t, 9, 3, 0)
 	for range 20 {
-		s.propose(first)
+		sim.propose(first)
 	}
 	first.inbox.TransferLeadership = true
-	s.wake(first)
-	began := s.now
-	if !s.runUntil(s.now+testElection, func() bool { return s.leader() != nil && s.leader() != first }) {
+	sim.wake(first)
+	began := sim.now
+	if !sim.runUntil(sim.now+testElection, func() bool { return sim.leader() != nil && sim.leader() != first }) {
 		t.Fatalf("nobody took over")
 	}
-	if s.now-began > testElection/2 {
-		t.Errorf("it took %v", s.now-began)
+	if sim.now-began > testElection/2 {
+		t.Errorf("it took %v", sim.now-began)
 	}
-	if s.checker.commands != 0 && s.checker.commands != 20 {
-		t.Errorf("%d of 20 proposals were settled", s.checker.commands)
+	if sim.checker.commands != 0 && sim.checker.commands != 20 {
+		t.Errorf("%d of 20 proposals were settled", sim.checker.commands)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestPreVote_NoLeaderHeardYet_UsesInitialTimeout(t *testing.T) {
--- a/internal/tier/replica/follower_test.go
+++ b/internal/tier/replica/follower_test.go
@@ -20,61 +20,67 @@
 	return r
 }
 
+// appendEntriesCase is an append to a follower whose log has entries of some terms, with what must come of it. Kind, sender and
+// receiver of the messages are filled in.
+type appendEntriesCase struct {
+	name     string
+	log      []uint64
+	message  Message
+	want     Message
+	truncate uint64
+	append   int
+	commit   uint64
+}
+
+func noOp(index, term uint64) Entry { return Entry{Index: index, Term: term, Kind: NoOp} }
+
+var appendEntriesCases = []appendEntriesCase{
+	{
+		name:    "entries behind the log",
+		log:     []uint64{1, 1},
+		message: Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{noOp(3, 2), noOp(4, 2)}, Commit: 3},
+		want:    Message{Index: 4},
+		append:  2,
+		commit:  3,
+	},
+	{
+		name:     "entries in place of others",
+		log:      []uint64{1, 1, 1, 1},
+		message:  Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{noOp(3, 2)}},
+		want:     Message{Index: 3},
+		truncate: 3,
+		append:   1,
+	},
+	{
+		name:    "entries that it has keep what follows",
+		log:     []uint64{1, 1, 1, 1},
+		message: Message{Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{noOp(2, 1)}, Commit: 4},
+		want:    Message{Index: 2},
+		commit:  2,
+	},
+	{
+		name:    "a gap",
+		log:     []uint64{1, 1},
+		message: Message{Term: 2, Index: 9, LogTerm: 2, Entries: []Entry{noOp(10, 2)}},
+		want:    Message{Index: 9, Reject: true, RejectHint: 2, LogTerm: 1},
+	},
+	{
+		name:    "a different entry before",
+		log:     []uint64{1, 1, 2, 2, 2, 2},
+		message: Message{Term: 3, Index: 5, LogTerm: 1},
+		want:    Message{Index: 5, Reject: true, RejectHint: 2, LogTerm: 1},
+	},
+	{
+		name:    "a heartbeat",
+		log:     []uint64{1, 1},
+		message: Message{Term: 2, Index: 2, LogTerm: 1, Commit: 2, ReadContext: 7},
+		want:    Message{Index: 2, ReadContext: 7},
+		commit:  2,
+	},
+}
+
 func TestFollower_AppendEntries_AppendsReplacesOrRejects(t *testing.T) {
-	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term, Kind: NoOp} }
-	cases := []struct {
-		name     string
-		log      []uint64
-		message  Message
-		want     Message
-		truncate uint64
-		append   int
-		commit   uint64
-	}{
-		{
-			name:    "entries behind the log",
-			log:     []uint64{1, 1},
-			message: Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2), entry(4, 2)}, Commit: 3},
-			want:    Message{Index: 4},
-			append:  2,
-			commit:  3,
-		},
-		{
-			name:     "entries in place of others",
-			log:      []uint64{1, 1, 1, 1},
-			message:  Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{entry(3, 2)}},
-			want:     Message{Index: 3},
-			truncate: 3,
-			append:   1,
-		},
-		{
-			name:    "entries that it has keep what follows",
-			log:     []uint64{1, 1, 1, 1},
-			message: Message{Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{entry(2, 1)}, Commit: 4},
-			want:    Message{Index: 2},
-			commit:  2,
-		},
-		{
-			name:    "a gap",
-			log:     []uint64{1, 1},
-			message: Message{Term: 2, Index: 9, LogTerm: 2, Entries: []Entry{entry(10, 2)}},
-			want:    Message{Index: 9, Reject: true, RejectHint: 2, LogTerm: 1},
-		},
-		{
-			name:    "a different entry before",
-			log:     []uint64{1, 1, 2, 2, 2, 2},
-			message: Message{Term: 3, Index: 5, LogTerm: 1},
-			want:    Message{Index: 5, Reject: true, RejectHint: 2, LogTerm: 1},
-		},
-		{
-			name:    "a heartbeat",
-			log:     []uint64{1, 1},
-			message: Message{Term: 2, Index: 2, LogTerm: 1, Commit: 2, ReadContext: 7},
-			want:    Message{Index: 2, ReadContext: 7},
-			commit:  2,
-		},
-	}
-	for _, tc := range cases {
+	for _, tc := range appendEntriesCases {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newTestFollower(t, 2, tc.log...)
 			tc.message.Kind, tc.message.From, tc.message.To = AppendEntries, "a", "b"
@@ -128,19 +134,19 @@
 	}
 }
 
-func TestRaftLog_EntriesHandedOut_AreNeverChanged(t *testing.T) {
+func TestRaftLog_EntriesOfReady_AreNeverChanged(t *testing.T) {
 	r := newTestFollower(t, 1, 1)
 	first := []Entry{{Index: 2, Term: 1, Data: json.RawMessage(`"old"`)}, {Index: 3, Term: 1}}
 	ready := r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1, Entries: first,
 	}}})
-	handedOut := ready.Entries
-	before := slices.Clone(handedOut)
+	returned := ready.Entries
+	before := slices.Clone(returned)
 	r.Step(0, Input{Messages: []Message{{
 		Kind: AppendEntries, From: "c", To: "b", Term: 2, Index: 1, LogTerm: 1,
 		Entries: []Entry{{Index: 2, Term: 2, Data: json.RawMessage(`"new"`)}, {Index: 3, Term: 2}},
 	}}})
-	if difference := cmp.Diff(before, handedOut); difference != "" {
-		t.Errorf("entries handed out before (-before +after):\n%s", difference)
+	if difference := cmp.Diff(before, returned); difference != "" {
+		t.Errorf("entries returned before (-before +after):\n%s", difference)
 	}
 }
--- a/internal/tier/replica/leader_test.go
+++ b/internal/tier/replica/leader_test.go
@@ -49,17 +49,17 @@
 }
 
 func TestCommit_PowerLossEverywhere_KeepsAcknowledgedCommands(t *testing.T) {
-	s, first := newGroupWithLeader(t, 8, 3, 0)
+	sim, first := newGroupWithLeader(t, 8, 3, 0)
 	for range 50 {
-		s.propose(first)
+		sim.propose(first)
 	}
-	s.runUntil(s.now+time.Second, func() bool { return s.checker.commands > 0 })
-	for _, n := range s.nodes {
-		s.kill(n)
+	sim.runUntil(sim.now+time.Second, func() bool { return sim.checker.commands > 0 })
+	for _, n := range sim.nodes {
+		sim.kill(n)
 	}
-	s.startAll()
-	if !s.commitsWithin(time.Second) {
+	sim.startAll()
+	if !sim.commitsWithin(time.Second) {
 		t.Error("nothing is committed after the restart")
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"slices"
 	"testing"
 
 	"mastusher/internal/tools/mutation"
@@ -37,199 +38,222 @@
 	}
 )
 
-func TestMutants_AreNoticed(t *testing.T) {
-	t.Parallel()
-	mutation.Test(t, []mutation.Mutant{
-		{
-			Name:   "hard states are not saved",
-			Change: savingNoHardState,
-			Run:    campaigns,
-		},
-		{
-			Name:   "hard states are not saved, explored",
-			Change: savingNoHardState,
-			Run:    fromFirstStart,
-		},
-		{
-			Name:   "appends are acknowledged before the sync",
-			Change: acknowledgingBeforeSync,
-			Run:    campaigns,
-		},
-		{
-			Name:   "appends are acknowledged before the sync, explored",
-			Change: acknowledgingBeforeSync,
-			Run:    fromFirstStart,
-		},
-		{
-			Name:   "entries of older terms are committed by counting",
-			Change: committingOlderTerms,
-			Run:    campaigns,
-		},
-		{
-			Name:   "entries of older terms are committed by counting, explored",
-			Change: committingOlderTerms,
-			Run:    fromConflictingLogs,
-			Always: true,
+// savingMutants lose what must be on disk before a message leaves.
+var savingMutants = []mutation.Mutant{
+	{
+		Name:   "hard states are not saved",
+		Change: savingNoHardState,
+		Run:    campaigns,
+	},
+	{
+		Name:   "hard states are not saved, explored",
+		Change: savingNoHardState,
+		Run:    fromFirstStart,
+	},
+	{
+		Name:   "appends are acknowledged before the sync",
+		Change: acknowledgingBeforeSync,
+		Run:    campaigns,
+	},
+	{
+		Name:   "appends are acknowledged before the sync, explored",
+		Change: acknowledgingBeforeSync,
+		Run:    fromFirstStart,
+	},
+}
+
+// commitMutants commit too early, or change the members before a commit of the own term.
+var commitMutants = []mutation.Mutant{
+	{
+		Name:   "entries of older terms are committed by counting",
+		Change: committingOlderTerms,
+		Run:    campaigns,
+	},
+	{
+		Name:   "entries of older terms are committed by counting, explored",
+		Change: committingOlderTerms,
+		Run:    fromConflictingLogs,
+		Always: true,
+	},
+	{
+		Name: "two changes at once",
+		Change: mutation.Change{
+			File: "confchange.go",
+			Old:  "if r.configurations.latest().index > r.commit {",
+			New:  "if false {",
 		},
-		{
-			Name: "two changes at once",
-			Change: mutation.Change{
-				File: "confchange.go",
-				Old:  "if r.configurations.latest().index > r.commit {",
-				New:  "if false {",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "a change begins before an entry of the own term is committed",
+		Change: mutation.Change{
+			File: "confchange.go",
+			Old:  "if !r.hasCommittedInTerm() {",
+			New:  "if false {",
 		},
-		{
-			Name: "a change begins before an entry of the own term is committed",
-			Change: mutation.Change{
-				File: "confchange.go",
-				Old:  "if !r.hasCommittedInTerm() {",
-				New:  "if false {",
-			},
-			Run:    uncommittedTerm,
-			Always: true,
+		Run:    uncommittedTerm,
+		Always: true,
+	},
+}
+
+// appendMutants take a message for the end of the log.
+var appendMutants = []mutation.Mutant{
+	{
+		Name: "appends end the log",
+		Change: mutation.Change{
+			File: "follower.go",
+			Old:  "	if previous < r.commit {\n",
+			New:  "	if false {\n",
 		},
-		{
-			Name: "appends end the log",
-			Change: mutation.Change{
+		Also: []mutation.Change{
+			{
 				File: "follower.go",
-				Old:  "	if previous < r.commit {\n",
-				New:  "	if false {\n",
-			},
-			Also: []mutation.Change{
-				{
-					File: "follower.go",
-					Old:  "case previous < r.commit:",
-					New:  "case false:",
-				},
-				{
-					File: "follower.go",
-					Old:  "if !r.mergeEntries(entries) {\n",
-					New: "if previous < r.log.lastIndex() && previous >= r.log.offset { r.truncate(previous + 1) }\n" +
-						"if !r.mergeEntries(entries) {\n",
-				},
-			},
-			Run: campaigns,
-		},
-		{
-			Name: "reads without ReadIndex",
-			Change: mutation.Change{
-				File: "read_only.go",
-				Old:  "confirmed := r.quorumValue(r.leadership.readContext, readContextOf)",
-				New:  "confirmed := r.leadership.readContext",
+				Old:  "case previous < r.commit:",
+				New:  "case false:",
 			},
-			Run: campaigns,
-		},
-		{
-			Name: "reads before an entry of the own term is committed",
-			Change: mutation.Change{
-				File: "read_only.go",
-				Old:  "if len(reads) == 0 || !r.hasCommittedInTerm() {",
-				New:  "if len(reads) == 0 {",
+			{
+				File: "follower.go",
+				Old:  "if !r.mergeEntries(entries) {\n",
+				New: "if previous < r.log.lastIndex() && previous >= r.log.offset { r.truncate(previous + 1) }\n" +
+					"if !r.mergeEntries(entries) {\n",
 			},
-			Run: campaigns,
 		},
-		{
-			Name: "votes for logs that lack entries",
-			Change: mutation.Change{
-				File: "election.go",
-				Old:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\n",
-				New:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\nif true { return true }\n",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+}
+
+// readMutants answer reads that nothing has confirmed.
+var readMutants = []mutation.Mutant{
+	{
+		Name: "reads without ReadIndex",
+		Change: mutation.Change{
+			File: "read_only.go",
+			Old:  "confirmed := r.quorumValue(r.leadership.readContext, readContextOf)",
+			New:  "confirmed := r.leadership.readContext",
 		},
-		{
-			Name:   "two votes in a term",
-			Change: votingTwice,
-			Run:    campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "reads before an entry of the own term is committed",
+		Change: mutation.Change{
+			File: "read_only.go",
+			Old:  "if len(reads) == 0 || !r.hasCommittedInTerm() {",
+			New:  "if len(reads) == 0 {",
 		},
-		{
-			Name:   "two votes in a term, explored",
-			Change: votingTwice,
-			Run:    fromFirstStart,
+		Run: campaigns,
+	},
+}
+
+// voteMutants vote against the rules.
+var voteMutants = []mutation.Mutant{
+	{
+		Name: "votes for logs that lack entries",
+		Change: mutation.Change{
+			File: "election.go",
+			Old:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\n",
+			New:  "func (r *Replica) isCandidateUpToDate(request *Message) bool {\nif true { return true }\n",
 		},
-		{
-			Name: "learners count",
-			Change: mutation.Change{
-				File: "leader.go",
-				Old:  "if !p.learner {\n			values",
-				New:  "if true {\n			values",
-			},
-			Also: []mutation.Change{{
-				File: "leader.go",
-				Old:  "quorum := r.quorumSize()",
-				New:  "quorum := latest.quorumSize()",
-			}},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name:   "two votes in a term",
+		Change: votingTwice,
+		Run:    campaigns,
+	},
+	{
+		Name:   "two votes in a term, explored",
+		Change: votingTwice,
+		Run:    fromFirstStart,
+	},
+}
+
+// agreementMutants take for agreed what is not.
+var agreementMutants = []mutation.Mutant{
+	{
+		Name: "learners count",
+		Change: mutation.Change{
+			File: "leader.go",
+			Old:  "if !p.learner {\n			values",
+			New:  "if true {\n			values",
 		},
-		{
-			Name: "followers commit what they have not compared",
-			Change: mutation.Change{
-				File: "follower.go",
-				Old:  "r.commitTo(min(message.Commit, matched))",
-				New:  "r.commitTo(min(message.Commit, r.log.lastIndex()))",
-			},
-			Run: campaigns,
+		Also: []mutation.Change{{
+			File: "leader.go",
+			Old:  "quorum := r.quorumSize()",
+			New:  "quorum := latest.quorumSize()",
+		}},
+		Run: campaigns,
+	},
+	{
+		Name: "followers commit what they have not compared",
+		Change: mutation.Change{
+			File: "follower.go",
+			Old:  "r.commitTo(min(message.Commit, matched))",
+			New:  "r.commitTo(min(message.Commit, r.log.lastIndex()))",
 		},
-		{
-			Name: "leaders of older terms are obeyed",
-			Change: mutation.Change{
-				File: "follower.go",
-				Old:  "if message.Term < r.hardState.Term {",
-				New:  "if false {",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "leaders of older terms are obeyed",
+		Change: mutation.Change{
+			File: "follower.go",
+			Old:  "if message.Term < r.hardState.Term {",
+			New:  "if false {",
 		},
-		{
-			Name: "old snapshots are installed",
-			Change: mutation.Change{
-				File: "snapshot_receiver.go",
-				Old:  "if snapshot.Index <= r.commit {",
-				New:  "if false {",
-			},
-			Also: []mutation.Change{{
-				File: "snapshot_receiver.go",
-				Old:  "if r.log.matchTerm(snapshot.Index, snapshot.Term) {",
-				New:  "if false {",
-			}},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "old snapshots are installed",
+		Change: mutation.Change{
+			File: "snapshot_receiver.go",
+			Old:  "if snapshot.Index <= r.commit {",
+			New:  "if false {",
 		},
-		{
-			Name: "truncated lists of members stay in force",
-			Change: mutation.Change{
-				File: "raft.go",
-				Old:  "	r.configurations = r.configurations.truncate(index)\n",
-				New:  "",
-			},
-			Run: campaigns,
+		Also: []mutation.Change{{
+			File: "snapshot_receiver.go",
+			Old:  "if r.log.matchTerm(snapshot.Index, snapshot.Term) {",
+			New:  "if false {",
+		}},
+		Run: campaigns,
+	},
+	{
+		Name: "truncated lists of members stay in force",
+		Change: mutation.Change{
+			File: "raft.go",
+			Old:  "	r.configurations = r.configurations.truncate(index)\n",
+			New:  "",
 		},
-		{
-			Name: "appends are taken without comparison",
-			Change: mutation.Change{
-				File: "follower.go",
-				Old:  "case previous == r.commit:",
-				New:  "case previous == r.commit || previous <= r.log.lastIndex():",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "appends are taken without comparison",
+		Change: mutation.Change{
+			File: "follower.go",
+			Old:  "case previous == r.commit:",
+			New:  "case previous == r.commit || previous <= r.log.lastIndex():",
 		},
-		{
-			Name: "less than a majority decides",
-			Change: mutation.Change{
-				File: "election.go",
-				Old:  "return r.configurations.latest().quorumSize()",
-				New:  "return max(1, r.configurations.latest().quorumSize()-1)",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "less than a majority decides",
+		Change: mutation.Change{
+			File: "election.go",
+			Old:  "return r.configurations.latest().quorumSize()",
+			New:  "return max(1, r.configurations.latest().quorumSize()-1)",
 		},
-		{
-			Name: "lost proposals are reported as done",
-			Change: mutation.Change{
-				File: "leader.go",
-				Old:  "r.resolve(r.leadership.pendingProposals[i].token, false)",
-				New:  "r.resolve(r.leadership.pendingProposals[i].token, true)",
-			},
-			Run: campaigns,
+		Run: campaigns,
+	},
+	{
+		Name: "lost proposals are reported as done",
+		Change: mutation.Change{
+			File: "leader.go",
+			Old:  "r.resolve(r.leadership.pendingProposals[i].token, false)",
+			New:  "r.resolve(r.leadership.pendingProposals[i].token, true)",
 		},
-	})
+		Run: campaigns,
+	},
+}
+
+func TestMutants_AreNoticed(t *testing.T) {
+	t.Parallel()
+	mutation.Test(t, slices.Concat(savingMutants, commitMutants, appendMutants, readMutants, voteMutants, agreementMutants))
 }
--- a/internal/tier/replica/read_only_test.go
+++ b/internal/tier/replica/read_only_test.go
@@ -51,25 +51,25 @@
 }
 
 func TestReadIndex_NothingCommittedInTerm_Waits(t *testing.T) {
-	s := newSimulation(3, 3, 0, noFaults)
-	s.startAll()
-	s.runUntil(time.Second, func() bool { return s.anyLeader() != nil })
-	first := s.anyLeader()
+	sim := newSimulation(3, 3, 0, noFaults)
+	sim.startAll()
+	sim.runUntil(time.Second, func() bool { return sim.anyLeader() != nil })
+	first := sim.anyLeader()
 	if first.replica.hasCommittedInTerm() {
 		t.Fatal("an entry of the term is committed already")
 	}
-	s.drop = func(m Message) bool { return m.Kind == AppendEntriesResponse && !m.Reject && m.Index > 0 }
-	s.read(first)
-	s.runFor(testElection / 2)
-	if s.checker.reads != 0 {
+	sim.drop = func(m Message) bool { return m.Kind == AppendEntriesResponse && !m.Reject && m.Index > 0 }
+	sim.read(first)
+	sim.runFor(testElection / 2)
+	if sim.checker.reads != 0 {
 		t.Error("a read is confirmed before an entry of the term is committed")
 	}
-	s.drop = nil
-	s.runFor(2 * testHeartbeat)
-	if s.checker.reads != 1 {
-		t.Errorf("%d reads are confirmed", s.checker.reads)
+	sim.drop = nil
+	sim.runFor(2 * testHeartbeat)
+	if sim.checker.reads != 1 {
+		t.Errorf("%d reads are confirmed", sim.checker.reads)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 // anyLeader is a node that leads, whether an entry of its term is committed or not.
@@ -83,42 +83,42 @@
 }
 
 func TestReadIndex_LeaderPartitioned_Fails(t *testing.T) {
-	s, first := newGroupWithLeader(t, 4, 3, 0)
-	s.isolate(first)
-	token := s.read(first)
+	sim, first := newGroupWithLeader(t, 4, 3, 0)
+	sim.isolate(first)
+	token := sim.read(first)
 	var got []Outcome
-	s.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
-	s.runFor(testElection + 2*testHeartbeat)
+	sim.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
+	sim.runFor(testElection + 2*testHeartbeat)
 	if difference := cmp.Diff([]Outcome{{Token: token}}, got); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestReadIndex_LeaderWasFrozen_IsNotStale(t *testing.T) {
-	s, first := newGroupWithLeader(t, 5, 3, 0)
-	s.freeze(first)
-	s.runFor(3 * testElection)
-	if !s.commitsWithin(time.Second) {
+	sim, first := newGroupWithLeader(t, 5, 3, 0)
+	sim.freeze(first)
+	sim.runFor(3 * testElection)
+	if !sim.commitsWithin(time.Second) {
 		t.Fatal("the others have no leader")
 	}
-	s.read(first)
-	s.thaw(first)
-	s.runFor(testElection)
-	if s.checker.reads != 0 {
+	sim.read(first)
+	sim.thaw(first)
+	sim.runFor(testElection)
+	if sim.checker.reads != 0 {
 		t.Error("a leader that was frozen confirms a read")
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
-func TestReadIndex_HeartbeatLost_IsSentAgain(t *testing.T) {
-	s, first := newGroupWithLeader(t, 6, 3, 0)
-	s.drop = func(m Message) bool { return m.Kind == AppendEntries }
-	s.read(first)
-	s.runFor(testHeartbeat / 4)
-	s.drop = nil
-	s.runFor(2 * testHeartbeat)
-	if s.checker.reads != 1 {
-		t.Errorf("%d reads are confirmed", s.checker.reads)
+func TestReadIndex_HeartbeatLost_IsRetried(t *testing.T) {
+	sim, first := newGroupWithLeader(t, 6, 3, 0)
+	sim.drop = func(m Message) bool { return m.Kind == AppendEntries }
+	sim.read(first)
+	sim.runFor(testHeartbeat / 4)
+	sim.drop = nil
+	sim.runFor(2 * testHeartbeat)
+	if sim.checker.reads != 1 {
+		t.Errorf("%d reads are confirmed", sim.checker.reads)
 	}
 }
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestReplication_ConflictingLogs_AreRepairedInFewMessages(t *testing.T) {
-	s := newSimulation(5, 3, 0, noFaults)
+	sim := newSimulation(5, 3, 0, noFaults)
 	long := func(terms ...uint64) Recovered {
 		var log []uint64
 		for _, term := range terms {
@@ -70,66 +70,66 @@
 		}
 		return diskOf(9, log...)
 	}
-	s.nodes[0].disk = long(1, 4, 5)
-	s.nodes[1].disk = long(1, 2, 3)
-	s.nodes[2].disk = long(1, 4, 5)
+	sim.nodes[0].disk = long(1, 4, 5)
+	sim.nodes[1].disk = long(1, 2, 3)
+	sim.nodes[2].disk = long(1, 4, 5)
 	rejections := 0
-	s.drop = func(m Message) bool {
+	sim.drop = func(m Message) bool {
 		if m.Kind == AppendEntriesResponse && m.Reject {
 			rejections++
 		}
 		return false
 	}
-	s.startAll()
-	if !s.commitsWithin(time.Second) {
+	sim.startAll()
+	if !sim.commitsWithin(time.Second) {
 		t.Fatal("nothing is committed")
 	}
-	s.runFor(4 * testHeartbeat)
-	if got := s.nodes[1].machine.Index; got < 600 {
+	sim.runFor(4 * testHeartbeat)
+	if got := sim.nodes[1].machine.Index; got < 600 {
 		t.Errorf("the member with the other log has applied %d entries", got)
 	}
 	if rejections > 4 {
 		t.Errorf("%d rejections", rejections)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
-func TestReplication_AppendLost_IsSentAgainWithinTwoHeartbeats(t *testing.T) {
-	s, first := newGroupWithLeader(t, 6, 3, 0)
-	s.drop = func(m Message) bool { return len(m.Entries) > 0 }
-	s.propose(first)
-	s.runFor(testHeartbeat / 4)
-	s.drop = nil
-	s.runFor(2 * testHeartbeat)
-	if s.checker.commands != 1 {
-		t.Errorf("%d commands are done", s.checker.commands)
-	}
-	s.requireSafe(t)
+func TestReplication_AppendLost_IsRetriedWithinTwoHeartbeats(t *testing.T) {
+	sim, first := newGroupWithLeader(t, 6, 3, 0)
+	sim.drop = func(m Message) bool { return len(m.Entries) > 0 }
+	sim.propose(first)
+	sim.runFor(testHeartbeat / 4)
+	sim.drop = nil
+	sim.runFor(2 * testHeartbeat)
+	if sim.checker.commands != 1 {
+		t.Errorf("%d commands are done", sim.checker.commands)
+	}
+	sim.requireSafe(t)
 }
 
 func TestReplication_FollowerInactive_IsSentNoEntries(t *testing.T) {
-	s, first := newGroupWithLeader(t, 7, 3, 0)
-	inactive := s.others(first)[0]
-	s.kill(inactive)
-	s.runFor(2 * testElection)
+	sim, first := newGroupWithLeader(t, 7, 3, 0)
+	inactive := sim.others(first)[0]
+	sim.kill(inactive)
+	sim.runFor(2 * testElection)
 	entries := 0
-	s.drop = func(m Message) bool {
+	sim.drop = func(m Message) bool {
 		if m.To == inactive.id {
 			entries += len(m.Entries)
 		}
 		return false
 	}
 	for range 100 {
-		s.propose(first)
-		s.runFor(testHeartbeat / 10)
+		sim.propose(first)
+		sim.runFor(testHeartbeat / 10)
 	}
 	if entries > 0 {
 		t.Errorf("%d entries were sent", entries)
 	}
-	s.start(inactive)
-	s.runFor(4 * testHeartbeat)
+	sim.start(inactive)
+	sim.runFor(4 * testHeartbeat)
 	if got := inactive.machine.Index; got < 100 {
 		t.Errorf("it has applied only %d entries", got)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
--- a/internal/tier/replica/simulation_asserts_test.go
+++ b/internal/tier/replica/simulation_asserts_test.go
@@ -11,13 +11,13 @@
 // newGroupWithLeader starts a group without faults and waits for its leader.
 func newGroupWithLeader(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
 	t.Helper()
-	s := newSimulation(seed, members, spares, noFaults)
-	s.startAll()
-	found := s.runUntil(s.now+time.Second, func() bool { return s.leader() != nil })
+	sim := newSimulation(seed, members, spares, noFaults)
+	sim.startAll()
+	found := sim.runUntil(sim.now+time.Second, func() bool { return sim.leader() != nil })
 	if !found {
 		t.Fatalf("no leader within a second")
 	}
-	return s, s.leader()
+	return sim, sim.leader()
 }
 
 // requireSafe fails the test if the checker has seen a violation.
--- a/internal/tier/replica/simulation_node_test.go
+++ b/internal/tier/replica/simulation_node_test.go
@@ -49,151 +49,151 @@
 }
 
 // identify gives a node a new identity, as on an empty disk.
-func (s *simulation) identify(n *node) {
+func (s *simulation) identify(node *node) {
 	s.identities++
-	n.id = fmt.Sprintf("m%d", s.identities)
-	s.slotOf[n.id] = n.slot
+	node.id = fmt.Sprintf("m%d", s.identities)
+	s.slotOf[node.id] = node.slot
 }
 
 // start starts a node's process on its disk.
-func (s *simulation) start(n *node) {
+func (s *simulation) start(node *node) {
 	options := Options{
-		ID:                     n.id,
-		Address:                address(n.slot),
-		InitialMembers:         n.initial,
+		ID:                     node.id,
+		Address:                address(node.slot),
+		InitialMembers:         node.initial,
 		HeartbeatInterval:      testHeartbeat,
 		ElectionTimeout:        testElection,
 		InitialElectionTimeout: s.initialElectionTimeout,
 		Seed:                   s.random.Uint64(),
 	}
-	replica, err := New(options, withoutStates(n.disk), s.clock(n))
+	replica, err := New(options, withoutStates(node.disk), s.clock(node))
 	if err != nil {
-		s.checker.fail("%s does not start: %v", n.id, err)
+		s.checker.fail("%s does not start: %v", node.id, err)
 		return
 	}
 	if s.limits != nil {
 		replica.limits = *s.limits
 	}
-	n.replica = replica
-	n.machine = machine{}
-	if n.disk.Snapshot != nil {
-		_ = json.Unmarshal(n.disk.Snapshot.State, &n.machine)
+	node.replica = replica
+	node.machine = machine{}
+	if node.disk.Snapshot != nil {
+		_ = json.Unmarshal(node.disk.Snapshot.State, &node.machine)
 	}
-	n.alive, n.frozen, n.syncing = true, false, false
-	n.inbox = Input{TargetMembers: s.targetMembers}
-	n.incarnation++
-	s.step(n)
+	node.alive, node.frozen, node.syncing = true, false, false
+	node.inbox = Input{TargetMembers: s.targetMembers}
+	node.incarnation++
+	s.step(node)
 }
 
 // kill ends a process. Of the writes that are not synced, a prefix may last.
-func (s *simulation) kill(n *node) {
-	if !n.alive {
+func (s *simulation) kill(node *node) {
+	if !node.alive {
 		return
 	}
-	if n.syncing {
-		n.disk = save(n.disk, n.ready, s.random.IntN(countWrites(n.ready)+1))
+	if node.syncing {
+		node.disk = save(node.disk, node.ready, s.random.IntN(countWrites(node.ready)+1))
 	}
-	n.alive, n.syncing = false, false
-	n.replica, n.chunks = nil, nil
-	n.incarnation++
-	s.checker.forget(n.id)
+	node.alive, node.syncing = false, false
+	node.replica, node.chunks = nil, nil
+	node.incarnation++
+	s.checker.forget(node.id)
 }
 
 // wipe ends a process and empties its disk; it comes back with a new identity and no group.
-func (s *simulation) wipe(n *node) {
-	s.kill(n)
-	n.disk = Recovered{}
-	n.initial = nil
-	s.identify(n)
+func (s *simulation) wipe(node *node) {
+	s.kill(node)
+	node.disk = Recovered{}
+	node.initial = nil
+	s.identify(node)
 }
 
 // wake gives a node a step as soon as it is free.
-func (s *simulation) wake(n *node) {
-	if n.alive && !n.frozen && !n.syncing {
-		incarnation := n.incarnation
+func (s *simulation) wake(node *node) {
+	if node.alive && !node.frozen && !node.syncing {
+		incarnation := node.incarnation
 		s.after(0, func() {
-			if n.incarnation == incarnation && n.alive && !n.frozen && !n.syncing && n.hasInput() {
-				s.step(n)
+			if node.incarnation == incarnation && node.alive && !node.frozen && !node.syncing && node.hasInput() {
+				s.step(node)
 			}
 		})
 	}
 }
 
-func (n *node) hasInput() bool {
-	in := &n.inbox
+func (node *node) hasInput() bool {
+	in := &node.inbox
 	return len(in.Messages)+len(in.Proposals)+len(in.Reads) > 0 || in.TargetMembers != nil || in.Compact != nil || in.TransferLeadership
 }
 
 // step hands a node all that has come in. What must not wait leaves at once, the rest after the sync.
-func (s *simulation) step(n *node) {
-	input := n.inbox
-	n.inbox = Input{}
-	n.ready = n.replica.Step(s.clock(n), input)
-	chunks, wrong := receiveChunks(n.chunks, &n.ready)
-	if n.chunks = chunks; wrong != "" {
-		s.checker.fail("%s: %s", n.id, wrong)
-	}
-	s.send(n, n.ready.MessagesBeforeSync)
-	incarnation := n.incarnation
+func (s *simulation) step(node *node) {
+	input := node.inbox
+	node.inbox = Input{}
+	node.ready = node.replica.Step(s.clock(node), input)
+	chunks, wrong := receiveChunks(node.chunks, &node.ready)
+	if node.chunks = chunks; wrong != "" {
+		s.checker.fail("%s: %s", node.id, wrong)
+	}
+	s.send(node, node.ready.MessagesBeforeSync)
+	incarnation := node.incarnation
 	syncTime := time.Duration(0)
-	if countWrites(n.ready) > 0 && s.conditions.syncTime > 0 {
+	if countWrites(node.ready) > 0 && s.conditions.syncTime > 0 {
 		syncTime = time.Duration(1 + s.random.Int64N(int64(s.conditions.syncTime)))
 		if s.onSync != nil {
-			s.onSync(n)
+			s.onSync(node)
 		}
 	}
-	if n.incarnation != incarnation {
+	if node.incarnation != incarnation {
 		return
 	}
-	n.syncing = true
+	node.syncing = true
 	if syncTime == 0 {
-		s.complete(n)
+		s.complete(node)
 		return
 	}
 	s.after(syncTime, func() {
-		if n.incarnation == incarnation {
-			s.complete(n)
+		if node.incarnation == incarnation {
+			s.complete(node)
 		}
 	})
 }
 
 // complete does what comes after the sync.
-func (s *simulation) complete(n *node) {
-	ready := n.ready
-	n.syncing = false
-	n.disk = save(n.disk, ready, countWrites(ready))
-	s.send(n, ready.MessagesAfterSync)
+func (s *simulation) complete(node *node) {
+	ready := node.ready
+	node.syncing = false
+	node.disk = save(node.disk, ready, countWrites(ready))
+	s.send(node, ready.MessagesAfterSync)
 	if ready.Snapshot != nil {
-		before := n.machine.Index
-		_ = json.Unmarshal(ready.Snapshot.State, &n.machine)
-		s.checker.installed(n, before, ready.Snapshot)
+		before := node.machine.Index
+		_ = json.Unmarshal(ready.Snapshot.State, &node.machine)
+		s.checker.installed(node, before, ready.Snapshot)
 	}
 	for _, entry := range ready.CommittedEntries {
-		s.checker.committed(n, entry)
-		n.machine.apply(entry)
+		s.checker.committed(node, entry)
+		node.machine.apply(entry)
 	}
-	incarnation := n.incarnation
+	incarnation := node.incarnation
 	for _, outcome := range ready.Outcomes {
-		s.checker.outcome(n, outcome)
+		s.checker.outcome(node, outcome)
 		if s.onOutcome != nil {
-			s.onOutcome(n, outcome)
+			s.onOutcome(node, outcome)
 		}
-		if n.incarnation != incarnation {
+		if node.incarnation != incarnation {
 			return
 		}
 	}
-	if n.frozen {
+	if node.frozen {
 		return
 	}
-	if n.hasInput() {
-		s.wake(n)
+	if node.hasInput() {
+		s.wake(node)
 	}
-	s.setTimer(n, ready.NextWake)
+	s.setTimer(node, ready.NextWake)
 }
 
 // clock is what a node's own clock shows.
-func (s *simulation) clock(n *node) time.Duration {
-	return n.clockAtRateChange + time.Duration(float64(s.now-n.rateChangedAt)*n.rate)
+func (s *simulation) clock(node *node) time.Duration {
+	return node.clockAtRateChange + time.Duration(float64(s.now-node.rateChangedAt)*node.rate)
 }
 
 // setRate makes a node's clock slower or faster from now on.
@@ -214,15 +214,15 @@
 }
 
 // freeze stops a process without ending it; what is sent to it waits.
-func (s *simulation) freeze(n *node) { n.frozen = true }
+func (s *simulation) freeze(node *node) { node.frozen = true }
 
 // thaw lets a frozen process go on.
-func (s *simulation) thaw(n *node) {
-	if !n.frozen {
+func (s *simulation) thaw(node *node) {
+	if !node.frozen {
 		return
 	}
-	n.frozen = false
-	if n.alive && !n.syncing {
-		s.step(n)
+	node.frozen = false
+	if node.alive && !node.syncing {
+		s.step(node)
 	}
 }
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -103,9 +103,9 @@
 }
 
 // runUntil plays events until the condition holds or the time is over, and tells whether it holds.
-func (s *simulation) runUntil(end time.Duration, holds func() bool) bool {
+func (s *simulation) runUntil(end time.Duration, condition func() bool) bool {
 	for len(s.queue) > 0 && s.queue[0].at <= end && s.checker.violation == "" {
-		if holds() {
+		if condition() {
 			return true
 		}
 		next := heap.Pop(&s.queue).(*event)
@@ -113,7 +113,7 @@
 		next.run()
 	}
 	s.now = max(s.now, end)
-	return holds()
+	return condition()
 }
 
 // send brings messages on their way.
--- a/internal/tier/replica/snapshot_chunks_test.go
+++ b/internal/tier/replica/snapshot_chunks_test.go
@@ -133,12 +133,12 @@
 }
 
 func TestLeader_SnapshotChunks_AreSentAFewAhead(t *testing.T) {
-	p := newSnapshotSender(t)
-	ready := p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 201, Reject: true, RejectHint: 0}}})
+	sender := newSnapshotSender(t)
+	ready := sender.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 201, Reject: true, RejectHint: 0}}})
 	if diff := cmp.Diff([]int{0}, chunksIn(ready.MessagesBeforeSync)); diff != "" {
 		t.Fatalf("at first (-want +got):\n%s", diff)
 	}
-	if p.r.IsSendingSnapshot() {
+	if sender.r.IsSendingSnapshot() {
 		t.Error("a snapshot counts as being sent though nothing of it has arrived")
 	}
 	for _, step := range []struct {
@@ -156,17 +156,17 @@
 		{name: "the member starts over", chunk: 0, rejected: true, sent: []int{0}},
 		{name: "more than there are", chunk: 10},
 	} {
-		if diff := cmp.Diff(step.sent, p.respondChunk(step.chunk, step.rejected)); diff != "" {
+		if diff := cmp.Diff(step.sent, sender.respondChunk(step.chunk, step.rejected)); diff != "" {
 			t.Fatalf("%s (-want +got):\n%s", step.name, diff)
 		}
 	}
-	p.respondChunk(8, false)
-	if !p.r.IsSendingSnapshot() {
+	sender.respondChunk(8, false)
+	if !sender.r.IsSendingSnapshot() {
 		t.Error("no snapshot counts as being sent")
 	}
 	// What is lost without an answer is sent again after a while, as long as the member answers at all.
-	p.now += 2 * testElection
-	ready = p.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1}, {Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 201}}})
+	sender.now += 2 * testElection
+	ready = sender.step(Input{Messages: []Message{{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1}, {Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 201}}})
 	if diff := cmp.Diff([]int{8}, chunksIn(ready.MessagesBeforeSync)); diff != "" {
 		t.Errorf("after a while (-want +got):\n%s", diff)
 	}
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -10,19 +10,19 @@
 // newCompactedGroup starts a group whose first 200 entries only the snapshots hold, but for those kept as a tail.
 func newCompactedGroup(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
 	t.Helper()
-	s, first := newGroupWithLeader(t, seed, members, spares)
+	sim, first := newGroupWithLeader(t, seed, members, spares)
 	for range 200 {
-		s.propose(first)
+		sim.propose(first)
 	}
-	s.runFor(2 * testHeartbeat)
-	for _, n := range s.nodes {
-		s.compactNode(n)
+	sim.runFor(2 * testHeartbeat)
+	for _, n := range sim.nodes {
+		sim.compactNode(n)
 	}
-	s.runFor(testHeartbeat)
+	sim.runFor(testHeartbeat)
 	if first.replica.log.offset == 0 {
 		t.Fatal("nothing was compacted")
 	}
-	return s, first
+	return sim, first
 }
 
 func TestSnapshot_MemberFarBehind_GetsSnapshotThenEntries(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestSnapshot_ChunkLost_IsSentAgain(t *testing.T) {
+func TestSnapshot_ChunkLost_IsRetried(t *testing.T) {
 	s, _ := newCompactedGroup(t, 2, 3, 1)
 	lost := 0
 	s.drop = func(m Message) bool {
@@ -59,39 +59,39 @@
 }
 
 func TestSnapshot_MemberInactive_IsSentNone(t *testing.T) {
-	s, first := newGroupWithLeader(t, 3, 3, 0)
-	lost := s.others(first)[0]
-	s.kill(lost)
-	s.runFor(2 * testElection)
+	sim, first := newGroupWithLeader(t, 3, 3, 0)
+	lost := sim.others(first)[0]
+	sim.kill(lost)
+	sim.runFor(2 * testElection)
 	for range 200 {
-		s.propose(first)
+		sim.propose(first)
 	}
-	s.runFor(2 * testHeartbeat)
-	s.compactNode(first)
-	s.runFor(10 * testElection)
-	if got := s.messages[InstallSnapshot]; got != 0 {
+	sim.runFor(2 * testHeartbeat)
+	sim.compactNode(first)
+	sim.runFor(10 * testElection)
+	if got := sim.messages[InstallSnapshot]; got != 0 {
 		t.Errorf("%d snapshots were sent", got)
 	}
-	s.start(lost)
-	s.runFor(4 * testHeartbeat)
+	sim.start(lost)
+	sim.runFor(4 * testHeartbeat)
 	if lost.machine != first.machine {
 		t.Errorf("state %+v, want %+v", lost.machine, first.machine)
 	}
-	s.requireSafe(t)
+	sim.requireSafe(t)
 }
 
 func TestSnapshot_MemberALittleBehind_NeedsNone(t *testing.T) {
-	s, first := newGroupWithLeader(t, 4, 3, 0)
-	behind := s.others(first)[0]
-	s.kill(behind)
+	sim, first := newGroupWithLeader(t, 4, 3, 0)
+	behind := sim.others(first)[0]
+	sim.kill(behind)
 	for range int(defaultLimits.trailingEntries) / 2 {
-		s.propose(first)
+		sim.propose(first)
 	}
-	s.runFor(2 * testHeartbeat)
-	s.compactNode(first)
-	s.start(behind)
-	s.runFor(4 * testHeartbeat)
-	if got := s.messages[InstallSnapshot]; got != 0 {
+	sim.runFor(2 * testHeartbeat)
+	sim.compactNode(first)
+	sim.start(behind)
+	sim.runFor(4 * testHeartbeat)
+	if got := sim.messages[InstallSnapshot]; got != 0 {
 		t.Errorf("%d snapshots were sent", got)
 	}
 	if behind.machine != first.machine {
