--- a/internal/tier/controller/api_redirect_test.go
+++ b/internal/tier/controller/api_redirect_test.go
@@ -31,13 +31,13 @@
 
 // TestAPI_Follower_RedirectsToLeader asks each of three controllers.
 func TestAPI_Follower_RedirectsToLeader(t *testing.T) {
-	c := newCluster(t, 4)
-	c.awaitPlacement()
-	leader := c.leader()
+	cluster := newCluster(t, 4)
+	cluster.awaitPlacement()
+	leader := cluster.leader()
 	taken := mustMarshal(t, json.RawMessage(document(3)))
-	c.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
-	c.run(500 * time.Millisecond)
-	for _, m := range c.sorted() {
+	cluster.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
+	cluster.run(500 * time.Millisecond)
+	for _, m := range cluster.sorted() {
 		if m.controller == nil || m == leader {
 			continue
 		}
@@ -55,8 +55,8 @@
 
 	// When the leader is dead, there is nowhere to send to.
 	leader.kill()
-	c.run(deathDelay + clusterStep)
-	for _, m := range c.sorted() {
+	cluster.run(deathDelay + clusterStep)
+	for _, m := range cluster.sorted() {
 		if m.controller != nil && m != leader && !m.controller.Group().Status().IsLeader && m.controller.Group().Status().Leader != "" {
 			b := &fixture{Controller: m.controller}
 			if got := b.send(http.MethodGet, settingsPath, "").Header().Get("Location"); strings.Contains(got, leader.member.Control) {
--- a/internal/tier/controller/cluster_machine_test.go
+++ b/internal/tier/controller/cluster_machine_test.go
@@ -56,8 +56,8 @@
 
 // start starts the machine's process.
 func (m *testMachine) start() {
-	c := m.cluster
-	c.starts++
+	cluster := m.cluster
+	cluster.starts++
 	m.starts++
 	m.running, m.groups, m.controller, m.store = true, nil, nil, nil
 	m.busy, m.diskFree = map[*group.Group]time.Duration{}, 0
@@ -71,36 +71,36 @@
 		}
 	}
 	clock := func() time.Duration {
-		c.nowMutex.Lock()
-		defer c.nowMutex.Unlock()
-		return c.now
+		cluster.nowMutex.Lock()
+		defer cluster.nowMutex.Unlock()
+		return cluster.now
 	}
 	if m.member.Role == membership.Store {
-		m.store = store.New(c.t.Context(), store.Options{ID: m.member.ID, Address: m.member.Address, Disk: m.disk, Logger: log.NewNopLogger(),
-			Seed: uint64(c.starts), Now: c.time, Send: send, Clock: clock, RunGroup: func(opened *group.Group) { m.groups = append(m.groups, opened) },
-			AfterFunc: c.after, QueryMembers: m.queryStore})
+		m.store = store.New(cluster.t.Context(), store.Options{ID: m.member.ID, Address: m.member.Address, Disk: m.disk, Logger: log.NewNopLogger(),
+			Seed: uint64(cluster.starts), Now: cluster.time, Send: send, Clock: clock, RunGroup: func(opened *group.Group) { m.groups = append(m.groups, opened) },
+			AfterFunc: cluster.after, QueryMembers: m.queryStore})
 		if err := m.store.Recover(); err != nil {
 			m.retryStart(err)
 			return
 		}
-		c.after(spreadDelay, m.applyNewest)
+		cluster.after(spreadDelay, m.applyNewest)
 		return
 	}
 	var initial []replica.Member
-	for _, other := range c.sorted() {
+	for _, other := range cluster.sorted() {
 		if other.member.Role == membership.Controller && m.starts == 1 && !strings.HasSuffix(m.member.ID, "anew") {
 			initial = append(initial, replica.Member{ID: other.member.ID, Address: other.member.Address})
 		}
 	}
-	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: c.environment.faultTolerance}},
-		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(c.starts), SendMessage: send, Clock: clock,
-		Now:        func() time.Time { return c.time().Add(m.skew) },
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: cluster.environment.faultTolerance}},
+		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(cluster.starts), SendMessage: send, Clock: clock,
+		Now:        func() time.Time { return cluster.time().Add(m.skew) },
 		QueryStore: m.queryStore})
 	if err != nil {
 		m.retryStart(err)
 		return
 	}
-	m.controller, m.reconcileDue = opened, c.now
+	m.controller, m.reconcileDue = opened, cluster.now
 	m.groups = []*group.Group{opened.Group()}
 }
 
--- a/internal/tier/controller/configuration_duplicates_test.go
+++ b/internal/tier/controller/configuration_duplicates_test.go
@@ -19,32 +19,32 @@
 	for _, loss := range losses {
 		runInVirtualTime(t, loss.name, func(t *testing.T) {
 			for step := range maxSteps {
-				c := newFaultyCluster(t, uint64(step), 0)
+				cluster := newFaultyCluster(t, uint64(step), 0)
 				seen := startedRollouts{}
 				event := func(now int) {
 					if now == step {
-						loss.lose(c, c.leader())
+						loss.lose(cluster, cluster.leader())
 					}
 					if now == step+200 {
-						c.heal()
+						cluster.heal()
 					}
-					seen.observe(c)
+					seen.observe(cluster)
 				}
-				c.runOperators(event, func(o *operator) {
-					wantAcknowledged(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
-					wantAcknowledged(t, o, "the next one", func() reply { return o.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
-					wantAcknowledged(t, o, "the first once more", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
-				}, func(o *operator) {
+				cluster.runOperators(event, func(operator *operator) {
+					wantAcknowledged(t, operator, "configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+					wantAcknowledged(t, operator, "the next one", func() reply { return operator.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
+					wantAcknowledged(t, operator, "the first once more", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+				}, func(operator *operator) {
 					body := `{"service":"lm","target":"v2","overS":60}`
-					wantAcknowledged(t, o, "roll-out", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
-					wantAcknowledged(t, o, "the roll-out once more", func() reply { return o.call(http.MethodPost, rolloutsPath, body) })
+					wantAcknowledged(t, operator, "roll-out", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
+					wantAcknowledged(t, operator, "the roll-out once more", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
 				})
 				if got := len(seen["lm v2 60000"]); got != 1 {
 					t.Errorf("at step %d: one order began %d roll-outs", step, got)
 				}
-				c.heal()
-				c.wait("the group is complete", 30*time.Second, c.isComplete)
-				if got := c.leader().controller.state.configuration.Current().Number; got != 5 {
+				cluster.heal()
+				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
+				if got := cluster.leader().controller.state.configuration.Current().Number; got != 5 {
 					t.Errorf("at step %d: version %d is current, want 5", step, got)
 				}
 			}
@@ -59,12 +59,12 @@
 	for _, loss := range losses {
 		runInVirtualTime(t, loss.name, func(t *testing.T) {
 			for _, heals := range []int{1, 40, 150, 400} {
-				c := newFaultyCluster(t, uint64(heals), 0)
-				copies := func(method, path, body string) []func(o *operator) {
-					var does []func(o *operator)
-					for range 2 * len(c.machines) {
-						does = append(does, func(o *operator) {
-							got := o.callOne(c.sorted()[o.number%len(c.machines)], method, path, body, "If-Match", "0")
+				cluster := newFaultyCluster(t, uint64(heals), 0)
+				copies := func(method, path, body string) []func(operator *operator) {
+					var does []func(operator *operator)
+					for range 2 * len(cluster.machines) {
+						does = append(does, func(operator *operator) {
+							got := operator.callOne(cluster.sorted()[operator.number%len(cluster.machines)], method, path, body, "If-Match", "0")
 							if !slices.Contains([]int{0, http.StatusOK, http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status) {
 								t.Errorf("healed after %d: a copy is answered by %d %s", heals, got.status, got.body)
 							}
@@ -74,24 +74,24 @@
 				}
 				seen := startedRollouts{}
 				does := append(copies(http.MethodPut, settingsPath, document(3)), copies(http.MethodPost, rolloutsPath, `{"service":"lm","target":"v2","overS":60}`)...)
-				c.runOperators(func(now int) {
+				cluster.runOperators(func(now int) {
 					if now == 1 {
-						loss.lose(c, c.leader())
+						loss.lose(cluster, cluster.leader())
 					}
 					if now == heals {
-						c.heal()
+						cluster.heal()
 					}
-					seen.observe(c)
+					seen.observe(cluster)
 				}, does...)
-				c.heal()
-				c.wait("the group is complete", 30*time.Second, c.isComplete)
-				seen.observe(c)
+				cluster.heal()
+				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
+				seen.observe(cluster)
 				if got := len(seen["lm v2 60000"]); got > 1 {
 					t.Errorf("healed after %d: one order began %d roll-outs", heals, got)
 				}
 				// The operator hasn't had a clear answer from all; it sends the same again.
-				c.runOperators(func(int) {}, func(o *operator) {
-					wantAcknowledged(t, o, "configuration", func() reply { return o.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+				cluster.runOperators(func(int) {}, func(operator *operator) {
+					wantAcknowledged(t, operator, "configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
 				})
 			}
 		})
@@ -103,42 +103,42 @@
 func TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		runInVirtualTime(t, fmt.Sprint("wiped: ", wiped), func(t *testing.T) {
-			c := newFaultyCluster(t, 1, 0)
+			cluster := newFaultyCluster(t, 1, 0)
 			var lagging *testMachine
-			for _, m := range c.sorted() {
-				if m != c.leader() {
+			for _, m := range cluster.sorted() {
+				if m != cluster.leader() {
 					lagging = m
 				}
 			}
 			if wiped {
 				lagging.wipe()
 			}
-			c.partition(lagging, true, true)
-			c.runOperators(func(int) {}, func(o *operator) {
+			cluster.partition(lagging, true, true)
+			cluster.runOperators(func(int) {}, func(operator *operator) {
 				for base := range 5 {
 					body := document(base + 1)
-					wantAcknowledged(t, o, "a change", func() reply {
-						return o.callOne(c.leader(), http.MethodPut, settingsPath, body, "If-Match", fmt.Sprint(base))
+					wantAcknowledged(t, operator, "a change", func() reply {
+						return operator.callOne(cluster.leader(), http.MethodPut, settingsPath, body, "If-Match", fmt.Sprint(base))
 					})
 				}
 				// When each of them is sent to the member that is partitioned, then it is not refused, and no stale version is told.
 				for range 40 {
 					for base := range 5 {
-						got := o.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base))
+						got := operator.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base))
 						if got != nil && !slices.Contains([]int{http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable}, got.Code) {
 							t.Errorf("a duplicate is answered by %d %s", got.Code, got.Body)
 						}
 					}
-					o.sleep(50 * time.Millisecond)
+					operator.sleep(50 * time.Millisecond)
 				}
 			})
 			// And once it has caught up, it acknowledges all of them by itself.
-			c.heal()
-			c.wait("the group is complete", 30*time.Second, c.isComplete)
-			c.runOperators(func(int) {}, func(o *operator) {
-				o.sleep(time.Second)
+			cluster.heal()
+			cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
+			cluster.runOperators(func(int) {}, func(operator *operator) {
+				operator.sleep(time.Second)
 				for base := range 5 {
-					if got := o.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base)); got.Code != http.StatusOK {
+					if got := operator.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base)); got.Code != http.StatusOK {
 						t.Errorf("after it has caught up a duplicate is answered by %d", got.Code)
 					}
 				}
@@ -152,30 +152,30 @@
 func TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged(t *testing.T) {
 	t.Parallel()
 	const changes = 200
-	c := newCluster(t, 0)
+	cluster := newCluster(t, 0)
 	padding := strings.Repeat(" ", 8<<10)
 	var orders []*configuration.Proposal
 	for number := range uint64(changes) {
 		raw := mustMarshal(t, json.RawMessage(orderNamed(number+1, padding)))
 		order := &configuration.Proposal{Base: number, Number: number + 1, Raw: raw}
-		if got := c.propose(Command{Configuration: order}); got != configuration.Accepted {
+		if got := cluster.propose(Command{Configuration: order}); got != configuration.Accepted {
 			t.Fatalf("order %d was %v", number+1, got)
 		}
 		orders = append(orders, order)
 	}
-	for _, m := range c.sorted() {
+	for _, m := range cluster.sorted() {
 		m.kill()
 		m.disk.LosePower(7)
 		m.start()
 	}
-	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
-	c.sorted()[0].wipe()
-	c.run(5 * time.Second)
+	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
+	cluster.sorted()[0].wipe()
+	cluster.run(5 * time.Second)
 	for _, order := range orders {
-		if got := c.propose(Command{Configuration: order}); got != configuration.Accepted {
+		if got := cluster.propose(Command{Configuration: order}); got != configuration.Accepted {
 			t.Errorf("order %d was %v when it came again", order.Number, got)
 		}
-		for _, m := range c.sorted() {
+		for _, m := range cluster.sorted() {
 			if !m.controller.wasAccepted(order) {
 				t.Fatalf("%s doesn't know that order %d was taken", m.member.Name, order.Number)
 			}
--- a/internal/tier/controller/decommission_api_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -98,11 +98,11 @@
 // TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing asks a leader that has just been partitioned, when it doesn't know it yet, for a
 // machine that it doesn't know and for one too many.
 func TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing(t *testing.T) {
-	c := newCluster(t, 3)
-	c.awaitPlacement()
-	c.run(13 * time.Second)
-	leader := c.leader()
-	for _, m := range c.sorted() {
+	cluster := newCluster(t, 3)
+	cluster.awaitPlacement()
+	cluster.run(13 * time.Second)
+	leader := cluster.leader()
+	for _, m := range cluster.sorted() {
 		if m.controller != nil && m != leader {
 			m.kill()
 		}
--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -80,24 +80,24 @@
 // markAlive has the others learn that the machine is there.
 func (m *testMachine) markAlive() {
 	m.membershipChanges++
-	absence, c := m.membershipChanges, m.cluster
+	absence, cluster := m.membershipChanges, m.cluster
 	show := func() {
 		if m.membershipChanges == absence {
 			m.advertised, m.known = m.member, true
 			m.advertised.State = membership.StateAlive
 		}
 	}
-	if c.environment.joinDelay == 0 {
+	if cluster.environment.joinDelay == 0 {
 		show()
 		return
 	}
-	c.after(c.environment.joinDelay, show)
+	cluster.after(cluster.environment.joinDelay, show)
 }
 
 // markFailed has the others learn that the machine is silent.
 func (m *testMachine) markFailed() {
 	m.membershipChanges++
-	absence, c := m.membershipChanges, m.cluster
+	absence, cluster := m.membershipChanges, m.cluster
 	believe := func(state membership.State) func() {
 		return func() {
 			if m.membershipChanges == absence {
@@ -105,10 +105,10 @@
 			}
 		}
 	}
-	if c.environment.suspicionDelay > 0 {
-		c.after(c.environment.suspicionDelay, believe(membership.StateSuspect))
+	if cluster.environment.suspicionDelay > 0 {
+		cluster.after(cluster.environment.suspicionDelay, believe(membership.StateSuspect))
 	}
-	c.after(c.environment.deathDelay, believe(membership.StateDead))
+	cluster.after(cluster.environment.deathDelay, believe(membership.StateDead))
 }
 
 // partition isolates the machine from all others.
@@ -194,24 +194,24 @@
 
 // runGroup has a group take its turn, unless it waits for the disk. What it sends leaves when the disk has done its part.
 func (m *testMachine) runGroup(running *group.Group) error {
-	c := m.cluster
-	if c.now < m.busy[running] || m.diskFault == stalledDisk {
+	cluster := m.cluster
+	if cluster.now < m.busy[running] || m.diskFault == stalledDisk {
 		return nil
 	}
 	if err := m.reopen(running); err != nil {
 		return err
 	}
-	before, queued := m.disk.Counts(), len(c.inFlight)
+	before, queued := m.disk.Counts(), len(cluster.inFlight)
 	_, err := running.RunOnce()
 	if err != nil && m.diskFault != healthy {
 		m.broken[running] = true
-		m.busy[running] = c.now + reopenDelay
+		m.busy[running] = cluster.now + reopenDelay
 		return nil
 	}
 	after := m.disk.Counts()
-	cost := time.Duration(after.Syncs-before.Syncs+after.DirSyncs-before.DirSyncs) * c.environment.syncTime
-	if c.environment.diskBytesPerS > 0 {
-		cost += timeFor(int(after.BytesWritten-before.BytesWritten), c.environment.diskBytesPerS)
+	cost := time.Duration(after.Syncs-before.Syncs+after.DirSyncs-before.DirSyncs) * cluster.environment.syncTime
+	if cluster.environment.diskBytesPerS > 0 {
+		cost += timeFor(int(after.BytesWritten-before.BytesWritten), cluster.environment.diskBytesPerS)
 	}
 	if m.diskFault == slowDisk {
 		cost *= slowDiskFactor
@@ -219,10 +219,10 @@
 	if cost == 0 {
 		return err
 	}
-	m.diskFree = max(m.diskFree, c.now) + cost
+	m.diskFree = max(m.diskFree, cluster.now) + cost
 	m.busy[running] = m.diskFree
-	for i := range c.inFlight[queued:] {
-		c.inFlight[queued+i].due += m.diskFree - c.now
+	for i := range cluster.inFlight[queued:] {
+		cluster.inFlight[queued+i].due += m.diskFree - cluster.now
 	}
 	return err
 }
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -41,10 +41,10 @@
 
 // newFaultyCluster starts three controllers and some stores.
 func newFaultyCluster(t testing.TB, seed uint64, stores int) *faultyCluster {
-	c := &faultyCluster{cluster: newCluster(t, stores), random: rand.New(rand.NewPCG(seed, 42)),
+	cluster := &faultyCluster{cluster: newCluster(t, stores), random: rand.New(rand.NewPCG(seed, 42)),
 		blocked: map[[2]string]bool{}, frozen: map[*testMachine]bool{}}
-	c.wait("a leader", 5*time.Second, func() bool { return c.leader() != nil })
-	return c
+	cluster.wait("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
+	return cluster
 }
 
 // step lets a step of virtual time pass; all that operators do happens within the sleep, or while it waits.
@@ -147,25 +147,25 @@
 // have theirs.
 func (c *faultyCluster) injectRandomFault() {
 	machines := c.controllers()
-	m := machines[c.random.IntN(len(machines))]
+	target := machines[c.random.IntN(len(machines))]
 	if leader := c.leader(); leader != nil && c.random.IntN(2) == 0 {
-		m = leader
+		target = leader
 	}
 	switch c.random.IntN(9) {
 	case 0:
-		c.partition(m, true, true)
+		c.partition(target, true, true)
 	case 1:
-		c.partition(m, c.random.IntN(2) == 0, c.random.IntN(2) == 0)
+		c.partition(target, c.random.IntN(2) == 0, c.random.IntN(2) == 0)
 	case 2:
 		clear(c.blocked)
 	case 3:
-		c.frozen[m] = !c.frozen[m]
+		c.frozen[target] = !c.frozen[target]
 	case 4:
-		m.skew = time.Duration(c.random.IntN(5)-2) * time.Second
+		target.skew = time.Duration(c.random.IntN(5)-2) * time.Second
 	case 5:
-		c.restart(m, false)
+		c.restart(target, false)
 	case 6:
-		c.restart(m, true)
+		c.restart(target, true)
 	case 7:
 		if c.random.IntN(4) == 0 {
 			for _, each := range machines {
@@ -175,7 +175,7 @@
 	case 8:
 		if c.isComplete() && !c.wiped && len(c.frozen)+len(c.blocked) == 0 {
 			c.wiped = true
-			m.wipe()
+			target.wipe()
 		}
 	}
 }
@@ -257,26 +257,26 @@
 }
 
 // exchange sends one request to a machine. It returns nil if no answer comes.
-func (o *operator) exchange(m *testMachine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+func (o *operator) exchange(machine *testMachine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	defer o.sleep(0)
-	for o.cluster.frozen[m] { // the request waits in the machine's buffers
+	for o.cluster.frozen[machine] { // the request waits in the machine's buffers
 		if o.sleep(0); ctx.Err() != nil {
 			return nil
 		}
 	}
-	if !m.running {
+	if !machine.running {
 		return nil
 	}
-	generation := m.starts
+	generation := machine.starts
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
 	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
-	handler := m.controller.Handler()
+	handler := machine.controller.Handler()
 	go func() {
 		defer close(done)
 		handler.ServeHTTP(recorder, request)
@@ -287,11 +287,11 @@
 		return nil
 	}
 	o.cluster.afterStep()
-	for o.cluster.frozen[m] && ctx.Err() == nil {
+	for o.cluster.frozen[machine] && ctx.Err() == nil {
 		o.sleep(0)
 	}
 	isLost := o.random.Float64() < o.cluster.answerLossRate
-	if isLost || ctx.Err() != nil || m.starts != generation || !m.running {
+	if isLost || ctx.Err() != nil || machine.starts != generation || !machine.running {
 		return nil
 	}
 	return recorder
--- a/internal/tier/controller/former_leader_test.go
+++ b/internal/tier/controller/former_leader_test.go
@@ -57,26 +57,26 @@
 // askFormerLeader asks a leader that doesn't know yet that it isn't one any more.
 func askFormerLeader(t *testing.T, call formerLeaderCall) {
 	// Given a leader that is frozen, and others that have elected another one and gone on,
-	c := newCluster(t, 0)
-	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
-	c.propose(Command{Configuration: &configuration.Proposal{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
-	c.run(time.Second)
-	former := c.leader()
+	cluster := newCluster(t, 0)
+	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
+	cluster.propose(Command{Configuration: &configuration.Proposal{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
+	cluster.run(time.Second)
+	former := cluster.leader()
 	former.running = false
-	for _, m := range c.sorted() {
+	for _, m := range cluster.sorted() {
 		if m != former {
 			m.kill()
 			m.start()
 		}
 	}
-	began := c.now
-	c.propose(Command{Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
-	if frozen := c.now - began; frozen >= electionTimeout || !former.controller.Group().Status().IsLeader {
+	began := cluster.now
+	cluster.propose(Command{Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
+	if frozen := cluster.now - began; frozen >= electionTimeout || !former.controller.Group().Status().IsLeader {
 		t.Fatalf("it knows after %v that it isn't the leader", frozen)
 	}
 	// when it goes on, and is asked before it has heard of that,
 	former.running = true
-	answer := c.answerWhile(former, call.method, call.path, call.body, call.base)
+	answer := cluster.answerWhile(former, call.method, call.path, call.body, call.base)
 	// then it tells nothing, and refuses nothing.
 	switch answer.Code {
 	case http.StatusServiceUnavailable, http.StatusTemporaryRedirect:
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -142,7 +142,7 @@
 // readFault is a fault on the way to the platform, and what it may cause.
 type readFault struct {
 	name          string
-	inject        func(r *leaderWithPeers)
+	inject        func(leader *leaderWithPeers)
 	maxLag        time.Duration // of the published list, once a delegate was found
 	delegateAfter time.Duration // until a delegate is found, at most
 	noDelegate    bool          // no peer may be asked
@@ -150,23 +150,23 @@
 
 func TestEndpoints_LeaderPartitionedFromPlatform_PeerReads(t *testing.T) {
 	for _, fault := range []readFault{
-		{name: "the leader is partitioned from the platform", inject: func(r *leaderWithPeers) { r.platform.unreachable[selfAddress] = true },
+		{name: "the leader is partitioned from the platform", inject: func(leader *leaderWithPeers) { leader.platform.unreachable[selfAddress] = true },
 			maxLag: 3 * time.Second, delegateAfter: 5 * time.Second},
-		{name: "and one of the others", inject: func(r *leaderWithPeers) {
-			r.platform.unreachable[selfAddress], r.platform.unreachable[coreTwo] = true, true
+		{name: "and one of the others", inject: func(leader *leaderWithPeers) {
+			leader.platform.unreachable[selfAddress], leader.platform.unreachable[coreTwo] = true, true
 		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
-		{name: "and from one of the others", inject: func(r *leaderWithPeers) {
-			r.platform.unreachable[selfAddress], r.unreachablePeers[coreTwo] = true, true
+		{name: "and from one of the others", inject: func(leader *leaderWithPeers) {
+			leader.platform.unreachable[selfAddress], leader.unreachablePeers[coreTwo] = true, true
 		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
-		{name: "and from one of the others, and the other from the platform", inject: func(r *leaderWithPeers) {
-			r.platform.unreachable[selfAddress], r.platform.unreachable[coreThree], r.unreachablePeers[coreTwo] = true, true, true
+		{name: "and from one of the others, and the other from the platform", inject: func(leader *leaderWithPeers) {
+			leader.platform.unreachable[selfAddress], leader.platform.unreachable[coreThree], leader.unreachablePeers[coreTwo] = true, true, true
 		}, maxLag: faultTime + calmTime},
-		{name: "the platform is down", inject: func(r *leaderWithPeers) { r.platform.unreachable[""] = true }, maxLag: faultTime + calmTime},
-		{name: "the platform refuses all", inject: func(r *leaderWithPeers) { r.platform.failStatus = http.StatusServiceUnavailable },
+		{name: "the platform is down", inject: func(leader *leaderWithPeers) { leader.platform.unreachable[""] = true }, maxLag: faultTime + calmTime},
+		{name: "the platform refuses all", inject: func(leader *leaderWithPeers) { leader.platform.failStatus = http.StatusServiceUnavailable },
 			maxLag: faultTime + calmTime, noDelegate: true},
-		{name: "the platform is slow", inject: func(r *leaderWithPeers) { r.platform.delay = 2 * time.Second },
+		{name: "the platform is slow", inject: func(leader *leaderWithPeers) { leader.platform.delay = 2 * time.Second },
 			maxLag: 5 * time.Second, delegateAfter: 5 * time.Second, noDelegate: true},
-		{name: "the platform is slower than a read may take", inject: func(r *leaderWithPeers) { r.platform.delay = 4 * time.Second },
+		{name: "the platform is slower than a read may take", inject: func(leader *leaderWithPeers) { leader.platform.delay = 4 * time.Second },
 			maxLag: faultTime + calmTime},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
@@ -277,21 +277,21 @@
 
 // TestEndpoints_FormerLeader_PublishesNothing has the group change its leader during a read.
 func TestEndpoints_FormerLeader_PublishesNothing(t *testing.T) {
-	c := newCluster(t, 0)
-	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
-	leader := c.leader().controller
-	published := len(c.updates)
+	cluster := newCluster(t, 0)
+	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
+	leader := cluster.leader().controller
+	published := len(cluster.updates)
 	// Given a leader that reads while it is partitioned from the others for longer than the time-out,
 	leader.options.Reader = readerFunc(func() ([]model.Endpoint, error) {
-		for _, m := range c.sorted() {
+		for _, m := range cluster.sorted() {
 			m.running = m.controller == leader
 		}
-		c.run(2 * electionTimeout)
+		cluster.run(2 * electionTimeout)
 		return []model.Endpoint{endpoint("a", 0)}, nil
 	})
 	// when its read is over, then it publishes nothing.
-	if got := leader.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(c.updates) != published {
-		t.Errorf("comes back after %v, %d updates were published", got, len(c.updates)-published)
+	if got := leader.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(cluster.updates) != published {
+		t.Errorf("comes back after %v, %d updates were published", got, len(cluster.updates)-published)
 	}
 }
 
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -140,14 +140,14 @@
 
 // runHistory lets operators work while machines have faults, and returns what they saw.
 func runHistory(t testing.TB, seed uint64) []linearizability.Operation {
-	c := newFaultyCluster(t, seed, 0)
-	c.answerLossRate = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
-	padding := strings.Repeat(" ", []int{0, 0, 0, 0, 0, paddedBytes}[c.random.IntN(6)])
+	cluster := newFaultyCluster(t, seed, 0)
+	cluster.answerLossRate = []float64{0, 0.1, 0.5}[cluster.random.IntN(3)]
+	padding := strings.Repeat(" ", []int{0, 0, 0, 0, 0, paddedBytes}[cluster.random.IntN(6)])
 	seen := &recorder{}
 	var editors []*editor
 	var working sync.WaitGroup
 	for number := range operatorCount {
-		e := &editor{operator: c.operator(number), recorder: seen, padding: padding}
+		e := &editor{operator: cluster.operator(number), recorder: seen, padding: padding}
 		editors = append(editors, e)
 		working.Add(1)
 		go func() {
@@ -156,17 +156,17 @@
 			e.work(ordersEach)
 		}()
 	}
-	c.untilDone(&working, func() { c.injectRandomFault() }, func() {})
-	c.heal()
-	c.answerLossRate = 0
-	c.wait("the group is complete", 30*time.Second, c.isComplete)
+	cluster.untilDone(&working, func() { cluster.injectRandomFault() }, func() {})
+	cluster.heal()
+	cluster.answerLossRate = 0
+	cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 	working.Add(1)
 	go func() {
 		defer working.Done()
 		editors[0].sleep(0)
 		editors[0].finish(seen.sent)
 	}()
-	c.untilDone(&working, func() {}, func() {})
+	cluster.untilDone(&working, func() {}, func() {})
 	return seen.operations
 }
 
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -76,7 +76,7 @@
 // newCore starts controllers: the group, and one that stands by.
 func newCore(t *testing.T, seed uint64) *core {
 	kind := coreKinds[seed%uint64(len(coreKinds))]
-	c := &core{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(initialStores), joiner: storeMember(initialStores + 1),
+	core := &core{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(initialStores), joiner: storeMember(initialStores + 1),
 		blocked: map[link]bool{}, delayed: map[link][]group.Envelope{}, unreachableSince: map[link]time.Time{}, reachableAt: map[link]time.Time{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	var initial []replica.Member
@@ -86,20 +86,20 @@
 		member.Incarnation = uint64(number + 1)
 		running := make(chan struct{})
 		close(running)
-		c.machines = append(c.machines, &coreMachine{core: c, number: number, member: member, wake: make(chan struct{}, 1), thawed: running})
+		core.machines = append(core.machines, &coreMachine{core: core, number: number, member: member, wake: make(chan struct{}, 1), thawed: running})
 		if number < kind.group {
 			initial = append(initial, replica.Member{ID: member.ID, Address: member.Address})
 		}
 	}
 	var running sync.WaitGroup
-	for _, m := range c.machines {
+	for _, m := range core.machines {
 		first := initial
 		if m.number >= len(initial) {
 			first = nil
 		}
 		m.open(first, seed)
 	}
-	for _, m := range c.machines {
+	for _, m := range core.machines {
 		for _, loop := range []func(context.Context){m.runGroup, m.runLoops, m.analyze} {
 			running.Go(func() { loop(ctx) })
 		}
@@ -108,7 +108,7 @@
 		cancel()
 		running.Wait()
 	})
-	return c
+	return core
 }
 
 func (m *coreMachine) open(initial []replica.Member, seed uint64) {
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -110,43 +110,43 @@
 // verifyConfiguration follows the lowest place in the chain that each answer allows, given all that had ended before it began.
 func (h *callHistory) verifyConfiguration() {
 	var floors lowerBounds
-	for _, a := range h.answers {
-		if a.path != settingsPath {
+	for _, answer := range h.answers {
+		if answer.path != settingsPath {
 			continue
 		}
-		low, high := floors.at(a.began), h.upperBound(a.ended)
+		low, high := floors.at(answer.began), h.upperBound(answer.ended)
 		switch {
-		case a.method == http.MethodGet && a.code == http.StatusOK:
+		case answer.method == http.MethodGet && answer.code == http.StatusOK:
 			var parsed struct{ Number uint64 }
-			if err := json.Unmarshal([]byte(a.body), &parsed); err != nil {
-				h.fault(a, "%v", err)
+			if err := json.Unmarshal([]byte(answer.body), &parsed); err != nil {
+				h.fault(answer, "%v", err)
 				continue
 			}
 			place := h.position(parsed.Number)
 			if place < low || place > high {
-				h.fault(a, "it is at place %d, and must be from %d to %d", place, low, high)
+				h.fault(answer, "it is at place %d, and must be from %d to %d", place, low, high)
 			}
 			low = max(low, place)
-		case a.method == http.MethodPut && a.code == http.StatusOK:
-			place := h.position(a.order.number)
+		case answer.method == http.MethodPut && answer.code == http.StatusOK:
+			place := h.position(answer.order.number)
 			if place < 1 || place > high {
-				h.fault(a, "it is at place %d, and must be from 1 to %d", place, high)
+				h.fault(answer, "it is at place %d, and must be from 1 to %d", place, high)
 			}
 			low = max(low, place)
-		case a.code == http.StatusPreconditionFailed:
-			if a.order.accepted {
-				h.fault(a, "the order was taken")
+		case answer.code == http.StatusPreconditionFailed:
+			if answer.order.accepted {
+				h.fault(answer, "the order was taken")
 			}
-			if h.position(a.order.base) == low {
+			if h.position(answer.order.base) == low {
 				low++
 			}
 			if low > high {
-				h.fault(a, "%d was current all the time", a.order.base)
+				h.fault(answer, "%d was current all the time", answer.order.base)
 			}
-		case a.code == http.StatusNotFound || a.code == http.StatusConflict:
-			h.fault(a, "no such answer may be given")
+		case answer.code == http.StatusNotFound || answer.code == http.StatusConflict:
+			h.fault(answer, "no such answer may be given")
 		}
-		floors.add(a.ended, low)
+		floors.add(answer.ended, low)
 	}
 }
 
@@ -185,40 +185,40 @@
 func (h *callHistory) verifyRollouts() {
 	first := map[int]time.Time{} // when each version was ordered
 	var ordered, finished lowerBounds
-	for _, a := range h.answers {
-		if a.method == http.MethodPost && a.path == rolloutsPath && (first[a.version()].IsZero() || a.began.Before(first[a.version()])) {
-			first[a.version()] = a.began
+	for _, answer := range h.answers {
+		if answer.method == http.MethodPost && answer.path == rolloutsPath && (first[answer.version()].IsZero() || answer.began.Before(first[answer.version()])) {
+			first[answer.version()] = answer.began
 		}
 	}
-	for _, a := range h.answers {
+	for _, answer := range h.answers {
 		switch {
-		case a.method == http.MethodPost && a.path == rolloutsPath:
-			if a.code == http.StatusOK {
-				ordered.add(a.ended, a.version())
+		case answer.method == http.MethodPost && answer.path == rolloutsPath:
+			if answer.code == http.StatusOK {
+				ordered.add(answer.ended, answer.version())
 			}
-			if a.code == http.StatusConflict || a.code == http.StatusNotFound {
-				h.fault(a, "nothing else is under way")
+			if answer.code == http.StatusConflict || answer.code == http.StatusNotFound {
+				h.fault(answer, "nothing else is under way")
 			}
-		case a.path == rolloutsPath+"/lm" && a.code == http.StatusNotFound:
-			if ordered.at(a.began) > 0 {
-				h.fault(a, "version %d had been ordered", ordered.at(a.began))
+		case answer.path == rolloutsPath+"/lm" && answer.code == http.StatusNotFound:
+			if ordered.at(answer.began) > 0 {
+				h.fault(answer, "version %d had been ordered", ordered.at(answer.began))
 			}
-		case a.path == rolloutsPath+"/lm" && a.code == http.StatusOK:
+		case answer.path == rolloutsPath+"/lm" && answer.code == http.StatusOK:
 			var parsed rolloutStatus
-			if err := json.Unmarshal([]byte(a.body), &parsed); err != nil {
-				h.fault(a, "%v", err)
+			if err := json.Unmarshal([]byte(answer.body), &parsed); err != nil {
+				h.fault(answer, "%v", err)
 				continue
 			}
 			version, _ := strconv.Atoi(strings.TrimPrefix(parsed.Target, "v"))
-			if low := ordered.at(a.began); version < low || first[version].IsZero() || first[version].After(a.ended) {
-				h.fault(a, "version %d had been ordered", low)
+			if low := ordered.at(answer.began); version < low || first[version].IsZero() || first[version].After(answer.ended) {
+				h.fault(answer, "version %d had been ordered", low)
 			}
-			if parsed.State == "in_service" && finished.at(a.began) >= version {
-				h.fault(a, "it was finished before")
+			if parsed.State == "in_service" && finished.at(answer.began) >= version {
+				h.fault(answer, "it was finished before")
 			}
-			ordered.add(a.ended, version)
+			ordered.add(answer.ended, version)
 			if parsed.State != "in_service" {
-				finished.add(a.ended, version)
+				finished.add(answer.ended, version)
 			}
 		}
 	}
--- a/internal/tier/controller/reconciler_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -24,13 +24,13 @@
 	running := func(name string) membership.Member {
 		return controllerMember(name, name, name+":7000", name+":8144")
 	}
-	in := func(state membership.State, m membership.Member) membership.Member {
+	withState := func(state membership.State, m membership.Member) membership.Member {
 		m.State = state
 		return m
 	}
 	learner := replica.Member{ID: "new", Address: "new:7000", Learner: true}
 	first, second, third, added := running("first"), running("second"), running("third"), running("new")
-	missing := in(membership.StateSuspect, third)
+	missing := withState(membership.StateSuspect, third)
 	tests := []struct {
 		name     string
 		group    []replica.Member
@@ -49,14 +49,14 @@
 		{name: "it is back before its successor votes", group: append(voters("first", "second", "third"), learner),
 			members: []membership.Member{first, second, third, added}, passed: 2 * time.Second, want: voters("first", "second", "third")},
 		{name: "two are missing and one has come", group: voters("first", "second", "third"),
-			members: []membership.Member{first, in(membership.StateSuspect, second), in(membership.StateDead, third), added},
+			members: []membership.Member{first, withState(membership.StateSuspect, second), withState(membership.StateDead, third), added},
 			passed:  9 * time.Second, want: voters("first", "second", "new")},
 		{name: "two are not known to membership and answer the leader", group: voters("first", "second", "third"),
 			caughtUp: map[string]bool{"first": true, "second": true, "third": true},
 			members:  []membership.Member{first, added}, passed: 9 * time.Second, want: voters("first", "second", "third")},
 		{name: "two are taken for dead and one of them answers the leader", group: voters("first", "second", "third"),
 			caughtUp: map[string]bool{"first": true, "second": true},
-			members:  []membership.Member{first, in(membership.StateDead, second), in(membership.StateDead, third), added},
+			members:  []membership.Member{first, withState(membership.StateDead, second), withState(membership.StateDead, third), added},
 			passed:   9 * time.Second, want: voters("first", "second", "new")},
 	}
 	for _, test := range tests {
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -192,39 +192,39 @@
 }
 
 // inject injects a fault, and returns when the machine no longer counts as lost.
-func (r *repair) inject(what fault, m *testMachine) time.Duration {
+func (r *repair) inject(what fault, machine *testMachine) time.Duration {
 	switch what {
 	case diskLost:
-		r.loseDisk(m)
+		r.loseDisk(machine)
 		return r.now + downTime + r.environment.catchUp()
 	case machineLost:
-		r.remove(m)
-		m.losePower(uint64(r.now))
-		r.after(comesAfter, func() { r.addMachine(m.member.Zone) })
+		r.remove(machine)
+		machine.losePower(uint64(r.now))
+		r.after(comesAfter, func() { r.addMachine(machine.member.Zone) })
 		return r.now + comesAfter + r.environment.catchUp()
 	case planned:
-		r.remove(m)
-		r.addMachine(m.member.Zone)
-		r.after(comesAfter, m.terminate)
+		r.remove(machine)
+		r.addMachine(machine.member.Zone)
+		r.after(comesAfter, machine.terminate)
 		return r.now + r.environment.catchUp()
 	case retired:
-		r.remove(m)
-		if got := r.decommission(m.node()); got != decommission.Accepted {
-			r.t.Fatalf("order about %s was %v", m.node(), got)
+		r.remove(machine)
+		if got := r.decommission(machine.node()); got != decommission.Accepted {
+			r.t.Fatalf("order about %s was %v", machine.node(), got)
 		}
-		r.until("the machine is empty", recoveryTime, r.isFinished(m.node()))
-		m.losePower(uint64(r.now))
+		r.until("the machine is empty", recoveryTime, r.isFinished(machine.node()))
+		machine.losePower(uint64(r.now))
 		return r.now
 	case added:
-		r.addMachine(m.member.Zone)
+		r.addMachine(machine.member.Zone)
 		return r.now + r.environment.catchUp()
 	case partitioned:
-		m.partition()
-		r.after(partitionTime, m.heal)
+		machine.partition()
+		r.after(partitionTime, machine.heal)
 		return r.now + partitionTime + r.environment.catchUp()
 	default:
-		m.freeze()
-		r.after(freezeTime, m.thaw)
+		machine.freeze()
+		r.after(freezeTime, machine.thaw)
 		return r.now + freezeTime + r.environment.catchUp()
 	}
 }
@@ -361,9 +361,9 @@
 // TestGroupReport_DeposedLeader_NotConfirmed has a leader of a shard partitioned that doesn't know it yet: it must not report on its group,
 // neither then nor when it is back.
 func TestGroupReport_DeposedLeader_NotConfirmed(t *testing.T) {
-	c := newCluster(t, 4)
-	c.awaitPlacement()
-	at, _ := c.shardLeader(0)
+	cluster := newCluster(t, 4)
+	cluster.awaitPlacement()
+	at, _ := cluster.shardLeader(0)
 	at.partition()
 	var reported []int
 	at.store.ReportMembers(func(answer wire.ShardMembersResponse) {
@@ -371,9 +371,9 @@
 			reported = append(reported, parsed.Shard)
 		}
 	})
-	c.run(3 * time.Second)
+	cluster.run(3 * time.Second)
 	at.heal()
-	c.run(3 * time.Second)
+	cluster.run(3 * time.Second)
 	if len(reported) > 0 {
 		t.Errorf("reported on %v though no majority was in touch", reported)
 	}
--- a/internal/tier/controller/rollout_duplicates_test.go
+++ b/internal/tier/controller/rollout_duplicates_test.go
@@ -80,12 +80,12 @@
 
 func runRollouts(t testing.TB, seed uint64) (map[string]*rolloutAnswers, startedRollouts) {
 	const ordersEach = 8
-	c := newFaultyCluster(t, seed, 0)
-	c.answerLossRate = []float64{0, 0.1, 0.5}[c.random.IntN(3)]
+	cluster := newFaultyCluster(t, seed, 0)
+	cluster.answerLossRate = []float64{0, 0.1, 0.5}[cluster.random.IntN(3)]
 	known := make([]map[string]*rolloutAnswers, operatorCount)
 	var working sync.WaitGroup
 	for number := range operatorCount {
-		o := &rolloutOperator{operator: c.operator(number), known: map[string]*rolloutAnswers{}}
+		o := &rolloutOperator{operator: cluster.operator(number), known: map[string]*rolloutAnswers{}}
 		known[number] = o.known
 		working.Add(1)
 		go func() {
@@ -99,10 +99,10 @@
 		}()
 	}
 	seen := startedRollouts{}
-	c.untilDone(&working, func() {
-		c.injectRandomFault()
-		c.decideSome()
-	}, func() { seen.observe(c) })
+	cluster.untilDone(&working, func() {
+		cluster.injectRandomFault()
+		cluster.decideSome()
+	}, func() { seen.observe(cluster) })
 	all := map[string]*rolloutAnswers{}
 	for _, each := range known {
 		for name, answers := range each {
--- a/internal/tier/controller/rollout_late_duplicate_test.go
+++ b/internal/tier/controller/rollout_late_duplicate_test.go
@@ -16,36 +16,36 @@
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		for _, interlude := range interludes {
 			runInVirtualTime(t, fmt.Sprint(end, ", ", interlude.name), func(t *testing.T) {
-				c := rolloutOrders{newFaultyCluster(t, 1, 0)}
-				c.agree(Command{ObservedVersion: &rollout.ObservedVersion{Service: "lm", Version: "v1"}})
+				cluster := rolloutOrders{newFaultyCluster(t, 1, 0)}
+				cluster.agree(Command{ObservedVersion: &rollout.ObservedVersion{Service: "lm", Version: "v1"}})
 
 				// Given v2, which has ended, and v3, which is in progress.
-				c.order("v2", http.StatusOK)
-				c.decide(end)
-				c.order("v3", http.StatusOK)
+				cluster.order("v2", http.StatusOK)
+				cluster.decide(end)
+				cluster.order("v3", http.StatusOK)
 
 				// When v2 comes again soon, then it is acknowledged and changes nothing; another order has to wait.
-				interlude.pass(c.faultyCluster)
-				c.order("v2", http.StatusOK)
-				c.wantNewest("v3", rollout.InService)
-				c.order("v4", http.StatusConflict)
+				interlude.pass(cluster.faultyCluster)
+				cluster.order("v2", http.StatusOK)
+				cluster.wantNewest("v3", rollout.InService)
+				cluster.order("v4", http.StatusConflict)
 
 				// When v3 has ended, then a duplicate of v2 or v3 changes nothing either.
-				c.decide(rollout.Finished)
-				c.order("v2", http.StatusOK)
-				c.order("v3", http.StatusOK)
-				c.wantNewest("v3", rollout.Finished)
+				cluster.decide(rollout.Finished)
+				cluster.order("v2", http.StatusOK)
+				cluster.order("v3", http.StatusOK)
+				cluster.wantNewest("v3", rollout.Finished)
 
 				// When v2 is ordered long after, then it is rolled out, and its own duplicate is one.
-				c.passBy(dedupWindow + 6*time.Second)
-				c.order("v2", http.StatusOK)
-				c.wantNewest("v2", rollout.InService)
-				c.decide(rollout.Reverted)
-				c.order("v2", http.StatusOK)
-				c.wantNewest("v2", rollout.Reverted)
-				c.passBy(dedupWindow + 6*time.Second)
-				c.order("v2", http.StatusOK)
-				c.wantNewest("v2", rollout.InService)
+				cluster.passBy(dedupWindow + 6*time.Second)
+				cluster.order("v2", http.StatusOK)
+				cluster.wantNewest("v2", rollout.InService)
+				cluster.decide(rollout.Reverted)
+				cluster.order("v2", http.StatusOK)
+				cluster.wantNewest("v2", rollout.Reverted)
+				cluster.passBy(dedupWindow + 6*time.Second)
+				cluster.order("v2", http.StatusOK)
+				cluster.wantNewest("v2", rollout.InService)
 			})
 		}
 	}
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -20,25 +20,25 @@
 
 func TestReturningStore_SurplusReplicas_Removed(t *testing.T) {
 	// Given a store that was away for so long that others have its replicas,
-	c := newCluster(t, 5)
-	c.awaitPlacement()
-	turns := turnsOf(c, 0)
-	c.storage(1).kill()
-	c.run(deathDelay + 6*time.Second)
-	c.until("groups are complete", 5*time.Second, c.isComplete)
+	cluster := newCluster(t, 5)
+	cluster.awaitPlacement()
+	turns := turnsOf(cluster, 0)
+	cluster.storage(1).kill()
+	cluster.run(deathDelay + 6*time.Second)
+	cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
 
 	// when it comes back, then it holds only what it is to hold: what it had takes no memory.
-	c.storage(1).start()
-	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
-	c.wantTurns(turns)
+	cluster.storage(1).start()
+	cluster.until("no store holds more than it is to hold", 10*time.Second, func() bool { return cluster.hasSurplusReplicas() == "" })
+	cluster.wantTurns(turns)
 
 	// And when another one is lost, then it takes replicas again, also of shards that it once held, and nothing is lost.
-	c.storage(2).kill()
-	c.run(deathDelay + 6*time.Second)
-	c.until("groups are complete again", 5*time.Second, c.isComplete)
-	if len(shardsOf(c.placement(), c.storage(1).member.ID)) == 0 {
+	cluster.storage(2).kill()
+	cluster.run(deathDelay + 6*time.Second)
+	cluster.until("groups are complete again", 5*time.Second, cluster.isComplete)
+	if len(shardsOf(cluster.placement(), cluster.storage(1).member.ID)) == 0 {
 		t.Error("the store that came back has no replicas")
 	}
-	c.until("no store holds more than it is to hold", 10*time.Second, func() bool { return c.hasSurplusReplicas() == "" })
-	c.wantTurns(turns)
+	cluster.until("no store holds more than it is to hold", 10*time.Second, func() bool { return cluster.hasSurplusReplicas() == "" })
+	cluster.wantTurns(turns)
 }
