--- a/internal/tier/configuration/state_machine_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -104,7 +104,7 @@
 // current one are the reference's, and each version has one successor at most.
 func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, want := configuration.New(), &reference{}
+		machine, want := configuration.New(), &reference{}
 		var sent []*configuration.Proposal
 		successors := map[uint64]string{} // content of the order taken on a version
 		for index := range uint64(rapid.IntRange(1, 40).Draw(t, "orders")) {
@@ -116,13 +116,13 @@
 				o = proposal(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
 				sent = append(sent, o)
 			}
-			known := r.WasAccepted(o)
-			result := r.Apply(index+1, o)
+			known := machine.WasAccepted(o)
+			result := machine.Apply(index+1, o)
 			if known && result != configuration.Accepted {
 				t.Fatalf("an order that had been taken was %s", result)
 			}
-			if wanted := want.apply(index+1, o); result != wanted {
-				t.Fatalf("order %+v was %s, want %s", o, result, wanted)
+			if expected := want.apply(index+1, o); result != expected {
+				t.Fatalf("order %+v was %s, want %s", o, result, expected)
 			}
 			if result == configuration.Accepted {
 				if other, ok := successors[o.Base]; ok && other != string(o.Raw) {
@@ -130,11 +130,11 @@
 				}
 				successors[o.Base] = string(o.Raw)
 			}
-			if current := r.Current(); current.Number != want.number() || current.Index != want.index {
+			if current := machine.Current(); current.Number != want.number() || current.Index != want.index {
 				t.Fatalf("current %d of entry %d, want %d of entry %d", current.Number, current.Index, want.number(), want.index)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
-				r = restored(t, r)
+				machine = restored(t, machine)
 			}
 		}
 	})
@@ -217,9 +217,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const mostBytes = 32 << 10
-	if len(raw) > mostBytes {
-		t.Errorf("a snapshot after %d changes takes %d bytes, more than %d", changes, len(raw), mostBytes)
+	const maxBytes = 32 << 10
+	if len(raw) > maxBytes {
+		t.Errorf("a snapshot after %d changes takes %d bytes, more than %d", changes, len(raw), maxBytes)
 	}
 	t.Logf("a snapshot after %d changes takes %d bytes", changes, len(raw))
 }
--- a/internal/tier/decommission/state_machine_test.go
+++ b/internal/tier/decommission/state_machine_test.go
@@ -30,7 +30,7 @@
 func TestStateMachine_Proposal_KeepsMinimumOfStores(t *testing.T) {
 	tests := []struct {
 		name  string
-		given func(r *decommission.StateMachine)
+		given func(machine *decommission.StateMachine)
 		order decommission.Proposal
 		want  decommission.Result
 	}{
@@ -38,20 +38,22 @@
 		{"two remain", nil, proposal("a", "a", "b", "c"), decommission.TooFewStores},
 		{"the machine is down and three remain", nil, proposal("a", "b", "c", "d"), decommission.Accepted},
 		{"the machine is down and two remain", nil, proposal("a", "b", "c"), decommission.TooFewStores},
-		{"another is being drained", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("b", "a", "b", "c", "d")) },
+		{"another is being drained", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d")) },
 			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"another was drained and still runs", func(r *decommission.StateMachine) {
-			r.ApplyProposal(1, proposal("b", "a", "b", "c", "d"))
-			r.ApplyDecision(finished("b"))
+		{"another was drained and still runs", func(machine *decommission.StateMachine) {
+			machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d"))
+			machine.ApplyDecision(finished("b"))
 		},
 			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"two at once and three remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("b", "a", "b", "c", "d", "e")) },
+		{"two at once and three remain", func(machine *decommission.StateMachine) {
+			machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d", "e"))
+		},
 			proposal("a", "a", "b", "c", "d", "e"), decommission.Accepted},
-		{"the same again, though now too few would remain", func(r *decommission.StateMachine) { r.ApplyProposal(1, proposal("a", "a", "b", "c", "d")) },
+		{"the same again, though now too few would remain", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("a", "a", "b", "c", "d")) },
 			proposal("a", "a", "b"), decommission.Accepted},
-		{"the same again after its end", func(r *decommission.StateMachine) {
-			r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
-			r.ApplyDecision(finished("a"))
+		{"the same again after its end", func(machine *decommission.StateMachine) {
+			machine.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
+			machine.ApplyDecision(finished("a"))
 		},
 			proposal("a", "b", "c"), decommission.Accepted},
 	}
@@ -85,9 +87,9 @@
 	}
 
 	// And the machine can be drained again under the third.
-	again := proposal("a", "a", "b", "c", "d")
-	again.ID, again.AtMs = "a-3", 70
-	if got := r.ApplyProposal(9, again); got != decommission.Accepted {
+	reordered := proposal("a", "a", "b", "c", "d")
+	reordered.ID, reordered.AtMs = "a-3", 70
+	if got := r.ApplyProposal(9, reordered); got != decommission.Accepted {
 		t.Fatalf("order about the new identity was %s", got)
 	}
 	want := decommission.Operation{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
@@ -157,7 +159,7 @@
 // too few machines never remain, and a snapshot at any point changes nothing.
 func TestStateMachine_RandomProposals_KeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := decommission.New()
+		stateMachine := decommission.New()
 		finished := map[string]bool{} // identities
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			machine := decommission.Store{Node: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "node")}
@@ -166,27 +168,27 @@
 			case 0:
 				asked := decommission.Proposal{Store: machine, MinRemaining: 3,
 					RunningStores: rapid.Permutation(runningStores("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
-				before := r.Snapshot()
-				result := r.ApplyProposal(1, asked)
-				if result == decommission.TooFewStores && !cmp.Equal(before, r.Snapshot()) {
+				before := stateMachine.Snapshot()
+				result := stateMachine.ApplyProposal(1, asked)
+				if result == decommission.TooFewStores && !cmp.Equal(before, stateMachine.Snapshot()) {
 					t.Fatal("a rejected order changed something")
 				}
-				if result == decommission.Accepted && !cmp.Equal(before, r.Snapshot()) && remaining(r, asked.RunningStores) < 3 {
+				if result == decommission.Accepted && !cmp.Equal(before, stateMachine.Snapshot()) && remaining(stateMachine, asked.RunningStores) < 3 {
 					t.Fatal("an order left too few machines")
 				}
 			case 1:
-				open := r.Active()
+				open := stateMachine.Active()
 				if len(open) > 0 {
-					r.ApplyDecision(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
+					stateMachine.ApplyDecision(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
 					for _, id := range open[0].IDs {
 						finished[id] = true
 					}
 				}
 			case 2:
-				r = decommission.Restore(r.Snapshot())
+				stateMachine = decommission.Restore(stateMachine.Snapshot())
 			}
 			for id := range finished {
-				if !r.Excludes(decommission.Store{Node: "other", ID: id}) {
+				if !stateMachine.Excludes(decommission.Store{Node: "other", ID: id}) {
 					t.Fatalf("decommissioned identity %s may get replicas", id)
 				}
 			}
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -138,35 +138,35 @@
 		change func(*Configuration)
 		fields []string
 	}{
-		"number 0":                {func(c *Configuration) { c.Version = 0 }, []string{"number"}},
-		"no list of routes":       {func(c *Configuration) { c.Routes = nil }, []string{"routes"}},
-		"an unknown service":      {func(c *Configuration) { c.Routes[1].Service = "x" }, []string{"routes[1].service"}},
-		"no service":              {func(c *Configuration) { c.Routes[1].Service = "" }, []string{"routes[1].service"}},
-		"an unknown share":        {func(c *Configuration) { c.Routes[0].WeightedServices[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
-		"unknown beside shares":   {func(c *Configuration) { c.Routes[0].Service = "x" }, []string{"routes[0].service"}},
-		"a host and prefix twice": {func(c *Configuration) { c.Routes[1].PathPrefix = "/chat/" }, []string{"routes[1]"}},
-		"a host in capitals twice": {func(c *Configuration) {
-			c.Routes[1].PathPrefix, c.Routes[1].Host = "/chat/", "PLAY.example"
+		"number 0":                {func(config *Configuration) { config.Version = 0 }, []string{"number"}},
+		"no list of routes":       {func(config *Configuration) { config.Routes = nil }, []string{"routes"}},
+		"an unknown service":      {func(config *Configuration) { config.Routes[1].Service = "x" }, []string{"routes[1].service"}},
+		"no service":              {func(config *Configuration) { config.Routes[1].Service = "" }, []string{"routes[1].service"}},
+		"an unknown share":        {func(config *Configuration) { config.Routes[0].WeightedServices[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
+		"unknown beside shares":   {func(config *Configuration) { config.Routes[0].Service = "x" }, []string{"routes[0].service"}},
+		"a host and prefix twice": {func(config *Configuration) { config.Routes[1].PathPrefix = "/chat/" }, []string{"routes[1]"}},
+		"a host in capitals twice": {func(config *Configuration) {
+			config.Routes[1].PathPrefix, config.Routes[1].Host = "/chat/", "PLAY.example"
 		}, []string{"routes[1]"}},
-		"shares of 0": {func(c *Configuration) {
-			c.Routes[0].WeightedServices[0].Weight, c.Routes[0].WeightedServices[1].Weight = 0, 0
+		"shares of 0": {func(config *Configuration) {
+			config.Routes[0].WeightedServices[0].Weight, config.Routes[0].WeightedServices[1].Weight = 0, 0
 		}, []string{"routes[0].shares"}},
-		"a negative share": {func(c *Configuration) { c.Routes[0].WeightedServices[0].Weight = -1 }, []string{"routes[0].shares[0].share"}},
-		"shares below 0": {func(c *Configuration) { c.Routes[0].WeightedServices[0].Weight = -20 },
+		"a negative share": {func(config *Configuration) { config.Routes[0].WeightedServices[0].Weight = -1 }, []string{"routes[0].shares[0].share"}},
+		"shares below 0": {func(config *Configuration) { config.Routes[0].WeightedServices[0].Weight = -20 },
 			[]string{"routes[0].shares[0].share", "routes[0].shares"}},
-		"endless shares": {func(c *Configuration) {
-			c.Routes[0].WeightedServices[0].Weight, c.Routes[0].WeightedServices[1].Weight = 1e308, 1e308
+		"endless shares": {func(config *Configuration) {
+			config.Routes[0].WeightedServices[0].Weight, config.Routes[0].WeightedServices[1].Weight = 1e308, 1e308
 		}, []string{"routes[0].shares"}},
-		"giveUpMs 0":            {func(c *Configuration) { c.Routes[0].TimeoutMs = 0 }, []string{"routes[0].giveUpMs"}},
-		"a negative giveUpMs":   {func(c *Configuration) { c.Routes[0].TimeoutMs = -1 }, []string{"routes[0].giveUpMs"}},
-		"no slash at the end":   {func(c *Configuration) { c.Routes[0].PathPrefix = "/chat" }, []string{"routes[0].startsWith"}},
-		"no slash at the start": {func(c *Configuration) { c.Routes[0].PathPrefix = "chat/" }, []string{"routes[0].startsWith"}},
-		"no prefix":             {func(c *Configuration) { c.Routes[0].PathPrefix = "" }, []string{"routes[0].startsWith"}},
-		"no host":               {func(c *Configuration) { c.Routes[0].Host = "" }, []string{"routes[0].host"}},
-		"an unknown kind":       {func(c *Configuration) { c.Routes[0].Kind = "twice" }, []string{"routes[0].kind"}},
-		"a service twice": {func(c *Configuration) { c.Services[1].Name = "lm" },
+		"giveUpMs 0":            {func(config *Configuration) { config.Routes[0].TimeoutMs = 0 }, []string{"routes[0].giveUpMs"}},
+		"a negative giveUpMs":   {func(config *Configuration) { config.Routes[0].TimeoutMs = -1 }, []string{"routes[0].giveUpMs"}},
+		"no slash at the end":   {func(config *Configuration) { config.Routes[0].PathPrefix = "/chat" }, []string{"routes[0].startsWith"}},
+		"no slash at the start": {func(config *Configuration) { config.Routes[0].PathPrefix = "chat/" }, []string{"routes[0].startsWith"}},
+		"no prefix":             {func(config *Configuration) { config.Routes[0].PathPrefix = "" }, []string{"routes[0].startsWith"}},
+		"no host":               {func(config *Configuration) { config.Routes[0].Host = "" }, []string{"routes[0].host"}},
+		"an unknown kind":       {func(config *Configuration) { config.Routes[0].Kind = "twice" }, []string{"routes[0].kind"}},
+		"a service twice": {func(config *Configuration) { config.Services[1].Name = "lm" },
 			[]string{"services[1].name", "routes[0].shares[1].service"}},
-		"two errors of a route": {func(c *Configuration) { c.Routes[1].TimeoutMs, c.Routes[1].Service = 0, "x" },
+		"two errors of a route": {func(config *Configuration) { config.Routes[1].TimeoutMs, config.Routes[1].Service = 0, "x" },
 			[]string{"routes[1].giveUpMs", "routes[1].service"}},
 	}
 	for name, c := range cases {
--- a/internal/tier/model/table_test.go
+++ b/internal/tier/model/table_test.go
@@ -167,10 +167,10 @@
 func TestPickService_ManyKeys_FollowWeights(t *testing.T) {
 	const keys = 4000
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.OneOf(rapid.Just(0.0), rapid.Float64Range(0.01, 100))
-		parts := rapid.SliceOfN(part, 1, 5).Draw(t, "shares")
+		weight := rapid.OneOf(rapid.Just(0.0), rapid.Float64Range(0.01, 100))
+		weights := rapid.SliceOfN(weight, 1, 5).Draw(t, "shares")
 		route := &Route{Service: "none"}
-		for i, share := range parts {
+		for i, share := range weights {
 			route.WeightedServices = append(route.WeightedServices, WeightedService{Service: fmt.Sprint(i), Weight: share})
 		}
 		first := rapid.Uint64().Draw(t, "first key")
@@ -185,7 +185,7 @@
 			}
 			return
 		}
-		for i, share := range parts {
+		for i, share := range weights {
 			expected := share / total
 			deviation := math.Sqrt(keys * expected * (1 - expected))
 			if got := float64(picked[fmt.Sprint(i)]); math.Abs(got-keys*expected) > 5*deviation+1 {
--- a/internal/tier/placement/placement_test.go
+++ b/internal/tier/placement/placement_test.go
@@ -55,18 +55,18 @@
 				t.Fatalf("shard %d begins with other members than it is to have", number)
 			}
 		}
-		if again := placement.Initial(rapid.Permutation(stores).Draw(t, "order"), copies); !cmp.Equal(shards, again) {
+		if permuted := placement.Initial(rapid.Permutation(stores).Draw(t, "order"), copies); !cmp.Equal(shards, permuted) {
 			t.Fatal("the order of the stores matters")
 		}
 		if bound := max(1, (copies-1)/2); len(zoneSizes(stores))*bound >= copies && !zonesLeaveAChoice(stores, copies) {
 			return
 		}
-		least, most := len(shards)*copies, 0
+		minLoad, maxLoad := len(shards)*copies, 0
 		for _, store := range stores {
-			least, most = min(least, load[store.ID]), max(most, load[store.ID])
+			minLoad, maxLoad = min(minLoad, load[store.ID]), max(maxLoad, load[store.ID])
 		}
-		if most-least > 2 {
-			t.Fatalf("one store holds %d replicas, another %d", most, least)
+		if maxLoad-minLoad > 2 {
+			t.Fatalf("one store holds %d replicas, another %d", maxLoad, minLoad)
 		}
 	})
 }
@@ -94,11 +94,11 @@
 // checkZones checks that no zone holds a majority of a shard's replicas, unless there are too few stores in the others.
 func checkZones(t rapid.TB, number int, shard view.ShardPlacement, stores []placement.Store, copies int) {
 	t.Helper()
-	bound, room := max(1, (copies-1)/2), 0
+	bound, capacity := max(1, (copies-1)/2), 0
 	for _, size := range zoneSizes(stores) {
-		room += min(size, bound)
+		capacity += min(size, bound)
 	}
-	if room < copies {
+	if capacity < copies {
 		return
 	}
 	for zone, count := range zoneSizes(shard.Replicas) {
--- a/internal/tier/placement/share_test.go
+++ b/internal/tier/placement/share_test.go
@@ -34,12 +34,12 @@
 			t.Errorf("store %s holds %d of %d replicas, its share is %d", id, count, len(shards)*copies, share)
 		}
 	}
-	most := (copies - 1) / 2
+	maxInZone := (copies - 1) / 2
 	for number, shard := range shards {
 		inZone := map[string]int{}
 		for _, r := range shard.Replicas {
 			inZone[r.Zone]++
-			if inZone[r.Zone] > max(most, 1) {
+			if inZone[r.Zone] > max(maxInZone, 1) {
 				t.Errorf("shard %d: %d of %d replicas are in %s", number, inZone[r.Zone], copies, r.Zone)
 			}
 		}
@@ -97,7 +97,7 @@
 	checkShare(t, shards, running, 5)
 }
 
-// TestInitial_AnyZones_BalancedShares places shards over stores in zones of any sizes. Where there is room for it, no store holds more than one
+// TestInitial_AnyZones_BalancedShares places shards over stores in zones of any sizes. Where the capacity allows it, no store holds more than one
 // replica above its share, and no zone more of a shard than it may.
 func TestInitial_AnyZones_BalancedShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -105,7 +105,7 @@
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 6), 1, 8).Draw(t, "sizes")
 		stores := inZones(sizes...)
 		shards := placement.Initial(stores, copies)
-		if shards == nil || !isRoomy(sizes, copies, len(shards)) {
+		if shards == nil || !hasCapacity(sizes, copies, len(shards)) {
 			return
 		}
 		share := (len(shards)*copies + len(stores) - 1) / len(stores)
@@ -118,20 +118,20 @@
 	})
 }
 
-// isRoomy tells whether the zones have room for so many shards, with no more than its share on each store.
-func isRoomy(sizes []int, copies, shards int) bool {
+// hasCapacity tells whether the zones can hold so many shards, with no more than its share on each store.
+func hasCapacity(sizes []int, copies, shards int) bool {
 	stores := 0
 	for _, size := range sizes {
 		stores += size
 	}
 	share := (shards*copies + stores - 1) / stores
-	room, perShard := 0, 0
+	capacity, perShard := 0, 0
 	for _, size := range sizes {
-		most := min(size, max(1, (copies-1)/2))
-		perShard += most
-		room += min(size*share, shards*most)
+		maxInZone := min(size, max(1, (copies-1)/2))
+		perShard += maxInZone
+		capacity += min(size*share, shards*maxInZone)
 	}
-	return room >= shards*copies && perShard >= copies
+	return capacity >= shards*copies && perShard >= copies
 }
 
 // checkSpread checks that no zone holds more of a shard than a majority can do without.
@@ -167,12 +167,12 @@
 		}
 		lost := map[string]bool{}
 		for step := range rapid.IntRange(1, 8).Draw(t, "steps") {
-			gone := rapid.IntRange(0, len(stores)-1).Draw(t, "gone")
-			lost[stores[gone].ID] = true
+			removed := rapid.IntRange(0, len(stores)-1).Draw(t, "removed")
+			lost[stores[removed].ID] = true
 			if rapid.Bool().Draw(t, "comes back empty") {
-				stores[gone].ID = fmt.Sprint("anew-", step, "-", stores[gone].ID)
+				stores[removed].ID = fmt.Sprint("anew-", step, "-", stores[removed].ID)
 			} else {
-				stores = append(append([]placement.Store(nil), stores[:gone]...), stores[gone+1:]...)
+				stores = append(append([]placement.Store(nil), stores[:removed]...), stores[removed+1:]...)
 			}
 			if len(stores) < copies {
 				return
--- a/internal/tier/placement/tracker_test.go
+++ b/internal/tier/placement/tracker_test.go
@@ -29,7 +29,7 @@
 	return &observer{Tracker: placement.NewTracker(), now: time.UnixMilli(1_700_000_000_000), term: 1}
 }
 
-// see shows the members for a while.
+// observe shows the members for a while.
 func (o *observer) observe(d time.Duration, members ...membership.Member) {
 	const step = 250 * time.Millisecond
 	for passed := time.Duration(0); passed < d; passed += step {
@@ -50,73 +50,85 @@
 	return o.LostHosts(o.now, membership.Controller, []placement.Host{{ID: id, Address: address}})[id]
 }
 
+// The store on machine 1 while it runs and after it has died, the same with another disk and address, and its neighbors.
+var (
+	firstAlive  = member(1, 1, membership.StateAlive)
+	firstDead   = member(1, 1, membership.StateDead)
+	secondAlive = member(2, 1, membership.StateAlive)
+	firstMoved  = memberAt(member(1, 2, membership.StateAlive), "10.9.9.9:7002")
+	otherAlive  = memberAt(member(7, 1, membership.StateAlive), firstAlive.Address)
+)
+
+func memberAt(moved membership.Member, address string) membership.Member {
+	moved.Address = address
+	return moved
+}
+
+var lostReplicaCases = []struct {
+	name  string
+	given func(o *observer)
+	want  bool
+}{
+	{"it runs", func(o *observer) { o.observe(9*time.Second, firstAlive, secondAlive) }, false},
+	{"it is suspected", func(o *observer) { o.observe(9*time.Second, member(1, 1, membership.StateSuspect), secondAlive) }, false},
+	{"dead for a short while", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(3*time.Second, firstDead, secondAlive)
+	}, false},
+	{"dead for long", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(4500*time.Millisecond, firstDead, secondAlive)
+	}, true},
+	{"left for long", func(o *observer) { o.observe(4500*time.Millisecond, member(1, 1, membership.StateLeft), secondAlive) }, true},
+	{"dead, back and dead again", func(o *observer) {
+		o.observe(3*time.Second, firstDead, secondAlive)
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(3*time.Second, firstDead, secondAlive)
+	}, false},
+	{"dead while a store without replicas runs", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(1500*time.Millisecond, firstDead, secondAlive, member(3, 1, membership.StateAlive))
+	}, true},
+	{"suspected while a store without replicas has just come", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), secondAlive, member(3, 1, membership.StateAlive))
+	}, true},
+	{"suspected for a short while", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(750*time.Millisecond, member(1, 1, membership.StateSuspect), secondAlive, member(3, 1, membership.StateAlive))
+	}, false},
+	{"suspected while a store without replicas has run for long", func(o *observer) {
+		o.observe(12*time.Second, firstAlive, secondAlive, member(3, 1, membership.StateAlive))
+		o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), secondAlive, member(3, 1, membership.StateAlive))
+	}, false},
+	{"suspected, then dead, while a store without replicas has just come", func(o *observer) {
+		o.observe(time.Second, firstAlive, secondAlive)
+		o.observe(500*time.Millisecond, member(1, 1, membership.StateSuspect), secondAlive, member(3, 1, membership.StateAlive))
+		o.observe(500*time.Millisecond, firstDead, secondAlive, member(3, 1, membership.StateAlive))
+	}, true},
+	{"never seen, shortly after the start", func(o *observer) { o.observe(3*time.Second, secondAlive) }, false},
+	{"never seen, shortly after the start, while a store without replicas runs", func(o *observer) {
+		o.observe(3*time.Second, secondAlive, member(3, 1, membership.StateAlive))
+	}, false},
+	{"never seen for long", func(o *observer) { o.observe(4500*time.Millisecond, secondAlive) }, true},
+	{"wiped, at once", func(o *observer) { o.observe(0, member(1, 2, membership.StateAlive), secondAlive) }, true},
+	{"wiped at another address", func(o *observer) { o.observe(0, firstMoved, secondAlive) }, true},
+	{"wiped, and down again", func(o *observer) { o.observe(0, member(1, 2, membership.StateDead), secondAlive) }, true},
+	{"another machine at its address", func(o *observer) { o.observe(0, otherAlive, secondAlive) }, true},
+	{"seen again after a pause of the process", func(o *observer) {
+		o.observe(2*time.Second, firstDead, secondAlive)
+		o.now = o.now.Add(time.Minute)
+		o.observe(3*time.Second, firstDead, secondAlive)
+	}, false},
+	{"never seen, and a pause of the process", func(o *observer) {
+		o.observe(2*time.Second, secondAlive)
+		o.now = o.now.Add(time.Minute)
+		o.observe(3*time.Second, secondAlive)
+	}, false},
+}
+
 func TestTracker_LostReplicas(t *testing.T) {
-	alive, dead := member(1, 1, membership.StateAlive), member(1, 1, membership.StateDead)
-	second := member(2, 1, membership.StateAlive)
-	moved := member(1, 2, membership.StateAlive)
-	moved.Address = "10.9.9.9:7002"
-	other := member(7, 1, membership.StateAlive)
-	other.Address = alive.Address
-	tests := []struct {
-		name  string
-		given func(o *observer)
-		want  bool
-	}{
-		{"it runs", func(o *observer) { o.observe(9*time.Second, alive, second) }, false},
-		{"it is suspected", func(o *observer) { o.observe(9*time.Second, member(1, 1, membership.StateSuspect), second) }, false},
-		{"dead for a short while", func(o *observer) { o.observe(time.Second, alive, second); o.observe(3*time.Second, dead, second) }, false},
-		{"dead for long", func(o *observer) {
-			o.observe(time.Second, alive, second)
-			o.observe(4500*time.Millisecond, dead, second)
-		}, true},
-		{"left for long", func(o *observer) { o.observe(4500*time.Millisecond, member(1, 1, membership.StateLeft), second) }, true},
-		{"dead, back and dead again", func(o *observer) {
-			o.observe(3*time.Second, dead, second)
-			o.observe(time.Second, alive, second)
-			o.observe(3*time.Second, dead, second)
-		}, false},
-		{"dead while a store without replicas runs", func(o *observer) {
-			o.observe(time.Second, alive, second)
-			o.observe(1500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
-		}, true},
-		{"suspected while a store without replicas has just come", func(o *observer) {
-			o.observe(time.Second, alive, second)
-			o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
-		}, true},
-		{"suspected for a short while", func(o *observer) {
-			o.observe(time.Second, alive, second)
-			o.observe(750*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
-		}, false},
-		{"suspected while a store without replicas has run for long", func(o *observer) {
-			o.observe(12*time.Second, alive, second, member(3, 1, membership.StateAlive))
-			o.observe(1500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
-		}, false},
-		{"suspected, then dead, while a store without replicas has just come", func(o *observer) {
-			o.observe(time.Second, alive, second)
-			o.observe(500*time.Millisecond, member(1, 1, membership.StateSuspect), second, member(3, 1, membership.StateAlive))
-			o.observe(500*time.Millisecond, dead, second, member(3, 1, membership.StateAlive))
-		}, true},
-		{"never seen, shortly after the start", func(o *observer) { o.observe(3*time.Second, second) }, false},
-		{"never seen, shortly after the start, while a store without replicas runs", func(o *observer) {
-			o.observe(3*time.Second, second, member(3, 1, membership.StateAlive))
-		}, false},
-		{"never seen for long", func(o *observer) { o.observe(4500*time.Millisecond, second) }, true},
-		{"wiped, at once", func(o *observer) { o.observe(0, member(1, 2, membership.StateAlive), second) }, true},
-		{"wiped at another address", func(o *observer) { o.observe(0, moved, second) }, true},
-		{"wiped, and down again", func(o *observer) { o.observe(0, member(1, 2, membership.StateDead), second) }, true},
-		{"another machine at its address", func(o *observer) { o.observe(0, other, second) }, true},
-		{"seen again after a pause of the process", func(o *observer) {
-			o.observe(2*time.Second, dead, second)
-			o.now = o.now.Add(time.Minute)
-			o.observe(3*time.Second, dead, second)
-		}, false},
-		{"never seen, and a pause of the process", func(o *observer) {
-			o.observe(2*time.Second, second)
-			o.now = o.now.Add(time.Minute)
-			o.observe(3*time.Second, second)
-		}, false},
-	}
-	for _, test := range tests {
+	for _, test := range lostReplicaCases {
 		t.Run(test.name, func(t *testing.T) {
 			o := newObserver()
 			test.given(o)
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -29,9 +29,9 @@
 
 func (c *steppingClock) Now() time.Time { return c.now }
 
-func (c *steppingClock) Sleep(ctx context.Context, pause time.Duration) error {
-	c.now = c.now.Add(pause)
-	c.slept = append(c.slept, pause)
+func (c *steppingClock) Sleep(ctx context.Context, duration time.Duration) error {
+	c.now = c.now.Add(duration)
+	c.slept = append(c.slept, duration)
 	if c.onNext != nil {
 		c.onNext()
 	}
@@ -40,8 +40,8 @@
 
 func (c *steppingClock) total() time.Duration {
 	var sum time.Duration
-	for _, pause := range c.slept {
-		sum += pause
+	for _, duration := range c.slept {
+		sum += duration
 	}
 	return sum
 }
@@ -59,16 +59,16 @@
 
 func startPlatform(t *testing.T, pageSize int, list ...model.Endpoint) *platform {
 	t.Helper()
-	stand := &platform{list: list, pageSize: pageSize}
-	stand.Server = httptest.NewUnstartedServer(stand)
-	stand.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+	server := &platform{list: list, pageSize: pageSize}
+	server.Server = httptest.NewUnstartedServer(server)
+	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
-			stand.opened.Add(1)
+			server.opened.Add(1)
 		}
 	}
-	stand.Start()
-	t.Cleanup(stand.Server.Close)
-	return stand
+	server.Start()
+	t.Cleanup(server.Server.Close)
+	return server
 }
 
 func (p *platform) ServeHTTP(response http.ResponseWriter, request *http.Request) {
@@ -93,10 +93,10 @@
 	_ = json.NewEncoder(response).Encode(answer)
 }
 
-func newTestReader(t *testing.T, stand *platform, clock *steppingClock, ratePerS float64) *Reader {
+func newTestReader(t *testing.T, server *platform, clock *steppingClock, ratePerS float64) *Reader {
 	t.Helper()
 	clock.now = time.Unix(1_000_000, 0)
-	reader, err := NewReader(Options{Address: stand.Listener.Addr().String(), RatePerS: ratePerS, Clock: clock})
+	reader, err := NewReader(Options{Address: server.Listener.Addr().String(), RatePerS: ratePerS, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,26 +127,26 @@
 
 func TestReadAll_ReadsAllPages(t *testing.T) {
 	want := endpoints(7)
-	stand := startPlatform(t, 3, want...)
-	got, err := newTestReader(t, stand, &steppingClock{}, 47).ReadAll(t.Context())
+	server := startPlatform(t, 3, want...)
+	got, err := newTestReader(t, server, &steppingClock{}, 47).ReadAll(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"/servers", "/servers?pageToken=p-3", "/servers?pageToken=p-6"}, stand.queries); diff != "" {
+	if diff := cmp.Diff([]string{"/servers", "/servers?pageToken=p-3", "/servers?pageToken=p-6"}, server.queries); diff != "" {
 		t.Error(diff)
 	}
-	if opened := stand.opened.Load(); opened != 1 {
+	if opened := server.opened.Load(); opened != 1 {
 		t.Errorf("%d connections", opened)
 	}
 }
 
 func TestReadAll_KeepsRate(t *testing.T) {
-	stand := startPlatform(t, 1, endpoints(40)...)
+	server := startPlatform(t, 1, endpoints(40)...)
 	clock := &steppingClock{}
-	if _, err := newTestReader(t, stand, clock, 10).ReadAll(t.Context()); err != nil {
+	if _, err := newTestReader(t, server, clock, 10).ReadAll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if clock.total() < 3900*time.Millisecond {
@@ -158,28 +158,28 @@
 	cases := []struct {
 		name    string
 		answer  func(http.ResponseWriter)
-		atLeast time.Duration
+		minWait time.Duration
 	}{
-		{name: "over the rate", answer: status(http.StatusTooManyRequests), atLeast: 50 * time.Millisecond},
+		{name: "over the rate", answer: status(http.StatusTooManyRequests), minWait: 50 * time.Millisecond},
 		{name: "over the rate, with a wait", answer: status(http.StatusTooManyRequests, "Retry-After", "1.5"),
-			atLeast: 1500 * time.Millisecond},
+			minWait: 1500 * time.Millisecond},
 		{name: "over the rate, with an endless wait", answer: status(http.StatusTooManyRequests, "Retry-After", "1e300"),
-			atLeast: 5 * time.Second},
-		{name: "broken platform", answer: status(http.StatusInternalServerError), atLeast: 50 * time.Millisecond},
-		{name: "a redirect", answer: status(http.StatusFound, "Location", "http://127.0.0.1:1/"), atLeast: 50 * time.Millisecond},
-		{name: "half a page", answer: body(`{"servers":[{"id":`), atLeast: 50 * time.Millisecond},
-		{name: "another thing", answer: body(`{}`), atLeast: 50 * time.Millisecond},
-		{name: "closed connection", answer: func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, atLeast: 50 * time.Millisecond},
+			minWait: 5 * time.Second},
+		{name: "broken platform", answer: status(http.StatusInternalServerError), minWait: 50 * time.Millisecond},
+		{name: "a redirect", answer: status(http.StatusFound, "Location", "http://127.0.0.1:1/"), minWait: 50 * time.Millisecond},
+		{name: "half a page", answer: body(`{"servers":[{"id":`), minWait: 50 * time.Millisecond},
+		{name: "another thing", answer: body(`{}`), minWait: 50 * time.Millisecond},
+		{name: "closed connection", answer: func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, minWait: 50 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			// Given a platform whose second page fails once
 			want := endpoints(4)
-			stand := startPlatform(t, 2, want...)
-			stand.answers = []func(http.ResponseWriter){nil, c.answer}
+			server := startPlatform(t, 2, want...)
+			server.answers = []func(http.ResponseWriter){nil, c.answer}
 			clock := &steppingClock{}
 			// When the list is read
-			got, err := newTestReader(t, stand, clock, 47).ReadAll(t.Context())
+			got, err := newTestReader(t, server, clock, 47).ReadAll(t.Context())
 			// Then it is complete, after a backoff, and the first page was read once
 			if err != nil {
 				t.Fatal(err)
@@ -187,11 +187,11 @@
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Error(diff)
 			}
-			if clock.total() < c.atLeast || clock.total() > c.atLeast+time.Second {
+			if clock.total() < c.minWait || clock.total() > c.minWait+time.Second {
 				t.Errorf("waited %v", clock.total())
 			}
-			if first := strings.Join(stand.queries, " "); strings.Count(first, "pageToken=p-2") < 2 {
-				t.Errorf("asked %v", stand.queries)
+			if first := strings.Join(server.queries, " "); strings.Count(first, "pageToken=p-2") < 2 {
+				t.Errorf("asked %v", server.queries)
 			}
 		})
 	}
@@ -199,33 +199,33 @@
 
 func TestReadAll_UnknownPage_Restarts(t *testing.T) {
 	want := endpoints(4)
-	stand := startPlatform(t, 2, want...)
-	stand.answers = []func(http.ResponseWriter){nil, status(http.StatusBadRequest)}
-	got, err := newTestReader(t, stand, &steppingClock{}, 47).ReadAll(t.Context())
+	server := startPlatform(t, 2, want...)
+	server.answers = []func(http.ResponseWriter){nil, status(http.StatusBadRequest)}
+	got, err := newTestReader(t, server, &steppingClock{}, 47).ReadAll(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if len(stand.queries) != 4 {
-		t.Errorf("asked %v", stand.queries)
+	if len(server.queries) != 4 {
+		t.Errorf("asked %v", server.queries)
 	}
 }
 
 func TestReadAll_EndlessList_EndsWithContext(t *testing.T) {
 	// Given a reader that knows the list, and a platform that goes
 	want := endpoints(2)
-	stand := startPlatform(t, 5, want...)
+	server := startPlatform(t, 5, want...)
 	clock := &steppingClock{}
-	reader := newTestReader(t, stand, clock, 47)
+	reader := newTestReader(t, server, clock, 47)
 	first, err := reader.ReadAll(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var known Merger
 	known.Merge(first)
-	stand.answers = []func(http.ResponseWriter){status(503), status(503), status(503)}
+	server.answers = []func(http.ResponseWriter){status(503), status(503), status(503)}
 	// When the context ends during the third pause
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -244,7 +244,7 @@
 	}
 	// And what was known stays
 	clock.onNext = nil
-	stand.list = stand.list[:1]
+	server.list = server.list[:1]
 	got, err := reader.ReadAll(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -259,8 +259,8 @@
 }
 
 func TestReadAll_Zone_InQuery(t *testing.T) {
-	stand := startPlatform(t, 5, endpoints(1)...)
-	reader, err := NewReader(Options{Address: stand.Listener.Addr().String(), RatePerS: 5, Zone: "hall a&b"})
+	server := startPlatform(t, 5, endpoints(1)...)
+	reader, err := NewReader(Options{Address: server.Listener.Addr().String(), RatePerS: 5, Zone: "hall a&b"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 	if _, err := reader.ReadAll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{"/servers?zone=hall+a%26b"}, stand.queries); diff != "" {
+	if diff := cmp.Diff([]string{"/servers?zone=hall+a%26b"}, server.queries); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -161,7 +161,7 @@
 				// when its requests come until the deadline,
 				d.run()
 				// then it gets no more of them than it may, whatever becomes of it,
-				if most := bounds.Share*float64(d.total) + bounds.Slack; float64(d.target) > most {
+				if maxRequests := bounds.Share*float64(d.total) + bounds.Slack; float64(d.target) > maxRequests {
 					t.Errorf("run %d: the target got %d of %d requests, %s at %v", seed, d.target, d.total, d.state, d.endedAt)
 				}
 				if d.fiftiethBadAt > 0 && d.lastRequestAt > d.fiftiethBadAt+rollbackTimeout {
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -1,77 +1,85 @@
 package rollout_test
 
 import (
+	"slices"
 	"testing"
 
 	"mastusher/internal/tools/mutation"
 )
 
-func TestMutantsAreNoticed(t *testing.T) {
-	t.Parallel()
-	mutation.Test(t, []mutation.Mutant{
-		{
-			Name: "only the newest proposal is recognized as a duplicate",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
-				New:  "known && newest.isDuplicate(&proposal)",
-			},
-			Run:    "^TestStateMachine_LateDuplicates_Acknowledged$",
-			Always: true,
+// duplicateMutants take another proposal for a duplicate, or a duplicate for another.
+var duplicateMutants = []mutation.Mutant{
+	{
+		Name: "only the newest proposal is recognized as a duplicate",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
+			New:  "known && newest.isDuplicate(&proposal)",
 		},
-		{
-			Name: "duplicates of ended roll-outs are not recognized",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
-				New:  "\ts.expireRecent(index)\n",
-			},
-			Run: "^TestStateMachine_Duplicate_StartsNoSecondRollout",
+		Run:    "^TestStateMachine_LateDuplicates_Acknowledged$",
+		Always: true,
+	},
+	{
+		Name: "duplicates of ended roll-outs are not recognized",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
+			New:  "\ts.expireRecent(index)\n",
 		},
-		{
-			Name: "the dedup window has no end",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
-				New:  "",
-			},
-			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+		Run: "^TestStateMachine_Duplicate_StartsNoSecondRollout",
+	},
+	{
+		Name: "the dedup window has no end",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "\ts.expireRecent(proposal.DedupExpiredIndex)\n",
+			New:  "",
 		},
-		{
-			Name: "a snapshot loses the recent proposals",
-			Change: mutation.Change{
-				File: "snapshot.go",
-				Old:  "\ts.recent = slices.Clone(snapshot.Recent)\n",
-				New:  "\t_ = slices.Clone(snapshot.Recent)\n",
-			},
-			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+		Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+	},
+	{
+		Name: "a snapshot loses the recent proposals",
+		Change: mutation.Change{
+			File: "snapshot.go",
+			Old:  "\ts.recent = slices.Clone(snapshot.Recent)\n",
+			New:  "\t_ = slices.Clone(snapshot.Recent)\n",
 		},
-		{
-			Name: "the target alone identifies a proposal",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
-				New:  "r.Service == proposal.Service && r.Target == proposal.Target",
-			},
-			Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+		Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+	},
+	{
+		Name: "the target alone identifies a proposal",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
+			New:  "r.Service == proposal.Service && r.Target == proposal.Target",
 		},
-		{
-			Name: "a duplicate of a roll-out in progress is rejected after its window",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
-				New:  "s.isRecentDuplicate(&proposal)",
-			},
-			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
+		Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
+	},
+}
+
+// inProgressMutants confuse a roll-out in progress with one of the same target.
+var inProgressMutants = []mutation.Mutant{
+	{
+		Name: "a duplicate of a roll-out in progress is rejected after its window",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
+			New:  "s.isRecentDuplicate(&proposal)",
 		},
-		{
-			Name: "a decision holds for any order of the target",
-			Change: mutation.Change{
-				File: "state_machine.go",
-				Old:  "newest.Index != decision.Order",
-				New:  "newest.Target != decision.Target",
-			},
-			Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
+		Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
+	},
+	{
+		Name: "a decision holds for any order of the target",
+		Change: mutation.Change{
+			File: "state_machine.go",
+			Old:  "newest.Index != decision.Order",
+			New:  "newest.Target != decision.Target",
 		},
-	})
+		Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
+	},
+}
+
+func TestMutantsAreNoticed(t *testing.T) {
+	t.Parallel()
+	mutation.Test(t, slices.Concat(duplicateMutants, inProgressMutants))
 }
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -62,70 +62,82 @@
 	}
 }
 
+const secondIndex = 20 // index of the order for v3
+
+// earlierProposal is the order that comes again.
+var earlierProposal = rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
+
+// lateDuplicate is the same from a controller at which the dedup window of the entries up to expired has ended.
+func lateDuplicate(expired uint64) rollout.Proposal {
+	duplicate := earlierProposal
+	duplicate.DedupExpiredIndex = expired
+	return duplicate
+}
+
+// changedProposal is another order, which differs from the earlier one in one field.
+func changedProposal(change func(*rollout.Proposal)) rollout.Proposal {
+	changed := earlierProposal
+	change(&changed)
+	return changed
+}
+
+// proposalOutcome is the answer to a proposal, and the roll-out that is the newest after it.
+type proposalOutcome struct {
+	Verdict rollout.Result
+	Target  string
+	State   rollout.State
+	From    string
+}
+
+var lateDuplicateCases = []struct {
+	name   string
+	first  rollout.State // how the order for v2 ends
+	second rollout.State // how the order for v3 after it ends
+	order  rollout.Proposal
+	want   proposalOutcome
+}{
+	{"finished, another in progress, within its window", rollout.Finished, rollout.InService, earlierProposal,
+		proposalOutcome{rollout.Accepted, "v3", rollout.InService, "v2"}},
+	{"finished, another finished, within its window", rollout.Finished, rollout.Finished, earlierProposal,
+		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
+	{"reverted, another finished, within its window", rollout.Reverted, rollout.Finished, earlierProposal,
+		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v1"}},
+	{"another time, within its window: another order", rollout.Finished, rollout.Finished, changedProposal(func(p *rollout.Proposal) { p.OverMs = 8000 }),
+		proposalOutcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
+	{"another service, within its window: another order", rollout.Finished, rollout.Finished, changedProposal(func(p *rollout.Proposal) { p.Service = "other" }),
+		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
+	{"finished, another in progress, after its window", rollout.Finished, rollout.InService, lateDuplicate(firstIndex),
+		proposalOutcome{rollout.InProgress, "v3", rollout.InService, "v2"}},
+	{"finished, another finished, after its window: back", rollout.Finished, rollout.Finished, lateDuplicate(firstIndex),
+		proposalOutcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
+	{"reverted, another finished, after its window: another attempt", rollout.Reverted, rollout.Finished, lateDuplicate(secondIndex),
+		proposalOutcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
+	{"finished, another reverted, after its window: it is in service", rollout.Finished, rollout.Reverted, lateDuplicate(secondIndex),
+		proposalOutcome{rollout.Accepted, "v2", rollout.Finished, "v2"}},
+}
+
 // TestStateMachine_LateDuplicates_Acknowledged has an order come again after others.
 func TestStateMachine_LateDuplicates_Acknowledged(t *testing.T) {
-	const second = 20 // index of the order for v3
-	type outcome struct {
-		Verdict rollout.Result
-		Target  string
-		State   rollout.State
-		From    string
-	}
-	duplicate := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
-	in := func(settled uint64, change func(o *rollout.Proposal)) rollout.Proposal {
-		o := duplicate
-		o.DedupExpiredIndex = settled
-		if change != nil {
-			change(&o)
-		}
-		return o
-	}
-	tests := []struct {
-		name   string
-		first  rollout.State // how the order for v2 ends
-		second rollout.State // how the order for v3 after it ends
-		order  rollout.Proposal
-		want   outcome
-	}{
-		{"finished, another in progress, within its window", rollout.Finished, rollout.InService, duplicate,
-			outcome{rollout.Accepted, "v3", rollout.InService, "v2"}},
-		{"finished, another finished, within its window", rollout.Finished, rollout.Finished, duplicate,
-			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
-		{"reverted, another finished, within its window", rollout.Reverted, rollout.Finished, duplicate,
-			outcome{rollout.Accepted, "v3", rollout.Finished, "v1"}},
-		{"another time, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.OverMs = 8000 }),
-			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
-		{"another service, within its window: another order", rollout.Finished, rollout.Finished, in(0, func(o *rollout.Proposal) { o.Service = "other" }),
-			outcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
-		{"finished, another in progress, after its window", rollout.Finished, rollout.InService, in(firstIndex, nil),
-			outcome{rollout.InProgress, "v3", rollout.InService, "v2"}},
-		{"finished, another finished, after its window: back", rollout.Finished, rollout.Finished, in(firstIndex, nil),
-			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
-		{"reverted, another finished, after its window: another attempt", rollout.Reverted, rollout.Finished, in(second, nil),
-			outcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
-		{"finished, another reverted, after its window: it is in service", rollout.Finished, rollout.Reverted, in(second, nil),
-			outcome{rollout.Accepted, "v2", rollout.Finished, "v2"}},
-	}
-	for _, test := range tests {
+	for _, test := range lateDuplicateCases {
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
 				// Given an order for v2 that has ended, and one for v3 after it,
 				r := machineWithProposal(t)
 				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: test.first})
-				if result := r.ApplyProposal(second, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); result != rollout.Accepted {
+				if result := r.ApplyProposal(secondIndex, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); result != rollout.Accepted {
 					t.Fatalf("the second order is %s", result)
 				}
 				if test.second != rollout.InService {
-					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", Order: second, State: test.second})
+					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", Order: secondIndex, State: test.second})
 				}
 				if snapshot {
 					r = restored(t, r)
 				}
 				// when an order like the first comes,
-				result := r.ApplyProposal(second+1, test.order)
+				result := r.ApplyProposal(secondIndex+1, test.order)
 				// then it is a duplicate of the first, or a new one, by what it says and when it comes.
 				roll, _ := r.Rollout("s")
-				if diff := cmp.Diff(test.want, outcome{result, roll.Target, roll.State, roll.Baseline}); diff != "" {
+				if diff := cmp.Diff(test.want, proposalOutcome{result, roll.Target, roll.State, roll.Baseline}); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
 			})
@@ -228,8 +240,8 @@
 			case 0, 1, 2:
 				o := rollout.Proposal{Service: "s", Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
 					OverMs: rapid.Int64Range(1, 2).Draw(t, "over"), DedupExpiredIndex: rapid.Uint64Range(0, index-1).Draw(t, "settled")}
-				if got, wanted := r.ApplyProposal(index, o), want.applyProposal(index, o); got != wanted {
-					t.Fatalf("order %+v was %s, want %s", o, got, wanted)
+				if got, expected := r.ApplyProposal(index, o), want.applyProposal(index, o); got != expected {
+					t.Fatalf("order %+v was %s, want %s", o, got, expected)
 				}
 			case 3:
 				d := rollout.Decision{Service: "s", Order: rapid.Uint64Range(want.newest().index, index).Draw(t, "order"),
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -101,7 +101,7 @@
 
 // TestRecover_DiskIsDamaged_ReturnsError damages the files of a shard before its log was read completely.
 func TestRecover_DiskIsDamaged_ReturnsError(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		damage func(t *testing.T, disk *memorydisk.Disk, names []string)
 	}{
@@ -135,7 +135,7 @@
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			disk := memorydisk.New()
 			members := []view.Replica{{ID: "a", Address: "a:1"}}
 			first := newIdleStore(disk)
@@ -150,7 +150,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.damage(t, disk, names)
+			test.damage(t, disk, names)
 			disk.Kill()
 			var damage *storage.CorruptError
 			if err := newIdleStore(disk).Recover(); !errors.As(err, &damage) {
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -71,34 +71,34 @@
 }
 
 func TestStore_Turns(t *testing.T) {
-	s := newStore(t, memorydisk.New())
-	s.ApplyUpdate(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
-	awaitPlacement(t, s, 2, 4)
+	store := newStore(t, memorydisk.New())
+	store.ApplyUpdate(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
+	awaitPlacement(t, store, 2, 4)
 	ctx := testContext(t)
 
 	// Given a turn that was begun and ended.
-	began, err := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
+	began, err := store.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
 	if err != nil || began.Verdict != program.Accepted {
 		t.Fatalf("begun: %v, %v", began, err)
 	}
-	ended, err := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End})
+	ended, err := store.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End})
 	if err != nil || ended.Verdict != program.Accepted {
 		t.Fatalf("ended: %v, %v", ended, err)
 	}
 
 	// Then its chain is found in its shard, and certainly not in another.
-	found, err := s.handleChain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
+	found, err := store.handleChain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
 	if diff := cmp.Diff(wire.ChainResponse{Found: true, Chain: []byte("input of aoutput")}, found); diff != "" || err != nil {
 		t.Errorf("chain (-want +got), %v:\n%s", err, diff)
 	}
-	if missing, err := s.handleChain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
+	if missing, err := store.handleChain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
 		t.Errorf("chain in another shard: %v, %v", missing, err)
 	}
 
 	// And a turn that goes on from one that isn't there is refused.
 	next := *beginTurn("b").Begin
 	next.Previous = "nothing"
-	if got, err := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
+	if got, err := store.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
 		t.Errorf("begun without its chain: %v, %v", got, err)
 	}
 }
@@ -106,31 +106,31 @@
 func TestStore_Restarts_KeepsTurns(t *testing.T) {
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
-		s := newStore(t, disk)
-		s.ApplyPlacement(4, alone(1))
-		awaitPlacement(t, s, 1, 4)
-		if got, err := s.handleBeginTurn(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
+		store := newStore(t, disk)
+		store.ApplyPlacement(4, alone(1))
+		awaitPlacement(t, store, 1, 4)
+		if got, err := store.handleBeginTurn(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
 			t.Fatalf("begun: %v, %v", got, err)
 		}
 	})
 	disk.LosePower(3)
-	s := newStore(t, disk)
-	s.ApplyPlacement(4, alone(1))
-	awaitPlacement(t, s, 1, 4)
-	if got, err := s.handleEndTurn(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
+	store := newStore(t, disk)
+	store.ApplyPlacement(4, alone(1))
+	awaitPlacement(t, store, 1, 4)
+	if got, err := store.handleEndTurn(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
 		t.Errorf("the end of a turn that was acknowledged: %v, %v", got, err)
 	}
 }
 
 func TestStore_ShardNotPlacedHere_RejectsCalls(t *testing.T) {
-	s := newStore(t, memorydisk.New())
-	s.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: []view.Replica{other}, Replicas: []view.Replica{other}}}})
+	store := newStore(t, memorydisk.New())
+	store.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: []view.Replica{other}, Replicas: []view.Replica{other}}}})
 	ctx := testContext(t)
 	for _, shard := range []int{0, 1, -1} {
-		_, begun := s.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn("a").Begin})
-		_, ended := s.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn("a").End})
-		_, found := s.handleChain(ctx, "", wire.ChainRequest{Shard: shard, Turn: "a"})
-		for name, err := range map[string]error{"begin": begun, "end": ended, "chain": found} {
+		_, beginErr := store.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: shard, Turn: *beginTurn("a").Begin})
+		_, endErr := store.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: shard, Turn: *endTurn("a").End})
+		_, chainErr := store.handleChain(ctx, "", wire.ChainRequest{Shard: shard, Turn: "a"})
+		for name, err := range map[string]error{"begin": beginErr, "end": endErr, "chain": chainErr} {
 			var notLeader *NotLeaderError
 			if !errors.As(err, &notLeader) || notLeader.Leader != "" {
 				t.Errorf("%s of shard %d: %v, want that it isn't its leader", name, shard, err)
@@ -141,7 +141,7 @@
 
 // TestStore_NotLeader_ErrorNamesLeader checks that a caller learns the leader.
 func TestStore_NotLeader_ErrorNamesLeader(t *testing.T) {
-	s := newStore(t, memorydisk.New())
+	store := newStore(t, memorydisk.New())
 	tests := []struct {
 		name string
 		err  error
@@ -154,23 +154,23 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var notLeader *NotLeaderError
-			if got := s.remoteError(test.err); !errors.As(got, &notLeader) || notLeader.Leader != test.want {
+			if got := store.remoteError(test.err); !errors.As(got, &notLeader) || notLeader.Leader != test.want {
 				t.Errorf("error %v, want that %q is the leader", got, test.want)
 			}
 		})
 	}
-	if got := s.remoteError(context.Canceled); !errors.Is(got, context.Canceled) {
+	if got := store.remoteError(context.Canceled); !errors.Is(got, context.Canceled) {
 		t.Errorf("error %v, want what it was", got)
 	}
 }
 
 // TestStore_OverTransport calls a store as proxies and controllers do.
 func TestStore_OverTransport(t *testing.T) {
-	s := newStore(t, memorydisk.New())
-	s.ApplyPlacement(4, alone(1))
-	awaitPlacement(t, s, 1, 4)
+	store := newStore(t, memorydisk.New())
+	store.ApplyPlacement(4, alone(1))
+	awaitPlacement(t, store, 1, 4)
 	handlers := transport.NewHandlers()
-	s.Register(handlers)
+	store.Register(handlers)
 	server, err := transport.Listen(freeAddress(t), handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
@@ -210,25 +210,25 @@
 
 // TestLeader_FollowsNewestPlacement applies placements in any order.
 func TestLeader_FollowsNewestPlacement(t *testing.T) {
-	s := newStore(t, memorydisk.New())
-	s.ApplyPlacement(4, alone(1))
-	awaitPlacement(t, s, 1, 4)
+	store := newStore(t, memorydisk.New())
+	store.ApplyPlacement(4, alone(1))
+	awaitPlacement(t, store, 1, 4)
 	target := alone(1)
 	target.Shards[0].Replicas = []view.Replica{self, other}
-	s.ApplyPlacement(9, target)
-	s.ApplyPlacement(6, alone(1))
+	store.ApplyPlacement(9, target)
+	store.ApplyPlacement(6, alone(1))
 
 	// Then the group adds the other store, and an older placement doesn't change that.
-	awaitPlacement(t, s, 1, 9)
-	running := s.shard(0)
+	awaitPlacement(t, store, 1, 9)
+	running := store.shard(0)
 	ctx := testContext(t)
 	for !cmp.Equal(running.group.Status().Members, []replica.Member{{ID: self.ID, Address: self.Address}, {ID: other.ID, Address: other.Address, Learner: true}}) {
 		if err := running.group.Read(ctx, func() {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.ApplyPlacement(8, alone(1))
-	s.ApplyPlacement(9, target)
+	store.ApplyPlacement(8, alone(1))
+	store.ApplyPlacement(9, target)
 	if got := running.machine.placement.Load(); got != 9 {
 		t.Errorf("follows placement %d, want 9", got)
 	}
@@ -236,10 +236,10 @@
 
 // TestReportMembers_NotLeader_IsEmpty checks that a follower reports no members.
 func TestReportMembers_NotLeader_IsEmpty(t *testing.T) {
-	s := newStore(t, memorydisk.New())
+	store := newStore(t, memorydisk.New())
 	both := []view.Replica{self, other}
-	s.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: both, Replicas: both}}})
-	answer, err := s.handleShardMembers(testContext(t), "", wire.ShardMembersRequest{})
+	store.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: both, Replicas: both}}})
+	answer, err := store.handleShardMembers(testContext(t), "", wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) > 0 {
 		t.Errorf("members: %v, %v", answer, err)
 	}
@@ -247,24 +247,24 @@
 
 // TestStore_GroupFails_ReportsFailure checks that the first error of a group is kept.
 func TestStore_GroupFails_ReportsFailure(t *testing.T) {
-	s := newStore(t, memorydisk.New())
+	store := newStore(t, memorydisk.New())
 	cause := errors.New("damage")
-	s.reportFailure(cause)
-	s.reportFailure(errors.New("another"))
-	if got := <-s.Failures(); !errors.Is(got, cause) {
+	store.reportFailure(cause)
+	store.reportFailure(errors.New("another"))
+	if got := <-store.Failures(); !errors.Is(got, cause) {
 		t.Errorf("failed with %v, want %v", got, cause)
 	}
 }
 
 func TestApplyUpdate_OtherSectionOrMalformed_IsIgnored(t *testing.T) {
-	s := newStore(t, memorydisk.New())
-	s.ApplyUpdate(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
-	s.ApplyUpdate(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
-	s.Deliver(group.Envelope{Group: "shard-"})
-	s.Deliver(group.Envelope{Group: "shard-x"})
-	s.Deliver(group.Envelope{Group: "shard-3"})
-	s.Deliver(group.Envelope{Group: "configuration"})
-	if len(s.running()) > 0 {
+	store := newStore(t, memorydisk.New())
+	store.ApplyUpdate(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
+	store.ApplyUpdate(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
+	store.Deliver(group.Envelope{Group: "shard-"})
+	store.Deliver(group.Envelope{Group: "shard-x"})
+	store.Deliver(group.Envelope{Group: "shard-3"})
+	store.Deliver(group.Envelope{Group: "configuration"})
+	if len(store.running()) > 0 {
 		t.Error("a shard was opened")
 	}
 }
