--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -64,12 +64,12 @@
 	f := c.fleet()
 	c.attempts++
 	sent.ID = fmt.Sprintf("t-%d", c.attempts)
-	record := f.history.addRequest(sent, proxy, f.loop.now)
+	record := f.history.addRequest(sent, proxy, f.loop.Now())
 	ended := func(outcome outcome, status int) {
 		if record.Outcome != outcomePending {
 			return
 		}
-		record.Outcome, record.Status, record.Ended = outcome, status, f.loop.now
+		record.Outcome, record.Status, record.Ended = outcome, status, f.loop.Now()
 		f.trace("client: %s at %s previous %q: outcome %d status %d", record.ID, proxy, record.Previous, outcome, status)
 		if done != nil {
 			done(record)
@@ -199,13 +199,13 @@
 func (c *clients) pollVersions() {
 	f := c.fleet()
 	for _, proxy := range f.proxyAddresses() {
-		started := f.loop.now
+		started := f.loop.Now()
 		f.network.ask(c.process, proxy, versionRequest{}, operatorTimeout, func(response any, err error) {
 			answer, _ := response.(versionAnswer)
 			if err != nil || answer.Content.Number == 0 {
 				return
 			}
-			f.history.versions = append(f.history.versions, versionSeen{Proxy: proxy, Incarnation: answer.Incarnation, Content: answer.Content, Started: started, Ended: f.loop.now})
+			f.history.versions = append(f.history.versions, versionSeen{Proxy: proxy, Incarnation: answer.Incarnation, Content: answer.Content, Started: started, Ended: f.loop.Now()})
 		})
 	}
 }
--- a/internal/tier/fleettest/configuration_test.go
+++ b/internal/tier/fleettest/configuration_test.go
@@ -48,7 +48,7 @@
 				leader := s.coreLeader()
 				s.onAcknowledged = func(*order) {
 					s.onAcknowledged = nil
-					s.loop.after(time.Duration(seed)*500*time.Microsecond, func() { ending.end(s.Fleet, leader) })
+					s.loop.After(time.Duration(seed)*500*time.Microsecond, func() { ending.end(s.Fleet, leader) })
 				}
 				order := s.operator.put(1, 2)
 				s.acknowledged(order)
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -292,7 +292,7 @@
 // reconcile keeps the members of all groups right while this member leads the configuration's group.
 func (c *controller) reconcile() {
 	c.process.after(reconcileInterval, c.reconcile)
-	now := time.UnixMilli(dayStart).Add(c.process.machine.fleet.loop.now)
+	now := time.UnixMilli(dayStart).Add(c.process.machine.fleet.loop.Now())
 	plan := c.planner.Reconcile(now, observedState(c))
 	if plan.GroupMembers != nil {
 		c.replica.setMembers(plan.GroupMembers)
--- a/internal/tier/fleettest/day.go
+++ b/internal/tier/fleettest/day.go
@@ -58,7 +58,7 @@
 	d.Boot()
 	d.startTraffic()
 	for _, fault := range plan.Faults {
-		d.loop.after(fault.At, func() { d.inject(fault) })
+		d.loop.After(fault.At, func() { d.inject(fault) })
 	}
 	d.RunFor(plan.Span + settlingTime)
 	d.endFaults()
@@ -101,7 +101,7 @@
 
 // every calls run at random intervals until the day is over.
 func (d *day) every(pace time.Duration, run func()) {
-	d.loop.after(d.loop.between(pace/2, 3*pace/2), func() {
+	d.loop.After(d.loop.between(pace/2, 3*pace/2), func() {
 		if d.over {
 			return
 		}
@@ -135,7 +135,7 @@
 // refreshVersion has an operator read which version is in force, after a refusal.
 func (d *day) refreshVersion(o *operator) {
 	read := o.get()
-	d.loop.after(500*time.Millisecond, func() {
+	d.loop.After(500*time.Millisecond, func() {
 		if read.Ended != 0 {
 			d.newestVersion = max(d.newestVersion, read.Content.Number)
 		}
@@ -143,7 +143,7 @@
 }
 
 func (d *day) whenAnswered(sent *order, done func()) {
-	d.loop.after(20*time.Millisecond, func() {
+	d.loop.After(20*time.Millisecond, func() {
 		if sent.Ended != 0 {
 			done()
 			return
--- a/internal/tier/fleettest/endpoint.go
+++ b/internal/tier/fleettest/endpoint.go
@@ -67,7 +67,7 @@
 		return
 	}
 	f := e.process.machine.fleet
-	number := f.history.addRun(run{ID: asked.ID, Endpoint: e.id, Service: e.service, Body: asked.Body, At: f.loop.now})
+	number := f.history.addRun(run{ID: asked.ID, Endpoint: e.id, Service: e.service, Body: asked.Body, At: f.loop.Now()})
 	if e.stuck {
 		return
 	}
--- a/internal/tier/fleettest/faultinjection.go
+++ b/internal/tier/fleettest/faultinjection.go
@@ -74,7 +74,7 @@
 
 // endLeader ends a machine within 4 ms.
 func (d *day) endLeader(leader *Machine, delay time.Duration, end func(...*Machine)) {
-	d.loop.after(d.loop.between(0, 4*time.Millisecond), func() {
+	d.loop.After(d.loop.between(0, 4*time.Millisecond), func() {
 		end(leader)
 		d.StartLater(delay, leader)
 	})
@@ -95,18 +95,18 @@
 	switch fault.Kind {
 	case FreezeFault:
 		d.Freeze(target)
-		d.loop.after(fault.For, func() { d.Thaw(target) })
+		d.loop.After(fault.For, func() { d.Thaw(target) })
 	case PartitionFault:
 		peers := append(d.quorumMachines(), d.edges...)
 		if fault.Other%2 == 0 {
 			peers = d.quorumMachines()
 		}
 		d.Partition([]*Machine{target}, peers)
-		d.loop.after(fault.For, func() { d.HealLinks([]*Machine{target}, peers) })
+		d.loop.After(fault.For, func() { d.HealLinks([]*Machine{target}, peers) })
 	case PartitionOneWayFault:
 		if target != other {
 			d.PartitionOneWay(target, other)
-			d.loop.after(fault.For, func() { d.HealLinks([]*Machine{target}, []*Machine{other}) })
+			d.loop.After(fault.For, func() { d.HealLinks([]*Machine{target}, []*Machine{other}) })
 		}
 	case ResetFault:
 		d.Reset(target, other)
@@ -114,13 +114,13 @@
 		d.StepClock(target, fault.For)
 	case SlowDiskFault:
 		d.SlowDisk(target, slowSyncTime)
-		d.loop.after(fault.For, func() { d.SlowDisk(target, d.options.SyncTime) })
+		d.loop.After(fault.For, func() { d.SlowDisk(target, d.options.SyncTime) })
 	case StalledDiskFault:
 		d.StallDisk(target)
-		d.loop.after(fault.For, func() { d.ResumeDisk(target) })
+		d.loop.After(fault.For, func() { d.ResumeDisk(target) })
 	case FullDiskFault:
 		d.FillDisk(target, freeBytes)
-		d.loop.after(fault.For, func() { d.FillDisk(target, -1) })
+		d.loop.After(fault.For, func() { d.FillDisk(target, -1) })
 	}
 }
 
@@ -138,14 +138,14 @@
 			swapped = modelService
 		}
 		d.ReplaceEndpoint(engine, swapped)
-		d.loop.after(fault.For, func() { d.ReplaceEndpoint(engine, service) })
+		d.loop.After(fault.For, func() { d.ReplaceEndpoint(engine, service) })
 	case ResponseLossFault:
 		engine.processes[0].handler.(*endpoint).stuck = true
 		d.recordFault()
-		d.loop.after(fault.For, func() { engine.processes[0].handler.(*endpoint).stuck = false })
+		d.loop.After(fault.For, func() { engine.processes[0].handler.(*endpoint).stuck = false })
 	case AckLossFault:
 		d.operators[0].ackLossRate = 0.7
-		d.loop.after(fault.For, func() { d.operators[0].ackLossRate = 0 })
+		d.loop.After(fault.For, func() { d.operators[0].ackLossRate = 0 })
 	case OrderRaceFault:
 		d.send(d.operators[1], func() {})
 	}
--- a/internal/tier/fleettest/faults.go
+++ b/internal/tier/fleettest/faults.go
@@ -41,7 +41,7 @@
 
 // StartLater starts machines after a delay.
 func (f *Fleet) StartLater(delay time.Duration, machines ...*Machine) {
-	f.loop.after(delay, func() { f.Start(machines...) })
+	f.loop.After(delay, func() { f.Start(machines...) })
 }
 
 // Freeze stops a machine without ending anything.
@@ -156,7 +156,7 @@
 	next := f.addCore(fmt.Sprintf("core-%d", f.hostCount+1), len(f.cores))
 	f.cores = f.replace(f.cores, old, next)
 	cores := f.currentCores()
-	f.loop.after(seedDelay, func() { f.coreList = cores })
+	f.loop.After(seedDelay, func() { f.coreList = cores })
 	return next
 }
 
@@ -180,7 +180,7 @@
 			remaining = append(remaining, m)
 		}
 	}
-	f.loop.after(f.loop.between(0, startWindow), next.start)
+	f.loop.After(f.loop.between(0, startWindow), next.start)
 	return append(remaining, next)
 }
 
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -162,24 +162,24 @@
 		m.start()
 	}
 	for _, m := range f.tier() {
-		f.loop.after(f.loop.between(0, startWindow), m.start)
+		f.loop.After(f.loop.between(0, startWindow), m.start)
 	}
 }
 
 // RunFor runs the events of a span of virtual time.
-func (f *Fleet) RunFor(span time.Duration) { f.loop.runUntil(f.loop.now+span, nil) }
+func (f *Fleet) RunFor(span time.Duration) { f.loop.RunFor(span) }
 
 // Until runs events until a condition holds or the timeout is over, and reports whether it holds.
 func (f *Fleet) Until(timeout time.Duration, condition func() bool) bool {
-	return f.loop.runUntil(f.loop.now+timeout, condition)
+	return f.loop.RunUntil(timeout, condition)
 }
 
 // Now is the virtual time since the beginning.
-func (f *Fleet) Now() time.Duration { return f.loop.now }
+func (f *Fleet) Now() time.Duration { return f.loop.Now() }
 
 func (f *Fleet) trace(format string, arguments ...any) {
 	if f.options.Trace != nil {
-		f.options.Trace("%10v "+format, append([]any{f.loop.now}, arguments...)...)
+		f.options.Trace("%10v "+format, append([]any{f.loop.Now()}, arguments...)...)
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 // recordFault records that a fault begins or ends now.
-func (f *Fleet) recordFault() { f.faultTimes = append(f.faultTimes, f.loop.now) }
+func (f *Fleet) recordFault() { f.faultTimes = append(f.faultTimes, f.loop.Now()) }
 
 // withoutFaults reports whether no fault began or ended in a span.
 func (f *Fleet) withoutFaults(from, to time.Duration) bool {
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -32,7 +32,7 @@
 
 // nowMs is the machine's time of day in ms.
 func (m *Machine) nowMs() int64 {
-	return dayStart + (m.fleet.loop.now + m.clockOffset).Milliseconds()
+	return dayStart + (m.fleet.loop.Now() + m.clockOffset).Milliseconds()
 }
 
 // process is one process of a machine. Its incarnation is raised with each start and each end, so that what was scheduled in an
@@ -75,7 +75,7 @@
 // after schedules run after a delay, in this incarnation of the process.
 func (p *process) after(delay time.Duration, run func()) {
 	incarnation := p.incarnation
-	p.machine.fleet.loop.after(delay, func() { p.execute(incarnation, run) })
+	p.machine.fleet.loop.After(delay, func() { p.execute(incarnation, run) })
 }
 
 // restartDelay is the time after which a process that has ended is started again.
@@ -103,7 +103,7 @@
 
 func (p *process) startLater(delay time.Duration) {
 	incarnation := p.incarnation
-	p.machine.fleet.loop.after(delay, func() {
+	p.machine.fleet.loop.After(delay, func() {
 		if p.incarnation == incarnation {
 			p.start()
 		}
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -66,7 +66,7 @@
 	f := m.process.machine.fleet
 	input := m.input
 	m.input = membership.Input{}
-	effects := m.swim.Step(f.loop.now, input)
+	effects := m.swim.Step(f.loop.Now(), input)
 	for i := range effects.Datagrams {
 		f.network.sendDatagram(m.process, effects.Datagrams[i].Address, gossipDatagram{membership: &effects.Datagrams[i].Message})
 	}
@@ -93,7 +93,7 @@
 
 func (m *member) setTimer(at time.Duration) {
 	m.wakeAt = at
-	m.process.after(at-m.process.machine.fleet.loop.now, func() {
+	m.process.after(at-m.process.machine.fleet.loop.Now(), func() {
 		if m.wakeAt == at && !m.scheduled {
 			m.step()
 		}
--- a/internal/tier/fleettest/network.go
+++ b/internal/tier/fleettest/network.go
@@ -110,9 +110,9 @@
 	}
 	generation := n.generation[way]
 	connection := [2]*process{from, to}
-	at := max(n.loop.now+n.delay(from.machine, to.machine), n.lastArrival[connection])
+	at := max(n.loop.Now()+n.delay(from.machine, to.machine), n.lastArrival[connection])
 	n.lastArrival[connection] = at
-	n.loop.after(at-n.loop.now, func() {
+	n.loop.After(at-n.loop.Now(), func() {
 		if n.generation[way] != generation {
 			if lost != nil {
 				lost()
@@ -125,20 +125,20 @@
 
 // enqueue keeps a message on a partitioned link for as long as its connection lasts.
 func (n *network) enqueue(way pair, from *process, carry, lost func()) {
-	incarnation, since := from.incarnation, n.loop.now
+	incarnation, since := from.incarnation, n.loop.Now()
 	fail := func() {
 		if lost != nil {
 			lost()
 		}
 	}
 	n.queued = append(n.queued, queuedMessage{way: way, since: since, lost: fail, carry: func() {
-		if from.incarnation != incarnation || n.loop.now-since > connectionTimeout {
+		if from.incarnation != incarnation || n.loop.Now()-since > connectionTimeout {
 			fail()
 			return
 		}
 		carry()
 	}})
-	n.loop.after(connectionTimeout, func() { n.expireQueued() })
+	n.loop.After(connectionTimeout, func() { n.expireQueued() })
 }
 
 // expireQueued drops messages that have waited for connectionTimeout.
@@ -146,7 +146,7 @@
 	remaining := n.queued[:0]
 	var dropped []queuedMessage
 	for _, message := range n.queued {
-		if n.loop.now-message.since >= connectionTimeout {
+		if n.loop.Now()-message.since >= connectionTimeout {
 			dropped = append(dropped, message)
 			continue
 		}
@@ -177,7 +177,7 @@
 		return
 	}
 	sender := from.address
-	n.loop.after(n.delay(from.machine, to.machine), func() {
+	n.loop.After(n.delay(from.machine, to.machine), func() {
 		to.execute(to.incarnation, func() { to.handler.handleDatagram(sender, message) })
 	})
 }
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -76,7 +76,7 @@
 func (*operator) handleDatagram(string, any) {}
 func (*operator) serve(*exchange, any)       {}
 func (o *operator) fleet() *Fleet            { return o.process.machine.fleet }
-func (o *operator) now() time.Duration       { return o.fleet().loop.now }
+func (o *operator) now() time.Duration       { return o.fleet().loop.Now() }
 func (o *operator) intN(limit int) int       { return o.fleet().loop.random.IntN(limit) }
 
 // addresses are the controllers that this operator may call.
--- a/internal/tier/fleettest/platform.go
+++ b/internal/tier/fleettest/platform.go
@@ -21,7 +21,7 @@
 // listLater puts an incarnation on the list in place of the one that had its address before.
 func (f *Fleet) listLater(e *endpoint) {
 	entry := model.Endpoint{ID: e.id, Service: e.service, Address: e.process.address, Zone: e.process.machine.zone, Capacity: 64, State: model.Ready}
-	f.loop.after(listDelay, func() {
+	f.loop.After(listDelay, func() {
 		var list []model.Endpoint
 		for _, listed := range f.listed {
 			if listed.Address != entry.Address {
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -66,7 +66,7 @@
 	})
 }
 
-func (c *programClient) now() time.Duration { return c.process.machine.fleet.loop.now }
+func (c *programClient) now() time.Duration { return c.process.machine.fleet.loop.Now() }
 
 // endTurn commits a turn at the leader of key's shard.
 func (c *programClient) endTurn(key string, turn program.EndTurn, within time.Duration, done func(error)) {
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -132,7 +132,7 @@
 
 // handleRequest takes a client's request.
 func (p *proxy) handleRequest(call *exchange, asked clientRequest) {
-	r := &proxyRequest{proxy: p, client: call, request: asked, deadline: p.process.machine.fleet.loop.now + requestTimeout, rejectedBy: map[string]bool{}}
+	r := &proxyRequest{proxy: p, client: call, request: asked, deadline: p.process.machine.fleet.loop.Now() + requestTimeout, rejectedBy: map[string]bool{}}
 	call.onCallerCanceled = r.clientCanceled
 	if !p.ready() {
 		r.reject()
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -53,7 +53,7 @@
 	r.commitIncomplete()
 }
 
-func (r *proxyRequest) now() time.Duration { return r.proxy.process.machine.fleet.loop.now }
+func (r *proxyRequest) now() time.Duration { return r.proxy.process.machine.fleet.loop.Now() }
 
 // beginTurn has the stores take the turn.
 func (r *proxyRequest) beginTurn() {
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -37,7 +37,7 @@
 	options.replica.Seed = f.loop.random.Uint64()
 	r.iterating = true
 	opened, err := group.Open(group.Options{Name: options.name, Replica: options.replica, Disk: r.disk, StateMachine: options.machine,
-		Send: r.send, CompactionBytes: options.compact, Logger: log.NewNopLogger(), Clock: func() time.Duration { return f.loop.now },
+		Send: r.send, CompactionBytes: options.compact, Logger: log.NewNopLogger(), Clock: func() time.Duration { return f.loop.Now() },
 		OnStatusChange: options.changed})
 	r.iterating = false
 	if err != nil {
@@ -120,7 +120,7 @@
 
 func (r *replicaRunner) setTimer(at time.Duration) {
 	r.wakeAt = at
-	now := r.process.machine.fleet.loop.now
+	now := r.process.machine.fleet.loop.Now()
 	r.process.after(at-now, func() {
 		if r.wakeAt == at && !r.scheduled {
 			r.iterate()
--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mastusher/internal/tier/view"
-	"mastusher/internal/tier/virtualtime"
+	"mastusher/internal/virtualtime"
 )
 
 // cluster is a set of hosts in virtual time, joined by an in-memory network.
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mastusher/internal/tier/virtualtime"
+	"mastusher/internal/virtualtime"
 )
 
 // cluster is a set of hosts in virtual time, joined by an in-memory network.
--- a/internal/tier/virtualtime/loop_test.go
+++ b/internal/virtualtime/loop_test.go
@@ -30,6 +30,6 @@
 	}
 	// When a step is asked for, then the next event runs, and there is no other.
 	if !loop.Step() || loop.Now() != 3*time.Second || loop.Step() {
-		t.Errorf("it is %v, and %d events are left", loop.Now(), len(loop.events))
+		t.Errorf("it is %v, and %d events are left", loop.Now(), loop.events.Len())
 	}
 }
