--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -112,7 +112,7 @@
 
 // propose proposes a change at a relay and keeps it for the judgement.
 func (run *randomRun) propose(r *Relay, base uint64, doc string) proposal {
-	p := proposal{base: base, at: run.Now}
+	p := proposal{base: base, at: run.Now()}
 	p.ticket = run.Propose(r, base, doc)
 	run.proposals = append(run.proposals, p)
 	return p
@@ -231,9 +231,9 @@
 
 // awaitChange proposes changes until one takes effect everywhere; otherwise it says how all relays stand.
 func (run *randomRun) awaitChange() string {
-	last := proposal{at: run.Now - run.Lease}
+	last := proposal{at: run.Now() - run.Lease}
 	ok := run.Await(60*run.Lease, func() bool {
-		if last.ticket == 0 && run.Now-last.at > 200*time.Millisecond || run.Now-last.at > 10*run.Lease {
+		if last.ticket == 0 && run.Now()-last.at > 200*time.Millisecond || run.Now()-last.at > 10*run.Lease {
 			last = run.propose(run.Relays[0], run.version(), `{"format":1}`)
 		}
 		p, done := run.Outcome(last.ticket)
@@ -257,7 +257,7 @@
 // finish records how the proposals ended, and judges the history.
 func (run *randomRun) finish(res *Result) {
 	for _, p := range run.proposals {
-		e := checker.Entry{At: p.at, Until: run.Now, Kind: checker.Proposed, Base: p.base}
+		e := checker.Entry{At: p.at, Until: run.Now(), Kind: checker.Proposed, Base: p.base}
 		if end, done := run.Outcome(p.ticket); done && end.DropReason == "" {
 			e.Version = end.Version
 			res.InForce++
--- a/internal/relay/fleet/simulation/random_test.go
+++ b/internal/relay/fleet/simulation/random_test.go
@@ -27,9 +27,9 @@
 		}
 		t.Fatal("they don't act")
 	}
-	t.Log("act after", w.Now)
+	t.Log("act after", w.Now())
 	w.Run(3 * time.Second)
-	at := w.Now
+	at := w.Now()
 	ticket := w.Propose(w.Relays[4], 0, `{"format":1}`)
 	if !w.Await(10*time.Second, func() bool { return w.AllActOn(1) }) {
 		for _, r := range w.Relays {
@@ -37,7 +37,7 @@
 		}
 		t.Fatal("not in force")
 	}
-	t.Log("in force after", w.Now-at)
+	t.Log("in force after", w.Now()-at)
 	if p, ok := w.Outcome(ticket); !ok || p.DropReason != "" {
 		t.Fatal(p, ok)
 	}
--- a/internal/relay/fleet/simulation/relay.go
+++ b/internal/relay/fleet/simulation/relay.go
@@ -22,7 +22,7 @@
 
 	clockRate, clockOffset float64 // its clock
 	disk                   disk
-	wakeEvent              uint64 // id of the step that is scheduled; earlier ones do nothing
+	scheduledSteps         uint64 // of all incarnations; only the newest of them is run
 	DiskFull               bool   // saves fail
 	actionsUntilCrash      int    // below 0: it does not crash
 	events                 []node.Event
@@ -45,7 +45,7 @@
 		cfg.Roster = w.roster
 	}
 	image := r.disk.clone().image
-	n, err := node.New(cfg, &image, r.clock(w.Now))
+	n, err := node.New(cfg, &image, r.clock(w.Now()))
 	if err != nil {
 		w.reportViolation(r, err.Error())
 		return
@@ -102,7 +102,7 @@
 	if r.Node != incarnation || incarnation == nil {
 		return
 	}
-	if !r.Stopped && r.Mandate.Halted == 0 && r.Mandate.Until > r.clock(w.Now) {
+	if !r.Stopped && r.Mandate.Halted == 0 && r.Mandate.Until > r.clock(w.Now()) {
 		w.record(checker.Entry{Kind: checker.Acted, Relay: r.Name, Version: r.Mandate.Version})
 	}
 	w.After(w.ActInterval, func() { w.tryToAct(r, incarnation) })
@@ -123,28 +123,27 @@
 
 // scheduleStep has a relay step after d, in place of the step that was scheduled before.
 func (w *World) scheduleStep(r *Relay, d time.Duration) {
-	incarnation := r.Node
-	var no uint64
-	no = w.After(d, func() {
-		if r.Node == incarnation && incarnation != nil && !r.Stopped && r.wakeEvent == no {
+	r.scheduledSteps++
+	incarnation, number := r.Node, r.scheduledSteps
+	w.After(d, func() {
+		if r.Node == incarnation && incarnation != nil && !r.Stopped && r.scheduledSteps == number {
 			w.step(r)
 		}
 	})
-	r.wakeEvent = no
 }
 
 // step has a node handle its events, and performs its actions in order; a crash or a full disk loses those after it.
 func (w *World) step(relay *Relay) {
-	now := relay.clock(w.Now)
+	now := relay.clock(w.Now())
 	evs := relay.events
 	relay.events = nil
 	if w.Steps++; w.Steps%stormSteps == 0 {
-		if w.Now-w.stormAt < time.Duration(stormSteps/len(w.Relays))*stormGap { // they answer each other for ever
+		if w.Now()-w.stormAt < time.Duration(stormSteps/len(w.Relays))*stormGap { // they answer each other for ever
 			w.reportViolation(relay, "a storm of messages")
-			w.queue = nil
+			w.loop.Clear()
 			return
 		}
-		w.stormAt = w.Now
+		w.stormAt = w.Now()
 	}
 	for _, a := range relay.Node.Step(now, evs) {
 		if relay.actionsUntilCrash >= 0 {
--- a/internal/relay/fleet/simulation/scale.go
+++ b/internal/relay/fleet/simulation/scale.go
@@ -28,16 +28,16 @@
 	o := Options{Relays: relays, Voters: min(5, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, MaxClockDrift: 0.01, Delay: 300 * time.Microsecond}
 	world := New(o)
 	world.Await(60*time.Second, func() bool { return world.AllActOn(0) && world.formed() })
-	figures.Formation = world.Now
+	figures.Formation = world.Now()
 	world.Run(4 * time.Second)
 	var took []time.Duration
 	for v := range uint64(9) {
-		at := world.Now
+		at := world.Now()
 		world.Propose(world.Relays[relays-1], v, `{"format":1,"stamp":true}`)
-		for !world.AllActOn(v+1) && world.Now-at < 30*time.Second {
+		for !world.AllActOn(v+1) && world.Now()-at < 30*time.Second {
 			world.Run(time.Millisecond)
 		}
-		took = append(took, world.Now-at)
+		took = append(took, world.Now()-at)
 		world.Run(time.Second)
 	}
 	slices.Sort(took)
@@ -70,9 +70,9 @@
 			world.Crash(r)
 		}
 	}
-	at := world.Now
+	at := world.Now()
 	world.Propose(world.Relays[0], 9, `{"format":1}`)
 	world.Await(60*time.Second, func() bool { return world.AllActOn(10) })
-	figures.TenthDown = world.Now - at
+	figures.TenthDown = world.Now() - at
 	return figures
 }
--- a/internal/relay/fleet/simulation/scenario_test.go
+++ b/internal/relay/fleet/simulation/scenario_test.go
@@ -78,11 +78,11 @@
 	}
 	w.isolate(last)
 	w.Propose(w.Relays[1], 0, `{"format":1}`)
-	at := w.Now
+	at := w.Now()
 	if !w.Await(3*o.Lease, func() bool { return w.Relays[1].Mandate.Version == 1 }) {
 		t.Fatal("the change waits for ever for one that is cut off")
 	}
-	if took := w.Now - at; took < o.Lease/2 || took > 2*o.Lease {
+	if took := w.Now() - at; took < o.Lease/2 || took > 2*o.Lease {
 		t.Errorf("the change took %v, with a lease of %v out", took, o.Lease)
 	}
 	w.Run(o.Lease)
--- a/internal/relay/fleet/simulation/sharing.go
+++ b/internal/relay/fleet/simulation/sharing.go
@@ -26,7 +26,7 @@
 
 // SpendableShare is the share of a key that a relay may spend now, by its own clock and the lease that its core has.
 func (w *World) SpendableShare(r *Relay, k quota.Key) float64 {
-	now := r.clock(w.Now)
+	now := r.clock(w.Now())
 	if r.Node == nil || r.Stopped || r.Mandate.Until <= now {
 		return 0
 	}
--- a/internal/relay/fleet/simulation/sharing_test.go
+++ b/internal/relay/fleet/simulation/sharing_test.go
@@ -98,7 +98,7 @@
 	minShare := 1.0
 	for range 400 {
 		w.Run(10 * time.Millisecond)
-		if w.Relays[3].Mandate.Until > w.Relays[3].clock(w.Now) {
+		if w.Relays[3].Mandate.Until > w.Relays[3].clock(w.Now()) {
 			minShare = min(minShare, w.SpendableShare(w.Relays[3], key))
 		}
 	}
@@ -148,7 +148,7 @@
 	o := sharing(8, 5, nil)
 	var at time.Duration
 	o.Demands = func(w *World, r *Relay) []quota.Demand {
-		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.Index], StateAge: w.Now - at}}
+		return []quota.Demand{{Key: key, Rate: 1, Value: 1, Limit: 100, State: sees[r.Index], StateAge: w.Now() - at}}
 	}
 	w := formedWorld(t, o)
 	leasedBy := func(r int) quota.KeyShare {
@@ -159,7 +159,7 @@
 	}
 	see := func(s quota.State, relays ...int) {
 		clear(sees)
-		at = w.Now
+		at = w.Now()
 		for _, r := range relays {
 			sees[r] = s
 		}
@@ -177,7 +177,7 @@
 	if leasedBy(6).State != quota.Down || leasedBy(5).State != quota.Down {
 		t.Errorf("one of each zone: told %v and %v", leasedBy(6).State, leasedBy(5).State)
 	}
-	sees[4], sees[5], at = quota.Healthy, quota.Healthy, w.Now // as where each second call fails
+	sees[4], sees[5], at = quota.Healthy, quota.Healthy, w.Now() // as where each second call fails
 	w.Run(1500 * time.Millisecond)
 	if leasedBy(6).State == quota.Down || leasedBy(7).State == quota.Down {
 		t.Errorf("as many deliver there as fail: told %v and %v", leasedBy(6).State, leasedBy(7).State)
@@ -365,17 +365,17 @@
 	o := sharing(5, 91, func(_ *Relay) float64 { return 40 })
 	w := formedWorld(t, o)
 	slow := w.Relays[4]
-	now := slow.clock(w.Now)
+	now := slow.clock(w.Now())
 	slow.clockRate = 0.7 // the bound is 0.05 either way
-	slow.clockOffset = float64(now) - float64(w.Now)*slow.clockRate
+	slow.clockOffset = float64(now) - float64(w.Now())*slow.clockRate
 	w.Run(2 * o.Lease)
 	w.isolate(slow)
-	partitionedAt, maxSum := w.Now, 0.0
+	partitionedAt, maxSum := w.Now(), 0.0
 	var last time.Duration
-	for w.Now < partitionedAt+4*o.Lease {
+	for w.Now() < partitionedAt+4*o.Lease {
 		w.Run(10 * time.Millisecond)
 		if _, sum := w.shares(); sum > 1+1e-9 {
-			maxSum, last = max(maxSum, sum), w.Now-partitionedAt
+			maxSum, last = max(maxSum, sum), w.Now()-partitionedAt
 		}
 	}
 	if bound := time.Duration(float64(o.Lease) * (1 + 0.05) / 0.7); last > bound || maxSum > 1.3 {
--- a/internal/relay/fleet/simulation/world.go
+++ b/internal/relay/fleet/simulation/world.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -11,6 +10,7 @@
 	"mastusher/internal/relay/fleet/node"
 	"mastusher/internal/relay/fleet/policy"
 	"mastusher/internal/relay/fleet/quota"
+	"mastusher/internal/virtualtime"
 )
 
 // Options configure a world. Shares and probabilities are of 1.
@@ -33,7 +33,6 @@
 // World is a fleet in virtual time. It must be used by one goroutine.
 type World struct {
 	Options
-	Now       time.Duration
 	Relays    []*Relay
 	History   []checker.Entry
 	Datagrams int // sent, lost ones included
@@ -43,8 +42,7 @@
 
 	rng             *rand.Rand
 	byName          map[string]*Relay
-	queue           eventQueue
-	lastEventID     uint64
+	loop            virtualtime.Loop
 	partitioned     map[[2]int]bool // by sender and receiver
 	measure         func(*node.Message) int
 	onMeasured      func(from, to *Relay, bytes int)
@@ -79,28 +77,19 @@
 	return w
 }
 
-// After schedules do, and returns the id of the event.
-func (w *World) After(d time.Duration, do func()) uint64 {
-	w.lastEventID++
-	heap.Push(&w.queue, event{w.Now + d, w.lastEventID, do})
-	return w.lastEventID
-}
+// Now is the virtual time since the world's beginning.
+func (w *World) Now() time.Duration { return w.loop.Now() }
 
-// Run processes the events of the next d.
-func (w *World) Run(d time.Duration) {
-	until := w.Now + d
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.Now = max(w.Now, e.at)
-		e.run()
-	}
-	w.Now = until
-}
+// After schedules run for when a delay has passed.
+func (w *World) After(delay time.Duration, run func()) { w.loop.After(delay, run) }
+
+// Run processes the events of the next span.
+func (w *World) Run(span time.Duration) { w.loop.RunFor(span) }
 
 // Await runs until a condition holds; false: it did not within d.
 func (w *World) Await(d time.Duration, holds func() bool) bool {
-	for end := w.Now + d; !holds(); w.Run(2 * time.Millisecond) {
-		if w.Now >= end {
+	for end := w.Now() + d; !holds(); w.Run(2 * time.Millisecond) {
+		if w.Now() >= end {
 			return false
 		}
 	}
@@ -136,7 +125,7 @@
 
 // record appends an entry to the history.
 func (w *World) record(e checker.Entry) {
-	e.At = w.Now
+	e.At = w.Now()
 	w.History = append(w.History, e)
 }
 
@@ -174,7 +163,7 @@
 // AllActOn reports whether every running relay may act now and does so on a version.
 func (w *World) AllActOn(version uint64) bool {
 	for _, r := range w.Relays {
-		if r.Node != nil && (r.Mandate.Version != version || r.Mandate.Halted != 0 || r.Mandate.Until <= r.clock(w.Now)) {
+		if r.Node != nil && (r.Mandate.Version != version || r.Mandate.Halted != 0 || r.Mandate.Until <= r.clock(w.Now())) {
 			return false
 		}
 	}
