--- a/internal/relay/simulator/call.go
+++ b/internal/relay/simulator/call.go
@@ -61,8 +61,8 @@
 	msg.inFlight++
 	r.relays[i].inFlight[a.ID] = n
 	r.Stats.recordCall()
-	r.queue.push(r.now+r.networkDelay(i, e, true), eventCallArrival, n, 0)
-	r.queue.push(r.now+a.For, eventCallTimeout, n, c.generation)
+	r.schedule(r.now+r.networkDelay(i, e, true), eventCallArrival, n, 0)
+	r.schedule(r.now+a.For, eventCallTimeout, n, c.generation)
 }
 
 // respond sends the response to call n back to its relay, which has it one network delay later.
@@ -73,7 +73,7 @@
 		return
 	}
 	c.result, c.retryAfter = result, wait
-	r.queue.push(r.now+r.networkDelay(c.relay, c.endpoint, true), eventResponse, n, 0)
+	r.schedule(r.now+r.networkDelay(c.relay, c.endpoint, true), eventResponse, n, 0)
 }
 
 func (r *Run) release(n int32) {
--- a/internal/relay/simulator/client.go
+++ b/internal/relay/simulator/client.go
@@ -51,7 +51,7 @@
 	}
 	wait = time.Duration(float64(wait) * (0.5 + r.rng.Float64()))
 	r.Stats.recordResubmission()
-	r.queue.push(r.now+max(wait, time.Millisecond), eventSubmission, m, (at+1)%int32(len(r.relays)))
+	r.schedule(r.now+max(wait, time.Millisecond), eventSubmission, m, (at+1)%int32(len(r.relays)))
 }
 
 // finishSubmission handles a relay's Refuse or Fail: the client resubmits what was refused.
--- a/internal/relay/simulator/doc.go
+++ b/internal/relay/simulator/doc.go
@@ -10,7 +10,7 @@
 // generators seeded by World.Seed, and no map may be ranged over where the order can reach a decision or a random draw. The same
 // world therefore gives the same Result.Hash on every machine. A Run must not be used by two goroutines; runs share nothing.
 //
-// Files: run.go is the event loop and event_queue.go its heap; workload.go draws messages, client.go submits and resubmits them;
+// Files: run.go is the event loop and event.go what it processes; workload.go draws messages, client.go submits and resubmits them;
 // relay.go runs policies in turns; call.go and endpoint.go serve calls, overload.go models the collapse of cold endpoints;
 // fault.go injects faults, list.go spreads changes of the endpoint list, sharing.go the relays' shared limits; checker.go, stats.go,
 // fleet_stats.go and result.go measure; world.go, world_file.go and validate.go define worlds, random.go draws them and shrink.go
--- a/internal/relay/simulator/endpoint.go
+++ b/internal/relay/simulator/endpoint.go
@@ -103,7 +103,7 @@
 	if e.slowRelays == 0 || int(c.relay) < e.slowRelays {
 		took *= e.slowFactor
 	}
-	r.queue.push(r.now+time.Duration(took), eventServiceDone, n, c.generation)
+	r.schedule(r.now+time.Duration(took), eventServiceDone, n, c.generation)
 }
 
 func (r *Run) completeService(n, no int32) {
--- a/internal/relay/simulator/event_queue.go
+++ b/internal/relay/simulator/event.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// scheduledEvent is something due at a virtual time. Events of one time are processed in the order in which they were pushed.
-type scheduledEvent struct {
-	at   time.Duration
-	seq  uint64
+// event is something that happens to what its kind says. It holds indices and no pointers: a run schedules some millions.
+type event struct {
 	kind eventKind
 	a, b int32
 }
 
+// eventKind names what an event does, and what its a and b are.
 type eventKind uint8
 
 const (
@@ -30,56 +29,7 @@
 	eventQuotaGrant                     // envelope a, a grant, reaches its relay
 )
 
-// queue is a 4-ary min-heap, which is shallower than a binary one.
-type queue struct {
-	items []scheduledEvent
-	seq   uint64
-}
-
-func (q *queue) push(at time.Duration, do eventKind, a, b int32) {
-	q.seq++
-	it := scheduledEvent{at, q.seq, do, a, b}
-	q.items = append(q.items, it)
-	i := len(q.items) - 1
-	for i > 0 {
-		up := (i - 1) / 4
-		if !it.before(&q.items[up]) {
-			break
-		}
-		q.items[i] = q.items[up]
-		i = up
-	}
-	q.items[i] = it
-}
-
-func (it *scheduledEvent) before(o *scheduledEvent) bool {
-	return it.at < o.at || it.at == o.at && it.seq < o.seq
-}
-
-func (q *queue) pop() scheduledEvent {
-	first := q.items[0]
-	n := len(q.items) - 1
-	last := q.items[n]
-	q.items = q.items[:n]
-	i := 0
-	for {
-		earliest := 4*i + 1
-		if earliest >= n {
-			break
-		}
-		for c := earliest + 1; c < min(4*i+5, n); c++ {
-			if q.items[c].before(&q.items[earliest]) {
-				earliest = c
-			}
-		}
-		if !q.items[earliest].before(&last) {
-			break
-		}
-		q.items[i] = q.items[earliest]
-		i = earliest
-	}
-	if n > 0 {
-		q.items[i] = last
-	}
-	return first
+// schedule has an event processed at a virtual time. Events of one time are processed in the order in which they were scheduled.
+func (r *Run) schedule(at time.Duration, kind eventKind, a, b int32) {
+	r.queue.Push(at, event{kind: kind, a: a, b: b})
 }
--- a/internal/relay/simulator/fault.go
+++ b/internal/relay/simulator/fault.go
@@ -75,9 +75,9 @@
 		if f.FlapPeriod > 0 {
 			next = min(next, r.now+time.Duration(f.FlapPeriod)/2)
 		}
-		r.queue.push(next, eventFault, int32(i), 0)
+		r.schedule(next, eventFault, int32(i), 0)
 	} else if f.FlapPeriod > 0 && r.now+time.Duration(f.FlapPeriod)/2 < end {
-		r.queue.push(r.now+time.Duration(f.FlapPeriod)/2, eventFault, int32(i), 1)
+		r.schedule(r.now+time.Duration(f.FlapPeriod)/2, eventFault, int32(i), 1)
 	}
 }
 
--- a/internal/relay/simulator/list.go
+++ b/internal/relay/simulator/list.go
@@ -19,7 +19,7 @@
 	r.endpoints[n].listed = s
 	r.listUpdates = append(r.listUpdates, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{r.listedEndpoint(n, s)}})
 	for i := range r.relays {
-		r.queue.push(r.now+time.Duration(float64(r.World.ListDelay)*(0.5+r.rng.Float64())), eventListUpdate, int32(len(r.listUpdates)-1), int32(i))
+		r.schedule(r.now+time.Duration(float64(r.World.ListDelay)*(0.5+r.rng.Float64())), eventListUpdate, int32(len(r.listUpdates)-1), int32(i))
 	}
 }
 
--- a/internal/relay/simulator/overload.go
+++ b/internal/relay/simulator/overload.go
@@ -14,7 +14,7 @@
 		return
 	}
 	e.overloadedSince = r.now
-	r.queue.push(r.now+overloadWindow, eventOverloadCheck, n, 0)
+	r.schedule(r.now+overloadWindow, eventOverloadCheck, n, 0)
 }
 
 // checkOverload collapses a cold endpoint that was overloaded for the whole window; it comes back after overloadRecovery.
@@ -25,7 +25,7 @@
 	}
 	r.Checker.report(ruleColdReturn, -1, -1, "a cold endpoint is pushed over")
 	r.takeDown(n)
-	r.queue.push(r.now+overloadRecovery, eventOverloadEnd, n, 0)
+	r.schedule(r.now+overloadRecovery, eventOverloadEnd, n, 0)
 }
 
 // takeDown takes an endpoint down: all calls that it serves or has queued are reset.
--- a/internal/relay/simulator/relay.go
+++ b/internal/relay/simulator/relay.go
@@ -54,7 +54,7 @@
 	at = (max(at, r.now) + grid) / grid * grid
 	if re.nextTurn == 0 || at < re.nextTurn {
 		re.nextTurn = at
-		r.queue.push(at, eventTurn, i, 0)
+		r.schedule(at, eventTurn, i, 0)
 	}
 }
 
--- a/internal/relay/simulator/run.go
+++ b/internal/relay/simulator/run.go
@@ -8,6 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"mastusher/control"
+	"mastusher/internal/virtualtime"
 )
 
 // What all worlds have in common, as the relay's rules have it.
@@ -28,7 +29,7 @@
 
 	rng            *rand.Rand
 	now            time.Duration
-	queue          queue
+	queue          virtualtime.Queue[event]
 	relays         []relay
 	endpoints      []endpoint
 	messages       []message
@@ -73,9 +74,9 @@
 		}
 	}
 	for i := range w.Faults {
-		r.queue.push(clockStart+time.Duration(w.Faults[i].At), eventFault, int32(i), 1)
+		r.schedule(clockStart+time.Duration(w.Faults[i].At), eventFault, int32(i), 1)
 	}
-	r.queue.push(clockStart, eventNextMessage, 0, 0)
+	r.schedule(clockStart, eventNextMessage, 0, 0)
 	return r, nil
 }
 
@@ -85,14 +86,11 @@
 	for _, c := range r.World.Classes {
 		last = max(last, clockStart+time.Duration(r.World.Length)+time.Duration(c.Deadline)+5*time.Second)
 	}
-	for len(r.queue.items) > 0 {
-		it := r.queue.pop()
-		if it.at > last {
-			break
-		}
-		r.now = it.at
+	for r.queue.Len() > 0 && r.queue.NextAt() <= last {
+		at, next := r.queue.Pop()
+		r.now = at
 		r.Stats.advanceTo(r.now - clockStart)
-		r.dispatch(it)
+		r.dispatch(next)
 	}
 	for m := range r.messages { // their clients have waited past the deadline
 		if r.messages[m].deadline <= last {
@@ -103,38 +101,38 @@
 	return r.result()
 }
 
-func (r *Run) dispatch(event scheduledEvent) {
-	switch event.kind {
+func (r *Run) dispatch(next event) {
+	switch next.kind {
 	case eventNextMessage:
 		r.generateMessage()
 	case eventArrival, eventSubmission:
-		r.submit(event.a, event.b)
+		r.submit(next.a, next.b)
 	case eventTurn:
-		r.turn(event.a)
+		r.turn(next.a)
 	case eventCallArrival:
-		r.arriveAtEndpoint(event.a)
+		r.arriveAtEndpoint(next.a)
 	case eventServiceDone:
-		r.completeService(event.a, event.b)
+		r.completeService(next.a, next.b)
 	case eventResponse:
-		r.handleResponse(event.a)
+		r.handleResponse(next.a)
 	case eventCallTimeout:
-		if c := &r.calls[event.a]; c.generation == event.b && (c.state == callInFlight || c.state == callUnanswered) {
-			r.resolve(event.a, control.TimedOut, 0)
+		if c := &r.calls[next.a]; c.generation == next.b && (c.state == callInFlight || c.state == callUnanswered) {
+			r.resolve(next.a, control.TimedOut, 0)
 		}
 	case eventFault:
-		r.applyFault(int(event.a), event.b == 1)
+		r.applyFault(int(next.a), next.b == 1)
 	case eventListUpdate:
-		r.notify(event.b, r.listUpdates[event.a])
+		r.notify(next.b, r.listUpdates[next.a])
 	case eventOverloadCheck:
-		r.checkOverload(event.a)
+		r.checkOverload(next.a)
 	case eventOverloadEnd:
-		r.bringUp(event.a)
+		r.bringUp(next.a)
 	case eventQuotaPing:
-		r.sendQuotaRequest(event.a)
+		r.sendQuotaRequest(next.a)
 	case eventQuotaRequest:
-		r.handleQuotaRequest(event.a)
+		r.handleQuotaRequest(next.a)
 	case eventQuotaGrant:
-		r.handleQuotaGrant(event.a)
+		r.handleQuotaGrant(next.a)
 	}
 }
 
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -69,7 +69,7 @@
 	for i := range r.relays {
 		x.lessees, x.incarnations, x.endpointsByKey = append(x.lessees, &quota.Lessee{ServeAlone: s.ServeAlone}), append(x.incarnations, 1), append(x.endpointsByKey, nil)
 		x.relayNames = append(x.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
-		r.queue.push(r.now+time.Duration(i)*time.Duration(s.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaPing, int32(i), 0)
+		r.schedule(r.now+time.Duration(i)*time.Duration(s.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaPing, int32(i), 0)
 	}
 }
 
@@ -93,7 +93,7 @@
 	} else {
 		x.envelopes = append(x.envelopes, p)
 	}
-	r.queue.push(r.now+time.Duration(float64(x.Delay)*(1+r.rng.Float64())), do, n, 0)
+	r.schedule(r.now+time.Duration(float64(x.Delay)*(1+r.rng.Float64())), do, n, 0)
 }
 
 func (x *limitSharing) take(n int32) envelope {
@@ -109,7 +109,7 @@
 // sendQuotaRequest sends a relay's demands to the leader and asks it to renew the lease.
 func (r *Run) sendQuotaRequest(i int32) {
 	sharing := &r.sharing
-	r.queue.push(r.now+time.Duration(sharing.Lease)/requestsPerLease, eventQuotaPing, i, 0)
+	r.schedule(r.now+time.Duration(sharing.Lease)/requestsPerLease, eventQuotaPing, i, 0)
 	p, ok := r.relays[i].policy.(SharingPolicy)
 	if r.relays[i].down || !ok {
 		return
--- a/internal/relay/simulator/workload.go
+++ b/internal/relay/simulator/workload.go
@@ -33,7 +33,7 @@
 	if r.now-clockStart >= time.Duration(r.World.Length) {
 		return
 	}
-	r.queue.push(r.now+time.Duration(r.workload.ExpFloat64()*float64(time.Second)/(r.World.Rate*r.surgeFactor)), eventNextMessage, 0, 0)
+	r.schedule(r.now+time.Duration(r.workload.ExpFloat64()*float64(time.Second)/(r.World.Rate*r.surgeFactor)), eventNextMessage, 0, 0)
 	u := r.workload.Float64() * r.partnerWeights[len(r.partnerWeights)-1]
 	lo, hi := 0, len(r.partnerWeights)-1
 	for lo < hi {
