--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -21,8 +21,8 @@
 	// Recovery: no outage of a proxy lasts longer than the setting bounds.recoveryS. An outage is a time in which it rejects more
 	// than three quarters of its requests, because it lacks a view or the stores don't answer.
 	Recovery Name = "recovery"
-	// ExcessReplica: a store doesn't keep running a replica that its group has certainly removed.
-	ExcessReplica Name = "excess"
+	// SurplusReplica: a store doesn't keep running a replica that its group has certainly removed.
+	SurplusReplica Name = "excess"
 )
 
 // Counter counts the violations of one process. A nil Counter counts nothing. It is safe for concurrent use.
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -15,10 +15,10 @@
 	counter := New(log.NewLogfmtLogger(&logged))
 	counter.Violated(Recovery, "outage", "16s")
 	counter.Violated(Recovery)
-	counter.Violated(ExcessReplica)
+	counter.Violated(SurplusReplica)
 
 	// then each is counted and logged.
-	if diff := cmp.Diff(map[Name]int{Recovery: 2, ExcessReplica: 1}, counter.Counts()); diff != "" {
+	if diff := cmp.Diff(map[Name]int{Recovery: 2, SurplusReplica: 1}, counter.Counts()); diff != "" {
 		t.Error(diff)
 	}
 	if got := strings.Count(logged.String(), Message); got != 3 || !strings.Contains(logged.String(), "outage=16s") {
--- a/internal/tier/store/surplus.go
+++ b/internal/tier/store/surplus.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if lasts := s.options.Now().Sub(since); lasts > maxStopTime {
-		s.options.Invariants.Violated(invariant.ExcessReplica, "shard", running.number, "lasts", lasts)
+		s.options.Invariants.Violated(invariant.SurplusReplica, "shard", running.number, "lasts", lasts)
 	}
 }
 
