--- a/internal/tier/transport/call.go
+++ b/internal/tier/transport/call.go
@@ -18,6 +18,7 @@
 	return *answer, nil
 }
 
+// call is Call without its type parameters: it decodes the answer into answer, a pointer.
 func (p *Pool) call(ctx context.Context, address, method string, request, answer any) error {
 	mustBeValidMethod(method)
 	if _, bounded := ctx.Deadline(); !bounded {
--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -34,6 +34,7 @@
 	received atomic.Bool // a line was received
 }
 
+// newClientConnection returns a connection that is not dialled yet: lines are queued until run has.
 func newClientConnection(peer *peer) *clientConnection {
 	connection := &clientConnection{peer: peer, pending: map[uint64]*pendingCall{}}
 	connection.out.limits = peer.pool.limits
@@ -70,6 +71,7 @@
 	return true
 }
 
+// read handles the lines of the connection until one breaks it.
 func (c *clientConnection) read(socket net.Conn) error {
 	reader := newLineReader(socket, c.peer.pool.limits.lineBytes)
 	for {
@@ -132,6 +134,7 @@
 	return c.callError(pending, true, err)
 }
 
+// callError returns the error of a call on this connection.
 func (c *clientConnection) callError(pending *pendingCall, mayHaveArrived bool, cause error) *CallError {
 	return &CallError{Address: c.peer.address, Method: pending.method, MayHaveArrived: mayHaveArrived, Cause: cause}
 }
--- a/internal/tier/transport/encode.go
+++ b/internal/tier/transport/encode.go
@@ -56,6 +56,7 @@
 	return buffer, nil
 }
 
+// encodeBody appends a body without a line feed.
 func encodeBody(buffer *bytes.Buffer, body any) error {
 	if appender, ok := body.(Appender); ok {
 		written, err := appender.AppendJSON(buffer.AvailableBuffer())
--- a/internal/tier/transport/outbox.go
+++ b/internal/tier/transport/outbox.go
@@ -62,6 +62,7 @@
 	return nil
 }
 
+// pushLocked appends a line to the queue, whatever its size.
 func (o *outbox) pushLocked(queued *frame) {
 	o.queue = append(o.queue, queued)
 	o.queueBytes += queued.line.Len()
@@ -148,6 +149,7 @@
 	o.signalSpaceLocked()
 }
 
+// signalSpaceLocked wakes those that wait for space.
 func (o *outbox) signalSpaceLocked() {
 	if o.space != nil {
 		close(o.space)
--- a/internal/tier/transport/pack.go
+++ b/internal/tier/transport/pack.go
@@ -27,6 +27,7 @@
 	packedSuffix = "}"
 )
 
+// Why packed lines break their connection; both are ErrBadLine.
 var (
 	errPackedLength = fmt.Errorf("%w: packed lines without their length", ErrBadLine)
 	errPackedEnd    = fmt.Errorf("%w: packed lines don't end with a line", ErrBadLine)
@@ -35,6 +36,7 @@
 // dictionary is the text of the last packed lines of one direction of a connection. Both sides must keep the same.
 type dictionary []byte
 
+// add appends a text, and drops what is beyond the last dictionaryBytes.
 func (h *dictionary) add(text []byte) {
 	if len(text) >= dictionaryBytes {
 		*h = append((*h)[:0], text[len(text)-dictionaryBytes:]...)
@@ -113,6 +115,7 @@
 	bound  io.LimitedReader
 }
 
+// inflaters pools decompressors, as each has a window of 32 KiB.
 var inflaters = sync.Pool{New: func() any {
 	i := new(inflater)
 	i.reader = flate.NewReader(&i.source)
@@ -169,6 +172,7 @@
 	return errors.Join(err, remoteErr) == nil && local == remote
 }
 
+// hostOf returns the host of an address without its port.
 func hostOf(address net.Addr) (string, error) {
 	if address == nil {
 		return "", net.ErrClosed
--- a/internal/tier/transport/pool.go
+++ b/internal/tier/transport/pool.go
@@ -38,6 +38,7 @@
 // Measure makes a meter count what is sent on connections. It must be called before the first call.
 func (p *Pool) Measure(meter Meter) { p.meter = meter }
 
+// newPool is NewPool with bounds of the caller's.
 func newPool(bounds limits) *Pool {
 	pool := &Pool{limits: bounds, network: network.System{}, peers: map[string]*peer{}}
 	pool.lifetime, pool.end = context.WithCancel(context.Background())
@@ -69,6 +70,7 @@
 	}
 }
 
+// peer returns the state of an address, which it creates if necessary.
 func (p *Pool) peer(address string) (*peer, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/tier/transport/reader.go
+++ b/internal/tier/transport/reader.go
@@ -17,6 +17,7 @@
 	unpacked bytes.Buffer // lines that were packed and not yet returned
 }
 
+// newLineReader returns a reader of lines of up to bound bytes, line feed included.
 func newLineReader(source io.Reader, bound int) *lineReader {
 	return &lineReader{source: source, bound: bound, buffer: make([]byte, initialReadBytes)}
 }
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -40,10 +40,12 @@
 	return listenOn(on, address, handlers, logger, defaultLimits())
 }
 
+// listen is Listen with bounds of the caller's.
 func listen(address string, handlers *Handlers, logger log.Logger, bounds limits) (*Server, error) {
 	return listenOn(network.System{}, address, handlers, logger, bounds)
 }
 
+// listenOn opens a server on a network. Its goroutines end with Close, which waits for them.
 func listenOn(on network.Network, address string, handlers *Handlers, logger log.Logger, bounds limits) (*Server, error) {
 	listener, packets, err := listenBoth(on, address)
 	if err != nil {
@@ -182,6 +184,7 @@
 	}
 }
 
+// remove forgets a connection that has ended.
 func (s *Server) remove(connection *serverConnection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/transport/serverconnection.go
+++ b/internal/tier/transport/serverconnection.go
@@ -23,6 +23,7 @@
 	cancels map[uint64]context.CancelFunc // of the running handlers, by the number of the call or stream
 }
 
+// newServerConnection returns an accepted connection, which may send at once; read handles what comes.
 func newServerConnection(server *Server, socket net.Conn) *serverConnection {
 	connection := &serverConnection{
 		server:  server,
@@ -92,6 +93,7 @@
 	}
 }
 
+// handleNotice runs the handler of a notice in the reader. One that does not fit its type is dropped; the peer may be newer.
 func (c *serverConnection) handleNotice(notice line) error {
 	handle, known := c.server.handlers.notices[string(notice.method)]
 	if !known {
@@ -106,6 +108,7 @@
 	return nil
 }
 
+// handleCall decodes a call and starts its handler, or answers why it does not.
 func (c *serverConnection) handleCall(call line) error {
 	prepare, known := c.server.handlers.calls[string(call.method)]
 	if !known {
@@ -146,6 +149,7 @@
 	c.send(answerLine, id, method, answer)
 }
 
+// handleStream decodes the request of a stream and starts its handler, or answers why it does not.
 func (c *serverConnection) handleStream(stream line) error {
 	prepare, known := c.server.handlers.streams[string(stream.method)]
 	if !known {
@@ -207,6 +211,7 @@
 	c.server.running.Done()
 }
 
+// cancelCall ends the context of a running handler, if the number is one's.
 func (c *serverConnection) cancelCall(id uint64) {
 	c.mutex.Lock()
 	cancel := c.cancels[id]
@@ -216,6 +221,7 @@
 	}
 }
 
+// sendError answers a call or ends a stream with an error.
 func (c *serverConnection) sendError(id uint64, method string, err error) {
 	c.send(errorLine, id, method, toRemoteError(err))
 }
--- a/internal/tier/transport/stream.go
+++ b/internal/tier/transport/stream.go
@@ -23,6 +23,7 @@
 // decodeItem decodes an item and returns the function that hands it to the receiver.
 type decodeItem func(body []byte) (func() error, error)
 
+// stream is Stream without its type parameters.
 func (p *Pool) stream(ctx context.Context, address, method string, request any, decodeItem decodeItem) error {
 	mustBeValidMethod(method)
 	callerDone := ctx.Err
--- a/internal/tier/transport/writer.go
+++ b/internal/tier/transport/writer.go
@@ -58,6 +58,7 @@
 	return o.writeBytes(packed.Bytes())
 }
 
+// writeBytes writes to the socket and counts what was written.
 func (o *outbox) writeBytes(bytes []byte) error {
 	count, err := o.socket.Write(bytes)
 	if o.meter != nil {
