--- a/internal/tier/soak/fault_injection.go
+++ b/internal/tier/soak/fault_injection.go
@@ -16,7 +16,7 @@
 	switch fault.Kind {
 	case KillOne, KillSome, KillStores, KillControllers, KillAll:
 		killed := r.targets(fault)
-		killAndHold(killed)
+		killUntilReleased(killed)
 		wait()
 		releaseAll(killed)
 	case PauseOne, PauseSome:
@@ -69,6 +69,7 @@
 	}
 }
 
+// releaseAll ends one fault of each service.
 func releaseAll(services []*service) {
 	for _, s := range services {
 		s.release()
@@ -88,7 +89,7 @@
 	candidates := r.diskServices()
 	lost := candidates[fault.Target%len(candidates)]
 	caughtUp := r.awaitCaughtUp(ctx, diskTimeout)
-	killAndHold([]*service{lost})
+	killUntilReleased([]*service{lost})
 	defer lost.release()
 	if caughtUp {
 		r.emptyDisk(lost)
@@ -176,7 +177,7 @@
 		losesDisk = false
 	}
 	r.report("CLOSING: everything is killed")
-	killAndHold(r.services)
+	killUntilReleased(r.services)
 	if losesDisk {
 		r.emptyDisk(lost)
 	}
--- a/internal/tier/soak/groups.go
+++ b/internal/tier/soak/groups.go
@@ -56,8 +56,8 @@
 func (r *run) learnShards() bool {
 	for _, s := range r.services {
 		content, err := os.ReadFile(s.LogPath())
-		if line := shardsPlacedLine.FindStringSubmatch(string(content)); err == nil && line != nil {
-			r.shards, _ = strconv.Atoi(line[1])
+		if match := shardsPlacedLine.FindStringSubmatch(string(content)); err == nil && match != nil {
+			r.shards, _ = strconv.Atoi(match[1])
 		}
 	}
 	return r.shards > 0
@@ -76,11 +76,11 @@
 			continue
 		}
 		content, err := os.ReadFile(s.LogPath())
-		lines := groupChangedLine.FindAllStringSubmatch(string(content), -1)
-		if err != nil || len(lines) == 0 {
+		matches := groupChangedLine.FindAllStringSubmatch(string(content), -1)
+		if err != nil || len(matches) == 0 {
 			continue
 		}
-		last := lines[len(lines)-1]
+		last := matches[len(matches)-1]
 		term, _ := strconv.Atoi(last[2])
 		if term > newest {
 			newest = term
@@ -107,7 +107,7 @@
 func (s *service) isUp() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.downHolds == 0 && s.pauseHolds == 0 && s.Running() && time.Since(s.started) > lostGrace
+	return s.downFaults == 0 && s.pauseFaults == 0 && s.Running() && time.Since(s.started) > lostGrace
 }
 
 // awaitCaughtUp waits until every process with a disk is up, all replicas have caught up and the controllers agree; false means
--- a/internal/tier/soak/groups_test.go
+++ b/internal/tier/soak/groups_test.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/localtier"
 )
 
-func TestControllersAgree_AllMembersLogTheSameState_Holds(t *testing.T) {
+func TestControllersAgree_AllMembersLogTheSameState_ReportsAgreement(t *testing.T) {
 	line := func(leader string, term, members int) string {
 		return fmt.Sprintf("level=info msg=\"group changed\" group=configuration leader=%s isLeader=false term=%d members=%d\n", leader, term, members)
 	}
--- a/internal/tier/soak/operator.go
+++ b/internal/tier/soak/operator.go
@@ -24,6 +24,7 @@
 	sent         uint64     // number of the newest one that was sent
 }
 
+// newOperator returns the operator of a run, before any order.
 func newOperator(r *run) *operator {
 	o := &operator{run: r, reader: localtier.NewOperator(r.controllers(), nil)}
 	o.orders = localtier.NewOperator(r.controllers(), r.dialDropping(&o.dropping))
--- a/internal/tier/soak/recovery.go
+++ b/internal/tier/soak/recovery.go
@@ -69,8 +69,8 @@
 
 // within waits until something holds, and returns how long that took since a moment. It records a violation if that exceeds
 // the bound.
-func (r *run) within(ctx context.Context, since time.Time, bound time.Duration, kind, what string, holds func() bool) time.Duration {
-	if !r.waitUntil(ctx, time.Until(since.Add(bound)), holds) {
+func (r *run) within(ctx context.Context, since time.Time, bound time.Duration, kind, what string, condition func() bool) time.Duration {
+	if !r.waitUntil(ctx, time.Until(since.Add(bound)), condition) {
 		r.recordViolation(kind, "%s: not within %v; %v", what, bound, r.queryGroups(ctx))
 	}
 	return time.Since(since)
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -20,8 +20,8 @@
 
 // Environment variables of a role on a network that can be partitioned.
 const (
-	addressVariable = "SOAK_ADDRESS"
-	cutsVariable    = "SOAK_CUTS_FILE"
+	addressVariable    = "SOAK_ADDRESS"
+	partitionsVariable = "SOAK_CUTS_FILE"
 )
 
 // Settings of the Go runtime that the deployed binary makes by itself, and the soak's binary does not.
@@ -31,8 +31,8 @@
 )
 
 // partitionEnv returns the environment of a machine's roles on a network that can be partitioned.
-func partitionEnv(m localtier.Machine, cutsPath string) []string {
-	return []string{addressVariable + "=" + m.IP, cutsVariable + "=" + cutsPath, "GOGC=" + strconv.Itoa(collectPercent),
+func partitionEnv(m localtier.Machine, partitionsPath string) []string {
+	return []string{addressVariable + "=" + m.IP, partitionsVariable + "=" + partitionsPath, "GOGC=" + strconv.Itoa(collectPercent),
 		fmt.Sprintf("GOMEMLIMIT=%dMiB", heapMb)}
 }
 
@@ -45,7 +45,8 @@
 func (e *UnknownRoleError) Error() string { return fmt.Sprintf("unknown role %q", e.Role) }
 
 // RunRole runs a role of the tier as its binary does, but on a network that can be partitioned, until SIGTERM or SIGINT. Its
-// errors are an *UnknownRoleError, those of partitionnetwork.New and those of the role.
+// errors are an *UnknownRoleError, those of partitionnetwork.New and those of the role. The goroutine that follows the file of partitions
+// ends by ctx; nothing waits for it, as the process ends with the role.
 func RunRole(ctx context.Context, role string) error {
 	run, known := map[string]func(context.Context, command.Environment) error{
 		localtier.ControllerRole: command.RunController, localtier.StoreRole: command.RunStore,
@@ -58,7 +59,7 @@
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	network, err := partitionnetwork.New(os.Getenv(addressVariable), os.Getenv(cutsVariable))
+	network, err := partitionnetwork.New(os.Getenv(addressVariable), os.Getenv(partitionsVariable))
 	if err != nil {
 		return err
 	}
--- a/internal/tier/soak/service.go
+++ b/internal/tier/soak/service.go
@@ -17,20 +17,20 @@
 
 	// mutex guards the fields below and the Process. terminate releases it while it waits for the end after SIGTERM.
 	mutex           sync.Mutex
-	downHolds       int // faults that hold it down
-	pauseHolds      int // faults that hold it paused
+	downFaults      int // faults that hold it down
+	pauseFaults     int // faults that hold it paused
 	pauses          int // so far
 	started         time.Time
 	recordViolation func(kind, format string, values ...any)
 }
 
-// killAndHold kills services at the same time, and holds them down until each is released. They must be in the order of their
+// killUntilReleased kills services at the same time; each stays down until its release. They must be in the order of their
 // numbers, in which all faults lock them: another order could deadlock.
-func killAndHold(services []*service) {
+func killUntilReleased(services []*service) {
 	for _, s := range services {
 		s.mutex.Lock()
 		defer s.mutex.Unlock() // once all have ended
-		s.downHolds++
+		s.downFaults++
 		s.checkExit()
 		if s.Running() {
 			_ = s.Signal(syscall.SIGKILL)
@@ -43,17 +43,17 @@
 	}
 }
 
-// release ends one hold of killAndHold or terminate.
+// release ends what one killUntilReleased or terminate began.
 func (s *service) release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.downHolds--
+	s.downFaults--
 	s.startLocked()
 }
 
 // startLocked starts the process unless it runs or is held down.
 func (s *service) startLocked() {
-	if s.downHolds > 0 || s.Running() {
+	if s.downFaults > 0 || s.Running() {
 		return
 	}
 	if err := s.Start(); err != nil {
@@ -79,7 +79,7 @@
 func (s *service) restartIfExited() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.downHolds == 0 && !s.Running() {
+	if s.downFaults == 0 && !s.Running() {
 		s.checkExit()
 		s.startLocked()
 	}
@@ -89,7 +89,7 @@
 func (s *service) pause() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pauseHolds++
+	s.pauseFaults++
 	s.pauses++
 	if s.Running() {
 		_ = s.Signal(syscall.SIGSTOP)
@@ -100,24 +100,24 @@
 func (s *service) resume() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pauseHolds--
-	if s.pauseHolds == 0 && s.Running() {
+	s.pauseFaults--
+	if s.pauseFaults == 0 && s.Running() {
 		_ = s.Signal(syscall.SIGCONT)
 	}
 }
 
-// terminate sends SIGTERM, and holds the process down until release. A process that does not end within shutdownBound is
+// terminate sends SIGTERM, and the process stays down until release. A process that does not end within shutdownBound is
 // killed, which is a violation unless it was paused meanwhile. One that does not listen yet may not handle SIGTERM yet, and is
 // killed at once, as is one that is paused.
 func (s *service) terminate() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.checkExit()
-	s.downHolds++
+	s.downFaults++
 	if !s.Running() {
 		return
 	}
-	if s.pauseHolds > 0 || !s.Listens() {
+	if s.pauseFaults > 0 || !s.Listens() {
 		_ = s.Signal(syscall.SIGKILL)
 		_ = s.Wait(context.Background())
 		return
--- a/internal/tier/soak/service_test.go
+++ b/internal/tier/soak/service_test.go
@@ -21,47 +21,47 @@
 	if err := s.Wait(ctx); err != nil {
 		t.Fatal(err)
 	}
-	killAndHold([]*service{s})
+	killUntilReleased([]*service{s})
 	if got := r.kinds(); got["ENDED"] != 1 || len(got) != 1 {
 		t.Errorf("%v", r.result.Violations)
 	}
 }
 
-func TestService_SeveralHolds_ActsOnTheLastRelease(t *testing.T) {
-	r := runOf(t, "sh", "-c", "exec sleep 60")
-	s := r.services[1]
-	defer func() { killAndHold([]*service{s}) }()
-	s.restartIfExited()
-	killAndHold(r.services[1:2])
-	killAndHold(r.services[1:2])
-	s.release()
-	if s.Running() {
+func TestService_SeveralFaults_RestartsAfterTheLastRelease(t *testing.T) {
+	soak := runOf(t, "sh", "-c", "exec sleep 60")
+	target := soak.services[1]
+	defer func() { killUntilReleased([]*service{target}) }()
+	target.restartIfExited()
+	killUntilReleased(soak.services[1:2])
+	killUntilReleased(soak.services[1:2])
+	target.release()
+	if target.Running() {
 		t.Error("runs while it is held down")
 	}
-	s.release()
-	if !s.Running() {
+	target.release()
+	if !target.Running() {
 		t.Error("doesn't run")
 	}
-	s.pause()
-	s.pause()
-	s.resume()
-	if state := stateOf(t, s); state != 'T' {
+	target.pause()
+	target.pause()
+	target.resume()
+	if state := stateOf(t, target); state != 'T' {
 		t.Errorf("state %c while it is stopped", state)
 	}
-	s.resume()
-	if len(r.result.Violations) > 0 {
-		t.Errorf("%v", r.result.Violations)
+	target.resume()
+	if len(soak.result.Violations) > 0 {
+		t.Errorf("%v", soak.result.Violations)
 	}
 	// An end that no signal from here has brought about is noticed also where the process was killed before.
-	_ = syscall.Kill(s.Pid(), syscall.SIGINT)
+	_ = syscall.Kill(target.Pid(), syscall.SIGINT)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	if err := s.Wait(ctx); err != nil {
+	if err := target.Wait(ctx); err != nil {
 		t.Fatal(err)
 	}
-	s.restartIfExited()
-	if r.kinds()["ENDED"] != 1 {
-		t.Errorf("%v", r.result.Violations)
+	target.restartIfExited()
+	if soak.kinds()["ENDED"] != 1 {
+		t.Errorf("%v", soak.result.Violations)
 	}
 }
 
--- a/internal/tier/soak/soak.go
+++ b/internal/tier/soak/soak.go
@@ -186,10 +186,10 @@
 	r.report("all processes have ended")
 }
 
-// forbiddenWords must not occur in any process's log.
-var forbiddenWords = []string{"panic:", "fatal error:", "DATA RACE", "replica stopped", "process ends", "goroutine 1 [", invariant.Message}
+// forbiddenTexts must not occur in any process's log.
+var forbiddenTexts = []string{"panic:", "fatal error:", "DATA RACE", "replica stopped", "process ends", "goroutine 1 [", invariant.Message}
 
-// readLogs records a violation for each line of a log with a forbidden word.
+// readLogs records a violation for each line of a log with a forbidden text.
 func (r *run) readLogs() {
 	for _, s := range r.services {
 		content, err := os.ReadFile(s.LogPath())
@@ -198,7 +198,7 @@
 			continue
 		}
 		for line := range strings.Lines(string(content)) {
-			if slices.ContainsFunc(forbiddenWords, func(word string) bool { return strings.Contains(line, word) }) {
+			if slices.ContainsFunc(forbiddenTexts, func(text string) bool { return strings.Contains(line, text) }) {
 				r.recordViolation("LOG", "%s: %s", filepath.Base(s.LogPath()), strings.TrimSpace(line))
 			}
 		}
@@ -229,10 +229,10 @@
 }
 
 // waitUntil polls until a condition holds; false means that it does not within the timeout.
-func (r *run) waitUntil(ctx context.Context, timeout time.Duration, holds func() bool) bool {
+func (r *run) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for !holds() {
+	for !condition() {
 		if localtier.Sleep(ctx, pollInterval) != nil {
 			return false
 		}
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -100,7 +100,7 @@
 
 func (r *run) kinds() map[string]int { return r.result.Kinds() }
 
-func TestReadLogs_ForbiddenWord_IsAViolation(t *testing.T) {
+func TestReadLogs_ForbiddenText_IsAViolation(t *testing.T) {
 	r := runOf(t, "true")
 	for at, text := range []string{"all is well\n", "panic: no\n", "WARNING: DATA RACE\n", ""} {
 		if err := os.WriteFile(r.services[at].LogPath(), []byte(text), 0o600); err != nil {
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -48,6 +48,7 @@
 	lastProgram int // number of the newest program
 }
 
+// newClients returns the clients of a run, before any program.
 func newClients(r *run) *clients {
 	return &clients{run: r, proxies: r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)}
 }
