--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// agentLinger is the share of the grace time for which an agent continues to feed its proxy after SIGTERM.
-const agentLinger = 0.8
+// agentFeedShare is the share of the grace time for which an agent continues to feed its proxy after SIGTERM.
+const agentFeedShare = 0.8
 
 // runAgent runs the role until stopping ends, and then for as long as its proxy may need it.
 func (p *process) runAgent(stopping context.Context) error {
@@ -30,7 +30,7 @@
 	}
 	defer leave()
 	<-stopping.Done()
-	time.Sleep(shareOf(p.settings.Bounds.GracePeriod(), agentLinger))
+	time.Sleep(shareOf(p.settings.Bounds.GracePeriod(), agentFeedShare))
 	return nil
 }
 
--- a/internal/tier/command/group_runner.go
+++ b/internal/tier/command/group_runner.go
@@ -17,6 +17,7 @@
 	running sync.WaitGroup
 }
 
+// newGroupRunner returns a runner whose groups end with ctx.
 func newGroupRunner(ctx context.Context) *groupRunner {
 	return &groupRunner{ctx: ctx, failed: make(chan error, 1)}
 }
--- a/internal/tier/command/membership.go
+++ b/internal/tier/command/membership.go
@@ -58,6 +58,7 @@
 	return metrics.UnknownZone
 }
 
+// classOf compares a zone with the process's own.
 func (p *process) classOf(zone string) metrics.ZoneClass {
 	if zone == p.settings.Zone {
 		return metrics.OwnZone
--- a/internal/tier/command/process.go
+++ b/internal/tier/command/process.go
@@ -78,6 +78,7 @@
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.port(offset)))
 }
 
+// port returns the port for a kind of connections within the range of the settings.
 func (p *process) port(offset wire.PortOffset) int { return p.settings.PortRange.First + offset }
 
 // seeds are the addresses of the controllers that the settings name, for other processes.
--- a/internal/tier/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -23,7 +23,8 @@
 // prefixCacheDivisor bounds the cache of programs' chains: the memory limit divided by it.
 const prefixCacheDivisor = 64
 
-// runProxy runs the role until stopping ends, and then until the requests in flight have ended or the grace time is over.
+// runProxy runs the role until stopping ends, and then until the requests in flight have ended or the grace time is over. The feed of
+// the view and the two loops of reports run until it returns, and end by their context; nothing waits for them.
 func (p *process) runProxy(stopping context.Context) error {
 	running, end := context.WithCancel(context.Background())
 	defer end()
@@ -54,6 +55,7 @@
 	return shutdownProxy(running, path, p.settings.Bounds.GracePeriod())
 }
 
+// proxyOptions returns the options of the data path.
 func (p *process) proxyOptions(views *viewfeed.Feed, programs *programclient.Client, counter *versionstats.Counter) proxy.Options {
 	return proxy.Options{
 		FrontAddress:         p.settings.ListenOn.FrontHTTP,
--- a/internal/tier/command/reload.go
+++ b/internal/tier/command/reload.go
@@ -15,6 +15,7 @@
 const settingsInterval = 3 * time.Second
 
 // onReload calls reload with the reloaded settings at each SIGHUP and whenever their file has changed, until ctx ends.
+// Nothing waits for the end of its goroutine: reload may still be running then.
 func (p *process) onReload(ctx context.Context, reload func(*settings.Settings)) {
 	watched := newWatchedFile(p.env.SettingsPath, p.logger, reload)
 	go func() {
@@ -41,6 +42,7 @@
 	last   os.FileInfo // nil: load it at the next check
 }
 
+// newWatchedFile returns the file as it is now, without loading it.
 func newWatchedFile(path string, logger log.Logger, reload func(*settings.Settings)) *watchedFile {
 	last, _ := os.Stat(path) // a file that can't be looked at counts as changed once it can
 	return &watchedFile{path: path, logger: logger, reload: reload, last: last}
--- a/internal/tier/command/runtimestats.go
+++ b/internal/tier/command/runtimestats.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// vitalsInterval is the interval at which a process logs its use of resources.
-const vitalsInterval = 5 * time.Second
+// runtimeStatsInterval is the interval at which a process logs its use of resources.
+const runtimeStatsInterval = 5 * time.Second
 
 // Names of the runtime's metrics.
 const (
@@ -23,15 +23,16 @@
 	idleTime       = "/cpu/classes/idle:cpu-seconds"
 )
 
-// logVitals logs the process's memory and CPU time at each interval, with the fields that the role adds, until ctx ends.
-func logVitals(ctx context.Context, logger log.Logger, add func() []any) {
-	runEvery(ctx, vitalsInterval, func() {
-		level.Info(logger).Log(append(append([]any{"msg", "vitals"}, runtimeVitals()...), add()...)...)
+// logRuntimeStats logs the process's memory and CPU time at each interval, with the fields that the role adds, until ctx ends. Nothing
+// waits for it.
+func logRuntimeStats(ctx context.Context, logger log.Logger, add func() []any) {
+	runEvery(ctx, runtimeStatsInterval, func() {
+		level.Info(logger).Log(append(append([]any{"msg", "vitals"}, runtimeStats()...), add()...)...)
 	})
 }
 
-// runtimeVitals returns fields for memory in KiB, and for the collector's and all CPU time since the start in s.
-func runtimeVitals() []any {
+// runtimeStats returns fields for memory in KiB, and for the collector's and all CPU time since the start in s.
+func runtimeStats() []any {
 	samples := []metrics.Sample{{Name: heapLive}, {Name: heapObjects}, {Name: mappedMemory}, {Name: releasedMemory}, {Name: collectorTime},
 		{Name: allTime}, {Name: idleTime}}
 	metrics.Read(samples)
--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -151,44 +151,44 @@
 func TestProxy_Signals_InterruptNoRequest(t *testing.T) {
 	t.Parallel()
 	// given a proxy that has a request in flight
-	begun, release := make(chan string, 3), make(chan struct{})
+	started, release := make(chan string, 3), make(chan struct{})
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun <- r.Header.Get("X-Attempt-Id")
+		started <- r.Header.Get("X-Attempt-Id")
 		<-release
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Server-Seal", "seal")
 		_, _ = io.WriteString(w, "whole") // the test reads what arrives
 	}))
 	defer endpoint.Close()
-	m := newMachine(t, configurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()))
-	m.awaitReady()
-	awaitBegun := func() {
+	edge := newMachine(t, configurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()))
+	edge.awaitReady()
+	awaitStarted := func() {
 		t.Helper()
 		select {
-		case <-begun:
+		case <-started:
 		case <-time.After(testTimeout):
 			close(release)
 			t.Fatal("a request didn't come to the endpoint")
 		}
 	}
-	first := m.ask("first")
-	awaitBegun()
+	first := edge.ask("first")
+	awaitStarted()
 	// when it is signalled that its settings have changed, then it goes on, and accepts another request
-	m.signal(syscall.SIGHUP)
-	second := m.ask("second")
-	awaitBegun()
-	if got := m.readiness(); got != http.StatusOK {
+	edge.signal(syscall.SIGHUP)
+	second := edge.ask("second")
+	awaitStarted()
+	if got := edge.readiness(); got != http.StatusOK {
 		t.Errorf("readiness %d after SIGHUP", got)
 	}
 	// when it is asked to end, then it isn't ready any more, and still accepts a request
-	m.signal(syscall.SIGTERM)
-	for began := time.Now(); m.readiness() == http.StatusOK; {
+	edge.signal(syscall.SIGTERM)
+	for began := time.Now(); edge.readiness() == http.StatusOK; {
 		if time.Since(began) > testTimeout {
 			t.Fatal("still ready")
 		}
 	}
-	third := m.ask("third")
-	awaitBegun()
+	third := edge.ask("third")
+	awaitStarted()
 	close(release)
 	// then all three get complete responses, on connections that close, and the process ends
 	for i, answer := range []<-chan clientResponse{first, second, third} {
@@ -196,8 +196,8 @@
 			t.Errorf("request %d: %+v", i+1, got)
 		}
 	}
-	if err := <-m.ended; err != nil {
-		t.Errorf("the process ended with %v: %s", err, m.output.String())
+	if err := <-edge.ended; err != nil {
+		t.Errorf("the process ended with %v: %s", err, edge.output.String())
 	}
 }
 
@@ -205,29 +205,29 @@
 	t.Parallel()
 	const grace = 2 * time.Second
 	// given a proxy with a request that its endpoint doesn't answer, and a turn whose end no store accepts
-	begun, over := make(chan struct{}, 2), make(chan struct{})
+	started, over := make(chan struct{}, 2), make(chan struct{})
 	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-over
 	}))
 	defer endpoint.Close()
 	defer close(over)
-	m := newMachineWith(t, strings.Replace(proxySettings, "graceS: 6", "graceS: 2", 1),
+	edge := newMachineWith(t, strings.Replace(proxySettings, "graceS: 6", "graceS: 2", 1),
 		turnsConfigurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()), unresponsiveStoreUpdate(t))
-	m.awaitReady()
-	hangs := m.ask("hangs")
-	<-begun
-	if got := <-m.turn("turn"); got.status != http.StatusServiceUnavailable {
+	edge.awaitReady()
+	hangs := edge.ask("hangs")
+	<-started
+	if got := <-edge.turn("turn"); got.status != http.StatusServiceUnavailable {
 		t.Fatalf("a turn without stores: %+v", got)
 	}
 	// when it is asked to end
-	m.signal(syscall.SIGTERM)
+	edge.signal(syscall.SIGTERM)
 	// then the client learns that its request was abandoned, and the process ends, by its own log in time
 	if got := <-hangs; got.status != http.StatusGatewayTimeout {
 		t.Errorf("the abandoned request: %+v", got)
 	}
-	t.Logf("the process ended with %v", <-m.ended)
-	logged := m.output.String()
+	t.Logf("the process ended with %v", <-edge.ended)
+	logged := edge.output.String()
 	for _, phase := range []string{
 		`msg="shutdown requested" grace=2s`,
 		`msg="proxy draining"`,
--- a/internal/tier/command/store.go
+++ b/internal/tier/command/store.go
@@ -42,9 +42,9 @@
 	}
 	leave := p.join(ctx, member, server)
 	defer leave()
-	vitals := func() []any { return storeVitals(shards) }
-	level.Info(p.logger).Log(append([]any{"msg", "shards recovered", "took", time.Since(began)}, vitals()...)...)
-	go logVitals(ctx, p.logger, vitals)
+	stats := func() []any { return storeStats(shards) }
+	level.Info(p.logger).Log(append([]any{"msg", "shards recovered", "took", time.Since(began)}, stats()...)...)
+	go logRuntimeStats(ctx, p.logger, stats)
 	select {
 	case err := <-groups.failed:
 		return err
@@ -54,6 +54,7 @@
 	}
 }
 
+// storeOptions returns the options of the store.
 func (p *process) storeOptions(id, address string, disk storage.Disk, groups *groupRunner) store.Options {
 	return store.Options{
 		ID:               id,
@@ -69,8 +70,8 @@
 	}
 }
 
-// storeVitals returns the log fields of a store's replicas.
-func storeVitals(shards *store.Store) []any {
+// storeStats returns the log fields of a store's replicas.
+func storeStats(shards *store.Store) []any {
 	count, stats := shards.Stats()
 	return []any{"shards", count, "stateKB", stats.StateBytes >> 10, "snapshotKB", stats.SnapshotBytes >> 10, "logKB", stats.LogBytes >> 10,
 		"entries", stats.Entries}
