--- a/internal/tier/linearizability/check_test.go
+++ b/internal/tier/linearizability/check_test.go
@@ -122,7 +122,7 @@
 func record(seed uint64, fault string) []linearizability.Operation {
 	const calls, operators = 60, 4
 	random := rand.New(rand.NewPCG(seed, 1))
-	s := &service{accepted: map[linearizability.Order]bool{}, fault: fault, random: random}
+	target := &service{accepted: map[linearizability.Order]bool{}, fault: fault, random: random}
 	var list []linearizability.Operation
 	var sent []linearizability.Order
 	free := make([]int64, operators) // when each operator has its answer
@@ -130,36 +130,36 @@
 	for range calls {
 		now += int64(random.IntN(4))
 		operator := random.IntN(operators)
-		o := linearizability.Operation{Operator: operator, Call: max(free[operator]+1, now-int64(random.IntN(20)))}
-		now = max(now, o.Call) // effects come in this order
-		o.Return = now + int64(random.IntN(20))
-		free[operator] = o.Return
+		operation := linearizability.Operation{Operator: operator, Call: max(free[operator]+1, now-int64(random.IntN(20)))}
+		now = max(now, operation.Call) // effects come in this order
+		operation.Return = now + int64(random.IntN(20))
+		free[operator] = operation.Return
 		switch random.IntN(4) {
 		case 0:
-			o.Kind, o.Outcome, o.Version = linearizability.Get, linearizability.Read, s.get()
+			operation.Kind, operation.Outcome, operation.Version = linearizability.Get, linearizability.Read, target.get()
 		case 1:
 			if len(sent) > 0 {
-				o.Order = sent[random.IntN(len(sent))]
-				o.Outcome = s.put(o.Order)
+				operation.Order = sent[random.IntN(len(sent))]
+				operation.Outcome = target.put(operation.Order)
 				break
 			}
 			fallthrough
 		default:
-			o.Order = linearizability.Order{Base: s.number, Number: s.number + 1 + uint64(random.IntN(2)), Content: fmt.Sprint(random.IntN(2))}
-			if random.IntN(4) == 0 && s.number > 0 {
-				o.Order.Base--
+			operation.Order = linearizability.Order{Base: target.number, Number: target.number + 1 + uint64(random.IntN(2)), Content: fmt.Sprint(random.IntN(2))}
+			if random.IntN(4) == 0 && target.number > 0 {
+				operation.Order.Base--
 			}
-			sent = append(sent, o.Order)
+			sent = append(sent, operation.Order)
 			if random.IntN(6) == 0 {
-				o.Outcome = linearizability.Unknown
+				operation.Outcome = linearizability.Unknown
 				if random.IntN(2) == 0 {
-					s.put(o.Order)
+					target.put(operation.Order)
 				}
 				break
 			}
-			o.Outcome = s.put(o.Order)
+			operation.Outcome = target.put(operation.Order)
 		}
-		list = append(list, o)
+		list = append(list, operation)
 	}
 	return list
 }
--- a/internal/tier/localtier/environment.go
+++ b/internal/tier/localtier/environment.go
@@ -62,11 +62,13 @@
 	return env, nil
 }
 
+// options returns the options that all endpoints share.
 func (e *Environment) options(id, service string, capacity int) standin.EndpointOptions {
 	return standin.EndpointOptions{ID: id, Service: service, Zone: zone, Version: version, Capacity: capacity, Queue: capacity,
 		ReportLoad: true, RunLog: e.RunLog}
 }
 
+// addEngine starts a model server and lists it. Close stops it.
 func (e *Environment) addEngine(id string) error {
 	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: e.options(id, modelService, batch),
 		Models: []string{ModelName}, WeightsVersion: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, EventInterval: eventGap})
@@ -79,6 +81,7 @@
 	return nil
 }
 
+// addTool starts a tool server and lists it. Close stops it.
 func (e *Environment) addTool(id string) error {
 	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: e.options(id, toolService, toolCapacity), ServiceTime: toolWork})
 	if err != nil {
--- a/internal/tier/localtier/log.go
+++ b/internal/tier/localtier/log.go
@@ -45,13 +45,15 @@
 	return len(data), nil
 }
 
-// note writes a line that is not from the process.
-func (l *logFile) note(format string, values ...any) { fmt.Fprintf(l, "--- "+format+"\n", values...) }
+// annotate writes a remark: a line that is not from the process.
+func (l *logFile) annotate(format string, values ...any) {
+	fmt.Fprintf(l, "--- "+format+"\n", values...)
+}
 
-// Close writes the incomplete last line, if any, with a note, and closes the file. Nothing may write concurrently.
+// Close writes the incomplete last line, if any, with a remark, and closes the file. Nothing may write concurrently.
 func (l *logFile) Close() error {
 	if len(l.partial) > 0 {
-		l.note("the last line is incomplete")
+		l.annotate("the last line is incomplete")
 	}
 	return l.file.Close()
 }
--- a/internal/tier/localtier/machine.go
+++ b/internal/tier/localtier/machine.go
@@ -81,4 +81,5 @@
 	return "", fmt.Errorf("no free loopback network: %w", last)
 }
 
+// octet draws an octet of a loopback network.
 func octet() int { return lowestOctet + rand.IntN(highestOctet-lowestOctet) }
--- a/internal/tier/localtier/operator.go
+++ b/internal/tier/localtier/operator.go
@@ -43,9 +43,9 @@
 
 // Configure sends a configuration, to replace the current version, until it is acknowledged. It returns the address of the
 // controller that did so: the leader's. Its error after operatorTimeout wraps that of the last attempt.
-func (o *Operator) Configure(ctx context.Context, wanted model.Configuration, current uint64) (leader string, err error) {
+func (o *Operator) Configure(ctx context.Context, desired model.Configuration, current uint64) (leader string, err error) {
 	err = o.untilOneAccepts(ctx, func(controller string) error {
-		leader, err = o.ConfigureAt(ctx, controller, wanted, current)
+		leader, err = o.ConfigureAt(ctx, controller, desired, current)
 		return err
 	})
 	return leader, err
@@ -53,8 +53,8 @@
 
 // ConfigureAt sends a configuration once to one controller, and follows a redirect to the leader. An answer other than 200 is a
 // *StatusError.
-func (o *Operator) ConfigureAt(ctx context.Context, controller string, wanted model.Configuration, current uint64) (leader string, err error) {
-	body, err := json.Marshal(wanted)
+func (o *Operator) ConfigureAt(ctx context.Context, controller string, desired model.Configuration, current uint64) (leader string, err error) {
+	body, err := json.Marshal(desired)
 	if err != nil {
 		return "", err
 	}
--- a/internal/tier/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -30,7 +30,8 @@
 	endRequested bool          // SIGTERM or SIGKILL was sent to it
 }
 
-// Start starts the process; at its first start, its settings are those of a system that starts for the first time.
+// Start starts the process; at its first start, its settings are those of a system that starts for the first time. A goroutine waits
+// for the end of the process, and is waited for by Wait.
 func (p *Process) Start() error {
 	if err := p.tier.writeSettings(p.Machine, p.Role, p.startCount == 0); err != nil {
 		return err
@@ -51,12 +52,12 @@
 		return errors.Join(err, log.Close())
 	}
 	p.startCount++
-	log.note("start %d, process %d", p.startCount, command.Process.Pid)
+	log.annotate("start %d, process %d", p.startCount, command.Process.Pid)
 	ended := make(chan struct{})
 	p.command, p.ended, p.endRequested, p.exitErr = command, ended, false, nil
 	go func() {
 		p.exitErr = command.Wait()
-		log.note("end of process %d: %v", command.Process.Pid, command.ProcessState)
+		log.annotate("end of process %d: %v", command.Process.Pid, command.ProcessState)
 		_ = log.Close()
 		close(ended)
 	}()
--- a/internal/tier/localtier/settings.go
+++ b/internal/tier/localtier/settings.go
@@ -31,6 +31,7 @@
 	return os.WriteFile(t.settingsPath(m, role), raw, 0o644)
 }
 
+// settingsPath returns the settings file of a process.
 func (t *Tier) settingsPath(m Machine, role string) string {
 	return filepath.Join(t.options.Folder, m.Name+"-"+role+".yaml")
 }
@@ -39,33 +40,33 @@
 func (t *Tier) diskOf(m Machine) string { return filepath.Join(t.options.Folder, "disk", m.Name) }
 
 // settingsFile returns the content of a settings file.
-func settingsFile(m Machine, role string, seeds []string, platform string, firstBoot bool) map[string]any {
+func settingsFile(machine Machine, role string, seeds []string, platform string, firstBoot bool) map[string]any {
 	listenOn := map[string]any{}
 	serves := []string{}
 	switch role {
 	case ProxyRole:
 		serves = append(serves, settings.ServesEdge)
-		listenOn["frontHttp"] = m.Address(FrontPort)
-		listenOn["readiness"] = m.Address(ReadinessPort)
+		listenOn["frontHttp"] = machine.Address(FrontPort)
+		listenOn["readiness"] = machine.Address(ReadinessPort)
 	case ControllerRole:
 		serves = append(serves, settings.ServesControl)
-		listenOn["control"] = m.Address(ControlPort)
+		listenOn["control"] = machine.Address(ControlPort)
 	case StoreRole:
 		serves = append(serves, settings.ServesStorage)
 	}
 	return map[string]any{
-		"nodeName":        m.Name,
+		"nodeName":        machine.Name,
 		"role":            role,
-		"machineClass":    m.Class,
+		"machineClass":    machine.Class,
 		"serves":          serves,
-		"ip":              m.IP,
+		"ip":              machine.IP,
 		"zone":            zone,
 		"zones":           map[string]any{zone: "region"},
 		"listenOn":        listenOn,
 		"portRange":       []int{FirstPort, lastPort},
 		"seedNodes":       seeds,
 		"firstBoot":       firstBoot,
-		"countsForQuorum": m.Class != EdgeClass,
+		"countsForQuorum": machine.Class != EdgeClass,
 		"limits":          map[string]any{"memoryMb": 256, "openFiles": 4096},
 		"findBy":          "cloud_api",
 		"survive":         map[string]any{"machines": 1, "zones": 0, "regions": 0},
--- a/internal/tier/localtier/shutdown.go
+++ b/internal/tier/localtier/shutdown.go
@@ -13,6 +13,7 @@
 // checkShutdown returns a sentence if the process has not logged that it ended within its grace time.
 func (p *Process) checkShutdown() []string { return checkShutdownIn(p.String(), p.LogPath()) }
 
+// checkShutdownIn is checkShutdown for a process of that name and its log.
 func checkShutdownIn(name, path string) []string {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -121,6 +121,7 @@
 // CountRejection counts a request that the proxy has answered by itself, by the text of its apierror.Kind.
 func (m *Metrics) CountRejection(kind string) { m.rejections.WithLabelValues(kind).Inc() }
 
+// zoneClass returns the class of a peer's zone, from the cache or by the lookup.
 func (m *Metrics) zoneClass(address string) ZoneClass {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/tier/network/memorynetwork/deadline.go
+++ b/internal/tier/network/memorynetwork/deadline.go
@@ -16,6 +16,7 @@
 // SetWriteDeadline implements net.Conn.
 func (e *endpoint) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeDeadline) }
 
+// setDeadlines sets deadlines, and wakes the calls that block at them.
 func (e *endpoint) setDeadlines(at time.Time, deadlines ...*deadline) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -35,6 +36,7 @@
 	timer *time.Timer
 }
 
+// set sets the time and calls passed then; the zero time is none.
 func (d *deadline) set(at time.Time, passed func()) {
 	d.stop()
 	d.at = at
@@ -43,6 +45,7 @@
 	}
 }
 
+// stop cancels the call of passed.
 func (d *deadline) stop() {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -50,4 +53,5 @@
 	}
 }
 
+// isOver reports whether the time has come.
 func (d *deadline) isOver() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- a/internal/tier/network/memorynetwork/endpoint.go
+++ b/internal/tier/network/memorynetwork/endpoint.go
@@ -217,6 +217,7 @@
 	e.changed.Broadcast()
 }
 
+// error returns an error of the form that the system's connections give.
 func (e *endpoint) error(operation string, cause error) error {
 	if number := syscall.Errno(0); errors.As(cause, &number) {
 		cause = os.NewSyscallError(operation, cause)
--- a/internal/tier/network/memorynetwork/keepalive.go
+++ b/internal/tier/network/memorynetwork/keepalive.go
@@ -14,6 +14,7 @@
 	return nil
 }
 
+// setKeepAlive is SetKeepAliveConfig. The caller holds the mutex.
 func (e *endpoint) setKeepAlive(config net.KeepAliveConfig) {
 	if !config.Enable {
 		return
--- a/internal/tier/standin/admission.go
+++ b/internal/tier/standin/admission.go
@@ -60,6 +60,7 @@
 	return admission{ctx: ctx, attempt: attempt, body: body, fault: fault, release: release}, true
 }
 
+// faultOf returns the fault that a request is to meet.
 func (e *endpoint) faultOf(request *http.Request) Fault {
 	if e.options.Fault == nil {
 		return NoFault
--- a/internal/tier/standin/check.go
+++ b/internal/tier/standin/check.go
@@ -9,6 +9,7 @@
 // problems collects sentences, each about one broken guarantee.
 type problems []string
 
+// addf adds a sentence.
 func (p *problems) addf(format string, values ...any) {
 	*p = append(*p, fmt.Sprintf(format, values...))
 }
--- a/internal/tier/standin/engine.go
+++ b/internal/tier/standin/engine.go
@@ -72,6 +72,7 @@
 	Adapters []string `json:"adapters"`
 }
 
+// report answers GET /mastusher/report.
 func (e *Engine) report(response http.ResponseWriter) {
 	active, queued := e.slots.counts()
 	report := Report{
@@ -95,6 +96,7 @@
 	maxOutput int64 // 0: not stated
 }
 
+// requestTokensOf reads a request's X-Token-Counts; what is missing or malformed counts as 0.
 func requestTokensOf(request *http.Request) requestTokens {
 	prompt, maxOutput, _ := strings.Cut(request.Header.Get(headerTokenCounts), ",")
 	var tokens requestTokens
--- a/internal/tier/standin/limits.go
+++ b/internal/tier/standin/limits.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// Bounds of what is accepted and recorded, and the defaults of options and headers.
 const (
 	maxBodyBytes       = 16 << 20
 	maxHeaderBytes     = 64 << 10
--- a/internal/tier/standin/platform.go
+++ b/internal/tier/standin/platform.go
@@ -133,10 +133,12 @@
 	return p.calls, p.rateLimited
 }
 
+// indexLocked returns the index of the entry with an ID; -1: there is none.
 func (p *Platform) indexLocked(id string) int {
 	return slices.IndexFunc(p.entries, func(entry Entry) bool { return entry.ID == id })
 }
 
+// Why a call gets no page; their texts are bodies of responses.
 var (
 	errDown        = errors.New("down")
 	errRateLimited = errors.New("over the rate")
@@ -149,6 +151,7 @@
 	NextToken *string `json:"nextToken"`
 }
 
+// list answers GET /servers.
 func (p *Platform) list(response http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	page, err := p.page(query.Get("zone"), query.Get("pageToken"))
--- a/internal/tier/standin/program.go
+++ b/internal/tier/standin/program.go
@@ -145,12 +145,14 @@
 	return fmt.Sprintf("%s-%d", p.options.Name, p.lastAttempt)
 }
 
+// recordTurn adds an ended turn to the outcome.
 func (p *Program) recordTurn(turn Turn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outcome.Turns = append(p.outcome.Turns, turn)
 }
 
+// recordTool adds an ended tool call to the outcome.
 func (p *Program) recordTool(tool Tool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/tier/standin/program_request.go
+++ b/internal/tier/standin/program_request.go
@@ -31,6 +31,7 @@
 	return request, nil
 }
 
+// milliseconds formats a duration for a header.
 func milliseconds(duration time.Duration) string {
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
--- a/internal/tier/standin/run_log.go
+++ b/internal/tier/standin/run_log.go
@@ -66,6 +66,7 @@
 	l.notifyLocked()
 }
 
+// notifyLocked wakes those that wait on Changed.
 func (l *RunLog) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/internal/tier/standin/slots.go
+++ b/internal/tier/standin/slots.go
@@ -102,6 +102,7 @@
 	first.granted <- true
 }
 
+// counts returns how many requests run and how many wait.
 func (s *slots) counts() (running, waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
