--- a/cmd/mastusher/replay.go
+++ b/cmd/mastusher/replay.go
@@ -35,7 +35,7 @@
 				err := reading(file, func(r *capture.Reader) error {
 					switch {
 					case explain != "":
-						lines, err := capture.Story(r, explain)
+						lines, err := capture.Trace(r, explain)
 						if errors.Is(err, capture.ErrNoMessage) {
 							return nil // it may stand in another
 						}
--- a/internal/relay/capture/batch.go
+++ b/internal/relay/capture/batch.go
@@ -76,8 +76,8 @@
 
 func (b *batch) gap(g Gap) { b.gaps, b.order = append(b.gaps, g), append(b.order, TypeGap) }
 
-func (b *batch) state(x *control.Snapshot, core *Core) {
-	b.states, b.order = append(b.states, State{x}), append(b.order, TypeState)
+func (b *batch) state(snapshot *control.Snapshot, core *Core) {
+	b.states, b.order = append(b.states, State{snapshot}), append(b.order, TypeState)
 	if core != nil {
 		b.cores, b.order = append(b.cores, core), append(b.order, TypeCore)
 	}
@@ -88,17 +88,17 @@
 	if len(list) == 0 {
 		return nil
 	}
-	n := len(*all)
+	start := len(*all)
 	*all = append(*all, list...)
-	return (*all)[n:len(*all):len(*all)]
+	return (*all)[start:len(*all):len(*all)]
 }
 
 // encode adds all records to a block, in order. It lets others run in between: there may be one processor for all.
 func (b *batch) encode(to *block) (err error) {
-	var at [TypeInput + 1]int
+	var next [TypeInput + 1]int // in the list of each type
 	for n, t := range b.order {
-		i := at[t]
-		at[t]++
+		i := next[t]
+		next[t]++
 		switch t {
 		case TypeTurn:
 			err = to.add(t, &b.turns[i])
--- a/internal/relay/capture/chunk.go
+++ b/internal/relay/capture/chunk.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"fmt"
 	"io"
 	"slices"
@@ -41,7 +40,7 @@
 
 // add appends a record.
 func (b *block) add(t Type, record any) error {
-	b.body.Write([]byte{0x82, byte(t)}) // an array of two; types stay under 24
+	b.body.Write([]byte{recordStart, byte(t)})
 	if text, ok := appendFast(b.body.AvailableBuffer(), record); ok {
 		b.body.Write(text)
 	} else if err := bufferEncoder.MarshalToBuffer(record, &b.body); err != nil {
@@ -115,10 +114,11 @@
 	p.buffer = append(p.buffer[:0], make([]byte, chunkHead)...)
 	p.buffer = append(p.buffer, head...)
 	p.buffer = p.encoder.EncodeAll(b.body.Bytes(), p.buffer)
-	copy(p.buffer, chunkMagic)
-	binary.LittleEndian.PutUint32(p.buffer[4:], uint32(len(head)))
-	binary.LittleEndian.PutUint32(p.buffer[8:], uint32(len(p.buffer)-chunkHead-len(head)))
-	binary.LittleEndian.PutUint64(p.buffer[12:], xxhash.Sum64(p.buffer[chunkHead:]))
+	putChunkHeader(p.buffer, chunkHeader{
+		headSize: int64(len(head)),
+		bodySize: int64(len(p.buffer) - chunkHead - len(head)),
+		checksum: xxhash.Sum64(p.buffer[chunkHead:]),
+	})
 	return p.buffer, nil
 }
 
@@ -142,9 +142,9 @@
 	return err
 }
 
-// Holds tells whether a message arrives in a chunk, or is held where it begins. It may rarely be wrong about one that
+// MayContain tells whether a message arrives in a chunk, or is open where it begins. It may rarely be wrong about one that
 // does not.
-func (h *Head) Holds(id string) bool {
+func (h *Head) MayContain(id string) bool {
 	_, ok := slices.BinarySearch(h.Messages, idHash(id))
 	if !ok { // heads of minor version 0 are not sorted
 		ok = slices.Contains(h.Messages, idHash(id))
--- a/internal/relay/capture/core_actions.go
+++ b/internal/relay/capture/core_actions.go
@@ -16,7 +16,7 @@
 	Actions []Action      `cbor:"-"`                    // the same in full, in a replay
 }
 
-// Add takes a deed into the sum. The deeds themselves follow from the rest, and would take as much time to write as all
+// Add takes an action into the sum. The actions themselves follow from the rest, and would take as much time to write as all
 // of it.
 func (in *Input) Add(d *Action) {
 	h := in.Sum ^ uint64(d.Kind)
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -95,87 +95,121 @@
 
 const start = 24 * time.Hour
 
-// run plays a scene for twelve seconds and writes its capture.
-func (sc *scene) run(name string) ([]byte, error) {
-	mod, err := control.New(settings(), 11)
+// sceneLength is how long a scene runs.
+const sceneLength = 12 * time.Second
+
+// sceneRun is a scene under way, with its module and its capture.
+type sceneRun struct {
+	*scene
+	module   *control.Sender
+	chunker  *chunker
+	file     bytes.Buffer
+	rng      *rand.Rand
+	calls    []timed        // that are out, with what comes of them
+	attempts map[uint64]int // begun for each message
+	lastRef  uint64
+	err      error // of the capture
+}
+
+// run runs a scene and returns its capture.
+func (s *scene) run(name string) ([]byte, error) {
+	run, err := s.begin(name)
 	if err != nil {
 		return nil, err
 	}
-	c, err := newChunker()
+	for no, at := uint64(1), time.Duration(0); at < sceneLength; no, at = no+1, at+grid {
+		run.turn(no, at)
+	}
+	if run.err == nil {
+		run.err = run.chunker.flushTo(&run.file)
+	}
+	return run.file.Bytes(), run.err
+}
+
+// begin makes a module and the start of its capture.
+func (s *scene) begin(name string) (*sceneRun, error) {
+	module, err := control.New(settings(), 11)
 	if err != nil {
 		return nil, err
 	}
-	var file bytes.Buffer
-	file.Write(fileHeader())
-	put := func(t Type, record any) {
-		if err == nil {
-			err = c.add(t, record)
-		}
+	chunker, err := newChunker()
+	if err != nil {
+		return nil, err
 	}
-	put(TypeBegin, &Begin{Relay: name, Clock: start, Seed: 11, Settings: settings()})
-	put(TypeState, &State{})
-	rng := rand.New(rand.NewPCG(11, 11))
-	type call struct {
-		due time.Duration
-		ev  control.Event
-	}
-	var out []call
-	tries, ref, rate := map[uint64]int{}, uint64(0), max(sc.rate, 4)
-	for _, e := range sc.events[0] {
-		tries[e.ID] = e.Attempt
-	}
-	for no, at := uint64(1), time.Duration(0); at < 12*time.Second; no, at = no+1, at+grid {
-		var in []control.Event
-		if no == 1 {
-			ev := change(control.Ready, 0, 1, 2, 3, 4, 5, 6, 7)
-			ev.Complete = true
-			in = append(in, ev)
-		}
-		if sc.first {
-			in = append(in, sc.events[at]...)
-		}
-		keep := out[:0]
-		for _, o := range out {
-			if o.due <= at {
-				in = append(in, o.ev)
-			} else {
-				keep = append(keep, o)
-			}
-		}
-		out = keep
-		for rng.IntN(10) < rate && ref < no {
-			ref++
-			class := rng.IntN(3)
-			in = append(in, control.Event{Kind: control.Arrived, ID: ref, Destination: rng.IntN(4), Class: class, Key: uint64(rng.IntN(5)),
-				Deadline: start + at + []time.Duration{4, 8, 4}[class]*time.Second})
-			put(TypeMessage, &Message{ref, "platform", fmt.Sprint("m-", ref)})
-		}
-		if !sc.first {
-			in = append(in, sc.events[at]...)
-		}
-		in = append(in, control.Event{Kind: control.Woken})
-		now := at
-		if sc.clock != nil {
-			now = sc.clock(at)
-		}
-		actions := mod.Step(start+now, in, nil)
-		put(TypeTurn, &Turn{no, start + now, in, actions})
-		for _, a := range actions {
-			if a.Kind != control.Send {
-				continue
-			}
-			result, took, wait := sc.answer(at, a.Endpoint, a.ID)
-			if took > a.For {
-				result, took, wait = control.TimedOut, a.For, 0
-			}
-			out = append(out, call{at + took, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint, Result: result, RetryAfter: wait}})
-			tries[a.ID]++
-		}
+	run := &sceneRun{scene: s, module: module, chunker: chunker, rng: rand.New(rand.NewPCG(11, 11)), attempts: map[uint64]int{}}
+	run.file.Write(fileHeader())
+	run.record(TypeBegin, &Begin{Relay: name, Clock: start, Seed: 11, Settings: settings()})
+	run.record(TypeState, &State{})
+	for _, event := range s.events[0] {
+		run.attempts[event.ID] = event.Attempt
+	}
+	return run, nil
+}
+
+// record appends a record to the capture, unless one before failed.
+func (r *sceneRun) record(recordType Type, record any) {
+	if r.err == nil {
+		r.err = r.chunker.add(recordType, record)
+	}
+}
+
+// turn steps the module with all that happens at a time, and records that.
+func (r *sceneRun) turn(no uint64, at time.Duration) {
+	events := r.turnEvents(no, at)
+	now := at
+	if r.clock != nil {
+		now = r.clock(at)
+	}
+	actions := r.module.Step(start+now, events, nil)
+	r.record(TypeTurn, &Turn{no, start + now, events, actions})
+	r.call(at, actions)
+}
+
+// turnEvents returns all events of a turn, in the order in which the module is told them.
+func (r *sceneRun) turnEvents(no uint64, at time.Duration) (events []control.Event) {
+	if no == 1 {
+		list := change(control.Ready, 0, 1, 2, 3, 4, 5, 6, 7)
+		list.Complete = true
+		events = append(events, list)
+	}
+	if r.first {
+		events = append(events, r.events[at]...)
 	}
-	if err == nil {
-		err = c.flushTo(&file)
+	events = append(events, takeDue(&r.calls, at)...)
+	events = append(events, r.arrivals(no, at)...)
+	if !r.first {
+		events = append(events, r.events[at]...)
+	}
+	return append(events, control.Event{Kind: control.Woken})
+}
+
+// arrivals draws the messages that arrive in a turn, one at most for each turn so far, and records their ids.
+func (r *sceneRun) arrivals(no uint64, at time.Duration) (events []control.Event) {
+	rate := max(r.rate, 4)
+	for r.rng.IntN(10) < rate && r.lastRef < no {
+		r.lastRef++
+		class := r.rng.IntN(3)
+		events = append(events, control.Event{Kind: control.Arrived, ID: r.lastRef, Destination: r.rng.IntN(4), Class: class, Key: uint64(r.rng.IntN(5)),
+			Deadline: start + at + []time.Duration{4, 8, 4}[class]*time.Second})
+		r.record(TypeMessage, &Message{r.lastRef, "platform", fmt.Sprint("m-", r.lastRef)})
+	}
+	return events
+}
+
+// call makes the calls that the module has decided on, each with what the scene answers.
+func (r *sceneRun) call(at time.Duration, actions []control.Action) {
+	for _, action := range actions {
+		if action.Kind != control.Send {
+			continue
+		}
+		result, took, wait := r.answer(at, action.Endpoint, action.ID)
+		if took > action.For {
+			result, took, wait = control.TimedOut, action.For, 0
+		}
+		r.calls = append(r.calls, timed{at + took, control.Event{Kind: control.Resolved, ID: action.ID, Attempt: r.attempts[action.ID],
+			Endpoint: action.Endpoint, Result: result, RetryAfter: wait}})
+		r.attempts[action.ID]++
 	}
-	return file.Bytes(), err
 }
 
 // TestCorpus_Scenes_MatchTheirCaptures: each scene decides what its capture in the corpus tells; with -corpus the captures are written anew.
--- a/internal/relay/capture/words.go
+++ b/internal/relay/capture/describe.go
@@ -7,6 +7,14 @@
 	"mastusher/control"
 )
 
+// nameFor returns the name of a code; unknown: there is none.
+func nameFor(names []string, code int, unknown string) string {
+	if code < len(names) {
+		return names[code]
+	}
+	return unknown
+}
+
 func (res *Result) name(endpoint uint32) string {
 	if n, ok := res.Names[endpoint]; ok {
 		return n.Name
@@ -21,14 +29,11 @@
 	return fmt.Sprintf("message %d", ref)
 }
 
-var actionWords = [...]string{"?", "send", "refuse", "fail", "cancel", "wake", "subscribe", "close", "recall", "log"}
+var actionNames = [...]string{"?", "send", "refuse", "fail", "cancel", "wake", "subscribe", "close", "recall", "log"}
 
 // Action is an action in words.
 func (res *Result) Action(a control.Action) string {
-	kind := actionWords[0]
-	if int(a.Kind) < len(actionWords) {
-		kind = actionWords[a.Kind]
-	}
+	kind := nameFor(actionNames[:], int(a.Kind), actionNames[0])
 	switch a.Kind {
 	case control.Send:
 		return fmt.Sprintf("send %s to %s within %v", res.message(a.ID), res.name(a.Endpoint), a.For)
@@ -46,7 +51,9 @@
 	return kind + " " + res.message(a.ID)
 }
 
-var resultWords = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
+var resultNames = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
+
+func resultName(result control.Result) string { return nameFor(resultNames[:], int(result), "unknown") }
 
 // Event is an event in words.
 func (res *Result) Event(event control.Event) string {
@@ -62,11 +69,7 @@
 		}
 		return s
 	case control.Resolved:
-		what := "unknown"
-		if int(event.Result) < len(resultWords) {
-			what = resultWords[event.Result]
-		}
-		s := fmt.Sprintf("attempt %d of %s at %s: %s", event.Attempt, res.message(event.ID), res.name(event.Endpoint), what)
+		s := fmt.Sprintf("attempt %d of %s at %s: %s", event.Attempt, res.message(event.ID), res.name(event.Endpoint), resultName(event.Result))
 		if event.RetryAfter > 0 {
 			s += fmt.Sprintf(", wait %v", event.RetryAfter)
 		}
@@ -110,12 +113,8 @@
 			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", event.Number, event.Items)
 		}
 		var ends []string
-		for _, o := range event.Outcomes {
-			what := "unknown"
-			if int(o.Result) < len(resultWords) {
-				what = resultWords[o.Result]
-			}
-			ends = append(ends, what)
+		for _, outcome := range event.Outcomes {
+			ends = append(ends, resultName(outcome.Result))
 		}
 		return fmt.Sprintf("route step %d ends: %s", event.Number, strings.Join(ends, ", "))
 	case ListReported:
@@ -134,17 +133,14 @@
 	return fmt.Sprintf("event of kind %d", event.Kind)
 }
 
-var verdictWords = [...]string{"taken on", "busy", "given up", "rejected"}
+var verdictNames = [...]string{"taken on", "busy", "given up", "rejected"}
 
 // CoreAction is what the core did in words.
 func (res *Result) CoreAction(d Action) string {
 	switch d.Kind {
 	case Replied:
-		what := "?"
-		if int(d.Verdict) < len(verdictWords) {
-			what = verdictWords[d.Verdict]
-		}
-		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.Number, what, d.Wait)
+		verdict := nameFor(verdictNames[:], int(d.Verdict), "?")
+		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.Number, verdict, d.Wait)
 	case AttemptBegan:
 		return fmt.Sprintf("route step %d to %s within %v: %s", d.Number, res.name(d.Target), d.Wait, res.messages(d.Refs))
 	case AttemptCanceled:
--- a/internal/relay/capture/doc.go
+++ b/internal/relay/capture/doc.go
@@ -14,5 +14,5 @@
 // CoreReplay). Bodies are not recorded, only how long they are. All times are on the module's clock.
 //
 // Recorder is what a serving relay records with: the core hands it turns and never waits; a goroutine of its own, which ends with Close,
-// encodes and writes them to a ring of files. Writer is for simulations, which may wait. Reader, Replay, Story and Window read.
+// encodes and writes them to a ring of files. Writer is for simulations, which may wait. Reader, Replay, Trace and Window read.
 package capture
--- a/internal/relay/capture/explain.go
+++ b/internal/relay/capture/explain.go
@@ -23,37 +23,42 @@
 	return all
 }
 
-var healthWords = [...]string{"steady", "overrunning", "stopped", "returning"}
+var healthNames = [...]string{"steady", "overrunning", "stopped", "returning"}
 
 // Explain tells, a line each, how the destinations of some endpoints stand: tables, plan, health, waits.
-func Explain(x *control.Snapshot, res *Result, endpoints map[uint32]bool) (explanation []string) {
-	explanation = append(explanation, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", x.SlotsInUse, x.OpenMessages, x.CallsToUnhealthy, x.Budget))
-	for _, n := range x.Destinations {
-		for _, e := range n.Endpoints {
-			if !endpoints[e.ID] {
-				continue
+func Explain(snapshot *control.Snapshot, res *Result, endpoints map[uint32]bool) (explanation []string) {
+	explanation = append(explanation, fmt.Sprintf("slots in use %d, messages open %d, calls to suspect destinations %d, resend budget %.2f", snapshot.SlotsInUse, snapshot.OpenMessages, snapshot.CallsToUnhealthy, snapshot.Budget))
+	for i := range snapshot.Destinations {
+		destination := &snapshot.Destinations[i]
+		for k := range destination.Endpoints {
+			if endpoint := &destination.Endpoints[k]; endpoints[endpoint.ID] {
+				explanation = append(explanation, explainEndpoint(snapshot, res, destination, endpoint))
 			}
-			d := n.Routes[e.Route]
-			health := "?"
-			if int(d.Health) < len(healthWords) {
-				health = healthWords[d.Health]
-			}
-			line := fmt.Sprintf("%s of destination %d: %s, list says %s; table of %.1f calls, %.1f lost; %d out, %d held",
-				res.name(e.ID), n.ID, health, [...]string{"ready", "draining", "gone"}[min(int(e.State), 2)], e.Own.Total, e.Own.Failed, len(e.InFlight), len(n.Queued))
-			if d.WaitUntil > x.Now {
-				line += fmt.Sprintf("; told to wait %v more", d.WaitUntil-x.Now)
-			}
-			if d.RetryAt > x.Now {
-				line += fmt.Sprintf("; rests %v more after %d refusals", d.RetryAt-x.Now, d.RefusalStreak)
-			}
-			if d.RateLimit > 0 {
-				line += fmt.Sprintf("; limit %.1f/s, tokens %.2f", d.RateLimit, d.Tokens)
-			}
-			if len(n.ExpectedTimes) > 1 {
-				line += fmt.Sprintf("; the plan expects %.0f ms", n.ExpectedTimes[1]*1000)
-			}
-			explanation = append(explanation, line)
 		}
 	}
 	return explanation
 }
+
+var endpointStateNames = [...]string{"ready", "draining", "gone"}
+
+// explainEndpoint tells how one endpoint stands.
+func explainEndpoint(snapshot *control.Snapshot, res *Result, destination *control.DestinationSnapshot, endpoint *control.EndpointSnapshot) string {
+	route := &destination.Routes[endpoint.Route]
+	health := nameFor(healthNames[:], int(route.Health), "?")
+	text := fmt.Sprintf("%s of destination %d: %s, list says %s; table of %.1f calls, %.1f lost; %d out, %d held",
+		res.name(endpoint.ID), destination.ID, health, endpointStateNames[min(int(endpoint.State), 2)], endpoint.Own.Total, endpoint.Own.Failed,
+		len(endpoint.InFlight), len(destination.Queued))
+	if route.WaitUntil > snapshot.Now {
+		text += fmt.Sprintf("; told to wait %v more", route.WaitUntil-snapshot.Now)
+	}
+	if route.RetryAt > snapshot.Now {
+		text += fmt.Sprintf("; rests %v more after %d refusals", route.RetryAt-snapshot.Now, route.RefusalStreak)
+	}
+	if route.RateLimit > 0 {
+		text += fmt.Sprintf("; limit %.1f/s, tokens %.2f", route.RateLimit, route.Tokens)
+	}
+	if len(destination.ExpectedTimes) > 1 {
+		text += fmt.Sprintf("; the plan expects %.0f ms", destination.ExpectedTimes[1]*1000)
+	}
+	return text
+}
--- a/internal/relay/capture/fast_test.go
+++ b/internal/relay/capture/fast_test.go
@@ -12,65 +12,54 @@
 )
 
 // fill draws a value of any of the records' types, with many zeros.
-func fill(t *rapid.T, v reflect.Value) {
+func fill(t *rapid.T, value reflect.Value) {
 	if rapid.IntRange(0, 2).Draw(t, "zero") == 0 {
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).Tag.Get("cbor") != "-" {
-				fill(t, v.Field(i))
+		for i := range value.NumField() {
+			if value.Type().Field(i).Tag.Get("cbor") != "-" {
+				fill(t, value.Field(i))
 			}
 		}
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), rapid.IntRange(0, 30).Draw(t, "len"), 30))
-		for i := range v.Len() {
-			fill(t, v.Index(i))
+		value.Set(reflect.MakeSlice(value.Type(), rapid.IntRange(0, 30).Draw(t, "len"), 30))
+		for i := range value.Len() {
+			fill(t, value.Index(i))
 		}
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem())
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(t, value.Elem())
 	case reflect.String:
-		v.SetString(rapid.StringN(0, 40, 400).Draw(t, "text"))
+		value.SetString(rapid.StringN(0, 40, 400).Draw(t, "text"))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Float64:
-		v.SetFloat(rapid.Float64().Draw(t, "float"))
+		value.SetFloat(rapid.Float64().Draw(t, "float"))
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-		v.SetUint(rapid.Uint64().Draw(t, "uint") >> rapid.IntRange(0, 63).Draw(t, "shift"))
+		value.SetUint(rapid.Uint64().Draw(t, "uint") >> rapid.IntRange(0, 63).Draw(t, "shift"))
 	case reflect.Int, reflect.Int64:
-		v.SetInt(rapid.Int64().Draw(t, "int") >> rapid.IntRange(0, 63).Draw(t, "shift"))
+		value.SetInt(rapid.Int64().Draw(t, "int") >> rapid.IntRange(0, 63).Draw(t, "shift"))
 	default:
-		t.Fatalf("%v: what is that?", v.Type())
+		t.Fatalf("a %v cannot be filled", value.Type())
 	}
 }
 
 // TestFast_AnyRecord_SameBytesAsLibrary: the short way to a record's bytes ends where the library's does, whatever the record holds.
 func TestFast_AnyRecord_SameBytesAsLibrary(t *testing.T) {
-	quick := map[string]int{}
+	encoded := map[string]int{} // bytes, by type
 	rapid.Check(t, func(t *rapid.T) {
 		for _, record := range []any{&Turn{}, &Message{}, &Input{}} {
 			fill(t, reflect.ValueOf(record).Elem())
 			got, ok := appendFast([]byte("x"), record)
 			if !ok {
-				if turn, is := record.(*Turn); is {
-					for i := range turn.Events {
-						turn.Events[i].Shared = nil
-					}
-				}
-				if in, is := record.(*Input); is {
-					in.Full, in.Failed = nil, false
-					for i := range in.Events {
-						in.Events[i].List, in.Events[i].Outcomes, in.Events[i].Accepted, in.Events[i].Mandate = nil, nil, nil, nil
-						in.Events[i].Shared = nil
-					}
-				}
+				makeUsual(record)
 				if got, ok = appendFast([]byte("x"), record); !ok {
 					t.Fatalf("%+v is not usual", record)
 				}
 			}
-			quick[reflect.TypeOf(record).String()] += len(got)
+			encoded[reflect.TypeOf(record).String()] += len(got)
 			want, err := cbor.Marshal(record)
 			if err != nil {
 				t.Fatal(err)
@@ -80,19 +69,35 @@
 			}
 		}
 	})
-	if len(quick) != 3 {
-		t.Errorf("%v", quick)
+	if len(encoded) != 3 {
+		t.Errorf("%v", encoded)
+	}
+}
+
+// makeUsual leaves out of a record what only the library encodes.
+func makeUsual(record any) {
+	switch record := record.(type) {
+	case *Turn:
+		for i := range record.Events {
+			record.Events[i].Shared = nil
+		}
+	case *Input:
+		record.Full, record.Failed = nil, false
+		for i := range record.Events {
+			event := &record.Events[i]
+			event.List, event.Outcomes, event.Accepted, event.Mandate, event.Shared = nil, nil, nil, nil, nil
+		}
 	}
 }
 
 // TestFast_FieldCounts: a field that is added to a frequent record must be added to its short way too.
 func TestFast_FieldCounts(t *testing.T) {
 	for _, c := range []struct {
-		v    any
-		want int
+		record any
+		want   int
 	}{{control.Endpoint{}, 7}, {control.Event{}, 22}, {control.Action{}, 7}, {Turn{}, 4}, {Message{}, 3}, {Input{}, 7}, {CoreEvent{}, 12}, {Arrival{}, 16}} {
-		if n := reflect.TypeOf(c.v).NumField(); n != c.want {
-			t.Errorf("%T has %d fields, fast.go knows %d", c.v, n, c.want)
+		if n := reflect.TypeOf(c.record).NumField(); n != c.want {
+			t.Errorf("%T has %d fields, fast.go knows %d", c.record, n, c.want)
 		}
 	}
 }
--- a/internal/relay/capture/format.go
+++ b/internal/relay/capture/format.go
@@ -1,8 +1,6 @@
 package capture
 
-import (
-	"errors"
-)
+import "encoding/binary"
 
 // Major changes when older readers can't read a file, Minor when they can.
 const (
@@ -16,9 +14,33 @@
 	maxChunk   = 16 << 20 // bytes of a body, compressed or not
 )
 
-// ErrVersion is another major version.
-var ErrVersion = errors.New("capture: another version")
-
 func fileHeader() []byte {
 	return []byte{fileMagic[0], fileMagic[1], fileMagic[2], fileMagic[3], Major, Minor, 0, 0}
 }
+
+// chunkHeader is the part of a chunk that is of fixed size.
+type chunkHeader struct {
+	headSize, bodySize int64 // bytes
+	checksum           uint64
+}
+
+// parseChunkHeader reads the first chunkHead bytes of a chunk; false: none begins here.
+func parseChunkHeader(text []byte) (chunkHeader, bool) {
+	header := chunkHeader{
+		headSize: int64(binary.LittleEndian.Uint32(text[4:])),
+		bodySize: int64(binary.LittleEndian.Uint32(text[8:])),
+		checksum: binary.LittleEndian.Uint64(text[12:]),
+	}
+	return header, string(text[:4]) == chunkMagic && header.headSize <= maxChunk && header.bodySize <= maxChunk
+}
+
+// size is how many bytes the whole chunk takes.
+func (h *chunkHeader) size() int64 { return chunkHead + h.headSize + h.bodySize }
+
+// putChunkHeader writes the first chunkHead bytes of a chunk.
+func putChunkHeader(text []byte, header chunkHeader) {
+	copy(text, chunkMagic)
+	binary.LittleEndian.PutUint32(text[4:], uint32(header.headSize))
+	binary.LittleEndian.PutUint32(text[8:], uint32(header.bodySize))
+	binary.LittleEndian.PutUint64(text[12:], header.checksum)
+}
--- a/internal/relay/capture/mandate.go
+++ b/internal/relay/capture/mandate.go
@@ -29,8 +29,8 @@
 // Shuts tells whether a partner is shut by hand. No mandate shuts none.
 func (s *Mandate) Shuts(partner int) bool { return s != nil && slices.Contains(s.Shut, partner) }
 
-// MostTo is the limit of a partner by hand; 0: none.
-func (s *Mandate) MostTo(partner int) float64 {
+// RateLimitTo is the limit of a partner by hand; 0: none.
+func (s *Mandate) RateLimitTo(partner int) float64 {
 	if s == nil {
 		return 0
 	}
--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -13,7 +13,7 @@
 // it, in a turn that it names, and the one unaltered not.
 func TestMutants_Corpus_FindsEach(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
-	for name, c := range map[string]struct{ file, old, new string }{
+	for name, mutation := range map[string]struct{ file, old, new string }{
 		"unaltered":    {"sender.go", "", ""},
 		"a threshold":  {"outlier.go", "ejectionFailures = 2\n", "ejectionFailures = 3\n"},
 		"a comparison": {"outcome.go", "took >= s.lateAge(endpoint)", "took < s.lateAge(endpoint)"},
@@ -26,33 +26,47 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			policy, err := filepath.Abs(filepath.Join("../../../control", c.file))
-			if err != nil {
-				t.Fatal(err)
-			}
-			source, err := os.ReadFile(policy)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if strings.Count(string(source), c.old) != 1 && c.old != "" {
-				t.Fatalf("%q does not stand in %s once", c.old, c.file)
-			}
-			dir := t.TempDir()
-			program, mutant, overlay := filepath.Join(dir, "replayer"), filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
-			_ = os.WriteFile(mutant, []byte(strings.Replace(string(source), c.old, c.new, 1)), 0o600)
-			text, _ := json.Marshal(map[string]any{"Replace": map[string]string{policy: mutant}})
-			_ = os.WriteFile(overlay, text, 0o600)
-			if out, buildErr := exec.Command("go", "build", "-overlay", overlay, "-o", program, "./testdata/replayer").CombinedOutput(); buildErr != nil {
-				t.Fatalf("%v\n%s", buildErr, out)
-			}
-			out, err := exec.Command(program, files...).CombinedOutput()
+			out, err := exec.Command(buildReplayer(t, mutation.file, mutation.old, mutation.new), files...).CombinedOutput()
 			if err != nil {
 				t.Fatalf("%v\n%s", err, out)
 			}
-			same, differs := strings.Count(string(out), ": <nil>\n"), strings.Count(string(out), ": capture: turn ")
-			if same+differs != len(files) || (differs == 0) != (c.old == "") {
-				t.Errorf("%d captures replay, %d differ\n%s", same, differs, out)
+			same, differ := strings.Count(string(out), ": <nil>\n"), strings.Count(string(out), ": capture: turn ")
+			if same+differ != len(files) || (differ == 0) != (mutation.old == "") {
+				t.Errorf("%d captures replay, %d differ\n%s", same, differ, out)
 			}
 		})
 	}
 }
+
+// buildReplayer builds testdata/replayer with a text of one of the module's files replaced, which must stand there once (or be empty).
+func buildReplayer(t *testing.T, file, before, after string) (program string) {
+	t.Helper()
+	original, err := filepath.Abs(filepath.Join("../../../control", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	source, err := os.ReadFile(original)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if strings.Count(string(source), before) != 1 && before != "" {
+		t.Fatalf("%q does not stand in %s once", before, file)
+	}
+	dir := t.TempDir()
+	mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
+	if err = os.WriteFile(mutant, []byte(strings.Replace(string(source), before, after, 1)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(map[string]any{"Replace": map[string]string{original: mutant}})
+	if err == nil {
+		err = os.WriteFile(overlay, text, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	program = filepath.Join(dir, "replayer")
+	if out, err := exec.Command("go", "build", "-overlay", overlay, "-o", program, "./testdata/replayer").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	return program
+}
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -1,7 +1,6 @@
 package capture
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -19,33 +18,33 @@
 	replayed int64 // by Each
 	size     int64
 	Minor    byte
-	// Torn is why reading ended before the end of the file; nil: it did not.
+	// Torn is why reading ended before the end of the file, a *TornError; nil: it did not.
 	Torn error
 	// Skipped counts records of types that this program does not know.
 	Skipped int
 }
 
-// NewReader checks the head of a file.
-func NewReader(r io.ReadSeeker) (*Reader, error) {
-	size, err := r.Seek(0, io.SeekEnd)
+// NewReader checks the head of a file. It returns ErrNotCapture or ErrVersion for a file that can't be read.
+func NewReader(source io.ReadSeeker) (*Reader, error) {
+	size, err := source.Seek(0, io.SeekEnd)
 	if err == nil {
-		_, err = r.Seek(0, io.SeekStart)
+		_, err = source.Seek(0, io.SeekStart)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	var head [fileHead]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil || string(head[:4]) != fileMagic {
-		return nil, errors.New("capture: this is no capture")
+	if _, err = io.ReadFull(source, head[:]); err != nil || string(head[:4]) != fileMagic {
+		return nil, ErrNotCapture
 	}
 	if head[4] != Major {
 		return nil, fmt.Errorf("%w: the file is of major version %d, this program reads %d", ErrVersion, head[4], Major)
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunk))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunk))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return &Reader{source: r, decoder: dec, offset: fileHead, size: size, Minor: head[5]}, nil
+	return &Reader{source: source, decoder: decoder, offset: fileHead, size: size, Minor: head[5]}, nil
 }
 
 // Chunk is one chunk as it stands in a file.
@@ -63,77 +62,59 @@
 	if r.Torn != nil || r.offset >= r.size {
 		return nil, io.EOF
 	}
-	torn := func(why string) (*Chunk, error) {
-		r.Torn = fmt.Errorf("capture: at byte %d of %d: %s", r.offset, r.size, why)
-		return nil, io.EOF
-	}
-	var h [chunkHead]byte
 	if _, err := r.source.Seek(r.offset, io.SeekStart); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	if _, err := io.ReadFull(r.source, h[:]); err != nil {
-		return torn("the head of a chunk is cut short")
+	var start [chunkHead]byte
+	if _, err := io.ReadFull(r.source, start[:]); err != nil {
+		return r.torn("the head of a chunk is cut short")
 	}
-	head, body := int64(binary.LittleEndian.Uint32(h[4:])), int64(binary.LittleEndian.Uint32(h[8:]))
-	if string(h[:4]) != chunkMagic || head > maxChunk || body > maxChunk {
-		return torn("no chunk begins here")
+	header, ok := parseChunkHeader(start[:])
+	if !ok {
+		return r.torn("no chunk begins here")
 	}
-	if r.offset+chunkHead+head+body > r.size {
-		return torn("a chunk is cut short")
+	if r.offset+header.size() > r.size {
+		return r.torn("a chunk is cut short")
 	}
-	all := make([]byte, head+body)
-	if _, err := io.ReadFull(r.source, all); err != nil {
-		return torn("a chunk is cut short")
+	text := make([]byte, header.headSize+header.bodySize)
+	if _, err := io.ReadFull(r.source, text); err != nil {
+		return r.torn("a chunk is cut short")
 	}
-	if xxhash.Sum64(all) != binary.LittleEndian.Uint64(h[12:]) {
-		return torn("a chunk is damaged")
+	if xxhash.Sum64(text) != header.checksum {
+		return r.torn("a chunk is damaged")
 	}
-	c := &Chunk{At: r.offset, body: all[head:]}
-	if err := cbor.Unmarshal(all[:head], &c.Head); err != nil {
-		return torn("the head of a chunk can't be read: " + err.Error())
+	chunk := &Chunk{At: r.offset, body: text[header.headSize:]}
+	if err := cbor.Unmarshal(text[:header.headSize], &chunk.Head); err != nil {
+		return r.torn("the head of a chunk can't be read: " + err.Error())
 	}
-	r.offset += chunkHead + head + body
-	return c, nil
+	r.offset += header.size()
+	return chunk, nil
 }
 
-// Records hands the records of a chunk to do, as pointers to their types, until it returns an error.
-func (r *Reader) Records(c *Chunk, do func(record any) error) error {
-	text, err := r.decoder.DecodeAll(c.body, make([]byte, 0, min(c.Size, maxChunk)))
+// torn ends reading here for good.
+func (r *Reader) torn(reason string) (*Chunk, error) {
+	r.Torn = &TornError{Offset: r.offset, Size: r.size, Reason: reason}
+	return nil, io.EOF
+}
+
+// Records hands the records of a chunk to do, as pointers to their types, until it returns an error. Its own error is a *ChunkError.
+func (r *Reader) Records(chunk *Chunk, do func(record any) error) error {
+	text, err := r.decoder.DecodeAll(chunk.body, make([]byte, 0, min(chunk.Size, maxChunk)))
 	if err != nil {
-		return fmt.Errorf("capture: the chunk at byte %d: %w", c.At, err)
+		return &ChunkError{Offset: chunk.At, Err: err}
 	}
 	for len(text) > 0 {
-		if len(text) < 2 || text[0] != 0x82 || text[1] >= 24 {
-			return fmt.Errorf("capture: the chunk at byte %d holds what is no record", c.At)
-		}
-		var record any
-		switch Type(text[1]) {
-		case TypeBegin:
-			record = &Begin{}
-		case TypeState:
-			record = &State{}
-		case TypeTurn:
-			record = &Turn{}
-		case TypeName:
-			record = &Name{}
-		case TypeMessage:
-			record = &Message{}
-		case TypeGap:
-			record = &Gap{}
-		case TypeNote:
-			record = &Note{}
-		case TypeCore:
-			record = &Core{}
-		case TypeInput:
-			record = &Input{}
-		default:
-			record = &cbor.RawMessage{}
+		if len(text) < 2 || text[0] != recordStart || text[1] >= maxType {
+			return &ChunkError{Offset: chunk.At}
+		}
+		record, known := newRecord(Type(text[1]))
+		if !known {
 			r.Skipped++
 		}
 		if text, err = cbor.UnmarshalFirst(text[2:], record); err != nil {
-			return fmt.Errorf("capture: the chunk at byte %d: %w", c.At, err)
+			return &ChunkError{Offset: chunk.At, Err: err}
 		}
-		if _, unknown := record.(*cbor.RawMessage); unknown {
+		if !known {
 			continue
 		}
 		if err := do(record); err != nil {
@@ -146,86 +127,91 @@
 // Index reads the heads of all whole chunks from here on, and no bodies: where each stands, its times, and the messages
 // that arrive in it. It leaves the reader where it was.
 func (r *Reader) Index() ([]Chunk, error) {
-	var all []Chunk
-	for at := r.offset; at+chunkHead <= r.size; {
-		var h [chunkHead]byte
-		if _, err := r.source.Seek(at, io.SeekStart); err != nil {
+	var index []Chunk
+	for offset := r.offset; offset+chunkHead <= r.size; {
+		var start [chunkHead]byte
+		if _, err := r.source.Seek(offset, io.SeekStart); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
-		if _, err := io.ReadFull(r.source, h[:]); err != nil {
+		if _, err := io.ReadFull(r.source, start[:]); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
-		head, body := int64(binary.LittleEndian.Uint32(h[4:])), int64(binary.LittleEndian.Uint32(h[8:]))
-		if string(h[:4]) != chunkMagic || head > maxChunk || body > maxChunk || at+chunkHead+head+body > r.size {
+		header, ok := parseChunkHeader(start[:])
+		if !ok || offset+header.size() > r.size {
 			break
 		}
-		text := make([]byte, head)
+		text := make([]byte, header.headSize)
 		if _, err := io.ReadFull(r.source, text); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
-		c := Chunk{At: at}
-		if cbor.Unmarshal(text, &c.Head) != nil {
+		chunk := Chunk{At: offset}
+		if cbor.Unmarshal(text, &chunk.Head) != nil {
 			break
 		}
-		all = append(all, c)
-		at += chunkHead + head + body
+		index = append(index, chunk)
+		offset += header.size()
 	}
-	return all, nil
+	return index, nil
 }
 
 // SeekTo has reading go on at a chunk of the index.
 func (r *Reader) SeekTo(c *Chunk) { r.offset = c.At }
 
+// decodedChunk is what Each's decoder has made of a chunk: records, and what ended them.
+type decodedChunk struct {
+	records []any
+	offset  int64
+	err     error // stands behind the records
+}
+
 // Each hands all records from here on to do, in order, until it returns an error. Chunks are decoded ahead on another
 // goroutine, which has ended when Each returns; where the reader stands then is not said.
 func (r *Reader) Each(do func(record any) error) error {
-	type decoded struct {
-		records []any
-		at      int64
-		err     error
-	}
-	chunks, stop := make(chan decoded, 4), make(chan struct{})
-	go func() {
-		defer close(chunks)
-		for {
-			c, err := r.Next()
-			if errors.Is(err, io.EOF) {
-				return
-			}
-			p := decoded{err: err}
-			if err == nil {
-				p.at = c.At
-				p.err = r.Records(c, func(record any) error {
-					p.records = append(p.records, record)
-					return nil
-				})
-			}
-			select {
-			case chunks <- p:
-			case <-stop:
-				return
-			}
-			if p.err != nil {
-				return
-			}
-		}
-	}()
+	chunks, stop := make(chan decodedChunk, 4), make(chan struct{})
+	go r.decodeAhead(chunks, stop)
 	defer func() {
 		close(stop)
 		for range chunks { // until it has ended
 		}
 	}()
-	for p := range chunks {
-		r.replayed = p.at
-		for _, record := range p.records { // also those before an error
+	for chunk := range chunks {
+		r.replayed = chunk.offset
+		for _, record := range chunk.records { // also those before an error
 			if err := do(record); err != nil {
 				return err
 			}
 		}
-		if p.err != nil {
-			return p.err
+		if chunk.err != nil {
+			return chunk.err
 		}
 	}
 	r.replayed = r.size
 	return nil
 }
+
+// decodeAhead sends all chunks from here on, up to the first error, until stop is closed. It closes chunks when it ends.
+func (r *Reader) decodeAhead(chunks chan<- decodedChunk, stop <-chan struct{}) {
+	defer close(chunks)
+	for {
+		chunk, err := r.Next()
+		if errors.Is(err, io.EOF) {
+			return
+		}
+		decoded := decodedChunk{err: err}
+		if err == nil {
+			decoded.offset = chunk.At
+			decoded.err = r.Records(chunk, func(record any) error {
+				decoded.records = append(decoded.records, record)
+				return nil
+			})
+		}
+		select {
+		case chunks <- decoded:
+		case <-stop:
+			return
+		}
+		if decoded.err != nil {
+			return
+		}
+	}
+}
--- a/internal/relay/capture/recorder.go
+++ b/internal/relay/capture/recorder.go
@@ -50,26 +50,27 @@
 }
 
 // New begins a capture in a folder, with a new file.
-func New(dir string, begin Begin, lim Limits, log *slog.Logger) (*Recorder, error) {
-	return open(dir, begin, lim, log, create)
+func New(dir string, begin Begin, limits Limits, log *slog.Logger) (*Recorder, error) {
+	return open(dir, begin, limits, log, create)
 }
 
-func open(dir string, begin Begin, lim Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, error) {
-	r, w, err := build(dir, begin, lim, log, create)
+// open is New with another way to create files.
+func open(dir string, begin Begin, limits Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, error) {
+	recorder, writer, err := build(dir, begin, limits, log, create)
 	if err == nil {
-		go w.run()
+		go writer.run()
 	}
-	return r, err
+	return recorder, err
 }
 
 // build makes a recorder whose writer does not run yet.
-func build(dir string, begin Begin, lim Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, *writer, error) {
+func build(dir string, begin Begin, limits Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, *writer, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
 	}
-	r := &Recorder{dir: dir, begin: begin, limits: lim, log: log, batches: make(chan *batch, lim.Queue+1),
+	r := &Recorder{dir: dir, begin: begin, limits: limits, log: log, batches: make(chan *batch, limits.Queue+1),
 		done: make(chan struct{}), create: create}
-	for range lim.Queue + 1 {
+	for range limits.Queue + 1 {
 		r.free = append(r.free, &batch{})
 	}
 	w, err := newWriter(r)
@@ -82,7 +83,7 @@
 
 // State is handed the module's state, the core's (nil: it is not recorded), the names of destinations and the ids of
 // messages, right before a turn.
-func (r *Recorder) State(x *control.Snapshot, core *Core, names []Name, messages []Message) {
+func (r *Recorder) State(snapshot *control.Snapshot, core *Core, names []Name, messages []Message) {
 	if r.Err() != nil {
 		return
 	}
@@ -104,7 +105,7 @@
 	for i := range messages {
 		r.current.message(messages[i])
 	}
-	r.current.state(x, core)
+	r.current.state(snapshot, core)
 }
 
 // Turn is handed each turn of the module. Nothing of events and actions is kept.
@@ -179,11 +180,11 @@
 func (r *Recorder) takeFree() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := len(r.free) - 1
-	if n < 0 {
+	last := len(r.free) - 1
+	if last < 0 {
 		return false
 	}
-	r.current, r.free = r.free[n], r.free[:n]
+	r.current, r.free = r.free[last], r.free[:last]
 	return true
 }
 
--- /dev/null
+++ b/internal/relay/capture/recorder_test.go
@@ -0,0 +1,123 @@
+package capture
+
+import (
+	"errors"
+	"os"
+	"testing"
+	"time"
+)
+
+// TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks: a writer that can't keep up loses turns and never makes the core wait; a replay stops there, and goes on at
+// the next state if it is told to.
+func TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks(t *testing.T) {
+	limits := testLimits
+	limits.Queue, limits.Chunk = 3, 1<<10
+	recorder, writer, err := build(t.TempDir(), Begin{Seed: 5, Settings: settings()}, limits, quiet, create)
+	if err != nil {
+		t.Fatal(err)
+	}
+	module, world := newModule(t, 5), newWorld(3)
+	for no := range 300 {
+		if no < 100 || no >= 200 { // in between the writer hangs
+			writeBatches(t, recorder, writer)
+		}
+		recordTurn(recorder, module, world, no)
+	}
+	recorder.send()
+	writeBatches(t, recorder, writer)
+
+	text := onlyFile(t, recorder.dir)
+	lost := int(recorder.Lost.Load())
+	if lost < 30 || lost > 100 {
+		t.Errorf("%d turns lost", lost)
+	}
+	if result, err := replayed(text, Options{}); !errors.Is(err, ErrGap) || result.Turns < 100 {
+		t.Errorf("%d turns, then %v; want the gap", result.Turns, err)
+	}
+	if result, err := replayed(text, Options{PastGap: true}); err != nil || result.Turns != 300-lost || result.Gaps != 1 {
+		t.Errorf("%+v, %v; want 300 less %d turns", result, err, lost)
+	}
+}
+
+// writeBatches writes all batches that are on their way, in the place of the writer's goroutine.
+func writeBatches(t *testing.T, recorder *Recorder, writer *writer) {
+	t.Helper()
+	for len(recorder.batches) > 0 {
+		batch := <-recorder.batches
+		if err := writer.writeBatch(batch); err != nil {
+			t.Fatal(err)
+		}
+		recorder.giveBack(batch)
+	}
+}
+
+// TestRecorder_DirSize_OldestFilesGoFirst: files follow one another, each stands for itself, and the oldest go first.
+func TestRecorder_DirSize_OldestFilesGoFirst(t *testing.T) {
+	for name, size := range map[string]int64{"several chunks a file": 16 << 10, "files over their size with their first state": 1 << 10} {
+		t.Run(name, func(t *testing.T) {
+			limits := testLimits
+			limits.FileSize, limits.DirSize = size, 80<<10
+			dir, recorder := recordWorld(t, 5, 6000, limits, 0)
+			files, _ := Files(dir)
+			total := int64(0)
+			for _, file := range files {
+				text, err := os.ReadFile(file)
+				if err != nil {
+					t.Fatal(err)
+				}
+				total += int64(len(text))
+				if result, err := replayed(text, Options{}); err != nil || result.Turns == 0 {
+					t.Errorf("%s: %v", file, err)
+				}
+			}
+			if len(files) < 2 || total > limits.DirSize || recorder.Bytes.Load() < 2*limits.DirSize || recorder.Lost.Load() != 0 {
+				t.Errorf("%d files of %d bytes, of %d written; %d turns lost", len(files), total, recorder.Bytes.Load(), recorder.Lost.Load())
+			}
+		})
+	}
+}
+
+// TestRecorder_FullDisk_EndsCleanly: when nothing can be written any more the capture ends cleanly, and whoever hands in turns goes on.
+func TestRecorder_FullDisk_EndsCleanly(t *testing.T) {
+	dir := t.TempDir()
+	disk := &fullDisk{left: 20 << 10}
+	limits := Limits{Queue: 1 << 12, Chunk: 1 << 10, Within: time.Hour, FileSize: 1 << 20, DirSize: 1 << 30}
+	recorder, err := open(dir, Begin{Settings: settings()}, limits, quiet, disk.create)
+	if err != nil {
+		t.Fatal(err)
+	}
+	module, world := newModule(t, 1), newWorld(1)
+	for no := 0; no < 200000 && recorder.Err() == nil; no++ {
+		recordTurn(recorder, module, world, no)
+	}
+	recorder.Close()
+	if recorder.Err() == nil {
+		t.Error("no error is reported for a full disk")
+	}
+	if result, err := replayed(onlyFile(t, dir), Options{}); err != nil || result.Turns == 0 || result.Torn != nil {
+		t.Errorf("what was written before: %+v, %v", result, err)
+	}
+}
+
+// fullDisk takes so many bytes, and of the write that is too much a part.
+type fullDisk struct{ left int }
+
+type fullFile struct {
+	*os.File
+	disk *fullDisk
+}
+
+func (d *fullDisk) create(name string) (file, error) {
+	f, err := os.Create(name)
+	return fullFile{f, d}, err
+}
+
+func (f fullFile) Write(b []byte) (int, error) {
+	if n := f.disk.left; n < len(b) {
+		f.disk.left = 0
+		n, _ = f.File.Write(b[:n])
+		return n, errors.New("no space left on device")
+	}
+	f.disk.left -= len(b)
+	return f.File.Write(b)
+}
--- a/internal/relay/capture/records.go
+++ b/internal/relay/capture/records.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
+
 	"mastusher/control"
 )
 
@@ -20,8 +22,37 @@
 	TypeNote    Type = 7
 	TypeCore    Type = 8
 	TypeInput   Type = 9
+
+	maxType = 24 // types stay below: each is one byte of CBOR
+	// recordStart is the first byte of a record: a CBOR array of two, type and record.
+	recordStart = 0x82
 )
 
+// newRecord returns a record of a type, to be decoded into; false: the type is not known here, and the record only takes up its bytes.
+func newRecord(t Type) (record any, known bool) {
+	switch t {
+	case TypeBegin:
+		return &Begin{}, true
+	case TypeState:
+		return &State{}, true
+	case TypeTurn:
+		return &Turn{}, true
+	case TypeName:
+		return &Name{}, true
+	case TypeMessage:
+		return &Message{}, true
+	case TypeGap:
+		return &Gap{}, true
+	case TypeNote:
+		return &Note{}, true
+	case TypeCore:
+		return &Core{}, true
+	case TypeInput:
+		return &Input{}, true
+	}
+	return &cbor.RawMessage{}, false
+}
+
 // typeOf is the type of a record, given as a pointer.
 func typeOf(record any) (Type, bool) {
 	switch record.(type) {
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -9,21 +9,6 @@
 	"mastusher/control"
 )
 
-// DifferenceError is the first turn in which a replay decides otherwise than the capture tells.
-type DifferenceError struct {
-	Turn *Turn
-	Got  []control.Action
-	// State is what explains it: the destinations concerned, as the replay has them after the turn.
-	State []string
-}
-
-func (d *DifferenceError) Error() string {
-	return fmt.Sprintf("capture: turn %d differs", d.Turn.No)
-}
-
-// ErrGap is returned where turns are missing: what follows can't be reproduced up to the next state.
-var ErrGap = errors.New("capture: turns are missing")
-
 // Options is how to replay.
 type Options struct {
 	Until   time.Duration // on the module's clock; 0: to the end
@@ -55,7 +40,7 @@
 }
 
 // Replay feeds a capture's events to a module and compares what it decides. It returns a *DifferenceError at the first turn
-// that differs, ErrGap where turns are missing, and otherwise nil at the end of what can be read.
+// that differs, ErrGap where turns are missing, ErrNoTurn where there is none, and otherwise nil at the end of what can be read.
 func Replay(r *Reader, o Options) (*Result, error) {
 	p := newPlayer()
 	p.options = o
@@ -73,13 +58,12 @@
 	}
 	p.result.Torn = r.Torn
 	if err == nil && p.result.Turns == 0 {
-		err = errors.New("capture: no turn can be replayed")
+		err = ErrNoTurn
 	}
 	return p.result, err
 }
 
-var errStop = errors.New("capture: as far as was asked")
-
+// player replays records one by one: it drives a module with the events of each turn, and compares what that decides.
 type player struct {
 	options Options
 	result  *Result
@@ -94,43 +78,49 @@
 	return &player{result: &Result{Names: map[uint32]Name{}, Messages: map[uint64]Message{}, Outcomes: map[string]int{}}}
 }
 
-func (p *player) record(record any) (err error) {
-	switch r := record.(type) {
+// record takes the next record of a capture.
+func (p *player) record(record any) error {
+	switch record := record.(type) {
 	case *Begin:
-		p.result.Begin = *r
+		p.result.Begin = *record
 	case *Name:
-		p.result.Names[r.Number] = *r
+		p.result.Names[record.Number] = *record
 	case *Message:
-		p.result.Messages[r.Ref] = *r
+		p.result.Messages[record.Ref] = *record
 	case *Note:
-		p.result.Notes = append(p.result.Notes, *r)
+		p.result.Notes = append(p.result.Notes, *record)
 	case *Gap:
 		p.result.Gaps++
 		if p.inGap = true; !p.options.PastGap {
-			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, r.Turns, p.result.Turns, r.Reason)
+			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, record.Turns, p.result.Turns, record.Reason)
 		}
 	case *State:
-		// Under other settings the sender goes on with what it has made of the past.
-		if p.module != nil && p.options.Settings != nil && !p.inGap {
-			return nil
-		}
-		p.inGap = false
-		set := p.result.Begin.Settings
-		if p.options.Settings != nil {
-			set = *p.options.Settings
-		}
-		if r.Snapshot == nil {
-			p.module, err = control.New(set, p.result.Begin.Seed)
-		} else {
-			p.module, err = control.Restore(set, r.Snapshot)
-		}
-		return err
+		return p.restore(record)
 	case *Turn:
-		return p.turn(r)
+		return p.turn(record)
 	}
 	return nil
 }
 
+// restore begins with a recorded state. Under other settings the module goes on with what it has made of the past instead.
+func (p *player) restore(state *State) (err error) {
+	if p.module != nil && p.options.Settings != nil && !p.inGap {
+		return nil
+	}
+	p.inGap = false
+	settings := p.result.Begin.Settings
+	if p.options.Settings != nil {
+		settings = *p.options.Settings
+	}
+	if state.Snapshot == nil {
+		p.module, err = control.New(settings, p.result.Begin.Seed)
+	} else {
+		p.module, err = control.Restore(settings, state.Snapshot)
+	}
+	return err
+}
+
+// turn has the module decide a recorded turn. It returns a *DifferenceError where it decides otherwise, unless differences are only counted.
 func (p *player) turn(t *Turn) error {
 	if p.module == nil || p.inGap {
 		return nil
--- a/internal/relay/capture/stored_format_test.go
+++ b/internal/relay/capture/stored_format_test.go
@@ -21,48 +21,48 @@
 }
 
 // fillStored sets every field that is stored to a value that follows from its place in the file alone, none of them zero.
-func fillStored(t *testing.T, v reflect.Value, place string) {
+func fillStored(t *testing.T, value reflect.Value, place string) {
 	t.Helper()
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(place))
-	n := h.Sum64()
-	switch v.Kind() {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(place))
+	drawn := hash.Sum64()
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if key := storedKey(v.Type().Field(i)); key != "-" {
-				fillStored(t, v.Field(i), place+"."+key)
+		for i := range value.NumField() {
+			if key := storedKey(value.Type().Field(i)); key != "-" {
+				fillStored(t, value.Field(i), place+"."+key)
 			}
 		}
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for i := range v.Len() {
-			fillStored(t, v.Index(i), fmt.Sprint(place, i))
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		for i := range value.Len() {
+			fillStored(t, value.Index(i), fmt.Sprint(place, i))
 		}
 	case reflect.Array:
-		for i := range v.Len() {
-			fillStored(t, v.Index(i), fmt.Sprint(place, i))
+		for i := range value.Len() {
+			fillStored(t, value.Index(i), fmt.Sprint(place, i))
 		}
 	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		fillStored(t, key, place+"key")
-		fillStored(t, value, place+"value")
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
+		fillStored(t, element, place+"value")
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fillStored(t, v.Elem(), place)
+		value.Set(reflect.New(value.Type().Elem()))
+		fillStored(t, value.Elem(), place)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("%x", n))
+		value.SetString(fmt.Sprintf("%x", drawn))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(n%1_000_000+1) / 8)
+		value.SetFloat(float64(drawn%1_000_000+1) / 8)
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uint:
-		v.SetUint(n%(1<<min(v.Type().Bits(), 40)-1) + 1)
+		value.SetUint(drawn%(1<<min(value.Type().Bits(), 40)-1) + 1)
 	case reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Int:
-		v.SetInt(int64(n%(1<<min(v.Type().Bits()-1, 40)-1) + 1))
+		value.SetInt(int64(drawn%(1<<min(value.Type().Bits()-1, 40)-1) + 1))
 	default:
-		t.Fatalf("%s: a %v can't be filled", place, v.Type())
+		t.Fatalf("%s: a %v can't be filled", place, value.Type())
 	}
 }
 
--- a/internal/relay/capture/window.go
+++ b/internal/relay/capture/window.go
@@ -14,29 +14,29 @@
 	State() *Core // nil: it has none
 }
 
-// Window writes the part of a capture between two times since its start to w, as a capture that stands for itself: it
+// Window writes the part of a capture between two times since its start to out, as a capture that stands for itself: it
 // begins with the module's state as a replay has it then, and with the core's if there is a driver (nil: without). It
-// returns how many turns that is.
-func Window(r *Reader, w io.Writer, from, to time.Duration, core Driver) (turns int, err error) {
+// returns how many turns that is, and ErrEmptyWindow where there is none.
+func Window(source *Reader, out io.Writer, from, to time.Duration, core Driver) (turns int, err error) {
 	chunks, err := newChunker()
 	if err != nil {
 		return 0, err
 	}
-	index, err := r.Index()
+	index, err := source.Index()
 	if err != nil {
 		return 0, err
 	}
-	if _, err := w.Write(fileHeader()); err != nil {
+	if _, err := out.Write(fileHeader()); err != nil {
 		return 0, err
 	}
-	window := &windowWriter{chunker: chunks, out: w, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
+	window := &windowWriter{chunker: chunks, out: out, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
 	begin := 0 // the last state before the window
 	for i := range index {
 		if index[i].State && index[i].First <= window.captureStart+from {
 			begin = i
 		}
 	}
-	if err := window.player.seekTo(r, index, begin); err != nil {
+	if err := window.player.seekTo(source, index, begin); err != nil {
 		return 0, err
 	}
 	if begin > 0 && core != nil {
@@ -44,13 +44,13 @@
 			return 0, err
 		}
 	}
-	if err := r.Each(window.record); err != nil && !errors.Is(err, errStop) {
+	if err := source.Each(window.record); err != nil && !errors.Is(err, errStop) {
 		return window.turns, err
 	}
 	if window.turns == 0 {
-		return 0, errors.New("capture: there is no turn in that window")
+		return 0, ErrEmptyWindow
 	}
-	return window.turns, chunks.flushTo(w)
+	return window.turns, chunks.flushTo(out)
 }
 
 // windowWriter writes the records of a window.
@@ -65,65 +65,67 @@
 	err                    error
 }
 
-func (k *windowWriter) write(record any) {
-	t, known := typeOf(record)
-	if k.err != nil || !known {
+// write appends a record. Its error is kept in err.
+func (w *windowWriter) write(record any) {
+	recordType, known := typeOf(record)
+	if w.err != nil || !known {
 		return
 	}
-	if k.err = k.chunker.add(t, record); k.err == nil && k.chunker.body.Len() > 64<<10 {
-		k.err = k.chunker.flushTo(k.out)
+	if w.err = w.chunker.add(recordType, record); w.err == nil && w.chunker.body.Len() > 64<<10 {
+		w.err = w.chunker.flushTo(w.out)
 	}
 }
 
-func (k *windowWriter) record(record any) error {
-	switch v := record.(type) {
+// record writes a record that lies in the window, and replays it.
+func (w *windowWriter) record(record any) error {
+	switch record := record.(type) {
 	case *Turn:
-		if k.player.module == nil || k.player.inGap {
+		if w.player.module == nil || w.player.inGap {
 			break
 		}
-		if v.Now-k.captureStart > k.to {
+		if record.Now-w.captureStart > w.to {
 			return errStop
 		}
-		if v.Now-k.captureStart >= k.from && !k.started {
-			k.start()
+		if record.Now-w.captureStart >= w.from && !w.started {
+			w.start()
 		}
-		if k.started {
-			k.turns++
-			k.write(v)
+		if w.started {
+			w.turns++
+			w.write(record)
 		}
 	case *Name, *Message, *Note:
-		if k.started {
-			k.write(v)
+		if w.started {
+			w.write(record)
 		}
 	case *Input:
-		if k.started && k.core != nil {
-			k.write(v)
+		if w.started && w.core != nil {
+			w.write(record)
 		}
 	}
-	if k.err != nil {
-		return k.err
+	if w.err != nil {
+		return w.err
 	}
 	// What differs may be what the test is for: the window is of what was recorded, and goes on.
-	if err := k.player.record(record); err != nil && !errors.As(err, new(*DifferenceError)) {
+	if err := w.player.record(record); err != nil && !errors.As(err, new(*DifferenceError)) {
 		return err
 	}
-	if k.core != nil {
-		_ = k.core.Record(record)
+	if w.core != nil {
+		_ = w.core.Record(record)
 	}
 	return nil
 }
 
-// begin writes what the window begins with.
-func (k *windowWriter) start() {
-	k.started = true
-	x := k.player.module.Snapshot()
-	k.write(&k.player.result.Begin)
+// start writes what the window begins with.
+func (w *windowWriter) start() {
+	w.started = true
+	snapshot := w.player.module.Snapshot()
+	w.write(&w.player.result.Begin)
 	var core *Core
-	if k.core != nil {
-		core = k.core.State()
+	if w.core != nil {
+		core = w.core.State()
 	}
 	unfinished := map[uint64]bool{} // the others are over
-	for _, m := range x.Messages {
+	for _, m := range snapshot.Messages {
 		unfinished[m.ID] = true
 	}
 	if core != nil {
@@ -131,17 +133,17 @@
 			unfinished[m.Ref] = true
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(k.player.result.Names)) {
-		name := k.player.result.Names[n]
-		k.write(&name)
+	for _, number := range slices.Sorted(maps.Keys(w.player.result.Names)) {
+		name := w.player.result.Names[number]
+		w.write(&name)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(unfinished)) {
-		if known, ok := k.player.result.Messages[ref]; ok {
-			k.write(&known)
+		if known, ok := w.player.result.Messages[ref]; ok {
+			w.write(&known)
 		}
 	}
-	k.write(&State{x})
+	w.write(&State{snapshot})
 	if core != nil {
-		k.write(core)
+		w.write(core)
 	}
 }
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -28,9 +28,10 @@
 	result   control.Result
 }
 
+// timed is an event that the module is told at a time.
 type timed struct {
-	at time.Duration
-	ev control.Event
+	at    time.Duration
+	event control.Event
 }
 
 func settings() control.Settings {
@@ -61,7 +62,7 @@
 	}
 	w.changeFaults()
 	w.changeList()
-	in = append(in, w.takeLate()...)
+	in = append(in, takeDue(&w.lateEvents, w.now)...)
 	in = append(in, w.resolved()...)
 	in = append(in, w.arrivals()...)
 	if w.rng.IntN(50) == 0 && w.lastRef > 0 {
@@ -103,18 +104,18 @@
 	}
 }
 
-// takeLate are the late events that are due.
-func (w *world) takeLate() (in []control.Event) {
-	keep := w.lateEvents[:0]
-	for _, l := range w.lateEvents {
-		if l.at <= w.now {
-			in = append(in, l.ev)
+// takeDue takes the events that are due by now out of a list, and returns them.
+func takeDue(list *[]timed, now time.Duration) (due []control.Event) {
+	later := (*list)[:0]
+	for _, entry := range *list {
+		if entry.at <= now {
+			due = append(due, entry.event)
 		} else {
-			keep = append(keep, l)
+			later = append(later, entry)
 		}
 	}
-	w.lateEvents = keep
-	return in
+	*list = later
+	return due
 }
 
 // resolved are the outcomes that are due, in the order of their messages.
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -84,7 +84,7 @@
 		state = control.Draining // it gets nothing new
 	}
 	return control.Endpoint{ID: number, Zone: slices.Index(c.settings.Zones, d.Zone), Kind: slices.Index(c.settings.KindNames, d.Kind),
-		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.governor.MostTo(d.Partner)}
+		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.governor.RateLimitTo(d.Partner)}
 }
 
 // watchEnded is a watch that is lost.
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -80,7 +80,7 @@
 	listed := control.Event{Kind: control.Listed}
 	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
 		d := c.destinations[number]
-		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.MostTo(d.Partner) != c.governor.MostTo(d.Partner) {
+		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.RateLimitTo(d.Partner) != c.governor.RateLimitTo(d.Partner) {
 			listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(number, d))
 		}
 	}
--- a/internal/relay/engine/lease.go
+++ b/internal/relay/engine/lease.go
@@ -43,7 +43,7 @@
 func (c *Core) paceAwaiting(now time.Time, mayAct bool) {
 	next := map[int]time.Time{}
 	for _, attempt := range c.awaitingLease {
-		limit := c.governor.MostTo(attempt.To.Partner)
+		limit := c.governor.RateLimitTo(attempt.To.Partner)
 		switch {
 		case !mayAct || limit == 0:
 			attempt.startAfter = time.Time{}
