--- a/cmd/mastusher/policy.go
+++ b/cmd/mastusher/policy.go
@@ -82,7 +82,7 @@
 			rules, err := peer.NewRules(cfg)
 			var text []byte
 			if err == nil {
-				rules.Try = tryPlugins
+				rules.LoadPlugins = tryPlugins
 				text, err = os.ReadFile(args[0])
 			}
 			if err == nil {
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -167,7 +167,7 @@
 	if r.shape.rules, err = peer.NewRules(r.cfg); err != nil {
 		return err
 	}
-	r.shape.rules.Try = r.shape.prepare
+	r.shape.rules.LoadPlugins = r.shape.prepare
 	r.core.Govern(engine.Mandate{}, nil)
 	r.core.Restore(time.Now())
 	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.stand)
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -14,8 +14,9 @@
 // answerTimeout is how long an answer is waited for before the request is repeated: datagrams get lost.
 const answerTimeout = 300 * time.Millisecond
 
-// Ask sends an operator's request to the relay of this configuration, on this machine, until it answers or ctx ends.
-func Ask(ctx context.Context, cfg *config.Peers, q node.AdminRequest) (*node.Status, error) {
+// Ask sends an operator's request to the relay of this configuration, on this machine, again and again until it answers. It fails when ctx
+// ends before that; the error wraps ctx's cause.
+func Ask(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
@@ -25,12 +26,12 @@
 	defer stop()
 	buf := make([]byte, maxFrameBytes+1)
 	for ctx.Err() == nil {
-		q.Number++
-		b, err := (&frame{Fleet: cfg.Fleet, AdminRequest: &q}).pack(nil, kindAsk)
+		request.Number++
+		b, err := (&frame{Fleet: cfg.Fleet, AdminRequest: &request}).pack(nil, kindAsk)
 		if err != nil {
 			return nil, err
 		}
-		_, _ = conn.Write(b) // lost, or nobody listens yet: once more
+		_, _ = conn.Write(b) // lost, or nobody listens yet: it is sent again
 		_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
 		for ctx.Err() == nil {
 			n, err := conn.Read(buf)
@@ -43,7 +44,7 @@
 				}
 				break
 			}
-			if fr, kind, err := unpack(buf[:n]); err == nil && kind == kindAnswer && fr.Answer != nil && fr.RequestNumber <= q.Number {
+			if fr, kind, err := unpack(buf[:n]); err == nil && kind == kindAnswer && fr.Answer != nil && fr.RequestNumber <= request.Number {
 				return fr.Answer, nil
 			}
 		}
--- a/internal/relay/fleet/peer/clock_rig.go
+++ b/internal/relay/fleet/peer/clock_rig.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fullDisk has the rig fill the disk of the fleet's folder: for as long as a file stands where it says.
+// fullDisk fails as a full disk does while the file exists that the test cluster names in MASTUSHER_FULL_DISK.
 func fullDisk() error {
 	if _, err := os.Stat(os.Getenv("MASTUSHER_FULL_DISK")); err == nil {
 		return syscall.ENOSPC
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// clockRate is set by the rig, to try clocks that run apart.
+// clockRate is set by the test cluster in MASTUSHER_CLOCK_RATE, between 0.1 and 10, to test clocks that drift apart.
 var clockRate = func() float64 {
 	if r, err := strconv.ParseFloat(os.Getenv("MASTUSHER_CLOCK_RATE"), 64); err == nil && r > 0.1 && r < 10 {
 		return r
@@ -25,8 +25,8 @@
 	return 1
 }()
 
-// slowDisk is set by the rig, to try voters whose disks lag.
+// slowDisk is set by the test cluster in MASTUSHER_SLOW_DISK, to test voters whose disks are slow.
 var slowDisk = func() time.Duration {
-	d, _ := time.ParseDuration(os.Getenv("MASTUSHER_SLOW_DISK")) // none is none
+	d, _ := time.ParseDuration(os.Getenv("MASTUSHER_SLOW_DISK")) // 0 where it is not set
 	return d
 }()
--- a/internal/relay/fleet/peer/disk.go
+++ b/internal/relay/fleet/peer/disk.go
@@ -17,8 +17,8 @@
 const (
 	identityName   = "fleet.id"
 	logName        = "fleet.log"
-	recordHead     = 8 // length, checksum
-	maxRecordBytes = 1 << 20
+	recordHead     = 8       // bytes: length, checksum
+	maxRecordBytes = 1 << 20 // bytes; a larger length is damage
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -29,28 +29,29 @@
 	Generation uint64 `cbor:"3,keyasint"` // how often it has been started
 }
 
-// logRecord is a record of the log. Whose log it is stands in it, so that both change in one step: a member that had only
-// forgotten its log would vote again on what it has voted on.
+// logRecord is a record of the log. It names the member whose log it is, so that both change in one step: a member that had only lost its
+// log would vote again in a term in which it has voted.
 type logRecord struct {
 	Member uint64           `cbor:"1,keyasint,omitempty"` // 0: as before
 	Image  *consensus.Image `cbor:"2,keyasint"`
 }
 
-// disk is the folder of a relay's member of the fleet. Every write is synced before anything that depends on it leaves.
+// disk is the folder of a relay's member of the fleet. Every write is synced before anything that depends on it leaves. It belongs to the
+// Fleet's goroutine.
 type disk struct {
 	dir    string
 	id     identity
-	member uint64
-	file   *os.File
-	size   int64
+	member uint64   // this relay's id among the voters; never given to another log
+	file   *os.File // the log, open for appending
+	size   int64    // bytes of the log's complete records
 }
 
-// errDamaged is a log in which something is wrong that no crash leaves behind.
+// errDamaged is a log with damage that no crash leaves behind.
 var errDamaged = errors.New("the log of the fleet's agreement is damaged")
 
-// openDisk reads what the folder holds and counts the start. Where the log can't be trusted why says so, the image is empty
-// and the member a new one.
-func openDisk(dir, fleet string, draw func() uint64) (d *disk, image *consensus.Image, why error, err error) {
+// openDisk reads the folder and increments the generation. Where the log can't be trusted damage says why, the image is empty and the member a
+// new one, drawn by draw. It fails where the folder can't be read or written.
+func openDisk(dir, fleet string, draw func() uint64) (d *disk, image *consensus.Image, damage error, err error) {
 	d = &disk{dir: dir}
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
@@ -64,10 +65,10 @@
 	case len(b) == 0:
 		image = &consensus.Image{}
 	case len(complete) != 1 || bad != nil || cbor.Unmarshal(complete[0], &d.id) != nil || d.id.Fleet != fleet:
-		why = fmt.Errorf("%s can't be read, or is of another fleet", identityName)
+		damage = fmt.Errorf("%s can't be read, or is of another fleet", identityName)
 		d.id = identity{}
 	default:
-		image, why = d.read()
+		image, damage = d.read()
 	}
 	d.id.Fleet = fleet
 	d.id.Generation++
@@ -76,18 +77,18 @@
 	}
 	if image == nil || d.member == 0 {
 		image, d.member = &consensus.Image{}, draw()|1
-		return d, image, why, d.rewrite(&consensus.Image{Complete: true})
+		return d, image, damage, d.rewrite(emptyImage())
 	}
 	if d.file, err = os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_APPEND, 0o600); err == nil {
-		err = d.file.Truncate(d.size) // nothing that left depended on a torn tail
+		err = d.file.Truncate(d.size) // a torn tail was never acted on
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("peer: %w", err)
 	}
-	return d, image, why, nil
+	return d, image, damage, nil
 }
 
-// read gathers the log's records into one image.
+// read merges the log's records into one image. It returns errDamaged for a log that is missing or damaged.
 func (d *disk) read() (*consensus.Image, error) {
 	b, err := os.ReadFile(filepath.Join(d.dir, logName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -100,36 +101,44 @@
 	if bad != nil {
 		return nil, bad
 	}
-	all := &consensus.Image{}
-	for _, r := range complete {
-		p := logRecord{Image: &consensus.Image{}}
-		if err := cbor.Unmarshal(r, &p); err != nil || p.Image == nil {
+	image := &consensus.Image{}
+	for _, encoded := range complete {
+		decoded := logRecord{Image: &consensus.Image{}}
+		if err := cbor.Unmarshal(encoded, &decoded); err != nil || decoded.Image == nil {
 			return nil, errDamaged
 		}
-		if p.Member != 0 {
-			d.member = p.Member
+		if decoded.Member != 0 {
+			d.member = decoded.Member
 		}
-		one := p.Image
-		if one.Complete {
-			all = &consensus.Image{}
-		}
-		if len(one.HardState) > 0 {
-			all.HardState = one.HardState
-		}
-		if len(one.Snapshot) > 0 {
-			all.Snapshot = one.Snapshot
-		}
-		if one.Remembered != nil {
-			all.Remembered = one.Remembered
-		}
-		all.Entries = append(all.Entries, one.Entries...)
-		d.size += recordHead + int64(len(r))
+		image = merge(image, decoded.Image)
+		d.size += recordHead + int64(len(encoded))
+	}
+	return image, nil
+}
+
+// merge returns the image of a log after one more record.
+func merge(image, next *consensus.Image) *consensus.Image {
+	if next.Complete {
+		image = &consensus.Image{}
+	}
+	if len(next.HardState) > 0 {
+		image.HardState = next.HardState
 	}
-	return all, nil
+	if len(next.Snapshot) > 0 {
+		image.Snapshot = next.Snapshot
+	}
+	if next.Remembered != nil {
+		image.Remembered = next.Remembered
+	}
+	image.Entries = append(image.Entries, next.Entries...)
+	return image
 }
 
-// records splits a file. What is cut short at its end, or whose checksum is wrong there, is a torn tail; a wrong checksum
-// with more behind it is damage.
+// emptyImage is the image that replaces a log by an empty one.
+func emptyImage() *consensus.Image { return &consensus.Image{Complete: true} }
+
+// records splits a file into its records. A last record that is incomplete, or whose checksum is wrong, is a torn tail and left out; a wrong
+// checksum with more behind it is errDamaged. The records share b's memory.
 func records(b []byte) (complete [][]byte, err error) {
 	for len(b) >= recordHead {
 		n := int(binary.LittleEndian.Uint32(b))
@@ -154,6 +163,7 @@
 	return complete, nil
 }
 
+// record encodes a value as one record.
 func record(v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -163,7 +173,8 @@
 	return append(binary.LittleEndian.AppendUint32(b, crc32.Checksum(body, castagnoli)), body...), nil
 }
 
-// save has an image on disk, synced, when it returns.
+// save adds an image to the log, or replaces the log by a complete one; it is synced when save returns. A member other than 0 is the new owner
+// of the log.
 func (d *disk) save(image *consensus.Image, member uint64) error {
 	if member != 0 {
 		d.member = member
@@ -191,7 +202,7 @@
 	return nil
 }
 
-// rewrite replaces the log in one step.
+// rewrite replaces the log by an image in one step.
 func (d *disk) rewrite(image *consensus.Image) error {
 	b, err := record(&logRecord{d.member, image})
 	if err != nil {
@@ -210,6 +221,7 @@
 	return nil
 }
 
+// saveIdentity replaces the identity file in one step.
 func (d *disk) saveIdentity() error {
 	b, err := record(&d.id)
 	if err != nil {
@@ -218,6 +230,7 @@
 	return d.replace(identityName, b)
 }
 
+// replace replaces a file of the folder in one step: after a crash it has the old content or the new one.
 func (d *disk) replace(name string, b []byte) error {
 	path := filepath.Join(d.dir, name)
 	f, err := os.OpenFile(path+".next", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -242,6 +255,7 @@
 	return nil
 }
 
+// syncDir has the names in a folder outlast a crash.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -18,7 +18,8 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Fleet is this relay's member of its fleet while the process runs. One goroutine owns the node.
+// Fleet is this relay's member of its fleet while the process runs. The goroutine of run owns all of it but the channels, the buffers and
+// observedKeys; times are on the node's clock, see now.
 type Fleet struct {
 	config       *config.Peers
 	rules        *Rules
@@ -29,45 +30,47 @@
 	startedAt    time.Time
 	self         netip.Addr // of this relay's socket
 	applyMandate func(node.Mandate, Times, func())
-	core         Core // nil: nothing is shared
+	core         Core // nil: no limits are shared
 
 	addresses   map[string]netip.AddrPort // of peers, by name
 	generations map[string]uint64         // the newest that was heard of each
-	events      chan node.Event
-	packets     chan packet
-	buffers     sync.Pool
-	ended       chan struct{}
-	done        chan struct{}
+	events      chan node.Event           // from the core's callbacks and from checks of policies
+	packets     chan packet               // from read
+	buffers     sync.Pool                 // of *[]byte that hold a datagram
+	ended       chan struct{}             // closed by Close
+	done        chan struct{}             // closed when run has returned
 
 	adminClients  map[uint64]adminClient // by the number that their request has here
 	lastRequest   uint64
 	droppedFrames map[string]int // by error text
-	sendBuffer    []byte
+	sendBuffer    []byte         // reused by send
 
-	observedKeys  atomic.Pointer[map[quota.Key]observedKey]
-	lease         *quota.Lease // the newest; nil: none yet
-	leaseAt       time.Duration
-	halted        bool // as the core was notified last
+	observedKeys  atomic.Pointer[map[quota.Key]observedKey] // stored by the core's goroutine; the map is never changed
+	lease         *quota.Lease                              // the newest; nil: none yet
+	leaseAt       time.Duration                             // when it came
+	halted        bool                                      // as the core was notified last
 	nextObserveAt time.Duration
 }
 
+// packet is a datagram that was received.
 type packet struct {
-	buffer *[]byte
-	size   int
+	buffer *[]byte // goes back to Fleet.buffers once it is decoded
+	size   int     // bytes of the datagram in buffer
 	from   netip.AddrPort
 }
 
+// adminClient is who waits for the answer to a request.
 type adminClient struct {
-	at netip.AddrPort
-	no uint64
+	address netip.AddrPort
+	number  uint64 // that the client gave its request
 }
 
-// Times turns the node's clock into the process's.
+// Times converts the node's clock to the process's.
 type Times struct {
 	startedAt time.Time
 }
 
-// At is a moment of the node's clock; 0 is none.
+// At returns a time on the node's clock as the process's; 0 is the zero time.
 func (t Times) At(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
@@ -77,82 +80,106 @@
 
 const (
 	maxPackets      = 256 // queue length of packets, and of events; also the maximum a Step takes
-	maxAdminClients = 64
+	maxAdminClients = 64  // requests that wait for an answer; when one more comes, all that wait are forgotten
 )
 
-// Open joins the relay to its fleet. applyMandate is called with each new mandate, and calls back once the core acts by it.
+// Open joins the relay to its fleet, as a new member where its folder is damaged or of another fleet. applyMandate is called by the Fleet's
+// goroutine with each new mandate, must not block, and calls its callback once the core acts by it, from any goroutine. core is used only where limits
+// are shared (GuaranteedShare above 0).
+//
+// It returns a config.KeyError for an address that can't be parsed, and other errors for the socket, the folder and the node's configuration.
+// Close ends the goroutines that it starts.
 func Open(cfg *config.Config, rules *Rules, log *slog.Logger, core Core, applyMandate func(node.Mandate, Times, func())) (*Fleet, error) {
-	p := cfg.Peers
-	f := &Fleet{config: p, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{}, generations: map[string]uint64{},
+	peers := cfg.Peers
+	f := &Fleet{config: peers, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{}, generations: map[string]uint64{},
 		events: make(chan node.Event, maxPackets), packets: make(chan packet, maxPackets), ended: make(chan struct{}),
 		done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{}, startedAt: time.Now()}
-	zone := max(0, cfg.Settings.Zone)
-	if p.GuaranteedShare > 0 {
+	if peers.GuaranteedShare > 0 {
 		f.core = core
 	}
 	f.buffers.New = func() any { b := make([]byte, maxFrameBytes+1); return &b }
-	listen, err := net.ResolveUDPAddr("udp4", p.Listen)
+	if err := f.listen(); err != nil {
+		return nil, err
+	}
+	if err := f.openNode(max(0, cfg.Settings.Zone)); err != nil {
+		_ = f.conn.Close()
+		return nil, err
+	}
+	f.self = f.conn.LocalAddr().(*net.UDPAddr).AddrPort().Addr().Unmap()
+	go f.read()
+	go f.run()
+	log.Info("joined fleet", "fleet", peers.Fleet, "relay", peers.Name, "generation", f.disk.id.Generation, "peers", f.conn.LocalAddr().String())
+	return f, nil
+}
+
+// listen parses the peers' addresses and opens this relay's socket.
+func (f *Fleet) listen() error {
+	address, err := net.ResolveUDPAddr("udp4", f.config.Listen)
 	if err != nil {
-		return nil, config.NewKeyError("peers.listen", err.Error())
+		return config.NewKeyError("peers.listen", err.Error())
 	}
-	for name, address := range p.Addresses {
-		a, parseErr := netip.ParseAddrPort(address)
-		if parseErr != nil {
-			return nil, config.NewKeyError("peers.others."+name, parseErr.Error())
+	for name, text := range f.config.Addresses {
+		if f.addresses[name], err = netip.ParseAddrPort(text); err != nil {
+			return config.NewKeyError("peers.others."+name, err.Error())
 		}
-		f.addresses[name] = a
 	}
-	if f.conn, err = net.ListenUDP("udp4", listen); err != nil {
-		return nil, fmt.Errorf("the fleet: %w", err)
+	if f.conn, err = net.ListenUDP("udp4", address); err != nil {
+		return fmt.Errorf("the fleet: %w", err)
 	}
-	disk, image, why, err := openDisk(p.State, p.Fleet, randomUint64)
+	return nil
+}
+
+// openNode makes the node from the relay's folder. Where that can't be trusted the node is a new member, with an empty log.
+func (f *Fleet) openNode(zone int) error {
+	disk, image, damage, err := openDisk(f.config.State, f.config.Fleet, randomUint64)
 	if err != nil {
-		_ = f.conn.Close()
-		return nil, err
+		return err
 	}
 	f.disk = disk
-	if why != nil {
-		log.Error("rejoining fleet as new member", "err", why)
+	if damage != nil {
+		f.log.Error("rejoining fleet as new member", "err", damage)
 	}
-	f.node, err = node.New(node.Config{Name: p.Name, Generation: disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: disk.member, Voters: p.Voters,
-		Roster: p.Roster(), Lease: p.Lease, MaxClockDrift: p.Drift, ServeWhenPartitioned: p.ServeWhenPartitioned, GuaranteedShare: p.GuaranteedShare, Zone: zone}, image, f.now())
-	if err != nil { // the records are intact but contradict each other
-		log.Error("rejoining fleet as new member", "err", err)
-		disk.member = randomUint64() | 1
-		if err = disk.rewrite(emptyImage()); err == nil {
-			f.node, err = node.New(node.Config{Name: p.Name, Generation: disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: disk.member,
-				Voters: p.Voters, Roster: p.Roster(), Lease: p.Lease, MaxClockDrift: p.Drift, ServeWhenPartitioned: p.ServeWhenPartitioned, GuaranteedShare: p.GuaranteedShare, Zone: zone}, emptyImage(), f.now())
-		}
-		if err != nil {
-			_ = f.conn.Close()
-			return nil, err
-		}
+	f.node, err = node.New(f.nodeConfig(zone), image, f.now())
+	if err == nil {
+		return nil
 	}
-	f.self = f.conn.LocalAddr().(*net.UDPAddr).AddrPort().Addr().Unmap()
-	go f.read()
-	go f.run()
-	log.Info("joined fleet", "fleet", p.Fleet, "relay", p.Name, "generation", disk.id.Generation, "peers", f.conn.LocalAddr().String())
-	return f, nil
+	f.log.Error("rejoining fleet as new member", "err", err) // the records are intact but contradict each other
+	disk.member = randomUint64() | 1
+	if err = disk.rewrite(emptyImage()); err != nil {
+		return err
+	}
+	f.node, err = node.New(f.nodeConfig(zone), emptyImage(), f.now())
+	return err
+}
+
+// nodeConfig is the node's configuration as the member that the disk names, with a new incarnation and seed.
+func (f *Fleet) nodeConfig(zone int) node.Config {
+	peers := f.config
+	return node.Config{Name: peers.Name, Generation: f.disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: f.disk.member,
+		Voters: peers.Voters, Roster: peers.Roster(), Lease: peers.Lease, MaxClockDrift: peers.Drift, ServeWhenPartitioned: peers.ServeWhenPartitioned,
+		GuaranteedShare: peers.GuaranteedShare, Zone: zone}
 }
 
+// randomUint64 returns a random number of the system's.
 func randomUint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// now is the node's clock: monotonic, from the process's start.
+// now is the node's clock: monotonic, from Open on, and never 0.
 func (f *Fleet) now() time.Duration {
 	return time.Duration(float64(time.Since(f.startedAt))*clockRate) + time.Millisecond
 }
 
-// Close leaves the fleet; the lease expires by itself.
+// Close ends the member and waits until its goroutine has returned; the lease expires by itself. It must be called once.
 func (f *Fleet) Close() {
 	close(f.ended)
 	_ = f.conn.Close()
 	<-f.done
 }
 
+// read receives datagrams and queues them for run, until the socket is closed. It is a goroutine of its own.
 func (f *Fleet) read() {
 	for {
 		b := f.buffers.Get().(*[]byte)
@@ -162,17 +189,17 @@
 		}
 		if err != nil {
 			f.buffers.Put(b)
-			continue // a peer's port that nobody listens at
+			continue // nobody listens on a peer's port
 		}
 		select {
 		case f.packets <- packet{b, n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}:
-		default: // it can't keep up: lost, as on any link
+		default: // run can't keep up: lost, as on any link
 			f.buffers.Put(b)
 		}
 	}
 }
 
-// post hands an event from another goroutine to the node's.
+// post queues an event from another goroutine for run. It blocks while the queue is full, until Close.
 func (f *Fleet) post(ev node.Event) {
 	select {
 	case f.events <- ev:
@@ -180,20 +207,14 @@
 	}
 }
 
+// run owns the node until Close: it takes what has come, and the node's timer, and carries out what the node answers. It is a goroutine of its
+// own.
 func (f *Fleet) run() {
 	defer close(f.done)
 	timer := time.NewTimer(0)
 	var events []node.Event
 	for {
-		next := f.node.Next(f.now())
-		if f.core != nil {
-			if f.now() >= f.nextObserveAt {
-				f.nextObserveAt = f.now() + f.config.Lease/observationsPerLease
-				f.observeCore()
-			}
-			next = min(next, f.nextObserveAt-f.now())
-		}
-		timer.Reset(max(next, 0))
+		timer.Reset(max(f.idleFor(), 0))
 		events = events[:0]
 		select {
 		case <-f.ended:
@@ -204,109 +225,138 @@
 			events = f.receive(p, events)
 		case <-timer.C:
 		}
-		for more := true; more && len(events) < maxPackets; {
-			select {
-			case ev := <-f.events:
-				events = append(events, ev)
-			case p := <-f.packets:
-				events = f.receive(p, events)
-			default:
-				more = false
-			}
-		}
-		// What an action brings about at once is taken in with the next step, which comes without delay.
+		events = f.drainQueues(events)
+		// Events that the actions cause at once are part of the next step, which follows without delay.
 		for failed := f.execute(f.node.Step(f.now(), events)); failed != nil; {
 			failed = f.execute(f.node.Step(f.now(), []node.Event{{SaveFailed: failed}}))
 		}
 	}
 }
 
+// idleFor observes the core if that is due, and returns how long nothing is due unless something comes; it may be negative.
+func (f *Fleet) idleFor() time.Duration {
+	next := f.node.Next(f.now())
+	if f.core == nil {
+		return next
+	}
+	if f.now() >= f.nextObserveAt {
+		f.nextObserveAt = f.now() + f.config.Lease/observationsPerLease
+		f.observeCore()
+	}
+	return min(next, f.nextObserveAt-f.now())
+}
+
+// drainQueues appends the events that are queued, up to maxPackets in all.
+func (f *Fleet) drainQueues(events []node.Event) []node.Event {
+	for len(events) < maxPackets {
+		select {
+		case ev := <-f.events:
+			events = append(events, ev)
+		case p := <-f.packets:
+			events = f.receive(p, events)
+		default:
+			return events
+		}
+	}
+	return events
+}
+
 // receive decodes a datagram and appends its event. One that is no message of a peer's current incarnation is counted and dropped.
 func (f *Fleet) receive(p packet, events []node.Event) []node.Event {
-	fr, kind, err := unpack((*p.buffer)[:p.size])
+	received, kind, err := unpack((*p.buffer)[:p.size])
 	f.buffers.Put(p.buffer)
 	switch {
 	case err != nil:
-	case fr.Fleet != f.config.Fleet:
+	case received.Fleet != f.config.Fleet:
 		err = errFleet
-	case kind == kindAsk && fr.AdminRequest != nil && (p.from.Addr().IsLoopback() || p.from.Addr() == f.self):
+	case kind == kindAsk && received.AdminRequest != nil && (p.from.Addr().IsLoopback() || p.from.Addr() == f.self):
 		if len(f.adminClients) >= maxAdminClients {
 			clear(f.adminClients)
 		}
 		f.lastRequest++
-		f.adminClients[f.lastRequest] = adminClient{p.from, fr.AdminRequest.Number}
-		fr.AdminRequest.Number = f.lastRequest
-		return append(events, node.Event{AdminRequest: fr.AdminRequest})
-	case kind != kindPeer || fr.Message == nil || f.addresses[fr.From] != p.from:
+		f.adminClients[f.lastRequest] = adminClient{p.from, received.AdminRequest.Number}
+		received.AdminRequest.Number = f.lastRequest
+		return append(events, node.Event{AdminRequest: received.AdminRequest})
+	case kind != kindPeer || received.Message == nil || f.addresses[received.From] != p.from:
 		err = errUnknownPeer
-	case fr.To != f.config.Name:
+	case received.To != f.config.Name:
 		err = errOtherRelay
-	case fr.Generation < f.generations[fr.From] && fr.Message.LeaseRequest == nil: // by lease requests the leader tells two relays of one name apart
+	case received.Generation < f.generations[received.From] && received.Message.LeaseRequest == nil: // by lease requests the leader tells two relays of one name apart
 		err = errFormerIncarnation
 	}
 	if err != nil {
 		if f.droppedFrames[err.Error()]++; errors.Is(err, errUnknownPeer) && f.droppedFrames[err.Error()] == 1 {
-			f.log.Warn("rejected message from unknown peer", "peer", fr.From, "address", p.from, "suppressed", "later ones")
+			f.log.Warn("rejected message from unknown peer", "peer", received.From, "address", p.from, "suppressed", "later ones")
 		}
 		return events
 	}
-	f.generations[fr.From] = max(f.generations[fr.From], fr.Generation)
-	return append(events, node.Event{From: fr.From, Message: fr.Message})
+	f.generations[received.From] = max(f.generations[received.From], received.Generation)
+	return append(events, node.Event{From: received.From, Message: received.Message})
 }
 
 // execute carries out a Step's actions in their order, up to a save that fails, whose error it returns.
 func (f *Fleet) execute(actions []node.Action) error {
 	for i := range actions {
-		a := &actions[i]
+		action := &actions[i]
 		switch {
-		case a.Save != nil:
-			if err := f.disk.save(a.Save, a.Member); err != nil {
+		case action.Save != nil:
+			if err := f.disk.save(action.Save, action.Member); err != nil {
 				f.log.Error("saving consensus log failed", "err", err)
 				return err
 			}
-		case a.Generation != 0:
-			f.disk.id.Generation = a.Generation
+		case action.Generation != 0:
+			f.disk.id.Generation = action.Generation
 			if err := f.disk.saveIdentity(); err != nil {
 				f.log.Error("saving generation failed", "err", err)
 				return err
 			}
-		case a.Message != nil:
-			f.send(f.addresses[a.To], kindPeer, &frame{Fleet: f.config.Fleet, From: f.config.Name, To: a.To, Generation: f.disk.id.Generation, Message: a.Message})
-		case a.Check != nil:
-			ch := a.Check
-			go func() {
-				v := &node.Verdict{Version: ch.Version}
-				if err := f.rules.Check(ch.Doc); err != nil {
-					v.Reason = err.Error()
-				}
-				f.post(node.Event{Verdict: v})
-			}()
-		case a.Mandate != nil:
-			f.setMandate(*a.Mandate)
-		case a.Lease != nil:
-			f.setLease(a.Lease)
-		case a.Answer != nil:
-			if q, ok := f.adminClients[a.RequestNumber]; ok {
-				delete(f.adminClients, a.RequestNumber)
-				a.Answer.Quota = f.quotaStatus()
-				for i := range a.Answer.Shared {
-					a.Answer.Shared[i].Name = f.nameOf(f.observedKeys.Load(), a.Answer.Shared[i].Key)
-				}
-				a.Answer.Counts = maps.Clone(f.droppedFrames)
-				f.send(q.at, kindAnswer, &frame{Fleet: f.config.Fleet, Answer: a.Answer, RequestNumber: q.no})
-			}
-		case a.Log != "":
-			f.log.Info(a.Log, a.Fields...)
+		case action.Message != nil:
+			f.send(f.addresses[action.To], kindPeer, &frame{Fleet: f.config.Fleet, From: f.config.Name, To: action.To, Generation: f.disk.id.Generation, Message: action.Message})
+		case action.Check != nil:
+			go f.check(action.Check.Version, action.Check.Doc)
+		case action.Mandate != nil:
+			f.setMandate(*action.Mandate)
+		case action.Lease != nil:
+			f.setLease(action.Lease)
+		case action.Answer != nil:
+			f.answerAdmin(action.RequestNumber, action.Answer)
+		case action.Log != "":
+			f.log.Info(action.Log, action.Fields...)
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) send(to netip.AddrPort, kind byte, fr *frame) {
+// check checks a policy's document and posts the verdict. It is a goroutine of its own, since plug-ins may be loaded for it.
+func (f *Fleet) check(version uint64, doc []byte) {
+	verdict := &node.Verdict{Version: version}
+	if err := f.rules.Check(doc); err != nil {
+		verdict.Reason = err.Error()
+	}
+	f.post(node.Event{Verdict: verdict})
+}
+
+// answerAdmin adds what the node does not know to a status and sends it to whoever asked.
+func (f *Fleet) answerAdmin(request uint64, status *node.Status) {
+	client, ok := f.adminClients[request]
+	if !ok {
+		return
+	}
+	delete(f.adminClients, request)
+	status.Quota = f.quotaStatus()
+	for i := range status.Shared {
+		status.Shared[i].Name = f.nameOf(f.observedKeys.Load(), status.Shared[i].Key)
+	}
+	status.Counts = maps.Clone(f.droppedFrames)
+	f.send(client.address, kindAnswer, &frame{Fleet: f.config.Fleet, Answer: status, RequestNumber: client.number})
+}
+
+// send sends a frame to an address; a peer without one is passed over.
+func (f *Fleet) send(to netip.AddrPort, kind byte, message *frame) {
 	if !to.IsValid() {
 		return
 	}
-	b, err := fr.pack(f.sendBuffer[:0], kind)
+	b, err := message.pack(f.sendBuffer[:0], kind)
 	if err != nil {
 		f.log.Error("encoding message to peer failed", "err", err)
 		return
--- a/internal/relay/fleet/peer/frame.go
+++ b/internal/relay/fleet/peer/frame.go
@@ -30,7 +30,7 @@
 	kindAnswer = 3
 )
 
-// frame is the content of a datagram. A field's number is never reused.
+// frame is the content of a datagram: one of Message, AdminRequest and Answer, as its kind says. A field's number is never reused.
 type frame struct {
 	Fleet         string             `cbor:"1,keyasint"`
 	From          string             `cbor:"2,keyasint,omitempty"`
@@ -42,15 +42,15 @@
 	RequestNumber uint64             `cbor:"8,keyasint,omitempty"` // of the request that Answer is for
 }
 
-// Faults of frames: each is counted under its text.
+// Why a frame is dropped. Each is counted under its text, which operators see in the fleet's status: it must not change.
 var (
 	errTruncated         = errors.New("cut short")
 	errNotAFrame         = errors.New("not of mastusher")
 	errVersion           = errors.New("of another version")
-	errChecksum          = errors.New("garbled")
+	errChecksum          = errors.New("garbled") // its checksum is wrong, or its content can't be decoded
 	errFleet             = errors.New("of another fleet")
-	errUnknownPeer       = errors.New("of a stranger")
-	errFormerIncarnation = errors.New("of a former life")
+	errUnknownPeer       = errors.New("of a stranger")    // its address is not that of the peer that it names
+	errFormerIncarnation = errors.New("of a former life") // its generation is older than one that was heard of its sender
 	errOtherRelay        = errors.New("for another relay")
 )
 
@@ -64,28 +64,29 @@
 	return mode
 }()
 
-// pack appends a frame to b.
+// pack appends a frame to b. It fails where the frame has more than maxFrameBytes.
 func (f *frame) pack(b []byte, kind byte) ([]byte, error) {
-	at := len(b)
+	start := len(b)
 	b = append(b, make([]byte, frameHead)...)
 	body, err := cbor.Marshal(f)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	if b = append(b, body...); len(b)-at > maxFrameBytes {
-		return nil, fmt.Errorf("peer: a message of %d bytes, want %d at most", len(b)-at, maxFrameBytes)
+	if b = append(b, body...); len(b)-start > maxFrameBytes {
+		return nil, fmt.Errorf("peer: a message of %d bytes, want %d at most", len(b)-start, maxFrameBytes)
 	}
-	binary.BigEndian.PutUint16(b[at:], frameMagic)
-	b[at+2], b[at+3] = frameVersion, kind
-	binary.BigEndian.PutUint64(b[at+4:], sum(kind, b[at+frameHead:]))
+	binary.BigEndian.PutUint16(b[start:], frameMagic)
+	b[start+2], b[start+3] = frameVersion, kind
+	binary.BigEndian.PutUint64(b[start+4:], checksum(kind, b[start+frameHead:]))
 	return b, nil
 }
 
-func sum(kind byte, body []byte) uint64 {
+// checksum is the checksum of a frame's kind and body.
+func checksum(kind byte, body []byte) uint64 {
 	return xxhash.Sum64(body) ^ uint64(kind)*0x9e3779b97f4a7c15
 }
 
-// unpack reads a frame; what it returns owns nothing of b.
+// unpack decodes a frame, or returns errTruncated, errNotAFrame, errVersion or errChecksum; the frame shares no memory with b.
 func unpack(b []byte) (f *frame, kind byte, err error) {
 	switch {
 	case len(b) < frameHead:
@@ -96,7 +97,7 @@
 		return nil, 0, errVersion
 	}
 	kind = b[3]
-	if binary.BigEndian.Uint64(b[4:]) != sum(kind, b[frameHead:]) {
+	if binary.BigEndian.Uint64(b[4:]) != checksum(kind, b[frameHead:]) {
 		return nil, 0, errChecksum
 	}
 	f = &frame{}
--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -12,21 +12,25 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-var drawn uint64 // never the same twice
+// lastDrawn is the last number of uniqueNumbers.
+var lastDrawn uint64
 
-func draws() func() uint64 {
-	return func() uint64 { drawn += 2; return drawn }
+// uniqueNumbers draws numbers that are never the same twice within the tests.
+func uniqueNumbers() func() uint64 {
+	return func() uint64 { lastDrawn += 2; return lastDrawn }
 }
 
+// openAt opens a folder of the fleet "f"; the error is the damage that was found.
 func openAt(t *testing.T, dir string) (*disk, *consensus.Image, error) {
 	t.Helper()
-	d, image, why, err := openDisk(dir, "f", draws())
+	d, image, why, err := openDisk(dir, "f", uniqueNumbers())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d, image, why
 }
 
+// filled opens an empty folder and saves three images to it.
 func filled(t *testing.T, dir string) *disk {
 	t.Helper()
 	d, image, why := openAt(t, dir)
@@ -42,48 +46,48 @@
 	return d
 }
 
-// TestDisk_CutOrDamagedLog_RecoversOrBecomesNewMember: what was saved is there again, cut anywhere in its last record it is there but for that, and what no crash leaves
-// behind makes a new member.
-func TestDisk_CutOrDamagedLog_RecoversOrBecomesNewMember(t *testing.T) {
+// TestDisk_TruncatedOrDamagedLog_RecoversOrBecomesNewMember: what was saved is read back, truncated anywhere in its last record it is read back
+// but for that record, and damage that no crash leaves behind makes a new member.
+func TestDisk_TruncatedOrDamagedLog_RecoversOrBecomesNewMember(t *testing.T) {
 	dir := t.TempDir()
-	d := filled(t, dir)
-	whole, err := os.ReadFile(filepath.Join(dir, logName))
+	original := filled(t, dir)
+	complete, err := os.ReadFile(filepath.Join(dir, logName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &consensus.Image{Snapshot: []byte("s"), HardState: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}
-	again, image, why := openAt(t, dir)
-	if diff := cmp.Diff(want, image); diff != "" || why != nil || again.member != d.member || again.id.Generation != d.id.Generation+1 {
-		t.Fatal(diff, why, again.member, d.member, again.id.Generation)
-	}
-	records, _ := records(whole)
-	last := len(whole) - recordHead - len(records[len(records)-1])
-	for cut := range len(whole) {
-		if err := os.WriteFile(filepath.Join(dir, logName), whole[:cut], 0o600); err != nil {
+	reopened, image, why := openAt(t, dir)
+	if diff := cmp.Diff(want, image); diff != "" || why != nil || reopened.member != original.member || reopened.id.Generation != original.id.Generation+1 {
+		t.Fatal(diff, why, reopened.member, original.member, reopened.id.Generation)
+	}
+	records, _ := records(complete)
+	last := len(complete) - recordHead - len(records[len(records)-1])
+	for size := range len(complete) {
+		if err := os.WriteFile(filepath.Join(dir, logName), complete[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		got, image, why := openAt(t, dir)
 		switch {
-		case cut >= last && (why != nil || len(image.Entries) != 0 || got.member != d.member):
-			t.Fatalf("cut at %d of %d: %v %+v", cut, len(whole), why, image)
-		case cut < last && got.member == d.member:
-			t.Fatalf("cut at %d, before what was replaced in one step: still the same member", cut)
+		case size >= last && (why != nil || len(image.Entries) != 0 || got.member != original.member):
+			t.Fatalf("truncated at %d of %d: %v %+v", size, len(complete), why, image)
+		case size < last && got.member == original.member:
+			t.Fatalf("truncated at %d, before what was replaced in one step: still the same member", size)
 		}
 		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // behind a torn tail
 			t.Fatal(err)
 		}
 		if _, image, why = openAt(t, dir); why != nil || string(image.HardState) != "h3" {
-			t.Fatalf("cut at %d: what was saved after is not there: %v %+v", cut, why, image)
+			t.Fatalf("truncated at %d: what was saved after is not there: %v %+v", size, why, image)
 		}
 	}
 	for i := range last {
-		bad := bytes.Clone(whole)
+		bad := bytes.Clone(complete)
 		bad[i] ^= 1
 		if err := os.WriteFile(filepath.Join(dir, logName), bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, image, _ := openAt(t, dir); got.member == d.member && cmp.Diff(want, image) != "" {
-			t.Fatalf("byte %d of %d is wrong, and the same member goes on with %+v", i, len(whole), image)
+		if got, image, _ := openAt(t, dir); got.member == original.member && cmp.Diff(want, image) != "" {
+			t.Fatalf("byte %d of %d is wrong, and the same member goes on with %+v", i, len(complete), image)
 		}
 	}
 }
@@ -95,14 +99,14 @@
 	if err := d.save(&consensus.Image{Complete: true}, 99); err != nil {
 		t.Fatal(err)
 	}
-	if again, image, why := openAt(t, dir); again.member != 99 || !image.Empty() || why != nil {
-		t.Fatal(again.member, image, why)
+	if reopened, image, why := openAt(t, dir); reopened.member != 99 || !image.Empty() || why != nil {
+		t.Fatal(reopened.member, image, why)
 	}
 	if err := os.Remove(filepath.Join(dir, logName)); err != nil {
 		t.Fatal(err)
 	}
-	if again, image, why := openAt(t, dir); again.member == 99 || !image.Empty() || why == nil {
-		t.Fatal("a log is gone, and its member goes on")
+	if reopened, image, why := openAt(t, dir); reopened.member == 99 || !image.Empty() || why == nil {
+		t.Fatal("a log is missing, and its member goes on")
 	}
 }
 
@@ -134,11 +138,11 @@
 			t.Errorf("byte %d is wrong, and the frame is read", i)
 		}
 		if _, _, err := unpack(good[:i]); err == nil {
-			t.Errorf("cut at %d, and the frame is read", i)
+			t.Errorf("truncated at %d, and the frame is read", i)
 		}
 	}
 	if _, err := (&frame{Message: &node.Message{Raft: &node.Raft{Data: make([]byte, maxFrameBytes)}}}).pack(nil, kindPeer); err == nil {
-		t.Error("a frame that no datagram holds is packed")
+		t.Error("a frame too large for a datagram is packed")
 	}
 }
 
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -12,24 +12,24 @@
 
 	"mastusher/internal/relay/capture"
 	"mastusher/internal/relay/config"
-	"mastusher/internal/relay/fleet/consensus"
 	"mastusher/internal/relay/fleet/node"
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// Rules is what a policy means at this relay.
+// Rules applies a policy's document to this relay's configuration. Its methods may be called from any goroutine.
 type Rules struct {
+	// Terms are what a document may name at this relay.
 	Terms policy.Terms
 
-	// Try loads plug-ins with the settings that a policy gives them, ready to be taken over, and tells why they can't run; nil:
-	// no plug-ins run here.
-	Try func(*config.Config) error
+	// LoadPlugins loads plug-ins with the settings that a policy gives them, ready to be taken over, and returns why they can't run; nil:
+	// no plug-ins run here. It must be set before the first Check.
+	LoadPlugins func(*config.Config) error
 
-	mu  sync.Mutex // of cfg and the plug-ins in Terms: both may be reloaded
+	mu  sync.Mutex // guards cfg and Terms.Plugins: both may be reloaded
 	cfg *config.Config
 }
 
-// NewRules returns what this relay's configuration permits.
+// NewRules returns the rules of a configuration. It fails where a plug-in's file can't be read.
 func NewRules(cfg *config.Config) (*Rules, error) {
 	r := &Rules{cfg: cfg, Terms: policy.Terms{Relays: cfg.Peers.Roster(), MaxAttempts: cfg.Settings.MaxAttempts, Tenants: cfg.Settings.TenantNames}}
 	for i := range cfg.Settings.Classes {
@@ -40,7 +40,7 @@
 	return r, err
 }
 
-// modules are the digests of the plug-ins that a configuration names.
+// modules returns the SHA-256 digests, in hexadecimal, of the plug-ins that a configuration names.
 func modules(cfg *config.Config) (map[string]string, error) {
 	all := map[string]string{}
 	for _, g := range cfg.Plugins {
@@ -54,8 +54,9 @@
 	return all, nil
 }
 
-// Reload takes over the plug-ins of a configuration that was read again, unless the policy in force forbids them or load, which
-// is handed them with that policy's settings, fails.
+// Reload replaces the plug-ins by those of a configuration that was read again. doc is the document of the policy in force, empty for none;
+// load gets the plug-ins with that policy's settings and is called under the lock. Nothing changes where a file can't be read, the policy
+// forbids the plug-ins, or load fails: each is an error.
 func (r *Rules) Reload(cfg *config.Config, doc []byte, load func(*config.Config) error) error {
 	all, err := modules(cfg)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// Check tells why this relay can't apply a document; nil: it can.
+// Check returns why this relay can't apply a document; nil: it can. It may take as long as loading the plug-ins.
 func (r *Rules) Check(text []byte) error {
 	d, err := policy.Parse(text)
 	if err != nil {
@@ -95,13 +96,14 @@
 	err = d.Applies(&r.Terms)
 	shaped, same := shape(r.cfg, d), r.cfg
 	r.mu.Unlock()
-	if err != nil || r.Try == nil || shaped == same {
+	if err != nil || r.LoadPlugins == nil || shaped == same {
 		return err
 	}
-	return r.Try(shaped)
+	return r.LoadPlugins(shaped)
 }
 
-// Shaped is this relay's configuration with the plug-ins' settings as a document has them.
+// Shaped returns this relay's configuration with the plug-ins' settings of a document, empty for none. It must not be changed. It fails where
+// the document can't be parsed.
 func (r *Rules) Shaped(doc []byte) (*config.Config, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,23 +117,24 @@
 	return shape(r.cfg, d), nil
 }
 
-// shape lays a document's settings of plug-ins over a configuration, which it returns where there are none.
+// shape returns a copy of a configuration with the plug-ins' settings of a document, or the configuration itself where the document has none.
 func shape(cfg *config.Config, d *policy.Document) *config.Config {
 	c := *cfg
 	c.Plugins = slices.Clone(c.Plugins)
-	says := false
+	changed := false
 	for i := range c.Plugins {
 		if s := d.Plugins[c.Plugins[i].Name].Settings; len(s) > 0 {
-			c.Plugins[i].Config, says = string(s), true
+			c.Plugins[i].Config, changed = string(s), true
 		}
 	}
-	if !says {
+	if !changed {
 		return cfg
 	}
 	return &c
 }
 
-// Mandate is the core's mandate: the document laid over the relay's own file.
+// Mandate converts the fleet's mandate to the core's: what its document says, and for all else the relay's own configuration. It fails where
+// the document can't be parsed.
 func (r *Rules) Mandate(s node.Mandate) (capture.Mandate, error) {
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &r.cfg.Settings
@@ -177,5 +180,3 @@
 	slices.SortFunc(out.Most, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
 	return out, nil
 }
-
-func emptyImage() *consensus.Image { return &consensus.Image{Complete: true} }
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -12,23 +12,26 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Core is the relay's core as the fleet uses it where limits are shared.
+// Core is the relay's core as the fleet uses it where limits are shared; see engine.Core.
 type Core interface {
-	Observe(tell func([]engine.Observation, map[string]uint64))
-	GrantQuota(s control.SharedLimits, until time.Time, done func())
+	// Observe has report called, by the core's goroutine, with what the module has seen and needs, and what the core has counted.
+	Observe(report func(observations []engine.Observation, counts map[string]uint64))
+	// GrantQuota has the core spend within limits until then; done is called by the core's goroutine once it does.
+	GrantQuota(limits control.SharedLimits, until time.Time, done func())
 }
 
-// observedKey names what a key stands for at this relay.
+// observedKey is what a key stands for at this relay: a tenant or a destination.
 type observedKey struct {
-	name   string
-	tenant int // -1: a destination's
-	at     uint32
+	name     string
+	tenant   int    // index into the settings' tenants; -1: it is a destination's
+	endpoint uint32 // the module's id of the destination; 0 for a tenant
 }
 
-// observationsPerLease is how often in a lease the core's demands are observed.
+// observationsPerLease is how often within the duration of a lease the core's demands are observed.
 const observationsPerLease = 8
 
-// observeCore asks the core for its demands. They come with an event, or not at all where this relay can't keep up.
+// observeCore asks the core for its demands and counts. They come as events, or not at all where this relay can't keep up: the core's
+// goroutine must not wait.
 func (f *Fleet) observeCore() {
 	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
 		demands, keys := demandsOf(all)
@@ -52,18 +55,18 @@
 func demandsOf(all []engine.Observation) ([]quota.Demand, map[quota.Key]observedKey) {
 	list, keys := make([]quota.Demand, 0, len(all)), make(map[quota.Key]observedKey, len(all))
 	for _, s := range all {
-		n := quota.Demand{Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
-		at := observedKey{s.Name, -1, s.Endpoint}
-		if n.Key = quota.KeyOf(quota.Destination, s.Name); s.Endpoint == 0 {
-			n.Key, at.tenant = quota.KeyOf(quota.Tenant, s.Name), s.Tenant
+		demand := quota.Demand{Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
+		key := observedKey{s.Name, -1, s.Endpoint}
+		if demand.Key = quota.KeyOf(quota.Destination, s.Name); s.Endpoint == 0 {
+			demand.Key, key.tenant = quota.KeyOf(quota.Tenant, s.Name), s.Tenant
 		}
 		switch {
 		case s.Unhealthy:
-			n.State = quota.Down
+			demand.State = quota.Down
 		case s.Healthy:
-			n.State = quota.Healthy
+			demand.State = quota.Healthy
 		}
-		list, keys[n.Key] = append(list, n), at
+		list, keys[demand.Key] = append(list, demand), key
 	}
 	if len(list) > quota.MaxKeys {
 		slices.SortStableFunc(list, func(a, b quota.Demand) int { return cmp.Compare(b.Rate*b.Value, a.Rate*a.Value) })
@@ -72,15 +75,15 @@
 	return list, keys
 }
 
-// setMandate hands the core a new mandate. While it is halted it spends next to nothing, so that nothing is decided that would go out
-// all at once afterwards: from the moment when it is halted, and until the last before it goes on.
-func (f *Fleet) setMandate(s node.Mandate) {
-	halted := s.Halted
+// setMandate gives the core a new mandate. While it is halted the core spends next to nothing, from right after it is halted until right
+// before it resumes, so that it decides nothing that would be sent all at once afterwards.
+func (f *Fleet) setMandate(mandate node.Mandate) {
+	halted := mandate.Halted
 	if f.halted && halted == 0 {
 		f.halted = false
 		f.grantQuota()
 	}
-	f.applyMandate(s, Times{f.startedAt}, func() {
+	f.applyMandate(mandate, Times{f.startedAt}, func() {
 		if halted != 0 {
 			f.post(node.Event{HaltedFor: halted})
 		}
@@ -91,73 +94,80 @@
 	}
 }
 
-// setLease makes the core go by a new quota lease.
-func (f *Fleet) setLease(s *quota.Lease) {
-	f.lease, f.leaseAt = s, f.now()
+// setLease puts a new quota lease in force.
+func (f *Fleet) setLease(lease *quota.Lease) {
+	f.lease, f.leaseAt = lease, f.now()
 	f.grantQuota()
 }
 
-// grantQuota hands the core what it may spend now by the newest lease.
+// grantQuota grants the core what it may spend now by the newest lease, and reports the lease as confirmed once it does.
 func (f *Fleet) grantQuota() {
-	s := f.lease
-	if s == nil {
+	lease := f.lease
+	if lease == nil {
 		return
 	}
 	var keys map[quota.Key]observedKey
 	if known := f.observedKeys.Load(); known != nil {
 		keys = *known
 	}
-	out := sharedLimits(s, keys, f.now()-f.leaseAt)
+	limits := sharedLimits(lease, keys, f.now()-f.leaseAt)
 	if f.halted {
-		out = engine.WithoutLease(out)
+		limits = engine.WithoutLease(limits)
 	}
-	goes := [2]uint64{s.Term, s.Number}
-	f.core.GrantQuota(out, Times{f.startedAt}.At(s.Expires), func() { f.post(node.Event{ConfirmedLease: &goes}) })
+	confirmed := [2]uint64{lease.Term, lease.Number}
+	f.core.GrantQuota(limits, Times{f.startedAt}.At(lease.Expires), func() { f.post(node.Event{ConfirmedLease: &confirmed}) })
 }
 
-// sharedLimits converts a lease of some time ago for the core; ages and waits are as of now.
-func sharedLimits(s *quota.Lease, keys map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
-	out := control.SharedLimits{GuaranteedShare: s.Minimum, KeepsGuaranteed: s.MinimumLasts}
-	for _, p := range s.Shares {
-		at, ok := keys[p.Key]
+// sharedLimits converts a lease that came some time ago for the core, with ages and waits as of now. Shares of keys that this relay has not
+// observed are left out.
+func sharedLimits(lease *quota.Lease, keys map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
+	limits := control.SharedLimits{GuaranteedShare: lease.Minimum, KeepsGuaranteed: lease.MinimumLasts}
+	for _, share := range lease.Shares {
+		key, ok := keys[share.Key]
 		if !ok {
 			continue
 		}
-		r := control.Grant{Endpoint: at.at, ExtraShare: p.Extra, Limit: p.Limit, LimitAge: p.LimitAge + ago, Unhealthy: p.State == quota.Down,
-			Healthy: p.State == quota.Healthy, HealthAge: p.StateAge + ago, RetryAfter: max(p.Wait-ago, 0), MayProbe: p.MayProbe}
-		if at.tenant >= 0 {
-			r = control.Grant{Tenant: at.tenant, ExtraShare: p.Extra}
+		grant := control.Grant{Endpoint: key.endpoint, ExtraShare: share.Extra, Limit: share.Limit, LimitAge: share.LimitAge + ago,
+			Unhealthy: share.State == quota.Down, Healthy: share.State == quota.Healthy, HealthAge: share.StateAge + ago,
+			RetryAfter: max(share.Wait-ago, 0), MayProbe: share.MayProbe}
+		if key.tenant >= 0 {
+			grant = control.Grant{Tenant: key.tenant, ExtraShare: share.Extra}
 		}
-		out.Grants = append(out.Grants, r)
+		limits.Grants = append(limits.Grants, grant)
 	}
-	return out
+	return limits
 }
 
-// quotaStatus is the lease that the core goes by, for operators.
+// quotaStatus is the lease in force, for operators; nil: there is none yet.
 func (f *Fleet) quotaStatus() *node.QuotaStatus {
-	s := f.lease
-	if s == nil {
+	lease := f.lease
+	if lease == nil {
 		return nil
 	}
-	r := &node.QuotaStatus{LeaseNumber: s.Number, Minimum: s.Minimum, Left: max(s.Expires-f.now(), 0)}
+	status := &node.QuotaStatus{LeaseNumber: lease.Number, Minimum: lease.Minimum, Left: max(lease.Expires-f.now(), 0)}
 	keys := f.observedKeys.Load()
-	for _, p := range s.Shares {
-		x := node.KeyQuota{Name: f.nameOf(keys, p.Key), Share: s.Minimum + p.Extra, Limit: p.Limit, State: p.State.String(), MayProbe: p.MayProbe}
-		if r.Left == 0 {
-			x.Share = s.Minimum
+	for _, share := range lease.Shares {
+		key := node.KeyQuota{Name: f.nameOf(keys, share.Key), Share: lease.Minimum + share.Extra, Limit: share.Limit, State: share.State.String(),
+			MayProbe: share.MayProbe}
+		if status.Left == 0 {
+			key.Share = lease.Minimum
 		}
-		r.Keys = append(r.Keys, x)
+		status.Keys = append(status.Keys, key)
 	}
-	return r
+	return status
 }
 
-func (f *Fleet) nameOf(keys *map[quota.Key]observedKey, k quota.Key) string {
-	if keys != nil {
-		if at, ok := (*keys)[k]; ok && at.tenant >= 0 {
-			return "tenant " + at.name
-		} else if ok {
-			return at.name
-		}
+// nameOf is what operators know a key by; one that this relay has not observed has no name but the key itself.
+func (f *Fleet) nameOf(keys *map[quota.Key]observedKey, key quota.Key) string {
+	if keys == nil {
+		return key.String()
+	}
+	observed, ok := (*keys)[key]
+	switch {
+	case !ok:
+		return key.String()
+	case observed.tenant >= 0:
+		return "tenant " + observed.name
 	}
-	return k.String()
+	return observed.name
 }
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -30,17 +30,18 @@
 var formats = []any{&frame{}, &identity{}, &logRecord{}, &node.Message{}, &node.AdminRequest{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
 	&quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
 
-func goldenLines(t *testing.T) []string {
+// goldenEncodings are the golden encodings of formats, in hexadecimal.
+func goldenEncodings(t *testing.T) []string {
 	t.Helper()
 	data, err := os.ReadFile(formatFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
-	if len(lines) != len(formats) {
-		t.Fatalf("%d formats are stored, want %d", len(lines), len(formats))
+	encodings := strings.Split(strings.TrimSpace(string(data)), "\n")
+	if len(encodings) != len(formats) {
+		t.Fatalf("%d formats are stored, want %d", len(encodings), len(formats))
 	}
-	return lines
+	return encodings
 }
 
 func TestCBORFormat_WritesAndReadsTheBytesOfEarlierVersions(t *testing.T) {
@@ -57,7 +58,7 @@
 			t.Fatal(err)
 		}
 	}
-	for i, line := range goldenLines(t) {
+	for i, line := range goldenEncodings(t) {
 		t.Run(fmt.Sprintf("%d", i), func(t *testing.T) {
 			golden, err := hex.DecodeString(line)
 			if err != nil {
@@ -72,9 +73,9 @@
 			if err = decoding.Unmarshal(golden, read); err != nil {
 				t.Fatal(err)
 			}
-			again, err := cbor.Marshal(read)
-			if err != nil || !bytes.Equal(again, golden) {
-				t.Errorf("%T: read back as %x, want %x; %v", want, again, golden, err)
+			reencoded, err := cbor.Marshal(read)
+			if err != nil || !bytes.Equal(reencoded, golden) {
+				t.Errorf("%T: read back as %x, want %x; %v", want, reencoded, golden, err)
 			}
 		})
 	}
@@ -111,17 +112,17 @@
 		if err := os.RemoveAll(folder); err != nil {
 			t.Fatal(err)
 		}
-		d, _, why, err := openDisk(folder, "fleet one", func() uint64 { return 40 })
+		stored, _, why, err := openDisk(folder, "fleet one", func() uint64 { return 40 })
 		if err != nil || why != nil {
 			t.Fatal(err, why)
 		}
-		if err := d.rewrite(image); err != nil {
+		if err := stored.rewrite(image); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.save(more, 0); err != nil {
+		if err := stored.save(more, 0); err != nil {
 			t.Fatal(err)
 		}
-		_ = d.file.Close()
+		_ = stored.file.Close()
 	}
 	dir := t.TempDir()
 	for _, name := range []string{identityName, logName} {
@@ -133,13 +134,13 @@
 			t.Fatal(err)
 		}
 	}
-	d, got, why, err := openDisk(dir, "fleet one", func() uint64 { return 0 })
+	stored, got, why, err := openDisk(dir, "fleet one", func() uint64 { return 0 })
 	if err != nil || why != nil {
 		t.Fatal(err, why)
 	}
-	t.Cleanup(func() { _ = d.file.Close() })
-	if d.id.Fleet != "fleet one" || d.id.Generation != 2 || d.member != 41 {
-		t.Errorf("identity %+v, member %d", d.id, d.member)
+	t.Cleanup(func() { _ = stored.file.Close() })
+	if stored.id.Fleet != "fleet one" || stored.id.Generation != 2 || stored.member != 41 {
+		t.Errorf("identity %+v, member %d", stored.id, stored.member)
 	}
 	want := &consensus.Image{HardState: image.HardState, Entries: append(image.Entries, more.Entries...), Complete: true, Remembered: image.Remembered}
 	got.Complete = true
