--- a/internal/relay/plugin/cache.go
+++ b/internal/relay/plugin/cache.go
@@ -7,26 +7,22 @@
 	"time"
 )
 
+// cacheFile is one compiled module.
+type cacheFile struct {
+	path       string
+	size       int64 // bytes
+	modifiedAt time.Time
+}
+
 // trimCache removes the oldest compiled modules beyond the limit.
 func (h *Host) trimCache() {
-	type file struct {
-		path string
-		size int64
-		at   time.Time
-	}
-	var all []file
+	files := listCache(h.cacheDir)
+	slices.SortFunc(files, func(a, b cacheFile) int { return a.modifiedAt.Compare(b.modifiedAt) })
 	total := int64(0)
-	_ = filepath.WalkDir(h.cacheDir, func(path string, d os.DirEntry, err error) error {
-		if err == nil && !d.IsDir() {
-			if info, err := d.Info(); err == nil {
-				all = append(all, file{path, info.Size(), info.ModTime()})
-				total += info.Size()
-			}
-		}
-		return nil
-	})
-	slices.SortFunc(all, func(a, b file) int { return a.at.Compare(b.at) })
-	for _, f := range all {
+	for _, f := range files {
+		total += f.size
+	}
+	for _, f := range files {
 		if total <= h.limits.PluginCache {
 			return
 		}
@@ -35,3 +31,17 @@
 		}
 	}
 }
+
+// listCache lists the compiled modules of a folder, as far as they can be read.
+func listCache(dir string) (files []cacheFile) {
+	_ = filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return nil
+		}
+		if info, err := entry.Info(); err == nil {
+			files = append(files, cacheFile{path, info.Size(), info.ModTime()})
+		}
+		return nil
+	})
+	return files
+}
--- a/internal/relay/plugin/doc.go
+++ b/internal/relay/plugin/doc.go
@@ -6,4 +6,11 @@
 // Host is the engine's Inspector. Its chain of plug-ins is a generation that a reload replaces at one point between messages; each plug-in
 // is a version (a module under one configuration) with its instances, each on a worker, a thread of its own. Package gate decides which
 // calls may be made, rules what they may change, store keeps what they remember, wasm bounds their stacks.
+//
+//	host.go, inspect.go           the host, and what the engine calls of it
+//	reload.go, generation.go      which plug-ins run, and since when
+//	load.go, check.go, version.go from a module's file to one that takes calls
+//	attempt.go, finish.go         one call: gate, worker, result
+//	worker.go, abi1.go, abi2.go   the call inside the instance
+//	hostfunctions.go, transfer.go what a module may import, and how its memory is read
 package plugin
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -13,54 +13,26 @@
 )
 
 func testLimits() Limits {
-	return Limits{Instances: 2, Share: 0.1, Burst: 100 * time.Millisecond, Strikes: 3, Pardon: 0.05, Rest: time.Second,
-		MaxOpen: 8 * time.Second, Trials: 2, Partners: 4, SharedOpen: 2}
+	return Limits{Instances: 2, CPUShare: 0.1, CPUBurst: 100 * time.Millisecond, FailureThreshold: 3, FailureDecay: 0.05,
+		OpenFor: time.Second, MaxOpenFor: 8 * time.Second, HalfOpenTrials: 2, MaxPartners: 4, SharedThreshold: 2}
 }
 
-// TestGate_Scripts plays testdata/*.txt: "enter PARTNER", "leave TICKET good|failed|crashed CPU" and "after TIME", with
-// what is to come back behind "=>".
-func TestGate_Scripts(t *testing.T) {
+// TestGate_Scripts_GiveExpectedVerdicts plays testdata/gate.txt: "enter PARTNER", "leave TICKET good|failed|overran|crashed CPU",
+// "look" and "after TIME", with what is to come back behind "=>".
+func TestGate_Scripts_GiveExpectedVerdicts(t *testing.T) {
 	text, err := os.ReadFile("testdata/gate.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, script := range strings.Split(string(text), "\n\n") {
-		lines := strings.Split(strings.TrimSpace(script), "\n")
-		t.Run(strings.TrimPrefix(lines[0], "# "), func(t *testing.T) {
-			g, now, tickets := New(testLimits()), time.Unix(1000, 0), []Ticket{}
+		steps := strings.Split(strings.TrimSpace(script), "\n")
+		t.Run(strings.TrimPrefix(steps[0], "# "), func(t *testing.T) {
+			player := scriptPlayer{gate: New(testLimits()), now: time.Unix(1000, 0)}
 			var got, want []string
-			for _, line := range lines[1:] {
-				do, expect, _ := strings.Cut(line, " => ")
-				f := strings.Fields(do)
-				back := ""
-				switch f[0] {
-				case "after":
-					d, err := time.ParseDuration(f[1])
-					if err != nil {
-						t.Fatal(err)
-					}
-					now = now.Add(d)
-				case "enter":
-					no, _ := strconv.Atoi(f[1])
-					ticket, v := g.Enter(now, no)
-					if back = v.String(); v == Go {
-						back = fmt.Sprintf("go %d", len(tickets))
-						tickets = append(tickets, ticket)
-					}
-				case "leave":
-					no, _ := strconv.Atoi(f[1])
-					cpu, err := time.ParseDuration(f[3])
-					if err != nil {
-						t.Fatal(err)
-					}
-					g.Leave(now, tickets[no], cpu, map[string]Result{"good": Good, "failed": Failed, "overran": Overran, "crashed": Crashed}[f[2]])
-				case "look":
-					l := g.Look(now)
-					back = fmt.Sprintf("busy %d open %t partners %v", l.Busy, l.Open, l.Partners)
-				default:
-					t.Fatalf("%q", line)
-				}
-				got, want = append(got, do+" => "+back), append(want, do+" => "+expect)
+			for _, step := range steps[1:] {
+				command, expected, _ := strings.Cut(step, " => ")
+				got = append(got, command+" => "+player.play(t, command))
+				want = append(want, command+" => "+expected)
 			}
 			if d := cmp.Diff(want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
@@ -69,58 +41,148 @@
 	}
 }
 
+// scriptPlayer plays the commands of one script.
+type scriptPlayer struct {
+	gate    *Gate
+	now     time.Time
+	tickets []Ticket // of the calls admitted, by their numbers in the script
+}
+
+var scriptResults = map[string]Result{"good": Succeeded, "failed": Failed, "overran": TimedOut, "crashed": StartFailed}
+
+// play plays one command and returns what came back.
+func (p *scriptPlayer) play(t *testing.T, command string) string {
+	t.Helper()
+	words := strings.Fields(command)
+	switch words[0] {
+	case "after":
+		p.now = p.now.Add(parseDuration(t, words[1]))
+	case "enter":
+		ticket, verdict := p.gate.Enter(p.now, parseNumber(t, words[1]))
+		if verdict != Admitted {
+			return verdict.String()
+		}
+		p.tickets = append(p.tickets, ticket)
+		return fmt.Sprintf("go %d", len(p.tickets)-1)
+	case "leave":
+		result, ok := scriptResults[words[2]]
+		if !ok {
+			t.Fatalf("unknown result in %q", command)
+		}
+		p.gate.Leave(p.now, p.tickets[parseNumber(t, words[1])], parseDuration(t, words[3]), result)
+	case "look":
+		s := p.gate.Snapshot(p.now)
+		return fmt.Sprintf("busy %d open %t partners %v", s.Busy, s.Open, s.Partners)
+	default:
+		t.Fatalf("unknown command %q", command)
+	}
+	return ""
+}
+
+func parseNumber(t *testing.T, word string) int {
+	t.Helper()
+	n, err := strconv.Atoi(word)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+func parseDuration(t *testing.T, word string) time.Duration {
+	t.Helper()
+	d, err := time.ParseDuration(word)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
 // TestGate_AnySequence_KeepsItsBounds: whatever comes, no more calls are out than there are instances, one partner never has them all, the
 // plug-in never spends more than its share and one burst beside the calls that are out, and a breaker that is open
 // admits again in the end.
 func TestGate_AnySequence_KeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := testLimits()
-		lim.Instances = rapid.IntRange(1, 6).Draw(t, "instances")
-		g, start := New(lim), time.Unix(1000, 0)
-		now, spent := start, time.Duration(0)
-		type call struct {
-			Ticket
-			partner int
-		}
-		var out []call
-		busy := map[int]int{}
+		limits := testLimits()
+		limits.Instances = rapid.IntRange(1, 6).Draw(t, "instances")
+		load := newRandomLoad(limits)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				no := rapid.IntRange(0, 5).Draw(t, "partner")
-				allowed := lim.Burst + time.Duration(float64(now.Sub(start))*lim.Share)
-				if ticket, v := g.Enter(now, no); v == Go {
-					out = append(out, call{ticket, no})
-					if busy[no]++; busy[no] > lim.PerPartner() || len(out) > lim.Instances {
-						t.Fatalf("%d calls are out, %d for partner %d", len(out), busy[no], no)
-					}
-					if spent > allowed {
-						t.Fatalf("let in after %v of %v", spent, allowed)
-					}
-				}
+				load.enter(t, rapid.IntRange(0, maxPartner).Draw(t, "partner"))
 			case 1:
-				if len(out) > 0 {
-					i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-					cpu := time.Duration(rapid.IntRange(0, 30).Draw(t, "cpu")) * time.Millisecond
-					g.Leave(now, out[i].Ticket, cpu, Result(rapid.IntRange(0, 3).Draw(t, "result")))
-					spent += cpu
-					busy[out[i].partner]--
-					out = append(out[:i], out[i+1:]...)
-				}
+				load.leaveAny(t)
 			case 2:
-				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-			}
-		}
-		for _, c := range out {
-			g.Leave(now, c.Ticket, 0, Good)
-		}
-		now = now.Add(time.Hour)
-		for no := range 6 {
-			ticket, v := g.Enter(now, no)
-			if v != Go {
-				t.Fatalf("partner %d after an hour: %v", no, v)
+				load.now = load.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			}
-			g.Leave(now, ticket, 0, Good)
 		}
+		load.checkAdmitsAfterAnHour(t)
 	})
 }
+
+// maxPartner is the largest number of a partner of a randomLoad; there are more than the gate keeps breakers for.
+const maxPartner = 5
+
+// openCall is a call that was admitted and has not left.
+type openCall struct {
+	Ticket
+	partner int
+}
+
+// randomLoad drives a gate and checks its bounds.
+type randomLoad struct {
+	limits     Limits
+	gate       *Gate
+	start, now time.Time
+	spent      time.Duration // processor time
+	calls      []openCall
+	busy       map[int]int // open calls by partner
+}
+
+func newRandomLoad(limits Limits) *randomLoad {
+	start := time.Unix(1000, 0)
+	return &randomLoad{limits: limits, gate: New(limits), start: start, now: start, busy: map[int]int{}}
+}
+
+// enter asks for a call, and checks that one that is admitted may be.
+func (l *randomLoad) enter(t *rapid.T, partner int) {
+	allowed := l.limits.CPUBurst + time.Duration(float64(l.now.Sub(l.start))*l.limits.CPUShare)
+	ticket, verdict := l.gate.Enter(l.now, partner)
+	if verdict != Admitted {
+		return
+	}
+	l.calls = append(l.calls, openCall{ticket, partner})
+	if l.busy[partner]++; l.busy[partner] > l.limits.PerPartner() || len(l.calls) > l.limits.Instances {
+		t.Fatalf("%d calls are out, %d for partner %d", len(l.calls), l.busy[partner], partner)
+	}
+	if l.spent > allowed {
+		t.Fatalf("let in after %v of %v", l.spent, allowed)
+	}
+}
+
+// leaveAny ends one of the open calls, if there is any.
+func (l *randomLoad) leaveAny(t *rapid.T) {
+	if len(l.calls) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(l.calls)-1).Draw(t, "which")
+	cpu := time.Duration(rapid.IntRange(0, 30).Draw(t, "cpu")) * time.Millisecond
+	l.gate.Leave(l.now, l.calls[i].Ticket, cpu, Result(rapid.IntRange(0, int(StartFailed)).Draw(t, "result")))
+	l.spent += cpu
+	l.busy[l.calls[i].partner]--
+	l.calls = append(l.calls[:i], l.calls[i+1:]...)
+}
+
+// checkAdmitsAfterAnHour ends all calls and demands that each partner's next is admitted an hour later.
+func (l *randomLoad) checkAdmitsAfterAnHour(t *rapid.T) {
+	for _, c := range l.calls {
+		l.gate.Leave(l.now, c.Ticket, 0, Succeeded)
+	}
+	later := l.now.Add(time.Hour)
+	for partner := range maxPartner + 1 {
+		ticket, verdict := l.gate.Enter(later, partner)
+		if verdict != Admitted {
+			t.Fatalf("partner %d after an hour: %v", partner, verdict)
+		}
+		l.gate.Leave(later, ticket, 0, Succeeded)
+	}
+}
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -1,7 +1,6 @@
 package plugin
 
 import (
-	"fmt"
 	"log/slog"
 	"os"
 	"sync"
@@ -16,53 +15,48 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
-// Host runs all plug-ins. Its methods are safe for concurrent use.
+// maxHeaderName is how many bytes the name of a header that a plug-in sets may have.
+const maxHeaderName = 64
+
+// Bounds of the circuit breakers that no setting has.
+const (
+	failureDecay        = 0.05 // failures that a good call takes back
+	sharedOpenThreshold = 4    // partners' breakers that count failures against the plug-in's own
+)
+
+// Host runs all plug-ins. Its methods are safe for concurrent use, but for Close.
 type Host struct {
 	limits   *config.Limits
 	log      *slog.Logger
 	seed     uint64
-	classes  []string
+	classes  []string // names of the classes of messages, by number
 	fronts   map[string]*rules.Front
 	rules    rules.Limits
-	memories memories
+	memories memoryPool
 	cache    wazero.CompilationCache // nil: none
 	cacheDir string
 	storeDir string // "": stores are not kept
 
-	current atomic.Pointer[generation] // what messages meet
+	current atomic.Pointer[generation] // what messages meet; nil: none any more
+
+	mu           sync.Mutex // guards reloads, and the fields from here to stop
+	generationNo int        // of the last load, also one that failed
+	prepared     []*version // loaded for a reload that is to come
+	stores       map[string]*store.Store
+	storeConfigs map[string]config.Plugin // under which each store was made
+	serving      bool                     // the first load is done: from now on loading gives way to the relay
 
-	mu              sync.Mutex // of reloads and of what follows
-	number          int
-	prepared        []*version // loaded for a reload that is to come
-	stores          map[string]*store.Store
-	owners          map[string]config.Plugin // of stores
-	serving         bool                     // the first load is done: from now on loading gives way to the relay
 	stop            chan struct{}
-	saving          sync.WaitGroup
+	saving          sync.WaitGroup // the goroutine that saves stores, until stop is closed
 	liveGenerations sync.WaitGroup // generations that are in use
 }
 
 // New returns a host with the plug-ins of a configuration, all loaded. fronts tells what each front lets plug-ins
-// change.
+// change. An error names the key of the configuration at fault. Whoever has the host calls Close.
 func New(cfg *config.Config, fronts []rules.Front, log *slog.Logger) (*Host, error) {
-	l := &cfg.Limits
-	host := &Host{limits: l, log: log, seed: cfg.Seed, fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{},
-		owners: map[string]config.Plugin{}, stop: make(chan struct{}), storeDir: cfg.PluginHost.Store,
-		rules: rules.Limits{Headers: l.PluginHeaders, NameSize: 64, ValueSize: l.PluginValue,
-			HeaderSize: l.PluginHeaderSize, BodySize: l.BodySize, MaxRetryAfter: l.PluginRetryAfterMax}}
-	host.memories.maxBytes = l.PluginMemory
-	for i := range cfg.Settings.Classes {
-		host.classes = append(host.classes, cfg.Settings.Classes[i].Name)
-	}
-	for i := range fronts {
-		host.fronts[fronts[i].Name] = &fronts[i]
-	}
-	if dir := cfg.PluginHost.Cache; dir != "" {
-		cache, err := wazero.NewCompilationCacheWithDir(dir)
-		if err != nil {
-			return nil, config.NewKeyError("plugin_host.cache", err.Error())
-		}
-		host.cache, host.cacheDir = cache, dir
+	host := newHost(cfg, fronts, log)
+	if err := host.openCache(cfg.PluginHost.Cache); err != nil {
+		return nil, err
 	}
 	if host.storeDir != "" {
 		if err := os.MkdirAll(host.storeDir, 0o700); err != nil {
@@ -74,11 +68,47 @@
 	}
 	host.serving = true
 	host.saving.Add(1)
-	go host.save()
+	go host.saveRegularly()
 	return host, nil
 }
 
-// Close ends all plug-ins and saves their stores. It is not for concurrent use.
+// newHost returns a host without plug-ins.
+func newHost(cfg *config.Config, fronts []rules.Front, log *slog.Logger) *Host {
+	limits := &cfg.Limits
+	host := &Host{
+		limits: limits, log: log, seed: cfg.Seed, storeDir: cfg.PluginHost.Store,
+		fronts: map[string]*rules.Front{}, stores: map[string]*store.Store{}, storeConfigs: map[string]config.Plugin{},
+		stop: make(chan struct{}),
+		rules: rules.Limits{
+			Headers: limits.PluginHeaders, NameSize: maxHeaderName, ValueSize: limits.PluginValue, HeaderSize: limits.PluginHeaderSize,
+			BodySize: limits.BodySize, MaxRetryAfter: limits.PluginRetryAfterMax,
+		},
+	}
+	host.memories.maxBytes = limits.PluginMemory
+	for i := range cfg.Settings.Classes {
+		host.classes = append(host.classes, cfg.Settings.Classes[i].Name)
+	}
+	for i := range fronts {
+		host.fronts[fronts[i].Name] = &fronts[i]
+	}
+	return host
+}
+
+// openCache opens the folder of compiled modules; "": there is none.
+func (h *Host) openCache(dir string) error {
+	if dir == "" {
+		return nil
+	}
+	cache, err := wazero.NewCompilationCacheWithDir(dir)
+	if err != nil {
+		return config.NewKeyError("plugin_host.cache", err.Error())
+	}
+	h.cache, h.cacheDir = cache, dir
+	return nil
+}
+
+// Close ends all plug-ins and saves their stores. Calls under way end within their deadlines; it waits for them. It is
+// not for concurrent use; a second call does nothing.
 func (h *Host) Close() {
 	select {
 	case <-h.stop:
@@ -88,11 +118,11 @@
 	}
 	h.saving.Wait()
 	h.mu.Lock()
-	g := h.current.Swap(nil)
+	last := h.current.Swap(nil)
 	h.setPrepared(nil)
 	h.mu.Unlock()
-	h.release(g)
-	h.liveGenerations.Wait() // calls under way end within their deadlines
+	h.release(last)
+	h.liveGenerations.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.saveStores(time.Now())
@@ -101,31 +131,37 @@
 // Procs is how many threads may run plug-ins at once; the runtime needs as many processors more, so that no
 // plug-in holds one that the relay would use.
 func (h *Host) Procs() int {
-	n := 0
+	instances := 0
 	if g := h.current.Load(); g != nil {
 		for _, v := range g.chain {
-			n += v.cfg.Instances
+			instances += v.cfg.Instances
 		}
 	}
-	return min(n, h.limits.PluginThreads)
+	return min(instances, h.limits.PluginThreads)
 }
 
-func (h *Host) gateLimits(c *config.Plugin) gate.Limits {
-	return gate.Limits{Instances: c.Instances, Share: c.Share, Burst: h.limits.PluginBurst, Strikes: h.limits.PluginBreakerThreshold,
-		Pardon: 0.05, Rest: h.limits.PluginBreakerOpen, MaxOpen: h.limits.PluginBreakerOpenMax, Trials: h.limits.PluginBreakerTrials,
-		Partners: h.limits.PluginBreakers, SharedOpen: 4}
+// gateLimits is what the gate of a plug-in is bounded by.
+func (h *Host) gateLimits(cfg *config.Plugin) gate.Limits {
+	return gate.Limits{
+		Instances: cfg.Instances, CPUShare: cfg.Share, CPUBurst: h.limits.PluginBurst,
+		FailureThreshold: h.limits.PluginBreakerThreshold, FailureDecay: failureDecay,
+		OpenFor: h.limits.PluginBreakerOpen, MaxOpenFor: h.limits.PluginBreakerOpenMax,
+		HalfOpenTrials: h.limits.PluginBreakerTrials, MaxPartners: h.limits.PluginBreakers, SharedThreshold: sharedOpenThreshold,
+	}
 }
 
-func (h *Host) class(n int) string {
-	if n >= 0 && n < len(h.classes) {
-		return h.classes[n]
+// className is the name of a class of messages; "": there is none of that number.
+func (h *Host) className(class int) string {
+	if class >= 0 && class < len(h.classes) {
+		return h.classes[class]
 	}
 	return ""
 }
 
-// CallOnce makes one call to a plug-in, for tools: neither scope nor phase is asked for.
+// CallOnce makes one call to a plug-in, for tools: neither scope nor phase is asked for. Its error is one of this
+// package's, or the plug-in's trap as an *EngineError.
 func (h *Host) CallOnce(name string, c Call) (Outcome, error) {
-	g := h.use()
+	g := h.acquire()
 	if g == nil {
 		return Outcome{}, ErrBudget
 	}
@@ -133,13 +169,13 @@
 	for _, v := range g.chain {
 		if v.cfg.Name == name {
 			c.guard = h.guard(c.Front)
-			return v.attemptBy(&c, time.Now().Add(v.cfg.Timeout))
+			return v.attemptUntil(&c, time.Now().Add(v.cfg.Timeout))
 		}
 	}
-	return Outcome{}, fmt.Errorf("plugin: none is called %s", name)
+	return Outcome{}, &UnknownPluginError{Name: name}
 }
 
-// Rules are the limits on what plug-ins may ask for.
+// Rules are the limits on what plug-ins may ask for. They must not be written to.
 func (h *Host) Rules() *rules.Limits { return &h.rules }
 
 // Status tells what runs.
@@ -148,8 +184,8 @@
 	if g := h.current.Load(); g != nil {
 		s.Generation = g.number
 		for _, v := range g.chain {
-			s.Plugins = append(s.Plugins, StatusEntry{v.cfg.Name, v.cfg.File, fmt.Sprintf("%016x", v.hash), v.abi,
-				phaseNames(v.phases)})
+			s.Plugins = append(s.Plugins, StatusEntry{Name: v.cfg.Name, File: v.cfg.File, Module: v.moduleName(), ABI: v.abi,
+				Phases: phaseNames(v.phases)})
 		}
 	}
 	return s
--- a/internal/relay/plugin/host_test.go
+++ b/internal/relay/plugin/host_test.go
@@ -305,7 +305,7 @@
 	for i := range 50 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7+i%5))
 	}
-	look := v.gate.Look(time.Now())
+	look := v.gate.Snapshot(time.Now())
 	if n := v.counts.Failures.Load(); n != 3 || look.Open || !cmp.Equal(look.Partners, []int{7}) {
 		t.Errorf("%d failures; %+v", n, look)
 	}
@@ -350,7 +350,7 @@
 	if n := v.counts.Calls.Load() + v.counts.Skipped.Load(); n != 40 || v.counts.Failures.Load() > 3 {
 		t.Errorf("%d of 40 accounted for, %d failures", n, v.counts.Failures.Load())
 	}
-	if look := v.gate.Look(time.Now()); look.Busy != 0 || look.Open {
+	if look := v.gate.Snapshot(time.Now()); look.Busy != 0 || look.Open {
 		t.Errorf("%+v", look)
 	}
 }
--- a/internal/relay/plugin/inspect.go
+++ b/internal/relay/plugin/inspect.go
@@ -8,51 +8,75 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// OnArrival lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as.
+// wantsNoAnswer is what SampleBytes returns where no plug-in wants to see an answer.
+const wantsNoAnswer = -1
+
+// OnArrival lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as: it
+// sets the message's ExtraHeaders and perhaps its Body. All plug-ins together have the configuration's PluginBudget.
 func (h *Host) OnArrival(front string, m *engine.Message) engine.Ruling {
-	g := h.use()
+	g := h.acquire()
 	if g == nil {
 		return engine.Ruling{}
 	}
 	defer h.release(g)
-	var call *Call
-	by := time.Time{}
+	var base *Call // nil until a plug-in applies
+	var deadline time.Time
 	for _, v := range g.chain {
 		if !v.applies(Arrival, front, m.Partner, m.Class) {
 			continue
 		}
 		now := time.Now()
-		if call == nil {
-			by = now.Add(h.limits.PluginBudget)
-			call = &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
-				ClassName: h.class(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
+		if base == nil {
+			deadline = now.Add(h.limits.PluginBudget)
+			base = h.arrivalCall(front, m)
 		}
 		// A call of its own for each: one that was left to itself may still read the last.
-		mine := *call
-		mine.Now, mine.TimeLeft = now, m.Deadline.Sub(now)
-		out, err := v.attempt(&mine, by)
-		switch {
-		case err != nil && v.cfg.Reject:
-			v.counts.Rejected.Add(1)
-			return engine.Ruling{Verdict: engine.Busy, Reason: "plug-in " + v.cfg.Name + " is out of order"}
-		case err != nil:
-			continue
-		case out.Reject:
-			v.counts.Rejected.Add(1)
-			return engine.Ruling{Verdict: engine.Rejected, Status: out.Status, Reason: out.Reason}
+		call := *base
+		call.Now, call.TimeLeft = now, m.Deadline.Sub(now)
+		outcome, err := v.attempt(&call, deadline)
+		if ruling, final := v.ruleArrival(&outcome, err); final {
+			return ruling
 		}
-		call.Shape = out.Shape
-		if out.Body != nil {
-			call.Body = out.Body
-			m.Body = out.Body
+		if err == nil {
+			takeOver(base, m, &outcome)
 		}
 	}
-	if call != nil {
-		m.ExtraHeaders = call.Shape
+	if base != nil {
+		m.ExtraHeaders = base.Shape
 	}
 	return engine.Ruling{}
 }
 
+// arrivalCall is what plug-ins are told of a message that arrives. The body is copied, since a call that was left to itself may
+// read it when the engine has long gone on.
+func (h *Host) arrivalCall(front string, m *engine.Message) *Call {
+	return &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
+		ClassName: h.className(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
+}
+
+// ruleArrival is what a call on arrival decides for the message; final: no further plug-in is asked.
+func (v *version) ruleArrival(outcome *Outcome, err error) (ruling engine.Ruling, final bool) {
+	switch {
+	case err != nil && v.cfg.Reject:
+		ruling = engine.Ruling{Verdict: engine.Busy, Reason: "plug-in " + v.cfg.Name + " is out of order"}
+	case err == nil && outcome.Reject:
+		ruling = engine.Ruling{Verdict: engine.Rejected, Status: outcome.Status, Reason: outcome.Reason}
+	default:
+		return ruling, false
+	}
+	v.counts.Rejected.Add(1)
+	return ruling, true
+}
+
+// takeOver makes what one plug-in has done to a message what the next is shown.
+func takeOver(base *Call, m *engine.Message, outcome *Outcome) {
+	base.Shape = outcome.Shape
+	if outcome.Body != nil {
+		base.Body = outcome.Body
+		m.Body = outcome.Body
+	}
+}
+
 // guard is what plug-ins may change at a front.
 func (h *Host) guard(front string) *rules.Front {
 	if f := h.fronts[front]; f != nil {
@@ -65,66 +89,72 @@
 func (h *Host) SampleBytes(front string, partner, class int) int {
 	g := h.current.Load()
 	if g == nil {
-		return -1
+		return wantsNoAnswer
 	}
 	for _, v := range g.chain {
 		if v.applies(Answer, front, partner, class) {
 			return h.limits.PluginSample
 		}
 	}
-	return -1
+	return wantsNoAnswer
 }
 
-// OnAnswer shows the plug-ins an answer and makes of its outcomes what they may. Answers of which nothing
-// may be made they are shown later.
-func (h *Host) OnAnswer(front string, attempt *engine.Attempt, outs []engine.Outcome) {
-	g := h.use()
+// OnAnswer shows the plug-ins an answer and makes of its outcomes, one for each item of the attempt, what they may.
+// Answers of which nothing may be made they are shown later. All of it together has the configuration's PluginBudget.
+func (h *Host) OnAnswer(front string, attempt *engine.Attempt, outcomes []engine.Outcome) {
+	g := h.acquire()
 	if g == nil {
 		return
 	}
 	defer h.release(g)
-	by := time.Now().Add(h.limits.PluginBudget)
-	for i := range outs {
-		h.answered(g, front, &attempt.To, &attempt.Items[i], attempt.SampledAnswer(), &outs[i], by)
+	deadline := time.Now().Add(h.limits.PluginBudget)
+	for i := range outcomes {
+		item := &attempt.Items[i]
+		for _, v := range g.chain {
+			if v.applies(Answer, front, attempt.To.Partner, item.Class) {
+				v.answer(h.answerCall(front, attempt, item, &outcomes[i]), &outcomes[i], deadline)
+			}
+		}
 	}
 }
 
-// answered shows the plug-ins the answer for one message, and makes its outcome more careful where they ask for that.
-func (h *Host) answered(g *generation, front string, to *engine.Destination, it *engine.Item, seen *engine.AnswerSample,
-	o *engine.Outcome, by time.Time) {
-	for _, v := range g.chain {
-		if !v.applies(Answer, front, to.Partner, it.Class) {
-			continue
-		}
-		now := time.Now()
-		a := rules.Answer{Result: o.Result, RetryAfter: o.RetryAfter, Final: o.Final}
-		c := &Call{Phase: Answer, Front: front, ID: it.ID, Key: it.Key, Partner: to.Partner, Class: it.Class,
-			ClassName: h.class(it.Class), In: seen.Header, Body: seen.Body, Destination: to.Name, Status: seen.Status, Answer: a, Now: now}
-		// The least that could be asked for: where that is refused there is nothing to wait for.
-		if _, why := rules.Tighten(a, rules.Ask{RetryAfter: a.RetryAfter + 1}, &h.rules); why != rules.None {
-			v.enqueueAfterwards(c)
-			continue
-		}
-		out, err := v.attempt(c, by)
-		if err != nil {
-			continue // an answer is never worse for a plug-in that fails
-		}
-		a, _ = rules.Tighten(a, out.Ask, &h.rules)
-		o.Result, o.RetryAfter = a.Result, a.RetryAfter
+// answerCall is what plug-ins are told of the answer for one message.
+func (h *Host) answerCall(front string, attempt *engine.Attempt, item *engine.Item, outcome *engine.Outcome) *Call {
+	to, seen := &attempt.To, attempt.SampledAnswer()
+	return &Call{Phase: Answer, Front: front, ID: item.ID, Key: item.Key, Partner: to.Partner, Class: item.Class,
+		ClassName: h.className(item.Class), In: seen.Header, Body: seen.Body, Destination: to.Name, Status: seen.Status,
+		Answer: rules.Answer{Result: outcome.Result, RetryAfter: outcome.RetryAfter, Final: outcome.Final}, Now: time.Now()}
+}
+
+// answer shows the plug-in the answer for one message, and makes its outcome more careful where it asks for that. An
+// answer is never worse for a plug-in that fails.
+func (v *version) answer(c *Call, outcome *engine.Outcome, deadline time.Time) {
+	limits := &v.host.rules
+	// The smallest that could be asked for: where that is refused there is nothing to wait for.
+	smallest := rules.Ask{RetryAfter: c.Answer.RetryAfter + 1}
+	if _, why := rules.Tighten(c.Answer, smallest, limits); why != rules.None {
+		v.deferCall(c)
+		return
+	}
+	asked, err := v.attempt(c, deadline)
+	if err != nil {
+		return
 	}
+	tightened, _ := rules.Tighten(c.Answer, asked.Ask, limits)
+	outcome.Result, outcome.RetryAfter = tightened.Result, tightened.RetryAfter
 }
 
 // OnEnd tells the plug-ins, later, that a message has ended.
 func (h *Host) OnEnd(front string, e engine.End) {
-	g := h.use()
+	g := h.acquire()
 	if g == nil {
 		return
 	}
 	defer h.release(g)
 	for _, v := range g.chain {
 		if v.applies(End, front, e.Partner, e.Class) {
-			v.enqueueAfterwards(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
-				ClassName: h.class(e.Class), Result: e.Result})
+			v.deferCall(&Call{Phase: End, Front: front, ID: e.ID, Key: e.Key, Partner: e.Partner, Class: e.Class,
+				ClassName: h.className(e.Class), Result: e.Result})
 		}
 	}
 }
--- a/internal/relay/plugin/logs.go
+++ b/internal/relay/plugin/logs.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// logBucket lets so many log lines through a second.
+// logBucket is a token bucket that lets so many log lines through a second, and twice as many at once.
 type logBucket struct {
-	left float64
-	at   time.Time
-	lost uint64
+	tokens     float64
+	refilledAt time.Time
 }
 
-func (l *logBucket) take(now time.Time, rate float64) bool {
-	l.left = min(2*rate, l.left+now.Sub(l.at).Seconds()*rate)
-	l.at = now
-	if l.left < 1 {
-		l.lost++
+// take takes a token, at a rate a second; false: there is none.
+func (b *logBucket) take(now time.Time, rate float64) bool {
+	b.tokens = min(2*rate, b.tokens+now.Sub(b.refilledAt).Seconds()*rate)
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	l.left--
+	b.tokens--
 	return true
 }
--- a/internal/relay/plugin/reload.go
+++ b/internal/relay/plugin/reload.go
@@ -5,88 +5,127 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"sync/atomic"
 
 	"mastusher/internal/relay/config"
 )
 
-// generation is a list of plug-ins as one reload has made it. A message meets one generation for its whole arrival.
-type generation struct {
-	number int
-	chain  []*version
-	users  atomic.Int64 // calls under way, and one for being the newest
-}
-
 // Reload puts the plug-ins of a configuration in the place of those that run, at one point between messages. Those
 // that are the same go on as they are. If one can't be loaded nothing changes, and the error names its key.
 func (h *Host) Reload(cfg *config.Config) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old := h.loaded()
-	h.number++
-	next := &generation{number: h.number}
-	next.users.Store(1)
+	h.generationNo++
 	fresh := 0
-	for i, c := range cfg.Plugins {
-		v, err := h.take(c, old)
-		if err != nil {
-			for _, v := range next.chain {
-				h.releaseVersion(v)
-			}
-			err = config.NewKeyError(c.Key, fmt.Sprintf("plug-in %s: %v", c.Name, err))
-			h.status(cfg, err)
-			return err
-		}
-		if old[v.key()] != v {
-			fresh++
-			h.log.Info("plug-in ready", "plugin", c.Name, "order", i, "abi", v.abi, "module", fmt.Sprintf("%016x", v.hash),
-				"phases", phaseNames(v.phases), "instances", c.Instances)
-		}
-		v.users++
-		next.chain = append(next.chain, v)
+	chain, err := h.loadChain(cfg, func(order int, v *version) {
+		fresh++
+		h.log.Info("plug-in ready", "plugin", v.cfg.Name, "order", order, "abi", v.abi, "module", v.moduleName(),
+			"phases", phaseNames(v.phases), "instances", v.cfg.Instances)
+	})
+	if err != nil {
+		h.writeStatus(cfg, err)
+		return err
 	}
 	h.liveGenerations.Add(1)
-	before := h.current.Swap(next)
+	before := h.current.Swap(newGeneration(h.generationNo, chain))
 	h.release(before)
 	h.setPrepared(nil)
 	if h.cacheDir != "" && fresh > 0 {
 		h.trimCache()
 	}
-	if h.status(cfg, nil); fresh > 0 {
+	h.writeStatus(cfg, nil)
+	if fresh > 0 {
 		debug.FreeOSMemory() // to load a module takes many times what it keeps
 	}
 	return nil
 }
 
-// take returns the version of a configuration, loaded anew unless the same runs already.
-func (h *Host) take(c config.Plugin, old map[string]*version) (*version, error) {
-	text, err := os.ReadFile(c.File)
+// Prepare loads the plug-ins of a configuration beside those that run, so that a Reload takes them over at once, or tells why
+// they can't run. What was prepared before and is not asked for again is dropped.
+func (h *Host) Prepare(cfg *config.Config) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	chain, err := h.loadChain(cfg, func(int, *version) {})
+	if err != nil {
+		return err
+	}
+	h.setPrepared(chain)
+	return nil
+}
+
+// loadChain returns the versions of a configuration's plug-ins, in their order, each with one user more, and tells of each that
+// neither runs nor was prepared. If one can't be loaded the error names its key, and nothing is left. The lock is held.
+func (h *Host) loadChain(cfg *config.Config, onFresh func(order int, v *version)) ([]*version, error) {
+	loaded := h.loaded()
+	var chain []*version
+	for order, c := range cfg.Plugins {
+		v, err := h.reuseOrLoad(c, loaded)
+		if err != nil {
+			for _, v := range chain {
+				h.releaseVersion(v)
+			}
+			return nil, config.NewKeyError(c.Key, fmt.Sprintf("plug-in %s: %v", c.Name, err))
+		}
+		if loaded[v.key()] != v {
+			onFresh(order, v)
+		}
+		v.users++
+		chain = append(chain, v)
+	}
+	return chain, nil
+}
+
+// loaded is what runs or waits for a reload, by its key. The lock is held.
+func (h *Host) loaded() map[string]*version {
+	all := map[string]*version{}
+	for _, v := range h.prepared {
+		all[v.key()] = v
+	}
+	if g := h.current.Load(); g != nil {
+		for _, v := range g.chain {
+			all[v.key()] = v
+		}
+	}
+	return all
+}
+
+// reuseOrLoad returns the version of a configuration, loaded anew unless the same is loaded already.
+func (h *Host) reuseOrLoad(cfg config.Plugin, loaded map[string]*version) (*version, error) {
+	module, err := os.ReadFile(cfg.File)
 	if err != nil {
 		return nil, err
 	}
-	same := version{cfg: c, hash: hashOf(text)}
-	if v := old[same.key()]; v != nil {
+	same := version{cfg: cfg, hash: hashOf(module)}
+	if v := loaded[same.key()]; v != nil {
 		return v, nil
 	}
-	// Compiling may take a second of processor time: on a thread that gives way, which ends with its goroutine.
-	type loaded struct {
-		v   *version
-		err error
-	}
-	done := make(chan loaded)
+	return h.loadOnYieldingThread(cfg, module)
+}
+
+// loadOnYieldingThread loads a module, which may take a second of processor time, on a thread that gives way and ends
+// with its goroutine.
+func (h *Host) loadOnYieldingThread(cfg config.Plugin, module []byte) (v *version, err error) {
+	done := make(chan struct{})
 	go func() {
+		defer close(done)
 		if h.serving && h.limits.PluginYields {
 			runtime.LockOSThread()
 			yieldToOthers()
 		}
-		v, err := h.load(c, text)
-		done <- loaded{v, err}
+		v, err = h.load(cfg, module)
 	}()
-	l := <-done
-	return l.v, l.err
+	<-done
+	return v, err
+}
+
+// setPrepared puts what waits for a reload in the place of what did before. The lock is held.
+func (h *Host) setPrepared(next []*version) {
+	for _, v := range h.prepared {
+		h.releaseVersion(v)
+	}
+	h.prepared = next
 }
 
-// releaseVersion drops a version that no generation has come to use. The lock is held.
+// releaseVersion ends one use of a version, and closes it with the last. The lock is held.
 func (h *Host) releaseVersion(v *version) {
 	if v.users > 0 {
 		v.users--
@@ -95,34 +134,3 @@
 		v.close()
 	}
 }
-
-// release ends one use of a generation; the last closes what no other generation uses.
-func (h *Host) release(g *generation) {
-	if g == nil || g.users.Add(-1) > 0 {
-		return
-	}
-	go func() { // the caller may hold the lock, and answers a client
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		for _, v := range g.chain {
-			h.releaseVersion(v)
-		}
-		h.log.Info("plug-in generation drained", "generation", g.number)
-		h.liveGenerations.Done()
-	}()
-}
-
-// use returns the newest generation, which stays loaded until it is released.
-func (h *Host) use() *generation {
-	for {
-		g := h.current.Load()
-		if g == nil {
-			return nil
-		}
-		for n := g.users.Load(); n > 0; n = g.users.Load() {
-			if g.users.CompareAndSwap(n, n+1) {
-				return g
-			}
-		}
-	}
-}
--- a/internal/relay/plugin/status.go
+++ b/internal/relay/plugin/status.go
@@ -4,42 +4,28 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
 
 	"mastusher/internal/relay/config"
 )
 
-func hashOf(text []byte) uint64 { return xxhash.Sum64(text) }
-
-func phaseNames(p Phase) string {
-	var s []string
-	for _, one := range []Phase{Arrival, Answer, End} {
-		if p&one != 0 {
-			s = append(s, one.String())
-		}
-	}
-	return strings.Join(s, ",")
-}
-
 // Status is what a relay says of its plug-ins, in a file beside their stores, after each load.
 type Status struct {
-	Generation int
-	At         time.Time
-	Error      string // of the last load; what ran before goes on
+	Generation int       // counts loads, also those that failed
+	At         time.Time // when it was written
+	Error      string    // of the last load; what ran before goes on
 	Plugins    []StatusEntry
 }
 
 // StatusEntry is one plug-in that runs.
 type StatusEntry struct {
 	Name   string
-	File   string
-	Module string // xxhash of its bytes
+	File   string // of the module
+	Module string // xxhash of its bytes, 16 hexadecimal digits
 	ABI    int
-	Phases string
+	Phases string // names, joined by commas
 }
 
 // append writes the status as JSON, a plug-in a line.
@@ -57,39 +43,40 @@
 	return append(b, "]}\n"...)
 }
 
-// ReadStatus reads what a relay has written last.
-func ReadStatus(cfg *config.Config) (s Status, err error) {
+// ReadStatus reads what a relay has written last. An error is that of reading the file, or a *StatusFileError.
+func ReadStatus(cfg *config.Config) (Status, error) {
 	text, err := os.ReadFile(StatusFile(cfg))
 	if err != nil {
-		return s, err
+		return Status{}, err
 	}
 	if !gjson.ValidBytes(text) {
-		return s, fmt.Errorf("plugin: %s can't be read", StatusFile(cfg))
+		return Status{}, &StatusFileError{File: StatusFile(cfg)}
 	}
-	r := gjson.ParseBytes(text)
-	s = Status{Generation: int(r.Get("generation").Int()), At: r.Get("at").Time(), Error: r.Get("error").String()}
-	r.Get("plugins").ForEach(func(_, p gjson.Result) bool {
-		s.Plugins = append(s.Plugins, StatusEntry{p.Get("name").String(), p.Get("file").String(), p.Get("module").String(),
-			int(p.Get("abi").Int()), p.Get("phases").String()})
+	root := gjson.ParseBytes(text)
+	s := Status{Generation: int(root.Get("generation").Int()), At: root.Get("at").Time(), Error: root.Get("error").String()}
+	root.Get("plugins").ForEach(func(_, p gjson.Result) bool {
+		s.Plugins = append(s.Plugins, StatusEntry{Name: p.Get("name").String(), File: p.Get("file").String(),
+			Module: p.Get("module").String(), ABI: int(p.Get("abi").Int()), Phases: p.Get("phases").String()})
 		return true
 	})
 	return s, nil
 }
 
-// StatusFile is where the status stands.
+// StatusFile is where the status stands: in the folder of the stores.
 func StatusFile(cfg *config.Config) string {
 	return filepath.Join(cfg.PluginHost.Store, "plugins.status")
 }
 
-// status writes the status, if there is a folder for it. The lock is held.
-func (h *Host) status(cfg *config.Config, fault error) {
+// writeStatus writes the status, with the error of the last load if it failed, where there is a folder for it. The lock
+// is held.
+func (h *Host) writeStatus(cfg *config.Config, loadErr error) {
 	if h.storeDir == "" {
 		return
 	}
 	s := h.Status()
-	s.Generation = h.number
-	if fault != nil {
-		s.Error = fault.Error()
+	s.Generation = h.generationNo
+	if loadErr != nil {
+		s.Error = loadErr.Error()
 	}
 	file := StatusFile(cfg)
 	err := os.WriteFile(file+".next", s.append(nil), 0o600)
--- a/internal/relay/plugin/version.go
+++ b/internal/relay/plugin/version.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
 	"github.com/tetratelabs/wazero"
 
 	"mastusher/internal/relay/config"
@@ -21,52 +22,69 @@
 	cfg    config.Plugin
 	hash   uint64 // of the module's bytes
 	abi    int
-	phases Phase
-
-	runtime        wazero.Runtime
-	code           wazero.CompiledModule
-	store          *store.Store
-	idle           chan *worker
-	workers        []*worker
-	afterwards     chan *Call // what is told after the fact
-	afterwardsDone sync.WaitGroup
+	phases Phase // 0 until it has started
 
+	runtime     wazero.Runtime
+	code        wazero.CompiledModule
+	store       *store.Store
+	workers     []*worker
+	idle        chan *worker // has room for all workers
 	workersDone sync.WaitGroup
-	users       int         // generations that use it; the host's lock
-	closing     atomic.Bool // what is in the line is dropped
 
-	mu       sync.Mutex // of the gate
-	gate     *gate.Gate
-	changed  chan struct{} // closed when a call has left while others wait
-	logLines logBucket
+	deferred     chan *Call     // calls that nobody waits for
+	deferredDone sync.WaitGroup // the goroutine that makes them, until deferred is closed
+
+	users   int         // generations that use it; guarded by the host's lock
+	closing atomic.Bool // deferred calls that still wait are dropped
+
+	mu        sync.Mutex // guards the fields from here to logBucket
+	gate      *gate.Gate
+	changed   chan struct{} // closed, and replaced, when a call has left the gate
+	logBucket logBucket
 
 	counts counts
 }
 
-// counts is what a plug-in has done, for logs and status.
+// counts is what a plug-in has done, for logs and tests.
 type counts struct {
-	Calls, Failures, Skipped, Rejected, Refused, Dropped atomic.Uint64
-	CPU                                                  atomic.Int64 // ns
+	Calls    atomic.Uint64 // made, also those that failed
+	Failures atomic.Uint64
+	Skipped  atomic.Uint64 // not made: no time, no instance, an open breaker, no processor time
+	Rejected atomic.Uint64 // messages
+	Refused  atomic.Uint64 // wishes that the host did not fulfil
+	Dropped  atomic.Uint64 // deferred calls not made, or failed
+	CPU      atomic.Int64  // processor time, ns
 }
 
+// hashOf is the hash that a module is known by.
+func hashOf(module []byte) uint64 { return xxhash.Sum64(module) }
+
+// moduleName is the hash of the module's bytes as logs and status have it.
+func (v *version) moduleName() string { return fmt.Sprintf("%016x", v.hash) }
+
 // key tells versions apart: what has the same is the same.
 func (v *version) key() string { return fmt.Sprintf("%x %+v", v.hash, v.cfg) }
 
-// close ends the version. No call may be made or put in the line any more.
+// close ends the version and waits until it has. No call may be made or deferred any more.
 func (v *version) close() {
 	v.closing.Store(true)
-	close(v.afterwards)
-	v.afterwardsDone.Wait()
+	close(v.deferred)
+	v.deferredDone.Wait()
 	for range v.workers {
 		close((<-v.idle).jobs)
 	}
 	v.workersDone.Wait()
-	if c := &v.counts; v.phases != 0 {
-		v.host.log.Info("plug-in stopped", "plugin", v.cfg.Name, "calls", c.Calls.Load(), "failures", c.Failures.Load(),
-			"skipped", c.Skipped.Load(), "rejected", c.Rejected.Load(), "refused", c.Refused.Load(),
-			"dropped", c.Dropped.Load(), "cpu", time.Duration(c.CPU.Load()))
+	if v.phases != 0 {
+		v.logCounts()
 	}
 	if v.runtime != nil {
 		_ = v.runtime.Close(context.Background())
 	}
 }
+
+func (v *version) logCounts() {
+	c := &v.counts
+	v.host.log.Info("plug-in stopped", "plugin", v.cfg.Name, "calls", c.Calls.Load(), "failures", c.Failures.Load(),
+		"skipped", c.Skipped.Load(), "rejected", c.Rejected.Load(), "refused", c.Refused.Load(),
+		"dropped", c.Dropped.Load(), "cpu", time.Duration(c.CPU.Load()))
+}
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
@@ -18,25 +17,30 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
+// phaseStart is the phase of the job that starts an instance and reads its phases; no message belongs to it.
+const phaseStart Phase = 0
+
 // worker runs one instance, on a thread of its own that gives way to the relay's. A call that fails ends the
 // instance: nothing that it has left behind is seen by the next.
 type worker struct {
 	version *version
-	jobs    chan *job
+	jobs    chan *job // closed by the version's close, which ends the goroutine
 
-	// Of the worker's goroutine:
+	// Of the worker's goroutine. The instance, if there is one:
+	ctx       context.Context // hands the host functions their worker
 	module    api.Module
 	memory    *memory
 	functions map[Phase]api.Function
-	alloc     api.Function
-	stack     [2]uint64
-	ctx       context.Context // hands the host functions their worker
-	rng       *rand.Rand
-	now       time.Time
-	call      *Call
-	outcome   Outcome
-	tx        *store.Tx
-	copied    int // bytes on the relay's heap
+	alloc     api.Function // of ABI 1
+	stack     [2]uint64    // parameters and results of a call into the module
+
+	// The call under way, if there is one:
+	call    *Call
+	outcome Outcome
+	tx      *store.Tx
+	now     time.Time
+	rng     *rand.Rand
+	copied  int // bytes of the module's memory that were copied to the relay's heap
 }
 
 // job is one call on its way through a worker.
@@ -44,23 +48,31 @@
 	call     *Call
 	deadline time.Time
 	ticket   gate.Ticket
-	done     chan jobDone // holds one: the worker never waits for whoever asked
+	done     chan jobResult // holds one: the worker never waits for whoever asked
+}
+
+// jobResult is how a job ended. Of a call that failed the outcome has only processor time and logs.
+type jobResult struct {
+	outcome Outcome
+	err     error
 }
 
-type jobDone struct {
-	out Outcome
-	err error
+func newJob(c *Call, deadline time.Time) *job {
+	return &job{call: c, deadline: deadline, done: make(chan jobResult, 1)}
 }
 
+// workerKey is the key of a worker in the context of its calls.
 type workerKey struct{}
 
+// newWorker starts a worker; it ends when its jobs are closed.
 func newWorker(v *version) *worker {
 	w := &worker{version: v, jobs: make(chan *job)}
-	w.ctx = experimental.WithMemoryAllocator(context.WithValue(context.Background(), workerKey{}, w),
-		experimental.MemoryAllocatorFunc(func(_, most uint64) experimental.LinearMemory {
-			w.memory = v.host.memories.Allocate(min(most, uint64(v.cfg.MemoryMB)<<20))
-			return w.memory
-		}))
+	allocate := func(_, maxBytes uint64) experimental.LinearMemory {
+		w.memory = v.host.memories.Allocate(min(maxBytes, uint64(v.cfg.MemoryMB)<<20))
+		return w.memory
+	}
+	ctx := context.WithValue(context.Background(), workerKey{}, w)
+	w.ctx = experimental.WithMemoryAllocator(ctx, experimental.MemoryAllocatorFunc(allocate))
 	go w.run()
 	return w
 }
@@ -74,27 +86,29 @@
 		yieldToOthers()
 	}
 	for j := range w.jobs {
-		from := threadTime()
-		err := w.do(j)
-		w.outcome.CPU = threadTime() - from
-		out := w.outcome
-		if err != nil {
-			out = Outcome{CPU: w.outcome.CPU, Logs: w.outcome.Logs}
-			w.dropInstance()
-		}
-		w.call, w.tx, w.outcome = nil, nil, Outcome{}
-		w.version.finish(w, j, out, err)
-		j.done <- jobDone{out, err}
+		result := w.serve(j)
+		w.version.finish(w, j, result)
+		j.done <- result
 	}
 	w.dropInstance()
 	w.version.workersDone.Done()
 }
 
-// startError marks a failure to start an instance.
-type startError struct{ error }
-
-func (e startError) Unwrap() error { return e.error }
+// serve does one job and forgets its call.
+func (w *worker) serve(j *job) jobResult {
+	from := threadTime()
+	err := w.do(j)
+	w.outcome.CPU = threadTime() - from
+	outcome := w.outcome
+	if err != nil {
+		outcome = Outcome{CPU: w.outcome.CPU, Logs: w.outcome.Logs}
+		w.dropInstance()
+	}
+	w.call, w.tx, w.outcome = nil, nil, Outcome{}
+	return jobResult{outcome, err}
+}
 
+// do makes the call of a job, in an instance that is started if there is none.
 func (w *worker) do(j *job) error {
 	w.call, w.outcome, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
 	if w.module != nil && w.module.IsClosed() { // its last call ended just as its time did
@@ -106,65 +120,55 @@
 		}
 	}
 	w.seed(j.call.ID, j.call.Phase)
-	if j.call.Phase == 0 {
+	if j.call.Phase == phaseStart {
 		return w.readPhases(j.deadline)
 	}
-	fn := w.functions[j.call.Phase]
-	if fn == nil {
+	function := w.functions[j.call.Phase]
+	if function == nil {
 		return nil
 	}
 	w.tx = w.version.store.Begin(w.now)
-	ctx, cancel := context.WithDeadline(w.ctx, j.deadline)
-	defer cancel()
-	var err error
-	if w.version.abi == 1 {
-		err = w.callABI1(ctx, fn)
-	} else {
-		if err = fn.CallWithStack(ctx, w.stack[:]); err == nil && uint32(w.stack[0]) != 0 {
-			err = fmt.Errorf("%w: %d", ErrPluginFailure, int32(w.stack[0]))
-		}
-	}
-	if err != nil {
-		return withoutTrace(err)
+	if err := w.invoke(function, j.deadline); err != nil {
+		return err
 	}
 	if err := w.tx.Commit(); err != nil {
-		w.refuse("store", refusal(err))
+		w.refuse("store", storeRefusal(err))
 	}
 	return nil
 }
 
+// invoke calls the module's function for a phase.
+func (w *worker) invoke(function api.Function, deadline time.Time) error {
+	ctx, cancel := context.WithDeadline(w.ctx, deadline)
+	defer cancel()
+	if w.version.abi == 1 {
+		return w.callABI1(ctx, function)
+	}
+	return w.callABI2(ctx, function)
+}
+
 // readPhases finds which phases the module takes part in; it is called while the version is warmed up.
-func (w *worker) readPhases(by time.Time) error {
+func (w *worker) readPhases(deadline time.Time) error {
 	if w.version.abi == 1 {
-		for phase, fn := range w.functions {
-			if fn != nil {
-				w.version.phases |= phase
-			}
-		}
+		w.version.phases |= w.phasesABI1()
 		return nil
 	}
-	ctx, cancel := context.WithDeadline(w.ctx, by)
+	ctx, cancel := context.WithDeadline(w.ctx, deadline)
 	defer cancel()
-	if err := w.module.ExportedFunction(markerABI2).CallWithStack(ctx, w.stack[:]); err != nil {
-		return fmt.Errorf("%s: %w", markerABI2, withoutTrace(err))
-	}
-	mask := Phase(w.stack[0])
-	if mask&^(Arrival|Answer|End) != 0 {
-		return fmt.Errorf("%s: the mask %#x has phases that this relay does not know", markerABI2, uint32(w.stack[0]))
-	}
-	for phase, name := range exportsABI2 {
-		if mask&phase != 0 && w.functions[phase] == nil {
-			return fmt.Errorf("%s: the mask names a phase without its export %s", markerABI2, name)
-		}
+	phases, err := w.phasesABI2(ctx)
+	if err != nil {
+		return err
 	}
-	w.version.phases = mask
+	w.version.phases = phases
 	return nil
 }
 
 // seed makes all that is random in a call depend on the relay's seed, the plug-in, the phase and the message, so
-// that a run can be repeated exactly on whichever instance; a start has no message, and phase 0.
+// that a run can be repeated exactly on whichever instance; a start has no message, and phaseStart.
 func (w *worker) seed(id string, phase Phase) {
-	w.rng = rand.New(rand.NewPCG(w.version.host.seed^xxhash.Sum64String(w.version.cfg.Name), xxhash.Sum64String(id)^uint64(phase)))
+	ofPlugin := w.version.host.seed ^ xxhash.Sum64String(w.version.cfg.Name)
+	ofCall := xxhash.Sum64String(id) ^ uint64(phase)
+	w.rng = rand.New(rand.NewPCG(ofPlugin, ofCall))
 }
 
 // Read is the source of random bytes that WASI hands out.
@@ -179,27 +183,31 @@
 func (w *worker) start() error {
 	ctx, cancel := context.WithTimeout(w.ctx, w.version.host.limits.PluginStart)
 	defer cancel()
-	w.seed("", 0)
-	m, err := w.version.runtime.InstantiateModule(ctx, w.version.code, wazero.NewModuleConfig().WithName("").
-		WithStartFunctions("_initialize").WithRandSource(w).
-		WithWalltime(func() (int64, int32) { return w.now.Unix(), int32(w.now.Nanosecond()) }, wasys.ClockResolution(1)).
-		WithNanotime(func() int64 { return w.now.UnixNano() }, wasys.ClockResolution(1)))
+	w.seed("", phaseStart)
+	module, err := w.version.runtime.InstantiateModule(ctx, w.version.code, w.moduleConfig())
 	if err != nil {
 		w.dropInstance()
-		return fmt.Errorf("start: %w", withoutTrace(err))
+		return fmt.Errorf("start: %w", engineError(err))
 	}
-	w.module, w.functions = m, map[Phase]api.Function{}
+	w.module, w.functions = module, map[Phase]api.Function{}
+	exports := exportsABI2
 	if w.version.abi == 1 {
-		w.alloc = m.ExportedFunction("alloc")
-		w.functions[Arrival], w.functions[End] = m.ExportedFunction("inspect"), m.ExportedFunction("ended")
-		return nil
+		w.alloc = module.ExportedFunction(allocABI1)
+		exports = exportsABI1
 	}
-	for phase, name := range exportsABI2 {
-		w.functions[phase] = m.ExportedFunction(name)
+	for phase, name := range exports {
+		w.functions[phase] = module.ExportedFunction(name)
 	}
 	return nil
 }
 
+// moduleConfig gives an instance the clock and the random numbers of its calls.
+func (w *worker) moduleConfig() wazero.ModuleConfig {
+	return wazero.NewModuleConfig().WithName("").WithStartFunctions("_initialize").WithRandSource(w).
+		WithWalltime(func() (int64, int32) { return w.now.Unix(), int32(w.now.Nanosecond()) }, wasys.ClockResolution(1)).
+		WithNanotime(func() int64 { return w.now.UnixNano() }, wasys.ClockResolution(1))
+}
+
 // dropInstance ends the instance and gives its memory back, also where the engine has left that to a call that never came.
 func (w *worker) dropInstance() {
 	if w.module != nil {
@@ -210,24 +218,3 @@
 	}
 	w.module, w.memory, w.functions, w.alloc = nil, nil, nil, nil
 }
-
-// withoutTrace cuts the engine's stack trace off an error and names a time-out.
-func withoutTrace(err error) error {
-	var exit *wasys.ExitError
-	if errors.As(err, &exit) && exit.ExitCode() == wasys.ExitCodeDeadlineExceeded {
-		return ErrTimeout
-	}
-	for _, own := range []error{ErrOutOfBounds, ErrCopyLimit} {
-		if errors.Is(err, own) {
-			return own
-		}
-	}
-	text := err.Error()
-	for i := range len(text) {
-		if text[i] == '\n' {
-			text = text[:i]
-			break
-		}
-	}
-	return errors.New(text)
-}
