--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
+	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
@@ -23,61 +23,36 @@
 	// ElectionTimeout is the time without a leader's message after which a voter campaigns, drawn from one to two times it.
 	ElectionTimeout = 600 * time.Millisecond
 
-	snapshotEntries = 64        // after so many entries a snapshot is due
-	snapshotBytes   = 128 << 10 // or after so many bytes of them
-	maxMessageBytes = 20 << 10  // bytes of entries; a message must fit a datagram
+	snapshotEntries = 64        // entries since the last snapshot, after which one is due
+	snapshotBytes   = 128 << 10 // bytes of entries since the last snapshot, after which one is due
+	maxMessageBytes = 20 << 10  // bytes of entries in a message, which must fit a datagram
 )
 
-// Committed is a committed entry.
-type Committed struct {
-	Index   uint64
-	Data    []byte   // nil: an entry of the engine's own
-	Members []uint64 // not nil: voters and learners from this entry on
-	Names   map[uint64]string
-}
-
-// Ready is what follows from the inputs so far. Save must be on disk, synced, before any of Messages leaves and before
-// anything of Committed is acted on.
-type Ready struct {
-	Save           *Image
-	Messages       []Message
-	Committed      []Committed
-	Snapshot       []byte // not nil: the state was replaced by this, before Committed
-	ConfirmedReads []uint64
-}
-
-// Message is a message to another member.
-type Message struct {
-	To   uint64
-	Data []byte
-}
-
-// Engine is one member of the voters' group. It is not safe for concurrent use.
+// Engine is one member of the voters' group. It is not safe for concurrent use: package node owns it. Times are on the caller's clock, and
+// must never go back.
 type Engine struct {
-	ID     uint64
+	ID     uint64 // of this member; must not be changed
 	node   *raft.RawNode
-	store  *raft.MemoryStorage
-	random uint64
-
-	confState          *pb.ConfState
-	applied            uint64
-	bytesSinceSnapshot int // bytes of entries since the last snapshot
-	snapshotIndex      uint64
-	leaderSeenAt       time.Duration // when a leader, or whoever it voted for, was last heard
-	electionTimeout    time.Duration
-	heartbeatAt        time.Duration
-	readConfirmedAt    time.Duration // when a read was last confirmed by a majority
-	imageStale         bool
-	membersChanged     bool // since the last snapshot, which a restart must read the members from
-	fatal              error
-}
-
-// memberNames are the relays' names by member, in the context of a configuration change.
-type memberNames map[uint64]string
-
-// New returns a member recovered from its disk; with an empty image it waits until a leader adds it.
+	store  *raft.MemoryStorage // the log
+	random uint64              // state of the generator of election time-outs; never 0
+
+	confState          *raftpb.ConfState // the members as of applied
+	applied            uint64            // index of the last entry that was handed out as Committed
+	bytesSinceSnapshot int               // bytes of entries since the last snapshot
+	snapshotIndex      uint64            // index of the last entry in the last snapshot
+	leaderSeenAt       time.Duration     // when a leader, or whoever it voted for, was last heard
+	electionTimeout    time.Duration     // after which without a leader this member campaigns; drawn anew for each election
+	heartbeatAt        time.Duration     // of the last one that this member sent as leader
+	readConfirmedAt    time.Duration     // when a read was last confirmed by a majority
+	imageStale         bool              // the log on disk must be replaced by a complete one
+	membersChanged     bool              // since the last snapshot, which a restart must read the members from
+	fatal              error             // a PanicError; nil: none
+}
+
+// New returns the member id, restored from the image on its disk; with an empty image it waits until a leader adds it. It fails where the
+// image can't be decoded or contradicts itself.
 func New(id, seed uint64, image *Image, now time.Duration) (*Engine, error) {
-	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{}}
+	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &raftpb.ConfState{}}
 	if err := e.restore(image); err != nil {
 		return nil, err
 	}
@@ -87,14 +62,14 @@
 	return e, nil
 }
 
-// Bootstrap returns the only member of a new group, whose log begins with a snapshot of data at index and term.
+// Bootstrap returns the only member of a new group, whose log begins with a snapshot of data at index and term. It campaigns at once.
 func Bootstrap(id, seed uint64, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
-	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &pb.ConfState{Voters: []uint64{id}}}
-	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: e.confState, Index: &index, Term: &term}}
-	if err := e.store.ApplySnapshot(snap); err != nil {
+	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &raftpb.ConfState{Voters: []uint64{id}}}
+	snapshot := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: e.confState, Index: &index, Term: &term}}
+	if err := e.store.ApplySnapshot(snapshot); err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	if err := e.store.SetHardState(&pb.HardState{Term: &term, Commit: &index}); err != nil {
+	if err := e.store.SetHardState(&raftpb.HardState{Term: &term, Commit: &index}); err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	e.applied, e.snapshotIndex, e.imageStale = index, index, true
@@ -105,6 +80,7 @@
 	return e, nil
 }
 
+// start makes raft's node on the restored log. Its ticks are not used for elections, which go by the time that Tick is given.
 func (e *Engine) start(now time.Duration) (err error) {
 	defer e.recoverPanic(&err)
 	e.node, err = raft.NewRawNode(&raft.Config{ID: e.ID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: e.store, Applied: e.applied,
@@ -126,53 +102,53 @@
 	return ElectionTimeout + time.Duration(e.random%uint64(ElectionTimeout))
 }
 
-// recoverPanic turns a panic of raft's into an error: raft panics on what an intact log can't hold.
+// recoverPanic turns a panic of raft's into a PanicError: raft panics on what an intact log can't hold. It must be deferred.
 func (e *Engine) recoverPanic(err *error) {
-	if r := recover(); r != nil {
-		*err = fmt.Errorf("consensus: %v", r)
+	if value := recover(); value != nil {
+		*err = &PanicError{value}
 		e.fatal = *err
 	}
 }
 
-// Snapshot is the state that the log on disk begins with; nil: none. Entries behind it come with the first Ready.
+// Snapshot returns the state that the log begins with; nil: none. Entries behind it come with the first Ready.
 func (e *Engine) Snapshot() []byte {
-	s, err := e.store.Snapshot()
-	if err != nil || raft.IsEmptySnap(s) {
+	snapshot, err := e.store.Snapshot()
+	if err != nil || raft.IsEmptySnap(snapshot) {
 		return nil
 	}
-	return s.GetData()
+	return snapshot.GetData()
 }
 
-// Position is how far this member's log goes.
+// Position returns the term of this member and the index of the last entry of its log.
 func (e *Engine) Position() LogPosition {
 	last, _ := e.store.LastIndex()
 	return LogPosition{e.node.BasicStatus().GetTerm(), last}
 }
 
-// Applied is the index up to which Committed has been handed out.
+// Applied returns the index of the last entry that was handed out as Committed.
 func (e *Engine) Applied() uint64 { return e.applied }
 
-// IsLeader tells whether this member takes itself for the leader.
+// IsLeader reports whether this member takes itself for the leader; only ReadIndex shows that a majority still does.
 func (e *Engine) IsLeader() bool {
 	return e.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Leader is the leader's id, as far as is known; 0: none.
+// Leader returns the leader's id, as far as this member knows; 0: none.
 func (e *Engine) Leader() uint64 { return e.node.BasicStatus().Lead }
 
-// Voters are the members whose votes count for a majority.
+// Voters returns the ids of the members whose votes count for a majority. They must not be changed.
 func (e *Engine) Voters() []uint64 { return e.confState.GetVoters() }
 
-// Learners are the members that replicate the log without a vote.
+// Learners returns the ids of the members that replicate the log without a vote. They must not be changed.
 func (e *Engine) Learners() []uint64 { return e.confState.GetLearners() }
 
-// InJointConfig tells whether a change of members is under way.
+// InJointConfig reports whether a change of members is under way: until it is done old and new voters both must agree.
 func (e *Engine) InJointConfig() bool { return len(e.confState.GetVotersOutgoing()) > 0 }
 
-// MatchIndex tells, at the leader, up to where a member's log is known to be the same.
+// MatchIndex returns, at the leader, the index up to which a member's log is known to be the same; 0 where nothing is known.
 func (e *Engine) MatchIndex(id uint64) uint64 { return e.node.Status().Progress[id].Match }
 
-// Tick sends the heartbeats of a leader and starts elections, as far as they are due.
+// Tick sends a leader's heartbeats and starts elections, as far as they are due. It returns a PanicError, or raft's error.
 func (e *Engine) Tick(now time.Duration) (err error) {
 	defer e.recoverPanic(&err)
 	if e.IsLeader() {
@@ -190,39 +166,39 @@
 	return nil
 }
 
-// Receive steps a message from another member, and returns the log position that it shows the sender to have. A message that
-// can't be decoded is an error and changes nothing.
+// Receive steps a message from another member, and returns the log position that the message shows the sender to have; zero: it shows none.
+// ErrOtherMember, ErrLocalMessage and the error of a message that can't be decoded change nothing.
 func (e *Engine) Receive(now time.Duration, data []byte) (shown LogPosition, err error) {
-	m := &pb.Message{}
-	if err = proto.Unmarshal(data, m); err != nil {
+	message := &raftpb.Message{}
+	if err = proto.Unmarshal(data, message); err != nil {
 		return shown, fmt.Errorf("consensus: %w", err)
 	}
-	if m.GetTo() != e.ID {
-		return shown, errors.New("consensus: a message for another member")
+	if message.GetTo() != e.ID {
+		return shown, ErrOtherMember
 	}
-	switch m.GetType() {
-	case pb.MsgHup, pb.MsgBeat, pb.MsgUnreachable, pb.MsgSnapStatus, pb.MsgCheckQuorum, pb.MsgStorageAppend, pb.MsgStorageApply:
-		return shown, errors.New("consensus: a message that members don't send each other")
-	case pb.MsgVote, pb.MsgPreVote:
+	switch message.GetType() {
+	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgUnreachable, raftpb.MsgSnapStatus, raftpb.MsgCheckQuorum, raftpb.MsgStorageAppend, raftpb.MsgStorageApply:
+		return shown, ErrLocalMessage
+	case raftpb.MsgVote, raftpb.MsgPreVote:
 		// A member that hears a leader, or leads with a majority, ignores candidates (check quorum).
 		if e.IsLeader() && now-e.readConfirmedAt < ElectionTimeout || !e.IsLeader() && e.Leader() != 0 && now-e.leaderSeenAt < ElectionTimeout {
 			return shown, nil
 		}
-	case pb.MsgAppResp:
-		if !m.GetReject() {
-			shown = LogPosition{m.GetTerm(), m.GetIndex()}
+	case raftpb.MsgAppResp:
+		if !message.GetReject() {
+			shown = LogPosition{message.GetTerm(), message.GetIndex()}
 		}
-	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		if n := len(m.GetEntries()); n > 0 {
-			shown = LogPosition{m.GetTerm(), m.GetEntries()[n-1].GetIndex()}
+	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
+		if n := len(message.GetEntries()); n > 0 {
+			shown = LogPosition{message.GetTerm(), message.GetEntries()[n-1].GetIndex()}
 		}
-		if m.GetTerm() >= e.node.BasicStatus().GetTerm() {
+		if message.GetTerm() >= e.node.BasicStatus().GetTerm() {
 			e.leaderSeenAt = now
 		}
 	}
 	defer e.recoverPanic(&err)
 	vote := e.node.BasicStatus().GetVote()
-	if err := e.node.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
+	if err := e.node.Step(message); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 		return shown, fmt.Errorf("consensus: %w", err)
 	}
 	if v := e.node.BasicStatus().GetVote(); v != vote && v != 0 && v != e.ID {
@@ -231,202 +207,19 @@
 	return shown, nil
 }
 
-// Propose proposes an entry. Without a leader it is dropped or an error.
+// Propose proposes an entry. Without a leader it is dropped or an error; what is accepted may still be lost with the leader.
 func (e *Engine) Propose(data []byte) (err error) {
 	defer e.recoverPanic(&err)
 	return e.node.Propose(data)
 }
 
-// ReadIndex confirms with a majority that this member still leads; the number comes back in Ready.ConfirmedReads.
-func (e *Engine) ReadIndex(no uint64) (err error) {
+// ReadIndex asks a majority to confirm that this member still leads; once it has, number is in Ready.ConfirmedReads. A lost request is not
+// repeated.
+func (e *Engine) ReadIndex(number uint64) (err error) {
 	defer e.recoverPanic(&err)
-	b, err := cbor.Marshal(no)
+	context, err := cbor.Marshal(number)
 	if err == nil {
-		e.node.ReadIndex(b)
+		e.node.ReadIndex(context)
 	}
 	return err
 }
-
-// AddLearner proposes a learner in place of the members in old.
-func (e *Engine) AddLearner(id uint64, name string, old []uint64) error {
-	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddLearnerNode, id, old)
-}
-
-// Promote proposes to make a learner a voter.
-func (e *Engine) Promote(id uint64, name string) error {
-	return e.proposeConfChange(memberNames{id: name}, pb.ConfChangeAddNode, id, nil)
-}
-
-// Remove proposes to remove members.
-func (e *Engine) Remove(old []uint64) error { return e.proposeConfChange(nil, 0, 0, old) }
-
-func (e *Engine) proposeConfChange(n memberNames, how pb.ConfChangeType, id uint64, old []uint64) (err error) {
-	defer e.recoverPanic(&err)
-	cc := &pb.ConfChangeV2{}
-	if cc.Context, err = cbor.Marshal(n); err != nil {
-		return err
-	}
-	remove := pb.ConfChangeRemoveNode
-	for _, o := range old {
-		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: &remove, NodeId: &o})
-	}
-	if id != 0 {
-		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: &how, NodeId: &id})
-	}
-	return e.node.ProposeConfChange(cc)
-}
-
-// Ready takes all that is ready. The caller carries it out in its order; state is asked for the state as of the last
-// Committed when a snapshot is due.
-func (e *Engine) Ready(now time.Duration, apply func(Committed), restore func([]byte), state func() []byte) (out Ready, err error) {
-	defer e.recoverPanic(&err)
-	if e.fatal != nil {
-		return out, e.fatal
-	}
-	save := &Image{}
-	for e.node.HasReady() {
-		rd := e.node.Ready()
-		if err = e.applySnapshot(rd.Snapshot, &out, restore); err != nil {
-			return out, err
-		}
-		if err = e.saveEntries(&rd, save); err != nil {
-			return out, err
-		}
-		for _, m := range rd.Messages {
-			encoded, messageErr := proto.Marshal(m)
-			if messageErr != nil {
-				return out, fmt.Errorf("consensus: %w", messageErr)
-			}
-			out.Messages = append(out.Messages, Message{m.GetTo(), encoded})
-			if m.GetType() == pb.MsgSnap { // it is lost or not like any other: raft asks again
-				defer e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
-			}
-		}
-		if err = e.applyCommitted(rd.CommittedEntries, &out, apply); err != nil {
-			return out, err
-		}
-		e.confirmReads(now, rd.ReadStates, &out)
-		e.node.Advance(rd)
-	}
-	if err = e.maybeSnapshot(state); err != nil {
-		return out, err
-	}
-	if e.imageStale {
-		e.imageStale = false
-		if save, err = e.Image(); err != nil {
-			return out, err
-		}
-	}
-	if !save.Empty() {
-		out.Save = save
-	}
-	return out, nil
-}
-
-// applySnapshot replaces the state by a snapshot that the leader has sent, if there is one.
-func (e *Engine) applySnapshot(snapshot *pb.Snapshot, out *Ready, restore func([]byte)) error {
-	if raft.IsEmptySnap(snapshot) {
-		return nil
-	}
-	if err := e.store.ApplySnapshot(snapshot); err != nil {
-		return fmt.Errorf("consensus: %w", err)
-	}
-	e.confState = snapshot.GetMetadata().GetConfState()
-	e.applied, e.snapshotIndex, e.imageStale = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetIndex(), true
-	out.Snapshot = snapshot.GetData()
-	restore(out.Snapshot)
-	return nil
-}
-
-// saveEntries adds new entries and a new HardState to the log in memory, and to what is to be saved.
-func (e *Engine) saveEntries(rd *raft.Ready, save *Image) error {
-	for _, entry := range rd.Entries {
-		encoded, err := proto.Marshal(entry)
-		if err != nil {
-			return fmt.Errorf("consensus: %w", err)
-		}
-		save.Entries = append(save.Entries, encoded)
-		e.bytesSinceSnapshot += len(encoded)
-	}
-	err := e.store.Append(rd.Entries)
-	if err != nil {
-		return fmt.Errorf("consensus: %w", err)
-	}
-	if raft.IsEmptyHardState(rd.HardState) {
-		return nil
-	}
-	if err = e.store.SetHardState(rd.HardState); err != nil {
-		return fmt.Errorf("consensus: %w", err)
-	}
-	if save.HardState, err = proto.Marshal(rd.HardState); err != nil {
-		return fmt.Errorf("consensus: %w", err)
-	}
-	return nil
-}
-
-// applyCommitted hands out committed entries in their order.
-func (e *Engine) applyCommitted(entries []*pb.Entry, out *Ready, apply func(Committed)) error {
-	for _, entry := range entries {
-		committed, err := e.toCommitted(entry)
-		if err != nil {
-			return err
-		}
-		e.applied = entry.GetIndex()
-		apply(committed)
-		out.Committed = append(out.Committed, committed)
-	}
-	return nil
-}
-
-// confirmReads hands out the numbers of reads that a majority has confirmed.
-func (e *Engine) confirmReads(now time.Duration, reads []raft.ReadState, out *Ready) {
-	for _, read := range reads {
-		var number uint64
-		if cbor.Unmarshal(read.RequestCtx, &number) == nil {
-			out.ConfirmedReads = append(out.ConfirmedReads, number)
-			e.readConfirmedAt = now
-		}
-	}
-}
-
-// maybeSnapshot compacts the log behind a snapshot of the state, if one is due.
-func (e *Engine) maybeSnapshot(state func() []byte) error {
-	if e.applied-e.snapshotIndex < snapshotEntries && !e.membersChanged && (e.bytesSinceSnapshot <= snapshotBytes || e.applied <= e.snapshotIndex) {
-		return nil
-	}
-	e.membersChanged, e.bytesSinceSnapshot = false, 0
-	if _, err := e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
-		return fmt.Errorf("consensus: %w", err)
-	}
-	// Some stay, so that whoever is a little behind needs no snapshot.
-	if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
-		_ = e.store.Compact(e.applied - snapshotEntries/4)
-	}
-	e.snapshotIndex, e.imageStale = e.applied, true
-	return nil
-}
-
-func (e *Engine) toCommitted(en *pb.Entry) (c Committed, err error) {
-	c = Committed{Index: en.GetIndex(), Data: en.GetData()}
-	var cc pb.ConfChangeI
-	switch en.GetType() {
-	case pb.EntryNormal:
-		return c, nil
-	case pb.EntryConfChange:
-		one := &pb.ConfChange{}
-		err = proto.Unmarshal(en.GetData(), one)
-		cc = one
-	default:
-		two := &pb.ConfChangeV2{}
-		err = proto.Unmarshal(en.GetData(), two)
-		cc = two
-	}
-	if err != nil {
-		return c, fmt.Errorf("consensus: members: %w", err)
-	}
-	e.confState, e.membersChanged = e.node.ApplyConfChange(cc), true
-	c.Data, c.Names = nil, memberNames{}
-	_ = cbor.Unmarshal(cc.AsV2().GetContext(), &c.Names) // the end of a joint change has none
-	c.Members = slices.Concat([]uint64{}, e.confState.GetVoters(), e.confState.GetLearners(), e.confState.GetVotersOutgoing(), e.confState.GetLearnersNext())
-	return c, nil
-}
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -5,87 +5,117 @@
 	"slices"
 
 	"go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
+	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// Image is a log as it lies on disk.
+// Image is a log as it is on disk, or what is to be added to it.
 type Image struct {
-	HardState []byte   `cbor:"1,keyasint,omitempty"` // as raft's protocol buffers, like the others
-	Snapshot  []byte   `cbor:"2,keyasint,omitempty"`
-	Entries   [][]byte `cbor:"3,keyasint,omitempty"`
-	Complete  bool     `cbor:"4,keyasint,omitempty"` // what was there before is void
+	HardState []byte   `cbor:"1,keyasint,omitempty"` // raftpb.HardState, encoded; the newest one counts
+	Snapshot  []byte   `cbor:"2,keyasint,omitempty"` // raftpb.Snapshot, encoded
+	Entries   [][]byte `cbor:"3,keyasint,omitempty"` // raftpb.Entry, encoded, in the order of their indices; a later one replaces all from its index on
+	Complete  bool     `cbor:"4,keyasint,omitempty"` // it replaces all that was on disk before
 
-	// Remembered is what other members have shown that they hold, term and index; for them, should they forget.
+	// Remembered is the position that the logs of other members, by id, were seen to have: for them, should they lose their disks.
 	Remembered map[uint64]LogPosition `cbor:"5,keyasint,omitempty"`
 }
 
-// LogPosition is how far a member's log goes, at least.
+// LogPosition is the minimum that a member's log is known to hold.
 type LogPosition struct {
 	Term      uint64 `cbor:"1,keyasint"`
 	LastIndex uint64 `cbor:"2,keyasint"`
 }
 
-// After tells whether p holds more than q.
-func (p LogPosition) After(q LogPosition) bool {
-	return p.Term > q.Term || p.Term == q.Term && p.LastIndex > q.LastIndex
+// After reports whether a log at p is more up to date than one at other, as voters compare them (Raft, section 5.4.1).
+func (p LogPosition) After(other LogPosition) bool {
+	return p.Term > other.Term || p.Term == other.Term && p.LastIndex > other.LastIndex
 }
 
-// Empty tells whether the image has nothing to save. Remembered alone is not saved.
+// Empty reports whether the image has nothing to save. Remembered alone is not saved.
 func (i *Image) Empty() bool {
 	return len(i.HardState) == 0 && len(i.Snapshot) == 0 && len(i.Entries) == 0
 }
 
+// restore puts an image into the empty log of a new engine. It returns an EntryGapError or a TruncatedLogError where the image's parts
+// contradict each other, and other errors for parts that can't be decoded.
 func (e *Engine) restore(image *Image) error {
-	if len(image.Snapshot) > 0 {
-		snap := &pb.Snapshot{}
-		if err := proto.Unmarshal(image.Snapshot, snap); err != nil {
-			return fmt.Errorf("consensus: snapshot: %w", err)
-		}
-		if err := e.store.ApplySnapshot(snap); err != nil {
-			return fmt.Errorf("consensus: snapshot: %w", err)
-		}
-		e.confState = snap.GetMetadata().GetConfState()
-		e.applied = snap.GetMetadata().GetIndex()
-		e.snapshotIndex = e.applied
-	}
-	var entries []*pb.Entry
-	for _, b := range image.Entries {
-		en := &pb.Entry{}
-		if err := proto.Unmarshal(b, en); err != nil {
-			return fmt.Errorf("consensus: entry: %w", err)
+	if err := e.restoreSnapshot(image.Snapshot); err != nil {
+		return err
+	}
+	entries, err := decodeEntries(image.Entries, e.snapshotIndex)
+	if err != nil {
+		return err
+	}
+	if err = e.store.Append(entries); err != nil {
+		return fmt.Errorf("consensus: %w", err)
+	}
+	return e.restoreHardState(image.HardState)
+}
+
+// restoreSnapshot begins the log with an encoded snapshot; empty: with none.
+func (e *Engine) restoreSnapshot(encoded []byte) error {
+	if len(encoded) == 0 {
+		return nil
+	}
+	snapshot := &raftpb.Snapshot{}
+	if err := proto.Unmarshal(encoded, snapshot); err != nil {
+		return fmt.Errorf("consensus: snapshot: %w", err)
+	}
+	if err := e.store.ApplySnapshot(snapshot); err != nil {
+		return fmt.Errorf("consensus: snapshot: %w", err)
+	}
+	e.confState = snapshot.GetMetadata().GetConfState()
+	e.applied = snapshot.GetMetadata().GetIndex()
+	e.snapshotIndex = e.applied
+	return nil
+}
+
+// decodeEntries decodes the entries behind a snapshot, each of which must follow the one before it.
+func decodeEntries(encoded [][]byte, snapshotIndex uint64) ([]*raftpb.Entry, error) {
+	var entries []*raftpb.Entry
+	for _, b := range encoded {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(b, entry); err != nil {
+			return nil, fmt.Errorf("consensus: entry: %w", err)
 		}
-		if en.GetIndex() <= e.snapshotIndex {
+		if entry.GetIndex() <= snapshotIndex {
 			continue
 		}
 		// A later entry of the same index replaces it and all behind it.
-		if n := len(entries); n > 0 && en.GetIndex() <= entries[n-1].GetIndex() {
-			entries = slices.DeleteFunc(entries, func(o *pb.Entry) bool { return o.GetIndex() >= en.GetIndex() })
+		if n := len(entries); n > 0 && entry.GetIndex() <= entries[n-1].GetIndex() {
+			entries = slices.DeleteFunc(entries, func(former *raftpb.Entry) bool { return former.GetIndex() >= entry.GetIndex() })
 		}
-		if n := len(entries); n > 0 && en.GetIndex() != entries[n-1].GetIndex()+1 || n == 0 && en.GetIndex() != e.snapshotIndex+1 {
-			return fmt.Errorf("consensus: entry %d stands where another should", en.GetIndex())
+		previous := snapshotIndex
+		if n := len(entries); n > 0 {
+			previous = entries[n-1].GetIndex()
 		}
-		entries = append(entries, en)
+		if entry.GetIndex() != previous+1 {
+			return nil, EntryGapError{Index: entry.GetIndex()}
+		}
+		entries = append(entries, entry)
 	}
-	if err := e.store.Append(entries); err != nil {
-		return fmt.Errorf("consensus: %w", err)
+	return entries, nil
+}
+
+// restoreHardState restores an encoded term, vote and commit index; empty: none.
+func (e *Engine) restoreHardState(encoded []byte) error {
+	if len(encoded) == 0 {
+		return nil
 	}
-	if len(image.HardState) > 0 {
-		hard := &pb.HardState{}
-		if err := proto.Unmarshal(image.HardState, hard); err != nil {
-			return fmt.Errorf("consensus: term and vote: %w", err)
-		}
-		if last, _ := e.store.LastIndex(); hard.GetCommit() > last {
-			return fmt.Errorf("consensus: entries up to %d were agreed on, and the log ends at %d", hard.GetCommit(), last)
-		}
-		if err := e.store.SetHardState(hard); err != nil {
-			return fmt.Errorf("consensus: %w", err)
-		}
+	hard := &raftpb.HardState{}
+	if err := proto.Unmarshal(encoded, hard); err != nil {
+		return fmt.Errorf("consensus: term and vote: %w", err)
+	}
+	if last, _ := e.store.LastIndex(); hard.GetCommit() > last {
+		return TruncatedLogError{Committed: hard.GetCommit(), LastIndex: last}
+	}
+	if err := e.store.SetHardState(hard); err != nil {
+		return fmt.Errorf("consensus: %w", err)
 	}
 	return nil
 }
 
-// Image returns the complete log as it should lie on disk.
+// Image returns the complete log as it should be on disk, without Remembered.
 func (e *Engine) Image() (*Image, error) {
 	hard, _, err := e.store.InitialState()
 	if err != nil {
@@ -95,17 +125,17 @@
 	if image.HardState, err = proto.Marshal(hard); err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	snap, err := e.store.Snapshot()
+	snapshot, err := e.store.Snapshot()
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	if !raft.IsEmptySnap(snap) {
-		if image.Snapshot, err = proto.Marshal(snap); err != nil {
+	if !raft.IsEmptySnap(snapshot) {
+		if image.Snapshot, err = proto.Marshal(snapshot); err != nil {
 			return nil, fmt.Errorf("consensus: %w", err)
 		}
 	}
 	last, _ := e.store.LastIndex()
-	from := snap.GetMetadata().GetIndex() + 1
+	from := snapshot.GetMetadata().GetIndex() + 1
 	if first, _ := e.store.FirstIndex(); first > from {
 		from = first
 	}
@@ -116,41 +146,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	for _, en := range entries {
-		b, err := proto.Marshal(en)
+	for _, entry := range entries {
+		encoded, err := proto.Marshal(entry)
 		if err != nil {
 			return nil, fmt.Errorf("consensus: %w", err)
 		}
-		image.Entries = append(image.Entries, b)
+		image.Entries = append(image.Entries, encoded)
 	}
 	return image, nil
 }
-
-// discardLogger drops raft's log lines; after a fatal one it panics, see recoverPanic.
-type discardLogger struct{}
-
-func (discardLogger) Debug(...any) {}
-
-func (discardLogger) Debugf(string, ...any) {}
-
-func (discardLogger) Info(...any) {}
-
-func (discardLogger) Infof(string, ...any) {}
-
-func (discardLogger) Warning(...any) {}
-
-func (discardLogger) Warningf(string, ...any) {}
-
-func (discardLogger) Error(...any) {}
-
-func (discardLogger) Errorf(string, ...any) {}
-
-func (discardLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (discardLogger) Fatalf(f string, v ...any) {
-	panic(fmt.Sprintf(f, v...))
-}
-
-func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
