--- a/internal/tier/replica/simulation_node_test.go
+++ b/internal/tier/replica/simulation_node_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-func (node *node) hasInput() bool {
-	in := &node.inbox
+func (n *node) hasInput() bool {
+	in := &n.inbox
 	return len(in.Messages)+len(in.Proposals)+len(in.Reads) > 0 || in.TargetMembers != nil || in.Compact != nil || in.TransferLeadership
 }
 
