--- a/internal/tier/controller/options.go
+++ b/internal/tier/controller/options.go
@@ -14,6 +14,7 @@
 	"mastusher/internal/tier/replica"
 	"mastusher/internal/tier/settings"
 	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/store"
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/view"
 	"mastusher/internal/tier/wire"
@@ -65,7 +66,7 @@
 		o.SendMessage = sendOverTransport(o.Pool)
 	}
 	if o.QueryStore == nil {
-		o.QueryStore = queryStoreOverTransport(o.Pool)
+		o.QueryStore = store.QueryMembers(o.Pool)
 	}
 	if o.Clock == nil {
 		start := time.Now()
--- a/internal/tier/controller/reconcile_loop.go
+++ b/internal/tier/controller/reconcile_loop.go
@@ -6,7 +6,6 @@
 
 	"github.com/go-kit/log/level"
 
-	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/wire"
 )
 
@@ -14,7 +13,6 @@
 const (
 	reconcileInterval = 250 * time.Millisecond
 	drainingInterval  = 100 * time.Millisecond // the same, while a store is being drained
-	queryTimeout      = 700 * time.Millisecond // of a query for the status of a store's groups
 )
 
 // reconcileLoop reconciles the members of all groups with the desired state.
@@ -108,14 +106,3 @@
 		c.reconciler.RecordGroups(now, response)
 	})
 }
-
-// queryStoreOverTransport calls a store in a goroutine of its own, which ends within queryTimeout.
-func queryStoreOverTransport(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
-	return func(address string, done func(wire.ShardMembersResponse, error)) {
-		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
-			defer cancel()
-			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
-		}()
-	}
-}
--- a/internal/tier/store/handlers.go
+++ b/internal/tier/store/handlers.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"sync"
 
 	"mastusher/internal/tier/group"
@@ -11,16 +10,6 @@
 	"mastusher/internal/tier/wire"
 )
 
-// NotLeaderError rejects a call for a shard that another store leads. The caller should retry at Leader, or at the other
-// replicas if that is empty.
-type NotLeaderError struct{ Leader string } // address; empty: not known
-
-// Error returns the leader's address, which is the message of the remote error.
-func (e *NotLeaderError) Error() string { return e.Leader }
-
-// ErrorKind returns the kind of the remote error.
-func (e *NotLeaderError) ErrorKind() string { return wire.KindNotLeader }
-
 func (s *Store) handleBeginTurn(ctx context.Context, _ string, request wire.BeginTurnRequest) (wire.BeginTurnResponse, error) {
 	request.Turn.AtMs = s.options.Now().UnixMilli()
 	result, err := s.propose(ctx, request.Shard, program.Command{Begin: &request.Turn})
@@ -71,7 +60,7 @@
 	}
 	result, ok := applied.(program.Result)
 	if !ok {
-		return program.Result{}, fmt.Errorf("shard %d: no result", number)
+		return program.Result{}, &noResultError{shard: number}
 	}
 	return result, nil
 }
--- a/internal/tier/store/options.go
+++ b/internal/tier/store/options.go
@@ -45,10 +45,10 @@
 	QueueBudgetBytes int
 
 	// Replacements of the pool, the clock and goroutines for tests that run a store in memory; nil: those of the process.
-	// None of them may block.
+	// None of them may block. Who waits for its groups to end passes a RunGroup of its own.
 	Send      func(address string, envelope group.Envelope)
 	Clock     func() time.Duration                  // monotonic
-	RunGroup  func(opened *group.Group)             // drives a group until it stops
+	RunGroup  func(opened *group.Group)             // drives a group until it ends; an error of the group is the caller's then
 	AfterFunc func(delay time.Duration, run func()) // calls run after the delay
 	// QueryMembers asks the store at an address for the members of the groups that it leads.
 	QueryMembers func(address string, done func(response wire.ShardMembersResponse, err error))
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -44,7 +44,7 @@
 		options.Send = sendByTransport(options.Pool)
 	}
 	if options.QueryMembers == nil {
-		options.QueryMembers = queryByTransport(options.Pool)
+		options.QueryMembers = QueryMembers(options.Pool)
 	}
 	if options.AfterFunc == nil {
 		options.AfterFunc = func(delay time.Duration, run func()) { time.AfterFunc(delay, run) }
@@ -58,7 +58,7 @@
 		shards:         map[int]*shard{},
 		removed:        map[int]bool{},
 	}
-	if options.RunGroup == nil {
+	if options.RunGroup == nil { // the goroutines end after ctx, once their groups have other leaders, and aren't waited for
 		s.options.RunGroup = func(opened *group.Group) { go s.run(ctx, opened) }
 	}
 	return s
--- a/internal/tier/store/surplus.go
+++ b/internal/tier/store/surplus.go
@@ -1,14 +1,12 @@
 package store
 
 import (
-	"context"
 	"slices"
 	"time"
 
 	"github.com/go-kit/log/level"
 
 	"mastusher/internal/tier/invariant"
-	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/view"
 	"mastusher/internal/tier/wire"
 )
@@ -17,9 +15,8 @@
 // group has replaced it, as it may have the only copies of acknowledged entries that complete a majority. So the stores of the
 // placement are asked, at intervals, which members their groups have.
 const (
-	reviewInterval = 2 * time.Second        // between two reviews
-	membersTimeout = 700 * time.Millisecond // of one query
-	maxStopTime    = 10 * time.Second       // a replica that stops for longer violates an invariant
+	reviewInterval = 2 * time.Second  // between two reviews
+	maxStopTime    = 10 * time.Second // a replica that stops for longer violates an invariant
 )
 
 // surplus lists the surplus replicas.
@@ -148,14 +145,3 @@
 	s.mutex.Unlock()
 	s.options.AfterFunc(openRetryDelay, s.reapplyPlacement)
 }
-
-// queryByTransport queries a store in a goroutine that ends after membersTimeout.
-func queryByTransport(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
-	return func(address string, done func(wire.ShardMembersResponse, error)) {
-		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), membersTimeout)
-			defer cancel()
-			done(transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, address, wire.MethodShardMembers, wire.ShardMembersRequest{}))
-		}()
-	}
-}
