--- a/internal/tier/controller/command.go
+++ b/internal/tier/controller/command.go
@@ -29,7 +29,7 @@
 	afterRaw     = `}}`
 )
 
-// EncodeJSON implements group.Encoded. A configuration's document, which may have megabytes and is JSON already, is copied
+// EncodeJSON implements group.JSONEncoder. A configuration's document, which may have megabytes and is JSON already, is copied
 // instead of being encoded again.
 func (c Command) EncodeJSON() (json.RawMessage, error) {
 	proposal := c.Configuration
--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// Run drives the member and its loops until ctx ends or its disk fails; then it returns the disk's error.
+// Run drives the member until ctx ends or its disk fails; then it returns the disk's error. Run starts the loops, which end with ctx.
+// It doesn't wait for them: one may still be in a call when Run returns, and after an error they go on until the caller ends ctx.
 func (c *Controller) Run(ctx context.Context) error {
 	go c.publishLoop(ctx)
 	go c.readLoop(ctx)
--- a/internal/tier/controller/doc.go
+++ b/internal/tier/controller/doc.go
@@ -8,6 +8,6 @@
 //
 // Package command opens and runs a controller in its process. Its own state is the replica group's log and snapshots on Disk.
 //
-// Run owns the goroutines and they end with its context; handlers run in the server's goroutines. Controller.mutex guards the
+// Run owns the goroutines of the loops, which end with its context and aren't waited for; handlers run in the server's goroutines. Controller.mutex guards the
 // state machine, Controller.reconcilerMutex the reconciler; where both are needed, reconcilerMutex must be taken first.
 package controller
--- a/internal/tier/controller/server.go
+++ b/internal/tier/controller/server.go
@@ -40,7 +40,9 @@
 	return router
 }
 
-// Serve serves the operator's API at the address until ctx ends; then requests in flight get shutdownTimeout to complete.
+// Serve serves the operator's API at the address until ctx ends; then requests in flight get shutdownTimeout to complete. Serve
+// returns as soon as the shutdown begins. Its goroutine ends within shutdownTimeout after ctx and isn't waited for: requests in
+// flight complete only if the process lasts that long.
 func (c *Controller) Serve(ctx context.Context, address string) error {
 	server := &http.Server{Handler: c.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	listener, err := network.OrSystem(c.options.Network).Listen(context.Background(), new(net.ListenConfig), "tcp", address)
--- a/internal/tier/group/options.go
+++ b/internal/tier/group/options.go
@@ -12,16 +12,19 @@
 
 // Options sets a member up.
 type Options struct {
-	Name         string // of the group, the same at all members
+	Name         string // of the group, the same at all members; begins the names of its files
 	Replica      replica.Options
 	Disk         storage.Disk
 	StateMachine StateMachine                            // a ChunkedStateMachine where the state may be large
 	Send         func(address string, envelope Envelope) // must not block; messages may be lost, duplicated and reordered
-	// CompactionLock is held while a member compacts, so that members that share it do so in turn. Nil: one of its own.
+	// CompactionLock is held while a member compacts, so that members that share it do so in turn: together they would keep the disk
+	// from all others for longer. Nil: one of its own.
 	CompactionLock *sync.Mutex
-	// ReceiveLimiter bounds the snapshots that members that share it receive at once. Nil: one of its own, for one snapshot.
+	// ReceiveLimiter bounds the snapshots that members that share it receive at once. More fill an empty machine sooner, and take
+	// more memory. Nil: one of its own, for one snapshot.
 	ReceiveLimiter *SnapshotLimiter
-	// QueueBudget bounds the bytes that are queued at all members that share it. Nil: one of its own, of 4 MiB.
+	// QueueBudget bounds the bytes that are queued at all members that share it. A larger one bears longer stalls of the disk without
+	// losing messages, and takes as much more memory. Nil: one of its own, of 4 MiB.
 	QueueBudget *QueueBudget
 	// CompactionBytes is the length of the log from which on a snapshot replaces it; it is at least a quarter of the last
 	// snapshot's length, and twice as much while a snapshot is sent or received. A larger one writes the state more seldom,
--- a/internal/tier/platformlist/reader.go
+++ b/internal/tier/platformlist/reader.go
@@ -22,7 +22,7 @@
 // Options configures a reader.
 type Options struct {
 	Address  string          // host:port of the platform
-	RatePerS float64         // this reader's part of the calls that the platform accepts a second; must be above 0
+	RatePerS float64         // this reader's part of the calls that the platform accepts a second, above 0; more is refused there
 	Zone     string          // only endpoints of this zone; default: all zones
 	Clock    Clock           // default: SystemClock
 	Seed     uint64          // of the backoff's jitter
--- a/internal/tier/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -119,7 +119,8 @@
 }
 
 // findChain asks the leaders of all other shards for a turn's chain, and returns the first that is found. That there is none
-// is reported only if every leader has answered so.
+// is reported only if every leader has answered so. Once one is found nobody waits for the other calls any more: they go on until
+// they are answered or ctx, the request's, ends.
 func (c *Client) findChain(ctx context.Context, except int, turn string) ([]byte, bool, error) {
 	p := c.placement.Load()
 	type reply struct {
--- a/internal/tier/replica/options.go
+++ b/internal/tier/replica/options.go
@@ -36,14 +36,23 @@
 	return nil
 }
 
-// limits bound what a member sends and keeps in memory.
+// limits bound what a member sends and keeps in memory. Larger ones cost memory at the sender, in the links and at the receiver.
 type limits struct {
-	maxMessageBytes   int    // bytes of entries in one message; a single entry may be larger
-	maxInflightBytes  int    // bytes of entries that are sent to a follower and not acknowledged
-	maxPendingBytes   int    // bytes of commands that wait for their commit; more are dropped, except a single one
-	trailingEntries   uint64 // entries before a snapshot that are kept for followers that are a little behind,
-	trailingBytes     int    // as far as they take no more bytes than that; at a leader, than maxInflightBytes
-	maxInflightChunks int    // chunks of a snapshot that are sent to a follower and not acknowledged
+	// maxMessageBytes is the bytes of entries in one message; a single entry may be larger. Larger messages cost fewer responses, and
+	// keep heartbeats waiting behind them.
+	maxMessageBytes int
+	// maxInflightBytes is the bytes of entries that are sent to a follower and not acknowledged. More keep a long link busy, and are
+	// sent again after a loss.
+	maxInflightBytes int
+	// maxPendingBytes is the bytes of commands that wait for their commit; more are dropped, except a single one. More bear a longer
+	// time without a majority, and the commands wait longer.
+	maxPendingBytes int
+	// trailingEntries is the number of entries before a snapshot that are kept, as far as they take no more than trailingBytes; at a
+	// leader, than maxInflightBytes. More spare followers that are a little behind a snapshot.
+	trailingEntries uint64
+	trailingBytes   int
+	// maxInflightChunks is the chunks of a snapshot that are sent to a follower and not acknowledged. More hide a long link's delay.
+	maxInflightChunks int
 }
 
 var defaultLimits = limits{
