--- a/internal/tier/command/controller.go
+++ b/internal/tier/command/controller.go
@@ -14,7 +14,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// runController runs the role until ctx ends.
+// runController runs the role until ctx ends, and then until its two goroutines have ended. An error before that is returned at once,
+// without waiting for the other goroutine, as the process then ends.
 func (p *process) runController(ctx context.Context) error {
 	address := p.address(wire.ControllerPort)
 	disk, id, err := p.openDisk(ctx, address)
--- a/internal/tier/command/store.go
+++ b/internal/tier/command/store.go
@@ -16,7 +16,8 @@
 // queueBudgetDivisor bounds the messages and commands queued for a store's groups: the memory limit divided by it.
 const queueBudgetDivisor = 10
 
-// runStore runs the role until ctx ends, and then until its groups have other leaders; or until a group can't continue.
+// runStore runs the role until ctx ends, and then until its groups have other leaders; or until a group can't continue, without waiting
+// for the others, as the process then ends.
 func (p *process) runStore(ctx context.Context) error {
 	address := p.address(wire.StorePort)
 	disk, id, err := p.openDisk(ctx, address)
--- a/internal/tier/demo/demo_test.go
+++ b/internal/tier/demo/demo_test.go
@@ -3,9 +3,7 @@
 import (
 	"bytes"
 	"context"
-	"os"
 	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -17,24 +15,6 @@
 	"mastusher/internal/tier/standin"
 )
 
-// logsOf returns the contents of all processes' logs.
-func logsOf(t *testing.T, folder string) string {
-	t.Helper()
-	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var logs strings.Builder
-	for _, path := range paths {
-		content, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		logs.WriteString("--- " + filepath.Base(path) + "\n" + string(content))
-	}
-	return logs.String()
-}
-
 func TestRun_LossOfStoreAndController_NoViolations(t *testing.T) {
 	// Given the binary that the deployment runs
 	binary, folder := localtiertest.Build(t, "mastusher/cmd/mastusher-tier"), t.TempDir()
@@ -45,7 +25,7 @@
 
 	// Then no guarantee is violated, and no process has found a race
 	t.Logf("report:\n%s", &report)
-	logs := logsOf(t, folder)
+	logs := localtiertest.Logs(t, folder, 0)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs)
 	}
--- a/internal/tier/linearizability/check.go
+++ b/internal/tier/linearizability/check.go
@@ -163,6 +163,7 @@
 
 const bitsPerByte = 8
 
+// newBitset returns an empty set of numbers below size.
 func newBitset(size int) bitset { return make(bitset, (size+bitsPerByte-1)/bitsPerByte) }
 
 func (b bitset) has(i int) bool { return b[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0 }
--- a/internal/tier/localtier/localtiertest/build.go
+++ b/internal/tier/localtier/localtiertest/build.go
@@ -1,4 +1,4 @@
-// Package localtiertest builds the commands that tests of tiers of real processes start.
+// Package localtiertest is for tests of tiers of real processes: it builds the commands that they start, and reads the processes' logs.
 package localtiertest
 
 import (
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -164,36 +164,36 @@
 	}
 }
 
-func (w *cluster) step(h *host, input Input) {
-	effects := h.node.Step(w.loop.Now(), input)
-	h.steps++
+func (w *cluster) step(stepped *host, input Input) {
+	effects := stepped.node.Step(w.loop.Now(), input)
+	stepped.steps++
 	for _, change := range effects.Events {
-		h.events = append(h.events, timedEvent{w.loop.Now(), change})
+		stepped.events = append(stepped.events, timedEvent{w.loop.Now(), change})
 	}
 	for _, datagram := range effects.Datagrams {
-		w.sendDatagram(h, datagram)
+		w.sendDatagram(stepped, datagram)
 	}
 	for _, call := range effects.Calls {
-		w.call(h, call)
+		w.call(stepped, call)
 	}
 	for _, reply := range effects.Replies {
-		w.replies(h, reply)
+		w.replies(stepped, reply)
 	}
-	h.version++
-	version := h.version
+	stepped.version++
+	version := stepped.version
 	if effects.NextWake == never {
 		return
 	}
 	if effects.NextWake > w.loop.Now() {
-		h.immediateSteps = 0
+		stepped.immediateSteps = 0
 	}
-	h.immediateSteps++
-	if h.immediateSteps > maxImmediateSteps {
-		panic(h.member.Name + " asks to be woken at once without end")
+	stepped.immediateSteps++
+	if stepped.immediateSteps > maxImmediateSteps {
+		panic(stepped.member.Name + " asks to be woken at once without end")
 	}
-	w.after(effects.NextWake-w.loop.Now()+h.lag, func() {
-		if h.version == version && h.node != nil && !h.frozen {
-			w.step(h, Input{})
+	w.after(effects.NextWake-w.loop.Now()+stepped.lag, func() {
+		if stepped.version == version && stepped.node != nil && !stepped.frozen {
+			w.step(stepped, Input{})
 		}
 	})
 }
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -5,8 +5,6 @@
 	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -48,7 +46,7 @@
 			}
 			t.Log(result.Text())
 			if len(result.Violations) > 0 {
-				t.Errorf("%v\n%s\n%s", result.Violations, &report, logsIn(t, folder))
+				t.Errorf("%v\n%s\n%s", result.Violations, &report, localtiertest.Logs(t, folder, shownLogBytes))
 			}
 			if result.Served < 20 || result.Continued < 20 || result.Orders < 3 || result.Reads < 3 || len(result.FirstServed) != 2 {
 				t.Errorf("too little traffic: %s", result.Text())
@@ -60,24 +58,8 @@
 	}
 }
 
-// logsIn returns the last lines of each process.
-func logsIn(t *testing.T, folder string) string {
-	t.Helper()
-	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var logs strings.Builder
-	for _, path := range paths {
-		content, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		const shown = 4000
-		logs.WriteString("--- " + filepath.Base(path) + "\n" + string(content[max(0, len(content)-shown):]))
-	}
-	return logs.String()
-}
+// shownLogBytes bounds what a failed test shows of each process's log.
+const shownLogBytes = 4000
 
 // runOf returns a run whose processes are those of a command, none of which is started.
 func runOf(t *testing.T, command string, arguments ...string) *run {
--- a/internal/tier/upstream/exchange_test.go
+++ b/internal/tier/upstream/exchange_test.go
@@ -37,9 +37,9 @@
 func TestDo_Body_KeepsItsLength(t *testing.T) {
 	large := strings.Repeat("0123456789abcdef", 1<<16)
 	cases := []struct {
-		name      string
-		bodyParts []string
-		want      string
+		name string
+		body []string
+		want string
 	}{
 		{"empty", []string{""}, ""},
 		{"one part", []string{"input"}, "input"},
@@ -50,7 +50,7 @@
 	pool := newPool(t, upstream.Options{})
 	for i, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/x", fmt.Sprint(i), test.bodyParts...)); err != nil {
+			if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/x", fmt.Sprint(i), test.body...)); err != nil {
 				t.Fatal(err)
 			}
 			requests, _ := e.seen()
@@ -102,7 +102,7 @@
 
 func TestDo_ForeignResponse_IsNeverReturned(t *testing.T) {
 	t.Run("the own response follows", func(t *testing.T) {
-		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		endpoint := newEndpoint(t, func(socket net.Conn, request received) bool {
 			if request.header.Get("X-Attempt-Id") == "2" {
 				late := received{header: map[string][]string{"X-Attempt-Id": {"1"}}}
 				respond(socket, late, "late", "X-Server-Seal: s")
@@ -111,26 +111,26 @@
 		})
 		pool := newPool(t, upstream.Options{})
 		for i, want := range []string{"body of 1", "body of 2", "body of 3"} {
-			body, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", fmt.Sprint(i+1)))
+			body, err := exchange(t, pool, endpoint.target("e"), newRequest("GET", "/", fmt.Sprint(i+1)))
 			if err != nil || body != want {
 				t.Errorf("got %q, %v, want %q", body, err, want)
 			}
 		}
-		if requests, connections := e.seen(); len(requests) != 3 || connections != 2 {
+		if requests, connections := endpoint.seen(); len(requests) != 3 || connections != 2 {
 			t.Errorf("%d requests on %d connections", len(requests), connections)
 		}
 	})
 	t.Run("nothing follows", func(t *testing.T) {
-		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
+		endpoint := newEndpoint(t, func(socket net.Conn, _ received) bool {
 			respond(socket, received{header: map[string][]string{"X-Attempt-Id": {"other"}}}, "late", "Connection: close")
 			return false
 		})
 		pool := newPool(t, upstream.Options{})
-		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
+		_, err := exchange(t, pool, endpoint.target("e"), newRequest("GET", "/", "1"))
 		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 	})
 	t.Run("no id on a connection that was used before", func(t *testing.T) {
-		e := newEndpoint(t, func(socket net.Conn, request received) bool {
+		endpoint := newEndpoint(t, func(socket net.Conn, request received) bool {
 			if request.header.Get("X-Attempt-Id") == "1" {
 				return respondShortly(socket, request)
 			}
@@ -138,8 +138,8 @@
 			return false
 		})
 		pool := newPool(t, upstream.Options{})
-		_, _ = exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
-		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "2"))
+		_, _ = exchange(t, pool, endpoint.target("e"), newRequest("GET", "/", "1"))
+		_, err := exchange(t, pool, endpoint.target("e"), newRequest("GET", "/", "2"))
 		expectError(t, err, upstream.MayHaveRun, upstream.ForeignResponse)
 	})
 }
