--- a/internal/tier/fleettest/campaign_test.go
+++ b/internal/tier/fleettest/campaign_test.go
@@ -1,6 +1,8 @@
 package fleettest
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -104,3 +106,15 @@
 		t.Fatal("one day is longer")
 	}
 }
+
+// TestRandomPlan_FirstSeeds_KeepTheirPlans keeps the seeds in records of earlier runs meaningful.
+func TestRandomPlan_FirstSeeds_KeepTheirPlans(t *testing.T) {
+	const want = "72e7c8eaf13aa6e957967f6420798e4ae879bac8513345b14bd2d3a7cdaf611a"
+	hash := sha256.New()
+	for seed := range uint64(300) {
+		fmt.Fprintln(hash, RandomPlan(seed).Text())
+	}
+	if got := hex.EncodeToString(hash.Sum(nil)); got != want {
+		t.Errorf("the plans' SHA-256 is %s, was %s: the order of draws, a kind or a JSON key has changed", got, want)
+	}
+}
--- a/internal/tier/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -1,6 +1,9 @@
 package simulation
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
 	"net/http"
 	"strings"
 	"testing"
@@ -142,3 +145,15 @@
 	}
 	t.Logf("%d kinds in %d plans", len(seen), plans)
 }
+
+// TestRandomPlan_FirstSeeds_KeepTheirPlans keeps the seeds in records of earlier runs meaningful.
+func TestRandomPlan_FirstSeeds_KeepTheirPlans(t *testing.T) {
+	const want = "508052d823850f2e98b3e3ca12c7bda2711c1372110a916c4cdbef00a2bd9d14"
+	hash := sha256.New()
+	for seed := range uint64(300) {
+		fmt.Fprintln(hash, RandomPlan(seed).Text())
+	}
+	if got := hex.EncodeToString(hash.Sum(nil)); got != want {
+		t.Errorf("the plans' SHA-256 is %s, was %s: the order of draws, a kind or a JSON key has changed", got, want)
+	}
+}
