--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -1,10 +1,11 @@
 package fleettest
 
 import (
-	"encoding/json"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"mastusher/internal/tier/faultplan"
 )
 
 // FaultKind names a kind of fault in a plan.
@@ -39,13 +40,7 @@
 )
 
 // Fault is one fault of a plan. Machines are numbered among the quorum machines (cores, then stores), edges or endpoints.
-type Fault struct {
-	At     time.Duration `json:"at"`
-	Kind   FaultKind     `json:"kind"`
-	Target int           `json:"target,omitempty"`
-	Other  int           `json:"other,omitempty"`
-	For    time.Duration `json:"for,omitempty"`
-}
+type Fault = faultplan.Fault[FaultKind]
 
 // Plan is one day: its seed and its faults, by time.
 type Plan struct {
@@ -55,12 +50,11 @@
 }
 
 // Text is the plan as JSON, to run it again.
-func (p Plan) Text() string {
-	text, err := json.Marshal(p)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
+func (p Plan) Text() string { return faultplan.Text(p) }
+
+// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
+func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
+	return faultplan.Shrink(plan, func(p *Plan) *[]Fault { return &p.Faults }, maxRuns, fails)
 }
 
 // Bounds of a random plan.
@@ -94,7 +88,7 @@
 		if fault.Kind == ClockStepFault {
 			fault.For -= 3 * time.Second
 		}
-		if until := at + fault.unavailableFor(); fault.Kind.affectsQuorumMachines() {
+		if until := at + unavailableFor(fault); fault.Kind.affectsQuorumMachines() {
 			recoveredAt = max(recoveredAt, until)
 		}
 		plan.Faults = append(plan.Faults, fault)
@@ -106,7 +100,7 @@
 const replacementTime = 14 * time.Second
 
 // unavailableFor is how long a machine counts as lost from the beginning of a fault on.
-func (f Fault) unavailableFor() time.Duration {
+func unavailableFor(f Fault) time.Duration {
 	switch f.Kind {
 	case ReplaceFault:
 		return replacementTime
--- a/internal/tier/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -134,7 +134,7 @@
 				t.Errorf("seed %d: %+v before %v", seed, fault, recoveredAt)
 			}
 			if fault.Kind.affectsQuorumMachines() {
-				recoveredAt = max(recoveredAt, fault.At+fault.unavailableFor())
+				recoveredAt = max(recoveredAt, fault.At+unavailableFor(fault))
 			}
 		}
 	}
--- a/internal/tier/simulation/plan.go
+++ b/internal/tier/simulation/plan.go
@@ -1,10 +1,11 @@
 package simulation
 
 import (
-	"encoding/json"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"mastusher/internal/tier/faultplan"
 )
 
 // FaultKind names a kind of fault in a plan.
@@ -58,13 +59,7 @@
 )
 
 // Fault is one injected fault of a plan.
-type Fault struct {
-	At     time.Duration `json:"at"` // from the start of traffic
-	Kind   FaultKind     `json:"kind"`
-	Target int           `json:"target,omitempty"`
-	Other  int           `json:"other,omitempty"`
-	For    time.Duration `json:"for,omitempty"`
-}
+type Fault = faultplan.Fault[FaultKind]
 
 // Plan is one day: its seed and its faults, by time.
 type Plan struct {
@@ -74,13 +69,7 @@
 }
 
 // Text is the plan as JSON, to run it again.
-func (p Plan) Text() string {
-	text, err := json.Marshal(p)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
-}
+func (p Plan) Text() string { return faultplan.Text(p) }
 
 // Bounds of a random plan.
 const (
@@ -118,7 +107,7 @@
 			fault.Kind = KillFault
 		}
 		if fault.Kind.affectsQuorumMachines() {
-			recoveredAt = max(recoveredAt, fault.At+fault.unavailableFor())
+			recoveredAt = max(recoveredAt, fault.At+unavailableFor(fault))
 		}
 		plan.Faults = append(plan.Faults, fault)
 	}
@@ -126,7 +115,7 @@
 }
 
 // unavailableFor is how long a machine counts as lost from the beginning of a fault on.
-func (f Fault) unavailableFor() time.Duration {
+func unavailableFor(f Fault) time.Duration {
 	if slices.Contains([]FaultKind{AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault}, f.Kind) { // they wait for an acknowledgement
 		return ackTimeout + f.For + catchUp
 	}
@@ -150,28 +139,5 @@
 
 // Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
 func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
-	attempt := func(faults []Fault) bool {
-		if maxRuns == 0 {
-			return false
-		}
-		maxRuns--
-		smaller := plan
-		smaller.Faults = faults
-		if !fails(smaller) {
-			return false
-		}
-		plan = smaller
-		return true
-	}
-	for i := 0; i < len(plan.Faults); {
-		if !attempt(slices.Delete(slices.Clone(plan.Faults), i, i+1)) {
-			i++
-		}
-	}
-	for i := range plan.Faults {
-		shorter := slices.Clone(plan.Faults)
-		shorter[i].For = (shorter[i].For / 2).Truncate(time.Millisecond)
-		attempt(shorter)
-	}
-	return plan
+	return faultplan.Shrink(plan, func(p *Plan) *[]Fault { return &p.Faults }, maxRuns, fails)
 }
--- a/internal/tier/soak/plan.go
+++ b/internal/tier/soak/plan.go
@@ -1,10 +1,11 @@
 package soak
 
 import (
-	"encoding/json"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"mastusher/internal/tier/faultplan"
 )
 
 // FaultKind is a kind of fault. Its text is that of printed plans.
@@ -59,13 +60,7 @@
 }
 
 // Text returns the plan as JSON.
-func (p Plan) Text() string {
-	text, err := json.Marshal(p)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
-}
+func (p Plan) Text() string { return faultplan.Text(p) }
 
 // Parameters of random plans.
 const (
