--- a/internal/relay/simulator/shrink.go
+++ b/internal/relay/simulator/shrink.go
@@ -3,61 +3,70 @@
 import (
 	"slices"
 	"time"
+
+	"mastusher/internal/shrink"
 )
 
 // Shrink looks for a smallest world that still fails, by removing and halving what it can. It calls fails at most maxRuns times, and
 // leaves w as it is.
 func Shrink(w *World, maxRuns int, fails func(*World) bool) *World {
-	best := w.clone()
-	attempt := func(change func(*World)) bool {
-		if maxRuns <= 0 {
-			return false
-		}
-		next := best.clone()
-		change(next)
-		if next.Validate() != nil {
-			return false
-		}
-		maxRuns--
-		if fails(next) {
-			best = next
-			return true
-		}
-		return false
-	}
+	reducer := worldReducer{shrink.New(w.clone(), maxRuns, fails)}
 	for progress := true; progress; {
-		progress = false
-		for i := len(best.Faults) - 1; i >= 0; i-- {
-			progress = attempt(func(w *World) { w.Faults = slices.Delete(w.Faults, i, i+1) }) || progress
-		}
-		for i := len(best.Classes) - 1; i >= 0 && len(best.Classes) > 1; i-- {
-			progress = attempt(func(w *World) { w.Classes = slices.Delete(w.Classes, i, i+1) }) || progress
-		}
-		for i := len(best.Partners) - 1; i >= 0 && len(best.Partners) > 1; i-- {
-			progress = attempt(func(w *World) { w.Partners = slices.Delete(w.Partners, i, i+1) }) || progress
-		}
-		for i := range best.Partners {
-			if best.Partners[i].Count > 1 {
-				progress = attempt(func(w *World) { w.Partners[i].Count /= 2 }) || progress
-			}
-			if best.Partners[i].Endpoints > 1 {
-				progress = attempt(func(w *World) { w.Partners[i].Endpoints-- }) || progress
-			}
-		}
-		if best.Relays > 1 {
-			progress = attempt(func(w *World) { w.Relays-- }) || progress
-		}
-		if best.Length > Duration(500*time.Millisecond) {
-			progress = attempt(func(w *World) { w.Length = w.Length * 3 / 4 }) || progress
-		}
-		if best.Rate > 2 {
-			progress = attempt(func(w *World) { w.Rate *= 0.7 }) || progress
+		progress = reducer.removeElements()
+		progress = reducer.reduceQuantities() || progress
+	}
+	return reducer.Smallest()
+}
+
+// worldReducer reduces a world.
+type worldReducer struct {
+	*shrink.Reducer[*World]
+}
+
+// attempt changes a copy of the smallest world and keeps it if it is valid and still fails.
+func (r worldReducer) attempt(change func(*World)) bool {
+	changed := r.Smallest().clone()
+	change(changed)
+	return changed.Validate() == nil && r.Try(changed)
+}
+
+// removeElements attempts to remove each fault, and each class and partner but the last one. It reports whether any could be removed.
+func (r worldReducer) removeElements() (progress bool) {
+	for i := len(r.Smallest().Faults) - 1; i >= 0; i-- {
+		progress = r.attempt(func(w *World) { w.Faults = slices.Delete(w.Faults, i, i+1) }) || progress
+	}
+	for i := len(r.Smallest().Classes) - 1; i >= 0 && len(r.Smallest().Classes) > 1; i-- {
+		progress = r.attempt(func(w *World) { w.Classes = slices.Delete(w.Classes, i, i+1) }) || progress
+	}
+	for i := len(r.Smallest().Partners) - 1; i >= 0 && len(r.Smallest().Partners) > 1; i-- {
+		progress = r.attempt(func(w *World) { w.Partners = slices.Delete(w.Partners, i, i+1) }) || progress
+	}
+	return progress
+}
+
+// reduceQuantities attempts a step down of each size, rate and time of the world. It reports whether any could be made.
+func (r worldReducer) reduceQuantities() (progress bool) {
+	for i := range r.Smallest().Partners {
+		if r.Smallest().Partners[i].Count > 1 {
+			progress = r.attempt(func(w *World) { w.Partners[i].Count /= 2 }) || progress
 		}
-		if best.Clients.MaxAttempts > 1 {
-			progress = attempt(func(w *World) { w.Clients.MaxAttempts-- }) || progress
+		if r.Smallest().Partners[i].Endpoints > 1 {
+			progress = r.attempt(func(w *World) { w.Partners[i].Endpoints-- }) || progress
 		}
 	}
-	return best
+	if r.Smallest().Relays > 1 {
+		progress = r.attempt(func(w *World) { w.Relays-- }) || progress
+	}
+	if r.Smallest().Length > Duration(500*time.Millisecond) {
+		progress = r.attempt(func(w *World) { w.Length = w.Length * 3 / 4 }) || progress
+	}
+	if r.Smallest().Rate > 2 {
+		progress = r.attempt(func(w *World) { w.Rate *= 0.7 }) || progress
+	}
+	if r.Smallest().Clients.MaxAttempts > 1 {
+		progress = r.attempt(func(w *World) { w.Clients.MaxAttempts-- }) || progress
+	}
+	return progress
 }
 
 func (w *World) clone() *World {
