--- a/examples/plugins/required-header/main.go
+++ b/examples/plugins/required-header/main.go
@@ -1,7 +1,7 @@
 //go:build wasip1
 
-// A plug-in for a newspaper group that files what it gets by desk: each message must carry X-Desk, which depends on
-// the sport that the body names. The settings are {"desks": {"football": "fb-12"}, "otherwise": "sports"}.
+// Command required-header is a plug-in for a newspaper group that files what it gets by desk: each message must carry X-Desk,
+// which depends on the sport that the body names. The settings are {"desks": {"football": "fb-12"}, "otherwise": "sports"}.
 package main
 
 import (
@@ -11,21 +11,29 @@
 )
 
 func init() {
-	pluginsdk.OnArrival(func(m pluginsdk.Message) {
-		settings := gjson.Parse(pluginsdk.Config())
-		desk := settings.Get("otherwise").String()
-		if sport := gjson.GetBytes(m.Body(), "sport").String(); sport != "" {
-			if d := settings.Get("desks").Get(gjson.Escape(sport)); d.Exists() {
-				desk = d.String()
-			}
-		}
-		if desk == "" {
-			return
-		}
-		if err := m.SetHeader("X-Desk", desk); err != nil {
-			pluginsdk.Log("X-Desk: " + err.Error())
-		}
-	})
+	pluginsdk.OnArrival(setDesk)
 }
 
 func main() {}
+
+// setDesk sets the header, if there is a desk for the message.
+func setDesk(m pluginsdk.Message) {
+	sport := gjson.GetBytes(m.Body(), "sport").String()
+	desk := deskOf(sport, gjson.Parse(pluginsdk.Config()))
+	if desk == "" {
+		return
+	}
+	if err := m.SetHeader("X-Desk", desk); err != nil {
+		pluginsdk.Log("X-Desk: " + err.Error())
+	}
+}
+
+// deskOf is the desk of a sport, or the one for all others; "": the settings have neither.
+func deskOf(sport string, settings gjson.Result) string {
+	if sport != "" {
+		if desk := settings.Get("desks").Get(gjson.Escape(sport)); desk.Exists() {
+			return desk.String()
+		}
+	}
+	return settings.Get("otherwise").String()
+}
