--- a/internal/tier/command/proxy_shutdown_test.go
+++ b/internal/tier/command/proxy_shutdown_test.go
@@ -27,6 +27,19 @@
 // minRest is the share of the grace time that must be left over.
 const minRest = 0.02
 
+// shutDownBusy shuts down a proxy whose requests don't end, and checks that it isn't ready at once. It returns when that began.
+func shutDownBusy(t *testing.T, grace time.Duration) (path *fakeDataPath, began time.Time) {
+	t.Helper()
+	path, began = &fakeDataPath{}, time.Now()
+	if err := shutdownProxy(t.Context(), path, grace); err == nil {
+		t.Error("all requests have ended")
+	}
+	if !path.drained.Equal(began) {
+		t.Errorf("grace %v: not ready after %v", grace, path.drained.Sub(began))
+	}
+	return path, began
+}
+
 func TestShutdownProxy_EndsWithinGraceTime(t *testing.T) {
 	const (
 		noticed     = 2 * time.Second // the platform checks each second, and twice
@@ -34,16 +47,9 @@
 	)
 	for _, grace := range []time.Duration{5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			began := time.Now()
-			c := &fakeDataPath{}
 			// when a proxy with requests that don't end is shut down
-			if err := shutdownProxy(t.Context(), c, grace); err == nil {
-				t.Error("all requests have ended")
-			}
-			// then it isn't ready at once, accepts requests until that is noticed, and has ended before it is killed
-			if !c.drained.Equal(began) {
-				t.Errorf("grace %v: not ready after %v", grace, c.drained.Sub(began))
-			}
+			c, began := shutDownBusy(t, grace)
+			// then it accepts requests until the platform has noticed, and has ended before it is killed
 			if accepting := c.shut.Sub(began); accepting < noticed || accepting >= countsReady {
 				t.Errorf("grace %v: accepts requests for %v", grace, accepting)
 			}
@@ -59,16 +65,9 @@
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		t.Run(grace.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				c := &fakeDataPath{}
 				// when a proxy with requests that don't end is shut down, whose grace time is too short for the platform to notice
-				if err := shutdownProxy(t.Context(), c, grace); err == nil {
-					t.Error("all requests have ended")
-				}
-				// then it isn't ready at once, waits for the requests for half of that time at least, and has ended before it is killed
-				if !c.drained.Equal(began) {
-					t.Errorf("not ready after %v", c.drained.Sub(began))
-				}
+				c, began := shutDownBusy(t, grace)
+				// then it waits for the requests for half of that time at least, and has ended before it is killed
 				if took := c.ended.Sub(began); took < grace/2 || took+abandonTime+exit > grace {
 					t.Errorf("stops waiting after %v, and has exited after %v", took, took+abandonTime+exit)
 				}
