--- a/internal/tier/balancer/doc.go
+++ b/internal/tier/balancer/doc.go
@@ -29,7 +29,7 @@
 //
 // # Predicted work
 //
-// Requests of one service differ in size by a hundred times, and a table of raw times would only tell which request an
+// Requests of one service differ in size by a hundred times, and a table of raw times would only show which request an
 // endpoint happened to get. Of the two remedies, a table for each class of size and a table of times divided by the
 // predicted work, the second is used. Evidence is thin: a proxy makes about one call a second to each endpoint, the
 // counts decay by half in 20 s, and four classes would leave most tables without the four calls that make one. Dividing
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -23,10 +23,10 @@
 	TimeLeft     time.Duration
 	AttemptsUsed int // attempts that count against MaxAttempts
 
-	// MayHaveRun tells that an earlier attempt may have run: the request is then sent only if it is retryable, and its attempt
+	// MayHaveRun says that an earlier attempt may have run: the request is then sent only if it is retryable, and its attempt
 	// draws on the retry budget.
 	MayHaveRun bool
-	// AfterTimeout tells that the last attempt was abandoned at its planned timeout.
+	// AfterTimeout says that the last attempt was abandoned at its planned timeout.
 	AfterTimeout bool
 	// AffordableAttempts is how many more attempts its program's budget pays for, this one included; 0: not bounded.
 	AffordableAttempts int
@@ -121,7 +121,7 @@
 	afterTimeout    bool // it follows an attempt that was abandoned at its planned timeout
 }
 
-// callKind tells the tables of an endpoint apart.
+// callKind selects one of an endpoint's tables.
 type callKind uint8
 
 const (
--- a/internal/tier/command/proxy_reports.go
+++ b/internal/tier/command/proxy_reports.go
@@ -16,7 +16,7 @@
 	proxiesInterval = 2 * time.Second        // of queries for the number of proxies
 )
 
-// pollProxyCount tells the balancer how many proxies share the connections that an endpoint accepts, until ctx ends.
+// pollProxyCount keeps the balancer informed of how many proxies share the connections that an endpoint accepts, until ctx ends.
 func (p *process) pollProxyCount(ctx context.Context, balancer *proxy.LoadBalancer) {
 	runEvery(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
--- a/internal/tier/dedup/window.go
+++ b/internal/tier/dedup/window.go
@@ -1,4 +1,4 @@
-// Package dedup tells until when an operator's order that arrives may be a duplicate of one that was accepted before: an order
+// Package dedup decides until when an operator's order that arrives may be a duplicate of one that was accepted before: an order
 // may be retried for a limited time only, after which its entry is no longer needed to recognise a duplicate. Controllers use it
 // to bound what they remember of past orders. It is pure: callers pass both clocks.
 package dedup
@@ -14,7 +14,7 @@
 	AcceptedAtMs int64  // wall-clock time at which the leader accepted it, Unix ms
 }
 
-// Window records when this process has first seen orders, and tells which of them can no longer be retried. It is not safe for
+// Window records when this process has first seen orders, and reports which of them can no longer be retried. It is not safe for
 // concurrent use.
 type Window struct {
 	length    time.Duration
--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -264,7 +264,7 @@
 }
 
 // TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long response until the proxy abandons it: what it reads then
-// doesn't look complete, also where only the end of its connection tells the end of the response.
+// doesn't look complete, also where only the end of its connection marks the end of the response.
 func TestResponse_ClientReadsNothing_LooksIncomplete(t *testing.T) {
 	for _, old := range []bool{false, true} {
 		for _, route := range []routeKind{onceRoute, safeRoute} {
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -159,7 +159,7 @@
 	return header
 }
 
-// lastEventID is the last event that the client of a request has, as the request tells.
+// lastEventID is the last event that the client of a request has, by the request's header.
 func lastEventID(header textproto.MIMEHeader) int {
 	id, _ := strconv.Atoi(strings.TrimSpace(header.Get("Last-Event-Id")))
 	return id
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -53,7 +53,7 @@
 	faultFree      bool // neither endpoints nor clients cause any fault
 }
 
-// keepsRunning reports whether the proxy is not told to end.
+// keepsRunning reports whether no event ends the proxy.
 func (p *scenario) keepsRunning() bool { return !p.has(drain) && !p.has(shutdown) && !p.has(kill) }
 
 func (p *scenario) has(kind scenarioEventKind) bool {
@@ -232,7 +232,7 @@
 // Ready implements proxy.Views.
 func (w *environment) Ready() bool { return true }
 
-// Select implements proxy.Selector: a request goes round the endpoints that are listed, from one that its id tells.
+// Select implements proxy.Selector: a request tries the listed endpoints in turn, from firstEndpoint on.
 func (w *environment) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/tier/exchangetest/memory_conn_test.go
+++ b/internal/tier/exchangetest/memory_conn_test.go
@@ -61,7 +61,7 @@
 	return near, far
 }
 
-// schedule brings about a change at this side once the time for the way is over, in the order in which they were sent. The caller
+// schedule applies a change to this side after latency, in the order in which the changes were sent. The caller
 // holds the mutex.
 func (c *memoryConn) schedule(change func()) {
 	c.deliveries = append(c.deliveries, change)
@@ -75,7 +75,7 @@
 	})
 }
 
-// arrive takes bytes that have come all the way. The caller holds the mutex.
+// arrive takes bytes that have arrived at this side. The caller holds the mutex.
 func (c *memoryConn) arrive(data []byte) {
 	c.in.inTransit -= len(data)
 	if c.in.reset {
@@ -95,7 +95,7 @@
 	c.peer.endLater(func(in *inbound) { in.reset = true })
 }
 
-// endLater brings about an end at this side after the time for the way. The caller holds the mutex.
+// endLater ends this side after latency. The caller holds the mutex.
 func (c *memoryConn) endLater(end func(*inbound)) {
 	c.schedule(func() {
 		end(&c.in)
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// arrivedAt tells when a byte arrived.
+// arrivedAt returns when a byte arrived.
 func arrivedAt(arrivals []arrival, offset int) time.Time {
 	at := time.Time{}
 	for _, one := range arrivals {
--- a/internal/tier/exchangetest/scenario_draw_test.go
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -29,7 +29,7 @@
 	return number % limit
 }
 
-// one reports whether a thing happens that happens once in so many times.
+// one draws whether an event of probability 1/in happens.
 func (s *drawSource) one(in int) bool { return s.below(in) == in-1 }
 
 // upTo returns a time of full milliseconds.
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -260,7 +260,7 @@
 	return pattern("answer "+r.seal()+" ", script.size)
 }
 
-// event is one event of the run's stream. Each third tells a version.
+// event is one event of the run's stream. Each third has a version.
 func (r endpointAttempt) event(id int) []byte {
 	text := fmt.Sprintf("id: %d\ndata: %s\ndata: event %d\n\n", id, r.seal(), id)
 	if id%3 == 0 {
--- a/internal/tier/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -24,7 +24,7 @@
 
 	mutex     sync.Mutex
 	attempted map[string]bool              // turns whose end was sent once
-	committed map[string][]program.EndTurn // of each turn, as told and taken
+	committed map[string][]program.EndTurn // of each turn, in the order of acceptance
 	faults    []string
 }
 
--- a/internal/tier/membership/doc.go
+++ b/internal/tier/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership tells each process which other processes of the system are running: SWIM (Das, Gupta, Motivala 2002)
+// Package membership maintains in each process which other processes of the system are running: SWIM (Das, Gupta, Motivala 2002)
 // with the Lifeguard extensions (Dadgar, Phillips, Currey 2017), and push-pull reconciliation as in hashicorp/memberlist.
 //
 // Each member probes one other member per interval, directly and then indirectly through helpers (SWIM sections 3.1 and
--- a/internal/tier/membership/send.go
+++ b/internal/tier/membership/send.go
@@ -36,7 +36,7 @@
 	n.effects.Datagrams = append(n.effects.Datagrams, Datagram{address, message})
 }
 
-// beliefAbout returns the update that tells a member that it is suspected, dead or taken to have left.
+// beliefAbout returns the update by which a member learns that it is suspected, dead or taken to have left.
 func (n *Node) beliefAbout(subject *entry) Update {
 	update := updateOf(subject.Member)
 	if subject.State == StateSuspect {
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/apierror"
 )
 
-// The Retry-After of a rejection for which nobody set a time. Where the control plane or the stores have no leader, the next
+// The Retry-After of a rejection that has no time of its own. Where the control plane or the stores have no leader, the next
 // election takes some hundred ms: a client that came back sooner would spend one of its few attempts for nothing.
 const (
 	retryAfterDefault  = 100 * time.Millisecond
@@ -18,7 +18,7 @@
 	retryJitter        = 0.3 // of it more, at most, so that clients don't come back at once
 )
 
-// defaultRetryAfter returns the Retry-After of a kind for which nobody set a time.
+// defaultRetryAfter returns the Retry-After of a kind whose rejection has no time of its own.
 func defaultRetryAfter(kind apierror.Kind) time.Duration {
 	switch kind {
 	case apierror.NotReady, apierror.StateUnavailable:
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -13,7 +13,7 @@
 	const second = float64(time.Second)
 	for _, test := range []struct {
 		kind             apierror.Kind
-		wait             time.Duration // set by whoever rejected
+		wait             time.Duration // of the rejection itself; 0: none
 		minimum, maximum time.Duration // of Retry-After
 	}{
 		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -15,7 +15,7 @@
 	output        []byte // the data of each complete event with a line feed behind
 	count         int64  // complete events that have data or an id
 	lastID        string
-	lastWithoutID bool // the last event with data had no id: nothing tells where the stream could be resumed
+	lastWithoutID bool // the last event with data had no id: it is unknown where the stream could be resumed
 	resumed       bool // the stream was resumed at another endpoint: its events must have higher ids than the last one
 	unforwardable bool // what comes can't be forwarded: an event that may be a duplicate, or one without end
 
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -233,7 +233,7 @@
 }
 
 func TestLoadBalancer_OnlyRejectingEndpointsLeft_ReturnsToThem(t *testing.T) {
-	// given a service's only endpoint, which turns a request away once
+	// given a service's only endpoint, which rejects a request once
 	var asked atomic.Int64
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		if asked.Add(1) == 1 {
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// load is what the endpoint tells of itself.
+// load is the endpoint's report of its own load.
 func (s *slottedEndpoint) load() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -175,7 +175,7 @@
 	c.writer.WriteHeader(a.response.Status)
 }
 
-// resetOnUnframedEnd makes every close of the client's connection a reset where only that close tells the end of the response: to a
+// resetOnUnframedEnd makes every close of the client's connection a reset where only that close marks the end of the response: to a
 // client of HTTP/1.0, if there is no length. The library closes it by itself when a write fails, and the system when this
 // process ends.
 func (c *clientRequest) resetOnUnframedEnd(header http.Header) {
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -164,7 +164,7 @@
 }
 
 func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
-	// given a response whose end only its connection tells
+	// given a response whose end only the close of its connection marks
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// requestsOf tells what each endpoint got.
+// requestsOf describes what each endpoint got.
 func requestsOf(list []*endpoint) string {
 	var text strings.Builder
 	for i, e := range list {
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -137,7 +137,7 @@
 	return result
 }
 
-// writeSucceeded tells, without waiting, whether a write that ran beside the reading has succeeded.
+// writeSucceeded reports, without waiting, whether a write that ran beside the reading has succeeded.
 func (e *exchange) writeSucceeded() bool {
 	if e.writeDone == nil {
 		return true
@@ -203,7 +203,7 @@
 }
 
 // matches reports whether a response is this request's. One without an id is, if the connection has carried no other request. One
-// with several ids is nobody's.
+// with several ids is no request's.
 func (e *exchange) matches(response *http.Response) bool {
 	ids := response.Header[AttemptIDHeader]
 	if len(ids) == 0 {
