--- a/internal/tier/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -8,20 +8,20 @@
 
 // Routes is a configuration made ready for matching. It doesn't change.
 type Routes struct {
-	Number             uint64
-	Limits             model.Limits
-	HasRememberedTurns bool // some route has turns that the stores remember
-	table              *model.Table
+	Number            uint64
+	Limits            model.Limits
+	HasStatefulRoutes bool // some route has turns that the stores keep
+	table             *model.Table
 }
 
 // NewRoutes makes a configuration, which must not be changed afterwards, ready for matching.
 func NewRoutes(configuration *model.Configuration) *Routes {
-	remembered := func(route model.Route) bool { return route.Stateful }
+	stateful := func(route model.Route) bool { return route.Stateful }
 	return &Routes{
-		Number:             configuration.Version,
-		Limits:             configuration.Limits,
-		HasRememberedTurns: slices.ContainsFunc(configuration.Routes, remembered),
-		table:              model.NewTable(configuration),
+		Number:            configuration.Version,
+		Limits:            configuration.Limits,
+		HasStatefulRoutes: slices.ContainsFunc(configuration.Routes, stateful),
+		table:             model.NewTable(configuration),
 	}
 }
 
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -56,10 +56,10 @@
 // Routes implements proxy.Views.
 func (f *Feed) Routes() *proxy.Routes { return f.routes.Load() }
 
-// Ready implements proxy.Views. The placement is needed only where turns are remembered.
+// Ready implements proxy.Views. The placement is needed only where a route is stateful.
 func (f *Feed) Ready() bool {
 	routes := f.routes.Load()
-	return routes != nil && f.hasEndpoints.Load() && (!routes.HasRememberedTurns || f.programs.HasPlacement())
+	return routes != nil && f.hasEndpoints.Load() && (!routes.HasStatefulRoutes || f.programs.HasPlacement())
 }
 
 // Run applies the updates that the agent sends until ctx ends.
