--- a/internal/relay/fleet/quota/counters.go
+++ b/internal/relay/fleet/quota/counters.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Tally is what one incarnation of a relay has counted since its start. It only grows, so that of two the larger is the newer, and to take
-// one in twice changes nothing.
+// Tally is what one incarnation of a relay has counted since its start. It only grows, so that of two the larger is the newer, and merging
+// one twice changes nothing.
 type Tally struct {
 	Relay      string `cbor:"1,keyasint"`
-	Generation uint64 `cbor:"2,keyasint"`
+	Generation uint64 `cbor:"2,keyasint"`           // of the incarnation: counts the relay's starts
 	Counters   []byte `cbor:"3,keyasint,omitempty"` // see EncodeCounters
-	Compacted  bool   `cbor:"4,keyasint,omitempty"` // the sum of all incarnations up to Generation, none of which counts any more
+	Compacted  bool   `cbor:"4,keyasint,omitempty"` // Counters are the sum of all incarnations up to Generation, which has ended
 }
 
 // MaxCounters is how many counters a relay has.
@@ -23,120 +23,141 @@
 // ErrCounters is returned for bytes that EncodeCounters can't have written.
 var ErrCounters = errors.New("quota: malformed counters")
 
-// EncodeCounters is counters as they go on the wire.
-func EncodeCounters(n map[Key]uint64) []byte {
-	b := make([]byte, 0, 7*len(n))
-	for _, k := range slices.Sorted(maps.Keys(n)) {
-		b = binary.AppendUvarint(binary.BigEndian.AppendUint32(b, uint32(k)), n[k])
+// EncodeCounters encodes counters for the wire, in the order of their keys.
+func EncodeCounters(counters map[Key]uint64) []byte {
+	encoded := make([]byte, 0, 7*len(counters))
+	for _, key := range slices.Sorted(maps.Keys(counters)) {
+		encoded = binary.AppendUvarint(binary.BigEndian.AppendUint32(encoded, uint32(key)), counters[key])
 	}
-	return b
+	return encoded
 }
 
-// DecodeCounters reads them.
-func DecodeCounters(b []byte) (map[Key]uint64, error) {
-	all := map[Key]uint64{}
-	for len(b) > 0 {
-		if len(b) < 5 || len(all) >= 4*MaxCounters {
+// DecodeCounters decodes what EncodeCounters wrote; it returns ErrCounters for anything else.
+func DecodeCounters(encoded []byte) (map[Key]uint64, error) {
+	counters := map[Key]uint64{}
+	for len(encoded) > 0 {
+		if len(encoded) < 5 || len(counters) >= 4*MaxCounters {
 			return nil, ErrCounters
 		}
-		v, n := binary.Uvarint(b[4:])
-		if n <= 0 || v > 1<<53 {
+		count, size := binary.Uvarint(encoded[4:])
+		if size <= 0 || count > 1<<53 {
 			return nil, ErrCounters
 		}
-		all[Key(binary.BigEndian.Uint32(b))] = v
-		b = b[4+n:]
+		counters[Key(binary.BigEndian.Uint32(encoded))] = count
+		encoded = encoded[4+size:]
 	}
-	return all, nil
+	return counters, nil
 }
 
-// CounterTable is what a voter knows of all relays' counts. It is not safe for concurrent use.
+// CounterTable is what a voter knows of all relays' counts. It is not safe for concurrent use: the voter's node.Node owns it.
 type CounterTable struct {
-	relays    map[string]*relayCounters
-	nextRelay int
+	relays    map[string]*relayCounters // by name
+	nextRelay int                       // whose turn it is in NextTallies
 }
 
-// relayCounters are one relay's: of each incarnation that may still count, and the sum of those that don't.
+// relayCounters are one relay's counts: of its newest incarnations, and the sum of those before them.
 type relayCounters struct {
 	incarnations  map[uint64]*incarnationCounters
 	compacted     map[Key]uint64
-	compactedUpTo uint64 // the newest generation in past
+	compactedUpTo uint64 // the newest generation in compacted; 0: none
 }
 
+// incarnationCounters are the counts of one incarnation.
 type incarnationCounters struct {
 	counters  map[Key]uint64
-	updatedAt time.Duration
+	updatedAt time.Duration // when a tally of it came last
 }
 
-// maxIncarnations are kept apart for a relay; older ones are summed up.
+// maxIncarnations is how many incarnations of a relay are counted separately; older ones are compacted.
 const maxIncarnations = 3
 
 // NewCounterTable returns an empty table.
 func NewCounterTable() *CounterTable { return &CounterTable{relays: map[string]*relayCounters{}} }
 
-// Merge takes in a tally; order and repetition don't matter. A tally of an incarnation that is compacted already is ignored.
-func (b *CounterTable) Merge(now time.Duration, t *Tally, most int) {
-	n, err := DecodeCounters(t.Counters)
+// Merge takes in a tally; order and repetition don't matter. Ignored are a tally of an incarnation that is compacted already, one that can't
+// be decoded, and one of a new relay where the table has maxRelays.
+func (b *CounterTable) Merge(now time.Duration, t *Tally, maxRelays int) {
+	counters, err := DecodeCounters(t.Counters)
 	if err != nil {
 		return
 	}
-	a := b.relays[t.Relay]
-	if a == nil {
-		if len(b.relays) >= most {
+	relay := b.relays[t.Relay]
+	if relay == nil {
+		if len(b.relays) >= maxRelays {
 			return
 		}
-		a = &relayCounters{incarnations: map[uint64]*incarnationCounters{}, compacted: map[Key]uint64{}}
-		b.relays[t.Relay] = a
+		relay = &relayCounters{incarnations: map[uint64]*incarnationCounters{}, compacted: map[Key]uint64{}}
+		b.relays[t.Relay] = relay
 	}
 	if t.Compacted {
-		if t.Generation > a.compactedUpTo { // another voter has summed up more: what it has stands for all of it
-			for g := range a.incarnations {
-				if g <= t.Generation {
-					delete(a.incarnations, g)
-				}
-			}
-			a.compactedUpTo, a.compacted = t.Generation, n
-		} else if t.Generation == a.compactedUpTo { // each may have missed the end of an incarnation
-			for k, v := range n {
-				a.compacted[k] = max(a.compacted[k], v)
-			}
-		}
+		relay.mergeCompacted(t.Generation, counters)
+		return
+	}
+	if t.Generation <= relay.compactedUpTo {
+		return
+	}
+	relay.mergeIncarnation(now, t.Generation, counters)
+	relay.compact()
+}
+
+// mergeCompacted takes in the sum of all incarnations up to a generation.
+func (r *relayCounters) mergeCompacted(generation uint64, counters map[Key]uint64) {
+	if generation < r.compactedUpTo {
 		return
 	}
-	if t.Generation <= a.compactedUpTo {
+	if generation == r.compactedUpTo { // each voter may have missed the end of an incarnation
+		for key, count := range counters {
+			r.compacted[key] = max(r.compacted[key], count)
+		}
 		return
 	}
-	l := a.incarnations[t.Generation]
-	if l == nil {
-		l = &incarnationCounters{counters: map[Key]uint64{}}
-		a.incarnations[t.Generation] = l
+	for known := range r.incarnations { // another voter has compacted more: its sum replaces all of that
+		if known <= generation {
+			delete(r.incarnations, known)
+		}
+	}
+	r.compactedUpTo, r.compacted = generation, counters
+}
+
+// mergeIncarnation takes in what one incarnation has counted.
+func (r *relayCounters) mergeIncarnation(now time.Duration, generation uint64, counters map[Key]uint64) {
+	incarnation := r.incarnations[generation]
+	if incarnation == nil {
+		incarnation = &incarnationCounters{counters: map[Key]uint64{}}
+		r.incarnations[generation] = incarnation
 	}
-	l.updatedAt = now
-	for k, v := range n { // counters only grow: whatever says less is older, or not true
-		l.counters[k] = max(l.counters[k], v)
+	incarnation.updatedAt = now
+	for key, count := range counters { // counters only grow: a smaller count is older, or not true
+		incarnation.counters[key] = max(incarnation.counters[key], count)
 	}
-	gens := slices.Sorted(maps.Keys(a.incarnations))
-	for len(gens) > maxIncarnations {
-		for k, v := range a.incarnations[gens[0]].counters {
-			a.compacted[k] += v
+}
+
+// compact sums up the oldest incarnations beyond maxIncarnations.
+func (r *relayCounters) compact() {
+	generations := slices.Sorted(maps.Keys(r.incarnations))
+	for len(generations) > maxIncarnations {
+		oldest := generations[0]
+		for key, count := range r.incarnations[oldest].counters {
+			r.compacted[key] += count
 		}
-		a.compactedUpTo = gens[0]
-		delete(a.incarnations, gens[0])
-		gens = gens[1:]
+		r.compactedUpTo = oldest
+		delete(r.incarnations, oldest)
+		generations = generations[1:]
 	}
 }
 
-// NextTallies is what one voter tells another this time: a few relays' tallies, in turn.
-func (b *CounterTable) NextTallies(most int) (all []Tally) {
+// NextTallies returns what one voter sends to another this time: the tallies of maxRelays relays, in turn.
+func (b *CounterTable) NextTallies(maxRelays int) (all []Tally) {
 	names := slices.Sorted(maps.Keys(b.relays))
-	for range min(most, len(names)) {
+	for range min(maxRelays, len(names)) {
 		b.nextRelay++
 		name := names[b.nextRelay%len(names)]
-		a := b.relays[name]
-		if a.compactedUpTo > 0 {
-			all = append(all, Tally{name, a.compactedUpTo, EncodeCounters(a.compacted), true})
+		relay := b.relays[name]
+		if relay.compactedUpTo > 0 {
+			all = append(all, Tally{name, relay.compactedUpTo, EncodeCounters(relay.compacted), true})
 		}
-		for _, g := range slices.Sorted(maps.Keys(a.incarnations)) {
-			all = append(all, Tally{name, g, EncodeCounters(a.incarnations[g].counters), false})
+		for _, generation := range slices.Sorted(maps.Keys(relay.incarnations)) {
+			all = append(all, Tally{name, generation, EncodeCounters(relay.incarnations[generation].counters), false})
 		}
 	}
 	return all
@@ -151,26 +172,26 @@
 	Silent       string        `cbor:"5,keyasint,omitempty"` // the name of that relay
 }
 
-// Totals adds up what all relays have counted.
+// Totals returns the sums of what all relays have counted.
 func (b *CounterTable) Totals(now time.Duration) *Totals {
-	s, sum := &Totals{Relays: len(b.relays)}, map[Key]uint64{}
+	totals, sum := &Totals{Relays: len(b.relays)}, map[Key]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(b.relays)) {
-		a := b.relays[name]
-		for k, v := range a.compacted {
-			sum[k] += v
+		relay := b.relays[name]
+		for key, count := range relay.compacted {
+			sum[key] += count
 		}
 		newest := uint64(0)
-		for g, l := range a.incarnations {
-			s.Incarnations++
-			newest = max(newest, g)
-			for k, v := range l.counters {
-				sum[k] += v
+		for generation, incarnation := range relay.incarnations {
+			totals.Incarnations++
+			newest = max(newest, generation)
+			for key, count := range incarnation.counters {
+				sum[key] += count
 			}
 		}
-		if l := a.incarnations[newest]; l != nil && now-l.updatedAt > s.SilentFor {
-			s.SilentFor, s.Silent = now-l.updatedAt, name
+		if incarnation := relay.incarnations[newest]; incarnation != nil && now-incarnation.updatedAt > totals.SilentFor {
+			totals.SilentFor, totals.Silent = now-incarnation.updatedAt, name
 		}
 	}
-	s.Counters = EncodeCounters(sum)
-	return s
+	totals.Counters = EncodeCounters(sum)
+	return totals
 }
--- a/internal/relay/fleet/quota/encoding.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	demandBytes   = 4 + 3*2 + 4
-	keyShareBytes = 4 + 2*2 + 4
-	ageUnit       = 50 * time.Millisecond // of ages and waits on the wire
-	probeFlag     = 0x80
+	demandBytes   = 4 + 3*2 + 4           // key; rate, value, limit; three ages or waits and the state
+	keyShareBytes = 4 + 2*2 + 4           // key; share, limit; three ages or waits and the state
+	ageUnit       = 50 * time.Millisecond // of ages and waits on the wire; they end at 255 units
+	probeFlag     = 0x80                  // of the byte with the state: KeyShare.MayProbe
 )
 
 // ErrListSize is returned for a list of demands or shares whose length no encoder writes.
 var ErrListSize = errors.New("quota: length is no multiple of the entry size")
 
 // toFloat16 encodes a number in 16 bits, rounded towards zero: a leased share must never grow by its encoding.
-func toFloat16(v float64) uint16 {
-	if !(v > 0) {
+func toFloat16(value float64) uint16 {
+	if !(value > 0) {
 		return 0
 	}
-	f := float32(min(v, math.MaxFloat32))
-	if float64(f) > v { // the conversion may round up
-		f = math.Nextafter32(f, 0)
+	rounded := float32(min(value, math.MaxFloat32))
+	if float64(rounded) > value { // the conversion may round up
+		rounded = math.Nextafter32(rounded, 0)
 	}
-	return uint16(math.Float32bits(f) >> 16)
+	return uint16(math.Float32bits(rounded) >> 16)
 }
 
+// fromFloat16 is the reverse of toFloat16; bytes from the wire may also be negative, infinite or no number.
 func fromFloat16(b uint16) float64 { return float64(math.Float32frombits(uint32(b) << 16)) }
 
-// RoundToWire returns a share as it arrives after it was encoded.
+// RoundToWire returns a share as it arrives after it was encoded: never larger, and less than a hundredth smaller.
 func RoundToWire(v float64) float64 { return fromFloat16(toFloat16(v)) }
 
 // encodeAge encodes an age in one byte, rounded up: evidence must never seem fresher than it is.
 func encodeAge(d time.Duration) byte { return byte(min((max(d, 0)+ageUnit-1)/ageUnit, 255)) }
 
-// EncodeDemands encodes demands for the wire.
+// EncodeDemands encodes demands for the wire, demandBytes each; ages are rounded up, numbers down.
 func EncodeDemands(all []Demand) []byte {
 	b := make([]byte, 0, demandBytes*len(all))
 	for i := range all {
@@ -51,7 +52,7 @@
 	return b
 }
 
-// DecodeDemands decodes what EncodeDemands wrote.
+// DecodeDemands decodes what EncodeDemands wrote; it returns ErrListSize for another length, or for more than MaxKeys demands.
 func DecodeDemands(b []byte) ([]Demand, error) {
 	if len(b)%demandBytes != 0 || len(b) > demandBytes*MaxKeys {
 		return nil, ErrListSize
@@ -66,24 +67,24 @@
 	return all, nil
 }
 
-// EncodeKeyShares encodes shares for the wire.
-func EncodeKeyShares(all []KeyShare) []byte {
-	b := make([]byte, 0, keyShareBytes*len(all))
-	for i := range all {
-		p := &all[i]
-		b = binary.BigEndian.AppendUint32(b, uint32(p.Key))
-		b = binary.BigEndian.AppendUint16(b, toFloat16(p.Extra))
-		b = binary.BigEndian.AppendUint16(b, toFloat16(p.Limit))
-		flags := byte(p.State)
-		if p.MayProbe {
+// EncodeKeyShares encodes shares for the wire, keyShareBytes each; ages are rounded up, numbers down.
+func EncodeKeyShares(shares []KeyShare) []byte {
+	encoded := make([]byte, 0, keyShareBytes*len(shares))
+	for i := range shares {
+		share := &shares[i]
+		encoded = binary.BigEndian.AppendUint32(encoded, uint32(share.Key))
+		encoded = binary.BigEndian.AppendUint16(encoded, toFloat16(share.Extra))
+		encoded = binary.BigEndian.AppendUint16(encoded, toFloat16(share.Limit))
+		flags := byte(share.State)
+		if share.MayProbe {
 			flags |= probeFlag
 		}
-		b = append(b, encodeAge(p.LimitAge), flags, encodeAge(p.StateAge), encodeAge(p.Wait))
+		encoded = append(encoded, encodeAge(share.LimitAge), flags, encodeAge(share.StateAge), encodeAge(share.Wait))
 	}
-	return b
+	return encoded
 }
 
-// DecodeKeyShares decodes what EncodeKeyShares wrote.
+// DecodeKeyShares decodes what EncodeKeyShares wrote; it returns ErrListSize for another length, or for more than MaxKeys shares.
 func DecodeKeyShares(b []byte) ([]KeyShare, error) {
 	if len(b)%keyShareBytes != 0 || len(b) > keyShareBytes*MaxKeys {
 		return nil, ErrListSize
--- a/internal/relay/fleet/quota/granting.go
+++ b/internal/relay/fleet/quota/granting.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// available is how much of a key may be leased to a relay in all.
-func (l *Allocator) available(relay *relayState, k Key, now time.Duration) int64 {
+// available is how much of a key may be leased to a relay in all, in units.
+func (l *Allocator) available(relay *relayState, key Key, now time.Duration) int64 {
 	if !l.allReported(now) {
-		return relay.bound[k] // others may hold the rest
+		return relay.bound[key] // others may hold the rest
 	}
-	return max(0, wholeLimit-l.minimumSum-l.leased[k]+relay.bound[k])
+	return max(0, unitsPerLimit-l.minimumSum-l.leased[key]+relay.bound[key])
 }
 
-// Grant answers a relay's request that arrived at came. It holds for as long as the relay's lease that the answer renews; nil:
-// that would be over already.
+// Grant returns the answer to a relay's request that arrived at came, which HandleRequest has taken. It lasts for as long as the relay's own
+// lease that the answer renews; nil: the relay is not known, or that would have expired already.
 func (l *Allocator) Grant(now, came time.Duration, name string) *Grant {
 	l.split(now)
 	relay, until := l.relays[name], came+l.options.LeaseDuration
@@ -23,96 +23,96 @@
 		return nil
 	}
 	l.updateBound(relay, now)
-	a := &Grant{Term: l.term}
+	grant := &Grant{Term: l.term}
 	if !relay.reported {
-		a.ReportLeased = true
-		return a
+		grant.ReportLeased = true
+		return grant
 	}
 	last := lease{}
 	if n := len(relay.leases); n > 0 {
 		last = relay.leases[n-1]
 	}
 	next := l.nextLease(now, relay)
-	if last.number == 0 || l.worthSending(&last, &next) {
+	if last.number == 0 || l.differsEnough(&last, &next) {
 		relay.lastLease++
 		next.number, next.expires = relay.lastLease, until
 		relay.leases = append(relay.leases, next)
-		if len(relay.leases) > maxUnconfirmedLeases { // it confirms none: a new one waits until these have expired
+		if len(relay.leases) > maxUnconfirmedLeases { // it confirms none of them: a new one waits until these have expired
 			relay.leases = relay.leases[:maxUnconfirmedLeases]
-			a.LeaseNumber = 0
-			return a
+			grant.LeaseNumber = 0
+			return grant
 		}
 		last = next
 	}
 	for i := range relay.leases {
-		if o := &relay.leases[i]; o.number == last.number {
-			o.expires = max(o.expires, until)
+		if lease := &relay.leases[i]; lease.number == last.number {
+			lease.expires = max(lease.expires, until)
 		}
 	}
 	l.updateBound(relay, now)
-	if a.LeaseNumber = last.number; relay.confirmedLease != last.number || now-relay.sharesSentAt >= resendInterval || relay.verdictChanged {
+	if grant.LeaseNumber = last.number; relay.confirmedLease != last.number || now-relay.sharesSentAt >= resendInterval || relay.verdictChanged {
 		relay.sharesSentAt, relay.verdictChanged = now, false
-		a.HasShares, a.Minimum, a.Shares = true, toFloat16(float64(last.minimum)/float64(wholeLimit)), EncodeKeyShares(l.keyShares(now, relay, &last))
+		grant.HasShares, grant.Minimum, grant.Shares = true, toFloat16(toShare(last.minimum)), EncodeKeyShares(l.keyShares(now, relay, &last))
 	}
-	return a
+	return grant
 }
 
-// maxUnconfirmedLeases bounds the leases of one relay that it has not confirmed.
+// maxUnconfirmedLeases bounds the leases that one relay has not confirmed: each of them still counts as leased to it.
 const maxUnconfirmedLeases = 8
 
-// keyShares is a lease's shares with the newest verdict on all else.
-func (l *Allocator) keyShares(now time.Duration, relay *relayState, o *lease) (all []KeyShare) {
-	for _, k := range slices.Sorted(maps.Keys(relay.demands)) {
-		p := l.keyShare(now, relay, k)
-		p.Extra = float64(o.shares[k]) / float64(wholeLimit)
-		all = append(all, p)
+// keyShares are the shares of a lease, with the newest that the fleet knows of each key.
+func (l *Allocator) keyShares(now time.Duration, relay *relayState, lease *lease) (all []KeyShare) {
+	for _, key := range slices.Sorted(maps.Keys(relay.demands)) {
+		share := l.keyShare(now, relay, key)
+		share.Extra = toShare(lease.shares[key])
+		all = append(all, share)
 	}
 	return all
 }
 
 // nextLease is what would be leased to a relay now.
 func (l *Allocator) nextLease(now time.Duration, relay *relayState) lease {
-	o := lease{shares: map[Key]int64{}}
-	if o.minimum = l.minimumPerRelay(); o.minimum > relay.minimum { // a guaranteed minimum is leased like all else
-		room := int64(0)
+	next := lease{shares: map[Key]int64{}}
+	if next.minimum = l.minimumPerRelay(); next.minimum > relay.minimum { // a guaranteed minimum is leased like all else
+		available := int64(0)
 		if l.allReported(now) {
-			room = max(0, wholeLimit-l.minimumSum-l.maxLeased())
+			available = max(0, unitsPerLimit-l.minimumSum-l.maxLeased())
 		}
-		o.minimum = rounded(relay.minimum + min(o.minimum-relay.minimum, room))
+		next.minimum = rounded(relay.minimum + min(next.minimum-relay.minimum, available))
 	}
 	if relay.demands == nil && relay.demandsAt == 0 { // its demands are not known yet: it keeps what it has
-		maps.Copy(o.shares, relay.bound)
+		maps.Copy(next.shares, relay.bound)
 	}
-	for k := range relay.demands {
-		o.shares[k] = rounded(min(relay.target[k], max(0, l.available(relay, k, now)-max(0, o.minimum-relay.minimum))))
+	for key := range relay.demands {
+		next.shares[key] = rounded(min(relay.target[key], max(0, l.available(relay, key, now)-max(0, next.minimum-relay.minimum))))
 	}
-	return o
+	return next
 }
 
-// rounded is a share as the wire carries it, in units.
-func rounded(g int64) int64 { return toUnits(RoundToWire(float64(g) / float64(wholeLimit))) }
+// rounded is a share as it arrives after it was encoded, in units.
+func rounded(units int64) int64 { return toUnits(RoundToWire(toShare(units))) }
 
 // maxLeased is the largest sum of leased shares of any key, in units.
-func (l *Allocator) maxLeased() (most int64) {
-	for _, g := range l.leased {
-		most = max(most, g)
+func (l *Allocator) maxLeased() (largest int64) {
+	for _, units := range l.leased {
+		largest = max(largest, units)
 	}
-	return most
+	return largest
 }
 
-// worthSending tells whether a lease differs enough from the last one to be sent.
-func (l *Allocator) worthSending(was, is *lease) bool {
-	if was.minimum != is.minimum {
+// differsEnough reports whether a lease differs enough from the last one to be sent; see growThreshold and shrinkThreshold.
+func (l *Allocator) differsEnough(last, next *lease) bool {
+	if last.minimum != next.minimum {
 		return true
 	}
-	for k, g := range is.shares {
-		w := was.shares[k]
-		if float64(g-w) > growThreshold*float64(w) || float64(w-g) > shrinkThreshold*float64(w) {
+	for key, units := range next.shares {
+		former := last.shares[key]
+		if float64(units-former) > growThreshold*float64(former) || float64(former-units) > shrinkThreshold*float64(former) {
 			return true
 		}
 	}
-	for k, w := range was.shares {
-		if _, ok := is.shares[k]; !ok && w > 0 {
+	for key, former := range last.shares {
+		if _, ok := next.shares[key]; !ok && former > 0 {
 			return true
 		}
 	}
--- a/internal/relay/fleet/quota/messages.go
+++ b/internal/relay/fleet/quota/messages.go
@@ -1,15 +1,16 @@
 package quota
 
-// Request is what a relay reports with each request for its lease: the quota lease that it goes by, and its demands.
+// Request is what a relay reports with each request for its own lease: the quota lease that it goes by, and its demands. Minimums are encoded
+// by toFloat16.
 type Request struct {
-	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // whose lease it goes by
-	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // of that; 0: none
+	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // of the allocator whose lease it goes by
+	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // of that lease; 0: none
 	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: unchanged
 	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // the lease's shares, where that was asked for
 	Minimum      uint16 `cbor:"5,keyasint,omitempty"` // with LeasedShares; where relays serve on alone, always
 	Zone         int    `cbor:"6,keyasint,omitempty"`
 	NoDemand     bool   `cbor:"7,keyasint,omitempty"` // it needs nothing
-	NewestTerm   uint64 `cbor:"8,keyasint,omitempty"` // the newest allocator that it has heard of: it takes nothing from older ones any more
+	NewestTerm   uint64 `cbor:"8,keyasint,omitempty"` // of the newest allocator that it has heard of: it accepts no grant of an older one any more
 }
 
 // Grant is the leader's answer to a Request.
--- a/internal/relay/fleet/quota/quota.go
+++ b/internal/relay/fleet/quota/quota.go
@@ -1,10 +1,10 @@
 // Package quota splits what all relays of a fleet may spend together (calls to a destination, a tenant's quota) into shares
 // that the leader leases to relays, and judges by what several relays have seen whether a destination is down.
 //
-// A share is a part of 1 of a limit, whatever that limit is now. Each relay has a guaranteed minimum that is never leased to
+// A share is a fraction of a limit, whatever that limit is now. Each relay has a guaranteed minimum that is never leased to
 // another; what is left is leased by the leader's Allocator, for as long as the relay's lease lasts. The sum of all shares that
-// any relay may go by never exceeds 1: a share is leased again only once its last lease has surely run out. A relay's Lessee
-// holds what it was leased; a CounterTable adds up what all relays have counted.
+// any relay may spend never exceeds 1: a share is leased again only once its last lease has surely expired. A relay's Lessee
+// has what it was leased; a CounterTable adds up what all relays have counted.
 //
 // The package does no I/O, reads no clock and starts no goroutine; its types aren't safe for concurrent use. The bound and its
 // derivation: docs/design/shared-state.md.
@@ -17,27 +17,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names what is shared. Two names that have one key only share their shares, which are fractions of each one's own limit: the
-// bound holds all the same.
+// Key identifies what is shared, by a hash of its name. Two names with the same key have the same shares, which are fractions of each one's
+// own limit: the bound is kept all the same.
 type Key uint32
 
 // The kinds of what is shared.
 const (
-	Destination byte = 'd' // a partner, or a route that stands apart
+	Destination byte = 'd' // a partner, or a route with a limit of its own
 	Tenant      byte = 't'
-	Counter     byte = 'c' // a counter
+	Counter     byte = 'c' // what a core counts
 )
 
-// KeyOf is the key of a name.
+// KeyOf returns the key of a name of a kind.
 func KeyOf(kind byte, name string) Key {
 	h := xxhash.Sum64String(string(kind) + name)
 	return Key(h ^ h>>32)
 }
 
-// String is the key in hexadecimal, as logs have it.
+// String returns the key in hexadecimal, as logs have it.
 func (k Key) String() string { return fmt.Sprintf("%08x", uint32(k)) }
 
-// State is what a relay has seen of a destination by its own calls. What it only heard is none of it: echoes keep nothing alive.
+// State is what a relay has seen of a destination by its own calls. What others have reported to it is no part of that: echoes would keep it
+// alive.
 type State uint8
 
 // The states.
@@ -47,7 +48,7 @@
 	Down          // it fails what is sent, or can't be reached
 )
 
-// String is the state as operators read it; empty: Unseen.
+// String returns the state as operators read it; empty: Unseen.
 func (s State) String() string { return [...]string{"", "well", "down"}[min(s, Down)] }
 
 // Demand is what a relay reports of one key.
@@ -58,7 +59,7 @@
 	Limit    float64       // units a second for all relays, as the destination reported last; 0: not reported
 	LimitAge time.Duration // since that
 	State    State
-	StateAge time.Duration // since the newest call that State stands on was sent
+	StateAge time.Duration // since the newest call that State is based on was sent
 	Wait     time.Duration // that the destination asked for, from now on
 }
 
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -1,158 +1,186 @@
 package quota
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
 
+// limitReport is a limit that a destination has reported to a relay.
+type limitReport struct {
+	limit float64
+	at    time.Duration
+}
+
 // observe takes over the newest limits and waits that relays report.
-func (p *keyState) observe(k Key, all []*relayState) {
-	type report struct {
-		limit float64
-		at    time.Duration
-	}
-	var list []report
-	well := -time.Hour // when the newest call that was delivered had been sent, to anyone
-	for _, relay := range all {
-		n := relay.demands[k]
-		if n.Limit > 0 && n.LimitAge < 254*ageUnit {
-			list = append(list, report{n.Limit, relay.demandsAt - n.LimitAge})
+func (p *keyState) observe(key Key, relays []*relayState) {
+	var reports []limitReport
+	healthyAt := -time.Hour // when the newest call that was delivered had been sent, to anyone
+	for _, relay := range relays {
+		demand := relay.demands[key]
+		if demand.Limit > 0 && demand.LimitAge < 254*ageUnit {
+			reports = append(reports, limitReport{demand.Limit, relay.demandsAt - demand.LimitAge})
 		}
-		if n.State == Healthy {
-			well = max(well, relay.demandsAt-n.StateAge)
-		}
-	}
-	// The median of the three freshest limits counts: no single relay can make all others send more, or less.
-	slices.SortStableFunc(list, func(a, b report) int { return int(min(max(b.at-a.at, -1), 1)) })
-	if len(list) > 0 {
-		if fresh := list[0].at; fresh >= p.limitAt {
-			three := slices.Clone(list[:min(len(list), 3)])
-			slices.SortStableFunc(three, func(a, b report) int {
-				switch {
-				case a.limit < b.limit:
-					return -1
-				case a.limit > b.limit:
-					return 1
-				}
-				return 0
-			})
-			p.limit, p.limitAt = three[len(three)/2].limit, fresh
-			if len(three) == 2 {
-				p.limit = list[0].limit
-			}
+		if demand.State == Healthy {
+			healthyAt = max(healthyAt, relay.demandsAt-demand.StateAge)
 		}
 	}
+	p.observeLimits(reports)
 	p.waitUntil = 0
-	for _, relay := range all {
-		if n := relay.demands[k]; n.Wait > 0 && well < relay.demandsAt { // nothing that was sent since speaks against it
-			p.waitUntil = max(p.waitUntil, relay.demandsAt+min(n.Wait, maxReportedWait))
+	for _, relay := range relays {
+		if demand := relay.demands[key]; demand.Wait > 0 && healthyAt < relay.demandsAt { // nothing that was sent since contradicts it
+			p.waitUntil = max(p.waitUntil, relay.demandsAt+min(demand.Wait, maxReportedWait))
 		}
 	}
 }
 
-// judge decides for each zone's relays whether a destination is down. What one relay sees may be its own link, and what one zone
-// sees may be that zone's: a verdict takes two witnesses in the zone that it is for, or witnesses in two zones and none there who
-// says otherwise. Evidence ages out; a relay's own goes before all this.
-func (l *Allocator) judge(now time.Duration, k Key, p *keyState, all []*relayState) {
-	type seen struct {
-		down, well int
-		at, wellAt time.Duration
-		alone      *relayState
+// observeLimits takes over the median of the three freshest limits, of two the fresher: no single relay of three can make all others send
+// more, or less.
+func (p *keyState) observeLimits(reports []limitReport) {
+	if len(reports) == 0 {
+		return
 	}
-	zones := map[int]*seen{}
-	var down, well, in int
-	for _, relay := range all {
-		n, z := relay.demands[k], zones[relay.zone]
-		if z == nil {
-			z = &seen{at: -1 << 62, wellAt: -1 << 62}
-			zones[relay.zone] = z
+	slices.SortStableFunc(reports, func(a, b limitReport) int { return int(min(max(b.at-a.at, -1), 1)) })
+	freshest := reports[0]
+	if freshest.at < p.limitAt {
+		return
+	}
+	p.limitAt = freshest.at
+	if len(reports) < 3 {
+		p.limit = freshest.limit
+		return
+	}
+	three := slices.Clone(reports[:3])
+	slices.SortStableFunc(three, func(a, b limitReport) int { return cmp.Compare(a.limit, b.limit) })
+	p.limit = three[1].limit
+}
+
+// witnesses are what the relays of one zone have lately seen of a destination.
+type witnesses struct {
+	down, healthy     int           // relays
+	downAt, healthyAt time.Duration // of the newest evidence
+	lastDown          *relayState   // nil: none
+}
+
+// evidence is what all relays have lately seen of a destination.
+type evidence struct {
+	zones         map[int]*witnesses
+	down, healthy int // relays
+	zonesDown     int // zones with a relay that sees it down
+}
+
+// collectEvidence counts the witnesses whose evidence is not too old.
+func collectEvidence(now time.Duration, key Key, relays []*relayState) evidence {
+	all := evidence{zones: map[int]*witnesses{}}
+	for _, relay := range relays {
+		demand, zone := relay.demands[key], all.zones[relay.zone]
+		if zone == nil {
+			zone = &witnesses{downAt: -1 << 62, healthyAt: -1 << 62}
+			all.zones[relay.zone] = zone
 		}
-		switch at := relay.demandsAt - n.StateAge; {
-		case n.State == Down && now-at <= evidenceTTL:
-			if z.down == 0 {
-				in++
+		switch at := relay.demandsAt - demand.StateAge; {
+		case demand.State == Down && now-at <= evidenceTTL:
+			if zone.down == 0 {
+				all.zonesDown++
 			}
-			down, z.down, z.at, z.alone = down+1, z.down+1, max(z.at, at), relay
-		case n.State == Healthy && now-at <= deliveryTTL:
-			well, z.well, z.wellAt = well+1, z.well+1, max(z.wellAt, at)
+			all.down++
+			zone.down, zone.downAt, zone.lastDown = zone.down+1, max(zone.downAt, at), relay
+		case demand.State == Healthy && now-at <= deliveryTTL:
+			all.healthy++
+			zone.healthy, zone.healthyAt = zone.healthy+1, max(zone.healthyAt, at)
 		}
 	}
-	for no, z := range zones {
-		was := p.verdicts[no]
-		is, at := Unseen, time.Duration(0)
-		switch {
-		case z.down >= 2 && z.down > 2*z.well, in >= 2 && z.well == 0 && down > 2*well:
-			is, at = Down, z.at
-			if z.down == 0 {
-				for _, o := range zones {
-					at = max(at, o.at)
-				}
+	return all
+}
+
+// verdict is the state of a destination for the relays of a zone, and when the newest evidence for that was sent.
+func (e *evidence) verdict(zone *witnesses) (State, time.Duration) {
+	switch {
+	case zone.down >= 2 && zone.down > 2*zone.healthy, e.zonesDown >= 2 && zone.healthy == 0 && e.down > 2*e.healthy:
+		at := zone.downAt
+		if zone.down == 0 { // by witnesses of other zones
+			for _, other := range e.zones {
+				at = max(at, other.downAt)
 			}
-		case z.well > 0:
-			is, at = Healthy, z.wellAt
 		}
-		if z.down == 1 && z.well >= 3 {
-			l.Contradictions[z.alone.name]++
+		return Down, at
+	case zone.healthy > 0:
+		return Healthy, zone.healthyAt
+	}
+	return Unseen, 0
+}
+
+// judge decides for each zone's relays whether a destination is down. What one relay sees may be its own link, and what one zone sees may be
+// that zone's: a verdict takes two witnesses in the zone that it is for, or witnesses in two zones and none there who contradicts them.
+// Evidence ages out; a relay's own counts for it before any verdict.
+func (l *Allocator) judge(now time.Duration, key Key, state *keyState, relays []*relayState) {
+	all := collectEvidence(now, key, relays)
+	for zone, seen := range all.zones {
+		before := state.verdicts[zone]
+		verdict, at := all.verdict(seen)
+		if seen.down == 1 && seen.healthy >= 3 {
+			l.Contradictions[seen.lastDown.name]++
 		}
-		if p.verdicts[no], p.evidenceAt[no] = is, at; is != was {
-			for _, relay := range all {
-				relay.verdictChanged = relay.verdictChanged || relay.zone == no
-			}
+		state.verdicts[zone], state.evidenceAt[zone] = verdict, at
+		if verdict == before {
+			continue
+		}
+		for _, relay := range relays {
+			relay.verdictChanged = relay.verdictChanged || relay.zone == zone
 		}
 	}
-	for no := range p.verdicts {
-		if zones[no] == nil {
-			delete(p.verdicts, no)
-			delete(p.evidenceAt, no)
-			delete(p.probers, no)
+	for zone := range state.verdicts {
+		if all.zones[zone] == nil {
+			delete(state.verdicts, zone)
+			delete(state.evidenceAt, zone)
+			delete(state.probers, zone)
 		}
 	}
-	l.assignProbes(now, k, p, all)
+	l.assignProbes(now, key, state, relays)
 }
 
-// assignProbes decides which relay probes a destination that is down, one a zone. The turn rotates, so that a dead relay costs
-// one turn.
-func (l *Allocator) assignProbes(now time.Duration, k Key, p *keyState, all []*relayState) {
-	if now < p.probeTurnEnds {
+// assignProbes decides which relay probes a destination that is down, one per zone. The turn rotates, so that a dead relay costs one turn.
+func (l *Allocator) assignProbes(now time.Duration, key Key, state *keyState, relays []*relayState) {
+	if now < state.probeTurnEnds {
 		return
 	}
-	p.probeTurnEnds = now + probeTurn
-	p.turn++
-	for no, s := range p.verdicts {
-		for _, relay := range all {
-			relay.verdictChanged = relay.verdictChanged || relay.name == p.probers[no]
+	state.probeTurnEnds = now + probeTurn
+	state.turn++
+	for zone, verdict := range state.verdicts {
+		for _, relay := range relays {
+			relay.verdictChanged = relay.verdictChanged || relay.name == state.probers[zone]
 		}
-		delete(p.probers, no)
-		if s != Down {
+		delete(state.probers, zone)
+		if verdict != Down {
 			continue
 		}
-		var can []*relayState
-		for _, relay := range all {
-			if relay.zone == no && relay.demands[k].Rate > 0 {
-				can = append(can, relay)
+		var candidates []*relayState
+		for _, relay := range relays {
+			if relay.zone == zone && relay.demands[key].Rate > 0 {
+				candidates = append(candidates, relay)
 			}
 		}
-		if len(can) > 0 {
-			relay := can[p.turn%len(can)]
-			p.probers[no], relay.verdictChanged = relay.name, true
+		if len(candidates) > 0 {
+			relay := candidates[state.turn%len(candidates)]
+			state.probers[zone], relay.verdictChanged = relay.name, true
 		}
 	}
 }
 
 // keyShare is what a relay learns of a key beside its share.
-func (l *Allocator) keyShare(now time.Duration, relay *relayState, k Key) KeyShare {
-	t := KeyShare{Key: k}
-	p := l.keys[k]
-	if p == nil {
-		return t
+func (l *Allocator) keyShare(now time.Duration, relay *relayState, key Key) KeyShare {
+	share := KeyShare{Key: key}
+	state := l.keys[key]
+	if state == nil {
+		return share
 	}
-	if p.limit > 0 {
-		t.Limit, t.LimitAge = p.limit, now-p.limitAt
+	if state.limit > 0 {
+		share.Limit, share.LimitAge = state.limit, now-state.limitAt
 	}
-	if s := p.verdicts[relay.zone]; s != Unseen {
-		t.State, t.StateAge = s, now-p.evidenceAt[relay.zone]
+	if verdict := state.verdicts[relay.zone]; verdict != Unseen {
+		share.State, share.StateAge = verdict, now-state.evidenceAt[relay.zone]
 	}
-	t.Wait = max(0, p.waitUntil-now)
-	t.MayProbe = p.probers[relay.zone] == relay.name
-	return t
+	share.Wait = max(0, state.waitUntil-now)
+	share.MayProbe = state.probers[relay.zone] == relay.name
+	return share
 }
