--- a/internal/relay/fleet/simulation/doc.go
+++ b/internal/relay/fleet/simulation/doc.go
@@ -7,6 +7,10 @@
 // from Options.Seed. Random draws whole worlds from seeds, Explore tries every short sequence of deliveries, losses, crashes and time,
 // Scale measures fleets of many relays.
 //
-// Files: world.go is the world and its virtual time, relay.go the simulated process around a node, network.go and disk.go its
+// It shows that relays of a fleet never act on two policies at once nor spend more than a shared limit, whatever is lost, restored
+// from an older disk, or run by a clock that drifts; and for short sequences it shows that for all of them, which no other engine does.
+// Package simulator runs the calls that such a fleet balances, and takes its agreement for granted.
+//
+// Files: world.go is the world, on a virtualtime.Loop, relay.go the simulated process around a node, network.go and disk.go its
 // environment, sharing.go shared limits, random.go, explore.go and scale.go the three ways to use it.
 package simulation
--- a/internal/tier/simulation/doc.go
+++ b/internal/tier/simulation/doc.go
@@ -7,7 +7,8 @@
 // under faults: the configuration is a linearizable register, turns are neither lost nor run twice, no process ends by itself,
 // no goroutine is left behind, and the tier serves again once the faults are over. Package fleettest models the same system with
 // adapters in place of the roles: it covers the state machines' logic only, but in one goroutine, so that it is faster and a
-// seed gives the same run event by event.
+// seed gives the same run event by event. Package soak runs the same roles as real processes on real disks and sockets, in real
+// time. Start here for a fault in a role's own code, or between roles.
 //
 // A day is the run of one Plan: 40 s of traffic, as in the operators' days, during which the plan's faults are injected; then all
 // faults end, the fleet must recover, and all processes get SIGTERM and must end.
--- a/internal/tier/soak/doc.go
+++ b/internal/tier/soak/doc.go
@@ -7,6 +7,10 @@
 // range of seeds, and tests execute two short plans. A plan follows from its seed alone, but the times at which processes
 // react do not, so that a run cannot be replayed exactly.
 //
+// It shows what a simulation can't: that processes survive SIGKILL, SIGSTOP and SIGTERM with files, sockets and a scheduler of the
+// operating system, and recover within bounds of real time. Packages simulation and fleettest run the same guarantees in virtual
+// time, which is where to look for the cause of what a soak finds.
+//
 // The processes run the roles of package command. Where a plan has network partitions, they run in the soak's own binary, over
 // package partitionnetwork (RunRole); else they are those of the binary that is deployed.
 //
