--- a/internal/tier/controller/decommission_duplicates_test.go
+++ b/internal/tier/controller/decommission_duplicates_test.go
@@ -43,10 +43,7 @@
 
 // TestDecommissionOrder_DuplicateAfterEnd_Acknowledged repeats an order when the machine has gone, and when it has come back anew.
 func TestDecommissionOrder_DuplicateAfterEnd_Acknowledged(t *testing.T) {
-	cluster := newCluster(t, 4)
-	cluster.awaitPlacement()
-	cluster.decommission("storage-1")
-	cluster.until("the machine is empty", 5*time.Second, cluster.isFinished("storage-1"))
+	cluster := newDrainedCluster(t)
 
 	// Given that too few machines would remain without another one, the machine has come back with an empty disk.
 	cluster.storage(1).wipe()
--- a/internal/tier/controller/decommission_test.go
+++ b/internal/tier/controller/decommission_test.go
@@ -157,11 +157,18 @@
 	}
 }
 
+// newDrainedCluster is a cluster with four stores, the first of which has been drained.
+func newDrainedCluster(t *testing.T) *cluster {
+	t.Helper()
+	drained := newCluster(t, 4)
+	drained.awaitPlacement()
+	drained.decommission("storage-1")
+	drained.until("the machine is empty", 5*time.Second, drained.isFinished("storage-1"))
+	return drained
+}
+
 func TestDecommission_MachineReturnsWithNewIdentity_GetsReplicas(t *testing.T) {
-	cluster := newCluster(t, 4)
-	cluster.awaitPlacement()
-	cluster.decommission("storage-1")
-	cluster.until("the machine is empty", 5*time.Second, cluster.isFinished("storage-1"))
+	cluster := newDrainedCluster(t)
 
 	// Given that the machine comes back with an empty disk, and another is lost.
 	cluster.storage(1).wipe()
--- a/internal/tier/controller/surplus_replicas_restart_test.go
+++ b/internal/tier/controller/surplus_replicas_restart_test.go
@@ -10,9 +10,7 @@
 	// Given a store that has stopped the replicas that others have now,
 	cluster := newCluster(t, 5)
 	cluster.awaitPlacement()
-	cluster.storage(1).kill()
-	cluster.run(deathDelay + 6*time.Second)
-	cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
+	cluster.replaceStore(1)
 	cluster.storage(1).start()
 	cluster.until("no store holds more than it is to hold", 10*time.Second, func() bool { return cluster.hasSurplusReplicas() == "" })
 
@@ -35,9 +33,7 @@
 			cluster := newCluster(t, 5)
 			cluster.awaitPlacement()
 			turns := turnsOf(cluster, 0)
-			cluster.storage(1).kill()
-			cluster.run(deathDelay + 6*time.Second)
-			cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
+			cluster.replaceStore(1)
 			cluster.storage(1).start()
 			cluster.run(away)
 			cluster.storage(2).kill()
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -18,14 +18,20 @@
 	return ""
 }
 
+// replaceStore kills a store and waits until others have its replicas.
+func (c *cluster) replaceStore(number int) {
+	c.t.Helper()
+	c.storage(number).kill()
+	c.run(deathDelay + 6*time.Second)
+	c.until("groups are complete", 5*time.Second, c.isComplete)
+}
+
 func TestReturningStore_SurplusReplicas_Removed(t *testing.T) {
 	// Given a store that was away for so long that others have its replicas,
 	cluster := newCluster(t, 5)
 	cluster.awaitPlacement()
 	turns := turnsOf(cluster, 0)
-	cluster.storage(1).kill()
-	cluster.run(deathDelay + 6*time.Second)
-	cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
+	cluster.replaceStore(1)
 
 	// when it comes back, then it holds only what it is to hold: what it had takes no memory.
 	cluster.storage(1).start()
--- a/internal/tier/program/chunk.go
+++ b/internal/tier/program/chunk.go
@@ -42,7 +42,7 @@
 	Output         []byte `json:"output,omitempty"`
 }
 
-// contentRecord is a piece of the content of a turn that exceeds a chunk. It is appended to the pieces before.
+// contentRecord is a fragment of the content of a turn that exceeds a chunk. It is appended to the fragments before.
 type contentRecord struct {
 	Input  []byte `json:"input,omitempty"`
 	Output []byte `json:"output,omitempty"`
--- a/internal/tier/replica/explore_confchange_world_test.go
+++ b/internal/tier/replica/explore_confchange_world_test.go
@@ -168,14 +168,7 @@
 	}
 	m.incoming = chunks
 	w.send(m, ready.MessagesBeforeSync)
-	writes := countWrites(ready)
-	switch crash {
-	case beforeWrites:
-		writes = 0
-	case afterFirstWrite:
-		writes = min(1, writes)
-	}
-	m.disk = save(m.disk, ready, writes)
+	m.disk = saveUntil(m.disk, ready, crash)
 	if crash != noCrash {
 		w.restart(i)
 		return
--- a/internal/tier/replica/explore_snapshot_test.go
+++ b/internal/tier/replica/explore_snapshot_test.go
@@ -59,11 +59,7 @@
 	for _, tc := range snapshotExplorations {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			found := explore(newSnapshotWorld(t, tc.c, tc.left), tc.depth-raceDepthReduction)
-			if found.violation != "" {
-				t.Error(found.violation)
-			}
-			t.Logf("%d states to depth %d", len(found.seen), tc.depth-raceDepthReduction)
+			requireSafeOrders(t, newSnapshotWorld(t, tc.c, tc.left), tc.depth)
 		})
 	}
 }
--- a/internal/tier/replica/explore_test.go
+++ b/internal/tier/replica/explore_test.go
@@ -49,11 +49,7 @@
 	for _, tc := range explorations {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			found := explore(newWorld(t, tc.disks, tc.left), tc.depth-raceDepthReduction)
-			if found.violation != "" {
-				t.Error(found.violation)
-			}
-			t.Logf("%d states to depth %d", len(found.seen), tc.depth-raceDepthReduction)
+			requireSafeOrders(t, newWorld(t, tc.disks, tc.left), tc.depth)
 		})
 	}
 }
--- a/internal/tier/replica/explore_world_test.go
+++ b/internal/tier/replica/explore_world_test.go
@@ -121,11 +121,8 @@
 	afterWrites                // and all writes have lasted, and nothing else was done
 )
 
-// applyReady carries out the Ready of a step at a member.
-func (w *world) applyReady(i int, ready Ready, crash crashPoint) {
-	m := &w.members[i]
-	w.receiveChunks(i, &ready)
-	w.send(ready.MessagesBeforeSync)
+// saveUntil applies the writes of a step that precede a crash.
+func saveUntil(disk Recovered, ready Ready, crash crashPoint) Recovered {
 	writes := countWrites(ready)
 	switch crash {
 	case beforeWrites:
@@ -133,7 +130,15 @@
 	case afterFirstWrite:
 		writes = min(1, writes)
 	}
-	m.disk = save(m.disk, ready, writes)
+	return save(disk, ready, writes)
+}
+
+// applyReady carries out the Ready of a step at a member.
+func (w *world) applyReady(i int, ready Ready, crash crashPoint) {
+	m := &w.members[i]
+	w.receiveChunks(i, &ready)
+	w.send(ready.MessagesBeforeSync)
+	m.disk = saveUntil(m.disk, ready, crash)
 	if crash != noCrash {
 		w.restart(i, explorationIDs[i])
 		return
--- a/internal/tier/replica/explorer_test.go
+++ b/internal/tier/replica/explorer_test.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"hash/maphash"
 	"strconv"
+	"testing"
 )
 
 // explorer visits all worlds up to a depth, each only once, the near ones first.
@@ -23,6 +24,17 @@
 	return e
 }
 
+// requireSafeOrders explores all orders of events up to a depth, less raceDepthReduction, and fails at the first violation.
+func requireSafeOrders(t *testing.T, start *world, depth int) {
+	t.Helper()
+	depth -= raceDepthReduction
+	found := explore(start, depth)
+	if found.violation != "" {
+		t.Error(found.violation)
+	}
+	t.Logf("%d states to depth %d", len(found.seen), depth)
+}
+
 // expand visits what is one event away from the frontier. The last level is looked at and not kept.
 func (e *explorer) expand(frontier []*world, keep bool) []*world {
 	var reached []*world
