--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -1,6 +1,9 @@
 package store
 
 import (
+	"bytes"
+	"encoding/binary"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -8,11 +11,13 @@
 	"testing"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 )
 
 var t0 = time.Unix(1_000_000, 0)
 
+// put has a call of its own set a value.
 func put(t testing.TB, s *Store, now time.Time, key, value string, ttl time.Duration) {
 	t.Helper()
 	tx := s.Begin(now)
@@ -24,46 +29,72 @@
 	}
 }
 
-func has(s *Store, now time.Time, key string) string {
-	v, ok := s.Begin(now).Get(key)
-	return fmt.Sprintf("%s %t", v, ok)
+// lookup is what a new call reads of a key: the value, and whether there is one.
+func lookup(s *Store, now time.Time, key string) string {
+	value, ok := s.Begin(now).Get(key)
+	return fmt.Sprintf("%s %t", value, ok)
 }
 
-var lim = Limits{Bytes: 400, Entries: 5, KeySize: 10, ValueSize: 100}
+// testLimits are small enough for random calls to reach them.
+var testLimits = Limits{Bytes: 400, Entries: 5, KeySize: 10, ValueSize: 100}
 
-func TestTx_CommitsAllOrNothing(t *testing.T) {
-	s := New(lim)
+func TestTx_BeforeCommit_SeenByItselfOnly(t *testing.T) {
+	s := New(testLimits)
 	tx := s.Begin(t0)
 	_ = tx.Set("a", []byte("1"), 0)
-	if has(s, t0, "a") != " false" {
-		t.Error("seen before it was committed")
+	if got := lookup(s, t0, "a"); got != " false" {
+		t.Errorf("another call sees %q before it was committed", got)
+	}
+	if value, ok := tx.Get("a"); !ok || string(value) != "1" {
+		t.Errorf("the call itself sees %q, %t", value, ok)
 	}
 	tx.Delete("a")
 	if _, ok := tx.Get("a"); ok {
 		t.Error("seen after it was deleted")
 	}
-	_ = tx.Set("a", []byte("2"), time.Second)
-	_ = tx.Commit()
-	if has(s, t0, "a") != "2 true" || has(s, t0.Add(time.Second), "a") != " false" {
+}
+
+func TestTx_ValueForATime_Expires(t *testing.T) {
+	s := New(testLimits)
+	put(t, s, t0, "a", "2", time.Second)
+	if lookup(s, t0, "a") != "2 true" || lookup(s, t0.Add(time.Second), "a") != " false" {
 		t.Error("want it for a second")
 	}
-	for _, c := range []struct {
+}
+
+func TestTx_InvalidEntry_IsRefused(t *testing.T) {
+	s := New(testLimits)
+	for name, c := range map[string]struct {
 		key, value string
 		want       error
-	}{{"", "x", ErrKey}, {"12345678901", "x", ErrKey}, {"b", strings.Repeat("x", 101), ErrValue}} {
-		if err := s.Begin(t0).Set(c.key, []byte(c.value), 0); err != c.want {
-			t.Errorf("%v, want %v", err, c.want)
-		}
+	}{
+		"empty key":      {"", "x", ErrKey},
+		"key too long":   {"12345678901", "x", ErrKey},
+		"value too long": {"b", strings.Repeat("x", 101), ErrValue},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := s.Begin(t0).Set(c.key, []byte(c.value), 0); err != c.want {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
 	}
-	// What is out of date makes room; what another call took first does not.
-	one, two := s.Begin(t0.Add(time.Minute)), s.Begin(t0.Add(time.Minute))
-	for i := range 5 {
-		if err := one.Set(fmt.Sprint(i), []byte("x"), 0); err != nil {
+}
+
+// TestTx_StoreFull_ExpiredMakesRoomFirstCommitWins: what has expired makes room; what another call took first does not.
+func TestTx_StoreFull_ExpiredMakesRoomFirstCommitWins(t *testing.T) {
+	s := New(testLimits)
+	put(t, s, t0, "expired", "2", time.Second)
+	later := t0.Add(time.Minute)
+	first, second := s.Begin(later), s.Begin(later)
+	for i := range testLimits.Entries {
+		if err := first.Set(fmt.Sprint(i), []byte("x"), 0); err != nil {
 			t.Error(err)
 		}
 	}
-	_ = two.Set("z", []byte("x"), 0)
-	if one.Commit() != nil || two.Commit() != ErrFull {
+	if err := second.Set("z", []byte("x"), 0); err != nil {
+		t.Error(err)
+	}
+	if first.Commit() != nil || second.Commit() != ErrFull {
 		t.Error("want the second refused")
 	}
 	if n, size := s.Len(); n != 5 || size != 5*(2+entryOverhead) {
@@ -71,10 +102,33 @@
 	}
 }
 
+// TestTx_SetOverQuota_KeepsEarlierChange: a value that there is no room for leaves what the call has set before.
+func TestTx_SetOverQuota_KeepsEarlierChange(t *testing.T) {
+	s := New(testLimits)
+	put(t, s, t0, "a", strings.Repeat("x", 100), 0)
+	put(t, s, t0, "b", strings.Repeat("x", 100), 0)
+	put(t, s, t0, "c", strings.Repeat("x", 60), 0)
+	tx := s.Begin(t0)
+	if err := tx.Set("d", []byte("1"), 0); err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range []string{"d", "e"} {
+		if err := tx.Set(key, make([]byte, testLimits.ValueSize), 0); !errors.Is(err, ErrFull) {
+			t.Errorf("%s: %v, want %v", key, err, ErrFull)
+		}
+	}
+	if value, ok := tx.Get("d"); !ok || string(value) != "1" {
+		t.Errorf("the earlier value is %q, %t", value, ok)
+	}
+	if _, ok := tx.Get("e"); ok {
+		t.Error("a value that was refused is seen")
+	}
+}
+
 // TestStore_AnyCalls_KeepQuota: no run of calls takes a store over its quota, and its size is that of what is in it.
 func TestStore_AnyCalls_KeepQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now := New(lim), t0
+		s, now := New(testLimits), t0
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "s")) * time.Second)
 			tx := s.Begin(now)
@@ -91,62 +145,115 @@
 			}
 			n, size := s.Len()
 			counted := 0
-			for k, e := range s.entries {
-				counted += cost(k, e)
+			for key, e := range s.entries {
+				counted += entrySize(key, e)
 			}
-			if n > lim.Entries || size > lim.Bytes || size != counted {
+			if n > testLimits.Entries || size > testLimits.Bytes || size != counted {
 				t.Fatalf("%d entries, %d bytes, in truth %d", n, size, counted)
 			}
 		}
 	})
 }
 
-func TestStore_SaveAndLoad(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "p.store")
-	s := New(lim)
+// savedStore saves a store with a value for good, an empty one and one for a minute from t0, ten seconds after t0, and
+// returns the snapshot.
+func savedStore(t *testing.T) []byte {
+	t.Helper()
+	s := New(testLimits)
 	put(t, s, t0, "good", "1", 0)
 	put(t, s, t0, "empty", "", 0)
 	put(t, s, t0, "minute", "2", time.Minute)
+	file := filepath.Join(t.TempDir(), "p.store")
 	if err := s.Save(file, "p", t0.Add(10*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	whole, _ := os.ReadFile(file)
-	load := func(text []byte, now time.Time) (*Store, error) {
-		_ = os.WriteFile(file, text, 0o600)
-		s := New(lim)
-		return s, s.Load(file, "p", now)
+	snapshot, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		name  string
+	return snapshot
+}
+
+// loadStore loads a snapshot into a new store.
+func loadStore(t *testing.T, snapshot []byte, plugin string, now time.Time) (*Store, error) {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "p.store")
+	if err := os.WriteFile(file, snapshot, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := New(testLimits)
+	return s, s.Load(file, plugin, now)
+}
+
+func TestStore_Loaded_HasAged(t *testing.T) {
+	snapshot := savedStore(t)
+	for name, c := range map[string]struct {
 		after time.Duration
-		want  string // whether "minute" is there
-	}{{"while it is good", 59 * time.Second, "2 true"}, {"aged by the time between", 60 * time.Second, " false"},
-		{"the clock went backwards: its age is unknown", 9 * time.Second, " false"}} {
-		s, err := load(whole, t0.Add(c.after))
-		if err != nil || has(s, t0.Add(c.after), "minute") != c.want || has(s, t0, "good") != "1 true" || has(s, t0, "empty") != " true" {
-			t.Errorf("%s: %v, minute %s", c.name, err, has(s, t0.Add(c.after), "minute"))
-		}
+		want  string // of "minute"
+	}{
+		"before it expires":             {59 * time.Second, "2 true"},
+		"when it expires":               {60 * time.Second, " false"},
+		"with the clock gone backwards": {9 * time.Second, " false"}, // its age is unknown
+	} {
+		t.Run(name, func(t *testing.T) {
+			now := t0.Add(c.after)
+			s, err := loadStore(t, snapshot, "p", now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for key, want := range map[string]string{"minute": c.want, "good": "1 true", "empty": " true"} {
+				if got := lookup(s, now, key); got != want {
+					t.Errorf("%s: %q, want %q", key, got, want)
+				}
+			}
+		})
 	}
-	for i := range whole { // cut anywhere, or any byte another: never loaded
-		if s, err := load(whole[:i], t0); err == nil || has(s, t0, "good") != " false" {
+}
+
+// TestLoad_DamagedSnapshot_LeavesStoreEmpty: cut anywhere, or with any byte another, a snapshot is never loaded.
+func TestLoad_DamagedSnapshot_LeavesStoreEmpty(t *testing.T) {
+	snapshot := savedStore(t)
+	for i := range snapshot {
+		if s, err := loadStore(t, snapshot[:i], "p", t0); err == nil || lookup(s, t0, "good") != " false" {
 			t.Errorf("cut at %d: %v", i, err)
 		}
-		bad := append([]byte{}, whole...)
-		bad[i] ^= 0x10
-		if s, err := load(bad, t0); err == nil || has(s, t0, "good") != " false" {
+		damaged := bytes.Clone(snapshot)
+		damaged[i] ^= 0x10
+		if s, err := loadStore(t, damaged, "p", t0); err == nil || lookup(s, t0, "good") != " false" {
 			t.Errorf("byte %d another: %v", i, err)
 		}
 	}
-	later := append([]byte{}, whole...)
-	later[3] = 2
-	if _, err := load(later, t0); err == nil || !strings.Contains(err.Error(), "version 2") {
-		t.Errorf("a later version: %v", err)
-	}
-	_ = os.WriteFile(file, whole, 0o600)
-	if err := New(lim).Load(file, "q", t0); err == nil {
-		t.Error("another plug-in's snapshot is taken")
+}
+
+func TestLoad_UnusableSnapshot_SaysWhy(t *testing.T) {
+	snapshot := savedStore(t)
+	later, damaged := bytes.Clone(snapshot), bytes.Clone(snapshot)
+	later[versionOffset] = 2
+	damaged[len(damaged)-1] ^= 1
+	for name, c := range map[string]struct {
+		snapshot []byte
+		plugin   string
+		want     string
+	}{
+		"another file":                {[]byte("{}"), "p", "store: not a snapshot"},
+		"damaged":                     {damaged, "p", "store: the snapshot is damaged"},
+		"of a later version":          {later, "p", "store: a snapshot of version 2, this program reads 1"},
+		"of another plug-in":          {snapshot, "q", `store: the snapshot is of plug-in "p"`},
+		"without the CBOR it belongs": {emptyBody(), "p", "store: EOF"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := loadStore(t, c.snapshot, c.plugin, t0); err == nil || err.Error() != c.want {
+				t.Errorf("error %v, want %s", err, c.want)
+			}
+		})
 	}
-	if err := New(lim).Load(file+"none", "p", t0); err != nil {
-		t.Errorf("no file: %v", err)
+}
+
+// emptyBody is a snapshot whose checksum is right, but which has no value.
+func emptyBody() []byte { return binary.LittleEndian.AppendUint64([]byte(magic), xxhash.Sum64(nil)) }
+
+func TestLoad_MissingFile_IsNoError(t *testing.T) {
+	if err := New(testLimits).Load(filepath.Join(t.TempDir(), "none"), "p", t0); err != nil {
+		t.Error(err)
 	}
 }
