--- a/internal/relay/httpwire/answer.go
+++ b/internal/relay/httpwire/answer.go
@@ -2,16 +2,16 @@
 
 import "strconv"
 
-// Answer is what a handler returns. OnLost, if set, is called when it could not be written.
+// Answer is what a handler returns.
 type Answer struct {
-	Status       int
-	Header       []string // name, value, name, value...
+	Status       int      // HTTP status
+	Header       []string // names and values alternating
 	Body         []byte
-	NoErrorDelay bool // an error that is no sign of a client that hammers: the next request is read at once
-	OnLost       func()
+	NoErrorDelay bool   // an error after which the next request is read at once, without Limits.ErrorDelay
+	OnLost       func() // unless nil, called on the connection's goroutine when the answer could not be written
 }
 
-// AppendAnswer appends a as it goes over the wire.
+// AppendAnswer appends an answer as it goes over the wire; last: the connection ends with it.
 func AppendAnswer(b []byte, a *Answer, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
@@ -31,6 +31,7 @@
 	return append(b, a.Body...)
 }
 
+// appendHeaders appends header lines, from names and values alternating.
 func appendHeaders(b []byte, h []string) []byte {
 	for i := 0; i+1 < len(h); i += 2 {
 		b = append(b, h[i]...)
@@ -41,6 +42,7 @@
 	return b
 }
 
+// reasons are the reason phrases of the statuses that the relay answers with; others have none.
 var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
 	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
 	415: "Unsupported Media Type", 422: "Unprocessable Content", 429: "Too Many Requests",
--- a/internal/relay/httpwire/body.go
+++ b/internal/relay/httpwire/body.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// body reads what belongs to a head. toEnd: without a length it lasts until the connection ends.
+// body reads the body that belongs to a head; toEnd: without a length it lasts until the connection ends. It returns an Error for a body that is
+// too large or whose framing is unusable.
 func (r *Reader) body(h textproto.MIMEHeader, toEnd bool) ([]byte, error) {
 	r.limited.left = r.limits.BodySize + r.limits.HeadSize
 	lengths := h["Content-Length"]
@@ -45,11 +46,12 @@
 		}
 		return body, unexpectedEOF(peekErr)
 	}
-	r.largeBody = make([]byte, n) // given up with the message: few are as long, and connections are many
+	r.largeBody = make([]byte, n) // released with the message: few bodies are as long, and connections are many
 	_, err = io.ReadFull(r.buffer, r.largeBody)
 	return r.largeBody, unexpectedEOF(err)
 }
 
+// readAll reads a body of unknown length, up to BodySize.
 func (r *Reader) readAll(from io.Reader) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(from, int64(r.limits.BodySize)+1))
 	if err == nil && len(b) > r.limits.BodySize {
@@ -58,7 +60,7 @@
 	return b, unexpectedEOF(err)
 }
 
-// unexpectedEOF makes an end in the middle of a body an unexpected one.
+// unexpectedEOF converts an end in the middle of a message to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/relay/httpwire/call.go
+++ b/internal/relay/httpwire/call.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Stage tells how far a call came.
+// Stage is how far a call came.
 type Stage uint8
 
 // The stages.
 const (
 	Answered     Stage = iota // there is an answer
-	Malformed                 // there is one, of which at most the first line could be read: it has run
-	Withheld                  // it was called back before its first byte: it has not run
+	Malformed                 // there is one, of which at most the first line could be read: the call has run
+	Withheld                  // the call was recalled before its first byte: it has not run
 	NotConnected              // its last byte was never written: it has not run
-	Broken                    // the connection broke after that: it may have run
+	Broken                    // the connection broke after its last byte: it may have run
 	TimedOut                  // no answer came in time: it may have run
 	Canceled                  // the context was cancelled: it may have run
 )
 
-// AppendRequest appends a request as it goes over the wire.
+// AppendRequest appends a request as it goes over the wire. header has names and values alternating; a body of nil has no Content-Length.
 func AppendRequest(b []byte, method, path, host string, header []string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -40,51 +40,54 @@
 	return append(b, body...)
 }
 
-// Do makes one call: it writes request to a peer, at once and once, and hands the answer to use, whose bytes
-// hold until use returns; of a malformed answer it gets the status. A connection may take seconds to come up: mayWrite,
-// if not nil, is asked right before the first byte. When Do returns, the connection is idle or closed: no copy of
-// the call is still out.
-func (p *Pool) Do(ctx context.Context, to Peer, request []byte, mayWrite func() bool, use func(*Response)) Stage {
-	c := p.take(to)
-	reused := c != nil
+// Do makes one call: it writes request to a peer, in one write and once, and calls use with the answer, whose bytes are valid until use
+// returns; of a malformed answer use gets the status, 0 where even that can't be read. A connection may take seconds to come up: mayWrite,
+// if not nil, is asked right before the first byte. When Do returns, the connection is idle or closed: no copy of the call is still in
+// flight. It ends with ctx.
+func (p *Pool) Do(ctx context.Context, peer Peer, request []byte, mayWrite func() bool, use func(*Response)) Stage {
+	conn := p.take(peer)
+	reused := conn != nil
 	var idle time.Duration
 	if reused {
-		idle = time.Since(c.idleSince)
+		idle = time.Since(conn.idleSince)
 	} else {
 		var stage Stage
-		if c, stage = p.dial(ctx, to); c == nil {
+		if conn, stage = p.dial(ctx, peer); conn == nil {
 			return stage
 		}
 	}
-	// To ask may take a write to a disk. On a connection that has been used before the peer may end it meanwhile, or write what is
-	// left over: then it is not used, and nothing has run.
-	if mayWrite != nil && !mayWrite() || reused && !isQuiet(c.Conn) {
-		_ = c.Close()
+	// mayWrite may take a write to a disk. The peer may end a reused connection meanwhile, or write bytes that answer nothing: then the
+	// connection is not used, and nothing has run.
+	if mayWrite != nil && !mayWrite() || reused && !isQuiet(conn.Conn) {
+		_ = conn.Close()
 		return Withheld
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	answer, stage := c.call(ctx, request)
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(past) })
+	answer, stage := conn.call(ctx, request)
 	if answer != nil {
 		answer.FirstOnConnection = !reused
 		use(answer)
 	} else if stage == Broken && reused {
 		p.reduceTrust(idle)
 	}
-	// A stop that comes too late has spoilt the connection's deadline: it is not kept.
-	if !stop() || stage != Answered || answer.Close || c.reader.buffered() {
-		_ = c.Close()
+	// Where stop comes too late the connection has a deadline in the past, and can't be reused.
+	if !stop() || stage != Answered || answer.Close || conn.reader.buffered() {
+		_ = conn.Close()
 		return stage
 	}
-	p.keep(to, c)
+	p.keep(peer, conn)
 	return stage
 }
 
-// dial opens a connection; nil: there is none, for the reason that the stage tells.
-func (p *Pool) dial(ctx context.Context, to Peer) (*clientConn, Stage) {
+// past is a deadline that ends reads and writes at once.
+var past = time.Unix(1, 0)
+
+// dial opens a connection; nil: there is none, for the reason that the stage says.
+func (p *Pool) dial(ctx context.Context, peer Peer) (*clientConn, Stage) {
 	dialer := net.Dialer{Timeout: p.limits.ConnectTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", to.Address)
+	conn, err := dialer.DialContext(ctx, "tcp", peer.Address)
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled): // called off, or back, before it came up: that tells nothing of the peer
+	case errors.Is(ctx.Err(), context.Canceled): // cancelled before it came up: that says nothing about the peer
 		if err == nil {
 			_ = conn.Close()
 		}
@@ -95,7 +98,7 @@
 	return &clientConn{Conn: conn, reader: NewReader(conn, p.limits), limits: p.limits}, Answered
 }
 
-// call writes a request and reads its answer, past interim ones; nil: there is none, for the reason that the stage tells.
+// call writes a request and reads its final answer, past at most MaxInterim interim ones; nil: there is none, for the reason that the stage says.
 func (c *clientConn) call(ctx context.Context, request []byte) (*Response, Stage) {
 	if _, err := c.Write(request); err != nil {
 		return nil, NotConnected
@@ -104,7 +107,7 @@
 		if err := c.reader.await(); err != nil {
 			break
 		}
-		// An answer comes in one piece: one that stops half-way, or never ends, must not hold its slot for long.
+		// An answer that stops half-way, or never ends, must not occupy its slot for long.
 		c.setReadDeadline(ctx, time.Now().Add(c.limits.AnswerRead))
 		answer, err := c.reader.ReadResponse()
 		c.setReadDeadline(ctx, time.Time{})
@@ -126,9 +129,9 @@
 	return nil, Broken
 }
 
-// setReadDeadline sets the deadline for reading, unless ctx has ended: that one stands.
+// setReadDeadline sets the deadline for reading, unless ctx has ended: then reading ends at once.
 func (c *clientConn) setReadDeadline(ctx context.Context, t time.Time) {
 	if _ = c.SetReadDeadline(t); ctx.Err() != nil {
-		_ = c.SetReadDeadline(time.Unix(1, 0))
+		_ = c.SetReadDeadline(past)
 	}
 }
--- a/internal/relay/httpwire/connection.go
+++ b/internal/relay/httpwire/connection.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// phase is where a client's connection stands. With no room left those of the lowest phase go first.
+// phase is the state of a client's connection. Where there are too many, those of the lowest phase are closed first.
 type phase uint8
 
 const (
-	lingering phase = iota // it has had its last answer
+	lingering phase = iota // it has had its last answer, see closeLingering
 	idle                   // between requests
-	reading                // a request has begun to come
-	answering              // one is being answered
+	reading                // a request has arrived in part
+	answering              // a request is being answered
 )
 
-// serverConn is one client's connection.
+// serverConn is one client's connection. It belongs to the goroutine of serve, but for the fields that server.mu guards.
 type serverConn struct {
 	net.Conn
 	server *Server
 	reader *Reader
-	buffer []byte
+	buffer []byte // reused for answers
 
 	// Guarded by server.mu:
 	phase  phase
-	served bool      // it has handed in a complete request
-	since  time.Time // when it was opened, or came to that phase
+	served bool      // it has sent a complete request
+	since  time.Time // when it was opened, or entered that phase
 }
 
-// closable tells whether the connection can be closed without taking an answer from a client that waits for it.
+// closable reports whether the connection can be closed without depriving a client of an answer that it waits for.
 func (c *serverConn) closable(now time.Time, timeout time.Duration) bool {
 	switch c.phase {
 	case idle: // a request may have come that nobody has read yet
@@ -42,7 +42,7 @@
 	return c.phase == lingering
 }
 
-// closesBefore tells whether c makes room before other does.
+// closesBefore reports whether c is to be closed before other, where there are too many connections.
 func (c *serverConn) closesBefore(other *serverConn) bool {
 	switch {
 	case c.phase != other.phase:
@@ -53,7 +53,7 @@
 	return c.since.Before(other.since)
 }
 
-// setPhase notes where the connection stands now; false: it has been closed to make room.
+// setPhase sets the connection's phase; false: it has been closed since there were too many.
 func (c *serverConn) setPhase(to phase) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -62,7 +62,7 @@
 	return c.server.connections[c]
 }
 
-// serve answers requests until the connection is at its end.
+// serve answers requests until the connection ends, and closes it. It is a goroutine of its own.
 func (c *serverConn) serve() {
 	defer func() {
 		c.server.mu.Lock()
@@ -71,21 +71,21 @@
 		_ = c.Close()
 		c.server.done.Done()
 	}()
-	// The first request must be complete soon after the connection came up, however its bytes trickle in.
-	by := c.since.Add(c.server.limits.FrontRead)
-	for c.serveRequest(by) && c.setPhase(idle) {
-		by = time.Time{}
+	// The first request must be complete soon after the connection came up, however slowly its bytes come.
+	deadline := c.since.Add(c.server.limits.FrontRead)
+	for c.serveRequest(deadline) && c.setPhase(idle) {
+		deadline = time.Time{}
 	}
 }
 
-// serveRequest reads and answers one request, which must be complete by then, or within FrontRead of its first byte;
-// false: the connection is at its end.
-func (c *serverConn) serveRequest(by time.Time) bool {
-	by, err := c.awaitRequest(by)
+// serveRequest reads and answers one request, which must be complete by the deadline, or, with the zero time, within FrontRead of its first byte;
+// false: the connection must end.
+func (c *serverConn) serveRequest(deadline time.Time) bool {
+	deadline, err := c.awaitRequest(deadline)
 	if err != nil || !c.setPhase(reading) {
 		return false
 	}
-	_ = c.SetReadDeadline(by)
+	_ = c.SetReadDeadline(deadline)
 	request, err := c.reader.ReadRequest(func() error {
 		_, writeErr := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		return writeErr
@@ -97,7 +97,7 @@
 		answer = Answer{Status: malformed.Status, Body: []byte(malformed.Reason + "\n")}
 	case err != nil:
 		return false
-	case peerClosed(c.Conn) || !c.setPhase(answering): // its client has gone, or it has made room for others: nobody would hear an answer
+	case peerClosed(c.Conn) || !c.setPhase(answering): // its client has left, or it was closed for another one: nobody would get the answer
 		return false
 	default:
 		answer = c.server.handle(request)
@@ -105,30 +105,30 @@
 	return c.writeAnswer(&answer, malformed != nil || request.Close)
 }
 
-// awaitRequest waits for the first byte of a request, for as long as the connection may be idle, and returns by when it must be complete.
-func (c *serverConn) awaitRequest(by time.Time) (time.Time, error) {
+// awaitRequest waits for the first byte of a request, for as long as the connection may be idle, and returns the deadline for the complete one:
+// the given one, unless that is zero.
+func (c *serverConn) awaitRequest(deadline time.Time) (time.Time, error) {
 	limits := c.server.limits
 	_ = c.SetReadDeadline(time.Now().Add(limits.FrontIdle))
 	if c.server.closing.Load() && !c.reader.buffered() {
-		_ = c.SetReadDeadline(time.Unix(1, 0))
+		_ = c.SetReadDeadline(past)
 	}
 	err := c.reader.await()
-	if by.IsZero() {
-		by = time.Now().Add(limits.FrontRead)
+	if deadline.IsZero() {
+		deadline = time.Now().Add(limits.FrontRead)
 	}
-	// It has been idle for long enough. A request that has come in this very moment is answered; one that comes from here on is never
-	// read, so the close resets it: its client knows by that, and only by that, that it may hand it in once more.
+	// The connection has been idle for too long. A request that came in this very moment is answered; one that comes from here on is never
+	// read, so that the close resets the connection: by that, and only by that, its client knows that it may submit the request again.
 	if errors.Is(err, os.ErrDeadlineExceeded) && !isQuiet(c.Conn) {
-		_ = c.SetReadDeadline(by)
+		_ = c.SetReadDeadline(deadline)
 		err = c.reader.await()
 	}
-	return by, err
+	return deadline, err
 }
 
-// writeAnswer answers a request; false: that was the connection's last answer.
+// writeAnswer writes the answer to a request; false: it was the connection's last one, or could not be written.
 func (c *serverConn) writeAnswer(answer *Answer, last bool) bool {
-	// A client that hands in what can't be used, and has more of it on the way already, is cut short; with
-	// little room left no client keeps its connection.
+	// The connection ends where the client has sent more behind a request that was refused, and where there are nearly too many.
 	last = last || c.server.keepAlivesDisabled.Load() || c.server.closing.Load() || c.server.crowded() ||
 		answer.Status >= 400 && c.reader.buffered()
 	c.buffer = AppendAnswer(c.buffer[:0], answer, last)
@@ -140,17 +140,17 @@
 		return false
 	}
 	if last {
-		c.lingerClose()
-	} else if answer.Status >= 400 && !answer.NoErrorDelay { // whoever comes again at once waits, and not the relay
+		c.closeLingering()
+	} else if answer.Status >= 400 && !answer.NoErrorDelay { // slows down a client that repeats at once
 		time.Sleep(c.server.limits.ErrorDelay)
 	}
 	return !last
 }
 
-// lingerClose ends the connection after its last answer so that this arrives: it sends the end, and reads on until the client has ended it
-// too, for a moment. Bytes left unread at the close, or that come after it, would turn the answer into a reset. What is read here
-// is never handled.
-func (c *serverConn) lingerClose() {
+// closeLingering ends the connection after its last answer so that the answer arrives: it ends its sending, and reads on until the client has
+// ended too, for FrontLinger at most (RFC 9112, section 9.6). Bytes that are unread at the close, or that come after it, would make the client's
+// system discard the answer with a reset. What is read here is never handled.
+func (c *serverConn) closeLingering() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || !c.setPhase(lingering) || half.CloseWrite() != nil {
 		return
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -16,8 +16,8 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// unread waits until bytes have come to a server's only connection that nobody has read.
-func unread(t *testing.T, s *Server) {
+// awaitUnread waits until bytes have come to a server's only connection that nobody has read.
+func awaitUnread(t *testing.T, s *Server) {
 	t.Helper()
 	for range 2000 {
 		come := false
@@ -33,61 +33,61 @@
 // TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every time: the handler has
 // them sent. The answer arrives whole, and after it the end, not a reset, which may take the answer along.
 func TestServer_CloseOverUnreadBytes_AnswerArrives(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		request string
 		before  func(*Server)
 		status  string
 	}{
 		"the client asks for the end":    {"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", func(*Server) {}, "200 OK"},
 		"the relay has been told to end": {"GET / HTTP/1.1\r\n\r\n", (*Server).DisableKeepAlives, "200 OK"},
-		"there is little room left":      {"GET / HTTP/1.1\r\n\r\n", func(s *Server) { s.limits.ClientConnections = 1 }, "200 OK"},
+		"there is little room left":      {"GET / HTTP/1.1\r\n\r\n", func(server *Server) { server.limits.ClientConnections = 1 }, "200 OK"},
 		"a faulty request":               {"GET / HTTP/9\r\n\r\n" + strings.Repeat("x", 9000), func(*Server) {}, "400 Bad Request"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := wiretest.Listen(t)
-			conn := wiretest.Dial(t, l.Addr().String())
-			var s *Server
-			s = NewServer(limits(), func(q *Request) Answer {
+			listener := wiretest.Listen(t)
+			conn := wiretest.Dial(t, listener.Addr().String())
+			var server *Server
+			server = NewServer(limits(), func(request *Request) Answer {
 				_, _ = conn.Write([]byte("GET /next HTTP/1.1\r\n\r\n"))
-				unread(t, s)
-				return echo(q)
+				awaitUnread(t, server)
+				return echo(request)
 			})
-			s.limits.FrontLinger = time.Minute
-			c.before(s)
-			go func() { _ = s.Serve(l) }()
-			_, _ = conn.Write([]byte(c.request))
+			server.limits.FrontLinger = time.Minute
+			test.before(server)
+			go func() { _ = server.Serve(listener) }()
+			_, _ = conn.Write([]byte(test.request))
 			got, err := io.ReadAll(conn)
-			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+c.status) || strings.Count(string(got), "HTTP/1.1") != 1 {
+			if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 "+test.status) || strings.Count(string(got), "HTTP/1.1") != 1 {
 				t.Errorf("the client reads %q, %v", got, err)
 			}
 			_ = conn.Close()
-			_ = l.Close()
-			s.Close(time.Minute)
+			_ = listener.Close()
+			server.Close(time.Minute)
 		})
 	}
 }
 
-// late is a connection whose time runs out in the moment in which come is called, or which is closed in that moment.
-type late struct {
+// racingConn is a connection that times out, or is closed, in the very moment in which a request arrives.
+type racingConn struct {
 	*net.TCPConn
-	come     func()
-	at       string // Read or Close
+	arrive   func() // has a request arrive
+	moment   string // "Read" or "Close": when it does
 	timedOut bool
 }
 
-func (c *late) Read(b []byte) (int, error) {
+func (c *racingConn) Read(b []byte) (int, error) {
 	if c.timedOut {
 		return c.TCPConn.Read(b)
 	}
-	if c.timedOut = true; c.at == "Read" {
-		c.come()
+	if c.timedOut = true; c.moment == "Read" {
+		c.arrive()
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-func (c *late) Close() error {
-	if c.at == "Close" {
-		c.come()
+func (c *racingConn) Close() error {
+	if c.moment == "Close" {
+		c.arrive()
 	}
 	return c.TCPConn.Close()
 }
@@ -95,20 +95,20 @@
 // TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its connection, which rested, is given up. Before the relay has made up
 // its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
 func TestServer_IdleCloseRacesRequest_AnswersOrEnds(t *testing.T) {
-	for _, at := range []string{"Read", "Close"} {
-		l := wiretest.Listen(t)
-		conn := wiretest.Dial(t, l.Addr().String())
-		raw, err := l.Accept()
+	for _, moment := range []string{"Read", "Close"} {
+		listener := wiretest.Listen(t)
+		conn := wiretest.Dial(t, listener.Addr().String())
+		raw, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		handled := 0
-		s := NewServer(limits(), func(*Request) Answer {
+		server := NewServer(limits(), func(*Request) Answer {
 			handled++
 			return Answer{Status: 429}
 		})
-		s.DisableKeepAlives()
-		f := s.admit(&late{raw.(*net.TCPConn), func() {
+		server.DisableKeepAlives()
+		served := server.admit(&racingConn{raw.(*net.TCPConn), func() {
 			_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 			for range 2000 {
 				if !isQuiet(raw) {
@@ -116,53 +116,53 @@
 				}
 				time.Sleep(time.Millisecond)
 			}
-		}, at, false})
-		s.limits.FrontLinger = time.Minute
-		go f.serve()
+		}, moment, false})
+		server.limits.FrontLinger = time.Minute
+		go served.serve()
 		got, err := io.ReadAll(conn)
-		if at == "Read" && (err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429") || handled != 1) {
+		if moment == "Read" && (err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429") || handled != 1) {
 			t.Errorf("before: the client reads %q, %v; handled %d times", got, err, handled)
 		}
-		if at == "Close" && (!errors.Is(err, syscall.ECONNRESET) || len(got) > 0 || handled != 0) {
+		if moment == "Close" && (!errors.Is(err, syscall.ECONNRESET) || len(got) > 0 || handled != 0) {
 			t.Errorf("after: the client reads %q, %v; handled %d times", got, err, handled)
 		}
 		_ = conn.Close()
-		s.Close(time.Minute)
+		server.Close(time.Minute)
 	}
 }
 
-// TestServer_CrowdOfHalfRequests_CompleteRequestIsServed: a crowd that begins its requests and never ends them has all the room there is. Whoever comes with a whole request is
-// served, and the relay ends in time all the same.
-func TestServer_CrowdOfHalfRequests_CompleteRequestIsServed(t *testing.T) {
-	lim := limits()
-	lim.AnswerWithin = 300 * time.Millisecond
-	l := wiretest.Listen(t)
-	s := NewServer(lim, echo)
-	go func() { _ = s.Serve(l) }()
-	for range lim.ClientConnections {
-		conn := wiretest.Dial(t, l.Addr().String())
+// TestServer_ManyIncompleteRequests_CompleteOneIsServed: clients that never complete their requests have all the connections that there may be. One with a
+// complete request is served, and the server still ends in time.
+func TestServer_ManyIncompleteRequests_CompleteOneIsServed(t *testing.T) {
+	limited := limits()
+	limited.AnswerWithin = 300 * time.Millisecond
+	listener := wiretest.Listen(t)
+	server := NewServer(limited, echo)
+	go func() { _ = server.Serve(listener) }()
+	for range limited.ClientConnections {
+		conn := wiretest.Dial(t, listener.Addr().String())
 		_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nX-Begun: "))
 	}
-	for begun := 0; begun < lim.ClientConnections; time.Sleep(time.Millisecond) {
-		begun = 0
-		s.each(func(f *serverConn) {
-			if f.phase == reading {
-				begun++
-				f.since = time.Now().Add(-time.Second) // they have been at it for longer than a client waits
+	for incomplete := 0; incomplete < limited.ClientConnections; time.Sleep(time.Millisecond) {
+		incomplete = 0
+		server.each(func(conn *serverConn) {
+			if conn.phase == reading {
+				incomplete++
+				conn.since = time.Now().Add(-time.Second) // they have been at it for longer than a client waits
 			}
 		})
 	}
-	wiretest.Run(t, wiretest.Dial(t, l.Addr().String()), "testdata/hurry/served.txt")
-	_ = l.Close()
-	s.Close(time.Millisecond) // those that have not ended by then are cut off
-	if len(s.connections) != 0 {
-		t.Errorf("%d connections are left", len(s.connections))
+	wiretest.Run(t, wiretest.Dial(t, listener.Addr().String()), "testdata/hurry/served.txt")
+	_ = listener.Close()
+	server.Close(time.Millisecond) // those that have not ended by then are cut off
+	if len(server.connections) != 0 {
+		t.Errorf("%d connections are left", len(server.connections))
 	}
 }
 
-// TestPool_PeerEndsKeptConnection_RetriesOnNew: the peer ends a kept connection, or writes half a line to it, between the relay's choice of it and the first byte,
+// TestPool_PeerEndsReusedConnection_CallIsWithheld: the peer ends a reused connection, or writes half a line to it, between the relay's choice of it and the first byte,
 // every time: the question whether it may write does that. Nothing is written, and nothing may have run.
-func TestPool_PeerEndsKeptConnection_RetriesOnNew(t *testing.T) {
+func TestPool_PeerEndsReusedConnection_CallIsWithheld(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"ends it":       func(c net.Conn) { _ = c.Close() },
 		"resets it":     func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
@@ -170,11 +170,11 @@
 		"a late answer": func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := wiretest.Listen(t)
+			listener := wiretest.Listen(t)
 			came := make(chan net.Conn, 1)
 			requests := make(chan string, 9)
 			go func() {
-				conn, err := l.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
@@ -188,25 +188,25 @@
 					_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				}
 			}()
-			p, to := NewPool(limits()), Peer{"s-1", l.Addr().String()}
-			if got := p.Do(t.Context(), to, []byte("GET /1 HTTP/1.1\r\n\r\n"), nil, func(*Response) {}); got != Answered {
+			pool, peer := NewPool(limits()), Peer{"s-1", listener.Addr().String()}
+			if got := pool.Do(t.Context(), peer, []byte("GET /1 HTTP/1.1\r\n\r\n"), nil, func(*Response) {}); got != Answered {
 				t.Fatalf("stage %d", got)
 			}
-			kept := p.idle[to][0]
+			reused := pool.idle[peer][0]
 			conn := <-came
-			may := func() bool {
+			mayWrite := func() bool {
 				act(conn)
 				for range 2000 {
-					if !isQuiet(kept.Conn) {
+					if !isQuiet(reused.Conn) {
 						break
 					}
 					time.Sleep(time.Millisecond)
 				}
 				return true
 			}
-			got := p.Do(t.Context(), to, []byte("GET /2 HTTP/1.1\r\n\r\n"), may, func(r *Response) { t.Errorf("it is answered %d", r.Status) })
-			if got != Withheld || p.count != 0 {
-				t.Errorf("stage %d with %d connections kept, want %d with none", got, p.count, Withheld)
+			got := pool.Do(t.Context(), peer, []byte("GET /2 HTTP/1.1\r\n\r\n"), mayWrite, func(r *Response) { t.Errorf("it is answered %d", r.Status) })
+			if got != Withheld || pool.count != 0 {
+				t.Errorf("stage %d with %d connections idle, want %d with none", got, pool.count, Withheld)
 			}
 			_ = conn.Close()
 			if first := <-requests; first != "/1" || len(requests) != 0 {
@@ -228,53 +228,53 @@
 		return true
 	}, nil)
 	if got != Withheld || p.count != 0 {
-		t.Errorf("stage %d with %d connections kept", got, p.count)
+		t.Errorf("stage %d with %d connections idle", got, p.count)
 	}
 }
 
-// asleep is a connection that is not read before its client has gone.
-type asleep struct {
+// stalledConn is a connection that is not read before its client has left.
+type stalledConn struct {
 	*net.TCPConn
-	gone <-chan struct{}
+	left <-chan struct{}
 }
 
-func (c *asleep) Read(b []byte) (int, error) {
-	<-c.gone
+func (c *stalledConn) Read(b []byte) (int, error) {
+	<-c.left
 	return c.TCPConn.Read(b)
 }
 
-// TestServer_ClientGone_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped for a while, or has little
+// TestServer_ClientLeft_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped for a while, or has little
 // processor time. Its client hands it in elsewhere: it is not handled, and nothing runs twice for it.
-func TestServer_ClientGone_RequestIsNotHandled(t *testing.T) {
+func TestServer_ClientLeft_RequestIsNotHandled(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
-		l := wiretest.Listen(t)
-		conn := wiretest.Dial(t, l.Addr().String()).(*net.TCPConn)
-		raw, err := l.Accept()
+		listener := wiretest.Listen(t)
+		conn := wiretest.Dial(t, listener.Addr().String()).(*net.TCPConn)
+		raw, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := NewServer(limits(), func(*Request) Answer {
-			t.Errorf("%s: the request of a client that has gone is handled", name)
+		server := NewServer(limits(), func(*Request) Answer {
+			t.Errorf("%s: the request of a client that has left is handled", name)
 			return Answer{Status: 202}
 		})
-		gone, ended := make(chan struct{}), make(chan struct{})
-		f := s.admit(&asleep{raw.(*net.TCPConn), gone})
-		go func() { f.serve(); close(ended) }()
+		left, ended := make(chan struct{}), make(chan struct{})
+		served := server.admit(&stalledConn{raw.(*net.TCPConn), left})
+		go func() { served.serve(); close(ended) }()
 		_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 		leave(conn)
 		for range 2000 { // until its end has come too
 			var info *unix.TCPInfo
-			sc, _ := raw.(*net.TCPConn).SyscallConn()
-			_ = sc.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+			socket, _ := raw.(*net.TCPConn).SyscallConn()
+			_ = socket.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
 			if err == nil && info.State != 1 { // it is not established any more
 				break
 			}
 			time.Sleep(time.Millisecond)
 		}
-		close(gone)
+		close(left)
 		<-ended
 	}
 }
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -40,68 +40,73 @@
 	}
 }
 
+// ok is a complete answer.
+const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+// callEnds are the ways in which a call can end.
+var callEnds = []struct {
+	name   string
+	answer func(conn net.Conn, cancel func())
+	want   Stage
+	idle   int // connections that can be reused
+}{
+	{"answered", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok)) }, Answered, 1},
+	{"answered, and closed", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte("HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+	}, Answered, 0},
+	{"more than an answer: the connection is spoilt", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok + "x")) }, Answered, 0},
+	{"broken after the last byte", func(c net.Conn, _ func()) { _ = c.Close() }, Broken, 0},
+	{"past provisional answers", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + ok))
+	}, Answered, 1},
+	{"provisional answers without end", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)))
+	}, Broken, 0},
+	{"truncated within the answer", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok[:30])); _ = c.Close() }, Malformed, 0},
+	{"noise, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Malformed, 0},
+	{"no status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Malformed, 0},
+	{"unreadable head", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Malformed, 0},
+	{"a head without end", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4<<10)))
+	}, Malformed, 0},
+	{"3 GB to come", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"))
+	}, Malformed, 0},
+	{"less than its length", func(c net.Conn, _ func()) {
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"))
+	}, Malformed, 0},
+	{"called off", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
+}
+
 // TestPool_EveryEnd_HasItsStage tells apart the ways in which a call can end: each decides whether the message may be sent again.
 func TestPool_EveryEnd_HasItsStage(t *testing.T) {
-	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	for _, c := range []struct {
-		name   string
-		answer func(conn net.Conn, cancel func())
-		want   Stage
-		kept   int
-	}{
-		{"answered", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok)) }, Answered, 1},
-		{"answered, and closed", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte("HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-		}, Answered, 0},
-		{"more than an answer: the connection is spoilt", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok + "x")) }, Answered, 0},
-		{"broken after the last byte", func(c net.Conn, _ func()) { _ = c.Close() }, Broken, 0},
-		{"past provisional answers", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + ok))
-		}, Answered, 1},
-		{"provisional answers without end", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)))
-		}, Broken, 0},
-		{"cut within the answer", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok[:30])); _ = c.Close() }, Malformed, 0},
-		{"noise, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Malformed, 0},
-		{"no status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Malformed, 0},
-		{"unreadable head", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Malformed, 0},
-		{"a head without end", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4<<10)))
-		}, Malformed, 0},
-		{"3 GB to come", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"))
-		}, Malformed, 0},
-		{"less than its length", func(c net.Conn, _ func()) {
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"))
-		}, Malformed, 0},
-		{"called off", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			l := wiretest.Listen(t)
+	for _, test := range callEnds {
+		t.Run(test.name, func(t *testing.T) {
+			listener := wiretest.Listen(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() {
-				conn, err := l.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
 				if _, err := NewReader(conn, limits()).ReadRequest(nil); err == nil {
-					c.answer(conn, cancel)
+					test.answer(conn, cancel)
 				}
 			}()
-			lim := limits()
-			lim.AnswerRead = 100 * time.Millisecond // only "less than its length" waits for it
-			p := NewPool(lim)
-			address := l.Addr().String()
-			got := p.Do(ctx, Peer{Address: address}, AppendRequest(nil, "POST", "/", address, nil, []byte("hi")), nil, func(*Response) {})
-			if got != c.want || p.count != c.kept {
-				t.Errorf("stage %d with %d connections kept, want %d with %d", got, p.count, c.want, c.kept)
+			limited := limits()
+			limited.AnswerRead = 100 * time.Millisecond // only "less than its length" waits for it
+			pool := NewPool(limited)
+			address := listener.Addr().String()
+			got := pool.Do(ctx, Peer{Address: address}, AppendRequest(nil, "POST", "/", address, nil, []byte("hi")), nil, func(*Response) {})
+			if got != test.want || pool.count != test.idle {
+				t.Errorf("stage %d with %d idle connections, want %d with %d", got, pool.count, test.want, test.idle)
 			}
 		})
 	}
-	l := wiretest.Listen(t)
-	address := l.Addr().String()
-	_ = l.Close()
+	listener := wiretest.Listen(t)
+	address := listener.Addr().String()
+	_ = listener.Close()
 	if got := NewPool(limits()).Do(context.Background(), Peer{Address: address}, []byte("x"), nil, nil); got != NotConnected {
 		t.Errorf("a refused connection is stage %d, want %d", got, NotConnected)
 	}
@@ -123,11 +128,11 @@
 // TestPool_StaleConnection_RetriesOnNew guards against a request on a kept connection that the other side has closed: it would be lost
 // with the message, and may not be sent again without the core's knowing.
 func TestPool_StaleConnection_RetriesOnNew(t *testing.T) {
-	l := wiretest.Listen(t)
+	listener := wiretest.Listen(t)
 	closed := make(chan struct{})
 	go func() {
 		for i := range 2 {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -139,45 +144,45 @@
 			}
 		}
 	}()
-	p := NewPool(limits())
-	address := l.Addr().String()
+	pool := NewPool(limits())
+	address := listener.Addr().String()
 	request := AppendRequest(nil, "GET", "/", address, nil, nil)
 	for range 2 {
-		if got := p.Do(context.Background(), Peer{Address: address}, request, nil, func(r *Response) {
+		if got := pool.Do(context.Background(), Peer{Address: address}, request, nil, func(r *Response) {
 			if !r.FirstOnConnection {
-				t.Error("the first answer on its connection is not told to be")
+				t.Error("the first answer on its connection is not marked")
 			}
 		}); got != Answered {
 			t.Fatalf("stage %d, want an answer", got)
 		}
 		<-closed
 	}
-	if p.CloseIdle(Peer{Address: address}); p.count != 0 {
-		t.Errorf("%d connections left after Retire", p.count)
+	if pool.CloseIdle(Peer{Address: address}); pool.count != 0 {
+		t.Errorf("%d connections left after CloseIdle", pool.count)
 	}
 }
 
-func TestStream_Lines(t *testing.T) {
-	l := wiretest.Listen(t)
+func TestStream_ChunkedBody_YieldsLines(t *testing.T) {
+	listener := wiretest.Listen(t)
 	go func() {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err == nil {
 			_, _ = NewReader(conn, limits()).ReadRequest(nil)
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\n\nb\r\n1\r\n\n\r\n0\r\n\r\n"))
 		}
 	}()
-	s, err := OpenStream(context.Background(), l.Addr().String(), []byte("GET / HTTP/1.1\r\n\r\n"), limits())
+	stream, err := OpenStream(context.Background(), listener.Addr().String(), []byte("GET / HTTP/1.1\r\n\r\n"), limits())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer stream.Close()
 	var got []string
 	for {
-		line, err := s.Next(time.Now().Add(time.Minute))
+		received, err := stream.Next(time.Now().Add(time.Minute))
 		if err != nil {
 			break
 		}
-		got = append(got, string(line))
+		got = append(got, string(received))
 	}
 	if strings.Join(got, "|") != "a||b" {
 		t.Errorf("lines %q", got)
@@ -190,20 +195,20 @@
 	old, _ := net.Pipe()
 	p.keep(Peer{"s-1", "h:1"}, &clientConn{Conn: old})
 	if p.take(Peer{"s-2", "h:1"}) != nil || p.take(Peer{"s-1", "h:1"}) == nil {
-		t.Error("want the connection kept for s-1 alone")
+		t.Error("want the connection reused for s-1 alone")
 	}
 }
 
 // TestPool_IdleConnectionLost_ShorterTrust guards against machines that drop idle connections without a word: what stood idle for as long as one
 // on which a call was lost is not used, for a while.
 func TestPool_IdleConnectionLost_ShorterTrust(t *testing.T) {
-	lim := limits()
-	lim.IdleTrustMin, lim.IdleTrustDoubling = 100*time.Millisecond, time.Hour
-	p, to := NewPool(lim), Peer{"s-1", "h:1"}
+	limited := limits()
+	limited.IdleTrustMin, limited.IdleTrustDoubling = 100*time.Millisecond, time.Hour
+	pool, peer := NewPool(limited), Peer{"s-1", "h:1"}
 	usable := func(idle time.Duration) bool {
 		conn, _ := net.Pipe()
-		p.idle[to] = []*clientConn{{Conn: conn, idleSince: time.Now().Add(-idle)}}
-		return p.take(to) != nil
+		pool.idle[peer] = []*clientConn{{Conn: conn, idleSince: time.Now().Add(-idle)}}
+		return pool.take(peer) != nil
 	}
 	before := usable(30 * time.Second)
 	conn, lost := net.Pipe()
@@ -211,34 +216,34 @@
 		_, _ = lost.Read(make([]byte, 99))
 		_ = lost.Close()
 	}()
-	p.idle[to] = []*clientConn{{Conn: conn, reader: NewReader(conn, lim), limits: lim, idleSince: time.Now().Add(-20 * time.Second)}}
-	if got := p.Do(context.Background(), to, []byte("POST"), nil, nil); got != Broken {
+	pool.idle[peer] = []*clientConn{{Conn: conn, reader: NewReader(conn, limited), limits: limited, idleSince: time.Now().Add(-20 * time.Second)}}
+	if got := pool.Do(context.Background(), peer, []byte("POST"), nil, nil); got != Broken {
 		t.Fatalf("stage %d, want %d", got, Broken)
 	}
 	if !before || usable(20*time.Second) || !usable(10*time.Second) {
 		t.Error("want 30 s usable before the loss, and after it 10 s but not 20 s")
 	}
-	if p.reduceTrust(time.Millisecond); !usable(50 * time.Millisecond) {
+	if pool.reduceTrust(time.Millisecond); !usable(50 * time.Millisecond) {
 		t.Error("a connection used a moment ago is not trusted")
 	}
-	if p.idleTrustAt = time.Now().Add(-3 * time.Hour); !usable(700*time.Millisecond) || usable(900*time.Millisecond) {
+	if pool.idleTrustAt = time.Now().Add(-3 * time.Hour); !usable(700*time.Millisecond) || usable(900*time.Millisecond) {
 		t.Error("want 8 times as long trusted after three hours")
 	}
 }
 
-// TestServer_NoRoom_ClosesLeastUseful guards against a crowd that shuts out those who ask: with no room left the connections go in the order of the list,
-// and never one whose request is being answered or has just begun to come.
-func TestServer_NoRoom_ClosesLeastUseful(t *testing.T) {
-	lim := limits()
-	lim.AnswerWithin = 300 * time.Millisecond
-	s := NewServer(lim, echo)
+// TestServer_TooManyConnections_ClosesLeastUseful guards against idle clients that shut out others: connections are closed in the order of the
+// list, and never one whose request is being answered or has just begun to arrive.
+func TestServer_TooManyConnections_ClosesLeastUseful(t *testing.T) {
+	limited := limits()
+	limited.AnswerWithin = 300 * time.Millisecond
+	server := NewServer(limited, echo)
 	now := time.Now()
 	var want []*serverConn
 	add := func(p phase, served bool, ago time.Duration) {
 		conn, _ := net.Pipe()
-		f := s.admit(conn)
-		f.phase, f.served, f.since = p, served, now.Add(-ago)
-		want = append(want, f)
+		admitted := server.admit(conn)
+		admitted.phase, admitted.served, admitted.since = p, served, now.Add(-ago)
+		want = append(want, admitted)
 	}
 	add(lingering, true, time.Second)
 	add(lingering, true, time.Millisecond)
@@ -246,23 +251,23 @@
 	add(idle, true, time.Hour)
 	add(idle, true, time.Minute)
 	add(reading, false, time.Second) // its client does not wait any longer
-	gone := len(want)
+	closable := len(want)
 	add(reading, true, 0)
 	add(answering, true, time.Hour)
-	if lim.ClientConnections != len(want) {
-		t.Fatalf("room for %d, want %d", lim.ClientConnections, len(want))
+	if limited.ClientConnections != len(want) {
+		t.Fatalf("room for %d, want %d", limited.ClientConnections, len(want))
 	}
-	for i, out := range want[:gone] {
+	for i, evicted := range want[:closable] {
 		conn, _ := net.Pipe()
-		f := s.admit(conn)
-		if f == nil || s.connections[out] || out.setPhase(idle) {
-			t.Fatalf("connection %d did not make room", i)
+		admitted := server.admit(conn)
+		if admitted == nil || server.connections[evicted] || evicted.setPhase(idle) {
+			t.Fatalf("connection %d was not closed", i)
 		}
-		f.phase = answering
+		admitted.phase = answering
 	}
 	conn, other := net.Pipe()
-	if s.admit(conn) != nil || len(s.connections) != len(want) {
-		t.Error("a connection is taken on for which there is no room")
+	if server.admit(conn) != nil || len(server.connections) != len(want) {
+		t.Error("a connection is admitted beyond the limit")
 	}
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("it ends with %v", err)
@@ -271,13 +276,13 @@
 
 // TestServer_SilentClients_AreClosed guards against clients that say nothing, or begin and never end: both are closed by themselves.
 func TestServer_SilentClients_AreClosed(t *testing.T) {
-	lim := limits()
-	lim.FrontIdle, lim.FrontRead = 20*time.Millisecond, 40*time.Millisecond
-	l := wiretest.Listen(t)
-	s := NewServer(lim, echo)
-	go func() { _ = s.Serve(l) }()
+	limited := limits()
+	limited.FrontIdle, limited.FrontRead = 20*time.Millisecond, 40*time.Millisecond
+	listener := wiretest.Listen(t)
+	server := NewServer(limited, echo)
+	go func() { _ = server.Serve(listener) }()
 	for _, file := range []string{"testdata/hurry/silent.txt", "testdata/hurry/half.txt"} {
-		wiretest.Run(t, wiretest.Dial(t, l.Addr().String()), file)
+		wiretest.Run(t, wiretest.Dial(t, listener.Addr().String()), file)
 	}
 }
 
--- a/internal/relay/httpwire/pool.go
+++ b/internal/relay/httpwire/pool.go
@@ -10,30 +10,29 @@
 	"mastusher/internal/relay/config"
 )
 
-// Peer is a machine to call. One that takes over another's address is not the same, and must not be called on
-// the connections of the other.
+// Peer is a machine to call, by a unique name and its host and port. One that takes over another's address is another peer, and is not called
+// on the connections of the other.
 type Peer struct{ Name, Address string }
 
-// Pool makes calls and keeps connections for the next ones. It never sends a request twice.
+// Pool makes calls and reuses connections for later ones. It never sends a request twice.
 type Pool struct {
 	limits *config.Limits
 	mu     sync.Mutex // guards all that follows
-	// idle holds the connections that stand idle, the one used last at the end.
+	// idle has the idle connections to each peer, the one used last at the end.
 	idle  map[Peer][]*clientConn
 	count int // of idle connections, to all peers
-	// Some machines drop idle connections without a word, so that a request on one is lost, and may have run.
-	// What stood idle for longer than idleTrust is not used; it shrinks with each loss and doubles in IdleTrustDoubling.
-	// 0: none has been lost.
+	// Some machines drop idle connections silently, so that a request on one is lost, and may have run. A connection that was idle for
+	// longer than idleTrust is not used; it shrinks with each loss and doubles in IdleTrustDoubling. 0: none has been lost.
 	idleTrust   time.Duration
-	idleTrustAt time.Time
+	idleTrustAt time.Time // when idleTrust was set
 }
 
-// clientConn is one connection to a peer.
+// clientConn is one connection to a peer. It belongs to the pool while it is idle, and to one call otherwise.
 type clientConn struct {
 	net.Conn
 	reader    *Reader
 	limits    *config.Limits
-	idleSince time.Time
+	idleSince time.Time // set by keep
 }
 
 // NewPool returns an empty pool.
@@ -41,7 +40,7 @@
 	return &Pool{limits: limits, idle: map[Peer][]*clientConn{}}
 }
 
-// trustedIdle is how long a connection may have stood idle to be used.
+// trustedIdle is how long a connection may have been idle to be used.
 func (p *Pool) trustedIdle(now time.Time) time.Duration {
 	if p.idleTrust == 0 {
 		return p.limits.IdleSocket
@@ -50,7 +49,7 @@
 	return time.Duration(min(grown, float64(p.limits.IdleSocket)))
 }
 
-// reduceTrust notes that a call on a connection that had been idle for so long was lost.
+// reduceTrust records that a call on a connection that had been idle for so long was lost.
 func (p *Pool) reduceTrust(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,15 +57,15 @@
 	p.idleTrust, p.idleTrustAt = max(min(p.trustedIdle(now), idle*3/4), p.limits.IdleTrustMin), now
 }
 
-// take returns an idle connection that is still good, or nil. Those that stood too long, or that the other
-// side has closed or written to, are closed here: a request on one of them would be lost.
-func (p *Pool) take(to Peer) *clientConn {
+// take returns an idle connection that is still usable, or nil. Those that were idle for too long, or that the peer has closed or written to,
+// are closed here: a request on one of them would be lost.
+func (p *Pool) take(peer Peer) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for list := p.idle[to]; len(list) > 0; {
+	for list := p.idle[peer]; len(list) > 0; {
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
-		p.idle[to] = list
+		p.idle[peer] = list
 		p.count--
 		if time.Since(c.idleSince) < p.trustedIdle(time.Now()) && isQuiet(c.Conn) {
 			return c
@@ -76,20 +75,20 @@
 	return nil
 }
 
-// keep puts a connection aside for a later call, or closes it where enough are.
-func (p *Pool) keep(to Peer, c *clientConn) {
+// keep stores a connection for a later call, or closes it where there are enough idle ones.
+func (p *Pool) keep(peer Peer, c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[to]) >= p.limits.IdlePerEndpoint || p.count >= p.limits.IdleEndpoints {
+	if len(p.idle[peer]) >= p.limits.IdlePerEndpoint || p.count >= p.limits.IdleEndpoints {
 		_ = c.Close()
 		return
 	}
 	c.idleSince = time.Now()
-	p.idle[to] = append(p.idle[to], c)
+	p.idle[peer] = append(p.idle[peer], c)
 	p.count++
 }
 
-// CloseIdle closes the idle connections to a peer, or those to all that have stood too long if it is the zero one.
+// CloseIdle closes the idle connections to a peer; with the zero Peer, those to all peers that have been idle for IdleSocket.
 func (p *Pool) CloseIdle(to Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/httpwire/reader.go
+++ b/internal/relay/httpwire/reader.go
@@ -10,47 +10,49 @@
 	"mastusher/internal/relay/config"
 )
 
-// Error is a fault in what was read; Status is what a server answers to it.
+// Error is a fault in the bytes that were read.
 type Error struct {
-	Status int
+	Status int // what a server answers to it; of a refused stream, the status that came
 	Reason string
 }
 
+// Error is the reason, after the package's name.
 func (e *Error) Error() string { return "httpwire: " + e.Reason }
 
-// Request is one request. Body is a slice of the connection's read buffer: it holds until the next read.
+// Request is one request, as a server reads it. Body is part of the connection's read buffer: it is valid until the next read.
 type Request struct {
-	Method, Path string
+	Method, Path string // Path has the query too, as it was sent
 	Header       textproto.MIMEHeader
 	Body         []byte
-	Close        bool
+	Close        bool // the client wants the connection to end with the answer
 }
 
-// Response is one answer, as a client reads it. Body holds until the next read.
+// Response is one answer, as a client reads it. Body is valid until the next read.
 type Response struct {
 	Status            int
 	Header            textproto.MIMEHeader
 	Body              []byte
-	Close             bool
-	FirstOnConnection bool // the first on its connection; set by Pool.Do
+	Close             bool // the connection ends with it
+	FirstOnConnection bool // set by Pool.Do
 }
 
-// Reader reads requests or answers off one connection.
+// Reader reads requests or answers from one connection. It is not safe for concurrent use.
 type Reader struct {
 	limits       *config.Limits
 	limited      byteLimit
 	buffer       *bufio.Reader
 	text         *textproto.Reader
-	bodyBuffered int    // bytes of br that the last body still stands in
-	largeBody    []byte // a body that br has no room for
+	bodyBuffered int    // bytes of buffer that the last body still takes
+	largeBody    []byte // a body that is larger than buffer
 }
 
-// byteLimit bounds what one message may take off a connection.
+// byteLimit bounds the bytes that one message may read from a connection.
 type byteLimit struct {
 	source io.Reader
 	left   int
 }
 
+// Read reads from source; it returns an Error once nothing is left.
 func (m *byteLimit) Read(p []byte) (int, error) {
 	if m.left <= 0 {
 		return 0, &Error{431, "message too large"}
@@ -60,17 +62,18 @@
 	return n, err
 }
 
+// readBuffer is the size of a connection's read buffer, in bytes: bodies up to it are not copied.
 const readBuffer = 8 << 10
 
-// NewReader returns a reader of r.
-func NewReader(r io.Reader, lim *config.Limits) *Reader {
-	rd := &Reader{limits: lim, limited: byteLimit{source: r}}
-	rd.buffer = bufio.NewReaderSize(&rd.limited, readBuffer)
-	rd.text = textproto.NewReader(rd.buffer)
-	return rd
+// NewReader returns a reader of a connection, within the limits HeadSize and BodySize.
+func NewReader(source io.Reader, limits *config.Limits) *Reader {
+	r := &Reader{limits: limits, limited: byteLimit{source: source}}
+	r.buffer = bufio.NewReaderSize(&r.limited, readBuffer)
+	r.text = textproto.NewReader(r.buffer)
+	return r
 }
 
-// next gives up the last message's bytes and allows for a new one.
+// next discards the last message's bytes and resets the limit for a new one.
 func (r *Reader) next() {
 	_, _ = r.buffer.Discard(r.bodyBuffered) // they have been peeked at
 	r.bodyBuffered, r.limited.left, r.largeBody = 0, r.limits.HeadSize, nil
@@ -83,9 +86,10 @@
 	return err
 }
 
-// buffered tells whether bytes have been read that belong to a later message.
+// buffered reports whether bytes have been read that belong to a later message.
 func (r *Reader) buffered() bool { return r.buffer.Buffered() > r.bodyBuffered }
 
+// head reads a request's first line and header.
 func (r *Reader) head() (string, textproto.MIMEHeader, error) {
 	line, err := r.text.ReadLine()
 	if err == nil && line == "" { // an empty line before a message is tolerated
@@ -98,6 +102,7 @@
 	return line, h, err
 }
 
+// header reads a header; it returns an Error for a malformed one.
 func (r *Reader) header() (textproto.MIMEHeader, error) {
 	h, err := r.text.ReadMIMEHeader()
 	var fault *Error
--- a/internal/relay/httpwire/request.go
+++ b/internal/relay/httpwire/request.go
@@ -5,29 +5,31 @@
 	"strings"
 )
 
-// ReadRequest reads one request; goOn is called where its client waits to be told to send the body.
-func (r *Reader) ReadRequest(goOn func() error) (*Request, error) {
+// ReadRequest reads one request. sendContinue, unless nil, is called where the client expects "100 Continue" before it sends the body. It returns
+// an Error for a malformed request.
+func (r *Reader) ReadRequest(sendContinue func() error) (*Request, error) {
 	r.next()
-	line, h, err := r.head()
+	requestLine, header, err := r.head()
 	if err != nil {
 		return nil, err
 	}
-	method, rest, _ := strings.Cut(line, " ")
+	method, rest, _ := strings.Cut(requestLine, " ")
 	path, proto, ok := strings.Cut(rest, " ")
 	if !ok || method == "" || path == "" || path[0] != '/' || !strings.HasPrefix(proto, "HTTP/1.") {
 		return nil, &Error{400, "malformed request line"}
 	}
-	q := &Request{Method: method, Path: path, Header: h, Close: lastOnConnection(h, proto)}
-	if goOn != nil && strings.EqualFold(h.Get("Expect"), "100-continue") {
-		if err = goOn(); err != nil {
+	request := &Request{Method: method, Path: path, Header: header, Close: lastOnConnection(header, proto)}
+	if sendContinue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
+		if err = sendContinue(); err != nil {
 			return nil, err
 		}
 	}
-	q.Body, err = r.body(h, false)
-	return q, err
+	request.Body, err = r.body(header, false)
+	return request, err
 }
 
-func lastOnConnection(h textproto.MIMEHeader, proto string) bool {
-	c := strings.ToLower(h.Get("Connection"))
-	return strings.Contains(c, "close") || proto == "HTTP/1.0" && !strings.Contains(c, "keep-alive")
+// lastOnConnection reports whether the connection ends with a message of this header and protocol version.
+func lastOnConnection(header textproto.MIMEHeader, proto string) bool {
+	connection := strings.ToLower(header.Get("Connection"))
+	return strings.Contains(connection, "close") || proto == "HTTP/1.0" && !strings.Contains(connection, "keep-alive")
 }
--- a/internal/relay/httpwire/response.go
+++ b/internal/relay/httpwire/response.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ReadResponse reads one answer, provisional or not. With an error comes what its first line said, if that
-// could be read.
+// ReadResponse reads one answer, interim or final. Beside an error it returns an answer that has the status alone, if the status line could be
+// read, else nil.
 func (r *Reader) ReadResponse() (*Response, error) {
 	p, err := r.responseHead()
 	if err == nil && p.Status >= 200 && p.Status != 204 && p.Status != 304 {
@@ -15,15 +15,16 @@
 	return p, err
 }
 
+// responseHead reads the head of an answer; see ReadResponse.
 func (r *Reader) responseHead() (*Response, error) {
 	r.next()
-	const mark = "HTTP/1."
-	if b, err := r.buffer.Peek(len(mark)); err != nil {
+	const protocol = "HTTP/1."
+	if b, err := r.buffer.Peek(len(protocol)); err != nil {
 		return nil, err
-	} else if string(b) != mark { // noise: its line may never end
+	} else if string(b) != protocol { // noise: its line may never end
 		return nil, &Error{502, "not an answer"}
 	}
-	// Not textproto's ReadLine: it takes for a line what the connection ended in the middle of, and half of one may say 200.
+	// Not textproto's ReadLine: it accepts a line that the end of the connection has truncated, and half of one may say 200.
 	text, err := r.buffer.ReadSlice('\n')
 	if err != nil {
 		return nil, unexpectedEOF(err)
@@ -31,7 +32,7 @@
 	proto, rest, _ := strings.Cut(strings.TrimRight(string(text), "\r\n"), " ")
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.ParseUint(code, 10, 16)
-	// Half a line that was left over, or came without a cause, runs on into the answer's first line: its status is not the answer's.
+	// Half a line of a former answer, or an unsolicited one, may run on into the status line: its status is not the answer's.
 	if err != nil || len(code) != 3 || status < 100 || len(proto) != len("HTTP/1.1") || strings.Contains(reason, "HTTP/") {
 		return nil, &Error{502, "malformed status line"}
 	}
--- a/internal/relay/httpwire/server.go
+++ b/internal/relay/httpwire/server.go
@@ -10,30 +10,30 @@
 	"mastusher/internal/relay/config"
 )
 
-// Handler answers one request, whose bytes it may use until it returns.
+// Handler answers one request, whose bytes it may use until it returns. It is called on the goroutine of the request's connection.
 type Handler func(*Request) Answer
 
 // Server serves clients' connections.
 type Server struct {
 	limits             *config.Limits
 	handle             Handler
-	closing            atomic.Bool // connections end where they stand between requests
+	closing            atomic.Bool // connections end between requests
 	keepAlivesDisabled atomic.Bool // every answer is its connection's last
 
 	mu          sync.Mutex // guards connections, and of each its phase, served and since
 	connections map[*serverConn]bool
-	done        sync.WaitGroup
+	done        sync.WaitGroup // of the connections' goroutines
 }
 
-// NewServer returns a server that hands requests to handle, one goroutine a connection.
+// NewServer returns a server that answers requests by handle, with one goroutine a connection, Limits.ClientConnections at most.
 func NewServer(limits *config.Limits, handle Handler) *Server {
 	return &Server{limits: limits, handle: handle, connections: map[*serverConn]bool{}}
 }
 
-// Serve accepts connections until l is closed.
-func (s *Server) Serve(l net.Listener) error {
+// Serve accepts connections until the listener is closed, and then returns nil. Any other error of the listener is retried.
+func (s *Server) Serve(listener net.Listener) error {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
@@ -47,7 +47,7 @@
 	}
 }
 
-// admit takes conn on. With no room left another makes room for it, see leastUseful; where there is none conn itself is closed.
+// admit adds a connection. Where there are too many it closes another one for it, see leastUseful, or the new one itself; nil: that.
 func (s *Server) admit(conn net.Conn) *serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,32 +67,32 @@
 	return c
 }
 
-// leastUseful is the connection to be closed where there is no room left: of those that linger, the one that began to the longest ago;
-// else of those that are idle, first those that have never asked for anything, the one that is so the longest; else the one whose
-// request has been coming for longer than its client can wait; nil: none. A crowd that says nothing, or begins and never ends, must not
-// keep out those who ask.
-func (s *Server) leastUseful(now time.Time) (least *serverConn) {
+// leastUseful is the connection to be closed where there are too many: of those that are lingering, the one that has been for the longest
+// time; else of those that are idle, first those that never had a request, the one that has been for the longest time; else the one whose
+// request has been incomplete for longer than its client can wait; nil: none. Many clients that send nothing, or never complete a request,
+// must not keep out those that do.
+func (s *Server) leastUseful(now time.Time) (candidate *serverConn) {
 	for c := range s.connections {
-		if (least == nil || c.closesBefore(least)) && c.closable(now, s.limits.AnswerWithin) {
-			least = c
+		if (candidate == nil || c.closesBefore(candidate)) && c.closable(now, s.limits.AnswerWithin) {
+			candidate = c
 		}
 	}
-	return least
+	return candidate
 }
 
-// DisableKeepAlives makes every answer the last of its connection; it goes on answering.
+// DisableKeepAlives makes every answer from now on the last of its connection; new connections are still served.
 func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
-// Close ends the connections: those that are idle at once, the others with the answer to the request that has begun to come, all of
-// them within the given time. It returns when no request is being handled any more.
-func (s *Server) Close(within time.Duration) {
+// Close ends the connections: the idle ones at once, the others after the answer to the current request, all of them within the time-out. It
+// returns when all their goroutines have. The listener must be closed before.
+func (s *Server) Close(timeout time.Duration) {
 	s.closing.Store(true)
 	s.each(func(c *serverConn) {
 		if c.phase == idle {
-			_ = c.SetReadDeadline(time.Unix(1, 0)) // serve ends it
+			_ = c.SetReadDeadline(past) // serve ends it
 		}
 	})
-	late := time.AfterFunc(within, func() { s.each(func(c *serverConn) { _ = c.Conn.Close() }) })
+	late := time.AfterFunc(timeout, func() { s.each(func(c *serverConn) { _ = c.Conn.Close() }) })
 	s.done.Wait()
 	late.Stop()
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// crowded tells whether there is little room left.
+// crowded reports whether there are nearly as many connections as there may be.
 func (s *Server) crowded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/httpwire/stream.go
+++ b/internal/relay/httpwire/stream.go
@@ -12,27 +12,29 @@
 	"mastusher/internal/relay/config"
 )
 
-// Stream is an answer whose body comes line by line, for as long as its connection lasts.
+// Stream is an answer whose body comes line by line, for as long as its connection lasts. Next must not be called by two goroutines at once;
+// Close may be called meanwhile.
 type Stream struct {
 	conn  net.Conn
 	lines *bufio.Scanner
 }
 
-// OpenStream makes a call on a connection of its own. It fails unless the answer is 200.
-func OpenStream(ctx context.Context, address string, request []byte, lim *config.Limits) (*Stream, error) {
-	dial := net.Dialer{Timeout: lim.ConnectTimeout}
-	conn, err := dial.DialContext(ctx, "tcp", address)
+// OpenStream makes a call on a connection of its own. It returns an Error with the status where the answer is not 200, and fails unless the head
+// comes within WatchTimeout. ctx only bounds the connecting.
+func OpenStream(ctx context.Context, address string, request []byte, limits *config.Limits) (*Stream, error) {
+	dialer := net.Dialer{Timeout: limits.ConnectTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(lim.WatchTimeout))
-	r := NewReader(conn, lim)
-	var p *Response
+	_ = conn.SetDeadline(time.Now().Add(limits.WatchTimeout))
+	r := NewReader(conn, limits)
+	var answer *Response
 	if _, err = conn.Write(request); err == nil {
-		p, err = r.responseHead()
+		answer, err = r.responseHead()
 	}
-	if err == nil && p.Status != 200 {
-		err = &Error{p.Status, "the stream was refused"}
+	if err == nil && answer.Status != 200 {
+		err = &Error{answer.Status, "the stream was refused"}
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -40,17 +42,18 @@
 	}
 	r.limited.left = math.MaxInt // a stream has no end; its lines are bounded
 	var from io.Reader = r.buffer
-	if p.Header.Get("Transfer-Encoding") != "" {
+	if answer.Header.Get("Transfer-Encoding") != "" {
 		from = httputil.NewChunkedReader(r.buffer)
 	}
 	s := &Stream{conn: conn, lines: bufio.NewScanner(from)}
-	s.lines.Buffer(nil, 16*lim.BodySize)
+	s.lines.Buffer(nil, 16*limits.BodySize)
 	return s, nil
 }
 
-// Next returns the next line, which holds until the next call; by then it must have come whole.
-func (s *Stream) Next(by time.Time) ([]byte, error) {
-	_ = s.conn.SetReadDeadline(by)
+// Next returns the next line, without its end, which is valid until the next call. It fails unless the complete line has come by the deadline;
+// io.EOF: the stream has ended.
+func (s *Stream) Next(deadline time.Time) ([]byte, error) {
+	_ = s.conn.SetReadDeadline(deadline)
 	if s.lines.Scan() {
 		return s.lines.Bytes(), nil
 	}
