--- a/internal/tools/mutation/mutation.go
+++ b/internal/tools/mutation/mutation.go
@@ -32,6 +32,7 @@
 	Change          // the only change of most mutants
 	Also   []Change // further changes, in the same or in other files; made in this order
 	Run    string   // pattern of the tests that must notice it, as for `go test -run`
+	Args   []string // flags of these tests, beside those of package testing
 	Always bool     // tried by each run of the tests; the others only with the flag -mutants
 }
 
--- a/internal/tools/mutation/mutation_test.go
+++ b/internal/tools/mutation/mutation_test.go
@@ -22,10 +22,19 @@
 const sampleTests = `package sample
 
 import (
+	"flag"
 	"testing"
 	"time"
 )
 
+var thorough = flag.Bool("thorough", false, "")
+
+func TestThorough(t *testing.T) {
+	if *thorough && Larger(2, 1) != 2 {
+		t.Error("wrong")
+	}
+}
+
 func TestLarger(t *testing.T) {
 	t.Run("first", func(t *testing.T) {
 		if Larger(2, 1) != 2 {
@@ -81,10 +90,13 @@
 		name    string
 		change  Change
 		run     string
+		args    []string
 		noticed string // beginning of the name of the test that notices it
 		fails   any    // otherwise: the type of the error
 	}{
 		{name: "noticed", change: neverFirst, run: "^TestLarger$", noticed: "TestLarger/first"},
+		{name: "noticed under a flag", change: neverFirst, run: "^TestThorough$", args: []string{"-thorough"}, noticed: "TestThorough"},
+		{name: "survives without the flag", change: neverFirst, run: "^TestThorough$", fails: &survived},
 		{name: "panics", change: sampleChange("return b", `panic("late")`), run: "^TestOnlySecond$", noticed: "TestOnlySecond"},
 		{name: "survives", change: neverFirst, run: "^TestOnlySecond$", fails: &survived},
 		{name: "does not compile", change: sampleChange("a > b", "a"), run: "^TestLarger$", fails: &unbuilt},
@@ -95,7 +107,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			killedBy, err := runTrial(t.Context(), folder, t.TempDir(), Mutant{Name: tc.name, Change: tc.change, Run: tc.run})
+			killedBy, err := runTrial(t.Context(), folder, t.TempDir(), Mutant{Name: tc.name, Change: tc.change, Run: tc.run, Args: tc.args})
 			if tc.fails != nil {
 				if !errors.As(err, tc.fails) {
 					t.Errorf("the error is %v, and not a %T", err, tc.fails)
--- a/internal/tools/mutation/trial.go
+++ b/internal/tools/mutation/trial.go
@@ -47,7 +47,7 @@
 	if err := build(ctx, folder, overlay, binary); err != nil {
 		return "", err
 	}
-	return runTests(ctx, folder, binary, mutant.Run, testTimeout)
+	return runTests(ctx, folder, binary, mutant.Run, testTimeout, mutant.Args...)
 }
 
 // build compiles the test binary of the package in folder with the overlay. Errors: BuildError.
@@ -62,12 +62,13 @@
 	return nil
 }
 
-// runTests runs a test binary until the first failure, and returns the name of the test that failed. The binary has ended when
-// it returns. Errors: SurvivorError, UndecidedError.
-func runTests(ctx context.Context, folder, binary, pattern string, timeout time.Duration) (string, error) {
+// runTests runs a test binary with further arguments until the first failure, and returns the name of the test that failed. The
+// binary has ended when it returns. Errors: SurvivorError, UndecidedError.
+func runTests(ctx context.Context, folder, binary, pattern string, timeout time.Duration, arguments ...string) (string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	command := exec.CommandContext(ctx, binary, "-test.run", pattern, "-test.timeout", timeout.String(), "-test.failfast", verboseFlag)
+	arguments = append([]string{"-test.run", pattern, "-test.timeout", timeout.String(), "-test.failfast", verboseFlag}, arguments...)
+	command := exec.CommandContext(ctx, binary, arguments...)
 	command.Dir = folder
 	command.Env = append(os.Environ(), trialVariable+"=1", "TMPDIR="+filepath.Dir(binary))
 	command.WaitDelay = waitDelay
