--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -300,8 +300,8 @@
 						request := newRequest(onceRoute, 0, slow)
 						request.http10 = old
 						killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
-						w := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
-						if results := w.clients[0].results; len(results) > 0 && results[0].brokenOff() {
+						env := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
+						if results := env.clients[0].results; len(results) > 0 && results[0].brokenOff() {
 							broken++
 						}
 					}
--- a/internal/tier/exchangetest/campaign_test.go
+++ b/internal/tier/exchangetest/campaign_test.go
@@ -14,25 +14,25 @@
 )
 
 // describe is a scenario in words, for a report.
-func describe(p scenario) string {
+func describe(s scenario) string {
 	var text strings.Builder
-	for i, requests := range p.clients {
+	for i, requests := range s.clients {
 		for _, request := range requests {
 			fmt.Fprintf(&text, "client %d: %+v\n", i, *request)
 		}
 	}
-	fmt.Fprintf(&text, "events: %+v, at most %d connections", p.events, p.maxConnections)
+	fmt.Fprintf(&text, "events: %+v, at most %d connections", s.events, s.maxConnections)
 	return text.String()
 }
 
 // checkScenario runs a scenario and reports the faults found. It returns the environment.
-func checkScenario(t *testing.T, p scenario) *environment {
+func checkScenario(t *testing.T, s scenario) *environment {
 	t.Helper()
-	w := runScenario(t, p)
-	if faults := judgeEnvironment(w); len(faults) > 0 {
-		t.Errorf("%s\n%s", strings.Join(faults, "\n"), describe(p))
+	env := runScenario(t, s)
+	if faults := judgeEnvironment(env); len(faults) > 0 {
+		t.Errorf("%s\n%s", strings.Join(faults, "\n"), describe(s))
 	}
-	return w
+	return env
 }
 
 // TestCampaign runs environments drawn from seeds. A breach is reported with its seed; -args -seed N -worlds 1 runs it alone.
@@ -56,9 +56,9 @@
 // campaignStats counts what happened, so that a campaign in which a kind of outcome never comes is noticed.
 type campaignStats struct{ Requests, Sends, Complete, CutOff, Silent, Own, Left, TakenUp int }
 
-func (c *campaignStats) count(w *environment) {
-	c.Sends += len(w.runs)
-	for _, client := range w.clients {
+func (c *campaignStats) count(env *environment) {
+	c.Sends += len(env.runs)
+	for _, client := range env.clients {
 		for _, result := range client.results {
 			c.Requests++
 			switch sealed := result.header.Get("X-Server-Seal") != ""; {
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	for _, r := range w.runs {
+	for _, r := range env.runs {
 		if r.lastEvent > 0 {
 			c.TakenUp++
 		}
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -141,7 +141,7 @@
 }
 
 // brokenOff reports whether a response has begun and not looked complete.
-func (g *clientResult) brokenOff() bool { return g.answered && g.err != nil }
+func (result *clientResult) brokenOff() bool { return result.answered && result.err != nil }
 
 // complete reports whether a response looked complete.
-func (g *clientResult) complete() bool { return g.answered && g.err == nil }
+func (result *clientResult) complete() bool { return result.answered && result.err == nil }
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -54,15 +54,15 @@
 }
 
 // keepsRunning reports whether no event ends the proxy.
-func (p *scenario) keepsRunning() bool { return !p.has(drain) && !p.has(shutdown) && !p.has(kill) }
+func (s *scenario) keepsRunning() bool { return !s.has(drain) && !s.has(shutdown) && !s.has(kill) }
 
-func (p *scenario) has(kind scenarioEventKind) bool {
-	return slices.ContainsFunc(p.events, func(e scenarioEvent) bool { return e.kind == kind })
+func (s *scenario) has(kind scenarioEventKind) bool {
+	return slices.ContainsFunc(s.events, func(e scenarioEvent) bool { return e.kind == kind })
 }
 
 // environment is a proxy that runs with its clients and endpoints.
 type environment struct {
-	plan      scenario
+	scenario  scenario
 	network   *memoryNetwork
 	proxy     *proxy.Proxy
 	routes    atomic.Pointer[proxy.Routes]
@@ -78,39 +78,39 @@
 }
 
 // runScenario runs a scenario and returns the environment with all that happened in it.
-func runScenario(t *testing.T, p scenario) (w *environment) {
+func runScenario(t *testing.T, s scenario) (env *environment) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w = newEnvironment(t, p)
-		w.run(t)
+		env = newEnvironment(t, s)
+		env.run(t)
 	})
-	return w
+	return env
 }
 
-func newEnvironment(t *testing.T, p scenario) *environment {
-	w := &environment{plan: p, network: newMemoryNetwork(), requests: make(map[string]*requestScript), unlisted: make(map[int]bool)}
-	w.stores = &fakeStores{environment: w, attempted: make(map[string]bool), committed: make(map[string][]program.EndTurn)}
-	for _, requests := range p.clients {
-		w.clients = append(w.clients, &client{env: w, requests: requests})
+func newEnvironment(t *testing.T, s scenario) *environment {
+	env := &environment{scenario: s, network: newMemoryNetwork(), requests: make(map[string]*requestScript), unlisted: make(map[int]bool)}
+	env.stores = &fakeStores{environment: env, attempted: make(map[string]bool), committed: make(map[string][]program.EndTurn)}
+	for _, requests := range s.clients {
+		env.clients = append(env.clients, &client{env: env, requests: requests})
 		for _, request := range requests {
-			w.requests[request.id] = request
+			env.requests[request.id] = request
 		}
 	}
 	for i := range endpointCount {
-		e := &endpoint{id: fmt.Sprint("e", i), address: fmt.Sprintf("10.0.1.%d:80", i+1), env: w}
-		e.listener, _ = w.network.Listen(context.Background(), nil, "tcp4", e.address)
-		w.endpoints = append(w.endpoints, e)
-		w.running.Go(e.serve)
+		e := &endpoint{id: fmt.Sprint("e", i), address: fmt.Sprintf("10.0.1.%d:80", i+1), env: env}
+		e.listener, _ = env.network.Listen(context.Background(), nil, "tcp4", e.address)
+		env.endpoints = append(env.endpoints, e)
+		env.running.Go(e.serve)
 	}
-	w.routes.Store(proxy.NewRoutes(configuration(1)))
+	env.routes.Store(proxy.NewRoutes(configuration(1)))
 	var err error
-	w.proxy, err = proxy.New(proxy.Options{FrontAddress: frontAddress, ReadinessAddress: "10.0.0.1:81", Views: w, Programs: w.stores,
-		Selector: w, Network: w.network})
+	env.proxy, err = proxy.New(proxy.Options{FrontAddress: frontAddress, ReadinessAddress: "10.0.0.1:81", Views: env, Programs: env.stores,
+		Selector: env, Network: env.network})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.running.Go(func() { _ = w.proxy.Serve() })
-	return w
+	env.running.Go(func() { _ = env.proxy.Serve() })
+	return env
 }
 
 // configuration has a route of each kind. Each number has limits of its own.
@@ -137,68 +137,68 @@
 }
 
 // run lets everything happen, and then ends it.
-func (w *environment) run(t *testing.T) {
+func (env *environment) run(t *testing.T) {
 	var clients sync.WaitGroup
-	for _, c := range w.clients {
+	for _, c := range env.clients {
 		clients.Go(c.run)
 	}
-	for _, event := range w.plan.events {
+	for _, event := range env.scenario.events {
 		clients.Go(func() {
 			time.Sleep(event.at)
-			w.apply(t, event)
+			env.apply(t, event)
 		})
 	}
 	clients.Wait()
 	time.Sleep(cooldown)
-	w.shutdownProxy(t)
-	for _, e := range w.endpoints {
+	env.shutdownProxy(t)
+	for _, e := range env.endpoints {
 		e.listener.Close()
 	}
 	synctest.Wait()
-	for _, e := range w.endpoints {
+	for _, e := range env.endpoints {
 		for _, conn := range e.connections() {
 			conn.Close()
 		}
 	}
-	w.running.Wait()
+	env.running.Wait()
 }
 
-func (w *environment) apply(t *testing.T, event scenarioEvent) {
+func (env *environment) apply(t *testing.T, event scenarioEvent) {
 	switch event.kind {
 	case newConfiguration:
-		w.routes.Store(proxy.NewRoutes(configuration(2 + event.endpoint)))
+		env.routes.Store(proxy.NewRoutes(configuration(2 + event.endpoint)))
 	case endpointUnlisted, endpointBack:
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		w.unlisted[event.endpoint] = event.kind == endpointUnlisted
+		env.mutex.Lock()
+		defer env.mutex.Unlock()
+		env.unlisted[event.endpoint] = event.kind == endpointUnlisted
 	case drain:
-		w.proxy.Drain()
+		env.proxy.Drain()
 	case shutdown:
-		w.shutdownProxy(t)
+		env.shutdownProxy(t)
 	case crash:
-		w.endpoints[event.endpoint].crash()
+		env.endpoints[event.endpoint].crash()
 	case kill:
-		w.network.kill()
+		env.network.kill()
 	}
 }
 
-func (w *environment) shutdownProxy(t *testing.T) {
+func (env *environment) shutdownProxy(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), cooldown)
 	defer cancel()
-	if err := w.proxy.Shutdown(ctx); err != nil {
+	if err := env.proxy.Shutdown(ctx); err != nil {
 		t.Errorf("shutdown: %v", err)
 	}
 }
 
 // attemptStarted records that an endpoint has the head of a request. It returns nil for one that no client sent.
-func (w *environment) attemptStarted(current endpointAttempt, header textproto.MIMEHeader) *endpointAttempt {
-	current.request = w.requests[header.Get("X-Attempt-Id")]
+func (env *environment) attemptStarted(current endpointAttempt, header textproto.MIMEHeader) *endpointAttempt {
+	current.request = env.requests[header.Get("X-Attempt-Id")]
 	if current.request == nil {
 		return nil
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, other := range w.runs {
+	env.mutex.Lock()
+	defer env.mutex.Unlock()
+	for _, other := range env.runs {
 		if other.request == current.request {
 			current.index++
 		}
@@ -206,44 +206,44 @@
 	if current.script().fromFirstEvent {
 		current.lastEvent = 0
 	}
-	w.runs = append(w.runs, &current)
+	env.runs = append(env.runs, &current)
 	return &current
 }
 
 // responseWritten records that an endpoint has written all of a response that it was to write.
-func (w *environment) responseWritten(current *endpointAttempt) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (env *environment) responseWritten(current *endpointAttempt) {
+	env.mutex.Lock()
+	defer env.mutex.Unlock()
 	current.written = true
 }
 
 // attemptEnded records that an endpoint has nothing more to do for a request.
-func (w *environment) attemptEnded(current *endpointAttempt) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (env *environment) attemptEnded(current *endpointAttempt) {
+	env.mutex.Lock()
+	defer env.mutex.Unlock()
 	if current.done.IsZero() {
 		current.done = time.Now()
 	}
 }
 
 // Routes implements proxy.Views.
-func (w *environment) Routes() *proxy.Routes { return w.routes.Load() }
+func (env *environment) Routes() *proxy.Routes { return env.routes.Load() }
 
 // Ready implements proxy.Views.
-func (w *environment) Ready() bool { return true }
+func (env *environment) Ready() bool { return true }
 
 // Select implements proxy.Selector: a request tries the listed endpoints in turn, from firstEndpoint on.
-func (w *environment) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (env *environment) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
+	env.mutex.Lock()
+	defer env.mutex.Unlock()
 	for i := range endpointCount {
 		number := (firstEndpoint(facts.AttemptID) + i) % endpointCount
-		e := w.endpoints[number]
-		if w.unlisted[number] || slices.Contains(facts.Excluded, e.id) {
+		e := env.endpoints[number]
+		if env.unlisted[number] || slices.Contains(facts.Excluded, e.id) {
 			continue
 		}
-		choice := proxy.Selection{ID: e.id, Address: e.address, MaxConnections: w.plan.maxConnections}
-		if request := w.requests[facts.AttemptID]; request != nil && request.route.retryable() {
+		choice := proxy.Selection{ID: e.id, Address: e.address, MaxConnections: env.scenario.maxConnections}
+		if request := env.requests[facts.AttemptID]; request != nil && request.route.retryable() {
 			choice.Timeout = request.attemptTimeout
 		}
 		return choice, nil
@@ -259,7 +259,7 @@
 }
 
 // FirstEvent implements proxy.Selector.
-func (w *environment) FirstEvent(proxy.Selection, string) {}
+func (env *environment) FirstEvent(proxy.Selection, string) {}
 
 // Done implements proxy.Selector.
-func (w *environment) Done(proxy.Selection, proxy.Outcome) {}
+func (env *environment) Done(proxy.Selection, proxy.Outcome) {}
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -35,9 +35,9 @@
 }
 
 // judgeEnvironment returns the faults found in an environment that has ended.
-func judgeEnvironment(w *environment) []string {
-	o := &oracle{env: w, attempts: make(map[*requestScript][]receivedRequest)}
-	for _, e := range w.endpoints {
+func judgeEnvironment(env *environment) []string {
+	o := &oracle{env: env, attempts: make(map[*requestScript][]receivedRequest)}
+	for _, e := range env.endpoints {
 		for _, conn := range e.connections() {
 			o.readAttempts(e, conn)
 		}
@@ -45,12 +45,12 @@
 	for _, sends := range o.attempts {
 		slices.SortStableFunc(sends, func(a, b receivedRequest) int { return a.at.Compare(b.at) })
 	}
-	for _, c := range w.clients {
+	for _, c := range env.clients {
 		for i := range c.results {
 			o.judgeRequest(&c.results[i])
 		}
 	}
-	return append(o.faults, w.stores.faults...)
+	return append(o.faults, env.stores.faults...)
 }
 
 func (o *oracle) fault(request *requestScript, format string, args ...any) {
@@ -157,37 +157,37 @@
 }
 
 // judgeRequest judges what became of one request.
-func (o *oracle) judgeRequest(g *clientResult) {
-	o.judgeAttempts(g)
-	if g.request.route == turnRoute {
-		o.judgeTurn(g)
+func (o *oracle) judgeRequest(result *clientResult) {
+	o.judgeAttempts(result)
+	if result.request.route == turnRoute {
+		o.judgeTurn(result)
 	}
-	if !g.disconnectedAt.IsZero() {
-		o.judgeDisconnect(g)
+	if !result.disconnectedAt.IsZero() {
+		o.judgeDisconnect(result)
 	}
-	if len(g.surplus) > 0 {
-		o.fault(g.request, "MIXED: bytes that nobody asked for: %.80q", g.surplus)
+	if len(result.surplus) > 0 {
+		o.fault(result.request, "MIXED: bytes that nobody asked for: %.80q", result.surplus)
 	}
-	if g.unansweredPipelined {
+	if result.unansweredPipelined {
 		return
 	}
-	if o.env.plan.faultFree && (!g.complete() || g.status != 200) {
-		o.judgeLoss(g)
+	if o.env.scenario.faultFree && (!result.complete() || result.status != 200) {
+		o.judgeLoss(result)
 	}
-	if !g.answered {
-		if o.env.plan.keepsRunning() && !g.unansweredPipelined && g.disconnectedAt.IsZero() && !o.mayBreakOff(g.request) {
-			o.fault(g.request, "no answer: %v", g.err)
+	if !result.answered {
+		if o.env.scenario.keepsRunning() && !result.unansweredPipelined && result.disconnectedAt.IsZero() && !o.mayBreakOff(result.request) {
+			o.fault(result.request, "no answer: %v", result.err)
 		}
 		return
 	}
-	o.judgeResponse(g)
+	o.judgeResponse(result)
 }
 
 // judgeLoss judges a request that was not served though nobody caused a fault: it may have come too late for a proxy that shuts
 // down, and wasn't forwarded then.
-func (o *oracle) judgeLoss(g *clientResult) {
-	if o.env.plan.keepsRunning() || g.answered || len(o.attempts[g.request]) > 0 {
-		o.fault(g.request, "LOST: status %d, %v, after %d sends", g.status, g.err, len(o.attempts[g.request]))
+func (o *oracle) judgeLoss(result *clientResult) {
+	if o.env.scenario.keepsRunning() || result.answered || len(o.attempts[result.request]) > 0 {
+		o.fault(result.request, "LOST: status %d, %v, after %d sends", result.status, result.err, len(o.attempts[result.request]))
 	}
 }
 
@@ -195,16 +195,16 @@
 // had not forwarded yet is dropped then, and the client may see a close alone.
 func (o *oracle) mayBreakOff(request *requestScript) bool {
 	notSafe := request.route == turnRoute && request.endResult != commitAccepted
-	return notSafe || o.env.plan.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.breaksOff() })
+	return notSafe || o.env.scenario.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.breaksOff() })
 }
 
 // judgeAttempts judges how often a request was sent.
-func (o *oracle) judgeAttempts(g *clientResult) {
-	request, sends := g.request, o.attempts[g.request]
+func (o *oracle) judgeAttempts(result *clientResult) {
+	request, sends := result.request, o.attempts[result.request]
 	unpromised := 0
 	for i, send := range sends {
-		if until := send.at.Add(send.timeLeft); until.After(g.startedAt.Add(request.timeLeft + timeLeftSlack)) {
-			o.fault(request, "BUDGET: an endpoint may work until %v after the client", until.Sub(g.startedAt.Add(request.timeLeft)))
+		if until := send.at.Add(send.timeLeft); until.After(result.startedAt.Add(request.timeLeft + timeLeftSlack)) {
+			o.fault(request, "BUDGET: an endpoint may work until %v after the client", until.Sub(result.startedAt.Add(request.timeLeft)))
 		}
 		if send.provedNotRun() {
 			continue
@@ -220,8 +220,8 @@
 	if request.sendLimit >= 0 && request.sendLimit < len(request.wire()) && len(sends) > 0 {
 		o.fault(request, "UNASKED: sent on though only %d of its bytes had come", request.sendLimit)
 	}
-	if g.answered && impliesNotRun(g.status) && !request.route.retryable() && unpromised > 0 {
-		o.fault(request, "REFUSED: %d after a send that may have run", g.status)
+	if result.answered && impliesNotRun(result.status) && !request.route.retryable() && unpromised > 0 {
+		o.fault(request, "REFUSED: %d after a send that may have run", result.status)
 	}
 }
 
@@ -232,19 +232,19 @@
 var rejectionStatuses = map[beginKind]int{budgetExhausted: 402, turnNotFound: 404, storesUnavailable: 503}
 
 // judgeTurn judges what became of a turn: it runs only if the stores took it, and looks complete only once its end is committed there.
-func (o *oracle) judgeTurn(g *clientResult) {
-	if g.request.beginResult != turnAccepted && len(o.attempts[g.request]) > 0 {
-		o.fault(g.request, "UNASKED: the stores refused it, and it was sent")
+func (o *oracle) judgeTurn(result *clientResult) {
+	if result.request.beginResult != turnAccepted && len(o.attempts[result.request]) > 0 {
+		o.fault(result.request, "UNASKED: the stores refused it, and it was sent")
 	}
-	if !g.answered || g.status != 200 || g.request.method == "HEAD" {
+	if !result.answered || result.status != 200 || result.request.method == "HEAD" {
 		return
 	}
-	end, safe := o.env.stores.firstCommit(g.request.id)
-	if g.complete() && (!safe || !end.Complete || string(end.Output) != outputOf(g.body)) {
-		o.fault(g.request, "LOST: looks complete, and the stores have %v, %+v", safe, end)
+	end, safe := o.env.stores.firstCommit(result.request.id)
+	if result.complete() && (!safe || !end.Complete || string(end.Output) != outputOf(result.body)) {
+		o.fault(result.request, "LOST: looks complete, and the stores have %v, %+v", safe, end)
 	}
-	if events := int64(bytes.Count(g.body, []byte("\n\n"))); safe && end.Tokens < events {
-		o.fault(g.request, "BUDGET: %d events came, and the stores were told of %d tokens", events, end.Tokens)
+	if events := int64(bytes.Count(result.body, []byte("\n\n"))); safe && end.Tokens < events {
+		o.fault(result.request, "BUDGET: %d events came, and the stores were told of %d tokens", events, end.Tokens)
 	}
 }
 
@@ -260,16 +260,16 @@
 }
 
 // judgeDisconnect judges what was done for a client that had disconnected.
-func (o *oracle) judgeDisconnect(g *clientResult) {
-	until := g.disconnectedAt.Add(disconnectGrace)
-	for _, send := range o.attempts[g.request] {
+func (o *oracle) judgeDisconnect(result *clientResult) {
+	until := result.disconnectedAt.Add(disconnectGrace)
+	for _, send := range o.attempts[result.request] {
 		if send.at.After(until) {
-			o.fault(g.request, "GONE: sent %v after its client had left", send.at.Sub(g.disconnectedAt))
+			o.fault(result.request, "GONE: sent %v after its client had left", send.at.Sub(result.disconnectedAt))
 		}
 		ended := send.conn.snapshot().endedAt
 		atWork := send.attempt != nil && (send.attempt.done.IsZero() || send.attempt.done.After(until))
 		if atWork && (ended.IsZero() || ended.After(until)) {
-			o.fault(g.request, "GONE: its endpoint isn't told that its client has left")
+			o.fault(result.request, "GONE: its endpoint isn't told that its client has left")
 		}
 	}
 }
@@ -318,33 +318,33 @@
 }
 
 // judgeStream judges the events of a stream: each once, in order, of one run or of runs that were resumed.
-func (o *oracle) judgeStream(g *clientResult, first *endpointAttempt) {
-	last, current, rest := 0, first, g.body
+func (o *oracle) judgeStream(result *clientResult, first *endpointAttempt) {
+	last, current, rest := 0, first, result.body
 	for len(rest) > 0 {
 		event, tail, found := bytes.Cut(rest, []byte("\n\n"))
 		if !found {
-			if !lacksLastByte(g, event, first, last+1) {
-				o.fault(g.request, "ORDER: half an event, %.80q", rest)
+			if !lacksLastByte(result, event, first, last+1) {
+				o.fault(result.request, "ORDER: half an event, %.80q", rest)
 			}
 			return
 		}
 		rest = tail
 		last++
-		by := o.attemptOfEvent(g.request, append(bytes.Clone(event), "\n\n"...), last)
-		if by == nil || by.index < current.index || by != first && !g.request.route.retryable() {
-			o.fault(g.request, "ORDER: in the place of event %d: %q", last, event)
+		by := o.attemptOfEvent(result.request, append(bytes.Clone(event), "\n\n"...), last)
+		if by == nil || by.index < current.index || by != first && !result.request.route.retryable() {
+			o.fault(result.request, "ORDER: in the place of event %d: %q", last, event)
 			return
 		}
 		current = by
 	}
-	if g.complete() && !o.mayEnd(g.request, current, last) {
-		o.fault(g.request, "ORDER: looks complete after event %d", last)
+	if result.complete() && !o.mayEnd(result.request, current, last) {
+		o.fault(result.request, "ORDER: looks complete after event %d", last)
 	}
 }
 
 // lacksLastByte reports whether the last event of a turn's cut response lacks its last byte alone, which waits until its end is committed.
-func lacksLastByte(g *clientResult, event []byte, by *endpointAttempt, number int) bool {
-	return g.brokenOff() && g.request.route == turnRoute && string(event)+"\n" == string(by.event(number))
+func lacksLastByte(result *clientResult, event []byte, by *endpointAttempt, number int) bool {
+	return result.brokenOff() && result.request.route == turnRoute && string(event)+"\n" == string(by.event(number))
 }
 
 // attemptOfEvent returns the run that an event of a request is of; nil if it isn't the event with that number.
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -38,16 +38,16 @@
 }
 
 // judgeRaw judges an environment whose first request was answered with any bytes.
-func judgeRaw(t *testing.T, w *environment, answer []byte) {
+func judgeRaw(t *testing.T, env *environment, answer []byte) {
 	t.Helper()
-	results := w.clients[0].results
+	results := env.clients[0].results
 	first, second := results[0], results[1]
 	if first.answered && first.status/100 == 2 && (first.header.Get("X-Attempt-Id") != first.request.id || first.header.Get("X-Server-Seal") == "") {
 		t.Errorf("%d with %v", first.status, first.header)
 	}
 	promisedNotRun := bytes.Contains(answer, []byte(" 421 ")) || bytes.Contains(bytes.ToLower(answer), []byte("x-not-run"))
 	sends := 0
-	for _, r := range w.runs {
+	for _, r := range env.runs {
 		if r.request == first.request {
 			sends++
 		}
@@ -84,8 +84,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var arrived [][]byte
 		synctest.Test(t, func(t *testing.T) {
-			w := newEnvironment(t, scenario{})
-			conn, err := w.network.dial(context.Background(), frontAddress)
+			env := newEnvironment(t, scenario{})
+			conn, err := env.network.dial(context.Background(), frontAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -93,8 +93,8 @@
 			_ = conn.SetReadDeadline(time.Now().Add(cooldown))
 			_, _ = io.Copy(io.Discard, struct{ io.Reader }{conn})
 			conn.Close()
-			w.run(t)
-			for _, e := range w.endpoints {
+			env.run(t)
+			for _, e := range env.endpoints {
 				for _, conn := range e.connections() {
 					arrived = append(arrived, conn.snapshot().received)
 				}
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -63,9 +63,9 @@
 }
 
 // spreadTimes lists how long each host waited for a stamp of the endpoints.
-func (w *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
+func (c *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
 	var times []time.Duration
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		if h.reported[view.EndpointsSection] != stamp {
 			t.Errorf("%s does not hold %v after %v", h.address, stamp, maxSpread)
 			continue
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -61,35 +61,35 @@
 	}
 })
 
-func (w *cluster) inject(happens fault) {
-	h := w.hosts[happens.Host%len(w.hosts)]
+func (c *cluster) inject(happens fault) {
+	h := c.hosts[happens.Host%len(c.hosts)]
 	switch happens.Kind {
 	case "write":
 		if h.gossiper != nil {
-			w.write(h, happens.Section, 1, happens.Sequence)
+			c.write(h, happens.Section, 1, happens.Sequence)
 		}
 	case "kill":
-		w.kill(h)
+		c.kill(h)
 	case "restart":
-		w.kill(h)
-		w.start(h)
+		c.kill(h)
+		c.start(h)
 	case "hang":
 		h.hangs = true
 	case "partition":
-		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		c.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		w.blocked = func(from, _ *host) bool { return from == h }
+		c.blocked = func(from, _ *host) bool { return from == h }
 	case "heal":
-		w.blocked = func(_, _ *host) bool { return false }
+		c.blocked = func(_, _ *host) bool { return false }
 	}
 }
 
-func (w *cluster) healAll() {
-	w.blocked = func(_, _ *host) bool { return false }
-	for _, h := range w.hosts {
+func (c *cluster) healAll() {
+	c.blocked = func(_, _ *host) bool { return false }
+	for _, h := range c.hosts {
 		h.hangs = false
 		if h.gossiper == nil {
-			w.start(h)
+			c.start(h)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 }
 
 // newest returns the newest stamps that a running host has.
-func (w *cluster) newest() view.Digest {
+func (c *cluster) newest() view.Digest {
 	newest := view.Digest{}
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		for section, stamp := range h.gossiper.store.Digest() {
 			if newest[section].Less(stamp) {
 				newest[section] = stamp
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -90,10 +90,10 @@
 }
 
 // announceTo announces an update to a host from several that have it.
-func (w *cluster) announceTo(h *host, update view.Update, holders ...*host) {
+func (c *cluster) announceTo(h *host, update view.Update, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{update.Section: update.Stamp}}
-		w.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
+		c.step(h, Input{Datagrams: []Datagram{{holder.address, message}}})
 	}
 }
 
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -31,7 +31,7 @@
 
 // newCluster returns size hosts that are down. The first three are the controllers and seeds.
 func newCluster(size int, seed uint64) *cluster {
-	w := &cluster{
+	c := &cluster{
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		byAddress: map[string]*host{},
 		loss:      0.02,
@@ -40,12 +40,12 @@
 		blocked:   func(_, _ *host) bool { return false },
 	}
 	for i := range size {
-		w.addHost(i)
+		c.addHost(i)
 	}
-	return w
+	return c
 }
 
-func (w *cluster) addHost(i int) *host {
+func (c *cluster) addHost(i int) *host {
 	role, class := Agent, "edge"
 	if i < 3 {
 		role, class = Controller, "core"
@@ -55,7 +55,7 @@
 	machine := fmt.Sprintf("%s-muscat-hall-%c-%d", class, 'a'+i%4, i)
 	added := &host{member: Member{
 		Name:    machine + "/" + string(role),
-		ID:      fmt.Sprintf("%016x", w.random.Uint64()),
+		ID:      fmt.Sprintf("%016x", c.random.Uint64()),
 		Role:    role,
 		Zone:    fmt.Sprintf("muscat-hall-%c", 'a'+i%4),
 		Address: fmt.Sprintf("10.%d.%d.%d:7380", i%4, i/250, i%250),
@@ -66,8 +66,8 @@
 	for s := range 3 {
 		added.seeds = append(added.seeds, fmt.Sprintf("10.%d.0.%d:7380", s, s))
 	}
-	w.hosts = append(w.hosts, added)
-	w.byAddress[added.member.Address] = added
+	c.hosts = append(c.hosts, added)
+	c.byAddress[added.member.Address] = added
 	return added
 }
 
@@ -75,84 +75,84 @@
 const epochMs = 1_764_651_362_000
 
 // start starts the process of a host, with an incarnation by the time of day.
-func (w *cluster) start(h *host) {
+func (c *cluster) start(h *host) {
 	h.starts++
-	h.member.Incarnation = uint64(epochMs + w.loop.Now().Milliseconds())
+	h.member.Incarnation = uint64(epochMs + c.loop.Now().Milliseconds())
 	h.node = New(Options{
 		Self:             h.member,
 		Seeds:            h.seeds,
-		TombstoneTimeout: w.tombstoneTimeout,
-		Seed:             w.random.Uint64(),
+		TombstoneTimeout: c.tombstoneTimeout,
+		Seed:             c.random.Uint64(),
 	})
 	h.frozen = false
 	h.pending = Input{}
-	w.step(h, Input{})
+	c.step(h, Input{})
 }
 
 // startAll starts all hosts within 0.3 s in any order.
-func (w *cluster) startAll() {
-	for _, h := range w.hosts {
-		w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), func() { w.start(h) })
+func (c *cluster) startAll() {
+	for _, h := range c.hosts {
+		c.after(time.Duration(c.random.Int64N(int64(300*time.Millisecond))), func() { c.start(h) })
 	}
 }
 
-func (w *cluster) kill(h *host) {
+func (c *cluster) kill(h *host) {
 	h.node = nil
 	h.version++
 }
 
-func (w *cluster) freeze(h *host, duration time.Duration) {
+func (c *cluster) freeze(h *host, duration time.Duration) {
 	h.frozen = true
-	w.after(duration, func() {
+	c.after(duration, func() {
 		if !h.frozen || h.node == nil {
 			return
 		}
 		h.frozen = false
 		pending := h.pending
 		h.pending = Input{}
-		w.step(h, Input{}) // its timer fires before it reads what has arrived
-		w.step(h, pending)
+		c.step(h, Input{}) // its timer fires before it reads what has arrived
+		c.step(h, pending)
 	})
 }
 
-func (w *cluster) after(delay time.Duration, run func()) { w.loop.After(delay, run) }
+func (c *cluster) after(delay time.Duration, run func()) { c.loop.After(delay, run) }
 
-func (w *cluster) runFor(duration time.Duration) { w.loop.RunFor(duration) }
+func (c *cluster) runFor(duration time.Duration) { c.loop.RunFor(duration) }
 
 // runUntil runs until the condition holds, looking every 100 ms, and returns how long that took.
-func (w *cluster) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
-	started := w.loop.Now()
-	for w.loop.Now()-started < limit {
+func (c *cluster) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
+	started := c.loop.Now()
+	for c.loop.Now()-started < limit {
 		if condition() {
-			return w.loop.Now() - started, true
+			return c.loop.Now() - started, true
 		}
-		w.runFor(100 * time.Millisecond)
+		c.runFor(100 * time.Millisecond)
 	}
-	return w.loop.Now() - started, condition()
+	return c.loop.Now() - started, condition()
 }
 
 // runUntilProbing runs until a host has a pending probe.
-func (w *cluster) runUntilProbing(h *host) {
+func (c *cluster) runUntilProbing(h *host) {
 	for len(h.node.prober.pending) == 0 {
-		w.loop.Step()
+		c.loop.Step()
 	}
 }
 
 // deliver steps a host with an input at once, or later when it is slow or frozen.
-func (w *cluster) deliver(to *host, input Input) {
+func (c *cluster) deliver(to *host, input Input) {
 	if to.lag > 0 {
 		starts := to.starts
-		w.after(to.lag, func() {
+		c.after(to.lag, func() {
 			if to.starts == starts {
-				w.stepUnlessFrozen(to, input)
+				c.stepUnlessFrozen(to, input)
 			}
 		})
 		return
 	}
-	w.stepUnlessFrozen(to, input)
+	c.stepUnlessFrozen(to, input)
 }
 
-func (w *cluster) stepUnlessFrozen(to *host, input Input) {
+func (c *cluster) stepUnlessFrozen(to *host, input Input) {
 	if to.frozen {
 		to.pending.Datagrams = append(to.pending.Datagrams, input.Datagrams...)
 		to.pending.Arrivals = append(to.pending.Arrivals, input.Arrivals...)
@@ -160,40 +160,40 @@
 		return
 	}
 	if to.node != nil {
-		w.step(to, input)
+		c.step(to, input)
 	}
 }
 
-func (w *cluster) step(stepped *host, input Input) {
-	effects := stepped.node.Step(w.loop.Now(), input)
+func (c *cluster) step(stepped *host, input Input) {
+	effects := stepped.node.Step(c.loop.Now(), input)
 	stepped.steps++
 	for _, change := range effects.Events {
-		stepped.events = append(stepped.events, timedEvent{w.loop.Now(), change})
+		stepped.events = append(stepped.events, timedEvent{c.loop.Now(), change})
 	}
 	for _, datagram := range effects.Datagrams {
-		w.sendDatagram(stepped, datagram)
+		c.sendDatagram(stepped, datagram)
 	}
 	for _, call := range effects.Calls {
-		w.call(stepped, call)
+		c.call(stepped, call)
 	}
 	for _, reply := range effects.Replies {
-		w.replies(stepped, reply)
+		c.replies(stepped, reply)
 	}
 	stepped.version++
 	version := stepped.version
 	if effects.NextWake == never {
 		return
 	}
-	if effects.NextWake > w.loop.Now() {
+	if effects.NextWake > c.loop.Now() {
 		stepped.immediateSteps = 0
 	}
 	stepped.immediateSteps++
 	if stepped.immediateSteps > maxImmediateSteps {
 		panic(stepped.member.Name + " asks to be woken at once without end")
 	}
-	w.after(effects.NextWake-w.loop.Now()+stepped.lag, func() {
+	c.after(effects.NextWake-c.loop.Now()+stepped.lag, func() {
 		if stepped.version == version && stepped.node != nil && !stepped.frozen {
-			w.step(stepped, Input{})
+			c.step(stepped, Input{})
 		}
 	})
 }
--- a/internal/tier/membership/clusterhost_test.go
+++ b/internal/tier/membership/clusterhost_test.go
@@ -66,9 +66,9 @@
 }
 
 // running lists the hosts whose process runs.
-func (w *cluster) running() []*host {
+func (c *cluster) running() []*host {
 	var running []*host
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		if h.node != nil {
 			running = append(running, h)
 		}
@@ -77,9 +77,9 @@
 }
 
 // converged reports whether each running host considers exactly the running ones live.
-func (w *cluster) converged() bool { return w.convergedAmong(w.running()) }
+func (c *cluster) converged() bool { return c.convergedAmong(c.running()) }
 
-func (w *cluster) convergedAmong(group []*host) bool {
+func (c *cluster) convergedAmong(group []*host) bool {
 	var names []string
 	for _, h := range group {
 		names = append(names, h.member.Name)
@@ -99,9 +99,9 @@
 }
 
 // disagreements describes what is not converged.
-func (w *cluster) disagreements() string {
+func (c *cluster) disagreements() string {
 	text := ""
-	for _, h := range w.running() {
+	for _, h := range c.running() {
 		if len(text) < 2000 {
 			text += fmt.Sprintf("%s has %d live members\n", h.member.Name, len(h.live()))
 		}
@@ -110,9 +110,9 @@
 }
 
 // died lists the deaths that running hosts have reported since a time, without those of the names expected.
-func (w *cluster) died(since time.Duration, expected ...string) []string {
+func (c *cluster) died(since time.Duration, expected ...string) []string {
 	var deaths []string
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		for _, change := range h.events {
 			if change.Kind == MemberDied && change.At >= since && !slices.Contains(expected, change.Member.Name) {
 				deaths = append(deaths, fmt.Sprintf("%v %s: %s", change.At, h.member.Name, change.Member.Name))
--- a/internal/tier/membership/clusterlinks_test.go
+++ b/internal/tier/membership/clusterlinks_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-func (w *cluster) delay() time.Duration {
-	return w.shortest + time.Duration(w.random.Int64N(int64(w.longest-w.shortest)+1))
+func (c *cluster) delay() time.Duration {
+	return c.shortest + time.Duration(c.random.Int64N(int64(c.longest-c.shortest)+1))
 }
 
-func (w *cluster) sendDatagram(from *host, datagram Datagram) {
+func (c *cluster) sendDatagram(from *host, datagram Datagram) {
 	from.sent++
-	from.recordSuspicions(w.loop.Now(), datagram.Message.Updates)
-	if w.measure {
+	from.recordSuspicions(c.loop.Now(), datagram.Message.Updates)
+	if c.measure {
 		encoded, err := json.Marshal(datagram.Message)
 		if err != nil {
 			panic(err)
 		}
 		from.bytes += len(encoded)
-		w.largest = max(w.largest, len(encoded))
+		c.largest = max(c.largest, len(encoded))
 	}
-	w.carry(from, datagram)
-	if w.random.Float64() < w.duplicate {
-		w.carry(from, datagram)
+	c.carry(from, datagram)
+	if c.random.Float64() < c.duplicate {
+		c.carry(from, datagram)
 	}
 }
 
-func (w *cluster) carry(from *host, datagram Datagram) {
-	to := w.byAddress[datagram.Address]
-	if to == nil || w.random.Float64() < w.loss {
+func (c *cluster) carry(from *host, datagram Datagram) {
+	to := c.byAddress[datagram.Address]
+	if to == nil || c.random.Float64() < c.loss {
 		return
 	}
-	w.after(w.delay(), func() {
-		if to.node != nil && !w.blocked(from, to) {
-			w.deliver(to, Input{Datagrams: []Datagram{{from.member.Address, datagram.Message}}})
+	c.after(c.delay(), func() {
+		if to.node != nil && !c.blocked(from, to) {
+			c.deliver(to, Input{Datagrams: []Datagram{{from.member.Address, datagram.Message}}})
 		}
 	})
 }
@@ -45,50 +45,50 @@
 	token  uint64
 }
 
-func (w *cluster) call(from *host, call PushPullCall) {
+func (c *cluster) call(from *host, call PushPullCall) {
 	starts := from.starts
-	w.calls++
-	if w.measure {
+	c.calls++
+	if c.measure {
 		encoded, _ := json.Marshal(call.Message)
-		w.callBytes += len(encoded)
+		c.callBytes += len(encoded)
 	}
 	fail := func(after time.Duration) {
-		w.after(after, func() {
+		c.after(after, func() {
 			if from.starts == starts && from.node != nil {
-				w.deliver(from, Input{Results: []PushPullResult{{Token: call.Token, Failed: true}}})
+				c.deliver(from, Input{Results: []PushPullResult{{Token: call.Token, Failed: true}}})
 			}
 		})
 	}
 	const connectTimeout = time.Second
-	to := w.byAddress[call.Address]
+	to := c.byAddress[call.Address]
 	if to == nil {
 		fail(connectTimeout)
 		return
 	}
-	w.after(2*w.delay(), func() {
+	c.after(2*c.delay(), func() {
 		switch {
-		case w.blocked(from, to) || w.blocked(to, from):
+		case c.blocked(from, to) || c.blocked(to, from):
 			fail(connectTimeout)
 		case to.node == nil:
-			fail(w.delay())
+			fail(c.delay())
 		default:
-			w.routes = append(w.routes, replyRoute{from, starts, call.Token})
-			w.deliver(to, Input{Arrivals: []PushPullArrival{{uint64(len(w.routes)), call.Message}}})
+			c.routes = append(c.routes, replyRoute{from, starts, call.Token})
+			c.deliver(to, Input{Arrivals: []PushPullArrival{{uint64(len(c.routes)), call.Message}}})
 		}
 	})
 }
 
-func (w *cluster) replies(from *host, reply PushPullReply) {
-	route := w.routes[reply.Token-1]
-	if w.measure {
+func (c *cluster) replies(from *host, reply PushPullReply) {
+	route := c.routes[reply.Token-1]
+	if c.measure {
 		encoded, _ := json.Marshal(reply.Message)
-		w.callBytes += len(encoded)
+		c.callBytes += len(encoded)
 	}
-	w.after(w.delay(), func() {
+	c.after(c.delay(), func() {
 		if route.caller.starts != route.starts || route.caller.node == nil {
 			return
 		}
-		outcome := PushPullResult{Token: route.token, Response: reply.Message, Failed: w.blocked(from, route.caller)}
-		w.deliver(route.caller, Input{Results: []PushPullResult{outcome}})
+		outcome := PushPullResult{Token: route.token, Response: reply.Message, Failed: c.blocked(from, route.caller)}
+		c.deliver(route.caller, Input{Results: []PushPullResult{outcome}})
 	})
 }
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -70,15 +70,15 @@
 // totals are sums over all hosts, divided by their number.
 type totals struct{ messages, bytes, steps, calls, callBytes float64 }
 
-func (w *cluster) totals() totals {
+func (c *cluster) totals() totals {
 	var sum totals
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		sum.messages += float64(h.sent)
 		sum.bytes += float64(h.bytes)
 		sum.steps += float64(h.steps)
 	}
-	size := float64(len(w.hosts))
-	return totals{sum.messages / size, sum.bytes / size, sum.steps / size, float64(w.calls) / size, float64(w.callBytes) / size}
+	size := float64(len(c.hosts))
+	return totals{sum.messages / size, sum.bytes / size, sum.steps / size, float64(c.calls) / size, float64(c.callBytes) / size}
 }
 
 func (t totals) since(before totals, seconds float64) totals {
@@ -92,9 +92,9 @@
 }
 
 // deathTimes lists, in order, how long after a kill each host reported the death.
-func (w *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
+func (c *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
 	var times []time.Duration
-	for _, h := range w.running() {
+	for _, h := range c.running() {
 		for _, change := range h.events {
 			if change.Kind == MemberDied && change.Member.Name == victim.member.Name {
 				times = append(times, (change.At - killedAt).Round(time.Millisecond))
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -29,39 +29,39 @@
 	}
 })
 
-func (w *cluster) inject(happens fault) {
-	h := w.hosts[happens.Host%len(w.hosts)]
+func (c *cluster) inject(happens fault) {
+	h := c.hosts[happens.Host%len(c.hosts)]
 	switch happens.Kind {
 	case "kill":
-		w.kill(h)
+		c.kill(h)
 	case "restart":
-		w.kill(h)
-		w.start(h)
+		c.kill(h)
+		c.start(h)
 	case "freeze":
-		w.freeze(h, happens.Duration)
+		c.freeze(h, happens.Duration)
 	case "lag":
 		h.lag = happens.Duration / 10
 	case "partition":
-		w.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
+		c.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
-		w.blocked = func(from, _ *host) bool { return from == h }
+		c.blocked = func(from, _ *host) bool { return from == h }
 	case "leave":
 		if h.node != nil && !h.frozen {
-			w.step(h, Input{Leave: true})
-			w.kill(h)
+			c.step(h, Input{Leave: true})
+			c.kill(h)
 		}
 	case "heal":
-		w.blocked = func(_, _ *host) bool { return false }
+		c.blocked = func(_, _ *host) bool { return false }
 	}
 }
 
 // healAll ends all faults but freezes, which end by themselves, and starts what is down.
-func (w *cluster) healAll() {
-	w.blocked = func(_, _ *host) bool { return false }
-	for _, h := range w.hosts {
+func (c *cluster) healAll() {
+	c.blocked = func(_, _ *host) bool { return false }
+	for _, h := range c.hosts {
 		h.lag = 0
 		if h.node == nil {
-			w.start(h)
+			c.start(h)
 		}
 	}
 }
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -78,40 +78,40 @@
 
 func TestQueuedRequest_ClientCloses_LeavesQueue(t *testing.T) {
 	// given an endpoint at capacity, and a request that waits for it
-	s, inFlight := newSaturatedBalancer(t)
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
+	loadBalancer, inFlight := newSaturatedBalancer(t)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer })
 	config := configurationWithLatencyTarget(100_000)
 	f.views.routes.Store(NewRoutes(config))
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
-	awaitQueued(s, 1)
+	awaitQueued(loadBalancer, 1)
 	// when its client goes, then it waits no more, and gets no capacity when there is some
 	c.socket.Close()
-	awaitQueued(s, 0)
-	s.Done(inFlight, Outcome{Result: Succeeded})
+	awaitQueued(loadBalancer, 0)
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded})
 	f.stop()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if left := s.queueFor("plain").Len(); left != 0 {
+	loadBalancer.mutex.Lock()
+	defer loadBalancer.mutex.Unlock()
+	if left := loadBalancer.queueFor("plain").Len(); left != 0 {
 		t.Errorf("%d in the queue", left)
 	}
 }
 
 func TestQueuedRequest_SelectedAsClientCloses_GivesSelectionBack(t *testing.T) {
 	// given a request that gets capacity at the moment at which its client goes
-	s, inFlight := newSaturatedBalancer(t)
-	s.mutex.Lock()
-	id, w, rejection := s.enqueue(newRequestInfo(0))
-	s.mutex.Unlock()
+	loadBalancer, inFlight := newSaturatedBalancer(t)
+	loadBalancer.mutex.Lock()
+	id, w, rejection := loadBalancer.enqueue(newRequestInfo(0))
+	loadBalancer.mutex.Unlock()
 	if rejection != nil {
 		t.Fatal(rejection)
 	}
-	s.Done(inFlight, Outcome{Result: Succeeded})
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded})
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_ = s.leaveQueue(cancelled, id, w)
+	_ = loadBalancer.leaveQueue(cancelled, id, w)
 	// then the next one gets that capacity
-	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
+	if _, err := loadBalancer.Select(t.Context(), newRequestInfo(0)); err != nil {
 		t.Errorf("the capacity was not free: %v", err)
 	}
 }
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -75,8 +75,8 @@
 	t.Parallel()
 	t.Run("it waits for capacity", func(t *testing.T) {
 		t.Parallel()
-		s, _ := newSaturatedBalancer(t)
-		f := newFixtureWith(t, func(options *Options) { options.Selector = s })
+		loadBalancer, _ := newSaturatedBalancer(t)
+		f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer })
 		f.setRouteTimeout(shortTimeoutMs)
 		c := f.dial()
 		c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 60000")
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -32,14 +32,14 @@
 // newSaturatedBalancer returns a load balancer with one endpoint at capacity, and the selection in flight there.
 func newSaturatedBalancer(t *testing.T) (*LoadBalancer, Selection) {
 	t.Helper()
-	s := NewLoadBalancer("z", 1)
-	s.balancer = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
-	s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
-	inFlight, err := s.Select(t.Context(), newRequestInfo(0))
+	loadBalancer := NewLoadBalancer("z", 1)
+	loadBalancer.balancer = balancer.New(balancer.Options{Zone: "z", MaxInFlight: 1})
+	loadBalancer.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
+	inFlight, err := loadBalancer.Select(t.Context(), newRequestInfo(0))
 	if err != nil || inFlight.ID != "e" || inFlight.Address != "127.0.0.1:1" || inFlight.MaxConnections != 10 {
 		t.Fatalf("%+v, %v", inFlight, err)
 	}
-	return s, inFlight
+	return loadBalancer, inFlight
 }
 
 // queued returns how many requests wait.
@@ -49,15 +49,15 @@
 	return len(b.waiting)
 }
 
-func awaitQueued(s *LoadBalancer, count int) {
-	for s.queued() != count {
+func awaitQueued(loadBalancer *LoadBalancer, count int) {
+	for loadBalancer.queued() != count {
 		runtime.Gosched()
 	}
 }
 
 func TestLoadBalancer_NoEndpoint_Rejects(t *testing.T) {
-	s := NewLoadBalancer("z", 1)
-	_, err := s.Select(t.Context(), newRequestInfo(0))
+	loadBalancer := NewLoadBalancer("z", 1)
+	_, err := loadBalancer.Select(t.Context(), newRequestInfo(0))
 	var rejection *RejectionError
 	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
@@ -65,22 +65,22 @@
 }
 
 func TestLoadBalancer_CapacityFreed_MostUrgentFirst(t *testing.T) {
-	s, inFlight := newSaturatedBalancer(t)
+	loadBalancer, inFlight := newSaturatedBalancer(t)
 	order := make(chan int, 3)
 	var done sync.WaitGroup
 	for i, priority := range []int{2, 0, 1} {
 		done.Go(func() {
-			selection, err := s.Select(t.Context(), newRequestInfo(priority))
+			selection, err := loadBalancer.Select(t.Context(), newRequestInfo(priority))
 			if err != nil {
 				t.Errorf("priority %d: %v", priority, err)
 				return
 			}
 			order <- priority
-			s.Done(selection, Outcome{Result: Succeeded, Took: time.Millisecond})
+			loadBalancer.Done(selection, Outcome{Result: Succeeded, Took: time.Millisecond})
 		})
-		awaitQueued(s, i+1)
+		awaitQueued(loadBalancer, i+1)
 	}
-	s.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
 	done.Wait()
 	if diff := cmp.Diff([]int{0, 1, 2}, []int{<-order, <-order, <-order}); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
@@ -88,10 +88,10 @@
 }
 
 func TestLoadBalancer_QueuedTooLong_Rejects(t *testing.T) {
-	s, _ := newSaturatedBalancer(t)
+	loadBalancer, _ := newSaturatedBalancer(t)
 	info := newRequestInfo(0)
 	info.Route.LatencyTargetMs = 80
-	_, err := s.Select(t.Context(), info)
+	_, err := loadBalancer.Select(t.Context(), info)
 	var rejection *RejectionError
 	if !errors.As(err, &rejection) || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
@@ -99,36 +99,36 @@
 	if waited := time.Since(info.ArrivedAt); waited < 20*time.Millisecond || waited > time.Second {
 		t.Errorf("rejected after %v", waited)
 	}
-	if s.queued() != 0 {
+	if loadBalancer.queued() != 0 {
 		t.Error("still waiting")
 	}
 }
 
 func TestLoadBalancer_MayHaveRun_IsNotQueued(t *testing.T) {
-	s, _ := newSaturatedBalancer(t)
+	loadBalancer, _ := newSaturatedBalancer(t)
 	info := newRequestInfo(0)
 	info.Route.Kind, info.Route.MaxAttempts = model.Retryable, 2
 	info.MayHaveRun, info.AttemptsUsed = true, 1
-	if _, err := s.Select(t.Context(), info); err == nil {
+	if _, err := loadBalancer.Select(t.Context(), info); err == nil {
 		t.Error("not rejected")
 	}
 }
 
 func TestLoadBalancer_ClientCloses_LeavesNothingQueued(t *testing.T) {
-	s, inFlight := newSaturatedBalancer(t)
+	loadBalancer, inFlight := newSaturatedBalancer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan error)
 	go func() {
-		_, err := s.Select(ctx, newRequestInfo(0))
+		_, err := loadBalancer.Select(ctx, newRequestInfo(0))
 		left <- err
 	}()
-	awaitQueued(s, 1)
+	awaitQueued(loadBalancer, 1)
 	cancel()
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	s.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
-	if _, err := s.Select(t.Context(), newRequestInfo(0)); err != nil {
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
+	if _, err := loadBalancer.Select(t.Context(), newRequestInfo(0)); err != nil {
 		t.Errorf("the capacity was not free: %v", err)
 	}
 }
@@ -188,12 +188,12 @@
 
 func TestLoadBalancer_InProxy_ServesRequests(t *testing.T) {
 	first, second := newEndpoint(t, respondNotRun), newEndpoint(t, respondWith(200, "good", "X-Server-Load: 1,0,8"))
-	s := NewLoadBalancer("z", 1)
-	s.SetEndpoints([]model.Endpoint{
+	loadBalancer := NewLoadBalancer("z", 1)
+	loadBalancer.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: first.listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 		{ID: "e2", Service: "plain", Address: second.listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 	})
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, first, second)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, first, second)
 	c := f.dial()
 	for i := range 20 {
 		c.request("GET", "/once/x", fmt.Sprint(i), "")
@@ -241,9 +241,9 @@
 		}
 		return respondWith(200, "good")(socket, request)
 	})
-	s := NewLoadBalancer("z", 1)
-	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
+	loadBalancer := NewLoadBalancer("z", 1)
+	loadBalancer.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, e)
 	config := configurationWithLatencyTarget(4000)
 	f.views.routes.Store(NewRoutes(config))
 	// when the request comes, and another one behind it
@@ -273,11 +273,11 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			s := NewLoadBalancer("z", 1)
-			s.SetEndpoints(endpointsOf(addresses, model.Ready, model.Ready))
+			loadBalancer := NewLoadBalancer("z", 1)
+			loadBalancer.SetEndpoints(endpointsOf(addresses, model.Ready, model.Ready))
 			info := newRequestInfo(0)
 			info.RejectedBy, info.Excluded = test.rejectedBy, test.excluded
-			if selection, err := s.Select(t.Context(), info); err != nil || selection.ID != test.want {
+			if selection, err := loadBalancer.Select(t.Context(), info); err != nil || selection.ID != test.want {
 				t.Errorf("got %q, %v", selection.ID, err)
 			}
 		})
@@ -292,9 +292,9 @@
 		<-release
 		return respondWith(200, "good")(socket, request)
 	})
-	s := NewLoadBalancer("z", 1)
-	s.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
+	loadBalancer := NewLoadBalancer("z", 1)
+	loadBalancer.SetEndpoints(endpointsOf([]string{e.listener.Addr().String()}, model.Ready))
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, e)
 	config := configurationWithLatencyTarget(8000)
 	for i := range config.Services {
 		config.Services[i].MaxConnections = minConnections
@@ -307,7 +307,7 @@
 	}
 	// when another request comes and a connection is free later
 	clients[minConnections].request("GET", "/once/x", "another", "")
-	awaitQueued(s, 1)
+	awaitQueued(loadBalancer, 1)
 	close(release)
 	// then all of them are served
 	for i, c := range clients {
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -35,13 +35,17 @@
 func TestPermit_RevokedBeforeSend_EndpointGetsNothing(t *testing.T) {
 	ready, draining := model.Ready, model.Draining
 	withdraw := map[string]func(*LoadBalancer, []string){
-		"draining": func(s *LoadBalancer, addresses []string) { s.SetEndpoints(endpointsOf(addresses, draining, ready)) },
-		"gone":     func(s *LoadBalancer, addresses []string) { s.SetEndpoints(endpointsOf(addresses, draining, ready)[1:]) },
-		"a version that is withdrawn": func(s *LoadBalancer, addresses []string) {
+		"draining": func(loadBalancer *LoadBalancer, addresses []string) {
+			loadBalancer.SetEndpoints(endpointsOf(addresses, draining, ready))
+		},
+		"gone": func(loadBalancer *LoadBalancer, addresses []string) {
+			loadBalancer.SetEndpoints(endpointsOf(addresses, draining, ready)[1:])
+		},
+		"a version that is withdrawn": func(loadBalancer *LoadBalancer, addresses []string) {
 			list := endpointsOf(addresses, ready, ready)
 			list[0].Version = "v2"
-			s.SetEndpoints(list)
-			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v1"}})
+			loadBalancer.SetEndpoints(list)
+			loadBalancer.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v1"}})
 		},
 	}
 	for name, change := range withdraw {
@@ -49,11 +53,11 @@
 			// given two endpoints, of which only the first one is known
 			first, second := newEndpoint(t, respondWith(200, "first")), newEndpoint(t, respondWith(200, "second"))
 			addresses := []string{first.listener.Addr().String(), second.listener.Addr().String()}
-			s := NewLoadBalancer("z", 1)
-			s.SetEndpoints(endpointsOf(addresses, ready))
+			loadBalancer := NewLoadBalancer("z", 1)
+			loadBalancer.SetEndpoints(endpointsOf(addresses, ready))
 			// when the first one is withdrawn after it was chosen
 			f := newFixtureWith(t, func(options *Options) {
-				options.Selector = &revokingSelector{s, func(Selection) { change(s, addresses) }}
+				options.Selector = &revokingSelector{loadBalancer, func(Selection) { change(loadBalancer, addresses) }}
 			}, first, second)
 			c := f.dial()
 			c.request("POST", "/once/x", "id", "body")
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -77,9 +77,9 @@
 	endpoint := &slottedEndpoint{count: 8, queue: 4}
 	var loadBalancers []*LoadBalancer
 	for i := range proxies {
-		s := NewLoadBalancer("z", uint64(i+1))
-		s.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Version: "v1", State: model.Ready}})
-		loadBalancers = append(loadBalancers, s)
+		loadBalancer := NewLoadBalancer("z", uint64(i+1))
+		loadBalancer.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Version: "v1", State: model.Ready}})
+		loadBalancers = append(loadBalancers, loadBalancer)
 	}
 	var mutex sync.Mutex
 	var asked, good [2]int
@@ -87,10 +87,10 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for began := time.Now(); time.Since(began) < lasts; {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		priority, s := random.IntN(2), loadBalancers[random.IntN(proxies)]
+		priority, loadBalancer := random.IntN(2), loadBalancers[random.IntN(proxies)]
 		asked[priority]++
 		all.Go(func() {
-			if s.requestOnce(t, endpoint, priority, targets[priority], work) {
+			if loadBalancer.requestOnce(t, endpoint, priority, targets[priority], work) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				good[priority]++
--- a/internal/tier/proxy/queue_test.go
+++ b/internal/tier/proxy/queue_test.go
@@ -11,11 +11,11 @@
 	for _, target := range []time.Duration{100, 320, 800, 1200, 4000} {
 		synctest.Test(t, func(t *testing.T) {
 			// given an endpoint whose only slot stays taken
-			s, _ := newSaturatedBalancer(t)
+			loadBalancer, _ := newSaturatedBalancer(t)
 			info := newRequestInfo(0)
 			info.Route.LatencyTargetMs = int64(target)
 			// when a request waits for it
-			_, err := s.Select(t.Context(), info)
+			_, err := loadBalancer.Select(t.Context(), info)
 			// then it is rejected after a quarter of its target time, neither sooner nor later
 			var rejection *RejectionError
 			if !errors.As(err, &rejection) {
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -64,12 +64,12 @@
 
 func TestShutdown_QueuedRequest_IsRejected(t *testing.T) {
 	// given a request that waits for capacity
-	s, _ := newSaturatedBalancer(t)
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s })
+	loadBalancer, _ := newSaturatedBalancer(t)
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer })
 	f.setRouteTimeout(60_000)
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
-	awaitQueued(s, 1)
+	awaitQueued(loadBalancer, 1)
 	// when a shutdown comes to the end of its time, then the client learns that it has not run
 	ended := f.shutDownOnce(f.closedToClients)
 	if got := c.read("POST"); got.status != 503 || !got.close {
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -77,10 +77,10 @@
 		_, _ = io.WriteString(socket, chunk(event(2, "two"))+lastChunk)
 		return true
 	})
-	s := NewLoadBalancer("z", 1)
+	loadBalancer := NewLoadBalancer("z", 1)
 	address := e.listener.Addr().String()
-	s.SetEndpoints(servers(address, address, model.Ready))
-	f := newFixtureWith(t, func(options *Options) { options.Selector = s }, e)
+	loadBalancer.SetEndpoints(servers(address, address, model.Ready))
+	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, e)
 	c := f.dial()
 	target, want := "/safe/x", "complete"
 	if head != "" {
@@ -89,7 +89,7 @@
 	c.request("POST", target, "id", "body")
 	<-started
 	// when what the proxy knows changes
-	change(f, s)
+	change(f, loadBalancer)
 	close(release)
 	// then the request is answered completely
 	if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
