--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// build names the program for a capture: its version and the revision that it was built from.
 func build() string {
 	text := version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -84,29 +85,11 @@
 	return text
 }
 
+// captureCommand has a running relay start and stop captures, by signals, and looks at captures.
 func captureCommand(o *options) *cobra.Command {
 	root := &cobra.Command{Use: "capture", Short: "switch the recording of decisions in a running relay, and look at captures"}
-	signal := func(use, short string, sig syscall.Signal) *cobra.Command {
-		var pid int
-		cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			cfg, err := config.Load(o.file, os.Getenv)
-			if err != nil {
-				return workError{err}
-			}
-			if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
-				return workError{config.NewKeyError("capture.dir", "missing: where captures go")}
-			}
-			if err := syscall.Kill(pid, sig); err != nil {
-				return workError{fmt.Errorf("--pid %d: %w", pid, err)}
-			}
-			return nil
-		}}
-		cmd.Flags().IntVar(&pid, "pid", 0, "process of the relay")
-		_ = cmd.MarkFlagRequired("pid")
-		return cmd
-	}
-	root.AddCommand(signal("start", "have a relay record from now on (SIGUSR1)", syscall.SIGUSR1),
-		signal("stop", "have it stop (SIGUSR2)", syscall.SIGUSR2),
+	root.AddCommand(captureSignalCommand(o, "start", "have a relay record from now on (SIGUSR1)", syscall.SIGUSR1),
+		captureSignalCommand(o, "stop", "have it stop (SIGUSR2)", syscall.SIGUSR2),
 		&cobra.Command{Use: "info FILE...", Short: "tell what captures hold", Args: cobra.MinimumNArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				for _, file := range args {
@@ -119,59 +102,106 @@
 	return root
 }
 
-// reading opens a capture.
-func reading(file string, do func(*capture.Reader) error) error {
+// captureSignalCommand is a command that sends a relay the signal that starts or stops a capture.
+func captureSignalCommand(o *options, use, short string, signal syscall.Signal) *cobra.Command {
+	var pid int
+	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		cfg, err := config.Load(o.file, os.Getenv)
+		if err != nil {
+			return workError{err}
+		}
+		if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
+			return workError{config.NewKeyError("capture.dir", "missing: where captures go")}
+		}
+		return sendSignal(pid, signal)
+	}}
+	pidFlag(cmd, &pid)
+	return cmd
+}
+
+// pidFlag adds the flag that names a running relay.
+func pidFlag(cmd *cobra.Command, pid *int) {
+	cmd.Flags().IntVar(pid, "pid", 0, "process of the relay")
+	_ = cmd.MarkFlagRequired("pid")
+}
+
+// sendSignal sends a running relay a signal.
+func sendSignal(pid int, signal syscall.Signal) error {
+	if err := syscall.Kill(pid, signal); err != nil {
+		return workError{fmt.Errorf("--pid %d: %w", pid, err)}
+	}
+	return nil
+}
+
+// readCapture opens a capture and hands it to do.
+func readCapture(file string, do func(*capture.Reader) error) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	r, err := capture.NewReader(f)
+	reader, err := capture.NewReader(f)
 	if err != nil {
 		return err
 	}
-	return do(r)
+	return do(reader)
+}
+
+// captureSummary counts what a capture holds.
+type captureSummary struct {
+	begin                                 capture.Begin
+	chunks, turns, events, messages, gaps int
+	first, last                           time.Duration // of its turns, on the module's clock
+}
+
+// add counts a record.
+func (s *captureSummary) add(record any) error {
+	switch record := record.(type) {
+	case *capture.Begin:
+		s.begin = *record
+	case *capture.Turn:
+		if s.turns == 0 {
+			s.first = record.Now
+		}
+		s.turns++
+		s.events += len(record.Events)
+		s.last = record.Now
+	case *capture.Message:
+		s.messages++
+	case *capture.Gap:
+		s.gaps++
+	}
+	return nil
 }
 
-func captureInfo(w io.Writer, file string) error {
-	return reading(file, func(r *capture.Reader) error {
-		var begin capture.Begin
-		chunks, turns, events, messages, gaps := 0, 0, 0, 0, 0
-		var first, last time.Duration
+// print prints the counts with the relay and the time that they are of.
+func (s *captureSummary) print(out io.Writer, file string) {
+	at := time.UnixMicro(s.begin.At).Add(s.first - s.begin.Clock).UTC()
+	fmt.Fprintf(out, "%s: relay %s, build %s\n  from %s for %v; %d turns, %d events, %d messages, %d gaps in %d chunks\n", file, s.begin.Relay,
+		strings.TrimSpace(s.begin.Build), at.Format("2006-01-02 15:04:05.000"), (s.last - s.first).Round(time.Millisecond), s.turns, s.events, s.messages,
+		s.gaps, s.chunks)
+}
+
+// captureInfo prints what a capture holds, and why reading it ended early.
+func captureInfo(out io.Writer, file string) error {
+	return readCapture(file, func(reader *capture.Reader) error {
+		var summary captureSummary
 		for {
-			c, err := r.Next()
+			chunk, err := reader.Next()
 			if errors.Is(err, io.EOF) {
 				break
 			}
 			if err != nil {
 				return err
 			}
-			chunks++
-			err = r.Records(c, func(record any) error {
-				switch v := record.(type) {
-				case *capture.Begin:
-					begin = *v
-				case *capture.Turn:
-					if turns == 0 {
-						first = v.Now
-					}
-					turns, events, last = turns+1, events+len(v.Events), v.Now
-				case *capture.Message:
-					messages++
-				case *capture.Gap:
-					gaps++
-				}
-				return nil
-			})
-			if err != nil {
+			summary.chunks++
+			if err := reader.Records(chunk, summary.add); err != nil {
 				return err
 			}
 		}
-		at := time.UnixMicro(begin.At).Add(first - begin.Clock).UTC()
-		fmt.Fprintf(w, "%s: relay %s, build %s\n  from %s for %v; %d turns, %d events, %d messages, %d gaps in %d chunks\n", file, begin.Relay,
-			strings.TrimSpace(begin.Build), at.Format("2006-01-02 15:04:05.000"), (last - first).Round(time.Millisecond), turns, events, messages, gaps, chunks)
-		if r.Torn != nil {
-			fmt.Fprintf(w, "  read up to the last whole chunk: %v\n", r.Torn)
+		summary.print(out, file)
+		if reader.Torn != nil {
+			fmt.Fprintf(out, "  read up to the last whole chunk: %v\n", reader.Torn)
 		}
 		return nil
 	})
--- a/cmd/mastusher/capture_test.go
+++ b/cmd/mastusher/capture_test.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -19,10 +17,35 @@
 // TestServe_CapturedOverKill_ReplaysTenTimes: a relay with one silent partner and one that refuses is captured from the middle of its work on, over a
 // SIGKILL and a restart; each file replays ten times with the same decisions, and the tools tell of it.
 func TestServe_CapturedOverKill_ReplaysTenTimes(t *testing.T) {
+	relay := stageCaptured(t)
+	files := relay.captureOverKill(t)
+	replayTenTimes(t, files)
+	relay.checkReplayFlags(t, files[0])
+	window := relay.cutWindow(t, files[0])
+	if out := runCommandLine(t, 0, "capture", "info", files[0], window); strings.Count(out, "relay t") != 2 {
+		t.Errorf("info says\n%s", out)
+	}
+	for _, args := range [][]string{{"replay", relay.file}, {"replay", filepath.Join(relay.dir, "none")}, {"capture", "info", relay.file}} {
+		runCommandLine(t, 1, args...)
+	}
+	runCommandLine(t, 2, "replay")
+	runCommandLine(t, 2, "capture", "start", "--config", relay.file)
+}
+
+// capturedRelay is a relay whose configuration has a folder for captures.
+type capturedRelay struct {
+	*daemon
+	dir, file, config string // the folder of all, the configuration and its text
+	captures          string // folder
+}
+
+// stageCaptured sets up a relay with four partners, of which the second is silent and the third refuses. It is not started yet.
+func stageCaptured(t *testing.T) *capturedRelay {
+	t.Helper()
 	dir := t.TempDir()
+	relay := &capturedRelay{dir: dir, captures: filepath.Join(dir, "captures")}
 	hang := make(chan struct{})
-	captures := filepath.Join(dir, "captures")
-	d, file, text := stage(t, dir, 4, func(a standin.Arrival) httpwire.Answer {
+	relay.daemon, relay.file, relay.config = stage(t, dir, 4, func(a standin.Arrival) httpwire.Answer {
 		switch a.Endpoint {
 		case 1:
 			<-hang
@@ -30,118 +53,138 @@
 			return httpwire.Answer{Status: 429, Header: []string{"Retry-After", "0.3"}}
 		}
 		return httpwire.Answer{Status: 200}
-	}, fmt.Sprintf(`"capture": {"dir": %q}`, captures))
+	}, fmt.Sprintf(`"capture": {"dir": %q}`, relay.captures))
 	t.Cleanup(func() { close(hang) })
-	tool := func(want int, args ...string) string {
-		t.Helper()
-		var out bytes.Buffer
-		if code := run(args, &out, &out); code != want {
-			t.Errorf("%v: exit %d, want %d\n%s", args, code, want, out.String())
-		}
-		return out.String()
-	}
-	hand := func(from, to int) {
-		t.Helper()
-		client := standin.NewClient(d.address)
-		defer client.Close()
-		for i := from; i < to; i++ {
-			m := &standin.Message{ID: fmt.Sprint("m-", i), Key: fmt.Sprint("k-", i), Class: "match-event", Partner: i % 4, Timeout: 3 * time.Second, Body: "goal"}
-			client.Send(t.Context(), m)
-		}
-	}
-	pid := func() string { return fmt.Sprint(d.Process.Pid) }
-	d.start(t, file)
-	hand(0, 20) // what has happened by now is only in the state that the capture begins with
-	tool(0, "capture", "start", "--config", file, "--pid", pid())
-	await := func(n int, id string) []string { // until a message stands in the n-th capture
-		t.Helper()
-		for range 800 {
-			files, _ := capture.Files(captures)
-			if len(files) >= n {
-				found := false
-				_ = reading(files[n-1], func(r *capture.Reader) error {
-					return r.Each(func(record any) error {
-						m, ok := record.(*capture.Message)
-						found = found || ok && m.ID == id
-						return nil
-					})
-				})
-				if id == "" || found {
-					return files
-				}
-			}
-			time.Sleep(25 * time.Millisecond)
-		}
-		t.Fatalf("no capture %d with %q", n, id)
-		return nil
+	return relay
+}
+
+// captureOverKill has the relay work through eighty messages, a reload that moves it to another discovery, and a SIGKILL, and returns
+// the captures of that: one from before the SIGKILL, and one from after it.
+func (r *capturedRelay) captureOverKill(t *testing.T) (files []string) {
+	t.Helper()
+	r.start(t, r.file)
+	r.submit(t, 0, 20) // what has happened by now is only in the state that the capture begins with
+	r.signalCapture(t, "start")
+	r.awaitCapture(t, 1, "")
+	r.submit(t, 20, 40)
+	r.moveDiscovery(t)
+	r.submit(t, 40, 60)
+	r.awaitCapture(t, 1, "m-59")
+	r.kill()
+	r.start(t, r.file) // messages are resumed from the journal
+	r.signalCapture(t, "start")
+	r.awaitCapture(t, 2, "")
+	r.submit(t, 60, 80)
+	r.signalCapture(t, "stop")
+	files = r.awaitCapture(t, 2, "m-79")
+	_ = r.Process.Signal(syscall.SIGTERM)
+	_ = r.Wait()
+	return files
+}
+
+// submit hands in messages by their numbers.
+func (r *capturedRelay) submit(t *testing.T, from, to int) {
+	t.Helper()
+	client := standin.NewClient(r.address)
+	defer client.Close()
+	for i := from; i < to; i++ {
+		m := &standin.Message{ID: fmt.Sprint("m-", i), Key: fmt.Sprint("k-", i), Class: "match-event", Partner: i % 4, Timeout: 3 * time.Second, Body: "goal"}
+		client.Send(t.Context(), m)
 	}
-	await(1, "")
-	hand(20, 40)
-	moved, err := standin.NewDiscovery(d.known)
+}
+
+// signalCapture has the relay start or stop a capture.
+func (r *capturedRelay) signalCapture(t *testing.T, command string) {
+	t.Helper()
+	runCommandLine(t, 0, "capture", command, "--config", r.file, "--pid", fmt.Sprint(r.Process.Pid))
+}
+
+// moveDiscovery has the relay reload a configuration that names another discovery.
+func (r *capturedRelay) moveDiscovery(t *testing.T) {
+	t.Helper()
+	moved, err := standin.NewDiscovery(r.known)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(moved.Close)
-	_ = os.WriteFile(file, []byte(strings.Replace(text, d.discovery, moved.Address, 1)), 0o600)
-	_ = d.Process.Signal(syscall.SIGHUP)
-	hand(40, 60)
-	await(1, "m-59")
-	_ = d.Process.Kill()
-	_ = d.Wait()
-	d.start(t, file) // messages are resumed from the journal
-	tool(0, "capture", "start", "--config", file, "--pid", pid())
-	await(2, "")
-	hand(60, 80)
-	tool(0, "capture", "stop", "--config", file, "--pid", pid())
-	files := await(2, "m-79")
-	_ = d.Process.Signal(syscall.SIGTERM)
-	_ = d.Wait()
-	program := filepath.Join(dir, "mastusher") // the same build each time
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+	writeFile(t, r.file, []byte(strings.Replace(r.config, r.discovery, moved.Address, 1)))
+	_ = r.Process.Signal(syscall.SIGHUP)
+}
+
+// awaitCapture waits until a message stands in the n-th capture, or just until that is there, and returns all captures.
+func (r *capturedRelay) awaitCapture(t *testing.T, n int, id string) (files []string) {
+	t.Helper()
+	for range 800 {
+		files, _ := capture.Files(r.captures)
+		if len(files) >= n && (id == "" || hasMessage(files[n-1], id)) {
+			return files
+		}
+		time.Sleep(25 * time.Millisecond)
 	}
-	hasMoved := false
-	for _, f := range files {
+	t.Fatalf("no capture %d with %q", n, id)
+	return nil
+}
+
+// hasMessage tells whether a message stands in a capture, as far as that has been written.
+func hasMessage(file, id string) (found bool) {
+	_ = readCapture(file, func(reader *capture.Reader) error {
+		return reader.Each(func(record any) error {
+			m, ok := record.(*capture.Message)
+			found = found || ok && m.ID == id
+			return nil
+		})
+	})
+	return found
+}
+
+// replayTenTimes replays captures with one build of the program, as processes of their own.
+func replayTenTimes(t *testing.T, files []string) {
+	t.Helper()
+	program, hasMoved := buildProgram(t), false
+	for _, file := range files {
 		for range 10 {
-			out, err := exec.Command(program, "replay", f).CombinedOutput()
+			out, err := exec.Command(program, "replay", file).CombinedOutput()
 			if err != nil || !strings.Contains(string(out), "every decision is the same") {
-				t.Fatalf("%s: %v\n%s", f, err, out)
+				t.Fatalf("%s: %v\n%s", file, err, out)
 			}
 			if !strings.Contains(string(out), "so is all that the core did") {
-				t.Fatalf("%s: the core is not replayed\n%s", f, out)
+				t.Fatalf("%s: the core is not replayed\n%s", file, out)
 			}
 			hasMoved = hasMoved || strings.Contains(string(out), "discovery of platform has moved")
 		}
 	}
 	if !hasMoved {
-		t.Error("no capture tells that the discovery has moved")
+		t.Error("no capture has the move of the discovery")
 	}
-	if out := tool(0, "replay", files[0], "--explain", "m-21"); !strings.Contains(out, "m-21 arrives for destination 1") {
-		t.Errorf("the story of m-21 is\n%s", out)
+}
+
+// checkReplayFlags traces messages in a capture, and replays it in part and under other settings.
+func (r *capturedRelay) checkReplayFlags(t *testing.T, file string) {
+	t.Helper()
+	if out := runCommandLine(t, 0, "replay", file, "--explain", "m-21"); !strings.Contains(out, "m-21 arrives for destination 1") {
+		t.Errorf("the trace of m-21 is\n%s", out)
 	}
-	tool(1, "replay", files[0], "--explain", "nobody")
-	if out := tool(0, "replay", files[0], "--against", file); !strings.Contains(out, "0 turns differ") {
+	runCommandLine(t, 1, "replay", file, "--explain", "nobody")
+	runCommandLine(t, 0, "replay", file, "--until", "200ms")
+	if out := runCommandLine(t, 0, "replay", file, "--against", r.file); !strings.Contains(out, "0 turns differ") {
 		t.Errorf("under the same settings:\n%s", out)
 	}
-	other := filepath.Join(dir, "other.json")
-	_ = os.WriteFile(other, []byte(strings.Replace(text, `"workers": 8`, `"workers": 1`, 1)), 0o600)
-	if out := tool(0, "replay", files[0], "--against", other); strings.Contains(out, " 0 turns differ") {
+	oneSlot := filepath.Join(r.dir, "other.json")
+	writeFile(t, oneSlot, []byte(strings.Replace(r.config, `"workers": 8`, `"workers": 1`, 1)))
+	if out := runCommandLine(t, 0, "replay", file, "--against", oneSlot); strings.Contains(out, " 0 turns differ") {
 		t.Errorf("with one slot:\n%s", out)
 	}
-	window := filepath.Join(dir, "window")
-	tool(0, "replay", files[0], "--to-test", window, "--from", "100ms", "--for", "1s")
-	part, _ := filepath.Glob(filepath.Join(window, "*"))
-	if len(part) != 1 {
-		t.Fatalf("%v", part)
-	}
-	tool(0, "replay", part[0])
-	tool(0, "replay", files[0], "--until", "200ms")
-	if out := tool(0, "capture", "info", files[0], part[0]); strings.Count(out, "relay t") != 2 {
-		t.Errorf("info says\n%s", out)
-	}
-	for _, args := range [][]string{{"replay", file}, {"replay", filepath.Join(dir, "none")}, {"capture", "info", file}} {
-		tool(1, args...)
+}
+
+// cutWindow makes a capture of a window of another, which must replay, and returns it.
+func (r *capturedRelay) cutWindow(t *testing.T, file string) (window string) {
+	t.Helper()
+	folder := filepath.Join(r.dir, "window")
+	runCommandLine(t, 0, "replay", file, "--to-test", folder, "--from", "100ms", "--for", "1s")
+	written, _ := filepath.Glob(filepath.Join(folder, "*"))
+	if len(written) != 1 {
+		t.Fatalf("%v", written)
 	}
-	tool(2, "replay")
-	tool(2, "capture", "start", "--config", file)
+	runCommandLine(t, 0, "replay", written[0])
+	return written[0]
 }
--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"maps"
 	"slices"
 	"strconv"
@@ -17,12 +18,12 @@
 
 // countsView is what a fleet has counted, as JSON.
 type countsView struct {
-	Relays  int                          `json:"relays"`
-	Lives   int                          `json:"lives"`
-	Oldest  time.Duration                `json:"oldest_ns"`
-	Silent  string                       `json:"silent,omitempty"`
-	Counts  map[string]map[string]uint64 `json:"counts"`
-	Unnamed int                          `json:"unnamed,omitempty"` // counters of names that this relay's settings don't have
+	Relays       int                          `json:"relays"`
+	Incarnations int                          `json:"lives"`
+	Oldest       time.Duration                `json:"oldest_ns"`
+	Silent       string                       `json:"silent,omitempty"`
+	Counts       map[string]map[string]uint64 `json:"counts"`            // by class, tenant or partner, then by counter
+	Unnamed      int                          `json:"unnamed,omitempty"` // counters of names that this relay's settings don't have
 }
 
 // countsCommand shows what all relays of a fleet have counted.
@@ -38,68 +39,82 @@
 				return err
 			}
 			if st.Totals == nil {
-				return workError{fmt.Errorf("this relay's fleet counts nothing: is peers.share set?")}
+				return workError{errNotShared}
 			}
 			v, err := countsOf(cfg, st.Totals)
 			if err != nil {
 				return workError{err}
 			}
-			w := cmd.OutOrStdout()
 			if t.json {
-				return writeJSON(w, v)
+				return writeJSON(cmd.OutOrStdout(), v)
 			}
-			tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-			fmt.Fprint(tab, "of")
-			for _, what := range engine.CounterNames {
-				fmt.Fprintf(tab, "\t%s", what)
-			}
-			fmt.Fprintln(tab)
-			for _, of := range slices.Sorted(maps.Keys(v.Counts)) {
-				fmt.Fprint(tab, of)
-				for _, what := range engine.CounterNames {
-					fmt.Fprintf(tab, "\t%d", v.Counts[of][what])
-				}
-				fmt.Fprintln(tab)
-			}
-			if err := tab.Flush(); err != nil {
-				return err
-			}
-			fmt.Fprintf(w, "%d relays, %d lives by their own word; the oldest word is of %v ago%s\n", v.Relays, v.Lives, v.Oldest.Round(10*time.Millisecond),
-				map[bool]string{true: ", of " + v.Silent}[v.Silent != ""])
-			return nil
+			return v.print(cmd.OutOrStdout())
 		}}
 }
 
+// print prints the counters as a table, and how many relays and incarnations they are of.
+func (v *countsView) print(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprint(table, "of")
+	for _, counter := range engine.CounterNames {
+		fmt.Fprintf(table, "\t%s", counter)
+	}
+	fmt.Fprintln(table)
+	for _, subject := range slices.Sorted(maps.Keys(v.Counts)) {
+		fmt.Fprint(table, subject)
+		for _, counter := range engine.CounterNames {
+			fmt.Fprintf(table, "\t%d", v.Counts[subject][counter])
+		}
+		fmt.Fprintln(table)
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	silent := ""
+	if v.Silent != "" {
+		silent = ", of " + v.Silent
+	}
+	fmt.Fprintf(out, "%d relays, %d lives by their own word; the oldest word is of %v ago%s\n", v.Relays, v.Incarnations,
+		v.Oldest.Round(10*time.Millisecond), silent)
+	return nil
+}
+
 // countsOf gives the counters their names: those that this relay's settings have.
-func countsOf(cfg *config.Config, s *quota.Totals) (*countsView, error) {
-	n, err := quota.DecodeCounters(s.Counters)
+func countsOf(cfg *config.Config, totals *quota.Totals) (*countsView, error) {
+	counters, err := quota.DecodeCounters(totals.Counters)
 	if err != nil {
 		return nil, err
 	}
-	v := &countsView{Relays: s.Relays, Lives: s.Incarnations, Oldest: s.SilentFor, Silent: s.Silent, Counts: map[string]map[string]uint64{}}
-	var of []string
+	v := &countsView{Relays: totals.Relays, Incarnations: totals.Incarnations, Oldest: totals.SilentFor, Silent: totals.Silent,
+		Counts: map[string]map[string]uint64{}}
+	for _, subject := range countedSubjects(cfg) {
+		for _, counter := range engine.CounterNames {
+			key := quota.KeyOf(quota.Counter, subject+" "+counter)
+			count, ok := counters[key]
+			if !ok {
+				continue
+			}
+			if v.Counts[subject] == nil {
+				v.Counts[subject] = map[string]uint64{}
+			}
+			v.Counts[subject][counter] = count
+			delete(counters, key)
+		}
+	}
+	v.Unnamed = len(counters)
+	return v, nil
+}
+
+// countedSubjects returns what has counters of its own: classes, tenants and partners.
+func countedSubjects(cfg *config.Config) (subjects []string) {
 	for i := range cfg.Settings.Classes {
-		of = append(of, "class "+cfg.Settings.Classes[i].Name)
+		subjects = append(subjects, "class "+cfg.Settings.Classes[i].Name)
 	}
 	for _, name := range cfg.Settings.TenantNames {
-		of = append(of, "tenant "+name)
+		subjects = append(subjects, "tenant "+name)
 	}
-	for p := range engine.MaxCountedPartners {
-		of = append(of, "partner "+strconv.Itoa(p))
+	for partner := range engine.MaxCountedPartners {
+		subjects = append(subjects, "partner "+strconv.Itoa(partner))
 	}
-	of = append(of, "partner others")
-	for _, name := range of {
-		for _, what := range engine.CounterNames {
-			k := quota.KeyOf(quota.Counter, name+" "+what)
-			if c, ok := n[k]; ok {
-				if v.Counts[name] == nil {
-					v.Counts[name] = map[string]uint64{}
-				}
-				v.Counts[name][what] = c
-				delete(n, k)
-			}
-		}
-	}
-	v.Unnamed = len(n)
-	return v, nil
+	return append(subjects, "partner others")
 }
--- /dev/null
+++ b/cmd/mastusher/daemon_test.go
@@ -0,0 +1,157 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+
+	"mastusher/internal/relay/httpwire"
+	"mastusher/internal/relay/standin"
+)
+
+// minimalConfig is a configuration that serves, where STATE is replaced by a folder.
+const minimalConfig = `{"listen": "127.0.0.1:1", "state": "STATE", "discovery": "127.0.0.1:1", "settings": {"peers_total": 1,
+  "allowed": {"max_attempts": 6}, "family_info": {"workers": 4}, "lanes": [{"name": "match-event", "deadline": 1000000}]}}`
+
+// TestMain lets the tests start this program as a process of its own, to be killed.
+func TestMain(m *testing.M) {
+	if os.Getenv("MASTUSHER_TEST_RUN") != "" {
+		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
+	}
+	os.Exit(m.Run())
+}
+
+// writeFile writes a file that only this user may read.
+func writeFile(t *testing.T, file string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// runCommandLine runs a command line in this process and returns what it prints. It must exit with want.
+func runCommandLine(t *testing.T, want int, args ...string) string {
+	t.Helper()
+	var out bytes.Buffer
+	if code := run(args, &out, &out); code != want {
+		t.Fatalf("%v: exit %d, want %d; it says\n%s", args, code, want, out.String())
+	}
+	return out.String()
+}
+
+// freeUDPAddress is an address on loopback that nobody listens at now.
+func freeUDPAddress(t *testing.T) string {
+	t.Helper()
+	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	return conn.LocalAddr().String()
+}
+
+// freeAddress is a TCP address on loopback that nobody listens at now.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	address, err := standin.FreeAddress()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return address
+}
+
+// daemon is the relay as a process of its own.
+type daemon struct {
+	*exec.Cmd
+	address   string
+	discovery string
+	known     string // the endpoint list of its configuration
+}
+
+// start starts the relay, and waits until it takes messages.
+func (d *daemon) start(t *testing.T, file string) {
+	t.Helper()
+	d.launch(t, file)
+	d.awaitServing(t)
+}
+
+// awaitServing waits until the relay takes messages.
+func (d *daemon) awaitServing(t *testing.T) {
+	t.Helper()
+	if !standin.WaitUntilServing(t.Context(), d.address) {
+		t.Fatal("the relay does not come up")
+	}
+}
+
+// launch starts the relay, and does not wait until it takes messages.
+func (d *daemon) launch(t *testing.T, file string) {
+	t.Helper()
+	d.prepare(file, "--log-format", "json")
+	d.Stderr = os.Stderr
+	if testing.Verbose() {
+		d.Stderr = os.Stdout
+	}
+	d.run(t)
+}
+
+// prepare makes the command that serves with a configuration, to be run.
+func (d *daemon) prepare(file string, flags ...string) {
+	d.Cmd = exec.Command(os.Args[0], append([]string{"serve", "--config", file}, flags...)...)
+	d.Env = append(os.Environ(), "MASTUSHER_TEST_RUN=1")
+}
+
+// run starts the command, which ends with the test.
+func (d *daemon) run(t *testing.T) {
+	t.Helper()
+	if err := d.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.kill)
+}
+
+// kill kills the relay, and waits for its end.
+func (d *daemon) kill() {
+	_ = d.Process.Kill()
+	_ = d.Wait()
+}
+
+// lanes are settings with one class of messages.
+const lanes = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
+  "allowed": {"max_attempts": 6, "cancel": true, "max_open": 100, "retry_after": true, "max_retry_after": 3000000}, "family_info": {"workers": 8},
+  "lanes": [{"name": "match-event", "effect": "token", "group": "all", "memory_span": 60000000, "aim": 30000000, "deadline": 60000000, "worth": 1}]}`
+
+// stage sets up a relay with n endpoints and discovery around it; more is what else its configuration has. The relay is
+// not started yet.
+func stage(t *testing.T, dir string, n int, answer func(standin.Arrival) httpwire.Answer, more string) (d *daemon, file, text string) {
+	t.Helper()
+	endpoints, err := standin.NewEndpoints(n, answer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(endpoints.Close)
+	discovery, err := standin.NewDiscovery(endpoints.Snapshot("club-sites", "a"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(discovery.Close)
+	d = &daemon{address: freeAddress(t), discovery: discovery.Address, known: endpoints.Snapshot("club-sites", "a")}
+	file, text = d.writeConfig(t, dir, more+", "+lanes)
+	return d, file, text
+}
+
+// writeConfig writes the relay's configuration into dir, with a state folder there; more is what it has beside addresses and endpoint list.
+func (d *daemon) writeConfig(t *testing.T, dir, more string) (file, text string) {
+	t.Helper()
+	state := filepath.Join(dir, "state")
+	text = fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s}`, d.address, d.discovery, state, d.known, more)
+	file = filepath.Join(dir, "config.json")
+	if err := os.MkdirAll(state, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	writeFile(t, file, []byte(text))
+	return file, text
+}
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -24,9 +24,6 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// notYetError is a change that is not over when nobody waits any longer: exit code 3.
-type notYetError struct{ error }
-
 // fleetTool is what the commands of a fleet share.
 type fleetTool struct {
 	o       *options
@@ -122,10 +119,17 @@
 	return v
 }
 
+// rowWriter returns what prints a name and its values as a row of a table.
+func rowWriter(table io.Writer) func(name string, values ...any) {
+	return func(name string, values ...any) {
+		fmt.Fprintf(table, "%s\t%s\n", name, strings.TrimSpace(fmt.Sprintln(values...)))
+	}
+}
+
 func showFleet(w io.Writer, st *node.Status) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	defer t.Flush()
-	row := func(k string, v ...any) { fmt.Fprintf(t, "%s\t%s\n", k, strings.TrimSpace(fmt.Sprintln(v...))) }
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	defer table.Flush()
+	row := rowWriter(table)
 	row("relay", st.Relay, "generation", st.Generation)
 	row("leader", st.Leader)
 	if st.Voter != "" {
@@ -193,9 +197,9 @@
 }
 
 func showPolicy(w io.Writer, st *node.Status) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	showChange(func(k string, v ...any) { fmt.Fprintf(t, "%s\t%s\n", k, strings.TrimSpace(fmt.Sprintln(v...))) }, st)
-	_ = t.Flush()
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	showChange(rowWriter(table), st)
+	_ = table.Flush()
 	if len(st.State.Doc) > 0 {
 		fmt.Fprintf(w, "%s\n", bytes.TrimSpace(st.State.Doc))
 	}
@@ -221,12 +225,12 @@
 }
 
 // follow waits until over tells how a change ended, and shows how far it has come.
-func (t *fleetTool) follow(cmd *cobra.Command, q node.AdminRequest, over func(*policy.State) (done bool, err error)) error {
+func (t *fleetTool) follow(cmd *cobra.Command, request node.AdminRequest, over func(*policy.State) (done bool, err error)) error {
 	ctx, cancel := t.context(cmd)
 	defer cancel()
 	last := ""
 	for {
-		st, err := t.ask(ctx, q)
+		st, err := t.ask(ctx, request)
 		if err == nil {
 			if done, err := over(st.State); done {
 				if err != nil {
@@ -278,7 +282,7 @@
 	inner := c.RunE
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		if !sure {
-			return errors.New("force: what only the lost voters knew is gone, and those that come back are void; say --majority-is-lost")
+			return &argumentError{"force", "what only the lost voters knew is gone, and those that come back are void; say --majority-is-lost"}
 		}
 		return inner(cmd, args)
 	}
--- a/cmd/mastusher/fleet_test.go
+++ b/cmd/mastusher/fleet_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,44 +14,11 @@
 	"mastusher/internal/relay/config"
 )
 
-// udp is an address on loopback that nobody listens at now.
-func udp(t *testing.T) string {
-	t.Helper()
-	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	return c.LocalAddr().String()
-}
-
 // TestFleet_Commands_AnswersAndExitCodes: one relay founds a fleet, and what operators say to it has the answers and exit codes that scripts rely on.
+// What is in force outlasts a restart, and the relay is not ready before it has it.
 func TestFleet_Commands_AnswersAndExitCodes(t *testing.T) {
-	dir := t.TempDir()
-	file := func(name, text string) string {
-		name = filepath.Join(dir, name)
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return name
-	}
-	peers := fmt.Sprintf(`{"peers": {"fleet": "f", "name": "solo", "listen": %q, "voters": ["solo"], "lease": "500ms"},`, udp(t))
-	own := strings.NewReplacer("STATE", filepath.Join(dir, "state"), `"listen": "127.0.0.1:1"`, `"listen": "127.0.0.1:0"`).Replace(text)
-	conf := file("relay.json", peers+own[1:])
-	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o700); err != nil {
-		t.Fatal(err)
-	}
-	cfg, err := config.Load(conf, func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	stop, ended := make(chan os.Signal, 1), make(chan error)
-	go func() { ended <- serve(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), signals{end: stop}, nil) }()
-	say := func(args ...string) (int, string) {
-		var out bytes.Buffer
-		code := run(append([]string{"--config", conf}, args...), &out, &out)
-		return code, out.String()
-	}
+	relay := newFleetRelay(t)
+	relay.start()
 	for _, c := range []struct {
 		args []string
 		code int
@@ -62,11 +28,11 @@
 		{[]string{"fleet", "force"}, 2, "--majority-is-lost"},
 		{[]string{"fleet", "found"}, 0, "relays"},
 		{[]string{"fleet", "found"}, 1, "belongs to a fleet already"},
-		{[]string{"policy", "check", file("class.json", `{"format":1,"classes":{"other":{}}}`)}, 1, "classes.other: no class"},
-		{[]string{"policy", "propose", filepath.Join(dir, "class.json")}, 1, "dropped: solo: policy: key classes.other"},
-		{[]string{"policy", "propose", file("odd.json", `{"format":1,"colour":2}`)}, 1, "colour"},
-		{[]string{"policy", "propose", file("good.json", `{"format":1,"classes":{"match-event":{"attempts":2}}}`), "--by", "desk"}, 0, "version 2 is in force"},
-		{[]string{"policy", "propose", filepath.Join(dir, "good.json"), "--base", "0"}, 1, "version 2 is in force"},
+		{[]string{"policy", "check", relay.write(t, "class.json", `{"format":1,"classes":{"other":{}}}`)}, 1, "classes.other: no class"},
+		{[]string{"policy", "propose", filepath.Join(relay.dir, "class.json")}, 1, "dropped: solo: policy: key classes.other"},
+		{[]string{"policy", "propose", relay.write(t, "odd.json", `{"format":1,"colour":2}`)}, 1, "colour"},
+		{[]string{"policy", "propose", relay.write(t, "good.json", `{"format":1,"classes":{"match-event":{"attempts":2}}}`), "--by", "desk"}, 0, "version 2 is in force"},
+		{[]string{"policy", "propose", filepath.Join(relay.dir, "good.json"), "--base", "0"}, 1, "version 2 is in force"},
 		{[]string{"fleet", "rights"}, 0, "nothing is shared"},
 		{[]string{"fleet", "counts"}, 0, "0 relays"},
 		{[]string{"policy", "wait", "2"}, 0, ""},
@@ -74,30 +40,92 @@
 		{[]string{"policy", "wait", "9", "--timeout", "200ms"}, 3, "not over"},
 		{[]string{"policy", "status"}, 0, `"attempts":2`},
 		{[]string{"policy", "history"}, 0, "desk"},
-		{[]string{"policy", "diff", file("more.json", `{"format":1,"stamp":true}`)}, 0, "+ stamp true"},
+		{[]string{"policy", "diff", relay.write(t, "more.json", `{"format":1,"stamp":true}`)}, 0, "+ stamp true"},
 		{[]string{"fleet", "status", "--json"}, 0, `"version": 2`},
-		{[]string{"fleet", "status", "--config", file("alone.json", own)}, 1, "peers"},
+		{[]string{"fleet", "status", "--config", relay.write(t, "alone.json", relay.withoutPeers)}, 1, "peers"},
 	} {
-		if code, out := say(c.args...); code != c.code || !strings.Contains(out, c.want) {
+		if code, out := relay.command(c.args...); code != c.code || !strings.Contains(out, c.want) {
 			t.Errorf("%v: exit %d, want %d with %q; it says\n%s", c.args, code, c.code, c.want, out)
 		}
 	}
-	// What is in force outlasts a restart, and the relay is not ready before it has it.
-	stop <- os.Interrupt
-	if err := <-ended; err != nil {
+	relay.stop(t)
+	relay.start()
+	relay.awaitPolicy(t, 2)
+	relay.stop(t)
+}
+
+// fleetRelay is a relay in this process that is the only one of its fleet.
+type fleetRelay struct {
+	dir, file    string // the configuration
+	withoutPeers string // text of the configuration, but for the fleet
+	cfg          *config.Config
+	interrupt    chan os.Signal
+	ended        chan error
+}
+
+// newFleetRelay sets up a relay that is to found a fleet. It is not started yet.
+func newFleetRelay(t *testing.T) *fleetRelay {
+	t.Helper()
+	relay := &fleetRelay{dir: t.TempDir(), ended: make(chan error)}
+	state := filepath.Join(relay.dir, "state")
+	if err := os.MkdirAll(state, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	relay.withoutPeers = strings.NewReplacer("STATE", state, `"listen": "127.0.0.1:1"`, `"listen": "127.0.0.1:0"`).Replace(minimalConfig)
+	peers := fmt.Sprintf(`{"peers": {"fleet": "f", "name": "solo", "listen": %q, "voters": ["solo"], "lease": "500ms"},`, freeUDPAddress(t))
+	relay.file = relay.write(t, "relay.json", peers+relay.withoutPeers[1:])
+	cfg, err := config.Load(relay.file, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	relay.cfg = cfg
+	return relay
+}
+
+// write writes a file beside the relay's configuration, and returns its path.
+func (r *fleetRelay) write(t *testing.T, name, text string) string {
+	t.Helper()
+	file := filepath.Join(r.dir, name)
+	writeFile(t, file, []byte(text))
+	return file
+}
+
+// start has the relay serve.
+func (r *fleetRelay) start() {
+	interrupt := make(chan os.Signal, 1)
+	r.interrupt = interrupt
+	go func() {
+		r.ended <- serve(r.cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), signals{end: interrupt}, nil)
+	}()
+}
+
+// stop ends the relay, as an interrupt does, and waits for its end.
+func (r *fleetRelay) stop(t *testing.T) {
+	t.Helper()
+	r.interrupt <- os.Interrupt
+	if err := <-r.ended; err != nil {
 		t.Fatal(err)
 	}
-	stop = make(chan os.Signal, 1)
-	go func() { ended <- serve(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), signals{end: stop}, nil) }()
+}
+
+// command runs a command line with the relay's configuration, and returns its exit code and what it prints.
+func (r *fleetRelay) command(args ...string) (int, string) {
+	var out bytes.Buffer
+	code := run(append([]string{"--config", r.file}, args...), &out, &out)
+	return code, out.String()
+}
+
+// awaitPolicy waits until the relay acts under a version of the policy.
+func (r *fleetRelay) awaitPolicy(t *testing.T, version int) {
+	t.Helper()
+	want := fmt.Sprint("policy in force  ", version)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if code, out := say("fleet", "status"); code == 0 && strings.Contains(out, "yes") && strings.Contains(out, "policy in force  2") {
-			break
-		} else if time.Now().After(end) {
+		code, out := r.command("fleet", "status")
+		if code == 0 && strings.Contains(out, "yes") && strings.Contains(out, want) {
+			return
+		}
+		if time.Now().After(end) {
 			t.Fatal(out)
 		}
 	}
-	stop <- os.Interrupt
-	if err := <-ended; err != nil {
-		t.Fatal(err)
-	}
 }
--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -23,11 +23,8 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// workError is a fault of the work and not of the command line: exit code 1, where that is 2.
-type workError struct{ error }
-
-func (e workError) Unwrap() error { return e.error }
-
+// run executes a command line and returns the exit code: 0, 1 for a fault of the work, 2 for one of the command line, 3 for a change
+// that is not over.
 func run(args []string, out, errs io.Writer) int {
 	root := commands()
 	root.SetArgs(args)
@@ -62,12 +59,11 @@
 	if !cmd.HasSubCommands() || cmd.Flags().NArg() == 0 {
 		return nil
 	}
-	name := cmd.Flags().Arg(0)
-	err := fmt.Errorf("unknown command %q for %q", name, cmd.CommandPath())
-	if near := cmd.SuggestionsFor(name); len(near) > 0 {
-		return fmt.Errorf("%w; did you mean %q?", err, near[0])
+	unknown := &unknownCommandError{name: cmd.Flags().Arg(0), parent: cmd.CommandPath()}
+	if near := cmd.SuggestionsFor(unknown.name); len(near) > 0 {
+		unknown.nearest = near[0]
 	}
-	return err
+	return unknown
 }
 
 // options are the flags that all commands know.
@@ -137,25 +133,25 @@
 }
 
 func printVersion(cmd *cobra.Command, _ []string) {
-	v := version
-	if info, ok := debug.ReadBuildInfo(); ok && v == "devel" && info.Main.Version != "" {
-		v = info.Main.Version
+	name := version
+	if info, ok := debug.ReadBuildInfo(); ok && name == "devel" && info.Main.Version != "" {
+		name = info.Main.Version
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), "mastusher", v, runtime.Version())
+	fmt.Fprintln(cmd.OutOrStdout(), "mastusher", name, runtime.Version())
 }
 
 // logger is the log of a command, as the flags say.
 func (o *options) logger(w io.Writer) (*slog.Logger, error) {
-	var lv slog.Level
-	if err := lv.UnmarshalText([]byte(o.level)); err != nil {
-		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warn, error", o.level)
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(o.level)); err != nil {
+		return nil, &argumentError{"--log-level", fmt.Sprintf("%q is none of debug, info, warn, error", o.level)}
 	}
-	opt := &slog.HandlerOptions{Level: lv}
+	handlerOptions := &slog.HandlerOptions{Level: level}
 	switch strings.ToLower(o.format) {
 	case "text":
-		return slog.New(slog.NewTextHandler(w, opt)), nil
+		return slog.New(slog.NewTextHandler(w, handlerOptions)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(w, opt)), nil
+		return slog.New(slog.NewJSONHandler(w, handlerOptions)), nil
 	}
-	return nil, fmt.Errorf("--log-format: %q is neither text nor json", o.format)
+	return nil, &argumentError{"--log-format", fmt.Sprintf("%q is neither text nor json", o.format)}
 }
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -15,14 +15,11 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-const text = `{"listen": "127.0.0.1:1", "state": "STATE", "discovery": "127.0.0.1:1", "settings": {"peers_total": 1,
-  "allowed": {"max_attempts": 6}, "family_info": {"workers": 4}, "lanes": [{"name": "match-event", "deadline": 1000000}]}}`
-
 func TestRun_Commands_ExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.json"), filepath.Join(dir, "bad.json")
-	_ = os.WriteFile(good, []byte(text), 0o600)
-	_ = os.WriteFile(bad, []byte(`{}`), 0o600)
+	writeFile(t, good, []byte(minimalConfig))
+	writeFile(t, bad, []byte(`{}`))
 	for _, c := range []struct {
 		args string
 		want int
@@ -77,21 +74,21 @@
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
 	_ = l.Close() // the relay takes its place
-	cfg, err := config.Parse([]byte(strings.Replace(text, "STATE", t.TempDir(), 1)), func(k string) string {
+	cfg, err := config.Parse([]byte(strings.Replace(minimalConfig, "STATE", t.TempDir(), 1)), func(k string) string {
 		return map[string]string{"RELAY_LISTEN": address}[k]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, ended, ready := make(chan os.Signal, 1), make(chan error), make(told, 9)
+	stop, ended, ready := make(chan os.Signal, 1), make(chan error), make(lifecycleLog, 9)
 	log := slog.New(slog.NewTextHandler(ready, nil))
 	go func() { ended <- serve(cfg, log, signals{end: stop}, nil) }()
 	<-ready // "relay serving"
-	kept := wiretest.Dial(t, address)
-	wiretest.Run(t, kept, "testdata/up.txt")
+	conn := wiretest.Dial(t, address)
+	wiretest.Run(t, conn, "testdata/up.txt")
 	stop <- syscall.SIGTERM
 	<-ready // "relay draining"
-	wiretest.Run(t, kept, "testdata/draining.txt")
+	wiretest.Run(t, conn, "testdata/draining.txt")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -102,12 +99,10 @@
 func TestServe_Hangup_WatchFollowsFile(t *testing.T) {
 	file, before, after := filepath.Join(t.TempDir(), "config.json"), wiretest.Listen(t), wiretest.Listen(t)
 	write := func(discovery string) {
-		s := strings.NewReplacer("STATE", t.TempDir(), `"discovery": "127.0.0.1:1"`, `"discovery": `+discovery).Replace(text)
-		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		s := strings.NewReplacer("STATE", t.TempDir(), `"discovery": "127.0.0.1:1"`, `"discovery": `+discovery).Replace(minimalConfig)
+		writeFile(t, file, []byte(s))
 	}
-	again := func() (*config.Config, error) {
+	load := func() (*config.Config, error) {
 		return config.Load(file, func(k string) string {
 			return map[string]string{"RELAY_LISTEN": "127.0.0.1:0", "RELAY_DISCOVERY": before.Addr().String()}[k]
 		})
@@ -121,18 +116,18 @@
 		wiretest.Run(t, conn, "testdata/watch.txt")
 	}
 	write(`"` + before.Addr().String() + `"`)
-	cfg, err := again()
+	cfg, err := load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	hup, end, ended, lines := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error), make(told, 9)
-	go func() { ended <- serve(cfg, slog.New(slog.NewTextHandler(lines, nil)), signals{end, hup}, again) }()
-	<-lines // "relay serving"
+	hup, end, ended, logged := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error), make(lifecycleLog, 9)
+	go func() { ended <- serve(cfg, slog.New(slog.NewTextHandler(logged, nil)), signals{end, hup}, load) }()
+	<-logged // "relay serving"
 	watched(before)
 	write(`7`)
 	hup <- syscall.SIGHUP
-	if line := <-lines; !strings.Contains(line, "key discovery") {
-		t.Errorf("the log says %q and names no key", line)
+	if message := <-logged; !strings.Contains(message, "key discovery") {
+		t.Errorf("the log says %q and names no key", message)
 	}
 	write(`"` + after.Addr().String() + `"`)
 	hup <- syscall.SIGHUP
@@ -143,10 +138,10 @@
 	}
 }
 
-// told passes on what the log says of the relay as a whole.
-type told chan string
+// lifecycleLog passes on the log lines about the relay as a whole.
+type lifecycleLog chan string
 
-func (c told) Write(b []byte) (int, error) {
+func (c lifecycleLog) Write(b []byte) (int, error) {
 	if strings.Contains(string(b), "relay serving") || strings.Contains(string(b), "relay draining") || strings.Contains(string(b), "configuration") {
 		c <- string(b)
 	}
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -22,278 +22,316 @@
 	"mastusher/internal/relay/plugin/trial"
 )
 
-// bench is what plugin run, test, check and bench have in common: a module in a host of its own.
-type bench struct {
-	o    *options
-	name string // of the entry in the configuration that gives the limits; "": defaults
-	seed string
-	json string        // the plug-in's own configuration
-	keep string        // folder for compiled modules
-	most time.Duration // for a call; 0: as the entry, or the default, has it
+// pluginTool is what plugin run, test, check and bench have in common: a module in a host of its own.
+type pluginTool struct {
+	o         *options
+	name      string // of the entry in the configuration that gives the limits; "": defaults
+	seed      string
+	settings  string        // JSON, the plug-in's own configuration
+	cacheDir  string        // for compiled modules
+	timeLimit time.Duration // for a call; 0: as the entry, or the default, has it
 }
 
-func (b *bench) flags(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringVar(&b.name, "name", "", "take the limits and settings of the plug-in of this name in --config")
-	cmd.Flags().StringVar(&b.seed, "seed", "", "seed of random numbers, 16 hexadecimal digits")
-	cmd.Flags().StringVar(&b.json, "settings", "", "JSON that the plug-in is handed as its configuration")
-	cmd.Flags().StringVar(&b.keep, "cache", "", "folder for compiled modules, such as the relay's own plugin_host.cache: what is there needs no compiling")
-	cmd.Flags().DurationVar(&b.most, "time-limit", 0, "for a call, such as 1s on a machine that is busy (default: that of --name, or 10ms)")
+// flags adds the flags of the tool to a command.
+func (p *pluginTool) flags(cmd *cobra.Command) *cobra.Command {
+	cmd.Flags().StringVar(&p.name, "name", "", "take the limits and settings of the plug-in of this name in --config")
+	cmd.Flags().StringVar(&p.seed, "seed", "", "seed of random numbers, 16 hexadecimal digits")
+	cmd.Flags().StringVar(&p.settings, "settings", "", "JSON that the plug-in is handed as its configuration")
+	cmd.Flags().StringVar(&p.cacheDir, "cache", "", "folder for compiled modules, such as the relay's own plugin_host.cache: what is there needs no compiling")
+	cmd.Flags().DurationVar(&p.timeLimit, "time-limit", 0, "for a call, such as 1s on a machine that is busy (default: that of --name, or 10ms)")
 	return cmd
 }
 
-// host returns what plays a module, without a store that outlasts it.
-func (b *bench) host(file string) (*trial.Host, *config.Config, error) {
+// withHost hands do a host of a module, without a store that outlasts it, and the configuration that it goes by.
+func (p *pluginTool) withHost(file string, do func(*trial.Host, *config.Config) error) error {
 	var from *config.Config
-	if b.name != "" {
+	if p.name != "" {
 		var err error
-		if from, err = config.Load(b.o.file, os.Getenv); err != nil {
-			return nil, nil, workError{err}
+		if from, err = config.Load(p.o.file, os.Getenv); err != nil {
+			return workError{err}
 		}
 	}
-	cfg, err := config.ForPlugin(file, from, b.name, b.seed, b.json)
+	cfg, err := config.ForPlugin(file, from, p.name, p.seed, p.settings)
 	if err != nil {
-		return nil, nil, workError{err}
+		return workError{err}
 	}
-	if b.keep != "" {
-		cfg.PluginHost.Cache = b.keep
+	if p.cacheDir != "" {
+		cfg.PluginHost.Cache = p.cacheDir
 	}
-	if b.most > 0 {
-		cfg.Plugins[0].Timeout = b.most
+	if p.timeLimit > 0 {
+		cfg.Plugins[0].Timeout = p.timeLimit
 	}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	return &trial.Host{Name: cfg.Plugins[0].Name, Open: func() (*plugin.Host, error) {
-		return plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, log)
-	}}, cfg, nil
+	host := &trial.Host{Name: cfg.Plugins[0].Name, Open: func() (*plugin.Host, error) { return newQuietHost(cfg) }}
+	defer host.Close()
+	return do(host, cfg)
 }
 
+// newQuietHost returns a host of a configuration's plug-ins that logs nothing.
+func newQuietHost(cfg *config.Config) (*plugin.Host, error) {
+	return plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+}
+
+// pluginCommand checks, tries and measures plug-ins, and reloads those of a running relay.
 func pluginCommand(o *options) *cobra.Command {
 	root := &cobra.Command{Use: "plugin", Short: "check, try and measure plug-ins, and reload those of a running relay"}
 	root.AddCommand(checkCommand(o), runCommand(o), testCommand(o), benchCommand(o), reloadCommand(o), statusCommand(o))
 	return root
 }
 
+// checkCommand names what is at fault in a module.
 func checkCommand(o *options) *cobra.Command {
-	b := &bench{o: o}
-	return b.flags(&cobra.Command{Use: "check FILE", Short: "name every import, export and limit at fault in a module", Args: cobra.ExactArgs(1),
+	tool := &pluginTool{o: o}
+	return tool.flags(&cobra.Command{Use: "check FILE", Short: "name every import, export and limit at fault in a module", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, cfg, err := b.host(args[0])
-			if err != nil {
-				return err
-			}
-			defer p.Close()
-			st, err := p.Status()
-			if err != nil {
-				var faults plugin.ModuleError
-				if errors.As(err, &faults) {
-					for _, f := range faults {
-						cmd.PrintErrln(f)
-					}
-					return workError{fmt.Errorf("%s: %d faults", args[0], len(faults))}
-				}
-				return workError{err}
-			}
-			s, c := st.Plugins[0], cfg.Plugins[0]
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is good: ABI %d, phases %s, module %s; %d instances of %d MB at most, %v a call, %g of a core\n",
-				args[0], s.ABI, s.Phases, s.Module, c.Instances, c.MemoryMB, c.Timeout, c.Share)
-			return nil
+			return tool.withHost(args[0], func(host *trial.Host, cfg *config.Config) error { return checkModule(cmd, args[0], host, cfg) })
 		}})
 }
 
+// checkModule loads a module, and prints what it is or each of its faults.
+func checkModule(cmd *cobra.Command, file string, host *trial.Host, cfg *config.Config) error {
+	st, err := host.Status()
+	var faults plugin.ModuleError
+	if errors.As(err, &faults) {
+		for _, fault := range faults {
+			cmd.PrintErrln(fault)
+		}
+		return workError{&moduleFaultsError{file, len(faults)}}
+	}
+	if err != nil {
+		return workError{err}
+	}
+	loaded, limits := st.Plugins[0], cfg.Plugins[0]
+	fmt.Fprintf(cmd.OutOrStdout(), "%s is good: ABI %d, phases %s, module %s; %d instances of %d MB at most, %v a call, %g of a core\n",
+		file, loaded.ABI, loaded.Phases, loaded.Module, limits.Instances, limits.MemoryMB, limits.Timeout, limits.Share)
+	return nil
+}
+
+// runCommand shows what a module does with one message.
 func runCommand(o *options) *cobra.Command {
-	b := &bench{o: o}
+	tool := &pluginTool{o: o}
 	var keys []string
-	cmd := b.flags(&cobra.Command{Use: "run FILE", Short: "show one message's way through a module", Args: cobra.ExactArgs(1),
+	cmd := tool.flags(&cobra.Command{Use: "run FILE", Short: "show one message's way through a module", Args: cobra.ExactArgs(1),
 		Long: "run hands one message to a module on arrival, shows it an answer and tells it of the end, and prints what comes of each.\n\n" +
 			"The message is set up by --set KEY=VALUE, with the keys that a file of test cases has: id, key, partner, class, body,\n" +
 			"front, in (NAME: VALUE), again, left, now, status, told, to, how.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, _, err := b.host(args[0])
-			if err != nil {
-				return err
-			}
-			defer p.Close()
-			c := trial.New("run")
-			if err = c.Set("status", "503"); err != nil {
-				return err
-			}
-			for _, kv := range keys {
-				k, v, _ := strings.Cut(kv, "=")
-				if err = c.Set(k, v); err != nil {
-					return fmt.Errorf("--set %w", err)
-				}
-			}
-			st, err := p.Status()
-			if err != nil {
-				return workError{err}
-			}
-			for _, phase := range []plugin.Phase{plugin.Arrival, plugin.Answer, plugin.End} {
-				if !strings.Contains(st.Plugins[0].Phases, phase.String()) {
-					continue
-				}
-				c.Call.Phase = phase
-				got, out, err := p.Play(&c)
-				if err != nil {
-					return workError{err}
-				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s (%v of processor time)\n", phase, out.CPU.Round(time.Microsecond))
-				for _, line := range got {
-					fmt.Fprintf(cmd.OutOrStdout(), "  %s\n", line)
-				}
-				if out.Reject {
-					break
-				}
-			}
-			return nil
+			return tool.withHost(args[0], func(host *trial.Host, _ *config.Config) error { return runMessage(cmd.OutOrStdout(), host, keys) })
 		}})
 	cmd.Flags().StringArrayVar(&keys, "set", nil, "KEY=VALUE of the message; may be given several times")
 	return cmd
 }
 
+// runMessage plays the message that keys set up, phase by phase up to the one that rejects it, and prints what comes of each.
+func runMessage(out io.Writer, host *trial.Host, keys []string) error {
+	message := trial.New("run")
+	if err := message.Set("status", "503"); err != nil {
+		return err
+	}
+	for _, pair := range keys {
+		key, value, _ := strings.Cut(pair, "=")
+		if err := message.Set(key, value); err != nil {
+			return fmt.Errorf("--set %w", err)
+		}
+	}
+	st, err := host.Status()
+	if err != nil {
+		return workError{err}
+	}
+	for _, phase := range []plugin.Phase{plugin.Arrival, plugin.Answer, plugin.End} {
+		if !strings.Contains(st.Plugins[0].Phases, phase.String()) {
+			continue
+		}
+		message.Call.Phase = phase
+		effects, outcome, err := host.Play(&message)
+		if err != nil {
+			return workError{err}
+		}
+		fmt.Fprintf(out, "%s (%v of processor time)\n", phase, outcome.CPU.Round(time.Microsecond))
+		for _, effect := range effects {
+			fmt.Fprintf(out, "  %s\n", effect)
+		}
+		if outcome.Reject {
+			break
+		}
+	}
+	return nil
+}
+
+// testCommand plays golden cases against a module.
 func testCommand(o *options) *cobra.Command {
-	b := &bench{o: o}
-	return b.flags(&cobra.Command{Use: "test FILE CASES", Short: "play the golden cases of a text file against a module", Args: cobra.ExactArgs(2),
+	tool := &pluginTool{o: o}
+	return tool.flags(&cobra.Command{Use: "test FILE CASES", Short: "play the golden cases of a text file against a module", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, _, err := b.host(args[0])
-			if err != nil {
-				return err
-			}
-			defer p.Close()
-			f, err := os.Open(args[1])
-			if err != nil {
-				return workError{err}
-			}
-			defer f.Close()
-			cases, err := trial.Parse(f)
-			if err != nil {
-				return workError{fmt.Errorf("%s: %w", args[1], err)}
-			}
-			failed := 0
-			for i := range cases {
-				c := &cases[i]
-				got, _, err := p.Play(c)
-				if err != nil {
-					return workError{err}
-				}
-				if slices.Equal(got, c.Want) {
-					continue
-				}
-				failed++
-				fmt.Fprintf(cmd.OutOrStdout(), "%s:%d: %s\n  want %s\n  got  %s\n", args[1], c.Line, c.Name,
-					strings.Join(c.Want, "\n       "), strings.Join(got, "\n       "))
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d passed, %d failed\n", len(cases)-failed, failed)
-			if failed > 0 || len(cases) == 0 {
-				return workError{errors.New("the module does not do as its cases say")}
-			}
-			return nil
+			return tool.withHost(args[0], func(host *trial.Host, _ *config.Config) error { return testCases(cmd.OutOrStdout(), host, args[1]) })
 		}})
 }
 
+// testCases plays the cases of a file, prints those that fail and how many pass. It returns errCasesFailed where one fails or there is none.
+func testCases(out io.Writer, host *trial.Host, file string) error {
+	f, err := os.Open(file)
+	if err != nil {
+		return workError{err}
+	}
+	defer f.Close()
+	cases, err := trial.Parse(f)
+	if err != nil {
+		return workError{fmt.Errorf("%s: %w", file, err)}
+	}
+	failed := 0
+	for i := range cases {
+		c := &cases[i]
+		got, _, err := host.Play(c)
+		if err != nil {
+			return workError{err}
+		}
+		if slices.Equal(got, c.Want) {
+			continue
+		}
+		failed++
+		fmt.Fprintf(out, "%s:%d: %s\n  want %s\n  got  %s\n", file, c.Line, c.Name, strings.Join(c.Want, "\n       "), strings.Join(got, "\n       "))
+	}
+	fmt.Fprintf(out, "%d passed, %d failed\n", len(cases)-failed, failed)
+	if failed > 0 || len(cases) == 0 {
+		return workError{errCasesFailed}
+	}
+	return nil
+}
+
+// maxBenchCalls bounds a measurement.
+const maxBenchCalls = 1_000_000
+
+// benchCommand measures a module's calls.
 func benchCommand(o *options) *cobra.Command {
-	b := &bench{o: o}
-	var n int
+	tool := &pluginTool{o: o}
+	var calls int
 	var body string
-	cmd := b.flags(&cobra.Command{Use: "bench FILE", Short: "print a histogram of what a module's calls take", Args: cobra.ExactArgs(1),
+	cmd := tool.flags(&cobra.Command{Use: "bench FILE", Short: "print a histogram of what a module's calls take", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if n < 1 || n > 1e6 {
-				return errors.New("--calls: want 1 to 1000000")
+			if calls < 1 || calls > maxBenchCalls {
+				return &argumentError{"--calls", fmt.Sprintf("want 1 to %d", maxBenchCalls)}
 			}
-			p, cfg, err := b.host(args[0])
-			if err != nil {
-				return err
-			}
-			defer p.Close()
-			cfg.Limits.PluginBurst = time.Hour // the share is not what is measured
-			wall, cpu := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
-			failed := 0
-			var last []string
-			for i := range n {
-				c := trial.New("bench")
-				c.Call.ID, c.Call.Body, c.Call.Partner, c.Call.Now = fmt.Sprint("message-", i), []byte(body), i%20, time.Now()
-				from := time.Now()
-				got, out, err := p.Play(&c)
+			return tool.withHost(args[0], func(host *trial.Host, cfg *config.Config) error {
+				cfg.Limits.PluginBurst = time.Hour // the share is not what is measured
+				measured, err := measureCalls(host, calls, body)
 				if err != nil {
-					return workError{err}
+					return err
 				}
-				if strings.HasPrefix(got[0], "failed") {
-					failed, last = failed+1, got
-					continue
-				}
-				_ = wall.RecordValue(time.Since(from).Nanoseconds())
-				_ = cpu.RecordValue(out.CPU.Nanoseconds())
-			}
-			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%d calls, %d failed\n%-10s %12s %12s\n", n, failed, "", "as seen", "processor")
-			for _, q := range []float64{50, 90, 99, 99.9, 100} {
-				fmt.Fprintf(w, "%-10s %12v %12v\n", fmt.Sprintf("p%g", q), time.Duration(wall.ValueAtPercentile(q)), time.Duration(cpu.ValueAtPercentile(q)))
-			}
-			for _, bar := range cpu.Distribution() {
-				if share := float64(bar.Count) / float64(n); share >= 0.01 {
-					fmt.Fprintf(w, "%10v %s %.1f %%\n", time.Duration(bar.To), strings.Repeat("#", int(share*60)), 100*share)
-				}
-			}
-			if failed > 0 {
-				return workError{fmt.Errorf("%d calls failed, the last: %s", failed, last[0])}
-			}
-			return nil
+				return measured.print(cmd.OutOrStdout())
+			})
 		}})
-	cmd.Flags().IntVar(&n, "calls", 2000, "how many")
+	cmd.Flags().IntVar(&calls, "calls", 2000, "how many")
 	cmd.Flags().StringVar(&body, "body", `{"match":"heb-hea","home":1,"away":0}`, "body of each message")
 	return cmd
 }
 
-// tryPlugins loads the plug-ins of a configuration, and lets them go again.
-func tryPlugins(cfg *config.Config) error {
-	trying := *cfg
-	trying.PluginHost.Store = ""
-	h, err := plugin.New(&trying, []rules.Front{platform.Guard, activitypub.Guard}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// callTimes is what calls of a module took, in nanoseconds.
+type callTimes struct {
+	calls, failed int
+	lastFailure   string
+	wall, cpu     *hdrhistogram.Histogram // of the calls that did not fail
+}
+
+// measureCalls hands a module so many messages.
+func measureCalls(host *trial.Host, calls int, body string) (*callTimes, error) {
+	times := &callTimes{calls: calls, wall: hdrhistogram.New(1, 1e9, 3), cpu: hdrhistogram.New(1, 1e9, 3)}
+	for i := range calls {
+		message := trial.New("bench")
+		call := &message.Call
+		call.ID, call.Body, call.Partner, call.Now = fmt.Sprint("message-", i), []byte(body), i%20, time.Now()
+		began := time.Now()
+		effects, outcome, err := host.Play(&message)
+		if err != nil {
+			return nil, workError{err}
+		}
+		if strings.HasPrefix(effects[0], "failed") {
+			times.failed++
+			times.lastFailure = effects[0]
+			continue
+		}
+		_ = times.wall.RecordValue(time.Since(began).Nanoseconds())
+		_ = times.cpu.RecordValue(outcome.CPU.Nanoseconds())
+	}
+	return times, nil
+}
+
+// print prints quantiles and a histogram of processor times. Calls that failed are an error.
+func (c *callTimes) print(out io.Writer) error {
+	fmt.Fprintf(out, "%d calls, %d failed\n%-10s %12s %12s\n", c.calls, c.failed, "", "as seen", "processor")
+	for _, percent := range []float64{50, 90, 99, 99.9, 100} {
+		fmt.Fprintf(out, "%-10s %12v %12v\n", fmt.Sprintf("p%g", percent), time.Duration(c.wall.ValueAtPercentile(percent)), time.Duration(c.cpu.ValueAtPercentile(percent)))
+	}
+	for _, bar := range c.cpu.Distribution() {
+		if share := float64(bar.Count) / float64(c.calls); share >= 0.01 {
+			fmt.Fprintf(out, "%10v %s %.1f %%\n", time.Duration(bar.To), strings.Repeat("#", int(share*60)), 100*share)
+		}
+	}
+	if c.failed > 0 {
+		return workError{fmt.Errorf("%d calls failed, the last: %s", c.failed, c.lastFailure)}
+	}
+	return nil
+}
+
+// checkPlugins loads the plug-ins of a configuration, and lets them go again.
+func checkPlugins(cfg *config.Config) error {
+	withoutStore := *cfg
+	withoutStore.PluginHost.Store = ""
+	host, err := newQuietHost(&withoutStore)
 	if err != nil {
 		return err
 	}
-	h.Close()
+	host.Close()
 	return nil
 }
 
+// reloadPoll is how often reload looks for the relay's status.
+const reloadPoll = 50 * time.Millisecond
+
+// reloadCommand has a running relay reload its plug-ins.
 func reloadCommand(o *options) *cobra.Command {
 	var pid int
 	var within time.Duration
 	cmd := &cobra.Command{Use: "reload", Short: "check the plug-ins of --config and have a running relay take them over", Args: cobra.NoArgs,
 		Long: "reload loads all plug-ins of the configuration here first; only if all are good is the relay (--pid) told, as SIGHUP\n" +
 			"does. It then waits for the relay's word in plugin_host.store.",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := config.Load(o.file, os.Getenv)
-			if err != nil {
-				return workError{err}
-			}
-			if cfg.PluginHost.Store == "" {
-				return workError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
-			}
-			if err = tryPlugins(cfg); err != nil {
-				return workError{fmt.Errorf("the relay is not told: %w", err)}
-			}
-			before, err := plugin.ReadStatus(cfg)
-			if err != nil {
-				return workError{err}
-			}
-			if err := syscall.Kill(pid, syscall.SIGHUP); err != nil {
-				return workError{fmt.Errorf("--pid %d: %w", pid, err)}
-			}
-			for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				if now, err := plugin.ReadStatus(cfg); err == nil && now.Generation != before.Generation {
-					if now.Error != "" {
-						return workError{errors.New("the relay says: " + now.Error)}
-					}
-					return printStatus(cmd, now)
-				}
-			}
-			return workError{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
-		}}
-	cmd.Flags().IntVar(&pid, "pid", 0, "process of the relay")
+		RunE: func(cmd *cobra.Command, _ []string) error { return reload(cmd, o.file, pid, within) }}
+	pidFlag(cmd, &pid)
 	cmd.Flags().DurationVar(&within, "within", 30*time.Second, "how long to wait for its word")
-	_ = cmd.MarkFlagRequired("pid")
 	return cmd
 }
 
+// reload checks the plug-ins of a configuration, signals the relay, and prints the status that this leaves behind.
+func reload(cmd *cobra.Command, file string, pid int, within time.Duration) error {
+	cfg, err := config.Load(file, os.Getenv)
+	if err != nil {
+		return workError{err}
+	}
+	if cfg.PluginHost.Store == "" {
+		return workError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
+	}
+	if err = checkPlugins(cfg); err != nil {
+		return workError{fmt.Errorf("the relay is not told: %w", err)}
+	}
+	before, err := plugin.ReadStatus(cfg)
+	if err != nil {
+		return workError{err}
+	}
+	if err := sendSignal(pid, syscall.SIGHUP); err != nil {
+		return err
+	}
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(reloadPoll) {
+		now, err := plugin.ReadStatus(cfg)
+		if err != nil || now.Generation == before.Generation {
+			continue
+		}
+		if now.Error != "" {
+			return workError{errors.New("the relay says: " + now.Error)}
+		}
+		return printStatus(cmd, now)
+	}
+	return workError{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
+}
+
+// statusCommand prints which plug-ins a relay runs.
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "print what plug-ins the relay of --config runs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -309,14 +347,14 @@
 		}}
 }
 
-func printStatus(cmd *cobra.Command, s plugin.Status) error {
-	w := cmd.OutOrStdout()
-	fmt.Fprintf(w, "generation %d, %s\n", s.Generation, s.At.Local().Format(time.DateTime))
-	if s.Error != "" {
-		fmt.Fprintf(w, "the last load failed: %s\n", s.Error)
+func printStatus(cmd *cobra.Command, st plugin.Status) error {
+	out := cmd.OutOrStdout()
+	fmt.Fprintf(out, "generation %d, %s\n", st.Generation, st.At.Local().Format(time.DateTime))
+	if st.Error != "" {
+		fmt.Fprintf(out, "the last load failed: %s\n", st.Error)
 	}
-	for i, p := range s.Plugins {
-		fmt.Fprintf(w, "%2d  %-24s ABI %d  %-20s %s  %s\n", i, p.Name, p.ABI, p.Phases, p.Module, p.File)
+	for i, p := range st.Plugins {
+		fmt.Fprintf(out, "%2d  %-24s ABI %d  %-20s %s  %s\n", i, p.Name, p.ABI, p.Phases, p.Module, p.File)
 	}
 	return nil
 }
--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -7,6 +7,7 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -19,14 +20,6 @@
 	"mastusher/internal/relay/standin"
 )
 
-// TestMain lets the tests start this program as a process of its own, to be killed.
-func TestMain(m *testing.M) {
-	if os.Getenv("MASTUSHER_TEST_RUN") != "" {
-		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
-	}
-	os.Exit(m.Run())
-}
-
 // exampleSettings are the JSON settings that an example needs to behave as its golden cases say.
 var exampleSettings = map[string]string{"required-header": `{"desks": {"football": "fb-12"}, "otherwise": "sports"}`}
 
@@ -120,12 +113,10 @@
 
 func TestPlugin_Commands_ExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	file := func(name string, b []byte) string {
-		f := filepath.Join(dir, name)
-		if err := os.WriteFile(f, b, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return f
+	file := func(name string, text []byte) string {
+		path := filepath.Join(dir, name)
+		writeFile(t, path, text)
+		return path
 	}
 	good, later := file("good.wasm", wasmtest.Header("X-Desk", "sports")), file("later.wasm", wasmtest.Later())
 	for _, c := range []struct {
@@ -156,166 +147,110 @@
 	}
 }
 
-// daemon is the relay as a process of its own.
-type daemon struct {
-	*exec.Cmd
-	address   string
-	discovery string
-	known     string
-}
-
-func (d *daemon) start(t *testing.T, file string) {
-	t.Helper()
-	d.launch(t, file)
-	if !standin.WaitUntilServing(t.Context(), d.address) {
-		t.Fatal("the relay does not come up")
-	}
-}
-
-// launch starts it, and does not wait until it takes messages on.
-func (d *daemon) launch(t *testing.T, file string) {
-	t.Helper()
-	d.Cmd = exec.Command(os.Args[0], "serve", "--config", file, "--log-format", "json")
-	d.Env = append(os.Environ(), "MASTUSHER_TEST_RUN=1")
-	d.Stderr = os.Stderr
-	if testing.Verbose() {
-		d.Stderr = os.Stdout
-	}
-	if err := d.Start(); err != nil {
-		t.Fatal(err)
+// TestServe_ShapedMessage_SameBytesAfterKillAndReload: what a message was shaped to is sent again as it was, after SIGKILL and a restart with another version
+// of the plug-in, and after a reload; new messages meet the new version.
+func TestServe_ShapedMessage_SameBytesAfterKillAndReload(t *testing.T) {
+	relay := stageShaped(t)
+	writeFile(t, relay.module, wasmtest.Header("X-Desk", "one"))
+	relay.start(t, relay.file)
+	relay.submit(t, "m")
+	first := <-relay.calls
+	relay.kill()
+	writeFile(t, relay.module, wasmtest.Header("X-Desk", "two"))
+	relay.start(t, relay.file)
+	second := <-relay.calls
+	if d := cmp.Diff(callContent(first), callContent(second)); d != "" || first.Header["X-Desk"][0] != "one" {
+		t.Errorf("after SIGKILL and another version (-first +second)\n%s", d)
 	}
-	t.Cleanup(func() { _ = d.Process.Kill(); _ = d.Wait() })
-}
-
-const lanes = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
-  "allowed": {"max_attempts": 6, "cancel": true, "max_open": 100, "retry_after": true, "max_retry_after": 3000000}, "family_info": {"workers": 8},
-  "lanes": [{"name": "match-event", "effect": "token", "group": "all", "memory_span": 60000000, "aim": 30000000, "deadline": 60000000, "worth": 1}]}`
+	relay.expectDesk(t, "n", "two", "after SIGKILL")
+	writeFile(t, relay.module, wasmtest.Header("X-Desk", "three"))
+	runCommandLine(t, 0, relay.reloadCommand()...)
+	relay.expectDesk(t, "o", "three", "after a reload")
 
-// stage sets up a relay with n endpoints and discovery around it; more is what else its configuration has. The relay is
-// not started yet.
-func stage(t *testing.T, dir string, n int, answer func(standin.Arrival) httpwire.Answer, more string) (d *daemon, file, text string) {
-	t.Helper()
-	ends, err := standin.NewEndpoints(n, answer)
-	if err != nil {
-		t.Fatal(err)
-	}
-	disco, err := standin.NewDiscovery(ends.Snapshot("club-sites", "a"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { disco.Close(); ends.Close() })
-	address, err := standin.FreeAddress()
-	if err != nil {
-		t.Fatal(err)
-	}
-	d = &daemon{address: address, discovery: disco.Address, known: ends.Snapshot("club-sites", "a")}
-	text = fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s, %s}`, d.address, disco.Address,
-		filepath.Join(dir, "state"), ends.Snapshot("club-sites", "a"), more, lanes)
-	file = filepath.Join(dir, "config.json")
-	_ = os.Mkdir(filepath.Join(dir, "state"), 0o700)
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+	// A faulty version: the relay is not even told.
+	writeFile(t, relay.module, wasmtest.Later())
+	if out := runCommandLine(t, 1, relay.reloadCommand()...); !strings.Contains(out, "not told") {
+		t.Errorf("reload of a faulty version\n%s", out)
 	}
-	return d, file, text
+	// Told all the same, it changes nothing and its status names the key.
+	_ = relay.Process.Signal(syscall.SIGHUP)
+	relay.awaitStatus(t, regexp.MustCompile(`generation \d+.*\n.*plugins\.0`))
+	relay.expectDesk(t, "p", "three", "after a faulty reload")
 }
 
-// sent is what a call carried that must be the same each time: all but the time that is left.
-func sent(a standin.Arrival) string {
-	var lines []string
-	for k, v := range a.Header {
-		if k != "X-Timeout" {
-			lines = append(lines, fmt.Sprint(k, v))
-		}
-	}
-	return fmt.Sprintf("%v %s", sorted(lines), a.Body)
+// shapedRelay is a relay with a plug-in, whose module is written before it starts.
+type shapedRelay struct {
+	*daemon
+	file, module string
+	calls        chan standin.Arrival // to its endpoint
 }
 
-func sorted(s []string) []string {
-	for i := range s {
-		for j := range i {
-			if s[i] < s[j] {
-				s[i], s[j] = s[j], s[i]
-			}
-		}
-	}
-	return s
-}
-
-// TestServe_ShapedMessage_SameBytesAfterKillAndReload: what a message was shaped to is sent again as it was, after SIGKILL and a restart with another version
-// of the plug-in, and after a reload; new messages meet the new version.
-func TestServe_ShapedMessage_SameBytesAfterKillAndReload(t *testing.T) {
+// stageShaped sets up a relay with a plug-in, and an endpoint that never answers for message m. The relay is not started yet.
+func stageShaped(t *testing.T) *shapedRelay {
+	t.Helper()
 	dir := t.TempDir()
-	module := filepath.Join(dir, "p.wasm")
-	version := func(desk string) {
-		if err := os.WriteFile(module, wasmtest.Header("X-Desk", desk), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	calls := make(chan standin.Arrival)
+	relay := &shapedRelay{module: filepath.Join(dir, "p.wasm"), calls: make(chan standin.Arrival)}
 	hang := make(chan struct{})
-	d, file, _ := stage(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
+	relay.daemon, relay.file, _ = stage(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
 		select {
-		case calls <- a:
+		case relay.calls <- a:
 		case <-hang:
 		}
 		if a.ID == "m" {
-			<-hang // the first message never gets an answer
+			<-hang
 		}
 		return httpwire.Answer{Status: 200}
-	}, fmt.Sprintf(`"plugin_host": {"store": %q}, "plugins": [{"name": "p", "file": %q, "timeout": "60ms", "memory_mb": 1}]`, dir, module))
+	}, fmt.Sprintf(`"plugin_host": {"store": %q}, "plugins": [{"name": "p", "file": %q, "timeout": "60ms", "memory_mb": 1}]`, dir, relay.module))
 	t.Cleanup(func() { close(hang) })
-	hand := func(id string) {
-		t.Helper()
-		m := &standin.Message{ID: id, Key: "k" + id, Class: "match-event", Partner: 0, Timeout: time.Minute, Body: "goal"}
-		if status, body := standin.NewClient(d.address).Send(t.Context(), m); status != 202 {
-			t.Fatalf("status %d: %s", status, body)
-		}
-	}
-	version("one")
-	d.start(t, file)
-	hand("m")
-	first := <-calls
-	_ = d.Process.Kill()
-	_ = d.Wait()
-	version("two")
-	d.start(t, file)
-	second := <-calls
-	if dd := cmp.Diff(sent(first), sent(second)); dd != "" || first.Header["X-Desk"][0] != "one" {
-		t.Errorf("after SIGKILL and another version (-first +second)\n%s", dd)
-	}
-	hand("n")
-	if a := <-calls; a.Header["X-Desk"][0] != "two" {
-		t.Errorf("a new message is sent with %v", a.Header)
-	}
-	version("three")
-	var out bytes.Buffer
-	if code := run([]string{"plugin", "reload", "--config", file, "--pid", fmt.Sprint(d.Process.Pid)}, &out, &out); code != 0 {
-		t.Fatalf("reload: exit %d\n%s", code, out.String())
-	}
-	hand("o")
-	if a := <-calls; a.Header["X-Desk"][0] != "three" {
-		t.Errorf("after a reload a message is sent with %v", a.Header)
+	return relay
+}
+
+// submit hands in a message, which must be accepted.
+func (r *shapedRelay) submit(t *testing.T, id string) {
+	t.Helper()
+	m := &standin.Message{ID: id, Key: "k" + id, Class: "match-event", Partner: 0, Timeout: time.Minute, Body: "goal"}
+	if status, body := standin.NewClient(r.address).Send(t.Context(), m); status != 202 {
+		t.Fatalf("status %d: %s", status, body)
 	}
-	// A faulty version: the relay is not even told.
-	_ = os.WriteFile(module, wasmtest.Later(), 0o600)
-	if code := run([]string{"plugin", "reload", "--config", file, "--pid", fmt.Sprint(d.Process.Pid)}, &out, &out); code != 1 || !strings.Contains(out.String(), "not told") {
-		t.Errorf("reload of a faulty version: exit %d\n%s", code, out.String())
+}
+
+// expectDesk hands in a message, which must be sent with a desk.
+func (r *shapedRelay) expectDesk(t *testing.T, id, desk, when string) {
+	t.Helper()
+	r.submit(t, id)
+	if a := <-r.calls; a.Header["X-Desk"][0] != desk {
+		t.Errorf("%s a message is sent with %v, want %s", when, a.Header, desk)
 	}
-	// Told all the same, it changes nothing and its status names the key.
-	_ = d.Process.Signal(syscall.SIGHUP)
-	named := regexp.MustCompile(`generation \d+.*\n.*plugins\.0`)
+}
+
+// reloadCommand is the command line that has the relay reload its plug-ins.
+func (r *shapedRelay) reloadCommand() []string {
+	return []string{"plugin", "reload", "--config", r.file, "--pid", fmt.Sprint(r.Process.Pid)}
+}
+
+// awaitStatus waits until the status of the plug-ins matches a pattern.
+func (r *shapedRelay) awaitStatus(t *testing.T, pattern *regexp.Regexp) {
+	t.Helper()
 	for i := 0; ; i++ {
-		out.Reset()
-		if run([]string{"plugin", "status", "--config", file}, &out, &out) == 0 && named.MatchString(out.String()) {
-			break
+		var out bytes.Buffer
+		if run([]string{"plugin", "status", "--config", r.file}, &out, &out) == 0 && pattern.MatchString(out.String()) {
+			return
 		}
 		if i > 400 {
 			t.Fatalf("the status says\n%s", out.String())
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	hand("p")
-	if a := <-calls; a.Header["X-Desk"][0] != "three" {
-		t.Errorf("after a faulty reload a message is sent with %v", a.Header)
+}
+
+// callContent is what a call carried that must be the same each time: all but the time that is left.
+func callContent(a standin.Arrival) string {
+	var headers []string
+	for name, values := range a.Header {
+		if name != "X-Timeout" {
+			headers = append(headers, fmt.Sprint(name, values))
+		}
 	}
+	slices.Sort(headers)
+	return fmt.Sprintf("%v %s", headers, a.Body)
 }
--- a/cmd/mastusher/policy.go
+++ b/cmd/mastusher/policy.go
@@ -14,7 +14,7 @@
 // policyProposeCommand proposes a change of the policy and follows it to its end.
 func policyProposeCommand(t *fleetTool) *cobra.Command {
 	var base int64
-	var by string
+	var author string
 	propose := &cobra.Command{Use: "propose FILE", Short: "propose a change and wait until it is in force or dropped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
@@ -28,20 +28,20 @@
 			if err != nil {
 				return err
 			}
-			q := node.AdminRequest{Op: "propose", Version: st.State.Version, Doc: text, By: by, Ticket: ticket()}
+			request := node.AdminRequest{Op: "propose", Version: st.State.Version, Doc: text, By: author, Ticket: ticket()}
 			if base >= 0 {
-				q.Version = uint64(base)
+				request.Version = uint64(base)
 			}
-			return t.follow(cmd, q, func(s *policy.State) (bool, error) {
-				if s.Change != nil && s.Change.Ticket == q.Ticket {
-					q.Op = "status"
+			return t.follow(cmd, request, func(s *policy.State) (bool, error) {
+				if s.Change != nil && s.Change.Ticket == request.Ticket {
+					request.Op = "status"
 				}
 				for _, p := range s.PastChanges {
-					if p.Ticket != q.Ticket {
+					if p.Ticket != request.Ticket {
 						continue
 					}
 					if p.DropReason != "" {
-						return true, fmt.Errorf("dropped: %s", p.DropReason)
+						return true, &droppedError{version: p.Version, proposed: true, reason: p.DropReason}
 					}
 					fmt.Fprintf(cmd.OutOrStdout(), "version %d is in force\n", p.Version)
 					return true, nil
@@ -50,21 +50,22 @@
 			})
 		}}
 	propose.Flags().Int64Var(&base, "base", -1, "the version that it replaces (default: the one in force)")
-	propose.Flags().StringVar(&by, "by", os.Getenv("USER"), "who proposes it")
+	propose.Flags().StringVar(&author, "by", os.Getenv("USER"), "who proposes it")
 	return propose
 }
 
+// policyWaitCommand waits until a version of the policy is in force.
 func policyWaitCommand(t *fleetTool) *cobra.Command {
 	return &cobra.Command{Use: "wait VERSION", Short: "wait until a version is in force, or dropped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var version uint64
 			if _, err := fmt.Sscan(args[0], &version); err != nil {
-				return fmt.Errorf("wait: %q is no version", args[0])
+				return &argumentError{"wait", fmt.Sprintf("%q is no version", args[0])}
 			}
 			return t.follow(cmd, node.AdminRequest{Op: "status"}, func(s *policy.State) (bool, error) {
 				for _, p := range s.PastChanges {
 					if p.Version == version && p.DropReason != "" {
-						return true, fmt.Errorf("version %d was dropped: %s", version, p.DropReason)
+						return true, &droppedError{version: version, reason: p.DropReason}
 					}
 				}
 				return s.Version >= version, nil
@@ -72,6 +73,7 @@
 		}}
 }
 
+// policyCheckCommand checks a policy against this relay's settings and plug-ins.
 func policyCheckCommand(t *fleetTool) *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "tell whether this relay could apply a policy", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -82,7 +84,7 @@
 			rules, err := peer.NewRules(cfg)
 			var text []byte
 			if err == nil {
-				rules.LoadPlugins = tryPlugins
+				rules.LoadPlugins = checkPlugins
 				text, err = os.ReadFile(args[0])
 			}
 			if err == nil {
@@ -96,6 +98,7 @@
 		}}
 }
 
+// policyDiffCommand compares a policy with the one in force.
 func policyDiffCommand(t *fleetTool) *cobra.Command {
 	return &cobra.Command{Use: "diff FILE", Short: "tell what a policy would change of the one in force", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -107,12 +110,12 @@
 			if err != nil {
 				return err
 			}
-			lines, err := policy.Diff(st.State.Doc, text)
+			changes, err := policy.Diff(st.State.Doc, text)
 			if err != nil {
 				return workError{err}
 			}
-			for _, l := range lines {
-				fmt.Fprintln(cmd.OutOrStdout(), l)
+			for _, change := range changes {
+				fmt.Fprintln(cmd.OutOrStdout(), change)
 			}
 			return nil
 		}}
--- a/cmd/mastusher/replay.go
+++ b/cmd/mastusher/replay.go
@@ -20,89 +20,103 @@
 	"mastusher/internal/relay/engine"
 )
 
+// replayFlags are the flags of replay.
+type replayFlags struct {
+	until, from, length        time.Duration
+	explain, against, toFolder string
+}
+
+// replayCommand replays captures, traces a message in them, or cuts windows out of them.
 func replayCommand() *cobra.Command {
-	var until, from, length time.Duration
-	var explain, against, test string
+	o := &replayFlags{}
 	cmd := &cobra.Command{Use: "replay FILE...", Short: "reproduce the decisions of captures, or say where they differ", Args: cobra.MinimumNArgs(1),
 		Long: "replay feeds what a capture tells to this build's decision module, and to a whole core with the recording in the place of\n" +
 			"its clock, fronts and journal. It says that every decision is the same, or stops at the first turn that differs and\n" +
 			"prints the turn, both lists of actions and the state that explains them. With --explain, captures that know nothing of\n" +
 			"the message are passed over.",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			w := cmd.OutOrStdout()
-			found := false
-			for _, file := range args {
-				err := reading(file, func(r *capture.Reader) error {
-					switch {
-					case explain != "":
-						lines, err := capture.Trace(r, explain)
-						if errors.Is(err, capture.ErrNoMessage) {
-							return nil // it may stand in another
-						}
-						found = true
-						fmt.Fprintln(w, file)
-						for _, line := range lines {
-							fmt.Fprintln(w, line)
-						}
-						return err
-					case test != "":
-						return writeTest(w, r, file, test, from, length)
-					}
-					return replay(w, cmd.ErrOrStderr(), r, file, until, against)
-				})
-				if err != nil {
-					return workError{fmt.Errorf("%s: %w", file, err)}
-				}
-			}
-			if explain != "" && !found {
-				return workError{fmt.Errorf("%w: %q", capture.ErrNoMessage, explain)}
-			}
-			return nil
-		}}
+		RunE: o.run}
 	f := cmd.Flags()
-	f.DurationVar(&until, "until", 0, "stop so long after the start")
-	f.StringVar(&explain, "explain", "", "tell the way of the message with this id, attempt by attempt")
-	f.StringVar(&against, "against", "", "replay under the settings of this configuration, and tell what changes")
-	f.StringVar(&test, "to-test", "", "write a window (--from, --for) to this folder, as a capture that tests can replay")
-	f.DurationVar(&from, "from", 0, "where the window begins, after the start")
-	f.DurationVar(&length, "for", 10*time.Second, "how long it is")
+	f.DurationVar(&o.until, "until", 0, "stop so long after the start")
+	f.StringVar(&o.explain, "explain", "", "tell the way of the message with this id, attempt by attempt")
+	f.StringVar(&o.against, "against", "", "replay under the settings of this configuration, and tell what changes")
+	f.StringVar(&o.toFolder, "to-test", "", "write a window (--from, --for) to this folder, as a capture that tests can replay")
+	f.DurationVar(&o.from, "from", 0, "where the window begins, after the start")
+	f.DurationVar(&o.length, "for", 10*time.Second, "how long it is")
 	return cmd
 }
 
+// run does with each capture what the flags ask for. The message to be explained must be in one of them.
+func (o *replayFlags) run(cmd *cobra.Command, args []string) error {
+	out, found := cmd.OutOrStdout(), false
+	for _, file := range args {
+		err := readCapture(file, func(reader *capture.Reader) error {
+			switch {
+			case o.explain != "":
+				traced, err := printTrace(out, reader, file, o.explain)
+				found = found || traced
+				return err
+			case o.toFolder != "":
+				return writeTest(out, reader, file, o.toFolder, o.from, o.length)
+			}
+			return replay(out, cmd.ErrOrStderr(), reader, file, o.until, o.against)
+		})
+		if err != nil {
+			return workError{fmt.Errorf("%s: %w", file, err)}
+		}
+	}
+	if o.explain != "" && !found {
+		return workError{fmt.Errorf("%w: %q", capture.ErrNoMessage, o.explain)}
+	}
+	return nil
+}
+
+// printTrace prints a message's way through a capture; false: the capture knows nothing of it.
+func printTrace(out io.Writer, reader *capture.Reader, file, id string) (found bool, err error) {
+	trace, err := capture.Trace(reader, id)
+	if errors.Is(err, capture.ErrNoMessage) {
+		return false, nil // it may stand in another
+	}
+	fmt.Fprintln(out, file)
+	for _, line := range trace {
+		fmt.Fprintln(out, line)
+	}
+	return true, err
+}
+
 // replay replays one capture and prints what came of it; its error is the first difference.
-func replay(w, progress io.Writer, r *capture.Reader, file string, until time.Duration, against string) error {
+func replay(out, progress io.Writer, reader *capture.Reader, file string, until time.Duration, against string) error {
 	var core engine.CoreReplay
-	o, err := replayOptions(progress, file, until, against)
+	options, err := replayOptions(progress, file, until, against)
 	if err != nil {
 		return err
 	}
 	if against == "" {
-		o.Core = core.Record
+		options.Core = core.Record
 	}
 	began := time.Now()
-	res, err := capture.Replay(r, o)
+	res, err := capture.Replay(reader, options)
 	var coreDifference *engine.CoreDifferenceError
 	if errors.As(err, &coreDifference) {
-		coreDiffers(w, res, coreDifference)
+		printCoreDifference(out, res, coreDifference)
 	}
 	var difference *capture.DifferenceError
 	if errors.As(err, &difference) {
-		moduleDiffers(w, res, difference)
+		printDifference(out, res, difference)
 	}
 	if err != nil {
 		return err
 	}
 	took := time.Since(began)
-	fmt.Fprintf(w, "%s: %d turns with %d events over %v replayed in %v", file, res.Turns, res.Events, (res.Last - res.First).Round(time.Millisecond), took.Round(time.Millisecond))
+	fmt.Fprintf(out, "%s: %d turns with %d events over %v replayed in %v", file, res.Turns, res.Events, (res.Last - res.First).Round(time.Millisecond), took.Round(time.Millisecond))
 	if against == "" {
-		fmt.Fprintln(w, ": every decision is the same")
+		fmt.Fprintln(out, ": every decision is the same")
 		if core.Turns > 0 {
-			fmt.Fprintf(w, "  so is all that the core did in its %d turns\n", core.Turns)
+			fmt.Fprintf(out, "  so is all that the core did in its %d turns\n", core.Turns)
 		}
 	} else {
-		fmt.Fprintf(w, " under the settings of %s: %d turns differ\n", against, res.Differ)
+		fmt.Fprintf(out, " under the settings of %s: %d turns differ\n", against, res.Differ)
 	}
-	printOutcomes(w, res)
+	printOutcomes(out, res)
 	return nil
 }
 
@@ -146,41 +160,44 @@
 	}
 }
 
-func moduleDiffers(w io.Writer, res *capture.Result, d *capture.DifferenceError) {
+// printDifference prints the first turn in which the module decides otherwise.
+func printDifference(w io.Writer, res *capture.Result, d *capture.DifferenceError) {
 	fmt.Fprintf(w, "turn %d, %v after the start, differs after %d turns that are the same\n", d.Turn.No, d.Turn.Now-res.First, res.Turns-1)
-	list(w, "events", d.Turn.Events, res.Event)
-	list(w, "recorded", d.Turn.Actions, res.Action)
-	list(w, "decided now", d.Got, res.Action)
-	list(w, "state", d.State, func(s string) string { return s })
+	printList(w, "events", d.Turn.Events, res.Event)
+	printList(w, "recorded", d.Turn.Actions, res.Action)
+	printList(w, "decided now", d.Got, res.Action)
+	printList(w, "state", d.State, func(s string) string { return s })
 }
 
-func list[T any](w io.Writer, title string, all []T, words func(T) string) {
+// printList prints a list under its title, an item a line.
+func printList[T any](w io.Writer, title string, all []T, words func(T) string) {
 	fmt.Fprintln(w, title)
 	for _, v := range all {
 		fmt.Fprintln(w, "  ", words(v))
 	}
 }
 
-func coreDiffers(w io.Writer, res *capture.Result, d *engine.CoreDifferenceError) {
+// printCoreDifference prints the first turn in which the core does otherwise.
+func printCoreDifference(w io.Writer, res *capture.Result, d *engine.CoreDifferenceError) {
 	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
-		moduleDiffers(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
+		printDifference(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
 	}
 	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Reason)
-	list(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
-	list(w, "done now", d.Got.Actions, res.CoreAction)
+	printList(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
+	printList(w, "done now", d.Got.Actions, res.CoreAction)
 	var recorded []control.Event
 	if d.Turn != nil {
 		recorded = d.Turn.Events
 	}
-	list(w, "the module was told", recorded, res.Event)
-	list(w, "and now", d.ModuleEvents, res.Event)
+	printList(w, "the module was told", recorded, res.Event)
+	printList(w, "and now", d.ModuleEvents, res.Event)
 }
 
 // firstTurn is when a capture's first turn was, on the module's clock.
 func firstTurn(file string) (at time.Duration, err error) {
-	err = reading(file, func(r *capture.Reader) error {
+	err = readCapture(file, func(reader *capture.Reader) error {
 		for {
-			chunk, nextErr := r.Next()
+			chunk, nextErr := reader.Next()
 			if nextErr != nil {
 				return nextErr
 			}
@@ -193,7 +210,8 @@
 	return at, err
 }
 
-func writeTest(w io.Writer, r *capture.Reader, file, dir string, from, length time.Duration) error {
+// writeTest writes a window of a capture to a folder, as a capture of its own.
+func writeTest(w io.Writer, reader *capture.Reader, file, dir string, from, length time.Duration) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -202,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	turns, err := capture.Window(r, f, from, from+length, &engine.CoreReplay{})
+	turns, err := capture.Window(reader, f, from, from+length, &engine.CoreReplay{})
 	if err = errors.Join(err, f.Close()); err != nil {
 		_ = os.Remove(name)
 		return err
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -170,7 +170,7 @@
 	r.shape.rules.LoadPlugins = r.shape.prepare
 	r.core.Govern(engine.Mandate{}, nil)
 	r.core.Restore(time.Now())
-	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.stand)
+	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.apply)
 	if err != nil {
 		return err
 	}
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"log/slog"
 	"runtime"
 	"sync"
@@ -21,41 +20,41 @@
 	core    *engine.Core
 	log     *slog.Logger
 
-	mu  sync.Mutex
-	doc []byte // in force
-	of  uint64 // its version
+	mu       sync.Mutex
+	document []byte // of the policy in force
+	version  uint64 // its number
 }
 
 // prepare loads plug-ins as a policy would have them, for when it is in force.
 func (s *shaper) prepare(cfg *config.Config) error {
 	if s.plugins == nil {
-		return errors.New("no plug-ins run here")
+		return errNoPlugins
 	}
 	return s.plugins.Prepare(cfg)
 }
 
-// stand takes over what the fleet lets this relay do: plug-ins first, while nothing is taken on.
-func (s *shaper) stand(st node.Mandate, at peer.Times, done func()) {
-	told, err := s.rules.Mandate(st)
+// apply takes over what the fleet lets this relay do: plug-ins first, while nothing is taken on.
+func (s *shaper) apply(mandate node.Mandate, at peer.Times, done func()) {
+	forCore, err := s.rules.Mandate(mandate)
 	if err == nil {
-		err = s.adopt(st)
+		err = s.adopt(mandate)
 	}
-	if err != nil { // it has been checked; until the next word nothing is taken on
-		s.log.Error("policy in force not applied, nothing is accepted", "version", st.Version, "err", err)
+	if err != nil { // it has been checked; until the next mandate nothing is taken on
+		s.log.Error("policy in force not applied, nothing is accepted", "version", mandate.Version, "err", err)
 		return
 	}
-	s.core.Govern(engine.Mandate{Mandate: told, Until: at.At(st.Until)}, done)
+	s.core.Govern(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
 }
 
 // adopt has the plug-ins run with the settings of a policy.
-func (s *shaper) adopt(st node.Mandate) error {
+func (s *shaper) adopt(mandate node.Mandate) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.of == st.Version {
+	if s.version == mandate.Version {
 		return nil
 	}
 	if s.plugins != nil {
-		cfg, err := s.rules.Shaped(st.Doc)
+		cfg, err := s.rules.Shaped(mandate.Doc)
 		if err == nil {
 			err = s.plugins.Reload(cfg)
 		}
@@ -63,13 +62,13 @@
 			return err
 		}
 	}
-	s.doc, s.of = st.Doc, st.Version
+	s.document, s.version = mandate.Doc, mandate.Version
 	return nil
 }
 
 // reload takes over a configuration that was read again. A faulty one changes nothing: the relay goes on with what it has.
-func (s *shaper) reload(front *platform.Front, again func() (*config.Config, error)) {
-	cfg, err := again()
+func (s *shaper) reload(front *platform.Front, load func() (*config.Config, error)) {
+	cfg, err := load()
 	if err != nil {
 		s.log.Error("configuration reload rejected, previous one stays active", "err", err)
 		return
@@ -80,7 +79,7 @@
 	}
 	switch {
 	case s.plugins != nil:
-		if err := s.replug(cfg); err != nil {
+		if err := s.replacePlugins(cfg); err != nil {
 			s.log.Error("plug-in reload rejected, previous generation stays active", "err", err)
 		}
 		runtime.GOMAXPROCS(cfg.Limits.Cores + max(s.plugins.Procs(), 2))
@@ -89,12 +88,12 @@
 	}
 }
 
-// replug puts a configuration's plug-ins in the place of those that run, with the settings of the policy in force.
-func (s *shaper) replug(cfg *config.Config) error {
+// replacePlugins puts a configuration's plug-ins in the place of those that run, with the settings of the policy in force.
+func (s *shaper) replacePlugins(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rules == nil {
 		return s.plugins.Reload(cfg)
 	}
-	return s.rules.Reload(cfg, s.doc, s.plugins.Reload)
+	return s.rules.Reload(cfg, s.document, s.plugins.Reload)
 }
--- a/cmd/mastusher/stored_format_test.go
+++ b/cmd/mastusher/stored_format_test.go
@@ -30,74 +30,96 @@
 	for _, name := range []string{"appended.log", "torn.log", "compacted.log"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stored, err := os.ReadFile(filepath.Join("../../internal/relay/journal/testdata", name))
-			if err != nil {
-				t.Fatal(err)
-			}
-			dir := t.TempDir()
-			state, file := filepath.Join(dir, "state"), filepath.Join(dir, "config.json")
-			if err = os.Mkdir(state, 0o700); err != nil {
-				t.Fatal(err)
-			}
-			if err = os.WriteFile(filepath.Join(state, "journal.log"), stored, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			endpoints, err := standin.NewEndpoints(1, func(standin.Arrival) httpwire.Answer { return httpwire.Answer{Status: 200} })
-			if err != nil {
-				t.Fatal(err)
-			}
-			list := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, endpoints.Entry(0, 300, "club-sites", "a", "ready"))
-			discovery, err := standin.NewDiscovery(list)
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { discovery.Close(); endpoints.Close() })
-			address, err := standin.FreeAddress()
-			if err != nil {
-				t.Fatal(err)
-			}
-			text := fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s}`, address, discovery.Address, state, list, storedLanes)
-			if err = os.WriteFile(file, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			d := &daemon{address: address, discovery: discovery.Address, known: list}
-			d.start(t, file)
-
-			var got []string
-			for _, a := range endpoints.AwaitArrivals(5, 20*time.Second) {
-				got = append(got, fmt.Sprintf("%s key=%s body=%s desk=%q empty=%q", a.ID, a.Key, a.Body, a.Header["X-Desk"], a.Header["X-Empty"]))
-			}
-			slices.Sort(got)
-			var want []string
-			for _, id := range []string{"accepted", "in-flight", "never-ran", "ran", "retried"} {
-				want = append(want, fmt.Sprintf(`%s key=key-%s body=body of %s desk=["sports"] empty=[""]`, id, id, id))
-			}
-			if diff := cmp.Diff(want, got); diff != "" {
-				t.Errorf("delivered (-want +got)\n%s", diff)
+			relay := stageStored(t, filepath.Join("../../internal/relay/journal/testdata", name))
+			relay.start(t, relay.file)
+			if d := cmp.Diff(storedDeliveries(), relay.awaitDeliveries(len(storedDeliveries()))); d != "" {
+				t.Errorf("delivered (-want +got)\n%s", d)
 			}
 			wantNotices := map[string]string{"handed-back": "handed_back", "given-up": "given_up", "delivered": "given_up"}
-			var notices map[string]string
-			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-				if notices, _ = discovery.Notices(); len(notices) >= len(wantNotices) {
-					break
-				}
+			if d := cmp.Diff(wantNotices, relay.awaitNotices(len(wantNotices))); d != "" {
+				t.Errorf("notices (-want +got)\n%s", d)
 			}
-			if diff := cmp.Diff(wantNotices, notices); diff != "" {
-				t.Errorf("notices (-want +got)\n%s", diff)
-			}
-			_ = d.Process.Signal(syscall.SIGTERM)
-			if err = d.Wait(); err != nil {
+			_ = relay.Process.Signal(syscall.SIGTERM)
+			if err := relay.Wait(); err != nil {
 				t.Errorf("the relay ends with %v", err)
 			}
-			l, err := journal.Open(state, 3<<20)
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { _ = l.Close() })
-			kept := []*journal.Entry{{Seq: 9, ID: "plain", Front: "activitypub", Tenant: -1, Deadline: time.UnixMicro(1_700_000_000_000_000), Body: []byte{}}}
-			if diff := cmp.Diff(kept, l.Entries(), cmpopts.IgnoreUnexported(journal.Entry{})); diff != "" {
-				t.Errorf("kept in the journal (-want +got)\n%s", diff)
+			want := []*journal.Entry{{Seq: 9, ID: "plain", Front: "activitypub", Tenant: -1, Deadline: time.UnixMicro(1_700_000_000_000_000), Body: []byte{}}}
+			if d := cmp.Diff(want, relay.journalEntries(t), cmpopts.IgnoreUnexported(journal.Entry{})); d != "" {
+				t.Errorf("left in the journal (-want +got)\n%s", d)
 			}
 		})
 	}
 }
+
+// storedDeliveries are the messages of the journal's testdata that are to be delivered, as storedRelay prints them.
+func storedDeliveries() (deliveries []string) {
+	for _, id := range []string{"accepted", "in-flight", "never-ran", "ran", "retried"} {
+		deliveries = append(deliveries, fmt.Sprintf(`%s key=key-%s body=body of %s desk=["sports"] empty=[""]`, id, id, id))
+	}
+	return deliveries
+}
+
+// storedRelay is a relay on a journal of an earlier version, with what it sends to.
+type storedRelay struct {
+	*daemon
+	dir, file string
+	endpoints *standin.Endpoints
+	platform  *standin.Discovery
+}
+
+// stageStored sets up a relay on a copy of a journal. It is not started yet.
+func stageStored(t *testing.T, journalFile string) *storedRelay {
+	t.Helper()
+	stored, err := os.ReadFile(journalFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	endpoints, err := standin.NewEndpoints(1, func(standin.Arrival) httpwire.Answer { return httpwire.Answer{Status: 200} })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(endpoints.Close)
+	known := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, endpoints.Entry(0, 300, "club-sites", "a", "ready"))
+	platform, err := standin.NewDiscovery(known)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(platform.Close)
+	relay := &storedRelay{daemon: &daemon{address: freeAddress(t), discovery: platform.Address, known: known}, dir: t.TempDir(),
+		endpoints: endpoints, platform: platform}
+	relay.file, _ = relay.writeConfig(t, relay.dir, storedLanes)
+	writeFile(t, filepath.Join(relay.stateDir(), "journal.log"), stored)
+	return relay
+}
+
+func (r *storedRelay) stateDir() string { return filepath.Join(r.dir, "state") }
+
+// awaitDeliveries waits until so many messages have arrived, and returns them sorted.
+func (r *storedRelay) awaitDeliveries(n int) (deliveries []string) {
+	for _, a := range r.endpoints.AwaitArrivals(n, 20*time.Second) {
+		deliveries = append(deliveries, fmt.Sprintf("%s key=%s body=%s desk=%q empty=%q", a.ID, a.Key, a.Body, a.Header["X-Desk"], a.Header["X-Empty"]))
+	}
+	slices.Sort(deliveries)
+	return deliveries
+}
+
+// awaitNotices waits until so many notices have come, or for 20 s, and returns them by message.
+func (r *storedRelay) awaitNotices(n int) (notices map[string]string) {
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if notices, _ = r.platform.Notices(); len(notices) >= n {
+			break
+		}
+	}
+	return notices
+}
+
+// journalEntries are the messages in the journal of a relay that has ended.
+func (r *storedRelay) journalEntries(t *testing.T) []*journal.Entry {
+	t.Helper()
+	log, err := journal.Open(r.stateDir(), 3<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = log.Close() })
+	return log.Entries()
+}
