--- a/internal/tier/model/model.go
+++ b/internal/tier/model/model.go
@@ -15,7 +15,8 @@
 	Streaming  RouteKind = "streaming" // the response is a stream of events; at most once unless it is resumable
 )
 
-// Configuration is one complete version of the operator's configuration.
+// Configuration is one complete version of the operator's configuration. A field marked as informative is stored and spread as it is,
+// and nothing in the programs depends on it.
 type Configuration struct {
 	Version  uint64    `json:"number"` // grows with each change
 	Routes   []Route   `json:"routes"`
@@ -29,17 +30,17 @@
 	Host             string            `json:"host"`       // compared without port and case
 	PathPrefix       string            `json:"startsWith"` // begins and ends with a slash
 	Kind             RouteKind         `json:"kind"`
-	TimeoutMs        int64             `json:"giveUpMs"`          // total time of a request, retries included; above 0
-	LatencyTargetMs  int64             `json:"targetMs"`          // latency target: a later response is of less value
+	TimeoutMs        int64             `json:"giveUpMs"`          // total time of a request, ms, retries included; above 0
+	LatencyTargetMs  int64             `json:"targetMs"`          // latency target, ms: a later response is of less value
 	Priority         int               `json:"rank"`              // 0 is the highest
 	Service          string            `json:"service,omitempty"` // may be empty where WeightedServices are given
 	WeightedServices []WeightedService `json:"shares,omitempty"`
-	MaxAttempts      int               `json:"tries"`                // number of endpoints that one request may be sent to
+	MaxAttempts      int               `json:"tries"`                // sends of one request that may have run on an endpoint; below 1 counts as 1
 	Stateful         bool              `json:"remembered,omitempty"` // turns build on earlier ones, whose chains the shards store
-	RetentionS       float64           `json:"keepForS,omitempty"`   // of a turn that has ended, s
+	RetentionS       float64           `json:"keepForS,omitempty"`   // of a turn that has ended, s; at most a day
 	Affinity         bool              `json:"pinned,omitempty"`     // prefer the endpoint that served the same prefix lately: it is in its cache
 	Resumable        bool              `json:"canResume,omitempty"`  // a broken stream may continue on another endpoint
-	EventGapTargetMs int64             `json:"gap_aim_ms,omitempty"` // latency target between two events of a stream, ms
+	EventGapTargetMs int64             `json:"gap_aim_ms,omitempty"` // informative: latency target between two events of a stream, ms
 }
 
 // WeightedService is a service with its share of a route's requests.
@@ -51,20 +52,20 @@
 // Service is a set of interchangeable endpoints.
 type Service struct {
 	Name           string  `json:"name"`
-	HealthPath     string  `json:"healthPath"`
-	MaxConnections int     `json:"maxConnections"` // of one endpoint, from all callers together
-	Protocol       string  `json:"protocol"`
-	TLS            bool    `json:"tls"`
+	HealthPath     string  `json:"healthPath"`       // informative: health is judged by requests alone
+	MaxConnections int     `json:"maxConnections"`   // of one endpoint, from all callers together; 0: no bound
+	Protocol       string  `json:"protocol"`         // informative: HTTP/1.1 is used
+	TLS            bool    `json:"tls"`              // informative: TLS is not used
 	Engine         *Engine `json:"engine,omitempty"` // nil: not a model server
 }
 
-// Engine describes the model servers (LLM inference engines) of a service.
+// Engine describes the model servers (LLM inference engines) of a service. All of it but TokensPerEvent is informative.
 type Engine struct {
 	Capacity        int     `json:"capacity"` // batch size: requests that run at once
 	CacheTokens     int64   `json:"cacheTokens"`
 	TokenCacheBytes int64   `json:"tokenCacheBytes"`
 	NetworkMbps     float64 `json:"networkMbps"`
-	TokensPerEvent  int64   `json:"tokensPerEvent"`
+	TokensPerEvent  int64   `json:"tokensPerEvent"` // by which the usage of a stream is counted; below 1 counts as 1
 	Models          []Model `json:"models"`
 }
 
@@ -76,10 +77,10 @@
 // Limits are the limits of what a client may send and how long it may take. 0 stands for the proxy's default; of MaxBodyBytes, for no
 // limit.
 type Limits struct {
-	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
-	MaxBodyBytes    int64 `json:"maxBodyBytes"`
-	HeaderTimeoutMs int64 `json:"headerWaitMs"`
-	IdleTimeoutMs   int64 `json:"idleCloseMs"`
+	MaxHeaderBytes  int   `json:"maxHeaderBytes"` // of a request's header section
+	MaxBodyBytes    int64 `json:"maxBodyBytes"`   // of a request's body
+	HeaderTimeoutMs int64 `json:"headerWaitMs"`   // for a request's header section to arrive, ms
+	IdleTimeoutMs   int64 `json:"idleCloseMs"`    // after which an idle connection is closed, ms
 }
 
 // EndpointState is an endpoint's state on the platform's list.
--- a/internal/tier/settings/bounds.go
+++ b/internal/tier/settings/bounds.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Bounds holds the service-level bounds by their keys in the file; true counts as 1 and false as 0. The methods return each known
-// bound with its unit, or its default where the file gives none.
+// bound with its unit, or its default where the file gives none. The programs go by ConfirmWithin, UnstableExtension, GracePeriod,
+// RecoveryWithin and the bounds of bad versions; the others are read for those who operate and test them.
 type Bounds map[string]float64
 
 // The keys of the known bounds.
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -28,27 +28,27 @@
 // minHeartbeat is the shortest heartbeat: a tiny value must not consume the processor.
 const minHeartbeat = time.Millisecond
 
-// Settings is one settings file.
+// Settings is one settings file. A field marked as informative is read and validated, and nothing in the programs depends on it.
 type Settings struct {
-	NodeName        string
+	NodeName        string // of the machine
 	Role            string
-	MachineClass    string
-	Serves          []string // of ServesEdge, ServesControl, ServesStorage
+	MachineClass    string   // informative
+	Serves          []string // of ServesEdge, ServesControl, ServesStorage; decides which addresses of ListenOn are required
 	IP              string
 	Zone            string
-	Region          string            // default: that of Zone in Zones
+	Region          string            // informative; default: that of Zone in Zones
 	Zones           map[string]string // region of each zone
 	ListenOn        ListenOn
 	PortRange       PortRange
-	SeedNodes       []string // host:port of processes to join by
+	SeedNodes       []string // IP:port of processes to join by
 	Bootstrap       bool     // the whole system starts for the first time, with empty disks
-	CountsForQuorum bool     // key countsForQuorum
+	CountsForQuorum bool     // informative
 	Limits          Limits
 	DataDir         string   // empty: the machine has no disk
-	Discovery       string   // how endpoints are found (key findBy)
-	IngressKind     string   // key entryKind
-	HeartbeatMs     float64  // 0: the default; see Heartbeat
-	EnabledRules    []string // the operators' rules in force, key ruleParts
+	Discovery       string   // how endpoints are found (key findBy); decides whether CloudAPI.Address is required
+	IngressKind     string   // informative (key entryKind)
+	HeartbeatMs     float64  // informative: heartbeats have intervals of their own; 0: the default; see Heartbeat
+	EnabledRules    []string // informative: the operators' rules in force (key ruleParts)
 	FaultTolerance  FaultTolerance
 	Bounds          Bounds
 	CloudAPI        CloudAPI
@@ -56,9 +56,9 @@
 
 // ListenOn holds the addresses of what the role serves, each as IP:port; empty: not served.
 type ListenOn struct {
-	FrontHTTP string
-	Readiness string
-	Control   string
+	FrontHTTP string // for clients; required where the role serves ServesEdge
+	Readiness string // for probes of readiness; required likewise
+	Control   string // the operators' API; required where the role serves ServesControl
 }
 
 // PortRange is the range of ports for calls between processes, both ends included.
@@ -69,27 +69,27 @@
 
 // Limits are the limits of what the process may use; 0: none given.
 type Limits struct {
-	CPUShare    float64
-	CPUCores    float64
-	MemoryMb    int64
-	OpenFiles   int64
-	NetworkMbps float64
-	DiskMb      int64
+	CPUShare    float64 // informative
+	CPUCores    float64 // informative
+	MemoryMb    int64   // MiB; sizes the collector's limit, the cache of chains (0: no cache) and the queues of stores
+	OpenFiles   int64   // descriptors; bounds the connections of clients
+	NetworkMbps float64 // informative
+	DiskMb      int64   // informative
 }
 
 // FaultTolerance is how many machines, zones and regions the system may lose at once and still keep all its rules.
 type FaultTolerance struct {
-	Machines int
-	Zones    int
-	Regions  int
+	Machines int // a group has twice as many replicas and one: more bear more losses, and cost disks, messages and time for a commit
+	Zones    int // informative: placement spreads over zones in any case
+	Regions  int // informative
 }
 
 // CloudAPI is the access to the platform's list of endpoints.
 type CloudAPI struct {
 	Address  string
-	RatePerS float64 // rate limit of all processes together, calls a second
-	Jobs     []string
-	DelayMs  float64 // staleness of the list
+	RatePerS float64  // rate limit of all processes together, calls a second
+	Jobs     []string // informative
+	DelayMs  float64  // informative: staleness of the list
 }
 
 // Load reads and validates the settings file at path. The error names the file and holds all field errors; see
