--- a/internal/relay/config/limits.go
+++ b/internal/relay/config/limits.go
@@ -111,7 +111,7 @@
 		PluginHeaderSize: 4 << 10, PluginSample: 512, PluginRetryAfterMax: time.Minute, PluginSave: 5 * time.Second,
 		PluginMemory: int64(p.number("plugin_host.memory_mb", 16, 1, 1<<12)) << 20,
 		PluginCache:  int64(p.number("plugin_host.cache_mb", 64, 1, 1<<12)) << 20,
-		Round:        set.Round, ConnectTimeout: set.ConnectTimeout,
+		Round:        set.TurnInterval, ConnectTimeout: set.ConnectTimeout,
 	}
 	// Half of the descriptors are the clients', and what the calls that are out, the journal, the watch and the
 	// listeners leave of the rest is for idle ones to endpoints, a quarter at most.
--- a/internal/relay/wire/batch.go
+++ b/internal/relay/wire/batch.go
@@ -8,12 +8,16 @@
 )
 
 const (
-	batchHeader = 20
-	replyHeader = 12
-	maxFrame    = 1 << 30
+	batchHeader = 20      // bytes: number, clock, length, count
+	replyHeader = 12      // bytes: number, length, count
+	maxFrame    = 1 << 30 // bytes
+	readStep    = 1 << 20 // bytes that are allocated ahead of what has come
+
+	lengthOffset = 12 // of the length in a batch
+	countOffset  = 16 // of the count of records in a batch
 )
 
-// Member is one entry of a list.
+// Member is one entry of a list: an endpoint.
 type Member struct {
 	Target      uint32
 	Site        uint16
@@ -24,7 +28,7 @@
 	ReadyAt     uint64
 }
 
-// Record is one event of a batch; Code names the fields that count.
+// Record is one event of a batch; its Code says which fields are set, see reader.next.
 type Record struct {
 	Code      uint8
 	Instance  uint16 // of Context
@@ -56,61 +60,64 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Seq     uint32
-	Clock   uint64
+	Seq     uint32 // its number
+	Clock   uint64 // microseconds
 	Records []Record
 }
 
-// ParseBatch reads one whole frame.
+// name is what errors call the batch.
+func (b *Batch) name() string { return fmt.Sprintf("batch %d", b.Seq) }
+
+// ParseBatch decodes one complete frame; the batch shares no memory with it. It returns a FrameError, or wraps a RecordError.
 func ParseBatch(frame []byte) (Batch, error) {
-	r := reader{b: frame}
-	b := Batch{Seq: r.u32("number"), Clock: r.u64("clock")}
-	length, n := r.u32("length"), int(r.u32("records"))
+	r := reader{frame: frame}
+	batch := Batch{Seq: r.u32("number"), Clock: r.u64("clock")}
+	length, count := r.u32("length"), int(r.u32("records"))
 	if r.err == nil && int(length) != len(frame) {
-		return b, fmt.Errorf("batch %d: field length at offset 12: %d, but the frame has %d", b.Seq, length, len(frame))
+		return batch, &FrameError{batch.name(), "length", lengthOffset, fmt.Sprintf("%d, but the frame has %d", length, len(frame))}
 	}
-	if r.err == nil && n > len(frame)-batchHeader {
-		return b, fmt.Errorf("batch %d: field records at offset 16: %d do not fit", b.Seq, n)
+	if r.err == nil && count > len(frame)-batchHeader {
+		return batch, &FrameError{batch.name(), "records", countOffset, fmt.Sprintf("%d do not fit", count)}
 	}
 	if r.err == nil {
-		b.Records = make([]Record, 0, n)
+		batch.Records = make([]Record, 0, count)
 	}
-	for i := 0; i < n && r.err == nil; i++ {
+	for i := 0; i < count && r.err == nil; i++ {
 		r.record = i
-		b.Records = append(b.Records, r.next())
+		batch.Records = append(batch.Records, r.next())
 	}
-	if r.err == nil && r.off != len(frame) {
-		r.fail("records", fmt.Sprintf("%d bytes follow the last record", len(frame)-r.off))
+	if r.err == nil && r.offset != len(frame) {
+		r.fail("records", fmt.Sprintf("%d bytes follow the last record", len(frame)-r.offset))
 	}
 	if r.err != nil {
-		return b, fmt.Errorf("batch %d: %w", b.Seq, r.err)
+		return batch, fmt.Errorf("%s: %w", batch.name(), r.err)
 	}
-	return b, nil
+	return batch, nil
 }
 
-// ReadBatch reads the next frame; io.EOF means that the input ended between frames.
+// ReadBatch reads the next frame into buf, which it returns, grown where that was too small, for the next call. io.EOF: the input has ended between
+// frames; other errors are a TruncatedError, those of ParseBatch, and those of the input.
 func ReadBatch(in io.Reader, buf []byte) (Batch, []byte, error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(in, head[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			err = fmt.Errorf("batch header: truncated at offset %d of %d", n, batchHeader)
+			err = &TruncatedError{"batch header", n, batchHeader}
 		}
 		return Batch{}, buf, err
 	}
-	size := binary.BigEndian.Uint32(head[12:])
+	size := binary.BigEndian.Uint32(head[lengthOffset:])
 	if size < batchHeader || size > maxFrame {
-		return Batch{}, buf, fmt.Errorf("batch header: field length at offset 12: impossible length %d", size)
+		return Batch{}, buf, &FrameError{"batch header", "length", lengthOffset, fmt.Sprintf("impossible length %d", size)}
 	}
-	// The frame grows as it comes in, so that a false length does not reserve what never follows.
+	// The buffer grows as the frame comes in, so that a false length does not allocate what never follows.
 	buf = append(buf[:0], head[:]...)
-	const step = 1 << 20
 	for len(buf) < int(size) {
-		at := len(buf)
-		buf = append(buf, make([]byte, min(step, int(size)-at))...)
-		if n, err := io.ReadFull(in, buf[at:]); err != nil {
-			return Batch{}, buf, fmt.Errorf("batch: truncated at offset %d of %d", at+n, size)
+		read := len(buf)
+		buf = append(buf, make([]byte, min(readStep, int(size)-read))...)
+		if n, err := io.ReadFull(in, buf[read:]); err != nil {
+			return Batch{}, buf, &TruncatedError{"batch", read + n, int(size)}
 		}
 	}
-	b, err := ParseBatch(buf)
-	return b, buf, err
+	batch, err := ParseBatch(buf)
+	return batch, buf, err
 }
--- a/internal/relay/wire/reader.go
+++ b/internal/relay/wire/reader.go
@@ -6,34 +6,37 @@
 	"math"
 )
 
-// reader takes fields off a frame and remembers the first that did not fit.
+// reader decodes the fields of a frame in their order. After the first one that can't be read all others are 0, and err says which that was.
 type reader struct {
-	b      []byte
-	off    int
-	record int
-	code   uint8
-	err    error
+	frame  []byte
+	offset int   // of the next field
+	record int   // the record that is being read, from 0
+	code   uint8 // its event code
+	err    error // a *RecordError; nil: none
 }
 
-func (r *reader) fail(field, why string) {
+// fail records why a field can't be read, unless an earlier one failed.
+func (r *reader) fail(field, reason string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("record %d (code %d): field %s at offset %d: %s", r.record, r.code, field, r.off, why)
+		r.err = &RecordError{r.record, r.code, field, r.offset, reason}
 	}
 }
 
+// take returns the next n bytes, which are part of the frame; nil: they can't be read.
 func (r *reader) take(n int, field string) []byte {
 	if r.err != nil {
 		return nil
 	}
-	if n < 0 || n > len(r.b)-r.off {
-		r.fail(field, fmt.Sprintf("needs %d bytes, %d are left", n, len(r.b)-r.off))
+	if n < 0 || n > len(r.frame)-r.offset {
+		r.fail(field, fmt.Sprintf("needs %d bytes, %d are left", n, len(r.frame)-r.offset))
 		return nil
 	}
-	v := r.b[r.off : r.off+n]
-	r.off += n
-	return v
+	taken := r.frame[r.offset : r.offset+n]
+	r.offset += n
+	return taken
 }
 
+// u8 reads an unsigned number of 1 byte.
 func (r *reader) u8(field string) uint8 {
 	if v := r.take(1, field); v != nil {
 		return v[0]
@@ -41,6 +44,7 @@
 	return 0
 }
 
+// u16 reads an unsigned number of 2 bytes.
 func (r *reader) u16(field string) uint16 {
 	if v := r.take(2, field); v != nil {
 		return binary.BigEndian.Uint16(v)
@@ -48,6 +52,7 @@
 	return 0
 }
 
+// u32 reads an unsigned number of 4 bytes.
 func (r *reader) u32(field string) uint32 {
 	if v := r.take(4, field); v != nil {
 		return binary.BigEndian.Uint32(v)
@@ -55,6 +60,7 @@
 	return 0
 }
 
+// u64 reads an unsigned number of 8 bytes.
 func (r *reader) u64(field string) uint64 {
 	if v := r.take(8, field); v != nil {
 		return binary.BigEndian.Uint64(v)
@@ -62,42 +68,49 @@
 	return 0
 }
 
+// f32 reads a float of 4 bytes.
 func (r *reader) f32(field string) float32 { return math.Float32frombits(r.u32(field)) }
 
+// bytes returns a copy of the next n bytes.
 func (r *reader) bytes(n int, field string) []byte {
 	return append([]byte(nil), r.take(n, field)...)
 }
 
+// memberBytes is the size of a Member on the wire.
+const memberBytes = 23
+
+// members reads a list, after its count.
 func (r *reader) members() []Member {
-	const size = 23
 	n := int(r.u32("members"))
-	if r.err == nil && n > (len(r.b)-r.off)/size {
+	if r.err == nil && n > (len(r.frame)-r.offset)/memberBytes {
 		r.fail("members", fmt.Sprintf("%d entries do not fit", n))
 	}
 	if r.err != nil {
 		return nil
 	}
-	ms := make([]Member, n)
-	for i := range ms {
-		ms[i] = Member{Target: r.u32("target"), Site: r.u16("site"), Kind: r.u16("kind"),
+	members := make([]Member, n)
+	for i := range members {
+		members[i] = Member{Target: r.u32("target"), Site: r.u16("site"), Kind: r.u16("kind"),
 			Destination: r.u16("destination"), Condition: r.u8("condition"), Units: r.f32("units"),
 			ReadyAt: r.u64("ready_at")}
 	}
-	return ms
+	return members
 }
 
+// gauge reads the values of a load report, after their count; nil: there are none.
 func (r *reader) gauge() []float32 {
 	n := int(r.u8("gauge"))
 	if n == 0 {
 		return nil
 	}
-	vs := make([]float32, n)
-	for i := range vs {
-		vs[i] = r.f32("gauge")
+	values := make([]float32, n)
+	for i := range values {
+		values[i] = r.f32("gauge")
 	}
-	return vs
+	return values
 }
 
+// next reads a record: its code, and the fields that the code has.
 func (r *reader) next() Record {
 	r.code = r.u8("code")
 	rec := Record{Code: r.code}
@@ -137,7 +150,7 @@
 	case EvContext:
 		rec.Instance = r.u16("forwarder_id")
 	default:
-		r.off--
+		r.offset--
 		r.fail("code", "unknown")
 	}
 	return rec
--- a/internal/relay/wire/settings.go
+++ b/internal/relay/wire/settings.go
@@ -11,19 +11,20 @@
 	"mastusher/control"
 )
 
-// setup is the JSON text of the settings; keys that are not here are ignored.
+// setup is the JSON text of the settings; keys that are not here are ignored. Times are microseconds. Messages of encoding/json print the names
+// of these types, and the fields of those without a name: they must not change.
 type setup struct {
-	Me           int      `json:"me"`
-	PeersTotal   int      `json:"peers_total"`
-	Zone         int      `json:"zone"`
-	Lanes        []lane   `json:"lanes"`
-	MachineTypes []string `json:"machine_types"`
-	Orgs         []struct {
+	Index     int      `json:"me"`
+	Peers     int      `json:"peers_total"`
+	Zone      int      `json:"zone"`
+	Classes   []lane   `json:"lanes"`
+	KindNames []string `json:"machine_types"`
+	Tenants   []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_per_s"`
 	} `json:"orgs"`
 	WeightSource   string  `json:"weight_source"`
-	OverShareWorth float64 `json:"over_share_worth"`
+	OverQuotaValue float64 `json:"over_share_worth"`
 	Allowed        struct {
 		Cancel        bool    `json:"cancel"`
 		ConnIdle      float64 `json:"conn_idle"`
@@ -44,8 +45,8 @@
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"prices"`
 	RegistryMode string   `json:"registry_mode"`
-	Localities   []string `json:"localities"`
-	Round        float64  `json:"round"`
+	Zones        []string `json:"localities"`
+	TurnInterval float64  `json:"round"`
 	Clients      struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"clients"`
@@ -64,36 +65,35 @@
 	} `json:"rules"`
 }
 
-// lane is a class of messages.
+// lane is a class of messages; see control.Class.
 type lane struct {
-	Name       string  `json:"name"`
-	Aim        float64 `json:"aim"`
-	Deadline   float64 `json:"deadline"`
-	Effect     string  `json:"effect"`
-	Group      string  `json:"group"`
-	LateWorth  float64 `json:"late_worth"`
-	MemorySpan float64 `json:"memory_span"`
-	Worth      float64 `json:"worth"`
-	Sequential bool    `json:"sequential"`
+	Name          string  `json:"name"`
+	LatencyTarget float64 `json:"aim"`
+	Deadline      float64 `json:"deadline"`
+	Effect        string  `json:"effect"`
+	Group         string  `json:"group"`
+	LateValue     float64 `json:"late_worth"`
+	Memory        float64 `json:"memory_span"`
+	Value         float64 `json:"worth"`
+	InOrder       bool    `json:"sequential"`
 }
 
-// Reports tells where the values of a load report stand; -1: nowhere.
+// Reports are the indices of the values in a load report; -1: it has none.
 type Reports struct{ Share, Limit int }
 
-// Settings is what an instance is told at its start: in a Hello by the simulator, in its configuration
-// by the platform.
+// Settings are what an instance gets at its start: in a Hello by the simulator, in its configuration by the platform.
 type Settings struct {
 	control.Settings
 	Reports        Reports
-	Round          time.Duration // from one turn to the next, at least
+	TurnInterval   time.Duration // minimum time from one turn to the next
 	ConnectTimeout time.Duration
 	Zones          []string // names, by number
-	KindNames      []string
-	TenantNames    []string
-	Weights        bool // the list's weights are rates that destinations take from all relays together
+	KindNames      []string // by number; see control.Settings.Kinds
+	TenantNames    []string // by number; see control.Settings.Tenants
+	Weights        bool     // the list's weights are rates that destinations take from all relays together
 }
 
-// Weight is what a weight in the list tells: calls a second, 0 where it tells nothing or is no figure that can be.
+// Weight converts a weight of the endpoint list to calls a second; 0: it means nothing, or can't be true.
 func (s *Settings) Weight(w float64) float64 {
 	if !s.Weights || !(w > 0 && w <= 1e6) {
 		return 0
@@ -101,26 +101,27 @@
 	return w
 }
 
-// KeyError names the key of the settings that is at fault.
+// KeyError is a key of the settings whose value has no meaning.
 type KeyError struct{ Key, Reason string }
 
+// Error names the key and says why.
 func (e *KeyError) Error() string { return "field setup: key " + e.Key + ": " + e.Reason }
 
-// checkWords checks the values that have a meaning each. A key that is not there has the narrowest meaning; a word that nobody knows has none.
-func (in *setup) checkWords() error {
-	type word struct {
+// checkEnums checks the values that must be one of a few words. A missing key has the narrowest meaning; an unknown word is a *KeyError.
+func (in *setup) checkEnums() error {
+	type enum struct {
 		key, value string
 		known      []string
 	}
-	all := []word{{"registry_mode", in.RegistryMode, []string{"automatic", "subscribe"}},
+	all := []enum{{"registry_mode", in.RegistryMode, []string{"automatic", "subscribe"}},
 		{"weight_source", in.WeightSource, []string{"off", "nominal", "rough", "live"}},
 		{"family_info.loses_worth", in.FamilyInfo.LosesWorth, []string{"line", "halves"}}}
-	for i, l := range in.Lanes {
-		at := fmt.Sprintf("lanes.%d.", i)
-		all = append(all, word{at + "effect", l.Effect, []string{"pure", "token", "side_effect"}},
-			word{at + "group", l.Group, []string{"all", "zone", "cell"}})
-		if slices.ContainsFunc(in.Lanes[:i], func(o lane) bool { return o.Name == l.Name }) {
-			return &KeyError{at + "name", fmt.Sprintf("%q is another class's too", l.Name)}
+	for i, l := range in.Classes {
+		key := fmt.Sprintf("lanes.%d.", i)
+		all = append(all, enum{key + "effect", l.Effect, []string{"pure", "token", "side_effect"}},
+			enum{key + "group", l.Group, []string{"all", "zone", "cell"}})
+		if slices.ContainsFunc(in.Classes[:i], func(earlier lane) bool { return earlier.Name == l.Name }) {
+			return &KeyError{key + "name", fmt.Sprintf("%q is another class's too", l.Name)}
 		}
 	}
 	for _, w := range all {
@@ -131,20 +132,35 @@
 	return nil
 }
 
-// ParseSettings reads the JSON text of the settings. Its error names the key at fault, as a *KeyError where a value has no meaning.
+// ParseSettings parses the JSON text of the settings. Its error names the key at fault: a *KeyError where a value has no meaning, else one that
+// wraps encoding/json's.
 func ParseSettings(text []byte) (Settings, error) {
 	var in setup
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Settings{}, decodeError(err)
 	}
-	if err := in.checkWords(); err != nil {
+	if err := in.checkEnums(); err != nil {
 		return Settings{}, err
 	}
 	settings := in.module()
-	for i := range in.Lanes {
-		settings.Classes = append(settings.Classes, in.Lanes[i].class())
+	for i := range in.Classes {
+		settings.Classes = append(settings.Classes, in.Classes[i].class())
 	}
-	for i := range max(len(in.MachineTypes), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
+	settings.Kinds = in.kinds()
+	var tenants []string
+	for _, tenant := range in.Tenants {
+		settings.Tenants, tenants = append(settings.Tenants, control.Tenant{Quota: tenant.Quota}), append(tenants, tenant.Name)
+	}
+	return Settings{Settings: settings, TurnInterval: microseconds(in.TurnInterval), ConnectTimeout: microseconds(in.Allowed.ConnTimeout),
+		Zones: in.Zones, KindNames: in.KindNames, TenantNames: tenants,
+		Weights: in.WeightSource == "nominal" || in.WeightSource == "rough",
+		Reports: Reports{Share: slices.Index(in.Report.Fields, "x0"), Limit: slices.Index(in.Report.Fields, "x1")},
+	}, nil
+}
+
+// kinds returns the kinds of endpoints that any key names; a call of one carries a single message unless per_call says otherwise.
+func (in *setup) kinds() (kinds []control.Kind) {
+	for i := range max(len(in.KindNames), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
 		kind := control.Kind{PerCall: 1}
 		if i < len(in.FamilyInfo.KindApart) {
 			kind.SeparateRoutes = in.FamilyInfo.KindApart[i]
@@ -152,20 +168,12 @@
 		if i < len(in.FamilyInfo.PerCall) {
 			kind.PerCall = in.FamilyInfo.PerCall[i]
 		}
-		settings.Kinds = append(settings.Kinds, kind)
-	}
-	var tenants []string
-	for _, org := range in.Orgs {
-		settings.Tenants, tenants = append(settings.Tenants, control.Tenant{Quota: org.Quota}), append(tenants, org.Name)
+		kinds = append(kinds, kind)
 	}
-	return Settings{Settings: settings, Round: microseconds(in.Round), ConnectTimeout: microseconds(in.Allowed.ConnTimeout),
-		Zones: in.Localities, KindNames: in.MachineTypes, TenantNames: tenants,
-		Weights: in.WeightSource == "nominal" || in.WeightSource == "rough",
-		Reports: Reports{Share: slices.Index(in.Report.Fields, "x0"), Limit: slices.Index(in.Report.Fields, "x1")},
-	}, nil
+	return kinds
 }
 
-// decodeError says where a text of settings is no JSON, or which key has a value of another type.
+// decodeError adds where a text of settings is not JSON, or which key has a value of another type.
 func decodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -178,15 +186,15 @@
 	return fmt.Errorf("field setup: %w", err)
 }
 
-// microseconds is a time as the settings give it.
+// microseconds converts a time of the settings.
 func microseconds(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 
-// module is what the decision module is told, but for classes, kinds and tenants.
+// module returns the decision module's settings, but for classes, kinds and tenants.
 func (in *setup) module() control.Settings {
 	settings := control.Settings{
-		Peers: in.PeersTotal, Index: in.Me, Zone: in.Zone,
+		Peers: in.Peers, Index: in.Index, Zone: in.Zone,
 		Slots: in.FamilyInfo.Workers, MaxOpen: in.Allowed.MaxOpen, MaxAttempts: in.Allowed.MaxAttempts,
-		Cancel: in.Allowed.Cancel, ConnIdle: microseconds(in.Allowed.ConnIdle), OverQuotaValue: in.OverShareWorth,
+		Cancel: in.Allowed.Cancel, ConnIdle: microseconds(in.Allowed.ConnIdle), OverQuotaValue: in.OverQuotaValue,
 		ValueHalves: in.FamilyInfo.LosesWorth == "halves", MarksResubmitted: in.Clients.MarksRetry,
 		MustSubscribe: in.RegistryMode == "subscribe", SubscribeWithin: microseconds(in.Rules.AskWithin),
 		DrainGrace: microseconds(in.Rules.DrainGrace), SlowStartShare: in.Rules.StartCapacity, SlowStart: microseconds(in.Rules.Cold),
@@ -199,10 +207,10 @@
 	return settings
 }
 
-// class is a lane as the decision module is told of it. What the text leaves out has the narrowest meaning.
+// class returns a lane as the decision module's class. What the text leaves out has the narrowest meaning.
 func (l *lane) class() control.Class {
-	class := control.Class{Name: l.Name, LatencyTarget: microseconds(l.Aim), Deadline: microseconds(l.Deadline), Value: l.Worth,
-		LateValue: l.LateWorth, Memory: microseconds(l.MemorySpan), InOrder: l.Sequential}
+	class := control.Class{Name: l.Name, LatencyTarget: microseconds(l.LatencyTarget), Deadline: microseconds(l.Deadline), Value: l.Value,
+		LateValue: l.LateValue, Memory: microseconds(l.Memory), InOrder: l.InOrder}
 	switch l.Effect {
 	case "pure":
 		class.Effect = control.Safe
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -14,6 +14,7 @@
 	"mastusher/control"
 )
 
+// unhex decodes hexadecimal text with white space.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -57,7 +58,7 @@
 	return append(head, body...)
 }
 
-func TestParseBatch_GoldenFrames(t *testing.T) {
+func TestParseBatch_GoldenFrames_ReadsEachField(t *testing.T) {
 	b, err := ParseBatch(unhex(t, emptyBatch))
 	if err != nil || b.Seq != 1 || b.Clock != 0x805c5a || len(b.Records) != 0 {
 		t.Errorf("empty batch: %+v, %v", b, err)
@@ -93,41 +94,41 @@
 	}
 }
 
-func TestReply_GoldenFrames(t *testing.T) {
-	var r Reply
-	r.Begin(1)
-	if got := r.Bytes(); !bytes.Equal(got, unhex(t, emptyReply)) {
+func TestReply_GoldenFrames_WritesTheirBytes(t *testing.T) {
+	var reply Reply
+	reply.Begin(1)
+	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, emptyReply)) {
 		t.Errorf("empty reply: %x", got)
 	}
-	r.Begin(12)
-	r.As(3)
-	r.Assign(0x78c6d5d3a91c4, 0x03124a07, 80000)
-	r.Defer(0x87fd7a, 0x4d)
-	r.As(5)
-	r.Log("two servers known")
-	if got := r.Bytes(); !bytes.Equal(got, unhex(t, twoReply)) {
+	reply.Begin(12)
+	reply.As(3)
+	reply.Assign(0x78c6d5d3a91c4, 0x03124a07, 80000)
+	reply.Defer(0x87fd7a, 0x4d)
+	reply.As(5)
+	reply.Log("two servers known")
+	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, twoReply)) {
 		t.Errorf("reply: %x", got)
 	}
 	for want, write := range map[string]func(){
-		"03 000b2f230e6f2b19 0003d090": func() { r.Decline(0xb2f230e6f2b19, 250000) },
-		"06 01":                        func() { r.Follow(true) },
-		"0d":                           func() { r.Lookup() },
-		"0a 00078c6d5d3a91c4 00":       func() { r.DropAttempt(0x78c6d5d3a91c4, 0) },
-		"07 000b2f230e6f2b19":          func() { r.DropRequest(0xb2f230e6f2b19) },
-		"09 2c9011f2":                  func() { r.SoundOut(0x2c9011f2) },
-		"04 2c9011f2":                  func() { r.FreeLinks(0x2c9011f2) },
-		"0c ffff 0004 68692037":        func() { r.Tell(0xffff, []byte("hi 7")) },
-		"08 0012 696e646578206f7574206f662072616e6765": func() { r.Exception("index out of range") },
+		"03 000b2f230e6f2b19 0003d090": func() { reply.Decline(0xb2f230e6f2b19, 250000) },
+		"06 01":                        func() { reply.Follow(true) },
+		"0d":                           func() { reply.Lookup() },
+		"0a 00078c6d5d3a91c4 00":       func() { reply.DropAttempt(0x78c6d5d3a91c4, 0) },
+		"07 000b2f230e6f2b19":          func() { reply.DropRequest(0xb2f230e6f2b19) },
+		"09 2c9011f2":                  func() { reply.SoundOut(0x2c9011f2) },
+		"04 2c9011f2":                  func() { reply.FreeLinks(0x2c9011f2) },
+		"0c ffff 0004 68692037":        func() { reply.Tell(0xffff, []byte("hi 7")) },
+		"08 0012 696e646578206f7574206f662072616e6765": func() { reply.Exception("index out of range") },
 	} {
-		r.Begin(0)
+		reply.Begin(0)
 		write()
-		if got := r.Bytes()[replyHeader:]; !bytes.Equal(got, unhex(t, want)) {
+		if got := reply.Bytes()[replyHeader:]; !bytes.Equal(got, unhex(t, want)) {
 			t.Errorf("%x, want %s", got, want)
 		}
 	}
 }
 
-// Each malformed frame is one error that names the field and where it stands.
+// TestReadBatch_MalformedFrame_NamesField: each malformed frame is one error that names the field and its offset.
 func TestReadBatch_MalformedFrame_NamesField(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
@@ -158,7 +159,7 @@
 	}
 }
 
-func TestParseSettings_Keys(t *testing.T) {
+func TestParseSettings_EachKey_ReachesItsSetting(t *testing.T) {
 	set, err := ParseSettings([]byte(`{"unheard": 1, "allowed": {"cancel": true, "max_attempts": 8, "max_open": 228,
 		"max_retry_after": 2000000, "retry_after": true}, "family_info": {"workers": 12, "kind_apart": [true, false],
 		"per_call": [5, 1], "carriage": [0.01, 0.04], "loses_worth": "line"},
