--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -1,8 +1,6 @@
 package plugin
 
 import (
-	"io"
-	"log/slog"
 	"math"
 	"os"
 	"path/filepath"
@@ -39,7 +37,7 @@
 		if err := os.WriteFile(mine.Plugins[0].File, wasmtest.CallsWith(p.String(), int32(p), fn.name, a, b, c, d, e), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		h, err := New(&mine, fronts, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		h, err := New(&mine, fronts, discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +75,7 @@
 		b.Fatal(err)
 	}
 	cfg.Limits.PluginBurst = time.Hour
-	h, err := New(cfg, fronts, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h, err := New(cfg, fronts, discardLog())
 	if err != nil {
 		b.Fatal(err)
 	}
