--- a/internal/relay/vrrp/machine.go
+++ b/internal/relay/vrrp/machine.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is what a router is at the moment.
+// State is the state of a virtual router at this machine.
 type State uint8
 
 // The states of RFC 9568, section 6.4.
@@ -15,20 +15,21 @@
 	Active
 )
 
+// String returns the state's name in lower case, as logs have it.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
 // Router is a virtual router's settings at this machine.
 type Router struct {
-	VRID      uint8
-	Priority  uint8
-	Advertise time.Duration
-	Preempt   bool
-	Address   netip.Addr   // its own, which decides between equals
-	Virtual   []netip.Addr // the addresses that it stands for
+	VRID      uint8         // of the virtual router
+	Priority  uint8         // 1 to 255; 255: this machine owns the addresses
+	Advertise time.Duration // between two advertisements; shorter finds a dead router earlier and costs packets
+	Preempt   bool          // a router of lower priority that is active is replaced
+	Address   netip.Addr    // this machine's; between equal priorities the higher one wins
+	Virtual   []netip.Addr  // the addresses of the virtual router
 }
 
-// Machine is the state machine. It reads no clock: each call says what time it is, and returns the
-// advertisements to send.
+// Machine is the state machine. It reads no clock: each call is given the time, and returns the advertisements to send. It is not safe for
+// concurrent use.
 type Machine struct {
 	router              Router
 	state               State
@@ -40,10 +41,10 @@
 // NewMachine returns a machine in Initialize.
 func NewMachine(r Router) *Machine { return &Machine{router: r, activeAdverInterval: r.Advertise} }
 
-// State returns the state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Due is when Tick has to be called; zero: never.
+// Due returns when Tick has to be called; the zero time: never.
 func (m *Machine) Due() time.Time {
 	switch m.state {
 	case Backup:
@@ -54,23 +55,26 @@
 	return time.Time{}
 }
 
-// skewTime makes the routers of higher priority take over first.
+// skewTime is Skew_Time: the lower the priority, the longer a router waits before it takes over.
 func (m *Machine) skewTime() time.Duration {
 	return time.Duration(256-int(m.router.Priority)) * m.activeAdverInterval / 256
 }
 
+// activeDownInterval is Active_Down_Interval: the silence after which the active router counts as down.
 func (m *Machine) activeDownInterval() time.Duration { return 3*m.activeAdverInterval + m.skewTime() }
 
+// packet is an advertisement of this router with a priority.
 func (m *Machine) packet(priority uint8) Packet {
 	return Packet{VRID: m.router.VRID, Priority: priority, Advertise: m.router.Advertise, Addresses: m.router.Virtual}
 }
 
+// activate makes this router the active one, if it is not yet, and returns its advertisement.
 func (m *Machine) activate(now time.Time) []Packet {
 	m.state, m.adverTimer = Active, now.Add(m.router.Advertise)
 	return []Packet{m.packet(m.router.Priority)}
 }
 
-// Startup leaves Initialize: the owner of the addresses is active at once.
+// Startup leaves Initialize: the owner of the addresses becomes active at once, others Backup. In any other state it does nothing.
 func (m *Machine) Startup(now time.Time) []Packet {
 	if m.state != Initialize {
 		return nil
@@ -83,7 +87,7 @@
 	return nil
 }
 
-// Shutdown goes back to Initialize; an active router tells the others not to wait.
+// Shutdown goes back to Initialize; an active router advertises priority 0, so that the others do not wait for their time-outs.
 func (m *Machine) Shutdown() []Packet {
 	was := m.state
 	if m.state = Initialize; was == Active {
@@ -92,15 +96,15 @@
 	return nil
 }
 
-// Tick takes a timer that is due.
+// Tick handles the timer if it is due: a Backup becomes active, an active router advertises again.
 func (m *Machine) Tick(now time.Time) []Packet {
 	if due := m.Due(); due.IsZero() || now.Before(due) {
 		return nil
 	}
-	return m.activate(now) // in Active, that is the next advertisement
+	return m.activate(now)
 }
 
-// Receive takes an advertisement for this virtual router from another one.
+// Receive handles an advertisement for this virtual router from the router at an address.
 func (m *Machine) Receive(now time.Time, p Packet, from netip.Addr) []Packet {
 	switch m.state {
 	case Backup:
@@ -118,7 +122,7 @@
 		case p.Priority > m.router.Priority || p.Priority == m.router.Priority && m.router.Address.Less(from):
 			m.state, m.activeAdverInterval = Backup, p.Advertise
 			m.activeDownTimer = now.Add(m.activeDownInterval())
-		default: // assert this router's part to the one that took it for absent
+		default: // show the other router, which took this one for absent, that it is there
 			return []Packet{m.packet(m.router.Priority)}
 		}
 	}
--- a/internal/relay/vrrp/packet.go
+++ b/internal/relay/vrrp/packet.go
@@ -7,38 +7,44 @@
 	"time"
 )
 
-// Packet is an advertisement.
+// Packet is an advertisement (section 5.2).
 type Packet struct {
-	VRID      uint8
-	Priority  uint8         // 0: the router gives up its part; 255: it owns the addresses
+	VRID      uint8         // of the virtual router
+	Priority  uint8         // 0: the router stops being active; 255: it owns the addresses
 	Advertise time.Duration // Max Advertise Interval, in whole centiseconds on the wire
 	Addresses []netip.Addr  // all of one family
 }
 
-// Why a packet is not taken.
+// The errors of Decode: why a packet is dropped (section 7.1).
 var (
-	ErrShort    = errors.New("vrrp: too short")
-	ErrVersion  = errors.New("vrrp: not version 3")
-	ErrType     = errors.New("vrrp: not an advertisement")
-	ErrCount    = errors.New("vrrp: the count of addresses does not fit its length")
+	// ErrShort is returned for less than a header.
+	ErrShort = errors.New("vrrp: too short")
+	// ErrVersion is returned for another version than 3.
+	ErrVersion = errors.New("vrrp: not version 3")
+	// ErrType is returned for another type than an advertisement, the only one that the RFC has.
+	ErrType = errors.New("vrrp: not an advertisement")
+	// ErrCount is returned for a packet without addresses, or with another number of them than it says.
+	ErrCount = errors.New("vrrp: the count of addresses does not fit its length")
+	// ErrChecksum is returned for a packet that was damaged, or went between other addresses.
 	ErrChecksum = errors.New("vrrp: wrong checksum")
+	// ErrInterval is returned for an advertisement interval of 0.
 	ErrInterval = errors.New("vrrp: no advertisement interval")
 )
 
 const (
-	header          = 8
+	headerBytes     = 8
 	version         = 3
-	advert          = 1
-	centi           = 10 * time.Millisecond
+	advertisement   = 1 // the type of a packet
+	centisecond     = 10 * time.Millisecond
 	maxCentiseconds = 0xfff
-	protocol        = 112
+	protocol        = 112 // of VRRP, in the pseudo-header
 )
 
-// Encode returns the packet as it goes from one address to another. As RFC 9568 has it, the checksum of
-// IPv4 covers the message alone, that of IPv6 a pseudo-header too.
+// Encode returns the packet as it goes from one address to another; an interval that the wire can't carry becomes the nearest that it can. As
+// section 5.2.8 has it, the checksum of IPv4 covers the packet alone, that of IPv6 a pseudo-header too.
 func (p *Packet) Encode(from, to netip.Addr) []byte {
-	b := []byte{version<<4 | advert, p.VRID, p.Priority, byte(len(p.Addresses)), 0, 0, 0, 0}
-	binary.BigEndian.PutUint16(b[4:], uint16(min(max(p.Advertise/centi, 1), maxCentiseconds)))
+	b := []byte{version<<4 | advertisement, p.VRID, p.Priority, byte(len(p.Addresses)), 0, 0, 0, 0}
+	binary.BigEndian.PutUint16(b[4:], uint16(min(max(p.Advertise/centisecond, 1), maxCentiseconds)))
 	for _, a := range p.Addresses {
 		b = append(b, a.AsSlice()...)
 	}
@@ -46,35 +52,35 @@
 	return b
 }
 
-// Decode checks and reads a packet that went from one address to another.
+// Decode checks and decodes a packet that went from one address to another; the packet shares no memory with b.
 func Decode(b []byte, from, to netip.Addr) (Packet, error) {
-	if len(b) < header {
+	if len(b) < headerBytes {
 		return Packet{}, ErrShort
 	}
 	if b[0]>>4 != version {
 		return Packet{}, ErrVersion
 	}
-	if b[0]&0xf != advert {
+	if b[0]&0xf != advertisement {
 		return Packet{}, ErrType
 	}
-	size := 4
+	addressBytes := 4
 	if from.Is6() {
-		size = 16
+		addressBytes = 16
 	}
-	n := int(b[3])
-	if n == 0 || len(b) != header+n*size {
+	count := int(b[3])
+	if count == 0 || len(b) != headerBytes+count*addressBytes {
 		return Packet{}, ErrCount
 	}
 	if checksum(b, from, to) != 0 {
 		return Packet{}, ErrChecksum
 	}
-	p := Packet{VRID: b[1], Priority: b[2], Advertise: time.Duration(binary.BigEndian.Uint16(b[4:])&maxCentiseconds) * centi}
+	p := Packet{VRID: b[1], Priority: b[2], Advertise: time.Duration(binary.BigEndian.Uint16(b[4:])&maxCentiseconds) * centisecond}
 	if p.Advertise == 0 {
 		return Packet{}, ErrInterval
 	}
-	for at := header; at < len(b); at += size {
-		a, _ := netip.AddrFromSlice(b[at : at+size])
-		p.Addresses = append(p.Addresses, a)
+	for offset := headerBytes; offset < len(b); offset += addressBytes {
+		address, _ := netip.AddrFromSlice(b[offset : offset+addressBytes])
+		p.Addresses = append(p.Addresses, address)
 	}
 	return p, nil
 }
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -12,55 +12,53 @@
 	"mastusher/internal/relay/config"
 )
 
-// Counters are the packets taken and dropped since the start.
+// Counters are the packets since the start.
 type Counters struct {
-	Accepted, Sent                                     atomic.Uint64
-	Malformed, Checksum, OtherRouter, UnknownPeer, Own atomic.Uint64 // dropped
+	Accepted, Sent atomic.Uint64
+	// Dropped: those that Decode rejects, the ones with a wrong checksum counted separately; of another virtual router; of an address that
+	// is not a peer's; and this router's own.
+	Malformed, Checksum, OtherRouter, UnknownPeer, Own atomic.Uint64
 }
 
-// Instance runs a machine over UDP.
+// Instance runs a machine over UDP. Its methods may be called from any goroutine.
 type Instance struct {
 	Counts Counters
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards machine, and keeps its packets in their order
 	machine      *Machine
 	conn         *net.UDPConn
-	address      netip.Addr
+	address      netip.Addr // of this machine
 	vrid         uint8
-	peers        map[netip.Addr]netip.AddrPort
+	peers        map[netip.Addr]netip.AddrPort // where each is sent to; never changed
 	log          *slog.Logger
-	active       atomic.Bool
-	timerChanged chan struct{} // the timer has to be looked at again
-	stop         chan struct{}
-	once         sync.Once
-	done         sync.WaitGroup
+	active       atomic.Bool    // the machine's state is Active
+	timerChanged chan struct{}  // the machine's timer may have changed
+	stop         chan struct{}  // closed by Shutdown
+	once         sync.Once      // of Shutdown
+	done         sync.WaitGroup // of the two goroutines
 }
 
-// Listen starts a router on its UDP address.
+// Listen starts a router on its UDP address. It returns a config.KeyError for an address that can't be used, or the socket's error; Shutdown
+// ends it.
 func Listen(cfg *config.VRRP, log *slog.Logger) (*Instance, error) {
-	at, err := net.ResolveUDPAddr("udp", cfg.Listen)
+	listen, err := net.ResolveUDPAddr("udp", cfg.Listen)
 	if err != nil {
 		return nil, config.NewKeyError("vrrp.listen", err.Error())
 	}
-	own, _ := netip.AddrFromSlice(cfg.Address)
-	r := Router{VRID: cfg.VRID, Priority: cfg.Priority, Advertise: cfg.Advertise, Preempt: cfg.Preempt, Address: own.Unmap()}
-	for _, ip := range cfg.Virtual {
-		a, _ := netip.AddrFromSlice(ip)
-		if a = a.Unmap(); a.Is4() != r.Address.Is4() {
-			return nil, config.NewKeyError("vrrp.virtual", "not of the family of vrrp.address")
-		}
-		r.Virtual = append(r.Virtual, a)
+	router, err := newRouter(cfg)
+	if err != nil {
+		return nil, err
 	}
-	in := &Instance{machine: NewMachine(r), address: r.Address, vrid: r.VRID, peers: map[netip.Addr]netip.AddrPort{},
+	in := &Instance{machine: NewMachine(router), address: router.Address, vrid: router.VRID, peers: map[netip.Addr]netip.AddrPort{},
 		log: log, timerChanged: make(chan struct{}, 1), stop: make(chan struct{})}
-	for _, p := range cfg.Peers {
-		ap, parseErr := netip.ParseAddrPort(p)
+	for _, text := range cfg.Peers {
+		peer, parseErr := netip.ParseAddrPort(text)
 		if parseErr != nil {
 			return nil, config.NewKeyError("vrrp.peers", parseErr.Error())
 		}
-		in.peers[ap.Addr().Unmap()] = ap
+		in.peers[peer.Addr().Unmap()] = peer
 	}
-	if in.conn, err = net.ListenUDP("udp", at); err != nil {
+	if in.conn, err = net.ListenUDP("udp", listen); err != nil {
 		return nil, err
 	}
 	in.step(func(now time.Time) []Packet { return in.machine.Startup(now) })
@@ -70,10 +68,24 @@
 	return in, nil
 }
 
-// Active tells whether this router stands for the virtual addresses.
+// newRouter converts the configuration; all addresses must be of one family.
+func newRouter(cfg *config.VRRP) (Router, error) {
+	address, _ := netip.AddrFromSlice(cfg.Address)
+	router := Router{VRID: cfg.VRID, Priority: cfg.Priority, Advertise: cfg.Advertise, Preempt: cfg.Preempt, Address: address.Unmap()}
+	for _, ip := range cfg.Virtual {
+		virtual, _ := netip.AddrFromSlice(ip)
+		if virtual = virtual.Unmap(); virtual.Is4() != router.Address.Is4() {
+			return Router{}, config.NewKeyError("vrrp.virtual", "not of the family of vrrp.address")
+		}
+		router.Virtual = append(router.Virtual, virtual)
+	}
+	return router, nil
+}
+
+// Active reports whether this router is responsible for the virtual addresses.
 func (in *Instance) Active() bool { return in.active.Load() }
 
-// Shutdown gives up this router's part and stops it; once is enough.
+// Shutdown leaves the virtual router to the others, ends the goroutines and waits for them. It may be called more than once.
 func (in *Instance) Shutdown() {
 	in.once.Do(func() {
 		in.step(func(time.Time) []Packet { return in.machine.Shutdown() })
@@ -87,19 +99,19 @@
 	})
 }
 
-// step lets the machine do something, and sends what it says.
+// step calls the machine by do, logs a change of its state, and sends the packets to all peers.
 func (in *Instance) step(do func(now time.Time) []Packet) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	was := in.machine.State()
-	out := do(time.Now())
-	if now := in.machine.State(); now != was {
-		in.log.Info("virtual router changed state", "vrid", in.vrid, "from", was.String(), "to", now.String())
-		in.active.Store(now == Active)
+	before := in.machine.State()
+	packets := do(time.Now())
+	if after := in.machine.State(); after != before {
+		in.log.Info("virtual router changed state", "vrid", in.vrid, "from", before.String(), "to", after.String())
+		in.active.Store(after == Active)
 	}
-	for i := range out {
-		for to, ap := range in.peers {
-			if _, err := in.conn.WriteToUDPAddrPort(out[i].Encode(in.address, to), ap); err == nil {
+	for i := range packets {
+		for peer, address := range in.peers {
+			if _, err := in.conn.WriteToUDPAddrPort(packets[i].Encode(in.address, peer), address); err == nil {
 				in.Counts.Sent.Add(1)
 			}
 		}
@@ -110,21 +122,25 @@
 	}
 }
 
+// maxPacketBytes is the size of the buffer for packets, far above that of any with a sensible number of addresses.
+const maxPacketBytes = 4096
+
+// read receives packets until the socket is closed. It is a goroutine of its own.
 func (in *Instance) read() {
 	defer in.done.Done()
-	buf := make([]byte, 4096)
+	buf := make([]byte, maxPacketBytes)
 	for {
-		n, ap, err := in.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := in.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			continue
 		}
-		in.receive(buf[:n], ap.Addr().Unmap())
+		in.receive(buf[:n], from.Addr().Unmap())
 	}
 }
 
-// receive drops and counts what is not for this router; the machine gets the rest.
+// receive counts a packet, and passes it to the machine if it is a peer's for this virtual router.
 func (in *Instance) receive(b []byte, from netip.Addr) {
 	p, err := Decode(b, from, in.address)
 	switch _, known := in.peers[from]; {
@@ -144,6 +160,7 @@
 	}
 }
 
+// runTimer calls the machine's Tick when it is due, until Shutdown. It is a goroutine of its own.
 func (in *Instance) runTimer() {
 	defer in.done.Done()
 	for {
--- a/internal/relay/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net"
 	"net/netip"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -25,88 +26,64 @@
 	t0        = time.Unix(1_700_000_000, 0)
 )
 
-// TestMachine_RFC9568Section64 walks the machine through RFC 9568, section 6.4: a line is what happens, then the state, when
-// the timer is due (ms since the start) and the priorities that are advertised.
-func TestMachine_RFC9568Section64(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		priority uint8
-		preempt  bool
-		script   string
-	}{
-		{"nobody is heard: skew and three intervals, then active", 128, true, `
+// scripts walk a machine through RFC 9568, section 6.4: a line is the time in ms since the start and the event, then the state, when the timer
+// is due (ms since the start; 0: never) and the priorities that are advertised.
+var scripts = []struct {
+	name     string
+	priority uint8
+	preempt  bool
+	script   string
+}{
+	{"nobody is heard: skew and three intervals, then active", 128, true, `
 			0 start backup 3500
 			3499 tick backup 3500
 			3500 tick active 4500 128
 			4500 tick active 5500 128
 			5000 stop initialize 0 0`},
-		{"the owner is active at once", 255, true, `
+	{"the owner is active at once", 255, true, `
 			0 start active 1000 255
 			10 hear 254 high active 1000 255`},
-		{"a lower one is preempted", 128, true, `
+	{"a lower one is preempted", 128, true, `
 			0 start backup 3500
 			500 hear 50 high backup 3500
 			3500 tick active 4500 128`},
-		{"a lower one is left alone without preemption", 128, false, `
+	{"a lower one is left alone without preemption", 128, false, `
 			0 start backup 3500
 			500 hear 50 high backup 4000`},
-		{"priority 0: only the skew is waited for", 128, true, `
+	{"priority 0: only the skew is waited for", 128, true, `
 			0 start backup 3500
 			500 hear 200 high backup 4000
 			1000 hear 0 high backup 1500
 			1500 tick active 2500 128`},
-		{"an active router yields to a higher one, and among equals to the higher address", 128, true, `
+	{"an active router yields to a higher one, and among equals to the higher address", 128, true, `
 			0 start backup 3500
 			3500 tick active 4500 128
 			3700 hear 128 low active 4500 128
 			3800 hear 128 high backup 7300
 			7300 tick active 8300 128
 			7500 hear 129 low backup 11000`},
-		{"an active router that hears priority 0 asserts itself", 128, true, `
+	{"an active router that hears priority 0 asserts itself", 128, true, `
 			0 start backup 3500
 			3500 tick active 4500 128
 			4000 hear 0 high active 5000 128`},
-		{"stopped in backup nothing is said", 128, true, `
+	{"stopped in backup nothing is said", 128, true, `
 			0 start backup 3500
 			1 stop initialize 0
 			2 hear 0 high initialize 0
 			9000 tick initialize 0`},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			m := NewMachine(Router{VRID: 7, Priority: c.priority, Preempt: c.preempt, Advertise: time.Second, Address: own,
+}
+
+// TestMachine_RFC9568Section64_ReachesEachState runs the scripts.
+func TestMachine_RFC9568Section64_ReachesEachState(t *testing.T) {
+	for _, test := range scripts {
+		t.Run(test.name, func(t *testing.T) {
+			machine := NewMachine(Router{VRID: 7, Priority: test.priority, Preempt: test.preempt, Advertise: time.Second, Address: own,
 				Virtual: []netip.Addr{virtual}})
 			var got, want []string
-			for _, line := range strings.Split(strings.TrimSpace(c.script), "\n") {
+			for line := range strings.Lines(strings.TrimSpace(test.script)) {
 				line = strings.TrimSpace(line)
 				want = append(want, line)
-				f := strings.Fields(line)
-				var ms int
-				_, _ = fmt.Sscan(f[0], &ms)
-				now := t0.Add(time.Duration(ms) * time.Millisecond)
-				var sent []Packet
-				did := f[:2]
-				switch f[1] {
-				case "start":
-					sent = m.Startup(now)
-				case "stop":
-					sent = m.Shutdown()
-				case "tick":
-					sent = m.Tick(now)
-				case "hear":
-					did = f[:4]
-					p := Packet{VRID: 7, Advertise: time.Second}
-					_, _ = fmt.Sscan(f[2], &p.Priority)
-					sent = m.Receive(now, p, map[string]netip.Addr{"low": low, "high": high}[f[3]])
-				}
-				due := int64(0)
-				if !m.Due().IsZero() {
-					due = m.Due().Sub(t0).Milliseconds()
-				}
-				out := fmt.Sprint(strings.Join(did, " "), " ", m.State(), " ", due)
-				for _, p := range sent {
-					out += fmt.Sprint(" ", p.Priority)
-				}
-				got = append(got, out)
+				got = append(got, runLine(t, machine, strings.Fields(line)))
 			}
 			if d := cmp.Diff(want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
@@ -115,21 +92,60 @@
 	}
 }
 
+// runLine has the event of a script's line happen and returns the line that describes the result.
+func runLine(t *testing.T, machine *Machine, fields []string) string {
+	t.Helper()
+	ms, err := strconv.Atoi(fields[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := t0.Add(time.Duration(ms) * time.Millisecond)
+	var sent []Packet
+	event := fields[:2]
+	switch fields[1] {
+	case "start":
+		sent = machine.Startup(now)
+	case "stop":
+		sent = machine.Shutdown()
+	case "tick":
+		sent = machine.Tick(now)
+	case "hear":
+		event = fields[:4]
+		priority, err := strconv.ParseUint(fields[2], 10, 8)
+		if err != nil {
+			t.Fatal(err)
+		}
+		received := Packet{VRID: 7, Priority: uint8(priority), Advertise: time.Second}
+		sent = machine.Receive(now, received, map[string]netip.Addr{"low": low, "high": high}[fields[3]])
+	default:
+		t.Fatalf("no event %q", fields[1])
+	}
+	due := int64(0)
+	if !machine.Due().IsZero() {
+		due = machine.Due().Sub(t0).Milliseconds()
+	}
+	line := fmt.Sprint(strings.Join(event, " "), " ", machine.State(), " ", due)
+	for _, packet := range sent {
+		line += fmt.Sprint(" ", packet.Priority)
+	}
+	return line
+}
+
 // good is an advertisement whose checksum was worked out by hand: 3107+6401+0064+0a00+0064 = 9fd0.
 var good = []byte{0x31, 7, 100, 1, 0, 100, 0x60, 0x2f, 10, 0, 0, 100}
 
-func TestPacket_EncodeDecode(t *testing.T) {
-	p := Packet{VRID: 7, Priority: 100, Advertise: time.Second, Addresses: []netip.Addr{virtual}}
-	if b := p.Encode(low, high); !bytes.Equal(b, good) {
+func TestPacket_EncodedAndDecoded_IsTheSame(t *testing.T) {
+	packet := Packet{VRID: 7, Priority: 100, Advertise: time.Second, Addresses: []netip.Addr{virtual}}
+	if b := packet.Encode(low, high); !bytes.Equal(b, good) {
 		t.Errorf("encoded %x, want %x", b, good)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		at   int
-		to   byte
+		byte int  // that is changed
+		to   byte // what it is changed to
 		err  error
 	}{
-		{"whole", 0, 0x31, nil},
+		{"intact", 0, 0x31, nil},
 		{"version 2", 0, 0x21, ErrVersion},
 		{"not an advertisement", 0, 0x32, ErrType},
 		{"count", 3, 2, ErrCount},
@@ -137,21 +153,21 @@
 		{"one bit", 11, 101, ErrChecksum},
 	} {
 		b := bytes.Clone(good)
-		b[c.at] = c.to
+		b[test.byte] = test.to
 		got, err := Decode(b, low, high)
-		if !errors.Is(err, c.err) {
-			t.Errorf("%s: error %v, want %v", c.name, err, c.err)
+		if !errors.Is(err, test.err) {
+			t.Errorf("%s: error %v, want %v", test.name, err, test.err)
 		}
-		if d := cmp.Diff(p, got, cmpopts.EquateComparable(netip.Addr{})); c.err == nil && d != "" {
-			t.Errorf("%s (-want +got)\n%s", c.name, d)
+		if d := cmp.Diff(packet, got, cmpopts.EquateComparable(netip.Addr{})); test.err == nil && d != "" {
+			t.Errorf("%s (-want +got)\n%s", test.name, d)
 		}
 	}
 	if _, err := Decode(good[:7], low, high); !errors.Is(err, ErrShort) {
 		t.Errorf("error %v, want %v", err, ErrShort)
 	}
 	six, other := netip.MustParseAddr("fe80::1"), netip.MustParseAddr("fe80::2")
-	p.Addresses = []netip.Addr{six}
-	b := p.Encode(six, other)
+	packet.Addresses = []netip.Addr{six}
+	b := packet.Encode(six, other)
 	if _, err := Decode(b, six, other); err != nil {
 		t.Error(err)
 	}
@@ -189,13 +205,13 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, in []byte) {
-		p, err := Decode(in, low, high)
+		first, err := Decode(in, low, high)
 		if err != nil {
 			return
 		}
-		again, err := Decode(p.Encode(low, high), low, high)
-		if d := cmp.Diff(p, again, cmpopts.EquateComparable(netip.Addr{})); err != nil || d != "" {
-			t.Errorf("error %v (-first +again)\n%s", err, d)
+		second, err := Decode(first.Encode(low, high), low, high)
+		if d := cmp.Diff(first, second, cmpopts.EquateComparable(netip.Addr{})); err != nil || d != "" {
+			t.Errorf("error %v (-first +second)\n%s", err, d)
 		}
 	})
 }
