--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -19,9 +19,6 @@
 	"mastusher/internal/relay/fleet/testcluster"
 )
 
-// errFleetViolation is returned where a fleet broke a rule, or what had to come about did not.
-var errFleetViolation = errors.New("a rule was broken, or something did not come about")
-
 func fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "fleets of real processes with faults between them, and of thousands in virtual time"}
 	fleet.AddCommand(fleetRunCommand(), fleetListCommand(), fleetCheckCommand(), fleetSoakCommand(), fleetScaleCommand(), fleetCostCommand())
@@ -39,7 +36,7 @@
 	cmd := &cobra.Command{Use: "run [SCENARIO.toml]", Short: "play a scenario, or one drawn from a seed, with real processes", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if (len(args) == 0) == (random == 0) {
-				return errors.New("run: want a scenario's file, or --random SEED")
+				return &argumentError{"run", "want a scenario's file, or --random SEED"}
 			}
 			plan := testcluster.Random(random, maxRelays)
 			if len(args) == 1 {
--- a/cmd/relay-simulator/main.go
+++ b/cmd/relay-simulator/main.go
@@ -27,9 +27,7 @@
 	}
 }
 
-// errRulesViolated is returned where a policy violated a rule.
-var errRulesViolated = errors.New("rules were broken")
-
+// command is the program's command line.
 func command(out, progress io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "relay-simulator", Short: "try routing, limits and retries in an emulator, in virtual time", SilenceUsage: true}
 	root.SetOut(out)
@@ -38,6 +36,7 @@
 	return root
 }
 
+// loadWorld reads a world's file; a seed other than 0 takes the place of its own.
 func loadWorld(file string, seed uint64) (*simulator.World, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -53,6 +52,7 @@
 	return w, nil
 }
 
+// runCommand plays a world once.
 func runCommand() *cobra.Command {
 	var name, page string
 	var seed uint64
@@ -89,6 +89,7 @@
 	return b.String()
 }
 
+// printResult prints what came of a run, with samples of broken rules.
 func printResult(w io.Writer, r *simulator.Result) {
 	fmt.Fprintf(w, "%s, seed %d, under %s: worth %.3f; %d messages, %d delivered, %d given up, %d late\n", r.World, r.Seed, r.Policy, r.Value, r.Messages,
 		r.Delivered, r.Abandoned, r.Expired)
@@ -122,6 +123,7 @@
 	return s
 }
 
+// sweepCommand plays an experiment.
 func sweepCommand(progress io.Writer) *cobra.Command {
 	var file, page string
 	cores := runtime.GOMAXPROCS(0)
@@ -142,6 +144,7 @@
 	return cmd
 }
 
+// runExperiment plays an experiment, prints its runs, and writes results and page where they are named. A broken rule is errRulesViolated.
 func runExperiment(out, progress io.Writer, x *experiment.Experiment, cores int, file, page string) error {
 	from := time.Now()
 	res, err := x.Run(cores, func(done, of int) {
@@ -152,8 +155,22 @@
 	if err != nil {
 		return err
 	}
-	broken := false
-	fmt.Fprintf(out, "%12s %-12s %6s %7s %9s %9s %9s %9s %10s %s\n", x.Sweep.Key, "policy", "seed", "worth", "messages", "refused", "calls", "µs/msg", "turns", "decisions")
+	broken := printCells(out, res)
+	if file != "" {
+		err = res.Save(file)
+	}
+	if page != "" {
+		err = errors.Join(err, writePage(page, res))
+	}
+	if err == nil && broken {
+		err = errRulesViolated
+	}
+	return err
+}
+
+// printCells prints a line for each run, and returns whether a rule was broken in any.
+func printCells(out io.Writer, res *experiment.Results) (broken bool) {
+	fmt.Fprintf(out, "%12s %-12s %6s %7s %9s %9s %9s %9s %10s %s\n", res.SweepKey, "policy", "seed", "worth", "messages", "refused", "calls", "µs/msg", "turns", "decisions")
 	for _, c := range res.Cells {
 		r := c.Result
 		fmt.Fprintf(out, "%12g %-12s %6d %7.3f %9d %9d %9d %9.1f %10d %s", c.SweepValue, c.Policy, c.Seed, r.Value, r.Messages, r.Refused, r.Calls,
@@ -161,7 +178,7 @@
 		if r.HeapBytes > 0 {
 			fmt.Fprintf(out, " %8.1f MB", float64(r.HeapBytes)/1e6)
 		}
-		if x.Sweep.Key == "relays" {
+		if res.SweepKey == "relays" {
 			fmt.Fprintf(out, " %s", fleetText(r))
 		}
 		for rule, n := range r.ViolationCounts {
@@ -170,18 +187,10 @@
 		}
 		fmt.Fprintln(out)
 	}
-	if file != "" {
-		err = res.Save(file)
-	}
-	if page != "" {
-		err = errors.Join(err, writePage(page, res))
-	}
-	if err == nil && broken {
-		err = errRulesViolated
-	}
-	return err
+	return broken
 }
 
+// compareCommand plays a world under several policies.
 func compareCommand(progress io.Writer) *cobra.Command {
 	var policies []string
 	var seeds int
@@ -197,7 +206,7 @@
 		}
 		for _, p := range policies {
 			if policy.ByName[p] == nil {
-				return fmt.Errorf("--policies: %q is none of %s", p, strings.Join(experiment.Policies(), ", "))
+				return &argumentError{"--policies", fmt.Sprintf("%q is none of %s", p, strings.Join(experiment.Policies(), ", "))}
 			}
 		}
 		return runExperiment(cmd.OutOrStdout(), progress, x, runtime.GOMAXPROCS(0), "", page)
@@ -208,6 +217,7 @@
 	return cmd
 }
 
+// plotCommand draws results that sweep has written.
 func plotCommand() *cobra.Command {
 	return &cobra.Command{Use: "plot RESULTS PAGE", Short: "draw the results of a sweep as a page", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, args []string) error {
 		res, err := experiment.Load(args[0])
@@ -232,6 +242,7 @@
 	return err == nil && (rule == "" && len(res.ViolationCounts) > 0 || res.ViolationCounts[rule] > 0)
 }
 
+// shrinkCommand looks for the smallest world that still breaks a rule.
 func shrinkCommand() *cobra.Command {
 	var name, rule string
 	var runs int
@@ -242,7 +253,7 @@
 		}
 		fails := func(w *simulator.World) bool { return violatesRule(w, name, rule) }
 		if !fails(w) {
-			return errors.New("no such rule is broken in this world")
+			return errNoViolation
 		}
 		small := simulator.Shrink(w, runs, fails)
 		fmt.Fprint(cmd.OutOrStdout(), encodeWorld(small))
@@ -258,40 +269,56 @@
 	return cmd
 }
 
+// worldSoak plays worlds of successive seeds for a time, and shrinks the first in which the policy breaks the rule ("": any).
+type worldSoak struct {
+	policy, rule string
+	length       time.Duration
+	firstSeed    uint64
+}
+
+// soakCommand looks for broken rules in random worlds.
 func soakCommand(progress io.Writer) *cobra.Command {
-	var name, rule string
-	var length time.Duration
-	var from uint64
-	cmd := &cobra.Command{Use: "soak", Short: "play worlds that seeds draw, and look for broken rules", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		until, shown := time.Now().Add(length), time.Now()
-		played := 0
-		for seed := from; time.Now().Before(until); seed++ {
-			w := simulator.Random(seed)
-			if played++; violatesRule(w, name, rule) {
-				small := simulator.Shrink(w, 300, func(w *simulator.World) bool { return violatesRule(w, name, rule) })
-				fmt.Fprintf(cmd.OutOrStdout(), "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encodeWorld(small))
-				res, err := experiment.RunWorld(small, name)
-				if err == nil {
-					printResult(cmd.OutOrStdout(), res)
-				}
-				return errors.Join(errRulesViolated, err)
-			}
-			if time.Since(shown) > time.Second {
-				shown = time.Now()
-				fmt.Fprintf(progress, "\r%d worlds, %v left   ", played, time.Until(until).Round(time.Second))
-			}
-		}
-		fmt.Fprintf(progress, "\n")
-		fmt.Fprintf(cmd.OutOrStdout(), "%d worlds from seed %d on, under %s: no rule was broken\n", played, from, name)
-		return nil
-	}}
-	cmd.Flags().StringVar(&name, "policy", "module", "its name")
-	cmd.Flags().StringVar(&rule, "rule", "", "only this one")
-	cmd.Flags().DurationVar(&length, "for", time.Minute, "how long")
-	cmd.Flags().Uint64Var(&from, "seed", 1, "the first")
+	var soak worldSoak
+	cmd := &cobra.Command{Use: "soak", Short: "play worlds that seeds draw, and look for broken rules", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return soak.run(cmd.OutOrStdout(), progress) }}
+	cmd.Flags().StringVar(&soak.policy, "policy", "module", "its name")
+	cmd.Flags().StringVar(&soak.rule, "rule", "", "only this one")
+	cmd.Flags().DurationVar(&soak.length, "for", time.Minute, "how long")
+	cmd.Flags().Uint64Var(&soak.firstSeed, "seed", 1, "the first")
 	return cmd
 }
 
+// run plays the worlds. A broken rule ends it with errRulesViolated.
+func (s *worldSoak) run(out, progress io.Writer) error {
+	until, shown := time.Now().Add(s.length), time.Now()
+	worlds := 0
+	for seed := s.firstSeed; time.Now().Before(until); seed++ {
+		world := simulator.Random(seed)
+		if worlds++; violatesRule(world, s.policy, s.rule) {
+			return s.printSmallest(out, world, seed)
+		}
+		if time.Since(shown) > time.Second {
+			shown = time.Now()
+			fmt.Fprintf(progress, "\r%d worlds, %v left   ", worlds, time.Until(until).Round(time.Second))
+		}
+	}
+	fmt.Fprintf(progress, "\n")
+	fmt.Fprintf(out, "%d worlds from seed %d on, under %s: no rule was broken\n", worlds, s.firstSeed, s.policy)
+	return nil
+}
+
+// printSmallest shrinks a world in which a rule is broken, and prints it with what happens in it.
+func (s *worldSoak) printSmallest(out io.Writer, world *simulator.World, seed uint64) error {
+	small := simulator.Shrink(world, 300, func(w *simulator.World) bool { return violatesRule(w, s.policy, s.rule) })
+	fmt.Fprintf(out, "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encodeWorld(small))
+	res, err := experiment.RunWorld(small, s.policy)
+	if err == nil {
+		printResult(out, res)
+	}
+	return errors.Join(errRulesViolated, err)
+}
+
+// listCommand lists the names that worlds and experiments may use.
 func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "tell the policies, rules, troubles and keys to sweep that there are", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		w := cmd.OutOrStdout()
--- a/cmd/relay-simulator/main_test.go
+++ b/cmd/relay-simulator/main_test.go
@@ -42,16 +42,14 @@
 func TestCommand_EachSubcommand_RunsOrNamesWhatIsWrong(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
-		f := filepath.Join(dir, name)
-		if text != "" {
-			if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
-			}
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
 		}
-		return f
+		return path
 	}
 	world, exp, bad := file("world.toml", small), file("exp.toml", sweep), file("bad.toml", small+"colour = 3\n")
-	results, page := file("results", ""), file("page.html", "")
+	results, page := filepath.Join(dir, "results"), filepath.Join(dir, "page.html") // written by commands
 	for _, c := range []struct {
 		args []string
 		ok   bool
--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -4,7 +4,6 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"runtime"
@@ -101,17 +100,17 @@
 func (x *Experiment) validate() error {
 	for _, p := range x.Policies {
 		if policy.ByName[p] == nil {
-			return fmt.Errorf("key policies: %q is none of %s", p, strings.Join(Policies(), ", "))
+			return &simulator.FileError{Key: "policies", Reason: fmt.Sprintf("%q is none of %s", p, strings.Join(Policies(), ", "))}
 		}
 	}
 	if len(x.Policies) == 0 || len(x.Seeds) == 0 {
-		return errors.New("keys policies and seeds: want one of each at least")
+		return errNoRuns
 	}
 	if x.Sweep.Key != "" && sweepKeys[x.Sweep.Key] == nil {
-		return fmt.Errorf("key sweep.key: %q is none of %s", x.Sweep.Key, strings.Join(SweepKeys(), ", "))
+		return &simulator.FileError{Key: "sweep.key", Reason: fmt.Sprintf("%q is none of %s", x.Sweep.Key, strings.Join(SweepKeys(), ", "))}
 	}
 	if (x.Sweep.Key == "") != (len(x.Sweep.Values) == 0) {
-		return errors.New("keys sweep.key and sweep.values: want both or neither")
+		return errHalfSweep
 	}
 	if err := x.World.Validate(); err != nil {
 		return fmt.Errorf("world: %w", err)
@@ -224,7 +223,7 @@
 	return err
 }
 
-// RunWorld runs one world under the policy of a name; an unknown name is an error.
+// RunWorld runs one world under the policy of a name; an unknown name is an *UnknownPolicyError.
 func RunWorld(w *simulator.World, name string) (*simulator.Result, error) {
 	res, _, err := runWorld(w, name)
 	return res, err
@@ -233,7 +232,7 @@
 func runWorld(w *simulator.World, name string) (*simulator.Result, *simulator.Run, error) {
 	maker := policy.ByName[name]
 	if maker == nil {
-		return nil, nil, fmt.Errorf("there is no policy %q", name)
+		return nil, nil, &UnknownPolicyError{Name: name}
 	}
 	r, err := simulator.New(w, maker)
 	if err != nil {
@@ -265,7 +264,7 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-// Load reads a file that Save wrote; a file of another Version is an error.
+// Load reads a file that Save wrote; a file of another Version is a *VersionError.
 func Load(file string) (*Results, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -276,7 +275,7 @@
 		return nil, fmt.Errorf("%s holds no results: %w", file, err)
 	}
 	if head.Version != Version {
-		return nil, fmt.Errorf("%s is of version %d, this program reads %d", file, head.Version, Version)
+		return nil, &VersionError{File: file, Version: head.Version}
 	}
 	var r Results
 	return &r, cbor.Unmarshal(b, &r)
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -69,8 +69,23 @@
 	firstExecuted time.Time
 	Calls         int
 	Notice        string // that its client got; "": none
-	Outcome       string
-	Unusual       bool // not delivered by a single call
+	Outcome       string // see Outcomes
+	Unusual       bool   // not delivered by a single call
+}
+
+// What became of messages.
+const (
+	OutcomeDelivered      = "delivered"
+	OutcomeHandedBack     = "handed_back" // as the notice to its client says, like the next
+	OutcomeGivenUp        = "given_up"
+	OutcomeNeverAccepted  = "never taken on"
+	OutcomeLost           = "lost"            // accepted, and neither delivered nor notified of: the relay has broken its promise
+	OutcomeDeliveredTwice = "delivered twice" // likewise
+)
+
+// Outcomes returns all outcomes that there are, those first that are to be expected.
+func Outcomes() []string {
+	return []string{OutcomeDelivered, OutcomeHandedBack, OutcomeGivenUp, OutcomeNeverAccepted, OutcomeLost, OutcomeDeliveredTwice}
 }
 
 // LoadTest is a running load test.
@@ -318,18 +333,18 @@
 		t.Notice = notices[id]
 		switch {
 		case t.Executions > 0:
-			t.Outcome = "delivered"
+			t.Outcome = OutcomeDelivered
 		case t.Notice != "":
 			t.Outcome = t.Notice
 		case t.Status == 202:
-			t.Outcome = "lost"
+			t.Outcome = OutcomeLost
 		default:
-			t.Outcome = "never taken on"
+			t.Outcome = OutcomeNeverAccepted
 		}
 		if t.Executions > 1 {
-			t.Outcome = "delivered twice"
+			t.Outcome = OutcomeDeliveredTwice
 		}
-		t.Unusual = t.Outcome != "delivered" || t.Calls > 1
+		t.Unusual = t.Outcome != OutcomeDelivered || t.Calls > 1
 		slices.SortStableFunc(t.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 		all = append(all, t)
 	}
--- a/internal/relay/simulator/world_file.go
+++ b/internal/relay/simulator/world_file.go
@@ -32,17 +32,32 @@
 
 var lastKey = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)`)
 
-// Decode decodes TOML. Errors name line and key; an unknown key is an error.
+// FileError is returned for a key of a TOML file that can't be read.
+type FileError struct {
+	Line   string // "": not known
+	Key    string
+	Reason string
+}
+
+// Error returns line, key and reason.
+func (e *FileError) Error() string {
+	if e.Line == "" {
+		return fmt.Sprintf("key %s: %s", e.Key, e.Reason)
+	}
+	return fmt.Sprintf("line %s, key %s: %s", e.Line, e.Key, e.Reason)
+}
+
+// Decode decodes TOML. A key that is not known, or whose value has the wrong type, is a *FileError.
 func Decode(text string, into any) error {
 	meta, err := toml.Decode(text, into)
 	if err != nil {
 		if at := lastKey.FindStringSubmatch(err.Error()); at != nil { // most of the library's errors have no type
-			return fmt.Errorf("line %s, key %s: %s", at[1], at[2], at[3])
+			return &FileError{Line: at[1], Key: at[2], Reason: at[3]}
 		}
 		return err
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return fmt.Errorf("key %s: not known", unknown[0])
+		return &FileError{Key: unknown[0].String(), Reason: "not known"}
 	}
 	return nil
 }
