--- a/internal/relay/plugin/hostile_test.go
+++ b/internal/relay/plugin/hostile_test.go
@@ -41,8 +41,8 @@
 		"name and value that overlap":             {wasmtest.CallsWith("arrival", 1, "set_header", 0, 4, 2, 4), false, ""},
 		"value of a key over the end":             {wasmtest.CallsWith("arrival", 1, "store_set", 0, 4, 65530, 100), true, ""},
 		"field that there is not":                 {wasmtest.CallsWith("arrival", 1, "get", 99, 0, 8), false, ""},
-		"alloc over the end":                      {wasmtest.One(65530, 1), true, ""},
-		"alloc at 2^32-1":                         {wasmtest.One(-1, 1), true, ""},
+		"alloc over the end":                      {wasmtest.ABI1(65530, 1), true, ""},
+		"alloc at 2^32-1":                         {wasmtest.ABI1(-1, 1), true, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("bad", c.module, c.keys).with("good", wasmtest.Header("X-Desk", "sports"), "").host()
@@ -91,7 +91,7 @@
 		"loop without end":           {wasmtest.Loops(1), `"timeout": "50ms"`, ErrTimeout, "plugin: it ran over its time"},
 		"status of its own":          {failsOnArrival(-9), "", ErrPluginFailure, "plugin: it returned a failure of its own: -9"},
 		"pointer outside of memory":  {wasmtest.CallsWith("arrival", 1, "log", 65536, 1), "", ErrOutOfBounds, "plugin: a pointer or length lies outside its memory"},
-		"alloc over the end, ABI 1":  {wasmtest.One(65530, 1), "", ErrAllocFailed, "alloc gave no room"},
+		"alloc over the end, ABI 1":  {wasmtest.ABI1(65530, 1), "", ErrAllocFailed, "alloc gave no room"},
 		"trap":                       {wasmtest.Traps(1), "", nil, "wasm error: unreachable"},
 		"trap without end of stack":  {wasmtest.Recurses(), "", nil, "wasm error: unreachable"},
 		"more copied than there may": {copiesTooMuch(), "", ErrCopyLimit, "plugin: it has had the relay copy more than one call may"},
@@ -113,7 +113,7 @@
 // copiesTooMuch is a module that logs 2 KB over and over.
 func copiesTooMuch() []byte {
 	p := wasmtest.Plugin(1, 1, 1, "log")
-	return p.On("arrival", 0, wasmtest.Loop(p.Do("log", wasmtest.Const(0), wasmtest.Const(2<<10)), wasmtest.Const(1), wasmtest.Again(0)), wasmtest.Const(0)).Bytes()
+	return p.On("arrival", 0, wasmtest.Loop(p.Do("log", wasmtest.Const(0), wasmtest.Const(2<<10)), wasmtest.Const(1), wasmtest.BrIf(0)), wasmtest.Const(0)).Bytes()
 }
 
 // TestHost_LoopAfterTheFact_IsNotAwaited: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
--- a/internal/relay/plugin/inspect_test.go
+++ b/internal/relay/plugin/inspect_test.go
@@ -161,7 +161,7 @@
 
 // TestABI1_StillRejects: a module of ABI 1, which writes over the same room each time, still rejects with 422 and its name.
 func TestABI1_StillRejects(t *testing.T) {
-	h := newSetup(t).with("old", wasmtest.One(1024, 1), "").host()
+	h := newSetup(t).with("old", wasmtest.ABI1(1024, 1), "").host()
 	for range 3 {
 		if d := cmp.Diff(engine.Ruling{Verdict: engine.Rejected, Status: 422, Reason: "rejected by old"}, h.OnArrival("platform", message("m", 7))); d != "" {
 			t.Error(d)
--- a/internal/relay/plugin/load_test.go
+++ b/internal/relay/plugin/load_test.go
@@ -34,7 +34,7 @@
 		"phase without its export":       {emptyPhase(3), []string{"mastusher_abi_2: the mask names a phase without its export on_answer"}},
 		"unknown phase":                  {emptyPhase(9), []string{"mastusher_abi_2: the mask 0x9 has phases that this relay does not know"}},
 		"loop at its start":              {wasmtest.LoopsAtStart(), []string{"start: plugin: it ran over its time"}},
-		"loop when asked for its phases": {wasmtest.LoopsInMark(), []string{"mastusher_abi_2: plugin: it ran over its time"}},
+		"loop when asked for its phases": {wasmtest.LoopsInPhaseMask(), []string{"mastusher_abi_2: plugin: it ran over its time"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := newSetup(t).with("p", c.module, "").open(func(cfg *config.Config) {
--- a/internal/relay/plugin/reload_test.go
+++ b/internal/relay/plugin/reload_test.go
@@ -34,7 +34,7 @@
 		{"another version", wasmtest.Header("X-Desk", "two"), "", "X-Desk:two"},
 		{"no module", []byte("broken"), "plugins.0", "X-Desk:two"},
 		{"ABI of a later relay", wasmtest.Later(), "plugins.0", "X-Desk:two"},
-		{"ABI 1", wasmtest.One(0, 0), "", ""},
+		{"ABI 1", wasmtest.ABI1(0, 0), "", ""},
 		{"back to ABI 2", wasmtest.Header("X-Desk", "three"), "", "X-Desk:three"},
 	} {
 		s.writeModule("p", c.module)
--- a/internal/relay/plugin/wasm/bound_test.go
+++ b/internal/relay/plugin/wasm/bound_test.go
@@ -45,7 +45,7 @@
 		"return of two results":              {two, [][]byte{w.Const(1), w.Const64(-2), w.Return}, nil, []uint64{1, 1<<64 - 2}},
 		"end with two results":               {two, [][]byte{w.Const(1), w.Const64(-2)}, nil, []uint64{1, 1<<64 - 2}},
 		"no result":                          {w.None, [][]byte{w.Const(1), w.Drop}, nil, []uint64{}},
-		"branch to the function's own label": {w.I32s(1), [][]byte{w.Const(5), w.Get(0), w.Again(0), w.Drop, w.Const(9)}, []uint64{1}, []uint64{5}},
+		"branch to the function's own label": {w.I32s(1), [][]byte{w.Const(5), w.Get(0), w.BrIf(0), w.Drop, w.Const(9)}, []uint64{1}, []uint64{5}},
 		"constants with the byte of return":  {w.ToI32, [][]byte{w.Const(0x0f0f), w.Const64(0x0f), w.Drop}, nil, []uint64{0x0f0f}},
 		"return with values left below":      {w.ToI32, [][]byte{w.Const(1), w.Const(2), w.Return}, nil, []uint64{2}},
 		"negative constant":                  {w.ToI32, [][]byte{w.Const(-1)}, nil, []uint64{1<<32 - 1}},
@@ -165,7 +165,7 @@
 
 // FuzzBounded: no input makes it panic, and what it makes of a module that is valid is valid too.
 func FuzzBounded(f *testing.F) {
-	for _, m := range [][]byte{w.Hoards(), w.Fans(), w.Floods(), w.Header("X-A", "b"), w.One(1, 2), w.LoopsAtStart()} {
+	for _, m := range [][]byte{w.Hoards(), w.Fans(), w.Floods(), w.Header("X-A", "b"), w.ABI1(1, 2), w.LoopsAtStart()} {
 		f.Add(m)
 	}
 	cfg := wazero.NewRuntimeConfigInterpreter()
--- a/internal/relay/plugin/wasmtest/plugins.go
+++ b/internal/relay/plugin/wasmtest/plugins.go
@@ -9,23 +9,23 @@
 	End     = 4
 )
 
-// Host are the imports of ABI 2 that the plug-ins here use, by name.
+// Host is a plug-in of ABI 2 that is being put together, with the numbers of its imports by name.
 type Host struct {
 	*Module
-	fn map[string]uint32
+	imports map[string]uint32
 }
 
-// Signatures are the imports of ABI 2.
+// Signatures are the types of the imports of ABI 2, by name.
 var Signatures = map[string]Sig{"get": I32s(3), "number": {[]byte{I32}, []byte{I64}}, "get_header": I32s(4), "out_header": I32s(4),
 	"set_header": I32s(4), "remove_header": I32s(2), "set_body": I32s(2), "reject": I32s(3), "wait": {[]byte{I64}, []byte{I32}},
 	"refuse": ToI32, "log": I32sOut(2), "random": ToI64, "store_get": I32s(4),
 	"store_set": {[]byte{I32, I32, I32, I32, I64}, []byte{I32}}, "store_delete": I32sOut(2)}
 
 // Plugin begins a plug-in of ABI 2 that takes part in the phases of a mask and imports what is named.
-func Plugin(mask int32, pages, most uint32, imports ...string) *Host {
-	h := &Host{New(pages, most), map[string]uint32{}}
+func Plugin(mask int32, pages, maxPages uint32, imports ...string) *Host {
+	h := &Host{New(pages, maxPages), map[string]uint32{}}
 	for _, name := range imports {
-		h.fn[name] = h.Import("mastusher_v2", name, Signatures[name])
+		h.imports[name] = h.Import("mastusher_v2", name, Signatures[name])
 	}
 	h.Export("mastusher_abi_2", h.Func(ToI32, 0, Const(mask)))
 	return h
@@ -33,7 +33,7 @@
 
 // Do calls an import with arguments that are on the stack already, or given here.
 func (h *Host) Do(name string, args ...[]byte) []byte {
-	return slices.Concat(slices.Concat(args...), Call(h.fn[name]))
+	return slices.Concat(slices.Concat(args...), Call(h.imports[name]))
 }
 
 // On gives a phase its code, which leaves an i32: 0 for all is well.
@@ -81,8 +81,8 @@
 	return h.Bytes()
 }
 
-// LoopsInMark loops when it is asked for its phases.
-func LoopsInMark() []byte {
+// LoopsInPhaseMask loops when it is asked for its phases.
+func LoopsInPhaseMask() []byte {
 	h := New(1, 1)
 	h.Export("mastusher_abi_2", h.Func(ToI32, 0, Forever, Const(0)))
 	return h.Export("on_arrival", h.Func(ToI32, 0, Const(0))).Bytes()
@@ -133,7 +133,7 @@
 // Hoards grows its memory page by page until it gets none, writes to all of it, and keeps it.
 func Hoards() []byte {
 	h := Plugin(Arrival, 1, 65536)
-	return h.On("arrival", 1, Loop(Const(1), Grow, Const(-1), Eq, Eqz, Again(0)),
+	return h.On("arrival", 1, Loop(Const(1), Grow, Const(-1), Eq, Eqz, BrIf(0)),
 		Const(0), Const(7), []byte{0x3f, 0}, Const(65536), []byte{0x6c}, Fill, Const(0)).Bytes()
 }
 
@@ -142,36 +142,34 @@
 	h := Plugin(Arrival, 2, 2, "log", "reject")
 	return h.On("arrival", 1, Const(0), Const(65), Const(65536), Fill,
 		Loop(h.Do("log", Const(0), Const(65536)), h.Do("reject", Const(422), Const(0), Const(65536)), Drop,
-			Get(0), Const(1), Add, Set(0), Const(50), Get(0), GtU, Again(0)), Const(0)).Bytes()
+			Get(0), Const(1), Add, Set(0), Const(50), Get(0), GtU, BrIf(0)), Const(0)).Bytes()
 }
 
-// CallsWith makes one call to an import, with arguments as they are given.
+// CallsWith makes one call to an import, with arguments as they are given; those that are not are 0.
 func CallsWith(phase string, mask int32, name string, args ...int64) []byte {
 	h := Plugin(mask, 1, 1, name)
-	s := Signatures[name]
+	signature := Signatures[name]
 	var code []byte
-	for i, t := range s.Params {
-		if v := int64(0); t == I64 {
-			if i < len(args) {
-				v = args[i]
-			}
-			code = append(code, Const64(v)...)
+	for i, valueType := range signature.Params {
+		argument := int64(0)
+		if i < len(args) {
+			argument = args[i]
+		}
+		if valueType == I64 {
+			code = append(code, Const64(argument)...)
 		} else {
-			if i < len(args) {
-				v = args[i]
-			}
-			code = append(code, Const(int32(v))...)
+			code = append(code, Const(int32(argument))...)
 		}
 	}
 	code = append(code, h.Do(name)...)
-	if len(s.Results) > 0 {
+	if len(signature.Results) > 0 {
 		code = append(code, Drop...)
 	}
 	return h.On(phase, 0, code, Const(0)).Bytes()
 }
 
-// One is a plug-in of ABI 1 whose alloc returns at, and whose inspect returns verdict.
-func One(at, verdict int32) []byte {
+// ABI1 is a plug-in of ABI 1 whose alloc returns at, and whose inspect returns verdict.
+func ABI1(at, verdict int32) []byte {
 	m := New(1, 1)
 	m.Export("alloc", m.Func(I32s(1), 0, Const(at)))
 	return m.Export("inspect", m.Func(I32s(2), 0, Const(verdict))).Bytes()
