--- a/internal/relay/platform/attempt.go
+++ b/internal/relay/platform/attempt.go
@@ -14,28 +14,28 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// Call makes an attempt: a single call, or a bulk one where it carries several messages.
+// Call implements engine.Front: it makes a single call, or a bulk call where the attempt carries several messages.
 func (f *Front) Call(ctx context.Context, attempt *engine.Attempt) []engine.Outcome {
-	outs := make([]engine.Outcome, len(attempt.Items))
-	stage := f.pool.Do(ctx, peer(&attempt.To), f.request(attempt), attempt.MayWrite, func(p *httpwire.Response) {
-		attempt.ObserveAnswer(p.Status, p.Header, p.Body)
-		f.outcomes(p, attempt, outs)
+	outcomes := make([]engine.Outcome, len(attempt.Items))
+	stage := f.pool.Do(ctx, peer(&attempt.To), f.request(attempt), attempt.MayWrite, func(answer *httpwire.Response) {
+		attempt.ObserveAnswer(answer.Status, answer.Header, answer.Body)
+		f.outcomes(answer, attempt, outcomes)
 	})
-	if r, failed := StageResult(stage); failed {
-		// Of one message the first line tells all, of several each has its part in the body.
-		if stage == httpwire.Malformed && len(outs) == 1 && outs[0].Result == control.Delivered {
-			r = control.Delivered
+	if result, failed := StageResult(stage); failed {
+		// The status line suffices for one message; the outcomes of several are in the body.
+		if stage == httpwire.Malformed && len(outcomes) == 1 && outcomes[0].Result == control.Delivered {
+			result = control.Delivered
 		}
-		for i := range outs {
-			outs[i] = engine.Outcome{Result: r}
+		for i := range outcomes {
+			outcomes[i] = engine.Outcome{Result: result}
 		}
 	}
-	return outs
+	return outcomes
 }
 
-// StageResult is the result of a call that got no answer; false: it got one.
-func StageResult(s httpwire.Stage) (control.Result, bool) {
-	switch s {
+// StageResult returns the result of a call that got no usable answer; false: it got one.
+func StageResult(stage httpwire.Stage) (control.Result, bool) {
+	switch stage {
 	case httpwire.Malformed:
 		return control.Malformed, true
 	case httpwire.Withheld:
@@ -52,19 +52,20 @@
 	return 0, false
 }
 
+// request encodes the request of an attempt.
 func (f *Front) request(attempt *engine.Attempt) []byte {
 	header := []string{"X-Timeout", strconv.FormatInt(attempt.Timeout.Milliseconds(), 10) + "m"}
 	if attempt.PolicyVersion != 0 {
 		header = append(header, "X-Policy-Version", strconv.FormatUint(attempt.PolicyVersion, 10))
 	}
-	header = append(header, attempt.Items[0].Headers...) // the same for all of a bulk call
+	header = append(header, attempt.Items[0].Headers...) // the same for all messages of a call
 	if len(attempt.Items) == 1 {
-		it := &attempt.Items[0]
-		header = append(header, "X-Request-ID", it.ID)
-		if it.Key != "" {
-			header = append(header, "Idempotency-Key", it.Key)
+		item := &attempt.Items[0]
+		header = append(header, "X-Request-ID", item.ID)
+		if item.Key != "" {
+			header = append(header, "Idempotency-Key", item.Key)
 		}
-		body := it.Body
+		body := item.Body
 		if body == nil {
 			body = []byte{}
 		}
@@ -72,19 +73,19 @@
 	}
 	body := []byte{'['}
 	for i := range attempt.Items {
-		it := &attempt.Items[i]
+		item := &attempt.Items[i]
 		if i > 0 {
 			body = append(body, ',')
 		}
-		body = append(gjson.AppendJSONString(append(body, `{"id":`...), it.ID), `,"key":`...)
-		body = append(gjson.AppendJSONString(body, it.Key), `,"body":"`...)
-		body = append(base64.StdEncoding.AppendEncode(body, it.Body), `"}`...)
+		body = append(gjson.AppendJSONString(append(body, `{"id":`...), item.ID), `,"key":`...)
+		body = append(gjson.AppendJSONString(body, item.Key), `,"body":"`...)
+		body = append(base64.StdEncoding.AppendEncode(body, item.Body), `"}`...)
 	}
 	body = append(body, ']')
 	return httpwire.AppendRequest(nil, "POST", "/inbox/bulk", attempt.To.Address, header, body)
 }
 
-// outcomes turns an answer into an outcome for each item.
+// outcomes sets the outcome of each item by an answer.
 func (f *Front) outcomes(answer *httpwire.Response, attempt *engine.Attempt, outcomes []engine.Outcome) {
 	all := answerOutcome(answer)
 	f.readLoad(answer.Header.Get("X-Server-Load"), &all)
@@ -96,7 +97,7 @@
 	}
 }
 
-// answerOutcome is what the head of an answer says of its call.
+// answerOutcome is the outcome that the head of an answer means, for all messages of its call.
 func answerOutcome(answer *httpwire.Response) (o engine.Outcome) {
 	o.RetryAfter = RetryAfter(answer.Header.Get("Retry-After"))
 	switch answer.Status {
@@ -107,11 +108,11 @@
 		case answer.Header.Get("X-No-Slot") != "":
 			o.Result = control.NotProcessed
 		case answer.Status == 503 && answer.Close && answer.FirstOnConnection && o.RetryAfter == 0:
-			// The connection itself was turned away: the endpoint holds as many as it takes, idle ones counted. That is no limit on
-			// calls; what helps is to hold none that is not in use.
+			// The connection itself was rejected: the endpoint has as many as it takes, idle ones counted. That is no limit on calls;
+			// what helps is to close the ones that are not in use.
 			o.Result = control.NoConnection
 		}
-	case 504, 400, 413: // has not run
+	case 504, 400, 413: // the call has not run
 		o.Result = control.NotProcessed
 	case 410:
 		o.Result, o.Final = control.NotProcessed, true
@@ -121,16 +122,16 @@
 	return o
 }
 
-// bulkOutcomes reads the body of a bulk call's answer. An item that it does not name may have run.
+// bulkOutcomes sets outcomes by the body of a bulk call's answer. An item that the body does not name may have run.
 func bulkOutcomes(body []byte, attempt *engine.Attempt, outcomes []engine.Outcome) {
 	for i := range outcomes {
 		outcomes[i].Result = control.Malformed
 	}
-	if !gjson.ValidBytes(body) { // gjson would read what it can of it
+	if !gjson.ValidBytes(body) { // gjson would read as much as it can
 		return
 	}
-	gjson.ParseBytes(body).ForEach(func(_, e gjson.Result) bool {
-		id, state := e.Get("id").String(), e.Get("state").String()
+	gjson.ParseBytes(body).ForEach(func(_, element gjson.Result) bool {
+		id, state := element.Get("id").String(), element.Get("state").String()
 		for i := range attempt.Items {
 			if attempt.Items[i].ID != id {
 				continue
@@ -152,32 +153,35 @@
 	})
 }
 
-// RetryAfter reads a wait in seconds, whole or decimal; 0: none, or one of over an hour, which nobody means.
-func RetryAfter(v string) time.Duration {
-	s, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
-	if err != nil || !(s > 0 && s <= 3600) {
+// RetryAfter parses a Retry-After header in seconds, integral or decimal; 0: there is none, or it can't be meant: one of over an hour.
+func RetryAfter(header string) time.Duration {
+	seconds, err := strconv.ParseFloat(strings.TrimSpace(header), 64)
+	if err != nil || !(seconds > 0 && seconds <= 3600) {
 		return 0
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// readLoad reads "TEXT x0=0.4, x1=25".
-func (f *Front) readLoad(v string, o *engine.Outcome) {
-	v, ok := strings.CutPrefix(v, "TEXT ")
+// maxReported is the largest value of a load report that can be meant.
+const maxReported = 1e6
+
+// readLoad parses a load report, such as "TEXT x0=0.4, x1=25", into Share and Limit. Reported is set where both are there.
+func (f *Front) readLoad(report string, outcome *engine.Outcome) {
+	report, ok := strings.CutPrefix(report, "TEXT ")
 	if !ok || f.settings.Reports.Share < 0 || f.settings.Reports.Limit < 0 {
 		return
 	}
 	found := 0
-	for _, field := range strings.Split(v, ",") {
-		name, num, _ := strings.Cut(strings.TrimSpace(field), "=")
-		x, err := strconv.ParseFloat(num, 64)
+	for _, field := range strings.Split(report, ",") {
+		name, number, _ := strings.Cut(strings.TrimSpace(field), "=")
+		value, err := strconv.ParseFloat(number, 64)
 		switch {
-		case err != nil || !(x >= 0 && x <= 1e6): // nor what is not a number, or no figure that can be
+		case err != nil || !(value >= 0 && value <= maxReported): // NaN too
 		case name == "x0":
-			o.Share, found = x, found|1
+			outcome.Share, found = value, found|1
 		case name == "x1":
-			o.Limit, found = x, found|2
+			outcome.Limit, found = value, found|2
 		}
 	}
-	o.Reported = found == 3
+	outcome.Reported = found == 3
 }
--- a/internal/relay/platform/front.go
+++ b/internal/relay/platform/front.go
@@ -1,6 +1,6 @@
 // Package platform is the front of the platform's own protocol, towards clients (submit.go), endpoints (attempt.go) and discovery
-// (watch.go, notices.go). It holds no message: it turns requests into engine.Message and attempts into calls of package httpwire, and
-// answers into outcomes. Its methods may be called from any goroutine.
+// (watch.go, notices.go). It keeps no messages: it converts requests to engine.Message, attempts to calls of package httpwire, and answers to
+// outcomes. Its methods may be called from any goroutine.
 package platform
 
 import (
@@ -13,42 +13,42 @@
 	"mastusher/internal/relay/wire"
 )
 
-// Name is this front's name in the journal.
+// Name is this front's name in the journal and in captures: it must not change.
 const Name = "platform"
 
-// Guard is what plug-ins may change here: headers that the protocol does not own. Id, key and body pass on as they
-// came.
+// Guard is what plug-ins may change here: headers that the protocol does not own. Id, key and body are forwarded as they came.
 var Guard = rules.Front{Name: Name, Owned: []string{"Idempotency-Key", "Retry-After", "X-Envelope", "X-No-Slot", "X-Policy-Version", "X-Request-Id",
 	"X-Retried", "X-Server-Load", "X-Timeout"}}
 
-// Front speaks the platform's protocol.
+// Front is an engine.Front of the platform's protocol.
 type Front struct {
 	core      *engine.Core
 	settings  *wire.Settings
 	limits    *config.Limits
-	discovery atomic.Pointer[string] // its address
+	discovery atomic.Pointer[string] // host and port of discovery
 	pool      *httpwire.Pool
 }
 
-// New returns the front of core; it still has to be added to it.
+// New returns a front of core, which the caller must add to it by core.AddFront.
 func New(cfg *config.Config, core *engine.Core) *Front {
 	f := &Front{core: core, settings: &cfg.Settings, limits: &cfg.Limits, pool: httpwire.NewPool(&cfg.Limits)}
 	f.discovery.Store(&cfg.Discovery)
 	return f
 }
 
-// SetDiscovery takes discovery to be at address from now on.
+// SetDiscovery sets the host and port of discovery, which watches and notices use from now on.
 func (f *Front) SetDiscovery(address string) {
 	f.discovery.Store(&address)
 	f.core.DiscoveryMoved(Name)
 }
 
-// NotifiesDeliveries is false: the platform counts the deliveries itself.
+// NotifiesDeliveries implements engine.Front. It is false: the platform counts deliveries itself.
 func (f *Front) NotifiesDeliveries() bool { return false }
 
-// CloseIdle closes idle connections.
+// CloseIdle implements engine.Front.
 func (f *Front) CloseIdle(to *engine.Destination) { f.pool.CloseIdle(peer(to)) }
 
+// peer is a destination for the pool; nil: the zero Peer.
 func peer(to *engine.Destination) httpwire.Peer {
 	if to == nil {
 		return httpwire.Peer{}
--- a/internal/relay/platform/watch.go
+++ b/internal/relay/platform/watch.go
@@ -15,7 +15,27 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// Watch follows discovery's list of endpoints until the watch is lost; engine.ErrWatchTimeout: it came up and then fell silent.
+// MalformedEntryError is an entry of a watch that is not JSON.
+type MalformedEntryError struct{ Bytes int }
+
+// Error names the entry's size.
+func (e MalformedEntryError) Error() string {
+	return fmt.Sprintf("platform: a change of %d bytes that is not JSON", e.Bytes)
+}
+
+// EntrySizeError is an entry of a watch that is larger than Limit, in bytes.
+type EntrySizeError struct{ Limit int }
+
+// Error names the limit.
+func (e EntrySizeError) Error() string {
+	return fmt.Sprintf("platform: a change of over %d bytes", e.Limit)
+}
+
+// maxEntryBodies is the largest entry of a watch, in times of Limits.BodySize: a complete list has all endpoints.
+const maxEntryBodies = 16
+
+// Watch implements engine.Front: it follows discovery's endpoint list. It returns engine.ErrWatchTimeout where the watch came up and was then
+// silent for Limits.WatchTimeout, a MalformedEntryError or an EntrySizeError for an entry that can't be used, or the connection's error.
 func (f *Front) Watch(ctx context.Context, after int64, changed func(engine.EndpointList)) error {
 	discovery := *f.discovery.Load()
 	path := fmt.Sprintf("/discovery/hosts?watch=1&after=%d", after)
@@ -34,37 +54,37 @@
 			return err
 		case len(entry) == 0:
 		case !gjson.ValidBytes(entry):
-			return fmt.Errorf("platform: a change of %d bytes that is not JSON", len(entry))
+			return MalformedEntryError{Bytes: len(entry)}
 		default:
 			changed(ParseEndpointList(gjson.ParseBytes(entry)))
 		}
 	}
 }
 
-// nextEntry reads one entry of a watch, which may stand over several lines; an empty line is an empty one. An entry that has begun must
-// be complete before the watch would count as silent: empty lines in its middle are no sign of life.
+// nextEntry reads one entry of a watch, which may take several lines; an empty line is an empty entry. An entry must be complete before the
+// watch would count as silent: empty lines within it are no heartbeats.
 func (f *Front) nextEntry(stream *httpwire.Stream) ([]byte, error) {
-	by := time.Now().Add(f.limits.WatchTimeout)
-	entry, err := stream.Next(by)
+	deadline := time.Now().Add(f.limits.WatchTimeout)
+	entry, err := stream.Next(deadline)
 	open := bracketDepth(entry)
 	if open > 0 {
-		entry = bytes.Clone(entry) // the next line takes its place
+		entry = bytes.Clone(entry) // the next line overwrites it
 	}
 	for err == nil && open > 0 {
 		var line []byte
-		if line, err = stream.Next(by); err == nil {
+		if line, err = stream.Next(deadline); err == nil {
 			entry, open = append(append(entry, '\n'), line...), open+bracketDepth(line)
 		}
-		if len(entry) > 16*f.limits.BodySize {
-			err = fmt.Errorf("platform: a change of over %d bytes", 16*f.limits.BodySize)
+		if limit := maxEntryBodies * f.limits.BodySize; len(entry) > limit {
+			err = EntrySizeError{Limit: limit}
 		}
 	}
 	return bytes.TrimSpace(entry), err
 }
 
-// ParseEndpointList reads a list in discovery's form.
+// ParseEndpointList converts an entry of discovery, which must be valid JSON. A status that is unknown counts as draining.
 func ParseEndpointList(list gjson.Result) engine.EndpointList {
-	p := engine.EndpointList{Index: list.Get("index").Int(), Complete: list.Get("snapshot").Bool()}
+	parsed := engine.EndpointList{Index: list.Get("index").Int(), Complete: list.Get("snapshot").Bool()}
 	list.Get("endpoints").ForEach(func(_, e gjson.Result) bool {
 		d := engine.Destination{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Partner: int(e.Get("group").Int()), Weight: e.Get("weight").Float()}
@@ -75,22 +95,22 @@
 		default:
 			d.State = control.Draining
 		}
-		p.Destinations = append(p.Destinations, d)
+		parsed.Destinations = append(parsed.Destinations, d)
 		return true
 	})
-	return p
+	return parsed
 }
 
-// bracketDepth is how many more brackets a line of JSON opens than it closes.
+// bracketDepth is how many more brackets a line of JSON opens than it closes, those in strings not counted.
 func bracketDepth(line []byte) (open int) {
-	text := false
+	inString := false
 	for i := 0; i < len(line); i++ {
 		switch c := line[i]; {
-		case text && c == '\\':
+		case inString && c == '\\':
 			i++
 		case c == '"':
-			text = !text
-		case text:
+			inString = !inString
+		case inString:
 		case c == '{' || c == '[':
 			open++
 		case c == '}' || c == ']':
