--- a/internal/tier/exchangetest/scenario_draw_test.go
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -66,6 +66,7 @@
 	return p
 }
 
+// drawRequest draws what a client does with a request, and what becomes of it. faulty: either side may cause faults.
 func drawRequest(source *drawSource, id string, faulty bool) *requestScript {
 	request := &requestScript{
 		id:         id,
@@ -91,6 +92,12 @@
 		request.attempts = []attemptScript{drawFaultFreeAttempt(source, request)}
 		return request
 	}
+	drawFaults(source, request)
+	return request
+}
+
+// drawFaults draws how a client disconnects or stalls, what the stores answer, and what becomes of each attempt.
+func drawFaults(source *drawSource, request *requestScript) {
 	if source.one(6) {
 		request.disconnect, request.disconnectDelay = oneOf(source, orderlyClose, resetClose, halfClose), source.upTo(60)
 		if source.one(3) {
@@ -111,7 +118,6 @@
 		}
 		request.attempts = append(request.attempts, drawAttempt(source, request))
 	}
-	return request
 }
 
 // drawFaultFreeAttempt draws an attempt that goes well.
--- a/internal/tier/network/memorynetwork/doc.go
+++ b/internal/tier/network/memorynetwork/doc.go
@@ -4,6 +4,8 @@
 //
 // All waiting is on conditions and timers, so that inside a bubble of testing/synctest a process that waits for its network is
 // durably blocked and virtual time advances. One mutex of the Network guards the state of all machines, processes and sockets.
+// No goroutine is started but those of timers, which end by themselves; that of an open connection with unacknowledged bytes runs
+// again at each retransmission until the connection is closed.
 //
 // Not modelled: congestion, bandwidth, fragments and socket options, except for keep-alive, which stands for all ways in which
 // a kernel detects a silent peer.
