--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -51,6 +51,7 @@
 	Index int // of the entry in the history sorted by time
 }
 
+// Error names the rule, the relay and when.
 func (b *BreachError) Error() string {
 	return fmt.Sprintf("breach of %q at %v by %s: %s", b.Rule, b.Entry.At.Round(time.Microsecond), b.Entry.Relay, b.Text)
 }
@@ -84,28 +85,38 @@
 
 // Judge returns the first breach in a history; nil: it keeps all rules.
 func Judge(history []Entry, o Options) *BreachError {
-	h := slices.Clone(history)
-	slices.SortStableFunc(h, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
-	j := judge{options: o, statements: map[uint64]Entry{}, acted: map[uint64]Entry{}, ends: map[string]string{}}
-	for i, e := range h {
-		if rule, text := j.add(e); rule != "" {
-			return &BreachError{rule, e, text, i}
+	sorted := sortByTime(history)
+	rules := judge{options: o, statements: map[uint64]Entry{}, acted: map[uint64]Entry{}, ends: map[string]string{}}
+	for i, entry := range sorted {
+		if rule, text := rules.add(entry); rule != "" {
+			return &BreachError{rule, entry, text, i}
 		}
 	}
-	if o.AllMustEnd {
-		for i, e := range h {
-			if e.Kind == Accepted && j.ends[e.ID] == "" {
-				return &BreachError{OneEnd, e, e.ID + " was taken on and has no end", i}
-			}
-		}
+	if breach := rules.checkAllEnded(sorted); breach != nil {
+		return breach
 	}
-	for _, b := range o.Bounds {
-		if i, over := b.broken(h); over > 0 {
-			return &BreachError{Limit, h[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
-		}
+	if breach := checkBounds(o.Bounds, sorted); breach != nil {
+		return breach
 	}
-	if e, ok := register(h, o.Slack); !ok && !o.ServePartitioned {
-		return &BreachError{Register, e, "the changes, their bases and the versions acted on fit no order", len(h) - 1}
+	if entry, ok := register(sorted, o.Slack); !ok && !o.ServePartitioned {
+		return &BreachError{Register, entry, "the changes, their bases and the versions acted on fit no order", len(sorted) - 1}
+	}
+	return nil
+}
+
+// sortByTime returns a copy of a history, sorted by time.
+func sortByTime(history []Entry) []Entry {
+	sorted := slices.Clone(history)
+	slices.SortStableFunc(sorted, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
+	return sorted
+}
+
+// checkBounds returns a breach if a partner got more calls than a bound allows.
+func checkBounds(bounds []Bound, history []Entry) *BreachError {
+	for _, b := range bounds {
+		if i, over := b.worstExcess(history); over > 0 {
+			return &BreachError{Limit, history[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
+		}
 	}
 	return nil
 }
@@ -137,6 +148,19 @@
 	return "", ""
 }
 
+// checkAllEnded returns a breach if a message that was taken on has no end, where all must have one.
+func (j *judge) checkAllEnded(history []Entry) *BreachError {
+	if !j.options.AllMustEnd {
+		return nil
+	}
+	for i, entry := range history {
+		if entry.Kind == Accepted && j.ends[entry.ID] == "" {
+			return &BreachError{OneEnd, entry, entry.ID + " was taken on and has no end", i}
+		}
+	}
+	return nil
+}
+
 // addAct checks that no older version is acted under after a newer one, and none that was dropped.
 func (j *judge) addAct(e Entry) (rule, text string) {
 	if e.Version < j.newest.Version && !j.options.ServePartitioned && e.At-j.newest.At > j.options.Slack {
@@ -168,96 +192,125 @@
 	return "", ""
 }
 
-// broken returns where a history goes beyond the bound the most, and by how much; 0: it does not. A bucket that is filled evenly
-// and holds Burst takes exactly the histories that keep it.
-func (b *Bound) broken(h []Entry) (at int, most float64) {
+// worstExcess returns the entry at which a history exceeds the bound the most, and by how many calls; 0: it does not. A bucket that
+// is filled evenly and holds Burst takes exactly the histories that keep it.
+func (b *Bound) worstExcess(history []Entry) (index int, excess float64) {
 	level, last := 0.0, time.Duration(0)
-	for i, e := range h {
-		if e.Kind != Acted || e.To != b.To || b.Until == 0 && e.Version != b.Version || b.Until > 0 && (e.At < b.From || e.At > b.Until) {
+	for i, entry := range history {
+		if !b.counts(entry) {
 			continue
 		}
-		level = max(0, level-b.Rate*(e.At-last).Seconds()) + 1
-		if last = e.At; level-b.Burst > most {
-			at, most = i, level-b.Burst
+		level = max(0, level-b.Rate*(entry.At-last).Seconds()) + 1
+		last = entry.At
+		if level-b.Burst > excess {
+			index, excess = i, level-b.Burst
 		}
 	}
-	return at, most
+	return index, excess
+}
+
+// counts reports whether an entry is a call that the bound counts.
+func (b *Bound) counts(entry Entry) bool {
+	if entry.Kind != Acted || entry.To != b.To {
+		return false
+	}
+	if b.Until == 0 {
+		return entry.Version == b.Version
+	}
+	return entry.At >= b.From && entry.At <= b.Until
 }
 
 // Stale counts the acts under a version after another relay had acted under a newer one, and returns for how long they went on:
 // the cost of letting partitioned relays go on.
-func Stale(history []Entry) (n int, most time.Duration) {
-	h := slices.Clone(history)
-	slices.SortStableFunc(h, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
-	first := map[uint64]time.Duration{} // when a version or a newer one was first acted under
+func Stale(history []Entry) (count int, longest time.Duration) {
+	supersededAt := map[uint64]time.Duration{} // when a newer version was first acted under
 	newest := uint64(0)
-	for _, e := range h {
+	for _, entry := range sortByTime(history) {
 		switch {
-		case e.Kind != Acted:
-		case e.Version > newest:
-			for v := newest; v < e.Version; v++ {
-				first[v] = e.At // v is an old one from then on
+		case entry.Kind != Acted:
+		case entry.Version > newest:
+			for version := newest; version < entry.Version; version++ {
+				supersededAt[version] = entry.At
 			}
-			newest = e.Version
-		case e.Version < newest:
-			n++
-			most = max(most, e.At-first[e.Version])
+			newest = entry.Version
+		case entry.Version < newest:
+			count++
+			longest = max(longest, entry.At-supersededAt[entry.Version])
 		}
 	}
-	return n, most
+	return count, longest
 }
 
-// op is an operation on the register of the policy in force.
-type op struct {
-	read    bool
+// operation is an operation on the register of the policy in force.
+type operation struct {
+	isRead  bool
 	version uint64 // read, or put there
 	base    uint64
 }
 
-var model = porcupine.Model{
+// registerModel is a register with compare-and-set; its state is the version in force.
+var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
-		o := input.(op)
-		if o.read {
-			return state.(uint64) == o.version, state
+		call := input.(operation)
+		if call.isRead {
+			return state.(uint64) == call.version, state
 		}
-		return state.(uint64) == o.base, o.version
+		return state.(uint64) == call.base, call.version
 	},
 }
 
-// register tells whether changes that took hold, and the versions that were acted on, fit one order. Of acts the first and
-// the last of each relay and version are enough.
-func register(h []Entry, slack time.Duration) (Entry, bool) {
-	var ops []porcupine.Operation
-	var last Entry
-	type key struct {
-		relay   string
-		version uint64
+// Bounds of the search for an order. Histories with more changes are left to the other rules.
+const (
+	maxChanges    = 40
+	searchTimeout = 5 * time.Second
+)
+
+// relayVersion is a version that a relay acted on.
+type relayVersion struct {
+	relay   string
+	version uint64
+}
+
+// register tells whether changes that took hold, and the versions that were acted on, fit one order; the entry is the last change.
+func register(history []Entry, slack time.Duration) (last Entry, ok bool) {
+	var operations []porcupine.Operation
+	add := func(call operation, from, until time.Duration) {
+		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: call, Call: int64(from), Return: int64(until)})
 	}
-	first, latest := map[key]Entry{}, map[key]Entry{}
 	known := map[uint64]bool{0: true}
-	for _, e := range h {
-		switch {
-		case e.Kind == Proposed && e.Version != 0:
-			ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: op{version: e.Version, base: e.Base}, Call: int64(e.At), Return: int64(e.Until)})
-			known[e.Version], last = true, e
-		case e.Kind == Acted:
-			k := key{e.Relay, e.Version}
-			if _, ok := first[k]; !ok {
-				first[k] = e
-			}
-			latest[k] = e
+	for _, entry := range history {
+		if entry.Kind == Proposed && entry.Version != 0 {
+			add(operation{version: entry.Version, base: entry.Base}, entry.At, entry.Until)
+			known[entry.Version], last = true, entry
 		}
 	}
-	if len(ops) == 0 || len(ops) > 40 {
-		return last, true // nothing was changed; or more than is worth the search: the other rules have it
+	if len(operations) == 0 || len(operations) > maxChanges {
+		return last, true
 	}
-	for _, m := range []map[key]Entry{first, latest} {
-		for _, e := range m {
-			if known[e.Version] { // others' changes are not in this history
-				ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: op{read: true, version: e.Version}, Call: int64(e.At - slack), Return: int64(e.At)})
+	first, latest := outermostActs(history)
+	for _, acts := range []map[relayVersion]Entry{first, latest} {
+		for _, act := range acts {
+			if known[act.Version] { // others' changes are not in this history
+				add(operation{isRead: true, version: act.Version}, act.At-slack, act.At)
 			}
 		}
 	}
-	return last, porcupine.CheckOperationsTimeout(model, ops, 5*time.Second) != porcupine.Illegal
+	return last, porcupine.CheckOperationsTimeout(registerModel, operations, searchTimeout) != porcupine.Illegal
+}
+
+// outermostActs returns the first and the last act of each relay on each version: those between them constrain no order further.
+func outermostActs(history []Entry) (first, last map[relayVersion]Entry) {
+	first, last = map[relayVersion]Entry{}, map[relayVersion]Entry{}
+	for _, entry := range history {
+		if entry.Kind != Acted {
+			continue
+		}
+		key := relayVersion{entry.Relay, entry.Version}
+		if _, ok := first[key]; !ok {
+			first[key] = entry
+		}
+		last[key] = entry
+	}
+	return first, last
 }
--- a/internal/relay/fleet/checker/check_test.go
+++ b/internal/relay/fleet/checker/check_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// TestJudge: each rule finds the history that breaks it, and none finds fault with one that keeps them.
-func TestJudge(t *testing.T) {
+func TestJudge_EachHistory_BreaksItsRuleOrNone(t *testing.T) {
 	const ms = time.Millisecond
 	act := func(at int, relay string, version uint64) Entry {
 		return Entry{At: time.Duration(at) * ms, Kind: Acted, Relay: relay, Version: version}
@@ -24,11 +23,11 @@
 	}
 	good := []Entry{act(1, "a", 0), act(2, "b", 0), change(3, 9, 0, 1), act(7, "a", 1), act(8, "b", 1), said(9, 1, 5, false), said(9, 2, 6, true),
 		change(10, 30, 1, 3), act(20, "a", 3), {At: 21 * ms, Kind: Accepted, ID: "x"}, {At: 22 * ms, Kind: Ended, ID: "x", Text: "called"}}
-	for _, c := range []struct {
-		name string
-		more []Entry
-		o    Options
-		want string
+	for _, test := range []struct {
+		name    string
+		more    []Entry
+		options Options
+		want    string
 	}{
 		{"good", nil, Options{AllMustEnd: true}, ""},
 		{"old after new", []Entry{act(25, "b", 1)}, Options{}, OldStops},
@@ -49,19 +48,18 @@
 		{"broken otherwise", []Entry{{At: 50 * ms, Kind: Breached, Text: "sent twice"}}, Options{}, NoOtherBreach},
 	} {
 		got := ""
-		if b := Judge(append(append([]Entry{}, good...), c.more...), c.o); b != nil {
+		if b := Judge(append(append([]Entry{}, good...), test.more...), test.options); b != nil {
 			got = b.Rule
 		}
-		if got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+		if got != test.want {
+			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
 	}
 }
 
-// TestStale: acts under an old version count from the moment when a newer one was acted under.
-func TestStale(t *testing.T) {
-	h := []Entry{{At: 1, Kind: Acted, Relay: "a"}, {At: 5, Kind: Acted, Relay: "b", Version: 2}, {At: 7, Kind: Acted, Relay: "a"}, {At: 9, Kind: Acted, Relay: "a"}}
-	if n, most := Stale(h); n != 2 || most != 4 {
-		t.Errorf("%d for %v, want 2 for 4ns", n, most)
+func TestStale_ActsUnderOldVersion_CountFromTheFirstUnderNewer(t *testing.T) {
+	history := []Entry{{At: 1, Kind: Acted, Relay: "a"}, {At: 5, Kind: Acted, Relay: "b", Version: 2}, {At: 7, Kind: Acted, Relay: "a"}, {At: 9, Kind: Acted, Relay: "a"}}
+	if count, longest := Stale(history); count != 2 || longest != 4 {
+		t.Errorf("%d for %v, want 2 for 4ns", count, longest)
 	}
 }
