--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -16,30 +16,35 @@
 	Stuck           bool // everything was healed, and the change neither took effect nor was dropped
 }
 
+// exploredRelays is the number of relays of an explored world.
+const exploredRelays = 3
+
+// choices is the number of choices at each step of a sequence: for each relay, that what is in transit to it arrives, that it is lost, or
+// that the relay crashes; and that time passes.
+const choices = 3*exploredRelays + 1
+
 // Explore tries, for three relays and one change, every sequence of depth choices from the moment at which the change is proposed:
 // what is in transit to one relay arrives or is lost, a relay crashes and restarts at once, or half a lease passes. Then everything is
-// healed and the history judged. The sequences are numbered; only numbers congruent to part modulo parts are tried. With shares the
-// relays share a limit, and the demand moves from one relay to another; serve is Options.ServeWhenPartitioned. Its cost grows by a factor
-// of ten with each choice of depth.
+// healed and the history judged. The sequences are numbered; only numbers congruent to remainder modulo modulus are tried. With shares
+// the relays share a limit, and the demand moves from one relay to another; serve is Options.ServeWhenPartitioned. Its cost grows by a
+// factor of ten with each choice of depth.
 func Explore(depth, remainder, modulus int, shares, serve bool) Exploration {
-	const relays = 3
-	choices := 3*relays + 1
 	total := 1
 	for range depth {
 		total *= choices
 	}
-	var e Exploration
-	for no := remainder; no < total; no += modulus {
-		e.Sequences++
-		x := newExploredWorld(relays, shares, serve)
-		text := x.apply(no, depth)
-		breach, stuck := x.judge(shares)
+	var exploration Exploration
+	for number := remainder; number < total; number += modulus {
+		exploration.Sequences++
+		explored := newExploredWorld(shares, serve)
+		text := explored.apply(number, depth)
+		breach, stuck := explored.judge(shares)
 		if breach != nil || stuck {
-			e.FailingSequence, e.Breach, e.Stuck = fmt.Sprintf("%d:%s", no, text), breach, stuck
-			return e
+			exploration.FailingSequence, exploration.Breach, exploration.Stuck = fmt.Sprintf("%d:%s", number, text), breach, stuck
+			return exploration
 		}
 	}
-	return e
+	return exploration
 }
 
 // exploredWorld is a world right after a change was proposed, in which messages wait for choices.
@@ -48,64 +53,66 @@
 	ticket uint64
 }
 
-func newExploredWorld(relays int, shares, serve bool) *exploredWorld {
+func newExploredWorld(shares, serve bool) *exploredWorld {
 	busy := 0
-	o := Options{Relays: relays, Voters: relays, Seed: 9, Lease: 2 * time.Second, MaxClockDrift: 0.05, Delay: 500 * time.Microsecond, ActInterval: 10 * time.Millisecond}
+	options := Options{Relays: exploredRelays, Voters: exploredRelays, Seed: 9, Lease: 2 * time.Second, MaxClockDrift: 0.05, Delay: 500 * time.Microsecond, ActInterval: 10 * time.Millisecond}
 	if shares {
-		o.GuaranteedShare, o.ActInterval, o.ServeWhenPartitioned = 0.25, 0, serve
-		o.Demands = func(_ *World, r *Relay) []quota.Demand {
-			n := quota.Demand{Key: 1, Rate: 2, Value: 1, Limit: 100}
+		options.GuaranteedShare, options.ActInterval, options.ServeWhenPartitioned = 0.25, 0, serve
+		options.Demands = func(_ *World, r *Relay) []quota.Demand {
+			demand := quota.Demand{Key: 1, Rate: 2, Value: 1, Limit: 100}
 			if r.Index == busy {
-				n.Rate = 90
+				demand.Rate = 90
 			}
-			return []quota.Demand{n}
+			return []quota.Demand{demand}
 		}
 	}
-	w := New(o)
-	w.Await(10*time.Second, func() bool { return w.AllActOn(0) && w.formed() })
-	w.Run(2100 * time.Millisecond)
-	w.inTransit = make([][]func(), relays)
+	world := New(options)
+	world.Await(10*time.Second, func() bool { return world.AllActOn(0) && world.formed() })
+	world.Run(2100 * time.Millisecond)
+	world.inTransit = make([][]func(), exploredRelays)
 	busy = 1
 	if shares {
-		w.Run(demandInterval) // until all have sent their demands
+		world.Run(demandInterval) // until all have sent their demands
 	}
-	x := &exploredWorld{World: w, ticket: w.Propose(w.Relays[1], 0, `{"format":1}`)}
-	w.Run(5 * time.Millisecond)
-	return x
+	explored := &exploredWorld{World: world, ticket: world.Propose(world.Relays[1], 0, `{"format":1}`)}
+	world.Run(5 * time.Millisecond)
+	return explored
 }
 
-// apply makes depth choices, the digits of no, and names them.
-func (x *exploredWorld) apply(no, depth int) (text string) {
-	relays := len(x.Relays)
-	choices := 3*relays + 1
+// apply makes depth choices, the digits of a sequence's number, and names them.
+func (x *exploredWorld) apply(number, depth int) (text string) {
 	for range depth {
-		c := no % choices
-		no /= choices
-		r := x.Relays[c%relays]
-		switch c / relays {
-		case 0:
-			text += " arrives:" + r.Name
-			due := x.inTransit[r.Index]
-			x.inTransit[r.Index] = nil
-			for _, arrive := range due {
-				arrive()
-			}
-		case 1:
-			text += " lost:" + r.Name
-			x.inTransit[r.Index] = nil
-		case 2:
-			text += " crash:" + r.Name
-			x.Crash(r)
-			x.Start(r)
-		default:
-			text += " time"
-			x.Run(x.Lease / 2)
-		}
+		text += x.applyChoice(number % choices)
+		number /= choices
 		x.Run(3 * time.Millisecond)
 	}
 	return text
 }
 
+// applyChoice makes one choice, and names it.
+func (x *exploredWorld) applyChoice(choice int) string {
+	r := x.Relays[choice%exploredRelays]
+	switch choice / exploredRelays {
+	case 0:
+		arriving := x.inTransit[r.Index]
+		x.inTransit[r.Index] = nil
+		for _, arrive := range arriving {
+			arrive()
+		}
+		return " arrives:" + r.Name
+	case 1:
+		x.inTransit[r.Index] = nil
+		return " lost:" + r.Name
+	case 2:
+		x.Crash(r)
+		x.Start(r)
+		return " crash:" + r.Name
+	default:
+		x.Run(x.Lease / 2)
+		return " time"
+	}
+}
+
 // judge lets everything arrive again, and judges the history and whether the change came to an end everywhere.
 func (x *exploredWorld) judge(shares bool) (breach *checker.BreachError, stuck bool) {
 	x.inTransit = nil
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -24,6 +24,7 @@
 // Bad reports whether there was a breach or the fleet was stuck.
 func (r *Result) Bad() bool { return r.Breach != nil || r.Stuck != "" }
 
+// String names the seed with its outcome.
 func (r *Result) String() string {
 	switch {
 	case r.Breach != nil:
--- a/internal/relay/fleet/simulation/scale.go
+++ b/internal/relay/fleet/simulation/scale.go
@@ -23,56 +23,81 @@
 // frameBytes is the overhead of a message on the wire: UDP and IP headers, names and checksum.
 const frameBytes = 28 + 12 + 40
 
+// Durations of the measurement.
+const (
+	formationTimeout = 60 * time.Second
+	changeTimeout    = 30 * time.Second
+	measuredChanges  = 9
+	minIdleSpan      = 5 * time.Second
+	maxIdleSpan      = time.Minute // of up to idleSpanRelays; it shrinks as their number grows
+	idleSpanRelays   = 30
+)
+
 // Scale measures a fleet of n relays. All figures but StepCost are deterministic.
 func Scale(relays int) (figures Figures) {
-	o := Options{Relays: relays, Voters: min(5, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, MaxClockDrift: 0.01, Delay: 300 * time.Microsecond}
-	world := New(o)
-	world.Await(60*time.Second, func() bool { return world.AllActOn(0) && world.formed() })
+	world := New(Options{Relays: relays, Voters: min(5, relays-1+relays%2), Seed: 1, Lease: 2 * time.Second, MaxClockDrift: 0.01, Delay: 300 * time.Microsecond})
+	world.Await(formationTimeout, func() bool { return world.AllActOn(0) && world.formed() })
 	figures.Formation = world.Now()
 	world.Run(4 * time.Second)
+	figures.measureChanges(world)
+	figures.measureIdle(world)
+	figures.measureTenthDown(world)
+	return figures
+}
+
+// measureChanges measures how long changes take with all relays there.
+func (f *Figures) measureChanges(world *World) {
 	var took []time.Duration
-	for v := range uint64(9) {
-		at := world.Now()
-		world.Propose(world.Relays[relays-1], v, `{"format":1,"stamp":true}`)
-		for !world.AllActOn(v+1) && world.Now()-at < 30*time.Second {
+	for version := range uint64(measuredChanges) {
+		start := world.Now()
+		world.Propose(world.Relays[len(world.Relays)-1], version, `{"format":1,"stamp":true}`)
+		for !world.AllActOn(version+1) && world.Now()-start < changeTimeout {
 			world.Run(time.Millisecond)
 		}
-		took = append(took, world.Now()-at)
+		took = append(took, world.Now()-start)
 		world.Run(time.Second)
 	}
 	slices.Sort(took)
-	figures.Median, figures.Max = took[len(took)/2], took[len(took)-1]
-	// An idle minute, or less where many are there.
-	span := max(5*time.Second, time.Minute/time.Duration(max(relays/30, 1)))
-	all, lead := int64(0), int64(0)
-	world.measure = func(m *node.Message) int {
-		b, _ := cbor.Marshal(m)
-		return len(b) + frameBytes
+	f.Median, f.Max = took[len(took)/2], took[len(took)-1]
+}
+
+// measureIdle measures what the fleet costs while nothing changes.
+func (f *Figures) measureIdle(world *World) {
+	relays := len(world.Relays)
+	span := max(minIdleSpan, maxIdleSpan/time.Duration(max(relays/idleSpanRelays, 1)))
+	allBytes, leaderBytes := int64(0), int64(0)
+	world.measure = func(message *node.Message) int {
+		encoded, _ := cbor.Marshal(message)
+		return len(encoded) + frameBytes
 	}
 	world.onMeasured = func(from, to *Relay, bytes int) {
-		all += 2 * int64(bytes)
+		allBytes += 2 * int64(bytes)
 		for _, r := range [2]*Relay{from, to} {
 			if r.Node != nil && r.Node.IsLeader() {
-				lead += int64(bytes)
+				leaderBytes += int64(bytes)
 			}
 		}
 	}
-	steps, startedAt := world.Steps, time.Now()
+	stepsBefore, startedAt := world.Steps, time.Now()
 	world.Run(span)
-	cost := time.Since(startedAt)
+	cost, steps := time.Since(startedAt), world.Steps-stepsBefore
 	world.measure, world.onMeasured = nil, nil
-	figures.Bytes = float64(all-lead) / span.Seconds() / float64(max(relays-1, 1))
-	figures.LeaderBytes = float64(lead) / span.Seconds()
-	figures.Steps = float64(world.Steps-steps) / span.Seconds() / float64(relays)
-	figures.StepCost = float64(cost.Microseconds()) / float64(max(world.Steps-steps, 1))
+	f.Bytes = float64(allBytes-leaderBytes) / span.Seconds() / float64(max(relays-1, 1))
+	f.LeaderBytes = float64(leaderBytes) / span.Seconds()
+	f.Steps = float64(steps) / span.Seconds() / float64(relays)
+	f.StepCost = float64(cost.Microseconds()) / float64(max(steps, 1))
+}
+
+// measureTenthDown measures how long a change takes after a tenth of the relays was killed.
+func (f *Figures) measureTenthDown(world *World) {
+	relays := len(world.Relays)
 	for _, r := range world.Relays[relays-(relays+9)/10:] {
 		if !r.Node.IsLeader() {
 			world.Crash(r)
 		}
 	}
-	at := world.Now()
-	world.Propose(world.Relays[0], 9, `{"format":1}`)
-	world.Await(60*time.Second, func() bool { return world.AllActOn(10) })
-	figures.TenthDown = world.Now() - at
-	return figures
+	start := world.Now()
+	world.Propose(world.Relays[0], measuredChanges, `{"format":1}`)
+	world.Await(formationTimeout, func() bool { return world.AllActOn(measuredChanges + 1) })
+	f.TenthDown = world.Now() - start
 }
