--- a/internal/relay/journal/compact.go
+++ b/internal/relay/journal/compact.go
@@ -75,11 +75,11 @@
 		e.loggedAttempts--
 	}
 	if e.MayHaveRun {
-		l.appendBegun(e, e.loggedAttempts, e.MayHaveRunAt, e.MayHaveRunOn)
+		l.appendAttempt(e, e.loggedAttempts, e.MayHaveRunAt, e.MayHaveRunOn)
 		l.appendOutcome(e, false)
 	}
 	if e.loggedAttempts > 0 && (inFlight || !e.MayHaveRun) {
-		l.appendBegun(e, e.loggedAttempts, e.LastAttemptAt, e.LastAttemptOn)
+		l.appendAttempt(e, e.loggedAttempts, e.LastAttemptAt, e.LastAttemptOn)
 		if !inFlight {
 			l.appendOutcome(e, true)
 		}
--- a/internal/relay/journal/log.go
+++ b/internal/relay/journal/log.go
@@ -115,7 +115,7 @@
 	defer func() { l.buf = l.buf[:buffered] }() // what the core has noted meanwhile waits for its turn's end
 	for _, e := range entries {
 		if l.entries[e.Seq] == e {
-			l.appendBegun(e, e.Attempts, e.LastAttemptAt, e.LastAttemptOn)
+			l.appendAttempt(e, e.Attempts, e.LastAttemptAt, e.LastAttemptOn)
 		}
 	}
 	if len(l.buf) == buffered || l.file == nil || l.mustCompact {
--- a/internal/relay/journal/records.go
+++ b/internal/relay/journal/records.go
@@ -9,7 +9,7 @@
 // The codes of records, which stand in files: a code is never given to another record.
 const (
 	recordAccepted byte = iota + 1 // id, key, front, destination, class, deadline, resubmitted, body, headers, tenant, policy and attempts
-	recordBegun                    // number of the attempt, time, destination
+	recordAttempt                  // number of the attempt, time, destination
 	recordOutcome                  // of the attempt begun last: 1 if it never ran
 	recordEnded                    // -
 	recordNotice                   // flags, milliseconds to wait: the message has ended and a notice is outstanding
@@ -31,22 +31,22 @@
 
 // apply takes one record into the state; false: it can't be read.
 func (l *Log) apply(payload []byte) bool {
-	r := &decoder{b: payload[1:]}
-	seq := r.uint()
+	fields := &decoder{rest: payload[1:]}
+	seq := fields.uint()
 	e := l.entries[seq]
 	switch payload[0] {
 	case recordAccepted:
-		if e = r.accepted(seq); !r.bad {
+		if e = fields.accepted(seq); !fields.damaged {
 			l.entries[seq], l.lastSeq = e, max(l.lastSeq, seq)
 			l.liveBytes += e.cost()
 		}
-	case recordBegun:
-		if number, at, destination := r.uint(), r.time(), r.text(); e != nil && !r.bad {
+	case recordAttempt:
+		if number, at, destination := fields.uint(), fields.time(), fields.text(); e != nil && !fields.damaged {
 			e.Attempts, e.InFlight, e.LastAttemptAt, e.LastAttemptOn = int(number), true, at, destination
 			e.loggedAttempts = int(number)
 		}
 	case recordOutcome:
-		if neverRan := r.uint() == 1; e != nil && !r.bad {
+		if neverRan := fields.uint() == 1; e != nil && !fields.damaged {
 			e.endAttempt(neverRan)
 		}
 	case recordEnded, recordAcked:
@@ -55,28 +55,28 @@
 			delete(l.entries, seq)
 		}
 	case recordNotice:
-		if flags, retryAfter := r.uint(), r.uint(); e != nil && !r.bad {
+		if flags, retryAfter := fields.uint(), fields.uint(); e != nil && !fields.damaged {
 			e.NoticePending, e.Notice = true, Notice{Delivered: flags&flagDelivered != 0, HandedBack: flags&flagHandedBack != 0,
 				RetryAfter: time.Duration(retryAfter) * time.Millisecond}
 		}
 	default: // of a later version: skipped
 	}
-	return !r.bad
+	return !fields.damaged
 }
 
 // accepted reads a message as it was taken on. Logs of older versions end before the headers, or before the tenant.
 func (d *decoder) accepted(seq uint64) *Entry {
 	e := &Entry{Seq: seq, ID: d.text(), Key: d.text(), Front: d.text(), Destination: int(d.uint()),
 		Class: int(d.uint()), Deadline: d.time(), Resubmitted: d.uint() == 1, Body: []byte(d.text())}
-	if len(d.b) > 0 {
-		for n := d.uint(); n > 0 && !d.bad; n-- {
+	if len(d.rest) > 0 {
+		for n := d.uint(); n > 0 && !d.damaged; n-- {
 			e.Headers = append(e.Headers, d.text())
 		}
 	}
-	if e.Tenant = -1; len(d.b) > 0 {
+	if e.Tenant = -1; len(d.rest) > 0 {
 		e.Tenant = int(d.uint()) - 1
 	}
-	if len(d.b) > 0 { // only in a fleet
+	if len(d.rest) > 0 { // only in a fleet
 		e.PolicyVersion, e.MaxAttempts = d.uint(), int(d.uint())
 	}
 	return e
@@ -99,8 +99,8 @@
 	})
 }
 
-func (l *Log) appendBegun(e *Entry, number int, at time.Time, destination string) {
-	l.appendRecord(recordBegun, e.Seq, func(b []byte) []byte {
+func (l *Log) appendAttempt(e *Entry, number int, at time.Time, destination string) {
+	l.appendRecord(recordAttempt, e.Seq, func(b []byte) []byte {
 		return appendText(appendTime(binary.AppendUvarint(b, uint64(number)), at), destination)
 	})
 }
@@ -146,40 +146,40 @@
 
 func appendTime(b []byte, t time.Time) []byte { return binary.AppendVarint(b, t.UnixMicro()) }
 
-// decoder reads the fields of a payload; bad is set once one is missing.
+// decoder reads the fields of a payload; damaged is set once one is missing.
 type decoder struct {
-	b   []byte
-	bad bool
+	rest    []byte
+	damaged bool
 }
 
 func (d *decoder) uint() uint64 {
-	v, n := binary.Uvarint(d.b)
+	v, n := binary.Uvarint(d.rest)
 	return v * d.skip(n)
 }
 
 // skip drops a number of n bytes; it returns 0 where there was none.
 func (d *decoder) skip(n int) uint64 {
 	if n <= 0 {
-		d.bad, d.b = true, nil
+		d.damaged, d.rest = true, nil
 		return 0
 	}
-	d.b = d.b[n:]
+	d.rest = d.rest[n:]
 	return 1
 }
 
 func (d *decoder) time() time.Time {
-	v, n := binary.Varint(d.b)
+	v, n := binary.Varint(d.rest)
 	d.skip(n)
 	return time.UnixMicro(v)
 }
 
 func (d *decoder) text() string {
 	n := d.uint()
-	if n > uint64(len(d.b)) {
-		d.bad = true
+	if n > uint64(len(d.rest)) {
+		d.damaged = true
 		return ""
 	}
-	s := string(d.b[:n])
-	d.b = d.b[n:]
+	s := string(d.rest[:n])
+	d.rest = d.rest[n:]
 	return s
 }
--- a/internal/relay/journal/stored_format_test.go
+++ b/internal/relay/journal/stored_format_test.go
@@ -39,44 +39,44 @@
 }
 
 // writeStored writes the messages of storedMessages by way of the log's own calls, then two that have ended.
-func writeStored(t *testing.T, l *Log) {
+func writeStored(t *testing.T, log *Log) {
 	t.Helper()
-	attempt := func(e *Entry, at time.Time, destination string) {
-		l.Schedule(e, at, destination)
-		begin(t, l, e)
+	attempt := func(message *Entry, at time.Time, destination string) {
+		log.Schedule(message, at, destination)
+		begin(t, log, message)
 	}
 	for _, want := range storedMessages() {
-		e := *want
-		e.Attempts, e.InFlight, e.MayHaveRun, e.MayHaveRunAt, e.MayHaveRunOn, e.LastAttemptAt, e.LastAttemptOn = 0, false, false, time.Time{}, "", time.Time{}, ""
-		e.NoticePending, e.Notice = false, Notice{}
-		if err := l.Accept(&e); err != nil {
+		message := *want
+		message.Attempts, message.InFlight, message.MayHaveRun, message.MayHaveRunAt, message.MayHaveRunOn, message.LastAttemptAt, message.LastAttemptOn = 0, false, false, time.Time{}, "", time.Time{}, ""
+		message.NoticePending, message.Notice = false, Notice{}
+		if err := log.Accept(&message); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Flush(); err != nil {
+		if err := log.Flush(); err != nil {
 			t.Fatal(err)
 		}
 		if want.MayHaveRun {
-			attempt(&e, want.MayHaveRunAt, want.MayHaveRunOn)
-			l.EndAttempt(&e, false)
-			if err := l.Flush(); err != nil { // as a turn does before the next attempt begins
+			attempt(&message, want.MayHaveRunAt, want.MayHaveRunOn)
+			log.EndAttempt(&message, false)
+			if err := log.Flush(); err != nil { // as a turn does before the next attempt begins
 				t.Fatal(err)
 			}
 		}
 		if want.InFlight || want.Attempts > 0 && !want.MayHaveRun {
-			attempt(&e, want.LastAttemptAt, want.LastAttemptOn)
+			attempt(&message, want.LastAttemptAt, want.LastAttemptOn)
 		}
 		if want.Attempts > 0 && !want.MayHaveRun && !want.InFlight {
-			l.EndAttempt(&e, true)
+			log.EndAttempt(&message, true)
 		}
 		if want.NoticePending {
-			l.EndWithNotice(&e, want.Notice)
+			log.EndWithNotice(&message, want.Notice)
 		}
 	}
-	ended, acknowledged := take(t, l, "ended", 3), take(t, l, "acknowledged", 3)
-	l.End(ended)
-	l.EndWithNotice(acknowledged, Notice{})
-	l.Ack(acknowledged)
-	if err := l.Flush(); err != nil {
+	ended, acknowledged := take(t, log, "ended", 3), take(t, log, "acknowledged", 3)
+	log.End(ended)
+	log.EndWithNotice(acknowledged, Notice{})
+	log.Ack(acknowledged)
+	if err := log.Flush(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -85,13 +85,13 @@
 // and compacted, is read with every value in place; and the same calls still write the same bytes.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, dir, 1<<20)
-	writeStored(t, l)
+	log := open(t, dir, 1<<20)
+	writeStored(t, log)
 	appended, err := os.ReadFile(filepath.Join(dir, logName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = l.compact(); err != nil {
+	if err = log.compact(); err != nil {
 		t.Fatal(err)
 	}
 	compacted, err := os.ReadFile(filepath.Join(dir, logName))
