--- a/control/config_test.go
+++ b/control/config_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -20,8 +21,9 @@
 	} {
 		set := settings()
 		if spoil(&set); true {
-			if _, err := New(set, 1); err == nil {
-				t.Errorf("%s: no error", name)
+			var invalid *SettingError
+			if _, err := New(set, 1); !errors.As(err, &invalid) {
+				t.Errorf("%s: error %v, want a SettingError", name, err)
 			}
 		}
 	}
@@ -37,3 +39,17 @@
 		}
 	}
 }
+
+// The texts come to operators through the check of a relay's configuration.
+func TestSettingError_NamesKeyAndFigure(t *testing.T) {
+	for want, spoil := range map[string]func(*Settings){
+		"control: settings: Me is 7, want a number below Peers, 2":                     func(s *Settings) { s.Index, s.Peers = 7, 2 },
+		"control: settings: Classes[0].LateWorth is -0.5, want a number of 0 at least": func(s *Settings) { s.Classes[0].LateValue = -0.5 },
+	} {
+		set := settings()
+		spoil(&set)
+		if _, err := New(set, 1); err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+}
