--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -5,25 +5,20 @@
 	"crypto/x509"
 	"encoding/json"
 	"encoding/pem"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
-	"net/url"
 	"os"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/tidwall/gjson"
 
-	"mastusher/control"
 	"mastusher/internal/relay/config"
 	"mastusher/internal/relay/engine"
 	"mastusher/internal/relay/httpwire"
@@ -31,6 +26,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
+// settings have a class that is deduplicated by key within 4 s and one that is safe to repeat.
 const settings = `{"allowed": {"cancel": true, "max_attempts": 6, "max_open": 4000, "max_retry_after": 3000000, "retry_after": true},
   "family_info": {"kind_apart": [true], "per_call": [1], "workers": 64}, "peers_total": 1, "round": 1000,
   "lanes": [{"name": "match-event", "effect": "token", "group": "all", "memory_span": 4000000, "aim": 3000000,
@@ -42,34 +38,40 @@
 	client    = Signer{KeyID: "http://client.example/actor#main-key", Key: clientKey}
 )
 
-// standIn is a system outside: an inbox that checks the signature of what it gets.
-type standIn struct {
+// remoteInbox is the inbox of another system, which checks the signatures of what it gets.
+type remoteInbox struct {
 	address string
 	keys    keyring
 }
 
-func stand(t *testing.T, handle func(id string, body gjson.Result) httpwire.Answer) *standIn {
-	l := wiretest.Listen(t)
-	in := &standIn{address: l.Addr().String(), keys: keyring{}}
-	serve(t, l, func(q *httpwire.Request) httpwire.Answer {
-		if _, err := Verify(q, in.keys, time.Now(), time.Minute); err != nil {
+// newInbox serves an inbox until the end of the test.
+func newInbox(t *testing.T, handle func(id string, body gjson.Result) httpwire.Answer) *remoteInbox {
+	t.Helper()
+	listener := wiretest.Listen(t)
+	inbox := &remoteInbox{address: listener.Addr().String(), keys: keyring{}}
+	serve(t, listener, func(request *httpwire.Request) httpwire.Answer {
+		if _, err := Verify(request, inbox.keys, time.Now(), time.Minute); err != nil {
 			t.Errorf("a request whose signature is not good: %v", err)
 		}
-		body := gjson.ParseBytes(q.Body)
+		body := gjson.ParseBytes(request.Body)
 		return handle(body.Get("id").String(), body)
 	})
-	return in
+	return inbox
 }
 
-func serve(t *testing.T, l net.Listener, handle httpwire.Handler) {
-	lim := &config.Limits{HeadSize: 16 << 10, BodySize: 64 << 10, ClientConnections: 400, FrontIdle: time.Minute, FrontRead: time.Minute, FrontWrite: time.Minute}
-	s := httpwire.NewServer(lim, handle)
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { _ = l.Close(); s.Close(time.Minute) })
+// serve runs a server until the end of the test.
+func serve(t *testing.T, listener net.Listener, handle httpwire.Handler) {
+	t.Helper()
+	limits := &config.Limits{HeadSize: 16 << 10, BodySize: 64 << 10, ClientConnections: 400, FrontIdle: time.Minute, FrontRead: time.Minute,
+		FrontWrite: time.Minute}
+	server := httpwire.NewServer(limits, handle)
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = listener.Close(); server.Close(time.Minute) })
 }
 
-// start runs a relay with this front, a partner 'herald' and a client; it returns the front and its address.
-func start(t *testing.T, answers *standIn, inboxes ...*standIn) (*Front, string) {
+// start runs a relay with this front, a partner 'herald' with the inboxes, and a client that gets answers at its own. It returns the front and
+// its address.
+func start(t *testing.T, answers *remoteInbox, inboxes ...*remoteInbox) (*Front, string) {
 	t.Helper()
 	dir := t.TempDir()
 	private, _ := x509.MarshalPKCS8PrivateKey(clientKey)
@@ -80,9 +82,9 @@
 		}
 	}
 	var urls []string
-	for _, in := range append(inboxes, answers) {
-		in.keys["http://relay.example/actor#main-key"] = clientKey.Public()
-		urls = append(urls, "http://"+in.address+"/inbox")
+	for _, inbox := range append(inboxes, answers) {
+		inbox.keys["http://relay.example/actor#main-key"] = clientKey.Public()
+		urls = append(urls, "http://"+inbox.address+"/inbox")
 	}
 	text, _ := json.Marshal(map[string]any{"state": dir, "settings": json.RawMessage(settings), "activitypub": map[string]any{
 		"listen": "-", "actor": "http://relay.example/actor", "key_file": filepath.Join(dir, "key"),
@@ -94,118 +96,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	jour, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
+	log, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	core, err := engine.New(cfg, jour, log, time.Now())
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	core, err := engine.New(cfg, log, logger, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, pool, err := New(cfg, core, log)
+	front, destinations, err := New(cfg, core, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.AddFront(Name, f, pool)
+	core.AddFront(Name, front, destinations)
 	core.Restore(time.Now())
 	ended := make(chan bool)
 	go func() { core.Run(); ended <- true }()
-	l := wiretest.Listen(t)
-	serve(t, l, f.Handle)
+	listener := wiretest.Listen(t)
+	serve(t, listener, front.Handle)
 	t.Cleanup(func() { core.Drain(); <-core.Drained(); core.Stop(); <-ended })
-	return f, l.Addr().String()
+	return front, listener.Addr().String()
 }
 
+// activity is an activity of the client.
 func activity(kind, id string) string {
 	return fmt.Sprintf(`{"id":"%s","type":"%s","actor":"http://client.example/actor","object":"goal"}`, id, kind)
 }
 
-// TestInbox_BadInput_HasItsStatus: each kind of bad input gets a status that says what is wrong, and nothing is taken on.
-func TestInbox_BadInput_HasItsStatus(t *testing.T) {
-	good := activity("Create", "http://client.example/1")
-	for _, c := range []struct {
-		name, path, body string
-		change           func(h []string) []string // of the signed headers
-		status, why      string
-	}{
-		{"get", "", good, nil, "405 Method Not Allowed", "want POST"},
-		{"unknown destination", "/inbox/nobody", good, nil, "404 Not Found", "no such inbox"},
-		{"not an activity", "", good, set("Content-Type", "text/plain"), "415 Unsupported Media Type", "want " + contentType},
-		{"unsigned", "", good, set("Signature", ""), "401 Unauthorized", "the request is not signed"},
-		{"stranger", "", good, set("Signature", `keyId="x"`), "401 Unauthorized", "the signature's key is not known"},
-		{"part unsigned", "", good, set("Signature", `keyId="`+client.KeyID+`",headers="date"`), "401 Unauthorized",
-			"the signature does not cover (request-target)"},
-		{"too old", "", good, set("Date", "Mon, 02 Jan 2006 15:04:05 GMT"), "401 Unauthorized",
-			"the date is too far from this relay's clock"},
-		{"wrong digest", "", good, set("Digest", digestOf(nil)), "400 Bad Request", "the digest is not that of the body"},
-		{"signed by another", "", good, set("Signature", `keyId="`+client.KeyID+`",headers="(request-target) host date digest",signature="AAAA"`),
-			"401 Unauthorized", "the signature is wrong"},
-		{"not JSON", "", `{"id":`, nil, "400 Bad Request", "the body is not JSON"},
-		{"no id", "", `{"type":"Create"}`, nil, "400 Bad Request", "the activity has no usable id"},
-		{"another's activity", "", strings.Replace(good, "client.ex", "other.ex", 2), nil, "403 Forbidden",
-			"the activity's actor does not own the key"},
-		{"no class", "", activity("Like", "x"), nil, "422 Unprocessable Content", "no class for this type of activity"},
-		{"bad time", "", strings.Replace(good, `"object"`, `"endTime":"soon","object"`, 1), nil, "400 Bad Request", "endTime can't be read"},
-		{"too late", "", strings.Replace(good, `"object"`, `"endTime":"2006-01-02T15:04:05Z","object"`, 1), nil,
-			"422 Unprocessable Content", "endTime has passed"},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			none := stand(t, func(id string, _ gjson.Result) httpwire.Answer {
-				t.Errorf("%s was taken on", id)
-				return httpwire.Answer{Status: 202}
-			})
-			f, at := start(t, none, none)
-			method, path := "POST", c.path
-			if path == "" {
-				path = "/inbox/herald"
-			}
-			if c.name == "get" {
-				method = "GET"
-			}
-			h, _ := client.Headers(method, "relay.example", path, []byte(c.body), time.Now())
-			if c.change != nil {
-				h = c.change(h)
-			}
-			var lines []string
-			for i := 0; i < len(h); i += 2 {
-				lines = append(lines, "> "+h[i]+": "+h[i+1])
-			}
-			wiretest.Run(t, wiretest.Dial(t, at), "testdata/inbox.txt", "{method}", method, "{path}", path,
-				"{headers}", strings.Join(lines, "\n"), "{length}", strconv.Itoa(len(c.body)), "{body}", c.body,
-				"{status}", c.status, "{why}", c.why)
-			if len(f.ended) != 0 {
-				t.Error("it has had an end")
-			}
-		})
-	}
-}
-
-func set(name, value string) func([]string) []string {
-	return func(h []string) []string {
-		for i := range h {
-			if h[i] == name {
-				h[i+1] = value
-			}
-		}
-		return h
-	}
-}
-
-// post hands in an activity and returns the immediate answer's status.
-func post(t *testing.T, conn net.Conn, r *httpwire.Reader, body string) int {
+// post submits an activity and returns the status of the immediate answer; 0: there was none.
+func post(t *testing.T, conn net.Conn, reader *httpwire.Reader, body string) int {
 	t.Helper()
-	h, err := client.Headers("POST", "relay.example", "/inbox/herald", []byte(body), time.Now())
+	header, err := client.Headers("POST", "relay.example", "/inbox/herald", []byte(body), time.Now())
 	if err != nil {
 		t.Error(err)
 	}
-	_, _ = conn.Write(httpwire.AppendRequest(nil, "POST", "/inbox/herald", "relay.example", h, []byte(body)))
-	p, err := r.ReadResponse()
+	_, _ = conn.Write(httpwire.AppendRequest(nil, "POST", "/inbox/herald", "relay.example", header, []byte(body)))
+	answer, err := reader.ReadResponse()
 	if err != nil {
 		t.Error(err)
 		return 0
 	}
-	return p.Status
+	return answer.Status
 }
 
 // TestFront_LateInbox_OneFinalAnswer covers an inbox that accepts but answers only when the message's time is up, and one that refuses
@@ -215,17 +147,17 @@
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			release, answers := make(chan struct{}), make(chan string, 9)
 			var seen atomic.Int32
-			slow := stand(t, func(string, gjson.Result) httpwire.Answer {
+			slow := newInbox(t, func(string, gjson.Result) httpwire.Answer {
 				seen.Add(1)
 				<-release
 				return httpwire.Answer{Status: status}
 			})
-			back := stand(t, func(_ string, b gjson.Result) httpwire.Answer {
-				answers <- b.Get("type").String() + " " + b.Get("object").String() + " " + b.Get("summary").String()
+			answered := newInbox(t, func(_ string, body gjson.Result) httpwire.Answer {
+				answers <- body.Get("type").String() + " " + body.Get("object").String() + " " + body.Get("summary").String()
 				return httpwire.Answer{Status: 202}
 			})
-			_, at := start(t, back, slow)
-			conn := wiretest.Dial(t, at)
+			_, address := start(t, answered, slow)
+			conn := wiretest.Dial(t, address)
 			if got := post(t, conn, httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14}), activity("Update", "x:1")); got != 202 {
 				t.Fatalf("status %d", got)
 			}
@@ -240,168 +172,112 @@
 	}
 }
 
-// TestFront_ThousandActivities_OneEndEach hands in a thousand match events. The partner's inboxes refuse some, fail some after they took
-// effect, and lose some; every client hears one end of each, and nothing takes effect twice outside its window.
+// activityLog is what partners' inboxes and a client have seen of activities.
+type activityLog struct {
+	mu            sync.Mutex
+	calls         int                  // at the partners' inboxes
+	effects       map[string]time.Time // when each activity took effect first, by id
+	repeated      int                  // effects outside the window of an activity
+	notifications int                  // at the client's inbox
+	answers       map[string]int       // by id of the activity
+	rejected      map[string]bool      // by id: the last answer was a rejection
+	answered      chan struct{}        // an element for each answer
+}
+
+// receive is a partner's inbox, which refuses some calls, and fails some after they took effect.
+func (log *activityLog) receive(id string, _ gjson.Result) httpwire.Answer {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.calls++
+	if log.calls%97 == 0 {
+		return httpwire.Answer{Status: 503, Header: []string{"Retry-After", "0.01"}}
+	}
+	if first, ok := log.effects[id]; !ok {
+		log.effects[id] = time.Now()
+	} else if time.Since(first) >= 4*time.Second {
+		log.repeated++
+	}
+	if log.calls%61 == 0 { // it took effect, but the answer does not say so
+		return httpwire.Answer{Status: 500}
+	}
+	return httpwire.Answer{Status: 202}
+}
+
+// notify is the client's inbox, which does not accept some answers: those are still outstanding.
+func (log *activityLog) notify(_ string, body gjson.Result) httpwire.Answer {
+	log.mu.Lock()
+	log.notifications++
+	refuse := log.notifications%17 == 0
+	log.mu.Unlock()
+	if refuse {
+		return httpwire.Answer{Status: 500}
+	}
+	log.answer(body.Get("object").String(), body.Get("type").String() == "Reject")
+	return httpwire.Answer{Status: 202}
+}
+
+// answer records an answer to an activity.
+func (log *activityLog) answer(id string, rejected bool) {
+	log.mu.Lock()
+	log.answers[id]++
+	log.rejected[id] = rejected
+	log.mu.Unlock()
+	log.answered <- struct{}{}
+}
+
+// TestFront_ThousandActivities_OneEndEach submits a thousand match events. The partner's inboxes refuse some, and fail some after they took
+// effect; the client gets one answer to each, and nothing takes effect twice outside its window.
 func TestFront_ThousandActivities_OneEndEach(t *testing.T) {
 	const events, posters = 1000, 8
-	var mu sync.Mutex
-	calls, told, effects := 0, 0, map[string]time.Time{}
-	twice := 0
-	handle := func(id string, _ gjson.Result) httpwire.Answer {
-		mu.Lock()
-		defer mu.Unlock()
-		calls++
-		if calls%97 == 0 {
-			return httpwire.Answer{Status: 503, Header: []string{"Retry-After", "0.01"}}
-		}
-		if first, ok := effects[id]; !ok {
-			effects[id] = time.Now()
-		} else if time.Since(first) >= 4*time.Second {
-			twice++
-		}
-		if calls%61 == 0 { // it took effect, but the answer says nothing of that
-			return httpwire.Answer{Status: 500}
-		}
-		return httpwire.Answer{Status: 202}
-	}
-	answers, all := map[string]int{}, make(chan struct{}, 4*events)
-	rejected := map[string]bool{}
-	back := stand(t, func(_ string, b gjson.Result) httpwire.Answer {
-		mu.Lock()
-		defer mu.Unlock()
-		if told++; told%17 == 0 { // the answer was not taken: it is owed still
-			return httpwire.Answer{Status: 500}
-		}
-		id := b.Get("object").String()
-		answers[id]++
-		rejected[id] = b.Get("type").String() == "Reject"
-		all <- struct{}{}
-		return httpwire.Answer{Status: 202}
-	})
-	_, at := start(t, back, stand(t, handle), stand(t, handle))
+	log := &activityLog{effects: map[string]time.Time{}, answers: map[string]int{}, rejected: map[string]bool{}, answered: make(chan struct{}, 4*events)}
+	_, address := start(t, newInbox(t, log.notify), newInbox(t, log.receive), newInbox(t, log.receive))
 	var posting sync.WaitGroup
-	for p := range posters {
+	for poster := range posters {
 		posting.Add(1)
 		go func() {
 			defer posting.Done()
-			conn := wiretest.Dial(t, at)
-			r := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 14})
-			for i := p; i < events; i += posters {
-				id := fmt.Sprint("x:", i)
-				if got := post(t, conn, r, activity("Create", id)); got == 429 { // that is its one answer
-					mu.Lock()
-					answers[id]++
-					rejected[id] = true
-					mu.Unlock()
-					all <- struct{}{}
-				} else if got != 202 && got != 200 {
-					t.Errorf("status %d", got)
+			conn := wiretest.Dial(t, address)
+			reader := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 14})
+			for i := poster; i < events; i += posters {
+				switch status := post(t, conn, reader, activity("Create", eventID(i))); status {
+				case 200, 202:
+				case 429: // that is its one answer
+					log.answer(eventID(i), true)
+				default:
+					t.Errorf("status %d", status)
 				}
 			}
 		}()
 	}
 	posting.Wait()
 	for range events {
-		<-all
+		<-log.answered
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	missing, extra, silent := 0, len(all), 0
+	log.check(t, events)
+}
+
+// eventID is the id of a test's activity.
+func eventID(i int) string { return fmt.Sprint("x:", i) }
+
+// check fails the test unless each of the events has had one answer, which is true.
+func (log *activityLog) check(t *testing.T, events int) {
+	t.Helper()
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	missing, extra, lost := 0, len(log.answered), 0
 	for i := range events {
-		id := fmt.Sprint("x:", i)
-		if answers[id] != 1 {
+		id := eventID(i)
+		if log.answers[id] != 1 {
 			missing++
 		}
-		if _, ok := effects[id]; !ok && !rejected[id] {
-			silent++
+		if _, ok := log.effects[id]; !ok && !log.rejected[id] {
+			lost++
 		}
 	}
-	t.Logf("%d of %d events took effect, in %d calls", len(effects), events, calls)
-	if missing+extra+twice+silent != 0 {
+	t.Logf("%d of %d events took effect, in %d calls", len(log.effects), events, log.calls)
+	if missing+extra+log.repeated+lost != 0 {
 		t.Errorf("of %d events %d have no one answer, %d answers are too many, %d took effect twice outside the window, "+
-			"%d were said to be delivered and were not", events, missing, extra, twice, silent)
-	}
-}
-
-// TestInbox_ActivityComesAgain: an activity that comes again after its end.
-func TestInbox_ActivityComesAgain(t *testing.T) {
-	now := time.Now()
-	for _, c := range []struct {
-		name  string
-		kind  string
-		end   end
-		again bool
-		ranAt time.Time
-		err   error
-	}{
-		{"delivered", "Create", end{delivered: true, ranAt: now}, true, time.Time{}, nil},
-		{"never ran", "Create", end{}, false, time.Time{}, nil},
-		{"within its window", "Create", end{ranAt: now.Add(-time.Second)}, false, now.Add(-time.Second), nil},
-		{"past its window", "Create", end{ranAt: now.Add(-5 * time.Second)}, false, time.Time{},
-			&RequestError{409, "it may have taken effect, and can't be repeated any more"}},
-		{"safe", "Update", end{ranAt: now.Add(-5 * time.Second)}, false, now.Add(-5 * time.Second), nil},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			none := stand(t, nil)
-			f, _ := start(t, none, none)
-			f.Now = func() time.Time { return now }
-			f.ended["x:1"] = c.end
-			body := []byte(activity(c.kind, "x:1"))
-			h, _ := client.Headers("POST", "h", "/inbox/herald", body, now)
-			q := &httpwire.Request{Method: "POST", Path: "/inbox/herald", Header: map[string][]string{"Host": {"h"}}, Body: body}
-			for i := 0; i < len(h); i += 2 {
-				q.Header.Set(h[i], h[i+1])
-			}
-			m, again, err := f.message(q)
-			var want, got *RequestError
-			errors.As(c.err, &want)
-			errors.As(err, &got)
-			if d := cmp.Diff(want, got); d != "" || again != c.again || c.err == nil && !m.MayHaveRunAt.Equal(c.ranAt) && !again {
-				t.Errorf("again %v, ran at %v, error (-want +got)\n%s", again, m.MayHaveRunAt, d)
-			}
-		})
-	}
-}
-
-// TestInbox_StandbyRouter_RefusesWithRetryAfter: a router that is not active takes nothing new on, and says when to come again.
-func TestInbox_StandbyRouter_RefusesWithRetryAfter(t *testing.T) {
-	none := stand(t, nil)
-	f, at := start(t, none, none)
-	f.Open = func() bool { return false }
-	conn := wiretest.Dial(t, at)
-	wiretest.Run(t, conn, "testdata/stand-by.txt")
-}
-
-// TestFront_EveryAnswer_HasItsOutcome maps every answer of an inbox.
-func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
-	got := map[int]string{}
-	for _, s := range []int{200, 202, 301, 400, 401, 403, 404, 408, 410, 429, 500, 503, 504} {
-		o := outcome(&httpwire.Response{Status: s, Header: map[string][]string{"Retry-After": {"2"}}})
-		got[s] = fmt.Sprint(o.Result, o.RetryAfter)
-	}
-	const ok, errored, full, rejected = "0 0s", "1 0s", "2 2s", "8 0s"
-	want := map[int]string{200: ok, 202: ok, 301: rejected, 400: rejected, 401: rejected, 403: rejected, 404: rejected,
-		408: errored, 410: rejected, 429: full, 500: errored, 503: full, 504: errored}
-	if d := cmp.Diff(want, got); d != "" {
-		t.Errorf("(-want +got)\n%s", d)
-	}
-}
-
-// TestFront_MalformedAnswer_FirstLineCounts: as on the other front, the first line of a spoilt answer tells a delivery, and nothing else.
-func TestFront_MalformedAnswer_FirstLineCounts(t *testing.T) {
-	none := stand(t, nil)
-	f, _ := start(t, none, none)
-	for status, want := range map[string]control.Result{"202": control.Delivered, "503": control.Malformed} {
-		l := wiretest.Listen(t)
-		go func() {
-			if conn, err := l.Accept(); err == nil {
-				wiretest.Run(t, conn, "testdata/spoilt.txt", "{status}", status)
-			}
-		}()
-		u := &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
-		if d := cmp.Diff(engine.Outcome{Result: want}, f.post(t.Context(), u, nil, nil, nil)); d != "" {
-			t.Errorf("%s (-want +got)\n%s", status, d)
-		}
+			"%d were said to be delivered and were not", events, missing, extra, log.repeated, lost)
 	}
 }
 
@@ -422,62 +298,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Signer{KeyID: "k", Key: private}
-	h, err := s.Headers("POST", "h", "/", nil, time.Now())
+	signer := Signer{KeyID: "k", Key: private}
+	header, err := signer.Headers("POST", "h", "/", nil, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := &httpwire.Request{Method: "POST", Path: "/", Header: map[string][]string{"Host": {"h"}}}
-	for i := 0; i < len(h); i += 2 {
-		q.Header.Set(h[i], h[i+1])
+	request := &httpwire.Request{Method: "POST", Path: "/", Header: map[string][]string{"Host": {"h"}}}
+	for i := 0; i < len(header); i += 2 {
+		request.Header.Set(header[i], header[i+1])
 	}
-	if id, err := Verify(q, keyring{"k": public}, time.Now(), time.Minute); err != nil || id != "k" {
+	if id, err := Verify(request, keyring{"k": public}, time.Now(), time.Minute); err != nil || id != "k" {
 		t.Errorf("id %q, error %v", id, err)
 	}
 }
 
-// TestFront_PluginHeaders_GoOutSigned: headers that plug-ins have set go out, and what is signed is the body as they have left it.
-func TestFront_PluginHeaders_GoOutSigned(t *testing.T) {
-	none := stand(t, nil)
-	f, _ := start(t, none, none)
-	l := wiretest.Listen(t)
-	got := make(chan *httpwire.Request, 1)
-	go func() {
-		conn, err := l.Accept()
-		if err != nil {
-			return
-		}
-		defer conn.Close()
-		if q, err := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 16}).ReadRequest(func() error { return nil }); err == nil {
-			got <- q
-		}
-		_, _ = conn.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
-	}()
-	inbox := "http://" + l.Addr().String() + "/inbox"
-	f.inboxes[inbox] = &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/inbox"}
-	step := engine.NewAttempt(engine.Destination{Name: inbox}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
-	if o := f.Call(t.Context(), step); o[0].Result != control.Delivered || step.SampledAnswer() == nil || step.SampledAnswer().Status != 202 {
-		t.Errorf("%+v, seen %+v", o, step.SampledAnswer())
-	}
-	q := <-got
-	if q.Header.Get("X-Desk") != "sports" || string(q.Body) != `{"id":"x:1"}` {
-		t.Errorf("%v %s", q.Header, q.Body)
-	}
-	public, err := publicPEM(f.signer.Key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	file := filepath.Join(t.TempDir(), "pub")
-	_ = os.WriteFile(file, public, 0o600)
-	key, err := ReadPublicKey(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Verify(q, keyring{f.signer.KeyID: key}, f.Now(), time.Hour); err != nil {
-		t.Errorf("the signature: %v", err)
-	}
-}
-
 // TestGuard_RewrittenActivity_StaysTheSame: a rewritten activity stays the same activity by the same actor, in every reader's eyes.
 func TestGuard_RewrittenActivity_StaysTheSame(t *testing.T) {
 	before := []byte(`{"id":"x","type":"Create","actor":"a","n":1}`)
--- a/internal/relay/activitypub/delivery.go
+++ b/internal/relay/activitypub/delivery.go
@@ -10,51 +10,51 @@
 	"mastusher/internal/relay/platform"
 )
 
-// Call delivers activities to an inbox, one a request.
+// Call implements engine.Front: it delivers activities to an inbox, one a request.
 func (f *Front) Call(ctx context.Context, attempt *engine.Attempt) []engine.Outcome {
-	outs := make([]engine.Outcome, len(attempt.Items))
+	outcomes := make([]engine.Outcome, len(attempt.Items))
 	for i := range attempt.Items {
 		item := &attempt.Items[i]
-		outs[i] = f.post(ctx, f.inboxes[attempt.To.Name], item.Body, item.Headers, attempt)
+		outcomes[i] = f.post(ctx, f.inboxes[attempt.To.Name], item.Body, item.Headers, attempt)
 	}
-	return outs
+	return outcomes
 }
 
-// post signs a body and posts it, for a step or, where that is nil, as an answer to a client.
-func (f *Front) post(ctx context.Context, u *url.URL, body []byte, more []string, attempt *engine.Attempt) (o engine.Outcome) {
-	if u == nil {
+// post signs a body and posts it to an inbox, for an attempt or, where that is nil, as an answer to a client. It returns the outcome.
+func (f *Front) post(ctx context.Context, inbox *url.URL, body []byte, extraHeaders []string, attempt *engine.Attempt) (result engine.Outcome) {
+	if inbox == nil {
 		return engine.Outcome{Result: control.Rejected}
 	}
-	head, err := f.signer.Headers("POST", u.Host, u.RequestURI(), body, f.Now())
+	header, err := f.signer.Headers("POST", inbox.Host, inbox.RequestURI(), body, f.Now())
 	if err != nil {
 		f.log.Error("activity not signed", "err", err)
 		return engine.Outcome{Result: control.NotProcessed}
 	}
-	request := httpwire.AppendRequest(nil, "POST", u.RequestURI(), u.Host, append(head, more...), body)
+	request := httpwire.AppendRequest(nil, "POST", inbox.RequestURI(), inbox.Host, append(header, extraHeaders...), body)
 	var mayWrite func() bool
 	if attempt != nil {
 		mayWrite = attempt.MayWrite
 	}
-	stage := f.pool.Do(ctx, httpwire.Peer{Address: address(u)}, request, mayWrite, func(p *httpwire.Response) {
-		if o = outcome(p); attempt != nil {
-			attempt.ObserveAnswer(p.Status, p.Header, p.Body)
+	stage := f.pool.Do(ctx, httpwire.Peer{Address: address(inbox)}, request, mayWrite, func(answer *httpwire.Response) {
+		if result = outcome(answer); attempt != nil {
+			attempt.ObserveAnswer(answer.Status, answer.Header, answer.Body)
 		}
 	})
-	if r, failed := platform.StageResult(stage); failed && (stage != httpwire.Malformed || o.Result != control.Delivered) {
-		o = engine.Outcome{Result: r}
+	if failure, failed := platform.StageResult(stage); failed && (stage != httpwire.Malformed || result.Result != control.Delivered) {
+		result = engine.Outcome{Result: failure}
 	}
-	return o
+	return result
 }
 
-// outcome maps an inbox's answer. A status that no rule names is taken for a refusal for good if it blames
-// the request, and for one that may have run if it blames the server.
-func outcome(p *httpwire.Response) engine.Outcome {
-	switch s := p.Status; {
-	case s >= 200 && s < 300:
+// outcome is what an inbox's answer means. A status that is not listed is a final refusal where it blames the request, and may have run where it
+// blames the server.
+func outcome(answer *httpwire.Response) engine.Outcome {
+	switch status := answer.Status; {
+	case status >= 200 && status < 300:
 		return engine.Outcome{Result: control.Delivered}
-	case s == 429 || s == 503:
-		return engine.Outcome{Result: control.Throttled, RetryAfter: platform.RetryAfter(p.Header.Get("Retry-After"))}
-	case s == 408 || s >= 500:
+	case status == 429 || status == 503:
+		return engine.Outcome{Result: control.Throttled, RetryAfter: platform.RetryAfter(answer.Header.Get("Retry-After"))}
+	case status == 408 || status >= 500:
 		return engine.Outcome{Result: control.Errored}
 	}
 	return engine.Outcome{Result: control.Rejected} // 401 and 403 refuse the signature, 404 and 410 the inbox
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -17,7 +17,7 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// Name is this front's name in the journal.
+// Name is this front's name in the journal and in captures: it must not change.
 const Name = "activitypub"
 
 // Guard is what plug-ins may change here: headers that neither the signature nor the protocol owns, and the body
@@ -28,7 +28,7 @@
 		return false
 	}
 	was, is := gjson.ParseBytes(before), gjson.ParseBytes(after)
-	times := map[string]int{} // a key that stands there twice is read differently by different partners
+	times := map[string]int{} // of a key that occurs twice partners may read either value
 	is.ForEach(func(k, _ gjson.Result) bool { times[k.String()]++; return true })
 	for _, key := range []string{"id", "actor", "type", "endTime"} {
 		if was.Get(key).Raw != is.Get(key).Raw || times[key] > 1 {
@@ -38,16 +38,17 @@
 	return is.IsObject()
 }}
 
+// contentType is that of activities and of the actor document.
 const contentType = "application/activity+json"
 
-// Submitter is the part of the core that takes messages on.
+// Submitter is the part of engine.Core that accepts messages; see there.
 type Submitter interface {
 	Submit(front string, m engine.Message) engine.Reply
 	Withdraw(engine.Reply)
 	Ready() bool
 }
 
-// Front speaks ActivityPub.
+// Front is an engine.Front of ActivityPub. Its fields but ended and endedOrder are not changed once it serves.
 type Front struct {
 	cfg      *config.ActivityPub
 	limits   *config.Limits
@@ -56,34 +57,34 @@
 	pool     *httpwire.Pool
 	signer   Signer
 	actorDoc []byte // the actor document
-	path     string // where it stands
+	path     string // of the actor document
 
 	keys           keyring
-	owners         map[string]*config.Client // by key id
+	owners         map[string]*config.Client // of keys, by key id
 	clients        map[string]*config.Client // by actor
 	inboxes        map[string]*url.URL       // by destination's name
 	partners       map[string]config.Partner // by name
 	classes        map[string]int            // by type of activity
 	messageClasses []control.Class
 
-	// Open tells whether new messages are taken on at this router; see VRRP. nil: always.
+	// Open reports whether this machine accepts new messages: package vrrp's Instance.Active. nil: always.
 	Open func() bool
 	// Now is the clock for dates and deadlines.
 	Now func() time.Time
 
-	mu         sync.Mutex
+	mu         sync.Mutex     // guards ended and endedOrder
 	ended      map[string]end // messages that have ended, by id
 	endedOrder []string       // their ids, the oldest first
 }
 
-// New returns the front of core, and its destinations; it still has to be added to it. Its error is a *policy.KeyError.
+// New returns a front of core and its destinations, which the caller must add to it by core.AddFront. Its error is a config.KeyError.
 func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	section := cfg.ActivityPub
-	f := &Front{cfg: section, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
+	front := &Front{cfg: section, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
 		keys: keyring{}, owners: map[string]*config.Client{}, clients: map[string]*config.Client{},
 		inboxes: map[string]*url.URL{}, partners: map[string]config.Partner{}, classes: map[string]int{},
 		messageClasses: cfg.Settings.Classes, Now: time.Now, ended: map[string]end{}}
-	if err := f.setActor(); err != nil {
+	if err := front.setActor(); err != nil {
 		return nil, engine.EndpointList{}, err
 	}
 	for i := range section.Clients {
@@ -92,24 +93,24 @@
 		if err != nil {
 			return nil, engine.EndpointList{}, config.NewKeyError(fmt.Sprintf("activitypub.clients.%d.key_file", i), err.Error())
 		}
-		f.keys[client.KeyID] = key
-		f.owners[client.KeyID], f.clients[client.Actor] = client, client
+		front.keys[client.KeyID] = key
+		front.owners[client.KeyID], front.clients[client.Actor] = client, client
 	}
 	for kind, name := range section.Classes {
-		for i := range f.messageClasses {
-			if f.messageClasses[i].Name == name {
-				f.classes[kind] = i
+		for i := range front.messageClasses {
+			if front.messageClasses[i].Name == name {
+				front.classes[kind] = i
 			}
 		}
 	}
-	destinations, err := f.setPartners()
+	destinations, err := front.setPartners()
 	if err != nil {
 		return nil, engine.EndpointList{}, err
 	}
-	return f, engine.EndpointList{Complete: true, Destinations: destinations}, nil
+	return front, engine.EndpointList{Complete: true, Destinations: destinations}, nil
 }
 
-// setActor reads this relay's key and makes its actor document.
+// setActor reads this relay's key and encodes its actor document.
 func (f *Front) setActor() error {
 	key, err := ReadKey(f.cfg.KeyFile)
 	if err != nil {
@@ -128,24 +129,24 @@
 	return nil
 }
 
-// setPartners makes the partners known, and returns their inboxes as destinations.
+// setPartners adds the partners of the configuration, and returns their inboxes as destinations.
 func (f *Front) setPartners() (destinations []engine.Destination, err error) {
 	for i, partner := range f.cfg.Partners {
 		f.partners[partner.Name] = partner
-		for k, inbox := range partner.Inboxes {
-			u, err := url.Parse(inbox)
-			if err != nil || u.Host == "" {
-				return nil, config.NewKeyError(fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, k), "not a URL")
+		for n, inbox := range partner.Inboxes {
+			inboxURL, err := url.Parse(inbox)
+			if err != nil || inboxURL.Host == "" {
+				return nil, config.NewKeyError(fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, n), "not a URL")
 			}
-			f.inboxes[inbox] = u
-			destinations = append(destinations, engine.Destination{Name: inbox, Address: address(u),
+			f.inboxes[inbox] = inboxURL
+			destinations = append(destinations, engine.Destination{Name: inbox, Address: address(inboxURL),
 				Zone: partner.Zone, Kind: partner.Kind, Partner: partner.Destination})
 		}
 	}
 	return destinations, nil
 }
 
-// address is where a URL's host listens.
+// address is the host and port of a URL.
 func address(u *url.URL) string {
 	if u.Port() == "" {
 		return u.Host + ":80"
@@ -153,6 +154,7 @@
 	return u.Host
 }
 
+// actorDocument encodes the actor of a URL with its public key, a PEM block.
 func actorDocument(a *config.ActivityPub, u *url.URL, public string) []byte {
 	b := []byte(`{"@context":["https://www.w3.org/ns/activitystreams","https://w3id.org/security/v1"],"type":"Service","id":`)
 	b = append(gjson.AppendJSONString(b, a.Actor), `,"inbox":`...)
@@ -162,10 +164,10 @@
 	return append(gjson.AppendJSONString(b, public), "}}\n"...)
 }
 
-// NotifiesDeliveries is true: whoever hands in an activity gets one Accept or Reject.
+// NotifiesDeliveries implements engine.Front. It is true: each activity is answered by one Accept or Reject.
 func (f *Front) NotifiesDeliveries() bool { return true }
 
-// CloseIdle closes idle connections.
+// CloseIdle implements engine.Front.
 func (f *Front) CloseIdle(to *engine.Destination) {
 	if to == nil {
 		f.pool.CloseIdle(httpwire.Peer{})
@@ -174,5 +176,5 @@
 	}
 }
 
-// Watch has nothing to follow: the partners stand in the configuration.
+// Watch implements engine.Front. There is no list to watch: the partners are in the configuration.
 func (f *Front) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
--- a/internal/relay/activitypub/keys.go
+++ b/internal/relay/activitypub/keys.go
@@ -7,43 +7,61 @@
 	"crypto/x509"
 	"encoding/pem"
 	"errors"
-	"fmt"
 	"os"
 )
 
-// ReadKey reads a private key from a PEM file, PKCS #8 or PKCS #1.
+// KeyFileError is a file that has no usable key.
+type KeyFileError struct {
+	File string
+	Err  error
+}
+
+// Error names the file and the cause.
+func (e *KeyFileError) Error() string { return e.File + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *KeyFileError) Unwrap() error { return e.Err }
+
+// Causes of a KeyFileError, beside those of package x509.
+var (
+	errNotSigner  = errors.New("not a key that signs")
+	errNoPEMBlock = errors.New("no PEM block")
+)
+
+// ReadKey reads a private key from a PEM file, PKCS #8 or PKCS #1. It returns a KeyFileError, or the error of the file.
 func ReadKey(file string) (crypto.Signer, error) {
 	block, err := readPEM(file)
 	if err != nil {
 		return nil, err
 	}
-	if k, pkcs1Err := x509.ParsePKCS1PrivateKey(block); pkcs1Err == nil {
-		return k, nil
+	if key, pkcs1Err := x509.ParsePKCS1PrivateKey(block); pkcs1Err == nil {
+		return key, nil
 	}
-	k, err := x509.ParsePKCS8PrivateKey(block)
+	key, err := x509.ParsePKCS8PrivateKey(block)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, &KeyFileError{file, err}
 	}
-	s, ok := k.(crypto.Signer)
+	signer, ok := key.(crypto.Signer)
 	if !ok {
-		return nil, fmt.Errorf("%s: not a key that signs", file)
+		return nil, &KeyFileError{file, errNotSigner}
 	}
-	return s, nil
+	return signer, nil
 }
 
-// ReadPublicKey reads a public key from a PEM file.
+// ReadPublicKey reads a public key (PKIX) from a PEM file. It returns a KeyFileError, or the error of the file.
 func ReadPublicKey(file string) (crypto.PublicKey, error) {
 	block, err := readPEM(file)
 	if err != nil {
 		return nil, err
 	}
-	k, err := x509.ParsePKIXPublicKey(block)
+	key, err := x509.ParsePKIXPublicKey(block)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, &KeyFileError{file, err}
 	}
-	return k, nil
+	return key, nil
 }
 
+// readPEM returns the content of the first PEM block of a file.
 func readPEM(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -51,14 +69,18 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil {
-		return nil, errors.New(file + ": no PEM block")
+		return nil, &KeyFileError{file, errNoPEMBlock}
 	}
 	return block.Bytes, nil
 }
 
-// MakeKey writes a new private key to file and its public half to file.pub. Neither may exist.
+// rsaBits is the size of new keys.
+const rsaBits = 2048
+
+// MakeKey writes a new private key (RSA, PKCS #8) to file, readable by its owner alone, and its public half to file.pub. It fails where either
+// file exists.
 func MakeKey(file string) error {
-	key, err := rsa.GenerateKey(rand.Reader, 2048)
+	key, err := rsa.GenerateKey(rand.Reader, rsaBits)
 	if err != nil {
 		return err
 	}
@@ -76,11 +98,13 @@
 	return writeNew(file+".pub", public, 0o644)
 }
 
+// publicPEM returns the public half of a key as PEM.
 func publicPEM(key crypto.Signer) ([]byte, error) {
-	b, err := x509.MarshalPKIXPublicKey(key.Public())
-	return pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: b}), err
+	encoded, err := x509.MarshalPKIXPublicKey(key.Public())
+	return pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: encoded}), err
 }
 
+// writeNew writes a file that must not exist.
 func writeNew(file string, text []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
--- a/internal/relay/activitypub/notices.go
+++ b/internal/relay/activitypub/notices.go
@@ -15,78 +15,78 @@
 	"mastusher/internal/relay/engine"
 )
 
-// end is how a message ended, to answer for when it comes again.
+// end is how a message ended, for the answer to duplicates.
 type end struct {
 	delivered bool
-	ranAt     time.Time // zero: it never ran
+	ranAt     time.Time // when an attempt began that may have run; zero: none
 }
 
-// Notify posts to each client the one final answer to what it handed in. A client that refuses it for good
-// has had it.
+// Notify implements engine.Front: it posts to each client the one final answer to its activity, Limits.ParallelNotices at a time. A client that
+// refuses the answer for good counts as having accepted it.
 func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
-	taken := make([]bool, len(notices))
-	room := make(chan struct{}, f.limits.ParallelNotices)
-	var all sync.WaitGroup
+	accepted := make([]bool, len(notices))
+	slots := make(chan struct{}, f.limits.ParallelNotices)
+	var calls sync.WaitGroup
 	for i := range notices {
-		n := &notices[i]
-		f.remember(n)
-		c := f.clients[gjson.GetBytes(n.Body, "actor").String()]
-		if c == nil { // no longer in the configuration
-			f.log.Warn("no recipient for final notification", "id", n.ID)
-			taken[i] = true
+		notice := &notices[i]
+		f.remember(notice)
+		client := f.clients[gjson.GetBytes(notice.Body, "actor").String()]
+		if client == nil { // no longer in the configuration
+			f.log.Warn("no recipient for final notification", "id", notice.ID)
+			accepted[i] = true
 			continue
 		}
-		u, err := url.Parse(c.Inbox)
+		inbox, err := url.Parse(client.Inbox)
 		if err != nil {
-			taken[i] = true
+			accepted[i] = true
 			continue
 		}
-		all.Add(1)
-		room <- struct{}{}
+		calls.Add(1)
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-room; all.Done() }()
-			r := f.post(ctx, u, f.answer(n), nil, nil).Result
-			taken[i] = r == control.Delivered || r == control.Rejected
+			defer func() { <-slots; calls.Done() }()
+			result := f.post(ctx, inbox, f.answer(notice), nil, nil).Result
+			accepted[i] = result == control.Delivered || result == control.Rejected
 		}()
 	}
-	all.Wait()
-	return taken
+	calls.Wait()
+	return accepted
 }
 
-// answer is an Accept for a delivery and a Reject for all else. Its id is the same each time it is sent.
-func (f *Front) answer(n *engine.Notice) []byte {
-	kind, how := "Reject", "given_up"
-	c := &f.messageClasses[n.Class]
-	once := !n.MayHaveRunAt.IsZero() && c.Effect == control.Keyed // it may have taken effect: only the window allows more
-	back := n.HandedBack && (!once || f.Now().Before(n.MayHaveRunAt.Add(c.Memory)))
-	if n.Delivered {
-		kind, how = "Accept", "delivered"
-	} else if back {
-		how = "handed_back"
+// answer is an Accept for a delivery and a Reject for all else. Its id is the same each time it is sent, so that clients can recognize repeats.
+func (f *Front) answer(notice *engine.Notice) []byte {
+	kind, outcome := "Reject", "given_up"
+	class := &f.messageClasses[notice.Class]
+	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // it may have taken effect: it may be repeated only within its window
+	handedBack := notice.HandedBack && (!bounded || f.Now().Before(notice.MayHaveRunAt.Add(class.Memory)))
+	if notice.Delivered {
+		kind, outcome = "Accept", "delivered"
+	} else if handedBack {
+		outcome = "handed_back"
 	}
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d", n.ID, n.Deadline.UnixMicro()))
-	b := []byte(`{"@context":"https://www.w3.org/ns/activitystreams","id":`)
-	b = append(gjson.AppendJSONString(b, f.cfg.Actor+"/answers/"+hex.EncodeToString(sum[:16])), `,"type":"`...)
-	b = append(append(append(b, kind...), `","actor":`...), gjson.AppendJSONString(nil, f.cfg.Actor)...)
-	b = append(gjson.AppendJSONString(append(b, `,"object":`...), n.ID), `,"summary":"`...)
-	b = append(append(b, how...), '"')
-	if back { // when to come again, and, if it may have taken effect, until when
-		b = fmt.Appendf(b, `,"retryAfter":%s`, seconds(n.RetryAfter))
-		if once {
-			b = fmt.Appendf(b, `,"endTime":"%s"`, n.MayHaveRunAt.Add(c.Memory).UTC().Format(time.RFC3339Nano))
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d", notice.ID, notice.Deadline.UnixMicro()))
+	answer := []byte(`{"@context":"https://www.w3.org/ns/activitystreams","id":`)
+	answer = append(gjson.AppendJSONString(answer, f.cfg.Actor+"/answers/"+hex.EncodeToString(sum[:16])), `,"type":"`...)
+	answer = append(append(append(answer, kind...), `","actor":`...), gjson.AppendJSONString(nil, f.cfg.Actor)...)
+	answer = append(gjson.AppendJSONString(append(answer, `,"object":`...), notice.ID), `,"summary":"`...)
+	answer = append(append(answer, outcome...), '"')
+	if handedBack { // when it may be submitted again, and, if it may have taken effect, until when
+		answer = fmt.Appendf(answer, `,"retryAfter":%s`, seconds(notice.RetryAfter))
+		if bounded {
+			answer = fmt.Appendf(answer, `,"endTime":"%s"`, notice.MayHaveRunAt.Add(class.Memory).UTC().Format(time.RFC3339Nano))
 		}
 	}
-	return append(b, '}')
+	return append(answer, '}')
 }
 
-// remember keeps how a message ended, for as many as the limits allow.
-func (f *Front) remember(n *engine.Notice) {
+// remember stores how a message ended, for the last Limits.MaxRemembered messages.
+func (f *Front) remember(notice *engine.Notice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, ok := f.ended[n.ID]; !ok {
-		f.endedOrder = append(f.endedOrder, n.ID)
+	if _, ok := f.ended[notice.ID]; !ok {
+		f.endedOrder = append(f.endedOrder, notice.ID)
 	}
-	f.ended[n.ID] = end{delivered: n.Delivered, ranAt: n.MayHaveRunAt}
+	f.ended[notice.ID] = end{delivered: notice.Delivered, ranAt: notice.MayHaveRunAt}
 	for len(f.endedOrder) > f.limits.MaxRemembered {
 		delete(f.ended, f.endedOrder[0])
 		f.endedOrder = f.endedOrder[1:]
--- a/internal/relay/activitypub/signature.go
+++ b/internal/relay/activitypub/signature.go
@@ -17,21 +17,20 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// HTTP signatures as the Fediverse makes them: draft-cavage-http-signatures-12 over the request target, host,
-// date and digest, with RSA (PKCS #1 v1.5, SHA-256) or Ed25519 keys.
-
-// keyring holds public keys by their ids.
+// keyring has public keys by their ids.
 type keyring map[string]crypto.PublicKey
 
+// signedHeaders are what a signature must cover.
 var signedHeaders = []string{"(request-target)", "host", "date", "digest"}
 
-// Signer signs this relay's requests.
+// Signer signs requests as the Fediverse does: draft-cavage-http-signatures-12 over the request target, host, date and digest, with RSA (PKCS #1
+// v1.5, SHA-256) or Ed25519 keys.
 type Signer struct {
-	KeyID string
+	KeyID string // by which the receiver finds the public key
 	Key   crypto.Signer
 }
 
-// Headers returns the headers of a signed request, all but Content-Length.
+// Headers returns the headers of a signed request, all but Host and Content-Length, names and values alternating.
 func (s *Signer) Headers(method, host, path string, body []byte, now time.Time) ([]string, error) {
 	date, digest := now.UTC().Format(http.TimeFormat), digestOf(body)
 	text := signingText(signedHeaders, func(name string) string {
@@ -45,106 +44,109 @@
 		}
 		return strings.ToLower(method) + " " + path
 	})
-	var sig []byte
+	var signature []byte
 	var err error
 	algorithm := "rsa-sha256"
 	if _, ok := s.Key.(ed25519.PrivateKey); ok {
 		algorithm = "hs2019"
-		sig, err = s.Key.Sign(rand.Reader, []byte(text), crypto.Hash(0))
+		signature, err = s.Key.Sign(rand.Reader, []byte(text), crypto.Hash(0))
 	} else {
 		sum := sha256.Sum256([]byte(text))
-		sig, err = s.Key.Sign(rand.Reader, sum[:], crypto.SHA256)
+		signature, err = s.Key.Sign(rand.Reader, sum[:], crypto.SHA256)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("activitypub: signing: %w", err)
 	}
 	return []string{"Date", date, "Digest", digest, "Content-Type", contentType, "Signature",
 		fmt.Sprintf(`keyId="%s",algorithm="%s",headers="%s",signature="%s"`, s.KeyID, algorithm,
-			strings.Join(signedHeaders, " "), base64.StdEncoding.EncodeToString(sig))}, nil
+			strings.Join(signedHeaders, " "), base64.StdEncoding.EncodeToString(signature))}, nil
 }
 
+// digestOf is the Digest header of a body.
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return "SHA-256=" + base64.StdEncoding.EncodeToString(sum[:])
 }
 
-func signingText(names []string, value func(string) string) string {
-	lines := make([]string, len(names))
-	for i, n := range names {
-		lines[i] = n + ": " + value(n)
+// signingText is the text that is signed: a line for each header, with the value that value gives for it.
+func signingText(names []string, value func(name string) string) string {
+	fields := make([]string, len(names))
+	for i, name := range names {
+		fields[i] = name + ": " + value(name)
 	}
-	return strings.Join(lines, "\n")
+	return strings.Join(fields, "\n")
 }
 
-// RequestError is why a request is not accepted, and the status that says so.
+// RequestError is why a request is not accepted.
 type RequestError struct {
-	Status int
-	Reason string
+	Status int    // HTTP status of the answer
+	Reason string // body of the answer
 }
 
+// Error is the reason.
 func (r *RequestError) Error() string { return r.Reason }
 
-// Verify checks that q was signed by the key it names, that the signature covers what matters, that its date
-// is within skew of now, and that its digest is that of its body. It returns the key's id.
-func Verify(q *httpwire.Request, keys keyring, now time.Time, skew time.Duration) (string, error) {
-	head := q.Header.Get("Signature")
-	if head == "" {
+// Verify checks that a request was signed by the key that it names, that the signature covers signedHeaders, that its date is within skew of
+// now, and that its digest is that of its body. It returns the key's id, or a *RequestError.
+func Verify(request *httpwire.Request, keys keyring, now time.Time, skew time.Duration) (string, error) {
+	header := request.Header.Get("Signature")
+	if header == "" {
 		return "", &RequestError{401, "the request is not signed"}
 	}
-	p := params(head)
-	id := p["keyId"]
-	key := keys[id]
+	parameters := params(header)
+	keyID := parameters["keyId"]
+	key := keys[keyID]
 	if key == nil {
 		return "", &RequestError{401, "the signature's key is not known"}
 	}
-	names := strings.Fields(strings.ToLower(p["headers"]))
+	names := strings.Fields(strings.ToLower(parameters["headers"]))
 	for _, want := range signedHeaders {
 		if !slices.Contains(names, want) {
 			return "", &RequestError{401, "the signature does not cover " + want}
 		}
 	}
-	date, err := http.ParseTime(q.Header.Get("Date"))
+	date, err := http.ParseTime(request.Header.Get("Date"))
 	if err != nil {
 		return "", &RequestError{401, "the date is missing or can't be read"}
 	}
-	if d := now.Sub(date); d > skew || d < -skew {
+	if age := now.Sub(date); age > skew || age < -skew {
 		return "", &RequestError{401, "the date is too far from this relay's clock"}
 	}
-	digest := []byte(digestOf(q.Body))
-	if subtle.ConstantTimeCompare(digest, []byte(q.Header.Get("Digest"))) != 1 {
+	digest := []byte(digestOf(request.Body))
+	if subtle.ConstantTimeCompare(digest, []byte(request.Header.Get("Digest"))) != 1 {
 		return "", &RequestError{400, "the digest is not that of the body"}
 	}
 	text := signingText(names, func(name string) string {
 		if name == "(request-target)" {
-			return strings.ToLower(q.Method) + " " + q.Path
+			return strings.ToLower(request.Method) + " " + request.Path
 		}
-		return strings.Join(q.Header.Values(name), ", ")
+		return strings.Join(request.Header.Values(name), ", ")
 	})
-	sig, err := base64.StdEncoding.DecodeString(p["signature"])
-	if err != nil || !signed(key, p["algorithm"], []byte(text), sig) {
+	signature, err := base64.StdEncoding.DecodeString(parameters["signature"])
+	if err != nil || !signed(key, parameters["algorithm"], []byte(text), signature) {
 		return "", &RequestError{401, "the signature is wrong"}
 	}
-	return id, nil
+	return keyID, nil
 }
 
-// signed checks sig by the kind of the key; a stated algorithm of another kind is refused.
-func signed(key crypto.PublicKey, algorithm string, text, sig []byte) bool {
-	switch k := key.(type) {
+// signed reports whether a signature is that of a text, by the kind of the key; a stated algorithm of another kind is refused.
+func signed(key crypto.PublicKey, algorithm string, text, signature []byte) bool {
+	switch key := key.(type) {
 	case *rsa.PublicKey:
 		sum := sha256.Sum256(text)
 		return (algorithm == "" || algorithm == "hs2019" || algorithm == "rsa-sha256") &&
-			rsa.VerifyPKCS1v15(k, crypto.SHA256, sum[:], sig) == nil
+			rsa.VerifyPKCS1v15(key, crypto.SHA256, sum[:], signature) == nil
 	case ed25519.PublicKey:
-		return (algorithm == "" || algorithm == "hs2019" || algorithm == "ed25519") && ed25519.Verify(k, text, sig)
+		return (algorithm == "" || algorithm == "hs2019" || algorithm == "ed25519") && ed25519.Verify(key, text, signature)
 	}
 	return false
 }
 
-// params reads name="value" pairs.
-func params(s string) map[string]string {
+// params parses the name="value" pairs of a Signature header; what follows the first malformed one is ignored.
+func params(header string) map[string]string {
 	all := map[string]string{}
-	for s != "" {
-		name, rest, ok := strings.Cut(s, `="`)
+	for header != "" {
+		name, rest, ok := strings.Cut(header, `="`)
 		if !ok {
 			break
 		}
@@ -153,7 +155,7 @@
 			break
 		}
 		all[strings.Trim(name, ", ")] = value
-		s = after
+		header = after
 	}
 	return all
 }
