--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -10,7 +10,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Reader reads a capture, up to the last whole chunk.
+// Reader reads a capture, up to the last complete chunk.
 type Reader struct {
 	source   io.ReadSeeker
 	decoder  *zstd.Decoder
@@ -57,7 +57,7 @@
 // Progress is the share of the file whose records Each has handed on.
 func (r *Reader) Progress() float64 { return float64(r.replayed) / float64(max(r.size, 1)) }
 
-// Next returns the next chunk; io.EOF after the last whole one.
+// Next returns the next chunk; io.EOF after the last complete one.
 func (r *Reader) Next() (*Chunk, error) {
 	if r.Torn != nil || r.offset >= r.size {
 		return nil, io.EOF
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Index reads the heads of all whole chunks from here on, and no bodies: where each stands, its times, and the messages
+// Index reads the heads of all complete chunks from here on, and no bodies: where each stands, its times, and the messages
 // that arrive in it. It leaves the reader where it was.
 func (r *Reader) Index() ([]Chunk, error) {
 	var index []Chunk
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -49,7 +49,7 @@
 
 // TestParse_FaultyKey_IsNamed: the message names the faulty key.
 func TestParse_FaultyKey_IsNamed(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+	for _, fault := range []struct{ old, new, key string }{
 		{`"state": "/run/state",`, ``, "state"},
 		{`"settings": {`, `"settings": 3, "x": {`, "settings"},
 		{`"lanes": [{"name": "match-event", "deadline": 9}]`, `"lanes": 3`, "settings"},
@@ -75,11 +75,11 @@
 		{`"file": "hook.wasm"`, `"file": "hook.wasm", "timeout": 20`, "hooks.0.timeout"},
 		{`{"listen"`, `{listen`, "(whole file)"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(good, fault.old, fault.new, 1)
 		_, err := parse(text)
 		var key *policy.KeyError
-		if !errors.As(err, &key) || key.Source != "config" || key.Key != c.key {
-			t.Errorf("%s for %s: error %v, want one that names %s", c.new, c.old, err, c.key)
+		if !errors.As(err, &key) || key.Source != "config" || key.Key != fault.key {
+			t.Errorf("%s for %s: error %v, want one that names %s", fault.new, fault.old, err, fault.key)
 		}
 	}
 	if _, err := Load("", func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
--- a/internal/relay/config/limits.go
+++ b/internal/relay/config/limits.go
@@ -84,8 +84,8 @@
 }
 
 // limits gives each limit its default, from what the platform grants.
-func (p *parser) limits(set *wire.Settings) Limits {
-	l := Limits{
+func (p *parser) limits(settings *wire.Settings) Limits {
+	limits := Limits{
 		Cores:       max(1, int(p.number("limits.cores", 1, 0.01, 1024))),
 		MemoryBytes: int64(p.number("limits.memory_mb", 192, 16, 1<<20)) << 20,
 		DiskBytes:   int64(p.number("limits.disk_mb", 3, 0.5, 1<<20) * (1 << 20)),
@@ -111,26 +111,26 @@
 		PluginHeaderSize: 4 << 10, PluginSample: 512, PluginRetryAfterMax: time.Minute, PluginSave: 5 * time.Second,
 		PluginMemory: int64(p.number("plugin_host.memory_mb", 16, 1, 1<<12)) << 20,
 		PluginCache:  int64(p.number("plugin_host.cache_mb", 64, 1, 1<<12)) << 20,
-		Round:        set.TurnInterval, ConnectTimeout: set.ConnectTimeout,
+		Round:        settings.TurnInterval, ConnectTimeout: settings.ConnectTimeout,
 	}
 	// Half of the descriptors are the clients', and what the calls that are out, the journal, the watch and the
 	// listeners leave of the rest is for idle ones to endpoints, a quarter at most.
-	l.ClientConnections = l.Sockets / 2
-	l.IdleEndpoints = max(0, min(l.Sockets/4, l.Sockets-l.ClientConnections-set.Slots-16))
-	if l.Round <= 0 {
-		l.Round = 5 * time.Millisecond
+	limits.ClientConnections = limits.Sockets / 2
+	limits.IdleEndpoints = max(0, min(limits.Sockets/4, limits.Sockets-limits.ClientConnections-settings.Slots-16))
+	if limits.Round <= 0 {
+		limits.Round = 5 * time.Millisecond
 	}
-	if l.ConnectTimeout <= 0 {
-		l.ConnectTimeout = 1500 * time.Millisecond
+	if limits.ConnectTimeout <= 0 {
+		limits.ConnectTimeout = 1500 * time.Millisecond
 	}
 	// A tenth before the other side would close it, so that no request crosses the close; a second where there is as much.
-	if l.IdleSocket = set.ConnIdle - max(set.ConnIdle/10, min(time.Second, set.ConnIdle/3)); set.ConnIdle == 0 {
-		l.IdleSocket = 10 * time.Second
+	if limits.IdleSocket = settings.ConnIdle - max(settings.ConnIdle/10, min(time.Second, settings.ConnIdle/3)); settings.ConnIdle == 0 {
+		limits.IdleSocket = 10 * time.Second
 	}
 	// Where the list is pushed, what discovery has to tell at its return counts as told at once: the watch is to be back well
 	// within the grace for drains.
-	if !set.MustSubscribe && set.DrainGrace > 0 {
-		l.WatchRetry = min(l.WatchRetry, set.DrainGrace/4)
+	if !settings.MustSubscribe && settings.DrainGrace > 0 {
+		limits.WatchRetry = min(limits.WatchRetry, settings.DrainGrace/4)
 	}
-	return l
+	return limits
 }
--- a/internal/relay/config/parser.go
+++ b/internal/relay/config/parser.go
@@ -102,3 +102,13 @@
 		do(fmt.Sprintf("%s.%d", key, i))
 	}
 }
+
+// maxNameBytes bounds the names that operators give.
+const maxNameBytes = 64
+
+// isName tells whether a text can be a name: letters, digits and the characters of punctuation, maxNameBytes at most.
+func isName(text, punctuation string) bool {
+	return text != "" && len(text) <= maxNameBytes && !strings.ContainsFunc(text, func(r rune) bool {
+		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(punctuation, r))
+	})
+}
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -5,7 +5,6 @@
 	"net/netip"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -32,47 +31,45 @@
 const maxPeers = 1000
 
 // peers reads the section peers, where there is one.
-func (p *parser) peers(c *Config) {
+func (p *parser) peers(cfg *Config) {
 	if !p.root.Get("peers").Exists() {
 		return
 	}
-	q := &Peers{Fleet: p.required("peers.fleet"), Name: p.text("peers.name", c.Name), Listen: p.required("peers.listen"), Addresses: map[string]string{},
-		State: p.text("peers.state", filepath.Join(c.State, "fleet")), Lease: p.duration("peers.lease", 2*time.Second),
+	peers := &Peers{Fleet: p.required("peers.fleet"), Name: p.text("peers.name", cfg.Name), Listen: p.required("peers.listen"), Addresses: map[string]string{},
+		State: p.text("peers.state", filepath.Join(cfg.State, "fleet")), Lease: p.duration("peers.lease", 2*time.Second),
 		Drift: p.number("peers.drift", 0.01, 0, 0.5)}
-	p.require("peers.name", relayName(q.Name), "want letters, digits, . - and _, 64 at most")
-	p.require("peers.lease", q.Lease >= 100*time.Millisecond && q.Lease <= time.Minute, "want 100ms to 1m")
-	p.address("peers.listen", q.Listen)
-	for name, a := range p.root.Get("peers.others").Map() {
+	p.require("peers.name", relayName(peers.Name), "want letters, digits, . - and _, 64 at most")
+	p.require("peers.lease", peers.Lease >= 100*time.Millisecond && peers.Lease <= time.Minute, "want 100ms to 1m")
+	p.address("peers.listen", peers.Listen)
+	for name, address := range p.root.Get("peers.others").Map() {
 		at := "peers.others." + name
 		p.require(at, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
-		p.require(at, name != q.Name, "this relay's own name")
-		p.address(at, a.String())
-		q.Addresses[name] = a.String()
+		p.require(at, name != peers.Name, "this relay's own name")
+		p.address(at, address.String())
+		peers.Addresses[name] = address.String()
 	}
-	p.require("peers.others", len(q.Addresses) < maxPeers, "too many")
+	p.require("peers.others", len(peers.Addresses) < maxPeers, "too many")
 	p.each("peers.voters", func(at string) {
 		name := p.required(at)
-		p.require(at, name == q.Name || q.Addresses[name] != "", "no relay of that name")
-		p.require(at, !slices.Contains(q.Voters, name), "named twice")
-		q.Voters = append(q.Voters, name)
+		p.require(at, name == peers.Name || peers.Addresses[name] != "", "no relay of that name")
+		p.require(at, !slices.Contains(peers.Voters, name), "named twice")
+		peers.Voters = append(peers.Voters, name)
 	})
-	p.require("peers.voters", len(q.Voters) >= 1 && len(q.Voters) <= 7 && len(q.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
+	p.require("peers.voters", len(peers.Voters) >= 1 && len(peers.Voters) <= 7 && len(peers.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
 	alone := p.text("peers.alone", "refuse")
 	p.require("peers.alone", alone == "serve" || alone == "refuse", "want serve or refuse")
-	q.ServeWhenPartitioned = alone == "serve"
+	peers.ServeWhenPartitioned = alone == "serve"
 	if p.root.Get("peers.share").Exists() {
-		q.GuaranteedShare = p.number("peers.share.kept", 0.25, 0.01, 1)
+		peers.GuaranteedShare = p.number("peers.share.kept", 0.25, 0.01, 1)
 	}
-	c.Peers = q
+	cfg.Peers = peers
 }
 
-func (p *parser) address(key, v string) {
-	a, err := netip.ParseAddrPort(v)
-	p.require(key, err == nil && a.Addr().Is4() && a.Port() != 0, "want an IPv4 address with a port, such as 10.0.0.7:7400")
+// address checks an address that datagrams can be sent to.
+func (p *parser) address(key, text string) {
+	address, err := netip.ParseAddrPort(text)
+	p.require(key, err == nil && address.Addr().Is4() && address.Port() != 0, "want an IPv4 address with a port, such as 10.0.0.7:7400")
 }
 
-func relayName(s string) bool {
-	return s != "" && len(s) <= 64 && !strings.ContainsFunc(s, func(r rune) bool {
-		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
-	})
-}
+// relayName tells whether a relay may be called so.
+func relayName(name string) bool { return isName(name, "-_.") }
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -36,11 +35,7 @@
 }
 
 // pluginName tells whether a plug-in may be called so: the name is a file's too.
-func pluginName(s string) bool {
-	return s != "" && len(s) <= 64 && !strings.ContainsFunc(s, func(r rune) bool {
-		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_')
-	})
-}
+func pluginName(name string) bool { return isName(name, "-_") }
 
 // plugins reads the plug-ins, and as plug-ins the hooks of earlier configurations.
 func (p *parser) plugins(c *Config) {
@@ -60,43 +55,43 @@
 }
 
 // plugin reads one plug-in; seen are the names of those before it.
-func (p *parser) plugin(c *Config, at string, seen map[string]bool) {
-	plugin := Plugin{Key: at, Name: p.text(at+".name", fmt.Sprintf("plugin-%d", len(c.Plugins))), File: p.required(at + ".file"),
-		Timeout:   p.duration(at+".timeout", 10*time.Millisecond),
-		MemoryMB:  int(p.number(at+".memory_mb", 16, 1, 256)),
-		Instances: int(p.number(at+".instances", 2, 1, 16)),
-		Share:     p.number(at+".cpu_share", 0.05, 0.001, 1),
-		StoreKB:   int(p.number(at+".store_kb", 64, 0, 1<<16))}
-	p.require(at+".name", pluginName(plugin.Name), "want letters, digits, - and _, 64 at most")
-	p.require(at+".name", !seen[plugin.Name], "given to two plug-ins")
+func (p *parser) plugin(cfg *Config, key string, seen map[string]bool) {
+	plugin := Plugin{Key: key, Name: p.text(key+".name", fmt.Sprintf("plugin-%d", len(cfg.Plugins))), File: p.required(key + ".file"),
+		Timeout:   p.duration(key+".timeout", 10*time.Millisecond),
+		MemoryMB:  int(p.number(key+".memory_mb", 16, 1, 256)),
+		Instances: int(p.number(key+".instances", 2, 1, 16)),
+		Share:     p.number(key+".cpu_share", 0.05, 0.001, 1),
+		StoreKB:   int(p.number(key+".store_kb", 64, 0, 1<<16))}
+	p.require(key+".name", pluginName(plugin.Name), "want letters, digits, - and _, 64 at most")
+	p.require(key+".name", !seen[plugin.Name], "given to two plug-ins")
 	seen[plugin.Name] = true
-	p.require(at+".timeout", plugin.Timeout <= c.Limits.PluginBudget,
-		fmt.Sprintf("more than the %v that all plug-ins together may take", c.Limits.PluginBudget))
-	p.each(at+".fronts", func(in string) {
-		front := p.required(in)
-		p.require(in, front == "platform" || front == "activitypub", "want platform or activitypub")
+	p.require(key+".timeout", plugin.Timeout <= cfg.Limits.PluginBudget,
+		fmt.Sprintf("more than the %v that all plug-ins together may take", cfg.Limits.PluginBudget))
+	p.each(key+".fronts", func(at string) {
+		front := p.required(at)
+		p.require(at, front == "platform" || front == "activitypub", "want platform or activitypub")
 		plugin.Fronts = append(plugin.Fronts, front)
 	})
-	p.each(at+".partners", func(in string) { plugin.Partners = append(plugin.Partners, int(p.number(in, -1, 0, 65535))) })
-	p.each(at+".classes", func(in string) {
-		name := p.required(in)
-		n := slices.IndexFunc(c.Settings.Classes, func(class control.Class) bool { return class.Name == name })
-		p.require(in, n >= 0, "no class of that name in settings.lanes")
+	p.each(key+".partners", func(at string) { plugin.Partners = append(plugin.Partners, int(p.number(at, -1, 0, 65535))) })
+	p.each(key+".classes", func(at string) {
+		name := p.required(at)
+		n := slices.IndexFunc(cfg.Settings.Classes, func(class control.Class) bool { return class.Name == name })
+		p.require(at, n >= 0, "no class of that name in settings.lanes")
 		plugin.Classes = append(plugin.Classes, n)
 	})
-	p.each(at+".phases", func(in string) {
-		phase := p.required(in)
-		p.require(in, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
+	p.each(key+".phases", func(at string) {
+		phase := p.required(at)
+		p.require(at, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
 		plugin.Phases = append(plugin.Phases, phase)
 	})
-	fail := p.text(at+".on_failure", "pass")
-	p.require(at+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
+	fail := p.text(key+".on_failure", "pass")
+	p.require(key+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
 	plugin.Reject = fail == "reject"
-	if v := p.root.Get(at + ".config"); v.Exists() {
-		p.require(at+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
+	if v := p.root.Get(key + ".config"); v.Exists() {
+		p.require(key+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
 		plugin.Config = v.Raw
 	}
-	c.Plugins = append(c.Plugins, plugin)
+	cfg.Plugins = append(cfg.Plugins, plugin)
 }
 
 // ForPlugin is a configuration with one plug-in and nothing else, for the tools of authors. Limits and settings are
--- a/internal/relay/simulator/experiment/experiment_test.go
+++ b/internal/relay/simulator/experiment/experiment_test.go
@@ -54,22 +54,22 @@
 	if err = res.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	again, err := experiment.Load(file)
+	reread, err := experiment.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(res, again); d != "" {
+	if d := cmp.Diff(res, reread); d != "" {
 		t.Error(d)
 	}
 	var page bytes.Buffer
-	if err := report.Write(&page, again); err != nil {
+	if err := report.Write(&page, reread); err != nil {
 		t.Fatal(err)
 	}
 	if p := page.String(); strings.Count(p, "<svg") != 4+2*5 || strings.Contains(p, "http://") && strings.Contains(p, "<script") {
 		t.Errorf("%d plots in a page of %d bytes", strings.Count(p, "<svg"), page.Len())
 	}
-	again.Version++
-	_ = again.Save(file)
+	reread.Version++
+	_ = reread.Save(file)
 	if _, err := experiment.Load(file); err == nil || !strings.Contains(err.Error(), "version 2") {
 		t.Errorf("a later version: %v", err)
 	}
--- a/internal/relay/simulator/fullrelay/fullrelay.go
+++ b/internal/relay/simulator/fullrelay/fullrelay.go
@@ -97,11 +97,11 @@
 	if p.core == nil {
 		p.startCore()
 	}
-	type handed struct {
+	type submission struct {
 		id    uint64
 		reply <-chan engine.Reply
 	}
-	var arrived []handed
+	var arrived []submission
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
@@ -113,7 +113,7 @@
 			if e.MayHaveRun {
 				m.MayHaveRunAt = p.wallTime(e.RanAt)
 			}
-			arrived = append(arrived, handed{e.ID, p.core.SubmitAt(frontName, m, p.wallTime(now))})
+			arrived = append(arrived, submission{e.ID, p.core.SubmitAt(frontName, m, p.wallTime(now))})
 		case control.Resolved:
 			if done := p.calls[e.ID]; done != nil {
 				delete(p.calls, e.ID)
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -213,11 +213,11 @@
 			out = p.refuse(message, out)
 			continue
 		}
-		at := (*endpoint)(nil)
+		target := (*endpoint)(nil)
 		if message.notBefore <= p.now && p.inFlight < p.settings.Slots {
-			at = p.selectEndpoint(message.destination)
+			target = p.selectEndpoint(message.destination)
 		}
-		if at == nil {
+		if target == nil {
 			queued = append(queued, message)
 			wakeBy(message.notBefore)
 			wakeBy(message.deadline)
@@ -229,12 +229,12 @@
 			}
 			continue
 		}
-		message.sentTo = at
+		message.sentTo = target
 		message.attempts++
 		p.inFlight++
-		at.inFlight++
+		target.inFlight++
 		within := min(p.options.Timeout, message.deadline-p.now)
-		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: at.id, For: within})
+		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: target.id, For: within})
 	}
 	p.queue = queued
 	if wake != 0 {
--- a/internal/relay/simulator/report/loadtest.go
+++ b/internal/relay/simulator/report/loadtest.go
@@ -26,15 +26,15 @@
 		Traces   []*loadtest.MessageTrace
 		Chart    template.HTML
 	}{Title: title, Timeline: timeline, Traces: traces}
-	lines := []series{{name: "handed in"}, {name: "delivered"}, {name: "refused or hung"}, {name: "busy or no answer"}}
-	for i := range lines {
+	curves := []series{{name: "handed in"}, {name: "delivered"}, {name: "refused or hung"}, {name: "busy or no answer"}}
+	for i := range curves {
 		for sec := range int(length.Seconds()) + 20 {
-			lines[i].points = append(lines[i].points, plotter.XY{X: float64(sec)})
+			curves[i].points = append(curves[i].points, plotter.XY{X: float64(sec)})
 		}
 	}
-	add := func(line int, at time.Duration) {
-		if sec := int(at.Seconds()); sec >= 0 && sec < len(lines[line].points) {
-			lines[line].points[sec].Y++
+	add := func(curve int, at time.Duration) {
+		if sec := int(at.Seconds()); sec >= 0 && sec < len(curves[curve].points) {
+			curves[curve].points[sec].Y++
 		}
 	}
 	for _, t := range traces {
@@ -57,7 +57,7 @@
 		}
 	}
 	var err error
-	if view.Chart, err = chart("a second", "s", "messages", lines); err != nil {
+	if view.Chart, err = chart("a second", "s", "messages", curves); err != nil {
 		return err
 	}
 	return loadTemplate.Execute(out, view)
--- a/internal/relay/simulator/report/report.go
+++ b/internal/relay/simulator/report/report.go
@@ -78,21 +78,21 @@
 
 // Write writes the page of an experiment: a table of its runs, charts against the swept key, and time series of each policy's first run.
 func Write(out io.Writer, res *experiment.Results) error {
-	p := page{Name: res.Name, World: res.World, Key: res.SweepKey}
+	view := page{Name: res.Name, World: res.World, Key: res.SweepKey}
 	for _, c := range res.Cells {
 		if c.Result != nil {
-			p.Rows = append(p.Rows, row{c, c.Result})
+			view.Rows = append(view.Rows, row{c, c.Result})
 		}
 	}
 	add := func(svg template.HTML, err error) error {
-		p.Charts = append(p.Charts, svg)
+		view.Charts = append(view.Charts, svg)
 		return err
 	}
 	if err := addSweepCharts(res, add); err != nil {
 		return err
 	}
 	seen := map[string]bool{}
-	for _, r := range p.Rows { // time lines of the first run of each policy
+	for _, r := range view.Rows { // time lines of the first run of each policy
 		if seen[r.Policy] {
 			continue
 		}
@@ -106,7 +106,7 @@
 			return err
 		}
 	}
-	return experimentTemplate.Execute(out, p)
+	return experimentTemplate.Execute(out, view)
 }
 
 // addSweepCharts adds a chart of each measure against the swept key, if there is one.
@@ -124,13 +124,13 @@
 		}},
 		{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
 		{"MB held", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
-		lines := sweepSeries(res, y.of)
-		for i := range lines {
-			if g, ok := growthExponent(lines[i].points); ok && y.grows {
-				lines[i].name += fmt.Sprintf(", grows by the power %.2f", g)
+		curves := sweepSeries(res, y.of)
+		for i := range curves {
+			if g, ok := growthExponent(curves[i].points); ok && y.grows {
+				curves[i].name += fmt.Sprintf(", grows by the power %.2f", g)
 			}
 		}
-		if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, lines)); err != nil {
+		if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, curves)); err != nil {
 			return err
 		}
 	}
