--- /dev/null
+++ b/internal/relay/fleet/node/admin.go
@@ -0,0 +1,127 @@
+package node
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"mastusher/internal/relay/fleet/consensus"
+	"mastusher/internal/relay/fleet/policy"
+)
+
+// The operations of an AdminRequest, as the command line sends them.
+const (
+	opCounts    = "counts" // what all relays have counted
+	opStatus    = "status"
+	opPropose   = "propose" // a new policy
+	opRoster    = "roster"  // replaces the roster by the configuration's
+	opBootstrap = "found"   // a new fleet
+	opForce     = "force"   // a new voters' group, where the former majority is lost
+)
+
+// handleAdminRequest carries out and answers an operator's request.
+func (n *Node) handleAdminRequest(request *AdminRequest) {
+	refusal := ""
+	switch request.Op {
+	case opCounts:
+		n.requestTotals(request.Number)
+		return
+	case opStatus:
+	case opPropose:
+		n.propose(&policy.Command{Kind: policy.Propose, Version: request.Version, Doc: request.Doc, By: request.By, Ticket: request.Ticket}, true)
+	case opRoster:
+		n.propose(&policy.Command{Kind: policy.SetRoster, Roster: n.config.Roster}, true)
+	case opBootstrap:
+		switch {
+		case n.engine == nil:
+			refusal = "this relay is not one of peers.voters"
+		case n.newest.Epoch != 0 || len(n.engine.Voters()) > 0:
+			refusal = "this relay belongs to a fleet already"
+		default:
+			refusal = n.bootstrap(&policy.State{Epoch: 1, Roster: slices.Sorted(slices.Values(n.config.Roster))}, 1, 1)
+		}
+	case opForce:
+		switch {
+		case n.engine == nil || n.applied.Epoch == 0:
+			refusal = "this relay has no say in a fleet"
+		default:
+			state := n.applied.Clone()
+			state.Epoch++
+			position := n.engine.Position()
+			refusal = n.bootstrap(state, position.LastIndex+1, position.Term+1)
+		}
+	default:
+		refusal = fmt.Sprintf("%q is not known here", request.Op)
+	}
+	status := n.Status()
+	status.Error = refusal
+	n.emit(Action{Answer: status, RequestNumber: request.Number})
+}
+
+// bootstrap begins a new voters' group, with this relay as its only member. It returns why it can't; empty: it has.
+func (n *Node) bootstrap(state *policy.State, index, term uint64) string {
+	id := n.random() | 1
+	state.Index, state.Members = index, map[uint64]string{id: n.config.Name}
+	n.applied = state
+	engine, err := consensus.Bootstrap(id, n.random(), index, term, n.encodeState(), n.now)
+	if err != nil {
+		return err.Error()
+	}
+	n.engine, n.probation = engine, false
+	n.leadership.reset(n.now)
+	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
+	n.log("bootstrapped voter group", "epoch", state.Epoch, "roster", len(state.Roster))
+	return ""
+}
+
+// Status returns what this relay knows. The caller owns it, but not the state in it, which must not be changed.
+func (n *Node) Status() *Status {
+	status := &Status{Relay: n.config.Name, Generation: n.config.Generation, Leader: n.leader, State: n.newest, Progress: n.progress,
+		MayAct: n.mandate.Until > n.now && n.mandate.Halted == 0, LeaseLeft: max(n.leaseUntil-n.now, 0), WhyNot: n.mandate.WhyNot}
+	switch {
+	case n.engine == nil && n.votingDisabled != "":
+		status.Voter = "not until it is started again: " + n.votingDisabled
+	case n.engine == nil:
+	case n.probation:
+		status.Voter = "asks what others remember of it"
+	case n.engine.IsLeader():
+		status.Voter, status.Leader = "leads", n.config.Name
+	case slices.Contains(n.engine.Voters(), n.engine.ID):
+		status.Voter = "votes"
+	case slices.Contains(n.engine.Learners(), n.engine.ID):
+		status.Voter = "learns"
+	default:
+		status.Voter = "waits to be taken in"
+	}
+	if !status.MayAct && status.WhyNot == "" {
+		if status.WhyNot = "its lease is over"; n.mandate.Halted != 0 {
+			status.WhyNot = "a change is about to be in force"
+		}
+	}
+	if n.leadership.allocator != nil {
+		status.Contradictions, status.Shared = n.leadership.allocator.Contradictions, n.leadership.allocator.Usage()
+	}
+	for _, name := range n.newest.Members {
+		status.Voters = append(status.Voters, name)
+	}
+	slices.Sort(status.Voters)
+	return status
+}
+
+// propose proposes a command by this relay's engine. Without one, or without a leader, it asks a voter to, if the command is an operator's of
+// this relay (own).
+func (n *Node) propose(command *policy.Command, own bool) {
+	switch {
+	case n.engine != nil && !n.probation && n.engine.Leader() != 0:
+		encoded, err := cbor.Marshal(command)
+		if err == nil {
+			err = n.engine.Propose(encoded)
+		}
+		if err != nil {
+			n.log("proposing policy change failed", "err", err)
+		}
+	case own && len(n.config.Voters) > 0:
+		n.send(n.config.Voters[n.voterIndex], &Message{Propose: command})
+	}
+}
--- a/internal/relay/fleet/node/count.go
+++ b/internal/relay/fleet/node/count.go
@@ -8,8 +8,8 @@
 
 const (
 	countersInterval = 2 * time.Second // between a relay's tallies to the voters
-	talliesInterval  = time.Second     // between a voter's tallies of talliesAtOnce relays to the others
-	talliesAtOnce    = 4
+	talliesInterval  = time.Second     // between a voter's tallies to the others
+	talliesAtOnce    = 4               // relays whose tallies a voter sends then
 )
 
 // sendCounters sends this relay's tally to the voters, and as a voter some other relays' tallies to the other voters. So any voter
@@ -27,9 +27,9 @@
 		return
 	}
 	n.nextTalliesAt = n.now + talliesInterval
-	for _, t := range n.counterTable.NextTallies(talliesAtOnce) {
+	for _, tally := range n.counterTable.NextTallies(talliesAtOnce) {
 		for _, name := range n.config.Voters {
-			n.send(name, &Message{Tallies: []quota.Tally{t}})
+			n.send(name, &Message{Tallies: []quota.Tally{tally}})
 		}
 	}
 }
@@ -43,24 +43,24 @@
 	}
 }
 
-// handleTotals answers a request for totals, or hands the answer to the operator who waits for it.
-func (n *Node) handleTotals(from string, s *CounterTotals) {
+// handleTotals answers a request for totals, or passes the answer on to the operator who waits for it.
+func (n *Node) handleTotals(from string, message *CounterTotals) {
 	switch {
-	case s.Totals == nil && n.counterTable != nil:
-		n.send(from, &Message{Totals: &CounterTotals{RequestNumber: s.RequestNumber, Totals: n.counterTable.Totals(n.now)}})
-	case s.Totals != nil:
-		st := n.Status()
-		st.Totals = s.Totals
-		n.emit(Action{Answer: st, RequestNumber: s.RequestNumber})
+	case message.Totals == nil && n.counterTable != nil:
+		n.send(from, &Message{Totals: &CounterTotals{RequestNumber: message.RequestNumber, Totals: n.counterTable.Totals(n.now)}})
+	case message.Totals != nil:
+		status := n.Status()
+		status.Totals = message.Totals
+		n.emit(Action{Answer: status, RequestNumber: message.RequestNumber})
 	}
 }
 
-// requestTotals answers an operator's request for totals, or asks a voter to.
-func (n *Node) requestTotals(no uint64) {
+// requestTotals answers an operator's request for totals, or asks a voter for them.
+func (n *Node) requestTotals(number uint64) {
 	if n.counterTable != nil {
-		n.handleTotals(n.config.Name, &CounterTotals{RequestNumber: no, Totals: n.counterTable.Totals(n.now)})
+		n.handleTotals(n.config.Name, &CounterTotals{RequestNumber: number, Totals: n.counterTable.Totals(n.now)})
 	} else if len(n.config.Voters) > 0 { // one that does not answer is asked again, or another is
-		n.send(n.config.Voters[n.voterIndex], &Message{Totals: &CounterTotals{RequestNumber: no}})
+		n.send(n.config.Voters[n.voterIndex], &Message{Totals: &CounterTotals{RequestNumber: number}})
 		n.voterIndex = (n.voterIndex + 1) % len(n.config.Voters)
 	}
 }
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -12,19 +12,19 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// leadership is what a leader keeps for its term. A new leader starts with none of it: lease requests tell it again, and the
-// leases of former leaders it waits out.
+// leadership is a leader's state for its term. A new leader starts with none of it: lease requests report it again, and for the leases of
+// former leaders it waits until they have expired.
 type leadership struct {
-	since           time.Duration // of the leadership; a former leader may have granted leases until then
-	leading         bool
-	relays          map[string]*relayRecord
-	pendingGrants   []pendingGrant // grants that a majority has not confirmed yet
-	readRequests    uint64
+	since           time.Duration           // of the leadership; a former leader may have granted leases until then
+	leading         bool                    // false: the state is not in use
+	relays          map[string]*relayRecord // by name
+	pendingGrants   []pendingGrant          // grants that a majority has not confirmed yet
+	readRequests    uint64                  // number of the last ReadIndex
 	nextReadAt      time.Duration
-	confirmedRead   uint64
-	broadcastIndex  uint64
+	confirmedRead   uint64 // number of the newest ReadIndex that a majority has confirmed
+	broadcastIndex  uint64 // of the state that was broadcast last
 	nextBroadcastAt time.Duration
-	proposedAt      map[string]time.Duration // commands that have not come back from the log
+	proposedAt      map[string]time.Duration // when commands were proposed last, and when phases of a change started, by their keys
 	nextReconcileAt time.Duration
 	allocator       *quota.Allocator // nil: nothing is shared
 }
@@ -33,20 +33,22 @@
 type relayRecord struct {
 	request           LeaseRequest
 	receivedAt        time.Duration
-	leaseOverAt       time.Duration // from then on it surely has no lease
+	leaseOverAt       time.Duration // from when on it surely has no lease
 	formerIncarnation uint64        // the incarnation before this one, its newest Seq, and how many it sent since
 	formerSeq         uint64
 	formerRequests    int
 	conflictAt        time.Duration // when two relays of one name were seen last
 }
 
+// pendingGrant is a lease request that is granted once a majority has confirmed the leadership.
 type pendingGrant struct {
-	read       uint64
-	via        string
+	read       uint64 // number of the ReadIndex that confirms it
+	via        string // the relay that it came from: the requester, or a voter
 	request    LeaseRequest
 	receivedAt time.Duration
 }
 
+// reset forgets all: the relay begins to lead, or does not lead.
 func (l *leadership) reset(now time.Duration) {
 	*l = leadership{since: now, relays: map[string]*relayRecord{}, proposedAt: map[string]time.Duration{}}
 }
@@ -105,8 +107,8 @@
 	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *request, n.now})
 }
 
-// isNewestRequest tells whether a request is newer than the last one of its relay's name. One of a former incarnation is
-// answered with a rejection; of two incarnations of one generation the conflict is noted.
+// isNewestRequest reports whether a request is newer than the last one of its relay's name. One of a former incarnation is
+// answered with a rejection; two incarnations of one generation are recorded as a conflict.
 func (n *Node) isNewestRequest(from string, relay *relayRecord, request *LeaseRequest) bool {
 	switch was := &relay.request; {
 	case was.Incarnation == 0:
@@ -142,9 +144,10 @@
 	return ""
 }
 
+// sameName is why a relay is rejected whose name another one uses; operators see it.
 const sameName = "another relay goes by the same name"
 
-// recordNameConflict notes that two relays use one name: neither gets a lease for two lease durations.
+// recordNameConflict records that two relays use one name: neither gets a lease for two lease durations.
 func (n *Node) recordNameConflict(relay *relayRecord, request *LeaseRequest) {
 	if relay.conflictAt == 0 || n.now-relay.conflictAt > n.maxLeaseDuration() {
 		n.log("two relays with the same name", "relay", request.From)
@@ -194,16 +197,7 @@
 			return
 		}
 	}
-	keep := l.pendingGrants[:0]
-	for _, w := range l.pendingGrants {
-		switch {
-		case w.read <= l.confirmedRead:
-			n.sendGrant(w.via, &w.request, n.config.Lease, "", w.receivedAt)
-		case n.now-n.leadership.relays[w.request.From].receivedAt < 2*n.config.Lease:
-			keep = append(keep, w)
-		}
-	}
-	l.pendingGrants = keep
+	n.sendConfirmedGrants()
 	n.progress = nil
 	if len(n.applied.Roster) > 0 {
 		n.advanceChange()
@@ -215,25 +209,40 @@
 	}
 }
 
+// sendConfirmedGrants grants the lease requests for which a majority has confirmed the leadership, and drops those that have waited too long.
+func (n *Node) sendConfirmedGrants() {
+	l := &n.leadership
+	waiting := l.pendingGrants[:0]
+	for _, grant := range l.pendingGrants {
+		switch {
+		case grant.read <= l.confirmedRead:
+			n.sendGrant(grant.via, &grant.request, n.config.Lease, "", grant.receivedAt)
+		case n.now-l.relays[grant.request.From].receivedAt < 2*n.config.Lease:
+			waiting = append(waiting, grant)
+		}
+	}
+	l.pendingGrants = waiting
+}
+
 // proposeOnce proposes a command, and again only if it was not committed within reproposeInterval. The key names the command.
-func (n *Node) proposeOnce(key string, c *policy.Command) {
-	if at, ok := n.leadership.proposedAt[key]; ok && n.now-at < reproposeInterval {
+func (n *Node) proposeOnce(key string, command *policy.Command) {
+	if proposedAt, ok := n.leadership.proposedAt[key]; ok && n.now-proposedAt < reproposeInterval {
 		return
 	}
 	if len(n.leadership.proposedAt) > 64 {
 		clear(n.leadership.proposedAt)
 	}
 	n.leadership.proposedAt[key] = n.now
-	b, err := cbor.Marshal(c)
+	encoded, err := cbor.Marshal(command)
 	if err == nil {
-		err = n.engine.Propose(b)
+		err = n.engine.Propose(encoded)
 	}
 	if err != nil {
 		n.log("proposing fleet command failed", "err", err)
 	}
 }
 
-// advanceChange moves the change under way to its next phase, once every relay has answered for this one or its lease is over.
+// advanceChange moves the change under way to its next phase, once every relay has answered for this one or its lease has expired.
 func (n *Node) advanceChange() {
 	change := n.applied.Change
 	if change == nil {
@@ -242,10 +251,10 @@
 	progress, excused, dropReason := n.measureProgress(change)
 	n.progress = progress
 	key := fmt.Sprintf("%d %d", change.Version, change.Phase)
-	begunAt, begun := n.leadership.proposedAt["begun "+key]
-	if !begun {
+	startedAt, started := n.leadership.proposedAt["begun "+key]
+	if !started {
 		n.leadership.proposedAt["begun "+key] = n.now
-		begunAt = n.now
+		startedAt = n.now
 	}
 	switch {
 	case change.Phase < policy.Decided && dropReason != "":
@@ -256,7 +265,7 @@
 		}
 		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: change.Version, Excused: excused})
 		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: change.Version})
-	case change.Phase == policy.Proposed && n.now-begunAt > checkLeases*n.config.Lease:
+	case change.Phase == policy.Proposed && n.now-startedAt > checkLeases*n.config.Lease:
 		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: change.Version,
 			DropReason: fmt.Sprintf("%v did not say whether they can apply it", progress.Missing)})
 	case change.Phase == policy.Checked:
@@ -267,7 +276,7 @@
 }
 
 // measureProgress counts the relays that have answered for the change's phase. Excused are those that did not and whose lease
-// is over; dropReason is why a relay can't apply the change, empty if none said so.
+// has expired; dropReason is why a relay can't apply the change, empty if none said so.
 func (n *Node) measureProgress(change *policy.Change) (progress *Progress, excused []string, dropReason string) {
 	progress = &Progress{Version: change.Version, Phase: change.Phase.String()}
 	for _, name := range slices.Concat(n.applied.Roster, n.applied.Former) {
@@ -304,179 +313,25 @@
 
 // broadcastState sends a new state to all relays, and during a change again to those that have not reported it.
 func (n *Node) broadcastState() {
-	s := n.applied
-	if len(s.Roster) == 0 {
+	state := n.applied
+	if len(state.Roster) == 0 {
 		return
 	}
-	m := &Message{StateUpdate: &StateUpdate{State: s, Progress: n.progress}}
-	if s.Index != n.leadership.broadcastIndex {
-		n.leadership.broadcastIndex, n.leadership.nextBroadcastAt = s.Index, n.now+rebroadcastInterval
-		for _, name := range s.Roster {
-			n.send(name, m)
+	update := &Message{StateUpdate: &StateUpdate{State: state, Progress: n.progress}}
+	if state.Index != n.leadership.broadcastIndex {
+		n.leadership.broadcastIndex, n.leadership.nextBroadcastAt = state.Index, n.now+rebroadcastInterval
+		for _, name := range state.Roster {
+			n.send(name, update)
 		}
 		return
 	}
-	if s.Change == nil || n.now < n.leadership.nextBroadcastAt {
+	if state.Change == nil || n.now < n.leadership.nextBroadcastAt {
 		return
 	}
 	n.leadership.nextBroadcastAt = n.now + rebroadcastInterval
-	for _, name := range s.Roster {
-		if x := n.leadership.relays[name]; x == nil || x.request.Epoch != s.Epoch || x.request.Index < s.Index {
-			n.send(name, m)
-		}
-	}
-}
-
-// reconcileMembers moves the voters towards those of the configuration, one change at a time.
-func (n *Node) reconcileMembers() {
-	e := n.engine
-	if e.InJointConfig() {
-		return
-	}
-	var err error
-	defer func() {
-		if err != nil {
-			n.log("proposing membership change failed", "err", err)
+	for _, name := range state.Roster {
+		if relay := n.leadership.relays[name]; relay == nil || relay.request.Epoch != state.Epoch || relay.request.Index < state.Index {
+			n.send(name, update)
 		}
-	}()
-	if n.applied.Members[e.ID] == "" || len(n.applied.Roster) == 0 {
-		return
-	}
-	for _, name := range n.config.Voters {
-		s := n.leadership.relays[name]
-		if s == nil || s.request.Member == 0 || n.now-s.receivedAt > n.config.Lease {
-			continue
-		}
-		id := s.request.Member
-		var old []uint64
-		for m, of := range n.applied.Members {
-			if of == name && m != id {
-				old = append(old, m)
-			}
-		}
-		slices.Sort(old)
-		switch {
-		case n.applied.Members[id] == "":
-			err = e.AddLearner(id, name, old)
-			return
-		case slices.Contains(e.Learners(), id) && e.MatchIndex(id)+8 >= e.Applied():
-			err = e.Promote(id, name)
-			return
-		}
-	}
-	var gone []uint64
-	for m, name := range n.applied.Members {
-		if !slices.Contains(n.config.Voters, name) && m != e.ID {
-			gone = append(gone, m)
-		}
-	}
-	if slices.Sort(gone); len(gone) > 0 {
-		err = e.Remove(gone)
-	}
-}
-
-// propose proposes a command by this relay's engine. Without one, or without a leader, it asks a voter to, if the command is
-// its own.
-func (n *Node) propose(c *policy.Command, own bool) {
-	switch {
-	case n.engine != nil && !n.probation && n.engine.Leader() != 0:
-		b, err := cbor.Marshal(c)
-		if err == nil {
-			err = n.engine.Propose(b)
-		}
-		if err != nil {
-			n.log("proposing policy change failed", "err", err)
-		}
-	case own && len(n.config.Voters) > 0:
-		n.send(n.config.Voters[n.voterIndex], &Message{Propose: c})
-	}
-}
-
-// handleAdminRequest carries out and answers an operator's request.
-func (n *Node) handleAdminRequest(a *AdminRequest) {
-	no := ""
-	switch a.Op {
-	case "counts":
-		n.requestTotals(a.Number)
-		return
-	case "status":
-	case "propose":
-		n.propose(&policy.Command{Kind: policy.Propose, Version: a.Version, Doc: a.Doc, By: a.By, Ticket: a.Ticket}, true)
-	case "roster":
-		n.propose(&policy.Command{Kind: policy.SetRoster, Roster: n.config.Roster}, true)
-	case "found":
-		switch {
-		case n.engine == nil:
-			no = "this relay is not one of peers.voters"
-		case n.newest.Epoch != 0 || len(n.engine.Voters()) > 0:
-			no = "this relay belongs to a fleet already"
-		default:
-			no = n.bootstrap(&policy.State{Epoch: 1, Roster: slices.Sorted(slices.Values(n.config.Roster))}, 1, 1)
-		}
-	case "force":
-		switch {
-		case n.engine == nil || n.applied.Epoch == 0:
-			no = "this relay has no say in a fleet"
-		default:
-			s := n.applied.Clone()
-			s.Epoch++
-			at := n.engine.Position()
-			no = n.bootstrap(s, at.LastIndex+1, at.Term+1)
-		}
-	default:
-		no = fmt.Sprintf("%q is not known here", a.Op)
-	}
-	st := n.Status()
-	st.Error = no
-	n.emit(Action{Answer: st, RequestNumber: a.Number})
-}
-
-// bootstrap begins a new voters' group, with this relay as its only member. It returns why it can't; empty: it has.
-func (n *Node) bootstrap(s *policy.State, index, term uint64) string {
-	id := n.random() | 1
-	s.Index, s.Members = index, map[uint64]string{id: n.config.Name}
-	n.applied = s
-	e, err := consensus.Bootstrap(id, n.random(), index, term, n.encodeState(), n.now)
-	if err != nil {
-		return err.Error()
-	}
-	n.engine, n.probation = e, false
-	n.leadership.reset(n.now)
-	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
-	n.log("bootstrapped voter group", "epoch", s.Epoch, "roster", len(s.Roster))
-	return ""
-}
-
-// Status returns what this relay knows.
-func (n *Node) Status() *Status {
-	st := &Status{Relay: n.config.Name, Generation: n.config.Generation, Leader: n.leader, State: n.newest, Progress: n.progress,
-		MayAct: n.mandate.Until > n.now && n.mandate.Halted == 0, LeaseLeft: max(n.leaseUntil-n.now, 0), WhyNot: n.mandate.WhyNot}
-	switch {
-	case n.engine == nil && n.votingDisabled != "":
-		st.Voter = "not until it is started again: " + n.votingDisabled
-	case n.engine == nil:
-	case n.probation:
-		st.Voter = "asks what others remember of it"
-	case n.engine.IsLeader():
-		st.Voter, st.Leader = "leads", n.config.Name
-	case slices.Contains(n.engine.Voters(), n.engine.ID):
-		st.Voter = "votes"
-	case slices.Contains(n.engine.Learners(), n.engine.ID):
-		st.Voter = "learns"
-	default:
-		st.Voter = "waits to be taken in"
-	}
-	if !st.MayAct && st.WhyNot == "" {
-		if st.WhyNot = "its lease is over"; n.mandate.Halted != 0 {
-			st.WhyNot = "a change is about to be in force"
-		}
-	}
-	if n.leadership.allocator != nil {
-		st.Contradictions, st.Shared = n.leadership.allocator.Contradictions, n.leadership.allocator.Usage()
-	}
-	for _, name := range n.newest.Members {
-		st.Voters = append(st.Voters, name)
 	}
-	slices.Sort(st.Voters)
-	return st
 }
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -1,11 +1,12 @@
-// Package node is one relay's member of its fleet: consensus, policy, leases and the mandate to act, in one Step that is handed
+// Package node is one relay's member of its fleet: consensus, policy, leases and the mandate to act, in one Step that is given
 // the time and events and returns actions. It does no I/O, reads no clock and starts no goroutine. Package peer drives it in the
 // daemon, package simulation in tests; both must carry out the actions in their order.
 //
 // A Node owns its consensus.Engine, if it is a voter, and what it knows of the fleet's state. It must be driven by one goroutine
 // at a time. Design: docs/design/fleet-policy.md and docs/design/shared-state.md.
 //
-// Files: node.go is what every relay does, voter.go what a voter does, leader.go what the leader does, count.go the counters.
+// Files: node.go is what every relay does, lease.go how it gets its lease, voter.go what a voter does, leader.go what the leader does, members.go how it changes the voters,
+// admin.go operators' requests, count.go the counters.
 package node
 
 import (
@@ -28,25 +29,25 @@
 	Totals        *CounterTotals  `cbor:"8,keyasint,omitempty"`
 }
 
-// CounterTotals asks a voter what all relays have counted, or answers.
+// CounterTotals asks a voter what all relays have counted, or answers that.
 type CounterTotals struct {
-	RequestNumber uint64        `cbor:"1,keyasint"` // of the operator's request
-	Totals        *quota.Totals `cbor:"2,keyasint,omitempty"`
+	RequestNumber uint64        `cbor:"1,keyasint"`           // of the operator's request
+	Totals        *quota.Totals `cbor:"2,keyasint,omitempty"` // nil: it asks
 }
 
 // Raft is a message between the engines of two voters.
 type Raft struct {
-	From uint64 `cbor:"1,keyasint"`
-	To   uint64 `cbor:"2,keyasint"`
-	Data []byte `cbor:"3,keyasint"`
+	From uint64 `cbor:"1,keyasint"` // the member's id
+	To   uint64 `cbor:"2,keyasint"` // the member's id
+	Data []byte `cbor:"3,keyasint"` // see consensus.Message
 }
 
-// LeaseRequest asks the leader for a lease, and reports how far its sender is. Another voter forwards it to the leader.
+// LeaseRequest asks the leader for a lease, and reports what its sender knows and has done. Another voter forwards it to the leader.
 type LeaseRequest struct {
 	From        string   `cbor:"1,keyasint"`
-	Generation  uint64   `cbor:"2,keyasint"` // grows with each start of the relay
-	Incarnation uint64   `cbor:"3,keyasint"` // drawn at each start: tells two relays of one name apart
-	Seq         uint64   `cbor:"4,keyasint"`
+	Generation  uint64   `cbor:"2,keyasint"`           // grows with each start of the relay
+	Incarnation uint64   `cbor:"3,keyasint"`           // drawn at each start: tells two relays of one name apart
+	Seq         uint64   `cbor:"4,keyasint"`           // number of the request, from 1 in each incarnation
 	Epoch       uint64   `cbor:"5,keyasint,omitempty"` // of the newest state that it knows
 	Index       uint64   `cbor:"6,keyasint,omitempty"`
 	Stopped     uint64   `cbor:"7,keyasint,omitempty"` // it has halted until that version is in force
@@ -70,12 +71,12 @@
 	To               string        `cbor:"1,keyasint"`
 	Generation       uint64        `cbor:"2,keyasint"`
 	Incarnation      uint64        `cbor:"3,keyasint"`
-	Seq              uint64        `cbor:"4,keyasint"` // of the request; the lease counts from when that was sent
-	Lease            time.Duration `cbor:"5,keyasint,omitempty"`
+	Seq              uint64        `cbor:"4,keyasint"`           // of the request; the lease counts from when that was sent
+	Lease            time.Duration `cbor:"5,keyasint,omitempty"` // 0: none
 	Epoch            uint64        `cbor:"6,keyasint"`
 	Index            uint64        `cbor:"7,keyasint"` // the lease counts only with a state at least as new
 	State            *policy.State `cbor:"8,keyasint,omitempty"`
-	Rejected         string        `cbor:"9,keyasint,omitempty"`
+	Rejected         string        `cbor:"9,keyasint,omitempty"`  // why the relay gets no lease at all; empty: it may
 	NewestGeneration uint64        `cbor:"11,keyasint,omitempty"` // of the relay's name, where it is higher than the requester's
 	Progress         *Progress     `cbor:"10,keyasint,omitempty"`
 
@@ -88,17 +89,17 @@
 	Progress *Progress     `cbor:"2,keyasint,omitempty"`
 }
 
-// Progress is how far the step of a change has come, as the leader sees it.
+// Progress is how far a phase of a change has come, as the leader sees it. Its JSON is part of what the command line prints.
 type Progress struct {
 	Version uint64        `cbor:"1,keyasint" json:"version"`
 	Phase   string        `cbor:"2,keyasint" json:"phase"`
-	Done    int           `cbor:"3,keyasint" json:"done"`
-	Of      int           `cbor:"4,keyasint" json:"of"`
-	Missing []string      `cbor:"5,keyasint,omitempty" json:"missing,omitempty"` // the first of them
-	Within  time.Duration `cbor:"6,keyasint,omitempty" json:"within_ns,omitempty"`
+	Done    int           `cbor:"3,keyasint" json:"done"`                          // relays
+	Of      int           `cbor:"4,keyasint" json:"of"`                            // relays
+	Missing []string      `cbor:"5,keyasint,omitempty" json:"missing,omitempty"`   // names of the first maxMissingNames relays that are not done
+	Within  time.Duration `cbor:"6,keyasint,omitempty" json:"within_ns,omitempty"` // until the last missing relay's lease has expired, and it counts as done
 }
 
-// PositionQuery asks, or answers, which log position is remembered of a member: one that has lost entries must not vote.
+// PositionQuery asks which log position a voter remembers of a member, or answers that: a member that has lost entries must not vote.
 type PositionQuery struct {
 	Member    uint64 `cbor:"1,keyasint"`
 	Answer    bool   `cbor:"2,keyasint,omitempty"`
@@ -110,19 +111,19 @@
 type Event struct {
 	From           string   // a relay whose message this is
 	Message        *Message // not to be changed any more
-	HaltedFor      uint64   // the core has halted for that version, and begins nothing under the one before
+	HaltedFor      uint64   // the core has halted for that version, and starts nothing under the one before
 	Verdict        *Verdict // a check that was asked for is done
 	AdminRequest   *AdminRequest
-	SaveFailed     error                 // what was to be saved is not on disk
+	SaveFailed     error                 // an action's Save or Generation is not on disk
 	Demands        *[]quota.Demand       // of this relay, now
 	Counters       *map[quota.Key]uint64 // of this incarnation
-	ConfirmedLease *[2]uint64            // the core goes by that quota.Lease (its Term and Number), and by none before
+	ConfirmedLease *[2]uint64            // Term and Number of the quota.Lease that the core goes by, and by none before it
 }
 
 // AdminRequest is an operator's request, by the command line at this relay.
 type AdminRequest struct {
-	Number  uint64 `cbor:"1,keyasint"` // by which the answer is known
-	Op      string `cbor:"2,keyasint"` // status, propose, found, force, roster
+	Number  uint64 `cbor:"1,keyasint"` // of the answer too
+	Op      string `cbor:"2,keyasint"` // counts, status, propose, roster, found or force
 	Version uint64 `cbor:"3,keyasint,omitempty"`
 	Doc     []byte `cbor:"4,keyasint,omitempty"`
 	By      string `cbor:"5,keyasint,omitempty"`
@@ -136,25 +137,25 @@
 	Generation    uint64 // to be on disk before any message leaves, see raiseGeneration
 	To            string // a relay that Message goes to
 	Message       *Message
-	Check         *policy.Change // may this relay apply it?
-	Mandate       *Mandate
-	Lease         *quota.Lease // what the core may spend from now on
+	Check         *policy.Change // to be checked: an Event with the Verdict must follow
+	Mandate       *Mandate       // what the core may do from now on; see Event.HaltedFor
+	Lease         *quota.Lease   // what the core may spend from now on
 	Answer        *Status
 	RequestNumber uint64 // of the operator's request that Answer is for
-	Log           string
-	Fields        []any
+	Log           string // a line to be logged
+	Fields        []any  // of Log: keys and values alternating
 }
 
 // Mandate is what a relay may do. It may act from now on, until Until by its own clock, unless it is halted.
 type Mandate struct {
-	Version uint64
-	Doc     []byte
+	Version uint64        // of the policy in force; 0: none
+	Doc     []byte        // of that policy
 	Until   time.Duration // 0: not at all
 	Halted  uint64        // not 0: it must not act, as this version is about to be in force
 	WhyNot  string        // why it must not act; empty: it may
 }
 
-// Status is what a relay knows, for operators.
+// Status is what a relay knows, for operators. Its JSON is printed by the command line.
 type Status struct {
 	Relay          string           `cbor:"1,keyasint" json:"relay"`
 	Error          string           `cbor:"2,keyasint,omitempty" json:"error,omitempty"`
@@ -182,11 +183,11 @@
 	Keys        []KeyQuota    `cbor:"4,keyasint,omitempty" json:"parts"`
 }
 
-// KeyQuota is one destination's or tenant's.
+// KeyQuota is what a relay may spend of one destination's limit or one tenant's quota.
 type KeyQuota struct {
 	Name     string  `cbor:"1,keyasint" json:"name"`
-	Share    float64 `cbor:"2,keyasint" json:"part"` // of 1, with the floor
+	Share    float64 `cbor:"2,keyasint" json:"part"` // of 1, with the guaranteed minimum
 	Limit    float64 `cbor:"3,keyasint,omitempty" json:"limit,omitempty"`
-	State    string  `cbor:"4,keyasint,omitempty" json:"state,omitempty"` // what the fleet takes it for
-	MayProbe bool    `cbor:"5,keyasint,omitempty" json:"try,omitempty"`   // it is this relay's turn to try
+	State    string  `cbor:"4,keyasint,omitempty" json:"state,omitempty"` // the fleet's verdict on the destination; empty: none
+	MayProbe bool    `cbor:"5,keyasint,omitempty" json:"try,omitempty"`   // it is this relay's turn to probe
 }
--- a/internal/relay/fleet/node/voter.go
+++ b/internal/relay/fleet/node/voter.go
@@ -11,28 +11,28 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// disableVoting makes this relay no voter until its next start: what its engine must remember is not on disk.
-func (n *Node) disableVoting(why string) {
+// disableVoting ends this relay's part in the voters' group until its next start, since what its engine must remember is not on disk.
+func (n *Node) disableVoting(reason string) {
 	if n.engine == nil {
 		return
 	}
-	// What only the engine knew may not be committed: it is learned anew.
-	n.engine, n.votingDisabled, n.applied = nil, why, &policy.State{}
+	// What only the engine knew may not be committed: this relay learns the state from others.
+	n.engine, n.votingDisabled, n.applied = nil, reason, &policy.State{}
 	n.newest, n.leaseUntil, n.leaseIndex = &policy.State{}, 0, 0
 	n.leadership.reset(n.now)
-	n.log("voting disabled until restart", "err", why)
+	n.log("voting disabled until restart", "err", reason)
 }
 
 // rejoinAsNewMember makes this relay a new member of the voters' group, as the old one may have forgotten votes and entries.
-func (n *Node) rejoinAsNewMember(why string) {
+func (n *Node) rejoinAsNewMember(reason string) {
 	id := n.random() | 1
-	e, err := consensus.New(id, n.random(), &consensus.Image{}, n.now)
+	engine, err := consensus.New(id, n.random(), &consensus.Image{}, n.now)
 	if err != nil {
 		n.disableVoting(err.Error())
 		return
 	}
-	n.log("rejoining fleet as new member", "err", why)
-	n.engine, n.applied, n.probation = e, &policy.State{}, false
+	n.log("rejoining fleet as new member", "err", reason)
+	n.engine, n.applied, n.probation = engine, &policy.State{}, false
 	n.leadership.reset(n.now)
 	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
 }
@@ -73,77 +73,81 @@
 		out.Save.Remembered = maps.Clone(n.remembered)
 		n.emit(Action{Save: out.Save})
 	}
-	for _, m := range out.Messages {
-		if to := cmp.Or(n.applied.Members[m.To], n.memberRelays[m.To]); to != "" {
-			n.send(to, &Message{Raft: &Raft{n.engine.ID, m.To, m.Data}})
+	for _, message := range out.Messages {
+		if to := cmp.Or(n.applied.Members[message.To], n.memberRelays[message.To]); to != "" {
+			n.send(to, &Message{Raft: &Raft{n.engine.ID, message.To, message.Data}})
 		}
 	}
-	for _, no := range out.ConfirmedReads {
-		n.leadership.confirmedRead = max(n.leadership.confirmedRead, no)
+	for _, number := range out.ConfirmedReads {
+		n.leadership.confirmedRead = max(n.leadership.confirmedRead, number)
 	}
 	return nil
 }
 
+// encodeState encodes the applied state for a snapshot.
 func (n *Node) encodeState() []byte {
-	b, err := cbor.Marshal(n.applied)
+	encoded, err := cbor.Marshal(n.applied)
 	if err != nil {
-		panic(err) // plain data always can be
+		panic(err) // plain data can always be encoded
 	}
-	return b
+	return encoded
 }
 
-func (n *Node) restoreState(b []byte) {
-	s := &policy.State{}
-	if err := cbor.Unmarshal(b, s); err != nil {
+// restoreState replaces the applied state by that of a snapshot. It panics where that can't be decoded: see consensus.Engine.Ready.
+func (n *Node) restoreState(encoded []byte) {
+	state := &policy.State{}
+	if err := cbor.Unmarshal(encoded, state); err != nil {
 		panic(fmt.Sprintf("node: a snapshot can't be read: %v", err)) // the engine turns it into an error
 	}
-	n.applied = s
+	n.applied = state
 }
 
-func (n *Node) apply(c consensus.Committed) {
-	s := n.applied.Clone()
+// apply applies a committed entry to the state; one that can't be decoded changes nothing.
+func (n *Node) apply(committed consensus.Committed) {
+	state := n.applied.Clone()
 	switch {
-	case c.Members != nil:
-		s.Index = c.Index
+	case committed.Members != nil:
+		state.Index = committed.Index
 		members := map[uint64]string{}
-		for _, id := range c.Members {
-			if members[id] = s.Members[id]; c.Names[id] != "" {
-				members[id] = c.Names[id]
+		for _, id := range committed.Members {
+			if members[id] = state.Members[id]; committed.Names[id] != "" {
+				members[id] = committed.Names[id]
 			}
 		}
-		s.Members = members
-	case len(c.Data) > 0:
-		cmd := &policy.Command{}
-		if err := cbor.Unmarshal(c.Data, cmd); err == nil {
-			was := s.Change
-			s.Apply(c.Index, cmd)
-			n.logTransition(was, s)
+		state.Members = members
+	case len(committed.Data) > 0:
+		command := &policy.Command{}
+		if err := cbor.Unmarshal(committed.Data, command); err == nil {
+			before := state.Change
+			state.Apply(committed.Index, command)
+			n.logTransition(before, state)
 		}
 	default:
-		s.Index = c.Index
+		state.Index = committed.Index
 	}
-	n.applied = s
+	n.applied = state
 }
 
-func (n *Node) logTransition(was *policy.Change, s *policy.State) {
-	switch ch := s.Change; {
-	case ch != nil && (was == nil || was.Phase != ch.Phase):
-		n.log("policy "+ch.Phase.String(), "version", ch.Version, "base", ch.Base, "by", ch.By, "excused", ch.Excused)
-	case ch == nil && was != nil:
-		if p := s.PastChanges[len(s.PastChanges)-1]; p.DropReason != "" {
-			n.log("policy dropped", "version", p.Version, "why", p.DropReason)
+// logTransition logs a change that has reached its next phase, or its end.
+func (n *Node) logTransition(before *policy.Change, state *policy.State) {
+	switch change := state.Change; {
+	case change != nil && (before == nil || before.Phase != change.Phase):
+		n.log("policy "+change.Phase.String(), "version", change.Version, "base", change.Base, "by", change.By, "excused", change.Excused)
+	case change == nil && before != nil:
+		if past := state.PastChanges[len(state.PastChanges)-1]; past.DropReason != "" {
+			n.log("policy dropped", "version", past.Version, "why", past.DropReason)
 		} else {
-			n.log("policy in force", "version", p.Version)
+			n.log("policy in force", "version", past.Version)
 		}
 	}
 }
 
-// rememberPosition keeps the newest log position that a member has shown; it is on disk with the next save.
-func (n *Node) rememberPosition(member uint64, p consensus.LogPosition) {
-	if !p.After(n.remembered[member]) {
+// rememberPosition stores the newest log position that a member has shown; it is on disk with the next save.
+func (n *Node) rememberPosition(member uint64, position consensus.LogPosition) {
+	if !position.After(n.remembered[member]) {
 		return
 	}
-	if n.remembered[member] = p; len(n.remembered) > maxRemembered {
+	if n.remembered[member] = position; len(n.remembered) > maxRemembered {
 		for id := range n.remembered {
 			if n.applied.Members[id] == "" {
 				delete(n.remembered, id)
@@ -152,8 +156,7 @@
 	}
 }
 
-// queryPositions asks the other voters which log position they remember of this one before it votes: its folder may be an older
-// copy.
+// queryPositions asks the other voters, before this one votes, which log position they remember of it: its folder may be an older copy.
 func (n *Node) queryPositions() {
 	others := 0
 	for _, name := range n.config.Voters {
@@ -173,23 +176,24 @@
 	}
 }
 
-func (n *Node) handlePositionQuery(from string, r *PositionQuery) {
-	if !r.Answer {
-		p := n.remembered[r.Member]
-		n.send(from, &Message{PositionQuery: &PositionQuery{r.Member, true, p.Term, p.LastIndex}})
+// handlePositionQuery answers a query, or takes the answer to this relay's own.
+func (n *Node) handlePositionQuery(from string, query *PositionQuery) {
+	if !query.Answer {
+		position := n.remembered[query.Member]
+		n.send(from, &Message{PositionQuery: &PositionQuery{query.Member, true, position.Term, position.LastIndex}})
 		return
 	}
-	if n.engine == nil || r.Member != n.engine.ID || !n.probation {
+	if n.engine == nil || query.Member != n.engine.ID || !n.probation {
 		return
 	}
-	if (consensus.LogPosition{Term: r.Term, LastIndex: r.LastIndex}).After(n.engine.Position()) {
+	if (consensus.LogPosition{Term: query.Term, LastIndex: query.LastIndex}).After(n.engine.Position()) {
 		n.rejoinAsNewMember("others remember more of it than its folder does")
 		return
 	}
 	n.positionAnswers[from] = true
 }
 
-// Voters is the number of voters, as far as this relay's engine knows.
+// Voters returns the number of voters, as far as this relay's engine knows; 0: it has none.
 func (n *Node) Voters() int {
 	if n.engine == nil {
 		return 0
@@ -197,5 +201,5 @@
 	return len(n.engine.Voters())
 }
 
-// IsLeader tells whether this relay takes itself for the leader.
+// IsLeader reports whether this relay takes itself for the leader.
 func (n *Node) IsLeader() bool { return n.engine != nil && n.engine.IsLeader() }
