--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -85,27 +85,40 @@
 func (l *adapter) handleBatch(b *wire.Batch) error {
 	l.now = time.Duration(b.Clock) * time.Microsecond
 	l.reply.Begin(b.Seq)
-	var cur *instance
+	var current *instance // that the last Context names
 	for i := range b.Records {
 		rec := &b.Records[i]
 		switch rec.Code {
 		case wire.EvContext:
-			if cur = l.instances[rec.Instance]; cur == nil {
-				cur = &instance{id: rec.Instance}
-				l.instances[rec.Instance] = cur
-			}
+			current = l.instance(rec.Instance)
 			continue
 		case wire.EvList:
 			l.lists[rec.Roster] = rec.Members
 			continue
 		}
-		if cur == nil {
-			return fmt.Errorf("record %d (code %d): no Context names its instance", i, rec.Code)
+		err := errNoContext
+		if current != nil {
+			err = l.handleRecord(current, rec)
 		}
-		if err := l.handleRecord(cur, rec); err != nil {
-			return fmt.Errorf("record %d (code %d): %w", i, rec.Code, err)
+		if err != nil {
+			return &recordError{index: i, code: rec.Code, err: err}
 		}
 	}
+	return l.stepTouched()
+}
+
+// instance returns the instance of an id, a new one if there is none.
+func (l *adapter) instance(id uint16) *instance {
+	in := l.instances[id]
+	if in == nil {
+		in = &instance{id: id}
+		l.instances[id] = in
+	}
+	return in
+}
+
+// stepTouched steps the instances that have events in this batch.
+func (l *adapter) stepTouched() error {
 	for _, in := range l.touched {
 		in.touched = false
 		if in.sender != nil && len(in.events) > 0 {
@@ -175,7 +188,7 @@
 		event.Kind, event.Complete = control.Listed, rec.Mode != wire.ModeDelta
 		members, ok := l.lists[rec.Roster]
 		if !ok {
-			return event, false, fmt.Errorf("field roster_id at offset 1: no list %d", rec.Roster)
+			return event, false, &unknownListError{list: rec.Roster}
 		}
 		for _, m := range members {
 			event.Endpoints = append(event.Endpoints, toEndpoint(m, inst.weight))
@@ -228,6 +241,7 @@
 	return rec.Close()
 }
 
+// callResult translates the status of an attempt.
 func callResult(status uint16) control.Result {
 	switch status {
 	case 0:
@@ -250,6 +264,7 @@
 	return control.Unknown
 }
 
+// writeActions appends the actions of an instance to the reply.
 func (l *adapter) writeActions(id uint16, actions []control.Action) {
 	if len(actions) == 0 {
 		return
