--- a/internal/tier/faultplan/faultplan_test.go
+++ b/internal/tier/faultplan/faultplan_test.go
@@ -1,6 +1,7 @@
 package faultplan
 
 import (
+	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -44,3 +45,36 @@
 		t.Errorf("got %s", got)
 	}
 }
+
+func TestDraw_Weights_ComeInProportion(t *testing.T) {
+	// Given kinds of which one is never drawn and one three times as often as another,
+	kinds := Kinds[kind]{{Name: "never"}, {Name: "rare", Weight: 1}, {Name: "often", Weight: 3, LosesDisk: true}}
+	random, same := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(1, 1))
+	const draws = 4000
+	counts := map[kind]int{}
+	for range draws {
+		drawn := kinds.Draw(random)
+		counts[drawn.Name]++
+		// then each draw takes one number, as an index into a list that names each kind as often as it weighs,
+		if want := []kind{"rare", "often", "often", "often"}[same.IntN(4)]; drawn.Name != want {
+			t.Fatalf("drew %s, want %s", drawn.Name, want)
+		}
+		if drawn.LosesDisk != (drawn.Name == "often") {
+			t.Fatalf("drew %+v", drawn)
+		}
+	}
+	// and they come in proportion.
+	if counts["never"] != 0 || counts["rare"] < draws/5 || counts["rare"] > draws*3/10 {
+		t.Errorf("drew %v", counts)
+	}
+}
+
+func TestFind_KnownAndUnknownName_SaysSo(t *testing.T) {
+	kinds := Kinds[kind]{{Name: "a", Weight: 1}, {Name: "b", Weight: 2, SparesQuorum: true}}
+	if got, found := kinds.Find("b"); !found || got != kinds[1] {
+		t.Errorf("found %+v: %v", got, found)
+	}
+	if got, found := kinds.Find("c"); found {
+		t.Errorf("found %+v", got)
+	}
+}
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"mastusher/internal/tier/faultplan"
@@ -67,11 +66,33 @@
 	firstFaultAt       = 8 * time.Second         // so that the first start is over
 )
 
-// randomFaultKinds are the kinds of fault of a random plan; those named twice come twice as often.
-var randomFaultKinds = []FaultKind{KillFault, KillFault, PowerLossFault, PowerLossFault, KillAllFault, PowerLossAllFault, AckKillFault, AckPowerLossFault,
-	DiskLossFault, DiskLossFault, DiskLossPowerLossAllFault, AckDiskLossPowerLossAllFault, FreezeFault, FreezeFault, PartitionFault, PartitionFault, PartitionOneWayFault, PartitionOneWayFault, ResetFault, ClockStepFault,
-	SlowDiskFault, StalledDiskFault, FullDiskFault, ReplaceFault, ProxyKillFault, ProxyKillFault, AgentKillFault, EndpointReplaceFault, AckLossFault,
-	OrderRaceFault, OrderRaceFault, ResponseLossFault}
+// faultKinds are the kinds of fault of a random plan.
+var faultKinds = faultplan.Kinds[FaultKind]{
+	{Name: KillFault, Weight: 2},
+	{Name: PowerLossFault, Weight: 2},
+	{Name: KillAllFault, Weight: 1},
+	{Name: PowerLossAllFault, Weight: 1},
+	{Name: AckKillFault, Weight: 1},
+	{Name: AckPowerLossFault, Weight: 1},
+	{Name: DiskLossFault, Weight: 2, LosesDisk: true},
+	{Name: DiskLossPowerLossAllFault, Weight: 1, LosesDisk: true},
+	{Name: AckDiskLossPowerLossAllFault, Weight: 1, LosesDisk: true},
+	{Name: FreezeFault, Weight: 2},
+	{Name: PartitionFault, Weight: 2},
+	{Name: PartitionOneWayFault, Weight: 2},
+	{Name: ResetFault, Weight: 1},
+	{Name: ClockStepFault, Weight: 1},
+	{Name: SlowDiskFault, Weight: 1},
+	{Name: StalledDiskFault, Weight: 1},
+	{Name: FullDiskFault, Weight: 1},
+	{Name: ReplaceFault, Weight: 1, LosesDisk: true},
+	{Name: ProxyKillFault, Weight: 2, SparesQuorum: true},
+	{Name: AgentKillFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointReplaceFault, Weight: 1, SparesQuorum: true},
+	{Name: AckLossFault, Weight: 1, SparesQuorum: true},
+	{Name: OrderRaceFault, Weight: 2, SparesQuorum: true},
+	{Name: ResponseLossFault, Weight: 1, SparesQuorum: true},
+}
 
 // RandomPlan draws a plan. Disks are lost one at a time only, and not before all machines have recovered from what came before.
 func RandomPlan(seed uint64) Plan {
@@ -80,16 +101,17 @@
 	maxGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // some days are dense, some are not
 	var recoveredAt time.Duration                                     // when all quorum machines have recovered from all faults
 	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * maxGap))) {
-		fault := Fault{At: at, Kind: randomFaultKinds[random.IntN(len(randomFaultKinds))], For: time.Duration(random.Int64N(int64(6 * time.Second)))}
+		kind := faultKinds.Draw(random)
+		fault := Fault{At: at, Kind: kind.Name, For: time.Duration(random.Int64N(int64(6 * time.Second)))}
 		fault.Target, fault.Other = random.IntN(quorumMachineCount), random.IntN(quorumMachineCount)
-		if fault.Kind.losesDisk() && at < recoveredAt {
+		if kind.LosesDisk && at < recoveredAt {
 			continue
 		}
 		if fault.Kind == ClockStepFault {
 			fault.For -= 3 * time.Second
 		}
-		if until := at + unavailableFor(fault); fault.Kind.affectsQuorumMachines() {
-			recoveredAt = max(recoveredAt, until)
+		if !kind.SparesQuorum {
+			recoveredAt = max(recoveredAt, at+unavailableFor(fault))
 		}
 		plan.Faults = append(plan.Faults, fault)
 	}
@@ -109,13 +131,3 @@
 	}
 	return max(f.For, time.Second) + catchUp
 }
-
-// losesDisk reports whether a fault takes a disk away for good.
-func (k FaultKind) losesDisk() bool {
-	return slices.Contains([]FaultKind{DiskLossFault, DiskLossPowerLossAllFault, AckDiskLossPowerLossAllFault, ReplaceFault}, k)
-}
-
-// affectsQuorumMachines reports whether a fault affects machines with a disk.
-func (k FaultKind) affectsQuorumMachines() bool {
-	return !slices.Contains([]FaultKind{ProxyKillFault, AgentKillFault, EndpointReplaceFault, AckLossFault, OrderRaceFault, ResponseLossFault}, k)
-}
--- a/internal/tier/simulation/checkers_test.go
+++ b/internal/tier/simulation/checkers_test.go
@@ -130,17 +130,21 @@
 		var recoveredAt time.Duration
 		for _, fault := range RandomPlan(seed).Faults {
 			seen[fault.Kind]++
-			if fault.Kind.losesDisk() && fault.At < recoveredAt {
+			kind, found := faultKinds.Find(fault.Kind)
+			if !found {
+				t.Errorf("seed %d: no kind %q", seed, fault.Kind)
+			}
+			if kind.LosesDisk && fault.At < recoveredAt {
 				t.Errorf("seed %d: %+v before %v", seed, fault, recoveredAt)
 			}
-			if fault.Kind.affectsQuorumMachines() {
+			if !kind.SparesQuorum {
 				recoveredAt = max(recoveredAt, fault.At+unavailableFor(fault))
 			}
 		}
 	}
-	for _, kind := range randomFaultKinds {
-		if seen[kind] == 0 {
-			t.Errorf("no %s in %d plans", kind, plans)
+	for _, kind := range faultKinds {
+		if seen[kind.Name] == 0 {
+			t.Errorf("no %s in %d plans", kind.Name, plans)
 		}
 	}
 	t.Logf("%d kinds in %d plans", len(seen), plans)
--- a/internal/tier/simulation/plan.go
+++ b/internal/tier/simulation/plan.go
@@ -81,12 +81,51 @@
 	firstFaultAt = time.Second
 )
 
-// randomFaultKinds are the kinds of a random plan; those named twice come twice as often.
-var randomFaultKinds = []FaultKind{KillFault, KillFault, PowerLossFault, PowerLossFault, KillAllFault, PowerLossAllFault, TermFault, HangUpFault, FreezeFault, FreezeFault,
-	PartitionFault, PartitionFault, PartitionQuorumFault, PartitionQuorumFault, PartitionOutboundFault, PartitionInboundFault, RefuseFault, PartitionZoneFault, ResetFault, SlowLinkFault, ClockStepFault,
-	SlowDiskFault, StalledDiskFault, FullDiskFault, DiskLossFault, DiskLossFault, AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault, ReplaceFault,
-	PlannedReplaceFault, ProxyKillFault, AgentKillFault, EdgePartitionFault, EdgeTermFault, EndpointPartitionFault, EndpointResetFault, ResponseLossFault, ResponseTruncatedFault,
-	EndpointErrorFault, EndpointOverloadFault, EndpointUnreadFault, PlatformDownFault, AckLossFault, OrderRaceFault, OrderRaceFault, InvalidOrderFault, DuplicateOrderFault, DuplicateOrderFault}
+// faultKinds are the kinds of fault of a random plan.
+var faultKinds = faultplan.Kinds[FaultKind]{
+	{Name: KillFault, Weight: 2},
+	{Name: PowerLossFault, Weight: 2},
+	{Name: KillAllFault, Weight: 1},
+	{Name: PowerLossAllFault, Weight: 1},
+	{Name: TermFault, Weight: 1},
+	{Name: HangUpFault, Weight: 1, SparesQuorum: true},
+	{Name: FreezeFault, Weight: 2},
+	{Name: PartitionFault, Weight: 2},
+	{Name: PartitionQuorumFault, Weight: 2},
+	{Name: PartitionOutboundFault, Weight: 1},
+	{Name: PartitionInboundFault, Weight: 1},
+	{Name: RefuseFault, Weight: 1},
+	{Name: PartitionZoneFault, Weight: 1},
+	{Name: ResetFault, Weight: 1},
+	{Name: SlowLinkFault, Weight: 1},
+	{Name: ClockStepFault, Weight: 1, SparesQuorum: true},
+	{Name: SlowDiskFault, Weight: 1},
+	{Name: StalledDiskFault, Weight: 1},
+	{Name: FullDiskFault, Weight: 1},
+	{Name: DiskLossFault, Weight: 2, LosesDisk: true},
+	{Name: AckKillFault, Weight: 1},
+	{Name: AckPowerLossFault, Weight: 1},
+	{Name: AckDiskLossFault, Weight: 1, LosesDisk: true},
+	{Name: AckPowerLossAllFault, Weight: 1},
+	{Name: ReplaceFault, Weight: 1, LosesDisk: true},
+	{Name: PlannedReplaceFault, Weight: 1, LosesDisk: true},
+	{Name: ProxyKillFault, Weight: 1, SparesQuorum: true},
+	{Name: AgentKillFault, Weight: 1, SparesQuorum: true},
+	{Name: EdgePartitionFault, Weight: 1, SparesQuorum: true},
+	{Name: EdgeTermFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointPartitionFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointResetFault, Weight: 1, SparesQuorum: true},
+	{Name: ResponseLossFault, Weight: 1, SparesQuorum: true},
+	{Name: ResponseTruncatedFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointErrorFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointOverloadFault, Weight: 1, SparesQuorum: true},
+	{Name: EndpointUnreadFault, Weight: 1, SparesQuorum: true},
+	{Name: PlatformDownFault, Weight: 1, SparesQuorum: true},
+	{Name: AckLossFault, Weight: 1, SparesQuorum: true},
+	{Name: OrderRaceFault, Weight: 2, SparesQuorum: true},
+	{Name: InvalidOrderFault, Weight: 1, SparesQuorum: true},
+	{Name: DuplicateOrderFault, Weight: 2, SparesQuorum: true},
+}
 
 // RandomPlan draws a plan. Faults may meet; disks only are lost one at a time, and not before all machines have recovered from
 // what came before.
@@ -101,12 +140,13 @@
 	slices.Sort(times)
 	var recoveredAt time.Duration // when all quorum machines have recovered from all faults
 	for _, at := range times {
-		fault := Fault{At: at.Round(time.Millisecond), Kind: randomFaultKinds[random.IntN(len(randomFaultKinds))], Target: random.IntN(1 << 10), Other: random.IntN(1 << 10),
+		kind := faultKinds.Draw(random)
+		fault := Fault{At: at.Round(time.Millisecond), Kind: kind.Name, Target: random.IntN(1 << 10), Other: random.IntN(1 << 10),
 			For: time.Duration(random.Int64N(int64(maxFaultTime))).Round(time.Millisecond)}
-		if fault.Kind.losesDisk() && fault.At < recoveredAt {
+		if kind.LosesDisk && fault.At < recoveredAt {
 			fault.Kind = KillFault
 		}
-		if fault.Kind.affectsQuorumMachines() {
+		if !kind.SparesQuorum {
 			recoveredAt = max(recoveredAt, fault.At+unavailableFor(fault))
 		}
 		plan.Faults = append(plan.Faults, fault)
@@ -116,27 +156,15 @@
 
 // unavailableFor is how long a machine counts as lost from the beginning of a fault on.
 func unavailableFor(f Fault) time.Duration {
-	if slices.Contains([]FaultKind{AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault}, f.Kind) { // they wait for an acknowledgement
+	switch f.Kind {
+	case AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault: // they wait for an acknowledgement
 		return ackTimeout + f.For + catchUp
-	}
-	if f.Kind == TermFault || f.Kind == PlannedReplaceFault {
+	case TermFault, PlannedReplaceFault:
 		return grace + f.For + catchUp
 	}
 	return max(f.For, time.Second) + catchUp
 }
 
-// losesDisk reports whether a fault loses a disk.
-func (k FaultKind) losesDisk() bool {
-	return slices.Contains([]FaultKind{DiskLossFault, AckDiskLossFault, ReplaceFault, PlannedReplaceFault}, k)
-}
-
-// affectsQuorumMachines reports whether a fault affects machines that count for a quorum.
-func (k FaultKind) affectsQuorumMachines() bool {
-	return !slices.Contains([]FaultKind{HangUpFault, ClockStepFault, ProxyKillFault, AgentKillFault, EdgePartitionFault, EdgeTermFault, EndpointPartitionFault,
-		EndpointResetFault, ResponseLossFault, ResponseTruncatedFault, EndpointErrorFault, EndpointOverloadFault, EndpointUnreadFault, PlatformDownFault, AckLossFault, OrderRaceFault,
-		InvalidOrderFault, DuplicateOrderFault}, k)
-}
-
 // Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
 func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
 	return faultplan.Shrink(plan, func(p *Plan) *[]Fault { return &p.Faults }, maxRuns, fails)
--- a/internal/tier/soak/plan.go
+++ b/internal/tier/soak/plan.go
@@ -31,13 +31,28 @@
 	DropResponses   FaultKind = "answers_lost"
 )
 
-// faultKinds are the kinds that plans draw from; a kind listed twice is drawn twice as often. The order must not change: plans
-// follow from it.
-var faultKinds = []FaultKind{KillOne, KillOne, KillSome, KillSome, KillStores, KillControllers, KillAll, PauseOne, PauseOne, PauseSome, Terminate, Terminate, LoseDisk,
-	LoseDisk, DropAcks, DropResponses}
+// faultKinds are the kinds that plans draw from.
+var faultKinds = faultplan.Kinds[FaultKind]{
+	{Name: KillOne, Weight: 2},
+	{Name: KillSome, Weight: 2},
+	{Name: KillStores, Weight: 1},
+	{Name: KillControllers, Weight: 1},
+	{Name: KillAll, Weight: 1},
+	{Name: PauseOne, Weight: 2},
+	{Name: PauseSome, Weight: 1},
+	{Name: Terminate, Weight: 2},
+	{Name: LoseDisk, Weight: 2},
+	{Name: DropAcks, Weight: 1},
+	{Name: DropResponses, Weight: 1},
+}
 
-// partitionKinds are the further kinds of plans with network partitions. Their order must not change either.
-var partitionKinds = []FaultKind{IsolateMachine, IsolateMachine, PartitionPair, DropOutbound, PartitionHalves}
+// partitionKinds are the further kinds of plans with network partitions.
+var partitionKinds = faultplan.Kinds[FaultKind]{
+	{Name: IsolateMachine, Weight: 2},
+	{Name: PartitionPair, Weight: 1},
+	{Name: DropOutbound, Weight: 1},
+	{Name: PartitionHalves, Weight: 1},
+}
 
 // Fault is one fault of a plan. Count is how many processes it affects, or the distance to a partition's second machine.
 type Fault struct {
@@ -89,7 +104,7 @@
 	}
 	for at := time.Second; at < length; at += clusterInterval {
 		for range 2 + random.IntN(2) {
-			plan.Faults = append(plan.Faults, draw(at+between(0, clusterSpread), drawn[random.IntN(len(drawn))]))
+			plan.Faults = append(plan.Faults, draw(at+between(0, clusterSpread), drawn.Draw(random).Name))
 		}
 	}
 	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return int(a.At - b.At) })
--- a/internal/tier/soak/plan_test.go
+++ b/internal/tier/soak/plan_test.go
@@ -21,7 +21,7 @@
 		overlapping := 0
 		for index, fault := range plan.Faults {
 			counts[fault.Kind]++
-			if slices.Contains(partitionKinds, fault.Kind) && !plan.Partitions {
+			if _, partitions := partitionKinds.Find(fault.Kind); partitions && !plan.Partitions {
 				t.Errorf("seed %d: %s on a network that can't be partitioned", seed, fault.Kind)
 			}
 			if fault.For < minFaultDuration || fault.For >= maxFaultDuration || fault.At < time.Second {
@@ -42,8 +42,8 @@
 		}
 	}
 	for _, kind := range append(slices.Clone(faultKinds), partitionKinds...) {
-		if counts[kind] < seeds/10 {
-			t.Errorf("%s comes %d times in %d plans", kind, counts[kind], seeds)
+		if counts[kind.Name] < seeds/10 {
+			t.Errorf("%s comes %d times in %d plans", kind.Name, counts[kind.Name], seeds)
 		}
 	}
 	if closings[KillAll] < seeds/3 || closings[LoseDisk] < seeds/3 || len(closings) != 2 {
