--- a/internal/relay/plugin/check.go
+++ b/internal/relay/plugin/check.go
@@ -20,6 +20,7 @@
 // ModuleError is what keeps a module from being loaded, a line each: all imports, exports and limits at fault.
 type ModuleError []string
 
+// Error has all faults in one line.
 func (e ModuleError) Error() string { return strings.Join(e, "; ") }
 
 // check names all imports, exports and limits at fault as a ModuleError, and tells which ABI a module speaks; 0: none
--- a/internal/relay/plugin/errors.go
+++ b/internal/relay/plugin/errors.go
@@ -30,6 +30,7 @@
 // UnknownPluginError says that no plug-in of a name runs.
 type UnknownPluginError struct{ Name string }
 
+// Error names the plug-in.
 func (e *UnknownPluginError) Error() string { return "plugin: none is called " + e.Name }
 
 // PhaseMaskError says what is wrong with the mask of phases that a module of ABI 2 returns.
@@ -38,6 +39,7 @@
 	MissingExport string // of a phase in the mask; "": the mask has phases that this relay does not know
 }
 
+// Error has the mask, or the export that is missing.
 func (e *PhaseMaskError) Error() string {
 	if e.MissingExport != "" {
 		return fmt.Sprintf("%s: the mask names a phase without its export %s", markerABI2, e.MissingExport)
@@ -48,6 +50,7 @@
 // StatusFileError says that a status file is damaged.
 type StatusFileError struct{ File string }
 
+// Error names the file.
 func (e *StatusFileError) Error() string { return fmt.Sprintf("plugin: %s can't be read", e.File) }
 
 // EngineError is what the WebAssembly engine says of a module or a call, such as a trap.
@@ -56,6 +59,7 @@
 	Err    error  // the engine's own
 }
 
+// Error is the reason alone.
 func (e *EngineError) Error() string { return e.Reason }
 
 // Unwrap returns the engine's error.
--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -28,42 +28,52 @@
 	cfg.Limits.PluginBurst = time.Hour
 	cfg.Plugins[0].Instances, cfg.Plugins[0].Timeout = 1, time.Minute
 	dir := f.TempDir()
-	f.Fuzz(func(t *testing.T, which, phase uint8, a, b, c, d, e int64) {
-		fn := hostFunctions[int(which)%len(hostFunctions)]
-		p := []Phase{Arrival, Answer, End}[phase%3]
-		mine := *cfg
-		mine.Plugins = []config.Plugin{cfg.Plugins[0]}
-		mine.Plugins[0].File = filepath.Join(dir, "p.wasm")
-		if err := os.WriteFile(mine.Plugins[0].File, wasmtest.CallsWith(p.String(), int32(p), fn.name, a, b, c, d, e), 0o600); err != nil {
+	f.Fuzz(func(t *testing.T, which, phaseNo uint8, a, b, c, d, e int64) {
+		function := hostFunctions[int(which)%len(hostFunctions)]
+		phase := allPhases[int(phaseNo)%len(allPhases)]
+		fuzzed := *cfg
+		fuzzed.Plugins = []config.Plugin{cfg.Plugins[0]}
+		fuzzed.Plugins[0].File = filepath.Join(dir, "p.wasm")
+		module := wasmtest.CallsWith(phase.String(), int32(phase), function.name, a, b, c, d, e)
+		if err := os.WriteFile(fuzzed.Plugins[0].File, module, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		h, err := New(&mine, fronts, discardLog())
+		h, err := New(&fuzzed, fronts, discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer h.Close()
 		for range 2 {
-			out, err := h.CallOnce("plugin", Call{Phase: p, Front: "platform", ID: "m", Body: []byte("body"), Result: "delivered", Now: time.Now()})
-			if err != nil && (len(out.Shape) > 0 || out.Body != nil || out.Reject) {
-				t.Fatalf("failed, and yet %+v", out)
-			}
-			if out.Reject && (p != Arrival || out.Status < 400 || out.Status > 499 || len(out.Reason) > 4*h.limits.PluginReason) {
-				t.Fatalf("%+v", out)
-			}
-			if out.Body != nil || p != Arrival && len(out.Shape) > 0 {
-				t.Fatalf("%+v", out)
-			}
-			for i := 0; i < len(out.Shape); i += 2 {
-				for _, ch := range out.Shape[i] + out.Shape[i+1] {
-					if ch < ' ' || ch > '~' {
-						t.Fatalf("%q goes out", out.Shape)
-					}
-				}
-			}
+			call := Call{Phase: phase, Front: "platform", ID: "m", Body: []byte("body"), Result: "delivered", Now: time.Now()}
+			outcome, err := h.CallOnce("plugin", call)
+			checkOutcome(t, h, phase, outcome, err)
 		}
 	})
 }
 
+// checkOutcome demands that an outcome at the front "platform" is within the rules, and that of a call that failed nothing
+// counts.
+func checkOutcome(t *testing.T, h *Host, phase Phase, outcome Outcome, err error) {
+	t.Helper()
+	if err != nil && (len(outcome.Shape) > 0 || outcome.Body != nil || outcome.Reject) {
+		t.Fatalf("failed, and yet %+v", outcome)
+	}
+	badStatus := outcome.Status < 400 || outcome.Status > 499
+	if outcome.Reject && (phase != Arrival || badStatus || len(outcome.Reason) > 4*h.limits.PluginReason) {
+		t.Fatalf("rejected: %+v", outcome)
+	}
+	if outcome.Body != nil || phase != Arrival && len(outcome.Shape) > 0 {
+		t.Fatalf("changed where it may not be: %+v", outcome)
+	}
+	for _, text := range outcome.Shape {
+		for _, char := range text {
+			if char < ' ' || char > '~' {
+				t.Fatalf("%q goes out", outcome.Shape)
+			}
+		}
+	}
+}
+
 // BenchmarkArrive is what a passing plug-in adds to a message.
 func BenchmarkArrive(b *testing.B) {
 	file := filepath.Join(b.TempDir(), "p.wasm")
--- a/internal/relay/plugin/store/snapshot.go
+++ b/internal/relay/plugin/store/snapshot.go
@@ -28,6 +28,7 @@
 // VersionError says that a snapshot has a version of the format that this program does not read.
 type VersionError struct{ Version byte }
 
+// Error has both versions.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("store: a snapshot of version %d, this program reads %d", e.Version, magic[versionOffset])
 }
@@ -35,6 +36,7 @@
 // OwnerError says that a snapshot is another plug-in's.
 type OwnerError struct{ Plugin string }
 
+// Error names the plug-in that has saved the snapshot.
 func (e *OwnerError) Error() string {
 	return fmt.Sprintf("store: the snapshot is of plug-in %q", e.Plugin)
 }
--- a/internal/relay/plugin/thread_linux.go
+++ b/internal/relay/plugin/thread_linux.go
@@ -11,13 +11,13 @@
 // with a module that recurses, the others' p99 was 17 to 77 ms with SCHED_IDLE, 28 with 19, and as without it at 10.
 const niceness = 10
 
-// slice is how long such a thread may keep the processor from one of the relay's that wakes up meanwhile; kernels
+// timeSlice is how long such a thread may keep the processor from one of the relay's that wakes up meanwhile; kernels
 // before 6.12 have one length for all.
-const slice = 100 * time.Microsecond
+const timeSlice = 100 * time.Microsecond
 
 // yieldToOthers has the calling thread give way to the relay's own. No right is needed for that.
 func yieldToOthers() {
-	attr := unix.SchedAttr{Size: unix.SizeofSchedAttr, Policy: unix.SCHED_NORMAL, Nice: niceness, Runtime: uint64(slice)}
+	attr := unix.SchedAttr{Size: unix.SizeofSchedAttr, Policy: unix.SCHED_NORMAL, Nice: niceness, Runtime: uint64(timeSlice)}
 	if unix.SchedSetAttr(0, &attr, 0) != nil {
 		_ = unix.Setpriority(unix.PRIO_PROCESS, 0, niceness)
 	}
--- a/internal/relay/plugin/trial/errors.go
+++ b/internal/relay/plugin/trial/errors.go
@@ -18,6 +18,7 @@
 	Err  error // *KeyError where it is a key of a case
 }
 
+// Error names the line and the cause.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the cause.
@@ -29,6 +30,7 @@
 	Err error
 }
 
+// Error names the key and the cause.
 func (e *KeyError) Error() string { return fmt.Sprintf("%s: %v", e.Key, e.Err) }
 
 // Unwrap returns the cause.
@@ -37,11 +39,13 @@
 // UnknownKeyError says that cases have no such key.
 type UnknownKeyError struct{ Key string }
 
+// Error names the key.
 func (e *UnknownKeyError) Error() string { return fmt.Sprintf("there is no key %q", e.Key) }
 
 // PhaseError says that there is no such phase.
 type PhaseError struct{ Name string }
 
+// Error names the phases that there are.
 func (e *PhaseError) Error() string {
 	return fmt.Sprintf("%q is none of arrival, answer, end", e.Name)
 }
--- a/internal/relay/plugin/wasm/errors.go
+++ b/internal/relay/plugin/wasm/errors.go
@@ -9,6 +9,7 @@
 	Reason  string
 }
 
+// Error is the reason alone, without the place.
 func (e *ParseError) Error() string { return "wasm: " + e.Reason }
 
 // CodeError says which instruction of a function is not supported, or what else is wrong with its code. Bounded
@@ -18,6 +19,7 @@
 	Reason string
 }
 
+// Error is the reason alone, without the place.
 func (e *CodeError) Error() string { return e.Reason }
 
 // FunctionError names the function whose code can't be rewritten.
@@ -26,6 +28,7 @@
 	Err   error  // *CodeError, or *ParseError where the code is cut short or has an invalid number
 }
 
+// Error names the function and the cause.
 func (e *FunctionError) Error() string { return fmt.Sprintf("wasm: function %d: %v", e.Index, e.Err) }
 
 // Unwrap returns the cause.
