--- /dev/null
+++ b/internal/tier/localtier/former_build_test.go
@@ -0,0 +1,475 @@
+package localtier
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mastusher/internal/tier/invariant"
+	"mastusher/internal/tier/localtier/localtiertest"
+	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/transport"
+)
+
+// Given the disks of a tier that an earlier build wrote, when this build starts on them, then it has every turn, budget,
+// configuration, roll-out, placement and identity that the earlier build's clients were told of. When it then writes new ones and
+// starts again, it has both.
+func TestRestart_DisksOfEarlierBuild_NothingIsLost(t *testing.T) {
+	binary := localtiertest.Build(t, "mastusher/cmd/mastusher-tier")
+	cases := []struct {
+		name   string
+		signal syscall.Signal // that ends the processes before the second restart
+	}{
+		{name: "stopped", signal: syscall.SIGTERM},
+		{name: "killed", signal: syscall.SIGKILL}, // two machines' disks have torn tails, and a turn was in flight
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			r := newFormerBuildRun(t, binary, test.name)
+			r.start()
+			r.checkState()
+			r.checkTurns("first")
+			r.exhaustBudgets()
+			r.reconfigure()
+			r.end(test.signal)
+			r.start()
+			r.checkState()
+			r.checkTurns("second")
+			r.checkBudgetsExhausted()
+			r.end(syscall.SIGTERM)
+			r.checkLogs()
+		})
+	}
+}
+
+// formerBuildRun is one run of this build on an earlier build's disks. What it adds enters acknowledged and chains.
+type formerBuildRun struct {
+	t            *testing.T
+	folder       string
+	environment  *Environment
+	tier         *Tier
+	operator     *Operator
+	client       *http.Client
+	acknowledged *acknowledgedState
+	chains       map[string]string // of all complete turns, by attempt
+	lastAttempt  atomic.Int64
+}
+
+func newFormerBuildRun(t *testing.T, binary, name string) *formerBuildRun {
+	t.Helper()
+	r := &formerBuildRun{t: t, folder: t.TempDir(), acknowledged: readAcknowledged(t, name),
+		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
+	r.chains = r.acknowledged.chains()
+	unpackDisks(t, name, r.folder)
+	lockNetwork(t, r.acknowledged.Network)
+	var err error
+	if r.environment, err = StartEnvironment(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(r.environment.Close)
+	r.addRolledOutTool()
+	r.tier = newTierIn(t, r.acknowledged.Network, Options{Command: []string{binary}, Folder: r.folder,
+		Platform: r.environment.Platform.Address(), Counts: Counts{Core: 3, Storage: 3, Edge: 2}})
+	r.operator = NewOperator(r.tier.Addresses(CoreClass, ControlPort), nil)
+	return r
+}
+
+// rolledOutTool is the ID of a tool of the version that the earlier build has rolled out; the others are of the version before.
+const rolledOutTool = "rolled-out-tool"
+
+func (r *formerBuildRun) addRolledOutTool() {
+	options := r.environment.options(rolledOutTool, toolService, toolCapacity)
+	options.Version = "v2"
+	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolWork})
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(tool.Close)
+	r.environment.Platform.Put(tool.Entry())
+}
+
+// start starts all processes and waits until the proxies are ready.
+func (r *formerBuildRun) start() {
+	r.t.Helper()
+	for _, p := range r.tier.Processes {
+		if err := p.Start(); err != nil {
+			r.t.Fatal(err)
+		}
+	}
+	waitFor(r.t, "proxies", func(int) error { return r.tier.WaitReady(r.t.Context()) })
+}
+
+// end ends all processes with a signal, and checks how they end.
+func (r *formerBuildRun) end(signal syscall.Signal) {
+	r.t.Helper()
+	for _, p := range r.tier.Processes {
+		if err := p.Signal(signal); err != nil {
+			r.t.Fatalf("%v: %v", p, err)
+		}
+	}
+	ctx, cancel := contextWithTimeout(r.t)
+	defer cancel()
+	for _, p := range r.tier.Processes {
+		if err := p.Wait(ctx); err != nil {
+			r.t.Fatalf("%v: %v", p, err)
+		}
+		if err := p.ExitErr(); err != nil {
+			r.t.Error(err)
+		}
+	}
+}
+
+// contextWithTimeout returns a context of the test for one condition.
+func contextWithTimeout(t *testing.T) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(t.Context(), formerBuildTimeout)
+}
+
+// checkState checks all that isn't a program's.
+func (r *formerBuildRun) checkState() {
+	r.t.Helper()
+	r.checkIdentities()
+	r.checkShards()
+	for _, controller := range r.operator.controllers {
+		r.checkRead(controller, "/mastusher/settings", r.acknowledged.ReadBack)
+		for service, status := range r.acknowledged.Rollouts {
+			r.checkRead(controller, "/mastusher/rollouts/"+service, status)
+		}
+	}
+	r.checkDuplicateOrder()
+	r.checkToolRoutes()
+}
+
+// checkIdentities checks that each disk still has its identity: a disk that can't be read is erased and gets another one.
+func (r *formerBuildRun) checkIdentities() {
+	r.t.Helper()
+	found := map[string]string{}
+	for _, m := range r.tier.Machines {
+		if m.Class == EdgeClass {
+			continue
+		}
+		content, err := os.ReadFile(filepath.Join(r.tier.diskOf(m), "identity"))
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		found[m.Name] = string(content)
+	}
+	if diff := cmp.Diff(r.acknowledged.Identities, found); diff != "" {
+		r.t.Fatalf("identities (-want +found):\n%s", diff)
+	}
+}
+
+// checkShards waits until all replicas have caught up, and compares the members and the placement of all shards.
+func (r *formerBuildRun) checkShards() {
+	r.t.Helper()
+	pool := transport.NewPool()
+	defer pool.Close()
+	waitFor(r.t, "shards", func(int) error {
+		shards := map[string]acknowledgedShard{}
+		for _, p := range r.tier.Processes {
+			if p.Role != StoreRole {
+				continue
+			}
+			led, err := ShardsLedBy(r.t.Context(), pool, p.Machine)
+			if err != nil {
+				return err
+			}
+			for _, shard := range led {
+				if len(shard.CaughtUp) < len(shard.IDs) {
+					return fmt.Errorf("only %q have caught up with shard %d", shard.CaughtUp, shard.Shard)
+				}
+				shards[strconv.Itoa(shard.Shard)] = acknowledgedShard{Placement: shard.Placement, Members: slices.Sorted(slices.Values(shard.IDs))}
+			}
+		}
+		if diff := cmp.Diff(r.acknowledged.Shards, shards); diff != "" {
+			return fmt.Errorf("shards (-want +got):\n%s", diff)
+		}
+		return nil
+	})
+}
+
+// checkRead compares what a controller answers, wherever it redirects to, with what was answered before.
+func (r *formerBuildRun) checkRead(controller, path string, want json.RawMessage) {
+	r.t.Helper()
+	var body []byte
+	waitFor(r.t, path+" at "+controller, func(int) error {
+		request, err := http.NewRequestWithContext(r.t.Context(), http.MethodGet, "http://"+controller+path, nil)
+		if err != nil {
+			return err
+		}
+		_, body, err = r.operator.send(request)
+		return err
+	})
+	var wanted, got any
+	if err := json.Unmarshal(want, &wanted); err != nil {
+		r.t.Fatal(err)
+	}
+	if err := json.Unmarshal(body, &got); err != nil {
+		r.t.Fatal(err)
+	}
+	if diff := cmp.Diff(wanted, got); diff != "" {
+		r.t.Errorf("%s at %s (-want +got):\n%s", path, controller, diff)
+	}
+}
+
+// newestConfiguration returns the newest configuration that was acknowledged.
+func (r *formerBuildRun) newestConfiguration() model.Configuration {
+	r.t.Helper()
+	var newest model.Configuration
+	if err := json.Unmarshal(r.acknowledged.ReadBack, &newest); err != nil {
+		r.t.Fatal(err)
+	}
+	if newest.Version != r.acknowledged.Version {
+		r.t.Fatalf("version %d, acknowledged %d", newest.Version, r.acknowledged.Version)
+	}
+	return newest
+}
+
+// checkDuplicateOrder checks that the newest configuration is acknowledged again, as a duplicate; another one in its place is not.
+func (r *formerBuildRun) checkDuplicateOrder() {
+	r.t.Helper()
+	newest := r.newestConfiguration()
+	if _, err := r.operator.Configure(r.t.Context(), newest, newest.Version-1); err != nil {
+		r.t.Errorf("the newest configuration, again: %v", err)
+	}
+}
+
+// checkToolRoutes checks that a call on each route to the tools, through each proxy, reaches the version that was rolled out.
+func (r *formerBuildRun) checkToolRoutes() {
+	r.t.Helper()
+	for _, route := range r.newestConfiguration().Routes {
+		if route.Service != toolService {
+			continue
+		}
+		for _, address := range r.tier.Addresses(EdgeClass, FrontPort) {
+			r.checkToolCall(address, route.PathPrefix+"a")
+		}
+	}
+}
+
+// checkToolCall checks where a tool call runs.
+func (r *formerBuildRun) checkToolCall(address, path string) {
+	r.t.Helper()
+	var attempt string
+	waitFor(r.t, "a tool call", func(int) error {
+		_, attempt = r.nextAttempt("tool-call")
+		return r.tier.Expect(r.t.Context(), address, path, attempt, http.StatusOK)
+	})
+	var endpoints []string
+	for _, run := range r.environment.RunLog.Runs(attempt) {
+		endpoints = append(endpoints, run.Endpoint)
+	}
+	if diff := cmp.Diff([]string{rolledOutTool}, endpoints); diff != "" {
+		r.t.Errorf("%s%s didn't run once, at the version that was rolled out (-want +got):\n%s", address, path, diff)
+	}
+}
+
+// reconfigure replaces the newest configuration by one with another route.
+func (r *formerBuildRun) reconfigure() {
+	r.t.Helper()
+	next := r.newestConfiguration()
+	next.Version++
+	next.Routes = append(next.Routes, ToolRoute("newest-tools", "/newest-tools/"))
+	if _, err := r.operator.Configure(r.t.Context(), next, next.Version-1); err != nil {
+		r.t.Fatal(err)
+	}
+	waitFor(r.t, "the new route", func(int) error { return r.tier.WaitRoute(r.t.Context(), "/newest-tools/a") })
+	encoded, err := json.Marshal(next)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.acknowledged.Version, r.acknowledged.ReadBack = next.Version, encoded
+}
+
+// maxConcurrentTurns bounds the turns that are sent at the same time.
+const maxConcurrentTurns = 8
+
+// concurrently calls a function for each item, some at the same time, and returns once all calls have.
+func concurrently[T any](items []T, call func(T)) {
+	var running sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentTurns)
+	for _, item := range items {
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			call(item)
+		})
+	}
+	running.Wait()
+}
+
+// maxTurnTokens bounds the output of the turns that continue others.
+const maxTurnTokens = 30
+
+// checkTurns continues every complete turn so far by a new one, which must reach a model server with all that was said before. A
+// turn that has not completed can't be continued.
+func (r *formerBuildRun) checkTurns(restart string) {
+	r.t.Helper()
+	input := "after the " + restart + " restart\n"
+	added := make(chan formerBuildTurn, len(r.chains))
+	concurrently(slices.Sorted(maps.Keys(r.chains)), func(previous string) {
+		turn, err := r.takeTurn(formerBuildTurn{program: "continues-" + previous, previous: previous, input: input, maxTokens: maxTurnTokens})
+		if err != nil || turn.status != http.StatusOK || turn.tokens != maxTurnTokens {
+			r.t.Errorf("a turn that continues %s got %d and %d tokens, %v", previous, turn.status, turn.tokens, err)
+			return
+		}
+		r.checkPrompt(turn.attempt, r.chains[previous]+input)
+		added <- turn
+	})
+	close(added)
+	for turn := range added {
+		r.chains[turn.attempt] = r.chains[turn.previous] + input + turn.output
+	}
+	concurrently(r.acknowledged.incompleteTurns(), func(previous string) {
+		turn, err := r.takeTurn(formerBuildTurn{program: "continues-" + previous, previous: previous, input: input, maxTokens: maxTurnTokens})
+		if err != nil || turn.status != http.StatusNotFound {
+			r.t.Errorf("a turn that continues %s, which has not completed, got %d, %v", previous, turn.status, err)
+		}
+	})
+}
+
+// checkPrompt checks what a model server got.
+func (r *formerBuildRun) checkPrompt(attempt, want string) {
+	r.t.Helper()
+	runs := r.environment.RunLog.Runs(attempt)
+	if len(runs) != 1 {
+		r.t.Errorf("%s ran %d times", attempt, len(runs))
+	}
+	for _, run := range runs {
+		if got := string(run.Body); got != want {
+			r.t.Errorf("%s ran with %d bytes, not the %d expected: %.200q, want %.200q", attempt, len(got), len(want), got, want)
+		}
+	}
+}
+
+// exhaustBudgets checks to the token what is left of each budget, and uses it up. The requests don't state the budget: it is stored.
+func (r *formerBuildRun) exhaustBudgets() {
+	r.t.Helper()
+	concurrently(r.acknowledged.budgetedPrograms(), func(program acknowledgedProgram) {
+		left := program.Budget - program.usedTokens()
+		r.checkBudgetExceeded(program, left+1)
+		turn, err := r.takeTurn(formerBuildTurn{program: program.Name, input: "just enough\n", maxTokens: left})
+		if err != nil || turn.status != http.StatusOK || turn.tokens != left-left%TokensPerEvent {
+			r.t.Errorf("%s has %d tokens left of %d, and a turn of as many got %d and %d tokens, %v", program.Name, left, program.Budget,
+				turn.status, turn.tokens, err)
+		}
+	})
+}
+
+// checkBudgetsExhausted checks that no budget is left for an event.
+func (r *formerBuildRun) checkBudgetsExhausted() {
+	r.t.Helper()
+	concurrently(r.acknowledged.budgetedPrograms(), func(program acknowledgedProgram) {
+		r.checkBudgetExceeded(program, TokensPerEvent)
+	})
+}
+
+// checkBudgetExceeded checks that a turn is rejected because of its program's budget.
+func (r *formerBuildRun) checkBudgetExceeded(program acknowledgedProgram, maxTokens int64) {
+	turn, err := r.takeTurn(formerBuildTurn{program: program.Name, input: "too much\n", maxTokens: maxTokens})
+	if err != nil || turn.status != http.StatusPaymentRequired {
+		r.t.Errorf("a turn of %s with up to %d tokens, more than is left of %d, got %d, %v", program.Name, maxTokens, program.Budget, turn.status, err)
+	}
+}
+
+// checkLogs checks that no process has reported damage, a panic, a race or a broken invariant.
+func (r *formerBuildRun) checkLogs() {
+	r.t.Helper()
+	for _, p := range r.tier.Processes {
+		content, err := os.ReadFile(p.LogPath())
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		for _, word := range []string{"panic:", "DATA RACE", "corrupt", "replica stopped", "process ends", invariant.Message} {
+			if strings.Contains(string(content), word) {
+				r.t.Errorf("the log of %v has %q:\n%s", p, word, content)
+			}
+		}
+	}
+}
+
+// formerBuildTurn is a turn, with its response once it was sent.
+type formerBuildTurn struct {
+	program, attempt, previous, input string
+	maxTokens                         int64
+
+	status int
+	output string
+	tokens int64 // received
+}
+
+// nextAttempt returns a new number and an attempt ID with it.
+func (r *formerBuildRun) nextAttempt(prefix string) (number int, attempt string) {
+	number = int(r.lastAttempt.Add(1))
+	return number, fmt.Sprintf("%s-again-%d", prefix, number)
+}
+
+// takeTurn sends a turn through one proxy after the other, under a new attempt ID each, until a response says that it has run or
+// never will.
+func (r *formerBuildRun) takeTurn(turn formerBuildTurn) (formerBuildTurn, error) {
+	ctx, cancel := contextWithTimeout(r.t)
+	defer cancel()
+	proxies := r.tier.Addresses(EdgeClass, FrontPort)
+	var broken error // of a response that ended early, or of none at all: the turn may have run
+	err := Poll(ctx, func(int) error {
+		var number int
+		number, turn.attempt = r.nextAttempt(turn.program)
+		broken = r.sendTurn(proxies[number%len(proxies)], &turn)
+		switch turn.status {
+		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout: // it has not run
+			return fmt.Errorf("status %d", turn.status)
+		}
+		return nil
+	})
+	return turn, errors.Join(err, broken)
+}
+
+// sendTurn sends a turn once and enters the response into it.
+func (r *formerBuildRun) sendTurn(proxy string, turn *formerBuildTurn) error {
+	turn.status, turn.output, turn.tokens = 0, "", 0
+	request, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+proxy+TurnPath, strings.NewReader(turn.input))
+	if err != nil {
+		return err
+	}
+	request.Host = Host
+	for name, value := range map[string]string{
+		"X-Attempt-Id": turn.attempt, "Program": turn.program, "Session": "0", "X-Model": ModelName,
+		"X-Time-Left-Ms": strconv.FormatInt(RequestTimeout.Milliseconds(), 10),
+		"X-Token-Counts": fmt.Sprintf("%d,%d", len(turn.input), turn.maxTokens),
+	} {
+		request.Header.Set(name, value)
+	}
+	if turn.previous != "" {
+		request.Header.Set("Previous", turn.previous)
+	}
+	response, err := r.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	turn.status = response.StatusCode
+	lines := bufio.NewScanner(response.Body)
+	for lines.Scan() {
+		if data, found := strings.CutPrefix(lines.Text(), "data: "); found && turn.status == http.StatusOK {
+			turn.output += data + "\n"
+			turn.tokens += TokensPerEvent
+		}
+	}
+	return lines.Err()
+}
