--- a/internal/relay/fleet/testcluster/admin.go
+++ b/internal/relay/fleet/testcluster/admin.go
@@ -10,32 +10,33 @@
 	"mastusher/internal/relay/fleet/peer"
 )
 
-// Admin sends an operator's request to a relay, and records what the status in the answer says.
-func (f *Fleet) Admin(r *Relay, q node.AdminRequest, within time.Duration) (*node.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Admin sends an operator's request to a relay, and records the past changes of the status that it answers. It fails without an answer before the
+// time-out; that a relay refuses the request is in the status.
+func (f *Fleet) Admin(r *Relay, request node.AdminRequest, timeout time.Duration) (*node.Status, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	st, err := peer.Ask(ctx, f.adminPeers[r.Name], q)
+	status, err := peer.Ask(ctx, f.adminPeers[r.Name], request)
 	if err == nil {
-		f.recordStatus(r, st)
+		f.recordStatus(r, status)
 	}
-	return st, err
+	return status, err
 }
 
 // recordStatus records the past changes of a status.
-func (f *Fleet) recordStatus(r *Relay, st *node.Status) {
+func (f *Fleet) recordStatus(r *Relay, status *node.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.now()
-	for _, p := range st.State.PastChanges {
+	for _, past := range status.State.PastChanges {
 		for i := range f.changes {
-			if c := &f.changes[i]; c.ticket == p.Ticket && !c.finished {
-				if c.finished, c.finishedAt = true, at; p.DropReason == "" {
-					c.version = p.Version
+			if change := &f.changes[i]; change.ticket == past.Ticket && !change.finished {
+				if change.finished, change.finishedAt = true, at; past.DropReason == "" {
+					change.version = past.Version
 				}
 			}
 		}
-		if p.Version != 0 {
-			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Reported, Relay: r.Name, Version: p.Version, Digest: p.Digest, Dropped: p.DropReason != ""})
+		if past.Version != 0 {
+			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Reported, Relay: r.Name, Version: past.Version, Digest: past.Digest, Dropped: past.DropReason != ""})
 		}
 	}
 }
@@ -55,31 +56,31 @@
 }
 
 // describeRelays formats the status of each relay.
-func (f *Fleet) describeRelays() (s string) {
+func (f *Fleet) describeRelays() (text string) {
 	for _, r := range f.Relays {
-		st, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
+		status, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
 		if err != nil {
-			s += fmt.Sprintf("\n%s: %v", r.Name, err)
+			text += fmt.Sprintf("\n%s: %v", r.Name, err)
 			continue
 		}
-		s += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, st.MayAct, st.WhyNot,
-			st.Voter, st.Leader, st.State.Epoch, st.State.Index, st.State.Version, st.State.Change, st.Progress)
-		if st.Quota != nil {
-			s += fmt.Sprintf(", rights %+v, of all %+v", *st.Quota, st.Shared)
+		text += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, status.MayAct, status.WhyNot,
+			status.Voter, status.Leader, status.State.Epoch, status.State.Index, status.State.Version, status.State.Change, status.Progress)
+		if status.Quota != nil {
+			text += fmt.Sprintf(", rights %+v, of all %+v", *status.Quota, status.Shared)
 		}
 	}
-	return s
+	return text
 }
 
 // minShare is the smallest share that a relay has of the limit of any partner; 0 until it has one of each.
 func (f *Fleet) minShare(r *Relay) float64 {
-	s, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
-	if err != nil || s.Quota == nil || len(s.Quota.Keys) < partners {
+	status, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
+	if err != nil || status.Quota == nil || len(status.Quota.Keys) < partners {
 		return 0
 	}
 	smallest := 1.0
-	for _, p := range s.Quota.Keys {
-		smallest = min(smallest, p.Share)
+	for _, key := range status.Quota.Keys {
+		smallest = min(smallest, key.Share)
 	}
 	return smallest
 }
--- a/internal/relay/fleet/testcluster/change.go
+++ b/internal/relay/fleet/testcluster/change.go
@@ -13,19 +13,19 @@
 	if doc == "" {
 		doc = stampedPolicy
 	}
-	c := change{ticket: rand.Uint64() | 1, base: base, proposedAt: f.now(), doc: doc}
+	proposed := change{ticket: rand.Uint64() | 1, base: base, proposedAt: f.now(), doc: doc}
 	f.mu.Lock()
-	f.changes = append(f.changes, c)
-	from := len(f.changes)
+	f.changes = append(f.changes, proposed)
+	offset := len(f.changes)
 	f.mu.Unlock()
-	notified := 0
+	asked := 0
 	for i := range f.Relays {
-		r := f.Relays[(i+from)%len(f.Relays)]
-		if !r.Running() {
+		relay := f.Relays[(i+offset)%len(f.Relays)]
+		if !relay.Running() {
 			continue
 		}
-		_, _ = f.Admin(r, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: c.ticket}, 500*time.Millisecond)
-		if notified++; notified == 2 {
+		_, _ = f.Admin(relay, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: proposed.ticket}, 500*time.Millisecond)
+		if asked++; asked == 2 {
 			return
 		}
 	}
--- a/internal/relay/fleet/testcluster/config.go
+++ b/internal/relay/fleet/testcluster/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -21,20 +20,21 @@
 	lastPort.CompareAndSwap(0, int32(10000+os.Getpid()*61%15000))
 	for range 20000 {
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(10000+int(lastPort.Add(1))%20000))
-		l, err := net.Listen("tcp4", address)
+		listener, err := net.Listen("tcp4", address)
 		if err != nil {
 			continue
 		}
-		c, err := net.ListenPacket("udp4", address)
-		_ = l.Close()
+		packets, err := net.ListenPacket("udp4", address)
+		_ = listener.Close()
 		if err != nil {
 			continue
 		}
-		return address, c.Close()
+		return address, packets.Close()
 	}
-	return "", errors.New("no port is free")
+	return "", errNoPort
 }
 
+// settings are a relay's, given the number of relays and its own index.
 const settings = `{"peers_total": %d, "me": %d, "round": 5000, "localities": ["a"], "machine_types": ["news-groups"],
   "allowed": {"cancel": true, "max_attempts": 6, "max_open": 2000, "max_retry_after": 3000000, "retry_after": true, "conn_idle": 15000000,
     "connect_timeout": 1500000}, "report": {"fields": ["x0", "x1"], "how": "TEXT"}, "family_info": {"workers": 32, "per_call": [1], "kind_apart": [true]}, "lanes": [
@@ -45,28 +45,28 @@
 // writeConfig writes the configuration file of a relay.
 func (f *Fleet) writeConfig(relay *Relay, list string) error {
 	others, voters := map[string]string{}, []string{}
-	for _, o := range f.Relays {
-		if o.Index < f.plan.Voters {
-			voters = append(voters, o.Name)
+	for _, other := range f.Relays {
+		if other.Index < f.plan.Voters {
+			voters = append(voters, other.Name)
 		}
-		if l, i := f.linkBetween(relay, o); l != nil {
-			others[o.Name] = l.address(i)
-		} else if o != relay {
-			others[o.Name] = o.peerAddress
+		if peerLink, side := f.linkBetween(relay, other); peerLink != nil {
+			others[other.Name] = peerLink.address(side)
+		} else if other != relay {
+			others[other.Name] = other.peerAddress
 		}
 	}
-	v := map[string]any{"name": relay.Name, "listen": relay.ClientAddress, "state": relay.stateDir, "discovery": f.discovery.Address, "seed": fmt.Sprintf("%016x", relay.Index+1),
+	content := map[string]any{"name": relay.Name, "listen": relay.ClientAddress, "state": relay.stateDir, "discovery": f.discovery.Address, "seed": fmt.Sprintf("%016x", relay.Index+1),
 		"known": json.RawMessage(list), "limits": map[string]any{"disk_mb": 3},
 		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Relays), relay.Index)),
 		"peers": map[string]any{"fleet": fleetID, "name": relay.Name, "listen": relay.peerAddress, "others": others, "voters": voters,
 			"lease": f.plan.Lease.String(), "alone": f.plan.WhenPartitioned, "drift": f.plan.MaxClockDrift}}
 	if f.plan.GuaranteedShare > 0 {
-		v["peers"].(map[string]any)["share"] = map[string]any{"kept": f.plan.GuaranteedShare}
+		content["peers"].(map[string]any)["share"] = map[string]any{"kept": f.plan.GuaranteedShare}
 	}
 	if f.plan.withoutPeers {
-		delete(v, "peers")
+		delete(content, "peers")
 	}
-	b, err := json.MarshalIndent(v, "", " ")
+	text, err := json.MarshalIndent(content, "", " ")
 	if err != nil {
 		return err
 	}
@@ -74,5 +74,5 @@
 		return err
 	}
 	f.adminPeers[relay.Name] = &config.Peers{Fleet: fleetID, Listen: relay.peerAddress}
-	return os.WriteFile(relay.configFile, b, 0o600)
+	return os.WriteFile(relay.configFile, text, 0o600)
 }
--- a/internal/relay/fleet/testcluster/cost.go
+++ b/internal/relay/fleet/testcluster/cost.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -25,11 +24,11 @@
 	CPU     float64                 // of one core, mean of all relays
 	Memory  float64                 // peak in MB, mean of all relays
 	Bytes   float64                 // sent and received a second, mean of all relays
-	Changes int
+	Changes int                     // that took effect
 }
 
-// MeasureCost measures the relays of a plan for a time d: alone (withoutPeers, with no peers in their files), or as a fleet whose policy
-// changes so many times meanwhile, evenly spread.
+// MeasureCost measures the relays of a scenario for a time: each by itself (withoutPeers, with no peers in their files), or as a fleet whose policy
+// changes so many times meanwhile, evenly spread. The steps of the scenario are not run. It returns an error where the fleet can't be run.
 func MeasureCost(plan Scenario, binary, dir string, withoutPeers bool, changes int, length time.Duration) (*CostResult, error) {
 	if err := plan.validate(); err != nil {
 		return nil, err
@@ -44,15 +43,15 @@
 		return nil, err
 	}
 	time.Sleep(2 * time.Second) // so that the cost of the start is not measured
-	out, stop := &CostResult{Answers: hdrhistogram.New(1, 60e6, 3)}, make(chan struct{})
+	cost, stop := &CostResult{Answers: hdrhistogram.New(1, 60e6, 3)}, make(chan struct{})
 	var clients sync.WaitGroup
 	accepted := atomic.Int64{}
-	res := &Result{Answers: out.Answers}
+	result := &Result{Answers: cost.Answers}
 	var cpuBefore []float64
 	for _, r := range fleet.Relays {
 		cpu, _ := r.usage()
 		cpuBefore = append(cpuBefore, cpu)
-		clients.Go(func() { fleet.runClient(r, stop, &accepted, res) })
+		clients.Go(func() { fleet.runClient(r, stop, &accepted, result) })
 	}
 	bytesBefore := fleet.linkBytes()
 	startedAt := time.Now()
@@ -62,18 +61,18 @@
 		fleet.awaitChange()
 	}
 	time.Sleep(time.Until(startedAt.Add(length)))
-	took := time.Since(startedAt).Seconds()
-	n := float64(len(fleet.Relays))
+	seconds := time.Since(startedAt).Seconds()
+	relays := float64(len(fleet.Relays))
 	for i, r := range fleet.Relays {
 		cpu, memory := r.usage()
-		out.CPU += (cpu - cpuBefore[i]) / took / n
-		out.Memory += memory / n
+		cost.CPU += (cpu - cpuBefore[i]) / seconds / relays
+		cost.Memory += memory / relays
 	}
-	out.Bytes = 2 * float64(fleet.linkBytes()-bytesBefore) / took / n
+	cost.Bytes = 2 * float64(fleet.linkBytes()-bytesBefore) / seconds / relays
 	close(stop)
 	clients.Wait()
-	fleet.countForCost(out)
-	return out, nil
+	fleet.countForCost(cost)
+	return cost, nil
 }
 
 // startForCost starts all relays and waits until they serve: each alone, or all as a fleet.
@@ -84,7 +83,7 @@
 	if f.plan.withoutPeers {
 		for _, r := range f.Relays {
 			if !standin.WaitUntilServing(context.Background(), r.ClientAddress) {
-				return fmt.Errorf("%s does not come up", r.Name)
+				return &StepTimeoutError{r.Name + " does not come up"}
 			}
 		}
 		return nil
@@ -93,7 +92,7 @@
 		return fmt.Errorf("the fleet can't be founded: %v %w", st, err)
 	}
 	if !f.Await(eventTimeout, func() bool { return f.AllAct(0) && f.activeVoters() == f.plan.Voters }) {
-		return errors.New("the fleet does not come about")
+		return errNotFormed
 	}
 	return nil
 }
--- a/internal/relay/fleet/testcluster/fleet.go
+++ b/internal/relay/fleet/testcluster/fleet.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	partners = 3
-	fleetID  = "rig"
+	partners = 3     // number of partner systems, each with one endpoint
+	fleetID  = "rig" // name of the fleet in relays' files
 )
 
 // Fleet is the processes, the links between them, and the stand-ins around them.
 type Fleet struct {
 	Relays     []*Relay
 	plan       Scenario
-	binary     string
-	dir        string
+	binary     string // of the relay's program
+	dir        string // of files, logs and state
 	started    time.Time
 	endpoints  *standin.Endpoints
 	discovery  *standin.Discovery
-	links      map[[2]int]*link
-	adminPeers map[string]*config.Peers
+	links      map[[2]int]*link         // by the numbers of its relays, the larger first
+	adminPeers map[string]*config.Peers // for operators' requests, by relay
 
-	mu                 sync.Mutex
+	mu                 sync.Mutex // guards all that follows, but for the elements of clientRates
 	history            []checker.Entry
 	callsByMessage     map[string]int // that took effect
 	FaultsDuringChange map[string]int // by kind, that were injected while a change was in progress
@@ -43,9 +43,9 @@
 	buckets            [partners]tokenBucket
 	limitKnownFrom     time.Duration // when all relays know the limit
 	partnersDown       [partners]bool
-	callsByRelay       map[string]int // that took effect
-	throttled          int            // calls
-	clientRates        []atomic.Uint64
+	callsByRelay       map[string]int  // that took effect
+	throttled          int             // calls
+	clientRates        []atomic.Uint64 // messages/s by relay, as bits of a float64
 }
 
 // New sets up the folders, links and stand-ins of a fleet in dir; no relay is started yet. The caller must Close it.
@@ -72,50 +72,69 @@
 		return nil, err
 	}
 	for i := range plan.Relays {
-		relay := &Relay{Name: "r" + strconv.Itoa(i), Index: i, clockRate: 1}
-		relay.stateDir, relay.configFile = filepath.Join(dir, relay.Name), filepath.Join(dir, relay.Name+".json")
-		if relay.ClientAddress, err = spareAddress(); err == nil {
-			relay.peerAddress, err = spareAddress()
-		}
-		if err != nil {
+		var relay *Relay
+		if relay, err = newRelay(&plan, dir, i); err != nil {
 			return nil, err
 		}
-		if i < len(plan.ClockRates) && plan.ClockRates[i] > 0 {
-			relay.clockRate = plan.ClockRates[i]
-		}
-		if i < len(plan.DiskDelays) {
-			relay.diskDelay = plan.DiskDelays[i]
-		}
 		f.Relays = append(f.Relays, relay)
 	}
-	for i, a := range f.Relays {
-		for j, b := range f.Relays[:min(i, plan.Voters)] { // relays that don't vote don't talk to each other
-			l, err := newLink(netip.MustParseAddrPort(a.peerAddress), netip.MustParseAddrPort(b.peerAddress), plan.Seed^uint64(i*1000+j))
-			if err != nil {
-				return nil, err
-			}
-			l.setFaults(&plan.Links)
-			f.links[[2]int{i, j}] = l
-		}
+	if err = f.openLinks(); err != nil {
+		return nil, err
 	}
-	for _, r := range f.Relays {
-		if err := f.writeConfig(r, list); err != nil {
+	for _, relay := range f.Relays {
+		if err = f.writeConfig(relay, list); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-// linkBetween returns the link of two relays and which of its sides is r's; nil: there is none.
-func (f *Fleet) linkBetween(r, o *Relay) (*link, int) {
-	if l := f.links[[2]int{r.Index, o.Index}]; l != nil {
-		return l, 0
+// newRelay returns the relay of a number, with free addresses; its process does not run.
+func newRelay(plan *Scenario, dir string, index int) (relay *Relay, err error) {
+	relay = &Relay{Name: "r" + strconv.Itoa(index), Index: index, clockRate: 1}
+	relay.stateDir, relay.configFile = filepath.Join(dir, relay.Name), filepath.Join(dir, relay.Name+".json")
+	if relay.ClientAddress, err = spareAddress(); err != nil {
+		return nil, err
+	}
+	if relay.peerAddress, err = spareAddress(); err != nil {
+		return nil, err
+	}
+	if index < len(plan.ClockRates) && plan.ClockRates[index] > 0 {
+		relay.clockRate = plan.ClockRates[index]
+	}
+	if index < len(plan.DiskDelays) {
+		relay.diskDelay = plan.DiskDelays[index]
+	}
+	return relay, nil
+}
+
+// openLinks opens a link between each voter and each other relay: relays that don't vote don't talk to each other.
+func (f *Fleet) openLinks() error {
+	for i, a := range f.Relays {
+		for j, b := range f.Relays[:min(i, f.plan.Voters)] {
+			opened, err := newLink(netip.MustParseAddrPort(a.peerAddress), netip.MustParseAddrPort(b.peerAddress), f.plan.Seed^uint64(i*1000+j))
+			if err != nil {
+				return err
+			}
+			opened.setFaults(&f.plan.Links)
+			f.links[[2]int{i, j}] = opened
+		}
+	}
+	return nil
+}
+
+// linkBetween returns the link of two relays and which of its sides is relay's; nil: there is none.
+func (f *Fleet) linkBetween(relay, other *Relay) (*link, int) {
+	if between := f.links[[2]int{relay.Index, other.Index}]; between != nil {
+		return between, 0
 	}
-	return f.links[[2]int{o.Index, r.Index}], 1
+	return f.links[[2]int{other.Index, relay.Index}], 1
 }
 
+// now is the time since the fleet was set up, the clock of the history.
 func (f *Fleet) now() time.Duration { return time.Since(f.started) }
 
+// record appends an entry to the history, at the current time unless it has one.
 func (f *Fleet) record(e checker.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,10 +144,13 @@
 	f.history = append(f.history, e)
 }
 
-// Await polls a condition every 20 ms until it holds; false: it did not in time.
-func (f *Fleet) Await(within time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
-		if holds() {
+// pollInterval is the time between two checks of a condition that is awaited.
+const pollInterval = 20 * time.Millisecond
+
+// Await polls a condition until it holds; false: it did not before the time-out.
+func (f *Fleet) Await(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
+		if condition() {
 			return true
 		}
 		if time.Now().After(end) {
--- a/internal/relay/fleet/testcluster/judge.go
+++ b/internal/relay/fleet/testcluster/judge.go
@@ -14,8 +14,8 @@
 	notices, _ := f.discovery.Notices()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.history {
-		if e.Kind == checker.Accepted && f.callsByMessage[e.ID] == 0 && notices[e.ID] == "" {
+	for _, entry := range f.history {
+		if entry.Kind == checker.Accepted && f.callsByMessage[entry.ID] == 0 && notices[entry.ID] == "" {
 			return false
 		}
 	}
@@ -24,36 +24,35 @@
 
 // judge completes the history and has the checker judge it.
 func (f *Fleet) judge(res *Result) {
-	notices, twice := f.discovery.Notices()
+	notices, contradictions := f.discovery.Notices()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, n := range f.callsByMessage {
-		res.Calls += n
+	for id, calls := range f.callsByMessage {
+		res.Calls += calls
 		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Ended, ID: id, Text: "called"})
 	}
-	for id, how := range notices {
+	for id, outcome := range notices {
 		if f.callsByMessage[id] == 0 {
-			f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Ended, ID: id, Text: how})
+			f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Ended, ID: id, Text: outcome})
 		}
 	}
-	if twice > 0 {
-		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Breached, Text: fmt.Sprintf("%d messages were told two different ends", twice)})
+	if contradictions > 0 {
+		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Breached, Text: fmt.Sprintf("%d messages were told two different ends", contradictions)})
 	}
-	for _, c := range f.changes {
-		e := checker.Entry{At: c.proposedAt, Until: c.finishedAt, Kind: checker.Proposed, Base: c.base, Version: c.version}
-		if res.Changes++; c.version != 0 {
+	for _, change := range f.changes {
+		entry := checker.Entry{At: change.proposedAt, Until: change.finishedAt, Kind: checker.Proposed, Base: change.base, Version: change.version}
+		if res.Changes++; change.version != 0 {
 			res.InForce++
-			res.ChangeTimes = append(res.ChangeTimes, c.finishedAt-c.proposedAt)
+			res.ChangeTimes = append(res.ChangeTimes, change.finishedAt-change.proposedAt)
 		}
-		f.history = append(f.history, e)
+		f.history = append(f.history, entry)
 	}
-	for _, l := range f.links {
-		res.Bytes += l.bytes[0].Load() + l.bytes[1].Load()
+	for _, between := range f.links {
+		res.Bytes += between.bytes[0].Load() + between.bytes[1].Load()
 	}
 	res.History = f.history
 	res.StaleActs, res.MaxStaleness = checker.Stale(f.history)
-	// A call may be seen a little after it was begun, on a machine that is busy; what a relay does that should not act goes on
-	// for as long as it runs.
+	// On a busy machine a call may be seen a little after it started; a relay that acts though it should not does so for longer.
 	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve", AllMustEnd: res.Stuck == "", Bounds: f.allBounds()})
 }
 
@@ -63,46 +62,45 @@
 	if f.partnerLimit == 0 || f.plan.GuaranteedShare == 0 {
 		return
 	}
-	starts := 0.0
-	for _, e := range f.history {
-		if e.Kind == checker.Started {
-			starts++
-		}
-	}
 	from := f.limitKnownFrom
 	if n := len(f.pastBounds); n > 0 {
 		from = f.pastBounds[n-1].Until + 2*f.plan.Lease
 	}
-	for p := range partners {
-		f.pastBounds = append(f.pastBounds, checker.Bound{To: strconv.Itoa(p), Rate: f.partnerLimit, Burst: starts + f.partnerLimit*(0.05+clockSlack.Seconds()), From: from, Until: f.now()})
+	for partner := range partners {
+		f.pastBounds = append(f.pastBounds, checker.Bound{To: strconv.Itoa(partner), Rate: f.partnerLimit, Burst: f.burst(f.partnerLimit), From: from, Until: f.now()})
 	}
 }
 
-// clockSlack is by how much later than it was begun a call may be seen.
+// clockSlack is how much later than it started a call may be seen.
 const clockSlack = 400 * time.Millisecond
 
-// allBounds are the bounds on calls to partners: of the partners' own limits, and of the limits by hand in policies that took effect. The
-// burst allows for one saved call a start of a relay, for a twentieth of a second, and for clockSlack.
+// allBounds are the bounds on calls to partners: of the partners' own limits, and of the limits that operators set in policies that took
+// effect. The caller must hold f.mu.
 func (f *Fleet) allBounds() (all []checker.Bound) {
 	f.closeBounds()
 	all = append(all, f.pastBounds...)
-	starts := 0.0
-	for _, e := range f.history {
-		if e.Kind == checker.Started {
-			starts++
-		}
-	}
-	for _, c := range f.changes {
-		d, err := policy.Parse([]byte(c.doc))
-		if err != nil || c.version == 0 {
+	for _, change := range f.changes {
+		document, err := policy.Parse([]byte(change.doc))
+		if err != nil || change.version == 0 {
 			continue
 		}
-		for to, p := range d.Partners {
-			if p.Limit > 0 {
-				all = append(all, checker.Bound{Version: c.version, To: to, Rate: p.Limit,
-					Burst: starts + p.Limit*(0.05+clockSlack.Seconds())})
+		for name, partner := range document.Partners {
+			if partner.Limit > 0 {
+				all = append(all, checker.Bound{Version: change.version, To: name, Rate: partner.Limit, Burst: f.burst(partner.Limit)})
 			}
 		}
 	}
 	return all
 }
+
+// burst is by how many calls a limit, in calls/s, may be exceeded in any span: one saved call for each start of a relay, those of a twentieth of a
+// second, and those of clockSlack. The caller must hold f.mu.
+func (f *Fleet) burst(limit float64) float64 {
+	starts := 0.0
+	for _, entry := range f.history {
+		if entry.Kind == checker.Started {
+			starts++
+		}
+	}
+	return starts + limit*(0.05+clockSlack.Seconds())
+}
--- a/internal/relay/fleet/testcluster/link.go
+++ b/internal/relay/fleet/testcluster/link.go
@@ -22,14 +22,15 @@
 // link is a UDP proxy between two relays: each has one of its sockets as the other's address. It owns two goroutines, which close ends.
 type link struct {
 	sockets   [2]*net.UDPConn
-	addresses [2]netip.AddrPort // of the relays
-	faults    [2]atomic.Pointer[LinkFaults]
-	mu        sync.Mutex
+	addresses [2]netip.AddrPort             // of the relays
+	faults    [2]atomic.Pointer[LinkFaults] // of the datagrams that relay 0 and relay 1 send; the same index below
+	mu        sync.Mutex                    // guards rng
 	rng       *rand.Rand
-	sent      [2]atomic.Int64
+	sent      [2]atomic.Int64 // datagrams, lost ones included
 	bytes     [2]atomic.Int64
 }
 
+// newLink opens the link of two relays at their addresses; the caller must close it.
 func newLink(a, b netip.AddrPort, seed uint64) (*link, error) {
 	l := &link{addresses: [2]netip.AddrPort{a, b}, rng: rand.New(rand.NewPCG(seed, 3))}
 	for i := range l.sockets {
@@ -62,38 +63,39 @@
 		}
 		l.sent[i].Add(1)
 		l.bytes[i].Add(int64(size))
-		f := l.faults[i].Load()
+		faults := l.faults[i].Load()
 		l.mu.Lock()
-		lost, twice, garbled := l.rng.Float64() < f.Loss, l.rng.Float64() < f.Twice, l.rng.Float64() < f.Garbled
-		waits := [2]time.Duration{}
-		for k := range waits {
-			if f.Delay > 0 {
-				waits[k] = f.Delay + time.Duration(l.rng.Int64N(int64(f.Delay)+1))
+		lost, twice, garbled := l.rng.Float64() < faults.Loss, l.rng.Float64() < faults.Twice, l.rng.Float64() < faults.Garbled
+		delays := [2]time.Duration{}
+		for k := range delays {
+			if faults.Delay > 0 {
+				delays[k] = faults.Delay + time.Duration(l.rng.Int64N(int64(faults.Delay)+1))
 			}
 		}
-		at := l.rng.IntN(size + 1)
+		damaged := l.rng.IntN(size + 1)
 		l.mu.Unlock()
-		if f.Cut || lost || size == 0 {
+		if faults.Cut || lost || size == 0 {
 			continue
 		}
 		if garbled {
-			buf[min(at, size-1)] ^= 0x5a
+			buf[min(damaged, size-1)] ^= 0x5a
 		}
 		copies := 1
 		if twice {
 			copies = 2
 		}
 		for k := range copies {
-			if waits[k] == 0 {
+			if delays[k] == 0 {
 				l.deliver(i, buf[:size])
 				continue
 			}
-			b := append([]byte{}, buf[:size]...)
-			time.AfterFunc(waits[k], func() { l.deliver(i, b) })
+			datagram := append([]byte{}, buf[:size]...)
+			time.AfterFunc(delays[k], func() { l.deliver(i, datagram) })
 		}
 	}
 }
 
+// deliver sends a datagram of relay i to the other one.
 func (l *link) deliver(i int, b []byte) {
 	_, _ = l.sockets[1-i].WriteToUDPAddrPort(b, l.addresses[1-i])
 }
--- a/internal/relay/fleet/testcluster/partner.go
+++ b/internal/relay/fleet/testcluster/partner.go
@@ -15,8 +15,8 @@
 func (f *Fleet) handleCall(arrival standin.Arrival) httpwire.Answer {
 	entry := checker.Entry{At: arrival.At.Sub(f.started), Kind: checker.Acted, ID: arrival.ID, To: strconv.Itoa(arrival.Endpoint)}
 	entry.Relay, _, _ = strings.Cut(arrival.ID, "-")
-	if v := arrival.Header["X-Policy-Version"]; len(v) == 1 {
-		entry.Version, _ = strconv.ParseUint(v[0], 10, 64)
+	if version := arrival.Header["X-Policy-Version"]; len(version) == 1 {
+		entry.Version, _ = strconv.ParseUint(version[0], 10, 64)
 	}
 	answer := httpwire.Answer{Status: 200}
 	f.mu.Lock()
@@ -26,9 +26,9 @@
 		return httpwire.Answer{Status: 500}
 	}
 	if f.partnerLimit > 0 {
-		let := f.buckets[arrival.Endpoint].take(arrival.At, f.partnerLimit)
+		accepted := f.buckets[arrival.Endpoint].take(arrival.At, f.partnerLimit)
 		answer.Header = []string{"X-Server-Load", fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", f.buckets[arrival.Endpoint].remaining(f.partnerLimit), f.partnerLimit)}
-		if !let {
+		if !accepted {
 			f.throttled++
 			f.mu.Unlock()
 			answer.Status = 429
@@ -37,9 +37,9 @@
 	}
 	f.callsByMessage[arrival.ID]++
 	f.callsByRelay[entry.Relay]++
-	n := f.callsByMessage[arrival.ID]
+	calls := f.callsByMessage[arrival.ID]
 	f.mu.Unlock()
-	if n > 1 && arrival.Key == "" { // messages without a key are not idempotent
+	if calls > 1 && arrival.Key == "" { // messages without a key are not idempotent
 		f.record(checker.Entry{Kind: checker.Breached, Relay: entry.Relay, ID: arrival.ID, Text: arrival.ID + " was sent twice"})
 	}
 	return answer
@@ -48,19 +48,21 @@
 // tokenBucket is a partner's limit, one second deep. Throttled calls take tokens too, down to a debt of 0.6 s.
 type tokenBucket struct {
 	tokens float64
-	at     time.Time
+	at     time.Time // when tokens was computed; zero: no call has come yet
 }
 
-func (m *tokenBucket) take(now time.Time, limit float64) bool {
-	if m.at.IsZero() {
-		m.tokens = limit
+// take takes a token for a call; false: the call is throttled.
+func (b *tokenBucket) take(now time.Time, limit float64) bool {
+	if b.at.IsZero() {
+		b.tokens = limit
 	} else {
-		m.tokens = min(m.tokens+limit*now.Sub(m.at).Seconds(), limit)
+		b.tokens = min(b.tokens+limit*now.Sub(b.at).Seconds(), limit)
 	}
-	m.at = now
-	let := m.tokens >= 1
-	m.tokens = max(m.tokens-1, -0.6*limit)
-	return let
+	b.at = now
+	accepted := b.tokens >= 1
+	b.tokens = max(b.tokens-1, -0.6*limit)
+	return accepted
 }
 
-func (m *tokenBucket) remaining(limit float64) float64 { return max(0, m.tokens/limit) }
+// remaining is the share of the limit that is unused, of 1.
+func (b *tokenBucket) remaining(limit float64) float64 { return max(0, b.tokens/limit) }
--- a/internal/relay/fleet/testcluster/random.go
+++ b/internal/relay/fleet/testcluster/random.go
@@ -19,39 +19,39 @@
 	if rng.IntN(2) == 0 {
 		scenario.Links = LinkFaults{Loss: rng.Float64() * 0.33, Twice: rng.Float64() * 0.1, Garbled: rng.Float64() * 0.05, Delay: time.Duration(rng.IntN(5)) * time.Millisecond}
 	}
-	some := func() string {
+	drawRelay := func() string {
 		if rng.IntN(3) == 0 {
 			return "leader"
 		}
 		return fmt.Sprintf("r%d", rng.IntN(scenario.Relays))
 	}
-	near := func() time.Duration {
+	drawDelay := func() time.Duration {
 		if rng.IntN(3) == 0 {
 			return time.Duration(rng.Int64N(int64(scenario.Lease)))
 		}
 		return time.Duration(rng.IntN(30)) * time.Millisecond
 	}
 	for range 2 + rng.IntN(2) {
-		scenario.Steps = append(scenario.Steps, Step{Action: []string{"propose", "propose", "twice"}[rng.IntN(3)]})
+		scenario.Steps = append(scenario.Steps, Step{Action: []string{actionPropose, actionPropose, actionProposeTwice}[rng.IntN(3)]})
 		for range 1 + rng.IntN(3) {
-			st := Step{After: near(), Relay: some()}
+			step := Step{After: drawDelay(), Relay: drawRelay()}
 			switch rng.IntN(8) {
 			case 0, 1:
-				st.Action = "kill"
+				step.Action = actionKill
 			case 2:
-				st.Action = "term"
+				step.Action = actionTerminate
 			case 3, 4:
-				st.Action, st.Length = "stop", time.Duration(rng.Int64N(int64(3*scenario.Lease)))
+				step.Action, step.Length = actionStop, time.Duration(rng.Int64N(int64(3*scenario.Lease)))
 			case 5:
-				st.Action = []string{"cut", "cut-in", "cut-out"}[rng.IntN(3)]
+				step.Action = []string{actionPartition, actionPartitionIncoming, actionPartitionOutgoing}[rng.IntN(3)]
 			case 6:
-				st.Action, st.Relay = "split", ""
+				step.Action, step.Relay = actionSplit, ""
 			case 7:
-				st.Action, st.Relay = "heal", ""
+				step.Action, step.Relay = actionHeal, ""
 			}
-			scenario.Steps = append(scenario.Steps, st)
+			scenario.Steps = append(scenario.Steps, step)
 		}
-		scenario.Steps = append(scenario.Steps, Step{After: near(), Action: "start"})
+		scenario.Steps = append(scenario.Steps, Step{After: drawDelay(), Action: actionStart})
 	}
 	if seed%2 == 0 {
 		scenario.addSharing(rng)
@@ -63,30 +63,30 @@
 }
 
 // addSharing adds limits of partners that the relays share, with uneven traffic that shifts, and outages of partners.
-func (s *Scenario) addSharing(d *rand.Rand) {
-	s.GuaranteedShare, s.PartnerLimit = 0.1+0.4*d.Float64(), float64(20+d.IntN(60))
-	if d.IntN(3) == 0 {
+func (s *Scenario) addSharing(rng *rand.Rand) {
+	s.GuaranteedShare, s.PartnerLimit = 0.1+0.4*rng.Float64(), float64(20+rng.IntN(60))
+	if rng.IntN(3) == 0 {
 		s.WhenPartitioned = "serve"
 	}
 	for range s.Relays {
 		rate := s.Rate / 8
-		if d.IntN(4) == 0 {
+		if rng.IntN(4) == 0 {
 			rate = 2 * s.Rate
 		}
 		s.RelayRates = append(s.RelayRates, rate)
 	}
-	var all []Step
-	for _, st := range s.Steps {
-		all = append(all, st)
-		relay := fmt.Sprintf("r%d", d.IntN(s.Relays))
-		switch d.IntN(6) {
+	var steps []Step
+	for _, step := range s.Steps {
+		steps = append(steps, step)
+		relay := fmt.Sprintf("r%d", rng.IntN(s.Relays))
+		switch rng.IntN(6) {
 		case 0, 1:
-			all = append(all, Step{Action: "rate", Relay: relay, Value: []float64{1, s.Rate / 8, 2 * s.Rate}[d.IntN(3)]})
+			steps = append(steps, Step{Action: actionSetRate, Relay: relay, Value: []float64{1, s.Rate / 8, 2 * s.Rate}[rng.IntN(3)]})
 		case 2:
-			all = append(all, Step{Action: "rest", Length: time.Duration(d.Int64N(int64(2 * s.Lease)))})
+			steps = append(steps, Step{Action: actionRest, Length: time.Duration(rng.Int64N(int64(2 * s.Lease)))})
 		case 3:
-			all = append(all, Step{Action: []string{"down", "up"}[d.IntN(2)], Value: float64(d.IntN(3))})
+			steps = append(steps, Step{Action: []string{actionPartnerDown, actionPartnerUp}[rng.IntN(2)], Value: float64(rng.IntN(3))})
 		}
 	}
-	s.Steps = append(all, Step{Action: "limit", Value: s.PartnerLimit * (0.3 + d.Float64())}, Step{Action: "rest", Length: 3 * s.Lease}, Step{Action: "up"}, Step{Action: "up", Value: 1}, Step{Action: "up", Value: 2})
+	s.Steps = append(steps, Step{Action: actionSetLimit, Value: s.PartnerLimit * (0.3 + rng.Float64())}, Step{Action: actionRest, Length: 3 * s.Lease}, Step{Action: actionPartnerUp}, Step{Action: actionPartnerUp, Value: 1}, Step{Action: actionPartnerUp, Value: 2})
 }
--- a/internal/relay/fleet/testcluster/result.go
+++ b/internal/relay/fleet/testcluster/result.go
@@ -33,16 +33,17 @@
 // Bad reports whether there was a breach or the fleet was stuck.
 func (r *Result) Bad() bool { return r.Breach != nil || r.Stuck != "" }
 
+// String describes the outcome in a line, but for what relays say of themselves where the fleet was stuck.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%s: %d of %d changes in force, %d messages taken on, %d calls", r.Scenario.Name, r.InForce, r.Changes, r.Accepted, r.Calls)
+	text := fmt.Sprintf("%s: %d of %d changes in force, %d messages taken on, %d calls", r.Scenario.Name, r.InForce, r.Changes, r.Accepted, r.Calls)
 	switch {
 	case r.Breach != nil:
-		return fmt.Sprintf("%s: %v (seed %d)", s, r.Breach, r.Scenario.Seed)
+		return fmt.Sprintf("%s: %v (seed %d)", text, r.Breach, r.Scenario.Seed)
 	case r.Stuck != "":
-		return fmt.Sprintf("%s: stuck: %s (seed %d)", s, r.Stuck, r.Scenario.Seed)
+		return fmt.Sprintf("%s: stuck: %s (seed %d)", text, r.Stuck, r.Scenario.Seed)
 	}
 	if r.StaleActs > 0 {
-		s += fmt.Sprintf(", %d of them under an older policy than others acted under, for %v at most", r.StaleActs, r.MaxStaleness.Round(time.Millisecond))
+		text += fmt.Sprintf(", %d of them under an older policy than others acted under, for %v at most", r.StaleActs, r.MaxStaleness.Round(time.Millisecond))
 	}
-	return s + ": no breach"
+	return text + ": no breach"
 }
--- a/internal/relay/fleet/testcluster/run.go
+++ b/internal/relay/fleet/testcluster/run.go
@@ -23,7 +23,7 @@
 const eventTimeout = 60 * time.Second
 
 // RunScenario runs a scenario with the relay's program binary, in the folder dir, and judges what was seen. Progress, which may be nil, gets a
-// line a step. An error means that the run could not be made; a breach, or a fleet that is stuck, stands in the result.
+// line for each step. An error means that the run could not be made; a breach, or a fleet that is stuck, is in the result.
 func RunScenario(plan Scenario, binary, dir string, progress io.Writer) (*Result, error) {
 	fleet, err := New(plan, binary, dir)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return res, nil
 }
 
-// form starts all relays, has relay 0 found the fleet, and waits until all relays act and all voters vote. What does not come about stands
-// in res.Stuck.
+// form starts all relays, has relay 0 found the fleet, and waits until all relays act and all voters vote. What does not come about is in
+// res.Stuck.
 func (f *Fleet) form(res *Result) error {
 	startedAt := time.Now()
 	if err := f.startAll(); err != nil {
@@ -79,7 +79,7 @@
 	case err != nil:
 		return fmt.Errorf("bootstrapping the fleet: %w", err)
 	case status.Error != "":
-		return fmt.Errorf("bootstrapping the fleet: %s answers %q", f.Relays[0].Name, status.Error)
+		return &AnswerError{"bootstrapping the fleet", f.Relays[0].Name, status.Error}
 	}
 	if !f.Await(eventTimeout, func() bool { return f.AllAct(0) }) {
 		res.Stuck = "not all relays act after the fleet was founded" + f.describeRelays()
@@ -95,12 +95,12 @@
 // runSteps carries out the scenario's steps one after the other.
 func (f *Fleet) runSteps(progress io.Writer) error {
 	for i := range f.plan.Steps {
-		st := &f.plan.Steps[i]
-		time.Sleep(st.After)
+		step := &f.plan.Steps[i]
+		time.Sleep(step.After)
 		if progress != nil {
-			fmt.Fprintf(progress, "%8v  %s %s %s\n", f.now().Round(time.Millisecond), st.Action, st.Relay, st.Phase)
+			fmt.Fprintf(progress, "%8v  %s %s %s\n", f.now().Round(time.Millisecond), step.Action, step.Relay, step.Phase)
 		}
-		if err := f.runStep(st); err != nil {
+		if err := f.runStep(step); err != nil {
 			return err
 		}
 	}
--- a/internal/relay/fleet/testcluster/scenario.go
+++ b/internal/relay/fleet/testcluster/scenario.go
@@ -50,19 +50,55 @@
 // maxRelays bounds the processes of a fleet; more than 50 need an idle fleet and several cores.
 const maxRelays = 300
 
-// stepActions are the actions of steps, as files name them.
-var stepActions = []string{"propose", "twice", "kill", "term", "start", "start-old", "start-none", "copy", "fill", "free", "stop", "cut", "cut-in", "cut-out", "split", "heal",
-	"links", "phase", "settle", "force", "limit", "rate", "part", "served", "down", "up", "verdict", "rest"}
+// The actions of steps, as files name them.
+const (
+	actionPropose           = "propose"    // a policy
+	actionProposeTwice      = "twice"      // two policies at once
+	actionKill              = "kill"       // SIGKILL
+	actionTerminate         = "term"       // SIGTERM
+	actionStart             = "start"      // a relay that does not run, or all
+	actionStartOldDisk      = "start-old"  // from an older copy of its fleet folder
+	actionStartNoDisk       = "start-none" // without its fleet folder
+	actionCopyDisk          = "copy"       // its fleet folder, for start-old
+	actionFillDisk          = "fill"       // its disk refuses writes
+	actionFreeDisk          = "free"       // its disk takes writes again
+	actionStop              = "stop"       // SIGSTOP for a time
+	actionPartition         = "cut"        // drops datagrams from and to a relay
+	actionPartitionIncoming = "cut-in"     // drops datagrams to a relay
+	actionPartitionOutgoing = "cut-out"    // drops datagrams from a relay
+	actionSplit             = "split"      // into relays of even and of odd numbers
+	actionHeal              = "heal"       // ends the faults of all links
+	actionSetLinks          = "links"      // sets the faults of all links
+	actionAwaitPhase        = "phase"      // waits for a phase of a change
+	actionAwaitChange       = "settle"     // waits for the outcome of the last change
+	actionForce             = "force"      // has a voter go on without its majority
+	actionSetLimit          = "limit"      // of all partners
+	actionSetRate           = "rate"       // of the messages at a relay
+	actionAwaitShare        = "part"       // waits until a relay has a share of all limits
+	actionAwaitCalls        = "served"     // waits until a relay has made some more calls
+	actionPartnerDown       = "down"       // a partner fails all calls
+	actionPartnerUp         = "up"         // a partner works again
+	actionAwaitVerdict      = "verdict"    // waits for a verdict of the fleet on some partner
+	actionRest              = "rest"       // waits
+)
+
+// stepActions are all actions, in the order in which errors list them.
+var stepActions = []string{
+	actionPropose, actionProposeTwice, actionKill, actionTerminate, actionStart, actionStartOldDisk, actionStartNoDisk,
+	actionCopyDisk, actionFillDisk, actionFreeDisk, actionStop, actionPartition, actionPartitionIncoming, actionPartitionOutgoing,
+	actionSplit, actionHeal, actionSetLinks, actionAwaitPhase, actionAwaitChange, actionForce, actionSetLimit, actionSetRate,
+	actionAwaitShare, actionAwaitCalls, actionPartnerDown, actionPartnerUp, actionAwaitVerdict, actionRest,
+}
 
-// Load reads and validates a scenario from a file; errors name the key.
+// Load reads and validates a scenario from a file. It returns a ScenarioKeyError for a key that can't be used.
 func Load(file string) (Scenario, error) {
 	var s Scenario
 	meta, err := toml.DecodeFile(file, &s)
 	if err != nil {
 		return s, fmt.Errorf("scenario %s: %w", file, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return s, fmt.Errorf("scenario %s: key %s is not known", file, odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return s, &ScenarioKeyError{Scenario: file, Key: unknown[0].String()}
 	}
 	if s.Name == "" {
 		s.Name = strings.TrimSuffix(filepath.Base(file), ".toml")
@@ -88,7 +124,7 @@
 
 // validate fills in defaults; its error names the first key that is out of range.
 func (s *Scenario) validate() error {
-	fail := func(key, why string) error { return fmt.Errorf("scenario %s: key %s: %s", s.Name, key, why) }
+	fail := func(key, reason string) error { return &ScenarioKeyError{s.Name, key, reason} }
 	if s.Lease == 0 {
 		s.Lease = time.Second
 	}
@@ -117,28 +153,37 @@
 	case !(s.PartnerLimit >= 0 && s.PartnerLimit <= 1e6):
 		return fail("limit", "want 0 to 1e6")
 	}
-	named := func(name string) bool {
-		n, err := strconv.Atoi(strings.TrimPrefix(name, "r"))
-		return err == nil && strings.HasPrefix(name, "r") && n >= 0 && n < s.Relays
-	}
-	for i, st := range s.Steps {
-		at := fmt.Sprintf("steps.%d.", i)
-		if !slices.Contains(stepActions, st.Action) {
-			return fail(at+"do", fmt.Sprintf("%q is none of %s", st.Action, strings.Join(stepActions, ", ")))
+	return s.validateSteps()
+}
+
+// validateSteps returns a ScenarioKeyError for the first key of a step that can't be used.
+func (s *Scenario) validateSteps() error {
+	for i, step := range s.Steps {
+		fail := func(key, reason string) error {
+			return &ScenarioKeyError{s.Name, fmt.Sprintf("steps.%d.%s", i, key), reason}
+		}
+		if !slices.Contains(stepActions, step.Action) {
+			return fail("do", fmt.Sprintf("%q is none of %s", step.Action, strings.Join(stepActions, ", ")))
 		}
-		if st.Relay != "" && st.Relay != "leader" && !named(st.Relay) {
-			return fail(at+"relay", "no relay of that name")
+		if step.Relay != "" && step.Relay != "leader" && !s.hasRelay(step.Relay) {
+			return fail("relay", "no relay of that name")
 		}
-		if slices.ContainsFunc(st.Peers, func(o string) bool { return !named(o) }) {
-			return fail(at+"others", "no relay of that name")
+		if slices.ContainsFunc(step.Peers, func(peer string) bool { return !s.hasRelay(peer) }) {
+			return fail("others", "no relay of that name")
 		}
-		if st.Action == "phase" && !slices.Contains([]string{"proposed", "checked", "decided"}, st.Phase) {
-			return fail(at+"phase", "want proposed, checked or decided")
+		if step.Action == actionAwaitPhase && !slices.Contains([]string{"proposed", "checked", "decided"}, step.Phase) {
+			return fail("phase", "want proposed, checked or decided")
 		}
 	}
 	return nil
 }
 
+// hasRelay reports whether the fleet has a relay of that name: r and its number.
+func (s *Scenario) hasRelay(name string) bool {
+	n, err := strconv.Atoi(strings.TrimPrefix(name, "r"))
+	return err == nil && strings.HasPrefix(name, "r") && n >= 0 && n < s.Relays
+}
+
 // Write writes a scenario as Load reads it.
 func (s *Scenario) Write(file string) error {
 	f, err := os.Create(file)
--- a/internal/relay/fleet/testcluster/scenario_test.go
+++ b/internal/relay/fleet/testcluster/scenario_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// binary is the relay's program, built for the test cluster (tag fleetrig).
 var binary string
 
 func TestMain(m *testing.M) {
@@ -28,8 +29,8 @@
 	os.Exit(code)
 }
 
-// Each scenario of deploy/fleet runs with real processes, without a breach, and the fleet recovers.
-func TestPlay_ScenariosOfDeploy_NoBreach(t *testing.T) {
+// TestRunScenario_ScenariosOfDeploy_NoBreach: each scenario of deploy/fleet runs with real processes, without a breach, and the fleet recovers.
+func TestRunScenario_ScenariosOfDeploy_NoBreach(t *testing.T) {
 	all, err := List("../../../../deploy/fleet")
 	if err != nil || len(all) == 0 {
 		t.Fatal(err, len(all))
--- a/internal/relay/fleet/testcluster/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -35,6 +35,7 @@
 	return nil
 }
 
+// recordFault records a fault, and counts it by kind if a change is in progress.
 func (f *Fleet) recordFault(kind, text string) {
 	f.record(checker.Entry{Kind: checker.Fault, Text: text})
 	f.mu.Lock()
@@ -46,7 +47,7 @@
 
 // runStep carries out a step. A step for a relay that is not there now is skipped.
 func (f *Fleet) runStep(step *Step) error {
-	if step.Action == "start" && step.Relay == "" {
+	if step.Action == actionStart && step.Relay == "" {
 		return f.startAll()
 	}
 	if f.runFleetStep(step) {
@@ -57,13 +58,13 @@
 		return nil
 	}
 	switch step.Action {
-	case "part", "served", "verdict":
+	case actionAwaitShare, actionAwaitCalls, actionAwaitVerdict:
 		return f.awaitRelay(r, step)
-	case "copy", "fill", "free", "start-old", "start-none":
+	case actionCopyDisk, actionFillDisk, actionFreeDisk, actionStartOldDisk, actionStartNoDisk:
 		return f.runDiskStep(r, step)
-	case "start":
+	case actionStart:
 		return f.Start(r)
-	case "force":
+	case actionForce:
 		f.recordFault("force", "force at "+r.Name)
 		status, err := f.Admin(r, node.AdminRequest{Op: "force"}, eventTimeout)
 		if err != nil || status.Error != "" {
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// startAll starts all relays that do not run.
 func (f *Fleet) startAll() error {
 	for _, r := range f.Relays {
 		if err := f.Start(r); err != nil {
@@ -87,41 +89,41 @@
 // runFleetStep carries out a step that concerns no single relay; false: it is none.
 func (f *Fleet) runFleetStep(step *Step) bool {
 	switch step.Action {
-	case "propose":
+	case actionPropose:
 		f.propose(step.Doc)
-	case "twice":
+	case actionProposeTwice:
 		go f.propose(stampedPolicy)
 		f.propose(`{"format":1,"stamp":true,"classes":{"transfer":{"worth":3}}}`)
-	case "heal":
+	case actionHeal:
 		f.heal()
-	case "split":
+	case actionSplit:
 		f.recordFault("split", "split")
 		for ij, l := range f.links {
 			if (ij[0]%2 == 0) != (ij[1]%2 == 0) {
 				l.setFaults(&LinkFaults{Cut: true})
 			}
 		}
-	case "links":
+	case actionSetLinks:
 		f.recordFault("links", fmt.Sprintf("links %+v", step.Links))
 		for _, l := range f.links {
 			l.setFaults(&step.Links)
 		}
-	case "settle":
+	case actionAwaitChange:
 		f.awaitChange()
-	case "rest":
+	case actionRest:
 		time.Sleep(step.Length)
-	case "limit":
+	case actionSetLimit:
 		f.recordFault("limit", fmt.Sprintf("partners take %g calls/s", step.Value))
 		f.mu.Lock()
 		f.closeBounds()
 		f.partnerLimit = step.Value
 		f.mu.Unlock()
-	case "down", "up":
+	case actionPartnerDown, actionPartnerUp:
 		f.recordFault(step.Action, fmt.Sprintf("partner %g is %s", step.Value, step.Action))
 		f.mu.Lock()
-		f.partnersDown[int(step.Value)%partners] = step.Action == "down"
+		f.partnersDown[int(step.Value)%partners] = step.Action == actionPartnerDown
 		f.mu.Unlock()
-	case "phase":
+	case actionAwaitPhase:
 		f.awaitPhase(step.Phase)
 	default:
 		return false
@@ -144,56 +146,56 @@
 	})
 }
 
-// awaitRelay waits until a relay has a share of the limits, has made so many calls more, or judges some partner as the step says. That it
-// never comes about is an error.
-func (f *Fleet) awaitRelay(r *Relay, st *Step) error {
-	switch st.Action {
-	case "part": // of each partner's limit
-		if !f.Await(eventTimeout, func() bool { return f.minShare(r) >= st.Value }) {
-			return fmt.Errorf("%s has not come to have %g of the limits: %s", r.Name, st.Value, f.describeRelays())
-		}
-	case "served": // so many calls more
+// awaitRelay waits until a relay has a share of the limits, has made so many calls more, or has the step's verdict on some partner. It returns a
+// StepTimeoutError where that does not come about.
+func (f *Fleet) awaitRelay(r *Relay, step *Step) error {
+	switch step.Action {
+	case actionAwaitShare: // of each partner's limit
+		if !f.Await(eventTimeout, func() bool { return f.minShare(r) >= step.Value }) {
+			return &StepTimeoutError{fmt.Sprintf("%s has not come to have %g of the limits: %s", r.Name, step.Value, f.describeRelays())}
+		}
+	case actionAwaitCalls: // so many calls more
 		calls := func() int {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.callsByRelay[r.Name]
 		}
 		before := calls()
-		if !f.Await(eventTimeout, func() bool { return calls() >= before+int(st.Value) }) {
-			return fmt.Errorf("%s has not had %g calls let in", r.Name, st.Value)
+		if !f.Await(eventTimeout, func() bool { return calls() >= before+int(step.Value) }) {
+			return &StepTimeoutError{fmt.Sprintf("%s has not had %g calls let in", r.Name, step.Value)}
 		}
-	case "verdict": // Phase is the state that it must take some partner for
+	case actionAwaitVerdict: // Phase is the state that it must take some partner for
 		if !f.Await(eventTimeout, func() bool {
-			s, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
-			return err == nil && s.Quota != nil && slices.ContainsFunc(s.Quota.Keys, func(p node.KeyQuota) bool { return p.State == st.Phase })
+			status, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
+			return err == nil && status.Quota != nil && slices.ContainsFunc(status.Quota.Keys, func(key node.KeyQuota) bool { return key.State == step.Phase })
 		}) {
-			return fmt.Errorf("%s takes no partner for %s", r.Name, st.Phase)
+			return &StepTimeoutError{fmt.Sprintf("%s takes no partner for %s", r.Name, step.Phase)}
 		}
 	}
 	return nil
 }
 
 // runDiskStep copies, fills or frees a relay's fleet folder, or restarts the relay from an older copy or from none.
-func (f *Fleet) runDiskStep(r *Relay, st *Step) error {
-	switch st.Action {
-	case "copy":
+func (f *Fleet) runDiskStep(r *Relay, step *Step) error {
+	switch step.Action {
+	case actionCopyDisk:
 		f.diskCopies[r.Name] = filepath.Join(f.dir, r.Name+".old")
 		return os.CopyFS(f.diskCopies[r.Name], os.DirFS(filepath.Join(r.stateDir, "fleet")))
-	case "fill":
+	case actionFillDisk:
 		f.recordFault("fill", "the disk of "+r.Name+" is full")
 		return os.WriteFile(r.diskFullFile(), nil, 0o600)
-	case "free":
+	case actionFreeDisk:
 		if err := os.Remove(r.diskFullFile()); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
-	case "start-old", "start-none":
+	case actionStartOldDisk, actionStartNoDisk:
 		f.stop(r, syscall.SIGKILL)
-		f.recordFault(st.Action, st.Action+" "+r.Name)
+		f.recordFault(step.Action, step.Action+" "+r.Name)
 		dir := filepath.Join(r.stateDir, "fleet") // not the journal: messages that are gone with it have no end
 		if err := os.RemoveAll(dir); err != nil {
 			return err
 		}
-		if old := f.diskCopies[r.Name]; old != "" && st.Action == "start-old" {
+		if old := f.diskCopies[r.Name]; old != "" && step.Action == actionStartOldDisk {
 			if err := os.CopyFS(dir, os.DirFS(old)); err != nil {
 				return err
 			}
@@ -204,33 +206,33 @@
 }
 
 // runRelayStep changes a relay's load, process or links.
-func (f *Fleet) runRelayStep(r *Relay, st *Step) {
-	switch st.Action {
-	case "rate":
-		f.clientRates[r.Index].Store(math.Float64bits(st.Value))
-	case "kill":
+func (f *Fleet) runRelayStep(r *Relay, step *Step) {
+	switch step.Action {
+	case actionSetRate:
+		f.clientRates[r.Index].Store(math.Float64bits(step.Value))
+	case actionKill:
 		f.recordFault("kill", "kill "+r.Name)
 		f.stop(r, syscall.SIGKILL)
-	case "term":
+	case actionTerminate:
 		f.recordFault("term", "term "+r.Name)
 		go f.stop(r, syscall.SIGTERM)
-	case "stop":
+	case actionStop:
 		if r.signal(syscall.SIGSTOP) {
-			f.recordFault("stop", fmt.Sprintf("stop %s for %v", r.Name, st.Length))
-			time.AfterFunc(st.Length, func() { r.signal(syscall.SIGCONT) })
-		}
-	case "cut", "cut-in", "cut-out":
-		f.recordFault(st.Action, st.Action+" "+r.Name)
-		for _, o := range f.Relays {
-			l, i := f.linkBetween(r, o)
-			if l == nil || len(st.Peers) > 0 && !slices.Contains(st.Peers, o.Name) {
+			f.recordFault("stop", fmt.Sprintf("stop %s for %v", r.Name, step.Length))
+			time.AfterFunc(step.Length, func() { r.signal(syscall.SIGCONT) })
+		}
+	case actionPartition, actionPartitionIncoming, actionPartitionOutgoing:
+		f.recordFault(step.Action, step.Action+" "+r.Name)
+		for _, other := range f.Relays {
+			peerLink, side := f.linkBetween(r, other)
+			if peerLink == nil || len(step.Peers) > 0 && !slices.Contains(step.Peers, other.Name) {
 				continue
 			}
-			if st.Action != "cut-in" {
-				l.faults[i].Store(&LinkFaults{Cut: true})
+			if step.Action != actionPartitionIncoming {
+				peerLink.faults[side].Store(&LinkFaults{Cut: true})
 			}
-			if st.Action != "cut-out" {
-				l.faults[1-i].Store(&LinkFaults{Cut: true})
+			if step.Action != actionPartitionOutgoing {
+				peerLink.faults[1-side].Store(&LinkFaults{Cut: true})
 			}
 		}
 	}
