--- a/internal/tools/docscheck/docscheck_test.go
+++ b/internal/tools/docscheck/docscheck_test.go
@@ -66,7 +66,7 @@
 		"an unexported type's method":  {"`log.entry.size` `log.entry.term`", []string{"page.md:1: package log declares no entry.term"}},
 		"a package of others":          {"`http.Nothing`", nil},
 		"a file that is gone":          {"see `internal/log/old.go`", []string{"page.md:1: internal/log/old.go is not there"}},
-		"a path in a command":          {"    go test ./internal/old -run X", []string{"page.md:1: internal/old is not there"}},
+		"a path in a command":          {"    go test ./internal/old -run X", []string{"page.md:1: no test matches -run X", "page.md:1: internal/old is not there"}},
 		"all packages below a path":    {"`go test ./internal/log/...`", nil},
 		"a link that leads nowhere":    {"[x](nowhere.md)", []string{"page.md:1: link to nowhere.md, which is not there"}},
 		"a link to the outside":        {"[x](https://example.org/x)", nil},
@@ -75,6 +75,9 @@
 		"prose with a slash and a dot": {"and/or e.g. this", nil},
 		"a test, with a subtest too":   {"`TestLog_Empty_HasNoLast`, `TestLog_Empty_HasNoLast/one`", nil},
 		"a test that is gone":          {"`TestBook`", []string{"page.md:1: no package declares TestBook"}},
+		"a pattern of tests":           {"    go test ./internal/log -run Empty_HasNo/one -v", nil},
+		"a pattern that fits no test":  {"`go test ./internal/log -run 'BookIs'`", []string{"page.md:1: no test matches -run BookIs"}},
+		"a benchmark alone":            {"`go test ./internal/log -run xxx -bench Append`", []string{"page.md:1: no test matches -bench Append"}},
 		"a metric and its series":      {"`mastusher_orders_total`, `mastusher_orders_total_count`, `mastusher_orders_total{kind=\"x\"}`", nil},
 		"a metric that is gone":        {"`mastusher_changes_total`", []string{"page.md:1: there is no metric mastusher_changes_total"}},
 		"packages in a table": {
--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -23,6 +23,8 @@
 	target = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
 	// testName matches a test, benchmark or fuzz target, with the name of a subtest behind it or without.
 	testName = regexp.MustCompile(`^((?:Test|Benchmark|Fuzz)[A-Z]\w*)(?:/.*)?$`)
+	// testPattern matches a command that runs some tests or benchmarks by a pattern.
+	testPattern = regexp.MustCompile(`^go test .*-(run|bench|fuzz) '?([^' ]+)`)
 	// metric matches the name of a metric; of a histogram's series the name is followed by a suffix.
 	metric = regexp.MustCompile(`^(` + metricPrefix + `[a-z_]+?)(?:_bucket|_sum|_count)?(?:\{.*\})?$`)
 	// packageTable matches the head of a table whose first column names packages.
@@ -154,6 +156,9 @@
 	if m := testName.FindStringSubmatch(code); m != nil && !c.known.declaresTest(m[1]) {
 		reasons = append(reasons, "no package declares "+m[1])
 	}
+	if m := testPattern.FindStringSubmatch(code); m != nil && !c.known.matchesTest(m[1], m[2]) {
+		reasons = append(reasons, "no test matches -"+m[1]+" "+m[2])
+	}
 	if m := metric.FindStringSubmatch(code); m != nil && !c.known.metrics[m[1]] {
 		reasons = append(reasons, "there is no metric "+m[1])
 	}
--- a/internal/tools/docscheck/symbols.go
+++ b/internal/tools/docscheck/symbols.go
@@ -38,6 +38,26 @@
 	return false
 }
 
+// testPrefixes are the beginnings of functions that a flag of `go test` chooses from.
+var testPrefixes = map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}
+
+// matchesTest reports whether a flag of `go test` with this pattern chooses some function; what follows a slash is a subtest's.
+func (s *source) matchesTest(flag, pattern string) bool {
+	top, _, _ := strings.Cut(strings.ReplaceAll(pattern, `\|`, "|"), "/") // in a table's cell a bar is escaped
+	chosen, err := regexp.Compile(top)
+	if err != nil {
+		return false
+	}
+	for _, declared := range s.symbols {
+		for name := range declared {
+			if strings.HasPrefix(name, testPrefixes[flag]) && chosen.MatchString(name) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // hasPackage reports whether a package, or a folder that holds some, has the path, whole or without its leading folders.
 func (s *source) hasPackage(path string) bool {
 	for known := range s.packages {
