--- a/internal/tier/fleettest/campaign_test.go
+++ b/internal/tier/fleettest/campaign_test.go
@@ -33,6 +33,15 @@
 	return value
 }
 
+// addCounts adds what another day showed.
+func (r *Result) addCounts(day Result) {
+	r.Orders += day.Orders
+	r.Reads += day.Reads
+	r.Runs += day.Runs
+	r.Complete += day.Complete
+	r.Programs += day.Programs
+}
+
 func TestRandomDays(t *testing.T) {
 	first, days := number(t, firstEnv, 1), number(t, daysEnv, usualDays)
 	results := make([]Result, days)
@@ -48,7 +57,7 @@
 	var sum Result
 	failed := 0
 	for i, result := range results {
-		sum.Orders, sum.Reads, sum.Runs, sum.Complete, sum.Programs = sum.Orders+result.Orders, sum.Reads+result.Reads, sum.Runs+result.Runs, sum.Complete+result.Complete, sum.Programs+result.Programs
+		sum.addCounts(result)
 		if len(result.Violations) == 0 {
 			continue
 		}
--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -123,10 +123,10 @@
 	done           func(last *request)
 }
 
-// runProgram runs a program of some turns, with sub-agents, and calls done with its last turn.
-func (c *clients) runProgram(turns int, budget int64, helpers bool, done func(last *request)) {
+// runProgram runs a program of some turns, with a sub-agent if asked for, and calls done with its last turn.
+func (c *clients) runProgram(turns int, budget int64, withSubagent bool, done func(last *request)) {
 	l := c.newConversation(turns, budget, done)
-	l.startsSubagent = helpers
+	l.startsSubagent = withSubagent
 	l.nextTurn()
 }
 
@@ -190,7 +190,8 @@
 			done: func(*request) {}}
 		sub.nextTurn()
 	}
-	c.send(c.readyProxy(), clientRequest{Service: toolService, Program: l.program, Session: l.session, MaxTokens: 2 * tokensPerEvent, Input: []byte("tool")}, func(*request) {
+	toolCall := clientRequest{Service: toolService, Program: l.program, Session: l.session, MaxTokens: 2 * tokensPerEvent, Input: []byte("tool")}
+	c.send(c.readyProxy(), toolCall, func(*request) {
 		c.process.after(c.fleet().loop.between(10*time.Millisecond, 60*time.Millisecond), l.nextTurn)
 	})
 }
@@ -205,7 +206,8 @@
 			if err != nil || answer.Content.Number == 0 {
 				return
 			}
-			f.history.versions = append(f.history.versions, versionSeen{Proxy: proxy, Incarnation: answer.Incarnation, Content: answer.Content, Started: started, Ended: f.loop.Now()})
+			seen := versionSeen{Proxy: proxy, Incarnation: answer.Incarnation, Content: answer.Content, Started: started, Ended: f.loop.Now()}
+			f.history.versions = append(f.history.versions, seen)
 		})
 	}
 }
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -25,7 +25,8 @@
 
 // raw is the configuration as the operator sends it.
 func (c Content) raw() json.RawMessage {
-	config := model.Configuration{Version: c.Number, Routes: []model.Route{{Name: c.Label, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}}}
+	route := model.Route{Name: c.Label, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}
+	config := model.Configuration{Version: c.Number, Routes: []model.Route{route}}
 	raw, err := json.Marshal(config)
 	if err != nil {
 		panic(err) // there is nothing in it that can't be encoded
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -63,20 +63,20 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// dial opens a connection to a proxy as the ingress does: one of those that are in, or any where none is.
+// dial opens a connection to a proxy as the ingress does: one of those that it takes for ready, or any where none is.
 func (c *clients) dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	edges := c.fleet.machinesOf(edgeClass)
 	c.fleet.mutex.Lock()
-	var in []*machine
+	var admitted []*machine
 	for _, m := range edges {
 		if c.misses[m] < maxMisses {
-			in = append(in, m)
+			admitted = append(admitted, m)
 		}
 	}
-	if len(in) == 0 {
-		in = edges
+	if len(admitted) == 0 {
+		admitted = edges
 	}
-	chosen := in[c.fleet.random.IntN(len(in))]
+	chosen := admitted[c.fleet.random.IntN(len(admitted))]
 	c.fleet.mutex.Unlock()
 	return c.fleet.environment.client.Dial(ctx, new(net.Dialer), network, chosen.address(frontPort))
 }
--- a/internal/tier/simulation/environment.go
+++ b/internal/tier/simulation/environment.go
@@ -70,19 +70,29 @@
 }
 
 // listen returns what opens a port on a machine.
-func (s *environment) listen(host *memorynetwork.Machine, port int) func() (net.Listener, error) {
+func (e *environment) listen(host *memorynetwork.Machine, port int) func() (net.Listener, error) {
 	process := host.Start()
-	s.processes = append(s.processes, process)
+	e.processes = append(e.processes, process)
 	return func() (net.Listener, error) {
 		return process.Listen(context.Background(), new(net.ListenConfig), "tcp4", fmt.Sprintf("%s:%d", host.Address(), port))
 	}
 }
 
 // addEndpoint starts a model server or a plain endpoint.
-func (s *environment) addEndpoint(f *Fleet, number int) error {
+func (e *environment) addEndpoint(f *Fleet, number int) error {
 	host := f.network.Machine(fmt.Sprintf("10.8.0.%d", number+1))
-	options := standin.EndpointOptions{ID: fmt.Sprintf("e-%d", number), Service: toolService, Zone: zoneName(number % f.options.Zones), Version: "v1",
-		Capacity: endpointCapacity, Queue: endpointCapacity, MaxConnections: maxConnections, RunLog: s.runLog, Listen: s.listen(host, endpointPort), Fault: f.drawEndpointFault}
+	options := standin.EndpointOptions{
+		ID:             fmt.Sprintf("e-%d", number),
+		Service:        toolService,
+		Zone:           zoneName(number % f.options.Zones),
+		Version:        "v1",
+		Capacity:       endpointCapacity,
+		Queue:          endpointCapacity,
+		MaxConnections: maxConnections,
+		RunLog:         e.runLog,
+		Listen:         e.listen(host, endpointPort),
+		Fault:          f.drawEndpointFault,
+	}
 	if number%2 == 0 {
 		options.Service = modelService
 		engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: options, Models: []string{modelName}, CacheTokens: cacheTokens,
@@ -90,26 +100,26 @@
 		if err != nil {
 			return err
 		}
-		s.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
-		s.closers = append(s.closers, engine.Close)
+		e.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
+		e.closers = append(e.closers, engine.Close)
 	} else {
 		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolServiceTime})
 		if err != nil {
 			return err
 		}
-		s.platform.Put(plain.Entry())
-		s.closers = append(s.closers, plain.Close)
+		e.platform.Put(plain.Entry())
+		e.closers = append(e.closers, plain.Close)
 	}
-	s.endpoints = append(s.endpoints, &endpoint{id: options.ID, host: host})
+	e.endpoints = append(e.endpoints, &endpoint{id: options.ID, host: host})
 	return nil
 }
 
 // close ends them all.
-func (s *environment) close() {
-	for _, end := range s.closers {
+func (e *environment) close() {
+	for _, end := range e.closers {
 		end()
 	}
-	for _, process := range s.processes {
+	for _, process := range e.processes {
 		process.Kill()
 	}
 }
--- a/internal/tier/simulation/faultinjection.go
+++ b/internal/tier/simulation/faultinjection.go
@@ -75,18 +75,18 @@
 	everyone := d.machinesOf(coreClass, storageClass, edgeClass)
 	switch fault.Kind {
 	case PartitionFault:
-		d.partition(fault.For, []*machine{target}, everyone, true, true)
+		d.partition(fault.For, []*machine{target}, everyone, bothWays)
 	case PartitionQuorumFault:
-		d.partition(fault.For, []*machine{target}, d.quorumMachines(), true, true)
+		d.partition(fault.For, []*machine{target}, d.quorumMachines(), bothWays)
 	case PartitionOutboundFault:
-		d.partition(fault.For, []*machine{target}, everyone, true, false)
+		d.partition(fault.For, []*machine{target}, everyone, outbound)
 	case PartitionInboundFault:
-		d.partition(fault.For, []*machine{target}, everyone, false, true)
+		d.partition(fault.For, []*machine{target}, everyone, inbound)
 	case PartitionZoneFault:
 		near, far := d.splitByZone(target)
-		d.partition(fault.For, near, far, true, true)
+		d.partition(fault.For, near, far, bothWays)
 	case EdgePartitionFault:
-		d.partition(fault.For, []*machine{edge}, d.quorumMachines(), true, true)
+		d.partition(fault.For, []*machine{edge}, d.quorumMachines(), bothWays)
 	case RefuseFault:
 		d.refuseConnections(fault.For, target)
 	case ResetFault:
--- a/internal/tier/simulation/faults_network.go
+++ b/internal/tier/simulation/faults_network.go
@@ -4,8 +4,18 @@
 	"time"
 )
 
-// partition cuts machines off from others: out loses what they send, in what is sent to them.
-func (d *day) partition(lasts time.Duration, some, others []*machine, out, in bool) {
+// direction says which messages of a partitioned machine are lost.
+type direction uint8
+
+// The directions.
+const (
+	outbound direction = 1 << iota // what it sends
+	inbound                        // what is sent to it
+	bothWays = outbound | inbound
+)
+
+// partition cuts machines off from others.
+func (d *day) partition(lasts time.Duration, some, others []*machine, lost direction) {
 	each := func(change func(a, b *machine)) {
 		for _, a := range some {
 			for _, b := range others {
@@ -16,10 +26,10 @@
 		}
 	}
 	each(func(a, b *machine) {
-		if out {
+		if lost&outbound != 0 {
 			d.network.Partition(a.host, b.host)
 		}
-		if in {
+		if lost&inbound != 0 {
 			d.network.Partition(b.host, a.host)
 		}
 	})
--- a/internal/tier/simulation/history.go
+++ b/internal/tier/simulation/history.go
@@ -41,10 +41,10 @@
 	programs   []standin.ProgramResult
 }
 
-func (h *history) addOperation(s operation) {
+func (h *history) addOperation(call operation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.operations = append(h.operations, s)
+	h.operations = append(h.operations, call)
 }
 
 func (h *history) addVersion(seen versionSeen) {
@@ -79,9 +79,9 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var orders []operation
-	for _, s := range h.operations {
-		if !s.IsRead {
-			orders = append(orders, s)
+	for _, call := range h.operations {
+		if !call.IsRead {
+			orders = append(orders, call)
 		}
 	}
 	return orders
--- a/internal/tier/simulation/scenarios_test.go
+++ b/internal/tier/simulation/scenarios_test.go
@@ -69,21 +69,21 @@
 	t.Parallel()
 	partitions := map[string]func(d *day, m *machine){
 		"from all": func(d *day, m *machine) {
-			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), true, true)
+			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), bothWays)
 		},
 		"from the majority": func(d *day, m *machine) {
-			d.partition(partitionTime, []*machine{m}, otherControllers(d, m), true, true)
+			d.partition(partitionTime, []*machine{m}, otherControllers(d, m), bothWays)
 		},
 		"what it sends": func(d *day, m *machine) {
-			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), true, false)
+			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), outbound)
 		},
 		"what is sent to it": func(d *day, m *machine) {
-			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), false, true)
+			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), inbound)
 		},
 		"with resets": func(d *day, m *machine) { d.refuseConnections(partitionTime, m) },
 		"frozen":      func(d *day, m *machine) { m.host.Freeze(); d.after(partitionTime, m.host.Thaw) },
 		"from its store only": func(d *day, m *machine) {
-			d.partition(partitionTime, []*machine{m}, d.machinesOf(storageClass), true, true)
+			d.partition(partitionTime, []*machine{m}, d.machinesOf(storageClass), bothWays)
 		},
 	}
 	for name, partition := range partitions {
@@ -160,7 +160,7 @@
 		for attempt := range 10 {
 			if attempt%2 == 1 {
 				leader := leaderOf(t, d)
-				d.partition(2*time.Second, []*machine{leader}, otherControllers(d, leader), true, true)
+				d.partition(2*time.Second, []*machine{leader}, otherControllers(d, leader), bothWays)
 			}
 			base := d.knownVersion()
 			statuses := make([]int, 2)
