--- a/internal/relay/fleet/policy/diff.go
+++ b/internal/relay/fleet/policy/diff.go
@@ -7,60 +7,64 @@
 	"slices"
 )
 
-// Diff tells, a line a key, what a document changes of another; an empty text is each relay's own file.
+// Diff returns, a line for each key in their order, what a document changes of another: "+ KEY VALUE", "- KEY VALUE" or "~ KEY OLD -> NEW". An
+// empty text is each relay's own configuration. It fails with a *KeyError where a document can't be parsed.
 func Diff(from, to []byte) ([]string, error) {
-	flat := func(text []byte) (map[string]string, error) {
-		all := map[string]string{}
-		if len(text) == 0 {
-			return all, nil
-		}
-		if _, err := Parse(text); err != nil {
-			return nil, err
-		}
-		var v any
-		if err := json.Unmarshal(text, &v); err != nil {
-			return nil, err
-		}
-		flatten(all, "", v)
-		return all, nil
-	}
-	was, err := flat(from)
+	before, err := flattenDocument(from)
 	if err != nil {
 		return nil, err
 	}
-	is, err := flat(to)
+	after, err := flattenDocument(to)
 	if err != nil {
 		return nil, err
 	}
-	keys := maps.Clone(was)
-	maps.Copy(keys, is)
-	var lines []string
-	for _, k := range slices.Sorted(maps.Keys(keys)) {
-		a, had := was[k]
-		b, has := is[k]
+	keys := maps.Clone(before)
+	maps.Copy(keys, after)
+	var changes []string
+	for _, key := range slices.Sorted(maps.Keys(keys)) {
+		old, wasSet := before[key]
+		current, isSet := after[key]
 		switch {
-		case !had:
-			lines = append(lines, fmt.Sprintf("+ %s %s", k, b))
-		case !has:
-			lines = append(lines, fmt.Sprintf("- %s %s", k, a))
-		case a != b:
-			lines = append(lines, fmt.Sprintf("~ %s %s -> %s", k, a, b))
+		case !wasSet:
+			changes = append(changes, fmt.Sprintf("+ %s %s", key, current))
+		case !isSet:
+			changes = append(changes, fmt.Sprintf("- %s %s", key, old))
+		case old != current:
+			changes = append(changes, fmt.Sprintf("~ %s %s -> %s", key, old, current))
 		}
 	}
-	return lines, nil
+	return changes, nil
+}
+
+// flattenDocument returns the values of a document, as JSON, by their keys' paths; an empty text has none.
+func flattenDocument(text []byte) (map[string]string, error) {
+	values := map[string]string{}
+	if len(text) == 0 {
+		return values, nil
+	}
+	if _, err := Parse(text); err != nil {
+		return nil, err
+	}
+	var content any
+	if err := json.Unmarshal(text, &content); err != nil {
+		return nil, err
+	}
+	flatten(values, "", content)
+	return values, nil
 }
 
-func flatten(all map[string]string, at string, v any) {
-	m, ok := v.(map[string]any)
+// flatten adds a value to values under its path, or, if it is an object, the values in it under theirs.
+func flatten(values map[string]string, path string, value any) {
+	object, ok := value.(map[string]any)
 	if !ok {
-		b, _ := json.Marshal(v) // it was read as JSON
-		all[at] = string(b)
+		encoded, _ := json.Marshal(value) // it was decoded from JSON
+		values[path] = string(encoded)
 		return
 	}
-	for k, x := range m {
-		if at != "" {
-			k = at + "." + k
+	for key, member := range object {
+		if path != "" {
+			key = path + "." + key
 		}
-		flatten(all, k, x)
+		flatten(values, key, member)
 	}
 }
--- a/internal/relay/fleet/policy/policy_test.go
+++ b/internal/relay/fleet/policy/policy_test.go
@@ -9,11 +9,13 @@
 	"pgregory.net/rapid"
 )
 
+// terms are what the tests' relay can apply.
 var terms = &Terms{Relays: []string{"a", "b"}, Classes: []string{"event"}, MaxAttempts: 6, Tenants: []string{"desk"},
 	Plugins: map[string]string{"x": strings.Repeat("ab", 32)}}
 
-func TestDocument(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+// TestDocument_EachKey_IsAppliedOrRejected: a document is applied, or its error names the key and why.
+func TestDocument_EachKey_IsAppliedOrRejected(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
 		{`{"format":1}`, ""},
 		{`{"format":1,"classes":{"event":{"worth":2,"attempts":6}},"tenants":{"desk":{"quota_per_s":1}},"partners":{"7":{"shut":true}},"accept":["a"]}`, ""},
 		{`{`, "(whole file)"}, {`{}`, "format: missing"}, {`{"format":2}`, "format: 2 is not known"},
@@ -36,17 +38,18 @@
 		{`{"format":1,"plugins":{"y":"` + strings.Repeat("cd", 32) + `"}}`, "plugins.y: no plug-in"},
 		{`{"format":1,"accept":["` + strings.Repeat("a", MaxDocumentBytes) + `"]}`, "bytes, want"},
 	} {
-		d, err := Parse([]byte(c.text))
+		document, err := Parse([]byte(test.text))
 		if err == nil {
-			err = d.Applies(terms)
+			err = document.Applies(terms)
 		}
-		if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && !strings.Contains(got, c.want) {
-			t.Errorf("%.80s: %s, want %q", c.text, got, c.want)
+		if got := fmt.Sprint(err); test.want == "" && err != nil || test.want != "" && !strings.Contains(got, test.want) {
+			t.Errorf("%.80s: %s, want %q", test.text, got, test.want)
 		}
 	}
 }
 
-func TestDiff(t *testing.T) {
+// TestDiff_TwoDocuments_ListsChangedKeys: each key that differs has a line.
+func TestDiff_TwoDocuments_ListsChangedKeys(t *testing.T) {
 	got, err := Diff([]byte(`{"format":1,"stamp":true,"classes":{"event":{"worth":2}}}`), []byte(`{"format":1,"classes":{"event":{"worth":3}},"accept":["a"]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -56,37 +59,37 @@
 	}
 }
 
-// TestState: whatever commands come in whatever order, a version only ever gets further, what was decided comes into force or
-// stays decided, and all that is kept is bounded.
-func TestState(t *testing.T) {
+// TestState_AnyCommands_DecidedChangeIsNeverUndone: whatever commands come in whatever order, a version only ever proceeds, what was decided comes
+// into force or stays decided, and all that is remembered is bounded.
+func TestState_AnyCommands_DecidedChangeIsNeverUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &State{Epoch: 1}
+		state := &State{Epoch: 1}
 		decided := map[uint64]bool{}
 		for i := range uint64(rapid.IntRange(1, 200).Draw(t, "commands")) {
-			c := &Command{Kind: CommandKind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0, s.LastVersion+1).Draw(t, "version"),
+			command := &Command{Kind: CommandKind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0, state.LastVersion+1).Draw(t, "version"),
 				Doc: []byte{byte(i)}, Ticket: rapid.Uint64Range(0, 9).Draw(t, "ticket")}
 			if rapid.Bool().Draw(t, "drop") {
-				c.DropReason = "no"
+				command.DropReason = "no"
 			}
-			was := s.Clone()
-			s = s.Clone()
-			s.Apply(i+1, c)
-			if was.Halted() && !s.Halted() && s.Version != was.Change.Version {
-				t.Fatalf("what was decided, %d, is gone, and %d is in force", was.Change.Version, s.Version)
+			before := state.Clone()
+			state = state.Clone()
+			state.Apply(i+1, command)
+			if before.Halted() && !state.Halted() && state.Version != before.Change.Version {
+				t.Fatalf("what was decided, %d, was undone, and %d is in force", before.Change.Version, state.Version)
 			}
-			if s.Halted() {
-				decided[s.Change.Version] = true
+			if state.Halted() {
+				decided[state.Change.Version] = true
 			}
-			if s.Version < was.Version || s.Version != was.Version && !decided[s.Version] {
-				t.Fatalf("version %d is in force after %d, and was not decided", s.Version, was.Version)
+			if state.Version < before.Version || state.Version != before.Version && !decided[state.Version] {
+				t.Fatalf("version %d is in force after %d, and was not decided", state.Version, before.Version)
 			}
-			if len(s.PastChanges) > maxPastChanges {
-				t.Fatalf("%d ends are kept", len(s.PastChanges))
+			if len(state.PastChanges) > maxPastChanges {
+				t.Fatalf("%d past changes are remembered", len(state.PastChanges))
 			}
-			if again := s.Clone(); s.Change != nil && c.Kind == Propose && c.Ticket != 0 {
-				again.Apply(i+1, c)
-				if diff := cmp.Diff(s, again); diff != "" && s.Change.Ticket == c.Ticket {
-					t.Fatal("a proposal that is handed in twice counts twice", diff)
+			if repeated := state.Clone(); state.Change != nil && command.Kind == Propose && command.Ticket != 0 {
+				repeated.Apply(i+1, command)
+				if diff := cmp.Diff(state, repeated); diff != "" && state.Change.Ticket == command.Ticket {
+					t.Fatal("a duplicate proposal counts twice", diff)
 				}
 			}
 		}
