--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -29,7 +29,7 @@
 	Items         []Item
 	Timeout       time.Duration // how long the relay waits for it in all, from the decision on
 	WriteBefore   time.Time     // nothing of it may be written from then on; zero: no bound
-	PolicyVersion uint64        // version of the policy that the call tells its destination; 0: it tells none
+	PolicyVersion uint64        // version of the policy that the call carries; 0: it carries none
 
 	number      uint64
 	scheduledAt time.Time     // when it was decided
--- a/internal/relay/engine/attempt_test.go
+++ b/internal/relay/engine/attempt_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestAttempt_RecalledBeforeFirstByte_WritesNothing guards against a call whose connection comes up only after its destination has told to wait, or
+// TestAttempt_RecalledBeforeFirstByte_WritesNothing guards against a call whose connection comes up only after its destination has asked to wait, or
 // drains: nothing of it may be written any more.
 func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
 	for name, happens := range map[string]func(relay *harness, out, on *Attempt){
--- a/internal/relay/engine/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -20,7 +20,7 @@
 	return func() {}
 }
 
-// BenchmarkTurn is a message's whole way through the core, in two turns, with and without a capture.
+// BenchmarkTurn is a message's complete way through the core, in two turns, with and without a capture.
 func BenchmarkTurn(b *testing.B) {
 	for _, recorded := range []bool{false, true} {
 		b.Run(fmt.Sprint("recorded=", recorded), func(b *testing.B) {
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -146,8 +146,8 @@
 // SetShell replaces the shell, which makes calls on goroutines by default; it must be called before Restore.
 func (c *Core) SetShell(shell Shell) { c.shell = shell }
 
-// Restore resumes the messages of the journal, in the order in which they were accepted, and takes the first turn, in which the module is
-// told what happened before the restart. New messages are accepted once it returns; it must be called once, before Run.
+// Restore resumes the messages of the journal, in the order in which they were accepted, and takes the first turn, in which the module
+// learns what happened before the restart. New messages are accepted once it returns; it must be called once, before Run.
 func (c *Core) Restore(now time.Time) {
 	for _, e := range c.journal.Entries() {
 		c.restoreEntry(e, now)
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestCore_Restarted_ResendsOnlyWhatMayBeRetried: what the module is told of the time before a restart decides whether a message may go again.
+// TestCore_Restarted_ResendsOnlyWhatMayBeRetried: what the module learns of the time before a restart decides whether a message may be retried.
 func TestCore_Restarted_ResendsOnlyWhatMayBeRetried(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/relay/engine/counters.go
+++ b/internal/relay/engine/counters.go
@@ -3,7 +3,7 @@
 import "strconv"
 
 // counters are what a core has counted since its start, by class, tenant and partner. There is nothing in them that a journal holds:
-// what was taken on before a restart was counted then, its end is counted where it comes about.
+// what was accepted before a restart was counted then, its end is counted when it has it.
 type counters map[string]uint64
 
 // MaxCountedPartners bounds the partners that are counted by number: those from it on are counted together, as "others".
--- a/internal/relay/engine/destinations_test.go
+++ b/internal/relay/engine/destinations_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestWatch_DiscoveryMoves_WatchAndNoticesFollow guards against a reload that leaves the watch or the notices with the old discovery, which takes
-// no new connection, and against one that asks for what has been told already or forgets what has not.
+// no new connection, and against one that asks for what is known already or forgets what is not.
 func TestWatch_DiscoveryMoves_WatchAndNoticesFollow(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	if got := <-relay.front.watches; got != 0 {
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -89,7 +89,7 @@
 	}
 	c.moduleEvents = append(c.moduleEvents, listed)
 	for _, f := range c.frontsInOrder {
-		if f.stopWatch == nil && c.settings.MustSubscribe { // the module takes any word of the list for the end of its asking
+		if f.stopWatch == nil && c.settings.MustSubscribe { // any list ends the module's wait for the watch
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed})
 			break
 		}
@@ -104,7 +104,7 @@
 	return c.governor == nil || c.governor.Halted == 0 && c.governor.Until != 0 && c.clock(now) < c.governor.Until
 }
 
-// maxAttempts is how many attempts a message may have: the narrower of what was in force when it was taken on and now; 0: as
+// maxAttempts is how many attempts a message may have: the smaller of what was in force when it was accepted and now; 0: as
 // many as the settings permit.
 func (c *Core) maxAttempts(e *journal.Entry) int {
 	limit := e.MaxAttempts
@@ -133,7 +133,7 @@
 	return true
 }
 
-// bindToMandate gives an attempt the version that it tells its destination, and has it write nothing once the lease is over.
+// bindToMandate gives an attempt the version that it carries, and has it write nothing once the lease is over.
 func (c *Core) bindToMandate(attempt *Attempt) {
 	if c.governor == nil {
 		return
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts: without a lease nothing is taken on; under one all is as ever, and calls tell their version and are bound by it.
+// TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts: without a lease nothing is accepted; under one messages are, and
+// calls carry their version and are bound by it.
 func TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{}, 0)
@@ -118,7 +119,7 @@
 	}
 }
 
-// TestSubmit_WhileHalted_WaitsForNewPolicy: a message that is handed in right before the relay stops for a change waits for that, and is taken on
+// TestSubmit_WhileHalted_WaitsForNewPolicy: a message that is submitted right before the relay halts for a change waits for that, and is accepted
 // under the new version; one that comes later too.
 func TestSubmit_WhileHalted_WaitsForNewPolicy(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
@@ -185,7 +186,8 @@
 	return func() {}
 }
 
-// TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart: of the allowances under which a message was taken on and is tried the narrower counts, and outlasts a restart.
+// TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart: of the numbers of attempts allowed when a message was accepted and now,
+// the smaller counts, and outlasts a restart.
 func TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart(t *testing.T) {
 	for _, test := range []struct{ accepted, afterRestart, want int }{{1, 0, 1}, {0, 1, 1}, {2, 1, 1}, {1, 2, 1}} {
 		dir := t.TempDir()
@@ -211,7 +213,7 @@
 	}
 }
 
-// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided for a partner that is limited by hand while the relay had no lease does not go out all at once when
+// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided, while the relay had no lease, for a partner that an operator has limited is not sent all at once when
 // it has one again.
 func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
@@ -252,7 +254,7 @@
 }
 
 // TestQuota_Halted_ModuleDecidesNoBurst: given a partner whose limit relays share, when the relay is halted for a while and rests meanwhile, then it
-// has no more to send at once than a relay that goes on, and all that it has taken on goes out afterwards.
+// has no more to send at once than a relay that goes on, and all that it has accepted is sent afterwards.
 func TestQuota_Halted_ModuleDecidesNoBurst(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	endpoint := relay.core.fronts["platform"].listed["s-2"]
--- a/internal/relay/engine/inspector.go
+++ b/internal/relay/engine/inspector.go
@@ -5,10 +5,10 @@
 	"net/textproto"
 )
 
-// Inspector shapes messages on arrival, sees answers and is told of ends. None of its methods runs between a decision and its first byte;
+// Inspector shapes messages on arrival, sees answers and is notified of ends. None of its methods runs between a decision and its first byte;
 // they are called from several goroutines at once.
 type Inspector interface {
-	// OnArrival rules on a message that is not taken on yet, and may set its ExtraHeaders and replace its Body. It runs on the
+	// OnArrival rules on a message that is not accepted yet, and may set its ExtraHeaders and replace its Body. It runs on the
 	// front's goroutine and must not block for long.
 	OnArrival(front string, m *Message) Ruling
 	// SampleBytes is how many bytes of the body of the answers to such messages OnAnswer wants to see; below 0: it need not be called. The
@@ -16,11 +16,11 @@
 	SampleBytes(front string, partner, class int) int
 	// OnAnswer sees the answer to an attempt and may make its outcomes more careful, in place. It runs on the attempt's goroutine.
 	OnAnswer(front string, attempt *Attempt, outcomes []Outcome)
-	// OnEnd is told of an end by the core's goroutine, and must not block.
+	// OnEnd is called with each end by the core's goroutine, and must not block.
 	OnEnd(front string, e End)
 }
 
-// Ruling is what an inspector decides on a message: with Verdict Accepted, that it may be taken on.
+// Ruling is what an inspector decides on a message: with Verdict Accepted, that it may be accepted.
 type Ruling struct {
 	Verdict Verdict
 	Status  int    // with Rejected: the HTTP status that the client gets, 4xx; 0: 422
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -22,8 +22,8 @@
 func (i *inspector) OnAnswer(_ string, s *Attempt, outs []Outcome) { i.answered(s, outs) }
 func (i *inspector) OnEnd(_ string, e End)                         { i.ends = append(i.ends, e) }
 
-// TestInspector_MessageResubmitted_FirstRulingStands: a message that is held stays as it was first taken on, whatever is ruled when it is handed in again; one
-// that was turned down may come again.
+// TestInspector_MessageResubmitted_FirstRulingStands: a pending message stays as it was first accepted, whatever the ruling on a duplicate; one that was
+// rejected may be submitted again.
 func TestInspector_MessageResubmitted_FirstRulingStands(t *testing.T) {
 	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
 	for name, test := range map[string]struct {
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestInspector_ShapedMessage_OutlastsKill: what a message is sent as stands in the journal: after a kill nobody is asked again.
+// TestInspector_ShapedMessage_OutlastsKill: the form in which a message is sent is in the journal: after a kill no inspector is asked again.
 func TestInspector_ShapedMessage_OutlastsKill(t *testing.T) {
 	dir := t.TempDir()
 	relay := newHarness(t, dir, time.Now())
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestInspector_Answer_SeenBeforeModule: the module hears of an answer what the inspector has made of it, and an end is told once.
+// TestInspector_Answer_SeenBeforeModule: the module gets an answer as the inspector has changed it, and an end is reported once.
 func TestInspector_Answer_SeenBeforeModule(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -46,7 +46,7 @@
 	halted bool   // refused only because a change of policy is about to take hold
 }
 
-// Notice tells a front's client how a message that was accepted has ended.
+// Notice is for a front's client: how a message that was accepted has ended.
 type Notice struct {
 	ID           string
 	Delivered    bool          // only where Front.NotifiesDeliveries
@@ -100,7 +100,7 @@
 	}
 }
 
-// arrival is a message as the module is told of it.
+// arrival is a message as the module's event.
 func (c *Core) arrival(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.number<<20 + m.entry.Destination,
 		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted, Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
@@ -119,7 +119,7 @@
 
 // end gives a message the one end that the module has decided: a refusal hands it back, a failure gives it up.
 func (c *Core) end(m *message, a control.Action) {
-	if m.reply != nil { // in the turn of its arrival: a plain answer will do, and nothing is taken on
+	if m.reply != nil { // in the turn of its arrival: it gets a plain answer, and is not accepted
 		if m.refusal = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
 			m.refusal = &Reply{Verdict: Busy, RetryAfter: a.For}
 		}
--- a/internal/relay/engine/notices.go
+++ b/internal/relay/engine/notices.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// notifyEnd counts a message's end and has the inspector told of it once the turn is journalled.
+// notifyEnd counts a message's end and notifies the inspector once the turn is journalled.
 func (c *Core) notifyEnd(m *message, result string) {
 	c.count(m.entry.Class, m.entry.Tenant, m.entry.Destination, result)
 	if c.inspector != nil {
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -148,7 +148,7 @@
 	return run
 }
 
-// submit hands in up to two messages.
+// submit submits up to two messages.
 func (run *randomRun) submit() {
 	rng, now := run.rng, run.shell.now
 	for range rng.IntN(3) {
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -49,7 +49,7 @@
 }
 
 // recorder is what a core's turns are recorded on: a capture.Recorder, or a CoreReplay's singleTurn. The core's goroutine alone calls it,
-// and reuses the slices that it hands over.
+// and reuses the slices that it passes.
 type recorder interface {
 	WantsState() bool
 	State(module *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
@@ -94,7 +94,7 @@
 	c.recorder.Tick(now)
 }
 
-// recordState hands over the state of module and core, and the names of all that they hold.
+// recordState records the state of module and core, and the names of all that is in them.
 func (c *Core) recordState() {
 	state := c.state()
 	messages := make([]capture.Message, len(state.Messages))
@@ -179,7 +179,7 @@
 	case quotaGranted:
 		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.on(c)}
 	case attemptEnded:
-		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number, Items: len(posted.outcomes)} // the module is told the outcomes
+		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number, Items: len(posted.outcomes)} // the outcomes are in the module's events
 	case listChanged:
 		list := &capture.EndpointList{Index: posted.Index, Complete: posted.Complete}
 		for _, d := range posted.Destinations {
@@ -197,7 +197,7 @@
 	return recorded, true
 }
 
-// recordedArrival is a message handed in, without its body and key, of which only the lengths are recorded.
+// recordedArrival is a submitted message, without its body and key, of which only the lengths are recorded.
 func (c *Core) recordedArrival(a *arrival, now time.Time) capture.CoreEvent {
 	m := &a.msg
 	c.recordedArrivals = append(c.recordedArrivals, capture.Arrival{ID: m.ID, KeySize: len(m.Key), Partner: m.Partner,
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -38,7 +38,7 @@
 	Input         *capture.Input    // the recorded turn
 	Turn          *capture.Turn     // the module's recorded turn in it; nil: none
 	Got           capture.Input     // what the replayed core did
-	ModuleEvents  []control.Event   // what the replayed core told the module
+	ModuleEvents  []control.Event   // the events that the replayed core gave the module
 	ModuleActions []control.Action  // what the replayed module decided
 	State         *control.Snapshot // of the replayed module, after the turn
 	Reason        string            // which part differs first
@@ -64,7 +64,7 @@
 func (t *singleTurn) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
 }
 
-// Turn keeps copies of what the module was told and decided: the core reuses its slices.
+// Turn keeps copies of the module's events and actions: the core reuses its slices.
 func (t *singleTurn) Turn(_ time.Duration, events []control.Event, actions []control.Action) {
 	t.hasTurn, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
@@ -180,7 +180,7 @@
 	errAsRecorded     = errors.New("as recorded") // what the journal of a replayed core fails with
 )
 
-// input replays one turn and compares what the core tells the module, what that decides and what the core does.
+// input replays one turn and compares the module's events, its actions and what the core does.
 func (r *CoreReplay) input(recorded *capture.Input, turn *capture.Turn) error {
 	core := r.core
 	r.journalFullFor, r.accepts, r.flushFails, r.recorded = recorded.Full, 0, recorded.Failed, singleTurn{}
@@ -229,7 +229,7 @@
 	return all
 }
 
-// outcomes are those that the module is told in a turn, without those of the events that were pending from the turn before.
+// outcomes are those in the module's events of a turn, without those of the events that were pending from the turn before.
 func outcomes(turn *capture.Turn, pending int) (outs []Outcome) {
 	if turn == nil {
 		return nil
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -8,7 +8,7 @@
 )
 
 // eventFrom is a recorded event as it came by the queue. Outcomes that the recording does not repeat are taken from the front of
-// moduleOutcomes, those that the module was told of in the same turn. It returns one of the errors of replay_errors.go where the event does
+// moduleOutcomes, those in the module's events of the same turn. It returns one of the errors of replay_errors.go where the event does
 // not fit the core's state.
 func (c *Core) eventFrom(recorded *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
 	if recorded.Front >= len(c.frontsInOrder) || recorded.Front < 0 && recorded.Kind != capture.Submitted && recorded.Kind != capture.Moved {
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -204,7 +204,7 @@
 	hour   = flag.Duration("hour", 0, "replay so long a time at 120 messages/s, and tell how long it takes")
 )
 
-// TestCoreReplay_Corpus_DoesTheSame replays whole cores' lives: a restart with messages resumed, discovery that moves, drains, a disk that
+// TestCoreReplay_Corpus_DoesTheSame replays complete runs of cores: a restart with messages resumed, discovery that moves, drains, a disk that
 // fails and fills up, plug-ins' verdicts. Windows that replay --to-test has cut can stand beside them.
 func TestCoreReplay_Corpus_DoesTheSame(t *testing.T) {
 	for name, seed := range map[string]uint64{"resumed": 5, "moved": 12, "troubled": 21} {
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -6,7 +6,7 @@
 )
 
 // Shell carries out what the core decides, and hands back the results: the live one by goroutines and sockets, a replay from a
-// recording, a simulation in its own time. The core takes what it is handed in its next turn.
+// recording, a simulation in its own time. The core takes the results in its next turn.
 //
 // Its methods are called by the core's goroutine and must not block. The callbacks may be called from any goroutine, and block while
 // the core's queue is full: none may be called before the method has returned.
@@ -14,7 +14,7 @@
 	// Call makes an attempt that ends at until at the latest, and calls done once, however it ends, with an outcome for each of its items.
 	// cancel ends the attempt early, and may be called more than once and after its end.
 	Call(f Front, attempt *Attempt, until time.Time, done func([]Outcome)) (cancel func())
-	// Notify sends notices, under the same terms; accepted tells for each of them whether the front's client has it.
+	// Notify sends notices, under the same terms; accepted says for each of them whether the front's client has it.
 	Notify(f Front, notices []Notice, until time.Time, done func(accepted []bool)) (cancel func())
 	// Watch reports changes of a front's endpoint list since the index after, until it is cancelled or lost; lost is called once at most.
 	Watch(f Front, after int64, changed func(EndpointList), lost func(error)) (cancel func())
--- a/internal/relay/engine/snapshot.go
+++ b/internal/relay/engine/snapshot.go
@@ -98,7 +98,7 @@
 	return c.startedAt.Add(d - clockStart)
 }
 
-// restoreState puts a new core into a state, with the fronts that front makes. The shell is not told of the calls in flight. What refers to
+// restoreState puts a new core into a state, with the fronts that front makes. The shell does not learn of the calls in flight. What refers to
 // something else is restored after it: destinations after fronts, attempts after destinations, messages after attempts, notices last.
 func (c *Core) restoreState(state *capture.Core, front func(capture.FrontState) Front) {
 	c.moduleEvents = slices.Clone(state.Events)
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -69,7 +69,7 @@
 
 func (a arrival) apply(core *Core, now time.Time) {
 	core.submitted++
-	// It is in the relay already, or was until a moment ago: the relay owes it one end, not two, whatever else holds now.
+	// It is pending already, or has ended recently: it has one end, not two, whatever else holds now.
 	if verdict, known := core.earlierVerdict(a.front, a.msg.ID); known {
 		core.replyTo(a.reply, core.submitted, Reply{Verdict: verdict, RetryAfter: core.limits.BusyRetry})
 		return
@@ -121,7 +121,7 @@
 	c.moduleEvents = append(c.moduleEvents, c.arrival(m))
 }
 
-// withdrawn is a message whose client never heard that it was taken on.
+// withdrawn is a message whose client never heard that it was accepted.
 type withdrawn struct{ ref uint64 }
 
 func (w withdrawn) apply(core *Core, now time.Time) {
@@ -154,8 +154,8 @@
 	c.recordAction(capture.Action{Kind: capture.Replied, Number: submission, Wait: r.RetryAfter, Verdict: uint8(r.Verdict)})
 }
 
-// journalArrivals journals the messages that were taken on in this turn, and drops those that were not. Nothing is
-// told to a client before the journal is written; see flushAndBegin.
+// journalArrivals journals the messages that were accepted in this turn, and drops those that were not. No client is
+// answered before the journal is written; see flushAndBegin.
 func (c *Core) journalArrivals() {
 	for i, m := range c.arrivals {
 		if m.refusal == nil {
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -111,7 +111,7 @@
 		if !c.drainAt.IsZero() && now.Sub(c.drainAt) > c.limits.DrainSends {
 			continue // left for the next start
 		}
-		if c.messages[s.message.ref] == nil || d == nil { // not taken on after all: the module has its slot back
+		if c.messages[s.message.ref] == nil || d == nil { // it was not accepted after all: the module gets its slot back
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: s.action.ID, Attempt: s.message.entry.Attempts,
 				Endpoint: s.action.Endpoint, Result: control.NotProcessed})
 			continue
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
-// before the next one has spoken it counts, since the relay has been told.
+// before the next one has reported it counts, since the relay must follow what it has heard.
 func TestWatch_SupersededWatchReportsLate_UndoesNothing(t *testing.T) {
 	list := func(index int64, complete bool, state control.State) EndpointList {
 		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
@@ -70,7 +70,7 @@
 }
 
 // TestWatch_Lost_ReopenedByItsCause: when a watch that has ended is opened again depends on what ended it, and on nothing that the module must be asked for
-// where what the relay misses counts as told soon.
+// where what the relay misses soon counts as known.
 func TestWatch_Lost_ReopenedByItsCause(t *testing.T) {
 	broke := errors.New("reset")
 	for _, test := range []struct {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: an id that comes again when its message has ended with a notice is told that end, before the notice was taken and after:
-// its client may never have heard that it was taken on, and would wait for another.
+// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: a duplicate of a message that has ended with a notice is answered with that end, before the notice was
+// accepted and after: its client may never have heard that the message was accepted, and would wait for another end.
 func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -1,5 +1,5 @@
 // Package consensus wraps raft's pure core (go.etcd.io/raft) for the voters of a relay fleet: the log is in memory, elections go
-// by a clock that is handed in, and all that must be on disk is handed out in Ready before anything that depends on it.
+// by the caller's clock, and all that must be on disk is returned in Ready before anything that depends on it.
 //
 // An Engine does no I/O, reads no clock, starts no goroutine and isn't safe for concurrent use; the same inputs and seed give
 // the same outputs. Package node drives it.
@@ -37,7 +37,7 @@
 	random uint64              // state of the generator of election time-outs; never 0
 
 	confState          *raftpb.ConfState // the members as of applied
-	applied            uint64            // index of the last entry that was handed out as Committed
+	applied            uint64            // index of the last entry that was returned as Committed
 	bytesSinceSnapshot int               // bytes of entries since the last snapshot
 	snapshotIndex      uint64            // index of the last entry in the last snapshot
 	leaderSeenAt       time.Duration     // when a leader, or whoever it voted for, was last heard
@@ -125,7 +125,7 @@
 	return LogPosition{e.node.BasicStatus().GetTerm(), last}
 }
 
-// Applied returns the index of the last entry that was handed out as Committed.
+// Applied returns the index of the last entry that was returned as Committed.
 func (e *Engine) Applied() uint64 { return e.applied }
 
 // IsLeader reports whether this member takes itself for the leader; only ReadIndex shows that a majority still does.
--- a/internal/relay/fleet/consensus/errors.go
+++ b/internal/relay/fleet/consensus/errors.go
@@ -16,7 +16,7 @@
 // EntryGapError is returned by New for an image that lacks the entry before Index.
 type EntryGapError struct{ Index uint64 }
 
-// Error names the entry that stands in the gap.
+// Error names the entry after the gap.
 func (e EntryGapError) Error() string {
 	return fmt.Sprintf("consensus: entry %d stands where another should", e.Index)
 }
--- a/internal/relay/fleet/consensus/ready.go
+++ b/internal/relay/fleet/consensus/ready.go
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// applyCommitted hands out committed entries in their order.
+// applyCommitted passes committed entries to apply and adds them to out, in their order.
 func (e *Engine) applyCommitted(entries []*raftpb.Entry, out *Ready, apply func(Committed)) error {
 	for _, entry := range entries {
 		committed, err := e.toCommitted(entry)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// confirmReads hands out the numbers of reads that a majority has confirmed.
+// confirmReads adds the numbers of reads that a majority has confirmed to out.
 func (e *Engine) confirmReads(now time.Duration, reads []raft.ReadState, out *Ready) {
 	for _, read := range reads {
 		var number uint64
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -46,7 +46,7 @@
 type LeaseRequest struct {
 	From        string   `cbor:"1,keyasint"`
 	Generation  uint64   `cbor:"2,keyasint"`           // grows with each start of the relay
-	Incarnation uint64   `cbor:"3,keyasint"`           // drawn at each start: tells two relays of one name apart
+	Incarnation uint64   `cbor:"3,keyasint"`           // drawn at each start: distinguishes two relays of one name
 	Seq         uint64   `cbor:"4,keyasint"`           // number of the request, from 1 in each incarnation
 	Epoch       uint64   `cbor:"5,keyasint,omitempty"` // of the newest state that it knows
 	Index       uint64   `cbor:"6,keyasint,omitempty"`
@@ -117,7 +117,7 @@
 	SaveFailed     error                 // an action's Save or Generation is not on disk
 	Demands        *[]quota.Demand       // of this relay, now
 	Counters       *map[quota.Key]uint64 // of this incarnation
-	ConfirmedLease *[2]uint64            // Term and Number of the quota.Lease that the core goes by, and by none before it
+	ConfirmedLease *[2]uint64            // Term and Number of the quota.Lease that is in force at the core, and none before it
 }
 
 // AdminRequest is an operator's request, by the command line at this relay.
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -281,7 +281,7 @@
 		err = errUnknownPeer
 	case received.To != f.config.Name:
 		err = errOtherRelay
-	case received.Generation < f.generations[received.From] && received.Message.LeaseRequest == nil: // by lease requests the leader tells two relays of one name apart
+	case received.Generation < f.generations[received.From] && received.Message.LeaseRequest == nil: // by its lease requests the leader detects two relays of one name
 		err = errFormerIncarnation
 	}
 	if err != nil {
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -20,7 +20,7 @@
 	GrantQuota(limits control.SharedLimits, until time.Time, done func())
 }
 
-// observedKey is what a key stands for at this relay: a tenant or a destination.
+// observedKey is what a key identifies at this relay: a tenant or a destination.
 type observedKey struct {
 	name     string
 	tenant   int    // index into the settings' tenants; -1: it is a destination's
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -50,7 +50,7 @@
 	splitAt            time.Duration // of the last split
 	roster             []string      // the roster, sorted
 	relays             map[string]*relayState
-	leased             map[Key]int64 // sum of what relays may go by, beyond the guaranteed minimums
+	leased             map[Key]int64 // sum of what relays may spend, beyond the guaranteed minimums
 	minimumSum         int64         // all guaranteed minimums that may be spent
 	reservedMinimumSum int64         // the same with those that are still to be leased
 	keys               map[Key]*keyState
@@ -71,11 +71,11 @@
 	demandsAt        time.Duration // of these
 	heardAt          time.Duration // of its last request
 	lastLease        uint64        // number of the newest lease
-	leases           []lease       // that it may go by, oldest first; the first may be confirmed
+	leases           []lease       // that may be in force at the relay, oldest first; the first may be confirmed
 	formerLeases     []lease       // of former incarnations
 	bound            map[Key]int64 // the most that it may spend by any of its leases, in units, beyond the minimum
 	minimum          int64         // that it may spend
-	lastingMinimum   int64         // of leases that are over: it may still go by the guaranteed minimum alone
+	lastingMinimum   int64         // of expired leases: the relay may still spend the guaranteed minimum alone
 	target           map[Key]int64 // what split would give it, in units
 }
 
@@ -151,7 +151,7 @@
 	return !slices.ContainsFunc(l.roster, func(name string) bool { return l.relays[name] == nil || !l.relays[name].reported })
 }
 
-// updateBound recomputes what a relay may go by, and drops its expired leases.
+// updateBound recomputes what a relay may spend, and drops its expired leases.
 func (l *Allocator) updateBound(relay *relayState, now time.Duration) {
 	bound, minimum := map[Key]int64{}, int64(0)
 	expired := func(l lease) bool { return l.expires <= now }
--- a/internal/relay/fleet/quota/lessee.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -19,7 +19,7 @@
 
 // Lease is what the core may spend.
 type Lease struct {
-	Term, Number uint64        // for Confirm, once the core goes by it
+	Term, Number uint64        // for Confirm, once it is in force at the core
 	Minimum      float64       // guaranteed share of each key, of 1
 	Shares       []KeyShare    // must not be changed
 	Expires      time.Duration // it may be spent before that
@@ -58,7 +58,7 @@
 	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeAlone}
 }
 
-// Confirm reports that the core goes by a lease, and by none before it.
+// Confirm reports that a lease is in force at the core, and none before it.
 func (p *Lessee) Confirm(term, number uint64) {
 	if term == p.term && number == p.number {
 		p.confirmed = [2]uint64{term, number}
@@ -78,7 +78,7 @@
 	if p.ServeAlone {
 		r.Minimum = toFloat16(p.minimum)
 	}
-	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // otherwise the core may still go by more
+	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // otherwise the core may still spend more
 		r.LeasedShares, r.Minimum = EncodeKeyShares(p.shares), toFloat16(p.minimum)
 	}
 	if p.requests++; p.requests%2 == 0 || p.reportLeased {
--- a/internal/relay/fleet/quota/messages.go
+++ b/internal/relay/fleet/quota/messages.go
@@ -1,9 +1,9 @@
 package quota
 
-// Request is what a relay reports with each request for its own lease: the quota lease that it goes by, and its demands. Minimums are encoded
+// Request is what a relay reports with each request for its own lease: the quota lease in force there, and its demands. Minimums are encoded
 // by toFloat16.
 type Request struct {
-	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // of the allocator whose lease it goes by
+	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // of the allocator that granted the lease in force
 	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // of that lease; 0: none
 	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: unchanged
 	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // the lease's shares, where that was asked for
--- a/internal/relay/fleet/quota/quota.go
+++ b/internal/relay/fleet/quota/quota.go
@@ -69,7 +69,7 @@
 	Extra    float64       // beyond its guaranteed minimum, of 1
 	Limit    float64       // the freshest that any relay reported; 0: none
 	LimitAge time.Duration // since that
-	State    State         // the leader's verdict; Unseen: the relay goes by its own calls
+	State    State         // the leader's verdict; Unseen: the relay relies on its own calls
 	StateAge time.Duration // since the newest evidence for that
 	Wait     time.Duration // that the destination asked another relay for, from now on
 	MayProbe bool          // it is this relay's turn to probe what is down
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// confirm takes over that the relay goes by the lease of that number, and by none before it.
+// confirm records that the lease of that number is in force at the relay, and none before it.
 func (relay *relayState) confirm(number uint64) {
 	relay.leases = slices.DeleteFunc(relay.leases, func(l lease) bool { return l.number < number })
 	relay.reported, relay.confirmedLease = true, number
@@ -88,5 +88,5 @@
 		}
 		former.shares[share.Key] = units
 	}
-	relay.formerLeases = append(relay.formerLeases, former) // it goes by that until it has another; its end is the former lease's
+	relay.formerLeases = append(relay.formerLeases, former) // in force there until it has another; it ends when the former lease does
 }
--- a/internal/relay/fleet/testcluster/change.go
+++ b/internal/relay/fleet/testcluster/change.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// propose proposes a change at two relays under one ticket, as either may be partitioned; "" stands for stampedPolicy.
+// propose proposes a change at two relays under one ticket, as either may be partitioned; "" means stampedPolicy.
 func (f *Fleet) propose(doc string) {
 	base, _ := f.newestVersion()
 	if doc == "" {
--- a/internal/relay/fleet/testcluster/counters.go
+++ b/internal/relay/fleet/testcluster/counters.go
@@ -10,7 +10,7 @@
 )
 
 // checkCounters compares the fleet's own counters of accepted messages with what clients were answered: equal where no relay was restarted,
-// and never more; a relay that was killed may not have reported its last ones. It returns what does not come about; "": nothing.
+// and never more; a relay that was killed may not have reported its last ones. It returns what does not match in time; "": all does.
 func (f *Fleet) checkCounters(res *Result) string {
 	starts, acknowledged := 0, 0
 	f.mu.Lock()
--- a/internal/relay/fleet/testcluster/errors.go
+++ b/internal/relay/fleet/testcluster/errors.go
@@ -20,10 +20,10 @@
 	return fmt.Sprintf("scenario %s: key %s: %s", e.Scenario, e.Key, e.Reason)
 }
 
-// StepTimeoutError is a step that waited for something that did not come about within eventTimeout.
+// StepTimeoutError is a step that waited for something that did not happen within eventTimeout.
 type StepTimeoutError struct{ Reason string }
 
-// Error says what did not come about.
+// Error says what did not happen.
 func (e *StepTimeoutError) Error() string { return e.Reason }
 
 // AnswerError is the error with which a relay answered an operator's request.
--- a/internal/relay/fleet/testcluster/result.go
+++ b/internal/relay/fleet/testcluster/result.go
@@ -14,7 +14,7 @@
 	Scenario           Scenario
 	StartedAt          time.Time
 	Breach             *checker.BreachError
-	Stuck              string // what did not come about although all faults were over; "": nothing
+	Stuck              string // what did not happen although all faults were over; "": nothing
 	History            []checker.Entry
 	FaultsDuringChange map[string]int // by kind, that were injected while a change was in progress
 	Changes            int
--- a/internal/relay/fleet/testcluster/run.go
+++ b/internal/relay/fleet/testcluster/run.go
@@ -18,8 +18,8 @@
 // stampedPolicy is a policy that has calls carry its version.
 const stampedPolicy = `{"format":1,"stamp":true}`
 
-// eventTimeout bounds each wait for what must come about. It is generous, as a busy machine is slow: all that is judged by it is that
-// something never comes about.
+// eventTimeout bounds each wait for something that must happen. It is generous, as a busy machine is slow: it only shows that something never
+// happens.
 const eventTimeout = 60 * time.Second
 
 // RunScenario runs a scenario with the relay's program binary, in the folder dir, and judges what was seen. Progress, which may be nil, gets a
@@ -68,7 +68,7 @@
 	return res, nil
 }
 
-// form starts all relays, has relay 0 found the fleet, and waits until all relays act and all voters vote. What does not come about is in
+// form starts all relays, has relay 0 found the fleet, and waits until all relays act and all voters vote. What does not happen in time is in
 // res.Stuck.
 func (f *Fleet) form(res *Result) error {
 	startedAt := time.Now()
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// recoverAll ends all faults, restarts all relays and proposes changes until one takes effect. It returns what does not come about; "":
+// recoverAll ends all faults, restarts all relays and proposes changes until one takes effect. It returns what does not happen in time; "":
 // nothing.
 func (f *Fleet) recoverAll() string {
 	f.record(checker.Entry{Kind: checker.Fault, Text: "all is well again"})
--- a/internal/relay/fleet/testcluster/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -147,7 +147,7 @@
 }
 
 // awaitRelay waits until a relay has a share of the limits, has made so many calls more, or has the step's verdict on some partner. It returns a
-// StepTimeoutError where that does not come about.
+// StepTimeoutError where that does not happen in time.
 func (f *Fleet) awaitRelay(r *Relay, step *Step) error {
 	switch step.Action {
 	case actionAwaitShare: // of each partner's limit
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every time: the handler has
-// them sent. The answer arrives whole, and after it the end, not a reset, which may take the answer along.
+// them sent. The answer arrives completely, and after it the end, not a reset, which may discard the answer.
 func TestServer_CloseOverUnreadBytes_AnswerArrives(t *testing.T) {
 	for name, test := range map[string]struct {
 		request string
@@ -92,7 +92,7 @@
 	return c.TCPConn.Close()
 }
 
-// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its connection, which rested, is given up. Before the relay has made up
+// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its idle connection is closed. Before the relay has made up
 // its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
 func TestServer_IdleCloseRacesRequest_AnswersOrEnds(t *testing.T) {
 	for _, moment := range []string{"Read", "Close"} {
@@ -279,7 +279,7 @@
 	}
 }
 
-// TestPool_FirstAnswerOnConnection_IsMarked: the first answer on a connection is told apart from those that follow: only that one may turn the connection itself away.
+// TestPool_FirstAnswerOnConnection_IsMarked: the first answer on a connection is marked: only that one may reject the connection itself.
 func TestPool_FirstAnswerOnConnection_IsMarked(t *testing.T) {
 	l := wiretest.Listen(t)
 	s := NewServer(limits(), echo)
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -78,7 +78,7 @@
 	{"called off", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
 }
 
-// TestPool_EveryEnd_HasItsStage tells apart the ways in which a call can end: each decides whether the message may be sent again.
+// TestPool_EveryEnd_HasItsStage distinguishes the ways in which a call can end, which decide whether the message may be retried.
 func TestPool_EveryEnd_HasItsStage(t *testing.T) {
 	for _, test := range callEnds {
 		t.Run(test.name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or into a wait told meanwhile, because its
+// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or though its destination has asked to wait meanwhile, because its
 // connection came up late.
 func TestPool_LateConnection_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
--- a/internal/relay/platform/attempt_test.go
+++ b/internal/relay/platform/attempt_test.go
@@ -102,7 +102,7 @@
 }
 
 // TestFront_AnswerTruncatedInStatus_MayHaveRun: an endpoint's answer stops at each byte of its first line, and the connection ends, is reset, falls silent, or goes on with
-// another answer, as where half a line was left over. Only a whole line is an answer: half of one that begins with "HTTP/1.1 200" was
+// another answer, as where half a line was left over. Only a complete line is an answer: half of one that begins with "HTTP/1.1 200" was
 // taken for a delivery, and the message was lost.
 func TestFront_AnswerTruncatedInStatus_MayHaveRun(t *testing.T) {
 	const statusLine = "HTTP/1.1 200 OK\r\n"
