--- a/internal/relay/platform/attempt_test.go
+++ b/internal/relay/platform/attempt_test.go
@@ -112,13 +112,7 @@
 		for _, how := range []string{"ends", "is reset", "falls silent", "goes on with another answer"} {
 			listener := wiretest.Listen(t)
 			read := make(chan struct{})
-			go func() {
-				conn, err := listener.Accept()
-				if err != nil {
-					return
-				}
-				defer conn.Close()
-				_, _ = httpwire.NewReader(conn, &cfg.Limits).ReadRequest(nil)
+			go answerOne(listener, func(conn net.Conn) {
 				_, _ = conn.Write([]byte(statusLine[:size]))
 				switch how {
 				case "is reset":
@@ -128,7 +122,7 @@
 				case "goes on with another answer":
 					_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 				}
-			}()
+			})
 			attempt := &engine.Attempt{To: engine.Destination{Address: listener.Addr().String()}, Items: []engine.Item{{ID: "a"}}}
 			got := New(cfg, nil).Call(t.Context(), attempt)[0].Result
 			close(read)
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -135,28 +135,16 @@
 	cfg := configure(t, "-", "-")
 	closed := make(chan error, 1)
 	available := wiretest.Listen(t) // an endpoint that leaves the connection open after its answer
-	go func() {
-		conn, err := available.Accept()
-		if err != nil {
-			return
-		}
-		defer conn.Close()
-		_, _ = httpwire.NewReader(conn, &cfg.Limits).ReadRequest(nil)
+	go answerOne(available, func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second)) // well before its idle time is over
-		_, err = conn.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		closed <- err
-	}()
+	})
 	full := wiretest.Listen(t) // and one of that kind that takes no more
-	go func() {
-		conn, err := full.Accept()
-		if err != nil {
-			return
-		}
-		defer conn.Close()
-		_, _ = httpwire.NewReader(conn, &cfg.Limits).ReadRequest(nil)
+	go answerOne(full, func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-	}()
+	})
 	known := fmt.Sprintf(`{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":%q,"zone":"a","type":"m2","group":7,"status":"ready"},
 		{"name":"s-2","address":%q,"zone":"a","type":"m2","group":8,"status":"ready"}]}`, available.Addr(), full.Addr())
 	cfg.Known = gjson.Parse(known)
@@ -247,6 +235,17 @@
 	}
 }
 
+// answerOne accepts one connection, reads a request from it, and lets answer do the rest; then it closes the connection.
+func answerOne(listener net.Listener, answer func(net.Conn)) {
+	conn, err := listener.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	_, _ = httpwire.NewReader(conn, standin.Limits()).ReadRequest(nil)
+	answer(conn)
+}
+
 // serve runs a server on loopback until the end of the test, and returns its address.
 func serve(t *testing.T, server *httpwire.Server) string {
 	t.Helper()
--- a/internal/relay/platform/watch_test.go
+++ b/internal/relay/platform/watch_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net"
 	"testing"
 	"time"
 
@@ -11,7 +12,6 @@
 
 	"mastusher/control"
 	"mastusher/internal/relay/engine"
-	"mastusher/internal/relay/httpwire"
 	"mastusher/internal/relay/wiretest"
 )
 
@@ -48,20 +48,14 @@
 		cfg := configure(t, listener.Addr().String(), "-")
 		cfg.Limits.WatchTimeout = 200 * time.Millisecond
 		ended := make(chan struct{})
-		go func() {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			_, _ = httpwire.NewReader(conn, &cfg.Limits).ReadRequest(nil)
+		go answerOne(listener, func(conn net.Conn) {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + text))
 			for connected := name == "half a list"; connected; time.Sleep(10 * time.Millisecond) { // empty lines for as long as somebody reads
 				_, err := conn.Write([]byte("\n"))
 				connected = err == nil
 			}
 			<-ended
-			_ = conn.Close()
-		}()
+		})
 		err := New(cfg, nil).Watch(t.Context(), 41, func(engine.EndpointList) { t.Errorf("%s: a list is reported", name) })
 		if !errors.Is(err, engine.ErrWatchTimeout) {
 			t.Errorf("%s: the watch ends with %v", name, err)
