--- a/internal/relay/simulator/fleet_stats.go
+++ b/internal/relay/simulator/fleet_stats.go
@@ -76,41 +76,74 @@
 
 // result sums up, given how many calls were throttled in all.
 func (f *fleetCounter) result(run *Run, throttled int) FleetStats {
-	res := FleetStats{PeakSenderShare: float64(f.maxSenders) / float64(len(run.relays)), ThrottledPerMessage: float64(throttled) / float64(max(len(run.messages), 1))}
-	for i := range run.endpoints {
-		e := &run.endpoints[i]
-		for sec, n := range e.callsBySecond {
-			if e.allowedBySecond[sec] >= 1 {
-				res.PeakOverload = max(res.PeakOverload, float64(n)/e.allowedBySecond[sec])
+	relays := float64(len(run.relays))
+	return FleetStats{
+		PeakSenderShare:       float64(f.maxSenders) / relays,
+		PeakOverload:          peakOverload(run.endpoints),
+		ThrottledPerMessage:   float64(throttled) / float64(max(len(run.messages), 1)),
+		RecoverySeconds:       f.recoverySeconds(run.World),
+		Unfairness:            f.unfairness(),
+		SharingBytesPerSecond: float64(run.sharing.bytes) / max(time.Duration(run.World.Length).Seconds(), 1) / relays,
+	}
+}
+
+// peakOverload is the largest ratio of an endpoint's calls in a second to what it allowed in it.
+func peakOverload(endpoints []endpoint) (peak float64) {
+	for i := range endpoints {
+		e := &endpoints[i]
+		for second, calls := range e.callsBySecond {
+			if e.allowedBySecond[second] >= 1 {
+				peak = max(peak, float64(calls)/e.allowedBySecond[second])
 			}
 		}
 	}
-	for _, t := range run.World.Faults {
-		if t.Kind == FaultTrafficSurge {
+	return peak
+}
+
+// recoveredShare is the share of the world's rate that is delivered in a second in which the fleet has recovered.
+const recoveredShare = 0.9
+
+// recoverySeconds is how long the fleet takes at most to recover after a fault; -1: from one it doesn't.
+func (f *fleetCounter) recoverySeconds(world *World) (longest float64) {
+	for i := range world.Faults {
+		fault := &world.Faults[i]
+		if fault.Kind == FaultTrafficSurge {
 			continue
 		}
-		from, found := int((time.Duration(t.At)+time.Duration(t.Length))/time.Second), false
-		for sec := from; sec < int(time.Duration(run.World.Length)/time.Second) && sec < len(f.deliveredBySecond); sec++ {
-			if float64(f.deliveredBySecond[sec]) >= 0.9*run.World.Rate {
-				res.RecoverySeconds, found = max(res.RecoverySeconds, float64(sec-from)), true
-				break
-			}
+		end := int((time.Duration(fault.At) + time.Duration(fault.Length)) / time.Second)
+		recovered, ok := f.firstRecoveredSecond(world, end)
+		if !ok {
+			return -1
 		}
-		if !found {
-			res.RecoverySeconds = -1
-			break
+		longest = max(longest, float64(recovered-end))
+	}
+	return longest
+}
+
+// firstRecoveredSecond is the first second of the world, from one on, in which the fleet has recovered; false: there is none.
+func (f *fleetCounter) firstRecoveredSecond(world *World, from int) (int, bool) {
+	end := min(int(time.Duration(world.Length)/time.Second), len(f.deliveredBySecond))
+	for second := from; second < end; second++ {
+		if float64(f.deliveredBySecond[second]) >= recoveredShare*world.Rate {
+			return second, true
 		}
 	}
-	res.SharingBytesPerSecond = float64(run.sharing.bytes) / max(time.Duration(run.World.Length).Seconds(), 1) / float64(len(run.relays))
-	sum, squares, n := 0.0, 0.0, 0.0
+	return 0, false
+}
+
+// unfairness is 1 less Jain's index of fairness over the shares of their messages that relays delivered.
+func (f *fleetCounter) unfairness() float64 {
+	sum, squares, relays := 0.0, 0.0, 0.0
 	for i, came := range f.messagesByRelay {
 		if came > 0 {
-			x := f.deliveredByRelay[i] / came
-			sum, squares, n = sum+x, squares+x*x, n+1
+			share := f.deliveredByRelay[i] / came
+			sum += share
+			squares += share * share
+			relays++
 		}
 	}
-	if squares > 0 {
-		res.Unfairness = math.Max(0, 1-sum*sum/(n*squares))
+	if squares == 0 {
+		return 0
 	}
-	return res
+	return math.Max(0, 1-sum*sum/(relays*squares))
 }
