--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -287,3 +287,38 @@
 		t.Error("it is taken on")
 	}
 }
+
+// TestRestore_ClockSetBack_NarrowerTimesCount: the clock was set back while the relay was down. Times in the journal that lie in what is now the future count on the
+// narrower side.
+func TestRestore_ClockSetBack_NarrowerTimesCount(t *testing.T) {
+	dir, now := t.TempDir(), time.Now()
+	log, err := journal.Open(dir, 3<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, id := range []string{"keyed", "safe", "of a class that is gone"} {
+		e := &journal.Entry{ID: id, Front: "platform", Destination: 7 + i%2, Class: i + i/2*7, Deadline: now.Add(16 * time.Second)}
+		_ = log.Accept(e)
+		_ = log.Flush()
+		if id == "keyed" {
+			log.Schedule(e, now, "s-1")
+			log.Begin([]*journal.Entry{e})
+			log.EndAttempt(e, false)
+		}
+	}
+	_ = log.Close()
+	relay := newHarness(t, dir, now.Add(-time.Hour))
+	// The keyed one may be handed back: its partner's endpoints all know its key, whatever the time is.
+	if n := <-relay.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
+		t.Errorf("notices %+v", n)
+	}
+	step := <-relay.front.attempts
+	if step.Items[0].ID != "safe" || len(relay.front.attempts) != 0 {
+		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(relay.front.attempts))
+	}
+	for _, m := range relay.core.messages {
+		if k := &relay.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(relay.now.Add(k.Deadline)) && !m.entry.NoticePending {
+			t.Errorf("%s has time until %v, more than its class gives", m.entry.ID, m.entry.Deadline)
+		}
+	}
+}
--- /dev/null
+++ b/internal/relay/engine/ended_test.go
@@ -0,0 +1,63 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"mastusher/control"
+	"mastusher/internal/relay/journal"
+)
+
+// submitAndAnswer submits a message for partner 8 and gives its first attempt an outcome.
+func (r *harness) submitAndAnswer(id string, outcome Outcome) {
+	a, reply := r.arrival(id, 0, 8, 10*time.Second)
+	r.turnAfter(0, a)
+	<-reply
+	<-r.front.attempts
+	r.answer(outcome)
+}
+
+// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: a duplicate of a message that has ended with a notice is answered with that end, before the notice was
+// accepted and after: its client may never have heard that the message was accepted, and would wait for another end.
+func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
+	relay := newHarness(t, t.TempDir(), time.Now())
+	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
+	relay.submitAndAnswer("m", Outcome{Result: control.Rejected})
+	for _, taken := range []bool{false, true} {
+		if taken {
+			relay.front.accepts <- true
+			relay.turnAfter(5*time.Millisecond, <-relay.core.queue)
+		}
+		b, second := relay.arrival("m", 0, 8, 10*time.Second)
+		relay.turnAfter(5*time.Millisecond, b)
+		if got := <-second; got.Verdict != Failed || len(relay.front.attempts) != 0 {
+			t.Errorf("given up, notice taken %v: the same id is answered %+v", taken, got)
+		}
+	}
+}
+
+// TestSubmit_IDEndedLately_IsNoNewMessage: a duplicate right after its message has ended is no new message, whatever the end was; after a while it
+// is one.
+func TestSubmit_IDEndedLately_IsNoNewMessage(t *testing.T) {
+	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
+		relay := newHarness(t, t.TempDir(), time.Now())
+		relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 2
+		relay.submitAndAnswer("m", outcome)
+		resubmit := func(after time.Duration) bool {
+			b, second := relay.arrival("m", 0, 8, 10*time.Second)
+			b.submittedAt = relay.now.Add(after)
+			relay.turnAfter(after, b)
+			return (<-second).Verdict == Accepted && len(relay.core.messages) == 0
+		}
+		if !resubmit(time.Second) || len(relay.front.attempts) != 0 {
+			t.Errorf("after %v the same id is a new message", outcome)
+		}
+		relay.core.remember(&message{front: relay.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, relay.now.Add(6*time.Second))
+		if resubmit(time.Second) {
+			t.Error("ids are remembered forever")
+		}
+		if n := len(relay.core.endings.oldestFirst); n != 1 || len(relay.core.endings.verdicts) != 1 {
+			t.Errorf("%d ids are remembered", n)
+		}
+	}
+}
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -214,39 +214,39 @@
 }
 
 // recordRandomRun has a core live through so many turns, recorded from one of them on, and returns the recorder's folder.
-func recordRandomRun(t testing.TB, seed uint64, turns, from int) (dir string, c *Core) {
+func recordRandomRun(t testing.TB, seed uint64, turns, from int) (dir string, core *Core) {
 	t.Helper()
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	run := newRandomRun(t, seed, turns, quiet)
-	c, v := run.core, run.shell
+	core, shell := run.core, run.shell
 	dir = t.TempDir()
-	rec, err := capture.New(dir, c.Begin("test", "-"), capture.Limits{Queue: 64, Chunk: 8 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
+	rec, err := capture.New(dir, core.Begin("test", "-"), capture.Limits{Queue: 64, Chunk: 8 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if from == 0 {
-		c.Record(rec)
+		core.Record(rec)
 	}
-	c.Restore(v.now)
+	core.Restore(shell.now)
 	for turn := range turns {
-		v.now = v.now.Add(time.Duration(5+run.rng.IntN(60)) * time.Millisecond)
-		v.runDue()
+		shell.now = shell.now.Add(time.Duration(5+run.rng.IntN(60)) * time.Millisecond)
+		shell.runDue()
 		if turn+1 == from {
-			c.Record(rec)
+			core.Record(rec)
 		}
 		run.submit()
 		run.disturb()
 		run.govern(turn)
 		if turn == turns*9/10 {
-			c.Drain()
+			core.Drain()
 		}
-		c.Turn(v.now, c.drainQueue(nil))
+		core.Turn(shell.now, core.drainQueue(nil))
 	}
 	rec.Close()
 	if err := rec.Err(); err != nil || rec.Lost.Load() != 0 {
 		t.Fatalf("%v, %d turns lost", err, rec.Lost.Load())
 	}
-	return dir, c
+	return dir, core
 }
 
 // readCore hands the records of the only capture in dir to do, until that returns an error.
--- a/internal/relay/engine/replay_errors.go
+++ b/internal/relay/engine/replay_errors.go
@@ -19,6 +19,7 @@
 // unknownFrontError is the number of a front that the replayed core does not have.
 type unknownFrontError int
 
+// Error names the front.
 func (number unknownFrontError) Error() string {
 	return fmt.Sprintf("there is no front %d", int(number))
 }
@@ -26,6 +27,7 @@
 // unknownEventKindError is a kind of event that this version does not replay.
 type unknownEventKindError capture.CoreKind
 
+// Error names the kind.
 func (kind unknownEventKindError) Error() string {
 	return fmt.Sprintf("an event of kind %d is not known", capture.CoreKind(kind))
 }
@@ -33,6 +35,7 @@
 // attemptMismatchError is the number of an attempt that is not in flight, or has another number of items than the recorded one.
 type attemptMismatchError uint64
 
+// Error names the attempt.
 func (number attemptMismatchError) Error() string {
 	return fmt.Sprintf("route step %d is not out, or carries something else", uint64(number))
 }
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"mastusher/control"
-	"mastusher/internal/relay/journal"
 )
 
 // watchedFront is a front whose watches the test reports for, each for itself.
@@ -104,90 +103,3 @@
 		})
 	}
 }
-
-// TestRestore_ClockSetBack_NarrowerTimesCount: the clock was set back while the relay was down. Times in the journal that lie in what is now the future count on the
-// narrower side.
-func TestRestore_ClockSetBack_NarrowerTimesCount(t *testing.T) {
-	dir, now := t.TempDir(), time.Now()
-	log, err := journal.Open(dir, 3<<20)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i, id := range []string{"keyed", "safe", "of a class that is gone"} {
-		e := &journal.Entry{ID: id, Front: "platform", Destination: 7 + i%2, Class: i + i/2*7, Deadline: now.Add(16 * time.Second)}
-		_ = log.Accept(e)
-		_ = log.Flush()
-		if id == "keyed" {
-			log.Schedule(e, now, "s-1")
-			log.Begin([]*journal.Entry{e})
-			log.EndAttempt(e, false)
-		}
-	}
-	_ = log.Close()
-	relay := newHarness(t, dir, now.Add(-time.Hour))
-	// The keyed one may be handed back: its partner's endpoints all know its key, whatever the time is.
-	if n := <-relay.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
-		t.Errorf("notices %+v", n)
-	}
-	step := <-relay.front.attempts
-	if step.Items[0].ID != "safe" || len(relay.front.attempts) != 0 {
-		t.Errorf("%q goes out, and %d more: want the safe one alone", step.Items[0].ID, len(relay.front.attempts))
-	}
-	for _, m := range relay.core.messages {
-		if k := &relay.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(relay.now.Add(k.Deadline)) && !m.entry.NoticePending {
-			t.Errorf("%s has time until %v, more than its class gives", m.entry.ID, m.entry.Deadline)
-		}
-	}
-}
-
-// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: a duplicate of a message that has ended with a notice is answered with that end, before the notice was
-// accepted and after: its client may never have heard that the message was accepted, and would wait for another end.
-func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
-	relay := newHarness(t, t.TempDir(), time.Now())
-	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
-	a, first := relay.arrival("m", 0, 8, 10*time.Second)
-	relay.turnAfter(0, a)
-	<-first
-	<-relay.front.attempts
-	relay.answer(Outcome{Result: control.Rejected})
-	for _, taken := range []bool{false, true} {
-		if taken {
-			relay.front.accepts <- true
-			relay.turnAfter(5*time.Millisecond, <-relay.core.queue)
-		}
-		b, second := relay.arrival("m", 0, 8, 10*time.Second)
-		relay.turnAfter(5*time.Millisecond, b)
-		if got := <-second; got.Verdict != Failed || len(relay.front.attempts) != 0 {
-			t.Errorf("given up, notice taken %v: the same id is answered %+v", taken, got)
-		}
-	}
-}
-
-// TestSubmit_IDEndedLately_IsNoNewMessage: an id that comes again right after its message has ended is no new message, whatever the end was; after a while it is.
-func TestSubmit_IDEndedLately_IsNoNewMessage(t *testing.T) {
-	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
-		relay := newHarness(t, t.TempDir(), time.Now())
-		relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 2
-		a, first := relay.arrival("m", 0, 8, 10*time.Second)
-		relay.turnAfter(0, a)
-		<-first
-		<-relay.front.attempts
-		relay.answer(outcome)
-		resubmit := func(after time.Duration) bool {
-			b, second := relay.arrival("m", 0, 8, 10*time.Second)
-			b.submittedAt = relay.now.Add(after)
-			relay.turnAfter(after, b)
-			return (<-second).Verdict == Accepted && len(relay.core.messages) == 0
-		}
-		if !resubmit(time.Second) || len(relay.front.attempts) != 0 {
-			t.Errorf("after %v the same id is a new message", outcome)
-		}
-		relay.core.remember(&message{front: relay.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, relay.now.Add(6*time.Second))
-		if resubmit(time.Second) {
-			t.Error("ids are remembered forever")
-		}
-		if n := len(relay.core.endings.oldestFirst); n != 1 || len(relay.core.endings.verdicts) != 1 {
-			t.Errorf("%d ids are remembered", n)
-		}
-	}
-}
--- a/internal/relay/standin/client.go
+++ b/internal/relay/standin/client.go
@@ -17,18 +17,19 @@
 	Partner        int           // its number
 	Timeout        time.Duration // sent to the millisecond
 	Body           string
-	Header         []string // further headers, names and values in turn
+	Header         []string // further headers, names and values alternating
 }
 
 // Client submits messages to a relay, over as many connections as it needs at once. It keeps idle ones for later messages.
 type Client struct {
 	Address string // host and port of the relay
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards idle
 	idle   []*clientConn
 	limits *config.Limits
 }
 
+// clientConn is a connection to the relay, used by one request at a time.
 type clientConn struct {
 	net.Conn
 	reader *httpwire.Reader
@@ -56,6 +57,7 @@
 	return 0, ""
 }
 
+// encode encodes the request that submits a message.
 func (c *Client) encode(m *Message) []byte {
 	header := append([]string{"X-Request-ID", m.ID, "X-Timeout", fmt.Sprintf("%dm", m.Timeout.Milliseconds()),
 		"X-Envelope", fmt.Sprintf("dest=%d", m.Partner)}, m.Header...)
--- a/internal/relay/standin/discovery.go
+++ b/internal/relay/standin/discovery.go
@@ -20,7 +20,7 @@
 	listener net.Listener
 	snapshot string
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards all that follows
 	conns          []net.Conn
 	updates        []string
 	notices        map[string]string // the last outcome, by the id of the message
--- a/internal/relay/standin/endpoints.go
+++ b/internal/relay/standin/endpoints.go
@@ -17,8 +17,8 @@
 	Endpoint int       // its number
 	At       time.Time // when the call was read
 	ID, Key  string
-	Header   map[string][]string
-	Body     string
+	Header   map[string][]string // of the call
+	Body     string              // of the message, in Base64 where the call is a bulk call
 }
 
 // Endpoints are the endpoints of partners, one for each, numbered from 0: endpoint n serves partner n.
@@ -28,9 +28,9 @@
 	listeners []net.Listener
 	servers   []*httpwire.Server
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards arrivals
 	arrivals []Arrival
-	arrived  chan struct{}
+	arrived  chan struct{} // has an element when messages have arrived since it was read
 }
 
 // NewEndpoints opens n endpoints on loopback. answer gives the response to each call (a bulk call is one); it runs on the
@@ -43,7 +43,7 @@
 			e.Close()
 			return nil, err
 		}
-		server := httpwire.NewServer(Limits(), func(q *httpwire.Request) httpwire.Answer { return e.handle(i, q) })
+		server := httpwire.NewServer(Limits(), func(request *httpwire.Request) httpwire.Answer { return e.handle(i, request) })
 		e.listeners, e.servers = append(e.listeners, listener), append(e.servers, server)
 		e.Addresses = append(e.Addresses, listener.Addr().String())
 		go func() { _ = server.Serve(listener) }() // until Close
@@ -52,12 +52,12 @@
 }
 
 // handle records the messages of a call and answers it.
-func (e *Endpoints) handle(n int, q *httpwire.Request) httpwire.Answer {
-	call := Arrival{Endpoint: n, At: time.Now(), ID: q.Header.Get("X-Request-Id"), Key: q.Header.Get("Idempotency-Key"),
-		Header: q.Header, Body: string(q.Body)}
+func (e *Endpoints) handle(endpoint int, request *httpwire.Request) httpwire.Answer {
+	call := Arrival{Endpoint: endpoint, At: time.Now(), ID: request.Header.Get("X-Request-Id"), Key: request.Header.Get("Idempotency-Key"),
+		Header: request.Header, Body: string(request.Body)}
 	messages := []Arrival{call}
-	if strings.HasSuffix(q.Path, "/bulk") {
-		messages = bulkMessages(call, q.Body)
+	if strings.HasSuffix(request.Path, "/bulk") {
+		messages = bulkMessages(call, request.Body)
 	}
 	e.mu.Lock()
 	e.arrivals = append(e.arrivals, messages...)
@@ -71,9 +71,9 @@
 
 // bulkMessages returns the messages in the body of a bulk call.
 func bulkMessages(call Arrival, body []byte) (messages []Arrival) {
-	gjson.ParseBytes(body).ForEach(func(_, m gjson.Result) bool {
-		messages = append(messages, Arrival{Endpoint: call.Endpoint, At: call.At, ID: m.Get("id").String(), Key: m.Get("key").String(),
-			Header: call.Header, Body: m.Get("body").String()})
+	gjson.ParseBytes(body).ForEach(func(_, message gjson.Result) bool {
+		messages = append(messages, Arrival{Endpoint: call.Endpoint, At: call.At, ID: message.Get("id").String(), Key: message.Get("key").String(),
+			Header: call.Header, Body: message.Get("body").String()})
 		return true
 	})
 	return messages
--- a/internal/relay/wiretest/exchange.go
+++ b/internal/relay/wiretest/exchange.go
@@ -16,7 +16,7 @@
 const timeout = 20 * time.Second
 
 // Run runs the recording in file over conn and reports as errors of the test where the peer differs from it. vars are names with
-// their braces and values in turn, as for strings.NewReplacer.
+// their braces and values alternating, as for strings.NewReplacer. It closes nothing; an exchange that takes longer than the time-out fails.
 func Run(t testing.TB, conn net.Conn, file string, vars ...string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
