--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -81,12 +81,16 @@
 	})
 }
 
-// Run drives the member until ctx ends or its disk fails; then it returns the disk's error. Run starts the loops, which end with ctx.
-// It doesn't wait for them: one may still be in a call when Run returns, and after an error they go on until the caller ends ctx.
+// Run drives the member until ctx ends or its disk fails; then it returns the disk's error. The loops of the controller run
+// beside it. They end with it: Run returns once all have ended.
 func (c *Controller) Run(ctx context.Context) error {
-	go c.publishLoop(ctx)
-	go c.readLoop(ctx)
-	go c.reconcileLoop(ctx)
-	go c.analysisLoop(ctx)
-	return c.group.Run(ctx)
+	bounded, cancel := context.WithCancel(ctx)
+	var loops sync.WaitGroup
+	for _, loop := range []func(context.Context){c.publishLoop, c.readLoop, c.reconcileLoop, c.analysisLoop} {
+		loops.Go(func() { loop(bounded) })
+	}
+	err := c.group.Run(ctx)
+	cancel()
+	loops.Wait()
+	return err
 }
--- a/internal/tier/controller/server.go
+++ b/internal/tier/controller/server.go
@@ -40,24 +40,32 @@
 	return router
 }
 
-// Serve serves the operator's API at the address until ctx ends; then requests in flight get shutdownTimeout to complete. Serve
-// returns as soon as the shutdown begins. Its goroutine ends within shutdownTimeout after ctx and isn't waited for: requests in
-// flight complete only if the process lasts that long.
+// Serve serves the operator's API at the address until ctx ends; then requests in flight get shutdownTimeout to complete, and Serve
+// returns once they have, or that time is over.
 func (c *Controller) Serve(ctx context.Context, address string) error {
 	server := &http.Server{Handler: c.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	listener, err := network.OrSystem(c.options.Network).Listen(context.Background(), new(net.ListenConfig), "tcp", address)
 	if err != nil {
 		return err
 	}
-	go func() {
-		<-ctx.Done()
-		bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
-		defer cancel()
-		if err := server.Shutdown(bounded); err != nil {
-			server.Close()
-		}
-	}()
-	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	return serveUntil(ctx, server, listener)
+}
+
+// serveUntil serves until ctx ends, and then for as long as requests in flight take, within shutdownTimeout.
+func serveUntil(ctx context.Context, server *http.Server, listener net.Listener) error {
+	failed := make(chan error, 1)
+	go func() { failed <- server.Serve(listener) }()
+	select {
+	case err := <-failed:
+		return err
+	case <-ctx.Done():
+	}
+	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if err := server.Shutdown(bounded); err != nil {
+		server.Close()
+	}
+	if err := <-failed; !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- /dev/null
+++ b/internal/tier/controller/server_test.go
@@ -0,0 +1,145 @@
+package controller
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"mastusher/internal/tier/membership"
+	"mastusher/internal/tier/storage"
+	"mastusher/internal/tier/storage/memorydisk"
+)
+
+// pipeListener hands out the connections that a test puts in, until it is closed.
+type pipeListener struct {
+	connections chan net.Conn
+	closed      chan struct{}
+	once        sync.Once
+}
+
+func newPipeListener() *pipeListener {
+	return &pipeListener{connections: make(chan net.Conn, 1), closed: make(chan struct{})}
+}
+
+func (l *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case connection := <-l.connections:
+		return connection, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *pipeListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
+	return nil
+}
+
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func TestServeUntil_RequestInFlight_CompletesWithinTheShutdown(t *testing.T) {
+	cases := []struct {
+		name      string
+		takes     time.Duration // of the request, from the end of ctx on
+		completes bool
+	}{
+		{"a short one gets its response", shutdownTimeout / 2, true},
+		{"a long one is broken off", 2 * shutdownTimeout, false},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(t.Context())
+				listener, client := newPipeListener(), make(chan error, 1)
+				server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+					cancel()
+					time.Sleep(test.takes)
+					w.WriteHeader(http.StatusNoContent)
+				})}
+				ours, theirs := net.Pipe()
+				listener.connections <- theirs
+				go func() {
+					defer ours.Close()
+					_, _ = io.WriteString(ours, "GET / HTTP/1.1\r\nHost: core\r\n\r\n")
+					_, err := http.ReadResponse(bufio.NewReader(ours), nil)
+					client <- err
+				}()
+				began := time.Now()
+				if err := serveUntil(ctx, server, listener); err != nil {
+					t.Error(err)
+				}
+				if took, want := time.Since(began), min(test.takes, shutdownTimeout); took < want {
+					t.Errorf("ended after %v, while a request was in flight for %v", took, want)
+				}
+				if err := <-client; (err == nil) != test.completes {
+					t.Errorf("the client sees %v", err)
+				}
+				time.Sleep(test.takes) // until the handler has ended, too
+			})
+		})
+	}
+}
+
+// countingFleet counts how often the members are asked for, which the loops of a controller do all the time.
+type countingFleet struct {
+	fleet
+	asked atomic.Int64
+}
+
+func (f *countingFleet) Members() []membership.Member {
+	f.asked.Add(1)
+	return f.fleet.Members()
+}
+
+func TestRun_DiskDamaged_LoopsHaveEnded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		// given a controller that leads its group,
+		disk, members := memorydisk.New(), &countingFleet{}
+		members.set(controllerMember("core-1", selfID, selfAddress, "10.0.0.1:8144"))
+		running := newFixture(t, disk, func(options *Options) { options.Fleet = members })
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		ended := make(chan error, 1)
+		go func() { ended <- running.Run(ctx) }()
+		for !running.group.Status().IsLeader || members.asked.Load() == 0 {
+			time.Sleep(reconcileInterval)
+		}
+		// when its disk fails and turns out to be damaged,
+		disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
+			if kind == memorydisk.Write {
+				return syscall.EIO
+			}
+			return nil
+		})
+		names, err := disk.List()
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range names {
+			if err := disk.Corrupt(name, 24); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if _, err := running.group.Propose(ctx, Command{}); err == nil {
+			t.Error("a command was acknowledged without having been saved")
+		}
+		// then Run returns that, and nothing of the controller goes on, though nobody has ended the context.
+		if err := <-ended; !errors.Is(err, storage.ErrCorrupt) {
+			t.Errorf("Run returns %v", err)
+		}
+		asked := members.asked.Load()
+		time.Sleep(time.Minute)
+		if now := members.asked.Load(); now != asked {
+			t.Errorf("the members were asked for %d times after Run has returned", now-asked)
+		}
+	})
+}
--- a/internal/tier/node/fetch.go
+++ b/internal/tier/node/fetch.go
@@ -14,8 +14,8 @@
 // fetchTimeout bounds one call for updates. It exceeds gossip.DefaultFetchTimeout, as late updates are still applied.
 const fetchTimeout = 2 * time.Second
 
-// fetch calls another member for updates and queues the result; without updates it has failed. It ends by ctx or fetchTimeout;
-// nothing waits for it.
+// fetch calls another member for updates and queues the result; without updates it has failed. It ends by ctx or
+// fetchTimeout.
 func (d *gossipDriver) fetch(ctx context.Context, fetch gossip.Fetch) {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
--- a/internal/tier/node/gossip.go
+++ b/internal/tier/node/gossip.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// run drives the gossip until ctx ends. Nothing waits for its end: OnUpdate may still be running when Node.Run has returned.
+// run drives the gossip until ctx ends.
 func (d *gossipDriver) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -107,7 +107,7 @@
 	}
 	d.mutex.Unlock()
 	for _, fetch := range effects.Fetches {
-		go d.fetch(ctx, fetch)
+		d.node.background.Go(func() { d.fetch(ctx, fetch) })
 	}
 	for _, datagram := range effects.Datagrams {
 		d.node.send(datagram.Address, envelope{Gossip: &datagram.Message})
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -38,6 +38,8 @@
 	wake    chan struct{}
 	members atomic.Pointer[[]membership.Member]
 
+	background sync.WaitGroup // the gossip's goroutine and those of calls; Run waits for them
+
 	nextController int // used by the goroutine of the gossip only
 
 	mutex          sync.Mutex // guards what follows
@@ -88,11 +90,12 @@
 	return n.seeds
 }
 
-// Run drives the node over the server until ctx ends; then it announces to the others that it leaves. It does not wait for the
-// goroutines of the gossip and of calls, which end by ctx soon after.
+// Run drives the node over the server until ctx ends; then it announces to the others that it leaves. It returns once the
+// goroutines of the gossip and of calls have ended, which they do by ctx: from then on OnUpdate isn't called.
 func (n *Node) Run(ctx context.Context, server *transport.Server) {
 	n.server = server
-	go n.gossip.run(ctx)
+	defer n.background.Wait()
+	n.background.Go(func() { n.gossip.run(ctx) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -134,7 +137,7 @@
 		n.deliverReply(reply)
 	}
 	for _, call := range effects.Calls {
-		go n.pushPull(ctx, call)
+		n.background.Go(func() { n.pushPull(ctx, call) })
 	}
 	if len(effects.Events) > 0 {
 		members := append([]membership.Member(nil), n.swim.Members()...)
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -121,3 +121,36 @@
 		return nil
 	})
 }
+
+func TestRun_UpdateInProgress_EndsAfterIt(t *testing.T) {
+	// given a node whose process is busy with an update
+	began, release := make(chan struct{}, 1), make(chan struct{})
+	node := New(Options{Self: membership.Member{Name: "store", ID: "store", Role: membership.Store, Address: "127.0.0.1:1", Incarnation: 1},
+		Pool: transport.NewPool(), Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(view.Update) { began <- struct{}{}; <-release }})
+	handlers := transport.NewHandlers()
+	node.Register(handlers)
+	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() { defer close(ended); node.Run(ctx, server) }()
+	node.Publish(view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: 1}, Body: json.RawMessage(`{}`)})
+	<-began
+
+	// when it is to end, then it does not return before the process has handled the update.
+	cancel()
+	select {
+	case <-ended:
+		t.Error("Run has returned while an update was handled")
+	case <-time.After(100 * time.Millisecond):
+	}
+	close(release)
+	select {
+	case <-ended:
+	case <-time.After(testTimeout):
+		t.Error("Run doesn't return")
+	}
+}
--- a/internal/tier/proxy/mutants_test.go
+++ b/internal/tier/proxy/mutants_test.go
@@ -58,6 +58,6 @@
 		{Name: "a drain breaks streams off", Run: "^TestViewChange_PendingRequests_AreNotBrokenOff$",
 			Change: change("server.go", "if p.draining.CompareAndSwap(false, true) {\n", "if p.draining.CompareAndSwap(false, true) {\n\t\tp.frontend.cancelRequests()\n")},
 		{Name: "commits of turns delay the end of the proxy", Run: "^TestShutdown_Abandoning_TakesGracePeriodAtMost$",
-			Change: change("usage.go", "waitWithTimeout(done, finalCommitsTimeout)", "waitWithTimeout(done, 2*ShutdownGracePeriod)")},
+			Change: change("usage.go", "waitWithTimeout(u.drained, finalCommitsTimeout)", "waitWithTimeout(u.drained, 2*ShutdownGracePeriod)")},
 	})
 }
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -138,6 +139,30 @@
 	}
 }
 
+// Requests that were abandoned may commit at any moment of a drain. The race detector sees a commit that is counted beside the wait.
+func TestUsageCommitter_CommitsBesideDrain_AllEndedAfterwards(t *testing.T) {
+	for range 200 {
+		stores := &fakePrograms{ended: make(chan program.EndTurn, 8)}
+		committer := newUsageCommitter(stores)
+		over, cancel := context.WithCancel(t.Context())
+		cancel()
+		var abandoned sync.WaitGroup
+		for range 4 {
+			abandoned.Go(func() {
+				committer.commit("key", program.EndTurn{Turn: "id"})
+				committer.commit("key", program.EndTurn{Turn: "id"})
+			})
+		}
+		committer.drain(over)
+		committed := len(stores.ended)
+		abandoned.Wait()
+		committer.commit("key", program.EndTurn{Turn: "late"})
+		if pending := committer.pending(); pending != 0 || len(stores.ended) != committed {
+			t.Fatalf("after the drain %d commits run, and %d more have ended", pending, len(stores.ended)-committed)
+		}
+	}
+}
+
 func TestShutdown_Abandoning_TakesGracePeriodAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// given a client that doesn't take its response, and a turn whose commit no store takes
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -27,33 +27,41 @@
 )
 
 // usageCommitter commits the usage of turns beside their requests, a goroutine each. drain waits for these, and ends them by their
-// context.
+// context. A request that was abandoned may still commit while drain waits, so a sync.WaitGroup, which mustn't be added to at 0
+// then, doesn't fit.
 type usageCommitter struct {
 	programs Programs
 	slots    chan struct{}
-	commits  sync.WaitGroup
 	context  context.Context // of every commit
 	cancel   context.CancelFunc
+	drained  chan struct{} // closed once drain has begun and no commit runs; none is started from then on
+
+	mutex    sync.Mutex // guards what follows
+	running  int        // commits
+	draining bool
 }
 
 // newUsageCommitter returns a committer that calls programs until drain.
 func newUsageCommitter(programs Programs) *usageCommitter {
-	u := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits)}
+	u := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits), drained: make(chan struct{})}
 	u.context, u.cancel = context.WithCancel(context.Background())
 	return u
 }
 
 // commit attempts to commit a turn until that is acknowledged. Beyond maxConcurrentCommits the turn is dropped, and its
-// reservation counts as spent.
+// reservation counts as spent, and so it does after drain.
 func (u *usageCommitter) commit(key string, turn program.EndTurn) {
 	select {
 	case u.slots <- struct{}{}:
 	default:
 		return
 	}
-	u.commits.Add(1)
+	if !u.begin() {
+		<-u.slots
+		return
+	}
 	go func() {
-		defer u.commits.Done()
+		defer u.end()
 		defer func() { <-u.slots }()
 		ctx, cancel := context.WithTimeout(u.context, commitDeadline)
 		defer cancel()
@@ -61,24 +69,52 @@
 	}()
 }
 
+// begin counts a commit, and reports whether it may run.
+func (u *usageCommitter) begin() bool {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if u.draining && u.running == 0 {
+		return false
+	}
+	u.running++
+	return true
+}
+
+// end counts the end of a commit.
+func (u *usageCommitter) end() {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if u.running--; u.draining && u.running == 0 {
+		close(u.drained)
+	}
+}
+
+// startDraining has drained closed when the last commit ends, or at once if none runs.
+func (u *usageCommitter) startDraining() {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	if u.draining {
+		return
+	}
+	if u.draining = true; u.running == 0 {
+		close(u.drained)
+	}
+}
+
 // pending returns how many turns are being committed.
 func (u *usageCommitter) pending() int { return len(u.slots) }
 
 // drain returns when all commits have ended, at most finalCommitsTimeout after the context. The rest, so many, is then abandoned.
 func (u *usageCommitter) drain(ctx context.Context) (abandoned int) {
-	done := make(chan struct{})
-	go func() {
-		u.commits.Wait()
-		close(done)
-	}()
+	u.startDraining()
 	select {
-	case <-done:
+	case <-u.drained:
 	case <-ctx.Done():
-		waitWithTimeout(done, finalCommitsTimeout)
+		waitWithTimeout(u.drained, finalCommitsTimeout)
 	}
 	abandoned = u.pending()
 	u.cancel()
-	<-done
+	<-u.drained
 	return abandoned
 }
 
