--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -229,7 +229,8 @@
 // effect; the client gets one answer to each, and nothing takes effect twice outside its window.
 func TestFront_ThousandActivities_OneEndEach(t *testing.T) {
 	const events, posters = 1000, 8
-	log := &activityLog{effects: map[string]time.Time{}, answers: map[string]int{}, rejected: map[string]bool{}, answered: make(chan struct{}, 4*events)}
+	log := &activityLog{effects: map[string]time.Time{}, answers: map[string]int{}, rejected: map[string]bool{},
+		answered: make(chan struct{}, 4*events)}
 	_, address := start(t, newInbox(t, log.notify), newInbox(t, log.receive), newInbox(t, log.receive))
 	var posting sync.WaitGroup
 	for poster := range posters {
--- a/internal/relay/activitypub/delivery_test.go
+++ b/internal/relay/activitypub/delivery_test.go
@@ -62,15 +62,18 @@
 			return
 		}
 		defer conn.Close()
-		if request, err := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 16}).ReadRequest(func() error { return nil }); err == nil {
+		if request, err := httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14,
+			BodySize: 1 << 16}).ReadRequest(func() error { return nil }); err == nil {
 			got <- request
 		}
 		_, _ = conn.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 	}()
 	target := "http://" + listener.Addr().String() + "/inbox"
 	front.inboxes[target] = &url.URL{Scheme: "http", Host: listener.Addr().String(), Path: "/inbox"}
-	attempt := engine.NewAttempt(engine.Destination{Name: target}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`), Headers: []string{"X-Desk", "sports"}})
-	if outcomes := front.Call(t.Context(), attempt); outcomes[0].Result != control.Delivered || attempt.SampledAnswer() == nil || attempt.SampledAnswer().Status != 202 {
+	attempt := engine.NewAttempt(engine.Destination{Name: target}, 0, engine.Item{ID: "x:1", Body: []byte(`{"id":"x:1"}`),
+		Headers: []string{"X-Desk", "sports"}})
+	if outcomes := front.Call(t.Context(), attempt); outcomes[0].Result != control.Delivered || attempt.SampledAnswer() == nil ||
+		attempt.SampledAnswer().Status != 202 {
 		t.Errorf("%+v, seen %+v", outcomes, attempt.SampledAnswer())
 	}
 	request := <-got
--- a/internal/relay/activitypub/inbox_test.go
+++ b/internal/relay/activitypub/inbox_test.go
@@ -119,7 +119,8 @@
 			var want, got *RequestError
 			errors.As(test.err, &want)
 			errors.As(err, &got)
-			if d := cmp.Diff(want, got); d != "" || delivered != test.delivered || test.err == nil && !message.MayHaveRunAt.Equal(test.ranAt) && !delivered {
+			if d := cmp.Diff(want, got); d != "" || delivered != test.delivered || test.err == nil &&
+				!message.MayHaveRunAt.Equal(test.ranAt) && !delivered {
 				t.Errorf("delivered %v, ran at %v, error (-want +got)\n%s", delivered, message.MayHaveRunAt, d)
 			}
 		})
--- a/internal/relay/engine/attempt_test.go
+++ b/internal/relay/engine/attempt_test.go
@@ -47,8 +47,9 @@
 			relay.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
 		"it drains": func(relay *harness, _, _ *Attempt) {
-			relay.turnAfter(0, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Destinations: []Destination{
-				{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
+			relay.turnAfter(0, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy,
+				EndpointList{Destinations: []Destination{
+					{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/engine/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -34,8 +34,8 @@
 			c.SetShell(instantShell{})
 			c.AddFront("platform", &fakeFront{}, EndpointList{Destinations: []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}}})
 			if recorded {
-				rec, err := capture.New(b.TempDir(), c.Begin("b", ""), capture.Limits{Queue: 1 << 12, Chunk: cfg.Limits.CaptureChunk, Within: time.Hour,
-					FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
+				rec, err := capture.New(b.TempDir(), c.Begin("b", ""), capture.Limits{Queue: 1 << 12, Chunk: cfg.Limits.CaptureChunk,
+					Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -47,8 +47,8 @@
 			n := 0
 			for b.Loop() {
 				n++
-				a := arrival{front: "platform", msg: Message{ID: fmt.Sprint("id-of-a-message-", n), Key: "key", Class: 1, Partner: 7, Deadline: now.Add(9 * time.Second), Body: make([]byte, 40)},
-					submittedAt: now, reply: make(chan Reply, 1)}
+				a := arrival{front: "platform", msg: Message{ID: fmt.Sprint("id-of-a-message-", n), Key: "key", Class: 1, Partner: 7,
+					Deadline: now.Add(9 * time.Second), Body: make([]byte, 40)}, submittedAt: now, reply: make(chan Reply, 1)}
 				c.Turn(now, []event{a})
 				now = now.Add(5 * time.Millisecond)
 				if r := <-a.reply; r.Verdict != Accepted {
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -140,7 +140,8 @@
 				if attempt.Items[0].attempt != test.attempts {
 					t.Errorf("sent as attempt %d, want %d", attempt.Items[0].attempt, test.attempts)
 				}
-				if end := time.UnixMicro(now.UnixMicro()).Add(3875 * time.Millisecond); !attempt.WriteBefore.IsZero() != (test.ran && test.class == 0) ||
+				if end := time.UnixMicro(now.UnixMicro()).Add(3875 * time.Millisecond); !attempt.WriteBefore.IsZero() != (test.ran &&
+					test.class == 0) ||
 					!attempt.WriteBefore.IsZero() && !attempt.WriteBefore.Equal(end) {
 					t.Errorf("to be written before %v, want the end of the window, %v", attempt.WriteBefore, end)
 				}
@@ -165,8 +166,9 @@
 	a, _ := relay.arrival("m", 0, 7, time.Minute)
 	a.msg.Tenant = 2
 	a.apply(relay.core, relay.now)
-	listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Index: 9, Destinations: []Destination{{Name: "s-1", Partner: 7, Weight: 4.5},
-		{Name: "s-2", Partner: 8, Weight: math.NaN()}}}}.apply(relay.core, relay.now)
+	listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Index: 9,
+		Destinations: []Destination{{Name: "s-1", Partner: 7, Weight: 4.5},
+			{Name: "s-2", Partner: 8, Weight: math.NaN()}}}}.apply(relay.core, relay.now)
 	if ev := relay.core.moduleEvents[0]; ev.Tenant != 2 {
 		t.Errorf("the module hears of tenant %d", ev.Tenant)
 	}
@@ -185,7 +187,8 @@
 	}
 }
 
-// TestNotice_MessageNotDelivered_IsSentUntilAccepted follows messages that are not delivered to their one notice, which is outstanding until it is accepted.
+// TestNotice_MessageNotDelivered_IsSentUntilAccepted follows messages that are not delivered to their one notice, which is outstanding
+// until it is accepted.
 func TestNotice_MessageNotDelivered_IsSentUntilAccepted(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	a, _ := relay.arrival("m", 0, 8, 2*time.Second)
@@ -288,8 +291,8 @@
 	}
 }
 
-// TestRestore_ClockSetBack_NarrowerTimesCount: the clock was set back while the relay was down. Times in the journal that lie in what is now the future count on the
-// narrower side.
+// TestRestore_ClockSetBack_NarrowerTimesCount: the clock was set back while the relay was down. Times in the journal that lie in what is
+// now the future count on the narrower side.
 func TestRestore_ClockSetBack_NarrowerTimesCount(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	log, err := journal.Open(dir, 3<<20)
--- a/internal/relay/engine/destinations_test.go
+++ b/internal/relay/engine/destinations_test.go
@@ -49,18 +49,21 @@
 	}
 }
 
-// TestHousekeeping_DestinationLongRemoved_IsForgotten guards against tables that grow for as long as the relay runs: a destination that has left the list
-// is forgotten once nothing of it can be unfinished, and its number is not given to another.
+// TestHousekeeping_DestinationLongRemoved_IsForgotten guards against tables that grow for as long as the relay runs: a destination that has
+// left the list is forgotten once nothing of it can be unfinished, and its number is not given to another.
 func TestHousekeeping_DestinationLongRemoved_IsForgotten(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	for i := range 50 {
 		removed := Destination{Name: fmt.Sprint("old-", i), Zone: "a", Kind: "news-groups", Partner: 7}
-		relay.turnAfter(time.Second, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Index: int64(2 * i), Destinations: []Destination{removed}}})
+		relay.turnAfter(time.Second, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy,
+			EndpointList{Index: int64(2 * i), Destinations: []Destination{removed}}})
 		removed.State = control.Removed
-		relay.turnAfter(time.Second, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy, EndpointList{Index: int64(2*i + 1), Destinations: []Destination{removed}}})
+		relay.turnAfter(time.Second, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy,
+			EndpointList{Index: int64(2*i + 1), Destinations: []Destination{removed}}})
 		relay.core.forgetRemoved(relay.now)
 	}
-	if n, names, list := len(relay.core.destinations), len(relay.core.destinationNumbers), len(relay.core.frontsInOrder[0].listed); n > 20 || names != n || list != n {
+	if n, names, list := len(relay.core.destinations), len(relay.core.destinationNumbers),
+		len(relay.core.frontsInOrder[0].listed); n > 20 || names != n || list != n {
 		t.Errorf("%d destinations, %d names and %d in the list, want those of the last 25 s", n, names, list)
 	}
 	if relay.core.destinationNumbers["platform s-1"] != 1 || relay.core.destinationNumber(relay.core.frontsInOrder[0], "new") <= 50 {
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -129,7 +129,8 @@
 	if limit := c.maxAttempts(m.entry); limit == 0 || m.entry.Attempts < limit {
 		return false
 	}
-	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: m.entry.Attempts, Endpoint: a.Endpoint, Result: control.Rejected})
+	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: a.ID, Attempt: m.entry.Attempts, Endpoint: a.Endpoint,
+		Result: control.Rejected})
 	return true
 }
 
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled: what the module decides while the relay is halted waits, and begins once it may act; what has written nothing yet
-// is called back.
+// TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled: what the module decides while the relay is halted waits, and begins once it may
+// act; what has written nothing yet is called back.
 func TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{Version: 1, Stamp: true}, 5*time.Second)
@@ -126,7 +126,8 @@
 	relay.govern(capture.Mandate{Version: 1}, time.Hour)
 	got := make(chan Reply)
 	hand := func(id string) {
-		got <- relay.core.Submit("platform", Message{ID: id, Key: "k", Class: 1, Partner: 8, Deadline: time.Now().Add(9 * time.Second), Body: []byte("b")})
+		got <- relay.core.Submit("platform", Message{ID: id, Key: "k", Class: 1, Partner: 8, Deadline: time.Now().Add(9 * time.Second),
+			Body: []byte("b")})
 	}
 	go hand("a")
 	first := <-relay.core.queue // it has passed the check, and its turn comes when the relay is halted
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided, while the relay had no lease, for a partner that an operator has limited is not sent all at once when
-// it has one again.
+// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided, while the relay had no lease, for a partner that an operator
+// has limited is not sent all at once when it has one again.
 func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	rateLimits := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
@@ -258,7 +259,8 @@
 func TestQuota_Halted_ModuleDecidesNoBurst(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	endpoint := relay.core.fronts["platform"].listed["s-2"]
-	limits := control.SharedLimits{GuaranteedShare: 0.25, KeepsGuaranteed: true, Grants: []control.Grant{{Endpoint: endpoint, ExtraShare: 0.25, Limit: 10}}} // 5 calls/s
+	limits := control.SharedLimits{GuaranteedShare: 0.25, KeepsGuaranteed: true, Grants: []control.Grant{{Endpoint: endpoint,
+		ExtraShare: 0.25, Limit: 10}}} // 5 calls/s
 	grant := func(attempt control.SharedLimits) {
 		relay.core.GrantQuota(attempt, relay.now.Add(time.Hour), nil)
 		relay.turnAfter(time.Millisecond, <-relay.core.queue)
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -22,8 +22,8 @@
 func (i *inspector) OnAnswer(_ string, s *Attempt, outs []Outcome) { i.answered(s, outs) }
 func (i *inspector) OnEnd(_ string, e End)                         { i.ends = append(i.ends, e) }
 
-// TestInspector_MessageResubmitted_FirstRulingStands: a pending message stays as it was first accepted, whatever the ruling on a duplicate; one that was
-// rejected may be submitted again.
+// TestInspector_MessageResubmitted_FirstRulingStands: a pending message stays as it was first accepted, whatever the ruling on a duplicate;
+// one that was rejected may be submitted again.
 func TestInspector_MessageResubmitted_FirstRulingStands(t *testing.T) {
 	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
 	for name, test := range map[string]struct {
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -103,7 +103,8 @@
 // arrival is a message as the module's event.
 func (c *Core) arrival(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.number<<20 + m.entry.Destination,
-		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted, Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
+		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted,
+		Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
 	if ev.MayHaveRun {
 		ev.RanAt, ev.Endpoint = c.clock(m.entry.MayHaveRunAt), c.destinationNumber(m.front, m.entry.MayHaveRunOn)
 	}
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -63,7 +63,8 @@
 		case 1:
 			outs[i].Result, took = control.TimedOut, until.Sub(v.now)
 		case 2:
-			outs[i].Result = []control.Result{control.Errored, control.NoConnection, control.Reset, control.Rejected, control.Malformed}[v.rng.IntN(5)]
+			outs[i].Result = []control.Result{control.Errored, control.NoConnection, control.Reset, control.Rejected,
+				control.Malformed}[v.rng.IntN(5)]
 		case 3:
 			outs[i] = Outcome{Final: true, Reported: true, Share: v.rng.Float64(), Limit: 9.5}
 		}
@@ -143,7 +144,8 @@
 	}
 	run := &randomRun{core: core, shell: &virtualShell{rng: rng, now: now}, rng: rng, turns: turns, inFleet: seed%3 == 0, listIndex: 1}
 	core.SetShell(run.shell)
-	run.destinations = []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}, {Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8}}
+	run.destinations = []Destination{{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7}, {Name: "s-2", Zone: "a", Kind: "club-sites",
+		Partner: 8}}
 	core.AddFront("platform", &fakeFront{notifiesDeliveries: seed%2 == 0}, EndpointList{Destinations: run.destinations})
 	return run
 }
@@ -152,8 +154,8 @@
 func (run *randomRun) submit() {
 	rng, now := run.rng, run.shell.now
 	for range rng.IntN(3) {
-		m := Message{ID: fmt.Sprint("m-", rng.IntN(4*run.turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3), Body: make([]byte, rng.IntN(900)),
-			Deadline: now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
+		m := Message{ID: fmt.Sprint("m-", rng.IntN(4*run.turns)), Key: "key", Class: rng.IntN(2), Partner: 7 + rng.IntN(3),
+			Body: make([]byte, rng.IntN(900)), Deadline: now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
 		a := arrival{front: "platform", msg: m, submittedAt: now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
 		switch rng.IntN(12) {
 		case 0: // a plug-in's
@@ -185,7 +187,8 @@
 			if rng.IntN(3) == 0 {
 				d.Name += fmt.Sprint("-", run.listIndex)
 			}
-			v.changed(EndpointList{Index: run.listIndex - int64(rng.IntN(3)), Complete: rng.IntN(6) == 0, Destinations: []Destination{d, run.destinations[0]}})
+			v.changed(EndpointList{Index: run.listIndex - int64(rng.IntN(3)), Complete: rng.IntN(6) == 0, Destinations: []Destination{d,
+				run.destinations[0]}})
 		}
 	case 5:
 		if v.lost != nil {
@@ -220,7 +223,8 @@
 	run := newRandomRun(t, seed, turns, quiet)
 	core, shell := run.core, run.shell
 	dir = t.TempDir()
-	rec, err := capture.New(dir, core.Begin("test", "-"), capture.Limits{Queue: 64, Chunk: 8 << 10, Within: time.Hour, FileSize: 1 << 30, DirSize: 1 << 31}, quiet)
+	rec, err := capture.New(dir, core.Begin("test", "-"), capture.Limits{Queue: 64, Chunk: 8 << 10, Within: time.Hour, FileSize: 1 << 30,
+		DirSize: 1 << 31}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -179,7 +179,8 @@
 	case quotaGranted:
 		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.on(c)}
 	case attemptEnded:
-		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number, Items: len(posted.outcomes)} // the outcomes are in the module's events
+		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number,
+			Items: len(posted.outcomes)} // the outcomes are in the module's events
 	case listChanged:
 		list := &capture.EndpointList{Index: posted.Index, Complete: posted.Complete}
 		for _, d := range posted.Destinations {
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -164,8 +164,8 @@
 	cfg := &config.Config{Seed: begin.Seed, Settings: wire.Settings{Settings: begin.Settings, Zones: s.Zones, KindNames: s.Kinds, Weights: s.Weights}}
 	cfg.Limits = config.Limits{Queue: 1, WindowMargin: s.WindowMargin, BusyRetry: s.BusyRetry, AnswerWithin: s.AnswerWithin,
 		BodySize: s.BodySize, DrainSends: s.DrainSends, DrainExit: s.DrainExit, NoticesPerCall: s.NoticesPerCall,
-		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMax: s.NoticeRetryMax, WatchRetry: s.WatchRetry, WatchSpread: s.WatchSpread,
-		EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
+		NoticeTimeout: s.NoticeTimeout, NoticeRetry: s.NoticeRetry, NoticeRetryMax: s.NoticeRetryMax, WatchRetry: s.WatchRetry,
+		WatchSpread: s.WatchSpread, EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
 	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
 	for i := range cfg.Settings.Classes { // the reverse of ModuleSettings
 		if class := &cfg.Settings.Classes[i]; class.Memory > 0 {
@@ -236,7 +236,8 @@
 	}
 	for _, e := range turn.Events[min(pending, len(turn.Events)):] {
 		if e.Kind == control.Resolved {
-			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.RetryAfter, Final: e.Final, Reported: e.Reported, Share: e.Remaining, Limit: e.Limit})
+			outs = append(outs, Outcome{Result: e.Result, RetryAfter: e.RetryAfter, Final: e.Final, Reported: e.Reported,
+				Share: e.Remaining, Limit: e.Limit})
 		}
 	}
 	return outs
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -63,7 +63,8 @@
 		return nil, errArrivalMissing
 	}
 	m := Message{ID: a.ID, Key: blankText(a.KeySize), Class: a.Class, Partner: a.Partner, Tenant: a.Tenant,
-		Deadline: c.startedAt.Add(a.Deadline - clockStart), Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)), ExtraHeaders: headersOfHash(a.Headers)}
+		Deadline: c.startedAt.Add(a.Deadline - clockStart), Resubmitted: a.Resubmitted, Body: []byte(blankText(a.Size)),
+		ExtraHeaders: headersOfHash(a.Headers)}
 	if a.MayHaveRun {
 		m.MayHaveRunAt = c.startedAt.Add(a.MayHaveRunAt - clockStart)
 	}
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -72,8 +72,9 @@
 	}
 }
 
-// TestCoreReplay_RecordedRun_DoesTheSame: a complete core that is driven by a capture does what the one did that was recorded, from its start or from the
-// middle: with calls out, notices outstanding and on their way, a watch that is lost, a disk that fails, and plug-ins' verdicts.
+// TestCoreReplay_RecordedRun_DoesTheSame: a complete core that is driven by a capture does what the one did that was recorded, from its
+// start or from the middle: with calls out, notices outstanding and on their way, a watch that is lost, a disk that fails, and plug-ins'
+// verdicts.
 func TestCoreReplay_RecordedRun_DoesTheSame(t *testing.T) {
 	coverage := &replayCoverage{events: map[capture.CoreKind]int{}, actions: map[capture.ActionKind]int{}}
 	rapid.Check(t, func(check *rapid.T) {
@@ -281,7 +282,8 @@
 		dests = append(dests, Destination{Name: fmt.Sprint("s-", i), Zone: "a", Kind: "news-groups", Partner: i})
 	}
 	core.AddFront("platform", &fakeFront{}, EndpointList{Destinations: dests})
-	rec, err := capture.New(dir, core.Begin("hour", "-"), capture.Limits{Queue: 1 << 16, Chunk: 16 << 10, Within: time.Hour, FileSize: 1 << 40, DirSize: 1 << 41}, quiet)
+	rec, err := capture.New(dir, core.Begin("hour", "-"), capture.Limits{Queue: 1 << 16, Chunk: 16 << 10, Within: time.Hour,
+		FileSize: 1 << 40, DirSize: 1 << 41}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +295,8 @@
 		shell.runDue()
 		for !next.After(shell.now) {
 			messages++
-			core.queue <- arrival{front: "platform", msg: Message{ID: fmt.Sprintf("%016x", messages*0x9e3779b97f4a7c1), Key: "0123456789abcdef", Class: messages % 2, Partner: messages % 22, Body: make([]byte, 60),
+			core.queue <- arrival{front: "platform", msg: Message{ID: fmt.Sprintf("%016x", messages*0x9e3779b97f4a7c1),
+				Key: "0123456789abcdef", Class: messages % 2, Partner: messages % 22, Body: make([]byte, 60),
 				Deadline: shell.now.Add(9 * time.Second)}, submittedAt: shell.now, reply: make(chan Reply, 1)}
 			next = next.Add(time.Duration(shell.rng.ExpFloat64() * float64(time.Second) / 120))
 		}
@@ -318,6 +321,7 @@
 		}
 		from := time.Now()
 		res, err := capture.Replay(r, o)
-		t.Logf("%d messages, %d turns, %d of the core, %v, %d lost, %d bytes a message; replayed in %v", messages, res.Turns, replay.Turns, err, rec.Lost.Load(), info.Size()/int64(messages), time.Since(from))
+		t.Logf("%d messages, %d turns, %d of the core, %v, %d lost, %d bytes a message; replayed in %v", messages, res.Turns, replay.Turns,
+			err, rec.Lost.Load(), info.Size()/int64(messages), time.Since(from))
 	}
 }
--- a/internal/relay/engine/snapshot.go
+++ b/internal/relay/engine/snapshot.go
@@ -22,8 +22,8 @@
 	}
 	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
 		d := c.destinations[number]
-		state.Destinations = append(state.Destinations, capture.DestinationState{Number: number, Front: d.front.number, Name: d.Name, Zone: d.Zone, Kind: d.Kind,
-			Partner: d.Partner, State: d.State, Weight: d.Weight, RemovedAt: c.stamp(d.removedAt)})
+		state.Destinations = append(state.Destinations, capture.DestinationState{Number: number, Front: d.front.number, Name: d.Name,
+			Zone: d.Zone, Kind: d.Kind, Partner: d.Partner, State: d.State, Weight: d.Weight, RemovedAt: c.stamp(d.removedAt)})
 	}
 	for _, f := range c.frontsInOrder {
 		for key, number := range c.destinationNumbers {
@@ -53,9 +53,9 @@
 // messageSnapshot returns a message's state, without its key and body, of which only lengths are kept; restoreMessage is its reverse.
 func (c *Core) messageSnapshot(m *message) capture.MessageState {
 	e := m.entry
-	state := capture.MessageState{Ref: m.ref, Front: m.front.number, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class, Tenant: e.Tenant,
-		Deadline: e.Deadline.Sub(c.startedAt) + clockStart, Resubmitted: e.Resubmitted, Size: len(e.Body), Headers: hashHeaders(e.Headers),
-		Attempts: e.Attempts, PolicyVersion: e.PolicyVersion, MaxAttempts: e.MaxAttempts, InFlight: e.InFlight,
+	state := capture.MessageState{Ref: m.ref, Front: m.front.number, ID: e.ID, KeySize: len(e.Key), Partner: e.Destination, Class: e.Class,
+		Tenant: e.Tenant, Deadline: e.Deadline.Sub(c.startedAt) + clockStart, Resubmitted: e.Resubmitted, Size: len(e.Body),
+		Headers: hashHeaders(e.Headers), Attempts: e.Attempts, PolicyVersion: e.PolicyVersion, MaxAttempts: e.MaxAttempts, InFlight: e.InFlight,
 		MayHaveRun: e.MayHaveRun, MayHaveRunAt: c.stamp(e.MayHaveRunAt), MayHaveRunOn: e.MayHaveRunOn,
 		LastAttemptAt: c.stamp(e.LastAttemptAt), LastAttemptOn: e.LastAttemptOn,
 		NoticePending: e.NoticePending, Delivered: e.Notice.Delivered, HandedBack: e.Notice.HandedBack, RetryAfter: e.Notice.RetryAfter}
@@ -132,7 +132,8 @@
 func (c *Core) restoreFronts(states []capture.FrontState, front func(capture.FrontState) Front) {
 	for _, s := range states {
 		f := &frontState{name: s.Name, number: len(c.frontsInOrder), Front: front(s), listed: map[string]uint32{}, listIndex: s.Index,
-			lastWatch: s.LastWatch, listReportedBy: s.ListReportedBy, movedMeanwhile: s.MovedMeanwhile, retryAt: c.timeOf(s.RetryAt), backoff: s.Backoff}
+			lastWatch: s.LastWatch, listReportedBy: s.ListReportedBy, movedMeanwhile: s.MovedMeanwhile, retryAt: c.timeOf(s.RetryAt),
+			backoff: s.Backoff}
 		if s.Watching {
 			f.stopWatch = func() {}
 		}
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -79,7 +79,8 @@
 		return
 	}
 	if a.ruling.Verdict != Accepted {
-		core.replyTo(a.reply, core.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: core.limits.BusyRetry, Status: a.ruling.Status, Reason: a.ruling.Reason})
+		core.replyTo(a.reply, core.submitted, Reply{Verdict: a.ruling.Verdict, RetryAfter: core.limits.BusyRetry, Status: a.ruling.Status,
+			Reason: a.ruling.Reason})
 		return
 	}
 	if core.fullFor(&a) {
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -20,11 +20,12 @@
 	return w.fakeFront.Watch(ctx, after, changed)
 }
 
-// TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken. Complete list or not, it must undo nothing;
-// before the next one has reported it counts, since the relay must follow what it has heard.
+// TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken.
+// Complete list or not, it must undo nothing; before the next one has reported it counts, since the relay must follow what it has heard.
 func TestWatch_SupersededWatchReportsLate_UndoesNothing(t *testing.T) {
 	list := func(index int64, complete bool, state control.State) EndpointList {
-		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites", Partner: 8, State: state}}}
+		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites",
+			Partner: 8, State: state}}}
 	}
 	for _, test := range []struct {
 		name          string
@@ -34,7 +35,8 @@
 		{"an older complete list", nil, []EndpointList{list(42, true, control.Ready)}, control.Draining},
 		{"an older change", nil, []EndpointList{list(42, false, control.Ready)}, control.Draining},
 		{"a later one, of a discovery that was left", nil, []EndpointList{list(99, false, control.Ready)}, control.Draining},
-		{"a change before the new watch speaks", []EndpointList{list(44, false, control.Ready), list(45, false, control.Draining)}, nil, control.Draining},
+		{"a change before the new watch speaks", []EndpointList{list(44, false, control.Ready), list(45, false, control.Draining)}, nil,
+			control.Draining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			front := watchedFront{nil, make(chan func(EndpointList), 9)}
@@ -68,8 +70,8 @@
 	}
 }
 
-// TestWatch_Lost_ReopenedByItsCause: when a watch that has ended is opened again depends on what ended it, and on nothing that the module must be asked for
-// where what the relay misses soon counts as known.
+// TestWatch_Lost_ReopenedByItsCause: when a watch that has ended is opened again depends on what ended it, and on nothing that the module
+// must be asked for where what the relay misses soon counts as known.
 func TestWatch_Lost_ReopenedByItsCause(t *testing.T) {
 	broke := errors.New("reset")
 	for _, test := range []struct {
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -177,7 +177,8 @@
 		return shown, ErrOtherMember
 	}
 	switch message.GetType() {
-	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgUnreachable, raftpb.MsgSnapStatus, raftpb.MsgCheckQuorum, raftpb.MsgStorageAppend, raftpb.MsgStorageApply:
+	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgUnreachable, raftpb.MsgSnapStatus, raftpb.MsgCheckQuorum, raftpb.MsgStorageAppend,
+		raftpb.MsgStorageApply:
 		return shown, ErrLocalMessage
 	case raftpb.MsgVote, raftpb.MsgPreVote:
 		// A member that hears a leader, or leads with a majority, ignores candidates (check quorum).
--- a/internal/relay/fleet/consensus/members.go
+++ b/internal/relay/fleet/consensus/members.go
@@ -55,7 +55,8 @@
 	e.confState, e.membersChanged = e.node.ApplyConfChange(change), true
 	committed.Data, committed.Names = nil, memberNames{}
 	_ = cbor.Unmarshal(change.AsV2().GetContext(), &committed.Names) // the end of a joint change has none
-	committed.Members = slices.Concat([]uint64{}, e.confState.GetVoters(), e.confState.GetLearners(), e.confState.GetVotersOutgoing(), e.confState.GetLearnersNext())
+	committed.Members = slices.Concat([]uint64{}, e.confState.GetVoters(), e.confState.GetLearners(), e.confState.GetVotersOutgoing(),
+		e.confState.GetLearnersNext())
 	return committed, nil
 }
 
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -157,14 +157,15 @@
 
 // rejectFormerIncarnation answers a relay of whose name a later incarnation is known.
 func (n *Node) rejectFormerIncarnation(via string, request *LeaseRequest, newest uint64) {
-	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Rejected: sameName, NewestGeneration: newest}})
+	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation,
+		Seq: request.Seq, Rejected: sameName, NewestGeneration: newest}})
 }
 
 // sendGrant answers a lease request that arrived at came: with the lease, 0 for none, the state if it is newer than the relay's,
 // and the relay's quota shares.
 func (n *Node) sendGrant(via string, request *LeaseRequest, lease time.Duration, rejected string, came time.Duration) {
-	grant := &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Lease: lease, Epoch: n.applied.Epoch, Index: n.applied.Index,
-		Rejected: rejected, Progress: n.progress}
+	grant := &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Lease: lease,
+		Epoch: n.applied.Epoch, Index: n.applied.Index, Rejected: rejected, Progress: n.progress}
 	if n.applied.NewerThan(request.Epoch, request.Index) {
 		grant.State = n.applied
 	}
@@ -185,7 +186,8 @@
 		l.reset(n.now)
 		l.leading = true
 		if n.lessee != nil {
-			l.allocator = quota.NewAllocator(quota.Options{MinimumSum: n.config.GuaranteedShare, LeaseDuration: n.maxLeaseDuration(), ServeAlone: n.config.ServeWhenPartitioned}, n.engine.Position().Term, n.now)
+			l.allocator = quota.NewAllocator(quota.Options{MinimumSum: n.config.GuaranteedShare, LeaseDuration: n.maxLeaseDuration(),
+				ServeAlone: n.config.ServeWhenPartitioned}, n.engine.Position().Term, n.now)
 		}
 		n.log("became fleet leader", "members", len(n.applied.Members))
 	}
--- a/internal/relay/fleet/node/lease.go
+++ b/internal/relay/fleet/node/lease.go
@@ -19,8 +19,8 @@
 			delete(n.pendingRequests, seq)
 		}
 	}
-	request := LeaseRequest{From: n.config.Name, Generation: n.config.Generation, Incarnation: n.config.Incarnation, Seq: n.requestSeq, Epoch: n.newest.Epoch, Index: n.newest.Index,
-		Verdict: n.verdict}
+	request := LeaseRequest{From: n.config.Name, Generation: n.config.Generation, Incarnation: n.config.Incarnation, Seq: n.requestSeq,
+		Epoch: n.newest.Epoch, Index: n.newest.Index, Verdict: n.verdict}
 	if n.lessee != nil {
 		request.QuotaRequest = n.lessee.NextRequest(n.now, n.config.Zone)
 	}
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -5,8 +5,8 @@
 // A Node owns its consensus.Engine, if it is a voter, and what it knows of the fleet's state. It must be driven by one goroutine
 // at a time. Design: docs/design/fleet-policy.md and docs/design/shared-state.md.
 //
-// Files: node.go is what every relay does, lease.go how it gets its lease, voter.go what a voter does, leader.go what the leader does, members.go how it changes the voters,
-// admin.go operators' requests, count.go the counters.
+// Files: node.go is what every relay does, lease.go how it gets its lease, voter.go what a voter does, leader.go what the leader does,
+// members.go how it changes the voters, admin.go operators' requests, count.go the counters.
 package node
 
 import (
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -86,8 +86,9 @@
 
 // New returns a relay's node, restored from the image on its disk. It fails where the image can't be used; see consensus.New.
 func New(cfg Config, image *consensus.Image, now time.Duration) (*Node, error) {
-	n := &Node{config: cfg, now: now, random64: cfg.Seed | 1, applied: &policy.State{}, newest: &policy.State{}, pendingRequests: map[uint64]time.Duration{},
-		positionAnswers: map[string]bool{}, remembered: map[uint64]consensus.LogPosition{}, memberRelays: map[uint64]string{}, startedAt: now}
+	n := &Node{config: cfg, now: now, random64: cfg.Seed | 1, applied: &policy.State{}, newest: &policy.State{},
+		pendingRequests: map[uint64]time.Duration{}, positionAnswers: map[string]bool{}, remembered: map[uint64]consensus.LogPosition{},
+		memberRelays: map[uint64]string{}, startedAt: now}
 	if cfg.GuaranteedShare > 0 {
 		n.lessee = &quota.Lessee{ServeAlone: cfg.ServeWhenPartitioned}
 	}
@@ -304,7 +305,8 @@
 			mandate.Until = n.mandate.Until
 		}
 	}
-	if n.mandateSent && mandate.Version == n.mandate.Version && mandate.Until == n.mandate.Until && mandate.Halted == n.mandate.Halted && mandate.WhyNot == n.mandate.WhyNot {
+	if n.mandateSent && mandate.Version == n.mandate.Version && mandate.Until == n.mandate.Until && mandate.Halted == n.mandate.Halted &&
+		mandate.WhyNot == n.mandate.WhyNot {
 		return
 	}
 	if n.mandate.WhyNot != mandate.WhyNot {
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -84,16 +84,17 @@
 )
 
 // Open joins the relay to its fleet, as a new member where its folder is damaged or of another fleet. applyMandate is called by the Fleet's
-// goroutine with each new mandate, must not block, and calls its callback once the core acts by it, from any goroutine. core is used only where limits
-// are shared (GuaranteedShare above 0).
+// goroutine with each new mandate, must not block, and calls its callback once the core acts by it, from any goroutine. core is used only
+// where limits are shared (GuaranteedShare above 0).
 //
 // It returns a config.KeyError for an address that can't be parsed, and other errors for the socket, the folder and the node's configuration.
 // Close ends the goroutines that it starts.
 func Open(cfg *config.Config, rules *Rules, log *slog.Logger, core Core, applyMandate func(node.Mandate, Times, func())) (*Fleet, error) {
 	peers := cfg.Peers
-	f := &Fleet{config: peers, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{}, generations: map[string]uint64{},
-		events: make(chan node.Event, maxPackets), packets: make(chan packet, maxPackets), ended: make(chan struct{}),
-		done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{}, startedAt: time.Now()}
+	f := &Fleet{config: peers, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{},
+		generations: map[string]uint64{}, events: make(chan node.Event, maxPackets), packets: make(chan packet, maxPackets),
+		ended: make(chan struct{}), done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{},
+		startedAt: time.Now()}
 	if peers.GuaranteedShare > 0 {
 		f.core = core
 	}
@@ -155,9 +156,9 @@
 // nodeConfig is the node's configuration as the member that the disk names, with a new incarnation and seed.
 func (f *Fleet) nodeConfig(zone int) node.Config {
 	peers := f.config
-	return node.Config{Name: peers.Name, Generation: f.disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(), Member: f.disk.member,
-		Voters: peers.Voters, Roster: peers.Roster(), Lease: peers.Lease, MaxClockDrift: peers.Drift, ServeWhenPartitioned: peers.ServeWhenPartitioned,
-		GuaranteedShare: peers.GuaranteedShare, Zone: zone}
+	return node.Config{Name: peers.Name, Generation: f.disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(),
+		Member: f.disk.member, Voters: peers.Voters, Roster: peers.Roster(), Lease: peers.Lease, MaxClockDrift: peers.Drift,
+		ServeWhenPartitioned: peers.ServeWhenPartitioned, GuaranteedShare: peers.GuaranteedShare, Zone: zone}
 }
 
 // randomUint64 returns a random number of the system's.
@@ -281,7 +282,8 @@
 		err = errUnknownPeer
 	case received.To != f.config.Name:
 		err = errOtherRelay
-	case received.Generation < f.generations[received.From] && received.Message.LeaseRequest == nil: // by its lease requests the leader detects two relays of one name
+	case received.Generation < f.generations[received.From] &&
+		received.Message.LeaseRequest == nil: // by its lease requests the leader detects two relays of one name
 		err = errFormerIncarnation
 	}
 	if err != nil {
@@ -311,7 +313,8 @@
 				return err
 			}
 		case action.Message != nil:
-			f.send(f.addresses[action.To], kindPeer, &frame{Fleet: f.config.Fleet, From: f.config.Name, To: action.To, Generation: f.disk.id.Generation, Message: action.Message})
+			f.send(f.addresses[action.To], kindPeer, &frame{Fleet: f.config.Fleet, From: f.config.Name, To: action.To,
+				Generation: f.disk.id.Generation, Message: action.Message})
 		case action.Check != nil:
 			go f.check(action.Check.Version, action.Check.Doc)
 		case action.Mandate != nil:
--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -37,8 +37,9 @@
 	if why != nil || !image.Empty() {
 		t.Fatal(why, image)
 	}
-	for _, s := range []*consensus.Image{{HardState: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Complete: true, Snapshot: []byte("s"), HardState: []byte("h2")},
-		{Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}} {
+	for _, s := range []*consensus.Image{{HardState: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Complete: true, Snapshot: []byte("s"),
+		HardState: []byte("h2")}, {Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1,
+		LastIndex: 2}}}} {
 		if err := d.save(s, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -55,9 +56,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &consensus.Image{Snapshot: []byte("s"), HardState: []byte("h2"), Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}
+	want := &consensus.Image{Snapshot: []byte("s"), HardState: []byte("h2"), Entries: [][]byte{[]byte("e2")},
+		Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}
 	reopened, image, why := openAt(t, dir)
-	if diff := cmp.Diff(want, image); diff != "" || why != nil || reopened.member != original.member || reopened.id.Generation != original.id.Generation+1 {
+	if diff := cmp.Diff(want, image); diff != "" || why != nil || reopened.member != original.member ||
+		reopened.id.Generation != original.id.Generation+1 {
 		t.Fatal(diff, why, reopened.member, original.member, reopened.id.Generation)
 	}
 	records, _ := records(complete)
@@ -124,7 +127,8 @@
 }
 
 func TestUnpack_DamagedFrame_IsRejected(t *testing.T) {
-	good, err := (&frame{Fleet: "f", From: "a", To: "b", Generation: 3, Message: &node.Message{LeaseRequest: &node.LeaseRequest{From: "a", Seq: 7}}}).pack(nil, kindPeer)
+	good, err := (&frame{Fleet: "f", From: "a", To: "b", Generation: 3, Message: &node.Message{LeaseRequest: &node.LeaseRequest{From: "a",
+		Seq: 7}}}).pack(nil, kindPeer)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/fleet/peer/share_test.go
+++ b/internal/relay/fleet/peer/share_test.go
@@ -29,8 +29,8 @@
 	done()
 }
 
-// TestMandate_Halted_CoreSpendsNextToNothing: given a relay that was granted shares, when it is halted, then its core spends next to nothing from right after that until
-// right before it goes on; a lease that comes meanwhile counts from then on only.
+// TestMandate_Halted_CoreSpendsNextToNothing: given a relay that was granted shares, when it is halted, then its core spends next to
+// nothing from right after that until right before it goes on; a lease that comes meanwhile counts from then on only.
 func TestMandate_Halted_CoreSpendsNextToNothing(t *testing.T) {
 	// Given
 	core := &coreRecorder{}
@@ -80,8 +80,8 @@
 		{"given one older than its wait, then that is over", time.Second, 2 * time.Second, 3 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			want := control.SharedLimits{GuaranteedShare: 0.1, Grants: []control.Grant{{Endpoint: 7, ExtraShare: 0.5, Limit: 30, LimitAge: c.limitAge, Unhealthy: true, HealthAge: c.healthAge,
-				RetryAfter: c.wait, MayProbe: true}}}
+			want := control.SharedLimits{GuaranteedShare: 0.1, Grants: []control.Grant{{Endpoint: 7, ExtraShare: 0.5, Limit: 30,
+				LimitAge: c.limitAge, Unhealthy: true, HealthAge: c.healthAge, RetryAfter: c.wait, MayProbe: true}}}
 			if d := cmp.Diff(want, sharedLimits(lease, sights, c.ago)); d != "" {
 				t.Error(d)
 			}
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -27,8 +27,8 @@
 var updateFormat = flag.Bool("update-format", false, "write the golden files anew; only for a format that is meant to change")
 
 // formats are all that relays of a fleet send and store as CBOR: the golden file has a line for each.
-var formats = []any{&frame{}, &identity{}, &logRecord{}, &node.Message{}, &node.AdminRequest{}, &node.Status{}, &consensus.Image{}, &policy.State{}, &policy.Command{},
-	&quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
+var formats = []any{&frame{}, &identity{}, &logRecord{}, &node.Message{}, &node.AdminRequest{}, &node.Status{}, &consensus.Image{},
+	&policy.State{}, &policy.Command{}, &quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
 
 // goldenEncodings are the golden encodings of formats, in hexadecimal.
 func goldenEncodings(t *testing.T) []string {
@@ -142,7 +142,8 @@
 	if stored.id.Fleet != "fleet one" || stored.id.Generation != 2 || stored.member != 41 {
 		t.Errorf("identity %+v, member %d", stored.id, stored.member)
 	}
-	want := &consensus.Image{HardState: image.HardState, Entries: append(image.Entries, more.Entries...), Complete: true, Remembered: image.Remembered}
+	want := &consensus.Image{HardState: image.HardState, Entries: append(image.Entries, more.Entries...), Complete: true,
+		Remembered: image.Remembered}
 	got.Complete = true
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/internal/relay/fleet/policy/policy_test.go
+++ b/internal/relay/fleet/policy/policy_test.go
@@ -50,7 +50,8 @@
 
 // TestDiff_TwoDocuments_ListsChangedKeys: each key that differs has a line.
 func TestDiff_TwoDocuments_ListsChangedKeys(t *testing.T) {
-	got, err := Diff([]byte(`{"format":1,"stamp":true,"classes":{"event":{"worth":2}}}`), []byte(`{"format":1,"classes":{"event":{"worth":3}},"accept":["a"]}`))
+	got, err := Diff([]byte(`{"format":1,"stamp":true,"classes":{"event":{"worth":2}}}`),
+		[]byte(`{"format":1,"classes":{"event":{"worth":3}},"accept":["a"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +67,8 @@
 		state := &State{Epoch: 1}
 		decided := map[uint64]bool{}
 		for i := range uint64(rapid.IntRange(1, 200).Draw(t, "commands")) {
-			command := &Command{Kind: CommandKind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0, state.LastVersion+1).Draw(t, "version"),
-				Doc: []byte{byte(i)}, Ticket: rapid.Uint64Range(0, 9).Draw(t, "ticket")}
+			command := &Command{Kind: CommandKind(rapid.IntRange(1, 7).Draw(t, "kind")), Version: rapid.Uint64Range(0,
+				state.LastVersion+1).Draw(t, "version"), Doc: []byte{byte(i)}, Ticket: rapid.Uint64Range(0, 9).Draw(t, "ticket")}
 			if rapid.Bool().Draw(t, "drop") {
 				command.DropReason = "no"
 			}
--- a/internal/relay/fleet/policy/state.go
+++ b/internal/relay/fleet/policy/state.go
@@ -177,7 +177,8 @@
 // finishChange ends the change under way; dropReason is empty for one that is in force.
 func (s *State) finishChange(dropReason string) {
 	c := s.Change
-	s.recordPastChange(PastChange{Version: c.Version, Base: c.Base, Digest: Digest(c.Doc), By: c.By, DropReason: dropReason, Excused: c.Excused, Ticket: c.Ticket})
+	s.recordPastChange(PastChange{Version: c.Version, Base: c.Base, Digest: Digest(c.Doc), By: c.By, DropReason: dropReason,
+		Excused: c.Excused, Ticket: c.Ticket})
 	s.Change = nil
 }
 
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// newClaim is a relay's claim to a key of which all relays together demand so much, at that mean value; limit 0: nothing is known of it, and the claim
-// is the relay's part of the demand.
+// newClaim is a relay's claim to a key of which all relays together demand so much, at that mean value; limit 0: nothing is known of it,
+// and the claim is the relay's part of the demand.
 func newClaim(relay *relayState, key Key, limit, totalDemand, meanValue, minimum float64) claim {
 	demand := relay.demands[key]
 	c := claim{relay, demand.Rate / totalDemand, 1}
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -102,7 +102,8 @@
 // NewAllocator returns the allocator of a relay that becomes the leader in term. It leases nothing beyond former leases until all relays of the
 // roster have reported theirs, or LeaseDuration has passed.
 func NewAllocator(options Options, term uint64, now time.Duration) *Allocator {
-	return &Allocator{options: options, term: term, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{}, leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
+	return &Allocator{options: options, term: term, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{},
+		leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
 }
 
 // minimumPerRelay is the guaranteed minimum of each relay of the roster, in units.
--- a/internal/relay/fleet/quota/counters_test.go
+++ b/internal/relay/fleet/quota/counters_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCounterTable_TalliesInAnyOrder_NeverCountTwice: whatever tallies come, in whatever order, twice, late or not at all, a sum never counts an incarnation twice and never more than
-// was counted; when the newest of each incarnation has come to any of the voters and they have talked, all say the same, exactly.
+// TestCounterTable_TalliesInAnyOrder_NeverCountTwice: whatever tallies come, in whatever order, twice, late or not at all, a sum never
+// counts an incarnation twice and never more than was counted; when the newest of each incarnation has come to any of the voters and they
+// have talked, all say the same, exactly.
 func TestCounterTable_TalliesInAnyOrder_NeverCountTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -59,8 +60,8 @@
 	})
 }
 
-// TestCounterTable_VotersExchangeTallies_Agree: voters that have merged different tallies agree once they have exchanged them, and a relay that was restarted many times
-// takes little memory.
+// TestCounterTable_VotersExchangeTallies_Agree: voters that have merged different tallies agree once they have exchanged them, and a relay
+// that was restarted many times takes little memory.
 func TestCounterTable_VotersExchangeTallies_Agree(t *testing.T) {
 	first, second := NewCounterTable(), NewCounterTable()
 	want := uint64(0)
--- a/internal/relay/fleet/quota/encoding.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -93,8 +93,8 @@
 	for ; len(b) > 0; b = b[keyShareBytes:] {
 		v := func(at int) float64 { return finiteOrZero(fromFloat16(binary.BigEndian.Uint16(b[at:]))) }
 		age := func(at int) time.Duration { return time.Duration(b[at]) * ageUnit }
-		all = append(all, KeyShare{Key: Key(binary.BigEndian.Uint32(b)), Extra: v(4), Limit: v(6), LimitAge: age(8), State: State(min(b[9]&^probeFlag, byte(Down))),
-			StateAge: age(10), Wait: age(11), MayProbe: b[9]&probeFlag != 0})
+		all = append(all, KeyShare{Key: Key(binary.BigEndian.Uint32(b)), Extra: v(4), Limit: v(6), LimitAge: age(8),
+			State: State(min(b[9]&^probeFlag, byte(Down))), StateAge: age(10), Wait: age(11), MayProbe: b[9]&probeFlag != 0})
 	}
 	return all, nil
 }
--- a/internal/relay/fleet/quota/quota_test.go
+++ b/internal/relay/fleet/quota/quota_test.go
@@ -7,37 +7,44 @@
 	"pgregory.net/rapid"
 )
 
-// TestWireEncoding_RoundTrip_IsNeverMoreNorFresher: what goes over the wire and back is never more, and never fresher, than it was; a list of any other size is refused.
+// TestWireEncoding_RoundTrip_IsNeverMoreNorFresher: what goes over the wire and back is never more, and never fresher, than it was; a list
+// of any other size is refused.
 func TestWireEncoding_RoundTrip_IsNeverMoreNorFresher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(11*time.Second)).Draw(t, name))
 		}
-		share := KeyShare{Key: Key(rapid.Uint32().Draw(t, "key")), Extra: rapid.Float64Range(0, 1).Draw(t, "extra"), Limit: rapid.Float64Range(0, 1e6).Draw(t, "limit"),
-			LimitAge: age("told"), State: State(rapid.IntRange(0, 2).Draw(t, "state")), StateAge: age("seen"), Wait: age("wait"), MayProbe: rapid.Bool().Draw(t, "try")}
+		share := KeyShare{Key: Key(rapid.Uint32().Draw(t, "key")), Extra: rapid.Float64Range(0, 1).Draw(t, "extra"),
+			Limit: rapid.Float64Range(0, 1e6).Draw(t, "limit"), LimitAge: age("told"), State: State(rapid.IntRange(0, 2).Draw(t, "state")),
+			StateAge: age("seen"), Wait: age("wait"),
+			MayProbe: rapid.Bool().Draw(t, "try")}
 		encoded := EncodeKeyShares([]KeyShare{share})
 		got, err := DecodeKeyShares(encoded)
 		if err != nil || len(got) != 1 {
 			t.Fatal(err, got)
 		}
 		decoded := got[0]
-		if decoded.Extra > share.Extra || decoded.Extra < share.Extra*0.99-1e-30 || decoded.Limit > share.Limit || decoded.LimitAge < share.LimitAge || decoded.StateAge < share.StateAge || decoded.Wait < share.Wait ||
-			decoded.State != share.State || decoded.MayProbe != share.MayProbe || decoded.Key != share.Key || RoundToWire(decoded.Extra) != decoded.Extra {
+		if decoded.Extra > share.Extra || decoded.Extra < share.Extra*0.99-1e-30 || decoded.Limit > share.Limit ||
+			decoded.LimitAge < share.LimitAge || decoded.StateAge < share.StateAge || decoded.Wait < share.Wait ||
+			decoded.State != share.State || decoded.MayProbe != share.MayProbe || decoded.Key != share.Key ||
+			RoundToWire(decoded.Extra) != decoded.Extra {
 			t.Fatalf("%+v became %+v", share, decoded)
 		}
 		size := rapid.IntRange(1, keyShareBytes-1).Draw(t, "cut")
 		if _, err := DecodeKeyShares(encoded[:size]); err == nil {
 			t.Fatal("a truncated list is accepted")
 		}
-		if demands, err := DecodeDemands(rapid.SliceOfN(rapid.Byte(), demandBytes, demandBytes).Draw(t, "garbled")); err != nil || !(demands[0].Rate >= 0 && demands[0].Rate < 1e39) ||
+		if demands, err := DecodeDemands(rapid.SliceOfN(rapid.Byte(), demandBytes, demandBytes).Draw(t, "garbled")); err != nil ||
+			!(demands[0].Rate >= 0 && demands[0].Rate < 1e39) ||
 			demands[0].State > Down {
 			t.Fatalf("garbled demands are decoded as %+v: %v", demands, err)
 		}
 	})
 }
 
-// TestAllocator_AnyDemands_SplitsFairlyWithinLimit: whatever relays demand, never more than the limit is leased, guaranteed minimums are never leased to others, equal demands get
-// equal shares, and where demands exceed the limit no relay has more than another of the same value that has less than its demand.
+// TestAllocator_AnyDemands_SplitsFairlyWithinLimit: whatever relays demand, never more than the limit is leased, guaranteed minimums are
+// never leased to others, equal demands get equal shares, and where demands exceed the limit no relay has more than another of the same
+// value that has less than its demand.
 func TestAllocator_AnyDemands_SplitsFairlyWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 1, 0)
@@ -52,7 +59,8 @@
 			now := time.Duration(round) * 200 * time.Millisecond
 			sum := 0.0
 			for i, name := range names {
-				allocator.HandleRequest(now, name, 1, &Request{LeaseTerm: 1, NewestTerm: 1, LeaseNumber: leases[i], Demands: EncodeDemands([]Demand{{Key: 7, Rate: demands[i], Value: 1, Limit: limit}})})
+				allocator.HandleRequest(now, name, 1, &Request{LeaseTerm: 1, NewestTerm: 1, LeaseNumber: leases[i],
+					Demands: EncodeDemands([]Demand{{Key: 7, Rate: demands[i], Value: 1, Limit: limit}})})
 			}
 			for i, name := range names {
 				grant := allocator.Grant(now, now, name)
@@ -90,8 +98,8 @@
 	})
 }
 
-// TestLease_NewLeader_FormerGrantsCountNoMore: a relay that has heard of a newer leader takes no grant of a former one any more, and the newer one leases nothing until
-// the relay has reported that it has heard of it.
+// TestLease_NewLeader_FormerGrantsCountNoMore: a relay that has heard of a newer leader takes no grant of a former one any more, and the
+// newer one leases nothing until the relay has reported that it has heard of it.
 func TestLease_NewLeader_FormerGrantsCountNoMore(t *testing.T) {
 	lessee := &Lessee{}
 	grant := func(term uint64) *Grant {
@@ -116,8 +124,8 @@
 	}
 }
 
-// TestAllocator_FalseClaim_IsCountedAndGainsNothing: a relay that claims a lease that it can't have is counted as a contradiction, takes nothing from what others truly have
-// beyond one lease, and gains nothing by it.
+// TestAllocator_FalseClaim_IsCountedAndGainsNothing: a relay that claims a lease that it can't have is counted as a contradiction, takes
+// nothing from what others truly have beyond one lease, and gains nothing by it.
 func TestAllocator_FalseClaim_IsCountedAndGainsNothing(t *testing.T) {
 	allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 9, 0)
 	names := []string{"a", "b", "liar"}
@@ -125,7 +133,8 @@
 	demands := EncodeDemands([]Demand{{Key: 7, Rate: 50, Value: 1, Limit: 100}})
 	claims := map[string]float64{"a": 0.4, "b": 0.3, "liar": 0.9}
 	for _, name := range names {
-		allocator.HandleRequest(0, name, 1, &Request{LeaseTerm: 8, LeaseNumber: 3, NewestTerm: 9, Demands: demands, Minimum: toFloat16(0.08), LeasedShares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: claims[name]}})})
+		allocator.HandleRequest(0, name, 1, &Request{LeaseTerm: 8, LeaseNumber: 3, NewestTerm: 9, Demands: demands,
+			Minimum: toFloat16(0.08), LeasedShares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: claims[name]}})})
 	}
 	leases, shares := map[string]uint64{}, map[string]float64{}
 	for now := 100 * time.Millisecond; now < 6*time.Second; now += 200 * time.Millisecond {
--- a/internal/relay/fleet/testcluster/admin.go
+++ b/internal/relay/fleet/testcluster/admin.go
@@ -36,7 +36,8 @@
 			}
 		}
 		if past.Version != 0 {
-			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Reported, Relay: r.Name, Version: past.Version, Digest: past.Digest, Dropped: past.DropReason != ""})
+			f.history = append(f.history, checker.Entry{At: at, Kind: checker.Reported, Relay: r.Name, Version: past.Version,
+				Digest: past.Digest, Dropped: past.DropReason != ""})
 		}
 	}
 }
@@ -63,8 +64,9 @@
 			text += fmt.Sprintf("\n%s: %v", r.Name, err)
 			continue
 		}
-		text += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name, status.MayAct, status.WhyNot,
-			status.Voter, status.Leader, status.State.Epoch, status.State.Index, status.State.Version, status.State.Change, status.Progress)
+		text += fmt.Sprintf("\n%s acts %v (%s), %s, leader %q, epoch %d, index %d, version %d, change %+v, progress %+v", r.Name,
+			status.MayAct, status.WhyNot, status.Voter, status.Leader, status.State.Epoch, status.State.Index, status.State.Version,
+			status.State.Change, status.Progress)
 		if status.Quota != nil {
 			text += fmt.Sprintf(", rights %+v, of all %+v", *status.Quota, status.Shared)
 		}
--- a/internal/relay/fleet/testcluster/client.go
+++ b/internal/relay/fleet/testcluster/client.go
@@ -24,9 +24,11 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(min(time.Duration(rng.ExpFloat64()*float64(time.Second)/max(math.Float64frombits(f.clientRates[r.Index].Load()), 0.001)), time.Minute)):
+		case <-time.After(min(time.Duration(rng.ExpFloat64()*float64(time.Second)/max(math.Float64frombits(f.clientRates[r.Index].Load()),
+			0.001)), time.Minute)):
 		}
-		message := &standin.Message{ID: fmt.Sprintf("%s-%d", r.Name, number), Class: "transfer", Partner: rng.IntN(partners), Timeout: 16 * time.Second, Body: "{}"}
+		message := &standin.Message{ID: fmt.Sprintf("%s-%d", r.Name, number), Class: "transfer", Partner: rng.IntN(partners),
+			Timeout: 16 * time.Second, Body: "{}"}
 		if number%2 == 0 {
 			message.Class, message.Key = "match-event", "k"+message.ID
 		}
--- a/internal/relay/fleet/testcluster/config.go
+++ b/internal/relay/fleet/testcluster/config.go
@@ -55,8 +55,8 @@
 			others[other.Name] = other.peerAddress
 		}
 	}
-	content := map[string]any{"name": relay.Name, "listen": relay.ClientAddress, "state": relay.stateDir, "discovery": f.discovery.Address, "seed": fmt.Sprintf("%016x", relay.Index+1),
-		"known": json.RawMessage(list), "limits": map[string]any{"disk_mb": 3},
+	content := map[string]any{"name": relay.Name, "listen": relay.ClientAddress, "state": relay.stateDir, "discovery": f.discovery.Address,
+		"seed": fmt.Sprintf("%016x", relay.Index+1), "known": json.RawMessage(list), "limits": map[string]any{"disk_mb": 3},
 		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Relays), relay.Index)),
 		"peers": map[string]any{"fleet": fleetID, "name": relay.Name, "listen": relay.peerAddress, "others": others, "voters": voters,
 			"lease": f.plan.Lease.String(), "alone": f.plan.WhenPartitioned, "drift": f.plan.MaxClockDrift}}
--- a/internal/relay/fleet/testcluster/fleet.go
+++ b/internal/relay/fleet/testcluster/fleet.go
@@ -51,7 +51,8 @@
 // New sets up the folders, links and stand-ins of a fleet in dir; no relay is started yet. The caller must Close it.
 func New(plan Scenario, binary, dir string) (f *Fleet, err error) {
 	f = &Fleet{plan: plan, binary: binary, dir: dir, started: time.Now(), links: map[[2]int]*link{}, adminPeers: map[string]*config.Peers{},
-		callsByMessage: map[string]int{}, FaultsDuringChange: map[string]int{}, diskCopies: map[string]string{}, callsByRelay: map[string]int{}, partnerLimit: plan.PartnerLimit, clientRates: make([]atomic.Uint64, plan.Relays)}
+		callsByMessage: map[string]int{}, FaultsDuringChange: map[string]int{}, diskCopies: map[string]string{},
+		callsByRelay: map[string]int{}, partnerLimit: plan.PartnerLimit, clientRates: make([]atomic.Uint64, plan.Relays)}
 	for i := range f.clientRates {
 		rate := plan.Rate
 		if i < len(plan.RelayRates) {
--- a/internal/relay/fleet/testcluster/judge.go
+++ b/internal/relay/fleet/testcluster/judge.go
@@ -37,7 +37,8 @@
 		}
 	}
 	if contradictions > 0 {
-		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Breached, Text: fmt.Sprintf("%d messages were told two different ends", contradictions)})
+		f.history = append(f.history, checker.Entry{At: f.now(), Kind: checker.Breached,
+			Text: fmt.Sprintf("%d messages were told two different ends", contradictions)})
 	}
 	for _, change := range f.changes {
 		entry := checker.Entry{At: change.proposedAt, Until: change.finishedAt, Kind: checker.Proposed, Base: change.base, Version: change.version}
@@ -53,7 +54,8 @@
 	res.History = f.history
 	res.StaleActs, res.MaxStaleness = checker.Stale(f.history)
 	// On a busy machine a call may be seen a little after it started; a relay that acts though it should not does so for longer.
-	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve", AllMustEnd: res.Stuck == "", Bounds: f.allBounds()})
+	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve",
+		AllMustEnd: res.Stuck == "", Bounds: f.allBounds()})
 }
 
 // closeBounds ends the time during which the partners had their current limit; the caller must hold f.mu. Calls are judged by a new limit only
@@ -67,7 +69,8 @@
 		from = f.pastBounds[n-1].Until + 2*f.plan.Lease
 	}
 	for partner := range partners {
-		f.pastBounds = append(f.pastBounds, checker.Bound{To: strconv.Itoa(partner), Rate: f.partnerLimit, Burst: f.burst(f.partnerLimit), From: from, Until: f.now()})
+		f.pastBounds = append(f.pastBounds, checker.Bound{To: strconv.Itoa(partner), Rate: f.partnerLimit, Burst: f.burst(f.partnerLimit),
+			From: from, Until: f.now()})
 	}
 }
 
--- a/internal/relay/fleet/testcluster/page.go
+++ b/internal/relay/fleet/testcluster/page.go
@@ -129,14 +129,16 @@
 		switch e.Kind {
 		case checker.Acted:
 			if row := rows[e.Relay]; row != nil {
-				row.Bars = append(row.Bars, pageBar{x(e.At), 1.5, colors[e.Version%uint64(len(colors))], fmt.Sprintf("%v: %s under version %d", e.At, e.ID, e.Version)})
+				row.Bars = append(row.Bars, pageBar{x(e.At), 1.5, colors[e.Version%uint64(len(colors))],
+					fmt.Sprintf("%v: %s under version %d", e.At, e.ID, e.Version)})
 			}
 		case checker.Started:
 			if row := rows[e.Relay]; row != nil {
 				row.Bars = append(row.Bars, pageBar{x(e.At), 3, "#111", fmt.Sprintf("%v: %s is started", e.At, e.Relay)})
 			}
 		case checker.Fault, checker.Breached:
-			view.Faults = append(view.Faults, pageLabel{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Text)), view.Height})
+			view.Faults = append(view.Faults, pageLabel{x(e.At), fmt.Sprintf("%v: %s", e.At.Round(time.Millisecond),
+				strings.TrimSpace(e.Text)), view.Height})
 		}
 	}
 	for s := time.Duration(0); s <= end; s += max(time.Second, end/20).Round(time.Second) {
--- a/internal/relay/fleet/testcluster/partner.go
+++ b/internal/relay/fleet/testcluster/partner.go
@@ -27,7 +27,8 @@
 	}
 	if f.partnerLimit > 0 {
 		accepted := f.buckets[arrival.Endpoint].take(arrival.At, f.partnerLimit)
-		answer.Header = []string{"X-Server-Load", fmt.Sprintf("TEXT x0=%.3f, x1=%.3f", f.buckets[arrival.Endpoint].remaining(f.partnerLimit), f.partnerLimit)}
+		answer.Header = []string{"X-Server-Load", fmt.Sprintf("TEXT x0=%.3f, x1=%.3f",
+			f.buckets[arrival.Endpoint].remaining(f.partnerLimit), f.partnerLimit)}
 		if !accepted {
 			f.throttled++
 			f.mu.Unlock()
--- a/internal/relay/fleet/testcluster/process.go
+++ b/internal/relay/fleet/testcluster/process.go
@@ -47,7 +47,8 @@
 	defer log.Close()
 	cmd := exec.Command(f.binary, "serve", "--config", r.configFile, "--log-format", "json")
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG=", "MASTUSHER_CLOCK_RATE="+strconv.FormatFloat(r.clockRate, 'f', -1, 64), "MASTUSHER_SLOW_DISK="+r.diskDelay, "MASTUSHER_FULL_DISK="+r.diskFullFile())
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG=", "MASTUSHER_CLOCK_RATE="+strconv.FormatFloat(r.clockRate, 'f', -1, 64),
+		"MASTUSHER_SLOW_DISK="+r.diskDelay, "MASTUSHER_FULL_DISK="+r.diskFullFile())
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("the relay's program: %w", err)
 	}
--- a/internal/relay/fleet/testcluster/random.go
+++ b/internal/relay/fleet/testcluster/random.go
@@ -9,7 +9,8 @@
 // Random draws a scenario of up to maxRelays relays from a seed: changes, and faults that gather around their phases.
 func Random(seed uint64, maxRelays int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 4))
-	scenario := Scenario{Name: fmt.Sprintf("random-%d", seed), Seed: seed, Relays: 5 + rng.IntN(max(maxRelays-4, 1)), Voters: 3, Lease: time.Second, Rate: 30}
+	scenario := Scenario{Name: fmt.Sprintf("random-%d", seed), Seed: seed, Relays: 5 + rng.IntN(max(maxRelays-4, 1)), Voters: 3,
+		Lease: time.Second, Rate: 30}
 	if scenario.Relays >= 7 && rng.IntN(2) == 0 {
 		scenario.Voters = 5
 	}
@@ -17,7 +18,8 @@
 		scenario.Rate = 8
 	}
 	if rng.IntN(2) == 0 {
-		scenario.Links = LinkFaults{Loss: rng.Float64() * 0.33, Twice: rng.Float64() * 0.1, Garbled: rng.Float64() * 0.05, Delay: time.Duration(rng.IntN(5)) * time.Millisecond}
+		scenario.Links = LinkFaults{Loss: rng.Float64() * 0.33, Twice: rng.Float64() * 0.1, Garbled: rng.Float64() * 0.05,
+			Delay: time.Duration(rng.IntN(5)) * time.Millisecond}
 	}
 	drawRelay := func() string {
 		if rng.IntN(3) == 0 {
@@ -88,5 +90,6 @@
 			steps = append(steps, Step{Action: []string{actionPartnerDown, actionPartnerUp}[rng.IntN(2)], Value: float64(rng.IntN(3))})
 		}
 	}
-	s.Steps = append(steps, Step{Action: actionSetLimit, Value: s.PartnerLimit * (0.3 + rng.Float64())}, Step{Action: actionRest, Length: 3 * s.Lease}, Step{Action: actionPartnerUp}, Step{Action: actionPartnerUp, Value: 1}, Step{Action: actionPartnerUp, Value: 2})
+	s.Steps = append(steps, Step{Action: actionSetLimit, Value: s.PartnerLimit * (0.3 + rng.Float64())}, Step{Action: actionRest,
+		Length: 3 * s.Lease}, Step{Action: actionPartnerUp}, Step{Action: actionPartnerUp, Value: 1}, Step{Action: actionPartnerUp, Value: 2})
 }
--- a/internal/relay/fleet/testcluster/result.go
+++ b/internal/relay/fleet/testcluster/result.go
@@ -43,7 +43,8 @@
 		return fmt.Sprintf("%s: stuck: %s (seed %d)", text, r.Stuck, r.Scenario.Seed)
 	}
 	if r.StaleActs > 0 {
-		text += fmt.Sprintf(", %d of them under an older policy than others acted under, for %v at most", r.StaleActs, r.MaxStaleness.Round(time.Millisecond))
+		text += fmt.Sprintf(", %d of them under an older policy than others acted under, for %v at most", r.StaleActs,
+			r.MaxStaleness.Round(time.Millisecond))
 	}
 	return text + ": no breach"
 }
--- a/internal/relay/fleet/testcluster/steps.go
+++ b/internal/relay/fleet/testcluster/steps.go
@@ -138,7 +138,8 @@
 			if !r.Running() {
 				continue
 			}
-			if s, err := f.Admin(r, node.AdminRequest{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil && s.State.Change.Phase.String() >= phase {
+			if s, err := f.Admin(r, node.AdminRequest{Op: "status"}, 200*time.Millisecond); err == nil && s.State.Change != nil &&
+				s.State.Change.Phase.String() >= phase {
 				return true
 			}
 		}
@@ -167,7 +168,8 @@
 	case actionAwaitVerdict: // Phase is the state that it must take some partner for
 		if !f.Await(eventTimeout, func() bool {
 			status, err := f.Admin(r, node.AdminRequest{Op: "status"}, time.Second)
-			return err == nil && status.Quota != nil && slices.ContainsFunc(status.Quota.Keys, func(key node.KeyQuota) bool { return key.State == step.Phase })
+			return err == nil && status.Quota != nil && slices.ContainsFunc(status.Quota.Keys,
+				func(key node.KeyQuota) bool { return key.State == step.Phase })
 		}) {
 			return &StepTimeoutError{fmt.Sprintf("%s takes no partner for %s", r.Name, step.Phase)}
 		}
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -30,8 +30,8 @@
 	t.Fatal("nothing has come")
 }
 
-// TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every time: the handler has
-// them sent. The answer arrives completely, and after it the end, not a reset, which may discard the answer.
+// TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every
+// time: the handler has them sent. The answer arrives completely, and after it the end, not a reset, which may discard the answer.
 func TestServer_CloseOverUnreadBytes_AnswerArrives(t *testing.T) {
 	for name, test := range map[string]struct {
 		request string
@@ -92,8 +92,8 @@
 	return c.TCPConn.Close()
 }
 
-// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its idle connection is closed. Before the relay has made up
-// its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
+// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its idle connection is closed. Before the
+// relay has made up its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
 func TestServer_IdleCloseRacesRequest_AnswersOrEnds(t *testing.T) {
 	for _, moment := range []string{"Read", "Close"} {
 		listener := wiretest.Listen(t)
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestServer_ManyIncompleteRequests_CompleteOneIsServed: clients that never complete their requests have all the connections that there may be. One with a
-// complete request is served, and the server still ends in time.
+// TestServer_ManyIncompleteRequests_CompleteOneIsServed: clients that never complete their requests have all the connections that there may
+// be. One with a complete request is served, and the server still ends in time.
 func TestServer_ManyIncompleteRequests_CompleteOneIsServed(t *testing.T) {
 	limited := limits()
 	limited.AnswerWithin = 300 * time.Millisecond
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestPool_PeerEndsReusedConnection_CallIsWithheld: the peer ends a reused connection, or writes half a line to it, between the relay's choice of it and the first byte,
-// every time: the question whether it may write does that. Nothing is written, and nothing may have run.
+// TestPool_PeerEndsReusedConnection_CallIsWithheld: the peer ends a reused connection, or writes half a line to it, between the relay's
+// choice of it and the first byte, every time: the question whether it may write does that. Nothing is written, and nothing may have run.
 func TestPool_PeerEndsReusedConnection_CallIsWithheld(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"ends it":       func(c net.Conn) { _ = c.Close() },
@@ -204,7 +204,10 @@
 				}
 				return true
 			}
-			got := pool.Do(t.Context(), peer, []byte("GET /2 HTTP/1.1\r\n\r\n"), mayWrite, func(r *Response) { t.Errorf("it is answered %d", r.Status) })
+			got := pool.Do(t.Context(), peer, []byte("GET /2 HTTP/1.1\r\n\r\n"), mayWrite, func(r *Response) {
+				t.Errorf("it is answered %d",
+					r.Status)
+			})
 			if got != Withheld || pool.count != 0 {
 				t.Errorf("stage %d with %d connections idle, want %d with none", got, pool.count, Withheld)
 			}
@@ -216,8 +219,8 @@
 	}
 }
 
-// TestPool_CanceledWhileDialing_WritesNothing: a call that is called off while its connection comes up writes nothing, is not asked for, and leaves no connection
-// behind, also where that comes up in the same moment.
+// TestPool_CanceledWhileDialing_WritesNothing: a call that is called off while its connection comes up writes nothing, is not asked for,
+// and leaves no connection behind, also where that comes up in the same moment.
 func TestPool_CanceledWhileDialing_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -243,8 +246,8 @@
 	return c.TCPConn.Read(b)
 }
 
-// TestServer_ClientLeft_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped for a while, or has little
-// processor time. Its client hands it in elsewhere: it is not handled, and nothing runs twice for it.
+// TestServer_ClientLeft_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped
+// for a while, or has little processor time. Its client hands it in elsewhere: it is not handled, and nothing runs twice for it.
 func TestServer_ClientLeft_RequestIsNotHandled(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -16,8 +16,8 @@
 
 func limits() *config.Limits {
 	return &config.Limits{HeadSize: 16 << 10, BodySize: 64 << 10, ClientConnections: 8, FrontIdle: time.Minute,
-		FrontRead: time.Minute, FrontWrite: time.Minute, AnswerRead: time.Minute, MaxInterim: 4, IdleEndpoints: 4, IdlePerEndpoint: 2, IdleSocket: time.Minute,
-		ConnectTimeout: time.Minute, WatchTimeout: time.Minute}
+		FrontRead: time.Minute, FrontWrite: time.Minute, AnswerRead: time.Minute, MaxInterim: 4, IdleEndpoints: 4, IdlePerEndpoint: 2,
+		IdleSocket: time.Minute, ConnectTimeout: time.Minute, WatchTimeout: time.Minute}
 }
 
 func echo(q *Request) Answer {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or though its destination has asked to wait meanwhile, because its
-// connection came up late.
+// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or though its destination has asked to wait
+// meanwhile, because its connection came up late.
 func TestPool_LateConnection_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
--- a/internal/relay/platform/attempt_test.go
+++ b/internal/relay/platform/attempt_test.go
@@ -45,7 +45,8 @@
 			outs{{Result: control.Delivered, Reported: true, Share: 0.4, Limit: 25}}, false, false},
 		{"with half a report", one, 200, header("X-Server-Load", "TEXT x0=0.4"), "", outs{{Result: control.Delivered, Share: 0.4}}, false, false},
 		{"error", one, 500, nil, "", outs{{Result: control.Errored}}, false, false},
-		{"told to wait", one, 429, header("Retry-After", "0.43"), "", outs{{Result: control.Throttled, RetryAfter: 430 * time.Millisecond}}, false, false},
+		{"told to wait", one, 429, header("Retry-After", "0.43"), "", outs{{Result: control.Throttled, RetryAfter: 430 * time.Millisecond}},
+			false, false},
 		{"shut", one, 503, nil, "", outs{{Result: control.Throttled}}, false, false},
 		{"no slot", one, 503, header("X-No-Slot", "1"), "", outs{{Result: control.NotProcessed}}, false, false},
 		{"attempts used up", one, 504, nil, "", outs{{Result: control.NotProcessed}}, false, false},
@@ -65,12 +66,14 @@
 			outs{{Result: control.Throttled, Share: 0.1}}, false, false},
 		{"its connection is rejected", one, 503, nil, "", outs{{Result: control.NoConnection}}, true, false},
 		{"shut, on a reused connection", one, 503, nil, "", outs{{Result: control.Throttled}}, true, true},
-		{"told to wait, and the end", one, 503, header("Retry-After", "1"), "", outs{{Result: control.Throttled, RetryAfter: time.Second}}, true, false},
+		{"told to wait, and the end", one, 503, header("Retry-After", "1"), "", outs{{Result: control.Throttled, RetryAfter: time.Second}},
+			true, false},
 		{"above the limit, and the end", one, 429, nil, "", outs{{Result: control.Throttled}}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := make(outs, len(test.attempt.Items))
-			front.outcomes(&httpwire.Response{Status: test.status, Header: test.header, Body: []byte(test.body), Close: test.close, FirstOnConnection: !test.reused}, test.attempt, got)
+			front.outcomes(&httpwire.Response{Status: test.status, Header: test.header, Body: []byte(test.body), Close: test.close,
+				FirstOnConnection: !test.reused}, test.attempt, got)
 			if d := cmp.Diff(test.want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
 			}
@@ -101,9 +104,9 @@
 	}
 }
 
-// TestFront_AnswerTruncatedInStatus_MayHaveRun: an endpoint's answer stops at each byte of its first line, and the connection ends, is reset, falls silent, or goes on with
-// another answer, as where half a line was left over. Only a complete line is an answer: half of one that begins with "HTTP/1.1 200" was
-// taken for a delivery, and the message was lost.
+// TestFront_AnswerTruncatedInStatus_MayHaveRun: an endpoint's answer stops at each byte of its first line, and the connection ends, is
+// reset, falls silent, or goes on with another answer, as where half a line was left over. Only a complete line is an answer: half of one
+// that begins with "HTTP/1.1 200" was taken for a delivery, and the message was lost.
 func TestFront_AnswerTruncatedInStatus_MayHaveRun(t *testing.T) {
 	const statusLine = "HTTP/1.1 200 OK\r\n"
 	cfg := configure(t, "-", "-")
@@ -128,7 +131,8 @@
 			close(read)
 			_ = listener.Close()
 			// A reset may overtake what was written before it.
-			if complete := size == len(statusLine); complete != (got == control.Delivered) && !(how == "is reset" && got == control.Reset) || !complete && got.NeverRan() {
+			if complete := size == len(statusLine); complete != (got == control.Delivered) && !(how == "is reset" &&
+				got == control.Reset) || !complete && got.NeverRan() {
 				t.Errorf("after %q the connection %s: result %d", statusLine[:size], how, got)
 			}
 		}
@@ -156,7 +160,8 @@
 		for i := range messages {
 			attempt.Items = append(attempt.Items, engine.Item{ID: fmt.Sprint("m", i), Key: "k", Body: []byte("b"), Headers: set})
 		}
-		request, err := httpwire.NewReader(bytes.NewReader(front.request(attempt)), &config.Limits{HeadSize: 1 << 14, BodySize: 1 << 16}).ReadRequest(func() error { return nil })
+		request, err := httpwire.NewReader(bytes.NewReader(front.request(attempt)), &config.Limits{HeadSize: 1 << 14,
+			BodySize: 1 << 16}).ReadRequest(func() error { return nil })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestFront_EndpointRefusesConnection_IsNoLimitOnCalls: an endpoint that has as many connections as it takes, idle ones counted, rejects a new one with
-// 503 and closes it. The relay closes its idle connections to endpoints of that kind at once, since others wait for them, and does not slow down
-// as for a rate limit.
+// TestFront_EndpointRefusesConnection_IsNoLimitOnCalls: an endpoint that has as many connections as it takes, idle ones counted, rejects a
+// new one with 503 and closes it. The relay closes its idle connections to endpoints of that kind at once, since others wait for them, and
+// does not slow down as for a rate limit.
 func TestFront_EndpointRefusesConnection_IsNoLimitOnCalls(t *testing.T) {
 	cfg := configure(t, "-", "-")
 	closed := make(chan error, 1)
@@ -151,8 +151,8 @@
 	cfg.Settings.MustSubscribe, cfg.Settings.ConnIdle, cfg.Limits.IdleSocket = true, time.Hour, time.Hour
 	front, log, end := startCore(t, cfg)
 	for i, dest := range []string{"dest=7", "dest=8"} {
-		request := &httpwire.Request{Method: "POST", Path: "/score-state", Header: map[string][]string{"X-Request-Id": {dest}, "X-Timeout": {"20000m"},
-			"X-Envelope": {dest}}}
+		request := &httpwire.Request{Method: "POST", Path: "/score-state", Header: map[string][]string{"X-Request-Id": {dest},
+			"X-Timeout": {"20000m"}, "X-Envelope": {dest}}}
 		if answer := front.Handle(request); answer.Status != 202 {
 			t.Fatalf("%s: status %d", dest, answer.Status)
 		}
@@ -166,9 +166,9 @@
 	end()
 }
 
-// TestFront_ClientLosesAnswer_MessageRunsOnce: the client's connection breaks after its message was accepted and before it has its answer, every time; it
-// submits the message once more under the same id, while the call is in flight or after it has ended. What must not run twice has one call, and
-// the second request is not answered as if it could be submitted again.
+// TestFront_ClientLosesAnswer_MessageRunsOnce: the client's connection breaks after its message was accepted and before it has its answer,
+// every time; it submits the message once more under the same id, while the call is in flight or after it has ended. What must not run
+// twice has one call, and the second request is not answered as if it could be submitted again.
 func TestFront_ClientLosesAnswer_MessageRunsOnce(t *testing.T) {
 	for _, test := range []lostAnswerTest{{"order", false, 500}, {"match-event", false, 500}, {"score-state", false, 429}, {"order", true, 202}} {
 		t.Run(fmt.Sprintf("%s, call ended %v", test.class, test.callEnded), test.run)
--- a/internal/relay/platform/watch_test.go
+++ b/internal/relay/platform/watch_test.go
@@ -30,7 +30,8 @@
 		done := make(chan bool, 1)
 		go runExchange(t, listener, file, done)
 		var got []engine.EndpointList
-		if err := front.Watch(context.Background(), 41, func(p engine.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err, engine.ErrWatchTimeout) {
+		if err := front.Watch(context.Background(), 41, func(p engine.EndpointList) { got = append(got, p) }); err == nil || errors.Is(err,
+			engine.ErrWatchTimeout) {
 			t.Errorf("%s: the watch ended with %v", file, err)
 		}
 		<-done
