--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -11,14 +11,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind tells what an entry of a history is.
+// Kind is what an entry of a history records.
 type Kind string
 
 // The kinds of entries.
 const (
 	Acted    Kind = "acted"    // Relay took on, or first tried, something under Version
 	Reported Kind = "said"     // Relay tells how Version ended: Dropped, or in force with Digest
-	Proposed Kind = "proposed" // a change of Base was handed in from At to Until; Version: in force; 0: Dropped or not known
+	Proposed Kind = "proposed" // a change of Base was proposed from At to Until; Version: in force; 0: Dropped or not known
 	Started  Kind = "started"  // an incarnation of Relay begins
 	Fault    Kind = "fault"    // Text: what was done to the fleet
 	Accepted Kind = "taken"    // message ID was accepted, and the client got that answer
@@ -148,7 +148,7 @@
 	return "", ""
 }
 
-// checkAllEnded returns a breach if a message that was taken on has no end, where all must have one.
+// checkAllEnded returns a breach if a message that was accepted has no end, where all must have one.
 func (j *judge) checkAllEnded(history []Entry) *BreachError {
 	if !j.options.AllMustEnd {
 		return nil
@@ -272,7 +272,7 @@
 	version uint64
 }
 
-// register tells whether changes that took hold, and the versions that were acted on, fit one order; the entry is the last change.
+// register reports whether changes that took effect, and the versions that were acted on, fit one order; the entry is the last change.
 func register(history []Entry, slack time.Duration) (last Entry, ok bool) {
 	var operations []porcupine.Operation
 	add := func(call operation, from, until time.Duration) {
--- a/internal/relay/fleet/simulation/crash_test.go
+++ b/internal/relay/fleet/simulation/crash_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// phaseAt waits until a relay knows that the change has come so far.
+// phaseAt waits until a relay knows that the change is in a phase or a later one; false: it does not within four leases.
 func (w *World) phaseAt(r *Relay, p policy.Phase) bool {
 	return w.Await(w.Lease*4, func() bool {
 		if r.Node == nil {
@@ -20,8 +20,9 @@
 	})
 }
 
-// Whoever handed the change in, and whoever leads, dies as soon as it knows of a step. The change ends the
-// same everywhere, within a lease or two, and the dead come back under what is in force.
+// TestChange_CrashAfterEachPhase_EndsTheSameEverywhere: the relay at which a change was proposed, the leader, or both crash as soon as
+// they know of a phase. The change ends the same everywhere, within a lease or two, and the crashed relays act on what is in force once
+// they are restarted.
 func TestChange_CrashAfterEachPhase_EndsTheSameEverywhere(t *testing.T) {
 	for _, who := range []string{"proposer", "leader", "both"} {
 		for _, p := range []policy.Phase{policy.None, policy.Proposed, policy.Checked, policy.Decided} {
@@ -66,7 +67,7 @@
 	}
 }
 
-// A third of thirty relays is down during a change, and comes back in ten different orders.
+// TestChange_ThirdOfRelaysDown_TakesEffect: a third of thirty relays is down during a change, and is restarted in ten different orders.
 func TestChange_ThirdOfRelaysDown_TakesEffect(t *testing.T) {
 	for order := range uint64(10) {
 		options := calm(30, 5, 200+order)
@@ -78,7 +79,7 @@
 		}
 		ticket := world.Propose(world.Relays[7], 0, `{"format":1}`)
 		if !world.Await(2*options.Lease, func() bool { _, ok := world.Outcome(ticket); return ok }) {
-			t.Fatal("the change waits for the dead")
+			t.Fatal("the change waits for crashed relays")
 		}
 		rng := rand.New(rand.NewPCG(order, 5))
 		rng.Shuffle(len(down), func(i, j int) { down[i], down[j] = down[j], down[i] })
@@ -87,15 +88,15 @@
 			world.Run(options.Lease / 20)
 		}
 		if !world.Await(4*options.Lease, func() bool { return world.AllActOn(1) }) {
-			t.Fatal("not all come round")
+			t.Fatal("not all adopt the new policy")
 		}
 		judge(t, world)
 	}
 }
 
-// With alone = "serve" a relay that is cut off goes on under the old policy while others act on the new one, and
-// comes round when it hears of that; one that starts cut off does not act at all.
-func TestServeWhenPartitioned_RelayCutOff_KeepsOldPolicy(t *testing.T) {
+// TestServeWhenPartitioned_PartitionedRelay_KeepsOldPolicy: with ServeWhenPartitioned a partitioned relay goes on under the old policy while
+// others act on the new one, and adopts that when it hears of it; one that is restarted while it is partitioned does not act at all.
+func TestServeWhenPartitioned_PartitionedRelay_KeepsOldPolicy(t *testing.T) {
 	options := calm(5, 3, 300)
 	options.ServeWhenPartitioned = true
 	world := formedWorld(t, options)
@@ -107,22 +108,22 @@
 		t.Fatal("the change waits for ever")
 	}
 	if !r.Node.Status().MayAct || r.Mandate.Version != 0 {
-		t.Errorf("the one cut off: %+v", r.Mandate)
+		t.Errorf("the partitioned one: %+v", r.Mandate)
 	}
 	world.Crash(r)
 	world.Start(r)
 	world.Run(3 * options.Lease)
 	if r.Node.Status().MayAct {
-		t.Error("a relay acts that has heard of no policy in this life")
+		t.Error("a relay acts that has heard of no policy in this incarnation")
 	}
 	world.Heal()
 	if !world.Await(4*options.Lease, func() bool { return world.AllActOn(1) }) {
-		t.Error("it does not come round")
+		t.Error("it does not adopt the new policy")
 	}
 }
 
-// A voter whose disk takes nothing more has no say, and says so; the others go on without it, it follows, and a
-// restart with room brings it back. The leader is tried too.
+// TestVoter_DiskFull_LosesItsVote: a voter whose disk refuses writes stops voting, and says so; the others go on without it, it follows,
+// and a restart with space on its disk brings it back. The leader is tested too.
 func TestVoter_DiskFull_LosesItsVote(t *testing.T) {
 	for _, lead := range []bool{false, true} {
 		options := calm(5, 3, 400)
--- a/internal/relay/fleet/simulation/doc.go
+++ b/internal/relay/fleet/simulation/doc.go
@@ -4,7 +4,7 @@
 // `relay-simulator fleet scale`; the daemon links none of it.
 //
 // A World is deterministic and single-threaded: events run in the order of their times and of their insertion, and all randomness comes
-// from Options.Seed. Random draws whole worlds from seeds, Explore tries every short sequence of deliveries, losses, crashes and time,
+// from Options.Seed. Random draws complete worlds from seeds, Explore tries every short sequence of deliveries, losses, crashes and time,
 // Scale measures fleets of many relays.
 //
 // It shows that relays of a fleet never act on two policies at once nor spend more than a shared limit, whatever is lost, restored
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -14,7 +14,7 @@
 type Result struct {
 	Seed    uint64
 	Breach  *checker.BreachError
-	Stuck   string // what did not come about although everything was healed; "": nothing
+	Stuck   string // what did not happen although everything was healed; "": nothing
 	History []checker.Entry
 	Faults  map[string]int // by kind, that were injected while a change was in progress
 	Changes int            // proposed
@@ -204,7 +204,7 @@
 		if !run.diskLost && run.rng.IntN(3) == 0 && run.formed() {
 			run.diskLost = true
 			if restore := run.restores[r]; restore != nil && run.runningVoters() == run.Voters-1 {
-				// An older disk is found out where the others are there to tell: see the design note.
+				// An older disk is detected where the other voters answer queries: see docs/design/fleet-policy.md.
 				run.Heal()
 				restore()
 				run.Start(r)
@@ -279,7 +279,7 @@
 	return n
 }
 
-// formed tells whether all who should have a say have one: before that, one loss may be that of a majority.
+// formed reports whether some relay knows of all voters: before that, one loss may be that of a majority.
 func (w *World) formed() bool {
 	for _, r := range w.Relays {
 		if r.Node != nil && r.Node.Voters() == w.Voters {
--- a/internal/relay/fleet/simulation/random_test.go
+++ b/internal/relay/fleet/simulation/random_test.go
@@ -15,10 +15,12 @@
 
 const ms = time.Millisecond
 
+// calm are the options of a world without faults.
 func calm(relays, voters int, seed uint64) Options {
 	return Options{Relays: relays, Voters: voters, Seed: seed, Lease: 2 * time.Second, MaxClockDrift: 0.05, Delay: ms / 2, ActInterval: 5 * ms}
 }
 
+// TestChange_NoFaults_TakesEffect: without faults a fleet forms, and a change takes effect everywhere.
 func TestChange_NoFaults_TakesEffect(t *testing.T) {
 	world := New(calm(5, 3, 1))
 	if !world.Await(10*time.Second, func() bool { return world.AllActOn(0) }) {
@@ -43,8 +45,8 @@
 	}
 }
 
-// Whatever is lost, cut, stopped, killed and restored, old stops before new starts, all say the same, and once all
-// is well again changes take hold.
+// TestRandom_SeededFaults_NoBreach: whatever is lost, partitioned, stopped, crashed and restored, all relays stop under the old policy
+// before any acts on the new one, all report the same, and once all faults are over changes take effect.
 func TestRandom_SeededFaults_NoBreach(t *testing.T) {
 	struck := map[string]int{}
 	changes, inForce := 0, 0
@@ -61,8 +63,8 @@
 	t.Logf("%d of %d changes in force; faults that struck during one: %v", inForce, changes, struck)
 }
 
-// Whatever order deliveries, losses, crashes and time come in, to a depth; with policies alone, and with limits that are
-// shared, where relays that are cut off refuse and where they serve.
+// TestExplore_EveryOrder_NoBreach: deliveries, losses, crashes and time in every order, to a depth; with policies alone, and with shared
+// limits, where partitioned relays refuse and where they serve.
 func TestExplore_EveryOrder_NoBreach(t *testing.T) {
 	for part := range 12 {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
--- a/internal/relay/fleet/simulation/relay.go
+++ b/internal/relay/fleet/simulation/relay.go
@@ -57,7 +57,7 @@
 		w.After(time.Duration(w.rng.Int64N(int64(demandInterval))), func() { w.sendDemands(r, r.Node) })
 	}
 	if w.ActInterval > 0 {
-		w.After(time.Duration(w.rng.Int64N(int64(w.ActInterval))), func() { w.tryToAct(r, r.Node) })
+		w.After(time.Duration(w.rng.Int64N(int64(w.ActInterval))), func() { w.attemptAct(r, r.Node) })
 	}
 }
 
@@ -97,15 +97,15 @@
 	})
 }
 
-// tryToAct records an act of a relay that may act now, and schedules the next try.
-func (w *World) tryToAct(r *Relay, incarnation *node.Node) {
+// attemptAct records an act of a relay that may act now, and schedules the next attempt.
+func (w *World) attemptAct(r *Relay, incarnation *node.Node) {
 	if r.Node != incarnation || incarnation == nil {
 		return
 	}
 	if !r.Stopped && r.Mandate.Halted == 0 && r.Mandate.Until > r.clock(w.Now()) {
 		w.record(checker.Entry{Kind: checker.Acted, Relay: r.Name, Version: r.Mandate.Version})
 	}
-	w.After(w.ActInterval, func() { w.tryToAct(r, incarnation) })
+	w.After(w.ActInterval, func() { w.attemptAct(r, incarnation) })
 }
 
 // Admin sends an operator's request to a relay.
--- a/internal/relay/fleet/simulation/scenario_test.go
+++ b/internal/relay/fleet/simulation/scenario_test.go
@@ -10,17 +10,18 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// formedWorld is a calm world in which all voters have a say.
+// formedWorld is a world without faults in which all voters vote.
 func formedWorld(t *testing.T, options Options) *World {
 	t.Helper()
 	world := New(options)
 	if !world.Await(20*time.Second, func() bool { return world.AllActOn(0) && world.formed() }) {
-		t.Fatal("the fleet does not come about")
+		t.Fatal("the fleet does not form")
 	}
 	world.Run(3 * time.Second)
 	return world
 }
 
+// leader returns the relay that leads.
 func (w *World) leader(t *testing.T) *Relay {
 	t.Helper()
 	for _, r := range w.Relays {
@@ -39,6 +40,7 @@
 	return l, w.Relays[(l.Index+1)%3], w.Relays[(l.Index+2)%3]
 }
 
+// judge fails the test where the history has a breach.
 func judge(t *testing.T, world *World) {
 	t.Helper()
 	if b := checker.Judge(world.History, checker.Options{}); b != nil {
@@ -46,6 +48,7 @@
 	}
 }
 
+// isolate partitions a relay from all others, in both directions.
 func (w *World) isolate(r *Relay) {
 	for _, o := range w.Relays {
 		if o != r {
@@ -55,8 +58,8 @@
 	}
 }
 
-// A relay whose clock is slow is cut off right after it got a lease; others' clocks are fast. It must stop before a
-// change that goes on without it takes hold.
+// TestLease_SlowClockPartitioned_EndsBeforeChange: a relay whose clock is slow is partitioned right after it got a lease; the others'
+// clocks are fast. It must stop before a change that goes on without it takes effect.
 func TestLease_SlowClockPartitioned_EndsBeforeChange(t *testing.T) {
 	options := calm(5, 3, 3)
 	options.ActInterval, options.Delay = ms, 10*time.Microsecond
@@ -80,7 +83,7 @@
 	world.Propose(world.Relays[1], 0, `{"format":1}`)
 	at := world.Now()
 	if !world.Await(3*options.Lease, func() bool { return world.Relays[1].Mandate.Version == 1 }) {
-		t.Fatal("the change waits for ever for one that is cut off")
+		t.Fatal("the change waits for ever for a partitioned relay")
 	}
 	if took := world.Now() - at; took < options.Lease/2 || took > 2*options.Lease {
 		t.Errorf("the change took %v, with a lease of %v out", took, options.Lease)
@@ -89,7 +92,7 @@
 	judge(t, world)
 }
 
-// An answer that was long under way lends no more than its ping's time.
+// TestLease_LateGrant_CountsFromItsRequest: a grant that was long in transit gives no more time than if it had come at once.
 func TestLease_LateGrant_CountsFromItsRequest(t *testing.T) {
 	options := calm(5, 3, 4)
 	world := formedWorld(t, options)
@@ -105,7 +108,8 @@
 	judge(t, world)
 }
 
-// A leader that is cut off with some relays lends them nothing more once another may lead.
+// TestLease_DeposedLeader_GrantsNothing: a leader that is partitioned together with some relays grants them no more leases once another
+// may lead.
 func TestLease_DeposedLeader_GrantsNothing(t *testing.T) {
 	options := calm(6, 3, 5)
 	world := formedWorld(t, options)
@@ -136,12 +140,13 @@
 	judge(t, world)
 	world.Heal()
 	if !world.Await(10*options.Lease, func() bool { return world.AllActOn(1) }) {
-		t.Fatal("those that were cut off don't come round")
+		t.Fatal("those that were partitioned don't adopt the new policy")
 	}
 	judge(t, world)
 }
 
-// One "no" ends a change, and says who and why; two of three voters would have taken it.
+// TestChange_RefusedByOneRelay_IsDropped: one refusal ends a change, and says which relay refused it and why, though the others can apply
+// it.
 func TestChange_RefusedByOneRelay_IsDropped(t *testing.T) {
 	options := calm(5, 3, 6)
 	options.CanApply = func(relay string, _ int, doc []byte) error {
@@ -165,8 +170,8 @@
 	judge(t, world)
 }
 
-// A voter crashes right before it saves an entry, and the leader dies before it comes back. What the leader took
-// for agreed on is still so.
+// TestVoter_CrashesBeforeSave_CommittedChangeStays: a voter crashes right before it saves an entry, and the leader crashes before the
+// voter is restarted. What the leader considered committed stays committed.
 func TestVoter_CrashesBeforeSave_CommittedChangeStays(t *testing.T) {
 	for seed := range uint64(4) {
 		options := calm(3, 3, 7+seed)
@@ -193,7 +198,8 @@
 	}
 }
 
-// What a relay said before it was killed speaks for nothing that it does after.
+// TestRelay_Restarted_FormerIncarnationSpeaksForNothing: what a relay sent before it crashed counts for nothing that it does after its
+// restart.
 func TestRelay_Restarted_FormerIncarnationSpeaksForNothing(t *testing.T) {
 	for seed := range uint64(8) {
 		options := calm(5, 3, 20+seed)
@@ -206,11 +212,11 @@
 		world.Crash(r)
 		world.Start(r)
 		world.Run(options.Lease)
-		for i, again := range late { // and comes once more, a little at a time
+		for i, again := range late { // and arrives once more, a little at a time
 			world.After(time.Duration(i)*ms, again)
 		}
 		world.Run(options.Lease / 4)
-		for _, g := range world.Relays[:3] { // an answer to a former life, as if to this one's first pings
+		for _, g := range world.Relays[:3] { // grants to a former incarnation, as if for this one's first requests
 			for seq := range uint64(400) {
 				world.notify(r, node.Event{From: g.Name, Message: &node.Message{LeaseGrant: &node.LeaseGrant{To: r.Name, Generation: 1, Incarnation: 7, Seq: seq,
 					Lease: 50 * options.Lease, Epoch: 1}}})
@@ -223,12 +229,13 @@
 		judge(t, world)
 		world.Heal()
 		if !world.Await(10*options.Lease, func() bool { return world.AllActOn(1) }) {
-			t.Fatalf("not all come round: %+v", r.Node.Status())
+			t.Fatalf("not all adopt the new policy: %+v", r.Node.Status())
 		}
 	}
 }
 
-// The "yes" of a life that is over is not the next one's, however late it comes.
+// TestChange_VerdictOfFormerIncarnation_IsIgnored: the verdict of a former incarnation does not count for the next one, however late it
+// arrives.
 func TestChange_VerdictOfFormerIncarnation_IsIgnored(t *testing.T) {
 	options := calm(5, 3, 30)
 	world := formedWorld(t, options)
@@ -241,7 +248,7 @@
 	world.recordFrom, world.recorded = nil, nil
 	world.Crash(r)
 	world.Start(r)
-	world.Run(3 * ms) // its first ping arrives, and nothing else
+	world.Run(3 * ms) // its first lease request arrives, and nothing else
 	for _, v := range world.Relays {
 		world.SetPartition(r, v, true)
 	}
@@ -252,12 +259,13 @@
 		t.Fatal("the change does not end")
 	}
 	if p, _ := world.Outcome(ticket); !slices.Contains(p.Excused, r.Name) {
-		t.Errorf("it ended without %v: %s never said in this life that it can apply it", p.Excused, r.Name)
+		t.Errorf("it ended without %v: %s never said in this incarnation that it can apply it", p.Excused, r.Name)
 	}
 	judge(t, world)
 }
 
-// A voter that comes back with an older folder has forgotten what it promised: it does not vote again.
+// TestVoter_RestoredFromOlderDisk_DoesNotVoteAgain: a voter that is restored from an older disk has forgotten its votes: it does not vote
+// again.
 func TestVoter_RestoredFromOlderDisk_DoesNotVoteAgain(t *testing.T) {
 	for seed := range uint64(6) {
 		options := calm(3, 3, 40+seed)
@@ -288,14 +296,14 @@
 	}
 }
 
-// The older folder is from before the voter was taken in, and has no log at all (world 10908).
+// TestVoter_RestoredFromEmptyDisk_Rejoins: the older disk is from before the voter joined, and has no log at all (world 10908).
 func TestVoter_RestoredFromEmptyDisk_Rejoins(t *testing.T) {
 	for seed := range uint64(6) {
 		world := New(calm(3, 3, 500+seed))
 		a := world.Relays[2]
 		back := world.CopyDisk(a) // right after its start
 		if !world.Await(20*time.Second, func() bool { return world.AllActOn(0) && world.formed() }) {
-			t.Fatal("the fleet does not come about")
+			t.Fatal("the fleet does not form")
 		}
 		world.Run(time.Duration(seed) * 100 * ms)
 		world.Crash(a)
@@ -304,13 +312,14 @@
 		world.Run(5 * world.Lease)
 		ticket := world.Propose(world.Relays[1], 0, `{"format":1}`)
 		if !world.Await(10*world.Lease, func() bool { _, ok := world.Outcome(ticket); return ok && world.AllActOn(1) && world.formed() }) {
-			t.Fatalf("it does not come round: %+v", a.Node.Status())
+			t.Fatalf("it does not rejoin: %+v", a.Node.Status())
 		}
 		judge(t, world)
 	}
 }
 
-// Most voters are lost for good; an operator goes on with the one that is left, and those that come back are void.
+// TestForce_MajorityLost_LastVoterContinues: most voters are lost for good; an operator goes on with the last one, and those that are
+// restarted rejoin as new members.
 func TestForce_MajorityLost_LastVoterContinues(t *testing.T) {
 	options := calm(5, 3, 60)
 	world := formedWorld(t, options)
@@ -334,12 +343,12 @@
 	world.Start(world.Relays[0])
 	world.Start(world.Relays[1])
 	if !world.Await(20*options.Lease, func() bool { return world.AllActOn(2) && world.formed() }) {
-		t.Fatal("those that come back are not taken in")
+		t.Fatal("those that are restarted do not rejoin")
 	}
 	judge(t, world)
 }
 
-// A thousand changes in a row leave state, log and messages as small as ten do.
+// TestChange_ThousandInARow_StateStaysSmall: a thousand changes in a row leave state, log and messages as small as ten do.
 func TestChange_ThousandInARow_StateStaysSmall(t *testing.T) {
 	options := calm(4, 3, 70)
 	options.ActInterval = 0
@@ -364,7 +373,7 @@
 	judge(t, world)
 }
 
-// A relay that left the roster gets no lease; one that joins gets one.
+// TestRoster_RelayLeaves_GetsNoLease: a relay that left the roster gets no lease.
 func TestRoster_RelayLeaves_GetsNoLease(t *testing.T) {
 	options := calm(5, 3, 80)
 	world := formedWorld(t, options)
--- a/internal/relay/fleet/simulation/sharing_test.go
+++ b/internal/relay/fleet/simulation/sharing_test.go
@@ -31,8 +31,8 @@
 	return all, sum
 }
 
-// Who needs more than an equal part gets it within a lease, from those who need less; when another needs
-// more it is theirs. Max of the limit is lent, and among equal needs parts are equal.
+// TestShares_DemandMoves_ShareFollows: a relay that needs more than an equal share gets it within a lease, from those that need less;
+// when another one needs more, the share moves there. Nearly all of the limit is leased, and equal demands get equal shares.
 func TestShares_DemandMoves_ShareFollows(t *testing.T) {
 	busy := 0
 	world := formedWorld(t, sharing(6, 1, func(r *Relay) float64 {
@@ -48,14 +48,15 @@
 			t.Fatalf("relay %d needs the most: %.3f, %.3f in all", busy, all, sum)
 		}
 		if x, y := all[(busy+1)%6], all[(busy+2)%6]; x/y > 1.25 || y/x > 1.25 {
-			t.Errorf("equal needs have unequal parts: %.3f", all)
+			t.Errorf("equal demands have unequal shares: %.3f", all)
 		}
 	}
 	judge(t, world)
 }
 
-// A relay that is cut off keeps its part until its own clock says that it is over, with serve its floor after
-// that; the others have the rest soon after, and it has it again when it is back.
+// TestShares_RelayPartitioned_KeepsShareUntilExpiry: a partitioned relay keeps its share until its lease expires by its own clock, with
+// ServeWhenPartitioned its guaranteed minimum after that; the others have the rest soon after, and it has its share again once it is
+// back.
 func TestShares_RelayPartitioned_KeepsShareUntilExpiry(t *testing.T) {
 	for _, serve := range []bool{false, true} {
 		options := sharing(5, 2, func(r *Relay) float64 {
@@ -71,12 +72,12 @@
 		world.isolate(last)
 		world.Run(options.Lease / 2)
 		if now := world.SpendableShare(last, key); now < 0.9*had {
-			t.Errorf("serve %v: half a lease after it was cut off it has %.3f of %.3f", serve, now, had)
+			t.Errorf("serve %v: half a lease after it was partitioned it has %.3f of %.3f", serve, now, had)
 		}
 		world.Run(2 * options.Lease)
 		all, sum := world.shares()
 		if floor := 0.25 / 5; serve && (all[4] < 0.9*floor || all[4] > floor) || !serve && all[4] != 0 {
-			t.Errorf("serve %v: cut off for long it has %.4f", serve, all[4])
+			t.Errorf("serve %v: partitioned for long it has %.4f", serve, all[4])
 		}
 		if sum < 0.93 {
 			t.Errorf("serve %v: the others have only %.3f", serve, all)
@@ -90,7 +91,8 @@
 	}
 }
 
-// When the one who leads dies, the others go on with what they hold; nobody falls to its floor.
+// TestShares_LeaderCrashes_OthersKeepTheirs: when the leader crashes, the others go on with the shares that they have; none falls to its
+// guaranteed minimum.
 func TestShares_LeaderCrashes_OthersKeepTheirs(t *testing.T) {
 	world := formedWorld(t, sharing(6, 3, func(r *Relay) float64 { return []float64{5, 5, 5, 60, 5, 5}[r.Index] }))
 	before, _ := world.shares()
@@ -103,13 +105,13 @@
 		}
 	}
 	if minShare < 0.8*before[3] {
-		t.Errorf("it had %.3f, and %.3f at the least while another came to lead", before[3], minShare)
+		t.Errorf("it had %.3f, and %.3f at the least until another one led", before[3], minShare)
 	}
 	judge(t, world)
 }
 
-// A relay that claims to hold everything after the one who led has died, wants everything, or says that all is down, costs
-// the others a lease of what they had at the most, and is named.
+// TestShares_OneRelayLies_CostsOthersOneLease: a relay that claims to have everything after the leader has crashed, demands everything,
+// or reports that all is down, costs the others no more than one lease of what they had, and is named.
 func TestShares_OneRelayLies_CostsOthersOneLease(t *testing.T) {
 	options := sharing(7, 4, func(_ *Relay) float64 { return 20 })
 	down := options.Demands
@@ -125,24 +127,24 @@
 	all, _ := world.shares()
 	for i, p := range all[:6] {
 		if p < 0.25/7 {
-			t.Errorf("relay %d has %.4f beside one that wants everything", i, p)
+			t.Errorf("relay %d has %.4f beside one that demands everything", i, p)
 		}
 	}
 	for _, r := range world.Relays[:6] {
 		for _, p := range r.Lease.Shares {
 			if p.State == quota.Down || p.Limit < 90 {
-				t.Errorf("%s is told %+v by the word of one", r.Name, p)
+				t.Errorf("%s is granted %+v by the report of one", r.Name, p)
 			}
 		}
 	}
 	if odd := world.leader(t).Node.Status().Contradictions; odd["r6"] == 0 || len(odd) != 1 {
-		t.Errorf("at odds with the others: %v", odd)
+		t.Errorf("contradictions: %v", odd)
 	}
 	judge(t, world)
 }
 
-// What relays of both zones find down all take for down; what one zone can't reach only that zone does; when it is back
-// a relay's delivery tells all; and no echo keeps a verdict alive.
+// TestVerdict_EvidenceOfBothZones_HoldsWhileItLasts: what relays of both zones find down counts as down for all; what one zone can't
+// reach counts for that zone only; when it is back a relay's delivery shows that to all; and a verdict does not outlast its evidence.
 func TestVerdict_EvidenceOfBothZones_HoldsWhileItLasts(t *testing.T) {
 	sees := map[int]quota.State{}
 	options := sharing(8, 5, nil)
@@ -167,7 +169,7 @@
 	}
 	see(quota.Down, 2)
 	if leasedBy(5).State == quota.Down || leasedBy(4).State == quota.Down {
-		t.Error("the word of one has others stop")
+		t.Error("the report of one relay stops others")
 	}
 	see(quota.Down, 2, 4) // both of zone 0
 	if leasedBy(6).State != quota.Down || leasedBy(5).State == quota.Down {
@@ -204,8 +206,8 @@
 	judge(t, world)
 }
 
-// Under load a relay leaves the roster and its part becomes others'; it joins again and has its floor and what it
-// needs. At no moment may more be spent than there is.
+// TestShares_RosterChangesUnderLoad_StayWithinLimit: under load a relay leaves the roster and its share goes to the others; it joins
+// again and has its guaranteed minimum and what it demands. At no moment may more be spent than the limit.
 func TestShares_RosterChangesUnderLoad_StayWithinLimit(t *testing.T) {
 	for _, serve := range []bool{false, true} {
 		options := sharing(6, 90, func(_ *Relay) float64 { return 30 })
@@ -222,7 +224,7 @@
 		}
 		enlist(world.relayNames(5))
 		if all, sum := world.shares(); !serve && (all[5] != 0 || sum < 0.93) {
-			t.Errorf("one has left the roster, and the parts are %.3f", all)
+			t.Errorf("one has left the roster, and the shares are %.3f", all)
 		}
 		enlist(nil)
 		world.roster = nil
@@ -230,7 +232,7 @@
 		world.Start(removed)
 		world.Run(5 * options.Lease)
 		if all, sum := world.shares(); all[5] < 0.8/6 || sum < 0.93 {
-			t.Errorf("serve %v: it has joined again, and the parts are %.3f", serve, all)
+			t.Errorf("serve %v: it has joined again, and the shares are %.3f", serve, all)
 		}
 		for _, e := range world.History {
 			if e.Kind == checker.Breached {
@@ -240,8 +242,8 @@
 	}
 }
 
-// A clock that runs slower than the stated bound has its relay spend its part for as much longer than it may as the
-// clock is slow, and no longer.
+// TestShares_ClockBeyondBound_OverspendsNoLongerThanSlow: a relay whose clock is slower than the stated bound spends its share for as
+// much longer than it may as the clock is slow, and no longer.
 func TestShares_ClockBeyondBound_OverspendsNoLongerThanSlow(t *testing.T) {
 	options := sharing(5, 91, func(_ *Relay) float64 { return 40 })
 	world := formedWorld(t, options)
@@ -265,7 +267,8 @@
 	t.Logf("%.3f at the most, the last %v after the cut", maxSum, last)
 }
 
-// With messages five seconds under way no lease can be had: nobody acts, and nothing beyond the bound is spent.
+// TestShares_MessagesLaterThanLease_SpendNothing: with messages five seconds in transit no relay gets a lease: none acts, and nothing
+// beyond the limit is spent.
 func TestShares_MessagesLaterThanLease_SpendNothing(t *testing.T) {
 	options := sharing(5, 92, func(_ *Relay) float64 { return 40 })
 	world := formedWorld(t, options)
@@ -282,7 +285,7 @@
 	judge(t, world)
 }
 
-// Needs that only jitter by a tenth leave the parts where they are: no swing, and most words are the same as before.
+// TestShares_DemandJitters_StaySteady: demands that only vary by a tenth leave the shares where they are.
 func TestShares_DemandJitters_StaySteady(t *testing.T) {
 	jitter := rand.New(rand.NewPCG(1, 1))
 	world := formedWorld(t, sharing(8, 93, func(r *Relay) float64 {
--- a/internal/relay/fleet/simulation/world.go
+++ b/internal/relay/fleet/simulation/world.go
@@ -22,7 +22,7 @@
 	ServeWhenPartitioned bool
 	Delay                time.Duration // one-way, of a datagram: this up to three times this; above 0
 	Loss, Duplication    float64
-	ActInterval          time.Duration // between two tries of a relay to act; smaller ones find shorter breaches and cost steps; 0: never
+	ActInterval          time.Duration // between two attempts of a relay to act; smaller ones find shorter breaches and cost steps; 0: never
 	CanApply             func(relay string, life int, doc []byte) error
 	ClockOffset          time.Duration                           // between the clocks of successive relays
 	GuaranteedShare      float64                                 // of each limit, guaranteed to the relays without a lease; 0: limits are not shared
@@ -86,9 +86,9 @@
 // Run processes the events of the next span.
 func (w *World) Run(span time.Duration) { w.loop.RunFor(span) }
 
-// Await runs until a condition holds; false: it did not within d.
-func (w *World) Await(d time.Duration, holds func() bool) bool {
-	for end := w.Now() + d; !holds(); w.Run(2 * time.Millisecond) {
+// Await runs until a condition holds; false: it did not before the time-out.
+func (w *World) Await(timeout time.Duration, condition func() bool) bool {
+	for end := w.Now() + timeout; !condition(); w.Run(2 * time.Millisecond) {
 		if w.Now() >= end {
 			return false
 		}
