--- a/internal/tier/programclient/wire_format_test.go
+++ b/internal/tier/programclient/wire_format_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// exchanged holds each body that proxies and stores exchange about turns, each field set.
+// exchanged holds each body that proxies and stores exchange about turns, with each field set and with none.
 var exchanged = []struct {
 	file  string
 	value any
@@ -39,6 +39,12 @@
 	{"members-answer.json", &wire.ShardMembersResponse{Shards: []wire.ShardMembers{
 		{Shard: 3, Term: 7, Placement: 11, IDs: []string{"a", "b"}, CaughtUp: []string{"a"}},
 	}}, func() any { return &wire.ShardMembersResponse{} }},
+	{"begin-request-least.json", &wire.BeginTurnRequest{}, func() any { return &wire.BeginTurnRequest{} }},
+	{"begin-answer-least.json", &wire.BeginTurnResponse{}, func() any { return &wire.BeginTurnResponse{} }},
+	{"end-request-least.json", &wire.EndTurnRequest{}, func() any { return &wire.EndTurnRequest{} }},
+	{"chain-request-least.json", &wire.ChainRequest{}, func() any { return &wire.ChainRequest{} }},
+	{"chain-answer-least.json", &wire.ChainResponse{}, func() any { return &wire.ChainResponse{} }},
+	{"members-answer-least.json", &wire.ShardMembersResponse{}, func() any { return &wire.ShardMembersResponse{} }},
 }
 
 func TestWireFormat_ReadsBodiesOfEarlierVersions(t *testing.T) {
--- a/internal/tier/wire/format_test.go
+++ b/internal/tier/wire/format_test.go
@@ -105,3 +105,18 @@
 		})
 	}
 }
+
+// TestMethodFormat_NamesAndPorts_AreThoseOfEarlierVersions compares what processes of two versions call each other by and where.
+func TestMethodFormat_NamesAndPorts_AreThoseOfEarlierVersions(t *testing.T) {
+	names := []string{wire.MethodReplica, wire.MethodBeginTurn, wire.MethodEndTurn, wire.MethodChain, wire.MethodFetch, wire.MethodFeed,
+		wire.MethodMembers, wire.MethodShardMembers, wire.MethodEndpoints, wire.MethodProxies, wire.MethodVersionStats, wire.KindNotLeader}
+	want := []string{"replica", "turn.begin", "turn.end", "turn.chain", "view.fetch", "view.feed",
+		"members.sync", "shard.members", "endpoints", "proxies", "rollout.tallies", "not_owner"}
+	if diff := cmp.Diff(want, names); diff != "" {
+		t.Errorf("names (-want +got):\n%s", diff)
+	}
+	ports := []wire.PortOffset{wire.ControllerPort, wire.AgentPort, wire.StorePort}
+	if diff := cmp.Diff([]wire.PortOffset{0, 1, 2}, ports); diff != "" {
+		t.Errorf("ports (-want +got):\n%s", diff)
+	}
+}
