--- a/internal/relay/standin/client.go
+++ b/internal/relay/standin/client.go
@@ -122,15 +122,6 @@
 	c.idle = nil
 }
 
-// FreeAddress returns an address on loopback on which nothing listens now. Another process may take it at any time.
-func FreeAddress() (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	return listener.Addr().String(), listener.Close()
-}
-
 // WaitUntilServing waits until the relay at address answers GET /up with 200, and reports whether it did within 400 attempts, which
 // take ten seconds where each is refused at once.
 func WaitUntilServing(ctx context.Context, address string) bool {
