--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -266,6 +266,43 @@
 	if *hour == 0 {
 		t.Skip("go test ./internal/relay/engine -run Hour -v -args -hour 1h")
 	}
+	recorded := recordHour(t, *hour)
+	f, err := os.Open(recorded.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	info, err := f.Stat()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, withCore := range []bool{false, true} {
+		reader, err := capture.NewReader(f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var replay CoreReplay
+		options := capture.Options{}
+		if withCore {
+			options.Core = replay.Record
+		}
+		from := time.Now()
+		result, err := capture.Replay(reader, options)
+		t.Logf("%d messages, %d turns, %d of the core, %v, %d lost, %d bytes a message; replayed in %v", recorded.messages, result.Turns,
+			replay.Turns, err, recorded.lost, info.Size()/int64(recorded.messages), time.Since(from))
+	}
+}
+
+// recordedHour is a capture of a core under load.
+type recordedHour struct {
+	file     string
+	messages int
+	lost     uint64 // turns
+}
+
+// recordHour records a core with 22 destinations in virtual time, at 120 messages a second.
+func recordHour(t *testing.T, length time.Duration) recordedHour {
+	t.Helper()
 	dir := t.TempDir()
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg, err := config.Parse([]byte(settings), func(string) string { return "" })
@@ -273,55 +310,51 @@
 		t.Fatal(err)
 	}
 	cfg.Settings.MaxOpen, cfg.Settings.Slots = 400, 64
-	now := time.Date(2026, 12, 1, 15, 0, 0, 0, time.UTC)
-	core, _ := New(cfg, &journal.Memory{}, quiet, now)
-	shell := &virtualShell{rng: rand.New(rand.NewPCG(1, 1)), now: now, calm: 10}
+	start := time.Date(2026, 12, 1, 15, 0, 0, 0, time.UTC)
+	core, err := New(cfg, &journal.Memory{}, quiet, start)
+	if err != nil {
+		t.Fatal(err)
+	}
+	shell := &virtualShell{rng: rand.New(rand.NewPCG(1, 1)), now: start, calm: 10}
 	core.SetShell(shell)
-	var dests []Destination
+	var destinations []Destination
 	for i := range 22 {
-		dests = append(dests, Destination{Name: fmt.Sprint("s-", i), Zone: "a", Kind: "news-groups", Partner: i})
+		destinations = append(destinations, Destination{Name: fmt.Sprint("s-", i), Zone: "a", Kind: "news-groups", Partner: i})
 	}
-	core.AddFront("platform", &fakeFront{}, EndpointList{Destinations: dests})
-	rec, err := capture.New(dir, core.Begin("hour", "-"), capture.Limits{Queue: 1 << 16, Chunk: 16 << 10, Within: time.Hour,
+	core.AddFront("platform", &fakeFront{}, EndpointList{Destinations: destinations})
+	recorder, err := capture.New(dir, core.Begin("hour", "-"), capture.Limits{Queue: 1 << 16, Chunk: 16 << 10, Within: time.Hour,
 		FileSize: 1 << 40, DirSize: 1 << 41}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Record(rec)
-	core.Restore(now)
-	next, messages := now, 0
-	for shell.now.Sub(now) < *hour {
-		shell.now = shell.now.Add(5 * time.Millisecond)
-		shell.runDue()
-		for !next.After(shell.now) {
+	core.Record(recorder)
+	core.Restore(start)
+	messages := shell.submitMessages(core, length)
+	recorder.Close()
+	files, err := capture.Files(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return recordedHour{files[0], messages, recorder.Lost.Load()}
+}
+
+// submitMessages runs a core for a time, submits messages at random to it, 120 a second in the mean, and returns how many.
+func (v *virtualShell) submitMessages(core *Core, length time.Duration) (messages int) {
+	const perSecond = 120
+	next, end := v.now, v.now.Add(length)
+	for v.now.Before(end) {
+		v.now = v.now.Add(5 * time.Millisecond)
+		v.runDue()
+		for !next.After(v.now) {
 			messages++
 			core.queue <- arrival{front: "platform", msg: Message{ID: fmt.Sprintf("%016x", messages*0x9e3779b97f4a7c1),
 				Key: "0123456789abcdef", Class: messages % 2, Partner: messages % 22, Body: make([]byte, 60),
-				Deadline: shell.now.Add(9 * time.Second)}, submittedAt: shell.now, reply: make(chan Reply, 1)}
-			next = next.Add(time.Duration(shell.rng.ExpFloat64() * float64(time.Second) / 120))
+				Deadline: v.now.Add(9 * time.Second)}, submittedAt: v.now, reply: make(chan Reply, 1)}
+			next = next.Add(time.Duration(v.rng.ExpFloat64() * float64(time.Second) / perSecond))
 		}
-		if events := core.drainQueue(nil); len(events) > 0 || core.IdleFor(shell.now) == 0 {
-			core.Turn(shell.now, events)
+		if events := core.drainQueue(nil); len(events) > 0 || core.IdleFor(v.now) == 0 {
+			core.Turn(v.now, events)
 		}
 	}
-	rec.Close()
-	files, _ := capture.Files(dir)
-	f, err := os.Open(files[0])
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	info, _ := f.Stat()
-	for _, withCore := range []bool{false, true} {
-		r, _ := capture.NewReader(f)
-		var replay CoreReplay
-		o := capture.Options{}
-		if withCore {
-			o.Core = replay.Record
-		}
-		from := time.Now()
-		res, err := capture.Replay(r, o)
-		t.Logf("%d messages, %d turns, %d of the core, %v, %d lost, %d bytes a message; replayed in %v", messages, res.Turns, replay.Turns,
-			err, rec.Lost.Load(), info.Size()/int64(messages), time.Since(from))
-	}
+	return messages
 }
--- a/internal/relay/platform/attempt_test.go
+++ b/internal/relay/platform/attempt_test.go
@@ -17,18 +17,20 @@
 	"mastusher/internal/relay/wiretest"
 )
 
+// header returns headers of one value each.
+func header(namesAndValues ...string) map[string][]string {
+	all := map[string][]string{}
+	for i := 0; i < len(namesAndValues); i += 2 {
+		all[namesAndValues[i]] = []string{namesAndValues[i+1]}
+	}
+	return all
+}
+
 // TestFront_EveryAnswer_HasItsOutcome reads every answer that a destination may give, which decides whether a message may be retried.
 func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
 	front := New(configure(t, "-", "-"), nil)
 	one := &engine.Attempt{Items: []engine.Item{{ID: "a"}}}
 	two := &engine.Attempt{Items: []engine.Item{{ID: "a"}, {ID: "b"}}}
-	header := func(namesAndValues ...string) map[string][]string {
-		all := map[string][]string{}
-		for i := 0; i < len(namesAndValues); i += 2 {
-			all[namesAndValues[i]] = []string{namesAndValues[i+1]}
-		}
-		return all
-	}
 	type outs = []engine.Outcome
 	for _, test := range []struct {
 		name    string
