--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -1,9 +1,12 @@
 package proxy
 
 import (
+	"errors"
 	"io"
 	"net"
+	"os"
 	"testing"
+	"time"
 
 	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/view"
@@ -62,7 +65,7 @@
 func checkViewChange(t *testing.T, change viewChange, head string) {
 	t.Helper()
 	// given a pending request
-	started, release := make(chan struct{}), make(chan struct{})
+	started, changed := make(chan struct{}), make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		text := ""
 		if head != "" {
@@ -70,7 +73,10 @@
 		}
 		_, _ = io.WriteString(socket, text)
 		close(started)
-		<-release
+		<-changed
+		if closedWithin(t, socket, breakOffTime) {
+			t.Error("the proxy has closed its connection to the endpoint")
+		}
 		if head == "" {
 			return respondWith(200, "complete")(socket, request)
 		}
@@ -90,13 +96,30 @@
 	<-started
 	// when what the proxy knows changes
 	change(f, loadBalancer)
-	close(release)
+	close(changed)
 	// then the request is answered completely
 	if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
 		t.Errorf("got %+v", got)
 	}
 }
 
+// breakOffTime is how long a response waits after a change: a request that the change breaks off has ended by then, while one that were
+// answered at once could complete before.
+const breakOffTime = 50 * time.Millisecond
+
+// closedWithin reports whether the other end of a connection, which sends nothing, closes it within a time.
+func closedWithin(t *testing.T, socket net.Conn, within time.Duration) bool {
+	t.Helper()
+	if err := socket.SetReadDeadline(time.Now().Add(within)); err != nil {
+		t.Error(err)
+	}
+	_, readErr := socket.Read(make([]byte, 1))
+	if err := socket.SetReadDeadline(time.Time{}); err != nil {
+		t.Error(err)
+	}
+	return !errors.Is(readErr, os.ErrDeadlineExceeded)
+}
+
 // servers returns an endpoint of each service, with the addresses given.
 func servers(plain, engine string, state model.EndpointState) []model.Endpoint {
 	return []model.Endpoint{
