--- a/internal/tier/command/proxy_reports.go
+++ b/internal/tier/command/proxy_reports.go
@@ -7,6 +7,7 @@
 	"mastusher/internal/tier/proxy"
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/versionstats"
+	"mastusher/internal/tier/wait"
 	"mastusher/internal/tier/wire"
 )
 
@@ -18,7 +19,7 @@
 
 // pollProxyCount keeps the balancer informed of how many proxies share the connections that an endpoint accepts, until ctx ends.
 func (p *process) pollProxyCount(ctx context.Context, balancer *proxy.LoadBalancer) {
-	runEvery(ctx, proxiesInterval, func() {
+	wait.Every(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
 		defer cancel()
 		response, err := transport.Call[wire.ProxiesRequest, wire.ProxiesResponse](bounded, p.pool, p.address(wire.AgentPort), wire.MethodProxies,
@@ -31,24 +32,10 @@
 
 // reportVersionStats sends the agent the counts of versions that are being rolled out, until ctx ends.
 func (p *process) reportVersionStats(ctx context.Context, counter *versionstats.Counter) {
-	runEvery(ctx, reportInterval, func() {
+	wait.Every(ctx, reportInterval, func() {
 		if report, due := counter.Report(); due {
 			// A report that is lost is replaced by the next one: each has the counts since the start.
 			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodVersionStats, report)
 		}
 	})
 }
-
-// runEvery calls run at the end of each interval, until ctx ends.
-func runEvery(ctx context.Context, interval time.Duration, run func()) {
-	ticker := time.NewTicker(interval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			run()
-		}
-	}
-}
--- a/internal/tier/command/runtimestats.go
+++ b/internal/tier/command/runtimestats.go
@@ -7,6 +7,8 @@
 
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
+
+	"mastusher/internal/tier/wait"
 )
 
 // runtimeStatsInterval is the interval at which a process logs its use of resources.
@@ -26,7 +28,7 @@
 // logRuntimeStats logs the process's memory and CPU time at each interval, with the fields that the role adds, until ctx ends. Nothing
 // waits for it.
 func logRuntimeStats(ctx context.Context, logger log.Logger, add func() []any) {
-	runEvery(ctx, runtimeStatsInterval, func() {
+	wait.Every(ctx, runtimeStatsInterval, func() {
 		level.Info(logger).Log(append(append([]any{"msg", "vitals"}, runtimeStats()...), add()...)...)
 	})
 }
--- a/internal/tier/controller/rollout_analysis.go
+++ b/internal/tier/controller/rollout_analysis.go
@@ -10,6 +10,7 @@
 
 	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/rollout"
+	"mastusher/internal/tier/wait"
 )
 
 // Timing of analyses.
@@ -23,16 +24,7 @@
 // analysisLoop decides the roll-outs in service while this member is the leader.
 func (c *Controller) analysisLoop(ctx context.Context) {
 	analyses := map[uint64]*rollout.Analysis{}
-	ticker := time.NewTicker(analysisInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			c.analyzeRollouts(ctx, analyses)
-		}
-	}
+	wait.Every(ctx, analysisInterval, func() { c.analyzeRollouts(ctx, analyses) })
 }
 
 // analyzeRollouts evaluates the roll-outs in service. analyses has one for each of them, by the log index of its proposal.
--- a/internal/tier/demo/demo.go
+++ b/internal/tier/demo/demo.go
@@ -14,6 +14,7 @@
 	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/model"
 	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/wait"
 )
 
 // Options are the options of a run. All are required.
@@ -131,7 +132,7 @@
 	program.MaxTokens = maxTokens
 	program.Timeout, program.RequestTimeout = programTimeout, localtier.RequestTimeout
 	program.Stateful = true
-	program.Backoff = func(ctx context.Context) error { return localtier.Sleep(ctx, retryBackoff) }
+	program.Backoff = func(ctx context.Context) error { return wait.Sleep(ctx, retryBackoff) }
 	outcome := standin.NewProgram(program).Run(ctx)
 	r.recordViolations(outcome.Check(r.environment.RunLog)...)
 	if outcome.State != want {
--- a/internal/tier/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"mastusher/internal/tier/program"
+	"mastusher/internal/tier/wait"
 )
 
 // storeDelay is how long the stores take, and lateDelay how long where they are late.
@@ -31,7 +32,7 @@
 // Begin implements proxy.Programs.
 func (s *fakeStores) Begin(ctx context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
 	request := s.environment.requests[turn.Turn]
-	if err := sleepContext(ctx, storeDelay); err != nil {
+	if err := wait.Sleep(ctx, storeDelay); err != nil {
 		return program.Result{}, err
 	}
 	if !bytes.Equal(turn.Input, request.body()) {
@@ -55,7 +56,7 @@
 	if request.endResult == commitDelayed {
 		delay = lateDelay
 	}
-	if err := sleepContext(ctx, delay); err != nil {
+	if err := wait.Sleep(ctx, delay); err != nil {
 		return program.Result{}, err
 	}
 	s.mutex.Lock()
@@ -75,18 +76,6 @@
 	return program.Result{Verdict: program.Accepted}, nil
 }
 
-// sleepContext sleeps for a time, or until the context ends.
-func sleepContext(ctx context.Context, delay time.Duration) error {
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
 func (s *fakeStores) fault(text string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -205,15 +205,3 @@
 	}
 	return problems
 }
-
-// Sleep waits for a duration. It returns the error of ctx if that ends before.
-func Sleep(ctx context.Context, duration time.Duration) error {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/internal/tier/network/partitionnetwork/network.go
+++ b/internal/tier/network/partitionnetwork/network.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"mastusher/internal/tier/network"
+	"mastusher/internal/tier/wait"
 )
 
 // pollInterval is the time between reads of the file.
@@ -47,16 +48,9 @@
 
 // Follow applies changes of the file until ctx ends.
 func (n *Network) Follow(ctx context.Context) {
-	ticker := time.NewTicker(pollInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			_ = n.reload() // a file that is being replaced is read the next time
-		}
-	}
+	wait.Every(ctx, pollInterval, func() {
+		_ = n.reload() // a file that is being replaced is read the next time
+	})
 }
 
 // reload reads the file and, if it has changed, attaches its filter to all sockets.
--- a/internal/tier/platformlist/clock.go
+++ b/internal/tier/platformlist/clock.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"mastusher/internal/tier/wait"
 )
 
 // Clock is a steady clock with a timer. Tests replace it by virtual time.
@@ -22,12 +24,5 @@
 
 // Sleep waits on a timer.
 func (SystemClock) Sleep(ctx context.Context, delay time.Duration) error {
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return wait.Sleep(ctx, delay)
 }
--- a/internal/tier/programclient/leader.go
+++ b/internal/tier/programclient/leader.go
@@ -8,6 +8,7 @@
 
 	"mastusher/internal/tier/transport"
 	"mastusher/internal/tier/view"
+	"mastusher/internal/tier/wait"
 	"mastusher/internal/tier/wire"
 )
 
@@ -45,7 +46,7 @@
 		if attempt%c.replicaCount(shard) != 0 {
 			continue
 		}
-		if err := sleep(ctx, backoff); err != nil {
+		if err := wait.Sleep(ctx, backoff); err != nil {
 			return none, fmt.Errorf("shard %d: %w", shard, err)
 		}
 		backoff = min(2*backoff, maxBackoff)
@@ -70,18 +71,6 @@
 	return !errors.As(err, &remote)
 }
 
-// sleep waits, or returns ctx's error if that ends first.
-func sleep(ctx context.Context, delay time.Duration) error {
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-timer.C:
-		return nil
-	}
-}
-
 func (c *Client) replicas(shard int) []view.Replica {
 	p := c.placement.Load()
 	if p == nil || shard >= len(p.Shards) {
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/wait"
 )
 
 // How clients behave.
@@ -98,14 +99,7 @@
 
 // waitResendBackoff waits before a turn is sent again; its error is the context's.
 func waitResendBackoff(ctx context.Context) error {
-	timer := time.NewTimer(resendBackoff)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return wait.Sleep(ctx, resendBackoff)
 }
 
 // get sends one request to a path straight to a proxy, and returns the status; 0: no answer.
--- a/internal/tier/soak/checks.go
+++ b/internal/tier/soak/checks.go
@@ -10,6 +10,7 @@
 
 	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/wait"
 )
 
 // describe lists the responses that a program got.
@@ -76,7 +77,7 @@
 	var last standin.Outcome
 	for range continueAttempts {
 		last = r.clients.runProgram(ctx, standin.ProgramOptions{Address: r.clients.proxies[r.intN(len(r.clients.proxies))], Turns: 1, ContinueFrom: from,
-			Backoff: func(ctx context.Context) error { return localtier.Sleep(ctx, retryBackoff) }})
+			Backoff: func(ctx context.Context) error { return wait.Sleep(ctx, retryBackoff) }})
 		if last.State == standin.Finished {
 			return
 		}
--- a/internal/tier/soak/fault_injection.go
+++ b/internal/tier/soak/fault_injection.go
@@ -6,25 +6,26 @@
 	"time"
 
 	"mastusher/internal/tier/localtier"
+	"mastusher/internal/tier/wait"
 )
 
 // inject injects a fault, and removes it after its duration.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	r.report("FAULT %s for %v at %d", fault.Kind, fault.For, fault.Target)
 	defer r.report("END OF %s at %d", fault.Kind, fault.Target)
-	wait := func() { _ = localtier.Sleep(ctx, fault.For) }
+	sleep := func() { _ = wait.Sleep(ctx, fault.For) }
 	switch fault.Kind {
 	case KillOne, KillSome, KillStores, KillControllers, KillAll:
 		killed := r.targets(fault)
 		killUntilReleased(killed)
-		wait()
+		sleep()
 		releaseAll(killed)
 	case PauseOne, PauseSome:
 		for _, s := range r.targets(fault) {
 			s.pause()
 			defer s.resume()
 		}
-		wait()
+		sleep()
 	case Terminate:
 		s := r.services[fault.Target%len(r.services)]
 		s.terminate()
@@ -33,14 +34,14 @@
 		r.loseDisk(ctx, fault)
 	case DropAcks:
 		r.operator.dropping.Add(1)
-		wait()
+		sleep()
 		r.operator.dropping.Add(-1)
 	case DropResponses:
 		r.clients.dropping.Add(1)
-		wait()
+		sleep()
 		r.clients.dropping.Add(-1)
 	default:
-		r.injectPartition(fault, wait)
+		r.injectPartition(fault, sleep)
 	}
 }
 
@@ -94,7 +95,7 @@
 	if caughtUp {
 		r.emptyDisk(lost)
 	}
-	_ = localtier.Sleep(ctx, fault.For)
+	_ = wait.Sleep(ctx, fault.For)
 }
 
 // diskTimeout is how long a lost disk waits for all replicas to catch up.
@@ -112,7 +113,7 @@
 }
 
 // injectPartition partitions the network between machines, and heals it after wait.
-func (r *run) injectPartition(fault Fault, wait func()) {
+func (r *run) injectPartition(fault Fault, sleep func()) {
 	machines := r.tier.Machines
 	target, other := machines[fault.Target%len(machines)], machines[(fault.Target+fault.Count)%len(machines)]
 	change := func(by int) { // 1 starts the partition, -1 ends it
@@ -132,7 +133,7 @@
 		}
 	}
 	change(1)
-	wait()
+	sleep()
 	change(-1)
 }
 
@@ -181,14 +182,14 @@
 	if losesDisk {
 		r.emptyDisk(lost)
 	}
-	_ = localtier.Sleep(ctx, r.plan.Closing.For)
+	_ = wait.Sleep(ctx, r.plan.Closing.For)
 	order := slices.Clone(r.services)
 	r.mutex.Lock()
 	r.random.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 	r.mutex.Unlock()
 	for _, s := range order {
 		s.release()
-		_ = localtier.Sleep(ctx, r.plan.Spread/time.Duration(len(order)))
+		_ = wait.Sleep(ctx, r.plan.Spread/time.Duration(len(order)))
 	}
 	r.report("all processes are restarted")
 }
--- a/internal/tier/soak/operator.go
+++ b/internal/tier/soak/operator.go
@@ -10,6 +10,7 @@
 
 	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/wait"
 )
 
 // operator orders one configuration after the other, and reads at all controllers.
@@ -41,7 +42,7 @@
 
 // orderLoop sends orders until ctx ends.
 func (o *operator) orderLoop(ctx context.Context) {
-	for localtier.Sleep(ctx, orderInterval) == nil {
+	for wait.Sleep(ctx, orderInterval) == nil {
 		o.order(ctx)
 	}
 }
@@ -73,7 +74,7 @@
 // readLoop reads at one controller after the other until ctx ends.
 func (o *operator) readLoop(ctx context.Context) {
 	controllers := o.run.controllers()
-	for number := 0; localtier.Sleep(ctx, readInterval) == nil; number++ {
+	for number := 0; wait.Sleep(ctx, readInterval) == nil; number++ {
 		o.read(ctx, controllers[number%len(controllers)])
 	}
 }
--- a/internal/tier/soak/recovery.go
+++ b/internal/tier/soak/recovery.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/wait"
 )
 
 // errNoRetry is returned by a Backoff to end a program at its first failure.
@@ -111,7 +111,7 @@
 		if !since.IsZero() && time.Since(since) > servedTime {
 			return since.Sub(restarted)
 		}
-		_ = localtier.Sleep(ctx, probeInterval)
+		_ = wait.Sleep(ctx, probeInterval)
 	}
 	r.recordViolation("RECOVER", "%s does not serve %.0f %% of new turns and calls %v after the last restart, of %d sent; last failure: %s", proxy,
 		100*servedShare, RecoveryBound, total, describe(last))
--- a/internal/tier/soak/soak.go
+++ b/internal/tier/soak/soak.go
@@ -15,6 +15,7 @@
 	"mastusher/internal/tier/invariant"
 	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/transport"
+	"mastusher/internal/tier/wait"
 )
 
 // Options are the options of a run. All are required.
@@ -154,12 +155,12 @@
 	start := time.Now()
 	for _, fault := range r.plan.Faults {
 		faults.Go(func() {
-			if localtier.Sleep(ctx, time.Until(start.Add(fault.At))) == nil {
+			if wait.Sleep(ctx, time.Until(start.Add(fault.At))) == nil {
 				r.inject(ctx, fault)
 			}
 		})
 	}
-	_ = localtier.Sleep(ctx, time.Until(start.Add(r.plan.Length)))
+	_ = wait.Sleep(ctx, time.Until(start.Add(r.plan.Length)))
 	faults.Wait()
 	r.injectClosing(ctx)
 	restarted := time.Now()
@@ -171,7 +172,7 @@
 
 // watchProcesses restarts processes that have ended by themselves, until ctx ends.
 func (r *run) watchProcesses(ctx context.Context) {
-	for localtier.Sleep(ctx, pollInterval) == nil {
+	for wait.Sleep(ctx, pollInterval) == nil {
 		for _, s := range r.services {
 			s.restartIfExited()
 		}
@@ -233,7 +234,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for !condition() {
-		if localtier.Sleep(ctx, pollInterval) != nil {
+		if wait.Sleep(ctx, pollInterval) != nil {
 			return false
 		}
 	}
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -11,6 +11,7 @@
 
 	"mastusher/internal/tier/localtier"
 	"mastusher/internal/tier/standin"
+	"mastusher/internal/tier/wait"
 )
 
 // droppingConnection loses its response: it closes instead of reading, after a delay.
@@ -55,9 +56,9 @@
 
 // programLoop runs random programs one after the other until ctx ends.
 func (c *clients) programLoop(ctx context.Context) {
-	for localtier.Sleep(ctx, programInterval) == nil {
+	for wait.Sleep(ctx, programInterval) == nil {
 		program := standin.ProgramOptions{Address: c.proxies[c.run.intN(len(c.proxies))], Turns: 1 + c.run.intN(maxTurns), Tools: 1,
-			Dial: c.run.dialDropping(&c.dropping), Backoff: func(ctx context.Context) error { return localtier.Sleep(ctx, retryBackoff) }}
+			Dial: c.run.dialDropping(&c.dropping), Backoff: func(ctx context.Context) error { return wait.Sleep(ctx, retryBackoff) }}
 		if c.run.intN(2) == 0 {
 			program.Budget = int64(maxTokens * (1 + c.run.intN(2*maxTurns)))
 		}
--- a/internal/tier/standin/endpoint.go
+++ b/internal/tier/standin/endpoint.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"mastusher/internal/tier/model"
+	"mastusher/internal/tier/wait"
 )
 
 // EndpointOptions are the options that plain endpoints and model servers share.
@@ -209,12 +210,5 @@
 	if duration <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return wait.Sleep(ctx, duration)
 }
