--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -31,7 +31,6 @@
 // then, doesn't fit.
 type usageCommitter struct {
 	programs Programs
-	slots    chan struct{}
 	context  context.Context // of every commit
 	cancel   context.CancelFunc
 	drained  chan struct{} // closed once drain has begun and no commit runs; none is started from then on
@@ -43,7 +42,7 @@
 
 // newUsageCommitter returns a committer that calls programs until drain.
 func newUsageCommitter(programs Programs) *usageCommitter {
-	u := &usageCommitter{programs: programs, slots: make(chan struct{}, maxConcurrentCommits), drained: make(chan struct{})}
+	u := &usageCommitter{programs: programs, drained: make(chan struct{})}
 	u.context, u.cancel = context.WithCancel(context.Background())
 	return u
 }
@@ -51,18 +50,11 @@
 // commit attempts to commit a turn until that is acknowledged. Beyond maxConcurrentCommits the turn is dropped, and its
 // reservation counts as spent, and so it does after drain.
 func (u *usageCommitter) commit(key string, turn program.EndTurn) {
-	select {
-	case u.slots <- struct{}{}:
-	default:
-		return
-	}
 	if !u.begin() {
-		<-u.slots
 		return
 	}
 	go func() {
 		defer u.end()
-		defer func() { <-u.slots }()
 		ctx, cancel := context.WithTimeout(u.context, commitDeadline)
 		defer cancel()
 		_ = commitTurn(ctx, u.programs, key, turn)
@@ -73,7 +65,7 @@
 func (u *usageCommitter) begin() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	if u.draining && u.running == 0 {
+	if u.running >= maxConcurrentCommits || u.draining && u.running == 0 {
 		return false
 	}
 	u.running++
@@ -102,7 +94,11 @@
 }
 
 // pending returns how many turns are being committed.
-func (u *usageCommitter) pending() int { return len(u.slots) }
+func (u *usageCommitter) pending() int {
+	u.mutex.Lock()
+	defer u.mutex.Unlock()
+	return u.running
+}
 
 // drain returns when all commits have ended, at most finalCommitsTimeout after the context. The rest, so many, is then abandoned.
 func (u *usageCommitter) drain(ctx context.Context) (abandoned int) {
