--- a/internal/tools/docscheck/logs.go
+++ b/internal/tools/docscheck/logs.go
@@ -80,22 +80,17 @@
 	defer file.Close()
 	var described []finding
 	lines := bufio.NewScanner(file)
-	inTable := false
+	events := table{head: eventTable}
 	for number := 1; lines.Scan(); number++ {
-		text := lines.Text()
-		inTable = eventTable.MatchString(text) || inTable && strings.HasPrefix(text, "|")
-		if !inTable {
-			continue
-		}
-		cell, _, _ := strings.Cut(strings.TrimPrefix(text, "|"), "|")
-		for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
-			described = append(described, finding{path, number, m[1]})
+		for _, message := range events.firstCell(lines.Text()) {
+			described = append(described, finding{path, number, message})
 		}
 	}
 	return described, lines.Err()
 }
 
-// eventsOf returns the log lines of a file: strings behind the key "msg" in an argument list or a literal (go-kit), and first arguments of slog's methods.
+// eventsOf returns the log lines of a file: strings behind the key "msg" in an argument list or a literal (go-kit), and first
+// arguments of slog's methods.
 func eventsOf(file *ast.File, folder string, constants map[string]string) []event {
 	if !within(folder, loggedTrees) || within(folder, unloggedTrees) {
 		return nil
--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -100,14 +100,15 @@
 	var findings []finding
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, 1<<20)
-	packages := false // whether this is a row of a table of packages
+	packages := table{head: packageTable}
 	for number := 1; lines.Scan(); number++ {
 		text := lines.Text()
 		reasons := c.line(filepath.Dir(path), text)
-		if packages = packages && strings.HasPrefix(text, "|"); packages {
-			reasons = append(reasons, c.packageRow(text)...)
+		for _, name := range packages.firstCell(text) {
+			if packageName.MatchString(name) && !c.known.hasPackage(name) {
+				reasons = append(reasons, "there is no package "+name)
+			}
 		}
-		packages = packages || packageTable.MatchString(text)
 		for _, reason := range reasons {
 			findings = append(findings, finding{path, number, reason})
 		}
@@ -132,15 +133,24 @@
 	return reasons
 }
 
-// packageRow checks the names in the first cell of a row of a table of packages.
-func (c *checker) packageRow(text string) (reasons []string) {
+// table finds the rows of the tables of one kind, by their head, as a page is read line by line.
+type table struct {
+	head   *regexp.Regexp
+	inside bool // the last line belonged to such a table
+}
+
+// firstCell returns the code spans in the first cell of the next line of the page, if that is a row.
+func (t *table) firstCell(text string) []string {
+	if !t.inside || !strings.HasPrefix(text, "|") {
+		t.inside = t.head.MatchString(text)
+		return nil
+	}
 	cell, _, _ := strings.Cut(strings.TrimPrefix(text, "|"), "|")
+	var spans []string
 	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
-		if packageName.MatchString(m[1]) && !c.known.hasPackage(m[1]) {
-			reasons = append(reasons, "there is no package "+m[1])
-		}
+		spans = append(spans, m[1])
 	}
-	return reasons
+	return spans
 }
 
 // span checks one piece of code: a call of make, a symbol, a test, a metric, and each word that is a path of the tree.
