--- a/cmd/mastusher/daemon_test.go
+++ b/cmd/mastusher/daemon_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -46,12 +45,11 @@
 // freeUDPAddress is an address on loopback that nobody listens at now.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
-	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	address, err := standin.FreeUDPAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
-	return conn.LocalAddr().String()
+	return address
 }
 
 // freeAddress is a TCP address on loopback that nobody listens at now.
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -71,9 +71,7 @@
 
 // TestServe_Terminated_AnswersWhileDraining: after SIGTERM clients are still answered, and the process then ends by itself.
 func TestServe_Terminated_AnswersWhileDraining(t *testing.T) {
-	l := wiretest.Listen(t)
-	address := l.Addr().String()
-	_ = l.Close() // the relay takes its place
+	address := freeAddress(t)
 	cfg, err := config.Parse([]byte(strings.Replace(minimalConfig, "STATE", t.TempDir(), 1)), func(k string) string {
 		return map[string]string{"RELAY_LISTEN": address}[k]
 	})
--- a/internal/relay/standin/address.go
+++ b/internal/relay/standin/address.go
@@ -9,7 +9,7 @@
 // hostsPerProcess is how many loopback addresses a process uses before it uses the first one again.
 const hostsPerProcess = 64
 
-// lastHost counts the calls of FreeAddress.
+// lastHost counts the addresses that were handed out.
 var lastHost atomic.Uint32
 
 // FreeAddress returns an address on which nothing listens, for a process that is to be started with it. Each call has a host of its own
@@ -23,6 +23,15 @@
 	return listener.Addr().String(), listener.Close()
 }
 
+// FreeUDPAddress is FreeAddress for datagrams.
+func FreeUDPAddress() (string, error) {
+	conn, err := net.ListenPacket("udp4", net.JoinHostPort(nextHost().String(), "0"))
+	if err != nil {
+		return "", err
+	}
+	return conn.LocalAddr().String(), conn.Close()
+}
+
 // nextHost returns the next host of this process.
 func nextHost() net.IP {
 	number := uint32(os.Getpid())*hostsPerProcess + lastHost.Add(1)%hostsPerProcess
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"testing"
 	"time"
 
@@ -171,7 +170,7 @@
 	awaitPlacement(t, store, 1, 4)
 	handlers := transport.NewHandlers()
 	store.Register(handlers)
-	server, err := transport.Listen(freeAddress(t), handlers, log.NewNopLogger())
+	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,16 +197,6 @@
 	}
 }
 
-func freeAddress(t testing.TB) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
-
 // TestLeader_FollowsNewestPlacement applies placements in any order.
 func TestLeader_FollowsNewestPlacement(t *testing.T) {
 	store := newStore(t, memorydisk.New())
