--- a/internal/relay/fleet/simulation/mutant_test.go
+++ b/internal/relay/fleet/simulation/mutant_test.go
@@ -35,7 +35,7 @@
 	{"a limit by hand is each relay's own", "../../../control/shared_limits.go", "rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))", "rate = route.destination.maxRate", "TestMaxRate_ManySenders_IsNeverExceededTogether", "mastusher/control"},
 	{"lent again too early", "quota/granting.go", "l.relays[name], came+l.options.LeaseDuration", "l.relays[name], came+l.options.LeaseDuration/2", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
 	{"floors are lent", "quota/granting.go", "max(0, unitsPerLimit-l.minimumSum-l.leased[key]+relay.bound[key])", "max(0, unitsPerLimit-l.leased[key]+relay.bound[key])", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
-	{"a new ledger lends at once", "quota/allocator.go", "	if now >= l.startedAt+l.options.LeaseDuration {", "	if true {", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
+	{"a new allocator lends at once", "quota/allocator.go", "	if now >= l.startedAt+l.options.LeaseDuration {", "	if true {", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
 	{"what is not confirmed counts as taken", "quota/allocator.go", "			bound[key] = max(bound[key], units)", "			bound[key] = units", "TestSharedBound_SeededFaults_SpendNoMoreThanLimit", ""},
 	{"a late loan of one that led before", "quota/lessee.go", "case grant == nil || grant.Term < p.newestTerm || ", "case grant == nil || ", "TestLease_NewLeader_FormerGrantsCountNoMore", "mastusher/internal/relay/fleet/quota"},
 	{"what one holds is not asked", "quota/requests.go", "	mine := r.NewestTerm == l.term", "	mine := r.NewestTerm == l.term || true", "TestLease_NewLeader_FormerGrantsCountNoMore", "mastusher/internal/relay/fleet/quota"},
--- a/internal/relay/fleet/testcluster/change.go
+++ b/internal/relay/fleet/testcluster/change.go
@@ -24,7 +24,7 @@
 		if !relay.Running() {
 			continue
 		}
-		_, _ = f.Admin(relay, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "rig", Ticket: proposed.ticket},
+		_, _ = f.Admin(relay, node.AdminRequest{Op: "propose", Version: base, Doc: []byte(doc), By: "testcluster", Ticket: proposed.ticket},
 			500*time.Millisecond)
 		if asked++; asked == 2 {
 			return
--- a/internal/relay/fleet/testcluster/fleet.go
+++ b/internal/relay/fleet/testcluster/fleet.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	partners = 3     // number of partner systems, each with one endpoint
-	fleetID  = "rig" // name of the fleet in relays' files
+	partners = 3             // number of partner systems, each with one endpoint
+	fleetID  = "testcluster" // name of the fleet in relays' files
 )
 
 // Fleet is the processes, the links between them, and the stand-ins around them.
--- a/internal/relay/fleet/testcluster/scenario_test.go
+++ b/internal/relay/fleet/testcluster/scenario_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	dir, err := os.MkdirTemp("", "rig")
+	dir, err := os.MkdirTemp("", "testcluster")
 	if err == nil {
 		binary = filepath.Join(dir, "mastusher")
 		var out []byte
