--- a/internal/tier/balancer/affinity.go
+++ b/internal/tier/balancer/affinity.go
@@ -1,20 +1,20 @@
 package balancer
 
-// affinityTableSize is how many affinities the balancer remembers. A larger table finds more prefixes again and takes 16 bytes
-// an entry.
+// affinityTableSize is the number of affinity keys that a proxy can remember. A larger table overwrites fewer keys; each entry
+// takes 16 bytes.
 const affinityTableSize = 1024
 
-// affinityTable remembers which endpoint last got an affinity from this proxy. A newer affinity displaces an older one of the
-// same slot.
+// affinityTable records which endpoint this proxy last sent each affinity key to. A new key overwrites an older one in the same
+// slot.
 type affinityTable []affinityEntry
 
-// affinityEntry is an affinity and the endpoint that got it last. Key 0: the slot is empty.
+// affinityEntry is one slot of an affinityTable; key 0 marks an empty slot.
 type affinityEntry struct {
 	key      uint64
 	endpoint *endpoint
 }
 
-// lookup returns the endpoint that last got the affinity; nil if it is unknown or takes no requests any more.
+// lookup returns the endpoint that the key was last sent to, or nil if the key is unknown or the endpoint no longer takes requests.
 func (t *affinityTable) lookup(key uint64) *endpoint {
 	if len(*t) == 0 || key == 0 {
 		return nil
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// store remembers the endpoint of an affinity; key 0 is none.
+// store records that the key was sent to the endpoint. Key 0 means no affinity and isn't stored.
 func (t *affinityTable) store(key uint64, e *endpoint) {
 	if key == 0 {
 		return
@@ -36,9 +36,9 @@
 	(*t)[key%affinityTableSize] = affinityEntry{key: key, endpoint: e}
 }
 
-// preferred is the endpoint of the affinity by rendezvous hashing over those of the proxy's own zone, or over all where the
-// zone has none: all proxies of a zone with the same list agree on it, and an endpoint that leaves moves only its own
-// affinities. A client's requests come through the proxies of its zone, so leaving the zone would gain nothing.
+// preferred returns the endpoint that rendezvous hashing assigns to an affinity key: among the endpoints in the proxy's own zone,
+// or among all if the zone has none. All proxies of a zone with the same list choose the same endpoint, and removing an endpoint
+// moves only that endpoint's keys. Agreement across zones would gain nothing, as a client's requests arrive at the proxies of one zone.
 func (g *versionGroup) preferred(key uint64) *endpoint {
 	best, bestInZone, bestScore := 0, false, uint64(0)
 	for i, hash := range g.hashes {
@@ -52,8 +52,8 @@
 	return g.ready[best]
 }
 
-// findAffinity finds the endpoints that may have the request's prefix in their cache, and what a miss costs.
-func (b *Balancer) findAffinity(sel *selection, svc *service, group *versionGroup) {
+// resolveAffinity sets the endpoints that may have the request's prefix in their cache, and the cost of a cache miss elsewhere.
+func (b *Balancer) resolveAffinity(sel *selection, svc *service, group *versionGroup) {
 	r := sel.request
 	if !r.Route.UsesAffinity || r.AffinityKey == 0 || len(group.ready) == 0 {
 		return
@@ -64,7 +64,7 @@
 	}
 	if sel.plan.kind == streamCall {
 		_, perToken := svc.work.prefill.fit()
-		sel.prefixCost = prefixWeight * perToken * float64(r.PrefixTokens)
+		sel.cacheMissCost = prefillWeight * perToken * float64(r.PrefixTokens)
 	}
-	sel.prefixCost = max(sel.prefixCost, affinitySaving*sel.workScale*workUnit.Seconds())
+	sel.cacheMissCost = max(sel.cacheMissCost, affinitySaving*sel.workScale*workUnit.Seconds())
 }
--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -9,15 +9,15 @@
 
 // Options are the settings of a Balancer. A zero or negative number takes its default.
 type Options struct {
-	// Zone is the zone of this proxy. Endpoints of any other zone cost CrossZonePenalty.
+	// Zone is the zone of this proxy. Endpoints in any other zone are charged CrossZonePenalty.
 	Zone string
-	// Seed starts the sequence of random draws. It must differ from proxy to proxy: with equal seeds proxies break ties and
-	// come back from backoff together.
+	// Seed seeds the random numbers. It must differ from proxy to proxy: proxies with the same seed would break ties alike and
+	// end their backoffs at the same moment.
 	Seed uint64
-	// MaxInFlight bounds the attempts in flight to all endpoints; default 512. A larger value admits more work before requests
-	// are rejected, and leaves more calls at an endpoint that stops answering.
+	// MaxInFlight bounds the attempts in flight to all endpoints together; default 512. A larger value admits more work before
+	// requests are rejected, but lets more calls get stuck at an endpoint that stops answering.
 	MaxInFlight int
-	// CrossZonePenalty is the time that leaving the zone is taken to cost; default 4 ms. A larger value keeps more traffic in
+	// CrossZonePenalty is the assumed extra time of a call to another zone; default 4 ms. A larger value keeps more traffic in
 	// the zone, at the price of longer queues there.
 	CrossZonePenalty time.Duration
 }
@@ -28,14 +28,14 @@
 	defaultCrossZonePenalty = 4 * time.Millisecond
 )
 
-// How long the state of what has left the list is retained. An endpoint that returns under its ID is the same incarnation: its
-// backoff still binds.
+// Retention of the state of services and endpoints that have left the list. An endpoint that returns with the same ID in that time
+// keeps its state, so that its backoff still applies.
 const (
 	serviceRetention  = time.Minute
 	endpointRetention = time.Minute
 )
 
-// Balancer makes the decisions of one proxy for all services. It is not safe for concurrent use.
+// Balancer selects endpoints for one proxy, for all services. It is not safe for concurrent use.
 type Balancer struct {
 	options    Options
 	now        time.Duration
@@ -47,7 +47,7 @@
 	lastServed affinityTable
 }
 
-// New returns a balancer that knows no endpoint.
+// New returns a balancer without endpoints.
 func New(options Options) *Balancer {
 	if options.MaxInFlight <= 0 {
 		options.MaxInFlight = defaultMaxInFlight
@@ -64,23 +64,23 @@
 	}
 }
 
-// advance takes the caller's time. A clock that goes back stands still here.
+// advance sets the balancer's time, which never goes back even if the caller's clock does.
 func (b *Balancer) advance(now time.Duration) { b.now = max(b.now, now) }
 
-// nextRandom returns the next number in [0, 1) of the balancer's own sequence.
+// nextRandom returns the next pseudorandom number in [0, 1).
 func (b *Balancer) nextRandom() float64 {
 	b.random += 0x9e3779b97f4a7c15
 	return float64(mix(b.random)>>11) / (1 << 53)
 }
 
-// SetEndpoints replaces the list of endpoints, which must not be changed afterwards. Endpoints that are draining or have left
-// the list get no new attempts; Done still takes those that they have in flight.
+// SetEndpoints replaces the list of endpoints; the caller must not modify the slice afterwards. Endpoints that are draining or have
+// left the list get no new attempts; Done still accepts their attempts in flight.
 func (b *Balancer) SetEndpoints(now time.Duration, list []model.Endpoint) {
 	b.advance(now)
 	b.unlistAll()
 	for i := range list {
 		e := b.upsertEndpoint(&list[i])
-		if e.listed { // listed twice
+		if e.listed { // a duplicate in the list
 			continue
 		}
 		e.listed, e.model = true, &list[i]
@@ -90,7 +90,7 @@
 	b.regroupServices()
 }
 
-// unlistAll takes every endpoint off the list, before the new one is applied.
+// unlistAll marks every endpoint as not listed, before a new list is applied.
 func (b *Balancer) unlistAll() {
 	for _, svc := range b.services {
 		svc.endpoints = svc.endpoints[:0]
@@ -100,7 +100,7 @@
 	}
 }
 
-// evictEndpoints drops the endpoints that left the list long enough ago. One with attempts in flight stays until their Done.
+// evictEndpoints drops the endpoints that left the list more than endpointRetention ago and have no attempts in flight.
 func (b *Balancer) evictEndpoints() {
 	for id, e := range b.endpoints {
 		if e.listed {
@@ -111,7 +111,7 @@
 	}
 }
 
-// regroupServices groups each service's endpoints anew, and drops the services that have been empty long enough.
+// regroupServices regroups each service's endpoints, and drops the services without endpoints for longer than serviceRetention.
 func (b *Balancer) regroupServices() {
 	for name, svc := range b.services {
 		svc.regroup()
@@ -123,8 +123,8 @@
 	}
 }
 
-// upsertEndpoint returns the endpoint of that ID, which it creates if necessary. One that has moved to another service is a new
-// endpoint.
+// upsertEndpoint returns the endpoint with the ID of m, and creates it if necessary. An endpoint that has moved to another service
+// counts as a new one.
 func (b *Balancer) upsertEndpoint(m *model.Endpoint) *endpoint {
 	warmUpUntil := b.now + time.Duration(m.WarmUpLeftMs)*time.Millisecond
 	if e := b.endpoints[m.ID]; e != nil && e.model.Service == m.Service {
@@ -146,7 +146,7 @@
 	return e
 }
 
-// SetVersions replaces which versions of each service may take requests.
+// SetVersions sets which versions of each service may take requests, in place of the earlier ones.
 func (b *Balancer) SetVersions(versions []view.ServiceVersions) {
 	clear(b.versions)
 	for _, v := range versions {
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -29,7 +29,7 @@
 		TimeLeft: 2 * time.Second}
 }
 
-func onceOnlyRequest() Request {
+func atMostOnceRequest() Request {
 	r := retryableRequest()
 	r.Route.Kind, r.Retryable = model.AtMostOnce, false
 	return r
@@ -47,8 +47,8 @@
 	return d.Endpoint.ID
 }
 
-// trainTimes makes calls of that length, one after the other, from now on, and returns the time after them.
-func trainTimes(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
+// callRepeatedly makes calls of that length, one after the other, from now on, and returns the time after them.
+func callRepeatedly(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
 	t.Helper()
 	for range calls {
 		call(t, s, now, r, Success, elapsed)
@@ -105,7 +105,7 @@
 func TestSelect_LessTimeThanMedian_RejectsAsDeadlineTooShort(t *testing.T) {
 	// Given endpoints whose calls take 300 ms.
 	balancer := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, balancer, 0, retryableRequest(), 12, 300*time.Millisecond)
+	now := callRepeatedly(t, balancer, 0, retryableRequest(), 12, 300*time.Millisecond)
 
 	// When a request comes with 100 ms left, then it is rejected; with 500 ms left it is sent.
 	r := retryableRequest()
@@ -137,7 +137,7 @@
 		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
 	}
 	// And one that must not run twice lasts as long as it may.
-	if d := balancer.Select(now, onceOnlyRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
+	if d := balancer.Select(now, atMostOnceRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
 	}
 	// And so does one whose program can't pay for another attempt.
--- a/internal/tier/balancer/cost.go
+++ b/internal/tier/balancer/cost.go
@@ -1,16 +1,16 @@
 package balancer
 
-// Penalties of an endpoint in the cost of a selection. They multiply the expected time unless they say otherwise.
+// Terms of the cost of an endpoint, as fractions of the expected time unless noted otherwise.
 const (
-	warmUpPenalty       = 0.5  // while it is warming up
-	tieBreakPenalty     = 0.03 // at most, so that proxies that know nothing don't all begin with the same endpoint
-	affinitySaving      = 0.25 // saved by the endpoint that has lately served a subject
-	prefixWeight        = 1.5  // times the prefill of a prefix that is not in its cache: prefill delays other requests too
-	prefillInterference = 0.5  // of that time, for each request in flight there
-	preferredMissShare  = 0.5  // of that, at the preferred endpoint where another one is known to have served the prefix
+	warmUpPenalty       = 0.5  // for an endpoint that is warming up
+	tieBreakPenalty     = 0.03 // at most; keeps proxies without call times from all starting with the same endpoint
+	affinitySaving      = 0.25 // of the predicted work, saved by an endpoint that recently served the same affinity key
+	prefillWeight       = 1.5  // of the prefill time of a prefix that isn't cached; above 1 because prefill delays other requests too
+	prefillInterference = 0.5  // of the cost of a cache miss, for each request in flight at the endpoint
+	preferredMissShare  = 0.5  // of the cost of a cache miss, at the preferred endpoint if another one is known to have served the prefix
 )
 
-// cost is the expected time at an endpoint with all penalties, in seconds.
+// cost returns the expected time of the request at an endpoint plus all penalties, in seconds.
 func (sel *selection) cost(e *endpoint, inFlight float64) float64 {
 	estimates := sel.plan.estimatesFor(e)
 	expected := sel.workScale * estimates.expected[sel.attemptsLeft]
@@ -23,14 +23,14 @@
 		servicePace := e.service.work.pace.perToken(priorSecondsPerOutputToken)
 		cost += float64(sel.request.OutTokens) * e.pace.perToken(servicePace) * factor
 	}
-	return cost + sel.prefixMissCost(e, inFlight)
+	return cost + sel.affinityPenalty(e, inFlight)
 }
 
-// prefixMissCost charges the prefill of a prefix that the endpoint doesn't have in its cache, to the request and to those
-// in flight there: without the latter, congestion makes requests leave the endpoints that have their prefixes, and the
-// prefill elsewhere adds to the congestion.
-func (sel *selection) prefixMissCost(e *endpoint, inFlight float64) float64 {
-	cost := sel.prefixCost
+// affinityPenalty returns the cost of a cache miss at an endpoint that probably doesn't have the request's prefix. The cost includes
+// the delay of requests in flight there: without it, congestion would drive requests away from the endpoints that have their
+// prefixes cached, and the prefill elsewhere would add to the congestion.
+func (sel *selection) affinityPenalty(e *endpoint, inFlight float64) float64 {
+	cost := sel.cacheMissCost
 	if sel.plan.kind == streamCall {
 		cost *= 1 + prefillInterference*inFlight
 	}
--- a/internal/tier/balancer/healthchecks.go
+++ b/internal/tier/balancer/healthchecks.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// When an unhealthy endpoint is probed. A probe is a client's request that is sent there.
+// Timing of probes. A probe is a client's request that is sent to an unhealthy endpoint to find out whether it has recovered.
 const (
-	minProbeInterval    = 250 * time.Millisecond
-	maxProbeInterval    = 4 * time.Second
-	onceOnlyProbeFactor = 3               // times the interval until a request that must not run twice is a probe
-	retryableAbsence    = 5 * time.Second // without a retryable request, after which others are probes
+	minProbeInterval      = 250 * time.Millisecond
+	maxProbeInterval      = 4 * time.Second
+	atMostOnceProbeFactor = 3               // multiple of the interval after which a request that must not run twice may be a probe
+	retryableAbsence      = 5 * time.Second // without a retryable request, after which other requests may be probes
 )
 
 // scheduleProbe schedules the first probe.
@@ -16,19 +16,19 @@
 	h.nextProbeAt = now + h.probeInterval
 }
 
-// probeSent schedules the next probe, with jitter; the interval doubles.
+// probeSent counts a probe and schedules the next one, after an interval that doubles each time and is jittered by draw.
 func (h *health) probeSent(now time.Duration, draw float64) {
 	h.probesInFlight++
 	h.nextProbeAt = now + seconds(h.probeInterval.Seconds()*(0.75+0.5*draw))
 	h.probeInterval = min(2*h.probeInterval, maxProbeInterval)
 }
 
-// probeDue reports whether a request may be sent as a probe. One that isn't retryable waits longer, unless the last failure proved
-// that the endpoint doesn't run what fails.
+// probeDue reports whether a request may be sent as a probe. A request that isn't retryable may be sent only after a longer time,
+// unless the last failure proved that the failed call had not run.
 func (h *health) probeDue(now time.Duration, retryable bool) bool {
 	at := h.nextProbeAt
 	if !retryable && !h.lastFailureNotRun {
-		at += (onceOnlyProbeFactor - 1) * h.probeInterval
+		at += (atMostOnceProbeFactor - 1) * h.probeInterval
 	}
 	return h.probesInFlight == 0 && now >= at
 }
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// What is assumed of the load at endpoints.
+// Parameters of the estimated load at endpoints.
 const (
-	reportHalfLife         = time.Second // of the difference between a report and the service's mean
-	decayInterval          = 25 * time.Millisecond
-	meanHalfLife           = 4 * time.Second // of the mean, without new reports
-	meanWeight             = 0.1             // of the newest report in the mean
-	congestionPenalty      = 1.0             // of the expected time, at full capacity
-	unknownCapacityPenalty = 0.25            // of it, for each call in flight where the capacity is unknown
-	assumedQueueShare      = 0.5             // of the capacity, that may be queued at an endpoint until a rejection shows its limit
-	abandonedRunFactor     = 1.0             // times its predicted time, that an abandoned call is taken to run at most
+	reportHalfLife         = time.Second           // of the difference between an endpoint's last report and the service's mean
+	decayInterval          = 25 * time.Millisecond // between updates of a decayed report
+	meanHalfLife           = 4 * time.Second       // of the mean, while no reports come
+	newReportWeight        = 0.1                   // of a new report in the mean
+	congestionPenalty      = 1.0                   // fraction of the expected time that is added at full capacity
+	unknownCapacityPenalty = 0.25                  // the same, for each call in flight where the capacity is unknown
+	assumedQueueShare      = 0.5                   // queue limit as a fraction of the capacity, until a rejection shows the real one
+	abandonedRunFactor     = 1.0                   // multiple of its predicted time that an abandoned call is assumed to run in all
 )
 
-// load is what is known of the calls in flight at an endpoint.
+// load tracks the calls in flight at an endpoint, apart from the proxy's own pending ones.
 type load struct {
-	othersInFlight float64 // calls of other proxies, by the last report
+	othersInFlight float64 // calls of other proxies, from the last report
 	reportedAt     time.Duration
 	reported       bool
-	decayed        float64 // othersInFlight as estimated at decayedAt
+	decayed        float64 // othersInFlight, decayed towards the mean until decayedAt
 	decayedAt      time.Duration
-	capacity       int             // by the last report; 0: none came
-	abandonedUntil []time.Duration // until when each abandoned call is taken to run
+	capacity       int             // from the last report; 0: none yet
+	abandonedUntil []time.Duration // when each abandoned call is assumed to end
 }
 
-// serviceLoad is the mean load at a service's endpoints.
+// serviceLoad is what the reports of all endpoints of a service show together.
 type serviceLoad struct {
-	othersShare     float64 // of the capacity, taken by other proxies
+	othersShare     float64 // mean share of an endpoint's capacity that other proxies take
 	updatedAt       time.Duration
-	queueLimit      int // calls that were queued at an endpoint that rejected one at full capacity
+	queueLimit      int // queue length that an endpoint reported with its rejection of a call, at full capacity
 	queueLimitKnown bool
 }
 
-// capacity is how many calls the endpoint works on at once; 0: unknown.
+// capacity returns how many calls the endpoint processes concurrently; 0: unknown.
 func (e *endpoint) capacity() int {
 	if e.load.capacity > 0 {
 		return e.load.capacity
@@ -44,7 +44,7 @@
 	return e.model.Capacity
 }
 
-// recordLoad takes the endpoint's report of its load, in which the proxy's own calls are included.
+// recordLoad records the load that an endpoint reported; it includes this proxy's own calls, whose number is own.
 func (e *endpoint) recordLoad(now time.Duration, report Load, own int) {
 	if report.Capacity <= 0 {
 		return
@@ -53,18 +53,18 @@
 	l.othersInFlight, l.reportedAt, l.reported = float64(max(0, report.Running+report.Queued-own)), now, true
 	l.capacity = report.Capacity
 	l.decayed, l.decayedAt = l.othersInFlight, now
-	mean.othersShare = mean.expectedShare(now)
-	mean.othersShare += meanWeight * (l.othersInFlight/float64(report.Capacity) - mean.othersShare)
+	mean.othersShare = mean.expectedOthersShare(now)
+	mean.othersShare += newReportWeight * (l.othersInFlight/float64(report.Capacity) - mean.othersShare)
 	mean.updatedAt = now
 }
 
-// expectedShare is the mean share of an endpoint's capacity that other proxies take.
-func (m *serviceLoad) expectedShare(now time.Duration) float64 {
+// expectedOthersShare returns the mean share of an endpoint's capacity that other proxies take, decayed since the last report.
+func (m *serviceLoad) expectedOthersShare(now time.Duration) float64 {
 	return m.othersShare * decay(now-m.updatedAt, meanHalfLife)
 }
 
 // estimatedInFlight estimates the calls at the endpoint: the proxy's own, abandoned ones that may still run, and those of other
-// proxies, which take othersShare of its capacity in the mean.
+// proxies. othersShare is the mean share of an endpoint's capacity that other proxies take.
 func (e *endpoint) estimatedInFlight(now time.Duration, othersShare float64) float64 {
 	l := &e.load
 	others := othersShare * float64(e.capacity())
@@ -83,7 +83,7 @@
 	return float64(len(e.inFlight)+abandoned) + others
 }
 
-// congestion is the share of the expected time that calls in flight there add to it.
+// congestion returns the fraction of the expected time that the calls in flight at the endpoint add to it.
 func (e *endpoint) congestion(inFlight float64) float64 {
 	capacity := float64(e.capacity())
 	if capacity <= 0 {
@@ -92,7 +92,7 @@
 	return congestionPenalty*inFlight/capacity + max(0, inFlight+1-capacity)/capacity
 }
 
-// atCapacity reports whether the endpoint would reject a call with so many in flight there.
+// atCapacity reports whether the endpoint would reject another call with that many in flight.
 func (e *endpoint) atCapacity(inFlight float64) bool {
 	capacity := e.capacity()
 	if capacity <= 0 {
@@ -105,7 +105,7 @@
 	return inFlight >= float64(capacity+queue)
 }
 
-// addAbandoned counts an abandoned call as running for some time more.
+// addAbandoned counts an abandoned call as still running for the remaining time.
 func (e *endpoint) addAbandoned(now, remaining time.Duration) {
 	e.load.abandonedUntil = slices.DeleteFunc(e.load.abandonedUntil, func(until time.Duration) bool { return until <= now })
 	if remaining > 0 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// remainingTime is how long an abandoned call is taken to run on.
+// remainingTime returns how much longer an abandoned call is assumed to run.
 func (b *Balancer) remainingTime(a *Attempt, o Outcome) time.Duration {
 	svc := a.endpoint.service
 	total := svc.work.predict(a.kind, a.route, a.promptTokens)
--- a/internal/tier/balancer/load_test.go
+++ b/internal/tier/balancer/load_test.go
@@ -24,8 +24,8 @@
 
 func TestDone_Cancelled_CountsAsInFlightForAWhile(t *testing.T) {
 	balancer := newBalancer(endpointsOf("feeds", 1, 6))
-	now := trainTimes(t, balancer, 0, onceOnlyRequest(), 8, 200*time.Millisecond)
-	d := balancer.Select(now, onceOnlyRequest())
+	now := callRepeatedly(t, balancer, 0, atMostOnceRequest(), 8, 200*time.Millisecond)
+	d := balancer.Select(now, atMostOnceRequest())
 	balancer.Sent(now, &d.Attempt)
 	balancer.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
 	e := balancer.endpoints["feeds-0"]
@@ -43,7 +43,7 @@
 	balancer.SetEndpoints(0, list)
 	attempts := make([]Attempt, 0, 20)
 	for {
-		d := balancer.Select(0, onceOnlyRequest())
+		d := balancer.Select(0, atMostOnceRequest())
 		if d.Endpoint == nil {
 			break
 		}
@@ -54,7 +54,7 @@
 		t.Errorf("one endpoint took %d of 16 in flight, want 12", len(attempts))
 	}
 	// And half of them once its calls overrun.
-	balancer.Select(5*time.Second, onceOnlyRequest())
+	balancer.Select(5*time.Second, atMostOnceRequest())
 	if got := balancer.maxInFlightTo(balancer.endpoints["feeds-0"]); got != 8 {
 		t.Errorf("cap while calls overrun: %d, want 8", got)
 	}
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Eligible reports whether the endpoint of an attempt may still get it: by the newest list it is ready, and its version takes
-// requests.
+// Eligible reports whether an attempt may still be sent to its endpoint: by the newest list and versions, the endpoint is ready and
+// its version takes requests.
 func (b *Balancer) Eligible(a *Attempt) bool {
 	return a.endpoint != nil && a.endpoint.listed && a.endpoint.ready
 }
 
-// Sent records that an attempt goes out. The balancer keeps the pointer until Done.
+// Sent records that an attempt is being sent. The balancer keeps the pointer until Done.
 func (b *Balancer) Sent(now time.Duration, a *Attempt) {
 	b.advance(now)
 	e := a.endpoint
@@ -32,14 +32,14 @@
 	b.lastServed.store(a.affinityKey, e)
 }
 
-// FirstEvent records that the first event of a stream has come, with the load that the endpoint reported.
+// FirstEvent records the arrival of a stream's first event, and the load that the endpoint reported with it.
 func (b *Balancer) FirstEvent(now time.Duration, a *Attempt, report Load) {
 	b.advance(now)
 	e := a.endpoint
-	if !a.sent || a.answered {
+	if !a.sent || a.firstEventSeen {
 		return
 	}
-	a.answered, a.firstEventAt = true, b.now
+	a.firstEventSeen, a.firstEventAt = true, b.now
 	e.recordLoad(b.now, report, len(e.inFlight))
 	b.recordAnswer(a, b.now-a.sentAt)
 }
@@ -55,11 +55,11 @@
 	b.recordOutcome(a, o)
 }
 
-// removeInFlight takes an attempt out of the counts.
+// removeInFlight removes an attempt from the counts of attempts in flight, and records the load reported at its end.
 func (b *Balancer) removeInFlight(a *Attempt, report Load) {
 	e := a.endpoint
 	a.sent = false
-	e.recordLoad(b.now, report, len(e.inFlight)) // the report still counts the attempt
+	e.recordLoad(b.now, report, len(e.inFlight)) // the report still includes the attempt
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *Attempt) bool { return other == a })
 	b.inFlight--
 	if a.probe {
@@ -67,15 +67,15 @@
 	}
 }
 
-// recordOutcome learns from the end of an attempt.
+// recordOutcome updates health, tables and budget by the outcome of an attempt.
 func (b *Balancer) recordOutcome(a *Attempt, o Outcome) {
 	e := a.endpoint
 	switch o.Kind {
 	case Success:
-		if e.service.budget.earn(); !a.answered {
+		if e.service.budget.earn(); !a.firstEventSeen {
 			b.recordAnswer(a, o.Elapsed)
 		}
-		b.learnOutputPace(a, o)
+		b.recordOutputPace(a, o)
 	case NotRun:
 		b.recordRejection(a, o.Load)
 	case Misdirected:
@@ -91,14 +91,14 @@
 	}
 }
 
-// recordAnswer enters a call that was answered into the tables.
+// recordAnswer adds the time of an answered call to the tables: until its first event or its complete response.
 func (b *Balancer) recordAnswer(a *Attempt, took time.Duration) {
 	e, svc := a.endpoint, a.endpoint.service
 	plan := svc.plan(a.kind)
 	if e.health.recordAnswer(a.sentAt) {
 		plan.resetStats(e)
 	}
-	svc.work.learn(b.now, a, took.Seconds())
+	svc.work.record(b.now, a, took.Seconds())
 	units := b.toWorkUnits(a, took)
 	plan.statsFor(e).times.Add(b.now, units)
 	plan.serviceTimes.Add(b.now, units)
@@ -106,20 +106,21 @@
 	plan.stale = true
 }
 
-// toWorkUnits converts the time of a call to what the tables hold: divided by its work as it is predicted now.
+// toWorkUnits normalizes the time of a call for the tables: divided by its currently predicted work, in units of workUnit.
 func (b *Balancer) toWorkUnits(a *Attempt, took time.Duration) time.Duration {
 	work := a.endpoint.service.work.predict(a.kind, a.route, a.promptTokens)
 	return seconds(took.Seconds() / work * workUnit.Seconds())
 }
 
-// recordRetry reports to the planner how long a retry after a planned timeout took.
+// recordRetry tells the planner how long a retry after a planned timeout took.
 func (b *Balancer) recordRetry(a *Attempt, took time.Duration) {
 	if a.afterTimeout {
 		a.endpoint.service.plan(a.kind).planner.ObserveRetry(took, a.expected)
 	}
 }
 
-// recordFailure takes a failure. A call that proved not to have run says nothing of the service's other endpoints.
+// recordFailure records a failed call. A call that certainly did not run is left out of the service's table, as it says nothing about
+// the other endpoints.
 func (b *Balancer) recordFailure(a *Attempt, notRun bool) {
 	e, plan := a.endpoint, a.endpoint.service.plan(a.kind)
 	e.health.recordFailure(b.now, a.sentAt, notRun)
@@ -129,12 +130,12 @@
 	}
 }
 
-// recordTimeout takes a call that was abandoned at its timeout: it takes longer than that, and may still run. It is a failure
-// only if it was a probe or had become overdue.
+// recordTimeout records a call that was abandoned at its timeout. The tables take its time as censored, since it would have taken
+// longer, and the call may still be running. It counts as a failure only if it was a probe or overdue.
 func (b *Balancer) recordTimeout(a *Attempt, o Outcome) {
 	e, plan := a.endpoint, a.endpoint.service.plan(a.kind)
 	e.addAbandoned(b.now, b.remainingTime(a, o))
-	if a.answered { // its first event is in the table
+	if a.firstEventSeen { // the time until the first event is in the tables already
 		return
 	}
 	units := b.toWorkUnits(a, o.Elapsed)
@@ -146,7 +147,8 @@
 	}
 }
 
-// recordRejection takes a rejection by the endpoint. The first backoff is about the time until it has capacity again.
+// recordRejection records that the endpoint rejected a call. The base of the backoff is about the time until one of the calls there
+// ends: the median divided by the capacity.
 func (b *Balancer) recordRejection(a *Attempt, report Load) {
 	e, svc := a.endpoint, a.endpoint.service
 	base, estimates := defaultBackoff.Seconds(), svc.plan(a.kind).estimatesFor(e)
@@ -159,9 +161,9 @@
 	}
 }
 
-// learnOutputPace learns from a complete stream how fast tokens are generated.
-func (b *Balancer) learnOutputPace(a *Attempt, o Outcome) {
-	if !a.answered || o.Tokens <= 1 {
+// recordOutputPace records the time per generated token of a complete stream.
+func (b *Balancer) recordOutputPace(a *Attempt, o Outcome) {
+	if !a.firstEventSeen || o.Tokens <= 1 {
 		return
 	}
 	took, tokens := (b.now - a.firstEventAt).Seconds(), float64(o.Tokens)
--- a/internal/tier/balancer/outlier.go
+++ b/internal/tier/balancer/outlier.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// When an endpoint is ejected, and how long it is left alone after a rejection.
+// Conditions for the ejection of an endpoint, and its backoff after a rejection.
 const (
-	maxFails            = 2 // consecutive failures that eject an endpoint
-	minOverdue          = 400 * time.Millisecond
-	minBackoff          = 10 * time.Millisecond
-	defaultBackoff      = 50 * time.Millisecond // where the endpoint's call times are unknown
-	maxBackoff          = time.Second
-	maxBackoffDoublings = 6
-	rejectionHalfLife   = 2 * time.Second
-	misdirectedBackoff  = 5 * time.Second // after another endpoint answered at the address
+	maxConsecutiveFailures = 2                      // consecutive failures that eject an endpoint
+	minOverdue             = 400 * time.Millisecond // the least age of an overdue call
+	minBackoff             = 10 * time.Millisecond
+	defaultBackoff         = 50 * time.Millisecond // where the endpoint's call times are unknown
+	maxBackoff             = time.Second
+	maxCountedRejections   = 6 // beyond which the backoff no longer doubles
+	rejectionHalfLife      = 2 * time.Second
+	misdirectedBackoff     = 5 * time.Second // after an answer that the address belongs to another endpoint
 )
 
-// health is what the proxy's own calls show of an endpoint (passive health checks).
+// health is the state of an endpoint's passive health checks, which use only this proxy's calls.
 type health struct {
-	consecutiveFailures int
-	ejected             bool            // maxFails calls in a row have failed, and none was answered since
-	overdue             [callKinds]bool // calls in flight are older than its calls usually get, and no newer one was answered
-	lastFailureNotRun   bool            // the last failure proved that the call has not run and never will
-	newestAnswered      time.Duration   // when the newest answered call was sent
-	everAnswered        bool
+	consecutiveFailures  int
+	ejected              bool            // maxConsecutiveFailures calls have failed in a row, and none was answered since
+	overdue              [callKinds]bool // by kind: a call in flight is overdue, and no newer call was answered
+	lastFailureNotRun    bool            // the last failed call certainly did not run
+	newestAnsweredSentAt time.Duration   // when the most recently sent of the answered calls was sent
+	everAnswered         bool
 
 	nextProbeAt    time.Duration
 	probeInterval  time.Duration
 	probesInFlight int
 
-	rejections   float64 // count that decays
+	rejections   float64 // decaying count
 	rejectedAt   time.Duration
 	everRejected bool
-	backoffUntil time.Duration // nothing is sent before
+	backoffUntil time.Duration // until then the endpoint gets no attempts
 }
 
-// recordRejection takes a rejection: the backoff doubles with each one that has not decayed, and a random draw keeps proxies from
-// coming back together. Rejections of calls that were sent before the backoff began are one with it.
+// recordRejection starts a backoff of base seconds, doubled for each recent rejection and randomized by draw so that proxies don't
+// return at the same moment. Calls sent before the last counted rejection met the same overload and don't count again.
 func (h *health) recordRejection(now, sentAt time.Duration, base, draw float64) {
 	if h.everRejected && sentAt < h.rejectedAt {
 		return
@@ -42,20 +42,21 @@
 	h.rejections = h.rejections*decay(now-h.rejectedAt, rejectionHalfLife) + 1
 	h.rejectedAt, h.everRejected = now, true
 	backoff := base * (0.5 + draw)
-	for i := 1; i < min(int(h.rejections), maxBackoffDoublings); i++ {
+	for i := 1; i < min(int(h.rejections), maxCountedRejections); i++ {
 		backoff *= 2
 	}
 	h.backoffUntil = max(h.backoffUntil, now+min(seconds(backoff), maxBackoff))
 }
 
-// recordFailure takes the failure of a call. One of a call that was sent before the newest answered one is out of date.
+// recordFailure counts a failed call, and ejects the endpoint after maxConsecutiveFailures. It ignores calls that were sent before
+// the newest answered one, as their failures are out of date.
 func (h *health) recordFailure(now, sentAt time.Duration, notRun bool) {
-	if h.everAnswered && sentAt < h.newestAnswered {
+	if h.everAnswered && sentAt < h.newestAnsweredSentAt {
 		return
 	}
 	h.lastFailureNotRun = notRun
 	h.consecutiveFailures++
-	if h.consecutiveFailures < maxFails {
+	if h.consecutiveFailures < maxConsecutiveFailures {
 		return
 	}
 	if !h.ejected {
@@ -64,21 +65,21 @@
 	h.ejected = true
 }
 
-// recordAnswer takes an answered call, which readmits the endpoint. It reports whether that was ejected.
+// recordAnswer records an answered call and readmits the endpoint. It reports whether the endpoint was ejected before.
 func (h *health) recordAnswer(sentAt time.Duration) (readmitted bool) {
 	readmitted = h.ejected
 	h.consecutiveFailures, h.ejected, h.overdue = 0, false, [callKinds]bool{}
 	h.rejections /= 2
-	h.newestAnswered, h.everAnswered = max(h.newestAnswered, sentAt), true
+	h.newestAnsweredSentAt, h.everAnswered = max(h.newestAnsweredSentAt, sentAt), true
 	return readmitted
 }
 
-// detectOverdue checks whether calls of a kind have been in flight for too long. Calls older than the newest answered one don't
-// count: the endpoint answers.
+// detectOverdue checks whether calls of a kind have been in flight for too long. Calls sent before the newest answered one don't
+// count, as the endpoint has answered since.
 func (e *endpoint) detectOverdue(now time.Duration, kind callKind, estimates *estimates) {
 	overdue := false
 	for _, a := range e.inFlight {
-		if a.answered || a.kind != kind || e.health.everAnswered && a.sentAt < e.health.newestAnswered {
+		if a.firstEventSeen || a.kind != kind || e.health.everAnswered && a.sentAt < e.health.newestAnsweredSentAt {
 			continue
 		}
 		bound := max(minOverdue, seconds(a.workScale*estimates.overdueAfter.Seconds()))
--- a/internal/tier/balancer/outlier_test.go
+++ b/internal/tier/balancer/outlier_test.go
@@ -44,12 +44,12 @@
 func TestSelect_EndpointEjected_GetsProbesOnly(t *testing.T) {
 	// Given a service where one endpoint's connections are reset.
 	balancer := newBalancer(endpointsOf("feeds", 3, 6))
-	now := trainTimes(t, balancer, 0, retryableRequest(), 30, 30*time.Millisecond)
+	now := callRepeatedly(t, balancer, 0, retryableRequest(), 30, 30*time.Millisecond)
 	ejected := "feeds-1"
 	others := []string{"feeds-0", "feeds-2"}
 	toEjected := retryableRequest()
 	toEjected.Excluded = others
-	for range maxFails {
+	for range maxConsecutiveFailures {
 		call(t, balancer, now, toEjected, IncompleteResponse, time.Millisecond)
 	}
 
@@ -74,7 +74,7 @@
 	now += 10 * time.Second
 	balancer.Select(now, retryableRequest())
 	for range 5 {
-		if got := call(t, balancer, now, onceOnlyRequest(), Success, time.Millisecond); got == ejected {
+		if got := call(t, balancer, now, atMostOnceRequest(), Success, time.Millisecond); got == ejected {
 			t.Error("a request that must not run twice was used as a probe")
 		}
 	}
@@ -87,8 +87,8 @@
 func TestSelect_CallOverdue_AvoidsEndpoint(t *testing.T) {
 	// Given a service of two, one of which stops answering.
 	balancer := newBalancer(endpointsOf("feeds", 2, 6))
-	now := trainTimes(t, balancer, 0, onceOnlyRequest(), 30, 30*time.Millisecond)
-	r := onceOnlyRequest()
+	now := callRepeatedly(t, balancer, 0, atMostOnceRequest(), 30, 30*time.Millisecond)
+	r := atMostOnceRequest()
 	r.Excluded = []string{"feeds-0"}
 	overdue := balancer.Select(now, r)
 	balancer.Sent(now, &overdue.Attempt)
@@ -96,7 +96,7 @@
 	// When a second has passed, then nothing else goes there.
 	now += time.Second
 	for range 20 {
-		if got := call(t, balancer, now, onceOnlyRequest(), Success, 30*time.Millisecond); got != "feeds-0" {
+		if got := call(t, balancer, now, atMostOnceRequest(), Success, 30*time.Millisecond); got != "feeds-0" {
 			t.Fatal("a request went to the endpoint that doesn't answer")
 		}
 		now += 10 * time.Millisecond
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -152,7 +152,7 @@
 		k++
 	}
 	w.serial++
-	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.clock.now, returnsLeft: 1,
+	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.clock.now, resubmissionsLeft: 1,
 		proxy: w.proxies[w.clock.arrivalRandom.IntN(len(w.proxies))]}
 	if w.clock.now > 3*time.Second { // what is learnt counts, not the learning
 		w.stats.requests++
@@ -163,18 +163,18 @@
 
 // simulatedClient is one request on its way through a proxy.
 type simulatedClient struct {
-	simulation   *plainSimulation
-	id           uint64
-	kind         *plainRequestKind
-	proxy        *simulatedProxy
-	startedAt    time.Duration
-	queuedUntil  time.Duration // bound of its wait in the queue; 0: it hasn't waited
-	returnsLeft  int           // times that the client comes again after a rejection
-	attempts     int
-	mayHaveRun   bool
-	afterTimeout bool
-	measured     bool
-	excluded     []string
+	simulation        *plainSimulation
+	id                uint64
+	kind              *plainRequestKind
+	proxy             *simulatedProxy
+	startedAt         time.Duration
+	queuedUntil       time.Duration // bound of its wait in the queue; 0: it hasn't waited
+	resubmissionsLeft int           // times that the client comes again after a rejection
+	attempts          int
+	mayHaveRun        bool
+	afterTimeout      bool
+	measured          bool
+	excluded          []string
 }
 
 func (c *simulatedClient) timeLeft() time.Duration {
@@ -245,10 +245,10 @@
 	if c.measured {
 		c.simulation.stats.rejected++
 	}
-	if c.mayHaveRun || c.returnsLeft == 0 || after > c.timeLeft()/3 {
+	if c.mayHaveRun || c.resubmissionsLeft == 0 || after > c.timeLeft()/3 {
 		return
 	}
-	c.returnsLeft--
+	c.resubmissionsLeft--
 	c.attempts, c.excluded, c.queuedUntil = 0, nil, 0
 	c.proxy = c.simulation.proxies[c.simulation.clock.arrivalRandom.IntN(len(c.simulation.proxies))]
 	c.simulation.clock.after(after, c.attempt)
--- a/internal/tier/balancer/plan.go
+++ b/internal/tier/balancer/plan.go
@@ -7,25 +7,25 @@
 	"mastusher/control"
 )
 
-// How the plan of a service is kept.
+// Parameters of a service's plan.
 const (
-	maxCallTime         = 16 * workUnit // slower calls, and failures, count as this
-	maxPlannedAttempts  = 4             // attempts that a plan looks ahead
-	solveInterval       = 50 * time.Millisecond
-	solveIntervalTables = 64 // tables above which the interval grows in proportion
-	maxPlanAge          = time.Second
-	minTableCalls       = 0.02 // decayed calls of a table, below which it is dropped
-	overdueFactor       = 2.5  // times the 90th percentile, after which a call is overdue
+	maxCallTime         = 16 * workUnit         // time that failed calls and slower ones count as
+	maxPlannedAttempts  = 4                     // attempts of a request that a plan covers
+	solveInterval       = 50 * time.Millisecond // the least time between solutions, while the list stays
+	solveIntervalTables = 64                    // number of tables above which solveInterval grows in proportion
+	maxPlanAge          = time.Second           // after which a plan is solved again even if no call has ended
+	minTableCalls       = 0.02                  // decayed number of calls below which a table is dropped
+	overdueFactor       = 2.5                   // multiple of the 90th percentile after which a call is overdue
 )
 
-// estimates is what a solved plan says of an endpoint, in units of work.
+// estimates holds what a solved plan predicts for an endpoint. The times are those of a request whose work is one workUnit.
 type estimates struct {
-	expected      [maxPlannedAttempts + 1]float64 // s, by attempts left
+	expected      [maxPlannedAttempts + 1]float64 // in seconds, by attempts left
 	timeout       [maxPlannedAttempts + 1]time.Duration
-	untilDeadline [maxPlannedAttempts + 1]bool // a timeout wouldn't pay
+	untilDeadline [maxPlannedAttempts + 1]bool // a timeout wouldn't shorten the expected time
 	median        time.Duration
 	overdueAfter  time.Duration
-	known         bool // there are enough calls for an estimate
+	known         bool // there are enough calls for estimates
 }
 
 // endpointStats is the table of one endpoint for one kind of call.
@@ -35,22 +35,22 @@
 	estimates estimates
 }
 
-// callPlan is the tables of a service for one kind of call, and the plan solved from them.
+// callPlan holds the tables of a service for one kind of call, and the plan solved from them.
 type callPlan struct {
 	kind            callKind
 	planner         *control.Planner
-	serviceTimes    *control.LatencyTable // all calls of the service
-	unsampled       endpointStats         // stands for the endpoints without a table
-	sampled         []*endpointStats
-	poolTables      []*control.LatencyTable // of the last refresh; kept for their memory
+	serviceTimes    *control.LatencyTable   // all calls of the service
+	unsampled       endpointStats           // for all endpoints without a table of their own; pooled from the service's calls
+	sampled         []*endpointStats        // of the endpoints that have a table
+	poolTables      []*control.LatencyTable // scratch slices of refresh, reused
 	solveTables     []*control.LatencyTable
-	maxAttemptsLeft int  // the most attempts that a request has had left
-	stale           bool // calls have ended since it was solved
-	changed         bool // the list or maxAttemptsLeft has changed since
+	maxAttemptsLeft int  // the most attempts left of any request so far
+	stale           bool // calls have ended since the plan was solved
+	changed         bool // the list, the versions or maxAttemptsLeft have changed since then
 	solvedAt        time.Duration
 }
 
-// newCallPlan returns a plan without any call, which the first refresh solves.
+// newCallPlan returns a plan without calls; the first refresh solves it.
 func newCallPlan(kind callKind) *callPlan {
 	planner := control.NewPlanner(maxCallTime)
 	p := &callPlan{kind: kind, planner: planner, serviceTimes: planner.NewTable()}
@@ -58,7 +58,7 @@
 	return p
 }
 
-// statsFor returns the endpoint's table, which it creates if necessary.
+// statsFor returns the endpoint's table and estimates, and creates them if necessary.
 func (p *callPlan) statsFor(e *endpoint) *endpointStats {
 	if e.stats[p.kind] == nil {
 		stats := &endpointStats{endpoint: e, times: p.planner.NewTable(), estimates: p.unsampled.estimates}
@@ -68,7 +68,7 @@
 	return e.stats[p.kind]
 }
 
-// estimatesFor is what the plan says of an endpoint.
+// estimatesFor returns the estimates of an endpoint: its own, or the pooled ones if it has no table.
 func (p *callPlan) estimatesFor(e *endpoint) *estimates {
 	if stats := e.stats[p.kind]; stats != nil {
 		return &stats.estimates
@@ -76,7 +76,7 @@
 	return &p.unsampled.estimates
 }
 
-// needsSolve reports whether the plan is to be solved again, for requests with so many attempts left.
+// needsSolve reports whether the plan must be solved again before a request with attemptsLeft attempts can use it.
 func (p *callPlan) needsSolve(now time.Duration, attemptsLeft int) bool {
 	if attemptsLeft > p.maxAttemptsLeft {
 		p.maxAttemptsLeft, p.changed = attemptsLeft, true
@@ -88,7 +88,7 @@
 	return p.changed || p.stale && age >= interval || age >= max(maxPlanAge, interval)
 }
 
-// refresh solves the plan again where that is due. Unhealthy endpoints and those in backoff take no part in the solution.
+// refresh solves the plan again if necessary. Unhealthy endpoints and those in backoff are left out of the solution.
 func (p *callPlan) refresh(now time.Duration, attemptsLeft int) {
 	if !p.needsSolve(now, attemptsLeft) {
 		return
@@ -112,7 +112,8 @@
 	}
 }
 
-// evict drops the tables of endpoints that have left the list, and those whose calls have decayed to next to nothing.
+// evict drops the tables of endpoints that have left the list, and tables with fewer than minTableCalls calls; but none of an endpoint
+// with attempts in flight.
 func (p *callPlan) evict(now time.Duration) {
 	p.sampled = slices.DeleteFunc(p.sampled, func(stats *endpointStats) bool {
 		drop := len(stats.endpoint.inFlight) == 0 && (!stats.endpoint.listed || stats.times.Count(now) < minTableCalls)
@@ -123,7 +124,7 @@
 	})
 }
 
-// resetStats gives a readmitted endpoint an empty table: its calls from before the ejection say little of it now.
+// resetStats gives a readmitted endpoint an empty table, as its calls from before the ejection no longer predict its times.
 func (p *callPlan) resetStats(e *endpoint) {
 	if stats := e.stats[p.kind]; stats != nil {
 		stats.times = p.planner.NewTable()
@@ -131,7 +132,7 @@
 	}
 }
 
-// update reads what the solution says of a table, for requests with up to maxAttemptsLeft attempts.
+// update sets the estimates to the solution's results for a table, for requests with up to maxAttemptsLeft attempts.
 func (f *estimates) update(solution control.Plan, table *control.LatencyTable, maxAttemptsLeft int) {
 	f.known = table.Known()
 	if !f.known {
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -22,8 +22,8 @@
 
 // randomRun drives a balancer at random, and checks each decision.
 type randomRun struct {
-	rt           *rapid.T
-	s            *Balancer
+	t            *rapid.T
+	balancer     *Balancer
 	now          time.Duration
 	list         []model.Endpoint
 	target       string
@@ -39,35 +39,35 @@
 const runMaxInFlight = 16
 
 func newRandomRun(rt *rapid.T, seed uint64) *randomRun {
-	return &randomRun{rt: rt, s: New(Options{Zone: "z0", Seed: seed, MaxInFlight: runMaxInFlight}), backoffs: map[string]time.Duration{}}
+	return &randomRun{t: rt, balancer: New(Options{Zone: "z0", Seed: seed, MaxInFlight: runMaxInFlight}), backoffs: map[string]time.Duration{}}
 }
 
 func (w *randomRun) changeEndpoints() {
 	w.list = nil
-	n := rapid.IntRange(0, 9).Draw(w.rt, "endpoints")
-	if rapid.IntRange(0, 9).Draw(w.rt, "large") == 0 {
+	n := rapid.IntRange(0, 9).Draw(w.t, "endpoints")
+	if rapid.IntRange(0, 9).Draw(w.t, "large") == 0 {
 		n = 80
 	}
 	for i, e := range endpointsOf("feeds", n, 2) {
 		if i%5 == 3 {
 			e.Version = "v2"
 		}
-		if i < 12 && rapid.IntRange(0, 5).Draw(w.rt, "draining") == 0 {
+		if i < 12 && rapid.IntRange(0, 5).Draw(w.t, "draining") == 0 {
 			e.State = model.Draining
 		}
 		w.list = append(w.list, e)
 	}
-	w.s.SetEndpoints(w.now, slices.Clone(w.list))
+	w.balancer.SetEndpoints(w.now, slices.Clone(w.list))
 }
 
 func (w *randomRun) changeVersions() {
-	w.share = rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(w.rt, "share")
-	w.target = rapid.SampledFrom([]string{"", "v2"}).Draw(w.rt, "target")
-	w.s.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: w.target, TrafficShare: w.share}})
+	w.share = rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(w.t, "share")
+	w.target = rapid.SampledFrom([]string{"", "v2"}).Draw(w.t, "target")
+	w.balancer.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: w.target, TrafficShare: w.share}})
 }
 
 func (w *randomRun) request() Request {
-	rt := w.rt
+	rt := w.t
 	r := Request{
 		Service:      "feeds",
 		Route:        Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "route"), Kind: model.Retryable, MaxAttempts: 3},
@@ -89,13 +89,13 @@
 	return r
 }
 
-func (w *randomRun) choose() {
+func (w *randomRun) startAttempt() {
 	r := w.request()
-	d := w.s.Select(w.now, r)
+	d := w.balancer.Select(w.now, r)
 	at := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
 	if d.Endpoint == nil {
 		if d.Rejection.Kind == NotRejected {
-			w.rt.Fatal("neither an endpoint nor a rejection")
+			w.t.Fatal("neither an endpoint nor a rejection")
 		}
 		w.trace = append(w.trace, at)
 		return
@@ -104,7 +104,7 @@
 	w.trace = append(w.trace, at)
 	w.check(&r, &d)
 	attempt := d.Attempt
-	w.s.Sent(w.now, &attempt)
+	w.balancer.Sent(w.now, &attempt)
 	w.inFlight, w.sentAt = append(w.inFlight, &attempt), append(w.sentAt, w.now)
 	if w.sent++; d.Endpoint.Version == "v2" {
 		w.sentToTarget++
@@ -113,28 +113,28 @@
 
 func (w *randomRun) check(r *Request, d *Decision) {
 	i := slices.IndexFunc(w.list, func(e model.Endpoint) bool { return e.ID == d.Endpoint.ID })
-	e := w.s.endpoints[d.Endpoint.ID]
+	e := w.balancer.endpoints[d.Endpoint.ID]
 	switch {
 	case i < 0 || w.list[i].State != model.Ready:
-		w.rt.Fatalf("%s is draining or not listed", d.Endpoint.ID)
+		w.t.Fatalf("%s is draining or not listed", d.Endpoint.ID)
 	case w.list[i].Version != "v1" && (w.target == "" || w.share == 0):
-		w.rt.Fatalf("%s is of a version that takes nothing", d.Endpoint.ID)
+		w.t.Fatalf("%s is of a version that takes nothing", d.Endpoint.ID)
 	case slices.Contains(r.Excluded, d.Endpoint.ID):
-		w.rt.Fatalf("%s is excluded", d.Endpoint.ID)
+		w.t.Fatalf("%s is excluded", d.Endpoint.ID)
 	case d.Timeout > r.TimeLeft || d.Timeout <= 0 || d.UntilDeadline && d.Timeout != r.TimeLeft:
-		w.rt.Fatalf("timeout %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
+		w.t.Fatalf("timeout %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
 	case !r.Retryable && (!d.UntilDeadline || r.MayHaveRun):
-		w.rt.Fatal("a request that must not run twice is cut, or sent again")
+		w.t.Fatal("a request that must not run twice is cut, or sent again")
 	case len(e.inFlight) >= runMaxInFlight*3/4 || e.health.consecutiveFailures > 0 && len(e.inFlight) >= runMaxInFlight/2:
-		w.rt.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.inFlight))
+		w.t.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.inFlight))
 	case w.now < w.backoffs[d.Endpoint.ID]:
-		w.rt.Fatalf("%s must not be called before %v", d.Endpoint.ID, w.backoffs[d.Endpoint.ID])
+		w.t.Fatalf("%s must not be called before %v", d.Endpoint.ID, w.backoffs[d.Endpoint.ID])
 	case len(w.inFlight) >= runMaxInFlight:
-		w.rt.Fatal("more calls than slots")
+		w.t.Fatal("more calls than slots")
 	}
 	k := e.service.plan(d.Attempt.kind)
 	if f := k.estimatesFor(e); f.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(f.median)) {
-		w.rt.Fatal("a request is sent with less time left than the median")
+		w.t.Fatal("a request is sent with less time left than the median")
 	}
 }
 
@@ -142,19 +142,19 @@
 	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.rt, "which")
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "which")
 	a, sentAt := w.inFlight[i], w.sentAt[i]
-	if a.kind == streamCall && rapid.Bool().Draw(w.rt, "first") {
-		w.s.FirstEvent(w.now, a, Load{Running: 1, Capacity: 2})
+	if a.kind == streamCall && rapid.Bool().Draw(w.t, "first") {
+		w.balancer.FirstEvent(w.now, a, Load{Running: 1, Capacity: 2})
 		return
 	}
 	w.inFlight, w.sentAt = slices.Delete(w.inFlight, i, i+1), slices.Delete(w.sentAt, i, i+1)
-	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(NotSent)).Draw(w.rt, "outcome")), Elapsed: w.now - sentAt}
-	if rapid.Bool().Draw(w.rt, "told") {
-		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.rt, "running"), Capacity: 2,
-			Queued: rapid.IntRange(0, 2).Draw(w.rt, "waiting")}
+	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(NotSent)).Draw(w.t, "outcome")), Elapsed: w.now - sentAt}
+	if rapid.Bool().Draw(w.t, "told") {
+		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.t, "running"), Capacity: 2,
+			Queued: rapid.IntRange(0, 2).Draw(w.t, "waiting")}
 	}
-	w.s.Done(w.now, a, o)
+	w.balancer.Done(w.now, a, o)
 	w.backoffs[a.endpoint.model.ID] = a.endpoint.health.backoffUntil
 }
 
@@ -162,8 +162,8 @@
 	w.changeVersions()
 	w.changeEndpoints()
 	for range steps {
-		w.now += time.Duration(rapid.IntRange(0, 200).Draw(w.rt, "ms")) * time.Millisecond
-		switch rapid.IntRange(0, 20).Draw(w.rt, "what") {
+		w.now += time.Duration(rapid.IntRange(0, 200).Draw(w.t, "ms")) * time.Millisecond
+		switch rapid.IntRange(0, 20).Draw(w.t, "what") {
 		case 0:
 			w.changeEndpoints()
 		case 1:
@@ -171,7 +171,7 @@
 		case 2, 3, 4, 5, 6, 7, 8:
 			w.endAttempt()
 		default:
-			w.choose()
+			w.startAttempt()
 		}
 	}
 }
@@ -189,10 +189,10 @@
 		for len(w.inFlight) > 0 {
 			w.endAttempt()
 		}
-		if w.s.inFlight != 0 {
-			t.Fatalf("%d calls in flight", w.s.inFlight)
+		if w.balancer.inFlight != 0 {
+			t.Fatalf("%d calls in flight", w.balancer.inFlight)
 		}
-		for _, e := range w.s.endpoints {
+		for _, e := range w.balancer.endpoints {
 			if len(e.inFlight) != 0 || e.health.probesInFlight != 0 {
 				t.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.inFlight), e.health.probesInFlight)
 			}
--- a/internal/tier/balancer/queue.go
+++ b/internal/tier/balancer/queue.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// queueTimeDivisor gives the part of its latency target for which a request may be queued: one that is rejected by then still
-// earns about half of its value when it comes again.
+// queueTimeDivisor divides a request's latency target to give the time that it may be queued. A request that is rejected within that
+// time still has about half of its value when the client sends it again.
 const queueTimeDivisor = 4
 
-// QueuedRequest is one request that waits for capacity.
+// QueuedRequest is a request that waits for capacity.
 type QueuedRequest struct {
 	ID        uint64
 	Priority  int           // 0 is the most urgent
-	Deadline  time.Duration // of the request: within a priority, the earlier one goes first
-	ExpiresAt time.Duration // it is rejected if it is still queued then
+	Deadline  time.Duration // of the request; within a priority, the earliest deadline leaves first
+	ExpiresAt time.Duration // if still queued then, the request is rejected
 }
 
-// NewQueuedRequest returns a request that arrived at now, on a route with that latency target.
+// NewQueuedRequest returns a request that arrived at now on a route with the given latency target, and has timeLeft to its deadline.
 func NewQueuedRequest(id uint64, priority int, now, latencyTarget, timeLeft time.Duration) QueuedRequest {
 	return QueuedRequest{ID: id, Priority: priority, Deadline: now + timeLeft,
 		ExpiresAt: now + min(latencyTarget/queueTimeDivisor, timeLeft)}
@@ -34,12 +34,12 @@
 	return w.ExpiresAt < o.ExpiresAt || w.ExpiresAt == o.ExpiresAt && w.ID < o.ID
 }
 
-// Queue holds the requests of one service that wait for capacity: the most urgent one leaves first, and none waits beyond its
-// expiry. It is not safe for concurrent use.
+// Queue holds the requests of one service that wait for capacity. The most urgent one leaves first; the caller removes expired ones
+// with PopExpired. It is not safe for concurrent use.
 type Queue struct {
 	limit      int
-	byPriority requestHeap // the first to leave on top
-	byExpiry   requestHeap // the first to expire on top
+	byPriority requestHeap // the next to leave on top
+	byExpiry   requestHeap // the next to expire on top
 	entries    map[uint64]*queueEntry
 }
 
@@ -62,9 +62,9 @@
 // Len returns how many requests are queued.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Push queues w. Where the queue is full, the request that would leave last is rejected: it is returned, and may be w. A request
-// that is queued already is rejected too.
-func (q *Queue) Push(w QueuedRequest) (rejected QueuedRequest, full bool) {
+// Push queues w. If the queue is full, it rejects the request that would leave last, which may be w; it also rejects w if that is
+// queued already. It returns the rejected request, and reports whether there is one.
+func (q *Queue) Push(w QueuedRequest) (rejected QueuedRequest, hasRejected bool) {
 	if q.entries[w.ID] != nil {
 		return w, true
 	}
@@ -74,16 +74,16 @@
 			return w, true
 		}
 		q.Remove(last.ID)
-		rejected, full = last.QueuedRequest, true
+		rejected, hasRejected = last.QueuedRequest, true
 	}
 	e := &queueEntry{QueuedRequest: w}
 	q.entries[w.ID] = e
 	heap.Push(&q.byPriority, e)
 	heap.Push(&q.byExpiry, e)
-	return rejected, full
+	return rejected, hasRejected
 }
 
-// last is the request that would leave last.
+// last returns the request that would leave last. The queue must not be empty.
 func (q *Queue) last() *queueEntry {
 	last := q.byPriority.entries[0]
 	for _, e := range q.byPriority.entries {
@@ -94,7 +94,7 @@
 	return last
 }
 
-// Pop removes and returns the most urgent request; false: none is queued.
+// Pop removes and returns the most urgent request. It returns false if the queue is empty.
 func (q *Queue) Pop() (QueuedRequest, bool) {
 	w, ok := q.Peek()
 	if ok {
@@ -103,10 +103,10 @@
 	return w, ok
 }
 
-// Peek returns the request that Pop would remove.
+// Peek returns the most urgent request without removing it. It returns false if the queue is empty.
 func (q *Queue) Peek() (QueuedRequest, bool) { return q.byPriority.peek() }
 
-// PopExpired removes and returns one request that has expired and is to be rejected; false: none has.
+// PopExpired removes and returns one expired request, which the caller must reject. It returns false if none has expired.
 func (q *Queue) PopExpired(now time.Duration) (QueuedRequest, bool) {
 	w, ok := q.byExpiry.peek()
 	if !ok || w.ExpiresAt > now {
@@ -116,13 +116,13 @@
 	return w, true
 }
 
-// NextExpiry returns when the next request expires; false: none is queued.
+// NextExpiry returns when the next request expires. It returns false if the queue is empty.
 func (q *Queue) NextExpiry() (time.Duration, bool) {
 	w, ok := q.byExpiry.peek()
 	return w.ExpiresAt, ok
 }
 
-// Remove takes out a request whose client has gone, and reports whether it was queued.
+// Remove removes a request, for example because its client has gone, and reports whether it was queued.
 func (q *Queue) Remove(id uint64) bool {
 	e := q.entries[id]
 	if e == nil {
@@ -134,14 +134,14 @@
 	return true
 }
 
-// requestHeap is a heap of entries, each of which knows its index in it. It implements heap.Interface.
+// requestHeap is a heap of entries, each of which stores its index in the heap. It implements heap.Interface.
 type requestHeap struct {
 	entries   []*queueEntry
-	indexSlot int // which of an entry's heapIndexes is that in this heap
+	indexSlot int // which of an entry's heapIndexes belongs to this heap
 	before    func(a, b *QueuedRequest) bool
 }
 
-// peek returns the request on top; false: the heap is empty.
+// peek returns the request on top. It returns false if the heap is empty.
 func (h *requestHeap) peek() (QueuedRequest, bool) {
 	if len(h.entries) == 0 {
 		return QueuedRequest{}, false
@@ -163,14 +163,14 @@
 	h.entries[i].heapIndexes[h.indexSlot], h.entries[j].heapIndexes[h.indexSlot] = i, j
 }
 
-// Push appends an entry for package heap.
+// Push implements heap.Interface: it appends an entry.
 func (h *requestHeap) Push(x any) {
 	e := x.(*queueEntry)
 	e.heapIndexes[h.indexSlot] = len(h.entries)
 	h.entries = append(h.entries, e)
 }
 
-// Pop removes the last entry for package heap.
+// Pop implements heap.Interface: it removes the last entry.
 func (h *requestHeap) Pop() any {
 	last := h.entries[len(h.entries)-1]
 	h.entries[len(h.entries)-1] = nil
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -6,103 +6,103 @@
 	"mastusher/internal/tier/model"
 )
 
-// Route is what the balancer needs to know of a request's route.
+// Route holds the settings of a request's route that the balancer uses.
 type Route struct {
-	Name         string // names the statistics of its work
+	Name         string // key of the route's statistics
 	Priority     int    // 0 is the most urgent
 	Kind         model.RouteKind
-	MaxAttempts  int  // endpoints that one request may be sent to; below 1: one
-	UsesAffinity bool // an endpoint is faster on what it has lately served
+	MaxAttempts  int  // attempts that one request may make; below 1: one
+	UsesAffinity bool // endpoints are faster on an AffinityKey that they have recently served
 }
 
-// Request is one request that needs an endpoint, for its first attempt or for a retry.
+// Request is a request that needs an endpoint, for its first attempt or for a retry.
 type Request struct {
 	Service      string
 	Route        Route
-	Retryable    bool // it may run more than once
+	Retryable    bool // the request may run more than once
 	TimeLeft     time.Duration
 	AttemptsUsed int // attempts that count against MaxAttempts
 
-	// MayHaveRun says that an earlier attempt may have run: the request is then sent only if it is retryable, and its attempt
-	// draws on the retry budget.
+	// MayHaveRun says that an earlier attempt may have run. The request is then sent only if it is retryable, and the attempt is
+	// charged to the retry budget.
 	MayHaveRun bool
 	// AfterTimeout says that the last attempt was abandoned at its planned timeout.
 	AfterTimeout bool
-	// AffordableAttempts is how many more attempts its program's budget pays for, this one included; 0: not bounded.
+	// AffordableAttempts is how many more attempts the budget of the request's program pays for, including this one; 0: no limit.
 	AffordableAttempts int
-	// Excluded holds the IDs of endpoints that it must not be sent to, as it has been sent there before.
+	// Excluded holds the IDs of endpoints that the request must not be sent to, as it has been sent there before.
 	Excluded []string
 
-	AffinityKey  uint64 // hash of its program, session or subject; 0: none
-	PrefixTokens int    // prompt tokens that an endpoint which has lately served this affinity has in its cache
-	NewTokens    int    // prompt tokens that any endpoint has to read
-	OutTokens    int    // to be generated
+	AffinityKey  uint64 // hash of the request's program, session or subject; 0: none
+	PrefixTokens int    // prompt tokens cached by an endpoint that has recently served this AffinityKey
+	NewTokens    int    // prompt tokens that no endpoint has cached
+	OutTokens    int    // tokens to be generated
 }
 
-// Decision says where an attempt goes and how long it may last, or why the request is rejected.
+// Decision says to which endpoint an attempt is sent and how long it may last, or why the request is rejected.
 type Decision struct {
-	Endpoint      *model.Endpoint // nil: rejected; what it points to never changes
-	Timeout       time.Duration   // of a stream: until its first event, unless UntilDeadline
-	UntilDeadline bool            // the attempt lasts as long as the request may, and Timeout is that time
+	Endpoint      *model.Endpoint // nil if rejected; must not be modified
+	Timeout       time.Duration   // of a stream: until its first event, unless UntilDeadline is set
+	UntilDeadline bool            // the attempt may last until the request's deadline; Timeout is the time left until then
 	Rejection     Rejection
-	Attempt       Attempt // to be handed to Sent
+	Attempt       Attempt // to be copied and passed to Sent
 }
 
-// RejectionKind says why a request isn't sent.
+// RejectionKind is the reason for a rejection.
 type RejectionKind uint8
 
 // The kinds of rejection.
 const (
 	NotRejected       RejectionKind = iota
 	DeadlineTooShort                // less time is left than the selected endpoint's median
-	NoEndpoint                      // no endpoint may take it
-	Saturated                       // all that may take it are at capacity or in backoff
-	AttemptsExhausted               // its attempts, its program's budget or the retry budget are used up
+	NoEndpoint                      // no endpoint may take the request
+	Saturated                       // all endpoints that may take the request are at capacity or in backoff
+	AttemptsExhausted               // the request's time or attempts, its program's budget or the retry budget are used up
 )
 
-// rejectionText has the text of each kind, as logs and tests show it.
+// rejectionText holds the name of each kind, by kind.
 var rejectionText = [...]string{"not rejected", "deadline too short", "no endpoint", "saturated", "attempts exhausted"}
 
-// String names the kind.
+// String returns the name of the kind.
 func (k RejectionKind) String() string { return rejectionText[k] }
 
-// Rejection says why a request isn't sent, and after which time a client should come again.
+// Rejection says why a request isn't sent, and after which time the client should retry.
 type Rejection struct {
 	Kind       RejectionKind
 	RetryAfter time.Duration
 }
 
-// OutcomeKind says how an attempt ended.
+// OutcomeKind is the way in which an attempt ended.
 type OutcomeKind uint8
 
 // The kinds of outcome.
 const (
 	Success            OutcomeKind = iota
-	ErrorStatus                    // the endpoint answered with a failure of its own
-	NotRun                         // the endpoint promised that the attempt has not run and never will
+	ErrorStatus                    // the endpoint answered that it failed
+	NotRun                         // the endpoint answered that the attempt has not run and never will
 	IncompleteResponse             // the connection broke before the response was complete
-	TimedOut                       // the decision's timeout fired
-	Cancelled                      // the client has gone, or the attempt was cancelled
-	ConnectFailure                 // no connection came up: nothing was sent
-	Misdirected                    // the address answered that it isn't this endpoint
-	NotSent                        // it was cancelled before anything was sent, and says nothing of the endpoint
+	TimedOut                       // the attempt reached the Timeout of its Decision
+	Cancelled                      // the client has gone, or the attempt was cancelled after it was sent
+	ConnectFailure                 // no connection could be established, so nothing was sent
+	Misdirected                    // the server at the address answered that it isn't this endpoint
+	NotSent                        // the attempt was cancelled before anything was sent, which says nothing about the endpoint
 )
 
-// Load is an endpoint's report of its own load; without a Capacity there was no report.
+// Load is an endpoint's report of its own load. Capacity 0 means that there was no report.
 type Load struct {
 	Running, Queued, Capacity int
 }
 
-// Outcome is the end of an attempt.
+// Outcome describes the end of an attempt.
 type Outcome struct {
 	Kind    OutcomeKind
 	Elapsed time.Duration // from Sent to the end
 	Load    Load
-	Tokens  int // generated
+	Tokens  int // generated tokens
 }
 
-// Attempt is one attempt between Select and Done. The caller must copy it from the Decision to a place of its own, and hand
-// the same pointer to Sent, FirstEvent and Done.
+// Attempt is the balancer's record of an attempt. The caller must copy it from the Decision, and pass a pointer to the same copy to
+// Sent, FirstEvent and Done.
 type Attempt struct {
 	endpoint        *endpoint
 	kind            callKind
@@ -111,18 +111,18 @@
 	affinityKey     uint64
 	promptTokens    float64
 	outputTokens    float64
-	workScale       float64 // predicted work in units
-	expected        time.Duration
+	workScale       float64       // predicted work as a multiple of workUnit
+	expected        time.Duration // expected time by the plan, in units of work
 	sentAt          time.Duration
 	firstEventAt    time.Duration
 	sent            bool // between Sent and Done
-	answered        bool // its first event has come
+	firstEventSeen  bool // its first event has arrived
 	probe           bool
 	usesRetryBudget bool
-	afterTimeout    bool // it follows an attempt that was abandoned at its planned timeout
+	afterTimeout    bool // the previous attempt was abandoned at its planned timeout
 }
 
-// callKind selects one of an endpoint's tables.
+// callKind distinguishes plain calls from streams; an endpoint has a table for each.
 type callKind uint8
 
 const (
--- a/internal/tier/balancer/retries_test.go
+++ b/internal/tier/balancer/retries_test.go
@@ -17,7 +17,7 @@
 	if sent != int(maxRetryBudget/2) {
 		t.Errorf("%d retries without a success, want %d", sent, int(maxRetryBudget/2))
 	}
-	now := trainTimes(t, balancer, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
+	now := callRepeatedly(t, balancer, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
 	if balancer.Select(now, r).Endpoint == nil {
 		t.Error("five successes earned no retry")
 	}
--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Bounds of a selection.
+// Limits of a selection.
 const (
-	maxShareHealthy      = 0.75 // of MaxInFlight, for one endpoint
-	maxShareUnhealthy    = 0.5  // of it, for one whose calls are overdue or fail
-	probeTimeoutFactor   = 3.0  // times the median, that a retryable probe may last
+	maxShareHealthy      = 0.75 // of MaxInFlight, that one healthy endpoint may hold
+	maxShareUnhealthy    = 0.5  // of MaxInFlight, that an endpoint whose calls are overdue or fail may hold
+	probeTimeoutFactor   = 3.0  // multiple of the pooled median that a retryable probe may last
 	minRetryAfter        = 50 * time.Millisecond
 	noEndpointRetryAfter = 500 * time.Millisecond
 )
 
-// selection is the state of one Select.
+// selection is the state of one call of Select.
 type selection struct {
-	now          time.Duration
-	request      *Request
-	plan         *callPlan
-	attemptsLeft int       // this one included, as far as the plan looks ahead; 1 if the request isn't retryable
-	workScale    float64   // the request's work in units
-	prefixCost   float64   // s of prefill of its prefix
-	preferred    *endpoint // of its affinity, by rendezvous hashing; nil: it has none
-	lastServed   *endpoint // that served its affinity last
-	retryable    bool
-	othersShare  float64 // the mean share of an endpoint's capacity that other proxies take
+	now           time.Duration
+	request       *Request
+	plan          *callPlan
+	attemptsLeft  int       // including this one, at most maxPlannedAttempts; 1 if the request isn't retryable
+	workScale     float64   // predicted work of the request as a multiple of workUnit
+	cacheMissCost float64   // cost in seconds of serving the request at an endpoint without its prefix
+	preferred     *endpoint // for the request's affinity key, by rendezvous hashing; nil without affinity
+	lastServed    *endpoint // to get the affinity key from this proxy; nil if unknown
+	retryable     bool
+	othersShare   float64 // mean share of an endpoint's capacity that other proxies take
 
 	best, bestUnhealthy, probeCandidate *endpoint
 	bestCost, bestUnhealthyCost         float64
-	hasHealthy                          bool          // available or not; a request that isn't retryable waits for it
-	available                           int           // healthy endpoints that would take the request
+	hasHealthy                          bool          // a healthy endpoint exists, even if it can't take the request now (see consider)
+	available                           int           // number of healthy endpoints that can take the request
 	earliestBackoffEnd                  time.Duration // 0: no endpoint is in backoff
-	saturated                           bool          // an endpoint that may take the request is at capacity or in backoff
+	saturated                           bool          // an endpoint that could otherwise take the request is at capacity or in backoff
 }
 
-// Select decides where the next attempt of a request goes. Beside solving the plan it changes nothing that a later selection
-// depends on: an attempt counts from Sent on.
+// Select selects an endpoint and a timeout for the next attempt of a request, or rejects the request. The attempt counts as in flight
+// only from Sent on.
 func (b *Balancer) Select(now time.Duration, r Request) Decision {
 	b.advance(now)
 	svc := b.services[r.Service]
@@ -58,7 +58,7 @@
 	}
 	e := b.selectEndpoint(&sel, svc)
 	if e == nil {
-		return sel.rejectAll()
+		return sel.rejectWithoutEndpoint()
 	}
 	decision := sel.decide(svc, e)
 	decision.Attempt.route, decision.Attempt.routeName = route, r.Route.Name
@@ -66,7 +66,7 @@
 	return decision
 }
 
-// newSelection predicts the request's work and brings the plan up to date.
+// newSelection predicts the request's work and refreshes the plan.
 func (b *Balancer) newSelection(svc *service, r *Request, route *routeWork, left int) selection {
 	sel := selection{now: b.now, request: r, plan: svc.plan(kindOf(r.Route.Kind)), attemptsLeft: min(left, maxPlannedAttempts)}
 	if sel.retryable = r.Retryable; !sel.retryable {
@@ -78,10 +78,10 @@
 	return sel
 }
 
-// selectEndpoint selects from the group of versions whose turn it is, or from the other one if it has no healthy endpoint.
+// selectEndpoint selects an endpoint of the version that selectGroup returns, or of the other version if none of those is healthy.
 func (b *Balancer) selectEndpoint(sel *selection, svc *service) *endpoint {
 	group := svc.selectGroup(sel.request.AffinityKey, sel.request.Route.Name)
-	e := b.selectIn(sel, svc, group)
+	e := b.selectFromGroup(sel, svc, group)
 	if e != nil && !e.unhealthy() {
 		return e
 	}
@@ -89,23 +89,24 @@
 	if fallback == nil {
 		return e
 	}
-	if other := b.selectIn(sel, svc, fallback); other != nil && (e == nil || !other.unhealthy()) {
+	if other := b.selectFromGroup(sel, svc, fallback); other != nil && (e == nil || !other.unhealthy()) {
 		return other
 	}
 	return e
 }
 
-// selectIn selects from one group.
-func (b *Balancer) selectIn(sel *selection, svc *service, group *versionGroup) *endpoint {
+// selectFromGroup selects an endpoint of one group; nil: none can take the request.
+func (b *Balancer) selectFromGroup(sel *selection, svc *service, group *versionGroup) *endpoint {
 	sel.best, sel.bestUnhealthy, sel.probeCandidate, sel.preferred, sel.lastServed = nil, nil, nil, nil, nil
 	sel.bestCost, sel.bestUnhealthyCost, sel.available, sel.hasHealthy = math.Inf(1), math.Inf(1), 0, false
-	sel.othersShare = svc.load.expectedShare(b.now)
-	b.findAffinity(sel, svc, group)
+	sel.othersShare = svc.load.expectedOthersShare(b.now)
+	b.resolveAffinity(sel, svc, group)
 	b.scanCandidates(sel, group, group.candidates(svc, sel.plan, b.now))
-	return sel.winner(svc)
+	return sel.chooseCandidate(svc)
 }
 
-// scanCandidates considers the candidates, and all endpoints of the group if none of the candidates takes the request.
+// scanCandidates considers the candidates, the endpoints that may have the request's prefix, and all endpoints of the group if no
+// healthy one has been found by then.
 func (b *Balancer) scanCandidates(sel *selection, group *versionGroup, candidates []*endpoint) {
 	for _, e := range candidates {
 		b.consider(sel, e)
@@ -126,7 +127,8 @@
 	}
 }
 
-// consider compares one endpoint with the best so far.
+// consider compares an endpoint with the best one so far. An excluded endpoint can't be selected; for a request that isn't retryable it
+// still counts in hasHealthy, so that the request isn't sent to an unhealthy endpoint instead.
 func (b *Balancer) consider(sel *selection, candidate *endpoint) {
 	if !candidate.ready {
 		return
@@ -160,7 +162,7 @@
 	}
 }
 
-// considerUnhealthy compares an unhealthy endpoint with the best of those, and with the probe that is due first.
+// considerUnhealthy compares an unhealthy endpoint with the best unhealthy one so far, and with the one whose probe is due first.
 func (sel *selection) considerUnhealthy(e *endpoint, cost float64) {
 	if cost < sel.bestUnhealthyCost {
 		sel.bestUnhealthy, sel.bestUnhealthyCost = e, cost
@@ -173,7 +175,7 @@
 	}
 }
 
-// maxInFlightTo bounds the attempts of this proxy at one endpoint.
+// maxInFlightTo returns how many attempts of this proxy may be in flight to an endpoint.
 func (b *Balancer) maxInFlightTo(e *endpoint) int {
 	share := maxShareHealthy
 	if e.unhealthy() || e.health.consecutiveFailures > 0 {
@@ -182,8 +184,8 @@
 	return max(1, int(share*float64(b.options.MaxInFlight)))
 }
 
-// winner decides between the best endpoint, a probe, and, where no healthy endpoint is left, the best unhealthy one.
-func (sel *selection) winner(svc *service) *endpoint {
+// chooseCandidate chooses between the best healthy endpoint, a probe, and, if no endpoint is healthy, the best unhealthy one.
+func (sel *selection) chooseCandidate(svc *service) *endpoint {
 	switch {
 	case sel.best == nil && !sel.hasHealthy:
 		return sel.bestUnhealthy
@@ -193,7 +195,8 @@
 	return sel.best
 }
 
-// mayProbe reports whether the request may be risked as a probe: it can be retried, or no request comes that could be.
+// mayProbe reports whether the request may be used as a probe: it can be retried, or the last failed call at the endpoint certainly
+// didn't run, or no retryable request has come recently. A request that has used an attempt already is never a probe.
 func (sel *selection) mayProbe(svc *service) bool {
 	switch {
 	case sel.request.AttemptsUsed > 0:
@@ -204,13 +207,13 @@
 	return sel.probeCandidate.health.lastFailureNotRun || !svc.sawRetryable || sel.now-svc.lastRetryableAt > retryableAbsence
 }
 
-// reject returns the decision not to send a request.
+// reject returns the decision to reject a request.
 func reject(kind RejectionKind, after time.Duration) Decision {
 	return Decision{Rejection: Rejection{Kind: kind, RetryAfter: after}}
 }
 
-// rejectAll rejects a request that no endpoint takes.
-func (sel *selection) rejectAll() Decision {
+// rejectWithoutEndpoint rejects a request that no endpoint can take: as Saturated if waiting may help, else with NoEndpoint.
+func (sel *selection) rejectWithoutEndpoint() Decision {
 	if !sel.saturated && !sel.hasHealthy {
 		return reject(NoEndpoint, noEndpointRetryAfter)
 	}
@@ -221,12 +224,13 @@
 	return reject(Saturated, after)
 }
 
-// retryAfter is about how long it takes until an endpoint has capacity again.
+// retryAfter estimates how long it takes until an endpoint has capacity again: half of the request's expected time.
 func (sel *selection) retryAfter() time.Duration {
 	return max(minRetryAfter, seconds(sel.workScale*sel.plan.unsampled.estimates.expected[1]/2))
 }
 
-// decide sets the timeout of the attempt by the plan.
+// decide returns the decision to send the request to an endpoint, with a timeout by the plan; or rejects the request if less time is
+// left than the endpoint's median.
 func (sel *selection) decide(svc *service, e *endpoint) Decision {
 	estimates := sel.plan.estimatesFor(e)
 	left := sel.request.TimeLeft
@@ -246,7 +250,8 @@
 	return decision
 }
 
-// hasRetryFor reports whether a timeout would leave the request a retry: one that the budget allows, at another endpoint.
+// hasRetryFor reports whether the request could be retried after a timeout: the retry budget allows it, and another healthy endpoint
+// can take it.
 func (sel *selection) hasRetryFor(svc *service, e *endpoint) bool {
 	others := sel.available
 	if !e.unhealthy() {
@@ -255,8 +260,8 @@
 	return sel.retryable && sel.attemptsLeft > 1 && others > 0 && svc.budget.allows()
 }
 
-// plannedTimeout returns the timeout of an attempt by the plan, or that it is to last until the deadline. A probe's timeout
-// follows the other endpoints' median, as the endpoint's own calls say little of what to expect of it.
+// plannedTimeout returns the timeout of an attempt by the plan, or that it should last until the deadline. A probe's timeout
+// depends on the pooled median of the service, as the endpoint's own calls say little about its recovery.
 func (sel *selection) plannedTimeout(e *endpoint, own *estimates) (timeout time.Duration, untilDeadline bool) {
 	if e.unhealthy() {
 		pooled := &sel.plan.unsampled.estimates
@@ -265,7 +270,7 @@
 	return sel.scaled(own.timeout[sel.attemptsLeft]), own.untilDeadline[sel.attemptsLeft]
 }
 
-// scaled converts a time in units of work to one of this request.
+// scaled converts a time for one workUnit to a time for this request.
 func (sel *selection) scaled(d time.Duration) time.Duration {
 	return time.Duration(sel.workScale * float64(d))
 }
--- a/internal/tier/balancer/service.go
+++ b/internal/tier/balancer/service.go
@@ -11,19 +11,19 @@
 // service is the state of one service.
 type service struct {
 	name            string
-	endpoints       []*endpoint // on the list
+	endpoints       []*endpoint // that are on the list
 	versions        view.ServiceVersions
-	groups          [2]versionGroup // the version in service, and the rollout's target
-	targetCredit    float64         // attempts that the target may get now
-	targetBonus     float64         // attempts above its share that the target may still get
-	targetRoutes    targetRoutes    // what the target has got
+	groups          [2]versionGroup // 0: the version in service; 1: the rollout's target
+	targetCredit    float64         // attempts that may be sent to the target now; a fraction accrues with each attempt
+	targetBonus     float64         // remaining part of view.ServiceVersions.InitialAllowance
+	targetRoutes    targetRoutes    // attempts sent to the target, by route
 	plans           [callKinds]*callPlan
 	work            workEstimator
 	budget          retryBudget
 	load            serviceLoad
-	lastRetryableAt time.Duration // when a retryable request last came
+	lastRetryableAt time.Duration // when the last retryable request came
 	sawRetryable    bool
-	lastNonEmptyAt  time.Duration // when the list last named an endpoint of it
+	lastNonEmptyAt  time.Duration // when the list last had an endpoint of the service
 }
 
 // newService returns the state of a service without endpoints.
@@ -31,7 +31,7 @@
 	return &service{name: name, budget: newRetryBudget(), work: newWorkEstimator(), targetRoutes: targetRoutes{}}
 }
 
-// plan returns the service's plan for a kind of call, which it creates if necessary.
+// plan returns the service's plan for a kind of call, and creates it if necessary.
 func (svc *service) plan(kind callKind) *callPlan {
 	if svc.plans[kind] == nil {
 		svc.plans[kind] = newCallPlan(kind)
@@ -39,7 +39,7 @@
 	return svc.plans[kind]
 }
 
-// setVersions takes the versions of the service. Another target or another rollout starts without credit.
+// setVersions sets the versions of the service. A new target or a new rollout starts without credit.
 func (svc *service) setVersions(versions view.ServiceVersions) {
 	if versions.Target != svc.versions.Target || versions.Order != svc.versions.Order {
 		svc.targetCredit, svc.targetBonus, svc.targetRoutes = 0, versions.InitialAllowance, targetRoutes{}
@@ -47,8 +47,8 @@
 	svc.versions = versions
 }
 
-// regroup sorts the listed endpoints into the groups of versions that take requests. As long as the versions in service are
-// unknown, all endpoints take requests if they are of one version; otherwise none does.
+// regroup divides the listed endpoints into the groups of the versions that take requests. While the version in service is unknown,
+// the endpoints take requests only if all have the same version.
 func (svc *service) regroup() {
 	current, single := svc.versions.Current, true
 	if current == "" && len(svc.endpoints) > 0 {
@@ -59,7 +59,7 @@
 		svc.groups[i].ready = svc.groups[i].ready[:0]
 	}
 	for _, e := range svc.endpoints {
-		e.ready, e.ofTarget = false, false
+		e.ready, e.isTarget = false, false
 		if e.model.State != model.Ready || !single {
 			continue
 		}
@@ -68,7 +68,7 @@
 			e.ready = true
 			svc.groups[0].ready = append(svc.groups[0].ready, e)
 		case svc.versions.Target:
-			e.ready, e.ofTarget = true, true
+			e.ready, e.isTarget = true, true
 			svc.groups[1].ready = append(svc.groups[1].ready, e)
 		}
 	}
--- a/internal/tier/balancer/shortlist.go
+++ b/internal/tier/balancer/shortlist.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Bounds of what a selection looks at in a large service.
+// Limits on the number of endpoints that a selection examines in a large service.
 const (
-	shortlistThreshold    = 64 // ready endpoints of a group from which on a selection looks at a shortlist only
-	maxShortlistSampled   = 32 // the best of those that this proxy has called
-	maxShortlistUnsampled = 16 // of those that it has not
+	shortlistThreshold    = 64 // number of ready endpoints in a group from which on a selection examines only a shortlist
+	maxShortlistSampled   = 32 // endpoints that have a table, the best first
+	maxShortlistUnsampled = 16 // endpoints without a table
 )
 
-// candidates returns the endpoints of the group that a selection looks at: all in a small group, and in a large one the
-// shortlist, which is made anew with each solved plan.
+// candidates returns the endpoints of the group that a selection examines: all of a small group, and the shortlist of a large one. The
+// shortlist is rebuilt whenever the plan was solved again.
 func (g *versionGroup) candidates(svc *service, plan *callPlan, now time.Duration) []*endpoint {
 	if len(g.unsampledOrder) == 0 {
 		return g.ready
@@ -29,11 +29,11 @@
 	return g.shortlist
 }
 
-// shortlistBest puts the best of the endpoints that this proxy has called on the shortlist.
+// shortlistBest adds the best of the endpoints that have a table to the shortlist.
 func (g *versionGroup) shortlistBest(svc *service, plan *callPlan, now time.Duration) {
-	othersShare := svc.load.expectedShare(now)
+	othersShare := svc.load.expectedOthersShare(now)
 	for _, stats := range plan.sampled {
-		if e := stats.endpoint; e.ready && e.ofTarget == (g == &svc.groups[1]) {
+		if e := stats.endpoint; e.ready && e.isTarget == (g == &svc.groups[1]) {
 			e.shortlistCost = stats.estimates.expected[1]*(1+e.congestion(e.estimatedInFlight(now, othersShare))) + e.zonePenalty
 			g.shortlist = append(g.shortlist, e)
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-// shortlistNext adds the endpoints that this proxy is to call for the first time next.
+// shortlistNext adds the next endpoints without a table, in the order of unsampledOrder, to the shortlist.
 func (g *versionGroup) shortlistNext(plan *callPlan, now time.Duration) {
 	unsampled := 0
 	for _, e := range g.unsampledOrder {
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -20,7 +20,7 @@
 	cachedPrefixes    map[uint64]int // tokens by session
 	leastRecentlyUsed []uint64       // sessions, the longest unused first
 	busy              bool
-	rereadTokens      *int
+	prefilledTokens   *int
 }
 
 const (
@@ -35,14 +35,14 @@
 	session                uint64
 	prompt                 int
 	promptLeft, outputLeft int
-	first                  func(Load)
+	firstEvent             func(Load)
 	done                   func(Outcome)
 	started                bool
 }
 
 func (g *engine) add(n *generation) {
 	remaining := min(g.cachedPrefixes[n.session], n.prompt)
-	*g.rereadTokens += n.prompt - remaining
+	*g.prefilledTokens += n.prompt - remaining
 	n.promptLeft = n.prompt - remaining
 	g.waiting = append(g.waiting, n)
 	if !g.busy {
@@ -84,7 +84,7 @@
 	for _, n := range g.running {
 		if !n.started {
 			n.started = true
-			n.first(g.load())
+			n.firstEvent(g.load())
 		}
 		if n.outputLeft--; n.outputLeft > 0 {
 			still = append(still, n)
@@ -115,13 +115,13 @@
 
 // turnStats is how the streams of one run fared.
 type turnStats struct {
-	turns, rereadTokens int
-	first, complete     []float64
+	turns, prefilledTokens int
+	first, complete        []float64
 }
 
 func (t *turnStats) String() string {
 	return fmt.Sprintf("first event %3.0f ms, complete %3.0f ms in the mean, %.0f tokens read a turn", 1000*meanOf(t.first),
-		1000*meanOf(t.complete), float64(t.rereadTokens)/float64(max(1, t.turns)))
+		1000*meanOf(t.complete), float64(t.prefilledTokens)/float64(max(1, t.turns)))
 }
 
 // simulateTurns simulates programs of several turns over nine proxies and nine engines. Each turn comes to any of the proxies.
@@ -130,7 +130,7 @@
 	sim, list, t := newSimulation(seed), endpointsOf("models", engines, 64), &turnStats{}
 	var nodes []*engine
 	for i := range engines {
-		nodes = append(nodes, &engine{sim: sim, speed: 1 + 0.1*float64(i%4), capacity: 64, cacheTokens: 120000, rereadTokens: &t.rereadTokens,
+		nodes = append(nodes, &engine{sim: sim, speed: 1 + 0.1*float64(i%4), capacity: 64, cacheTokens: 120000, prefilledTokens: &t.prefilledTokens,
 			cachedPrefixes: map[uint64]int{}})
 	}
 	var policies []policy
@@ -151,7 +151,7 @@
 		}
 		p.sent(sim.now, i, a)
 		n := &generation{session: session, prompt: history, outputLeft: out}
-		n.first = func(l Load) {
+		n.firstEvent = func(l Load) {
 			t.first = append(t.first, (sim.now - startedAt).Seconds())
 			p.first(sim.now, i, a, l)
 		}
--- a/internal/tier/balancer/target_routes.go
+++ b/internal/tier/balancer/target_routes.go
@@ -1,18 +1,18 @@
 package balancer
 
-// creditOverridesRoute is the credit from which on a roll-out's target also gets requests of a route that it has got more of than of
-// another. It is below maxTargetCredit, so that no part of the target's share is lost for it.
+// creditOverridesRoute is the credit from which on the target also gets requests of a route that is ahead of another one (see isAhead).
+// It is below maxTargetCredit, so that the target still gets its full share.
 const creditOverridesRoute = 1.75
 
-// targetRoutes counts the attempts that a roll-out's target has got from this proxy, by route, also those that it has got none of. A
-// version that is bad on one route alone shows it by that route's answers: the target gets about as many requests of each route,
-// however few of the service's requests are of it.
+// targetRoutes counts the attempts that this proxy has sent to the target of a rollout, by route; a route without any counts 0. By these
+// counts the target gets about as many requests of a rare route as of a frequent one, so that a version that fails on one route
+// only is detected.
 type targetRoutes map[string]int
 
-// observe records that a request of the route has come.
+// observe adds the route of a request, with a count of 0 if it is new.
 func (t targetRoutes) observe(route string) { t[route] += 0 }
 
-// isAhead reports whether the target has got more requests of a route than of another one.
+// isAhead reports whether the target has got more attempts of this route than of some other route.
 func (t targetRoutes) isAhead(route string) bool {
 	own := t[route]
 	for _, sent := range t {
--- a/internal/tier/balancer/versions.go
+++ b/internal/tier/balancer/versions.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// maxTargetCredit bounds the attempts that the target may save up. A larger value gives it bursts.
+	// maxTargetCredit bounds the credit that the target may accumulate. A larger value allows larger bursts.
 	maxTargetCredit = 2.0
-	// creditOverridesAffinity is the credit from which on the target also gets requests whose affinity keeps them at the version
-	// in service. It is above 1, so that affinity decides as long as it yields enough requests for the target's share.
+	// creditOverridesAffinity is the credit from which on the target also gets requests whose affinity key belongs to the version
+	// in service. It is above 1, so that affinity decides as long as the target's own keys yield enough requests for its share.
 	creditOverridesAffinity = 1.25
-	// initialShare is the share that the target gets at first, while it has a bonus left.
+	// initialShare is the share of attempts that the target gets while it has a bonus left.
 	initialShare = 0.25
 )
 
-// versionGroup is the ready endpoints of one version that takes requests.
+// versionGroup holds the ready endpoints of one version that takes requests.
 type versionGroup struct {
-	ready          []*endpoint // by hash
-	hashes         []uint64    // of those, in the same order
-	unsampledOrder []*endpoint // the order in which this proxy tries endpoints that it hasn't called; empty in a small group
+	ready          []*endpoint // ordered by hash
+	hashes         []uint64    // of the ready endpoints, in the same order
+	unsampledOrder []*endpoint // the order in which this proxy first calls the endpoints; empty in a small group
 	shortlist      []*endpoint
-	shortlistedAt  time.Duration // solvedAt of the plan that it was made from
+	shortlistedAt  time.Duration // solvedAt of the plan that the shortlist was built from
 }
 
-// sort brings the group into an order that doesn't depend on that of the list.
+// sort orders the group by hash, whatever the order of the list, and clears its shortlist.
 func (g *versionGroup) sort() {
 	byHash := func(a, b *endpoint) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.model.ID, b.model.ID))
@@ -45,8 +45,9 @@
 	})
 }
 
-// limitToShare leaves only as many of the target's endpoints as its share loads like the rest of the service: a version
-// that fails only under load must show that before it gets all requests. All proxies keep the same endpoints.
+// limitToShare keeps only the given share of the target's endpoints, at least one, so that these are loaded about as much as the rest
+// of the service: a version that fails only under load must be detected before it gets all requests. All proxies keep the same
+// endpoints.
 func (g *versionGroup) limitToShare(share float64) {
 	if share <= 0 || share >= 1 || len(g.ready) == 0 {
 		return
@@ -59,8 +60,8 @@
 	g.unsampledOrder = slices.DeleteFunc(g.unsampledOrder, func(e *endpoint) bool { return !e.ready })
 }
 
-// selectGroup returns the group that takes the request. The target gets at most its share of all attempts at the service,
-// counted by Sent; requests of one affinity keep to one version as far as that allows.
+// selectGroup returns the group that takes the request. The target gets at most its share of the attempts sent to the service, and
+// its bonus. As far as that allows, requests with the same affinity key stay with one version.
 func (svc *service) selectGroup(affinityKey uint64, route string) *versionGroup {
 	current, target := &svc.groups[0], &svc.groups[1]
 	if svc.versions.Target != "" {
@@ -75,13 +76,13 @@
 		return current
 	case len(current.ready) > 0 && svc.targetCredit < creditOverridesRoute && svc.targetRoutes.isAhead(route):
 		return current
-	case affinityKey != 0 && len(current.ready) > 0 && unit(mix(affinityKey)) >= share && svc.targetCredit < creditOverridesAffinity:
+	case affinityKey != 0 && len(current.ready) > 0 && toUnitInterval(mix(affinityKey)) >= share && svc.targetCredit < creditOverridesAffinity:
 		return current
 	}
 	return target
 }
 
-// fallbackGroup returns the group that may take a request for which the first has no healthy endpoint; nil: there is none.
+// fallbackGroup returns the group that may take a request if the first group has no healthy endpoint for it; nil: there is none.
 func (svc *service) fallbackGroup(first *versionGroup) *versionGroup {
 	current, target := &svc.groups[0], &svc.groups[1]
 	switch {
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// accrueTargetCredit adds the target's share of one attempt of a route, and charges the attempt if it went to the target.
+// accrueTargetCredit adds the target's share of one attempt, and part of its bonus, to the credit. If the attempt was sent to the
+// target, it charges the credit and counts the route.
 func (svc *service) accrueTargetCredit(e *endpoint, route string) {
 	if svc.versions.Target == "" {
 		return
@@ -105,7 +107,7 @@
 		svc.targetCredit += bonus
 	}
 	svc.targetCredit = min(svc.targetCredit, maxTargetCredit)
-	if e.ofTarget {
+	if e.isTarget {
 		svc.targetCredit--
 		svc.targetRoutes[route]++
 	}
--- a/internal/tier/balancer/workestimate.go
+++ b/internal/tier/balancer/workestimate.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// workUnit is the time at which a table enters a call that took as long as its predicted work.
+// workUnit is the time that a table stores for a call which took exactly as long as predicted.
 const workUnit = 250 * time.Millisecond
 
-// Priors and bounds of the predicted work.
+// Priors and limits of the predicted work.
 const (
 	workHalfLife               = 60 * time.Second
-	priorSecondsPerToken       = 20e-6 // s a prompt token,
-	priorCalls                 = 4.0   // which counts for so many calls
-	priorTokenSpread           = 500.0 // as far apart as so many tokens
-	maxSecondsPerToken         = 1e-3  // s a prompt token
+	priorSecondsPerToken       = 20e-6 // s per prompt token
+	priorCalls                 = 4.0   // weight of priorSecondsPerToken, in calls
+	priorTokenSpread           = 500.0 // assumed deviation of those calls' tokens from their mean
+	maxSecondsPerToken         = 1e-3  // s per prompt token
 	priorBaseSeconds           = 0.030 // s until the first event of a stream without prompt tokens
-	minBaseSeconds             = 0.002
-	priorSecondsPerOutputToken = 0.006 // s a generated token
-	paceSmoothingTokens        = 100.0 // tokens that the service's pace counts for at an endpoint
+	minBaseSeconds             = 0.002 // s, for any call
+	priorSecondsPerOutputToken = 0.006 // s per generated token
+	paceSmoothingTokens        = 100.0 // weight of the prior of a tokenPace, in tokens
 )
 
-// decay is the factor by which counts have decayed over an age.
+// decay returns the factor by which a count has decayed after the given age.
 func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
@@ -35,13 +35,13 @@
 	updatedAt      time.Duration
 }
 
-// add enters a call that took so many seconds.
+// add adds a call that took the given number of seconds.
 func (r *routeWork) add(now time.Duration, took float64) {
 	f := decay(now-r.updatedAt, workHalfLife)
 	r.seconds, r.calls, r.updatedAt = r.seconds*f+took, r.calls*f+1, now
 }
 
-// workEstimator predicts how long requests of a service take at an endpoint of middling speed.
+// workEstimator predicts how long requests of a service take at an endpoint of average speed.
 type workEstimator struct {
 	routes    map[string]*routeWork
 	allRoutes routeWork
@@ -49,12 +49,12 @@
 	pace      tokenPace
 }
 
-// newWorkEstimator returns an estimator that knows only the priors.
+// newWorkEstimator returns an estimator without calls, which predicts from the priors.
 func newWorkEstimator() workEstimator {
 	return workEstimator{routes: map[string]*routeWork{}}
 }
 
-// route returns the work of a route, which it creates if necessary.
+// route returns the work of a route, and creates it if necessary.
 func (w *workEstimator) route(name string) *routeWork {
 	r := w.routes[name]
 	if r == nil {
@@ -64,7 +64,7 @@
 	return r
 }
 
-// predict returns the work of an attempt in seconds.
+// predict returns the predicted work of an attempt in seconds. A route without calls gets the mean of all routes.
 func (w *workEstimator) predict(kind callKind, r *routeWork, promptTokens float64) float64 {
 	switch {
 	case kind == streamCall:
@@ -78,8 +78,8 @@
 	return workUnit.Seconds()
 }
 
-// learn enters how long an attempt took, until its end or its first event.
-func (w *workEstimator) learn(now time.Duration, a *Attempt, took float64) {
+// record adds the time of an attempt: until its end, or until its first event for a stream.
+func (w *workEstimator) record(now time.Duration, a *Attempt, took float64) {
 	if a.kind == streamCall {
 		w.prefill.add(now, a.promptTokens, took)
 		return
@@ -88,20 +88,20 @@
 	w.allRoutes.add(now, took)
 }
 
-// linearFit is a fit of time against tokens by least squares over counts that decay.
+// linearFit is a least-squares fit of time against tokens, from sums that decay.
 type linearFit struct {
 	count, sumX, sumY, sumXX, sumXY float64
 	updatedAt                       time.Duration
 }
 
-// add enters a call with x tokens that took y seconds.
+// add adds a call with x tokens that took y seconds.
 func (l *linearFit) add(now time.Duration, x, y float64) {
 	f := decay(now-l.updatedAt, workHalfLife)
 	l.count, l.sumX, l.sumY, l.sumXX, l.sumXY = l.count*f+1, l.sumX*f+x, l.sumY*f+y, l.sumXX*f+x*x, l.sumXY*f+x*y
 	l.updatedAt = now
 }
 
-// fit returns the time without any token and the time of each, drawn towards the priors while few calls are known.
+// fit returns the time without tokens and the time per token. With few calls, the time per token stays close to its prior.
 func (l *linearFit) fit() (base, perToken float64) {
 	if l.count <= 0 {
 		return priorBaseSeconds, priorSecondsPerToken
@@ -113,19 +113,19 @@
 	return max(minBaseSeconds, (l.sumY-perToken*l.sumX)/l.count), perToken
 }
 
-// tokenPace is the time of a generated token, over tokens that decay.
+// tokenPace measures the time per generated token, from sums that decay.
 type tokenPace struct {
 	seconds, tokens float64
 	updatedAt       time.Duration
 }
 
-// add enters tokens that took so many seconds in all.
+// add adds a number of tokens that took the given number of seconds in all.
 func (p *tokenPace) add(now time.Duration, seconds, tokens float64) {
 	f := decay(now-p.updatedAt, workHalfLife)
 	p.seconds, p.tokens, p.updatedAt = p.seconds*f+seconds, p.tokens*f+tokens, now
 }
 
-// perToken is the time of a token, drawn towards a prior.
+// perToken returns the time per token in seconds. With few tokens, it stays close to the prior.
 func (p *tokenPace) perToken(prior float64) float64 {
 	return (p.seconds + paceSmoothingTokens*prior) / (p.tokens + paceSmoothingTokens)
 }
--- a/internal/tier/versionstats/counter.go
+++ b/internal/tier/versionstats/counter.go
@@ -14,47 +14,47 @@
 	"mastusher/internal/tier/wire"
 )
 
-// unresponsiveAfter is the time without a first byte after which a client's cancellation counts as a failure of the endpoint.
+// unresponsiveAfter is the time without a first byte from which on a client's cancellation counts as a failure of the version.
 const unresponsiveAfter = 2 * time.Second
 
-// Balancer is the balancer whose selections are counted.
+// Balancer is the balancer that a Counter wraps.
 type Balancer interface {
 	proxy.Selector
 	SetEndpoints(endpoints []model.Endpoint)
 	SetVersions(versions []view.ServiceVersions)
 }
 
-// version names one version of a service's software.
-type version struct{ service, number string }
+// version identifies one version of a service's software.
+type version struct{ service, name string }
 
-// key identifies what is counted together.
+// key identifies a set of counts.
 type key struct {
 	version
 	route string
-	order uint64 // of the rollout; 0: none
+	order uint64 // number of the rollout's order; 0: outside of rollouts
 }
 
-// activeOrder is a rollout in progress.
+// activeOrder is the order of a rollout in progress.
 type activeOrder struct {
 	number uint64
 	since  time.Time // when this proxy first learned of it
 }
 
-// endpointInfo is what the list says of an endpoint.
+// endpointInfo holds an endpoint's version and the end of its warm-up.
 type endpointInfo struct {
 	version
-	warmUpUntil time.Time // its latencies say nothing of its version until then
+	warmUpUntil time.Time // until then its latencies aren't representative of its version
 }
 
-// ticket is what a selection carries until Done: the balancer's own ticket, and where the attempt is counted.
+// ticket accompanies a selection until Done. It wraps the balancer's own ticket and identifies the counts of the attempt.
 type ticket struct {
-	inner     any // the balancer's ticket
+	inner     any // the balancer's own ticket
 	key       key
-	counted   bool // the endpoint was in the list
+	counted   bool // the endpoint was on the list, so that the attempt is counted
 	warmingUp bool // the endpoint was warming up when it was selected
 }
 
-// Counter passes every call on to a Balancer and counts. It is safe for concurrent use.
+// Counter forwards every call to a Balancer and counts attempts and their outcomes. It is safe for concurrent use.
 type Counter struct {
 	balancer Balancer
 	source   string
@@ -64,16 +64,16 @@
 	endpoints map[string]endpointInfo // by endpoint ID
 	stats     map[key]*rollout.Stats
 	orders    map[version]activeOrder // rollouts in progress, by target
-	changed   bool                    // since the last Report
+	changed   bool                    // a count or the versions have changed since the last Report
 }
 
-// New returns a counter without counts. The source identifies this start of the proxy: counts are since then.
+// New returns a counter without counts. The source identifies this run of the proxy process, as each run counts from zero.
 func New(balancer Balancer, source string) *Counter {
 	return &Counter{balancer: balancer, source: source, endpoints: map[string]endpointInfo{}, stats: map[key]*rollout.Stats{},
 		orders: map[version]activeOrder{}, now: time.Now}
 }
 
-// SetEndpoints sets the list of endpoints.
+// SetEndpoints sets the list of endpoints, here and in the balancer.
 func (c *Counter) SetEndpoints(endpoints []model.Endpoint) {
 	now := c.now()
 	infos := make(map[string]endpointInfo, len(endpoints))
@@ -87,12 +87,12 @@
 	c.balancer.SetEndpoints(endpoints)
 }
 
-// SetVersions sets which versions may receive requests, and so which rollouts are in progress.
+// SetVersions sets which versions may receive requests, here and in the balancer. A service with a target has a rollout in progress.
 func (c *Counter) SetVersions(versions []view.ServiceVersions) {
 	c.mutex.Lock()
 	orders := map[version]activeOrder{}
 	for i := range versions {
-		if target := (version{versions[i].Service, versions[i].Target}); target.number != "" {
+		if target := (version{versions[i].Service, versions[i].Target}); target.name != "" {
 			orders[target] = activeOrder{number: versions[i].Order, since: c.now()}
 			if known, ok := c.orders[target]; ok && known.number == versions[i].Order {
 				orders[target] = known
@@ -106,29 +106,29 @@
 	c.balancer.SetVersions(versions)
 }
 
-// mergeEnded adds the counts of rollouts that have ended to those outside of any, so that a version that is rolled out again
-// is judged by what is counted from then on. The caller must hold the mutex.
+// mergeEnded adds the counts of rollouts that have ended to the counts outside of rollouts, so that a version that is rolled out again
+// is judged only by its attempts in the new rollout. The caller must hold the mutex.
 func (c *Counter) mergeEnded() {
-	for of, ended := range c.stats {
-		if of.order == c.orders[of.version].number || of.order == 0 {
+	for k, ended := range c.stats {
+		if k.order == c.orders[k.version].number || k.order == 0 {
 			continue
 		}
-		delete(c.stats, of)
-		of.order = 0
-		c.statsOf(of).Add(*ended)
+		delete(c.stats, k)
+		k.order = 0
+		c.statsOf(k).Add(*ended)
 	}
 }
 
 // Select implements proxy.Selector.
-func (c *Counter) Select(ctx context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
-	selection, err := c.balancer.Select(ctx, facts)
+func (c *Counter) Select(ctx context.Context, info *proxy.RequestInfo) (proxy.Selection, error) {
+	selection, err := c.balancer.Select(ctx, info)
 	if err != nil {
 		return selection, err
 	}
 	t := &ticket{inner: selection.Ticket}
 	c.mutex.Lock()
 	if e, known := c.endpoints[selection.ID]; known {
-		t.key = key{version: e.version, route: facts.Route.Name, order: c.orders[e.version].number}
+		t.key = key{version: e.version, route: info.Route.Name, order: c.orders[e.version].number}
 		t.counted, t.warmingUp = true, c.now().Before(e.warmUpUntil)
 		c.statsOf(t.key).Sent++
 	}
@@ -156,36 +156,36 @@
 	observe(c.statsOf(t.key), outcome, t.warmingUp)
 }
 
-// statsOf returns the counts of a key, which are about to change. The caller must hold the mutex.
-func (c *Counter) statsOf(of key) *rollout.Stats {
+// statsOf returns the counts of a key for a change, and marks the counts as changed. The caller must hold the mutex.
+func (c *Counter) statsOf(k key) *rollout.Stats {
 	c.changed = true
-	t := c.stats[of]
-	if t == nil {
-		t = &rollout.Stats{}
-		c.stats[of] = t
+	stats := c.stats[k]
+	if stats == nil {
+		stats = &rollout.Stats{}
+		c.stats[k] = stats
 	}
-	return t
+	return stats
 }
 
-// observe counts the outcome of an attempt. What never ran and what the client cancelled early says nothing of a version, nor
-// does the latency of an endpoint that is warming up.
-func observe(t *rollout.Stats, outcome proxy.Outcome, warmingUp bool) {
+// observe counts the outcome of an attempt. Attempts that never ran or that the client cancelled early aren't counted, as they say
+// nothing about the version; nor are the latencies of an endpoint that is warming up.
+func observe(stats *rollout.Stats, outcome proxy.Outcome, warmingUp bool) {
 	switch outcome.Result {
 	case proxy.Succeeded:
-		t.Good++
+		stats.Good++
 		if !warmingUp {
-			t.ObserveLatency(latencyPerEvent(outcome))
+			stats.ObserveLatency(latencyPerEvent(outcome))
 		}
 	case proxy.ErrorResponse, proxy.IncompleteResponse, proxy.TimedOut, proxy.DeadlineExceeded:
-		t.Bad++
+		stats.Bad++
 	case proxy.ClientClosed:
 		if outcome.FirstByte == 0 && outcome.Took >= unresponsiveAfter {
-			t.Bad++
+			stats.Bad++
 		}
 	}
 }
 
-// latencyPerEvent is the latency of a response; of a stream, for each event, since their numbers differ.
+// latencyPerEvent returns the latency of a response. For a stream it returns the latency per event, since streams differ in length.
 func latencyPerEvent(outcome proxy.Outcome) time.Duration {
 	if outcome.Events == 0 {
 		return outcome.Took
@@ -193,8 +193,8 @@
 	return outcome.Took / time.Duration(outcome.Events+2)
 }
 
-// Report returns the counts since the start. It reports false if no rollout is in progress or no count has changed since the
-// last call.
+// Report returns the counts since the start of the process. It returns false if no rollout is in progress or nothing has changed since
+// the last call.
 func (c *Counter) Report() (wire.VersionStatsReport, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -203,12 +203,12 @@
 	}
 	c.changed = false
 	report := wire.VersionStatsReport{Source: c.source, Versions: make([]wire.VersionStats, 0, len(c.stats))}
-	for of, t := range c.stats {
-		counted := wire.VersionStats{Service: of.service, Route: of.route, Version: of.number, Order: of.order, Stats: *t}
-		if active := c.orders[of.version]; of.order != 0 && active.number == of.order {
-			counted.AgeMs = c.now().Sub(active.since).Milliseconds()
+	for k, stats := range c.stats {
+		entry := wire.VersionStats{Service: k.service, Route: k.route, Version: k.name, Order: k.order, Stats: *stats}
+		if active := c.orders[k.version]; k.order != 0 && active.number == k.order {
+			entry.AgeMs = c.now().Sub(active.since).Milliseconds()
 		}
-		report.Versions = append(report.Versions, counted)
+		report.Versions = append(report.Versions, entry)
 	}
 	slices.SortFunc(report.Versions, func(a, b wire.VersionStats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Order, b.Order))
--- a/internal/tier/versionstats/counter_test.go
+++ b/internal/tier/versionstats/counter_test.go
@@ -14,23 +14,23 @@
 	"mastusher/internal/tier/wire"
 )
 
-// balancer sends each request to the endpoint that its attempt names, and keeps the tickets that it gets back.
+// fakeBalancer selects the endpoint whose ID is the request's AttemptID, and records the tickets that it gets back.
 type fakeBalancer struct{ tickets []any }
 
-func (s *fakeBalancer) Select(_ context.Context, facts *proxy.RequestInfo) (proxy.Selection, error) {
-	return proxy.Selection{ID: facts.AttemptID, Ticket: "ticket of " + facts.AttemptID}, nil
+func (b *fakeBalancer) Select(_ context.Context, info *proxy.RequestInfo) (proxy.Selection, error) {
+	return proxy.Selection{ID: info.AttemptID, Ticket: "ticket of " + info.AttemptID}, nil
 }
-func (s *fakeBalancer) FirstEvent(selection proxy.Selection, _ string) {
-	s.tickets = append(s.tickets, selection.Ticket)
+func (b *fakeBalancer) FirstEvent(selection proxy.Selection, _ string) {
+	b.tickets = append(b.tickets, selection.Ticket)
 }
-func (s *fakeBalancer) Done(selection proxy.Selection, _ proxy.Outcome) {
-	s.tickets = append(s.tickets, selection.Ticket)
+func (b *fakeBalancer) Done(selection proxy.Selection, _ proxy.Outcome) {
+	b.tickets = append(b.tickets, selection.Ticket)
 }
-func (s *fakeBalancer) SetEndpoints([]model.Endpoint)      {}
-func (s *fakeBalancer) SetVersions([]view.ServiceVersions) {}
+func (b *fakeBalancer) SetEndpoints([]model.Endpoint)      {}
+func (b *fakeBalancer) SetVersions([]view.ServiceVersions) {}
 
 func TestCounter_Outcomes_CountedByVersionAndRoute(t *testing.T) {
-	// Given a counter that knows two versions, one with an endpoint that is warming up,
+	// Given a counter for two versions, one with an endpoint that is warming up,
 	inner := &fakeBalancer{}
 	now := time.Unix(1000, 0)
 	c := New(inner, "p")
@@ -50,22 +50,22 @@
 	c.Done(send("b", "r1"), done)
 	now = now.Add(time.Second)
 	c.Done(send("b", "r2"), done)
-	late := send("b", "r2")
-	c.FirstEvent(late, "")
+	pending := send("b", "r2")
+	c.FirstEvent(pending, "")
 	c.SetEndpoints(nil)
-	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
+	c.Done(pending, proxy.Outcome{Result: proxy.IncompleteResponse})
 	c.Done(send("b", "r2"), done)
-	// then each is counted at its version and route, and the balancer gets its own tickets back.
-	report, due := c.Report()
-	if !due {
-		t.Fatal("no report is due")
+	// then each outcome is counted for its version and route, and the balancer gets its own tickets back.
+	report, ok := c.Report()
+	if !ok {
+		t.Fatal("Report returned false, want a report")
 	}
-	var timed rollout.Stats
-	timed.ObserveLatency(done.Took)
+	var observed rollout.Stats
+	observed.ObserveLatency(done.Took)
 	want := wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{
-		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Stats{Sent: 1, Good: 1, LatencyBuckets: timed.LatencyBuckets}},
+		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Stats{Sent: 1, Good: 1, LatencyBuckets: observed.LatencyBuckets}},
 		{Service: "s", Route: "r1", Version: "v2", Stats: rollout.Stats{Sent: 1, Good: 1}},
-		{Service: "s", Route: "r2", Version: "v2", Stats: rollout.Stats{Sent: 2, Good: 1, Bad: 1, LatencyBuckets: timed.LatencyBuckets}},
+		{Service: "s", Route: "r2", Version: "v2", Stats: rollout.Stats{Sent: 2, Good: 1, Bad: 1, LatencyBuckets: observed.LatencyBuckets}},
 	}}
 	if diff := cmp.Diff(want, report); diff != "" {
 		t.Error(diff)
@@ -83,18 +83,18 @@
 		{Result: proxy.ClientClosed, Took: time.Second},
 		{Result: proxy.ClientClosed, FirstByte: time.Second, Took: 9 * time.Second},
 	} {
-		// Given a count, when an attempt ends that says nothing of the version,
+		// Given empty counts, when an attempt ends in a way that says nothing about the version,
 		var stats rollout.Stats
 		observe(&stats, outcome, false)
 		// then nothing is counted.
 		if stats != (rollout.Stats{}) {
-			t.Errorf("%+v is counted as %+v", outcome, stats)
+			t.Errorf("outcome %+v is counted as %+v, want no count", outcome, stats)
 		}
 	}
 }
 
 func TestCounter_RolloutRepeated_CountsAnew(t *testing.T) {
-	// Given a version that answered badly while it was rolled out, and had a request in flight when that was cancelled,
+	// Given a version that failed a request during its rollout, and had another one in flight when the rollout was cancelled,
 	now := time.Unix(1000, 0)
 	c := New(&fakeBalancer{}, "p")
 	c.now = func() time.Time { return now }
@@ -108,20 +108,20 @@
 	}
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 7}})
 	c.Done(send(), proxy.Outcome{Result: proxy.IncompleteResponse})
-	late := send()
+	pending := send()
 	c.SetVersions([]view.ServiceVersions{{Service: "s", Current: "v1"}})
-	// when it is rolled out again, and the versions are set twice,
+	// when the version is rolled out again, and SetVersions is called twice for the new rollout,
 	repeated := []view.ServiceVersions{{Service: "s", Current: "v1", Target: "v2", Order: 9}}
 	c.SetVersions(repeated)
-	c.Done(late, proxy.Outcome{Result: proxy.IncompleteResponse})
+	c.Done(pending, proxy.Outcome{Result: proxy.IncompleteResponse})
 	now = now.Add(300 * time.Millisecond)
 	c.SetVersions(repeated)
 	c.Done(send(), proxy.Outcome{Result: proxy.NotRun})
 	now = now.Add(200 * time.Millisecond)
-	// then what was counted before isn't counted for the second order.
-	report, due := c.Report()
-	if !due {
-		t.Fatal("no report is due")
+	// then the outcomes of requests from the first rollout aren't counted for the second one.
+	report, ok := c.Report()
+	if !ok {
+		t.Fatal("Report returned false, want a report")
 	}
 	want := []wire.VersionStats{
 		{Service: "s", Route: "r", Version: "v2", Stats: rollout.Stats{Sent: 2, Bad: 2}},
--- a/internal/tier/versionstats/doc.go
+++ b/internal/tier/versionstats/doc.go
@@ -1,6 +1,6 @@
-// Package versionstats counts, in one proxy, the outcomes of attempts by version of each service's software, so that the
-// leading controller can judge a rollout by the counts of all proxies (package rollout, sequential analysis).
+// Package versionstats counts, within one proxy, the outcomes of attempts by version of each service's software. From the counts of
+// all proxies, the leading controller decides on a rollout by sequential analysis (package rollout).
 //
-// A Counter stands between package proxy and its balancer: it passes every call on and counts selections and outcomes. The
-// process reports its counts to the agent at intervals (package command).
+// A Counter wraps the balancer that package proxy uses: it forwards every call and counts selections and outcomes. The proxy process
+// reports the counts to the agent at intervals (package command).
 package versionstats
