--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/model"
 )
 
-// endpointsOf lists n ready endpoints of one service.
+// endpointsOf returns n ready endpoints of one service, in the zones z0 to z3 by turns.
 func endpointsOf(service string, n, capacity int) []model.Endpoint {
 	list := make([]model.Endpoint, n)
 	for i := range list {
@@ -35,23 +35,23 @@
 	return r
 }
 
-// call makes one attempt that ends after elapsed, and returns where it went.
-func call(t *testing.T, s *Balancer, now time.Duration, r Request, kind OutcomeKind, elapsed time.Duration) string {
+// call makes one attempt that ends after elapsed, and returns the ID of its endpoint.
+func call(t *testing.T, balancer *Balancer, now time.Duration, r Request, kind OutcomeKind, elapsed time.Duration) string {
 	t.Helper()
-	d := s.Select(now, r)
+	d := balancer.Select(now, r)
 	if d.Endpoint == nil {
 		t.Fatalf("rejected: %v", d.Rejection)
 	}
-	s.Sent(now, &d.Attempt)
-	s.Done(now+elapsed, &d.Attempt, Outcome{Kind: kind, Elapsed: elapsed})
+	balancer.Sent(now, &d.Attempt)
+	balancer.Done(now+elapsed, &d.Attempt, Outcome{Kind: kind, Elapsed: elapsed})
 	return d.Endpoint.ID
 }
 
-// callRepeatedly makes calls of that length, one after the other, from now on, and returns the time after them.
-func callRepeatedly(t *testing.T, s *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
+// callRepeatedly makes a number of successful calls one after the other, each of which takes elapsed, and returns the time after them.
+func callRepeatedly(t *testing.T, balancer *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
 	t.Helper()
 	for range calls {
-		call(t, s, now, r, Success, elapsed)
+		call(t, balancer, now, r, Success, elapsed)
 		now += elapsed + solveInterval
 	}
 	return now
@@ -61,7 +61,7 @@
 	balancer := newBalancer(endpointsOf("feeds", 3, 6))
 	d := balancer.Select(0, retryableRequest())
 	if d.Endpoint == nil || !d.UntilDeadline || d.Timeout != 2*time.Second {
-		t.Errorf("decision %+v; want a call that runs on for the time left", d)
+		t.Errorf("decision %+v; want a call that may last until the deadline", d)
 	}
 }
 
@@ -80,11 +80,11 @@
 	}{
 		{"the service has no endpoint", nil, nil, NoEndpoint},
 		{"all endpoints are draining", drained, nil, NoEndpoint},
-		{"two versions are listed and none is known to be in service", mixed, nil, NoEndpoint},
+		{"two versions are listed and neither is known to be in service", mixed, nil, NoEndpoint},
 		{"all endpoints have been tried", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Excluded = []string{"feeds-0", "feeds-1"} }, NoEndpoint},
 		{"all attempts are used", endpointsOf("feeds", 2, 6), func(r *Request) { r.AttemptsUsed = 3 }, AttemptsExhausted},
-		{"it may have run and must not run twice", endpointsOf("feeds", 2, 6),
+		{"the request may have run and must not run twice", endpointsOf("feeds", 2, 6),
 			func(r *Request) { r.Retryable, r.MayHaveRun = false, true }, AttemptsExhausted},
 		{"no time is left", endpointsOf("feeds", 2, 6), func(r *Request) { r.TimeLeft = 0 }, AttemptsExhausted},
 	}
@@ -107,7 +107,7 @@
 	balancer := newBalancer(endpointsOf("feeds", 3, 6))
 	now := callRepeatedly(t, balancer, 0, retryableRequest(), 12, 300*time.Millisecond)
 
-	// When a request comes with 100 ms left, then it is rejected; with 500 ms left it is sent.
+	// When a request has 100 ms left, then it is rejected; with 500 ms left it is sent.
 	r := retryableRequest()
 	if r.TimeLeft = 100 * time.Millisecond; balancer.Select(now, r).Rejection.Kind != DeadlineTooShort {
 		t.Error("a request with a third of the median left was not rejected as DeadlineTooShort")
@@ -118,7 +118,7 @@
 }
 
 func TestSelect_SlowOutlierCalls_PlansTimeoutForRetryableOnly(t *testing.T) {
-	// Given endpoints that take 50 ms, but 2 s one time in five, whatever the request.
+	// Given endpoints that take 50 ms, but 2 s for every fifth call, whatever its request.
 	balancer := newBalancer(endpointsOf("feeds", 3, 6))
 	now := time.Duration(0)
 	for i := range 150 {
@@ -131,25 +131,25 @@
 	}
 	now += 2 * time.Second
 
-	// When a retryable request comes, then it is cut long before its time is over.
+	// When a retryable request comes, then its timeout is much shorter than its time left.
 	d := balancer.Select(now, retryableRequest())
 	if d.UntilDeadline || d.Timeout > time.Second {
-		t.Errorf("retryable: timeout %v, runs on %v; want a restart within a second", d.Timeout, d.UntilDeadline)
+		t.Errorf("retryable: timeout %v, until deadline %v; want a timeout of at most a second", d.Timeout, d.UntilDeadline)
 	}
-	// And one that must not run twice lasts as long as it may.
+	// And a request that must not run twice may last until its deadline.
 	if d := balancer.Select(now, atMostOnceRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
-		t.Errorf("once only: timeout %v, runs on %v; want its time left", d.Timeout, d.UntilDeadline)
+		t.Errorf("at most once: timeout %v, until deadline %v; want 2s, the time left", d.Timeout, d.UntilDeadline)
 	}
-	// And so does one whose program can't pay for another attempt.
+	// And so may one whose program's budget doesn't pay for another attempt.
 	r := retryableRequest()
 	if r.AffordableAttempts = 1; !balancer.Select(now, r).UntilDeadline {
-		t.Error("the only attempt that the budget pays for is cut")
+		t.Error("the only attempt that the program's budget pays for has a planned timeout")
 	}
-	// And so does one for which no other endpoint is left.
+	// And so may one for which only one endpoint is left.
 	r.AffordableAttempts = 0
 	r.Excluded = []string{"feeds-0", "feeds-1"}
 	if d := balancer.Select(now, r); !d.UntilDeadline {
-		t.Errorf("the last endpoint's call is cut after %v", d.Timeout)
+		t.Errorf("the attempt at the last endpoint has a planned timeout of %v", d.Timeout)
 	}
 }
 
@@ -169,6 +169,6 @@
 		now += elapsed + 10*time.Millisecond
 	}
 	if counts["feeds-1"] < 150 {
-		t.Errorf("calls %v; want most at the faster one", counts)
+		t.Errorf("calls by endpoint %v; want at least 150 of 200 at feeds-1", counts)
 	}
 }
--- a/internal/tier/balancer/bench_test.go
+++ b/internal/tier/balancer/bench_test.go
@@ -8,15 +8,15 @@
 	"mastusher/internal/tier/model"
 )
 
-// BenchmarkSelect makes calls at 200 a second, each of which takes 100 ms.
+// BenchmarkSelect makes 200 calls a second, each of which takes 100 ms.
 func BenchmarkSelect(b *testing.B) {
 	for _, n := range []int{9, 28, 4500} {
-		for _, pinned := range []bool{false, true} {
-			b.Run(fmt.Sprintf("endpoints=%d/pinned=%v", n, pinned), func(b *testing.B) {
+		for _, withAffinity := range []bool{false, true} {
+			b.Run(fmt.Sprintf("endpoints=%d/affinity=%v", n, withAffinity), func(b *testing.B) {
 				balancer := newBalancer(endpointsOf("feeds", n, 6))
 				attempts := make([]Attempt, 20)
 				r := retryableRequest()
-				r.Route.UsesAffinity = pinned
+				r.Route.UsesAffinity = withAffinity
 				b.ReportAllocs()
 				now, i := time.Duration(0), 0
 				for b.Loop() {
@@ -25,7 +25,7 @@
 					if a.sent {
 						balancer.Done(now, a, Outcome{Elapsed: now - a.sentAt, Load: Load{Running: 2, Capacity: 6}})
 					}
-					if pinned {
+					if withAffinity {
 						r.AffinityKey = mix(uint64(i%500 + 1))
 					}
 					if d := balancer.Select(now, r); d.Endpoint != nil {
@@ -42,10 +42,10 @@
 func BenchmarkSetEndpoints(b *testing.B) {
 	for _, n := range []int{28, 4500} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			s, list := New(Options{Seed: 1}), endpointsOf("feeds", n, 6)
+			balancer, list := New(Options{Seed: 1}), endpointsOf("feeds", n, 6)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.SetEndpoints(0, append([]model.Endpoint(nil), list...))
+				balancer.SetEndpoints(0, append([]model.Endpoint(nil), list...))
 			}
 		})
 	}
--- a/internal/tier/balancer/load_test.go
+++ b/internal/tier/balancer/load_test.go
@@ -6,19 +6,19 @@
 )
 
 func TestSelect_AllEndpointsAtCapacity_RejectsAsSaturated(t *testing.T) {
-	// Given two endpoints of two slots that report that they are full and their queues too.
+	// Given two endpoints of capacity 2 that report that they and their queues are full.
 	balancer := newBalancer(endpointsOf("feeds", 2, 2))
 	for range 2 {
 		d := balancer.Select(0, retryableRequest())
 		balancer.Sent(0, &d.Attempt)
 		balancer.Done(0, &d.Attempt, Outcome{Elapsed: 50 * time.Millisecond, Load: Load{Running: 3, Queued: 1, Capacity: 2}})
 	}
-	// When a request comes, then it is rejected with a time to come back; some time later it is tried.
+	// When a request comes, then it is rejected with a time for the retry; 5 s later one is sent.
 	if d := balancer.Select(0, retryableRequest()); d.Rejection.Kind != Saturated || d.Rejection.RetryAfter <= 0 {
-		t.Errorf("decision %+v, want Saturated", d)
+		t.Errorf("decision %+v, want Saturated and a RetryAfter above 0", d)
 	}
 	if d := balancer.Select(5*time.Second, retryableRequest()); d.Endpoint == nil {
-		t.Errorf("rejected (%v) by a report of 5 s ago", d.Rejection.Kind)
+		t.Errorf("rejected (%v) because of a report from 5 s ago", d.Rejection.Kind)
 	}
 }
 
@@ -30,10 +30,10 @@
 	balancer.Done(now+50*time.Millisecond, &d.Attempt, Outcome{Kind: Cancelled, Elapsed: 50 * time.Millisecond})
 	e := balancer.endpoints["feeds-0"]
 	if got := e.estimatedInFlight(now+60*time.Millisecond, 0); got < 1 {
-		t.Errorf("running right after a cancel: %v, want 1", got)
+		t.Errorf("in flight right after the cancellation: %v, want at least 1", got)
 	}
 	if got := e.estimatedInFlight(now+time.Second, 0); got > 0.5 {
-		t.Errorf("running a second later: %v, want 0", got)
+		t.Errorf("in flight a second later: %v, want at most 0.5", got)
 	}
 }
 
@@ -51,11 +51,11 @@
 		balancer.Sent(0, &attempts[len(attempts)-1])
 	}
 	if len(attempts) != 12 {
-		t.Errorf("one endpoint took %d of 16 in flight, want 12", len(attempts))
+		t.Errorf("one endpoint got %d attempts in flight, want 12 of 16", len(attempts))
 	}
-	// And half of them once its calls overrun.
+	// And half of MaxInFlight once its calls are overdue.
 	balancer.Select(5*time.Second, atMostOnceRequest())
 	if got := balancer.maxInFlightTo(balancer.endpoints["feeds-0"]); got != 8 {
-		t.Errorf("cap while calls overrun: %d, want 8", got)
+		t.Errorf("limit while calls are overdue: %d, want 8", got)
 	}
 }
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -9,25 +9,25 @@
 	"mastusher/internal/tier/model"
 )
 
-// server is a plain endpoint.
+// server simulates an endpoint for plain calls.
 type server struct {
-	sim     *simulation
-	speed   float64 // times the work
-	slots   int
-	queue   int
-	running int
-	waiting []func()
-	down    func(now time.Duration) bool
+	sim        *simulation
+	timeFactor float64 // a call takes this multiple of its work
+	capacity   int
+	queueLimit int
+	running    int
+	waiting    []func()
+	down       func(now time.Duration) bool
 }
 
-// serve works for so long and then answers.
+// serve answers a call after the given work, queues it, or rejects it.
 func (v *server) serve(work time.Duration, answer func(Outcome)) {
 	switch {
 	case v.down != nil && v.down(v.sim.now):
 		v.sim.after(time.Millisecond, func() { answer(Outcome{Kind: IncompleteResponse}) })
-	case v.running < v.slots:
+	case v.running < v.capacity:
 		v.begin(work, answer)
-	case len(v.waiting) < v.queue:
+	case len(v.waiting) < v.queueLimit:
 		v.waiting = append(v.waiting, func() { v.begin(work, answer) })
 	default:
 		o := Outcome{Kind: NotRun, Load: v.load()}
@@ -36,18 +36,18 @@
 }
 
 func (v *server) load() Load {
-	return Load{Running: v.running, Queued: len(v.waiting), Capacity: v.slots}
+	return Load{Running: v.running, Queued: len(v.waiting), Capacity: v.capacity}
 }
 
 func (v *server) begin(work time.Duration, answer func(Outcome)) {
 	v.running++
 	slower := 1.0
-	if v.running*4 > v.slots*3 {
+	if v.running*4 > v.capacity*3 {
 		slower = 1.3
 	}
-	took := float64(work) * v.speed * slower * (0.8 + 0.4*v.sim.random.Float64())
+	took := float64(work) * v.timeFactor * slower * (0.8 + 0.4*v.sim.random.Float64())
 	if v.sim.random.Float64() < 0.02 {
-		took *= 6 // a pause
+		took *= 6 // an outlier, as by a pause of the process
 	}
 	v.sim.after(time.Duration(took), func() {
 		o := Outcome{Kind: Success, Load: v.load()}
@@ -61,13 +61,13 @@
 	})
 }
 
-// plainRequestKind is one kind of plain request.
+// plainRequestKind describes the plain requests of one route.
 type plainRequestKind struct {
 	route               Route
 	retryable           bool
 	work, latencyTarget time.Duration
 	deadline            time.Duration
-	share               float64
+	share               float64 // of all requests
 }
 
 var plainRequestKinds = []plainRequestKind{
@@ -76,38 +76,38 @@
 	{Route{Name: "desks", Kind: model.AtMostOnce, Priority: 1, MaxAttempts: 3}, false, 208 * time.Millisecond, 800 * time.Millisecond, 4 * time.Second, 0.3},
 }
 
-// simulatedProxy is one proxy. Requests that a balancer rejects as Saturated wait in its queue.
+// simulatedProxy is a proxy. With a queue, a request that the policy rejects is queued unless it may have run.
 type simulatedProxy struct {
-	policy  policy
-	queue   *Queue // nil: nothing waits
+	policy  selectionPolicy
+	queue   *Queue // nil: requests are rejected at once
 	waiting map[uint64]*simulatedClient
 }
 
-// slotFreed lets the most urgent request attempt again.
-func (r *simulatedProxy) slotFreed() {
-	if r.queue == nil {
+// retryNextQueued retries the most urgent queued request after another request's attempt has ended.
+func (p *simulatedProxy) retryNextQueued() {
+	if p.queue == nil {
 		return
 	}
-	if w, ok := r.queue.Pop(); ok {
-		r.waiting[w.ID].attempt()
+	if queued, ok := p.queue.Pop(); ok {
+		p.waiting[queued.ID].attempt()
 	}
 }
 
-// expire rejects those that have waited for too long.
-func (r *simulatedProxy) expire(now time.Duration) {
-	for w, ok := r.queue.PopExpired(now); ok; w, ok = r.queue.PopExpired(now) {
-		r.rejectQueued(w.ID)
+// expire rejects the queued requests that have expired.
+func (p *simulatedProxy) expire(now time.Duration) {
+	for queued, ok := p.queue.PopExpired(now); ok; queued, ok = p.queue.PopExpired(now) {
+		p.rejectQueued(queued.ID)
 	}
 }
 
-// rejectQueued gives a queued request its rejection.
-func (r *simulatedProxy) rejectQueued(id uint64) {
-	c := r.waiting[id]
-	delete(r.waiting, id)
+// rejectQueued rejects a request that was queued.
+func (p *simulatedProxy) rejectQueued(id uint64) {
+	c := p.waiting[id]
+	delete(p.waiting, id)
 	c.rejected(minRetryAfter)
 }
 
-// plainSimulation is the environment of plain calls.
+// plainSimulation simulates plain calls through several proxies to several endpoints.
 type plainSimulation struct {
 	clock   *simulation
 	list    []model.Endpoint
@@ -117,59 +117,59 @@
 	serial  uint64
 }
 
-// simulatePlainCalls simulates plain calls of nine proxies to 28 endpoints of six slots, at that part of what these can do.
-func simulatePlainCalls(seed uint64, usage float64, outage, queues bool, newPolicy func(list []model.Endpoint, i int) policy) *callStats {
-	const endpoints, slots, proxies, length = 28, 6, 9, 11 * time.Second
-	w := &plainSimulation{clock: newSimulation(seed), list: endpointsOf("feeds", endpoints, slots), stats: &callStats{}}
-	power := 0.0
+// simulatePlainCalls simulates plain calls of nine proxies to 28 endpoints of capacity 6, at the given utilization of these.
+func simulatePlainCalls(seed uint64, utilization float64, outage, queues bool, newPolicy func(list []model.Endpoint, i int) selectionPolicy) *callStats {
+	const endpoints, capacity, proxies, length = 28, 6, 9, 11 * time.Second
+	w := &plainSimulation{clock: newSimulation(seed), list: endpointsOf("feeds", endpoints, capacity), stats: &callStats{}}
+	totalSpeed := 0.0
 	for i := range endpoints {
-		v := &server{sim: w.clock, speed: math.Exp(0.4 * w.clock.random.NormFloat64()), slots: slots, queue: 4}
-		if power += slots / v.speed; outage && i%7 == 3 {
+		v := &server{sim: w.clock, timeFactor: math.Exp(0.4 * w.clock.random.NormFloat64()), capacity: capacity, queueLimit: 4}
+		if totalSpeed += capacity / v.timeFactor; outage && i%7 == 3 {
 			v.down = func(now time.Duration) bool { return now > 5*time.Second && now < 9*time.Second }
 		}
 		w.servers = append(w.servers, v)
 	}
 	for i := range proxies {
-		r := &simulatedProxy{policy: newPolicy(w.list, i), waiting: map[uint64]*simulatedClient{}}
+		p := &simulatedProxy{policy: newPolicy(w.list, i), waiting: map[uint64]*simulatedClient{}}
 		if queues {
-			r.queue = NewQueue(200)
+			p.queue = NewQueue(200)
 		}
-		w.proxies = append(w.proxies, r)
+		w.proxies = append(w.proxies, p)
 	}
 	work := 0.0
 	for _, k := range plainRequestKinds {
 		work += k.share * k.work.Seconds() * 1.1
 	}
-	w.clock.arrivals(usage*power/work, length, w.arrive)
+	w.clock.arrivals(utilization*totalSpeed/work, length, w.arrive)
 	w.clock.run(length + 6*time.Second)
 	return w.stats
 }
 
 func (w *plainSimulation) arrive() {
-	at, k := w.clock.arrivalRandom.Float64(), 0
-	for at > plainRequestKinds[k].share && k < len(plainRequestKinds)-1 {
-		at -= plainRequestKinds[k].share
+	remaining, k := w.clock.arrivalRandom.Float64(), 0
+	for remaining > plainRequestKinds[k].share && k < len(plainRequestKinds)-1 {
+		remaining -= plainRequestKinds[k].share
 		k++
 	}
 	w.serial++
 	c := &simulatedClient{simulation: w, id: w.serial, kind: &plainRequestKinds[k], startedAt: w.clock.now, resubmissionsLeft: 1,
 		proxy: w.proxies[w.clock.arrivalRandom.IntN(len(w.proxies))]}
-	if w.clock.now > 3*time.Second { // what is learnt counts, not the learning
+	if w.clock.now > 3*time.Second { // earlier requests only fill the tables
 		w.stats.requests++
 		c.measured = true
 	}
 	c.attempt()
 }
 
-// simulatedClient is one request on its way through a proxy.
+// simulatedClient is a client that sends one request, and sends it again if it is rejected.
 type simulatedClient struct {
 	simulation        *plainSimulation
 	id                uint64
 	kind              *plainRequestKind
 	proxy             *simulatedProxy
 	startedAt         time.Duration
-	queuedUntil       time.Duration // bound of its wait in the queue; 0: it hasn't waited
-	resubmissionsLeft int           // times that the client comes again after a rejection
+	queuedUntil       time.Duration // expiry of the request in the queue; 0: it hasn't been queued
+	resubmissionsLeft int           // times that the client may still send the request again after a rejection
 	attempts          int
 	mayHaveRun        bool
 	afterTimeout      bool
@@ -193,7 +193,7 @@
 		return
 	}
 	now := c.simulation.clock.now
-	i, timeout, a := c.proxy.policy.choose(now, r)
+	i, timeout, a := c.proxy.policy.selectEndpoint(now, r)
 	if i < 0 {
 		c.enqueue(timeout)
 		return
@@ -210,37 +210,37 @@
 		}
 		over, o.Elapsed = true, c.simulation.clock.now-now
 		c.proxy.policy.done(c.simulation.clock.now, i, a, o)
-		c.attemptEnded(i, o)
-		c.proxy.slotFreed()
+		c.handleOutcome(i, o)
+		c.proxy.retryNextQueued()
 	}
 	c.simulation.servers[i].serve(c.kind.work, end)
 	c.simulation.clock.after(timeout, func() { end(Outcome{Kind: TimedOut}) })
 }
 
-// enqueue joins the proxy's queue, if there is one.
-func (c *simulatedClient) enqueue(comeBack time.Duration) {
+// enqueue queues the request at the proxy, or rejects it if that has no queue.
+func (c *simulatedClient) enqueue(retryAfter time.Duration) {
 	now, queue := c.simulation.clock.now, c.proxy.queue
 	if queue == nil || c.mayHaveRun {
-		c.rejected(comeBack)
+		c.rejected(retryAfter)
 		return
 	}
-	w := NewQueuedRequest(c.id, c.kind.route.Priority, now, c.kind.latencyTarget, c.timeLeft())
+	queued := NewQueuedRequest(c.id, c.kind.route.Priority, now, c.kind.latencyTarget, c.timeLeft())
 	if c.queuedUntil > 0 {
-		w.ExpiresAt = c.queuedUntil
+		queued.ExpiresAt = c.queuedUntil
 	}
-	if c.queuedUntil = w.ExpiresAt; w.ExpiresAt <= now {
-		c.rejected(comeBack)
+	if c.queuedUntil = queued.ExpiresAt; queued.ExpiresAt <= now {
+		c.rejected(retryAfter)
 		return
 	}
 	c.proxy.waiting[c.id] = c
-	if rejected, full := queue.Push(w); full {
+	if rejected, hasRejected := queue.Push(queued); hasRejected {
 		c.proxy.rejectQueued(rejected.ID)
 	}
 	proxy := c.proxy
-	c.simulation.clock.after(w.ExpiresAt-now, func() { proxy.expire(c.simulation.clock.now) })
+	c.simulation.clock.after(queued.ExpiresAt-now, func() { proxy.expire(c.simulation.clock.now) })
 }
 
-// rejected ends the attempt with a time to come back; the client comes back if it has the time.
+// rejected handles a rejection: the client sends the request again after the given time, to any proxy, if it has the time.
 func (c *simulatedClient) rejected(after time.Duration) {
 	if c.measured {
 		c.simulation.stats.rejected++
@@ -254,7 +254,7 @@
 	c.simulation.clock.after(after, c.attempt)
 }
 
-func (c *simulatedClient) attemptEnded(i int, o Outcome) {
+func (c *simulatedClient) handleOutcome(i int, o Outcome) {
 	t := c.simulation.stats
 	if c.measured {
 		t.outcomes[o.Kind]++
@@ -280,29 +280,29 @@
 
 func TestSimulation_PlainCalls_BeatBaselines(t *testing.T) {
 	tests := []struct {
-		usage  float64 // of what the endpoints can do
-		outage bool
+		utilization float64 // of the endpoints
+		outage      bool
 	}{{0.4, true}, {0.7, true}, {1.1, false}}
 	for _, test := range tests {
-		t.Run(fmt.Sprintf("usage=%v/outage=%v", test.usage, test.outage), func(t *testing.T) {
+		t.Run(fmt.Sprintf("utilization=%v/outage=%v", test.utilization, test.outage), func(t *testing.T) {
 			t.Parallel()
-			simulate := func(queues bool, newPolicy func(list []model.Endpoint, i int) policy) *callStats {
-				return simulatePlainCalls(1, test.usage, test.outage, queues, newPolicy)
+			simulate := func(queues bool, newPolicy func(list []model.Endpoint, i int) selectionPolicy) *callStats {
+				return simulatePlainCalls(1, test.utilization, test.outage, queues, newPolicy)
 			}
-			random := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
-			leastLoad := simulate(false, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			random := simulate(false, func(l []model.Endpoint, i int) selectionPolicy { return newBaselinePolicy(l, false, uint64(i)) })
+			leastLoad := simulate(false, func(l []model.Endpoint, i int) selectionPolicy { return newBaselinePolicy(l, true, uint64(i)) })
 			direct, ours := simulate(false, balancedProxyPolicy), simulate(true, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", leastLoad)
 			t.Logf("balancer:   %v", direct)
 			t.Logf("with queue: %v", ours)
 			if share := ours.share(ours.onTime); share < random.share(random.onTime) || share < leastLoad.share(leastLoad.onTime) {
-				t.Error("fewer requests are in time than with a simple choice")
+				t.Error("fewer requests meet their latency target than with a baseline policy")
 			}
 		})
 	}
 }
 
-func balancedProxyPolicy(list []model.Endpoint, i int) policy {
+func balancedProxyPolicy(list []model.Endpoint, i int) selectionPolicy {
 	return newBalancedPolicy(list, fmt.Sprintf("z%d", i%4), uint64(i))
 }
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// decisionRecord is one decision as a trace keeps it.
+// decisionRecord is the part of a Decision that a trace stores.
 type decisionRecord struct {
 	Endpoint      string
 	Timeout       time.Duration
@@ -20,7 +20,7 @@
 	Rejection     Rejection
 }
 
-// randomRun drives a balancer at random, and checks each decision.
+// randomRun drives a balancer with random operations and checks each decision.
 type randomRun struct {
 	t            *rapid.T
 	balancer     *Balancer
@@ -38,14 +38,14 @@
 
 const runMaxInFlight = 16
 
-func newRandomRun(rt *rapid.T, seed uint64) *randomRun {
-	return &randomRun{t: rt, balancer: New(Options{Zone: "z0", Seed: seed, MaxInFlight: runMaxInFlight}), backoffs: map[string]time.Duration{}}
+func newRandomRun(t *rapid.T, seed uint64) *randomRun {
+	return &randomRun{t: t, balancer: New(Options{Zone: "z0", Seed: seed, MaxInFlight: runMaxInFlight}), backoffs: map[string]time.Duration{}}
 }
 
 func (w *randomRun) changeEndpoints() {
 	w.list = nil
 	n := rapid.IntRange(0, 9).Draw(w.t, "endpoints")
-	if rapid.IntRange(0, 9).Draw(w.t, "large") == 0 {
+	if rapid.IntRange(0, 9).Draw(w.t, "large service") == 0 {
 		n = 80
 	}
 	for i, e := range endpointsOf("feeds", n, 2) {
@@ -67,22 +67,22 @@
 }
 
 func (w *randomRun) request() Request {
-	rt := w.t
+	t := w.t
 	r := Request{
 		Service:      "feeds",
-		Route:        Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "route"), Kind: model.Retryable, MaxAttempts: 3},
-		Retryable:    rapid.Bool().Draw(rt, "retryable"),
-		TimeLeft:     time.Duration(rapid.IntRange(1, 3000).Draw(rt, "left")) * time.Millisecond,
-		AttemptsUsed: rapid.IntRange(0, 3).Draw(rt, "attempts"),
-		AffinityKey:  rapid.Uint64Range(0, 3).Draw(rt, "affinity"),
+		Route:        Route{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"), Kind: model.Retryable, MaxAttempts: 3},
+		Retryable:    rapid.Bool().Draw(t, "retryable"),
+		TimeLeft:     time.Duration(rapid.IntRange(1, 3000).Draw(t, "time left")) * time.Millisecond,
+		AttemptsUsed: rapid.IntRange(0, 3).Draw(t, "attempts used"),
+		AffinityKey:  rapid.Uint64Range(0, 3).Draw(t, "affinity key"),
 	}
-	r.Route.UsesAffinity = rapid.Bool().Draw(rt, "pinned")
-	r.MayHaveRun = r.AttemptsUsed > 0 && rapid.Bool().Draw(rt, "ran")
-	if rapid.Bool().Draw(rt, "stream") {
-		r.Route.Kind, r.NewTokens, r.OutTokens = model.Streaming, rapid.IntRange(0, 2000).Draw(rt, "tokens"), 24
+	r.Route.UsesAffinity = rapid.Bool().Draw(t, "uses affinity")
+	r.MayHaveRun = r.AttemptsUsed > 0 && rapid.Bool().Draw(t, "may have run")
+	if rapid.Bool().Draw(t, "stream") {
+		r.Route.Kind, r.NewTokens, r.OutTokens = model.Streaming, rapid.IntRange(0, 2000).Draw(t, "tokens"), 24
 	}
 	for _, e := range w.list {
-		if len(r.Excluded) < 3 && rapid.IntRange(0, 6).Draw(rt, "excluded") == 0 {
+		if len(r.Excluded) < 3 && rapid.IntRange(0, 6).Draw(t, "excluded") == 0 {
 			r.Excluded = append(r.Excluded, e.ID)
 		}
 	}
@@ -92,16 +92,16 @@
 func (w *randomRun) startAttempt() {
 	r := w.request()
 	d := w.balancer.Select(w.now, r)
-	at := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
+	record := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
 	if d.Endpoint == nil {
 		if d.Rejection.Kind == NotRejected {
-			w.t.Fatal("neither an endpoint nor a rejection")
+			w.t.Fatal("the decision has neither an endpoint nor a rejection")
 		}
-		w.trace = append(w.trace, at)
+		w.trace = append(w.trace, record)
 		return
 	}
-	at.Endpoint = d.Endpoint.ID
-	w.trace = append(w.trace, at)
+	record.Endpoint = d.Endpoint.ID
+	w.trace = append(w.trace, record)
 	w.check(&r, &d)
 	attempt := d.Attempt
 	w.balancer.Sent(w.now, &attempt)
@@ -118,22 +118,22 @@
 	case i < 0 || w.list[i].State != model.Ready:
 		w.t.Fatalf("%s is draining or not listed", d.Endpoint.ID)
 	case w.list[i].Version != "v1" && (w.target == "" || w.share == 0):
-		w.t.Fatalf("%s is of a version that takes nothing", d.Endpoint.ID)
+		w.t.Fatalf("the version of %s takes no requests", d.Endpoint.ID)
 	case slices.Contains(r.Excluded, d.Endpoint.ID):
 		w.t.Fatalf("%s is excluded", d.Endpoint.ID)
 	case d.Timeout > r.TimeLeft || d.Timeout <= 0 || d.UntilDeadline && d.Timeout != r.TimeLeft:
-		w.t.Fatalf("timeout %v, runs on %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
+		w.t.Fatalf("timeout %v, until deadline %v, with %v left", d.Timeout, d.UntilDeadline, r.TimeLeft)
 	case !r.Retryable && (!d.UntilDeadline || r.MayHaveRun):
-		w.t.Fatal("a request that must not run twice is cut, or sent again")
+		w.t.Fatal("a request that must not run twice has a planned timeout, or is sent again")
 	case len(e.inFlight) >= runMaxInFlight*3/4 || e.health.consecutiveFailures > 0 && len(e.inFlight) >= runMaxInFlight/2:
-		w.t.Fatalf("%s holds %d calls already", d.Endpoint.ID, len(e.inFlight))
+		w.t.Fatalf("%s has %d calls in flight already, more than its share", d.Endpoint.ID, len(e.inFlight))
 	case w.now < w.backoffs[d.Endpoint.ID]:
-		w.t.Fatalf("%s must not be called before %v", d.Endpoint.ID, w.backoffs[d.Endpoint.ID])
+		w.t.Fatalf("%s is in backoff until %v", d.Endpoint.ID, w.backoffs[d.Endpoint.ID])
 	case len(w.inFlight) >= runMaxInFlight:
-		w.t.Fatal("more calls than slots")
+		w.t.Fatal("more calls are in flight than MaxInFlight")
 	}
-	k := e.service.plan(d.Attempt.kind)
-	if f := k.estimatesFor(e); f.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(f.median)) {
+	plan := e.service.plan(d.Attempt.kind)
+	if estimates := plan.estimatesFor(e); estimates.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(estimates.median)) {
 		w.t.Fatal("a request is sent with less time left than the median")
 	}
 }
@@ -142,17 +142,17 @@
 	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "which")
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "attempt")
 	a, sentAt := w.inFlight[i], w.sentAt[i]
-	if a.kind == streamCall && rapid.Bool().Draw(w.t, "first") {
+	if a.kind == streamCall && rapid.Bool().Draw(w.t, "first event") {
 		w.balancer.FirstEvent(w.now, a, Load{Running: 1, Capacity: 2})
 		return
 	}
 	w.inFlight, w.sentAt = slices.Delete(w.inFlight, i, i+1), slices.Delete(w.sentAt, i, i+1)
 	o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(NotSent)).Draw(w.t, "outcome")), Elapsed: w.now - sentAt}
-	if rapid.Bool().Draw(w.t, "told") {
+	if rapid.Bool().Draw(w.t, "load reported") {
 		o.Load = Load{Running: rapid.IntRange(0, 2).Draw(w.t, "running"), Capacity: 2,
-			Queued: rapid.IntRange(0, 2).Draw(w.t, "waiting")}
+			Queued: rapid.IntRange(0, 2).Draw(w.t, "queued")}
 	}
 	w.balancer.Done(w.now, a, o)
 	w.backoffs[a.endpoint.model.ID] = a.endpoint.health.backoffUntil
@@ -163,7 +163,7 @@
 	w.changeEndpoints()
 	for range steps {
 		w.now += time.Duration(rapid.IntRange(0, 200).Draw(w.t, "ms")) * time.Millisecond
-		switch rapid.IntRange(0, 20).Draw(w.t, "what") {
+		switch rapid.IntRange(0, 20).Draw(w.t, "operation") {
 		case 0:
 			w.changeEndpoints()
 		case 1:
@@ -190,11 +190,11 @@
 			w.endAttempt()
 		}
 		if w.balancer.inFlight != 0 {
-			t.Fatalf("%d calls in flight", w.balancer.inFlight)
+			t.Fatalf("%d calls are in flight after the end of all attempts", w.balancer.inFlight)
 		}
 		for _, e := range w.balancer.endpoints {
 			if len(e.inFlight) != 0 || e.health.probesInFlight != 0 {
-				t.Fatalf("%s: %d calls and %d probes are left", e.model.ID, len(e.inFlight), e.health.probesInFlight)
+				t.Fatalf("%s: %d calls and %d probes are in flight after the end of all attempts", e.model.ID, len(e.inFlight), e.health.probesInFlight)
 			}
 		}
 	})
@@ -202,7 +202,7 @@
 
 func TestSelect_SameSeedAndCalls_SameDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Given two balancers with the same seed, and the endpoints listed in another order.
+		// Given two balancers with the same seed, whose lists hold the same endpoints in opposite order.
 		list := endpointsOf("feeds", 20, 2)
 		reversed := slices.Clone(list)
 		slices.Reverse(reversed)
@@ -219,19 +219,19 @@
 			r.Route.UsesAffinity = r.AffinityKey > 0
 			o := Outcome{Kind: OutcomeKind(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")),
 				Elapsed: time.Duration(rapid.IntRange(1, 800).Draw(t, "elapsed")) * time.Millisecond}
-			// When both get the same calls.
-			for i, s := range []*Balancer{a, b} {
-				d := s.Select(now, r)
-				at := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
+			// When both get the same requests and outcomes.
+			for i, balancer := range []*Balancer{a, b} {
+				d := balancer.Select(now, r)
+				record := decisionRecord{Timeout: d.Timeout, UntilDeadline: d.UntilDeadline, Rejection: d.Rejection}
 				if d.Endpoint != nil {
-					at.Endpoint = d.Endpoint.ID
-					s.Sent(now, &d.Attempt)
-					s.Done(now+o.Elapsed, &d.Attempt, o)
+					record.Endpoint = d.Endpoint.ID
+					balancer.Sent(now, &d.Attempt)
+					balancer.Done(now+o.Elapsed, &d.Attempt, o)
 				}
-				traces[i] = append(traces[i], at)
+				traces[i] = append(traces[i], record)
 			}
 		}
-		// Then they decide the same.
+		// Then they make the same decisions.
 		if diff := cmp.Diff(traces[0], traces[1]); diff != "" {
 			t.Fatal(diff)
 		}
--- a/internal/tier/balancer/retries_test.go
+++ b/internal/tier/balancer/retries_test.go
@@ -15,7 +15,7 @@
 		sent++
 	}
 	if sent != int(maxRetryBudget/2) {
-		t.Errorf("%d retries without a success, want %d", sent, int(maxRetryBudget/2))
+		t.Errorf("%d retries sent without a success, want %d", sent, int(maxRetryBudget/2))
 	}
 	now := callRepeatedly(t, balancer, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
 	if balancer.Select(now, r).Endpoint == nil {
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -11,16 +11,16 @@
 	"mastusher/internal/tier/model"
 )
 
-// The simulation simulates plain calls and streams in virtual time. Its endpoints follow the protocol: they
-// differ in speed, work on so many requests at once, let a few more wait, refuse the rest, and report their load.
+// The simulations run plain calls and streams in virtual time. The endpoints differ in speed and report their load as the protocol
+// has it. They process requests up to their capacity and queue the rest; those for plain calls reject requests when the queue is full.
 
-// simulation is a clock with what is due.
+// simulation is a virtual clock with a queue of timed events.
 type simulation struct {
 	now           time.Duration
 	events        eventHeap
 	serial        uint64
 	random        *rand.Rand
-	arrivalRandom *rand.Rand // the requests are the same whichever endpoint serves them
+	arrivalRandom *rand.Rand // separate, so that all policies get the same requests
 }
 
 type simulatedEvent struct {
@@ -60,7 +60,7 @@
 	}
 }
 
-// arrivals calls do at random moments, so many a second.
+// arrivals calls do at random times (a Poisson process) with the given rate per second.
 func (sim *simulation) arrivals(rate float64, until time.Duration, do func()) {
 	sim.after(seconds(sim.arrivalRandom.ExpFloat64()/rate), func() {
 		if sim.now < until {
@@ -70,16 +70,16 @@
 	})
 }
 
-// policy is a way to choose among endpoints at one proxy.
-type policy interface {
-	// choose returns an endpoint and a timeout, or -1 and the time after which to come back.
-	choose(now time.Duration, r Request) (endpoint int, timeout time.Duration, attempt *Attempt)
+// selectionPolicy is the way in which one proxy selects endpoints.
+type selectionPolicy interface {
+	// selectEndpoint returns the index of an endpoint and a timeout, or -1 and the time after which to retry.
+	selectEndpoint(now time.Duration, r Request) (endpoint int, timeout time.Duration, attempt *Attempt)
 	sent(now time.Duration, endpoint int, a *Attempt)
-	first(now time.Duration, endpoint int, a *Attempt, report Load)
+	firstEvent(now time.Duration, endpoint int, a *Attempt, report Load)
 	done(now time.Duration, endpoint int, a *Attempt, o Outcome)
 }
 
-// balancedPolicy is the balancer as a policy.
+// balancedPolicy selects endpoints by a Balancer.
 type balancedPolicy struct {
 	balancer *Balancer
 	indexes  map[string]int
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (p *balancedPolicy) choose(now time.Duration, r Request) (int, time.Duration, *Attempt) {
+func (p *balancedPolicy) selectEndpoint(now time.Duration, r Request) (int, time.Duration, *Attempt) {
 	d := p.balancer.Select(now, r)
 	if d.Endpoint == nil {
 		return -1, max(d.Rejection.RetryAfter, minRetryAfter), nil
@@ -103,14 +103,14 @@
 }
 
 func (p *balancedPolicy) sent(now time.Duration, _ int, a *Attempt) { p.balancer.Sent(now, a) }
-func (p *balancedPolicy) first(now time.Duration, _ int, a *Attempt, report Load) {
+func (p *balancedPolicy) firstEvent(now time.Duration, _ int, a *Attempt, report Load) {
 	p.balancer.FirstEvent(now, a, report)
 }
 func (p *balancedPolicy) done(now time.Duration, _ int, a *Attempt, o Outcome) {
 	p.balancer.Done(now, a, o)
 }
 
-// baselinePolicy chooses at random, or the endpoint with the least reported load and own calls.
+// baselinePolicy selects a random endpoint, or the one with the lowest sum of its reported load and the proxy's own calls.
 type baselinePolicy struct {
 	random       *rand.Rand
 	leastLoaded  bool
@@ -124,7 +124,7 @@
 		reportedLoad: make([]float64, len(list))}
 }
 
-func (p *baselinePolicy) choose(_ time.Duration, r Request) (int, time.Duration, *Attempt) {
+func (p *baselinePolicy) selectEndpoint(_ time.Duration, r Request) (int, time.Duration, *Attempt) {
 	best, bestLoad := -1, math.Inf(1)
 	for range 20 {
 		if i := p.random.IntN(len(p.list)); !slices.Contains(r.Excluded, p.list[i].ID) {
@@ -145,7 +145,7 @@
 }
 
 func (p *baselinePolicy) sent(_ time.Duration, i int, _ *Attempt) { p.ownInFlight[i]++ }
-func (p *baselinePolicy) first(_ time.Duration, i int, _ *Attempt, report Load) {
+func (p *baselinePolicy) firstEvent(_ time.Duration, i int, _ *Attempt, report Load) {
 	p.reportedLoad[i] = float64(report.Running + report.Queued - p.ownInFlight[i])
 }
 func (p *baselinePolicy) done(_ time.Duration, i int, _ *Attempt, o Outcome) {
@@ -155,12 +155,12 @@
 	}
 }
 
-// stats is how the requests of one run fared.
+// callStats counts the requests of one run and how they ended.
 type callStats struct {
 	requests, onTime, served, rejected, attempts int
 	outcomes                                     [Misdirected + 1]int
-	onTimeByPriority                             [3]int // in time
-	times                                        []float64
+	onTimeByPriority                             [3]int    // within the latency target
+	times                                        []float64 // of the served requests, in seconds
 }
 
 func (t *callStats) String() string {
@@ -169,7 +169,7 @@
 	if len(t.times) > 0 {
 		p95 = t.times[len(t.times)*95/100]
 	}
-	return fmt.Sprintf("on time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f sends each (%d rejected by endpoints, %d broken, %d timed out), %d rejected, on time by priority %d",
+	return fmt.Sprintf("on time %.3f, served %.3f, mean %4.0f ms, p95 %4.0f ms, %.2f attempts each (%d rejected by endpoints, %d incomplete, %d timed out), %d rejected, on time by priority %d",
 		t.share(t.onTime), t.share(t.served), 1000*mean, 1000*p95, float64(t.attempts)/float64(max(1, t.requests)),
 		t.outcomes[NotRun], t.outcomes[IncompleteResponse], t.outcomes[TimedOut], t.rejected, t.onTimeByPriority)
 }
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -8,29 +8,29 @@
 	"mastusher/internal/tier/model"
 )
 
-// engine is a model server: it works in steps, in each of which every running request gets one token and some of the
-// waiting prompts are read. It keeps the prefixes of sessions, the longest unused of which give way.
+// engine simulates a model server with continuous batching: each step generates one token of every running request and prefills up to
+// engineChunkTokens prompt tokens of waiting ones. It caches the prefixes of sessions; beyond cacheTokens the oldest session is evicted.
 type engine struct {
 	sim               *simulation
-	speed             float64
+	timeFactor        float64 // a step takes this multiple of its time
 	capacity          int
 	cacheTokens       int
 	running           []*generation
 	waiting           []*generation
-	cachedPrefixes    map[uint64]int // tokens by session
-	leastRecentlyUsed []uint64       // sessions, the longest unused first
+	cachedPrefixes    map[uint64]int // tokens cached, by session
+	leastRecentlyUsed []uint64       // sessions, in the order of eviction
 	busy              bool
-	prefilledTokens   *int
+	prefilledTokens   *int // sum over all engines
 }
 
 const (
 	engineStep              = 3790 * time.Microsecond
-	engineStepPerRequest    = 60 * time.Microsecond // more for each running request
-	engineChunkTokens       = 512                   // prompt tokens read in a step
-	enginePromptTokensPerMs = 56.6                  // prompt tokens a ms
+	engineStepPerRequest    = 60 * time.Microsecond // added for each running request
+	engineChunkTokens       = 512                   // prompt tokens prefilled in a step, at most
+	enginePromptTokensPerMs = 56.6                  // prompt tokens prefilled per ms
 )
 
-// generation is one stream at an engine.
+// generation is the state of one streaming request at an engine.
 type generation struct {
 	session                uint64
 	prompt                 int
@@ -40,100 +40,101 @@
 	started                bool
 }
 
-func (g *engine) add(n *generation) {
-	remaining := min(g.cachedPrefixes[n.session], n.prompt)
-	*g.prefilledTokens += n.prompt - remaining
-	n.promptLeft = n.prompt - remaining
-	g.waiting = append(g.waiting, n)
-	if !g.busy {
-		g.busy = true
-		g.step()
+func (e *engine) add(g *generation) {
+	cached := min(e.cachedPrefixes[g.session], g.prompt)
+	*e.prefilledTokens += g.prompt - cached
+	g.promptLeft = g.prompt - cached
+	e.waiting = append(e.waiting, g)
+	if !e.busy {
+		e.busy = true
+		e.step()
 	}
 }
 
-func (g *engine) load() Load {
-	return Load{Running: len(g.running), Queued: len(g.waiting), Capacity: g.capacity}
+func (e *engine) load() Load {
+	return Load{Running: len(e.running), Queued: len(e.waiting), Capacity: e.capacity}
 }
 
-func (g *engine) step() {
-	read := engineChunkTokens
-	for len(g.waiting) > 0 && len(g.running) < g.capacity && read > 0 {
-		n := g.waiting[0]
-		fragment := min(read, n.promptLeft)
-		n.promptLeft, read = n.promptLeft-fragment, read-fragment
-		if n.promptLeft > 0 {
+func (e *engine) step() {
+	budget := engineChunkTokens
+	for len(e.waiting) > 0 && len(e.running) < e.capacity && budget > 0 {
+		g := e.waiting[0]
+		chunk := min(budget, g.promptLeft)
+		g.promptLeft, budget = g.promptLeft-chunk, budget-chunk
+		if g.promptLeft > 0 {
 			break
 		}
-		g.running, g.waiting = append(g.running, n), g.waiting[1:]
+		e.running, e.waiting = append(e.running, g), e.waiting[1:]
 	}
-	if len(g.running) == 0 && read == engineChunkTokens {
-		g.busy = false
+	if len(e.running) == 0 && budget == engineChunkTokens {
+		e.busy = false
 		return
 	}
-	took := engineStep + time.Duration(len(g.running))*engineStepPerRequest
-	took += time.Duration(float64(engineChunkTokens-read) / enginePromptTokensPerMs * float64(time.Millisecond))
-	g.sim.after(time.Duration(g.speed*float64(took)), func() {
-		g.generate()
-		g.step()
+	took := engineStep + time.Duration(len(e.running))*engineStepPerRequest
+	took += time.Duration(float64(engineChunkTokens-budget) / enginePromptTokensPerMs * float64(time.Millisecond))
+	e.sim.after(time.Duration(e.timeFactor*float64(took)), func() {
+		e.generate()
+		e.step()
 	})
 }
 
-// generate gives each running request its next token.
-func (g *engine) generate() {
-	still := g.running[:0]
-	for _, n := range g.running {
-		if !n.started {
-			n.started = true
-			n.firstEvent(g.load())
+// generate generates the next token of each running request.
+func (e *engine) generate() {
+	unfinished := e.running[:0]
+	for _, g := range e.running {
+		if !g.started {
+			g.started = true
+			g.firstEvent(e.load())
 		}
-		if n.outputLeft--; n.outputLeft > 0 {
-			still = append(still, n)
+		if g.outputLeft--; g.outputLeft > 0 {
+			unfinished = append(unfinished, g)
 			continue
 		}
-		g.cachePrefix(n.session, n.prompt)
-		n.done(Outcome{Kind: Success, Load: g.load()})
+		e.cachePrefix(g.session, g.prompt)
+		g.done(Outcome{Kind: Success, Load: e.load()})
 	}
-	g.running = still
+	e.running = unfinished
 }
 
-// cachePrefix keeps the prefix of a session.
-func (g *engine) cachePrefix(session uint64, tokens int) {
-	if g.cachedPrefixes[session] == 0 {
-		g.leastRecentlyUsed = append(g.leastRecentlyUsed, session)
+// cachePrefix stores the prefix of a session, and evicts others if the cache is full.
+func (e *engine) cachePrefix(session uint64, tokens int) {
+	if e.cachedPrefixes[session] == 0 {
+		e.leastRecentlyUsed = append(e.leastRecentlyUsed, session)
 	}
-	g.cachedPrefixes[session] = tokens
+	e.cachedPrefixes[session] = tokens
 	total := 0
-	for _, k := range g.cachedPrefixes {
-		total += k
+	for _, cached := range e.cachedPrefixes {
+		total += cached
 	}
-	for total > g.cacheTokens && len(g.leastRecentlyUsed) > 1 {
-		total -= g.cachedPrefixes[g.leastRecentlyUsed[0]]
-		delete(g.cachedPrefixes, g.leastRecentlyUsed[0])
-		g.leastRecentlyUsed = g.leastRecentlyUsed[1:]
+	for total > e.cacheTokens && len(e.leastRecentlyUsed) > 1 {
+		total -= e.cachedPrefixes[e.leastRecentlyUsed[0]]
+		delete(e.cachedPrefixes, e.leastRecentlyUsed[0])
+		e.leastRecentlyUsed = e.leastRecentlyUsed[1:]
 	}
 }
 
-// turnStats is how the streams of one run fared.
+// turnStats summarizes the streams of one run.
 type turnStats struct {
 	turns, prefilledTokens int
-	first, complete        []float64
+	firstEvent, complete   []float64 // times in seconds
 }
 
 func (t *turnStats) String() string {
-	return fmt.Sprintf("first event %3.0f ms, complete %3.0f ms in the mean, %.0f tokens read a turn", 1000*meanOf(t.first),
+	return fmt.Sprintf("first event %3.0f ms, complete %3.0f ms on average, %.0f prompt tokens prefilled per turn", 1000*meanOf(t.firstEvent),
 		1000*meanOf(t.complete), float64(t.prefilledTokens)/float64(max(1, t.turns)))
 }
 
-// simulateTurns simulates programs of several turns over nine proxies and nine engines. Each turn comes to any of the proxies.
-func simulateTurns(seed uint64, rate float64, newPolicy func(list []model.Endpoint, i int) policy) *turnStats {
-	const engines, proxies, length, turns, out = 9, 9, 12 * time.Second, 6, 24
-	sim, list, t := newSimulation(seed), endpointsOf("models", engines, 64), &turnStats{}
-	var nodes []*engine
-	for i := range engines {
-		nodes = append(nodes, &engine{sim: sim, speed: 1 + 0.1*float64(i%4), capacity: 64, cacheTokens: 120000, prefilledTokens: &t.prefilledTokens,
+// simulateTurns simulates programs of six turns over nine proxies and nine engines, at the given rate of turns per second. Each turn
+// arrives at a random proxy.
+func simulateTurns(seed uint64, rate float64, newPolicy func(list []model.Endpoint, i int) selectionPolicy) *turnStats {
+	const engineCount, proxies, length, turns, outputTokens = 9, 9, 12 * time.Second, 6, 24
+	sim, list, t := newSimulation(seed), endpointsOf("models", engineCount, 64), &turnStats{}
+	var engines []*engine
+	for i := range engineCount {
+		engines = append(engines, &engine{sim: sim, timeFactor: 1 + 0.1*float64(i%4), capacity: 64, cacheTokens: 120000, prefilledTokens: &t.prefilledTokens,
 			cachedPrefixes: map[uint64]int{}})
 	}
-	var policies []policy
+	var policies []selectionPolicy
 	for i := range proxies {
 		policies = append(policies, newPolicy(list, i))
 	}
@@ -143,27 +144,27 @@
 		t.turns++
 		history := 600 + 500*number
 		p, startedAt := policies[sim.arrivalRandom.IntN(proxies)], sim.now
-		i, _, a := p.choose(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
+		i, _, a := p.selectEndpoint(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
 			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
-			PrefixTokens: history - 500, NewTokens: 500, OutTokens: out})
+			PrefixTokens: history - 500, NewTokens: 500, OutTokens: outputTokens})
 		if i < 0 {
 			return
 		}
 		p.sent(sim.now, i, a)
-		n := &generation{session: session, prompt: history, outputLeft: out}
-		n.firstEvent = func(l Load) {
-			t.first = append(t.first, (sim.now - startedAt).Seconds())
-			p.first(sim.now, i, a, l)
+		g := &generation{session: session, prompt: history, outputLeft: outputTokens}
+		g.firstEvent = func(l Load) {
+			t.firstEvent = append(t.firstEvent, (sim.now - startedAt).Seconds())
+			p.firstEvent(sim.now, i, a, l)
 		}
-		n.done = func(o Outcome) {
-			o.Elapsed, o.Tokens = sim.now-startedAt, out
+		g.done = func(o Outcome) {
+			o.Elapsed, o.Tokens = sim.now-startedAt, outputTokens
 			t.complete = append(t.complete, o.Elapsed.Seconds())
 			p.done(sim.now, i, a, o)
 			if number < turns {
 				sim.after(200*time.Millisecond, func() { turn(session, number+1) })
 			}
 		}
-		nodes[i].add(n)
+		engines[i].add(g)
 	}
 	sim.arrivals(rate/turns, length, func() {
 		program++
@@ -177,14 +178,14 @@
 	for _, rate := range []float64{30, 150, 300} {
 		t.Run(fmt.Sprintf("turns=%v", rate), func(t *testing.T) {
 			t.Parallel()
-			random := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, false, uint64(i)) })
-			leastLoad := simulateTurns(1, rate, func(l []model.Endpoint, i int) policy { return newBaselinePolicy(l, true, uint64(i)) })
+			random := simulateTurns(1, rate, func(l []model.Endpoint, i int) selectionPolicy { return newBaselinePolicy(l, false, uint64(i)) })
+			leastLoad := simulateTurns(1, rate, func(l []model.Endpoint, i int) selectionPolicy { return newBaselinePolicy(l, true, uint64(i)) })
 			ours := simulateTurns(1, rate, balancedProxyPolicy)
 			t.Logf("random:     %v", random)
 			t.Logf("least load: %v", leastLoad)
 			t.Logf("balancer:   %v", ours)
 			if w := meanOf(ours.complete); w > meanOf(random.complete) || w > meanOf(leastLoad.complete) {
-				t.Error("streams take longer than with a simple choice")
+				t.Error("streams take longer on average than with a baseline policy")
 			}
 		})
 	}
--- a/internal/tier/balancer/versions_test.go
+++ b/internal/tier/balancer/versions_test.go
@@ -9,11 +9,11 @@
 	"mastusher/internal/tier/view"
 )
 
-// serveNumbered has the request with a number, of a series that come 10 ms apart, answered at once. It returns the endpoint that served
-// it. A pinned request has an affinity of its own.
-func serveNumbered(balancer *Balancer, number int, pinned bool) *model.Endpoint {
+// serveNumbered sends a numbered request of a series that come 10 ms apart, answers it at once, and returns its endpoint. With affinity,
+// each request has an affinity key of its own.
+func serveNumbered(balancer *Balancer, number int, withAffinity bool) *model.Endpoint {
 	r := retryableRequest()
-	if pinned {
+	if withAffinity {
 		r.AffinityKey, r.Route.UsesAffinity = uint64(number+1)*0x9e3779b97f4a7c15, true
 	}
 	now := time.Duration(number) * 10 * time.Millisecond
@@ -29,30 +29,30 @@
 		list[i].Version = "v2"
 	}
 	for _, share := range []float64{0, 0.05, 0.3, 1} {
-		for _, pinned := range []bool{false, true} {
+		for _, withAffinity := range []bool{false, true} {
 			balancer := newBalancer(list)
 			balancer.SetVersions([]view.ServiceVersions{{Service: "feeds", Current: "v1", Target: "v2", TrafficShare: share}})
-			target := 0
+			toTarget := 0
 			for i := range 1000 {
-				if serveNumbered(balancer, i, pinned).Version == "v2" {
-					target++
+				if serveNumbered(balancer, i, withAffinity).Version == "v2" {
+					toTarget++
 				}
 			}
-			if got := float64(target) / 1000; got > share || got < 0.8*share {
-				t.Errorf("share %v, pinned %v: the target got %v", share, pinned, got)
+			if got := float64(toTarget) / 1000; got > share || got < 0.8*share {
+				t.Errorf("share %v, affinity %v: the target got a share of %v", share, withAffinity, got)
 			}
 		}
 	}
 }
 
 func TestSelect_SmallShare_LoadsFewTargetEndpoints(t *testing.T) {
-	// Given proxies that give a twentieth to a target that has as many endpoints as the version in service.
+	// Given proxies that send a twentieth of the requests to a target with as many endpoints as the version in service.
 	for _, test := range []struct{ endpoints, want int }{{9, 1}, {48, 2}, {100, 5}} {
 		list := endpointsOf("models", 2*test.endpoints, 64)
 		for i := range test.endpoints {
 			list[i].Version = "v2"
 		}
-		chosen := map[string]bool{}
+		selected := map[string]bool{}
 		for seed := range uint64(4) {
 			balancer := New(Options{Zone: fmt.Sprintf("z%d", seed), Seed: seed})
 			balancer.SetEndpoints(0, list)
@@ -63,22 +63,22 @@
 				balancer.Sent(now, &d.Attempt)
 				balancer.Done(now, &d.Attempt, Outcome{Elapsed: 5 * time.Millisecond})
 				if d.Endpoint.Version == "v2" {
-					chosen[d.Endpoint.ID] = true
+					selected[d.Endpoint.ID] = true
 				}
 			}
-			// And when the target has won, all of its endpoints take requests.
+			// And when the target has become the version in service, all its endpoints in the proxy's zone, or more, take requests.
 			balancer.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
 			after := map[string]bool{}
 			for key := range uint64(4000) {
 				after[balancer.Select(time.Minute, turnRequest(mix(key+1))).Endpoint.ID] = true
 			}
 			if zone := test.endpoints / 4; len(after) < zone {
-				t.Errorf("%d endpoints, after the trial: %d are chosen, want the %d of the zone at least", test.endpoints, len(after), zone)
+				t.Errorf("%d endpoints, after the rollout: %d were selected, want at least the %d of the zone", test.endpoints, len(after), zone)
 			}
 		}
-		// Then only so many get requests, the same at all proxies, as that share loads like the whole service.
-		if len(chosen) != test.want {
-			t.Errorf("%d endpoints: the trial went to %v, want %d", test.endpoints, chosen, test.want)
+		// Then only a twentieth of the target's endpoints get requests, at least one, and the same from all proxies.
+		if len(selected) != test.want {
+			t.Errorf("%d endpoints: during the rollout the target's endpoints %v were selected, want %d", test.endpoints, selected, test.want)
 		}
 	}
 }
