--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -47,7 +47,8 @@
 	return d.Endpoint.ID
 }
 
-// callRepeatedly makes a number of successful calls one after the other, each of which takes elapsed, and returns the time after them.
+// callRepeatedly makes successful calls that take elapsed each, with pauses in which the plan may be solved again. It returns the time
+// after them.
 func callRepeatedly(t *testing.T, balancer *Balancer, now time.Duration, r Request, calls int, elapsed time.Duration) time.Duration {
 	t.Helper()
 	for range calls {
--- a/internal/tier/balancer/endpoint.go
+++ b/internal/tier/balancer/endpoint.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tier/model"
 )
 
-// endpoint is the state of one endpoint. An endpoint that returns after eviction, or in another service, gets a new one.
+// endpoint is the state of one endpoint. One that returns after its eviction, or in another service, starts with a new state.
 type endpoint struct {
 	model         *model.Endpoint
 	service       *service
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -17,7 +17,7 @@
 	abandonedRunFactor     = 1.0                   // multiple of its predicted time that an abandoned call is assumed to run in all
 )
 
-// load tracks the calls in flight at an endpoint, apart from the proxy's own pending ones.
+// load holds an endpoint's reported load, and this proxy's abandoned calls that may still run there.
 type load struct {
 	othersInFlight float64 // calls of other proxies, from the last report
 	reportedAt     time.Duration
@@ -28,7 +28,7 @@
 	abandonedUntil []time.Duration // when each abandoned call is assumed to end
 }
 
-// serviceLoad is what the reports of all endpoints of a service show together.
+// serviceLoad aggregates the load reports of a service's endpoints.
 type serviceLoad struct {
 	othersShare     float64 // mean share of an endpoint's capacity that other proxies take
 	updatedAt       time.Duration
@@ -44,7 +44,7 @@
 	return e.model.Capacity
 }
 
-// recordLoad records the load that an endpoint reported; it includes this proxy's own calls, whose number is own.
+// recordLoad records the load that an endpoint reported, which includes own, the number of this proxy's calls there.
 func (e *endpoint) recordLoad(now time.Duration, report Load, own int) {
 	if report.Capacity <= 0 {
 		return
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -106,7 +106,7 @@
 	plan.stale = true
 }
 
-// toWorkUnits normalizes the time of a call for the tables: divided by its currently predicted work, in units of workUnit.
+// toWorkUnits normalizes the time of a call for the tables: it divides by the call's currently predicted work, and multiplies by workUnit.
 func (b *Balancer) toWorkUnits(a *Attempt, took time.Duration) time.Duration {
 	work := a.endpoint.service.work.predict(a.kind, a.route, a.promptTokens)
 	return seconds(took.Seconds() / work * workUnit.Seconds())
--- a/internal/tier/balancer/outlier.go
+++ b/internal/tier/balancer/outlier.go
@@ -4,7 +4,7 @@
 
 // Conditions for the ejection of an endpoint, and its backoff after a rejection.
 const (
-	maxConsecutiveFailures = 2                      // consecutive failures that eject an endpoint
+	maxConsecutiveFailures = 2                      // that eject an endpoint
 	minOverdue             = 400 * time.Millisecond // the least age of an overdue call
 	minBackoff             = 10 * time.Millisecond
 	defaultBackoff         = 50 * time.Millisecond // where the endpoint's call times are unknown
@@ -33,8 +33,9 @@
 	backoffUntil time.Duration // until then the endpoint gets no attempts
 }
 
-// recordRejection starts a backoff of base seconds, doubled for each recent rejection and randomized by draw so that proxies don't
-// return at the same moment. Calls sent before the last counted rejection met the same overload and don't count again.
+// recordRejection starts a backoff of base seconds, doubled for each earlier rejection that hasn't decayed, and randomized by draw so
+// that proxies don't return at the same moment. Rejections of calls sent before the last counted rejection belong to the same overload
+// and don't count again.
 func (h *health) recordRejection(now, sentAt time.Duration, base, draw float64) {
 	if h.everRejected && sentAt < h.rejectedAt {
 		return
--- a/internal/tier/balancer/plain_simulation_test.go
+++ b/internal/tier/balancer/plain_simulation_test.go
@@ -173,7 +173,7 @@
 	attempts          int
 	mayHaveRun        bool
 	afterTimeout      bool
-	measured          bool
+	measured          bool // counted in the stats
 	excluded          []string
 }
 
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -132,8 +132,8 @@
 	case len(w.inFlight) >= runMaxInFlight:
 		w.t.Fatal("more calls are in flight than MaxInFlight")
 	}
-	plan := e.service.plan(d.Attempt.kind)
-	if estimates := plan.estimatesFor(e); estimates.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(estimates.median)) {
+	p := e.service.plan(d.Attempt.kind)
+	if estimates := p.estimatesFor(e); estimates.known && r.TimeLeft < time.Duration(d.Attempt.workScale*float64(estimates.median)) {
 		w.t.Fatal("a request is sent with less time left than the median")
 	}
 }
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -56,7 +56,7 @@
 	NotRejected       RejectionKind = iota
 	DeadlineTooShort                // less time is left than the selected endpoint's median
 	NoEndpoint                      // no endpoint may take the request
-	Saturated                       // all endpoints that may take the request are at capacity or in backoff
+	Saturated                       // all endpoints that may take the request are at capacity or in backoff, or MaxInFlight is reached
 	AttemptsExhausted               // the request's time or attempts, its program's budget or the retry budget are used up
 )
 
--- a/internal/tier/balancer/simulation_test.go
+++ b/internal/tier/balancer/simulation_test.go
@@ -11,8 +11,9 @@
 	"mastusher/internal/tier/model"
 )
 
-// The simulations run plain calls and streams in virtual time. The endpoints differ in speed and report their load as the protocol
-// has it. They process requests up to their capacity and queue the rest; those for plain calls reject requests when the queue is full.
+// The simulations run plain calls and streams in virtual time. The endpoints differ in speed and report their load as the
+// protocol specifies. They process requests up to their capacity and queue the rest; those for plain calls reject requests
+// when the queue is full.
 
 // simulation is a virtual clock with a queue of timed events.
 type simulation struct {
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -9,18 +9,19 @@
 )
 
 // engine simulates a model server with continuous batching: each step generates one token of every running request and prefills up to
-// engineChunkTokens prompt tokens of waiting ones. It caches the prefixes of sessions; beyond cacheTokens the oldest session is evicted.
+// engineChunkTokens prompt tokens of waiting ones. It caches the prefixes of sessions; beyond cacheTokens, the session cached first is
+// evicted.
 type engine struct {
-	sim               *simulation
-	timeFactor        float64 // a step takes this multiple of its time
-	capacity          int
-	cacheTokens       int
-	running           []*generation
-	waiting           []*generation
-	cachedPrefixes    map[uint64]int // tokens cached, by session
-	leastRecentlyUsed []uint64       // sessions, in the order of eviction
-	busy              bool
-	prefilledTokens   *int // sum over all engines
+	sim             *simulation
+	timeFactor      float64 // a step takes this multiple of its time
+	capacity        int
+	cacheTokens     int
+	running         []*generation
+	waiting         []*generation
+	cachedPrefixes  map[uint64]int // tokens cached, by session
+	evictionOrder   []uint64       // cached sessions, the next to be evicted first
+	busy            bool
+	prefilledTokens *int // sum over all engines
 }
 
 const (
@@ -99,17 +100,17 @@
 // cachePrefix stores the prefix of a session, and evicts others if the cache is full.
 func (e *engine) cachePrefix(session uint64, tokens int) {
 	if e.cachedPrefixes[session] == 0 {
-		e.leastRecentlyUsed = append(e.leastRecentlyUsed, session)
+		e.evictionOrder = append(e.evictionOrder, session)
 	}
 	e.cachedPrefixes[session] = tokens
 	total := 0
 	for _, cached := range e.cachedPrefixes {
 		total += cached
 	}
-	for total > e.cacheTokens && len(e.leastRecentlyUsed) > 1 {
-		total -= e.cachedPrefixes[e.leastRecentlyUsed[0]]
-		delete(e.cachedPrefixes, e.leastRecentlyUsed[0])
-		e.leastRecentlyUsed = e.leastRecentlyUsed[1:]
+	for total > e.cacheTokens && len(e.evictionOrder) > 1 {
+		total -= e.cachedPrefixes[e.evictionOrder[0]]
+		delete(e.cachedPrefixes, e.evictionOrder[0])
+		e.evictionOrder = e.evictionOrder[1:]
 	}
 }
 
--- a/internal/tier/balancer/versions_test.go
+++ b/internal/tier/balancer/versions_test.go
@@ -66,7 +66,7 @@
 					selected[d.Endpoint.ID] = true
 				}
 			}
-			// And when the target has become the version in service, all its endpoints in the proxy's zone, or more, take requests.
+			// And when the target has become the version in service, at least as many of its endpoints take requests as a zone has.
 			balancer.SetVersions([]view.ServiceVersions{{Service: "models", Current: "v2"}})
 			after := map[string]bool{}
 			for key := range uint64(4000) {
--- a/internal/tier/versionstats/counter.go
+++ b/internal/tier/versionstats/counter.go
@@ -159,12 +159,12 @@
 // statsOf returns the counts of a key for a change, and marks the counts as changed. The caller must hold the mutex.
 func (c *Counter) statsOf(k key) *rollout.Stats {
 	c.changed = true
-	stats := c.stats[k]
-	if stats == nil {
-		stats = &rollout.Stats{}
-		c.stats[k] = stats
+	counts := c.stats[k]
+	if counts == nil {
+		counts = &rollout.Stats{}
+		c.stats[k] = counts
 	}
-	return stats
+	return counts
 }
 
 // observe counts the outcome of an attempt. Attempts that never ran or that the client cancelled early aren't counted, as they say
@@ -203,8 +203,8 @@
 	}
 	c.changed = false
 	report := wire.VersionStatsReport{Source: c.source, Versions: make([]wire.VersionStats, 0, len(c.stats))}
-	for k, stats := range c.stats {
-		entry := wire.VersionStats{Service: k.service, Route: k.route, Version: k.name, Order: k.order, Stats: *stats}
+	for k, counts := range c.stats {
+		entry := wire.VersionStats{Service: k.service, Route: k.route, Version: k.name, Order: k.order, Stats: *counts}
 		if active := c.orders[k.version]; k.order != 0 && active.number == k.order {
 			entry.AgeMs = c.now().Sub(active.since).Milliseconds()
 		}
