--- a/internal/tier/balancer/retries_test.go
+++ b/internal/tier/balancer/retries_test.go
@@ -15,9 +15,9 @@
 		sent++
 	}
 	if sent != int(maxRetryBudget/2) {
-		t.Errorf("%d retries without a success, want %d", sent, int(maxRetryBudget/2))
+		t.Errorf("%d retries sent without a success, want %d", sent, int(maxRetryBudget/2))
 	}
-	now := trainTimes(t, balancer, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
+	now := callRepeatedly(t, balancer, 10*time.Second, retryableRequest(), 5, 10*time.Millisecond)
 	if balancer.Select(now, r).Endpoint == nil {
 		t.Error("five successes earned no retry")
 	}
