--- a/internal/tier/placement/balance.go
+++ b/internal/tier/placement/balance.go
@@ -6,13 +6,13 @@
 	"mastusher/internal/tier/view"
 )
 
-// minImbalance is the difference in replicas between two stores from which on one is moved. A smaller one can't become less by a move.
+// minImbalance is the difference in replicas between two stores from which a replica is moved. Moving one wouldn't make a smaller
+// difference any smaller.
 const minImbalance = 2
 
-// Balance returns the placement with one replica moved, where a move mends something: a shard that violates the policy's limits and
-// wouldn't any more, or else a store that has at least two replicas more than another. It is for calm times: nothing may be lost,
-// missing or draining. One replica at a time, and never back and forth: each move lowers the violations, or the imbalance without
-// raising the violations.
+// Balance returns the placement with one replica moved if a move reduces the number of replicas above the policy's limits for zones
+// and regions, or else evens out two stores whose numbers of replicas differ by at least minImbalance without raising the number
+// above the limits. Repeated calls therefore reach a placement that stays unchanged. No store may be lost, missing or draining.
 func Balance(shards []view.ShardPlacement, inputs Inputs) (next []view.ShardPlacement, changed bool) {
 	usable := sorted(inputs.Stores)
 	load := loadOf(shards)
@@ -26,16 +26,16 @@
 	return shards, false
 }
 
-// move is one replica that goes to another store.
+// move is a possible move of one replica to another store.
 type move struct {
-	shard   int
-	replica int // its position among the shard's
-	to      Store
-	mended  int // replicas beyond the limits before, less those after
-	gain    int // difference in load between the two stores
+	shard           int
+	replica         int // index among the shard's replicas
+	to              Store
+	excessReduction int // replicas above the limits before the move, minus those after it
+	loadDifference  int // load of the store that has the replica, minus that of the other
 }
 
-// bestMove finds the move that mends the most, and of these the one between the stores that differ the most.
+// bestMove finds the worthwhile move that reduces the excess the most and, among equal ones, has the largest load difference.
 func bestMove(shards []view.ShardPlacement, usable []Store, policy Policy, load map[string]int) (best move, found bool) {
 	for number := range shards {
 		replicas := shards[number].Replicas
@@ -45,8 +45,8 @@
 				if before.nodes[to.Node] {
 					continue
 				}
-				candidate := move{shard: number, replica: at, to: to, gain: load[replicas[at].ID] - load[to.ID],
-					mended: before.excess() - excessAfter(policy, replicas, at, to)}
+				candidate := move{shard: number, replica: at, to: to, loadDifference: load[replicas[at].ID] - load[to.ID],
+					excessReduction: before.excess() - excessAfter(policy, replicas, at, to)}
 				if candidate.isWorthwhile() && (!found || candidate.isBetterThan(best)) {
 					best, found = candidate, true
 				}
@@ -56,17 +56,19 @@
 	return best, found
 }
 
-// isWorthwhile reports whether a move mends the spread, or lessens the imbalance and doesn't harm the spread.
-func (m *move) isWorthwhile() bool { return m.mended > 0 || m.mended == 0 && m.gain >= minImbalance }
+// isWorthwhile reports whether a move reduces the excess, or reduces the imbalance and keeps the excess.
+func (m *move) isWorthwhile() bool {
+	return m.excessReduction > 0 || m.excessReduction == 0 && m.loadDifference >= minImbalance
+}
 
 func (m *move) isBetterThan(other move) bool {
-	if m.mended != other.mended {
-		return m.mended > other.mended
+	if m.excessReduction != other.excessReduction {
+		return m.excessReduction > other.excessReduction
 	}
-	return m.gain > other.gain
+	return m.loadDifference > other.loadDifference
 }
 
-// excessAfter is how many replicas are beyond the limits once one has moved.
+// excessAfter returns the number of replicas above the limits after the replica at an index has moved to a store.
 func excessAfter(policy Policy, replicas []view.Replica, at int, to Store) int {
 	moved := slices.Clone(replicas)
 	moved[at] = to
--- a/internal/tier/placement/balance_test.go
+++ b/internal/tier/placement/balance_test.go
@@ -11,19 +11,19 @@
 	"mastusher/internal/tier/view"
 )
 
-// balanced applies Balance until nothing changes, and returns the number of moves.
+// balanced applies Balance until it changes nothing, and returns the placement and the number of moves.
 func balanced(t rapid.TB, shards []view.ShardPlacement, inputs placement.Inputs) ([]view.ShardPlacement, int) {
 	t.Helper()
 	for moves := 0; ; moves++ {
 		next, changed := placement.Balance(shards, inputs)
 		if changed == cmp.Equal(shards, next) {
-			t.Fatalf("changed is %v, but: %s", changed, cmp.Diff(shards, next))
+			t.Fatalf("changed is %v, but the placements differ by: %s", changed, cmp.Diff(shards, next))
 		}
 		if !changed {
 			return shards, moves
 		}
 		if moves > 1000 {
-			t.Fatal("the placement doesn't come to rest")
+			t.Fatal("Balance still changes the placement after 1000 moves")
 		}
 		moved := 0
 		for number := range next {
@@ -31,7 +31,7 @@
 			moved += len(difference(next[number].Replicas, shards[number].Replicas))
 		}
 		if moved != 1 {
-			t.Fatalf("%d replicas move at once", moved)
+			t.Fatalf("Balance moved %d replicas at once, want 1", moved)
 		}
 		shards = next
 	}
@@ -39,21 +39,21 @@
 
 func TestBalance_StoresCome_LeastMovesUntilEven(t *testing.T) {
 	for _, tc := range []struct {
-		before, after, zones, copies int
-		moves                        int
+		before, after, zones, replicas int
+		moves                          int // at most
 	}{
-		{4, 5, 4, 3, 2},   // 12 replicas: 3 3 3 3 0 to 3 3 2 2 2
-		{4, 6, 3, 3, 4},   // 3 3 3 3 0 0 to twos
-		{8, 9, 4, 5, 4},   // 40 replicas: fives, to 5 4 4 4 ...
-		{6, 6, 3, 3, 0},   // nothing came
-		{5, 25, 5, 5, 35}, // 40 replicas of eights, to ones and twos
+		{4, 5, 4, 3, 2},   // 12 replicas by store: 3 3 3 3 0, then 3 3 2 2 2
+		{4, 6, 3, 3, 4},   // 3 3 3 3 0 0, then 2 each
+		{8, 9, 4, 5, 4},   // 40 replicas: 5 each, then 5 4 4 4 ...
+		{6, 6, 3, 3, 0},   // no store was added
+		{5, 25, 5, 5, 35}, // 40 replicas: 8 each, then 1 or 2 each
 	} {
-		t.Run(fmt.Sprintf("%d stores become %d", tc.before, tc.after), func(t *testing.T) {
-			stores := machines(tc.after, tc.zones)
-			policy := placement.Policy{Replicas: tc.copies}
+		t.Run(fmt.Sprintf("from %d stores to %d", tc.before, tc.after), func(t *testing.T) {
+			stores := newStores(tc.after, tc.zones)
+			policy := placement.Policy{Replicas: tc.replicas}
 			shards := placement.Initial(stores[:tc.before], policy)
 			shards, moves := balanced(t, shards, placement.Inputs{Stores: stores, Policy: policy})
-			checkShare(t, shards, stores, tc.copies)
+			checkShare(t, shards, stores, tc.replicas)
 			if moves > tc.moves {
 				t.Errorf("%d moves, want %d at most", moves, tc.moves)
 			}
@@ -62,23 +62,23 @@
 }
 
 func TestBalance_ZonesComeBack_NoZoneHoldsAMajority(t *testing.T) {
-	// Given shards whose replicas had to go to two zones,
-	all := machines(9, 3)
+	// Given shards placed while only two zones had stores,
+	all := newStores(9, 3)
 	policy := placement.Policy{Replicas: 3, Zones: 1}
-	var two []placement.Store
+	var inTwoZones []placement.Store
 	for _, store := range all {
 		if store.Zone != "zone-2" {
-			two = append(two, store)
+			inTwoZones = append(inTwoZones, store)
 		}
 	}
-	shards := placement.Initial(two, policy)
+	shards := placement.Initial(inTwoZones, policy)
 	if unmet := policy.Unmet(shards); len(unmet) != 1 || unmet[0].Kind != "zones" || unmet[0].Shards != len(shards) {
-		t.Fatalf("in two zones: %v", unmet)
+		t.Fatalf("with two zones, Unmet returned %v, want the loss of a zone for all shards", unmet)
 	}
-	// when the third zone is there, then each shard gets a replica in it.
+	// when the third zone has stores, then each shard gets a replica in it.
 	shards, _ = balanced(t, shards, placement.Inputs{Stores: all, Policy: policy})
 	if unmet := policy.Unmet(shards); len(unmet) != 0 {
-		t.Errorf("in three zones: %v", unmet)
+		t.Errorf("with three zones, Unmet returned %v, want none", unmet)
 	}
 	checkShare(t, shards, all, 3)
 }
@@ -86,16 +86,16 @@
 func TestPlacement_TwoZonesMayBeLost_AMajorityIsLeftWhereZonesSuffice(t *testing.T) {
 	for zones, want := range map[int]int{5: 0, 6: 0, 4: 1} {
 		policy := placement.Policy{Replicas: 5, Zones: 2}
-		stores := machines(12, zones)
+		stores := newStores(12, zones)
 		shards := placement.Initial(stores, policy)
 		if got := policy.Unmet(shards); len(got) != want {
-			t.Errorf("%d zones: %v", zones, got)
+			t.Errorf("with %d zones, Unmet returned %v", zones, got)
 		}
-		// And also after a store was lost.
+		// The same holds after a store was lost.
 		lost := map[string]bool{stores[3].ID: true}
 		next, _ := placement.Next(shards, placement.Inputs{Stores: append(stores[:3:3], stores[4:]...), Lost: lost, Policy: policy})
 		if got := policy.Unmet(next); len(got) != want {
-			t.Errorf("%d zones, with a store lost: %v", zones, got)
+			t.Errorf("with %d zones and a lost store, Unmet returned %v", zones, got)
 		}
 	}
 }
@@ -103,41 +103,41 @@
 func TestPlacement_RegionsMayBeLost_SpreadOverRegions(t *testing.T) {
 	regionOf := map[string]string{"zone-0": "north", "zone-1": "north", "zone-2": "south", "zone-3": "east"}
 	policy := placement.Policy{Replicas: 3, Regions: 1, RegionOf: regionOf}
-	shards := placement.Initial(machines(8, 4), policy)
+	shards := placement.Initial(newStores(8, 4), policy)
 	if unmet := policy.Unmet(shards); len(unmet) != 0 {
-		t.Errorf("three regions: %v", unmet)
+		t.Errorf("with three regions, Unmet returned %v, want none", unmet)
 	}
-	// Where there are two regions, one always has a majority, and that is said.
+	// With two regions, one of them always has a majority of a shard's replicas, and Unmet reports it.
 	regionOf["zone-3"] = "south"
-	shards = placement.Initial(machines(8, 4), policy)
+	shards = placement.Initial(newStores(8, 4), policy)
 	if got := fmt.Sprint(policy.Unmet(shards)); got != "[1 regions at once: 8 shards]" {
-		t.Errorf("two regions: %s", got)
+		t.Errorf("with two regions, Unmet returned %s", got)
 	}
 }
 
-// TestBalance_AnyStores_ComesToRest checks that any placement comes to rest, with no replica beyond a limit that a single move
-// could mend, and no two stores that a single move could make more even.
+// TestBalance_AnyStores_ComesToRest checks that Balance stops changing any placement, that is, no single move would reduce the excess
+// or the imbalance any more, and that then no more shards than before fail to tolerate the policy's losses.
 func TestBalance_AnyStores_ComesToRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copies := 2*rapid.IntRange(1, 2).Draw(t, "losses") + 1
-		policy := placement.Policy{Replicas: copies, Zones: rapid.IntRange(0, 2).Draw(t, "zones lost")}
-		stores := machines(rapid.IntRange(copies, 12).Draw(t, "stores"), rapid.IntRange(1, 6).Draw(t, "zones"))
-		first := rapid.IntRange(copies, len(stores)).Draw(t, "stores at first")
+		replicas := 2*rapid.IntRange(1, 2).Draw(t, "losses") + 1
+		policy := placement.Policy{Replicas: replicas, Zones: rapid.IntRange(0, 2).Draw(t, "zones lost")}
+		stores := newStores(rapid.IntRange(replicas, 12).Draw(t, "stores"), rapid.IntRange(1, 6).Draw(t, "zones"))
+		first := rapid.IntRange(replicas, len(stores)).Draw(t, "stores at first")
 		before := placement.Initial(stores[:first], policy)
 		after, _ := balanced(t, before, placement.Inputs{Stores: stores, Policy: policy})
-		count := func(shards []view.ShardPlacement) int {
+		countUnmet := func(shards []view.ShardPlacement) int {
 			total := 0
 			for _, unmet := range policy.Unmet(shards) {
 				total += unmet.Shards
 			}
 			return total
 		}
-		if count(after) > count(before) {
-			t.Fatalf("fewer shards tolerate the losses: %v, before %v", policy.Unmet(after), policy.Unmet(before))
+		if countUnmet(after) > countUnmet(before) {
+			t.Fatalf("fewer shards tolerate the policy's losses than before: Unmet returned %v, before %v", policy.Unmet(after), policy.Unmet(before))
 		}
 		for number := range after {
 			if !cmp.Equal(before[number].Initial, after[number].Initial) {
-				t.Fatalf("shard %d: the first members changed", number)
+				t.Fatalf("shard %d: Balance changed its initial members", number)
 			}
 		}
 	})
--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -1,8 +1,9 @@
-// Package placement decides which stores have a replica of which shard, and which replicas are lost.
+// Package placement decides which stores have replicas of which shards, and which replicas are lost.
 //
-// Initial and Next derive a placement from the one before and from the stores that run: the same inputs give the same placement.
-// Tracker observes the members over time and tells which machines that host replicas are lost for good, whose replicas must be
-// replaced. Package controller calls both on the configuration shard's leader, and programclient maps keys to shards by Shard.
+// Initial, Next and Balance derive a placement from the previous one and from the running stores: the same inputs give the same
+// placement. Tracker observes the members over time and determines which machines that host replicas are permanently lost, so that
+// their replicas must be replaced. Package controller uses both on the configuration shard's leader, and package programclient
+// maps keys to shards with Shard.
 //
-// The package is pure: times are passed in. Nothing is safe for concurrent use.
+// The package does no I/O and reads no clock: times are passed in. Nothing is safe for concurrent use.
 package placement
--- a/internal/tier/placement/lost_hosts.go
+++ b/internal/tier/placement/lost_hosts.go
@@ -8,21 +8,21 @@
 	"mastusher/internal/tier/view"
 )
 
-// When a host that is missing counts as lost.
+// How long a host must be missing to count as lost.
 const (
-	lostTimeout     = 4 * time.Second  // after its death, or after the observations began if it was never seen
-	replacedTimeout = time.Second      // the same, while a spare member runs that may replace it
-	newcomerAge     = 10 * time.Second // a spare that was first seen this recently likely is the replacement: then a suspicion suffices
+	lostTimeout     = 4 * time.Second  // from its death, or from the start of the observations if it was never seen
+	replacedTimeout = time.Second      // the same while a spare member runs that may replace it
+	newcomerAge     = 10 * time.Second // a spare seen for less than this is likely a replacement: replacedTimeout counts from the suspicion
 )
 
-// Host is a member that hosts replicas, as its group or a placement names it.
+// Host is a member that hosts replicas, as listed by its group or by a placement.
 type Host struct {
 	ID      string
-	Name    string // of the member; empty: its last known name
-	Address string // host:port of its transport
+	Name    string // member name; empty: the last known name of the ID
+	Address string // host:port for calls of package transport
 }
 
-// Lost returns the identities of the placement's replicas that are lost for good.
+// Lost returns the identities of the placement's replicas that are permanently lost.
 func (t *Tracker) Lost(now time.Time, shards []view.ShardPlacement) map[string]bool {
 	var hosts []Host
 	for _, shard := range shards {
@@ -33,12 +33,13 @@
 	return t.LostHosts(now, membership.Store, hosts)
 }
 
-// LostHosts returns the identities of the hosts of a role that are lost for good: their disk was wiped, since their machine runs
-// under another identity, or nothing has been heard of them for lostTimeout. That takes just replacedTimeout while a spare member
-// of the role runs, counted from the suspicion where the spare is a newcomer: repair must be complete before the next loss.
+// LostHosts returns the identities of the hosts of a role that are permanently lost. A host is lost if its disk was wiped, that is,
+// its machine runs under another identity, or if it has been dead or unseen for lostTimeout. While a spare member of the role runs,
+// replacedTimeout suffices, counted from the suspicion if a spare was first seen less than newcomerAge ago, since repair must be
+// complete before the next loss.
 //
-// Each spare replaces one host alone, the one that has been missing for the longest time: others may come back. A host that was
-// found lost stays so until it is back, also once the spare has got replicas.
+// Each spare replaces only one host, the one that has been missing for the longest time: the others may come back. A host that was
+// found lost stays lost until it comes back, even after the spare has got replicas.
 func (t *Tracker) LostHosts(now time.Time, role membership.Role, hosts []Host) map[string]bool {
 	lost := map[string]bool{}
 	var missing []Host
@@ -56,8 +57,8 @@
 	return lost
 }
 
-// replacedBySpares returns those of the missing hosts that count as lost because a spare member is ready to replace each. taken
-// is the number of spares that are needed for hosts that are lost anyway.
+// replacedBySpares returns the missing hosts that count as lost because a spare member can replace them. taken is the number of
+// spares needed for hosts that are lost already.
 func (t *Tracker) replacedBySpares(now time.Time, spares []membership.Member, taken int, missing []Host) []Host {
 	available := max(0, len(spares)-taken)
 	t.sortByMissingSince(missing)
@@ -72,18 +73,18 @@
 	})
 }
 
-// distinct returns each host once, in the order of their first occurrence.
+// distinct returns the hosts without duplicate identities, in order of first occurrence.
 func distinct(hosts []Host) []Host {
-	var all []Host
+	var unique []Host
 	for _, host := range hosts {
-		if !slices.ContainsFunc(all, func(h Host) bool { return h.ID == host.ID }) {
-			all = append(all, host)
+		if !slices.ContainsFunc(unique, func(h Host) bool { return h.ID == host.ID }) {
+			unique = append(unique, host)
 		}
 	}
-	return all
+	return unique
 }
 
-// nameOf is the member name of a host.
+// nameOf returns the member name of a host.
 func (t *Tracker) nameOf(host Host) string {
 	if host.Name == "" {
 		return t.names[host.ID]
@@ -97,21 +98,21 @@
 	return missing
 }
 
-// sortByMissingSince sorts the hosts that have been missing for the longest time first.
+// sortByMissingSince sorts hosts, the one that has been missing for the longest time first.
 func (t *Tracker) sortByMissingSince(hosts []Host) {
 	slices.SortStableFunc(hosts, func(a, b Host) int {
 		return t.missing[t.nameOf(a)].Compare(t.missing[t.nameOf(b)])
 	})
 }
 
-// spareMembers lists the members of a role that run and host nothing.
+// spareMembers lists the running members of a role that aren't among the hosts.
 func (t *Tracker) spareMembers(role membership.Role, hosts []Host) []membership.Member {
 	return slices.DeleteFunc(t.Running(role), func(m membership.Member) bool {
 		return slices.ContainsFunc(hosts, func(h Host) bool { return h.ID == m.ID })
 	})
 }
 
-// isLost reports whether a host is certainly lost: wiped, or missing for lostTimeout.
+// isLost reports whether a host is lost without regard to spares: wiped, or dead or unseen for lostTimeout.
 func (t *Tracker) isLost(now time.Time, host Host) bool {
 	if m := t.find(func(m *membership.Member) bool { return m.ID == host.ID }); m != nil {
 		start, dead := t.dead[m.Name]
--- a/internal/tier/placement/placement.go
+++ b/internal/tier/placement/placement.go
@@ -9,22 +9,23 @@
 	"mastusher/internal/tier/view"
 )
 
-// maxShards bounds the number of shards of an initial placement.
+// maxShards is the largest number of shards of an initial placement.
 const maxShards = 64
 
-// Store is a running machine that may get replicas.
+// Store is a member that may get replicas.
 type Store = view.Replica
 
-// Shard returns the shard of a key, by its FNV-1a hash. It must stay as it is: stored state lies in the shard of its key.
+// Shard returns the shard of a key, by its FNV-1a hash. The mapping must not change: state is stored in the shard of its key.
 func Shard(key string, shards int) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
 	return int(hash.Sum64() % uint64(shards))
 }
 
-// Initial returns the first placement: as many shards as the next power of two of the number of stores, each with as many replicas
-// as the policy says, so that all stores have about as many, and the losses that the policy names leave a majority of each shard's
-// replicas as far as there are zones and regions enough. It returns nil while there are too few stores.
+// Initial returns the first placement. The number of shards is the number of stores rounded up to a power of two, at most maxShards.
+// Each shard has as many replicas as the policy demands, all stores have about the same number of replicas, and the losses in the
+// policy leave a majority of each shard's replicas if there are enough zones and regions. Initial returns nil if there are fewer
+// stores than replicas of a shard.
 func Initial(stores []Store, policy Policy) []view.ShardPlacement {
 	usable := sorted(stores)
 	if len(usable) < policy.Replicas {
@@ -47,8 +48,8 @@
 	return shards
 }
 
-// balanceOnce moves one replica to a store that has at least two fewer, and returns false if there is none. Selecting shard by
-// shard can leave such a difference where zones differ in size.
+// balanceOnce moves one replica to a store that has at least two fewer, and reports whether there was such a store. Selecting
+// stores shard by shard can leave such a difference where zones differ in size.
 func balanceOnce(shards []view.ShardPlacement, usable []Store, policy Policy, load map[string]int) bool {
 	for i := range shards {
 		for at, replica := range shards[i].Replicas {
@@ -64,16 +65,17 @@
 	return false
 }
 
-// Inputs are what the next placement follows from.
+// Inputs determine the next placement, together with the current one.
 type Inputs struct {
-	Stores   []Store         // running ones that may get replicas
-	Lost     map[string]bool // identities whose replicas are lost for good
-	Draining map[string]bool // identities whose stores are being drained
+	Stores   []Store         // running stores that may get replicas
+	Lost     map[string]bool // identities whose replicas are permanently lost
+	Draining map[string]bool // identities of stores that are being drained
 	Policy   Policy
 }
 
-// Next returns what the placement should become now: lost and draining replicas are replaced where a store is free for it, and
-// missing ones are added. It changes at most one replica of each shard at a time. changed reports whether anything differs.
+// Next returns the placement that is to follow the current one: lost and draining replicas are replaced if another store can take
+// them, and replicas are added to shards that have too few. It changes at most one replica of each shard. changed reports whether
+// the placement differs.
 func Next(shards []view.ShardPlacement, inputs Inputs) (next []view.ShardPlacement, changed bool) {
 	usable := sorted(inputs.Stores)
 	load := loadOf(shards)
@@ -120,8 +122,8 @@
 	return append(remaining, added...), true
 }
 
-// replicaToReplace finds the replica to be replaced first, or -1: a lost one goes before a draining one, which can still be
-// copied from.
+// replicaToReplace returns the index of the replica to be replaced first, or -1. A lost replica goes before a draining one, which can
+// still be copied from.
 func replicaToReplace(replicas []view.Replica, inputs Inputs) int {
 	for _, leaving := range []map[string]bool{inputs.Lost, inputs.Draining} {
 		at := slices.IndexFunc(replicas, func(r view.Replica) bool { return leaving[r.ID] })
@@ -132,7 +134,7 @@
 	return -1
 }
 
-// storeOnSameNode finds the store that runs on the replica's machine under another identity: its disk was wiped.
+// storeOnSameNode finds a running store on the lost replica's machine under another identity, as after its disk was wiped.
 func storeOnSameNode(lost view.Replica, usable []Store) (Store, bool) {
 	at := slices.IndexFunc(usable, func(s Store) bool { return s.Node == lost.Node && s.ID != lost.ID })
 	if at < 0 {
@@ -141,14 +143,14 @@
 	return usable[at], true
 }
 
+// sorted returns the stores sorted by machine name.
 func sorted(stores []Store) []Store {
 	return slices.SortedFunc(slices.Values(stores), func(a, b Store) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// selectStores selects up to count stores for a shard besides its remaining replicas: those with the fewest replicas, as long as
-// the losses that the policy names leave a majority of the shard's replicas. So no store gets more than its share because its zone
-// has few stores. Of equally loaded stores, those in zones with fewer of the shard's replicas go first; the shard's number breaks
-// ties, so that leaders spread. It adds the selected ones to load.
+// selectStores selects up to count stores for a shard in addition to its remaining replicas, in the order of isBetter. Load goes
+// before an even spread over zones, so that no store gets more than its share because its zone has few stores. The shard's number
+// breaks ties, so that leaders are spread over the stores. The selected stores are added to load.
 func selectStores(usable []Store, remaining []view.Replica, count int, policy Policy, load map[string]int, shard int) []view.Replica {
 	spread := newSpread(policy, remaining)
 	var selected []view.Replica
@@ -174,8 +176,8 @@
 	return selected
 }
 
-// isBetter reports whether a is to be selected before b: a zone and a region below their limits come first, then fewer replicas,
-// then a zone with fewer of the shard's replicas.
+// isBetter reports whether a is to be selected before b. Stores whose zone and region are below their limits come first, then those
+// with fewer replicas, then those in zones with fewer of the shard's replicas.
 func isBetter(a, b Store, spread *spread, load map[string]int) bool {
 	if allowed := spread.allows(a); allowed != spread.allows(b) {
 		return allowed
--- a/internal/tier/placement/placement_test.go
+++ b/internal/tier/placement/placement_test.go
@@ -12,66 +12,66 @@
 	"mastusher/internal/tier/view"
 )
 
-// machine is the store on machine NODE in a zone, with its GENERATION'th disk.
-func machine(node int, zone string, generation int) placement.Store {
+// newStore returns the store on a machine in a zone. Its identity changes with generation, as when its disk is wiped.
+func newStore(node int, zone string, generation int) placement.Store {
 	return placement.Store{ID: fmt.Sprintf("id-%d-%d", node, generation), Node: fmt.Sprintf("storage-%d", node), Zone: zone,
 		Address: fmt.Sprintf("10.0.0.%d:7002", node)}
 }
 
-// machines are count stores that take turns in the zones.
-func machines(count, zones int) []placement.Store {
+// newStores returns stores that are assigned to the zones in turn.
+func newStores(count, zones int) []placement.Store {
 	var stores []placement.Store
 	for node := range count {
-		stores = append(stores, machine(node, fmt.Sprint("zone-", node%zones), 1))
+		stores = append(stores, newStore(node, fmt.Sprint("zone-", node%zones), 1))
 	}
 	return stores
 }
 
 func TestInitial_TooFewStores_Nil(t *testing.T) {
-	if got := placement.Initial(machines(2, 2), placement.Policy{Replicas: 3}); got != nil {
-		t.Errorf("placed on two stores: %v", got)
+	if got := placement.Initial(newStores(2, 2), placement.Policy{Replicas: 3}); got != nil {
+		t.Errorf("three replicas per shard were placed on two stores: %v", got)
 	}
 	for count, want := range map[int]int{3: 4, 4: 4, 5: 8, 9: 16, 100: 64} {
-		if got := len(placement.Initial(machines(count, 4), placement.Policy{Replicas: 3})); got != want {
-			t.Errorf("%d stores make %d shards, want %d", count, got, want)
+		if got := len(placement.Initial(newStores(count, 4), placement.Policy{Replicas: 3})); got != want {
+			t.Errorf("%d stores got %d shards, want %d", count, got, want)
 		}
 	}
 }
 
-// TestInitial_SpreadsOverStoresAndZones checks any first placement: each shard has its replicas on different machines, no zone holds a majority of
-// them where there are zones enough, no machine holds many more than another where zones leave the choice, and the order of the
-// stores doesn't matter.
+// TestInitial_SpreadsOverStoresAndZones checks the first placement for random numbers of stores, zones and replicas: each shard's
+// replicas are on different machines, no zone holds a majority of them if there are enough zones, no store holds over two replicas
+// more than another unless the zones' limits demand it, and the order of the stores doesn't matter.
 func TestInitial_SpreadsOverStoresAndZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copies := 2*rapid.IntRange(0, 2).Draw(t, "losses") + 1
+		replicas := 2*rapid.IntRange(0, 2).Draw(t, "losses") + 1
 		zones := rapid.IntRange(1, 5).Draw(t, "zones")
-		stores := machines(rapid.IntRange(copies, 12).Draw(t, "stores"), zones)
-		shards := placement.Initial(stores, placement.Policy{Replicas: copies})
+		stores := newStores(rapid.IntRange(replicas, 12).Draw(t, "stores"), zones)
+		shards := placement.Initial(stores, placement.Policy{Replicas: replicas})
 		load := loads(shards, stores)
 		for number, shard := range shards {
-			checkShard(t, number, shard, copies)
-			checkZones(t, number, shard, stores, copies)
+			checkShard(t, number, shard, replicas)
+			checkZones(t, number, shard, stores, replicas)
 			if !cmp.Equal(shard.Initial, shard.Replicas) {
-				t.Fatalf("shard %d begins with other members than it is to have", number)
+				t.Fatalf("the initial members of shard %d differ from its replicas", number)
 			}
 		}
-		if permuted := placement.Initial(rapid.Permutation(stores).Draw(t, "order"), placement.Policy{Replicas: copies}); !cmp.Equal(shards, permuted) {
-			t.Fatal("the order of the stores matters")
+		if permuted := placement.Initial(rapid.Permutation(stores).Draw(t, "order"), placement.Policy{Replicas: replicas}); !cmp.Equal(shards, permuted) {
+			t.Fatal("the placement depends on the order of the stores")
 		}
-		if bound := max(1, (copies-1)/2); len(zoneSizes(stores))*bound >= copies && !zonesLeaveAChoice(stores, copies) {
+		if bound := max(1, (replicas-1)/2); len(zoneSizes(stores))*bound >= replicas && !zoneLimitsAllowEvenLoad(stores, replicas) {
 			return
 		}
-		minLoad, maxLoad := len(shards)*copies, 0
+		minLoad, maxLoad := len(shards)*replicas, 0
 		for _, store := range stores {
 			minLoad, maxLoad = min(minLoad, load[store.ID]), max(maxLoad, load[store.ID])
 		}
 		if maxLoad-minLoad > 2 {
-			t.Fatalf("one store holds %d replicas, another %d", maxLoad, minLoad)
+			t.Fatalf("one store holds %d replicas and another %d, want a difference of at most 2", maxLoad, minLoad)
 		}
 	})
 }
 
-// zoneSizes counts the stores of each zone.
+// zoneSizes returns the number of stores in each zone.
 func zoneSizes(stores []placement.Store) map[string]int {
 	sizes := map[string]int{}
 	for _, store := range stores {
@@ -80,127 +80,127 @@
 	return sizes
 }
 
-// zonesLeaveAChoice tells whether an even share of all replicas is within what the zones may hold of each shard.
-func zonesLeaveAChoice(stores []placement.Store, copies int) bool {
-	bound := max(1, (copies-1)/2)
+// zoneLimitsAllowEvenLoad reports whether all stores can hold equally many replicas without a zone above its limit for each shard.
+func zoneLimitsAllowEvenLoad(stores []placement.Store, replicas int) bool {
+	bound := max(1, (replicas-1)/2)
 	for _, size := range zoneSizes(stores) {
-		if size*copies > bound*len(stores) {
+		if size*replicas > bound*len(stores) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkZones checks that no zone holds a majority of a shard's replicas, unless there are too few stores in the others.
-func checkZones(t rapid.TB, number int, shard view.ShardPlacement, stores []placement.Store, copies int) {
+// checkZones checks that no zone holds a majority of a shard's replicas, unless the other zones have too few stores.
+func checkZones(t rapid.TB, number int, shard view.ShardPlacement, stores []placement.Store, replicas int) {
 	t.Helper()
-	bound, capacity := max(1, (copies-1)/2), 0
+	bound, capacity := max(1, (replicas-1)/2), 0
 	for _, size := range zoneSizes(stores) {
 		capacity += min(size, bound)
 	}
-	if capacity < copies {
+	if capacity < replicas {
 		return
 	}
 	for zone, count := range zoneSizes(shard.Replicas) {
 		if count > bound {
-			t.Fatalf("shard %d has %d of %d replicas in %s", number, count, copies, zone)
+			t.Fatalf("shard %d has %d of %d replicas in %s, which is a majority", number, count, replicas, zone)
 		}
 	}
 }
 
-// checkShard checks that the replicas are as many as there are to be, on different machines.
-func checkShard(t rapid.TB, number int, shard view.ShardPlacement, copies int) {
+// checkShard checks that a shard has the given number of replicas, on different machines.
+func checkShard(t rapid.TB, number int, shard view.ShardPlacement, replicas int) {
 	t.Helper()
 	nodes := map[string]bool{}
 	for _, r := range shard.Replicas {
 		nodes[r.Node] = true
 	}
-	if len(nodes) != copies || len(shard.Replicas) != copies {
-		t.Fatalf("shard %d: %d replicas on %d machines, want %d", number, len(shard.Replicas), len(nodes), copies)
+	if len(nodes) != replicas || len(shard.Replicas) != replicas {
+		t.Fatalf("shard %d has %d replicas on %d machines, want %d", number, len(shard.Replicas), len(nodes), replicas)
 	}
 }
 
-// TestNext_MovesOnlyLostAndDraining checks any step from any placement: replicas only leave where they are lost or retiring, at most
-// one of each shard; one is replaced by its machine's new identity if there is one; a store is never wanted twice; replicas
-// come only to stores that run; and repeated steps lead to a placement that wants nothing that is lost or retiring, if
-// there are enough stores.
+// TestNext_MovesOnlyLostAndDraining checks steps from random placements: at most one replica of each shard is removed, and only if
+// it is lost or draining; it is replaced by its machine's new identity if there is one; replicas are added only on running stores
+// and on different machines; and repeated steps lead to a placement without lost or draining replicas if there are enough stores.
 func TestNext_MovesOnlyLostAndDraining(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const copies = 3
-		stores := machines(rapid.IntRange(copies, 8).Draw(t, "stores"), rapid.IntRange(1, 4).Draw(t, "zones"))
-		shards := placement.Initial(stores, placement.Policy{Replicas: copies})
-		now := placement.Inputs{Lost: map[string]bool{}, Draining: map[string]bool{}, Policy: placement.Policy{Replicas: copies}}
-		renewed := map[string]string{} // identity that replaces one that was wiped
+		const replicas = 3
+		stores := newStores(rapid.IntRange(replicas, 8).Draw(t, "stores"), rapid.IntRange(1, 4).Draw(t, "zones"))
+		shards := placement.Initial(stores, placement.Policy{Replicas: replicas})
+		inputs := placement.Inputs{Lost: map[string]bool{}, Draining: map[string]bool{}, Policy: placement.Policy{Replicas: replicas}}
+		newIDs := map[string]string{} // new identity of a wiped store, by its old one
 		for i, store := range stores {
-			switch rapid.SampledFrom([]string{"runs", "runs", "runs", "lost", "retiring", "wiped", "down"}).Draw(t, store.Node) {
+			switch rapid.SampledFrom([]string{"runs", "runs", "runs", "lost", "draining", "wiped", "down"}).Draw(t, store.Node) {
 			case "runs":
-				now.Stores = append(now.Stores, store)
+				inputs.Stores = append(inputs.Stores, store)
 			case "lost":
-				now.Lost[store.ID] = true
-			case "retiring":
-				now.Draining[store.ID] = true
+				inputs.Lost[store.ID] = true
+			case "draining":
+				inputs.Draining[store.ID] = true
 			case "wiped":
-				anew := machine(i, store.Zone, 2)
-				now.Lost[store.ID] = true
-				renewed[store.ID] = anew.ID
-				now.Stores = append(now.Stores, anew)
+				wiped := newStore(i, store.Zone, 2)
+				inputs.Lost[store.ID] = true
+				newIDs[store.ID] = wiped.ID
+				inputs.Stores = append(inputs.Stores, wiped)
 			}
 		}
-		for range 2 * copies {
-			next, changed := placement.Next(shards, now)
+		for range 2 * replicas {
+			next, changed := placement.Next(shards, inputs)
 			if changed == cmp.Equal(shards, next) {
-				t.Fatalf("changed is %v, but: %s", changed, cmp.Diff(shards, next))
+				t.Fatalf("changed is %v, but the placements differ by: %s", changed, cmp.Diff(shards, next))
 			}
 			for number := range next {
-				checkStep(t, number, shards[number], next[number], now, renewed)
+				checkStep(t, number, shards[number], next[number], inputs, newIDs)
 			}
 			shards = next
 		}
-		if _, changed := placement.Next(shards, now); changed {
-			t.Fatal("the placement doesn't come to rest")
+		if _, changed := placement.Next(shards, inputs); changed {
+			t.Fatal("Next still changes the placement after two steps for each replica")
 		}
 		for number, shard := range shards {
 			for _, r := range shard.Replicas {
-				if (now.Lost[r.ID] || now.Draining[r.ID]) && free(now.Stores, shard) {
-					t.Fatalf("shard %d still wants %s", number, r.ID)
+				if (inputs.Lost[r.ID] || inputs.Draining[r.ID]) && hasFreeStore(inputs.Stores, shard) {
+					t.Fatalf("shard %d still has lost or draining replica %s, though a store is free", number, r.ID)
 				}
 			}
 		}
 	})
 }
 
-// free tells whether a store runs on a machine of which the shard wants nothing.
-func free(stores []placement.Store, shard view.ShardPlacement) bool {
+// hasFreeStore reports whether a store runs on a machine without a replica of the shard.
+func hasFreeStore(stores []placement.Store, shard view.ShardPlacement) bool {
 	return slices.ContainsFunc(stores, func(s placement.Store) bool {
 		return !slices.ContainsFunc(shard.Replicas, func(r view.Replica) bool { return r.Node == s.Node })
 	})
 }
 
-func checkStep(t rapid.TB, number int, before, after view.ShardPlacement, now placement.Inputs, renewed map[string]string) {
+// checkStep checks how one call of Next changed a shard.
+func checkStep(t rapid.TB, number int, before, after view.ShardPlacement, inputs placement.Inputs, newIDs map[string]string) {
 	t.Helper()
-	checkShard(t, number, after, now.Policy.Replicas)
-	left, come := difference(before.Replicas, after.Replicas), difference(after.Replicas, before.Replicas)
-	if len(left) != len(come) || len(left) > 1 {
-		t.Fatalf("shard %d: %v leave and %v come", number, left, come)
+	checkShard(t, number, after, inputs.Policy.Replicas)
+	removed, added := difference(before.Replicas, after.Replicas), difference(after.Replicas, before.Replicas)
+	if len(removed) != len(added) || len(removed) > 1 {
+		t.Fatalf("shard %d: replicas %v were removed and %v added, want at most one of each", number, removed, added)
 	}
 	if !cmp.Equal(before.Initial, after.Initial) {
-		t.Fatalf("shard %d: the first members changed", number)
+		t.Fatalf("shard %d: Next changed its initial members", number)
 	}
-	if len(left) == 0 {
+	if len(removed) == 0 {
 		return
 	}
-	if !now.Lost[left[0].ID] && !now.Draining[left[0].ID] {
-		t.Fatalf("shard %d: %s leaves without need", number, left[0].ID)
+	if !inputs.Lost[removed[0].ID] && !inputs.Draining[removed[0].ID] {
+		t.Fatalf("shard %d: replica %s was removed, which is neither lost nor draining", number, removed[0].ID)
 	}
-	if !slices.Contains(now.Stores, come[0]) {
-		t.Fatalf("shard %d: %s comes, which doesn't run", number, come[0].ID)
+	if !slices.Contains(inputs.Stores, added[0]) {
+		t.Fatalf("shard %d: a replica was added on %s, which doesn't run", number, added[0].ID)
 	}
-	if anew := renewed[left[0].ID]; anew != "" && come[0].ID != anew {
-		t.Fatalf("shard %d: %s is replaced by %s, though its machine runs as %s", number, left[0].ID, come[0].ID, anew)
+	if newID := newIDs[removed[0].ID]; newID != "" && added[0].ID != newID {
+		t.Fatalf("shard %d: %s was replaced by %s, want its machine's new identity %s", number, removed[0].ID, added[0].ID, newID)
 	}
 }
 
-// difference lists the replicas of a that b lacks.
+// difference returns the replicas in a that aren't in b.
 func difference(a, b []view.Replica) []view.Replica {
 	var missing []view.Replica
 	for _, r := range a {
@@ -212,32 +212,32 @@
 }
 
 func TestNext(t *testing.T) {
-	a, b, c, d, e := machine(1, "x", 1), machine(2, "y", 1), machine(3, "z", 1), machine(4, "y", 1), machine(5, "x", 1)
-	anew := machine(1, "x", 2)
+	a, b, c, d, e := newStore(1, "x", 1), newStore(2, "y", 1), newStore(3, "z", 1), newStore(4, "y", 1), newStore(5, "x", 1)
+	wiped := newStore(1, "x", 2) // a under a new identity
 	tests := []struct {
 		name           string
 		replicas       []placement.Store
 		stores         []placement.Store
-		lost, retiring []placement.Store
+		lost, draining []placement.Store
 		want           []placement.Store
 	}{
-		{"calm", []placement.Store{a, b, c}, []placement.Store{a, b, c, d}, nil, nil, []placement.Store{a, b, c}},
-		{"a new store alone", []placement.Store{a, b, c}, []placement.Store{a, b, c, d, e}, nil, nil, []placement.Store{a, b, c}},
-		{"one is down but not lost", []placement.Store{a, b, c}, []placement.Store{b, c, d}, nil, nil, []placement.Store{a, b, c}},
-		{"lost: to the zone that becomes free", []placement.Store{a, b, c}, []placement.Store{b, c, d, e}, []placement.Store{a}, nil, []placement.Store{b, c, e}},
+		{"all replicas run", []placement.Store{a, b, c}, []placement.Store{a, b, c, d}, nil, nil, []placement.Store{a, b, c}},
+		{"new stores", []placement.Store{a, b, c}, []placement.Store{a, b, c, d, e}, nil, nil, []placement.Store{a, b, c}},
+		{"one store is down but not lost", []placement.Store{a, b, c}, []placement.Store{b, c, d}, nil, nil, []placement.Store{a, b, c}},
+		{"lost: replaced in the same zone", []placement.Store{a, b, c}, []placement.Store{b, c, d, e}, []placement.Store{a}, nil, []placement.Store{b, c, e}},
 		{"lost, and no store is free", []placement.Store{a, b, c}, []placement.Store{b, c}, []placement.Store{a}, nil, []placement.Store{a, b, c}},
-		{"wiped: to the new identity", []placement.Store{a, b, c}, []placement.Store{anew, b, c, d, e}, []placement.Store{a}, nil, []placement.Store{b, c, anew}},
-		{"wiped, and no other store is free", []placement.Store{a, b, c}, []placement.Store{anew, b, c}, []placement.Store{a}, nil, []placement.Store{b, c, anew}},
-		{"retiring", []placement.Store{a, b, c}, []placement.Store{b, c, d, e}, nil, []placement.Store{a}, []placement.Store{b, c, e}},
-		{"lost goes before retiring", []placement.Store{a, b, c}, []placement.Store{c, e}, []placement.Store{b}, []placement.Store{a}, []placement.Store{a, c, e}},
-		{"too few", []placement.Store{a, b}, []placement.Store{a, b, d, c}, nil, nil, []placement.Store{a, b, c}},
-		{"too few and retiring", []placement.Store{a, b}, []placement.Store{b, c, d}, nil, []placement.Store{a}, []placement.Store{b, c}},
+		{"wiped: replaced by the new identity", []placement.Store{a, b, c}, []placement.Store{wiped, b, c, d, e}, []placement.Store{a}, nil, []placement.Store{b, c, wiped}},
+		{"wiped, and no other store is free", []placement.Store{a, b, c}, []placement.Store{wiped, b, c}, []placement.Store{a}, nil, []placement.Store{b, c, wiped}},
+		{"draining", []placement.Store{a, b, c}, []placement.Store{b, c, d, e}, nil, []placement.Store{a}, []placement.Store{b, c, e}},
+		{"lost goes before draining", []placement.Store{a, b, c}, []placement.Store{c, e}, []placement.Store{b}, []placement.Store{a}, []placement.Store{a, c, e}},
+		{"too few replicas", []placement.Store{a, b}, []placement.Store{a, b, d, c}, nil, nil, []placement.Store{a, b, c}},
+		{"too few replicas, and one draining", []placement.Store{a, b}, []placement.Store{b, c, d}, nil, []placement.Store{a}, []placement.Store{b, c}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			now := placement.Inputs{Stores: test.stores, Lost: identities(test.lost), Draining: identities(test.retiring), Policy: placement.Policy{Replicas: 3}}
+			inputs := placement.Inputs{Stores: test.stores, Lost: identities(test.lost), Draining: identities(test.draining), Policy: placement.Policy{Replicas: 3}}
 			before := []view.ShardPlacement{{Initial: test.replicas, Replicas: slices.Clone(test.replicas)}}
-			next, changed := placement.Next(before, now)
+			next, changed := placement.Next(before, inputs)
 			if diff := cmp.Diff(test.want, next[0].Replicas); diff != "" {
 				t.Errorf("replicas (-want +got):\n%s", diff)
 			}
@@ -245,7 +245,7 @@
 				t.Errorf("changed: %v, want %v", changed, want)
 			}
 			if diff := cmp.Diff(test.replicas, before[0].Replicas); diff != "" {
-				t.Errorf("the placement before was changed:\n%s", diff)
+				t.Errorf("Next changed its argument:\n%s", diff)
 			}
 		})
 	}
@@ -266,10 +266,10 @@
 	}
 	for shard, count := range counts {
 		if count < 800 || count > 1200 {
-			t.Errorf("shard %d has %d of 8,000 programs", shard, count)
+			t.Errorf("shard %d has %d of 8,000 keys, want 800 to 1,200", shard, count)
 		}
 	}
 	if got := placement.Shard("3fa81c", 4); got != placement.Shard("3fa81c", 4) || got < 0 || got > 3 {
-		t.Errorf("shard %d", got)
+		t.Errorf("Shard returned %d or differs between two calls, want the same of 0 to 3", got)
 	}
 }
--- a/internal/tier/placement/policy.go
+++ b/internal/tier/placement/policy.go
@@ -8,34 +8,34 @@
 	"mastusher/internal/tier/view"
 )
 
-// Policy is how many replicas a shard should have, and which losses must leave a majority of them.
+// Policy defines how many replicas a shard should have and which losses must leave a majority of them.
 type Policy struct {
-	Replicas int               // of a shard, for the loss of (Replicas-1)/2 machines
-	Zones    int               // that may be lost at once; 0: as 1 where there are three zones, which costs nothing
-	Regions  int               // that may be lost at once; 0: replicas aren't spread over regions
+	Replicas int               // number of replicas of a shard, which tolerates the loss of (Replicas-1)/2 machines
+	Zones    int               // number of zones that may be lost at once; 0: as 1 if there are three zones, which costs nothing
+	Regions  int               // number of regions that may be lost at once; 0: replicas aren't spread over regions
 	RegionOf map[string]string // region of each zone
 }
 
-// maxPerZone is the number of a shard's replicas that one zone may have.
-func (p Policy) maxPerZone() int { return p.share(max(1, p.Zones)) }
+// maxPerZone returns the largest number of a shard's replicas that one zone may have.
+func (p Policy) maxPerZone() int { return p.maxPerPlace(max(1, p.Zones)) }
 
-// maxPerRegion is the number of a shard's replicas that one region may have.
+// maxPerRegion returns the largest number of a shard's replicas that one region may have.
 func (p Policy) maxPerRegion() int {
 	if p.Regions == 0 {
 		return p.Replicas
 	}
-	return p.share(p.Regions)
+	return p.maxPerPlace(p.Regions)
 }
 
-// share is the number of replicas that each of some places may have, so that a majority remains without all of them.
-func (p Policy) share(places int) int { return max(1, (p.Replicas-1)/2/places) }
+// maxPerPlace returns how many of a shard's replicas each zone or region may have so that the loss of that many leaves a majority.
+func (p Policy) maxPerPlace(losses int) int { return max(1, (p.Replicas-1)/2/losses) }
 
-// spread is where the replicas of one shard are.
+// spread counts where the replicas of one shard are.
 type spread struct {
 	policy  Policy
-	zones   map[string]int
-	regions map[string]int
-	nodes   map[string]bool
+	zones   map[string]int  // number of replicas by zone
+	regions map[string]int  // number of replicas by region
+	nodes   map[string]bool // machines that have a replica
 }
 
 func newSpread(policy Policy, replicas []view.Replica) *spread {
@@ -46,7 +46,7 @@
 	return s
 }
 
-// add records one more replica.
+// add counts one more replica.
 func (s *spread) add(r view.Replica) {
 	s.zones[r.Zone]++
 	s.regions[s.policy.RegionOf[r.Zone]]++
@@ -58,7 +58,7 @@
 	return s.zones[store.Zone] < s.policy.maxPerZone() && s.regions[s.policy.RegionOf[store.Zone]] < s.policy.maxPerRegion()
 }
 
-// excess is how many replicas are beyond the limits of their zones and regions.
+// excess returns the number of replicas above the limits of their zones, plus the number above those of their regions.
 func (s *spread) excess() int {
 	excess := 0
 	for _, count := range s.zones {
@@ -70,8 +70,8 @@
 	return excess
 }
 
-// Unmet says which losses of the policy some shards don't tolerate, by the number of such shards: losses that would take a majority
-// of their replicas. It is empty where all tolerate all of them.
+// Unmet lists the losses in the policy that some shards don't tolerate, because no majority of their replicas would remain. It is
+// empty if all shards tolerate all of them.
 func (p Policy) Unmet(shards []view.ShardPlacement) []UnmetLoss {
 	var unmet []UnmetLoss
 	for _, loss := range []struct {
@@ -96,19 +96,19 @@
 	return unmet
 }
 
-// UnmetLoss is a loss that some shards don't tolerate.
+// UnmetLoss is a loss in the policy that some shards don't tolerate.
 type UnmetLoss struct {
 	Kind   string // machines, zones or regions
-	Count  int    // lost at once
-	Shards int    // that would lose a majority
+	Count  int    // number of machines, zones or regions lost at once
+	Shards int    // number of shards that would lose their majority
 }
 
-// String names the loss as the settings do.
+// String returns the loss, as the settings name it, and the number of shards: "1 zones at once: 8 shards".
 func (u UnmetLoss) String() string {
 	return fmt.Sprintf("%d %s at once: %d shards", u.Count, u.Kind, u.Shards)
 }
 
-// survives reports whether a majority of the replicas is left without the places that have the most of them.
+// survives reports whether a majority of the replicas remains after the loss of the places that have the most of them.
 func survives(replicas []view.Replica, losses int, place func(r view.Replica) string) bool {
 	counts := map[string]int{}
 	for _, r := range replicas {
--- a/internal/tier/placement/share_test.go
+++ b/internal/tier/placement/share_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// loads counts the replicas of each store that runs, by identity.
+// loads returns the number of replicas of each running store, by identity.
 func loads(shards []view.ShardPlacement, stores []placement.Store) map[string]int {
 	load := map[string]int{}
 	for _, store := range stores {
@@ -24,34 +24,34 @@
 	return load
 }
 
-// checkShare checks that no store holds more than its share, rounded up, and that no zone holds a majority of a shard's
-// replicas where that can be had.
-func checkShare(t rapid.TB, shards []view.ShardPlacement, stores []placement.Store, copies int) {
+// checkShare checks that no store holds more than its equal share of all replicas, rounded up, and that no zone holds a majority of
+// a shard's replicas.
+func checkShare(t rapid.TB, shards []view.ShardPlacement, stores []placement.Store, replicas int) {
 	t.Helper()
-	share := (len(shards)*copies + len(stores) - 1) / len(stores)
+	share := (len(shards)*replicas + len(stores) - 1) / len(stores)
 	for id, count := range loads(shards, stores) {
 		if count > share {
-			t.Errorf("store %s holds %d of %d replicas, its share is %d", id, count, len(shards)*copies, share)
+			t.Errorf("store %s holds %d of %d replicas, want at most %d", id, count, len(shards)*replicas, share)
 		}
 	}
-	maxInZone := (copies - 1) / 2
+	maxInZone := (replicas - 1) / 2
 	for number, shard := range shards {
 		inZone := map[string]int{}
 		for _, r := range shard.Replicas {
 			inZone[r.Zone]++
 			if inZone[r.Zone] > max(maxInZone, 1) {
-				t.Errorf("shard %d: %d of %d replicas are in %s", number, inZone[r.Zone], copies, r.Zone)
+				t.Errorf("shard %d: %d of %d replicas are in %s", number, inZone[r.Zone], replicas, r.Zone)
 			}
 		}
 	}
 }
 
-// inZones are stores in zones of the given sizes.
-func inZones(sizes ...int) []placement.Store {
+// storesInZones returns stores in zones with the given numbers of stores.
+func storesInZones(sizes ...int) []placement.Store {
 	var stores []placement.Store
 	for zone, size := range sizes {
 		for range size {
-			stores = append(stores, machine(len(stores), fmt.Sprint("zone-", zone), 1))
+			stores = append(stores, newStore(len(stores), fmt.Sprint("zone-", zone), 1))
 		}
 	}
 	return stores
@@ -59,83 +59,83 @@
 
 func TestNext_NoStoreAboveItsShare(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		sizes  []int
-		copies int
+		name     string
+		sizes    []int
+		replicas int
 	}{
-		{"four zones of one", []int{1, 1, 1, 1}, 3},
+		{"four zones of one store", []int{1, 1, 1, 1}, 3},
 		{"zones of three and two", []int{3, 2, 2, 2}, 5},
-		{"two zones of one", []int{2, 2, 2, 1, 1}, 5},
-		{"one small zone of four", []int{6, 6, 6, 2}, 5},
-		{"zones of many", []int{7, 6, 6, 6}, 5},
+		{"two zones of one store and three of two", []int{2, 2, 2, 1, 1}, 5},
+		{"four zones, one of them small", []int{6, 6, 6, 2}, 5},
+		{"large zones", []int{7, 6, 6, 6}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			// Given stores in zones of different sizes, when their shards are placed for the first time, then
-			stores := inZones(c.sizes...)
-			checkShare(t, placement.Initial(stores, placement.Policy{Replicas: c.copies}), stores, c.copies)
+			// Given stores in zones of different sizes, when the first placement is made, then no store exceeds its share.
+			stores := storesInZones(c.sizes...)
+			checkShare(t, placement.Initial(stores, placement.Policy{Replicas: c.replicas}), stores, c.replicas)
 		})
 	}
 }
 
 func TestNext_LostStore_ReplicasGoToLeastLoaded(t *testing.T) {
-	// Given stores of which the one that is alone in its zone is lost for good, and another one in its place
-	stores := inZones(2, 2, 2, 1, 1)
+	// Given stores of which one that is alone in its zone is permanently lost, and a new one in the same zone,
+	stores := storesInZones(2, 2, 2, 1, 1)
 	shards := placement.Initial(stores, placement.Policy{Replicas: 5})
 	lost := stores[7]
-	newcomer := machine(8, lost.Zone, 1)
+	newcomer := newStore(8, lost.Zone, 1)
 	running := append(append([]placement.Store(nil), stores[:7]...), newcomer)
-	now := placement.Inputs{Stores: running, Lost: map[string]bool{lost.ID: true}, Policy: placement.Policy{Replicas: 5}}
-	// when all its replicas have moved
+	inputs := placement.Inputs{Stores: running, Lost: map[string]bool{lost.ID: true}, Policy: placement.Policy{Replicas: 5}}
+	// when all replicas of the lost store have been replaced,
 	for range 10 {
-		next, changed := placement.Next(shards, now)
+		next, changed := placement.Next(shards, inputs)
 		if !changed {
 			break
 		}
 		shards = next
 	}
-	// then the newcomer has its share, and no more.
+	// then no store, and so not the new one, has more than its share.
 	checkShare(t, shards, running, 5)
 }
 
-// TestInitial_AnyZones_BalancedShares places shards over stores in zones of any sizes. Where the capacity allows it, no store holds more than one
-// replica above its share, and no zone more of a shard than it may.
+// TestInitial_AnyZones_BalancedShares checks the first placement over stores in zones of any sizes. If the capacity of the zones
+// suffices, no store holds more than one replica above its share, and no zone more of a shard's replicas than its limit.
 func TestInitial_AnyZones_BalancedShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copies := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "copies")
+		replicas := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 6), 1, 8).Draw(t, "sizes")
-		stores := inZones(sizes...)
-		shards := placement.Initial(stores, placement.Policy{Replicas: copies})
-		if shards == nil || !hasCapacity(sizes, copies, len(shards)) {
+		stores := storesInZones(sizes...)
+		shards := placement.Initial(stores, placement.Policy{Replicas: replicas})
+		if shards == nil || !hasCapacity(sizes, replicas, len(shards)) {
 			return
 		}
-		share := (len(shards)*copies + len(stores) - 1) / len(stores)
+		share := (len(shards)*replicas + len(stores) - 1) / len(stores)
 		for id, count := range loads(shards, stores) {
 			if count > share+1 {
-				t.Errorf("store %s holds %d replicas, its share is %d", id, count, share)
+				t.Errorf("store %s holds %d replicas, want at most one above its share of %d", id, count, share)
 			}
 		}
-		checkSpread(t, shards, copies)
+		checkSpread(t, shards, replicas)
 	})
 }
 
-// hasCapacity tells whether the zones can hold so many shards, with no more than its share on each store.
-func hasCapacity(sizes []int, copies, shards int) bool {
+// hasCapacity reports whether the zones can hold that many shards with no store above its share.
+func hasCapacity(sizes []int, replicas, shards int) bool {
 	stores := 0
 	for _, size := range sizes {
 		stores += size
 	}
-	share := (shards*copies + stores - 1) / stores
+	share := (shards*replicas + stores - 1) / stores
 	capacity, perShard := 0, 0
 	for _, size := range sizes {
-		maxInZone := min(size, max(1, (copies-1)/2))
+		maxInZone := min(size, max(1, (replicas-1)/2))
 		perShard += maxInZone
 		capacity += min(size*share, shards*maxInZone)
 	}
-	return capacity >= shards*copies && perShard >= copies
+	return capacity >= shards*replicas && perShard >= replicas
 }
 
-// checkSpread checks that no zone holds more of a shard than a majority can do without.
-func checkSpread(t rapid.TB, shards []view.ShardPlacement, copies int) {
+// checkSpread checks that each shard's replicas are on different machines, and that a majority remains without any one zone.
+func checkSpread(t rapid.TB, shards []view.ShardPlacement, replicas int) {
 	t.Helper()
 	for number, shard := range shards {
 		inZone := map[string]int{}
@@ -145,23 +145,24 @@
 			nodes[r.Node] = true
 		}
 		for zone, count := range inZone {
-			if count > max(1, (copies-1)/2) {
-				t.Errorf("shard %d: %d of %d replicas are in %s", number, count, copies, zone)
+			if count > max(1, (replicas-1)/2) {
+				t.Errorf("shard %d: %d of %d replicas are in %s", number, count, replicas, zone)
 			}
 		}
-		if len(nodes) != copies {
-			t.Errorf("shard %d is on %d machines, want %d", number, len(nodes), copies)
+		if len(nodes) != replicas {
+			t.Errorf("shard %d is on %d machines, want %d", number, len(nodes), replicas)
 		}
 	}
 }
 
-// TestNext_AnyZones_Converges loses and adds stores in any order.
+// TestNext_AnyZones_Converges checks that, while random stores are lost or replaced, Next stops changing the placement after a few
+// steps, and that no replica remains on a lost store.
 func TestNext_AnyZones_Converges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copies := rapid.SampledFrom([]int{3, 5}).Draw(t, "copies")
+		replicas := rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 4), 3, 6).Draw(t, "sizes")
-		stores := inZones(sizes...)
-		shards := placement.Initial(stores, placement.Policy{Replicas: copies})
+		stores := storesInZones(sizes...)
+		shards := placement.Initial(stores, placement.Policy{Replicas: replicas})
 		if shards == nil {
 			return
 		}
@@ -169,20 +170,20 @@
 		for step := range rapid.IntRange(1, 8).Draw(t, "steps") {
 			removed := rapid.IntRange(0, len(stores)-1).Draw(t, "removed")
 			lost[stores[removed].ID] = true
-			if rapid.Bool().Draw(t, "comes back empty") {
+			if rapid.Bool().Draw(t, "comes back without data") {
 				stores[removed].ID = fmt.Sprint("anew-", step, "-", stores[removed].ID)
 			} else {
 				stores = append(append([]placement.Store(nil), stores[:removed]...), stores[removed+1:]...)
 			}
-			if len(stores) < copies {
+			if len(stores) < replicas {
 				return
 			}
 			changes := 0
 			for changed := true; changed; changes++ {
-				if changes > copies {
-					t.Fatalf("not at rest after %d changes", changes)
+				if changes > replicas {
+					t.Fatalf("Next still changes the placement after %d calls", changes)
 				}
-				shards, changed = placement.Next(shards, placement.Inputs{Stores: stores, Lost: lost, Policy: placement.Policy{Replicas: copies}})
+				shards, changed = placement.Next(shards, placement.Inputs{Stores: stores, Lost: lost, Policy: placement.Policy{Replicas: replicas}})
 			}
 		}
 		for number, shard := range shards {
@@ -190,11 +191,11 @@
 			for _, r := range shard.Replicas {
 				nodes[r.Node] = true
 				if lost[r.ID] {
-					t.Errorf("shard %d is still on lost store %s", number, r.ID)
+					t.Errorf("shard %d still has a replica on lost store %s", number, r.ID)
 				}
 			}
-			if len(nodes) != copies {
-				t.Errorf("shard %d is on %d machines, want %d", number, len(nodes), copies)
+			if len(nodes) != replicas {
+				t.Errorf("shard %d is on %d machines, want %d", number, len(nodes), replicas)
 			}
 		}
 	})
--- a/internal/tier/placement/tracker.go
+++ b/internal/tier/placement/tracker.go
@@ -10,28 +10,28 @@
 	"mastusher/internal/tier/view"
 )
 
-// Delays and time-outs of the tracker.
+// Delays of the tracker.
 const (
-	initialPlacementDelay = 1500 * time.Millisecond // from the election until the initial placement: all stores must have been seen
-	initialQuietTime      = 700 * time.Millisecond  // from the last store that was seen for the first time until then
-	maxInitialDelay       = 4 * time.Second         // from the election; by then the initial placement goes without the others
-	completeViewDelay     = 12 * time.Second        // from the election until members on both sides of a healed partition know each other
-	maxObservationGap     = time.Second             // between two observations; after a longer one the tracker starts over
+	initialPlacementDelay = 1500 * time.Millisecond // from the election to the initial placement, so that all stores have been seen
+	initialQuietTime      = 700 * time.Millisecond  // from the first sight of the newest store to the initial placement
+	maxInitialDelay       = 4 * time.Second         // from the election to the initial placement, even if new stores are still being seen
+	completeViewDelay     = 12 * time.Second        // from the election until members on both sides of a healed partition have seen each other
+	maxObservationGap     = time.Second             // between two observations; after a longer gap the tracker starts over
 )
 
-// Tracker observes the members over time: since when each has been dead or missing, and since when this process has led the
-// configuration shard's group. The times passed to its methods must not go back.
+// Tracker records since when each member has been dead or missing, and since when this process has led the configuration shard's
+// group. The times passed to its methods must not go backwards.
 type Tracker struct {
-	members         []membership.Member  // by name
-	dead            map[string]time.Time // since when, by member name: dead or left
-	missing         map[string]time.Time // since when, by member name: suspected, dead or left
+	members         []membership.Member  // as last observed
+	dead            map[string]time.Time // by member name: since when it has been dead or left
+	missing         map[string]time.Time // by member name: since when it has been suspected, dead or left
 	firstSeen       map[string]time.Time // by identity
 	lost            map[string]bool      // identities that were found lost and haven't come back
 	names           map[string]string    // last known member name, by identity
 	lastObservation time.Time
-	observingSince  time.Time // start of the observations without a gap
-	leaderSince     time.Time // zero: not the leader
-	term            uint64    // that this process leads; 0: not the leader
+	observingSince  time.Time // start of the observations since the last gap
+	leaderSince     time.Time // start of the term or of the observations, whichever is later
+	term            uint64    // term in which this process leads the group; 0: not the leader
 }
 
 // NewTracker returns a tracker without observations.
@@ -40,7 +40,7 @@
 		lost: map[string]bool{}, names: map[string]string{}}
 }
 
-// Observe records the members that are known now, and the term in which this process leads the group; 0 if it doesn't.
+// Observe records the members that are known now and the term in which this process leads the group, or 0 if it doesn't.
 func (t *Tracker) Observe(now time.Time, members []membership.Member, leaderTerm uint64) {
 	t.resetAfterGap(now)
 	t.members = members
@@ -54,7 +54,7 @@
 	}
 }
 
-// resetAfterGap starts over after a gap, in which members may have come back unobserved.
+// resetAfterGap starts over if there was a gap between observations, in which members may have come back and gone again.
 func (t *Tracker) resetAfterGap(now time.Time) {
 	if t.lastObservation.IsZero() || now.Sub(t.lastObservation) > maxObservationGap {
 		t.observingSince, t.leaderSince = now, now
@@ -65,6 +65,7 @@
 	t.lastObservation = now
 }
 
+// observe records one member.
 func (t *Tracker) observe(now time.Time, m membership.Member) {
 	t.names[m.ID] = m.Name
 	setSince(t.firstSeen, m.ID, now, true)
@@ -75,7 +76,7 @@
 	}
 }
 
-// setSince records since when a condition has been true for a key, or that it is false.
+// setSince records since when a condition has been true for a key. It deletes the key if the condition is false.
 func setSince(since map[string]time.Time, key string, now time.Time, condition bool) {
 	switch _, known := since[key]; {
 	case !condition:
@@ -85,18 +86,19 @@
 	}
 }
 
-// ReadyForInitial reports whether this process has led the group for long enough to have heard of all stores, and no more of them
-// have come for a while: where machines start slowly, those that come later would get no shards.
+// ReadyForInitial reports whether this process has led the group for long enough to have seen all stores, and no new store was seen
+// for initialQuietTime: machines may start slowly, and stores seen after the initial placement would get no shards. It waits for
+// new stores until maxInitialDelay.
 func (t *Tracker) ReadyForInitial(now time.Time) bool {
 	if t.term == 0 {
 		return false
 	}
 	led := now.Sub(t.leaderSince)
-	return led >= initialPlacementDelay && (led >= maxInitialDelay || now.Sub(t.newestStore()) >= initialQuietTime)
+	return led >= initialPlacementDelay && (led >= maxInitialDelay || now.Sub(t.newestStoreSeen()) >= initialQuietTime)
 }
 
-// newestStore is when the running store that was seen last was seen for the first time; the zero time where none runs.
-func (t *Tracker) newestStore() time.Time {
+// newestStoreSeen returns when the newest running store was first seen, or the zero time if no store runs.
+func (t *Tracker) newestStoreSeen() time.Time {
 	var newest time.Time
 	for _, m := range t.Running(membership.Store) {
 		if seen := t.firstSeen[m.ID]; seen.After(newest) {
@@ -106,7 +108,7 @@
 	return newest
 }
 
-// HasSeen reports whether the member with an identity has ever been observed.
+// HasSeen reports whether a member with an identity has ever been observed.
 func (t *Tracker) HasSeen(id string) bool {
 	_, seen := t.names[id]
 	return seen
@@ -122,10 +124,10 @@
 	return false
 }
 
-// Term returns the term that this process leads; 0: it doesn't lead.
+// Term returns the term in which this process leads the group, or 0 if it isn't the leader.
 func (t *Tracker) Term() uint64 { return t.term }
 
-// IsSettled reports whether all stores of the placement run, and no running store was seen for the first time lately.
+// IsSettled reports whether all stores of the placement run and no running store was first seen less than newcomerAge ago.
 func (t *Tracker) IsSettled(now time.Time, shards []view.ShardPlacement) bool {
 	running := map[string]bool{}
 	for _, m := range t.Running(membership.Store) {
@@ -136,22 +138,23 @@
 			return false
 		}
 	}
-	return now.Sub(t.newestStore()) >= newcomerAge
+	return now.Sub(t.newestStoreSeen()) >= newcomerAge
 }
 
-// HasCompleteView reports whether this process has led the group in that term, and observed without a gap, for so long that it
-// has heard of all members that run, also of those from which it was partitioned before.
+// HasCompleteView reports whether this process has led the group in a term, and observed the members without a gap, for long enough
+// to have seen all running members, including those on the other side of an earlier partition.
 func (t *Tracker) HasCompleteView(now time.Time, term uint64) bool {
 	return term != 0 && t.term == term && now.Sub(t.leaderSince) >= completeViewDelay
 }
 
-// MissingSince returns since when the member with an identity has been missing, as far as the observations reach back. missing is
-// false if it runs or is unknown.
+// MissingSince returns since when the member with an identity has been missing, at the earliest since the observations began.
+// missing is false if the member runs or is unknown.
 func (t *Tracker) MissingSince(id string) (since time.Time, missing bool) {
 	since, missing = t.missing[t.names[id]]
 	return since, missing
 }
 
+// find returns the first member that matches, or nil.
 func (t *Tracker) find(matches func(*membership.Member) bool) *membership.Member {
 	for i := range t.members {
 		if matches(&t.members[i]) {
@@ -161,7 +164,7 @@
 	return nil
 }
 
-// Running lists the members of a role that run, by name.
+// Running lists the running members of a role, sorted by name.
 func (t *Tracker) Running(role membership.Role) []membership.Member {
 	var running []membership.Member
 	for _, m := range t.members {
@@ -173,7 +176,7 @@
 	return running
 }
 
-// Stores lists the stores that run, by name.
+// Stores lists the running stores, sorted by name.
 func (t *Tracker) Stores() []Store {
 	var stores []Store
 	for _, m := range t.Running(membership.Store) {
@@ -182,7 +185,7 @@
 	return stores
 }
 
-// Missing lists the stores that don't run but may come back soon.
+// Missing lists the stores that are suspected, or have been dead for less than lostTimeout, so that they may come back.
 func (t *Tracker) Missing(now time.Time) []Store {
 	var missing []Store
 	for _, m := range t.members {
@@ -194,7 +197,7 @@
 	return missing
 }
 
-// Store finds a store by the name of its machine, whether it runs or not.
+// Store returns the store on a machine, whether it runs or not.
 func (t *Tracker) Store(node string) (Store, bool) {
 	m := t.find(func(m *membership.Member) bool { return m.Role == membership.Store && NodeOf(m.Name) == node })
 	if m == nil {
@@ -207,7 +210,7 @@
 	return Store{ID: m.ID, Node: NodeOf(m.Name), Address: m.Address, Zone: m.Zone}
 }
 
-// storeSuffix ends the member names of stores.
+// storeSuffix is the suffix of a store's member name, after the name of its machine.
 const storeSuffix = "/" + string(membership.Store)
 
 // NodeOf returns the name of the machine on which a member runs.
@@ -216,4 +219,5 @@
 	return node
 }
 
+// storeName returns the member name of the store on a machine.
 func storeName(node string) string { return node + storeSuffix }
--- a/internal/tier/rollout/analysis.go
+++ b/internal/tier/rollout/analysis.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// What an analysis needs to conclude.
+// Thresholds of an analysis.
 const (
-	slowBuckets           = 4  // latency buckets above the baseline's median from which on an answer counts as slow
-	minBaselineAnswers    = 10 // answers of the baseline needed on a route to compare with that route
-	minGoodAnswers        = 3  // good answers needed to finish a roll-out before its deadline margin
-	minSentWithoutAnswers = 8  // requests sent from which on a target without good answers is reverted at the deadline
+	slowBucketOffset   = 4  // an answer is slow if its latency bucket is at least this far above the baseline's median bucket
+	minBaselineAnswers = 10 // baseline answers needed to use those of one route instead of all routes, and to test the latency
+	minGoodAnswers     = 3  // good answers needed to finish a roll-out before deadlineMargin
+	minSentToRevert    = 8  // at deadlineMargin, a target with fewer than minGoodAnswers is reverted if it was sent this many requests
 )
 
-// When a roll-out that isn't rejected ends before its deadline, so that its end is known by then.
+// How long before its deadline a roll-out that no test rejects is decided, so that the decision is known by the deadline.
 const (
-	finishEarly      = 700 * time.Millisecond
-	finishEarlyShare = 0.04 // of the roll-out's duration, where that is more than finishEarly
-	deadlineMargin   = 300 * time.Millisecond
+	finishEarly      = 700 * time.Millisecond // with at least minGoodAnswers
+	finishEarlyShare = 0.04                   // share of the roll-out's duration, used instead of finishEarly if it is longer
+	deadlineMargin   = 300 * time.Millisecond // with fewer good answers
 )
 
-// Analysis decides one roll-out from the stats that are seen of it, evaluation after evaluation. Each route is tested by itself,
-// for failures and for slow answers: many good routes must not hide that one fails.
+// Analysis decides one roll-out by repeated evaluation of its stats. Each route is tested separately, for failures and for slow
+// answers: many good routes must not hide one that fails.
 type Analysis struct {
-	processed StatsByRoute // of the target, up to the last evaluation
+	processed StatsByRoute // the target's stats that the tests already include
 	tests     map[string]routeTests
-	bad       bool
+	rejected  bool // by the test of any route
 }
 
-// routeTests are the tests of one route.
+// routeTests holds the two tests of one route.
 type routeTests struct {
 	failures, latency sequentialTest
 }
 
-// NewAnalysis returns an analysis without evidence.
+// NewAnalysis returns an analysis that has evaluated no answers yet.
 func NewAnalysis() *Analysis {
 	return &Analysis{processed: StatsByRoute{}, tests: map[string]routeTests{}}
 }
 
-// Evaluate decides a roll-out, given for how long it has been in service and all stats so far of its target and of its baseline:
-// Finished, Reverted, or InService while that is open.
+// Evaluate decides a roll-out from the time that it has been in service and from all stats so far of its target and its baseline.
+// It returns Finished or Reverted, or InService while the decision is open.
 func (a *Analysis) Evaluate(rollout Rollout, elapsed time.Duration, target, baseline StatsByRoute) State {
 	a.update(target, baseline)
-	if a.bad {
+	if a.rejected {
 		return Reverted
 	}
 	duration := time.Duration(rollout.OverMs) * time.Millisecond
@@ -56,7 +56,7 @@
 		return Finished
 	case elapsed < duration-deadlineMargin:
 		return InService
-	case sum.Sent >= minSentWithoutAnswers:
+	case sum.Sent >= minSentToRevert:
 		return Reverted
 	}
 	return Finished
@@ -68,7 +68,7 @@
 	for _, route := range slices.Sorted(maps.Keys(target)) {
 		current := target[route]
 		if !current.includes(a.processed[route]) {
-			continue // an older report arrived late
+			continue // these stats are older than those processed
 		}
 		recent := current.since(a.processed[route])
 		a.processed[route] = current
@@ -77,15 +77,15 @@
 			expected = allRoutes
 		}
 		a.tests[route] = a.tests[route].add(recent, expected)
-		a.bad = a.bad || a.tests[route].rejectTarget()
+		a.rejected = a.rejected || a.tests[route].rejectsTarget()
 	}
 }
 
-// add returns the tests with recent answers of the target, compared with the expected ones of the baseline.
+// add returns the tests after the target's recent answers have been added to them. expected are the baseline's answers.
 func (t routeTests) add(recent, expected Stats) routeTests {
 	t.failures.add(recent.Bad, recent.Good, baselineBadShare(expected.Bad, expected.Good))
 	if expected.latencyCount() >= minBaselineAnswers {
-		slowFrom := expected.medianBucket() + slowBuckets
+		slowFrom := expected.medianBucket() + slowBucketOffset
 		slow := recent.countFromBucket(slowFrom)
 		expectedSlow := expected.countFromBucket(slowFrom)
 		t.latency.add(slow, recent.latencyCount()-slow, baselineBadShare(expectedSlow, expected.latencyCount()-expectedSlow))
@@ -93,7 +93,7 @@
 	return t
 }
 
-// rejectTarget reports whether either test rejects the target.
-func (t routeTests) rejectTarget() bool {
+// rejectsTarget reports whether either test rejects the target.
+func (t routeTests) rejectsTarget() bool {
 	return t.failures.rejectsTarget() || t.latency.rejectsTarget()
 }
--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -12,33 +12,34 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// The bounds that the orders of these tests keep to.
+// bounds limits the requests that the target gets in the simulated roll-outs.
 var bounds = rollout.Bounds{Share: 0.1, Slack: 50}
 
 const (
 	proxies      = 9
-	initialShare = 0.25 // share at first, as the proxies' schedule has it
-	// creditOverridesRoute is the proxies' credit from which on the target gets a request also of a route that it has got more of.
+	initialShare = 0.25 // target's share while a proxy has some of its initial allowance left, as in package balancer
+	// creditOverridesRoute is a proxy's credit from which the target also gets requests of a route that isn't the one of which it
+	// has got the fewest, as in package balancer.
 	creditOverridesRoute = 1.75
-	evaluationInterval   = 150 * time.Millisecond // between judgements
-	feedbackDelay        = 600 * time.Millisecond // from an answer until the proxies act on what was evaluated from it
+	evaluationInterval   = 150 * time.Millisecond // between two evaluations
+	feedbackDelay        = 600 * time.Millisecond // from an answer until the proxies apply the decision that follows from it
 	medianLatencyMs      = 300.0
-	rollbackTimeout      = 5 * time.Second
+	rollbackTimeout      = 5 * time.Second // from the target's 50th bad answer until it must get no more requests
 )
 
-// kind is how a version behaves.
+// behavior describes the requests of a service and how its versions answer.
 type behavior struct {
 	name             string
-	badShare         float64 // of the answers that are bad
-	slowFactor       float64 // they are this many times as slow rather than failures
-	from             time.Duration
-	route            int // only this one's answers; -1: all
-	isGood           bool
-	baselineBadShare float64 // share of bad answers of the version in service
-	routing          []float64
+	badShare         float64       // share of the target's answers that are bad
+	slowFactor       float64       // bad answers take this many times as long; 0: they fail
+	badFrom          time.Duration // when the target's bad answers begin
+	badRoute         int           // the route with bad answers of the target; -1: all routes
+	isGood           bool          // the target is as good as the baseline
+	baselineBadShare float64       // share of answers that fail with either version
+	routeShares      []float64     // share of the requests by route
 }
 
-// day is one order that is played.
+// simulatedRollout is a simulated roll-out with its result.
 type simulatedRollout struct {
 	random        *rand.Rand
 	behavior      behavior
@@ -46,18 +47,18 @@
 	duration      time.Duration
 	total, target int // requests until the deadline
 	badAnswers    int
-	fiftiethBadAt time.Duration
+	fiftiethBadAt time.Duration // when the target gave its 50th bad answer
 	lastRequestAt time.Duration // when the target got its last request
 	state         rollout.State
-	endedAt       time.Duration
+	endedAt       time.Duration // when the roll-out was last evaluated
 }
 
-// run lets requests come by chance, sends the target its part of them, and has it evaluated.
-func (d *simulatedRollout) run() {
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: d.duration.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
+// run simulates requests at random times, sends the target its share of them, and evaluates the roll-out at intervals.
+func (s *simulatedRollout) run() {
+	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: s.duration.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
 	target, baseline := rollout.StatsByRoute{}, rollout.StatsByRoute{}
 	for range 200 {
-		d.answer(baseline, d.route(), false, 0)
+		s.answer(baseline, s.route(), false, 0)
 	}
 	type report struct {
 		at               time.Duration
@@ -66,75 +67,76 @@
 	var reports []report
 	analysis := rollout.NewAnalysis()
 	credit, extra := make([]float64, proxies), make([]float64, proxies)
-	sent := make([]map[int]int, proxies) // to the target by each proxy, by route; all routes that it has seen
+	sent := make([]map[int]int, proxies) // requests to the target, by proxy and by route that the proxy has seen
 	for i := range sent {
 		sent[i] = map[int]int{}
 	}
 	for i := range extra {
 		extra[i] = roll.InitialAllowance
 	}
-	d.state = rollout.InService
+	s.state = rollout.InService
 	next := time.Duration(0)
-	for now := time.Duration(0); now < d.duration; {
-		now += time.Duration(d.random.ExpFloat64() / d.perSecond * float64(time.Second))
+	for now := time.Duration(0); now < s.duration; {
+		now += time.Duration(s.random.ExpFloat64() / s.perSecond * float64(time.Second))
 		for ; next <= now; next += evaluationInterval {
 			reports = append(reports, report{next, copyOf(target), copyOf(baseline)})
 			for len(reports) > 1 && reports[1].at+feedbackDelay <= next {
 				reports = reports[1:]
 			}
-			if d.state == rollout.InService && reports[0].at+feedbackDelay <= next {
-				d.state = analysis.Evaluate(roll, next, reports[0].target, reports[0].baseline)
-				d.endedAt = next
+			if s.state == rollout.InService && reports[0].at+feedbackDelay <= next {
+				s.state = analysis.Evaluate(roll, next, reports[0].target, reports[0].baseline)
+				s.endedAt = next
 			}
 		}
-		d.total++
-		proxy, route := d.random.IntN(proxies), d.route()
-		toTarget := d.state == rollout.Finished
-		if d.state == rollout.InService {
+		s.total++
+		proxy, route := s.random.IntN(proxies), s.route()
+		toTarget := s.state == rollout.Finished
+		if s.state == rollout.InService {
 			more := min(max(initialShare-roll.TrafficShare, 0), extra[proxy])
 			extra[proxy] -= more
 			credit[proxy] += roll.TrafficShare + more
 			sent[proxy][route] += 0
 			fewest := slices.Min(slices.Collect(maps.Values(sent[proxy])))
 			inTurn := sent[proxy][route] == fewest || credit[proxy] >= creditOverridesRoute
-			toTarget = inTurn && (credit[proxy] >= 1.25 || credit[proxy] >= 1 && d.random.Float64() < roll.TrafficShare)
+			toTarget = inTurn && (credit[proxy] >= 1.25 || credit[proxy] >= 1 && s.random.Float64() < roll.TrafficShare)
 		}
 		if toTarget {
 			sent[proxy][route]++
 		}
 		if !toTarget {
-			d.answer(baseline, route, false, now)
+			s.answer(baseline, route, false, now)
 			continue
 		}
 		credit[proxy]--
-		d.target++
-		d.lastRequestAt = now
-		d.answer(target, route, true, now)
+		s.target++
+		s.lastRequestAt = now
+		s.answer(target, route, true, now)
 	}
 }
 
-func (d *simulatedRollout) route() int {
-	at := d.random.Float64()
-	for i, part := range d.behavior.routing {
-		if at -= part; at < 0 {
+// route draws the route of a request.
+func (s *simulatedRollout) route() int {
+	at := s.random.Float64()
+	for i, share := range s.behavior.routeShares {
+		if at -= share; at < 0 {
 			return i
 		}
 	}
-	return len(d.behavior.routing) - 1
+	return len(s.behavior.routeShares) - 1
 }
 
-// answer counts how one request ends.
-func (d *simulatedRollout) answer(of rollout.StatsByRoute, route int, isTarget bool, now time.Duration) {
+// answer draws the answer to one request and adds it to the stats of a version.
+func (s *simulatedRollout) answer(stats rollout.StatsByRoute, route int, isTarget bool, now time.Duration) {
 	name := fmt.Sprint("route-", route)
-	t := of[name]
+	t := stats[name]
 	t.Sent++
-	bad := d.random.Float64() < d.behavior.baselineBadShare
-	took := medianLatencyMs * math.Exp(0.4*d.random.NormFloat64())
-	if isTarget && !d.behavior.isGood && now >= d.behavior.from && (d.behavior.route < 0 || d.behavior.route == route) && d.random.Float64() < d.behavior.badShare {
-		bad = bad || d.behavior.slowFactor == 0
-		took *= max(d.behavior.slowFactor, 1)
-		if d.badAnswers++; d.badAnswers == 50 {
-			d.fiftiethBadAt = now
+	bad := s.random.Float64() < s.behavior.baselineBadShare
+	took := medianLatencyMs * math.Exp(0.4*s.random.NormFloat64())
+	if isTarget && !s.behavior.isGood && now >= s.behavior.badFrom && (s.behavior.badRoute < 0 || s.behavior.badRoute == route) && s.random.Float64() < s.behavior.badShare {
+		bad = bad || s.behavior.slowFactor == 0
+		took *= max(s.behavior.slowFactor, 1)
+		if s.badAnswers++; s.badAnswers == 50 {
+			s.fiftiethBadAt = now
 		}
 	}
 	if bad {
@@ -143,7 +145,7 @@
 		t.Good++
 		t.ObserveLatency(time.Duration(took * float64(time.Millisecond)))
 	}
-	of[name] = t
+	stats[name] = t
 }
 
 func copyOf(stats rollout.StatsByRoute) rollout.StatsByRoute {
@@ -155,62 +157,62 @@
 }
 
 func TestAnalysis_BadVersions_RevertedInTime(t *testing.T) {
-	const days = 100
+	const runs = 100
 	even, uneven := []float64{0.5, 0.5}, []float64{0.75, 0.25}
-	kinds := []behavior{
-		{name: "errors", badShare: 0.3, route: -1, routing: even},
-		{name: "errors, half", badShare: 0.5, route: -1, routing: even},
-		{name: "errors beside a service that fails now and then", badShare: 0.35, route: -1, baselineBadShare: 0.03, routing: even},
-		{name: "slow", badShare: 0.35, slowFactor: 8, route: -1, routing: even},
-		{name: "one class", badShare: 0.5, route: 1, routing: uneven},
-		{name: "late", badShare: 0.4, from: 3 * time.Second, route: -1, routing: even},
+	behaviors := []behavior{
+		{name: "errors", badShare: 0.3, badRoute: -1, routeShares: even},
+		{name: "errors, half of the answers", badShare: 0.5, badRoute: -1, routeShares: even},
+		{name: "errors, and the baseline fails sometimes", badShare: 0.35, badRoute: -1, baselineBadShare: 0.03, routeShares: even},
+		{name: "slow answers", badShare: 0.35, slowFactor: 8, badRoute: -1, routeShares: even},
+		{name: "errors on one route", badShare: 0.5, badRoute: 1, routeShares: uneven},
+		{name: "errors after 3 s", badShare: 0.4, badFrom: 3 * time.Second, badRoute: -1, routeShares: even},
 	}
-	for _, k := range kinds {
-		t.Run(k.name, func(t *testing.T) {
+	for _, b := range behaviors {
+		t.Run(b.name, func(t *testing.T) {
 			missed := 0
-			for seed := range uint64(days) {
-				// Given an order for a bad version of a service,
-				d := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 1)), behavior: k, perSecond: 28, duration: 14 * time.Second}
-				// when its requests come until the deadline,
-				d.run()
-				// then it gets no more of them than it may, whatever becomes of it,
-				if maxRequests := bounds.Share*float64(d.total) + bounds.Slack; float64(d.target) > maxRequests {
-					t.Errorf("run %d: the target got %d of %d requests, %s at %v", seed, d.target, d.total, d.state, d.endedAt)
+			for seed := range uint64(runs) {
+				// Given a roll-out of a bad version,
+				s := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 1)), behavior: b, perSecond: 28, duration: 14 * time.Second}
+				// when the service gets requests until the deadline,
+				s.run()
+				// then the target gets no more of them than the bounds allow, whatever the decision is,
+				if maxRequests := bounds.Share*float64(s.total) + bounds.Slack; float64(s.target) > maxRequests {
+					t.Errorf("run %d: the target got %d of %d requests, want at most the bounds; %s at %v", seed, s.target, s.total, s.state, s.endedAt)
 				}
-				if d.fiftiethBadAt > 0 && d.lastRequestAt > d.fiftiethBadAt+rollbackTimeout {
-					t.Errorf("run %d: the target got a request %v after its 50th bad answer", seed, d.lastRequestAt-d.fiftiethBadAt)
+				if s.fiftiethBadAt > 0 && s.lastRequestAt > s.fiftiethBadAt+rollbackTimeout {
+					t.Errorf("run %d: the target got a request %v after its 50th bad answer, want none that late", seed, s.lastRequestAt-s.fiftiethBadAt)
 				}
-				if d.state != rollout.Reverted {
+				if s.state != rollout.Reverted {
 					missed++
 				}
 			}
-			// and it is reverted.
-			if missed > days/100 {
-				t.Errorf("%d of %d bad versions weren't reverted", missed, days)
+			// and the roll-out is reverted.
+			if missed > runs/100 {
+				t.Errorf("%d of %d roll-outs of bad versions were not reverted", missed, runs)
 			}
 		})
 	}
 }
 
 func TestAnalysis_GoodVersions_FinishedByDeadline(t *testing.T) {
-	const days = 100
+	const runs = 100
 	for _, perSecond := range []float64{0.05, 0.5, 5, 28, 100} {
-		for _, usual := range []float64{0, 0.02} {
-			t.Run(fmt.Sprint(perSecond, " a second, ", usual, " fail"), func(t *testing.T) {
+		for _, failing := range []float64{0, 0.02} {
+			t.Run(fmt.Sprint(perSecond, " requests per second, share that fails: ", failing), func(t *testing.T) {
 				missed := 0
-				for seed := range uint64(days) {
-					// Given an order for a version that is as good as the one in service,
-					d := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 2)), behavior: behavior{isGood: true, baselineBadShare: usual, routing: []float64{0.75, 0.25}},
+				for seed := range uint64(runs) {
+					// Given a roll-out of a version that is as good as the one in service,
+					s := &simulatedRollout{random: rand.New(rand.NewPCG(seed, 2)), behavior: behavior{isGood: true, baselineBadShare: failing, routeShares: []float64{0.75, 0.25}},
 						perSecond: perSecond, duration: 14 * time.Second}
-					// when its requests come until the deadline,
-					d.run()
-					// then it is finished.
-					if d.state == rollout.Reverted || d.state == rollout.InService && perSecond > 1 {
+					// when the service gets requests until the deadline,
+					s.run()
+					// then the roll-out is finished.
+					if s.state == rollout.Reverted || s.state == rollout.InService && perSecond > 1 {
 						missed++
 					}
 				}
-				if missed > days/20 {
-					t.Errorf("%d of %d good versions weren't finished", missed, days)
+				if missed > runs/20 {
+					t.Errorf("%d of %d roll-outs of good versions were not finished", missed, runs)
 				}
 			})
 		}
@@ -218,42 +220,42 @@
 }
 
 func TestAnalysis_NoRequests_FinishedByDeadline(t *testing.T) {
-	// Given an order for a service that nobody calls,
+	// Given a roll-out of a service that gets no requests,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	// when its deadline is near,
 	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, rollout.StatsByRoute{}, rollout.StatsByRoute{})
-	// then it is finished.
+	// then the roll-out is finished.
 	if got != rollout.Finished {
-		t.Errorf("the order is %s", got)
+		t.Errorf("Evaluate returned %s, want finished", got)
 	}
 }
 
 func TestAnalysis_NoAnswers_Reverted(t *testing.T) {
-	// Given a target that has got requests and has answered none until its deadline is near,
+	// Given a target that has got requests and answered none,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	target := rollout.StatsByRoute{"r": {Sent: 12}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
-	// when it is evaluated,
+	// when the roll-out is evaluated near its deadline,
 	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, target, baseline)
-	// then it is reverted.
+	// then the roll-out is reverted.
 	if got != rollout.Reverted {
-		t.Errorf("the order is %s", got)
+		t.Errorf("Evaluate returned %s, want reverted", got)
 	}
 }
 
 func TestAnalysis_OlderReport_Ignored(t *testing.T) {
-	// Given an analysis that has seen two bad answers,
+	// Given an analysis and two states of the same stats, the newer with two bad answers, the older with one,
 	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
 	newer, older := rollout.StatsByRoute{"r": {Sent: 4, Good: 2, Bad: 2}}, rollout.StatsByRoute{"r": {Sent: 2, Good: 1, Bad: 1}}
 	analysis := rollout.NewAnalysis()
-	// when what was seen before comes once more, and then what was seen last, again and again,
+	// when it evaluates the newer stats and the older ones in turn,
 	for range 5 {
 		analysis.Evaluate(roll, time.Second, newer, baseline)
 		analysis.Evaluate(roll, time.Second, older, baseline)
 	}
-	// then the order stays open.
+	// then no bad answer is counted twice, and the roll-out stays in service.
 	if got := analysis.Evaluate(roll, time.Second, newer, baseline); got != rollout.InService {
-		t.Errorf("the order is %s", got)
+		t.Errorf("Evaluate returned %s, want in_service", got)
 	}
 }
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// duplicateMutants take another proposal for a duplicate, or a duplicate for another.
+// duplicateMutants take new proposals for duplicates, or duplicates for new proposals.
 var duplicateMutants = []mutation.Mutant{
 	{
 		Name: "only the newest proposal is recognized as a duplicate",
@@ -47,7 +47,7 @@
 		Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
 	},
 	{
-		Name: "the target alone identifies a proposal",
+		Name: "proposals with different durations are duplicates",
 		Change: mutation.Change{
 			File: "state_machine.go",
 			Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
@@ -57,10 +57,10 @@
 	},
 }
 
-// inProgressMutants confuse a roll-out in progress with one of the same target.
+// inProgressMutants confuse a roll-out in service with another one of the same target.
 var inProgressMutants = []mutation.Mutant{
 	{
-		Name: "a duplicate of a roll-out in progress is rejected after its window",
+		Name: "a duplicate of a roll-out in service is rejected after the dedup window",
 		Change: mutation.Change{
 			File: "state_machine.go",
 			Old:  "inProgress && newest.isDuplicate(&proposal) || s.isRecentDuplicate(&proposal)",
@@ -69,7 +69,7 @@
 		Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
 	},
 	{
-		Name: "a decision holds for any order of the target",
+		Name: "a decision applies to any roll-out of the target",
 		Change: mutation.Change{
 			File: "state_machine.go",
 			Old:  "newest.Index != decision.Order",
--- a/internal/tier/rollout/proposal.go
+++ b/internal/tier/rollout/proposal.go
@@ -1,48 +1,50 @@
 package rollout
 
-// State is how far a roll-out has come. The values are part of the operator's API and of stored data.
+// State is the state of a roll-out. The values are part of the operators' API and of stored data.
 type State string
 
 // The states of a roll-out.
 const (
 	InService State = "in_service" // the target gets its share and is being analyzed
-	Finished  State = "finished"   // the target has taken the service over
-	Reverted  State = "reverted"   // the target was bad; the baseline stays in service
+	Finished  State = "finished"   // the target has replaced the baseline
+	Reverted  State = "reverted"   // the target was rejected; the baseline stays in service
 )
 
-// Proposal asks to move a service's traffic to the endpoints of another version. It is stored in the replicated log, with all
-// that the leader knew when it proposed it: replicas must decide alike.
+// Proposal asks to move a service's traffic to the endpoints of another version. It is stored in the replicated log with
+// everything that its result depends on, since all replicas must decide the same.
 type Proposal struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
 	OverMs  int64  `json:"overMs"` // duration of the roll-out, ms
-	AtMs    int64  `json:"atMs"`   // the leader's time of day when it proposed this, ms since 1970
+	AtMs    int64  `json:"atMs"`   // when the leader proposed this, by its wall clock, ms since 1970
 
-	// DedupExpiredIndex is the log index up to which no duplicates of accepted proposals arrive any more, by the leader's clocks.
+	// DedupExpiredIndex is the highest log index whose dedup window has ended by the leader's clocks: duplicates of proposals
+	// accepted up to it are no longer expected.
 	DedupExpiredIndex uint64 `json:"settled,omitempty"`
 
-	TrafficShare     float64 `json:"share"` // of the service's requests that the target gets while it is in service, 0 to 1
-	InitialAllowance float64 `json:"extra"` // beyond that share, which each proxy may send at first, so that evidence comes soon
+	TrafficShare     float64 `json:"share"` // of the service's requests for the target while in service, 0 to 1
+	InitialAllowance float64 `json:"extra"` // requests above that share that each proxy may send at first, to get answers to analyze early
 }
 
-// Bounds limits what a bad version may get: a share of all requests of its service, and a number of requests above that.
+// Bounds limits the requests that a bad version may get to Share * (all requests of its service) + Slack.
 type Bounds struct {
-	Share float64 // 0 to 1; 0: not set
-	Slack float64 // requests
+	Share float64 // 0 to 1; 0: no bound is set, and defaultShare is used
+	Slack float64 // number of requests
 }
 
-// The parts of the bounds that a proposal uses. The remainder covers requests in flight when a roll-out ends, uneven load, and
-// proxies that restart.
+// How much of the bounds a proposal uses. The remainder covers requests in flight when a roll-out ends, uneven load, and proxies
+// that restart.
 const (
-	usedShare = 0.8
-	usedSlack = 0.7
-	// minProxies is assumed where fewer proxies are known: a leader may have started just now.
+	usedShare = 0.8 // of Bounds.Share
+	usedSlack = 0.7 // of Bounds.Slack
+	// minProxies is the number of proxies assumed where fewer are known: a leader that has just started may not know all.
 	minProxies = 8
-	// defaultShare is the share of a target where no bound is set.
+	// defaultShare is the target's share of the requests if Bounds.Share isn't set.
 	defaultShare = 0.05
 )
 
-// WithBounds returns the proposal with the share and the extra requests that keep to the bounds with that many proxies.
+// WithBounds returns the proposal with a TrafficShare and an InitialAllowance that keep the target within the bounds if there are
+// that many proxies.
 func (p Proposal) WithBounds(bounds Bounds, proxies int) Proposal {
 	p.TrafficShare = usedShare * bounds.Share
 	if bounds.Share <= 0 {
@@ -52,7 +54,7 @@
 	return p
 }
 
-// ObservedVersion records which version of a service ran before its first roll-out. It is stored in the replicated log.
+// ObservedVersion records the version of a service that ran before its first roll-out. It is stored in the replicated log.
 type ObservedVersion struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -62,7 +64,7 @@
 type Decision struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
-	Order   uint64 `json:"order"` // log index of the roll-out's proposal: the same target may be proposed again later
+	Order   uint64 `json:"order"` // log index of the roll-out's proposal; the target alone isn't unique, since it may be proposed again
 	State   State  `json:"state"` // Finished or Reverted
 }
 
@@ -71,6 +73,6 @@
 
 // The results of ApplyProposal.
 const (
-	Accepted   Result = "taken"     // exactly this proposal was accepted, now or earlier
-	InProgress Result = "under_way" // another roll-out of the service is in service
+	Accepted   Result = "taken"     // this proposal was accepted now, or it is a duplicate of one that was accepted
+	InProgress Result = "under_way" // rejected: another roll-out of the service is in service
 )
--- a/internal/tier/rollout/state_machine.go
+++ b/internal/tier/rollout/state_machine.go
@@ -8,23 +8,23 @@
 	"mastusher/internal/tier/view"
 )
 
-// Rollout is the newest roll-out of a service.
+// Rollout is an accepted proposal with its state.
 type Rollout struct {
 	Proposal
 	Index    uint64 `json:"index"` // log index of the proposal
-	Baseline string `json:"from"`  // version in service when it was accepted
+	Baseline string `json:"from"`  // version in service when the proposal was accepted
 	State    State  `json:"state"`
 }
 
-// isDuplicate reports whether a proposal is the same as the one that began this roll-out.
+// isDuplicate reports whether a proposal for this roll-out's service equals the one that began the roll-out.
 func (r *Rollout) isDuplicate(proposal *Proposal) bool {
 	return r.Target == proposal.Target && r.OverMs == proposal.OverMs
 }
 
-// RecentProposal is a proposal that was accepted so recently that duplicates may still arrive.
+// RecentProposal is an accepted proposal whose dedup window hasn't ended: duplicates of it may still arrive.
 type RecentProposal struct {
-	Index   uint64 `json:"index"` // log index of its entry
-	AtMs    int64  `json:"atMs"`  // the leader's time of day when it proposed this, ms since 1970
+	Index   uint64 `json:"index"` // log index of the proposal
+	AtMs    int64  `json:"atMs"`  // when the leader proposed it, by its wall clock, ms since 1970
 	Service string `json:"service"`
 	Target  string `json:"target"`
 	OverMs  int64  `json:"overMs"`
@@ -32,19 +32,20 @@
 
 // StateMachine holds the version in service and the newest roll-out of each service.
 type StateMachine struct {
-	current  map[string]string // version in service, by service
-	rollouts map[string]Rollout
-	recent   []RecentProposal // the oldest first
+	current  map[string]string  // version in service, by service
+	rollouts map[string]Rollout // newest roll-out, by service
+	recent   []RecentProposal   // the oldest first
 }
 
-// New returns a state machine that knows no service.
+// New returns a state machine without services.
 func New() *StateMachine {
 	return &StateMachine{current: map[string]string{}, rollouts: map[string]Rollout{}}
 }
 
-// ApplyProposal decides a proposal that was committed at that log index. Its identity is its service, target and duration. A
-// duplicate changes nothing while its roll-out is in service, and as long as it may be a late copy of one that has ended,
-// whatever was proposed since; after that, it begins a new roll-out. A target that is in service already is finished at once.
+// ApplyProposal applies a proposal that was committed at a log index. Proposals with the same service, target and duration are
+// duplicates. A duplicate changes nothing while the roll-out that it repeats is in service, or within the dedup window of the
+// accepted proposal, whatever was proposed in between; later it begins a new roll-out. A roll-out whose target is the current
+// version is finished at once.
 func (s *StateMachine) ApplyProposal(index uint64, proposal Proposal) Result {
 	s.expireRecent(proposal.DedupExpiredIndex)
 	newest, known := s.rollouts[proposal.Service]
@@ -65,29 +66,29 @@
 	return Accepted
 }
 
-// expireRecent drops the proposals of which no duplicates arrive any more.
+// expireRecent drops the recent proposals up to a log index: their dedup windows have ended.
 func (s *StateMachine) expireRecent(upTo uint64) {
 	s.recent = slices.DeleteFunc(s.recent, func(r RecentProposal) bool { return r.Index <= upTo })
 }
 
-// isRecentDuplicate reports whether a proposal may be a late copy of one that was accepted.
+// isRecentDuplicate reports whether a proposal equals a recent one.
 func (s *StateMachine) isRecentDuplicate(proposal *Proposal) bool {
 	return slices.ContainsFunc(s.recent, func(r RecentProposal) bool {
 		return r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs
 	})
 }
 
-// RecentProposals lists the accepted proposals of which duplicates may still arrive, the oldest first.
+// RecentProposals lists the accepted proposals whose dedup windows haven't ended, the oldest first.
 func (s *StateMachine) RecentProposals() []RecentProposal { return s.recent }
 
-// ApplyObservedVersion records a service's version, unless one is known.
+// ApplyObservedVersion records a service's current version unless one is recorded already.
 func (s *StateMachine) ApplyObservedVersion(observed ObservedVersion) {
 	if s.current[observed.Service] == "" {
 		s.current[observed.Service] = observed.Version
 	}
 }
 
-// ApplyDecision ends a roll-out that is in service; a later decision on it changes nothing.
+// ApplyDecision ends a roll-out that is in service. A decision on any other roll-out, or on one that has ended, changes nothing.
 func (s *StateMachine) ApplyDecision(decision Decision) {
 	newest, known := s.rollouts[decision.Service]
 	if !known || newest.State != InService || newest.Index != decision.Order {
@@ -106,10 +107,10 @@
 	return newest, known
 }
 
-// Current returns the version in service, or "" while it is unknown.
+// Current returns the version of a service that is in service, or "" while it is unknown.
 func (s *StateMachine) Current(service string) string { return s.current[service] }
 
-// Active lists the roll-outs in service, by service.
+// Active lists the roll-outs in service, sorted by service.
 func (s *StateMachine) Active() []Rollout {
 	var active []Rollout
 	for _, newest := range s.rollouts {
@@ -121,7 +122,7 @@
 	return active
 }
 
-// Versions lists for the proxies the version in service of each service, and the target and its share of a roll-out in service.
+// Versions lists, for the proxies, the current version of each service, and the target and its share if a roll-out is in service.
 func (s *StateMachine) Versions() view.RolloutList {
 	var list view.RolloutList
 	for _, service := range slices.Sorted(maps.Keys(s.current)) {
--- a/internal/tier/rollout/stats.go
+++ b/internal/tier/rollout/stats.go
@@ -8,21 +8,21 @@
 // LatencyBucketCount is the number of latency buckets of Stats.
 const LatencyBucketCount = 40
 
-// Upper bounds of the latency buckets: the first one's, and how many buckets double the bound.
+// The latency buckets have exponentially growing upper bounds.
 const (
-	firstBucketBound   = 100 * time.Microsecond
-	bucketsPerDoubling = 2
+	firstBucketBound   = 100 * time.Microsecond // upper bound of the first bucket
+	bucketsPerDoubling = 2                      // number of buckets after which the bound has doubled
 )
 
-// Stats counts what proxies have seen of one version on one route. Proxies send it to the leader.
+// Stats counts the requests that proxies sent to one version on one route, and their answers. Proxies send it to the leader.
 type Stats struct {
 	Sent           int64                     `json:"sent"` // requests sent
 	Good           int64                     `json:"good"` // complete, successful answers
-	Bad            int64                     `json:"bad"`  // failures of the version itself, broken answers, time-outs
+	Bad            int64                     `json:"bad"`  // failures of the version itself, truncated answers, timeouts
 	LatencyBuckets [LatencyBucketCount]int64 `json:"paces"`
 }
 
-// ObserveLatency counts the time that a good answer took; of a stream, the time per event.
+// ObserveLatency counts the latency of a good answer; for a stream, that is the time per event.
 func (s *Stats) ObserveLatency(took time.Duration) {
 	bucket := 0
 	if took > firstBucketBound {
@@ -31,7 +31,7 @@
 	s.LatencyBuckets[min(bucket, LatencyBucketCount-1)]++
 }
 
-// Add adds other counts.
+// Add adds the counts of other.
 func (s *Stats) Add(other Stats) {
 	s.Sent += other.Sent
 	s.Good += other.Good
@@ -41,7 +41,7 @@
 	}
 }
 
-// since returns what was counted after an earlier state of the same counts.
+// since returns the differences between these counts and earlier values of the same counts.
 func (s *Stats) since(earlier Stats) Stats {
 	difference := Stats{Sent: s.Sent - earlier.Sent, Good: s.Good - earlier.Good, Bad: s.Bad - earlier.Bad}
 	for i := range difference.LatencyBuckets {
@@ -50,12 +50,12 @@
 	return difference
 }
 
-// includes reports whether no count is lower than the other's; if not, these counts are the older ones.
+// includes reports whether no count is lower than that of other. If one is, other is the newer of two states of the same counts.
 func (s *Stats) includes(other Stats) bool {
 	return s.Sent >= other.Sent && s.Good >= other.Good && s.Bad >= other.Bad && s.latencyCount() >= other.latencyCount()
 }
 
-// latencyCount is the number of answers whose latency was counted.
+// latencyCount returns the number of answers whose latency was counted.
 func (s *Stats) latencyCount() int64 {
 	var sum int64
 	for _, count := range s.LatencyBuckets {
@@ -64,7 +64,7 @@
 	return sum
 }
 
-// medianBucket is the latency bucket of the middle answer.
+// medianBucket returns the latency bucket of the median answer.
 func (s *Stats) medianBucket() int {
 	half := (s.latencyCount() + 1) / 2
 	for bucket, count := range s.LatencyBuckets {
@@ -75,7 +75,7 @@
 	return LatencyBucketCount - 1
 }
 
-// countFromBucket counts the answers in a bucket and in all slower ones.
+// countFromBucket returns the number of answers in a bucket and in all slower buckets.
 func (s *Stats) countFromBucket(bucket int) int64 {
 	var sum int64
 	for _, count := range s.LatencyBuckets[min(bucket, LatencyBucketCount):] {
@@ -84,17 +84,17 @@
 	return sum
 }
 
-// StatsByRoute counts what was seen of one version, by route.
+// StatsByRoute holds the stats of one version by route.
 type StatsByRoute map[string]Stats
 
-// Add adds counts of a route.
+// Add adds the stats of a route.
 func (s StatsByRoute) Add(route string, stats Stats) {
 	sum := s[route]
 	sum.Add(stats)
 	s[route] = sum
 }
 
-// Total sums up all routes.
+// Total returns the sum of the stats of all routes.
 func (s StatsByRoute) Total() Stats {
 	var sum Stats
 	for _, stats := range s {
