--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -11,14 +11,14 @@
 	"mastusher/internal/tier/network"
 )
 
-// readBufferBytes is the size of a connection's read buffer: a response's head and a small body in one call.
+// readBufferBytes is the size of a connection's read buffer, enough for a response's head and a small body in one read.
 const readBufferBytes = 4 << 10
 
-// unlimited is the read limit while a body is read.
+// unlimited is the value of connection.readLeft while a body is read.
 const unlimited = int64(1) << 62
 
 // errHeadTooLarge is the read error of a response whose head exceeds Options.MaxHeaderBytes.
-var errHeadTooLarge = errors.New("response head too large")
+var errHeadTooLarge = errors.New("response head exceeds the configured maximum size")
 
 // connection is one connection to an endpoint. It carries one request at a time.
 type connection struct {
@@ -26,14 +26,14 @@
 	socket    net.Conn
 	raw       syscall.RawConn
 	reader    *bufio.Reader
-	readLeft  int64 // bytes that may still be read before the limit on a response's head is reached
-	requests  int   // requests that were written to it
-	idleUntil time.Time
+	readLeft  int64     // bytes that may still be read before reads fail with errHeadTooLarge
+	requests  int       // number of requests written, or being written, on it
+	idleUntil time.Time // when it expires while idle
 
-	carriedHead bool // one of those was a HEAD, whose response has no body whatever its head says
+	carriedHead bool // one of the requests was a HEAD, whose response has no body even if its head has a Content-Length
 }
 
-// newConnection returns a connection in the slot that the endpoint has reserved for it.
+// newConnection returns a connection that uses a slot reserved at the endpoint.
 func newConnection(endpoint *endpointConns, socket net.Conn) *connection {
 	c := &connection{endpoint: endpoint, socket: socket, readLeft: unlimited}
 	if system, ok := socket.(syscall.Conn); ok {
@@ -43,10 +43,10 @@
 	return c
 }
 
-// limitedSocket reads from a connection's socket within its read limit.
+// limitedSocket reads from a connection's socket, at most connection.readLeft bytes.
 type limitedSocket struct{ c *connection }
 
-// Read reads from the socket. It fails with errHeadTooLarge once the limit is reached.
+// Read reads from the socket. It fails with errHeadTooLarge if readLeft is 0.
 func (s limitedSocket) Read(buffer []byte) (int, error) {
 	if s.c.readLeft <= 0 {
 		return 0, errHeadTooLarge
@@ -59,8 +59,8 @@
 	return n, err
 }
 
-// reusable reports whether an idle connection can take a request: it isn't due to close, and its peer neither closed it
-// nor sent bytes that no request asked for.
+// reusable reports whether an idle connection can carry another request: it hasn't expired, and the endpoint has neither closed it
+// nor sent unsolicited bytes.
 func (c *connection) reusable(now time.Time) bool {
 	if !now.Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
@@ -68,11 +68,11 @@
 	if prober, ok := c.socket.(network.IdleProber); ok {
 		return prober.Idle()
 	}
-	return c.raw == nil || isQuiet(c.raw)
+	return c.raw == nil || isIdle(c.raw)
 }
 
-// abortOnDone makes every read and write of the connection fail once the context ends. stop takes that back; it returns false if
-// the context has ended already.
+// abortOnDone makes every read and write of the connection fail once the context ends, and the connection end with a reset. stop
+// cancels that; it returns false if the context has ended already.
 func (c *connection) abortOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		c.resetOnClose()
@@ -80,8 +80,8 @@
 	})
 }
 
-// resetOnClose makes the connection end with a reset when it is closed: bytes of a request that haven't arrived yet, as a link
-// delays them, are then dropped. After an orderly close they would still be sent, for a caller that has gone.
+// resetOnClose makes the connection end with a TCP reset when it is closed: bytes of a request that haven't arrived yet, for example
+// because the network delays them, are then dropped. After an orderly close they would still be delivered, though the caller is gone.
 func (c *connection) resetOnClose() {
 	if socket, ok := c.socket.(interface{ SetLinger(seconds int) error }); ok {
 		_ = socket.SetLinger(0)
--- a/internal/tier/upstream/dial.go
+++ b/internal/tier/upstream/dial.go
@@ -12,7 +12,7 @@
 // dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// newDialer returns a dialer whose connections detect a dead peer.
+// newDialer returns a dialFunc whose connections detect an unreachable peer by keep-alive probes and TCP_USER_TIMEOUT.
 func newDialer(options Options) dialFunc {
 	dialer := &net.Dialer{
 		Timeout: options.ConnectTimeout,
@@ -31,7 +31,7 @@
 	}
 }
 
-// setUserTimeout bounds the time for which sent bytes may stay without acknowledgement.
+// setUserTimeout sets TCP_USER_TIMEOUT, the time for which sent bytes may stay unacknowledged.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -43,13 +43,13 @@
 	return failure
 }
 
-// isQuiet reports whether a connection that should be idle is: open, and without bytes to be read.
-func isQuiet(raw syscall.RawConn) bool {
-	idle := false
+// isIdle reports whether a connection is open and has no bytes to be read.
+func isIdle(raw syscall.RawConn) bool {
+	wouldBlock := false
 	err := raw.Control(func(descriptor uintptr) {
 		var peeked [1]byte
 		_, _, failure := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		idle = failure == unix.EAGAIN
+		wouldBlock = failure == unix.EAGAIN
 	})
-	return err == nil && idle
+	return err == nil && wouldBlock
 }
--- a/internal/tier/upstream/doc.go
+++ b/internal/tier/upstream/doc.go
@@ -1,15 +1,14 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 connections that it pools. Package proxy is its only caller: one Pool
-// for each Proxy.
+// Package upstream sends requests to endpoints over pooled HTTP/1.1 connections. Package proxy is its only caller: each Proxy has
+// one Pool.
 //
-// A connection belongs to one endpoint by its ID, never by its address, and carries one request at a time. A request is written
-// at most once: nothing here retries it, and an Error reports whether any of its bytes were sent (NeverSent) or whether it may have
-// run (MayHaveRun). Responses are parsed by net/http; its Transport, which pools by address and retries requests by itself, is
-// not used.
+// Connections are pooled by the ID of their endpoint, not by its address, and carry one request at a time. A request is written at
+// most once and never retried here; an Error tells whether none of its bytes were sent (NeverSent) or whether the endpoint may have
+// run it (MayHaveRun). Responses are parsed by net/http, but http.Transport isn't used: it pools by address and retries requests.
 //
-// A response must carry the X-Attempt-Id of its request. One that carries another is a late response to an earlier request: it is
-// skipped, and its connection is not reused.
+// A response must carry the X-Attempt-Id of its request. A response with another id is foreign: a late response to an earlier
+// request. It is skipped, and its connection is not reused.
 //
-// A Pool is safe for concurrent use. A Response belongs to one goroutine, which must close it. Goroutines: one beside the caller for
-// each request that is written while its response is read, which Response.Close waits for; the reaper is a timer that runs only
-// while there are idle connections, and ends with Pool.Close.
+// A Pool is safe for concurrent use. A Response belongs to one goroutine, which must close it. A long request is written by a second
+// goroutine while its response is read; Pool.Do, if it fails, or Response.Close waits for that goroutine. The reaper, which closes
+// expired idle connections, is a timer that runs only while there are idle connections and is stopped by Pool.Close.
 package upstream
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -16,27 +16,28 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// received is a request as it came over the wire.
+// received is a request as the endpoint received it.
 type received struct {
-	connection int    // the number of the connection, from 1
-	line       string // the request line
+	connection int    // number of the connection, from 1
+	line       string // request line
 	header     textproto.MIMEHeader
 	body       []byte
-	raw        []byte // the head, byte for byte
+	raw        []byte // head of the request, byte for byte
 }
 
-// endpoint is a stand-in that reads requests from raw sockets, counts them, and answers as a test says.
+// endpoint is a test server on a raw TCP listener. It records the requests and responds with a function of the test.
 type endpoint struct {
 	t        *testing.T
 	listener net.Listener
-	answer   func(socket net.Conn, request received) bool // false: close the connection
+	answer   func(socket net.Conn, request received) bool // responds to a request; false: close the connection
 
 	mutex       sync.Mutex
 	requests    []received
 	connections int
-	closed      chan int // the numbers of connections that have ended
+	closed      chan int // numbers of connections that have ended
 }
 
+// newEndpoint starts an endpoint that runs until the end of the test.
 func newEndpoint(t *testing.T, answer func(net.Conn, received) bool) *endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -49,6 +50,7 @@
 	return e
 }
 
+// accept serves connections until the listener is closed.
 func (e *endpoint) accept() {
 	for {
 		socket, err := e.listener.Accept()
@@ -63,6 +65,7 @@
 	}
 }
 
+// serve handles the requests on one connection.
 func (e *endpoint) serve(socket net.Conn, number int) {
 	defer func() { e.closed <- number }()
 	defer socket.Close()
@@ -82,6 +85,7 @@
 	}
 }
 
+// readRequest reads one request whose body, if any, has a Content-Length.
 func readRequest(reader *bufio.Reader) (received, error) {
 	var request received
 	var raw bytes.Buffer
@@ -108,6 +112,7 @@
 	return request, nil
 }
 
+// target returns the endpoint's address under an endpoint ID.
 func (e *endpoint) target(id string) upstream.Endpoint {
 	return upstream.Endpoint{ID: id, Address: e.listener.Addr().String()}
 }
@@ -119,7 +124,7 @@
 	return append([]received(nil), e.requests...), e.connections
 }
 
-// respond answers with 200, a length and the id of the request.
+// respond writes a response with status 200, a Content-Length and the X-Attempt-Id of the request.
 func respond(socket net.Conn, request received, body string, fields ...string) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + request.header.Get("X-Attempt-Id") + "\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n"
@@ -129,12 +134,13 @@
 	_, _ = io.WriteString(socket, head+"\r\n"+body)
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(socket net.Conn) {
 	_ = socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
 }
 
+// newPool returns a pool that is closed at the end of the test.
 func newPool(t *testing.T, options upstream.Options) *upstream.Pool {
 	t.Helper()
 	pool := upstream.NewPool(options)
@@ -142,6 +148,7 @@
 	return pool
 }
 
+// newRequest returns a request with an X-Attempt-Id and a body of the given parts.
 func newRequest(method, target, id string, body ...string) *upstream.Request {
 	request := &upstream.Request{Method: method, Target: target, Host: "service.example", AttemptID: id}
 	request.Fields = upstream.AppendField(nil, "X-Attempt-Id", id)
@@ -152,7 +159,7 @@
 	return request
 }
 
-// exchange sends a request and reads its complete response.
+// exchange sends a request and returns the body of its response.
 func exchange(t *testing.T, pool *upstream.Pool, to upstream.Endpoint, request *upstream.Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -166,6 +173,7 @@
 	return string(body), err
 }
 
+// headLines returns the lines of a request's head.
 func headLines(raw []byte) []string {
 	return strings.Split(strings.TrimRight(string(raw), "\r\n"), "\r\n")
 }
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Kind says what is known of a request whose response didn't come. Whether the request may be retried depends on it.
+// Kind tells whether the endpoint may have run a request that failed. Whether the request may be retried depends on it.
 type Kind int
 
-// The kinds of error.
+// The kinds of errors.
 const (
-	// NeverSent says that no byte of the request has left this process: it has not run and won't.
+	// NeverSent: no byte of the request has left this process, so that the request has not run and won't.
 	NeverSent Kind = iota + 1
-	// MayHaveRun says that bytes of the request were sent and that nothing promises it hasn't run.
+	// MayHaveRun: bytes of the request were sent, and nothing rules out that it has run.
 	MayHaveRun
 )
 
-// String names the kind.
+// String returns the kind as used in the text of an Error.
 func (k Kind) String() string {
 	if k == NeverSent {
 		return "never sent"
@@ -21,30 +21,30 @@
 	return "may have run"
 }
 
-// Reason is the step that failed.
+// Reason tells why a request failed.
 type Reason string
 
-// The reasons.
+// The reasons of an Error.
 const (
-	ConnectFailed   Reason = "connect"     // no connection could be made
-	PoolExhausted   Reason = "busy"        // every connection that this process may have to the endpoint is in use
+	ConnectFailed   Reason = "connect"     // no connection could be established
+	PoolExhausted   Reason = "busy"        // all of the endpoint's MaxConnections are in use
 	PoolClosed      Reason = "closed"      // the pool is closed
-	PermitRevoked   Reason = "recalled"    // the endpoint's permit was withdrawn before anything was written
-	WriteFailed     Reason = "write"       // the request could not be written
-	ReadFailed      Reason = "read"        // the response's head did not come
-	ForeignResponse Reason = "foreign"     // the responses that came belong to other requests
+	PermitRevoked   Reason = "recalled"    // the endpoint's Permit was no longer granted right before the write
+	WriteFailed     Reason = "write"       // no byte of the request could be written
+	ReadFailed      Reason = "read"        // reading the response failed
+	ForeignResponse Reason = "foreign"     // the response, or responses, carried the X-Attempt-Id of other requests
 	Cancelled       Reason = "cancelled"   // the caller's context ended
-	InvalidRequest  Reason = "bad_request" // the request can't be put on the wire as it is
+	InvalidRequest  Reason = "bad_request" // the request can't be written as valid HTTP/1.1
 )
 
-// Error is the only type of error that Pool.Do returns, and that of a Response whose body breaks off.
+// Error is the type of all errors of Pool.Do, and of the error of a Response whose body is truncated.
 type Error struct {
 	Kind   Kind
 	Reason Reason
-	Err    error // what the system or the library said; may be nil
+	Err    error // underlying error; may be nil
 }
 
-// Error describes the failure.
+// Error returns the reason, the kind and the underlying error.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("upstream: %s (%s)", e.Reason, e.Kind)
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// directWriteBytes is the most that is written before the response is read. A longer request is written while its response is
-	// read, since an endpoint may answer without reading it.
+	// directWriteBytes is the largest body that is written before the response is read. A longer one is written while the response
+	// is read, since an endpoint may respond without reading all of it.
 	directWriteBytes = 32 << 10
-	// maxInformational bounds the 1xx heads that may come before a response.
+	// maxInformational is the largest number of informational (1xx) responses before a response.
 	maxInformational = 16
-	// maxForeignResponses bounds the late responses to other requests that are skipped on one connection.
+	// maxForeignResponses is the largest number of foreign responses that are skipped before a response.
 	maxForeignResponses = 4
-	// maxForeignBytes bounds the body of a late response.
+	// maxForeignBytes is the largest body of a foreign response that is skipped.
 	maxForeignBytes = 1 << 20
 )
 
-// AttemptIDHeader holds the id of an attempt, in requests and in their responses.
+// AttemptIDHeader is the header field with the id of an attempt, in requests and in their responses.
 const AttemptIDHeader = "X-Attempt-Id"
 
-// TimeLeftHeader holds how many milliseconds the caller of a request will wait.
+// TimeLeftHeader is the request header field with the time until the request's deadline in milliseconds.
 const TimeLeftHeader = "X-Time-Left-Ms"
 
-// Errors of readHead. readError gives errForeign a Reason of its own.
+// Errors of readHead. readError maps errForeign to ForeignResponse and the others to ReadFailed.
 var (
-	errForeign       = errors.New("response has another request's id")
-	errInformational = errors.New("too many informational responses")
+	errForeign       = errors.New("response doesn't carry the X-Attempt-Id of its request")
+	errInformational = errors.New("more informational (1xx) responses than allowed before a response")
 )
 
-// headBuffers pools the buffers in which heads of requests are formatted.
+// headBuffers pools buffers for formatting the heads of requests.
 var headBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// Do sends a request to an endpoint, once, and returns its response when the head has come. The caller must close the response.
-// The response's body fails when the context ends. The error is an *Error.
+// Do sends a request to an endpoint once and returns its response when the head has been read. The caller must close the response.
+// Reading the body fails once the context ends. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, endpoint Endpoint, request *Request) (*Response, error) {
 	if err := request.check(); err != nil {
 		return nil, &Error{Kind: NeverSent, Reason: InvalidRequest, Err: err}
@@ -79,19 +79,19 @@
 	connection  *connection
 	request     *Request
 	ctx         context.Context
-	stop        func() bool
-	writeDone   chan writeResult // nil: the request was written before its response was read
-	notReusable bool             // the connection must not be used again
+	stop        func() bool      // of connection.abortOnDone
+	writeDone   chan writeResult // result of the writing goroutine; nil: there is none, or its result was received
+	notReusable bool             // the connection must not carry another request
 }
 
-// writeResult is how the writing of a request ended: how many bytes were written, and why no more.
+// writeResult is the result of writing a request.
 type writeResult struct {
-	count int64
+	count int64 // bytes written
 	err   error
 }
 
-// run writes the request and reads the head of its response. A long request is written by a goroutine of its own, which ends with
-// its write: awaitWrite, or the response's Close, waits for it.
+// run writes the request and reads the head of its response. A long request is written by a separate goroutine, which readError or
+// Response.Close waits for.
 func (e *exchange) run() (*Response, *Error) {
 	e.stop = e.connection.abortOnDone(e.ctx)
 	e.connection.requests++
@@ -112,7 +112,8 @@
 	return newResponse(e, response), nil
 }
 
-// readError returns what is known when no response came. A write that still runs is ended first.
+// readError converts an error of readHead to an Error. It ends a write in progress first, whose result tells whether any bytes were
+// sent.
 func (e *exchange) readError(err error) *Error {
 	reason := ReadFailed
 	if errors.Is(err, errForeign) {
@@ -127,7 +128,7 @@
 	return &Error{Kind: MayHaveRun, Reason: reason, Err: err}
 }
 
-// awaitWrite waits for a write that runs beside the reading, so that nothing reads the request's body any more.
+// awaitWrite waits for the writing goroutine, if there is one: after that, the request's body isn't accessed any more.
 func (e *exchange) awaitWrite() writeResult {
 	if e.writeDone == nil {
 		return writeResult{}
@@ -137,7 +138,7 @@
 	return result
 }
 
-// writeSucceeded reports, without waiting, whether a write that ran beside the reading has succeeded.
+// writeSucceeded reports, without waiting, whether the whole request has been written.
 func (e *exchange) writeSucceeded() bool {
 	if e.writeDone == nil {
 		return true
@@ -151,7 +152,7 @@
 	}
 }
 
-// write puts the request on the wire.
+// write writes the request to the connection.
 func (e *exchange) write() writeResult {
 	pooled := headBuffers.Get().(*[]byte)
 	defer headBuffers.Put(pooled)
@@ -172,14 +173,14 @@
 	return writeResult{n, err}
 }
 
-// readHead reads the head of this request's response, past informational ones and past late responses to other requests. Where
-// one of those may belong to a HEAD request, nothing reports whether a body follows it, and so where the next response begins.
+// readHead reads the head of this request's response. It skips informational and foreign responses. If a foreign response may belong
+// to a HEAD request, it can't be skipped: it is unknown whether a body follows its head, and so where the next response begins.
 func (e *exchange) readHead() (*http.Response, error) {
 	c := e.connection
-	libraryRequest := &http.Request{Method: e.request.Method}
+	request := &http.Request{Method: e.request.Method}
 	for informational, foreign := 0, 0; ; {
 		c.readLeft = e.pool.options.MaxHeaderBytes
-		response, err := http.ReadResponse(c.reader, libraryRequest)
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -202,8 +203,8 @@
 	}
 }
 
-// matches reports whether a response is this request's. One without an id is, if the connection has carried no other request. One
-// with several ids is no request's.
+// matches reports whether a response belongs to this request. A response without an id does if the connection has carried no other
+// request. A response with several ids belongs to no request.
 func (e *exchange) matches(response *http.Response) bool {
 	ids := response.Header[AttemptIDHeader]
 	if len(ids) == 0 {
@@ -212,7 +213,8 @@
 	return len(ids) == 1 && ids[0] == e.request.AttemptID
 }
 
-// skipForeign reads the body of a late response to another request. It returns false when no response can follow it.
+// skipForeign reads and drops the body of a foreign response. It returns false if the body can't be skipped, or if no other response
+// can follow on the connection.
 func skipForeign(response *http.Response) bool {
 	if response.Close {
 		return false
--- a/internal/tier/upstream/mutants_test.go
+++ b/internal/tier/upstream/mutants_test.go
@@ -9,12 +9,12 @@
 func TestMutantsAreNoticed(t *testing.T) {
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "an abandoned request is closed in good order",
+			Name:   "a cancelled request's connection is closed without a reset",
 			Change: mutation.Change{File: "connection.go", Old: "\t\tc.resetOnClose()\n", New: ""},
 			Run:    "^TestDo_ContextEndsWhileWriting_ResetsConnection$",
 		},
 		{
-			Name: "the time left is that of an earlier moment",
+			Name: "the time left isn't computed when the request is written",
 			Change: mutation.Change{
 				File: "exchange.go",
 				Old:  "e.request.appendHead((*pooled)[:0], e.pool.options.Now())",
--- a/internal/tier/upstream/options.go
+++ b/internal/tier/upstream/options.go
@@ -6,26 +6,26 @@
 	"mastusher/internal/tier/network"
 )
 
-// Options are the settings of a Pool. A zero field takes its default; no value is bounded here.
+// Options are the settings of a Pool. A zero field takes its default; values aren't validated here.
 //
-// Larger timeouts, and more or rarer keep-alive probes, bear slower networks and detect a dead endpoint later: its requests fail that
-// much closer to their deadlines, and its connections count against the endpoint's maximum for as long. A larger IdleTimeout or a
-// smaller IdleTimeoutMargin reuses more connections, and sends more requests on connections that the endpoint is about to close. A
-// larger MaxHeaderBytes takes longer heads, and as much memory for one that never ends.
+// With larger timeouts, and with more or less frequent keep-alive probes, requests tolerate slower networks, but a dead endpoint is
+// detected later: its requests fail closer to their deadlines, and its connections count against MaxConnections for longer. A larger
+// IdleTimeout or a smaller IdleTimeoutMargin lets more connections be reused, but more requests are sent on connections that the
+// endpoint is about to close. A larger MaxHeaderBytes accepts longer heads, but an endless head takes that much memory.
 type Options struct {
-	ConnectTimeout    time.Duration    // for a connection to be made; default 400 ms
+	ConnectTimeout    time.Duration    // to establish a connection; default 400 ms
 	UserTimeout       time.Duration    // for sent bytes to be acknowledged (TCP_USER_TIMEOUT, RFC 5482); default 2.5 s
-	KeepAliveIdle     time.Duration    // without bytes, until the first keep-alive probe; default 1 s
-	KeepAliveInterval time.Duration    // between probes; default 1 s
-	KeepAliveCount    int              // unanswered probes after which a connection is dead; default 2
-	IdleTimeout       time.Duration    // of an idle connection whose endpoint sends no Keep-Alive timeout; default 300 ms
-	IdleTimeoutMargin time.Duration    // by which an idle connection is closed before the endpoint's timeout; default 300 ms
-	MaxHeaderBytes    int64            // in the head of a response; default 64 KiB
-	Now               func() time.Time // nil: the system's clock
-	Network           network.Network  // nil: the system's
+	KeepAliveIdle     time.Duration    // without received bytes, until the first keep-alive probe; default 1 s
+	KeepAliveInterval time.Duration    // between two keep-alive probes; default 1 s
+	KeepAliveCount    int              // unanswered keep-alive probes after which a connection is dead; default 2
+	IdleTimeout       time.Duration    // of an idle connection if the endpoint sent no Keep-Alive timeout; default 300 ms
+	IdleTimeoutMargin time.Duration    // subtracted from the Keep-Alive timeout that the endpoint sent; default 300 ms
+	MaxHeaderBytes    int64            // largest head of a response; default 64 KiB
+	Now               func() time.Time // nil: time.Now
+	Network           network.Network  // nil: the operating system's
 }
 
-// The defaults of Options.
+// The default values of Options.
 const (
 	DefaultConnectTimeout    = 400 * time.Millisecond
 	DefaultUserTimeout       = 2500 * time.Millisecond
@@ -40,7 +40,7 @@
 // reapInterval is the time between two checks for idle connections that have expired.
 const reapInterval = 250 * time.Millisecond
 
-// withDefaults replaces zero values by their defaults.
+// withDefaults returns the options with zero fields replaced by their defaults.
 func (o Options) withDefaults() Options {
 	setDuration(&o.ConnectTimeout, DefaultConnectTimeout)
 	setDuration(&o.UserTimeout, DefaultUserTimeout)
@@ -61,7 +61,7 @@
 	return o
 }
 
-// setDuration sets a zero duration to a value.
+// setDuration sets the field to the value if it is 0.
 func setDuration(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Endpoint names where a request goes.
+// Endpoint is the destination of a request.
 type Endpoint struct {
-	ID             string
-	Address        string
-	MaxConnections int    // that this process may have to it; 0: no bound
-	Permit         Permit // nil: it may get the request in any case
+	ID             string // connections are pooled by it
+	Address        string // host:port
+	MaxConnections int    // largest number of connections from this process; 0: unlimited
+	Permit         Permit // nil: the request is always permitted
 }
 
-// Permit is checked once there is a connection, right before a request is written to it: the endpoint may have been withdrawn while
-// the connection was made.
+// Permit is checked once there is a connection, right before the request is written: the endpoint may have been taken out of use
+// while the connection was being established.
 type Permit interface {
-	// Granted reports whether the endpoint may still get the request.
+	// Granted reports whether the request may still be sent to the endpoint.
 	Granted() bool
 }
 
 // endpointConns holds the connections to one endpoint.
 type endpointConns struct {
 	id    string
-	idle  []*connection // the last one returned is at the end
-	total int           // idle, in use and being made: never above the endpoint's MaxConnections
+	idle  []*connection // in order of release, the latest last
+	total int           // idle, in use and being established: at most the endpoint's MaxConnections
 }
 
 // Pool pools the connections to endpoints. It is safe for concurrent use.
@@ -52,7 +52,7 @@
 	}
 }
 
-// acquire returns an idle connection to the endpoint, or a new one. A fresh one must not have carried another request.
+// acquire returns an idle connection to the endpoint or a new one. If fresh is set, it always returns a new one.
 func (p *Pool) acquire(ctx context.Context, endpoint Endpoint, fresh bool) (*connection, *Error) {
 	for {
 		idle, reserved, failure := p.takeIdleOrReserve(endpoint, fresh)
@@ -69,35 +69,35 @@
 	}
 }
 
-// takeIdleOrReserve takes the idle connection that was used last. If there is none, it reserves the slot of a new one. For a fresh
-// connection it takes an idle one, which is to make room, only where the endpoint has no more slots.
+// takeIdleOrReserve takes the idle connection that was released last. If there is none, it reserves a slot for a new one. If fresh is
+// set, it takes an idle connection only if the endpoint has no free slot, so that the caller can discard it to free one.
 func (p *Pool) takeIdleOrReserve(endpoint Endpoint, fresh bool) (idle *connection, reserved *endpointConns, failure *Error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return nil, nil, &Error{Kind: NeverSent, Reason: PoolClosed}
 	}
-	h := p.endpoints[endpoint.ID]
-	if h == nil {
-		h = &endpointConns{id: endpoint.ID}
-		p.endpoints[endpoint.ID] = h
+	conns := p.endpoints[endpoint.ID]
+	if conns == nil {
+		conns = &endpointConns{id: endpoint.ID}
+		p.endpoints[endpoint.ID] = conns
 	}
-	full := endpoint.MaxConnections > 0 && h.total >= endpoint.MaxConnections
-	if last := len(h.idle) - 1; last >= 0 && (full || !fresh) {
-		idle = h.idle[last]
-		h.idle[last] = nil
-		h.idle = h.idle[:last]
+	full := endpoint.MaxConnections > 0 && conns.total >= endpoint.MaxConnections
+	if last := len(conns.idle) - 1; last >= 0 && (full || !fresh) {
+		idle = conns.idle[last]
+		conns.idle[last] = nil
+		conns.idle = conns.idle[:last]
 		p.inUse[idle] = struct{}{}
 		return idle, nil, nil
 	}
 	if full {
 		return nil, nil, &Error{Kind: NeverSent, Reason: PoolExhausted}
 	}
-	h.total++
-	return nil, h, nil
+	conns.total++
+	return nil, conns, nil
 }
 
-// connect makes a new connection in the slot reserved for it.
+// connect establishes a new connection in a reserved slot. If that fails, it releases the slot.
 func (p *Pool) connect(ctx context.Context, endpoint Endpoint, reserved *endpointConns) (*connection, *Error) {
 	socket, err := p.dial(ctx, endpoint.Address)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return c, nil
 }
 
-// releaseSlot gives up one slot of an endpoint. The caller holds the mutex.
+// releaseSlot frees one slot of an endpoint, and forgets the endpoint with its last one. The caller holds the mutex.
 func (p *Pool) releaseSlot(e *endpointConns) {
 	e.total--
 	if e.total == 0 && p.endpoints[e.id] == e {
@@ -126,7 +126,7 @@
 	}
 }
 
-// release takes back a connection whose response was complete, to be reused within the idle timeout.
+// release puts a connection back into the pool after a complete response, to be reused within the idle timeout.
 func (p *Pool) release(c *connection, idleTimeout time.Duration) {
 	c.idleUntil = p.options.Now().Add(idleTimeout)
 	p.mutex.Lock()
@@ -141,7 +141,7 @@
 	p.mutex.Unlock()
 }
 
-// discard closes a connection that was in use.
+// discard closes a connection that was in use and frees its slot.
 func (p *Pool) discard(c *connection) {
 	c.socket.Close()
 	p.mutex.Lock()
@@ -152,17 +152,17 @@
 	}
 }
 
-// Close closes every connection, those in use too.
+// Close closes all connections, including those in use. Later requests fail with PoolClosed.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.closed = true
-	for _, h := range p.endpoints {
-		for _, c := range h.idle {
+	for _, conns := range p.endpoints {
+		for _, c := range conns.idle {
 			c.socket.Close()
 		}
-		h.total -= len(h.idle)
-		h.idle = nil
+		conns.total -= len(conns.idle)
+		conns.idle = nil
 	}
 	for c := range p.inUse {
 		c.socket.Close()
@@ -172,13 +172,13 @@
 	}
 }
 
-// Connections returns how many connections to an endpoint are in use or being made, and how many are idle.
+// Connections returns how many connections to an endpoint are in use or being established, and how many are idle.
 func (p *Pool) Connections(endpointID string) (inUse, idle int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	h := p.endpoints[endpointID]
-	if h == nil {
+	conns := p.endpoints[endpointID]
+	if conns == nil {
 		return 0, 0
 	}
-	return h.total - len(h.idle), len(h.idle)
+	return conns.total - len(conns.idle), len(conns.idle)
 }
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -14,13 +14,14 @@
 	"mastusher/internal/tier/upstream"
 )
 
-func respondShortly(socket net.Conn, request received) bool {
+// respondKeepAlive responds with a body that names the request's id, and allows the connection to be reused.
+func respondKeepAlive(socket net.Conn, request received) bool {
 	respond(socket, request, "body of "+request.header.Get("X-Attempt-Id"), "Keep-Alive: timeout=30")
 	return true
 }
 
 func TestPool_Connections_AreKeptByEndpointID(t *testing.T) {
-	e := newEndpoint(t, respondShortly)
+	e := newEndpoint(t, respondKeepAlive)
 	pool := newPool(t, upstream.Options{})
 	for i, id := range []string{"first", "first", "second", "first"} {
 		if _, err := exchange(t, pool, e.target(id), newRequest("GET", "/", fmt.Sprint(i))); err != nil {
@@ -33,7 +34,7 @@
 		used = append(used, request.connection)
 	}
 	if diff := cmp.Diff([]int{1, 1, 2, 1}, used); diff != "" || connections != 2 {
-		t.Errorf("connections used (-want +got):\n%s\n%d connections", diff, connections)
+		t.Errorf("connections of the requests (-want +got):\n%s\n%d connections, want 2", diff, connections)
 	}
 }
 
@@ -46,7 +47,7 @@
 			respond(socket, request, "x", "Connection: close")
 			return true
 		}},
-		{"when its time is over at once", func(socket net.Conn, request received) bool {
+		{"after Keep-Alive: timeout=0", func(socket net.Conn, request received) bool {
 			respond(socket, request, "x", "Keep-Alive: timeout=0")
 			return true
 		}},
@@ -59,7 +60,7 @@
 			_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.header.Get("X-Attempt-Id")+"\r\n\r\nx")
 			return false
 		}},
-		{"when the endpoint closed it", func(socket net.Conn, request received) bool {
+		{"after the endpoint closed the connection", func(socket net.Conn, request received) bool {
 			respond(socket, request, "x", "Keep-Alive: timeout=30")
 			return false
 		}},
@@ -71,14 +72,14 @@
 			for i := range 2 {
 				body, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", fmt.Sprint(i), "body"))
 				if err != nil || body != "x" {
-					t.Fatalf("request %d: %q, %v", i, body, err)
+					t.Fatalf("request %d: got body %q and error %v, want \"x\"", i, body, err)
 				}
-				if i == 0 && test.name == "when the endpoint closed it" {
+				if i == 0 && test.name == "after the endpoint closed the connection" {
 					<-e.closed
 				}
 			}
 			if requests, connections := e.seen(); len(requests) != 2 || connections != 2 {
-				t.Errorf("%d requests on %d connections", len(requests), connections)
+				t.Errorf("the endpoint received %d requests on %d connections, want 2 on 2", len(requests), connections)
 			}
 		})
 	}
@@ -103,21 +104,21 @@
 	send("3")
 	requests, _ := e.seen()
 	if requests[1].connection != 1 || requests[2].connection != 2 {
-		t.Errorf("connections %d and %d, want 1 and 2", requests[1].connection, requests[2].connection)
+		t.Errorf("requests 2 and 3 used connections %d and %d, want 1 and 2", requests[1].connection, requests[2].connection)
 	}
 	<-e.closed
 }
 
 func TestReaper_ExpiredConnections_AreClosed(t *testing.T) {
 	clock := newClock()
-	e := newEndpoint(t, respondShortly)
+	e := newEndpoint(t, respondKeepAlive)
 	pool := newPool(t, upstream.Options{Now: clock.now})
 	if _, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1")); err != nil {
 		t.Fatal(err)
 	}
 	clock.advance(time.Minute)
 	if number := <-e.closed; number != 1 {
-		t.Errorf("connection %d was closed", number)
+		t.Errorf("connection %d was closed, want 1", number)
 	}
 }
 
@@ -125,7 +126,7 @@
 	release := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
 		<-release
-		return respondShortly(socket, request)
+		return respondKeepAlive(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
 	target := e.target("e")
@@ -144,7 +145,7 @@
 		t.Fatal(err)
 	}
 	if _, err := exchange(t, pool, target, newRequest("GET", "/", "3")); err != nil {
-		t.Errorf("after the first had ended: %v", err)
+		t.Errorf("after the first request had ended: %v", err)
 	}
 }
 
@@ -153,7 +154,7 @@
 		if request.header.Get("X-Attempt-Id") == "2" {
 			_, _ = io.WriteString(socket, "surplus")
 		}
-		return respondShortly(socket, request)
+		return respondKeepAlive(socket, request)
 	})
 	pool := newPool(t, upstream.Options{})
 	if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "1", "body")); err != nil {
@@ -162,15 +163,15 @@
 	_, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "2", "body"))
 	expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	if _, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", "3", "body")); err != nil {
-		t.Errorf("on a new connection: %v", err)
+		t.Errorf("request 3, on a new connection: %v", err)
 	}
 	if requests, connections := e.seen(); len(requests) != 3 || connections != 2 {
-		t.Errorf("%d requests on %d connections", len(requests), connections)
+		t.Errorf("the endpoint received %d requests on %d connections, want 3 on 2", len(requests), connections)
 	}
 }
 
 func TestPool_ManyCallers_Share(t *testing.T) {
-	e := newEndpoint(t, respondShortly)
+	e := newEndpoint(t, respondKeepAlive)
 	pool := newPool(t, upstream.Options{})
 	var callers sync.WaitGroup
 	for caller := range 8 {
@@ -179,18 +180,18 @@
 				id := fmt.Sprintf("%d-%d", caller, i)
 				body, err := exchange(t, pool, e.target(fmt.Sprint("e", i%3)), newRequest("POST", "/", id, id))
 				if err != nil || body != "body of "+id {
-					t.Errorf("%s: %q, %v", id, body, err)
+					t.Errorf("request %s: got body %q and error %v", id, body, err)
 				}
 			}
 		})
 	}
 	callers.Wait()
 	if requests, _ := e.seen(); len(requests) != 400 {
-		t.Errorf("%d requests", len(requests))
+		t.Errorf("the endpoint received %d requests, want 400", len(requests))
 	}
 }
 
-// clock is a clock that a test moves.
+// clock is a clock that a test sets forward.
 type clock struct {
 	mutex sync.Mutex
 	time  time.Time
@@ -211,13 +212,13 @@
 }
 
 func TestPool_EarlyResponseWhileWriting_ConnectionIsNotReused(t *testing.T) {
-	// given an endpoint that answers once it has the head of a long request, and reads the rest when it is released
+	// given an endpoint that responds after the first bytes of a long request, and reads the rest once readRest is closed
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	readOn, all := make(chan struct{}), make(chan []byte, 2)
+	readRest, bytesRead := make(chan struct{}), make(chan []byte, 2)
 	go func() {
 		for {
 			socket, err := listener.Accept()
@@ -230,31 +231,31 @@
 				_, _ = io.ReadFull(socket, head)
 				_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+map[string]string{"POST": "1", "GET ": "2"}[string(head)]+
 					"\r\nX-Not-Run: 1\r\nKeep-Alive: timeout=30\r\nContent-Length: 0\r\n\r\n")
-				<-readOn
+				<-readRest
 				rest, _ := io.ReadAll(socket)
-				all <- append(head, rest...)
+				bytesRead <- append(head, rest...)
 			}()
 		}
 	}()
 	pool := newPool(t, upstream.Options{})
 	target := upstream.Endpoint{ID: "e", Address: listener.Addr().String()}
 	long := newRequest("POST", "/", "1", strings.Repeat("x", 32<<20))
-	// when its response has been read, and another request is sent
+	// when the long request's response has been read, and another request is sent
 	for _, request := range []*upstream.Request{long, newRequest("GET", "/", "2")} {
 		if _, err := exchange(t, pool, target, request); err != nil {
 			t.Fatal(err)
 		}
 	}
 	pool.Close()
-	close(readOn)
-	// then what it reads on the first connection is the beginning of the long request
+	close(readRest)
+	// then each connection has carried one request, and the first one nothing but the beginning of the long request
 	for range 2 {
-		got := string(<-all)
+		got := string(<-bytesRead)
 		if posts, gets := strings.Count(got, "POST / "), strings.Count(got, "GET / "); posts+gets != 1 {
-			t.Errorf("%d and %d requests on one connection", posts, gets)
+			t.Errorf("one connection carried %d POST and %d GET requests, want 1 in all", posts, gets)
 		}
 		if _, body, _ := strings.Cut(got, "\r\n\r\n"); strings.Trim(body, "x") != "" {
-			t.Errorf("other bytes in the place of the body: %.80q", strings.Trim(body, "x"))
+			t.Errorf("the body of the long request contains other bytes: %.80q", strings.Trim(body, "x"))
 		}
 	}
 }
@@ -262,7 +263,7 @@
 func TestPool_HalfClosedConnection_IsNotReused(t *testing.T) {
 	halfClosed := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request received) bool {
-		respondShortly(socket, request)
+		respondKeepAlive(socket, request)
 		if request.connection == 1 {
 			_ = socket.(*net.TCPConn).CloseWrite()
 			close(halfClosed)
@@ -272,11 +273,11 @@
 	pool := newPool(t, upstream.Options{})
 	for _, id := range []string{"1", "2"} {
 		if body, err := exchange(t, pool, e.target("e"), newRequest("POST", "/", id, "body")); err != nil || body != "body of "+id {
-			t.Errorf("%s: %q, %v", id, body, err)
+			t.Errorf("request %s: got body %q and error %v", id, body, err)
 		}
 		<-halfClosed
 	}
 	if requests, connections := e.seen(); len(requests) != 2 || connections != 2 {
-		t.Errorf("%d requests on %d connections", len(requests), connections)
+		t.Errorf("the endpoint received %d requests on %d connections, want 2 on 2", len(requests), connections)
 	}
 }
--- a/internal/tier/upstream/reaper.go
+++ b/internal/tier/upstream/reaper.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scheduleReap starts the reaper's timer, unless it runs already. The caller holds the mutex.
+// scheduleReap starts the reaper's timer unless it is running. The caller holds the mutex.
 func (p *Pool) scheduleReap() {
 	if p.reapScheduled || p.closed {
 		return
@@ -15,7 +15,7 @@
 	p.reaper.Reset(reapInterval)
 }
 
-// reap closes the idle connections that have expired, and runs again only while there are others.
+// reap closes the idle connections that have expired, and schedules the next run if other idle connections remain.
 func (p *Pool) reap() {
 	now := p.options.Now()
 	var expired []*connection
@@ -35,7 +35,8 @@
 	}
 }
 
-// collectExpired moves the idle connections of an endpoint that have expired to expired. The caller holds the mutex.
+// collectExpired removes the expired idle connections of an endpoint and returns expired with them appended. The caller holds the
+// mutex.
 func (p *Pool) collectExpired(e *endpointConns, now time.Time, expired []*connection) []*connection {
 	remaining := e.idle[:0]
 	for _, c := range e.idle {
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -12,26 +12,26 @@
 	Name, Value string
 }
 
-// Request is a request as it goes onto the wire. Nothing is added to it but its framing.
+// Request is a request to be written as it is. Only Content-Length and X-Time-Left-Ms are added to its header fields.
 type Request struct {
 	Method        string
-	Target        string   // the path and the query, byte for byte
-	Host          string   // value of the Host header
-	Fields        []byte   // formatted header lines, each with its line end; see AppendField
-	AttemptFields []Field  // header fields of this attempt only
-	Body          [][]byte // the parts of the body, in order
-	HasBody       bool     // there is a Content-Length, also when the body is empty
-	AttemptID     string   // the X-Attempt-Id among Fields; empty: none, and the request gets a connection of its own
+	Target        string   // request target: path and query, written byte for byte
+	Host          string   // value of the Host header field
+	Fields        []byte   // formatted header fields, each with its CRLF; see AppendField
+	AttemptFields []Field  // further header fields, of this attempt only
+	Body          [][]byte // parts of the body, in order
+	HasBody       bool     // a Content-Length is written, even if the body is empty
+	AttemptID     string   // value of the X-Attempt-Id in Fields; empty: none, and the request gets a connection of its own
 
-	// Deadline is when the request ends. What is left until then is computed for X-Time-Left-Ms as the request is
-	// written: making a connection takes time too. Zero: no such field.
+	// Deadline is when the caller stops waiting for the response. The time left until then is sent as X-Time-Left-Ms, computed when
+	// the request is written, since establishing a connection takes time too. Zero: no X-Time-Left-Ms is sent.
 	Deadline time.Time
 }
 
-// minTimeLeftMs is the least value of X-Time-Left-Ms.
+// minTimeLeftMs is the smallest value of X-Time-Left-Ms.
 const minTimeLeftMs = 1
 
-// AppendField appends a header line to a buffer for Request.Fields.
+// AppendField appends a formatted header field to a buffer for Request.Fields.
 func AppendField(buffer []byte, name, value string) []byte {
 	buffer = append(buffer, name...)
 	buffer = append(buffer, ": "...)
@@ -39,23 +39,23 @@
 	return append(buffer, "\r\n"...)
 }
 
-// errControlBytes is the cause of an Error with InvalidRequest.
-var errControlBytes = errors.New("space or control byte in method, target, host or header field")
+// errInvalidBytes is the Err of an Error with InvalidRequest.
+var errInvalidBytes = errors.New("method or target is empty, or a space or control byte is in method, target, host or a header field")
 
-// check rejects what would end up as other bytes, or as a second request, on the wire.
+// check rejects a request whose values would be parsed differently by the endpoint, for example as a second request.
 func (r *Request) check() error {
 	if r.Method == "" || hasSpaceOrControl(r.Method) || r.Target == "" || hasSpaceOrControl(r.Target) || hasSpaceOrControl(r.Host) {
-		return errControlBytes
+		return errInvalidBytes
 	}
 	for _, field := range r.AttemptFields {
 		if strings.ContainsAny(field.Value, "\r\n\x00") {
-			return errControlBytes
+			return errInvalidBytes
 		}
 	}
 	return nil
 }
 
-// hasSpaceOrControl reports whether a text has bytes that would end it on the wire.
+// hasSpaceOrControl reports whether a text has spaces or control bytes, which end a value in a request's head.
 func hasSpaceOrControl(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] <= ' ' || text[i] == 0x7f {
@@ -74,12 +74,12 @@
 	return length
 }
 
-// timeLeft returns the value of X-Time-Left-Ms.
+// timeLeft returns the value of X-Time-Left-Ms, at least minTimeLeftMs.
 func (r *Request) timeLeft(now time.Time) string {
 	return strconv.FormatInt(max(r.Deadline.Sub(now).Milliseconds(), minTimeLeftMs), 10)
 }
 
-// appendHead appends the request line and all header fields, as they are now.
+// appendHead appends the request line and all header fields. The time left is computed from now.
 func (r *Request) appendHead(buffer []byte, now time.Time) []byte {
 	buffer = append(buffer, r.Method...)
 	buffer = append(buffer, ' ')
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -14,16 +14,16 @@
 	Status         int
 	Header         http.Header
 	ContentLength  int64 // -1: unknown
-	CloseDelimited bool  // the body ends with the connection (RFC 9112 section 6.3)
-	Reused         bool  // the connection had carried another request before
+	CloseDelimited bool  // the end of the body is marked only by the end of the connection (RFC 9112 section 6.3)
+	Reused         bool  // the connection had carried another request
 
 	exchange *exchange
 	response *http.Response
-	complete bool
+	complete bool // the body has been read to its end
 	closed   bool
 }
 
-// newResponse returns a response whose body is yet to be read.
+// newResponse returns a response whose head has been read.
 func newResponse(e *exchange, response *http.Response) *Response {
 	chunked := len(response.TransferEncoding) > 0
 	return &Response{
@@ -38,8 +38,8 @@
 	}
 }
 
-// Read reads the body. It returns io.EOF only at the end of a complete body, an *Error of kind MayHaveRun when the body breaks off,
-// and io.ErrClosedPipe after Close.
+// Read reads the body. It returns io.EOF only at the end of a complete body, an *Error of kind MayHaveRun if the body is truncated or
+// malformed, and io.ErrClosedPipe after Close.
 func (r *Response) Read(buffer []byte) (int, error) {
 	if r.closed {
 		return 0, io.ErrClosedPipe
@@ -59,7 +59,7 @@
 	return n, nil
 }
 
-// Buffered returns how many bytes of the response, framing included, can be read without a system call.
+// Buffered returns how many bytes of the response, including framing, can be read without a system call.
 func (r *Response) Buffered() int {
 	if r.closed {
 		return 0
@@ -70,25 +70,26 @@
 // Complete reports whether the body has been read to its end.
 func (r *Response) Complete() bool { return r.complete }
 
-// Close ends the exchange. The connection is kept if it can carry another request, and closed otherwise; an endpoint takes a
-// close in the middle of a response as a sign to stop its work.
+// Close ends the exchange. The connection is returned to the pool if it can carry another request, and closed otherwise. An endpoint
+// stops its work when the connection is closed in the middle of a response.
 func (r *Response) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
 	e := r.exchange
-	undisturbed := e.stop()
-	keep := r.idleTimeout()
-	if undisturbed && keep > 0 && r.reusable() {
-		e.pool.release(e.connection, keep)
+	notAborted := e.stop()
+	idleTimeout := r.idleTimeout()
+	if notAborted && idleTimeout > 0 && r.reusable() {
+		e.pool.release(e.connection, idleTimeout)
 		return
 	}
 	e.pool.discard(e.connection)
 	e.awaitWrite()
 }
 
-// reusable reports whether nothing of this exchange is left on the connection.
+// reusable reports whether the connection can carry another request: this request was written and its response read completely, and
+// neither side is to close the connection.
 func (r *Response) reusable() bool {
 	e := r.exchange
 	if !r.complete || e.notReusable || r.response.Close || r.CloseDelimited || e.request.AttemptID == "" {
@@ -100,7 +101,8 @@
 	return e.writeSucceeded()
 }
 
-// idleTimeout returns how long the connection may stay idle.
+// idleTimeout returns how long the connection may stay idle: the endpoint's Keep-Alive timeout minus IdleTimeoutMargin, or IdleTimeout
+// if the endpoint sent none.
 func (r *Response) idleTimeout() time.Duration {
 	options := &r.exchange.pool.options
 	timeout, ok := keepAliveTimeout(r.Header.Get("Keep-Alive"))
@@ -110,7 +112,7 @@
 	return timeout - options.IdleTimeoutMargin
 }
 
-// keepAliveTimeout reads the timeout of a Keep-Alive header.
+// keepAliveTimeout parses the timeout parameter of a Keep-Alive header field. It returns false if there is no valid one.
 func keepAliveTimeout(value string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/tier/upstream/response_test.go
+++ b/internal/tier/upstream/response_test.go
@@ -10,10 +10,10 @@
 
 func TestResponse_BodyBreaksOff_FailsWithMayHaveRun(t *testing.T) {
 	cases := map[string]string{
-		"within its length":     "Content-Length: 10\r\n\r\n12345",
-		"within a chunk":        "Transfer-Encoding: chunked\r\n\r\na\r\n12345",
-		"before the last chunk": "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n",
-		"with a broken chunk":   "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\nzz\r\n",
+		"within the Content-Length": "Content-Length: 10\r\n\r\n12345",
+		"within a chunk":            "Transfer-Encoding: chunked\r\n\r\na\r\n12345",
+		"before the last chunk":     "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n",
+		"with a broken chunk":       "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\nzz\r\n",
 	}
 	for name, rest := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -25,7 +25,7 @@
 			body, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
 			expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 			if body != "12345" {
-				t.Errorf("body %q", body)
+				t.Errorf("got body %q, want the 5 bytes that were sent", body)
 			}
 		})
 	}
--- a/internal/tier/upstream/timeleft_test.go
+++ b/internal/tier/upstream/timeleft_test.go
@@ -14,13 +14,13 @@
 func TestDo_TimeLeft_IsComputedAsRequestIsWritten(t *testing.T) {
 	cases := []struct {
 		name    string
-		left    time.Duration // when the request is handed over
-		connect time.Duration // until there is a connection
-		want    int
+		left    time.Duration // until the deadline when Do is called
+		connect time.Duration // that establishing the connection takes
+		want    int           // X-Time-Left-Ms
 	}{
-		{"given a connection at once then all of it is sent", 2 * time.Second, 0, 2000},
-		{"given a connection that takes its time then that is taken off", 2 * time.Second, 390 * time.Millisecond, 1610},
-		{"given next to nothing left then it is never nought", 300 * time.Microsecond, 0, 1},
+		{"connected at once: all of the time left", 2 * time.Second, 0, 2000},
+		{"connected after 390 ms: the time left without these", 2 * time.Second, 390 * time.Millisecond, 1610},
+		{"less than 1 ms left: 1", 300 * time.Microsecond, 0, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -41,14 +41,14 @@
 				}
 				response.Close()
 				if got := <-timeLeft; got != strconv.Itoa(test.want) {
-					t.Errorf("sent %q, want %d", got, test.want)
+					t.Errorf("sent X-Time-Left-Ms %q, want %d", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// reportTimeLeft answers one request as an endpoint, and hands on the time left that it read.
+// reportTimeLeft responds to one request as an endpoint, and sends the request's X-Time-Left-Ms to the channel.
 func reportTimeLeft(socket net.Conn, timeLeft chan<- string) {
 	defer socket.Close()
 	request, err := http.ReadRequest(bufio.NewReader(socket))
