--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -5,5 +5,5 @@
 // their replicas must be replaced. Package controller uses both on the configuration shard's leader, and package programclient
 // maps keys to shards with Shard.
 //
-// The package does no I/O and reads no clock: times are passed in. Nothing is safe for concurrent use.
+// This package does no I/O and reads no clock: times are passed in. Nothing is safe for concurrent use.
 package placement
--- a/internal/tier/placement/lost_hosts.go
+++ b/internal/tier/placement/lost_hosts.go
@@ -12,7 +12,7 @@
 const (
 	lostTimeout     = 4 * time.Second  // from its death, or from the start of the observations if it was never seen
 	replacedTimeout = time.Second      // the same while a spare member runs that may replace it
-	newcomerAge     = 10 * time.Second // a spare seen for less than this is likely a replacement: replacedTimeout counts from the suspicion
+	newcomerAge     = 10 * time.Second // a spare first seen less than this ago likely is the replacement: replacedTimeout counts from suspicion
 )
 
 // Host is a member that hosts replicas, as listed by its group or by a placement.
--- a/internal/tier/placement/placement.go
+++ b/internal/tier/placement/placement.go
@@ -134,9 +134,9 @@
 	return -1
 }
 
-// storeOnSameNode finds a running store on the lost replica's machine under another identity, as after its disk was wiped.
-func storeOnSameNode(lost view.Replica, usable []Store) (Store, bool) {
-	at := slices.IndexFunc(usable, func(s Store) bool { return s.Node == lost.Node && s.ID != lost.ID })
+// storeOnSameNode finds a running store on a replica's machine under another identity, as after its disk was wiped.
+func storeOnSameNode(replica view.Replica, usable []Store) (Store, bool) {
+	at := slices.IndexFunc(usable, func(s Store) bool { return s.Node == replica.Node && s.ID != replica.ID })
 	if at < 0 {
 		return Store{}, false
 	}
--- a/internal/tier/placement/policy.go
+++ b/internal/tier/placement/policy.go
@@ -108,7 +108,8 @@
 	return fmt.Sprintf("%d %s at once: %d shards", u.Count, u.Kind, u.Shards)
 }
 
-// survives reports whether a majority of the replicas remains after the loss of the places that have the most of them.
+// survives reports whether a majority of the replicas remains after the loss of the given number of places, those that have the most
+// replicas. place returns the machine, zone or region of a replica.
 func survives(replicas []view.Replica, losses int, place func(r view.Replica) string) bool {
 	counts := map[string]int{}
 	for _, r := range replicas {
--- a/internal/tier/placement/tracker.go
+++ b/internal/tier/placement/tracker.go
@@ -13,7 +13,7 @@
 // Delays of the tracker.
 const (
 	initialPlacementDelay = 1500 * time.Millisecond // from the election to the initial placement, so that all stores have been seen
-	initialQuietTime      = 700 * time.Millisecond  // from the first sight of the newest store to the initial placement
+	initialQuietTime      = 700 * time.Millisecond  // from when the newest store was first seen to the initial placement
 	maxInitialDelay       = 4 * time.Second         // from the election to the initial placement, even if new stores are still being seen
 	completeViewDelay     = 12 * time.Second        // from the election until members on both sides of a healed partition have seen each other
 	maxObservationGap     = time.Second             // between two observations; after a longer gap the tracker starts over
@@ -26,7 +26,7 @@
 	dead            map[string]time.Time // by member name: since when it has been dead or left
 	missing         map[string]time.Time // by member name: since when it has been suspected, dead or left
 	firstSeen       map[string]time.Time // by identity
-	lost            map[string]bool      // identities that were found lost and haven't come back
+	lost            map[string]bool      // identities found lost because of a spare, until they come back
 	names           map[string]string    // last known member name, by identity
 	lastObservation time.Time
 	observingSince  time.Time // start of the observations since the last gap
--- a/internal/tier/placement/tracker_test.go
+++ b/internal/tier/placement/tracker_test.go
@@ -67,9 +67,9 @@
 }
 
 var lostReplicaCases = []struct {
-	name    string
-	observe func(o *observer)
-	want    bool
+	name  string
+	setup func(o *observer)
+	want  bool
 }{
 	{"it runs", func(o *observer) { o.observe(9*time.Second, firstAlive, secondAlive) }, false},
 	{"it is suspected", func(o *observer) { o.observe(9*time.Second, member(1, 1, membership.StateSuspect), secondAlive) }, false},
@@ -133,7 +133,7 @@
 	for _, test := range lostReplicaCases {
 		t.Run(test.name, func(t *testing.T) {
 			o := newObserver()
-			test.observe(o)
+			test.setup(o)
 			if got := o.lost(); got != test.want {
 				t.Errorf("lost: %v, want %v", got, test.want)
 			}
--- a/internal/tier/rollout/analysis.go
+++ b/internal/tier/rollout/analysis.go
@@ -77,11 +77,11 @@
 			expected = allRoutes
 		}
 		a.tests[route] = a.tests[route].add(recent, expected)
-		a.rejected = a.rejected || a.tests[route].rejectsTarget()
+		a.rejected = a.rejected || a.tests[route].rejects()
 	}
 }
 
-// add returns the tests after the target's recent answers have been added to them. expected are the baseline's answers.
+// add returns the tests after the target's recent answers have been added to them. expected holds the baseline's answers to compare with.
 func (t routeTests) add(recent, expected Stats) routeTests {
 	t.failures.add(recent.Bad, recent.Good, baselineBadShare(expected.Bad, expected.Good))
 	if expected.latencyCount() >= minBaselineAnswers {
@@ -93,7 +93,7 @@
 	return t
 }
 
-// rejectsTarget reports whether either test rejects the target.
-func (t routeTests) rejectsTarget() bool {
+// rejects reports whether either test rejects the target.
+func (t routeTests) rejects() bool {
 	return t.failures.rejectsTarget() || t.latency.rejectsTarget()
 }
--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -50,7 +50,7 @@
 	fiftiethBadAt time.Duration // when the target gave its 50th bad answer
 	lastRequestAt time.Duration // when the target got its last request
 	state         rollout.State
-	endedAt       time.Duration // when the roll-out was last evaluated
+	endedAt       time.Duration // when the roll-out was last evaluated while in service
 }
 
 // run simulates requests at random times, sends the target its share of them, and evaluates the roll-out at intervals.
@@ -198,7 +198,7 @@
 	const runs = 100
 	for _, perSecond := range []float64{0.05, 0.5, 5, 28, 100} {
 		for _, failing := range []float64{0, 0.02} {
-			t.Run(fmt.Sprint(perSecond, " requests per second, share that fails: ", failing), func(t *testing.T) {
+			t.Run(fmt.Sprint(perSecond, " requests per second, a share of ", failing, " fails"), func(t *testing.T) {
 				missed := 0
 				for seed := range uint64(runs) {
 					// Given a roll-out of a version that is as good as the one in service,
--- a/internal/tier/rollout/proposal.go
+++ b/internal/tier/rollout/proposal.go
@@ -22,7 +22,7 @@
 	// accepted up to it are no longer expected.
 	DedupExpiredIndex uint64 `json:"settled,omitempty"`
 
-	TrafficShare     float64 `json:"share"` // of the service's requests for the target while in service, 0 to 1
+	TrafficShare     float64 `json:"share"` // share of the service's requests that the target gets, 0 to 1
 	InitialAllowance float64 `json:"extra"` // requests above that share that each proxy may send at first, to get answers to analyze early
 }
 
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -83,7 +83,7 @@
 
 // proposalOutcome is the result of a proposal with the newest roll-out after it.
 type proposalOutcome struct {
-	Result   rollout.Result
+	Returned rollout.Result
 	Target   string
 	State    rollout.State
 	Baseline string
--- a/internal/tier/upstream/connection.go
+++ b/internal/tier/upstream/connection.go
@@ -24,7 +24,7 @@
 type connection struct {
 	endpoint  *endpointConns
 	socket    net.Conn
-	raw       syscall.RawConn
+	raw       syscall.RawConn // nil: the connection isn't a socket of the operating system
 	reader    *bufio.Reader
 	readLeft  int64     // bytes that may still be read before reads fail with errHeadTooLarge
 	requests  int       // number of requests written, or being written, on it
@@ -46,7 +46,7 @@
 // limitedSocket reads from a connection's socket, at most connection.readLeft bytes.
 type limitedSocket struct{ c *connection }
 
-// Read reads from the socket. It fails with errHeadTooLarge if readLeft is 0.
+// Read reads from the socket. It fails with errHeadTooLarge once readLeft is used up.
 func (s limitedSocket) Read(buffer []byte) (int, error) {
 	if s.c.readLeft <= 0 {
 		return 0, errHeadTooLarge
--- a/internal/tier/upstream/doc.go
+++ b/internal/tier/upstream/doc.go
@@ -5,10 +5,10 @@
 // most once and never retried here; an Error tells whether none of its bytes were sent (NeverSent) or whether the endpoint may have
 // run it (MayHaveRun). Responses are parsed by net/http, but http.Transport isn't used: it pools by address and retries requests.
 //
-// A response must carry the X-Attempt-Id of its request. A response with another id is foreign: a late response to an earlier
-// request. It is skipped, and its connection is not reused.
+// A response must carry the X-Attempt-Id of its request. A response with another id, or without one on a reused connection, is
+// foreign: a late response to an earlier request. It is skipped, and its connection is not reused.
 //
 // A Pool is safe for concurrent use. A Response belongs to one goroutine, which must close it. A long request is written by a second
-// goroutine while its response is read; Pool.Do, if it fails, or Response.Close waits for that goroutine. The reaper, which closes
+// goroutine while its response is read; Pool.Do (on failure) or Response.Close waits for that goroutine. The reaper, which closes
 // expired idle connections, is a timer that runs only while there are idle connections and is stopped by Pool.Close.
 package upstream
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -7,9 +7,9 @@
 
 // The kinds of errors.
 const (
-	// NeverSent: no byte of the request has left this process, so that the request has not run and won't.
+	// NeverSent means that no byte of the request has left this process: the request has not run and won't.
 	NeverSent Kind = iota + 1
-	// MayHaveRun: bytes of the request were sent, and nothing rules out that it has run.
+	// MayHaveRun means that bytes of the request were sent and nothing rules out that it has run.
 	MayHaveRun
 )
 
@@ -32,7 +32,7 @@
 	PermitRevoked   Reason = "recalled"    // the endpoint's Permit was no longer granted right before the write
 	WriteFailed     Reason = "write"       // no byte of the request could be written
 	ReadFailed      Reason = "read"        // reading the response failed
-	ForeignResponse Reason = "foreign"     // the response, or responses, carried the X-Attempt-Id of other requests
+	ForeignResponse Reason = "foreign"     // only responses to other requests were received
 	Cancelled       Reason = "cancelled"   // the caller's context ended
 	InvalidRequest  Reason = "bad_request" // the request can't be written as valid HTTP/1.1
 )
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -177,10 +177,10 @@
 // to a HEAD request, it can't be skipped: it is unknown whether a body follows its head, and so where the next response begins.
 func (e *exchange) readHead() (*http.Response, error) {
 	c := e.connection
-	request := &http.Request{Method: e.request.Method}
+	httpRequest := &http.Request{Method: e.request.Method}
 	for informational, foreign := 0, 0; ; {
 		c.readLeft = e.pool.options.MaxHeaderBytes
-		response, err := http.ReadResponse(c.reader, request)
+		response, err := http.ReadResponse(c.reader, httpRequest)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/tier/upstream/exchange_test.go
+++ b/internal/tier/upstream/exchange_test.go
@@ -246,7 +246,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		target := e.target("e")
 		target.Permit = cancellingPermit{cancel}
-		_, err := pool.Do(ctx, target, newRequest("GET", "/", "cancelled"))
+		_, err := pool.Do(ctx, target, newRequest("GET", "/", "left"))
 		expectError(t, err, upstream.NeverSent, upstream.Cancelled)
 		<-e.closed
 	}
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -118,7 +118,8 @@
 	return c, nil
 }
 
-// releaseSlot frees one slot of an endpoint, and forgets the endpoint with its last one. The caller holds the mutex.
+// releaseSlot frees one slot of an endpoint, and removes the endpoint from the pool if it was the last one in use. The caller holds
+// the mutex.
 func (p *Pool) releaseSlot(e *endpointConns) {
 	e.total--
 	if e.total == 0 && p.endpoints[e.id] == e {
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -39,17 +39,17 @@
 	return append(buffer, "\r\n"...)
 }
 
-// errInvalidBytes is the Err of an Error with InvalidRequest.
-var errInvalidBytes = errors.New("method or target is empty, or a space or control byte is in method, target, host or a header field")
+// errInvalidHead is the cause of an Error with Reason InvalidRequest.
+var errInvalidHead = errors.New("empty method or target, or a byte that is not allowed in method, target, host or header field")
 
 // check rejects a request whose values would be parsed differently by the endpoint, for example as a second request.
 func (r *Request) check() error {
 	if r.Method == "" || hasSpaceOrControl(r.Method) || r.Target == "" || hasSpaceOrControl(r.Target) || hasSpaceOrControl(r.Host) {
-		return errInvalidBytes
+		return errInvalidHead
 	}
 	for _, field := range r.AttemptFields {
 		if strings.ContainsAny(field.Value, "\r\n\x00") {
-			return errInvalidBytes
+			return errInvalidHead
 		}
 	}
 	return nil
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -79,9 +79,9 @@
 	r.closed = true
 	e := r.exchange
 	notAborted := e.stop()
-	idleTimeout := r.idleTimeout()
-	if notAborted && idleTimeout > 0 && r.reusable() {
-		e.pool.release(e.connection, idleTimeout)
+	timeout := r.idleTimeout()
+	if notAborted && timeout > 0 && r.reusable() {
+		e.pool.release(e.connection, timeout)
 		return
 	}
 	e.pool.discard(e.connection)
