--- a/internal/tier/placement/lost_hosts.go
+++ b/internal/tier/placement/lost_hosts.go
@@ -12,7 +12,7 @@
 const (
 	lostTimeout     = 4 * time.Second  // from its death, or from the start of the observations if it was never seen
 	replacedTimeout = time.Second      // the same while a spare member runs that may replace it
-	newcomerAge     = 10 * time.Second // a spare first seen less than this ago likely is the replacement: replacedTimeout counts from suspicion
+	newcomerAge     = 10 * time.Second // a spare first seen less than this ago likely is the replacement: see replacedBySpares
 )
 
 // Host is a member that hosts replicas, as listed by its group or by a placement.
@@ -58,7 +58,8 @@
 }
 
 // replacedBySpares returns the missing hosts that count as lost because a spare member can replace them. taken is the number of
-// spares needed for hosts that are lost already.
+// spares needed for hosts that are lost already. If a spare is younger than newcomerAge, replacedTimeout counts from the suspicion
+// and not from the death.
 func (t *Tracker) replacedBySpares(now time.Time, spares []membership.Member, taken int, missing []Host) []Host {
 	available := max(0, len(spares)-taken)
 	t.sortByMissingSince(missing)
--- a/internal/tier/upstream/exchange_test.go
+++ b/internal/tier/upstream/exchange_test.go
@@ -174,7 +174,7 @@
 		_, err := exchange(t, pool, e.target("e"), newRequest("GET", "/", "1"))
 		expectError(t, err, upstream.MayHaveRun, upstream.ReadFailed)
 	})
-	t.Run("the response is no HTTP", func(t *testing.T) {
+	t.Run("the response isn't HTTP", func(t *testing.T) {
 		e := newEndpoint(t, func(socket net.Conn, _ received) bool {
 			_, _ = io.WriteString(socket, "\x00\x01 no answer\r\n\r\n")
 			return true
