--- a/control/admission.go
+++ b/control/admission.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// fullQuota is what a tenant has left at first: the first message fills it up to what its rate allows.
-	fullQuota = 1e18
+	// initialQuotaTokens is what a tenant has left at first: the first message fills it up to what its rate allows.
+	initialQuotaTokens = 1e18
 	// minDrainRate is the deliveries a second that a destination is taken to make at least, when waits are estimated.
 	minDrainRate = 0.5
 )
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNew_ImpossibleSettings_Fails(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no slots":      func(s *Settings) { s.Slots = 0 },
 		"no classes":    func(s *Settings) { s.Classes = nil },
 		"no attempts":   func(s *Settings) { s.MaxAttempts = 0 },
@@ -20,7 +20,7 @@
 		"NaN share":     func(s *Settings) { s.SlowStartShare = math.NaN() },
 	} {
 		set := settings()
-		if spoil(&set); true {
+		if invalidate(&set); true {
 			var invalid *SettingError
 			if _, err := New(set, 1); !errors.As(err, &invalid) {
 				t.Errorf("%s: error %v, want a SettingError", name, err)
@@ -42,12 +42,12 @@
 
 // The texts come to operators through the check of a relay's configuration.
 func TestSettingError_NamesKeyAndFigure(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+	for want, invalidate := range map[string]func(*Settings){
 		"control: settings: Me is 7, want a number below Peers, 2":                     func(s *Settings) { s.Index, s.Peers = 7, 2 },
 		"control: settings: Classes[0].LateWorth is -0.5, want a number of 0 at least": func(s *Settings) { s.Classes[0].LateValue = -0.5 },
 	} {
 		set := settings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || err.Error() != want {
 			t.Errorf("%v, want %s", err, want)
 		}
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -89,10 +89,10 @@
 	}
 }
 
-func tableOf(edges []float64, shares map[float64]float64) *latencyTable {
-	t := &latencyTable{counts: make([]float64, len(edges))}
+func tableOf(bounds []float64, shares map[float64]float64) *latencyTable {
+	t := &latencyTable{counts: make([]float64, len(bounds))}
 	for c, p := range shares {
-		for i, e := range edges {
+		for i, e := range bounds {
 			if e == c {
 				t.counts[i] = p
 				t.total += p
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -119,11 +119,11 @@
 			t.Fatal(err)
 		}
 		const start = time.Hour
-		p := newDrawnService(s, start+time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond)
+		p := newRandomService(s, start+time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond)
 		p.limit = rapid.Float64Range(0, 200).Draw(t, "limit")
 		p.events = []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1, Weight: weight}, {ID: 2, Destination: 1, Weight: weight},
 			{ID: 3, Zone: 1, Weight: weight}, {ID: 4, Zone: 1, Kind: 1, Destination: 2, Weight: weight}}}}
-		for now := start; now < start+20*time.Second; now += drawnTick {
+		for now := start; now < start+20*time.Second; now += randomServiceTick {
 			p.step(t, now, now < start+8*time.Second)
 		}
 		for id := range p.deadlines {
@@ -134,10 +134,10 @@
 	})
 }
 
-const drawnTick = 25 * time.Millisecond
+const randomServiceTick = 25 * time.Millisecond
 
-// drawnService plays the endpoints around one sender with results that are drawn, and checks what is sent. Endpoint 1 drains.
-type drawnService struct {
+// randomService plays the endpoints around one sender with results that are drawn, and checks what is sent. Endpoint 1 drains.
+type randomService struct {
 	sender    *Sender
 	limit     float64 // reported with each answer; 0: none is
 	events    []Event // for the next Step
@@ -150,22 +150,22 @@
 	classes   map[uint64]int
 	deadlines map[uint64]time.Duration
 	ends      map[uint64]int
-	ran       map[uint64]drawnRun // messages that may have run, and where first
+	ran       map[uint64]firstRun // messages that may have run, and where first
 }
 
-type drawnRun struct {
+type firstRun struct {
 	zone int
 	at   time.Duration
 }
 
-func newDrawnService(s *Sender, drainAt time.Duration) *drawnService {
-	return &drawnService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
+func newRandomService(s *Sender, drainAt time.Duration) *randomService {
+	return &randomService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
 		routes: map[uint32]uint32{3: 1}, // 1 and 3 are one destination
 		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, ends: map[uint64]int{},
-		ran: map[uint64]drawnRun{}}
+		ran: map[uint64]firstRun{}}
 }
 
-func (p *drawnService) step(t *rapid.T, now time.Duration, arrivals bool) {
+func (p *randomService) step(t *rapid.T, now time.Duration, arrivals bool) {
 	t.Helper()
 	if arrivals && rapid.IntRange(0, 9).Draw(t, "arrives") == 0 {
 		p.arrive(t, now)
@@ -193,7 +193,7 @@
 	}
 }
 
-func (p *drawnService) arrive(t *rapid.T, now time.Duration) {
+func (p *randomService) arrive(t *rapid.T, now time.Duration) {
 	p.lastID++
 	id := p.lastID
 	p.deadlines[id] = now + time.Duration(rapid.IntRange(100, 8000).Draw(t, "for ms"))*time.Millisecond
@@ -203,7 +203,7 @@
 	p.events = append(p.events, event)
 }
 
-func (p *drawnService) checkSend(t *rapid.T, now time.Duration, action Action) {
+func (p *randomService) checkSend(t *rapid.T, now time.Duration, action Action) {
 	t.Helper()
 	id, route := action.ID, cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	if first, ran := p.ran[id]; ran && (p.classes[id] == 2 ||
@@ -217,7 +217,7 @@
 }
 
 // answer draws the result of an attempt, which comes with the next step.
-func (p *drawnService) answer(t *rapid.T, now time.Duration, action Action, newWaits map[uint32]time.Duration) {
+func (p *randomService) answer(t *rapid.T, now time.Duration, action Action, newWaits map[uint32]time.Duration) {
 	route := cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	event := outcome(action.ID, p.sender.messages[action.ID].attempts-1, action.Endpoint, Delivered)
 	event.Reported, event.Limit, event.Remaining = p.limit > 0, p.limit, rapid.Float64Range(0, 1).Draw(t, "share")
@@ -227,12 +227,12 @@
 	case 1:
 		event.Result, event.Final = rapid.SampledFrom([]Result{Errored, Reset, TimedOut}).Draw(t, "result"), false
 		if _, ran := p.ran[action.ID]; !ran {
-			p.ran[action.ID] = drawnRun{p.zones[action.Endpoint], now}
+			p.ran[action.ID] = firstRun{p.zones[action.Endpoint], now}
 		}
 	default:
 		event.Result, event.Final = Throttled, false
 		event.RetryAfter = time.Duration(rapid.IntRange(0, 1500).Draw(t, "wait ms")) * time.Millisecond
-		newWaits[route] = max(newWaits[route], now+drawnTick+event.RetryAfter)
+		newWaits[route] = max(newWaits[route], now+randomServiceTick+event.RetryAfter)
 	}
 	p.events = append(p.events, event)
 }
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -5,9 +5,9 @@
 )
 
 func TestLatencyTable_CensoredCall_SpreadsOverSlowerBuckets(t *testing.T) {
-	edges := []float64{1, 2, 4, 8}
-	tb := tableOf(edges, map[float64]float64{1: 6, 4: 3, 8: 1})
-	tb.observeCensored(0, edges, 1)
+	bounds := []float64{1, 2, 4, 8}
+	tb := tableOf(bounds, map[float64]float64{1: 6, 4: 3, 8: 1})
+	tb.observeCensored(0, bounds, 1)
 	wantNear(t, "4 s", tb.counts[2], 3.75)
 	wantNear(t, "8 s", tb.counts[3], 1.25)
 	wantNear(t, "all", tb.total, 11)
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -121,13 +121,13 @@
 
 // recordNoConnection takes a failed connect. One that fails at once may mean a full table of connections, and alone tells little.
 func (s *Sender) recordNoConnection(endpoint *endpointState, took float64) {
-	route, atOnce := endpoint.route, took < minLateAge
+	route, immediate := endpoint.route, took < minLateAge
 	endpoint.own.observeFailure(s.now)
-	if route.failureStreak++; atOnce {
+	if route.failureStreak++; immediate {
 		s.recordConnectionShortage(endpoint)
 		s.backOff(route, &s.kinds[endpoint.kindIndex])
 	}
-	s.recordFailure(route, atOnce)
+	s.recordFailure(route, immediate)
 	route.neverRan = true
 }
 
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -71,7 +71,7 @@
 	route.neverRan, route.failedAt, route.ejectedByPeers = neverRan, s.now, false
 	refusals := ejectionRefusals + int(ejectionNoDelivery.Seconds()*min(1, route.sends.rate(s.now)))
 	unanswered := s.now-route.newestDelivered > ejectionNoDelivery && (route.failureStreak > 0 && !neverRan ||
-		route.refusalStreak >= refusals && (route.reportedLimit == 0 || route.reportedRemaining > plentyRemaining))
+		route.refusalStreak >= refusals && (route.reportedLimit == 0 || route.reportedRemaining > highRemaining))
 	switch {
 	case route.health == ejected:
 		route.tokens = 2*s.random() - 1
@@ -113,7 +113,7 @@
 		dest.active = len(dest.queue) > 0 || dest.callsInFlight > 0
 		return !dest.active
 	})
-	s.freeSlot()
+	s.reclaimSlot()
 	for _, dest := range s.active {
 		s.countLateCalls(dest)
 		for _, route := range dest.routes {
--- a/control/planner.go
+++ b/control/planner.go
@@ -12,9 +12,9 @@
 //
 // A Planner is not safe for concurrent use, and its tables belong to it.
 type Planner struct {
-	sender   Sender           // has the bucket bounds and the time; none of its messages, destinations or actions are used
-	anyRoute routeState       // that of all tables: it takes calls at any time
-	service  destinationState // scratch: has the tables of one call to Pool or Solve
+	sender            Sender           // has the bucket bounds and the time; none of its messages, destinations or actions are used
+	unrestrictedRoute routeState       // that of all tables: it takes calls at any time
+	service           destinationState // scratch: has the tables of one call to Pool or Solve
 }
 
 // LatencyTable is the table of one endpoint: its own calls, and what Pool adds from those of others.
@@ -44,7 +44,7 @@
 // NewTable returns a table without calls.
 func (p *Planner) NewTable() *LatencyTable {
 	t := &LatencyTable{planner: p}
-	t.endpoint.route = &p.anyRoute
+	t.endpoint.route = &p.unrestrictedRoute
 	t.endpoint.own.counts = make([]float64, len(p.sender.bounds))
 	t.endpoint.pooled.counts = make([]float64, len(p.sender.bounds))
 	return t
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -11,8 +11,8 @@
 
 const plannerLongest = 8 * time.Second
 
-// teachTable adds each of the times once.
-func teachTable(c *LatencyTable, times ...time.Duration) {
+// addCalls adds each of the times once.
+func addCalls(c *LatencyTable, times ...time.Duration) {
 	for _, t := range times {
 		c.Add(0, t)
 	}
@@ -36,8 +36,8 @@
 		t.Fatal("tables without a call are known")
 	}
 	times := repeated(100*time.Millisecond, 4)
-	teachTable(called, times...)
-	teachTable(common, times...)
+	addCalls(called, times...)
+	addCalls(common, times...)
 
 	// When they are pooled.
 	p.Pool(0, common, tables)
@@ -57,7 +57,7 @@
 func TestPlanner_Calls_Decay(t *testing.T) {
 	p := NewPlanner(plannerLongest)
 	c := p.NewTable()
-	teachTable(c, repeated(100*time.Millisecond, 8)...)
+	addCalls(c, repeated(100*time.Millisecond, 8)...)
 	if got := c.Count(tableHalfLife); math.Abs(got-4) > 1e-9 {
 		t.Errorf("calls after one half-life: %v, want 4", got)
 	}
@@ -69,8 +69,8 @@
 	common := p.NewTable()
 	tables := []*LatencyTable{p.NewTable(), p.NewTable()}
 	for _, c := range append(tables, common) {
-		teachTable(c, repeated(100*time.Millisecond, 30)...)
-		teachTable(c, repeated(5*time.Second, 10)...)
+		addCalls(c, repeated(100*time.Millisecond, 30)...)
+		addCalls(c, repeated(5*time.Second, 10)...)
 	}
 	for range 200 { // resent requests take what was expected
 		p.ObserveRetry(time.Second, time.Second)
@@ -95,8 +95,8 @@
 	p := NewPlanner(plannerLongest)
 	common, c := p.NewTable(), p.NewTable()
 	for _, o := range []*LatencyTable{common, c} {
-		teachTable(o, repeated(100*time.Millisecond, 30)...)
-		teachTable(o, repeated(time.Second, 10)...)
+		addCalls(o, repeated(100*time.Millisecond, 30)...)
+		addCalls(o, repeated(time.Second, 10)...)
 	}
 	for range 200 {
 		p.ObserveRetry(20*time.Second, time.Second)
@@ -113,12 +113,12 @@
 	rapid.Check(t, func(rapidT *rapid.T) {
 		// Given tables with the same calls in a planner and in a sender's own types.
 		planner := NewPlanner(plannerLongest)
-		edges, common := planner.sender.bounds, planner.NewTable()
+		bounds, common := planner.sender.bounds, planner.NewTable()
 		var tables []*LatencyTable
-		own := destinationState{latencies: latencyTable{counts: make([]float64, len(edges))}}
-		sender := Sender{bounds: edges, allLatencies: latencyTable{counts: make([]float64, len(edges))}}
+		own := destinationState{latencies: latencyTable{counts: make([]float64, len(bounds))}}
+		sender := Sender{bounds: bounds, allLatencies: latencyTable{counts: make([]float64, len(bounds))}}
 		for range rapid.IntRange(1, 5).Draw(rapidT, "endpoints") {
-			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(edges))}}
+			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(bounds))}}
 			for range rapid.IntRange(0, 12).Draw(rapidT, "calls") {
 				elapsed := time.Duration(rapid.IntRange(1, 9000).Draw(rapidT, "ms")) * time.Millisecond
 				x := elapsed.Seconds()
@@ -131,13 +131,13 @@
 				case 1:
 					table.AddCensored(0, elapsed)
 					common.AddCensored(0, elapsed)
-					endpoint.own.observeCensored(0, edges, x)
-					own.latencies.observeCensored(0, edges, x)
+					endpoint.own.observeCensored(0, bounds, x)
+					own.latencies.observeCensored(0, bounds, x)
 				default:
 					table.Add(0, elapsed)
 					common.Add(0, elapsed)
-					endpoint.own.observe(0, edges, x)
-					own.latencies.observe(0, edges, x)
+					endpoint.own.observe(0, bounds, x)
+					own.latencies.observe(0, bounds, x)
 				}
 			}
 			tables, own.endpoints = append(tables, table), append(own.endpoints, endpoint)
@@ -150,7 +150,7 @@
 		solved := planner.Solve(now, tables, 4)
 		sender.poolLatencies(&own)
 		var want restartPlan
-		want.solve(edges, own.endpoints, 4, sender.retryPenalty(), now)
+		want.solve(bounds, own.endpoints, 4, sender.retryPenalty(), now)
 
 		// Then every figure is the same.
 		if diff := cmp.Diff(want.expected, solved.plan.expected); diff != "" {
@@ -170,8 +170,8 @@
 	var tables []*LatencyTable
 	for i := range 28 {
 		c := p.NewTable()
-		teachTable(c, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
-		teachTable(common, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
+		addCalls(c, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
+		addCalls(common, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
 		tables = append(tables, c)
 	}
 	b.ReportAllocs()
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -21,9 +21,9 @@
 	reportedIncrease = 0.05
 	// reportedDecrease is the factor of the own pace after a refusal under a reported limit.
 	reportedDecrease = 0.5
-	// plentyRemaining is the reported share of the allowance above which there is room for more; below littleRemaining it runs out.
-	plentyRemaining = 0.5
-	littleRemaining = 0.2
+	// highRemaining is the reported share of the allowance above which there is room for more; below lowRemaining it runs out.
+	highRemaining = 0.5
+	lowRemaining  = 0.2
 
 	// burstSeconds is the seconds' worth of its limit that a healthy route may get at once, beside the first call.
 	burstSeconds = 0.3
@@ -64,10 +64,10 @@
 func (r *routeState) adjustToReport(now time.Duration, remaining, limit, fair float64) {
 	r.reportedLimit, r.reportedRemaining, r.rateLimit = limit, remaining, min(limit, cmp.Or(r.rateLimit, fair))
 	switch elapsed := min(1, (now - r.reportedAt).Seconds()); {
-	case remaining > plentyRemaining: // traffic is uneven: those with more to send than an equal part need more
+	case remaining > highRemaining: // traffic is uneven: those with more to send than an equal part need more
 		more := min(reportedIncrease, 0.5*elapsed) + 2*reportedIncrease*elapsed*float64(min(1, len(r.destination.queue)))
 		r.rateLimit = min(limit, max(fair, r.rateLimit*(1+more)))
-	case remaining < littleRemaining:
+	case remaining < lowRemaining:
 		r.rateLimit *= 1 - 0.2*elapsed
 	}
 	r.reportedAt = now
@@ -82,7 +82,7 @@
 	if route.health != healthy {
 		rate, burst = s.outagePace(route, rate, burst)
 	}
-	if maxRate := s.boundedRate(route); !math.IsInf(maxRate, 1) {
+	if maxRate := s.rateCap(route); !math.IsInf(maxRate, 1) {
 		rate, burst = min(cmp.Or(rate, maxRate), maxRate), min(burst, 1+2*tickInterval.Seconds()*maxRate)
 	}
 	if rate == 0 { // nothing is known of a limit yet
@@ -109,7 +109,7 @@
 	switch fair := s.fairRate(route, route.reportedLimit); {
 	case fair > 0 && route.health == recovering: // however much waits
 		own = fair
-	case fair > 0 && route.reportedRemaining <= plentyRemaining: // what is asked may be more than it takes when it is healthy
+	case fair > 0 && route.reportedRemaining <= highRemaining: // what is asked may be more than it takes when it is healthy
 		own = min(own, fair)
 	}
 	pace := max(own, route.rateBeforeOutage, 1/float64(s.settings.Peers)) *
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -42,7 +42,7 @@
 // At a route ejected by refusals alone each refused probe halves the pace of probes: the probes of many
 // senders together would keep a limit used up. Failed connects don't, they use up none.
 func TestEjectedRoute_RefusedProbes_SlowDown(t *testing.T) {
-	trials := func(res Result) (early, late int) {
+	countProbes := func(res Result) (early, late int) {
 		set := settings()
 		set.MaxAttempts = 1000
 		harness := newHarness(t, set, Endpoint{ID: 1})
@@ -63,11 +63,11 @@
 		}
 		return early, late
 	}
-	if early, late := trials(Throttled); late == 0 || 4*late > early {
+	if early, late := countProbes(Throttled); late == 0 || 4*late > early {
 		t.Errorf("refused: %d tries in the first 40 s, %d in the last", early, late)
 	}
 	// Nor do failures make all messages look hopeless once they are most of what the table holds.
-	if early, late := trials(NoConnection); 2*late < early {
+	if early, late := countProbes(NoConnection); 2*late < early {
 		t.Errorf("failed connects: %d tries in the first 40 s, %d in the last", early, late)
 	}
 }
@@ -75,7 +75,7 @@
 // More may be asked of a destination than it takes when it is healthy: where it reports its limit, the probes and the
 // slow start of a sender go by its part of that, not by what is asked.
 func TestEjectedRoute_ReportedLimit_BoundsProbes(t *testing.T) {
-	trials := func(report bool) (n int) {
+	countProbes := func(report bool) (n int) {
 		set := settings()
 		set.MaxAttempts = 1000
 		harness := newHarness(t, set, Endpoint{ID: 1})
@@ -103,8 +103,8 @@
 	}
 	set := settings()
 	limit := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
-	if reported, not := trials(true), trials(false); float64(reported) > limit || reported == 0 || not < 2*reported {
-		t.Errorf("%d trials in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
+	if reported, not := countProbes(true), countProbes(false); float64(reported) > limit || reported == 0 || not < 2*reported {
+		t.Errorf("%d countProbes in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
 	}
 }
 
@@ -132,7 +132,7 @@
 
 // A destination that was shut refuses all, which tells nothing of a limit that the list names: when it opens again its pace
 // goes by an equal part of that, not what little was let in meanwhile. Without the weight it has to be learnt again.
-func TestWeight_RouteShut_OutlivesRefusals(t *testing.T) {
+func TestWeight_RouteShut_PaceRecovers(t *testing.T) {
 	for _, weight := range []float64{0, 16} {
 		set := settings()
 		set.Slots = 40
--- a/control/restart_plan.go
+++ b/control/restart_plan.go
@@ -59,11 +59,11 @@
 	open := func(e *endpointState) bool {
 		return e.known() && e.state == Ready && e.route.waitUntil <= now && e.route.retryAt <= now
 	}
-	noneOpen := !slices.ContainsFunc(endpoints, open)
+	noneAccepting := !slices.ContainsFunc(endpoints, open)
 	for level := 1; level <= levels; level++ {
 		best := math.Inf(1)
 		for _, endpoint := range endpoints {
-			if open(endpoint) || noneOpen && endpoint.known() && endpoint.state == Ready {
+			if open(endpoint) || noneAccepting && endpoint.known() && endpoint.state == Ready {
 				cost, _ := endpoint.pooled.bestRestart(bounds, penalty*p.expected[level-1])
 				best = min(best, cost)
 			}
--- a/control/restore.go
+++ b/control/restore.go
@@ -21,10 +21,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !s.hasTable(snap.AllLatencies) || len(snap.Kinds) != len(s.kinds) {
+	if !s.bucketsMatch(snap.AllLatencies) || len(snap.Kinds) != len(s.kinds) {
 		return nil, errOtherSettings
 	}
-	s.restoreFigures(snap)
+	s.restoreValues(snap)
 	r := &restorer{sender: s, snap: snap}
 	for _, c := range snap.Calls {
 		r.calls = append(r.calls, &call{pending: c.Pending, capacity: c.Capacity})
@@ -45,11 +45,11 @@
 	removed []*endpointState
 }
 
-// hasTable tells whether a table has the buckets of s.
-func (s *Sender) hasTable(t LatencySnapshot) bool { return len(t.Counts) == len(s.bounds) }
+// bucketsMatch tells whether a table has the buckets of s.
+func (s *Sender) bucketsMatch(t LatencySnapshot) bool { return len(t.Counts) == len(s.bounds) }
 
-// restoreFigures takes over all that points at nothing.
-func (s *Sender) restoreFigures(snap *Snapshot) {
+// restoreValues takes over all that points at nothing.
+func (s *Sender) restoreValues(snap *Snapshot) {
 	s.now, s.steps, s.lastSeq = snap.Now, snap.Steps, snap.Seq
 	s.slotsInUse, s.openMessages, s.callsToUnhealthy = snap.SlotsInUse, snap.OpenMessages, snap.CallsToUnhealthy
 	s.retryBudget, s.retryTimes, s.slotStarved = snap.Budget, snap.RetryTimes, snap.SlotStarved
@@ -82,7 +82,7 @@
 			dest.routes = append(dest.routes, route.restore(dest))
 		}
 		for _, e := range from.Endpoints {
-			if e.Route < 0 || e.Route >= len(dest.routes) || !s.hasTable(e.Own) || e.KindIndex < 0 || e.KindIndex >= len(s.kinds) {
+			if e.Route < 0 || e.Route >= len(dest.routes) || !s.bucketsMatch(e.Own) || e.KindIndex < 0 || e.KindIndex >= len(s.kinds) {
 				return errInconsistentSnapshot
 			}
 			endpoint := &endpointState{id: e.ID, zone: e.Zone, kind: e.Kind, kindIndex: e.KindIndex,
--- a/control/retry_budget.go
+++ b/control/retry_budget.go
@@ -11,5 +11,5 @@
 // earnRetry takes a delivery into the budget.
 func (s *Sender) earnRetry() { s.retryBudget = min(maxRetryBudget, s.retryBudget+retryBudgetRatio) }
 
-// hasRetry tells whether the budget allows a retry now.
-func (s *Sender) hasRetry() bool { return s.retryBudget >= 1 }
+// hasRetryBudget tells whether the budget allows a retry now.
+func (s *Sender) hasRetryBudget() bool { return s.retryBudget >= 1 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// queuedCallCost is the share of the expected time that each call in flight to an endpoint adds to it, and queuedCallSeconds what each
+	// inFlightCostFactor is the share of the expected time that each call in flight to an endpoint adds to it, and inFlightCostSeconds what each
 	// adds beyond that, in seconds. Larger values spread calls, smaller ones stay with the fastest endpoint.
-	queuedCallCost    = 0.5
-	queuedCallSeconds = 0.1
+	inFlightCostFactor  = 0.5
+	inFlightCostSeconds = 0.1
 	// minLateLoss is the loss of value by lateness, as a share, that prices are put in relation to at least.
 	minLateLoss = 0.1
 )
@@ -63,22 +63,22 @@
 // maySend is the one gate: whether msg may be sent to endpoint now. It keeps the package's invariants, whatever health and load say. The
 // order of its steps counts: the last ones refill tokens and note that slots are short.
 func (s *Sender) maySend(msg *message, endpoint *endpointState) bool {
-	if !s.isSafe(msg, endpoint) || !s.isItsTurn(msg) || !s.hasCall(endpoint) {
+	if !s.isPermitted(msg, endpoint) || !s.isNextOfKey(msg) || !s.canCall(endpoint) {
 		return false
 	}
 	route := endpoint.route
 	return !route.probesOnly() || s.hasSlotForProbe() && s.mayProbe(msg, route)
 }
 
-// isSafe tells whether msg can be sent to endpoint without being lost, or taking effect twice, and whether endpoint takes anything.
-func (s *Sender) isSafe(msg *message, endpoint *endpointState) bool {
+// isPermitted tells whether msg can be sent to endpoint without being lost, or taking effect twice, and whether endpoint takes anything.
+func (s *Sender) isPermitted(msg *message, endpoint *endpointState) bool {
 	switch class := msg.class; {
 	case msg.ended || msg.inFlightOn != nil || msg.attempts >= s.settings.MaxAttempts || msg.deadline <= s.now,
 		endpoint.state != Ready, endpoint.route.waitUntil > s.now:
 		return false
 	case msg.ranOn == nil:
 		return true
-	case class.Effect == Unsafe, msg.isRetry && !s.hasRetry(),
+	case class.Effect == Unsafe, msg.isRetry && !s.hasRetryBudget(),
 		class.Effect == Keyed && (s.now >= msg.ranAt+class.Memory || class.Group == GroupZone && endpoint.zone != msg.ranOn.zone ||
 			class.Group == GroupEndpoint && endpoint != msg.ranOn):
 		return false
@@ -86,8 +86,8 @@
 	return true
 }
 
-// isItsTurn tells whether msg is first among the messages of its key, and no older attempt of that key may still be running.
-func (s *Sender) isItsTurn(msg *message) bool {
+// isNextOfKey tells whether msg is first among the messages of its key, and no older attempt of that key may still be running.
+func (s *Sender) isNextOfKey(msg *message) bool {
 	if !msg.class.InOrder || msg.key == 0 {
 		return true
 	}
@@ -100,8 +100,8 @@
 	return endpoint.callStep == s.steps && endpoint.call != nil && endpoint.call.capacity > 0
 }
 
-// hasCall tells whether a message can go to endpoint in a call that is open, or in a new one.
-func (s *Sender) hasCall(endpoint *endpointState) bool {
+// canCall tells whether a message can go to endpoint in a call that is open, or in a new one.
+func (s *Sender) canCall(endpoint *endpointState) bool {
 	if s.canJoin(endpoint) {
 		return true
 	}
@@ -140,8 +140,8 @@
 		}
 		cost, stop = endpoint.pooled.bestRestart(s.bounds, s.retryPenalty()*endpoint.destination.plan.expected[attemptsLeft-1])
 	}
-	cost = cost*(1+queuedCallCost*float64(len(endpoint.inFlight))) + s.routingPrice(msg, endpoint) +
-		queuedCallSeconds*(float64(len(endpoint.inFlight))+s.random()/(1+endpoint.own.total))
+	cost = cost*(1+inFlightCostFactor*float64(len(endpoint.inFlight))) + s.routingPrice(msg, endpoint) +
+		inFlightCostSeconds*(float64(len(endpoint.inFlight))+s.random()/(1+endpoint.own.total))
 	return cost, stop
 }
 
@@ -189,7 +189,7 @@
 	} else if msg.class.Effect == Keyed {
 		window = min(window, s.now+msg.class.Memory)
 	}
-	if msg.class.Effect != Unsafe && stop >= 0 && stop < len(s.bounds)-1 && s.hasRetry() &&
+	if msg.class.Effect != Unsafe && stop >= 0 && stop < len(s.bounds)-1 && s.hasRetryBudget() &&
 		s.now+2*toDuration(s.bounds[stop]) < window {
 		timeout = min(timeout, toDuration(s.bounds[stop]))
 	}
--- a/control/sender.go
+++ b/control/sender.go
@@ -61,7 +61,7 @@
 	s.bounds = bucketBounds(longest.Seconds())
 	s.allLatencies.counts = make([]float64, len(s.bounds))
 	for _, tenant := range set.Tenants {
-		s.quotas = append(s.quotas, tenantQuota{rate: tenant.Quota / float64(set.Peers), tokens: fullQuota, total: tenant.Quota})
+		s.quotas = append(s.quotas, tenantQuota{rate: tenant.Quota / float64(set.Peers), tokens: initialQuotaTokens, total: tenant.Quota})
 	}
 	return s, nil
 }
@@ -76,7 +76,7 @@
 	s.subscribe()
 	s.updateHealth()
 	s.dispatch()
-	s.wake()
+	s.scheduleWake()
 	out, s.actions = s.actions, nil
 	return out
 }
--- a/control/shared_limits.go
+++ b/control/shared_limits.go
@@ -84,10 +84,10 @@
 	return limit * s.share(route.extraShare)
 }
 
-// boundedRate is the calls a second that route must never exceed: of the operator's bound, and of its limit where senders share that. Where
+// rateCap is the calls a second that route must never exceed: of the operator's bound, and of its limit where senders share that. Where
 // others have found it down, only the sender whose turn it is probes it; the rest do so all together once a second, since that one may
 // be dead.
-func (s *Sender) boundedRate(route *routeState) float64 {
+func (s *Sender) rateCap(route *routeState) float64 {
 	rate := math.Inf(1)
 	if route.destination.maxRate > 0 {
 		rate = s.fairRate(route, route.destination.maxRate/float64(len(route.destination.routes)))
@@ -150,7 +150,7 @@
 		if route.reportedLimit > 0 && route.rateLimit > 0 {
 			route.rateLimit *= min(1, grant.Limit/route.reportedLimit)
 		}
-		route.reportedLimit, route.reportedRemaining = grant.Limit, max(route.reportedRemaining, plentyRemaining)
+		route.reportedLimit, route.reportedRemaining = grant.Limit, max(route.reportedRemaining, highRemaining)
 	}
 	if route.rateLimit > 0 && route.refusalStreak == 0 { // a larger part is there to be spent at once
 		route.rateLimit = max(route.rateLimit, s.fairRate(route, route.reportedLimit))
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// lend grants a sender what it may spend.
-func (h *harness) lend(floor float64, until time.Duration, stays bool, rights ...Grant) {
+// grantLease grants a sender what it may spend.
+func (h *harness) grantLease(floor float64, until time.Duration, stays bool, rights ...Grant) {
 	h.step(Event{Kind: SharedLimitsUpdated, Shared: &SharedLimits{GuaranteedShare: floor, LeaseExpiry: until, KeepsGuaranteed: stays, Grants: rights}})
 }
 
@@ -36,7 +36,7 @@
 		set.Peers, set.Slots = 10, 200
 		harness := newHarness(t, set, Endpoint{ID: 1})
 		until := harness.now + 20*time.Second
-		harness.lend(0.05, until, c.stays, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 40})
+		harness.grantLease(0.05, until, c.stays, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 40})
 		harness.calls(2*time.Second, 40)
 		first := float64(harness.calls(18*time.Second, 40)) / 18
 		harness.calls(2*time.Second, 40)
@@ -52,12 +52,12 @@
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	harness := newHarness(t, set, Endpoint{ID: 1})
-	harness.lend(0.1, harness.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20, LimitAge: time.Second})
+	harness.grantLease(0.1, harness.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20, LimitAge: time.Second})
 	if n := harness.calls(10*time.Second, 0); n > 22 || n < 15 {
 		t.Errorf("%d calls in 10 s, by others' word 2 a second are its own", n)
 	}
 	harness.calls(5*time.Second, 60)
-	harness.lend(0.1, harness.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20})
+	harness.grantLease(0.1, harness.now+time.Hour, false, Grant{Endpoint: 1, Limit: 20})
 	if n := harness.calls(10*time.Second, 60); n < 50 {
 		t.Errorf("%d calls in 10 s, by its own newer report 6 a second", n)
 	}
@@ -72,12 +72,12 @@
 	harness.deliver(3, 50*ms)
 	d := harness.sender.endpoints[1].route
 	far := harness.now + time.Hour
-	harness.lend(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 10 * time.Second})
+	harness.grantLease(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 10 * time.Second})
 	if d.health != healthy {
 		t.Error("an older observation of its peers overrides its own delivery")
 	}
 	harness.now += 20 * time.Second
-	harness.lend(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: time.Second})
+	harness.grantLease(0.1, far, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: time.Second})
 	if d.health != ejected {
 		t.Error("a newer observation of its peers is ignored")
 	}
@@ -86,7 +86,7 @@
 			t.Errorf("it reports an observation of its peers as its own: %+v", s)
 		}
 	}
-	harness.lend(0.1, far, false, Grant{Endpoint: 1, Healthy: true, HealthAge: 100 * ms})
+	harness.grantLease(0.1, far, false, Grant{Endpoint: 1, Healthy: true, HealthAge: 100 * ms})
 	if d.health != recovering || harness.now-d.healthSince != 100*ms {
 		t.Errorf("others' delivery leaves it %v, since %v", healthText[d.health], harness.now-d.healthSince)
 	}
@@ -114,7 +114,7 @@
 		harness.deliver(5, 50*ms)
 		for i := range uint64(2000) {
 			harness.now += 25 * ms
-			harness.lend(0.1, harness.now+time.Second, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 0, MayProbe: mayProbe, Limit: 100})
+			harness.grantLease(0.1, harness.now+time.Second, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 0, MayProbe: mayProbe, Limit: 100})
 			if i%20 == 0 {
 				harness.step(harness.arrive(100+i, 0))
 			}
@@ -136,7 +136,7 @@
 	set := settings()
 	set.MaxRetryAfter = 2 * time.Second
 	harness := newHarness(t, set, Endpoint{ID: 1})
-	harness.lend(1, harness.now+time.Hour, false, Grant{Endpoint: 1, RetryAfter: time.Hour})
+	harness.grantLease(1, harness.now+time.Hour, false, Grant{Endpoint: 1, RetryAfter: time.Hour})
 	if got := actionsOf(harness.step(harness.arrive(1, 0)), Send); len(got) != 0 {
 		t.Error("a call goes out during the Retry-After that a peer was given")
 	}
@@ -150,7 +150,7 @@
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	harness := newHarness(t, set, Endpoint{ID: 1})
-	harness.lend(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 100})
+	harness.grantLease(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.25, Limit: 100})
 	harness.calls(2*time.Second, 100)
 	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, MaxRate: 20}}})
 	if n := harness.calls(20*time.Second, 100); n > 122 || n < 100 {
@@ -160,15 +160,15 @@
 
 // A destination that leaves the list with grants and comes back under another id has its guaranteed share, and what is granted anew; what was
 // granted for the one before is nobody's.
-func TestGrant_EndpointLeft_IsNobodys(t *testing.T) {
+func TestGrant_RemovedEndpoint_IsDiscarded(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
 	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: true}}
 	harness := newHarness(t, set, Endpoint{ID: 1})
-	harness.lend(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100, Unhealthy: true, HealthAge: time.Minute})
+	harness.grantLease(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100, Unhealthy: true, HealthAge: time.Minute})
 	harness.calls(2*time.Second, 100)
 	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}, {ID: 2}}})
-	harness.lend(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
+	harness.grantLease(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
 	d := harness.sender.endpoints[2].route
 	if d.extraShare != 0 || d.unhealthyAtPeers || d.reportedLimit != 0 {
 		t.Errorf("it begins with %+v", d)
--- a/control/slots.go
+++ b/control/slots.go
@@ -33,22 +33,22 @@
 	return s.slotsInUse < int(maxShareHealthy*float64(s.settings.Slots)) || s.callsToUnhealthy < s.unhealthySlots()
 }
 
-// freeSlot guards the slots: routes that get only probes together hold at most half. While a message waits for nothing but a slot, one
+// reclaimSlot guards the slots: routes that get only probes together hold at most half. While a message waits for nothing but a slot, one
 // call is called off, that which loses least by it: one that is late at such a route when these hold too much, or one that lasts far
 // longer than its time where newer ones are answered (an answer lost on the way). It hurts where that call would have been answered yet.
-func (s *Sender) freeSlot() {
-	crowded := s.callsToUnhealthy > s.unhealthySlots()
+func (s *Sender) reclaimSlot() {
+	overLimit := s.callsToUnhealthy > s.unhealthySlots()
 	s.callsToUnhealthy = 0
 	var victim *message
 	for _, dest := range s.active {
 		for _, endpoint := range dest.endpoints {
-			probesOnly, maxAge := endpoint.route.probesOnly(), s.maxCallAge(endpoint, crowded)
+			probesOnly, maxAge := endpoint.route.probesOnly(), s.maxCallAge(endpoint, overLimit)
 			for i, msg := range endpoint.inFlight {
 				if probesOnly && (i == 0 || endpoint.inFlight[i-1].call != msg.call) {
 					s.callsToUnhealthy++
 				}
 				lost := (s.now-msg.sentAt).Seconds() > maxAge && (probesOnly || msg.sentAt < endpoint.route.newestDelivered)
-				if lost && !msg.cancelled && !msg.ended && (victim == nil || msg.losesLessThan(victim)) {
+				if lost && !msg.cancelled && !msg.ended && (victim == nil || msg.cheaperToCancelThan(victim)) {
 					victim = msg
 				}
 			}
@@ -60,17 +60,17 @@
 }
 
 // maxCallAge is the age in seconds from which on a call to endpoint may be called off for its slot.
-func (s *Sender) maxCallAge(endpoint *endpointState, crowded bool) float64 {
+func (s *Sender) maxCallAge(endpoint *endpointState, overLimit bool) float64 {
 	if len(endpoint.inFlight) > 0 && !endpoint.route.probesOnly() {
 		return lostAnswerFactor * s.lateAge(endpoint)
 	}
-	if len(endpoint.inFlight) > 0 && crowded {
+	if len(endpoint.inFlight) > 0 && overLimit {
 		return s.lateAge(endpoint)
 	}
 	return math.Inf(1) // a call that hangs may be answered at its end
 }
 
-// losesLessThan tells whether calling off m loses less than calling off other: first by what a repeat may do, then by value.
-func (m *message) losesLessThan(other *message) bool {
+// cheaperToCancelThan tells whether calling off m loses less than calling off other: first by what a repeat may do, then by value.
+func (m *message) cheaperToCancelThan(other *message) bool {
 	return cmp.Or(cmp.Compare(m.class.Effect, other.class.Effect), cmp.Compare(other.value, m.value)) > 0
 }
--- a/control/timers.go
+++ b/control/timers.go
@@ -6,8 +6,8 @@
 	// tickInterval is the time between wake-ups while any message is open: rates, waits and late calls are looked at that often. Longer
 	// costs latency, shorter costs processor time.
 	tickInterval = 25 * time.Millisecond
-	// subscribeSlot is what is left to each sender to ask for the list: one service answers all of them, one by one.
-	subscribeSlot = 100 * time.Millisecond
+	// subscribeSpacing is what is left to each sender to ask for the list: one service answers all of them, one by one.
+	subscribeSpacing = 100 * time.Millisecond
 )
 
 // subscribe asks for the list when its time has come.
@@ -25,7 +25,7 @@
 // them ask: each has its turn, and asks again, with exponential backoff, when all have had theirs.
 func (s *Sender) scheduleSubscribe() {
 	maxBackoff, peers := max(s.settings.SubscribeWithin*3/4, time.Second), time.Duration(s.settings.Peers)
-	if all := min(subscribeSlot*peers, maxBackoff); s.subscribeBackoff == 0 {
+	if all := min(subscribeSpacing*peers, maxBackoff); s.subscribeBackoff == 0 {
 		s.subscribeAt = s.now + 1 + all*time.Duration(s.settings.Index)/peers
 		s.subscribeBackoff = max(all, decreaseInterval)
 	} else {
@@ -34,8 +34,8 @@
 	}
 }
 
-// wake asks for the next Step while there is anything to do.
-func (s *Sender) wake() {
+// scheduleWake asks for the next Step while there is anything to do.
+func (s *Sender) scheduleWake() {
 	if (s.openMessages > 0 || s.subscribeAt > 0) && s.wakeAt <= s.now {
 		s.wakeAt = s.now + tickInterval
 		s.emit(Action{Kind: Wake, At: s.wakeAt})
--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -21,7 +21,7 @@
 		"a tie-break":  {"selection.go", "cmp.Compare(a.seq, b.seq)", "cmp.Compare(b.seq, a.seq)"},
 		"a time-out": {"selection.go", "timeout = min(timeout, toDuration(s.bounds[stop]))",
 			"timeout = min(timeout, 2*toDuration(s.bounds[stop]))"},
-		"a price": {"selection.go", "queuedCallCost    = 0.5\n", "queuedCallCost    = 0.4\n"},
+		"a price": {"selection.go", "inFlightCostFactor  = 0.5\n", "inFlightCostFactor  = 0.4\n"},
 		"a share": {"slots.go", "maxShareUnhealthy = 0.5\n", "maxShareUnhealthy = 0.25\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
