--- a/control/admission.go
+++ b/control/admission.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// initialQuotaTokens is what a tenant has left at first: the first message fills it up to what its rate allows.
+	// initialQuotaTokens is what a tenant's token bucket starts with; the first refill cuts it to the bucket's capacity.
 	initialQuotaTokens = 1e18
-	// minDrainRate is the deliveries a second that a destination is taken to make at least, when waits are estimated.
+	// minDrainRate is the least rate, in deliveries a second, that estimates of waiting times assume of a destination.
 	minDrainRate = 0.5
 )
 
-// tenantQuota is a tenant's share at this sender: a token bucket that holds what a second brings, and one message at least.
+// tenantQuota is the token bucket of one tenant at this sender. It holds one second's worth of messages, but at least one.
 type tenantQuota struct {
 	rate       float64 // messages a second through this sender
 	tokens     float64
 	refilledAt time.Duration
 	total      float64   // messages a second through all senders
-	extraShare float64   // of total beyond the guaranteed share, where quotas are shared
-	demand     rateMeter // messages that came
+	extraShare float64   // share of total granted beyond the guaranteed share, where quotas are shared
+	demand     rateMeter // arrived messages
 }
 
-// allow counts a message that was sent at that time, and tells whether it is within the quota.
+// allow counts a message sent at the given time, and reports whether it is within the quota.
 func (q *tenantQuota) allow(at time.Duration) bool {
 	at = max(at, q.refilledAt)
 	q.demand.add(at)
@@ -31,7 +31,7 @@
 	return true
 }
 
-// applyArrival takes on a message. One whose id is known, or whose class isn't, is ignored.
+// applyArrival queues a new message. It ignores a message whose id is already known or whose class is not configured.
 func (s *Sender) applyArrival(event *Event) {
 	if s.messages[event.ID] != nil || event.Class < 0 || event.Class >= len(s.settings.Classes) {
 		return
@@ -53,23 +53,23 @@
 	if !dest.active {
 		dest.active, s.active = true, append(s.active, dest)
 	}
-	// A margin of a thirty-second is kept free, so that the caller's store never turns a message away itself.
+	// Shed a thirty-second of MaxOpen early, so that the caller's store never has to turn a message away itself.
 	if s.settings.MaxOpen > 0 && s.openMessages > s.settings.MaxOpen-1-s.settings.MaxOpen/32 {
 		s.shedLowestValue()
 	}
 }
 
-// newMessage returns the message of an arrival, with the value that it has for its tenant's quota.
+// newMessage returns the message of an Arrived event. Its value is reduced if its tenant is over quota.
 func (s *Sender) newMessage(event *Event, dest *destinationState) *message {
 	s.lastSeq++
 	class := &s.settings.Classes[event.Class]
 	msg := &message{id: event.ID, seq: s.lastSeq, class: class, key: event.Key,
 		destination: dest, deadline: event.Deadline, value: class.Value, attempts: event.Attempt}
 	msg.targetAt = msg.deadline - class.Deadline + class.LatencyTarget
-	if s.settings.MarksResubmitted && !event.Resubmitted { // a client with less patience than its class is not late yet
+	if s.settings.MarksResubmitted && !event.Resubmitted { // a deadline shorter than its class's does not make a message late
 		msg.targetAt = max(msg.targetAt, min(s.now+class.LatencyTarget, msg.deadline))
 	}
-	sent := min(s.now, msg.deadline-class.Deadline) // what was kept over a restart came long ago
+	sent := min(s.now, msg.deadline-class.Deadline) // the sending time; messages restored after a restart were sent earlier
 	if event.Tenant >= 0 && event.Tenant < len(s.quotas) && !s.quotas[event.Tenant].allow(sent) {
 		msg.value *= s.settings.OverQuotaValue
 	}
@@ -81,8 +81,9 @@
 	return msg
 }
 
-// shedLowestValue refuses the queued message of least value, so that the store never turns a better one away. The value counts at the
-// deadline at the latest: a long wait would level all. A message that may have run is never shed.
+// shedLowestValue refuses the queued message of least value, so that the caller's store never turns away a more valuable one. Value is
+// taken at the expected time of sending, but at the deadline at the latest: beyond it every message would be worth 0. A message that may
+// have run is never shed.
 func (s *Sender) shedLowestValue() {
 	var lowest *message
 	for _, dest := range s.active {
@@ -100,7 +101,7 @@
 	}
 }
 
-// drainTime is about how long what is queued for dest takes to leave.
+// drainTime estimates how long it takes to send all messages queued for dest.
 func (s *Sender) drainTime(dest *destinationState) time.Duration {
 	rate := 0.0
 	for _, route := range dest.routes {
--- a/control/backoff.go
+++ b/control/backoff.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// The gap is how long the next attempt at a route waits after a first refusal, in the mean, in seconds. It is learnt for each kind of
-// destination from whether attempts after a refusal are let in.
+// The retry gap is the mean pause, in seconds, before the next attempt at a route after a first refusal. It is learnt for each kind of
+// destination from whether attempts after a refusal are accepted.
 const (
 	initialRetryGap  = 2.0
-	retryGapDecrease = 0.93 // factor, after such an attempt that was let in
-	retryGapIncrease = 1.05 // factor, after one that was refused again
+	retryGapDecrease = 0.93 // factor after such an attempt was accepted
+	retryGapIncrease = 1.05 // factor after such an attempt was refused again
 	minRetryGap      = 0.3
 	maxRetryGap      = 6.0
-	// maxBackoffDoublings is the number of refusals in a row up to which the backoff doubles.
+	// maxBackoffDoublings is the number of consecutive refusals after which the backoff stops doubling.
 	maxBackoffDoublings = 5
 )
 
-// kindState is what a sender has learnt of one kind of destination.
+// kindState is what a sender has learnt about one kind of destination.
 type kindState struct {
-	connectionsShortUntil time.Duration // until then its endpoints are taken to be short of connections
-	retryGap              float64       // seconds, see initialRetryGap
+	connectionsShortUntil time.Duration // until then, endpoints of this kind are assumed to have too few connections
+	retryGap              float64       // seconds; see initialRetryGap
 }
 
-// backOff counts a refusal of any sort and puts off the next attempt at route: the time doubles with each refusal in a row, and chance
-// keeps hundreds of senders from coming back together. It does nothing and returns false for a refusal that belongs with the last one.
+// backOff counts a refusal of any kind and delays the next attempt at route. The delay doubles with each consecutive refusal, and is
+// jittered so that many senders don't return at the same time. A refusal within decreaseInterval of the last one counts as part of that
+// one: backOff then does nothing and returns false.
 func (s *Sender) backOff(route *routeState, kind *kindState) bool {
 	if s.now-route.refusedAt < decreaseInterval {
 		return false
@@ -36,8 +37,8 @@
 	return true
 }
 
-// learnRetryGap takes the result of an attempt. How soon one after a refusal is let in tells whether refused calls use up the limit, and
-// how many other senders retry.
+// learnRetryGap updates the retry gap with the result of an attempt. Whether an attempt after a refusal is accepted depends on whether
+// refused calls use up the limit, and on how many other senders retry.
 func (k *kindState) learnRetryGap(msg *message, result Result) {
 	if msg.wasThrottled && result == Throttled {
 		k.retryGap = min(maxRetryGap, k.retryGap*retryGapIncrease)
--- a/control/config.go
+++ b/control/config.go
@@ -6,130 +6,131 @@
 	"time"
 )
 
-// Effect says what a repeat of a message does at its destination.
+// Effect says whether sending a message again can repeat its effect at the destination.
 type Effect uint8
 
-// The effects of a repeat.
+// The effects of sending a message again.
 const (
 	Unsafe Effect = iota // must never take effect twice
-	Keyed                // a repeat is dropped within Group, for Memory
-	Safe                 // may be repeated at will
+	Keyed                // the endpoints in Group drop a repeat for the time Memory
+	Safe                 // may be repeated any number of times
 )
 
-// Group says which endpoints of a destination drop the repeat of a keyed message.
+// Group says which endpoints of a destination recognize the repeat of a keyed message.
 type Group uint8
 
-// The groups of endpoints that share their memory of keys.
+// The groups of endpoints that share their record of keys.
 const (
 	GroupEndpoint Group = iota // the endpoint itself
 	GroupZone                  // all endpoints in its zone
 	GroupAll                   // all endpoints of the destination
 )
 
-// Class is one class of message. The tags are the keys of captures, as everywhere in this file.
+// Class is one class of messages. The tags are the keys that captures store, here and in the rest of this file.
 type Class struct {
 	Name    string        `cbor:"Name"`
 	Effect  Effect        `cbor:"Effect"`
-	Group   Group         `cbor:"Group"`   // of a Keyed class
-	Memory  time.Duration `cbor:"Memory"`  // how long a repeat of a keyed message is dropped, from the first attempt on
-	InOrder bool          `cbor:"InOrder"` // messages of one key go one at a time
+	Group   Group         `cbor:"Group"`   // only used by a Keyed class
+	Memory  time.Duration `cbor:"Memory"`  // how long after the first attempt a repeat of a keyed message is dropped
+	InOrder bool          `cbor:"InOrder"` // messages with the same key are sent one at a time, in order of arrival
 
-	LatencyTarget time.Duration `cbor:"Aim"`       // delivered within this time, a message earns Value in full
-	Deadline      time.Duration `cbor:"Deadline"`  // given up after this time; above 0
+	LatencyTarget time.Duration `cbor:"Aim"`       // a message delivered within this time earns its full Value
+	Deadline      time.Duration `cbor:"Deadline"`  // a message is given up after this time; above 0
 	Value         float64       `cbor:"Worth"`     // of one delivery, relative to other classes
-	LateValue     float64       `cbor:"LateWorth"` // share of Value that is left at Deadline, 0 to 1
+	LateValue     float64       `cbor:"LateWorth"` // share of Value that remains at Deadline, 0 to 1
 }
 
 // Kind is one kind of destination.
 type Kind struct {
 	SeparateRoutes bool `cbor:"Apart"`   // each endpoint is a route of its own, with its own limit, wait and health
-	PerCall        int  `cbor:"PerCall"` // messages that one call carries at most; below 1 counts as 1
+	PerCall        int  `cbor:"PerCall"` // most messages in one call; values below 1 count as 1
 }
 
-// Tenant is one of those who share the service.
+// Tenant is one of the parties that share the service.
 type Tenant struct {
-	Quota float64 `cbor:"Quota"` // messages a second within its share, over all senders
+	Quota float64 `cbor:"Quota"` // messages a second, over all senders
 }
 
-// Settings configure a sender; they do not change but for [Sender.Reconfigure]. Durations and figures must not be negative. A zero is
-// legal unless it is said otherwise, and switches the mechanism off where there is one. No field has a default here: the caller's
-// configuration sets each.
+// Settings configure a sender. They change only through [Sender.Reconfigure]. Durations and numbers must not be negative. Zero is valid
+// unless the field says otherwise; for an optional mechanism it means off. There are no defaults: the caller's configuration sets every
+// field.
 type Settings struct {
-	// Peers is the number of senders in all, this one included; at least 1. Limits that are reported for all senders are divided by it.
+	// Peers is the number of senders, including this one; at least 1. Limits reported for all senders are divided by it.
 	Peers int `cbor:"Peers"`
-	// Index is this sender's number among them, from 0; it spreads what all senders would otherwise do at once.
+	// Index is this sender's number among all senders, from 0. It spreads out actions that all senders would otherwise take at the same
+	// time.
 	Index int `cbor:"Me"`
-	// Zone is this sender's zone, in the numbers of Endpoint.Zone.
+	// Zone is this sender's zone, numbered as in Endpoint.Zone.
 	Zone int `cbor:"Zone"`
-	// Classes of messages, at least one; Event.Class is an index.
+	// Classes are the classes of messages, at least one; Event.Class is an index into it.
 	Classes []Class `cbor:"Classes"`
-	// Kinds of destinations; Endpoint.Kind is an index. An endpoint of no listed kind takes one message a call.
+	// Kinds are the kinds of destinations; Endpoint.Kind is an index into it. An endpoint of an unlisted kind takes one message per call.
 	Kinds []Kind `cbor:"Kinds"`
-	// Tenants have quotas; Event.Tenant is an index. None: messages have no tenant.
+	// Tenants are the tenants with a quota; Event.Tenant is an index into it. If empty, messages have no tenant.
 	Tenants []Tenant `cbor:"Tenants"`
-	// Slots is the number of calls out at once, at least 1. More slots ride out more slow destinations, and cost connections.
+	// Slots is the largest number of calls in flight, at least 1. More slots tolerate more slow destinations, but use more connections.
 	Slots int `cbor:"Slots"`
-	// MaxOpen is the number of messages without a final answer at which the least valuable ones are shed. 0: no bound. A larger one keeps
-	// more through an outage, and costs memory and longer waits.
+	// MaxOpen is the number of messages without a final answer near which the least valuable ones are shed. 0: no bound. A larger value
+	// keeps more messages through an outage, but costs memory and longer waits.
 	MaxOpen int `cbor:"MaxOpen"`
-	// MaxAttempts is how often one message is sent at most, at least 1. More get messages past failures and slow calls; they cost the
-	// destinations calls, and each Step the time to plan for them.
+	// MaxAttempts is how often one message is sent at most, at least 1. More attempts get more messages past failures and slow calls, but
+	// add calls to the destinations and planning time to each Step.
 	MaxAttempts int `cbor:"MaxAttempts"`
-	// Cancel allows calling off an attempt that is out.
+	// Cancel allows cancelling an attempt in flight.
 	Cancel bool `cbor:"Cancel"`
-	// ConnIdle is after how long an idle connection closes by itself. 0: connections are not managed. After a failed connect connections
-	// are closed at once for twice as long: a larger one costs more handshakes then.
+	// ConnIdle is how long an idle connection stays open. 0: connections are not managed. After a failed connect, connections are closed
+	// immediately after use for twice this time, so a larger value then costs more handshakes.
 	ConnIdle time.Duration `cbor:"ConnIdle"`
-	// OverQuotaValue is the share of its value that a message beyond its tenant's quota keeps, 0 to 1. A larger one protects the other
+	// OverQuotaValue is the share of its value, 0 to 1, that a message beyond its tenant's quota keeps. A larger share protects the other
 	// tenants less.
 	OverQuotaValue float64 `cbor:"OverWorth"`
-	// ValueHalves has the value of a late message fall by half with each further LatencyTarget, down to LateValue; else it falls
-	// evenly until the deadline.
+	// ValueHalves makes the value of a late message halve with each further LatencyTarget, down to LateValue. Otherwise it falls linearly
+	// until the deadline.
 	ValueHalves bool `cbor:"WorthHalves"`
-	// MaxRetryAfter bounds the time after which a refused message is asked to come again, and waits learnt from other senders. A larger
-	// one keeps more load off a destination that is busy or shut, and notices later that it takes calls again.
+	// MaxRetryAfter bounds the Retry-After given with a refusal, and the waits learnt from other senders. A larger value keeps more load
+	// off a destination that is busy or down, but is slower to notice that it accepts calls again.
 	MaxRetryAfter time.Duration `cbor:"MaxHoldOff"`
-	// MarksResubmitted says that messages handed in a second time are marked so (Event.Resubmitted).
+	// MarksResubmitted says that the caller marks messages that are submitted again (Event.Resubmitted).
 	MarksResubmitted bool `cbor:"MarksAgain"`
-	// MustSubscribe says that the list of endpoints comes only when it is asked for.
+	// MustSubscribe says that the endpoint list is only sent on request (Subscribe).
 	MustSubscribe bool `cbor:"Ask"`
-	// SubscribeWithin bounds the backoff between such requests, to three quarters of it or a second, whichever is longer. A larger one
-	// spares the service that answers them, and leaves a sender longer without the list.
+	// SubscribeWithin bounds the backoff between such requests: to three quarters of it or one second, whichever is longer. A larger
+	// value spares the service that answers them, but leaves a sender longer without the list.
 	SubscribeWithin time.Duration `cbor:"AskWithin"`
-	// DrainGrace is for how long a draining endpoint still answers; the caller goes by it, not this package.
+	// DrainGrace is how long a draining endpoint still answers. Only the caller uses it; this package does not.
 	DrainGrace time.Duration `cbor:"DrainGrace"`
-	// SlowStartShare is the share of its capacity that a destination has at once when it returns from an outage, 0 to 1. One that is
-	// larger than the truth sends more than it takes, and pushes it over again.
+	// SlowStartShare is the share of its capacity, 0 to 1, that a destination is assumed to have right after an outage. A value above the
+	// actual share overloads it again.
 	SlowStartShare float64 `cbor:"StartShare"`
-	// SlowStart is after what time from its return a destination has all of its capacity again. 0: at once. A longer one is gentler, and
-	// leaves messages waiting.
+	// SlowStart is how long after an outage a destination takes to reach full capacity. 0: it has it immediately. A longer time is
+	// gentler, but leaves messages waiting.
 	SlowStart time.Duration `cbor:"Cold"`
-	// OverloadWindow is the time over which calls are counted for OverloadMultiple. It is the destinations' own, for whoever checks them;
-	// no decision uses it.
+	// OverloadWindow is the period over which OverloadMultiple counts calls. It describes the destinations and is there for tests and
+	// simulations; no decision uses it.
 	OverloadWindow time.Duration `cbor:"Fall"`
-	// OverloadMultiple is the multiple of its current capacity that pushes a returning destination over again. See slowStartMargin. A
-	// larger one sends more during slow start.
+	// OverloadMultiple is the multiple of its current capacity at which a returning destination is overloaded again; see slowStartMargin.
+	// A larger value sends more during slow start.
 	OverloadMultiple float64 `cbor:"FallMultiple"`
-	// InDoubtDelay is how long the next message of a key waits after an attempt that may still be running. A longer one keeps the order
-	// also where such an attempt runs on for long, and delays the key's messages.
+	// InDoubtDelay is how long the next message of a key waits after an attempt that may still be running. A longer delay keeps the order
+	// even if such an attempt runs on for long, but holds up the key's messages.
 	InDoubtDelay time.Duration `cbor:"Settle"`
-	// CrossZonePrice is the price of an attempt that leaves the zone, in the unit of Class.Value. A larger one accepts more delay, up to a
-	// second an attempt, to stay in the zone.
+	// CrossZonePrice is the price of an attempt that leaves the zone, in the unit of Class.Value. A higher price accepts more delay, up
+	// to a second for each attempt, to stay in the zone.
 	CrossZonePrice float64 `cbor:"CrossPrice"`
-	// ZoneFee is the price of a message that a separate route takes on, by the zone of the route, in the unit of Class.Value.
+	// ZoneFee is the price of sending a message on a separate route, by the zone of the route, in the unit of Class.Value.
 	ZoneFee []float64 `cbor:"ZoneFee"`
 }
 
-// SettingError reports a setting with an impossible figure.
+// SettingError reports a setting with an invalid value.
 type SettingError struct {
-	Field   string // the key under which captures store it, with its place in a list: "Classes[0].Aim"
-	Problem string // the figure, and what is wanted instead
+	Field   string // the key under which captures store the setting, with list indices: "Classes[0].Aim"
+	Problem string // the value, and what is expected instead
 }
 
-// Error names the setting and what is wanted of it.
+// Error names the setting, its value and what is expected.
 func (e *SettingError) Error() string { return "control: settings: " + e.Field + " is " + e.Problem }
 
-// check returns a [SettingError] for the first field with an impossible figure.
+// check returns a [SettingError] for the first field with an invalid value.
 func (set *Settings) check() error {
 	type field struct {
 		name  string
--- a/control/connections.go
+++ b/control/connections.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// releaseConnection notes that endpoint has a connection that may be idle, and closes it where a connect to an endpoint of that kind has
-// failed of late: the idle connections of many senders fill an endpoint that takes few, and whoever is refused one takes it for an
-// outage. It covers full tables of connections at restarts too; the cost is handshakes after a plain crash.
+// releaseConnection records that endpoint may have an idle connection. If a connect to an endpoint of the same kind has failed recently,
+// it closes the connection instead: idle connections of many senders can fill the connection table of an endpoint that accepts few, and a
+// sender that can't connect takes that for an outage. This also covers full connection tables during restarts. The cost is extra
+// handshakes after an ordinary crash of an endpoint.
 func (s *Sender) releaseConnection(endpoint *endpointState) {
 	switch idle := s.settings.ConnIdle.Seconds(); {
 	case len(endpoint.inFlight) > 0 || idle == 0:
@@ -16,8 +17,8 @@
 	}
 }
 
-// recordConnectionShortage takes a failed connect: what is idle at endpoints of the same kind is closed at once, and all such connections
-// for two idle times from now on. By then what was idle has closed by itself.
+// recordConnectionShortage handles a failed connect: idle connections to endpoints of the same kind are closed now, and each connection
+// to that kind is closed after use for the next two idle times. By then, connections that were idle elsewhere have timed out.
 func (s *Sender) recordConnectionShortage(endpoint *endpointState) {
 	s.kinds[endpoint.kindIndex].connectionsShortUntil = s.now + 2*s.settings.ConnIdle
 	s.idleEndpoints = slices.DeleteFunc(s.idleEndpoints, func(idle *endpointState) bool {
--- a/control/endpoint_list.go
+++ b/control/endpoint_list.go
@@ -3,13 +3,15 @@
 import "slices"
 
 const (
-	// initialCalls is how many calls all senders together may have in flight to a new route, until an answer tells of its limit.
+	// initialCalls is how many calls all senders together may have in flight to a new route before any answer tells its limit.
 	initialCalls = 30
-	// initialCallSpacing is the time in seconds for each sender, of more than initialCalls, over which they begin with a new route.
+	// initialCallSpacing is the time in seconds for each sender over which the first calls to a new route are spread, if there are more
+	// than initialCalls senders.
 	initialCallSpacing = 0.010
 )
 
-// applyList takes over the list, or a change of it. What has left it is only marked at first, since calls to it may be in flight.
+// applyList applies a complete endpoint list or a change of it. An endpoint that has left the list is only marked Removed at first, since
+// calls to it may be in flight.
 func (s *Sender) applyList(event *Event) {
 	s.subscribeAt, s.subscribeBackoff = 0, 0
 	if event.Complete {
@@ -25,14 +27,14 @@
 			endpoint = s.addEndpoint(listed)
 		}
 		endpoint.state, endpoint.destination.poolStale, endpoint.destination.maxRate = listed.State, true, listed.MaxRate
-		if listed.Weight > 0 && endpoint.route.reportedAt == 0 { // known before the first report
+		if listed.Weight > 0 && endpoint.route.reportedAt == 0 { // the weight counts until the first report
 			endpoint.route.reportedLimit, endpoint.route.reportedRemaining = listed.Weight, 1
 		}
 	}
 	s.destinationOrder = slices.DeleteFunc(s.destinationOrder, s.retireDestination)
 }
 
-// retireDestination retires dest's endpoints, and tells whether it could be forgotten itself.
+// retireDestination retires dest's endpoints, and reports whether dest itself has been deleted.
 func (s *Sender) retireDestination(dest *destinationState) bool {
 	dest.endpoints = slices.DeleteFunc(dest.endpoints, s.retireEndpoint)
 	dest.routes = slices.DeleteFunc(dest.routes, func(route *routeState) bool {
@@ -45,8 +47,8 @@
 	return true
 }
 
-// retireEndpoint recalls what is still on its way to an endpoint that is no longer ready, and tells whether the endpoint could be
-// forgotten: it was removed longer ago than any message lives, no call to it is in flight and no wait binds.
+// retireEndpoint recalls the unwritten attempts to an endpoint that is no longer ready, and reports whether the endpoint has been
+// deleted. That happens once it was removed longer ago than any message lives, no call to it is in flight and its route's wait is over.
 func (s *Sender) retireEndpoint(endpoint *endpointState) bool {
 	if endpoint.state != Ready {
 		s.recallCalls(endpoint)
@@ -64,8 +66,8 @@
 	return false
 }
 
-// recallCalls calls back what is on its way to endpoint: a connection that comes up slowly must not carry a call to an endpoint that has
-// meanwhile told to wait, or is to get nothing new.
+// recallCalls recalls the attempts in flight to endpoint that have not been written yet. Otherwise a connection that is slow to open
+// could carry a call to an endpoint that has meanwhile asked for a wait or must not get new calls.
 func (s *Sender) recallCalls(endpoint *endpointState) {
 	for _, msg := range endpoint.inFlight {
 		s.emit(Action{Kind: Recall, ID: msg.id})
@@ -94,8 +96,8 @@
 	return endpoint
 }
 
-// newRoute returns a route that begins with endpoint. Where there are more senders than it may get calls at first, each begins at a
-// time of its own.
+// newRoute returns a route whose first endpoint is endpoint. If there are more senders than the route may get calls at first, each sender
+// starts after a random delay.
 func (s *Sender) newRoute(endpoint *endpointState) *routeState {
 	route := &routeState{id: endpoint.id, destination: endpoint.destination, tokens: 1, deliveries: rateMeter{startedAt: s.now}}
 	route.sends = route.deliveries
--- a/control/latency_table.go
+++ b/control/latency_table.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// firstBucketBound is the upper bound of the first bucket in seconds; faster calls share it.
+	// firstBucketBound is the upper bound, in seconds, of the first bucket, which counts all calls up to this time.
 	firstBucketBound = 0.010
-	// bucketRatio is the ratio of one bucket's bound to the one before: tables tell times apart to a quarter.
+	// bucketRatio is the ratio of each bucket's bound to the one before: tables resolve times to 25 %.
 	bucketRatio = 1.25
-	// tableHalfLife is the half-life of a count in a table. Longer is steadier, and slower to notice that a destination has changed.
+	// tableHalfLife is the half-life of a count in a table. A longer one gives steadier figures, but is slower to show that a destination
+	// has changed.
 	tableHalfLife = 20 * time.Second
-	// minTableCalls is how many decayed calls make a table that decisions may go by.
+	// minTableCalls is the number of calls, after decay, that a table needs before decisions use it.
 	minTableCalls = 4.0
-	// minCensoredTail is the count in the slower buckets below which a call that was cut off is not spread over them.
+	// minCensoredTail is the count in the slower buckets below which a censored call is not spread over them.
 	minCensoredTail = 0.01
 )
 
-// latencyTable is a decaying histogram of call times with logarithmic buckets. Its buckets are those of Sender.bounds, which callers
-// pass as bounds; all tables of one sender have the same.
+// latencyTable is a decaying histogram of call times with logarithmic buckets. The bucket bounds are those of Sender.bounds, the same for
+// all tables of a sender; callers pass them as bounds.
 type latencyTable struct {
 	counts    []float64     // answered calls, by bucket
-	total     float64       // answered and failed
-	failed    float64       // as slow as the slowest bucket, but known at once
-	decayedAt time.Duration // the time that the counts stand for
+	total     float64       // answered and failed calls
+	failed    float64       // failed calls: they cost the time of the slowest bucket, but no time-out waits for them
+	decayedAt time.Duration // the time up to which the counts have decayed
 }
 
-// bucketBounds returns the upper bounds of buckets for times up to longest, in seconds.
+// bucketBounds returns the upper bounds, in seconds, of buckets for times up to longest.
 func bucketBounds(longest float64) []float64 {
 	var bounds []float64
 	for bound := firstBucketBound; ; bound *= bucketRatio {
@@ -39,7 +40,7 @@
 	}
 }
 
-// decay ages the counts to now.
+// decay applies the exponential decay up to now.
 func (t *latencyTable) decay(now time.Duration) {
 	if now > t.decayedAt {
 		factor := math.Exp2(-float64(now-t.decayedAt) / float64(tableHalfLife))
@@ -50,7 +51,7 @@
 	}
 }
 
-// observe counts a call that was answered after that many seconds.
+// observe counts a call that was answered after the given seconds.
 func (t *latencyTable) observe(now time.Duration, bounds []float64, seconds float64) {
 	t.decay(now)
 	t.counts[min(sort.SearchFloat64s(bounds, seconds), len(bounds)-1)]++
@@ -63,8 +64,8 @@
 	t.failed, t.total = t.failed+1, t.total+1
 }
 
-// observeCensored counts a call that was cut off after that many seconds (a right-censored observation): its one count is spread over
-// the slower buckets in proportion to what they hold, or enters the next slower one where they are empty.
+// observeCensored counts a call that was cut off after the given seconds (a right-censored observation). Its count of one is spread over
+// the slower buckets in proportion to their counts, or goes to the first of them if they are empty.
 func (t *latencyTable) observeCensored(now time.Duration, bounds []float64, seconds float64) {
 	t.decay(now)
 	from, tail := min(sort.SearchFloat64s(bounds, seconds)+2, len(bounds)-1), 0.0
@@ -80,8 +81,8 @@
 	t.total++
 }
 
-// quantile is the bound, in seconds, of the bucket in which the share q of the answered calls is reached. Failures must not make a
-// message look hopeless, or a destination that was down would get no probe any more.
+// quantile returns the upper bound, in seconds, of the bucket that contains quantile q of the answered calls. Failed calls are left out:
+// with them, messages to a destination that was down would appear to have too little time left, and no probe would be sent.
 func (t *latencyTable) quantile(bounds []float64, q float64) float64 {
 	sum := 0.0
 	for i, count := range t.counts {
--- a/control/message.go
+++ b/control/message.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// minTimeLeft is the time before its deadline from which on a message is not sent any more: no call takes less.
+// minTimeLeft is the time before its deadline at which a message is no longer sent: no call is faster.
 const minTimeLeft = 60 * time.Millisecond
 
-// message is one message that has not had its final answer, or has an attempt in flight.
+// message is a message that has no final answer yet, or still has an attempt in flight.
 type message struct {
-	id, seq     uint64 // seq: in the order of arrival
+	id, seq     uint64 // seq numbers messages in order of arrival
 	key         uint64 // 0: none
 	class       *Class
 	destination *destinationState
 	deadline    time.Duration
-	targetAt    time.Duration // its value is complete until then
+	targetAt    time.Duration // the message has its full value until then
 	value       float64
-	rank        float64 // scratch: of shedLowestValue and dispatch
+	rank        float64 // scratch space of shedLowestValue and dispatch
 
 	attempts int
 	ranAt    time.Duration  // when the first attempt that may have run was sent
-	ranOn    *endpointState // and where; nil: none may have run
+	ranOn    *endpointState // the endpoint of that attempt; nil: no attempt may have run
 
 	// The attempt in flight.
-	inFlightOn  *endpointState // nil: none is
+	inFlightOn  *endpointState // nil: no attempt in flight
 	sentAt      time.Duration
 	call        *call
-	plannedTime float64 // seconds that the plan expected of it, if it is a retry after a time-out of the plan's; 0: it is not
+	plannedTime float64 // seconds that the plan expected of a retry after the plan's own time-out; 0: not such a retry
 
 	ended        bool // it has its final answer
-	isRetry      bool // the next attempt draws on the retry budget
-	wasThrottled bool // the last attempt was
-	cancelled    bool // the attempt in flight has been called off
-	planTimeout  bool // the attempt in flight has the restart plan's time-out
+	isRetry      bool // the next attempt uses the retry budget
+	wasThrottled bool // the last attempt was throttled
+	cancelled    bool // the attempt in flight has been cancelled
+	planTimeout  bool // the attempt in flight has a time-out set by the restart plan
 }
 
-// keyQueue is the messages of one key, in the order of their arrival.
+// keyQueue holds the messages of one key, in order of arrival.
 type keyQueue struct {
 	messages     []*message
-	blockedUntil time.Duration // an attempt in doubt may be running until then
+	blockedUntil time.Duration // until then an attempt with unknown outcome may still be running
 }
 
-// valueAt is what a message earns if it is delivered at that time; with halves it falls as Settings.ValueHalves says.
+// valueAt returns what the message earns if delivered at the given time. With halves, the value of a late message decays as described at
+// Settings.ValueHalves.
 func (m *message) valueAt(at time.Duration, halves bool) float64 {
 	class := m.class
 	late := at - m.targetAt
@@ -58,8 +59,8 @@
 	return m.value * (1 - (1-class.LateValue)*float64(late)/float64(class.Deadline-class.LatencyTarget))
 }
 
-// outOfTime tells whether a queued message has less time left, until its deadline or the end of its window, than the median call of its
-// fastest endpoint.
+// outOfTime reports whether a queued message has less time left than the median call of its fastest endpoint. Time ends at the deadline
+// or, for a keyed message that may have run, when endpoints no longer drop its repeat.
 func (s *Sender) outOfTime(msg *message) bool {
 	fastest := 0.0
 	for _, endpoint := range msg.destination.endpoints {
@@ -75,8 +76,8 @@
 	return limit-s.now < need
 }
 
-// finish gives a message that has no attempt in flight its one final answer: a refusal where it may be handed in again, with the time
-// after which that is worth while, else a failure.
+// finish gives a message without an attempt in flight its one final answer: Refuse, with the time after which to submit it again, if that
+// is safe; otherwise Fail.
 func (s *Sender) finish(msg *message) {
 	if msg.ranOn == nil || msg.class.Effect == Safe || msg.class.Effect == Keyed && msg.class.Group == GroupAll {
 		retryAfter := s.drainTime(msg.destination)
@@ -90,7 +91,7 @@
 	s.closeMessage(msg)
 }
 
-// closeMessage notes that msg has its final answer, and forgets it once no attempt is in flight.
+// closeMessage marks msg as finally answered, and deletes it once no attempt is in flight.
 func (s *Sender) closeMessage(msg *message) {
 	if !msg.ended {
 		msg.ended = true
@@ -119,7 +120,7 @@
 	s.closeMessage(msg)
 }
 
-// cancelAttempt asks for the end of the attempt that msg has in flight.
+// cancelAttempt asks the caller to cancel msg's attempt in flight.
 func (s *Sender) cancelAttempt(msg *message) {
 	msg.cancelled = true
 	s.emit(Action{Kind: Cancel, ID: msg.id, Attempt: msg.attempts - 1})
@@ -129,7 +130,7 @@
 	msg.destination.queue = removeMessage(msg.destination.queue, msg)
 }
 
-// removeMessage takes msg out of list, in place.
+// removeMessage removes msg from list in place.
 func removeMessage(list []*message, msg *message) []*message {
 	if i := slices.Index(list, msg); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -1,7 +1,7 @@
 package control
 
-// applyOutcome takes the outcome of an attempt: it frees its slot, records it, and ends the message, queues it for another attempt, or
-// forgets it. An outcome of an attempt that is not in flight is ignored.
+// applyOutcome handles the outcome of an attempt: it releases the attempt's place in its call, records the outcome, and then closes the
+// message or queues it for another attempt. It ignores an outcome of an attempt that is not in flight.
 func (s *Sender) applyOutcome(event *Event) {
 	msg := s.messages[event.ID]
 	if msg == nil || msg.inFlightOn == nil || event.Attempt != msg.attempts-1 {
@@ -34,7 +34,7 @@
 	msg.destination.queue = append(msg.destination.queue, msg)
 }
 
-// endAttempt takes the attempt of msg out of what is in flight, and frees its slot if it was the last of its call.
+// endAttempt removes msg's attempt from those in flight, and frees the call's slot if no other message of the call is pending.
 func (s *Sender) endAttempt(msg *message, endpoint *endpointState) {
 	msg.inFlightOn = nil
 	endpoint.inFlight = removeMessage(endpoint.inFlight, msg)
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordOutcome enters an outcome into the latency tables, and into what is known of the route's limit and health.
+// recordOutcome updates the latency tables, and the limit and health of the route, with an outcome.
 func (s *Sender) recordOutcome(msg *message, endpoint *endpointState, event *Event) {
 	route, took := endpoint.route, (s.now - msg.sentAt).Seconds()
 	if msg.plannedTime > 0 && (event.Result == Delivered || event.Result == TimedOut) {
@@ -59,10 +59,10 @@
 	switch event.Result {
 	case Delivered:
 		s.recordDelivery(msg, endpoint, took)
-	case NotProcessed, Cancelled: // neither says anything of the route
-	case Rejected: // it answers, so it is up
+	case NotProcessed, Cancelled: // these say nothing about the route
+	case Rejected: // the route answers, so it is up
 		s.recordSuccess(route)
-	case Malformed: // so it does here, in its usual time
+	case Malformed: // the route answers, and the time is that of a normal call
 		endpoint.own.observe(s.now, s.bounds, took)
 		endpoint.destination.latencies.observe(s.now, s.bounds, took)
 		route.newestDelivered = max(route.newestDelivered, msg.sentAt)
@@ -78,7 +78,7 @@
 		}
 	case NoConnection:
 		s.recordNoConnection(endpoint, took)
-	case Reset: // of one connection: where the destination is down the next fail to connect, or are reset too
+	case Reset: // concerns one connection: if the destination is down, later calls fail to connect or are reset too
 		s.observeFailure(endpoint)
 		if route.resetStreak++; route.resetStreak >= ejectionResets {
 			route.failureStreak++
@@ -93,7 +93,7 @@
 
 func (s *Sender) recordDelivery(msg *message, endpoint *endpointState, took float64) {
 	route := endpoint.route
-	// A message that has run before may be answered at once when it comes again: no call takes so little.
+	// An endpoint may answer a repeat without doing the work again. Such fast answers are not counted as call times.
 	if msg.ranOn == nil || took >= endpoint.pooled.quantile(s.bounds, 0.1) {
 		endpoint.own.observe(s.now, s.bounds, took)
 		endpoint.destination.latencies.observe(s.now, s.bounds, took)
@@ -108,7 +108,7 @@
 func (s *Sender) recordThrottling(endpoint *endpointState, event *Event) {
 	route := endpoint.route
 	if route.waitUntil = max(route.waitUntil, s.now+event.RetryAfter); event.RetryAfter > 0 {
-		route.lastWait = min(event.RetryAfter, outageRetryAfter) // what it would have told others, too
+		route.lastWait = min(event.RetryAfter, outageRetryAfter) // other senders were probably asked for the same wait
 		for _, sibling := range endpoint.destination.endpoints {
 			if sibling.route == route {
 				s.recallCalls(sibling)
@@ -119,7 +119,8 @@
 	s.recordFailure(route, true)
 }
 
-// recordNoConnection takes a failed connect. One that fails at once may mean a full table of connections, and alone tells little.
+// recordNoConnection handles a failed connect. One that fails immediately may only mean a full connection table, so a single one is weak
+// evidence of an outage.
 func (s *Sender) recordNoConnection(endpoint *endpointState, took float64) {
 	route, immediate := endpoint.route, took < minLateAge
 	endpoint.own.observeFailure(s.now)
