--- a/control/backoff_test.go
+++ b/control/backoff_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A delivery ends the backoff after refusals: probes that were refused during an outage must not hold back what is due
-// once the destination has answered one.
+// A delivery ends the backoff after refusals: refused probes during an outage must not delay queued messages once the destination has
+// answered one.
 func TestBackoff_Delivery_EndsIt(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(20, 100*ms)
@@ -25,12 +25,12 @@
 	}
 	harness.sender.recordSuccess(harness.sender.destinations[0].routes[0])
 	if d := harness.sender.destinations[0].routes[0]; d.retryAt > harness.now {
-		t.Errorf("%s, and nothing may go for %v", healthText[d.health], d.retryAt-harness.now)
+		t.Errorf("route is %s and in backoff for another %v, want no backoff after a delivery", healthText[d.health], d.retryAt-harness.now)
 	}
 }
 
-// How soon a message goes again after a refusal is learnt from whether such attempts are let in: where refused calls
-// use up the limit, or many others retry, it takes longer.
+// The pause before the next attempt after a refusal is learnt from whether such attempts are accepted. It grows if refused calls use up
+// the limit, or if many other senders retry.
 func TestRetryGap_RetriesLetInOrRefused_IsLearnt(t *testing.T) {
 	next := func(result Result) time.Duration {
 		var eps []Endpoint
@@ -56,6 +56,6 @@
 	}
 	in, out := next(Delivered), next(Throttled)
 	if in > 1500*ms || out < 2*in {
-		t.Errorf("the next try comes after %v where such are let in, %v where they are refused", in, out)
+		t.Errorf("next attempt after %v if retries are accepted, %v if refused; want at most 1.5 s, and twice as long", in, out)
 	}
 }
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -9,15 +9,15 @@
 
 func TestNew_ImpossibleSettings_Fails(t *testing.T) {
 	for name, invalidate := range map[string]func(*Settings){
-		"no slots":      func(s *Settings) { s.Slots = 0 },
-		"no classes":    func(s *Settings) { s.Classes = nil },
-		"no attempts":   func(s *Settings) { s.MaxAttempts = 0 },
-		"negative cold": func(s *Settings) { s.SlowStart = -1 },
-		"negative aim":  func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
-		"no deadline":   func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"NaN worth":     func(s *Settings) { s.Classes[0].Value = math.NaN() },
-		"infinite fee":  func(s *Settings) { s.ZoneFee = []float64{0, math.Inf(1)} },
-		"NaN share":     func(s *Settings) { s.SlowStartShare = math.NaN() },
+		"no slots":                func(s *Settings) { s.Slots = 0 },
+		"no classes":              func(s *Settings) { s.Classes = nil },
+		"no attempts":             func(s *Settings) { s.MaxAttempts = 0 },
+		"negative slow start":     func(s *Settings) { s.SlowStart = -1 },
+		"negative latency target": func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"no deadline":             func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"NaN value":               func(s *Settings) { s.Classes[0].Value = math.NaN() },
+		"infinite fee":            func(s *Settings) { s.ZoneFee = []float64{0, math.Inf(1)} },
+		"NaN slow start share":    func(s *Settings) { s.SlowStartShare = math.NaN() },
 	} {
 		set := settings()
 		if invalidate(&set); true {
@@ -29,18 +29,18 @@
 	}
 }
 
-// The own number must be one of those of the senders.
+// Index must be at least 0 and below Peers.
 func TestNew_IndexOutOfRange_Fails(t *testing.T) {
 	for _, me := range []int{-1, 2} {
 		set := settings()
 		set.Index = me
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), "Me") {
-			t.Errorf("number %d of %d: %v, want an error that names Me", me, set.Peers, err)
+			t.Errorf("index %d of %d senders: %v, want an error that names Me", me, set.Peers, err)
 		}
 	}
 }
 
-// The texts come to operators through the check of a relay's configuration.
+// Operators see these texts when a relay checks its configuration.
 func TestSettingError_NamesKeyAndFigure(t *testing.T) {
 	for want, invalidate := range map[string]func(*Settings){
 		"control: settings: Me is 7, want a number below Peers, 2":                     func(s *Settings) { s.Index, s.Peers = 7, 2 },
--- a/control/encoding_test.go
+++ b/control/encoding_test.go
@@ -14,11 +14,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden encodings anew: only for a new version of the format")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden encodings; only for a new version of the format")
 
-// TestStoredFormat_ReadsCapturesOfEarlierVersions reads what an earlier version wrote of each type that captures hold, compares every
-// field, and encodes the same values to the same bytes. The fields are filled in the order in which they are declared: the names in Go
-// may change, the order and the tags may not.
+// TestStoredFormat_ReadsCapturesOfEarlierVersions decodes what an earlier version encoded for each type that captures store, compares
+// every field, and checks that the same values encode to the same bytes. Fields are filled in the order of their declaration: their names
+// in Go may change, their order and tags may not.
 func TestStoredFormat_ReadsCapturesOfEarlierVersions(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(encoded, golden) {
-				t.Errorf("%d values encode to %d bytes that differ from the %d of %s", filled, len(encoded), len(golden), file)
+				t.Errorf("%d values encode to %d bytes, which differ from the %d bytes of %s", filled, len(encoded), len(golden), file)
 			}
 			if err := cbor.Unmarshal(golden, test.empty); err != nil {
 				t.Fatal(err)
@@ -60,7 +60,8 @@
 	}
 }
 
-// fillFields gives every field under v another value, none of them zero; lists get two elements. count is how many have one.
+// fillFields sets every field under value to a different non-zero value; slices get two elements. count is the number of values set so
+// far.
 func fillFields(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	*count++
@@ -94,6 +95,6 @@
 	case reflect.Uint32, reflect.Uint64:
 		value.SetUint(uint64(*count) * 1_003)
 	default:
-		t.Fatalf("a field of kind %v is not filled", value.Kind())
+		t.Fatalf("no value for a field of kind %v", value.Kind())
 	}
 }
--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -37,9 +37,9 @@
 	health           health
 	healthSince      time.Duration
 	failedAt         time.Duration // time of the last failure
-	failureStreak    int           // consecutive failures; likewise the two below
-	refusalStreak    int
-	resetStreak      int
+	failureStreak    int           // consecutive failures
+	refusalStreak    int           // consecutive refusals
+	resetStreak      int           // consecutive connection resets
 	neverRan         bool          // the last failure proved that the call had no effect
 	inFlight         int           // messages in flight
 	lateCalls        int           // messages in flight that are late
--- a/control/endpoint_list_test.go
+++ b/control/endpoint_list_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An endpoint that is draining or removed gets nothing, also with messages queued; a complete list that lacks an endpoint removes it.
+// An endpoint that is draining or removed gets no messages, even if some are queued. A complete list without an endpoint removes it.
 func TestEndpoint_DrainingOrRemoved_GetsNothing(t *testing.T) {
 	for _, ev := range []Event{
 		{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Draining}}},
@@ -21,7 +21,7 @@
 	}
 }
 
-// What has left the list is forgotten once nothing of it can be unfinished, but not a wait that still binds.
+// A removed endpoint is deleted once no message to it can be open, but not before the end of a wait that its route asked for.
 func TestEndpoint_Removed_IsForgottenInTime(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1, Kind: 1}, Endpoint{ID: 2, Kind: 1, Destination: 5})
 	to := actionsOf(harness.step(harness.arrive(1, 2)), Send)[0].Endpoint
@@ -36,18 +36,18 @@
 		harness.now += 10 * time.Second
 	}
 	if harness.step(Event{Kind: Listed}); len(harness.sender.endpoints) != 1 || len(harness.sender.destinationOrder) != 1 || len(harness.sender.destinations) != 1 {
-		t.Errorf("%d endpoints, %d destinations, want the one whose wait binds", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
+		t.Errorf("%d endpoints, %d destinations, want only the one whose wait is not over", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
 	}
 	harness.now += time.Minute
 	if harness.step(Event{Kind: Listed}); len(harness.sender.endpoints)+len(harness.sender.destinationOrder)+len(harness.sender.destinations)+len(harness.sender.idleEndpoints) != 0 {
 		t.Errorf("%d endpoints and %d destinations are still known", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
 	}
 	if harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, harness.arrive(2, 0)); len(actionsOf(harness.out, Send)) != 1 {
-		t.Error("nothing is sent to one that is new there")
+		t.Error("no message is sent to a new endpoint of a destination that was deleted")
 	}
 }
 
-// A connection may come up only after the destination told to wait: what is on its way is recalled.
+// A connection may open only after the destination has asked for a wait or is draining, so calls in flight are recalled.
 func TestRecall_WaitOrDrain_RecallsCallsOnTheirWay(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2, Destination: 5})
 	elsewhere := harness.arrive(3, 0)
@@ -58,15 +58,15 @@
 		t.Fatalf("sent %v", harness.out)
 	}
 	if got := actionsOf(harness.step(throttled), Recall); len(got) != 1 || got[0].ID != 2 {
-		t.Errorf("called back %v, want message 2", got)
+		t.Errorf("recalled %v, want message 2", got)
 	}
 	if got := actionsOf(harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 2, Destination: 5, State: Draining}}}), Recall); len(got) != 1 {
-		t.Errorf("called back %v, want message 3", got)
+		t.Errorf("recalled %v, want message 3", got)
 	}
 }
 
-// Eighty senders that are started again with messages queued know nothing of any limit: they begin one by one, each with
-// one call, and the answer tells it the rest.
+// Eighty senders that restart with queued messages know no limits. They start at different times, each with one call, until an answer
+// tells the limit.
 func TestNewRoute_ManySenders_BeginOneByOne(t *testing.T) {
 	busiest, calls, turns := 0, 0, map[time.Duration]int{}
 	for i := range 80 {
@@ -92,6 +92,6 @@
 		busiest = max(busiest, n)
 	}
 	if busiest > 10 || calls != 80 {
-		t.Errorf("%d of 80 senders begin in the same turn of 10 ms, want 10 at most; %d calls before any answer, want one each", busiest, calls)
+		t.Errorf("%d of 80 senders start in the same 10 ms, want at most 10; %d calls before any answer, want 80", busiest, calls)
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"mastusher/control"
 )
 
-// A forwarder hands the sender what has happened, and does what it asks for.
+// A caller passes events to the sender and carries out the actions that it returns.
 func Example() {
 	sender, err := control.New(control.Settings{
 		Peers: 1, Slots: 4, MaxAttempts: 3, MaxRetryAfter: time.Second,
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// settings of a small service: a safe, a keyed, an unsafe and an ordered class.
+// settings returns the settings of a small service: a safe, a keyed, an unsafe and an ordered class.
 func settings() Settings {
 	return Settings{Peers: 2, Slots: 8, MaxOpen: 100, MaxAttempts: 6, Cancel: true, OverQuotaValue: 0.2,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStart: 10 * time.Second,
@@ -48,7 +48,7 @@
 	return h.out
 }
 
-// wait steps through d in ticks and returns all actions.
+// wait runs a Step every 25 ms for the time d, and returns all actions.
 func (h *harness) wait(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += 25 * ms
@@ -74,14 +74,14 @@
 	return Event{Kind: Resolved, ID: id, Attempt: attempt, Endpoint: ep, Result: res, Final: res == Delivered}
 }
 
-// deliver delivers n safe messages, each taking d, one after the other.
+// deliver delivers n safe messages one after the other; each takes the time d.
 func (h *harness) deliver(n int, d time.Duration) {
 	h.t.Helper()
 	for i := range n {
 		id := uint64(1e6 + float64(h.now/ms) + float64(i))
 		sent := actionsOf(h.step(h.arrive(id, 0)), Send)
 		if len(sent) != 1 {
-			h.t.Fatalf("warming call %d: sent %v", i, sent)
+			h.t.Fatalf("delivery %d: sent %v, want one attempt", i, sent)
 		}
 		h.now += d
 		h.step(outcome(id, 0, sent[0].Endpoint, Delivered))
@@ -89,10 +89,10 @@
 	}
 }
 
-func tableOf(bounds []float64, shares map[float64]float64) *latencyTable {
-	t := &latencyTable{counts: make([]float64, len(bounds))}
+func tableOf(upperBounds []float64, shares map[float64]float64) *latencyTable {
+	t := &latencyTable{counts: make([]float64, len(upperBounds))}
 	for c, p := range shares {
-		for i, e := range bounds {
+		for i, e := range upperBounds {
 			if e == c {
 				t.counts[i] = p
 				t.total += p
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// runRandomEvents feeds a sender random legal events, every result included, has an oracle check each action, and returns all of them.
+// runRandomEvents feeds a sender random valid events with every kind of result, lets an oracle check each action, and returns all
+// actions.
 func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
 	t.Helper()
 	const tick = 10 * time.Millisecond
@@ -59,7 +60,7 @@
 		oracle.checkAnswered(now, lastID)
 	}
 	if n := len(sender.messages); n != len(oracle.calls) {
-		t.Errorf("seed %d: %d messages are kept at the end, %d calls in flight", seed, n, len(oracle.calls))
+		t.Errorf("seed %d: at the end the sender has %d messages, but %d calls are in flight", seed, n, len(oracle.calls))
 	}
 	return all
 }
@@ -90,7 +91,7 @@
 		sends += len(actionsOf(runRandomEvents(t, seed, 5000), Send))
 	}
 	if sends < 10000 {
-		t.Errorf("only %d sends: the oracle saw too little", sends)
+		t.Errorf("only %d sends, want at least 10000 for the oracle to check", sends)
 	}
 }
 
@@ -100,9 +101,9 @@
 	f.Fuzz(func(t *testing.T, seed int64) { runRandomEvents(t, seed, 4000) })
 }
 
-// Whatever the seed, the number of senders and slots, the tenants with shares or without, and the weights, true or not: nothing brings a
-// send before the end of a wait, past a drain or past the message's deadline, or a second call with a message that may have run out of
-// its zone or window, and nothing keeps a message from its one end.
+// For any seed, number of senders, slots, tenants with or without quotas, and weights, correct or not: no message is sent before the end
+// of a wait, to a draining endpoint or after its deadline; a message that may have run is not sent again outside its zone or window; and
+// every message gets exactly one final answer.
 func TestInvariants_AnySeedAndNumberOfSenders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
@@ -128,7 +129,7 @@
 		}
 		for id := range p.deadlines {
 			if p.ends[id] != 1 {
-				t.Fatalf("message %d had %d ends", id, p.ends[id])
+				t.Fatalf("message %d had %d final answers, want 1", id, p.ends[id])
 			}
 		}
 	})
@@ -136,21 +137,22 @@
 
 const randomServiceTick = 25 * time.Millisecond
 
-// randomService plays the endpoints around one sender with results that are drawn, and checks what is sent. Endpoint 1 drains.
+// randomService simulates the endpoints of one sender with random results, and checks what is sent. Endpoint 1 starts draining at
+// drainAt.
 type randomService struct {
 	sender    *Sender
-	limit     float64 // reported with each answer; 0: none is
+	limit     float64 // reported with each answer; 0: no report
 	events    []Event // for the next Step
 	lastID    uint64
 	drainAt   time.Duration
 	draining  bool
 	zones     map[uint32]int
-	routes    map[uint32]uint32 // the endpoint that a route goes by, where it is another
+	routes    map[uint32]uint32 // the endpoint that identifies a route, if it is another one
 	waits     map[uint32]time.Duration
 	classes   map[uint64]int
 	deadlines map[uint64]time.Duration
 	ends      map[uint64]int
-	ran       map[uint64]firstRun // messages that may have run, and where first
+	ran       map[uint64]firstRun // messages that may have run, with the first such attempt
 }
 
 type firstRun struct {
@@ -160,7 +162,7 @@
 
 func newRandomService(s *Sender, drainAt time.Duration) *randomService {
 	return &randomService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
-		routes: map[uint32]uint32{3: 1}, // 1 and 3 are one destination
+		routes: map[uint32]uint32{3: 1}, // endpoints 1 and 3 belong to one destination
 		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, ends: map[uint64]int{},
 		ran: map[uint64]firstRun{}}
 }
@@ -176,7 +178,7 @@
 	}
 	actions := p.sender.Step(now, append(p.events, Event{Kind: Woken}), nil)
 	p.events = nil
-	newWaits := map[uint32]time.Duration{} // by answers that come with the next step
+	newWaits := map[uint32]time.Duration{} // from answers that arrive with the next Step
 	for _, action := range actions {
 		switch action.Kind {
 		case Send:
@@ -184,7 +186,7 @@
 			p.answer(t, now, action, newWaits)
 		case Refuse, Fail:
 			if p.ends[action.ID]++; p.ends[action.ID] > 1 {
-				t.Fatalf("%v: the second end of its message", action)
+				t.Fatalf("%v: second final answer to its message", action)
 			}
 		}
 	}
@@ -208,15 +210,15 @@
 	id, route := action.ID, cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	if first, ran := p.ran[id]; ran && (p.classes[id] == 2 ||
 		p.classes[id] == 1 && (first.zone != p.zones[action.Endpoint] || now >= first.at+p.sender.settings.Classes[1].Memory)) {
-		t.Fatalf("%v at %v: of class %d, and may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
+		t.Fatalf("%v at %v: sent again in class %d, though it may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
 	}
 	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.ends[id] > 0 {
-		t.Fatalf("%v at %v: draining %v, wait until %v, message until %v, ends %d", action, now, p.draining, p.waits[route],
+		t.Fatalf("%v at %v: not allowed: draining %v, wait until %v, deadline %v, final answers %d", action, now, p.draining, p.waits[route],
 			p.deadlines[id], p.ends[id])
 	}
 }
 
-// answer draws the result of an attempt, which comes with the next step.
+// answer draws the result of an attempt, which the sender gets with the next Step.
 func (p *randomService) answer(t *rapid.T, now time.Duration, action Action, newWaits map[uint32]time.Duration) {
 	route := cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	event := outcome(action.ID, p.sender.messages[action.ID].attempts-1, action.Endpoint, Delivered)
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -5,9 +5,9 @@
 )
 
 func TestLatencyTable_CensoredCall_SpreadsOverSlowerBuckets(t *testing.T) {
-	bounds := []float64{1, 2, 4, 8}
-	tb := tableOf(bounds, map[float64]float64{1: 6, 4: 3, 8: 1})
-	tb.observeCensored(0, bounds, 1)
+	upperBounds := []float64{1, 2, 4, 8}
+	tb := tableOf(upperBounds, map[float64]float64{1: 6, 4: 3, 8: 1})
+	tb.observeCensored(0, upperBounds, 1)
 	wantNear(t, "4 s", tb.counts[2], 3.75)
 	wantNear(t, "8 s", tb.counts[3], 1.25)
 	wantNear(t, "all", tb.total, 11)
@@ -15,7 +15,7 @@
 	wantNear(t, "after a half-life", tb.total, 5.5)
 }
 
-// A message that ran before its time-out may be answered at once when it comes again: that is no call's time.
+// A message that ran before its time-out may be answered immediately when it is sent again. Such an answer doesn't count as a call time.
 func TestLatencyTable_AnswerToARepeat_IsNotObserved(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(5, 300*ms)
@@ -25,6 +25,6 @@
 	before := harness.sender.endpoints[1].own.counts[0]
 	harness.now += 2 * ms
 	if harness.step(outcome(1, 1, 1, Delivered)); harness.sender.endpoints[1].own.counts[0] > before || before > 0 {
-		t.Errorf("%v calls of 2 ms are in the table", harness.sender.endpoints[1].own.counts[0])
+		t.Errorf("the fastest bucket counts %v calls, want none", harness.sender.endpoints[1].own.counts[0])
 	}
 }
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// senderGroup is many senders at one destination that takes a plain rate from all of them together; refused calls use it up.
+// senderGroup is a group of senders that call one destination. The destination has a single rate limit for all of them, which refused
+// calls use up too.
 type senderGroup struct {
 	senders    []*Sender
 	now        time.Duration
 	rng        *rand.Rand
 	limit      float64       // calls a second
-	retryAfter time.Duration // told with half of the refusals
-	tokens     float64       // calls that it would take now
-	answers    []dueAnswer   // on their way
-	hotShare   float64       // share of the messages that the first sender gets beside its part of the rest
+	retryAfter time.Duration // sent with half of the refusals
+	tokens     float64       // calls that the destination would accept now
+	answers    []dueAnswer   // answers in transit
+	hotShare   float64       // share of the messages that go to the first sender, besides its part of the others
 	lastID     uint64
 	delivered  int
 	throttled  int
@@ -46,7 +47,7 @@
 	return g
 }
 
-// second plays a second in turns of 10 ms, in which rate messages arrive, each at a sender drawn by chance.
+// second simulates one second in steps of 10 ms, in which messages arrive at the given rate, each at a random sender.
 func (g *senderGroup) second(rate float64) (delivered, throttled int) {
 	delivered, throttled = g.delivered, g.throttled
 	for range 100 {
@@ -73,7 +74,7 @@
 	return g.delivered - delivered, g.throttled - throttled
 }
 
-// arrivals draws the messages of a turn, by sender: as many in the mean as come in 10 ms.
+// arrivals draws the messages that arrive in 10 ms, by sender.
 func (g *senderGroup) arrivals(rate float64) [][]Event {
 	events := make([][]Event, len(g.senders))
 	for g.rng.Float64() < rate/(rate+100) {
@@ -87,7 +88,7 @@
 	return events
 }
 
-// answer has the destination take a call, or refuse it.
+// answer lets the destination accept or refuse a call.
 func (g *senderGroup) answer(sender int, action Action) {
 	event := Event{Kind: Resolved, ID: action.ID, Attempt: g.senders[sender].messages[action.ID].attempts - 1, Endpoint: 1,
 		Result: Throttled, Reported: true, Remaining: max(0, g.tokens/(0.3*g.limit)), Limit: g.limit}
@@ -101,8 +102,8 @@
 	g.answers = append(g.answers, dueAnswer{g.now + 150*time.Millisecond, sender, event})
 }
 
-// Eighty senders hand a destination more in one second than it takes in three. Where refused calls use up the limit, each of them asking
-// resubmitted as if it were alone keeps all of them out for good.
+// In one second, eighty senders get more messages than the destination accepts in three. Since refused calls use up the limit, all
+// senders would be refused forever if each retried as if it were the only one.
 func TestManySenders_Throttled_AreServedAfterBackoff(t *testing.T) {
 	for seed := range uint64(3) {
 		group := newSenderGroup(t, 80, 28, seed+40)
@@ -113,14 +114,14 @@
 			delivered, throttled = delivered+d, throttled+r
 		}
 		if delivered < 12*20*9/10 || throttled > delivered/5 {
-			t.Errorf("seed %d: in 12 s after a clump %d delivered of %d that came and %d refused; want nine tenths, and a fifth of that refused",
+			t.Errorf("seed %d: in 12 s after a burst %d of %d delivered, %d refused; want nine tenths, and a fifth of those refused",
 				seed, delivered, 12*20, throttled)
 		}
 	}
 }
 
-// Traffic is uneven: a sender that gets ten times an equal part of a limit of which a third is asked must not go on at that part while
-// the others leave theirs. Nor may it take theirs: few calls are refused.
+// The first sender needs ten times an equal share of a limit, of which all senders together use a third. It must use capacity that the
+// others leave unused, without having many calls refused.
 func TestManySenders_UnevenTraffic_UsesFreeCapacity(t *testing.T) {
 	for seed := range uint64(3) {
 		group := newSenderGroup(t, 80, 60, seed+60)
@@ -133,14 +134,14 @@
 			}
 		}
 		if open := group.senders[0].openMessages; open > 25 || throttled > delivered/20 {
-			t.Errorf("seed %d: after 20 s the busy sender still has %d messages; %d delivered in the last 6 s, %d refused",
+			t.Errorf("seed %d: busy sender has %d open messages, want at most 25; in the last 6 s %d delivered, %d refused, want 5 %% at most",
 				seed, open, delivered, throttled)
 		}
 	}
 }
 
-// An operator's bound holds over all senders together in every span, from the moment when it is told, however much is queued; an outage,
-// refusals and a restart lift it for nobody, and lifting it by hand does.
+// The operator's bound applies to all senders together over any period, from the moment it is set, however much is queued. Outages,
+// refusals and restarts don't lift it for any sender; removing it does.
 func TestMaxRate_ManySenders_IsNeverExceededTogether(t *testing.T) {
 	const peers, maxRate = 5, 12.0
 	for _, c := range []struct {
@@ -150,32 +151,32 @@
 	}{{"all let in", false, func(int) Result { return Delivered }}, {"two routes", true, func(int) Result { return Delivered }},
 		{"some refused", false, func(call int) Result { return []Result{Delivered, Throttled, Delivered, Errored}[call%4] }}} {
 		t.Run(c.name, func(t *testing.T) {
-			burst := 1.0 // that one sender saves up, over all routes
+			burst := 1.0 // tokens that one sender saves up, over all routes
 			if c.separateRoutes {
 				burst = 2
 			}
 			sent, bounded := runMaxRate(t, peers, maxRate, c.separateRoutes, c.result)
-			saved := (peers + 1) * burst // one sender is started again
+			saved := (peers + 1) * burst // one sender is restarted
 			level, last := 0.0, time.Duration(0)
 			for _, at := range sent[:bounded] {
 				level = max(0, level-maxRate*(at-last).Seconds()) + 1
 				if last = at; level > saved+0.05*maxRate+1e-6 {
-					t.Fatalf("%d calls, and %.2f saved up at %v: more than %.2f", bounded, level, at, saved+0.05*maxRate)
+					t.Fatalf("of %d calls, the excess over the bound is %.2f at %v, want at most %.2f", bounded, level, at, saved+0.05*maxRate)
 				}
 			}
 			if got := float64(bounded) / 50; got < 0.7*maxRate && c.name != "some refused" {
-				t.Errorf("%.1f calls a second of the %v that it may get", got, maxRate)
+				t.Errorf("%.1f calls a second under a bound of %v, want at least 70 %% of it", got, maxRate)
 			}
 			if after := float64(len(sent)-bounded) / 10; after < 2*maxRate && c.name != "some refused" {
-				t.Errorf("%.1f calls a second when it is lifted", after)
+				t.Errorf("%.1f calls a second after the bound is lifted, want at least twice the bound", after)
 			}
 			t.Log(fmt.Sprint(bounded), "calls in 50 s,", len(sent)-bounded, "in the 10 s after")
 		})
 	}
 }
 
-// runMaxRate runs a minute with plenty of messages at senders that share the operator's bound, and returns when they sent. The first
-// sender is started again after half of it; the bound is lifted after 50 s, until when bounded calls were sent.
+// runMaxRate simulates a minute in which senders with plenty of messages share the operator's bound, and returns the times of their
+// sends. The first sender is restarted after half of it. The bound is lifted after 50 s; bounded is the number of calls before that.
 func runMaxRate(t *testing.T, peers int, maxRate float64, separateRoutes bool, result func(call int) Result) (sent []time.Duration, bounded int) {
 	t.Helper()
 	set := settings()
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -6,52 +6,54 @@
 	"time"
 )
 
-// Passive health checks: a route is ejected by what this sender's own calls meet there, or on the word of other senders (see
-// applyGrant), and returns by the first delivery to a probe.
+// Passive health checks: a route is ejected because of the outcomes of this sender's own calls, or on the evidence of other senders (see
+// applyGrant). It returns with the first delivery to a probe.
 
 const (
-	// lateCallFactor is the multiple of the 90th percentile from which on a call in flight is late.
+	// lateCallFactor is the multiple of the 90th percentile of an endpoint's call times above which a call in flight is late.
 	lateCallFactor = 2.5
-	// minLateAge is the age in seconds that a late call has at least: shorter pauses are no sign.
+	// minLateAge is the least age, in seconds, of a late call: shorter pauses say nothing about health.
 	minLateAge = 1.0
-	// unknownLateFactor is the multiple of minLateAge from which on a call is late where the endpoint's times aren't known.
+	// unknownLateFactor is the multiple of minLateAge above which a call is late if the endpoint's call times aren't known.
 	unknownLateFactor = 3
-	// lateCallEjection is how long a route has late calls before it is ejected: shorter is a pause, longer an outage.
+	// lateCallEjection is how long a route must have late calls before it is ejected: anything shorter is a pause, anything longer an
+	// outage.
 	lateCallEjection = 2500 * time.Millisecond
-	// hangingCallFactor is the multiple of the late age from which on a Safe call at an ejected route is called off.
+	// hangingCallFactor is the multiple of the late age above which a Safe call to an ejected route is cancelled.
 	hangingCallFactor = 3.0
 
-	// ejectionFailures is the number of failures in a row that eject a route.
+	// ejectionFailures is the number of consecutive failures that eject a route.
 	ejectionFailures = 2
-	// ejectionResets is the number of connection resets in a row from which on each counts as such a failure.
+	// ejectionResets is the number of consecutive connection resets from which on each one counts as a failure.
 	ejectionResets = 4
-	// ejectionRefusals is the number of refusals in a row, decreaseInterval apart, that do so at a route that gets few calls.
+	// ejectionRefusals is the number of consecutive refusals, decreaseInterval apart, that eject a route with few calls.
 	ejectionRefusals = 2
-	// ejectionNoDelivery is the time without a delivery after which a single failure, or those refusals, eject a route.
+	// ejectionNoDelivery is the time without a delivery after which a single failure, or the refusals above, eject a route.
 	ejectionNoDelivery = 3 * time.Second
-	// outageRetryAfter is the wait from which on a route that tells it is shut, and not just busy.
+	// outageRetryAfter is the wait above which a route that asks for it is considered down, not just busy.
 	outageRetryAfter = 2500 * time.Millisecond
-	// unsafeProbeTokens is what a probe needs that can't be repeated: it comes half a probe later than others.
+	// unsafeProbeTokens is the number of tokens needed for a probe that can't be repeated, so that it is sent half a probe interval later
+	// than others.
 	unsafeProbeTokens = 1.5
 )
 
-// health is what is observed of a route.
+// health is the observed health of a route.
 type health uint8
 
 const (
 	healthy    health = iota
-	lagging           // calls in flight are older than its calls usually take: one probe at a time
-	ejected           // it fails or refuses what is sent: one probe at a time
-	recovering        // it has answered a probe: slow start
+	lagging           // some calls in flight are late: one probe at a time
+	ejected           // the route fails or refuses calls: one probe at a time
+	recovering        // the route has answered a probe: slow start
 )
 
 // healthText is written to logs and captures.
 var healthText = [...]string{"steady", "overrunning", "stopped", "returning"}
 
-// probesOnly tells whether only probes may be sent.
+// probesOnly reports whether only probes may be sent to the route.
 func (r *routeState) probesOnly() bool { return r.health == ejected || r.health == lagging }
 
-// recordSuccess takes a sign that route is up. An ejected route is recovering from then on, in slow start.
+// recordSuccess handles evidence that route is up. An ejected route becomes recovering, with a slow start.
 func (s *Sender) recordSuccess(route *routeState) {
 	route.failureStreak, route.resetStreak, route.refusalStreak, route.retryAt = 0, 0, 0, 0
 	switch route.health {
@@ -60,13 +62,14 @@
 	case ejected:
 		route.tokens, route.refilledAt = s.random(), s.now
 		s.setHealth(route, recovering)
-		route.healthSince -= (s.now - route.failedAt) / 2 // it came back at some time between
+		route.healthSince -= (s.now - route.failedAt) / 2 // it came back some time after the last failure; assume half way
 	}
 }
 
-// recordFailure takes a failure, or a refusal that may mean an outage. At a destination that hundreds call each of them sees one or two
-// calls: one failure is enough where nothing delivered of late speaks against it, and two refusals in a row, since a limit refuses some
-// calls and a destination that is shut refuses all. Where the limit is reported as used up no number of refusals means an outage.
+// recordFailure handles a failure, or a refusal that may mean an outage. If hundreds of senders call a destination, each has only one or
+// two calls there. So without a recent delivery, one failure is enough to eject a route, and so are two consecutive refusals: a rate
+// limit refuses some calls, a destination that is out of service refuses all. While the reported limit is used up, no number of refusals
+// means an outage.
 func (s *Sender) recordFailure(route *routeState, neverRan bool) {
 	route.neverRan, route.failedAt, route.ejectedByPeers = neverRan, s.now, false
 	refusals := ejectionRefusals + int(ejectionNoDelivery.Seconds()*min(1, route.sends.rate(s.now)))
@@ -76,12 +79,13 @@
 	case route.health == ejected:
 		route.tokens = 2*s.random() - 1
 	case unanswered || route.failureStreak >= ejectionFailures || route.waitUntil > s.now+outageRetryAfter,
-		route.health == recovering && route.failureStreak > 0: // it is the first to fail again, or has not come back
+		route.health == recovering && route.failureStreak > 0: // it failed again, or is not back yet
 		s.restrictToProbes(route, ejected)
 	}
 }
 
-// restrictToProbes lets only probes go to route, which is lagging or ejected. The first comes at a time of its own at each of the senders.
+// restrictToProbes sets route to lagging or ejected, so that it only gets probes. The first probe is sent after a random delay, different
+// at each sender.
 func (s *Sender) restrictToProbes(route *routeState, h health) {
 	if route.health == healthy {
 		route.rateBeforeOutage = max(route.deliveries.rate(s.now), route.rateBeforeOutage/2)
@@ -98,7 +102,7 @@
 	}
 }
 
-// lateAge is the age in seconds from which on a call to endpoint is late.
+// lateAge returns the age in seconds above which a call to endpoint is late.
 func (s *Sender) lateAge(endpoint *endpointState) float64 {
 	if !endpoint.known() {
 		return unknownLateFactor * minLateAge
@@ -106,8 +110,8 @@
 	return max(minLateAge, lateCallFactor*endpoint.pooled.quantile(s.bounds, 0.9))
 }
 
-// updateHealth finds the routes whose calls in flight are late. Like all that each Step does it looks only at destinations for which
-// something is queued or in flight, however many the list names.
+// updateHealth looks for late calls and updates the health of routes. Like the rest of a Step, it only visits destinations with queued
+// messages or calls in flight, however many are listed.
 func (s *Sender) updateHealth() {
 	s.active = slices.DeleteFunc(s.active, func(dest *destinationState) bool {
 		dest.active = len(dest.queue) > 0 || dest.callsInFlight > 0
@@ -122,8 +126,8 @@
 	}
 }
 
-// countLateCalls counts the late calls of dest's routes, and calls off Safe ones that hang at an ejected route: they would wait for their
-// deadline there, also when the route is back.
+// countLateCalls counts the late calls of dest's routes, and cancels Safe calls that hang at an ejected route: they would wait there
+// until their deadline, even after the route is back.
 func (s *Sender) countLateCalls(dest *destinationState) {
 	for _, route := range dest.routes {
 		route.lateCalls = 0
@@ -154,7 +158,8 @@
 	}
 }
 
-// mayProbe lets one probe at a time go to a route that gets only probes: a message that may be repeated if one is queued.
+// mayProbe reports whether msg may be sent as a probe. A route that only gets probes has one in flight at a time, preferably a message
+// that may be repeated.
 func (s *Sender) mayProbe(msg *message, route *routeState) bool {
 	if route.inFlight > route.lateCalls {
 		return false
--- a/control/planner.go
+++ b/control/planner.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Planner lends the latency tables and the restart recursion to callers that queue requests of their own. It decides nothing: it builds
-// the values that a Sender keeps for itself, endpoints with their tables, and hands them to the same functions. A Sender uses these
-// inside Step, with its queue, health, pace and rules around them; a caller of a Planner brings those itself, and passes only the tables
-// of endpoints that take calls now.
+// Planner offers the latency tables and the restart recursion to callers that queue requests themselves. It makes no decisions: it builds
+// the endpoints and tables that a Sender has, and calls the same functions on them. A Sender uses these functions in Step, together with
+// its queue, health checks, rate limits and rules. A caller of a Planner provides its own, and passes only the tables of endpoints that
+// accept calls at the moment.
 //
-// A Planner is not safe for concurrent use, and its tables belong to it.
+// A Planner is not safe for concurrent use, and neither are its tables.
 type Planner struct {
-	sender            Sender           // has the bucket bounds and the time; none of its messages, destinations or actions are used
-	unrestrictedRoute routeState       // that of all tables: it takes calls at any time
-	service           destinationState // scratch: has the tables of one call to Pool or Solve
+	sender            Sender           // only its bucket bounds, retry times and time are used
+	unrestrictedRoute routeState       // the route of all tables; it accepts calls at any time
+	service           destinationState // scratch space: the tables of one call to Pool or Solve
 }
 
-// LatencyTable is the table of one endpoint: its own calls, and what Pool adds from those of others.
+// LatencyTable is the latency table of one endpoint: its own calls, and what Pool adds from calls to others.
 type LatencyTable struct {
 	planner  *Planner
 	endpoint endpointState
 }
 
-// Plan is the expected time of a request by the number of attempts it has left, when each one goes to the best of the endpoints that the
-// plan was solved for.
+// Plan is the expected time of a request for each number of attempts left, if each attempt goes to the best of the endpoints for which
+// the plan was solved.
 type Plan struct {
 	planner *Planner
 	plan    restartPlan
 }
 
-// NewPlanner returns a planner whose tables tell times apart up to longest, a second at least; what is slower counts as that. Tables
-// that are to be read together must come from one planner.
+// NewPlanner returns a planner whose tables distinguish times up to longest, but at least up to a second; slower calls count as the
+// slowest bucket. Tables that are used together must come from the same planner.
 func NewPlanner(longest time.Duration) *Planner {
 	p := &Planner{}
 	class := Class{Deadline: max(longest, time.Second)}
@@ -41,7 +41,7 @@
 	return p
 }
 
-// NewTable returns a table without calls.
+// NewTable returns an empty table.
 func (p *Planner) NewTable() *LatencyTable {
 	t := &LatencyTable{planner: p}
 	t.endpoint.route = &p.unrestrictedRoute
@@ -50,8 +50,8 @@
 	return t
 }
 
-// Pool brings tables up to now, and fills up what each of them lacks from the calls that common has, which are usually those of all
-// endpoints of one service. Quantile, Known, Solve and Attempt go by what Pool has made.
+// Pool applies the decay up to now, and supplements tables that have too few calls with those of common, which usually counts the calls
+// to all endpoints of a service. Quantile, Known, Solve and Attempt use the result of the last Pool.
 func (p *Planner) Pool(now time.Duration, common *LatencyTable, tables []*LatencyTable) {
 	p.sender.now = now
 	p.service.latencies = common.endpoint.own
@@ -60,8 +60,8 @@
 	common.endpoint.own = p.service.latencies
 }
 
-// Solve returns the plan for requests with up to that many attempts. Tables that are not Known take no part; without any that is, all
-// expected times are infinite.
+// Solve returns the plan for requests with up to the given number of attempts. Tables that are not Known are left out; if none is Known,
+// all expected times are infinite.
 func (p *Planner) Solve(now time.Duration, tables []*LatencyTable, attempts int) Plan {
 	p.setEndpoints(tables)
 	plan := Plan{planner: p}
@@ -69,8 +69,8 @@
 	return plan
 }
 
-// ObserveRetry tells how long a request took that was sent again after a time-out of the plan's, and what the plan had expected. Where
-// retries take longer than that, the work is slow of itself and a restart repeats it: the plan then restarts later.
+// ObserveRetry records how long a request took that was retried after a time-out set by the plan, and how long the plan had expected. If
+// retries take longer than expected, the work itself is slow and a restart repeats it, so the plan restarts later.
 func (p *Planner) ObserveRetry(took, expected time.Duration) {
 	p.sender.observeRetry(took.Seconds(), expected.Seconds())
 }
@@ -87,24 +87,24 @@
 	t.endpoint.own.observe(now, t.planner.sender.bounds, elapsed.Seconds())
 }
 
-// AddFailed counts a call that failed, as slow as the slowest.
+// AddFailed counts a failed call as one of the slowest.
 func (t *LatencyTable) AddFailed(now time.Duration) { t.endpoint.own.observeFailure(now) }
 
-// AddCensored counts a call that was cut off after elapsed: it would have taken longer.
+// AddCensored counts a call that was cut off after elapsed and would have taken longer.
 func (t *LatencyTable) AddCensored(now, elapsed time.Duration) {
 	t.endpoint.own.observeCensored(now, t.planner.sender.bounds, elapsed.Seconds())
 }
 
-// Count is how many of the endpoint's own calls the table holds; they count for less as they age.
+// Count returns the number of calls to the endpoint itself in the table; older calls count for less.
 func (t *LatencyTable) Count(now time.Duration) float64 {
 	t.endpoint.own.decay(now)
 	return t.endpoint.own.total
 }
 
-// Known tells whether there are enough calls, own or pooled, to plan by.
+// Known reports whether there are enough calls, own or pooled, to plan with.
 func (t *LatencyTable) Known() bool { return t.endpoint.known() }
 
-// Quantile is the time of the bucket in which the share q of the answered calls is reached; 0 while not Known.
+// Quantile returns the upper bound of the bucket that contains quantile q of the answered calls; 0 if the table is not Known.
 func (t *LatencyTable) Quantile(q float64) time.Duration {
 	if !t.Known() {
 		return 0
@@ -112,7 +112,7 @@
 	return toDuration(t.endpoint.pooled.quantile(t.planner.sender.bounds, q))
 }
 
-// Expected is the expected time of a request with so many attempts left; the largest Duration where it is infinite.
+// Expected returns the expected time of a request with attemptsLeft attempts left, or the largest Duration if it is infinite.
 func (p Plan) Expected(attemptsLeft int) time.Duration {
 	if attemptsLeft >= len(p.plan.expected) || math.IsInf(p.plan.expected[attemptsLeft], 1) {
 		return math.MaxInt64
@@ -120,10 +120,9 @@
 	return toDuration(p.plan.expected[attemptsLeft])
 }
 
-// Attempt is what the recursion says of an attempt at the endpoint of that table, made with so many attempts left, it included: the
-// expected time until an answer, of this attempt or a later one, and the time after which to restart elsewhere. Where runsOn is true, a
-// restart gains nothing and the call should last as long as it may. An endpoint whose table is not Known has no expected time, and its
-// call runs on.
+// Attempt returns the plan for an attempt at the endpoint of table t with attemptsLeft attempts left, this one included: the expected
+// time until an answer to this or a later attempt, and the time after which to restart elsewhere. If runsOn is true, a restart gains
+// nothing and the call should be allowed all the time there is. For a table that is not Known, expected is 0 and runsOn is true.
 func (p Plan) Attempt(t *LatencyTable, attemptsLeft int) (expected, timeout time.Duration, runsOn bool) {
 	if !t.Known() || len(p.plan.expected) < 2 {
 		return 0, 0, true
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -113,12 +113,12 @@
 	rapid.Check(t, func(rapidT *rapid.T) {
 		// Given tables with the same calls in a planner and in a sender's own types.
 		planner := NewPlanner(plannerLongest)
-		bounds, common := planner.sender.bounds, planner.NewTable()
+		upperBounds, common := planner.sender.bounds, planner.NewTable()
 		var tables []*LatencyTable
-		own := destinationState{latencies: latencyTable{counts: make([]float64, len(bounds))}}
-		sender := Sender{bounds: bounds, allLatencies: latencyTable{counts: make([]float64, len(bounds))}}
+		own := destinationState{latencies: latencyTable{counts: make([]float64, len(upperBounds))}}
+		sender := Sender{bounds: upperBounds, allLatencies: latencyTable{counts: make([]float64, len(upperBounds))}}
 		for range rapid.IntRange(1, 5).Draw(rapidT, "endpoints") {
-			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(bounds))}}
+			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(upperBounds))}}
 			for range rapid.IntRange(0, 12).Draw(rapidT, "calls") {
 				elapsed := time.Duration(rapid.IntRange(1, 9000).Draw(rapidT, "ms")) * time.Millisecond
 				x := elapsed.Seconds()
@@ -131,13 +131,13 @@
 				case 1:
 					table.AddCensored(0, elapsed)
 					common.AddCensored(0, elapsed)
-					endpoint.own.observeCensored(0, bounds, x)
-					own.latencies.observeCensored(0, bounds, x)
+					endpoint.own.observeCensored(0, upperBounds, x)
+					own.latencies.observeCensored(0, upperBounds, x)
 				default:
 					table.Add(0, elapsed)
 					common.Add(0, elapsed)
-					endpoint.own.observe(0, bounds, x)
-					own.latencies.observe(0, bounds, x)
+					endpoint.own.observe(0, upperBounds, x)
+					own.latencies.observe(0, upperBounds, x)
 				}
 			}
 			tables, own.endpoints = append(tables, table), append(own.endpoints, endpoint)
@@ -150,7 +150,7 @@
 		solved := planner.Solve(now, tables, 4)
 		sender.poolLatencies(&own)
 		var want restartPlan
-		want.solve(bounds, own.endpoints, 4, sender.retryPenalty(), now)
+		want.solve(upperBounds, own.endpoints, 4, sender.retryPenalty(), now)
 
 		// Then every figure is the same.
 		if diff := cmp.Diff(want.expected, solved.plan.expected); diff != "" {
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -104,7 +104,7 @@
 	set := settings()
 	limit := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
 	if reported, not := countProbes(true), countProbes(false); float64(reported) > limit || reported == 0 || not < 2*reported {
-		t.Errorf("%d countProbes in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
+		t.Errorf("%d probes in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
 	}
 }
 
--- a/control/rate_meter.go
+++ b/control/rate_meter.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// rateWindow is the time constant of all rate meters: an event counts for 1/e after it.
+// rateWindow is the time constant of all rate meters: after this time an event counts for 1/e.
 const rateWindow = 10 * time.Second
 
 // rateMeter is an exponentially decaying rate of events.
 type rateMeter struct {
 	count     float64
 	updatedAt time.Duration
-	startedAt time.Duration // counts are missing before that, and the rate is corrected for it
+	startedAt time.Duration // nothing was counted before; rate corrects for it
 }
 
 func (m *rateMeter) add(now time.Duration) {
@@ -20,7 +20,7 @@
 	m.updatedAt = now
 }
 
-// rate is events a second.
+// rate returns the events a second.
 func (m *rateMeter) rate(now time.Duration) float64 {
 	count := m.count * math.Exp(-float64(now-m.updatedAt)/float64(rateWindow))
 	return count / (rateWindow.Seconds() * (1 - math.Exp(-float64(now-m.startedAt+time.Second)/float64(rateWindow))))
--- a/control/restart_plan.go
+++ b/control/restart_plan.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// retryTimePrior is how many times longer than planned a retry is taken to need before any is seen; retryPriorWeight is the seconds of
-	// planned time that this counts for.
+	// retryTimePrior is the assumed ratio of actual to planned time of a retry before any has been observed; retryPriorWeight is the
+	// planned time, in seconds, for which this assumption counts.
 	retryTimePrior   = 4.0
 	retryPriorWeight = 2.0
-	// retryTimeDecay is what is left of the older retries with each new one.
+	// retryTimeDecay is the factor applied to the sums of earlier retries with each new one.
 	retryTimeDecay = 0.95
-	// costTolerance, in seconds, is the difference below which two expected times are a tie.
+	// costTolerance is the difference, in seconds, below which two expected times count as equal.
 	costTolerance = 1e-12
-	// poolInterval is the time after which pooled tables are made anew also without a new outcome.
+	// poolInterval is the time after which pooled tables are recomputed even without a new outcome.
 	poolInterval = time.Second
 )
 
-// bestRestart is the inner minimum of the recursion (see the package's documentation) for one endpoint, where next is the expected time
-// of the attempts after this one: the least expected time in seconds, and the bucket at whose bound the attempt is to be restarted. The
-// last bucket means that it runs on. Failed calls cost the slowest time, but no time-out waits for them.
+// bestRestart is the inner minimum of the recursion (see the package documentation) for one endpoint; next is the expected time of the
+// attempts after this one. It returns the least expected time in seconds, and the bucket at whose bound to restart the attempt; the last
+// bucket means no restart. Failed calls cost the time of the slowest bucket, but no time-out waits for them.
 func (t *latencyTable) bestRestart(bounds []float64, next float64) (best float64, stop int) {
 	last := len(bounds) - 1
 	done := t.failed / t.total
@@ -37,7 +37,7 @@
 		if i < last && done < 1-1e-9 {
 			cost += (1 - done) * (bound + next)
 		}
-		// Ties go to the longer wait: a restart that gains nothing costs the destination work.
+		// Prefer the longer wait if times are equal: a restart that gains nothing costs the destination work.
 		if cost <= best+costTolerance {
 			best, stop = min(best, cost), i
 		}
@@ -48,22 +48,23 @@
 	return best, stop
 }
 
-// restartPlan is the expected time in seconds by the number of attempts left, over the endpoints of one destination. Level 0 stands for
-// no attempt left, and is infinite.
+// restartPlan holds the expected time in seconds for each number of attempts left, over the endpoints of one destination. The time for no
+// attempts left is infinite.
 type restartPlan struct{ expected []float64 }
 
-// solve leaves out the endpoints that take nothing now: a call must not be cut off for the sake of one that is faster, but shut. Where
-// none takes anything it plans as if all did. It hurts where an endpoint that was left out opens again in the meantime.
+// solve computes the plan. It leaves out endpoints that accept no calls now: a call must not be cut off in favour of an endpoint that is
+// faster but unavailable. If no endpoint accepts calls, it plans as if all did. The drawback: an endpoint that was left out may become
+// available again before the plan is next solved.
 func (p *restartPlan) solve(bounds []float64, endpoints []*endpointState, levels int, penalty float64, now time.Duration) {
 	p.expected = append(p.expected[:0], math.Inf(1))
-	open := func(e *endpointState) bool {
+	accepting := func(e *endpointState) bool {
 		return e.known() && e.state == Ready && e.route.waitUntil <= now && e.route.retryAt <= now
 	}
-	noneAccepting := !slices.ContainsFunc(endpoints, open)
+	noneAccepting := !slices.ContainsFunc(endpoints, accepting)
 	for level := 1; level <= levels; level++ {
 		best := math.Inf(1)
 		for _, endpoint := range endpoints {
-			if open(endpoint) || noneAccepting && endpoint.known() && endpoint.state == Ready {
+			if accepting(endpoint) || noneAccepting && endpoint.known() && endpoint.state == Ready {
 				cost, _ := endpoint.pooled.bestRestart(bounds, penalty*p.expected[level-1])
 				best = min(best, cost)
 			}
@@ -72,16 +73,16 @@
 	}
 }
 
-// known tells whether the endpoint's pooled table holds enough to plan by.
+// known reports whether the endpoint's pooled table has enough calls to plan with.
 func (e *endpointState) known() bool { return e.pooled.total >= minTableCalls-1e-6 }
 
-// poolLatencies makes the pooled tables of dest's endpoints, from near evidence to far: an endpoint's own calls, then those of its
-// destination, then all calls of this sender, as a shape at that destination's pace. What is farther fills up only what the nearer lacks
-// of a table: the recursion decides also where an endpoint is called once an hour.
+// poolLatencies computes the pooled tables of dest's endpoints: calls to the endpoint itself, supplemented with calls to its destination,
+// then with all calls of this sender, shifted to match the destination's median. The less specific data only make up for missing calls.
+// They let the recursion decide even for an endpoint that is called once an hour.
 func (s *Sender) poolLatencies(dest *destinationState) {
 	near, far := &dest.latencies, &s.allLatencies
 	near.decay(s.now)
-	shift := 0 // buckets from the sender's median to the destination's, as far as the latter is known
+	shift := 0 // buckets from the sender's median to the destination's, weighted by how well the latter is known
 	if far.total >= minTableCalls {
 		distance := math.Log(near.quantile(s.bounds, 0.5)/far.quantile(s.bounds, 0.5)) / math.Log(bucketRatio)
 		shift = int(math.Round(distance * near.total / (near.total + minTableCalls)))
@@ -89,9 +90,9 @@
 	for _, endpoint := range dest.endpoints {
 		own, pooled := &endpoint.own, &endpoint.pooled
 		own.decay(s.now)
-		lack := max(0, minTableCalls-own.total)
-		nearWeight := min(1, lack/max(near.total, 1e-9))
-		farWeight := max(0, lack-near.total) / max(far.total, minTableCalls)
+		missing := max(0, minTableCalls-own.total)
+		nearWeight := min(1, missing/max(near.total, 1e-9))
+		farWeight := max(0, missing-near.total) / max(far.total, minTableCalls)
 		*pooled = latencyTable{counts: append(pooled.counts[:0], own.counts...), failed: own.failed + nearWeight*near.failed,
 			total: own.total + nearWeight*near.total + farWeight*far.total}
 		for i, count := range far.counts {
@@ -101,7 +102,7 @@
 	}
 }
 
-// refreshPlan brings dest's pooled tables and plan up to this Step, if they are not.
+// refreshPlan updates dest's pooled tables and plan if they are out of date.
 func (s *Sender) refreshPlan(dest *destinationState) {
 	if dest.poolStale || s.now-dest.pooledAt > poolInterval {
 		dest.poolStale, dest.pooledAt, dest.solvedStep = false, s.now, 0
@@ -113,13 +114,15 @@
 	}
 }
 
-// observeRetry takes how long a retry took that followed a time-out of the plan's, and what the plan had expected, both in seconds.
+// observeRetry records the time of a retry that followed a time-out set by the plan, and the time that the plan had expected, both in
+// seconds.
 func (s *Sender) observeRetry(took, expected float64) {
 	s.retryTimes[0], s.retryTimes[1] = s.retryTimes[0]*retryTimeDecay+took, s.retryTimes[1]*retryTimeDecay+expected
 }
 
-// retryPenalty is how many times longer than the plan expected retries took. The recursion assumes independent attempts; where a message
-// is slow of itself, a restart repeats its work, and this keeps the plan from restarting for nothing.
+// retryPenalty returns the ratio of the time that retries took to the time that the plan expected, at least 1. The recursion assumes
+// independent attempts; if a message itself is slow to process, a restart repeats its work, and the penalty keeps the plan from useless
+// restarts.
 func (s *Sender) retryPenalty() float64 {
 	return max(1, (s.retryTimes[0]+retryTimePrior*retryPriorWeight)/(s.retryTimes[1]+retryPriorWeight))
 }
--- a/control/restart_plan_test.go
+++ b/control/restart_plan_test.go
@@ -7,10 +7,10 @@
 
 // The example in section 1 of the paper on restart strategies: 5 s at 0.6, 20 s at 0.4 gives 11, 7.4 and 5.96 s.
 func TestRestartPlan_PaperExample_GivesItsTimes(t *testing.T) {
-	bounds := []float64{5, 20}
-	e := &endpointState{route: &routeState{}, pooled: *tableOf(bounds, map[float64]float64{5: 60, 20: 40})}
+	upperBounds := []float64{5, 20}
+	e := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{5: 60, 20: 40})}
 	var p restartPlan
-	p.solve(bounds, []*endpointState{e}, 3, 1, 0)
+	p.solve(upperBounds, []*endpointState{e}, 3, 1, 0)
 	wantNear(t, "E1", p.expected[1], 11)
 	wantNear(t, "E2", p.expected[2], 3+0.4*(5+11)) // the time spent is charged
 	wantNear(t, "E3", p.expected[3], 3+0.4*(5+9.4))
@@ -25,10 +25,10 @@
 		slow  float64
 		helps bool
 	}{{6, true}, {3.5, true}, {2.9, false}, {2, false}} {
-		bounds := []float64{1, c.slow}
-		e := &endpointState{pooled: *tableOf(bounds, map[float64]float64{1: 50, c.slow: 50})}
+		upperBounds := []float64{1, c.slow}
+		e := &endpointState{pooled: *tableOf(upperBounds, map[float64]float64{1: 50, c.slow: 50})}
 		ex := (1 + c.slow) / 2
-		cost, s := e.pooled.bestRestart(bounds, ex)
+		cost, s := e.pooled.bestRestart(upperBounds, ex)
 		if got := s == 0; got != c.helps {
 			t.Errorf("c = %v: restarts %v, want %v", c.slow, got, c.helps)
 		}
@@ -37,19 +37,19 @@
 }
 
 func TestRestartPlan_TwoEndpoints_TiesRunOn(t *testing.T) {
-	bounds := []float64{1, 2, 8}
-	fast := &endpointState{route: &routeState{}, pooled: *tableOf(bounds, map[float64]float64{1: 50, 8: 50})}
-	even := &endpointState{route: &routeState{}, pooled: *tableOf(bounds, map[float64]float64{2: 100})}
+	upperBounds := []float64{1, 2, 8}
+	fast := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{1: 50, 8: 50})}
+	even := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{2: 100})}
 	var p restartPlan
-	p.solve(bounds, []*endpointState{fast, even}, 2, 1, 0)
+	p.solve(upperBounds, []*endpointState{fast, even}, 2, 1, 0)
 	wantNear(t, "E1", p.expected[1], 2)
 	wantNear(t, "E2", p.expected[2], 2) // fast first, cut at 1: 0.5 + 0.5 (1 + 2) = 2, a tie with even
-	cost, s := fast.pooled.bestRestart(bounds, 2)
+	cost, s := fast.pooled.bestRestart(upperBounds, 2)
 	wantNear(t, "fast first", cost, 2)
 	if s != 0 {
 		t.Errorf("s = %d, want the cut after the first bucket", s)
 	}
-	if _, s := even.pooled.bestRestart(bounds, 0.5); s != 2 {
+	if _, s := even.pooled.bestRestart(upperBounds, 0.5); s != 2 {
 		t.Errorf("a table of one time restarts at %d", s)
 	}
 }
@@ -57,16 +57,16 @@
 // A message slow of itself repeats its work: once retries have taken far longer than planned, the penalty
 // keeps the plan from restarting calls.
 func TestRetryPenalty_SlowRetries_StopRestarts(t *testing.T) {
-	bounds := []float64{1, 6}
-	e := &endpointState{own: *tableOf(bounds, map[float64]float64{1: 50, 6: 50})}
+	upperBounds := []float64{1, 6}
+	e := &endpointState{own: *tableOf(upperBounds, map[float64]float64{1: 50, 6: 50})}
 	s := &Sender{}
 	s.retryTimes = [2]float64{1, 1}
 	s.retryTimes[0], s.retryTimes[1] = 100, 100
-	if _, at := e.own.bestRestart(bounds, s.retryPenalty()*3.5); at != 0 {
+	if _, at := e.own.bestRestart(upperBounds, s.retryPenalty()*3.5); at != 0 {
 		t.Error("independent attempts: no restart")
 	}
 	s.retryTimes[0] = 1000
-	if _, at := e.own.bestRestart(bounds, s.retryPenalty()*3.5); at != 1 {
+	if _, at := e.own.bestRestart(upperBounds, s.retryPenalty()*3.5); at != 1 {
 		t.Error("attempts that repeat their work: restarted")
 	}
 }
@@ -117,14 +117,14 @@
 // A call is not restarted for the sake of a faster endpoint that takes nothing now: the retry would go to the same one
 // again, with the same time-out, and so on until all attempts are used up.
 func TestRestartPlan_ShutEndpoint_IsLeftOut(t *testing.T) {
-	bounds := []float64{0.1, 1, 8}
-	fast := &endpointState{route: &routeState{}, pooled: *tableOf(bounds, map[float64]float64{0.1: 100})}
-	slow := &endpointState{route: &routeState{}, pooled: *tableOf(bounds, map[float64]float64{0.1: 10, 1: 90})}
+	upperBounds := []float64{0.1, 1, 8}
+	fast := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{0.1: 100})}
+	slow := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{0.1: 10, 1: 90})}
 	for what, shut := range map[string]routeState{"none": {}, "a wait": {waitUntil: time.Second}, "a refusal": {retryAt: time.Second}} {
 		fast.route = &shut
 		var p restartPlan
-		p.solve(bounds, []*endpointState{fast, slow}, 2, 1, 0)
-		if _, s := slow.pooled.bestRestart(bounds, p.expected[1]); (s == 0) != (what == "none") {
+		p.solve(upperBounds, []*endpointState{fast, slow}, 2, 1, 0)
+		if _, s := slow.pooled.bestRestart(upperBounds, p.expected[1]); (s == 0) != (what == "none") {
 			t.Errorf("%s: cut at bucket %d", what, s)
 		}
 	}
--- a/control/restore.go
+++ b/control/restore.go
@@ -7,15 +7,15 @@
 )
 
 var (
-	errOtherSettings        = errors.New("control: a snapshot under other settings")
-	errInconsistentSnapshot = errors.New("control: a snapshot that does not hold together")
+	errOtherSettings        = errors.New("control: snapshot has other latency buckets or kinds than the settings")
+	errInconsistentSnapshot = errors.New("control: snapshot is inconsistent: an id or index refers to nothing, or a table has the wrong size")
 )
 
-// Restore returns a sender that goes on from a snapshot under the settings that it was taken under. A snapshot of another version, one
-// under other settings, or one that names what it doesn't hold, is an error.
+// Restore returns a sender that continues from a snapshot. The settings must be those under which the snapshot was taken. Restore fails
+// if the snapshot has another version, was evidently taken under other settings, or refers to something that it does not contain.
 func Restore(set Settings, snap *Snapshot) (*Sender, error) {
 	if snap.Version != SnapshotVersion {
-		return nil, fmt.Errorf("control: a snapshot of version %d, this program reads %d", snap.Version, SnapshotVersion)
+		return nil, fmt.Errorf("control: snapshot has version %d, want %d", snap.Version, SnapshotVersion)
 	}
 	s, err := New(set, snap.RandomState)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// restorer makes pointers of a snapshot's numbers; its steps go from what is pointed at to what points.
+// restorer turns the ids and indices of a snapshot into pointers. Its methods run in an order in which a pointer's target exists first.
 type restorer struct {
 	sender  *Sender
 	snap    *Snapshot
@@ -45,10 +45,10 @@
 	removed []*endpointState
 }
 
-// bucketsMatch tells whether a table has the buckets of s.
+// bucketsMatch reports whether t has as many buckets as the tables of s.
 func (s *Sender) bucketsMatch(t LatencySnapshot) bool { return len(t.Counts) == len(s.bounds) }
 
-// restoreValues takes over all that points at nothing.
+// restoreValues restores everything that refers to no destination, endpoint, message or call.
 func (s *Sender) restoreValues(snap *Snapshot) {
 	s.now, s.steps, s.lastSeq = snap.Now, snap.Steps, snap.Seq
 	s.slotsInUse, s.openMessages, s.callsToUnhealthy = snap.SlotsInUse, snap.OpenMessages, snap.CallsToUnhealthy
@@ -61,7 +61,7 @@
 	for i := range min(len(snap.Quotas), len(s.quotas)) {
 		quota, from := &s.quotas[i], snap.Quotas[i]
 		quota.tokens, quota.refilledAt, quota.extraShare, quota.demand = from.Tokens, from.RefilledAt, from.ExtraShare, from.Demand.restore()
-		if from.Rate > 0 || from.Total > 0 { // older snapshots lack them: they are as the settings have it
+		if from.Rate > 0 || from.Total > 0 { // older snapshots lack these, and the values of the settings stay
 			quota.rate, quota.total = from.Rate, from.Total
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// destinations restores all destinations with their routes and endpoints, but not what is queued or in flight.
+// destinations restores all destinations with their routes and endpoints, but without queued messages and those in flight.
 func (r *restorer) destinations() error {
 	s := r.sender
 	for _, from := range r.snap.Destinations {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// lists restores the lists of destinations and endpoints.
+// lists restores the lists of active destinations, idle endpoints and removed endpoints.
 func (r *restorer) lists() error {
 	s := r.sender
 	for _, id := range r.snap.Active {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// queues restores what is queued or in flight at each destination, and the queues of keys.
+// queues restores the queues of destinations and keys, and the messages in flight at each endpoint.
 func (r *restorer) queues() (err error) {
 	list := func(ids []uint64) (all []*message) {
 		for _, id := range ids {
@@ -165,7 +165,7 @@
 	return err
 }
 
-// call is the call of that index; nil: none.
+// call returns the call with index i; nil: none.
 func (r *restorer) call(i int) *call {
 	if i < 0 || i >= len(r.calls) {
 		return nil
@@ -173,7 +173,7 @@
 	return r.calls[i]
 }
 
-// endpoint is the endpoint of that number, see MessageSnapshot.RanEndpoint; nil: none.
+// endpoint returns the endpoint for a number as in MessageSnapshot.RanEndpoint; nil: none.
 func (r *restorer) endpoint(n int64) *endpointState {
 	if i := int(-2 - n); n <= -2 && i < len(r.removed) {
 		return r.removed[i]
--- a/control/selection.go
+++ b/control/selection.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// inFlightCostFactor is the share of the expected time that each call in flight to an endpoint adds to it, and inFlightCostSeconds what each
-	// adds beyond that, in seconds. Larger values spread calls, smaller ones stay with the fastest endpoint.
+	// inFlightCostFactor is the share of the expected time that each message in flight to an endpoint adds to the cost of choosing it;
+	// inFlightCostSeconds is a constant that each adds as well. Larger values spread messages over endpoints, smaller ones prefer the
+	// fastest endpoint.
 	inFlightCostFactor  = 0.5
 	inFlightCostSeconds = 0.1
-	// minLateLoss is the loss of value by lateness, as a share, that prices are put in relation to at least.
+	// minLateLoss is the least share of its value that a late message is assumed to lose, when prices are converted to seconds.
 	minLateLoss = 0.1
 )
 
-// dispatch ends the queued messages that have too little time left, and sends what may go: first that which would lose most by going
-// last.
+// dispatch finishes the queued messages that have too little time left, and sends as many of the others as possible, first those that
+// would lose the most value by going last.
 func (s *Sender) dispatch() {
 	s.candidates, s.slotStarved = s.candidates[:0], false
 	for _, dest := range s.active {
@@ -41,9 +42,10 @@
 	}
 }
 
-// messagesPerSlotSecond is about how many messages for dest a slot delivers in a second: where slots are short, value counts by it. A
-// call that no later one has overtaken takes its age at least: what has just slowed down, whatever the cause, does not keep the slots
-// from the others. It hurts those that are slow for good.
+// messagesPerSlotSecond estimates how many messages for dest one slot delivers in a second; value is weighted by it, so that scarce slots
+// go where they earn most. If no newer call has been answered, the oldest call in flight takes at least its age so far: a destination
+// that has just slowed down, whatever the cause, doesn't keep the slots from the others. The drawback: messages to a destination that is
+// always slow are sent later.
 func (s *Sender) messagesPerSlotSecond(dest *destinationState) float64 {
 	took, perCall := 1.0, 1
 	if len(dest.plan.expected) > 1 && !math.IsInf(dest.plan.expected[1], 1) {
@@ -60,8 +62,8 @@
 	return float64(max(1, min(perCall, len(dest.queue)))) / took
 }
 
-// maySend is the one gate: whether msg may be sent to endpoint now. It keeps the package's invariants, whatever health and load say. The
-// order of its steps counts: the last ones refill tokens and note that slots are short.
+// maySend reports whether msg may be sent to endpoint now. It is checked before every send and enforces the package's invariants,
+// whatever the health and load. The order of the conditions matters: the last ones refill tokens and record that slots are short.
 func (s *Sender) maySend(msg *message, endpoint *endpointState) bool {
 	if !s.isPermitted(msg, endpoint) || !s.isNextOfKey(msg) || !s.canCall(endpoint) {
 		return false
@@ -70,7 +72,8 @@
 	return !route.probesOnly() || s.hasSlotForProbe() && s.mayProbe(msg, route)
 }
 
-// isPermitted tells whether msg can be sent to endpoint without being lost, or taking effect twice, and whether endpoint takes anything.
+// isPermitted reports whether endpoint accepts messages, and whether msg can be sent to it without a second final answer, a repeated
+// effect or a send after the deadline.
 func (s *Sender) isPermitted(msg *message, endpoint *endpointState) bool {
 	switch class := msg.class; {
 	case msg.ended || msg.inFlightOn != nil || msg.attempts >= s.settings.MaxAttempts || msg.deadline <= s.now,
@@ -86,7 +89,7 @@
 	return true
 }
 
-// isNextOfKey tells whether msg is first among the messages of its key, and no older attempt of that key may still be running.
+// isNextOfKey reports whether msg is the first among the messages of its key, and no earlier attempt of that key may still be running.
 func (s *Sender) isNextOfKey(msg *message) bool {
 	if !msg.class.InOrder || msg.key == 0 {
 		return true
@@ -95,12 +98,12 @@
 	return queue.messages[0] == msg && (msg.attempts != 0 || queue.blockedUntil <= s.now)
 }
 
-// canJoin tells whether a call to endpoint that was opened in this Step has room for one more message.
+// canJoin reports whether a call to endpoint that was started in this Step has room for another message.
 func (s *Sender) canJoin(endpoint *endpointState) bool {
 	return endpoint.callStep == s.steps && endpoint.call != nil && endpoint.call.capacity > 0
 }
 
-// canCall tells whether a message can go to endpoint in a call that is open, or in a new one.
+// canCall reports whether a message can be sent to endpoint in a call started in this Step, or in a new call.
 func (s *Sender) canCall(endpoint *endpointState) bool {
 	if s.canJoin(endpoint) {
 		return true
@@ -110,7 +113,7 @@
 	return s.slotsInUse < s.settings.Slots && endpoint.destination.callsInFlight < s.maxSlots(route) && s.paceAllows(route)
 }
 
-// sendToBest sends msg to the endpoint of least cost among those that the gate lets it go to, if there is one.
+// sendToBest sends msg to the endpoint of least cost for which maySend holds, if there is one.
 func (s *Sender) sendToBest(msg *message) {
 	dest := msg.destination
 	var best *endpointState
@@ -129,8 +132,9 @@
 	}
 }
 
-// cost is the expected time of msg in seconds if its next attempt goes to endpoint, with load and prices, and the bucket at whose bound
-// the plan would restart it; -1 where nothing is known. Chance decides there: hundreds must not all begin with the same endpoint.
+// cost returns the expected time of msg in seconds if its next attempt goes to endpoint, including load and prices, and the bucket at
+// whose bound the plan restarts the attempt; -1 if the endpoint's call times are not known. A random term, which shrinks with the number
+// of calls made, keeps senders that know nothing yet from all starting with the same endpoint.
 func (s *Sender) cost(msg *message, endpoint *endpointState) (float64, int) {
 	cost, stop := 0.0, -1
 	if endpoint.known() {
@@ -145,7 +149,7 @@
 	return cost, stop
 }
 
-// routingPrice is what the way to endpoint costs, as seconds of delay that would lose as much; a second at most.
+// routingPrice returns the price of sending msg to endpoint as the delay in seconds that would lose as much value, at most one second.
 func (s *Sender) routingPrice(msg *message, endpoint *endpointState) float64 {
 	price := 0.0
 	if endpoint.zone != s.settings.Zone {
@@ -158,10 +162,10 @@
 	return min(1, price*(class.Deadline-class.LatencyTarget).Seconds()/max(1-class.LateValue, minLateLoss))
 }
 
-// send makes the next attempt of msg at endpoint; stop is the bucket at whose bound the plan restarts it.
+// send starts the next attempt of msg at endpoint; stop is the bucket at whose bound the plan restarts it.
 func (s *Sender) send(msg *message, endpoint *endpointState, stop int) {
 	route, timeout := endpoint.route, s.attemptTimeout(msg, endpoint, stop)
-	afterPlan := msg.planTimeout // at a healthy route: only such a retry tells whether restarts help
+	afterPlan := msg.planTimeout // set only at a healthy route: elsewhere a retry doesn't show whether restarts help
 	msg.plannedTime, msg.cancelled, msg.planTimeout = 0, false, timeout < msg.deadline-s.now && route.health == healthy
 	if msg.isRetry {
 		s.retryBudget--
@@ -179,11 +183,11 @@
 	s.emit(Action{Kind: Send, ID: msg.id, Endpoint: endpoint.id, For: timeout})
 }
 
-// attemptTimeout is the time that an attempt of msg at endpoint gets: what is left until the deadline, or less where the plan restarts it
-// at the bound of bucket stop, and at an ejected route.
+// attemptTimeout returns the time-out of an attempt of msg at endpoint: the time until the deadline, or less if the plan restarts the
+// attempt at the bound of bucket stop, or if the route is ejected.
 func (s *Sender) attemptTimeout(msg *message, endpoint *endpointState, stop int) time.Duration {
 	timeout := msg.deadline - s.now
-	window := msg.deadline // a keyed message is cut off only where a second call as long fits into its window
+	window := msg.deadline // a keyed message is cut off only if a second call of the same length fits before this
 	if msg.class.Effect == Keyed && msg.ranOn != nil {
 		window = min(window, msg.ranAt+msg.class.Memory)
 	} else if msg.class.Effect == Keyed {
@@ -199,7 +203,7 @@
 	return timeout
 }
 
-// joinCall enters one more message into the open call to endpoint, or opens one.
+// joinCall adds a message to the call to endpoint that was started in this Step, or starts a new call.
 func (s *Sender) joinCall(endpoint *endpointState) {
 	if s.canJoin(endpoint) {
 		endpoint.call.capacity--
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -165,12 +165,12 @@
 		restarts bool
 	}{{"safe", 0, 5, true}, {"safe beyond the budget", 0, 0.5, false}, {"unsafe", 2, 5, false}, {"keyed", 1, 5, true}} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2})
-		bounds := harness.sender.bounds
+		upperBounds := harness.sender.bounds
 		harness.sender.retryTimes = [2]float64{100, 100} // resends have taken what was expected
 		harness.sender.retryBudget = test.budget
-		fast, slow := bounds[10], bounds[len(bounds)-2]
-		harness.sender.endpoints[1].own = *tableOf(bounds, map[float64]float64{slow: 100})
-		harness.sender.endpoints[2].own = *tableOf(bounds, map[float64]float64{fast: 90, slow: 10})
+		fast, slow := upperBounds[10], upperBounds[len(upperBounds)-2]
+		harness.sender.endpoints[1].own = *tableOf(upperBounds, map[float64]float64{slow: 100})
+		harness.sender.endpoints[2].own = *tableOf(upperBounds, map[float64]float64{fast: 90, slow: 10})
 		harness.sender.endpoints[1].own.decayedAt, harness.sender.endpoints[2].own.decayedAt = harness.now, harness.now
 		sent := actionsOf(harness.step(harness.arrive(1, test.class)), Send)
 		want := settings().Classes[test.class].Deadline
@@ -196,12 +196,12 @@
 		set := settings()
 		set.Classes[1].Memory = memory
 		harness := newHarness(t, set, Endpoint{ID: 1})
-		bounds := harness.sender.bounds
+		upperBounds := harness.sender.bounds
 		harness.sender.retryTimes = [2]float64{100, 100}
-		harness.sender.endpoints[1].own = *tableOf(bounds, map[float64]float64{bounds[15]: 90, bounds[len(bounds)-2]: 10})
+		harness.sender.endpoints[1].own = *tableOf(upperBounds, map[float64]float64{upperBounds[15]: 90, upperBounds[len(upperBounds)-2]: 10})
 		harness.sender.endpoints[1].own.decayedAt = harness.now
 		sent := actionsOf(harness.step(harness.arrive(1, 1)), Send)
-		if len(sent) != 1 || (sent[0].For == toDuration(bounds[15])) != cut {
+		if len(sent) != 1 || (sent[0].For == toDuration(upperBounds[15])) != cut {
 			t.Errorf("window %v: %v, want it cut: %v", memory, sent, cut)
 		}
 	}
--- a/control/sender.go
+++ b/control/sender.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Sender makes the decisions of one sender. It is not safe for concurrent use.
+// Sender makes the decisions for one sender. It is not safe for concurrent use.
 type Sender struct {
 	settings        Settings
-	longestDeadline time.Duration // of a class, a second at least
+	longestDeadline time.Duration // of all classes, at least one second
 	bounds          []float64     // upper bounds of the buckets of all latency tables, in seconds
 	rngState        uint64
 	now             time.Duration
-	steps           uint64 // Steps so far, the current one included
+	steps           uint64 // number of Steps, including the current one
 	actions         []Action
 
 	destinations     map[int]*destinationState
-	destinationOrder []*destinationState // in the order in which they became known: maps are never walked to decide
+	destinationOrder []*destinationState // in the order in which they became known; deterministic, unlike iterating over the map
 	endpoints        map[uint32]*endpointState
-	active           []*destinationState // those with a message queued or in flight
+	active           []*destinationState // destinations with a message queued or in flight
 
 	messages     map[uint64]*message
 	lastSeq      uint64
-	openMessages int // without a final answer
+	openMessages int // messages without a final answer
 	keyQueues    map[uint64]*keyQueue
-	candidates   []*message // scratch of dispatch
+	candidates   []*message // scratch space of dispatch
 
 	slotsInUse       int
-	callsToUnhealthy int  // calls in flight to routes that get only probes
-	slotStarved      bool // a message waits for nothing but a slot
+	callsToUnhealthy int  // calls in flight to routes that only get probes
+	slotStarved      bool // a message could have been sent but for lack of a slot
 
 	retryBudget  float64
-	retryTimes   [2]float64 // seconds that retries took, and that the plan had expected, both decayed
+	retryTimes   [2]float64 // seconds that retries took, and that the plan expected of them; both decayed
 	allLatencies latencyTable
 
-	kinds         []kindState // by kind; the last is for endpoints of no listed kind
+	kinds         []kindState // by kind; the last one is for endpoints of unlisted kinds
 	idleEndpoints []*endpointState
 	quotas        []tenantQuota // by tenant
-	lease         *lease        // nil: nothing is shared
+	lease         *lease        // nil: limits are not shared
 
 	wakeAt           time.Duration
-	subscribeAt      time.Duration // when to ask for the list, 1 ns late; 0: subscribed, or an answer is due
+	subscribeAt      time.Duration // when to request the list, plus 1 ns; 0: subscribed, or an answer is pending
 	subscribeBackoff time.Duration
 }
 
-// New returns a sender that knows nothing but its settings. Senders of one service must have different seeds: what they do at random
-// must not coincide. An error is a [SettingError] for the first setting with an impossible figure.
+// New returns a sender in its initial state. Senders of one service must have different seeds, so that their random choices don't
+// coincide. The error is a [SettingError] for the first setting with an invalid value.
 func New(set Settings, seed uint64) (*Sender, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -66,8 +66,8 @@
 	return s, nil
 }
 
-// Step takes what has happened by now and appends what is to be done to out. A clock that goes back is taken as standing still. The
-// caller must call Step at each event and, at the latest, at the time of the last Wake.
+// Step applies events and appends the resulting actions to out. If now is before the time of the last Step, that time is used instead.
+// The caller must call Step at each event and, at the latest, at the time of the last Wake.
 func (s *Sender) Step(now time.Duration, events []Event, out []Action) []Action {
 	s.now, s.actions, s.steps = max(s.now, now), out, s.steps+1
 	for i := range events {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Reconfigure changes what classes are worth and what tenants may hand in from now on, messages a second over all senders; lists that
-// are shorter than the settings' leave the rest as it is. What has arrived keeps its value.
+// Reconfigure changes the values of classes and the quotas of tenants (messages a second over all senders). Classes and tenants beyond
+// the end of the lists stay as they are. Messages that have arrived keep their value.
 func (s *Sender) Reconfigure(values, quotas []float64) {
 	for i := range min(len(values), len(s.settings.Classes)) {
 		s.settings.Classes[i].Value = values[i]
@@ -113,7 +113,7 @@
 	}
 }
 
-// random is the next number in [0, 1) of the sender's own sequence (SplitMix64).
+// random returns the next number in [0, 1) of the sender's own sequence (SplitMix64).
 func (s *Sender) random() float64 {
 	s.rngState += 0x9e3779b97f4a7c15
 	z := s.rngState
--- a/control/shared_limits.go
+++ b/control/shared_limits.go
@@ -6,64 +6,65 @@
 	"time"
 )
 
-// Several senders share limits: of a destination, and of a tenant. Others decide what share each sender has, whether the evidence of an
-// outage is enough, and whose turn it is to probe (internal/relay/fleet/quota); here that is taken in. Without it all shares are equal.
+// Several senders share the limits of destinations and the quotas of tenants. Package internal/relay/fleet/quota decides what share each
+// sender has, whether the evidence of an outage is sufficient, and which sender may probe. This file applies those decisions. Without
+// them all shares are equal.
 
-// SharedLimits is what a sender may spend of what all senders have together, and what others have seen. Shares are of 1.
+// SharedLimits is what a sender may use of the shared limits, and what other senders have observed. Shares are fractions, 0 to 1.
 type SharedLimits struct {
-	GuaranteedShare float64       `cbor:"1,keyasint,omitempty"` // of each limit
-	LeaseExpiry     time.Duration `cbor:"2,keyasint,omitempty"` // the grants count before that, on the clock of Step
-	KeepsGuaranteed bool          `cbor:"3,keyasint,omitempty"` // the guaranteed share has no expiry
-	Grants          []Grant       `cbor:"4,keyasint,omitempty"` // what is not named here has its guaranteed share
+	GuaranteedShare float64       `cbor:"1,keyasint,omitempty"` // of every limit
+	LeaseExpiry     time.Duration `cbor:"2,keyasint,omitempty"` // the grants are valid before this time on the clock of Step
+	KeepsGuaranteed bool          `cbor:"3,keyasint,omitempty"` // the guaranteed share does not expire
+	Grants          []Grant       `cbor:"4,keyasint,omitempty"` // routes and tenants without a grant have the guaranteed share only
 }
 
-// Grant is what is granted of one route, or of one tenant's quota. Ages are counted back from the Step that takes it.
+// Grant is a sender's share of the limit of one route or of the quota of one tenant. Ages are relative to the Step that applies it.
 type Grant struct {
-	Endpoint   uint32        `cbor:"1,keyasint,omitempty"`  // one of the route's; 0: it is a tenant's
-	Tenant     int           `cbor:"2,keyasint,omitempty"`  // an index of Settings.Tenants
+	Endpoint   uint32        `cbor:"1,keyasint,omitempty"`  // an endpoint of the route; 0: the grant is for a tenant
+	Tenant     int           `cbor:"2,keyasint,omitempty"`  // index into Settings.Tenants
 	ExtraShare float64       `cbor:"3,keyasint,omitempty"`  // beyond the guaranteed share
 	Limit      float64       `cbor:"4,keyasint,omitempty"`  // calls a second, as reported to another sender; 0: none
 	LimitAge   time.Duration `cbor:"5,keyasint,omitempty"`  // since that report
-	Unhealthy  bool          `cbor:"6,keyasint,omitempty"`  // others have found it down
-	Healthy    bool          `cbor:"7,keyasint,omitempty"`  // it has delivered to another
-	HealthAge  time.Duration `cbor:"8,keyasint,omitempty"`  // since the newest evidence of either
-	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"`  // from now on, as the route asked another sender for
-	MayProbe   bool          `cbor:"10,keyasint,omitempty"` // it is this sender's turn to probe it
+	Unhealthy  bool          `cbor:"6,keyasint,omitempty"`  // other senders found the route down
+	Healthy    bool          `cbor:"7,keyasint,omitempty"`  // the route has delivered for another sender
+	HealthAge  time.Duration `cbor:"8,keyasint,omitempty"`  // since the newest evidence for Unhealthy or Healthy
+	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"`  // remaining wait that the route asked of another sender
+	MayProbe   bool          `cbor:"10,keyasint,omitempty"` // it is this sender's turn to probe the route
 }
 
-// Observation is what a sender has seen itself of a route, or of a tenant, and needs of it. Ages are counted back from the time that
-// Observations was asked for.
+// Observation is what a sender has itself observed of one route or tenant, and how much of its limit the sender needs. Ages are relative
+// to the time passed to Observations.
 type Observation struct {
-	Endpoint      uint32        // one of the route's; 0: it is a tenant's
+	Endpoint      uint32        // an endpoint of the route; 0: the observation is of a tenant
 	SeparateRoute bool          // the endpoint is a route of its own
-	Tenant        int           // an index of Settings.Tenants
-	Demand        float64       // calls a second; of a tenant, messages
-	Value         float64       // of one, in the mean of what is queued
-	Limit         float64       // calls a second, as reported last; 0: none
+	Tenant        int           // index into Settings.Tenants
+	Demand        float64       // calls a second; for a tenant, messages a second
+	Value         float64       // mean value of the queued messages
+	Limit         float64       // calls a second, as last reported; for a tenant, its quota; 0: none
 	LimitAge      time.Duration // since that report
-	Unhealthy     bool          // ejected by its own calls, and not on the word of others
-	Healthy       bool          // it has delivered
-	HealthAge     time.Duration // since the newest call that Healthy or Unhealthy rests on
-	RetryAfter    time.Duration // from now on, as the route asked this sender for
+	Unhealthy     bool          // ejected because of its own calls, not on the evidence of others
+	Healthy       bool          // the route has delivered
+	HealthAge     time.Duration // since the newest evidence for Unhealthy or Healthy
+	RetryAfter    time.Duration // remaining wait that the route asked of this sender
 }
 
 const (
-	// ownReportValidity is how much older a limit reported to this sender must be than one reported to another for that one to count.
+	// ownReportValidity is how much newer a limit reported to another sender must be than the last report to this sender to replace it.
 	ownReportValidity = 2 * time.Second
-	// minSharedRate is the calls a second that a share of a reported limit allows at least: a rate of 0 would mean that none is known.
+	// minSharedRate is the least rate, in calls a second, for a share of a reported limit: a rate of 0 would mean that no limit is known.
 	minSharedRate = 1e-9
-	// idleDemand is the messages a second below which nothing is needed.
+	// idleDemand is the demand, in messages a second, below which no share is requested.
 	idleDemand = 0.01
 )
 
-// lease is the share of a limit that this sender was granted last.
+// lease is the guaranteed share that this sender was last granted, and the expiry of all its grants.
 type lease struct {
 	guaranteedShare float64
 	expiry          time.Duration
-	keepsGuaranteed bool // after the expiry
+	keepsGuaranteed bool // the guaranteed share outlasts the expiry
 }
 
-// share is what this sender may spend of something, of 1.
+// share returns the fraction of a limit that this sender may use; extra is its share beyond the guaranteed one.
 func (s *Sender) share(extra float64) float64 {
 	switch l := s.lease; {
 	case l == nil:
@@ -76,7 +77,7 @@
 	return 0
 }
 
-// fairRate is this sender's part of a limit of route.
+// fairRate returns this sender's share of a limit of route.
 func (s *Sender) fairRate(route *routeState, limit float64) float64 {
 	if s.lease == nil {
 		return limit / float64(s.settings.Peers)
@@ -84,9 +85,9 @@
 	return limit * s.share(route.extraShare)
 }
 
-// rateCap is the calls a second that route must never exceed: of the operator's bound, and of its limit where senders share that. Where
-// others have found it down, only the sender whose turn it is probes it; the rest do so all together once a second, since that one may
-// be dead.
+// rateCap returns the calls a second that this sender must never exceed at route: its share of the operator's bound and, if senders share
+// limits, of the reported limit. If other senders found the route down, only the sender whose turn it is probes at full rate. The others
+// together send one probe a second, in case that sender has failed.
 func (s *Sender) rateCap(route *routeState) float64 {
 	rate := math.Inf(1)
 	if route.destination.maxRate > 0 {
@@ -104,7 +105,8 @@
 	return rate
 }
 
-// applyReport takes a report of route's limit. Where limits are shared the part is there to be spent, also after a refusal.
+// applyReport handles a report of route's limit. If limits are shared, this sender's share is reserved for it, so that it uses all of it
+// again after the first delivery, even after a refusal.
 func (s *Sender) applyReport(route *routeState, event *Event) {
 	fair := s.fairRate(route, event.Limit)
 	route.adjustToReport(s.now, event.Remaining, event.Limit, fair)
@@ -113,7 +115,7 @@
 	}
 }
 
-// applySharedLimits replaces all that was granted before.
+// applySharedLimits replaces all earlier grants.
 func (s *Sender) applySharedLimits(shared *SharedLimits) {
 	if shared == nil {
 		return
@@ -143,7 +145,7 @@
 	}
 }
 
-// applyGrant takes what is granted of one route, and what others have seen of it. A sender's own newer evidence goes first.
+// applyGrant applies a grant to one route, with what other senders observed of it. Newer observations of this sender take precedence.
 func (s *Sender) applyGrant(route *routeState, grant *Grant) {
 	route.extraShare, route.unhealthyAtPeers, route.isProbeTurn = grant.ExtraShare, grant.Unhealthy, grant.MayProbe
 	if reportedAt := s.now - grant.LimitAge; grant.Limit > 0 && reportedAt > route.reportedAt+ownReportValidity {
@@ -152,7 +154,7 @@
 		}
 		route.reportedLimit, route.reportedRemaining = grant.Limit, max(route.reportedRemaining, highRemaining)
 	}
-	if route.rateLimit > 0 && route.refusalStreak == 0 { // a larger part is there to be spent at once
+	if route.rateLimit > 0 && route.refusalStreak == 0 { // use a larger share immediately
 		route.rateLimit = max(route.rateLimit, s.fairRate(route, route.reportedLimit))
 	}
 	if grant.RetryAfter > 0 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// Observations appends what this sender has seen and needs: of the routes that are in use, and then of the tenants.
+// Observations appends this sender's observations of the routes in use, and then of the tenants.
 func (s *Sender) Observations(now time.Duration, out []Observation) []Observation {
 	now = max(now, s.now)
 	for _, dest := range s.destinationOrder {
@@ -196,7 +198,7 @@
 	return out
 }
 
-// endpointOf is an endpoint by which route can be named: the one that it began with, or another if that has left; nil: all have.
+// endpointOf returns an endpoint that identifies route: its first one, or another one if that has been removed; nil if all have.
 func (s *Sender) endpointOf(route *routeState) *endpointState {
 	if endpoint := s.endpoints[route.id]; endpoint != nil {
 		return endpoint
@@ -208,12 +210,13 @@
 	return nil
 }
 
-// observe is the observation of a route that is named by endpoint, where value is the mean of what is queued, 0 if nothing is.
+// observe returns the observation of a route that endpoint identifies; value is the mean value of the queued messages, 0 if none is
+// queued.
 func (r *routeState) observe(now time.Duration, endpoint *endpointState, value float64) Observation {
 	dest := r.destination
 	seen := Observation{Endpoint: endpoint.id, SeparateRoute: endpoint.kind.SeparateRoutes, Limit: r.reportedLimit,
 		LimitAge: now - r.reportedAt, RetryAfter: max(r.waitUntil-now, 0), Value: 1}
-	messagesPerCall := float64(len(dest.routes) * max(endpoint.kind.PerCall, 1)) // of this route's
+	messagesPerCall := float64(len(dest.routes) * max(endpoint.kind.PerCall, 1)) // of the destination's messages, for each call to this route
 	if seen.Demand = (dest.demand.rate(now) + float64(len(dest.queue))/2) / messagesPerCall; value > 0 {
 		seen.Value = value
 	}
--- a/control/slots.go
+++ b/control/slots.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// maxShareHealthy is the share of the slots that one destination holds at most. A larger one uses idle slots better, and leaves less
-	// when that destination slows down.
+	// maxShareHealthy is the largest share of the slots that one destination may hold. A larger share makes better use of idle slots, but
+	// leaves fewer to others when that destination slows down.
 	maxShareHealthy = 0.75
-	// maxShareUnhealthy is the same for one whose route is not healthy, and for all routes together that get only probes.
+	// maxShareUnhealthy is the same for a destination whose route is not healthy, and for all routes together that only get probes.
 	maxShareUnhealthy = 0.5
-	// lostAnswerFactor is the multiple of the late age from which on a call is taken for lost where newer ones were answered.
+	// lostAnswerFactor is the multiple of the late age above which the answer to a call is assumed lost if newer calls were answered.
 	lostAnswerFactor = 1.5
 )
 
-// unhealthySlots is how many slots one unhealthy destination may hold, and all routes together that get only probes.
+// unhealthySlots returns how many slots may be held by one unhealthy destination, and by all routes together that only get probes.
 func (s *Sender) unhealthySlots() int {
 	return max(1, int(maxShareUnhealthy*float64(s.settings.Slots)))
 }
 
-// maxSlots is how many slots the destination of route may hold.
+// maxSlots returns how many slots the destination of route may hold.
 func (s *Sender) maxSlots(route *routeState) int {
 	if route.health != healthy || route.lateCalls > 0 {
 		return s.unhealthySlots()
@@ -28,14 +28,15 @@
 	return max(1, int(maxShareHealthy*float64(s.settings.Slots)))
 }
 
-// hasSlotForProbe tells whether a probe leaves enough slots to healthy routes.
+// hasSlotForProbe reports whether a probe would leave enough slots for healthy routes.
 func (s *Sender) hasSlotForProbe() bool {
 	return s.slotsInUse < int(maxShareHealthy*float64(s.settings.Slots)) || s.callsToUnhealthy < s.unhealthySlots()
 }
 
-// reclaimSlot guards the slots: routes that get only probes together hold at most half. While a message waits for nothing but a slot, one
-// call is called off, that which loses least by it: one that is late at such a route when these hold too much, or one that lasts far
-// longer than its time where newer ones are answered (an answer lost on the way). It hurts where that call would have been answered yet.
+// reclaimSlot counts the calls to routes that only get probes. If a message could have been sent but for lack of a slot, it cancels one
+// call, the one whose loss costs least: a late call to such a route if they hold more than their share of the slots, or a call that is
+// far older than usual while newer ones are answered, so that its answer was probably lost. The drawback: the cancelled call might still
+// have been answered.
 func (s *Sender) reclaimSlot() {
 	overLimit := s.callsToUnhealthy > s.unhealthySlots()
 	s.callsToUnhealthy = 0
@@ -59,7 +60,7 @@
 	}
 }
 
-// maxCallAge is the age in seconds from which on a call to endpoint may be called off for its slot.
+// maxCallAge returns the age in seconds above which a call to endpoint may be cancelled to free its slot.
 func (s *Sender) maxCallAge(endpoint *endpointState, overLimit bool) float64 {
 	if len(endpoint.inFlight) > 0 && !endpoint.route.probesOnly() {
 		return lostAnswerFactor * s.lateAge(endpoint)
@@ -67,10 +68,11 @@
 	if len(endpoint.inFlight) > 0 && overLimit {
 		return s.lateAge(endpoint)
 	}
-	return math.Inf(1) // a call that hangs may be answered at its end
+	return math.Inf(1) // a call that hangs may still be answered
 }
 
-// cheaperToCancelThan tells whether calling off m loses less than calling off other: first by what a repeat may do, then by value.
+// cheaperToCancelThan reports whether cancelling m's attempt costs less than cancelling other's: first by Effect (Safe costs least), then
+// by value.
 func (m *message) cheaperToCancelThan(other *message) bool {
 	return cmp.Or(cmp.Compare(m.class.Effect, other.class.Effect), cmp.Compare(other.value, m.value)) > 0
 }
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// SnapshotVersion changes with the meaning of a Snapshot.
+// SnapshotVersion is incremented when the meaning of a Snapshot changes.
 const SnapshotVersion = 1
 
-// Snapshot is all that a Sender has learnt and keeps, between two Steps. Settings are not part of it. The numbers in the tags are those of
-// captures, here and below: they are never given to another field. Times are on the clock of Step.
+// Snapshot is the complete state of a Sender between two Steps, without its Settings. Captures store fields by the numbers in the tags,
+// here and below: a number is never reused for another field. Times are on the clock of Step.
 type Snapshot struct {
 	Version          int                       `cbor:"1,keyasint"`
 	RandomState      uint64                    `cbor:"2,keyasint"`
@@ -31,12 +31,12 @@
 	Destinations     []DestinationSnapshot     `cbor:"17,keyasint,omitempty"` // in the order in which they became known
 	Active           []int                     `cbor:"18,keyasint,omitempty"` // ids of destinations, in order
 	IdleEndpoints    []uint32                  `cbor:"19,keyasint,omitempty"` // ids of endpoints, in order
-	RemovedEndpoints []RemovedEndpointSnapshot `cbor:"20,keyasint,omitempty"` // that a message has run at
+	RemovedEndpoints []RemovedEndpointSnapshot `cbor:"20,keyasint,omitempty"` // endpoints no longer known at which a message has run
 	Calls            []CallSnapshot            `cbor:"21,keyasint,omitempty"`
-	Messages         []MessageSnapshot         `cbor:"22,keyasint,omitempty"` // in the order of arrival
+	Messages         []MessageSnapshot         `cbor:"22,keyasint,omitempty"` // in order of arrival
 	KeyQueues        []KeySnapshot             `cbor:"23,keyasint,omitempty"`
 	Quotas           []QuotaSnapshot           `cbor:"24,keyasint,omitempty"` // by tenant; older snapshots have none
-	Lease            *LeaseSnapshot            `cbor:"25,keyasint,omitempty"` // nil: nothing is shared
+	Lease            *LeaseSnapshot            `cbor:"25,keyasint,omitempty"` // nil: limits are not shared
 }
 
 // LatencySnapshot is a latency table.
@@ -54,7 +54,7 @@
 	StartedAt time.Duration `cbor:"3,keyasint"`
 }
 
-// KindSnapshot is what was learnt of a kind of destination.
+// KindSnapshot is what has been learnt about a kind of destination.
 type KindSnapshot struct {
 	ConnectionsShortUntil time.Duration `cbor:"1,keyasint"`
 	RetryGap              float64       `cbor:"2,keyasint"`
@@ -66,18 +66,18 @@
 	RefilledAt time.Duration `cbor:"2,keyasint"`
 	ExtraShare float64       `cbor:"3,keyasint,omitempty"`
 	Demand     RateSnapshot  `cbor:"4,keyasint,omitempty"`
-	Rate       float64       `cbor:"5,keyasint,omitempty"` // 0 in older ones: as the settings have it
+	Rate       float64       `cbor:"5,keyasint,omitempty"` // 0 in older snapshots: Restore takes it from the settings
 	Total      float64       `cbor:"6,keyasint,omitempty"`
 }
 
-// LeaseSnapshot is what a sender may spend of shared limits.
+// LeaseSnapshot is the guaranteed share of shared limits, and the expiry of all grants.
 type LeaseSnapshot struct {
 	GuaranteedShare float64       `cbor:"1,keyasint,omitempty"`
 	Expiry          time.Duration `cbor:"2,keyasint,omitempty"`
 	KeepsGuaranteed bool          `cbor:"3,keyasint,omitempty"`
 }
 
-// DestinationSnapshot is a destination of messages, with its endpoints and routes.
+// DestinationSnapshot is a destination with its endpoints and routes.
 type DestinationSnapshot struct {
 	ID            int                `cbor:"1,keyasint"`
 	Endpoints     []EndpointSnapshot `cbor:"2,keyasint,omitempty"`
@@ -94,24 +94,24 @@
 	MaxRate       float64            `cbor:"13,keyasint,omitempty"`
 }
 
-// EndpointSnapshot is one endpoint that is on the list, or was lately.
+// EndpointSnapshot is an endpoint that is on the list, or was until recently.
 type EndpointSnapshot struct {
 	ID             uint32          `cbor:"1,keyasint"`
 	Zone           int             `cbor:"2,keyasint"`
 	KindIndex      int             `cbor:"3,keyasint"`
 	Kind           Kind            `cbor:"4,keyasint"`
-	Route          int             `cbor:"5,keyasint"` // an index of its destination's Routes
+	Route          int             `cbor:"5,keyasint"` // index into its destination's Routes
 	State          State           `cbor:"6,keyasint"`
 	Own            LatencySnapshot `cbor:"7,keyasint"`
 	Pooled         LatencySnapshot `cbor:"8,keyasint"`
-	InFlight       []uint64        `cbor:"9,keyasint,omitempty"` // ids of messages, the oldest first
+	InFlight       []uint64        `cbor:"9,keyasint,omitempty"` // ids of messages, oldest first
 	CallStep       uint64          `cbor:"10,keyasint,omitempty"`
-	Call           int             `cbor:"11,keyasint"` // an index of Snapshot.Calls; -1: none
+	Call           int             `cbor:"11,keyasint"` // index into Snapshot.Calls; -1: none
 	IdleConnection bool            `cbor:"12,keyasint,omitempty"`
 	RemovedAt      time.Duration   `cbor:"13,keyasint,omitempty"`
 }
 
-// RouteSnapshot is what has one limit, one wait and one state of health.
+// RouteSnapshot is a route, the unit of one limit, one wait and one state of health.
 type RouteSnapshot struct {
 	ID                uint32        `cbor:"1,keyasint"`
 	Health            uint8         `cbor:"2,keyasint"`
@@ -141,20 +141,20 @@
 	Flags             uint8         `cbor:"27,keyasint,omitempty"` // unhealthyAtPeers, isProbeTurn, ejectedByPeers, from the lowest bit
 }
 
-// RemovedEndpointSnapshot is an endpoint that was forgotten, or never known, and that a message has run at.
+// RemovedEndpointSnapshot is an endpoint at which a message has run, but which has been deleted or was never listed.
 type RemovedEndpointSnapshot struct {
 	ID          uint32 `cbor:"1,keyasint"`
 	Zone        int    `cbor:"2,keyasint"`
 	Destination int    `cbor:"3,keyasint"`
 }
 
-// CallSnapshot is one slot in use, or a call that a Step has left room in.
+// CallSnapshot is a call in flight, or one started in the last Step that still has capacity.
 type CallSnapshot struct {
 	Pending  int `cbor:"1,keyasint"`
 	Capacity int `cbor:"2,keyasint"`
 }
 
-// MessageSnapshot is one message that has no final answer, or an attempt in flight.
+// MessageSnapshot is a message that has no final answer, or still has an attempt in flight.
 type MessageSnapshot struct {
 	ID               uint64        `cbor:"1,keyasint"`
 	Seq              uint64        `cbor:"2,keyasint"`
@@ -165,10 +165,10 @@
 	TargetAt         time.Duration `cbor:"7,keyasint"`
 	Attempts         int           `cbor:"8,keyasint"`
 	RanAt            time.Duration `cbor:"9,keyasint,omitempty"`
-	RanEndpoint      int64         `cbor:"10,keyasint"` // id of an endpoint; below 0: -1 none, -2 the first of RemovedEndpoints
-	InFlightEndpoint int64         `cbor:"11,keyasint"` // id of an endpoint; -1: none
+	RanEndpoint      int64         `cbor:"10,keyasint"` // id of an endpoint; -1: none; -2-i: index i into Snapshot.RemovedEndpoints
+	InFlightEndpoint int64         `cbor:"11,keyasint"` // likewise
 	SentAt           time.Duration `cbor:"12,keyasint,omitempty"`
-	Call             int           `cbor:"13,keyasint"` // an index of Snapshot.Calls; -1: none
+	Call             int           `cbor:"13,keyasint"` // index into Snapshot.Calls; -1: none
 	Flags            uint8         `cbor:"14,keyasint"` // ended, cancelled, planTimeout, isRetry, wasThrottled, from the lowest bit
 	PlannedTime      float64       `cbor:"15,keyasint,omitempty"`
 	Value            float64       `cbor:"16,keyasint"`
@@ -182,7 +182,7 @@
 	BlockedUntil time.Duration `cbor:"3,keyasint"`
 }
 
-// Snapshot returns the sender's state, which shares nothing with it. It must not be called during a Step.
+// Snapshot returns the sender's state; the result shares no memory with the sender. It must not be called during a Step.
 func (s *Sender) Snapshot() *Snapshot {
 	export := &exporter{sender: s, calls: map[*call]int{}, removed: map[*endpointState]int64{}, snap: &Snapshot{Version: SnapshotVersion,
 		RandomState: s.rngState, Now: s.now, Steps: s.steps, Seq: s.lastSeq,
@@ -213,13 +213,13 @@
 	return export.snap
 }
 
-// exporter writes a sender down as plain data. Pointers become numbers: endpoints and messages go by their ids, calls and endpoints that
-// are not known any more by their places in lists that grow as they are met. Its order of walking is part of the format.
+// exporter converts a sender to plain data. Pointers become numbers: ids for messages and known endpoints, and for calls and endpoints no
+// longer known the indices in lists that grow during the export. The order of traversal is part of the format.
 type exporter struct {
 	sender  *Sender
 	snap    *Snapshot
 	calls   map[*call]int            // indices of snap.Calls
-	removed map[*endpointState]int64 // -2 minus the index of snap.RemovedEndpoints
+	removed map[*endpointState]int64 // -2-i for index i into snap.RemovedEndpoints
 }
 
 func (x *exporter) destination(dest *destinationState) DestinationSnapshot {
@@ -238,7 +238,7 @@
 	return snap
 }
 
-// messages are written in the order of their arrival.
+// messages exports the messages in order of arrival.
 func (x *exporter) messages() {
 	all := make([]*message, 0, len(x.sender.messages))
 	for _, msg := range x.sender.messages {
@@ -261,7 +261,7 @@
 	}
 }
 
-// keyQueues are written in the order of their keys.
+// keyQueues exports the queues in order of their keys.
 func (x *exporter) keyQueues() {
 	for key, queue := range x.sender.keyQueues {
 		x.snap.KeyQueues = append(x.snap.KeyQueues, KeySnapshot{Key: key, Queue: messageIDs(queue.messages), BlockedUntil: queue.blockedUntil})
@@ -269,7 +269,7 @@
 	slices.SortFunc(x.snap.KeyQueues, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// call is the index of c in snap.Calls, where it enters it at need; -1: none.
+// call returns the index of c in snap.Calls, and adds c there if necessary; -1 if c is nil.
 func (x *exporter) call(c *call) int {
 	if c == nil {
 		return -1
@@ -283,7 +283,7 @@
 	return i
 }
 
-// endpoint is the number of endpoint as in MessageSnapshot.RanEndpoint.
+// endpoint returns the number of endpoint as in MessageSnapshot.RanEndpoint.
 func (x *exporter) endpoint(endpoint *endpointState) int64 {
 	if endpoint == nil {
 		return -1
@@ -319,7 +319,7 @@
 	return RateSnapshot{Count: m.count, UpdatedAt: m.updatedAt, StartedAt: m.startedAt}
 }
 
-// flagBit is a byte with that bit set, or 0.
+// flagBit returns a byte with only the given bit set, or 0 if set is false.
 func flagBit(set bool, bit uint8) uint8 {
 	if set {
 		return 1 << bit
