--- a/control/backoff_test.go
+++ b/control/backoff_test.go
@@ -14,8 +14,8 @@
 	for i := range 4 {
 		if i > 0 {
 			harness.now += time.Second
-			d := harness.sender.destinations[0].routes[0]
-			d.tokens, d.retryAt = 2, 0
+			route := harness.sender.destinations[0].routes[0]
+			route.tokens, route.retryAt = 2, 0
 		}
 		harness.step(Event{Kind: Woken})
 		for _, m := range harness.sender.endpoints[1].inFlight {
@@ -24,8 +24,8 @@
 		}
 	}
 	harness.sender.recordSuccess(harness.sender.destinations[0].routes[0])
-	if d := harness.sender.destinations[0].routes[0]; d.retryAt > harness.now {
-		t.Errorf("route is %s and in backoff for another %v, want no backoff after a delivery", healthText[d.health], d.retryAt-harness.now)
+	if route := harness.sender.destinations[0].routes[0]; route.retryAt > harness.now {
+		t.Errorf("route is %s and in backoff for another %v, want no backoff after a delivery", healthText[route.health], route.retryAt-harness.now)
 	}
 }
 
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -31,11 +31,11 @@
 
 // Index must be at least 0 and below Peers.
 func TestNew_IndexOutOfRange_Fails(t *testing.T) {
-	for _, me := range []int{-1, 2} {
+	for _, index := range []int{-1, 2} {
 		set := settings()
-		set.Index = me
+		set.Index = index
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), "Me") {
-			t.Errorf("index %d of %d senders: %v, want an error that names Me", me, set.Peers, err)
+			t.Errorf("index %d of %d senders: %v, want an error that names Me", index, set.Peers, err)
 		}
 	}
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -90,16 +90,16 @@
 }
 
 func tableOf(upperBounds []float64, shares map[float64]float64) *latencyTable {
-	t := &latencyTable{counts: make([]float64, len(upperBounds))}
-	for c, p := range shares {
-		for i, e := range upperBounds {
-			if e == c {
-				t.counts[i] = p
-				t.total += p
+	table := &latencyTable{counts: make([]float64, len(upperBounds))}
+	for bound, share := range shares {
+		for i, upperBound := range upperBounds {
+			if upperBound == bound {
+				table.counts[i] = share
+				table.total += share
 			}
 		}
 	}
-	return t
+	return table
 }
 
 func wantNear(t *testing.T, what string, got, want float64) {
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -6,13 +6,13 @@
 
 func TestLatencyTable_CensoredCall_SpreadsOverSlowerBuckets(t *testing.T) {
 	upperBounds := []float64{1, 2, 4, 8}
-	tb := tableOf(upperBounds, map[float64]float64{1: 6, 4: 3, 8: 1})
-	tb.observeCensored(0, upperBounds, 1)
-	wantNear(t, "4 s", tb.counts[2], 3.75)
-	wantNear(t, "8 s", tb.counts[3], 1.25)
-	wantNear(t, "all", tb.total, 11)
-	tb.decay(tableHalfLife)
-	wantNear(t, "after a half-life", tb.total, 5.5)
+	table := tableOf(upperBounds, map[float64]float64{1: 6, 4: 3, 8: 1})
+	table.observeCensored(0, upperBounds, 1)
+	wantNear(t, "4 s", table.counts[2], 3.75)
+	wantNear(t, "8 s", table.counts[3], 1.25)
+	wantNear(t, "all", table.total, 11)
+	table.decay(tableHalfLife)
+	wantNear(t, "after a half-life", table.total, 5.5)
 }
 
 // A message that ran before its time-out may be answered immediately when it is sent again. Such an answer doesn't count as a call time.
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -114,7 +114,7 @@
 			delivered, throttled = delivered+d, throttled+r
 		}
 		if delivered < 12*20*9/10 || throttled > delivered/5 {
-			t.Errorf("seed %d: in 12 s after a burst %d of %d delivered, %d refused; want nine tenths, and a fifth of those refused",
+			t.Errorf("seed %d: 12 s after a burst: %d of %d delivered, %d refused; want nine tenths, and at most a fifth as many refusals",
 				seed, delivered, 12*20, throttled)
 		}
 	}
--- a/control/message_test.go
+++ b/control/message_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// No message is lost, and the time-out at the deadline still gets its one answer.
+// A message whose attempt times out at its deadline still gets exactly one final answer.
 func TestMessage_TimedOutAtDeadline_GetsOneAnswer(t *testing.T) {
 	for class, want := range map[int]ActionKind{0: Refuse, 2: Fail} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1})
 		sent := actionsOf(harness.step(harness.arrive(1, class)), Send)
 		if len(sent) != 1 || sent[0].For != settings().Classes[class].Deadline {
-			t.Fatalf("without a table one call lasts the time left: %v", sent)
+			t.Fatalf("sent %v, want one attempt until the deadline while call times aren't known", sent)
 		}
 		harness.wait(settings().Classes[class].Deadline)
 		acts := harness.step(outcome(1, 0, 1, TimedOut))
@@ -19,12 +19,12 @@
 			t.Errorf("class %d: %v, want one final answer of kind %d", class, acts, want)
 		}
 		if acts := harness.wait(time.Second); len(actionsOf(acts, Refuse))+len(actionsOf(acts, Fail)) != 0 {
-			t.Errorf("class %d: answered twice: %v", class, acts)
+			t.Errorf("class %d: a second final answer: %v", class, acts)
 		}
 	}
 }
 
-// A client with less patience than its class allows hands in a message that keeps its value until its deadline.
+// A client may set a shorter deadline than its class. Such a message keeps its value until its deadline when it is first submitted.
 func TestMessage_ShortDeadline_KeepsItsValue(t *testing.T) {
 	set := settings()
 	for _, c := range []struct{ marksResubmitted, resubmitted, late bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
@@ -34,12 +34,13 @@
 		ev.Deadline, ev.Resubmitted = harness.now+900*ms, c.resubmitted
 		harness.step(ev)
 		if got := harness.sender.messages[1].valueAt(harness.now+800*ms, false); (got < 4) != c.late {
-			t.Errorf("%+v: worth %.2f of 4 before its deadline", c, got)
+			t.Errorf("%+v: value %.2f of 4 before its deadline", c, got)
 		}
 	}
 }
 
-// A message with less time left than the median call is refused unsent, at once, with the time after which to come again.
+// A message with less time left than the median call is refused immediately without being sent, with the time after which to submit it
+// again.
 func TestMessage_TooLittleTimeLeft_IsRefusedAtOnce(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(8, 900*ms)
@@ -47,6 +48,6 @@
 	ev.Deadline = harness.now + 500*ms
 	acts := harness.step(ev)
 	if got := actionsOf(acts, Refuse); len(got) != 1 || got[0].For <= 0 || len(actionsOf(acts, Send)) != 0 {
-		t.Errorf("%v", acts)
+		t.Errorf("actions %v, want only a Refuse with a positive For", acts)
 	}
 }
--- a/control/oracle_test.go
+++ b/control/oracle_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// oracleMessage is a message as its client knows it.
+// oracleMessage is what the oracle knows about a message.
 type oracleMessage struct {
 	arrival     Event
-	seq         int // in the order of arrival
+	seq         int // number in order of arrival
 	attempts    int
 	inFlight    bool
 	mayHaveRun  []oracleSend // the attempts that may have run
@@ -34,21 +34,21 @@
 	cancelled bool
 }
 
-// oracle plays the endpoints and the clients around one sender, and checks the package's invariants on each of its actions. Routes go by
-// the number of their destination, or by -1-ID where endpoints are separate routes.
+// oracle simulates the endpoints and clients of one sender, and checks each of the sender's actions against the package's invariants.
+// Routes are identified by the number of their destination, or by -1-ID if endpoints are separate routes.
 type oracle struct {
 	t             *testing.T
-	seed          int64 // of the run, for messages
+	seed          int64 // of the run, for failure messages
 	settings      Settings
 	endpoints     map[uint32]Endpoint
 	messages      map[uint64]*oracleMessage
 	calls         []*oracleCall
-	waits         map[int]time.Duration    // by route: until when it has told to wait
+	waits         map[int]time.Duration    // by route: the end of the longest wait that it asked for
 	blocked       map[uint64]time.Duration // by key: until when an attempt may still be running
 	sends         map[int][]time.Duration  // by route
 	arrivals      map[int][]time.Duration  // by destination
 	failureStreak map[int]int              // by route
-	backAt        map[int]time.Duration    // by route: the last time that it failed after others, so that it is back at the earliest
+	backAt        map[int]time.Duration    // by route: its last failure after another one, the earliest time of its return
 }
 
 func newOracle(t *testing.T, seed int64, set Settings) *oracle {
@@ -65,7 +65,7 @@
 	return endpoint.Destination
 }
 
-// routes is how many separate routes a destination has, or 1.
+// routes returns the number of separate routes of a destination, at least 1.
 func (o *oracle) routes(destination int) (n int) {
 	for _, endpoint := range o.endpoints {
 		if endpoint.Destination == destination && o.settings.Kinds[endpoint.Kind].SeparateRoutes {
@@ -75,7 +75,7 @@
 	return max(n, 1)
 }
 
-// check takes an action of the sender's.
+// check checks an action of the sender and carries it out.
 func (o *oracle) check(now time.Duration, rng *rand.Rand, action Action) {
 	o.t.Helper()
 	msg := o.messages[action.ID]
@@ -100,21 +100,21 @@
 	endpoint, listed := o.endpoints[action.Endpoint]
 	switch {
 	case msg.closed:
-		o.t.Fatalf("%v: sent after its end", action)
+		o.t.Fatalf("%v: sent after its final answer", action)
 	case msg.inFlight:
 		o.t.Fatalf("%v: two attempts in flight", action)
 	case msg.attempts >= o.settings.MaxAttempts:
-		o.t.Fatalf("%v: too many attempts", action)
+		o.t.Fatalf("%v: more than MaxAttempts attempts", action)
 	case !listed || endpoint.State != Ready:
 		o.t.Fatalf("%v: sent to an endpoint that is draining or removed", action)
 	case endpoint.Destination != msg.arrival.Destination:
-		o.t.Fatalf("%v: wrong destination", action)
+		o.t.Fatalf("%v: the endpoint belongs to another destination", action)
 	case o.waits[o.routeOf(endpoint)] > now:
 		o.t.Fatalf("%v: sent before the end of a wait", action)
 	case class.Effect == Unsafe && len(msg.mayHaveRun) > 0:
 		o.t.Fatalf("%v: unsafe message sent again", action)
 	case action.For <= 0 || now+action.For > msg.arrival.Deadline:
-		o.t.Fatalf("%v: time-out outside the time left", action)
+		o.t.Fatalf("%v: time-out is not positive, or ends after the deadline", action)
 	}
 	if class.Effect == Keyed && len(msg.mayHaveRun) > 0 {
 		first := msg.mayHaveRun[0]
@@ -135,7 +135,7 @@
 	for _, other := range o.messages {
 		if other != msg && other.arrival.Key == msg.arrival.Key && other.seq < msg.seq && (!other.closed || other.inFlight) &&
 			o.settings.Classes[other.arrival.Class].InOrder {
-			o.t.Fatalf("%v: out of turn", action)
+			o.t.Fatalf("%v: sent before an earlier message of its key is done", action)
 		}
 	}
 	if msg.attempts == 0 && o.blocked[msg.arrival.Key] > now {
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkSlowStart checks that a returning destination is not pushed over: after failures in a row, what is sent within OverloadWindow
-// stays under OverloadMultiple of what is back of the best pace before, with slack for two probes.
+// checkSlowStart checks that a returning destination is not overloaded. After consecutive failures, the messages sent within
+// OverloadWindow must stay below OverloadMultiple times the returned share of the best earlier rate, plus two probes.
 func (o *oracle) checkSlowStart(action Action, route int, now time.Duration) {
 	o.t.Helper()
 	back, failed := o.backAt[route]
@@ -155,7 +155,7 @@
 	best, sent := 0, 0.0
 	for i, at := range o.sends[route] {
 		if at > back && i > 0 && o.sends[route][i-1] == at && o.settings.Kinds[endpoint.Kind].PerCall > 1 {
-			sent += batchedMessageCost // it goes along in a call
+			sent += batchedMessageCost // a further message in the same call
 			continue
 		} else if at > back {
 			sent++
@@ -169,7 +169,7 @@
 		}
 		best = max(best, window)
 	}
-	// Where it failed from the start, what was asked of it is the pace that it is known by.
+	// If the route has failed from the start, use the rate of arrivals instead.
 	arrivals := o.arrivals[endpoint.Destination]
 	asked := 0
 	for _, at := range arrivals[max(0, len(arrivals)-400):] {
@@ -180,11 +180,11 @@
 	best = max(best, asked/o.routes(endpoint.Destination))
 	share := o.settings.SlowStartShare + (1-o.settings.SlowStartShare)*float64(o.settings.OverloadWindow)/float64(o.settings.SlowStart)
 	if limit := 2 + o.settings.OverloadMultiple*share*float64(max(best, 1)); sent > limit {
-		o.t.Fatalf("%v: %.1f sent to route %d within %v of its failures, %.1f at most", action, sent, route, now-back, limit)
+		o.t.Fatalf("%v: %.1f sent to route %d within %v of its failures, want at most %.1f", action, sent, route, now-back, limit)
 	}
 }
 
-// startCall draws when a call is answered; some hang.
+// startCall draws when a call is answered; some calls hang.
 func (o *oracle) startCall(now time.Duration, rng *rand.Rand, msg *oracleMessage, action Action) {
 	msg.inFlight = true
 	answerAt := now + time.Duration(50+rng.Intn(1500))*time.Millisecond
@@ -202,17 +202,17 @@
 		return // answered in the Step in which the client withdrew it
 	}
 	if msg.closed || msg.inFlight {
-		o.t.Fatalf("%v: ended twice, or with an attempt in flight", action)
+		o.t.Fatalf("%v: second final answer, or an attempt is in flight", action)
 	}
 	class := o.settings.Classes[msg.arrival.Class]
 	if action.Kind == Refuse && len(msg.mayHaveRun) > 0 &&
 		(class.Effect == Unsafe || class.Effect == Keyed && class.Group != GroupAll) {
-		o.t.Fatalf("%v: refused though it may have run", action)
+		o.t.Fatalf("%v: Refuse for a message that may have run and must not be submitted again", action)
 	}
 	msg.closed = true
 }
 
-// resolve ends a call, with a result that is drawn, and returns the event. Destinations take turns of five seconds in failing.
+// resolve ends a call with a random result, and returns the event. Destinations take turns of five seconds to fail.
 func (o *oracle) resolve(now time.Duration, rng *rand.Rand, call *oracleCall) Event {
 	msg, route := o.messages[call.id], o.routeOf(call.endpoint)
 	event := Event{Kind: Resolved, ID: call.id, Attempt: call.attempt, Endpoint: call.endpoint.ID, Elapsed: now - call.sentAt}
@@ -231,7 +231,7 @@
 	}
 	msg.inFlight = false
 	switch event.Result {
-	case Errored, NoConnection, Unknown, Result(99): // a reset alone is that of one connection
+	case Errored, NoConnection, Unknown, Result(99): // a reset may concern a single connection only
 		if o.failureStreak[route]++; o.failureStreak[route] >= 2 {
 			o.backAt[route] = now
 		}
@@ -252,7 +252,7 @@
 	return event
 }
 
-// resolveDue ends the calls that are due by now, in a random but fixed order.
+// resolveDue ends the calls that are due, in the order of their resolve times.
 func (o *oracle) resolveDue(now time.Duration, rng *rand.Rand) (events []Event) {
 	sort.SliceStable(o.calls, func(i, j int) bool { return o.calls[i].resolveAt < o.calls[j].resolveAt })
 	for len(o.calls) > 0 && o.calls[0].resolveAt <= now {
@@ -263,7 +263,8 @@
 	return events
 }
 
-// checkAnswered checks that each message has its answer soon after its deadline, and that no call of an answered one goes on for long.
+// checkAnswered checks that each message has a final answer soon after its deadline, and that each call of an answered message is
+// resolved.
 func (o *oracle) checkAnswered(now time.Duration, lastID uint64) {
 	o.t.Helper()
 	for id := uint64(1); id <= lastID; id++ {
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A delivery long after the last failure says that the destination has been back for a while: the slow start
-// counts from half way between the two.
+// A delivery long after the last failure means that the destination has been back for a while. The slow start is counted from half way
+// between the two.
 func TestSlowStart_LateDelivery_CountsFromHalfWay(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(20, 300*ms)
-	d := harness.sender.destinationOrder[0].routes[0]
-	harness.sender.restrictToProbes(d, ejected)
+	route := harness.sender.destinationOrder[0].routes[0]
+	harness.sender.restrictToProbes(route, ejected)
 	failed := harness.sender.now
 	harness.now += 8 * time.Second
 	harness.step(Event{Kind: Woken})
-	harness.sender.recordSuccess(d)
-	if ago := harness.sender.now - d.healthSince; d.health != recovering || ago != (harness.sender.now-failed)/2 {
-		t.Errorf("%s since %v of %v", healthText[d.health], ago, harness.sender.now-failed)
+	harness.sender.recordSuccess(route)
+	if ago := harness.sender.now - route.healthSince; route.health != recovering || ago != (harness.sender.now-failed)/2 {
+		t.Errorf("route is %s since %v, want it recovering since half of %v", healthText[route.health], ago, harness.sender.now-failed)
 	}
 }
 
-// An answer that can't be read says nothing against the endpoint: it is up, and took its usual time.
+// An answer that can't be parsed is no evidence against the endpoint: it is up, and took its usual time.
 func TestMalformedAnswers_InARow_DoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(5, 100*ms)
@@ -30,43 +30,43 @@
 		harness.now += 100 * ms
 		acts := harness.step(outcome(i, 0, 1, Malformed))
 		if got := actionsOf(acts, Send); len(got) != 1 || got[0].ID != i {
-			t.Fatalf("after %d spoilt answers: sent %v, want the message again", i+1, got)
+			t.Fatalf("after %d malformed answers: sent %v, want the message again", i+1, got)
 		}
 		harness.now += 100 * ms
 		harness.step(outcome(i, 1, 1, Delivered))
 	}
 	harness.step(harness.arrive(9, 2))
 	if harness.step(outcome(9, 0, 1, Malformed)); len(actionsOf(harness.out, Fail)) != 1 {
-		t.Error("it proves that the message ran: one that must not run twice has failed")
+		t.Error("an unsafe message with a malformed answer did not fail, though it may have run")
 	}
 }
 
-// Connections are reset one at a time where nothing is wrong with the destination, also where it has just returned:
-// that does not eject it. An error of one that has just returned does.
+// Single connections are reset even if nothing is wrong with the destination. That does not eject it, even if it has just returned. An
+// error from a destination that has just returned does.
 func TestResets_FewInARow_DoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(5, 100*ms)
-	d := harness.sender.endpoints[1].route
+	route := harness.sender.endpoints[1].route
 	for i, c := range []struct {
 		health health
 		res    Result
 		want   health
 	}{{healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Delivered, healthy},
 		{recovering, Reset, recovering}, {recovering, Errored, ejected}} {
-		if d.health != c.health {
-			harness.sender.setHealth(d, c.health)
+		if route.health != c.health {
+			harness.sender.setHealth(route, c.health)
 		}
 		id := uint64(i)
-		m := &message{id: id, class: &harness.sender.settings.Classes[1], destination: d.destination, sentAt: harness.now}
+		m := &message{id: id, class: &harness.sender.settings.Classes[1], destination: route.destination, sentAt: harness.now}
 		harness.now += 50 * ms
 		harness.sender.now = harness.now
-		if harness.sender.recordOutcome(m, harness.sender.endpoints[1], &Event{Result: c.res}); d.health != c.want {
-			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, d.health, c.want)
+		if harness.sender.recordOutcome(m, harness.sender.endpoints[1], &Event{Result: c.res}); route.health != c.want {
+			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, route.health, c.want)
 		}
 	}
 }
 
-// A limit that is used up refuses calls in a row, which is no outage: an outage would be followed by a slow start.
+// A limit that is used up causes consecutive refusals. That is not an outage, and must not lead to a slow start.
 func TestRefusals_LimitUsedUp_DoNotEject(t *testing.T) {
 	for share, want := range map[float64]health{0: healthy, 1: ejected} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1})
@@ -80,7 +80,7 @@
 			}
 		}
 		if got := harness.sender.endpoints[1].route.health; got != want {
-			t.Errorf("refused for 40 s with a share of %v left: %s, want %s", share, healthText[got], healthText[want])
+			t.Errorf("refused for 40 s with a share of %v remaining: route is %s, want %s", share, healthText[got], healthText[want])
 		}
 	}
 }
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -11,10 +11,10 @@
 
 const plannerLongest = 8 * time.Second
 
-// addCalls adds each of the times once.
-func addCalls(c *LatencyTable, times ...time.Duration) {
+// addCalls adds a call with each of the times to table c.
+func addCalls(table *LatencyTable, times ...time.Duration) {
 	for _, t := range times {
-		c.Add(0, t)
+		table.Add(0, t)
 	}
 }
 
@@ -33,7 +33,7 @@
 	tables := []*LatencyTable{called, fresh}
 	p.Pool(0, common, tables)
 	if called.Known() || fresh.Known() {
-		t.Fatal("tables without a call are known")
+		t.Fatal("tables without calls are Known, want them not to be")
 	}
 	times := repeated(100*time.Millisecond, 4)
 	addCalls(called, times...)
@@ -56,9 +56,9 @@
 
 func TestPlanner_Calls_Decay(t *testing.T) {
 	p := NewPlanner(plannerLongest)
-	c := p.NewTable()
-	addCalls(c, repeated(100*time.Millisecond, 8)...)
-	if got := c.Count(tableHalfLife); math.Abs(got-4) > 1e-9 {
+	table := p.NewTable()
+	addCalls(table, repeated(100*time.Millisecond, 8)...)
+	if got := table.Count(tableHalfLife); math.Abs(got-4) > 1e-9 {
 		t.Errorf("calls after one half-life: %v, want 4", got)
 	}
 }
@@ -68,11 +68,11 @@
 	p := NewPlanner(plannerLongest)
 	common := p.NewTable()
 	tables := []*LatencyTable{p.NewTable(), p.NewTable()}
-	for _, c := range append(tables, common) {
-		addCalls(c, repeated(100*time.Millisecond, 30)...)
-		addCalls(c, repeated(5*time.Second, 10)...)
+	for _, table := range append(tables, common) {
+		addCalls(table, repeated(100*time.Millisecond, 30)...)
+		addCalls(table, repeated(5*time.Second, 10)...)
 	}
-	for range 200 { // resent requests take what was expected
+	for range 200 { // retries take the expected time
 		p.ObserveRetry(time.Second, time.Second)
 	}
 	p.Pool(0, common, tables)
@@ -83,28 +83,28 @@
 	// Then an attempt with others behind it is restarted soon, and the last one runs on.
 	expected, timeout, runsOn := plan.Attempt(tables[0], 3)
 	if runsOn || timeout > 500*time.Millisecond {
-		t.Errorf("with three left: time-out %v, runs on %v; want a restart before 500 ms", timeout, runsOn)
+		t.Errorf("with three attempts left: time-out %v, runs on %v; want a restart before 500 ms", timeout, runsOn)
 	}
 	if last, _, on := plan.Attempt(tables[0], 1); !on || last <= expected {
-		t.Errorf("the last runs on: %v, expects %v; want true, and more than %v", on, last, expected)
+		t.Errorf("last attempt: runs on %v, expected time %v; want true, and more than %v", on, last, expected)
 	}
 }
 
 func TestPlan_SlowRetries_RunsOn(t *testing.T) {
 	// Given the same tail, and retries that took twenty times what was expected.
 	p := NewPlanner(plannerLongest)
-	common, c := p.NewTable(), p.NewTable()
-	for _, o := range []*LatencyTable{common, c} {
-		addCalls(o, repeated(100*time.Millisecond, 30)...)
-		addCalls(o, repeated(time.Second, 10)...)
+	common, table := p.NewTable(), p.NewTable()
+	for _, each := range []*LatencyTable{common, table} {
+		addCalls(each, repeated(100*time.Millisecond, 30)...)
+		addCalls(each, repeated(time.Second, 10)...)
 	}
 	for range 200 {
 		p.ObserveRetry(20*time.Second, time.Second)
 	}
-	p.Pool(0, common, []*LatencyTable{c})
+	p.Pool(0, common, []*LatencyTable{table})
 
 	// When, then: a restart gains nothing.
-	if _, _, runsOn := p.Solve(0, []*LatencyTable{c}, 3).Attempt(c, 3); !runsOn {
+	if _, _, runsOn := p.Solve(0, []*LatencyTable{table}, 3).Attempt(table, 3); !runsOn {
 		t.Error("the plan restarts an attempt although retries take far longer")
 	}
 }
@@ -115,32 +115,32 @@
 		planner := NewPlanner(plannerLongest)
 		upperBounds, common := planner.sender.bounds, planner.NewTable()
 		var tables []*LatencyTable
-		own := destinationState{latencies: latencyTable{counts: make([]float64, len(upperBounds))}}
+		dest := destinationState{latencies: latencyTable{counts: make([]float64, len(upperBounds))}}
 		sender := Sender{bounds: upperBounds, allLatencies: latencyTable{counts: make([]float64, len(upperBounds))}}
 		for range rapid.IntRange(1, 5).Draw(rapidT, "endpoints") {
 			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(upperBounds))}}
 			for range rapid.IntRange(0, 12).Draw(rapidT, "calls") {
 				elapsed := time.Duration(rapid.IntRange(1, 9000).Draw(rapidT, "ms")) * time.Millisecond
-				x := elapsed.Seconds()
+				seconds := elapsed.Seconds()
 				switch rapid.IntRange(0, 3).Draw(rapidT, "outcome") {
 				case 0:
 					table.AddFailed(0)
 					common.AddFailed(0)
 					endpoint.own.observeFailure(0)
-					own.latencies.observeFailure(0)
+					dest.latencies.observeFailure(0)
 				case 1:
 					table.AddCensored(0, elapsed)
 					common.AddCensored(0, elapsed)
-					endpoint.own.observeCensored(0, upperBounds, x)
-					own.latencies.observeCensored(0, upperBounds, x)
+					endpoint.own.observeCensored(0, upperBounds, seconds)
+					dest.latencies.observeCensored(0, upperBounds, seconds)
 				default:
 					table.Add(0, elapsed)
 					common.Add(0, elapsed)
-					endpoint.own.observe(0, upperBounds, x)
-					own.latencies.observe(0, upperBounds, x)
+					endpoint.own.observe(0, upperBounds, seconds)
+					dest.latencies.observe(0, upperBounds, seconds)
 				}
 			}
-			tables, own.endpoints = append(tables, table), append(own.endpoints, endpoint)
+			tables, dest.endpoints = append(tables, table), append(dest.endpoints, endpoint)
 		}
 		now := time.Duration(rapid.IntRange(0, 60).Draw(rapidT, "age")) * time.Second
 		sender.now = now
@@ -148,16 +148,16 @@
 		// When both are pooled and solved.
 		planner.Pool(now, common, tables)
 		solved := planner.Solve(now, tables, 4)
-		sender.poolLatencies(&own)
+		sender.poolLatencies(&dest)
 		var want restartPlan
-		want.solve(upperBounds, own.endpoints, 4, sender.retryPenalty(), now)
+		want.solve(upperBounds, dest.endpoints, 4, sender.retryPenalty(), now)
 
 		// Then every figure is the same.
 		if diff := cmp.Diff(want.expected, solved.plan.expected); diff != "" {
 			rapidT.Fatalf("expected times (-sender +planner):\n%s", diff)
 		}
 		for i, c := range tables {
-			if diff := cmp.Diff(own.endpoints[i].pooled.counts, c.endpoint.pooled.counts); diff != "" {
+			if diff := cmp.Diff(dest.endpoints[i].pooled.counts, c.endpoint.pooled.counts); diff != "" {
 				rapidT.Fatalf("table %d (-sender +planner):\n%s", i, diff)
 			}
 		}
@@ -169,10 +169,10 @@
 	common := p.NewTable()
 	var tables []*LatencyTable
 	for i := range 28 {
-		c := p.NewTable()
-		addCalls(c, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
+		table := p.NewTable()
+		addCalls(table, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
 		addCalls(common, repeated(time.Duration(50+10*i)*time.Millisecond, 6)...)
-		tables = append(tables, c)
+		tables = append(tables, table)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A recovering route is not pushed over, whatever is queued meanwhile.
+// A recovering route is not overloaded, however many messages have been queued meanwhile.
 func TestRecoveringRoute_QueuedMessages_ArePaced(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(20, 300*ms)
@@ -26,21 +26,21 @@
 	for id := range uint64(20) { // it refuses connections for ten seconds, while two messages a second arrive
 		answer(append(harness.step(harness.arrive(id+1, 2)), harness.wait(500*ms)...), NoConnection)
 	}
-	if d := harness.sender.destinationOrder[0].routes[0]; d.health != ejected {
-		t.Fatalf("health %v", d.health)
+	if route := harness.sender.destinationOrder[0].routes[0]; route.health != ejected {
+		t.Fatalf("health %v after ten seconds of failed connects, want ejected", route.health)
 	}
 	sent := 0
 	for range 160 { // four seconds after it is back
 		sent += answer(harness.wait(25*ms), Delivered)
 	}
-	// Its pace was 2/s; a fifth of that is back, half after four seconds: the multiple of 2 bears 5.7 calls.
+	// The rate was 2/s. A fifth of it is back, half after four seconds: with the multiple of 2, 5.7 calls don't overload the route.
 	if sent < 1 || sent > 5 {
-		t.Errorf("%d calls in the first four seconds", sent)
+		t.Errorf("%d calls in the first four seconds, want 1 to 5", sent)
 	}
 }
 
-// At a route ejected by refusals alone each refused probe halves the pace of probes: the probes of many
-// senders together would keep a limit used up. Failed connects don't, they use up none.
+// If a route was ejected because of refusals alone, each refused probe halves the rate of probes, since the probes of many senders could
+// keep a limit used up. Failed connects use up no limit and don't reduce the rate.
 func TestEjectedRoute_RefusedProbes_SlowDown(t *testing.T) {
 	countProbes := func(res Result) (early, late int) {
 		set := settings()
@@ -64,23 +64,23 @@
 		return early, late
 	}
 	if early, late := countProbes(Throttled); late == 0 || 4*late > early {
-		t.Errorf("refused: %d tries in the first 40 s, %d in the last", early, late)
+		t.Errorf("refused: %d probes in the first 40 s, %d in the last, want at most a quarter, but some", early, late)
 	}
-	// Nor do failures make all messages look hopeless once they are most of what the table holds.
+	// Messages are not given up for lack of time when most calls in the table are failures.
 	if early, late := countProbes(NoConnection); 2*late < early {
-		t.Errorf("failed connects: %d tries in the first 40 s, %d in the last", early, late)
+		t.Errorf("failed connects: %d probes in the first 40 s, %d in the last, want at least half", early, late)
 	}
 }
 
-// More may be asked of a destination than it takes when it is healthy: where it reports its limit, the probes and the
-// slow start of a sender go by its part of that, not by what is asked.
+// The demand may exceed what a destination accepts even when it is healthy. If the destination reports its limit, a sender's probes and
+// slow start are based on its share of the limit, not on the demand.
 func TestEjectedRoute_ReportedLimit_BoundsProbes(t *testing.T) {
 	countProbes := func(report bool) (n int) {
 		set := settings()
 		set.MaxAttempts = 1000
 		harness := newHarness(t, set, Endpoint{ID: 1})
 		attempts := map[uint64]int{}
-		for id := uint64(1); id < 400; id++ { // ten messages a second, of which it takes one
+		for id := uint64(1); id < 400; id++ { // ten messages a second, of which the destination accepts one
 			for acts := append(harness.step(harness.arrive(id, 2)), harness.wait(100*ms)...); len(acts) > 0; acts = acts[1:] {
 				a := acts[0]
 				if a.Kind != Send {
@@ -104,12 +104,11 @@
 	set := settings()
 	limit := 25*2/2*set.OverloadMultiple*set.SlowStartShare + 2
 	if reported, not := countProbes(true), countProbes(false); float64(reported) > limit || reported == 0 || not < 2*reported {
-		t.Errorf("%d probes in 25 s where the limit is reported, %d where not; want %.0f at most and far more", reported, not, limit)
+		t.Errorf("%d probes in 25 s with a reported limit, %d without; want at most %.0f, and at least twice as many", reported, not, limit)
 	}
 }
 
-// What a call carries beside its first message weighs little: at a recovering route, with a pace of few calls,
-// what is queued goes along with them.
+// Further messages in a call cost little. At a recovering route that allows few calls, queued messages share a call.
 func TestRecoveringRoute_SeveralMessages_ShareCalls(t *testing.T) {
 	set := settings()
 	set.Peers, set.Kinds[1].PerCall = 80, 10
@@ -122,23 +121,23 @@
 	}
 	harness.sender.endpoints[1].route.tokens = 1
 	if got := len(actionsOf(harness.step(evs...), Send)); got != 8 {
-		t.Errorf("%d of 8 messages held went with the call that the pace allows", got)
+		t.Errorf("%d of 8 queued messages were sent in the one call that the rate allows", got)
 	}
 	harness.step(harness.arrive(9, 0))
 	if got := actionsOf(harness.wait(500*ms), Send); len(got) > 0 {
-		t.Errorf("the next call went within 0.5 s, as if the 7 messages beside the first weighed nothing: %v", got)
+		t.Errorf("the next call started within 0.5 s, as if the 7 further messages cost nothing: %v", got)
 	}
 }
 
-// A destination that was shut refuses all, which tells nothing of a limit that the list names: when it opens again its pace
-// goes by an equal part of that, not what little was let in meanwhile. Without the weight it has to be learnt again.
+// A destination that is out of service refuses all calls, which says nothing about a listed limit. When it is back, the rate starts from
+// an equal share of that limit, not from the few deliveries meanwhile. Without a listed weight the rate has to be learnt again.
 func TestWeight_RouteShut_PaceRecovers(t *testing.T) {
 	for _, weight := range []float64{0, 16} {
 		set := settings()
 		set.Slots = 40
 		harness := newHarness(t, set, Endpoint{ID: 1, Weight: weight})
 		id := uint64(0)
-		for harness.now < time.Hour+20*time.Second { // two a second, all refused for ten seconds
+		for harness.now < time.Hour+20*time.Second { // two messages a second; all are refused for ten seconds
 			id++
 			ev := harness.arrive(id, 1)
 			res := Throttled
@@ -153,15 +152,15 @@
 		}
 		limit := harness.sender.endpoints[1].route.rateLimit
 		if weight > 0 && (limit < weight/4 || limit > weight) {
-			t.Errorf("with a weight of %v the pace is %.2f calls/s, want half of an equal part at least", weight, limit)
+			t.Errorf("with weight %v the rate is %.2f calls/s, want at least half of an equal share, and at most the weight", weight, limit)
 		}
 		if weight == 0 && limit > 3 {
-			t.Errorf("without a weight the pace is %.2f calls/s: nothing was learnt, and the test shows nothing", limit)
+			t.Errorf("without a weight the rate is %.2f calls/s, want at most 3: otherwise the case with a weight proves nothing", limit)
 		}
 	}
 }
 
-// A report tells more than the list, whose weight is known before it and does not come back with each change.
+// A report takes precedence over the listed weight, which must not return with each change of the list.
 func TestReport_ListedWeight_IsOverridden(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1, Weight: 16})
 	harness.step(harness.arrive(1, 1))
@@ -169,19 +168,19 @@
 	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
 	harness.step(ev)
 	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
-	if d := harness.sender.endpoints[1].route; d.reportedLimit != 6 || d.reportedRemaining != 0.4 {
-		t.Errorf("limit %v and share %v, want what was reported", d.reportedLimit, d.reportedRemaining)
+	if route := harness.sender.endpoints[1].route; route.reportedLimit != 6 || route.reportedRemaining != 0.4 {
+		t.Errorf("limit %v, remaining %v, want the reported 6 and 0.4", route.reportedLimit, route.reportedRemaining)
 	}
 }
 
-// However many senders share a destination, what all of them together send it within OverloadWindow of an
-// outage that each has seen stays under the multiple of what is back, whether it failed or refused its calls.
+// However many senders share a destination, the calls of all senders that have seen its outage, within OverloadWindow of its return, stay
+// below the overload multiple of its returned capacity, whether the destination failed or refused calls during the outage.
 func TestRecoveringRoute_ManySenders_IsNotPushedOver(t *testing.T) {
 	for _, result := range []Result{NoConnection, Throttled, Errored} {
 		for _, peers := range []int{2, 20, 400} {
 			set, rng := settings(), rand.New(rand.NewSource(int64(peers)))
 			set.Peers = peers
-			const rate = 40 // messages a second, from all of them
+			const rate = 40 // messages a second, for all senders together
 			var harnesses []*harness
 			for i := range peers {
 				harness := newHarness(t, set, Endpoint{ID: 1})
@@ -217,7 +216,7 @@
 			}
 			back := set.SlowStartShare + (1-set.SlowStartShare)*set.OverloadWindow.Seconds()/set.SlowStart.Seconds()
 			if limit := set.OverloadMultiple * back * rate * set.OverloadWindow.Seconds(); float64(sent) > limit || sent == 0 {
-				t.Errorf("result %d, %d senders: %d calls right after its return, %.0f at most", result, peers, sent, limit)
+				t.Errorf("result %d, %d senders: %d calls right after the return, want 1 to %.0f", result, peers, sent, limit)
 			}
 		}
 	}
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// No effect twice: an unsafe message that may have run fails; one that never ran goes again.
+// No effect may happen twice: an unsafe message that may have run fails; one that never ran is sent again.
 func TestUnsafeMessage_MayHaveRun_IsNotRetried(t *testing.T) {
 	for _, res := range []Result{Errored, Reset, TimedOut, Unknown, Result(77)} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1})
@@ -26,7 +26,7 @@
 	}
 }
 
-// A keyed message that may have run goes only to its group, inside its window.
+// A keyed message that may have run is sent again only to its group, and within its window.
 func TestKeyedMessage_MayHaveRun_StaysInGroupAndWindow(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1, Zone: 0}, Endpoint{ID: 2, Zone: 1})
 	harness.deliver(20, 100*ms)
@@ -36,20 +36,20 @@
 	sends := actionsOf(acts, Send)
 	for _, a := range sends {
 		if a.Endpoint != first {
-			t.Errorf("left its group: %v", a)
+			t.Errorf("retry outside its group: %v", a)
 		}
 	}
 	if len(sends) != 1 {
-		t.Fatalf("resends: %v", sends)
+		t.Fatalf("retries: %v, want one", sends)
 	}
 	acts = append(harness.step(outcome(1, 1, first, Errored)), harness.wait(6*time.Second)...)
 	if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, Fail)) != 1 || len(actionsOf(acts, Refuse)) != 0 {
-		t.Errorf("after its window: %v", acts)
+		t.Errorf("after its window: %v, want only one Fail", acts)
 	}
 }
 
-// That holds after a restart too, also where the endpoint of the first attempt has left the list, so that nobody knows its zone any more, and
-// where it joins the list again later.
+// A keyed message stays in its group after a restart too, even if the endpoint of the first attempt has left the list, so that its zone
+// is not known, and joins the list again later.
 func TestKeyedMessage_AfterRestart_StaysInGroup(t *testing.T) {
 	for _, c := range []struct {
 		class int
@@ -60,12 +60,12 @@
 		ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1, true, harness.now-100*ms, 9
 		acts := append(harness.step(ev), harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 9, Zone: 0}}})...)
 		if acts = append(acts, harness.wait(500*ms)...); len(actionsOf(acts, Send)) != c.sends {
-			t.Errorf("class %d: %v, want %d calls", c.class, actionsOf(acts, Send), c.sends)
+			t.Errorf("class %d: sent %v, want %d attempts", c.class, actionsOf(acts, Send), c.sends)
 		}
 	}
 }
 
-// Waits are heeded, for the destination, or for the one route where its endpoints are separate routes.
+// A wait applies to the whole destination, or to a single route if the destination's endpoints are separate routes.
 func TestRoute_RetryAfter_GetsNothing(t *testing.T) {
 	for kind, want := range map[int]int{0: 0, 1: 1} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1, Kind: kind}, Endpoint{ID: 2, Kind: kind})
@@ -74,12 +74,12 @@
 		ev.RetryAfter = time.Second
 		acts := append(harness.step(ev), harness.wait(975*ms)...)
 		if got := actionsOf(acts, Send); len(got) != want || want == 1 && got[0].Endpoint == to {
-			t.Errorf("kind %d: sent during the wait: %v", kind, got)
+			t.Errorf("kind %d: sent during the wait: %v, want nothing on the route that asked for it", kind, got)
 		}
 	}
 }
 
-// Messages of a key keep their order, and wait after an attempt that may still be running.
+// Messages with the same key keep their order, and wait after an attempt that may still be running.
 func TestOrderedKey_SeveralMessages_GoOneAtATime(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	evs := []Event{harness.arrive(1, 3), harness.arrive(2, 3), harness.arrive(3, 3)}
@@ -87,29 +87,29 @@
 		evs[i].Key = 9
 	}
 	if got := actionsOf(harness.step(evs...), Send); len(got) != 1 || got[0].ID != 1 {
-		t.Fatalf("first turn: %v", got)
+		t.Fatalf("sent at first: %v, want message 1", got)
 	}
 	harness.now += 100 * ms
 	if got := actionsOf(harness.step(outcome(1, 0, 1, Delivered)), Send); len(got) != 1 || got[0].ID != 2 {
-		t.Fatalf("second turn: %v", got)
+		t.Fatalf("sent after the first delivery: %v, want message 2", got)
 	}
 	harness.now += 100 * ms
 	acts := harness.step(Event{Kind: Withdrawn, ID: 2})
 	if len(actionsOf(acts, Cancel)) != 1 || len(actionsOf(acts, Send)) != 0 {
-		t.Fatalf("withdrawn with an attempt out: %v", acts)
+		t.Fatalf("withdrawn with an attempt in flight: %v, want only a Cancel", acts)
 	}
 	acts = harness.step(outcome(2, 0, 1, Cancelled))
 	acts = append(acts, harness.wait(975*ms)...)
 	if len(actionsOf(acts, Send)) != 0 {
-		t.Errorf("the key did not rest: %v", acts)
+		t.Errorf("sent within InDoubtDelay: %v", acts)
 	}
 	if acts = harness.wait(100 * ms); len(actionsOf(acts, Send)) != 1 {
-		t.Errorf("after the rest: %v", acts)
+		t.Errorf("after InDoubtDelay: %v, want one Send", acts)
 	}
 }
 
-// Where slots are what all wait for, the message that holds one for less time goes first, also when its destination
-// has slowed down just now and no answer tells so yet.
+// If slots are short, a message that needs a slot for less time is sent first. That must hold even if a destination has just slowed down
+// and no answer shows it yet.
 func TestDispatch_ShortOfSlots_PrefersValueForSlotTime(t *testing.T) {
 	set := settings()
 	set.Slots = 3
@@ -128,17 +128,17 @@
 	}
 	harness.step(to(1, 0), to(2, 1))
 	harness.now += ms
-	harness.step(to(5, 1)) // all slots are taken
+	harness.step(to(5, 1)) // no slot is free
 	harness.now += 100 * ms
 	harness.step(to(3, 0), to(4, 1))
 	harness.wait(700 * ms)
 	sent := actionsOf(harness.step(outcome(5, 0, 2, Delivered)), Send)
 	if len(sent) != 1 || sent[0].ID != 4 {
-		t.Errorf("the free slot went to %v, want message 4: the call to the other destination is far older than usual", sent)
+		t.Errorf("the free slot went to %v, want message 4, as the call to the other destination is far older than usual", sent)
 	}
 }
 
-// Senders that know nothing yet do not all begin with the same endpoint.
+// Senders that know no call times yet don't all start with the same endpoint.
 func TestSelection_NothingKnown_SendersSpread(t *testing.T) {
 	first := map[uint32]int{}
 	for seed := range uint64(40) {
@@ -151,12 +151,12 @@
 		first[actionsOf(acts, Send)[0].Endpoint]++
 	}
 	if min(first[1], first[2], first[3]) < 5 {
-		t.Errorf("first calls of 40 senders, by endpoint: %v", first)
+		t.Errorf("first calls of 40 senders, by endpoint: %v; want at least 5 each", first)
 	}
 }
 
-// The plan's endpoint and time-out decide a safe message; beyond the retry budget calls run on; unsafe
-// messages have one call that lasts their time left; keyed ones are restarted only where they may be sent again.
+// The plan chooses the endpoint and time-out of a safe message. Without retry budget, calls are not cut off. An unsafe message has one
+// call until its deadline. A keyed message is restarted only while it may be sent again.
 func TestSend_PlanDecidesEndpointAndTimeout(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -166,7 +166,7 @@
 	}{{"safe", 0, 5, true}, {"safe beyond the budget", 0, 0.5, false}, {"unsafe", 2, 5, false}, {"keyed", 1, 5, true}} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1}, Endpoint{ID: 2})
 		upperBounds := harness.sender.bounds
-		harness.sender.retryTimes = [2]float64{100, 100} // resends have taken what was expected
+		harness.sender.retryTimes = [2]float64{100, 100} // retries took the expected time
 		harness.sender.retryBudget = test.budget
 		fast, slow := upperBounds[10], upperBounds[len(upperBounds)-2]
 		harness.sender.endpoints[1].own = *tableOf(upperBounds, map[float64]float64{slow: 100})
@@ -178,19 +178,19 @@
 			want = toDuration(fast)
 		}
 		if len(sent) != 1 || sent[0].Endpoint != 2 || sent[0].For != want {
-			t.Errorf("%s: %v, want endpoint 2 for %v", test.name, sent, want)
+			t.Errorf("%s: sent %v, want endpoint 2 with time-out %v", test.name, sent, want)
 			continue
 		}
 		if test.restarts {
 			harness.now += want
 			if retry := actionsOf(harness.step(outcome(1, 0, 2, TimedOut)), Send); len(retry) != 1 {
-				t.Errorf("%s: no resend by the plan: %v", test.name, retry)
+				t.Errorf("%s: sent %v after the plan's time-out, want one retry", test.name, retry)
 			}
 		}
 	}
 }
 
-// A keyed message must not be cut off where its window leaves no room for the retry: it would only fail.
+// A keyed message must not be cut off if its window leaves no room for the retry: it would only fail.
 func TestKeyedMessage_EndOfWindow_RunsOn(t *testing.T) {
 	for memory, cut := range map[time.Duration]bool{4 * time.Second: true, 400 * ms: false} {
 		set := settings()
@@ -202,7 +202,7 @@
 		harness.sender.endpoints[1].own.decayedAt = harness.now
 		sent := actionsOf(harness.step(harness.arrive(1, 1)), Send)
 		if len(sent) != 1 || (sent[0].For == toDuration(upperBounds[15])) != cut {
-			t.Errorf("window %v: %v, want it cut: %v", memory, sent, cut)
+			t.Errorf("window %v: sent %v, want the plan's time-out: %v", memory, sent, cut)
 		}
 	}
 }
--- a/control/sender_test.go
+++ b/control/sender_test.go
@@ -12,7 +12,7 @@
 	acts := harness.step(outcome(99, 0, 1, Errored), Event{Kind: Withdrawn, ID: 98}, Event{Kind: Arrived, ID: 5, Class: 77},
 		Event{Kind: EventKind(200)})
 	if len(acts) != 0 {
-		t.Errorf("acts on unknown messages: %v", acts)
+		t.Errorf("actions for unknown messages: %v", acts)
 	}
 	harness.deliver(2, 100*ms)
 	before := harness.sender.now
@@ -22,8 +22,8 @@
 	}
 }
 
-// A Step looks only at destinations for which something is queued or in flight, not at all that the list names: at
-// hundreds of endpoints its cost had a day cut off.
+// A Step only visits destinations with queued messages or calls in flight, not all that are listed: with hundreds of endpoints,
+// visiting all of them was so slow that the simulation of a day was cut off.
 func TestStep_IdleDestinations_AreNotVisited(t *testing.T) {
 	var eps []Endpoint
 	for i := range 800 {
@@ -35,26 +35,26 @@
 	sent := actionsOf(harness.step(ev), Send)
 	harness.wait(100 * ms)
 	if n := len(harness.sender.active); n != 1 || len(sent) != 1 {
-		t.Fatalf("%d destinations looked at with one call out (%v)", n, sent)
+		t.Fatalf("%d destinations visited with one call in flight (%v), want 1", n, sent)
 	}
 	harness.step(outcome(1, 0, sent[0].Endpoint, Delivered))
 	harness.wait(100 * ms)
 	if n := len(harness.sender.active); n != 0 {
-		t.Errorf("%d destinations looked at with nothing held or out", n)
+		t.Errorf("%d destinations visited with nothing queued or in flight", n)
 	}
 }
 
 func TestStep_SameEvents_GiveSameActions(t *testing.T) {
 	a, b := runRandomEvents(t, 42, 4000), runRandomEvents(t, 42, 4000)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events gave different actions")
 	}
 	if c := runRandomEvents(t, 43, 4000); reflect.DeepEqual(a, c) {
-		t.Error("other events gave the same actions: events are not applied")
+		t.Error("different events gave the same actions: events have no effect")
 	}
 }
 
-// BenchmarkStep is the cost of one message, from arrival to delivery, over many destinations.
+// BenchmarkStep measures the cost of one message, from arrival to delivery, with many destinations.
 func BenchmarkStep(b *testing.B) {
 	for _, dests := range []int{10, 100, 400} {
 		b.Run(fmt.Sprintf("%d destinations", dests), func(b *testing.B) {
--- a/control/slots_test.go
+++ b/control/slots_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A destination holds at most three quarters of the slots, with two or three slots as well.
+// One destination holds at most three quarters of the slots, even if there are only two or three.
 func TestSlots_OneDestination_TakesThreeQuartersAtMost(t *testing.T) {
 	for slots, want := range map[int]int{1: 1, 2: 1, 3: 2, 8: 6} {
 		set := settings()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Several destinations that hang at once must not hold all slots.
+// Several destinations that hang at the same time must not hold all slots.
 func TestSlots_SeveralDestinationsHang_OthersGetSlots(t *testing.T) {
 	var eps []Endpoint
 	for i := range 4 {
@@ -31,7 +31,7 @@
 	id := uint64(1)
 	for range 40 {
 		var evs []Event
-		for d := 1; d < 4; d++ { // these three hang; calls to destination 0 take no time
+		for d := 1; d < 4; d++ { // these three hang; calls to destination 0 are answered immediately
 			ev := harness.arrive(id, 2)
 			ev.Destination = d
 			evs = append(evs, ev)
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	acts := harness.step(harness.arrive(9999, 2)) // a notice would be shed: the store is full of payments
+	acts := harness.step(harness.arrive(9999, 2)) // a payment, since the store is full of payments and a notice would be shed
 	for range 10 {
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i]; {
@@ -58,10 +58,10 @@
 		}
 		acts = harness.wait(25 * ms)
 	}
-	t.Errorf("nothing went to the healthy destination, %d of %d slots in use", harness.sender.slotsInUse, harness.sender.settings.Slots)
+	t.Errorf("nothing was sent to the healthy destination, %d of %d slots in use", harness.sender.slotsInUse, harness.sender.settings.Slots)
 }
 
-// Answers lost on the way: some calls are never answered while newer ones are. They must not keep the slots.
+// Some calls are never answered, because the answers are lost, while newer calls are. They must not keep the slots.
 func TestSlots_LostAnswers_AreCalledOff(t *testing.T) {
 	var eps []Endpoint
 	for i := range 3 {
@@ -91,6 +91,6 @@
 		acts = harness.wait(150 * ms)
 	}
 	if lost < 8 || answered < 70 {
-		t.Errorf("%d calls answered, %d lost: the lost ones keep the slots", answered, lost)
+		t.Errorf("%d calls answered, want at least 70, and %d lost, want at least 8: lost calls keep the slots", answered, lost)
 	}
 }
--- a/control/timers_test.go
+++ b/control/timers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The list must be asked for where it does not come by itself, and again after a failure.
+// With MustSubscribe, the sender requests the list at the start, and again after a failure.
 func TestSubscribe_Failures_Retries(t *testing.T) {
 	set := settings()
 	set.MustSubscribe, set.SubscribeWithin = true, 10*time.Second
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	if got := actionsOf(s.Step(0, nil, nil), Subscribe); len(got) != 1 {
-		t.Fatalf("at the start: %v", got)
+		t.Fatalf("at the start: %v, want one Subscribe", got)
 	}
 	asked := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 25 * ms {
@@ -30,40 +30,40 @@
 		}
 	}
 	if asked < 5 || asked > 60 {
-		t.Errorf("asked %d times in 30 s of failures", asked)
+		t.Errorf("%d requests in 30 s of failures, want 5 to 60", asked)
 	}
 }
 
-// One service answers all who ask for the list, one after another: what makes eighty ask at once must not have them
-// ask in the same second, and one that asked in vain lets all others ask first.
+// One service answers all requests for the list, one after another. An event that makes eighty senders request it must not make them all
+// do so in the same second, and a sender whose request failed lets all others go first.
 func TestSubscribe_ManySenders_TakeTurns(t *testing.T) {
 	for _, peers := range []int{1, 3, 80, 300} {
 		set := settings()
 		set.Peers, set.MustSubscribe, set.SubscribeWithin = peers, true, 10*time.Second
 		for _, cause := range []string{"start", "loss", "refused"} {
-			asks, last := map[time.Duration]int{}, time.Duration(0)
-			for me := range peers {
-				set.Index = me
-				s, err := New(set, uint64(me))
+			requests, last := map[time.Duration]int{}, time.Duration(0)
+			for index := range peers {
+				set.Index = index
+				s, err := New(set, uint64(index))
 				if err != nil {
 					t.Fatal(err)
 				}
 				first := []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1}}}}
 				now, from := time.Hour, time.Hour
-				left := map[string]int{"start": 1, "loss": 2, "refused": 2}[cause]
-				for left > 0 && now < 2*time.Hour {
+				remaining := map[string]int{"start": 1, "loss": 2, "refused": 2}[cause]
+				for remaining > 0 && now < 2*time.Hour {
 					evs := first
 					first = nil
 					for _, a := range s.Step(now, evs, nil) {
 						if a.Kind != Subscribe {
 							continue
 						}
-						if left--; left == 0 {
-							asks[(now-from)/time.Second]++
+						if remaining--; remaining == 0 {
+							requests[(now-from)/time.Second]++
 							last = max(last, now-from)
 							break
 						}
-						if cause == "loss" { // all of them lose it at once, later
+						if cause == "loss" { // later, all of them lose the subscription at the same time
 							s.Step(now, []Event{{Kind: Listed, Complete: true}}, nil)
 							from = time.Hour + 20*time.Second
 							now = from
@@ -74,11 +74,11 @@
 				}
 			}
 			busiest := 0
-			for _, k := range asks {
-				busiest = max(busiest, k)
+			for _, count := range requests {
+				busiest = max(busiest, count)
 			}
 			if limit := max(15, peers/6); busiest > limit || last > 16*time.Second {
-				t.Errorf("%d senders after %s: %d asked in one second, want %d at most; the last after %v", peers, cause, busiest, limit, last)
+				t.Errorf("%d senders after %s: %d requests in one second, want at most %d; the last after %v, want at most 16 s", peers, cause, busiest, limit, last)
 			}
 		}
 	}
