--- a/control/backoff_test.go
+++ b/control/backoff_test.go
@@ -14,8 +14,8 @@
 	for i := range 4 {
 		if i > 0 {
 			harness.now += time.Second
-			route := harness.sender.destinations[0].routes[0]
-			route.tokens, route.retryAt = 2, 0
+			testedRoute := harness.sender.destinations[0].routes[0]
+			testedRoute.tokens, testedRoute.retryAt = 2, 0
 		}
 		harness.step(Event{Kind: Woken})
 		for _, m := range harness.sender.endpoints[1].inFlight {
@@ -24,8 +24,8 @@
 		}
 	}
 	harness.sender.recordSuccess(harness.sender.destinations[0].routes[0])
-	if route := harness.sender.destinations[0].routes[0]; route.retryAt > harness.now {
-		t.Errorf("route is %s and in backoff for another %v, want no backoff after a delivery", healthText[route.health], route.retryAt-harness.now)
+	if testedRoute := harness.sender.destinations[0].routes[0]; testedRoute.retryAt > harness.now {
+		t.Errorf("route is %s and in backoff for another %v, want no backoff after a delivery", healthText[testedRoute.health], testedRoute.retryAt-harness.now)
 	}
 }
 
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -47,8 +47,8 @@
 	if got := actionsOf(acts, Close); len(actionsOf(acts, Send)) != 0 || !slices.ContainsFunc(got, func(a Action) bool { return a.Endpoint == 1 }) {
 		t.Errorf("after a failed connect: %v, want only the idle connection closed", acts)
 	}
-	if route := harness.sender.destinations[1].routes[0]; route.health != healthy {
-		t.Errorf("after one failed connect the route is %s, want it healthy", healthText[route.health])
+	if testedRoute := harness.sender.destinations[1].routes[0]; testedRoute.health != healthy {
+		t.Errorf("after one failed connect the route is %s, want it healthy", healthText[testedRoute.health])
 	}
 	if got := actionsOf(harness.wait(toDuration(1.5*initialRetryGap)), Send); len(got) != 1 {
 		t.Fatalf("after the retry gap: sent %v, want one further attempt", got)
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -10,14 +10,14 @@
 func TestSlowStart_LateDelivery_CountsFromHalfWay(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(20, 300*ms)
-	route := harness.sender.destinationOrder[0].routes[0]
-	harness.sender.restrictToProbes(route, ejected)
+	testedRoute := harness.sender.destinationOrder[0].routes[0]
+	harness.sender.restrictToProbes(testedRoute, ejected)
 	failed := harness.sender.now
 	harness.now += 8 * time.Second
 	harness.step(Event{Kind: Woken})
-	harness.sender.recordSuccess(route)
-	if ago := harness.sender.now - route.healthSince; route.health != recovering || ago != (harness.sender.now-failed)/2 {
-		t.Errorf("route is %s since %v, want it recovering since half of %v", healthText[route.health], ago, harness.sender.now-failed)
+	harness.sender.recordSuccess(testedRoute)
+	if ago := harness.sender.now - testedRoute.healthSince; testedRoute.health != recovering || ago != (harness.sender.now-failed)/2 {
+		t.Errorf("route is %s since %v, want it recovering since half of %v", healthText[testedRoute.health], ago, harness.sender.now-failed)
 	}
 }
 
@@ -46,22 +46,22 @@
 func TestResets_FewInARow_DoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(5, 100*ms)
-	route := harness.sender.endpoints[1].route
+	testedRoute := harness.sender.endpoints[1].route
 	for i, c := range []struct {
 		health health
 		res    Result
 		want   health
 	}{{healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Reset, healthy}, {healthy, Delivered, healthy},
 		{recovering, Reset, recovering}, {recovering, Errored, ejected}} {
-		if route.health != c.health {
-			harness.sender.setHealth(route, c.health)
+		if testedRoute.health != c.health {
+			harness.sender.setHealth(testedRoute, c.health)
 		}
 		id := uint64(i)
-		m := &message{id: id, class: &harness.sender.settings.Classes[1], destination: route.destination, sentAt: harness.now}
+		m := &message{id: id, class: &harness.sender.settings.Classes[1], destination: testedRoute.destination, sentAt: harness.now}
 		harness.now += 50 * ms
 		harness.sender.now = harness.now
-		if harness.sender.recordOutcome(m, harness.sender.endpoints[1], &Event{Result: c.res}); route.health != c.want {
-			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, route.health, c.want)
+		if harness.sender.recordOutcome(m, harness.sender.endpoints[1], &Event{Result: c.res}); testedRoute.health != c.want {
+			t.Errorf("after outcome %d, %v: health %v, want %v", i, c.res, testedRoute.health, c.want)
 		}
 	}
 }
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -115,7 +115,7 @@
 		planner := NewPlanner(plannerLongest)
 		upperBounds, common := planner.sender.bounds, planner.NewTable()
 		var tables []*LatencyTable
-		dest := destinationState{latencies: latencyTable{counts: make([]float64, len(upperBounds))}}
+		own := destinationState{latencies: latencyTable{counts: make([]float64, len(upperBounds))}}
 		sender := Sender{bounds: upperBounds, allLatencies: latencyTable{counts: make([]float64, len(upperBounds))}}
 		for range rapid.IntRange(1, 5).Draw(rapidT, "endpoints") {
 			table, endpoint := planner.NewTable(), &endpointState{route: &routeState{}, own: latencyTable{counts: make([]float64, len(upperBounds))}}
@@ -127,20 +127,20 @@
 					table.AddFailed(0)
 					common.AddFailed(0)
 					endpoint.own.observeFailure(0)
-					dest.latencies.observeFailure(0)
+					own.latencies.observeFailure(0)
 				case 1:
 					table.AddCensored(0, elapsed)
 					common.AddCensored(0, elapsed)
 					endpoint.own.observeCensored(0, upperBounds, seconds)
-					dest.latencies.observeCensored(0, upperBounds, seconds)
+					own.latencies.observeCensored(0, upperBounds, seconds)
 				default:
 					table.Add(0, elapsed)
 					common.Add(0, elapsed)
 					endpoint.own.observe(0, upperBounds, seconds)
-					dest.latencies.observe(0, upperBounds, seconds)
+					own.latencies.observe(0, upperBounds, seconds)
 				}
 			}
-			tables, dest.endpoints = append(tables, table), append(dest.endpoints, endpoint)
+			tables, own.endpoints = append(tables, table), append(own.endpoints, endpoint)
 		}
 		now := time.Duration(rapid.IntRange(0, 60).Draw(rapidT, "age")) * time.Second
 		sender.now = now
@@ -148,16 +148,16 @@
 		// When both are pooled and solved.
 		planner.Pool(now, common, tables)
 		solved := planner.Solve(now, tables, 4)
-		sender.poolLatencies(&dest)
+		sender.poolLatencies(&own)
 		var want restartPlan
-		want.solve(upperBounds, dest.endpoints, 4, sender.retryPenalty(), now)
+		want.solve(upperBounds, own.endpoints, 4, sender.retryPenalty(), now)
 
 		// Then every figure is the same.
 		if diff := cmp.Diff(want.expected, solved.plan.expected); diff != "" {
 			rapidT.Fatalf("expected times (-sender +planner):\n%s", diff)
 		}
 		for i, c := range tables {
-			if diff := cmp.Diff(dest.endpoints[i].pooled.counts, c.endpoint.pooled.counts); diff != "" {
+			if diff := cmp.Diff(own.endpoints[i].pooled.counts, c.endpoint.pooled.counts); diff != "" {
 				rapidT.Fatalf("table %d (-sender +planner):\n%s", i, diff)
 			}
 		}
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -26,8 +26,8 @@
 	for id := range uint64(20) { // it refuses connections for ten seconds, while two messages a second arrive
 		answer(append(harness.step(harness.arrive(id+1, 2)), harness.wait(500*ms)...), NoConnection)
 	}
-	if route := harness.sender.destinationOrder[0].routes[0]; route.health != ejected {
-		t.Fatalf("health %v after ten seconds of failed connects, want ejected", route.health)
+	if testedRoute := harness.sender.destinationOrder[0].routes[0]; testedRoute.health != ejected {
+		t.Fatalf("health %v after ten seconds of failed connects, want ejected", testedRoute.health)
 	}
 	sent := 0
 	for range 160 { // four seconds after it is back
@@ -168,8 +168,8 @@
 	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
 	harness.step(ev)
 	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
-	if route := harness.sender.endpoints[1].route; route.reportedLimit != 6 || route.reportedRemaining != 0.4 {
-		t.Errorf("limit %v, remaining %v, want the reported 6 and 0.4", route.reportedLimit, route.reportedRemaining)
+	if testedRoute := harness.sender.endpoints[1].route; testedRoute.reportedLimit != 6 || testedRoute.reportedRemaining != 0.4 {
+		t.Errorf("limit %v, remaining %v, want the reported 6 and 0.4", testedRoute.reportedLimit, testedRoute.reportedRemaining)
 	}
 }
 
--- a/control/restart_plan_test.go
+++ b/control/restart_plan_test.go
@@ -120,8 +120,8 @@
 	upperBounds := []float64{0.1, 1, 8}
 	fast := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{0.1: 100})}
 	slow := &endpointState{route: &routeState{}, pooled: *tableOf(upperBounds, map[float64]float64{0.1: 10, 1: 90})}
-	for what, route := range map[string]routeState{"none": {}, "a wait": {waitUntil: time.Second}, "a refusal": {retryAt: time.Second}} {
-		fast.route = &route
+	for what, obstacle := range map[string]routeState{"none": {}, "a wait": {waitUntil: time.Second}, "a refusal": {retryAt: time.Second}} {
+		fast.route = &obstacle
 		var plan restartPlan
 		plan.solve(upperBounds, []*endpointState{fast, slow}, 2, 1, 0)
 		if _, stop := slow.pooled.bestRestart(upperBounds, plan.expected[1]); (stop == 0) != (what == "none") {
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -70,25 +70,25 @@
 	set.Peers = 10
 	harness := newHarness(t, set, Endpoint{ID: 1})
 	harness.deliver(3, 50*ms)
-	route := harness.sender.endpoints[1].route
+	testedRoute := harness.sender.endpoints[1].route
 	expiry := harness.now + time.Hour
 	harness.grantLease(0.1, expiry, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: 10 * time.Second})
-	if route.health != healthy {
+	if testedRoute.health != healthy {
 		t.Error("older evidence of other senders overrides its own delivery")
 	}
 	harness.now += 20 * time.Second
 	harness.grantLease(0.1, expiry, false, Grant{Endpoint: 1, Unhealthy: true, HealthAge: time.Second})
-	if route.health != ejected {
+	if testedRoute.health != ejected {
 		t.Error("newer evidence of other senders is ignored")
 	}
-	for _, observation := range harness.sender.Observations(harness.now, nil) {
-		if observation.Unhealthy || observation.Healthy {
-			t.Errorf("it reports evidence of other senders as its own: %+v", observation)
+	for _, observed := range harness.sender.Observations(harness.now, nil) {
+		if observed.Unhealthy || observed.Healthy {
+			t.Errorf("it reports evidence of other senders as its own: %+v", observed)
 		}
 	}
 	harness.grantLease(0.1, expiry, false, Grant{Endpoint: 1, Healthy: true, HealthAge: 100 * ms})
-	if route.health != recovering || harness.now-route.healthSince != 100*ms {
-		t.Errorf("after a delivery at another sender the route is %v since %v, want it recovering since 100 ms", healthText[route.health], harness.now-route.healthSince)
+	if testedRoute.health != recovering || harness.now-testedRoute.healthSince != 100*ms {
+		t.Errorf("after a delivery at another sender the route is %v since %v, want it recovering since 100 ms", healthText[testedRoute.health], harness.now-testedRoute.healthSince)
 	}
 	for i := range uint64(2000) { // its own calls fail: that is evidence
 		harness.now += 25 * ms
@@ -100,8 +100,8 @@
 			harness.step(outcome(a.ID, harness.sender.messages[a.ID].attempts-1, a.Endpoint, Errored))
 		}
 	}
-	if observations := harness.sender.Observations(harness.now, nil); len(observations) != 1 || !observations[0].Unhealthy {
-		t.Errorf("observations after its own failures: %+v, want one that is Unhealthy", observations)
+	if observed := harness.sender.Observations(harness.now, nil); len(observed) != 1 || !observed[0].Unhealthy {
+		t.Errorf("observations after its own failures: %+v, want one that is Unhealthy", observed)
 	}
 }
 
@@ -169,9 +169,9 @@
 	harness.calls(2*time.Second, 100)
 	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, State: Removed}, {ID: 2}}})
 	harness.grantLease(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100}, Grant{Endpoint: 9, ExtraShare: 0.5})
-	route := harness.sender.endpoints[2].route
-	if route.extraShare != 0 || route.unhealthyAtPeers || route.reportedLimit != 0 {
-		t.Errorf("the new route starts with %+v, want no extra share, evidence or limit", route)
+	testedRoute := harness.sender.endpoints[2].route
+	if testedRoute.extraShare != 0 || testedRoute.unhealthyAtPeers || testedRoute.reportedLimit != 0 {
+		t.Errorf("the new route starts with %+v, want no extra share, evidence or limit", testedRoute)
 	}
 	harness.calls(2*time.Second, 100)
 	if n := harness.calls(20*time.Second, 100); n > 105 || n < 80 {
