--- a/control/endpoint_list_test.go
+++ b/control/endpoint_list_test.go
@@ -16,7 +16,7 @@
 		harness.deliver(5, 100*ms)
 		acts := harness.step(ev, harness.arrive(1, 0), harness.arrive(2, 2))
 		if acts = append(acts, harness.wait(3*time.Second)...); len(actionsOf(acts, Send)) != 0 {
-			t.Errorf("%+v: sent %v", ev, actionsOf(acts, Send))
+			t.Errorf("after %+v: sent %v, want nothing", ev, actionsOf(acts, Send))
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	}
 	harness.now += time.Minute
 	if harness.step(Event{Kind: Listed}); len(harness.sender.endpoints)+len(harness.sender.destinationOrder)+len(harness.sender.destinations)+len(harness.sender.idleEndpoints) != 0 {
-		t.Errorf("%d endpoints and %d destinations are still known", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
+		t.Errorf("%d endpoints and %d destinations are still known, want none", len(harness.sender.endpoints), len(harness.sender.destinationOrder))
 	}
 	if harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 3}}}, harness.arrive(2, 0)); len(actionsOf(harness.out, Send)) != 1 {
 		t.Error("no message is sent to a new endpoint of a destination that was deleted")
@@ -55,7 +55,7 @@
 	harness.step(harness.arrive(1, 0), harness.arrive(2, 0), elsewhere)
 	throttled := outcome(1, 0, 1, Throttled)
 	if throttled.RetryAfter = time.Second; len(actionsOf(harness.out, Send)) != 3 {
-		t.Fatalf("sent %v", harness.out)
+		t.Fatalf("sent %v, want three attempts", harness.out)
 	}
 	if got := actionsOf(harness.step(throttled), Recall); len(got) != 1 || got[0].ID != 2 {
 		t.Errorf("recalled %v, want message 2", got)
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -128,8 +128,8 @@
 			p.step(t, now, now < start+8*time.Second)
 		}
 		for id := range p.deadlines {
-			if p.ends[id] != 1 {
-				t.Fatalf("message %d had %d final answers, want 1", id, p.ends[id])
+			if p.finalAnswers[id] != 1 {
+				t.Fatalf("message %d had %d final answers, want 1", id, p.finalAnswers[id])
 			}
 		}
 	})
@@ -140,19 +140,19 @@
 // randomService simulates the endpoints of one sender with random results, and checks what is sent. Endpoint 1 starts draining at
 // drainAt.
 type randomService struct {
-	sender    *Sender
-	limit     float64 // reported with each answer; 0: no report
-	events    []Event // for the next Step
-	lastID    uint64
-	drainAt   time.Duration
-	draining  bool
-	zones     map[uint32]int
-	routes    map[uint32]uint32 // the endpoint that identifies a route, if it is another one
-	waits     map[uint32]time.Duration
-	classes   map[uint64]int
-	deadlines map[uint64]time.Duration
-	ends      map[uint64]int
-	ran       map[uint64]firstRun // messages that may have run, with the first such attempt
+	sender       *Sender
+	limit        float64 // reported with each answer; 0: no report
+	events       []Event // for the next Step
+	lastID       uint64
+	drainAt      time.Duration
+	draining     bool
+	zones        map[uint32]int
+	routes       map[uint32]uint32 // the endpoint that identifies a route, if it is another one
+	waits        map[uint32]time.Duration
+	classes      map[uint64]int
+	deadlines    map[uint64]time.Duration
+	finalAnswers map[uint64]int
+	ran          map[uint64]firstRun // messages that may have run, with the first such attempt
 }
 
 type firstRun struct {
@@ -163,7 +163,7 @@
 func newRandomService(s *Sender, drainAt time.Duration) *randomService {
 	return &randomService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
 		routes: map[uint32]uint32{3: 1}, // endpoints 1 and 3 belong to one destination
-		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, ends: map[uint64]int{},
+		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, finalAnswers: map[uint64]int{},
 		ran: map[uint64]firstRun{}}
 }
 
@@ -185,7 +185,7 @@
 			p.checkSend(t, now, action)
 			p.answer(t, now, action, newWaits)
 		case Refuse, Fail:
-			if p.ends[action.ID]++; p.ends[action.ID] > 1 {
+			if p.finalAnswers[action.ID]++; p.finalAnswers[action.ID] > 1 {
 				t.Fatalf("%v: second final answer to its message", action)
 			}
 		}
@@ -212,9 +212,9 @@
 		p.classes[id] == 1 && (first.zone != p.zones[action.Endpoint] || now >= first.at+p.sender.settings.Classes[1].Memory)) {
 		t.Fatalf("%v at %v: sent again in class %d, though it may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
 	}
-	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.ends[id] > 0 {
+	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.finalAnswers[id] > 0 {
 		t.Fatalf("%v at %v: not allowed: draining %v, wait until %v, deadline %v, final answers %d", action, now, p.draining, p.waits[route],
-			p.deadlines[id], p.ends[id])
+			p.deadlines[id], p.finalAnswers[id])
 	}
 }
 
@@ -225,7 +225,7 @@
 	event.Reported, event.Limit, event.Remaining = p.limit > 0, p.limit, rapid.Float64Range(0, 1).Draw(t, "share")
 	switch rapid.IntRange(0, 3).Draw(t, "refused") {
 	case 0:
-		p.ends[action.ID]++
+		p.finalAnswers[action.ID]++
 	case 1:
 		event.Result, event.Final = rapid.SampledFrom([]Result{Errored, Reset, TimedOut}).Draw(t, "result"), false
 		if _, ran := p.ran[action.ID]; !ran {
--- a/control/message_test.go
+++ b/control/message_test.go
@@ -19,7 +19,7 @@
 			t.Errorf("class %d: %v, want one final answer of kind %d", class, acts, want)
 		}
 		if acts := harness.wait(time.Second); len(actionsOf(acts, Refuse))+len(actionsOf(acts, Fail)) != 0 {
-			t.Errorf("class %d: a second final answer: %v", class, acts)
+			t.Errorf("class %d: second final answer: %v", class, acts)
 		}
 	}
 }
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -11,7 +11,7 @@
 
 const plannerLongest = 8 * time.Second
 
-// addCalls adds a call with each of the times to table c.
+// addCalls adds a call with each of the times to table.
 func addCalls(table *LatencyTable, times ...time.Duration) {
 	for _, t := range times {
 		table.Add(0, t)
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -68,7 +68,7 @@
 func (r *routeState) adjustToReport(now time.Duration, remaining, limit, fair float64) {
 	r.reportedLimit, r.reportedRemaining, r.rateLimit = limit, remaining, min(limit, cmp.Or(r.rateLimit, fair))
 	switch elapsed := min(1, (now - r.reportedAt).Seconds()); {
-	case remaining > highRemaining: // traffic is uneven: some senders need growth than an equal share
+	case remaining > highRemaining: // traffic is uneven: some senders need more than an equal share
 		growth := min(reportedIncrease, 0.5*elapsed) + 2*reportedIncrease*elapsed*float64(min(1, len(r.destination.queue)))
 		r.rateLimit = min(limit, max(fair, r.rateLimit*(1+growth)))
 	case remaining < lowRemaining:
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -12,7 +12,7 @@
 		harness.step(harness.arrive(1, 2))
 		acts := append(harness.step(outcome(1, 0, 1, res)), harness.wait(3*time.Second)...)
 		if len(actionsOf(acts, Fail)) != 1 || len(actionsOf(acts, Send))+len(actionsOf(acts, Refuse)) != 0 {
-			t.Errorf("result %d: %v", res, acts)
+			t.Errorf("result %d: actions %v, want only one Fail", res, acts)
 		}
 	}
 	for _, res := range []Result{Throttled, NoConnection, NotProcessed} {
@@ -21,7 +21,7 @@
 		harness.now += time.Second
 		acts := append(harness.step(outcome(1, 0, 1, res)), harness.wait(12*time.Second)...)
 		if len(actionsOf(acts, Send)) != 1 || len(actionsOf(acts, Fail)) != 0 {
-			t.Errorf("result %d: %v", res, acts)
+			t.Errorf("result %d: actions %v, want one Send and no Fail", res, acts)
 		}
 	}
 }
