--- a/control/doc.go
+++ b/control/doc.go
@@ -17,7 +17,7 @@
 //
 // # Invariants
 //
-// These hold whatever the health or load of a destination. maySend checks all of them before each send:
+// These hold whatever the health or load of a destination. maySend enforces them before each send:
 //
 //   - Each message gets exactly one final answer, and none is sent at or after its deadline.
 //   - An Unsafe message that may have run is never sent again, a Keyed one only to its Group of endpoints and within its Memory.
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -148,7 +148,7 @@
 		name           string
 		separateRoutes bool
 		result         func(call int) Result
-	}{{"all let in", false, func(int) Result { return Delivered }}, {"two routes", true, func(int) Result { return Delivered }},
+	}{{"all accepted", false, func(int) Result { return Delivered }}, {"two routes", true, func(int) Result { return Delivered }},
 		{"some refused", false, func(call int) Result { return []Result{Delivered, Throttled, Delivered, Errored}[call%4] }}} {
 		t.Run(c.name, func(t *testing.T) {
 			burst := 1.0 // tokens that one sender saves up, over all routes
