--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// runRandomEvents feeds a sender random legal events, every result included, has an oracle check each action, and returns all of them.
+// runRandomEvents feeds a sender random valid events with every kind of result, lets an oracle check each action, and returns all
+// actions.
 func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
 	t.Helper()
 	const tick = 10 * time.Millisecond
@@ -59,7 +60,7 @@
 		oracle.checkAnswered(now, lastID)
 	}
 	if n := len(sender.messages); n != len(oracle.calls) {
-		t.Errorf("seed %d: %d messages are kept at the end, %d calls in flight", seed, n, len(oracle.calls))
+		t.Errorf("seed %d: at the end the sender has %d messages, but %d calls are in flight", seed, n, len(oracle.calls))
 	}
 	return all
 }
@@ -90,7 +91,7 @@
 		sends += len(actionsOf(runRandomEvents(t, seed, 5000), Send))
 	}
 	if sends < 10000 {
-		t.Errorf("only %d sends: the oracle saw too little", sends)
+		t.Errorf("only %d sends, want at least 10000 for the oracle to check", sends)
 	}
 }
 
@@ -100,9 +101,9 @@
 	f.Fuzz(func(t *testing.T, seed int64) { runRandomEvents(t, seed, 4000) })
 }
 
-// Whatever the seed, the number of senders and slots, the tenants with shares or without, and the weights, true or not: nothing brings a
-// send before the end of a wait, past a drain or past the message's deadline, or a second call with a message that may have run out of
-// its zone or window, and nothing keeps a message from its one end.
+// For any seed, number of senders, slots, tenants with or without quotas, and weights, correct or not: no message is sent before the end
+// of a wait, to a draining endpoint or after its deadline; a message that may have run is not sent again outside its zone or window; and
+// every message gets exactly one final answer.
 func TestInvariants_AnySeedAndNumberOfSenders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
@@ -119,53 +120,54 @@
 			t.Fatal(err)
 		}
 		const start = time.Hour
-		p := newDrawnService(s, start+time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond)
+		p := newRandomService(s, start+time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond)
 		p.limit = rapid.Float64Range(0, 200).Draw(t, "limit")
 		p.events = []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1, Weight: weight}, {ID: 2, Destination: 1, Weight: weight},
 			{ID: 3, Zone: 1, Weight: weight}, {ID: 4, Zone: 1, Kind: 1, Destination: 2, Weight: weight}}}}
-		for now := start; now < start+20*time.Second; now += drawnTick {
+		for now := start; now < start+20*time.Second; now += randomServiceTick {
 			p.step(t, now, now < start+8*time.Second)
 		}
 		for id := range p.deadlines {
-			if p.ends[id] != 1 {
-				t.Fatalf("message %d had %d ends", id, p.ends[id])
+			if p.finalAnswers[id] != 1 {
+				t.Fatalf("message %d had %d final answers, want 1", id, p.finalAnswers[id])
 			}
 		}
 	})
 }
 
-const drawnTick = 25 * time.Millisecond
-
-// drawnService plays the endpoints around one sender with results that are drawn, and checks what is sent. Endpoint 1 drains.
-type drawnService struct {
-	sender    *Sender
-	limit     float64 // reported with each answer; 0: none is
-	events    []Event // for the next Step
-	lastID    uint64
-	drainAt   time.Duration
-	draining  bool
-	zones     map[uint32]int
-	routes    map[uint32]uint32 // the endpoint that a route goes by, where it is another
-	waits     map[uint32]time.Duration
-	classes   map[uint64]int
-	deadlines map[uint64]time.Duration
-	ends      map[uint64]int
-	ran       map[uint64]drawnRun // messages that may have run, and where first
+const randomServiceTick = 25 * time.Millisecond
+
+// randomService simulates the endpoints of one sender with random results, and checks what is sent. Endpoint 1 starts draining at
+// drainAt.
+type randomService struct {
+	sender       *Sender
+	limit        float64 // reported with each answer; 0: no report
+	events       []Event // for the next Step
+	lastID       uint64
+	drainAt      time.Duration
+	draining     bool
+	zones        map[uint32]int
+	routes       map[uint32]uint32 // the endpoint that identifies a route, if it is another one
+	waits        map[uint32]time.Duration
+	classes      map[uint64]int
+	deadlines    map[uint64]time.Duration
+	finalAnswers map[uint64]int
+	ran          map[uint64]firstRun // messages that may have run, with the first such attempt
 }
 
-type drawnRun struct {
+type firstRun struct {
 	zone int
 	at   time.Duration
 }
 
-func newDrawnService(s *Sender, drainAt time.Duration) *drawnService {
-	return &drawnService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
-		routes: map[uint32]uint32{3: 1}, // 1 and 3 are one destination
-		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, ends: map[uint64]int{},
-		ran: map[uint64]drawnRun{}}
+func newRandomService(s *Sender, drainAt time.Duration) *randomService {
+	return &randomService{sender: s, drainAt: drainAt, zones: map[uint32]int{3: 1, 4: 1},
+		routes: map[uint32]uint32{3: 1}, // endpoints 1 and 3 belong to one destination
+		waits:  map[uint32]time.Duration{}, classes: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, finalAnswers: map[uint64]int{},
+		ran: map[uint64]firstRun{}}
 }
 
-func (p *drawnService) step(t *rapid.T, now time.Duration, arrivals bool) {
+func (p *randomService) step(t *rapid.T, now time.Duration, arrivals bool) {
 	t.Helper()
 	if arrivals && rapid.IntRange(0, 9).Draw(t, "arrives") == 0 {
 		p.arrive(t, now)
@@ -176,15 +178,15 @@
 	}
 	actions := p.sender.Step(now, append(p.events, Event{Kind: Woken}), nil)
 	p.events = nil
-	newWaits := map[uint32]time.Duration{} // by answers that come with the next step
+	newWaits := map[uint32]time.Duration{} // from answers that arrive with the next Step
 	for _, action := range actions {
 		switch action.Kind {
 		case Send:
 			p.checkSend(t, now, action)
 			p.answer(t, now, action, newWaits)
 		case Refuse, Fail:
-			if p.ends[action.ID]++; p.ends[action.ID] > 1 {
-				t.Fatalf("%v: the second end of its message", action)
+			if p.finalAnswers[action.ID]++; p.finalAnswers[action.ID] > 1 {
+				t.Fatalf("%v: second final answer to its message", action)
 			}
 		}
 	}
@@ -193,7 +195,7 @@
 	}
 }
 
-func (p *drawnService) arrive(t *rapid.T, now time.Duration) {
+func (p *randomService) arrive(t *rapid.T, now time.Duration) {
 	p.lastID++
 	id := p.lastID
 	p.deadlines[id] = now + time.Duration(rapid.IntRange(100, 8000).Draw(t, "for ms"))*time.Millisecond
@@ -203,36 +205,36 @@
 	p.events = append(p.events, event)
 }
 
-func (p *drawnService) checkSend(t *rapid.T, now time.Duration, action Action) {
+func (p *randomService) checkSend(t *rapid.T, now time.Duration, action Action) {
 	t.Helper()
 	id, route := action.ID, cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	if first, ran := p.ran[id]; ran && (p.classes[id] == 2 ||
 		p.classes[id] == 1 && (first.zone != p.zones[action.Endpoint] || now >= first.at+p.sender.settings.Classes[1].Memory)) {
-		t.Fatalf("%v at %v: of class %d, and may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
+		t.Fatalf("%v at %v: sent again in class %d, though it may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
 	}
-	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.ends[id] > 0 {
-		t.Fatalf("%v at %v: draining %v, wait until %v, message until %v, ends %d", action, now, p.draining, p.waits[route],
-			p.deadlines[id], p.ends[id])
+	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.finalAnswers[id] > 0 {
+		t.Fatalf("%v at %v: not allowed: draining %v, wait until %v, deadline %v, final answers %d", action, now, p.draining, p.waits[route],
+			p.deadlines[id], p.finalAnswers[id])
 	}
 }
 
-// answer draws the result of an attempt, which comes with the next step.
-func (p *drawnService) answer(t *rapid.T, now time.Duration, action Action, newWaits map[uint32]time.Duration) {
+// answer draws the result of an attempt, which the sender gets with the next Step.
+func (p *randomService) answer(t *rapid.T, now time.Duration, action Action, newWaits map[uint32]time.Duration) {
 	route := cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	event := outcome(action.ID, p.sender.messages[action.ID].attempts-1, action.Endpoint, Delivered)
 	event.Reported, event.Limit, event.Remaining = p.limit > 0, p.limit, rapid.Float64Range(0, 1).Draw(t, "share")
 	switch rapid.IntRange(0, 3).Draw(t, "refused") {
 	case 0:
-		p.ends[action.ID]++
+		p.finalAnswers[action.ID]++
 	case 1:
 		event.Result, event.Final = rapid.SampledFrom([]Result{Errored, Reset, TimedOut}).Draw(t, "result"), false
 		if _, ran := p.ran[action.ID]; !ran {
-			p.ran[action.ID] = drawnRun{p.zones[action.Endpoint], now}
+			p.ran[action.ID] = firstRun{p.zones[action.Endpoint], now}
 		}
 	default:
 		event.Result, event.Final = Throttled, false
 		event.RetryAfter = time.Duration(rapid.IntRange(0, 1500).Draw(t, "wait ms")) * time.Millisecond
-		newWaits[route] = max(newWaits[route], now+drawnTick+event.RetryAfter)
+		newWaits[route] = max(newWaits[route], now+randomServiceTick+event.RetryAfter)
 	}
 	p.events = append(p.events, event)
 }
--- a/control/latency_table_test.go
+++ b/control/latency_table_test.go
@@ -5,17 +5,17 @@
 )
 
 func TestLatencyTable_CensoredCall_SpreadsOverSlowerBuckets(t *testing.T) {
-	edges := []float64{1, 2, 4, 8}
-	tb := tableOf(edges, map[float64]float64{1: 6, 4: 3, 8: 1})
-	tb.observeCensored(0, edges, 1)
-	wantNear(t, "4 s", tb.counts[2], 3.75)
-	wantNear(t, "8 s", tb.counts[3], 1.25)
-	wantNear(t, "all", tb.total, 11)
-	tb.decay(tableHalfLife)
-	wantNear(t, "after a half-life", tb.total, 5.5)
+	upperBounds := []float64{1, 2, 4, 8}
+	table := tableOf(upperBounds, map[float64]float64{1: 6, 4: 3, 8: 1})
+	table.observeCensored(0, upperBounds, 1)
+	wantNear(t, "4 s", table.counts[2], 3.75)
+	wantNear(t, "8 s", table.counts[3], 1.25)
+	wantNear(t, "all", table.total, 11)
+	table.decay(tableHalfLife)
+	wantNear(t, "after a half-life", table.total, 5.5)
 }
 
-// A message that ran before its time-out may be answered at once when it comes again: that is no call's time.
+// A message that ran before its time-out may be answered immediately when it is sent again. Such an answer doesn't count as a call time.
 func TestLatencyTable_AnswerToARepeat_IsNotObserved(t *testing.T) {
 	harness := newHarness(t, settings(), Endpoint{ID: 1})
 	harness.deliver(5, 300*ms)
@@ -25,6 +25,6 @@
 	before := harness.sender.endpoints[1].own.counts[0]
 	harness.now += 2 * ms
 	if harness.step(outcome(1, 1, 1, Delivered)); harness.sender.endpoints[1].own.counts[0] > before || before > 0 {
-		t.Errorf("%v calls of 2 ms are in the table", harness.sender.endpoints[1].own.counts[0])
+		t.Errorf("the fastest bucket counts %v calls, want none", harness.sender.endpoints[1].own.counts[0])
 	}
 }
