--- a/cmd/simulator-adapter/errors.go
+++ b/cmd/simulator-adapter/errors.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// errNoContext is returned for a record that comes before any Context record of its batch.
-var errNoContext = errors.New("no Context names its instance")
+// errNoContext is returned for a record without a Context record before it in its batch.
+var errNoContext = errors.New("no Context record precedes it in the batch")
 
-// recordError names the record of a batch that is at fault.
+// recordError is returned for an invalid record of a batch.
 type recordError struct {
 	index int   // in the batch, from 0
 	code  uint8 // its event code
-	err   error
+	err   error // the reason
 }
 
-// Error returns the record and the fault.
+// Error names the record and the reason.
 func (e *recordError) Error() string {
 	return fmt.Sprintf("record %d (code %d): %v", e.index, e.code, e.err)
 }
 
-// Unwrap returns the fault.
+// Unwrap returns the reason.
 func (e *recordError) Unwrap() error { return e.err }
 
-// unknownListError is returned for an endpoint list that no record has brought.
+// unknownListError is returned for an endpoint list that no record has defined.
 type unknownListError struct{ list uint8 }
 
-// Error returns the field and the list's number.
+// Error names the field and the list's number.
 func (e *unknownListError) Error() string {
-	return fmt.Sprintf("field roster_id at offset 1: no list %d", e.list)
+	return fmt.Sprintf("field roster_id at offset 1: list %d has not been received", e.list)
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,6 +1,6 @@
-// Command simulator-adapter runs the decision module (package control) for an external simulator: it reads batches of records on
-// standard input (package wire), translates them to events, and writes the actions to standard output. It decides nothing itself and
-// is single-threaded: a batch is answered before the next one is read.
+// Command simulator-adapter runs the decision module (package control) for an external simulator: it reads batches of records (package
+// wire) from standard input, translates them to events, and writes the actions to standard output. It makes no decisions itself and is
+// single-threaded: it answers a batch before it reads the next one.
 package main
 
 import (
@@ -28,35 +28,35 @@
 	}
 }
 
-// instance is one sender with its events of the current batch.
+// instance is one sender with its events from the current batch.
 type instance struct {
 	id      uint16
 	sender  *control.Sender
 	reports wire.Reports
-	weight  func(float64) float64 // calls a second that a weight of the list stands for
+	weight  func(float64) float64 // converts a weight in the endpoint list to calls per second
 	events  []control.Event
-	touched bool
-	capture *capture.Writer // nil: none is written
+	touched bool            // has events in the current batch
+	capture *capture.Writer // nil: no capture is written
 }
 
 // adapter holds the instances and endpoint lists of one process.
 type adapter struct {
 	instances  map[uint16]*instance
-	lists      map[uint8][]wire.Member
-	touched    []*instance // those with events in this batch, in order of appearance
+	lists      map[uint8][]wire.Member // endpoint lists, by the number that the simulator gave them
+	touched    []*instance             // instances with events in the current batch, in order of appearance
 	reply      wire.Reply
 	actions    []control.Action
 	now        time.Duration
-	captureDir string // folder; "": none
-	captures   int
+	captureDir string // "": no captures are written
+	captures   int    // number of captures created
 }
 
-// run serves a simulator until its input ends.
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer, record string) (err error) {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	l := &adapter{instances: map[uint16]*instance{}, lists: map[uint8][]wire.Member{}, captureDir: record}
+	a := &adapter{instances: map[uint16]*instance{}, lists: map[uint8][]wire.Member{}, captureDir: record}
 	defer func() {
-		for _, i := range l.instances {
+		for _, i := range a.instances {
 			err = errors.Join(err, i.closeCapture())
 		}
 	}()
@@ -69,10 +69,10 @@
 		} else if err != nil {
 			return err
 		}
-		if err := l.handleBatch(&b); err != nil {
+		if err := a.handleBatch(&b); err != nil {
 			return fmt.Errorf("batch %d: %w", b.Seq, err)
 		}
-		if _, err := w.Write(l.reply.Bytes()); err != nil {
+		if _, err := w.Write(a.reply.Bytes()); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -81,83 +81,83 @@
 	}
 }
 
-// handleBatch steps each instance with its events, in order of appearance, and writes their actions to the reply.
-func (l *adapter) handleBatch(b *wire.Batch) error {
-	l.now = time.Duration(b.Clock) * time.Microsecond
-	l.reply.Begin(b.Seq)
-	var current *instance // that the last Context names
+// handleBatch steps each instance with its events, in order of appearance, and writes the actions to the reply.
+func (a *adapter) handleBatch(b *wire.Batch) error {
+	a.now = time.Duration(b.Clock) * time.Microsecond
+	a.reply.Begin(b.Seq)
+	var current *instance // named by the last Context record
 	for i := range b.Records {
 		rec := &b.Records[i]
 		switch rec.Code {
 		case wire.EvContext:
-			current = l.instance(rec.Instance)
+			current = a.instance(rec.Instance)
 			continue
 		case wire.EvList:
-			l.lists[rec.Roster] = rec.Members
+			a.lists[rec.Roster] = rec.Members
 			continue
 		}
 		err := errNoContext
 		if current != nil {
-			err = l.handleRecord(current, rec)
+			err = a.handleRecord(current, rec)
 		}
 		if err != nil {
 			return &recordError{index: i, code: rec.Code, err: err}
 		}
 	}
-	return l.stepTouched()
+	return a.stepTouched()
 }
 
-// instance returns the instance of an id, a new one if there is none.
-func (l *adapter) instance(id uint16) *instance {
-	in := l.instances[id]
+// instance returns the instance with an id, and creates it if it does not exist.
+func (a *adapter) instance(id uint16) *instance {
+	in := a.instances[id]
 	if in == nil {
 		in = &instance{id: id}
-		l.instances[id] = in
+		a.instances[id] = in
 	}
 	return in
 }
 
-// stepTouched steps the instances that have events in this batch.
-func (l *adapter) stepTouched() error {
-	for _, in := range l.touched {
+// stepTouched steps the instances that have events in the current batch.
+func (a *adapter) stepTouched() error {
+	for _, in := range a.touched {
 		in.touched = false
 		if in.sender != nil && len(in.events) > 0 {
-			l.actions = in.sender.Step(l.now, in.events, l.actions[:0])
+			a.actions = in.sender.Step(a.now, in.events, a.actions[:0])
 			if in.capture != nil {
-				if err := in.capture.Turn(l.now, in.events, l.actions); err != nil {
+				if err := in.capture.Turn(a.now, in.events, a.actions); err != nil {
 					return err
 				}
 			}
-			l.writeActions(in.id, l.actions)
+			a.writeActions(in.id, a.actions)
 		}
 		in.events = in.events[:0]
 	}
-	l.touched = l.touched[:0]
+	a.touched = a.touched[:0]
 	return nil
 }
 
-// handleRecord starts or ends an instance, or appends the event that a record stands for.
-func (l *adapter) handleRecord(in *instance, rec *wire.Record) error {
+// handleRecord starts or ends an instance, or appends the event that a record describes.
+func (a *adapter) handleRecord(in *instance, rec *wire.Record) error {
 	switch rec.Code {
 	case wire.EvHello:
-		return l.startInstance(in, rec)
+		return a.startInstance(in, rec)
 	case wire.EvKilled:
 		in.sender, in.events = nil, in.events[:0]
 		return in.closeCapture()
 	}
-	ev, known, err := l.toEvent(in, rec)
+	ev, known, err := a.toEvent(in, rec)
 	if err != nil || !known {
 		return err
 	}
 	if in.events = append(in.events, ev); !in.touched {
 		in.touched = true
-		l.touched = append(l.touched, in)
+		a.touched = append(a.touched, in)
 	}
 	return nil
 }
 
-// startInstance starts an instance with the settings of a Hello, anew if it ran, and its capture if captures are written.
-func (l *adapter) startInstance(in *instance, rec *wire.Record) error {
+// startInstance starts an instance with the settings of a Hello record, or restarts it, and starts its capture if captures are written.
+func (a *adapter) startInstance(in *instance, rec *wire.Record) error {
 	settings, err := wire.ParseSettings(rec.Setup)
 	if err != nil {
 		return err
@@ -167,17 +167,17 @@
 		return fmt.Errorf("field setup: %w", err)
 	}
 	in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
-	if err = in.closeCapture(); err != nil || l.captureDir == "" {
+	if err = in.closeCapture(); err != nil || a.captureDir == "" {
 		return err
 	}
-	l.captures++
-	in.capture, err = capture.Create(filepath.Join(l.captureDir, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), l.captures, in.id, capture.Ext)),
-		capture.Begin{Relay: fmt.Sprint("instance ", in.id), Clock: l.now, Seed: rec.Seed, Settings: settings.Settings})
+	a.captures++
+	in.capture, err = capture.Create(filepath.Join(a.captureDir, fmt.Sprintf("sim-%d-%04d-%d%s", os.Getpid(), a.captures, in.id, capture.Ext)),
+		capture.Begin{Relay: fmt.Sprint("instance ", in.id), Clock: a.now, Seed: rec.Seed, Settings: settings.Settings})
 	return err
 }
 
-// toEvent translates a record; false: it is of a kind that the decision module has no event for.
-func (l *adapter) toEvent(inst *instance, rec *wire.Record) (control.Event, bool, error) {
+// toEvent translates a record to an event; false: the decision module has no event for records of this code.
+func (a *adapter) toEvent(inst *instance, rec *wire.Record) (control.Event, bool, error) {
 	event := control.Event{ID: rec.Ticket}
 	switch rec.Code {
 	case wire.EvFleet:
@@ -186,7 +186,7 @@
 			break
 		}
 		event.Kind, event.Complete = control.Listed, rec.Mode != wire.ModeDelta
-		members, ok := l.lists[rec.Roster]
+		members, ok := a.lists[rec.Roster]
 		if !ok {
 			return event, false, &unknownListError{list: rec.Roster}
 		}
@@ -218,7 +218,7 @@
 	return event, true, nil
 }
 
-// toEndpoint translates a member of a list.
+// toEndpoint translates a member of an endpoint list; weight converts its weight to calls per second.
 func toEndpoint(m wire.Member, weight func(float64) float64) control.Endpoint {
 	e := control.Endpoint{ID: m.Target, Zone: int(m.Site), Kind: int(m.Kind), Destination: int(m.Destination), Weight: weight(float64(m.Units))}
 	switch m.Condition {
@@ -231,17 +231,17 @@
 	return e
 }
 
-// closeCapture completes the capture of an instance, if there is one.
+// closeCapture completes the capture of an instance, if one is written.
 func (in *instance) closeCapture() error {
 	if in.capture == nil {
 		return nil
 	}
-	rec := in.capture
+	writer := in.capture
 	in.capture = nil
-	return rec.Close()
+	return writer.Close()
 }
 
-// callResult translates the status of an attempt.
+// callResult translates the status of an attempt; a status that is not known is control.Unknown.
 func callResult(status uint16) control.Result {
 	switch status {
 	case 0:
@@ -265,29 +265,29 @@
 }
 
 // writeActions appends the actions of an instance to the reply.
-func (l *adapter) writeActions(id uint16, actions []control.Action) {
+func (a *adapter) writeActions(id uint16, actions []control.Action) {
 	if len(actions) == 0 {
 		return
 	}
-	l.reply.As(id)
-	for _, a := range actions {
-		switch a.Kind {
+	a.reply.As(id)
+	for _, action := range actions {
+		switch action.Kind {
 		case control.Send:
-			l.reply.Assign(a.ID, a.Endpoint, uint32(a.For/time.Microsecond))
+			a.reply.Assign(action.ID, action.Endpoint, uint32(action.For/time.Microsecond))
 		case control.Refuse:
-			l.reply.Decline(a.ID, uint32(a.For/time.Microsecond))
+			a.reply.Decline(action.ID, uint32(action.For/time.Microsecond))
 		case control.Fail:
-			l.reply.DropRequest(a.ID)
+			a.reply.DropRequest(action.ID)
 		case control.Cancel:
-			l.reply.DropAttempt(a.ID, uint8(a.Attempt))
+			a.reply.DropAttempt(action.ID, uint8(action.Attempt))
 		case control.Wake:
-			l.reply.Defer(uint64(a.At/time.Microsecond), 0)
+			a.reply.Defer(uint64(action.At/time.Microsecond), 0)
 		case control.Subscribe:
-			l.reply.Follow(true)
+			a.reply.Follow(true)
 		case control.Close:
-			l.reply.FreeLinks(a.Endpoint)
+			a.reply.FreeLinks(action.Endpoint)
 		case control.Log:
-			l.reply.Log(a.Text)
+			a.reply.Log(action.Text)
 		}
 	}
 }
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -14,13 +14,13 @@
 const setupText = `{"allowed": {"max_attempts": 4}, "family_info": {"workers": 4, "kind_apart": [false], "per_call": [1]},
 	"lanes": [{"name": "a", "effect": "pure", "aim": 1000000, "deadline": 5000000, "worth": 1}], "peers_total": 2}`
 
-// frame builds a batch, record by record.
+// frame is a batch under construction.
 type frame struct {
 	body    []byte
 	records uint32
 }
 
-// record appends a record of a code and fields.
+// record appends a record: its code and its fields.
 func (f *frame) record(fields ...any) *frame {
 	f.records++
 	for _, field := range fields {
@@ -40,12 +40,12 @@
 	return f.record(uint8(2), uint8(0), uint8(2), uint64(1))
 }
 
-// query hands in a message.
+// query submits a message.
 func (f *frame) query(id uint64) *frame {
 	return f.record(uint8(3), id, float32(57), uint32(0), uint16(0), uint64(6e6), uint64(0), uint16(0), uint32(0))
 }
 
-// context has the next records be of an instance.
+// context selects the instance of the records that follow.
 func (f *frame) context(i uint16) *frame { return f.record(uint8(12), i) }
 
 // bytes returns the batch with its header.
@@ -57,8 +57,8 @@
 	return append(head, f.body...)
 }
 
-// A list number used again within a batch means the newer list to those who come after it, and an instance
-// that is killed and started again in one batch begins anew.
+// A list number that is reused within a batch refers to the newer list in the records that follow. An instance that is killed and started
+// again within a batch starts anew.
 func TestRun_ReusedListAndRestartInBatch_NewerCounts(t *testing.T) {
 	var in bytes.Buffer
 	in.Write(new(frame).bytes(0, 1))
@@ -69,7 +69,7 @@
 	if err := run(&in, &out, dir); err != nil {
 		t.Fatal(err)
 	}
-	replays(t, dir, 3) // two instances, one of which had two incarnations
+	checkCaptures(t, dir, 3) // two instances, one of which had two incarnations
 	assign := func(id uint64, target uint32) []byte {
 		b, _ := binary.Append([]byte{5}, binary.BigEndian, id)
 		b, _ = binary.Append(b, binary.BigEndian, target)
@@ -77,11 +77,11 @@
 	}
 	for id, target := range map[uint64]uint32{1: 0xa1, 2: 0xa2, 4: 0xa3} {
 		if !bytes.Contains(out.Bytes(), assign(id, target)) {
-			t.Errorf("message %d did not go to %x", id, target)
+			t.Errorf("message %d was not assigned to endpoint %x", id, target)
 		}
 	}
 	if bytes.Contains(out.Bytes(), assign(3, 0xa1)) {
-		t.Error("a message of the killed incarnation was sent")
+		t.Error("a message of the killed incarnation was assigned to an endpoint")
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// Instances share nothing: each acts alike whatever the order in which they come in a batch.
+// Instances share no state: each acts alike whatever the order of instances in a batch.
 func TestRun_InstancesInOtherOrder_ActAlike(t *testing.T) {
 	replies := func(order ...uint16) map[uint16]string {
 		var in, out bytes.Buffer
@@ -124,13 +124,13 @@
 	inOrder, otherwise := replies(1, 2, 3), replies(3, 1, 2)
 	for i := uint16(1); i <= 3; i++ {
 		if inOrder[i] == "" || inOrder[i] != otherwise[i] {
-			t.Errorf("instance %d: %x, in another order %x", i, inOrder[i], otherwise[i])
+			t.Errorf("instance %d: actions %x, in another order %x", i, inOrder[i], otherwise[i])
 		}
 	}
 }
 
-// replays has all that was recorded replayed, with the same decisions.
-func replays(t *testing.T, dir string, want int) {
+// checkCaptures replays all captures in dir, of which there must be want; each must give the same decisions.
+func checkCaptures(t *testing.T, dir string, want int) {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*"+capture.Ext))
 	if len(files) != want {
--- a/internal/relay/simulator/checker.go
+++ b/internal/relay/simulator/checker.go
@@ -7,130 +7,131 @@
 	"mastusher/control"
 )
 
-// Rule is an invariant that no policy may violate. Its text is printed and stored.
+// Rule is an invariant that no policy may violate. Its text is printed and stored in results.
 type Rule string
 
 // The rules.
 const (
-	ruleOneEnd     Rule = "one end"      // each submission ends exactly once at its relay
-	ruleOneCopy    Rule = "one copy"     // a message has at most one call in flight
-	ruleRepeat     Rule = "repeats"      // only idempotent messages are retried, within their window
-	ruleEffects    Rule = "effects"      // nothing but safe messages takes effect twice
-	ruleDrain      Rule = "drains"       // no call to a draining or removed endpoint past the grace
-	ruleWait       Rule = "waits"        // Retry-After is obeyed
-	ruleColdReturn Rule = "cold returns" // no cold endpoint collapses under load
-	ruleAttempts   Rule = "attempts"     // no submission has more than World.MaxAttempts calls
-	ruleOrder      Rule = "orders"       // actions name known messages and endpoints
+	ruleFinishesOnce      Rule = "one end"      // each submission finishes exactly once at its relay
+	ruleOneInFlight       Rule = "one copy"     // a message has at most one call in flight
+	ruleIdempotentRetries Rule = "repeats"      // a message that may have run is retried only if idempotent, within its deduplication window
+	ruleEffectOnce        Rule = "effects"      // only safe messages may take effect more than once
+	ruleDrainGrace        Rule = "drains"       // no call to a draining or removed endpoint after World.DrainGrace
+	ruleRetryAfter        Rule = "waits"        // no call to an endpoint before its Retry-After has expired
+	ruleNoColdCollapse    Rule = "cold returns" // no cold endpoint collapses under load
+	ruleMaxAttempts       Rule = "attempts"     // no submission has more than World.MaxAttempts calls
+	ruleKnownTargets      Rule = "orders"       // Send actions name known messages and endpoints
 )
 
-// Rules are all rules.
-var Rules = []Rule{ruleOneEnd, ruleOneCopy, ruleRepeat, ruleEffects, ruleDrain, ruleWait, ruleColdReturn, ruleAttempts, ruleOrder}
+// Rules lists all rules.
+var Rules = []Rule{ruleFinishesOnce, ruleOneInFlight, ruleIdempotentRetries, ruleEffectOnce, ruleDrainGrace, ruleRetryAfter, ruleNoColdCollapse, ruleMaxAttempts, ruleKnownTargets}
 
-// Violation is one case in which a rule was violated.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule
 	At      time.Duration // since the start
-	Relay   int32         // -1: none alone
-	Message int32         // -1: none
+	Relay   int32         // -1: no particular relay
+	Message int32         // -1: no particular message
 	Text    string
 }
 
 // String formats the violation as results store it.
-func (b Violation) String() string {
-	return fmt.Sprintf("%v: rule %q: relay %d, message %d %s", b.At, b.Rule, b.Relay, b.Message, b.Text)
+func (v Violation) String() string {
+	return fmt.Sprintf("%v: rule %q: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Message, v.Text)
 }
 
-// Checker reports violations, from what policies order and what they were notified of. It shares no state or code with any policy.
+// Checker detects violations from the events that policies receive and the actions that they return. It shares no state or code with any
+// policy.
 type Checker struct {
 	Counts  map[Rule]int
-	Samples []Violation // the first 50
+	Samples []Violation // the first 50 violations
 
 	run             *Run
-	retryAfterUntil map[[2]int32]time.Duration // end of Retry-After, by relay and endpoint
-	drainingSince   map[[2]int32]time.Duration // when a relay was notified that an endpoint drains or is removed, by relay and endpoint
+	retryAfterUntil map[[2]int32]time.Duration // expiry of Retry-After, by relay and endpoint
+	drainingSince   map[[2]int32]time.Duration // when a relay was notified that an endpoint is draining or removed, by relay and endpoint
 }
 
-func (k *Checker) report(rule Rule, relay, msg int32, text string) {
-	if k.Counts == nil {
-		k.Counts = map[Rule]int{}
+func (c *Checker) report(rule Rule, relay, msg int32, text string) {
+	if c.Counts == nil {
+		c.Counts = map[Rule]int{}
 	}
-	if k.Counts[rule]++; len(k.Samples) < 50 {
-		k.Samples = append(k.Samples, Violation{rule, k.run.now - clockStart, relay, msg, text})
+	if c.Counts[rule]++; len(c.Samples) < 50 {
+		c.Samples = append(c.Samples, Violation{rule, c.run.now - clockStart, relay, msg, text})
 	}
 }
 
-// observeEvent records what a relay is notified of, in the turn in which it is.
-func (k *Checker) observeEvent(relay int32, ev *control.Event) {
+// observeEvent records an event for the checks, in the turn in which a relay receives it.
+func (c *Checker) observeEvent(relay int32, ev *control.Event) {
 	switch {
 	case ev.Kind == control.Resolved && ev.Result == control.Throttled && ev.RetryAfter > 0:
-		if k.retryAfterUntil == nil {
-			k.retryAfterUntil = map[[2]int32]time.Duration{}
+		if c.retryAfterUntil == nil {
+			c.retryAfterUntil = map[[2]int32]time.Duration{}
 		}
-		at := [2]int32{relay, int32(ev.Endpoint)}
-		k.retryAfterUntil[at] = max(k.retryAfterUntil[at], k.run.now+ev.RetryAfter)
+		key := [2]int32{relay, int32(ev.Endpoint)}
+		c.retryAfterUntil[key] = max(c.retryAfterUntil[key], c.run.now+ev.RetryAfter)
 	case ev.Kind == control.Listed:
-		if k.drainingSince == nil {
-			k.drainingSince = map[[2]int32]time.Duration{}
+		if c.drainingSince == nil {
+			c.drainingSince = map[[2]int32]time.Duration{}
 		}
 		for _, e := range ev.Endpoints {
-			at := [2]int32{relay, int32(e.ID)}
-			if _, known := k.drainingSince[at]; e.State == control.Ready {
-				delete(k.drainingSince, at)
+			key := [2]int32{relay, int32(e.ID)}
+			if _, known := c.drainingSince[key]; e.State == control.Ready {
+				delete(c.drainingSince, key)
 			} else if !known {
-				k.drainingSince[at] = k.run.now
+				c.drainingSince[key] = c.run.now
 			}
 		}
 	}
 }
 
-func (k *Checker) checkSend(relay int32, a *control.Action, t *submission, msg *message) {
-	now, at := k.run.now, [2]int32{relay, int32(a.Endpoint)}
-	if t.finished || t.relay != relay {
-		k.report(ruleOneEnd, relay, t.message, "is sent though it has ended here, or was never here")
+func (c *Checker) checkSend(relay int32, a *control.Action, sub *submission, msg *message) {
+	now, key := c.run.now, [2]int32{relay, int32(a.Endpoint)}
+	if sub.finished || sub.relay != relay {
+		c.report(ruleFinishesOnce, relay, sub.message, "sent by a relay that does not hold it")
 	}
 	if msg.inFlight > 0 {
-		k.report(ruleOneCopy, relay, t.message, "is sent while a copy is out")
+		c.report(ruleOneInFlight, relay, sub.message, "sent while a call for it is in flight")
 	}
-	if int(t.attempts) >= k.run.World.MaxAttempts {
-		k.report(ruleAttempts, relay, t.message, "is sent once too often")
+	if int(sub.attempts) >= c.run.World.MaxAttempts {
+		c.report(ruleMaxAttempts, relay, sub.message, "sent more often than max_attempts")
 	}
-	if c := &k.run.World.Classes[msg.class]; msg.mayHaveRun && (c.Effect == "unsafe" || c.Effect == "keyed" && now-msg.mayHaveRunAt > time.Duration(c.DedupWindow)) {
-		k.report(ruleRepeat, relay, t.message, "is sent again though it may have run")
+	if class := &c.run.World.Classes[msg.class]; msg.mayHaveRun && (class.Effect == "unsafe" || class.Effect == "keyed" && now-msg.mayHaveRunAt > time.Duration(class.DedupWindow)) {
+		c.report(ruleIdempotentRetries, relay, sub.message, "sent again although it may have run")
 	}
-	if until := k.retryAfterUntil[at]; until > now {
-		k.report(ruleWait, relay, t.message, fmt.Sprintf("is sent %v before the end of a wait", until-now))
+	if until := c.retryAfterUntil[key]; until > now {
+		c.report(ruleRetryAfter, relay, sub.message, fmt.Sprintf("sent %v before Retry-After expires", until-now))
 	}
-	if since, ok := k.drainingSince[at]; ok && now-since > time.Duration(k.run.World.DrainGrace) {
-		k.report(ruleDrain, relay, t.message, fmt.Sprintf("is sent %v after word that its endpoint goes", now-since))
+	if since, ok := c.drainingSince[key]; ok && now-since > time.Duration(c.run.World.DrainGrace) {
+		c.report(ruleDrainGrace, relay, sub.message, fmt.Sprintf("sent %v after the relay was notified that the endpoint is draining or removed", now-since))
 	}
 }
 
-// checkFinish checks that a submission may finish now, and marks it as finished; false: it may not.
-func (k *Checker) checkFinish(relay int32, a *control.Action, t *submission) bool {
-	if t.finished || t.relay != relay {
-		k.report(ruleOneEnd, relay, t.message, "has a second end")
+// checkFinish marks a submission as finished; false: it may not finish, because it already has or belongs to another relay.
+func (c *Checker) checkFinish(relay int32, a *control.Action, sub *submission) bool {
+	if sub.finished || sub.relay != relay {
+		c.report(ruleFinishesOnce, relay, sub.message, "finished again, or at a relay that does not hold it")
 		return false
 	}
-	if _, out := k.run.relays[relay].inFlight[a.ID]; out {
-		k.report(ruleOneEnd, relay, t.message, "ends while its call is out")
+	if _, inFlight := c.run.relays[relay].inFlight[a.ID]; inFlight {
+		c.report(ruleFinishesOnce, relay, sub.message, "finished while its call is in flight")
 	}
-	t.finished = true
+	sub.finished = true
 	return true
 }
 
-func (k *Checker) checkDelivered(t *submission) {
-	if t.finished {
-		k.report(ruleOneEnd, t.relay, t.message, "is delivered though it had ended")
+func (c *Checker) checkDelivered(sub *submission) {
+	if sub.finished {
+		c.report(ruleFinishesOnce, sub.relay, sub.message, "delivered after it had finished")
 	}
-	t.finished = true
+	sub.finished = true
 }
 
-// checkAllFinished reports submissions that never finished, once the run is over.
-func (k *Checker) checkAllFinished() {
-	for i := range k.run.submissions {
-		t := &k.run.submissions[i]
-		if re := &k.run.relays[t.relay]; !t.finished && !re.down {
-			k.report(ruleOneEnd, t.relay, t.message, "has no end")
+// checkAllFinished reports submissions that have not finished at the end of the run.
+func (c *Checker) checkAllFinished() {
+	for i := range c.run.submissions {
+		sub := &c.run.submissions[i]
+		if re := &c.run.relays[sub.relay]; !sub.finished && !re.down {
+			c.report(ruleFinishesOnce, sub.relay, sub.message, "not finished at the end of the run")
 		}
 	}
 }
--- a/internal/relay/simulator/client.go
+++ b/internal/relay/simulator/client.go
@@ -6,8 +6,8 @@
 	"mastusher/control"
 )
 
-// submit submits message m to relay at, or to the next one that is up.
-func (r *Run) submit(m, at int32) {
+// submit submits message m to relay i, or to the next one that is up.
+func (r *Run) submit(m, i int32) {
 	msg := &r.messages[m]
 	if msg.finished {
 		return
@@ -17,26 +17,26 @@
 		return
 	}
 	for range r.relays {
-		if !r.relays[at].down {
+		if !r.relays[i].down {
 			break
 		}
-		at = (at + 1) % int32(len(r.relays))
+		i = (i + 1) % int32(len(r.relays))
 	}
-	if r.relays[at].down {
-		r.resubmit(m, at, 0)
+	if r.relays[i].down {
+		r.resubmit(m, i, 0)
 		return
 	}
 	msg.submissions++
-	r.submissions = append(r.submissions, submission{message: m, relay: at})
+	r.submissions = append(r.submissions, submission{message: m, relay: i})
 	ev := control.Event{Kind: control.Arrived, ID: uint64(len(r.submissions)), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline, Resubmitted: msg.submissions > 1}
-	if msg.mayHaveRun { // as a relay notified the client
+	if msg.mayHaveRun { // the client learnt this from an earlier relay
 		ev.MayHaveRun, ev.RanAt = true, msg.mayHaveRunAt
 	}
-	r.notify(at, ev)
+	r.notify(i, ev)
 }
 
-// resubmit schedules the next submission after relay at refused with retryAfter, or abandons the message.
-func (r *Run) resubmit(m, at int32, retryAfter time.Duration) {
+// resubmit schedules the next submission of message m after relay i refused it, or abandons the message after the last one.
+func (r *Run) resubmit(m, i int32, retryAfter time.Duration) {
 	msg, c := &r.messages[m], &r.World.Clients
 	if int(msg.submissions) >= c.MaxAttempts {
 		r.finishMessage(m, outcomeAbandoned)
@@ -51,27 +51,27 @@
 	}
 	wait = time.Duration(float64(wait) * (0.5 + r.rng.Float64()))
 	r.Stats.recordResubmission()
-	r.schedule(r.now+max(wait, time.Millisecond), eventSubmission, m, (at+1)%int32(len(r.relays)))
+	r.schedule(r.now+max(wait, time.Millisecond), eventSubmission, m, (i+1)%int32(len(r.relays)))
 }
 
-// finishSubmission handles a relay's Refuse or Fail: the client resubmits what was refused.
+// finishSubmission handles a relay's Refuse or Fail action; the client resubmits a refused message.
 func (r *Run) finishSubmission(i int32, a *control.Action) {
 	if a.ID == 0 || a.ID > uint64(len(r.submissions)) {
 		return
 	}
-	t := &r.submissions[a.ID-1]
-	if !r.Checker.checkFinish(i, a, t) {
+	sub := &r.submissions[a.ID-1]
+	if !r.Checker.checkFinish(i, a, sub) {
 		return
 	}
 	if a.Kind == control.Fail {
-		r.finishMessage(t.message, outcomeAbandoned)
+		r.finishMessage(sub.message, outcomeAbandoned)
 		return
 	}
 	r.Stats.recordRefusal()
-	r.resubmit(t.message, i, a.For)
+	r.resubmit(sub.message, i, a.For)
 }
 
-// finishMessage records how message m ended for its client; only the first outcome counts.
+// finishMessage records the outcome of message m for its client; later outcomes of the message are ignored.
 func (r *Run) finishMessage(m int32, how outcome) {
 	msg := &r.messages[m]
 	if msg.finished {
--- a/internal/relay/simulator/doc.go
+++ b/internal/relay/simulator/doc.go
@@ -1,21 +1,20 @@
-// Package simulator is a discrete-event simulator, in virtual time, of what the relay balances: clients that submit messages,
+// Package simulator is a discrete-event simulator, in virtual time, of the system that the relay balances: clients that submit messages,
 // relays that each run a Policy, and partners with endpoints that throttle, queue, fail and warm up. A World describes the
-// environment and its faults; New and Run.Execute run it and return a Result. Programs (cmd/relay-simulator), package experiment and
-// tests call it; the daemon links none of it.
+// environment and its faults; New prepares a run of it, and Run.Execute runs it and returns a Result. Programs (cmd/relay-simulator),
+// package experiment and tests use it; the daemon does not link it.
 //
-// The model is written from the relay's rules and shares no code with the policies that it tests: the Checker reports each
-// violation of a Rule from what a policy was notified of and what it ordered.
-//
-// It shows what a policy earns and that it keeps the relay's rules, under partners' faults and load. Of a fleet it models lost grants
-// and partitions only: package fleet/simulation runs the protocol itself.
+// Its results show how much value a policy earns and whether the policy keeps the relay's rules while partners fail or are overloaded.
+// The model shares no code with the policies: the Checker detects violations of a Rule only from the events that a policy received and
+// the actions that it returned. Of a fleet of relays the model includes lost grants and partitions only; package fleet/simulation runs
+// the fleet's protocol itself.
 //
 // A run is deterministic: one goroutine processes a queue of events ordered by time and insertion, all randomness comes from
-// generators seeded by World.Seed, and no map may be ranged over where the order can reach a decision or a random draw. The same
-// world therefore gives the same Result.Hash on every machine. A Run must not be used by two goroutines; runs share nothing.
+// generators seeded by World.Seed, and no code may range over a map where the order can affect a decision or a random draw. The same
+// world therefore gives the same Result.Hash on every machine. A Run is not safe for concurrent use; separate runs share no state.
 //
-// Files: run.go is the event loop, on a virtualtime.Queue, and event.go what it processes; workload.go draws messages, client.go submits and resubmits them;
-// relay.go runs policies in turns; call.go and endpoint.go serve calls, overload.go models the collapse of cold endpoints;
-// fault.go injects faults, list.go spreads changes of the endpoint list, sharing.go the relays' shared limits; checker.go, stats.go,
-// fleet_stats.go and result.go measure; world.go, world_file.go and validate.go define worlds, random.go draws them and shrink.go
-// reduces a failing one.
+// Files: run.go is the event loop, on a virtualtime.Queue, and event.go its events; workload.go draws messages, client.go submits and
+// resubmits them; relay.go runs policies in turns; call.go and endpoint.go serve calls, overload.go models the collapse of cold
+// endpoints; fault.go injects faults, endpoint_list.go notifies relays of changes of the endpoint list, sharing.go models the relays'
+// shared limits; checker.go, stats.go, fleet_stats.go and result.go measure; world.go, world_file.go and validate.go define worlds,
+// random_world.go draws them and shrink.go reduces a failing one.
 package simulator
--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -19,23 +19,23 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// Experiment is a set of runs: every policy, with every seed, at every value of the sweep.
+// Experiment is a set of runs: one for each policy, with each seed, at each value of the sweep.
 type Experiment struct {
 	Name        string          `toml:"name"`
 	Policies    []string        `toml:"policies"`
 	Seeds       []uint64        `toml:"seeds"`
-	MeasureHeap bool            `toml:"memory"` // measure the heap that each run holds; the runs then go one by one
+	MeasureHeap bool            `toml:"memory"` // measure the heap in use at the end of each run; the runs then are sequential
 	Sweep       Sweep           `toml:"sweep"`
 	World       simulator.World `toml:"world"`
 }
 
-// Sweep names a key of the world and the values that it takes in turn.
+// Sweep names a key of the world and its successive values.
 type Sweep struct {
 	Key    string    `toml:"key"`
 	Values []float64 `toml:"values"`
 }
 
-// sweepKeys set the keys that a sweep may name.
+// sweepKeys holds the keys that a sweep may name, with functions that set them.
 var sweepKeys = map[string]func(*simulator.World, float64){
 	"rate":          func(w *simulator.World, v float64) { w.Rate = v },
 	"relays":        func(w *simulator.World, v float64) { w.Relays = int(v) },
@@ -88,7 +88,7 @@
 	return all
 }
 
-// Parse parses and validates an experiment's file. Each error names its key.
+// Parse parses and validates an experiment file. Each error names its key.
 func Parse(text string) (*Experiment, error) {
 	x := Experiment{Name: "experiment", Policies: []string{"module"}, Seeds: []uint64{1}, World: simulator.Default()}
 	if err := simulator.Decode(text, &x); err != nil {
@@ -97,17 +97,18 @@
 	return &x, x.validate()
 }
 
+// validate checks the names and the world, of which it sets the defaults.
 func (x *Experiment) validate() error {
 	for _, p := range x.Policies {
 		if policy.ByName[p] == nil {
-			return &simulator.FileError{Key: "policies", Reason: fmt.Sprintf("%q is none of %s", p, strings.Join(Policies(), ", "))}
+			return &simulator.FileError{Key: "policies", Reason: fmt.Sprintf("%q is not one of %s", p, strings.Join(Policies(), ", "))}
 		}
 	}
 	if len(x.Policies) == 0 || len(x.Seeds) == 0 {
 		return errNoRuns
 	}
 	if x.Sweep.Key != "" && sweepKeys[x.Sweep.Key] == nil {
-		return &simulator.FileError{Key: "sweep.key", Reason: fmt.Sprintf("%q is none of %s", x.Sweep.Key, strings.Join(SweepKeys(), ", "))}
+		return &simulator.FileError{Key: "sweep.key", Reason: fmt.Sprintf("%q is not one of %s", x.Sweep.Key, strings.Join(SweepKeys(), ", "))}
 	}
 	if (x.Sweep.Key == "") != (len(x.Sweep.Values) == 0) {
 		return errHalfSweep
@@ -126,7 +127,7 @@
 	Result     *simulator.Result `cbor:"Result"`
 }
 
-// Results are the results of an experiment. Their file is CBOR under the keys of the tags, which must stay as they are.
+// Results are the results of an experiment. They are stored as CBOR under the keys of the tags, which must not change.
 type Results struct {
 	Version  int    `cbor:"Version"`
 	Name     string `cbor:"Name"`
@@ -135,11 +136,11 @@
 	Cells    []Cell `cbor:"Cells"`
 }
 
-// Version is that of the files that this program writes and reads. It must change when older readers can't read a file.
+// Version is the format version of the files that Save writes and Load reads. It must change when earlier readers can't read new files.
 const Version = 1
 
-// Run plays all runs, cores of them at once, and calls progress (which may be nil) after each one, never concurrently. The cells have
-// the same order and contents whatever cores is. After an error it starts no further run.
+// Run executes all runs, up to cores of them concurrently, and calls progress (which may be nil) after each one, never concurrently. The
+// order of the cells and the decisions in them do not depend on cores. After an error it starts no further run.
 func (x *Experiment) Run(cores int, progress func(done, of int)) (*Results, error) {
 	res, err := x.newResults()
 	if err != nil {
@@ -179,7 +180,7 @@
 	return res, failed
 }
 
-// newResults returns results with a cell for each run, not yet filled in.
+// newResults returns results with a cell for each run, without its result.
 func (x *Experiment) newResults() (*Results, error) {
 	values := x.Sweep.Values
 	if len(values) == 0 {
@@ -200,7 +201,7 @@
 	return res, nil
 }
 
-// runCell plays the run of a cell and fills in its result.
+// runCell executes the run of a cell and sets its result.
 func (x *Experiment) runCell(c *Cell) error {
 	w := x.World
 	w.Partners, w.Classes, w.Faults = slices.Clone(w.Partners), slices.Clone(w.Classes), slices.Clone(w.Faults)
@@ -208,7 +209,7 @@
 		sweepKeys[x.Sweep.Key](&w, c.SweepValue)
 	}
 	if err := w.Validate(); err != nil {
-		return fmt.Errorf("with %s = %v: %w", x.Sweep.Key, c.SweepValue, err)
+		return fmt.Errorf("sweep key %s = %v: %w", x.Sweep.Key, c.SweepValue, err)
 	}
 	before := uint64(0)
 	if x.MeasureHeap {
@@ -223,31 +224,32 @@
 	return err
 }
 
-// RunWorld runs one world under the policy of a name; an unknown name is an *UnknownPolicyError.
+// RunWorld runs a world under the named policy; an unknown name is an *UnknownPolicyError.
 func RunWorld(w *simulator.World, name string) (*simulator.Result, error) {
 	res, _, err := runWorld(w, name)
 	return res, err
 }
 
+// runWorld does the work of RunWorld. It also returns the run, so that the caller can keep its memory reachable.
 func runWorld(w *simulator.World, name string) (*simulator.Result, *simulator.Run, error) {
-	maker := policy.ByName[name]
-	if maker == nil {
+	factory := policy.ByName[name]
+	if factory == nil {
 		return nil, nil, &UnknownPolicyError{Name: name}
 	}
-	r, err := simulator.New(w, maker)
+	r, err := simulator.New(w, factory)
 	if err != nil {
 		return nil, nil, err
 	}
 	if policy.SharesLimits(name) {
 		r.EnableSharing(simulator.DefaultSharing())
 	}
-	from := time.Now()
+	start := time.Now()
 	res := r.Execute()
-	res.Policy, res.WallTime = name, time.Since(from)
+	res.Policy, res.WallTime = name, time.Since(start)
 	return res, r, nil
 }
 
-// heapInUse is the bytes of live heap objects, after a collection.
+// heapInUse returns the bytes of live heap objects after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -257,26 +259,26 @@
 
 // Save writes the results to a file, which Load reads.
 func (r *Results) Save(file string) error {
-	b, err := cbor.Marshal(r)
+	encoded, err := cbor.Marshal(r)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(file, b, 0o644)
+	return os.WriteFile(file, encoded, 0o644)
 }
 
 // Load reads a file that Save wrote; a file of another Version is a *VersionError.
 func Load(file string) (*Results, error) {
-	b, err := os.ReadFile(file)
+	encoded, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	var head struct{ Version int }
-	if err := cbor.Unmarshal(b, &head); err != nil {
+	var header struct{ Version int }
+	if err := cbor.Unmarshal(encoded, &header); err != nil {
 		return nil, fmt.Errorf("%s holds no results: %w", file, err)
 	}
-	if head.Version != Version {
-		return nil, &VersionError{File: file, Version: head.Version}
+	if header.Version != Version {
+		return nil, &VersionError{File: file, Version: header.Version}
 	}
-	var r Results
-	return &r, cbor.Unmarshal(b, &r)
+	var results Results
+	return &results, cbor.Unmarshal(encoded, &results)
 }
--- a/internal/relay/simulator/experiment/experiment_test.go
+++ b/internal/relay/simulator/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 for = "1s"
 `
 
-// An experiment's results come back from their file as they were, and make a page with all its plots.
+// Saved results are equal after loading, and their page has all charts.
 func TestResults_SavedAndLoaded_AreEqualAndMakePage(t *testing.T) {
 	x, err := experiment.Parse(text)
 	if err != nil {
@@ -41,14 +41,14 @@
 	calls := 0
 	res, err := x.Run(3, func(done, of int) {
 		if calls++; done != calls || of != 8 {
-			t.Errorf("%d of %d", done, of)
+			t.Errorf("progress reports %d of %d runs", done, of)
 		}
 	})
 	if err != nil || len(res.Cells) != 8 {
-		t.Fatalf("%d cells, %v", len(res.Cells), err)
+		t.Fatalf("%d cells, want 8; error %v", len(res.Cells), err)
 	}
 	if res.Cells[0].Result.Messages >= res.Cells[4].Result.Messages {
-		t.Error("the sweep changes nothing")
+		t.Error("a higher rate gives no more messages")
 	}
 	file := filepath.Join(t.TempDir(), "results")
 	if err = res.Save(file); err != nil {
@@ -66,16 +66,16 @@
 		t.Fatal(err)
 	}
 	if p := page.String(); strings.Count(p, "<svg") != 4+2*5 || strings.Contains(p, "http://") && strings.Contains(p, "<script") {
-		t.Errorf("%d plots in a page of %d bytes", strings.Count(p, "<svg"), page.Len())
+		t.Errorf("%d charts in a page of %d bytes, want 14 and no external scripts", strings.Count(p, "<svg"), page.Len())
 	}
 	reread.Version++
 	_ = reread.Save(file)
 	if _, err := experiment.Load(file); err == nil || !strings.Contains(err.Error(), "version 2") {
-		t.Errorf("a later version: %v", err)
+		t.Errorf("file of version 2: error %v, want one that names the version", err)
 	}
 }
 
-// An error names its key.
+// The error for a bad value names its key.
 func TestParse_BadValue_ErrorNamesKey(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{`"single"`, `"lucky"`}:          "key policies",
@@ -86,7 +86,7 @@
 		{`kind = "slow"`, `kind = "x"`}:  "key trouble[0].kind",
 	} {
 		if _, err := experiment.Parse(strings.Replace(text, change[0], change[1], 1)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: %v, want %q", change, err, want)
+			t.Errorf("%v: error %v, want one that contains %q", change, err, want)
 		}
 	}
 }
--- a/internal/relay/simulator/experiment/stored_format_test.go
+++ b/internal/relay/simulator/experiment/stored_format_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/relay/simulator/experiment"
 )
 
-// storedResults is what testdata/results.cbor holds: each field differs from its zero value and from its neighbours.
+// storedResults returns the contents of testdata/results.cbor: each field differs from its zero value and from its neighbours.
 func storedResults() *experiment.Results {
 	return &experiment.Results{Version: experiment.Version, Name: "load", SweepKey: "rate", World: "seed = 3\n", Cells: []experiment.Cell{{
 		SweepValue: 20.5, Policy: "module", Seed: 7, Result: &simulator.Result{
@@ -27,7 +27,7 @@
 		}}}}
 }
 
-// A file of results that an earlier version wrote is read with every value, and is written in the same bytes.
+// A results file of an earlier version of the program is read with every value and is written again byte for byte.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	golden := filepath.Join("testdata", "results.cbor")
 	read, err := experiment.Load(golden)
--- a/internal/relay/simulator/fault.go
+++ b/internal/relay/simulator/fault.go
@@ -7,15 +7,15 @@
 	"mastusher/control"
 )
 
-// drawFaultTargets draws the endpoints that fault i affects. It has a generator of its own, so that the fault affects the same
-// endpoints whatever the policies decide.
+// drawFaultTargets draws the endpoints that fault i affects. It uses a separate generator, so that the fault affects the same endpoints
+// whatever the policies decide.
 func (r *Run) drawFaultTargets(i int) (targets []int32) {
-	f := &r.World.Faults[i]
+	fault := &r.World.Faults[i]
 	rng := rand.New(rand.NewPCG(r.World.Seed, 100+uint64(i)))
 	for n := range r.endpoints {
 		e := &r.endpoints[n]
-		drawn := rng.Float64() < f.Share // one draw an endpoint, also for those that are left out
-		if e.removed || f.Partners != "" && r.World.Partners[e.group].Name != f.Partners || f.Zone > 0 && int(e.zone) != f.Zone-1 || !drawn {
+		drawn := rng.Float64() < fault.Share // one draw per endpoint, including those excluded below
+		if e.removed || fault.Partners != "" && r.World.Partners[e.group].Name != fault.Partners || fault.Zone > 0 && int(e.zone) != fault.Zone-1 || !drawn {
 			continue
 		}
 		targets = append(targets, int32(n))
@@ -23,7 +23,7 @@
 	return targets
 }
 
-// applyFault begins fault i or ends it; a flapping fault does both once a period.
+// applyFault starts or ends fault i; a flapping fault does both once per period.
 func (r *Run) applyFault(i int, active bool) {
 	fault := &r.World.Faults[i]
 	r.scheduleFaultChange(i, active)
@@ -53,7 +53,7 @@
 		}
 		return
 	}
-	if active { // its end must reach the same endpoints, whatever has been replaced meanwhile
+	if active { // the end of the fault must affect the same endpoints, even if some have been replaced by then
 		r.faultTargets[i] = r.drawFaultTargets(i)
 	}
 	for _, n := range r.faultTargets[i] {
@@ -66,57 +66,59 @@
 	}
 }
 
-// scheduleFaultChange queues the next change of fault i: its end, or the other half of a flapping period.
-func (r *Run) scheduleFaultChange(i int, on bool) {
-	f := &r.World.Faults[i]
-	end := clockStart + time.Duration(f.At) + time.Duration(f.Length)
-	if on {
+// scheduleFaultChange schedules the next change of fault i: its end, or the next half of a flapping period.
+func (r *Run) scheduleFaultChange(i int, active bool) {
+	fault := &r.World.Faults[i]
+	end := clockStart + time.Duration(fault.At) + time.Duration(fault.Length)
+	if active {
 		next := end
-		if f.FlapPeriod > 0 {
-			next = min(next, r.now+time.Duration(f.FlapPeriod)/2)
+		if fault.FlapPeriod > 0 {
+			next = min(next, r.now+time.Duration(fault.FlapPeriod)/2)
 		}
 		r.schedule(next, eventFault, int32(i), 0)
-	} else if f.FlapPeriod > 0 && r.now+time.Duration(f.FlapPeriod)/2 < end {
-		r.schedule(r.now+time.Duration(f.FlapPeriod)/2, eventFault, int32(i), 1)
+	} else if fault.FlapPeriod > 0 && r.now+time.Duration(fault.FlapPeriod)/2 < end {
+		r.schedule(r.now+time.Duration(fault.FlapPeriod)/2, eventFault, int32(i), 1)
 	}
 }
 
-// applyCallFault changes how an endpoint answers calls. Faults of one kind may overlap, so those without a factor are counted.
-func applyCallFault(f *Fault, e *endpoint, on bool) {
+// applyCallFault starts or ends a fault in how an endpoint answers calls. Faults that throttle, hang or fail are counted, because several
+// may overlap.
+func applyCallFault(fault *Fault, e *endpoint, active bool) {
 	step := -1
-	if on {
+	if active {
 		step = 1
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case FaultThrottle:
 		e.throttling += step
-		e.retryAfter = f.RetryAfter
+		e.retryAfter = fault.RetryAfter
 	case FaultHang:
 		e.hanging += step
 	case FaultError:
 		e.failing += step
 	case FaultSlow:
-		if e.slowFactor, e.slowRelays = f.Factor, f.Relays; !on {
+		if e.slowFactor, e.slowRelays = fault.Factor, fault.Relays; !active {
 			e.slowFactor, e.slowRelays = 1, 0
 		}
 	case FaultLowerLimit:
-		if e.limitFactor = f.Factor; !on {
+		if e.limitFactor = fault.Factor; !active {
 			e.limitFactor = 0
 		}
 	case FaultPartition:
-		if e.partitionedRelays = max(f.Relays, 1); !on {
+		if e.partitionedRelays = max(fault.Relays, 1); !active {
 			e.partitionedRelays = 0
 		}
 	}
 }
 
-// applyAvailabilityFault takes endpoint n down, drains it or removes it, with a replacement where its kind has one.
-func (r *Run) applyAvailabilityFault(kind string, n int32, on bool) {
+// applyAvailabilityFault starts or ends a fault that takes endpoint n down, drains it or removes it. Drained and vanished endpoints get a
+// replacement.
+func (r *Run) applyAvailabilityFault(kind string, n int32, active bool) {
 	switch {
-	case kind == FaultDrain && on:
+	case kind == FaultDrain && active:
 		r.updateList(n, control.Draining)
 		r.addReplacement(n)
-	case on: // FaultDown, FaultVanish
+	case active: // FaultDown, FaultVanish
 		r.takeDown(n)
 	case kind == FaultDown:
 		r.bringUp(n)
--- a/internal/relay/simulator/fleet_stats.go
+++ b/internal/relay/simulator/fleet_stats.go
@@ -8,25 +8,25 @@
 	"mastusher/control"
 )
 
-// FleetStats measures what all relays did together against what the endpoints allowed.
+// FleetStats compares the combined load of all relays with what the endpoints allowed.
 type FleetStats struct {
 	PeakSenderShare       float64 `cbor:"InStep"`  // largest share of the relays that sent in the same turn
-	PeakOverload          float64 `cbor:"Over"`    // most calls that came to an endpoint in a second, over what it allowed then; cold ones allow less
-	ThrottledPerMessage   float64 `cbor:"Wasted"`  // throttled calls a message
-	RecoverySeconds       float64 `cbor:"Regain"`  // s from a fault's end until deliveries reach 90 % of what comes, the longest; -1: never
-	SharingBytesPerSecond float64 `cbor:"Shared"`  // bytes a second that a relay which does not lead sends and gets to share limits
-	Unfairness            float64 `cbor:"Unequal"` // 1 less Jain's index over the relays' shares delivered; 0: all alike
+	PeakOverload          float64 `cbor:"Over"`    // largest ratio of an endpoint's calls in a second to its limit then; cold ones allow less
+	ThrottledPerMessage   float64 `cbor:"Wasted"`  // throttled calls per message
+	RecoverySeconds       float64 `cbor:"Regain"`  // longest time in s from a fault's end until 90 % of World.Rate is delivered; -1: never
+	SharingBytesPerSecond float64 `cbor:"Shared"`  // bytes per second that each relay exchanges with the leader to share limits
+	Unfairness            float64 `cbor:"Unequal"` // 1 minus Jain's fairness index over the relays' shares delivered; 0: all are equal
 }
 
-// fleetCounter counts for FleetStats during a run.
+// fleetCounter collects the counts for FleetStats during a run.
 type fleetCounter struct {
-	turn                              time.Duration
-	senders, maxSenders               int       // relays that sent in the turn, and in the fullest
-	deliveredBySecond                 []int32   // deliveries, by second
-	messagesByRelay, deliveredByRelay []float64 // by relay
+	turn                              time.Duration // time of the last turn
+	senders, maxSenders               int           // relays that sent in that turn, and the most that sent in any turn
+	deliveredBySecond                 []int32
+	messagesByRelay, deliveredByRelay []float64 // by first relay
 }
 
-// recordTurn counts relays that send in the same turn.
+// recordTurn counts the relays that send in the same turn.
 func (f *fleetCounter) recordTurn(r *Run, acts []control.Action) {
 	if f.turn != r.now {
 		f.turn, f.senders = r.now, 0
@@ -46,7 +46,7 @@
 	return list
 }
 
-// recordCall counts a call that reached an endpoint, beside what the endpoint allowed in that second.
+// recordCall counts a call that reached an endpoint, and records what the endpoint allowed in that second.
 func (f *fleetCounter) recordCall(r *Run, e *endpoint) {
 	limit := r.limit(e)
 	if limit == 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// result sums up, given how many calls were throttled in all.
+// result returns the statistics of the run; throttled is the total of throttled calls.
 func (f *fleetCounter) result(run *Run, throttled int) FleetStats {
 	relays := float64(len(run.relays))
 	return FleetStats{
@@ -87,7 +87,7 @@
 	}
 }
 
-// peakOverload is the largest ratio of an endpoint's calls in a second to what it allowed in it.
+// peakOverload returns the largest ratio of the calls to an endpoint in a second to what the endpoint allowed in that second.
 func peakOverload(endpoints []endpoint) (peak float64) {
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -100,10 +100,11 @@
 	return peak
 }
 
-// recoveredShare is the share of the world's rate that is delivered in a second in which the fleet has recovered.
+// recoveredShare is the share of World.Rate that must be delivered in a second for the fleet to count as recovered.
 const recoveredShare = 0.9
 
-// recoverySeconds is how long the fleet takes at most to recover after a fault; -1: from one it doesn't.
+// recoverySeconds returns the longest time that the fleet took to recover after a fault; -1: it did not recover from one. Traffic surges
+// do not count.
 func (f *fleetCounter) recoverySeconds(world *World) (longest float64) {
 	for i := range world.Faults {
 		fault := &world.Faults[i]
@@ -120,7 +121,7 @@
 	return longest
 }
 
-// firstRecoveredSecond is the first second of the world, from one on, in which the fleet has recovered; false: there is none.
+// firstRecoveredSecond returns the first second of the run, starting with from, in which the fleet has recovered; false: there is none.
 func (f *fleetCounter) firstRecoveredSecond(world *World, from int) (int, bool) {
 	end := min(int(time.Duration(world.Length)/time.Second), len(f.deliveredBySecond))
 	for second := from; second < end; second++ {
@@ -131,12 +132,12 @@
 	return 0, false
 }
 
-// unfairness is 1 less Jain's index of fairness over the shares of their messages that relays delivered.
+// unfairness returns 1 minus Jain's fairness index over the share of its messages that each relay delivered.
 func (f *fleetCounter) unfairness() float64 {
 	sum, squares, relays := 0.0, 0.0, 0.0
-	for i, came := range f.messagesByRelay {
-		if came > 0 {
-			share := f.deliveredByRelay[i] / came
+	for i, messages := range f.messagesByRelay {
+		if messages > 0 {
+			share := f.deliveredByRelay[i] / messages
 			sum += share
 			squares += share * share
 			relays++
--- a/internal/relay/simulator/fleet_stats_test.go
+++ b/internal/relay/simulator/fleet_stats_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// greedy takes a reported limit, which is for all relays, for its own share.
+// greedy treats a reported limit, which all relays share, as its own share.
 type greedy struct{ simulator.Policy }
 
 func (g greedy) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
@@ -21,7 +21,7 @@
 	return g.Policy.Step(now, events, out)
 }
 
-// fleetWorld is one of the operators' three worlds, in its short form: eighty relays and another seed than those of the file.
+// fleetWorld returns one of the three fleet worlds in deploy/worlds, shortened: 80 relays, 24 s, and a seed that its file does not use.
 func fleetWorld(t *testing.T, name string) *simulator.World {
 	t.Helper()
 	text, err := os.ReadFile("../../../deploy/worlds/fleet-" + name + ".toml")
@@ -37,8 +37,8 @@
 	return &w
 }
 
-// What eighty relays do together stays near what the endpoints allow, no rule is broken but, twice at
-// most, that on cold returns, and the fleet soon uses again what it may. Relays that take the limit for their own, or that all draw the same chances, are told apart.
+// Guards against relays that together exceed what the endpoints allow, send in lockstep, recover late or violate a rule; two collapses of
+// cold endpoints are allowed. The statistics must also tell apart relays that treat a limit as their own and relays with the same seed.
 func TestFleetStats_EightyRelays_StayNearWhatEndpointsAllow(t *testing.T) {
 	t.Parallel()
 	for name, bound := range map[string]simulator.FleetStats{
@@ -49,54 +49,54 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := fleetWorld(t, name)
-			run := func(maker simulator.PolicyFactory) *simulator.Result {
-				run, err := simulator.New(w, maker)
+			run := func(factory simulator.PolicyFactory) *simulator.Result {
+				run, err := simulator.New(w, factory)
 				if err != nil {
 					t.Fatal(err)
 				}
 				return run.Execute()
 			}
 			res := run(policy.ByName["module"])
-			f := res.Fleet
-			t.Logf("worth %.3f, %+v", res.Value, f)
-			for rule, n := range res.ViolationCounts { // what pushes a cold endpoint over is no single call: docs/design/fleet.md counts it
+			stats := res.Fleet
+			t.Logf("value %.3f, %+v", res.Value, stats)
+			for rule, n := range res.ViolationCounts { // no single call makes a cold endpoint collapse: docs/design/fleet.md counts these
 				if rule != "cold returns" || n > 2 {
-					t.Errorf("rule %q broken %d times: %v", rule, n, res.ViolationSamples)
+					t.Errorf("rule %q violated %d times: %v", rule, n, res.ViolationSamples)
 				}
 			}
-			if f.PeakSenderShare > bound.PeakSenderShare || f.PeakOverload > bound.PeakOverload || f.ThrottledPerMessage > bound.ThrottledPerMessage || f.RecoverySeconds < 0 || f.RecoverySeconds > bound.RecoverySeconds || f.Unfairness > bound.Unfairness {
-				t.Errorf("worth %.3f, %+v; want %+v at most", res.Value, f, bound)
+			if stats.PeakSenderShare > bound.PeakSenderShare || stats.PeakOverload > bound.PeakOverload || stats.ThrottledPerMessage > bound.ThrottledPerMessage || stats.RecoverySeconds < 0 || stats.RecoverySeconds > bound.RecoverySeconds || stats.Unfairness > bound.Unfairness {
+				t.Errorf("value %.3f, %+v; want at most %+v", res.Value, stats, bound)
 			}
-			unshared := run(func(set control.Settings, seed uint64) (simulator.Policy, error) {
+			greedyStats := run(func(set control.Settings, seed uint64) (simulator.Policy, error) {
 				p, err := policy.ByName["module"](set, seed)
 				return greedy{p}, err
 			}).Fleet
-			if unshared.ThrottledPerMessage < 1.3*f.ThrottledPerMessage {
-				t.Errorf("relays that take the whole limit for their own waste %.3f calls a message, others %.3f: not told apart", unshared.ThrottledPerMessage, f.ThrottledPerMessage)
+			if greedyStats.ThrottledPerMessage < 1.3*stats.ThrottledPerMessage {
+				t.Errorf("%.3f throttled calls per message for relays that treat the limit as their own, %.3f for others: want 1.3 times as many", greedyStats.ThrottledPerMessage, stats.ThrottledPerMessage)
 			}
-			alike := run(func(set control.Settings, _ uint64) (simulator.Policy, error) { return policy.ByName["module"](set, 1) }).Fleet
-			if name == "release" && alike.PeakSenderShare < 2*f.PeakSenderShare {
-				t.Errorf("relays that draw the same chances act in step by %.3f, others by %.3f: not told apart", alike.PeakSenderShare, f.PeakSenderShare)
+			sameSeed := run(func(set control.Settings, _ uint64) (simulator.Policy, error) { return policy.ByName["module"](set, 1) }).Fleet
+			if name == "release" && sameSeed.PeakSenderShare < 2*stats.PeakSenderShare {
+				t.Errorf("peak sender share %.3f for relays with the same seed, %.3f for others: want twice as much", sameSeed.PeakSenderShare, stats.PeakSenderShare)
 			}
 		})
 	}
 }
 
-// With uneven traffic relays that share limits deliver what equal parts refuse, stay within the limits, and cost nothing at
-// three; also while half of them hear nothing, and when most are killed.
+// With uneven traffic, relays that share limits deliver more value than relays with equal shares and stay within the limits, also while
+// half of them are isolated and when most of them crash. Among three relays sharing costs no value.
 func TestSharing_UnevenTraffic_DeliversMoreWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
 		relays int
 		more   []simulator.Fault
-		gain   float64 // of the value earned, at least
+		gain   float64 // minimum gain in the share of value earned
 	}{
-		{"three", 3, nil, -0.001},
-		{"many", 150, nil, 0.05},
-		{"clump", 150, []simulator.Fault{{Kind: simulator.FaultTrafficSurge, Factor: 60, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(20 * time.Millisecond)}}, 0.04},
-		{"mute", 150, []simulator.Fault{{Kind: simulator.FaultIsolateRelays, Relays: 75, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(6 * time.Second)}}, 0.04},
-		{"killed", 150, []simulator.Fault{{Kind: simulator.FaultRelayCrash, Relays: 100, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(2 * time.Second)}}, 0.05},
+		{"three relays", 3, nil, -0.001},
+		{"many relays", 150, nil, 0.05},
+		{"traffic surge", 150, []simulator.Fault{{Kind: simulator.FaultTrafficSurge, Factor: 60, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(20 * time.Millisecond)}}, 0.04},
+		{"isolated relays", 150, []simulator.Fault{{Kind: simulator.FaultIsolateRelays, Relays: 75, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(6 * time.Second)}}, 0.04},
+		{"crashed relays", 150, []simulator.Fault{{Kind: simulator.FaultRelayCrash, Relays: 100, At: simulator.Duration(6 * time.Second), Length: simulator.Duration(2 * time.Second)}}, 0.05},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -105,20 +105,20 @@
 			if err := w.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			own, err := experiment.RunWorld(w, "module")
+			equal, err := experiment.RunWorld(w, "module")
 			if err != nil {
 				t.Fatal(err)
 			}
-			all, err := experiment.RunWorld(w, "shared")
+			shared, err := experiment.RunWorld(w, "shared")
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("equal parts %.3f, shared %.3f, %+v", own.Value, all.Value, all.Fleet)
-			if all.Value < own.Value+c.gain || all.Fleet.PeakOverload > 1.6 || all.Fleet.ThrottledPerMessage > 0.03 || len(all.ViolationCounts) > 0 {
-				t.Errorf("equal parts %.3f, shared %.3f, %+v, %v", own.Value, all.Value, all.Fleet, all.ViolationSamples)
+			t.Logf("equal shares %.3f, shared %.3f, %+v", equal.Value, shared.Value, shared.Fleet)
+			if shared.Value < equal.Value+c.gain || shared.Fleet.PeakOverload > 1.6 || shared.Fleet.ThrottledPerMessage > 0.03 || len(shared.ViolationCounts) > 0 {
+				t.Errorf("equal shares %.3f, shared %.3f, %+v, %v", equal.Value, shared.Value, shared.Fleet, shared.ViolationSamples)
 			}
-			if all.Fleet.SharingBytesPerSecond > 4000 {
-				t.Errorf("%.0f bytes a second a relay", all.Fleet.SharingBytesPerSecond)
+			if shared.Fleet.SharingBytesPerSecond > 4000 {
+				t.Errorf("%.0f bytes/s per relay, want at most 4000", shared.Fleet.SharingBytesPerSecond)
 			}
 		})
 	}
--- a/internal/relay/simulator/fullrelay/fullrelay.go
+++ b/internal/relay/simulator/fullrelay/fullrelay.go
@@ -1,6 +1,6 @@
 // Package fullrelay runs a complete relay core as a policy of package simulator: the engine.Core that `mastusher serve` runs, in virtual
-// time, with a journal in memory that outlasts a crash. Only sockets, front and disk are the simulator's: Core is the engine's Shell and
-// turns its calls and notices into actions. A Core is used by one simulator's goroutine.
+// time, with a journal in memory that survives a crash. Only sockets, front and disk are simulated: Core implements engine.Shell and
+// translates the engine's calls and notices to actions. A Core is not safe for concurrent use.
 package fullrelay
 
 import (
@@ -19,9 +19,9 @@
 	"mastusher/internal/relay/wire"
 )
 
-// New returns a relay's core with an empty journal; it never fails.
-func New(set control.Settings, seed uint64) (simulator.Policy, error) {
-	return &Core{settings: set, seed: seed, journal: &journal.Memory{}, notified: map[uint64]bool{}}, nil
+// New returns a relay core with an empty journal; it never fails.
+func New(settings control.Settings, seed uint64) (simulator.Policy, error) {
+	return &Core{settings: settings, seed: seed, journal: &journal.Memory{}, notified: map[uint64]bool{}}, nil
 }
 
 // Core is a relay's core as a simulator.Policy.
@@ -29,32 +29,32 @@
 	settings control.Settings
 	seed     uint64
 	journal  *journal.Memory
-	notified map[uint64]bool // submissions whose end clients were notified of; outlasts a crash, as the clients do
+	notified map[uint64]bool // submissions of whose outcome the clients were notified; survives a crash, as the clients do
 
 	core           *engine.Core // nil: not started yet
 	now            time.Duration
 	actions        []control.Action
-	calls          map[uint64]func([]engine.Outcome)
+	calls          map[uint64]func([]engine.Outcome) // callbacks of the calls in flight, by submission ID
 	listChanged    func(engine.EndpointList)
 	listIndex      int64
-	hasQueuedEvent bool // an event stands in the core's queue
+	hasQueuedEvent bool // an event is in the queue of core
 }
 
 var epoch = time.Unix(0, 0)
 
 const turnInterval = 5 * time.Millisecond
 
-// Successor makes the relay that is started after this one has crashed, on the same journal.
-func (p *Core) Successor() simulator.PolicyFactory {
-	return func(set control.Settings, seed uint64) (simulator.Policy, error) {
-		return &Core{settings: set, seed: seed, journal: p.journal, notified: p.notified}, nil
+// Successor returns a factory of the relay that runs on the same journal after a crash.
+func (c *Core) Successor() simulator.PolicyFactory {
+	return func(settings control.Settings, seed uint64) (simulator.Policy, error) {
+		return &Core{settings: settings, seed: seed, journal: c.journal, notified: c.notified}, nil
 	}
 }
 
 // Pending reports whether the journal holds the message of a submission.
-func (p *Core) Pending(ticket uint64) bool {
-	id := strconv.FormatUint(ticket, 10)
-	for _, e := range p.journal.Entries() {
+func (c *Core) Pending(submission uint64) bool {
+	id := strconv.FormatUint(submission, 10)
+	for _, e := range c.journal.Entries() {
 		if e.ID == id {
 			return true
 		}
@@ -62,26 +62,26 @@
 	return false
 }
 
-// startCore starts the core, which recovers what the journal holds.
-func (p *Core) startCore() {
-	cfg := &config.Config{Seed: p.seed, Settings: wire.Settings{Settings: p.settings}}
+// startCore starts the core, which recovers the messages in the journal.
+func (c *Core) startCore() {
+	cfg := &config.Config{Seed: c.seed, Settings: wire.Settings{Settings: c.settings}}
 	for i := range 64 {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, zoneName(i))
 	}
-	for i := range p.settings.Kinds {
+	for i := range c.settings.Kinds {
 		cfg.Settings.KindNames = append(cfg.Settings.KindNames, kindName(i))
 	}
 	cfg.Limits = config.Limits{Queue: 1 << 14, BusyRetry: 500 * time.Millisecond, AnswerWithin: 300 * time.Millisecond, BodySize: 64 << 10,
 		DrainSends: time.Second, DrainExit: 4 * time.Second, NoticesPerCall: 64, NoticeTimeout: time.Second, NoticeRetry: 250 * time.Millisecond,
 		NoticeRetryMax: 4 * time.Second, WatchRetry: 500 * time.Millisecond, Round: turnInterval}
-	core, err := engine.New(cfg, p.journal, slog.New(slog.NewTextHandler(io.Discard, nil)), p.wallTime(p.now))
+	core, err := engine.New(cfg, c.journal, slog.New(slog.NewTextHandler(io.Discard, nil)), c.wallTime(c.now))
 	if err != nil {
-		panic(err) // the simulator's settings have been validated
+		panic(err) // the simulator has validated the settings
 	}
-	p.core, p.calls = core, map[uint64]func([]engine.Outcome){}
-	core.SetShell(p)
+	c.core, c.calls = core, map[uint64]func([]engine.Outcome){}
+	core.SetShell(c)
 	core.AddFront(frontName, noopFront{}, engine.EndpointList{})
-	core.Restore(p.wallTime(p.now))
+	core.Restore(c.wallTime(c.now))
 }
 
 const frontName = "lab"
@@ -89,13 +89,13 @@
 func zoneName(n int) string { return "z" + strconv.Itoa(n) }
 func kindName(n int) string { return "k" + strconv.Itoa(n) }
 
-func (p *Core) wallTime(t time.Duration) time.Time { return epoch.Add(t) }
+func (c *Core) wallTime(t time.Duration) time.Time { return epoch.Add(t) }
 
-// Step passes the events to the core, lets it take its turn, and returns its calls and answers as actions.
-func (p *Core) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
-	p.now, p.actions = now, out
-	if p.core == nil {
-		p.startCore()
+// Step passes the events to the core, lets it take its turn, and returns its calls and replies as actions.
+func (c *Core) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
+	c.now, c.actions = now, out
+	if c.core == nil {
+		c.startCore()
 	}
 	type submission struct {
 		id    uint64
@@ -103,101 +103,102 @@
 	}
 	var arrived []submission
 	for i := range events {
-		e := &events[i]
-		switch e.Kind {
+		event := &events[i]
+		switch event.Kind {
 		case control.Listed:
-			p.deliverList(e)
+			c.deliverList(event)
 		case control.Arrived:
-			m := engine.Message{ID: strconv.FormatUint(e.ID, 10), Key: "k", Class: e.Class, Partner: e.Destination, Deadline: p.wallTime(e.Deadline), Resubmitted: e.Resubmitted,
+			message := engine.Message{ID: strconv.FormatUint(event.ID, 10), Key: "k", Class: event.Class, Partner: event.Destination, Deadline: c.wallTime(event.Deadline), Resubmitted: event.Resubmitted,
 				Body: []byte("{}")}
-			if e.MayHaveRun {
-				m.MayHaveRunAt = p.wallTime(e.RanAt)
+			if event.MayHaveRun {
+				message.MayHaveRunAt = c.wallTime(event.RanAt)
 			}
-			arrived = append(arrived, submission{e.ID, p.core.SubmitAt(frontName, m, p.wallTime(now))})
+			arrived = append(arrived, submission{event.ID, c.core.SubmitAt(frontName, message, c.wallTime(now))})
 		case control.Resolved:
-			if done := p.calls[e.ID]; done != nil {
-				delete(p.calls, e.ID)
-				done([]engine.Outcome{{Result: e.Result, RetryAfter: e.RetryAfter, Reported: e.Reported, Share: e.Remaining, Limit: e.Limit}})
+			if done := c.calls[event.ID]; done != nil {
+				delete(c.calls, event.ID)
+				done([]engine.Outcome{{Result: event.Result, RetryAfter: event.RetryAfter, Reported: event.Reported, Share: event.Remaining, Limit: event.Limit}})
 			}
 		}
 	}
-	p.hasQueuedEvent = false
-	p.core.Step(p.wallTime(now))
-	for _, h := range arrived {
+	c.hasQueuedEvent = false
+	c.core.Step(c.wallTime(now))
+	for _, a := range arrived {
 		select {
-		case r := <-h.reply:
-			switch r.Verdict {
+		case reply := <-a.reply:
+			switch reply.Verdict {
 			case engine.Busy:
-				p.actions = append(p.actions, control.Action{Kind: control.Refuse, ID: h.id, For: r.RetryAfter})
+				c.actions = append(c.actions, control.Action{Kind: control.Refuse, ID: a.id, For: reply.RetryAfter})
 			case engine.Failed, engine.Rejected:
-				p.actions = append(p.actions, control.Action{Kind: control.Fail, ID: h.id})
+				c.actions = append(c.actions, control.Action{Kind: control.Fail, ID: a.id})
 			}
 		default:
-			panic("simulator: the core has not answered in the turn of an arrival")
+			panic("simulator: the core did not reply to a submission in the turn of its arrival")
 		}
 	}
-	wake := p.core.IdleFor(p.wallTime(now))
-	if p.hasQueuedEvent {
+	wake := c.core.IdleFor(c.wallTime(now))
+	if c.hasQueuedEvent {
 		wake = min(wake, turnInterval)
 	}
-	return append(p.actions, control.Action{Kind: control.Wake, At: now + max(wake, time.Millisecond)})
+	return append(c.actions, control.Action{Kind: control.Wake, At: now + max(wake, time.Millisecond)})
 }
 
-func (p *Core) deliverList(e *control.Event) {
-	if p.listChanged == nil {
+// deliverList passes a change of the endpoint list to the core.
+func (c *Core) deliverList(event *control.Event) {
+	if c.listChanged == nil {
 		return
 	}
-	p.listIndex++
-	pool := engine.EndpointList{Index: p.listIndex, Complete: e.Complete}
-	for _, d := range e.Endpoints {
-		pool.Destinations = append(pool.Destinations, engine.Destination{Name: fmt.Sprint("e", d.ID), Zone: zoneName(d.Zone), Kind: kindName(d.Kind),
-			Partner: d.Destination, State: d.State})
+	c.listIndex++
+	list := engine.EndpointList{Index: c.listIndex, Complete: event.Complete}
+	for _, listed := range event.Endpoints {
+		list.Destinations = append(list.Destinations, engine.Destination{Name: fmt.Sprint("e", listed.ID), Zone: zoneName(listed.Zone), Kind: kindName(listed.Kind),
+			Partner: listed.Destination, State: listed.State})
 	}
-	p.listChanged(pool)
+	c.listChanged(list)
 }
 
-// Call appends a Send; done is called when the simulator resolves it, and the function returned cancels it.
-func (p *Core) Call(_ engine.Front, s *engine.Attempt, until time.Time, done func([]engine.Outcome)) func() {
-	id, _ := strconv.ParseUint(s.Items[0].ID, 10, 64)
-	endpoint, _ := strconv.ParseUint(s.To.Name[1:], 10, 32)
-	p.calls[id] = done
-	s.MayWriteAt(p.wallTime(p.now))
-	p.actions = append(p.actions, control.Action{Kind: control.Send, ID: id, Endpoint: uint32(endpoint), For: until.Sub(p.wallTime(p.now))})
+// Call appends a Send action. The simulator resolves it through done; the returned function cancels the call.
+func (c *Core) Call(_ engine.Front, attempt *engine.Attempt, until time.Time, done func([]engine.Outcome)) func() {
+	id, _ := strconv.ParseUint(attempt.Items[0].ID, 10, 64)
+	endpoint, _ := strconv.ParseUint(attempt.To.Name[1:], 10, 32)
+	c.calls[id] = done
+	attempt.MayWriteAt(c.wallTime(c.now))
+	c.actions = append(c.actions, control.Action{Kind: control.Send, ID: id, Endpoint: uint32(endpoint), For: until.Sub(c.wallTime(c.now))})
 	return func() {
-		if p.calls[id] != nil {
-			p.actions = append(p.actions, control.Action{Kind: control.Cancel, ID: id})
+		if c.calls[id] != nil {
+			c.actions = append(c.actions, control.Action{Kind: control.Cancel, ID: id})
 		}
 	}
 }
 
-// Notify appends how messages ended. A duplicate notice, after a crash, is acknowledged and dropped.
-func (p *Core) Notify(_ engine.Front, notices []engine.Notice, _ time.Time, done func([]bool)) func() {
-	taken := make([]bool, len(notices))
-	for i, n := range notices {
-		taken[i] = true
-		id, _ := strconv.ParseUint(n.ID, 10, 64)
-		if p.notified[id] {
+// Notify appends the outcomes of messages as actions. A duplicate notice, after a crash, is acknowledged and dropped.
+func (c *Core) Notify(_ engine.Front, notices []engine.Notice, _ time.Time, done func([]bool)) func() {
+	acknowledged := make([]bool, len(notices))
+	for i, notice := range notices {
+		acknowledged[i] = true
+		id, _ := strconv.ParseUint(notice.ID, 10, 64)
+		if c.notified[id] {
 			continue
 		}
-		p.notified[id] = true
-		a := control.Action{Kind: control.Fail, ID: id}
-		if n.HandedBack {
-			a.Kind, a.For = control.Refuse, n.RetryAfter
+		c.notified[id] = true
+		action := control.Action{Kind: control.Fail, ID: id}
+		if notice.HandedBack {
+			action.Kind, action.For = control.Refuse, notice.RetryAfter
 		}
-		p.actions = append(p.actions, a)
+		c.actions = append(c.actions, action)
 	}
-	done(taken)
-	p.hasQueuedEvent = true
+	done(acknowledged)
+	c.hasQueuedEvent = true
 	return func() {}
 }
 
-// Watch has later Listed events passed to changed.
-func (p *Core) Watch(_ engine.Front, _ int64, changed func(engine.EndpointList), _ func(error)) func() {
-	p.listChanged = changed
+// Watch registers changed for Listed events.
+func (c *Core) Watch(_ engine.Front, _ int64, changed func(engine.EndpointList), _ func(error)) func() {
+	c.listChanged = changed
 	return func() {}
 }
 
-// noopFront is a front without sockets: Core does all of its work.
+// noopFront is a front without sockets: Core does all the work of a front.
 type noopFront struct{}
 
 func (noopFront) Call(context.Context, *engine.Attempt) []engine.Outcome        { return nil }
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -1,5 +1,6 @@
-// Package loadtest drives a real relay process over loopback, open loop: stand-in partners whose behavior changes during the run,
-// discovery, clients, and the relay as a process that can be killed and restarted. cmd/relay-simulator's load and demo call it.
+// Package loadtest drives a real relay process over loopback with open-loop load: it runs stand-in partners whose behavior changes during
+// the test, discovery, clients, and the relay as a process that can be killed and restarted. The load and demo commands of
+// cmd/relay-simulator use it.
 //
 // A LoadTest owns the relay process and the stand-ins from New until Close, which must be called. Run owns its goroutines, and
 // returns after they have ended; steps run on one of them.
@@ -33,23 +34,23 @@
 	RetryAfter  time.Duration // calls are throttled with this Retry-After; 0: they are not
 }
 
-// Plan configures a load test: the load, and the steps meanwhile.
+// Plan configures a load test: the load, and the steps during it.
 type Plan struct {
 	Partners    int
 	Rate        float64 // messages a second
 	Length      time.Duration
-	MaxMessages int // bound on all messages
+	MaxMessages int // maximum number of messages
 	Seed        uint64
 	Class       string
 	Timeout     time.Duration
-	Behavior    Behavior // of all endpoints at first
+	Behavior    Behavior // of all endpoints at the start
 	Steps       []Step
 }
 
-// Step is a change of the environment at a time.
+// Step is a change of the environment at a time since the start.
 type Step struct {
 	At   time.Duration
-	Text string
+	Text string // shown in the timeline
 	Do   func(*LoadTest)
 }
 
@@ -59,31 +60,31 @@
 	What string
 }
 
-// MessageTrace is everything that is known of a message.
+// MessageTrace is the history of a message.
 type MessageTrace struct {
 	ID            string
 	Partner       int
 	Events        []Event
-	Status        int // of the relay's last answer; 0: none
-	Executions    int // calls that took effect: a partner drops a duplicate key within the window
+	Status        int // of the relay's last response; 0: none
+	Executions    int // calls that took effect; a partner drops a duplicate key within dedupWindow
 	firstExecuted time.Time
 	Calls         int
-	Notice        string // that its client got; "": none
-	Outcome       string // see Outcomes
+	Notice        string // outcome in the notice to its client; "": none
+	Outcome       string // one of Outcomes
 	Unusual       bool   // not delivered by a single call
 }
 
-// What became of messages.
+// The outcomes of messages.
 const (
 	OutcomeDelivered      = "delivered"
-	OutcomeHandedBack     = "handed_back" // as the notice to its client says, like the next
+	OutcomeHandedBack     = "handed_back" // from the notice to its client, like OutcomeGivenUp
 	OutcomeGivenUp        = "given_up"
-	OutcomeNeverAccepted  = "never taken on"
-	OutcomeLost           = "lost"            // accepted, and neither delivered nor notified of: the relay has broken its promise
-	OutcomeDeliveredTwice = "delivered twice" // likewise
+	OutcomeNeverAccepted  = "never accepted"
+	OutcomeLost           = "lost"            // accepted, but neither delivered nor in a notice: a fault of the relay
+	OutcomeDeliveredTwice = "delivered twice" // took effect twice: a fault of the relay
 )
 
-// Outcomes returns all outcomes that there are, those first that are to be expected.
+// Outcomes returns all outcomes, starting with those that are expected.
 func Outcomes() []string {
 	return []string{OutcomeDelivered, OutcomeHandedBack, OutcomeGivenUp, OutcomeNeverAccepted, OutcomeLost, OutcomeDeliveredTwice}
 }
@@ -92,7 +93,7 @@
 type LoadTest struct {
 	plan       Plan
 	dir        string
-	relay      string
+	relay      string // path of the relay's program
 	configFile string
 	addr       string
 	cmd        *exec.Cmd
@@ -101,24 +102,24 @@
 	discovery  *standin.Discovery
 	behaviors  []atomic.Pointer[Behavior]
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards traces, order, Timeline and AcceptLatency
 	traces        map[string]*MessageTrace
-	order         []string
-	Timeline      []Event // steps, when they were run
+	order         []string // message IDs in the order of submission
+	Timeline      []Event  // steps, at the times when they ran
 	AcceptLatency *hdrhistogram.Histogram
 	done          chan struct{}
 }
 
-// New starts the stand-ins and the relay's program, with its state, configuration and log in dir. On an error nothing is left running.
+// New starts the stand-ins and the relay's program, with its state, configuration and log in dir. After an error nothing is left running.
 func New(plan Plan, relay, dir string) (*LoadTest, error) {
 	test := &LoadTest{plan: plan, dir: dir, relay: relay, traces: map[string]*MessageTrace{}, AcceptLatency: hdrhistogram.New(1000, 120e9, 3), done: make(chan struct{}),
 		behaviors: make([]atomic.Pointer[Behavior], plan.Partners+8)}
 	for i := range test.behaviors {
-		m := plan.Behavior
-		test.behaviors[i].Store(&m)
+		behavior := plan.Behavior
+		test.behaviors[i].Store(&behavior)
 	}
 	var err error
-	if test.endpoints, err = standin.NewEndpoints(plan.Partners+8, test.answer); err != nil { // some more, to replace others
+	if test.endpoints, err = standin.NewEndpoints(plan.Partners+8, test.answer); err != nil { // 8 spare endpoints, to replace others
 		return nil, err
 	}
 	list := test.endpoints.SnapshotOf(plan.Partners, "news-groups", "a")
@@ -131,18 +132,18 @@
 		return nil, err
 	}
 	test.configFile = filepath.Join(dir, "relay.json")
-	text := fmt.Sprintf(`{"name": "demo", "listen": %q, "state": %q, "discovery": %q, "seed": "%016x", "known": %s, %s}`, test.addr, filepath.Join(dir, "state"),
+	config := fmt.Sprintf(`{"name": "demo", "listen": %q, "state": %q, "discovery": %q, "seed": "%016x", "known": %s, %s}`, test.addr, filepath.Join(dir, "state"),
 		test.discovery.Address, plan.Seed, list, settings)
-	if err := cmp.Or(os.MkdirAll(filepath.Join(dir, "state"), 0o700), os.WriteFile(test.configFile, []byte(text), 0o600), test.Start()); err != nil {
+	if err := cmp.Or(os.MkdirAll(filepath.Join(dir, "state"), 0o700), os.WriteFile(test.configFile, []byte(config), 0o600), test.Start()); err != nil {
 		test.Close()
 		return nil, err
 	}
 	return test, nil
 }
 
-const relayLog = "relay.log" // in the folder of the load test
+const relayLog = "relay.log" // in LoadTest.dir
 
-const dedupWindow = 4 * time.Second // as in the settings
+const dedupWindow = 4 * time.Second // must be memory_span in settings
 
 const settings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "localities": ["a"], "machine_types": ["news-groups"],
   "allowed": {"cancel": true, "max_attempts": 6, "max_open": 2000, "max_retry_after": 3000000, "retry_after": true, "conn_idle": 15000000,
@@ -151,150 +152,152 @@
     {"name": "score-state", "effect": "pure", "aim": 2000000, "deadline": 24000000, "worth": 3}],
   "rules": {"cold": 14000000, "drain_grace": 250000, "fall": 2000000, "overload_factor": 2, "start_capacity": 0.21}}`
 
-// Start starts the relay and waits until it serves; an error holds its log.
-func (s *LoadTest) Start() error {
-	log, err := os.OpenFile(filepath.Join(s.dir, relayLog), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// Start starts the relay and waits until it serves; an error contains its log.
+func (l *LoadTest) Start() error {
+	log, err := os.OpenFile(filepath.Join(l.dir, relayLog), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	s.cmd = exec.Command(s.relay, "serve", "--config", s.configFile)
-	s.cmd.Stdout, s.cmd.Stderr = log, log
-	if err := s.cmd.Start(); err != nil {
+	l.cmd = exec.Command(l.relay, "serve", "--config", l.configFile)
+	l.cmd.Stdout, l.cmd.Stderr = log, log
+	if err := l.cmd.Start(); err != nil {
 		return fmt.Errorf("the relay's program: %w", err)
 	}
-	if standin.WaitUntilServing(context.Background(), s.addr) {
+	if standin.WaitUntilServing(context.Background(), l.addr) {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(s.dir, relayLog))
-	return fmt.Errorf("the relay does not come up; its log: %s", text)
+	text, _ := os.ReadFile(filepath.Join(l.dir, relayLog))
+	return fmt.Errorf("the relay did not start serving; its log: %s", text)
 }
 
-// Kill kills the relay (SIGKILL) and waits for its end.
-func (s *LoadTest) Kill() {
-	_ = s.cmd.Process.Kill()
-	_ = s.cmd.Wait()
+// Kill kills the relay (SIGKILL) and waits for it to exit.
+func (l *LoadTest) Kill() {
+	_ = l.cmd.Process.Kill()
+	_ = l.cmd.Wait()
 }
 
-// SetBehavior changes how an endpoint answers from now on.
-func (s *LoadTest) SetBehavior(endpoint int, m Behavior) { s.behaviors[endpoint].Store(&m) }
+// SetBehavior changes how an endpoint answers calls from now on.
+func (l *LoadTest) SetBehavior(endpoint int, b Behavior) { l.behaviors[endpoint].Store(&b) }
 
-// Behavior returns how an endpoint answers now.
-func (s *LoadTest) Behavior(endpoint int) Behavior { return *s.behaviors[endpoint].Load() }
+// Behavior returns how an endpoint answers calls now.
+func (l *LoadTest) Behavior(endpoint int) Behavior { return *l.behaviors[endpoint].Load() }
 
-// List has discovery announce a status of an endpoint, for a partner.
-func (s *LoadTest) List(endpoint, partner int, status string) {
-	s.discovery.PublishUpdate(s.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
+// List publishes the status of an endpoint of a partner through discovery.
+func (l *LoadTest) List(endpoint, partner int, status string) {
+	l.discovery.PublishUpdate(l.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
 }
 
-// answer is how a stand-in endpoint answers a call.
-func (s *LoadTest) answer(a standin.Arrival) httpwire.Answer {
-	behavior := s.Behavior(a.Endpoint)
-	name := "s-" + strconv.Itoa(a.Endpoint)
+// answer returns a stand-in endpoint's response to a call, according to its behavior.
+func (l *LoadTest) answer(arrival standin.Arrival) httpwire.Answer {
+	behavior := l.Behavior(arrival.Endpoint)
+	name := "s-" + strconv.Itoa(arrival.Endpoint)
 	switch {
 	case behavior.Hangs:
-		s.record(a.ID, "call to "+name+", which hangs", func(t *MessageTrace) { t.Calls++ })
-		for s.Behavior(a.Endpoint).Hangs {
+		l.record(arrival.ID, "call to "+name+", which hangs", func(t *MessageTrace) { t.Calls++ })
+		for l.Behavior(arrival.Endpoint).Hangs {
 			select {
-			case <-s.done:
+			case <-l.done:
 				return httpwire.Answer{Status: 503}
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
 		return httpwire.Answer{Status: 503}
 	case behavior.RetryAfter > 0:
-		s.record(a.ID, fmt.Sprintf("call to %s, refused for %v", name, behavior.RetryAfter), func(t *MessageTrace) { t.Calls++ })
+		l.record(arrival.ID, fmt.Sprintf("call to %s, refused for %v", name, behavior.RetryAfter), func(t *MessageTrace) { t.Calls++ })
 		return httpwire.Answer{Status: 429, Header: []string{"Retry-After", strconv.FormatFloat(behavior.RetryAfter.Seconds(), 'f', 3, 64)}}
 	}
-	s.mu.Lock()
+	l.mu.Lock()
 	what := "delivered to " + name
-	if t := s.traces[a.ID]; t != nil {
+	if t := l.traces[arrival.ID]; t != nil {
 		if t.Calls++; t.Executions > 0 && time.Since(t.firstExecuted) <= dedupWindow {
-			what = "again to " + name + ", dropped by its key"
+			what = "duplicate to " + name + ", dropped by its key"
 		} else if t.Executions++; t.Executions == 1 {
 			t.firstExecuted = time.Now()
 		}
-		t.Events = append(t.Events, Event{time.Since(s.start), what})
+		t.Events = append(t.Events, Event{time.Since(l.start), what})
 	}
-	s.mu.Unlock()
+	l.mu.Unlock()
 	time.Sleep(behavior.ServiceTime)
 	return httpwire.Answer{Status: 200}
 }
 
-func (s *LoadTest) record(id, what string, do func(*MessageTrace)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	t := s.traces[id]
+// record adds an event to the trace of a message and applies update to the trace.
+func (l *LoadTest) record(id, what string, update func(*MessageTrace)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.traces[id]
 	if t == nil {
 		return
 	}
-	t.Events = append(t.Events, Event{time.Since(s.start), what})
-	do(t)
+	t.Events = append(t.Events, Event{time.Since(l.start), what})
+	update(t)
 }
 
-// Run submits messages at random times whatever the relay does (open loop), so that a delay of the relay counts in full from the time at
-// which the message was due. It calls progress, which may be nil, once a second, and returns a trace for each message in order.
-func (s *LoadTest) Run(progress func(at time.Duration, sent, answered int)) []*MessageTrace {
-	client := standin.NewClient(s.addr)
+// Run submits messages at random times regardless of the relay's responses (open loop): latencies count from when a message was due, so
+// they include delays of the relay. It calls progress, which may be nil, about once a second, and returns the traces of all messages in
+// order.
+func (l *LoadTest) Run(progress func(at time.Duration, sent, answered int)) []*MessageTrace {
+	client := standin.NewClient(l.addr)
 	defer client.Close()
-	rng := rand.New(rand.NewPCG(s.plan.Seed, 5))
-	s.start = time.Now().Add(20 * time.Millisecond)
+	rng := rand.New(rand.NewPCG(l.plan.Seed, 5))
+	l.start = time.Now().Add(20 * time.Millisecond)
 	var submissions, steps sync.WaitGroup
 	steps.Go(func() {
-		for _, sc := range s.plan.Steps {
-			time.Sleep(time.Until(s.start.Add(sc.At)))
-			s.mu.Lock()
-			s.Timeline = append(s.Timeline, Event{time.Since(s.start), sc.Text})
-			s.mu.Unlock()
-			sc.Do(s)
+		for _, step := range l.plan.Steps {
+			time.Sleep(time.Until(l.start.Add(step.At)))
+			l.mu.Lock()
+			l.Timeline = append(l.Timeline, Event{time.Since(l.start), step.Text})
+			l.mu.Unlock()
+			step.Do(l)
 		}
 	})
 	answered := atomic.Int64{}
-	shown, due := s.start, time.Duration(0)
-	for n := 0; n < s.plan.MaxMessages; n++ {
-		if due += time.Duration(rng.ExpFloat64() * float64(time.Second) / s.plan.Rate); due > s.plan.Length {
+	shown, due := l.start, time.Duration(0)
+	for n := 0; n < l.plan.MaxMessages; n++ {
+		if due += time.Duration(rng.ExpFloat64() * float64(time.Second) / l.plan.Rate); due > l.plan.Length {
 			break
 		}
-		m := &standin.Message{ID: fmt.Sprintf("%d-%d", s.plan.Seed, n), Key: fmt.Sprintf("k-%d-%d", s.plan.Seed, n), Class: s.plan.Class,
-			Partner: rng.IntN(s.plan.Partners), Timeout: s.plan.Timeout, Body: `{"match":"heb-hea","home":1,"away":0}`}
-		at := s.start.Add(due)
+		m := &standin.Message{ID: fmt.Sprintf("%d-%d", l.plan.Seed, n), Key: fmt.Sprintf("k-%d-%d", l.plan.Seed, n), Class: l.plan.Class,
+			Partner: rng.IntN(l.plan.Partners), Timeout: l.plan.Timeout, Body: `{"match":"heb-hea","home":1,"away":0}`}
+		at := l.start.Add(due)
 		time.Sleep(time.Until(at))
-		s.mu.Lock()
-		s.traces[m.ID] = &MessageTrace{ID: m.ID, Partner: m.Partner}
-		s.order = append(s.order, m.ID)
-		s.mu.Unlock()
+		l.mu.Lock()
+		l.traces[m.ID] = &MessageTrace{ID: m.ID, Partner: m.Partner}
+		l.order = append(l.order, m.ID)
+		l.mu.Unlock()
 		submissions.Go(func() {
-			s.submit(client, m, at)
+			l.submit(client, m, at)
 			answered.Add(1)
 		})
 		if progress != nil && time.Since(shown) > time.Second {
 			shown = time.Now()
-			progress(time.Since(s.start), n+1, int(answered.Load()))
+			progress(time.Since(l.start), n+1, int(answered.Load()))
 		}
 	}
 	submissions.Wait()
 	steps.Wait()
-	s.awaitOutcomes()
-	return s.classify()
+	l.awaitOutcomes()
+	return l.classify()
 }
 
-// submit submits a message, and resubmits it when it is refused or not answered, until its deadline.
-func (s *LoadTest) submit(client *standin.Client, m *standin.Message, at time.Time) {
+// submit submits a message, and resubmits it when it is refused or not answered, until its deadline or 21 submissions.
+func (l *LoadTest) submit(client *standin.Client, m *standin.Message, at time.Time) {
 	until := at.Add(m.Timeout)
 	for attempt := 0; ; attempt++ {
 		if m.Timeout = time.Until(until); m.Timeout < 100*time.Millisecond || attempt > 20 {
-			s.record(m.ID, "its client gives up", func(*MessageTrace) {})
+			l.record(m.ID, "abandoned by its client", func(*MessageTrace) {})
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		status, _ := client.Send(ctx, m)
 		cancel()
-		s.record(m.ID, fmt.Sprintf("handed in: %s", answers[status]), func(t *MessageTrace) { t.Status = status })
+		l.record(m.ID, fmt.Sprintf("submitted: %s", statusTexts[status]), func(t *MessageTrace) { t.Status = status })
 		if status != 503 && status != 0 {
 			if status == 202 {
-				s.mu.Lock()
-				_ = s.AcceptLatency.RecordValue(time.Since(at).Nanoseconds())
-				s.mu.Unlock()
+				l.mu.Lock()
+				_ = l.AcceptLatency.RecordValue(time.Since(at).Nanoseconds())
+				l.mu.Unlock()
 			}
 			return
 		}
@@ -302,34 +305,34 @@
 	}
 }
 
-// answers names the relay's answers in traces, by status; 0: none.
-var answers = map[int]string{0: "no answer", 202: "taken on", 503: "busy", 410: "given up"}
+// statusTexts describe the relay's responses in traces, by HTTP status; 0: no response.
+var statusTexts = map[int]string{0: "no response", 202: "accepted", 503: "busy", 410: "given up"}
 
-// awaitOutcomes waits until each accepted message has an outcome or is past its deadline.
-func (s *LoadTest) awaitOutcomes() {
-	until := time.Now().Add(s.plan.Timeout + 2*time.Second)
+// awaitOutcomes waits until each accepted message has an outcome or all deadlines have passed.
+func (l *LoadTest) awaitOutcomes() {
+	until := time.Now().Add(l.plan.Timeout + 2*time.Second)
 	for time.Now().Before(until) {
-		notices, _ := s.discovery.Notices()
-		open := false
-		s.mu.Lock()
-		for id, t := range s.traces {
-			open = open || t.Status == 202 && t.Executions == 0 && notices[id] == ""
+		notices, _ := l.discovery.Notices()
+		pending := false
+		l.mu.Lock()
+		for id, t := range l.traces {
+			pending = pending || t.Status == 202 && t.Executions == 0 && notices[id] == ""
 		}
-		s.mu.Unlock()
-		if !open {
+		l.mu.Unlock()
+		if !pending {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// classify sets the outcome of each message.
-func (s *LoadTest) classify() (all []*MessageTrace) {
-	notices, _ := s.discovery.Notices()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, id := range s.order {
-		t := s.traces[id]
+// classify sets the outcome of each message and returns the traces in order.
+func (l *LoadTest) classify() (all []*MessageTrace) {
+	notices, _ := l.discovery.Notices()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, id := range l.order {
+		t := l.traces[id]
 		t.Notice = notices[id]
 		switch {
 		case t.Executions > 0:
@@ -352,22 +355,22 @@
 }
 
 // Close terminates the relay (SIGTERM, SIGKILL after 20 s) and closes the stand-ins.
-func (s *LoadTest) Close() {
+func (l *LoadTest) Close() {
 	select {
-	case <-s.done:
+	case <-l.done:
 	default:
-		close(s.done)
+		close(l.done)
 	}
-	if s.cmd != nil && s.cmd.Process != nil && s.cmd.ProcessState == nil {
-		_ = s.cmd.Process.Signal(syscall.SIGTERM)
-		late := time.AfterFunc(20*time.Second, func() { _ = s.cmd.Process.Kill() })
-		_ = s.cmd.Wait()
-		late.Stop()
+	if l.cmd != nil && l.cmd.Process != nil && l.cmd.ProcessState == nil {
+		_ = l.cmd.Process.Signal(syscall.SIGTERM)
+		killTimer := time.AfterFunc(20*time.Second, func() { _ = l.cmd.Process.Kill() })
+		_ = l.cmd.Wait()
+		killTimer.Stop()
 	}
-	if s.discovery != nil {
-		s.discovery.Close()
+	if l.discovery != nil {
+		l.discovery.Close()
 	}
-	if s.endpoints != nil {
-		s.endpoints.Close()
+	if l.endpoints != nil {
+		l.endpoints.Close()
 	}
 }
--- a/internal/relay/simulator/mutant_test.go
+++ b/internal/relay/simulator/mutant_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/simulator/policy"
 )
 
-// mutant breaks one rule: it alters what a policy is seen or orders.
+// mutant makes a policy violate a rule: it alters the events that the policy receives or the actions that it returns.
 type mutant struct {
 	simulator.Policy
 	events  func(now time.Duration, events []control.Event) []control.Event
@@ -18,19 +18,19 @@
 }
 
 func (m *mutant) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
-	seen := append([]control.Event(nil), events...)
+	received := append([]control.Event(nil), events...)
 	if m.events != nil {
-		seen = m.events(now, seen)
+		received = m.events(now, received)
 	}
-	out = m.Policy.Step(now, seen, out)
+	out = m.Policy.Step(now, received, out)
 	if m.actions != nil {
 		out = m.actions(now, events, out)
 	}
 	return out
 }
 
-// everyEvent makes mutants that alter each event before the policy gets it.
-func everyEvent(alter func(e *control.Event)) func(simulator.Policy) simulator.Policy {
+// alterEvents returns a mutation that alters each event before the policy receives it.
+func alterEvents(alter func(e *control.Event)) func(simulator.Policy) simulator.Policy {
 	return func(p simulator.Policy) simulator.Policy {
 		return &mutant{Policy: p, events: func(_ time.Duration, events []control.Event) []control.Event {
 			for i := range events {
@@ -41,8 +41,8 @@
 	}
 }
 
-// everyAction makes mutants that replace each action of the policy.
-func everyAction(replace func(a control.Action) []control.Action) func(simulator.Policy) simulator.Policy {
+// replaceActions returns a mutation that replaces each action of the policy.
+func replaceActions(replace func(a control.Action) []control.Action) func(simulator.Policy) simulator.Policy {
 	return func(p simulator.Policy) simulator.Policy {
 		return &mutant{Policy: p, actions: func(_ time.Duration, _ []control.Event, out []control.Action) []control.Action {
 			var all []control.Action
@@ -54,41 +54,41 @@
 	}
 }
 
-// mutants returns a way to break each rule.
+// mutants returns, by rule, a mutation of a policy that violates the rule.
 func mutants() map[simulator.Rule]func(simulator.Policy) simulator.Policy {
 	return map[simulator.Rule]func(simulator.Policy) simulator.Policy{
-		"waits": everyEvent(func(e *control.Event) { e.RetryAfter = 0 }),
-		"drains": everyEvent(func(e *control.Event) {
+		"waits": alterEvents(func(e *control.Event) { e.RetryAfter = 0 }),
+		"drains": alterEvents(func(e *control.Event) {
 			for i := range e.Endpoints {
 				e.Endpoints[i].State = control.Ready
 			}
 		}),
-		"repeats": everyEvent(func(e *control.Event) {
+		"repeats": alterEvents(func(e *control.Event) {
 			if e.Kind == control.Resolved && e.Result != control.Delivered {
 				e.Result = control.NoConnection
 			}
 			e.MayHaveRun = false
 		}),
-		"effects": everyEvent(func(e *control.Event) {
+		"effects": alterEvents(func(e *control.Event) {
 			if e.Kind == control.Resolved && e.Result != control.Delivered {
 				e.Result = control.NoConnection
 			}
 			e.MayHaveRun = false
 		}),
-		"attempts": everyEvent(func(e *control.Event) { e.Attempt = 0 }),
-		"one end": everyAction(func(a control.Action) []control.Action {
+		"attempts": alterEvents(func(e *control.Event) { e.Attempt = 0 }),
+		"one end": replaceActions(func(a control.Action) []control.Action {
 			if a.Kind == control.Refuse {
 				return []control.Action{a, a}
 			}
 			return []control.Action{a}
 		}),
-		"one copy": everyAction(func(a control.Action) []control.Action {
+		"one copy": replaceActions(func(a control.Action) []control.Action {
 			if a.Kind == control.Send {
 				return []control.Action{a, a}
 			}
 			return []control.Action{a}
 		}),
-		"orders": everyAction(func(a control.Action) []control.Action {
+		"orders": replaceActions(func(a control.Action) []control.Action {
 			if a.Kind == control.Send && a.ID%50 == 0 {
 				a.Endpoint += 100000
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-// A policy that breaks a rule is caught at that rule.
+// The checker reports each rule under a policy that violates it.
 func TestChecker_PolicyThatBreaksRule_IsReported(t *testing.T) {
 	t.Parallel()
 	world := parseWorld(t, faultyWorld)
@@ -108,9 +108,9 @@
 		t.Fatal(err)
 	}
 	all := mutants()
-	for rule, alter := range all {
+	for rule, mutate := range all {
 		base := policy.ByName["two-choices"]
-		if rule == "attempts" { // one that makes as many as it likes
+		if rule == "attempts" { // this policy exceeds World.MaxAttempts
 			base = func(s control.Settings, seed uint64) (simulator.Policy, error) {
 				s.MaxAttempts = 9
 				return policy.New(policy.Options{Timeout: time.Second, MaxAttempts: 9, Backoff: 10 * time.Millisecond}, s, seed)
@@ -118,26 +118,26 @@
 		}
 		r, err := simulator.New(world, func(s control.Settings, seed uint64) (simulator.Policy, error) {
 			p, err := base(s, seed)
-			return alter(p), err
+			return mutate(p), err
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res := r.Execute(); res.ViolationCounts[string(rule)] == 0 {
-			t.Errorf("rule %q: a policy that breaks it is not caught: %v", rule, res.ViolationCounts)
+			t.Errorf("rule %q: not reported under a policy that violates it: %v", rule, res.ViolationCounts)
 		}
 	}
-	flood := *world // retries without end push over what comes back cold
-	flood.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, QueueCapacity: 60, Median: simulator.Duration(100 * time.Millisecond), WarmUp: simulator.Duration(14 * time.Second)}}
-	flood.Rate, flood.Slots = 190, 400
-	flood.Faults = []simulator.Fault{{Kind: simulator.FaultDown, At: simulator.Duration(2 * time.Second), Length: simulator.Duration(2 * time.Second)}}
-	if err := flood.Validate(); err != nil {
+	overload := *world // retries without a budget make an endpoint collapse that comes back cold
+	overload.Partners = []simulator.Partner{{Name: "news", Count: 1, Endpoints: 2, Workers: 10, QueueCapacity: 60, Median: simulator.Duration(100 * time.Millisecond), WarmUp: simulator.Duration(14 * time.Second)}}
+	overload.Rate, overload.Slots = 190, 400
+	overload.Faults = []simulator.Fault{{Kind: simulator.FaultDown, At: simulator.Duration(2 * time.Second), Length: simulator.Duration(2 * time.Second)}}
+	if err := overload.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if res, err := experiment.RunWorld(&flood, "round-robin"); err != nil || res.ViolationCounts["cold returns"] == 0 {
-		t.Errorf("a cold endpoint is not pushed over: %v, %v", res.ViolationCounts, err)
+	if res, err := experiment.RunWorld(&overload, "round-robin"); err != nil || res.ViolationCounts["cold returns"] == 0 {
+		t.Errorf("no collapse of a cold endpoint is reported: %v, %v", res.ViolationCounts, err)
 	}
 	if len(all)+1 != len(simulator.Rules) {
-		t.Errorf("%d rules have a mutant, of %d", len(all)+1, len(simulator.Rules))
+		t.Errorf("%d of %d rules are tested", len(all)+1, len(simulator.Rules))
 	}
 }
--- a/internal/relay/simulator/overload.go
+++ b/internal/relay/simulator/overload.go
@@ -23,23 +23,23 @@
 	if e.overloadedSince == 0 || r.now-e.overloadedSince < overloadWindow || e.coldSince == 0 || e.down > 0 {
 		return
 	}
-	r.Checker.report(ruleColdReturn, -1, -1, "a cold endpoint is pushed over")
+	r.Checker.report(ruleNoColdCollapse, -1, -1, "a cold endpoint collapsed under load")
 	r.takeDown(n)
 	r.schedule(r.now+overloadRecovery, eventOverloadEnd, n, 0)
 }
 
-// takeDown takes an endpoint down: all calls that it serves or has queued are reset.
+// takeDown takes an endpoint down and resets all calls that it serves or has queued.
 func (r *Run) takeDown(n int32) {
 	e := &r.endpoints[n]
 	e.down++
-	lost := append(slices.Clone(e.serving), e.queued...)
+	reset := append(slices.Clone(e.serving), e.queued...)
 	e.serving, e.queued, e.overloadedSince = e.serving[:0], e.queued[:0], 0
-	for _, c := range lost {
+	for _, c := range reset {
 		r.respond(c, control.Reset, 0)
 	}
 }
 
-// bringUp brings an endpoint back, cold, once no fault keeps it down any longer.
+// bringUp ends one cause of downtime of endpoint n; after the last one the endpoint is up again, and cold.
 func (r *Run) bringUp(n int32) {
 	e := &r.endpoints[n]
 	if e.down--; e.down == 0 {
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy holds the policies that package simulator runs, by name: the relay's decision module, the full relay, and simple
 // ones to compare them with. The simple ones keep the rules that bind every relay (idempotency, Retry-After, drains, attempts) and use
 // common techniques otherwise: round robin, least in flight, power of two choices, full-jitter backoff, retry budgets, circuit breakers.
-// Package experiment looks them up. A policy is used by one simulator's goroutine.
+// Package experiment looks them up. A policy is not safe for concurrent use.
 package policy
 
 import (
@@ -31,10 +31,10 @@
 type Options struct {
 	Selection       Selection
 	Timeout         time.Duration // of a call
-	MaxAttempts     int           // calls for one message, 1 or more; 1: no retries
-	Backoff         time.Duration // bound before the first retry, doubled with each, with full jitter
-	RetryBudget     float64       // retries earned by each message that arrives; 0: unlimited
-	BreakerFailures int           // consecutive failures that block an endpoint for a second; 0: never
+	MaxAttempts     int           // calls for one message, at least 1; 1: no retries
+	Backoff         time.Duration // upper bound of the wait before the first retry, doubled for each further one; full jitter
+	RetryBudget     float64       // retries that each arriving message adds to the budget; 0: unlimited retries
+	BreakerFailures int           // consecutive failures after which an endpoint is blocked for 1 s; 0: never blocked
 }
 
 // ByName maps the names of policies to their factories.
@@ -51,9 +51,10 @@
 	"oracle":      factory(Options{Selection: Oracle, Timeout: 4 * time.Second, MaxAttempts: 5, Backoff: 50 * time.Millisecond}),
 }
 
-// SharesLimits reports whether the relays under a policy share limits.
+// SharesLimits reports whether relays share limits under the named policy.
 func SharesLimits(name string) bool { return name == "shared" }
 
+// factory returns a factory of simple policies with the given options.
 func factory(o Options) simulator.PolicyFactory {
 	return func(s control.Settings, seed uint64) (simulator.Policy, error) { return New(o, s, seed) }
 }
@@ -67,10 +68,10 @@
 	pending       map[uint64]*pendingMessage
 	queue         []*pendingMessage // messages that are not in flight, in order of arrival or failure
 	endpoints     map[uint32]*endpoint
-	byDestination map[int][]*endpoint // by destination, by id
-	nextIndex     map[int]int
+	byDestination map[int][]*endpoint // sorted by ID
+	nextIndex     map[int]int         // by destination; used by RoundRobin
 	inFlight      int
-	retryTokens   float64 // of the retry budget
+	retryTokens   float64 // retries left in the budget
 	truth         func(uint32) (int, bool)
 }
 
@@ -81,7 +82,7 @@
 	deadline     time.Duration
 	attempts     int
 	sentTo       *endpoint // nil: not in flight
-	mayHaveRun   bool
+	mayHaveRun   bool      // an attempt may have run; the first such was sent at mayHaveRunAt
 	mayHaveRunAt time.Duration
 	notBefore    time.Duration // end of its backoff
 }
@@ -94,23 +95,23 @@
 	consecutiveFailures int
 }
 
-// New returns a simple policy; options without a timeout or an attempt are an error.
-func New(o Options, set control.Settings, seed uint64) (*Simple, error) {
-	if o.Timeout <= 0 || o.MaxAttempts < 1 {
-		return nil, fmt.Errorf("policy: timeout %v and %d attempts make none", o.Timeout, o.MaxAttempts)
+// New returns a simple policy. Options.Timeout and Options.MaxAttempts must be above 0.
+func New(options Options, settings control.Settings, seed uint64) (*Simple, error) {
+	if options.Timeout <= 0 || options.MaxAttempts < 1 {
+		return nil, fmt.Errorf("policy: timeout %v and %d attempts, want both above 0", options.Timeout, options.MaxAttempts)
 	}
-	return &Simple{options: o, settings: set, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
+	return &Simple{options: options, settings: settings, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
 		byDestination: map[int][]*endpoint{}, nextIndex: map[int]int{}, retryTokens: 10}, nil
 }
 
-// ObserveTruth shows an oracle the true state.
+// ObserveTruth gives an oracle access to the true state of the endpoints; other policies ignore it.
 func (p *Simple) ObserveTruth(truth func(uint32) (int, bool)) {
 	if p.options.Selection == Oracle {
 		p.truth = truth
 	}
 }
 
-// Step handles the events in order and sends what may be sent.
+// Step handles the events in order and sends the messages that may be sent.
 func (p *Simple) Step(now time.Duration, events []control.Event, out []control.Action) []control.Action {
 	p.now = now
 	for i := range events {
@@ -132,47 +133,49 @@
 		}
 		p.queue = append(p.queue, message)
 	case control.Resolved:
-		m := p.pending[event.ID]
-		if m == nil || m.sentTo == nil {
+		message := p.pending[event.ID]
+		if message == nil || message.sentTo == nil {
 			return out
 		}
-		at := m.sentTo
-		m.sentTo = nil
+		target := message.sentTo
+		message.sentTo = nil
 		p.inFlight--
-		at.inFlight--
+		target.inFlight--
 		if event.Result == control.Delivered {
-			at.consecutiveFailures = 0
-			delete(p.pending, m.id)
+			target.consecutiveFailures = 0
+			delete(p.pending, message.id)
 			return out
 		}
 		if event.RetryAfter > 0 {
-			at.blockedUntil = max(at.blockedUntil, p.now+event.RetryAfter)
+			target.blockedUntil = max(target.blockedUntil, p.now+event.RetryAfter)
 		}
-		if at.consecutiveFailures++; p.options.BreakerFailures > 0 && at.consecutiveFailures >= p.options.BreakerFailures {
-			at.blockedUntil, at.consecutiveFailures = max(at.blockedUntil, p.now+time.Second), 0
+		if target.consecutiveFailures++; p.options.BreakerFailures > 0 && target.consecutiveFailures >= p.options.BreakerFailures {
+			target.blockedUntil, target.consecutiveFailures = max(target.blockedUntil, p.now+time.Second), 0
 		}
-		if !event.Result.NeverRan() && !m.mayHaveRun {
-			m.mayHaveRun, m.mayHaveRunAt = true, p.now-event.Elapsed
+		if !event.Result.NeverRan() && !message.mayHaveRun {
+			message.mayHaveRun, message.mayHaveRunAt = true, p.now-event.Elapsed
 		}
-		if m.attempts >= min(p.options.MaxAttempts, p.settings.MaxAttempts) || !p.mayBeSent(m) || p.options.RetryBudget > 0 && p.retryTokens < 1 {
-			return p.refuse(m, out)
+		if message.attempts >= min(p.options.MaxAttempts, p.settings.MaxAttempts) || !p.mayBeSent(message) || p.options.RetryBudget > 0 && p.retryTokens < 1 {
+			return p.refuse(message, out)
 		}
 		if p.options.RetryBudget > 0 {
 			p.retryTokens--
 		}
-		wait := time.Duration(p.rng.Int64N(int64(p.options.Backoff<<min(m.attempts-1, 8)) + 1))
-		m.notBefore = p.now + wait
-		p.queue = append(p.queue, m)
+		wait := time.Duration(p.rng.Int64N(int64(p.options.Backoff<<min(message.attempts-1, 8)) + 1))
+		message.notBefore = p.now + wait
+		p.queue = append(p.queue, message)
 	}
 	return out
 }
 
-// mayBeSent reports whether a message may still be sent: before its deadline, and again only where that is idempotent.
+// mayBeSent reports whether a message may still be sent: before its deadline, and after an attempt that may have run only if it is
+// idempotent.
 func (p *Simple) mayBeSent(m *pendingMessage) bool {
 	c := &p.settings.Classes[m.class]
 	return p.now < m.deadline && (!m.mayHaveRun || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.mayHaveRunAt+c.Memory)
 }
 
+// refuse drops a message. It fails the message if an attempt may have run and the class is unsafe, otherwise the client may resubmit it.
 func (p *Simple) refuse(m *pendingMessage, out []control.Action) []control.Action {
 	delete(p.pending, m.id)
 	if m.mayHaveRun && p.settings.Classes[m.class].Effect == control.Unsafe {
@@ -181,33 +184,33 @@
 	return append(out, control.Action{Kind: control.Refuse, ID: m.id, For: time.Second})
 }
 
-func (p *Simple) handleList(e *control.Event) {
-	if e.Complete {
-		for _, at := range p.endpoints {
-			at.state = control.Removed
+func (p *Simple) handleList(event *control.Event) {
+	if event.Complete {
+		for _, known := range p.endpoints {
+			known.state = control.Removed
 		}
 	}
-	for _, l := range e.Endpoints {
-		at := p.endpoints[l.ID]
-		if at == nil {
-			at = &endpoint{id: l.ID}
-			p.endpoints[l.ID] = at
-			p.byDestination[l.Destination] = append(p.byDestination[l.Destination], at)
-			slices.SortFunc(p.byDestination[l.Destination], func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	for _, listed := range event.Endpoints {
+		known := p.endpoints[listed.ID]
+		if known == nil {
+			known = &endpoint{id: listed.ID}
+			p.endpoints[listed.ID] = known
+			p.byDestination[listed.Destination] = append(p.byDestination[listed.Destination], known)
+			slices.SortFunc(p.byDestination[listed.Destination], func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 		}
-		at.state = l.State
+		known.state = listed.State
 	}
 }
 
-// dispatch sends what may be sent now, and asks to be woken for the rest.
+// dispatch sends the messages that may be sent now, and asks to be woken for the others.
 func (p *Simple) dispatch(out []control.Action) []control.Action {
-	wake := time.Duration(0)
+	wakeAt := time.Duration(0)
 	wakeBy := func(at time.Duration) {
-		if at > p.now && (wake == 0 || at < wake) {
-			wake = at
+		if at > p.now && (wakeAt == 0 || at < wakeAt) {
+			wakeAt = at
 		}
 	}
-	queued := p.queue[:0]
+	unsent := p.queue[:0]
 	for _, message := range p.queue {
 		if !p.mayBeSent(message) {
 			out = p.refuse(message, out)
@@ -218,7 +221,7 @@
 			target = p.selectEndpoint(message.destination)
 		}
 		if target == nil {
-			queued = append(queued, message)
+			unsent = append(unsent, message)
 			wakeBy(message.notBefore)
 			wakeBy(message.deadline)
 			for _, e := range p.byDestination[message.destination] {
@@ -233,42 +236,42 @@
 		message.attempts++
 		p.inFlight++
 		target.inFlight++
-		within := min(p.options.Timeout, message.deadline-p.now)
-		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: target.id, For: within})
+		timeout := min(p.options.Timeout, message.deadline-p.now)
+		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: target.id, For: timeout})
 	}
-	p.queue = queued
-	if wake != 0 {
-		out = append(out, control.Action{Kind: control.Wake, At: wake})
+	p.queue = unsent
+	if wakeAt != 0 {
+		out = append(out, control.Action{Kind: control.Wake, At: wakeAt})
 	}
 	return out
 }
 
-// selectEndpoint returns an endpoint that may be sent to; nil: there is none.
-func (p *Simple) selectEndpoint(dest int) *endpoint {
-	var open []*endpoint
-	for _, e := range p.byDestination[dest] {
+// selectEndpoint returns an endpoint that is ready and not blocked, according to the selection; nil: there is none.
+func (p *Simple) selectEndpoint(destination int) *endpoint {
+	var available []*endpoint
+	for _, e := range p.byDestination[destination] {
 		if e.state == control.Ready && e.blockedUntil <= p.now {
-			open = append(open, e)
+			available = append(available, e)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return nil
 	}
 	byInFlight := func(a, b *endpoint) int { return cmp.Compare(a.inFlight, b.inFlight) }
 	switch p.options.Selection {
 	case LeastInFlight:
-		return slices.MinFunc(open, byInFlight)
+		return slices.MinFunc(available, byInFlight)
 	case TwoChoices:
-		return slices.MinFunc([]*endpoint{open[p.rng.IntN(len(open))], open[p.rng.IntN(len(open))]}, byInFlight)
+		return slices.MinFunc([]*endpoint{available[p.rng.IntN(len(available))], available[p.rng.IntN(len(available))]}, byInFlight)
 	case Oracle:
 		best, maxFree := (*endpoint)(nil), 0
-		for _, e := range open {
+		for _, e := range available {
 			if free, up := p.truth(e.id); up && free-e.inFlight > maxFree {
 				best, maxFree = e, free-e.inFlight
 			}
 		}
 		return best
 	}
-	p.nextIndex[dest]++
-	return open[p.nextIndex[dest]%len(open)]
+	p.nextIndex[destination]++
+	return available[p.nextIndex[destination]%len(available)]
 }
--- a/internal/relay/simulator/relay.go
+++ b/internal/relay/simulator/relay.go
@@ -7,17 +7,18 @@
 	"mastusher/control"
 )
 
-// relay is one relay with its policy and the events of its next turn.
+// relay is one relay with its policy and the events for its next turn.
 type relay struct {
 	policy   Policy
 	events   []control.Event
-	nextTurn time.Duration // 0: none is due
-	wakeAt   time.Duration
+	nextTurn time.Duration // 0: none is scheduled
+	wakeAt   time.Duration // requested by the policy; 0: no wake-up
 	down     bool
 	seed     uint64
-	inFlight map[uint64]int32 // out, by ticket
+	inFlight map[uint64]int32 // calls, by submission ID
 }
 
+// startRelay creates the policy of relay i and notifies it of the complete endpoint list.
 func (r *Run) startRelay(i int32) error {
 	re := &r.relays[i]
 	p, err := r.factory(r.World.Settings(int(i)), re.seed)
@@ -48,16 +49,17 @@
 	r.scheduleTurn(i, r.now)
 }
 
-// scheduleTurn schedules a relay's turn at the first point of the grid after a time.
+// scheduleTurn schedules a relay's next turn at the first multiple of World.TurnInterval after a time.
 func (r *Run) scheduleTurn(i int32, at time.Duration) {
-	re, grid := &r.relays[i], time.Duration(r.World.TurnInterval)
-	at = (max(at, r.now) + grid) / grid * grid
+	re, interval := &r.relays[i], time.Duration(r.World.TurnInterval)
+	at = (max(at, r.now) + interval) / interval * interval
 	if re.nextTurn == 0 || at < re.nextTurn {
 		re.nextTurn = at
 		r.schedule(at, eventTurn, i, 0)
 	}
 }
 
+// turn passes a relay's events to its policy and applies the actions.
 func (r *Run) turn(i int32) {
 	re := &r.relays[i]
 	if re.nextTurn != r.now || re.down {
@@ -86,7 +88,7 @@
 	}
 }
 
-// apply executes an action of relay i, and adds it to the hash of all decisions.
+// apply executes an action of relay i and adds it to the hash of all decisions.
 func (r *Run) apply(i int32, a *control.Action) {
 	b := r.hashBuffer[:]
 	binary.LittleEndian.PutUint64(b, uint64(r.now))
@@ -108,7 +110,7 @@
 		}
 	case control.Recall:
 		if c, ok := re.inFlight[a.ID]; ok && r.calls[c].sentAt+r.networkDelay(i, r.calls[c].endpoint, false) > r.now {
-			r.resolve(c, control.NotProcessed, 0) // nothing of it has been written
+			r.resolve(c, control.NotProcessed, 0) // the call has not reached the endpoint
 		}
 	case control.Wake:
 		if at := max(a.At, r.now+1); re.wakeAt == 0 || at < re.wakeAt {
@@ -117,7 +119,7 @@
 	}
 }
 
-// crashRelay ends a relay at once: its calls stay at their endpoints, but nobody waits for them.
+// crashRelay stops a relay at once: its calls continue at their endpoints, but their responses are dropped.
 func (r *Run) crashRelay(i int32) {
 	re := &r.relays[i]
 	if re.down {
@@ -141,8 +143,8 @@
 	}
 }
 
-// restartRelay starts a crashed relay with what its journal holds: a DurablePolicy recovers its own messages, to any other the
-// simulator submits again what had not finished there.
+// restartRelay restarts a crashed relay. A DurablePolicy recovers the messages in its journal; to any other policy the simulator submits
+// again the messages that had not finished at the relay.
 func (r *Run) restartRelay(i int32) {
 	re := &r.relays[i]
 	if !re.down {
@@ -157,23 +159,23 @@
 	}
 	err := r.startRelay(i)
 	if r.factory = factory; err != nil {
-		panic(err) // the same settings have been accepted before
+		panic(err) // New accepted the same settings
 	}
 	for id := range r.submissions {
-		t := &r.submissions[id]
-		msg := &r.messages[t.message]
-		if t.relay != i || t.finished || msg.finished {
+		sub := &r.submissions[id]
+		msg := &r.messages[sub.message]
+		if sub.relay != i || sub.finished || msg.finished {
 			continue
 		}
 		if isDurable {
-			if !durable.Pending(uint64(id + 1)) { // its client never had an answer
-				t.finished = true
-				r.resubmit(t.message, i, 0)
+			if !durable.Pending(uint64(id + 1)) { // the relay crashed before it responded to the client
+				sub.finished = true
+				r.resubmit(sub.message, i, 0)
 			}
 			continue
 		}
 		ev := control.Event{Kind: control.Arrived, ID: uint64(id + 1), Destination: int(msg.partner), Class: int(msg.class), Deadline: msg.deadline,
-			Resubmitted: true, Attempt: int(t.attempts)}
+			Resubmitted: true, Attempt: int(sub.attempts)}
 		if msg.mayHaveRun {
 			ev.MayHaveRun, ev.RanAt = true, msg.mayHaveRunAt
 		}
--- a/internal/relay/simulator/report/loadtest.go
+++ b/internal/relay/simulator/report/loadtest.go
@@ -13,20 +13,20 @@
 	"mastusher/internal/relay/simulator/loadtest"
 )
 
-// WriteLoadTest writes a page of a load on a relay: what happened when, and what became of each message.
+// WriteLoadTest writes a page about a load test on a relay: its timeline, and the events and the outcome of each message.
 func WriteLoadTest(out io.Writer, title string, length time.Duration, timeline []loadtest.Event, traces []*loadtest.MessageTrace) error {
-	type counted struct {
-		How string
-		N   int
+	type outcomeCount struct {
+		Outcome string
+		Count   int
 	}
 	view := struct {
 		Title    string
 		Timeline []loadtest.Event
-		Outcomes []counted
+		Outcomes []outcomeCount
 		Traces   []*loadtest.MessageTrace
 		Chart    template.HTML
 	}{Title: title, Timeline: timeline, Traces: traces}
-	curves := []series{{name: "handed in"}, {name: "delivered"}, {name: "refused or hung"}, {name: "busy or no answer"}}
+	curves := []series{{name: "accepted"}, {name: "delivered"}, {name: "throttled or hanging"}, {name: "busy or no response"}}
 	for i := range curves {
 		for sec := range int(length.Seconds()) + 20 {
 			curves[i].points = append(curves[i].points, plotter.XY{X: float64(sec)})
@@ -38,42 +38,42 @@
 		}
 	}
 	for _, t := range traces {
-		i := slices.IndexFunc(view.Outcomes, func(c counted) bool { return c.How == t.Outcome })
+		i := slices.IndexFunc(view.Outcomes, func(c outcomeCount) bool { return c.Outcome == t.Outcome })
 		if i < 0 {
-			i, view.Outcomes = len(view.Outcomes), append(view.Outcomes, counted{How: t.Outcome})
+			i, view.Outcomes = len(view.Outcomes), append(view.Outcomes, outcomeCount{Outcome: t.Outcome})
 		}
-		view.Outcomes[i].N++
+		view.Outcomes[i].Count++
 		for _, e := range t.Events {
 			switch {
 			case strings.HasPrefix(e.What, "delivered"):
 				add(1, e.At)
 			case strings.HasPrefix(e.What, "call to"):
 				add(2, e.At)
-			case strings.HasSuffix(e.What, "taken on"):
+			case strings.HasSuffix(e.What, "accepted"):
 				add(0, e.At)
-			case strings.HasPrefix(e.What, "handed in"):
+			case strings.HasPrefix(e.What, "submitted"):
 				add(3, e.At)
 			}
 		}
 	}
 	var err error
-	if view.Chart, err = chart("a second", "s", "messages", curves); err != nil {
+	if view.Chart, err = chart("per second", "s", "messages", curves); err != nil {
 		return err
 	}
-	return loadTemplate.Execute(out, view)
+	return loadTestTemplate.Execute(out, view)
 }
 
-var loadTemplate = template.Must(template.New("load").Funcs(template.FuncMap{"at": func(d time.Duration) string { return fmt.Sprintf("%.3f s", d.Seconds()) }}).Parse(`<!doctype html>
+var loadTestTemplate = template.Must(template.New("load").Funcs(template.FuncMap{"at": func(d time.Duration) string { return fmt.Sprintf("%.3f s", d.Seconds()) }}).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
-<style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}td,th{padding:2px 8px;text-align:left;vertical-align:top;border-bottom:1px solid #ddd}.odd{background:#fff4d6}</style>
+<style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}td,th{padding:2px 8px;text-align:left;vertical-align:top;border-bottom:1px solid #ddd}.unusual{background:#fff4d6}</style>
 <h1>{{.Title}}</h1>
-<table>{{range .Outcomes}}<tr><th>{{.How}}</th><td>{{.N}}</td></tr>{{end}}</table>
-<h2>What happened</h2>
+<table>{{range .Outcomes}}<tr><th>{{.Outcome}}</th><td>{{.Count}}</td></tr>{{end}}</table>
+<h2>Timeline</h2>
 <table>{{range .Timeline}}<tr><td>{{at .At}}</td><td>{{.What}}</td></tr>{{end}}</table>
 {{.Chart}}
-<h2>Each message</h2>
-<p>Coloured: those that took more than one call, or were not delivered.</p>
-<table><tr><th>message</th><th>partner</th><th>end</th><th>its way</th></tr>
-{{range .Traces}}<tr{{if .Unusual}} class="odd"{{end}}><td>{{.ID}}</td><td>{{.Partner}}</td><td>{{.Outcome}}</td><td>{{range .Events}}{{at .At}} {{.What}}; {{end}}{{with .Notice}}its client is told: {{.}}{{end}}</td></tr>
+<h2>Messages</h2>
+<p>Highlighted: messages that took more than one call or were not delivered.</p>
+<table><tr><th>message</th><th>partner</th><th>outcome</th><th>events</th></tr>
+{{range .Traces}}<tr{{if .Unusual}} class="unusual"{{end}}><td>{{.ID}}</td><td>{{.Partner}}</td><td>{{.Outcome}}</td><td>{{range .Events}}{{at .At}} {{.What}}; {{end}}{{with .Notice}}notice to its client: {{.}}{{end}}</td></tr>
 {{end}}</table>
 `))
--- a/internal/relay/simulator/report/report.go
+++ b/internal/relay/simulator/report/report.go
@@ -32,7 +32,7 @@
 	dots   bool
 }
 
-// chart draws series as SVG.
+// chart draws lines as an SVG image.
 func chart(title, x, y string, all []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -58,18 +58,19 @@
 		return "", err
 	}
 	text := b.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // within a page it needs no head
+	if at := bytes.Index(text, []byte("<svg")); at > 0 { // HTML has no place for the XML declaration
 		text = text[at:]
 	}
-	return template.HTML(text), nil //nolint:gosec // drawn here, its texts escaped by the drawer
+	return template.HTML(text), nil //nolint:gosec // generated above; vgsvg escapes the texts
 }
 
-// row is a run in the table.
+// row is one run in the table of an experiment.
 type row struct {
 	experiment.Cell
 	R *simulator.Result
 }
 
+// page is the data of experimentTemplate.
 type page struct {
 	Name, World, Key string
 	Rows             []row
@@ -92,17 +93,17 @@
 		return err
 	}
 	seen := map[string]bool{}
-	for _, r := range view.Rows { // time lines of the first run of each policy
+	for _, r := range view.Rows { // time series of each policy's first run
 		if seen[r.Policy] {
 			continue
 		}
 		seen[r.Policy] = true
 		for _, set := range [][]string{{"came", "delivered", "lost"}, {"refused", "handed in again"}, {"calls", "calls turned away", "calls failed"}, {"open"}} {
-			if err := add(chart(fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), "s", "a second", timeSeries(r.R, set))); err != nil {
+			if err := add(chart(fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), "s", "per second", timeSeries(r.R, set))); err != nil {
 				return err
 			}
 		}
-		if err := add(chart(r.Policy+": time to delivery", "ms", "messages", latencySeries(r.R))); err != nil {
+		if err := add(chart(r.Policy+": latency", "ms", "messages", latencySeries(r.R))); err != nil {
 			return err
 		}
 	}
@@ -115,19 +116,19 @@
 		return nil
 	}
 	for _, y := range []struct {
-		name  string
-		grows bool // its growth is shown as an exponent
-		of    func(*simulator.Result) float64
-	}{{"share of worth", false, func(r *simulator.Result) float64 { return r.Value }},
-		{"µs a message, on this machine", true, func(r *simulator.Result) float64 {
+		name    string
+		grows   bool // the legend shows the exponent of its growth
+		measure func(*simulator.Result) float64
+	}{{"share of value earned", false, func(r *simulator.Result) float64 { return r.Value }},
+		{"µs per message, on this machine", true, func(r *simulator.Result) float64 {
 			return float64(r.WallTime.Microseconds()) / float64(max(r.Messages, 1))
 		}},
-		{"calls a message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
-		{"MB held", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
-		curves := sweepSeries(res, y.of)
+		{"calls per message", false, func(r *simulator.Result) float64 { return float64(r.Calls) / float64(max(r.Messages, 1)) }},
+		{"heap in MB", true, func(r *simulator.Result) float64 { return float64(r.HeapBytes) / 1e6 }}} {
+		curves := sweepSeries(res, y.measure)
 		for i := range curves {
 			if g, ok := growthExponent(curves[i].points); ok && y.grows {
-				curves[i].name += fmt.Sprintf(", grows by the power %.2f", g)
+				curves[i].name += fmt.Sprintf(", growth exponent %.2f", g)
 			}
 		}
 		if err := add(chart(y.name+" against "+res.SweepKey, res.SweepKey, y.name, curves)); err != nil {
@@ -137,10 +138,11 @@
 	return nil
 }
 
-// growthExponent is the power by which a line grows, by least squares of logarithms; false: it has no such thing.
-func growthExponent(xy plotter.XYs) (float64, bool) {
+// growthExponent returns the exponent of the power law that fits a line, by least squares of logarithms; false: the line has fewer than
+// three points, or one that is not positive.
+func growthExponent(points plotter.XYs) (float64, bool) {
 	n, sx, sy, sxx, sxy := 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, p := range xy {
+	for _, p := range points {
 		if p.X <= 0 || p.Y <= 0 {
 			return 0, false
 		}
@@ -151,6 +153,7 @@
 	return (n*sxy - sx*sy) / d, n >= 3 && d > 0
 }
 
+// timeSeries returns lines of a run's series: counts per second, except for pending messages ("open").
 func timeSeries(r *simulator.Result, names []string) (all []series) {
 	for _, n := range names {
 		s := series{name: n}
@@ -165,6 +168,7 @@
 	return all
 }
 
+// latencySeries returns a line for each class: messages by latency.
 func latencySeries(r *simulator.Result) (all []series) {
 	for _, l := range r.Latencies {
 		s := series{name: l.Class, points: plotter.XYs{{}}}
@@ -176,8 +180,8 @@
 	return all
 }
 
-// sweepSeries is a line for each policy: the mean over seeds at each value.
-func sweepSeries(res *experiment.Results, of func(*simulator.Result) float64) (all []series) {
+// sweepSeries returns a line for each policy: the mean over seeds at each swept value.
+func sweepSeries(res *experiment.Results, measure func(*simulator.Result) float64) (all []series) {
 	for _, c := range res.Cells {
 		if c.Result == nil {
 			continue
@@ -191,7 +195,7 @@
 			n, sum := 0, 0.0
 			for _, o := range res.Cells {
 				if o.Result != nil && o.Policy == c.Policy && o.SweepValue == c.SweepValue {
-					n, sum = n+1, sum+of(o.Result)
+					n, sum = n+1, sum+measure(o.Result)
 				}
 			}
 			all[i].points = append(all[i].points, plotter.XY{X: c.SweepValue, Y: sum / float64(n)})
@@ -204,9 +208,9 @@
 <html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:14px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{padding:2px 8px;text-align:right;border-bottom:1px solid #ddd}pre{background:#f4f4f4;padding:1em}.bad{color:#b00}</style>
 <h1>{{.Name}}</h1>
-<table><tr><th>{{.Key}}</th><th>policy</th><th>seed</th><th>worth</th><th>messages</th><th>delivered</th><th>given up</th><th>late</th><th>refused</th><th>calls</th><th>turned away</th><th>failed</th><th>decisions</th><th>rules</th></tr>
+<table><tr><th>{{.Key}}</th><th>policy</th><th>seed</th><th>value</th><th>messages</th><th>delivered</th><th>abandoned</th><th>expired</th><th>refused</th><th>calls</th><th>throttled</th><th>failed</th><th>hash of decisions</th><th>violations</th></tr>
 {{range .Rows}}<tr><td>{{.SweepValue}}</td><td>{{.Policy}}</td><td>{{.Seed}}</td><td>{{printf "%.3f" .R.Value}}</td><td>{{.R.Messages}}</td><td>{{.R.Delivered}}</td><td>{{.R.Abandoned}}</td><td>{{.R.Expired}}</td><td>{{.R.Refused}}</td><td>{{.R.Calls}}</td><td>{{.R.Throttled}}</td><td>{{.R.Failed}}</td><td>{{.R.Hash}}</td><td class="bad">{{range $rule, $n := .R.ViolationCounts}}{{$rule}} ×{{$n}} {{end}}</td></tr>
 {{end}}</table>
 {{range .Charts}}<p>{{.}}</p>{{end}}
-<h2>The world</h2><pre>{{.World}}</pre>
+<h2>World</h2><pre>{{.World}}</pre>
 `))
--- a/internal/relay/simulator/result.go
+++ b/internal/relay/simulator/result.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is the time from submission to delivery of one class, in milliseconds.
+// Latency summarizes the times from submission to delivery of one class's messages, in milliseconds.
 type Latency struct {
 	Class   string         `cbor:"Class"`
 	P50     float64        `cbor:"P50"`
@@ -16,13 +16,13 @@
 	Buckets []HistogramBin `cbor:"Buckets,omitempty"`
 }
 
-// HistogramBin counts latencies from the bin before up to UpperBound, in milliseconds.
+// HistogramBin counts latencies between the previous bin's UpperBound and its own, in milliseconds.
 type HistogramBin struct {
 	UpperBound float64 `cbor:"To"`
 	Count      int64   `cbor:"Count"`
 }
 
-// Result is what a run measured. It is stored as CBOR under the keys of the tags, which must stay as they are.
+// Result holds the measurements of a run. It is stored as CBOR under the keys of the tags, which must not change.
 type Result struct {
 	World            string            `cbor:"World"`
 	Policy           string            `cbor:"Policy"`
@@ -32,12 +32,12 @@
 	Delivered        int               `cbor:"Delivered"`
 	Abandoned        int               `cbor:"GivenUp"`
 	Expired          int               `cbor:"Late"`
-	Value            float64           `cbor:"Worth"` // earned, as a share of what could be earned
+	Value            float64           `cbor:"Worth"` // earned share of the possible value
 	Refused          int               `cbor:"Refused"`
 	Resubmitted      int               `cbor:"Again"`
 	Calls            int               `cbor:"Calls"`
 	Throttled        int               `cbor:"Turned"` // calls
-	Failed           int               `cbor:"Failed"`
+	Failed           int               `cbor:"Failed"` // calls that failed otherwise
 	Turns            uint64            `cbor:"Turns"`
 	Endpoints        int               `cbor:"Endpoints"`
 	Relays           int               `cbor:"Relays"`
@@ -47,11 +47,11 @@
 	ViolationSamples []string          `cbor:"Breaches,omitempty"`
 	Bucket           time.Duration     `cbor:"Bucket"`
 	Series           map[string]Series `cbor:"Lines"`
-	WallTime         time.Duration     `cbor:"Took"`   // by the clock of the machine; differs between runs
-	HeapBytes        uint64            `cbor:"Memory"` // bytes that the run held at its end, where that was measured
+	WallTime         time.Duration     `cbor:"Took"`   // real time that the run took; differs between runs
+	HeapBytes        uint64            `cbor:"Memory"` // heap in use at the end of the run; 0: not measured
 }
 
-// result sums up a run that is over.
+// result returns the measurements of a run that is over.
 func (r *Run) result() *Result {
 	s := r.Stats
 	s.advanceTo(time.Duration(1<<62 - 1))
@@ -86,7 +86,7 @@
 	return res
 }
 
-// newLatency summarizes a class's histogram of microseconds; each bin is half as wide again as the one before.
+// newLatency summarizes a class's histogram of microseconds; each bin's upper bound is 1.5 times that of the one before.
 func newLatency(class string, h *hdrhistogram.Histogram) Latency {
 	ms := func(q float64) float64 { return float64(h.ValueAtPercentile(q)) / 1000 }
 	l := Latency{Class: class, P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
--- a/internal/relay/simulator/run.go
+++ b/internal/relay/simulator/run.go
@@ -11,17 +11,18 @@
 	"mastusher/internal/virtualtime"
 )
 
-// What all worlds have in common, as the relay's rules have it.
+// Constants of all worlds, in accordance with the relay's rules.
 const (
-	clockStart       = 24 * time.Hour         // virtual time at the beginning, large enough that no time computed back from it is negative
-	slowStartShare   = 0.21                   // of its capacity that an endpoint has when its slow start begins
-	overloadWindow   = 2 * time.Second        // overload of a cold endpoint that lasts so long makes it collapse
-	overloadMultiple = 2.0                    // of its capacity at which a cold endpoint is overloaded
-	overloadRecovery = 4 * time.Second        // after a collapse
-	dedupMargin      = 250 * time.Millisecond // by which the window in policies' settings is shorter than that of partners
+	clockStart       = 24 * time.Hour         // virtual time at the start, large enough that no time computed by subtraction is negative
+	slowStartShare   = 0.21                   // share of its capacity that an endpoint has when its slow start begins
+	overloadWindow   = 2 * time.Second        // a cold endpoint that is overloaded for this long collapses
+	overloadMultiple = 2.0                    // a cold endpoint with more calls than this multiple of its capacity is overloaded
+	overloadRecovery = 4 * time.Second        // time for which a collapsed endpoint is down
+	dedupMargin      = 250 * time.Millisecond // policies' settings have a deduplication window that is shorter by this than the partners'
 )
 
-// Run is one run of a world. Everything that refers to an endpoint, message, submission or call does so by index, as the slices grow.
+// Run is one run of a world. It refers to endpoints, messages, submissions and calls by index, because pointers to elements would become
+// stale when the slices grow.
 type Run struct {
 	World   *World
 	Stats   *Stats
@@ -37,18 +38,18 @@
 	calls          []call
 	freeCalls      []int32
 	actions        []control.Action
-	workload       *rand.Rand // draws messages, whatever policies decide
+	workload       *rand.Rand // draws messages, independently of the policies
 	partnerWeights []float64  // cumulative
 	surgeFactor    float64
 	hash           *xxhash.Digest
 	hashBuffer     [48]byte
 	factory        PolicyFactory
-	listUpdates    []control.Event // changes of the endpoint list, which relays are notified of with a delay
-	faultTargets   [][]int32       // endpoints by fault
+	listUpdates    []control.Event // changes of the endpoint list; relays are notified of each after a delay
+	faultTargets   [][]int32       // affected endpoints, by fault
 	turns          uint64
 	fleet          fleetCounter
 	sharing        limitSharing
-	isolatedRelays int // the first so many are partitioned from the others
+	isolatedRelays int // the first N relays are partitioned from the other relays
 }
 
 // New prepares a run of a world under a policy.
@@ -80,7 +81,7 @@
 	return r, nil
 }
 
-// Execute runs the world until every message has ended or its deadline is past, and returns the result. It must be called once.
+// Execute runs the world until every message has finished or is past its deadline, and returns the result. It must be called only once.
 func (r *Run) Execute() *Result {
 	last := clockStart + time.Duration(r.World.Length)
 	for _, c := range r.World.Classes {
@@ -92,7 +93,7 @@
 		r.Stats.advanceTo(r.now - clockStart)
 		r.dispatch(next)
 	}
-	for m := range r.messages { // their clients have waited past the deadline
+	for m := range r.messages { // a message without an outcome has expired
 		if r.messages[m].deadline <= last {
 			r.finishMessage(int32(m), outcomeExpired)
 		}
@@ -101,40 +102,41 @@
 	return r.result()
 }
 
-func (r *Run) dispatch(next event) {
-	switch next.kind {
+// dispatch processes an event.
+func (r *Run) dispatch(e event) {
+	switch e.kind {
 	case eventNextMessage:
 		r.generateMessage()
 	case eventArrival, eventSubmission:
-		r.submit(next.a, next.b)
+		r.submit(e.a, e.b)
 	case eventTurn:
-		r.turn(next.a)
+		r.turn(e.a)
 	case eventCallArrival:
-		r.arriveAtEndpoint(next.a)
+		r.arriveAtEndpoint(e.a)
 	case eventServiceDone:
-		r.completeService(next.a, next.b)
+		r.completeService(e.a, e.b)
 	case eventResponse:
-		r.handleResponse(next.a)
+		r.handleResponse(e.a)
 	case eventCallTimeout:
-		if c := &r.calls[next.a]; c.generation == next.b && (c.state == callInFlight || c.state == callUnanswered) {
-			r.resolve(next.a, control.TimedOut, 0)
+		if c := &r.calls[e.a]; c.generation == e.b && (c.state == callInFlight || c.state == callUnanswered) {
+			r.resolve(e.a, control.TimedOut, 0)
 		}
 	case eventFault:
-		r.applyFault(int(next.a), next.b == 1)
+		r.applyFault(int(e.a), e.b == 1)
 	case eventListUpdate:
-		r.notify(next.b, r.listUpdates[next.a])
+		r.notify(e.b, r.listUpdates[e.a])
 	case eventOverloadCheck:
-		r.checkOverload(next.a)
+		r.checkOverload(e.a)
 	case eventOverloadEnd:
-		r.bringUp(next.a)
-	case eventQuotaPing:
-		r.sendQuotaRequest(next.a)
+		r.bringUp(e.a)
+	case eventQuotaRequestDue:
+		r.sendQuotaRequest(e.a)
 	case eventQuotaRequest:
-		r.handleQuotaRequest(next.a)
+		r.handleQuotaRequest(e.a)
 	case eventQuotaGrant:
-		r.handleQuotaGrant(next.a)
+		r.handleQuotaGrant(e.a)
 	}
 }
 
-// Hash is of all decisions so far: the same for the same seed, on any machine.
+// Hash returns a hash of all decisions so far; the same seed gives the same hash on any machine.
 func (r *Run) Hash() string { return fmt.Sprintf("%016x", r.hash.Sum64()) }
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -7,28 +7,28 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Sharing configures how relays share rate limits: with the daemon's own quota.Allocator and quota.Lessee, over a network that delays
+// Sharing configures how relays share rate limits: through the daemon's own quota.Allocator and quota.Lessee, over a network that delays
 // and loses messages.
 type Sharing struct {
-	GuaranteedShare float64 // of each limit, guaranteed to the relays without a lease; 0 to 1
+	GuaranteedShare float64 // of each limit, for all relays together, that they may use without a lease; 0 to 1
 	Lease           Duration
-	ClockDrift      float64
-	Delay           Duration // of a message: this up to twice this
-	Loss            float64  // share of messages
+	ClockDrift      float64  // maximum relative drift of a relay's clock
+	Delay           Duration // of a message; drawn between this and twice this
+	Loss            float64  // share of messages that are lost
 	ServeAlone      bool     // partitioned relays continue with their guaranteed share; otherwise they stop sending
 }
 
-// DefaultSharing is the configuration of a fleet on one site.
+// DefaultSharing returns the configuration of a fleet on one site.
 func DefaultSharing() Sharing {
 	return Sharing{GuaranteedShare: 0.25, Lease: Duration(2 * time.Second), ClockDrift: 0.01, Delay: Duration(2 * time.Millisecond), Loss: 0.01, ServeAlone: true}
 }
 
-// SharingPolicy is a policy that reports what it observes of its routes, from which demands are made.
+// SharingPolicy is a policy that reports what it observes of its routes; the relay's demands are made from this.
 type SharingPolicy interface {
 	Observations(now time.Duration, out []control.Observation) []control.Observation
 }
 
-// limitSharing is the state of all relays' sharing. One relay leads; when it is down or partitioned, the next request finds another
+// limitSharing is the state of all relays' sharing. One relay leads; when it is down or partitioned, the next request elects another
 // leader, which grants nothing before electionDuration has passed.
 type limitSharing struct {
 	Sharing
@@ -36,7 +36,7 @@
 	allocator       *quota.Allocator
 	leader          int32
 	term            uint64
-	leadershipStart time.Duration // nobody leads before
+	leadershipStart time.Duration // the leader grants nothing before
 	lessees         []*quota.Lessee
 	incarnations    []uint64
 	endpointsByKey  []map[quota.Key]uint32
@@ -46,11 +46,11 @@
 	bytes           int64
 }
 
-// envelope is a message in transit between relays; slots are reused.
+// envelope is a message in transit between a relay and the leader. Slots of limitSharing.envelopes are reused.
 type envelope struct {
-	relay       int32
+	relay       int32 // sender of a request, or receiver of a grant
 	incarnation uint64
-	sentAt      time.Duration // of the request, from which the lease is counted
+	sentAt      time.Duration // when the request was sent, from which the lease counts
 	request     *quota.Request
 	grant       *quota.Grant
 }
@@ -58,95 +58,97 @@
 const (
 	requestsPerLease     = 8
 	electionDuration     = time.Second
-	messageOverheadBytes = 28 + 12 + 60 // of a ping or its answer, without what is shared
+	messageOverheadBytes = 28 + 12 + 60 // size of a request or response without the shared data
 )
 
-// EnableSharing has the relays share limits from the beginning. It must be called before Execute; policies that are no SharingPolicy take
-// no part.
-func (r *Run) EnableSharing(s Sharing) {
-	x := &r.sharing
-	x.Sharing, x.enabled, x.term, x.leadershipStart = s, true, 1, r.now
+// EnableSharing makes the relays share limits from the start. It must be called before Execute; relays whose policy is not a
+// SharingPolicy take no part.
+func (r *Run) EnableSharing(config Sharing) {
+	sharing := &r.sharing
+	sharing.Sharing, sharing.enabled, sharing.term, sharing.leadershipStart = config, true, 1, r.now
 	for i := range r.relays {
-		x.lessees, x.incarnations, x.endpointsByKey = append(x.lessees, &quota.Lessee{ServeAlone: s.ServeAlone}), append(x.incarnations, 1), append(x.endpointsByKey, nil)
-		x.relayNames = append(x.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
-		r.schedule(r.now+time.Duration(i)*time.Duration(s.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaPing, int32(i), 0)
+		sharing.lessees, sharing.incarnations, sharing.endpointsByKey = append(sharing.lessees, &quota.Lessee{ServeAlone: config.ServeAlone}), append(sharing.incarnations, 1), append(sharing.endpointsByKey, nil)
+		sharing.relayNames = append(sharing.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
+		r.schedule(r.now+time.Duration(i)*time.Duration(config.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaRequestDue, int32(i), 0)
 	}
 }
 
-// resetRelay has a restarted relay forget its lease, under a new incarnation.
-func (x *limitSharing) resetRelay(i int32) {
-	if x.enabled {
-		x.lessees[i] = &quota.Lessee{ServeAlone: x.ServeAlone}
-		x.incarnations[i]++
+// resetRelay drops a restarted relay's lease and gives the relay a new incarnation.
+func (s *limitSharing) resetRelay(i int32) {
+	if s.enabled {
+		s.lessees[i] = &quota.Lessee{ServeAlone: s.ServeAlone}
+		s.incarnations[i]++
 	}
 }
 
-func (x *limitSharing) send(r *Run, p envelope, do eventKind) {
-	x.bytes += messageOverheadBytes
-	if r.rng.Float64() < x.Loss || r.isolated(p.relay) {
+// send schedules the arrival of an envelope, unless it is lost.
+func (s *limitSharing) send(r *Run, env envelope, kind eventKind) {
+	s.bytes += messageOverheadBytes
+	if r.rng.Float64() < s.Loss || r.isolated(env.relay) {
 		return
 	}
-	n := int32(len(x.envelopes))
-	if k := len(x.freeEnvelopes); k > 0 {
-		n, x.freeEnvelopes = x.freeEnvelopes[k-1], x.freeEnvelopes[:k-1]
-		x.envelopes[n] = p
+	n := int32(len(s.envelopes))
+	if k := len(s.freeEnvelopes); k > 0 {
+		n, s.freeEnvelopes = s.freeEnvelopes[k-1], s.freeEnvelopes[:k-1]
+		s.envelopes[n] = env
 	} else {
-		x.envelopes = append(x.envelopes, p)
+		s.envelopes = append(s.envelopes, env)
 	}
-	r.schedule(r.now+time.Duration(float64(x.Delay)*(1+r.rng.Float64())), do, n, 0)
+	r.schedule(r.now+time.Duration(float64(s.Delay)*(1+r.rng.Float64())), kind, n, 0)
 }
 
-func (x *limitSharing) take(n int32) envelope {
-	p := x.envelopes[n]
-	x.envelopes[n] = envelope{}
-	x.freeEnvelopes = append(x.freeEnvelopes, n)
-	return p
+// take returns envelope n and frees its slot.
+func (s *limitSharing) take(n int32) envelope {
+	env := s.envelopes[n]
+	s.envelopes[n] = envelope{}
+	s.freeEnvelopes = append(s.freeEnvelopes, n)
+	return env
 }
 
-// isolated reports whether a relay is partitioned from the others now.
+// isolated reports whether relay i is partitioned from the other relays now.
 func (r *Run) isolated(i int32) bool { return int(i) < r.isolatedRelays }
 
-// sendQuotaRequest sends a relay's demands to the leader and asks it to renew the lease.
+// sendQuotaRequest sends a relay's demands to the leader, which also asks for a renewal of the lease.
 func (r *Run) sendQuotaRequest(i int32) {
 	sharing := &r.sharing
-	r.schedule(r.now+time.Duration(sharing.Lease)/requestsPerLease, eventQuotaPing, i, 0)
-	p, ok := r.relays[i].policy.(SharingPolicy)
+	r.schedule(r.now+time.Duration(sharing.Lease)/requestsPerLease, eventQuotaRequestDue, i, 0)
+	policy, ok := r.relays[i].policy.(SharingPolicy)
 	if r.relays[i].down || !ok {
 		return
 	}
-	var needs []quota.Demand
+	var demands []quota.Demand
 	sharing.endpointsByKey[i] = map[quota.Key]uint32{}
-	for _, s := range p.Observations(r.now, nil) {
-		if s.Endpoint == 0 {
+	for _, observed := range policy.Observations(r.now, nil) {
+		if observed.Endpoint == 0 {
 			continue
 		}
-		e := &r.endpoints[s.Endpoint-1]
-		k := quota.Key(1<<20 + e.partner)
-		if s.SeparateRoute {
-			k = quota.Key(s.Endpoint)
+		e := &r.endpoints[observed.Endpoint-1]
+		key := quota.Key(1<<20 + e.partner)
+		if observed.SeparateRoute {
+			key = quota.Key(observed.Endpoint)
 		}
-		n := quota.Demand{Key: k, Rate: s.Demand, Value: s.Value, Limit: s.Limit, LimitAge: s.LimitAge, StateAge: s.HealthAge, Wait: s.RetryAfter}
+		demand := quota.Demand{Key: key, Rate: observed.Demand, Value: observed.Value, Limit: observed.Limit, LimitAge: observed.LimitAge, StateAge: observed.HealthAge, Wait: observed.RetryAfter}
 		switch {
-		case s.Unhealthy:
-			n.State = quota.Down
-		case s.Healthy:
-			n.State = quota.Healthy
+		case observed.Unhealthy:
+			demand.State = quota.Down
+		case observed.Healthy:
+			demand.State = quota.Healthy
 		}
-		if len(needs) < quota.MaxKeys {
-			needs, sharing.endpointsByKey[i][k] = append(needs, n), s.Endpoint
+		if len(demands) < quota.MaxKeys {
+			demands, sharing.endpointsByKey[i][key] = append(demands, demand), observed.Endpoint
 		}
 	}
-	sharing.lessees[i].SetDemands(needs)
-	report := sharing.lessees[i].NextRequest(r.now, int(i)%r.World.Net.Zones)
-	sharing.bytes += int64(len(report.Demands) + len(report.LeasedShares) + 20)
-	sharing.send(r, envelope{relay: i, incarnation: sharing.incarnations[i], sentAt: r.now, request: report}, eventQuotaRequest)
+	sharing.lessees[i].SetDemands(demands)
+	request := sharing.lessees[i].NextRequest(r.now, int(i)%r.World.Net.Zones)
+	sharing.bytes += int64(len(request.Demands) + len(request.LeasedShares) + 20)
+	sharing.send(r, envelope{relay: i, incarnation: sharing.incarnations[i], sentAt: r.now, request: request}, eventQuotaRequest)
 }
 
-// handleQuotaRequest has the leader take a request and answer it with a grant.
+// handleQuotaRequest handles a request at the leader and answers it with a grant.
 func (r *Run) handleQuotaRequest(n int32) {
 	sharing := &r.sharing
-	p := sharing.take(n)
-	if r.relays[sharing.leader].down || r.isolated(sharing.leader) { // another comes to lead
+	env := sharing.take(n)
+	if r.relays[sharing.leader].down || r.isolated(sharing.leader) { // elect another leader
 		sharing.allocator = nil
 		for i := range r.relays {
 			if !r.relays[i].down && !r.isolated(int32(i)) {
@@ -160,37 +162,37 @@
 		return
 	}
 	if sharing.allocator == nil {
-		over := time.Duration(float64(sharing.Lease)*(1+sharing.ClockDrift)) + time.Millisecond
-		sharing.allocator = quota.NewAllocator(quota.Options{MinimumSum: sharing.GuaranteedShare, LeaseDuration: over, ServeAlone: sharing.ServeAlone}, sharing.term, r.now)
+		maxLease := time.Duration(float64(sharing.Lease)*(1+sharing.ClockDrift)) + time.Millisecond
+		sharing.allocator = quota.NewAllocator(quota.Options{MinimumSum: sharing.GuaranteedShare, LeaseDuration: maxLease, ServeAlone: sharing.ServeAlone}, sharing.term, r.now)
 		sharing.allocator.SetRoster(sharing.relayNames)
 	}
-	sharing.allocator.HandleRequest(r.now, sharing.relayNames[p.relay], p.incarnation, p.request)
-	a := sharing.allocator.Grant(r.now, r.now, sharing.relayNames[p.relay])
-	if a == nil {
+	sharing.allocator.HandleRequest(r.now, sharing.relayNames[env.relay], env.incarnation, env.request)
+	grant := sharing.allocator.Grant(r.now, r.now, sharing.relayNames[env.relay])
+	if grant == nil {
 		return
 	}
-	sharing.bytes += int64(len(a.Shares) + 10)
-	sharing.send(r, envelope{relay: p.relay, incarnation: p.incarnation, sentAt: p.sentAt, grant: a}, eventQuotaGrant)
+	sharing.bytes += int64(len(grant.Shares) + 10)
+	sharing.send(r, envelope{relay: env.relay, incarnation: env.incarnation, sentAt: env.sentAt, grant: grant}, eventQuotaGrant)
 }
 
-// handleQuotaGrant has a relay take a grant.
+// handleQuotaGrant handles a grant at its relay.
 func (r *Run) handleQuotaGrant(n int32) {
-	x := &r.sharing
-	p := x.take(n)
-	if r.relays[p.relay].down || p.incarnation != x.incarnations[p.relay] {
+	sharing := &r.sharing
+	env := sharing.take(n)
+	if r.relays[env.relay].down || env.incarnation != sharing.incarnations[env.relay] {
 		return
 	}
-	s := x.lessees[p.relay].HandleGrant(p.sentAt+time.Duration(float64(x.Lease)*(1-x.ClockDrift)), p.grant)
-	if s == nil {
+	lease := sharing.lessees[env.relay].HandleGrant(env.sentAt+time.Duration(float64(sharing.Lease)*(1-sharing.ClockDrift)), env.grant)
+	if lease == nil {
 		return
 	}
-	out := &control.SharedLimits{GuaranteedShare: s.Minimum, LeaseExpiry: s.Expires, KeepsGuaranteed: s.MinimumLasts}
-	for _, part := range s.Shares {
-		if e, ok := x.endpointsByKey[p.relay][part.Key]; ok {
-			out.Grants = append(out.Grants, control.Grant{Endpoint: e, ExtraShare: part.Extra, Limit: part.Limit, LimitAge: part.LimitAge, Unhealthy: part.State == quota.Down,
-				Healthy: part.State == quota.Healthy, HealthAge: part.StateAge, RetryAfter: part.Wait, MayProbe: part.MayProbe})
+	shared := &control.SharedLimits{GuaranteedShare: lease.Minimum, LeaseExpiry: lease.Expires, KeepsGuaranteed: lease.MinimumLasts}
+	for _, share := range lease.Shares {
+		if e, ok := sharing.endpointsByKey[env.relay][share.Key]; ok {
+			shared.Grants = append(shared.Grants, control.Grant{Endpoint: e, ExtraShare: share.Extra, Limit: share.Limit, LimitAge: share.LimitAge, Unhealthy: share.State == quota.Down,
+				Healthy: share.State == quota.Healthy, HealthAge: share.StateAge, RetryAfter: share.Wait, MayProbe: share.MayProbe})
 		}
 	}
-	r.notify(p.relay, control.Event{Kind: control.SharedLimitsUpdated, Shared: out})
-	x.lessees[p.relay].Confirm(s.Term, s.Number) // its turn comes before anything that it says
+	r.notify(env.relay, control.Event{Kind: control.SharedLimitsUpdated, Shared: shared})
+	sharing.lessees[env.relay].Confirm(lease.Term, lease.Number) // its turn with the lease precedes its next request
 }
--- a/internal/relay/simulator/shrink.go
+++ b/internal/relay/simulator/shrink.go
@@ -7,8 +7,8 @@
 	"mastusher/internal/shrink"
 )
 
-// Shrink looks for a smallest world that still fails, by removing and halving what it can. It calls fails at most maxRuns times, and
-// leaves w as it is.
+// Shrink looks for a minimal world that still fails, by removing and halving what it can. It calls fails at most maxRuns times and does not
+// change w.
 func Shrink(w *World, maxRuns int, fails func(*World) bool) *World {
 	reducer := worldReducer{shrink.New(w.clone(), maxRuns, fails)}
 	for progress := true; progress; {
@@ -30,7 +30,7 @@
 	return changed.Validate() == nil && r.Try(changed)
 }
 
-// removeElements attempts to remove each fault, and each class and partner but the last one. It reports whether any could be removed.
+// removeElements attempts to remove each fault, and each class and partner except the last one. It reports whether any could be removed.
 func (r worldReducer) removeElements() (progress bool) {
 	for i := len(r.Smallest().Faults) - 1; i >= 0; i-- {
 		progress = r.attempt(func(w *World) { w.Faults = slices.Delete(w.Faults, i, i+1) }) || progress
@@ -44,7 +44,7 @@
 	return progress
 }
 
-// reduceQuantities attempts a step down of each size, rate and time of the world. It reports whether any could be made.
+// reduceQuantities attempts to reduce each size, rate and time of the world by one step. It reports whether any could be reduced.
 func (r worldReducer) reduceQuantities() (progress bool) {
 	for i := range r.Smallest().Partners {
 		if r.Smallest().Partners[i].Count > 1 {
--- a/internal/relay/simulator/simulator_test.go
+++ b/internal/relay/simulator/simulator_test.go
@@ -64,7 +64,7 @@
 	return w
 }
 
-// one seed gives the same decisions each time, on one core and on four; another seed gives others.
+// The same seed gives the same decisions each time, with one run at once and with four; another seed gives different ones.
 func TestExecute_SameSeed_SameDecisions(t *testing.T) {
 	t.Parallel()
 	x := &experiment.Experiment{Policies: []string{"module", "core", "breaker"}, Seeds: []uint64{1, 2}, World: *parseWorld(t, faultyWorld)}
@@ -80,16 +80,16 @@
 		}
 		for i, c := range res.Cells {
 			if c.Result.Hash != first.Cells[i].Result.Hash || c.Result.Messages < 500 {
-				t.Fatalf("run %d: %+v", n, c)
+				t.Fatalf("run %d: %+v, want the decisions of run 0 and at least 500 messages", n, c)
 			}
 		}
 	}
 	if first.Cells[0].Result.Hash == first.Cells[1].Result.Hash {
-		t.Error("two seeds give the same decisions")
+		t.Error("two seeds gave the same decisions")
 	}
 }
 
-// In worlds that seeds draw no policy breaks a rule that it can keep, and each message has its end.
+// In random worlds no policy violates a rule, except that cold endpoints may collapse, and each message has exactly one outcome.
 func TestExecute_RandomWorlds_NoPolicyViolatesRules(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 30; seed++ {
@@ -100,18 +100,18 @@
 				t.Fatal(err)
 			}
 			for rule, n := range res.ViolationCounts {
-				if rule != "cold returns" { // what pushes a cold endpoint over is no single call
-					t.Errorf("seed %d, %s: rule %q broken %d times, first %s", seed, name, rule, n, res.ViolationSamples[0])
+				if rule != "cold returns" { // no single call makes a cold endpoint collapse
+					t.Errorf("seed %d, %s: rule %q violated %d times, first %s", seed, name, rule, n, res.ViolationSamples[0])
 				}
 			}
 			if res.Delivered+res.Abandoned+res.Expired != res.Messages {
-				t.Errorf("seed %d, %s: %d messages, %d delivered, %d given up, %d late", seed, name, res.Messages, res.Delivered, res.Abandoned, res.Expired)
+				t.Errorf("seed %d, %s: %d messages, but %d delivered, %d abandoned, %d expired", seed, name, res.Messages, res.Delivered, res.Abandoned, res.Expired)
 			}
 		}
 	}
 }
 
-// An error names its key.
+// The error for a bad value names its key.
 func TestParse_BadValue_ErrorNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"rates = 3": "key rates",
@@ -128,12 +128,12 @@
 		"[clients]\ntries = 0\n[[partner]]\nname = \"a\"":                                           "key clients.tries",
 	} {
 		if _, err := simulator.Parse(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
 
-// Shrink finds the one fault that a violation needs.
+// Shrink reduces a world to the one fault that a violation needs.
 func TestShrink_FailingWorld_KeepsOnlyItsFault(t *testing.T) {
 	t.Parallel()
 	fails := func(w *simulator.World) bool {
@@ -149,12 +149,12 @@
 	w := parseWorld(t, faultyWorld)
 	small := simulator.Shrink(w, 200, fails)
 	if len(small.Faults) > 1 || small.Rate >= w.Rate || small.Relays != 1 || !fails(small) {
-		t.Errorf("%+v", small)
+		t.Errorf("shrunk to %+v, want one relay, at most one fault and a lower rate", small)
 	}
 }
 
-// Guards against calls that hang until their deadlines at a partner that has come back: safe messages in them
-// were lost (0.948 of the value in these three runs), and no probe went while such calls held half of the slots.
+// Guards against calls that hang at a partner until their deadlines, after the partner has recovered: safe messages in such calls were
+// lost (0.948 of the value earned in these three runs), and no probe was sent while such calls held half of the slots.
 func TestExecute_OutageWithHangingCalls_EarnsValue(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("../../../deploy/worlds/outage.toml")
@@ -172,6 +172,6 @@
 		sum += res.Value
 	}
 	if sum/3 < 0.96 {
-		t.Errorf("%.3f of the value is earned", sum/3)
+		t.Errorf("%.3f of the value earned, want at least 0.96", sum/3)
 	}
 }
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -17,29 +17,29 @@
 	outcomeExpired           // past its deadline
 )
 
-// Series is a count over time, one value a bucket.
+// Series is a count over time, with one value per bucket.
 type Series []float64
 
-// Stats counts during a run, in buckets of equal length.
+// Stats collects counts during a run, in buckets of equal length.
 type Stats struct {
 	Bucket      time.Duration
 	Arrived     Series // messages
-	Delivered   Series // delivered within their time
-	Lost        Series // given up or late
-	Refused     Series // refusals
+	Delivered   Series // messages
+	Lost        Series // messages that were abandoned or expired
+	Refused     Series // submissions that a relay refused
 	Resubmitted Series // submissions after a refusal
-	Calls       Series // calls
-	Throttled   Series // calls
-	Failed      Series // calls that came to nothing otherwise
-	Pending     Series // messages that are not over, at the end of each bucket
+	Calls       Series // calls that were sent
+	Throttled   Series // throttled calls
+	Failed      Series // calls that failed otherwise
+	Pending     Series // messages that are pending at the end of each bucket
 
 	world         *World
 	bucket        int
 	pending       int
-	valueEarned   float64 // earned
-	valuePossible float64 // that could be
+	valueEarned   float64
+	valuePossible float64 // value of all messages
 	outcomes      [3]int
-	latencies     []*hdrhistogram.Histogram // µs from birth to delivery
+	latencies     []*hdrhistogram.Histogram // by class, in µs from creation to delivery
 }
 
 const bucketCount = 150
@@ -59,7 +59,7 @@
 	return s
 }
 
-// namedSeries is a series with the name under which files store it.
+// namedSeries is a series with the name under which results store it.
 type namedSeries struct {
 	Name   string
 	Series *Series
@@ -70,7 +70,7 @@
 		{"calls", &s.Calls}, {"calls turned away", &s.Throttled}, {"calls failed", &s.Failed}, {"open", &s.Pending}}
 }
 
-// advanceTo moves on to the bucket of a time since the start.
+// advanceTo completes the buckets before that of t, a time since the start.
 func (s *Stats) advanceTo(t time.Duration) {
 	for b := min(int(t/s.Bucket), bucketCount+1); s.bucket < b; s.bucket++ {
 		s.Pending[s.bucket] = float64(s.pending)
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordOutcome records how a message ended: past its latency target its value falls evenly, to half at its deadline.
+// recordOutcome records how a message ended. The value of a delivery falls linearly after the latency target, to half at the deadline.
 func (s *Stats) recordOutcome(c *Class, m *message, now time.Duration, how outcome) {
 	s.pending--
 	s.outcomes[how]++
--- a/internal/relay/simulator/world_file.go
+++ b/internal/relay/simulator/world_file.go
@@ -8,20 +8,20 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Duration is a time that files write as in "250ms".
+// Duration is a time.Duration that TOML files write as text, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText parses a time as time.ParseDuration does.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	*s = Duration(d)
+// UnmarshalText parses a duration as time.ParseDuration does.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
 
-// MarshalText formats the time as time.Duration does.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText formats the duration as time.Duration does.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Parse reads a world's file. Each error names its key.
+// Parse reads and validates a world file. Each error names its key.
 func Parse(text string) (*World, error) {
 	w := Default()
 	if err := Decode(text, &w); err != nil {
@@ -30,16 +30,16 @@
 	return &w, w.Validate()
 }
 
-var lastKey = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)`)
+var tomlErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)`)
 
-// FileError is returned for a key of a TOML file that can't be read.
+// FileError is returned for a key of a TOML file that is unknown or whose value has the wrong type.
 type FileError struct {
-	Line   string // "": not known
+	Line   string // "": unknown
 	Key    string
 	Reason string
 }
 
-// Error returns line, key and reason.
+// Error returns the line, the key and the reason.
 func (e *FileError) Error() string {
 	if e.Line == "" {
 		return fmt.Sprintf("key %s: %s", e.Key, e.Reason)
@@ -47,17 +47,17 @@
 	return fmt.Sprintf("line %s, key %s: %s", e.Line, e.Key, e.Reason)
 }
 
-// Decode decodes TOML. A key that is not known, or whose value has the wrong type, is a *FileError.
+// Decode decodes TOML. An unknown key, or a value of the wrong type, is a *FileError.
 func Decode(text string, into any) error {
 	meta, err := toml.Decode(text, into)
 	if err != nil {
-		if at := lastKey.FindStringSubmatch(err.Error()); at != nil { // most of the library's errors have no type
-			return &FileError{Line: at[1], Key: at[2], Reason: at[3]}
+		if match := tomlErrorPattern.FindStringSubmatch(err.Error()); match != nil { // the library returns most of its errors as plain text
+			return &FileError{Line: match[1], Key: match[2], Reason: match[3]}
 		}
 		return err
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return &FileError{Key: unknown[0].String(), Reason: "not known"}
+		return &FileError{Key: unknown[0].String(), Reason: "unknown key"}
 	}
 	return nil
 }
