--- a/internal/relay/simulator/call.go
+++ b/internal/relay/simulator/call.go
@@ -66,13 +66,13 @@
 }
 
 // respond sends the response to call n to its relay, which receives it one network delay later.
-func (r *Run) respond(n int32, result control.Result, retryAfter time.Duration) {
+func (r *Run) respond(n int32, result control.Result, wait time.Duration) {
 	c := &r.calls[n]
 	if c.state != callInFlight { // its relay no longer waits for it
 		r.release(n)
 		return
 	}
-	c.result, c.retryAfter = result, retryAfter
+	c.result, c.retryAfter = result, wait
 	r.schedule(r.now+r.networkDelay(c.relay, c.endpoint, true), eventResponse, n, 0)
 }
 
@@ -148,9 +148,9 @@
 		r.release(n)
 		return
 	}
-	result, retryAfter := c.result, c.retryAfter
+	result, wait := c.result, c.retryAfter
 	c.state = callUnanswered // so that resolve releases the slot
-	r.resolve(n, result, retryAfter)
+	r.resolve(n, result, wait)
 }
 
 // resolve ends call n at its relay and notifies the relay of the result.
--- a/internal/relay/simulator/checker.go
+++ b/internal/relay/simulator/checker.go
@@ -95,7 +95,7 @@
 	if int(sub.attempts) >= c.run.World.MaxAttempts {
 		c.report(ruleMaxAttempts, relay, sub.message, "sent more often than max_attempts")
 	}
-	if class := &c.run.World.Classes[msg.class]; msg.mayHaveRun && (class.Effect == "unsafe" || class.Effect == "keyed" && now-msg.mayHaveRunAt > time.Duration(class.DedupWindow)) {
+	if msgClass := &c.run.World.Classes[msg.class]; msg.mayHaveRun && (msgClass.Effect == "unsafe" || msgClass.Effect == "keyed" && now-msg.mayHaveRunAt > time.Duration(msgClass.DedupWindow)) {
 		c.report(ruleIdempotentRetries, relay, sub.message, "sent again although it may have run")
 	}
 	if until := c.retryAfterUntil[key]; until > now {
@@ -112,7 +112,7 @@
 		c.report(ruleFinishesOnce, relay, sub.message, "finished again, or at a relay that does not hold it")
 		return false
 	}
-	if _, inFlight := c.run.relays[relay].inFlight[a.ID]; inFlight {
+	if _, active := c.run.relays[relay].inFlight[a.ID]; active {
 		c.report(ruleFinishesOnce, relay, sub.message, "finished while its call is in flight")
 	}
 	sub.finished = true
--- a/internal/relay/simulator/endpoint.go
+++ b/internal/relay/simulator/endpoint.go
@@ -108,11 +108,11 @@
 }
 
 // completeService responds to call n and starts to serve queued calls, unless the endpoint went down during the service.
-func (r *Run) completeService(n, generation int32) {
+func (r *Run) completeService(n, callGeneration int32) {
 	c := &r.calls[n]
 	e := &r.endpoints[c.endpoint]
 	i := slices.Index(e.serving, n)
-	if c.generation != generation || i < 0 {
+	if c.generation != callGeneration || i < 0 {
 		return // the endpoint went down meanwhile, which reset its calls
 	}
 	e.serving = slices.Delete(e.serving, i, i+1)
--- a/internal/relay/simulator/fullrelay/fullrelay.go
+++ b/internal/relay/simulator/fullrelay/fullrelay.go
@@ -20,8 +20,8 @@
 )
 
 // New returns a relay core with an empty journal; it never fails.
-func New(settings control.Settings, seed uint64) (simulator.Policy, error) {
-	return &Core{settings: settings, seed: seed, journal: &journal.Memory{}, notified: map[uint64]bool{}}, nil
+func New(relaySettings control.Settings, seed uint64) (simulator.Policy, error) {
+	return &Core{settings: relaySettings, seed: seed, journal: &journal.Memory{}, notified: map[uint64]bool{}}, nil
 }
 
 // Core is a relay's core as a simulator.Policy.
@@ -46,8 +46,8 @@
 
 // Successor returns a factory of the relay that runs on the same journal after a crash.
 func (c *Core) Successor() simulator.PolicyFactory {
-	return func(settings control.Settings, seed uint64) (simulator.Policy, error) {
-		return &Core{settings: settings, seed: seed, journal: c.journal, notified: c.notified}, nil
+	return func(relaySettings control.Settings, seed uint64) (simulator.Policy, error) {
+		return &Core{settings: relaySettings, seed: seed, journal: c.journal, notified: c.notified}, nil
 	}
 }
 
@@ -125,10 +125,10 @@
 	c.core.Step(c.wallTime(now))
 	for _, a := range arrived {
 		select {
-		case reply := <-a.reply:
-			switch reply.Verdict {
+		case response := <-a.reply:
+			switch response.Verdict {
 			case engine.Busy:
-				c.actions = append(c.actions, control.Action{Kind: control.Refuse, ID: a.id, For: reply.RetryAfter})
+				c.actions = append(c.actions, control.Action{Kind: control.Refuse, ID: a.id, For: response.RetryAfter})
 			case engine.Failed, engine.Rejected:
 				c.actions = append(c.actions, control.Action{Kind: control.Fail, ID: a.id})
 			}
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -96,11 +96,11 @@
 }
 
 // New returns a simple policy. Options.Timeout and Options.MaxAttempts must be above 0.
-func New(options Options, settings control.Settings, seed uint64) (*Simple, error) {
-	if options.Timeout <= 0 || options.MaxAttempts < 1 {
-		return nil, fmt.Errorf("policy: timeout %v and %d attempts, want both above 0", options.Timeout, options.MaxAttempts)
+func New(opts Options, relaySettings control.Settings, seed uint64) (*Simple, error) {
+	if opts.Timeout <= 0 || opts.MaxAttempts < 1 {
+		return nil, fmt.Errorf("policy: timeout %v and %d attempts, want both above 0", opts.Timeout, opts.MaxAttempts)
 	}
-	return &Simple{options: options, settings: settings, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
+	return &Simple{options: opts, settings: relaySettings, rng: rand.New(rand.NewPCG(seed, 3)), pending: map[uint64]*pendingMessage{}, endpoints: map[uint32]*endpoint{},
 		byDestination: map[int][]*endpoint{}, nextIndex: map[int]int{}, retryTokens: 10}, nil
 }
 
@@ -133,17 +133,17 @@
 		}
 		p.queue = append(p.queue, message)
 	case control.Resolved:
-		message := p.pending[event.ID]
-		if message == nil || message.sentTo == nil {
+		resolved := p.pending[event.ID]
+		if resolved == nil || resolved.sentTo == nil {
 			return out
 		}
-		target := message.sentTo
-		message.sentTo = nil
+		target := resolved.sentTo
+		resolved.sentTo = nil
 		p.inFlight--
 		target.inFlight--
 		if event.Result == control.Delivered {
 			target.consecutiveFailures = 0
-			delete(p.pending, message.id)
+			delete(p.pending, resolved.id)
 			return out
 		}
 		if event.RetryAfter > 0 {
@@ -152,18 +152,18 @@
 		if target.consecutiveFailures++; p.options.BreakerFailures > 0 && target.consecutiveFailures >= p.options.BreakerFailures {
 			target.blockedUntil, target.consecutiveFailures = max(target.blockedUntil, p.now+time.Second), 0
 		}
-		if !event.Result.NeverRan() && !message.mayHaveRun {
-			message.mayHaveRun, message.mayHaveRunAt = true, p.now-event.Elapsed
+		if !event.Result.NeverRan() && !resolved.mayHaveRun {
+			resolved.mayHaveRun, resolved.mayHaveRunAt = true, p.now-event.Elapsed
 		}
-		if message.attempts >= min(p.options.MaxAttempts, p.settings.MaxAttempts) || !p.mayBeSent(message) || p.options.RetryBudget > 0 && p.retryTokens < 1 {
-			return p.refuse(message, out)
+		if resolved.attempts >= min(p.options.MaxAttempts, p.settings.MaxAttempts) || !p.mayBeSent(resolved) || p.options.RetryBudget > 0 && p.retryTokens < 1 {
+			return p.refuse(resolved, out)
 		}
 		if p.options.RetryBudget > 0 {
 			p.retryTokens--
 		}
-		wait := time.Duration(p.rng.Int64N(int64(p.options.Backoff<<min(message.attempts-1, 8)) + 1))
-		message.notBefore = p.now + wait
-		p.queue = append(p.queue, message)
+		wait := time.Duration(p.rng.Int64N(int64(p.options.Backoff<<min(resolved.attempts-1, 8)) + 1))
+		resolved.notBefore = p.now + wait
+		p.queue = append(p.queue, resolved)
 	}
 	return out
 }
--- a/internal/relay/simulator/report/loadtest.go
+++ b/internal/relay/simulator/report/loadtest.go
@@ -16,8 +16,8 @@
 // WriteLoadTest writes a page about a load test on a relay: its timeline, and the events and the outcome of each message.
 func WriteLoadTest(out io.Writer, title string, length time.Duration, timeline []loadtest.Event, traces []*loadtest.MessageTrace) error {
 	type outcomeCount struct {
-		Outcome string
-		Count   int
+		Label string
+		Count int
 	}
 	view := struct {
 		Title    string
@@ -38,9 +38,9 @@
 		}
 	}
 	for _, t := range traces {
-		i := slices.IndexFunc(view.Outcomes, func(c outcomeCount) bool { return c.Outcome == t.Outcome })
+		i := slices.IndexFunc(view.Outcomes, func(c outcomeCount) bool { return c.Label == t.Outcome })
 		if i < 0 {
-			i, view.Outcomes = len(view.Outcomes), append(view.Outcomes, outcomeCount{Outcome: t.Outcome})
+			i, view.Outcomes = len(view.Outcomes), append(view.Outcomes, outcomeCount{Label: t.Outcome})
 		}
 		view.Outcomes[i].Count++
 		for _, e := range t.Events {
@@ -67,7 +67,7 @@
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}td,th{padding:2px 8px;text-align:left;vertical-align:top;border-bottom:1px solid #ddd}.unusual{background:#fff4d6}</style>
 <h1>{{.Title}}</h1>
-<table>{{range .Outcomes}}<tr><th>{{.Outcome}}</th><td>{{.Count}}</td></tr>{{end}}</table>
+<table>{{range .Outcomes}}<tr><th>{{.Label}}</th><td>{{.Count}}</td></tr>{{end}}</table>
 <h2>Timeline</h2>
 <table>{{range .Timeline}}<tr><td>{{at .At}}</td><td>{{.What}}</td></tr>{{end}}</table>
 {{.Chart}}
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -64,11 +64,11 @@
 // EnableSharing makes the relays share limits from the start. It must be called before Execute; relays whose policy is not a
 // SharingPolicy take no part.
 func (r *Run) EnableSharing(config Sharing) {
-	sharing := &r.sharing
-	sharing.Sharing, sharing.enabled, sharing.term, sharing.leadershipStart = config, true, 1, r.now
+	state := &r.sharing
+	state.Sharing, state.enabled, state.term, state.leadershipStart = config, true, 1, r.now
 	for i := range r.relays {
-		sharing.lessees, sharing.incarnations, sharing.endpointsByKey = append(sharing.lessees, &quota.Lessee{ServeAlone: config.ServeAlone}), append(sharing.incarnations, 1), append(sharing.endpointsByKey, nil)
-		sharing.relayNames = append(sharing.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
+		state.lessees, state.incarnations, state.endpointsByKey = append(state.lessees, &quota.Lessee{ServeAlone: config.ServeAlone}), append(state.incarnations, 1), append(state.endpointsByKey, nil)
+		state.relayNames = append(state.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
 		r.schedule(r.now+time.Duration(i)*time.Duration(config.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaRequestDue, int32(i), 0)
 	}
 }
@@ -112,13 +112,13 @@
 func (r *Run) sendQuotaRequest(i int32) {
 	sharing := &r.sharing
 	r.schedule(r.now+time.Duration(sharing.Lease)/requestsPerLease, eventQuotaRequestDue, i, 0)
-	policy, ok := r.relays[i].policy.(SharingPolicy)
+	sharingPolicy, ok := r.relays[i].policy.(SharingPolicy)
 	if r.relays[i].down || !ok {
 		return
 	}
 	var demands []quota.Demand
 	sharing.endpointsByKey[i] = map[quota.Key]uint32{}
-	for _, observed := range policy.Observations(r.now, nil) {
+	for _, observed := range sharingPolicy.Observations(r.now, nil) {
 		if observed.Endpoint == 0 {
 			continue
 		}
@@ -139,9 +139,9 @@
 		}
 	}
 	sharing.lessees[i].SetDemands(demands)
-	request := sharing.lessees[i].NextRequest(r.now, int(i)%r.World.Net.Zones)
-	sharing.bytes += int64(len(request.Demands) + len(request.LeasedShares) + 20)
-	sharing.send(r, envelope{relay: i, incarnation: sharing.incarnations[i], sentAt: r.now, request: request}, eventQuotaRequest)
+	quotaRequest := sharing.lessees[i].NextRequest(r.now, int(i)%r.World.Net.Zones)
+	sharing.bytes += int64(len(quotaRequest.Demands) + len(quotaRequest.LeasedShares) + 20)
+	sharing.send(r, envelope{relay: i, incarnation: sharing.incarnations[i], sentAt: r.now, request: quotaRequest}, eventQuotaRequest)
 }
 
 // handleQuotaRequest handles a request at the leader and answers it with a grant.
@@ -167,32 +167,32 @@
 		sharing.allocator.SetRoster(sharing.relayNames)
 	}
 	sharing.allocator.HandleRequest(r.now, sharing.relayNames[env.relay], env.incarnation, env.request)
-	grant := sharing.allocator.Grant(r.now, r.now, sharing.relayNames[env.relay])
-	if grant == nil {
+	newGrant := sharing.allocator.Grant(r.now, r.now, sharing.relayNames[env.relay])
+	if newGrant == nil {
 		return
 	}
-	sharing.bytes += int64(len(grant.Shares) + 10)
-	sharing.send(r, envelope{relay: env.relay, incarnation: env.incarnation, sentAt: env.sentAt, grant: grant}, eventQuotaGrant)
+	sharing.bytes += int64(len(newGrant.Shares) + 10)
+	sharing.send(r, envelope{relay: env.relay, incarnation: env.incarnation, sentAt: env.sentAt, grant: newGrant}, eventQuotaGrant)
 }
 
 // handleQuotaGrant handles a grant at its relay.
 func (r *Run) handleQuotaGrant(n int32) {
-	sharing := &r.sharing
-	env := sharing.take(n)
-	if r.relays[env.relay].down || env.incarnation != sharing.incarnations[env.relay] {
+	state := &r.sharing
+	env := state.take(n)
+	if r.relays[env.relay].down || env.incarnation != state.incarnations[env.relay] {
 		return
 	}
-	lease := sharing.lessees[env.relay].HandleGrant(env.sentAt+time.Duration(float64(sharing.Lease)*(1-sharing.ClockDrift)), env.grant)
+	lease := state.lessees[env.relay].HandleGrant(env.sentAt+time.Duration(float64(state.Lease)*(1-state.ClockDrift)), env.grant)
 	if lease == nil {
 		return
 	}
 	shared := &control.SharedLimits{GuaranteedShare: lease.Minimum, LeaseExpiry: lease.Expires, KeepsGuaranteed: lease.MinimumLasts}
 	for _, share := range lease.Shares {
-		if e, ok := sharing.endpointsByKey[env.relay][share.Key]; ok {
+		if e, ok := state.endpointsByKey[env.relay][share.Key]; ok {
 			shared.Grants = append(shared.Grants, control.Grant{Endpoint: e, ExtraShare: share.Extra, Limit: share.Limit, LimitAge: share.LimitAge, Unhealthy: share.State == quota.Down,
 				Healthy: share.State == quota.Healthy, HealthAge: share.StateAge, RetryAfter: share.Wait, MayProbe: share.MayProbe})
 		}
 	}
 	r.notify(env.relay, control.Event{Kind: control.SharedLimitsUpdated, Shared: shared})
-	sharing.lessees[env.relay].Confirm(lease.Term, lease.Number) // its turn with the lease precedes its next request
+	state.lessees[env.relay].Confirm(lease.Term, lease.Number) // its turn with the lease precedes its next request
 }
--- a/internal/relay/simulator/workload.go
+++ b/internal/relay/simulator/workload.go
@@ -36,10 +36,10 @@
 	partnerDraw := r.workload.Float64() * r.partnerWeights[len(r.partnerWeights)-1]
 	low, high := 0, len(r.partnerWeights)-1
 	for low < high {
-		if middle := (low + high) / 2; r.partnerWeights[middle] <= partnerDraw {
-			low = middle + 1
+		if m := (low + high) / 2; r.partnerWeights[m] <= partnerDraw {
+			low = m + 1
 		} else {
-			high = middle
+			high = m
 		}
 	}
 	total := 0.0
@@ -51,11 +51,11 @@
 		classDraw -= r.World.Classes[class].Weight
 		class++
 	}
-	index := int32(len(r.messages))
+	m := int32(len(r.messages))
 	r.messages = append(r.messages, message{createdAt: r.now, deadline: r.now + time.Duration(r.World.Classes[class].Deadline), partner: int32(low), class: int16(class)})
 	r.Stats.recordArrival(class)
-	r.messages[index].firstRelay = r.drawRelay()
-	r.submit(index, r.messages[index].firstRelay)
+	r.messages[m].firstRelay = r.drawRelay()
+	r.submit(m, r.messages[m].firstRelay)
 }
 
 // drawRelay draws the relay that a message is first submitted to. Where Skew is above 1, each of a tenth of the relays, at least one, gets
