--- a/internal/relay/simulator/checker.go
+++ b/internal/relay/simulator/checker.go
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("%v: rule %q: relay %d, message %d: %s", v.At, v.Rule, v.Relay, v.Message, v.Text)
 }
 
-// Checker detects violations from the events that policies receive and the actions that they return. It shares no state or code with any
-// policy.
+// Checker detects violations from the events that policies receive, the actions that they return and the effects of these in the model. It
+// shares no state or code with any policy.
 type Checker struct {
 	Counts  map[Rule]int
 	Samples []Violation // the first 50 violations
@@ -51,6 +51,7 @@
 	drainingSince   map[[2]int32]time.Duration // when a relay was notified that an endpoint is draining or removed, by relay and endpoint
 }
 
+// report records a violation.
 func (c *Checker) report(rule Rule, relay, msg int32, text string) {
 	if c.Counts == nil {
 		c.Counts = map[Rule]int{}
@@ -84,6 +85,7 @@
 	}
 }
 
+// checkSend checks that a Send action obeys the rules.
 func (c *Checker) checkSend(relay int32, a *control.Action, sub *submission, msg *message) {
 	now, key := c.run.now, [2]int32{relay, int32(a.Endpoint)}
 	if sub.finished || sub.relay != relay {
@@ -119,6 +121,7 @@
 	return true
 }
 
+// checkDelivered marks a delivered submission as finished, which it must not be before.
 func (c *Checker) checkDelivered(sub *submission) {
 	if sub.finished {
 		c.report(ruleFinishesOnce, sub.relay, sub.message, "delivered after it had finished")
--- a/internal/relay/simulator/doc.go
+++ b/internal/relay/simulator/doc.go
@@ -4,9 +4,9 @@
 // package experiment and tests use it; the daemon does not link it.
 //
 // Its results show how much value a policy earns and whether the policy keeps the relay's rules while partners fail or are overloaded.
-// The model shares no code with the policies: the Checker detects violations of a Rule only from the events that a policy received and
-// the actions that it returned. Of a fleet of relays the model includes lost grants and partitions only; package fleet/simulation runs
-// the fleet's protocol itself.
+// The model shares no code with the policies: the Checker detects violations of a Rule from the events that a policy received, the
+// actions that it returned and the effects of these in the model. Of a fleet of relays the model includes only lost grants and
+// partitions; package fleet/simulation runs the fleet's protocol itself.
 //
 // A run is deterministic: one goroutine processes a queue of events ordered by time and insertion, all randomness comes from
 // generators seeded by World.Seed, and no code may range over a map where the order can affect a decision or a random draw. The same
--- a/internal/relay/simulator/fleet_stats.go
+++ b/internal/relay/simulator/fleet_stats.go
@@ -27,11 +27,11 @@
 }
 
 // recordTurn counts the relays that send in the same turn.
-func (f *fleetCounter) recordTurn(r *Run, acts []control.Action) {
+func (f *fleetCounter) recordTurn(r *Run, actions []control.Action) {
 	if f.turn != r.now {
 		f.turn, f.senders = r.now, 0
 	}
-	if slices.ContainsFunc(acts, func(a control.Action) bool { return a.Kind == control.Send }) {
+	if slices.ContainsFunc(actions, func(a control.Action) bool { return a.Kind == control.Send }) {
 		f.senders++
 		f.maxSenders = max(f.maxSenders, f.senders)
 	}
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -37,7 +37,7 @@
 // Plan configures a load test: the load, and the steps during it.
 type Plan struct {
 	Partners    int
-	Rate        float64 // messages a second
+	Rate        float64 // messages per second
 	Length      time.Duration
 	MaxMessages int // maximum number of messages
 	Seed        uint64
@@ -282,8 +282,8 @@
 }
 
 // submit submits a message, and resubmits it when it is refused or not answered, until its deadline or 21 submissions.
-func (l *LoadTest) submit(client *standin.Client, m *standin.Message, at time.Time) {
-	until := at.Add(m.Timeout)
+func (l *LoadTest) submit(client *standin.Client, m *standin.Message, due time.Time) {
+	until := due.Add(m.Timeout)
 	for attempt := 0; ; attempt++ {
 		if m.Timeout = time.Until(until); m.Timeout < 100*time.Millisecond || attempt > 20 {
 			l.record(m.ID, "abandoned by its client", func(*MessageTrace) {})
@@ -296,7 +296,7 @@
 		if status != 503 && status != 0 {
 			if status == 202 {
 				l.mu.Lock()
-				_ = l.AcceptLatency.RecordValue(time.Since(at).Nanoseconds())
+				_ = l.AcceptLatency.RecordValue(time.Since(due).Nanoseconds())
 				l.mu.Unlock()
 			}
 			return
@@ -305,7 +305,7 @@
 	}
 }
 
-// statusTexts describe the relay's responses in traces, by HTTP status; 0: no response.
+// statusTexts describes the relay's responses in traces, by HTTP status; 0: no response.
 var statusTexts = map[int]string{0: "no response", 202: "accepted", 503: "busy", 410: "given up"}
 
 // awaitOutcomes waits until each accepted message has an outcome or all deadlines have passed.
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -1,5 +1,5 @@
 // Package policy holds the policies that package simulator runs, by name: the relay's decision module, the full relay, and simple
-// ones to compare them with. The simple ones keep the rules that bind every relay (idempotency, Retry-After, drains, attempts) and use
+// policies as baselines. The simple ones keep the rules that bind every relay (idempotency, Retry-After, drains, attempts) and use
 // common techniques otherwise: round robin, least in flight, power of two choices, full-jitter backoff, retry budgets, circuit breakers.
 // Package experiment looks them up. A policy is not safe for concurrent use.
 package policy
@@ -82,7 +82,7 @@
 	deadline     time.Duration
 	attempts     int
 	sentTo       *endpoint // nil: not in flight
-	mayHaveRun   bool      // an attempt may have run; the first such was sent at mayHaveRunAt
+	mayHaveRun   bool      // an attempt may have run; the first such attempt was sent at mayHaveRunAt
 	mayHaveRunAt time.Duration
 	notBefore    time.Duration // end of its backoff
 }
@@ -120,6 +120,7 @@
 	return p.dispatch(out)
 }
 
+// handleEvent updates the state for an event, and refuses a message that may not be queued or retried.
 func (p *Simple) handleEvent(event *control.Event, out []control.Action) []control.Action {
 	switch event.Kind {
 	case control.Listed:
@@ -184,6 +185,7 @@
 	return append(out, control.Action{Kind: control.Refuse, ID: m.id, For: time.Second})
 }
 
+// handleList updates the states of the listed endpoints; endpoints missing from a complete list are removed.
 func (p *Simple) handleList(event *control.Event) {
 	if event.Complete {
 		for _, known := range p.endpoints {
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -10,7 +10,7 @@
 // Sharing configures how relays share rate limits: through the daemon's own quota.Allocator and quota.Lessee, over a network that delays
 // and loses messages.
 type Sharing struct {
-	GuaranteedShare float64 // of each limit, for all relays together, that they may use without a lease; 0 to 1
+	GuaranteedShare float64 // share of each limit that all relays together may use without a lease; 0 to 1
 	Lease           Duration
 	ClockDrift      float64  // maximum relative drift of a relay's clock
 	Delay           Duration // of a message; drawn between this and twice this
@@ -36,14 +36,14 @@
 	allocator       *quota.Allocator
 	leader          int32
 	term            uint64
-	leadershipStart time.Duration // the leader grants nothing before
-	lessees         []*quota.Lessee
+	leadershipStart time.Duration   // the leader grants nothing before this time
+	lessees         []*quota.Lessee // by relay, as are the three fields below
 	incarnations    []uint64
 	endpointsByKey  []map[quota.Key]uint32
 	relayNames      []string
 	envelopes       []envelope
 	freeEnvelopes   []int32
-	bytes           int64
+	bytes           int64 // size of all messages sent
 }
 
 // envelope is a message in transit between a relay and the leader. Slots of limitSharing.envelopes are reused.
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -13,7 +13,7 @@
 
 const (
 	outcomeDelivered outcome = iota
-	outcomeAbandoned         // failed by a relay, or refused MaxAttempts times
+	outcomeAbandoned         // failed by a relay, or refused Clients.MaxAttempts times
 	outcomeExpired           // past its deadline
 )
 
--- a/internal/relay/simulator/workload.go
+++ b/internal/relay/simulator/workload.go
@@ -6,7 +6,7 @@
 
 // message is one client's message, from its first submission until it is delivered, abandoned or expired.
 type message struct {
-	createdAt, deadline time.Duration // absolute
+	createdAt, deadline time.Duration // in virtual time
 	partner             int32
 	class               int16
 	firstRelay          int32 // the relay that it was first submitted to
--- a/internal/relay/simulator/world.go
+++ b/internal/relay/simulator/world.go
@@ -18,7 +18,7 @@
 	TurnInterval  Duration  `toml:"round"`        // relays take turns at multiples of this; a longer one batches more events and adds latency
 	Slots         int       `toml:"slots"`        // calls that a relay may have in flight
 	MaxOpen       int       `toml:"max_open"`     // pending messages that a relay may hold
-	MaxAttempts   int       `toml:"max_attempts"` // calls for one message by one relay
+	MaxAttempts   int       `toml:"max_attempts"` // maximum number of calls for one message by one relay
 	MaxRetryAfter Duration  `toml:"max_hold_off"` // a longer Retry-After of an endpoint is reduced to this
 	DrainGrace    Duration  `toml:"drain_grace"`  // calls to an endpoint are allowed for this long after the relay is notified that it drains
 	ListDelay     Duration  `toml:"list_delay"`   // mean delay until a relay is notified of a change of the endpoint list
@@ -90,7 +90,7 @@
 	FlapPeriod Duration `toml:"every"`  // flapping: on for half of this period, off for the other half; 0: on throughout
 	RetryAfter Duration `toml:"wait"`   // sent by FaultThrottle
 	Factor     float64  `toml:"factor"` // of FaultSlow, FaultTrafficSurge and FaultLowerLimit
-	Relays     int      `toml:"relays"` // only the first N relays are affected; 0: all, but for FaultPartition the first
+	Relays     int      `toml:"relays"` // only the first N relays are affected; 0: all, or the first one by FaultPartition
 }
 
 // The kinds of faults, as world files name them.
