--- a/internal/tier/exchangetest/mutants_test.go
+++ b/internal/tier/exchangetest/mutants_test.go
@@ -48,7 +48,7 @@
 		{Name: "a turn's last byte doesn't wait for the stores", Run: "TestCampaign",
 			Change: change(stream, "return c.turn != nil && c.turn.stateful && a.response.ContentLength > 0", "return false")},
 		{Name: "an unframed answer goes on unframed", Run: "TestProxy_Killed_ResponseLooksIncomplete",
-			Change: change(deliver, "	c.resetOnUnframedEnd(header)\n", "	if a.response.CloseDelimited {\n		header[\"Transfer-Encoding\"] = []string{\"identity\"}\n	}\n")},
+			Change: change(deliver, "	c.resetIfCloseDelimited(header)\n", "	if a.response.CloseDelimited {\n		header[\"Transfer-Encoding\"] = []string{\"identity\"}\n	}\n")},
 		{Name: "a client of HTTP/1.0 sees every close as orderly", Run: "TestResponse_ClientReadsNothing_LooksIncomplete",
 			Change: change(deliver, "		client.setResetOnClose(true)\n", "")},
 		{Name: "work goes on for a client that left", Run: "TestClient_ClosesWhileResponseComes_EndsWork",
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -23,7 +23,7 @@
 	outcome      Outcome
 	response     *upstream.Response
 	eventsBefore int64 // events that the client had from earlier attempts
-	done         bool  // the selector has the outcome
+	reported     bool  // the selector has the outcome
 }
 
 // sendAttempt sends the request to one endpoint. It returns true when the request is to be retried.
@@ -35,7 +35,7 @@
 	}
 	a := &attempt{selection: selection, started: c.proxy.options.Now(), eventsBefore: c.scanner.count}
 	a.outcome.Result = IncompleteResponse
-	c.applyTimeout(a)
+	c.startTimeout(a)
 	defer c.finishAttempt(a)
 	c.info.Excluded = append(c.info.Excluded, selection.ID)
 	a.response, err = c.proxy.pool.Do(a.context, upstreamEndpoint(selection), c.attemptRequest(selection))
@@ -47,10 +47,10 @@
 
 // finishAttempt closes what belongs to an attempt and reports its outcome to the selector, once.
 func (c *clientRequest) finishAttempt(a *attempt) {
-	if a.done {
+	if a.reported {
 		return
 	}
-	a.done = true
+	a.reported = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
@@ -66,8 +66,8 @@
 	c.proxy.options.Selector.Done(a.selection, a.outcome)
 }
 
-// applyTimeout makes an attempt end after its selection's timeout.
-func (c *clientRequest) applyTimeout(a *attempt) {
+// startTimeout makes an attempt end after its selection's timeout.
+func (c *clientRequest) startTimeout(a *attempt) {
 	a.context = c.context
 	if a.selection.Timeout <= 0 {
 		return
@@ -104,7 +104,7 @@
 // attemptRequest returns the request with the header fields of this attempt.
 func (c *clientRequest) attemptRequest(selection Selection) *upstream.Request {
 	fields := append(c.upstream.AttemptFields[:0],
-		upstream.Field{Name: headerExpected, Value: selection.ID},
+		upstream.Field{Name: headerExpectedServer, Value: selection.ID},
 		upstream.Field{Name: headerPriority, Value: c.priority},
 	)
 	if last := c.lastEventID(); last != "" {
@@ -119,22 +119,22 @@
 	if c.scanner.lastID != "" {
 		return c.scanner.lastID
 	}
-	return first(c.request.Header, headerLastEventID)
+	return firstValue(c.request.Header, headerLastEventID)
 }
 
 // handleResponse decides by the head of a response whether it is forwarded, or the request retried.
 func (c *clientRequest) handleResponse(a *attempt) (retry bool) {
 	header := a.response.Header
 	a.outcome.Status = a.response.Status
-	a.outcome.Load = first(header, headerLoad)
-	a.outcome.RetryAfter = seconds(first(header, headerRetryAfter))
+	a.outcome.Load = firstValue(header, headerServerLoad)
+	a.outcome.RetryAfter = parseRetryAfter(firstValue(header, headerRetryAfter))
 	if provesNotRun(a.response) {
 		return c.handleNotRun(a)
 	}
 	if !c.mayForward(a.response) {
 		return c.handleIncomplete(a)
 	}
-	if c.retriesErrorStatus(a.response.Status) {
+	if c.shouldRetryStatus(a.response.Status) {
 		return c.retryErrorResponse(a)
 	}
 	if c.headerWritten && a.response.Status/100 != 2 {
@@ -151,11 +151,11 @@
 
 // mayForward reports whether a response may go to the client as it is.
 func (c *clientRequest) mayForward(response *upstream.Response) bool {
-	if first(response.Header, headerSeal) == "" || response.Status == http.StatusSwitchingProtocols {
+	if firstValue(response.Header, headerServerSeal) == "" || response.Status == http.StatusSwitchingProtocols {
 		return false
 	}
 	if response.Status/100 == 2 {
-		return first(response.Header, upstream.AttemptIDHeader) == c.info.AttemptID
+		return firstValue(response.Header, upstream.AttemptIDHeader) == c.info.AttemptID
 	}
 	return retryable(c.info.Route) || !impliesNotRun(response.Status)
 }
@@ -170,9 +170,9 @@
 	return false
 }
 
-// drainBody reads the rest of a response that has come already, so that its connection can be kept. It doesn't wait: an endpoint
+// drainBufferedBody reads the rest of a response that has come already, so that its connection can be kept. It doesn't wait: an endpoint
 // that has said that it won't run a request must not delay it.
-func drainBody(response *upstream.Response) {
+func drainBufferedBody(response *upstream.Response) {
 	if response.Complete() {
 		return
 	}
--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -40,7 +40,7 @@
 		b.Fatal(err)
 	}
 	defer listener.Close()
-	go answerAll(listener, []byte(answer))
+	go respondToAll(listener, []byte(answer))
 	loadBalancer := NewLoadBalancer("z", 1)
 	loadBalancer.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
@@ -77,8 +77,8 @@
 	}
 }
 
-// answerAll answers every request with the same bytes.
-func answerAll(listener net.Listener, answer []byte) {
+// respondToAll answers every request with the same bytes.
+func respondToAll(listener net.Listener, answer []byte) {
 	for {
 		socket, err := listener.Accept()
 		if err != nil {
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -63,7 +63,7 @@
 	f.t.Helper()
 	c := f.dial()
 	c.request("POST", "/"+route+"/x", id, "input", tightBudget...)
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	if got.status != 402 {
 		select {
 		case end := <-k.ended:
@@ -79,14 +79,14 @@
 
 func TestTurn_DidNotRun_ReleasesReservation(t *testing.T) {
 	five := stream(event(1, "a"), event(2, "b"), event(3, "c"), event(4, "d"), event(5, "e"))
-	breakAfterOne := func(socket net.Conn, request received) bool {
+	breakAfterOne := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	}
 	cases := []struct {
 		name   string
-		script func(net.Conn, received) bool // of the first turn; nil: no endpoint
-		left   bool                          // a turn of the most still fits
+		script func(net.Conn, receivedRequest) bool // of the first turn; nil: no endpoint
+		left   bool                                 // a turn of the most still fits
 	}{
 		{"given no endpoint for a turn then its whole reservation is released", nil, true},
 		{"given a turn that is rejected then its whole reservation is released", respondNotRun, true},
@@ -99,7 +99,7 @@
 		for _, route := range []string{"turn", "stream"} {
 			t.Run(test.name+", "+route, func(t *testing.T) {
 				var secondAttempt atomic.Bool
-				e := newEndpoint(t, func(socket net.Conn, request received) bool {
+				e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 					if !secondAttempt.Swap(true) {
 						return test.script(socket, request)
 					}
--- a/internal/tier/proxy/client_disconnect_test.go
+++ b/internal/tier/proxy/client_disconnect_test.go
@@ -12,9 +12,9 @@
 	"mastusher/internal/tier/program"
 )
 
-// workUntilClose answers with a part and then works until its caller goes.
-func workUntilClose(started chan<- struct{}, fragment func(received) string) func(net.Conn, received) bool {
-	return func(socket net.Conn, request received) bool {
+// sendThenAwaitClose answers with a part and then works until its caller goes.
+func sendThenAwaitClose(started chan<- struct{}, fragment func(receivedRequest) string) func(net.Conn, receivedRequest) bool {
+	return func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, fragment(request))
 		started <- struct{}{}
 		_, _ = socket.Read(make([]byte, 1))
@@ -26,14 +26,18 @@
 const disconnectWait = 10 * time.Second
 
 func TestClient_Closes_EndsAllWorkForIt(t *testing.T) {
-	nothing := func(received) string { return "" }
-	head := func(request received) string { return sealedHead(200, request, streamHead) }
-	events := func(request received) string { return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda") }
-	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
+	nothing := func(receivedRequest) string { return "" }
+	head := func(request receivedRequest) string { return sealedHead(200, request, streamHead) }
+	events := func(request receivedRequest) string {
+		return head(request) + chunk(event(1, "one")) + chunk("id: 2\nda")
+	}
+	half := func(request receivedRequest) string {
+		return sealedHead(200, request, "Content-Length: 100000") + "half"
+	}
 	cases := []struct {
 		name     string
 		route    string
-		fragment func(received) string
+		fragment func(receivedRequest) string
 	}{
 		{"given a request that may run again when no answer has come", "safe", nothing},
 		{"given a request that may run again when half an answer has come", "safe", half},
@@ -51,7 +55,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work, and another one that could take the request
 			started := make(chan struct{}, 1)
-			first, second := newEndpoint(t, workUntilClose(started, test.fragment)), newEndpoint(t, respondWith(200, "good"))
+			first, second := newEndpoint(t, sendThenAwaitClose(started, test.fragment)), newEndpoint(t, respondWith(200, "good"))
 			f := newFixture(t, first, second)
 			f.setRouteTimeout(10 * disconnectWait.Milliseconds())
 			c := f.dial()
--- a/internal/tier/proxy/clientconn.go
+++ b/internal/tier/proxy/clientconn.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// closeIfUnread closes the connection if no request has begun on it, and else once its response has gone out.
-func (c *clientConn) closeIfUnread() {
+// closeWhenIdle closes the connection if no request has begun on it, and else once its response has gone out.
+func (c *clientConn) closeWhenIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closing = true
@@ -63,9 +63,9 @@
 	}
 }
 
-// requestStarted records that a request has been read. It returns false if the connection was closed before: the library may have
+// beginRequest records that a request has been read. It returns false if the connection was closed before: the library may have
 // had the request in its buffer already, and then no byte of it has passed Read.
-func (c *clientConn) requestStarted() bool {
+func (c *clientConn) beginRequest() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing && c.idle {
@@ -78,13 +78,13 @@
 // clientConnKey finds the clientConn in a request's context.
 type clientConnKey struct{}
 
-// withClient is a server's ConnContext.
-func withClient(ctx context.Context, connection net.Conn) context.Context {
+// withClientConn is a server's ConnContext.
+func withClientConn(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, connection)
 }
 
-// clientOf returns the connection that a request came on, or nil.
-func clientOf(r *http.Request) *clientConn {
+// clientConnOf returns the connection that a request came on, or nil.
+func clientConnOf(r *http.Request) *clientConn {
 	connection, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return connection
 }
--- a/internal/tier/proxy/clientconn_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -34,7 +34,7 @@
 	if n, err := near.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if near.requestStarted() {
+	if near.beginRequest() {
 		t.Error("a request has begun")
 	}
 }
@@ -45,11 +45,11 @@
 	if n, err := near.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatalf("read %d bytes, %v", n, err)
 	}
-	near.closeIfUnread()
+	near.closeWhenIdle()
 	if n, err := near.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Errorf("read %d bytes of the rest, %v", n, err)
 	}
-	if !near.requestStarted() {
+	if !near.beginRequest() {
 		t.Error("the request is taken for one that has not begun")
 	}
 	if _, err := near.Write([]byte("answer")); err != nil {
@@ -63,7 +63,7 @@
 
 func TestClientConn_Idle_IsClosedAtOnce(t *testing.T) {
 	near, far := newPair(t)
-	near.closeIfUnread()
+	near.closeWhenIdle()
 	if got, err := io.ReadAll(far); len(got) != 0 || err != nil {
 		t.Errorf("the client got %q, %v", got, err)
 	}
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -26,12 +26,14 @@
 
 func TestRequest_RouteTimeout_EndsInEveryState(t *testing.T) {
 	t.Parallel()
-	events := func(request received) string { return eventFragment(request) + chunk("id: 2\nda") }
-	half := func(request received) string { return sealedHead(200, request, "Content-Length: 100000") + "half" }
+	events := func(request receivedRequest) string { return eventFragment(request) + chunk("id: 2\nda") }
+	half := func(request receivedRequest) string {
+		return sealedHead(200, request, "Content-Length: 100000") + "half"
+	}
 	cases := []struct {
 		name     string
 		route    string
-		fragment func(received) string
+		fragment func(receivedRequest) string
 		status   int // or brokenOff
 	}{
 		{"a silent endpoint, safe", "safe", noFragment, 504},
@@ -50,13 +52,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			// given an endpoint that goes on for ever, and a client with all the time in the world
-			e := newEndpoint(t, workUntilClose(make(chan struct{}, 1), test.fragment))
+			e := newEndpoint(t, sendThenAwaitClose(make(chan struct{}, 1), test.fragment))
 			f := newFixture(t, e)
 			f.setRouteTimeout(shortTimeoutMs)
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 			// when the route's time is over, then the request ends, at the client as at the endpoint
-			got := c.read("POST")
+			got := c.readResponse("POST")
 			if test.status == brokenOff && got.err == nil {
 				t.Errorf("looks complete: %+v", got)
 			}
@@ -80,7 +82,7 @@
 		f.setRouteTimeout(shortTimeoutMs)
 		c := f.dial()
 		c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 60000")
-		if got := c.read("POST"); got.status != 503 {
+		if got := c.readResponse("POST"); got.status != 503 {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -93,7 +95,7 @@
 		f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{}, errors.New("no owner") }
 		c := f.dial()
 		c.request("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
-		if got := c.read("POST"); got.status != 503 || e.count.Load() != 0 {
+		if got := c.readResponse("POST"); got.status != 503 || e.count.Load() != 0 {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -116,7 +118,7 @@
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
 	// when the route's time is over, then the client sees the response broken off, and its tokens are committed later
-	if got := c.read("POST"); got.err == nil {
+	if got := c.readResponse("POST"); got.err == nil {
 		t.Errorf("looks complete: %+v", got)
 	}
 	close(release)
@@ -153,7 +155,7 @@
 					fields = append(fields, "X-Time-Left-Ms: "+test.sent)
 				}
 				c.request("POST", "/"+route.Name+"/x", "id", "body", fields...)
-				if got := c.read("POST"); got.status != 200 || got.err != nil {
+				if got := c.readResponse("POST"); got.status != 200 || got.err != nil {
 					t.Fatalf("got %+v", got)
 				}
 				before, after := timeLeftOf(t, <-first.requests), timeLeftOf(t, <-second.requests)
@@ -166,7 +168,7 @@
 }
 
 // failFirstAttempt is a failure after which a request of the route goes to another endpoint.
-func failFirstAttempt(route model.Route) func(net.Conn, received) bool {
+func failFirstAttempt(route model.Route) func(net.Conn, receivedRequest) bool {
 	if retryable(&route) {
 		return resetConnection
 	}
@@ -174,7 +176,7 @@
 }
 
 // timeLeftOf returns the milliseconds that an endpoint got.
-func timeLeftOf(t *testing.T, request received) int {
+func timeLeftOf(t *testing.T, request receivedRequest) int {
 	t.Helper()
 	value := request.header["X-Time-Left-Ms"]
 	if len(value) != 1 {
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -82,11 +82,11 @@
 	if !s.resumed || !s.hasID && !s.hasData {
 		return false
 	}
-	return !s.hasID || !higher(s.id, s.lastID)
+	return !s.hasID || !isHigherID(s.id, s.lastID)
 }
 
-// higher reports whether an id is above another one. Of ids that aren't both numbers it is known only that equal ones aren't.
-func higher(id, than string) bool {
+// isHigherID reports whether an id is above another one. Of ids that aren't both numbers it is known only that equal ones aren't.
+func isHigherID(id, than string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return id != than
--- a/internal/tier/proxy/eventscanner_test.go
+++ b/internal/tier/proxy/eventscanner_test.go
@@ -10,8 +10,8 @@
 
 // scanResult is what a scanner made of a stream.
 type scanResult struct {
-	Passed, Output, LastID string
-	Count                  int64
+	Forwarded, Output, LastID string
+	Count                     int64
 }
 
 func scanAll(chunks ...string) scanResult {
@@ -42,7 +42,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			test.want.Passed = test.stream
+			test.want.Forwarded = test.stream
 			if diff := cmp.Diff(test.want, scanAll(test.stream)); diff != "" {
 				t.Errorf("-want +got:\n%s", diff)
 			}
@@ -61,8 +61,8 @@
 			rest = rest[n:]
 		}
 		want := scanAll(stream)
-		if want.Passed != stream {
-			t.Fatalf("passed on %q of %q", want.Passed, stream)
+		if want.Forwarded != stream {
+			t.Fatalf("passed on %q of %q", want.Forwarded, stream)
 		}
 		if diff := cmp.Diff(want, scanAll(chunks...)); diff != "" {
 			t.Fatalf("%q (-whole +split):\n%s", chunks, diff)
--- a/internal/tier/proxy/fakes_test.go
+++ b/internal/tier/proxy/fakes_test.go
@@ -26,7 +26,7 @@
 	begin       func(program.BeginTurn) (program.Result, error) // nil: every turn is taken
 	end         func(program.EndTurn) error                     // nil: every end is safe
 	beforeEnd   func(context.Context) error                     // nil: an end is answered at once
-	unknown     func(program.EndTurn) bool                      // nil: every turn is known
+	isUnknown   func(program.EndTurn) bool                      // nil: every turn is known
 
 	mutex     sync.Mutex
 	begins    []program.BeginTurn
@@ -60,7 +60,7 @@
 			return program.Result{}, err
 		}
 	}
-	if p.unknown != nil && p.unknown(turn) {
+	if p.isUnknown != nil && p.isUnknown(turn) {
 		return program.Result{Verdict: program.UnknownTurn}, nil
 	}
 	p.ended <- turn
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -41,8 +41,8 @@
 // defaultLimits hold until a configuration is known.
 var defaultLimits = clientLimits{headerBytes: 16 << 10, headerTimeout: 3 * time.Second, idleTimeout: 15 * time.Second}
 
-// limitsOf reads the limits of a configuration.
-func limitsOf(configured model.Limits) clientLimits {
+// limitsFrom reads the limits of a configuration.
+func limitsFrom(configured model.Limits) clientLimits {
 	l := defaultLimits
 	if configured.MaxHeaderBytes > 0 {
 		l.headerBytes = configured.MaxHeaderBytes
@@ -70,7 +70,7 @@
 
 	mutex     sync.Mutex // guards all below, and the generations' counts
 	current   *serverGeneration
-	old       []*serverGeneration // with connections left
+	retired   []*serverGeneration // with connections left
 	clients   map[*clientConn]struct{}
 	closed    bool
 	allClosed chan struct{} // closed once closed is set and no connection is left
@@ -159,7 +159,7 @@
 	defer f.mutex.Unlock()
 	g.connections--
 	delete(f.clients, client)
-	f.signalEmpty()
+	f.signalIfAllClosed()
 }
 
 // connStateChanged is the ConnState hook of a server.
@@ -185,7 +185,7 @@
 		MaxHeaderBytes:    max(desired.headerBytes-netHTTPHeaderSlop, 1),
 		ErrorLog:          f.errorLog,
 		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
-		ConnContext:       withClient,
+		ConnContext:       withClientConn,
 		ConnState: func(connection net.Conn, state http.ConnState) {
 			f.connStateChanged(g, connection, state)
 		},
@@ -200,9 +200,9 @@
 func (f *frontend) retireGeneration() {
 	if f.current != nil {
 		f.current.listener.Close()
-		f.old = append(f.old, f.current)
+		f.retired = append(f.retired, f.current)
 	}
-	f.old = slices.DeleteFunc(f.old, func(g *serverGeneration) bool { return g.connections == 0 })
+	f.retired = slices.DeleteFunc(f.retired, func(g *serverGeneration) bool { return g.connections == 0 })
 }
 
 // shutdown closes the listener and the connections without a request, and waits until the pending requests have got their
@@ -213,16 +213,16 @@
 	f.listener.Close()
 	generations, clients := f.close()
 	for _, client := range clients {
-		client.closeIfUnread()
+		client.closeWhenIdle()
 	}
 	logPhase("proxy listener closed")
-	failure := f.awaitEmpty(ctx)
+	failure := f.awaitAllClosed(ctx)
 	f.cancelRequests()
 	if failure != nil {
 		logPhase("abandoning pending requests")
 		bounded, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
 		defer cancel()
-		_ = f.awaitEmpty(bounded)
+		_ = f.awaitAllClosed(bounded)
 	}
 	for _, g := range generations {
 		g.listener.Close()
@@ -239,8 +239,8 @@
 	return len(f.clients)
 }
 
-// awaitEmpty returns nil once no connection is left and none will come, or the context's error.
-func (f *frontend) awaitEmpty(ctx context.Context) error {
+// awaitAllClosed returns nil once no connection is left and none will come, or the context's error.
+func (f *frontend) awaitAllClosed(ctx context.Context) error {
 	select {
 	case <-f.allClosed:
 		return nil
@@ -254,16 +254,16 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closed = true
-	f.signalEmpty()
-	generations := slices.Clone(f.old)
+	f.signalIfAllClosed()
+	generations := slices.Clone(f.retired)
 	if f.current != nil {
 		generations = append(generations, f.current)
 	}
 	return generations, slices.Collect(maps.Keys(f.clients))
 }
 
-// signalEmpty closes allClosed once the last connection has ended and none will come. The caller holds the mutex.
-func (f *frontend) signalEmpty() {
+// signalIfAllClosed closes allClosed once the last connection has ended and none will come. The caller holds the mutex.
+func (f *frontend) signalIfAllClosed() {
 	if !f.closed || len(f.clients) > 0 {
 		return
 	}
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -12,23 +12,23 @@
 
 // Header fields of the protocol, in the form that net/http keeps them in.
 const (
-	headerTimeLeft    = upstream.TimeLeftHeader
-	headerExpected    = "X-Expected-Server"
-	headerPriority    = "Priority"
-	headerSeal        = "X-Server-Seal"
-	headerNotRun      = "X-Not-Run"
-	headerLoad        = "X-Server-Load"
-	headerLastEventID = "Last-Event-Id"
-	headerProgram     = "Program"
-	headerSession     = "Session"
-	headerFinish      = "Finish-Ms"
-	headerBudget      = "Budget"
-	headerPrevious    = "Previous"
-	headerModel       = "X-Model"
-	headerPrefix      = "X-Prompt-Prefix"
-	headerTokenCounts = "X-Token-Counts"
-	headerRetryAfter  = "Retry-After"
-	subjectCookie     = "X-Subject"
+	headerTimeLeft       = upstream.TimeLeftHeader
+	headerExpectedServer = "X-Expected-Server"
+	headerPriority       = "Priority"
+	headerServerSeal     = "X-Server-Seal"
+	headerNotRun         = "X-Not-Run"
+	headerServerLoad     = "X-Server-Load"
+	headerLastEventID    = "Last-Event-Id"
+	headerProgram        = "Program"
+	headerSession        = "Session"
+	headerFinishMs       = "Finish-Ms"
+	headerBudget         = "Budget"
+	headerPrevious       = "Previous"
+	headerModel          = "X-Model"
+	headerPromptPrefix   = "X-Prompt-Prefix"
+	headerTokenCounts    = "X-Token-Counts"
+	headerRetryAfter     = "Retry-After"
+	subjectCookie        = "X-Subject"
 )
 
 // isHopByHop reports whether a field concerns only one connection (RFC 9110 section 7.6.1). Content-Length and Host are framed
@@ -44,7 +44,7 @@
 
 // isPerAttempt reports whether each attempt sets the field anew.
 func isPerAttempt(name string) bool {
-	return name == headerTimeLeft || name == headerExpected || name == headerPriority || name == headerLastEventID
+	return name == headerTimeLeft || name == headerExpectedServer || name == headerPriority || name == headerLastEventID
 }
 
 // connectionOptions returns the fields that a Connection header names as concerning that connection only.
@@ -61,8 +61,8 @@
 	return named
 }
 
-// appendForwarded appends the header lines of a request that go to every endpoint.
-func appendForwarded(buffer []byte, header http.Header) []byte {
+// appendForwardedFields appends the header lines of a request that go to every endpoint.
+func appendForwardedFields(buffer []byte, header http.Header) []byte {
 	named := connectionOptions(header)
 	for name, values := range header {
 		if isHopByHop(name) || isPerAttempt(name) || slices.Contains(named, name) {
@@ -90,16 +90,16 @@
 	}
 }
 
-// first returns the first value of a field whose name is in canonical form.
-func first(header http.Header, name string) string {
+// firstValue returns the firstValue value of a field whose name is in canonical form.
+func firstValue(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
 	}
 	return ""
 }
 
-// milliseconds reads a number of milliseconds; false if there is none.
-func milliseconds(value string) (time.Duration, bool) {
+// parseMilliseconds reads a number of parseMilliseconds; false if there is none.
+func parseMilliseconds(value string) (time.Duration, bool) {
 	if value == "" {
 		return 0, false
 	}
@@ -110,8 +110,8 @@
 	return time.Duration(number * float64(time.Millisecond)), true
 }
 
-// seconds reads a Retry-After in seconds, fractions too; 0 if there is none.
-func seconds(value string) time.Duration {
+// parseRetryAfter reads a Retry-After in parseRetryAfter, fractions too; 0 if there is none.
+func parseRetryAfter(value string) time.Duration {
 	if value == "" {
 		return 0
 	}
@@ -122,8 +122,8 @@
 	return time.Duration(number * float64(time.Second))
 }
 
-// tokenCounts reads X-Token-Counts: the tokens of the prompt and the most tokens to generate.
-func tokenCounts(value string) (prompt, maxOutput int64) {
+// parseTokenCounts reads X-Token-Counts: the tokens of the prompt and the most tokens to generate.
+func parseTokenCounts(value string) (prompt, maxOutput int64) {
 	if value == "" {
 		return 0, 0
 	}
@@ -133,8 +133,8 @@
 	return max(prompt, 0), max(maxOutput, 0)
 }
 
-// subject returns the value of the cookie that names what a request is about.
-func subject(header http.Header) string {
+// subjectFromCookie returns the value of the cookie that names what a request is about.
+func subjectFromCookie(header http.Header) string {
 	for _, line := range header["Cookie"] {
 		for pair := range strings.SplitSeq(line, ";") {
 			name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -23,8 +23,8 @@
 	defaultProxyCount = 8
 	// minConnections is what a proxy may have to an endpoint in any case.
 	minConnections = 2
-	// timeoutShare is the part of its time after which a client that closes is taken to have waited to its end.
-	timeoutShare = 0.9
+	// timeoutFraction is the part of its time after which a client that closes is taken to have waited to its end.
+	timeoutFraction = 0.9
 )
 
 // LoadBalancer is the Selector that decides by package balancer. It adds the clock, a lock, and the goroutines that wait in the
@@ -119,21 +119,21 @@
 // other one takes it. The caller holds the mutex.
 func (b *LoadBalancer) selectNow(info *RequestInfo) (result selectResult, saturated bool) {
 	now := b.now()
-	request := requestFor(info)
+	request := balancerRequest(info)
 	decision := b.balancer.Select(now, request)
 	if decision.Endpoint == nil && len(info.RejectedBy) > 0 {
 		request.Excluded = subtract(info.Excluded, info.RejectedBy)
 		decision = b.balancer.Select(now, request)
 	}
 	if decision.Endpoint == nil {
-		return selectResult{err: rejectionOf(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
+		return selectResult{err: newRejectionError(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
 	}
 	ticket := &attemptTicket{balancer: b, attempt: decision.Attempt, timeLeft: request.TimeLeft}
 	b.balancer.Sent(now, &ticket.attempt)
 	selection := Selection{
 		ID:             decision.Endpoint.ID,
 		Address:        decision.Endpoint.Address,
-		MaxConnections: b.maxConnectionsTo(info.Service),
+		MaxConnections: b.maxConnectionsPerEndpoint(info.Service),
 		Permit:         ticket,
 		Ticket:         ticket,
 	}
@@ -154,8 +154,8 @@
 	return rest
 }
 
-// rejectionOf converts a rejection of the balancer to the kind of error that the client gets.
-func rejectionOf(rejection balancer.Rejection) *RejectionError {
+// newRejectionError converts a rejection of the balancer to the kind of error that the client gets.
+func newRejectionError(rejection balancer.Rejection) *RejectionError {
 	kind := apierror.Overloaded
 	switch rejection.Kind {
 	case balancer.NoEndpoint:
@@ -166,8 +166,8 @@
 	return &RejectionError{Kind: kind, RetryAfter: rejection.RetryAfter}
 }
 
-// maxConnectionsTo returns this proxy's share of the connections that an endpoint of a service takes; 0: no bound.
-func (b *LoadBalancer) maxConnectionsTo(service *model.Service) int {
+// maxConnectionsPerEndpoint returns this proxy's share of the connections that an endpoint of a service takes; 0: no bound.
+func (b *LoadBalancer) maxConnectionsPerEndpoint(service *model.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
 	}
@@ -214,7 +214,7 @@
 	case Cancelled:
 		return balancer.NotSent
 	case ClientClosed:
-		if float64(outcome.Took) >= timeoutShare*float64(timeLeft) {
+		if float64(outcome.Took) >= timeoutFraction*float64(timeLeft) {
 			return balancer.TimedOut
 		}
 		return balancer.Cancelled
@@ -222,8 +222,8 @@
 	return balancer.IncompleteResponse
 }
 
-// requestFor returns what the balancer needs to know of a request.
-func requestFor(info *RequestInfo) balancer.Request {
+// balancerRequest returns what the balancer needs to know of a request.
+func balancerRequest(info *RequestInfo) balancer.Request {
 	route := info.Route
 	prefix, own := promptTokens(info)
 	return balancer.Request{
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -206,11 +206,11 @@
 		}
 	}
 	for value, want := range map[string]time.Duration{"5000": 5 * time.Second, "0.5": 500 * time.Microsecond, "": 0, "-1": 0, "x": 0, "NaN": 0} {
-		if got, _ := milliseconds(value); got != want {
+		if got, _ := parseMilliseconds(value); got != want {
 			t.Errorf("%q ms: %v", value, got)
 		}
 	}
-	if prompt, maximum := tokenCounts("1840,135"); prompt != 1840 || maximum != 135 {
+	if prompt, maximum := parseTokenCounts("1840,135"); prompt != 1840 || maximum != 135 {
 		t.Errorf("token counts %d, %d", prompt, maximum)
 	}
 }
@@ -226,7 +226,7 @@
 	c := f.dial()
 	for i := range 20 {
 		c.request("GET", "/once/x", fmt.Sprint(i), "")
-		if got := c.read("GET"); got.status != 200 || got.body != "good" {
+		if got := c.readResponse("GET"); got.status != 200 || got.body != "good" {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
@@ -238,7 +238,7 @@
 func TestLoadBalancer_PoolExhausted_IsNoEndpointFailure(t *testing.T) {
 	release := make(chan struct{})
 	started := make(chan struct{}, 1)
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		started <- struct{}{}
 		<-release
 		return respondWith(200, "good")(socket, request)
@@ -249,14 +249,14 @@
 	first.request("GET", "/once/x", "1", "")
 	<-started
 	second.request("GET", "/once/x", "2", "")
-	if got := second.read("GET"); got.status != 503 {
+	if got := second.readResponse("GET"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != NotRun {
 		t.Errorf("outcome %+v", outcome)
 	}
 	close(release)
-	if got := first.read("GET"); got.status != 200 {
+	if got := first.readResponse("GET"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -264,7 +264,7 @@
 func TestLoadBalancer_OnlyRejectingEndpointsLeft_ReturnsToThem(t *testing.T) {
 	// given a service's only endpoint, which rejects a request once
 	var asked atomic.Int64
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if asked.Add(1) == 1 {
 			return respondNotRun(socket, request)
 		}
@@ -278,13 +278,13 @@
 	// when the request comes, and another one behind it
 	first, second := f.dial(), f.dial()
 	first.request("POST", "/once/x", "id1", "body")
-	got := first.read("POST")
+	got := first.readResponse("POST")
 	second.request("POST", "/once/x", "id2", "body")
 	// then both are served: the endpoint had promised not to run the first one
 	if got.status != 200 {
 		t.Errorf("the first request: %+v", got)
 	}
-	if got := second.read("POST"); got.status != 200 {
+	if got := second.readResponse("POST"); got.status != 200 {
 		t.Errorf("the second request: %+v", got)
 	}
 }
@@ -316,7 +316,7 @@
 func TestLoadBalancer_NoConnectionFree_QueuesRequest(t *testing.T) {
 	// given a service's only endpoint, to which all connections are in use
 	started, release := make(chan struct{}, 3), make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		started <- struct{}{}
 		<-release
 		return respondWith(200, "good")(socket, request)
@@ -340,7 +340,7 @@
 	close(release)
 	// then all of them are served
 	for i, c := range clients {
-		if got := c.read("GET"); got.status != 200 {
+		if got := c.readResponse("GET"); got.status != 200 {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
--- a/internal/tier/proxy/mutants_test.go
+++ b/internal/tier/proxy/mutants_test.go
@@ -48,7 +48,7 @@
 		{Name: "commits are retried too late", Run: "^TestUsageCommitter_CommitLost_RetriesWithinBound$",
 			Change: change("usage.go", "minCommitBackoff = 50 * time.Millisecond", "minCommitBackoff = 500 * time.Millisecond")},
 		{Name: "requests are not abandoned before the process ends", Run: "^TestShutdown_AbandonedRequests_GetErrorResponses$",
-			Change: change("frontend.go", "\tfailure := f.awaitEmpty(ctx)\n\tf.cancelRequests()", "\tfailure := f.awaitEmpty(ctx)")},
+			Change: change("frontend.go", "\tfailure := f.awaitAllClosed(ctx)\n\tf.cancelRequests()", "\tfailure := f.awaitAllClosed(ctx)")},
 		{Name: "404 without a configuration", Run: "^TestRequest_NoConfiguration_IsNotDenied$",
 			Change: change("request.go", "\t\twriteError(w, apierror.NotReady, 0)", "\t\twriteError(w, apierror.NoRoute, 0)")},
 		{Name: "404 for what no store knows", Run: "^TestTurn_StoreFaults_AreNoDenial$",
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -44,9 +44,9 @@
 			f := newFixture(t, newEndpoint(t, respondWith(200, "good")))
 			c := f.dial()
 			c.send(request)
-			got := c.head("POST")
+			got := c.readHead("POST")
 			for got.StatusCode == 100 {
-				got = c.head("POST")
+				got = c.readHead("POST")
 			}
 			if got.StatusCode != 200 {
 				t.Errorf("got %d", got.StatusCode)
@@ -63,7 +63,7 @@
 			for _, method := range []string{"GET", "POST", "DELETE", "OPTIONS"} {
 				c := f.dial()
 				c.send(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\nX-Attempt-Id: id\r\nContent-Length: 2\r\n\r\nab")
-				if got := c.read(method); got.status != 503 || got.header.Get("Retry-After") == "" {
+				if got := c.readResponse(method); got.status != 503 || got.header.Get("Retry-After") == "" {
 					t.Errorf("%s %s%s: %+v", method, host, target, got)
 				}
 			}
@@ -102,7 +102,7 @@
 				trouble(f)
 				c := f.dial()
 				c.request("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
-				if got := c.read("POST"); isDenial(got.status) {
+				if got := c.readResponse("POST"); isDenial(got.status) {
 					t.Errorf("got %+v", got)
 				}
 			})
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -21,13 +21,13 @@
 // revokingSelector is a Selector that lets something happen between a selection and its send.
 type revokingSelector struct {
 	*LoadBalancer
-	before func(Selection)
+	afterSelect func(Selection)
 }
 
 func (w *revokingSelector) Select(ctx context.Context, info *RequestInfo) (Selection, error) {
 	selection, err := w.LoadBalancer.Select(ctx, info)
 	if err == nil {
-		w.before(selection)
+		w.afterSelect(selection)
 	}
 	return selection, err
 }
@@ -62,7 +62,7 @@
 			c := f.dial()
 			c.request("POST", "/once/x", "id", "body")
 			// then the second one gets the request
-			if got := c.read("POST"); got.status != 200 || got.body != "second" {
+			if got := c.readResponse("POST"); got.status != 200 || got.body != "second" {
 				t.Errorf("got %+v", got)
 			}
 			if first.count.Load() != 0 {
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -21,7 +21,7 @@
 	fixture.views.routes.Store(NewRoutes(&config))
 	c.request("POST", target, "id1", "input", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "Te: trailers",
 		"X-Time-Left-Ms: 2000", "Priority: 9", "X-Expected-Server: other", "X-Subject: s", "Cookie: a=b; X-Subject=s1", "Accept: */*")
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	if got.err != nil || got.status != 200 || got.body != "the body" {
 		t.Fatalf("got %+v", got)
 	}
@@ -69,7 +69,7 @@
 			c := f.dial()
 			for range 2 {
 				c.request("POST", test.target, "id", "body")
-				got := c.read("POST")
+				got := c.readResponse("POST")
 				if got.status != test.status || got.header.Get("X-Server-Seal") != "" {
 					t.Errorf("got %+v", got)
 				}
@@ -86,7 +86,7 @@
 	cases := []struct {
 		name   string
 		route  string
-		first  func(net.Conn, received) bool
+		first  func(net.Conn, receivedRequest) bool
 		status int
 		sends  int64 // to the second endpoint
 	}{
@@ -116,7 +116,7 @@
 			f := newFixture(t, bad, second)
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body")
-			got := c.read("POST")
+			got := c.readResponse("POST")
 			if got.status != test.status || got.err != nil {
 				t.Errorf("got %+v", got)
 			}
@@ -135,7 +135,7 @@
 	f := newFixture(t, endpoints...)
 	c := f.dial()
 	c.request("GET", "/safe/x", "id", "")
-	if got := c.read("GET"); got.status != 502 {
+	if got := c.readResponse("GET"); got.status != 502 {
 		t.Errorf("got %+v", got)
 	}
 	if endpoints[0].count.Load() != 1 || endpoints[1].count.Load() != 1 || endpoints[2].count.Load() != 0 {
@@ -148,7 +148,7 @@
 	f := newFixture(t, first, second)
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	if got.status != 503 || got.header.Get("Retry-After") != "0.25" || got.header.Get("X-Server-Seal") != "" {
 		t.Errorf("got %+v", got)
 	}
@@ -161,21 +161,21 @@
 	f := newFixture(t, dead, good)
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
-	if got := c.read("POST"); got.status != 200 || got.body != "good" {
+	if got := c.readResponse("POST"); got.status != 200 || got.body != "good" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestLargeBodies_AreForwarded(t *testing.T) {
 	megabyte := strings.Repeat("0123456789abcdef", 1<<16)
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		return respondWith(200, request.body)(socket, request)
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	for i := range 3 {
 		c.request("POST", "/once/x", fmt.Sprint("id", i), megabyte)
-		if got := c.read("POST"); got.status != 200 || got.body != megabyte {
+		if got := c.readResponse("POST"); got.status != 200 || got.body != megabyte {
 			t.Errorf("status %d with %d bytes, %v", got.status, len(got.body), got.err)
 		}
 	}
@@ -188,7 +188,7 @@
 	f.selector.endpoints = []Selection{{ID: "hung", Address: full, Timeout: 30 * time.Millisecond}, f.selector.endpoints[0]}
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
-	if got := c.read("POST"); got.status != 200 {
+	if got := c.readResponse("POST"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != NeverSent {
@@ -231,7 +231,7 @@
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 20")
 	// then the client learns that it has not run, and the endpoint isn't blamed
-	if got := c.read("POST"); got.status != 503 {
+	if got := c.readResponse("POST"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != Cancelled {
@@ -246,7 +246,7 @@
 	for _, method := range []string{"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE", "PURGE", "PROPFIND", "REPORT"} {
 		for _, target := range []string{"/safe/", "/safe/x", "/safe/:id", "/safe/*", "/safe/a%2Fb", "/safe//", "/safe/../safe/?q", "/safe/%C3%A9", "/safe/;a=b"} {
 			c.request(method, target, "id", "")
-			if got := c.read(method); got.status != 200 {
+			if got := c.readResponse(method); got.status != 200 {
 				t.Errorf("%s %s: %+v", method, target, got)
 			}
 			if request := <-e.requests; request.requestLine != method+" "+target+" HTTP/1.1" {
@@ -263,7 +263,7 @@
 	c := f.dial()
 	for _, target := range []string{"/safe/x?y=1", "/safe/a%2fb//c?", "/safe/;a='b'|c"} {
 		c.request("GET", "http://a.example"+target, "id", "")
-		if got := c.read("GET"); got.status != 200 {
+		if got := c.readResponse("GET"); got.status != 200 {
 			t.Errorf("%s: %+v", target, got)
 		}
 		if request := <-e.requests; request.requestLine != "GET "+target+" HTTP/1.1" {
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -15,32 +15,32 @@
 // slottedEndpoint is a stand-in for an endpoint that works on so many requests at once, and lets the most urgent of those that wait in
 // first. A full queue rejects the least urgent one.
 type slottedEndpoint struct {
-	count, queue int
-	mutex        sync.Mutex
-	running      int
-	waiting      []*slotRequest
+	slots, queueLimit int
+	mutex             sync.Mutex
+	running           int
+	waiting           []*slotRequest
 }
 
 // slotRequest is a request that waits in an endpoint.
 type slotRequest struct {
 	priority int
-	let      chan bool // whether it runs
+	admitted chan bool // whether it runs
 }
 
 // run works on a request for so long; it returns false if the request was rejected.
 func (s *slottedEndpoint) run(priority int, work time.Duration) bool {
-	request := &slotRequest{priority: priority, let: make(chan bool, 1)}
+	request := &slotRequest{priority: priority, admitted: make(chan bool, 1)}
 	s.mutex.Lock()
 	s.waiting = append(s.waiting, request)
 	slices.SortStableFunc(s.waiting, func(a, b *slotRequest) int { return a.priority - b.priority })
 	s.admit()
-	if len(s.waiting) > s.queue {
+	if len(s.waiting) > s.queueLimit {
 		last := s.waiting[len(s.waiting)-1]
 		s.waiting = s.waiting[:len(s.waiting)-1]
-		last.let <- false
+		last.admitted <- false
 	}
 	s.mutex.Unlock()
-	if !<-request.let {
+	if !<-request.admitted {
 		return false
 	}
 	time.Sleep(work)
@@ -53,9 +53,9 @@
 
 // admit lets in what waits as far as there are slots. The caller holds the mutex.
 func (s *slottedEndpoint) admit() {
-	for s.running < s.count && len(s.waiting) > 0 {
+	for s.running < s.slots && len(s.waiting) > 0 {
 		s.running++
-		s.waiting[0].let <- true
+		s.waiting[0].admitted <- true
 		s.waiting = s.waiting[1:]
 	}
 }
@@ -64,21 +64,21 @@
 func (s *slottedEndpoint) load() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return fmt.Sprintf("%d,%d,%d", s.running, len(s.waiting), s.count)
+	return fmt.Sprintf("%d,%d,%d", s.running, len(s.waiting), s.slots)
 }
 
-// overload plays requests of two routes on so many proxies that share an endpoint, and returns the share of each priority that was
+// simulateOverload plays requests of two routes on so many proxies that share an endpoint, and returns the share of each priority that was
 // answered within its aim.
-func overload(t *testing.T, proxies int, rate float64, targets [2]int64) (served [2]float64) {
+func simulateOverload(t *testing.T, proxies int, rate float64, targets [2]int64) (served [2]float64) {
 	const (
 		work  = 100 * time.Millisecond
 		lasts = 3 * time.Second
 	)
-	endpoint := &slottedEndpoint{count: 8, queue: 4}
+	endpoint := &slottedEndpoint{slots: 8, queueLimit: 4}
 	var loadBalancers []*LoadBalancer
 	for i := range proxies {
 		loadBalancer := NewLoadBalancer("z", uint64(i+1))
-		loadBalancer.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.count, Version: "v1", State: model.Ready}})
+		loadBalancer.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "a", Zone: "z", Capacity: endpoint.slots, Version: "v1", State: model.Ready}})
 		loadBalancers = append(loadBalancers, loadBalancer)
 	}
 	var mutex sync.Mutex
@@ -90,7 +90,7 @@
 		priority, loadBalancer := random.IntN(2), loadBalancers[random.IntN(proxies)]
 		asked[priority]++
 		all.Go(func() {
-			if loadBalancer.requestOnce(t, endpoint, priority, targets[priority], work) {
+			if loadBalancer.sendRequest(t, endpoint, priority, targets[priority], work) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				good[priority]++
@@ -104,8 +104,8 @@
 	return served
 }
 
-// requestOnce plays one request, and reports whether it was answered within its aim.
-func (b *LoadBalancer) requestOnce(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
+// sendRequest plays one request, and reports whether it was answered within its aim.
+func (b *LoadBalancer) sendRequest(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
 	info := newRequestInfo(priority)
 	info.Route.LatencyTargetMs = targetMs
 	for range maxNotRun {
@@ -131,7 +131,7 @@
 		for _, rate := range []float64{100, 240} { // of 80 that the endpoint can serve
 			for _, targets := range [][2]int64{{400, 1600}, {1600, 400}} {
 				synctest.Test(t, func(t *testing.T) {
-					served := overload(t, proxies, rate, targets)
+					served := simulateOverload(t, proxies, rate, targets)
 					if served[0] < served[1]-slack {
 						t.Errorf("%d proxies, %.0f/s, aims %v ms: %.2f of the more urgent served, %.2f of the others",
 							proxies, rate, targets, served[0], served[1])
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -37,12 +37,12 @@
 	b.lastID++
 	entry := balancer.NewQueuedRequest(b.lastID, info.Route.Priority, arrivedAt, latencyTarget, info.Deadline.Sub(info.ArrivedAt))
 	if entry.ExpiresAt <= now {
-		return 0, nil, b.rejectionFor(info)
+		return 0, nil, b.noCapacityError(info)
 	}
 	waiter := &queuedWaiter{info: info, expiresAt: entry.ExpiresAt, result: make(chan selectResult, 1)}
 	b.waiting[entry.ID] = waiter
 	if displaced, full := b.queueFor(info.Service.Name).Push(entry); full {
-		b.resolve(displaced.ID, selectResult{err: b.rejectionFor(b.waiting[displaced.ID].info)})
+		b.resolve(displaced.ID, selectResult{err: b.noCapacityError(b.waiting[displaced.ID].info)})
 	}
 	b.dispatch(info.Service.Name)
 	return entry.ID, waiter, nil
@@ -58,15 +58,15 @@
 	return queue
 }
 
-// rejectionFor returns the rejection of a request for which there is no capacity, with the balancer's Retry-After.
-func (b *LoadBalancer) rejectionFor(info *RequestInfo) *RejectionError {
-	return rejectionOf(b.balancer.Select(b.now(), requestFor(info)).Rejection)
+// noCapacityError returns the rejection of a request for which there is no capacity, with the balancer's Retry-After.
+func (b *LoadBalancer) noCapacityError(info *RequestInfo) *RejectionError {
+	return newRejectionError(b.balancer.Select(b.now(), balancerRequest(info)).Rejection)
 }
 
 // await returns the result of a queued request. It polls with a growing interval, as an endpoint's backoff may end without any
 // event, and when the request itself expires.
 func (b *LoadBalancer) await(ctx context.Context, id uint64, waiter *queuedWaiter) (Selection, error) {
-	timer := time.NewTimer(nextPollIn(waiter.expiresAt-b.now(), minPollInterval))
+	timer := time.NewTimer(nextPollDelay(waiter.expiresAt-b.now(), minPollInterval))
 	defer timer.Stop()
 	for interval := 2 * minPollInterval; ; interval *= 2 {
 		select {
@@ -74,16 +74,16 @@
 			return result.selection, result.err
 		case <-timer.C:
 			b.poll(waiter.info.Service.Name)
-			timer.Reset(nextPollIn(waiter.expiresAt-b.now(), interval))
+			timer.Reset(nextPollDelay(waiter.expiresAt-b.now(), interval))
 		case <-ctx.Done():
 			return Selection{}, b.leaveQueue(ctx, id, waiter)
 		}
 	}
 }
 
-// nextPollIn returns the time until the next poll of a request that expires in timeLeft: no longer than that, as it must be
+// nextPollDelay returns the time until the next poll of a request that expires in timeLeft: no longer than that, as it must be
 // rejected on time, and a full interval once it has expired.
-func nextPollIn(timeLeft, interval time.Duration) time.Duration {
+func nextPollDelay(timeLeft, interval time.Duration) time.Duration {
 	if timeLeft <= 0 {
 		return interval
 	}
@@ -148,7 +148,7 @@
 		if !expired {
 			return
 		}
-		b.resolve(entry.ID, selectResult{err: b.rejectionFor(b.waiting[entry.ID].info)})
+		b.resolve(entry.ID, selectResult{err: b.noCapacityError(b.waiting[entry.ID].info)})
 	}
 }
 
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -36,7 +36,7 @@
 	return &rejectionCounter{
 		counts:  map[apierror.Kind]int{},
 		metrics: options.Metrics,
-		outage:  outage{bound: options.MaxOutage, checks: options.Checks},
+		outage:  outage{limit: options.MaxOutage, checks: options.Checks},
 	}
 }
 
@@ -62,8 +62,8 @@
 	r.cause = err
 }
 
-// reset returns what was counted since the last call.
-func (r *rejectionCounter) reset() (counts map[apierror.Kind]int, served int, cause error) {
+// takeCounts returns what was counted since the last call.
+func (r *rejectionCounter) takeCounts() (counts map[apierror.Kind]int, served int, cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts, served, cause = r.counts, r.served, r.cause
@@ -87,7 +87,7 @@
 
 // report logs the counts, if there are any, and checks whether an outage goes on.
 func (r *rejectionCounter) report(now time.Time, logger log.Logger) {
-	counts, served, cause := r.reset()
+	counts, served, cause := r.takeCounts()
 	r.outage.observe(now, counts[apierror.NotReady]+counts[apierror.StateUnavailable], served)
 	if len(counts) == 0 {
 		return
@@ -106,7 +106,7 @@
 
 // outage is the time for which a proxy has rejected most requests because it lacks a view or the stores' answer.
 type outage struct {
-	bound  time.Duration // after which it breaks the invariant; 0: never
+	limit  time.Duration // after which it breaks the invariant; 0: never
 	checks *invariant.Counter
 
 	active   bool
@@ -127,7 +127,7 @@
 	if !o.active {
 		o.active, o.since = true, now
 	}
-	if lasts := now.Sub(o.since); o.bound > 0 && lasts > o.bound && !o.reported {
+	if lasts := now.Sub(o.since); o.limit > 0 && lasts > o.limit && !o.reported {
 		o.reported = true
 		o.checks.Violated(invariant.Recovery, "outage", lasts, "rejected", rejected, "served", served)
 	}
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checks := invariant.New(log.NewNopLogger())
-			observed := outage{bound: bound, checks: checks}
+			observed := outage{limit: bound, checks: checks}
 			for at, one := range c.seconds {
 				observed.observe(time.Unix(int64(at), 0), one.rejected, one.served)
 			}
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -40,7 +40,7 @@
 	neverSentAttempts  int           // selections that led to no send
 	notRunAttempts     int           // sends that the endpoint declared as not run
 	mayHaveRun         bool          // nothing promises that no endpoint ran the request
-	rejection          apierror.Kind // why no endpoint took it, as far as nothing was sent
+	rejectionKind      apierror.Kind // why no endpoint took it, as far as nothing was sent
 	retryAfter         time.Duration
 	headerWritten      bool // the head of a response has gone to the client
 	resetsOnClose      bool // every close of the client's connection is a reset
@@ -50,7 +50,7 @@
 // serve takes one request of a client.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := p.options.Now()
-	if client := clientOf(r); client != nil && !client.requestStarted() {
+	if client := clientConnOf(r); client != nil && !client.beginRequest() {
 		abortConnection()
 	}
 	p.closeIfDraining(w.Header())
@@ -68,7 +68,7 @@
 		writeError(w, apierror.NoRoute, 0)
 		return
 	}
-	c := &clientRequest{proxy: p, writer: w, request: r, rejection: apierror.NoEndpoint}
+	c := &clientRequest{proxy: p, writer: w, request: r, rejectionKind: apierror.NoEndpoint}
 	c.info.Route = route
 	c.info.ArrivedAt = arrivedAt
 	c.info.Deadline = arrivedAt.Add(allowedTime(r.Header, route.TimeoutMs))
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.info.Deadline)
 	defer cancel()
 	c.context = ctx
-	c.proxyLoop()
+	c.sendWithRetries()
 }
 
 // requestTarget returns the path and the query of a request, byte for byte. A target may name its host before them.
@@ -113,7 +113,7 @@
 	if routeTimeoutMs > 0 {
 		allowed = time.Duration(routeTimeoutMs) * time.Millisecond
 	}
-	if timeLeft, ok := milliseconds(first(header, headerTimeLeft)); ok {
+	if timeLeft, ok := parseMilliseconds(firstValue(header, headerTimeLeft)); ok {
 		allowed = min(allowed, timeLeft)
 	}
 	return allowed
@@ -122,15 +122,15 @@
 // readInfo reads what the headers say of the request.
 func (c *clientRequest) readInfo(header http.Header) {
 	info := &c.info
-	info.AttemptID = first(header, upstream.AttemptIDHeader)
-	info.Subject = subject(header)
-	info.Program = first(header, headerProgram)
-	info.Session = first(header, headerSession)
-	info.Previous = first(header, headerPrevious)
-	info.Model = first(header, headerModel)
-	info.Prefix = first(header, headerPrefix)
-	info.PromptTokens, info.MaxOutputTokens = tokenCounts(first(header, headerTokenCounts))
-	info.ProgramTimeLeft, _ = milliseconds(first(header, headerFinish))
+	info.AttemptID = firstValue(header, upstream.AttemptIDHeader)
+	info.Subject = subjectFromCookie(header)
+	info.Program = firstValue(header, headerProgram)
+	info.Session = firstValue(header, headerSession)
+	info.Previous = firstValue(header, headerPrevious)
+	info.Model = firstValue(header, headerModel)
+	info.Prefix = firstValue(header, headerPromptPrefix)
+	info.PromptTokens, info.MaxOutputTokens = parseTokenCounts(firstValue(header, headerTokenCounts))
+	info.ProgramTimeLeft, _ = parseMilliseconds(firstValue(header, headerFinishMs))
 }
 
 // serviceKey returns a number that is the same for all requests of a program, session or subject.
@@ -162,7 +162,7 @@
 
 // prepareUpstreamRequest builds what is the same in every attempt.
 func (c *clientRequest) prepareUpstreamRequest(target string) {
-	*c.headerFields = appendForwarded((*c.headerFields)[:0], c.request.Header)
+	*c.headerFields = appendForwardedFields((*c.headerFields)[:0], c.request.Header)
 	c.priority = strconv.Itoa(min(max(c.info.Route.Priority, 0), maxPriority))
 	c.upstream = upstream.Request{
 		Method:    c.request.Method,
@@ -170,7 +170,7 @@
 		Host:      c.request.Host,
 		Fields:    *c.headerFields,
 		Body:      [][]byte{*c.body},
-		HasBody:   c.request.ContentLength != 0 || first(c.request.Header, "Content-Length") != "",
+		HasBody:   c.request.ContentLength != 0 || firstValue(c.request.Header, "Content-Length") != "",
 		AttemptID: c.info.AttemptID,
 		Deadline:  c.info.Deadline,
 	}
@@ -183,8 +183,8 @@
 	putBuffer(c.headerFields)
 }
 
-// proxyLoop begins a turn, if the request is one, and sends the request until the client has a response.
-func (c *clientRequest) proxyLoop() {
+// sendWithRetries begins a turn, if the request is one, and sends the request until the client has a response.
+func (c *clientRequest) sendWithRetries() {
 	if !c.beginTurn() {
 		return
 	}
@@ -194,5 +194,5 @@
 	if !c.headerWritten && !c.answeredLocally {
 		abortConnection() // the library would answer 200 by itself
 	}
-	c.allowOrderlyClose()
+	c.restoreGracefulClose()
 }
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -34,7 +34,7 @@
 	if length < 0 && retryable(c.info.Route) {
 		return c.forwardBuffered(a, buffer)
 	}
-	return c.forwardCopying(a, (*buffer)[:cap(*buffer)])
+	return c.forwardUnbuffered(a, (*buffer)[:cap(*buffer)])
 }
 
 // forwardShort reads a short response to its end and forwards it at once.
@@ -99,11 +99,11 @@
 	c.recordFirstByte(a)
 	c.writeHeader(a)
 	c.write(a, data)
-	return c.forwardCopying(a, data[:cap(data)])
+	return c.forwardUnbuffered(a, data[:cap(data)])
 }
 
-// forwardCopying forwards a long response as it comes.
-func (c *clientRequest) forwardCopying(a *attempt, buffer []byte) (retry bool) {
+// forwardUnbuffered forwards a long response as it comes.
+func (c *clientRequest) forwardUnbuffered(a *attempt, buffer []byte) (retry bool) {
 	for {
 		n, err := a.response.Read(buffer)
 		if n > 0 {
@@ -168,28 +168,28 @@
 	header := c.writer.Header()
 	c.proxy.closeIfDraining(header)
 	copyResponseHeader(header, a.response.Header)
-	if a.response.ContentLength >= 0 && first(a.response.Header, "Content-Length") != "" {
+	if a.response.ContentLength >= 0 && firstValue(a.response.Header, "Content-Length") != "" {
 		header["Content-Length"] = []string{strconv.FormatInt(a.response.ContentLength, 10)}
 	}
-	c.resetOnUnframedEnd(header)
+	c.resetIfCloseDelimited(header)
 	c.writer.WriteHeader(a.response.Status)
 }
 
-// resetOnUnframedEnd makes every close of the client's connection a reset where only that close marks the end of the response: to a
+// resetIfCloseDelimited makes every close of the client's connection a reset where only that close marks the end of the response: to a
 // client of HTTP/1.0, if there is no length. The library closes it by itself when a write fails, and the system when this
 // process ends.
-func (c *clientRequest) resetOnUnframedEnd(header http.Header) {
-	if c.request.ProtoAtLeast(1, 1) || first(header, "Content-Length") != "" {
+func (c *clientRequest) resetIfCloseDelimited(header http.Header) {
+	if c.request.ProtoAtLeast(1, 1) || firstValue(header, "Content-Length") != "" {
 		return
 	}
-	if client := clientOf(c.request); client != nil {
+	if client := clientConnOf(c.request); client != nil {
 		client.setResetOnClose(true)
 		c.resetsOnClose = true
 	}
 }
 
-// allowOrderlyClose lets the client's connection end in order once the complete response has gone out.
-func (c *clientRequest) allowOrderlyClose() {
+// restoreGracefulClose lets the client's connection end in order once the complete response has gone out.
+func (c *clientRequest) restoreGracefulClose() {
 	if !c.resetsOnClose {
 		return
 	}
@@ -197,7 +197,7 @@
 	if ok && flusher.FlushError() != nil {
 		abortConnection()
 	}
-	clientOf(c.request).setResetOnClose(false)
+	clientConnOf(c.request).setResetOnClose(false)
 }
 
 // write forwards bytes to the client. One that takes none any more has closed its connection.
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestChunkedResponse_BreaksOff_IsRetried(t *testing.T) {
-	broken := func(socket net.Conn, request received) bool {
+	broken := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk("the first part"))
 		return false
 	}
 	long := strings.Repeat("0123456789abcdef", 1<<14)
 	for name, body := range map[string]string{"short": "whole", "long": long} {
 		t.Run(name, func(t *testing.T) {
-			complete := func(socket net.Conn, request received) bool {
+			complete := func(socket net.Conn, request receivedRequest) bool {
 				_, _ = io.WriteString(socket, sealedHead(200, request, "Transfer-Encoding: chunked")+chunk(body)+lastChunk)
 				return true
 			}
@@ -24,7 +24,7 @@
 			f := newFixture(t, bad, good)
 			c := f.dial()
 			c.request("GET", "/safe/x", "id", "")
-			if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != body {
+			if got := c.readResponse("GET"); got.err != nil || got.status != 200 || got.body != body {
 				t.Errorf("status %d with %d bytes, %v", got.status, len(got.body), got.err)
 			}
 		})
@@ -32,9 +32,9 @@
 }
 
 func TestLateResponse_IsNeverGivenToNextRequest(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if request.id() == "id2" {
-			late := received{header: map[string][]string{"X-Attempt-Id": {"id1"}}}
+			late := receivedRequest{header: map[string][]string{"X-Attempt-Id": {"id1"}}}
 			respondWith(200, "late")(socket, late)
 		}
 		return respondWith(200, "own "+request.id())(socket, request)
@@ -43,7 +43,7 @@
 	c := f.dial()
 	for _, id := range []string{"id1", "id2", "id3"} {
 		c.request("GET", "/once/x", id, "")
-		if got := c.read("GET"); got.status != 200 || got.body != "own "+id || got.header.Get("X-Attempt-Id") != id {
+		if got := c.readResponse("GET"); got.status != 200 || got.body != "own "+id || got.header.Get("X-Attempt-Id") != id {
 			t.Errorf("%s got %+v", id, got)
 		}
 	}
@@ -52,14 +52,14 @@
 func TestLongResponse_BreaksOff_LooksIncomplete(t *testing.T) {
 	for name, framing := range map[string]string{"length": "Content-Length: 100000", "chunks": "Transfer-Encoding: chunked"} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				_, _ = io.WriteString(socket, sealedHead(200, request, framing)+"a\r\n0123456789\r\n")
 				return false
 			})
 			f := newFixture(t, e)
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
-			if got := c.read("GET"); got.err == nil || got.status != 200 {
+			if got := c.readResponse("GET"); got.err == nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
 		})
@@ -67,7 +67,7 @@
 }
 
 func TestHeadRequest_HasNoBody(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Length: 4711"))
 		return true
 	})
@@ -75,7 +75,7 @@
 	c := f.dial()
 	for i := range 2 {
 		c.request("HEAD", "/safe/x", fmt.Sprint("id", i), "")
-		got := c.read("HEAD")
+		got := c.readResponse("HEAD")
 		if got.status != 200 || got.header.Get("Content-Length") != "4711" || got.body != "" {
 			t.Errorf("got %+v", got)
 		}
@@ -86,7 +86,7 @@
 }
 
 func TestNotRunResponse_BodyMissing_DelaysNothing(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nContent-Length: 10\r\n\r\n")
 		_, err := socket.Read(make([]byte, 1))
 		return err == nil
@@ -94,14 +94,14 @@
 	f := newFixture(t, e, newEndpoint(t, respondWith(200, "good")))
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 3000")
-	if got := c.read("POST"); got.status != 200 || got.body != "good" {
+	if got := c.readResponse("POST"); got.status != 200 || got.body != "good" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestNotRunResponse_ConnectionIsKept(t *testing.T) {
 	rejections := 0
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if rejections++; rejections > 1 {
 			return respondWith(200, "good")(socket, request)
 		}
@@ -112,7 +112,7 @@
 	c := f.dial()
 	for _, want := range []int{503, 200} {
 		c.request("POST", "/once/x", "id", "body")
-		if got := c.read("POST"); got.status != want {
+		if got := c.readResponse("POST"); got.status != want {
 			t.Errorf("got %+v", got)
 		}
 		if request := <-e.requests; request.connection != 1 {
@@ -123,7 +123,7 @@
 
 func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
 	// given an endpoint that says that it didn't run a request, and breaks off
-	broken := func(socket net.Conn, request received) bool {
+	broken := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
 		return false
 	}
@@ -134,7 +134,7 @@
 			c := f.dial()
 			c.request("GET", "/"+route+"/x", "id", "")
 			// then the client never gets an empty success instead
-			got := c.read("GET")
+			got := c.readResponse("GET")
 			if got.status != want || want == 200 && got.body != "good" {
 				t.Errorf("got %+v", got)
 			}
@@ -143,22 +143,22 @@
 }
 
 func TestCloseDelimitedResponse_Reset_IsRetried(t *testing.T) {
-	bad := newEndpoint(t, func(socket net.Conn, request received) bool {
+	bad := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request)+"the first part")
 		return resetConnection(socket, request)
 	})
-	good := newEndpoint(t, func(socket net.Conn, request received) bool {
+	good := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request)+"whole")
 		return false
 	})
 	f := newFixture(t, bad, good)
 	c := f.dial()
 	c.request("GET", "/safe/x", "id", "")
-	if got := c.read("GET"); got.err != nil || got.status != 200 || got.body != "whole" {
+	if got := c.readResponse("GET"); got.err != nil || got.status != 200 || got.body != "whole" {
 		t.Errorf("got %+v", got)
 	}
 	c.request("GET", "/safe/x", "next", "")
-	if got := c.read("GET"); got.status != 200 {
+	if got := c.readResponse("GET"); got.status != 200 {
 		t.Errorf("the next answer on the client's connection: %+v", got)
 	}
 }
@@ -166,7 +166,7 @@
 func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
 	// given a response whose end only the close of its connection marks
 	end := make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
 		<-end
 		return false
@@ -174,7 +174,7 @@
 	f := newFixture(t, e)
 	c := f.dial()
 	c.request("GET", "/once/x", "id", "")
-	response := c.head("GET")
+	response := c.readHead("GET")
 	// then the client's has an end of its own, so that it can't look complete when this process ends in its middle
 	if len(response.TransferEncoding) != 1 || response.TransferEncoding[0] != "chunked" || response.Close {
 		t.Errorf("framed by %v, close %v", response.TransferEncoding, response.Close)
--- a/internal/tier/proxy/retries.go
+++ b/internal/tier/proxy/retries.go
@@ -36,9 +36,9 @@
 	return retryable(c.info.Route) && c.mayHaveRunAttempts < c.info.Route.MaxAttempts && c.context.Err() == nil
 }
 
-// retriesErrorStatus reports whether a response that came with a status is withheld from the client for another attempt. Where
+// shouldRetryStatus reports whether a response that came with a status is withheld from the client for another attempt. Where
 // this one is the last, the client gets the response.
-func (c *clientRequest) retriesErrorStatus(status int) bool {
+func (c *clientRequest) shouldRetryStatus(status int) bool {
 	return status >= http.StatusInternalServerError && !c.headerWritten && retryable(c.info.Route) &&
 		c.mayHaveRunAttempts+1 < c.info.Route.MaxAttempts
 }
@@ -74,15 +74,15 @@
 	case upstream.PermitRevoked:
 		return Cancelled
 	case upstream.Cancelled, upstream.ConnectFailed:
-		if c.ended() {
+		if c.isCancelled() {
 			return Cancelled
 		}
 	}
 	return NeverSent
 }
 
-// ended reports whether the deadline has passed or the client has closed its connection.
-func (c *clientRequest) ended() bool {
+// isCancelled reports whether the deadline has passed or the client has closed its connection.
+func (c *clientRequest) isCancelled() bool {
 	return c.context.Err() != nil || !c.proxy.options.Now().Before(c.info.Deadline)
 }
 
@@ -118,11 +118,11 @@
 	if !a.outcome.Misdirected {
 		c.info.RejectedBy = append(c.info.RejectedBy, a.selection.ID)
 	}
-	c.rejection, c.retryAfter = apierror.EndpointRefused, a.outcome.RetryAfter
+	c.rejectionKind, c.retryAfter = apierror.EndpointRefused, a.outcome.RetryAfter
 	if a.response.Status == http.StatusBadRequest && !c.headerWritten {
 		return c.forwardResponse(a)
 	}
-	drainBody(a.response)
+	drainBufferedBody(a.response)
 	if c.context.Err() == nil && c.notRunAttempts < maxNotRun {
 		return true
 	}
@@ -132,7 +132,7 @@
 
 // retryErrorResponse goes on to another endpoint after a complete response with a failure.
 func (c *clientRequest) retryErrorResponse(a *attempt) (retry bool) {
-	drainBody(a.response)
+	drainBufferedBody(a.response)
 	a.outcome.Result = ErrorResponse
 	c.recordMayHaveRun(ErrorResponse)
 	return true
@@ -144,7 +144,7 @@
 	if errors.As(err, &rejection) {
 		c.retryAfter = rejection.RetryAfter
 		if rejection.Kind != apierror.None {
-			c.rejection = rejection.Kind
+			c.rejectionKind = rejection.Kind
 		}
 	}
 	c.abandon()
@@ -157,7 +157,7 @@
 	case c.headerWritten:
 		abortConnection()
 	case !c.mayHaveRun:
-		c.writeError(c.rejection, c.retryAfter)
+		c.writeError(c.rejectionKind, c.retryAfter)
 	case c.context.Err() != nil:
 		c.writeError(apierror.EndpointTimeout, 0)
 	default:
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -12,35 +12,35 @@
 // behaviour is what an endpoint does with a request.
 type behaviour struct {
 	name   string
-	answer func(net.Conn, received) bool
-	runs   bool // nothing promises that it doesn't run the request
+	script func(net.Conn, receivedRequest) bool
+	mayRun bool // nothing promises that it doesn't run the request
 }
 
 func behaviours() []behaviour {
-	say := func(text func(received) string, keep bool) func(net.Conn, received) bool {
-		return func(socket net.Conn, request received) bool {
+	say := func(text func(receivedRequest) string, keep bool) func(net.Conn, receivedRequest) bool {
+		return func(socket net.Conn, request receivedRequest) bool {
 			_, _ = io.WriteString(socket, text(request))
 			return keep
 		}
 	}
 	return []behaviour{
 		{"reset", resetConnection, true},
-		{"close", func(net.Conn, received) bool { return false }, true},
+		{"close", func(net.Conn, receivedRequest) bool { return false }, true},
 		{"fail", respondWith(500, "failed"), true},
 		{"late", respondWith(504, "late"), true},
-		{"no seal", say(func(r received) string {
+		{"no seal", say(func(r receivedRequest) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 2\r\n\r\nno"
 		}, true), true},
-		{"other", say(func(received) string {
+		{"other", say(func(receivedRequest) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno"
 		}, false), true},
-		{"garbage", say(func(received) string { return "\x16\x03\x01 garbage\r\n\r\n" }, false), true},
-		{"cut head", say(func(r received) string { return sealedHead(200, r)[:20] }, false), true},
-		{"cut body", say(func(r received) string { return sealedHead(200, r, "Content-Length: 10") + "12345" }, false), true},
-		{"cut event", say(func(r received) string { return sealedHead(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
-		{"cut stream", say(func(r received) string { return sealedHead(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
+		{"garbage", say(func(receivedRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" }, false), true},
+		{"cut head", say(func(r receivedRequest) string { return sealedHead(200, r)[:20] }, false), true},
+		{"cut body", say(func(r receivedRequest) string { return sealedHead(200, r, "Content-Length: 10") + "12345" }, false), true},
+		{"cut event", say(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
+		{"cut stream", say(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
 		{"full", respondNotRun, false},
-		{"misdirected", say(func(r received) string {
+		{"misdirected", say(func(r receivedRequest) string {
 			return "HTTP/1.1 421 Other\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 0\r\n\r\n"
 		}, true), false},
 	}
@@ -57,7 +57,7 @@
 		var names []string
 		for range endpoints {
 			b := all[random.IntN(len(all))]
-			drawn, names, list = append(drawn, b), append(names, b.name), append(list, newEndpoint(t, b.answer))
+			drawn, names, list = append(drawn, b), append(names, b.name), append(list, newEndpoint(t, b.script))
 		}
 		t.Run(fmt.Sprint(route.Name, " ", attempts, " ", strings.Join(names, ",")), func(t *testing.T) {
 			f := newFixture(t, list...)
@@ -68,7 +68,7 @@
 			f.stop()
 			ran := 0
 			for i, b := range drawn {
-				if sends := int(list[i].count.Load()); b.runs {
+				if sends := int(list[i].count.Load()); b.mayRun {
 					ran += sends
 				}
 			}
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -90,21 +90,21 @@
 	running.Go(func() { failed <- p.readinessServer.Serve(p.readinessListener) })
 	running.Go(func() { failed <- p.frontend.serve() })
 	err := <-failed
-	if !isClosed(err) {
+	if !isListenerClosed(err) {
 		p.readinessServer.Close()
 		p.frontend.listener.Close()
 	}
-	if other := <-failed; isClosed(err) {
+	if other := <-failed; isListenerClosed(err) {
 		err = other
 	}
-	if isClosed(err) {
+	if isListenerClosed(err) {
 		return nil
 	}
 	return err
 }
 
-// isClosed reports whether a server has ended since Shutdown closed its listener.
-func isClosed(err error) bool {
+// isListenerClosed reports whether a server has ended since Shutdown closed its listener.
+func isListenerClosed(err error) bool {
 	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed)
 }
 
@@ -172,5 +172,5 @@
 	if routes == nil {
 		return defaultLimits
 	}
-	return limitsOf(routes.Limits)
+	return limitsFrom(routes.Limits)
 }
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// readiness asks whether the proxy is ready.
-func (f *fixture) readiness(path string) int {
+// readinessStatus asks whether the proxy is ready.
+func (f *fixture) readinessStatus(path string) int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.proxy.ReadinessAddress().String() + path)
 	if err != nil {
@@ -23,26 +23,26 @@
 
 func TestReadiness_EachState_HasItsStatus(t *testing.T) {
 	f := newFixture(t)
-	if got := f.readiness("/mastusher/ready"); got != 200 {
+	if got := f.readinessStatus("/mastusher/ready"); got != 200 {
 		t.Errorf("ready: %d", got)
 	}
-	if got := f.readiness("/other"); got != 404 {
+	if got := f.readinessStatus("/other"); got != 404 {
 		t.Errorf("another path: %d", got)
 	}
 	f.views.ready.Store(false)
-	if got := f.readiness("/mastusher/ready"); got != 503 {
+	if got := f.readinessStatus("/mastusher/ready"); got != 503 {
 		t.Errorf("not ready: %d", got)
 	}
 	f.views.ready.Store(true)
 	f.proxy.Drain()
-	if got := f.readiness("/mastusher/ready"); got != 503 {
+	if got := f.readinessStatus("/mastusher/ready"); got != 503 {
 		t.Errorf("draining: %d", got)
 	}
 }
 
 func TestShutdown_PendingRequests_End(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if request.id() == "slow" {
 			close(started)
 			<-release
@@ -52,7 +52,7 @@
 	f := newFixture(t, e)
 	idle, busy := f.dial(), f.dial()
 	idle.request("GET", "/once/x", "first", "")
-	idle.read("GET")
+	idle.readResponse("GET")
 	busy.request("GET", "/once/x", "slow", "")
 	<-started
 
@@ -60,18 +60,18 @@
 	late := f.dial()
 	for name, c := range map[string]*client{"new": late, "open": idle} {
 		c.request("GET", "/once/x", "during", "")
-		if got := c.read("GET"); got.status != 200 || !got.close {
+		if got := c.readResponse("GET"); got.status != 200 || !got.close {
 			t.Errorf("%s connection while draining: %+v", name, got)
 		}
 	}
-	down := f.shutDown()
+	down := f.startShutdown()
 	select {
 	case err := <-down:
 		t.Fatalf("shut down with a pending request: %v", err)
 	default:
 	}
 	close(release)
-	if got := busy.read("GET"); got.status != 200 || got.body != "body" || got.err != nil {
+	if got := busy.readResponse("GET"); got.status != 200 || got.body != "body" || got.err != nil {
 		t.Errorf("the request under way: %+v", got)
 	}
 	if err := <-down; err != nil {
@@ -86,13 +86,13 @@
 	f := newFixtureWith(t, func(options *Options) { options.MaxClientConnections = 1 }, newEndpoint(t, respondWith(200, "body")))
 	first := f.dial()
 	first.request("GET", "/once/x", "1", "")
-	first.read("GET")
+	first.readResponse("GET")
 	second := f.dial()
 	if !second.closedSilently() {
 		t.Error("a connection over the bound was answered")
 	}
 	first.request("GET", "/once/x", "2", "")
-	if got := first.read("GET"); got.status != 200 {
+	if got := first.readResponse("GET"); got.status != 200 {
 		t.Errorf("within the bound: %+v", got)
 	}
 }
@@ -116,8 +116,8 @@
 	return true
 }
 
-// shutDown begins to shut the proxy down, and returns once it takes no more connections.
-func (f *fixture) shutDown() <-chan error {
+// startShutdown begins to shut the proxy down, and returns once it takes no more connections.
+func (f *fixture) startShutdown() <-chan error {
 	down := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -138,15 +138,15 @@
 	f := newFixture(t, newEndpoint(t, respondWith(200, "body")))
 	c := f.dial()
 	c.request("GET", "/once/x", "first", "")
-	c.read("GET")
+	c.readResponse("GET")
 	f.awaitIdle(true)
 	c.send("GET /once/x HTTP/1.1\r\nHost: a.exa")
 	f.awaitIdle(false)
 	// when the proxy is shut down and the rest comes
-	down := f.shutDown()
+	down := f.startShutdown()
 	c.send("mple\r\nX-Attempt-Id: second\r\n\r\n")
 	// then the request is answered, and the connection ends
-	if got := c.read("GET"); got.status != 200 || got.body != "body" || !got.close {
+	if got := c.readResponse("GET"); got.status != 200 || got.body != "body" || !got.close {
 		t.Errorf("got %+v", got)
 	}
 	if err := <-down; err != nil {
@@ -155,12 +155,12 @@
 }
 
 func TestDrain_NextResponse_EndsItsConnection(t *testing.T) {
-	cases := map[string]func(net.Conn, received) bool{"an endpoint's": respondWith(200, "body"), "its own": respondNotRun}
+	cases := map[string]func(net.Conn, receivedRequest) bool{"an endpoint's": respondWith(200, "body"), "its own": respondNotRun}
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
 			// given a request that is under way
 			started, release := make(chan struct{}), make(chan struct{})
-			f := newFixture(t, newEndpoint(t, func(socket net.Conn, request received) bool {
+			f := newFixture(t, newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				close(started)
 				<-release
 				return script(socket, request)
@@ -172,7 +172,7 @@
 			f.proxy.Drain()
 			close(release)
 			// then the response ends the connection
-			if got := c.read("GET"); !got.close {
+			if got := c.readResponse("GET"); !got.close {
 				t.Errorf("got %+v", got)
 			}
 		})
@@ -182,7 +182,7 @@
 func TestShutdown_PipelinedRequest_IsServed(t *testing.T) {
 	// given two requests that came together, of which the second one is at work
 	started, release := make(chan struct{}), make(chan struct{})
-	f := newFixture(t, newEndpoint(t, func(socket net.Conn, request received) bool {
+	f := newFixture(t, newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if request.id() == "second" {
 			close(started)
 			<-release
@@ -192,13 +192,13 @@
 	c := f.dial()
 	head := "GET /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: "
 	c.send(head + "first\r\n\r\n" + head + "second\r\n\r\n")
-	c.read("GET")
+	c.readResponse("GET")
 	<-started
 	// when the proxy is shut down, and the endpoint answers then
-	down := f.shutDown()
+	down := f.startShutdown()
 	close(release)
 	// then the client gets the response
-	if got := c.read("GET"); got.status != 200 || got.body != "body" || got.err != nil {
+	if got := c.readResponse("GET"); got.status != 200 || got.body != "body" || got.err != nil {
 		t.Errorf("got %+v", got)
 	}
 	if err := <-down; err != nil {
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -20,7 +20,7 @@
 	cases := []struct {
 		name     string
 		route    string
-		fragment func(received) string
+		fragment func(receivedRequest) string
 		status   int // or brokenOff
 	}{
 		{"a request that may run again", "safe", noFragment, 504},
@@ -33,22 +33,22 @@
 		t.Run(test.name, func(t *testing.T) {
 			// given an endpoint at work
 			started := make(chan struct{}, 1)
-			f := newFixture(t, newEndpoint(t, workUntilClose(started, test.fragment)))
+			f := newFixture(t, newEndpoint(t, sendThenAwaitClose(started, test.fragment)))
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body", turnFields...)
 			<-started
 			var partialResponse *http.Response
 			if test.status == brokenOff {
-				partialResponse = c.head("POST")
+				partialResponse = c.readHead("POST")
 			}
 			// when a shutdown comes to the end of its time
-			ended := f.shutDownOnce(f.closedToClients)
+			ended := f.shutDownThenCancel(f.refusesConnections)
 			// then the client gets an error response, and the connection ends
 			if test.status == brokenOff {
 				if body, err := io.ReadAll(partialResponse.Body); err == nil {
 					t.Errorf("looks complete: %q", body)
 				}
-			} else if got := c.read("POST"); got.status != test.status || got.err != nil || !got.close {
+			} else if got := c.readResponse("POST"); got.status != test.status || got.err != nil || !got.close {
 				t.Errorf("got %+v", got)
 			}
 			if err := <-ended; err == nil {
@@ -72,8 +72,8 @@
 	c.request("POST", "/once/x", "id", "body")
 	awaitQueued(loadBalancer, 1)
 	// when a shutdown comes to the end of its time, then the client learns that it has not run
-	ended := f.shutDownOnce(f.closedToClients)
-	if got := c.read("POST"); got.status != 503 || !got.close {
+	ended := f.shutDownThenCancel(f.refusesConnections)
+	if got := c.readResponse("POST"); got.status != 503 || !got.close {
 		t.Errorf("got %+v", got)
 	}
 	if err := <-ended; err == nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// shutDownOnce shuts the proxy down, and ends the time for that once a condition holds.
-func (f *fixture) shutDownOnce(condition func() bool) <-chan error {
+// shutDownThenCancel shuts the proxy down, and ends the time for that once a condition holds.
+func (f *fixture) shutDownThenCancel(condition func() bool) <-chan error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.proxy.Shutdown(ctx) }()
@@ -92,8 +92,8 @@
 	return ended
 }
 
-// closedToClients reports whether the proxy takes no more connections.
-func (f *fixture) closedToClients() bool {
+// refusesConnections reports whether the proxy takes no more connections.
+func (f *fixture) refusesConnections() bool {
 	socket, err := net.Dial("tcp4", f.proxy.FrontAddress().String())
 	if err != nil {
 		return true
@@ -171,7 +171,7 @@
 			return ctx.Err()
 		}}
 		p := &Proxy{options: Options{Logger: log.NewNopLogger()}, pool: upstream.NewPool(upstream.Options{}), usage: newUsageCommitter(stores),
-			readinessServer: new(http.Server), frontend: newFrontend(noListener{}, nil, func() clientLimits { return defaultLimits }, Options{})}
+			readinessServer: new(http.Server), frontend: newFrontend(closableListener{}, nil, func() clientLimits { return defaultLimits }, Options{})}
 		p.frontend.clients[&clientConn{}] = struct{}{}
 		p.usage.commit("key", program.EndTurn{Turn: "id"})
 		over, cancel := context.WithCancel(t.Context())
@@ -187,7 +187,7 @@
 	})
 }
 
-// noListener is a listener that can be closed.
-type noListener struct{ net.Listener }
+// closableListener is a listener that can be closed.
+type closableListener struct{ net.Listener }
 
-func (noListener) Close() error { return nil }
+func (closableListener) Close() error { return nil }
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -100,7 +100,7 @@
 // response; where that fails the response is broken off.
 func (c *clientRequest) commitCompleteTurn() {
 	c.turn.committed = true
-	end := c.turn.end(true, &c.scanner)
+	end := c.turn.endCommand(true, &c.scanner)
 	if !c.turn.stateful {
 		c.proxy.usage.commit(c.turn.key, end)
 		return
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -12,7 +12,7 @@
 
 func TestStream_Event_IsForwardedBeforeNextExists(t *testing.T) {
 	next := make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead))
 		for i := range 3 {
 			_, _ = io.WriteString(socket, chunk(event(i, "data")))
@@ -24,7 +24,7 @@
 	f := newFixture(t, e)
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "")
-	response := c.head("GET")
+	response := c.readHead("GET")
 	for i := range 3 {
 		got := make([]byte, len(event(i, "data")))
 		if _, err := io.ReadFull(response.Body, got); err != nil || string(got) != event(i, "data") {
@@ -38,7 +38,7 @@
 }
 
 func TestStream_BreaksOff_LooksIncomplete(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\ndata: tw"))
 		return false
 	})
@@ -46,7 +46,7 @@
 	f := newFixture(t, e, other)
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "")
-	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") || other.count.Load() != 0 {
+	if got := c.readResponse("GET"); got.err == nil || got.body != event(1, "one") || other.count.Load() != 0 {
 		t.Errorf("got %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 || outcome.Tokens != 3 {
@@ -55,7 +55,7 @@
 }
 
 func TestStream_BreaksOff_ResumesAtAnotherEndpoint(t *testing.T) {
-	first := newEndpoint(t, func(socket net.Conn, request received) bool {
+	first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead, "X-First: 1")+chunk(event(1, "one"))+chunk(event(2, "two")+"id: 3\ndata: th"))
 		return false
 	})
@@ -63,7 +63,7 @@
 	f := newFixture(t, first, second)
 	c := f.dial()
 	c.request("GET", "/resume/x", "id", "", "Last-Event-Id: 0")
-	got := c.read("GET")
+	got := c.readResponse("GET")
 	want := event(1, "one") + event(2, "two") + event(3, "three") + event(4, "four")
 	if got.err != nil || got.body != want || got.header.Get("X-First") != "1" {
 		t.Errorf("got %+v", got)
@@ -77,7 +77,7 @@
 }
 
 func TestStream_BreaksOffBeforeFirstEvent_IsRetried(t *testing.T) {
-	first := newEndpoint(t, func(socket net.Conn, request received) bool {
+	first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk("id: 1\nda"))
 		return false
 	})
@@ -85,7 +85,7 @@
 	f := newFixture(t, first, second)
 	c := f.dial()
 	c.request("GET", "/resume/x", "id", "")
-	if got := c.read("GET"); got.err != nil || got.body != event(1, "one") {
+	if got := c.readResponse("GET"); got.err != nil || got.body != event(1, "one") {
 		t.Errorf("got %+v", got)
 	}
 	if request := <-second.requests; request.header.Get("Last-Event-Id") != "" {
@@ -95,7 +95,7 @@
 
 func TestStream_ClientCloses_ResetsEndpoint(t *testing.T) {
 	started := make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		close(started)
 		_, err := socket.Read(make([]byte, 1))
@@ -105,7 +105,7 @@
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "", "Budget: 100", "Program: p")
 	<-started
-	c.head("GET")
+	c.readHead("GET")
 	c.socket.Close()
 	<-e.closed
 	if outcome := <-f.selector.outcomes; outcome.Result != ClientClosed {
@@ -119,14 +119,14 @@
 func TestStream_NoEvents_EndsAtDeadline(t *testing.T) {
 	for _, route := range []string{"once", "safe", "stream"} {
 		t.Run(route, func(t *testing.T) {
-			e := newEndpoint(t, func(socket net.Conn, _ received) bool {
+			e := newEndpoint(t, func(socket net.Conn, _ receivedRequest) bool {
 				_, err := socket.Read(make([]byte, 1))
 				return err == nil
 			})
 			f := newFixture(t, e)
 			c := f.dial()
 			c.request("GET", "/"+route+"/x", "id", "", "X-Time-Left-Ms: 100")
-			if got := c.read("GET"); got.status != 504 {
+			if got := c.readResponse("GET"); got.status != 504 {
 				t.Errorf("got %+v", got)
 			}
 			if outcome := <-f.selector.outcomes; outcome.Result != DeadlineExceeded {
@@ -138,7 +138,7 @@
 
 func TestStream_Resumed_HasNoDuplicateEvent(t *testing.T) {
 	// given a stream that broke off, and another endpoint that begins it anew
-	first := newEndpoint(t, func(socket net.Conn, request received) bool {
+	first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
 		return false
 	})
@@ -148,20 +148,20 @@
 	// when the stream is taken up there
 	c.request("GET", "/resume/x", "id", "")
 	// then the client sees it cut after the events that it has
-	if got := c.read("GET"); got.err == nil || got.body != event(9, "nine")+event(10, "ten") {
+	if got := c.readResponse("GET"); got.err == nil || got.body != event(9, "nine")+event(10, "ten") {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestStream_ClosedInsideEvent_LooksIncomplete(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "Connection: close")+event(1, "one")+"id: 2\nda")
 		return false
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "")
-	if got := c.read("GET"); got.err == nil {
+	if got := c.readResponse("GET"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 {
@@ -170,7 +170,7 @@
 }
 
 func TestStream_EndlessEvent_IsNotBuffered(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		for {
 			if _, err := io.WriteString(socket, chunk(strings.Repeat("x", 64<<10))); err != nil {
@@ -181,7 +181,7 @@
 	f := newFixture(t, e)
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "")
-	if got := c.read("GET"); got.err == nil || got.body != event(1, "one") {
+	if got := c.readResponse("GET"); got.err == nil || got.body != event(1, "one") {
 		t.Errorf("got %d bytes, %v", len(got.body), got.err)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse {
@@ -193,7 +193,7 @@
 	// given an attempt whose timeout has fired while its first bytes came
 	c := &clientRequest{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
 	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
-	c.applyTimeout(a)
+	c.startTimeout(a)
 	<-a.context.Done()
 	// when its response would begin to go to the client, then it is abandoned, by the timeout
 	if a.stopTimeout() || c.incompleteResult(a) != TimedOut {
@@ -201,7 +201,7 @@
 	}
 	// given one that is in time, then nothing ends it afterwards
 	a = &attempt{selection: Selection{Timeout: time.Hour}}
-	c.applyTimeout(a)
+	c.startTimeout(a)
 	if first, second := a.stopTimeout(), a.stopTimeout(); !first || !second || a.context.Err() != nil {
 		t.Errorf("ended by %v", context.Cause(a.context))
 	}
@@ -223,7 +223,7 @@
 
 func TestStream_CloseDelimitedReset_Resumes(t *testing.T) {
 	read := make(chan struct{})
-	first := newEndpoint(t, func(socket net.Conn, request received) bool {
+	first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Type: text/event-stream", "X-First: 1")+event(1, "one")+"id: 2\nda")
 		<-read
 		return resetConnection(socket, request)
@@ -232,7 +232,7 @@
 	f := newFixture(t, first, second)
 	c := f.dial()
 	c.request("GET", "/resume/x", "id", "")
-	response := c.head("GET")
+	response := c.readHead("GET")
 	got := make([]byte, len(event(1, "one")))
 	_, _ = io.ReadFull(response.Body, got)
 	close(read)
@@ -260,7 +260,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			first := newEndpoint(t, func(socket net.Conn, request received) bool {
+			first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				text := sealedHead(200, request, streamHead)
 				for _, one := range test.first {
 					text += chunk(one)
@@ -271,7 +271,7 @@
 			f := newFixture(t, first, newEndpoint(t, stream(test.second...)))
 			c := f.dial()
 			c.request("GET", "/resume/x", "id", "")
-			got := c.read("GET")
+			got := c.readResponse("GET")
 			if broken := got.err != nil; got.body != test.want || broken == strings.HasSuffix(name, "fields") {
 				t.Errorf("got %q, %v", got.body, got.err)
 			}
--- a/internal/tier/proxy/testclient_test.go
+++ b/internal/tier/proxy/testclient_test.go
@@ -59,8 +59,8 @@
 	err    error
 }
 
-// head reads the head of a response.
-func (c *client) head(method string) *http.Response {
+// readHead reads the readHead of a response.
+func (c *client) readHead(method string) *http.Response {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
@@ -69,9 +69,9 @@
 	return response
 }
 
-func (c *client) read(method string) clientResponse {
+func (c *client) readResponse(method string) clientResponse {
 	c.t.Helper()
-	response := c.head(method)
+	response := c.readHead(method)
 	body, err := io.ReadAll(response.Body)
 	return clientResponse{response.StatusCode, response.Header, string(body), response.Close, err}
 }
--- a/internal/tier/proxy/testendpoint_test.go
+++ b/internal/tier/proxy/testendpoint_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// received is a request as an endpoint got it.
-type received struct {
+// receivedRequest is a request as an endpoint got it.
+type receivedRequest struct {
 	connection  int
 	requestLine string
 	header      textproto.MIMEHeader
@@ -21,24 +21,24 @@
 }
 
 // id returns the request's attempt id.
-func (r received) id() string { return r.header.Get("X-Attempt-Id") }
+func (r receivedRequest) id() string { return r.header.Get("X-Attempt-Id") }
 
 // endpoint is a stand-in that answers as a test says.
 type endpoint struct {
 	listener net.Listener
-	script   func(socket net.Conn, request received) bool // false: close the connection
-	requests chan received
+	script   func(socket net.Conn, request receivedRequest) bool // false: close the connection
+	requests chan receivedRequest
 	closed   chan int // numbers of connections that have ended
 	count    atomic.Int64
 }
 
-func newEndpoint(t *testing.T, script func(net.Conn, received) bool) *endpoint {
+func newEndpoint(t *testing.T, script func(net.Conn, receivedRequest) bool) *endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &endpoint{listener: listener, script: script, requests: make(chan received, 256), closed: make(chan int, 256)}
+	e := &endpoint{listener: listener, script: script, requests: make(chan receivedRequest, 256), closed: make(chan int, 256)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for number := 1; ; number++ {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		request := received{connection: number, requestLine: requestLine, header: header}
+		request := receivedRequest{connection: number, requestLine: requestLine, header: header}
 		if length, err := strconv.Atoi(header.Get("Content-Length")); err == nil {
 			body := make([]byte, length)
 			if _, err := io.ReadFull(reader, body); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // sealedHead returns the head of a response with a seal; fields are complete lines.
-func sealedHead(status int, request received, fields ...string) string {
+func sealedHead(status int, request receivedRequest, fields ...string) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nX-Attempt-Id: " + request.id() +
 		"\r\nX-Server-Seal: seal-" + request.id() + "\r\nKeep-Alive: timeout=30\r\n" + strings.Join(append(fields, ""), "\r\n") + "\r\n"
 }
@@ -91,51 +91,51 @@
 func withLength(body string) string { return "Content-Length: " + strconv.Itoa(len(body)) }
 
 // respondWith gives a complete response with a Content-Length.
-func respondWith(status int, body string, fields ...string) func(net.Conn, received) bool {
-	return func(socket net.Conn, request received) bool {
+func respondWith(status int, body string, fields ...string) func(net.Conn, receivedRequest) bool {
+	return func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(status, request, append(fields, withLength(body))...)+body)
 		return true
 	}
 }
 
 // respondNotRun says that the request was not run.
-func respondNotRun(socket net.Conn, request received) bool {
+func respondNotRun(socket net.Conn, request receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
 // respondWithoutSeal gives a complete response that no seal proves to be the endpoint's.
-func respondWithoutSeal(socket net.Conn, request received) bool {
+func respondWithoutSeal(socket net.Conn, request receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
 	return true
 }
 
 // respondWithoutID gives a complete response that names no request.
-func respondWithoutID(socket net.Conn, _ received) bool {
+func respondWithoutID(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
 	return true
 }
 
 // breakOffResponse closes the connection in the middle of a response.
-func breakOffResponse(socket net.Conn, request received) bool {
+func breakOffResponse(socket net.Conn, request receivedRequest) bool {
 	_, _ = io.WriteString(socket, sealedHead(200, request, "Content-Length: 10")+"12345")
 	return false
 }
 
 // respondMisdirected says that another endpoint answers at the address.
-func respondMisdirected(socket net.Conn, _ received) bool {
+func respondMisdirected(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
 // respondGarbage sends bytes that are no response.
-func respondGarbage(socket net.Conn, _ received) bool {
+func respondGarbage(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "\x16\x03\x01 garbage\r\n\r\n")
 	return false
 }
 
 // resetConnection breaks the connection after the request was read.
-func resetConnection(socket net.Conn, _ received) bool {
+func resetConnection(socket net.Conn, _ receivedRequest) bool {
 	_ = socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
 	return false
@@ -157,8 +157,8 @@
 }
 
 // stream answers with events, each in a chunk of its own.
-func stream(events ...string) func(net.Conn, received) bool {
-	return func(socket net.Conn, request received) bool {
+func stream(events ...string) func(net.Conn, receivedRequest) bool {
+	return func(socket net.Conn, request receivedRequest) bool {
 		text := sealedHead(200, request, streamHead)
 		for _, one := range events {
 			text += chunk(one)
@@ -173,8 +173,10 @@
 
 // noFragment, headFragment and eventFragment are what an endpoint sends before it works on for ever: nothing, the head of a stream, or
 // that and an event.
-func noFragment(received) string { return "" }
+func noFragment(receivedRequest) string { return "" }
 
-func headFragment(request received) string { return sealedHead(200, request, streamHead) }
+func headFragment(request receivedRequest) string { return sealedHead(200, request, streamHead) }
 
-func eventFragment(request received) string { return headFragment(request) + chunk(event(1, "one")) }
+func eventFragment(request receivedRequest) string {
+	return headFragment(request) + chunk(event(1, "one"))
+}
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -37,7 +37,7 @@
 	if info.Route.Kind != model.Streaming || info.AttemptID == "" {
 		return nil, 0
 	}
-	value := first(header, headerBudget)
+	value := firstValue(header, headerBudget)
 	if value == "" && !info.Route.Stateful {
 		return nil, 0
 	}
@@ -102,8 +102,8 @@
 	return apierror.StateUnavailable, nil, nil
 }
 
-// end returns the turn's usage, and the output of a complete one, for the stores.
-func (t *turn) end(complete bool, scanner *eventScanner) program.EndTurn {
+// endCommand returns the turn's usage, and the output of a complete one, for the stores.
+func (t *turn) endCommand(complete bool, scanner *eventScanner) program.EndTurn {
 	end := program.EndTurn{Turn: t.id, Complete: complete, Tokens: scanner.count * t.tokensPerEvent}
 	if complete && t.stateful {
 		end.Output = scanner.output
@@ -149,5 +149,5 @@
 		return
 	}
 	c.turn.committed = true
-	c.proxy.usage.commit(c.turn.key, c.turn.end(false, &c.scanner))
+	c.proxy.usage.commit(c.turn.key, c.turn.endCommand(false, &c.scanner))
 }
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -24,7 +24,7 @@
 	}
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "new input", turnFields...)
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	want := event(1, "one") + "id: 2\ndata: two\ndata: lines\n\n" + ": nothing\n\n" + event(3, "three")
 	if got.err != nil || got.status != 200 || got.body != want || got.header.Get("X-Server-Seal") != "seal-id" {
 		t.Errorf("got %+v", got)
@@ -65,7 +65,7 @@
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return test.result, test.err }
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			if got := c.read("POST"); got.status != test.status || got.header.Get("X-Server-Seal") != "" {
+			if got := c.readResponse("POST"); got.status != test.status || got.header.Get("X-Server-Seal") != "" {
 				t.Errorf("got %+v", got)
 			}
 			if e.count.Load() != 0 {
@@ -76,7 +76,7 @@
 }
 
 func TestTurn_LastByte_WaitsForCommit(t *testing.T) {
-	framings := map[string]func(net.Conn, received) bool{
+	framings := map[string]func(net.Conn, receivedRequest) bool{
 		"chunks": stream(event(1, "one"), event(2, "two")),
 		"length": respondWith(200, event(1, "one")+event(2, "two"), "Content-Type: text/event-stream"),
 	}
@@ -91,7 +91,7 @@
 			}
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			response := c.head("POST")
+			response := c.readHead("POST")
 			complete := event(1, "one") + event(2, "two")
 			if _, err := io.ReadFull(response.Body, make([]byte, len(complete)-1)); err != nil {
 				t.Fatal(err)
@@ -127,7 +127,7 @@
 	}
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 150")...)
-	if got := c.read("POST"); got.err == nil {
+	if got := c.readResponse("POST"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
 	rejected.Store(false)
@@ -137,13 +137,13 @@
 }
 
 func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
-	broken := func(socket net.Conn, request received) bool {
+	broken := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
 	}
 	cases := []struct {
 		name   string
-		script func(net.Conn, received) bool
+		script func(net.Conn, receivedRequest) bool
 		tokens int64
 	}{
 		{"rejected", respondNotRun, 0},
@@ -156,7 +156,7 @@
 			f := newFixture(t, newEndpoint(t, test.script))
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			c.read("POST")
+			c.readResponse("POST")
 			want := program.EndTurn{Turn: "id", Tokens: test.tokens}
 			if diff := cmp.Diff(want, <-f.programs.ended); diff != "" {
 				t.Errorf("end (-want +got):\n%s", diff)
@@ -171,7 +171,7 @@
 	f.programs.end = func(program.EndTurn) error { <-release; return nil }
 	c := f.dial()
 	c.request("POST", "/stream/x", "id", "input", "Program: p", "Budget: 10", "X-Token-Counts: 5,6")
-	if got := c.read("POST"); got.err != nil || got.status != 200 {
+	if got := c.readResponse("POST"); got.err != nil || got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 	close(release)
@@ -184,7 +184,7 @@
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	c := f.dial()
 	c.request("POST", "/stream/x", "id", "input")
-	if got := c.read("POST"); got.status != 200 || len(f.programs.begins) != 0 {
+	if got := c.readResponse("POST"); got.status != 200 || len(f.programs.begins) != 0 {
 		t.Errorf("got %+v with %d turns", got, len(f.programs.begins))
 	}
 }
@@ -193,7 +193,7 @@
 	// given stores that have lost a turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	var offers atomic.Int64
-	f.programs.unknown = func(end program.EndTurn) bool {
+	f.programs.isUnknown = func(end program.EndTurn) bool {
 		if end.Complete {
 			offers.Add(1)
 		}
@@ -203,7 +203,7 @@
 	c := f.dial()
 	asked := time.Now()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	// then the client sees it cut, well before its deadline
 	if got.err == nil || offers.Load() != 1 {
 		t.Errorf("got %+v after %d offers", got, offers.Load())
@@ -214,12 +214,12 @@
 }
 
 func TestTurn_CompleteWithoutEvents_Counts(t *testing.T) {
-	for name, script := range map[string]func(net.Conn, received) bool{"a length of nothing": respondWith(200, ""), "no chunk": stream()} {
+	for name, script := range map[string]func(net.Conn, receivedRequest) bool{"a length of nothing": respondWith(200, ""), "no chunk": stream()} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			if got := c.read("POST"); got.err != nil || got.status != 200 {
+			if got := c.readResponse("POST"); got.err != nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
 			if diff := cmp.Diff(program.EndTurn{Turn: "id", Complete: true}, <-f.programs.ended); diff != "" {
@@ -238,14 +238,14 @@
 		known    bool
 	}{
 		{"given a turn whose beginning comes late when it broke off then its end is taken", 4, false, 4, true},
-		{"given a turn that never was begun when it broke off then its end is abandoned", 1000, false, maxUnknownAnswers, false},
+		{"given a turn that never was begun when it broke off then its end is abandoned", 1000, false, maxUnknownTurnAttempts, false},
 		{"given a turn that isn't known when it is complete then its end is abandoned at once", 2, true, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				offers := 0
-				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), unknown: func(program.EndTurn) bool {
+				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), isUnknown: func(program.EndTurn) bool {
 					offers++
 					return offers < test.knownAt
 				}}
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -18,8 +18,8 @@
 	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between two attempts.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = 2 * time.Second
-	// maxUnknownAnswers bounds the attempts that the stores answer by not knowing the turn: about three seconds with the backoff.
-	maxUnknownAnswers = 7
+	// maxUnknownTurnAttempts bounds the attempts that the stores answer by not knowing the turn: about three seconds with the backoff.
+	maxUnknownTurnAttempts = 7
 	// finalCommitsTimeout is for the turns whose requests were abandoned as the proxy shuts down.
 	finalCommitsTimeout = 150 * time.Millisecond
 	// maxConcurrentCommits bounds the turns that are committed beside their requests.
@@ -50,19 +50,19 @@
 // commit attempts to commit a turn until that is acknowledged. Beyond maxConcurrentCommits the turn is dropped, and its
 // reservation counts as spent, and so it does after drain.
 func (u *usageCommitter) commit(key string, turn program.EndTurn) {
-	if !u.begin() {
+	if !u.startCommit() {
 		return
 	}
 	go func() {
-		defer u.end()
+		defer u.finishCommit()
 		ctx, cancel := context.WithTimeout(u.context, commitDeadline)
 		defer cancel()
 		_ = commitTurn(ctx, u.programs, key, turn)
 	}()
 }
 
-// begin counts a commit, and reports whether it may run.
-func (u *usageCommitter) begin() bool {
+// startCommit counts a commit, and reports whether it may run.
+func (u *usageCommitter) startCommit() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if u.running >= maxConcurrentCommits || u.draining && u.running == 0 {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// end counts the end of a commit.
-func (u *usageCommitter) end() {
+// finishCommit counts the finishCommit of a commit.
+func (u *usageCommitter) finishCommit() {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if u.running--; u.draining && u.running == 0 {
@@ -139,7 +139,7 @@
 			return nil
 		case err == nil:
 			unknown++
-			if turn.Complete || unknown >= maxUnknownAnswers {
+			if turn.Complete || unknown >= maxUnknownTurnAttempts {
 				return errUnknownTurn
 			}
 			err = errUnknownTurn
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -39,7 +39,7 @@
 		}),
 		"no configuration":    func(f *fixture, _ *LoadBalancer) { f.views.routes.Store(nil) },
 		"not ready":           func(f *fixture, _ *LoadBalancer) { f.views.ready.Store(false) },
-		"the endpoint drains": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(servers("", "", model.Draining)) },
+		"the endpoint drains": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(endpointsAt("", "", model.Draining)) },
 		"the endpoint leaves": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(nil) },
 		"another version": func(_ *fixture, s *LoadBalancer) {
 			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v2"}, {Service: "engine", Current: "v2"}})
@@ -66,7 +66,7 @@
 	t.Helper()
 	// given a pending request
 	started, changed := make(chan struct{}), make(chan struct{})
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		text := ""
 		if head != "" {
 			text = sealedHead(200, request, head) + chunk(event(1, "one"))
@@ -74,7 +74,7 @@
 		_, _ = io.WriteString(socket, text)
 		close(started)
 		<-changed
-		if closedWithin(t, socket, breakOffTime) {
+		if closedWithin(t, socket, breakOffWait) {
 			t.Error("the proxy has closed its connection to the endpoint")
 		}
 		if head == "" {
@@ -85,7 +85,7 @@
 	})
 	loadBalancer := NewLoadBalancer("z", 1)
 	address := e.listener.Addr().String()
-	loadBalancer.SetEndpoints(servers(address, address, model.Ready))
+	loadBalancer.SetEndpoints(endpointsAt(address, address, model.Ready))
 	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, e)
 	c := f.dial()
 	target, want := "/safe/x", "complete"
@@ -98,14 +98,14 @@
 	change(f, loadBalancer)
 	close(changed)
 	// then the request is answered completely
-	if got := c.read("POST"); got.status != 200 || got.body != want || got.err != nil {
+	if got := c.readResponse("POST"); got.status != 200 || got.body != want || got.err != nil {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// breakOffTime is how long a response waits after a change: a request that the change breaks off has ended by then, while one that were
+// breakOffWait is how long a response waits after a change: a request that the change breaks off has ended by then, while one that were
 // answered at once could complete before.
-const breakOffTime = 50 * time.Millisecond
+const breakOffWait = 50 * time.Millisecond
 
 // closedWithin reports whether the other end of a connection, which sends nothing, closes it within a time.
 func closedWithin(t *testing.T, socket net.Conn, within time.Duration) bool {
@@ -120,8 +120,8 @@
 	return !errors.Is(readErr, os.ErrDeadlineExceeded)
 }
 
-// servers returns an endpoint of each service, with the addresses given.
-func servers(plain, engine string, state model.EndpointState) []model.Endpoint {
+// endpointsAt returns an endpoint of each service, with the addresses given.
+func endpointsAt(plain, engine string, state model.EndpointState) []model.Endpoint {
 	return []model.Endpoint{
 		{ID: "p", Service: "plain", Address: plain, Zone: "z", Capacity: 8, Version: "v1", State: state},
 		{ID: "g", Service: "engine", Address: engine, Zone: "z", Capacity: 8, Version: "v1", State: state},
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -13,7 +13,7 @@
 )
 
 // echoBody answers with the request's own body.
-func echoBody(socket net.Conn, request received) bool {
+func echoBody(socket net.Conn, request receivedRequest) bool {
 	return respondWith(200, request.body)(socket, request)
 }
 
@@ -26,7 +26,7 @@
 	}
 	c.send(text)
 	for i := range 5 {
-		got := c.read("POST")
+		got := c.readResponse("POST")
 		if got.status != 200 || got.body != fmt.Sprint("b", i) || got.header.Get("X-Attempt-Id") != fmt.Sprint("id", i) {
 			t.Errorf("answer %d: %+v", i, got)
 		}
@@ -42,7 +42,7 @@
 		c.send(chunk(part))
 	}
 	c.send(lastChunk)
-	if got := c.read("POST"); got.body != "one two three" {
+	if got := c.readResponse("POST"); got.body != "one two three" {
 		t.Errorf("got %+v", got)
 	}
 	request := <-e.requests
@@ -50,7 +50,7 @@
 		t.Errorf("the endpoint got %v", request.header)
 	}
 	c.request("GET", "/once/x", "id2", "")
-	if got := c.read("GET"); got.status != 200 {
+	if got := c.readResponse("GET"); got.status != 200 {
 		t.Errorf("next request on the connection: %+v", got)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	_, _ = c.reader.ReadString('\n')
 	c.send("body")
-	if got := c.read("POST"); got.status != 200 || got.body != "body" {
+	if got := c.readResponse("POST"); got.status != 200 || got.body != "body" {
 		t.Errorf("got %+v", got)
 	}
 	if request := <-e.requests; request.header.Get("Expect") != "" {
@@ -116,14 +116,14 @@
 }
 
 func TestHTTP10Client_ResponseBreaksOff_SeesReset(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	c.send("GET /stream/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n")
-	if got := c.read("GET"); got.err == nil {
+	if got := c.readResponse("GET"); got.err == nil {
 		t.Errorf("the answer looks complete: %+v", got)
 	}
 }
@@ -135,7 +135,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
-			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
 				<-read
 				end(socket)
@@ -144,7 +144,7 @@
 			f := newFixture(t, e)
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
-			response := c.head("GET")
+			response := c.readHead("GET")
 			_, _ = io.ReadFull(response.Body, make([]byte, len("some bytes")))
 			close(read)
 			_, err := io.ReadAll(response.Body)
@@ -192,7 +192,7 @@
 	}
 	status := func(c *client, headerBytes, bodyBytes int) int {
 		c.request("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
-		return c.read("POST").status
+		return c.readResponse("POST").status
 	}
 	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
 	narrow := model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
@@ -233,7 +233,7 @@
 	}
 	idle := f.dial()
 	idle.request("GET", "/once/x", "id", "")
-	if got := idle.read("GET"); got.status != 200 {
+	if got := idle.readResponse("GET"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 	if !idle.closedSilently() {
@@ -242,7 +242,7 @@
 }
 
 func TestClient_ReadsNothing_DoesNotOccupyEndpoint(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead))
 		for {
 			if _, err := io.WriteString(socket, chunk(event(1, strings.Repeat("x", 64<<10)))); err != nil {
