--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// errAttemptTimeout is the cause of the end of an attempt that its selection's timeout abandoned.
-var errAttemptTimeout = errors.New("attempt timed out")
+// errAttemptTimeout is the cause with which an attempt's context is cancelled at its selection's timeout.
+var errAttemptTimeout = errors.New("attempt exceeded its timeout")
 
 // attempt is one send of a request to one endpoint.
 type attempt struct {
@@ -19,14 +19,14 @@
 	started      time.Time
 	context      context.Context
 	cancel       context.CancelCauseFunc // nil: there is no timeout
-	timer        *time.Timer             // nil: there is none, or it was stopped
+	timer        *time.Timer             // nil: there is no timeout, or it was stopped
 	outcome      Outcome
 	response     *upstream.Response
-	eventsBefore int64 // events that the client had from earlier attempts
-	reported     bool  // the selector has the outcome
+	eventsBefore int64 // events counted in earlier attempts
+	reported     bool  // the selector has been given the outcome
 }
 
-// sendAttempt sends the request to one endpoint. It returns true when the request is to be retried.
+// sendAttempt selects an endpoint, sends the request to it and handles the response. It returns true if the request is to be retried.
 func (c *clientRequest) sendAttempt() (retry bool) {
 	selection, err := c.proxy.options.Selector.Select(c.context, &c.info)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return c.handleResponse(a)
 }
 
-// finishAttempt closes what belongs to an attempt and reports its outcome to the selector, once.
+// finishAttempt releases the resources of an attempt and reports its outcome to the selector. Further calls do nothing.
 func (c *clientRequest) finishAttempt(a *attempt) {
 	if a.reported {
 		return
@@ -66,7 +66,7 @@
 	c.proxy.options.Selector.Done(a.selection, a.outcome)
 }
 
-// startTimeout makes an attempt end after its selection's timeout.
+// startTimeout makes the attempt's context end at its selection's timeout.
 func (c *clientRequest) startTimeout(a *attempt) {
 	a.context = c.context
 	if a.selection.Timeout <= 0 {
@@ -76,8 +76,8 @@
 	a.timer = time.AfterFunc(a.selection.Timeout, func() { a.cancel(errAttemptTimeout) })
 }
 
-// stopTimeout ends the attempt's timeout, as its response begins to go to the client. It returns false where the timeout has
-// fired already: then nothing of the response may go out, as the rest of it won't come.
+// stopTimeout stops the attempt's timeout when its response starts to be forwarded. It returns false if the timeout has already fired:
+// the rest of the response will not arrive, so none of it may be forwarded.
 func (a *attempt) stopTimeout() bool {
 	timer := a.timer
 	if timer == nil {
@@ -91,7 +91,7 @@
 	return false
 }
 
-// upstreamEndpoint returns a selection in the form that the pool takes.
+// upstreamEndpoint converts a selection to the pool's type.
 func upstreamEndpoint(selection Selection) upstream.Endpoint {
 	return upstream.Endpoint{
 		ID:             selection.ID,
@@ -101,7 +101,7 @@
 	}
 }
 
-// attemptRequest returns the request with the header fields of this attempt.
+// attemptRequest returns the upstream request with the header fields of this attempt.
 func (c *clientRequest) attemptRequest(selection Selection) *upstream.Request {
 	fields := append(c.upstream.AttemptFields[:0],
 		upstream.Field{Name: headerExpectedServer, Value: selection.ID},
@@ -114,7 +114,7 @@
 	return &c.upstream
 }
 
-// lastEventID returns the id of the last event that the client has, from this response or from an earlier one.
+// lastEventID returns the id of the last event that the client has received, in this response or in an earlier one.
 func (c *clientRequest) lastEventID() string {
 	if c.scanner.lastID != "" {
 		return c.scanner.lastID
@@ -122,7 +122,7 @@
 	return firstValue(c.request.Header, headerLastEventID)
 }
 
-// handleResponse decides by the head of a response whether it is forwarded, or the request retried.
+// handleResponse decides from the head of a response whether to forward it or to retry the request.
 func (c *clientRequest) handleResponse(a *attempt) (retry bool) {
 	header := a.response.Header
 	a.outcome.Status = a.response.Status
@@ -143,13 +143,13 @@
 	return c.forwardResponse(a)
 }
 
-// provesNotRun reports whether a response says that the endpoint did not run the request and never will.
+// provesNotRun reports whether a response states that the endpoint did not run the request and never will.
 func provesNotRun(response *upstream.Response) bool {
 	_, notRun := response.Header[headerNotRun]
 	return notRun || response.Status == http.StatusMisdirectedRequest
 }
 
-// mayForward reports whether a response may go to the client as it is.
+// mayForward reports whether a response may be forwarded to the client unchanged.
 func (c *clientRequest) mayForward(response *upstream.Response) bool {
 	if firstValue(response.Header, headerServerSeal) == "" || response.Status == http.StatusSwitchingProtocols {
 		return false
@@ -160,7 +160,7 @@
 	return retryable(c.info.Route) || !impliesNotRun(response.Status)
 }
 
-// impliesNotRun reports whether clients read a status as a promise that the request has not run.
+// impliesNotRun reports whether clients interpret a status as a guarantee that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
@@ -170,8 +170,8 @@
 	return false
 }
 
-// drainBufferedBody reads the rest of a response that has come already, so that its connection can be kept. It doesn't wait: an endpoint
-// that has said that it won't run a request must not delay it.
+// drainBufferedBody discards a response body that has been received completely, so that the connection can be reused. It does not wait
+// for the rest of a body: an endpoint that won't run a request must not delay it.
 func drainBufferedBody(response *upstream.Response) {
 	if response.Complete() {
 		return
--- a/internal/tier/proxy/clientconn.go
+++ b/internal/tier/proxy/clientconn.go
@@ -9,17 +9,17 @@
 	"mastusher/internal/tier/network"
 )
 
-// clientConn is a connection of a client. It knows whether a request has begun on it, so that a shutdown closes it
-// only while none of a request's bytes have been read.
+// clientConn is a client's connection. It records whether a request has begun on it, so that a shutdown closes it only while no byte
+// of a request has been read.
 type clientConn struct {
 	network.TCPConn
 
-	mutex   sync.Mutex // guards all below
-	idle    bool       // no byte of a next request has been read
-	closing bool       // no further request is to be read
+	mutex   sync.Mutex // guards the fields below
+	idle    bool       // no byte of the next request has been read
+	closing bool       // no further request may be read
 }
 
-// Read reads from the client. Once the connection is closing, it gives out no first bytes of a request.
+// Read reads from the client. While the connection is closing, it does not return the first bytes of a request.
 func (c *clientConn) Read(buffer []byte) (int, error) {
 	n, err := c.TCPConn.Read(buffer)
 	if n == 0 {
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-// setResetOnClose makes every close of the connection a reset, or takes that back.
+// setResetOnClose makes every close of the connection a reset, or restores the default.
 func (c *clientConn) setResetOnClose(on bool) {
 	seconds := -1
 	if on {
@@ -43,7 +43,7 @@
 	_ = c.TCPConn.SetLinger(seconds)
 }
 
-// responseSent records that a response has gone out and the next request may come.
+// responseSent records that a response has been sent and the next request may arrive.
 func (c *clientConn) responseSent() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// closeWhenIdle closes the connection if no request has begun on it, and else once its response has gone out.
+// closeWhenIdle closes the connection if no request has begun on it, or otherwise once the response has been sent.
 func (c *clientConn) closeWhenIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// beginRequest records that a request has been read. It returns false if the connection was closed before: the library may have
-// had the request in its buffer already, and then no byte of it has passed Read.
+// beginRequest records that a request has been read. It returns false if the connection has already been closed. That happens to a
+// request that net/http had buffered along with the previous one: none of its bytes passed through Read.
 func (c *clientConn) beginRequest() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,15 +75,15 @@
 	return true
 }
 
-// clientConnKey finds the clientConn in a request's context.
+// clientConnKey is the key of the clientConn in a request's context.
 type clientConnKey struct{}
 
-// withClientConn is a server's ConnContext.
+// withClientConn is the ConnContext hook of a server.
 func withClientConn(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, connection)
 }
 
-// clientConnOf returns the connection that a request came on, or nil.
+// clientConnOf returns the connection on which a request arrived, or nil.
 func clientConnOf(r *http.Request) *clientConn {
 	connection, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return connection
--- a/internal/tier/proxy/connlistener.go
+++ b/internal/tier/proxy/connlistener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// connListener is a net.Listener whose connections are delivered by the frontend.
+// connListener is a net.Listener that returns the connections passed to deliver.
 type connListener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -13,12 +13,12 @@
 	once    sync.Once
 }
 
-// newConnListener returns a listener with the address of the frontend's.
+// newConnListener returns a listener with the address of the frontend's listener.
 func newConnListener(address net.Addr) *connListener {
 	return &connListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// deliver hands a connection to the server. It returns false if that has been shut down.
+// deliver passes a connection to Accept. It returns false if the listener is closed.
 func (l *connListener) deliver(connection net.Conn) bool {
 	select {
 	case l.conns <- connection:
@@ -28,7 +28,7 @@
 	}
 }
 
-// Accept returns the next connection.
+// Accept returns the next delivered connection.
 func (l *connListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-l.conns:
@@ -38,7 +38,7 @@
 	}
 }
 
-// Close makes Accept return.
+// Close makes Accept and deliver return.
 func (l *connListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -10,16 +10,16 @@
 	"mastusher/internal/tier/apierror"
 )
 
-// The Retry-After of a rejection that has no time of its own. Where the control plane or the stores have no leader, the next
-// election takes some hundred ms: a client that came back sooner would spend one of its few attempts for nothing.
+// Retry-After of rejections that do not set one. If the control plane or the program stores have no leader, the next election takes
+// some hundred ms: a client that retried sooner would waste one of its few attempts.
 const (
 	retryAfterDefault  = 100 * time.Millisecond
 	retryAfterElection = 450 * time.Millisecond
-	retryAfterFull     = time.Second // stores make room as what they keep expires
-	retryJitter        = 0.3         // of it more, at most, so that clients don't come back at once
+	retryAfterFull     = time.Second // stores free space as their data expires
+	retryJitter        = 0.3         // maximum fraction added, so that clients don't all retry at the same time
 )
 
-// defaultRetryAfter returns the Retry-After of a kind whose rejection has no time of its own.
+// defaultRetryAfter returns the Retry-After of a kind for rejections that do not set one.
 func defaultRetryAfter(kind apierror.Kind) time.Duration {
 	switch kind {
 	case apierror.NotReady, apierror.StateUnavailable:
@@ -30,8 +30,8 @@
 	return retryAfterDefault
 }
 
-// writeError writes an error response of the proxy's own, by the table of kinds. It carries no seal. A retryAfter of 0 is replaced
-// by the default where the kind has one.
+// writeError writes the proxy's own error response for a kind, without a seal. A retryAfter of 0 is replaced by the default if
+// responses of this kind have a Retry-After.
 func writeError(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
 	response := kind.Response()
 	text := kind.String() + "\n"
@@ -52,7 +52,7 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// writeError ends the request with an error response, and counts it.
+// writeError ends the request with an error response and counts it.
 func (c *clientRequest) writeError(kind apierror.Kind, retryAfter time.Duration) {
 	c.answeredLocally = true
 	c.proxy.rejections.add(kind)
@@ -60,8 +60,8 @@
 	writeError(c.writer, kind, retryAfter)
 }
 
-// abortConnection breaks off the client's connection: the client sees a close without a response, or an incomplete one. It
-// doesn't return.
+// abortConnection aborts the client's connection: the client sees it close without a response, or with an incomplete one. It does not
+// return.
 func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -5,29 +5,30 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event: an endpoint that sends bytes which are no events must not fill the memory.
+// maxEventBytes bounds the size of one event, so that an endpoint whose bytes are not events cannot exhaust memory.
 const maxEventBytes = 1 << 20
 
-// eventScanner parses a text/event-stream as its bytes come. It withholds the bytes of an event until that is complete, counts
-// the events, keeps the last id, and collects their data if asked to.
+// eventScanner parses a text/event-stream as its bytes arrive. It withholds the bytes of an event until the event is complete, counts
+// the events, and records the last id and, if collect is set, their data.
 type eventScanner struct {
 	collect       bool
-	output        []byte // the data of each complete event with a line feed behind
+	output        []byte // data of the events, each line followed by a line feed
 	count         int64  // complete events that have data or an id
 	lastID        string
-	lastWithoutID bool // the last event with data had no id: it is unknown where the stream could be resumed
-	resumed       bool // the stream was resumed at another endpoint: its events must have higher ids than the last one
-	unforwardable bool // what comes can't be forwarded: an event that may be a duplicate, or one without end
+	lastWithoutID bool // the last event with data had no id, so it is unknown where the stream could be resumed
+	resumed       bool // the stream was resumed at another endpoint: its events must have higher ids than lastID
+	unforwardable bool // the rest must not be forwarded: the current event may be a duplicate, or exceeds maxEventBytes
 
 	pending      []byte // bytes not yet forwarded
-	scannedBytes int    // bytes of pending that belong to lines already parsed
-	hasData      bool   // of the event being read
+	scannedBytes int    // bytes of pending in lines already parsed
+	hasData      bool   // of the current event
 	hasID        bool
 	id           string
-	dataStart    int // where the data of the event being read begins in output
+	dataStart    int // offset in output of the current event's data
 }
 
-// feed takes the next bytes and returns those that may be forwarded: complete events. They are valid until the next call.
+// feed parses the next bytes and returns the complete events, which may be forwarded. The returned bytes are valid until the next
+// call.
 func (s *eventScanner) feed(chunk []byte) []byte {
 	if len(s.pending) > 0 {
 		s.pending = append(s.pending, chunk...)
@@ -36,16 +37,16 @@
 	return s.scan(chunk)
 }
 
-// scan reads the lines in buffer from the scanned ones on. What follows the last complete event becomes pending.
+// scan parses the lines of buffer from scannedBytes on. The bytes after the last complete event become pending.
 func (s *eventScanner) scan(buffer []byte) []byte {
 	complete := 0
 	for {
-		feed := bytes.IndexByte(buffer[s.scannedBytes:], '\n')
-		if feed < 0 {
+		lineFeed := bytes.IndexByte(buffer[s.scannedBytes:], '\n')
+		if lineFeed < 0 {
 			break
 		}
-		line := buffer[s.scannedBytes : s.scannedBytes+feed]
-		s.scannedBytes += feed + 1
+		line := buffer[s.scannedBytes : s.scannedBytes+lineFeed]
+		s.scannedBytes += lineFeed + 1
 		line = bytes.TrimSuffix(line, []byte{'\r'})
 		if len(line) > 0 {
 			s.processLine(line)
@@ -62,7 +63,7 @@
 	return buffer[:complete]
 }
 
-// keepPending keeps the bytes from complete on. They are copied, so that the returned ones stay valid too.
+// keepPending makes the bytes of buffer from complete on pending. It copies them, so that the returned events stay valid too.
 func (s *eventScanner) keepPending(buffer []byte, complete int) {
 	s.scannedBytes -= complete
 	rest := buffer[complete:]
@@ -77,7 +78,7 @@
 	s.pending = append(make([]byte, 0, len(rest)+256), rest...)
 }
 
-// isDuplicate reports whether the event that has just been read may be one that the client got before the stream was resumed.
+// isDuplicate reports whether the current event may be one that the client received before the stream was resumed.
 func (s *eventScanner) isDuplicate() bool {
 	if !s.resumed || !s.hasID && !s.hasData {
 		return false
@@ -85,7 +86,7 @@
 	return !s.hasID || !isHigherID(s.id, s.lastID)
 }
 
-// isHigherID reports whether an id is above another one. Of ids that aren't both numbers it is known only that equal ones aren't.
+// isHigherID reports whether an id is higher than another one. Unless both are numbers, any different id counts as higher.
 func isHigherID(id, than string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -95,13 +96,13 @@
 	return err != nil || a > b
 }
 
-// The fields of an event that matter here; see the WHATWG's HTML standard, section 9.2 (server-sent events).
+// The event fields that are parsed; see the WHATWG HTML standard, section 9.2 (server-sent events).
 var (
 	dataField = []byte("data")
 	idField   = []byte("id")
 )
 
-// processLine takes one line of an event: a field, or a comment, which has no name.
+// processLine parses one line of an event: a field, or a comment, whose field name is empty.
 func (s *eventScanner) processLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -117,8 +118,7 @@
 	}
 }
 
-// endEvent takes the blank line that ends an event. Lines of data are joined by line feeds, and one stands behind them, so
-// output is complete already.
+// endEvent completes the current event. output already holds its data, with a line feed after each line.
 func (s *eventScanner) endEvent() {
 	if s.hasData || s.hasID {
 		s.count++
@@ -132,11 +132,11 @@
 	s.dataStart = len(s.output)
 }
 
-// insideEvent reports whether an event has begun and not ended.
+// insideEvent reports whether an event has begun but not ended.
 func (s *eventScanner) insideEvent() bool { return len(s.pending) > 0 || s.hasData || s.hasID }
 
-// finish takes the end of a complete stream: an event that no blank line ends is complete too. It returns the pending bytes; none
-// where the stream is unforwardable.
+// finish handles the end of a complete stream, at which an event without a closing blank line is complete too. It returns the pending
+// bytes, or none if the stream is unforwardable.
 func (s *eventScanner) finish() []byte {
 	if !s.insideEvent() {
 		return nil
@@ -154,7 +154,7 @@
 	return rest
 }
 
-// streamProgress is how much of a stream has gone to the client.
+// streamProgress is the state of an eventScanner after the events that have been forwarded.
 type streamProgress struct {
 	count         int64
 	lastID        string
@@ -162,18 +162,18 @@
 	dataStart     int
 }
 
-// progress returns what rewind takes the scanner back to.
+// progress returns the state that rewind restores.
 func (s *eventScanner) progress() streamProgress {
 	return streamProgress{count: s.count, lastID: s.lastID, lastWithoutID: s.lastWithoutID, dataStart: s.dataStart}
 }
 
-// rewind forgets the events since then, which were not forwarded, and the one being read.
+// rewind discards the events parsed since progress was called, which were not forwarded, and the current one.
 func (s *eventScanner) rewind(to streamProgress) {
 	s.count, s.lastID, s.lastWithoutID, s.dataStart = to.count, to.lastID, to.lastWithoutID, to.dataStart
 	s.restart()
 }
 
-// restart forgets an event that was broken off, before the stream is resumed at another endpoint.
+// restart discards an interrupted event before the stream is resumed at another endpoint.
 func (s *eventScanner) restart() {
 	s.pending, s.scannedBytes = nil, 0
 	s.hasData, s.hasID = false, false
--- a/internal/tier/proxy/frontend.go
+++ b/internal/tier/proxy/frontend.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// netHTTPHeaderSlop is what net/http adds to a limit on the header's size.
+	// netHTTPHeaderSlop is what net/http adds to MaxHeaderBytes.
 	netHTTPHeaderSlop = 4 << 10
-	// acceptBackoff is how long no connection is taken after the system could not give one.
+	// acceptBackoff is the pause after a transient error of Accept.
 	acceptBackoff = 10 * time.Millisecond
-	// defaultWriteTimeout bounds the writing of a response that has no deadline of its own.
+	// defaultWriteTimeout bounds the writing of a response without a deadline of its own.
 	defaultWriteTimeout = 10 * time.Second
-	// finalResponsesTimeout is for the error responses to requests that are abandoned in a shutdown.
+	// finalResponsesTimeout bounds the sending of error responses to the requests that a shutdown abandons.
 	finalResponsesTimeout = 150 * time.Millisecond
 )
 
@@ -38,10 +38,10 @@
 	idleTimeout   time.Duration
 }
 
-// defaultLimits hold until a configuration is known.
+// defaultLimits apply until a configuration is known.
 var defaultLimits = clientLimits{headerBytes: 16 << 10, headerTimeout: 3 * time.Second, idleTimeout: 15 * time.Second}
 
-// limitsFrom reads the limits of a configuration.
+// limitsFrom returns the limits of a configuration, with the defaults for those that it does not set.
 func limitsFrom(configured model.Limits) clientLimits {
 	l := defaultLimits
 	if configured.MaxHeaderBytes > 0 {
@@ -56,8 +56,8 @@
 	return l
 }
 
-// frontend takes the connections of clients. The library reads a server's limits without a lock, so each set of limits has a
-// server of its own; a connection stays with the one that it began at.
+// frontend accepts connections of clients. net/http reads the limits of a server without a lock, so each set of limits has a server of
+// its own; a connection stays with the server that accepted it.
 type frontend struct {
 	listener       net.Listener
 	handler        http.Handler
@@ -65,19 +65,19 @@
 	maxConnections int
 	errorLog       *log.Logger
 	baseContext    context.Context    // parent of each request's context
-	cancelRequests context.CancelFunc // ends it: each request gets an error response at once, or its response is broken off
-	serving        sync.WaitGroup     // the goroutines of the generations
+	cancelRequests context.CancelFunc // cancels baseContext: each request gets an error response, or its response is aborted
+	serving        sync.WaitGroup     // goroutines of the generations
 
-	mutex     sync.Mutex // guards all below, and the generations' counts
+	mutex     sync.Mutex // guards the fields below, and the generations' counts
 	current   *serverGeneration
-	retired   []*serverGeneration // with connections left
+	retired   []*serverGeneration // earlier generations that may have connections left
 	clients   map[*clientConn]struct{}
 	closed    bool
 	allClosed chan struct{} // closed once closed is set and no connection is left
 }
 
-// serverGeneration is a server for one set of limits. Its goroutine accepts from listener until that is closed: by the next generation,
-// or by shutdown, which waits for it.
+// serverGeneration is a server for one set of limits. Its goroutine accepts connections from listener until the next generation or a
+// shutdown closes the listener; the shutdown waits for the goroutine.
 type serverGeneration struct {
 	limits      clientLimits
 	server      *http.Server
@@ -85,12 +85,13 @@
 	connections int
 }
 
-// newFrontend returns a frontend that takes no connections until serve is called. current gives the limits of each new connection.
-func newFrontend(listener net.Listener, handler http.Handler, current func() clientLimits, options Options) *frontend {
+// newFrontend returns a frontend that accepts no connections until serve is called. currentLimits returns the limits of a new
+// connection.
+func newFrontend(listener net.Listener, handler http.Handler, currentLimits func() clientLimits, options Options) *frontend {
 	f := &frontend{
 		listener:       listener,
 		handler:        handler,
-		currentLimits:  current,
+		currentLimits:  currentLimits,
 		maxConnections: options.MaxClientConnections,
 		errorLog:       log.New(io.Discard, "", 0),
 		clients:        make(map[*clientConn]struct{}),
@@ -103,12 +104,12 @@
 	return f
 }
 
-// serve takes connections until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (f *frontend) serve() error {
 	for {
 		connection, err := f.listener.Accept()
 		if err != nil {
-			if isResourceExhausted(err) {
+			if isTransientAcceptError(err) {
 				time.Sleep(acceptBackoff)
 				continue
 			}
@@ -118,13 +119,13 @@
 	}
 }
 
-// isResourceExhausted reports whether an accept failed for what may be over in a moment.
-func isResourceExhausted(err error) bool {
+// isTransientAcceptError reports whether Accept failed for a reason that may pass soon.
+func isTransientAcceptError(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// assign gives a connection to the server for the current limits.
+// assign passes a connection to the server for the current limits.
 func (f *frontend) assign(client *clientConn) {
 	current := f.admit(client)
 	if current == nil {
@@ -137,7 +138,7 @@
 	}
 }
 
-// admit counts a new connection and returns its server; nil if it isn't to be taken.
+// admit counts a new connection and returns its server, or nil if the connection must be refused.
 func (f *frontend) admit(client *clientConn) *serverGeneration {
 	desired := f.currentLimits()
 	f.mutex.Lock()
@@ -153,7 +154,7 @@
 	return f.current
 }
 
-// remove takes a connection that has ended out of the count.
+// remove stops counting a connection that has ended.
 func (f *frontend) remove(g *serverGeneration, client *clientConn) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// startGeneration starts a server for other limits. The caller holds the mutex.
+// startGeneration starts a server for new limits. The caller must hold the mutex.
 func (f *frontend) startGeneration(desired clientLimits) {
 	f.retireGeneration()
 	g := &serverGeneration{limits: desired, listener: newConnListener(f.listener.Addr())}
@@ -195,8 +196,7 @@
 	f.serving.Go(func() { _ = g.server.Serve(g.listener) })
 }
 
-// retireGeneration makes the current server an old one, and forgets the old ones that have no connection left. The caller holds the
-// mutex.
+// retireGeneration retires the current server and discards the retired ones without connections. The caller must hold the mutex.
 func (f *frontend) retireGeneration() {
 	if f.current != nil {
 		f.current.listener.Close()
@@ -205,10 +205,10 @@
 	f.retired = slices.DeleteFunc(f.retired, func(g *serverGeneration) bool { return g.connections == 0 })
 }
 
-// shutdown closes the listener and the connections without a request, and waits until the pending requests have got their
-// responses and their connections have ended. What is pending when the context ends is abandoned. The library's own Shutdown
-// isn't used: it takes a kept connection for idle until the complete head of its next request has been read, and closes it in
-// the middle. Each phase is logged.
+// shutdown closes the listener and the idle connections, and waits until the pending requests have been answered and their connections
+// have ended. Requests that are pending when the context ends are abandoned. http.Server.Shutdown isn't used: it treats a kept-alive
+// connection as idle until the complete head of its next request has been read, and so closes it while that head arrives. Each phase
+// is logged.
 func (f *frontend) shutdown(ctx context.Context, logPhase func(message string)) error {
 	f.listener.Close()
 	generations, clients := f.close()
@@ -232,14 +232,14 @@
 	return failure
 }
 
-// connections returns how many connections of clients are open.
+// connections returns the number of open connections of clients.
 func (f *frontend) connections() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.clients)
 }
 
-// awaitAllClosed returns nil once no connection is left and none will come, or the context's error.
+// awaitAllClosed returns nil once the frontend is closed and no connection is left, or the context's error if the context ends first.
 func (f *frontend) awaitAllClosed(ctx context.Context) error {
 	select {
 	case <-f.allClosed:
@@ -249,7 +249,7 @@
 	}
 }
 
-// close stops admitting connections, and returns what there is.
+// close stops admitting connections, and returns all generations and connections.
 func (f *frontend) close() ([]*serverGeneration, []*clientConn) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -262,7 +262,7 @@
 	return generations, slices.Collect(maps.Keys(f.clients))
 }
 
-// signalIfAllClosed closes allClosed once the last connection has ended and none will come. The caller holds the mutex.
+// signalIfAllClosed closes allClosed if the frontend is closed and no connection is left. The caller must hold the mutex.
 func (f *frontend) signalIfAllClosed() {
 	if !f.closed || len(f.clients) > 0 {
 		return
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// Header fields of the protocol, in the form that net/http keeps them in.
+// Header fields of the protocol, in canonical form, and the cookie of the subject.
 const (
 	headerTimeLeft       = upstream.TimeLeftHeader
 	headerExpectedServer = "X-Expected-Server"
@@ -31,7 +31,7 @@
 	subjectCookie        = "X-Subject"
 )
 
-// isHopByHop reports whether a field concerns only one connection (RFC 9110 section 7.6.1). Content-Length and Host are framed
+// isHopByHop reports whether a field applies to one connection only (RFC 9110 section 7.6.1). Content-Length and Host are written
 // anew; Expect has been answered by the time a body is forwarded.
 func isHopByHop(name string) bool {
 	switch name {
@@ -42,12 +42,12 @@
 	return false
 }
 
-// isPerAttempt reports whether each attempt sets the field anew.
+// isPerAttempt reports whether a field is set anew for each attempt.
 func isPerAttempt(name string) bool {
 	return name == headerTimeLeft || name == headerExpectedServer || name == headerPriority || name == headerLastEventID
 }
 
-// connectionOptions returns the fields that a Connection header names as concerning that connection only.
+// connectionOptions returns the fields that a Connection header lists as applying to that connection only.
 func connectionOptions(header http.Header) []string {
 	var named []string
 	for _, value := range header["Connection"] {
@@ -61,7 +61,7 @@
 	return named
 }
 
-// appendForwardedFields appends the header lines of a request that go to every endpoint.
+// appendForwardedFields appends the header lines of a request that every endpoint gets.
 func appendForwardedFields(buffer []byte, header http.Header) []byte {
 	named := connectionOptions(header)
 	for name, values := range header {
@@ -75,7 +75,8 @@
 	return buffer
 }
 
-// copyResponseHeader copies the fields of an endpoint's response that go to the client, and keeps the library from adding any.
+// copyResponseHeader copies the fields of an endpoint's response that are forwarded to the client, and keeps net/http from adding Date
+// and Content-Type.
 func copyResponseHeader(to, from http.Header) {
 	named := connectionOptions(from)
 	for name, values := range from {
@@ -90,7 +91,7 @@
 	}
 }
 
-// firstValue returns the firstValue value of a field whose name is in canonical form.
+// firstValue returns the first value of a field, or an empty string. The name must be in canonical form.
 func firstValue(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
@@ -98,7 +99,7 @@
 	return ""
 }
 
-// parseMilliseconds reads a number of parseMilliseconds; false if there is none.
+// parseMilliseconds parses a number of milliseconds. It returns false if the value is missing or invalid.
 func parseMilliseconds(value string) (time.Duration, bool) {
 	if value == "" {
 		return 0, false
@@ -110,7 +111,7 @@
 	return time.Duration(number * float64(time.Millisecond)), true
 }
 
-// parseRetryAfter reads a Retry-After in parseRetryAfter, fractions too; 0 if there is none.
+// parseRetryAfter parses a Retry-After in seconds, with fractions. It returns 0 if the value is missing or invalid.
 func parseRetryAfter(value string) time.Duration {
 	if value == "" {
 		return 0
@@ -122,7 +123,7 @@
 	return time.Duration(number * float64(time.Second))
 }
 
-// parseTokenCounts reads X-Token-Counts: the tokens of the prompt and the most tokens to generate.
+// parseTokenCounts parses X-Token-Counts: the number of prompt tokens and the maximum number of output tokens.
 func parseTokenCounts(value string) (prompt, maxOutput int64) {
 	if value == "" {
 		return 0, 0
@@ -133,7 +134,7 @@
 	return max(prompt, 0), max(maxOutput, 0)
 }
 
-// subjectFromCookie returns the value of the cookie that names what a request is about.
+// subjectFromCookie returns the value of the X-Subject cookie, or an empty string.
 func subjectFromCookie(header http.Header) string {
 	for _, line := range header["Cookie"] {
 		for pair := range strings.SplitSeq(line, ";") {
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -17,51 +17,51 @@
 )
 
 const (
-	// crossZonePenalty is the time that is worth spending so that a request doesn't leave its zone.
+	// crossZonePenalty is the extra latency worth accepting to keep a request in its zone.
 	crossZonePenalty = 15 * time.Millisecond
 	// defaultProxyCount is the number of proxies that share an endpoint's connections until SetProxies is called.
 	defaultProxyCount = 8
-	// minConnections is what a proxy may have to an endpoint in any case.
+	// minConnections is the minimum of a proxy's connections to an endpoint.
 	minConnections = 2
-	// timeoutFraction is the part of its time after which a client that closes is taken to have waited to its end.
+	// timeoutFraction is the fraction of a request's time after which a client that closes its connection is assumed to have timed out.
 	timeoutFraction = 0.9
 )
 
-// LoadBalancer is the Selector that decides by package balancer. It adds the clock, a lock, and the goroutines that wait in the
-// queues. It is safe for concurrent use.
+// LoadBalancer is the Selector built on package balancer. It adds the clock, a lock, and the goroutines that wait in the queues. It is
+// safe for concurrent use.
 type LoadBalancer struct {
 	now func() time.Duration
 
-	mutex    sync.Mutex // guards all below, and the balancer's own state
+	mutex    sync.Mutex // guards the fields below and the balancer's state
 	balancer *balancer.Balancer
 	queues   map[string]*balancer.Queue
-	waiting  map[uint64]*queuedWaiter // by the ID of the queued request
+	waiting  map[uint64]*queuedWaiter // by ID of the queued request
 	lastID   uint64
 	proxies  int
 }
 
-// attemptTicket is a selection's Ticket: the balancer's state of the attempt.
+// attemptTicket is the Ticket of a selection: the balancer's state of the attempt.
 type attemptTicket struct {
-	balancer *LoadBalancer
-	attempt  balancer.Attempt
-	timeLeft time.Duration
+	loadBalancer *LoadBalancer
+	attempt      balancer.Attempt
+	timeLeft     time.Duration
 }
 
-// Granted implements upstream.Permit: an endpoint that began to drain, or whose version was withdrawn, while a connection
-// was made must not get the request.
+// Granted implements upstream.Permit: an endpoint that began to drain, or whose version was withdrawn, while the connection was being
+// established must not get the request.
 func (t *attemptTicket) Granted() bool {
-	t.balancer.mutex.Lock()
-	defer t.balancer.mutex.Unlock()
-	return t.balancer.balancer.Eligible(&t.attempt)
+	t.loadBalancer.mutex.Lock()
+	defer t.loadBalancer.mutex.Unlock()
+	return t.loadBalancer.balancer.Eligible(&t.attempt)
 }
 
-// NewLoadBalancer returns a load balancer that knows no endpoint. The seed must differ from proxy to proxy.
+// NewLoadBalancer returns a load balancer without endpoints. Each proxy must use a different seed.
 func NewLoadBalancer(zone string, seed uint64) *LoadBalancer {
 	start := time.Now()
 	return newLoadBalancer(zone, seed, func() time.Duration { return time.Since(start) })
 }
 
-// newLoadBalancer is NewLoadBalancer with a clock of the caller's.
+// newLoadBalancer is NewLoadBalancer with the caller's clock.
 func newLoadBalancer(zone string, seed uint64, now func() time.Duration) *LoadBalancer {
 	return &LoadBalancer{
 		now:      now,
@@ -72,7 +72,7 @@
 	}
 }
 
-// SetEndpoints replaces the list of endpoints, which must not be changed afterwards.
+// SetEndpoints replaces the list of endpoints. The caller must not change the list afterwards.
 func (b *LoadBalancer) SetEndpoints(endpoints []model.Endpoint) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -80,7 +80,7 @@
 	b.dispatchAll()
 }
 
-// SetVersions replaces which versions of each service may take requests.
+// SetVersions replaces the versions of each service that may receive requests.
 func (b *LoadBalancer) SetVersions(versions []view.ServiceVersions) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -88,14 +88,14 @@
 	b.dispatchAll()
 }
 
-// SetProxies sets how many proxies, at least one, share the connections that an endpoint takes.
+// SetProxies sets the number of proxies, at least one, that share the connections that an endpoint accepts.
 func (b *LoadBalancer) SetProxies(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.proxies = max(count, 1)
 }
 
-// Select implements Selector. Where all endpoints are saturated, a request that surely hasn't run is queued for a part of its
+// Select implements Selector. If all endpoints are saturated, a request that has certainly not run is queued for a fraction of its
 // route's latency target.
 func (b *LoadBalancer) Select(ctx context.Context, info *RequestInfo) (Selection, error) {
 	b.mutex.Lock()
@@ -115,8 +115,8 @@
 	return b.await(ctx, id, waiter)
 }
 
-// selectNow asks for a decision without waiting, and counts the attempt as sent. Endpoints that rejected the request before get it only where no
-// other one takes it. The caller holds the mutex.
+// selectNow asks the balancer for a decision without waiting, and counts a selected attempt as sent. Endpoints that rejected the
+// request before are selected only if no other endpoint accepts it. The caller must hold the mutex.
 func (b *LoadBalancer) selectNow(info *RequestInfo) (result selectResult, saturated bool) {
 	now := b.now()
 	request := balancerRequest(info)
@@ -128,7 +128,7 @@
 	if decision.Endpoint == nil {
 		return selectResult{err: newRejectionError(decision.Rejection)}, decision.Rejection.Kind == balancer.Saturated
 	}
-	ticket := &attemptTicket{balancer: b, attempt: decision.Attempt, timeLeft: request.TimeLeft}
+	ticket := &attemptTicket{loadBalancer: b, attempt: decision.Attempt, timeLeft: request.TimeLeft}
 	b.balancer.Sent(now, &ticket.attempt)
 	selection := Selection{
 		ID:             decision.Endpoint.ID,
@@ -143,7 +143,7 @@
 	return selectResult{selection: selection}, false
 }
 
-// subtract returns the elements of a list that aren't in another one.
+// subtract returns the elements of list that are not in other.
 func subtract(list, other []string) []string {
 	var rest []string
 	for _, text := range list {
@@ -154,7 +154,7 @@
 	return rest
 }
 
-// newRejectionError converts a rejection of the balancer to the kind of error that the client gets.
+// newRejectionError converts a rejection of the balancer.
 func newRejectionError(rejection balancer.Rejection) *RejectionError {
 	kind := apierror.Overloaded
 	switch rejection.Kind {
@@ -166,7 +166,7 @@
 	return &RejectionError{Kind: kind, RetryAfter: rejection.RetryAfter}
 }
 
-// maxConnectionsPerEndpoint returns this proxy's share of the connections that an endpoint of a service takes; 0: no bound.
+// maxConnectionsPerEndpoint returns this proxy's share of the connections that an endpoint of a service accepts; 0: unlimited.
 func (b *LoadBalancer) maxConnectionsPerEndpoint(service *model.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
@@ -195,7 +195,8 @@
 	b.dispatchAll()
 }
 
-// outcomeKind converts an outcome to the balancer's kind. A client that closes when its time is nearly over counts as a timeout.
+// outcomeKind converts an outcome to the balancer's kind. A client that closes its connection shortly before the deadline counts as a
+// timeout.
 func outcomeKind(outcome Outcome, timeLeft time.Duration) balancer.OutcomeKind {
 	switch outcome.Result {
 	case Succeeded:
@@ -222,7 +223,7 @@
 	return balancer.IncompleteResponse
 }
 
-// balancerRequest returns what the balancer needs to know of a request.
+// balancerRequest converts a request to the balancer's type.
 func balancerRequest(info *RequestInfo) balancer.Request {
 	route := info.Route
 	prefix, own := promptTokens(info)
@@ -243,7 +244,7 @@
 	}
 }
 
-// affinityKey returns a hash of the program, session or subject that a request belongs to; 0: none.
+// affinityKey returns a hash of the program, session or subject of a request, whichever is set first; 0: none.
 func affinityKey(info *RequestInfo) uint64 {
 	for _, key := range []string{info.Program, info.Session, info.Subject} {
 		if key != "" {
@@ -253,8 +254,9 @@
 	return 0
 }
 
-// promptTokens returns the tokens of the shared prefix of a prompt, and those of its own end: the last element of X-Prompt-Prefix.
-func promptTokens(info *RequestInfo) (prefix, own int) {
+// promptTokens returns the number of tokens in the shared prefix of a prompt and in the suffix after it. The suffix is the last
+// element of X-Prompt-Prefix.
+func promptTokens(info *RequestInfo) (prefix, suffix int) {
 	if info.Prefix == "" {
 		return 0, int(info.PromptTokens)
 	}
@@ -264,13 +266,13 @@
 		if err != nil || tokens < 0 {
 			return 0, int(info.PromptTokens)
 		}
-		prefix += own
-		own = tokens
+		prefix += suffix
+		suffix = tokens
 	}
-	return prefix, own
+	return prefix, suffix
 }
 
-// parseLoad reads X-Server-Load: "running,queued,capacity". A malformed value is no report.
+// parseLoad parses X-Server-Load: "running,queued,capacity". A malformed value counts as no report.
 func parseLoad(value string) balancer.Load {
 	if value == "" {
 		return balancer.Load{}
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -11,25 +11,25 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// Options are the settings and dependencies of a Proxy. Views, Programs and Selector are required.
+// Options holds the settings and dependencies of a Proxy. Views, Programs and Selector are required.
 type Options struct {
 	FrontAddress     string // where clients connect, "host:port"
-	ReadinessAddress string // where the platform asks for readiness and metrics
+	ReadinessAddress string // where the platform queries readiness and metrics
 	Views            Views
 	Programs         Programs
 	Selector         Selector
 	Upstream         upstream.Options // of the connections to endpoints; its Network is replaced by the one below
-	Network          network.Network  // nil: the system's
+	Network          network.Network  // nil: the system's network
 
-	// MaxClientConnections bounds the connections of clients; 0: no bound. A connection over it is closed unread. A larger value
-	// serves more clients and takes more memory and descriptors.
+	// MaxClientConnections limits the connections of clients; 0: unlimited. A connection over the limit is closed unread. A larger
+	// value serves more clients, at the cost of memory and file descriptors.
 	MaxClientConnections int
-	// MaxOutage is the time after which an outage counts as a broken invariant in Checks; 0: never. A larger value reports fewer
-	// short outages, and long ones later. Above it requests are rejected as before: only the count and a log line come.
+	// MaxOutage is the duration after which an outage counts as a broken invariant in Checks; 0: never. A larger value reports fewer
+	// short outages, and long ones later. Exceeding it is only counted and logged: requests are rejected as before.
 	MaxOutage time.Duration
-	Checks    *invariant.Counter // nil: outages are counted nowhere
+	Checks    *invariant.Counter // nil: outages are not counted
 
-	Metrics *metrics.Metrics // served beside readiness; nil: the proxy's own
-	Logger  log.Logger       // of faults in the library or a handler, and of the phases of a shutdown; nil: none
+	Metrics *metrics.Metrics // served beside readiness; nil: New creates them
+	Logger  log.Logger       // of errors in net/http or a handler, error responses and the phases of a shutdown; nil: none
 	Now     func() time.Time // nil: the system's clock
 }
--- a/internal/tier/proxy/queue.go
+++ b/internal/tier/proxy/queue.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// maxQueued bounds the requests of one service that wait for capacity. A larger value rides out longer bursts, and makes
-	// the least urgent requests wait in vain in longer ones.
+	// maxQueued bounds the queued requests of one service. A larger value absorbs longer bursts; in bursts that are longer still, the
+	// least urgent requests wait and are rejected anyway.
 	maxQueued = 512
-	// minPollInterval is the shortest time after which a queued request polls for capacity by itself.
+	// minPollInterval is the shortest interval at which a queued request polls for capacity.
 	minPollInterval = 5 * time.Millisecond
 )
 
-// queuedWaiter is a goroutine that waits in Select until its request leaves the queue.
+// queuedWaiter is a goroutine that waits in Select for its queued request.
 type queuedWaiter struct {
 	info      *RequestInfo
 	expiresAt time.Duration     // when the request is rejected
-	result    chan selectResult // gets one result, when the request leaves the queue
+	result    chan selectResult // receives one result, when the request is selected or rejected
 }
 
-// selectResult is what Select returns.
+// selectResult is the result of Select.
 type selectResult struct {
 	selection Selection
 	err       error
 }
 
-// enqueue puts a request into its service's queue. A request that has waited long enough already is rejected. The caller holds
-// the mutex.
+// enqueue adds a request to its service's queue. A request whose queueing time is already over is rejected. The caller must hold the
+// mutex.
 func (b *LoadBalancer) enqueue(info *RequestInfo) (uint64, *queuedWaiter, *RejectionError) {
 	now := b.now()
 	arrivedAt := now - time.Since(info.ArrivedAt)
@@ -48,7 +48,7 @@
 	return entry.ID, waiter, nil
 }
 
-// queueFor returns the queue of a service, which it creates if necessary.
+// queueFor returns the queue of a service, and creates it if necessary.
 func (b *LoadBalancer) queueFor(service string) *balancer.Queue {
 	queue := b.queues[service]
 	if queue == nil {
@@ -63,8 +63,8 @@
 	return newRejectionError(b.balancer.Select(b.now(), balancerRequest(info)).Rejection)
 }
 
-// await returns the result of a queued request. It polls with a growing interval, as an endpoint's backoff may end without any
-// event, and when the request itself expires.
+// await returns the result of a queued request. It polls at growing intervals, since an endpoint's backoff may end without an event,
+// and once when the request expires.
 func (b *LoadBalancer) await(ctx context.Context, id uint64, waiter *queuedWaiter) (Selection, error) {
 	timer := time.NewTimer(nextPollDelay(waiter.expiresAt-b.now(), minPollInterval))
 	defer timer.Stop()
@@ -81,8 +81,8 @@
 	}
 }
 
-// nextPollDelay returns the time until the next poll of a request that expires in timeLeft: no longer than that, as it must be
-// rejected on time, and a full interval once it has expired.
+// nextPollDelay returns the delay until the next poll of a request that expires in timeLeft: at most timeLeft, so that the request is
+// rejected on time, and the full interval once it has expired.
 func nextPollDelay(timeLeft, interval time.Duration) time.Duration {
 	if timeLeft <= 0 {
 		return interval
@@ -90,15 +90,14 @@
 	return min(timeLeft, interval)
 }
 
-// poll dispatches a service's queue.
+// poll dispatches the queue of a service.
 func (b *LoadBalancer) poll(service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.dispatch(service)
 }
 
-// leaveQueue takes a request whose client has closed its connection out of its queue, and gives back a selection that it got
-// meanwhile.
+// leaveQueue removes a request whose context has ended from its queue, and releases the selection if one was made in the meantime.
 func (b *LoadBalancer) leaveQueue(ctx context.Context, id uint64, waiter *queuedWaiter) error {
 	b.mutex.Lock()
 	delete(b.waiting, id)
@@ -114,7 +113,7 @@
 	return context.Cause(ctx)
 }
 
-// dispatchAll dispatches all queues. The caller holds the mutex.
+// dispatchAll dispatches the queues of all services. The caller must hold the mutex.
 func (b *LoadBalancer) dispatchAll() {
 	if len(b.waiting) == 0 {
 		return
@@ -124,8 +123,8 @@
 	}
 }
 
-// dispatch selects endpoints for the queued requests of a service, the most urgent first, until one must wait on, and rejects those
-// that have expired. The caller holds the mutex.
+// dispatch selects endpoints for the queued requests of a service, the most urgent first, until there is no capacity for one, and then
+// rejects those that have expired. The caller must hold the mutex.
 func (b *LoadBalancer) dispatch(service string) {
 	queue := b.queues[service]
 	if queue == nil {
@@ -152,7 +151,7 @@
 	}
 }
 
-// resolve hands a waiter its result. The caller holds the mutex.
+// resolve sends a waiter its result. The caller must hold the mutex.
 func (b *LoadBalancer) resolve(id uint64, result selectResult) {
 	waiter := b.waiting[id]
 	delete(b.waiting, id)
--- a/internal/tier/proxy/rejections.go
+++ b/internal/tier/proxy/rejections.go
@@ -13,25 +13,25 @@
 	"mastusher/internal/tier/metrics"
 )
 
-// rejectionsInterval is the interval at which a proxy logs its own error responses.
+// rejectionsInterval is the interval at which the proxy's own error responses are logged.
 const rejectionsInterval = time.Second
 
-// outageRejectionsPerServed is the number of rejections for each served request above which a proxy is in an outage.
+// outageRejectionsPerServed is the number of rejected requests per served request above which a proxy is in an outage.
 const outageRejectionsPerServed = 3
 
-// rejectionCounter counts a proxy's own error responses by their kind, and detects outages.
+// rejectionCounter counts the proxy's own error responses by kind, and detects outages.
 type rejectionCounter struct {
 	mutex  sync.Mutex // guards counts, served and cause
 	counts map[apierror.Kind]int
 	served int
-	cause  error // of the last turn that the stores could not begin; nil: none since the last report
+	cause  error // last error of Programs.Begin; nil: none since the last report
 
 	metrics *metrics.Metrics
 
-	outage outage // used by the reporting goroutine only
+	outage outage // used only by the goroutine that reports
 }
 
-// newRejectionCounter returns a counter without counts; run reports them.
+// newRejectionCounter returns a counter without counts. run reports its counts.
 func newRejectionCounter(options *Options) *rejectionCounter {
 	return &rejectionCounter{
 		counts:  map[apierror.Kind]int{},
@@ -48,21 +48,21 @@
 	r.counts[kind]++
 }
 
-// addServed counts a request whose endpoint's response goes to the client.
+// addServed counts a request for which the response of an endpoint is forwarded.
 func (r *rejectionCounter) addServed() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.served++
 }
 
-// recordCause keeps why a turn could not be begun, for the next report.
+// recordCause keeps the error of Programs.Begin for the next report.
 func (r *rejectionCounter) recordCause(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cause = err
 }
 
-// takeCounts returns what was counted since the last call.
+// takeCounts returns the counts since its last call and resets them.
 func (r *rejectionCounter) takeCounts() (counts map[apierror.Kind]int, served int, cause error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -71,7 +71,7 @@
 	return counts, served, cause
 }
 
-// run reports at each interval until ctx ends. Proxy.Serve ends it and waits for it.
+// run reports at each interval until ctx ends. Proxy.Serve cancels ctx and waits for run to return.
 func (r *rejectionCounter) run(ctx context.Context, logger log.Logger) {
 	ticker := time.NewTicker(rejectionsInterval)
 	defer ticker.Stop()
@@ -85,7 +85,7 @@
 	}
 }
 
-// report logs the counts, if there are any, and checks whether an outage goes on.
+// report logs the counts, if there are any, and updates the outage.
 func (r *rejectionCounter) report(now time.Time, logger log.Logger) {
 	counts, served, cause := r.takeCounts()
 	r.outage.observe(now, counts[apierror.NotReady]+counts[apierror.StateUnavailable], served)
@@ -104,18 +104,18 @@
 	level.Info(logger).Log(fields...)
 }
 
-// outage is the time for which a proxy has rejected most requests because it lacks a view or the stores' answer.
+// outage tracks whether a proxy rejects most requests because it has no configuration, or no answer from the program stores.
 type outage struct {
-	limit  time.Duration // after which it breaks the invariant; 0: never
+	limit  time.Duration // duration after which an outage breaks the invariant; 0: never
 	checks *invariant.Counter
 
 	active   bool
 	since    time.Time
-	reported bool // that it breaks the invariant
+	reported bool // the current outage has been counted as breaking the invariant
 }
 
-// observe takes how many requests were rejected for that reason, and how many were served, since the last call. An interval
-// without any request doesn't show whether the outage goes on.
+// observe records how many requests were rejected for such a reason, and how many were served, since the last call. An interval
+// without requests does not show whether the outage continues.
 func (o *outage) observe(now time.Time, rejected, served int) {
 	if rejected+served == 0 {
 		return
@@ -127,8 +127,8 @@
 	if !o.active {
 		o.active, o.since = true, now
 	}
-	if lasts := now.Sub(o.since); o.limit > 0 && lasts > o.limit && !o.reported {
+	if duration := now.Sub(o.since); o.limit > 0 && duration > o.limit && !o.reported {
 		o.reported = true
-		o.checks.Violated(invariant.Recovery, "outage", lasts, "rejected", rejected, "served", served)
+		o.checks.Violated(invariant.Recovery, "outage", duration, "rejected", rejected, "served", served)
 	}
 }
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// writeGracePeriod is how long after its deadline a client may still take its response.
+	// writeGracePeriod is how long after a request's deadline its response may still be written.
 	writeGracePeriod = 150 * time.Millisecond
-	// defaultDeadline bounds a request for which neither client nor route sets a time.
+	// defaultDeadline bounds a request for which neither the client nor the route sets a limit.
 	defaultDeadline = 30 * time.Second
 	// maxPriority is the least urgent value of the Priority header.
 	maxPriority = 9
 )
 
-// clientRequest is one request of a client in progress. It belongs to the goroutine that serves it.
+// clientRequest is a client's request in progress. It belongs to the goroutine that serves the request.
 type clientRequest struct {
 	proxy        *Proxy
 	writer       http.ResponseWriter
@@ -33,21 +33,21 @@
 	body         *[]byte
 	headerFields *[]byte
 	priority     string
-	turn         *turn // nil: the request is none
+	turn         *turn // nil: the request is not a turn
 	scanner      eventScanner
 
-	mayHaveRunAttempts int           // sends that an endpoint may have run
-	neverSentAttempts  int           // selections that led to no send
-	notRunAttempts     int           // sends that the endpoint declared as not run
-	mayHaveRun         bool          // nothing promises that no endpoint ran the request
-	rejectionKind      apierror.Kind // why no endpoint took it, as far as nothing was sent
+	mayHaveRunAttempts int           // attempts that an endpoint may have run
+	neverSentAttempts  int           // attempts of which no byte was sent
+	notRunAttempts     int           // attempts that the endpoint declared as not run
+	mayHaveRun         bool          // an endpoint may have run the request
+	rejectionKind      apierror.Kind // kind of error response while no endpoint may have run the request
 	retryAfter         time.Duration
-	headerWritten      bool // the head of a response has gone to the client
+	headerWritten      bool // a response's head has been sent to the client
 	resetsOnClose      bool // every close of the client's connection is a reset
-	answeredLocally    bool // an error response of the proxy's own has gone to the client
+	answeredLocally    bool // the proxy's own error response has been sent to the client
 }
 
-// serve takes one request of a client.
+// serve serves one request of a client.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := p.options.Now()
 	if client := clientConnOf(r); client != nil && !client.beginRequest() {
@@ -75,7 +75,7 @@
 	c.serveRoute(routes, target)
 }
 
-// serveRoute reads the body of a request whose route is known, and sends it on.
+// serveRoute reads the body of a request whose route is known, and sends the request to an endpoint.
 func (c *clientRequest) serveRoute(routes *Routes, target string) {
 	c.readInfo(c.request.Header)
 	if c.info.Service = routes.selectService(c.info.Route, c.serviceKey()); c.info.Service == nil {
@@ -94,7 +94,7 @@
 	c.sendWithRetries()
 }
 
-// requestTarget returns the path and the query of a request, byte for byte. A target may name its host before them.
+// requestTarget returns the path and query of a request, byte for byte. In a target in absolute form, scheme and host precede them.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -107,7 +107,7 @@
 	return r.URL.RequestURI()
 }
 
-// allowedTime returns how long a request may take: as long as its client waits, and as its route allows, if it does.
+// allowedTime returns how long a request may take: the route's limit or the default one, or the client's if that is shorter.
 func allowedTime(header http.Header, routeTimeoutMs int64) time.Duration {
 	allowed := defaultDeadline
 	if routeTimeoutMs > 0 {
@@ -119,7 +119,7 @@
 	return allowed
 }
 
-// readInfo reads what the headers say of the request.
+// readInfo fills info from the request's header.
 func (c *clientRequest) readInfo(header http.Header) {
 	info := &c.info
 	info.AttemptID = firstValue(header, upstream.AttemptIDHeader)
@@ -133,7 +133,7 @@
 	info.ProgramTimeLeft, _ = parseMilliseconds(firstValue(header, headerFinishMs))
 }
 
-// serviceKey returns a number that is the same for all requests of a program, session or subject.
+// serviceKey returns a number that is the same for all requests of a program, session or subject, and random for other requests.
 func (c *clientRequest) serviceKey() uint64 {
 	if hash := affinityKey(&c.info); hash != 0 {
 		return hash
@@ -141,8 +141,8 @@
 	return rand.Uint64()
 }
 
-// readBody reads the body. It returns false when the request has ended: with 413, or with a close without a response if the body
-// could not be read.
+// readBody reads the body. It returns false if the body is too large and the request has ended with 413. If the body cannot be read,
+// the connection is aborted.
 func (c *clientRequest) readBody(limit int64) bool {
 	if connection, ok := c.writer.(deadlineSetter); ok {
 		_ = connection.SetWriteDeadline(c.info.Deadline.Add(writeGracePeriod))
@@ -160,7 +160,7 @@
 	return true
 }
 
-// prepareUpstreamRequest builds what is the same in every attempt.
+// prepareUpstreamRequest builds the part of the upstream request that is the same in every attempt.
 func (c *clientRequest) prepareUpstreamRequest(target string) {
 	*c.headerFields = appendForwardedFields((*c.headerFields)[:0], c.request.Header)
 	c.priority = strconv.Itoa(min(max(c.info.Route.Priority, 0), maxPriority))
@@ -177,13 +177,13 @@
 	c.info.BodyBytes = len(*c.body)
 }
 
-// releaseBuffers gives the buffers back. No attempt may still be writing from them.
+// releaseBuffers returns the buffers to the pool. No attempt may still be writing from them.
 func (c *clientRequest) releaseBuffers() {
 	putBuffer(c.body)
 	putBuffer(c.headerFields)
 }
 
-// sendWithRetries begins a turn, if the request is one, and sends the request until the client has a response.
+// sendWithRetries begins the turn, if the request is one, and sends the request until the client has a response.
 func (c *clientRequest) sendWithRetries() {
 	if !c.beginTurn() {
 		return
@@ -192,7 +192,7 @@
 	for c.sendAttempt() {
 	}
 	if !c.headerWritten && !c.answeredLocally {
-		abortConnection() // the library would answer 200 by itself
+		abortConnection() // net/http would send 200 by itself
 	}
 	c.restoreGracefulClose()
 }
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// initialBodyBytes is the size at which a buffer for a body of unknown length begins.
+	// initialBodyBytes is the initial size of a buffer for a body of unknown length.
 	initialBodyBytes = 4 << 10
 	// maxPooledBytes is the size up to which a buffer is kept for other requests.
 	maxPooledBytes = 64 << 10
 )
 
-// errBodyTooLarge is readBody's error for a body over its limit; the client then gets an error response, and no close.
-var errBodyTooLarge = errors.New("request body larger than the configured limit")
+// errBodyTooLarge is returned by readBody for a body over its limit. The client then gets an error response instead of a closed
+// connection.
+var errBodyTooLarge = errors.New("request body exceeds the configured limit")
 
 // buffers pools the buffers of bodies, header lines and forwarded bytes.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// getBuffer returns an empty buffer, for which the caller must call putBuffer once.
+// getBuffer returns an empty buffer. The caller must call putBuffer once.
 func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-// putBuffer gives a buffer back. It must not be used after it.
+// putBuffer returns a buffer to the pool. The caller must not use it afterwards.
 func putBuffer(buffer *[]byte) {
 	if cap(*buffer) <= maxPooledBytes {
 		*buffer = (*buffer)[:0]
@@ -32,29 +33,29 @@
 	}
 }
 
-// deadlineSetter is what net/http's ResponseWriter offers beside its interface.
+// deadlineSetter is implemented by net/http's ResponseWriter in addition to its interface.
 type deadlineSetter interface {
 	SetReadDeadline(time.Time) error
 	SetWriteDeadline(time.Time) error
 }
 
-// setReadDeadline bounds the time in which the rest of a request may come, also where the library reads it after a response.
-// The library sets the time anew for the connection's next request.
+// setReadDeadline limits the time in which the rest of a request may arrive, even if net/http reads it after the response. net/http
+// sets a new deadline for the connection's next request.
 func setReadDeadline(w http.ResponseWriter, r *http.Request, deadline time.Time) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
 		_ = connection.SetReadDeadline(deadline)
 	}
 }
 
-// clearReadDeadline takes the bound back once a request has been read: the library goes on reading, to detect that the client
-// closes its connection.
+// clearReadDeadline removes the limit once a request has been read: net/http goes on reading, to detect that the client closes its
+// connection.
 func clearReadDeadline(w http.ResponseWriter, r *http.Request) {
 	if connection, ok := w.(deadlineSetter); ok && r.ContentLength != 0 {
 		_ = connection.SetReadDeadline(time.Time{})
 	}
 }
 
-// readBody reads a request's complete body, up to limit bytes, into the buffer. A limit of 0 is none. A larger body fails with
+// readBody reads a request's complete body, up to limit bytes, into the buffer; 0: unlimited. A larger body fails with
 // errBodyTooLarge.
 func readBody(r *http.Request, buffer *[]byte, limit int64) error {
 	switch {
@@ -68,7 +69,7 @@
 	return readUntilEOF(r.Body, buffer, limit)
 }
 
-// readExactly reads a body of known length, and on to its end, so that the library sees it as read.
+// readExactly reads a body of known length and its EOF, so that net/http treats it as read.
 func readExactly(body io.Reader, buffer *[]byte, length int64) error {
 	data := (*buffer)[:0]
 	if int64(cap(data)) < length {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// readUntilEOF reads a body of unknown length, up to limit bytes; 0: any.
+// readUntilEOF reads a body of unknown length, up to limit bytes; 0: unlimited.
 func readUntilEOF(body io.Reader, buffer *[]byte, limit int64) error {
 	data := (*buffer)[:0]
 	if cap(data) == 0 {
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// copyBufferBytes is the size of the buffer through which a response goes.
+	// copyBufferBytes is the size of the buffer through which a response is copied.
 	copyBufferBytes = 8 << 10
-	// maxBufferedBytes is the length up to which a response is read completely before its head is forwarded. A larger value makes
-	// more broken responses retryable, and holds back the first bytes of more responses.
+	// maxBufferedBytes is the length up to which a response is read completely before its head is forwarded. A larger value makes more
+	// interrupted responses retryable, and delays the first bytes of more responses.
 	maxBufferedBytes = 32 << 10
 )
 
-// forwardResponse forwards a response to the client. It returns true when the request is to be retried.
+// forwardResponse forwards a response to the client. It returns true if the request is to be retried.
 func (c *clientRequest) forwardResponse(a *attempt) (retry bool) {
 	buffer := getBuffer()
 	defer putBuffer(buffer)
@@ -37,7 +37,7 @@
 	return c.forwardUnbuffered(a, (*buffer)[:cap(*buffer)])
 }
 
-// forwardShort reads a short response to its end and forwards it at once.
+// forwardShort reads a short response completely and then forwards it.
 func (c *clientRequest) forwardShort(a *attempt, buffer *[]byte) (retry bool) {
 	data := (*buffer)[:0]
 	if !a.response.Complete() {
@@ -55,7 +55,7 @@
 	return false
 }
 
-// readEOF reads the end of a body whose last byte has been read, so that its connection can be kept.
+// readEOF reads the EOF of a body whose last byte has been read, so that the connection can be reused.
 func (a *attempt) readEOF() {
 	if !a.response.Complete() {
 		var beyond [1]byte
@@ -63,8 +63,8 @@
 	}
 }
 
-// forwardComplete forwards a response whose body has been read completely. The attempt is finished before the body goes out, so
-// that its connection serves other requests meanwhile.
+// forwardComplete forwards a response whose body has been read completely. It finishes the attempt before it writes the body, so that
+// the connection can serve another request at the same time.
 func (c *clientRequest) forwardComplete(a *attempt, data []byte) {
 	c.recordComplete(a)
 	c.writeHeader(a)
@@ -74,8 +74,8 @@
 	}
 }
 
-// forwardBuffered reads a response of unknown length, up to a bound, before its head goes out: until then a retryable request
-// can go to another endpoint when the response breaks off.
+// forwardBuffered reads up to maxBufferedBytes of a response of unknown length before it forwards the head: until then a retryable
+// request can go to another endpoint if the response is interrupted.
 func (c *clientRequest) forwardBuffered(a *attempt, buffer *[]byte) (retry bool) {
 	data := (*buffer)[:0]
 	for len(data) < maxBufferedBytes {
@@ -102,7 +102,7 @@
 	return c.forwardUnbuffered(a, data[:cap(data)])
 }
 
-// forwardUnbuffered forwards a long response as it comes.
+// forwardUnbuffered forwards a response as it arrives.
 func (c *clientRequest) forwardUnbuffered(a *attempt, buffer []byte) (retry bool) {
 	for {
 		n, err := a.response.Read(buffer)
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleInterrupted deals with a response that broke off.
+// handleInterrupted handles a response that was interrupted.
 func (c *clientRequest) handleInterrupted(a *attempt) (retry bool) {
 	if !c.headerWritten {
 		return c.handleIncomplete(a)
@@ -138,14 +138,14 @@
 	return false
 }
 
-// recordFirstByte records when the body began.
+// recordFirstByte records when the first byte of the body arrived.
 func (c *clientRequest) recordFirstByte(a *attempt) {
 	if a.outcome.FirstByte == 0 {
 		a.outcome.FirstByte = c.proxy.options.Now().Sub(a.started)
 	}
 }
 
-// recordComplete records that a complete response has come.
+// recordComplete records that a complete response was received.
 func (c *clientRequest) recordComplete(a *attempt) {
 	if a.outcome.Result == NotRun {
 		return
@@ -157,8 +157,8 @@
 	c.recordMayHaveRun(a.outcome.Result)
 }
 
-// writeHeader forwards the head of a response, once. A close-delimited response goes on in chunks: so it can't look complete
-// when it was broken off, also where this process ends in the middle.
+// writeHeader forwards the head of a response, once. A close-delimited response is forwarded in chunks, so that it cannot look
+// complete if it is interrupted or this process ends.
 func (c *clientRequest) writeHeader(a *attempt) {
 	if c.headerWritten {
 		return
@@ -175,9 +175,9 @@
 	c.writer.WriteHeader(a.response.Status)
 }
 
-// resetIfCloseDelimited makes every close of the client's connection a reset where only that close marks the end of the response: to a
-// client of HTTP/1.0, if there is no length. The library closes it by itself when a write fails, and the system when this
-// process ends.
+// resetIfCloseDelimited makes every close of the client's connection a reset if only a close marks the end of the response: to an
+// HTTP/1.0 client, without a length. net/http closes the connection by itself when a write fails, and the system when this process
+// ends.
 func (c *clientRequest) resetIfCloseDelimited(header http.Header) {
 	if c.request.ProtoAtLeast(1, 1) || firstValue(header, "Content-Length") != "" {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-// restoreGracefulClose lets the client's connection end in order once the complete response has gone out.
+// restoreGracefulClose flushes the complete response, then lets the client's connection close without a reset.
 func (c *clientRequest) restoreGracefulClose() {
 	if !c.resetsOnClose {
 		return
@@ -200,14 +200,14 @@
 	clientConnOf(c.request).setResetOnClose(false)
 }
 
-// write forwards bytes to the client. One that takes none any more has closed its connection.
+// write forwards bytes to the client. An error means that the client has closed its connection.
 func (c *clientRequest) write(a *attempt, data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
 		c.handleClientClosed(a)
 	}
 }
 
-// flush sends what was written at once.
+// flush sends buffered bytes to the client immediately.
 func (c *clientRequest) flush(a *attempt) {
 	flusher, ok := c.writer.(interface{ FlushError() error })
 	if ok && flusher.FlushError() != nil {
--- a/internal/tier/proxy/retries.go
+++ b/internal/tier/proxy/retries.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxNotRun bounds the endpoints that may answer that they won't run a request before it is rejected.
+	// maxNotRun is the number of endpoints that may decline to run a request before the request is rejected.
 	maxNotRun = 4
-	// maxNeverSent bounds the endpoints that can't be reached before a request is rejected.
+	// maxNeverSent is the number of endpoints that may be unreachable before a request is rejected.
 	maxNeverSent = 4
 )
 
@@ -22,7 +22,7 @@
 	return route.Kind == model.Retryable || route.Kind == model.Streaming && route.Resumable
 }
 
-// recordMayHaveRun counts a send of which nothing promises that the endpoint did not run it.
+// recordMayHaveRun counts an attempt that the endpoint may have run.
 func (c *clientRequest) recordMayHaveRun(result Result) {
 	c.mayHaveRunAttempts++
 	c.mayHaveRun = true
@@ -31,19 +31,19 @@
 	c.info.AfterTimeout = result == TimedOut
 }
 
-// mayRetry reports whether the request may go to another endpoint after a send that may have run.
+// mayRetry reports whether the request may go to another endpoint after an attempt that may have run.
 func (c *clientRequest) mayRetry() bool {
 	return retryable(c.info.Route) && c.mayHaveRunAttempts < c.info.Route.MaxAttempts && c.context.Err() == nil
 }
 
-// shouldRetryStatus reports whether a response that came with a status is withheld from the client for another attempt. Where
-// this one is the last, the client gets the response.
+// shouldRetryStatus reports whether a response with this status is discarded in favour of another attempt. After the last attempt the
+// client gets the response.
 func (c *clientRequest) shouldRetryStatus(status int) bool {
 	return status >= http.StatusInternalServerError && !c.headerWritten && retryable(c.info.Route) &&
 		c.mayHaveRunAttempts+1 < c.info.Route.MaxAttempts
 }
 
-// handleNoResponse deals with an attempt whose response's head didn't come.
+// handleNoResponse handles an attempt without a response head.
 func (c *clientRequest) handleNoResponse(a *attempt, err error) (retry bool) {
 	var failure *upstream.Error
 	if errors.As(err, &failure) && failure.Kind == upstream.NeverSent {
@@ -52,7 +52,7 @@
 	return c.handleIncomplete(a)
 }
 
-// handleNeverSent deals with an attempt of which no byte was sent.
+// handleNeverSent handles an attempt of which no byte was sent.
 func (c *clientRequest) handleNeverSent(a *attempt, reason upstream.Reason) (retry bool) {
 	a.outcome.Result = c.neverSentResult(reason)
 	c.neverSentAttempts++
@@ -66,7 +66,7 @@
 	return false
 }
 
-// neverSentResult returns what an attempt that wasn't sent says of its endpoint.
+// neverSentResult returns the result of an attempt of which no byte was sent.
 func (c *clientRequest) neverSentResult(reason upstream.Reason) Result {
 	switch reason {
 	case upstream.PoolExhausted:
@@ -86,7 +86,7 @@
 	return c.context.Err() != nil || !c.proxy.options.Now().Before(c.info.Deadline)
 }
 
-// handleIncomplete deals with an attempt that was sent, and whose response didn't come or can't be forwarded.
+// handleIncomplete handles an attempt that was sent but has no response that may be forwarded.
 func (c *clientRequest) handleIncomplete(a *attempt) (retry bool) {
 	a.outcome.Result = c.incompleteResult(a)
 	c.recordMayHaveRun(a.outcome.Result)
@@ -97,7 +97,7 @@
 	return false
 }
 
-// incompleteResult returns why an attempt that was sent brought no complete response.
+// incompleteResult returns the result of an attempt that was sent but has no complete response.
 func (c *clientRequest) incompleteResult(a *attempt) Result {
 	switch {
 	case c.request.Context().Err() != nil:
@@ -110,7 +110,7 @@
 	return IncompleteResponse
 }
 
-// handleNotRun deals with an endpoint that did not run the request.
+// handleNotRun handles a response that states that the endpoint did not run the request.
 func (c *clientRequest) handleNotRun(a *attempt) (retry bool) {
 	a.outcome.Result = NotRun
 	a.outcome.Misdirected = a.response.Status == http.StatusMisdirectedRequest
@@ -130,7 +130,7 @@
 	return false
 }
 
-// retryErrorResponse goes on to another endpoint after a complete response with a failure.
+// retryErrorResponse discards a response with an error status before the request is retried.
 func (c *clientRequest) retryErrorResponse(a *attempt) (retry bool) {
 	drainBufferedBody(a.response)
 	a.outcome.Result = ErrorResponse
@@ -138,7 +138,7 @@
 	return true
 }
 
-// handleRejection ends a request for which the selector has no endpoint.
+// handleRejection ends a request for which the selector returned an error.
 func (c *clientRequest) handleRejection(err error) {
 	var rejection *RejectionError
 	if errors.As(err, &rejection) {
@@ -150,8 +150,8 @@
 	c.abandon()
 }
 
-// abandon ends a request with an error response of the proxy's own, or breaks off the response that has begun. The kinds that
-// promise that the request has not run are given only where that is so.
+// abandon ends a request with the proxy's own error response, or aborts the response that has begun. Kinds that guarantee that the
+// request has not run are used only if no endpoint may have run it.
 func (c *clientRequest) abandon() {
 	switch {
 	case c.headerWritten:
--- a/internal/tier/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -6,15 +6,15 @@
 	"mastusher/internal/tier/model"
 )
 
-// Routes is a configuration made ready for matching. It doesn't change.
+// Routes is a configuration prepared for matching. It is immutable.
 type Routes struct {
 	Number            uint64
 	Limits            model.Limits
-	HasStatefulRoutes bool // some route has turns that the stores keep
+	HasStatefulRoutes bool // the program stores keep the turns of some route
 	table             *model.Table
 }
 
-// NewRoutes makes a configuration, which must not be changed afterwards, ready for matching.
+// NewRoutes prepares a configuration for matching. The caller must not change the configuration afterwards.
 func NewRoutes(configuration *model.Configuration) *Routes {
 	stateful := func(route model.Route) bool { return route.Stateful }
 	return &Routes{
@@ -25,13 +25,13 @@
 	}
 }
 
-// Match returns the route of a request, or nil. The path is the one that came, with nothing unescaped.
+// Match returns the route of a request, or nil. The path must be as received, without unescaping.
 func (r *Routes) Match(host, path string) *model.Route {
 	route, _ := r.table.Match(host, path)
 	return route
 }
 
-// selectService returns the service that takes a request, or nil: always the same for a key.
+// selectService returns the service for a request, or nil. Requests with the same key get the same service.
 func (r *Routes) selectService(route *model.Route, key uint64) *model.Service {
 	return r.table.Service(route.PickService(key))
 }
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -21,10 +21,10 @@
 // readyPath is the path of the readiness check.
 const readyPath = "/mastusher/ready"
 
-// ShutdownGracePeriod is how much longer than its context Shutdown takes at most, when requests and commits of turns go on.
+// ShutdownGracePeriod is the longest time that Shutdown takes after its context has ended, to send final responses and commit turns.
 const ShutdownGracePeriod = finalResponsesTimeout + finalCommitsTimeout
 
-// readinessHeaderTimeout bounds the head of a request for readiness.
+// readinessHeaderTimeout bounds reading the head of a readiness request.
 const readinessHeaderTimeout = 5 * time.Second
 
 // Proxy is the HTTP data path. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 	draining          atomic.Bool
 }
 
-// New opens the listeners of a proxy. Serve makes it take requests. The error is that of a listener.
+// New opens the listeners of a proxy. Serve serves requests. The error is that of a listener.
 func New(options Options) (*Proxy, error) {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -72,14 +72,14 @@
 	return p, nil
 }
 
-// FrontAddress returns where clients connect.
+// FrontAddress returns the address to which clients connect.
 func (p *Proxy) FrontAddress() net.Addr { return p.frontend.listener.Addr() }
 
-// ReadinessAddress returns where readiness and metrics are served.
+// ReadinessAddress returns the address at which readiness and metrics are served.
 func (p *Proxy) ReadinessAddress() net.Addr { return p.readinessListener.Addr() }
 
-// Serve takes requests until Shutdown has ended, then returns nil. Any other error is that of a listener; then both listeners are
-// closed. Its goroutines have ended when it returns.
+// Serve serves requests until Shutdown has closed the listeners, then returns nil. Any other error is that of a listener; then both
+// listeners are closed. The goroutines of Serve have ended when it returns.
 func (p *Proxy) Serve() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -94,8 +94,8 @@
 		p.readinessServer.Close()
 		p.frontend.listener.Close()
 	}
-	if other := <-failed; isListenerClosed(err) {
-		err = other
+	if otherErr := <-failed; isListenerClosed(err) {
+		err = otherErr
 	}
 	if isListenerClosed(err) {
 		return nil
@@ -103,35 +103,35 @@
 	return err
 }
 
-// isListenerClosed reports whether a server has ended since Shutdown closed its listener.
+// isListenerClosed reports whether a server has ended because its listener was closed.
 func isListenerClosed(err error) bool {
 	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed)
 }
 
-// Drain makes the proxy report that it is not ready, and end each client's connection with its next response. New connections
-// are still taken.
+// Drain makes the proxy report that it is not ready, and close each client's connection after the next response. New connections are
+// still accepted.
 func (p *Proxy) Drain() {
 	if p.draining.CompareAndSwap(false, true) {
 		p.logShutdownPhase("proxy draining")
 	}
 }
 
-// logShutdownPhase logs a phase of the shutdown, and what is still pending.
+// logShutdownPhase logs a phase of the shutdown with the numbers of open connections and pending commits.
 func (p *Proxy) logShutdownPhase(message string, more ...any) {
 	pairs := []any{"msg", message, "connections", p.frontend.connections(), "pending_commits", p.usage.pending()}
 	level.Info(p.options.Logger).Log(append(pairs, more...)...)
 }
 
-// closeIfDraining makes a response the last one of its connection while the proxy drains.
+// closeIfDraining makes a response the last one on its connection while the proxy drains.
 func (p *Proxy) closeIfDraining(header http.Header) {
 	if p.draining.Load() {
 		header["Connection"] = []string{"close"}
 	}
 }
 
-// Shutdown takes no more connections, and returns when the pending requests and the commits of turns have ended. When the
-// context ends before, the pending requests are abandoned: each gets an error response, or its response is broken off; and what
-// can be committed in a moment is. That takes no more than ShutdownGracePeriod. The error is then the context's.
+// Shutdown stops accepting connections, and returns once the pending requests and commits have ended. If the context ends first, the
+// pending requests are abandoned: each gets an error response, or its response is aborted. Pending commits then have a short time
+// left. All this takes at most ShutdownGracePeriod, and Shutdown returns the context's error.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	began := time.Now()
@@ -143,7 +143,7 @@
 	return err
 }
 
-// frontHandler serves every request of a client.
+// frontHandler returns the handler for all requests of clients.
 func (p *Proxy) frontHandler() http.Handler {
 	e := echo.New()
 	e.RouteNotFound("/*", func(c echo.Context) error {
@@ -153,7 +153,7 @@
 	return e
 }
 
-// readinessHandler serves the platform's checks and metrics.
+// readinessHandler returns the handler for the platform's readiness checks and for metrics.
 func (p *Proxy) readinessHandler() http.Handler {
 	e := echo.New()
 	e.GET(readyPath, func(c echo.Context) error {
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/upstream"
 )
 
-// forwardStream forwards a stream event by event. It returns true when the stream is to be resumed at another endpoint.
+// forwardStream forwards a stream event by event. It returns true if the stream is to be resumed at another endpoint.
 func (c *clientRequest) forwardStream(a *attempt, buffer []byte) (retry bool) {
 	for {
 		n, err := a.response.Read(buffer)
@@ -23,8 +23,8 @@
 	}
 }
 
-// scanEvents forwards the events that the bytes complete. It returns false when the stream ends there: its attempt timed out
-// before its first event, or what came can't be forwarded.
+// scanEvents forwards the events that data completes. It returns false if the attempt timed out before its first event, or if the
+// stream is unforwardable.
 func (c *clientRequest) scanEvents(a *attempt, data []byte) bool {
 	before := c.scanner.progress()
 	events := c.scanner.feed(data)
@@ -36,7 +36,7 @@
 	return !c.scanner.unforwardable
 }
 
-// finishAtEOF takes the end of a response's body. It returns false where that is no end of the stream.
+// finishAtEOF handles the end of a response's body. It returns false if the stream is incomplete there.
 func (c *clientRequest) finishAtEOF(a *attempt) bool {
 	if c.closedInsideEvent(a) {
 		return false
@@ -49,12 +49,12 @@
 	return true
 }
 
-// closedInsideEvent reports whether a close-delimited stream was closed inside an event.
+// closedInsideEvent reports whether the end of a close-delimited stream is inside an event.
 func (c *clientRequest) closedInsideEvent(a *attempt) bool {
 	return a.response.CloseDelimited && c.scanner.insideEvent()
 }
 
-// forwardEvents forwards complete events at once.
+// forwardEvents forwards complete events immediately.
 func (c *clientRequest) forwardEvents(a *attempt, events []byte) {
 	if len(events) == 0 {
 		return
@@ -75,13 +75,13 @@
 	c.flush(a)
 }
 
-// withholdsLastByte reports whether the last byte of the response waits for the turn's commit. In a response of unknown length that
-// is the byte that ends it, which goes out when the request returns.
+// withholdsLastByte reports whether the last byte of the response is withheld until the turn is committed. A response of unknown
+// length ends with a final chunk, which net/http sends only after the request has been served, so none of its bytes is withheld.
 func (c *clientRequest) withholdsLastByte(a *attempt) bool {
 	return c.turn != nil && c.turn.stateful && a.response.ContentLength > 0
 }
 
-// finishStream ends a stream whose last byte has come, with an event that no blank line ended.
+// finishStream ends a stream whose last byte has been received. rest is an event without a closing blank line, or empty.
 func (c *clientRequest) finishStream(a *attempt, rest []byte) {
 	c.forwardEvents(a, rest)
 	c.recordComplete(a)
@@ -96,8 +96,8 @@
 	}
 }
 
-// commitCompleteTurn commits a turn whose stream is complete. A stateful turn must be committed before the client has all of its
-// response; where that fails the response is broken off.
+// commitCompleteTurn commits a turn whose stream is complete. A stateful turn must be committed before the client has its whole
+// response; if the commit fails, the response is aborted.
 func (c *clientRequest) commitCompleteTurn() {
 	c.turn.committed = true
 	end := c.turn.endCommand(true, &c.scanner)
@@ -109,7 +109,7 @@
 	if err == nil {
 		return
 	}
-	// The client sees an incomplete response, so the turn doesn't count; its tokens do.
+	// The client sees an incomplete response, so the turn is committed as incomplete; its tokens still count.
 	end.Complete, end.Output = false, nil
 	if !errors.Is(err, errUnknownTurn) {
 		c.proxy.usage.commit(c.turn.key, end)
@@ -117,8 +117,8 @@
 	abortConnection()
 }
 
-// handleStreamInterrupted deals with a stream that broke off: it is resumed at another endpoint if that is allowed and can be
-// done without a gap.
+// handleStreamInterrupted handles a stream that was interrupted. It is resumed at another endpoint if that is allowed and possible
+// without a gap.
 func (c *clientRequest) handleStreamInterrupted(a *attempt) (retry bool) {
 	if !c.headerWritten {
 		c.scanner.restart()
@@ -133,8 +133,8 @@
 	return true
 }
 
-// resumable reports whether another endpoint can go on where a response broke off: each event has an id, and the client has no
-// length.
+// resumable reports whether another endpoint can continue an interrupted response: the last event has an id, and the client was sent
+// no length.
 func (c *clientRequest) resumable(response *upstream.Response) bool {
 	return c.info.Route.Resumable && c.scanner.lastID != "" && !c.scanner.lastWithoutID && response.ContentLength < 0
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// beginTimeoutDivisor gives the part of a request's time in which the leader of its program must be reached; then it is
-	// rejected, so that its client has time to come back.
+	// beginTimeoutDivisor gives the fraction of a request's time within which its turn must begin. After that the request is rejected,
+	// so that its client has time to retry.
 	beginTimeoutDivisor = 4
-	// minBeginTimeout is the time for that in any case.
+	// minBeginTimeout is the minimum of that timeout.
 	minBeginTimeout = 300 * time.Millisecond
 )
 
-// turn is a program's turn that the program stores know of.
+// turn is a program's turn that the program stores keep.
 type turn struct {
-	key            string // of the shard that keeps it
+	key            string // selects the shard
 	id             string
 	stateful       bool // its input and output become part of the program's history
 	tokensPerEvent int64
 	reserved       bool   // Begin was called: the stores may hold a reservation
-	committed      bool   // the commit was handed over
+	committed      bool   // the commit has been started
 	bytesForwarded int64  // of the response
-	withheld       []byte // the last byte of the response, until the turn is committed
+	withheld       []byte // last byte of the response, until the turn is committed
 }
 
-// newTurn returns the turn that a request is, and its program's budget in tokens; nil if it is none. Endpoints refuse a request
-// without an id.
+// newTurn returns the turn of a request and its program's budget in tokens, or nil if the request is not a turn. A request without an
+// id is none: endpoints refuse it.
 func newTurn(header http.Header, info *RequestInfo) (*turn, int64) {
 	if info.Route.Kind != model.Streaming || info.AttemptID == "" {
 		return nil, 0
@@ -50,7 +50,7 @@
 	}, max(budget, 0)
 }
 
-// tokensPerEvent returns how many tokens one event of a service's streams holds.
+// tokensPerEvent returns the number of tokens in one event of a service's streams.
 func tokensPerEvent(service *model.Service) int64 {
 	if service.Engine == nil {
 		return 1
@@ -58,7 +58,7 @@
 	return max(service.Engine.TokensPerEvent, 1)
 }
 
-// shardKey returns what selects the shard of a turn: its program, or else its session.
+// shardKey returns the key that selects the shard of a turn: its program, session or id, whichever is set first.
 func shardKey(info *RequestInfo) string {
 	switch {
 	case info.Program != "":
@@ -69,8 +69,8 @@
 	return info.AttemptID
 }
 
-// begin has the turn's budget reserved and returns its chain, or the kind of error for which it isn't to be sent, with the cause
-// if the stores gave no verdict.
+// begin reserves the turn's budget and returns its chain. If the turn must not be sent, it returns the kind of error, and the cause if
+// the program stores gave no verdict.
 func (t *turn) begin(ctx context.Context, programs Programs, info *RequestInfo, budget int64, input []byte) (apierror.Kind, []byte, error) {
 	t.reserved = true
 	result, err := programs.Begin(ctx, t.key, program.BeginTurn{
@@ -102,7 +102,7 @@
 	return apierror.StateUnavailable, nil, nil
 }
 
-// endCommand returns the turn's usage, and the output of a complete one, for the stores.
+// endCommand returns the command that commits the turn's usage, and the output of a complete stateful turn.
 func (t *turn) endCommand(complete bool, scanner *eventScanner) program.EndTurn {
 	end := program.EndTurn{Turn: t.id, Complete: complete, Tokens: scanner.count * t.tokensPerEvent}
 	if complete && t.stateful {
@@ -111,7 +111,8 @@
 	return end
 }
 
-// beginTurn has the stores begin a turn. It returns false when the request has ended with an error response.
+// beginTurn begins the turn at the program stores, if the request is one. It returns false if the request has ended with an error
+// response.
 func (c *clientRequest) beginTurn() bool {
 	var budget int64
 	c.turn, budget = newTurn(c.request.Header, &c.info)
@@ -138,12 +139,12 @@
 	return true
 }
 
-// beginTimeout returns how long a turn may take to begin.
+// beginTimeout returns the timeout of Begin for a request with so much time left.
 func beginTimeout(left time.Duration) time.Duration {
 	return min(left, max(left/beginTimeoutDivisor, minBeginTimeout))
 }
 
-// commitUnfinishedTurn commits, beside the request, the usage of a turn that did not complete.
+// commitUnfinishedTurn commits, in the background, the usage of a turn that did not complete.
 func (c *clientRequest) commitUnfinishedTurn() {
 	if c.turn == nil || !c.turn.reserved || c.turn.committed {
 		return
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// commitDeadline is how long the commit of a turn is attempted before it is given up: its reservation then counts as spent. A
-	// larger value loses fewer tokens in an outage of the stores, and keeps more goroutines.
+	// commitDeadline is how long the commit of a turn is retried before it is abandoned and its reservation counts as spent. A larger
+	// value loses fewer tokens in an outage of the program stores, and keeps more goroutines.
 	commitDeadline = 30 * time.Second
-	// commitTimeout bounds one attempt.
+	// commitTimeout bounds one attempt to commit.
 	commitTimeout = 2 * time.Second
-	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between two attempts.
+	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between attempts.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = 2 * time.Second
-	// maxUnknownTurnAttempts bounds the attempts that the stores answer by not knowing the turn: about three seconds with the backoff.
+	// maxUnknownTurnAttempts bounds the attempts to which the program stores answer that they do not know the turn: about three seconds
+	// with the backoff.
 	maxUnknownTurnAttempts = 7
-	// finalCommitsTimeout is for the turns whose requests were abandoned as the proxy shuts down.
+	// finalCommitsTimeout bounds the commits of turns whose requests a shutdown abandoned.
 	finalCommitsTimeout = 150 * time.Millisecond
-	// maxConcurrentCommits bounds the turns that are committed beside their requests.
+	// maxConcurrentCommits bounds the turns that are committed in the background at the same time.
 	maxConcurrentCommits = 4096
 )
 
-// usageCommitter commits the usage of turns beside their requests, a goroutine each. drain waits for these, and ends them by their
-// context. A request that was abandoned may still commit while drain waits, so a sync.WaitGroup, which mustn't be added to at 0
-// then, doesn't fit.
+// usageCommitter commits the usage of turns in the background, each in its own goroutine. drain waits for these goroutines and then
+// cancels the rest. An abandoned request may still start a commit while drain waits, which a sync.WaitGroup does not allow while its
+// counter is 0.
 type usageCommitter struct {
 	programs Programs
-	context  context.Context // of every commit
+	context  context.Context // parent of the contexts of all commits
 	cancel   context.CancelFunc
-	drained  chan struct{} // closed once drain has begun and no commit runs; none is started from then on
+	drained  chan struct{} // closed once drain has begun and no commit runs; no commit starts after that
 
-	mutex    sync.Mutex // guards what follows
-	running  int        // commits
+	mutex    sync.Mutex // guards the fields below
+	running  int        // number of commits
 	draining bool
 }
 
-// newUsageCommitter returns a committer that calls programs until drain.
+// newUsageCommitter returns a committer that commits to programs until drain is called.
 func newUsageCommitter(programs Programs) *usageCommitter {
 	u := &usageCommitter{programs: programs, drained: make(chan struct{})}
 	u.context, u.cancel = context.WithCancel(context.Background())
 	return u
 }
 
-// commit attempts to commit a turn until that is acknowledged. Beyond maxConcurrentCommits the turn is dropped, and its
-// reservation counts as spent, and so it does after drain.
+// commit commits a turn in the background. If maxConcurrentCommits are running, or drained is closed, the turn is dropped and its
+// reservation counts as spent.
 func (u *usageCommitter) commit(key string, turn program.EndTurn) {
 	if !u.startCommit() {
 		return
@@ -61,7 +62,7 @@
 	}()
 }
 
-// startCommit counts a commit, and reports whether it may run.
+// startCommit counts a new commit. It returns false if the commit must not run.
 func (u *usageCommitter) startCommit() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -72,7 +73,7 @@
 	return true
 }
 
-// finishCommit counts the finishCommit of a commit.
+// finishCommit stops counting a commit that has ended.
 func (u *usageCommitter) finishCommit() {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// startDraining has drained closed when the last commit ends, or at once if none runs.
+// startDraining makes drained be closed when the last commit ends, or at once if none is running.
 func (u *usageCommitter) startDraining() {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -93,14 +94,15 @@
 	}
 }
 
-// pending returns how many turns are being committed.
+// pending returns the number of turns that are being committed.
 func (u *usageCommitter) pending() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.running
 }
 
-// drain returns when all commits have ended, at most finalCommitsTimeout after the context. The rest, so many, is then abandoned.
+// drain waits until all commits have ended, at most finalCommitsTimeout longer than the context. It then cancels the rest and returns
+// their number.
 func (u *usageCommitter) drain(ctx context.Context) (abandoned int) {
 	u.startDraining()
 	select {
@@ -114,7 +116,7 @@
 	return abandoned
 }
 
-// waitWithTimeout returns when done is closed, or after the timeout.
+// waitWithTimeout waits until done is closed, at most for the timeout.
 func waitWithTimeout(done <-chan struct{}, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -124,12 +126,12 @@
 	}
 }
 
-// errUnknownTurn says that the stores have no such turn in progress.
-var errUnknownTurn = errors.New("turn unknown to the stores")
+// errUnknownTurn is returned if the program stores have no such turn in progress.
+var errUnknownTurn = errors.New("program stores have no such turn in progress")
 
-// commitTurn attempts to commit a turn until that is acknowledged or the context ends. A complete turn that the stores don't know
-// never counts, and fails with errUnknownTurn at once; the commit of an incomplete one may overtake its Begin, and is attempted
-// again.
+// commitTurn attempts to commit a turn until the commit is acknowledged or the context ends. A complete turn that the program stores
+// do not know can never count, and fails at once with errUnknownTurn. The commit of an incomplete turn may arrive before its Begin,
+// and is retried.
 func commitTurn(ctx context.Context, programs Programs, key string, turn program.EndTurn) error {
 	backoff := minCommitBackoff
 	for unknown := 0; ; {
