--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// BenchmarkRequest measures a request from client to endpoint and back, endpoint and client included.
+// BenchmarkRequest measures a request from client to endpoint and back, including the work of both.
 func BenchmarkRequest(b *testing.B) {
 	body := strings.Repeat("x", 800)
 	events := ""
@@ -22,7 +22,7 @@
 		events += chunk(event(i, strings.Repeat("t", 40)))
 	}
 	cases := []struct {
-		name, request, answer string
+		name, request, response string
 	}{
 		{"plain", "GET /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\nX-Time-Left-Ms: 2000\r\nProgram: 3fa81c\r\nSession: 77d20b\r\n\r\n",
 			"HTTP/1.1 200 OK\r\nX-Attempt-Id: id\r\nX-Server-Seal: s\r\nKeep-Alive: timeout=30\r\nX-Server-Load: 1,0,8\r\n" + withLength(body) + "\r\n\r\n" + body},
@@ -30,30 +30,30 @@
 			"HTTP/1.1 200 OK\r\nX-Attempt-Id: id\r\nX-Server-Seal: s\r\nKeep-Alive: timeout=30\r\n" + streamHead + "\r\n\r\n" + events + lastChunk},
 	}
 	for _, test := range cases {
-		b.Run(test.name, func(b *testing.B) { benchmarkRequest(b, test.request, test.answer) })
+		b.Run(test.name, func(b *testing.B) { benchmarkRequest(b, test.request, test.response) })
 	}
 }
 
-func benchmarkRequest(b *testing.B, request, answer string) {
+func benchmarkRequest(b *testing.B, request, endpointResponse string) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer listener.Close()
-	go respondToAll(listener, []byte(answer))
+	go respondToAll(listener, []byte(endpointResponse))
 	loadBalancer := NewLoadBalancer("z", 1)
 	loadBalancer.SetEndpoints([]model.Endpoint{
 		{ID: "e1", Service: "plain", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 		{ID: "e2", Service: "engine", Address: listener.Addr().String(), Zone: "z", Capacity: 8, State: model.Ready},
 	})
-	v := &fakeViews{}
-	v.routes.Store(NewRoutes(newConfiguration()))
+	views := &fakeViews{}
+	views.routes.Store(NewRoutes(newConfiguration()))
 	stores := &fakePrograms{ended: make(chan program.EndTurn, 1)}
 	go func() {
 		for range stores.ended {
 		}
 	}()
-	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: v, Programs: stores, Selector: loadBalancer})
+	p, err := New(Options{FrontAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", Views: views, Programs: stores, Selector: loadBalancer})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// respondToAll answers every request with the same bytes.
-func respondToAll(listener net.Listener, answer []byte) {
+// respondToAll responds to every request with the same bytes.
+func respondToAll(listener net.Listener, response []byte) {
 	for {
 		socket, err := listener.Accept()
 		if err != nil {
@@ -93,7 +93,7 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, request.Body)
-				_, _ = socket.Write(answer)
+				_, _ = socket.Write(response)
 			}
 		}()
 	}
--- a/internal/tier/proxy/budget_test.go
+++ b/internal/tier/proxy/budget_test.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// budgetStore is a Programs that keeps turns and budgets as the stores do.
+// budgetStore is a Programs that keeps turns and budgets like the program stores.
 type budgetStore struct {
 	mutex   sync.Mutex
 	machine *program.Machine
@@ -26,52 +26,52 @@
 	return &budgetStore{machine: program.New(), ended: make(chan program.EndTurn, 16)}
 }
 
-func (k *budgetStore) Begin(_ context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (s *budgetStore) Begin(_ context.Context, _ string, turn program.BeginTurn) (program.Result, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	turn.Input = bytes.Clone(turn.Input)
 	turn.AtMs = time.Now().UnixMilli()
-	return k.machine.Apply(program.Command{Begin: &turn}), nil
+	return s.machine.Apply(program.Command{Begin: &turn}), nil
 }
 
-func (k *budgetStore) End(_ context.Context, _ string, turn program.EndTurn) (program.Result, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (s *budgetStore) End(_ context.Context, _ string, turn program.EndTurn) (program.Result, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	turn.Output = bytes.Clone(turn.Output)
 	turn.AtMs = time.Now().UnixMilli()
-	result := k.machine.Apply(program.Command{End: &turn})
-	k.ended <- turn
+	result := s.machine.Apply(program.Command{End: &turn})
+	s.ended <- turn
 	return result, nil
 }
 
-// A budget for one turn and two events more: the most of a turn is five events, and an event holds three tokens.
+// tightBudget is enough for one turn and two more events: a turn has at most five events, and an event three tokens.
 var tightBudget = []string{"Program: p", "Budget: 21", "X-Token-Counts: 100,15"}
 
-// commitWait is more than a turn needs to be committed.
+// commitWait is longer than any commit of a turn takes.
 const commitWait = 10 * time.Second
 
-// newFixtureWithBudgets starts a proxy whose programs a keeper keeps.
+// newFixtureWithBudgets starts a proxy whose turns and budgets are in a budgetStore.
 func newFixtureWithBudgets(t *testing.T, endpoints ...*endpoint) (*fixture, *budgetStore) {
 	t.Helper()
-	k := newBudgetStore()
-	f := newFixtureWith(t, func(options *Options) { options.Programs = k }, endpoints...)
-	return f, k
+	store := newBudgetStore()
+	f := newFixtureWith(t, func(options *Options) { options.Programs = store }, endpoints...)
+	return f, store
 }
 
-// turn runs one turn and waits until it is committed; one that is rejected by its budget isn't.
-func (f *fixture) turn(k *budgetStore, route, id string) clientResponse {
+// turn runs one turn and waits until it is committed, unless it is rejected for its budget.
+func (f *fixture) turn(store *budgetStore, route, id string) clientResponse {
 	f.t.Helper()
 	c := f.dial()
 	c.request("POST", "/"+route+"/x", id, "input", tightBudget...)
 	got := c.readResponse("POST")
 	if got.status != 402 {
 		select {
-		case end := <-k.ended:
+		case end := <-store.ended:
 			if end.Turn != id {
-				f.t.Fatalf("committed %q in place of %q", end.Turn, id)
+				f.t.Fatalf("committed turn %q, want %q", end.Turn, id)
 			}
 		case <-time.After(commitWait):
-			f.t.Fatalf("%q isn't committed", id)
+			f.t.Fatalf("turn %q was not committed", id)
 		}
 	}
 	return got
@@ -86,14 +86,14 @@
 	cases := []struct {
 		name   string
 		script func(net.Conn, receivedRequest) bool // of the first turn; nil: no endpoint
-		left   bool                                 // a turn of the most still fits
+		fits   bool                                 // a second turn of the maximum size fits into the budget
 	}{
 		{"given no endpoint for a turn then its whole reservation is released", nil, true},
 		{"given a turn that is rejected then its whole reservation is released", respondNotRun, true},
 		{"given a turn that fails with a 4xx then its whole reservation is released", respondWith(413, "no"), true},
 		{"given a turn that is reset before its first event then its whole reservation is released", resetConnection, true},
-		{"given a turn that breaks off after an event then the rest is given back", breakAfterOne, true},
-		{"given a turn that is answered completely then what it forwarded is spent", five, false},
+		{"given a turn that is interrupted after an event then the rest of its reservation is released", breakAfterOne, true},
+		{"given a turn that is complete then the tokens that it forwarded are spent", five, false},
 	}
 	for _, test := range cases {
 		for _, route := range []string{"turn", "stream"} {
@@ -105,18 +105,18 @@
 					}
 					return five(socket, request)
 				})
-				f, k := newFixtureWithBudgets(t, e)
+				f, store := newFixtureWithBudgets(t, e)
 				all := f.selector.endpoints
 				if test.script == nil {
 					secondAttempt.Store(true)
 					f.selector.endpoints = nil
 				}
-				f.turn(k, route, "first")
+				f.turn(store, route, "first")
 				f.selector.endpoints = all
 				runs := e.count.Load()
-				got := f.turn(k, route, "second")
-				if (got.status == 200) != test.left || (got.status == 402) == test.left {
-					t.Errorf("the second turn got %+v", got)
+				got := f.turn(store, route, "second")
+				if (got.status == 200) != test.fits || (got.status == 402) == test.fits {
+					t.Errorf("second turn: got %+v", got)
 				}
 				if got.status == 402 && e.count.Load() != runs {
 					t.Error("a turn that was rejected for its budget has run")
@@ -127,13 +127,13 @@
 }
 
 func TestProgram_EndlessLoop_StaysWithinBudget(t *testing.T) {
-	// given a program that requests on, also when it learns that its budget is spent
+	// given a program that continues to request turns when its budget is spent
 	events := stream(event(1, "a"), event(2, "b"))
 	e := newEndpoint(t, events)
-	f, k := newFixtureWithBudgets(t, e)
+	f, store := newFixtureWithBudgets(t, e)
 	served, rejected := 0, 0
 	for i := range 10 {
-		switch got := f.turn(k, "turn", "t"+string(rune('0'+i))); got.status {
+		switch got := f.turn(store, "turn", "t"+string(rune('0'+i))); got.status {
 		case 200:
 			served++
 		case 402:
@@ -142,7 +142,7 @@
 			t.Fatalf("got %+v", got)
 		}
 	}
-	// then it gets turns as long as one of the most fits: 6 tokens each, up to 21 with 15 set aside
+	// then turns of 6 tokens each are served as long as the 15 tokens of the largest turn fit into the budget of 21
 	if served != 2 || rejected != 8 || e.count.Load() != 2 {
 		t.Errorf("%d served, %d rejected, %d runs", served, rejected, e.count.Load())
 	}
@@ -152,22 +152,22 @@
 	const bound = time.Second // the settleMs setting of the deployments
 	for lost := range 4 {
 		synctest.Test(t, func(t *testing.T) {
-			// given stores that lose some offers of an end
-			offers := 0
+			// given program stores that lose some attempts to commit
+			attempts := 0
 			stores := &fakePrograms{ended: make(chan program.EndTurn, 1), end: func(program.EndTurn) error {
-				offers++
-				if offers <= lost {
+				attempts++
+				if attempts <= lost {
 					return errors.New("lost")
 				}
 				return nil
 			}}
 			began := time.Now()
-			// when it is offered again, then it is safe within the bound
+			// when the commit is retried, then it is accepted within the bound
 			if err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id"}); err != nil {
 				t.Error(err)
 			}
 			if took := time.Since(began); took >= bound {
-				t.Errorf("%d lost: safe after %v", lost, took)
+				t.Errorf("%d lost: committed after %v", lost, took)
 			}
 		})
 	}
--- a/internal/tier/proxy/clientconn_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -30,12 +30,12 @@
 func TestClientConn_Closing_ReadsNoNewRequest(t *testing.T) {
 	near, far := newPair(t)
 	_, _ = io.WriteString(far, "GET")
-	near.closing = true // as if the close came between the bytes' arrival and their reading
+	near.closing = true // as if a shutdown began between the arrival and the reading of the bytes
 	if n, err := near.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 	if near.beginRequest() {
-		t.Error("a request has begun")
+		t.Error("a request has begun on a closing connection")
 	}
 }
 
@@ -50,7 +50,7 @@
 		t.Errorf("read %d bytes of the rest, %v", n, err)
 	}
 	if !near.beginRequest() {
-		t.Error("the request is taken for one that has not begun")
+		t.Error("a request that had begun before the shutdown was refused")
 	}
 	if _, err := near.Write([]byte("answer")); err != nil {
 		t.Errorf("write: %v", err)
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -11,10 +11,10 @@
 	"mastusher/internal/tier/program"
 )
 
-// shortTimeoutMs is a time for which routes hold requests that a test can wait for, and in which an endpoint surely answers.
+// shortTimeoutMs is a timeout of routes for which a test can wait, and within which an endpoint certainly responds.
 const shortTimeoutMs = 1000
 
-// setRouteTimeout makes every route hold its requests so long, and let them wait for capacity all that time.
+// setRouteTimeout sets the timeout of every route, and lets requests be queued for all that time.
 func (f *fixture) setRouteTimeout(milliseconds int64) {
 	config := newConfiguration()
 	for i := range config.Routes {
@@ -43,24 +43,24 @@
 		{"a head without an event, stream", "stream", headFragment, 504},
 		{"a head without an event, resumable", "resume", headFragment, 504},
 		{"a head without an event, turn", "turn", headFragment, 504},
-		{"a stream under way", "stream", events, brokenOff},
-		{"a resumable stream under way", "resume", events, brokenOff},
-		{"a turn under way", "turn", events, brokenOff},
-		{"half a long answer, once", "once", half, brokenOff},
+		{"a stream in progress", "stream", events, brokenOff},
+		{"a resumable stream in progress", "resume", events, brokenOff},
+		{"a turn in progress", "turn", events, brokenOff},
+		{"half a long response, once", "once", half, brokenOff},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			// given an endpoint that goes on for ever, and a client with all the time in the world
+			// given an endpoint that never finishes, and a client with a late deadline
 			e := newEndpoint(t, sendThenAwaitClose(make(chan struct{}, 1), test.fragment))
 			f := newFixture(t, e)
 			f.setRouteTimeout(shortTimeoutMs)
 			c := f.dial()
 			c.request("POST", "/"+test.route+"/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
-			// when the route's time is over, then the request ends, at the client as at the endpoint
+			// when the route's timeout expires, then the request ends at the client and at the endpoint
 			got := c.readResponse("POST")
 			if test.status == brokenOff && got.err == nil {
-				t.Errorf("looks complete: %+v", got)
+				t.Errorf("the response looks complete: %+v", got)
 			}
 			if test.status != brokenOff && (got.status != test.status || got.err != nil) {
 				t.Errorf("got %+v", got)
@@ -75,7 +75,7 @@
 
 func TestRequest_NotSentByDeadline_IsRejected(t *testing.T) {
 	t.Parallel()
-	t.Run("it waits for capacity", func(t *testing.T) {
+	t.Run("queued for capacity", func(t *testing.T) {
 		t.Parallel()
 		loadBalancer, _ := newSaturatedBalancer(t)
 		f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer })
@@ -86,7 +86,7 @@
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("it waits for the stores", func(t *testing.T) {
+	t.Run("waiting for the program stores", func(t *testing.T) {
 		t.Parallel()
 		e := newEndpoint(t, stream(event(1, "one")))
 		f := newFixture(t, e)
@@ -103,7 +103,7 @@
 
 func TestTurn_CommitNotDurableByDeadline_IsBrokenOff(t *testing.T) {
 	t.Parallel()
-	// given stores that don't answer the end of a turn that came completely
+	// given program stores that do not answer the commit of a complete turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	f.setRouteTimeout(shortTimeoutMs)
 	release := make(chan struct{})
@@ -117,9 +117,9 @@
 	}
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "body", append(turnFields, "X-Time-Left-Ms: 60000")...)
-	// when the route's time is over, then the client sees the response broken off, and its tokens are committed later
+	// when the route's timeout expires, then the client sees an interrupted response, and the tokens are committed later
 	if got := c.readResponse("POST"); got.err == nil {
-		t.Errorf("looks complete: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 	close(release)
 	if end := <-f.programs.ended; end.Complete || end.Tokens != 3 {
@@ -129,15 +129,15 @@
 
 func TestTimeLeft_IsAtMostClientsAndRoutes(t *testing.T) {
 	cases := []struct {
-		name    string
-		sent    string // by the client; empty: nothing
-		giveUp  int64
-		maximum int
+		name           string
+		sent           string // X-Time-Left-Ms of the client; empty: none
+		routeTimeoutMs int64
+		maximum        int
 	}{
-		{"the client has less", "20000", 50000, 20000},
-		{"the route has less", "90000", 50000, 50000},
-		{"the client tells none", "", 50000, 50000},
-		{"the client tells what is no number", "soon", 50000, 50000},
+		{"the client's limit is shorter", "20000", 50000, 20000},
+		{"the route's limit is shorter", "90000", 50000, 50000},
+		{"the client sends none", "", 50000, 50000},
+		{"the client sends what is not a number", "soon", 50000, 50000},
 	}
 	for _, test := range cases {
 		for _, route := range newConfiguration().Routes {
@@ -148,7 +148,7 @@
 				}
 				first, second := newEndpoint(t, failFirstAttempt(route)), newEndpoint(t, script)
 				f := newFixture(t, first, second)
-				f.setRouteTimeout(test.giveUp)
+				f.setRouteTimeout(test.routeTimeoutMs)
 				c := f.dial()
 				fields := turnFields
 				if test.sent != "" {
@@ -160,14 +160,14 @@
 				}
 				before, after := timeLeftOf(t, <-first.requests), timeLeftOf(t, <-second.requests)
 				if before > test.maximum || after > before || after < test.maximum/2 {
-					t.Errorf("received %d, then %d, at most %d", before, after, test.maximum)
+					t.Errorf("endpoints received %d ms, then %d ms, want at most %d ms", before, after, test.maximum)
 				}
 			})
 		}
 	}
 }
 
-// failFirstAttempt is a failure after which a request of the route goes to another endpoint.
+// failFirstAttempt returns a script that fails so that a request of the route goes to another endpoint.
 func failFirstAttempt(route model.Route) func(net.Conn, receivedRequest) bool {
 	if retryable(&route) {
 		return resetConnection
@@ -175,7 +175,7 @@
 	return respondNotRun
 }
 
-// timeLeftOf returns the milliseconds that an endpoint got.
+// timeLeftOf returns the X-Time-Left-Ms that an endpoint received.
 func timeLeftOf(t *testing.T, request receivedRequest) int {
 	t.Helper()
 	value := request.header["X-Time-Left-Ms"]
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -13,7 +13,7 @@
 	const second = float64(time.Second)
 	for _, test := range []struct {
 		kind             apierror.Kind
-		wait             time.Duration // of the rejection itself; 0: none
+		wait             time.Duration // retryAfter of the rejection; 0: none
 		minimum, maximum time.Duration // of Retry-After
 	}{
 		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
@@ -30,12 +30,12 @@
 				t.Fatal(err)
 			}
 			if got := time.Duration(value * second); got < test.minimum || got > test.maximum+time.Millisecond {
-				t.Errorf("%v, set to %v: got %v, want %v to %v", test.kind, test.wait, got, test.minimum, test.maximum)
+				t.Errorf("%v with retryAfter %v: got Retry-After %v, want %v to %v", test.kind, test.wait, got, test.minimum, test.maximum)
 			}
 		}
 	}
 	recorder := httptest.NewRecorder()
 	if writeError(recorder, apierror.MayHaveExecuted, 0); recorder.Header().Get(headerRetryAfter) != "" {
-		t.Error("an answer that promises nothing tells when to come back")
+		t.Error("a response that does not guarantee that the request has not run has a Retry-After")
 	}
 }
--- a/internal/tier/proxy/eventscanner_test.go
+++ b/internal/tier/proxy/eventscanner_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// scanResult is what a scanner made of a stream.
+// scanResult is the result of scanning a stream.
 type scanResult struct {
 	Forwarded, Output, LastID string
 	Count                     int64
@@ -16,12 +16,12 @@
 
 func scanAll(chunks ...string) scanResult {
 	scanner := eventScanner{collect: true}
-	var passed strings.Builder
+	var forwarded strings.Builder
 	for _, chunk := range chunks {
-		passed.Write(scanner.feed([]byte(chunk)))
+		forwarded.Write(scanner.feed([]byte(chunk)))
 	}
-	passed.Write(scanner.finish())
-	return scanResult{passed.String(), string(scanner.output), scanner.lastID, scanner.count}
+	forwarded.Write(scanner.finish())
+	return scanResult{forwarded.String(), string(scanner.output), scanner.lastID, scanner.count}
 }
 
 func TestEventScanner_Streams_CountsEventsAndIDs(t *testing.T) {
@@ -30,10 +30,10 @@
 		stream string
 		want   scanResult
 	}{
-		{"nothing", "", scanResult{}},
+		{"an empty stream", "", scanResult{}},
 		{"one event", "id: 7\ndata: a b\n\n", scanResult{Output: "a b\n", LastID: "7", Count: 1}},
 		{"several lines of data", "data: a\ndata:b\ndata:  c\ndata\n\n", scanResult{Output: "a\nb\n c\n\n", Count: 1}},
-		{"line ends of two bytes", "id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", scanResult{Output: "a\nb\n", LastID: "1", Count: 2}},
+		{"lines that end in CRLF", "id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", scanResult{Output: "a\nb\n", LastID: "1", Count: 2}},
 		{"comments and other fields", ": hello\n\nversions: 3\nid: 2\nevent: x\ndata: a\n\nretry: 5\n\n",
 			scanResult{Output: "a\n", LastID: "2", Count: 1}},
 		{"no blank line at the end", "data: a\n\nid: 3\ndata: b", scanResult{Output: "a\nb\n", LastID: "3", Count: 2}},
@@ -62,7 +62,7 @@
 		}
 		want := scanAll(stream)
 		if want.Forwarded != stream {
-			t.Fatalf("passed on %q of %q", want.Forwarded, stream)
+			t.Fatalf("forwarded %q of %q", want.Forwarded, stream)
 		}
 		if diff := cmp.Diff(want, scanAll(chunks...)); diff != "" {
 			t.Fatalf("%q (-whole +split):\n%s", chunks, diff)
@@ -72,7 +72,7 @@
 
 func TestEventScanner_Feed_ReturnsCompleteEventsOnly(t *testing.T) {
 	var scanner eventScanner
-	steps := []struct{ chunk, passed string }{
+	steps := []struct{ chunk, forwarded string }{
 		{"id: 1\n", ""},
 		{"data: a\n", ""},
 		{"\nid: 2\nda", "id: 1\ndata: a\n\n"},
@@ -80,12 +80,12 @@
 		{"id: 3\ndata: c\n\nid: 4", "id: 3\ndata: c\n\n"},
 	}
 	for _, step := range steps {
-		if got := string(scanner.feed([]byte(step.chunk))); got != step.passed {
-			t.Errorf("after %q passed on %q, want %q", step.chunk, got, step.passed)
+		if got := string(scanner.feed([]byte(step.chunk))); got != step.forwarded {
+			t.Errorf("after %q forwarded %q, want %q", step.chunk, got, step.forwarded)
 		}
 	}
 	scanner.restart()
 	if got := string(scanner.feed([]byte("id: 4\ndata: d\n\n"))); got != "id: 4\ndata: d\n\n" || scanner.count != 4 || scanner.lastID != "4" {
-		t.Errorf("after the restart passed on %q", got)
+		t.Errorf("after the restart forwarded %q", got)
 	}
 }
--- a/internal/tier/proxy/fakes_test.go
+++ b/internal/tier/proxy/fakes_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// fakeViews is a Views that a test sets.
+// fakeViews is a Views whose results a test sets.
 type fakeViews struct {
 	routes atomic.Pointer[Routes]
 	ready  atomic.Bool
@@ -22,16 +22,16 @@
 
 // fakePrograms is a Programs that records its calls.
 type fakePrograms struct {
-	beforeBegin func(context.Context)                           // nil: a beginning is answered at once
-	begin       func(program.BeginTurn) (program.Result, error) // nil: every turn is taken
-	end         func(program.EndTurn) error                     // nil: every end is safe
-	beforeEnd   func(context.Context) error                     // nil: an end is answered at once
+	beforeBegin func(context.Context)                           // nil: Begin answers at once
+	begin       func(program.BeginTurn) (program.Result, error) // nil: every turn is accepted
+	end         func(program.EndTurn) error                     // nil: every commit is accepted
+	beforeEnd   func(context.Context) error                     // nil: End answers at once
 	isUnknown   func(program.EndTurn) bool                      // nil: every turn is known
 
 	mutex     sync.Mutex
 	begins    []program.BeginTurn
 	shardKeys []string
-	ended     chan program.EndTurn
+	ended     chan program.EndTurn // receives each committed turn
 }
 
 func (p *fakePrograms) Begin(ctx context.Context, key string, turn program.BeginTurn) (program.Result, error) {
@@ -67,7 +67,7 @@
 	return program.Result{Verdict: program.Accepted}, nil
 }
 
-// fakeSelector is a Selector that offers endpoints in order, each once.
+// fakeSelector is a Selector that selects its endpoints in order, each once per request.
 type fakeSelector struct {
 	endpoints []Selection
 	outcomes  chan Outcome
--- a/internal/tier/proxy/fixture_test.go
+++ b/internal/tier/proxy/fixture_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// fixture is a proxy that runs with everything around it under a test's control.
+// fixture is a running proxy whose environment a test controls.
 type fixture struct {
 	t        *testing.T
 	proxy    *Proxy
@@ -26,10 +26,10 @@
 	return newFixtureWith(t, func(*Options) {}, endpoints...)
 }
 
-// newFixtureWith starts a proxy whose options a test changes.
+// newFixtureWith starts a proxy with options that a test changes.
 func newFixtureWith(t *testing.T, change func(*Options), endpoints ...*endpoint) *fixture {
 	t.Helper()
-	started := &fixture{
+	f := &fixture{
 		t:        t,
 		views:    &fakeViews{},
 		programs: &fakePrograms{ended: make(chan program.EndTurn, 16)},
@@ -37,42 +37,42 @@
 		config:   newConfiguration(),
 	}
 	for i, e := range endpoints {
-		started.selector.endpoints = append(started.selector.endpoints, Selection{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
+		f.selector.endpoints = append(f.selector.endpoints, Selection{ID: "e" + strconv.Itoa(i+1), Address: e.listener.Addr().String()})
 	}
-	started.views.routes.Store(NewRoutes(started.config))
-	started.views.ready.Store(true)
+	f.views.routes.Store(NewRoutes(f.config))
+	f.views.ready.Store(true)
 	options := Options{
 		FrontAddress:     "127.0.0.1:0",
 		ReadinessAddress: "127.0.0.1:0",
-		Views:            started.views,
-		Programs:         started.programs,
-		Selector:         started.selector,
+		Views:            f.views,
+		Programs:         f.programs,
+		Selector:         f.selector,
 	}
 	change(&options)
 	var err error
-	started.proxy, err = New(options)
+	f.proxy, err = New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
-	go func() { served <- started.proxy.Serve() }()
+	go func() { served <- f.proxy.Serve() }()
 	t.Cleanup(func() {
-		started.stop()
+		f.stop()
 		if err := <-served; err != nil {
 			t.Errorf("serve: %v", err)
 		}
 	})
-	return started
+	return f
 }
 
-// stop shuts the proxy down. Its requests have ended when it returns, but for those that take five seconds.
+// stop shuts the proxy down. When it returns, its requests have ended, except for those that take longer than five seconds.
 func (f *fixture) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	_ = f.proxy.Shutdown(ctx)
 }
 
-// newConfiguration has a route of each kind.
+// newConfiguration returns a configuration with a route of each kind.
 func newConfiguration() *model.Configuration {
 	route := func(name string, kind model.RouteKind, change func(*model.Route)) model.Route {
 		r := model.Route{Name: name, Host: "a.example", PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: 5000, LatencyTargetMs: 200,
@@ -102,8 +102,8 @@
 	}
 }
 
-// configurationWithLatencyTarget is newConfiguration with a latency target, in ms, of all routes: how long requests may be queued grows
-// with it.
+// configurationWithLatencyTarget returns newConfiguration with a latency target in ms for all routes. The time for which requests may
+// be queued grows with the target.
 func configurationWithLatencyTarget(milliseconds int64) *model.Configuration {
 	config := newConfiguration()
 	for i := range config.Routes {
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -18,7 +18,7 @@
 	"mastusher/internal/tier/model"
 )
 
-// newRequestInfo returns a request of a route with that priority, which may wait for a second.
+// newRequestInfo returns a request of a route with this priority. It may be queued for a second.
 func newRequestInfo(priority int) *RequestInfo {
 	now := time.Now()
 	return &RequestInfo{
@@ -43,7 +43,7 @@
 	return loadBalancer, inFlight
 }
 
-// queued returns how many requests wait.
+// queued returns the number of queued requests.
 func (b *LoadBalancer) queued() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -101,12 +101,12 @@
 		t.Errorf("rejected after %v", waited)
 	}
 	if loadBalancer.queued() != 0 {
-		t.Error("still waiting")
+		t.Error("the request is still queued")
 	}
 }
 
 func TestLoadBalancer_QueueFull_DisplacedRequestGetsItsOwnRejection(t *testing.T) {
-	// Given a full queue in which a request waits that any endpoint may take,
+	// Given a full queue that holds a request which any endpoint may run,
 	loadBalancer, _ := newSaturatedBalancer(t)
 	loadBalancer.queues["plain"] = balancer.NewQueue(1)
 	displaced := make(chan error, 1)
@@ -115,7 +115,7 @@
 		displaced <- err
 	}()
 	awaitQueued(loadBalancer, 1)
-	// when a more urgent one takes its place that has no attempts left,
+	// when a more urgent request without attempts left displaces it,
 	ctx, cancel := context.WithCancel(t.Context())
 	newcomer := newRequestInfo(0)
 	newcomer.AttemptsUsed = newcomer.Route.MaxAttempts
@@ -124,7 +124,7 @@
 		defer close(ended)
 		_, _ = loadBalancer.Select(ctx, newcomer)
 	}()
-	// then the first one is told when it may come back, which says nothing to a request without attempts.
+	// then the displaced request gets its own rejection with a Retry-After, and not that of a request without attempts left.
 	var rejection *RejectionError
 	if err := <-displaced; !errors.As(err, &rejection) || rejection.Kind != apierror.Overloaded || rejection.RetryAfter <= 0 {
 		t.Errorf("got %v", err)
@@ -139,7 +139,7 @@
 	info.Route.Kind, info.Route.MaxAttempts = model.Retryable, 2
 	info.MayHaveRun, info.AttemptsUsed = true, 1
 	if _, err := loadBalancer.Select(t.Context(), info); err == nil {
-		t.Error("not rejected")
+		t.Error("the request was not rejected")
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
 	if _, err := loadBalancer.Select(t.Context(), newRequestInfo(0)); err != nil {
-		t.Errorf("the capacity was not free: %v", err)
+		t.Errorf("the capacity was not released: %v", err)
 	}
 }
 
@@ -196,13 +196,13 @@
 		}
 	}
 	prompts := []struct {
-		prefix      string
-		shared, own int
+		prefix         string
+		shared, suffix int
 	}{{"5c1e07a2:800,91bd3f06:410,e4402b7d:250", 1210, 250}, {"ab:7", 0, 7}, {"", 0, 99}, {"ab:x", 0, 99}}
 	for _, test := range prompts {
-		shared, own := promptTokens(&RequestInfo{Prefix: test.prefix, PromptTokens: 99})
-		if shared != test.shared || own != test.own {
-			t.Errorf("prefix %q: %d shared and %d own", test.prefix, shared, own)
+		shared, suffix := promptTokens(&RequestInfo{Prefix: test.prefix, PromptTokens: 99})
+		if shared != test.shared || suffix != test.suffix {
+			t.Errorf("prefix %q: %d tokens in the prefix and %d in the suffix", test.prefix, shared, suffix)
 		}
 	}
 	for value, want := range map[string]time.Duration{"5000": 5 * time.Second, "0.5": 500 * time.Microsecond, "": 0, "-1": 0, "x": 0, "NaN": 0} {
@@ -263,9 +263,9 @@
 
 func TestLoadBalancer_OnlyRejectingEndpointsLeft_ReturnsToThem(t *testing.T) {
 	// given a service's only endpoint, which rejects a request once
-	var asked atomic.Int64
+	var requests atomic.Int64
 	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			return respondNotRun(socket, request)
 		}
 		return respondWith(200, "good")(socket, request)
@@ -275,12 +275,12 @@
 	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer }, e)
 	config := configurationWithLatencyTarget(4000)
 	f.views.routes.Store(NewRoutes(config))
-	// when the request comes, and another one behind it
+	// when a request is sent, and another one after it
 	first, second := f.dial(), f.dial()
 	first.request("POST", "/once/x", "id1", "body")
 	got := first.readResponse("POST")
 	second.request("POST", "/once/x", "id2", "body")
-	// then both are served: the endpoint had promised not to run the first one
+	// then both are served: the endpoint declared the first one as not run
 	if got.status != 200 {
 		t.Errorf("the first request: %+v", got)
 	}
@@ -297,8 +297,8 @@
 		excluded   []string
 		want       string
 	}{
-		{"given another endpoint when one has turned the request away then the other gets it", []string{"e1"}, []string{"e1"}, "e2"},
-		{"given one that may have run it when the other has rejected it then that gets it once more", []string{"e1"}, []string{"e1", "e2"}, "e1"},
+		{"given two endpoints when one has rejected the request then the other is selected", []string{"e1"}, []string{"e1"}, "e2"},
+		{"given an endpoint that may have run the request when the other has rejected it then the other is selected again", []string{"e1"}, []string{"e1", "e2"}, "e1"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -314,7 +314,7 @@
 }
 
 func TestLoadBalancer_NoConnectionFree_QueuesRequest(t *testing.T) {
-	// given a service's only endpoint, to which all connections are in use
+	// given a service's only endpoint, with all its connections in use
 	started, release := make(chan struct{}, 3), make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		started <- struct{}{}
@@ -334,11 +334,11 @@
 		c.request("GET", "/once/x", fmt.Sprint(i), "")
 		<-started
 	}
-	// when another request comes and a connection is free later
+	// when another request is queued and a connection becomes free
 	clients[minConnections].request("GET", "/once/x", "another", "")
 	awaitQueued(loadBalancer, 1)
 	close(release)
-	// then all of them are served
+	// then all requests are served
 	for i, c := range clients {
 		if got := c.readResponse("GET"); got.status != 200 {
 			t.Errorf("request %d: %+v", i, got)
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// isDenial reports whether a status of the proxy's own denies a request, and doesn't merely put it off.
+// isDenial reports whether a status of the proxy's own denies a request for good, rather than asking the client to retry.
 func isDenial(status int) bool {
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
@@ -26,12 +26,12 @@
 		"capitals in the host":               "GET /once/x HTTP/1.1\r\nHost: A.Example\r\nX-Attempt-Id: id\r\n\r\n",
 		"a port in the host":                 "GET /once/x HTTP/1.1\r\nHost: a.example:8149\r\nX-Attempt-Id: id\r\n\r\n",
 		"fields in lower case":               "GET /once/x HTTP/1.1\r\nhost: a.example\r\nx-attempt-id: id\r\n\r\n",
-		"a target with the host":             "GET http://a.example/once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
-		"an older client":                    "GET /once/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
+		"a target in absolute form":          "GET http://a.example/once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
+		"an HTTP/1.0 client":                 "GET /once/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"the shortest path of the route":     "GET /once/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"a path that could be cleaned":       "GET /once//../x/. HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"no body, with a length":             head + "Content-Length: 0\r\n\r\n",
-		"a body that is announced":           head + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
+		"a body after Expect: 100-continue":  head + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		"a body in chunks":                   head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
 		"the largest body":                   head + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(largest)) + largest,
 		"the largest body in chunks":         head + "Transfer-Encoding: chunked\r\n\r\n" + chunk(largest) + lastChunk,
@@ -49,7 +49,7 @@
 				got = c.readHead("POST")
 			}
 			if got.StatusCode != 200 {
-				t.Errorf("got %d", got.StatusCode)
+				t.Errorf("got status %d", got.StatusCode)
 			}
 		})
 	}
@@ -74,14 +74,14 @@
 func TestTurn_StoreFaults_AreNoDenial(t *testing.T) {
 	cases := map[string]func(*fixture){
 		"no endpoint": func(f *fixture) { f.selector.endpoints = nil },
-		"all endpoints turn requests away": func(f *fixture) {
+		"all endpoints decline requests": func(f *fixture) {
 			f.selector.endpoints[0].Address = newEndpoint(f.t, respondNotRun).listener.Addr().String()
 		},
 		"no endpoint can be reached": func(f *fixture) { f.selector.endpoints[0].Address = "127.0.0.1:1" },
 		"no store answers": func(f *fixture) {
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{}, errors.New("no owner") }
 		},
-		"a store says what nobody knows": func(f *fixture) {
+		"a store returns an unknown verdict": func(f *fixture) {
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return program.Result{Verdict: "new"}, nil }
 		},
 		"the stores don't know the turn": func(f *fixture) {
@@ -89,17 +89,17 @@
 				return program.Result{Verdict: program.UnknownTurn}, nil
 			}
 		},
-		"the service has gone": func(f *fixture) {
+		"the service was removed": func(f *fixture) {
 			config := newConfiguration()
 			config.Services = nil
 			f.views.routes.Store(NewRoutes(config))
 		},
 	}
-	for name, trouble := range cases {
+	for name, injectFault := range cases {
 		for _, route := range newConfiguration().Routes {
 			t.Run(name+", "+route.Name, func(t *testing.T) {
 				f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
-				trouble(f)
+				injectFault(f)
 				c := f.dial()
 				c.request("POST", "/"+route.Name+"/x", "id", "body", turnFields...)
 				if got := c.readResponse("POST"); isDenial(got.status) {
--- a/internal/tier/proxy/permit_test.go
+++ b/internal/tier/proxy/permit_test.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// endpointsOf returns a list with one endpoint of each state, named e1, e2 and so on.
+// endpointsOf returns one endpoint for each state, named e1, e2 and so on.
 func endpointsOf(addresses []string, states ...model.EndpointState) []model.Endpoint {
 	var list []model.Endpoint
 	for i, state := range states {
@@ -18,7 +18,7 @@
 	return list
 }
 
-// revokingSelector is a Selector that lets something happen between a selection and its send.
+// revokingSelector is a Selector that calls afterSelect between a selection and its send.
 type revokingSelector struct {
 	*LoadBalancer
 	afterSelect func(Selection)
@@ -38,7 +38,7 @@
 		"draining": func(loadBalancer *LoadBalancer, addresses []string) {
 			loadBalancer.SetEndpoints(endpointsOf(addresses, draining, ready))
 		},
-		"gone": func(loadBalancer *LoadBalancer, addresses []string) {
+		"removed": func(loadBalancer *LoadBalancer, addresses []string) {
 			loadBalancer.SetEndpoints(endpointsOf(addresses, draining, ready)[1:])
 		},
 		"a version that is withdrawn": func(loadBalancer *LoadBalancer, addresses []string) {
@@ -50,18 +50,18 @@
 	}
 	for name, change := range withdraw {
 		t.Run(name, func(t *testing.T) {
-			// given two endpoints, of which only the first one is known
+			// given two endpoints, of which the load balancer knows only the first
 			first, second := newEndpoint(t, respondWith(200, "first")), newEndpoint(t, respondWith(200, "second"))
 			addresses := []string{first.listener.Addr().String(), second.listener.Addr().String()}
 			loadBalancer := NewLoadBalancer("z", 1)
 			loadBalancer.SetEndpoints(endpointsOf(addresses, ready))
-			// when the first one is withdrawn after it was chosen
+			// when the first endpoint is withdrawn after it was selected
 			f := newFixtureWith(t, func(options *Options) {
 				options.Selector = &revokingSelector{loadBalancer, func(Selection) { change(loadBalancer, addresses) }}
 			}, first, second)
 			c := f.dial()
 			c.request("POST", "/once/x", "id", "body")
-			// then the second one gets the request
+			// then the second endpoint gets the request
 			if got := c.readResponse("POST"); got.status != 200 || got.body != "second" {
 				t.Errorf("got %+v", got)
 			}
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -97,18 +97,18 @@
 		{"reset, once", "once", resetConnection, 502, 0},
 		{"reset, stream", "stream", resetConnection, 502, 0},
 		{"reset, resumable", "resume", resetConnection, 200, 1},
-		{"broken off, safe", "safe", breakOffResponse, 200, 1},
-		{"broken off, once", "once", breakOffResponse, 502, 0},
+		{"interrupted, safe", "safe", breakOffResponse, 200, 1},
+		{"interrupted, once", "once", breakOffResponse, 502, 0},
 		{"no seal, once", "once", respondWithoutSeal, 502, 0},
 		{"no seal, safe", "safe", respondWithoutSeal, 200, 1},
 		{"no id, once", "once", respondWithoutID, 502, 0},
 		{"garbage, once", "once", respondGarbage, 502, 0},
-		{"own failure, once", "once", respondWith(500, "failed"), 500, 0},
-		{"own failure, safe", "safe", respondWith(500, "failed"), 200, 1},
-		{"own deadline, once", "once", respondWith(504, "late"), 504, 0},
-		{"not found, safe", "safe", respondWith(404, "not here"), 404, 0},
-		{"a rejection without the promise, once", "once", respondWith(503, "hm"), 502, 0},
-		{"a rejection without the promise, 429, once", "once", respondWith(429, "hm"), 502, 0},
+		{"status 500, once", "once", respondWith(500, "failed"), 500, 0},
+		{"status 500, safe", "safe", respondWith(500, "failed"), 200, 1},
+		{"status 504, once", "once", respondWith(504, "late"), 504, 0},
+		{"status 404, safe", "safe", respondWith(404, "not here"), 404, 0},
+		{"503 without X-Not-Run, once", "once", respondWith(503, "hm"), 502, 0},
+		{"429 without X-Not-Run, once", "once", respondWith(429, "hm"), 502, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -121,10 +121,10 @@
 				t.Errorf("got %+v", got)
 			}
 			if bad.count.Load() != 1 || second.count.Load() != test.sends {
-				t.Errorf("%d sends to the first and %d to the second", bad.count.Load(), second.count.Load())
+				t.Errorf("%d sends to the first endpoint and %d to the second", bad.count.Load(), second.count.Load())
 			}
 			if seal := got.header.Get("X-Server-Seal"); (seal != "") != (got.status != 502) {
-				t.Errorf("seal %q with %d", seal, got.status)
+				t.Errorf("seal %q with status %d", seal, got.status)
 			}
 		})
 	}
@@ -139,7 +139,7 @@
 		t.Errorf("got %+v", got)
 	}
 	if endpoints[0].count.Load() != 1 || endpoints[1].count.Load() != 1 || endpoints[2].count.Load() != 0 {
-		t.Error("the request went to other than two endpoints")
+		t.Error("the request was not sent to the first two endpoints only")
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 }
 
-// newFullListener returns the address of a listener whose queue of new connections is full.
+// newFullListener returns the address of a listener whose accept queue is full.
 func newFullListener(t *testing.T) string {
 	t.Helper()
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -225,12 +225,12 @@
 }
 
 func TestDeadline_BeforeSend_SaysNothingOfEndpoint(t *testing.T) {
-	// given a connection that doesn't come up, and a request with less time than that is given
+	// given a connection that is never established, and a request whose deadline is before the timeout for connecting
 	f := newFixture(t)
 	f.selector.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body", "X-Time-Left-Ms: 20")
-	// then the client learns that it has not run, and the endpoint isn't blamed
+	// then the client learns that the request has not run, and the result does not count against the endpoint
 	if got := c.readResponse("POST"); got.status != 503 {
 		t.Errorf("got %+v", got)
 	}
@@ -250,7 +250,7 @@
 				t.Errorf("%s %s: %+v", method, target, got)
 			}
 			if request := <-e.requests; request.requestLine != method+" "+target+" HTTP/1.1" {
-				t.Errorf("%s %s went on as %q", method, target, request.requestLine)
+				t.Errorf("%s %s was forwarded as %q", method, target, request.requestLine)
 			}
 			<-f.selector.outcomes
 		}
@@ -267,7 +267,7 @@
 			t.Errorf("%s: %+v", target, got)
 		}
 		if request := <-e.requests; request.requestLine != "GET "+target+" HTTP/1.1" {
-			t.Errorf("%s went on as %q", target, request.requestLine)
+			t.Errorf("%s was forwarded as %q", target, request.requestLine)
 		}
 	}
 }
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -12,8 +12,8 @@
 	"mastusher/internal/tier/model"
 )
 
-// slottedEndpoint is a stand-in for an endpoint that works on so many requests at once, and lets the most urgent of those that wait in
-// first. A full queue rejects the least urgent one.
+// slottedEndpoint simulates an endpoint that runs as many requests at once as it has slots, and admits the most urgent of the queued
+// ones first. When its queue is full, it rejects the least urgent one.
 type slottedEndpoint struct {
 	slots, queueLimit int
 	mutex             sync.Mutex
@@ -21,13 +21,13 @@
 	waiting           []*slotRequest
 }
 
-// slotRequest is a request that waits in an endpoint.
+// slotRequest is a request queued at a slottedEndpoint.
 type slotRequest struct {
 	priority int
-	admitted chan bool // whether it runs
+	admitted chan bool // receives whether the request runs
 }
 
-// run works on a request for so long; it returns false if the request was rejected.
+// run runs a request for the duration of work. It returns false if the request was rejected.
 func (s *slottedEndpoint) run(priority int, work time.Duration) bool {
 	request := &slotRequest{priority: priority, admitted: make(chan bool, 1)}
 	s.mutex.Lock()
@@ -51,7 +51,7 @@
 	return true
 }
 
-// admit lets in what waits as far as there are slots. The caller holds the mutex.
+// admit starts queued requests while there are free slots. The caller must hold the mutex.
 func (s *slottedEndpoint) admit() {
 	for s.running < s.slots && len(s.waiting) > 0 {
 		s.running++
@@ -60,19 +60,19 @@
 	}
 }
 
-// load is the endpoint's report of its own load.
+// load returns the endpoint's X-Server-Load.
 func (s *slottedEndpoint) load() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return fmt.Sprintf("%d,%d,%d", s.running, len(s.waiting), s.slots)
 }
 
-// simulateOverload plays requests of two routes on so many proxies that share an endpoint, and returns the share of each priority that was
-// answered within its aim.
+// simulateOverload sends requests of two priorities through proxies that share an endpoint, and returns the fraction of requests of
+// each priority that were answered within their latency target.
 func simulateOverload(t *testing.T, proxies int, rate float64, targets [2]int64) (served [2]float64) {
 	const (
-		work  = 100 * time.Millisecond
-		lasts = 3 * time.Second
+		work     = 100 * time.Millisecond
+		duration = 3 * time.Second
 	)
 	endpoint := &slottedEndpoint{slots: 8, queueLimit: 4}
 	var loadBalancers []*LoadBalancer
@@ -82,29 +82,29 @@
 		loadBalancers = append(loadBalancers, loadBalancer)
 	}
 	var mutex sync.Mutex
-	var asked, good [2]int
+	var sent, onTime [2]int
 	var all sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 2))
-	for began := time.Now(); time.Since(began) < lasts; {
+	for began := time.Now(); time.Since(began) < duration; {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		priority, loadBalancer := random.IntN(2), loadBalancers[random.IntN(proxies)]
-		asked[priority]++
+		sent[priority]++
 		all.Go(func() {
 			if loadBalancer.sendRequest(t, endpoint, priority, targets[priority], work) {
 				mutex.Lock()
 				defer mutex.Unlock()
-				good[priority]++
+				onTime[priority]++
 			}
 		})
 	}
 	all.Wait()
 	for priority := range served {
-		served[priority] = float64(good[priority]) / float64(asked[priority])
+		served[priority] = float64(onTime[priority]) / float64(sent[priority])
 	}
 	return served
 }
 
-// sendRequest plays one request, and reports whether it was answered within its aim.
+// sendRequest simulates one request with its retries, and reports whether it was answered within its latency target.
 func (b *LoadBalancer) sendRequest(t *testing.T, endpoint *slottedEndpoint, priority int, targetMs int64, work time.Duration) bool {
 	info := newRequestInfo(priority)
 	info.Route.LatencyTargetMs = targetMs
@@ -126,14 +126,14 @@
 }
 
 func TestPriority_Overload_MoreUrgentServedNoLess(t *testing.T) {
-	const slack = 0.05 // by which a more urgent kind of request may be served less often
+	const slack = 0.05 // by which the fraction of the more urgent requests served may be lower
 	for _, proxies := range []int{1, 8} {
-		for _, rate := range []float64{100, 240} { // of 80 that the endpoint can serve
+		for _, rate := range []float64{100, 240} { // requests per second, of which the endpoint can serve 80
 			for _, targets := range [][2]int64{{400, 1600}, {1600, 400}} {
 				synctest.Test(t, func(t *testing.T) {
 					served := simulateOverload(t, proxies, rate, targets)
 					if served[0] < served[1]-slack {
-						t.Errorf("%d proxies, %.0f/s, aims %v ms: %.2f of the more urgent served, %.2f of the others",
+						t.Errorf("%d proxies, %.0f/s, targets %v ms: served %.2f of the more urgent requests, %.2f of the others",
 							proxies, rate, targets, served[0], served[1])
 					}
 				})
--- a/internal/tier/proxy/rejections_test.go
+++ b/internal/tier/proxy/rejections_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestOutage_LastsTooLong_BreaksInvariantOnce(t *testing.T) {
-	const bound = 15 * time.Second
+	const limit = 15 * time.Second
 	type second struct{ rejected, served int }
 	repeated := func(count int, one second) []second {
 		var list []second
@@ -29,29 +29,29 @@
 		seconds []second
 		want    int
 	}{
-		{"none", repeated(40, second{0, 9}), 0},
-		{"shorter than the bound", append(repeated(15, second{8, 0}), second{0, 8}), 0},
-		{"longer", repeated(40, second{8, 0}), 1},
+		{"no outage", repeated(40, second{0, 9}), 0},
+		{"shorter than the limit", append(repeated(15, second{8, 0}), second{0, 8}), 0},
+		{"longer than the limit", repeated(40, second{8, 0}), 1},
 		{"a quarter is served", repeated(40, second{3, 1}), 0},
 		{"less than a quarter is served", repeated(40, second{4, 1}), 1},
-		{"nobody asks meanwhile", append(append(repeated(2, second{8, 0}), repeated(20, second{})...), second{8, 0}), 1},
-		{"two of them", append(append(repeated(20, second{8, 0}), second{1, 8}), repeated(20, second{8, 0})...), 2},
+		{"an interval without requests", append(append(repeated(2, second{8, 0}), repeated(20, second{})...), second{8, 0}), 1},
+		{"two outages", append(append(repeated(20, second{8, 0}), second{1, 8}), repeated(20, second{8, 0})...), 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checks := invariant.New(log.NewNopLogger())
-			observed := outage{limit: bound, checks: checks}
+			observed := outage{limit: limit, checks: checks}
 			for at, one := range c.seconds {
 				observed.observe(time.Unix(int64(at), 0), one.rejected, one.served)
 			}
 			if got := checks.Counts()[invariant.Recovery]; got != c.want {
-				t.Errorf("broken %d times, want %d", got, c.want)
+				t.Errorf("the invariant was broken %d times, want %d", got, c.want)
 			}
 		})
 	}
 }
 
 func TestRejections_Report_LogsKindsAndCause(t *testing.T) {
-	// Given error responses of a proxy, when they are reported, then kinds, counts and cause are logged, and no second time.
+	// Given error responses of a proxy, when they are reported twice, then their kinds, counts and cause are logged once.
 	var logged bytes.Buffer
 	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
 	counted.add(apierror.StateUnavailable)
@@ -67,6 +67,6 @@
 		}
 	}
 	if count := strings.Count(logged.String(), "\n"); count != 1 {
-		t.Errorf("%d lines", count)
+		t.Errorf("logged %d lines, want 1", count)
 	}
 }
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -80,7 +80,7 @@
 			t.Errorf("got %+v", got)
 		}
 		if request := <-e.requests; request.connection != 1 {
-			t.Errorf("connection %d", request.connection)
+			t.Errorf("sent on connection %d, want 1", request.connection)
 		}
 	}
 }
@@ -116,13 +116,13 @@
 			t.Errorf("got %+v", got)
 		}
 		if request := <-e.requests; request.connection != 1 {
-			t.Errorf("connection %d", request.connection)
+			t.Errorf("sent on connection %d, want 1", request.connection)
 		}
 	}
 }
 
 func TestNotRunResponse_BodyBreaksOff_IsNoSuccess(t *testing.T) {
-	// given an endpoint that says that it didn't run a request, and breaks off
+	// given an interrupted response that says that the request was not run
 	broken := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(400, request, "X-Not-Run: 1", "Content-Length: 10")+"12345")
 		return false
@@ -133,7 +133,7 @@
 			f := newFixture(t, newEndpoint(t, broken), second)
 			c := f.dial()
 			c.request("GET", "/"+route+"/x", "id", "")
-			// then the client never gets an empty success instead
+			// then the client never gets an empty successful response
 			got := c.readResponse("GET")
 			if got.status != want || want == 200 && got.body != "good" {
 				t.Errorf("got %+v", got)
@@ -159,12 +159,12 @@
 	}
 	c.request("GET", "/safe/x", "next", "")
 	if got := c.readResponse("GET"); got.status != 200 {
-		t.Errorf("the next answer on the client's connection: %+v", got)
+		t.Errorf("the next response on the client's connection: %+v", got)
 	}
 }
 
 func TestCloseDelimitedResponse_IsForwardedFramed(t *testing.T) {
-	// given a response whose end only the close of its connection marks
+	// given a close-delimited response
 	end := make(chan struct{})
 	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
@@ -175,12 +175,12 @@
 	c := f.dial()
 	c.request("GET", "/once/x", "id", "")
 	response := c.readHead("GET")
-	// then the client's has an end of its own, so that it can't look complete when this process ends in its middle
+	// then it is forwarded in chunks, so that it cannot look complete if this process ends in the middle
 	if len(response.TransferEncoding) != 1 || response.TransferEncoding[0] != "chunked" || response.Close {
-		t.Errorf("framed by %v, close %v", response.TransferEncoding, response.Close)
+		t.Errorf("Transfer-Encoding %v, close %v", response.TransferEncoding, response.Close)
 	}
 	close(end)
 	if body, err := io.ReadAll(response.Body); err != nil || string(body) != "some bytes" {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("got body %q, %v", body, err)
 	}
 }
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// behaviour is what an endpoint does with a request.
+// behaviour is a way in which an endpoint handles a request.
 type behaviour struct {
 	name   string
 	script func(net.Conn, receivedRequest) bool
-	mayRun bool // nothing promises that it doesn't run the request
+	mayRun bool // nothing guarantees that the endpoint does not run the request
 }
 
 func behaviours() []behaviour {
-	say := func(text func(receivedRequest) string, keep bool) func(net.Conn, receivedRequest) bool {
+	write := func(text func(receivedRequest) string, keep bool) func(net.Conn, receivedRequest) bool {
 		return func(socket net.Conn, request receivedRequest) bool {
 			_, _ = io.WriteString(socket, text(request))
 			return keep
@@ -26,21 +26,21 @@
 	return []behaviour{
 		{"reset", resetConnection, true},
 		{"close", func(net.Conn, receivedRequest) bool { return false }, true},
-		{"fail", respondWith(500, "failed"), true},
-		{"late", respondWith(504, "late"), true},
-		{"no seal", say(func(r receivedRequest) string {
+		{"status 500", respondWith(500, "failed"), true},
+		{"status 504", respondWith(504, "late"), true},
+		{"no seal", write(func(r receivedRequest) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 2\r\n\r\nno"
 		}, true), true},
-		{"other", say(func(receivedRequest) string {
+		{"another id", write(func(receivedRequest) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno"
 		}, false), true},
-		{"garbage", say(func(receivedRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" }, false), true},
-		{"cut head", say(func(r receivedRequest) string { return sealedHead(200, r)[:20] }, false), true},
-		{"cut body", say(func(r receivedRequest) string { return sealedHead(200, r, "Content-Length: 10") + "12345" }, false), true},
-		{"cut event", say(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
-		{"cut stream", say(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
+		{"garbage", write(func(receivedRequest) string { return "\x16\x03\x01 garbage\r\n\r\n" }, false), true},
+		{"interrupted head", write(func(r receivedRequest) string { return sealedHead(200, r)[:20] }, false), true},
+		{"interrupted body", write(func(r receivedRequest) string { return sealedHead(200, r, "Content-Length: 10") + "12345" }, false), true},
+		{"interrupted event", write(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk("id: 1\nda") }, false), true},
+		{"interrupted stream", write(func(r receivedRequest) string { return sealedHead(200, r, streamHead) + chunk(event(1, "one")) }, false), true},
 		{"full", respondNotRun, false},
-		{"misdirected", say(func(r receivedRequest) string {
+		{"misdirected", write(func(r receivedRequest) string {
 			return "HTTP/1.1 421 Other\r\nX-Attempt-Id: " + r.id() + "\r\nContent-Length: 0\r\n\r\n"
 		}, true), false},
 	}
@@ -77,10 +77,10 @@
 				maxRuns = attempts
 			}
 			if ran > maxRuns {
-				t.Errorf("runs on %d endpoints, at most %d; they got:%s", ran, maxRuns, requestsOf(list))
+				t.Errorf("the request may have run at %d endpoints, want at most %d; they received:%s", ran, maxRuns, requestsOf(list))
 			}
 			if ran > 0 && !retryable(&route) && impliesNotRun(status) {
-				t.Errorf("answered by %d, and has run", status)
+				t.Errorf("got status %d, but the request may have run", status)
 			}
 		})
 		for _, e := range list {
@@ -89,7 +89,7 @@
 	}
 }
 
-// requestsOf describes what each endpoint got.
+// requestsOf describes the requests that each endpoint received.
 func requestsOf(list []*endpoint) string {
 	var text strings.Builder
 	for i, e := range list {
@@ -108,7 +108,7 @@
 	return status
 }
 
-// setMaxAttempts sets the attempts of all routes.
+// setMaxAttempts sets MaxAttempts of all routes.
 func (f *fixture) setMaxAttempts(attempts int) {
 	config := newConfiguration()
 	for i := range config.Routes {
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// readinessStatus asks whether the proxy is ready.
+// readinessStatus requests a path from the readiness server and returns the status.
 func (f *fixture) readinessStatus(path string) int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.proxy.ReadinessAddress().String() + path)
@@ -58,27 +58,27 @@
 
 	f.proxy.Drain()
 	late := f.dial()
-	for name, c := range map[string]*client{"new": late, "open": idle} {
+	for name, c := range map[string]*client{"new": late, "existing": idle} {
 		c.request("GET", "/once/x", "during", "")
 		if got := c.readResponse("GET"); got.status != 200 || !got.close {
 			t.Errorf("%s connection while draining: %+v", name, got)
 		}
 	}
-	down := f.startShutdown()
+	ended := f.startShutdown()
 	select {
-	case err := <-down:
-		t.Fatalf("shut down with a pending request: %v", err)
+	case err := <-ended:
+		t.Fatalf("the shutdown ended before a pending request: %v", err)
 	default:
 	}
 	close(release)
 	if got := busy.readResponse("GET"); got.status != 200 || got.body != "body" || got.err != nil {
-		t.Errorf("the request under way: %+v", got)
+		t.Errorf("the pending request: %+v", got)
 	}
-	if err := <-down; err != nil {
+	if err := <-ended; err != nil {
 		t.Errorf("shutdown: %v", err)
 	}
 	if _, err := io.ReadAll(busy.reader); err != nil {
-		t.Errorf("after the last answer: %v", err)
+		t.Errorf("after the last response: %v", err)
 	}
 }
 
@@ -89,15 +89,15 @@
 	first.readResponse("GET")
 	second := f.dial()
 	if !second.closedSilently() {
-		t.Error("a connection over the bound was answered")
+		t.Error("a connection over the limit was answered")
 	}
 	first.request("GET", "/once/x", "2", "")
 	if got := first.readResponse("GET"); got.status != 200 {
-		t.Errorf("within the bound: %+v", got)
+		t.Errorf("within the limit: %+v", got)
 	}
 }
 
-// awaitIdle returns once the proxy's only connection is idle, or once a request has begun on it.
+// awaitIdle waits until isIdle returns idle.
 func (f *fixture) awaitIdle(idle bool) {
 	for f.isIdle() != idle {
 		runtime.Gosched()
@@ -116,25 +116,25 @@
 	return true
 }
 
-// startShutdown begins to shut the proxy down, and returns once it takes no more connections.
+// startShutdown starts to shut the proxy down, and returns once the proxy refuses connections.
 func (f *fixture) startShutdown() <-chan error {
-	down := make(chan error, 1)
+	ended := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		down <- f.proxy.Shutdown(ctx)
+		ended <- f.proxy.Shutdown(ctx)
 	}()
 	for {
 		socket, err := net.Dial("tcp4", f.proxy.FrontAddress().String())
 		if err != nil {
-			return down
+			return ended
 		}
 		socket.Close()
 	}
 }
 
 func TestShutdown_HeadBeingRead_IsServed(t *testing.T) {
-	// given a kept connection on which half the head of a request has been read
+	// given a kept-alive connection on which half of the head of a request has been read
 	f := newFixture(t, newEndpoint(t, respondWith(200, "body")))
 	c := f.dial()
 	c.request("GET", "/once/x", "first", "")
@@ -142,23 +142,23 @@
 	f.awaitIdle(true)
 	c.send("GET /once/x HTTP/1.1\r\nHost: a.exa")
 	f.awaitIdle(false)
-	// when the proxy is shut down and the rest comes
-	down := f.startShutdown()
+	// when the proxy is shut down and the rest arrives
+	ended := f.startShutdown()
 	c.send("mple\r\nX-Attempt-Id: second\r\n\r\n")
-	// then the request is answered, and the connection ends
+	// then the request is answered, and the connection is closed
 	if got := c.readResponse("GET"); got.status != 200 || got.body != "body" || !got.close {
 		t.Errorf("got %+v", got)
 	}
-	if err := <-down; err != nil {
+	if err := <-ended; err != nil {
 		t.Errorf("shutdown: %v", err)
 	}
 }
 
 func TestDrain_NextResponse_EndsItsConnection(t *testing.T) {
-	cases := map[string]func(net.Conn, receivedRequest) bool{"an endpoint's": respondWith(200, "body"), "its own": respondNotRun}
+	cases := map[string]func(net.Conn, receivedRequest) bool{"an endpoint's response": respondWith(200, "body"), "an error response": respondNotRun}
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
-			// given a request that is under way
+			// given a pending request
 			started, release := make(chan struct{}), make(chan struct{})
 			f := newFixture(t, newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				close(started)
@@ -168,10 +168,10 @@
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
 			<-started
-			// when the proxy begins to drain before the response does
+			// when the proxy begins to drain before the response begins
 			f.proxy.Drain()
 			close(release)
-			// then the response ends the connection
+			// then the connection ends with the response
 			if got := c.readResponse("GET"); !got.close {
 				t.Errorf("got %+v", got)
 			}
@@ -180,7 +180,7 @@
 }
 
 func TestShutdown_PipelinedRequest_IsServed(t *testing.T) {
-	// given two requests that came together, of which the second one is at work
+	// given two requests that arrived together, the second of which is running
 	started, release := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		if request.id() == "second" {
@@ -194,14 +194,14 @@
 	c.send(head + "first\r\n\r\n" + head + "second\r\n\r\n")
 	c.readResponse("GET")
 	<-started
-	// when the proxy is shut down, and the endpoint answers then
-	down := f.startShutdown()
+	// when the proxy is shut down, and then the endpoint responds
+	ended := f.startShutdown()
 	close(release)
 	// then the client gets the response
 	if got := c.readResponse("GET"); got.status != 200 || got.body != "body" || got.err != nil {
 		t.Errorf("got %+v", got)
 	}
-	if err := <-down; err != nil {
+	if err := <-ended; err != nil {
 		t.Errorf("shutdown: %v", err)
 	}
 }
--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -27,11 +27,11 @@
 		{"a request that runs once", "once", noFragment, 504},
 		{"a stream before its first event", "stream", headFragment, 504},
 		{"a turn before its first event", "turn", headFragment, 504},
-		{"a stream under way", "stream", eventFragment, brokenOff},
+		{"a stream in progress", "stream", eventFragment, brokenOff},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			// given an endpoint at work
+			// given an endpoint that runs a request
 			started := make(chan struct{}, 1)
 			f := newFixture(t, newEndpoint(t, sendThenAwaitClose(started, test.fragment)))
 			c := f.dial()
@@ -41,18 +41,18 @@
 			if test.status == brokenOff {
 				partialResponse = c.readHead("POST")
 			}
-			// when a shutdown comes to the end of its time
+			// when the context of a shutdown ends
 			ended := f.shutDownThenCancel(f.refusesConnections)
-			// then the client gets an error response, and the connection ends
+			// then the client gets an error response, and the connection is closed
 			if test.status == brokenOff {
 				if body, err := io.ReadAll(partialResponse.Body); err == nil {
-					t.Errorf("looks complete: %q", body)
+					t.Errorf("the response looks complete: %q", body)
 				}
 			} else if got := c.readResponse("POST"); got.status != test.status || got.err != nil || !got.close {
 				t.Errorf("got %+v", got)
 			}
 			if err := <-ended; err == nil {
-				t.Error("the shutdown says that all requests have ended by themselves")
+				t.Error("Shutdown reported that no request was abandoned")
 			}
 			if test.route == "turn" {
 				if end := <-f.programs.ended; end.Complete || end.Turn != "id" {
@@ -64,24 +64,24 @@
 }
 
 func TestShutdown_QueuedRequest_IsRejected(t *testing.T) {
-	// given a request that waits for capacity
+	// given a queued request
 	loadBalancer, _ := newSaturatedBalancer(t)
 	f := newFixtureWith(t, func(options *Options) { options.Selector = loadBalancer })
 	f.setRouteTimeout(60_000)
 	c := f.dial()
 	c.request("POST", "/once/x", "id", "body")
 	awaitQueued(loadBalancer, 1)
-	// when a shutdown comes to the end of its time, then the client learns that it has not run
+	// when the context of a shutdown ends, then the client learns that the request has not run
 	ended := f.shutDownThenCancel(f.refusesConnections)
 	if got := c.readResponse("POST"); got.status != 503 || !got.close {
 		t.Errorf("got %+v", got)
 	}
 	if err := <-ended; err == nil {
-		t.Error("the shutdown abandoned nothing")
+		t.Error("Shutdown reported that no request was abandoned")
 	}
 }
 
-// shutDownThenCancel shuts the proxy down, and ends the time for that once a condition holds.
+// shutDownThenCancel shuts the proxy down, and cancels the context of the shutdown once a condition holds.
 func (f *fixture) shutDownThenCancel(condition func() bool) <-chan error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -92,7 +92,7 @@
 	return ended
 }
 
-// refusesConnections reports whether the proxy takes no more connections.
+// refusesConnections reports whether the proxy refuses new connections.
 func (f *fixture) refusesConnections() bool {
 	socket, err := net.Dial("tcp4", f.proxy.FrontAddress().String())
 	if err != nil {
@@ -104,12 +104,12 @@
 
 func TestShutdown_PendingCommits_GetFinalTimeout(t *testing.T) {
 	cases := []struct {
-		name  string
-		takes time.Duration // until the stores answer
-		taken bool
+		name      string
+		takes     time.Duration // until the program stores answer
+		committed bool
 	}{
-		{"given stores that answer in time when the shutdown's time is over then the turn is committed", 100 * time.Millisecond, true},
-		{"given stores that don't when it is over then the turn is abandoned", time.Second, false},
+		{"given program stores that answer within the final timeout when the shutdown's context ends then the turn is committed", 100 * time.Millisecond, true},
+		{"given program stores that answer later when the shutdown's context ends then the turn is abandoned", time.Second, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -122,29 +122,30 @@
 						return ctx.Err()
 					}
 				}}
-				s := newUsageCommitter(stores)
-				s.commit("key", program.EndTurn{Turn: "id"})
-				over, cancel := context.WithCancel(t.Context())
+				committer := newUsageCommitter(stores)
+				committer.commit("key", program.EndTurn{Turn: "id"})
+				ended, cancel := context.WithCancel(t.Context())
 				cancel()
 				began := time.Now()
-				s.drain(over)
+				committer.drain(ended)
 				if waited := time.Since(began); waited > finalCommitsTimeout {
 					t.Errorf("waited for %v", waited)
 				}
-				if taken := len(stores.ended) == 1; taken != test.taken {
-					t.Errorf("committed: %v", taken)
+				if committed := len(stores.ended) == 1; committed != test.committed {
+					t.Errorf("committed: %v", committed)
 				}
 			})
 		})
 	}
 }
 
-// Requests that were abandoned may commit at any moment of a drain. The race detector sees a commit that is counted beside the wait.
+// An abandoned request may commit at any time during a drain. The race detector reports a commit that is counted concurrently with the
+// wait.
 func TestUsageCommitter_CommitsBesideDrain_AllEndedAfterwards(t *testing.T) {
 	for range 200 {
 		stores := &fakePrograms{ended: make(chan program.EndTurn, 8)}
 		committer := newUsageCommitter(stores)
-		over, cancel := context.WithCancel(t.Context())
+		ended, cancel := context.WithCancel(t.Context())
 		cancel()
 		var abandoned sync.WaitGroup
 		for range 4 {
@@ -153,19 +154,19 @@
 				committer.commit("key", program.EndTurn{Turn: "id"})
 			})
 		}
-		committer.drain(over)
+		committer.drain(ended)
 		committed := len(stores.ended)
 		abandoned.Wait()
 		committer.commit("key", program.EndTurn{Turn: "late"})
 		if pending := committer.pending(); pending != 0 || len(stores.ended) != committed {
-			t.Fatalf("after the drain %d commits run, and %d more have ended", pending, len(stores.ended)-committed)
+			t.Fatalf("after the drain %d commits are running, and %d more have ended", pending, len(stores.ended)-committed)
 		}
 	}
 }
 
 func TestShutdown_Abandoning_TakesGracePeriodAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// given a client that doesn't take its response, and a turn whose commit no store takes
+		// given a client that does not read its response, and a turn whose commit the program stores never answer
 		stores := &fakePrograms{ended: make(chan program.EndTurn, 1), beforeEnd: func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
@@ -174,20 +175,20 @@
 			readinessServer: new(http.Server), frontend: newFrontend(closableListener{}, nil, func() clientLimits { return defaultLimits }, Options{})}
 		p.frontend.clients[&clientConn{}] = struct{}{}
 		p.usage.commit("key", program.EndTurn{Turn: "id"})
-		over, cancel := context.WithCancel(t.Context())
+		ended, cancel := context.WithCancel(t.Context())
 		cancel()
-		// when a shutdown comes to the end of its time, then it takes no longer than it says
+		// when the context of a shutdown ends, then Shutdown returns within ShutdownGracePeriod
 		began := time.Now()
-		if err := p.Shutdown(over); err == nil {
-			t.Error("the shutdown says that all requests have ended by themselves")
+		if err := p.Shutdown(ended); err == nil {
+			t.Error("Shutdown reported that no request was abandoned")
 		}
 		if took := time.Since(began); took > ShutdownGracePeriod {
-			t.Errorf("took %v more", took)
+			t.Errorf("Shutdown took %v after its context ended", took)
 		}
 	})
 }
 
-// closableListener is a listener that can be closed.
+// closableListener is a listener that can only be closed.
 type closableListener struct{ net.Listener }
 
 func (closableListener) Close() error { return nil }
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -69,10 +69,10 @@
 		t.Errorf("got %+v", got)
 	}
 	if id := (<-first.requests).header.Get("Last-Event-Id"); id != "0" {
-		t.Errorf("the first endpoint was asked to go on after %q", id)
+		t.Errorf("the first endpoint got Last-Event-Id %q", id)
 	}
 	if id := (<-second.requests).header.Get("Last-Event-Id"); id != "2" {
-		t.Errorf("the second endpoint was asked to go on after %q", id)
+		t.Errorf("the second endpoint got Last-Event-Id %q", id)
 	}
 }
 
@@ -89,7 +89,7 @@
 		t.Errorf("got %+v", got)
 	}
 	if request := <-second.requests; request.header.Get("Last-Event-Id") != "" {
-		t.Errorf("asked to go on after %q", request.header.Get("Last-Event-Id"))
+		t.Errorf("the second endpoint got Last-Event-Id %q", request.header.Get("Last-Event-Id"))
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 func TestStream_Resumed_HasNoDuplicateEvent(t *testing.T) {
-	// given a stream that broke off, and another endpoint that begins it anew
+	// given an interrupted stream, and another endpoint that starts it from the beginning
 	first := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(9, "nine"))+chunk(event(10, "ten")))
 		return false
@@ -145,9 +145,9 @@
 	second := newEndpoint(t, stream(event(9, "nine"), event(10, "ten"), event(11, "eleven")))
 	f := newFixture(t, first, second)
 	c := f.dial()
-	// when the stream is taken up there
+	// when the stream is resumed there
 	c.request("GET", "/resume/x", "id", "")
-	// then the client sees it cut after the events that it has
+	// then the client sees the stream interrupted after the events that it has received
 	if got := c.readResponse("GET"); got.err == nil || got.body != event(9, "nine")+event(10, "ten") {
 		t.Errorf("got %+v", got)
 	}
@@ -162,7 +162,7 @@
 	c := f.dial()
 	c.request("GET", "/stream/x", "id", "")
 	if got := c.readResponse("GET"); got.err == nil {
-		t.Errorf("the answer looks complete: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 	if outcome := <-f.selector.outcomes; outcome.Result != IncompleteResponse || outcome.Events != 1 {
 		t.Errorf("outcome %+v", outcome)
@@ -190,20 +190,20 @@
 }
 
 func TestAttempt_TimeoutFired_ForwardsNothing(t *testing.T) {
-	// given an attempt whose timeout has fired while its first bytes came
+	// given an attempt whose timeout fires while the first bytes arrive
 	c := &clientRequest{context: t.Context(), request: httptest.NewRequest("GET", "/", nil)}
 	a := &attempt{selection: Selection{Timeout: time.Nanosecond}}
 	c.startTimeout(a)
 	<-a.context.Done()
-	// when its response would begin to go to the client, then it is abandoned, by the timeout
+	// when its response would start to be forwarded, then the attempt is abandoned as timed out
 	if a.stopTimeout() || c.incompleteResult(a) != TimedOut {
-		t.Errorf("in time, or ended by %v", c.incompleteResult(a))
+		t.Errorf("the timeout was stopped, or the result is %v, want TimedOut", c.incompleteResult(a))
 	}
-	// given one that is in time, then nothing ends it afterwards
+	// given an attempt whose timeout is stopped in time, then nothing cancels the attempt afterwards
 	a = &attempt{selection: Selection{Timeout: time.Hour}}
 	c.startTimeout(a)
 	if first, second := a.stopTimeout(), a.stopTimeout(); !first || !second || a.context.Err() != nil {
-		t.Errorf("ended by %v", context.Cause(a.context))
+		t.Errorf("the attempt was cancelled: %v", context.Cause(a.context))
 	}
 }
 
@@ -217,7 +217,7 @@
 		t.Errorf("%d events up to %q, output %q", scanner.count, scanner.lastID, scanner.output)
 	}
 	if got := string(scanner.feed([]byte(event(2, "two")))); got != event(2, "two") || string(scanner.output) != "one\ntwo\n" {
-		t.Errorf("passed on %q, output %q", got, scanner.output)
+		t.Errorf("forwarded %q, output %q", got, scanner.output)
 	}
 }
 
@@ -248,13 +248,13 @@
 		first, second []string
 		want          string
 	}{
-		"broken off after an event without an id": {
+		"interrupted after an event without an id": {
 			[]string{event(1, "one"), unnumbered}, []string{unnumbered, event(2, "two")}, event(1, "one") + unnumbered},
-		"taken up with an event without an id": {
+		"resumed with an event without an id": {
 			[]string{event(1, "one")}, []string{unnumbered, event(2, "two")}, event(1, "one")},
-		"taken up with an old event that no blank line ends": {
+		"resumed with a duplicate event without a closing blank line": {
 			[]string{event(1, "one")}, []string{"id: 1\ndata: one"}, event(1, "one")},
-		"taken up after comments and fields": {
+		"resumed after comments and fields": {
 			[]string{event(1, "one"), ": c\n\n"}, []string{": d\n\n", "versions: 4\nid: 2\ndata: two\n\n"},
 			event(1, "one") + ": c\n\n: d\n\nversions: 4\nid: 2\ndata: two\n\n"},
 	}
@@ -272,7 +272,7 @@
 			c := f.dial()
 			c.request("GET", "/resume/x", "id", "")
 			got := c.readResponse("GET")
-			if broken := got.err != nil; got.body != test.want || broken == strings.HasSuffix(name, "fields") {
+			if interrupted := got.err != nil; got.body != test.want || interrupted == strings.HasSuffix(name, "fields") {
 				t.Errorf("got %q, %v", got.body, got.err)
 			}
 		})
--- a/internal/tier/proxy/testclient_test.go
+++ b/internal/tier/proxy/testclient_test.go
@@ -50,21 +50,21 @@
 	c.send(head + "\r\n" + body)
 }
 
-// clientResponse is a response with its complete body, or with the error at which the body ended.
+// clientResponse is a response with its complete body, or with the error that ended the body.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	close  bool // the connection ends with it
+	close  bool // the connection ends with the response
 	err    error
 }
 
-// readHead reads the readHead of a response.
+// readHead reads the head of a response.
 func (c *client) readHead(method string) *http.Response {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return response
 }
--- a/internal/tier/proxy/testendpoint_test.go
+++ b/internal/tier/proxy/testendpoint_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// receivedRequest is a request as an endpoint got it.
+// receivedRequest is a request as an endpoint received it.
 type receivedRequest struct {
 	connection  int
 	requestLine string
@@ -23,13 +23,13 @@
 // id returns the request's attempt id.
 func (r receivedRequest) id() string { return r.header.Get("X-Attempt-Id") }
 
-// endpoint is a stand-in that answers as a test says.
+// endpoint is a test endpoint that responds as its script says.
 type endpoint struct {
 	listener net.Listener
 	script   func(socket net.Conn, request receivedRequest) bool // false: close the connection
 	requests chan receivedRequest
-	closed   chan int // numbers of connections that have ended
-	count    atomic.Int64
+	closed   chan int     // numbers of the connections that have ended
+	count    atomic.Int64 // requests received
 }
 
 func newEndpoint(t *testing.T, script func(net.Conn, receivedRequest) bool) *endpoint {
@@ -82,7 +82,7 @@
 	}
 }
 
-// sealedHead returns the head of a response with a seal; fields are complete lines.
+// sealedHead returns the head of a response with a seal; fields are complete header lines.
 func sealedHead(status int, request receivedRequest, fields ...string) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nX-Attempt-Id: " + request.id() +
 		"\r\nX-Server-Seal: seal-" + request.id() + "\r\nKeep-Alive: timeout=30\r\n" + strings.Join(append(fields, ""), "\r\n") + "\r\n"
@@ -90,7 +90,7 @@
 
 func withLength(body string) string { return "Content-Length: " + strconv.Itoa(len(body)) }
 
-// respondWith gives a complete response with a Content-Length.
+// respondWith sends a complete response with a Content-Length.
 func respondWith(status int, body string, fields ...string) func(net.Conn, receivedRequest) bool {
 	return func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(status, request, append(fields, withLength(body))...)+body)
@@ -98,19 +98,19 @@
 	}
 }
 
-// respondNotRun says that the request was not run.
+// respondNotRun responds that the request was not run.
 func respondNotRun(socket net.Conn, request receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 503 Full\r\nX-Attempt-Id: "+request.id()+"\r\nX-Not-Run: full\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// respondWithoutSeal gives a complete response that no seal proves to be the endpoint's.
+// respondWithoutSeal sends a complete response without the endpoint's seal.
 func respondWithoutSeal(socket net.Conn, request receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+request.id()+"\r\nContent-Length: 2\r\n\r\nno")
 	return true
 }
 
-// respondWithoutID gives a complete response that names no request.
+// respondWithoutID sends a complete response without an attempt id.
 func respondWithoutID(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno")
 	return true
@@ -122,19 +122,19 @@
 	return false
 }
 
-// respondMisdirected says that another endpoint answers at the address.
+// respondMisdirected responds that the address belongs to another endpoint.
 func respondMisdirected(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// respondGarbage sends bytes that are no response.
+// respondGarbage sends bytes that are not a response.
 func respondGarbage(socket net.Conn, _ receivedRequest) bool {
 	_, _ = io.WriteString(socket, "\x16\x03\x01 garbage\r\n\r\n")
 	return false
 }
 
-// resetConnection breaks the connection after the request was read.
+// resetConnection resets the connection after the request was read.
 func resetConnection(socket net.Conn, _ receivedRequest) bool {
 	_ = socket.(*net.TCPConn).SetLinger(0)
 	socket.Close()
@@ -146,17 +146,17 @@
 	lastChunk  = "0\r\n\r\n"
 )
 
-// chunk frames bytes as one chunk.
+// chunk encodes bytes as one chunk.
 func chunk(text string) string {
 	return strconv.FormatInt(int64(len(text)), 16) + "\r\n" + text + "\r\n"
 }
 
-// event is one event of a stream.
+// event encodes one event of a stream.
 func event(id int, data string) string {
 	return "id: " + strconv.Itoa(id) + "\ndata: " + data + "\n\n"
 }
 
-// stream answers with events, each in a chunk of its own.
+// stream responds with events, each in its own chunk.
 func stream(events ...string) func(net.Conn, receivedRequest) bool {
 	return func(socket net.Conn, request receivedRequest) bool {
 		text := sealedHead(200, request, streamHead)
@@ -168,11 +168,11 @@
 	}
 }
 
-// brokenOff stands for a status where the response has begun, and breaks off.
+// brokenOff stands in place of a status for a response that begins and is then interrupted.
 const brokenOff = 0
 
-// noFragment, headFragment and eventFragment are what an endpoint sends before it works on for ever: nothing, the head of a stream, or
-// that and an event.
+// noFragment, headFragment and eventFragment are the parts of a response that an endpoint sends before it hangs: nothing, the head of
+// a stream, or a head and an event.
 func noFragment(receivedRequest) string { return "" }
 
 func headFragment(request receivedRequest) string { return sealedHead(200, request, streamHead) }
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{"p1"}, f.programs.shardKeys); diff != "" {
-		t.Errorf("key (-want +got):\n%s", diff)
+		t.Errorf("shard keys (-want +got):\n%s", diff)
 	}
 }
 
@@ -53,10 +53,10 @@
 		err    error
 		status int
 	}{
-		{"spent", program.Result{Verdict: program.BudgetExceeded}, nil, 402},
+		{"budget exhausted", program.Result{Verdict: program.BudgetExceeded}, nil, 402},
 		{"no such turn", program.Result{Verdict: program.TurnNotFound}, nil, 404},
-		{"stores full", program.Result{Verdict: program.StorageFull}, nil, 503},
-		{"not known", program.Result{}, errors.New("no owner"), 503},
+		{"program stores full", program.Result{Verdict: program.StorageFull}, nil, 503},
+		{"no answer from the program stores", program.Result{}, errors.New("no owner"), 503},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,9 +83,9 @@
 	for name, script := range framings {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
-			asked, release := make(chan struct{}), make(chan struct{})
+			endCalled, release := make(chan struct{}), make(chan struct{})
 			f.programs.end = func(program.EndTurn) error {
-				close(asked)
+				close(endCalled)
 				<-release
 				return nil
 			}
@@ -96,7 +96,7 @@
 			if _, err := io.ReadFull(response.Body, make([]byte, len(complete)-1)); err != nil {
 				t.Fatal(err)
 			}
-			<-asked
+			<-endCalled
 			ended := make(chan error, 1)
 			go func() {
 				_, err := io.ReadAll(response.Body)
@@ -109,7 +109,7 @@
 			}
 			close(release)
 			if err := <-ended; err != nil {
-				t.Errorf("the answer ended with %v", err)
+				t.Errorf("the response ended with %v", err)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 150")...)
 	if got := c.readResponse("POST"); got.err == nil {
-		t.Errorf("the answer looks complete: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 	rejected.Store(false)
 	if end := <-f.programs.ended; end.Tokens != 3 {
@@ -148,7 +148,7 @@
 	}{
 		{"rejected", respondNotRun, 0},
 		{"reset", resetConnection, 0},
-		{"cut inside the second event", broken, 3},
+		{"interrupted inside the second event", broken, 3},
 		{"failed", respondWith(500, "failed"), 0},
 	}
 	for _, test := range cases {
@@ -190,31 +190,31 @@
 }
 
 func TestTurn_CompleteButUnknown_BreaksOffAtOnce(t *testing.T) {
-	// given stores that have lost a turn
+	// given program stores that have lost a turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
-	var offers atomic.Int64
+	var attempts atomic.Int64
 	f.programs.isUnknown = func(end program.EndTurn) bool {
 		if end.Complete {
-			offers.Add(1)
+			attempts.Add(1)
 		}
 		return true
 	}
-	// when its response comes completely, with much time left
+	// when its response is complete, long before the deadline
 	c := f.dial()
-	asked := time.Now()
+	sent := time.Now()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
 	got := c.readResponse("POST")
-	// then the client sees it cut, well before its deadline
-	if got.err == nil || offers.Load() != 1 {
-		t.Errorf("got %+v after %d offers", got, offers.Load())
+	// then the client sees an interrupted response, well before the deadline
+	if got.err == nil || attempts.Load() != 1 {
+		t.Errorf("got %+v after %d commit attempts", got, attempts.Load())
 	}
-	if inFlight := time.Since(asked); inFlight > 4*time.Second {
-		t.Errorf("inFlight for %v", inFlight)
+	if elapsed := time.Since(sent); elapsed > 4*time.Second {
+		t.Errorf("the response was interrupted after %v", elapsed)
 	}
 }
 
 func TestTurn_CompleteWithoutEvents_Counts(t *testing.T) {
-	for name, script := range map[string]func(net.Conn, receivedRequest) bool{"a length of nothing": respondWith(200, ""), "no chunk": stream()} {
+	for name, script := range map[string]func(net.Conn, receivedRequest) bool{"Content-Length 0": respondWith(200, ""), "only the final chunk": stream()} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
 			c := f.dial()
@@ -231,27 +231,27 @@
 
 func TestUsageCommitter_UnknownTurn_RetriesForAWhile(t *testing.T) {
 	cases := []struct {
-		name     string
-		knownAt  int // the offer from which on the turn is known
-		complete bool
-		offers   int
-		known    bool
+		name      string
+		knownAt   int // the attempt from which on the program stores know the turn
+		complete  bool
+		attempts  int
+		committed bool
 	}{
-		{"given a turn whose beginning comes late when it broke off then its end is taken", 4, false, 4, true},
-		{"given a turn that never was begun when it broke off then its end is abandoned", 1000, false, maxUnknownTurnAttempts, false},
-		{"given a turn that isn't known when it is complete then its end is abandoned at once", 2, true, 1, false},
+		{"given an incomplete turn when its Begin arrives late then the commit is accepted", 4, false, 4, true},
+		{"given an incomplete turn when its Begin never arrives then the commit is abandoned", 1000, false, maxUnknownTurnAttempts, false},
+		{"given a complete turn when the program stores do not know it then the commit is abandoned at once", 2, true, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				offers := 0
+				attempts := 0
 				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), isUnknown: func(program.EndTurn) bool {
-					offers++
-					return offers < test.knownAt
+					attempts++
+					return attempts < test.knownAt
 				}}
 				err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.complete})
-				if offers != test.offers || (err == nil) != test.known {
-					t.Errorf("%d offers, %v", offers, err)
+				if attempts != test.attempts || (err == nil) != test.committed {
+					t.Errorf("%d attempts, %v", attempts, err)
 				}
 			})
 		})
--- a/internal/tier/proxy/viewchange_test.go
+++ b/internal/tier/proxy/viewchange_test.go
@@ -12,11 +12,11 @@
 	"mastusher/internal/tier/view"
 )
 
-// viewChange changes what a proxy knows while a request is pending.
+// viewChange changes the configuration, endpoints or state of a proxy while a request is pending.
 type viewChange func(*fixture, *LoadBalancer)
 
 func viewChanges() map[string]viewChange {
-	// reconfigure puts another configuration in force.
+	// reconfigure replaces the configuration.
 	reconfigure := func(change func(*model.Configuration)) viewChange {
 		return func(f *fixture, _ *LoadBalancer) {
 			config := newConfiguration()
@@ -29,7 +29,7 @@
 		"all routes removed":    reconfigure(func(c *model.Configuration) { c.Routes = nil }),
 		"all services removed":  reconfigure(func(c *model.Configuration) { c.Services = nil }),
 		"routes to other hosts": reconfigure(func(c *model.Configuration) { c.Routes[0].Host, c.Routes[2].Host = "b.example", "b.example" }),
-		"shorter times": reconfigure(func(c *model.Configuration) {
+		"shorter timeouts": reconfigure(func(c *model.Configuration) {
 			for i := range c.Routes {
 				c.Routes[i].TimeoutMs, c.Routes[i].LatencyTargetMs = 1, 1
 			}
@@ -37,31 +37,33 @@
 		"other limits": reconfigure(func(c *model.Configuration) {
 			c.Limits = model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1, HeaderTimeoutMs: 1, IdleTimeoutMs: 1}
 		}),
-		"no configuration":    func(f *fixture, _ *LoadBalancer) { f.views.routes.Store(nil) },
-		"not ready":           func(f *fixture, _ *LoadBalancer) { f.views.ready.Store(false) },
-		"the endpoint drains": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(endpointsAt("", "", model.Draining)) },
-		"the endpoint leaves": func(_ *fixture, s *LoadBalancer) { s.SetEndpoints(nil) },
-		"another version": func(_ *fixture, s *LoadBalancer) {
-			s.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v2"}, {Service: "engine", Current: "v2"}})
+		"no configuration": func(f *fixture, _ *LoadBalancer) { f.views.routes.Store(nil) },
+		"not ready":        func(f *fixture, _ *LoadBalancer) { f.views.ready.Store(false) },
+		"the endpoint drains": func(_ *fixture, loadBalancer *LoadBalancer) {
+			loadBalancer.SetEndpoints(endpointsAt("", "", model.Draining))
 		},
-		"many proxies":     func(_ *fixture, s *LoadBalancer) { s.SetProxies(1000) },
+		"the endpoint is removed": func(_ *fixture, loadBalancer *LoadBalancer) { loadBalancer.SetEndpoints(nil) },
+		"another version": func(_ *fixture, loadBalancer *LoadBalancer) {
+			loadBalancer.SetVersions([]view.ServiceVersions{{Service: "plain", Current: "v2"}, {Service: "engine", Current: "v2"}})
+		},
+		"many proxies":     func(_ *fixture, loadBalancer *LoadBalancer) { loadBalancer.SetProxies(1000) },
 		"the proxy drains": func(f *fixture, _ *LoadBalancer) { f.proxy.Drain() },
 	}
 }
 
 func TestViewChange_PendingRequests_AreNotBrokenOff(t *testing.T) {
-	progress := map[string]string{ // the head of the response that has come when the change comes
-		"nothing yet":        "",
+	progress := map[string]string{ // fields of the response head that the endpoint has sent by the time of the change
+		"no response":        "",
 		"a part of a stream": streamHead,
 	}
 	for name, change := range viewChanges() {
-		for progressed, head := range progress {
-			t.Run(name+", "+progressed, func(t *testing.T) { checkViewChange(t, change, head) })
+		for progressName, head := range progress {
+			t.Run(name+", "+progressName, func(t *testing.T) { checkViewChange(t, change, head) })
 		}
 	}
 }
 
-// checkViewChange applies a change while a request is pending; with a head, the first event of a stream has come.
+// checkViewChange applies a change while a request is pending. With a head, the endpoint has sent the first event of a stream by then.
 func checkViewChange(t *testing.T, change viewChange, head string) {
 	t.Helper()
 	// given a pending request
@@ -94,7 +96,7 @@
 	}
 	c.request("POST", target, "id", "body")
 	<-started
-	// when what the proxy knows changes
+	// when the change is applied
 	change(f, loadBalancer)
 	close(changed)
 	// then the request is answered completely
@@ -103,11 +105,11 @@
 	}
 }
 
-// breakOffWait is how long a response waits after a change: a request that the change breaks off has ended by then, while one that were
-// answered at once could complete before.
+// breakOffWait is how long the endpoint waits after a change before it responds: a request that the change interrupts has ended by
+// then, whereas a response sent at once could be complete before.
 const breakOffWait = 50 * time.Millisecond
 
-// closedWithin reports whether the other end of a connection, which sends nothing, closes it within a time.
+// closedWithin reports whether the peer of a connection, which sends nothing, closes the connection within a duration.
 func closedWithin(t *testing.T, socket net.Conn, within time.Duration) bool {
 	t.Helper()
 	if err := socket.SetReadDeadline(time.Now().Add(within)); err != nil {
@@ -120,7 +122,7 @@
 	return !errors.Is(readErr, os.ErrDeadlineExceeded)
 }
 
-// endpointsAt returns an endpoint of each service, with the addresses given.
+// endpointsAt returns an endpoint of each service, at the given addresses.
 func endpointsAt(plain, engine string, state model.EndpointState) []model.Endpoint {
 	return []model.Endpoint{
 		{ID: "p", Service: "plain", Address: plain, Zone: "z", Capacity: 8, Version: "v1", State: state},
--- a/internal/tier/proxy/wire_format_test.go
+++ b/internal/tier/proxy/wire_format_test.go
@@ -16,9 +16,9 @@
 	"mastusher/internal/tier/metrics"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files of the wire format anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files of the wire format")
 
-// compareGolden compares bytes that clients or operators read with those that an earlier version gave out.
+// compareGolden compares bytes that clients or operators read with those of earlier versions, which the golden file holds.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,12 +36,12 @@
 	}
 }
 
-// TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions compares status, header and body of the response to each kind of error.
+// TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions compares status, header and body of the error response of each kind.
 func TestWireFormat_ErrorResponses_AreThoseOfEarlierVersions(t *testing.T) {
 	var got bytes.Buffer
 	for _, kind := range apierror.Kinds() {
 		if kind.Response().Status == 0 {
-			continue // nothing can be answered any more
+			continue // no response can be sent
 		}
 		w := httptest.NewRecorder()
 		writeError(w, kind, 1250*time.Millisecond)
@@ -55,7 +55,7 @@
 	compareGolden(t, "error_responses.txt", got.Bytes())
 }
 
-// TestWireFormat_MetricsOfErrorResponses_AreThoseOfEarlierVersions compares the metrics that count them.
+// TestWireFormat_MetricsOfErrorResponses_AreThoseOfEarlierVersions compares the metrics that count error responses.
 func TestWireFormat_MetricsOfErrorResponses_AreThoseOfEarlierVersions(t *testing.T) {
 	counted := newRejectionCounter(&Options{Metrics: metrics.New()})
 	for _, kind := range apierror.Kinds() {
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/model"
 )
 
-// echoBody answers with the request's own body.
+// echoBody responds with the request's own body.
 func echoBody(socket net.Conn, request receivedRequest) bool {
 	return respondWith(200, request.body)(socket, request)
 }
@@ -28,7 +28,7 @@
 	for i := range 5 {
 		got := c.readResponse("POST")
 		if got.status != 200 || got.body != fmt.Sprint("b", i) || got.header.Get("X-Attempt-Id") != fmt.Sprint("id", i) {
-			t.Errorf("answer %d: %+v", i, got)
+			t.Errorf("response %d: %+v", i, got)
 		}
 	}
 }
@@ -80,16 +80,16 @@
 		name string
 		head string
 		body string
-		runs []string // bodies that endpoints may run
+		runs []string // bodies that the endpoint may run
 	}{
 		{"two lengths", "Content-Length: 4\r\nContent-Length: 5\r\n", "abcd" + inner, nil},
-		{"a length that is none", "Content-Length: +4\r\n", "abcd", nil},
+		{"an invalid length", "Content-Length: +4\r\n", "abcd", nil},
 		{"two codings", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", lastChunk, nil},
-		{"a coding that isn't known", "Transfer-Encoding: xchunked\r\n", lastChunk, nil},
-		{"a length within chunks", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", chunk(inner) + lastChunk, []string{inner}},
+		{"an unknown coding", "Transfer-Encoding: xchunked\r\n", lastChunk, nil},
+		{"a length and a chunked body", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", chunk(inner) + lastChunk, []string{inner}},
 		{"a space before the colon", "Content-Length : 4\r\n", "abcd", nil},
 		{"a folded line", "X-Fold: a\r\n Content-Length: 4\r\n", "", nil},
-		{"a line feed alone in a value", "X: a\nb\r\n", "", nil},
+		{"a bare line feed in a value", "X: a\nb\r\n", "", nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	c := f.dial()
 	c.send("GET /stream/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n")
 	if got := c.readResponse("GET"); got.err == nil {
-		t.Errorf("the answer looks complete: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 }
 
@@ -149,7 +149,7 @@
 			close(read)
 			_, err := io.ReadAll(response.Body)
 			if (err == nil) != (name == "closed") {
-				t.Errorf("the answer ended with %v", err)
+				t.Errorf("the response ended with %v", err)
 			}
 		})
 	}
@@ -212,7 +212,7 @@
 		t.Errorf("body over the narrow limit: %d", got)
 	}
 	if got := status(old, 30<<10, 1000); got != 200 {
-		t.Errorf("header on a connection from before: %d", got)
+		t.Errorf("header on a connection opened before the change: %d", got)
 	}
 	old.socket.Close()
 	setLimits(wide)
@@ -229,7 +229,7 @@
 	slow := f.dial()
 	slow.send("GET /once/x HTTP/1.1\r\nHost:")
 	if !slow.closedSilently() {
-		t.Error("a header that doesn't come was answered")
+		t.Error("an incomplete header was answered")
 	}
 	idle := f.dial()
 	idle.request("GET", "/once/x", "id", "")
