--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -36,9 +36,9 @@
 	Subject         string // X-Subject cookie
 	Program         string
 	Session         string
-	Previous        string
+	PreviousTurn    string
 	Model           string
-	Prefix          string // X-Prompt-Prefix
+	PromptPrefix    string // X-Prompt-Prefix
 	PromptTokens    int64
 	MaxOutputTokens int64
 	ProgramTimeLeft time.Duration // from ArrivedAt until the program should end; 0: unknown
@@ -46,7 +46,7 @@
 	ArrivedAt       time.Time
 	Deadline        time.Time
 	AttemptsUsed    int      // attempts that an endpoint may have run
-	MayHaveRun      bool     // AttemptsUsed is not 0
+	MayHaveRun      bool     // AttemptsUsed > 0
 	AfterTimeout    bool     // the last attempt exceeded its selection's timeout
 	Excluded        []string // IDs of the endpoints that the request has been sent to
 	RejectedBy      []string // those in Excluded that did not run the request or had no free connection: used again if no other accepts it
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -13,7 +13,7 @@
 // errAttemptTimeout is the cause with which an attempt's context is cancelled at its selection's timeout.
 var errAttemptTimeout = errors.New("attempt exceeded its timeout")
 
-// attempt is one send of a request to one endpoint.
+// attempt is the state of one send of a request to one endpoint.
 type attempt struct {
 	selection    Selection
 	started      time.Time
--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -180,11 +180,11 @@
 	t.Helper()
 	value := request.header["X-Time-Left-Ms"]
 	if len(value) != 1 {
-		t.Fatalf("time left %q", value)
+		t.Fatalf("got X-Time-Left-Ms %q", value)
 	}
 	milliseconds, err := strconv.Atoi(value[0])
 	if err != nil || milliseconds < 1 {
-		t.Fatalf("time left %q", value[0])
+		t.Fatalf("got X-Time-Left-Ms %q", value[0])
 	}
 	return milliseconds
 }
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -1,7 +1,7 @@
 // Package proxy is the HTTP data path of an edge machine. It accepts requests of clients, matches each to a route, sends it to an
-// endpoint and forwards the response as it arrives. For the turns of programs it also reserves and commits token budgets at the
-// program stores. Package command builds one Proxy per process; packages viewfeed, programclient and versionstats implement or wrap
-// the interfaces in api.go.
+// endpoint and forwards the response as it arrives. A request may be a turn of an agent program: then the proxy reserves the turn's
+// token budget at the program stores before it sends the request, and commits the turn's usage afterwards. Package command builds one
+// Proxy per process; packages viewfeed, programclient and versionstats implement or wrap the interfaces in api.go.
 //
 // # Request flow
 //
--- a/internal/tier/proxy/errorresponse.go
+++ b/internal/tier/proxy/errorresponse.go
@@ -10,12 +10,12 @@
 	"mastusher/internal/tier/apierror"
 )
 
-// Retry-After of rejections that do not set one. If the control plane or the program stores have no leader, the next election takes
-// some hundred ms: a client that retried sooner would waste one of its few attempts.
+// Retry-After of rejections that do not set one. If the control plane or the program stores have no leader, the next election takes a
+// few hundred ms: a client that retried sooner would waste one of its few attempts.
 const (
 	retryAfterDefault  = 100 * time.Millisecond
 	retryAfterElection = 450 * time.Millisecond
-	retryAfterFull     = time.Second // stores free space as their data expires
+	retryAfterFull     = time.Second // program stores free space as their data expires
 	retryJitter        = 0.3         // maximum fraction added, so that clients don't all retry at the same time
 )
 
--- a/internal/tier/proxy/errorresponse_test.go
+++ b/internal/tier/proxy/errorresponse_test.go
@@ -13,7 +13,7 @@
 	const second = float64(time.Second)
 	for _, test := range []struct {
 		kind             apierror.Kind
-		wait             time.Duration // retryAfter of the rejection; 0: none
+		retryAfter       time.Duration // of the rejection; 0: none
 		minimum, maximum time.Duration // of Retry-After
 	}{
 		{apierror.NotReady, 0, 450 * time.Millisecond, 585 * time.Millisecond},
@@ -24,13 +24,13 @@
 	} {
 		for range 20 {
 			recorder := httptest.NewRecorder()
-			writeError(recorder, test.kind, test.wait)
+			writeError(recorder, test.kind, test.retryAfter)
 			value, err := strconv.ParseFloat(recorder.Header().Get(headerRetryAfter), 64)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got := time.Duration(value * second); got < test.minimum || got > test.maximum+time.Millisecond {
-				t.Errorf("%v with retryAfter %v: got Retry-After %v, want %v to %v", test.kind, test.wait, got, test.minimum, test.maximum)
+				t.Errorf("%v with retryAfter %v: got Retry-After %v, want %v to %v", test.kind, test.retryAfter, got, test.minimum, test.maximum)
 			}
 		}
 	}
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -21,7 +21,7 @@
 	crossZonePenalty = 15 * time.Millisecond
 	// defaultProxyCount is the number of proxies that share an endpoint's connections until SetProxies is called.
 	defaultProxyCount = 8
-	// minConnections is the minimum of a proxy's connections to an endpoint.
+	// minConnections is the lowest limit on a proxy's connections to an endpoint.
 	minConnections = 2
 	// timeoutFraction is the fraction of a request's time after which a client that closes its connection is assumed to have timed out.
 	timeoutFraction = 0.9
@@ -257,10 +257,10 @@
 // promptTokens returns the number of tokens in the shared prefix of a prompt and in the suffix after it. The suffix is the last
 // element of X-Prompt-Prefix.
 func promptTokens(info *RequestInfo) (prefix, suffix int) {
-	if info.Prefix == "" {
+	if info.PromptPrefix == "" {
 		return 0, int(info.PromptTokens)
 	}
-	for element := range strings.SplitSeq(info.Prefix, ",") {
+	for element := range strings.SplitSeq(info.PromptPrefix, ",") {
 		_, count, _ := strings.Cut(element, ":")
 		tokens, err := strconv.Atoi(strings.TrimSpace(count))
 		if err != nil || tokens < 0 {
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -38,7 +38,7 @@
 	loadBalancer.SetEndpoints([]model.Endpoint{{ID: "e", Service: "plain", Address: "127.0.0.1:1", Zone: "z", Capacity: 1, State: model.Ready}})
 	inFlight, err := loadBalancer.Select(t.Context(), newRequestInfo(0))
 	if err != nil || inFlight.ID != "e" || inFlight.Address != "127.0.0.1:1" || inFlight.MaxConnections != 10 {
-		t.Fatalf("%+v, %v", inFlight, err)
+		t.Fatalf("got selection %+v, %v", inFlight, err)
 	}
 	return loadBalancer, inFlight
 }
@@ -200,7 +200,7 @@
 		shared, suffix int
 	}{{"5c1e07a2:800,91bd3f06:410,e4402b7d:250", 1210, 250}, {"ab:7", 0, 7}, {"", 0, 99}, {"ab:x", 0, 99}}
 	for _, test := range prompts {
-		shared, suffix := promptTokens(&RequestInfo{Prefix: test.prefix, PromptTokens: 99})
+		shared, suffix := promptTokens(&RequestInfo{PromptPrefix: test.prefix, PromptTokens: 99})
 		if shared != test.shared || suffix != test.suffix {
 			t.Errorf("prefix %q: %d tokens in the prefix and %d in the suffix", test.prefix, shared, suffix)
 		}
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// isDenial reports whether a status of the proxy's own denies a request for good, rather than asking the client to retry.
+// isDenial reports whether the status of an error response denies a request for good, rather than for the moment.
 func isDenial(status int) bool {
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
@@ -29,7 +29,7 @@
 		"a target in absolute form":          "GET http://a.example/once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"an HTTP/1.0 client":                 "GET /once/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"the shortest path of the route":     "GET /once/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
-		"a path that could be cleaned":       "GET /once//../x/. HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
+		"a path that is not normalized":      "GET /once//../x/. HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n",
 		"no body, with a length":             head + "Content-Length: 0\r\n\r\n",
 		"a body after Expect: 100-continue":  head + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		"a body in chunks":                   head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
--- a/internal/tier/proxy/options.go
+++ b/internal/tier/proxy/options.go
@@ -24,8 +24,9 @@
 	// MaxClientConnections limits the connections of clients; 0: unlimited. A connection over the limit is closed unread. A larger
 	// value serves more clients, at the cost of memory and file descriptors.
 	MaxClientConnections int
-	// MaxOutage is the duration after which an outage counts as a broken invariant in Checks; 0: never. A larger value reports fewer
-	// short outages, and long ones later. Exceeding it is only counted and logged: requests are rejected as before.
+	// MaxOutage is how long the proxy may reject most requests for lack of a configuration or of an answer from the program stores
+	// before this outage counts as a broken invariant in Checks; 0: never. A larger value reports fewer short outages, and long ones
+	// later. Exceeding it is only counted and logged: requests are rejected as before.
 	MaxOutage time.Duration
 	Checks    *invariant.Counter // nil: outages are not counted
 
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -34,7 +34,7 @@
 	left := request.header.Get("X-Time-Left-Ms")
 	var milliseconds int
 	if _, _ = fmt.Sscan(left, &milliseconds); milliseconds <= 0 || milliseconds > 2000 {
-		t.Errorf("time left %q", left)
+		t.Errorf("got X-Time-Left-Ms %q", left)
 	}
 	delete(request.header, "X-Time-Left-Ms")
 	wantRequest := map[string][]string{"Host": {"a.example"}, "X-Attempt-Id": {"id1"}, "Priority": {"3"}, "X-Subject": {"s"},
@@ -43,7 +43,7 @@
 		t.Errorf("header to the endpoint (-want +got):\n%s", diff)
 	}
 	if request.requestLine != "POST "+target+" HTTP/1.1" || request.body != "input" {
-		t.Errorf("got %q with %q", request.requestLine, request.body)
+		t.Errorf("the endpoint got %q with body %q", request.requestLine, request.body)
 	}
 	if outcome := <-fixture.selector.outcomes; outcome.Result != Succeeded || fixture.selector.infos[0].Subject != "s1" {
 		t.Errorf("outcome %+v, info %+v", outcome, fixture.selector.infos[0])
@@ -74,7 +74,7 @@
 					t.Errorf("got %+v", got)
 				}
 				if hasRetryAfter := got.header.Get("Retry-After") != ""; hasRetryAfter != (test.status == 503) {
-					t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
+					t.Errorf("got Retry-After %q", got.header.Get("Retry-After"))
 				}
 			}
 		})
@@ -225,7 +225,7 @@
 }
 
 func TestDeadline_BeforeSend_SaysNothingOfEndpoint(t *testing.T) {
-	// given a connection that is never established, and a request whose deadline is before the timeout for connecting
+	// given a connection that is never established, and a request whose deadline is before the connect timeout
 	f := newFixture(t)
 	f.selector.endpoints = []Selection{{ID: "hung", Address: newFullListener(t)}}
 	c := f.dial()
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -126,9 +126,9 @@
 	info.Subject = subjectFromCookie(header)
 	info.Program = firstValue(header, headerProgram)
 	info.Session = firstValue(header, headerSession)
-	info.Previous = firstValue(header, headerPrevious)
+	info.PreviousTurn = firstValue(header, headerPrevious)
 	info.Model = firstValue(header, headerModel)
-	info.Prefix = firstValue(header, headerPromptPrefix)
+	info.PromptPrefix = firstValue(header, headerPromptPrefix)
 	info.PromptTokens, info.MaxOutputTokens = parseTokenCounts(firstValue(header, headerTokenCounts))
 	info.ProgramTimeLeft, _ = parseMilliseconds(firstValue(header, headerFinishMs))
 }
--- a/internal/tier/proxy/response_test.go
+++ b/internal/tier/proxy/response_test.go
@@ -175,7 +175,7 @@
 	c := f.dial()
 	c.request("GET", "/once/x", "id", "")
 	response := c.readHead("GET")
-	// then it is forwarded in chunks, so that it cannot look complete if this process ends in the middle
+	// then the response is forwarded in chunks, so that it cannot look complete if this process ends in the middle of it
 	if len(response.TransferEncoding) != 1 || response.TransferEncoding[0] != "chunked" || response.Close {
 		t.Errorf("Transfer-Encoding %v, close %v", response.TransferEncoding, response.Close)
 	}
--- a/internal/tier/proxy/retries_test.go
+++ b/internal/tier/proxy/retries_test.go
@@ -77,7 +77,7 @@
 				maxRuns = attempts
 			}
 			if ran > maxRuns {
-				t.Errorf("the request may have run at %d endpoints, want at most %d; they received:%s", ran, maxRuns, requestsOf(list))
+				t.Errorf("the request may have run at %d endpoints, want at most %d; the endpoints received:%s", ran, maxRuns, requestsOf(list))
 			}
 			if ran > 0 && !retryable(&route) && impliesNotRun(status) {
 				t.Errorf("got status %d, but the request may have run", status)
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -130,8 +130,8 @@
 }
 
 // Shutdown stops accepting connections, and returns once the pending requests and commits have ended. If the context ends first, the
-// pending requests are abandoned: each gets an error response, or its response is aborted. Pending commits then have a short time
-// left. All this takes at most ShutdownGracePeriod, and Shutdown returns the context's error.
+// pending requests are abandoned: each gets an error response, or its response is aborted. Commits that are still pending shortly
+// afterwards are abandoned too. All this takes at most ShutdownGracePeriod, and Shutdown returns the context's error.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	p.Drain()
 	began := time.Now()
--- a/internal/tier/proxy/streaming_test.go
+++ b/internal/tier/proxy/streaming_test.go
@@ -238,7 +238,7 @@
 	close(read)
 	rest, err := io.ReadAll(response.Body)
 	if body := string(got) + string(rest); err != nil || body != event(1, "one")+event(2, "two") || response.Header.Get("X-First") != "1" {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("got body %q, %v", body, err)
 	}
 }
 
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -15,7 +15,7 @@
 	// beginTimeoutDivisor gives the fraction of a request's time within which its turn must begin. After that the request is rejected,
 	// so that its client has time to retry.
 	beginTimeoutDivisor = 4
-	// minBeginTimeout is the minimum of that timeout.
+	// minBeginTimeout is the minimum timeout for beginning a turn, unless the request has less time left.
 	minBeginTimeout = 300 * time.Millisecond
 )
 
@@ -79,7 +79,7 @@
 		Budget:     budget,
 		MaxTokens:  info.MaxOutputTokens,
 		Remembered: t.stateful,
-		Previous:   info.Previous,
+		Previous:   info.PreviousTurn,
 		KeepForS:   info.Route.RetentionS,
 		Input:      input,
 	})
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -62,7 +62,7 @@
 	c.request("POST", "/once/x", "id", "", "Expect: 100-continue", "Content-Length: 4")
 	statusLine, err := c.reader.ReadString('\n')
 	if err != nil || statusLine != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("%q, %v", statusLine, err)
+		t.Fatalf("got status line %q, %v", statusLine, err)
 	}
 	_, _ = c.reader.ReadString('\n')
 	c.send("body")
