--- a/internal/tier/proxy/shutdown_test.go
+++ b/internal/tier/proxy/shutdown_test.go
@@ -124,10 +124,10 @@
 				}}
 				committer := newUsageCommitter(stores)
 				committer.commit("key", program.EndTurn{Turn: "id"})
-				ended, cancel := context.WithCancel(t.Context())
+				cancelled, cancel := context.WithCancel(t.Context())
 				cancel()
 				began := time.Now()
-				committer.drain(ended)
+				committer.drain(cancelled)
 				if waited := time.Since(began); waited > finalCommitsTimeout {
 					t.Errorf("waited for %v", waited)
 				}
@@ -145,7 +145,7 @@
 	for range 200 {
 		stores := &fakePrograms{ended: make(chan program.EndTurn, 8)}
 		committer := newUsageCommitter(stores)
-		ended, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
 		var abandoned sync.WaitGroup
 		for range 4 {
@@ -154,7 +154,7 @@
 				committer.commit("key", program.EndTurn{Turn: "id"})
 			})
 		}
-		committer.drain(ended)
+		committer.drain(cancelled)
 		committed := len(stores.ended)
 		abandoned.Wait()
 		committer.commit("key", program.EndTurn{Turn: "late"})
@@ -175,11 +175,11 @@
 			readinessServer: new(http.Server), frontend: newFrontend(closableListener{}, nil, func() clientLimits { return defaultLimits }, Options{})}
 		p.frontend.clients[&clientConn{}] = struct{}{}
 		p.usage.commit("key", program.EndTurn{Turn: "id"})
-		ended, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
 		// when the context of a shutdown ends, then Shutdown returns within ShutdownGracePeriod
 		began := time.Now()
-		if err := p.Shutdown(ended); err == nil {
+		if err := p.Shutdown(cancelled); err == nil {
 			t.Error("Shutdown reported that no request was abandoned")
 		}
 		if took := time.Since(began); took > ShutdownGracePeriod {
