--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -98,7 +98,7 @@
 	Cancelled                            // not sent: the endpoint was withdrawn, the deadline passed or the client closed its connection
 )
 
-// Outcome is the result of an attempt and what was measured in it.
+// Outcome is the result of an attempt, with its measurements.
 type Outcome struct {
 	Result      Result
 	Status      int
--- a/internal/tier/proxy/noroute_test.go
+++ b/internal/tier/proxy/noroute_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// isDenial reports whether the status of an error response denies a request for good, rather than for the moment.
+// isDenial reports whether the status of an error response denies a request permanently, and not only for the moment.
 func isDenial(status int) bool {
 	return status/100 == 3 || status/100 == 4 && status != 408 && status != 421 && status != 429
 }
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -18,8 +18,8 @@
 	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between attempts.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = 2 * time.Second
-	// maxUnknownTurnAttempts bounds the attempts to which the program stores answer that they do not know the turn: about three seconds
-	// with the backoff.
+	// maxUnknownTurnAttempts bounds the attempts to which the program stores answer with UnknownTurn: about three seconds with the
+	// backoff.
 	maxUnknownTurnAttempts = 7
 	// finalCommitsTimeout bounds the commits of turns whose requests a shutdown abandoned.
 	finalCommitsTimeout = 150 * time.Millisecond
@@ -129,8 +129,8 @@
 // errUnknownTurn is returned if the program stores have no such turn in progress.
 var errUnknownTurn = errors.New("program stores have no such turn in progress")
 
-// commitTurn attempts to commit a turn until the commit is acknowledged or the context ends. A complete turn that the program stores
-// do not know can never count, and fails at once with errUnknownTurn. The commit of an incomplete turn may arrive before its Begin,
+// commitTurn attempts to commit a turn until the commit is acknowledged or the context ends. A complete turn that is unknown to the
+// program stores can never count, and fails at once with errUnknownTurn. The commit of an incomplete turn may arrive before its Begin,
 // and is retried.
 func commitTurn(ctx context.Context, programs Programs, key string, turn program.EndTurn) error {
 	backoff := minCommitBackoff
