--- a/internal/tier/proxy/clientconn_test.go
+++ b/internal/tier/proxy/clientconn_test.go
@@ -30,12 +30,12 @@
 func TestClientConn_Closing_ReadsNoNewRequest(t *testing.T) {
 	near, far := newPair(t)
 	_, _ = io.WriteString(far, "GET")
-	near.closing = true // as if the close came between the bytes' arrival and their reading
+	near.closing = true // as if a shutdown began between the arrival and the reading of the bytes
 	if n, err := near.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if near.requestStarted() {
-		t.Error("a request has begun")
+	if near.beginRequest() {
+		t.Error("a request has begun on a closing connection")
 	}
 }
 
@@ -45,12 +45,12 @@
 	if n, err := near.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatalf("read %d bytes, %v", n, err)
 	}
-	near.closeIfUnread()
+	near.closeWhenIdle()
 	if n, err := near.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Errorf("read %d bytes of the rest, %v", n, err)
 	}
-	if !near.requestStarted() {
-		t.Error("the request is taken for one that has not begun")
+	if !near.beginRequest() {
+		t.Error("a request that had begun before the shutdown was refused")
 	}
 	if _, err := near.Write([]byte("answer")); err != nil {
 		t.Errorf("write: %v", err)
@@ -63,7 +63,7 @@
 
 func TestClientConn_Idle_IsClosedAtOnce(t *testing.T) {
 	near, far := newPair(t)
-	near.closeIfUnread()
+	near.closeWhenIdle()
 	if got, err := io.ReadAll(far); len(got) != 0 || err != nil {
 		t.Errorf("the client got %q, %v", got, err)
 	}
--- a/internal/tier/proxy/testclient_test.go
+++ b/internal/tier/proxy/testclient_test.go
@@ -50,28 +50,28 @@
 	c.send(head + "\r\n" + body)
 }
 
-// clientResponse is a response with its complete body, or with the error at which the body ended.
+// clientResponse is a response with its complete body, or with the error that ended the body.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	close  bool // the connection ends with it
+	close  bool // the connection ends with the response
 	err    error
 }
 
-// head reads the head of a response.
-func (c *client) head(method string) *http.Response {
+// readHead reads the head of a response.
+func (c *client) readHead(method string) *http.Response {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return response
 }
 
-func (c *client) read(method string) clientResponse {
+func (c *client) readResponse(method string) clientResponse {
 	c.t.Helper()
-	response := c.head(method)
+	response := c.readHead(method)
 	body, err := io.ReadAll(response.Body)
 	return clientResponse{response.StatusCode, response.Header, string(body), response.Close, err}
 }
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -24,7 +24,7 @@
 	}
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "new input", turnFields...)
-	got := c.read("POST")
+	got := c.readResponse("POST")
 	want := event(1, "one") + "id: 2\ndata: two\ndata: lines\n\n" + ": nothing\n\n" + event(3, "three")
 	if got.err != nil || got.status != 200 || got.body != want || got.header.Get("X-Server-Seal") != "seal-id" {
 		t.Errorf("got %+v", got)
@@ -42,7 +42,7 @@
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{"p1"}, f.programs.shardKeys); diff != "" {
-		t.Errorf("key (-want +got):\n%s", diff)
+		t.Errorf("shard keys (-want +got):\n%s", diff)
 	}
 }
 
@@ -53,10 +53,10 @@
 		err    error
 		status int
 	}{
-		{"spent", program.Result{Verdict: program.BudgetExceeded}, nil, 402},
+		{"budget exhausted", program.Result{Verdict: program.BudgetExceeded}, nil, 402},
 		{"no such turn", program.Result{Verdict: program.TurnNotFound}, nil, 404},
-		{"stores full", program.Result{Verdict: program.StorageFull}, nil, 503},
-		{"not known", program.Result{}, errors.New("no owner"), 503},
+		{"program stores full", program.Result{Verdict: program.StorageFull}, nil, 503},
+		{"no answer from the program stores", program.Result{}, errors.New("no owner"), 503},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			f.programs.begin = func(program.BeginTurn) (program.Result, error) { return test.result, test.err }
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			if got := c.read("POST"); got.status != test.status || got.header.Get("X-Server-Seal") != "" {
+			if got := c.readResponse("POST"); got.status != test.status || got.header.Get("X-Server-Seal") != "" {
 				t.Errorf("got %+v", got)
 			}
 			if e.count.Load() != 0 {
@@ -76,27 +76,27 @@
 }
 
 func TestTurn_LastByte_WaitsForCommit(t *testing.T) {
-	framings := map[string]func(net.Conn, received) bool{
+	framings := map[string]func(net.Conn, receivedRequest) bool{
 		"chunks": stream(event(1, "one"), event(2, "two")),
 		"length": respondWith(200, event(1, "one")+event(2, "two"), "Content-Type: text/event-stream"),
 	}
 	for name, script := range framings {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
-			asked, release := make(chan struct{}), make(chan struct{})
+			endCalled, release := make(chan struct{}), make(chan struct{})
 			f.programs.end = func(program.EndTurn) error {
-				close(asked)
+				close(endCalled)
 				<-release
 				return nil
 			}
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			response := c.head("POST")
+			response := c.readHead("POST")
 			complete := event(1, "one") + event(2, "two")
 			if _, err := io.ReadFull(response.Body, make([]byte, len(complete)-1)); err != nil {
 				t.Fatal(err)
 			}
-			<-asked
+			<-endCalled
 			ended := make(chan error, 1)
 			go func() {
 				_, err := io.ReadAll(response.Body)
@@ -109,7 +109,7 @@
 			}
 			close(release)
 			if err := <-ended; err != nil {
-				t.Errorf("the answer ended with %v", err)
+				t.Errorf("the response ended with %v", err)
 			}
 		})
 	}
@@ -127,8 +127,8 @@
 	}
 	c := f.dial()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 150")...)
-	if got := c.read("POST"); got.err == nil {
-		t.Errorf("the answer looks complete: %+v", got)
+	if got := c.readResponse("POST"); got.err == nil {
+		t.Errorf("the response looks complete: %+v", got)
 	}
 	rejected.Store(false)
 	if end := <-f.programs.ended; end.Tokens != 3 {
@@ -137,18 +137,18 @@
 }
 
 func TestTurn_Incomplete_IsCommittedAsIncomplete(t *testing.T) {
-	broken := func(socket net.Conn, request received) bool {
+	broken := func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one"))+chunk("id: 2\nda"))
 		return false
 	}
 	cases := []struct {
 		name   string
-		script func(net.Conn, received) bool
+		script func(net.Conn, receivedRequest) bool
 		tokens int64
 	}{
 		{"rejected", respondNotRun, 0},
 		{"reset", resetConnection, 0},
-		{"cut inside the second event", broken, 3},
+		{"interrupted inside the second event", broken, 3},
 		{"failed", respondWith(500, "failed"), 0},
 	}
 	for _, test := range cases {
@@ -156,7 +156,7 @@
 			f := newFixture(t, newEndpoint(t, test.script))
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			c.read("POST")
+			c.readResponse("POST")
 			want := program.EndTurn{Turn: "id", Tokens: test.tokens}
 			if diff := cmp.Diff(want, <-f.programs.ended); diff != "" {
 				t.Errorf("end (-want +got):\n%s", diff)
@@ -171,7 +171,7 @@
 	f.programs.end = func(program.EndTurn) error { <-release; return nil }
 	c := f.dial()
 	c.request("POST", "/stream/x", "id", "input", "Program: p", "Budget: 10", "X-Token-Counts: 5,6")
-	if got := c.read("POST"); got.err != nil || got.status != 200 {
+	if got := c.readResponse("POST"); got.err != nil || got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 	close(release)
@@ -184,42 +184,42 @@
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
 	c := f.dial()
 	c.request("POST", "/stream/x", "id", "input")
-	if got := c.read("POST"); got.status != 200 || len(f.programs.begins) != 0 {
+	if got := c.readResponse("POST"); got.status != 200 || len(f.programs.begins) != 0 {
 		t.Errorf("got %+v with %d turns", got, len(f.programs.begins))
 	}
 }
 
 func TestTurn_CompleteButUnknown_BreaksOffAtOnce(t *testing.T) {
-	// given stores that have lost a turn
+	// given program stores that have lost a turn
 	f := newFixture(t, newEndpoint(t, stream(event(1, "one"))))
-	var offers atomic.Int64
-	f.programs.unknown = func(end program.EndTurn) bool {
+	var attempts atomic.Int64
+	f.programs.isUnknown = func(end program.EndTurn) bool {
 		if end.Complete {
-			offers.Add(1)
+			attempts.Add(1)
 		}
 		return true
 	}
-	// when its response comes completely, with much time left
+	// when its response is complete, long before the deadline
 	c := f.dial()
-	asked := time.Now()
+	sent := time.Now()
 	c.request("POST", "/turn/x", "id", "input", append(turnFields, "X-Time-Left-Ms: 9000")...)
-	got := c.read("POST")
-	// then the client sees it cut, well before its deadline
-	if got.err == nil || offers.Load() != 1 {
-		t.Errorf("got %+v after %d offers", got, offers.Load())
+	got := c.readResponse("POST")
+	// then the client sees an interrupted response, well before the deadline
+	if got.err == nil || attempts.Load() != 1 {
+		t.Errorf("got %+v after %d commit attempts", got, attempts.Load())
 	}
-	if inFlight := time.Since(asked); inFlight > 4*time.Second {
-		t.Errorf("inFlight for %v", inFlight)
+	if elapsed := time.Since(sent); elapsed > 4*time.Second {
+		t.Errorf("the response was interrupted after %v", elapsed)
 	}
 }
 
 func TestTurn_CompleteWithoutEvents_Counts(t *testing.T) {
-	for name, script := range map[string]func(net.Conn, received) bool{"a length of nothing": respondWith(200, ""), "no chunk": stream()} {
+	for name, script := range map[string]func(net.Conn, receivedRequest) bool{"Content-Length 0": respondWith(200, ""), "only the final chunk": stream()} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, newEndpoint(t, script))
 			c := f.dial()
 			c.request("POST", "/turn/x", "id", "input", turnFields...)
-			if got := c.read("POST"); got.err != nil || got.status != 200 {
+			if got := c.readResponse("POST"); got.err != nil || got.status != 200 {
 				t.Errorf("got %+v", got)
 			}
 			if diff := cmp.Diff(program.EndTurn{Turn: "id", Complete: true}, <-f.programs.ended); diff != "" {
@@ -231,27 +231,27 @@
 
 func TestUsageCommitter_UnknownTurn_RetriesForAWhile(t *testing.T) {
 	cases := []struct {
-		name     string
-		knownAt  int // the offer from which on the turn is known
-		complete bool
-		offers   int
-		known    bool
+		name      string
+		knownAt   int // the attempt from which on the program stores know the turn
+		complete  bool
+		attempts  int
+		committed bool
 	}{
-		{"given a turn whose beginning comes late when it broke off then its end is taken", 4, false, 4, true},
-		{"given a turn that never was begun when it broke off then its end is abandoned", 1000, false, maxUnknownAnswers, false},
-		{"given a turn that isn't known when it is complete then its end is abandoned at once", 2, true, 1, false},
+		{"given an incomplete turn when its Begin arrives late then the commit is accepted", 4, false, 4, true},
+		{"given an incomplete turn when its Begin never arrives then the commit is abandoned", 1000, false, maxUnknownTurnAttempts, false},
+		{"given a complete turn when the program stores do not know it then the commit is abandoned at once", 2, true, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				offers := 0
-				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), unknown: func(program.EndTurn) bool {
-					offers++
-					return offers < test.knownAt
+				attempts := 0
+				stores := &fakePrograms{ended: make(chan program.EndTurn, 1), isUnknown: func(program.EndTurn) bool {
+					attempts++
+					return attempts < test.knownAt
 				}}
 				err := commitTurn(t.Context(), stores, "key", program.EndTurn{Turn: "id", Complete: test.complete})
-				if offers != test.offers || (err == nil) != test.known {
-					t.Errorf("%d offers, %v", offers, err)
+				if attempts != test.attempts || (err == nil) != test.committed {
+					t.Errorf("%d attempts, %v", attempts, err)
 				}
 			})
 		})
--- a/internal/tier/proxy/wire_test.go
+++ b/internal/tier/proxy/wire_test.go
@@ -12,8 +12,8 @@
 	"mastusher/internal/tier/model"
 )
 
-// echoBody answers with the request's own body.
-func echoBody(socket net.Conn, request received) bool {
+// echoBody responds with the request's own body.
+func echoBody(socket net.Conn, request receivedRequest) bool {
 	return respondWith(200, request.body)(socket, request)
 }
 
@@ -26,9 +26,9 @@
 	}
 	c.send(text)
 	for i := range 5 {
-		got := c.read("POST")
+		got := c.readResponse("POST")
 		if got.status != 200 || got.body != fmt.Sprint("b", i) || got.header.Get("X-Attempt-Id") != fmt.Sprint("id", i) {
-			t.Errorf("answer %d: %+v", i, got)
+			t.Errorf("response %d: %+v", i, got)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 		c.send(chunk(part))
 	}
 	c.send(lastChunk)
-	if got := c.read("POST"); got.body != "one two three" {
+	if got := c.readResponse("POST"); got.body != "one two three" {
 		t.Errorf("got %+v", got)
 	}
 	request := <-e.requests
@@ -50,7 +50,7 @@
 		t.Errorf("the endpoint got %v", request.header)
 	}
 	c.request("GET", "/once/x", "id2", "")
-	if got := c.read("GET"); got.status != 200 {
+	if got := c.readResponse("GET"); got.status != 200 {
 		t.Errorf("next request on the connection: %+v", got)
 	}
 }
@@ -62,11 +62,11 @@
 	c.request("POST", "/once/x", "id", "", "Expect: 100-continue", "Content-Length: 4")
 	statusLine, err := c.reader.ReadString('\n')
 	if err != nil || statusLine != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("%q, %v", statusLine, err)
+		t.Fatalf("got status line %q, %v", statusLine, err)
 	}
 	_, _ = c.reader.ReadString('\n')
 	c.send("body")
-	if got := c.read("POST"); got.status != 200 || got.body != "body" {
+	if got := c.readResponse("POST"); got.status != 200 || got.body != "body" {
 		t.Errorf("got %+v", got)
 	}
 	if request := <-e.requests; request.header.Get("Expect") != "" {
@@ -80,16 +80,16 @@
 		name string
 		head string
 		body string
-		runs []string // bodies that endpoints may run
+		runs []string // bodies that the endpoint may run
 	}{
 		{"two lengths", "Content-Length: 4\r\nContent-Length: 5\r\n", "abcd" + inner, nil},
-		{"a length that is none", "Content-Length: +4\r\n", "abcd", nil},
+		{"an invalid length", "Content-Length: +4\r\n", "abcd", nil},
 		{"two codings", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", lastChunk, nil},
-		{"a coding that isn't known", "Transfer-Encoding: xchunked\r\n", lastChunk, nil},
-		{"a length within chunks", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", chunk(inner) + lastChunk, []string{inner}},
+		{"an unknown coding", "Transfer-Encoding: xchunked\r\n", lastChunk, nil},
+		{"a length and a chunked body", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", chunk(inner) + lastChunk, []string{inner}},
 		{"a space before the colon", "Content-Length : 4\r\n", "abcd", nil},
 		{"a folded line", "X-Fold: a\r\n Content-Length: 4\r\n", "", nil},
-		{"a line feed alone in a value", "X: a\nb\r\n", "", nil},
+		{"a bare line feed in a value", "X: a\nb\r\n", "", nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -116,15 +116,15 @@
 }
 
 func TestHTTP10Client_ResponseBreaksOff_SeesReset(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead)+chunk(event(1, "one")))
 		return false
 	})
 	f := newFixture(t, e)
 	c := f.dial()
 	c.send("GET /stream/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id\r\n\r\n")
-	if got := c.read("GET"); got.err == nil {
-		t.Errorf("the answer looks complete: %+v", got)
+	if got := c.readResponse("GET"); got.err == nil {
+		t.Errorf("the response looks complete: %+v", got)
 	}
 }
 
@@ -135,7 +135,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
-			e := newEndpoint(t, func(socket net.Conn, request received) bool {
+			e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 				_, _ = io.WriteString(socket, sealedHead(200, request)+"some bytes")
 				<-read
 				end(socket)
@@ -144,12 +144,12 @@
 			f := newFixture(t, e)
 			c := f.dial()
 			c.request("GET", "/once/x", "id", "")
-			response := c.head("GET")
+			response := c.readHead("GET")
 			_, _ = io.ReadFull(response.Body, make([]byte, len("some bytes")))
 			close(read)
 			_, err := io.ReadAll(response.Body)
 			if (err == nil) != (name == "closed") {
-				t.Errorf("the answer ended with %v", err)
+				t.Errorf("the response ended with %v", err)
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 	}
 	status := func(c *client, headerBytes, bodyBytes int) int {
 		c.request("POST", "/once/x", "id", strings.Repeat("b", bodyBytes), "X-Long: "+strings.Repeat("h", headerBytes))
-		return c.read("POST").status
+		return c.readResponse("POST").status
 	}
 	wide := model.Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
 	narrow := model.Limits{MaxHeaderBytes: 8 << 10, MaxBodyBytes: 1000, HeaderTimeoutMs: 5000, IdleTimeoutMs: 5000}
@@ -212,7 +212,7 @@
 		t.Errorf("body over the narrow limit: %d", got)
 	}
 	if got := status(old, 30<<10, 1000); got != 200 {
-		t.Errorf("header on a connection from before: %d", got)
+		t.Errorf("header on a connection opened before the change: %d", got)
 	}
 	old.socket.Close()
 	setLimits(wide)
@@ -229,11 +229,11 @@
 	slow := f.dial()
 	slow.send("GET /once/x HTTP/1.1\r\nHost:")
 	if !slow.closedSilently() {
-		t.Error("a header that doesn't come was answered")
+		t.Error("an incomplete header was answered")
 	}
 	idle := f.dial()
 	idle.request("GET", "/once/x", "id", "")
-	if got := idle.read("GET"); got.status != 200 {
+	if got := idle.readResponse("GET"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
 	if !idle.closedSilently() {
@@ -242,7 +242,7 @@
 }
 
 func TestClient_ReadsNothing_DoesNotOccupyEndpoint(t *testing.T) {
-	e := newEndpoint(t, func(socket net.Conn, request received) bool {
+	e := newEndpoint(t, func(socket net.Conn, request receivedRequest) bool {
 		_, _ = io.WriteString(socket, sealedHead(200, request, streamHead))
 		for {
 			if _, err := io.WriteString(socket, chunk(event(1, strings.Repeat("x", 64<<10)))); err != nil {
