--- a/internal/tier/dedup/window_test.go
+++ b/internal/tier/dedup/window_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/dedup"
 )
 
-const length = 9 * time.Second
+const windowLength = 9 * time.Second
 
 // wallClockAt is what a correct wall clock shows.
 func wallClockAt(now time.Duration) time.Time { return time.UnixMilli(1_700_000_000_000).Add(now) }
@@ -21,23 +21,23 @@
 		expired bool
 	}{
 		{"just accepted", 0, 0, 0, false},
-		{"within its window", length, length, 0, false},
-		{"after its window", length + 1, length + 1, 0, true},
-		{"after its window, on a clock that went back", length + 1, length + 1, -2 * time.Second, true},
-		{"after its window, on a clock that went back a year", length + 1, length + 1, -365 * 24 * time.Hour, true},
-		{"within its window, on a clock that went ahead", length, length, 2 * time.Second, false},
-		{"within its window, between two clocks that went apart", length, length, 4 * time.Second, false},
-		{"within its window, after a restart", length, time.Second, 0, false},
-		{"within its window, after a restart, on a clock that went ahead", length, time.Second, 2 * time.Second, false},
-		{"long ago, after a restart", length + 6*time.Second, time.Second, 0, true},
-		{"long ago, after a restart, on a clock that went back", length + 6*time.Second, time.Second, -2 * time.Second, false},
-		{"long ago, some time after a restart, on a clock that went back", 99 * time.Second, length + 1, -time.Hour, true},
+		{"within its window", windowLength, windowLength, 0, false},
+		{"after its window", windowLength + 1, windowLength + 1, 0, true},
+		{"after its window, on a clock that went back", windowLength + 1, windowLength + 1, -2 * time.Second, true},
+		{"after its window, on a clock that went back a year", windowLength + 1, windowLength + 1, -365 * 24 * time.Hour, true},
+		{"within its window, on a clock that went ahead", windowLength, windowLength, 2 * time.Second, false},
+		{"within its window, between two clocks that went apart", windowLength, windowLength, 4 * time.Second, false},
+		{"within its window, after a restart", windowLength, time.Second, 0, false},
+		{"within its window, after a restart, on a clock that went ahead", windowLength, time.Second, 2 * time.Second, false},
+		{"long ago, after a restart", windowLength + 6*time.Second, time.Second, 0, true},
+		{"long ago, after a restart, on a clock that went back", windowLength + 6*time.Second, time.Second, -2 * time.Second, false},
+		{"long ago, some time after a restart, on a clock that went back", 99 * time.Second, windowLength + 1, -time.Hour, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			const now = time.Hour
 			order := dedup.AcceptedOrder{Index: 7, AcceptedAtMs: wallClockAt(now - test.age).UnixMilli()}
-			w := dedup.NewWindow(length)
+			w := dedup.NewWindow(windowLength)
 			w.Observe(now-test.seen, []dedup.AcceptedOrder{order})
 			w.Observe(now, []dedup.AcceptedOrder{order})
 			got := w.ExpiredUpTo(now, wallClockAt(now+test.skew), []dedup.AcceptedOrder{order})
@@ -51,7 +51,7 @@
 func TestExpiredUpTo_SeveralOrders_HighestExpiredIndex(t *testing.T) {
 	// Given orders of which the first three are old, the second by a clock that was ahead,
 	accepted := []dedup.AcceptedOrder{{Index: 3, AcceptedAtMs: wallClockAt(0).UnixMilli()}, {Index: 5, AcceptedAtMs: wallClockAt(time.Hour).UnixMilli()}, {Index: 8, AcceptedAtMs: wallClockAt(0).UnixMilli()}}
-	w := dedup.NewWindow(length)
+	w := dedup.NewWindow(windowLength)
 	w.Observe(0, accepted)
 	accepted = append(accepted, dedup.AcceptedOrder{Index: 9, AcceptedAtMs: wallClockAt(time.Minute).UnixMilli()})
 	w.Observe(time.Minute, accepted)
--- a/internal/tier/program/begin.go
+++ b/internal/tier/program/begin.go
@@ -1,8 +1,9 @@
 package program
 
-// begin handles a BeginTurn. A rejected turn changes nothing but the program's limit and its last use.
+// begin handles a BeginTurn, and returns the turn that is continued, or nil. A rejected turn changes nothing but the limit and the
+// last use of the program's budget record.
 func (m *Machine) begin(begin *BeginTurn) (verdict Verdict, previous *turn) {
-	name := validName(begin.Turn)
+	name := normalizeName(begin.Turn)
 	if name == "" {
 		return UnknownTurn, nil
 	}
@@ -28,7 +29,7 @@
 	}
 	if t.remembered {
 		t.input = begin.Input
-		t.retainMs = retainMs(begin.KeepForS)
+		t.retainMs = requestedRetentionMs(begin.KeepForS)
 	}
 	if p != nil {
 		p.reserve(maxTokens)
@@ -37,24 +38,25 @@
 	return Accepted, parent
 }
 
-// programOf returns the record of the program that a turn belongs to, its limit tightened by the turn's budget; nil: none.
+// programOf returns the budget record of a turn's program, or nil if the turn belongs to none. It lowers the record's limit to
+// the turn's budget.
 func (m *Machine) programOf(begin *BeginTurn) *program {
 	if begin.Program == "" {
 		return nil
 	}
-	p := m.programs.getOrCreate(validName(begin.Program), m.clock.nowMs)
+	p := m.programs.getOrCreate(normalizeName(begin.Program), m.clock.nowMs)
 	p.limit = tighterLimit(p.limit, begin.Budget)
 	return p
 }
 
-// parentOf returns the turn that a new one continues; nil: it continues none. An imported chain is stored unless the shard
-// has the turn already.
+// parentOf returns the turn that a new one continues, or nil if it continues none. found is false if the turn names a previous
+// one that isn't available. An imported chain is stored unless the shard has the previous turn already.
 func (m *Machine) parentOf(begin *BeginTurn) (parent *turn, found bool) {
 	if !begin.Remembered || begin.Previous == "" {
 		return nil, true
 	}
-	name := validName(begin.Previous)
-	if parent = m.findComplete(name); parent != nil {
+	name := normalizeName(begin.Previous)
+	if parent = m.findContinuable(name); parent != nil {
 		return parent, true
 	}
 	if len(begin.Imported) == 0 {
@@ -63,9 +65,9 @@
 	return m.addImported(name, begin.Imported), true
 }
 
-// findComplete returns the turn or imported chain of a name, if it can be continued, or nil.
-func (m *Machine) findComplete(name string) *turn {
-	if t := m.turns[name]; t != nil && t.canContinue() {
+// findContinuable returns the turn or imported chain of a name, or nil if there is none that can be continued.
+func (m *Machine) findContinuable(name string) *turn {
+	if t := m.turns[name]; t != nil && t.canBeContinued() {
 		return t
 	}
 	return m.imported[name]
@@ -83,7 +85,7 @@
 	m.scheduleExpiry(t)
 }
 
-// addImported stores an imported chain. It isn't queued: it stays as long as a turn continues it.
+// addImported stores an imported chain. The chain isn't queued for expiry: it is retained as long as a turn continues it.
 func (m *Machine) addImported(name string, chain []byte) *turn {
 	m.sequence++
 	root := &turn{
--- a/internal/tier/program/budget_test.go
+++ b/internal/tier/program/budget_test.go
@@ -123,9 +123,9 @@
 func TestClock_Observe(t *testing.T) {
 	const start = 1_000_000
 	tests := []struct {
-		name  string
-		heard []int64
-		want  int64
+		name           string
+		commandTimesMs []int64
+		want           int64
 	}{
 		{"given one leader when time passes then the clock follows", []int64{start, start + 5, start + 900}, start + 900},
 		{"given two leaders that differ when they alternate then the clock never goes back",
@@ -140,7 +140,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var c clock
-			for _, atMs := range test.heard {
+			for _, atMs := range test.commandTimesMs {
 				c.observe(atMs)
 			}
 			if c.nowMs != test.want {
--- a/internal/tier/program/chunk.go
+++ b/internal/tier/program/chunk.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Chunk is a snapshot of a machine's state, or one of the chunks in which WriteChunks writes it. It shares the inputs and
-// outputs with the machine, which are never changed, so it is quick to take and may be encoded or written by another goroutine while
-// the machine applies further commands.
+// Chunk is a whole snapshot of a machine's state, or one of the chunks into which WriteChunks splits it. It shares the inputs and
+// outputs with the machine. As these are never modified, a Chunk is quick to capture and another goroutine may encode or write it
+// while the machine applies further commands.
 type Chunk struct {
 	NowMs         int64           `json:"nowMs"`   // the machine's clock; the same in all chunks
 	LastCommandMs int64           `json:"heardMs"` // the same in all chunks
 	Index         int             `json:"number,omitempty"`
 	HasNext       bool            `json:"goesOn,omitempty"` // another chunk follows
-	Continuation  *contentRecord  `json:"more,omitempty"`   // appended to the last turn of the chunks before
-	Programs      []programRecord `json:"programs"`         // by last use, the oldest first
+	Continuation  *contentRecord  `json:"more,omitempty"`   // content to append to the last turn of the chunks before
+	Programs      []programRecord `json:"programs"`         // least recently used first
 	Turns         []turnRecord    `json:"turns"`            // by sequence, so that a parent precedes its children
-	contentBytes  int64           // of all inputs and outputs, to allocate memory once
+	contentBytes  int64           // total size of all inputs and outputs, used to allocate the JSON's memory once
 }
 
-// programRecord is a budget record in a chunk.
+// programRecord is the encoded form of a program's budget record.
 type programRecord struct {
 	Name       string `json:"name"`
 	Limit      int64  `json:"limit,omitempty"`
@@ -28,32 +28,33 @@
 	LastUsedMs int64  `json:"usedMs"`
 }
 
-// turnRecord is a turn in a chunk.
+// turnRecord is the encoded form of a turn or an imported chain.
 type turnRecord struct {
 	Turn           string `json:"turn"`
 	State          state  `json:"state,omitempty"`
 	Remembered     bool   `json:"remembered,omitempty"`
 	Program        string `json:"program,omitempty"` // while in flight
 	ReservedTokens int64  `json:"most,omitempty"`    // while in flight
-	Parent         int    `json:"parent,omitempty"`  // the parent's position in the list of all chunks' turns, from 1; 0: none
+	Parent         int    `json:"parent,omitempty"`  // position of the parent among the turns of all chunks, from 1; 0: none
 	RetainMs       int64  `json:"keepMs,omitempty"`
 	ExpiresAtMs    int64  `json:"dueMs,omitempty"` // 0: retained by its children alone
 	Input          []byte `json:"input,omitempty"`
 	Output         []byte `json:"output,omitempty"`
 }
 
-// contentRecord is a fragment of the content of a turn that exceeds a chunk. It is appended to the fragments before.
+// contentRecord is a fragment of the input and output of a turn that is too large for one chunk. It is appended to the fragments
+// before.
 type contentRecord struct {
 	Input  []byte `json:"input,omitempty"`
 	Output []byte `json:"output,omitempty"`
 }
 
-// Snapshot returns the whole state as one chunk. Machines that applied the same commands give the same bytes.
+// Snapshot returns the whole state, encoded as one chunk. Machines that applied the same commands return the same bytes.
 func (m *Machine) Snapshot() []byte {
 	return m.Capture().JSON()
 }
 
-// Capture returns the whole state as it is now, not encoded yet.
+// Capture returns the whole current state as one chunk that isn't encoded yet.
 func (m *Machine) Capture() *Chunk {
 	chunk := &Chunk{
 		NowMs:         m.clock.nowMs,
@@ -113,7 +114,7 @@
 	return turns
 }
 
-// positionOf returns the position of a turn in a list by sequence, from 1; 0 for nil.
+// positionOf returns the position of a turn, from 1, in a list sorted by sequence; 0 for nil.
 func positionOf(t *turn, turns []*turn) int {
 	if t == nil {
 		return 0
--- a/internal/tier/program/chunk_encoding.go
+++ b/internal/tier/program/chunk_encoding.go
@@ -7,13 +7,14 @@
 	"unicode/utf8"
 )
 
-// Estimated length of the JSON of one record without names and contents, to allocate memory once and to fill chunks.
+// Estimated lengths of the JSON of one record without its names and contents. They are used to allocate memory once and to decide
+// when a chunk is full.
 const (
 	programRecordBytes = 120
 	turnRecordBytes    = 180
 )
 
-// JSON encodes the chunk as Restorer.Add reads it. The bytes are those of encoding/json, in less time and memory.
+// JSON encodes the chunk for Restorer.Add. It returns the same bytes as encoding/json, in less time and with less memory.
 func (c *Chunk) JSON() []byte {
 	return c.appendJSON(make([]byte, 0, c.estimatedBytes()))
 }
@@ -45,7 +46,7 @@
 	return append(out, "]}"...)
 }
 
-// estimatedBytes is a little more than the length of the JSON, provided that names have a usual length.
+// estimatedBytes returns a little more than the length of the JSON if names have their usual length.
 func (c *Chunk) estimatedBytes() int {
 	contents := int(c.contentBytes)
 	contents += contents/3 + contents/100
@@ -90,11 +91,11 @@
 	if len(out) == start {
 		return append(out, "{}"...)
 	}
-	out[start] = '{' // in place of the first comma
+	out[start] = '{' // replaces the leading comma of the first field
 	return append(out, '}')
 }
 
-// appendSeparator appends a comma before all but the first item of a list.
+// appendSeparator appends a comma unless the next item is the first one of a list.
 func appendSeparator(out []byte) []byte {
 	if out[len(out)-1] == '[' {
 		return out
@@ -102,7 +103,7 @@
 	return append(out, ',')
 }
 
-// appendNumber omits a field that is 0.
+// appendNumber appends a field unless its value is 0.
 func appendNumber(out []byte, field string, value int64) []byte {
 	if value == 0 {
 		return out
@@ -111,7 +112,7 @@
 	return strconv.AppendInt(out, value, 10)
 }
 
-// appendBytes omits a field that is empty.
+// appendBytes appends a field in base64 unless its value is empty.
 func appendBytes(out []byte, field string, value []byte) []byte {
 	if len(value) == 0 {
 		return out
@@ -132,7 +133,7 @@
 	return append(out, '"')
 }
 
-// isPlain reports whether a text needs no escapes in encoding/json's output.
+// isPlain reports whether encoding/json would write a text without escapes.
 func isPlain(text string) bool {
 	for i := range len(text) {
 		switch c := text[i]; {
--- a/internal/tier/program/chunk_writer.go
+++ b/internal/tier/program/chunk_writer.go
@@ -2,21 +2,22 @@
 
 import "encoding/base64"
 
-// chunkBytes is about the length of the JSON of one chunk of a snapshot. The content of a turn that is longer spans several
-// chunks.
+// chunkBytes is the approximate length of the JSON of a full chunk. The content of a turn that doesn't fit into one chunk is split
+// into fragments, each in a chunk of its own.
 const chunkBytes = 128 << 10
 
-// contentChunkBytes is the length of the fragments of such a content; a multiple of 3, so that its base64 has no padding.
-const contentChunkBytes = chunkBytes / 4 * 3
+// contentFragmentBytes is the size of a fragment of a turn's content before it is encoded. It is a multiple of 3, so that the
+// base64 has no padding.
+const contentFragmentBytes = chunkBytes / 4 * 3
 
-// WriteChunks writes the whole state in chunks of bounded size, in the order in which Restorer.Add takes them. A chunk is
-// valid until write returns. An error of write ends it and is returned. Machines that applied the same commands write the
-// same chunks.
+// WriteChunks writes the whole state in chunks of bounded size, in the order in which Restorer.Add expects them. The bytes passed
+// to write are valid until it returns. WriteChunks stops at write's first error and returns it. Machines that applied the same
+// commands write the same chunks.
 func (m *Machine) WriteChunks(write func(chunk []byte) error) error {
 	return m.Capture().WriteChunks(write)
 }
 
-// WriteChunks writes a captured state as Machine.WriteChunks does. It may run on another goroutine than the machine's.
+// WriteChunks writes a captured state like Machine.WriteChunks. It may run on another goroutine than the machine's.
 func (c *Chunk) WriteChunks(write func(chunk []byte) error) error {
 	w := chunkWriter{write: write, chunk: Chunk{NowMs: c.NowMs, LastCommandMs: c.LastCommandMs}}
 	for _, record := range c.Programs {
@@ -32,11 +33,11 @@
 	return w.emit()
 }
 
-// chunkWriter collects records until they fill a chunk.
+// chunkWriter collects records and writes a chunk whenever they fill it.
 type chunkWriter struct {
 	write          func(chunk []byte) error
 	chunk          Chunk
-	estimatedBytes int // about the length of the chunk's JSON
+	estimatedBytes int // approximate length of the chunk's JSON
 	buffer         []byte
 }
 
@@ -67,22 +68,22 @@
 	return w.addContent(content)
 }
 
-// addContent writes the content of the last turn in fragments, each in a chunk of its own. Later turns may share the last
+// addContent splits the content of the turn added last into fragments, each in a chunk of its own. Later turns may share the last
 // fragment's chunk.
 func (w *chunkWriter) addContent(content contentRecord) error {
 	for len(content.Input)+len(content.Output) > 0 {
 		if err := w.flush(); err != nil {
 			return err
 		}
-		fragment := contentRecord{Input: takePrefix(&content.Input, contentChunkBytes)}
-		fragment.Output = takePrefix(&content.Output, contentChunkBytes-len(fragment.Input))
+		fragment := contentRecord{Input: takePrefix(&content.Input, contentFragmentBytes)}
+		fragment.Output = takePrefix(&content.Output, contentFragmentBytes-len(fragment.Input))
 		w.chunk.Continuation = &fragment
 		w.estimatedBytes = fragment.encodedBytes()
 	}
 	return nil
 }
 
-// takePrefix removes up to limit bytes from the start and returns them.
+// takePrefix removes up to limit bytes from the start of a slice and returns them.
 func takePrefix(from *[]byte, limit int) []byte {
 	size := min(limit, len(*from))
 	prefix := (*from)[:size]
@@ -90,7 +91,7 @@
 	return prefix
 }
 
-// reserve starts another chunk if a record of that size doesn't fit into this one.
+// reserve makes room for a record: it starts another chunk if the record doesn't fit into the current one.
 func (w *chunkWriter) reserve(size int) error {
 	if w.estimatedBytes > 0 && w.estimatedBytes+size > chunkBytes {
 		if err := w.flush(); err != nil {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// flush writes a chunk that is not the last one, and starts the next.
+// flush writes a chunk that isn't the last one, and starts the next.
 func (w *chunkWriter) flush() error {
 	w.chunk.HasNext = true
 	if err := w.emit(); err != nil {
@@ -115,13 +116,13 @@
 	return nil
 }
 
-// emit encodes and writes the chunk as it is.
+// emit encodes and writes the current chunk.
 func (w *chunkWriter) emit() error {
 	w.buffer = w.chunk.appendJSON(w.buffer[:0])
 	return w.write(w.buffer)
 }
 
-// encodedBytes is the length of the content's base64.
+// encodedBytes returns the length of the content in base64.
 func (c *contentRecord) encodedBytes() int {
 	return base64.StdEncoding.EncodedLen(len(c.Input)) + base64.StdEncoding.EncodedLen(len(c.Output))
 }
--- a/internal/tier/program/chunk_writer_test.go
+++ b/internal/tier/program/chunk_writer_test.go
@@ -43,10 +43,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		// given a machine, also with contents that are far larger than a chunk
 		machine := New()
-		for _, step := range writeScript(drawing(t), 40, 400) {
+		for _, step := range writeScript(rapidChoice(t), 40, 400) {
 			machine.Apply(step.command)
 		}
-		sizes := rapid.OneOf(rapid.IntRange(0, 3*chunkBytes), rapid.SampledFrom([]int{contentChunkBytes - 1, contentChunkBytes, contentChunkBytes + 1, 2 * contentChunkBytes}))
+		sizes := rapid.OneOf(rapid.IntRange(0, 3*chunkBytes), rapid.SampledFrom([]int{contentFragmentBytes - 1, contentFragmentBytes, contentFragmentBytes + 1, 2 * contentFragmentBytes}))
 		large := rapid.IntRange(0, 2).Draw(t, "large turns")
 		for i := range large {
 			name := fmt.Sprint("large ", i)
@@ -61,7 +61,7 @@
 		}
 		// then it has the same state and writes the same chunks
 		if large == 0 { // comparing large contents so takes too long
-			if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
+			if diff := cmp.Diff(machine, restored, stateOptions...); diff != "" {
 				t.Fatalf("(-machine +restored):\n%s", diff)
 			}
 		}
--- a/internal/tier/program/clock.go
+++ b/internal/tier/program/clock.go
@@ -1,21 +1,21 @@
 package program
 
-// Bounds on the effect of a command's time of day on the machine's clock, in milliseconds.
+// Bounds on the effect that a command's wall-clock time has on the machine's clock, in milliseconds.
 const (
-	maxAdvanceMs  = 10_000  // upper bound of what one command advances the clock by
-	maxBackstepMs = 60_000  // clocks of leaders differ by less; one that is further behind has been set back
-	maxTimeMs     = 1 << 52 // later times of day are invalid
+	maxAdvanceMs  = 10_000  // the most by which one command advances the clock
+	maxBackstepMs = 60_000  // the clocks of two leaders differ by less, so one that is further behind was set back
+	maxTimeMs     = 1 << 52 // later times are invalid
 )
 
-// clock is the machine's time, derived from the times of day that commands carry. It never goes back. One command advances
-// it by at most maxAdvanceMs, so that a leader whose clock jumps far ahead doesn't expire what is stored; a shard without
-// commands for longer than that retains its contents for longer.
+// clock is the machine's time, derived from the wall-clock times that commands carry. It never goes back. One command advances
+// it by at most maxAdvanceMs, so that turns don't all expire when a leader's clock jumps far ahead. As a consequence, a shard
+// that gets no command for longer than that retains its turns for longer.
 type clock struct {
 	nowMs         int64
-	lastCommandMs int64 // time of day that the next command's is compared with; 0: no command yet
+	lastCommandMs int64 // wall-clock time that the next command's is compared with; 0: no command yet
 }
 
-// observe advances the clock by a command's time of day.
+// observe advances the clock according to a command's wall-clock time.
 func (c *clock) observe(atMs int64) {
 	if atMs <= 0 || atMs > maxTimeMs {
 		return
--- a/internal/tier/program/command.go
+++ b/internal/tier/program/command.go
@@ -1,32 +1,32 @@
 package program
 
-// BeginTurn asks to begin a turn: to reserve its budget and to store its input. It is idempotent, also across leaders and
-// after the turn has ended: a duplicate of an accepted turn gets the same answer and reserves nothing. A rejection reserves
-// nothing and isn't stored, so a retry is decided anew.
+// BeginTurn begins a turn: its budget is reserved and its input stored. It is idempotent, also across leaders and after the turn
+// has ended: a duplicate of an accepted turn gets the same result and reserves nothing. A rejection reserves nothing and isn't
+// stored, so a retry is decided anew.
 type BeginTurn struct {
-	Turn       string  `json:"turn"`              // X-Attempt-Id of the attempt
+	Turn       string  `json:"turn"`              // the attempt's X-Attempt-Id
 	Program    string  `json:"program,omitempty"` // empty: the turn belongs to no program and has no budget
 	Budget     int64   `json:"budget"`            // tokens that all turns of the program together may generate; 0: no limit given
 	MaxTokens  int64   `json:"most"`              // upper bound of the tokens that this turn generates; reserved until it ends
 	Remembered bool    `json:"remembered,omitempty"`
-	Previous   string  `json:"previous,omitempty"` // turn that a remembered one continues; ignored for others
-	KeepForS   float64 `json:"keepForS,omitempty"` // retention of a remembered turn after its end, s; at most a day
+	Previous   string  `json:"previous,omitempty"` // turn that this one continues; ignored unless Remembered
+	KeepForS   float64 `json:"keepForS,omitempty"` // retention of a remembered turn after its end, in seconds; at most a day
 	Input      []byte  `json:"input,omitempty"`
-	Imported   []byte  `json:"imported,omitempty"` // the chain of Previous, where another shard stores it
-	AtMs       int64   `json:"atMs"`               // the leader's time of day, ms since 1970
+	Imported   []byte  `json:"imported,omitempty"` // the chain of Previous, if another shard stores it
+	AtMs       int64   `json:"atMs"`               // the leader's wall-clock time, Unix ms
 }
 
-// EndTurn commits a turn: its reservation is released and the tokens sent to the client are charged, never less than none
-// and never more than were reserved. It is idempotent: the first one wins, duplicates change nothing.
+// EndTurn commits a turn: its reservation is released and the tokens sent to the client are charged, at least 0 and at most those
+// reserved. It is idempotent: the first one wins, duplicates change nothing.
 type EndTurn struct {
 	Turn     string `json:"turn"`
-	Complete bool   `json:"whole"`            // the answer is complete, so that others may continue the turn
+	Complete bool   `json:"whole"`            // the output is complete, so that others may continue the turn
 	Tokens   int64  `json:"tokens"`           // sent to the client
-	Output   []byte `json:"output,omitempty"` // the data of each event, each followed by a line feed
-	AtMs     int64  `json:"atMs"`             // the leader's time of day, ms since 1970
+	Output   []byte `json:"output,omitempty"` // the data of each event sent to the client, each followed by a line feed
+	AtMs     int64  `json:"atMs"`             // the leader's wall-clock time, Unix ms
 }
 
-// Command is one entry of a shard's log; exactly one field is set. Names should be valid UTF-8; other bytes are replaced as
+// Command is one entry of a shard's log; exactly one field is set. Names should be valid UTF-8; invalid bytes are replaced as
 // encoding/json replaces them.
 type Command struct {
 	Begin *BeginTurn `json:"begin,omitempty"`
@@ -36,25 +36,25 @@
 // Verdict is the outcome of a command.
 type Verdict string
 
-// The verdicts. Their texts are stored and sent.
+// The verdicts. Their texts are part of the stored format and the wire format.
 const (
 	// Accepted says that the turn was begun or ended, by this command or by an earlier duplicate.
 	Accepted Verdict = "taken"
-	// BudgetExceeded rejects a BeginTurn whose MaxTokens, with what is spent and reserved, exceeds the program's budget. It
-	// takes precedence over TurnNotFound.
+	// BudgetExceeded rejects a BeginTurn whose MaxTokens, together with the tokens spent and reserved, exceed the program's
+	// budget. It takes precedence over TurnNotFound.
 	BudgetExceeded Verdict = "budget_spent"
-	// TurnNotFound rejects a BeginTurn since this shard has no complete turn of the previous one's name.
+	// TurnNotFound rejects a BeginTurn whose Previous names no complete turn of this shard.
 	TurnNotFound Verdict = "no_such_turn"
-	// StorageFull rejects a BeginTurn that no store proposes: the shard's leader is short of memory or disk, and begins no new
-	// program.
+	// StorageFull rejects a BeginTurn of a new program that the shard's leader doesn't propose, since it is short of memory or
+	// disk.
 	StorageFull Verdict = "storage_full"
-	// UnknownTurn rejects an EndTurn of a turn that was never begun here or has expired, and one that calls a turn complete
-	// which was committed as broken off before: it can't be continued. A command without a turn's name gets it as well.
+	// UnknownTurn rejects an EndTurn of a turn that was never begun in this shard or has expired. It also rejects one that is
+	// Complete if the turn was committed as incomplete before and so can't be continued, and commands without a turn's name.
 	UnknownTurn Verdict = "unknown_turn"
 )
 
-// Result answers a command.
+// Result is the result of a command.
 type Result struct {
 	Verdict Verdict `json:"verdict"`
-	Chain   []byte  `json:"chain,omitempty"` // with Accepted of a BeginTurn: inputs and outputs of all earlier turns, oldest first
+	Chain   []byte  `json:"chain,omitempty"` // of an accepted BeginTurn: inputs and outputs of all turns before it, oldest first
 }
--- a/internal/tier/program/end.go
+++ b/internal/tier/program/end.go
@@ -2,7 +2,7 @@
 
 // end handles an EndTurn.
 func (m *Machine) end(end *EndTurn) Verdict {
-	t := m.turns[validName(end.Turn)]
+	t := m.turns[normalizeName(end.Turn)]
 	if t == nil {
 		return UnknownTurn
 	}
@@ -15,7 +15,7 @@
 	return Accepted
 }
 
-// duplicateEnd answers an EndTurn of a turn that has ended before.
+// duplicateEnd returns the verdict on an EndTurn of a turn that has ended before.
 func duplicateEnd(t *turn, end *EndTurn) Verdict {
 	if end.Complete && t.remembered && t.state != complete {
 		return UnknownTurn
@@ -23,7 +23,7 @@
 	return Accepted
 }
 
-// commitBudget releases a turn's reservation and charges what it generated.
+// commitBudget releases a turn's reservation and charges the tokens sent to its client.
 func (m *Machine) commitBudget(t *turn, tokens int64) {
 	if t.program != nil {
 		t.program.commit(t.reservedTokens, committedTokens(tokens, t.reservedTokens))
@@ -33,7 +33,7 @@
 	t.reservedTokens = 0
 }
 
-// storeOutcome adds the output of a turn that can be continued, and drops the input of one that can't.
+// storeOutcome stores the output of a turn that can be continued, or drops the input of one that can't.
 func (m *Machine) storeOutcome(t *turn, end *EndTurn) {
 	m.contentBytes -= t.contentBytes()
 	t.state = stateAtEnd(t, end.Complete)
--- a/internal/tier/program/expiry.go
+++ b/internal/tier/program/expiry.go
@@ -1,18 +1,18 @@
 package program
 
-// Bounds of the expiries that one command carries out, so that none takes long. Both exceed what one command can add, so the
-// backlog shrinks.
+// The most turns and budget records that expire at one command, so that none takes long. Both exceed the number that one command
+// can add, so a backlog shrinks.
 const (
 	maxTurnExpiriesPerCommand    = 8
 	maxProgramExpiriesPerCommand = 4
 )
 
-// scheduleExpiry restarts a turn's retention.
+// scheduleExpiry restarts a turn's retention from now.
 func (m *Machine) scheduleExpiry(t *turn) {
 	m.expiries.schedule(t, m.clock.nowMs+retentionMs(t))
 }
 
-// expireDue removes turns and budget records whose retention is over, a bounded number at each command.
+// expireDue removes turns and budget records whose retention is over, up to the bounds per command.
 func (m *Machine) expireDue() {
 	for range maxTurnExpiriesPerCommand {
 		t := m.expiries.popExpired(m.clock.nowMs)
@@ -29,8 +29,8 @@
 	}
 }
 
-// abandon gives up waiting for the end of a turn in flight. Its reservation stays in the program's record, as the tokens may
-// have been sent.
+// abandon stops waiting for the end of a turn in flight. The turn's reservation stays in the program's budget record, as the
+// tokens may have been sent.
 func (m *Machine) abandon(t *turn) {
 	if t.program == nil {
 		return
@@ -40,7 +40,7 @@
 	t.program = nil
 }
 
-// release removes a turn that nothing references any more, and then the ancestors that were retained for it alone.
+// release removes a turn if nothing references it any more, and then each ancestor that was retained for it alone.
 func (m *Machine) release(t *turn) {
 	for t != nil && !t.isReferenced() {
 		if t.state == imported {
--- a/internal/tier/program/expiry_queue.go
+++ b/internal/tier/program/expiry_queue.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// expiryQueue orders turns by when they expire, those that expire at the same time by sequence. It is a heap in which each
-// turn knows its index.
+// expiryQueue is a heap of turns by their time of expiry, and by sequence if that is the same. A turn's queueIndex is its index in
+// the heap.
 type expiryQueue []*turn
 
 var _ heap.Interface = (*expiryQueue)(nil)
@@ -43,7 +43,7 @@
 	return t
 }
 
-// schedule sets when a turn expires, whether it is queued or not.
+// schedule sets a turn's time of expiry, and adds the turn to the queue if it isn't in it.
 func (q *expiryQueue) schedule(t *turn, expiresAtMs int64) {
 	t.expiresAtMs = expiresAtMs
 	if t.queueIndex == notQueued {
@@ -53,7 +53,7 @@
 	heap.Fix(q, int(t.queueIndex))
 }
 
-// popExpired removes the first turn, if it has expired, or returns nil.
+// popExpired removes and returns the first turn if it has expired, or returns nil.
 func (q *expiryQueue) popExpired(nowMs int64) *turn {
 	if len(*q) == 0 || (*q)[0].expiresAtMs > nowMs {
 		return nil
--- a/internal/tier/program/machine.go
+++ b/internal/tier/program/machine.go
@@ -2,21 +2,21 @@
 
 import "unicode/utf8"
 
-// Machine is the state of one shard. It keeps the byte slices of the commands that it applies, so callers must not change
-// them afterwards. It is not safe for concurrent use.
+// Machine is the state machine of one shard. It retains the byte slices of the commands that it applies, so callers must not
+// modify them afterwards. It is not safe for concurrent use.
 type Machine struct {
 	clock        clock
 	turns        map[string]*turn
-	imported     map[string]*turn // imported chains by the name of their last turn
+	imported     map[string]*turn // imported chains, by the name of their last turn
 	programs     programTable
 	expiries     expiryQueue
-	sequence     uint64 // of the turn added last
-	contentBytes int64  // sum over all turns and imported chains
+	sequence     uint64 // sequence number of the turn added last
+	contentBytes int64  // total size of the inputs and outputs of all turns and imported chains
 }
 
 // Stats is the size of a machine's state.
 type Stats struct {
-	Turns    int   // in flight, and ended ones that haven't expired
+	Turns    int   // in flight, or ended and not expired
 	Programs int   // budget records
 	Bytes    int64 // of inputs, outputs and imported chains
 }
@@ -36,13 +36,13 @@
 	return Result{Verdict: verdict, Chain: previous.chain()}
 }
 
-// Replay executes a committed command whose result nobody needs, as on followers and when a log is read at a start. It
-// doesn't assemble the chain.
+// Replay executes a committed command whose result isn't needed, as on followers and when the log is read at startup. Unlike
+// Apply it doesn't assemble the chain.
 func (m *Machine) Replay(command Command) {
 	m.apply(command)
 }
 
-// apply executes a command. For an accepted BeginTurn it returns the turn that is continued; nil: none.
+// apply executes a command. For an accepted BeginTurn it also returns the turn that is continued, or nil.
 func (m *Machine) apply(command Command) (verdict Verdict, previous *turn) {
 	verdict = UnknownTurn
 	switch {
@@ -57,10 +57,10 @@
 	return verdict, previous
 }
 
-// Chain returns the inputs and outputs of a complete turn and of all turns before it, oldest first, for a shard that imports
-// them. It reports whether there is such a turn.
+// Chain returns the inputs and outputs of a complete turn and of all turns before it, oldest first, so that another shard can
+// import them. It reports whether there is such a turn.
 func (m *Machine) Chain(name string) ([]byte, bool) {
-	t := m.findComplete(validName(name))
+	t := m.findContinuable(normalizeName(name))
 	if t == nil {
 		return nil, false
 	}
@@ -76,8 +76,9 @@
 	}
 }
 
-// validName returns a name as encoding/json would write and read it, so that all replicas and all snapshots agree on it.
-func validName(name string) string {
+// normalizeName replaces invalid UTF-8 in a name as a round trip through encoding/json does, so that the name is the same in all
+// replicas and snapshots.
+func normalizeName(name string) string {
 	if utf8.ValidString(name) {
 		return name
 	}
--- a/internal/tier/program/model_comparison_test.go
+++ b/internal/tier/program/model_comparison_test.go
@@ -20,7 +20,7 @@
 	reference := newModel()
 	for i, step := range steps {
 		got := subject.Apply(step.command)
-		if err := reference.follow(step.command, step.trueMs, got); err != nil {
+		if err := reference.apply(step.command, step.trueMs, got); err != nil {
 			return fmt.Errorf("step %d: %w", i, err)
 		}
 		if err := reference.check(subject.machine(), step.trueMs); err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func drawing(t *rapid.T) choose {
+func rapidChoice(t *rapid.T) choose {
 	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 }
 
@@ -63,7 +63,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				// given commands as relays and leaders with differing clocks send them
-				steps := writeScript(drawing(t), test.length, test.longest)
+				steps := writeScript(rapidChoice(t), test.length, test.longest)
 				// when a machine applies them, then its results and its state are the model's
 				machine := New()
 				if err := runScript(machine, steps); err != nil {
--- a/internal/tier/program/model_test.go
+++ b/internal/tier/program/model_test.go
@@ -13,16 +13,16 @@
 
 // modelTurn is a turn with a complete copy of its chain.
 type modelTurn struct {
-	program    string
-	maxTokens  int64
-	remembered bool
-	keepMs     int64
-	before     []byte // the chain up to it
-	input      []byte
-	chain      []byte // with it, once it is complete
-	ended      bool
-	complete   bool
-	atMs       int64 // true time of its last command that changed it
+	program       string
+	maxTokens     int64
+	remembered    bool
+	retentionMs   int64
+	previousChain []byte // the chain up to it
+	input         []byte
+	chain         []byte // with it, once it is complete
+	ended         bool
+	complete      bool
+	atMs          int64 // true time of its last command that changed it
 }
 
 type modelProgram struct{ limit, spent, reserved int64 }
@@ -42,17 +42,17 @@
 	}
 }
 
-// follow applies a command and checks a machine's result.
-func (r *model) follow(command Command, trueMs int64, got Result) error {
+// apply applies a command and checks a machine's result.
+func (r *model) apply(command Command, trueMs int64, got Result) error {
 	if command.Begin != nil {
-		return r.followBegin(command.Begin, trueMs, got)
+		return r.applyBegin(command.Begin, trueMs, got)
 	}
-	return r.followEnd(command.End, trueMs, got)
+	return r.applyEnd(command.End, trueMs, got)
 }
 
-func (r *model) followBegin(begin *BeginTurn, trueMs int64, got Result) error {
+func (r *model) applyBegin(begin *BeginTurn, trueMs int64, got Result) error {
 	if t := r.turns[begin.Turn]; t != nil {
-		return expect(got, Result{Verdict: Accepted, Chain: t.before})
+		return compareResults(got, Result{Verdict: Accepted, Chain: t.previousChain})
 	}
 	p := r.programs[begin.Program]
 	if p == nil {
@@ -66,11 +66,11 @@
 	}
 	maxTokens := max(begin.MaxTokens, 0)
 	if begin.Program != "" && p.limit > 0 && p.spent+p.reserved+maxTokens > p.limit {
-		return expect(got, Result{Verdict: BudgetExceeded})
+		return compareResults(got, Result{Verdict: BudgetExceeded})
 	}
 	t := &modelTurn{program: begin.Program, maxTokens: maxTokens, remembered: begin.Remembered, atMs: trueMs}
 	if begin.Remembered {
-		t.keepMs = int64(begin.KeepForS * 1000)
+		t.retentionMs = int64(begin.KeepForS * 1000)
 		t.input = begin.Input
 		if refused, err := r.findPrevious(t, begin, trueMs, got); refused {
 			return err
@@ -78,11 +78,11 @@
 	}
 	r.turns[begin.Turn] = t
 	p.reserved += maxTokens
-	return expect(got, Result{Verdict: Accepted, Chain: t.before})
+	return compareResults(got, Result{Verdict: Accepted, Chain: t.previousChain})
 }
 
 // findPrevious sets the chain that a turn continues, and reports whether the turn is rejected since there is none.
-func (r *model) findPrevious(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (refused bool, err error) {
+func (r *model) findPrevious(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (isRejected bool, err error) {
 	if begin.Previous == "" {
 		return false, nil
 	}
@@ -90,36 +90,36 @@
 	isComplete := previous != nil && previous.complete
 	imported := r.imported[begin.Previous]
 	switch {
-	case isComplete && trueMs <= previous.atMs+previous.keepMs:
-		t.before = previous.chain
+	case isComplete && trueMs <= previous.atMs+previous.retentionMs:
+		t.previousChain = previous.chain
 	case got.Verdict == TurnNotFound:
 		if len(begin.Imported) > 0 {
 			return true, fmt.Errorf("an imported chain was rejected")
 		}
 		return true, nil
 	case isComplete:
-		t.before = previous.chain
+		t.previousChain = previous.chain
 	case imported != nil:
-		t.before = imported
+		t.previousChain = imported
 	case len(begin.Imported) > 0:
-		t.before = begin.Imported
+		t.previousChain = begin.Imported
 		r.imported[begin.Previous] = begin.Imported
 	default:
-		return true, expect(got, Result{Verdict: TurnNotFound})
+		return true, compareResults(got, Result{Verdict: TurnNotFound})
 	}
 	return false, nil
 }
 
-func (r *model) followEnd(end *EndTurn, trueMs int64, got Result) error {
+func (r *model) applyEnd(end *EndTurn, trueMs int64, got Result) error {
 	t := r.turns[end.Turn]
 	if t == nil {
-		return expect(got, Result{Verdict: UnknownTurn})
+		return compareResults(got, Result{Verdict: UnknownTurn})
 	}
 	if t.ended {
 		if end.Complete && t.remembered && !t.complete {
-			return expect(got, Result{Verdict: UnknownTurn})
+			return compareResults(got, Result{Verdict: UnknownTurn})
 		}
-		return expect(got, Result{Verdict: Accepted})
+		return compareResults(got, Result{Verdict: Accepted})
 	}
 	if got.Verdict == UnknownTurn && trueMs > t.atMs+modelInFlightMs {
 		delete(r.turns, end.Turn) // its relay abandoned it for so long that it begins anew; what it reserved counts
@@ -133,12 +133,12 @@
 	}
 	if end.Complete && t.remembered {
 		t.complete = true
-		t.chain = bytes.Join([][]byte{t.before, t.input, end.Output}, nil)
+		t.chain = bytes.Join([][]byte{t.previousChain, t.input, end.Output}, nil)
 	}
-	return expect(got, Result{Verdict: Accepted})
+	return compareResults(got, Result{Verdict: Accepted})
 }
 
-func expect(got, want Result) error {
+func compareResults(got, want Result) error {
 	if got.Verdict != want.Verdict {
 		return fmt.Errorf("verdict %s, want %s", got.Verdict, want.Verdict)
 	}
@@ -165,8 +165,8 @@
 		if found && (!t.complete || !bytes.Equal(chain, t.chain)) {
 			return fmt.Errorf("turn %s has chain %q, want %q (complete: %v)", name, chain, t.chain, t.complete)
 		}
-		if !found && t.complete && trueMs <= t.atMs+t.keepMs {
-			return fmt.Errorf("turn %s has expired %d ms after its end, its retention is %d", name, trueMs-t.atMs, t.keepMs)
+		if !found && t.complete && trueMs <= t.atMs+t.retentionMs {
+			return fmt.Errorf("turn %s has expired %d ms after its end, its retention is %d", name, trueMs-t.atMs, t.retentionMs)
 		}
 	}
 	return nil
--- a/internal/tier/program/program_table.go
+++ b/internal/tier/program/program_table.go
@@ -1,13 +1,13 @@
 package program
 
-// programTable holds the budget records by name, and in a list by last use from oldest to newest.
+// programTable holds the budget records by name, and in a linked list from the least to the most recently used.
 type programTable struct {
 	byName map[string]*program
 	oldest *program
 	newest *program
 }
 
-// getOrCreate returns the record of a program, a new one if there is none, and marks it as used.
+// getOrCreate returns the record of a program, creating it if there is none, and marks it as used.
 func (t *programTable) getOrCreate(name string, nowMs int64) *program {
 	p := t.byName[name]
 	if p == nil {
@@ -28,8 +28,8 @@
 	t.append(p)
 }
 
-// expireOldest removes the least recently used record, if its retention is over and none of its turns is in flight. It
-// reports whether it did.
+// expireOldest removes the least recently used record if its retention is over and none of its turns is in flight. It reports
+// whether it removed the record.
 func (t *programTable) expireOldest(nowMs int64) bool {
 	p := t.oldest
 	if p == nil || p.inFlight > 0 || p.lastUsedMs+programRetentionMs > nowMs {
--- a/internal/tier/program/restore.go
+++ b/internal/tier/program/restore.go
@@ -8,16 +8,16 @@
 	"fmt"
 )
 
-// ErrCorruptSnapshot is wrapped by the errors of Restore and Restorer where the bytes are no snapshot that a machine wrote:
-// damaged, incomplete, or chunks of different snapshots. Retrying doesn't help; another replica's snapshot may.
+// ErrCorruptSnapshot is wrapped by the errors of Restore and Restorer if the bytes aren't a snapshot as a machine writes it: they
+// are damaged or incomplete, or chunks of different snapshots. A retry doesn't help; a snapshot of another replica may.
 var ErrCorruptSnapshot = errors.New("corrupt snapshot of programs")
 
-// corrupt returns an ErrCorruptSnapshot with its reason.
+// corrupt returns an error that wraps ErrCorruptSnapshot and gives the reason.
 func corrupt(format string, values ...any) error {
 	return fmt.Errorf("%w: %s", ErrCorruptSnapshot, fmt.Sprintf(format, values...))
 }
 
-// Restore replaces the machine's state by a snapshot in one chunk. On an error the machine stays as it was.
+// Restore replaces the machine's state by a snapshot in one chunk. After an error the machine's state is unchanged.
 func (m *Machine) Restore(data []byte) error {
 	restorer := m.BeginRestore()
 	if err := restorer.Add(data); err != nil {
@@ -26,22 +26,22 @@
 	return restorer.Finish()
 }
 
-// Restorer builds a machine's new state from the chunks of a snapshot, which must come in the order of WriteChunks. The
-// machine stays as it is until Finish succeeds. After an error the Restorer must not be used any more.
+// Restorer builds a machine's new state from the chunks of a snapshot, which must be added in the order in which WriteChunks wrote
+// them. The machine's state is unchanged until Finish succeeds. After an error the Restorer must not be used any more.
 type Restorer struct {
 	machine     *Machine
 	restored    *Machine
-	nextIndex   int     // of the next chunk
-	expectsMore bool    // the last chunk hasn't come
-	turns       []*turn // restored so far, in the order of the chunks
-	reserved    map[*program]int64
-	pending     *pendingTurn // the last one, whose content may continue in the next chunk; nil: none
+	nextIndex   int                // index of the chunk to add next
+	expectsMore bool               // the last chunk hasn't been added
+	turns       []*turn            // restored so far, in the order of the chunks
+	reserved    map[*program]int64 // sum of the reservations of each program's turns in flight
+	pending     *pendingTurn       // the turn read last, whose content may continue in the next chunk; nil: none
 }
 
-// pendingTurn is a turn whose content may continue in the next chunk.
+// pendingTurn is a turn that isn't restored yet, as its content may continue in the next chunk.
 type pendingTurn struct {
 	record                turnRecord
-	moreInput, moreOutput [][]byte // fragments to append
+	moreInput, moreOutput [][]byte // fragments to append to the record's input and output
 }
 
 // BeginRestore starts to replace the machine's state by a snapshot.
@@ -56,7 +56,7 @@
 		return fmt.Errorf("%w: invalid JSON: %w", ErrCorruptSnapshot, err)
 	}
 	if !r.expectsMore || chunk.Index != r.nextIndex {
-		return corrupt("chunk %d in place of chunk %d", chunk.Index, r.nextIndex)
+		return corrupt("got chunk %d, want chunk %d", chunk.Index, r.nextIndex)
 	}
 	if err := r.restoreClock(chunk); err != nil {
 		return err
@@ -82,19 +82,19 @@
 // Finish replaces the machine's state by that of all chunks together.
 func (r *Restorer) Finish() error {
 	if r.expectsMore {
-		return corrupt("chunk %d is missing", r.nextIndex)
+		return corrupt("series of chunks ends before chunk %d", r.nextIndex)
 	}
 	if err := r.restorePending(); err != nil {
 		return err
 	}
 	for p, sum := range r.reserved {
 		if sum > p.reserved {
-			return corrupt("program has less reserved than its turns in flight")
+			return corrupt("a program has fewer tokens reserved than its turns in flight together")
 		}
 	}
 	for _, t := range r.turns {
 		if !t.isReferenced() {
-			return corrupt("turn %q is referenced by nothing", t.name)
+			return corrupt("turn %q has no expiry and no turn continues it", t.name)
 		}
 	}
 	heap.Init(&r.restored.expiries)
@@ -102,31 +102,31 @@
 	return nil
 }
 
-// restoreClock restores the clock from the first chunk; the others must agree with it.
+// restoreClock restores the clock from the first chunk, and checks that the others have the same clock.
 func (r *Restorer) restoreClock(chunk Chunk) error {
 	if r.nextIndex == 0 {
 		return r.restored.restoreClock(chunk)
 	}
 	if (r.restored.clock != clock{nowMs: chunk.NowMs, lastCommandMs: chunk.LastCommandMs}) {
-		return corrupt("chunk of another snapshot")
+		return corrupt("clock differs from that of the first chunk: the chunk belongs to another snapshot")
 	}
 	return nil
 }
 
-// continuePending appends a fragment to the content of the last turn.
+// continuePending appends a fragment to the content of the pending turn.
 func (r *Restorer) continuePending(fragment *contentRecord) error {
 	if fragment == nil {
 		return nil
 	}
 	if r.pending == nil {
-		return corrupt("content without a turn before it")
+		return corrupt("fragment of a content without a turn before it")
 	}
 	r.pending.moreInput = append(r.pending.moreInput, fragment.Input)
 	r.pending.moreOutput = append(r.pending.moreOutput, fragment.Output)
 	return nil
 }
 
-// restorePending restores the last turn, once all of its content has come.
+// restorePending restores the pending turn, all of whose content has been added.
 func (r *Restorer) restorePending() error {
 	if r.pending == nil {
 		return nil
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// joinContent appends fragments to the first one.
+// joinContent appends fragments to the start of a content.
 func joinContent(first []byte, fragments [][]byte) []byte {
 	if len(fragments) == 0 {
 		return first
--- a/internal/tier/program/restore_records.go
+++ b/internal/tier/program/restore_records.go
@@ -1,30 +1,30 @@
 package program
 
-// restoreClock sets the clock. A clock that no command has set is 0 in both fields.
+// restoreClock sets the clock. Both of its fields are 0 until a command has set it.
 func (m *Machine) restoreClock(chunk Chunk) error {
-	if !isTime(chunk.NowMs) || !isTime(chunk.LastCommandMs) {
-		return corrupt("clock is out of range")
+	if !isValidTimeMs(chunk.NowMs) || !isValidTimeMs(chunk.LastCommandMs) {
+		return corrupt("time of the clock is out of range")
 	}
 	if (chunk.NowMs == 0) != (chunk.LastCommandMs == 0) {
-		return corrupt("clock is half set")
+		return corrupt("only one of the two times of the clock is 0")
 	}
 	m.clock = clock{nowMs: chunk.NowMs, lastCommandMs: chunk.LastCommandMs}
 	return nil
 }
 
-// restoreProgram adds a budget record. Records come by last use, the oldest first.
+// restoreProgram adds a budget record. Records must be added from the least to the most recently used.
 func (m *Machine) restoreProgram(record programRecord) error {
 	if m.programs.byName[record.Name] != nil {
 		return corrupt("duplicate name")
 	}
 	if record.Name == "" || record.Limit < 0 || record.Spent < 0 || record.Reserved < 0 {
-		return corrupt("no name or a negative number")
+		return corrupt("name is empty or a number of tokens is negative")
 	}
-	if !isTime(record.LastUsedMs) || record.LastUsedMs > m.clock.nowMs {
-		return corrupt("last used in the future")
+	if !isValidTimeMs(record.LastUsedMs) || record.LastUsedMs > m.clock.nowMs {
+		return corrupt("last use is negative or later than the clock")
 	}
 	if newest := m.programs.newest; newest != nil && newest.lastUsedMs > record.LastUsedMs {
-		return corrupt("out of order")
+		return corrupt("last use is earlier than that of the program before")
 	}
 	p := m.programs.getOrCreate(record.Name, record.LastUsedMs)
 	p.limit = record.Limit
@@ -33,13 +33,13 @@
 	return nil
 }
 
-// restoreTurn adds a turn; earlier are those before it, among which its parent must be.
+// restoreTurn adds a turn. earlier lists the turns before it, which must include its parent.
 func (m *Machine) restoreTurn(record turnRecord, earlier []*turn) (*turn, error) {
 	if err := checkTurn(record, len(earlier)); err != nil {
 		return nil, err
 	}
 	if record.ExpiresAtMs > m.clock.nowMs+maxRetentionMs+clockMarginMs {
-		return nil, corrupt("retained for longer than the maximum")
+		return nil, corrupt("expiry is later than the maximum retention allows")
 	}
 	t := &turn{
 		name:           record.Turn,
@@ -58,28 +58,28 @@
 	return t, m.insert(t)
 }
 
-// linkTurn connects a restored turn with its program and its parent.
+// linkTurn links a restored turn to its program and its parent.
 func (m *Machine) linkTurn(t *turn, record turnRecord, earlier []*turn) error {
 	if record.Program != "" {
 		t.program = m.programs.byName[record.Program]
 		if t.program == nil {
-			return corrupt("unknown program")
+			return corrupt("its program is not in the snapshot")
 		}
 	}
 	if record.Parent > 0 {
 		t.parent = earlier[record.Parent-1]
-		if !t.parent.canContinue() {
-			return corrupt("continues a turn that isn't complete")
+		if !t.parent.canBeContinued() {
+			return corrupt("continues a turn that can't be continued")
 		}
 		t.parent.children++
 	}
-	if t.canContinue() {
+	if t.canBeContinued() {
 		t.setChainBytes()
 	}
 	return nil
 }
 
-// insert adds a restored turn to the tables. The expiry queue is put in order by Restorer.Finish.
+// insert adds a restored turn to the maps and to the expiry queue, which Restorer.Finish puts in order.
 func (m *Machine) insert(t *turn) error {
 	table := m.turns
 	if t.state == imported {
@@ -98,35 +98,36 @@
 	return nil
 }
 
-// checkTurn rejects a record that no machine would have written, by its own fields.
+// checkTurn rejects a record with values or combinations of fields that a machine never writes. earlier is the number of turns
+// before it.
 func checkTurn(record turnRecord, earlier int) error {
 	isImported := record.State == imported
 	switch {
 	case record.Turn == "" && !isImported:
-		return corrupt("no name")
+		return corrupt("name is empty")
 	case record.State > imported:
-		return corrupt("unknown state")
+		return corrupt("state has an unknown number")
 	case record.Parent < 0 || record.Parent > earlier:
-		return corrupt("parent doesn't precede it")
+		return corrupt("parent doesn't precede the turn")
 	case record.ReservedTokens < 0 || record.RetainMs < 0 || record.RetainMs > maxRetentionMs || record.ExpiresAtMs < 0:
-		return corrupt("number out of range")
+		return corrupt("reservation, retention or expiry is out of range")
 	case record.State != inFlight && (record.Program != "" || record.ReservedTokens != 0):
-		return corrupt("ended and has a reservation")
+		return corrupt("an ended turn has a program or a reservation")
 	case record.State != complete && len(record.Output) > 0:
-		return corrupt("has an output and isn't complete")
+		return corrupt("a turn that isn't complete has an output")
 	case record.State == discarded && len(record.Input) > 0:
-		return corrupt("discarded and has an input")
+		return corrupt("a discarded turn has an input")
 	case isImported && (record.Parent != 0 || record.ExpiresAtMs != 0):
-		return corrupt("imported chain has a parent or an expiry")
+		return corrupt("an imported chain has a parent or an expiry")
 	case !isImported && record.State != complete && record.ExpiresAtMs == 0:
-		return corrupt("no expiry")
+		return corrupt("a turn that isn't complete has no expiry")
 	case !record.Remembered && !isImported && (record.State == complete || record.Parent != 0 || len(record.Input) > 0):
-		return corrupt("isn't remembered and has a chain")
+		return corrupt("a turn that isn't remembered is complete or has a parent or an input")
 	}
 	return nil
 }
 
-// isTime reports whether a number may be a time of the machine's clock.
-func isTime(ms int64) bool {
+// isValidTimeMs reports whether the machine's clock can show a time.
+func isValidTimeMs(ms int64) bool {
 	return ms >= 0 && ms <= 2*maxTimeMs
 }
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -40,7 +40,7 @@
 	s := &script{choose: choose, maxGapMs: longest, nowMs: startMs, jumps: 1}
 	for range length {
 		s.passTime()
-		s.add(s.next())
+		s.add(s.nextCommand())
 	}
 	return s.steps
 }
@@ -76,7 +76,7 @@
 	s.steps = append(s.steps, step{command: command, trueMs: s.nowMs})
 }
 
-func (s *script) next() Command {
+func (s *script) nextCommand() Command {
 	kind := s.choose(10)
 	if kind < 5 && len(s.turns) > 0 {
 		if command, found := s.nextEnd(); found {
--- a/internal/tier/program/snapshot_test.go
+++ b/internal/tier/program/snapshot_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// replicaView compares a machine's state, except for the sequence numbers and indices that order turns.
-var replicaView = []cmp.Option{
+// stateOptions compares a machine's state, except for the sequence numbers and indices that order turns.
+var stateOptions = []cmp.Option{
 	cmp.AllowUnexported(Machine{}, clock{}, programTable{}, program{}, turn{}),
 	cmpopts.IgnoreFields(Machine{}, "sequence", "expiries"),
 	cmpopts.IgnoreFields(turn{}, "sequence", "queueIndex"),
@@ -37,7 +37,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		// given a log, a leader, and a replica that installs the leader's snapshot at some point
 		longest := rapid.SampledFrom([]int{400, 15_000, 60_000}).Draw(t, "longest")
-		steps := writeScript(drawing(t), 60, longest)
+		steps := writeScript(rapidChoice(t), 60, longest)
 		installAt := rapid.IntRange(0, len(steps)-1).Draw(t, "snapshot before")
 		leader, follower, installed, replaying := New(), New(), New(), New()
 		for i, step := range steps {
@@ -67,7 +67,7 @@
 				compareSnapshots(t, leader, append(replicas, replaying))
 			}
 		}
-		if diff := cmp.Diff(leader, installed, replicaView...); diff != "" {
+		if diff := cmp.Diff(leader, installed, stateOptions...); diff != "" {
 			t.Fatalf("(-leader +installed):\n%s", diff)
 		}
 	})
@@ -92,7 +92,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		// given a machine, also with names that JSON quotes
 		machine := New()
-		for _, step := range writeScript(drawing(t), 40, 15_000) {
+		for _, step := range writeScript(rapidChoice(t), 40, 15_000) {
 			machine.Apply(step.command)
 		}
 		odd := rapid.String().Draw(t, "name")
@@ -126,10 +126,10 @@
 
 // The text around a list of turns, and turns of it.
 const (
-	turnsHead = `{"nowMs":90,"heardMs":90,"programs":[{"name":"p","reserved":5,"usedMs":80}],"turns":[`
-	turnsTail = `]}`
-	firstTurn = `{"turn":"a","state":1,"remembered":true,"dueMs":99,"input":"AAAA"}`
-	rootTurn  = `{"turn":"r","state":3,"input":"AAAA"}`
+	turnsHead    = `{"nowMs":90,"heardMs":90,"programs":[{"name":"p","reserved":5,"usedMs":80}],"turns":[`
+	turnsTail    = `]}`
+	firstTurn    = `{"turn":"a","state":1,"remembered":true,"dueMs":99,"input":"AAAA"}`
+	importedTurn = `{"turn":"r","state":3,"input":"AAAA"}`
 )
 
 func turnsJSON(list ...string) string { return turnsHead + strings.Join(list, ",") + turnsTail }
@@ -139,29 +139,29 @@
 	{"an open end", turnsHead, "JSON"},
 	{"another form", `{"nowMs":"90"}`, "JSON"},
 	{"a clock before its start", `{"nowMs":-1,"heardMs":1}`, "out of range"},
-	{"half a clock", `{"nowMs":1}`, "half set"},
-	{"a program without a name", `{"programs":[{}]}`, "no name"},
-	{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "future"},
+	{"half a clock", `{"nowMs":1}`, "only one of the two times"},
+	{"a program without a name", `{"programs":[{}]}`, "name is empty"},
+	{"a program that was used later than now", `{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":10}]}`, "later than the clock"},
 	{"a program with a negative number", `{"programs":[{"name":"p","spent":-1}]}`, "negative"},
 	{"two programs of one name", `{"programs":[{"name":"p"},{"name":"p"}]}`, "duplicate name"},
 	{"programs out of order",
-		`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "out of order"},
+		`{"nowMs":9,"heardMs":9,"programs":[{"name":"p","usedMs":5},{"name":"q","usedMs":4}]}`, "earlier than that of the program before"},
 	{"two turns of one name", turnsJSON(firstTurn, firstTurn), "duplicate name"},
-	{"a turn without a name", turnsJSON(`{"dueMs":99}`), "no name"},
-	{"a turn in no state", turnsJSON(`{"turn":"b","state":9,"dueMs":99}`), "unknown state"},
-	{"a turn before its parent", turnsJSON(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, firstTurn), "precede it"},
+	{"a turn without a name", turnsJSON(`{"dueMs":99}`), "name is empty"},
+	{"a turn in no state", turnsJSON(`{"turn":"b","state":9,"dueMs":99}`), "unknown number"},
+	{"a turn before its parent", turnsJSON(`{"turn":"b","remembered":true,"parent":1,"dueMs":99}`, firstTurn), "precede the turn"},
 	{"a parent that doesn't count",
-		turnsJSON(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "isn't complete"},
-	{"a turn of a program that isn't there", turnsJSON(`{"turn":"b","program":"q","dueMs":99}`), "unknown program"},
-	{"a turn with more reserved than its program", turnsJSON(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "less reserved"},
+		turnsJSON(`{"turn":"a","dueMs":99}`, `{"turn":"b","remembered":true,"parent":1,"dueMs":99}`), "can't be continued"},
+	{"a turn of a program that isn't there", turnsJSON(`{"turn":"b","program":"q","dueMs":99}`), "program is not in the snapshot"},
+	{"a turn with more reserved than its program", turnsJSON(`{"turn":"b","program":"p","most":6,"dueMs":99}`), "fewer tokens reserved"},
 	{"a turn with less than nothing reserved", turnsJSON(`{"turn":"b","most":-1,"dueMs":99}`), "out of range"},
-	{"an ended turn with a reservation", turnsJSON(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a reservation"},
+	{"an ended turn with a reservation", turnsJSON(`{"turn":"b","state":2,"most":1,"dueMs":99}`), "has a program or a reservation"},
 	{"a turn in flight with an output", turnsJSON(`{"turn":"b","remembered":true,"dueMs":99,"output":"AAAA"}`), "has an output"},
 	{"a turn broken off with an input", turnsJSON(`{"turn":"b","state":2,"remembered":true,"dueMs":99,"input":"AAAA"}`), "has an input"},
-	{"a turn that is retained for years", turnsJSON(`{"turn":"b","dueMs":99999999999}`), "longer than the maximum"},
+	{"a turn that is retained for years", turnsJSON(`{"turn":"b","dueMs":99999999999}`), "later than the maximum retention"},
 	{"a turn in flight without an expiry", turnsJSON(`{"turn":"b"}`), "no expiry"},
-	{"a complete turn that nothing references", turnsJSON(`{"turn":"b","state":1,"remembered":true}`), "referenced by nothing"},
-	{"an imported chain that nothing references", turnsJSON(rootTurn), "referenced by nothing"},
+	{"a complete turn that nothing references", turnsJSON(`{"turn":"b","state":1,"remembered":true}`), "no turn continues it"},
+	{"an imported chain that nothing references", turnsJSON(importedTurn), "no turn continues it"},
 	{"an imported chain with an expiry", turnsJSON(`{"turn":"r","state":3,"dueMs":99}`), "imported chain"},
 	{"a complete turn that isn't remembered", turnsJSON(`{"turn":"b","state":1,"dueMs":99}`), "isn't remembered"},
 }
@@ -182,7 +182,7 @@
 	}
 	t.Run("given proper turns when they are restored then they are there", func(t *testing.T) {
 		machine := New()
-		err := machine.Restore([]byte(turnsJSON(firstTurn, rootTurn,
+		err := machine.Restore([]byte(turnsJSON(firstTurn, importedTurn,
 			`{"turn":"b","remembered":true,"program":"p","most":5,"parent":2,"dueMs":99,"input":"AAAA"}`)))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/tier/program/source_mutants_test.go
+++ b/internal/tier/program/source_mutants_test.go
@@ -7,8 +7,8 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// scripts is the test that compares the machine with the model.
-const scripts = "^TestModel_CorrectMachine_IsNotCaught$"
+// modelTest is the test that compares the machine with the model.
+const modelTest = "^TestModel_CorrectMachine_IsNotCaught$"
 
 func budgetChange(old, changed string) mutation.Change {
 	return mutation.Change{File: "budget.go", Old: old, New: changed}
@@ -27,38 +27,38 @@
 	{
 		Name:   "the budget leaves reservations out",
 		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.spent+maxTokens <= p.limit"),
-		Run:    scripts,
+		Run:    modelTest,
 		Always: true,
 	},
 	{
 		Name:   "the budget leaves what was spent out",
 		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.reserved+maxTokens <= p.limit"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "the last token of the budget can't be used",
 		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.usedTokens()+maxTokens < p.limit"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "the last budget given counts",
 		Change: budgetChange("return min(limit, budget)", "return budget"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "more is charged than was reserved",
 		Change: budgetChange("return min(max(tokens, 0), reserved)", "return max(tokens, 0)"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "a negative amount is charged",
 		Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "a turn always costs its reservation",
 		Change: budgetChange("return min(max(tokens, 0), reserved)", "return reserved"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 }
 
@@ -67,12 +67,12 @@
 	{
 		Name:   "a turn broken off counts",
 		Change: turnChange("if isComplete && t.remembered {", "if true {"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "any turn can be continued",
 		Change: turnChange("return t.state == complete || t.state == imported", "return true"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 }
 
@@ -81,17 +81,17 @@
 	{
 		Name:   "complete turns expire early",
 		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "complete turns are retained without a margin",
 		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 	{
 		Name:   "nothing ever expires",
 		Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
-		Run:    scripts,
+		Run:    modelTest,
 	},
 }
 
--- a/internal/tier/program/stored_format_test.go
+++ b/internal/tier/program/stored_format_test.go
@@ -122,7 +122,7 @@
 	if err := restored.Restore(want); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
+	if diff := cmp.Diff(machine, restored, stateOptions...); diff != "" {
 		t.Errorf("state (-want +restored):\n%s", diff)
 	}
 	if chain, found := restored.Chain("complete"); !found || string(chain) != "[chain of elsewhere][in 2][out 2]" {
@@ -154,7 +154,7 @@
 	if err := restoreChunks(restored, stored); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(machine, restored, replicaView...); diff != "" {
+	if diff := cmp.Diff(machine, restored, stateOptions...); diff != "" {
 		t.Errorf("state (-want +restored):\n%s", diff)
 	}
 }
--- a/internal/tier/program/turn.go
+++ b/internal/tier/program/turn.go
@@ -1,13 +1,13 @@
 package program
 
-// state is the state of a turn. Its numbers are stored.
+// state is the state of a turn. Its values are part of the stored format.
 type state uint8
 
 const (
-	inFlight  state = iota // begun and not ended
-	complete               // ended, complete and remembered: it can be continued
-	discarded              // ended and can't be continued: broken off, or not remembered
-	imported               // a chain that was imported from another shard; its bytes are the input
+	inFlight  state = iota // begun, not ended
+	complete               // ended with a complete output and remembered: it can be continued
+	discarded              // ended and can't be continued: incomplete, or not remembered
+	imported               // a chain imported from another shard, stored as the input
 )
 
 // turn is one attempt of a client, or an imported chain. Turns that continue the same one share it as their parent, so that
@@ -15,15 +15,15 @@
 type turn struct {
 	name           string
 	parent         *turn
-	program        *program // while in flight; nil: it belongs to none
+	program        *program // nil if the turn belongs to none, or isn't in flight any more
 	input          []byte
 	output         []byte
 	reservedTokens int64
-	retainMs       int64 // retention after its end that was asked for
-	expiresAtMs    int64 // 0: it isn't queued
+	retainMs       int64 // requested retention after the turn's end
+	expiresAtMs    int64 // 0: not in the expiry queue
 	chainBytes     int   // length of the chain up to and including this turn, once it can be continued
 	sequence       uint64
-	children       int32 // turns stored that continue this one
+	children       int32 // number of stored turns that continue this one
 	queueIndex     int32 // index in the expiry queue; notQueued: retained by its children alone
 	state          state
 	remembered     bool
@@ -37,12 +37,12 @@
 	return t.children > 0 || t.queueIndex != notQueued
 }
 
-// canContinue reports whether others may continue the turn.
-func (t *turn) canContinue() bool {
+// canBeContinued reports whether others may continue the turn.
+func (t *turn) canBeContinued() bool {
 	return t.state == complete || t.state == imported
 }
 
-// stateAtEnd returns the state that a turn in flight gets at its end.
+// stateAtEnd returns the state of a turn after its end.
 func stateAtEnd(t *turn, isComplete bool) state {
 	if isComplete && t.remembered {
 		return complete
@@ -50,12 +50,12 @@
 	return discarded
 }
 
-// contentBytes is the size of the turn's own input and output.
+// contentBytes returns the size of the turn's own input and output.
 func (t *turn) contentBytes() int64 {
 	return int64(len(t.input) + len(t.output))
 }
 
-// setChainBytes stores the length of the chain once the output is there.
+// setChainBytes sets the length of the chain, when the turn has its output.
 func (t *turn) setChainBytes() {
 	t.chainBytes = len(t.input) + len(t.output)
 	if t.parent != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// chain returns the inputs and outputs from the oldest turn up to and including t, in newly allocated memory. It fills the
-// bytes from the end, so that the path from t to its oldest turn is walked once.
+// chain returns the inputs and outputs from the oldest turn up to and including t, in newly allocated memory. It fills the memory
+// from its end, so that it follows the parents only once.
 func (t *turn) chain() []byte {
 	if t == nil || t.chainBytes == 0 {
 		return nil
--- a/internal/tier/programclient/client.go
+++ b/internal/tier/programclient/client.go
@@ -15,10 +15,10 @@
 	"mastusher/internal/tier/wire"
 )
 
-// ErrNoPlacement is returned as long as it isn't known which stores have which shards. Nothing was sent.
-var ErrNoPlacement = errors.New("placement of shards is not known")
+// ErrNoPlacement is returned while the client doesn't know which stores hold which shards. No request was sent.
+var ErrNoPlacement = errors.New("no placement of shards is known yet")
 
-// Client calls the leaders of shards. It is safe for concurrent use.
+// Client sends requests about turns to the leaders of shards. It is safe for concurrent use.
 type Client struct {
 	pool      *transport.Pool
 	placement atomic.Pointer[view.Placement]
@@ -28,8 +28,8 @@
 	leaders map[int]string // address to try first, by shard
 }
 
-// New returns a client without a placement. cacheBytes bounds the chains cached; 0: caches none. A larger cache saves traffic
-// between proxies and stores and takes as much memory.
+// New returns a client without a placement. cacheBytes bounds the total size of the cached chains; 0 caches none. A larger cache
+// takes more memory and saves traffic between proxies and stores.
 func New(pool *transport.Pool, cacheBytes int) *Client {
 	return &Client{pool: pool, cache: newPrefixCache(cacheBytes), leaders: map[int]string{}}
 }
@@ -43,7 +43,7 @@
 	return p != nil && len(p.Shards) > 0
 }
 
-// ZoneOf returns the zone of a store by its host, as the placement has it.
+// ZoneOf returns the zone of the store on a host, according to the placement.
 func (c *Client) ZoneOf(host string) (zone string, known bool) {
 	p := c.placement.Load()
 	if p == nil {
@@ -59,8 +59,8 @@
 	return "", false
 }
 
-// Begin begins a turn at the leader of key's shard. If another shard has the chain that the turn continues, it is imported.
-// It retries until ctx ends. After an error the outcome is unknown, except for ErrNoPlacement.
+// Begin begins a turn at the leader of key's shard. If the turn continues a chain that another shard stores, that chain is
+// imported. Begin retries until ctx ends. After any error but ErrNoPlacement it is unknown whether the turn was begun.
 func (c *Client) Begin(ctx context.Context, key string, turn program.BeginTurn) (program.Result, error) {
 	shard, err := c.shardOf(key)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return c.begin(ctx, shard, turn)
 }
 
-// begin begins a turn at the leader of a shard, and joins the chain of what is cached and what the store sent.
+// begin begins a turn at the leader of a shard, and joins the cached prefix of its chain with the rest that the store sent.
 func (c *Client) begin(ctx context.Context, shard int, turn program.BeginTurn) (program.Result, error) {
 	cached := c.cache.prefixes(&turn)
 	request := wire.BeginTurnRequest{Shard: shard, Turn: turn, CachedChains: digestsOf(cached)}
@@ -96,8 +96,8 @@
 	return result, nil
 }
 
-// End commits a turn at the leader of key's shard. It retries until ctx ends. After an error the outcome is unknown, except
-// for ErrNoPlacement.
+// End commits a turn at the leader of key's shard. It retries until ctx ends. After any error but ErrNoPlacement it is unknown
+// whether the turn was committed.
 func (c *Client) End(ctx context.Context, key string, turn program.EndTurn) (program.Result, error) {
 	shard, err := c.shardOf(key)
 	if err != nil {
@@ -118,16 +118,16 @@
 	return placement.Shard(key, len(p.Shards)), nil
 }
 
-// findChain asks the leaders of all other shards for a turn's chain, and returns the first that is found. That there is none
-// is reported only if every leader has answered so. Once one is found nobody waits for the other calls any more: they go on until
-// they are answered or ctx, the request's, ends.
+// findChain asks the leaders of all other shards for a turn's chain, and returns the first one found. It reports that there is
+// none only if every leader has answered so. Once a chain is found, findChain returns without waiting for the other calls, which
+// go on until they are answered or ctx ends.
 func (c *Client) findChain(ctx context.Context, except int, turn string) ([]byte, bool, error) {
 	p := c.placement.Load()
 	type reply struct {
 		response wire.ChainResponse
 		err      error
 	}
-	replies := make(chan reply, len(p.Shards)) // has room for all, so that no goroutine outlives its call
+	replies := make(chan reply, len(p.Shards)) // has room for all replies, so that no goroutine blocks after findChain has returned
 	pending := 0
 	for shard := range p.Shards {
 		if shard == except {
@@ -139,16 +139,16 @@
 			replies <- reply{response, err}
 		}()
 	}
-	var failed error
+	var lastErr error
 	for range pending {
 		r := <-replies
 		if r.err != nil {
-			failed = r.err
+			lastErr = r.err
 			continue
 		}
 		if r.response.Found {
 			return r.response.Chain, true, nil
 		}
 	}
-	return nil, false, failed
+	return nil, false, lastErr
 }
--- a/internal/tier/programclient/leader.go
+++ b/internal/tier/programclient/leader.go
@@ -12,17 +12,17 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Bounds of a call. Its deadline is that of its context.
+// Bounds of the attempts of a call. The call itself ends with its context.
 const (
-	attemptTimeout = 400 * time.Millisecond // of one store
-	initialBackoff = 15 * time.Millisecond  // after all replicas of a shard were tried, none of which led it; doubles each time
+	attemptTimeout = 400 * time.Millisecond // timeout of one attempt at one store
+	initialBackoff = 15 * time.Millisecond  // wait after all replicas were tried and none led the shard; doubles each time
 	maxBackoff     = 120 * time.Millisecond
 )
 
-// callLeader tries the replicas of a shard until its leader responds or ctx ends. A store that was hinted as the leader and has
-// just not responded is retried only after the others: one of them may lead the shard by then.
+// callLeader tries the replicas of a shard until its leader responds or ctx ends. A follower's hint to the store that has just
+// not responded isn't followed: the other replicas are tried first, as one of them may lead the shard by then.
 func callLeader[Request, Response any](ctx context.Context, c *Client, shard int, method string, request Request) (Response, error) {
-	var none Response
+	var zero Response
 	backoff := initialBackoff
 	address, unresponsive := c.leader(shard), ""
 	for attempt := 1; ; attempt++ {
@@ -36,7 +36,7 @@
 			c.avoid(shard, address)
 		}
 		if ctx.Err() != nil {
-			return none, fmt.Errorf("shard %d: %w", shard, err)
+			return zero, fmt.Errorf("shard %d: %w", shard, err)
 		}
 		if hint != "" && hint != address && hint != unresponsive {
 			address = hint
@@ -47,17 +47,17 @@
 			continue
 		}
 		if err := wait.Sleep(ctx, backoff); err != nil {
-			return none, fmt.Errorf("shard %d: %w", shard, err)
+			return zero, fmt.Errorf("shard %d: %w", shard, err)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// callStore calls one store. The hint is the leader's address, where the store knows another as that.
+// callStore calls one store. If the store doesn't lead the shard, hint is the leader's address as far as the store knows it.
 func callStore[Request, Response any](ctx context.Context, c *Client, address, method string, request Request) (response Response, hint string, err error) {
-	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	response, err = transport.Call[Request, Response](bounded, c.pool, address, method, request)
+	response, err = transport.Call[Request, Response](attemptCtx, c.pool, address, method, request)
 	var remote *transport.RemoteError
 	if errors.As(err, &remote) && remote.Kind == wire.KindNotLeader {
 		hint = remote.Message
@@ -79,11 +79,11 @@
 	return p.Shards[shard].Replicas
 }
 
-// replicaCount is the number of a shard's replicas, at least 1.
+// replicaCount returns the number of a shard's replicas, at least 1.
 func (c *Client) replicaCount(shard int) int { return max(1, len(c.replicas(shard))) }
 
-// leader returns the address to try first: that of the store that responded last, if it still has a replica, or the first
-// replica's.
+// leader returns the address to try first: the one that setLeader set, if a replica is still there, or else that of the first
+// replica; empty if the shard has none.
 func (c *Client) leader(shard int) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,14 +100,14 @@
 	return replicas[0].Address
 }
 
-// setLeader sets the address to try first.
+// setLeader sets the address that the next call tries first.
 func (c *Client) setLeader(shard int, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.leaders[shard] = address
 }
 
-// nextReplica returns the address of the replica after the one at an address.
+// nextReplica returns the address of the replica listed after the one at address, or that of c.leader if none is at address.
 func (c *Client) nextReplica(shard int, address string) string {
 	replicas := c.replicas(shard)
 	for i, r := range replicas {
@@ -118,8 +118,8 @@
 	return c.leader(shard)
 }
 
-// avoid makes the next calls start at another store than one that didn't respond: a call whose deadline ends with that store's
-// attempt would never reach the others.
+// avoid makes the next calls start at another store than the one at address, which didn't respond: a call whose deadline ends
+// during its attempt at that store would never reach the others.
 func (c *Client) avoid(shard int, address string) {
 	if c.leader(shard) == address {
 		c.setLeader(shard, c.nextReplica(shard, address))
--- a/internal/tier/programclient/prefix_cache.go
+++ b/internal/tier/programclient/prefix_cache.go
@@ -10,13 +10,13 @@
 	"mastusher/internal/tier/wire"
 )
 
-// maxChainsPerProgram bounds the chains cached for a program. Most series of turns come through one proxy, some through two
-// alternately, and those of subagents, which run concurrently, start with their parent's chain.
+// maxChainsPerProgram bounds the chains cached for a program. Most conversations go through one proxy, some alternate between
+// two. Those of subagents run concurrently and start with their parent's chain.
 const maxChainsPerProgram = 8
 
-// prefixCache caches the chains of the newest turns that went through this process, least recently used ones evicted first. A
-// chain grows with each turn, and would be transferred completely each time. Nothing of the cache is used unless the leader of
-// the shard has confirmed by its digest that the chain starts with it. It is safe for concurrent use.
+// prefixCache caches the chains of the latest turns that went through this process, and evicts the least recently used ones.
+// Without it, the whole chain, which grows with each turn, would be transferred each time. A cached chain is used only if the
+// shard's leader has confirmed, by its digest, that it is a prefix of the turn's chain. It is safe for concurrent use.
 type prefixCache struct {
 	maxBytes int
 
@@ -24,15 +24,15 @@
 	bytes     int
 	recent    *list.List // of *cachedChain, the most recently used first
 	byTurn    map[string]*cachedChain
-	byProgram map[string][]*cachedChain // the newest last
+	byProgram map[string][]*cachedChain // in the order in which they were added
 }
 
-// cachedChain is the chain up to the end of a turn, or up to its input while it is in flight.
+// cachedChain is the chain up to a turn's output, or up to its input while the turn is in flight.
 type cachedChain struct {
 	turn     string
 	program  string
-	text     []byte // never changed
-	complete bool   // the turn has ended complete: others may continue it
+	text     []byte // must not be modified in place
+	complete bool   // the turn has ended with a complete output, so that others may continue it
 	element  *list.Element
 }
 
@@ -40,8 +40,8 @@
 	return &prefixCache{maxBytes: maxBytes, recent: list.New(), byTurn: map[string]*cachedChain{}, byProgram: map[string][]*cachedChain{}}
 }
 
-// prefixes lists candidates for the start of a turn's chain: the chain of the turn that it continues, or else those of its
-// program's newest turns.
+// prefixes returns cached chains that a turn's chain may start with: that of the turn that it continues, or if that isn't
+// cached, those of its program's latest turns.
 func (c *prefixCache) prefixes(turn *program.BeginTurn) [][]byte {
 	if !turn.Remembered || turn.Previous == "" {
 		return nil
@@ -61,7 +61,8 @@
 	return texts
 }
 
-// addBegun caches the chain of an accepted turn up to its input. A duplicate replaces it: the input may be another.
+// addBegun caches the chain of an accepted turn up to its input. If the turn is cached already, the entry is replaced, since the
+// input may differ.
 func (c *prefixCache) addBegun(turn *program.BeginTurn, chain []byte) {
 	if !turn.Remembered || turn.Program == "" {
 		return
@@ -74,7 +75,7 @@
 	c.add(&cachedChain{turn: turn.Turn, program: turn.Program, text: text})
 }
 
-// addEnded completes the chain of a turn by its output, or evicts it if the turn can't be continued.
+// addEnded appends a turn's output to its cached chain, or evicts the chain if the turn can't be continued.
 func (c *prefixCache) addEnded(turn *program.EndTurn, verdict program.Verdict) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -92,7 +93,7 @@
 	c.add(known)
 }
 
-// add inserts a chain, and evicts what exceeds the bounds.
+// add inserts a chain, and evicts others until the bounds are met.
 func (c *prefixCache) add(added *cachedChain) {
 	added.element = c.recent.PushFront(added)
 	c.byTurn[added.turn] = added
@@ -106,7 +107,7 @@
 	}
 }
 
-// evict removes a chain; nil: there is none.
+// evict removes a chain; nil is ignored.
 func (c *prefixCache) evict(evicted *cachedChain) {
 	if evicted == nil {
 		return
@@ -124,7 +125,7 @@
 	}
 }
 
-// digestsOf names cached chains to the leader of a shard.
+// digestsOf returns the lengths and digests by which a shard's leader recognises cached chains.
 func digestsOf(texts [][]byte) []wire.CachedChain {
 	var digests []wire.CachedChain
 	for _, text := range texts {
@@ -133,10 +134,10 @@
 	return digests
 }
 
-// errPrefixNotCached is returned where a store omitted a prefix that it wasn't told of. Only a faulty store does so.
-var errPrefixNotCached = errors.New("store omitted a prefix that is not cached")
+// errPrefixNotCached is returned if a store omitted a prefix that the request didn't list. Only a faulty store does so.
+var errPrefixNotCached = errors.New("store omitted a prefix that the request did not list")
 
-// joinPrefix returns the complete chain of a response from which one of the cached prefixes was omitted.
+// joinPrefix returns the whole chain of a response, with the cached prefix that the store omitted, if any.
 func joinPrefix(cached [][]byte, response wire.BeginTurnResponse) ([]byte, error) {
 	if response.CachedIndex == 0 {
 		return response.Chain, nil
--- a/internal/tier/programclient/prefix_cache_test.go
+++ b/internal/tier/programclient/prefix_cache_test.go
@@ -71,13 +71,13 @@
 			c.end(client, program.EndTurn{Turn: turn.Turn, Complete: rapid.IntRange(0, 5).Draw(t, "whole") > 0, Output: []byte(fmt.Sprint("out", number))})
 		}
 		for i, client := range c.clients {
-			checkChains(t, i, client)
+			checkConsistency(t, i, client)
 		}
 	})
 }
 
-// checkChains fails where the cache's tables disagree or exceed the bound.
-func checkChains(t *rapid.T, number int, c *prefixCache) {
+// checkConsistency fails where the cache's tables disagree or exceed the bound.
+func checkConsistency(t *rapid.T, number int, c *prefixCache) {
 	sum, listed := 0, 0
 	for _, cached := range c.byTurn {
 		sum += len(cached.text)
